--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -155,7 +155,7 @@
 		}
 		b.fleet.sawFull(now, w, b.est.run.Or(usualRun, 1))
 		w.profile.transfer.Add(now, b.est.sizeOf(r.job), ev.Elapsed.Seconds(), windowLen)
-		stat.Of(b.est.transfer, w.zone).Add(ev.Elapsed.Seconds(), poolSamples)
+		stats.Of(b.est.transfer, w.zone).Add(ev.Elapsed.Seconds(), poolSamples)
 	case Errored, ConnectFailed, Reset, TimedOut:
 		if ev.Outcome != TimedOut || a.runningAt == 0 {
 			b.fleet.judge(now, w, r.Class, true)
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -60,11 +60,11 @@
 	waking, telling bool       // the timers for held requests and for messages to peers are set
 	asked           float64    // requests since the last message
 	toldAt          time.Duration
-	rate            stat.Mean // requests a second
-	stray           *worker   // a worker at random of those that the last choice was from
-	topWorth        float64   // of a class
-	thin            bool      // too few workers are known to choose by; since the last choice
-	keys            stat.Shares
+	rate            stats.Mean // requests a second
+	stray           *worker    // a worker at random of those that the last choice was from
+	topWorth        float64    // of a class
+	thin            bool       // too few workers are known to choose by; since the last choice
+	keys            stats.Shares
 	moves           float64 // copies that the budget for moving out of failed zones allows now
 }
 
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"ospreybend/internal/estimate"
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/estimate"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -26,7 +26,7 @@
 	if !has || cost <= 0 {
 		return 0
 	}
-	return 1 + stat.Bucket(float64(cost/time.Microsecond), bucketBase)
+	return 1 + stats.Bucket(float64(cost/time.Microsecond), bucketBase)
 }
 
 // windowKey names a processing window of a worker.
@@ -34,35 +34,35 @@
 
 // profile is what is known of one worker's delays.
 type profile struct {
-	transfer stat.Window // round trip against size
-	process  map[windowKey]*stat.Window
-	pace     stat.Window // running time for each second of size
+	transfer stats.Window // round trip against size
+	process  map[windowKey]*stats.Window
+	pace     stats.Window // running time for each second of size
 	life     time.Duration
 }
 
 // forget restores the worker afresh, as when it restarts.
 func (p *profile) forget() {
-	p.transfer, p.pace = stat.Window{}, stat.Window{}
-	p.process = map[windowKey]*stat.Window{}
+	p.transfer, p.pace = stats.Window{}, stats.Window{}
+	p.process = map[windowKey]*stats.Window{}
 }
 
 // estimator predicts delays from the profiles of workers and what they pool.
 type estimator struct {
-	size     []stat.Mean              // by class: running time of a job without a hint
-	kindPace map[int]*stat.Mean       // by worker kind: running time for each second of size
-	worth    map[windowKey]*stat.Mean // running time at pace 1 for each second of hint
-	allPace  stat.Mean                // over all workers
-	full     stat.Pooled              // share of attempts turned away, against the same
-	wait     map[int]*stat.Pooled     // by queue priority: queue wait against free slots beyond the job's need
-	run      stat.Mean                // running time over all jobs
-	transfer map[int]*stat.Mean       // by worker zone: round trips of full answers
-	floor    map[int]float64          // by worker zone: least time seen from a send to its start note
+	size     []stats.Mean              // by class: running time of a job without a hint
+	kindPace map[int]*stats.Mean       // by worker kind: running time for each second of size
+	worth    map[windowKey]*stats.Mean // running time at pace 1 for each second of hint
+	allPace  stats.Mean                // over all workers
+	full     stats.Pooled              // share of attempts turned away, against the same
+	wait     map[int]*stats.Pooled     // by queue priority: queue wait against free slots beyond the job's need
+	run      stats.Mean                // running time over all jobs
+	transfer map[int]*stats.Mean       // by worker zone: round trips of full answers
+	floor    map[int]float64           // by worker zone: least time seen from a send to its start note
 }
 
 func newEstimator(classes int) estimator {
-	return estimator{size: make([]stat.Mean, classes), wait: map[int]*stat.Pooled{},
-		worth:    map[windowKey]*stat.Mean{},
-		kindPace: map[int]*stat.Mean{}, transfer: map[int]*stat.Mean{}, floor: map[int]float64{}}
+	return estimator{size: make([]stats.Mean, classes), wait: map[int]*stats.Pooled{},
+		worth:    map[windowKey]*stats.Mean{},
+		kindPace: map[int]*stats.Mean{}, transfer: map[int]*stats.Mean{}, floor: map[int]float64{}}
 }
 
 // job is what the estimator needs to know of a request.
@@ -81,7 +81,7 @@
 		return j.sized
 	}
 	if j.size > 0 {
-		return j.size * stat.Of(e.worth, windowKey{j.class, j.bucket}).Or(1, worthSamples)
+		return j.size * stats.Of(e.worth, windowKey{j.class, j.bucket}).Or(1, worthSamples)
 	}
 	if m := e.size[j.class]; m.N > 0 {
 		return m.Sum / m.N
@@ -90,7 +90,7 @@
 }
 
 func (e *estimator) paceOf(now time.Duration, p *profile, kind int) float64 {
-	prior := stat.Of(e.kindPace, kind).Or(e.allPace.Or(1, 1), paceSamples)
+	prior := stats.Of(e.kindPace, kind).Or(e.allPace.Or(1, 1), paceSamples)
 	// Each summed: the ratio of one small job, whose hint or clock is rough, says little.
 	own := p.pace.Fit(now, p.life, 0)
 	k := paceSamples * e.run.Or(usualRun, 1)
@@ -100,7 +100,7 @@
 // waitAt predicts the queue wait at so many free slots of all. Until jobs have shown it, that is the
 // time in which the slots come free that lack, softened as reports are about one slot off.
 func (e *estimator) waitAt(j job, free, slots float64) float64 {
-	line, guess := stat.Of(e.wait, j.level), math.Log1p(math.Exp(j.slots-free))*e.run.Or(usualRun, 1)/slots
+	line, guess := stats.Of(e.wait, j.level), math.Log1p(math.Exp(j.slots-free))*e.run.Or(usualRun, 1)/slots
 	return (line.At(free-j.slots)*line.N + guess*waitSamples) / (line.N + waitSamples)
 }
 
@@ -120,7 +120,7 @@
 func (e *estimator) processAt(now time.Duration, p *profile, kind int, j job, free, slots float64) float64 {
 	size := e.sizeOf(j)
 	pooled := e.paceOf(now, p, kind)*size + e.waitAt(j, free, slots)
-	own := stat.Of(p.process, windowKey{j.class, j.bucket}).Fit(now, p.life, -1)
+	own := stats.Of(p.process, windowKey{j.class, j.bucket}).Fit(now, p.life, -1)
 	return estimate.Blend(own.At(free)*size, own.N, pooled, estimate.PriorSamples)
 }
 
@@ -139,7 +139,7 @@
 	if j.size > 0 {
 		// Rough hints are too low among the small and too high among the large.
 		worth := run / e.paceOf(now, p, kind) / j.size
-		stat.Of(e.worth, windowKey{j.class, j.bucket}).Add(min(max(worth, 1/oddRatio), oddRatio), poolSamples)
+		stats.Of(e.worth, windowKey{j.class, j.bucket}).Add(min(max(worth, 1/oddRatio), oddRatio), poolSamples)
 		e.size[j.class].Add(e.sizeOf(j), poolSamples)
 	}
 	size := e.sizeOf(j)
@@ -148,13 +148,13 @@
 	ratio := min(max(run/size, usual/oddRatio), usual*oddRatio)
 	p.pace.Add(now, size, ratio*size, windowLen)
 	weight := size / e.run.Or(size, 1)
-	stat.Of(e.kindPace, kind).Weigh(ratio, weight, poolSamples)
+	stats.Of(e.kindPace, kind).Weigh(ratio, weight, poolSamples)
 	e.allPace.Weigh(ratio, weight, poolSamples)
 	e.run.Add(run, poolSamples)
-	line := stat.Of(e.wait, j.level)
+	line := stats.Of(e.wait, j.level)
 	line.Weigh(free-j.slots, wait, 1, poolSamples)
 	e.full.Weigh(free-j.slots, 0, 1, poolSamples)
 	// When all are busy the line would otherwise be read flat up to idle.
 	line.Weigh(idle-j.slots, 0, idleWeight, poolSamples)
-	stat.Of(p.process, windowKey{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
+	stats.Of(p.process, windowKey{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
 }
--- a/balance/estimate_test.go
+++ b/balance/estimate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const life = 10 * time.Second
@@ -30,11 +30,11 @@
 	for range 40 {
 		e.learnProcess(0, slow, 3, j, 2, 4, 0, 0.2)
 		slow.transfer.Add(0, e.sizeOf(j), 0.01, windowLen)
-		stat.Of(e.transfer, 1).Add(0.01, poolSamples)
+		stats.Of(e.transfer, 1).Add(0.01, poolSamples)
 	}
 	near(t, "processing of its kind", e.processAt(0, unseen, 3, j, 2, 4), 0.2, 0.02)
 	near(t, "transfer of its zone", e.transferTo(0, unseen, 1, j), 0.01, 1e-9)
-	e.wait = map[int]*stat.Pooled{} // nobody has waited yet
+	e.wait = map[int]*stats.Pooled{} // nobody has waited yet
 	near(t, "wait for the slots that lack", e.waitAt(j, -3, 4), 4*e.run.Or(0, 0)/4, 0.01)
 	near(t, "wait where slots are free", e.waitAt(j, 5, 4), 0, 0.01)
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -42,7 +42,7 @@
 	topFree    float64 // most free slots ever reported
 
 	unfinished float64       // slots of own jobs out
-	health     []stat.Odds   // over all classes, then of each
+	health     []stats.Odds  // over all classes, then of each
 	heardAt    time.Duration // when it last started or answered an own job; 0: not since its start
 	others     float64       // slots that peers say their jobs hold here
 	tokens     float64       // cold budget left, slot-seconds; negative: overdrawn
@@ -55,14 +55,14 @@
 	rng      *rand.Rand
 	list     []*worker
 	byID     map[WorkerID]*worker
-	kindFree map[int]float64    // by kind: most free slots ever reported
-	meanFree map[int]*stat.Mean // by kind: free slots in reports, less those that the queue waits for
-	jobSlots stat.Mean          // slots a job takes
+	kindFree map[int]float64     // by kind: most free slots ever reported
+	meanFree map[int]*stats.Mean // by kind: free slots in reports, less those that the queue waits for
+	jobSlots stats.Mean          // slots a job takes
 	peers    map[int]*peerView
 	fresh    int // peers heard of lately
 	byTag    map[uint16]*worker
-	health   []stat.Odds // the same over the fleet
-	shares   []float64   // what each zone takes, by its number; none: all
+	health   []stats.Odds // the same over the fleet
+	shares   []float64    // what each zone takes, by its number; none: all
 
 	subscribed, asking bool
 	askTries           int
@@ -71,7 +71,7 @@
 
 func newFleet(s *Settings, rng *rand.Rand) fleet {
 	return fleet{settings: s, rng: rng, byID: map[WorkerID]*worker{}, kindFree: map[int]float64{},
-		meanFree: map[int]*stat.Mean{}, health: make([]stat.Odds, 1+len(s.Classes)),
+		meanFree: map[int]*stats.Mean{}, health: make([]stats.Odds, 1+len(s.Classes)),
 		peers: map[int]*peerView{}}
 }
 
@@ -122,7 +122,7 @@
 }
 
 func (f *fleet) newWorker(now time.Duration, id WorkerID) *worker {
-	w := &worker{id: id, tokensAt: now, health: make([]stat.Odds, len(f.health))}
+	w := &worker{id: id, tokensAt: now, health: make([]stats.Odds, len(f.health))}
 	w.profile.life = f.spread(sampleLife)
 	w.profile.forget()
 	return w
@@ -208,7 +208,7 @@
 	w.topFree = max(w.topFree, math.Round(free))
 	f.kindFree[w.kind] = max(f.kindFree[w.kind], w.topFree)
 	free -= f.queued(w, free, seen)
-	stat.Of(f.meanFree, w.kind).Add(free, reportMemory)
+	stats.Of(f.meanFree, w.kind).Add(free, reportMemory)
 	free += w.unfinished
 	if w.reported {
 		free = (free + w.free) / 2
@@ -234,7 +234,7 @@
 	if peers := f.settings.Balancers - 1; f.fresh*2 > peers && peers > 0 {
 		return f.slotsOf(w) - w.unfinished - w.others*float64(peers)/float64(f.fresh)
 	}
-	mean := stat.Of(f.meanFree, w.kind).Or(f.slotsOf(w), 1)
+	mean := stats.Of(f.meanFree, w.kind).Or(f.slotsOf(w), 1)
 	if !w.reported {
 		return mean - w.unfinished
 	}
@@ -250,7 +250,7 @@
 
 // judge books an outcome on a worker's health, over all and for the class: some hit one alone.
 func (f *fleet) judge(now time.Duration, w *worker, class int, failed bool) {
-	for _, of := range [][]stat.Odds{w.health, f.health} {
+	for _, of := range [][]stats.Odds{w.health, f.health} {
 		of[0].Add(now, healthLife, failed)
 		of[1+class].Add(now, healthLife, failed)
 	}
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"ospreybend/internal/estimate"
+	"ospreybend/internal/util/estimate"
 )
 
 const (
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 // What a dispatcher has learned and has in work goes to another process of the same
@@ -136,33 +136,33 @@
 	}
 }
 
-func (t *tape) mean(m *stat.Mean) { t.numbers(&m.N, &m.Sum) }
+func (t *tape) mean(m *stats.Mean) { t.numbers(&m.N, &m.Sum) }
 
-func (t *tape) meanAt(m **stat.Mean) {
+func (t *tape) meanAt(m **stats.Mean) {
 	if *m == nil {
-		*m = &stat.Mean{}
+		*m = &stats.Mean{}
 	}
 	t.mean(*m)
 }
 
-func (t *tape) line(p *stat.Pooled) { t.numbers(&p.N, &p.SX, &p.SY, &p.SXX, &p.SXY) }
+func (t *tape) line(p *stats.Pooled) { t.numbers(&p.N, &p.SX, &p.SY, &p.SXX, &p.SXY) }
 
-func (t *tape) lineAt(p **stat.Pooled) {
+func (t *tape) lineAt(p **stats.Pooled) {
 	if *p == nil {
-		*p = &stat.Pooled{}
+		*p = &stats.Pooled{}
 	}
 	t.line(*p)
 }
 
-func (t *tape) health(h *stat.Odds) {
+func (t *tape) health(h *stats.Odds) {
 	t.numbers(&h.Failures, &h.Outcomes)
 	t.span(&h.At)
 }
 
-func (t *tape) window(w *stat.Window) {
+func (t *tape) window(w *stats.Window) {
 	n := t.length(len(w.Samples))
 	if t.reading {
-		*w = stat.Window{Samples: make([]stat.Sample, min(n, windowLen))}
+		*w = stats.Window{Samples: make([]stats.Sample, min(n, windowLen))}
 		t.bad = t.bad || n > windowLen
 	}
 	for i := range w.Samples {
@@ -172,9 +172,9 @@
 	}
 }
 
-func (t *tape) windowAt(w **stat.Window) {
+func (t *tape) windowAt(w **stats.Window) {
 	if *w == nil {
-		*w = &stat.Window{}
+		*w = &stats.Window{}
 	}
 	t.window(*w)
 }
@@ -192,7 +192,7 @@
 	table(t, e.transfer, t.integer, t.meanAt)
 	table(t, e.floor, t.integer, t.number)
 	t.line(&e.full)
-	for _, m := range []*stat.Mean{&e.allPace, &e.run} {
+	for _, m := range []*stats.Mean{&e.allPace, &e.run} {
 		t.mean(m)
 	}
 }
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -23,7 +23,7 @@
 }
 
 // tagOf names a worker in messages, short enough for a message to name many.
-func tagOf(id WorkerID) uint16 { return uint16(stat.Mix(uint64(id))) }
+func tagOf(id WorkerID) uint16 { return uint16(stats.Mix(uint64(id))) }
 
 // tell writes what this dispatcher has out, by worker.
 func (f *fleet) tell() []byte {
--- a/balance/view.go
+++ b/balance/view.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 // Doubt is the chance that an operation of any kind fails at a worker, as this
@@ -36,7 +36,7 @@
 		if !b.fleet.mayTake(w) {
 			continue
 		}
-		z := stat.Of(by, w.zone)
+		z := stats.Of(by, w.zone)
 		slots := b.fleet.slotsOf(w)
 		z.Cold += slots * (1 - b.fleet.coldPart(now, w))
 		z.Slots += slots
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -18,7 +18,7 @@
 // looking again does not get round it.
 func (f *fleet) inShare(id RequestID, zone int) bool {
 	share := f.shareOf(zone)
-	return share >= 1 || stat.Draw(uint64(id), uint64(zone)) < share
+	return share >= 1 || stats.Draw(uint64(id), uint64(zone)) < share
 }
 
 // shareOf gives what a zone takes.
--- a/cmd/ospreyfleet/check.go
+++ b/cmd/inference-router/check.go
@@ -5,8 +5,8 @@
 	"io"
 	"os"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // checkCommand are the flags of check.
@@ -22,7 +22,7 @@
 		return exitUsage
 	}
 	if c.Settings != "" {
-		if _, err := settings.Load(c.Settings); err != nil {
+		if _, err := bootconfig.Load(c.Settings); err != nil {
 			fmt.Fprintln(errors, err)
 			return exitFault
 		}
--- a/cmd/ospreyfleet/demo.go
+++ b/cmd/inference-router/demo.go
@@ -7,10 +7,10 @@
 	"os"
 	"time"
 
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/modelworker"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/testkit/fakemodelworker"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -41,14 +41,14 @@
 type demonstration struct {
 	out     io.Writer
 	fleet   *localfleet.Fleet
-	pool    *exchange.Pool
-	workers []*modelworker.Worker
-	handles modelworker.Handles
+	pool    *upstream.Pool
+	workers []*fakemodelworker.Worker
+	handles fakemodelworker.Handles
 }
 
 // run starts a whole fleet on loopback, sends requests through it and shows what became of each.
 func (c *demoCommand) run(out, errors io.Writer) int {
-	directory, err := os.MkdirTemp("", "ospreyfleet-demo-")
+	directory, err := os.MkdirTemp("", "inference-router-demo-")
 	if err != nil {
 		fmt.Fprintln(errors, err)
 		return exitFault
@@ -71,7 +71,7 @@
 	defer fleet.StopAll()
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	demo := demonstration{out: out, fleet: fleet, pool: exchange.New(exchange.Options{})}
+	demo := demonstration{out: out, fleet: fleet, pool: upstream.New(upstream.Options{})}
 	if err := demo.play(ctx, c.Requests); err != nil {
 		fmt.Fprintln(errors, "demo:", err)
 		return exitFault
@@ -112,13 +112,13 @@
 // startWorkers starts two workers that read prompts, two that make tokens and one plain one.
 func (d *demonstration) startWorkers(ctx context.Context) error {
 	for i := range demoWorkers + 1 {
-		options := modelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
+		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
 			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.Worker(i), Slots: demoSlots, Control: d.fleet.Control(),
 			Heartbeat: time.Second, ReadPace: 40, TokenTime: 6 * time.Millisecond, PlainTime: 30 * time.Millisecond, Handles: &d.handles}
 		if i == demoWorkers {
 			options.Service, options.Stage = "store", ""
 		}
-		worker, err := modelworker.Start(ctx, options)
+		worker, err := fakemodelworker.Start(ctx, options)
 		if err != nil {
 			return err
 		}
@@ -130,8 +130,8 @@
 // configure sends the configuration to one keeper and tells whether it was accepted.
 func (d *demonstration) configure(ctx context.Context) bool {
 	control := d.fleet.Control()[0]
-	response, failure := d.pool.Do(ctx, &exchange.Call{Address: control, Method: "POST", Target: "/-/Config.Replace",
-		Fields: httpwire.Fields{{Name: "Host", Value: control}, {Name: "X-Base-Version", Value: "0"},
+	response, failure := d.pool.Do(ctx, &upstream.Call{Address: control, Method: "POST", Target: "/-/Config.Replace",
+		Fields: http1.Fields{{Name: "Host", Value: control}, {Name: "X-Base-Version", Value: "0"},
 			{Name: "Content-Type", Value: "application/json"}}, Body: []byte(demoConfiguration)})
 	return failure == nil && response.Status == 200
 }
@@ -139,8 +139,8 @@
 // ready asks a proxy for its readiness.
 func (d *demonstration) ready(ctx context.Context, edge int) bool {
 	address := d.fleet.Readiness(edge)
-	response, failure := d.pool.Do(ctx, &exchange.Call{Address: address, Method: "GET", Target: "/-/ready",
-		Fields: httpwire.Fields{{Name: "Host", Value: address}}})
+	response, failure := d.pool.Do(ctx, &upstream.Call{Address: address, Method: "GET", Target: "/-/ready",
+		Fields: http1.Fields{{Name: "Host", Value: address}}})
 	return failure == nil && response.Status == 200
 }
 
@@ -170,13 +170,13 @@
 
 // send sends one request and returns its status and how many events came; status 0 stands for a broken answer.
 func (d *demonstration) send(ctx context.Context, edge, kind int, id string) (status, events int) {
-	call := &exchange.Call{Address: d.fleet.Front(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[kind],
-		Fields: httpwire.Fields{{Name: "Host", Value: "demo.example"}, {Name: "X-Request-Id", Value: fmt.Sprintf("%s-%d-%d", id, edge, kind)},
+	call := &upstream.Call{Address: d.fleet.Front(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[kind],
+		Fields: http1.Fields{{Name: "Host", Value: "demo.example"}, {Name: "X-Request-Id", Value: fmt.Sprintf("%s-%d-%d", id, edge, kind)},
 			{Name: "X-Request-Deadline", Value: fmt.Sprint(demoDeadline)}}, Body: []byte("{}"), Events: true}
 	if kind == 0 {
-		call.Fields = append(call.Fields, httpwire.Field{Name: "X-Model", Value: "m"},
-			httpwire.Field{Name: "X-Token-Count", Value: "1200,8"},
-			httpwire.Field{Name: "X-Prompt-Prefix", Value: "a1:800,b" + fmt.Sprint(edge) + ":400"})
+		call.Fields = append(call.Fields, http1.Field{Name: "X-Model", Value: "m"},
+			http1.Field{Name: "X-Token-Count", Value: "1200,8"},
+			http1.Field{Name: "X-Prompt-Prefix", Value: "a1:800,b" + fmt.Sprint(edge) + ":400"})
 	}
 	response, failure := d.pool.Do(ctx, call)
 	if failure != nil {
--- a/cmd/ospreyfleet/main.go
+++ b/cmd/inference-router/main.go
@@ -1,4 +1,4 @@
-// Command ospreyfleet is the router fleet: each of its processes is one sub-command of it. See
+// Command inference-router is the router fleet: each of its processes is one sub-command of it. See
 // docs/design/router-fleet.md for the roles and docs/OPERATORS-FLEET.md for running them.
 package main
 
@@ -13,11 +13,11 @@
 	"github.com/alexflint/go-arg"
 	"go.uber.org/zap"
 
-	"ospreybend/internal/agent"
-	"ospreybend/internal/keeper"
-	"ospreybend/internal/logging"
-	"ospreybend/internal/proxy"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/agent"
+	"ospreybend/internal/controlplane/server"
+	"ospreybend/internal/dataplane/proxy"
+	"ospreybend/internal/util/bootconfig"
+	"ospreybend/internal/util/logging"
 )
 
 // Exit codes of the command.
@@ -45,11 +45,11 @@
 
 // Description is shown by --help.
 func (arguments) Description() string {
-	return "ospreyfleet runs one process of the router fleet, or checks its files."
+	return "inference-router runs one process of the router fleet, or checks its files."
 }
 
 // runner is the entry point of a role.
-type runner func(context.Context, settings.Settings, *zap.Logger) error
+type runner func(context.Context, bootconfig.Settings, *zap.Logger) error
 
 func main() {
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -58,7 +58,7 @@
 // run parses the command line and does what it says.
 func run(line []string, out, errors io.Writer) int {
 	var parsed arguments
-	parser, err := arg.NewParser(arg.Config{Program: "ospreyfleet", Out: out}, &parsed)
+	parser, err := arg.NewParser(arg.Config{Program: "inference-router", Out: out}, &parsed)
 	if err != nil {
 		fmt.Fprintln(errors, err)
 		return exitUsage
@@ -77,7 +77,7 @@
 	case parsed.Agent != nil:
 		return runRole("agent", parsed.Agent, agent.Run, errors)
 	case parsed.Keeper != nil:
-		return runRole("keeper", parsed.Keeper, keeper.Run, errors)
+		return runRole("keeper", parsed.Keeper, server.Run, errors)
 	case parsed.Check != nil:
 		return parsed.Check.run(out, errors)
 	case parsed.Demo != nil:
@@ -97,7 +97,7 @@
 
 // runRole runs one process until it is told to end by SIGTERM or SIGINT.
 func runRole(role string, command *roleCommand, run runner, errors io.Writer) int {
-	loaded, err := settings.LoadWhole(command.Settings)
+	loaded, err := bootconfig.LoadWhole(command.Settings)
 	if err != nil {
 		fmt.Fprintln(errors, err)
 		return exitUsage
--- a/cmd/ospreyfleet/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/keeper"
-	"ospreybend/internal/registry"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/controlplane/server"
 )
 
 // call runs the command line and returns its exit code and what it wrote.
@@ -24,7 +24,7 @@
 func TestHelpOfEachCommand(t *testing.T) {
 	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"keeper"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
 		code, out, faults := call(append(words, "--help")...)
-		usage := strings.Join(append([]string{"Usage: ospreyfleet"}, words...), " ")
+		usage := strings.Join(append([]string{"Usage: inference-router"}, words...), " ")
 		if code != exitOK || !strings.Contains(out, usage) || faults != "" {
 			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, out, faults)
 		}
@@ -40,8 +40,8 @@
 		line []string
 		says string
 	}{
-		{[]string{}, "Usage: ospreyfleet"},
-		{[]string{"measure"}, "Usage: ospreyfleet measure"},
+		{[]string{}, "Usage: inference-router"},
+		{[]string{"measure"}, "Usage: inference-router measure"},
 		{[]string{"nonsense"}, "nonsense"},
 		{[]string{"keeper", "--nonsense"}, "--nonsense"},
 		{[]string{"keeper", "--settings", filepath.Join(t.TempDir(), "none.json")}, "no such file"},
@@ -119,7 +119,7 @@
 	for _, entry := range registry.Codes() {
 		row(int(entry.Code), entry.Name, entry.Status, entry.Text)
 	}
-	for _, entry := range keeper.Codes() {
+	for _, entry := range server.Codes() {
 		row(int(entry.Code), entry.Name, entry.Status, entry.Text)
 	}
 	listed := map[string]bool{}
--- a/cmd/ospreyfleet/measure.go
+++ b/cmd/inference-router/measure.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/scale"
-	"ospreybend/internal/scale/trial"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
+	"ospreybend/internal/testkit/scalerun"
 )
 
 const scaleHeartbeat = time.Second // of the hollow workers; the keepers' settings have the same
@@ -57,7 +57,7 @@
 	defer os.RemoveAll(plan.Directory)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result, err := trial.Play(ctx, plan)
+	result, err := scalerun.Play(ctx, plan)
 	result.Command, result.Build = c.text(), revision()
 	result.WriteText(out)
 	if err != nil {
@@ -74,34 +74,34 @@
 }
 
 // plan checks the flags and prepares a directory.
-func (c *scaleCommand) plan(out io.Writer) (trial.Plan, error) {
-	sizes, err := scale.ParseSizes(c.Sizes)
+func (c *scaleCommand) plan(out io.Writer) (scalerun.Plan, error) {
+	sizes, err := scalereport.ParseSizes(c.Sizes)
 	if err != nil {
-		return trial.Plan{}, err
+		return scalerun.Plan{}, err
 	}
-	target, err := scale.ParseSizes(c.Target)
+	target, err := scalereport.ParseSizes(c.Target)
 	if err != nil {
-		return trial.Plan{}, err
+		return scalerun.Plan{}, err
 	}
 	if c.Keepers < 1 || c.Edges < 0 || c.Routes < 1 || c.Window <= 0 || c.Windows < 1 || c.FarLoss < 0 || c.FarLoss >= 1 {
-		return trial.Plan{}, fmt.Errorf("keepers, routes, window and windows must be positive, edges not negative, far-loss from 0 to under 1")
+		return scalerun.Plan{}, fmt.Errorf("keepers, routes, window and windows must be positive, edges not negative, far-loss from 0 to under 1")
 	}
 	binary, err := os.Executable()
 	if err != nil {
-		return trial.Plan{}, err
+		return scalerun.Plan{}, err
 	}
-	directory, err := os.MkdirTemp("", "ospreyfleet-scale-")
+	directory, err := os.MkdirTemp("", "inference-router-scale-")
 	if err != nil {
-		return trial.Plan{}, err
+		return scalerun.Plan{}, err
 	}
-	return trial.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Keepers: c.Keepers, Tolerance: c.Tolerate, Edges: c.Edges,
+	return scalerun.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Keepers: c.Keepers, Tolerance: c.Tolerate, Edges: c.Edges,
 		Routes: c.Routes, Settle: c.Settle, Window: c.Window, Windows: c.Windows, Changes: c.Changes, FarEvery: c.FarEvery,
 		Far: localfleet.Link{Delay: c.FarDelay, Loss: c.FarLoss}, Heartbeat: scaleHeartbeat, Limit: c.Limit, Progress: out}, nil
 }
 
 // text is the command line that was played, with all defaults.
 func (c *scaleCommand) text() string {
-	words := []string{"ospreyfleet measure scale --sizes", c.Sizes, "--keepers", fmt.Sprint(c.Keepers), "--tolerate", fmt.Sprint(c.Tolerate), "--edges", fmt.Sprint(c.Edges),
+	words := []string{"inference-router measure scale --sizes", c.Sizes, "--keepers", fmt.Sprint(c.Keepers), "--tolerate", fmt.Sprint(c.Tolerate), "--edges", fmt.Sprint(c.Edges),
 		"--routes", fmt.Sprint(c.Routes), "--window", c.Window.String(), "--windows", fmt.Sprint(c.Windows), "--changes", fmt.Sprint(c.Changes)}
 	return strings.Join(words, " ")
 }
@@ -126,7 +126,7 @@
 }
 
 // write writes the files that are asked for.
-func (c *scaleCommand) write(result scale.Result) error {
+func (c *scaleCommand) write(result scalereport.Result) error {
 	files := []struct {
 		path  string
 		write func(io.Writer) error
--- a/cmd/ospreyfleet/measure_catchup.go
+++ b/cmd/inference-router/measure_catchup.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/catchup"
+	"ospreybend/internal/testkit/catchupbench"
 )
 
 // catchupCommand are the flags of measure catchup.
@@ -31,7 +31,7 @@
 		fmt.Fprintln(errors, "measure catchup: away must be spans joined by commas; routes, rate, replace-every and limit must be positive")
 		return exitUsage
 	}
-	directory, err := os.MkdirTemp("", "ospreyfleet-catchup-")
+	directory, err := os.MkdirTemp("", "inference-router-catchup-")
 	if err != nil {
 		fmt.Fprintln(errors, "measure catchup:", err)
 		return exitFault
@@ -39,9 +39,9 @@
 	defer os.RemoveAll(directory)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := catchup.Result{Build: revision(), Command: fmt.Sprintf("ospreyfleet measure catchup --away %s --routes %d --rate %d --replace-every %d",
+	result := catchupbench.Result{Build: revision(), Command: fmt.Sprintf("inference-router measure catchup --away %s --routes %d --rate %d --replace-every %d",
 		c.Away, c.Routes, c.Rate, c.ReplaceEvery)}
-	result.Steps, err = catchup.Play(ctx, catchup.Plan{Directory: directory, Routes: c.Routes, Rate: c.Rate, ReplaceEvery: c.ReplaceEvery,
+	result.Steps, err = catchupbench.Play(ctx, catchupbench.Plan{Directory: directory, Routes: c.Routes, Rate: c.Rate, ReplaceEvery: c.ReplaceEvery,
 		Away: away, Limit: c.Limit, Progress: out})
 	if err != nil {
 		fmt.Fprintln(errors, "measure catchup:", err)
@@ -58,7 +58,7 @@
 }
 
 // write writes the files that are asked for.
-func (c *catchupCommand) write(result catchup.Result) error {
+func (c *catchupCommand) write(result catchupbench.Result) error {
 	if c.JSON != "" {
 		if err := writeFile(c.JSON, result.WriteJSON); err != nil {
 			return err
--- a/cmd/ospreyfleet/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/controlsim/campaign"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/scale/trial"
+	"ospreybend/internal/testkit/controlplanesim/campaign"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/scalerun"
 )
 
 // simulateCommand are the flags of measure simulate.
@@ -46,7 +46,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := campaign.Result{Command: c.text(), Build: revision(), Load: fmt.Sprint(trial.LoadAverage())}
+	result := campaign.Result{Command: c.text(), Build: revision(), Load: fmt.Sprint(scalerun.LoadAverage())}
 	result.Parts, err = c.play(ctx, shapes, out)
 	result.WriteText(out)
 	if err != nil {
@@ -73,7 +73,7 @@
 			return nil, err
 		}
 	}
-	directory, err := os.MkdirTemp("", "ospreyfleet-simulate-")
+	directory, err := os.MkdirTemp("", "inference-router-simulate-")
 	if err != nil {
 		return nil, err
 	}
@@ -135,9 +135,9 @@
 // text is the command line that was played, with the defaults that decide what is drawn.
 func (c *simulateCommand) text() string {
 	if c.Schedule != "" {
-		return "ospreyfleet measure simulate --schedule " + c.Schedule
+		return "inference-router measure simulate --schedule " + c.Schedule
 	}
-	text := fmt.Sprintf("ospreyfleet measure simulate --keepers %s --tolerate %d --schedules %d --seed %d --length %v --agents %d --operators %d --workers %d --processes %d",
+	text := fmt.Sprintf("inference-router measure simulate --keepers %s --tolerate %d --schedules %d --seed %d --length %v --agents %d --operators %d --workers %d --processes %d",
 		c.Keepers, c.Tolerate, c.Schedules, c.Seed, c.Length, c.Agents, c.Operators, c.Workers, c.processes())
 	if c.SlowDisks {
 		text += " --slow-disks"
--- a/cmd/ospreyfleet/measure_traffic.go
+++ b/cmd/inference-router/measure_traffic.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/scale"
-	"ospreybend/internal/scale/trial"
+	"ospreybend/internal/testkit/scalereport"
+	"ospreybend/internal/testkit/scalerun"
 )
 
 // trafficCommand are the flags of measure traffic.
@@ -28,13 +28,13 @@
 
 // run gives one proxy rates of requests and shows what they took.
 func (c *trafficCommand) run(out, errors io.Writer) int {
-	rates, err := scale.ParseRates(c.Rates)
-	target, failure := scale.ParseRates(c.Target)
+	rates, err := scalereport.ParseRates(c.Rates)
+	target, failure := scalereport.ParseRates(c.Target)
 	if err != nil || failure != nil || c.Workers < 1 || c.Windows < 1 || c.Window <= 0 || c.TokenTime <= 0 {
-		fmt.Fprintln(errors, "measure traffic: workers, token-time, window and windows must be positive;", scale.ErrRates)
+		fmt.Fprintln(errors, "measure traffic: workers, token-time, window and windows must be positive;", scalereport.ErrRates)
 		return exitUsage
 	}
-	directory, err := os.MkdirTemp("", "ospreyfleet-traffic-")
+	directory, err := os.MkdirTemp("", "inference-router-traffic-")
 	if err != nil {
 		fmt.Fprintln(errors, "measure traffic:", err)
 		return exitFault
@@ -47,9 +47,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := scale.TrafficResult{Build: revision(), Target: target[0], Machine: fmt.Sprintf("%d processors", runtime.NumCPU()), Load: trial.LoadAverage(),
-		Command: fmt.Sprintf("ospreyfleet measure traffic --rates %s --workers %d --token-time %v", c.Rates, c.Workers, c.TokenTime)}
-	result.Steps, err = trial.PlayTraffic(ctx, trial.TrafficPlan{Binary: binary, Directory: directory, Rates: rates, Workers: c.Workers,
+	result := scalereport.TrafficResult{Build: revision(), Target: target[0], Machine: fmt.Sprintf("%d processors", runtime.NumCPU()), Load: scalerun.LoadAverage(),
+		Command: fmt.Sprintf("inference-router measure traffic --rates %s --workers %d --token-time %v", c.Rates, c.Workers, c.TokenTime)}
+	result.Steps, err = scalerun.PlayTraffic(ctx, scalerun.TrafficPlan{Binary: binary, Directory: directory, Rates: rates, Workers: c.Workers,
 		TokenTime: c.TokenTime, Window: c.Window, Windows: c.Windows, Limit: c.Limit, Progress: out})
 	if err != nil {
 		fmt.Fprintln(errors, "measure traffic:", err)
--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -6,27 +6,27 @@
 	"log/slog"
 	"time"
 
-	"ospreybend/internal/batch/binding"
-	"ospreybend/internal/batch/jobs"
-	"ospreybend/internal/batch/store"
-	"ospreybend/internal/config"
-	"ospreybend/internal/protocol"
+	"ospreybend/internal/node/batch/httpapi"
+	"ospreybend/internal/node/batch/jobs"
+	"ospreybend/internal/node/batch/store"
+	"ospreybend/internal/node/nodeconfig"
+	"ospreybend/internal/node/protocol"
 )
 
 const loadWithin = 30 * time.Second
 
 // batchFront is the parts of the batch front, wired.
 type batchFront struct {
-	cfg     config.Batch
+	cfg     nodeconfig.Batch
 	jobs    *jobs.Manager
-	admin   *binding.Admin // nil: none
+	admin   *httpapi.Admin // nil: none
 	keeper  *store.Keeper
 	servers []*protocol.Server
 }
 
 // startBatch opens the batch front beside the platform's, on the same core. The
 // node's configuration has made room for it (Reserve).
-func (n *node) startBatch(cfg config.Batch) (*batchFront, error) {
+func (n *node) startBatch(cfg nodeconfig.Batch) (*batchFront, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), loadWithin)
 	defer cancel()
 	record, err := store.Open(ctx, cfg.Store, cfg.Source)
@@ -52,14 +52,14 @@
 			LongestWait: time.Duration(cfg.LongestWait) * time.Second, Events: cfg.Events, Kept: jobs.DefaultKept}, n.core, f.keeper, n.loop, &n.loop.Due)
 		n.core.Show(f.jobs)
 		f.jobs.Load(tenants, sessions, unfinished, arrays)
-		front := binding.New(f.jobs, n.loop, &n.loop.Due, version)
+		front := httpapi.New(f.jobs, n.loop, &n.loop.Due, version)
 		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.Sockets, n.cfg.FrontMemory, front.Serve))
 		if cfg.AdminListen != "" {
-			f.admin = binding.NewAdmin(front, f.jobs.Keeper(), cfg.AdminToken)
+			f.admin = httpapi.NewAdmin(front, f.jobs.Keeper(), cfg.AdminToken)
 			f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminSockets, n.cfg.FrontMemory, f.admin.Serve))
 		}
 		for _, s := range f.servers {
-			s.Complain = binding.Complain
+			s.Complain = httpapi.Complain
 			if err = s.Start(); err != nil {
 				return
 			}
@@ -74,7 +74,7 @@
 
 // batchSlots is how much of the batch front's work may be in the core at once:
 // the descriptors left are the platform's.
-func (n *node) batchSlots(cfg config.Batch) float64 {
+func (n *node) batchSlots(cfg nodeconfig.Batch) float64 {
 	most := n.cfg.DestinationsSockets / 2
 	if cfg.Slots > 0 {
 		most = min(most, cfg.Slots)
@@ -85,7 +85,7 @@
 // reload takes up the batch front's file read anew. What it cannot take up while
 // it runs it names. One with a fault changes nothing.
 func (f *batchFront) reload(n *node, env func(string) string) {
-	cfg, err := config.LoadBatch(env)
+	cfg, err := nodeconfig.LoadBatch(env)
 	if err != nil {
 		slog.Error("reload: the batch front's old configuration stays", "fault", err)
 		return
--- a/cmd/ospreybend/child.go
+++ b/cmd/ospreybend/child.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 // child is a node in a process of its own, for measurements and kills.
@@ -35,7 +35,7 @@
 	var at [3]string
 	for i := range at {
 		var err error
-		if at[i], err = standin.FreeAddress(); err != nil {
+		if at[i], err = fakeplatform.FreeAddress(); err != nil {
 			return nil, err
 		}
 	}
@@ -77,7 +77,7 @@
 		return err
 	}
 	// The batch front's administration opens last.
-	return standin.Until(ctx, demoReady, func() bool {
+	return fakeplatform.Until(ctx, demoReady, func() bool {
 		answer, err := http.Get(c.platform + "/healthz")
 		if err != nil {
 			return false
--- a/cmd/ospreybend/cli.go
+++ b/cmd/ospreybend/cli.go
@@ -12,17 +12,17 @@
 
 	"github.com/alecthomas/kong"
 
-	"ospreybend/internal/cli"
-	"ospreybend/internal/config"
-	"ospreybend/internal/fault"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/node/faultinjection"
+	"ospreybend/internal/node/nodeconfig"
 )
 
 // exitNoTrial is the exit code of a trial that could not run; one with a violation has 1.
 const exitNoTrial = 2
 
-// commands is the command line. Without a command it serves, as the platform's
+// commandLine is the command line. Without a command it serves, as the platform's
 // run line wants.
-type commands struct {
+type commandLine struct {
 	JSON bool `help:"Write JSON." env:"OSPREYBEND_JSON"`
 
 	Serve   serveCmd    `cmd:"" default:"1" help:"Serve as a node (what a bare call does)."`
@@ -40,13 +40,13 @@
 
 // command runs one call of the program and returns its exit code.
 func command(caught signals, args []string, out, complain io.Writer) int {
-	log, err := config.LoadLog(os.Getenv)
+	log, err := nodeconfig.LoadLog(os.Getenv)
 	if err != nil {
 		fmt.Fprintln(complain, "ospreybend:", err)
 		return cli.ExitError
 	}
 	slog.SetDefault(slog.New(log.Handler(complain)))
-	var c commands
+	var c commandLine
 	exited := -1
 	parser, err := kong.New(&c, kong.Name("ospreybend"), kong.Description("A load balancer for job preparation, with a batch front after DRMAA."),
 		kong.UsageOnError(), kong.Writers(out, complain), kong.Exit(func(code int) { exited = code }))
@@ -87,7 +87,7 @@
 // Run serves.
 func (c *serveCmd) Run(_ *cli.Env, caught signals) error {
 	if text := os.Getenv("OSPREYBEND_FAULT"); text != "" {
-		if err := fault.Arm(text); err != nil {
+		if err := faultinjection.Arm(text); err != nil {
 			return err
 		}
 		slog.Warn("the process will be killed at a fault point", "fault", text)
@@ -137,20 +137,20 @@
 		return e.Getenv(key)
 	}
 	var faults []error
-	if _, err := config.LoadLog(env); err != nil {
+	if _, err := nodeconfig.LoadLog(env); err != nil {
 		faults = append(faults, err)
 	}
-	batch, err := config.LoadBatch(env)
+	batch, err := nodeconfig.LoadBatch(env)
 	if err != nil {
 		faults = append(faults, err)
 	}
-	fleet, err := config.LoadFleet(env)
+	fleet, err := nodeconfig.LoadFleet(env)
 	if err != nil {
 		faults = append(faults, err)
 	}
 	checked := []string{"log", "batch", "fleet"}
 	if env("BALANCER_CONFIG") != "" {
-		node, err := config.Load(env)
+		node, err := nodeconfig.Load(env)
 		if err == nil {
 			err = errors.Join(node.Reserve(batch), node.ReserveFleet(fleet))
 		}
--- a/cmd/ospreybend/conform.go
+++ b/cmd/ospreybend/conform.go
@@ -5,8 +5,8 @@
 	"io"
 	"time"
 
-	"ospreybend/internal/cli"
-	"ospreybend/internal/conform"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/conformance"
 )
 
 // conformCmd holds a server against the binding.
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	report, err := conform.Run(e.Ctx, conform.Config{URL: c.URL, Token: token, Only: c.Only, Within: c.Within}, func(r conform.Result) {
+	report, err := conformance.Run(e.Ctx, conformance.Config{URL: c.URL, Token: token, Only: c.Only, Within: c.Within}, func(r conformance.Result) {
 		if e.JSON {
 			return
 		}
--- a/cmd/ospreybend/crowded_test.go
+++ b/cmd/ospreybend/crowded_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/standin"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 // Idle clients fill the descriptors of a node of few while discovery is down. A new client is still
@@ -72,7 +72,7 @@
 		return ask(c)
 	}
 	refused := func(times int) {
-		if err := standin.Until(t.Context(), 2*known, func() bool { return fleet.Discovery.Refused() >= times }); err != nil {
+		if err := fakeplatform.Until(t.Context(), 2*known, func() bool { return fleet.Discovery.Refused() >= times }); err != nil {
 			t.Fatalf("%d calls for the list while it is down: %v", fleet.Discovery.Refused(), err)
 		}
 	}
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -18,9 +18,9 @@
 
 	"ospreybend/drmaa"
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/cli"
-	"ospreybend/internal/config"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/node/nodeconfig"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 const (
@@ -32,8 +32,8 @@
 
 // demoText is a node's configuration for demonstrations and measurements.
 func demoText(listen, discovery string) ([]byte, error) {
-	return standin.Node{Name: "demo", Listen: listen, Discovery: discovery, Seed: "8c1f30d27a5be964", MemoryMB: 512,
-		Zones: []string{demoZone}, Kind: demoKind, Grades: []standin.Grade{
+	return fakeplatform.Node{Name: "demo", Listen: listen, Discovery: discovery, Seed: "8c1f30d27a5be964", MemoryMB: 512,
+		Zones: []string{demoZone}, Kind: demoKind, Grades: []fakeplatform.Grade{
 			{Name: "modell-pruefen", Target: 400 * time.Millisecond, GiveUp: 5 * time.Second, Points: 5, Repeat: "read_like"},
 			{Name: "vorschau", Target: time.Second, GiveUp: 20 * time.Second, Points: 2, Repeat: "read_like"},
 			{Name: "auftrag-buchen", Target: 800 * time.Millisecond, GiveUp: 25 * time.Second, Points: 8, Repeat: "non_idempotent"}}}.Config()
@@ -41,9 +41,9 @@
 
 // rig is a node with a batch front, among stand-ins, in this process.
 type rig struct {
-	fleet *standin.Fleet
+	fleet *fakeplatform.Fleet
 	node  *node
-	batch config.Batch
+	batch nodeconfig.Batch
 	admin *client.Admin
 	left  sync.Once
 }
@@ -52,11 +52,11 @@
 func (r *rig) leave() { r.left.Do(r.node.leave) }
 
 // newRig starts one. Its store is in dir.
-func newRig(dir string, fleet *standin.Fleet, change func(*config.Batch)) (*rig, error) {
+func newRig(dir string, fleet *fakeplatform.Fleet, change func(*nodeconfig.Batch)) (*rig, error) {
 	var at [3]string
 	for i := range at {
 		var err error
-		if at[i], err = standin.FreeAddress(); err != nil {
+		if at[i], err = fakeplatform.FreeAddress(); err != nil {
 			return nil, err
 		}
 	}
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := config.Parse(text, func(string) string { return "" })
+	cfg, err := nodeconfig.Parse(text, func(string) string { return "" })
 	if err != nil {
 		return nil, err
 	}
 	sum := sha256.Sum256([]byte(demoAdmin))
-	b, err := config.ParseBatch(fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n",
+	b, err := nodeconfig.ParseBatch(fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n",
 		at[1], filepath.Join(dir, "batch.db"), at[2], hex.EncodeToString(sum[:])))
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 
 // ready waits until the node knows its workers.
 func (r *rig) ready(ctx context.Context) error {
-	return standin.Until(ctx, demoReady, func() bool {
+	return fakeplatform.Until(ctx, demoReady, func() bool {
 		able := false
 		r.node.loop.Call(func() { able = r.node.core.Able() })
 		return able
@@ -137,11 +137,11 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := standin.NewFleet(demoZone, demoKind, 3, 2, func(j standin.Job) standin.Act {
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 3, 2, func(j fakeplatform.Job) fakeplatform.Act {
 		if strings.HasSuffix(j.Path, "/fails") {
-			return standin.Act{Kind: standin.Fail, Run: 100 * time.Millisecond}
+			return fakeplatform.Act{Kind: fakeplatform.Fail, Run: 100 * time.Millisecond}
 		}
-		return standin.Act{Run: 200 * time.Millisecond}
+		return fakeplatform.Act{Run: 200 * time.Millisecond}
 	})
 	if err != nil {
 		return err
--- a/cmd/ospreybend/faults_test.go
+++ b/cmd/ospreybend/faults_test.go
@@ -9,7 +9,7 @@
 
 	"ospreybend/drmaa"
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 func session(t *testing.T, r *rig, options ...client.Option) *client.Session {
@@ -33,12 +33,12 @@
 // once and has one final state, and is DONE only where the whole word came.
 func TestWorkersDieBetweenTwoBytes(t *testing.T) {
 	const whole = len("20\r\n" + `{"state":"done","result":"cut"}` + "\n") // up to the line's end
-	r := newTestRig(t, func(j standin.Job) standin.Act {
+	r := newTestRig(t, func(j fakeplatform.Job) fakeplatform.Act {
 		n, err := strconv.Atoi(j.Path[strings.LastIndexByte(j.Path, '/')+1:])
 		if err != nil {
-			return standin.Act{Kind: standin.Reject}
+			return fakeplatform.Act{Kind: fakeplatform.Reject}
 		}
-		return standin.Act{Kind: standin.Cut, Bytes: n - 1, Run: time.Millisecond}
+		return fakeplatform.Act{Kind: fakeplatform.Cut, Bytes: n - 1, Run: time.Millisecond}
 	})
 	s := session(t, r)
 	a, err := s.RunBulk(t.Context(), drmaa.Bulk{Begin: 1, End: whole + 10, MaxParallel: 4,
@@ -68,7 +68,7 @@
 // A prep worker vanishes with bookings and checks in work, and comes back: the
 // checks run elsewhere, no booking begins twice, all have an end.
 func TestWorkerVanishesAndReturns(t *testing.T) {
-	r := newTestRig(t, standin.For(50*time.Millisecond))
+	r := newTestRig(t, fakeplatform.For(50*time.Millisecond))
 	s := session(t, r)
 	var arrays []*drmaa.Array
 	for _, class := range []string{"auftrag-buchen", "vorschau"} {
@@ -81,7 +81,7 @@
 	gone := r.fleet.Workers[0]
 	for range 3 {
 		came, _, _ := gone.Totals()
-		if err := standin.Until(t.Context(), time.Second, func() bool { now, _, _ := gone.Totals(); return now > came }); err != nil {
+		if err := fakeplatform.Until(t.Context(), time.Second, func() bool { now, _, _ := gone.Totals(); return now > came }); err != nil {
 			break // the arrays have ended
 		}
 		gone.Vanish()
@@ -111,7 +111,7 @@
 // A wait that is open while the node leaves is told to come again; the job goes
 // on where the record has it.
 func TestWaitWhileTheNodeLeaves(t *testing.T) {
-	r := newTestRig(t, standin.For(time.Millisecond))
+	r := newTestRig(t, fakeplatform.For(time.Millisecond))
 	s := session(t, r, client.WithTries(1))
 	j, err := s.Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 	got := make(chan error, 1)
 	go func() { _, err := s.Wait(t.Context(), j.ID, client.Terminated); got <- err }()
-	if err := standin.Until(t.Context(), demoReady, func() bool {
+	if err := fakeplatform.Until(t.Context(), demoReady, func() bool {
 		q, err := r.admin.Queue(t.Context())
 		return err == nil && q.Waits == 1
 	}); err != nil {
--- a/cmd/ospreybend/fleet.go
+++ b/cmd/ospreybend/fleet.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"ospreybend/internal/cli"
-	"ospreybend/internal/emulator"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/nodesim"
 )
 
 // measureFleet plays emulated days of a whole fleet, with the decisions as they are.
@@ -48,21 +48,21 @@
 	}
 	kinds := []struct {
 		name string
-		of   func(emulator.Day) emulator.Day
+		of   func(nodesim.Day) nodesim.Day
 	}{
-		{"calm", func(d emulator.Day) emulator.Day { return d }},
-		{"released", emulator.Day.Released}, {"returned", emulator.Day.Returned}, {"killed", emulator.Day.Killed},
+		{"calm", func(d nodesim.Day) nodesim.Day { return d }},
+		{"released", nodesim.Day.Released}, {"returned", nodesim.Day.Returned}, {"killed", nodesim.Day.Killed},
 	}
 	rows := make([]fleetRow, len(kinds))
 	for i, k := range kinds {
-		days, results := make([]emulator.Day, c.Days), make([]emulator.Result, c.Days)
+		days, results := make([]nodesim.Day, c.Days), make([]nodesim.Result, c.Days)
 		var g errgroup.Group
 		g.SetLimit(runtime.NumCPU())
 		for j := range c.Days {
-			days[j] = k.of(emulator.Workshop(c.Nodes, c.Workers, c.First+uint64(j)))
+			days[j] = k.of(nodesim.Workshop(c.Nodes, c.Workers, c.First+uint64(j)))
 			days[j].Load = c.Load
 			g.Go(func() (err error) {
-				results[j], err = emulator.Play(days[j])
+				results[j], err = nodesim.Play(days[j])
 				return err
 			})
 		}
--- a/cmd/ospreybend/front_test.go
+++ b/cmd/ospreybend/front_test.go
@@ -12,15 +12,15 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/cli"
-	"ospreybend/internal/conform"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/conformance"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 // newTestRig is a node with the batch front among stand-ins that serve at once.
-func newTestRig(t *testing.T, script standin.Script) *rig {
+func newTestRig(t *testing.T, script fakeplatform.Script) *rig {
 	t.Helper()
-	fleet, err := standin.NewFleet(demoZone, demoKind, 2, 4, script)
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 4, script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,18 +38,18 @@
 
 // The program's own server meets every clause of the conformance suite.
 func TestConforms(t *testing.T) {
-	r := newTestRig(t, standin.For(5*time.Millisecond))
+	r := newTestRig(t, fakeplatform.For(5*time.Millisecond))
 	tenant, err := r.admin.Create(t.Context(), "conform", 30_000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, err := conform.Run(t.Context(), conform.Config{URL: "http://" + r.batch.Listen, Token: tenant.Token}, func(got conform.Result) {
+	report, err := conformance.Run(t.Context(), conformance.Config{URL: "http://" + r.batch.Listen, Token: tenant.Token}, func(got conformance.Result) {
 		if !got.Passed {
 			t.Errorf("%s: %s (%s)", got.Name, got.Fault, got.Demand)
 		}
 	})
-	if err != nil || report.Passed != conform.Cases() {
-		t.Errorf("%d of %d cases passed, %v", report.Passed, conform.Cases(), err)
+	if err != nil || report.Passed != conformance.Cases() {
+		t.Errorf("%d of %d cases passed, %v", report.Passed, conformance.Cases(), err)
 	}
 }
 
@@ -81,11 +81,11 @@
 func (s *shared) text() string { s.mu.Lock(); defer s.mu.Unlock(); return s.buf.String() }
 
 func TestCommandLine(t *testing.T) {
-	r := newTestRig(t, func(j standin.Job) standin.Act {
+	r := newTestRig(t, func(j fakeplatform.Job) fakeplatform.Act {
 		if strings.HasSuffix(j.Path, "/bad") {
-			return standin.Act{Kind: standin.Reject}
+			return fakeplatform.Act{Kind: fakeplatform.Reject}
 		}
-		return standin.Act{Run: time.Millisecond}
+		return fakeplatform.Act{Run: time.Millisecond}
 	})
 	token := filepath.Join(t.TempDir(), "token")
 	env := map[string]string{"OSPREYBEND_URL": "http://" + r.batch.Listen, "OSPREYBEND_ADMIN_URL": "http://" + r.batch.AdminListen,
@@ -185,7 +185,7 @@
 // SIGHUP has the batch front's file read anew: the window, the administration's
 // token. A file with a fault changes nothing.
 func TestReloadOfTheBatchFront(t *testing.T) {
-	r := newTestRig(t, standin.For(time.Millisecond))
+	r := newTestRig(t, fakeplatform.For(time.Millisecond))
 	path := filepath.Join(t.TempDir(), "batch.toml")
 	env := func(key string) string { return map[string]string{"OSPREYBEND_BATCH": path}[key] }
 	write := func(rest string) {
--- a/cmd/ospreybend/kill.go
+++ b/cmd/ospreybend/kill.go
@@ -12,9 +12,9 @@
 
 	"ospreybend/drmaa"
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/cli"
-	"ospreybend/internal/fault"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/node/faultinjection"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 // measureKill kills a node amid bookings and audits what became of each.
@@ -45,7 +45,7 @@
 	var all []audit
 	points := []string{""}
 	if c.Points {
-		points = fault.Points()
+		points = faultinjection.Points()
 	}
 	for i := range c.Rounds {
 		for _, point := range points {
@@ -79,7 +79,7 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := standin.NewFleet(demoZone, demoKind, 2, 8, standin.For(c.JobRun))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 8, fakeplatform.For(c.JobRun))
 	if err != nil {
 		return out, err
 	}
--- a/cmd/ospreybend/kill_test.go
+++ b/cmd/ospreybend/kill_test.go
@@ -8,8 +8,8 @@
 
 	"ospreybend/drmaa"
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/fault"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/faultinjection"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 // TestMain makes the test binary the program itself, for tests that kill one.
@@ -24,9 +24,9 @@
 }
 
 // startChild starts the program as a node among prep workers that take so long for a job.
-func startChild(t *testing.T, workers, slots int, run time.Duration) (*standin.Fleet, *child) {
+func startChild(t *testing.T, workers, slots int, run time.Duration) (*fakeplatform.Fleet, *child) {
 	t.Helper()
-	fleet, err := standin.NewFleet(demoZone, demoKind, workers, slots, standin.For(run))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, workers, slots, fakeplatform.For(run))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 // begins twice, and undecided are only such as had passed the gate.
 func TestKilledAtEachPoint(t *testing.T) {
 	c := measureKill{Clients: 4, JobRun: 10 * time.Millisecond}
-	for _, point := range fault.Points() {
+	for _, point := range faultinjection.Points() {
 		a, err := c.round(t.Context(), point, 9)
 		if err != nil {
 			t.Fatal(point, err)
--- a/cmd/ospreybend/leave_test.go
+++ b/cmd/ospreybend/leave_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/scenario"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 // ending is what became of one request of a client that never stops sending.
@@ -111,7 +111,7 @@
 	}
 	<-warm
 	if hang {
-		fleet.Workers[0].Follow(func(standin.Job) standin.Act { return standin.Act{Kind: standin.Hang} })
+		fleet.Workers[0].Follow(func(fakeplatform.Job) fakeplatform.Act { return fakeplatform.Act{Kind: fakeplatform.Hang} })
 	}
 	before, began := served.Load(), time.Now()
 	err := n.leave()
@@ -144,7 +144,7 @@
 	if _, err := io.WriteString(c, "POST /auftrag-buchen HTTP/1.1\r\nHost: a\r\nReq-Id: s1\r\nReq-Deadline: 3\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 		t.Fatal(err)
 	}
-	if err := standin.Until(t.Context(), 5*time.Second, func() bool { return fleet.Begun()["s1"] == 1 }); err != nil {
+	if err := fakeplatform.Until(t.Context(), 5*time.Second, func() bool { return fleet.Begun()["s1"] == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
@@ -165,7 +165,7 @@
 
 // A process that is told to leave before it was ever ready ends well, and soon.
 func TestLeavesBeforeItIsReady(t *testing.T) {
-	n, err := childFiles(t.TempDir(), scenario.Free(t), "")
+	n, err := childFiles(t.TempDir(), scriptedpeer.Free(t), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	started := make(chan error, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	go func() { started <- n.start(ctx) }()
-	if err := standin.Until(t.Context(), 10*time.Second, func() bool {
+	if err := fakeplatform.Until(t.Context(), 10*time.Second, func() bool {
 		answer, err := http.Get(n.platform + "/healthz")
 		if err != nil {
 			return false
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -16,14 +16,14 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/byhand"
-	"ospreybend/internal/config"
-	"ospreybend/internal/fleet/agent"
-	"ospreybend/internal/fleet/link"
-	"ospreybend/internal/protocol"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/transport"
-	"ospreybend/internal/upgrade"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/hotrestart"
+	"ospreybend/internal/node/nodeconfig"
+	"ospreybend/internal/node/override"
+	"ospreybend/internal/node/protocol"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/zones/agent"
+	"ospreybend/internal/node/zones/transport"
 )
 
 const (
@@ -81,18 +81,18 @@
 
 // serve runs the node until it is told to leave.
 func serve(caught signals) error {
-	cfg, err := config.Load(os.Getenv)
+	cfg, err := nodeconfig.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	batch, err := config.LoadBatch(os.Getenv)
+	batch, err := nodeconfig.LoadBatch(os.Getenv)
 	if err != nil {
 		return err
 	}
 	if err := cfg.Reserve(batch); err != nil {
 		return err
 	}
-	fleet, err := config.LoadFleet(os.Getenv)
+	fleet, err := nodeconfig.LoadFleet(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -126,8 +126,8 @@
 
 // node is the parts of the program, wired.
 type node struct {
-	cfg   *config.Node
-	loop  *transport.Loop
+	cfg   *nodeconfig.Node
+	loop  *eventloop.Loop
 	core  *routing.Core
 	to    *protocol.Destinations
 	pool  *protocol.Discovery
@@ -137,15 +137,15 @@
 	batch *batchFront     // nil: off
 
 	agent *agent.Agent // nil: the node is on its own
-	calls *link.Client
+	calls *transport.Client
 
 	agentBy time.Duration // until then the list's agent is waited for
 	readyBy time.Duration // from then on a start is over though the pool config has not answered yet
-	voters  []config.FleetVoter
+	voters  []nodeconfig.FleetVoter
 
-	inherited net.Listener  // the clients' socket, where the platform holds it; nil: the front opens its own
-	room      *upgrade.Room // nil: no folder to meet other processes of this node in
-	words     byhand.Words
+	inherited net.Listener     // the clients' socket, where the platform holds it; nil: the front opens its own
+	room      *hotrestart.Room // nil: no folder to meet other processes of this node in
+	words     override.Words
 	stop      chan struct{} // closed when the node leaves
 	deaf      func()        // ends the taking over from a process before this one; nil: none
 	leaving   bool
@@ -155,16 +155,16 @@
 	sockets [][]*os.File
 }
 
-func start(cfg *config.Node) (*node, error) {
-	n := &node{cfg: cfg, words: byhand.Words{}, stop: make(chan struct{})}
+func start(cfg *nodeconfig.Node) (*node, error) {
+	n := &node{cfg: cfg, words: override.Words{}, stop: make(chan struct{})}
 	var err error
 	if cfg.Inherited != "" {
-		if n.inherited, err = transport.Inherit(cfg.Inherited); err != nil {
+		if n.inherited, err = eventloop.Inherit(cfg.Inherited); err != nil {
 			return nil, fmt.Errorf("BALANCER_INHERITED_FD: %w", err)
 		}
 	}
 	others := n.enter()
-	if n.loop, err = transport.NewLoop(nil); err != nil {
+	if n.loop, err = eventloop.NewLoop(nil); err != nil {
 		return nil, err
 	}
 	n.loop.Call(func() {
@@ -293,7 +293,7 @@
 // takes effect at once; the rest stays as it was at the start. A file with a
 // fault changes nothing.
 func (n *node) reload(env func(string) string) {
-	cfg, err := config.Load(env)
+	cfg, err := nodeconfig.Load(env)
 	if err != nil {
 		slog.Error("reload: the old configuration stays", "fault", err)
 		return
--- a/cmd/ospreybend/main_test.go
+++ b/cmd/ospreybend/main_test.go
@@ -12,19 +12,19 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/config"
-	"ospreybend/internal/scenario"
+	"ospreybend/internal/node/nodeconfig"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-func exampleConfig(t *testing.T) *config.Node {
+func exampleConfig(t *testing.T) *nodeconfig.Node {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.NewReplacer("127.0.0.1:8080", scenario.Free(t), "127.0.0.1:8500", scenario.Free(t),
-		"127.0.0.1:9901", scenario.Free(t)).Replace(string(text))
-	cfg, err := config.Parse([]byte(moved), func(string) string { return "" })
+	moved := strings.NewReplacer("127.0.0.1:8080", scriptedpeer.Free(t), "127.0.0.1:8500", scriptedpeer.Free(t),
+		"127.0.0.1:9901", scriptedpeer.Free(t)).Replace(string(text))
+	cfg, err := nodeconfig.Parse([]byte(moved), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,8 +114,8 @@
 
 func TestStartWithBatchFront(t *testing.T) {
 	sum := sha256.Sum256([]byte("chief"))
-	b := config.Batch{Enabled: true, Listen: scenario.Free(t), Sockets: 64, Store: "sqlite",
-		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scenario.Free(t), AdminSockets: 32,
+	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.Free(t), Sockets: 64, Store: "sqlite",
+		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.Free(t), AdminSockets: 32,
 		AdminToken: hex.EncodeToString(sum[:])}
 	cfg := exampleConfig(t)
 	if err := cfg.Reserve(b); err != nil {
--- a/cmd/ospreybend/measure.go
+++ b/cmd/ospreybend/measure.go
@@ -18,9 +18,9 @@
 
 	"ospreybend/drmaa"
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/cli"
-	"ospreybend/internal/load"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
 // measureCmd is the measurements: a node in a process of its own among stand-ins
@@ -73,11 +73,11 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := standin.NewFleet(demoZone, demoKind, c.Workers, c.Slots, func(j standin.Job) standin.Act {
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, c.Workers, c.Slots, func(j fakeplatform.Job) fakeplatform.Act {
 		if j.Class == "vorschau" {
-			return standin.Act{Run: c.JobRun}
+			return fakeplatform.Act{Run: c.JobRun}
 		}
-		return standin.Act{Run: c.Request}
+		return fakeplatform.Act{Run: c.Request}
 	})
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 	})
 }
 
-func (c *measureBacklog) phase(ctx context.Context, n *child, fleet *standin.Fleet, s *client.Session, seed uint64, backlog bool) (p phase, err error) {
+func (c *measureBacklog) phase(ctx context.Context, n *child, fleet *fakeplatform.Fleet, s *client.Session, seed uint64, backlog bool) (p phase, err error) {
 	var array *drmaa.Array
 	if backlog {
 		array, err = s.RunBulk(ctx, drmaa.Bulk{Begin: 1, End: c.Jobs, Template: &drmaa.JobTemplate{RemoteCommand: "vorschau", Input: "preview"}})
@@ -147,9 +147,9 @@
 	slots := float64(c.Workers * c.Slots)
 	cpu, busyBefore, servedBefore, began := n.cpu(), time.Duration(0), 0, time.Now()
 	busyBefore, servedBefore = busy()
-	got := load.Run(ctx, load.Config{URL: n.platform, Rate: c.Load * slots / c.Request.Seconds(), For: c.For, Seed: seed,
+	got := loadgen.Run(ctx, loadgen.Config{URL: n.platform, Rate: c.Load * slots / c.Request.Seconds(), For: c.For, Seed: seed,
 		Prefix: strconv.FormatUint(seed, 10) + strconv.FormatBool(backlog) + "-",
-		Classes: []load.Class{{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
+		Classes: []loadgen.Class{{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
 			{Name: "auftrag-buchen", Share: 0.2, Target: 800 * time.Millisecond, Within: 25 * time.Second}}})
 	took := time.Since(began)
 	p = phase{Backlog: backlog, Sent: got.Sent, Service: got.Service(), Refused: got.Refused, Other: got.Failed + got.Broken, cpu: n.cpu() - cpu}
@@ -224,7 +224,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := standin.NewFleet(demoZone, demoKind, 4, 16, standin.For(time.Millisecond))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 16, fakeplatform.For(time.Millisecond))
 	if err != nil {
 		return err
 	}
--- a/cmd/ospreybend/refused_test.go
+++ b/cmd/ospreybend/refused_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/load"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
 // refusedMark tells a test binary that is the program that the platform refuses calls.
@@ -66,13 +66,13 @@
 // A node starts, serves, rereads its file and leaves in good order where the platform refuses
 // other programs, Unix sockets and the rarer ways to move bytes.
 func TestRefusedCalls(t *testing.T) {
-	s := newStage(t, 1024, standin.For(5*time.Millisecond))
+	s := newStage(t, 1024, fakeplatform.For(5*time.Millisecond))
 	t.Setenv(refusedMark, "1")
 	p := s.next()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	if r := load.Run(t.Context(), s.mix("r", 100, time.Second)); r.Sent < 50 || r.Served != r.Sent {
+	if r := loadgen.Run(t.Context(), s.mix("r", 100, time.Second)); r.Sent < 50 || r.Served != r.Sent {
 		t.Errorf("%d sent, %d served, %d refused, %d failed, %d broken", r.Sent, r.Served, r.Refused, r.Failed, r.Broken)
 	}
 	s.left(p)
--- a/cmd/ospreybend/stall.go
+++ b/cmd/ospreybend/stall.go
@@ -11,9 +11,9 @@
 
 	"ospreybend/drmaa"
 	"ospreybend/drmaa/client"
-	"ospreybend/internal/cli"
-	"ospreybend/internal/load"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
 // measureStall has the store stall under load, and looks at both fronts.
@@ -72,7 +72,7 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := standin.NewFleet(demoZone, demoKind, 4, 8, standin.For(50*time.Millisecond))
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 8, fakeplatform.For(50*time.Millisecond))
 	if err != nil {
 		return out, err
 	}
@@ -94,13 +94,13 @@
 		return out, err
 	}
 	var taken []string
-	var platform *load.Result
+	var platform *loadgen.Result
 	var both sync.WaitGroup
 	both.Add(1)
 	go func() {
 		defer both.Done()
-		platform = load.Run(ctx, load.Config{URL: n.platform, Rate: c.Rate, For: c.For, Seed: 1, Prefix: "p-",
-			Classes: []load.Class{{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
+		platform = loadgen.Run(ctx, loadgen.Config{URL: n.platform, Rate: c.Rate, For: c.For, Seed: 1, Prefix: "p-",
+			Classes: []loadgen.Class{{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
 				{Name: "auftrag-buchen", Share: 0.2, Target: 800 * time.Millisecond, Within: 25 * time.Second}}})
 	}()
 	if c.Kill && stalled {
--- a/cmd/ospreybend/succession.go
+++ b/cmd/ospreybend/succession.go
@@ -13,38 +13,38 @@
 	"strings"
 	"time"
 
-	"ospreybend/internal/cli"
-	"ospreybend/internal/load"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
 // site is a fleet, the clients' socket, held as the platform does, and a node's
 // files: where processes of one node follow each other.
 type site struct {
-	fleet                 *standin.Fleet
+	fleet                 *fakeplatform.Fleet
 	listener              net.Listener
 	socket                *os.File // the same, for the processes
 	dir, address, peersAt string
 }
 
 // newSite sets one up. sockets is the node's limit on descriptors.
-func newSite(workers, slots, sockets int, script standin.Script) (s *site, err error) {
+func newSite(workers, slots, sockets int, script fakeplatform.Script) (s *site, err error) {
 	s = &site{}
 	defer func() {
 		if err != nil {
 			s.close()
 		}
 	}()
-	if s.fleet, err = standin.NewFleet(demoZone, demoKind, workers, slots, script); err != nil {
+	if s.fleet, err = fakeplatform.NewFleet(demoZone, demoKind, workers, slots, script); err != nil {
 		return s, err
 	}
 	if s.dir, err = os.MkdirTemp("", "ospreybend-upgrade-"); err != nil {
 		return s, err
 	}
-	if s.address, err = standin.FreeAddress(); err != nil {
+	if s.address, err = fakeplatform.FreeAddress(); err != nil {
 		return s, err
 	}
-	if s.peersAt, err = standin.FreeAddress(); err != nil {
+	if s.peersAt, err = fakeplatform.FreeAddress(); err != nil {
 		return s, err
 	}
 	if s.listener, err = net.Listen("tcp", s.address); err != nil {
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	p := &process{}
-	if p.admin, err = standin.FreeAddress(); err != nil {
+	if p.admin, err = fakeplatform.FreeAddress(); err != nil {
 		return nil, err
 	}
 	log, err := os.OpenFile(filepath.Join(s.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -105,7 +105,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	err = standin.Until(ctx, demoReady, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
+	err = fakeplatform.Until(ctx, demoReady, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
 	p.ready = time.Since(began)
 	if err != nil {
 		said, _ := os.ReadFile(filepath.Join(s.dir, "log"))
@@ -137,12 +137,12 @@
 }
 
 // mix is a load on the site's clients' address.
-func (s *site) mix(prefix string, rate float64, span time.Duration) load.Config {
-	class := func(name string) load.Class {
-		return load.Class{Name: name, Share: 0.5, Target: time.Second, Within: 3 * time.Second}
+func (s *site) mix(prefix string, rate float64, span time.Duration) loadgen.Config {
+	class := func(name string) loadgen.Class {
+		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Within: 3 * time.Second}
 	}
-	return load.Config{URL: "http://" + s.address, Rate: rate, For: span, Seed: 5, Prefix: prefix,
-		Classes: []load.Class{class("modell-pruefen"), class("auftrag-buchen")}}
+	return loadgen.Config{URL: "http://" + s.address, Rate: rate, For: span, Seed: 5, Prefix: prefix,
+		Classes: []loadgen.Class{class("modell-pruefen"), class("auftrag-buchen")}}
 }
 
 // twice counts the jobs that were begun more than once.
@@ -176,7 +176,7 @@
 
 // Run measures.
 func (c *measureUpgrade) Run(e *cli.Env) error {
-	s, err := newSite(4, 16, 1024, standin.For(c.JobRun))
+	s, err := newSite(4, 16, 1024, fakeplatform.For(c.JobRun))
 	if err != nil {
 		return err
 	}
@@ -186,8 +186,8 @@
 		return err
 	}
 	defer func() { _ = now.kill() }()
-	result := make(chan *load.Result, 1)
-	go func() { result <- load.Run(e.Ctx, s.mix("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
+	result := make(chan *loadgen.Result, 1)
+	go func() { result <- loadgen.Run(e.Ctx, s.mix("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
 	out := succession{}
 	for range c.Upgrades {
 		select {
--- a/cmd/ospreybend/trial.go
+++ b/cmd/ospreybend/trial.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/cli"
-	"ospreybend/internal/trial"
+	"ospreybend/internal/node/batch/cli"
+	"ospreybend/internal/testkit/endtoend"
 )
 
 // measureTrial plays many processes of this program against faults between them.
@@ -52,7 +52,7 @@
 	} else if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("%w: %w", errTrial, err)
 	}
-	r, err := trial.Zone(e.Ctx, trial.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Seed: c.Seed,
+	r, err := endtoend.Zone(e.Ctx, endtoend.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Seed: c.Seed,
 		Alone: c.Alone, Without: c.Without, Calm: c.Calm, Trouble: c.Trouble, After: c.After, Rate: c.Rate, Dir: dir})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errTrial, err)
--- a/cmd/ospreybend/trial_test.go
+++ b/cmd/ospreybend/trial_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/trial"
+	"ospreybend/internal/testkit/endtoend"
 )
 
 // A zone fails under nine processes of the program, with a fault beside it. All hold the
@@ -26,7 +26,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for plays := 1; ; plays++ {
 				late := lateness()
-				r, err := trial.Zone(t.Context(), trial.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull},
+				r, err := endtoend.Zone(t.Context(), endtoend.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull},
 					Seed: c.seed, Alone: c.alone, Without: c.without, Calm: 2 * time.Second, Trouble: 6 * time.Second, After: 2 * time.Second,
 					Rate: 40, Dir: t.TempDir()})
 				most := late()
--- a/cmd/ospreybend/upgrade.go
+++ b/cmd/ospreybend/upgrade.go
@@ -6,15 +6,15 @@
 	"runtime/debug"
 	"time"
 
-	"ospreybend/internal/byhand"
-	"ospreybend/internal/protocol"
-	"ospreybend/internal/upgrade"
+	"ospreybend/internal/node/hotrestart"
+	"ospreybend/internal/node/override"
+	"ospreybend/internal/node/protocol"
 )
 
 // enter meets the other processes of this node, and returns how many there are.
 // Without a folder for that the node serves on its own.
 func (n *node) enter() (others int) {
-	room, err := upgrade.Open(n.cfg.TmpDir, n.cfg.Name)
+	room, err := hotrestart.Open(n.cfg.TmpDir, n.cfg.Name)
 	if err != nil {
 		slog.Warn("words by hand are kept in memory alone", "fault", err)
 		return 0
@@ -29,7 +29,7 @@
 }
 
 // noticed takes in, from beside the loop, what has changed in the room.
-func (n *node) noticed(words byhand.Words, others int) {
+func (n *node) noticed(words override.Words, others int) {
 	n.loop.Post(func() {
 		n.admin.Merge(words)
 		n.share(others)
@@ -66,10 +66,10 @@
 	a := protocol.AdminConfig{Listen: cfg.Admin, Sockets: cfg.AdminSockets, Memory: cfg.AdminMemory, Classes: cfg.ClassNames,
 		Ready: func() bool { return n.front.Accepting() && !n.leaving && n.core.Able() }}
 	if n.room != nil {
-		a.Record = func(name string, out bool, done func(byhand.Words, error)) {
+		a.Record = func(name string, out bool, done func(override.Words, error)) {
 			at := n.loop.Now()
 			go func() {
-				now, err := n.room.Change(func(w byhand.Words) { w.Say(name, out, at) })
+				now, err := n.room.Change(func(w override.Words) { w.Say(name, out, at) })
 				n.loop.Post(func() { done(now, err) })
 			}()
 		}
@@ -99,7 +99,7 @@
 }
 
 // adopt takes over one client's connection with what is in work on it.
-func (n *node) adopt(parcel upgrade.Parcel) {
+func (n *node) adopt(parcel hotrestart.Parcel) {
 	p, err := protocol.DecodeParcel(parcel.Text, len(parcel.Sockets))
 	if err != nil {
 		slog.Error("a client's connection is lost", "fault", err)
@@ -119,7 +119,7 @@
 }
 
 // following finds the process that takes over what this one has in work.
-func (n *node) following() *upgrade.Next {
+func (n *node) following() *hotrestart.Next {
 	if n.inherited == nil || n.room == nil {
 		return nil
 	}
@@ -127,7 +127,7 @@
 }
 
 // collect takes what can be handed over out of this process, on the loop.
-func (n *node) collect(next *upgrade.Next) {
+func (n *node) collect(next *hotrestart.Next) {
 	if next == nil {
 		return
 	}
@@ -143,7 +143,7 @@
 // handOver gives the next process what has been collected, and what may be moved
 // only later, until nothing is left here. What the next process does not take goes
 // on in this one.
-func (n *node) handOver(next *upgrade.Next, drained <-chan struct{}, by time.Time) {
+func (n *node) handOver(next *hotrestart.Next, drained <-chan struct{}, by time.Time) {
 	defer next.Close()
 	moved := 0
 	for time.Now().Before(by) {
@@ -171,9 +171,9 @@
 }
 
 // give hands one parcel over, or takes it back where that fails.
-func (n *node) give(next *upgrade.Next, p *protocol.Parcel, sockets []*os.File) bool {
+func (n *node) give(next *hotrestart.Next, p *protocol.Parcel, sockets []*os.File) bool {
 	text, err := p.Encode()
-	parcel := upgrade.Parcel{Text: text, Sockets: sockets}
+	parcel := hotrestart.Parcel{Text: text, Sockets: sockets}
 	if err == nil && next != nil {
 		if err = next.Send(parcel); err == nil {
 			return true
--- a/cmd/ospreybend/upgrade_test.go
+++ b/cmd/ospreybend/upgrade_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/load"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
 // stage is a site of a test's.
@@ -24,7 +24,7 @@
 	*site
 }
 
-func newStage(t *testing.T, sockets int, script standin.Script) stage {
+func newStage(t *testing.T, sockets int, script fakeplatform.Script) stage {
 	t.Helper()
 	s, err := newSite(4, 16, sockets, script)
 	if err != nil {
@@ -46,7 +46,7 @@
 
 func (s stage) until(what string, f func() bool) {
 	s.Helper()
-	if err := standin.Until(s.Context(), 10*time.Second, f); err != nil {
+	if err := fakeplatform.Until(s.Context(), 10*time.Second, f); err != nil {
 		s.Fatalf("%s: %v", what, err)
 	}
 }
@@ -85,10 +85,10 @@
 // either binds both, and one called back gets work. What both share, as the address
 // for peers, goes over.
 func TestUpgradeUnderLoad(t *testing.T) {
-	s := newStage(t, 1024, standin.For(20*time.Millisecond))
+	s := newStage(t, 1024, fakeplatform.For(20*time.Millisecond))
 	begun := func() int { return len(s.fleet.Workers[0].Begun()) }
-	result := make(chan *load.Result, 1)
-	run := func(prefix string, span time.Duration) { result <- load.Run(t.Context(), s.mix(prefix, 150, span)) }
+	result := make(chan *loadgen.Result, 1)
+	run := func(prefix string, span time.Duration) { result <- loadgen.Run(t.Context(), s.mix(prefix, 150, span)) }
 	served := func() {
 		if r := <-result; r.Sent < 100 || r.Served != r.Sent {
 			t.Errorf("%d sent, %d served, %d refused, %d failed, %d broken", r.Sent, r.Served, r.Refused, r.Failed, r.Broken)
@@ -137,11 +137,11 @@
 // next one: a job that runs for longer than the old one may live, one that was sent
 // ahead, half a request, an idle connection, a client that walks away later.
 func TestHandedOver(t *testing.T) {
-	s := newStage(t, 1024, func(j standin.Job) standin.Act {
+	s := newStage(t, 1024, func(j fakeplatform.Job) fakeplatform.Act {
 		if j.Class == "vorschau" {
-			return standin.Act{Run: 2500 * time.Millisecond}
+			return fakeplatform.Act{Run: 2500 * time.Millisecond}
 		}
-		return standin.Act{Run: 20 * time.Millisecond}
+		return fakeplatform.Act{Run: 20 * time.Millisecond}
 	})
 	a := s.next()
 	clients := map[string]net.Conn{}
@@ -204,7 +204,7 @@
 // than one node may, and the operators of both are answered.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	const limit = 192
-	s := newStage(t, limit, standin.For(time.Millisecond))
+	s := newStage(t, limit, fakeplatform.For(time.Millisecond))
 	crowd := func() {
 		for range 150 {
 			_, _ = io.WriteString(s.dial("crowd"), "GET /healthz HTTP/1.1\r\n\r\n")
@@ -242,7 +242,7 @@
 			t.Errorf("descriptor %s: %v", fd, err)
 		}
 	}
-	s := newStage(t, 1024, standin.For(time.Millisecond))
+	s := newStage(t, 1024, fakeplatform.For(time.Millisecond))
 	if err := os.WriteFile(filepath.Join(s.dir, "tmp"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -12,14 +12,14 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/config"
-	"ospreybend/internal/fleet/agent"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/link"
-	"ospreybend/internal/fleet/orders"
-	"ospreybend/internal/fleet/seat"
-	"ospreybend/internal/fleet/voter"
-	"ospreybend/internal/fleet/zone"
+	"ospreybend/internal/node/nodeconfig"
+	"ospreybend/internal/node/zones/agent"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/failover"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/replica"
+	"ospreybend/internal/node/zones/server"
+	"ospreybend/internal/node/zones/transport"
 )
 
 const (
@@ -33,19 +33,19 @@
 
 // Run votes until the process is told to leave.
 func (voterCmd) Run(caught signals) error {
-	f, err := config.LoadFleet(os.Getenv)
+	f, err := nodeconfig.LoadFleet(os.Getenv)
 	if err != nil {
 		return err
 	}
 	if !f.Enabled || f.Voter.ID == 0 {
 		return errors.New("fleet: this process is told of no voter; docs/FLEET.md says what its file has to hold")
 	}
-	node, err := config.Load(os.Getenv)
+	node, err := nodeconfig.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	c := seat.Config{Fleet: f.Fleet, ID: f.Voter.ID, Listen: f.Voter.Listen, Store: f.Voter.Store, Voters: map[uint64]string{},
-		Classes: classesOf(node), Rules: voter.Usual(), Without: os.Getenv("OSPREYBEND_WITHOUT")}
+	c := server.Config{Fleet: f.Fleet, ID: f.Voter.ID, Listen: f.Voter.Listen, Store: f.Voter.Store, Voters: map[uint64]string{},
+		Classes: classesOf(node), Rules: replica.Usual(), Without: os.Getenv("OSPREYBEND_WITHOUT")}
 	for _, v := range f.Voters {
 		c.Voters[v.ID] = v.Address
 	}
@@ -55,7 +55,7 @@
 	if !f.Voter.Joins {
 		c.Founds = f.Numbers()
 	}
-	s, err := seat.Open(c)
+	s, err := server.Open(c)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 		cancel()
 	}()
 	go func() {
-		client := link.NewClient()
+		client := transport.NewClient()
 		defer client.Close()
 		tellReady(ctx, func() bool { _, err := client.Status(ctx, s.Address()); return err == nil })
 	}()
@@ -74,10 +74,10 @@
 }
 
 // classesOf tells the fleet's decisions of the node's classes.
-func classesOf(n *config.Node) (out []zone.Class) {
+func classesOf(n *nodeconfig.Node) (out []failover.Class) {
 	for i, name := range n.ClassNames {
 		c := n.Settings.Classes[i]
-		out = append(out, zone.Class{Name: name, Worth: c.Worth, Once: c.Effect == balance.Unsafe})
+		out = append(out, failover.Class{Name: name, Worth: c.Worth, Once: c.Effect == balance.Unsafe})
 	}
 	return out
 }
@@ -147,11 +147,11 @@
 }
 
 // joinFleet has the node tell the voters what it sees, and go by the fleet's orders.
-func (n *node) joinFleet(f config.Fleet) {
+func (n *node) joinFleet(f nodeconfig.Fleet) {
 	cfg := n.cfg
-	n.calls = link.NewClient()
+	n.calls = transport.NewClient()
 	a := agent.Config{Fleet: f.Fleet, Name: cfg.Name, Zone: f.Zone, Zones: cfg.Zones, Classes: cfg.Settings.Classes,
-		ClassNames: cfg.ClassNames, TellsStart: cfg.Settings.TellsStart, Rules: follow.Usual(), Due: &n.loop.Due,
+		ClassNames: cfg.ClassNames, TellsStart: cfg.Settings.TellsStart, Rules: follower.Usual(), Due: &n.loop.Due,
 		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())), ZoneOf: n.pool.ZoneOf}
 	for _, v := range f.Voters {
 		a.Voters = append(a.Voters, agent.Voter{Zone: v.Zone, Address: v.Address})
@@ -168,7 +168,7 @@
 // sayZone puts a person's word on a zone to the voters, one after the other until one has it
 // agreed on. done is called on the loop.
 func (n *node) sayZone(zone, do, reason string, span time.Duration, done func(error)) {
-	w := orders.Word{Zone: zone, Do: do, Reason: reason, Until: time.Now().Add(span).UnixMicro()}
+	w := commands.Word{Zone: zone, Do: do, Reason: reason, Until: time.Now().Add(span).UnixMicro()}
 	voters := n.voters
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), sayWithin)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,7 +10,7 @@
 	"os"
 
 	"ospreybend/balance"
-	"ospreybend/internal/wire"
+	"ospreybend/internal/node/simwire"
 )
 
 const bufferSize = 1 << 20
@@ -26,9 +26,9 @@
 func serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	instances := map[uint32]*balance.Balancer{}
-	var reply wire.Reply
+	var reply simwire.Reply
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := simwire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -50,10 +50,10 @@
 	}
 }
 
-func handle(instances map[uint32]*balance.Balancer, batch wire.Batch, rec wire.Record, reply *wire.Reply) error {
+func handle(instances map[uint32]*balance.Balancer, batch simwire.Batch, rec simwire.Record, reply *simwire.Reply) error {
 	switch ev := rec.Event.(type) {
-	case wire.Attach:
-		settings, err := wire.ParseSettings(ev.Options)
+	case simwire.Attach:
+		settings, err := simwire.ParseSettings(ev.Options)
 		if err != nil {
 			return err
 		}
@@ -62,7 +62,7 @@
 			return err
 		}
 		instances[rec.Instance] = b
-	case wire.Shutdown:
+	case simwire.Shutdown:
 		delete(instances, rec.Instance)
 	case balance.Event:
 		b := instances[rec.Instance]
--- a/coord/agreement/cluster_test.go
+++ b/coord/consensus/cluster_test.go
@@ -1,4 +1,4 @@
-package agreement
+package consensus
 
 import (
 	"fmt"
--- a/coord/agreement/rules.go
+++ b/coord/consensus/rules.go
@@ -1,4 +1,4 @@
-package agreement
+package consensus
 
 // Rule names one check of the core. Tests leave rules out to show that the
 // simulation notices their absence. A running system leaves out none.
--- a/coord/agreement/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // foundingChain stands for the state at a group's formation.
@@ -22,7 +22,7 @@
 type checks struct {
 	seed         uint64
 	violations   []Violation
-	leaders      map[uint64]agreement.MemberID // by term
+	leaders      map[uint64]consensus.MemberID // by term
 	agreed       []agreed                      // by index, from firstIndex on
 	acknowledged []uint64                      // indexes
 }
@@ -30,7 +30,7 @@
 func newChecks(seed uint64) checks {
 	return checks{
 		seed:    seed,
-		leaders: make(map[uint64]agreement.MemberID),
+		leaders: make(map[uint64]consensus.MemberID),
 		agreed:  []agreed{{term: 1, chain: foundingChain}},
 	}
 }
@@ -45,7 +45,7 @@
 }
 
 // nextChain returns a number that stands for the state after an entry (FNV-1a over its parts).
-func nextChain(chain uint64, entry agreement.Entry) uint64 {
+func nextChain(chain uint64, entry consensus.Entry) uint64 {
 	const prime = 1099511628211
 	chain = (chain ^ entry.Index) * prime
 	chain = (chain ^ entry.Term) * prime
@@ -59,14 +59,14 @@
 }
 
 // claim checks a message that only the leader of its term may send.
-func (c *checks) claim(message agreement.Message) {
+func (c *checks) claim(message consensus.Message) {
 	switch message.Kind {
-	case agreement.MessageAppend, agreement.MessageHeartbeat, agreement.MessageSnapshot:
+	case consensus.MessageAppend, consensus.MessageHeartbeat, consensus.MessageSnapshot:
 		c.leader(message.Term, message.From)
 	}
 }
 
-func (c *checks) leader(term uint64, id agreement.MemberID) {
+func (c *checks) leader(term uint64, id consensus.MemberID) {
 	known, found := c.leaders[term]
 	if found && known != id {
 		c.fail(CheckOneLeader, fmt.Sprintf("term %d: leaders %d and %d", term, known, id))
@@ -75,7 +75,7 @@
 }
 
 // leads checks that a new leader holds all that was acknowledged.
-func (c *checks) leads(h *host, term uint64, log agreement.Stored) {
+func (c *checks) leads(h *host, term uint64, log consensus.Stored) {
 	c.leader(term, h.id)
 	for _, index := range c.acknowledged {
 		want := c.agreed[index-firstIndex].term
@@ -87,7 +87,7 @@
 }
 
 // holds reports whether a log has an entry, or a snapshot in its place.
-func holds(log agreement.Stored, index, term uint64) bool {
+func holds(log consensus.Stored, index, term uint64) bool {
 	base := log.Snapshot.Index
 	if index <= base {
 		return true
@@ -97,7 +97,7 @@
 }
 
 // applied checks an entry that a state machine takes.
-func (c *checks) applied(h *host, entry agreement.Entry) {
+func (c *checks) applied(h *host, entry consensus.Entry) {
 	if entry.Index != h.applied+1 {
 		c.fail(CheckOrder, fmt.Sprintf("member %d takes entry %d after %d", h.id, entry.Index, h.applied))
 		return
@@ -115,7 +115,7 @@
 }
 
 // restored checks a snapshot that a state machine takes.
-func (c *checks) restored(h *host, snapshot agreement.Snapshot) {
+func (c *checks) restored(h *host, snapshot consensus.Snapshot) {
 	if snapshot.Index > c.last() {
 		c.fail(CheckAgreement, fmt.Sprintf("member %d takes a snapshot at %d, applied is %d", h.id, snapshot.Index, c.last()))
 		return
--- a/coord/agreement/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // calmPause is the mean pause between two calls of the client once the faults are over, so that members far behind
@@ -34,7 +34,7 @@
 func (w *world) leaders() []*host {
 	var leaders []*host
 	for _, host := range w.hosts {
-		if host.up && host.node.Status().Role == agreement.RoleLeader {
+		if host.up && host.node.Status().Role == consensus.RoleLeader {
 			leaders = append(leaders, host)
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 // acknowledged notes a command that its proposer saw committed. Some schedules cut the power at that moment.
-func (w *world) acknowledged(entry agreement.Entry) {
+func (w *world) acknowledged(entry consensus.Entry) {
 	w.count.Acknowledged++
 	w.checks.acknowledged = append(w.checks.acknowledged, entry.Index)
 	if !w.calm && w.chance(w.profile.cutAtAck) {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (h *host) finishReads(results []agreement.ReadResult) {
+func (h *host) finishReads(results []consensus.ReadResult) {
 	for _, result := range results {
 		floor := h.began[result.ID]
 		delete(h.began, result.ID)
@@ -114,8 +114,8 @@
 }
 
 // neededChange returns the next change by which a machine comes back under its present ID.
-func (h *host) neededChange(members []agreement.Member, removeFirst bool) (agreement.Change, bool) {
-	var own, old *agreement.Member
+func (h *host) neededChange(members []consensus.Member, removeFirst bool) (consensus.Change, bool) {
+	var own, old *consensus.Member
 	for at := range members {
 		switch {
 		case members[at].ID == h.id:
@@ -124,15 +124,15 @@
 			old = &members[at]
 		}
 	}
-	added := agreement.Member{ID: h.id, Address: h.address()}
+	added := consensus.Member{ID: h.id, Address: h.address()}
 	switch {
 	case own == nil:
-		return agreement.Change{Add: &added}, true
+		return consensus.Change{Add: &added}, true
 	case old != nil && (removeFirst || own.Voter):
-		return agreement.Change{Remove: old.ID}, true
+		return consensus.Change{Remove: old.ID}, true
 	case !own.Voter:
 		added.Voter = true
-		return agreement.Change{Add: &added}, true
+		return consensus.Change{Add: &added}, true
 	}
-	return agreement.Change{}, false
+	return consensus.Change{}, false
 }
--- a/coord/agreement/simulation/courses.go
+++ b/coord/consensus/simulation/courses.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // The faults of this file lead schedules towards courses of events that are known to do harm to a group without
@@ -43,7 +43,7 @@
 }
 
 // muted reports whether a message is one that muting loses.
-func (w *world) muted(message agreement.Message, from, to int) bool {
+func (w *world) muted(message consensus.Message, from, to int) bool {
 	if w.now >= w.mutes[from][to] {
 		return false
 	}
@@ -114,7 +114,7 @@
 	w.after(w.draw(0, w.profile.election), r.divide)
 }
 
-func countVoters(members []agreement.Member) int {
+func countVoters(members []consensus.Member) int {
 	voters := 0
 	for _, member := range members {
 		if member.Voter {
@@ -181,7 +181,7 @@
 
 // change has the second leader try to change the members until the parts meet.
 func (r *rivalry) change() {
-	if r.over || r.rival == nil || !r.rival.up || r.rival.node.Status().Role != agreement.RoleLeader {
+	if r.over || r.rival == nil || !r.rival.up || r.rival.node.Status().Role != consensus.RoleLeader {
 		return
 	}
 	r.rival.removeAny()
--- a/coord/agreement/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"slices"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // record is the smallest part of a write that a loss of power leaves whole or takes away.
 type record struct {
-	snapshot *agreement.Snapshot // received: replaces the log
-	compact  *agreement.Snapshot // taken here: replaces the entries up to it
-	entry    *agreement.Entry    // replaces all entries from its index on
-	hard     *agreement.HardState
+	snapshot *consensus.Snapshot // received: replaces the log
+	compact  *consensus.Snapshot // taken here: replaces the entries up to it
+	entry    *consensus.Entry    // replaces all entries from its index on
+	hard     *consensus.HardState
 }
 
 // operation is a write that is reported durable as a whole.
@@ -23,12 +23,12 @@
 
 // disk holds what is durable and what is on its way there.
 type disk struct {
-	durable agreement.Stored
+	durable consensus.Stored
 	queue   []operation
 	syncing bool
 }
 
-func persistOperation(persist *agreement.Persist, done func()) operation {
+func persistOperation(persist *consensus.Persist, done func()) operation {
 	written := operation{done: done}
 	if persist.Snapshot != nil {
 		written.records = append(written.records, record{snapshot: persist.Snapshot})
@@ -43,7 +43,7 @@
 }
 
 // write applies a record to stored state.
-func write(stored *agreement.Stored, written record) error {
+func write(stored *consensus.Stored, written record) error {
 	switch {
 	case written.snapshot != nil:
 		stored.Snapshot = *written.snapshot
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func compact(stored *agreement.Stored, snapshot agreement.Snapshot) {
+func compact(stored *consensus.Stored, snapshot consensus.Snapshot) {
 	if snapshot.Index <= stored.Snapshot.Index {
 		return
 	}
@@ -70,7 +70,7 @@
 	stored.Snapshot = snapshot
 }
 
-func writeEntry(stored *agreement.Stored, entry agreement.Entry) error {
+func writeEntry(stored *consensus.Stored, entry consensus.Entry) error {
 	base := stored.Snapshot.Index
 	if entry.Index <= base {
 		return nil
@@ -107,7 +107,7 @@
 }
 
 // view returns the state as it will be when all writes are durable.
-func (d *disk) view() agreement.Stored {
+func (d *disk) view() consensus.Stored {
 	seen := d.durable
 	seen.Entries = slices.Clone(seen.Entries)
 	for _, operation := range d.queue {
--- a/coord/agreement/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // profile is what a schedule is like.
@@ -255,7 +255,7 @@
 	return away
 }
 
-func (h *host) settledIn(members []agreement.Member) bool {
+func (h *host) settledIn(members []consensus.Member) bool {
 	_, needed := h.neededChange(members, false)
 	return !needed
 }
@@ -281,7 +281,7 @@
 // transfer has a leader hand over, to anyone or to the most current voter.
 func (w *world) transfer() {
 	w.count.Transfers++
-	to := agreement.MemberID(0)
+	to := consensus.MemberID(0)
 	if w.chance(0.5) {
 		to = w.anyHost().id
 	}
@@ -315,7 +315,7 @@
 	w.noteLoss(&w.lastRemoval, w.lastWipe)
 	removed := w.anyHost().id
 	h.act(func() {
-		if h.node.ChangeMembers(h.clock(), agreement.Change{Remove: removed}) == nil {
+		if h.node.ChangeMembers(h.clock(), consensus.Change{Remove: removed}) == nil {
 			w.count.MemberChanges++
 		}
 	})
--- a/coord/agreement/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // incarnations is how many IDs a machine has.
@@ -16,13 +16,13 @@
 	world       *world
 	index       int
 	incarnation int
-	id          agreement.MemberID
+	id          consensus.MemberID
 	disk        disk
 	offset      time.Duration // of its monotonic clock
 
 	process  int // counts the starts; what belongs to an earlier one is void
 	up       bool
-	node     *agreement.Node
+	node     *consensus.Node
 	frozen   time.Duration // until when
 	stalled  time.Duration // until when its disk is
 	tickAt   time.Duration // when the next Tick is planned, 0: none
@@ -42,11 +42,11 @@
 	return h
 }
 
-func hostOf(id agreement.MemberID) int { return int(id/incarnations) - 1 }
+func hostOf(id consensus.MemberID) int { return int(id/incarnations) - 1 }
 
 func (h *host) nextIdentity() {
 	h.incarnation++
-	h.id = agreement.MemberID((h.index+1)*incarnations + h.incarnation)
+	h.id = consensus.MemberID((h.index+1)*incarnations + h.incarnation)
 }
 
 func (h *host) address() string { return fmt.Sprintf("10.0.0.%d:1", h.index+1) }
@@ -62,12 +62,12 @@
 	h.ledTerm, h.applied, h.chain, h.sinceCut = 0, 0, 0, 0
 	h.proposed = make(map[uint64]uint64)
 	h.began = make(map[uint64]uint64)
-	h.node = agreement.New(h.config(), h.disk.durable, h.clock())
+	h.node = consensus.New(h.config(), h.disk.durable, h.clock())
 	h.pump()
 }
 
-func (h *host) config() agreement.Config {
-	return agreement.Config{
+func (h *host) config() consensus.Config {
+	return consensus.Config{
 		ID:              h.id,
 		ElectionTimeout: h.world.profile.election,
 		Heartbeat:       h.world.profile.election / heartbeatShare,
@@ -108,7 +108,7 @@
 	}
 }
 
-func (h *host) receive(message agreement.Message) {
+func (h *host) receive(message consensus.Message) {
 	h.act(func() { h.node.Step(h.clock(), message) })
 }
 
@@ -157,7 +157,7 @@
 // planTick plans the next Tick, a little late.
 func (h *host) planTick() {
 	next := h.node.NextTick()
-	if next == agreement.NoTick {
+	if next == consensus.NoTick {
 		h.tickAt = 0
 		return
 	}
@@ -175,14 +175,14 @@
 	})
 }
 
-func (h *host) restore(snapshot agreement.Snapshot) {
+func (h *host) restore(snapshot consensus.Snapshot) {
 	h.applied = snapshot.Index
 	h.chain = binary.LittleEndian.Uint64(snapshot.Data)
 	h.sinceCut = 0
 	h.world.checks.restored(h, snapshot)
 }
 
-func (h *host) apply(entry agreement.Entry) {
+func (h *host) apply(entry consensus.Entry) {
 	h.world.checks.applied(h, entry)
 	h.applied = entry.Index
 	h.chain = nextChain(h.chain, entry)
@@ -200,7 +200,7 @@
 // noticeLeader checks a new leader's log.
 func (h *host) noticeLeader() {
 	status := h.node.Status()
-	if status.Role != agreement.RoleLeader || status.Term == h.ledTerm {
+	if status.Role != consensus.RoleLeader || status.Term == h.ledTerm {
 		return
 	}
 	h.ledTerm = status.Term
--- a/coord/agreement/simulation/long_test.go
+++ b/coord/consensus/simulation/long_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // Flags of TestManySchedules.
@@ -21,7 +21,7 @@
 
 // TestManySchedules plays any number of schedules:
 //
-//	go test ./coord/agreement/simulation -run TestManySchedules -v -timeout 2h -schedules 10000 -members 5 -workers 4
+//	go test ./coord/consensus/simulation -run TestManySchedules -v -timeout 2h -schedules 10000 -members 5 -workers 4
 func TestManySchedules(t *testing.T) {
 	if *manySchedules == 0 {
 		t.Skip("no -schedules")
@@ -34,7 +34,7 @@
 		ReuseIdentity: *manyOldID,
 	}
 	if *manyOmit != "" {
-		options.Omit = []agreement.Rule{agreement.Rule(*manyOmit)}
+		options.Omit = []consensus.Rule{consensus.Rule(*manyOmit)}
 		options.StopAtFirst = true
 	}
 	began := time.Now()
--- a/coord/agreement/simulation/simulation.go
+++ b/coord/consensus/simulation/simulation.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // Options says what is played.
@@ -16,7 +16,7 @@
 	Members       int              // voters, one on each machine
 	Schedules     int              // how many are drawn
 	Workers       int              // schedules played at a time; 0: one
-	Omit          []agreement.Rule // checks of the core that are left out
+	Omit          []consensus.Rule // checks of the core that are left out
 	ReuseIdentity bool             // a machine that lost its disk comes back under its old ID: a fault that must be noticed
 	StopAtFirst   bool             // play no more schedules after the first violation
 	Trouble       time.Duration    // how long faults strike in a schedule; 0: defaultTrouble
--- a/coord/agreement/simulation/simulation_test.go
+++ b/coord/consensus/simulation/simulation_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // testSeed draws the schedules of all tests.
@@ -43,17 +43,17 @@
 // TestAbsentRulesAreNoticed leaves out those rules whose absence shows within few schedules of three members. The
 // rest shows rarely (docs/design/agreement.md); all have a scenario of their own in package agreement.
 func TestAbsentRulesAreNoticed(t *testing.T) {
-	for _, rule := range []agreement.Rule{
-		agreement.RuleVoteOnce, agreement.RuleVoteLog, agreement.RuleVoteDurable,
-		agreement.RuleAppendMatch, agreement.RuleAppendDurable, agreement.RuleLeaderDurable,
-		agreement.RuleCommitMajority, agreement.RuleCommitVerified,
-		agreement.RuleReadConfirmed, agreement.RuleReadOwnTerm, agreement.RuleLearnerNoMajority,
+	for _, rule := range []consensus.Rule{
+		consensus.RuleVoteOnce, consensus.RuleVoteLog, consensus.RuleVoteDurable,
+		consensus.RuleAppendMatch, consensus.RuleAppendDurable, consensus.RuleLeaderDurable,
+		consensus.RuleCommitMajority, consensus.RuleCommitVerified,
+		consensus.RuleReadConfirmed, consensus.RuleReadOwnTerm, consensus.RuleLearnerNoMajority,
 	} {
-		wantNoticed(t, string(rule), Options{Members: 3, Omit: []agreement.Rule{rule}})
+		wantNoticed(t, string(rule), Options{Members: 3, Omit: []consensus.Rule{rule}})
 	}
 	wantNoticed(t, "empty-silent, old ID", Options{
 		Members:       3,
-		Omit:          []agreement.Rule{agreement.RuleEmptySilent},
+		Omit:          []consensus.Rule{consensus.RuleEmptySilent},
 		ReuseIdentity: true,
 	})
 }
@@ -61,12 +61,12 @@
 // TestAbsentRulesOfKnownCoursesAreNoticed leaves out the rules that only a course of several leaders shows
 // (courses.go). Those of changes of members do harm where the number of voters is even at some time.
 func TestAbsentRulesOfKnownCoursesAreNoticed(t *testing.T) {
-	for rule, members := range map[agreement.Rule]int{
-		agreement.RuleCommitOwnTerm:   5,
-		agreement.RuleMembersOwnTerm:  4,
-		agreement.RuleMembersRollBack: 4,
+	for rule, members := range map[consensus.Rule]int{
+		consensus.RuleCommitOwnTerm:   5,
+		consensus.RuleMembersOwnTerm:  4,
+		consensus.RuleMembersRollBack: 4,
 	} {
-		wantNoticed(t, string(rule), Options{Members: members, Omit: []agreement.Rule{rule}})
+		wantNoticed(t, string(rule), Options{Members: members, Omit: []consensus.Rule{rule}})
 	}
 }
 
--- a/coord/agreement/simulation/world.go
+++ b/coord/consensus/simulation/world.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // Times of a schedule.
@@ -68,16 +68,16 @@
 	w := &world{options: options, random: rand.New(rand.NewPCG(seed, seed^seedStep))}
 	w.checks = newChecks(seed)
 	w.profile = drawProfile(w.random)
-	var founders []agreement.Member
+	var founders []consensus.Member
 	for index := range options.Members {
 		host := newHost(w, index)
 		w.hosts = append(w.hosts, host)
 		w.cuts = append(w.cuts, make([]time.Duration, options.Members))
 		w.mutes = append(w.mutes, make([]time.Duration, options.Members))
-		founders = append(founders, agreement.Member{ID: host.id, Address: host.address(), Voter: true})
+		founders = append(founders, consensus.Member{ID: host.id, Address: host.address(), Voter: true})
 	}
 	for _, host := range w.hosts {
-		host.disk.durable = agreement.Founding(founders, encodeChain(foundingChain))
+		host.disk.durable = consensus.Founding(founders, encodeChain(foundingChain))
 	}
 	return w
 }
@@ -149,9 +149,9 @@
 }
 
 // send delivers a message after a delay, several times or never.
-func (w *world) send(message agreement.Message) {
+func (w *world) send(message consensus.Message) {
 	w.count.Messages++
-	if message.Kind == agreement.MessageSnapshot {
+	if message.Kind == consensus.MessageSnapshot {
 		w.count.Snapshots++
 	}
 	w.checks.claim(message)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (w *world) sendOnce(message agreement.Message) {
+func (w *world) sendOnce(message consensus.Message) {
 	from, to := hostOf(message.From), hostOf(message.To)
 	if to < 0 || to >= len(w.hosts) {
 		return
--- a/coord/agreement/types.go
+++ b/coord/consensus/types.go
@@ -1,8 +1,8 @@
-// Package agreement is a consensus core for one replica group: it elects a leader, replicates a
+// Package consensus is a consensus core for one replica group: it elects a leader, replicates a
 // log of entries to a majority and changes the group's members. It decides only: it has no
 // goroutine, no socket, no file and no clock of its own. Its caller passes the monotonic time to
 // each call, carries out what Take returns and reports what has become durable.
-package agreement
+package consensus
 
 import (
 	"errors"
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog/seglogtest"
 )
 
@@ -21,7 +21,7 @@
 // listMachine keeps all commands in order.
 type listMachine struct{ Commands []string }
 
-func (m *listMachine) Apply(entry agreement.Entry) any {
+func (m *listMachine) Apply(entry consensus.Entry) any {
 	m.Commands = append(m.Commands, string(entry.Data))
 	return len(m.Commands)
 }
@@ -46,12 +46,12 @@
 // envelope is a message on its way.
 type envelope struct {
 	due     time.Duration
-	message agreement.Message
+	message consensus.Message
 }
 
 // peer is one process with its disk.
 type peer struct {
-	member  agreement.Member
+	member  consensus.Member
 	disk    *seglogtest.Disk
 	group   *Group
 	machine *listMachine
@@ -69,13 +69,13 @@
 	network []envelope
 
 	newMachine func() Machine   // nil: a listMachine
-	omit       []agreement.Rule // left out of all members
+	omit       []consensus.Rule // left out of all members
 	omitGuards []Guard          // as well
 }
 
-func testMember(number int, voter bool) agreement.Member {
-	return agreement.Member{
-		ID:      agreement.MemberID(number),
+func testMember(number int, voter bool) consensus.Member {
+	return consensus.Member{
+		ID:      consensus.MemberID(number),
 		Address: fmt.Sprintf("10.1.0.%d:7660", number),
 		Voter:   voter,
 	}
@@ -83,7 +83,7 @@
 
 func newCluster(t *testing.T, founders int) *cluster {
 	c := &cluster{t: t, clock: &fakeClock{now: time.Second}}
-	var members []agreement.Member
+	var members []consensus.Member
 	for number := 1; number <= founders; number++ {
 		members = append(members, testMember(number, true))
 	}
@@ -93,14 +93,14 @@
 	return c
 }
 
-func (c *cluster) add(member agreement.Member, founders []agreement.Member) *peer {
+func (c *cluster) add(member consensus.Member, founders []consensus.Member) *peer {
 	added := &peer{member: member, disk: seglogtest.NewDisk()}
 	c.peers = append(c.peers, added)
 	c.open(added, founders)
 	return added
 }
 
-func (c *cluster) open(p *peer, founders []agreement.Member) {
+func (c *cluster) open(p *peer, founders []consensus.Member) {
 	c.t.Helper()
 	p.machine = &listMachine{}
 	machine := Machine(p.machine)
@@ -113,7 +113,7 @@
 		Self:       p.member,
 		Founders:   founders,
 		Machine:    machine,
-		Send:       func(_ agreement.Member, message agreement.Message) { c.send(p, message) },
+		Send:       func(_ consensus.Member, message consensus.Message) { c.send(p, message) },
 		Clock:      c.clock,
 		Omit:       c.omit,
 		OmitGuards: c.omitGuards,
@@ -141,7 +141,7 @@
 	c.peers = slices.DeleteFunc(c.peers, func(p *peer) bool { return p == gone })
 }
 
-func (c *cluster) send(from *peer, message agreement.Message) {
+func (c *cluster) send(from *peer, message consensus.Message) {
 	if !from.cut {
 		c.network = append(c.network, envelope{due: c.clock.now + testDelay, message: message})
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-func (c *cluster) peer(id agreement.MemberID) *peer {
+func (c *cluster) peer(id consensus.MemberID) *peer {
 	for _, p := range c.peers {
 		if p.member.ID == id {
 			return p
@@ -290,7 +290,7 @@
 }
 
 // change asks again while the leader does not know yet that it may make the change.
-func (c *cluster) change(change agreement.Change) {
+func (c *cluster) change(change consensus.Change) {
 	c.t.Helper()
 	limit := c.clock.now + testDuration
 	for {
@@ -300,7 +300,7 @@
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, agreement.ErrMemberChange) || c.clock.now > limit {
+		if !errors.Is(err, consensus.ErrMemberChange) || c.clock.now > limit {
 			c.t.Fatal(err)
 		}
 		c.step()
--- a/coord/replica/errors.go
+++ b/coord/replica/errors.go
@@ -4,13 +4,13 @@
 	"errors"
 	"fmt"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // ErrNotLeader refuses a call that only the leader can take. The proposal or change that it answers
 // is not in the log and never will be. Use errors.As with a value of this type.
 type ErrNotLeader struct {
-	Leader agreement.Member // ID 0: unknown
+	Leader consensus.Member // ID 0: unknown
 }
 
 func (e ErrNotLeader) Error() string {
--- a/coord/replica/events.go
+++ b/coord/replica/events.go
@@ -3,14 +3,14 @@
 import (
 	"sync"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // event is what the loop handles. Types: messageEvent, proposeEvent, changeEvent, readEvent,
 // transferEvent, callEvent, diskEvent.
 type event interface{}
 
-type messageEvent struct{ message agreement.Message }
+type messageEvent struct{ message consensus.Message }
 
 type proposeEvent struct {
 	data []byte
@@ -18,14 +18,14 @@
 }
 
 type changeEvent struct {
-	change agreement.Change
+	change consensus.Change
 	done   chan outcome
 }
 
 type readEvent struct{ done chan outcome }
 
 type transferEvent struct {
-	to   agreement.MemberID // 0: the most current voter
+	to   consensus.MemberID // 0: the most current voter
 	done chan outcome
 }
 
@@ -38,7 +38,7 @@
 type diskEvent struct {
 	jobs      int // finished since the last report, oldest first
 	persisted uint64
-	compacted *agreement.Snapshot // now durable
+	compacted *consensus.Snapshot // now durable
 	dropped   bool                // the snapshot failed and is not tried again by itself
 	err       error               // the last try failed
 	logBytes  int64
--- a/coord/replica/group.go
+++ b/coord/replica/group.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 )
 
@@ -44,7 +44,7 @@
 	return group, nil
 }
 
-func start(options *Options, log storage, stored agreement.Stored) (*Group, error) {
+func start(options *Options, log storage, stored consensus.Stored) (*Group, error) {
 	if err := stored.Check(); err != nil {
 		return nil, err
 	}
@@ -58,21 +58,21 @@
 }
 
 // openLog reads the disk and writes the founding state to an empty one if it is to found the group.
-func openLog(options *Options) (*seglog.Log, agreement.Stored, error) {
+func openLog(options *Options) (*seglog.Log, consensus.Stored, error) {
 	log, stored, err := seglog.Open(seglog.Options{FileSystem: options.FileSystem, Directory: options.Directory})
 	if err != nil || len(options.Founders) == 0 || !isEmpty(&stored) {
 		return log, stored, err
 	}
-	stored = agreement.Founding(options.Founders, options.Machine.Snapshot())
-	founding := agreement.Persist{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
-	if err := log.Save([]*agreement.Persist{&founding}); err != nil {
-		return nil, agreement.Stored{}, errors.Join(err, log.Close())
+	stored = consensus.Founding(options.Founders, options.Machine.Snapshot())
+	founding := consensus.Persist{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
+	if err := log.Save([]*consensus.Persist{&founding}); err != nil {
+		return nil, consensus.Stored{}, errors.Join(err, log.Close())
 	}
 	return log, stored, nil
 }
 
-func isEmpty(stored *agreement.Stored) bool {
-	return stored.HardState == agreement.HardState{} && stored.Snapshot.Index == 0 && len(stored.Entries) == 0
+func isEmpty(stored *consensus.Stored) bool {
+	return stored.HardState == consensus.HardState{} && stored.Snapshot.Index == 0 && len(stored.Entries) == 0
 }
 
 // Run works until ctx ends or Close is called. Every waiting call then ends with ErrClosed or
@@ -134,7 +134,7 @@
 
 // Step takes a message of another member. It does not block; messages beyond a bound are dropped.
 // The message must not be changed afterwards.
-func (g *Group) Step(message agreement.Message) { g.inbox.post(messageEvent{message}) }
+func (g *Group) Step(message consensus.Message) { g.inbox.post(messageEvent{message}) }
 
 // Propose adds a command to the log and returns the machine's result and the entry's index once it
 // is committed and applied here. Errors: ErrNotLeader, ErrUnknownOutcome, ErrClosed,
@@ -165,8 +165,8 @@
 
 // Promotable returns the learners that could be made voters now: they answer, and have acknowledged nearly all of the log
 // as durable. Only the leader knows; others return none.
-func (g *Group) Promotable() []agreement.MemberID {
-	var found []agreement.MemberID
+func (g *Group) Promotable() []consensus.MemberID {
+	var found []consensus.MemberID
 	err := g.Do(func() {
 		for _, member := range g.loop.node.Status().Members {
 			if !member.Voter && g.loop.node.MayPromote(member.ID) {
@@ -190,7 +190,7 @@
 // TransferTo hands leadership to a chosen voter, or to the most current other one if the ID is 0, and
 // returns once this replica leads no more; another voter may have been elected then. Errors: those of Transfer;
 // agreement.ErrNoSuccessor also if the member chosen is no voter, or this one.
-func (g *Group) TransferTo(ctx context.Context, to agreement.MemberID) error {
+func (g *Group) TransferTo(ctx context.Context, to consensus.MemberID) error {
 	done := newDone()
 	return g.call(ctx, transferEvent{to: to, done: done}, done, nil)
 }
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog/seglogtest"
 )
 
@@ -132,10 +132,10 @@
 func TestTransferToNoVoter(t *testing.T) {
 	c := newCluster(t, 3)
 	leader := c.awaitLeader()
-	for _, to := range []agreement.MemberID{leader.member.ID, 99} {
+	for _, to := range []consensus.MemberID{leader.member.ID, 99} {
 		done := newDone()
 		leader.group.inbox.post(transferEvent{to: to, done: done})
-		if err := c.await(done).err; !errors.Is(err, agreement.ErrNoSuccessor) {
+		if err := c.await(done).err; !errors.Is(err, consensus.ErrNoSuccessor) {
 			t.Fatalf("to %d: %v", to, err)
 		}
 	}
@@ -203,11 +203,11 @@
 		t.Fatal("the log was not compacted")
 	}
 	added := c.add(testMember(4, false), nil)
-	c.change(agreement.Change{Add: &agreement.Member{ID: 4, Address: added.member.Address}})
+	c.change(consensus.Change{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
 	c.awaitCommands(added, compactEntries+100)
-	c.change(agreement.Change{Add: &agreement.Member{ID: 4, Address: added.member.Address, Voter: true}})
+	c.change(consensus.Change{Add: &consensus.Member{ID: 4, Address: added.member.Address, Voter: true}})
 	removed := c.awaitLeader().member.ID%3 + 1
-	c.change(agreement.Change{Remove: removed})
+	c.change(consensus.Change{Remove: removed})
 	c.commit("last")
 	c.awaitCommands(added, compactEntries+101)
 	c.restart(added, true, 3)
@@ -226,9 +226,9 @@
 		Directory:       "group",
 		FileSystem:      seglogtest.NewDisk(),
 		Self:            member,
-		Founders:        []agreement.Member{member},
+		Founders:        []consensus.Member{member},
 		Machine:         machine,
-		Send:            func(agreement.Member, agreement.Message) {},
+		Send:            func(consensus.Member, consensus.Message) {},
 		ElectionTimeout: time.Millisecond,
 		Heartbeat:       time.Millisecond,
 		OnStatus: func(status Status) {
--- a/coord/replica/guards_test.go
+++ b/coord/replica/guards_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // leaveOut leaves guards out of all members, also of those that run.
@@ -20,14 +20,14 @@
 	// The next leader's entry takes the place of the one proposed.
 	GuardOutcomeOfTerm: func(t *testing.T, omit ...Guard) bool {
 		s, done := proposedAt(t, omit)
-		s.node.ready.Committed = []agreement.Entry{{Term: 2, Index: 1}}
+		s.node.ready.Committed = []consensus.Entry{{Term: 2, Index: 1}}
 		s.turn(0)
 		return (<-done).err == nil
 	},
 	// The next leader commits the entry that this one proposed.
 	GuardLostUnknown: func(t *testing.T, omit ...Guard) bool {
 		s, done := proposedAt(t, omit)
-		s.node.status.Role = agreement.RoleFollower
+		s.node.status.Role = consensus.RoleFollower
 		s.turn(0)
 		if len(done) == 0 {
 			return false
@@ -37,7 +37,7 @@
 	// A snapshot holds the entry, or another in its place.
 	GuardSkippedUnknown: func(t *testing.T, omit ...Guard) bool {
 		s, done := proposedAt(t, omit)
-		s.node.ready.Restore = &agreement.Snapshot{Index: 10, Term: 1, Data: []byte("{}")}
+		s.node.ready.Restore = &consensus.Snapshot{Index: 10, Term: 1, Data: []byte("{}")}
 		s.turn(0)
 		return !errors.Is((<-done).err, ErrUnknownOutcome)
 	},
@@ -47,7 +47,7 @@
 		s.loop.options.OmitGuards = omit
 		done := newDone()
 		s.turn(0, readEvent{done})
-		s.node.ready.Reads = []agreement.ReadResult{{ID: s.node.reads[0], Index: 5, OK: true}}
+		s.node.ready.Reads = []consensus.ReadResult{{ID: s.node.reads[0], Index: 5, OK: true}}
 		s.commit(1, 4)
 		s.turn(0)
 		return len(done) > 0
@@ -56,7 +56,7 @@
 	GuardStallHandsOver: func(t *testing.T, omit ...Guard) bool {
 		s := newScript()
 		s.loop.options.OmitGuards = omit
-		s.node.ready.Persist = &agreement.Persist{Sequence: 1}
+		s.node.ready.Persist = &consensus.Persist{Sequence: 1}
 		s.turn(0)
 		s.turn(2 * stallAfter)
 		return s.node.writable
--- a/coord/replica/loop.go
+++ b/coord/replica/loop.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // never is a time that is not reached.
@@ -18,9 +18,9 @@
 	options  *Options
 	node     decider
 	submit   func(job) // hands a write to the log writer; does not block
-	known    map[agreement.MemberID]agreement.Member
+	known    map[consensus.MemberID]consensus.Member
 	now      time.Duration
-	status   agreement.Status // of the node, as of the last turn
+	status   consensus.Status // of the node, as of the last turn
 	applied  uint64           // by the machine
 	waiting  proposals
 	reads    reads
@@ -41,7 +41,7 @@
 		options: options,
 		node:    node,
 		submit:  submit,
-		known:   map[agreement.MemberID]agreement.Member{},
+		known:   map[consensus.MemberID]consensus.Member{},
 		waiting: proposals{byIndex: map[uint64]*proposal{}},
 		reads:   reads{rounds: map[uint64][]chan outcome{}},
 	}
@@ -104,7 +104,7 @@
 // the heartbeats of all groups of the process go out together, and in one batch to each peer.
 func (l *loop) nextTick() time.Duration {
 	next := l.node.NextTick()
-	if l.status.Role != agreement.RoleLeader || next == agreement.NoTick {
+	if l.status.Role != consensus.RoleLeader || next == consensus.NoTick {
 		return next
 	}
 	beat := l.options.Heartbeat
@@ -112,7 +112,7 @@
 }
 
 // carryOut does what the node wants done.
-func (l *loop) carryOut(ready agreement.Ready) {
+func (l *loop) carryOut(ready consensus.Ready) {
 	l.readNode()
 	if ready.Persist != nil {
 		l.write(job{persist: ready.Persist})
@@ -133,7 +133,7 @@
 }
 
 // restore gives the machine a snapshot's state.
-func (l *loop) restore(snapshot *agreement.Snapshot) {
+func (l *loop) restore(snapshot *consensus.Snapshot) {
 	if err := l.options.Machine.Restore(snapshot.Index, snapshot.Data); err != nil {
 		l.failure = err
 		l.options.Logger.Error("the machine cannot take the snapshot",
@@ -147,10 +147,10 @@
 }
 
 // apply gives the machine the committed commands and answers those that wait for them.
-func (l *loop) apply(entries []agreement.Entry) {
+func (l *loop) apply(entries []consensus.Entry) {
 	for _, entry := range entries {
 		var result any
-		if entry.Kind == agreement.EntryCommand {
+		if entry.Kind == consensus.EntryCommand {
 			result = l.options.Machine.Apply(entry)
 		}
 		l.applied = entry.Index
@@ -174,7 +174,7 @@
 }
 
 // know remembers members' addresses, also of those that are removed later.
-func (l *loop) know(members []agreement.Member) {
+func (l *loop) know(members []consensus.Member) {
 	for _, member := range members {
 		if l.known[member.ID] != member {
 			l.known[member.ID] = member
@@ -183,17 +183,17 @@
 }
 
 // member returns what is known of a member, its ID at least.
-func (l *loop) member(id agreement.MemberID) agreement.Member {
+func (l *loop) member(id consensus.MemberID) consensus.Member {
 	if member, known := l.known[id]; known {
 		return member
 	}
-	return agreement.Member{ID: id}
+	return consensus.Member{ID: id}
 }
 
 // leader returns the leader as of now, the zero value if none is known.
-func (l *loop) leader() agreement.Member {
+func (l *loop) leader() consensus.Member {
 	if l.status.Leader == 0 {
-		return agreement.Member{}
+		return consensus.Member{}
 	}
 	return l.member(l.status.Leader)
 }
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -3,31 +3,31 @@
 import (
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // decider is what the loop needs of agreement.Node. Tests put a scripted one in its place.
 type decider interface {
 	Tick(now time.Duration)
 	NextTick() time.Duration
-	Step(now time.Duration, message agreement.Message)
+	Step(now time.Duration, message consensus.Message)
 	Propose(now time.Duration, data []byte) (term, index uint64, err error)
-	ChangeMembers(now time.Duration, change agreement.Change) error
+	ChangeMembers(now time.Duration, change consensus.Change) error
 	Read(now time.Duration, id uint64) error
-	Transfer(now time.Duration, to agreement.MemberID) error
+	Transfer(now time.Duration, to consensus.MemberID) error
 	SetWritable(now time.Duration, writable bool)
-	Take() agreement.Ready
+	Take() consensus.Ready
 	Persisted(now time.Duration, sequence uint64)
-	SnapshotAt(index uint64, data []byte) (agreement.Snapshot, bool)
-	Compact(index uint64, members []agreement.Member, data []byte)
-	MayPromote(id agreement.MemberID) bool
-	Status() agreement.Status
+	SnapshotAt(index uint64, data []byte) (consensus.Snapshot, bool)
+	Compact(index uint64, members []consensus.Member, data []byte)
+	MayPromote(id consensus.MemberID) bool
+	Status() consensus.Status
 }
 
-var _ decider = (*agreement.Node)(nil)
+var _ decider = (*consensus.Node)(nil)
 
 // Change adds, alters or removes one member.
-type Change = agreement.Change
+type Change = consensus.Change
 
 // Bounds of what a leader has under way with one member.
 const (
@@ -39,8 +39,8 @@
 // without costing the next one its place on the grid of time.
 const heartbeatMargin = 6
 
-func newNode(options *Options, stored agreement.Stored, now time.Duration) decider {
-	config := agreement.Config{
+func newNode(options *Options, stored consensus.Stored, now time.Duration) decider {
+	config := consensus.Config{
 		ID:              options.Self.ID,
 		ElectionTimeout: options.ElectionTimeout,
 		Heartbeat:       options.Heartbeat - options.Heartbeat/heartbeatMargin,
@@ -49,5 +49,5 @@
 		Seed:            uint64(options.Self.ID) + uint64(options.Shard),
 		Omit:            options.Omit,
 	}
-	return agreement.New(config, stored, now)
+	return consensus.New(config, stored, now)
 }
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/shards"
 )
@@ -14,7 +14,7 @@
 type Machine interface {
 	// Apply carries out one command and returns its result. It is called once for each command
 	// entry, in the order of the log, and must give the same result on all replicas.
-	Apply(entry agreement.Entry) any
+	Apply(entry consensus.Entry) any
 	// Snapshot returns the whole state. The group keeps the slice; the machine must not change it.
 	Snapshot() []byte
 	// Restore replaces the state by that of a snapshot taken after the entry at index. The data
@@ -32,14 +32,14 @@
 	Shard      shards.ID
 	Directory  string            // of this group alone
 	FileSystem seglog.FileSystem // nil: the operating system's
-	Self       agreement.Member
-	Founders   []agreement.Member // only at the system's first formation; used if the disk is empty
+	Self       consensus.Member
+	Founders   []consensus.Member // only at the system's first formation; used if the disk is empty
 	Machine    Machine            // in its initial state
 
 	// Send hands a message to the transport. It is called by the loop and must not block; a message
 	// may be lost. Address is empty where the group does not know the receiver as a member yet: the
 	// transport then looks it up by ID, or drops the message. The message must not be changed.
-	Send func(to agreement.Member, message agreement.Message)
+	Send func(to consensus.Member, message consensus.Message)
 	// OnApplied is called by the loop, and by Open, after the machine has applied all up to index. It
 	// must not call the group. May be nil.
 	OnApplied func(index uint64)
@@ -53,7 +53,7 @@
 	Clock           Clock         // nil: the process's steady clock
 
 	// Omit leaves out rules of the agreement, by tests alone.
-	Omit []agreement.Rule
+	Omit []consensus.Rule
 	// OmitGuards leaves out guards of the group, by tests alone.
 	OmitGuards []Guard
 }
@@ -70,11 +70,11 @@
 // Status describes a group's local replica.
 type Status struct {
 	Shard        shards.ID
-	Role         agreement.Role
+	Role         consensus.Role
 	Term         uint64
-	Leader       agreement.Member // ID 0: unknown
-	Members      []agreement.Member
-	Retired      []agreement.MemberID // IDs that were replaced and never come back
+	Leader       consensus.Member // ID 0: unknown
+	Members      []consensus.Member
+	Retired      []consensus.MemberID // IDs that were replaced and never come back
 	Applied      uint64
 	Commit       uint64
 	ConfirmedAge time.Duration // since agreement.Status.Confirmed
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // lossGraces is how many election timeouts a proposal may still be committed by the next leader
@@ -49,7 +49,7 @@
 
 // refusal turns the node's error into the caller's.
 func (l *loop) refusal(err error) error {
-	if !errors.Is(err, agreement.ErrNotLeader) {
+	if !errors.Is(err, consensus.ErrNotLeader) {
 		return err
 	}
 	l.readNode()
@@ -65,7 +65,7 @@
 
 // applied answers whoever waits for the entry's index. An entry of another term has taken the
 // place of the one proposed, which then never was and never will be committed.
-func (p *proposals) applied(entry agreement.Entry, result any, leader agreement.Member, options *Options) {
+func (p *proposals) applied(entry consensus.Entry, result any, leader consensus.Member, options *Options) {
 	one := p.byIndex[entry.Index]
 	if one == nil {
 		return
@@ -98,17 +98,17 @@
 		l.waiting.losing = 0
 		return
 	}
-	if l.status.Role != agreement.RoleLeader && !l.options.holds(GuardLostUnknown) {
+	if l.status.Role != consensus.RoleLeader && !l.options.holds(GuardLostUnknown) {
 		l.waiting.fail(ErrNotLeader{Leader: l.leader()})
 		return
 	}
 	l.waiting.lose(l.status, l.now+lossGraces*l.options.ElectionTimeout)
 }
 
-func (p *proposals) lose(status agreement.Status, deadline time.Duration) {
+func (p *proposals) lose(status consensus.Status, deadline time.Duration) {
 	p.losing = 0
 	for _, one := range p.byIndex {
-		leading := status.Role == agreement.RoleLeader && status.Term == one.term
+		leading := status.Role == consensus.RoleLeader && status.Term == one.term
 		if !leading && one.deadline == 0 {
 			one.deadline = deadline
 		}
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -1,6 +1,6 @@
 package replica
 
-import "ospreybend/coord/agreement"
+import "ospreybend/coord/consensus"
 
 // reads are the read barriers that wait.
 type reads struct {
@@ -31,7 +31,7 @@
 }
 
 // onRead takes the node's answer to a round.
-func (l *loop) onRead(result agreement.ReadResult) {
+func (l *loop) onRead(result consensus.ReadResult) {
 	done := l.reads.rounds[result.ID]
 	delete(l.reads.rounds, result.ID)
 	if !result.OK {
--- a/coord/replica/received_test.go
+++ b/coord/replica/received_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog/seglogtest"
 )
 
@@ -19,8 +19,8 @@
 	member := testMember(9, false)
 	added := s.add(member, nil)
 	added.disk.Room = room
-	s.changeMembers(agreement.Change{Remove: gone.member.ID})
-	s.changeMembers(agreement.Change{Add: &member})
+	s.changeMembers(consensus.Change{Remove: gone.member.ID})
+	s.changeMembers(consensus.Change{Add: &member})
 	return s, added
 }
 
@@ -51,7 +51,7 @@
 
 // matchedOf returns what the leader knows a member to hold durably.
 func matchedOf(s *storm, p *peer) uint64 {
-	node, ok := s.leader().group.loop.node.(*agreement.Node)
+	node, ok := s.leader().group.loop.node.(*consensus.Node)
 	if !ok {
 		return 0
 	}
--- a/coord/replica/scripted_test.go
+++ b/coord/replica/scripted_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog/seglogtest"
 )
 
@@ -14,8 +14,8 @@
 type scriptedNode struct {
 	nextTick  time.Duration
 	ticks     int
-	ready     agreement.Ready // given once
-	status    agreement.Status
+	ready     consensus.Ready // given once
+	status    consensus.Status
 	refusal   error // of proposals, reads, changes and transfers
 	reads     []uint64
 	writable  bool
@@ -25,8 +25,8 @@
 
 func (n *scriptedNode) Tick(time.Duration)                    { n.ticks++ }
 func (n *scriptedNode) NextTick() time.Duration               { return n.nextTick }
-func (n *scriptedNode) Step(time.Duration, agreement.Message) {}
-func (n *scriptedNode) Status() agreement.Status              { return n.status }
+func (n *scriptedNode) Step(time.Duration, consensus.Message) {}
+func (n *scriptedNode) Status() consensus.Status              { return n.status }
 
 func (n *scriptedNode) Propose(time.Duration, []byte) (term, index uint64, err error) {
 	if n.refusal == nil {
@@ -35,29 +35,29 @@
 	return n.status.Term, n.status.Last, n.refusal
 }
 
-func (n *scriptedNode) MayPromote(agreement.MemberID) bool                  { return false }
-func (n *scriptedNode) ChangeMembers(time.Duration, agreement.Change) error { return n.refusal }
+func (n *scriptedNode) MayPromote(consensus.MemberID) bool                  { return false }
+func (n *scriptedNode) ChangeMembers(time.Duration, consensus.Change) error { return n.refusal }
 
 func (n *scriptedNode) Read(_ time.Duration, id uint64) error {
 	n.reads = append(n.reads, id)
 	return n.refusal
 }
 
-func (n *scriptedNode) Transfer(time.Duration, agreement.MemberID) error { return n.refusal }
+func (n *scriptedNode) Transfer(time.Duration, consensus.MemberID) error { return n.refusal }
 func (n *scriptedNode) SetWritable(_ time.Duration, writable bool)       { n.writable = writable }
 func (n *scriptedNode) Persisted(_ time.Duration, sequence uint64)       { n.persisted = sequence }
 
-func (n *scriptedNode) Take() agreement.Ready {
+func (n *scriptedNode) Take() consensus.Ready {
 	ready := n.ready
-	n.ready = agreement.Ready{}
+	n.ready = consensus.Ready{}
 	return ready
 }
 
-func (n *scriptedNode) SnapshotAt(index uint64, data []byte) (agreement.Snapshot, bool) {
-	return agreement.Snapshot{Index: index, Term: 1, Data: data}, true
+func (n *scriptedNode) SnapshotAt(index uint64, data []byte) (consensus.Snapshot, bool) {
+	return consensus.Snapshot{Index: index, Term: 1, Data: data}, true
 }
 
-func (n *scriptedNode) Compact(index uint64, _ []agreement.Member, _ []byte) { n.compacted = index }
+func (n *scriptedNode) Compact(index uint64, _ []consensus.Member, _ []byte) { n.compacted = index }
 
 // script has a loop with a scripted node that leads term 1, and the jobs that it submits.
 type script struct {
@@ -71,10 +71,10 @@
 	s := &script{clock: &fakeClock{now: time.Second}}
 	s.node = &scriptedNode{
 		nextTick: never,
-		status:   agreement.Status{Role: agreement.RoleLeader, Term: 1, Leader: 1, Members: []agreement.Member{testMember(1, true)}},
+		status:   consensus.Status{Role: consensus.RoleLeader, Term: 1, Leader: 1, Members: []consensus.Member{testMember(1, true)}},
 		writable: true,
 	}
-	options := Options{Machine: &listMachine{}, Clock: s.clock, Send: func(agreement.Member, agreement.Message) {}}.withDefaults()
+	options := Options{Machine: &listMachine{}, Clock: s.clock, Send: func(consensus.Member, consensus.Message) {}}.withDefaults()
 	s.loop = newLoop(&options, s.node, func(one job) { s.jobs = append(s.jobs, one) })
 	return s
 }
@@ -87,9 +87,9 @@
 
 // commit has the node give entries of term 1 up to an index.
 func (s *script) commit(first, last uint64) {
-	var entries []agreement.Entry
+	var entries []consensus.Entry
 	for index := first; index <= last; index++ {
-		entries = append(entries, agreement.Entry{Term: 1, Index: index})
+		entries = append(entries, consensus.Entry{Term: 1, Index: index})
 	}
 	s.node.ready.Committed = entries
 }
@@ -111,7 +111,7 @@
 	if len(s.node.reads) != 1 {
 		t.Fatalf("%d rounds for two reads of one turn", len(s.node.reads))
 	}
-	s.node.ready.Reads = []agreement.ReadResult{{ID: s.node.reads[0], Index: 5, OK: true}}
+	s.node.ready.Reads = []consensus.ReadResult{{ID: s.node.reads[0], Index: 5, OK: true}}
 	s.commit(1, 4)
 	s.turn(0)
 	if len(done) > 0 {
@@ -125,7 +125,7 @@
 
 func TestReadRefused(t *testing.T) {
 	s := newScript()
-	s.node.refusal = agreement.ErrNotLeader
+	s.node.refusal = consensus.ErrNotLeader
 	done := newDone()
 	s.turn(0, readEvent{done})
 	answeredWith(t, done, ErrNotLeader{Leader: testMember(1, true)})
@@ -135,7 +135,7 @@
 	s := newScript()
 	done := newDone()
 	s.turn(0, proposeEvent{done: done})
-	s.node.ready.Restore = &agreement.Snapshot{Index: 10, Term: 1, Data: []byte("{}")}
+	s.node.ready.Restore = &consensus.Snapshot{Index: 10, Term: 1, Data: []byte("{}")}
 	s.turn(0)
 	answeredWith(t, done, ErrUnknownOutcome)
 }
@@ -144,7 +144,7 @@
 	s := newScript()
 	done := newDone()
 	s.turn(0, proposeEvent{done: done})
-	s.node.status.Role = agreement.RoleFollower
+	s.node.status.Role = consensus.RoleFollower
 	s.turn(0)
 	grace := lossGraces * DefaultElectionTimeout
 	if next := s.loop.next(); next != s.clock.now+grace {
@@ -165,7 +165,7 @@
 	s := newScript()
 	done := newDone()
 	s.turn(0, proposeEvent{done: done})
-	s.node.status.Role = agreement.RoleFollower
+	s.node.status.Role = consensus.RoleFollower
 	s.turn(0)
 	s.commit(1, 1)
 	s.turn(time.Millisecond)
@@ -197,7 +197,7 @@
 
 func TestFollowerTicksOffGrid(t *testing.T) {
 	s := newScript()
-	s.node.status.Role = agreement.RoleFollower
+	s.node.status.Role = consensus.RoleFollower
 	s.turn(0)
 	s.node.nextTick = 10*DefaultHeartbeat + 1
 	if next := s.loop.next(); next != s.node.nextTick {
@@ -239,7 +239,7 @@
 
 func TestStallTellsNode(t *testing.T) {
 	s := newScript()
-	s.node.ready.Persist = &agreement.Persist{Sequence: 1}
+	s.node.ready.Persist = &consensus.Persist{Sequence: 1}
 	s.turn(0)
 	if next := s.loop.next(); next != s.clock.now+stallAfter {
 		t.Fatalf("wakes in %v", next-s.clock.now)
@@ -256,7 +256,7 @@
 
 func TestFailedWriteTellsNode(t *testing.T) {
 	s := newScript()
-	s.node.ready.Persist = &agreement.Persist{Sequence: 1}
+	s.node.ready.Persist = &consensus.Persist{Sequence: 1}
 	s.turn(0)
 	s.turn(0, diskEvent{err: seglogtest.ErrFull})
 	if s.node.writable || s.node.persisted != 0 {
@@ -352,9 +352,9 @@
 		Directory:  "group",
 		FileSystem: seglogtest.NewDisk(),
 		Self:       member,
-		Founders:   []agreement.Member{member},
+		Founders:   []consensus.Member{member},
 		Machine:    &failingMachine{},
-		Send:       func(agreement.Member, agreement.Message) {},
+		Send:       func(consensus.Member, consensus.Message) {},
 	})
 	if !errors.Is(err, errMachine) {
 		t.Fatalf("got %v", err)
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // publish makes the state visible to other goroutines and reports what has changed.
@@ -72,4 +72,4 @@
 }
 
 // IsLeader tells whether this replica leads the group.
-func (s Status) IsLeader() bool { return s.Role == agreement.RoleLeader }
+func (s Status) IsLeader() bool { return s.Role == consensus.RoleLeader }
--- a/coord/replica/storm_test.go
+++ b/coord/replica/storm_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/seglog/seglogtest"
 	"ospreybend/coord/shards"
@@ -25,7 +25,7 @@
 // documentMachine has a state as large as the storm's document, and counts the commands.
 type documentMachine struct{ count int }
 
-func (m *documentMachine) Apply(agreement.Entry) any { m.count++; return m.count }
+func (m *documentMachine) Apply(consensus.Entry) any { m.count++; return m.count }
 
 func (m *documentMachine) Snapshot() []byte {
 	return append(fmt.Appendf(nil, "%020d", m.count), make([]byte, stormState)...)
@@ -44,11 +44,11 @@
 	peak map[*peer]int64 // of the bytes on its disk
 }
 
-func newStorm(t *testing.T, omit ...agreement.Rule) *storm {
+func newStorm(t *testing.T, omit ...consensus.Rule) *storm {
 	c := newCluster(t, 0)
 	c.omit = omit
 	c.newMachine = func() Machine { return &documentMachine{} }
-	var members []agreement.Member
+	var members []consensus.Member
 	for number := 1; number <= 3; number++ {
 		members = append(members, testMember(number, true))
 	}
@@ -129,13 +129,13 @@
 	}
 	s.remove(p)
 	added := s.add(member, nil)
-	s.changeMembers(agreement.Change{Remove: old.ID})
-	s.changeMembers(agreement.Change{Add: &member})
+	s.changeMembers(consensus.Change{Remove: old.ID})
+	s.changeMembers(consensus.Change{Add: &member})
 	return added
 }
 
 // changeMembers makes a change of members while the other changes go on.
-func (s *storm) changeMembers(change agreement.Change) {
+func (s *storm) changeMembers(change consensus.Change) {
 	s.t.Helper()
 	for {
 		s.pass("a leader", testDuration, func() bool { return s.leader() != nil })
@@ -172,7 +172,7 @@
 			if manner != "restarted" {
 				voter := back.member
 				voter.Voter = true
-				s.changeMembers(agreement.Change{Add: &voter})
+				s.changeMembers(consensus.Change{Add: &voter})
 			}
 		}
 	}
@@ -317,7 +317,7 @@
 }
 
 // watchReturns has members down for seconds amid changes, restarted and cut off, and returns what first went wrong.
-func watchReturns(t *testing.T, omit ...agreement.Rule) string {
+func watchReturns(t *testing.T, omit ...consensus.Rule) string {
 	s := newStorm(t, omit...)
 	var history []progress
 	problem := ""
@@ -360,7 +360,7 @@
 	if problem := watchReturns(t); problem != "" {
 		t.Error(problem)
 	}
-	without := watchReturns(t, agreement.RuleCurrentHeld)
+	without := watchReturns(t, consensus.RuleCurrentHeld)
 	if without == "" {
 		t.Error("current-held left out: not noticed")
 	}
--- a/coord/replica/transfers.go
+++ b/coord/replica/transfers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // transferTimeouts is how many election timeouts a transfer may take.
@@ -25,8 +25,8 @@
 }
 
 // ended answers the calls once the replica leads no more.
-func (t *transfers) ended(status agreement.Status) {
-	if status.Role != agreement.RoleLeader {
+func (t *transfers) ended(status consensus.Status) {
+	if status.Role != consensus.RoleLeader {
 		t.fail(nil)
 	}
 }
--- a/coord/replica/writer.go
+++ b/coord/replica/writer.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // Pauses after a failed write, each twice the one before.
@@ -15,14 +15,14 @@
 
 // job is one write: either a state of the node or a snapshot of the machine.
 type job struct {
-	persist  *agreement.Persist
-	snapshot *agreement.Snapshot
+	persist  *consensus.Persist
+	snapshot *consensus.Snapshot
 }
 
 // storage is what the writer needs of seglog.Log.
 type storage interface {
-	Save(batch []*agreement.Persist) error
-	Compact(snapshot agreement.Snapshot) error
+	Save(batch []*consensus.Persist) error
+	Compact(snapshot consensus.Snapshot) error
 	LogBytes() int64
 	DiskBytes() int64
 	Close() error
@@ -118,7 +118,7 @@
 	if w.held[0].snapshot != nil {
 		return w.writeSnapshot(w.held[0].snapshot)
 	}
-	var batch []*agreement.Persist
+	var batch []*consensus.Persist
 	for _, one := range w.held {
 		if one.persist == nil {
 			break
@@ -133,7 +133,7 @@
 
 // writeSnapshot gives a snapshot up at the first failure: the states after it matter more, and the
 // loop takes a newer one later.
-func (w *writer) writeSnapshot(snapshot *agreement.Snapshot) diskEvent {
+func (w *writer) writeSnapshot(snapshot *consensus.Snapshot) diskEvent {
 	if err := w.log.Compact(*snapshot); err != nil {
 		return diskEvent{jobs: 1, dropped: true, err: err}
 	}
--- a/coord/replica/writer_test.go
+++ b/coord/replica/writer_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog/seglogtest"
 )
 
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func (l *scriptedLog) Save(batch []*agreement.Persist) error {
+func (l *scriptedLog) Save(batch []*consensus.Persist) error {
 	var call []int
 	for _, persist := range batch {
 		call = append(call, int(persist.Sequence))
@@ -34,7 +34,7 @@
 	return l.note(call)
 }
 
-func (l *scriptedLog) Compact(snapshot agreement.Snapshot) error {
+func (l *scriptedLog) Compact(snapshot consensus.Snapshot) error {
 	return l.note([]int{-int(snapshot.Index)})
 }
 
@@ -50,14 +50,14 @@
 
 func submitStates(w *writer, sequences ...uint64) {
 	for _, sequence := range sequences {
-		w.submit(job{persist: &agreement.Persist{Sequence: sequence}})
+		w.submit(job{persist: &consensus.Persist{Sequence: sequence}})
 	}
 }
 
 func TestWriterKeepsOrder(t *testing.T) {
 	w, log, reports := newScriptedWriter()
 	submitStates(w, 1, 2)
-	w.submit(job{snapshot: &agreement.Snapshot{Index: 9}})
+	w.submit(job{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 3)
 	if pause := w.step(); pause != 0 {
 		t.Fatal(pause)
@@ -105,7 +105,7 @@
 func TestWriterGivesSnapshotUp(t *testing.T) {
 	w, log, reports := newScriptedWriter()
 	log.fail = 1
-	w.submit(job{snapshot: &agreement.Snapshot{Index: 9}})
+	w.submit(job{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 1)
 	if pause := w.step(); pause != firstRetryPause {
 		t.Fatal(pause)
@@ -137,7 +137,7 @@
 	began, released chan struct{}
 }
 
-func (l *hungLog) Save([]*agreement.Persist) error {
+func (l *hungLog) Save([]*consensus.Persist) error {
 	close(l.began)
 	<-l.released
 	return nil
@@ -146,9 +146,9 @@
 func TestCloseDoesNotWaitForHungDisk(t *testing.T) {
 	log := &hungLog{began: make(chan struct{}), released: make(chan struct{})}
 	options := Options{
-		Self: testMember(1, true), Machine: &listMachine{}, Send: func(agreement.Member, agreement.Message) {},
+		Self: testMember(1, true), Machine: &listMachine{}, Send: func(consensus.Member, consensus.Message) {},
 	}.withDefaults()
-	group, err := start(&options, log, agreement.Founding([]agreement.Member{testMember(1, true)}, []byte("{}")))
+	group, err := start(&options, log, consensus.Founding([]consensus.Member{testMember(1, true)}, []byte("{}")))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coord/seglog/benchmark_test.go
+++ b/coord/seglog/benchmark_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 )
 
@@ -21,8 +21,8 @@
 	index := uint64(0)
 	for b.Loop() {
 		index++
-		entries := []agreement.Entry{{Term: 1, Index: index, Data: data}}
-		if err := log.Save([]*agreement.Persist{{Entries: entries}}); err != nil {
+		entries := []consensus.Entry{{Term: 1, Index: index, Data: data}}
+		if err := log.Save([]*consensus.Persist{{Entries: entries}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/coord/seglog/cut_test.go
+++ b/coord/seglog/cut_test.go
@@ -8,12 +8,12 @@
 	"strings"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-var emptyDisk agreement.Stored
+var emptyDisk consensus.Stored
 
 // writtenDisk has a history on disk, with the size of the last segment after each call.
 type writtenDisk struct {
@@ -171,11 +171,11 @@
 
 func saveEntries(t *testing.T, log *seglog.Log, record *history, first, last uint64) {
 	t.Helper()
-	persist := &agreement.Persist{}
+	persist := &consensus.Persist{}
 	for index := first; index <= last; index++ {
-		persist.Entries = append(persist.Entries, agreement.Entry{Term: 1, Index: index, Data: []byte("command")})
+		persist.Entries = append(persist.Entries, consensus.Entry{Term: 1, Index: index, Data: []byte("command")})
 	}
-	one := operation{batch: []*agreement.Persist{persist}}
+	one := operation{batch: []*consensus.Persist{persist}}
 	record.attempt(one)
 	if err := carryOut(log, one); err != nil {
 		t.Fatal(err)
--- a/coord/seglog/encoding.go
+++ b/coord/seglog/encoding.go
@@ -6,7 +6,7 @@
 
 	"github.com/hamba/avro/v2"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 var errTooLong = errors.New("seglog: a record is too long")
@@ -78,7 +78,7 @@
 	return schema
 }
 
-func encodeEntry(entry *agreement.Entry) ([]byte, error) {
+func encodeEntry(entry *consensus.Entry) ([]byte, error) {
 	return codec().Marshal(entrySchema(), wireEntry{
 		Term:    int64(entry.Term),
 		Index:   int64(entry.Index),
@@ -88,41 +88,41 @@
 	})
 }
 
-func decodeEntry(body []byte) (agreement.Entry, error) {
+func decodeEntry(body []byte) (consensus.Entry, error) {
 	var wire wireEntry
 	if err := codec().Unmarshal(entrySchema(), body, &wire); err != nil {
-		return agreement.Entry{}, err
+		return consensus.Entry{}, err
 	}
-	return agreement.Entry{
+	return consensus.Entry{
 		Term:    uint64(wire.Term),
 		Index:   uint64(wire.Index),
-		Kind:    agreement.EntryKind(wire.Kind),
+		Kind:    consensus.EntryKind(wire.Kind),
 		Data:    wire.Data,
 		Members: membersFromWire(wire.Members),
 	}, nil
 }
 
-func encodeHardState(state agreement.HardState) ([]byte, error) {
+func encodeHardState(state consensus.HardState) ([]byte, error) {
 	return codec().Marshal(hardStateSchema(), hardStateToWire(state))
 }
 
-func decodeHardState(body []byte) (agreement.HardState, error) {
+func decodeHardState(body []byte) (consensus.HardState, error) {
 	var wire wireHardState
 	err := codec().Unmarshal(hardStateSchema(), body, &wire)
 	return hardStateFromWire(wire), err
 }
 
-func hardStateToWire(state agreement.HardState) wireHardState {
+func hardStateToWire(state consensus.HardState) wireHardState {
 	return wireHardState{Term: int64(state.Term), Vote: int64(state.Vote), Commit: int64(state.Commit)}
 }
 
-func hardStateFromWire(wire wireHardState) agreement.HardState {
-	return agreement.HardState{Term: uint64(wire.Term), Vote: agreement.MemberID(wire.Vote), Commit: uint64(wire.Commit)}
+func hardStateFromWire(wire wireHardState) consensus.HardState {
+	return consensus.HardState{Term: uint64(wire.Term), Vote: consensus.MemberID(wire.Vote), Commit: uint64(wire.Commit)}
 }
 
 // membersToWire writes the mark of a retired ID as a learner without an address, which no member is. Readers older than
 // these marks take it for one that is never reached, and remove it after some time.
-func membersToWire(members []agreement.Member) []wireMember {
+func membersToWire(members []consensus.Member) []wireMember {
 	wire := make([]wireMember, len(members))
 	for i, member := range members {
 		if member.Retired {
@@ -135,14 +135,14 @@
 }
 
 // membersFromWire returns nil for none.
-func membersFromWire(wire []wireMember) []agreement.Member {
+func membersFromWire(wire []wireMember) []consensus.Member {
 	if len(wire) == 0 {
 		return nil
 	}
-	members := make([]agreement.Member, len(wire))
+	members := make([]consensus.Member, len(wire))
 	for i, member := range wire {
-		members[i] = agreement.Member{
-			ID: agreement.MemberID(member.ID), Address: member.Address, Voter: member.Voter,
+		members[i] = consensus.Member{
+			ID: consensus.MemberID(member.ID), Address: member.Address, Voter: member.Voter,
 			Retired: member.Address == "" && !member.Voter,
 		}
 	}
--- a/coord/seglog/log_test.go
+++ b/coord/seglog/log_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/seglog/seglogtest"
 )
@@ -36,7 +36,7 @@
 	greatest := int64(0)
 	for first := uint64(1); first < 5000; first += 10 {
 		saveEntries(t, log, record, first, first+9)
-		snapshot := agreement.Snapshot{Index: first + 9, Term: 1, Data: []byte("state")}
+		snapshot := consensus.Snapshot{Index: first + 9, Term: 1, Data: []byte("state")}
 		if err := log.Compact(snapshot); err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 	if err := log.Save(nil); !errors.Is(err, seglog.ErrClosed) {
 		t.Fatal(err)
 	}
-	if err := log.Compact(agreement.Snapshot{Index: 1}); !errors.Is(err, seglog.ErrClosed) {
+	if err := log.Compact(consensus.Snapshot{Index: 1}); !errors.Is(err, seglog.ErrClosed) {
 		t.Fatal(err)
 	}
 }
@@ -145,8 +145,8 @@
 	}
 }
 
-func drawMember(disk *seglogtest.Disk, drawn agreement.MemberID) (agreement.MemberID, bool, error) {
-	return seglog.MemberID(disk, directory, func() agreement.MemberID { return drawn })
+func drawMember(disk *seglogtest.Disk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
+	return seglog.MemberID(disk, directory, func() consensus.MemberID { return drawn })
 }
 
 // TestDamagedMemberID cuts and changes the file at each byte.
--- a/coord/seglog/member.go
+++ b/coord/seglog/member.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"path/filepath"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 const (
@@ -18,7 +18,7 @@
 // MemberID reads the member ID of this disk from the directory, or draws one and stores it durably
 // before it returns it; created tells which. The directory is made if it is missing. Errors:
 // ErrFormat, ErrDamaged and those of the file system.
-func MemberID(fileSystem FileSystem, directory string, draw func() agreement.MemberID) (id agreement.MemberID, created bool, err error) {
+func MemberID(fileSystem FileSystem, directory string, draw func() consensus.MemberID) (id consensus.MemberID, created bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
 	}
@@ -100,13 +100,13 @@
 	return true, fileSystem.SyncDirectory(directory)
 }
 
-func encodeMemberID(id agreement.MemberID) []byte {
+func encodeMemberID(id consensus.MemberID) []byte {
 	data := appendPreamble(nil, memberMagic)
 	data = binary.LittleEndian.AppendUint64(data, uint64(id))
 	return binary.LittleEndian.AppendUint32(data, checksum(0, data))
 }
 
-func decodeMemberID(data []byte) (agreement.MemberID, error) {
+func decodeMemberID(data []byte) (consensus.MemberID, error) {
 	ok, err := checkPreamble(memberName, data, memberMagic)
 	if err != nil {
 		return 0, err
@@ -117,5 +117,5 @@
 	if binary.LittleEndian.Uint32(data[memberFileBytes-4:]) != checksum(0, data[:memberFileBytes-4]) {
 		return 0, fmt.Errorf("%w: %s", ErrDamaged, memberName)
 	}
-	return agreement.MemberID(binary.LittleEndian.Uint64(data[preambleBytes:])), nil
+	return consensus.MemberID(binary.LittleEndian.Uint64(data[preambleBytes:])), nil
 }
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/seglog/seglogtest"
 )
@@ -19,16 +19,16 @@
 
 // operation is one call of the log.
 type operation struct {
-	batch   []*agreement.Persist
-	compact *agreement.Snapshot
+	batch   []*consensus.Persist
+	compact *consensus.Snapshot
 }
 
 // stateAfter returns the states that a call passes through, the last one being its result.
-func statesOf(before agreement.Stored, one operation) []agreement.Stored {
+func statesOf(before consensus.Stored, one operation) []consensus.Stored {
 	if one.compact != nil {
-		return []agreement.Stored{compacted(before, *one.compact)}
+		return []consensus.Stored{compacted(before, *one.compact)}
 	}
-	var states []agreement.Stored
+	var states []consensus.Stored
 	current := before
 	for _, persist := range one.batch {
 		for _, next := range statesOfPersist(current, persist) {
@@ -39,8 +39,8 @@
 	return states
 }
 
-func statesOfPersist(before agreement.Stored, persist *agreement.Persist) []agreement.Stored {
-	var states []agreement.Stored
+func statesOfPersist(before consensus.Stored, persist *consensus.Persist) []consensus.Stored {
+	var states []consensus.Stored
 	current := before
 	if persist.Snapshot != nil {
 		current.Snapshot = *persist.Snapshot
@@ -62,7 +62,7 @@
 	return states
 }
 
-func compacted(before agreement.Stored, snapshot agreement.Snapshot) agreement.Stored {
+func compacted(before consensus.Stored, snapshot consensus.Snapshot) consensus.Stored {
 	after := before
 	after.Entries = slices.Clone(before.Entries[snapshot.Index-before.Snapshot.Index:])
 	after.Snapshot = snapshot
@@ -70,17 +70,17 @@
 }
 
 // text writes a state in one form, so that states can be compared.
-func text(state agreement.Stored) string {
+func text(state consensus.Stored) string {
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	state.HardState.Commit = min(state.HardState.Commit, last)
 	return fmt.Sprintf("%+v", state)
 }
 
-func lastIndex(state agreement.Stored) uint64 {
+func lastIndex(state consensus.Stored) uint64 {
 	return state.Snapshot.Index + uint64(len(state.Entries))
 }
 
-func lastTerm(state agreement.Stored) uint64 {
+func lastTerm(state consensus.Stored) uint64 {
 	if len(state.Entries) > 0 {
 		return state.Entries[len(state.Entries)-1].Term
 	}
@@ -94,15 +94,15 @@
 }
 
 // committed returns the index up to which nothing is replaced.
-func (w workload) committed(state agreement.Stored) uint64 {
+func (w workload) committed(state consensus.Stored) uint64 {
 	return max(state.Snapshot.Index, w.floor)
 }
 
-func (w workload) next(state agreement.Stored) operation {
+func (w workload) next(state consensus.Stored) operation {
 	if w.random.IntN(6) == 0 && len(state.Entries) > 0 {
 		return operation{compact: w.localSnapshot(state)}
 	}
-	var batch []*agreement.Persist
+	var batch []*consensus.Persist
 	current := state
 	for range 1 + w.random.IntN(3) {
 		persist := w.persist(current)
@@ -113,13 +113,13 @@
 	return operation{batch: batch}
 }
 
-func (w workload) localSnapshot(state agreement.Stored) *agreement.Snapshot {
+func (w workload) localSnapshot(state consensus.Stored) *consensus.Snapshot {
 	entry := state.Entries[w.random.IntN(len(state.Entries))]
-	return &agreement.Snapshot{Index: entry.Index, Term: entry.Term, Members: w.members(), Data: w.data()}
+	return &consensus.Snapshot{Index: entry.Index, Term: entry.Term, Members: w.members(), Data: w.data()}
 }
 
-func (w workload) persist(state agreement.Stored) *agreement.Persist {
-	persist := &agreement.Persist{}
+func (w workload) persist(state consensus.Stored) *consensus.Persist {
+	persist := &consensus.Persist{}
 	switch w.random.IntN(10) {
 	case 0:
 		persist.Snapshot = w.receivedSnapshot(state)
@@ -137,42 +137,42 @@
 }
 
 // replacedFrom draws the index from which a new leader replaces entries.
-func (w workload) replacedFrom(state agreement.Stored) uint64 {
+func (w workload) replacedFrom(state consensus.Stored) uint64 {
 	first := w.committed(state) + 1
 	return first + uint64(w.random.IntN(int(lastIndex(state)+2-first)))
 }
 
-func (w workload) receivedSnapshot(state agreement.Stored) *agreement.Snapshot {
+func (w workload) receivedSnapshot(state consensus.Stored) *consensus.Snapshot {
 	first := w.committed(state) + 1
 	index := first + uint64(w.random.IntN(int(lastIndex(state)+6-first)))
-	return &agreement.Snapshot{Index: index, Term: lastTerm(state) + 1, Members: w.members(), Data: w.data()}
+	return &consensus.Snapshot{Index: index, Term: lastTerm(state) + 1, Members: w.members(), Data: w.data()}
 }
 
-func (w workload) hardState(state agreement.Stored) *agreement.HardState {
-	return &agreement.HardState{
+func (w workload) hardState(state consensus.Stored) *consensus.HardState {
+	return &consensus.HardState{
 		Term:   state.HardState.Term + uint64(w.random.IntN(3)),
-		Vote:   agreement.MemberID(w.random.Uint64()),
+		Vote:   consensus.MemberID(w.random.Uint64()),
 		Commit: max(state.Snapshot.Index, min(state.HardState.Commit, lastIndex(state))),
 	}
 }
 
-func (w workload) entries(first, term uint64) []agreement.Entry {
-	var entries []agreement.Entry
+func (w workload) entries(first, term uint64) []consensus.Entry {
+	var entries []consensus.Entry
 	for i := range uint64(1 + w.random.IntN(4)) {
-		entry := agreement.Entry{Term: term, Index: first + i, Data: w.data()}
+		entry := consensus.Entry{Term: term, Index: first + i, Data: w.data()}
 		if w.random.IntN(8) == 0 {
-			entry.Kind, entry.Members = agreement.EntryMembers, w.members()
+			entry.Kind, entry.Members = consensus.EntryMembers, w.members()
 		}
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
-func (w workload) members() []agreement.Member {
-	return []agreement.Member{
-		{ID: agreement.MemberID(w.random.Uint64()), Address: "10.1.0.1:7660", Voter: true},
-		{ID: agreement.MemberID(w.random.Uint64()), Address: "10.1.0.2:7660"},
-		{ID: agreement.MemberID(w.random.Uint64()), Retired: true},
+func (w workload) members() []consensus.Member {
+	return []consensus.Member{
+		{ID: consensus.MemberID(w.random.Uint64()), Address: "10.1.0.1:7660", Voter: true},
+		{ID: consensus.MemberID(w.random.Uint64()), Address: "10.1.0.2:7660"},
+		{ID: consensus.MemberID(w.random.Uint64()), Retired: true},
 	}
 }
 
@@ -186,24 +186,24 @@
 
 // history is what may be on disk: all states, of which those before acknowledged must not be.
 type history struct {
-	states       []agreement.Stored
+	states       []consensus.Stored
 	texts        []string // of the states, where they were needed
 	acknowledged int
-	abandoned    []agreement.Snapshot // local ones that failed and were not tried again
+	abandoned    []consensus.Snapshot // local ones that failed and were not tried again
 }
 
-func newHistory(state agreement.Stored) *history {
-	return &history{states: []agreement.Stored{state}}
+func newHistory(state consensus.Stored) *history {
+	return &history{states: []consensus.Stored{state}}
 }
 
-func (h *history) last() agreement.Stored { return h.states[len(h.states)-1] }
+func (h *history) last() consensus.Stored { return h.states[len(h.states)-1] }
 
 func (h *history) attempt(one operation) { h.states = append(h.states, statesOf(h.last(), one)...) }
 
 func (h *history) acknowledge() { h.acknowledged = len(h.states) - 1 }
 
 // check fails unless the state is one that was passed through since the last acknowledged one.
-func (h *history) check(state agreement.Stored) error {
+func (h *history) check(state consensus.Stored) error {
 	recovered := text(state)
 	for i := h.acknowledged; i < len(h.states); i++ {
 		if h.text(i) == recovered || h.isAbandoned(h.states[i], recovered) {
@@ -223,7 +223,7 @@
 }
 
 // isAbandoned tells whether a snapshot that failed is all that sets the states apart.
-func (h *history) isAbandoned(allowed agreement.Stored, recovered string) bool {
+func (h *history) isAbandoned(allowed consensus.Stored, recovered string) bool {
 	for _, snapshot := range h.abandoned {
 		inLog := snapshot.Index > allowed.Snapshot.Index && snapshot.Index <= lastIndex(allowed)
 		if inLog && text(compacted(allowed, snapshot)) == recovered {
@@ -240,11 +240,11 @@
 	return log.Save(one.batch)
 }
 
-func open(disk *seglogtest.Disk) (*seglog.Log, agreement.Stored, error) {
+func open(disk *seglogtest.Disk) (*seglog.Log, consensus.Stored, error) {
 	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: smallSegmentBytes})
 }
 
-func mustOpen(t *testing.T, disk *seglogtest.Disk) (*seglog.Log, agreement.Stored) {
+func mustOpen(t *testing.T, disk *seglogtest.Disk) (*seglog.Log, consensus.Stored) {
 	t.Helper()
 	log, stored, err := open(disk)
 	if err != nil {
--- a/coord/seglog/orphans_test.go
+++ b/coord/seglog/orphans_test.go
@@ -4,7 +4,7 @@
 	"path/filepath"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/seglog/seglogtest"
 )
@@ -33,12 +33,12 @@
 }
 
 // startMember does what a keeper does at its start.
-func startMember(disk *seglogtest.Disk, drawn agreement.MemberID) (agreement.MemberID, bool, error) {
+func startMember(disk *seglogtest.Disk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
 	lost, err := seglog.RemoveOrphans(disk, dataDirectory, []string{replicaDirectory})
 	if err != nil {
 		return 0, lost, err
 	}
-	id, _, err := seglog.MemberID(disk, dataDirectory, func() agreement.MemberID { return drawn })
+	id, _, err := seglog.MemberID(disk, dataDirectory, func() consensus.MemberID { return drawn })
 	return id, lost, err
 }
 
--- a/coord/seglog/record.go
+++ b/coord/seglog/record.go
@@ -5,7 +5,7 @@
 	"hash/crc32"
 	"sync"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // FormatNumber is the format of all files that this package writes.
@@ -81,12 +81,12 @@
 	w.data = binary.LittleEndian.AppendUint32(w.data, w.chain)
 }
 
-func (w *recordWriter) entry(entry *agreement.Entry) {
+func (w *recordWriter) entry(entry *consensus.Entry) {
 	body, err := encodeEntry(entry)
 	w.record(recordEntry, body, err)
 }
 
-func (w *recordWriter) hardState(state agreement.HardState) {
+func (w *recordWriter) hardState(state consensus.HardState) {
 	body, err := encodeHardState(state)
 	w.record(recordHardState, body, err)
 }
--- a/coord/seglog/record_test.go
+++ b/coord/seglog/record_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 const testSequence = 7
@@ -15,7 +15,7 @@
 	writer.header(testSequence, 1, 0)
 	ends = append(ends, len(writer.data))
 	for index := range count {
-		writer.entry(&agreement.Entry{Term: 1, Index: uint64(index + 1), Data: []byte("command")})
+		writer.entry(&consensus.Entry{Term: 1, Index: uint64(index + 1), Data: []byte("command")})
 		ends = append(ends, len(writer.data))
 	}
 	return writer.data, ends
@@ -51,7 +51,7 @@
 	old, ends := writeRecords(5)
 	var writer recordWriter
 	writer.header(testSequence, 1, 0)
-	writer.entry(&agreement.Entry{Term: 2, Index: 1, Data: []byte("COMMAND")})
+	writer.entry(&consensus.Entry{Term: 2, Index: 1, Data: []byte("COMMAND")})
 	if len(writer.data) != ends[1] {
 		t.Fatal("the records differ in length")
 	}
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -6,23 +6,23 @@
 	"path/filepath"
 	"slices"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // Open reads a directory back, makes what it read durable and returns it with the log, ready to be
 // appended to. Errors: ErrFormat, ErrDamaged and those of the file system; the directory may then
 // be opened again later.
-func Open(options Options) (*Log, agreement.Stored, error) {
+func Open(options Options) (*Log, consensus.Stored, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDirectory(log.directory); err != nil {
-		return nil, agreement.Stored{}, err
+		return nil, consensus.Stored{}, err
 	}
 	recovery := recovery{log: log}
 	if err := recovery.read(); err != nil {
-		return nil, agreement.Stored{}, err
+		return nil, consensus.Stored{}, err
 	}
 	if err := recovery.makeDurable(); err != nil {
-		return nil, agreement.Stored{}, err
+		return nil, consensus.Stored{}, err
 	}
 	return log, recovery.stored, nil
 }
@@ -59,7 +59,7 @@
 type recovery struct {
 	log      *Log
 	segments []foundSegment // in order of their numbers
-	stored   agreement.Stored
+	stored   consensus.Stored
 	kept     int  // segments that count
 	stopped  int  // first segment behind those that were looked at
 	severed  bool // the last one looked at has what was written behind more than there is
@@ -244,7 +244,7 @@
 }
 
 // applyEntry replaces all entries from the entry's index on by it.
-func (r *recovery) applyEntry(found *foundSegment, entry agreement.Entry) bool {
+func (r *recovery) applyEntry(found *foundSegment, entry consensus.Entry) bool {
 	if entry.Index > r.log.last+1 {
 		return false
 	}
--- a/coord/seglog/seglog.go
+++ b/coord/seglog/seglog.go
@@ -26,7 +26,7 @@
 	"fmt"
 	"path/filepath"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // DefaultSegmentBytes is the size from which on a segment is not appended to any more.
@@ -50,7 +50,7 @@
 	current     *appendFile // nil: the next write starts a segment
 	nextSegment uint64      // number of the next segment
 	snapshot    snapshotFile
-	hardState   agreement.HardState
+	hardState   consensus.HardState
 	last        uint64   // index of the last entry, or of the snapshot
 	removable   []string // names of files that are not needed, to be removed
 	closed      bool
@@ -79,7 +79,7 @@
 // Save makes the states of the batch durable in their order, with one sync if no snapshot and no
 // new segment is among them. After an error a prefix of the batch may or may not be on disk; the
 // same states are to be saved again, first in the next batch.
-func (l *Log) Save(batch []*agreement.Persist) error {
+func (l *Log) Save(batch []*consensus.Persist) error {
 	if l.closed {
 		return ErrClosed
 	}
@@ -98,7 +98,7 @@
 
 // saveSnapshot stores the last snapshot of the batch, if any, together with the hard state that
 // holds with it, and returns the states that come after the snapshot.
-func (l *Log) saveSnapshot(batch []*agreement.Persist) ([]*agreement.Persist, error) {
+func (l *Log) saveSnapshot(batch []*consensus.Persist) ([]*consensus.Persist, error) {
 	position := lastSnapshot(batch)
 	if position < 0 {
 		return batch, nil
@@ -113,11 +113,11 @@
 	if err := l.replace(*received.Snapshot, hardState); err != nil {
 		return nil, err
 	}
-	after := &agreement.Persist{Sequence: received.Sequence, Entries: received.Entries}
-	return append([]*agreement.Persist{after}, batch[position+1:]...), nil
+	after := &consensus.Persist{Sequence: received.Sequence, Entries: received.Entries}
+	return append([]*consensus.Persist{after}, batch[position+1:]...), nil
 }
 
-func lastSnapshot(batch []*agreement.Persist) int {
+func lastSnapshot(batch []*consensus.Persist) int {
 	for i := len(batch) - 1; i >= 0; i-- {
 		if batch[i].Snapshot != nil {
 			return i
@@ -126,7 +126,7 @@
 	return -1
 }
 
-func anyRecords(batch []*agreement.Persist) bool {
+func anyRecords(batch []*consensus.Persist) bool {
 	for _, persist := range batch {
 		if persist.HardState != nil || len(persist.Entries) > 0 {
 			return true
@@ -136,7 +136,7 @@
 }
 
 // replace stores a snapshot that stands for the whole log and voids all segments.
-func (l *Log) replace(snapshot agreement.Snapshot, hardState agreement.HardState) error {
+func (l *Log) replace(snapshot consensus.Snapshot, hardState consensus.HardState) error {
 	if err := l.writeSnapshot(snapshot, hardState, l.nextSegment); err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 
 // Compact stores a snapshot of the local state machine and removes the segments that hold nothing
 // after it. A snapshot that is not newer than the stored one changes nothing.
-func (l *Log) Compact(snapshot agreement.Snapshot) error {
+func (l *Log) Compact(snapshot consensus.Snapshot) error {
 	if l.closed {
 		return ErrClosed
 	}
@@ -165,7 +165,7 @@
 	}
 	hardState := l.hardState
 	if !l.holds(GuardSnapshotVote) {
-		hardState = agreement.HardState{}
+		hardState = consensus.HardState{}
 	}
 	if err := l.writeSnapshot(snapshot, hardState, l.sequenceAfter(covered)); err != nil {
 		return err
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"strings"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 const (
@@ -102,7 +102,7 @@
 }
 
 // appendBatch writes the records of the batch to the current segment and syncs it.
-func (l *Log) appendBatch(batch []*agreement.Persist) error {
+func (l *Log) appendBatch(batch []*consensus.Persist) error {
 	writer := recordWriter{chain: l.current.chain}
 	if l.current.good == 0 {
 		writer.header(l.current.sequence, l.last+1, l.current.previous)
@@ -127,12 +127,12 @@
 
 // batchState follows what the records of a batch change.
 type batchState struct {
-	hardState agreement.HardState
+	hardState consensus.HardState
 	last      uint64
 	greatest  uint64
 }
 
-func (s *batchState) add(writer *recordWriter, persist *agreement.Persist) {
+func (s *batchState) add(writer *recordWriter, persist *consensus.Persist) {
 	for i := range persist.Entries {
 		writer.entry(&persist.Entries[i])
 		s.last = persist.Entries[i].Index
--- a/coord/seglog/snapshot.go
+++ b/coord/seglog/snapshot.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 const (
@@ -27,8 +27,8 @@
 
 // storedSnapshot is a snapshot as read back.
 type storedSnapshot struct {
-	agreement.Snapshot
-	hardState    agreement.HardState
+	consensus.Snapshot
+	hardState    consensus.HardState
 	firstSegment uint64 // segments with lower numbers are void
 }
 
@@ -47,7 +47,7 @@
 }
 
 // writeSnapshot makes a snapshot durable under its name and marks the one before it for removal.
-func (l *Log) writeSnapshot(snapshot agreement.Snapshot, hardState agreement.HardState, firstSegment uint64) error {
+func (l *Log) writeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) error {
 	data, err := encodeSnapshot(snapshot, hardState, firstSegment)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 	return file.Close()
 }
 
-func encodeSnapshot(snapshot agreement.Snapshot, hardState agreement.HardState, firstSegment uint64) ([]byte, error) {
+func encodeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) ([]byte, error) {
 	body, err := codec().Marshal(snapshotSchema(), wireSnapshot{
 		Index:        int64(snapshot.Index),
 		Term:         int64(snapshot.Term),
@@ -166,7 +166,7 @@
 		return storedSnapshot{}, damaged
 	}
 	return storedSnapshot{
-		Snapshot: agreement.Snapshot{
+		Snapshot: consensus.Snapshot{
 			Index:   uint64(wire.Index),
 			Term:    uint64(wire.Term),
 			Members: membersFromWire(wire.Members),
--- a/internal/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap"
 
 	"ospreybend/coord/membership"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // Ports of the machine's range that the agent knows of, by their place in it.
@@ -51,10 +51,10 @@
 
 func (o Options) withDefaults() Options {
 	if o.Dial == nil {
-		o.Dial = feedlink.Dial
+		o.Dial = feedtransport.Dial
 	}
 	if o.Listen == nil {
-		o.Listen = feedlink.Listen
+		o.Listen = feedtransport.Listen
 	}
 	if o.Random == nil {
 		o.Random = rand.Uint64
@@ -70,13 +70,13 @@
 
 // Run runs the agent with the default options until ctx ends, and then serves the proxy until it has
 // gone or the time of grace is nearly over. It fails if a port of the machine cannot be opened.
-func Run(ctx context.Context, config settings.Settings, log *zap.Logger) error {
+func Run(ctx context.Context, config bootconfig.Settings, log *zap.Logger) error {
 	limitMemory(config.Limits)
 	return RunWith(ctx, config, DefaultOptions(), log)
 }
 
 // RunWith is Run with options.
-func RunWith(ctx context.Context, config settings.Settings, options Options, log *zap.Logger) error {
+func RunWith(ctx context.Context, config bootconfig.Settings, options Options, log *zap.Logger) error {
 	ports, err := portsOf(config)
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 
 type machinePorts struct{ feed, proxy, probe int }
 
-func portsOf(config settings.Settings) (machinePorts, error) {
+func portsOf(config bootconfig.Settings) (machinePorts, error) {
 	first, last := config.PortRange[0], config.PortRange[1]
 	if first <= 0 || last < first+portsNeeded-1 {
 		return machinePorts{}, fmt.Errorf("%w: %d to %d", ErrPorts, first, last)
@@ -121,7 +121,7 @@
 }
 
 // limitMemory has the runtime collect garbage early: the process is charged for its peak.
-func limitMemory(limits settings.Limits) {
+func limitMemory(limits bootconfig.Limits) {
 	debug.SetGCPercent(gcPercent)
 	if limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(float64(limits.MemoryMb) * megabyte * memoryLimitShare))
@@ -129,22 +129,22 @@
 }
 
 // drainLimit says how long the proxy is served after the signal to stop.
-func drainLimit(bounds settings.Bounds) time.Duration {
-	return max(settings.Seconds(bounds.GraceS)-graceMargin, graceMargin)
+func drainLimit(bounds bootconfig.Bounds) time.Duration {
+	return max(bootconfig.Seconds(bounds.GraceS)-graceMargin, graceMargin)
 }
 
-func newKeeperClient(config settings.Settings, feedPort int, options Options, store *store, log *zap.Logger) *feedlink.Client {
-	return feedlink.NewClient(feedlink.ClientOptions{
-		Hello: feedlink.Hello{
+func newKeeperClient(config bootconfig.Settings, feedPort int, options Options, store *store, log *zap.Logger) *feedtransport.Client {
+	return feedtransport.NewClient(feedtransport.ClientOptions{
+		Hello: feedtransport.Hello{
 			Node:        config.NodeName,
 			Zone:        config.Zone,
 			Region:      config.Region,
 			IP:          config.IP,
-			Role:        feedlink.RoleAgent,
+			Role:        feedtransport.RoleAgent,
 			Incarnation: options.Random(),
 			Compressed:  true,
 		},
-		Choice: feedlink.ChoiceOptions{
+		Choice: feedtransport.ChoiceOptions{
 			Node:       config.NodeName,
 			Zone:       config.Zone,
 			Region:     config.Region,
--- a/internal/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -17,8 +17,8 @@
 	"ospreybend/coord/feed"
 	"ospreybend/coord/membership"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/util/bootconfig"
 )
 
 const (
@@ -31,16 +31,16 @@
 type keeperStandIn struct {
 	*store
 	listener net.Listener
-	reports  chan feedlink.Report
+	reports  chan feedtransport.Report
 
 	mu       sync.Mutex
-	sessions []*feedlink.Session
+	sessions []*feedtransport.Session
 }
 
 func startKeeper(t *testing.T) (keeper *keeperStandIn, port int) {
 	t.Helper()
 	listener, port := listenWithFreePorts(t)
-	keeper = &keeperStandIn{store: newStore(), listener: listener, reports: make(chan feedlink.Report, 10)}
+	keeper = &keeperStandIn{store: newStore(), listener: listener, reports: make(chan feedtransport.Report, 10)}
 	go keeper.serve(t.Context())
 	t.Cleanup(func() { _ = listener.Close() })
 	return keeper, port
@@ -53,7 +53,7 @@
 	const lowest, count, attempts = 20000, 10000, 100
 	for range attempts {
 		port = lowest + rand.IntN(count)
-		listener, err := feedlink.Listen(t.Context(), net.JoinHostPort(keeperIP, strconv.Itoa(port)))
+		listener, err := feedtransport.Listen(t.Context(), net.JoinHostPort(keeperIP, strconv.Itoa(port)))
 		if err != nil {
 			continue
 		}
@@ -68,7 +68,7 @@
 
 func portsAreFree(t *testing.T, port int) bool {
 	t.Helper()
-	forProxy, err := feedlink.Listen(t.Context(), feedlink.LoopbackAddress(port+proxyPortPlace))
+	forProxy, err := feedtransport.Listen(t.Context(), feedtransport.LoopbackAddress(port+proxyPortPlace))
 	if err != nil {
 		return false
 	}
@@ -87,15 +87,15 @@
 		if err != nil {
 			return
 		}
-		_, content, err := feedlink.ReadFirstFrame(connection, time.Second)
+		_, content, err := feedtransport.ReadFirstFrame(connection, time.Second)
 		if err != nil {
 			continue
 		}
-		hello, err := feedlink.DecodeHello(content)
+		hello, err := feedtransport.DecodeHello(content)
 		if err != nil {
 			continue
 		}
-		session := feedlink.NewSession(connection, hello, k, feedlink.SessionOptions{})
+		session := feedtransport.NewSession(connection, hello, k, feedtransport.SessionOptions{})
 		k.mu.Lock()
 		k.sessions = append(k.sessions, session)
 		k.mu.Unlock()
@@ -103,8 +103,8 @@
 	}
 }
 
-func (k *keeperStandIn) OnReport(_ feedlink.Hello, topic string, body []byte) {
-	k.reports <- feedlink.Report{Topic: topic, Body: body}
+func (k *keeperStandIn) OnReport(_ feedtransport.Hello, topic string, body []byte) {
+	k.reports <- feedtransport.Report{Topic: topic, Body: body}
 }
 
 func (k *keeperStandIn) commit(t *testing.T, shard shards.ID, index uint64, key, value string) {
@@ -142,7 +142,7 @@
 	p.Snapshot(0, feed.Snapshot{Items: change.Put})
 }
 
-func (p proxyStandIn) Status(status feedlink.Status) {
+func (p proxyStandIn) Status(status feedtransport.Status) {
 	p.events <- "current " + strconv.FormatBool(status.Current())
 }
 
@@ -150,7 +150,7 @@
 
 func (p proxyStandIn) Disconnected(error) { p.events <- "disconnected" }
 
-func (p proxyStandIn) Report(report feedlink.Report) { p.events <- "report " + report.Topic }
+func (p proxyStandIn) Report(report feedtransport.Report) { p.events <- "report " + report.Topic }
 
 // expect waits for an event and passes over others.
 func (p proxyStandIn) expect(t *testing.T, wanted string) {
@@ -168,20 +168,20 @@
 	}
 }
 
-func agentSettings(feedPort int) settings.Settings {
-	return settings.Settings{
+func agentSettings(feedPort int) bootconfig.Settings {
+	return bootconfig.Settings{
 		NodeName:  "edge-1",
 		IP:        agentIP,
 		Zone:      "a",
 		PortRange: [2]int{feedPort, feedPort + portsNeeded - 1},
 		Seeds:     []string{keeperIP + ":1"},
-		Limits:    settings.Limits{MemoryMb: 200},
-		Bounds:    settings.Bounds{GraceS: 8},
+		Limits:    bootconfig.Limits{MemoryMb: 200},
+		Bounds:    bootconfig.Bounds{GraceS: 8},
 	}
 }
 
 // startAgent runs an agent until stop is called; done tells how it ended.
-func startAgent(t *testing.T, config settings.Settings) (stop context.CancelFunc, done chan error) {
+func startAgent(t *testing.T, config bootconfig.Settings) (stop context.CancelFunc, done chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done = make(chan error, 1)
@@ -190,10 +190,10 @@
 	return cancel, done
 }
 
-func startProxy(t *testing.T, agentPort int) (client *feedlink.Client, proxy proxyStandIn, stop func()) {
+func startProxy(t *testing.T, agentPort int) (client *feedtransport.Client, proxy proxyStandIn, stop func()) {
 	t.Helper()
 	proxy = proxyStandIn{events: make(chan string, 100)}
-	client = feedlink.NewProxyClient(feedlink.Hello{Node: "edge-1"}, agentPort, proxy)
+	client = feedtransport.NewProxyClient(feedtransport.Hello{Node: "edge-1"}, agentPort, proxy)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -280,7 +280,7 @@
 		store := newStore()
 		from := &upstream{store: store, log: zap.NewNop()}
 		from.Snapshot(shards.Configuration, feed.Snapshot{Index: 7})
-		from.Status(feedlink.Status{Shards: []feedlink.ShardStatus{{Shard: shards.Configuration}}})
+		from.Status(feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: shards.Configuration}}})
 		time.Sleep(wholeAfter - 1)
 		synctest.Wait()
 		select {
@@ -297,7 +297,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		from := &upstream{store: store, log: zap.NewNop()}
-		notCurrent := feedlink.Status{Shards: []feedlink.ShardStatus{{Shard: 0}}}
+		notCurrent := feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: 0}}}
 		from.Status(notCurrent)
 		time.Sleep(wholeAtLast - 1)
 		from.Status(notCurrent)
--- a/internal/agent/front.go
+++ b/internal/controlplane/agent/front.go
@@ -8,7 +8,7 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 const (
@@ -19,7 +19,7 @@
 // proxyFront serves the feed to the proxy of this machine.
 type proxyFront struct {
 	listener net.Listener
-	source   feedlink.Source
+	source   feedtransport.Source
 	origin   time.Time       // of the grid of statuses
 	whole    <-chan struct{} // closed once there is something to serve
 	stopping <-chan struct{} // closed with the signal to stop
@@ -29,14 +29,14 @@
 
 	mu       sync.Mutex
 	closed   bool
-	sessions map[*feedlink.Session]struct{}
+	sessions map[*feedtransport.Session]struct{}
 	idle     chan struct{} // closed once closed is set and the last session has ended
 }
 
 func newProxyFront(
 	ctx context.Context, port int, options Options, store *store, report func(topic string, body []byte),
 ) (*proxyFront, error) {
-	listener, err := options.Listen(ctx, feedlink.LoopbackAddress(port))
+	listener, err := options.Listen(ctx, feedtransport.LoopbackAddress(port))
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 		origin:   options.Origin,
 		whole:    store.whole,
 		stopping: ctx.Done(),
-		sessions: make(map[*feedlink.Session]struct{}),
+		sessions: make(map[*feedtransport.Session]struct{}),
 		idle:     make(chan struct{}),
 	}
 	front.ctx, front.cancel = context.WithCancel(context.WithoutCancel(ctx))
@@ -70,19 +70,19 @@
 
 func (f *proxyFront) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
-	kind, body, err := feedlink.ReadFirstFrame(connection, helloLimit)
-	if err != nil || kind != feedlink.KindHello {
+	kind, body, err := feedtransport.ReadFirstFrame(connection, helloLimit)
+	if err != nil || kind != feedtransport.KindHello {
 		return
 	}
-	hello, err := feedlink.DecodeHello(body)
+	hello, err := feedtransport.DecodeHello(body)
 	if err != nil {
 		return
 	}
 	if !f.awaitWhole() {
 		return
 	}
-	options := feedlink.SessionOptions{StatusInterval: feedlink.LoopbackStatusInterval, Origin: f.origin}
-	session := feedlink.NewSession(connection, hello, f.source, options)
+	options := feedtransport.SessionOptions{StatusInterval: feedtransport.LoopbackStatusInterval, Origin: f.origin}
+	session := feedtransport.NewSession(connection, hello, f.source, options)
 	if !f.add(session) {
 		return
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (f *proxyFront) add(session *feedlink.Session) bool {
+func (f *proxyFront) add(session *feedtransport.Session) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -110,7 +110,7 @@
 	return true
 }
 
-func (f *proxyFront) remove(session *feedlink.Session) {
+func (f *proxyFront) remove(session *feedtransport.Session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.sessions, session)
@@ -126,7 +126,7 @@
 }
 
 // broadcast passes a report of the keeper on.
-func (f *proxyFront) broadcast(report feedlink.Report) {
+func (f *proxyFront) broadcast(report feedtransport.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for session := range f.sessions {
@@ -172,8 +172,10 @@
 	return s.store.Since(shard, index)
 }
 
-func (s proxySource) Status() feedlink.Status { return s.store.Status() }
+func (s proxySource) Status() feedtransport.Status { return s.store.Status() }
 
 func (s proxySource) Subscribe(wake chan<- struct{}) func() { return s.store.Subscribe(wake) }
 
-func (s proxySource) OnReport(_ feedlink.Hello, topic string, body []byte) { s.report(topic, body) }
+func (s proxySource) OnReport(_ feedtransport.Hello, topic string, body []byte) {
+	s.report(topic, body)
+}
--- a/internal/agent/probing.go
+++ b/internal/controlplane/agent/probing.go
@@ -12,8 +12,8 @@
 
 	"ospreybend/coord/membership"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/registry"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/controlplane/registry"
 )
 
 const (
@@ -117,11 +117,11 @@
 		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // a lost packet is asked about again
 	}
 	for _, finding := range actions.Findings {
-		body, err := feedlink.EncodeSuspicion(feedlink.Suspicion{
+		body, err := feedtransport.EncodeSuspicion(feedtransport.Suspicion{
 			IP: finding.Node.Name, Suspected: finding.Suspected,
 		})
 		if err == nil {
-			p.report(feedlink.TopicSuspicion, body)
+			p.report(feedtransport.TopicSuspicion, body)
 		}
 	}
 }
--- a/internal/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -7,7 +7,7 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 // backlogBytes bounds the changes that are kept of each shard. The proxy reads them at once; one that
@@ -16,7 +16,7 @@
 
 // toldFor is how long a keeper's word counts that it is current. The agent leaves a keeper that is silent for so long, but
 // not before it runs again where it stood still itself.
-const toldFor = feedlink.SilentAfter + feedlink.StatusInterval
+const toldFor = feedtransport.SilentAfter + feedtransport.StatusInterval
 
 // store holds the items of all shards as the keeper sent them.
 type store struct {
@@ -25,7 +25,7 @@
 	current  map[shards.ID]bool // by the keeper's last status; empty without a keeper
 	toldAt   time.Time          // when that status came
 	wakes    map[chan<- struct{}]struct{}
-	toReport func(report feedlink.Report)
+	toReport func(report feedtransport.Report)
 
 	whole     chan struct{} // closed once the store is fit for readers
 	wholeOnce sync.Once
@@ -44,7 +44,7 @@
 func (s *store) markWhole() { s.wholeOnce.Do(func() { close(s.whole) }) }
 
 // onReport sets what becomes of the keeper's reports. It is called before the feed is read.
-func (s *store) onReport(take func(report feedlink.Report)) { s.toReport = take }
+func (s *store) onReport(take func(report feedtransport.Report)) { s.toReport = take }
 
 func (s *store) reset(shard shards.ID, snapshot feed.Snapshot) {
 	s.mu.Lock()
@@ -80,7 +80,7 @@
 }
 
 // setCurrent notes which shards the keeper is current in, and wakes readers if that is news.
-func (s *store) setCurrent(status []feedlink.ShardStatus) {
+func (s *store) setCurrent(status []feedtransport.ShardStatus) {
 	s.mu.Lock()
 	changed := len(status) != len(s.current)
 	for _, shard := range status {
@@ -142,13 +142,13 @@
 }
 
 // Status implements feedlink.Source: a shard is current where the keeper is and has said so within toldFor.
-func (s *store) Status() feedlink.Status {
+func (s *store) Status() feedtransport.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var status feedlink.Status
+	var status feedtransport.Status
 	told := time.Since(s.toldAt) <= toldFor
 	for _, shard := range s.sortedShards() {
-		status.Shards = append(status.Shards, feedlink.ShardStatus{
+		status.Shards = append(status.Shards, feedtransport.ShardStatus{
 			Shard: shard, Index: s.buffers[shard].Index(), Current: told && s.current[shard],
 		})
 	}
--- a/internal/agent/store_test.go
+++ b/internal/controlplane/agent/store_test.go
@@ -7,7 +7,7 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 // TestAKeepersWordLapses asks a store whose keeper has said nothing for a while: the process may have stood still, and has not
@@ -20,7 +20,7 @@
 		if current() {
 			t.Fatal("current without a keeper")
 		}
-		word := []feedlink.ShardStatus{{Shard: shards.Configuration, Index: 3, Current: true}}
+		word := []feedtransport.ShardStatus{{Shard: shards.Configuration, Index: 3, Current: true}}
 		s.setCurrent(word)
 		time.Sleep(toldFor)
 		if !current() {
--- a/internal/agent/upstream.go
+++ b/internal/controlplane/agent/upstream.go
@@ -7,7 +7,7 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 // How long after a keeper's first status its state is passed on though it is not current. A proxy that has just
@@ -39,7 +39,7 @@
 
 // Status implements feedlink.Handler. A status follows all that the keeper had of every shard; before
 // the first one that is current, the proxy would see routes without workers.
-func (u *upstream) Status(status feedlink.Status) {
+func (u *upstream) Status(status feedtransport.Status) {
 	u.store.setCurrent(status.Shards)
 	now := time.Now()
 	if u.firstAt.IsZero() {
@@ -70,4 +70,4 @@
 }
 
 // Report implements feedlink.ReportHandler.
-func (u *upstream) Report(report feedlink.Report) { u.store.toReport(report) }
+func (u *upstream) Report(report feedtransport.Report) { u.store.toReport(report) }
--- a/internal/configuration/codes.go
+++ b/internal/controlplane/configuration/codes.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"ospreybend/internal/resultcode"
+	"ospreybend/internal/util/resultcode"
 )
 
 // Code numbers the result of a change to the configuration. Numbers are never given anew.
--- a/internal/configuration/command.go
+++ b/internal/controlplane/configuration/command.go
@@ -5,7 +5,7 @@
 
 	"github.com/hamba/avro/v2"
 
-	"ospreybend/internal/strictavro"
+	"ospreybend/internal/util/strictavro"
 )
 
 // Kind tells what the body of a command is.
--- a/internal/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/jx"
 
-	"ospreybend/internal/jsonfield"
+	"ospreybend/internal/util/jsonfield"
 )
 
 // Names of the members of a configuration that this package knows.
--- a/internal/configuration/field.go
+++ b/internal/controlplane/configuration/field.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/jx"
 
-	"ospreybend/internal/jsonfield"
+	"ospreybend/internal/util/jsonfield"
 )
 
 // longestDuration bounds what is read, so that sums of durations stay within their type.
--- a/internal/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/jx"
 
-	"ospreybend/internal/jsonfield"
+	"ospreybend/internal/util/jsonfield"
 )
 
 // What holds where the operator gives no value, or one that cannot be meant.
--- a/internal/configuration/snapshot.go
+++ b/internal/controlplane/configuration/snapshot.go
@@ -6,7 +6,7 @@
 
 	"github.com/hamba/avro/v2"
 
-	"ospreybend/internal/strictavro"
+	"ospreybend/internal/util/strictavro"
 )
 
 // ErrSnapshot is wrapped by what Restore returns for bytes that it cannot read.
--- a/internal/configuration/update.go
+++ b/internal/controlplane/configuration/update.go
@@ -6,7 +6,7 @@
 
 	"github.com/go-faster/jx"
 
-	"ospreybend/internal/jsonfield"
+	"ospreybend/internal/util/jsonfield"
 )
 
 const (
--- a/internal/feedlink/doc.go
+++ b/internal/controlplane/feedtransport/doc.go
@@ -1,4 +1,4 @@
-// Package feedlink carries the feed between processes: from a keeper to agents, and from an agent
+// Package feedtransport carries the feed between processes: from a keeper to agents, and from an agent
 // to the proxy of its machine. A reader says in its Hello how far it has each shard, and gets a
 // snapshot or the changes since, then changes as they commit, and a status at short intervals.
 //
@@ -17,4 +17,4 @@
 // Offsets. A shard's offset is the index of an entry in the shard's log. Neither side ever goes to
 // a lower one: the server sends only what is above what it has sent, and the client drops
 // what is not above what it holds.
-package feedlink
+package feedtransport
--- a/internal/feedlink/property_test.go
+++ b/internal/controlplane/feedtransport/property_test.go
@@ -1,4 +1,4 @@
-package feedlink
+package feedtransport
 
 import (
 	"bytes"
--- a/internal/feedlink/suspicion.go
+++ b/internal/controlplane/feedtransport/suspicion.go
@@ -1,4 +1,4 @@
-package feedlink
+package feedtransport
 
 // TopicSuspicion is the topic of an agent's reports about other machines; the body is a Suspicion.
 const TopicSuspicion = "suspicion"
--- a/internal/peerlink/accept.go
+++ b/internal/controlplane/peertransport/accept.go
@@ -1,4 +1,4 @@
-package peerlink
+package peertransport
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 const (
@@ -76,13 +76,13 @@
 func (n *Network) identify(connection net.Conn) {
 	stop := context.AfterFunc(n.ctx, func() { _ = connection.Close() })
 	defer stop()
-	kind, body, err := feedlink.ReadFirstFrame(connection, firstFrameTime)
+	kind, body, err := feedtransport.ReadFirstFrame(connection, firstFrameTime)
 	if err != nil {
 		n.options.Logger.Debug("connection not identified", zap.Error(err))
 		_ = connection.Close()
 		return
 	}
-	if kind < feedlink.FirstPeerKind {
+	if kind < feedtransport.FirstPeerKind {
 		n.options.Handler.Reader(n.ctx, connection, kind, body)
 		return
 	}
@@ -135,7 +135,7 @@
 	defer cancel()
 	reader := bufio.NewReaderSize(in.connection, readBufferBytes)
 	for {
-		kind, body, err := feedlink.ReadFrame(reader)
+		kind, body, err := feedtransport.ReadFrame(reader)
 		if err != nil {
 			in.network.options.Logger.Debug("peer's connection ended", zap.String("peer", in.peer.Address), zap.Error(err))
 			return
@@ -148,7 +148,7 @@
 }
 
 // take handles one frame; false ends the connection.
-func (in *inbound) take(ctx context.Context, kind feedlink.Kind, body []byte) bool {
+func (in *inbound) take(ctx context.Context, kind feedtransport.Kind, body []byte) bool {
 	switch kind {
 	case kindBatch:
 		batch, err := decodeBatch(body)
--- a/internal/peerlink/accept_test.go
+++ b/internal/controlplane/peertransport/accept_test.go
@@ -1,4 +1,4 @@
-package peerlink
+package peertransport
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"go.uber.org/zap/zaptest"
 
-	"ospreybend/coord/agreement"
-	"ospreybend/internal/feedlink"
+	"ospreybend/coord/consensus"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 // pipeListener accepts the far ends of pipes.
@@ -71,7 +71,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	write(h.t, near, feedlink.AppendFrame(nil, hello.kind, hello.body))
+	write(h.t, near, feedtransport.AppendFrame(nil, hello.kind, hello.body))
 	<-h.handler.connected
 	return near
 }
@@ -82,12 +82,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return feedlink.AppendFrame(nil, encoded.kind, encoded.body)
+	return feedtransport.AppendFrame(nil, encoded.kind, encoded.body)
 }
 
 func nextReply(t *testing.T, connection net.Conn) wireReply {
 	t.Helper()
-	kind, body, err := feedlink.ReadFrame(connection)
+	kind, body, err := feedtransport.ReadFrame(connection)
 	if err != nil || kind != kindReply {
 		t.Fatal(kind, err)
 	}
@@ -117,10 +117,10 @@
 		{"too late", callBytes(t, 1, -time.Second, "x"), 0, 1, false},
 		{"cut in its head", whole[:3], 0, 0, false},
 		{"cut in its body", whole[:len(whole)-1], 0, 0, false},
-		{"no call at all", feedlink.AppendFrame(nil, kindCall, []byte("?")), 0, 0, true},
+		{"no call at all", feedtransport.AppendFrame(nil, kindCall, []byte("?")), 0, 0, true},
 		{"a reply", replyBytes(t, 1, "x"), 0, 0, true},
-		{"a second hello", feedlink.AppendFrame(nil, kindHello, []byte("x")), 0, 0, true},
-		{"a frame of the feed", feedlink.AppendFrame(nil, feedlink.KindStatus, nil), 0, 0, true},
+		{"a second hello", feedtransport.AppendFrame(nil, kindHello, []byte("x")), 0, 0, true},
+		{"a frame of the feed", feedtransport.AppendFrame(nil, feedtransport.KindStatus, nil), 0, 0, true},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
@@ -170,7 +170,7 @@
 		}
 		_ = late.Close()
 		synctest.Wait()
-		h.network.Send(agreement.Member{ID: 2, Address: peerAddress}, 0, agreement.Message{})
+		h.network.Send(consensus.Member{ID: 2, Address: peerAddress}, 0, consensus.Message{})
 		if peers := h.network.Peers(); len(peers) != 1 || !peers[0].Accepted {
 			t.Fatalf("%+v", peers)
 		}
@@ -209,11 +209,11 @@
 		h := newHost(t)
 		defer h.network.Close()
 		h.handler.call = func(context.Context, CallKind, []byte) ([]byte, error) {
-			return make([]byte, feedlink.MaxFrameBytes), nil
+			return make([]byte, feedtransport.MaxFrameBytes), nil
 		}
 		connection := h.dial(somePeer)
 		write(t, connection, callBytes(t, 1, time.Second, "x"))
-		if reply := nextReply(t, connection); !reply.Failed || !strings.Contains(reply.Text, feedlink.ErrFrameTooLong.Error()) {
+		if reply := nextReply(t, connection); !reply.Failed || !strings.Contains(reply.Text, feedtransport.ErrFrameTooLong.Error()) {
 			t.Fatalf("%+v", reply)
 		}
 	})
