--- a/internal/dispatch/try.go
+++ b/internal/dataplane/dispatch/try.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/front"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/selection"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/dataplane/fleetview"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/dataplane/selection"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -25,8 +25,8 @@
 type try struct {
 	d         *Dispatcher
 	responder Responder
-	request   *front.Request
-	view      *catalog.View // in force when the request came
+	request   *httpserver.Request
+	view      *fleetview.View // in force when the request came
 	route     *configuration.Route
 	service   *configuration.Service
 	ask       selection.Request
@@ -49,7 +49,7 @@
 	trace        trace
 }
 
-func newTry(d *Dispatcher, responder Responder, request *front.Request, view *catalog.View,
+func newTry(d *Dispatcher, responder Responder, request *httpserver.Request, view *fleetview.View,
 	route *configuration.Route, service *configuration.Service) *try {
 	arrived := d.now() - spent(request)
 	limit := arrived + allowance(request.Fields, route.Timeout)
@@ -62,7 +62,7 @@
 }
 
 // askOf is what the choice of workers depends on.
-func askOf(request *front.Request, route *configuration.Route, service string, arrived, limit time.Duration) selection.Request {
+func askOf(request *httpserver.Request, route *configuration.Route, service string, arrived, limit time.Duration) selection.Request {
 	in, out := parseTokenCount(request.Fields.Get(fieldTokenCount))
 	return selection.Request{
 		Service:      service,
@@ -173,7 +173,7 @@
 }
 
 // clientFields are the fields of a worker's answer that the client gets.
-func clientFields(fields httpwire.Fields) httpwire.Fields { return without(fields, innerFields, 0) }
+func clientFields(fields http1.Fields) http1.Fields { return without(fields, innerFields, 0) }
 
 // left is the time for which something may be done for the request.
 func (t *try) left() time.Duration { return t.limit - t.d.now() }
@@ -198,7 +198,7 @@
 
 // listed tells whether a worker may still be sent to by the newest list; a draining or ended one, or one that is about to
 // change its stage, may not.
-func (t *try) listed(worker *catalog.Worker) bool {
+func (t *try) listed(worker *fleetview.Worker) bool {
 	view := t.d.view.Load()
 	for _, other := range view.Workers[t.service.Name] {
 		if other.ID == worker.ID {
@@ -208,7 +208,7 @@
 	return false
 }
 
-func (t *try) exclude(worker *catalog.Worker) { t.excluded = append(t.excluded, worker.ID) }
+func (t *try) exclude(worker *fleetview.Worker) { t.excluded = append(t.excluded, worker.ID) }
 
 // spend takes a call beyond the first out of the node's budget.
 func (t *try) spend() bool {
--- a/internal/dispatch/version_test.go
+++ b/internal/dataplane/dispatch/version_test.go
@@ -5,11 +5,11 @@
 	"strings"
 	"testing"
 
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/exchange/exchangetest"
-	"ospreybend/internal/front"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/selection"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/dataplane/selection"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/dataplane/upstream/upstreamtest"
+	"ospreybend/internal/util/http1"
 )
 
 // A run that takes a prompt's memory over expects the weights that read it; one that reads the prompt itself expects none.
@@ -39,8 +39,8 @@
 	}
 }
 
-func withVersions(version string) httpwire.Fields {
-	return httpwire.Fields{{Name: "versions", Value: version}}
+func withVersions(version string) http1.Fields {
+	return http1.Fields{{Name: "versions", Value: version}}
 }
 
 // A decode worker with other weights refuses the memory. It is not taken for a wrong worker, and what goes on has no use for the
@@ -85,12 +85,12 @@
 // A request continues from a handle of its own alone, also where the answer to an earlier one comes first.
 func TestHandlesAreOfTheRequestItself(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *rig) {
-		workers := exchangetest.NewWorkers()
-		pool := exchange.New(exchange.Options{Dial: workers.Dial})
+		workers := upstreamtest.NewWorkers()
+		pool := upstream.New(upstream.Options{Dial: workers.Dial})
 		defer pool.Close()
 		r.dispatcher.workers = OverPool(pool)
 		earlier := ""
-		read := exchangetest.Turn{Answer: func(request exchangetest.Request) string {
+		read := upstreamtest.Turn{Answer: func(request upstreamtest.Request) string {
 			text := handleAnswer(request.ID)
 			if earlier != "" {
 				text = handleAnswer(earlier) + text
@@ -98,12 +98,12 @@
 			earlier = request.ID
 			return text
 		}}
-		workers.Play("p1:80", func(int) []exchangetest.Turn { return []exchangetest.Turn{read, read, read} })
-		run := exchangetest.Works(true)
-		workers.Play("d1:80", func(int) []exchangetest.Turn { return []exchangetest.Turn{run, run, run} })
+		workers.Play("p1:80", func(int) []upstreamtest.Turn { return []upstreamtest.Turn{read, read, read} })
+		run := upstreamtest.Works(true)
+		workers.Play("d1:80", func(int) []upstreamtest.Turn { return []upstreamtest.Turn{run, run, run} })
 		r.chooser.offers("p1>d1")
 		for _, id := range []string{"a", "b", "c"} {
-			r.ask(func(request *front.Request) { request.Fields = request.Fields.With(fieldRequestID, id) })
+			r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.With(fieldRequestID, id) })
 		}
 		count := 0
 		for _, conn := range workers.Conns("d1:80") {
--- a/internal/catalog/builder.go
+++ b/internal/dataplane/fleetview/builder.go
@@ -1,4 +1,4 @@
-package catalog
+package fleetview
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/registry"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/registry"
 )
 
 const (
--- a/internal/catalog/routes.go
+++ b/internal/dataplane/fleetview/routes.go
@@ -1,9 +1,9 @@
-package catalog
+package fleetview
 
 import (
 	"strings"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 // routeTable finds a route by host and path.
--- a/internal/catalog/types.go
+++ b/internal/dataplane/fleetview/types.go
@@ -1,10 +1,10 @@
-// Package catalog is a proxy's view of the fleet: the configuration in force and the workers of each
+// Package fleetview is a proxy's view of the fleet: the configuration in force and the workers of each
 // service, built from the feed's snapshots and changes. A View never changes once it is published.
-package catalog
+package fleetview
 
 import (
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/registry"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/registry"
 )
 
 // Worker is one instance that may be sent to. It never changes; a new record makes a new Worker.
--- a/internal/front/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -32,7 +32,7 @@
 type conn struct {
 	server *Server
 	socket net.Conn
-	in     httpwire.Input  // what has come and is not used yet
+	in     http1.Input     // what has come and is not used yet
 	looked bool            // the last look at a deadline was taken
 	raw    syscall.RawConn // nil where the connection is no socket
 
@@ -306,7 +306,7 @@
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // fail answers a request that cannot be read, and ends the connection.
-func (c *conn) fail(fault *httpwire.Fault) {
+func (c *conn) fail(fault *http1.Fault) {
 	if isOverLimit(fault) && !c.server.confirmed() {
 		fault = &unsureFault
 	}
@@ -326,6 +326,6 @@
 }
 
 // isOverLimit tells whether a request is refused for a limit that a configuration sets.
-func isOverLimit(fault *httpwire.Fault) bool {
+func isOverLimit(fault *http1.Fault) bool {
 	return fault.Status == statusTooLarge || fault.Status == statusLongHead
 }
--- a/internal/front/ending_test.go
+++ b/internal/dataplane/httpserver/ending_test.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 func TestClientLeaves(t *testing.T) {
--- a/internal/front/faults.go
+++ b/internal/dataplane/httpserver/faults.go
@@ -1,11 +1,11 @@
-package front
+package httpserver
 
 import (
 	"net"
 	"strconv"
 	"time"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const dropBuffer = 4 << 10 // bytes read at a time where they are dropped
@@ -19,10 +19,10 @@
 func appendInt(out []byte, value int) []byte { return strconv.AppendInt(out, int64(value), 10) }
 
 // appendFault appends the last answer of a connection whose request cannot be read.
-func (s *Server) appendFault(out []byte, fault *httpwire.Fault) []byte {
-	out = httpwire.AppendStatusLine(out, fault.Status)
+func (s *Server) appendFault(out []byte, fault *http1.Fault) []byte {
+	out = http1.AppendStatusLine(out, fault.Status)
 	if fault.Status == statusUnavailable {
-		out = httpwire.AppendField(out, "Retry-After", s.retryAfter)
+		out = http1.AppendField(out, "Retry-After", s.retryAfter)
 	}
 	return append(out, "Connection: close\r\nContent-Length: 0\r\n\r\n"...)
 }
--- a/internal/front/front_test.go
+++ b/internal/dataplane/httpserver/front_test.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 const get = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
--- a/internal/front/gone_test.go
+++ b/internal/dataplane/httpserver/gone_test.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 // leave ends a client's side in one of the ways that the network knows.
--- a/internal/front/listen.go
+++ b/internal/dataplane/httpserver/listen.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"context"
--- a/internal/front/readiness.go
+++ b/internal/dataplane/httpserver/readiness.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 // Readiness answers "GET /-/ready" with 200 or 503, and all else with 404.
 func Readiness(ready func() bool) Handler {
--- a/internal/front/request.go
+++ b/internal/dataplane/httpserver/request.go
@@ -1,11 +1,11 @@
-package front
+package httpserver
 
 import (
 	"bytes"
 	"time"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -20,27 +20,27 @@
 )
 
 var (
-	fullFault = httpwire.Fault{Status: statusUnavailable, Text: "there is no place for the request"}
-	lateFault = httpwire.Fault{Status: statusTimeout, Text: "the request did not come in time"}
+	fullFault = http1.Fault{Status: statusUnavailable, Text: "there is no place for the request"}
+	lateFault = http1.Fault{Status: statusTimeout, Text: "the request did not come in time"}
 	// unsureFault stands in for faults over a limit that may not be in force any more.
-	unsureFault = httpwire.Fault{Status: statusUnavailable, Text: "the limits in force are not known"}
-	longFault   = httpwire.Fault{Status: statusTooLarge, Text: "the body is too long"}
+	unsureFault = http1.Fault{Status: statusUnavailable, Text: "the limits in force are not known"}
+	longFault   = http1.Fault{Status: statusTooLarge, Text: "the body is too long"}
 )
 
 // arrival is one request as far as it has come in.
 type arrival struct {
 	conn    *conn
 	limits  configuration.Limits
-	rules   httpwire.Rules
+	rules   http1.Rules
 	begun   time.Time // the first byte, on the clock of the deadlines
 	armed   bool      // the deadline is set
 	headIn  bool      // the head has come whole
 	request *Request
-	head    httpwire.Head
+	head    http1.Head
 }
 
 // readRequest reads the next request. err is of the connection, and nobody is to be answered then.
-func (c *conn) readRequest() (a *arrival, fault *httpwire.Fault, err error) {
+func (c *conn) readRequest() (a *arrival, fault *http1.Fault, err error) {
 	for c.in.Len() == 0 {
 		if err := c.more(); err != nil {
 			return nil, nil, err
@@ -48,7 +48,7 @@
 	}
 	c.setState(reading)
 	a = &arrival{conn: c, limits: c.server.limits(), begun: time.Now(), request: &Request{FirstByteAt: c.server.now()}}
-	a.rules = httpwire.Rules{HeadBytes: a.limits.MaxHeaderBytes, BodyBytes: a.limits.MaxBodyBytes, Strict: true}
+	a.rules = http1.Rules{HeadBytes: a.limits.MaxHeaderBytes, BodyBytes: a.limits.MaxBodyBytes, Strict: true}
 	if fault, err = a.readHead(); fault == nil && err == nil {
 		fault, err = a.readBody()
 	}
@@ -61,7 +61,7 @@
 }
 
 // more waits for further bytes of the request by its deadline.
-func (a *arrival) more() (*httpwire.Fault, error) {
+func (a *arrival) more() (*http1.Fault, error) {
 	a.arm()
 	return a.orLate(a.conn.more())
 }
@@ -83,16 +83,16 @@
 	c.server.mu.Unlock()
 }
 
-func (a *arrival) orLate(err error) (*httpwire.Fault, error) {
+func (a *arrival) orLate(err error) (*http1.Fault, error) {
 	if err != nil && isTimeout(err) {
 		return &lateFault, nil
 	}
 	return nil, err
 }
 
-func (a *arrival) readHead() (*httpwire.Fault, error) {
+func (a *arrival) readHead() (*http1.Fault, error) {
 	c := a.conn
-	reader := httpwire.HeadReader{Kind: httpwire.Request, Rules: a.rules}
+	reader := http1.HeadReader{Kind: http1.Request, Rules: a.rules}
 	for {
 		used, fault := reader.Read(c.in.Bytes(), &a.head)
 		switch {
@@ -118,22 +118,22 @@
 	r.Path = r.Target[:len(path)]
 	all := a.head.Fields()
 	r.Host = all.Get("Host")
-	r.Fields = httpwire.HopsOf(all).Strip(all)
+	r.Fields = http1.HopsOf(all).Strip(all)
 	expects := a.head.Expects()
 	a.headIn, a.armed = true, false
 	a.head.Method, a.head.Target, a.head.Raw = nil, nil, nil // the buffer goes on to be used
 	if expects {
-		a.head.Raw = []httpwire.RawField{expectField}
+		a.head.Raw = []http1.RawField{expectField}
 	}
 }
 
-var expectField = httpwire.RawField{Name: []byte("Expect"), Value: []byte("100-continue")}
+var expectField = http1.RawField{Name: []byte("Expect"), Value: []byte("100-continue")}
 
-func (a *arrival) readBody() (*httpwire.Fault, error) {
+func (a *arrival) readBody() (*http1.Fault, error) {
 	if a.head.Length > a.limits.MaxBodyBytes {
 		return &longFault, nil
 	}
-	body := httpwire.RequestBody(&a.head, &a.rules)
+	body := http1.RequestBody(&a.head, &a.rules)
 	if body.Over {
 		return nil, nil
 	}
@@ -152,12 +152,12 @@
 		return nil
 	}
 	_ = a.conn.socket.SetWriteDeadline(time.Now().Add(a.conn.server.writeTime))
-	_, err := a.conn.socket.Write([]byte(httpwire.ContinueLine))
+	_, err := a.conn.socket.Write([]byte(http1.ContinueLine))
 	return err
 }
 
 // readLength reads a body of a known length. Memory is made as it comes: a length alone costs the client nothing.
-func (a *arrival) readLength(length int) (*httpwire.Fault, error) {
+func (a *arrival) readLength(length int) (*http1.Fault, error) {
 	c, r := a.conn, a.request
 	for len(r.Body) < length {
 		if !a.grow(length) {
@@ -200,7 +200,7 @@
 }
 
 // readChunks reads a body in chunks.
-func (a *arrival) readChunks(body *httpwire.BodyReader) (*httpwire.Fault, error) {
+func (a *arrival) readChunks(body *http1.BodyReader) (*http1.Fault, error) {
 	c, r := a.conn, a.request
 	framing := 0
 	for !body.Over {
@@ -228,7 +228,7 @@
 	return nil, nil
 }
 
-func (a *arrival) append(data []byte) *httpwire.Fault {
+func (a *arrival) append(data []byte) *http1.Fault {
 	r := a.request
 	for len(data) > 0 {
 		if !a.grow(a.limits.MaxBodyBytes) {
--- a/internal/front/rig_test.go
+++ b/internal/dataplane/httpserver/rig_test.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 const patience = 5 * time.Second // of a test for what must come
--- a/internal/front/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 // Defaults of options and limits.
--- a/internal/front/timeout_test.go
+++ b/internal/dataplane/httpserver/timeout_test.go
@@ -1,10 +1,10 @@
-package front
+package httpserver
 
 import (
 	"testing"
 	"time"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 // A body that trickles in ends with the time for which its request may be held, not with the longer one for the request as such.
--- a/internal/front/types.go
+++ b/internal/dataplane/httpserver/types.go
@@ -1,14 +1,14 @@
-// Package front is the server side of HTTP/1.1 towards clients: it reads whole requests, hands each to
+// Package httpserver is the server side of HTTP/1.1 towards clients: it reads whole requests, hands each to
 // a handler, and writes exactly one answer for it.
-package front
+package httpserver
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/util/http1"
 )
 
 // Errors of a ResponseWriter. Errors of the connection are returned as they came.
@@ -31,7 +31,7 @@
 	Target string // path and query as they came
 	Path   string // the target without its query
 	Host   string // as it came; one only, never empty
-	Fields httpwire.Fields
+	Fields http1.Fields
 	Body   []byte // the handler's own; nil where there is none
 
 	FirstByteAt time.Time
--- a/internal/front/unsure_test.go
+++ b/internal/dataplane/httpserver/unsure_test.go
@@ -1,10 +1,10 @@
-package front
+package httpserver
 
 import (
 	"strings"
 	"testing"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 // A request over a limit that may not be in force any more may come again.
--- a/internal/front/writer.go
+++ b/internal/dataplane/httpserver/writer.go
@@ -1,11 +1,11 @@
-package front
+package httpserver
 
 import (
 	"net"
 	"sync"
 	"time"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -55,7 +55,7 @@
 // Answer sends a whole answer in one write. It is refused with ErrAnswered where a byte of an answer has been written;
 // an answer begun of which nothing was written is replaced.
 // Content-Length, Connection, Keep-Alive and Transfer-Encoding are set by the server and left out of the fields given.
-func (w *ResponseWriter) Answer(status int, fields httpwire.Fields, body []byte) error {
+func (w *ResponseWriter) Answer(status int, fields http1.Fields, body []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.open(nothing, begun); err != nil {
@@ -65,7 +65,7 @@
 	buffer := buffers.Get().(*[]byte)
 	out := w.appendHead((*buffer)[:0], status, fields)
 	if status != 204 && status != 304 {
-		out = httpwire.AppendNumberField(out, "Content-Length", len(body))
+		out = http1.AppendNumberField(out, "Content-Length", len(body))
 	}
 	out = append(out, "\r\n"...)
 	var err error
@@ -100,7 +100,7 @@
 }
 
 // Begin starts an answer that comes in pieces. Its head is written together with the first piece, or by Flush.
-func (w *ResponseWriter) Begin(status int, fields httpwire.Fields) error {
+func (w *ResponseWriter) Begin(status int, fields http1.Fields) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.open(nothing, begun); err != nil {
@@ -158,9 +158,9 @@
 	case w.plain:
 		out = append(out, piece...)
 	default:
-		out = httpwire.AppendChunk(out, piece)
+		out = http1.AppendChunk(out, piece)
 		if last {
-			out = append(out, httpwire.LastChunk...)
+			out = append(out, http1.LastChunk...)
 		}
 	}
 	if last {
@@ -234,19 +234,19 @@
 }
 
 // appendHead appends the status line and the fields, without the blank line.
-func (w *ResponseWriter) appendHead(out []byte, status int, fields httpwire.Fields) []byte {
+func (w *ResponseWriter) appendHead(out []byte, status int, fields http1.Fields) []byte {
 	s := w.conn.server
 	w.closing = w.closing || s.draining.Load()
 	w.bare = w.method == "HEAD" || status == 204 || status == 304
-	out = httpwire.AppendStatusLine(out, status)
-	var hops httpwire.Hops
+	out = http1.AppendStatusLine(out, status)
+	var hops http1.Hops
 	for i := range fields {
 		f := &fields[i]
-		if hops.Has(f.Name) || httpwire.EqualFold(f.Name, "Content-Length") {
+		if hops.Has(f.Name) || http1.EqualFold(f.Name, "Content-Length") {
 			continue
 		}
-		if httpwire.IsToken(f.Name) && httpwire.IsValue(f.Value) {
-			out = httpwire.AppendField(out, f.Name, f.Value)
+		if http1.IsToken(f.Name) && http1.IsValue(f.Value) {
+			out = http1.AppendField(out, f.Name, f.Value)
 		}
 	}
 	if w.closing {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/dataplane/loadshare/loadshare_test.go
@@ -8,7 +8,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"ospreybend/internal/selection"
+	"ospreybend/internal/dataplane/selection"
 )
 
 func TestMessageComesBackAsItWas(t *testing.T) {
--- a/internal/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -8,8 +8,8 @@
 
 	"github.com/hamba/avro/v2"
 
-	"ospreybend/internal/selection"
-	"ospreybend/internal/strictavro"
+	"ospreybend/internal/dataplane/selection"
+	"ospreybend/internal/util/strictavro"
 )
 
 // MostBytes is the largest datagram that is sent or read.
--- a/internal/loadshare/pace.go
+++ b/internal/dataplane/loadshare/pace.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/selection"
+	"ospreybend/internal/dataplane/selection"
 )
 
 const (
--- a/internal/proxy/confirmation.go
+++ b/internal/dataplane/proxy/confirmation.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"ospreybend/coord/shards"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 // confirmedFor is how long a word of the agent counts that its configuration is the newest: the agent says it at every
 // feedlink.LoopbackStatusInterval, and a little later under load.
-const confirmedFor = feedlink.LoopbackStatusInterval + time.Second
+const confirmedFor = feedtransport.LoopbackStatusInterval + time.Second
 
 // confirmation tells whether the configuration in force is known to be the newest but for moments. Without it the proxy serves
 // what it knows and says of nothing that it does not exist. Its instants are of the steady clock, which goes on
@@ -20,7 +20,7 @@
 }
 
 // note takes in a status of the agent, which follows all that the agent had before.
-func (c *confirmation) note(now time.Time, status feedlink.Status) {
+func (c *confirmation) note(now time.Time, status feedtransport.Status) {
 	for _, shard := range status.Shards {
 		if shard.Shard == shards.Configuration && shard.Current {
 			c.at.Store(&now)
--- a/internal/proxy/confirmation_test.go
+++ b/internal/dataplane/proxy/confirmation_test.go
@@ -9,12 +9,12 @@
 	"go.uber.org/zap"
 
 	"ospreybend/coord/shards"
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/dataplane/fleetview"
 )
 
-func statusOf(current bool) feedlink.Status {
-	return feedlink.Status{Shards: []feedlink.ShardStatus{
+func statusOf(current bool) feedtransport.Status {
+	return feedtransport.Status{Shards: []feedtransport.ShardStatus{
 		{Shard: shards.Configuration, Index: 4, Current: current}, {Shard: 1, Index: 9, Current: !current},
 	}}
 }
@@ -29,7 +29,7 @@
 		}
 	}
 	expect(0, false)
-	c.note(now, feedlink.Status{})
+	c.note(now, feedtransport.Status{})
 	expect(0, false)
 	c.note(now, statusOf(false))
 	expect(0, false)
@@ -70,7 +70,7 @@
 // TestFollowerTakesTheConfirmationFromTheAgent follows an agent that says that it is current, and is lost.
 func TestFollowerTakesTheConfirmationFromTheAgent(t *testing.T) {
 	var c confirmation
-	f := newFollower(func(*catalog.View) {}, &c, zap.NewNop())
+	f := newFollower(func(*fleetview.View) {}, &c, zap.NewNop())
 	f.Connected("127.0.0.1:1")
 	if c.holds(time.Now()) {
 		t.Fatal("confirmed by a connection")
--- a/internal/proxy/demand.go
+++ b/internal/dataplane/proxy/demand.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/staging"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/controlplane/roleplanner"
 )
 
 // demandInterval is the time between two reports of demand.
@@ -13,24 +13,24 @@
 
 // demandReporter turns the demand since the start into rates. It is used by one goroutine.
 type demandReporter struct {
-	before map[string]staging.Demand
+	before map[string]roleplanner.Demand
 	at     time.Time
 	told   bool // the report before was not empty
 }
 
 // report returns the rates since the call before, and whether they are to be told: one empty report follows the last one
 // that was not.
-func (r *demandReporter) report(now time.Time, total map[string]staging.Demand) ([]staging.ServiceDemand, bool) {
+func (r *demandReporter) report(now time.Time, total map[string]roleplanner.Demand) ([]roleplanner.ServiceDemand, bool) {
 	span := now.Sub(r.at).Seconds()
 	if r.at.IsZero() || span <= 0 {
 		r.before, r.at = total, now
 		return nil, false
 	}
-	var list []staging.ServiceDemand
+	var list []roleplanner.ServiceDemand
 	for service, sum := range total {
 		rate := sum.Since(r.before[service]).Times(1 / span)
-		if rate != (staging.Demand{}) {
-			list = append(list, staging.ServiceDemand{Service: service, Demand: rate})
+		if rate != (roleplanner.Demand{}) {
+			list = append(list, roleplanner.ServiceDemand{Service: service, Demand: rate})
 		}
 	}
 	tell := len(list) > 0 || r.told
@@ -39,7 +39,7 @@
 }
 
 // reportDemand reports the demand of services to the control plane until ctx ends.
-func (p *proxy) reportDemand(ctx context.Context, client *feedlink.Client) {
+func (p *proxy) reportDemand(ctx context.Context, client *feedtransport.Client) {
 	ticker := time.NewTicker(demandInterval)
 	defer ticker.Stop()
 	var reporter demandReporter
@@ -52,8 +52,8 @@
 			if !tell {
 				continue
 			}
-			if body, err := staging.EncodeReport(list); err == nil {
-				client.Report(feedlink.TopicDemand, body)
+			if body, err := roleplanner.EncodeReport(list); err == nil {
+				client.Report(feedtransport.TopicDemand, body)
 			}
 		}
 	}
--- a/internal/proxy/demand_test.go
+++ b/internal/dataplane/proxy/demand_test.go
@@ -4,13 +4,15 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/staging"
+	"ospreybend/internal/controlplane/roleplanner"
 )
 
 func TestDemandIsReportedAsARate(t *testing.T) {
 	var reporter demandReporter
 	start := time.Now()
-	total := func(read float64) map[string]staging.Demand { return map[string]staging.Demand{"s": {Read: read}} }
+	total := func(read float64) map[string]roleplanner.Demand {
+		return map[string]roleplanner.Demand{"s": {Read: read}}
+	}
 	if _, tell := reporter.report(start, total(5)); tell {
 		t.Fatal("a sum without a time before it was told")
 	}
--- a/internal/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -10,9 +10,9 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/internal/front"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/util/bootconfig"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -34,7 +34,7 @@
 // comes, or the grace is nearly over.
 func (p *proxy) drain() {
 	told := time.Now()
-	grace := max(settings.Seconds(p.settings.Load().Bounds.GraceS)-endMargin, 0)
+	grace := max(bootconfig.Seconds(p.settings.Load().Bounds.GraceS)-endMargin, 0)
 	p.closing.Store(&closing{told: told, end: told.Add(grace)})
 	p.log.Info("draining", zap.Duration("at most", grace))
 	p.front.Drain(min(noticeTime, grace))
@@ -52,7 +52,7 @@
 }
 
 // takes tells whether a request is served, and not refused since the process is about to end.
-func (p *proxy) takes(r *front.Request) bool {
+func (p *proxy) takes(r *httpserver.Request) bool {
 	told := p.closing.Load()
 	if told == nil {
 		return true
@@ -61,20 +61,20 @@
 }
 
 // take serves a request, or refuses it if the process is about to end.
-func (p *proxy) take(w *front.ResponseWriter, r *front.Request) {
+func (p *proxy) take(w *httpserver.ResponseWriter, r *httpserver.Request) {
 	if p.takes(r) {
 		p.dispatcher.Serve(w, r)
 		return
 	}
-	fields := httpwire.Fields{{Name: "Retry-After", Value: lateRetryAfter}}
+	fields := http1.Fields{{Name: "Retry-After", Value: lateRetryAfter}}
 	if id := r.Fields.Get("X-Request-Id"); id != "" {
-		fields = append(fields, httpwire.Field{Name: "X-Request-Id", Value: id})
+		fields = append(fields, http1.Field{Name: "X-Request-Id", Value: id})
 	}
 	_ = w.Answer(http.StatusServiceUnavailable, fields, nil)
 }
 
 // awaitQuiet returns true once clients come no more and no request is in work, and false once ctx has ended.
-func awaitQuiet(ctx context.Context, read func() front.Counts) bool {
+func awaitQuiet(ctx context.Context, read func() httpserver.Counts) bool {
 	started := time.Now()
 	lastNew := started
 	seen := read().Accepted
@@ -115,7 +115,7 @@
 		for {
 			select {
 			case <-signals:
-				p.reload(settings.Path())
+				p.reload(bootconfig.Path())
 			case <-stopped:
 				return
 			}
@@ -130,7 +130,7 @@
 // reload takes over what may change while the process runs: the memory limit and the grace. A file
 // that cannot be read, also not a moment later, changes nothing.
 func (p *proxy) reload(path string) {
-	loaded, err := settings.LoadWhole(path)
+	loaded, err := bootconfig.LoadWhole(path)
 	if err != nil {
 		p.log.Warn("settings not reloaded", zap.Error(err))
 		return
--- a/internal/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -6,34 +6,34 @@
 	"testing/synctest"
 	"time"
 
-	"ospreybend/internal/front"
+	"ospreybend/internal/dataplane/httpserver"
 )
 
 // drained plays a drain on the fake clock; counts tells what the front has at a time since its start.
-func drained(t *testing.T, limit time.Duration, counts func(time.Duration) front.Counts) (quiet bool, took time.Duration) {
+func drained(t *testing.T, limit time.Duration, counts func(time.Duration) httpserver.Counts) (quiet bool, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
 		started := time.Now()
-		quiet = awaitQuiet(ctx, func() front.Counts { return counts(time.Since(started)) })
+		quiet = awaitQuiet(ctx, func() httpserver.Counts { return counts(time.Since(started)) })
 		took = time.Since(started)
 	})
 	return quiet, took
 }
 
 func TestDrainWaitsUntilThePlatformHasNoticed(t *testing.T) {
-	quiet, took := drained(t, 7*time.Second, func(time.Duration) front.Counts { return front.Counts{} })
+	quiet, took := drained(t, 7*time.Second, func(time.Duration) httpserver.Counts { return httpserver.Counts{} })
 	if !quiet || took != noticeTime {
 		t.Fatalf("%v after %v", quiet, took)
 	}
 }
 
 func TestDrainWaitsForRequestsInWork(t *testing.T) {
-	quiet, took := drained(t, 7*time.Second, func(at time.Duration) front.Counts {
+	quiet, took := drained(t, 7*time.Second, func(at time.Duration) httpserver.Counts {
 		if at < 4*time.Second {
-			return front.Counts{InWork: 1}
+			return httpserver.Counts{InWork: 1}
 		}
-		return front.Counts{}
+		return httpserver.Counts{}
 	})
 	if !quiet || took != 4*time.Second {
 		t.Fatalf("%v after %v", quiet, took)
@@ -41,8 +41,8 @@
 }
 
 func TestDrainWaitsWhileConnectionsCome(t *testing.T) {
-	quiet, took := drained(t, 7*time.Second, func(at time.Duration) front.Counts {
-		return front.Counts{Accepted: int64(min(at, 3*time.Second) / (200 * time.Millisecond))}
+	quiet, took := drained(t, 7*time.Second, func(at time.Duration) httpserver.Counts {
+		return httpserver.Counts{Accepted: int64(min(at, 3*time.Second) / (200 * time.Millisecond))}
 	})
 	if !quiet || took != 3500*time.Millisecond {
 		t.Fatalf("%v after %v", quiet, took)
@@ -50,7 +50,7 @@
 }
 
 func TestDrainEndsBeforeTheGraceIsOver(t *testing.T) {
-	quiet, took := drained(t, 7*time.Second, func(time.Duration) front.Counts { return front.Counts{InWork: 1} })
+	quiet, took := drained(t, 7*time.Second, func(time.Duration) httpserver.Counts { return httpserver.Counts{InWork: 1} })
 	if quiet || took != 7*time.Second {
 		t.Fatalf("%v after %v", quiet, took)
 	}
--- a/internal/proxy/follower.go
+++ b/internal/dataplane/proxy/follower.go
@@ -7,22 +7,22 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/dataplane/fleetview"
 )
 
 // follower makes views of what the feed tells, and publishes them. One goroutine calls it.
 type follower struct {
-	builder   *catalog.Builder
-	publish   func(*catalog.View)
+	builder   *fleetview.Builder
+	publish   func(*fleetview.View)
 	confirmed *confirmation
 	log       *zap.Logger
 	changed   bool // the newest view is not published
 	whole     bool // each shard has come as far as the server had it
 }
 
-func newFollower(publish func(*catalog.View), confirmed *confirmation, log *zap.Logger) *follower {
-	return &follower{builder: catalog.NewBuilder(), publish: publish, confirmed: confirmed, log: log}
+func newFollower(publish func(*fleetview.View), confirmed *confirmation, log *zap.Logger) *follower {
+	return &follower{builder: fleetview.NewBuilder(), publish: publish, confirmed: confirmed, log: log}
 }
 
 // Snapshot implements feedlink.Handler.
@@ -44,7 +44,7 @@
 
 // Status implements feedlink.Handler. The first one follows all that the server had of every shard:
 // no view is published before, since it would have routes and no workers.
-func (f *follower) Status(status feedlink.Status) {
+func (f *follower) Status(status feedtransport.Status) {
 	f.whole = true
 	f.publishChanged()
 	f.confirmed.note(time.Now(), status)
--- a/internal/proxy/limits.go
+++ b/internal/dataplane/proxy/limits.go
@@ -3,7 +3,7 @@
 import (
 	"runtime/debug"
 
-	"ospreybend/internal/settings"
+	"ospreybend/internal/util/bootconfig"
 )
 
 const (
@@ -23,7 +23,7 @@
 )
 
 // applyMemoryLimit sets the garbage collector up for the machine.
-func applyMemoryLimit(limits settings.Limits) {
+func applyMemoryLimit(limits bootconfig.Limits) {
 	debug.SetGCPercent(heapGrowth)
 	if limits.MemoryMb > 0 {
 		debug.SetMemoryLimit(int64(limits.MemoryMb) * megabyte * memoryShare / percent)
@@ -31,12 +31,12 @@
 }
 
 // clientConnections is how many of the descriptors clients may take; the rest is for workers.
-func clientConnections(limits settings.Limits) int {
+func clientConnections(limits bootconfig.Limits) int {
 	free := limits.MaxFds - reservedDescriptors
 	return min(mostClients, max(free/2, 1))
 }
 
 // bodyBudget is how many bytes the bodies of requests may take together.
-func bodyBudget(limits settings.Limits) int64 {
+func bodyBudget(limits bootconfig.Limits) int64 {
 	return int64(limits.MemoryMb) * megabyte * bodyShare / percent
 }
--- a/internal/proxy/loadshare.go
+++ b/internal/dataplane/proxy/loadshare.go
@@ -8,10 +8,10 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/dispatch"
-	"ospreybend/internal/loadshare"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/dataplane/dispatch"
+	"ospreybend/internal/dataplane/fleetview"
+	"ospreybend/internal/dataplane/loadshare"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // sharer tells the other proxies what this one has under way, and hears what they have.
@@ -29,11 +29,11 @@
 	started    time.Time
 	told       bool // the last state sent was not empty
 	peers      []netip.AddrPort
-	peersOf    *catalog.View
+	peersOf    *fleetview.View
 }
 
 // newSharer opens the socket. Without one the proxy works by what answers tell alone.
-func newSharer(loaded *settings.Settings, log *zap.Logger) *sharer {
+func newSharer(loaded *bootconfig.Settings, log *zap.Logger) *sharer {
 	s := &sharer{own: loaded.IP, changed: make(chan struct{}, 1), done: make(chan struct{}), node: rand.Uint64(), started: time.Now()}
 	at, err := netip.ParseAddrPort(loaded.LoadAddressOf(loaded.IP))
 	if err != nil {
--- a/internal/proxy/parts_test.go
+++ b/internal/dataplane/proxy/parts_test.go
@@ -8,22 +8,22 @@
 	"go.uber.org/zap"
 
 	"ospreybend/coord/feed"
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/registry"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/dataplane/fleetview"
+	"ospreybend/internal/util/bootconfig"
 )
 
-func worker(id, address string) *catalog.Worker {
-	return &catalog.Worker{Instance: registry.Instance{ID: id, Service: "s", Address: address}}
+func worker(id, address string) *fleetview.Worker {
+	return &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "s", Address: address}}
 }
 
-func viewOf(mostConnections, nodes int, workers ...*catalog.Worker) *catalog.View {
-	return &catalog.View{
+func viewOf(mostConnections, nodes int, workers ...*fleetview.Worker) *fleetview.View {
+	return &fleetview.View{
 		Nodes:    nodes,
 		Services: map[string]*configuration.Service{"s": {Name: "s", MaxConnections: mostConnections}},
-		Workers:  map[string][]*catalog.Worker{"s": workers},
+		Workers:  map[string][]*fleetview.Worker{"s": workers},
 	}
 }
 
@@ -49,18 +49,18 @@
 }
 
 func TestNoViewBeforeEveryShardHasCome(t *testing.T) {
-	var published []*catalog.View
-	f := newFollower(func(view *catalog.View) { published = append(published, view) }, new(confirmation), zap.NewNop())
+	var published []*fleetview.View
+	f := newFollower(func(view *fleetview.View) { published = append(published, view) }, new(confirmation), zap.NewNop())
 	f.Snapshot(0, feed.Snapshot{Index: 3, Items: configurationItems("3")})
 	f.BatchDone()
 	if published != nil {
 		t.Fatal("published a configuration without the workers")
 	}
-	f.Status(feedlink.Status{})
+	f.Status(feedtransport.Status{})
 	if len(published) != 1 || published[0].Generation != 3 {
 		t.Fatalf("%d views", len(published))
 	}
-	f.Status(feedlink.Status{})
+	f.Status(feedtransport.Status{})
 	f.BatchDone()
 	if len(published) != 1 {
 		t.Fatal("published without a change")
@@ -73,7 +73,7 @@
 }
 
 func TestAgentsPortIsTheSecondOfTheRange(t *testing.T) {
-	port, err := agentPort(&settings.Settings{PortRange: [2]int{7660, 7675}})
+	port, err := agentPort(&bootconfig.Settings{PortRange: [2]int{7660, 7675}})
 	if err != nil || port != 7661 {
 		t.Fatal(port, err)
 	}
@@ -89,7 +89,7 @@
 
 func TestDescriptorsAreShared(t *testing.T) {
 	for fds, want := range map[int]int{4100: 1950, 100: 1, 100000: mostClients} {
-		if got := clientConnections(settings.Limits{MaxFds: fds}); got != want {
+		if got := clientConnections(bootconfig.Limits{MaxFds: fds}); got != want {
 			t.Errorf("%d: %d", fds, got)
 		}
 	}
--- a/internal/proxy/places.go
+++ b/internal/dataplane/proxy/places.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/internal/catalog"
+	"ospreybend/internal/dataplane/fleetview"
 )
 
 // leastPlaces is the least number of connections that a node may have to one worker.
@@ -27,7 +27,7 @@
 }
 
 // set takes the addresses of a view, and returns those that no worker of it has any more.
-func (p *places) set(view *catalog.View) []string {
+func (p *places) set(view *fleetview.View) []string {
 	next := placesOf(view)
 	previous := p.byAddress.Swap(&next)
 	if previous == nil {
@@ -42,7 +42,7 @@
 	return gone
 }
 
-func placesOf(view *catalog.View) map[string]int {
+func placesOf(view *fleetview.View) map[string]int {
 	byAddress := map[string]int{}
 	for name, workers := range view.Workers {
 		share := shareOfPlaces(view, name)
@@ -55,7 +55,7 @@
 
 // shareOfPlaces is this node's part of the connections that a worker of a service accepts. One part
 // is left free for nodes that are not known yet.
-func shareOfPlaces(view *catalog.View, name string) int {
+func shareOfPlaces(view *fleetview.View, name string) int {
 	service := view.Services[name]
 	if service == nil || service.MaxConnections <= 0 {
 		return 0
@@ -64,7 +64,7 @@
 }
 
 // publish puts a view in force. Idle connections to workers that are not in it are closed.
-func (p *proxy) publish(view *catalog.View) {
+func (p *proxy) publish(view *fleetview.View) {
 	first := p.dispatcher.View() == nil
 	gone := p.places.set(view)
 	p.dispatcher.SetView(view)
--- a/internal/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -11,19 +11,19 @@
 	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/dispatch"
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/front"
-	"ospreybend/internal/retrybudget"
-	"ospreybend/internal/selection"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/dataplane/dispatch"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/dataplane/retrybudget"
+	"ospreybend/internal/dataplane/selection"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // Run serves until ctx ends, and then until what is in work is done. It returns an error only where
 // the process cannot do its work.
-func Run(ctx context.Context, loaded settings.Settings, log *zap.Logger) error {
+func Run(ctx context.Context, loaded bootconfig.Settings, log *zap.Logger) error {
 	p, err := start(loaded, log)
 	if err != nil {
 		return err
@@ -42,13 +42,13 @@
 
 // proxy is a running process.
 type proxy struct {
-	settings   atomic.Pointer[settings.Settings]
+	settings   atomic.Pointer[bootconfig.Settings]
 	log        *zap.Logger
-	pool       *exchange.Pool
+	pool       *upstream.Pool
 	places     *places
 	dispatcher *dispatch.Dispatcher
-	front      *front.Server
-	readiness  *front.Server
+	front      *httpserver.Server
+	readiness  *httpserver.Server
 	sharer     *sharer
 	confirmed  confirmation
 	closing    atomic.Pointer[closing] // nil: the process was not told to end
@@ -58,12 +58,12 @@
 }
 
 // start opens the listeners and begins to serve.
-func start(loaded settings.Settings, log *zap.Logger) (*proxy, error) {
-	frontListener, err := front.Listen(loaded.Listen.Front)
+func start(loaded bootconfig.Settings, log *zap.Logger) (*proxy, error) {
+	frontListener, err := httpserver.Listen(loaded.Listen.Front)
 	if err != nil {
 		return nil, eris.Wrap(err, "proxy: listen for clients")
 	}
-	readinessListener, err := front.Listen(loaded.Listen.Readiness)
+	readinessListener, err := httpserver.Listen(loaded.Listen.Readiness)
 	if err != nil {
 		_ = frontListener.Close()
 		return nil, eris.Wrap(err, "proxy: listen for the readiness check")
@@ -72,7 +72,7 @@
 }
 
 // startOn begins to serve on listeners that are open.
-func startOn(loaded settings.Settings, log *zap.Logger, frontListener, readinessListener net.Listener) (*proxy, error) {
+func startOn(loaded bootconfig.Settings, log *zap.Logger, frontListener, readinessListener net.Listener) (*proxy, error) {
 	port, err := agentPort(&loaded)
 	if err != nil {
 		return nil, err
@@ -87,16 +87,16 @@
 	return p, nil
 }
 
-func newProxy(loaded settings.Settings, log *zap.Logger) *proxy {
+func newProxy(loaded bootconfig.Settings, log *zap.Logger) *proxy {
 	p := &proxy{log: log, places: new(places), failed: make(chan error, 2), stopFeed: func() {}}
 	p.settings.Store(&loaded)
-	p.pool = exchange.New(exchange.Options{MaxConnections: p.places.of})
+	p.pool = upstream.New(upstream.Options{MaxConnections: p.places.of})
 	started := time.Now()
 	p.sharer = newSharer(&loaded, log)
 	p.dispatcher = dispatch.New(dispatch.Options{
 		Workers: dispatch.OverPool(p.pool),
 		Chooser: selection.New(selection.Options{
-			Zone: loaded.Zone, Seed: rand.Uint64(), Again: settings.Seconds(loaded.Bounds.AgainS),
+			Zone: loaded.Zone, Seed: rand.Uint64(), Again: bootconfig.Seconds(loaded.Bounds.AgainS),
 		}),
 		Budget:  budgetRules(loaded.Bounds),
 		Now:     func() time.Duration { return time.Since(started) },
@@ -112,17 +112,17 @@
 	return p
 }
 
-func budgetRules(bounds settings.Bounds) retrybudget.Rules {
+func budgetRules(bounds bootconfig.Bounds) retrybudget.Rules {
 	return retrybudget.Rules{
 		Ratio:  bounds.RetryBudgetRatio,
 		Slack:  bounds.RetryBudgetSlack,
-		Window: settings.Seconds(bounds.BudgetWindowS),
+		Window: bootconfig.Seconds(bounds.BudgetWindowS),
 	}
 }
 
 // newFront makes the server towards clients.
-func (p *proxy) newFront(limits settings.Limits) *front.Server {
-	return front.New(front.Options{
+func (p *proxy) newFront(limits bootconfig.Limits) *httpserver.Server {
+	return httpserver.New(httpserver.Options{
 		Handler:        p.take,
 		Limits:         p.clientLimits,
 		Held:           p.dispatcher.Held,
@@ -146,7 +146,7 @@
 }
 
 // serve accepts connections in a goroutine. An error that lasts ends the process.
-func (p *proxy) serve(server *front.Server, listener net.Listener) {
+func (p *proxy) serve(server *httpserver.Server, listener net.Listener) {
 	go func() {
 		if err := server.Serve(listener); err != nil {
 			p.failed <- eris.Wrap(err, "proxy: accept")
@@ -157,10 +157,10 @@
 // followFeed reads the feed of the machine's agent in a goroutine.
 func (p *proxy) followFeed(port int) {
 	loaded := p.settings.Load()
-	hello := feedlink.Hello{
+	hello := feedtransport.Hello{
 		Node: loaded.NodeName, Zone: loaded.Zone, Region: loaded.Region, IP: loaded.IP, Incarnation: rand.Uint64(),
 	}
-	client := feedlink.NewProxyClient(hello, port, newFollower(p.publish, &p.confirmed, p.log))
+	client := feedtransport.NewProxyClient(hello, port, newFollower(p.publish, &p.confirmed, p.log))
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stopFeed = cancel
 	go func() { _ = client.Run(ctx) }()
@@ -177,7 +177,7 @@
 }
 
 // agentPort is where the machine's agent serves the feed on loopback.
-func agentPort(loaded *settings.Settings) (int, error) {
+func agentPort(loaded *bootconfig.Settings) (int, error) {
 	_, port, err := net.SplitHostPort(loaded.FeedAddress())
 	if err != nil {
 		return 0, eris.Wrap(err, "proxy: address of the feed")
--- a/internal/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -15,11 +15,11 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/front"
-	"ospreybend/internal/registry"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/util/bootconfig"
 )
 
 const (
@@ -61,13 +61,13 @@
 	return nil, &snapshot
 }
 
-func (a *standInAgent) Status() feedlink.Status {
-	return feedlink.Status{Shards: []feedlink.ShardStatus{{Index: 4, Current: !a.behind}, {Shard: 1, Index: 9, Current: true}}}
+func (a *standInAgent) Status() feedtransport.Status {
+	return feedtransport.Status{Shards: []feedtransport.ShardStatus{{Index: 4, Current: !a.behind}, {Shard: 1, Index: 9, Current: true}}}
 }
 
 func (a *standInAgent) Subscribe(chan<- struct{}) func() { return func() {} }
 
-func (a *standInAgent) OnReport(feedlink.Hello, string, []byte) {}
+func (a *standInAgent) OnReport(feedtransport.Hello, string, []byte) {}
 
 // serve answers proxies until the test ends.
 func (a *standInAgent) serve(t *testing.T, listener net.Listener) {
@@ -83,15 +83,15 @@
 }
 
 func (a *standInAgent) session(ctx context.Context, connection net.Conn) {
-	_, body, err := feedlink.ReadFirstFrame(connection, patience)
+	_, body, err := feedtransport.ReadFirstFrame(connection, patience)
 	if err != nil {
 		return
 	}
-	hello, err := feedlink.DecodeHello(body)
+	hello, err := feedtransport.DecodeHello(body)
 	if err != nil {
 		return
 	}
-	_ = feedlink.Serve(ctx, connection, hello, a)
+	_ = feedtransport.Serve(ctx, connection, hello, a)
 }
 
 // standInWorker answers as a worker does.
@@ -173,7 +173,7 @@
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	listener, err := front.Listen("127.0.0.1:0")
+	listener, err := httpserver.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 }
 
 func (s *system) startProxy(feedPort int) {
-	loaded := settings.Defaults()
+	loaded := bootconfig.Defaults()
 	loaded.PortRange = [2]int{feedPort - 1, feedPort + 10}
 	loaded.Bounds.GraceS = 8
 	loaded.Bounds.BudgetWindowS = 0.001
--- a/internal/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"strings"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/front"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -17,10 +17,10 @@
 )
 
 // newReadiness makes the server that the platform asks whether to send clients here.
-func (p *proxy) newReadiness() *front.Server {
-	check := front.Readiness(p.ready)
-	return front.New(front.Options{
-		Handler: func(w *front.ResponseWriter, r *front.Request) {
+func (p *proxy) newReadiness() *httpserver.Server {
+	check := httpserver.Readiness(p.ready)
+	return httpserver.New(httpserver.Options{
+		Handler: func(w *httpserver.ResponseWriter, r *httpserver.Request) {
 			if r.Path == pathMetrics {
 				p.writeMetrics(w)
 				return
@@ -39,13 +39,13 @@
 }
 
 // writeMetrics answers with the process's figures, a name and a number in each line.
-func (p *proxy) writeMetrics(w *front.ResponseWriter) {
+func (p *proxy) writeMetrics(w *httpserver.ResponseWriter) {
 	var text strings.Builder
 	p.addViewMetrics(&text)
 	appendMetrics(&text, "dispatch", fmt.Sprintf("%+v", p.dispatcher.Counts()))
 	appendMetrics(&text, "front", fmt.Sprintf("%+v", p.front.Counts()))
 	appendMetrics(&text, "workers", fmt.Sprintf("%+v", p.pool.Counts()))
-	fields := httpwire.Fields{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
+	fields := http1.Fields{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
 	_ = w.Answer(statusOK, fields, []byte(text.String()))
 }
 
--- a/internal/proxy/run_test.go
+++ b/internal/dataplane/proxy/run_test.go
@@ -10,14 +10,14 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/internal/settings"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // settingsOfTests listen on any free port. The grace is too short for anything to be waited for.
-func settingsOfTests() settings.Settings {
-	loaded := settings.Defaults()
+func settingsOfTests() bootconfig.Settings {
+	loaded := bootconfig.Defaults()
 	loaded.NodeName, loaded.Role, loaded.IP = "edge-1", "proxy", "127.0.0.1"
-	loaded.Listen = settings.Listen{Front: "127.0.0.1:0", Readiness: "127.0.0.1:0"}
+	loaded.Listen = bootconfig.Listen{Front: "127.0.0.1:0", Readiness: "127.0.0.1:0"}
 	loaded.PortRange = [2]int{7660, 7675}
 	loaded.Bounds.GraceS = 0.1
 	return loaded
@@ -40,7 +40,7 @@
 	}
 }
 
-func writeSettings(t *testing.T, loaded settings.Settings) string {
+func writeSettings(t *testing.T, loaded bootconfig.Settings) string {
 	t.Helper()
 	content, err := json.Marshal(loaded)
 	if err != nil {
@@ -73,7 +73,7 @@
 	defer s.proxy.watchSettings()()
 	changed := settingsOfTests()
 	changed.Bounds.GraceS = 3
-	t.Setenv(settings.Variable, writeSettings(t, changed))
+	t.Setenv(bootconfig.Variable, writeSettings(t, changed))
 	answered := make(chan int, 1)
 	go func() {
 		status, _, _ := s.ask("/a/held")
--- a/internal/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -43,17 +43,17 @@
 
 // admission is what refusing depends on besides the load.
 type admission struct {
-	solo map[string]*stat.Mean     // by route: first event of its requests if none waits, in seconds
+	solo map[string]*stats.Mean    // by route: first event of its requests if none waits, in seconds
 	seen [priorities]time.Duration // last request of a priority, plus 1; 0: none
 }
 
 // note takes in a request and returns what its route's first events take if none waits.
 func (a *admission) note(now time.Duration, r *Request, alone float64) float64 {
 	if a.solo == nil {
-		a.solo = map[string]*stat.Mean{}
+		a.solo = map[string]*stats.Mean{}
 	}
 	a.seen[rankOf(r.Priority)] = now + 1
-	mean := stat.Of(a.solo, r.Route)
+	mean := stats.Of(a.solo, r.Route)
 	usual := mean.Or(alone, 0) // without its own size, which must not decide
 	mean.Add(min(alone, usual*oddRatio), soloMemory)
 	return usual
--- a/internal/selection/call_test.go
+++ b/internal/dataplane/selection/call_test.go
@@ -10,14 +10,14 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/registry"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/dataplane/fleetview"
 )
 
 // rig builds a selector for an engine service of some prefill and decode workers in two zones.
-func rig(prefill, decode int, seed uint64) (*Selector, *catalog.View) {
-	view := &catalog.View{Nodes: 4, Workers: map[string][]*catalog.Worker{},
+func rig(prefill, decode int, seed uint64) (*Selector, *fleetview.View) {
+	view := &fleetview.View{Nodes: 4, Workers: map[string][]*fleetview.Worker{},
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
 			Slots: 64, KVTokens: 300000, KVTokenBytes: 327680, LinkMbps: 2.6e6, Stride: 7}}}}
 	for i := range prefill + decode {
@@ -32,8 +32,8 @@
 	return s, view
 }
 
-func entry(i int, stage string) *catalog.Worker {
-	return &catalog.Worker{Instance: registry.Instance{ID: "w" + string(rune('a'+i)), Service: "m",
+func entry(i int, stage string) *fleetview.Worker {
+	return &fleetview.Worker{Instance: registry.Instance{ID: "w" + string(rune('a'+i)), Service: "m",
 		Zone: zoneName(i % 2), Slots: 64, Stage: stage}}
 }
 
@@ -50,7 +50,7 @@
 }
 
 // drive plays random calls, a step for each number, and ends all that are open.
-func drive(s *Selector, view *catalog.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
+func drive(s *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
 	var open []*Call
 	now := time.Duration(0)
 	random := rand.New(rand.NewPCG(uint64(len(steps)), 5))
@@ -139,7 +139,7 @@
 	p.TestingRun(t)
 }
 
-func idOf(w *catalog.Worker) string {
+func idOf(w *fleetview.Worker) string {
 	if w == nil {
 		return ""
 	}
@@ -177,7 +177,7 @@
 	s, view := rig(1, 1, 1)
 	r := ask(0, 1, 160, 100)
 	c, _ := s.Choose(0, r, nil)
-	s.SetView(0, &catalog.View{Services: view.Services, Workers: map[string][]*catalog.Worker{}})
+	s.SetView(0, &fleetview.View{Services: view.Services, Workers: map[string][]*fleetview.Worker{}})
 	call := s.Sent(0, r, CallRun, c)
 	s.FirstEvent(1, call)
 	s.Told(1, call, Load{})
--- a/internal/selection/demand.go
+++ b/internal/dataplane/selection/demand.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreybend/internal/staging"
+	"ospreybend/internal/controlplane/roleplanner"
 )
 
 const (
@@ -16,11 +16,11 @@
 
 // Demands returns the demand of each service whose workers have stages, since the start. Running streams count for the time
 // since the call before, so it is to be called several times a second.
-func (s *Selector) Demands(now time.Duration) map[string]staging.Demand {
-	demands := make(map[string]staging.Demand, len(s.services))
+func (s *Selector) Demands(now time.Duration) map[string]roleplanner.Demand {
+	demands := make(map[string]roleplanner.Demand, len(s.services))
 	for name, service := range s.services {
 		service.countStreams(now)
-		if service.demand != (staging.Demand{}) {
+		if service.demand != (roleplanner.Demand{}) {
 			demands[name] = service.demand
 		}
 	}
--- a/internal/selection/fleet_test.go
+++ b/internal/dataplane/selection/fleet_test.go
@@ -6,9 +6,9 @@
 	"sort"
 	"time"
 
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/registry"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/dataplane/fleetview"
 )
 
 // kind is a kind of request as the model plays it.
@@ -39,7 +39,7 @@
 	clock     clock
 	random    *rand.Rand
 	workers   map[string]*modelWorker
-	list      []*catalog.Worker
+	list      []*fleetview.Worker
 	selectors []*Selector
 	counts    []map[string]int // by node: own calls at a worker
 	policy    policy
@@ -67,10 +67,10 @@
 		id := fmt.Sprintf("i-%03d", i)
 		f.workers[id] = &modelWorker{clock: &f.clock, decode: stage == "decode", slow: speeds[i%3],
 			keeps: kept{capacity: 342882}}
-		f.list = append(f.list, &catalog.Worker{Instance: registry.Instance{ID: id, Service: "m",
+		f.list = append(f.list, &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "m",
 			Zone: zoneName(i % zones), Slots: 64, Stage: stage}})
 	}
-	view := &catalog.View{Workers: map[string][]*catalog.Worker{"m": f.list}, Nodes: nodes,
+	view := &fleetview.View{Workers: map[string][]*fleetview.Worker{"m": f.list}, Nodes: nodes,
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
 			Slots: 64, KVTokens: 342882, KVTokenBytes: 327680, LinkMbps: 2.6e6, Stride: 7}}}}
 	for i := range nodes {
@@ -250,8 +250,8 @@
 }
 
 // split lists the workers of a stage.
-func (f *modelFleet) split(stage string) []*catalog.Worker {
-	var out []*catalog.Worker
+func (f *modelFleet) split(stage string) []*fleetview.Worker {
+	var out []*fleetview.Worker
 	for _, w := range f.list {
 		if w.Stage == stage {
 			out = append(out, w)
@@ -266,7 +266,7 @@
 }
 
 func byOutstanding(f *modelFleet, node int, r *Request) (Choice, bool) {
-	pick := func(list []*catalog.Worker) *catalog.Worker {
+	pick := func(list []*fleetview.Worker) *fleetview.Worker {
 		best, ties := list[0], 0
 		for _, w := range list {
 			switch a, b := f.counts[node][w.ID], f.counts[node][best.ID]; {
--- a/internal/selection/homes.go
+++ b/internal/dataplane/selection/homes.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"ospreybend/internal/estimate"
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/estimate"
+	"ospreybend/internal/util/stats"
 )
 
 // A part that requests share is read at its homes: all nodes order the workers of a class alike for it
@@ -24,8 +24,8 @@
 
 // popularity counts how often shared parts come.
 type popularity struct {
-	keys, inner stat.Shares
-	gap         stat.Mean // seconds between this node's requests
+	keys, inner stats.Shares
+	gap         stats.Mean // seconds between this node's requests
 	last        time.Duration
 	seen        bool
 }
--- a/internal/selection/links.go
+++ b/internal/dataplane/selection/links.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"ospreybend/internal/estimate"
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/estimate"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // outcomes is what became of hand-overs.
 type outcomes struct {
-	all   stat.Odds
+	all   stats.Odds
 	pairs map[link]strikes
 }
 
--- a/internal/selection/model_test.go
+++ b/internal/dataplane/selection/model_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
-func mixed(x uint64) uint64 { return stat.Mix(x) }
+func mixed(x uint64) uint64 { return stats.Mix(x) }
 
 func TestDesignBeatsRandomAndLeastOutstanding(t *testing.T) {
 	cases := []struct {
--- a/internal/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -4,10 +4,10 @@
 	"math/rand/v2"
 	"time"
 
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/staging"
-	"ospreybend/internal/stat"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/roleplanner"
+	"ospreybend/internal/dataplane/fleetview"
+	"ospreybend/internal/util/stats"
 )
 
 // Options fixes what a Selector does not learn.
@@ -39,10 +39,10 @@
 	pools     [classes]pool
 	shared    popularity
 	handover  outcomes
-	moved     stat.Window // hand-overs of all pairs: what they took against what they should, in seconds
+	moved     stats.Window // hand-overs of all pairs: what they took against what they should, in seconds
 	admitted  admission
-	demand    staging.Demand // since the start
-	streamsAt time.Duration  // when running streams were counted last
+	demand    roleplanner.Demand // since the start
+	streamsAt time.Duration      // when running streams were counted last
 	scratch   scratch
 }
 
@@ -61,7 +61,7 @@
 
 // SetView takes in a new view. Workers that stay keep their state; one whose stage changed puts the
 // windows of its old stage away.
-func (s *Selector) SetView(now time.Duration, view *catalog.View) {
+func (s *Selector) SetView(now time.Duration, view *fleetview.View) {
 	s.nodes = max(1, view.Nodes)
 	for name := range s.services {
 		if len(view.Workers[name]) == 0 && view.Services[name] == nil {
@@ -89,7 +89,7 @@
 }
 
 // update brings the service's workers in line with a view.
-func (s *service) update(now time.Duration, description *configuration.Service, listed []*catalog.Worker) {
+func (s *service) update(now time.Duration, description *configuration.Service, listed []*fleetview.Worker) {
 	s.engine = nil
 	if description != nil {
 		s.engine = description.Engine
--- a/internal/selection/shared.go
+++ b/internal/dataplane/selection/shared.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -114,5 +114,5 @@
 	}
 	sum := s.selector.peersAt(now, w)
 	told := sum.Waiting / max(leastSeconds, s.pools[w.class].usualSolo(w.class))
-	return stat.Between(told, waiting, coverage), stat.Between(sum.Running, running, coverage)
+	return stats.Between(told, waiting, coverage), stats.Between(sum.Running, running, coverage)
 }
--- a/internal/selection/types.go
+++ b/internal/dataplane/selection/types.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"ospreybend/internal/catalog"
+	"ospreybend/internal/dataplane/fleetview"
 )
 
 // Part is one piece of a prompt, shared among requests that carry the same ID in the same place.
@@ -34,10 +34,10 @@
 
 // Choice is where a request goes.
 type Choice struct {
-	Prefill *catalog.Worker // reads the prompt; nil: Run does it alone, or the service has no stages
-	Run     *catalog.Worker // makes the tokens, or the whole answer
-	First   time.Duration   // predicted time from now to the first event, or to the whole answer
-	Urgency int             // of the call that reads the prompt, 0 (first) to 9; once it is read, 0 holds
+	Prefill *fleetview.Worker // reads the prompt; nil: Run does it alone, or the service has no stages
+	Run     *fleetview.Worker // makes the tokens, or the whole answer
+	First   time.Duration     // predicted time from now to the first event, or to the whole answer
+	Urgency int               // of the call that reads the prompt, 0 (first) to 9; once it is read, 0 holds
 }
 
 // Verdict is what becomes of a request.
--- a/internal/selection/windows.go
+++ b/internal/dataplane/selection/windows.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 // Facts of the engines that the interface describes, as priors; all are in seconds, or seconds a token.
@@ -37,14 +37,14 @@
 
 // pool is what the workers of one class have shown together.
 type pool struct {
-	ratio            stat.Mean   // running time for each second that it should take
-	handRatio        stat.Mean   // the same for first events of what another worker has read
-	wait             stat.Pooled // queue wait against the load, with its sign turned
-	nearTrip         stat.Mean   // transfer of calls to the own zone, beyond what moving takes
-	farTrip          stat.Mean
-	solo             stat.Mean     // time that a call should take by itself
-	running, waiting stat.Mean     // load at a worker by others
-	memory           stat.Mean     // tokens that a running request holds
+	ratio            stats.Mean   // running time for each second that it should take
+	handRatio        stats.Mean   // the same for first events of what another worker has read
+	wait             stats.Pooled // queue wait against the load, with its sign turned
+	nearTrip         stats.Mean   // transfer of calls to the own zone, beyond what moving takes
+	farTrip          stats.Mean
+	solo             stats.Mean    // time that a call should take by itself
+	running, waiting stats.Mean    // load at a worker by others
+	memory           stats.Mean    // tokens that a running request holds
 	heard            time.Duration // when an answer last told of load
 	leavesOut        bool          // an answer does not count its own request
 }
@@ -77,7 +77,7 @@
 func (f forecast) total() float64 { return f.transfer + f.run + f.wait }
 
 // bucketOf gives the size bucket of so many tokens to be read.
-func bucketOf(read float64) int { return 1 + stat.Bucket(max(0, read)/bucketTokens, bucketBase) }
+func bucketOf(read float64) int { return 1 + stats.Bucket(max(0, read)/bucketTokens, bucketBase) }
 
 // soloOf is the time that reading takes by itself, where so many tokens before are kept.
 func soloOf(c class, read, kept float64) float64 {
--- a/internal/selection/worker.go
+++ b/internal/dataplane/selection/worker.go
@@ -4,9 +4,9 @@
 	"hash/fnv"
 	"time"
 
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/estimate"
-	"ospreybend/internal/stat"
+	"ospreybend/internal/dataplane/fleetview"
+	"ospreybend/internal/util/estimate"
+	"ospreybend/internal/util/stats"
 )
 
 // class is the part that a worker plays; the windows of each are apart.
@@ -38,14 +38,14 @@
 
 // worker is what this node knows of one incarnation of a worker.
 type worker struct {
-	entry  *catalog.Worker
+	entry  *fleetview.Worker
 	number uint64 // hash of its ID, the same on all nodes
 	class  class
 	zone   int
 	near   bool                     // in the node's own zone
 	delays [classes]estimate.Delays // those of a class that it no longer has are kept aside
-	speed  [classes]stat.Window     // running time against the time it should take, over all sizes
-	moved  stat.Window              // hand-overs from it or to it: delay against tokens weighed by distance
+	speed  [classes]stats.Window    // running time against the time it should take, over all sizes
+	moved  stats.Window             // hand-overs from it or to it: delay against tokens weighed by distance
 	calls  []*Call                  // that have not ended
 	memory float64                  // tokens that its running calls hold, by this node's count
 	told   told
@@ -53,7 +53,7 @@
 	kept   kept
 }
 
-func newWorker(entry *catalog.Worker) *worker {
+func newWorker(entry *fleetview.Worker) *worker {
 	hash := fnv.New64a()
 	hash.Write([]byte(entry.ID))
 	w := &worker{entry: entry, number: hash.Sum64()}
--- a/internal/exchange/fuzz_test.go
+++ b/internal/dataplane/upstream/fuzz_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package upstream_test
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"testing/synctest"
 	"time"
 
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/exchange/exchangetest"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/dataplane/upstream/upstreamtest"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -68,8 +68,8 @@
 }
 
 // connection draws the turns of a connection.
-func (w *drawnWorker) connection(int) []exchangetest.Turn {
-	var turns []exchangetest.Turn
+func (w *drawnWorker) connection(int) []upstreamtest.Turn {
+	var turns []upstreamtest.Turn
 	for range fuzzRequests + 1 {
 		turns = append(turns, w.turn())
 	}
@@ -77,28 +77,28 @@
 }
 
 // turn draws how much of a request is taken. What comes back is drawn once it is asked.
-func (w *drawnWorker) turn() exchangetest.Turn {
-	turn := exchangetest.Turn{}
-	if how := w.program.below(12); how <= int(exchangetest.Blocked) {
-		turn.Sent = exchangetest.Sent(how)
+func (w *drawnWorker) turn() upstreamtest.Turn {
+	turn := upstreamtest.Turn{}
+	if how := w.program.below(12); how <= int(upstreamtest.Blocked) {
+		turn.Sent = upstreamtest.Sent(how)
 	}
 	for range w.program.below(8) {
 		turn.Pieces = append(turn.Pieces, w.program.next())
 	}
-	turn.End = exchangetest.End(w.program.below(3))
-	if turn.Sent == exchangetest.BodyInPart { // a connection that takes no more has ended
-		turn.End = max(turn.End, exchangetest.FIN)
+	turn.End = upstreamtest.End(w.program.below(3))
+	if turn.Sent == upstreamtest.BodyInPart { // a connection that takes no more has ended
+		turn.End = max(turn.End, upstreamtest.FIN)
 	}
 	end := turn.End
-	if turn.Sent != exchangetest.Whole { // nor has one that takes no more ended in order
-		end = exchangetest.Reset
+	if turn.Sent != upstreamtest.Whole { // nor has one that takes no more ended in order
+		end = upstreamtest.Reset
 	}
-	turn.Answer = func(request exchangetest.Request) string { return w.answer(request.ID, end) }
+	turn.Answer = func(request upstreamtest.Request) string { return w.answer(request.ID, end) }
 	return turn
 }
 
 // answer draws what comes back, up to an end of which the connection knows.
-func (w *drawnWorker) answer(id string, end exchangetest.End) string {
+func (w *drawnWorker) answer(id string, end upstreamtest.End) string {
 	text := ""
 	for range w.program.below(fuzzPieces + 1) {
 		switch kind := w.program.below(10); kind {
@@ -127,16 +127,16 @@
 }
 
 // note keeps an answer that is not cut.
-func (w *drawnWorker) note(d draft, end exchangetest.End) {
+func (w *drawnWorker) note(d draft, end upstreamtest.End) {
 	w.begun[d.id] = append(w.begun[d.id], d.body)
-	if !d.toEnd || end == exchangetest.FIN {
+	if !d.toEnd || end == upstreamtest.FIN {
 		w.whole[d.id] = append(w.whole[d.id], d.body)
 	}
 	w.rejected[d.id] = w.rejected[d.id] || d.rejected
 }
 
 // cut is a part of an answer that misses its last byte at least. Behind it nothing comes.
-func (w *drawnWorker) cut(d draft, end exchangetest.End) string {
+func (w *drawnWorker) cut(d draft, end upstreamtest.End) string {
 	text := d.head + d.text
 	if d.toEnd {
 		text += "?"
@@ -146,7 +146,7 @@
 	w.begun[d.id] = append(w.begun[d.id], d.body)
 	if at >= len(d.head) {
 		w.rejected[d.id] = w.rejected[d.id] || d.rejected
-		if d.toEnd && end == exchangetest.FIN { // nobody can tell it from a whole one
+		if d.toEnd && end == upstreamtest.FIN { // nobody can tell it from a whole one
 			w.whole[d.id] = append(w.whole[d.id], text[len(d.head):at])
 		}
 	}
@@ -206,7 +206,7 @@
 		return fmt.Sprintf("Content-Length: %d\r\n", len(body)), body
 	case kind == 1:
 		at := w.program.below(len(body)-1) + 1
-		return "Transfer-Encoding: chunked\r\n", exchangetest.Chunk(body[:at]) + exchangetest.Chunk(body[at:]) + "0\r\n\r\n"
+		return "Transfer-Encoding: chunked\r\n", upstreamtest.Chunk(body[:at]) + upstreamtest.Chunk(body[at:]) + "0\r\n\r\n"
 	default:
 		return "", body
 	}
@@ -243,15 +243,15 @@
 
 func playDrawn(t *testing.T, data []byte) {
 	drawn := newDrawnWorker(data)
-	workers := exchangetest.NewWorkers()
+	workers := upstreamtest.NewWorkers()
 	workers.Play(workerAddress, drawn.connection)
-	pool := exchange.New(exchange.Options{Dial: workers.Dial})
+	pool := upstream.New(upstream.Options{Dial: workers.Dial})
 	for number := range fuzzRequests {
 		drawn.ask(t, pool, number)
 		if drawn.program.below(6) == 0 { // while the connections rest
 			for _, conn := range workers.Conns(workerAddress) {
 				late := drawn.draft(requestID(number))
-				conn.Surplus(drawn.cut(late, exchangetest.Open))
+				conn.Surplus(drawn.cut(late, upstreamtest.Open))
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 }
 
 // ask makes a request and compares its answer with those that were given.
-func (w *drawnWorker) ask(t *testing.T, pool *exchange.Pool, number int) {
+func (w *drawnWorker) ask(t *testing.T, pool *upstream.Pool, number int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	size := 5
@@ -271,13 +271,13 @@
 		size = 10 << 10 // is written while the answer is awaited
 	}
 	id := requestID(number)
-	response, failure := pool.Do(ctx, &exchange.Call{Address: workerAddress, Method: "POST", Target: "/", Events: true,
+	response, failure := pool.Do(ctx, &upstream.Call{Address: workerAddress, Method: "POST", Target: "/", Events: true,
 		Body:   bytes.Repeat([]byte{byte('a' + number)}, size),
-		Fields: httpwire.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}})
+		Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}})
 	switch {
 	case failure != nil:
 		return
-	case response.Result != exchange.Answered:
+	case response.Result != upstream.Answered:
 		if !w.rejected[id] {
 			t.Errorf("request %s is said not to have run: %+v", id, response)
 		}
@@ -291,12 +291,12 @@
 }
 
 // readEvents reads a stream: only whole events of one answer, and its end only behind all of them.
-func (w *drawnWorker) readEvents(t *testing.T, id string, stream *exchange.Stream) {
+func (w *drawnWorker) readEvents(t *testing.T, id string, stream *upstream.Stream) {
 	defer stream.Close()
 	got := ""
 	var err error
 	for err == nil {
-		var batch *exchange.Batch
+		var batch *upstream.Batch
 		if batch, err = stream.Next(); err == nil {
 			got += string(batch.Raw)
 		}
@@ -313,7 +313,7 @@
 }
 
 // checkArrivals looks at what came to the worker: each request once at most, and none with another's bytes.
-func (w *drawnWorker) checkArrivals(t *testing.T, conns []*exchangetest.Conn) {
+func (w *drawnWorker) checkArrivals(t *testing.T, conns []*upstreamtest.Conn) {
 	count := map[string]int{}
 	for _, conn := range conns {
 		for _, request := range conn.Requests() {
--- a/internal/exchange/outcome_test.go
+++ b/internal/dataplane/upstream/outcome_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package upstream_test
 
 import (
 	"bytes"
@@ -9,17 +9,17 @@
 	"testing/synctest"
 	"time"
 
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/exchange/exchangetest"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/dataplane/upstream/upstreamtest"
+	"ospreybend/internal/util/http1"
 )
 
 const workerAddress = "w:80"
 
 // outcome is one cell of the table: how much is sent of a request, on which connection, and what comes back.
 type outcome struct {
-	row    exchangetest.Row
-	sent   exchangetest.Sent
+	row    upstreamtest.Row
+	sent   upstreamtest.Sent
 	reused bool // a kept connection
 	long   bool // the body is written while the answer is awaited
 }
@@ -31,11 +31,11 @@
 // allOutcomes are the cells of the table. A short request is never held up while it is written.
 func allOutcomes() []outcome {
 	var all []outcome
-	for _, row := range exchangetest.Rows() {
-		for sent := exchangetest.Whole; sent <= exchangetest.Blocked; sent++ {
+	for _, row := range upstreamtest.Rows() {
+		for sent := upstreamtest.Whole; sent <= upstreamtest.Blocked; sent++ {
 			for _, reused := range []bool{false, true} {
 				for _, long := range []bool{false, true} {
-					if sent != exchangetest.Blocked || long {
+					if sent != upstreamtest.Blocked || long {
 						all = append(all, outcome{row, sent, reused, long})
 					}
 				}
@@ -45,49 +45,49 @@
 	return all
 }
 
-func numbered(id string, size int) *exchange.Call {
-	return &exchange.Call{Address: workerAddress, Method: "POST", Target: "/", Body: bytes.Repeat([]byte("b"), size), Events: true,
-		Fields: httpwire.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}}
+func numbered(id string, size int) *upstream.Call {
+	return &upstream.Call{Address: workerAddress, Method: "POST", Target: "/", Body: bytes.Repeat([]byte("b"), size), Events: true,
+		Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}}
 }
 
 // play is the script of the worker's connections: those behind the first are well.
-func (o *outcome) play(number int) []exchangetest.Turn {
-	well := exchangetest.Works(false)
+func (o *outcome) play(number int) []upstreamtest.Turn {
+	well := upstreamtest.Works(false)
 	if number > 0 {
-		return []exchangetest.Turn{well, well, well}
+		return []upstreamtest.Turn{well, well, well}
 	}
-	turns := []exchangetest.Turn{o.row.Turn(o.sent), well, well}
+	turns := []upstreamtest.Turn{o.row.Turn(o.sent), well, well}
 	if o.reused {
-		turns = append([]exchangetest.Turn{well}, turns...)
+		turns = append([]upstreamtest.Turn{well}, turns...)
 	}
 	return turns
 }
 
 // wanted is what the exchange says after a call.
-func (o *outcome) wanted() exchange.Result {
-	if o.sent == exchangetest.Nothing || o.sent == exchangetest.HeadInPart {
+func (o *outcome) wanted() upstream.Result {
+	if o.sent == upstreamtest.Nothing || o.sent == upstreamtest.HeadInPart {
 		if o.reused { // it is sent on a new connection, to a worker that is well
-			return exchange.Answered
+			return upstream.Answered
 		}
-		return exchange.NotSent
+		return upstream.NotSent
 	}
 	switch {
-	case o.row.MeaningOf(o.sent) == exchangetest.Lost:
-		return exchange.Broken
-	case o.row.MeaningOf(o.sent) == exchangetest.NotRun && o.row.Status() == 421:
-		return exchange.Misdirected
-	case o.row.MeaningOf(o.sent) == exchangetest.NotRun:
-		return exchange.NotExecuted
+	case o.row.MeaningOf(o.sent) == upstreamtest.Lost:
+		return upstream.Broken
+	case o.row.MeaningOf(o.sent) == upstreamtest.NotRun && o.row.Status() == 421:
+		return upstream.Misdirected
+	case o.row.MeaningOf(o.sent) == upstreamtest.NotRun:
+		return upstream.NotExecuted
 	default:
-		return exchange.Answered
+		return upstream.Answered
 	}
 }
 
 // kept tells whether the first connection carries the request behind this one. A stream that cannot be used is read to its end
 // here, though no dispatcher would.
 func (o *outcome) kept() bool {
-	unusable := o.row.Stream && o.row.MeaningOf(o.sent) == exchangetest.Useless
-	return (o.row.Kept || unusable) && o.sent == exchangetest.Whole
+	unusable := o.row.Stream && o.row.MeaningOf(o.sent) == upstreamtest.Useless
+	return (o.row.Kept || unusable) && o.sent == upstreamtest.Whole
 }
 
 // TestOutcomes plays every cell: what the exchange says, whether the connection carries the next request, and that this one gets
@@ -104,9 +104,9 @@
 }
 
 func playOutcome(t *testing.T, o *outcome) {
-	workers := exchangetest.NewWorkers()
+	workers := upstreamtest.NewWorkers()
 	workers.Play(workerAddress, o.play)
-	pool := exchange.New(exchange.Options{Dial: workers.Dial})
+	pool := upstream.New(upstream.Options{Dial: workers.Dial})
 	defer pool.Close()
 	if o.reused {
 		mustGetOwn(t, pool, "earlier", 10)
@@ -119,7 +119,7 @@
 	if result != o.wanted() {
 		t.Errorf("%v, not %v", result, o.wanted())
 	}
-	if want := o.body(); result == exchange.Answered && body != want {
+	if want := o.body(); result == upstream.Answered && body != want {
 		t.Errorf("body %q, not %q", body, want)
 	}
 	before := len(workers.Conns(workerAddress))
@@ -133,25 +133,25 @@
 // body is that of a whole answer.
 func (o *outcome) body() string {
 	switch {
-	case o.sent == exchangetest.Nothing || o.sent == exchangetest.HeadInPart:
-		return exchangetest.Body
+	case o.sent == upstreamtest.Nothing || o.sent == upstreamtest.HeadInPart:
+		return upstreamtest.Body
 	case o.row.Stream:
-		return exchangetest.Events(1, exchangetest.LastEvent)
-	case o.row.MeaningOf(o.sent) == exchangetest.Failed && o.row.Status() == 504:
+		return upstreamtest.Events(1, upstreamtest.LastEvent)
+	case o.row.MeaningOf(o.sent) == upstreamtest.Failed && o.row.Status() == 504:
 		return "late"
-	case o.row.MeaningOf(o.sent) == exchangetest.Denied && o.row.Signed():
+	case o.row.MeaningOf(o.sent) == upstreamtest.Denied && o.row.Signed():
 		return "what"
-	case (o.row.MeaningOf(o.sent) == exchangetest.Failed || o.row.MeaningOf(o.sent) == exchangetest.Promise) && o.row.Signed():
+	case (o.row.MeaningOf(o.sent) == upstreamtest.Failed || o.row.MeaningOf(o.sent) == upstreamtest.Promise) && o.row.Signed():
 		return "oops"
 	case o.row.Status() != 200:
 		return ""
 	default:
-		return exchangetest.Body
+		return upstreamtest.Body
 	}
 }
 
 // check looks at what came to the worker: the tested request once, and bodies of no other request's bytes.
-func (o *outcome) check(t *testing.T, conns []*exchangetest.Conn) {
+func (o *outcome) check(t *testing.T, conns []*upstreamtest.Conn) {
 	arrived := 0
 	for _, conn := range conns {
 		for _, request := range conn.Requests() {
@@ -164,7 +164,7 @@
 		}
 	}
 	want := 1
-	if !o.reused && (o.sent == exchangetest.Nothing || o.sent == exchangetest.HeadInPart) {
+	if !o.reused && (o.sent == upstreamtest.Nothing || o.sent == upstreamtest.HeadInPart) {
 		want = 0
 	}
 	if arrived != want {
@@ -173,7 +173,7 @@
 }
 
 // do makes a call, for a minute of the fake clock at most, and reads its answer to the end.
-func do(pool *exchange.Pool, id string, size int) (exchange.Result, string) {
+func do(pool *upstream.Pool, id string, size int) (upstream.Result, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	response, failure := pool.Do(ctx, numbered(id, size))
@@ -191,15 +191,15 @@
 		case err == io.EOF:
 			return response.Result, body
 		case err != nil:
-			return exchange.Broken, body
+			return upstream.Broken, body
 		}
 		body += string(batch.Raw)
 	}
 }
 
-func mustGetOwn(t *testing.T, pool *exchange.Pool, id string, size int) {
+func mustGetOwn(t *testing.T, pool *upstream.Pool, id string, size int) {
 	t.Helper()
-	if result, body := do(pool, id, size); result != exchange.Answered || body != exchangetest.Body {
+	if result, body := do(pool, id, size); result != upstream.Answered || body != upstreamtest.Body {
 		t.Errorf("request %s: %v, %q", id, result, body)
 	}
 }
--- a/internal/exchange/rig_test.go
+++ b/internal/dataplane/upstream/rig_test.go
@@ -1,4 +1,4 @@
-package exchange
+package upstream
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const patience = 5 * time.Second // of a test for what must come
@@ -133,7 +133,7 @@
 
 func (w *worker) call() *Call {
 	return &Call{Address: w.address(), Method: "POST", Target: "/a?x=1", Body: []byte("hello"),
-		Fields: httpwire.Fields{{Name: "Host", Value: "h.example"}, {Name: "X-Request-Id", Value: "r1"}}}
+		Fields: http1.Fields{{Name: "Host", Value: "h.example"}, {Name: "X-Request-Id", Value: "r1"}}}
 }
 
 func within(t *testing.T) context.Context {
--- a/internal/exchange/send.go
+++ b/internal/dataplane/upstream/send.go
@@ -1,11 +1,11 @@
-package exchange
+package upstream
 
 import (
 	"net"
 	"sync"
 	"time"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -111,23 +111,23 @@
 	out = append(out, ' ')
 	out = append(out, call.Target...)
 	out = append(out, " HTTP/1.1\r\n"...)
-	hops := httpwire.HopsOf(call.Fields)
+	hops := http1.HopsOf(call.Fields)
 	for i := range call.Fields {
 		f := &call.Fields[i]
-		if hops.Has(f.Name) || isSetHere(f.Name) || !httpwire.IsToken(f.Name) || !httpwire.IsValue(f.Value) {
+		if hops.Has(f.Name) || isSetHere(f.Name) || !http1.IsToken(f.Name) || !http1.IsValue(f.Value) {
 			continue
 		}
-		out = httpwire.AppendField(out, f.Name, f.Value)
+		out = http1.AppendField(out, f.Name, f.Value)
 	}
 	if len(call.Body) > 0 || call.Method == "POST" || call.Method == "PUT" || call.Method == "PATCH" {
-		out = httpwire.AppendNumberField(out, "Content-Length", len(call.Body))
+		out = http1.AppendNumberField(out, "Content-Length", len(call.Body))
 	}
 	return append(out, "\r\n"...)
 }
 
 func isSetHere(name string) bool {
 	for _, own := range setHere {
-		if httpwire.EqualFold(name, own) {
+		if http1.EqualFold(name, own) {
 			return true
 		}
 	}
--- a/internal/exchange/socket.go
+++ b/internal/dataplane/upstream/socket.go
@@ -1,4 +1,4 @@
-package exchange
+package upstream
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const probesUnanswered = 2 // after which a connection counts as gone
@@ -18,7 +18,7 @@
 	pool   *Pool
 	to     *peer
 	socket net.Conn
-	in     httpwire.Input
+	in     http1.Input
 	reused bool
 	age    int // of the address, when it was made
 
--- a/internal/exchange/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -1,4 +1,4 @@
-package exchange
+package upstream
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const mostOpen = 1 << 20 // bytes of an event that has not ended
@@ -19,7 +19,7 @@
 // Stream is the body of an event stream. Next is called by one goroutine at a time.
 type Stream struct {
 	trip   *trip
-	body   httpwire.BodyReader
+	body   http1.BodyReader
 	split  splitter
 	batch  Batch
 	result error // of all further calls of Next
--- a/internal/exchange/stream_test.go
+++ b/internal/dataplane/upstream/stream_test.go
@@ -1,4 +1,4 @@
-package exchange
+package upstream
 
 import (
 	"errors"
--- a/internal/exchange/trip.go
+++ b/internal/dataplane/upstream/trip.go
@@ -1,4 +1,4 @@
-package exchange
+package upstream
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -38,10 +38,10 @@
 	ctx      context.Context
 	stop     func() bool // ends the watch on the context
 	sending  sending
-	poisoned bool            // the connection is not to be kept
-	head     httpwire.Head   // of the answer, without its fields
-	fields   httpwire.Fields // of the answer, all of them
-	rules    httpwire.Rules
+	poisoned bool         // the connection is not to be kept
+	head     http1.Head   // of the answer, without its fields
+	fields   http1.Fields // of the answer, all of them
+	rules    http1.Rules
 	headAt   time.Time
 }
 
@@ -55,7 +55,7 @@
 			return nil, failure
 		}
 		t := &trip{conn: c, call: call, ctx: ctx}
-		t.rules = httpwire.Rules{HeadBytes: headLimit, Strict: true}
+		t.rules = http1.Rules{HeadBytes: headLimit, Strict: true}
 		t.stop = context.AfterFunc(ctx, c.drop)
 		t.send()
 		response, failure := t.receive()
@@ -86,7 +86,7 @@
 // fail gives the connection up.
 func (t *trip) fail(err error) *Failure {
 	t.giveUp()
-	var fault *httpwire.Fault
+	var fault *http1.Fault
 	switch {
 	case errors.Is(err, io.EOF):
 		return t.failure(Ended, io.ErrUnexpectedEOF)
@@ -132,11 +132,11 @@
 func (t *trip) readHead() error {
 	c := t.conn
 	for {
-		reader := httpwire.HeadReader{Kind: httpwire.Response, Rules: t.rules}
-		t.head = httpwire.Head{Raw: t.head.Raw[:0]}
+		reader := http1.HeadReader{Kind: http1.Response, Rules: t.rules}
+		t.head = http1.Head{Raw: t.head.Raw[:0]}
 		used := 0
 		for used == 0 {
-			var fault *httpwire.Fault
+			var fault *http1.Fault
 			if used, fault = reader.Read(c.in.Bytes(), &t.head); fault != nil {
 				return fault
 			}
@@ -203,21 +203,21 @@
 	return t.fields.Count(requestID) <= 1 && t.fields.Get(requestID) == t.call.Fields.Get(requestID)
 }
 
-func (t *trip) body() httpwire.BodyReader {
+func (t *trip) body() http1.BodyReader {
 	if t.call.Method == "HEAD" {
-		return httpwire.BodyReader{BodyState: httpwire.BodyState{Over: true}}
+		return http1.BodyReader{BodyState: http1.BodyState{Over: true}}
 	}
-	return httpwire.ResponseBody(&t.head, &t.rules)
+	return http1.ResponseBody(&t.head, &t.rules)
 }
 
 // passOver reads a body that nobody is to have.
-func (t *trip) passOver(body *httpwire.BodyReader) error {
+func (t *trip) passOver(body *http1.BodyReader) error {
 	_, err := t.readWhole(body, nil)
 	return err
 }
 
 // readWhole appends a body to what is given.
-func (t *trip) readWhole(body *httpwire.BodyReader, whole []byte) ([]byte, error) {
+func (t *trip) readWhole(body *http1.BodyReader, whole []byte) ([]byte, error) {
 	c := t.conn
 	limit := t.call.BodyLimit
 	if limit <= 0 {
@@ -278,7 +278,7 @@
 func (t *trip) response() *Response {
 	r := &Response{Result: Answered, Status: t.head.Status, Leaving: t.head.Close && !t.head.Old, Reused: t.conn.reused,
 		HeadAt: t.headAt}
-	r.Fields = httpwire.HopsOf(t.fields).Strip(t.fields).Without("Content-Length")
+	r.Fields = http1.HopsOf(t.fields).Strip(t.fields).Without("Content-Length")
 	r.Load = parseLoad(r.Fields.Get(serverLoad))
 	switch {
 	case r.Status == misdirected:
@@ -291,7 +291,7 @@
 
 func isEventStream(contentType string) bool {
 	kind, _, _ := strings.Cut(contentType, ";")
-	return httpwire.EqualFold(strings.TrimSpace(kind), "text/event-stream")
+	return http1.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 }
 
 func parseLoad(value string) *Load {
@@ -333,7 +333,7 @@
 func (t *trip) rest() time.Duration {
 	for part := range strings.SplitSeq(t.fields.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if !httpwire.EqualFold(name, "timeout") {
+		if !http1.EqualFold(name, "timeout") {
 			continue
 		}
 		seconds, err := strconv.Atoi(value)
--- a/internal/exchange/exchangetest/conn.go
+++ b/internal/dataplane/upstream/upstreamtest/conn.go
@@ -1,6 +1,6 @@
-// Package exchangetest plays workers for tests, byte by byte and without sockets: how much of a request a connection takes, what
+// Package upstreamtest plays workers for tests, byte by byte and without sockets: how much of a request a connection takes, what
 // comes back, and how the connection ends. It works within a synctest bubble.
-package exchangetest
+package upstreamtest
 
 import (
 	"bytes"
--- a/internal/exchange/exchangetest/rows.go
+++ b/internal/dataplane/upstream/upstreamtest/rows.go
@@ -1,4 +1,4 @@
-package exchangetest
+package upstreamtest
 
 import (
 	"fmt"
--- a/internal/httpwire/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package httpwire reads and writes the parts of HTTP/1.1 messages that servers and clients share:
-// heads, header fields, chunks and bodies. It is pure: no I/O and no clock. Limits are arguments.
-package httpwire
--- a/internal/batch/circuit/circuit.go
+++ b/internal/node/batch/circuitbreaker/circuit.go
@@ -1,4 +1,4 @@
-// Package circuit tells from the calls of the store of record whether it answers,
+// Package circuitbreaker tells from the calls of the store of record whether it answers,
 // so that new work is turned away at once while it does not. It does no I/O and
 // takes the clock as an argument.
 //
@@ -8,7 +8,7 @@
 // long as nothing else does. Any call that succeeds closes the circuit: the calls
 // that must not be dropped, as those that record results, go on throughout and are
 // the probes.
-package circuit
+package circuitbreaker
 
 import "time"
 
--- a/internal/batch/circuit/circuit_test.go
+++ b/internal/node/batch/circuitbreaker/circuit_test.go
@@ -1,4 +1,4 @@
-package circuit
+package circuitbreaker
 
 import (
 	"testing"
--- a/internal/batch/binding/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -1,4 +1,4 @@
-package binding
+package httpapi
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"encoding/hex"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
-	"ospreybend/internal/protocol"
+	"ospreybend/internal/node/batch/jobs"
+	"ospreybend/internal/node/protocol"
 )
 
 const (
--- a/internal/batch/binding/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -1,7 +1,7 @@
-// Package binding binds the batch front to HTTP/1.1 and JSON, as docs/BATCH.md
+// Package httpapi binds the batch front to HTTP/1.1 and JSON, as docs/BATCH.md
 // describes it, and has its administration. What calls mean package jobs
 // decides; here they are read, handed on and answered.
-package binding
+package httpapi
 
 import (
 	"crypto/sha256"
@@ -14,10 +14,10 @@
 	"time"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
-	"ospreybend/internal/due"
-	"ospreybend/internal/protocol"
-	"ospreybend/internal/routing"
+	"ospreybend/internal/node/batch/jobs"
+	"ospreybend/internal/node/protocol"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/timerqueue"
 )
 
 const (
@@ -35,12 +35,12 @@
 type Front struct {
 	jobs    *jobs.Manager
 	clock   routing.Clock
-	due     *due.Line
+	due     *timerqueue.Line
 	version string
 }
 
 // New makes a front. version is the program's.
-func New(m *jobs.Manager, clock routing.Clock, line *due.Line, version string) *Front {
+func New(m *jobs.Manager, clock routing.Clock, line *timerqueue.Line, version string) *Front {
 	return &Front{jobs: m, clock: clock, due: line, version: version}
 }
 
--- a/internal/batch/binding/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -1,4 +1,4 @@
-package binding
+package httpapi
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
+	"ospreybend/internal/node/batch/jobs"
 )
 
 const booking = `{"remoteCommand":"buchen","args":["teil 1"],"input":"order","x_clientKey":"k1"}`
--- a/internal/batch/binding/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -1,4 +1,4 @@
-package binding
+package httpapi
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/due"
+	"ospreybend/internal/node/timerqueue"
 )
 
 const (
@@ -68,8 +68,8 @@
 	timeout time.Duration
 	leave   func()
 	over    bool
-	next    *due.Deadline // when to look again
-	beat    time.Duration // when a line must go out, or the wait is over
+	next    *timerqueue.Deadline // when to look again
+	beat    time.Duration        // when a line must go out, or the wait is over
 }
 
 func (r *reader) start() {
--- a/internal/batch/binding/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -1,10 +1,10 @@
-package binding
+package httpapi
 
 import (
 	"time"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
+	"ospreybend/internal/node/batch/jobs"
 )
 
 // show answers with a job.
--- a/internal/batch/binding/world_test.go
+++ b/internal/node/batch/httpapi/world_test.go
@@ -1,4 +1,4 @@
-package binding
+package httpapi
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/batch/jobs"
-	"ospreybend/internal/batch/store"
-	"ospreybend/internal/protocol"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/scenario"
+	"ospreybend/internal/node/batch/jobs"
+	"ospreybend/internal/node/batch/store"
+	"ospreybend/internal/node/protocol"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 // world is a node with the batch front on a stage. The stand-in "workers" plays
 // its prep workers; scenarios play the batch clients.
 type world struct {
-	*scenario.Stage
+	*scriptedpeer.Stage
 	t       *testing.T
 	core    *routing.Core
 	to      *protocol.Destinations
@@ -39,7 +39,7 @@
 	if file == "" {
 		file = filepath.Join(t.TempDir(), "batch.db")
 	}
-	w := &world{Stage: scenario.New(t), t: t, file: file}
+	w := &world{Stage: scriptedpeer.New(t), t: t, file: file}
 	ctx := context.Background()
 	record := openStore(t, file)
 	for _, name := range []string{"anna", "ben"} {
@@ -59,14 +59,14 @@
 		Classes: []balance.Class{class(balance.Safe), class(balance.Unsafe)},
 		Limits: balance.Limits{Cancel: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnIdle: time.Minute}, Rules: balance.Rules{ColdFrom: 1}}
-	batch, admin, workers := scenario.Free(t), scenario.Free(t), w.StandIn("workers")
+	batch, admin, workers := scriptedpeer.Free(t), scriptedpeer.Free(t), w.StandIn("workers")
 	w.Serve("batch", batch)
 	w.batchAt = batch
 	w.Serve("admin", admin)
 	w.Words["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
-	w.Words["started"] = scenario.Chunk(`{"state":"started"}`)
-	w.Words["done"] = scenario.Chunk(`{"state":"done","result":"fine"}`) + `0\r\n\r\n`
-	w.Words["returned"] = scenario.Chunk(`{"state":"returned"}`) + `0\r\n\r\n`
+	w.Words["started"] = scriptedpeer.Chunk(`{"state":"started"}`)
+	w.Words["done"] = scriptedpeer.Chunk(`{"state":"done","result":"fine"}`) + `0\r\n\r\n`
+	w.Words["returned"] = scriptedpeer.Chunk(`{"state":"returned"}`) + `0\r\n\r\n`
 	w.keeper = store.NewKeeper(record, w.Loop.Post)
 	w.Loop.Call(func() {
 		w.core, err = routing.New(s, 1, w.Loop, &w.Loop.Due)
--- a/internal/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/queue"
-	"ospreybend/internal/due"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/batch/queue"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // stage is where in the node a job is.
@@ -34,15 +34,15 @@
 	ending      bool // its final state is decided, and being recorded
 	terminate   bool // asked for before it was recorded
 	counted     bool // among its array's active jobs
-	op          slot.Ref
+	op          slottable.Ref
 	tries       int // operations made of it
 	refusals    int // in a row
 	failures    int // operations in which prep workers ran it and it failed
 	failedNow   bool
 	failedSteps int // of this operation
 	notBefore   time.Duration
-	wake        *due.Deadline // when it may be put in the queue
-	deadline    *due.Deadline
+	wake        *timerqueue.Deadline // when it may be put in the queue
+	deadline    *timerqueue.Deadline
 	after       time.Duration // the last refusal's advice
 	entry       *entry        // while it is being recorded
 	waiters     waiters
--- a/internal/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -7,7 +7,7 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/routing"
+	"ospreybend/internal/node/routing"
 )
 
 func tpl(command string) drmaa.JobTemplate { return drmaa.JobTemplate{RemoteCommand: command} }
--- a/internal/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -12,12 +12,12 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/circuit"
-	"ospreybend/internal/batch/queue"
-	"ospreybend/internal/batch/window"
-	"ospreybend/internal/due"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/batch/circuitbreaker"
+	"ospreybend/internal/node/batch/queue"
+	"ospreybend/internal/node/batch/window"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 const (
@@ -36,16 +36,16 @@
 	classes map[string]drmaa.Class
 	core    Core
 	keeper  Keeper
-	circuit *circuit.Circuit
+	circuit *circuitbreaker.Circuit
 	clock   routing.Clock
-	due     *due.Line
+	due     *timerqueue.Line
 
 	tenants map[string]*TenantState // by name
 	byToken map[string]*TenantState // by the token's hash
 	jobs    map[string]*Job
 	arrays  map[string]*Array
 	byKey   map[string]keyed // by tenant and client key
-	byOp    map[slot.Ref]*Job
+	byOp    map[slottable.Ref]*Job
 	ended   []string // jobs at hand that have ended, oldest first
 	past    []string // arrays at hand that have ended, oldest first
 	lastSeq int64
@@ -96,13 +96,13 @@
 }
 
 // New makes a manager. Load must follow.
-func New(config Config, core Core, keeper Keeper, clock routing.Clock, line *due.Line) *Manager {
+func New(config Config, core Core, keeper Keeper, clock routing.Clock, line *timerqueue.Line) *Manager {
 	m := &Manager{config: config, classes: map[string]drmaa.Class{}, core: core, keeper: keeper, clock: clock, due: line,
 		tenants: map[string]*TenantState{}, byToken: map[string]*TenantState{}, jobs: map[string]*Job{},
-		arrays: map[string]*Array{}, byKey: map[string]keyed{}, byOp: map[slot.Ref]*Job{}, line: queue.New[*Job](),
+		arrays: map[string]*Array{}, byKey: map[string]keyed{}, byOp: map[slottable.Ref]*Job{}, line: queue.New[*Job](),
 		epoch: newID()[:8], streams: map[string]*stream{}, machines: map[balance.WorkerID]*machine{}, entries: map[*entry]bool{},
 		freeAt: slices.Index(config.Settings.Report, balance.FieldFreeSlots)}
-	m.circuit = circuit.New(circuit.Config{Slow: storeSlow, Again: storeAgain})
+	m.circuit = circuitbreaker.New(circuitbreaker.Config{Slow: storeSlow, Again: storeAgain})
 	m.keeper = &watched{keeper, m}
 	if config.Name == nil {
 		m.config.Name = func(balance.WorkerID) string { return "" }
@@ -292,13 +292,13 @@
 
 // Counts is the batch front as it stands.
 type Counts struct {
-	Unfinished int           `json:"unfinished"` // jobs
-	Lined      int           `json:"queued"`     // whose turn has not come
-	InCore     int           `json:"inCore"`
-	Store      circuit.State `json:"store"`
-	Turned     uint64        `json:"turnedAway"` // as the store did not answer
-	Waits      int           `json:"waits"`      // of clients
-	Window     window.State  `json:"window"`
+	Unfinished int                  `json:"unfinished"` // jobs
+	Lined      int                  `json:"queued"`     // whose turn has not come
+	InCore     int                  `json:"inCore"`
+	Store      circuitbreaker.State `json:"store"`
+	Turned     uint64               `json:"turnedAway"` // as the store did not answer
+	Waits      int                  `json:"waits"`      // of clients
+	Window     window.State         `json:"window"`
 }
 
 // Counts returns how the batch front stands.
@@ -341,7 +341,7 @@
 	m.watching = true
 	m.due.Add(m.within(storeSlow/2), func() {
 		m.watching = false
-		if m.circuit.State(m.clock.Now()) == circuit.Stalled {
+		if m.circuit.State(m.clock.Now()) == circuitbreaker.Stalled {
 			m.turnAway()
 		}
 		m.watchStore()
--- a/internal/batch/jobs/model.go
+++ b/internal/node/batch/jobs/model.go
@@ -10,8 +10,8 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
 )
 
 // Record is a job as the store of record has it. Times are Unix microseconds; 0
@@ -156,10 +156,10 @@
 
 // Core is what the manager needs of package routing's core.
 type Core interface {
-	Take(routing.Operation) slot.Ref
-	Route(slot.Ref)
-	Withdraw(slot.Ref)
-	MayHaveRun(slot.Ref) bool
+	Take(routing.Operation) slottable.Ref
+	Route(slottable.Ref)
+	Withdraw(slottable.Ref)
+	MayHaveRun(slottable.Ref) bool
 	Able() bool
 	Listed(func(balance.WorkerID, balance.State, float64))
 }
--- a/internal/batch/jobs/property_test.go
+++ b/internal/node/batch/jobs/property_test.go
@@ -11,7 +11,7 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/routing"
+	"ospreybend/internal/node/routing"
 )
 
 // The cases drawn are the same in each run; -rapid.seed=0 draws others.
--- a/internal/batch/jobs/rig_test.go
+++ b/internal/node/batch/jobs/rig_test.go
@@ -9,9 +9,9 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/due"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // rig is a manager between a scripted core and a store in memory whose calls
@@ -19,7 +19,7 @@
 type rig struct {
 	t     failer
 	now   time.Duration
-	due   due.Line
+	due   timerqueue.Line
 	core  *fakeCore
 	store *memory
 	m     *Manager
@@ -110,8 +110,8 @@
 // start starts the program; after another one it is a restart, of which the
 // store alone knows the past.
 func (r *rig) start() {
-	r.calls, r.due = nil, due.Line{}
-	r.core = &fakeCore{rig: r, able: true, ops: map[slot.Ref]*fakeOp{}}
+	r.calls, r.due = nil, timerqueue.Line{}
+	r.core = &fakeCore{rig: r, able: true, ops: map[slottable.Ref]*fakeOp{}}
 	r.m = New(Config{Machine: "n", Classes: r.classes, Settings: r.settings, MostSlots: 64, Target: DefaultTarget,
 		LongestWait: time.Hour, Events: 64, Kept: 8, Name: func(w balance.WorkerID) string { return string(rune('a' + w)) }},
 		r.core, r, r, &r.due)
@@ -182,8 +182,8 @@
 // fakeCore is a core whose operations end as the test says.
 type fakeCore struct {
 	rig  *rig
-	ops  map[slot.Ref]*fakeOp
-	last slot.Ref
+	ops  map[slottable.Ref]*fakeOp
+	last slottable.Ref
 	able bool
 }
 
@@ -195,15 +195,15 @@
 	begun bool
 }
 
-func (c *fakeCore) Take(op routing.Operation) slot.Ref {
+func (c *fakeCore) Take(op routing.Operation) slottable.Ref {
 	c.last++
 	c.ops[c.last] = &fakeOp{Operation: op}
 	return c.last
 }
-func (c *fakeCore) Route(slot.Ref)        {}
-func (c *fakeCore) Withdraw(ref slot.Ref) { delete(c.ops, ref) }
-func (c *fakeCore) Able() bool            { return c.able }
-func (c *fakeCore) MayHaveRun(ref slot.Ref) bool {
+func (c *fakeCore) Route(slottable.Ref)        {}
+func (c *fakeCore) Withdraw(ref slottable.Ref) { delete(c.ops, ref) }
+func (c *fakeCore) Able() bool                 { return c.able }
+func (c *fakeCore) MayHaveRun(ref slottable.Ref) bool {
 	op := c.ops[ref]
 	return op != nil && (op.ran || op.out > 0)
 }
--- a/internal/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -10,9 +10,9 @@
 
 	"ospreybend/balance"
 	"ospreybend/drmaa"
-	"ospreybend/internal/fault"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/faultinjection"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
 )
 
 const (
@@ -52,7 +52,7 @@
 
 // Gate has a job's first step wait until the store knows that it may be sent:
 // after a restart only what the store does not have so never ran for certain.
-func (m *Manager) Gate(op slot.Ref, open func(bool)) {
+func (m *Manager) Gate(op slottable.Ref, open func(bool)) {
 	j := m.byOp[op]
 	switch {
 	case j == nil || j.ending:
@@ -151,7 +151,7 @@
 }
 
 // Stepped is the core's word that a route step goes out.
-func (m *Manager) Stepped(op slot.Ref, to balance.WorkerID) {
+func (m *Manager) Stepped(op slottable.Ref, to balance.WorkerID) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -183,7 +183,7 @@
 }
 
 // Started is the core's word that a prep worker has begun to run the job.
-func (m *Manager) Started(op slot.Ref, to balance.WorkerID) {
+func (m *Manager) Started(op slottable.Ref, to balance.WorkerID) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -197,7 +197,7 @@
 }
 
 // StepDone is the core's word of how a route step ended.
-func (m *Manager) StepDone(op slot.Ref, to balance.WorkerID, how balance.Outcome) {
+func (m *Manager) StepDone(op slottable.Ref, to balance.WorkerID, how balance.Outcome) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -243,7 +243,7 @@
 	balance.Cancelled: "cancelled", balance.NotSent: "not sent"}
 
 // Answered is the core's final answer on an operation.
-func (m *Manager) Answered(op slot.Ref, a routing.Answer) {
+func (m *Manager) Answered(op slottable.Ref, a routing.Answer) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -251,7 +251,7 @@
 	m.leave(j)
 	j.MayHaveRun = j.MayHaveRun || a.MayHaveRun
 	defer m.pump()
-	fault.Hit(fault.OutcomeHeard)
+	faultinjection.Hit(faultinjection.OutcomeHeard)
 	switch {
 	case a.Verdict == routing.Served:
 		j.Result, j.ExitStatus = a.Result, 0
@@ -347,7 +347,7 @@
 }
 
 func (m *Manager) show(j *Job) {
-	fault.Hit(fault.ShownBefore)
+	faultinjection.Hit(faultinjection.ShownBefore)
 	was := j.State
 	state := j.next.State
 	j.Record, j.next = *j.next, nil
--- a/internal/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/fault"
+	"ospreybend/internal/node/faultinjection"
 )
 
 const mostInserts = 1024 // submissions that wait for the store at most
@@ -276,7 +276,7 @@
 		j.recorded, j.entry = true, nil
 		m.tell(j, drmaa.NewState, "")
 	}
-	fault.Hit(fault.AnswerBefore)
+	faultinjection.Hit(faultinjection.AnswerBefore)
 	e.answer(e.kept(), nil)
 	for _, j := range e.jobs {
 		if j.terminate {
--- a/internal/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/due"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // waiter is a client that waits for one of some jobs.
 type waiter struct {
 	started bool // the start is enough
 	in      []waiters
-	timeout *due.Deadline
+	timeout *timerqueue.Deadline
 	over    bool
 	done    func(*Job, *drmaa.Error)
 }
--- a/internal/batch/store/job_rows.go
+++ b/internal/node/batch/store/job_rows.go
@@ -8,7 +8,7 @@
 	"fmt"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
+	"ospreybend/internal/node/batch/jobs"
 )
 
 const columns = `j.id, j.tenant, j.session, COALESCE(j.client_key, ''), j.digest, j.template, j.submitted_at, j.deadline_at,
--- a/internal/batch/store/jobs.go
+++ b/internal/node/batch/store/jobs.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
-	"ospreybend/internal/fault"
+	"ospreybend/internal/node/batch/jobs"
+	"ospreybend/internal/node/faultinjection"
 )
 
 func number(b bool) int {
@@ -44,7 +44,7 @@
 // taken is left out, and what has the key is returned in its place.
 func (s *Store) Insert(ctx context.Context, subs []*jobs.Submission) ([]jobs.Stored, error) {
 	out := make([]jobs.Stored, len(subs))
-	err := s.togetherAt(ctx, fault.InsertBefore, fault.InsertAfter, func(tx *sql.Tx) error {
+	err := s.togetherAt(ctx, faultinjection.InsertBefore, faultinjection.InsertAfter, func(tx *sql.Tx) error {
 		job := tx.StmtContext(ctx, s.insertJob)
 		for i, sub := range subs {
 			var err error
@@ -117,7 +117,7 @@
 
 // Mark changes what unfinished jobs' records say of them.
 func (s *Store) Mark(ctx context.Context, marks []jobs.Mark) error {
-	return s.togetherAt(ctx, fault.MarkBefore, fault.MarkAfter, func(tx *sql.Tx) error {
+	return s.togetherAt(ctx, faultinjection.MarkBefore, faultinjection.MarkAfter, func(tx *sql.Tx) error {
 		row := tx.StmtContext(ctx, s.mark)
 		for _, m := range marks {
 			if _, err := row.ExecContext(ctx, number(m.Sent), number(m.Held), m.ID); err != nil {
@@ -130,7 +130,7 @@
 
 // Finish records final states. A job's first one stands.
 func (s *Store) Finish(ctx context.Context, records []*jobs.Record) error {
-	return s.togetherAt(ctx, fault.FinishBefore, fault.FinishAfter, func(tx *sql.Tx) error {
+	return s.togetherAt(ctx, faultinjection.FinishBefore, faultinjection.FinishAfter, func(tx *sql.Tx) error {
 		row := tx.StmtContext(ctx, s.finish)
 		for _, r := range records {
 			// As JSON, since PostgreSQL's text holds no NUL.
--- a/internal/batch/store/keeper.go
+++ b/internal/node/batch/store/keeper.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"ospreybend/internal/batch/jobs"
+	"ospreybend/internal/node/batch/jobs"
 )
 
 const (
--- a/internal/batch/store/store.go
+++ b/internal/node/batch/store/store.go
@@ -17,8 +17,8 @@
 	"github.com/pressly/goose/v3"
 	_ "modernc.org/sqlite" // SQLite
 
-	"ospreybend/internal/batch/jobs"
-	"ospreybend/internal/fault"
+	"ospreybend/internal/node/batch/jobs"
+	"ospreybend/internal/node/faultinjection"
 )
 
 //go:embed migrations/*.sql
@@ -181,9 +181,9 @@
 	if err := f(tx); err != nil {
 		return errors.Join(err, tx.Rollback())
 	}
-	fault.Hit(before)
+	faultinjection.Hit(before)
 	err = tx.Commit()
-	fault.Hit(after)
+	faultinjection.Hit(after)
 	return err
 }
 
--- a/internal/batch/store/store_test.go
+++ b/internal/node/batch/store/store_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"ospreybend/drmaa"
-	"ospreybend/internal/batch/jobs"
+	"ospreybend/internal/node/batch/jobs"
 )
 
 func must(t *testing.T, err error) {
--- a/internal/transport/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -1,4 +1,4 @@
-package transport
+package eventloop
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"github.com/panjf2000/gnet/v2"
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/slottable"
 )
 
 const (
@@ -35,7 +35,7 @@
 type Conn struct {
 	loop      *Loop
 	raw       gnet.Conn
-	ref       slot.Ref
+	ref       slottable.Ref
 	handler   Handler
 	opened    func()
 	leave     func()
--- a/internal/transport/listen.go
+++ b/internal/node/eventloop/listen.go
@@ -1,4 +1,4 @@
-package transport
+package eventloop
 
 import (
 	"errors"
--- a/internal/transport/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -1,10 +1,10 @@
-// Package transport runs the node's one event loop: connections, their buffers
+// Package eventloop runs the node's one event loop: connections, their buffers
 // and the clock. It knows no protocol.
 //
 // All callbacks run on the loop, one at a time, so what they own needs no
 // locks. What may block (dials, accepts, packets) runs outside and comes in by
 // Post.
-package transport
+package eventloop
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"ospreybend/internal/due"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 const (
@@ -32,11 +32,11 @@
 type Loop struct {
 	gnet.BuiltinEventEngine
 
-	Due due.Line // fired by the loop, on its clock
+	Due timerqueue.Line // fired by the loop, on its clock
 
 	client  *gnet.Client
 	self    gnet.EventLoop
-	conns   slot.Table[*Conn]
+	conns   slottable.Table[*Conn]
 	current *Conn // whose callback is running
 	base    time.Duration
 	start   time.Time
--- a/internal/fault/fault.go
+++ b/internal/node/faultinjection/fault.go
@@ -1,6 +1,6 @@
-// Package fault ends the process at named points, or stalls the store of record at
+// Package faultinjection ends the process at named points, or stalls the store of record at
 // them, for tests that kill a node between two steps. Unless Arm was called a point costs one look at a pointer.
-package fault
+package faultinjection
 
 import (
 	"fmt"
--- a/internal/fault/fault_test.go
+++ b/internal/node/faultinjection/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package faultinjection
 
 import "testing"
 
--- a/internal/upgrade/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -1,4 +1,4 @@
-package upgrade
+package hotrestart
 
 import (
 	"errors"
--- a/internal/upgrade/room.go
+++ b/internal/node/hotrestart/room.go
@@ -1,7 +1,7 @@
-// Package upgrade is where the processes of one node meet: a folder in $TMPDIR
+// Package hotrestart is where the processes of one node meet: a folder in $TMPDIR
 // with the words on prep workers by hand, and a locked file for each process, whose
 // lock ends with it. It blocks, and is not for the loop.
-package upgrade
+package hotrestart
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/byhand"
+	"ospreybend/internal/node/override"
 )
 
 const (
@@ -38,8 +38,8 @@
 
 // words is the file's form.
 type words struct {
-	Version int          `json:"version"`
-	Words   byhand.Words `json:"words"`
+	Version int            `json:"version"`
+	Words   override.Words `json:"words"`
 }
 
 // Open enters the room of a node in a folder.
@@ -119,11 +119,11 @@
 
 // Words reads the words on prep workers. A file that is missing, torn or of
 // another version gives none, and an error that says so unless it is missing.
-func (r *Room) Words() (byhand.Words, error) {
+func (r *Room) Words() (override.Words, error) {
 	path := filepath.Join(r.dir, wordsFile)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return byhand.Words{}, nil
+		return override.Words{}, nil
 	}
 	if err == nil && info.Size() > mostWords {
 		err = errors.New("the file is too long")
@@ -133,24 +133,24 @@
 		text, err = os.ReadFile(path)
 	}
 	if err != nil {
-		return byhand.Words{}, fmt.Errorf("%s: %w", path, err)
+		return override.Words{}, fmt.Errorf("%s: %w", path, err)
 	}
 	var w words
 	if err := json.Unmarshal(text, &w); err != nil {
-		return byhand.Words{}, fmt.Errorf("%s: %w", path, err)
+		return override.Words{}, fmt.Errorf("%s: %w", path, err)
 	}
 	if w.Version != version {
-		return byhand.Words{}, fmt.Errorf("%s: version %d, known is %d", path, w.Version, version)
+		return override.Words{}, fmt.Errorf("%s: version %d, known is %d", path, w.Version, version)
 	}
 	if w.Words == nil {
-		w.Words = byhand.Words{}
+		w.Words = override.Words{}
 	}
 	return w.Words, nil
 }
 
 // Change has the words changed and written whole, one process at a time, and
 // returns what holds now. What cannot be read is begun anew.
-func (r *Room) Change(change func(byhand.Words)) (byhand.Words, error) {
+func (r *Room) Change(change func(override.Words)) (override.Words, error) {
 	lock, err := os.OpenFile(filepath.Join(r.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 
 // Watch looks into the room in steps and tells when the words or the number of
 // other processes have changed, until stop is closed.
-func (r *Room) Watch(every time.Duration, stop <-chan struct{}, told func(w byhand.Words, others int)) {
+func (r *Room) Watch(every time.Duration, stop <-chan struct{}, told func(w override.Words, others int)) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	var last fs.FileInfo
--- a/internal/upgrade/room_test.go
+++ b/internal/node/hotrestart/room_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package hotrestart
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/byhand"
+	"ospreybend/internal/node/override"
 )
 
 func enter(t *testing.T, tmp string) *Room {
@@ -20,8 +20,8 @@
 	return r
 }
 
-func out(name string) func(byhand.Words) {
-	return func(w byhand.Words) { w.Say(name, true, time.Hour) }
+func out(name string) func(override.Words) {
+	return func(w override.Words) { w.Say(name, true, time.Hour) }
 }
 
 // What one process records the next one finds. A file that cannot be read gives no
--- a/internal/config/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -1,6 +1,6 @@
-// Package config is the one place where the node's configuration is read,
+// Package nodeconfig is the one place where the node's configuration is read,
 // checked and given defaults. Its messages name the faulty key.
-package config
+package nodeconfig
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/protocol"
-	"ospreybend/internal/wire"
+	"ospreybend/internal/node/protocol"
+	"ospreybend/internal/node/simwire"
 )
 
 // Descriptors that are not for fronts or destinations: the log, the listeners,
@@ -243,7 +243,7 @@
 	}
 	flatten(values, "", tree)
 	n.tree = values
-	s, err := wire.SettingsOf(values)
+	s, err := simwire.SettingsOf(values)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -1,4 +1,4 @@
-package config
+package nodeconfig
 
 import (
 	"os"
--- a/internal/byhand/byhand.go
+++ b/internal/node/override/byhand.go
@@ -1,8 +1,8 @@
-// Package byhand keeps what operators have said of prep workers: out, or back. It
+// Package override keeps what operators have said of prep workers: out, or back. It
 // is laid over the pool config, so that core and module see a prep worker that is
 // out as one that drains, and one called back as just started. It does no I/O and
 // takes the clock as an argument.
-package byhand
+package override
 
 import (
 	"time"
--- a/internal/byhand/byhand_test.go
+++ b/internal/node/override/byhand_test.go
@@ -1,4 +1,4 @@
-package byhand
+package override
 
 import (
 	"flag"
--- a/internal/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/byhand"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/override"
+	"ospreybend/internal/node/routing"
 )
 
 const (
@@ -28,7 +28,7 @@
 	Ready   func() bool
 	// Record has a word by hand written where the next process finds it, beside the
 	// loop, and tells on the loop what holds now. nil: there is no such place.
-	Record func(name string, out bool, done func(byhand.Words, error))
+	Record func(name string, out bool, done func(override.Words, error))
 	// Zone puts a word on a zone to the fleet, and tells on the loop what became of it; Fleet
 	// tells how the fleet stands. nil: the node belongs to none.
 	Zone  func(zone, do, reason string, span time.Duration, done func(error))
@@ -40,17 +40,17 @@
 type Admin struct {
 	*Server
 	config AdminConfig
-	loop   *transport.Loop
+	loop   *eventloop.Loop
 	core   *routing.Core
 	pool   *Discovery
 	to     *Destinations
-	words  byhand.Words
+	words  override.Words
 }
 
 // NewAdmin makes the front; Start opens it. words are those that the pool config
 // is laid under.
-func NewAdmin(config AdminConfig, loop *transport.Loop, core *routing.Core, pool *Discovery, to *Destinations,
-	words byhand.Words) *Admin {
+func NewAdmin(config AdminConfig, loop *eventloop.Loop, core *routing.Core, pool *Discovery, to *Destinations,
+	words override.Words) *Admin {
 	a := &Admin{config: config, loop: loop, core: core, pool: pool, to: to, words: words}
 	a.Server = NewServer(loop, config.Listen, config.Sockets, config.Memory, a.call)
 	return a
@@ -174,7 +174,7 @@
 		return
 	}
 	late := a.loop.Due.Add(a.loop.Now()+recordWithin, func() { reply(503, "the record in TMPDIR takes too long") })
-	a.config.Record(name, out, func(now byhand.Words, err error) {
+	a.config.Record(name, out, func(now override.Words, err error) {
 		a.loop.Due.Drop(late)
 		if err != nil {
 			slog.Error("a word by hand is not recorded", "prep_worker", name, "out", out, "fault", err)
@@ -187,7 +187,7 @@
 }
 
 // Merge takes in the words that another process has recorded.
-func (a *Admin) Merge(words byhand.Words) {
+func (a *Admin) Merge(words override.Words) {
 	for _, name := range a.words.Merge(words) {
 		slog.Info("by hand", "prep_worker", name, "out", a.words.Out(name), "recorded", true)
 		a.apply(name, numberOf(name))
--- a/internal/protocol/answers.go
+++ b/internal/node/protocol/answers.go
@@ -7,12 +7,12 @@
 	"slices"
 
 	"ospreybend/balance"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/routing"
 )
 
 // Closed is the destination's or the network's end of the connection.
-func (c *destinationConn) Closed(conn *transport.Conn) {
+func (c *destinationConn) Closed(conn *eventloop.Conn) {
 	c.lost()
 	t := c.trip
 	if t == nil {
@@ -36,7 +36,7 @@
 
 // Data takes in what a destination answers. An outcome is told last, so that
 // what follows from it finds the connection idle where the answer has ended.
-func (c *destinationConn) Data(conn *transport.Conn, in []byte) int {
+func (c *destinationConn) Data(conn *eventloop.Conn, in []byte) int {
 	used := c.read(conn, in)
 	if t := c.done; t != nil {
 		c.done = nil
@@ -45,7 +45,7 @@
 	return used
 }
 
-func (c *destinationConn) read(conn *transport.Conn, in []byte) int {
+func (c *destinationConn) read(conn *eventloop.Conn, in []byte) int {
 	if c.trip == nil && !c.told {
 		c.close() // nothing was asked
 		return len(in)
--- a/internal/protocol/carry.go
+++ b/internal/node/protocol/carry.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/slot"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/util/http1"
 )
 
 // Parcel is what one process of a node hands to the next in one piece: a client's
@@ -102,16 +102,16 @@
 // over, and forgets it. What cannot be moved now, as its last bytes wait for the
 // system, stays.
 func (f *Front) HandOver(to *Destinations, give func(p *Parcel, sockets []*os.File)) {
-	byCall := make(map[*Call]slot.Ref, len(f.calls))
+	byCall := make(map[*Call]slottable.Ref, len(f.calls))
 	for ref, c := range f.calls {
 		byCall[c] = ref
 	}
-	f.sockets.All(func(_ slot.Ref, s *frontSocket) {
+	f.sockets.All(func(_ slottable.Ref, s *frontSocket) {
 		if !s.conn.CanHandOver() {
 			return
 		}
 		p := &Parcel{Asked: s.asked, Began: s.began, Since: s.since}
-		var work slot.Ref
+		var work slottable.Ref
 		if s.call != nil {
 			ref, ok := byCall[s.call]
 			if !ok || !to.movable(f.core.Out(ref)) {
@@ -135,9 +135,9 @@
 }
 
 // release takes a request in work out of the core and the destinations.
-func (f *Front) release(to *Destinations, ref slot.Ref, c *Call, sockets []*os.File) (*CallPart, []*os.File) {
+func (f *Front) release(to *Destinations, ref slottable.Ref, c *Call, sockets []*os.File) (*CallPart, []*os.File) {
 	part := &CallPart{Last: c.last, Old: c.Old}
-	part.Carried = f.core.Release(ref, func(try int, step slot.Ref) (moved, begun bool) {
+	part.Carried = f.core.Release(ref, func(try int, step slottable.Ref) (moved, begun bool) {
 		s, socket, begun := to.release(step)
 		if socket != nil {
 			s.Try = try
@@ -154,7 +154,7 @@
 
 // Adopt takes over a client's connection, on the loop. conns are its own and those
 // of the steps, as the parcel names them.
-func (f *Front) Adopt(to *Destinations, p *Parcel, conns []*transport.Conn) {
+func (f *Front) Adopt(to *Destinations, p *Parcel, conns []*eventloop.Conn) {
 	s := &frontSocket{server: f.Server, conn: conns[0], asked: p.Asked, began: p.Began, since: p.Since}
 	s.ref = f.sockets.Add(s)
 	if f.listener != nil {
@@ -170,7 +170,7 @@
 	f.makeRoom()
 }
 
-func (f *Front) resume(to *Destinations, s *frontSocket, p *Parcel, conns []*transport.Conn) {
+func (f *Front) resume(to *Destinations, s *frontSocket, p *Parcel, conns []*eventloop.Conn) {
 	part := p.Call
 	c := &Call{socket: s, last: part.Last || f.stopping, id: part.Carried.Operation.Work.ID, size: p.Size}
 	c.Old = part.Old
@@ -189,7 +189,7 @@
 }
 
 // movable tells whether all connections at work on some steps can be handed over.
-func (d *Destinations) movable(steps []slot.Ref) bool {
+func (d *Destinations) movable(steps []slottable.Ref) bool {
 	for _, at := range steps {
 		if t := d.trips[at]; t != nil && t.conn != nil && !t.conn.conn.CanHandOver() {
 			return false
@@ -200,7 +200,7 @@
 
 // release gives up the connection at work on a step, and tells whether a byte of
 // the step may have gone out. No socket: it cannot be moved.
-func (d *Destinations) release(step slot.Ref) (part StepPart, socket *os.File, begun bool) {
+func (d *Destinations) release(step slottable.Ref) (part StepPart, socket *os.File, begun bool) {
 	t := d.trips[step]
 	if t == nil || t.conn == nil {
 		return part, nil, false
@@ -219,8 +219,8 @@
 }
 
 // adopt takes over a connection at work on a step.
-func (d *Destinations) adopt(step slot.Ref, id balance.WorkerID, p StepPart, w *routing.Work,
-	conn *transport.Conn) *destinationConn {
+func (d *Destinations) adopt(step slottable.Ref, id balance.WorkerID, p StepPart, w *routing.Work,
+	conn *eventloop.Conn) *destinationConn {
 	to := d.byID[id]
 	if to == nil {
 		// It has left the list meanwhile. What it has in work ends as it ends.
@@ -228,7 +228,7 @@
 	}
 	c := &destinationConn{owner: d, to: to, conn: conn, process: to.process, head: p.Head, status: p.Status, declined: p.Declined,
 		load: p.Load, line: p.Line, last: p.Last, kept: p.Kept,
-		body: httpwire.BodyReader{Rules: &rules, BodyState: httpwire.BodyState{Left: p.Left, Chunked: p.Chunked, ToEnd: p.ToEnd, Over: p.Over}}}
+		body: http1.BodyReader{Rules: &rules, BodyState: http1.BodyState{Left: p.Left, Chunked: p.Chunked, ToEnd: p.ToEnd, Over: p.Over}}}
 	t := &trip{step: step, id: w.ID, once: w.Once, to: to, conn: c, sentAt: d.loop.Now()}
 	c.trip = t
 	d.trips[step] = t
--- a/internal/protocol/carry_test.go
+++ b/internal/node/protocol/carry_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"ospreybend/internal/scenario"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 // move hands over all that a world holds to another one, parcels written and read.
@@ -40,7 +40,7 @@
 // is spoilt, or came with other sockets, is refused.
 func TestMoved(t *testing.T) {
 	old, next := newWorld(t, nil), newWorld(t, nil)
-	started := scenario.Chunk(`{"id":"a1","state":"started"}`)
+	started := scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)
 	old.Play(`
 		idle dial front
 		idle send GET /healthz HTTP/1.1\r\n\r\n
@@ -82,12 +82,12 @@
 	old, next := newWorld(t, nil), newWorld(t, nil)
 	old.Play("c dial front\nc send {book}\ns accept workers\ns expect b1")
 	next.Loop.Call(func() {}) // both are up
-	var ref slot.Ref
+	var ref slottable.Ref
 	old.Loop.Call(func() {
 		for at := range old.front.calls {
 			ref = at
 		}
-		carried := old.core.Release(ref, func(int, slot.Ref) (bool, bool) { return false, true })
+		carried := old.core.Release(ref, func(int, slottable.Ref) (bool, bool) { return false, true })
 		next.Loop.Post(func() {
 			at, _ := next.core.Adopt(carried, next.front)
 			next.core.Resume(at)
--- a/internal/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -3,25 +3,25 @@
 import (
 	"time"
 
-	"ospreybend/internal/due"
-	"ospreybend/internal/slot"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // frontSocket is the client's side of a connection.
 type frontSocket struct {
 	server  *Server
-	conn    *transport.Conn
-	ref     slot.Ref
-	call    *Call         // whose answer is owed; nil: none
-	reader  requestReader // of the request that is coming
-	began   time.Duration // when it began to come, or the connection
-	limit   *due.Deadline // by which it must be whole
-	heard   time.Duration // when the last of it came
-	pieces  bool          // it has come in more than one
-	held    int           // bytes of input held for it
-	asked   bool          // has brought a whole request
-	since   time.Duration // the last answer
+	conn    *eventloop.Conn
+	ref     slottable.Ref
+	call    *Call                // whose answer is owed; nil: none
+	reader  requestReader        // of the request that is coming
+	began   time.Duration        // when it began to come, or the connection
+	limit   *timerqueue.Deadline // by which it must be whole
+	heard   time.Duration        // when the last of it came
+	pieces  bool                 // it has come in more than one
+	held    int                  // bytes of input held for it
+	asked   bool                 // has brought a whole request
+	since   time.Duration        // the last answer
 	told100 bool
 }
 
@@ -78,10 +78,10 @@
 }
 
 // Closed is the client's going away.
-func (f *frontSocket) Closed(*transport.Conn) { f.forget() }
+func (f *frontSocket) Closed(*eventloop.Conn) { f.forget() }
 
 // Data takes in what a client sends: one request at a time.
-func (f *frontSocket) Data(conn *transport.Conn, in []byte) int {
+func (f *frontSocket) Data(conn *eventloop.Conn, in []byte) int {
 	f.heard, f.pieces = f.server.loop.Now(), f.held > 0
 	used := 0
 	for f.call == nil && conn.Open() && used < len(in) {
--- a/internal/protocol/crowd_test.go
+++ b/internal/node/protocol/crowd_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/scenario"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 // turns is a pool config for many nodes, on the test's clock: a call that may not wait for news takes its
@@ -119,7 +119,7 @@
 func TestCrowdAtAServiceThatAnswersInTurn(t *testing.T) {
 	const nodes, known = 16, 6 * time.Second
 	for seed := range uint64(5) {
-		stage := scenario.New(t)
+		stage := scriptedpeer.New(t)
 		service := &turns{each: 200 * time.Millisecond, longest: 2 * time.Second, version: 8, dead: map[net.Conn]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/protocol/cut_test.go
+++ b/internal/node/protocol/cut_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"ospreybend/balance"
-	"ospreybend/internal/scenario"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
@@ -74,7 +74,7 @@
 	w.Play("c dial front")
 	w.drip("c", w.Words["ask"])
 	w.Play("s accept workers\ns expect \\r\\n\\r\\nhi")
-	w.drip("s", w.Words["stream"]+scenario.Chunk(`{"id":"a1","state":"started"}`)+w.Words["done"])
+	w.drip("s", w.Words["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+w.Words["done"])
 	w.Play("c expect HTTP/1.1 200\nc expect fine\nc send {ask}\ns expect hi")
 	w.drip("s", `HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nfull`)
 	w.Play("o dial admin")
--- a/internal/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/byhand"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/override"
+	"ospreybend/internal/node/routing"
 )
 
 const (
@@ -54,7 +54,7 @@
 	Zones, Kinds   []string // their numbers are their places here
 	ConnectTimeout time.Duration
 	Known          List
-	ByHand         byhand.Words // laid over each list; nil: none
+	ByHand         override.Words // laid over each list; nil: none
 	ColdTime       time.Duration
 	Draw           func() float64 // from 0 to 1, by which holds differ: watches that open together would end together; nil: they do not
 	Pushed         bool           // the list is an agent's: watched from the start on, whatever the module asks for
@@ -64,7 +64,7 @@
 // core and the destinations informed.
 type Discovery struct {
 	config  DiscoveryConfig
-	loop    *transport.Loop
+	loop    *eventloop.Loop
 	core    *routing.Core
 	to      *Destinations
 	version uint64
@@ -86,7 +86,7 @@
 type CallCounts struct{ Asked, Answered, Refused, Silent uint64 }
 
 // NewDiscovery makes the adapter.
-func NewDiscovery(config DiscoveryConfig, loop *transport.Loop, core *routing.Core, to *Destinations) *Discovery {
+func NewDiscovery(config DiscoveryConfig, loop *eventloop.Loop, core *routing.Core, to *Destinations) *Discovery {
 	return &Discovery{config: config, loop: loop, core: core, to: to, version: config.Known.Version,
 		names: map[balance.WorkerID]string{}, listed: map[balance.WorkerID]balance.Listing{}}
 }
--- a/internal/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/timerqueue"
+	"ospreybend/internal/util/http1"
 )
 
 // call is one exchange with the pool config on a connection of its own, which a
 // watch keeps for the next.
 type call struct {
 	owner   *Discovery
-	conn    *transport.Conn
+	conn    *eventloop.Conn
 	abandon func()
-	timeout *due.Deadline
+	timeout *timerqueue.Deadline
 	target  string
 	hold    time.Duration // how long it may wait for news
 	again   bool          // asked a second time, after the first failed
@@ -27,7 +27,7 @@
 	head    bool
 	status  int
 	last    bool
-	body    httpwire.BodyReader
+	body    http1.BodyReader
 	text    []byte
 }
 
@@ -50,7 +50,7 @@
 		}
 		return
 	}
-	c.abandon = d.loop.Dial(d.config.Address, d.config.ConnectTimeout, c, func(conn *transport.Conn, err error) {
+	c.abandon = d.loop.Dial(d.config.Address, d.config.ConnectTimeout, c, func(conn *eventloop.Conn, err error) {
 		c.abandon = nil
 		if err != nil {
 			c.fail(err.Error())
@@ -126,7 +126,7 @@
 }
 
 // Closed is the pool config's end of the connection.
-func (c *call) Closed(*transport.Conn) {
+func (c *call) Closed(*eventloop.Conn) {
 	c.conn = nil
 	if c.head && c.body.ToEnd && c.asked {
 		c.finish()
@@ -138,7 +138,7 @@
 }
 
 // Data takes in an answer.
-func (c *call) Data(conn *transport.Conn, in []byte) int {
+func (c *call) Data(conn *eventloop.Conn, in []byte) int {
 	used := 0
 	for conn.Open() {
 		if !c.head {
--- a/internal/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/scenario"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-func answered(json string) string { return `{stream}` + scenario.Chunk(json) + `0\r\n\r\n` }
+func answered(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 
 const sameList = `{"index":8,"snapshot":false,"endpoints":[]}`
 
--- a/internal/protocol/ending_test.go
+++ b/internal/node/protocol/ending_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/scenario"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 // Crossings at an ending, forced: the steps of both sides are played while the loop stands in a
@@ -37,7 +37,7 @@
 
 // sockets returns the clients' connections, on the loop.
 func (w *world) sockets() (all []*frontSocket) {
-	w.front.sockets.All(func(_ slot.Ref, f *frontSocket) { all = append(all, f) })
+	w.front.sockets.All(func(_ slottable.Ref, f *frontSocket) { all = append(all, f) })
 	return all
 }
 
@@ -340,7 +340,7 @@
 // A prep worker hangs in the middle of its answer's body, or breaks the connection long after it has begun. A booking has
 // failed, at the end of its time or at once, and is sent nowhere else; what may be repeated is, and its client served by that.
 func TestEndsLongAfterItsStart(t *testing.T) {
-	half := scenario.Chunk(`{"id":"b1","state":"started"}`) + `40\r\n{"id":"b1","state":"do`
+	half := scriptedpeer.Chunk(`{"id":"b1","state":"started"}`) + `40\r\n{"id":"b1","state":"do`
 	w := newWorld(t, nil)
 	w.Words["half"] = half
 	w.Play(lines("c dial front", "c send {book}", "s accept workers", "s expect Req-Id: b1", "s send {stream}{half}",
--- a/internal/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/slot"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -39,14 +39,14 @@
 	*Server
 	config  FrontConfig
 	core    *routing.Core
-	calls   map[slot.Ref]*Call // by operation
-	open    map[string]bool    // the ids of the operations in work
-	leaving bool               // told to stop: not healthy any more
+	calls   map[slottable.Ref]*Call // by operation
+	open    map[string]bool         // the ids of the operations in work
+	leaving bool                    // told to stop: not healthy any more
 }
 
 // NewFront makes the front; Start opens it.
-func NewFront(config FrontConfig, loop *transport.Loop, core *routing.Core) *Front {
-	f := &Front{config: config, core: core, calls: map[slot.Ref]*Call{}, open: map[string]bool{}}
+func NewFront(config FrontConfig, loop *eventloop.Loop, core *routing.Core) *Front {
+	f := &Front{config: config, core: core, calls: map[slottable.Ref]*Call{}, open: map[string]bool{}}
 	f.Server = NewServer(loop, config.Listen, config.Sockets, config.Memory, f.request)
 	return f
 }
@@ -103,7 +103,7 @@
 	f.core.Route(ref)
 }
 
-func (f *Front) register(ref slot.Ref, c *Call) {
+func (f *Front) register(ref slottable.Ref, c *Call) {
 	f.calls[ref] = c
 	f.open[c.id] = true
 	c.Gone(func() {
@@ -129,7 +129,7 @@
 		return op, bad(idempotencyKey + " is too long")
 	case op.Work.ID == "":
 		return op, bad("Req-Id is missing")
-	case len(op.Work.ID) > maxID || !httpwire.IsToken(op.Work.ID):
+	case len(op.Work.ID) > maxID || !http1.IsToken(op.Work.ID):
 		return op, bad("Req-Id is malformed")
 	}
 	if v := m.Header("Req-Deadline"); v != nil {
@@ -198,7 +198,7 @@
 }
 
 // Answered sends an operation's final answer.
-func (f *Front) Answered(op slot.Ref, a routing.Answer) {
+func (f *Front) Answered(op slottable.Ref, a routing.Answer) {
 	c := f.calls[op]
 	if c == nil {
 		return
@@ -231,7 +231,7 @@
 
 // Waits looks whether an operation's client is still there. One that has left is heard of
 // only when the loop reads its end, behind all that has come before.
-func (f *Front) Waits(op slot.Ref) bool {
+func (f *Front) Waits(op slottable.Ref) bool {
 	c := f.calls[op]
 	if c == nil || !c.socket.conn.Ended() {
 		return true
@@ -242,10 +242,10 @@
 
 // Started, Stepped and StepDone concern other fronts: a client here hears of
 // nothing but the final answer.
-func (f *Front) Started(slot.Ref, balance.WorkerID) {}
+func (f *Front) Started(slottable.Ref, balance.WorkerID) {}
 
 // Stepped is of no concern here either.
-func (f *Front) Stepped(slot.Ref, balance.WorkerID) {}
+func (f *Front) Stepped(slottable.Ref, balance.WorkerID) {}
 
 // StepDone is of no concern here either.
-func (f *Front) StepDone(slot.Ref, balance.WorkerID, balance.Outcome) {}
+func (f *Front) StepDone(slottable.Ref, balance.WorkerID, balance.Outcome) {}
--- a/internal/protocol/http.go
+++ b/internal/node/protocol/http.go
@@ -6,7 +6,7 @@
 import (
 	"bytes"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -17,17 +17,17 @@
 )
 
 // rules are those of every message.
-var rules = httpwire.Rules{HeadBytes: maxHead}
+var rules = http1.Rules{HeadBytes: maxHead}
 
 // Fault is why a message cannot be read, with the status that says so.
-type Fault = httpwire.Fault
+type Fault = http1.Fault
 
-func bad(text string) *Fault { return httpwire.Bad(text) }
+func bad(text string) *Fault { return http1.Bad(text) }
 
 // Message is a request or a response as far as it has come in. Its slices are
 // those of the connection's buffer, valid until the handler returns.
 type Message struct {
-	httpwire.Head
+	http1.Head
 	Body []byte
 }
 
@@ -38,7 +38,7 @@
 // once. Which of the two holds, one side may see otherwise than the next.
 func (m *Message) doubled(prefix string) string {
 	for i, f := range m.Raw {
-		if len(f.Name) < len(prefix) || !httpwire.EqualFold(f.Name[:len(prefix)], prefix) {
+		if len(f.Name) < len(prefix) || !http1.EqualFold(f.Name[:len(prefix)], prefix) {
 			continue
 		}
 		for _, g := range m.Raw[:i] {
@@ -55,9 +55,9 @@
 // can have the same bytes read over and over.
 type requestReader struct {
 	at      int // how far the request has been read
-	lines   httpwire.HeadReader
+	lines   http1.HeadReader
 	head    int // where the head ends; 0: not all there yet
-	framing httpwire.BodyReader
+	framing http1.BodyReader
 	length  int  // of the body; httpwire.LengthChunked: in chunks
 	expects bool // the client waits for word before it sends the body
 	body    []byte
@@ -86,7 +86,7 @@
 		return m, 0, err
 	}
 	// Slices of the head would have gone stale since it was first read.
-	if _, err := httpwire.ParseHead(httpwire.Request, in[r.lines.Start():], &rules, &m.Head); err != nil {
+	if _, err := http1.ParseHead(http1.Request, in[r.lines.Start():], &rules, &m.Head); err != nil {
 		return m, 0, err
 	}
 	m.Body = r.body
@@ -95,7 +95,7 @@
 
 // readHead looks for the end of the head, and reads it then.
 func (r *requestReader) readHead(in []byte) *Fault {
-	var h httpwire.Head
+	var h http1.Head
 	r.lines.Rules = rules
 	end, err := r.lines.Read(in, &h)
 	r.at = r.lines.At()
@@ -106,10 +106,10 @@
 		return &Fault{Status: 413, Text: "the body is over 64 KiB"}
 	}
 	r.head, r.length, r.expects = end, h.Length, h.Expects()
-	if h.Length == httpwire.LengthNone {
+	if h.Length == http1.LengthNone {
 		r.length = 0 // a request without framing has no body
 	}
-	r.framing = httpwire.RequestBody(&h, &rules)
+	r.framing = http1.RequestBody(&h, &rules)
 	return nil
 }
 
@@ -142,17 +142,17 @@
 
 // parseResponse reads the head of a response. It returns 0 where it is not all there.
 func parseResponse(in []byte, m *Message) (int, *Fault) {
-	return httpwire.ParseHead(httpwire.Response, in, &rules, &m.Head)
+	return http1.ParseHead(http1.Response, in, &rules, &m.Head)
 }
 
 // newBody starts on the body of a response whose head has been read.
-func newBody(m *Message) httpwire.BodyReader { return httpwire.ResponseBody(&m.Head, &rules) }
+func newBody(m *Message) http1.BodyReader { return http1.ResponseBody(&m.Head, &rules) }
 
 // AppendResponse writes a response. extra holds further header lines, each with
 // its end.
 func AppendResponse(out []byte, status int, extra string, body []byte, closing bool) []byte {
-	out = httpwire.AppendStatusLine(out, status)
-	out = httpwire.AppendNumberField(out, "Content-Length", len(body))
+	out = http1.AppendStatusLine(out, status)
+	out = http1.AppendNumberField(out, "Content-Length", len(body))
 	out = append(out, extra...)
 	if closing {
 		out = append(out, "Connection: close\r\n"...)
--- a/internal/protocol/peers.go
+++ b/internal/node/protocol/peers.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"ospreybend/internal/routing"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/routing"
 )
 
 const (
@@ -28,7 +28,7 @@
 // Peers sends datagrams to the other nodes of the tier.
 type Peers struct {
 	config PeersConfig
-	out    *transport.Packets
+	out    *eventloop.Packets
 	to     []*net.UDPAddr
 	all    *net.UDPAddr
 	from   map[netip.AddrPort]int
@@ -37,7 +37,7 @@
 }
 
 // NewPeers makes the adapter. Without an address to listen at it sends nothing.
-func NewPeers(config PeersConfig, loop *transport.Loop, core *routing.Core) (*Peers, error) {
+func NewPeers(config PeersConfig, loop *eventloop.Loop, core *routing.Core) (*Peers, error) {
 	p := &Peers{config: config, from: map[netip.AddrPort]int{}}
 	if config.Listen == "" {
 		return p, nil
@@ -67,7 +67,7 @@
 	return p, err
 }
 
-func (p *Peers) open(loop *transport.Loop, core *routing.Core) error {
+func (p *Peers) open(loop *eventloop.Loop, core *routing.Core) error {
 	out, err := loop.ListenPackets(p.config.Listen, func(from netip.AddrPort, data []byte) {
 		if i, ok := p.from[plain(from)]; ok && i != p.config.Ordinal {
 			core.Heard(i, data)
@@ -81,7 +81,7 @@
 
 // later asks for the address until it is free. Until then peers are neither told
 // nor heard.
-func (p *Peers) later(loop *transport.Loop, core *routing.Core) {
+func (p *Peers) later(loop *eventloop.Loop, core *routing.Core) {
 	loop.Due.Add(loop.Now()+askPeersEvery, func() {
 		if p.closed || p.open(loop, core) == nil {
 			return
--- a/internal/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/byhand"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/scenario"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/override"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 func TestServedOverOneWarmConnection(t *testing.T) {
@@ -23,7 +23,7 @@
 		s expect POST /pruefen/x?y=1 HTTP/1.1\r\n
 		s expect Req-Id: a1\r\n
 		s expect \r\n\r\nhi
-		s send {stream}` + scenario.Chunk(`{"id":"a1","state":"started"}`) + `{done}
+		s send {stream}` + scriptedpeer.Chunk(`{"id":"a1","state":"started"}`) + `{done}
 		c expect HTTP/1.1 200 OK\r\n
 		c expect \r\n\r\nfine
 		# Both destinations are one stand-in; a probe shows that the connection is warm.
@@ -208,7 +208,7 @@
 // never ran is sent again, or refused; what may have run never is.
 func TestOutcomeTable(t *testing.T) {
 	line := func(state string) string {
-		return `{stream}` + scenario.Chunk(`{"id":"b1","state":"`+state+`"}`) + `0\r\n\r\n`
+		return `{stream}` + scriptedpeer.Chunk(`{"id":"b1","state":"`+state+`"}`) + `0\r\n\r\n`
 	}
 	for name, c := range map[string]struct {
 		answer string
@@ -225,7 +225,7 @@
 		"200 without last":     {`{stream}0\r\n\r\n`, balance.Reset},
 		"unreadable":           {`nonsense\r\n\r\n`, balance.Reset},
 		"no end of line":       {`{stream}` + `19\r\n{"state":"done"         }\r\n0\r\n\r\n`, balance.Served},
-		"line no object":       {`{stream}` + scenario.Chunk(`hello`), balance.Reset},
+		"line no object":       {`{stream}` + scriptedpeer.Chunk(`hello`), balance.Reset},
 		"another's line":       {`{stream}{done}`, balance.Reset},
 		"interim, then served": {`HTTP/1.1 100 Continue\r\n\r\n{stream}{booked}`, balance.Served},
 	} {
@@ -287,7 +287,7 @@
 // booking is refused, which is harmless.
 func TestConnectRefused(t *testing.T) {
 	w := newWorld(t, nil)
-	none := scenario.Free(t)
+	none := scriptedpeer.Free(t)
 	w.Loop.Call(func() {
 		for id, to := range w.to.byID {
 			w.to.Place(id, to.name, none)
@@ -323,7 +323,7 @@
 	})
 	t.Run("by hand", func(t *testing.T) {
 		drainWhileConnecting(t, func(w *world, up balance.ListUpdate) {
-			w.pool.config.ByHand = byhand.Words{"s-1": {Out: true}, "s-2": {Out: true}}
+			w.pool.config.ByHand = override.Words{"s-1": {Out: true}, "s-2": {Out: true}}
 			for _, l := range up.Workers {
 				w.pool.Relay(l.Worker)
 			}
@@ -372,7 +372,7 @@
 // the module, which asks again.
 func TestDiscovery(t *testing.T) {
 	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
-	list := func(json string) string { return `{stream}` + scenario.Chunk(json) + `0\r\n\r\n` }
+	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 	w.Words["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
 	w.Words["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
 	w.Words["empty"] = list(`{"index":12,"snapshot":true,"endpoints":[]}`)
@@ -407,7 +407,7 @@
 // tell counts as told: 2 s past the hold.
 func TestSilentDiscoveryIsNoticedInTime(t *testing.T) {
 	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
-	w.Words["same"] = `{stream}` + scenario.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
+	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(`
 		wait 100ms
 		p accept pool
@@ -426,8 +426,8 @@
 // the module would wait a while before it asked again.
 func TestDiscoveryMoves(t *testing.T) {
 	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
-	w.Words["same"] = `{stream}` + scenario.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
-	w.Words["none"] = `{stream}` + scenario.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
+	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
+	w.Words["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
 	for _, name := range []string{"next", "last"} {
 		address := w.StandIn(name)
@@ -558,11 +558,11 @@
 // stand half written or idle.
 func TestSlowRequestInACrowd(t *testing.T) {
 	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Sockets = socketSpare + 8 })
-	w.Words["slowly"] = scenario.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
+	w.Words["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
 	w.Play("slow dial front")
 	var slow *frontSocket
 	w.Until(func() bool {
-		w.front.sockets.All(func(_ slot.Ref, f *frontSocket) { slow = f })
+		w.front.sockets.All(func(_ slottable.Ref, f *frontSocket) { slow = f })
 		return slow != nil
 	})
 	come := 0
@@ -635,7 +635,7 @@
 	w.Until(held(90 << 10))
 	w.Play(lines(part("three", 25<<10), "two expect HTTP/1.1 503", "two closed"))
 	w.Play(lines("one send "+strings.Repeat("x", 34<<10), "s accept workers", "s expect xxx", "s send {stream}"+
-		scenario.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
+		scriptedpeer.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
 }
 
 // A client that writes on at full speed still gets the error, and its
@@ -695,7 +695,7 @@
 // closed: descriptors would else be given out twice.
 func TestGivenUpDialKeepsItsPlace(t *testing.T) {
 	w := newWorld(t, nil)
-	step := slot.Ref(99)
+	step := slottable.Ref(99)
 	w.Loop.Call(func() {
 		for id := range w.to.byID {
 			w.to.Send(step, id, &routing.Work{ID: "a1", Target: "/pruefen"}, w.Loop.Now()+time.Second)
--- a/internal/protocol/room.go
+++ b/internal/node/protocol/room.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"ospreybend/internal/slot"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/slottable"
 )
 
 // Limit changes how many front sockets are kept and how many bytes of input held,
@@ -32,7 +32,7 @@
 	now := s.loop.Now()
 	var silent, unfinished, idle *frontSocket
 	slow := 0
-	s.sockets.All(func(_ slot.Ref, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Ref, f *frontSocket) {
 		switch {
 		case f.call != nil || !f.conn.Open():
 		case f.asked && f.held == 0:
@@ -51,7 +51,7 @@
 		}
 	})
 	// What the other side has closed since is out of the way already.
-	s.lingering = slices.DeleteFunc(s.lingering, func(c *transport.Conn) bool { return !c.Lingering() })
+	s.lingering = slices.DeleteFunc(s.lingering, func(c *eventloop.Conn) bool { return !c.Lingering() })
 	switch {
 	case silent.quiet():
 		silent.close()
@@ -94,7 +94,7 @@
 	f.held = bytes
 	for s.held > s.memory {
 		var largest *frontSocket
-		s.sockets.All(func(_ slot.Ref, g *frontSocket) {
+		s.sockets.All(func(_ slottable.Ref, g *frontSocket) {
 			if g.call == nil && g.held > 0 && (largest == nil || g.held > largest.held) {
 				largest = g
 			}
--- a/internal/protocol/server.go
+++ b/internal/node/protocol/server.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"ospreybend/internal/slot"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/slottable"
 )
 
 const (
@@ -30,7 +30,7 @@
 // answer to each out, in order. It bounds what a client can take up without
 // bringing a request: time, sockets and memory.
 type Server struct {
-	loop   *transport.Loop
+	loop   *eventloop.Loop
 	listen string
 	most   int // front sockets, at this time
 	all    int // and at most
@@ -41,9 +41,9 @@
 	// for which there is no room. nil: the text as it is.
 	Complain func(status int, text string) (extra string, body []byte)
 
-	listener  *transport.Listener
-	sockets   slot.Table[*frontSocket]
-	lingering []*transport.Conn // answered for the last time, oldest first
+	listener  *eventloop.Listener
+	sockets   slottable.Table[*frontSocket]
+	lingering []*eventloop.Conn // answered for the last time, oldest first
 	parting   int               // of these, not closed yet
 	held      int               // bytes of input held
 	stopping  bool
@@ -64,7 +64,7 @@
 // NewServer makes a server; Start opens it. It keeps at most most front sockets
 // and holds at most memory bytes of what has come in on them. serve must see to
 // it that each call is answered once, then or later.
-func NewServer(loop *transport.Loop, listen string, most, memory int, serve func(*Call)) *Server {
+func NewServer(loop *eventloop.Loop, listen string, most, memory int, serve func(*Call)) *Server {
 	return &Server{loop: loop, listen: listen, most: most, all: most, memory: memory, serve: serve}
 }
 
@@ -104,7 +104,7 @@
 	} else {
 		s.ended = true
 	}
-	s.sockets.All(func(_ slot.Ref, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Ref, f *frontSocket) {
 		if f.call != nil {
 			f.call.last = true
 		}
@@ -122,7 +122,7 @@
 // end of the sending could not be answered, and goes no further.
 func (s *Server) closeIdle() {
 	again := false
-	s.sockets.All(func(_ slot.Ref, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Ref, f *frontSocket) {
 		switch {
 		case f.call != nil || f.held > 0:
 		case f.conn.Quiet():
@@ -147,7 +147,7 @@
 // Counts returns the totals.
 func (s *Server) Counts() ServerCounts { return s.counts }
 
-func (s *Server) accept(c *transport.Conn) transport.Handler {
+func (s *Server) accept(c *eventloop.Conn) eventloop.Handler {
 	f := &frontSocket{server: s, conn: c}
 	f.ref = s.sockets.Add(f)
 	f.await()
@@ -178,7 +178,7 @@
 
 // linger ends a connection after its last answer, and remembers it for as long
 // as it stays open.
-func (s *Server) linger(c *transport.Conn) {
+func (s *Server) linger(c *eventloop.Conn) {
 	for len(s.lingering) > 0 && !s.lingering[0].Lingering() {
 		s.lingering = s.lingering[1:]
 	}
--- a/internal/protocol/server_call.go
+++ b/internal/node/protocol/server_call.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/util/http1"
 )
 
 // Call is one request and the way to answer it.
@@ -41,7 +41,7 @@
 		return false
 	}
 	c.parts = true
-	head := httpwire.AppendStatusLine(nil, status)
+	head := http1.AppendStatusLine(nil, status)
 	head = append(head, "Transfer-Encoding: chunked\r\n"+extra...)
 	if c.last {
 		head = append(head, "Connection: close\r\n"...)
--- a/internal/protocol/stage_test.go
+++ b/internal/node/protocol/stage_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/scenario"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/testkit/scriptedpeer"
 )
 
 // world is a node on a stage, with stand-ins for its destinations and its pool
 // config.
 type world struct {
-	*scenario.Stage
+	*scriptedpeer.Stage
 	core  *routing.Core
 	front *Front
 	to    *Destinations
@@ -25,7 +25,7 @@
 // run twice.
 func newWorld(t *testing.T, change func(*balance.Settings, *FrontConfig)) *world {
 	t.Helper()
-	w := &world{Stage: scenario.New(t)}
+	w := &world{Stage: scriptedpeer.New(t)}
 	class := func(e balance.Effect) balance.Class {
 		return balance.Class{Aim: 2 * time.Second, Stretch: 2, GiveUp: 4 * time.Second, Worth: 1, Effect: e, Kind: -1}
 	}
@@ -35,7 +35,7 @@
 		Limits: balance.Limits{Cancel: true, Probes: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute},
 		Rules: balance.Rules{ColdFrom: 1, AskWithin: 10 * time.Second}}
-	f := FrontConfig{Listen: scenario.Free(t), Sockets: 40, Memory: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
+	f := FrontConfig{Listen: scriptedpeer.Free(t), Sockets: 40, Memory: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
 		GiveUp: []time.Duration{4 * time.Second, 4 * time.Second}, Retry: true}
 	if change != nil {
 		change(&s, &f)
@@ -45,7 +45,7 @@
 	w.Words["ask"] = `POST /pruefen/x?y=1 HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline: 3.0\r\nContent-Length: 2\r\n\r\nhi`
 	w.Words["book"] = `POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3.0\r\n\r\n`
 	w.Words["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
-	w.Words["done"] = scenario.Chunk(`{"id":"a1","state":"done","result":"fine","load":{"queue":1,"x0":2}}`) + `0\r\n\r\n`
+	w.Words["done"] = scriptedpeer.Chunk(`{"id":"a1","state":"done","result":"fine","load":{"queue":1,"x0":2}}`) + `0\r\n\r\n`
 	w.Words["booked"] = strings.ReplaceAll(w.Words["done"], "a1", "b1")
 	known := List{Version: 7, Entries: []Listed{{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
 		{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}
--- a/internal/protocol/worker_connection.go
+++ b/internal/node/protocol/worker_connection.go
@@ -8,28 +8,28 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
-	"ospreybend/internal/fault"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/routing"
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
+	"ospreybend/internal/node/faultinjection"
+	"ospreybend/internal/node/routing"
+	"ospreybend/internal/node/timerqueue"
+	"ospreybend/internal/util/http1"
 )
 
 // destinationConn is one connection to a destination.
 type destinationConn struct {
 	owner    *Destinations
 	to       *destination
-	conn     *transport.Conn
+	conn     *eventloop.Conn
 	process  int   // of the destination, when the connection was made
 	trip     *trip // in work; nil: idle, or the answer's rest is still to come
 	head     bool  // the answer's head has been read
 	status   int
 	declined bool
 	load     []byte
-	body     httpwire.BodyReader
+	body     http1.BodyReader
 	last     bool   // no further exchange on this connection
 	line     []byte // the part of a line that is in
-	deadline *due.Deadline
+	deadline *timerqueue.Deadline
 	kept     bool // has served an exchange before
 	restedAt time.Duration
 	told     bool  // the outcome is known
@@ -66,7 +66,7 @@
 func (d *Destinations) dial(t *trip) {
 	c := &destinationConn{owner: d, to: t.to, process: t.to.process, trip: t}
 	d.open++
-	t.abandon = d.loop.Dial(t.to.address, d.config.ConnectTimeout, c, func(conn *transport.Conn, err error) {
+	t.abandon = d.loop.Dial(t.to.address, d.config.ConnectTimeout, c, func(conn *eventloop.Conn, err error) {
 		t.abandon = nil
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
@@ -99,7 +99,7 @@
 	t.request, t.work = nil, nil
 	sent := c.conn.Send(request)
 	if t.step != 0 {
-		fault.Hit(fault.BytesWritten)
+		faultinjection.Hit(faultinjection.BytesWritten)
 	}
 	if !sent {
 		// The request's last byte was never written.
--- a/internal/routing/carry.go
+++ b/internal/node/routing/carry.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/slottable"
 )
 
 // Carried is an operation on its way from one process of the node to another, with
@@ -24,12 +24,12 @@
 
 // Out returns the route steps of an operation that are out at destinations, by the
 // number of the try; the zero Ref stands for one that is not.
-func (c *Core) Out(ref slot.Ref) []slot.Ref {
+func (c *Core) Out(ref slottable.Ref) []slottable.Ref {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return nil
 	}
-	out := make([]slot.Ref, len(op.steps))
+	out := make([]slottable.Ref, len(op.steps))
 	for i, at := range op.steps {
 		if c.steps.Get(at) != nil {
 			out[i] = at
@@ -41,7 +41,7 @@
 // Release gives an operation up to another process, without a word to its owner.
 // move gives up the connection at work on a step, and tells whether a byte of the
 // step may have gone out; one that is not moved is called off here.
-func (c *Core) Release(ref slot.Ref, move func(try int, step slot.Ref) (moved, begun bool)) Carried {
+func (c *Core) Release(ref slottable.Ref, move func(try int, step slottable.Ref) (moved, begun bool)) Carried {
 	op := c.ops.Get(ref)
 	carried := Carried{Operation: op.Operation, Arrived: op.arrived, Tries: op.tries, Until: make([]time.Duration, len(op.tries))}
 	carried.Operation.Owner = nil
@@ -68,12 +68,12 @@
 
 // Adopt takes over an operation that another process has released, and returns its
 // Ref and those of the steps that are out. Nothing becomes of it before Resume.
-func (c *Core) Adopt(in Carried, owner Owner) (slot.Ref, []slot.Ref) {
+func (c *Core) Adopt(in Carried, owner Owner) (slottable.Ref, []slottable.Ref) {
 	in.Operation.Owner = owner
 	ref := c.Take(in.Operation)
 	op := c.ops.Get(ref)
 	op.arrived, op.tries = in.Arrived, in.Tries
-	op.steps = make([]slot.Ref, len(in.Tries))
+	op.steps = make([]slottable.Ref, len(in.Tries))
 	for i, t := range in.Tries {
 		if !t.Out {
 			continue
@@ -88,7 +88,7 @@
 }
 
 // Resume puts an adopted operation to the module.
-func (c *Core) Resume(ref slot.Ref) {
+func (c *Core) Resume(ref slottable.Ref) {
 	if op := c.ops.Get(ref); op != nil {
 		c.tell(balance.Adopted{Request: c.request(ref, op), Arrived: op.arrived, Tries: op.tries})
 	}
--- a/internal/routing/core.go
+++ b/internal/node/routing/core.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // graceAfterDeadline is how long past the deadline the core waits for the
@@ -21,13 +21,13 @@
 // operation is one operation and its route steps.
 type operation struct {
 	Operation
-	steps    []slot.Ref    // by number; a Ref goes stale when its step ends
-	tries    []balance.Try // the same, as another process would have to know them
+	steps    []slottable.Ref // by number; a Ref goes stale when its step ends
+	tries    []balance.Try   // the same, as another process would have to know them
 	arrived  time.Duration
 	out      int
 	gated    int  // of those that are out: before the gate
 	over     bool // has its final answer, or nobody waits for one
-	deadline *due.Deadline
+	deadline *timerqueue.Deadline
 }
 
 // Core is the node's state of operations and route steps. It belongs to the
@@ -36,12 +36,12 @@
 	settings balance.Settings
 	decide   *balance.Balancer
 	clock    Clock
-	due      *due.Line
+	due      *timerqueue.Line
 	to       Destinations
 	pool     Pool
 	peers    Peers
-	ops      slot.Table[*operation]
-	steps    slot.Table[*step]
+	ops      slottable.Table[*operation]
+	steps    slottable.Table[*step]
 	open     int // operations that are owed an answer
 	state    map[balance.WorkerID]balance.State
 	events   []balance.Event
@@ -71,7 +71,7 @@
 type ClassCounts struct{ Served, Refused, Failed uint64 }
 
 // New makes a core. Connect must follow before anything else.
-func New(s balance.Settings, seed uint64, clock Clock, line *due.Line) (*Core, error) {
+func New(s balance.Settings, seed uint64, clock Clock, line *timerqueue.Line) (*Core, error) {
 	decide, err := balance.New(s, seed)
 	if err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 
 // Take takes an operation in. Nothing becomes of it before Route, so that its
 // owner can note the Ref first.
-func (c *Core) Take(in Operation) slot.Ref {
+func (c *Core) Take(in Operation) slottable.Ref {
 	if c.ending != nil && in.Owner == c.ending {
 		in.Deadline = min(in.Deadline, c.endBy)
 	}
@@ -150,8 +150,8 @@
 // then.
 func (c *Core) EndBy(owner Owner, at time.Duration) {
 	c.ending, c.endBy = owner, at
-	var refs []slot.Ref
-	c.ops.All(func(ref slot.Ref, op *operation) {
+	var refs []slottable.Ref
+	c.ops.All(func(ref slottable.Ref, op *operation) {
 		if !op.over && op.Owner == owner && op.Deadline > at {
 			refs = append(refs, ref)
 		}
@@ -175,7 +175,7 @@
 
 // Route puts an operation to the module. Its final answer may come before Route
 // returns.
-func (c *Core) Route(ref slot.Ref) {
+func (c *Core) Route(ref slottable.Ref) {
 	op := c.ops.Get(ref)
 	if op == nil {
 		return
@@ -192,7 +192,7 @@
 }
 
 // request is an operation as the module sees it.
-func (c *Core) request(ref slot.Ref, op *operation) balance.Request {
+func (c *Core) request(ref slottable.Ref, op *operation) balance.Request {
 	return balance.Request{ID: balance.RequestID(ref), Class: op.Class, Tenant: op.Tenant, Key: op.Key,
 		Cost: op.Cost, HasCost: op.HasCost, Repeat: op.Repeat, Slots: op.Slots, Memory: op.Memory,
 		Deadline: op.Deadline}
@@ -200,7 +200,7 @@
 
 // MayHaveRun tells whether a route step of the operation has had effect, or yet
 // may.
-func (c *Core) MayHaveRun(ref slot.Ref) bool {
+func (c *Core) MayHaveRun(ref slottable.Ref) bool {
 	op := c.ops.Get(ref)
 	return op != nil && (op.out > op.gated ||
 		slices.ContainsFunc(op.tries, func(t balance.Try) bool { return t.MayHave && !t.Out }))
@@ -208,7 +208,7 @@
 
 // Withdraw tells that nobody waits for the operation any more. It gets no
 // answer from then on.
-func (c *Core) Withdraw(ref slot.Ref) {
+func (c *Core) Withdraw(ref slottable.Ref) {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return
@@ -220,7 +220,7 @@
 	c.forget(ref, op)
 }
 
-func (c *Core) overdue(ref slot.Ref) {
+func (c *Core) overdue(ref slottable.Ref) {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return
@@ -232,7 +232,7 @@
 }
 
 // answer gives the operation its one final answer.
-func (c *Core) answer(ref slot.Ref, op *operation, a Answer) {
+func (c *Core) answer(ref slottable.Ref, op *operation, a Answer) {
 	if op.over {
 		return
 	}
@@ -279,7 +279,7 @@
 }
 
 // forget frees the slot of an operation that is over with nothing out.
-func (c *Core) forget(ref slot.Ref, op *operation) {
+func (c *Core) forget(ref slottable.Ref, op *operation) {
 	if op.over && op.out == 0 {
 		c.ops.Drop(ref)
 	}
@@ -340,13 +340,13 @@
 func (c *Core) do(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
-		c.send(slot.Ref(a.Request), a)
+		c.send(slottable.Ref(a.Request), a)
 	case balance.Refuse:
-		c.conclude(slot.Ref(a.Request), Answer{Verdict: Refused, RetryAfter: c.advice(a.RetryAfter)})
+		c.conclude(slottable.Ref(a.Request), Answer{Verdict: Refused, RetryAfter: c.advice(a.RetryAfter)})
 	case balance.Fail:
-		c.conclude(slot.Ref(a.Request), Answer{Verdict: Failed})
+		c.conclude(slottable.Ref(a.Request), Answer{Verdict: Failed})
 	case balance.Cancel:
-		c.cancel(slot.Ref(a.Request), a.Attempt)
+		c.cancel(slottable.Ref(a.Request), a.Attempt)
 	case balance.SetTimer:
 		c.due.Add(c.clock.Now()+a.After, func() { c.tell(balance.TimerFired{Token: a.Token}) })
 	case balance.Probe:
@@ -381,7 +381,7 @@
 	return after
 }
 
-func (c *Core) conclude(ref slot.Ref, a Answer) {
+func (c *Core) conclude(ref slottable.Ref, a Answer) {
 	if op := c.ops.Get(ref); op != nil {
 		c.answer(ref, op, a)
 		c.forget(ref, op)
--- a/internal/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
-	"ospreybend/internal/fault"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/faultinjection"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // onItsWay is what the network may take, with half of the slack that the rules have on sockets to spare.
@@ -14,19 +14,19 @@
 
 // step is one route step.
 type step struct {
-	op       slot.Ref
+	op       slottable.Ref
 	number   int
 	to       balance.WorkerID
 	sentAt   time.Duration
 	until    time.Duration
-	deadline *due.Deadline
+	deadline *timerqueue.Deadline
 	gated    bool // not let through to the destination yet
 }
 
 // MayStart tells whether a route step whose connection has come up only now may
 // still write its first byte: the destination may have been told to drain, the
 // deadline may have passed and the client may have left while the connection was made.
-func (c *Core) MayStart(ref slot.Ref) bool {
+func (c *Core) MayStart(ref slottable.Ref) bool {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return false
@@ -51,7 +51,7 @@
 }
 
 // awaited tells whether anybody waits for an operation's answer. It may withdraw it.
-func (c *Core) awaited(ref slot.Ref) bool {
+func (c *Core) awaited(ref slottable.Ref) bool {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return false
@@ -61,7 +61,7 @@
 }
 
 // StepStarted tells that the destination has begun to run the step.
-func (c *Core) StepStarted(ref slot.Ref) {
+func (c *Core) StepStarted(ref slottable.Ref) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
@@ -81,7 +81,7 @@
 }
 
 // StepProgress tells how far the destination is.
-func (c *Core) StepProgress(ref slot.Ref, share float64) {
+func (c *Core) StepProgress(ref slottable.Ref, share float64) {
 	if s := c.steps.Get(ref); s != nil {
 		c.tell(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
 			Progress: share})
@@ -89,7 +89,7 @@
 }
 
 // StepEnded tells how a route step ended. Only the first word on a step counts.
-func (c *Core) StepEnded(ref slot.Ref, end StepEnd) {
+func (c *Core) StepEnded(ref slottable.Ref, end StepEnd) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
@@ -129,7 +129,7 @@
 
 // send starts a route step. What the rules forbid outright ends as not sent,
 // whatever the module thinks.
-func (c *Core) send(ref slot.Ref, a balance.Send) {
+func (c *Core) send(ref slottable.Ref, a balance.Send) {
 	op, now := c.ops.Get(ref), c.clock.Now()
 	if op == nil {
 		return
@@ -167,7 +167,7 @@
 
 // pass lets a step through its gate, or ends it there. What is now over, late or
 // at a destination that has been told to drain does not go out any more.
-func (c *Core) pass(at slot.Ref, ok bool) {
+func (c *Core) pass(at slottable.Ref, ok bool) {
 	s := c.steps.Get(at)
 	if s == nil || !s.gated {
 		return
@@ -179,18 +179,18 @@
 		c.StepEnded(at, StepEnd{Outcome: balance.NotSent})
 		return
 	}
-	fault.Hit(fault.GateOpen)
+	faultinjection.Hit(faultinjection.GateOpen)
 	c.to.Send(at, s.to, &op.Work, s.until)
 }
 
-func (c *Core) cancel(ref slot.Ref, number int) {
+func (c *Core) cancel(ref slottable.Ref, number int) {
 	if op := c.ops.Get(ref); op != nil && number >= 0 && number < len(op.steps) {
 		c.stop(op.steps[number], balance.Cancelled)
 	}
 }
 
 // stop gives a step up. Its connection is closed with it.
-func (c *Core) stop(ref slot.Ref, as balance.Outcome) {
+func (c *Core) stop(ref slottable.Ref, as balance.Outcome) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
--- a/internal/wire/frame.go
+++ b/internal/node/simwire/frame.go
@@ -1,6 +1,6 @@
-// Package wire turns the simulator's frames and settings into the types of
+// Package simwire turns the simulator's frames and settings into the types of
 // package balance and back. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/node/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/slot/table.go
+++ b/internal/node/slottable/table.go
@@ -1,6 +1,6 @@
-// Package slot keeps things in numbered slots that are used again. Each use of
+// Package slottable keeps things in numbered slots that are used again. Each use of
 // a slot has a generation of its own, so that a stale number finds nothing.
-package slot
+package slottable
 
 // Ref names one use of one slot. The zero Ref names nothing.
 type Ref uint64
--- a/internal/slot/table_test.go
+++ b/internal/node/slottable/table_test.go
@@ -1,4 +1,4 @@
-package slot
+package slottable
 
 import "testing"
 
--- a/internal/due/line.go
+++ b/internal/node/timerqueue/line.go
@@ -1,5 +1,5 @@
-// Package due keeps all deadlines of the node in one ordered structure.
-package due
+// Package timerqueue keeps all deadlines of the node in one ordered structure.
+package timerqueue
 
 import (
 	"container/heap"
--- a/internal/due/line_test.go
+++ b/internal/node/timerqueue/line_test.go
@@ -1,4 +1,4 @@
-package due
+package timerqueue
 
 import (
 	"fmt"
--- a/internal/fleet/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/orders"
-	"ospreybend/internal/slot"
+	"ospreybend/internal/node/slottable"
+	"ospreybend/internal/node/timerqueue"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/health"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 // Caller reports to voters.
 type Caller interface {
-	Report(ctx context.Context, address string, r follow.Report) (follow.Answer, error)
+	Report(ctx context.Context, address string, r follower.Report) (follower.Answer, error)
 }
 
 // Loop is the node's event loop.
@@ -58,12 +58,12 @@
 	Classes           []balance.Class
 	ClassNames        []string
 	TellsStart        bool
-	Rules             follow.Rules
+	Rules             follower.Rules
 	Incarnation       uint64
 	Rand              *rand.Rand
 	ZoneOf            func(balance.WorkerID) (string, bool)
 	// Apart from the deadlines of the loop nothing here needs a clock of its own.
-	Due     *due.Line
+	Due     *timerqueue.Line
 	Without string // a check left out, for trials
 }
 
@@ -83,13 +83,13 @@
 	loop     Loop
 	core     Core
 	caller   Caller
-	follower *follow.Follower
+	follower *follower.Follower
 	rng      *rand.Rand
 	order    []Voter // the near ones first
 	asks     int     // voters asked in vain
 	asking   bool
 	askAt    time.Duration
-	steps    map[slot.Ref]*step
+	steps    map[slottable.Ref]*step
 	wait     float64 // usual seconds from a send to its start
 	shares   []float64
 	failed   []int
@@ -102,8 +102,8 @@
 
 // New makes an agent; Start sets it going. It belongs to the loop.
 func New(c Config, loop Loop, core Core, caller Caller) *Agent {
-	a := &Agent{config: c, loop: loop, core: core, caller: caller, rng: c.Rand, steps: map[slot.Ref]*step{},
-		follower: follow.New(loop.Now(), c.Rules, c.Fleet, c.Name, c.Zone, c.Incarnation, len(c.Classes), c.Rand)}
+	a := &Agent{config: c, loop: loop, core: core, caller: caller, rng: c.Rand, steps: map[slottable.Ref]*step{},
+		follower: follower.New(loop.Now(), c.Rules, c.Fleet, c.Name, c.Zone, c.Incarnation, len(c.Classes), c.Rand)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.order = slices.Clone(c.Voters)
 	// Those of the own zone first; among the others each process has an order of its own,
@@ -137,7 +137,7 @@
 func (a *Agent) Ready() bool { return a.follower.Ready(a.loop.Now()) }
 
 // Follower is what the agent goes by.
-func (a *Agent) Follower() *follow.Follower { return a.follower }
+func (a *Agent) Follower() *follower.Follower { return a.follower }
 
 // report tells the voter whose turn it is. A call that is still out is left to end: its
 // deadline is short.
@@ -159,7 +159,7 @@
 	}()
 }
 
-func (a *Agent) answered(sent time.Duration, answer follow.Answer, err error) {
+func (a *Agent) answered(sent time.Duration, answer follower.Answer, err error) {
 	a.asking = false
 	if a.ended {
 		return
@@ -175,9 +175,9 @@
 	a.apply()
 }
 
-func describe(t *orders.Table) (out []string) {
+func describe(t *commands.Table) (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(t.Zones)) {
-		if z := t.Zones[name]; z.Phase != orders.In || len(z.Cut) > 0 {
+		if z := t.Zones[name]; z.Phase != commands.In || len(z.Cut) > 0 {
 			out = append(out, name+" "+z.Phase.String())
 		}
 	}
@@ -202,7 +202,7 @@
 	for _, s := range a.steps {
 		if s.started == 0 && !s.silent && now-s.sentAt > patience {
 			s.silent = true
-			a.follower.Eyes().Note(now, s.sentAt, s.zone, evidence.Count{Silent: 1})
+			a.follower.Eyes().Note(now, s.sentAt, s.zone, health.Count{Silent: 1})
 		}
 	}
 	for _, z := range a.core.Zones() {
@@ -237,7 +237,7 @@
 	for i, zone := range a.config.Zones {
 		shares[i] = by[zone]
 		whole = whole && shares[i] == 1
-		if z := a.follower.Table().Of(zone); a.led && z.Phase == orders.Left && z.Failures > 0 {
+		if z := a.follower.Table().Of(zone); a.led && z.Phase == commands.Left && z.Failures > 0 {
 			failed = append(failed, i)
 		}
 	}
@@ -262,7 +262,7 @@
 }
 
 // StepSent notes a route step.
-func (a *Agent) StepSent(ref slot.Ref, to balance.WorkerID, class int, slots float64) {
+func (a *Agent) StepSent(ref slottable.Ref, to balance.WorkerID, class int, slots float64) {
 	zone, ok := a.config.ZoneOf(to)
 	if !ok {
 		return
@@ -273,7 +273,7 @@
 }
 
 // StepStarted notes that it has begun to run.
-func (a *Agent) StepStarted(ref slot.Ref) {
+func (a *Agent) StepStarted(ref slottable.Ref) {
 	s := a.steps[ref]
 	if s == nil || s.started > 0 {
 		return
@@ -288,7 +288,7 @@
 }
 
 // StepEnded notes how it ended.
-func (a *Agent) StepEnded(ref slot.Ref, how balance.Outcome) {
+func (a *Agent) StepEnded(ref slottable.Ref, how balance.Outcome) {
 	s := a.steps[ref]
 	if s == nil {
 		return
@@ -302,7 +302,7 @@
 	}
 	switch how {
 	case balance.Served:
-		c := evidence.Count{Good: 1}
+		c := health.Count{Good: 1}
 		class := a.config.Classes[s.class]
 		if run := now - began; now-s.sentAt-time.Duration(class.Stretch*float64(run)) > class.Aim {
 			c.Late = 1
@@ -313,12 +313,12 @@
 		eyes.Worked(now, s.zone, s.class, (now-began).Seconds()*s.slots)
 		eyes.Note(now, s.sentAt, s.zone, c)
 	case balance.Full:
-		eyes.Note(now, s.sentAt, s.zone, evidence.Count{Good: 1}) // it lives, and says so
+		eyes.Note(now, s.sentAt, s.zone, health.Count{Good: 1}) // it lives, and says so
 	case balance.Errored, balance.ConnectFailed, balance.Reset:
-		eyes.Note(now, s.sentAt, s.zone, evidence.Count{Broken: 1})
+		eyes.Note(now, s.sentAt, s.zone, health.Count{Broken: 1})
 	case balance.TimedOut:
 		if s.started == 0 && !s.silent {
-			eyes.Note(now, s.sentAt, s.zone, evidence.Count{Silent: 1})
+			eyes.Note(now, s.sentAt, s.zone, health.Count{Silent: 1})
 		}
 	}
 }
--- a/internal/fleet/orders/orders.go
+++ b/internal/node/zones/commands/orders.go
@@ -1,7 +1,7 @@
-// Package orders is what the fleet has agreed on: how much of its work each zone takes,
+// Package commands is what the fleet has agreed on: how much of its work each zone takes,
 // and what a person has said. It is the machine that the agreed log drives, the same in
 // every voter, and has no clock: times in it are spans, or a person's wall time.
-package orders
+package commands
 
 import (
 	"errors"
--- a/internal/fleet/orders/orders_test.go
+++ b/internal/node/zones/commands/orders_test.go
@@ -1,4 +1,4 @@
-package orders
+package commands
 
 import (
 	"errors"
--- a/internal/fleet/zone/admission.go
+++ b/internal/node/zones/failover/admission.go
@@ -1,24 +1,24 @@
-package zone
+package failover
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
 )
 
 // admit decides what part of each class is let in while a part of the fleet is out:
 // bookings first, then what is worth most a slot-second, as far as the rest can take it.
-func (d *Decider) admit(now time.Duration, verdicts map[string]Verdict, t, after *orders.Table) (map[string]float64, bool) {
+func (d *Decider) admit(now time.Duration, verdicts map[string]Verdict, t, after *commands.Table) (map[string]float64, bool) {
 	capacity, out := 0.0, false
 	asked := make([]float64, len(d.classes))
 	for name, v := range verdicts {
 		z := after.Of(name)
 		switch z.Phase {
-		case orders.Left, orders.Trying:
+		case commands.Left, commands.Trying:
 			out = true
-		case orders.In:
+		case commands.In:
 			capacity += v.Sum.Slots
 		default:
 			out = true
--- a/internal/fleet/zone/verdict.go
+++ b/internal/node/zones/failover/verdict.go
@@ -1,12 +1,12 @@
-package zone
+package failover
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/health"
 )
 
 // Kind is what the fleet makes of a zone.
@@ -34,7 +34,7 @@
 	From    []string // the zones that say so
 	Reached []string // the zones that reach it
 	Keep    float64  // of a slow one: the part that it keeps up with
-	Sum     evidence.Sight
+	Sum     health.Sight
 	Offered float64 // slot-seconds a second sent there, all classes
 }
 
@@ -55,7 +55,7 @@
 }
 
 // judge makes the verdicts on all zones that anything is known of.
-func (r Rules) judge(d evidence.Digest, t *orders.Table) map[string]Verdict {
+func (r Rules) judge(d health.Digest, t *commands.Table) map[string]Verdict {
 	var names []string
 	for from, at := range d {
 		names = append(names, from)
@@ -95,7 +95,7 @@
 // view is what the processes of a zone make of another. A single one of several, cut off
 // by itself, condemns nobody: more than half of them have to see it, over enough steps. That
 // it is reached one can tell alone.
-func (r Rules) view(from evidence.From, s evidence.Sight) view {
+func (r Rules) view(from health.From, s health.Sight) view {
 	switch {
 	case s.Seers == 0:
 		return unseen
@@ -107,7 +107,7 @@
 	return unseen
 }
 
-func (r Rules) verdict(zone string, cut, names []string, seen map[string]map[string]view, blind map[string]bool, d evidence.Digest) Verdict {
+func (r Rules) verdict(zone string, cut, names []string, seen map[string]map[string]view, blind map[string]bool, d health.Digest) Verdict {
 	v := Verdict{Kind: Unknown}
 	var bads, goods []string
 	for _, from := range names {
--- a/internal/fleet/zone/zone.go
+++ b/internal/node/zones/failover/zone.go
@@ -1,10 +1,10 @@
-// Package zone decides for the whole fleet which zones take work and how much: it leaves
+// Package failover decides for the whole fleet which zones take work and how much: it leaves
 // one that fails, eases one that is slow, and returns to one by steps. It runs where the
 // agreed log is led, on evidence of many processes, and has no clock and no I/O. What it
 // decides holds once the log has taken it.
 //
 // docs/design/fleet-as-one.md has the machine with every transition.
-package zone
+package failover
 
 import (
 	"maps"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/health"
 )
 
 // Rules are the figures that the decisions go by.
@@ -82,7 +82,7 @@
 
 // Look decides on the evidence and what holds. wall is the time of day, for what persons
 // have said: Unix microseconds. The order is nil where all stays as it is.
-func (d *Decider) Look(now time.Duration, wall int64, view evidence.Digest, t *orders.Table) (*orders.Change, map[string]Verdict) {
+func (d *Decider) Look(now time.Duration, wall int64, view health.Digest, t *commands.Table) (*commands.Change, map[string]Verdict) {
 	verdicts := d.rules.judge(view, t)
 	processes := 0.0
 	for _, from := range view {
@@ -90,7 +90,7 @@
 	}
 	d.note(now, verdicts, t)
 	d.doubt(verdicts, t)
-	change := &orders.Change{Expect: t.Epoch, Zones: map[string]orders.Zone{}}
+	change := &commands.Change{Expect: t.Epoch, Zones: map[string]commands.Zone{}}
 	for _, name := range d.names(verdicts, t) {
 		at := t.Of(name)
 		next := d.next(now, wall, name, at, verdicts[name], t, processes)
@@ -109,7 +109,7 @@
 	return change, verdicts
 }
 
-func (d *Decider) names(verdicts map[string]Verdict, t *orders.Table) []string {
+func (d *Decider) names(verdicts map[string]Verdict, t *commands.Table) []string {
 	names := slices.Collect(maps.Keys(verdicts))
 	names = slices.AppendSeq(names, maps.Keys(t.Zones))
 	names = slices.AppendSeq(names, maps.Keys(t.Words))
@@ -117,13 +117,13 @@
 	return slices.Compact(names)
 }
 
-func same(a, b orders.Zone) bool {
+func same(a, b commands.Zone) bool {
 	return a.Phase == b.Phase && a.Share == b.Share && a.Chosen == b.Chosen && a.Step == b.Step && a.Failures == b.Failures &&
 		slices.Equal(a.Cut, b.Cut)
 }
 
 // note keeps since when each zone's order and verdict have stood.
-func (d *Decider) note(now time.Duration, verdicts map[string]Verdict, t *orders.Table) {
+func (d *Decider) note(now time.Duration, verdicts map[string]Verdict, t *commands.Table) {
 	for _, name := range d.names(verdicts, t) {
 		since, kind := t.Of(name).Since, verdicts[name].Kind
 		m := d.marks[name]
@@ -142,11 +142,11 @@
 
 // doubt takes back verdicts where leaving would leave too little: what is out already
 // counts, and the zones that look worst by their order among the names come first.
-func (d *Decider) doubt(verdicts map[string]Verdict, t *orders.Table) {
+func (d *Decider) doubt(verdicts map[string]Verdict, t *commands.Table) {
 	all, out := 0.0, 0.0
 	for name, v := range verdicts {
 		all += v.Sum.Slots
-		if p := t.Of(name).Phase; v.Kind == Fails || p == orders.Left || p == orders.Trying {
+		if p := t.Of(name).Phase; v.Kind == Fails || p == commands.Left || p == commands.Trying {
 			out += v.Sum.Slots
 		}
 	}
@@ -162,22 +162,22 @@
 }
 
 // next is the order that a zone is to have.
-func (d *Decider) next(now time.Duration, wall int64, name string, z orders.Zone, v Verdict, t *orders.Table, processes float64) orders.Zone {
+func (d *Decider) next(now time.Duration, wall int64, name string, z commands.Zone, v Verdict, t *commands.Table, processes float64) commands.Zone {
 	m := d.marks[name]
 	word, spoken := t.Words[name]
 	spoken = spoken && wall < word.Until
 	if spoken {
 		switch word.Do {
-		case orders.DoHold:
+		case commands.DoHold:
 			return z
-		case orders.DoLeave:
-			if z.Phase != orders.Left || z.Share != 0 {
-				return orders.Zone{Phase: orders.Left, Failures: z.Failures, Reason: "by hand: " + word.Reason}
+		case commands.DoLeave:
+			if z.Phase != commands.Left || z.Share != 0 {
+				return commands.Zone{Phase: commands.Left, Failures: z.Failures, Reason: "by hand: " + word.Reason}
 			}
 			return z
-		case orders.DoReturn:
-			if z.Phase == orders.Left || z.Phase == orders.Trying {
-				return orders.Zone{Phase: orders.Rising, Share: d.rules.First, Step: 1, Failures: z.Failures, Reason: "by hand: " + word.Reason}
+		case commands.DoReturn:
+			if z.Phase == commands.Left || z.Phase == commands.Trying {
+				return commands.Zone{Phase: commands.Rising, Share: d.rules.First, Step: 1, Failures: z.Failures, Reason: "by hand: " + word.Reason}
 			}
 			if v.Kind == Fails {
 				v.Kind = Unknown // a person has said that it is to come back
@@ -186,14 +186,14 @@
 	}
 	age, held := now-m.at, now-m.from
 	switch z.Phase {
-	case orders.In, orders.Eased:
+	case commands.In, commands.Eased:
 		return d.inside(z, v, age, held, processes)
-	case orders.Left:
+	case commands.Left:
 		if age >= d.rest(z.Failures) {
 			part := chosen(d.rules.Tries, processes)
-			return orders.Zone{Phase: orders.Trying, Share: min(1, d.rules.First/part), Chosen: part, Failures: z.Failures, Reason: "rested"}
+			return commands.Zone{Phase: commands.Trying, Share: min(1, d.rules.First/part), Chosen: part, Failures: z.Failures, Reason: "rested"}
 		}
-	case orders.Trying:
+	case commands.Trying:
 		if age >= d.rules.TryFor && !d.judged(v) && z.Chosen < 1 {
 			// Those chosen have had nothing to send there: more are.
 			z.Chosen = min(1, 2*z.Chosen)
@@ -202,13 +202,13 @@
 		}
 		if age >= d.rules.Settle && d.judged(v) {
 			if fine(v, d.rules) {
-				return orders.Zone{Phase: orders.Rising, Share: d.rules.First, Step: 1, Failures: z.Failures, Reason: "the tries went well"}
+				return commands.Zone{Phase: commands.Rising, Share: d.rules.First, Step: 1, Failures: z.Failures, Reason: "the tries went well"}
 			}
 			if v.Sum.Count.Bad() >= 0.5 {
 				return d.left(z, "the tries went wrong")
 			}
 		}
-	case orders.Rising:
+	case commands.Rising:
 		return d.rise(z, v, age)
 	}
 	return z
@@ -232,12 +232,12 @@
 // by cold prep workers is bounded by their part of the share.
 func fine(v Verdict, r Rules) bool { return v.Sum.Count.Bad() <= r.Fine }
 
-func (d *Decider) left(z orders.Zone, reason string) orders.Zone {
-	return orders.Zone{Phase: orders.Left, Failures: z.Failures + 1, Reason: reason}
+func (d *Decider) left(z commands.Zone, reason string) commands.Zone {
+	return commands.Zone{Phase: commands.Left, Failures: z.Failures + 1, Reason: reason}
 }
 
 // inside is for a zone that takes work.
-func (d *Decider) inside(z orders.Zone, v Verdict, age, held time.Duration, processes float64) orders.Zone {
+func (d *Decider) inside(z commands.Zone, v Verdict, age, held time.Duration, processes float64) commands.Zone {
 	lasting := held >= d.rules.Confirm
 	switch {
 	case v.Kind == Fails && lasting:
@@ -253,16 +253,16 @@
 		return z
 	case v.Kind == Slow && held >= d.rules.SlowFor && age >= d.rules.Settle:
 		if share := step(v.Keep*z.Share, d.rules.First); share < z.Share {
-			z.Phase, z.Share, z.Reason = orders.Eased, share, "slower than the others"
+			z.Phase, z.Share, z.Reason = commands.Eased, share, "slower than the others"
 		}
 		return z
-	case v.Kind == Well && lasting && z.Phase == orders.Eased && age >= d.rules.Hold && d.judged(v):
+	case v.Kind == Well && lasting && z.Phase == commands.Eased && age >= d.rules.Hold && d.judged(v):
 		z.Share, z.Reason = min(1, 2*z.Share), "as quick as the others"
 		if z.Share == 1 {
-			z.Phase = orders.In
+			z.Phase = commands.In
 		}
 		return z
-	case z.Phase == orders.In && z.Failures > 0 && age >= d.rules.Steady && v.Kind != Fails:
+	case z.Phase == commands.In && z.Failures > 0 && age >= d.rules.Steady && v.Kind != Fails:
 		z.Failures, z.Reason = 0, "steady"
 	}
 	return z
@@ -293,7 +293,7 @@
 
 // rise is for a zone that comes back by steps. Each is earned by what was seen in it, and
 // is no larger than what its prep workers, still cold, bear together.
-func (d *Decider) rise(z orders.Zone, v Verdict, age time.Duration) orders.Zone {
+func (d *Decider) rise(z commands.Zone, v Verdict, age time.Duration) commands.Zone {
 	if age < d.rules.Settle || !d.judged(v) {
 		return z
 	}
@@ -310,7 +310,7 @@
 	}
 	z.Share, z.Step, z.Reason = next, z.Step+1, "earned"
 	if next == 1 {
-		z.Phase, z.Step = orders.In, 0
+		z.Phase, z.Step = commands.In, 0
 	}
 	return z
 }
