--- a/internal/fleet/zone/zone_test.go
+++ b/internal/node/zones/failover/zone_test.go
@@ -1,22 +1,22 @@
-package zone
+package failover
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/health"
 )
 
 var some = []Class{{Name: "check", Worth: 2}, {Name: "preview", Worth: 1}, {Name: "book", Worth: 4, Once: true}}
 
 // sight is what each of n processes sees of a zone: good and bad steps, and a load of
 // work on its slots.
-func sight(n int, good, bad float64) evidence.Sight {
-	s := evidence.Sight{Slots: 10, Work: []float64{1, 1, 1}}
+func sight(n int, good, bad float64) health.Sight {
+	s := health.Sight{Slots: 10, Work: []float64{1, 1, 1}}
 	for range n {
-		one := evidence.Sight{Count: evidence.Count{Sent: good + bad, Good: good, Broken: bad}, Seers: 1, Last: good + bad}
+		one := health.Sight{Count: health.Count{Sent: good + bad, Good: good, Broken: bad}, Seers: 1, Last: good + bad}
 		if bad >= good {
 			one.Bad = 1
 		}
@@ -28,10 +28,10 @@
 var fine3, bad3 = sight(3, 10, 0), sight(3, 0, 10)
 
 // shown is a fleet of zones a, b and c of three processes, all well, but for what differs.
-func shown(differs map[[2]string]evidence.Sight) evidence.Digest {
-	d := evidence.Digest{}
+func shown(differs map[[2]string]health.Sight) health.Digest {
+	d := health.Digest{}
 	for _, from := range []string{"a", "b", "c"} {
-		at := evidence.From{Processes: 3, Sights: evidence.Sights{}}
+		at := health.From{Processes: 3, Sights: health.Sights{}}
 		for _, to := range []string{"a", "b", "c"} {
 			s, ok := differs[[2]string{from, to}]
 			if !ok {
@@ -51,28 +51,28 @@
 	crowded.Work = []float64{4, 4, 4}
 	one := sight(2, 10, 0)
 	one.Add(sight(1, 0, 10))
-	gone := shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3, {"c", "b"}: bad3})
+	gone := shown(map[[2]string]health.Sight{{"a", "b"}: bad3, {"c", "b"}: bad3})
 	delete(gone, "b")
 	for _, c := range []struct {
 		name string
-		seen evidence.Digest
+		seen health.Digest
 		want Kind
 	}{
 		{"all well", shown(nil), Well},
-		{"nobody gets anything done there", shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3, {"b", "b"}: bad3, {"c", "b"}: bad3}), Fails},
+		{"nobody gets anything done there", shown(map[[2]string]health.Sight{{"a", "b"}: bad3, {"b", "b"}: bad3, {"c", "b"}: bad3}), Fails},
 		{"and its processes are gone, too", gone, Fails},
-		{"its own processes reach it", shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3, {"c", "b"}: bad3}), Cut},
-		{"one zone does not reach it", shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3}), Cut},
-		{"one zone alone speaks", evidence.Digest{"a": {Processes: 3, Sights: evidence.Sights{"a": fine3, "b": bad3}}}, Unknown},
-		{"who says so reaches nobody", shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3, {"a", "c"}: bad3}), Well},
-		{"one process is cut off", shown(map[[2]string]evidence.Sight{{"a", "b"}: one, {"c", "b"}: one, {"b", "b"}: one}), Well},
-		{"too few steps to tell", shown(map[[2]string]evidence.Sight{{"a", "b"}: sight(2, 0, 1), {"b", "b"}: sight(2, 0, 1), {"c", "b"}: sight(2, 0, 1)}), Unknown},
-		{"it only has too much to do", shown(map[[2]string]evidence.Sight{{"a", "b"}: crowded, {"b", "b"}: crowded, {"c", "b"}: crowded}), Crowded},
-		{"it alone is late", shown(map[[2]string]evidence.Sight{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late}), Slow},
-		{"all are late", shown(map[[2]string]evidence.Sight{{"a", "a"}: late, {"a", "b"}: late, {"a", "c"}: late, {"b", "a"}: late,
+		{"its own processes reach it", shown(map[[2]string]health.Sight{{"a", "b"}: bad3, {"c", "b"}: bad3}), Cut},
+		{"one zone does not reach it", shown(map[[2]string]health.Sight{{"a", "b"}: bad3}), Cut},
+		{"one zone alone speaks", health.Digest{"a": {Processes: 3, Sights: health.Sights{"a": fine3, "b": bad3}}}, Unknown},
+		{"who says so reaches nobody", shown(map[[2]string]health.Sight{{"a", "b"}: bad3, {"a", "c"}: bad3}), Well},
+		{"one process is cut off", shown(map[[2]string]health.Sight{{"a", "b"}: one, {"c", "b"}: one, {"b", "b"}: one}), Well},
+		{"too few steps to tell", shown(map[[2]string]health.Sight{{"a", "b"}: sight(2, 0, 1), {"b", "b"}: sight(2, 0, 1), {"c", "b"}: sight(2, 0, 1)}), Unknown},
+		{"it only has too much to do", shown(map[[2]string]health.Sight{{"a", "b"}: crowded, {"b", "b"}: crowded, {"c", "b"}: crowded}), Crowded},
+		{"it alone is late", shown(map[[2]string]health.Sight{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late}), Slow},
+		{"all are late", shown(map[[2]string]health.Sight{{"a", "a"}: late, {"a", "b"}: late, {"a", "c"}: late, {"b", "a"}: late,
 			{"b", "b"}: late, {"b", "c"}: late, {"c", "a"}: late, {"c", "b"}: late, {"c", "c"}: late}), Well},
 	} {
-		if got := Usual().judge(c.seen, &orders.Table{})["b"]; got.Kind != c.want {
+		if got := Usual().judge(c.seen, &commands.Table{})["b"]; got.Kind != c.want {
 			t.Errorf("%s: %v, not %v", c.name, got.Kind, c.want)
 		}
 	}
@@ -82,18 +82,18 @@
 type stage struct {
 	t     *testing.T
 	d     *Decider
-	table orders.Table
+	table commands.Table
 	now   time.Duration
 	wall  int64
 }
 
 func newStage(t *testing.T) *stage {
 	return &stage{t: t, d: New(Usual(), some), now: time.Hour,
-		table: orders.Table{Zones: map[string]orders.Zone{}, Words: map[string]orders.Word{}}}
+		table: commands.Table{Zones: map[string]commands.Zone{}, Words: map[string]commands.Word{}}}
 }
 
 // look shows the same for a time, and returns what zone b has come to.
-func (s *stage) look(span time.Duration, v evidence.Digest) orders.Zone {
+func (s *stage) look(span time.Duration, v health.Digest) commands.Zone {
 	for end := s.now + span; s.now < end; s.now += 200 * time.Millisecond {
 		change, _ := s.d.Look(s.now, s.wall, v, &s.table)
 		if change == nil {
@@ -111,32 +111,32 @@
 	return s.table.Of("b")
 }
 
-var failing = shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3, {"b", "b"}: bad3, {"c", "b"}: bad3})
+var failing = shown(map[[2]string]health.Sight{{"a", "b"}: bad3, {"b", "b"}: bad3, {"c", "b"}: bad3})
 
 // Left, tried after a rest that each failure doubles, back by steps, each no larger than
 // what is cold there bears; bad news halve the share.
 func TestLeaveAndReturn(t *testing.T) {
 	s := newStage(t)
-	if z := s.look(time.Second, failing); z.Phase != orders.Left || z.Share != 0 || z.Failures != 1 {
+	if z := s.look(time.Second, failing); z.Phase != commands.Left || z.Share != 0 || z.Failures != 1 {
 		t.Fatalf("failing: %+v", z)
 	}
-	if z := s.look(2*time.Second, failing); z.Phase != orders.Trying || z.Chosen*z.Share > Usual().First+1e-9 {
+	if z := s.look(2*time.Second, failing); z.Phase != commands.Trying || z.Chosen*z.Share > Usual().First+1e-9 {
 		t.Fatalf("after its rest: %+v", z)
 	}
-	if z := s.look(1500*time.Millisecond, failing); z.Phase != orders.Left || z.Failures != 2 {
+	if z := s.look(1500*time.Millisecond, failing); z.Phase != commands.Left || z.Failures != 2 {
 		t.Fatalf("the tries fail: %+v", z)
 	}
-	if z := s.look(3*time.Second, failing); z.Phase != orders.Left {
+	if z := s.look(3*time.Second, failing); z.Phase != commands.Left {
 		t.Fatalf("the second rest is twice as long: %+v", z)
 	}
 	s.look(1200*time.Millisecond, failing)
 	cold := sight(3, 10, 0)
 	cold.Cold = 0.7
-	coming := shown(map[[2]string]evidence.Sight{{"a", "b"}: cold, {"b", "b"}: cold, {"c", "b"}: cold})
-	if z := s.look(12*time.Second, coming); z.Phase != orders.Rising || z.Share != 0.25 {
+	coming := shown(map[[2]string]health.Sight{{"a", "b"}: cold, {"b", "b"}: cold, {"c", "b"}: cold})
+	if z := s.look(12*time.Second, coming); z.Phase != commands.Rising || z.Share != 0.25 {
 		t.Fatalf("with three tenths of its capacity: %+v", z)
 	}
-	if z := s.look(400*time.Millisecond, failing); z.Phase != orders.Rising || z.Share != 0.125 {
+	if z := s.look(400*time.Millisecond, failing); z.Phase != commands.Rising || z.Share != 0.125 {
 		t.Fatalf("bad news: %+v", z)
 	}
 	last := 0.0
@@ -148,7 +148,7 @@
 		last = z.Share
 	}
 	z := s.table.Of("b")
-	if z.Phase != orders.In || z.Share != 1 || z.Failures != 2 {
+	if z.Phase != commands.In || z.Share != 1 || z.Failures != 2 {
 		t.Fatalf("well again: %+v", z)
 	}
 	if z := s.look(31*time.Second, shown(nil)); z.Failures != 0 {
@@ -159,7 +159,7 @@
 // A new leader holds a step for its whole time anew, and goes on from the share.
 func TestRampOutlivesTheLeader(t *testing.T) {
 	s := newStage(t)
-	s.table = orders.Table{Epoch: 7, Zones: map[string]orders.Zone{"b": {Phase: orders.Rising, Share: 0.25, Step: 3, Failures: 1, Since: 7}}}
+	s.table = commands.Table{Epoch: 7, Zones: map[string]commands.Zone{"b": {Phase: commands.Rising, Share: 0.25, Step: 3, Failures: 1, Since: 7}}}
 	if z := s.look(time.Second, shown(nil)); z.Share != 0.25 {
 		t.Errorf("at once: %+v", z)
 	}
@@ -173,7 +173,7 @@
 	s := newStage(t)
 	big := sight(3, 0, 10)
 	big.Slots = 50
-	if z := s.look(2*time.Second, shown(map[[2]string]evidence.Sight{{"a", "b"}: big, {"b", "b"}: big, {"c", "b"}: big})); z.Phase != orders.In {
+	if z := s.look(2*time.Second, shown(map[[2]string]health.Sight{{"a", "b"}: big, {"b", "b"}: big, {"c", "b"}: big})); z.Phase != commands.In {
 		t.Errorf("%+v", z)
 	}
 }
@@ -181,7 +181,7 @@
 // Where the rest cannot take all, what is worth least is refused, and bookings are not.
 func TestLeastWorthIsRefused(t *testing.T) {
 	s := newStage(t)
-	busy := func(z evidence.Sight) evidence.Sight { z.Work = []float64{2.5, 2.5, 1}; return z }
+	busy := func(z health.Sight) health.Sight { z.Work = []float64{2.5, 2.5, 1}; return z }
 	v := shown(nil)
 	for _, from := range v {
 		for to, z := range from.Sights {
@@ -212,12 +212,12 @@
 	s := newStage(t)
 	late := sight(3, 10, 0)
 	late.Late = 18
-	slow := shown(map[[2]string]evidence.Sight{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late})
-	if z := s.look(3300*time.Millisecond, slow); z.Phase != orders.Eased || z.Share != 0.25 {
+	slow := shown(map[[2]string]health.Sight{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late})
+	if z := s.look(3300*time.Millisecond, slow); z.Phase != commands.Eased || z.Share != 0.25 {
 		t.Errorf("slow: %+v", z)
 	}
 	s = newStage(t)
-	if z := s.look(2*time.Second, shown(map[[2]string]evidence.Sight{{"a", "b"}: bad3})); z.Phase != orders.In || len(z.Cut) != 1 || z.Cut[0] != "a" {
+	if z := s.look(2*time.Second, shown(map[[2]string]health.Sight{{"a", "b"}: bad3})); z.Phase != commands.In || len(z.Cut) != 1 || z.Cut[0] != "a" {
 		t.Errorf("cut: %+v", z)
 	}
 	if z := s.look(2*time.Second, shown(nil)); len(z.Cut) != 0 {
@@ -228,22 +228,22 @@
 // A person's word goes before, until its end.
 func TestByHand(t *testing.T) {
 	s := newStage(t)
-	say := func(do string) { s.table.Words["b"] = orders.Word{Zone: "b", Do: do, Reason: "works", Until: 10} }
-	say(orders.DoLeave)
-	if z := s.look(20*time.Second, shown(nil)); z.Phase != orders.Left {
+	say := func(do string) { s.table.Words["b"] = commands.Word{Zone: "b", Do: do, Reason: "works", Until: 10} }
+	say(commands.DoLeave)
+	if z := s.look(20*time.Second, shown(nil)); z.Phase != commands.Left {
 		t.Errorf("left by hand: %+v", z)
 	}
-	say(orders.DoReturn)
-	if z := s.look(time.Second, failing); z.Phase != orders.Rising || math.Abs(z.Share-Usual().First) > 1e-9 {
+	say(commands.DoReturn)
+	if z := s.look(time.Second, failing); z.Phase != commands.Rising || math.Abs(z.Share-Usual().First) > 1e-9 {
 		t.Errorf("returned by hand: %+v", z)
 	}
 	s = newStage(t)
-	say(orders.DoHold)
-	if z := s.look(3*time.Second, failing); z.Phase != orders.In {
+	say(commands.DoHold)
+	if z := s.look(3*time.Second, failing); z.Phase != commands.In {
 		t.Errorf("held by hand: %+v", z)
 	}
 	s.wall = 11
-	if z := s.look(time.Second, failing); z.Phase != orders.Left {
+	if z := s.look(time.Second, failing); z.Phase != commands.Left {
 		t.Errorf("past the word's end: %+v", z)
 	}
 }
--- a/internal/fleet/follow/follow.go
+++ b/internal/node/zones/follower/follow.go
@@ -1,7 +1,7 @@
-// Package follow is what each process of the fleet does with the orders: what share of
+// Package follower is what each process of the fleet does with the orders: what share of
 // its work it gives each zone while it hears the voters, and what it does by itself while
 // it hears nobody. It has no clock and no I/O.
-package follow
+package follower
 
 import (
 	"hash/fnv"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/health"
 )
 
 // Rules are the figures that a process goes by.
@@ -35,21 +35,21 @@
 
 // Report is what a process tells a voter.
 type Report struct {
-	Fleet       string          `cbor:"1,keyasint"`
-	Name        string          `cbor:"2,keyasint"`
-	Zone        string          `cbor:"3,keyasint"`
-	Incarnation uint64          `cbor:"4,keyasint"`
-	Sequence    uint64          `cbor:"5,keyasint"`
-	Epoch       uint64          `cbor:"6,keyasint"` // of the orders that it holds
-	Sights      evidence.Sights `cbor:"7,keyasint,omitempty"`
+	Fleet       string        `cbor:"1,keyasint"`
+	Name        string        `cbor:"2,keyasint"`
+	Zone        string        `cbor:"3,keyasint"`
+	Incarnation uint64        `cbor:"4,keyasint"`
+	Sequence    uint64        `cbor:"5,keyasint"`
+	Epoch       uint64        `cbor:"6,keyasint"` // of the orders that it holds
+	Sights      health.Sights `cbor:"7,keyasint,omitempty"`
 }
 
 // Answer is what the voter answers.
 type Answer struct {
-	Incarnation uint64        `cbor:"1,keyasint"`           // that the voter knows of; above the process's own: it must take a higher one
-	Epoch       uint64        `cbor:"2,keyasint"`           // that holds, as far as the voter knows
-	Table       *orders.Table `cbor:"3,keyasint,omitempty"` // where the process's is older
-	Lease       time.Duration `cbor:"4,keyasint"`           // for which the orders hold, from the report's sending on; 0: the voter has no leader
+	Incarnation uint64          `cbor:"1,keyasint"`           // that the voter knows of; above the process's own: it must take a higher one
+	Epoch       uint64          `cbor:"2,keyasint"`           // that holds, as far as the voter knows
+	Table       *commands.Table `cbor:"3,keyasint,omitempty"` // where the process's is older
+	Lease       time.Duration   `cbor:"4,keyasint"`           // for which the orders hold, from the report's sending on; 0: the voter has no leader
 }
 
 // own is what a process makes of a zone by itself.
@@ -68,13 +68,13 @@
 	incarnation uint64
 	sequence    uint64
 	began       time.Duration
-	table       orders.Table
+	table       commands.Table
 	heard       bool
 	lease       time.Duration // until when the orders hold
 	heardAt     time.Duration // the last answer that granted one
 	alone       bool
 	own         map[string]*own
-	eyes        *evidence.Eyes
+	eyes        *health.Eyes
 	classes     int
 	refused     uint64 // answers with orders older than the ones held
 	Without     string // a check left out, for the tests that show what it is for
@@ -84,11 +84,11 @@
 // time of day in microseconds will do, and the voters raise it where a clock went back.
 func New(now time.Duration, rules Rules, fleet, name, zone string, incarnation uint64, classes int, rng *rand.Rand) *Follower {
 	return &Follower{rules: rules, fleet: fleet, name: name, zone: zone, rng: rng, incarnation: incarnation, began: now,
-		classes: classes, own: map[string]*own{}, eyes: evidence.New(now, classes)}
+		classes: classes, own: map[string]*own{}, eyes: health.New(now, classes)}
 }
 
 // Eyes is where the process notes what it sees.
-func (f *Follower) Eyes() *evidence.Eyes { return f.eyes }
+func (f *Follower) Eyes() *health.Eyes { return f.eyes }
 
 // Report makes the next report, and tells when to make the one after.
 func (f *Follower) Report(now time.Duration) (r Report, next time.Duration) {
@@ -126,7 +126,7 @@
 
 // adopt takes up new orders. What was seen of a zone under another share says nothing of the
 // new one; where the share here stays, it does.
-func (f *Follower) adopt(now time.Duration, t orders.Table) {
+func (f *Follower) adopt(now time.Duration, t commands.Table) {
 	before := map[string]float64{}
 	for zone := range t.Zones {
 		before[zone] = f.ordered(zone)
@@ -141,7 +141,7 @@
 
 // StoodStill forgets all that was seen: a process that was frozen saw nothing end, and knows
 // nothing of what has become of the others meanwhile.
-func (f *Follower) StoodStill(now time.Duration) { f.eyes = evidence.New(now, f.classes) }
+func (f *Follower) StoodStill(now time.Duration) { f.eyes = health.New(now, f.classes) }
 
 // Ready tells whether the process may take work: it knows what holds, or has waited for
 // that long enough.
@@ -154,7 +154,7 @@
 func (f *Follower) Epoch() uint64 { return f.table.Epoch }
 
 // Table is the orders held; it is not to be changed.
-func (f *Follower) Table() *orders.Table { return &f.table }
+func (f *Follower) Table() *commands.Table { return &f.table }
 
 // Refused counts answers with older orders.
 func (f *Follower) Refused() uint64 { return f.refused }
@@ -210,9 +210,9 @@
 		return 0
 	}
 	switch z.Phase {
-	case orders.Left:
+	case commands.Left:
 		return 0
-	case orders.Trying:
+	case commands.Trying:
 		if !f.chosen(zone, z) {
 			return 0
 		}
@@ -222,7 +222,7 @@
 
 // chosen tells whether this process is one of the few that try a zone: each can tell by
 // itself, and at each order others are.
-func (f *Follower) chosen(zone string, z orders.Zone) bool {
+func (f *Follower) chosen(zone string, z commands.Zone) bool {
 	h := fnv.New64a()
 	for _, s := range []string{f.name, "\x00", zone, "\x00"} {
 		_, _ = h.Write([]byte(s))
--- a/internal/fleet/evidence/evidence.go
+++ b/internal/node/zones/health/evidence.go
@@ -1,6 +1,6 @@
-// Package evidence is what processes see of each zone: counts that merge by adding, of
+// Package health is what processes see of each zone: counts that merge by adding, of
 // a size that does not grow with the number of processes. It has no clock and no I/O.
-package evidence
+package health
 
 import (
 	"slices"
--- a/internal/fleet/member/member.go
+++ b/internal/node/zones/members/member.go
@@ -1,8 +1,8 @@
-// Package member is who lives among the fleet's processes: a table of those that one
+// Package members is who lives among the fleet's processes: a table of those that one
 // voter hears of. A process is known by its name and an incarnation that each of its
 // starts raises, so that a word of a process that is gone is never taken for a living
 // one's. It has no clock and no I/O.
-package member
+package members
 
 import (
 	"maps"
--- a/internal/fleet/member/member_test.go
+++ b/internal/node/zones/members/member_test.go
@@ -1,4 +1,4 @@
-package member
+package members
 
 import (
 	"testing"
--- a/internal/fleet/voter/letters.go
+++ b/internal/node/zones/replica/letters.go
@@ -1,26 +1,26 @@
-package voter
+package replica
 
 import (
 	"fmt"
 	"time"
 
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/health"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 // Letter is what one voter sends another.
 type Letter struct {
-	Fleet  string          `cbor:"1,keyasint"`
-	From   uint64          `cbor:"2,keyasint"`
-	Store  string          `cbor:"3,keyasint"` // of the sender
-	Log    [][]byte        `cbor:"4,keyasint,omitempty"`
-	Leads  uint64          `cbor:"7,keyasint,omitempty"` // the sender's term, where it leads and is settled
-	Agreed uint64          `cbor:"8,keyasint,omitempty"` // and how far the log is agreed on
-	Stamp  Stamp           `cbor:"9,keyasint"`           // when it was written
-	Echo   Stamp           `cbor:"10,keyasint"`          // the addressee's last that the sender has had
-	Digest evidence.Digest `cbor:"5,keyasint,omitempty"` // what the processes see that report to the sender
-	Orders []orders.Order  `cbor:"6,keyasint,omitempty"` // for the leader to put
+	Fleet  string           `cbor:"1,keyasint"`
+	From   uint64           `cbor:"2,keyasint"`
+	Store  string           `cbor:"3,keyasint"` // of the sender
+	Log    [][]byte         `cbor:"4,keyasint,omitempty"`
+	Leads  uint64           `cbor:"7,keyasint,omitempty"` // the sender's term, where it leads and is settled
+	Agreed uint64           `cbor:"8,keyasint,omitempty"` // and how far the log is agreed on
+	Stamp  Stamp            `cbor:"9,keyasint"`           // when it was written
+	Echo   Stamp            `cbor:"10,keyasint"`          // the addressee's last that the sender has had
+	Digest health.Digest    `cbor:"5,keyasint,omitempty"` // what the processes see that report to the sender
+	Orders []commands.Order `cbor:"6,keyasint,omitempty"` // for the leader to put
 }
 
 // Stamp is a time by a voter's own clock, which begins anew with each of its starts.
@@ -59,10 +59,10 @@
 	}
 	if v.machine.OldStore(l.From, l.Store) {
 		v.counts.Refused++
-		return fmt.Errorf("voter %d: %w", l.From, orders.ErrOldStore)
+		return fmt.Errorf("voter %d: %w", l.From, commands.ErrOldStore)
 	}
 	for i, text := range l.Log {
-		m, err := agreed.DecodeMessage(text)
+		m, err := replicatedlog.DecodeMessage(text)
 		if err != nil {
 			return fmt.Errorf("log.%d: %w", i, err)
 		}
@@ -88,7 +88,7 @@
 		v.digests[l.From] = digest{l.Digest, now}
 	}
 	for _, o := range l.Orders {
-		if text, err := orders.Encode(o); err == nil {
+		if text, err := commands.Encode(o); err == nil {
 			_ = v.log.Propose(text) // who put it asks again
 		}
 	}
--- a/internal/fleet/voter/put.go
+++ b/internal/node/zones/replica/put.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -8,28 +8,28 @@
 	"strconv"
 	"time"
 
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
 )
 
 // pending is an order put through this voter that is not agreed on yet.
 type pending struct {
-	order orders.Order
+	order commands.Order
 	until time.Duration
 	sent  time.Duration
 	done  func(error)
 }
 
 // Say puts what a person has said. done is told once what became of it.
-func (v *Voter) Say(now time.Duration, w orders.Word, done func(error)) {
+func (v *Voter) Say(now time.Duration, w commands.Word, done func(error)) {
 	if err := w.Check(); err != nil {
 		done(err)
 		return
 	}
-	if w.Do == orders.DoLeave && !v.another(w.Zone) {
+	if w.Do == commands.DoLeave && !v.another(w.Zone) {
 		done(fmt.Errorf("zone: %q is the last that takes work", w.Zone))
 		return
 	}
-	v.put(now, orders.Order{Word: &w}, now+v.config.Rules.Patience, done)
+	v.put(now, commands.Order{Word: &w}, now+v.config.Rules.Patience, done)
 }
 
 // another tells whether a zone other than this one takes work.
@@ -46,7 +46,7 @@
 		zones[name] = true
 	}
 	for name := range zones {
-		if p := t.Of(name).Phase; name != than && (p == orders.In || p == orders.Eased || p == orders.Rising) {
+		if p := t.Of(name).Phase; name != than && (p == commands.In || p == commands.Eased || p == commands.Rising) {
 			return true
 		}
 	}
@@ -55,7 +55,7 @@
 
 // put has an order agreed on, by the leader wherever it is. It is sent again until it is
 // applied or its time is over; the order's ID keeps it from counting twice.
-func (v *Voter) put(now time.Duration, o orders.Order, until time.Duration, done func(error)) {
+func (v *Voter) put(now time.Duration, o commands.Order, until time.Duration, done func(error)) {
 	v.number++
 	o.ID = strconv.FormatUint(v.config.ID, 10) + "-" + v.config.Store + "-" + strconv.FormatUint(v.config.Runs, 10) + "-" +
 		strconv.FormatUint(v.number, 10)
@@ -74,19 +74,19 @@
 			p.done(ErrUnknown)
 		case now-p.sent < 2*v.config.Rules.Digest:
 		case v.log.Leads():
-			if text, err := orders.Encode(p.order); err == nil && v.log.Propose(text) == nil {
+			if text, err := commands.Encode(p.order); err == nil && v.log.Propose(text) == nil {
 				p.sent = now
 			}
 		case v.log.Leader() != 0:
-			v.send(v.log.Leader(), Letter{Orders: []orders.Order{p.order}})
+			v.send(v.log.Leader(), Letter{Orders: []commands.Order{p.order}})
 			p.sent = now
 		}
 	}
 }
 
 // applied hears of each order as it is applied.
-func (v *Voter) applied(o orders.Order, err error) {
-	if errors.Is(err, orders.ErrStale) {
+func (v *Voter) applied(o commands.Order, err error) {
+	if errors.Is(err, commands.ErrStale) {
 		v.counts.Stale++
 	}
 	if p := v.waits[o.ID]; p != nil {
--- a/internal/fleet/voter/voter.go
+++ b/internal/node/zones/replica/voter.go
@@ -1,7 +1,7 @@
-// Package voter is the whole of one voter of the fleet without clock, files and sockets:
+// Package replica is the whole of one voter of the fleet without clock, files and sockets:
 // its part in the agreed log, the processes that report to it, and, while it leads, the
 // decisions for all zones. The program and the simulation drive the same.
-package voter
+package replica
 
 import (
 	"errors"
@@ -12,12 +12,12 @@
 	"slices"
 	"time"
 
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/member"
-	"ospreybend/internal/fleet/orders"
-	"ospreybend/internal/fleet/zone"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/failover"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/health"
+	"ospreybend/internal/node/zones/members"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 // Rules are the figures that a voter goes by.
@@ -31,13 +31,13 @@
 	Digest        time.Duration // from one digest to the leader to the next, and from one decision to the next
 	DigestLife    time.Duration // a digest counts for so long
 	Patience      time.Duration // for an order to be agreed on, before its sender is told that it is not known
-	Zone          zone.Rules
+	Zone          failover.Rules
 }
 
 // Usual are the figures that the program uses.
 func Usual() Rules {
 	return Rules{Tick: 50 * time.Millisecond, Election: 8, Heartbeat: 2, SnapshotEvery: 1024, Lease: 2 * time.Second, Life: 1500 * time.Millisecond,
-		Digest: 200 * time.Millisecond, DigestLife: time.Second, Patience: 2 * time.Second, Zone: zone.Usual()}
+		Digest: 200 * time.Millisecond, DigestLife: time.Second, Patience: 2 * time.Second, Zone: failover.Usual()}
 }
 
 // Config is what a voter is told.
@@ -47,7 +47,7 @@
 	Store   string // its store's name
 	Runs    uint64 // how often the store was opened
 	Rules   Rules
-	Classes []zone.Class
+	Classes []failover.Class
 	Rand    *rand.Rand
 	Logger  *slog.Logger
 	Wall    func() int64 // the time of day, Unix microseconds: ends of what persons have said
@@ -57,26 +57,26 @@
 
 // digest is what another voter's processes see.
 type digest struct {
-	of evidence.Digest
+	of health.Digest
 	at time.Duration
 }
 
 // sights is what one process sees.
 type sights struct {
 	zone string
-	of   evidence.Sights
+	of   health.Sights
 }
 
 // Voter is one of them. It belongs to one goroutine.
 type Voter struct {
 	config   Config
-	log      *agreed.Log
-	machine  *orders.Machine
-	members  *member.Table
+	log      *replicatedlog.Log
+	machine  *commands.Machine
+	members  *members.Table
 	seen     map[string]sights // by process
 	digests  map[uint64]digest
-	decider  *zone.Decider // while this voter leads
-	verdicts map[string]zone.Verdict
+	decider  *failover.Decider // while this voter leads
+	verdicts map[string]failover.Verdict
 	made     uint64 // the last epoch that this leader has put a change for, and when
 	madeAt   time.Duration
 	waits    map[string]*pending
@@ -101,21 +101,21 @@
 var ErrUnknown = errors.New("no word on the order in time: it may have been taken or not")
 
 // New goes on from what the voter's store holds.
-func New(now time.Duration, c Config, stored agreed.Stored) (*Voter, error) {
+func New(now time.Duration, c Config, stored replicatedlog.Stored) (*Voter, error) {
 	if c.Logger == nil {
 		c.Logger = slog.Default()
 	}
-	v := &Voter{config: c, machine: orders.NewMachine(), members: member.New(c.Rules.Life), seen: map[string]sights{},
+	v := &Voter{config: c, machine: commands.NewMachine(), members: members.New(c.Rules.Life), seen: map[string]sights{},
 		digests: map[uint64]digest{}, waits: map[string]*pending{}, echoes: map[uint64]Stamp{}, ticks: now, digestAt: now, now: now}
 	v.machine.Applied, v.machine.Without = v.applied, c.Without
 	var err error
-	v.log, err = agreed.New(agreed.Config{ID: c.ID, Election: c.Rules.Election, Heartbeat: c.Rules.Heartbeat, SnapshotEvery: c.Rules.SnapshotEvery,
+	v.log, err = replicatedlog.New(replicatedlog.Config{ID: c.ID, Election: c.Rules.Election, Heartbeat: c.Rules.Heartbeat, SnapshotEvery: c.Rules.SnapshotEvery,
 		Rand: c.Rand, Logger: c.Logger}, stored, v.machine)
 	if err != nil {
 		return nil, err
 	}
-	v.put(now, orders.Order{Start: &orders.Start{Voter: c.ID, Store: c.Store, Runs: c.Runs}}, now+time.Hour, func(err error) {
-		if errors.Is(err, orders.ErrOldStore) {
+	v.put(now, commands.Order{Start: &commands.Start{Voter: c.ID, Store: c.Store, Runs: c.Runs}}, now+time.Hour, func(err error) {
+		if errors.Is(err, commands.ErrOldStore) {
 			v.broken = err
 		}
 	})
@@ -148,7 +148,7 @@
 // lead begins or ends this voter's leading.
 func (v *Voter) lead() {
 	if v.decider = nil; v.log.Leads() {
-		v.decider = zone.New(v.config.Rules.Zone, v.config.Classes)
+		v.decider = failover.New(v.config.Rules.Zone, v.config.Classes)
 	}
 	v.verdicts, v.made = nil, 0
 	v.config.Logger.Info("voter", "leads", v.log.Leads(), "term", v.log.Term(), "epoch", v.machine.Table().Epoch)
@@ -191,22 +191,22 @@
 		v.config.Logger.Info("let in", "classes", change.Admit, "epoch", t.Epoch+1)
 	}
 	v.made, v.madeAt = t.Epoch+1, now
-	v.put(now, orders.Order{Change: change}, now+v.config.Rules.Patience, func(error) {})
+	v.put(now, commands.Order{Change: change}, now+v.config.Rules.Patience, func(error) {})
 }
 
 // expire clears what persons have said once it is over.
-func (v *Voter) expire(now time.Duration, t *orders.Table) {
+func (v *Voter) expire(now time.Duration, t *commands.Table) {
 	wall := v.config.Wall()
 	for _, name := range slices.Sorted(maps.Keys(t.Words)) {
 		if w := t.Words[name]; wall >= w.Until {
-			v.put(now, orders.Order{Word: &orders.Word{Zone: name, Do: orders.DoClear}}, now+v.config.Rules.Patience, func(error) {})
+			v.put(now, commands.Order{Word: &commands.Word{Zone: name, Do: commands.DoClear}}, now+v.config.Rules.Patience, func(error) {})
 		}
 	}
 }
 
 // digest merges what the processes see that report here.
-func (v *Voter) digest() evidence.Digest {
-	out := evidence.Digest{}
+func (v *Voter) digest() health.Digest {
+	out := health.Digest{}
 	for _, name := range slices.Sorted(maps.Keys(v.seen)) {
 		s := v.seen[name]
 		out.Put(s.zone, s.of)
@@ -215,28 +215,28 @@
 }
 
 // Report takes in a process's report and answers it.
-func (v *Voter) Report(now time.Duration, r follow.Report) (follow.Answer, error) {
+func (v *Voter) Report(now time.Duration, r follower.Report) (follower.Answer, error) {
 	if r.Fleet != v.config.Fleet {
 		v.counts.Strangers++
-		return follow.Answer{}, fmt.Errorf("fleet: this is %q, not %q", v.config.Fleet, r.Fleet)
+		return follower.Answer{}, fmt.Errorf("fleet: this is %q, not %q", v.config.Fleet, r.Fleet)
 	}
 	if r.Name == "" || r.Zone == "" {
 		v.counts.Strangers++
-		return follow.Answer{}, errors.New("name and zone: a report has both")
+		return follower.Answer{}, errors.New("name and zone: a report has both")
 	}
 	v.counts.Reports++
 	t := v.machine.Table()
-	out := follow.Answer{Incarnation: r.Incarnation, Epoch: t.Epoch}
+	out := follower.Answer{Incarnation: r.Incarnation, Epoch: t.Epoch}
 	verdict, incarnation := v.members.Hear(now, r.Name, r.Zone, r.Incarnation, r.Sequence)
 	switch verdict {
-	case member.Outdone:
+	case members.Outdone:
 		v.counts.Outdone++
 		out.Incarnation = incarnation
 		if v.config.Without != "incarnation" {
 			return out, nil
 		}
 		v.seen[r.Name] = sights{r.Zone, r.Sights}
-	case member.Late:
+	case members.Late:
 		v.counts.Late++
 	default:
 		v.seen[r.Name] = sights{r.Zone, r.Sights}
@@ -252,16 +252,16 @@
 }
 
 // Next returns what has to be written through next; see agreed.Log.
-func (v *Voter) Next() (agreed.Persist, bool) {
+func (v *Voter) Next() (replicatedlog.Persist, bool) {
 	v.advance()
 	if v.broken != nil {
-		return agreed.Persist{}, false
+		return replicatedlog.Persist{}, false
 	}
 	return v.log.Next()
 }
 
 // Done says that it has been written through.
-func (v *Voter) Done(p agreed.Persist) {
+func (v *Voter) Done(p replicatedlog.Persist) {
 	v.log.Persisted(p)
 	v.advance()
 }
@@ -279,7 +279,7 @@
 	v.heard(word{})
 	by := map[uint64][][]byte{}
 	for _, m := range messages {
-		by[uint64(m.To)] = append(by[uint64(m.To)], agreed.EncodeMessage(m))
+		by[uint64(m.To)] = append(by[uint64(m.To)], replicatedlog.EncodeMessage(m))
 	}
 	for _, to := range slices.Sorted(maps.Keys(by)) {
 		v.send(to, Letter{Log: by[to]})
@@ -287,16 +287,16 @@
 }
 
 // Table is what holds, as far as this voter knows; it is not to be changed.
-func (v *Voter) Table() *orders.Table { return v.machine.Table() }
+func (v *Voter) Table() *commands.Table { return v.machine.Table() }
 
 // Verdicts are those of the last decision here; none where this voter does not lead.
-func (v *Voter) Verdicts() map[string]zone.Verdict { return v.verdicts }
+func (v *Voter) Verdicts() map[string]failover.Verdict { return v.verdicts }
 
 // Log is the voter's part in the agreement.
-func (v *Voter) Log() *agreed.Log { return v.log }
+func (v *Voter) Log() *replicatedlog.Log { return v.log }
 
 // Members are the processes that report here.
-func (v *Voter) Members() []member.Member { return v.members.Alive() }
+func (v *Voter) Members() []members.Member { return v.members.Alive() }
 
 // Counts returns the totals.
 func (v *Voter) Counts() Counts { return v.counts }
--- a/internal/fleet/voter/voter_test.go
+++ b/internal/node/zones/replica/voter_test.go
@@ -1,4 +1,4 @@
-package voter
+package replica
 
 import (
 	"errors"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/health"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 // alone is a fleet of one voter, whose store is always at once.
@@ -24,7 +24,7 @@
 	a := &alone{t: t, wall: 1}
 	var err error
 	a.v, err = New(0, Config{Fleet: "f", ID: 1, Store: "s", Runs: 1, Rules: Usual(), Rand: rand.New(rand.NewPCG(1, 1)),
-		Wall: func() int64 { return a.wall }}, agreed.Founding([]uint64{1}))
+		Wall: func() int64 { return a.wall }}, replicatedlog.Founding([]uint64{1}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,10 +44,10 @@
 	}
 }
 
-func report(name, zone string, sequence uint64) follow.Report {
-	good := evidence.Sight{Count: evidence.Count{Sent: 9, Good: 9}, Seers: 1, Last: 5, Slots: 8}
-	return follow.Report{Fleet: "f", Name: name, Zone: zone, Incarnation: 1, Sequence: sequence,
-		Sights: evidence.Sights{"a": good, "b": good}}
+func report(name, zone string, sequence uint64) follower.Report {
+	good := health.Sight{Count: health.Count{Sent: 9, Good: 9}, Seers: 1, Last: 5, Slots: 8}
+	return follower.Report{Fleet: "f", Name: name, Zone: zone, Incarnation: 1, Sequence: sequence,
+		Sights: health.Sights{"a": good, "b": good}}
 }
 
 // Before a voter has a leader it grants no lease; strangers and reports without a name get none.
@@ -62,7 +62,7 @@
 	}
 	stranger, nameless := report("n", "a", 3), report("", "a", 3)
 	stranger.Fleet = "g"
-	for _, r := range []follow.Report{stranger, nameless} {
+	for _, r := range []follower.Report{stranger, nameless} {
 		if _, err := a.v.Report(a.now, r); err == nil {
 			t.Errorf("%+v is taken", r)
 		}
@@ -83,7 +83,7 @@
 	later.Incarnation = 5
 	a.v.Report(a.now, later)
 	old := report("n", "a", 9)
-	old.Sights = evidence.Sights{"a": {Count: evidence.Count{Broken: 99}, Seers: 1, Bad: 1, Last: 5}}
+	old.Sights = health.Sights{"a": {Count: health.Count{Broken: 99}, Seers: 1, Bad: 1, Last: 5}}
 	if got, _ := a.v.Report(a.now, old); got.Lease != 0 || got.Incarnation != 5 {
 		t.Errorf("%+v", got)
 	}
@@ -106,7 +106,7 @@
 		a.v.Report(a.now, report("n", "a", n))
 		a.v.Report(a.now, report("m", "b", n))
 	}
-	said := func(w orders.Word) error {
+	said := func(w commands.Word) error {
 		err := errors.New("not agreed on")
 		a.v.Say(a.now, w, func(e error) { err = e })
 		for range 5 {
@@ -116,13 +116,13 @@
 		return err
 	}
 	tell()
-	if err := said(orders.Word{Zone: "b", Do: orders.DoLeave, Reason: "works", Until: 100}); err != nil || a.v.Table().Of("b").Phase != orders.Left {
+	if err := said(commands.Word{Zone: "b", Do: commands.DoLeave, Reason: "works", Until: 100}); err != nil || a.v.Table().Of("b").Phase != commands.Left {
 		t.Fatalf("%v, %+v", err, a.v.Table())
 	}
-	if err := said(orders.Word{Zone: "a", Do: orders.DoLeave, Reason: "works", Until: 100}); err == nil {
+	if err := said(commands.Word{Zone: "a", Do: commands.DoLeave, Reason: "works", Until: 100}); err == nil {
 		t.Error("the last zone is left")
 	}
-	if err := said(orders.Word{Zone: "a", Do: "burn"}); err == nil {
+	if err := said(commands.Word{Zone: "a", Do: "burn"}); err == nil {
 		t.Error("nonsense is agreed on")
 	}
 	a.wall = 101
--- a/internal/fleet/agreed/agreed.go
+++ b/internal/node/zones/replicatedlog/agreed.go
@@ -1,9 +1,9 @@
-// Package agreed is the replicated log of the fleet's voters: an order in it holds for all.
-// The consensus is package coord/agreement; this package adds the orders' state machine,
+// Package replicatedlog is the replicated log of the fleet's voters: an order in it holds for all.
+// The consensus is package coord/consensus; this package adds the orders' state machine,
 // snapshots and the stored form. It has no clock, no files and no sockets. Its caller ticks a
 // Log, passes it the other voters' messages, sends what Advance returns, makes durable what
 // Next returns and then calls Persisted.
-package agreed
+package replicatedlog
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 const (
@@ -56,7 +56,7 @@
 
 // Message is what one voter's log says to another's.
 type Message struct {
-	agreement.Message
+	consensus.Message
 	// Held is the last entry that the addressee has acknowledged to this leader, 0 where the sender does not lead. A log
 	// that ends before it has lost entries.
 	Held uint64
@@ -83,7 +83,7 @@
 // Log is one voter's part in the agreement. It belongs to one goroutine.
 type Log struct {
 	config      Config
-	node        *agreement.Node
+	node        *consensus.Node
 	machine     Machine
 	now         time.Duration
 	silent      int // ticks without word of a leader
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	node := agreement.New(agreement.Config{ID: agreement.MemberID(c.ID), ElectionTimeout: time.Duration(c.Election) * tick,
+	node := consensus.New(consensus.Config{ID: consensus.MemberID(c.ID), ElectionTimeout: time.Duration(c.Election) * tick,
 		Heartbeat: time.Duration(c.Heartbeat) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
 		Seed: c.Rand.Uint64(), Trailing: trailingEntries}, state, 0)
 	l := &Log{config: c, node: node, machine: machine}
@@ -134,7 +134,7 @@
 	for _, member := range l.node.Status().Members {
 		if !member.Voter {
 			member.Voter = true
-			_ = l.node.ChangeMembers(l.now, agreement.Change{Add: &member}) // refused until it holds enough: tried again with the next tick
+			_ = l.node.ChangeMembers(l.now, consensus.Change{Add: &member}) // refused until it holds enough: tried again with the next tick
 		}
 	}
 }
@@ -152,7 +152,7 @@
 		return nil
 	}
 	status := l.node.Status()
-	if m.Term >= before && status.Role != agreement.RoleLeader {
+	if m.Term >= before && status.Role != consensus.RoleLeader {
 		l.silent = 0
 	}
 	// A later leader may have cut off what was acknowledged to an earlier one.
@@ -164,15 +164,15 @@
 
 // broken makes an error of what the core panics with where a leader contradicts what was agreed on.
 func broken(panicked any) error {
-	if err, ok := panicked.(error); ok && errors.Is(err, agreement.ErrCommittedConflict) {
+	if err, ok := panicked.(error); ok && errors.Is(err, consensus.ErrCommittedConflict) {
 		return &Broken{err}
 	}
 	panic(panicked)
 }
 
 // fromLeader reports whether only a leader sends messages of this kind.
-func fromLeader(kind agreement.MessageKind) bool {
-	return kind == agreement.MessageAppend || kind == agreement.MessageHeartbeat || kind == agreement.MessageSnapshot
+func fromLeader(kind consensus.MessageKind) bool {
+	return kind == consensus.MessageAppend || kind == consensus.MessageHeartbeat || kind == consensus.MessageSnapshot
 }
 
 // Propose puts an order to the voters. Whether it is agreed on shows when it is applied.
@@ -192,9 +192,9 @@
 	if slices.Contains(l.Voters(), add) {
 		return nil
 	}
-	change := agreement.Change{Remove: agreement.MemberID(remove)}
+	change := consensus.Change{Remove: consensus.MemberID(remove)}
 	if add != 0 {
-		change.Add = &agreement.Member{ID: agreement.MemberID(add)}
+		change.Add = &consensus.Member{ID: consensus.MemberID(add)}
 	}
 	return refusal(l.node.ChangeMembers(l.now, change))
 }
@@ -203,7 +203,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, agreement.ErrNotLeader):
+	case errors.Is(err, consensus.ErrNotLeader):
 		return ErrNotLeader
 	default:
 		return fmt.Errorf("%w: %w", ErrBusy, err)
@@ -227,7 +227,7 @@
 	return l.outgoing(ready.Messages), nil
 }
 
-func (l *Log) outgoing(messages []agreement.Message) []Message {
+func (l *Log) outgoing(messages []consensus.Message) []Message {
 	if len(messages) == 0 {
 		return nil
 	}
@@ -241,7 +241,7 @@
 	return out
 }
 
-func (l *Log) restore(s *agreement.Snapshot) error {
+func (l *Log) restore(s *consensus.Snapshot) error {
 	if s == nil {
 		return nil
 	}
@@ -252,12 +252,12 @@
 	return nil
 }
 
-func (l *Log) apply(entry agreement.Entry) {
+func (l *Log) apply(entry consensus.Entry) {
 	l.applied, l.appliedTerm = entry.Index, entry.Term
 	switch entry.Kind {
-	case agreement.EntryCommand:
+	case consensus.EntryCommand:
 		l.machine.Apply(entry.Index, entry.Data)
-	case agreement.EntryMembers:
+	case consensus.EntryMembers:
 		l.config.Logger.Info("the voters have changed", "voters", votersOf(entry.Members))
 	}
 }
@@ -302,7 +302,7 @@
 }
 
 // Leads tells whether this voter leads, as far as it knows.
-func (l *Log) Leads() bool { return l.node.Status().Role == agreement.RoleLeader }
+func (l *Log) Leads() bool { return l.node.Status().Role == consensus.RoleLeader }
 
 // Leader is the voter that leads, as far as this one knows; 0: none has been heard for an election timeout.
 func (l *Log) Leader() uint64 {
@@ -325,13 +325,13 @@
 // own first entry shows it.
 func (l *Log) Settled() bool {
 	status := l.node.Status()
-	return status.Role == agreement.RoleLeader && l.appliedTerm == status.Term
+	return status.Role == consensus.RoleLeader && l.appliedTerm == status.Term
 }
 
 // Voters are those that vote now.
 func (l *Log) Voters() []uint64 { return votersOf(l.node.Status().Members) }
 
-func votersOf(members []agreement.Member) (ids []uint64) {
+func votersOf(members []consensus.Member) (ids []uint64) {
 	for _, member := range members {
 		if member.Voter {
 			ids = append(ids, uint64(member.ID))
--- a/internal/fleet/agreed/agreed_test.go
+++ b/internal/node/zones/replicatedlog/agreed_test.go
@@ -1,4 +1,4 @@
-package agreed
+package replicatedlog
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // list is a machine that keeps its orders.
@@ -118,11 +118,11 @@
 	}
 	if p.Snapshot != nil {
 		s.Snapshot = p.Snapshot
-		s.Entries = slices.DeleteFunc(s.Entries, func(e agreement.Entry) bool { return p.Replaces || e.Index < p.First })
+		s.Entries = slices.DeleteFunc(s.Entries, func(e consensus.Entry) bool { return p.Replaces || e.Index < p.First })
 	}
 	if len(p.Entries) > 0 {
 		first := p.Entries[0].Index
-		s.Entries = append(slices.DeleteFunc(s.Entries, func(e agreement.Entry) bool { return e.Index >= first }), p.Entries...)
+		s.Entries = append(slices.DeleteFunc(s.Entries, func(e consensus.Entry) bool { return e.Index >= first }), p.Entries...)
 	}
 }
 
@@ -237,9 +237,9 @@
 
 func TestStoredMustFit(t *testing.T) {
 	hole := Founding([]uint64{1})
-	hole.Entries = []agreement.Entry{{Index: 3, Term: 1}}
+	hole.Entries = []consensus.Entry{{Index: 3, Term: 1}}
 	ahead := Founding([]uint64{1})
-	ahead.HardState = &agreement.HardState{Term: 2, Commit: 9}
+	ahead.HardState = &consensus.HardState{Term: 2, Commit: 9}
 	for name, k := range map[string]Stored{"a hole": hole, "agreed beyond the log": ahead} {
 		if _, err := New(Config{ID: 1, Election: 8, Heartbeat: 2, SnapshotEvery: 9, Rand: rand.New(rand.NewPCG(1, 1))}, k, &list{}); err == nil {
 			t.Errorf("%s is taken", name)
--- a/internal/fleet/agreed/codec.go
+++ b/internal/node/zones/replicatedlog/codec.go
@@ -1,4 +1,4 @@
-package agreed
+package replicatedlog
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // ErrEncoding says that bytes are no message, entry, snapshot or hard state.
@@ -15,7 +15,7 @@
 // The forms below are what voters send and store. A change of a stored one changes form in package keep.
 
 type memberForm struct {
-	ID      agreement.MemberID `cbor:"1,keyasint"`
+	ID      consensus.MemberID `cbor:"1,keyasint"`
 	Address string             `cbor:"2,keyasint,omitempty"`
 	Voter   bool               `cbor:"3,keyasint,omitempty"`
 }
@@ -23,7 +23,7 @@
 type entryForm struct {
 	Term    uint64              `cbor:"1,keyasint"`
 	Index   uint64              `cbor:"2,keyasint"`
-	Kind    agreement.EntryKind `cbor:"3,keyasint,omitempty"`
+	Kind    consensus.EntryKind `cbor:"3,keyasint,omitempty"`
 	Data    []byte              `cbor:"4,keyasint,omitempty"`
 	Members []memberForm        `cbor:"5,keyasint,omitempty"`
 }
@@ -37,14 +37,14 @@
 
 type hardStateForm struct {
 	Term   uint64             `cbor:"1,keyasint"`
-	Vote   agreement.MemberID `cbor:"2,keyasint"`
+	Vote   consensus.MemberID `cbor:"2,keyasint"`
 	Commit uint64             `cbor:"3,keyasint"`
 }
 
 type messageForm struct {
-	Kind      agreement.MessageKind `cbor:"1,keyasint"`
-	From      agreement.MemberID    `cbor:"2,keyasint"`
-	To        agreement.MemberID    `cbor:"3,keyasint"`
+	Kind      consensus.MessageKind `cbor:"1,keyasint"`
+	From      consensus.MemberID    `cbor:"2,keyasint"`
+	To        consensus.MemberID    `cbor:"3,keyasint"`
 	Term      uint64                `cbor:"4,keyasint"`
 	LogIndex  uint64                `cbor:"5,keyasint,omitempty"`
 	LogTerm   uint64                `cbor:"6,keyasint,omitempty"`
@@ -100,55 +100,55 @@
 }
 
 // memberTo leaves out the mark of a retired ID: this log never retires one.
-func memberTo(m agreement.Member) memberForm {
+func memberTo(m consensus.Member) memberForm {
 	return memberForm{ID: m.ID, Address: m.Address, Voter: m.Voter}
 }
 
-func memberFrom(m memberForm) agreement.Member {
-	return agreement.Member{ID: m.ID, Address: m.Address, Voter: m.Voter}
+func memberFrom(m memberForm) consensus.Member {
+	return consensus.Member{ID: m.ID, Address: m.Address, Voter: m.Voter}
 }
 
-func entryTo(e agreement.Entry) entryForm {
+func entryTo(e consensus.Entry) entryForm {
 	return entryForm{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convert(e.Members, memberTo)}
 }
 
-func entryFrom(e entryForm) agreement.Entry {
-	return agreement.Entry{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convert(e.Members, memberFrom)}
+func entryFrom(e entryForm) consensus.Entry {
+	return consensus.Entry{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convert(e.Members, memberFrom)}
 }
 
-func snapshotTo(s agreement.Snapshot) snapshotForm {
+func snapshotTo(s consensus.Snapshot) snapshotForm {
 	return snapshotForm{Index: s.Index, Term: s.Term, Members: convert(s.Members, memberTo), Data: s.Data}
 }
 
-func snapshotFrom(s snapshotForm) agreement.Snapshot {
-	return agreement.Snapshot{Index: s.Index, Term: s.Term, Members: convert(s.Members, memberFrom), Data: s.Data}
+func snapshotFrom(s snapshotForm) consensus.Snapshot {
+	return consensus.Snapshot{Index: s.Index, Term: s.Term, Members: convert(s.Members, memberFrom), Data: s.Data}
 }
 
 // EncodeHardState returns a hard state's bytes.
-func EncodeHardState(h agreement.HardState) []byte { return encode(hardStateForm(h)) }
+func EncodeHardState(h consensus.HardState) []byte { return encode(hardStateForm(h)) }
 
 // DecodeHardState reads them.
-func DecodeHardState(text []byte) (agreement.HardState, error) {
+func DecodeHardState(text []byte) (consensus.HardState, error) {
 	var form hardStateForm
 	err := decode(text, &form)
-	return agreement.HardState(form), err
+	return consensus.HardState(form), err
 }
 
 // EncodeEntry returns an entry's bytes.
-func EncodeEntry(e agreement.Entry) []byte { return encode(entryTo(e)) }
+func EncodeEntry(e consensus.Entry) []byte { return encode(entryTo(e)) }
 
 // DecodeEntry reads them.
-func DecodeEntry(text []byte) (agreement.Entry, error) {
+func DecodeEntry(text []byte) (consensus.Entry, error) {
 	var form entryForm
 	err := decode(text, &form)
 	return entryFrom(form), err
 }
 
 // EncodeSnapshot returns a snapshot's bytes.
-func EncodeSnapshot(s agreement.Snapshot) []byte { return encode(snapshotTo(s)) }
+func EncodeSnapshot(s consensus.Snapshot) []byte { return encode(snapshotTo(s)) }
 
 // DecodeSnapshot reads them.
-func DecodeSnapshot(text []byte) (agreement.Snapshot, error) {
+func DecodeSnapshot(text []byte) (consensus.Snapshot, error) {
 	var form snapshotForm
 	err := decode(text, &form)
 	return snapshotFrom(form), err
@@ -172,7 +172,7 @@
 	if err := decode(text, &form); err != nil {
 		return Message{}, err
 	}
-	m := Message{Held: form.Held, Message: agreement.Message{Kind: form.Kind, From: form.From, To: form.To, Term: form.Term,
+	m := Message{Held: form.Held, Message: consensus.Message{Kind: form.Kind, From: form.From, To: form.To, Term: form.Term,
 		LogIndex: form.LogIndex, LogTerm: form.LogTerm, Commit: form.Commit, Entries: convert(form.Entries, entryFrom), Reject: form.Reject,
 		HintIndex: form.HintIndex, HintTerm: form.HintTerm, Context: form.Context, Forced: form.Forced}}
 	if form.Snapshot != nil {
@@ -183,12 +183,12 @@
 }
 
 func (m *Message) check() error {
-	if m.Kind > agreement.MessageTransferNow {
+	if m.Kind > consensus.MessageTransferNow {
 		return fmt.Errorf("%w: a message of kind %d", ErrEncoding, m.Kind)
 	}
 	index, term := m.LogIndex, m.LogTerm
 	for _, entry := range m.Entries {
-		if entry.Index != index+1 || entry.Term < term || entry.Term > m.Term || entry.Kind > agreement.EntryMembers {
+		if entry.Index != index+1 || entry.Term < term || entry.Term > m.Term || entry.Kind > consensus.EntryMembers {
 			return fmt.Errorf("%w: entry %d of term %d and kind %d after entry %d of term %d", ErrEncoding, entry.Index, entry.Term, entry.Kind,
 				index, term)
 		}
--- a/internal/fleet/agreed/stored.go
+++ b/internal/node/zones/replicatedlog/stored.go
@@ -1,10 +1,10 @@
-package agreed
+package replicatedlog
 
 import (
 	"errors"
 	"fmt"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 )
 
 // ErrStored says that what a store holds cannot be used.
@@ -12,28 +12,28 @@
 
 // Stored is what a voter has made durable.
 type Stored struct {
-	HardState *agreement.HardState // nil: none yet
-	Snapshot  *agreement.Snapshot  // nil: none yet
-	Entries   []agreement.Entry    // without a gap after the snapshot; some that it holds may still be among them
+	HardState *consensus.HardState // nil: none yet
+	Snapshot  *consensus.Snapshot  // nil: none yet
+	Entries   []consensus.Entry    // without a gap after the snapshot; some that it holds may still be among them
 }
 
 // Founding is what every voter of a new fleet begins with: an empty state that names
 // the voters.
 func Founding(ids []uint64) Stored {
-	members := make([]agreement.Member, len(ids))
+	members := make([]consensus.Member, len(ids))
 	for at, id := range ids {
-		members[at] = agreement.Member{ID: agreement.MemberID(id), Voter: true}
+		members[at] = consensus.Member{ID: consensus.MemberID(id), Voter: true}
 	}
-	state := agreement.Founding(members, nil)
+	state := consensus.Founding(members, nil)
 	return Stored{Snapshot: &state.Snapshot}
 }
 
 // state returns it as the core takes it.
-func (s Stored) state() (agreement.Stored, error) {
-	var state agreement.Stored
+func (s Stored) state() (consensus.Stored, error) {
+	var state consensus.Stored
 	if s.Snapshot != nil {
 		state.Snapshot = *s.Snapshot
-		state.HardState = agreement.HardState{Term: s.Snapshot.Term, Commit: s.Snapshot.Index}
+		state.HardState = consensus.HardState{Term: s.Snapshot.Term, Commit: s.Snapshot.Index}
 	}
 	for _, entry := range s.Entries {
 		if entry.Index > state.Snapshot.Index {
@@ -56,9 +56,9 @@
 
 // Persist is what has to be made durable, whole or not at all.
 type Persist struct {
-	HardState *agreement.HardState // nil: unchanged
-	Entries   []agreement.Entry    // these and none after them
-	Snapshot  *agreement.Snapshot  // nil: none; entries before First are not needed any more
+	HardState *consensus.HardState // nil: unchanged
+	Entries   []consensus.Entry    // these and none after them
+	Snapshot  *consensus.Snapshot  // nil: none; entries before First are not needed any more
 	Replaces  bool                 // the snapshot came from another voter: all entries stored before are void
 	First     uint64               // the first entry that is still needed, with a Snapshot
 	sequence  uint64               // of the last that the core handed out
@@ -71,7 +71,7 @@
 }
 
 // add takes in what the core wants durable after all that is in already.
-func (p *Persist) add(later *agreement.Persist) {
+func (p *Persist) add(later *consensus.Persist) {
 	if later == nil {
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // appendFrom appends entries in place of those from their first index on. The core may share both.
-func appendFrom(entries, later []agreement.Entry) []agreement.Entry {
+func appendFrom(entries, later []consensus.Entry) []consensus.Entry {
 	end := len(entries)
 	for end > 0 && entries[end-1].Index >= later[0].Index {
 		end--
@@ -97,6 +97,6 @@
 }
 
 // compact takes in a snapshot made here.
-func (p *Persist) compact(s agreement.Snapshot, first uint64) {
+func (p *Persist) compact(s consensus.Snapshot, first uint64) {
 	p.Snapshot, p.First, p.compacts = &s, first, true
 }
--- a/internal/fleet/seat/seat.go
+++ b/internal/node/zones/server/seat.go
@@ -1,7 +1,7 @@
-// Package seat runs one voter as a process: its loop, its store, its links. One goroutine
+// Package server runs one voter as a process: its loop, its store, its links. One goroutine
 // owns the voter; the store is written beside it, one write at a time, and calls come in
 // over a channel.
-package seat
+package server
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 	"net/http"
 	"time"
 
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/keep"
-	"ospreybend/internal/fleet/link"
-	"ospreybend/internal/fleet/orders"
-	"ospreybend/internal/fleet/voter"
-	"ospreybend/internal/fleet/zone"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/failover"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/replica"
+	"ospreybend/internal/node/zones/replicatedlog"
+	"ospreybend/internal/node/zones/store"
+	"ospreybend/internal/node/zones/transport"
 )
 
 const (
@@ -34,14 +34,14 @@
 	Store   string            // the file
 	Voters  map[uint64]string // addresses by number, its own included
 	Founds  []uint64          // the voters that a new fleet begins with; empty: it joins one
-	Classes []zone.Class
-	Rules   voter.Rules
+	Classes []failover.Class
+	Rules   replica.Rules
 	Without string // a check left out, for trials
 }
 
-// store is where a voter writes through.
-type store interface {
-	Write(agreed.Persist) error
+// durableStore is where a voter writes through.
+type durableStore interface {
+	Write(replicatedlog.Persist) error
 	Close() error
 	Starts() uint64
 }
@@ -49,14 +49,14 @@
 // Seat is a voter at work.
 type Seat struct {
 	config Config
-	store  store
-	voter  *voter.Voter
-	client *link.Client
-	mail   map[uint64]*link.Mail
+	store  durableStore
+	voter  *replica.Voter
+	client *transport.Client
+	mail   map[uint64]*transport.Mail
 	began  time.Time
 	calls  chan func(now time.Duration)
 	wrote  chan error
-	writes agreed.Persist
+	writes replicatedlog.Persist
 	busy   bool
 	end    context.CancelFunc
 	done   <-chan struct{}
@@ -66,20 +66,20 @@
 
 // Open opens the store and listens. Run does the rest.
 func Open(c Config) (*Seat, error) {
-	file, stored, err := keep.Open(c.Store, keep.Owner{Fleet: c.Fleet, Voter: c.ID, Voters: c.Founds})
+	file, stored, err := store.Open(c.Store, store.Owner{Fleet: c.Fleet, Voter: c.ID, Voters: c.Founds})
 	if err != nil {
 		return nil, err
 	}
-	s := &Seat{config: c, store: file, client: link.NewClient(), mail: map[uint64]*link.Mail{}, began: time.Now(),
+	s := &Seat{config: c, store: file, client: transport.NewClient(), mail: map[uint64]*transport.Mail{}, began: time.Now(),
 		calls: make(chan func(time.Duration)), wrote: make(chan error, 1)}
-	s.voter, err = voter.New(0, voter.Config{Fleet: c.Fleet, ID: c.ID, Store: file.ID(), Runs: file.Starts(), Rules: c.Rules,
+	s.voter, err = replica.New(0, replica.Config{Fleet: c.Fleet, ID: c.ID, Store: file.ID(), Runs: file.Starts(), Rules: c.Rules,
 		Classes: c.Classes, Rand: rand.New(rand.NewPCG(rand.Uint64(), c.ID)), Wall: func() int64 { return time.Now().UnixMicro() },
 		Without: c.Without}, stored)
 	if err == nil {
 		s.listen, err = net.Listen("tcp", c.Listen)
 	}
 	if err != nil {
-		return nil, errors.Join(&keep.Fault{Path: c.Store, Err: err}, file.Close())
+		return nil, errors.Join(&store.Fault{Path: c.Store, Err: err}, file.Close())
 	}
 	return s, nil
 }
@@ -94,10 +94,10 @@
 	s.done = ctx.Done()
 	for id, address := range s.config.Voters {
 		if id != s.config.ID {
-			s.mail[id] = link.NewMail(ctx, s.client, address)
+			s.mail[id] = transport.NewMail(ctx, s.client, address)
 		}
 	}
-	s.server = &http.Server{Handler: link.Serve(s), ReadHeaderTimeout: headWithin}
+	s.server = &http.Server{Handler: transport.Serve(s), ReadHeaderTimeout: headWithin}
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(s.listen) }()
 	slog.Info("voter", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(), "store", s.config.Store, "starts", s.store.Starts())
@@ -137,7 +137,7 @@
 			s.voter.Done(s.writes)
 		}
 		if err := s.voter.Broken(); err != nil {
-			return &keep.Fault{Path: s.config.Store, Err: err}
+			return &store.Fault{Path: s.config.Store, Err: err}
 		}
 		s.flush()
 	}
@@ -201,18 +201,18 @@
 }
 
 // Report takes in a process's report.
-func (s *Seat) Report(ctx context.Context, r follow.Report) (follow.Answer, error) {
-	return ask(ctx, s, func(now time.Duration, answer func(follow.Answer, error)) { answer(s.voter.Report(now, r)) })
+func (s *Seat) Report(ctx context.Context, r follower.Report) (follower.Answer, error) {
+	return ask(ctx, s, func(now time.Duration, answer func(follower.Answer, error)) { answer(s.voter.Report(now, r)) })
 }
 
 // Deliver takes in a letter.
-func (s *Seat) Deliver(ctx context.Context, l voter.Letter) error {
+func (s *Seat) Deliver(ctx context.Context, l replica.Letter) error {
 	_, err := ask(ctx, s, func(now time.Duration, answer func(struct{}, error)) { answer(struct{}{}, s.voter.Take(now, l)) })
 	return err
 }
 
 // Say puts what a person has said, and returns once it is agreed on.
-func (s *Seat) Say(ctx context.Context, w orders.Word) error {
+func (s *Seat) Say(ctx context.Context, w commands.Word) error {
 	_, err := ask(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
 		s.voter.Say(now, w, func(err error) { answer(struct{}{}, err) })
 	})
@@ -220,13 +220,13 @@
 }
 
 // Status tells how things stand.
-func (s *Seat) Status(ctx context.Context) (link.Status, error) {
-	return ask(ctx, s, func(now time.Duration, answer func(link.Status, error)) {
+func (s *Seat) Status(ctx context.Context) (transport.Status, error) {
+	return ask(ctx, s, func(now time.Duration, answer func(transport.Status, error)) {
 		v, log := s.voter, s.voter.Log()
-		out := link.Status{Voter: s.config.ID, Leader: log.Leader(), Term: log.Term(), Applied: log.Applied(), Voters: log.Voters(),
+		out := transport.Status{Voter: s.config.ID, Leader: log.Leader(), Term: log.Term(), Applied: log.Applied(), Voters: log.Voters(),
 			Table: v.Table().Clone(), Counts: v.Counts(), Verdicts: map[string]string{}}
 		for _, m := range v.Members() {
-			out.Members = append(out.Members, link.Member{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Silent: now - m.HeardAt})
+			out.Members = append(out.Members, transport.Member{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Silent: now - m.HeardAt})
 		}
 		for name, verdict := range v.Verdicts() {
 			out.Verdicts[name] = verdict.String()
--- a/internal/fleet/seat/seat_test.go
+++ b/internal/node/zones/server/seat_test.go
@@ -1,4 +1,4 @@
-package seat
+package server
 
 import (
 	"context"
@@ -10,28 +10,28 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/evidence"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/keep"
-	"ospreybend/internal/fleet/link"
-	"ospreybend/internal/fleet/orders"
-	"ospreybend/internal/fleet/voter"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/health"
+	"ospreybend/internal/node/zones/replica"
+	"ospreybend/internal/node/zones/replicatedlog"
+	"ospreybend/internal/node/zones/store"
+	"ospreybend/internal/node/zones/transport"
+	"ospreybend/internal/testkit/fakeplatform"
 )
 
 // filling is a store that may fill.
 type filling struct {
-	store
+	durableStore
 	full *atomic.Bool
 	path string
 }
 
-func (f *filling) Write(p agreed.Persist) error {
+func (f *filling) Write(p replicatedlog.Persist) error {
 	if f.full.Load() {
-		return &keep.Fault{Path: f.path, Err: syscall.ENOSPC}
+		return &store.Fault{Path: f.path, Err: syscall.ENOSPC}
 	}
-	return f.store.Write(p)
+	return f.durableStore.Write(p)
 }
 
 // three are voters over loopback, in this process.
@@ -39,14 +39,14 @@
 	at     map[uint64]string
 	full   map[uint64]*atomic.Bool
 	ended  map[uint64]chan error
-	client *link.Client
+	client *transport.Client
 }
 
 func newThree(t *testing.T) *three {
-	v := &three{at: map[uint64]string{}, full: map[uint64]*atomic.Bool{}, ended: map[uint64]chan error{}, client: link.NewClient()}
+	v := &three{at: map[uint64]string{}, full: map[uint64]*atomic.Bool{}, ended: map[uint64]chan error{}, client: transport.NewClient()}
 	dir := t.TempDir()
 	for id := uint64(1); id <= 3; id++ {
-		at, err := standin.FreeAddress()
+		at, err := fakeplatform.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	for id := range v.at {
 		path := filepath.Join(dir, "store"+string(rune('0'+id)))
-		s, err := Open(Config{Fleet: "f", ID: id, Listen: v.at[id], Store: path, Voters: v.at, Founds: []uint64{1, 2, 3}, Rules: voter.Usual()})
+		s, err := Open(Config{Fleet: "f", ID: id, Listen: v.at[id], Store: path, Voters: v.at, Founds: []uint64{1, 2, 3}, Rules: replica.Usual()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 // leader waits until one leads that is not the given one.
 func (v *three) leader(t *testing.T, not uint64) (leader uint64) {
 	t.Helper()
-	if err := standin.Until(t.Context(), 10*time.Second, func() bool {
+	if err := fakeplatform.Until(t.Context(), 10*time.Second, func() bool {
 		for id, at := range v.at {
 			if id == not {
 				continue
@@ -100,12 +100,12 @@
 	first := v.leader(t, 0)
 	for i, name := range []string{"n", "m"} {
 		zone := string(rune('a' + i))
-		if _, err := v.client.Report(t.Context(), v.at[first], follow.Report{Fleet: "f", Name: name, Zone: zone, Incarnation: 1, Sequence: 1,
-			Sights: evidence.Sights{zone: {}}}); err != nil {
+		if _, err := v.client.Report(t.Context(), v.at[first], follower.Report{Fleet: "f", Name: name, Zone: zone, Incarnation: 1, Sequence: 1,
+			Sights: health.Sights{zone: {}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	word := orders.Word{Zone: "a", Do: orders.DoHold, Reason: "before", Until: time.Now().Add(time.Hour).UnixMicro()}
+	word := commands.Word{Zone: "a", Do: commands.DoHold, Reason: "before", Until: time.Now().Add(time.Hour).UnixMicro()}
 	if err := v.client.Say(t.Context(), v.at[first], word); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	_ = v.client.Say(t.Context(), v.at[first], word) // it may have been taken or not
 	err := <-v.ended[first]
 	v.ended[first] <- nil
-	var f *keep.Fault
+	var f *store.Fault
 	if !errors.As(err, &f) || !strings.Contains(err.Error(), "store"+string(rune('0'+first))) || !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("it ends with %v", err)
 	}
@@ -127,7 +127,7 @@
 	if err != nil || s.Table.Words["a"].Reason != "before" || s.Table.Words["c"].Reason != "after" {
 		t.Errorf("what was agreed on: %+v, %v", s.Table, err)
 	}
-	again, _, err := keep.Open(f.Path, keep.Owner{Fleet: "f", Voter: first})
+	again, _, err := store.Open(f.Path, store.Owner{Fleet: "f", Voter: first})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,13 +140,13 @@
 	v := newThree(t)
 	leader := v.leader(t, 0)
 	other := leader%3 + 1
-	if err := v.client.Say(t.Context(), v.at[other], orders.Word{Zone: "a", Do: orders.DoHold, Reason: "r", Until: 1 << 60}); err != nil {
+	if err := v.client.Say(t.Context(), v.at[other], commands.Word{Zone: "a", Do: commands.DoHold, Reason: "r", Until: 1 << 60}); err != nil {
 		t.Errorf("a voter that does not lead passes nothing on: %v", err)
 	}
-	if err := v.client.Say(t.Context(), v.at[other], orders.Word{Zone: "a", Do: "burn"}); err == nil || !strings.Contains(err.Error(), "burn") {
+	if err := v.client.Say(t.Context(), v.at[other], commands.Word{Zone: "a", Do: "burn"}); err == nil || !strings.Contains(err.Error(), "burn") {
 		t.Errorf("nonsense: %v", err)
 	}
-	if _, err := v.client.Report(t.Context(), v.at[other], follow.Report{Fleet: "g", Name: "n", Zone: "a"}); err == nil || !strings.Contains(err.Error(), `not "g"`) {
+	if _, err := v.client.Report(t.Context(), v.at[other], follower.Report{Fleet: "g", Name: "n", Zone: "a"}); err == nil || !strings.Contains(err.Error(), `not "g"`) {
 		t.Errorf("a stranger: %v", err)
 	}
 }
--- a/internal/fleet/sim/day.go
+++ b/internal/node/zones/simulation/day.go
@@ -1,20 +1,20 @@
-// Package sim plays the fleet's agreement in simulated time: many instances of all of
+// Package simulation plays the fleet's agreement in simulated time: many instances of all of
 // the real decision code and of the agreed log on one clock, with messages that are late,
 // lost, doubled, overtaken or cut off one way, processes that crash and lose what they
 // had not written through, and clocks that drift. The same day plays the same. After
 // every event it holds the fleet against what must always be so.
 //
 // Route steps are modelled as a flow with outcomes, not one by one through package
-// balance; internal/emulator does that.
-package sim
+// balance; internal/testkit/nodesim does that.
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/voter"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/replica"
 )
 
 func (s Span) draw(r *rand.Rand) time.Duration {
@@ -78,8 +78,8 @@
 	Troubles []Trouble
 	Alone    bool   // every process for itself: no voters
 	Without  string // a check left out
-	Voter    voter.Rules
-	Follow   follow.Rules
+	Voter    replica.Rules
+	Follow   follower.Rules
 }
 
 // Plain is a day without trouble.
@@ -87,7 +87,7 @@
 	return Day{Seed: seed, Zones: 3, Voters: 3, Nodes: 9, Length: 30 * time.Second, Rate: 25, Load: 0.5,
 		Delay: Span{200 * time.Microsecond, 4 * time.Millisecond}, Loss: 0.01, Twice: 0.01, Stray: 0.01, Drift: 0.0005,
 		Disk: Span{300 * time.Microsecond, 6 * time.Millisecond}, Cold: 8 * time.Second, ColdFrom: 0.2,
-		Voter: voter.Usual(), Follow: follow.Usual()}
+		Voter: replica.Usual(), Follow: follower.Usual()}
 }
 
 func (d Day) check() error {
--- a/internal/fleet/sim/hard_test.go
+++ b/internal/node/zones/simulation/hard_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"testing"
--- a/internal/fleet/sim/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -1,14 +1,14 @@
-package sim
+package simulation
 
 import (
 	"log/slog"
 	"math/rand/v2"
 	"time"
 
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/voter"
-	"ospreybend/internal/fleet/zone"
+	"ospreybend/internal/node/zones/failover"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/replica"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 // process is one of the fleet's, with a clock of its own.
@@ -80,12 +80,12 @@
 
 // disk is what a voter has written through.
 type disk struct {
-	stored agreed.Stored
+	stored replicatedlog.Stored
 	runs   uint64
 	name   string
 }
 
-func (d *disk) write(p agreed.Persist) {
+func (d *disk) write(p replicatedlog.Persist) {
 	if p.HardState != nil {
 		d.stored.HardState = p.HardState
 	}
@@ -109,7 +109,7 @@
 }
 
 // reopen is what a start finds.
-func (d *disk) reopen() agreed.Stored {
+func (d *disk) reopen() replicatedlog.Stored {
 	d.runs++
 	return d.stored
 }
@@ -119,7 +119,7 @@
 	p       *process
 	id      uint64
 	disk    disk
-	v       *voter.Voter
+	v       *replica.Voter
 	writing bool
 	checked uint64        // the last entry applied that the orders were held against
 	born    time.Duration // the voter's clock begins with each start
@@ -132,7 +132,7 @@
 	rules := d.Voter
 	stored := v.disk.reopen()
 	v.born = v.p.now()
-	made, err := voter.New(0, voter.Config{Fleet: "sim", ID: v.id, Store: v.disk.name, Runs: v.disk.runs, Rules: rules, Classes: classes,
+	made, err := replica.New(0, replica.Config{Fleet: "sim", ID: v.id, Store: v.disk.name, Runs: v.disk.runs, Rules: rules, Classes: classes,
 		Rand: rand.New(rand.NewPCG(d.Seed, v.id<<16|v.disk.runs)), Logger: slog.New(slog.DiscardHandler),
 		Wall: func() int64 { return v.p.w.now.Microseconds() }, Without: d.Without}, stored)
 	if err != nil {
@@ -196,18 +196,18 @@
 type nodeProcess struct {
 	p      *process
 	number int
-	f      *follow.Follower
+	f      *follower.Follower
 	asks   int // voters asked in vain
 	credit float64
 	epoch  uint64
 	began  time.Duration
 }
 
-var classes = []zone.Class{{Name: "check", Worth: 2}, {Name: "preview", Worth: 1}, {Name: "book", Worth: 4, Once: true}}
+var classes = []failover.Class{{Name: "check", Worth: 2}, {Name: "preview", Worth: 1}, {Name: "book", Worth: 4, Once: true}}
 
 func (n *nodeProcess) start() {
 	d := n.p.w.day
-	n.f = follow.New(n.p.now(), d.Follow, "sim", n.p.name, n.p.zone, uint64(n.p.now().Microseconds())+1, len(classes),
+	n.f = follower.New(n.p.now(), d.Follow, "sim", n.p.name, n.p.zone, uint64(n.p.now().Microseconds())+1, len(classes),
 		rand.New(rand.NewPCG(d.Seed, uint64(n.number)<<20|uint64(n.p.life))))
 	n.f.Without = d.Without
 	n.asks, n.epoch, n.began = 0, 0, n.p.now()
--- a/internal/fleet/sim/trouble.go
+++ b/internal/node/zones/simulation/trouble.go
@@ -1,10 +1,10 @@
-package sim
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
 )
 
 // lookEvery is how often a trouble that waits for a rise looks for it.
@@ -36,7 +36,7 @@
 		return false
 	}
 	z := p.voter.v.Table().Of(zone)
-	return z.Phase == orders.Rising && z.Share >= share
+	return z.Phase == commands.Rising && z.Share >= share
 }
 
 // trouble plans one at its time.
--- a/internal/fleet/sim/world.go
+++ b/internal/node/zones/simulation/world.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"ospreybend/internal/due"
-	"ospreybend/internal/fleet/agreed"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/timerqueue"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 // begins is the clock at the start of a day.
@@ -37,7 +37,7 @@
 type world struct {
 	day    Day
 	rng    *rand.Rand
-	line   due.Line
+	line   timerqueue.Line
 	now    time.Duration
 	net    *network
 	zones  []string
@@ -75,7 +75,7 @@
 	}
 	for i := range d.Voters {
 		p := &process{w: w, name: voterName(i), zone: w.zones[i%d.Zones], rate: w.clock()}
-		p.voter = &voterProcess{p: p, id: ids[i], disk: disk{stored: agreed.Founding(ids), name: "store" + strconv.Itoa(i)}}
+		p.voter = &voterProcess{p: p, id: ids[i], disk: disk{stored: replicatedlog.Founding(ids), name: "store" + strconv.Itoa(i)}}
 		w.voters = append(w.voters, p)
 	}
 	for i := range d.Nodes {
@@ -126,8 +126,8 @@
 	}
 }
 
-func (w *world) text(t *orders.Table) string {
-	text, err := orders.Encode(t)
+func (w *world) text(t *commands.Table) string {
+	text, err := commands.Encode(t)
 	if err != nil {
 		panic(err) // tables are plain values
 	}
@@ -163,14 +163,14 @@
 		if z.Since != t.Epoch {
 			continue
 		}
-		if z.Phase == orders.Left && z.Reason != "the tries went wrong" {
+		if z.Phase == commands.Left && z.Reason != "the tries went wrong" {
 			w.result.Left++
 			if w.result.LeftAt == 0 && w.first > 0 {
 				w.result.LeftAt = w.now - w.first
 				w.spread(t.Epoch)
 			}
 		}
-		if from, ok := w.ended[name]; ok && z.Phase == orders.In && len(z.Cut) == 0 && w.now > from {
+		if from, ok := w.ended[name]; ok && z.Phase == commands.In && len(z.Cut) == 0 && w.now > from {
 			w.result.Returned = max(w.result.Returned, w.now-from)
 		}
 	}
@@ -215,9 +215,9 @@
 	}
 	t := n.f.Table()
 	for _, zone := range w.zones {
-		if z := t.Of(zone); z.Phase == orders.Left && shares[zone] > 0 {
+		if z := t.Of(zone); z.Phase == commands.Left && shares[zone] > 0 {
 			w.violate("%s gives %v to zone %s, which is left", n.p.name, shares[zone], zone)
-		} else if z.Phase == orders.Rising && shares[zone] > z.Share+1e-9 && !w.allBelow(t) {
+		} else if z.Phase == commands.Rising && shares[zone] > z.Share+1e-9 && !w.allBelow(t) {
 			w.violate("%s gives %v to zone %s, which rises at %v", n.p.name, shares[zone], zone, z.Share)
 		}
 	}
@@ -228,7 +228,7 @@
 func (w *world) checkNew(n *nodeProcess, shares map[string]float64) {
 	if p := w.leader(); p != nil && n.f.Epoch() == 0 && n.p.now()-n.began < w.day.Follow.Fresh {
 		for _, zone := range w.zones {
-			if z := p.voter.v.Table().Of(zone); z.Phase == orders.Rising && z.Share < shares[zone] {
+			if z := p.voter.v.Table().Of(zone); z.Phase == commands.Rising && z.Share < shares[zone] {
 				w.violate("%s, just started, gives %v to zone %s, which rises at %v", n.p.name, shares[zone], zone, z.Share)
 			}
 		}
@@ -236,8 +236,8 @@
 }
 
 // allBelow tells whether no zone takes its whole share: then the shares are relative.
-func (w *world) allBelow(t *orders.Table) bool {
-	return !slices.ContainsFunc(w.zones, func(zone string) bool { z := t.Of(zone); return z.Phase == orders.In && len(z.Cut) == 0 })
+func (w *world) allBelow(t *commands.Table) bool {
+	return !slices.ContainsFunc(w.zones, func(zone string) bool { z := t.Of(zone); return z.Phase == commands.In && len(z.Cut) == 0 })
 }
 
 func each(ps []*process, f func(*process)) {
--- a/internal/fleet/sim/zonestate.go
+++ b/internal/node/zones/simulation/zonestate.go
@@ -1,9 +1,9 @@
-package sim
+package simulation
 
 import (
 	"time"
 
-	"ospreybend/internal/fleet/evidence"
+	"ospreybend/internal/node/zones/health"
 )
 
 const workEach = 0.25 // slot-seconds of a step
@@ -56,10 +56,10 @@
 }
 
 // outcome is what becomes of a step to a zone, and when that shows.
-func (w *world) outcome(n *nodeProcess, zone string) (evidence.Count, time.Duration) {
+func (w *world) outcome(n *nodeProcess, zone string) (health.Count, time.Duration) {
 	z := w.state[zone]
 	quick := time.Duration(50+w.rng.IntN(200)) * time.Millisecond
-	silent := evidence.Count{Silent: 1}
+	silent := health.Count{Silent: 1}
 	there := &process{zone: zone, name: "prep"}
 	switch {
 	case w.net.broken(n.p, there) || w.net.broken(there, n.p):
@@ -68,11 +68,11 @@
 		return silent, time.Second
 	case z.broken:
 		if w.rng.IntN(2) == 0 {
-			return evidence.Count{Broken: 1}, 5 * time.Millisecond
+			return health.Count{Broken: 1}, 5 * time.Millisecond
 		}
 		return silent, time.Second
 	case w.rng.Float64() < z.partBad:
-		return evidence.Count{Broken: 1}, 5 * time.Millisecond
+		return health.Count{Broken: 1}, 5 * time.Millisecond
 	}
 	load := z.take()
 	switch {
@@ -81,9 +81,9 @@
 		if w.rng.IntN(2) == 0 {
 			return silent, time.Second
 		}
-		return evidence.Count{Good: 1, Late: 1}, time.Second
+		return health.Count{Good: 1, Late: 1}, time.Second
 	case z.slow && w.rng.IntN(2) == 0:
-		return evidence.Count{Good: 1, Late: 1}, 4 * quick
+		return health.Count{Good: 1, Late: 1}, 4 * quick
 	}
-	return evidence.Count{Good: 1}, quick
+	return health.Count{Good: 1}, quick
 }
--- a/internal/fleet/keep/keep.go
+++ b/internal/node/zones/store/keep.go
@@ -1,7 +1,7 @@
-// Package keep is a voter's store: what the agreed log has to have written through,
+// Package store is a voter's store: what the agreed log has to have written through,
 // in one file. Every value carries a checksum. A file that is torn, foreign, of a newer
 // form, or another voter's is an error at the start that names the file.
-package keep
+package store
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"go.etcd.io/bbolt"
 	bbolterrors "go.etcd.io/bbolt/errors"
 
-	"ospreybend/coord/agreement"
-	"ospreybend/internal/fleet/agreed"
+	"ospreybend/coord/consensus"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 // form is the number of the file's form. A program reads its own form alone. Form 1 held the records of another
@@ -75,7 +75,7 @@
 
 // Open opens a voter's store, makes it where there is none, and counts the start, all
 // written through before it returns.
-func Open(path string, owner Owner) (s *Store, stored agreed.Stored, err error) {
+func Open(path string, owner Owner) (s *Store, stored replicatedlog.Stored, err error) {
 	defer func() {
 		if err != nil {
 			err = &Fault{path, err}
@@ -181,7 +181,7 @@
 	if len(owner.Voters) == 0 {
 		return nil
 	}
-	return put(state, keySnapshot, agreed.EncodeSnapshot(*agreed.Founding(owner.Voters).Snapshot))
+	return put(state, keySnapshot, replicatedlog.EncodeSnapshot(*replicatedlog.Founding(owner.Voters).Snapshot))
 }
 
 // begin holds the store against who opens it, and counts the start.
@@ -213,12 +213,12 @@
 	return put(about, keyStarts, number(s.runs))
 }
 
-func load(tx *bbolt.Tx) (stored agreed.Stored, err error) {
+func load(tx *bbolt.Tx) (stored replicatedlog.Stored, err error) {
 	state := tx.Bucket(bucketState)
-	if stored.HardState, err = record(state, keyHard, agreed.DecodeHardState); err != nil {
+	if stored.HardState, err = record(state, keyHard, replicatedlog.DecodeHardState); err != nil {
 		return stored, err
 	}
-	if stored.Snapshot, err = record(state, keySnapshot, agreed.DecodeSnapshot); err != nil {
+	if stored.Snapshot, err = record(state, keySnapshot, replicatedlog.DecodeSnapshot); err != nil {
 		return stored, err
 	}
 	return stored, tx.Bucket(bucketEntries).ForEach(func(k, v []byte) error {
@@ -226,7 +226,7 @@
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", numberOf(k), err)
 		}
-		entry, err := agreed.DecodeEntry(text)
+		entry, err := replicatedlog.DecodeEntry(text)
 		if err != nil {
 			return fmt.Errorf("entry %d: %w", numberOf(k), err)
 		}
@@ -257,7 +257,7 @@
 
 // Write writes through. After an error nothing of it counts as written, and
 // nothing more is to be written in this run: what the file holds is known at the next.
-func (s *Store) Write(p agreed.Persist) error {
+func (s *Store) Write(p replicatedlog.Persist) error {
 	if p.Empty() {
 		return nil
 	}
@@ -267,15 +267,15 @@
 	return nil
 }
 
-func writeRecords(tx *bbolt.Tx, p agreed.Persist) error {
+func writeRecords(tx *bbolt.Tx, p replicatedlog.Persist) error {
 	state, entries := tx.Bucket(bucketState), tx.Bucket(bucketEntries)
 	if p.HardState != nil {
-		if err := put(state, keyHard, agreed.EncodeHardState(*p.HardState)); err != nil {
+		if err := put(state, keyHard, replicatedlog.EncodeHardState(*p.HardState)); err != nil {
 			return err
 		}
 	}
 	if p.Snapshot != nil {
-		if err := put(state, keySnapshot, agreed.EncodeSnapshot(*p.Snapshot)); err != nil {
+		if err := put(state, keySnapshot, replicatedlog.EncodeSnapshot(*p.Snapshot)); err != nil {
 			return err
 		}
 		if err := drop(entries, func(index uint64) bool { return p.Replaces || index < p.First }); err != nil {
@@ -286,7 +286,7 @@
 }
 
 // writeEntries writes entries in place of all from the first one's index on.
-func writeEntries(bucket *bbolt.Bucket, entries []agreement.Entry) error {
+func writeEntries(bucket *bbolt.Bucket, entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
 	}
@@ -294,7 +294,7 @@
 		return err
 	}
 	for _, entry := range entries {
-		if err := put(bucket, number(entry.Index), agreed.EncodeEntry(entry)); err != nil {
+		if err := put(bucket, number(entry.Index), replicatedlog.EncodeEntry(entry)); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/keep/keep_test.go
+++ b/internal/node/zones/store/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package store
 
 import (
 	"bytes"
@@ -10,21 +10,21 @@
 
 	"go.etcd.io/bbolt"
 
-	"ospreybend/coord/agreement"
-	"ospreybend/internal/fleet/agreed"
+	"ospreybend/coord/consensus"
+	"ospreybend/internal/node/zones/replicatedlog"
 )
 
 var owner = Owner{Fleet: "f", Voter: 2, Voters: []uint64{1, 2, 3}}
 
-func entry(index uint64, text string) agreement.Entry {
-	return agreement.Entry{Index: index, Term: 1, Data: []byte(text)}
+func entry(index uint64, text string) consensus.Entry {
+	return consensus.Entry{Index: index, Term: 1, Data: []byte(text)}
 }
 
-func hard(commit uint64) *agreement.HardState {
-	return &agreement.HardState{Term: 1, Vote: 1, Commit: commit}
+func hard(commit uint64) *consensus.HardState {
+	return &consensus.HardState{Term: 1, Vote: 1, Commit: commit}
 }
 
-func opened(t *testing.T, path string) (*Store, agreed.Stored) {
+func opened(t *testing.T, path string) (*Store, replicatedlog.Stored) {
 	t.Helper()
 	s, stored, err := Open(path, owner)
 	if err != nil {
@@ -33,14 +33,14 @@
 	return s, stored
 }
 
-func write(t *testing.T, s *Store, p agreed.Persist) {
+func write(t *testing.T, s *Store, p replicatedlog.Persist) {
 	t.Helper()
 	if err := s.Write(p); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func texts(k agreed.Stored) string {
+func texts(k replicatedlog.Stored) string {
 	var b strings.Builder
 	for _, e := range k.Entries {
 		b.Write(e.Data)
@@ -57,21 +57,21 @@
 		t.Fatalf("a new store holds %v after start %d", stored, s.Starts())
 	}
 	id := s.ID()
-	write(t, s, agreed.Persist{HardState: hard(1), Entries: []agreement.Entry{entry(2, "a"), entry(3, "b"), entry(4, "c")}})
-	write(t, s, agreed.Persist{Entries: []agreement.Entry{entry(3, "d")}})
+	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, "a"), entry(3, "b"), entry(4, "c")}})
+	write(t, s, replicatedlog.Persist{Entries: []consensus.Entry{entry(3, "d")}})
 	s.Close()
 	s, stored = opened(t, path)
 	if texts(stored) != "ad" || stored.HardState.Vote != 1 || s.ID() != id || s.Starts() != 2 {
 		t.Errorf("entries %q, %v, store %s after start %d", texts(stored), stored.HardState, s.ID(), s.Starts())
 	}
-	shot := &agreement.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: agreed.Founding(owner.Voters).Snapshot.Members}
-	write(t, s, agreed.Persist{Snapshot: shot, First: 3, Entries: []agreement.Entry{entry(4, "e")}})
+	shot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Founding(owner.Voters).Snapshot.Members}
+	write(t, s, replicatedlog.Persist{Snapshot: shot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
 	s.Close()
 	s, stored = opened(t, path)
 	if texts(stored) != "de" || string(stored.Snapshot.Data) != "s" {
 		t.Errorf("entries %q behind the snapshot %q", texts(stored), stored.Snapshot.Data)
 	}
-	write(t, s, agreed.Persist{Snapshot: shot, Replaces: true, First: 4})
+	write(t, s, replicatedlog.Persist{Snapshot: shot, Replaces: true, First: 4})
 	s.Close()
 	if s, stored = opened(t, path); texts(stored) != "" {
 		t.Errorf("entries %q behind another's snapshot", texts(stored))
@@ -84,7 +84,7 @@
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good")
 	s, _ := opened(t, good)
-	write(t, s, agreed.Persist{HardState: hard(1), Entries: []agreement.Entry{entry(2, strings.Repeat("a", 9000))}})
+	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, strings.Repeat("a", 9000))}})
 	s.Close()
 	text, err := os.ReadFile(good)
 	if err != nil {
@@ -121,7 +121,7 @@
 		{spoil("strange entry", text, func(tx *bbolt.Tx) error { return put(tx.Bucket(bucketEntries), number(2), []byte{1}) }),
 			"entry 2: agreed: the bytes cannot be read", owner},
 		{spoil("misplaced entry", text, func(tx *bbolt.Tx) error {
-			return put(tx.Bucket(bucketEntries), number(3), agreed.EncodeEntry(entry(2, "a")))
+			return put(tx.Bucket(bucketEntries), number(3), replicatedlog.EncodeEntry(entry(2, "a")))
 		}), "entry 2 stands in the place of entry 3", owner},
 		{spoil("strange snapshot", text, func(tx *bbolt.Tx) error { return put(tx.Bucket(bucketState), keySnapshot, []byte("s")) }),
 			"snapshot: agreed: the bytes cannot be read", owner},
@@ -161,12 +161,12 @@
 func TestWriteCutAnywhere(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, _ := opened(t, path)
-	write(t, s, agreed.Persist{HardState: hard(1), Entries: []agreement.Entry{entry(2, "before")}})
+	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, "before")}})
 	before, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, s, agreed.Persist{HardState: hard(2), Entries: []agreement.Entry{entry(3, "after")}})
+	write(t, s, replicatedlog.Persist{HardState: hard(2), Entries: []consensus.Entry{entry(3, "after")}})
 	after, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 	taken := uint64(0)
 	var err error
 	for index := uint64(2); index < 10_000 && err == nil; index++ {
-		if err = s.Write(agreed.Persist{HardState: hard(1), Entries: []agreement.Entry{entry(index, strings.Repeat("x", 2000))}}); err == nil {
+		if err = s.Write(replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(index, strings.Repeat("x", 2000))}}); err == nil {
 			taken = index
 		}
 	}
--- a/internal/fleet/link/link.go
+++ b/internal/node/zones/transport/link.go
@@ -1,8 +1,8 @@
-// Package link carries what the fleet's processes say to each other: calls by Connect
+// Package transport carries what the fleet's processes say to each other: calls by Connect
 // over HTTP/1.1, in CBOR. A voter has a queue of bounded length for each other voter; each
 // call has a deadline, and after a failure the next waits, longer each time and at random.
 // Nothing here is waited for on an event loop.
-package link
+package transport
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"connectrpc.com/connect"
 	"github.com/cenkalti/backoff/v5"
 
-	"ospreybend/internal/fleet/follow"
-	"ospreybend/internal/fleet/orders"
-	"ospreybend/internal/fleet/voter"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/follower"
+	"ospreybend/internal/node/zones/replica"
 )
 
 const (
@@ -37,8 +37,8 @@
 type codec struct{}
 
 func (codec) Name() string                          { return "cbor" }
-func (codec) Marshal(v any) ([]byte, error)         { return orders.Encode(v) }
-func (codec) Unmarshal(text []byte, into any) error { return orders.Decode(text, into) }
+func (codec) Marshal(v any) ([]byte, error)         { return commands.Encode(v) }
+func (codec) Unmarshal(text []byte, into any) error { return commands.Decode(text, into) }
 
 // Taken answers a letter.
 type Taken struct{}
@@ -53,10 +53,10 @@
 	Term     uint64            `cbor:"3,keyasint" json:"term"`
 	Applied  uint64            `cbor:"4,keyasint" json:"applied"`
 	Voters   []uint64          `cbor:"5,keyasint" json:"voters"`
-	Table    orders.Table      `cbor:"6,keyasint" json:"table"`
+	Table    commands.Table    `cbor:"6,keyasint" json:"table"`
 	Members  []Member          `cbor:"7,keyasint" json:"members"` // that report to this voter
 	Verdicts map[string]string `cbor:"8,keyasint" json:"verdicts,omitempty"`
-	Counts   voter.Counts      `cbor:"9,keyasint" json:"counts"`
+	Counts   replica.Counts    `cbor:"9,keyasint" json:"counts"`
 }
 
 // Member is a process that reports to a voter.
@@ -69,9 +69,9 @@
 
 // Handler is a voter, as its links see it. Calls come from many goroutines.
 type Handler interface {
-	Report(ctx context.Context, r follow.Report) (follow.Answer, error)
-	Deliver(ctx context.Context, l voter.Letter) error
-	Say(ctx context.Context, w orders.Word) error
+	Report(ctx context.Context, r follower.Report) (follower.Answer, error)
+	Deliver(ctx context.Context, l replica.Letter) error
+	Say(ctx context.Context, w commands.Word) error
 	Status(ctx context.Context) (Status, error)
 }
 
@@ -80,8 +80,8 @@
 	mux := http.NewServeMux()
 	options := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(mostBytes)}
 	handle(mux, "Report", options, h.Report)
-	handle(mux, "Deliver", options, func(ctx context.Context, l voter.Letter) (Taken, error) { return Taken{}, h.Deliver(ctx, l) })
-	handle(mux, "Say", options, func(ctx context.Context, w orders.Word) (Taken, error) { return Taken{}, h.Say(ctx, w) })
+	handle(mux, "Deliver", options, func(ctx context.Context, l replica.Letter) (Taken, error) { return Taken{}, h.Deliver(ctx, l) })
+	handle(mux, "Say", options, func(ctx context.Context, w commands.Word) (Taken, error) { return Taken{}, h.Say(ctx, w) })
 	handle(mux, "Status", options, func(ctx context.Context, _ Ask) (Status, error) { return h.Status(ctx) })
 	return mux
 }
@@ -125,19 +125,19 @@
 }
 
 // Report reports to a voter.
-func (c *Client) Report(ctx context.Context, address string, r follow.Report) (follow.Answer, error) {
-	return call[follow.Report, follow.Answer](ctx, c, address, "Report", reportWithin, r)
+func (c *Client) Report(ctx context.Context, address string, r follower.Report) (follower.Answer, error) {
+	return call[follower.Report, follower.Answer](ctx, c, address, "Report", reportWithin, r)
 }
 
 // Deliver sends a letter to a voter.
-func (c *Client) Deliver(ctx context.Context, address string, l voter.Letter) error {
-	_, err := call[voter.Letter, Taken](ctx, c, address, "Deliver", letterWithin, l)
+func (c *Client) Deliver(ctx context.Context, address string, l replica.Letter) error {
+	_, err := call[replica.Letter, Taken](ctx, c, address, "Deliver", letterWithin, l)
 	return err
 }
 
 // Say has a voter put what a person has said.
-func (c *Client) Say(ctx context.Context, address string, w orders.Word) error {
-	_, err := call[orders.Word, Taken](ctx, c, address, "Say", sayWithin, w)
+func (c *Client) Say(ctx context.Context, address string, w commands.Word) error {
+	_, err := call[commands.Word, Taken](ctx, c, address, "Say", sayWithin, w)
 	return err
 }
 
@@ -150,19 +150,19 @@
 type Mail struct {
 	client  *Client
 	address string
-	queue   chan voter.Letter
+	queue   chan replica.Letter
 }
 
 // NewMail starts to carry until ctx ends.
 func NewMail(ctx context.Context, c *Client, address string) *Mail {
-	m := &Mail{client: c, address: address, queue: make(chan voter.Letter, queueLength)}
+	m := &Mail{client: c, address: address, queue: make(chan replica.Letter, queueLength)}
 	go m.carry(ctx)
 	return m
 }
 
 // Put has a letter carried. Where the queue is full the oldest gives way: what it said of
 // the log is said again. It is called by one goroutine alone.
-func (m *Mail) Put(l voter.Letter) {
+func (m *Mail) Put(l replica.Letter) {
 	for {
 		select {
 		case m.queue <- l:
--- a/internal/catchup/catchup_test.go
+++ b/internal/testkit/catchupbench/catchup_test.go
@@ -1,4 +1,4 @@
-package catchup
+package catchupbench
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 // catchUpBound is catchUpS of the operators' pages.
 const catchUpBound = 4 * time.Second
 
-// TestMembersAreCurrentWithinTheBound is the short form of "ospreyfleet measure catchup".
+// TestMembersAreCurrentWithinTheBound is the short form of "inference-router measure catchup".
 func TestMembersAreCurrentWithinTheBound(t *testing.T) {
 	steps, err := Play(t.Context(), Plan{
 		Directory: t.TempDir(), Routes: 450, Rate: 30, ReplaceEvery: 10, Limit: 20 * time.Second,
--- a/internal/catchup/document.go
+++ b/internal/testkit/catchupbench/document.go
@@ -1,10 +1,10 @@
-package catchup
+package catchupbench
 
 import (
 	"fmt"
 	"strings"
 
-	"ospreybend/internal/configuration"
+	"ospreybend/internal/controlplane/configuration"
 )
 
 // service is the service of all routes.
--- a/internal/catchup/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -1,4 +1,4 @@
-package catchup
+package catchupbench
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 	"sync"
 	"sync/atomic"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/peerlink"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/controlplane/peertransport"
 )
 
 // machine is the configuration as a replica's state machine.
 type machine struct{ store *configuration.Store }
 
-func (m machine) Apply(entry agreement.Entry) any {
+func (m machine) Apply(entry consensus.Entry) any {
 	outcome, _ := m.store.Apply(entry.Index, entry.Data)
 	return outcome
 }
@@ -47,7 +47,7 @@
 }
 
 func (t *traffic) dial(ctx context.Context, address string) (net.Conn, error) {
-	connection, err := peerlink.Dial(ctx, address)
+	connection, err := peertransport.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -68,18 +68,18 @@
 
 // member is one process: a replica, its disk and its end of the network.
 type member struct {
-	self      agreement.Member
+	self      consensus.Member
 	directory string
 	group     *replica.Group
-	network   *peerlink.Network
+	network   *peertransport.Network
 	ended     sync.WaitGroup
 }
 
 // startMember opens the replica in its directory and runs it. Address port 0 takes any.
-func startMember(self agreement.Member, founders []agreement.Member, directory string, listener net.Listener, counted *traffic) (*member, error) {
+func startMember(self consensus.Member, founders []consensus.Member, directory string, listener net.Listener, counted *traffic) (*member, error) {
 	m := &member{self: self, directory: directory}
-	network, err := peerlink.New(peerlink.Options{
-		Self:    peerlink.Hello{Address: self.Address, Member: self.ID, Zone: "zone"},
+	network, err := peertransport.New(peertransport.Options{
+		Self:    peertransport.Hello{Address: self.Address, Member: self.ID, Zone: "zone"},
 		Handler: m,
 		Dial:    counted.dial,
 	})
@@ -93,7 +93,7 @@
 		Self:      self,
 		Founders:  founders,
 		Machine:   machine{store: configuration.NewStore()},
-		Send: func(to agreement.Member, message agreement.Message) {
+		Send: func(to consensus.Member, message consensus.Message) {
 			network.Send(to, shards.Configuration, message)
 		},
 	})
@@ -115,10 +115,10 @@
 }
 
 // Connected is told of connections.
-func (m *member) Connected(peerlink.Hello) {}
+func (m *member) Connected(peertransport.Hello) {}
 
 // Messages hands messages to the replica.
-func (m *member) Messages(_ peerlink.Hello, batch []peerlink.GroupMessage) {
+func (m *member) Messages(_ peertransport.Hello, batch []peertransport.GroupMessage) {
 	for _, one := range batch {
 		if one.Message.To == m.self.ID {
 			m.group.Step(one.Message)
@@ -127,19 +127,19 @@
 }
 
 // Call answers nothing: nobody calls.
-func (m *member) Call(context.Context, peerlink.Hello, peerlink.CallKind, []byte) ([]byte, error) {
+func (m *member) Call(context.Context, peertransport.Hello, peertransport.CallKind, []byte) ([]byte, error) {
 	return nil, nil
 }
 
 // Reader closes the connection: nobody reads.
-func (m *member) Reader(_ context.Context, connection net.Conn, _ feedlink.Kind, _ []byte) {
+func (m *member) Reader(_ context.Context, connection net.Conn, _ feedtransport.Kind, _ []byte) {
 	_ = connection.Close()
 }
 
 func (m *member) applied() uint64 { return m.group.Status().Applied }
 
 // memberDirectory is where the disk of a member is.
-func memberDirectory(parent string, id agreement.MemberID) string {
+func memberDirectory(parent string, id consensus.MemberID) string {
 	return filepath.Join(parent, strconv.FormatUint(uint64(id), 10))
 }
 
--- a/internal/catchup/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -1,4 +1,4 @@
-package catchup
+package catchupbench
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/peerlink"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/peertransport"
 )
 
 // Manner is how a member comes back.
@@ -63,7 +63,7 @@
 type fleet struct {
 	plan       Plan
 	counted    *traffic
-	lastID     agreement.MemberID
+	lastID     consensus.MemberID
 	generation uint64
 
 	mutex   sync.Mutex
@@ -129,15 +129,15 @@
 // found starts the founders.
 func (f *fleet) found() error {
 	var listeners []net.Listener
-	var first []agreement.Member
+	var first []consensus.Member
 	for range founders {
-		listener, err := peerlink.Listen(context.Background(), "127.0.0.1:0")
+		listener, err := peertransport.Listen(context.Background(), "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		f.lastID++
 		listeners = append(listeners, listener)
-		first = append(first, agreement.Member{ID: f.lastID, Address: listener.Addr().String(), Voter: true})
+		first = append(first, consensus.Member{ID: f.lastID, Address: listener.Addr().String(), Voter: true})
 	}
 	for at, self := range first {
 		started, err := startMember(self, first, memberDirectory(f.plan.Directory, self.ID), listeners[at], f.counted)
@@ -263,12 +263,12 @@
 			address = "127.0.0.1:0"
 		}
 	}
-	listener, err := peerlink.Listen(ctx, address)
+	listener, err := peertransport.Listen(ctx, address)
 	if err != nil {
 		return err
 	}
 	if step.Manner != Restarted {
-		self = agreement.Member{ID: f.lastID, Address: listener.Addr().String()}
+		self = consensus.Member{ID: f.lastID, Address: listener.Addr().String()}
 	}
 	sent := f.counted.to(self.Address)
 	before, began := sent.Load(), time.Now()
--- a/internal/catchup/result.go
+++ b/internal/testkit/catchupbench/result.go
@@ -1,4 +1,4 @@
-package catchup
+package catchupbench
 
 import (
 	"encoding/json"
--- a/internal/conform/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -1,4 +1,4 @@
-package conform
+package conformance
 
 import (
 	"fmt"
--- a/internal/conform/conform.go
+++ b/internal/testkit/conformance/conform.go
@@ -1,8 +1,8 @@
-// Package conform holds a server against the batch front's binding
+// Package conformance holds a server against the batch front's binding
 // (docs/BATCH.md), clause by clause. Each case is named and has the text of what
 // it demands, with its source: a clause of GFD.194 (DRMAA version 2) or of the
 // binding.
-package conform
+package conformance
 
 import (
 	"bytes"
--- a/internal/controlsim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -1,12 +1,12 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"ospreybend/internal/controlsim/simnet"
-	"ospreybend/internal/keeper"
+	"ospreybend/internal/controlplane/server"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // callTimeout is how long a caller waits in silence before it goes on to another node.
@@ -14,8 +14,8 @@
 
 // call sends a call to a machine's API, as over HTTP. The status is 0 if no answer came in time. A call that has arrived
 // is carried out though its caller may have gone.
-func (w *world) call(from string, to *machine, request keeper.APIRequest) keeper.APIResponse {
-	answered := make(chan keeper.APIResponse, 1)
+func (w *world) call(from string, to *machine, request server.APIRequest) server.APIResponse {
+	answered := make(chan server.APIResponse, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	w.running.Go(func() { w.deliver(ctx, from, to, request, answered) })
@@ -23,19 +23,19 @@
 	case response := <-answered:
 		return response
 	case <-ctx.Done():
-		return keeper.APIResponse{}
+		return server.APIResponse{}
 	}
 }
 
 // deliver brings a call to the machine and its answer back. ctx ends when the caller waits no longer.
-func (w *world) deliver(ctx context.Context, from string, to *machine, request keeper.APIRequest, answered chan<- keeper.APIResponse) {
+func (w *world) deliver(ctx context.Context, from string, to *machine, request server.APIRequest, answered chan<- server.APIResponse) {
 	path := simnet.Path{From: from, To: to.ip}
 	if !w.travel(ctx, path) {
 		return
 	}
 	served, process := to.serving()
 	if served == nil {
-		answered <- keeper.APIResponse{} // the port refuses
+		answered <- server.APIResponse{} // the port refuses
 		return
 	}
 	if !process.Await() {
--- a/internal/controlsim/campaign/build.go
+++ b/internal/testkit/controlplanesim/campaign/build.go
@@ -17,7 +17,7 @@
 
 const (
 	modulePath     = "ospreybend"
-	simulationPath = "./internal/controlsim"
+	simulationPath = "./internal/testkit/controlplanesim"
 	binaryName     = "controlsim.test"
 )
 
--- a/internal/controlsim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // Plan is a campaign.
--- a/internal/controlsim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/controlsim/campaign"
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/campaign"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 var shape = schedule.Shape{Keepers: 3, Tolerance: 1, Agents: 2, Operators: 2, Workers: 3, Length: 40 * time.Second}
--- a/internal/controlsim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -7,7 +7,7 @@
 	"os"
 	"strings"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // Test is the test that plays a request, and Variable the environment variable that hands the request over.
--- a/internal/controlsim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"ospreybend/coord/replica"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // Times of the scenarios of a cut.
--- a/internal/controlsim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"sync"
@@ -6,8 +6,8 @@
 
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/seglog/seglogtest"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/controlsim/simnet"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // Times that a disk takes.
--- a/internal/controlsim/drawn_test.go
+++ b/internal/testkit/controlplanesim/drawn_test.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 var shapes = []schedule.Shape{
@@ -18,7 +18,7 @@
 }
 
 // TestDrawnSchedulesKeepAllPromises plays schedules of fixed seeds. SIMULATED_FROM and SIMULATED_COUNT take others;
-// `ospreyfleet measure simulate` plays any number and shrinks what fails.
+// `inference-router measure simulate` plays any number and shrinks what fails.
 func TestDrawnSchedulesKeepAllPromises(t *testing.T) {
 	from, count := number("SIMULATED_FROM", 1), number("SIMULATED_COUNT", 20)
 	for seed := from; seed < from+count; seed++ {
--- a/internal/controlsim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/agent"
-	"ospreybend/internal/catalog"
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/simnet"
-	"ospreybend/internal/feedlink"
-	"ospreybend/internal/registry"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/agent"
+	"ospreybend/internal/controlplane/feedtransport"
+	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/dataplane/fleetview"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // never is a time that no run reaches.
@@ -53,8 +53,8 @@
 	})
 }
 
-func (e *edge) settings() settings.Settings {
-	config := settings.Defaults()
+func (e *edge) settings() bootconfig.Settings {
+	config := bootconfig.Defaults()
 	config.NodeName, config.IP, config.Zone, config.Region = e.name(), e.ip, "zone", "region"
 	config.PortRange = [2]int{peerPort, peerPort + 15}
 	config.Seeds = e.world.seeds()
@@ -64,13 +64,13 @@
 func (e *edge) name() string { return "edge-" + e.ip }
 
 // client is the reader of the feed that a proxy is.
-func (e *edge) client(process *simnet.Process) *feedlink.Client {
+func (e *edge) client(process *simnet.Process) *feedtransport.Client {
 	config := e.settings()
 	random := e.world.random("proxy", e.index)
-	return feedlink.NewClient(feedlink.ClientOptions{
-		Hello: feedlink.Hello{Node: e.name(), Zone: "zone", Region: "region", IP: e.ip, Role: feedlink.RoleProxy, Incarnation: random.Uint64()},
-		Choice: feedlink.ChoiceOptions{
-			Node: e.name(), Fixed: feedlink.LoopbackAddress(config.PortRange[0] + 1), SilentAfter: feedlink.LoopbackSilentAfter,
+	return feedtransport.NewClient(feedtransport.ClientOptions{
+		Hello: feedtransport.Hello{Node: e.name(), Zone: "zone", Region: "region", IP: e.ip, Role: feedtransport.RoleProxy, Incarnation: random.Uint64()},
+		Choice: feedtransport.ChoiceOptions{
+			Node: e.name(), Fixed: feedtransport.LoopbackAddress(config.PortRange[0] + 1), SilentAfter: feedtransport.LoopbackSilentAfter,
 		},
 		Dial:   process.Dial,
 		Random: random.Float64,
@@ -80,7 +80,7 @@
 // follower makes views as a proxy does, and records what they show.
 type follower struct {
 	edge    *edge
-	builder *catalog.Builder
+	builder *fleetview.Builder
 	whole   bool
 	shown   history.View
 	told    map[string]history.State // of workers, as recorded
@@ -89,7 +89,7 @@
 
 func newFollower(e *edge) *follower {
 	return &follower{
-		edge: e, builder: catalog.NewBuilder(), told: make(map[string]history.State),
+		edge: e, builder: fleetview.NewBuilder(), told: make(map[string]history.State),
 		items: make(map[shards.ID]map[string]history.State),
 	}
 }
@@ -142,7 +142,7 @@
 func (f *follower) BatchDone() { f.publish() }
 
 // Status implements feedlink.Handler: no view is published before the first one.
-func (f *follower) Status(feedlink.Status) {
+func (f *follower) Status(feedtransport.Status) {
 	f.whole = true
 	f.publish()
 }
--- a/internal/controlsim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/controlsim/simnet"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // Times within events.
--- a/internal/controlsim/guards.go
+++ b/internal/testkit/controlplanesim/guards.go
@@ -1,13 +1,13 @@
-package controlsim
+package controlplanesim
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"ospreybend/coord/agreement"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/keeper"
+	"ospreybend/coord/consensus"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/server"
 )
 
 // Prefixes of the names of guards, by what they guard.
@@ -23,10 +23,10 @@
 // Guards lists the names that a schedule can leave out.
 func Guards() []string {
 	var names []string
-	for _, guard := range keeper.Guards() {
+	for _, guard := range server.Guards() {
 		names = append(names, keeperPrefix+string(guard))
 	}
-	for _, rule := range agreement.Rules() {
+	for _, rule := range consensus.Rules() {
 		names = append(names, agreementPrefix+string(rule))
 	}
 	for _, rule := range configuration.Rules() {
@@ -37,8 +37,8 @@
 
 // omissions is what a schedule leaves out, sorted by what it guards.
 type omissions struct {
-	keeper        []keeper.Guard
-	agreement     []agreement.Rule
+	keeper        []server.Guard
+	agreement     []consensus.Rule
 	configuration []configuration.Rule
 	leaveStale    bool
 }
@@ -53,9 +53,9 @@
 		case name == GuardLeaveStale:
 			out.leaveStale = true
 		case strings.HasPrefix(name, keeperPrefix):
-			out.keeper = append(out.keeper, keeper.Guard(strings.TrimPrefix(name, keeperPrefix)))
+			out.keeper = append(out.keeper, server.Guard(strings.TrimPrefix(name, keeperPrefix)))
 		case strings.HasPrefix(name, agreementPrefix):
-			out.agreement = append(out.agreement, agreement.Rule(strings.TrimPrefix(name, agreementPrefix)))
+			out.agreement = append(out.agreement, consensus.Rule(strings.TrimPrefix(name, agreementPrefix)))
 		default:
 			out.configuration = append(out.configuration, configuration.Rule(strings.TrimPrefix(name, configurationPrefix)))
 		}
--- a/internal/controlsim/history/drawn_test.go
+++ b/internal/testkit/controlplanesim/history/drawn_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/controlsim/history"
+	"ospreybend/internal/testkit/controlplanesim/history"
 )
 
 // fault is what a scripted server does wrong now and then.
--- a/internal/controlsim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/controlsim/history"
+	"ospreybend/internal/testkit/controlplanesim/history"
 )
 
 const second = time.Second
--- a/internal/controlsim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
-	"ospreybend/internal/controlsim/simnet"
-	"ospreybend/internal/keeper"
-	"ospreybend/internal/settings"
+	"ospreybend/internal/controlplane/server"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // machine is one machine of the core, with its disk and the keeper that runs on it.
@@ -25,7 +25,7 @@
 	mutex   sync.Mutex
 	running *keeperProcess // nil: none was started, or it is down
 	starts  int
-	member  agreement.MemberID // of this disk, as the last keeper had it
+	member  consensus.MemberID // of this disk, as the last keeper had it
 	retired bool               // another machine has its place
 }
 
@@ -34,13 +34,13 @@
 	process *simnet.Process
 	stop    context.CancelFunc // as SIGTERM does
 	ended   chan struct{}      // closed once nothing of it runs any more
-	keeper  *keeper.Keeper     // nil until it is open
+	keeper  *server.Keeper     // nil until it is open
 	serving bool               // its API takes calls
 }
 
 // settings returns the settings file of a start.
-func (m *machine) settings(seeds []string, bootstrap bool) settings.Settings {
-	config := settings.Defaults()
+func (m *machine) settings(seeds []string, bootstrap bool) bootconfig.Settings {
+	config := bootconfig.Defaults()
 	config.NodeName = "core-" + m.ip
 	config.IP, config.Zone, config.Region = m.ip, "zone", "region"
 	config.PortRange = [2]int{peerPort, peerPort + 15}
@@ -73,9 +73,9 @@
 	})
 }
 
-func (m *machine) environment(life *keeperProcess, start int) keeper.Environment {
+func (m *machine) environment(life *keeperProcess, start int) server.Environment {
 	w := m.world
-	return keeper.Environment{
+	return server.Environment{
 		FileSystem: processDisk{disk: m.disk, process: life.process},
 		Now:        life.process.Now,
 		Random:     w.sharedRandom("keeper "+m.ip, start),
@@ -87,8 +87,8 @@
 }
 
 // run is one life of the keeper.
-func (m *machine) run(ctx context.Context, life *keeperProcess, config settings.Settings, outside keeper.Environment) {
-	opened, err := keeper.Open(ctx, config, outside, m.world.log.With(zap.String("machine", m.ip)))
+func (m *machine) run(ctx context.Context, life *keeperProcess, config bootconfig.Settings, outside server.Environment) {
+	opened, err := server.Open(ctx, config, outside, m.world.log.With(zap.String("machine", m.ip)))
 	if err == nil {
 		m.mutex.Lock()
 		life.keeper, m.member = opened, opened.Self().ID
@@ -198,7 +198,7 @@
 }
 
 // serving returns the keeper whose API takes calls, and its process.
-func (m *machine) serving() (*keeper.Keeper, *simnet.Process) {
+func (m *machine) serving() (*server.Keeper, *simnet.Process) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running == nil || !m.running.serving {
@@ -210,7 +210,7 @@
 // inspect returns the state of the keeper's groups, nil if it has none.
 func (m *machine) inspect() []replica.Status {
 	m.mutex.Lock()
-	var opened *keeper.Keeper
+	var opened *server.Keeper
 	if m.running != nil {
 		opened = m.running.keeper
 	}
--- a/internal/controlsim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/keeper"
+	"ospreybend/internal/controlplane/server"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // How operators go about.
@@ -197,7 +197,7 @@
 func (o *operator) read(_ context.Context, from *machine) {
 	record := o.world.record
 	called := record.now()
-	response := o.world.call(o.host, from, keeper.APIRequest{Call: keeper.APIRead})
+	response := o.world.call(o.host, from, server.APIRequest{Call: server.APIRead})
 	done := history.Operation{
 		Client: o.index, Keeper: from.place, Call: called, Return: record.now(), Kind: history.Read,
 		Outcome: history.Unknown, Status: response.Status,
--- a/internal/controlsim/order.go
+++ b/internal/testkit/controlplanesim/order.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/keeper"
+	"ospreybend/internal/controlplane/server"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // markService is a service of every configuration whose health path names the order that the configuration came by.
@@ -74,10 +74,10 @@
 }
 
 // request is the call that carries the order.
-func (o order) request() keeper.APIRequest {
-	request := keeper.APIRequest{Call: keeper.APIReplace, Base: strconv.FormatUint(o.base, 10), Body: o.body}
+func (o order) request() server.APIRequest {
+	request := server.APIRequest{Call: server.APIReplace, Base: strconv.FormatUint(o.base, 10), Body: o.body}
 	if o.kind == history.Update {
-		request.Call = keeper.APIUpdate
+		request.Call = server.APIUpdate
 	}
 	return request
 }
--- a/internal/controlsim/play.go
+++ b/internal/testkit/controlplanesim/play.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // Report is what became of a schedule.
--- a/internal/controlsim/play_test.go
+++ b/internal/testkit/controlplanesim/play_test.go
@@ -1,10 +1,10 @@
-package controlsim
+package controlplanesim
 
 import (
 	"testing"
 	"time"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // calm is a schedule without events.
--- a/internal/controlsim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"cmp"
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"ospreybend/coord/agreement"
+	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // recorder collects what is seen of a run.
@@ -23,7 +23,7 @@
 	seen        history.History
 	faults      []string
 	departures  map[string]*departing
-	members     map[agreement.MemberID]*knownMember
+	members     map[consensus.MemberID]*knownMember
 	standings   [shards.Count]history.Standing // the last ones
 	memberships [shards.Count]membership
 	leaders     map[uint64]bool // terms of the configuration's group that had one
@@ -45,7 +45,7 @@
 func newRecorder(w *world) *recorder {
 	return &recorder{
 		world: w, start: time.Now(), departures: make(map[string]*departing),
-		members: make(map[agreement.MemberID]*knownMember), leaders: make(map[uint64]bool),
+		members: make(map[consensus.MemberID]*knownMember), leaders: make(map[uint64]bool),
 	}
 }
 
@@ -122,7 +122,7 @@
 }
 
 // knowMember notes where a member ID is.
-func (r *recorder) knowMember(id agreement.MemberID, m *machine) {
+func (r *recorder) knowMember(id consensus.MemberID, m *machine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.members[id] == nil {
@@ -131,7 +131,7 @@
 }
 
 // gone notes that a member's disk is lost for good.
-func (r *recorder) gone(id agreement.MemberID) {
+func (r *recorder) gone(id consensus.MemberID) {
 	r.mutex.Lock()
 	if known := r.members[id]; known != nil {
 		known.gone = true
@@ -203,7 +203,7 @@
 // may have an older one.
 type membership struct {
 	term      uint64
-	members   []agreement.Member
+	members   []consensus.Member
 	committed uint64
 }
 
@@ -217,7 +217,7 @@
 }
 
 // stand records a group's standing unless it is as before.
-func (r *recorder) stand(shard int, members []agreement.Member, committed uint64) {
+func (r *recorder) stand(shard int, members []consensus.Member, committed uint64) {
 	now := history.Standing{At: r.now(), Group: shard, Committed: committed}
 	for _, member := range members {
 		if !member.Voter {
--- a/internal/controlsim/replacement_test.go
+++ b/internal/testkit/controlplanesim/replacement_test.go
@@ -1,10 +1,10 @@
-package controlsim
+package controlplanesim
 
 import (
 	"fmt"
 	"testing"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // replacementSchedules are courses of losses and repairs that follow each other closely. The first line is completed by a seed.
--- a/internal/controlsim/request_test.go
+++ b/internal/testkit/controlplanesim/request_test.go
@@ -1,21 +1,21 @@
-package controlsim
+package controlplanesim
 
 import (
 	"os"
 	"testing"
 
-	"ospreybend/internal/controlsim/campaign"
-	"ospreybend/internal/controlsim/history"
+	"ospreybend/internal/testkit/controlplanesim/campaign"
+	"ospreybend/internal/testkit/controlplanesim/history"
 )
 
 // checkFault names what must not be whatever the history says.
 const checkFault = "fault"
 
-// TestPlayRequest plays what `ospreyfleet measure simulate` asks a process for.
+// TestPlayRequest plays what `inference-router measure simulate` asks a process for.
 func TestPlayRequest(t *testing.T) {
 	request, given, err := campaign.Requested()
 	if !given {
-		t.Skip("is run by ospreyfleet measure simulate")
+		t.Skip("is run by inference-router measure simulate")
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlsim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // shapes are those that the tests draw for.
--- a/internal/controlsim/scripts.go
+++ b/internal/testkit/controlplanesim/scripts.go
@@ -1,11 +1,11 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"ospreybend/internal/controlsim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // repeatAfter is how soon after the first attempt the same order is sent to another keeper.
--- a/internal/controlsim/worker.go
+++ b/internal/testkit/controlplanesim/worker.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/keeper"
+	"ospreybend/internal/controlplane/server"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
 // How workers go about.
@@ -113,7 +113,7 @@
 			i.sendLate(ctx, late, to, body)
 			return false
 		}
-		if i.call(to, keeper.APIHeartbeat, body) {
+		if i.call(to, server.APIHeartbeat, body) {
 			i.worker.world.record.beat(history.Beat{Instance: i.id, At: i.worker.world.record.now(), Draining: draining})
 			return true
 		}
@@ -126,7 +126,7 @@
 func (i *incarnation) sendLate(ctx context.Context, late time.Duration, to *machine, body []byte) {
 	i.worker.world.running.Go(func() {
 		if sleep(ctx, late/2+i.worker.draw(late)) {
-			i.call(to, keeper.APIHeartbeat, body)
+			i.call(to, server.APIHeartbeat, body)
 		}
 	})
 }
@@ -142,8 +142,8 @@
 }
 
 // call sends a call once and tells whether it was acknowledged.
-func (i *incarnation) call(to *machine, kind keeper.APICall, body []byte) bool {
-	response := i.worker.world.call(i.worker.host, to, keeper.APIRequest{Call: kind, ID: i.id, Body: body})
+func (i *incarnation) call(to *machine, kind server.APICall, body []byte) bool {
+	response := i.worker.world.call(i.worker.host, to, server.APIRequest{Call: kind, ID: i.id, Body: body})
 	if isRefusal(response.Status) {
 		i.worker.world.record.fault(fmt.Sprintf("%s is refused a call with %d: %s", i.id, response.Status, response.Body))
 	}
@@ -180,7 +180,7 @@
 	patience, cancel := context.WithTimeout(ctx, drainPatience)
 	defer cancel()
 	for patience.Err() == nil {
-		if i.call(i.worker.pick(), keeper.APIDeregister, []byte("{}")) {
+		if i.call(i.worker.pick(), server.APIDeregister, []byte("{}")) {
 			departure.acknowledged()
 			i.worker.world.raise(schedule.Drain)
 			return
--- a/internal/controlsim/world.go
+++ b/internal/testkit/controlplanesim/world.go
@@ -1,4 +1,4 @@
-package controlsim
+package controlplanesim
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"go.uber.org/zap"
 
-	"ospreybend/internal/controlsim/history"
-	"ospreybend/internal/controlsim/schedule"
-	"ospreybend/internal/controlsim/simnet"
+	"ospreybend/internal/testkit/controlplanesim/history"
+	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // Ports and times of the simulated site.
--- a/internal/trial/process.go
+++ b/internal/testkit/endtoend/process.go
@@ -1,4 +1,4 @@
-package trial
+package endtoend
 
 import (
 	"bufio"
--- a/internal/trial/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -1,7 +1,7 @@
-// Package trial puts the built program to the test as many processes over loopback, with
+// Package endtoend puts the built program to the test as many processes over loopback, with
 // faults between them: a proxy on each link that drops, delays, holds and cuts, one way or
 // both; processes killed, frozen and restarted. It tells what became of every request.
-package trial
+package endtoend
 
 import (
 	"net"
--- a/internal/trial/stage.go
+++ b/internal/testkit/endtoend/stage.go
@@ -1,4 +1,4 @@
-package trial
+package endtoend
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"ospreybend/internal/fleet/link"
-	"ospreybend/internal/load"
-	"ospreybend/internal/standin"
+	"ospreybend/internal/node/zones/transport"
+	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
 // Plan is a trial.
@@ -52,7 +52,7 @@
 	bookings       = "auftrag-buchen"
 )
 
-var classes = []standin.Grade{
+var classes = []fakeplatform.Grade{
 	{Name: "modell-pruefen", Target: 400 * time.Millisecond, GiveUp: 3 * time.Second, Points: 5, Repeat: "read_like"},
 	{Name: "vorschau", Target: time.Second, GiveUp: 4 * time.Second, Points: 2, Repeat: "read_like"},
 	{Name: bookings, Target: 800 * time.Millisecond, GiveUp: 4 * time.Second, Points: 8, Repeat: "non_idempotent"},
@@ -79,9 +79,9 @@
 	voters  []*Process
 	at      map[string]string // addresses by process
 	proxies []*Proxy
-	workers map[string][]*standin.Worker // by zone
-	lists   []*standin.Discovery
-	calls   *link.Client
+	workers map[string][]*fakeplatform.Worker // by zone
+	lists   []*fakeplatform.Discovery
+	calls   *transport.Client
 	began   time.Time
 
 	mu    sync.Mutex
@@ -90,11 +90,11 @@
 }
 
 func newStage(p Plan) (*stage, error) {
-	s := &stage{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 11)), at: map[string]string{}, workers: map[string][]*standin.Worker{},
-		calls: link.NewClient()}
+	s := &stage{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 11)), at: map[string]string{}, workers: map[string][]*fakeplatform.Worker{},
+		calls: transport.NewClient()}
 	for _, z := range zones {
 		for i := range workersPerZone {
-			w := standin.NewWorker("w-"+z+strconv.Itoa(i+1), slotsPerWorker, standin.For(jobRun))
+			w := fakeplatform.NewWorker("w-"+z+strconv.Itoa(i+1), slotsPerWorker, fakeplatform.For(jobRun))
 			if err := w.Start(); err != nil {
 				return s, err
 			}
@@ -103,7 +103,7 @@
 	}
 	if !p.Alone {
 		for i, z := range zones {
-			at, err := standin.FreeAddress()
+			at, err := fakeplatform.FreeAddress()
 			if err != nil {
 				return s, err
 			}
@@ -113,7 +113,7 @@
 		}
 	}
 	for i := range nodesPerZone * len(zones) {
-		at, err := standin.FreeAddress()
+		at, err := fakeplatform.FreeAddress()
 		if err != nil {
 			return s, err
 		}
@@ -185,19 +185,19 @@
 
 // list makes a node's own pool config: each prep worker at a proxy of the node's.
 func (s *stage) list(p *Process) (string, error) {
-	d, err := standin.NewDiscovery()
+	d, err := fakeplatform.NewDiscovery()
 	if err != nil {
 		return "", err
 	}
 	s.lists = append(s.lists, d)
-	var all []standin.Endpoint
+	var all []fakeplatform.Endpoint
 	for _, z := range zones {
 		for _, w := range s.workers[z] {
 			at, err := s.between(p.Name, w.Name, w.Address())
 			if err != nil {
 				return "", err
 			}
-			all = append(all, standin.Endpoint{Name: w.Name, Address: at, Zone: z, Kind: "demo", State: "Ready", Weight: 1})
+			all = append(all, fakeplatform.Endpoint{Name: w.Name, Address: at, Zone: z, Kind: "demo", State: "Ready", Weight: 1})
 		}
 	}
 	d.Set(all)
@@ -205,7 +205,7 @@
 }
 
 func (s *stage) config(p *Process, listen, discovery string) ([]byte, error) {
-	return standin.Node{Name: p.Name, Listen: listen, Discovery: discovery, Seed: strconv.FormatUint(s.rng.Uint64(), 16), MemoryMB: 256,
+	return fakeplatform.Node{Name: p.Name, Listen: listen, Discovery: discovery, Seed: strconv.FormatUint(s.rng.Uint64(), 16), MemoryMB: 256,
 		Nodes: nodesPerZone * len(zones), Zone: slices.Index(zones, p.Zone), Zones: zones, Kind: "demo", Grades: classes}.Config()
 }
 
@@ -258,16 +258,16 @@
 func (s *stage) load(ctx context.Context, span time.Duration) {
 	var all sync.WaitGroup
 	for i, n := range s.nodes {
-		c := load.Config{URL: "http://" + s.at[n.Name], Rate: s.plan.Rate, For: span, Seed: s.plan.Seed*100 + uint64(i), Prefix: n.Name + "x"}
+		c := loadgen.Config{URL: "http://" + s.at[n.Name], Rate: s.plan.Rate, For: span, Seed: s.plan.Seed*100 + uint64(i), Prefix: n.Name + "x"}
 		for j, k := range classes {
-			c.Classes = append(c.Classes, load.Class{Name: k.Name, Share: shares[j], Target: k.Target, Within: k.GiveUp})
+			c.Classes = append(c.Classes, loadgen.Class{Name: k.Name, Share: shares[j], Target: k.Target, Within: k.GiveUp})
 		}
-		c.Each = func(at time.Duration, k *load.Class, id string, status int, took time.Duration) {
+		c.Each = func(at time.Duration, k *loadgen.Class, id string, status int, took time.Duration) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.asked = append(s.asked, request{at, k.Name, id, n.Name, status, took})
 		}
-		all.Go(func() { load.Run(ctx, c) })
+		all.Go(func() { loadgen.Run(ctx, c) })
 	}
 	all.Wait()
 }
@@ -284,7 +284,7 @@
 // worth is what was asked for in a time and what of it was served within its aim, but for
 // the clients of processes that were the trouble themselves.
 func (s *stage) worth(from, to time.Duration, spared map[string]bool) (asked, served float64) {
-	by := map[string]standin.Grade{}
+	by := map[string]fakeplatform.Grade{}
 	for _, c := range classes {
 		by[c.Name] = c
 	}
--- a/internal/trial/zone.go
+++ b/internal/testkit/endtoend/zone.go
@@ -1,4 +1,4 @@
-package trial
+package endtoend
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"ospreybend/internal/fleet/link"
-	"ospreybend/internal/fleet/orders"
+	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/transport"
 )
 
 const (
@@ -25,7 +25,7 @@
 	at    time.Duration
 	voter string
 	runs  int
-	table orders.Table
+	table commands.Table
 	leads bool
 }
 
@@ -200,7 +200,7 @@
 }
 
 // tell notes what the leader makes of the zones, and orders, as they change.
-func (s *stage) tell(said map[string]string, voter string, st link.Status) {
+func (s *stage) tell(said map[string]string, voter string, st transport.Status) {
 	if st.Leader != st.Voter {
 		return
 	}
@@ -278,18 +278,18 @@
 		}
 		epochs[run] = l.table.Epoch
 		for _, z := range zones {
-			if o := l.table.Of(z); z != bad && o.Phase != orders.In {
+			if o := l.table.Of(z); z != bad && o.Phase != commands.In {
 				violate("zone %s, which is well, is %v: %s", z, o.Phase, o.Reason)
 				return
 			}
 		}
 		z := l.table.Of(bad)
 		switch {
-		case left == 0 && z.Phase == orders.Left:
+		case left == 0 && z.Phase == commands.Left:
 			left = l.at
-		case left > 0 && tried == 0 && z.Phase != orders.Left && l.leads:
+		case left > 0 && tried == 0 && z.Phase != commands.Left && l.leads:
 			tried = l.at
-		case tried > 0 && l.at > s.plan.Calm+s.plan.Trouble && back == 0 && z.Phase == orders.In && len(z.Cut) == 0 && l.leads:
+		case tried > 0 && l.at > s.plan.Calm+s.plan.Trouble && back == 0 && z.Phase == commands.In && len(z.Cut) == 0 && l.leads:
 			back = l.at
 		}
 	}
--- a/internal/modelworker/register.go
+++ b/internal/testkit/fakemodelworker/register.go
@@ -1,4 +1,4 @@
-package modelworker
+package fakemodelworker
 
 import (
 	"context"
--- a/internal/modelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -1,6 +1,6 @@
-// Package modelworker is a stand-in for a model worker: it speaks the workers' side of the protocol
+// Package fakemodelworker is a stand-in for a model worker: it speaks the workers' side of the protocol
 // (heartbeats, prompts read, hand-overs, event streams, orders) with simple timing and no model.
-package modelworker
+package fakemodelworker
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/front"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/dataplane/httpserver"
+	"ospreybend/internal/util/http1"
 )
 
 // Header fields of the protocol that a worker reads or writes.
@@ -63,7 +63,7 @@
 // Worker is one incarnation.
 type Worker struct {
 	options  Options
-	server   *front.Server
+	server   *httpserver.Server
 	running  atomic.Int64
 	prefills atomic.Int64
 	runs     atomic.Int64
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	w := &Worker{options: options}
-	w.server = front.New(front.Options{Handler: w.serve, Limits: func() configuration.Limits { return configuration.Limits{} }})
+	w.server = httpserver.New(httpserver.Options{Handler: w.serve, Limits: func() configuration.Limits { return configuration.Limits{} }})
 	go func() { _ = w.server.Serve(listener) }()
 	go w.register(ctx, func(error) {})
 	go func() {
@@ -132,7 +132,7 @@
 }
 
 // serve answers one request.
-func (w *Worker) serve(answer *front.ResponseWriter, request *front.Request) {
+func (w *Worker) serve(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	if strings.HasPrefix(request.Path, handlePath) {
 		w.free(answer, strings.TrimPrefix(request.Path, handlePath))
 		return
@@ -160,23 +160,23 @@
 }
 
 // turnAway answers that the request was not run.
-func (w *Worker) turnAway(answer *front.ResponseWriter, request *front.Request, status int) {
+func (w *Worker) turnAway(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
 	fields := w.fields(request)
-	fields = append(fields, httpwire.Field{Name: fieldNotRun, Value: "1"})
+	fields = append(fields, http1.Field{Name: fieldNotRun, Value: "1"})
 	_ = answer.Answer(status, fields, nil)
 }
 
 // fields are those of each answer.
-func (w *Worker) fields(request *front.Request) httpwire.Fields {
-	fields := make(httpwire.Fields, 0, 8)
-	fields = append(fields, httpwire.Field{Name: fieldRequestID, Value: request.Fields.Get(fieldRequestID)})
-	fields = append(fields, httpwire.Field{Name: fieldInstance, Value: w.options.ID})
-	fields = append(fields, httpwire.Field{Name: fieldLoad, Value: fmt.Sprintf("%d,0,%d", w.running.Load(), w.options.Slots)})
+func (w *Worker) fields(request *httpserver.Request) http1.Fields {
+	fields := make(http1.Fields, 0, 8)
+	fields = append(fields, http1.Field{Name: fieldRequestID, Value: request.Fields.Get(fieldRequestID)})
+	fields = append(fields, http1.Field{Name: fieldInstance, Value: w.options.ID})
+	fields = append(fields, http1.Field{Name: fieldLoad, Value: fmt.Sprintf("%d,0,%d", w.running.Load(), w.options.Slots)})
 	return fields
 }
 
 // plain answers a request of a service without stages.
-func (w *Worker) plain(answer *front.ResponseWriter, request *front.Request) {
+func (w *Worker) plain(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	if !pause(request.Context, w.options.PlainTime) {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // prefill reads a prompt and hands out a handle.
-func (w *Worker) prefill(answer *front.ResponseWriter, request *front.Request) {
+func (w *Worker) prefill(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, _ := tokens(request)
 	if !pause(request.Context, w.readTime(in, 1)) {
 		return
@@ -193,13 +193,13 @@
 	w.prefills.Add(1)
 	handle := w.options.Handles.give(w.options.Address)
 	fields := w.fields(request)
-	fields = append(fields, httpwire.Field{Name: "Content-Type", Value: "application/json"})
+	fields = append(fields, http1.Field{Name: "Content-Type", Value: "application/json"})
 	body := fmt.Sprintf(`{"prefillHandle":%q,"tokens":%d,"generation":1}`, handle, in)
 	_ = answer.Answer(statusOK, fields, []byte(body))
 }
 
 // run streams tokens, from a handle or after reading the prompt at half the pace.
-func (w *Worker) run(answer *front.ResponseWriter, request *front.Request) {
+func (w *Worker) run(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, out := tokens(request)
 	if w.options.Stage != stageDecode {
 		w.strays.Add(1)
@@ -217,7 +217,7 @@
 	}
 	w.runs.Add(1)
 	fields := w.signed(request)
-	fields = append(fields, httpwire.Field{Name: "Content-Type", Value: "text/event-stream"})
+	fields = append(fields, http1.Field{Name: "Content-Type", Value: "text/event-stream"})
 	if answer.Begin(statusOK, fields) != nil {
 		return
 	}
@@ -233,14 +233,14 @@
 	_ = answer.Finish(nil)
 }
 
-func (w *Worker) signed(request *front.Request) httpwire.Fields {
+func (w *Worker) signed(request *httpserver.Request) http1.Fields {
 	fields := w.fields(request)
-	fields = append(fields, httpwire.Field{Name: fieldSignature, Value: "standin." + w.options.ID})
+	fields = append(fields, http1.Field{Name: fieldSignature, Value: "standin." + w.options.ID})
 	return fields
 }
 
 // free drops a handle.
-func (w *Worker) free(answer *front.ResponseWriter, handle string) {
+func (w *Worker) free(answer *httpserver.ResponseWriter, handle string) {
 	if !w.options.Handles.take(w.options.Address + "/" + handle) {
 		_ = answer.Answer(statusNotFound, nil, nil)
 		return
@@ -258,7 +258,7 @@
 }
 
 // tokens reads how many tokens a request's prompt has and how many it asks for at most.
-func tokens(request *front.Request) (in, out int) {
+func tokens(request *httpserver.Request) (in, out int) {
 	before, after, _ := strings.Cut(request.Fields.Get(fieldTokens), ",")
 	in, _ = strconv.Atoi(strings.TrimSpace(before))
 	out, _ = strconv.Atoi(strings.TrimSpace(after))
--- a/internal/standin/node.go
+++ b/internal/testkit/fakeplatform/node.go
@@ -1,4 +1,4 @@
-package standin
+package fakeplatform
 
 import (
 	"encoding/json"
--- a/internal/standin/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -1,8 +1,8 @@
-// Package standin stands in for what surrounds a node, on loopback and by the
+// Package fakeplatform stands in for what surrounds a node, on loopback and by the
 // platform's published protocol: prep workers and discovery, each scripted to be
 // slow, silent, failing, vanishing and coming back, or dying between two bytes.
 // It serves tests, demonstrations and measurements, never a node.
-package standin
+package fakeplatform
 
 import (
 	"context"
--- a/internal/load/load.go
+++ b/internal/testkit/loadgen/load.go
@@ -1,8 +1,8 @@
-// Package load sends requests to a platform front as its clients do, open-loop:
+// Package loadgen sends requests to a platform front as its clients do, open-loop:
 // each is sent at its intended time, whatever became of those before, and its
 // latency counts from that time, so that a stalled server cannot hide the
 // requests that it held up (coordinated omission).
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/load/load_test.go
+++ b/internal/testkit/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"net/http"
--- a/internal/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -13,7 +13,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"ospreybend/internal/settings"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // Ports that all machines of a local fleet use on their own loopback addresses.
@@ -180,8 +180,8 @@
 func nodeName(network, i int) string { return fmt.Sprintf("machine-%d-%d", network, i+1) }
 
 // base returns the settings that all roles have.
-func (f *Fleet) base(network, i int, role string, bootstrap bool) settings.Settings {
-	s := settings.Defaults()
+func (f *Fleet) base(network, i int, role string, bootstrap bool) bootconfig.Settings {
+	s := bootconfig.Defaults()
 	s.Role, s.IP, s.Zone, s.Region = role, f.address(network, i), Zone(i), "local"
 	s.NodeName = nodeName(network, i)
 	s.MachineClass = "edge"
@@ -203,7 +203,7 @@
 }
 
 // start writes a process's settings and starts it.
-func (f *Fleet) start(s settings.Settings) (*Process, error) {
+func (f *Fleet) start(s bootconfig.Settings) (*Process, error) {
 	directory := filepath.Join(f.layout.Directory, s.NodeName)
 	if err := os.MkdirAll(filepath.Join(directory, "data"), 0o755); err != nil {
 		return nil, eris.Wrap(err, "directory")
--- a/internal/localfleet/operator.go
+++ b/internal/testkit/localfleet/operator.go
@@ -8,8 +8,8 @@
 
 	"github.com/rotisserie/eris"
 
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/httpwire"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/util/http1"
 )
 
 // Times of the operator's calls.
@@ -26,14 +26,14 @@
 // Operator makes calls of the operator's API as the protocol has it: a call without a clear answer is sent
 // again, unchanged, to the next keeper.
 type Operator struct {
-	pool    *exchange.Pool
+	pool    *upstream.Pool
 	control []string
 	turn    atomic.Uint64
 }
 
 // NewOperator makes an operator that knows some control addresses.
 func NewOperator(control []string) *Operator {
-	return &Operator{pool: exchange.New(exchange.Options{}), control: control}
+	return &Operator{pool: upstream.New(upstream.Options{}), control: control}
 }
 
 // Close closes the operator's connections.
@@ -83,11 +83,11 @@
 }
 
 // Ask makes one call of one address and returns its answer, whatever that is.
-func (o *Operator) Ask(ctx context.Context, address, method, target string, base uint64, body []byte) (*exchange.Response, error) {
+func (o *Operator) Ask(ctx context.Context, address, method, target string, base uint64, body []byte) (*upstream.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
-	response, failure := o.pool.Do(ctx, &exchange.Call{Address: address, Method: method, Target: target, Body: body,
-		Fields: httpwire.Fields{{Name: "Host", Value: address}, {Name: "Content-Type", Value: "application/json"},
+	response, failure := o.pool.Do(ctx, &upstream.Call{Address: address, Method: method, Target: target, Body: body,
+		Fields: http1.Fields{{Name: "Host", Value: address}, {Name: "Content-Type", Value: "application/json"},
 			{Name: "X-Base-Version", Value: strconv.FormatUint(base, 10)}}})
 	if failure != nil {
 		return nil, failure
--- a/internal/localfleet/process.go
+++ b/internal/testkit/localfleet/process.go
@@ -10,7 +10,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"ospreybend/internal/settings"
+	"ospreybend/internal/util/bootconfig"
 )
 
 // stopTimeout is the time between SIGTERM and SIGKILL.
@@ -27,7 +27,7 @@
 }
 
 // watch remembers a process and waits for its end.
-func (f *Fleet) watch(s settings.Settings, command *exec.Cmd) *Process {
+func (f *Fleet) watch(s bootconfig.Settings, command *exec.Cmd) *Process {
 	process := &Process{Role: s.Role, Node: s.NodeName, Address: s.IP, command: command, done: make(chan struct{})}
 	f.mutex.Lock()
 	f.all[s.Role+" "+s.NodeName] = process
--- a/internal/localfleet/whole_program_test.go
+++ b/internal/testkit/localfleet/whole_program_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/modelworker"
+	"ospreybend/internal/testkit/fakemodelworker"
+	"ospreybend/internal/testkit/localfleet"
 )
 
 const (
@@ -32,14 +32,14 @@
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
-	directory, err := os.MkdirTemp("", "ospreyfleet-test-")
+	directory, err := os.MkdirTemp("", "inference-router-test-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(directory)
-	binary = filepath.Join(directory, "ospreyfleet")
-	if output, err := exec.Command("go", "build", "-o", binary, "ospreybend/cmd/ospreyfleet").CombinedOutput(); err != nil {
+	binary = filepath.Join(directory, "inference-router")
+	if output, err := exec.Command("go", "build", "-o", binary, "ospreybend/cmd/inference-router").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, output)
 		return 1
 	}
@@ -84,15 +84,15 @@
 }
 
 // worker starts a stand-in worker of a service.
-func (r *rig) worker(i int, service string, tokenTime time.Duration) *modelworker.Worker {
+func (r *rig) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
 	r.Helper()
-	options := modelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
+	options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
 		Address: r.fleet.Worker(i), Slots: 8, Control: r.fleet.Control(), Heartbeat: 300 * time.Millisecond,
-		TokenTime: tokenTime, Handles: new(modelworker.Handles)}
+		TokenTime: tokenTime, Handles: new(fakemodelworker.Handles)}
 	if service == "model" {
 		options.Stage = "decode"
 	}
-	worker, err := modelworker.Start(r.ctx, options)
+	worker, err := fakemodelworker.Start(r.ctx, options)
 	if err != nil {
 		r.Fatal(err)
 	}
--- a/internal/emulator/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -1,10 +1,10 @@
-// Package emulator plays a day of the whole fleet in simulated time: many instances of
+// Package nodesim plays a day of the whole fleet in simulated time: many instances of
 // the real decisions, on one clock, against models of prep workers, clients, the network
 // and the list. The same day gives the same result.
 //
 // It is a model, not the bench: what it tells is which of two versions does better on the
 // same hundred days, and what the fleet does as a sum. Every parameter stands in Day.
-package emulator
+package nodesim
 
 import (
 	"fmt"
--- a/internal/emulator/sites.go
+++ b/internal/testkit/nodesim/sites.go
@@ -1,4 +1,4 @@
-package emulator
+package nodesim
 
 import (
 	"time"
--- a/internal/emulator/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -1,4 +1,4 @@
-package emulator
+package nodesim
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // step is one attempt at an operation, at a worker.
@@ -44,7 +44,7 @@
 	queue   []*step
 	used    float64
 	at      time.Duration // up to which running work is booked
-	next    *due.Deadline
+	next    *timerqueue.Deadline
 	shown   []float32 // the report that can be read
 
 	sent   []coldSend // while cold, for the rule on felling
--- a/internal/emulator/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -1,4 +1,4 @@
-package emulator
+package nodesim
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreybend/balance"
-	"ospreybend/internal/due"
+	"ospreybend/internal/node/timerqueue"
 )
 
 // begins is the clock at the start of a day: zero stands for long ago in listings.
@@ -47,7 +47,7 @@
 	day     Day
 	rng     *rand.Rand
 	traffic *rand.Rand // of its own: two versions of the decisions meet the same operations
-	line    due.Line
+	line    timerqueue.Line
 	now     time.Duration
 	nodes   []*node
 	workers []*worker
--- a/internal/scale/plot.go
+++ b/internal/testkit/scalereport/plot.go
@@ -1,4 +1,4 @@
-package scale
+package scalereport
 
 import (
 	"fmt"
--- a/internal/scale/trial/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -1,7 +1,7 @@
-// Package trial plays whole fleets on one machine and measures them: keepers and some edges as processes, all
+// Package scalerun plays whole fleets on one machine and measures them: keepers and some edges as processes, all
 // other nodes and all workers hollow, in this process. A hollow node runs an agent's real feed link and real
 // monitoring; a hollow worker runs the real registration of the stand-in worker. Neither has traffic.
-package trial
+package scalerun
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"ospreybend/coord/feed"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/feedlink"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/feedtransport"
 )
 
 // traffic counts what all hollow agents read and wrote.
@@ -46,7 +46,7 @@
 
 // hollowAgent is an agent's feed link without the rest of the agent. It notes when it has what.
 type hollowAgent struct {
-	client *feedlink.Client
+	client *feedtransport.Client
 
 	mutex        sync.Mutex
 	held         map[shards.ID]uint64
@@ -67,10 +67,10 @@
 
 func newHollowAgent(options agentOptions) *hollowAgent {
 	agent := &hollowAgent{held: map[shards.ID]uint64{}}
-	agent.client = feedlink.NewClient(feedlink.ClientOptions{
-		Hello: feedlink.Hello{Node: options.node, Zone: options.zone, Region: "local", IP: options.ip,
-			Role: feedlink.RoleAgent, Incarnation: rand.Uint64(), Compressed: true},
-		Choice: feedlink.ChoiceOptions{Node: options.node, Zone: options.zone, Region: "local",
+	agent.client = feedtransport.NewClient(feedtransport.ClientOptions{
+		Hello: feedtransport.Hello{Node: options.node, Zone: options.zone, Region: "local", IP: options.ip,
+			Role: feedtransport.RoleAgent, Incarnation: rand.Uint64(), Compressed: true},
+		Choice: feedtransport.ChoiceOptions{Node: options.node, Zone: options.zone, Region: "local",
 			Seeds: options.seeds, FeedPort: options.feedPort},
 		Dial: options.dial,
 	}, agent)
@@ -81,7 +81,7 @@
 	if relayed, ok := o.slow[address]; ok {
 		address = relayed
 	}
-	connection, err := feedlink.Dial(ctx, address)
+	connection, err := feedtransport.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 }
 
 // Status implements feedlink.Handler.
-func (a *hollowAgent) Status(status feedlink.Status) {
+func (a *hollowAgent) Status(status feedtransport.Status) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	whole := status.Current()
--- a/internal/scale/trial/blackout.go
+++ b/internal/testkit/scalerun/blackout.go
@@ -1,12 +1,12 @@
-package trial
+package scalerun
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/scale"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
 )
 
 // blackout kills all processes at once, starts them again at once, and waits until all are whole. Workers go on.
@@ -31,8 +31,8 @@
 	if err := s.await(ctx, "agents not whole after all were killed", s.crowd.whole); err != nil {
 		return err
 	}
-	s.note(scale.PhaseBlackout, 0, before)
-	s.step.Blackout = scale.PercentilesOf(s.crowd.since(started, everyone, becameWhole))
+	s.note(scalereport.PhaseBlackout, 0, before)
+	s.step.Blackout = scalereport.PercentilesOf(s.crowd.since(started, everyone, becameWhole))
 	s.plan.say("  all processes killed and started again: %d hollow agents whole p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
 		len(s.crowd.agents), s.step.Blackout.P50, s.step.Blackout.P99, s.step.Blackout.Max, s.step.BlackoutAcked, s.step.BlackoutProxies)
 	return nil
--- a/internal/scale/trial/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -1,4 +1,4 @@
-package trial
+package scalerun
 
 import (
 	"context"
@@ -8,18 +8,18 @@
 	"strings"
 	"time"
 
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/scale"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
 )
 
 // reading is what the processes of a fleet had used at one moment.
 type reading struct {
 	at        time.Time
-	processes map[*localfleet.Process]scale.Counters
+	processes map[*localfleet.Process]scalereport.Counters
 }
 
 func (s *stepRun) read() reading {
-	taken := reading{at: time.Now(), processes: map[*localfleet.Process]scale.Counters{}}
+	taken := reading{at: time.Now(), processes: map[*localfleet.Process]scalereport.Counters{}}
 	for _, process := range s.fleet.Processes() {
 		if counters, err := readCounters(process.PID()); err == nil {
 			taken.processes[process] = counters
@@ -36,8 +36,8 @@
 		if !ok {
 			continue
 		}
-		s.step.Processes = append(s.step.Processes, scale.ProcessUse{Role: process.Role, Node: process.Node, Phase: phase,
-			Window: window, Use: scale.UseBetween(held, counters, after.at.Sub(before.at))})
+		s.step.Processes = append(s.step.Processes, scalereport.ProcessUse{Role: process.Role, Node: process.Node, Phase: phase,
+			Window: window, Use: scalereport.UseBetween(held, counters, after.at.Sub(before.at))})
 	}
 }
 
@@ -49,7 +49,7 @@
 	for window := range s.plan.Windows {
 		before := s.read()
 		rest(ctx, s.plan.Window)
-		s.note(scale.PhaseRest, window, before)
+		s.note(scalereport.PhaseRest, window, before)
 	}
 	seconds := time.Since(started).Seconds()
 	agents := float64(max(len(s.crowd.agents), 1))
@@ -68,10 +68,10 @@
 // sayRest shows the means of the roles at rest.
 func (s *stepRun) sayRest() {
 	for _, role := range []string{"keeper", "agent", "proxy"} {
-		var sum scale.Use
+		var sum scalereport.Use
 		count := 0.0
 		for _, process := range s.step.Processes {
-			if process.Role == role && process.Phase == scale.PhaseRest {
+			if process.Role == role && process.Phase == scalereport.PhaseRest {
 				sum.Processor += process.Use.Processor
 				sum.MemoryMB += process.Use.MemoryMB
 				sum.ReadKB += process.Use.ReadKB
@@ -118,9 +118,9 @@
 		near = append(near, s.crowd.since(sent, s.near, gotGeneration)...)
 		far = append(far, s.crowd.since(sent, s.far, gotGeneration)...)
 	}
-	s.note(scale.PhaseChange, 0, before)
-	s.step.Acked, s.step.AtProxies = scale.PercentilesOf(acks), scale.PercentilesOf(proxies)
-	s.step.InForce, s.step.InForceFar = scale.PercentilesOf(near), scale.PercentilesOf(far)
+	s.note(scalereport.PhaseChange, 0, before)
+	s.step.Acked, s.step.AtProxies = scalereport.PercentilesOf(acks), scalereport.PercentilesOf(proxies)
+	s.step.InForce, s.step.InForceFar = scalereport.PercentilesOf(near), scalereport.PercentilesOf(far)
 	s.plan.say("  %d changes: acknowledged p50 %.0f ms; in force at near agents p50 %.0f, p99 %.0f, max %.0f ms; at far ones p99 %.0f, max %.0f ms; at proxies max %.0f ms",
 		s.plan.Changes, s.step.Acked.P50, s.step.InForce.P50, s.step.InForce.P99, s.step.InForce.Max,
 		s.step.InForceFar.P99, s.step.InForceFar.Max, s.step.AtProxies.Max)
@@ -143,8 +143,8 @@
 	if err := s.await(ctx, "agents not whole after their restart", s.crowd.whole); err != nil {
 		return err
 	}
-	s.note(scale.PhaseRestart, 0, before)
-	s.step.Known = scale.PercentilesOf(s.crowd.since(started, everyone, becameWhole))
+	s.note(scalereport.PhaseRestart, 0, before)
+	s.step.Known = scalereport.PercentilesOf(s.crowd.since(started, everyone, becameWhole))
 	s.step.Hollow.SnapshotKB = round(float64(s.crowd.traffic.in.Load()-in) / 1000 / float64(max(len(s.crowd.agents), 1)))
 	s.plan.say("  all %d hollow agents restarted: whole again p50 %.0f, p99 %.0f, max %.0f ms; %.0f kB each",
 		len(s.crowd.agents), s.step.Known.P50, s.step.Known.P99, s.step.Known.Max, s.step.Hollow.SnapshotKB)
@@ -182,15 +182,15 @@
 	}
 	s.step.AckedAfter = milliseconds(acked.Sub(killed))
 	all := s.crowd.since(killed, everyone, gotGeneration)
-	s.step.AllAfter = scale.PercentilesOf(all).Max
+	s.step.AllAfter = scalereport.PercentilesOf(all).Max
 	if err := s.await(ctx, "agents not current after the loss of a keeper", s.crowd.whole); err != nil {
 		return err
 	}
-	s.note(scale.PhaseLoss, 0, before)
+	s.note(scalereport.PhaseLoss, 0, before)
 	if err := s.rejoin(ctx, owner); err != nil {
 		return err
 	}
-	s.step.Moved = scale.PercentilesOf(s.crowd.since(killed, func(i int) bool { return lost[i] }, becameWhole))
+	s.step.Moved = scalereport.PercentilesOf(s.crowd.since(killed, func(i int) bool { return lost[i] }, becameWhole))
 	s.plan.say("  keeper killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current elsewhere p50 %.0f, max %.0f ms; started again, current after %.0f ms",
 		s.step.AckedAfter, s.step.AllAfter, s.step.Moved.Count, s.step.Moved.P50, s.step.Moved.Max, s.step.CaughtUp)
 	return nil
--- a/internal/scale/trial/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -1,4 +1,4 @@
-package trial
+package scalerun
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"runtime"
 	"time"
 
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/scale"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
 )
 
 // Plan says what is played.
 type Plan struct {
 	Binary    string // the fleet's program
 	Directory string // settings, data and logs go below it
-	Sizes     []scale.Size
-	Target    scale.Size
+	Sizes     []scalereport.Size
+	Target    scalereport.Size
 	Keepers   int
 	Tolerance int // keepers that may be lost at once; 0: as many as leave a majority
 	Edges     int // real ones among the nodes
@@ -41,15 +41,15 @@
 )
 
 // Play plays all sizes that the machine has room for. On an error the result holds the steps before it.
-func Play(ctx context.Context, plan Plan) (scale.Result, error) {
-	result := scale.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, Far: plan.farText()}
+func Play(ctx context.Context, plan Plan) (scalereport.Result, error) {
+	result := scalereport.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, Far: plan.farText()}
 	bounds, err := machineBounds()
 	if err != nil {
 		return result, err
 	}
 	for i, size := range plan.Sizes {
-		if why := bounds.Check(scale.NeedOf(size, plan.Keepers, plan.Edges, plan.Routes)); why != nil {
-			result.Cuts = append(result.Cuts, scale.Cut{Size: size, Why: why.Error()})
+		if why := bounds.Check(scalereport.NeedOf(size, plan.Keepers, plan.Edges, plan.Routes)); why != nil {
+			result.Cuts = append(result.Cuts, scalereport.Cut{Size: size, Why: why.Error()})
 			plan.say("%d nodes, %d workers: not played: %v", size.Nodes, size.Workers, why)
 			continue
 		}
@@ -60,7 +60,7 @@
 		}
 		result.Steps = append(result.Steps, step)
 	}
-	result.Trends = scale.Trends(result.Steps, plan.Target)
+	result.Trends = scalereport.Trends(result.Steps, plan.Target)
 	return result, nil
 }
 
@@ -74,18 +74,18 @@
 func (p Plan) say(format string, values ...any) { fmt.Fprintf(p.Progress, format+"\n", values...) }
 
 // playStep plays one size with a fleet of its own.
-func (p Plan) playStep(ctx context.Context, index int, size scale.Size, bounds scale.Bounds) (scale.Step, error) {
+func (p Plan) playStep(ctx context.Context, index int, size scalereport.Size, bounds scalereport.Bounds) (scalereport.Step, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.Limit)
 	defer cancel()
 	directory := filepath.Join(p.Directory, fmt.Sprintf("step-%d", index+1))
 	if err := os.MkdirAll(directory, 0o755); err != nil {
-		return scale.Step{}, err
+		return scalereport.Step{}, err
 	}
 	defer os.RemoveAll(directory)
 	fleet, err := localfleet.New(localfleet.Layout{Binary: p.Binary, Directory: directory, Keepers: p.Keepers,
 		Edges: p.Edges, Tolerance: p.Tolerance, LogLevel: "warn", Cores: coresOfProcess, MemoryMb: memoryOfProcess})
 	if err != nil {
-		return scale.Step{}, err
+		return scalereport.Step{}, err
 	}
 	s := newStepRun(p, size, fleet, bounds)
 	defer s.close()
--- a/internal/scale/trial/procfs.go
+++ b/internal/testkit/scalerun/procfs.go
@@ -1,4 +1,4 @@
-package trial
+package scalerun
 
 import (
 	"fmt"
@@ -10,29 +10,29 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/scale"
+	"ospreybend/internal/testkit/scalereport"
 )
 
 // readCounters reads what a process has used.
-func readCounters(pid int) (scale.Counters, error) {
+func readCounters(pid int) (scalereport.Counters, error) {
 	directory := filepath.Join("/proc", strconv.Itoa(pid))
 	stat, err := os.ReadFile(filepath.Join(directory, "stat"))
 	if err != nil {
-		return scale.Counters{}, eris.Wrap(err, "process")
+		return scalereport.Counters{}, eris.Wrap(err, "process")
 	}
-	processor, err := scale.ProcessorTime(string(stat))
+	processor, err := scalereport.ProcessorTime(string(stat))
 	if err != nil {
-		return scale.Counters{}, err
+		return scalereport.Counters{}, err
 	}
 	status, err := readNamed(filepath.Join(directory, "status"))
 	if err != nil {
-		return scale.Counters{}, err
+		return scalereport.Counters{}, err
 	}
 	calls, err := readNamed(filepath.Join(directory, "io"))
 	if err != nil {
-		return scale.Counters{}, err
+		return scalereport.Counters{}, err
 	}
-	return scale.Counters{Processor: processor, Resident: status["VmRSS"], Peak: status["VmHWM"],
+	return scalereport.Counters{Processor: processor, Resident: status["VmRSS"], Peak: status["VmHWM"],
 		Read: calls["rchar"], Written: calls["wchar"], Reads: calls["syscr"], Writes: calls["syscw"],
 		Switches: switches(directory)}, nil
 }
@@ -54,20 +54,20 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "process")
 	}
-	return scale.Named(string(text)), nil
+	return scalereport.Named(string(text)), nil
 }
 
 // machineBounds are what a run may take of this machine.
-func machineBounds() (scale.Bounds, error) {
+func machineBounds() (scalereport.Bounds, error) {
 	memory, err := readNamed("/proc/meminfo")
 	if err != nil {
-		return scale.Bounds{}, err
+		return scalereport.Bounds{}, err
 	}
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
-		return scale.Bounds{}, eris.Wrap(err, "limit of descriptors")
+		return scalereport.Bounds{}, eris.Wrap(err, "limit of descriptors")
 	}
-	return scale.BoundsOf(memory["MemTotal"], int(min(files.Cur, 1<<30))), nil
+	return scalereport.BoundsOf(memory["MemTotal"], int(min(files.Cur, 1<<30))), nil
 }
 
 // machineName tells processors and memory.
--- a/internal/scale/trial/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -1,4 +1,4 @@
-package trial
+package scalerun
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"time"
 
 	"ospreybend/coord/membership"
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/modelworker"
-	"ospreybend/internal/scale"
+	"ospreybend/internal/testkit/fakemodelworker"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
 )
 
 const (
@@ -34,8 +34,8 @@
 	plan       Plan
 	fleet      *localfleet.Fleet
 	operator   *localfleet.Operator
-	bounds     scale.Bounds
-	step       scale.Step
+	bounds     scalereport.Bounds
+	step       scalereport.Step
 	crowd      crowd
 	monitoring monitoring
 	taken      atomic.Int64 // heartbeats acknowledged
@@ -48,9 +48,9 @@
 	stopAll    context.CancelFunc
 }
 
-func newStepRun(plan Plan, size scale.Size, fleet *localfleet.Fleet, bounds scale.Bounds) *stepRun {
+func newStepRun(plan Plan, size scalereport.Size, fleet *localfleet.Fleet, bounds scalereport.Bounds) *stepRun {
 	return &stepRun{plan: plan, fleet: fleet, bounds: bounds, operator: localfleet.NewOperator(fleet.Control()),
-		step:  scale.Step{Size: size, Keepers: plan.Keepers, Edges: plan.Edges, Routes: plan.Routes},
+		step:  scalereport.Step{Size: size, Keepers: plan.Keepers, Edges: plan.Edges, Routes: plan.Routes},
 		crowd: crowd{traffic: new(traffic)}, failures: map[string]int{}, stopAll: func() {}}
 }
 
@@ -201,11 +201,11 @@
 	for i := range s.step.Size.Workers {
 		at := i % s.plan.Keepers
 		control := append(slices.Clone(s.fleet.Control()[at:]), s.fleet.Control()[:at]...)
-		options := modelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: modelService(i),
+		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: modelService(i),
 			Stage: stageOf(i), Address: s.fleet.Worker(i), Slots: workerSlots, Control: control, Heartbeat: s.plan.Heartbeat}
 		first := true
 		s.workers.Go(func() {
-			modelworker.Register(ctx, options, func(err error) {
+			fakemodelworker.Register(ctx, options, func(err error) {
 				if err != nil {
 					s.failed(err)
 					return
--- a/internal/scale/trial/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -1,4 +1,4 @@
-package trial
+package scalerun
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 	"sync/atomic"
 	"time"
 
-	"ospreybend/internal/exchange"
-	"ospreybend/internal/httpwire"
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/modelworker"
-	"ospreybend/internal/scale"
+	"ospreybend/internal/dataplane/upstream"
+	"ospreybend/internal/testkit/fakemodelworker"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
+	"ospreybend/internal/util/http1"
 )
 
 // TrafficPlan says what one proxy is measured with.
 type TrafficPlan struct {
 	Binary    string
 	Directory string
-	Rates     []scale.Rate
+	Rates     []scalereport.Rate
 	Workers   int
 	TokenTime time.Duration // between two tokens of a worker
 	Window    time.Duration
@@ -41,7 +41,7 @@
 type load struct {
 	plan     TrafficPlan
 	fleet    *localfleet.Fleet
-	pool     *exchange.Pool
+	pool     *upstream.Pool
 	served   atomic.Int64
 	failed   atomic.Int64
 	events   atomic.Int64
@@ -52,7 +52,7 @@
 }
 
 // PlayTraffic measures one proxy at each rate. On an error the result holds the rates before it.
-func PlayTraffic(ctx context.Context, plan TrafficPlan) ([]scale.TrafficStep, error) {
+func PlayTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Limit)
 	defer cancel()
 	fleet, err := localfleet.New(localfleet.Layout{Binary: plan.Binary, Directory: plan.Directory, Keepers: 1, Edges: 1,
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &load{plan: plan, fleet: fleet, pool: exchange.New(exchange.Options{})}
+	l := &load{plan: plan, fleet: fleet, pool: upstream.New(upstream.Options{})}
 	defer func() {
 		cancel()
 		fleet.KillAll()
@@ -70,7 +70,7 @@
 	if err := l.begin(ctx); err != nil {
 		return nil, err
 	}
-	var steps []scale.TrafficStep
+	var steps []scalereport.TrafficStep
 	for _, rate := range plan.Rates {
 		steps = append(steps, l.step(ctx, rate))
 		if ctx.Err() != nil {
@@ -85,13 +85,13 @@
 	if err := l.fleet.StartAll(); err != nil {
 		return err
 	}
-	handles := new(modelworker.Handles)
+	handles := new(fakemodelworker.Handles)
 	for i := range l.plan.Workers {
 		stage := "decode"
 		if i%prefillEvery == 0 {
 			stage = "prefill"
 		}
-		_, err := modelworker.Start(ctx, modelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i),
+		_, err := fakemodelworker.Start(ctx, fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i),
 			Service: modelService(0), Stage: stage, Address: l.fleet.Worker(i), Slots: workerSlots, Control: l.fleet.Control(),
 			Heartbeat: time.Second, TokenTime: l.plan.TokenTime, Handles: handles})
 		if err != nil {
@@ -107,13 +107,13 @@
 }
 
 // step gives the proxy a rate, waits until as many streams run as will, and measures.
-func (l *load) step(ctx context.Context, rate scale.Rate) scale.TrafficStep {
+func (l *load) step(ctx context.Context, rate scalereport.Rate) scalereport.TrafficStep {
 	ctx, cancel := context.WithCancel(ctx)
 	defer l.requests.Wait()
 	defer cancel()
 	l.requests.Go(func() { l.offer(ctx, rate) })
 	rest(ctx, time.Duration(rate.Tokens)*l.plan.TokenTime+time.Second)
-	step := scale.TrafficStep{Rate: rate}
+	step := scalereport.TrafficStep{Rate: rate}
 	l.mutex.Lock()
 	l.first = nil
 	l.mutex.Unlock()
@@ -122,13 +122,13 @@
 		before, at := l.events.Load(), time.Now()
 		use := l.measure(ctx)
 		observed := float64(l.events.Load()-before) / time.Since(at).Seconds()
-		step.Windows = append(step.Windows, scale.TrafficUse{Window: window, Events: observed, Proxy: use})
+		step.Windows = append(step.Windows, scalereport.TrafficUse{Window: window, Events: observed, Proxy: use})
 	}
 	seconds := time.Since(started).Seconds()
 	step.Served, step.Events = float64(l.served.Load()-served)/seconds, float64(l.events.Load()-events)/seconds
 	step.Failed = l.failed.Load() - failed
 	l.mutex.Lock()
-	step.First = scale.PercentilesOf(l.first)
+	step.First = scalereport.PercentilesOf(l.first)
 	l.mutex.Unlock()
 	fmt.Fprintf(l.plan.Progress, "%d requests/s of %d tokens: %.1f served/s, %.0f events/s, %d failed, first event p50 %.0f, p95 %.0f ms\n",
 		rate.Requests, rate.Tokens, step.Served, step.Events, step.Failed, step.First.P50, step.First.P95)
@@ -136,20 +136,20 @@
 }
 
 // measure returns the proxy's use over one window.
-func (l *load) measure(ctx context.Context) scale.Use {
+func (l *load) measure(ctx context.Context) scalereport.Use {
 	pid := l.fleet.Proxy(0).PID()
 	before, err := readCounters(pid)
 	at := time.Now()
 	rest(ctx, l.plan.Window)
 	after, failure := readCounters(pid)
 	if err != nil || failure != nil {
-		return scale.Use{}
+		return scalereport.Use{}
 	}
-	return scale.UseBetween(before, after, time.Since(at))
+	return scalereport.UseBetween(before, after, time.Since(at))
 }
 
 // offer sends requests at a rate, whatever becomes of them, until ctx ends.
-func (l *load) offer(ctx context.Context, rate scale.Rate) {
+func (l *load) offer(ctx context.Context, rate scalereport.Rate) {
 	ticker := time.NewTicker(time.Second / time.Duration(rate.Requests))
 	defer ticker.Stop()
 	for {
@@ -172,8 +172,8 @@
 // send sends one request and reads its stream.
 func (l *load) send(ctx context.Context, tokens int) error {
 	number, sent := l.number.Add(1), time.Now()
-	response, failure := l.pool.Do(ctx, &exchange.Call{Address: l.fleet.Front(0), Method: "POST", Target: "/v1/chat", Events: true,
-		Body: []byte("{}"), Fields: httpwire.Fields{{Name: "Host", Value: "tenant-0.example"},
+	response, failure := l.pool.Do(ctx, &upstream.Call{Address: l.fleet.Front(0), Method: "POST", Target: "/v1/chat", Events: true,
+		Body: []byte("{}"), Fields: http1.Fields{{Name: "Host", Value: "tenant-0.example"},
 			{Name: "X-Request-Id", Value: fmt.Sprintf("scale-%d", number)}, {Name: "X-Model", Value: "m"},
 			{Name: "X-Token-Count", Value: fmt.Sprintf("%d,%d", promptTokens, tokens)},
 			{Name: "X-Prompt-Prefix", Value: fmt.Sprintf("a1:800,%x:400", number)},
@@ -187,7 +187,7 @@
 	return l.readStream(response.Stream, sent, tokens)
 }
 
-func (l *load) readStream(stream *exchange.Stream, sent time.Time, tokens int) error {
+func (l *load) readStream(stream *upstream.Stream, sent time.Time, tokens int) error {
 	for came := 0; ; {
 		batch, err := stream.Next()
 		if err != nil {
--- a/internal/scale/trial/trial_test.go
+++ b/internal/testkit/scalerun/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package scalerun
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"ospreybend/internal/configuration"
-	"ospreybend/internal/localfleet"
-	"ospreybend/internal/scale"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/testkit/localfleet"
+	"ospreybend/internal/testkit/scalereport"
 )
 
 // binary is the fleet's program, built once for all tests.
@@ -22,14 +22,14 @@
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
-	directory, err := os.MkdirTemp("", "ospreyfleet-test-")
+	directory, err := os.MkdirTemp("", "inference-router-test-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(directory)
-	binary = filepath.Join(directory, "ospreyfleet")
-	if output, err := exec.Command("go", "build", "-o", binary, "ospreybend/cmd/ospreyfleet").CombinedOutput(); err != nil {
+	binary = filepath.Join(directory, "inference-router")
+	if output, err := exec.Command("go", "build", "-o", binary, "ospreybend/cmd/inference-router").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, output)
 		return 1
 	}
@@ -44,9 +44,9 @@
 
 // TestShortRun plays the whole measurement with a few nodes.
 func TestShortRun(t *testing.T) {
-	sizes := []scale.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
+	sizes := []scalereport.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
 	var progress strings.Builder
-	result, err := Play(t.Context(), Plan{Binary: binary, Directory: t.TempDir(), Sizes: sizes, Target: scale.Size{Nodes: 360, Workers: 600},
+	result, err := Play(t.Context(), Plan{Binary: binary, Directory: t.TempDir(), Sizes: sizes, Target: scalereport.Size{Nodes: 360, Workers: 600},
 		Keepers: 3, Edges: 1, Routes: 20, Window: testWindow, Windows: 2, Changes: testChanges, FarEvery: 3,
 		Far: localfleet.Link{Delay: 20 * time.Millisecond}, Heartbeat: 100 * time.Millisecond, Limit: testLimit, Progress: &progress})
 	if err != nil || len(result.Steps) != len(sizes) {
@@ -61,7 +61,7 @@
 }
 
 // checkStep tells whether all phases left figures that can be.
-func checkStep(t *testing.T, step scale.Step) {
+func checkStep(t *testing.T, step scalereport.Step) {
 	t.Helper()
 	hollow := step.Size.Nodes - 1
 	far := hollow / 3
@@ -82,7 +82,7 @@
 	}
 	roles := map[string]int{}
 	for _, process := range step.Processes {
-		if process.Phase == scale.PhaseRest && process.Use.MemoryMB > 1 {
+		if process.Phase == scalereport.PhaseRest && process.Use.MemoryMB > 1 {
 			roles[process.Role]++
 		}
 	}
@@ -93,7 +93,7 @@
 
 // TestShortTraffic measures a proxy at two low rates.
 func TestShortTraffic(t *testing.T) {
-	steps, err := PlayTraffic(t.Context(), TrafficPlan{Binary: binary, Directory: t.TempDir(), Rates: []scale.Rate{{Requests: 20, Tokens: 5}, {Requests: 40, Tokens: 5}},
+	steps, err := PlayTraffic(t.Context(), TrafficPlan{Binary: binary, Directory: t.TempDir(), Rates: []scalereport.Rate{{Requests: 20, Tokens: 5}, {Requests: 40, Tokens: 5}},
 		Workers: 3, TokenTime: 2 * time.Millisecond, Window: testWindow, Windows: 2, Limit: testLimit, Progress: io.Discard})
 	if err != nil || len(steps) != 2 {
 		t.Fatalf("%d steps, %v", len(steps), err)
@@ -106,7 +106,7 @@
 }
 
 func TestSizesBeyondTheMachineAreCut(t *testing.T) {
-	result, err := Play(t.Context(), Plan{Sizes: []scale.Size{{Nodes: 1 << 24, Workers: 1}}, Keepers: 3, Progress: io.Discard})
+	result, err := Play(t.Context(), Plan{Sizes: []scalereport.Size{{Nodes: 1 << 24, Workers: 1}}, Keepers: 3, Progress: io.Discard})
 	if err != nil || len(result.Steps) != 0 || len(result.Cuts) != 1 || result.Cuts[0].Why == "" {
 		t.Errorf("%+v, %v", result, err)
 	}
@@ -115,7 +115,7 @@
 func TestAnEndedContextEndsTheStep(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := Play(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scale.Size{{Nodes: 2, Workers: 1}}, Keepers: 3,
+	_, err := Play(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scalereport.Size{{Nodes: 2, Workers: 1}}, Keepers: 3,
 		Edges: 1, Routes: 1, Windows: 1, Limit: testLimit, Progress: io.Discard})
 	if err == nil {
 		t.Error("no error")
--- a/internal/scenario/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario plays network scenarios against the node in tests. A
+// Package scriptedpeer plays network scenarios against the node in tests. A
 // scenario is a text, one step a line:
 //
 //	NAME dial SERVICE     open a connection to a service of the stage
@@ -18,7 +18,7 @@
 // Lines that start with '#' are remarks. The clock is the stage's: no step
 // races with real time, which only bounds how long a failing step hangs. What is
 // played within a callback of the loop comes while the node reads nothing.
-package scenario
+package scriptedpeer
 
 import (
 	"errors"
@@ -34,7 +34,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ospreybend/internal/transport"
+	"ospreybend/internal/node/eventloop"
 )
 
 const (
@@ -46,7 +46,7 @@
 
 // Stage is where scenarios play: a loop with a clock of its own, and stand-ins.
 type Stage struct {
-	Loop  *transport.Loop
+	Loop  *eventloop.Loop
 	Words map[string]string // {name} in texts
 
 	t        *testing.T
@@ -68,7 +68,7 @@
 	s := &Stage{t: t, Words: map[string]string{}, services: map[string]string{},
 		standIns: map[string]net.Listener{}, offered: map[string]net.Conn{}, conns: map[string]*conn{}}
 	s.now.Store(int64(1000 * time.Hour))
-	loop, err := transport.NewLoop(func() time.Duration { return time.Duration(s.now.Load()) })
+	loop, err := eventloop.NewLoop(func() time.Duration { return time.Duration(s.now.Load()) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/load.go
+++ b/internal/util/bootconfig/load.go
@@ -1,4 +1,4 @@
-package settings
+package bootconfig
 
 import (
 	"encoding/json"
--- a/internal/settings/settings.go
+++ b/internal/util/bootconfig/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the file that the platform hands to each process of the fleet.
-package settings
+// Package bootconfig reads and checks the file that the platform hands to each process of the fleet.
+package bootconfig
 
 import "time"
 
--- a/internal/estimate/estimate.go
+++ b/internal/util/estimate/estimate.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"ospreybend/internal/stat"
+	"ospreybend/internal/util/stats"
 )
 
 const (
@@ -25,14 +25,14 @@
 // Nearness tells how far down a key's order a worker is, in workers: the least of all is its first home.
 // Whoever has the same workers has the same order.
 func Nearness(key, worker uint64, workers int) float64 {
-	return stat.Draw(key, worker) * float64(workers)
+	return stats.Draw(key, worker) * float64(workers)
 }
 
 // Delays is what is known of one worker's delays in one class.
 type Delays struct {
 	Life     time.Duration // a sample's lifetime
-	transfer stat.Window   // delay against tokens sent or moved
-	process  map[int]*stat.Window
+	transfer stats.Window  // delay against tokens sent or moved
+	process  map[int]*stats.Window
 }
 
 // AddTransfer takes in a transfer delay in seconds at a size.
@@ -49,9 +49,9 @@
 // AddProcess takes in a processing time at a load, as a multiple of what the job needs by itself.
 func (d *Delays) AddProcess(now time.Duration, bucket int, load, ratio float64) {
 	if d.process == nil {
-		d.process = map[int]*stat.Window{}
+		d.process = map[int]*stats.Window{}
 	}
-	stat.Of(d.process, bucket).Add(now, load, ratio, WindowLength)
+	stats.Of(d.process, bucket).Add(now, load, ratio, WindowLength)
 }
 
 // Process predicts the processing time at a load as such a multiple; pooled is the prediction without samples.
--- a/internal/httpwire/body.go
+++ b/internal/util/http1/body.go
@@ -1,4 +1,4 @@
-package httpwire
+package http1
 
 import (
 	"bytes"
--- a/internal/httpwire/fields.go
+++ b/internal/util/http1/fields.go
@@ -1,4 +1,4 @@
-package httpwire
+package http1
 
 // Field is one header field, name and value as they came.
 type Field struct{ Name, Value string }
--- a/internal/httpwire/input.go
+++ b/internal/util/http1/input.go
@@ -1,4 +1,4 @@
-package httpwire
+package http1
 
 const (
 	firstInput = 4 << 10  // bytes of an input's array at first
--- a/internal/stat/draw.go
+++ b/internal/util/stats/draw.go
@@ -1,4 +1,4 @@
-package stat
+package stats
 
 import "math"
 
--- a/internal/stat/stat.go
+++ b/internal/util/stats/stat.go
@@ -1,6 +1,6 @@
-// Package stat holds plain statistics: means, lines and counts that forget, windows of
+// Package stats holds plain statistics: means, lines and counts that forget, windows of
 // samples that expire, and draws that two numbers fix. It decides nothing and has no clock.
-package stat
+package stats
 
 import (
 	"math"
