--- a/coord/consensus/catchup_test.go
+++ b/coord/consensus/catchup_test.go
@@ -82,11 +82,11 @@
 	g.there.bandwidth, g.back.bandwidth = load.bandwidth, load.bandwidth
 	founders := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: learnerID}}
 	for _, id := range []MemberID{1, 2, learnerID} {
-		config := Config{ID: id, ElectionTimeout: 500 * time.Millisecond, Heartbeat: 120 * time.Millisecond,
-			MaxAppendBytes: 256 << 10, MaxInflight: 16, Seed: uint64(id), Omit: omit}
-		stored := Stored{}
+		config := Config{ID: id, ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 120 * time.Millisecond,
+			MaxAppendBytes: 256 << 10, MaxInflight: 16, Seed: uint64(id), DisabledRules: omit}
+		stored := PersistedState{}
 		if id != learnerID {
-			stored = Founding(founders, g.document)
+			stored = Bootstrap(founders, g.document)
 		}
 		g.nodes[id] = New(config, stored, g.now)
 	}
@@ -111,14 +111,14 @@
 	if g.now >= node.NextTick() {
 		node.Tick(g.now)
 	}
-	ready := node.Take()
+	ready := node.Ready()
 	if ready.Persist != nil {
 		node.Persisted(g.now, ready.Persist.Sequence)
 	}
 	for _, message := range ready.Messages {
 		switch {
 		case message.To == learnerID:
-			if message.Kind == MessageSnapshot {
+			if message.Kind == MessageInstallSnapshot {
 				g.snapshots++
 			}
 			g.there.give(g.now, message)
@@ -149,9 +149,9 @@
 		g.t.Fatal(err)
 	}
 	g.sinceCut += g.load.entry
-	if g.sinceCut > compactionBytes && leader.applied > g.compacted {
-		g.sinceCut, g.compacted = 0, leader.applied
-		leader.Compact(leader.applied, nil, g.document)
+	if g.sinceCut > compactionBytes && leader.appliedIndex > g.compacted {
+		g.sinceCut, g.compacted = 0, leader.appliedIndex
+		leader.Compact(leader.appliedIndex, nil, g.document)
 	}
 	g.keptMost = max(g.keptMost, len(leader.log.entries)*g.load.entry)
 }
@@ -169,7 +169,7 @@
 		g.step()
 		learner, leader := g.nodes[learnerID], g.leader()
 		lag := caughtUpLag + uint64(2*slowWay/g.load.change)
-		if leader != nil && learner.applied > 1 && learner.applied+lag >= leader.commit {
+		if leader != nil && learner.appliedIndex > 1 && learner.appliedIndex+lag >= leader.commitIndex {
 			return g.now - began, true
 		}
 	}
@@ -186,7 +186,7 @@
 			t.Fatalf("%+v: caught up: %t, in %v, after %d snapshots", load, caught, took, group.snapshots)
 		}
 		t.Logf("%+v: caught up in %v; the leader kept %d KiB at most", load, took, group.keptMost>>10)
-		if most := catchUpBytes + compactionBytes + 2*load.entry; group.keptMost > most {
+		if most := maxCatchUpBytes + compactionBytes + 2*load.entry; group.keptMost > most {
 			t.Errorf("%d bytes were kept", group.keptMost)
 		}
 	}
@@ -194,7 +194,7 @@
 
 // TestWithoutTheRuleALearnerIsOutrun leaves out that the leader keeps what a learner asks for next.
 func TestWithoutTheRuleALearnerIsOutrun(t *testing.T) {
-	group := newCatchUpGroup(t, largeLoad, RuleCatchUpKept)
+	group := newCatchUpGroup(t, largeLoad, RuleCatchUpRetention)
 	if took, caught := group.catchUp(); caught {
 		t.Errorf("caught up in %v all the same", took)
 	}
@@ -204,7 +204,7 @@
 // TestKeptForACatchUpIsBounded has a learner that answers heartbeats and takes nothing: what is kept for it ends.
 func TestKeptForACatchUpIsBounded(t *testing.T) {
 	n := newRuleNode(t, storedLog())
-	n.config.Trailing = -1
+	n.config.TrailingEntries = -1
 	n.lead()
 	n.saved()
 	n.hold(2, 2)
@@ -221,7 +221,7 @@
 		n.hold(2, index)
 		n.saved()
 		n.Compact(index, nil, nil)
-		if kept := len(n.log.entries) * heldChange; kept > catchUpBytes {
+		if kept := len(n.log.entries) * heldChange; kept > maxCatchUpBytes {
 			t.Fatalf("%d bytes are kept after entry %d", kept, index)
 		}
 	}
--- a/coord/consensus/cluster_test.go
+++ b/coord/consensus/cluster_test.go
@@ -15,10 +15,10 @@
 
 // testDisk is what a member has made durable.
 type testDisk struct {
-	stored Stored
+	stored PersistedState
 }
 
-func (d *testDisk) write(persist *Persist) {
+func (d *testDisk) write(persist *PersistRequest) {
 	if persist.Snapshot != nil {
 		d.stored.Snapshot = *persist.Snapshot
 		d.stored.Entries = nil
@@ -36,7 +36,7 @@
 type testMember struct {
 	node    *Node
 	disk    testDisk
-	held    []*Persist // not durable while stalled
+	held    []*PersistRequest // not durable while stalled
 	stalled bool
 	down    bool
 	applied []string
@@ -57,12 +57,12 @@
 
 func testConfig(id MemberID) Config {
 	return Config{
-		ID:              id,
-		ElectionTimeout: testElection,
-		Heartbeat:       testHeartbeat,
-		MaxAppendBytes:  1 << 10,
-		MaxInflight:     4,
-		Seed:            7,
+		ID:                id,
+		ElectionTimeout:   testElection,
+		HeartbeatInterval: testHeartbeat,
+		MaxAppendBytes:    1 << 10,
+		MaxInflight:       4,
+		Seed:              7,
 	}
 }
 
@@ -77,12 +77,12 @@
 func newTestGroup(t *testing.T, ids ...MemberID) *testGroup {
 	g := &testGroup{t: t, members: map[MemberID]*testMember{}}
 	for _, id := range ids {
-		g.add(id, Founding(testVoters(ids...), nil))
+		g.add(id, Bootstrap(testVoters(ids...), nil))
 	}
 	return g
 }
 
-func (g *testGroup) add(id MemberID, stored Stored) *testMember {
+func (g *testGroup) add(id MemberID, stored PersistedState) *testMember {
 	member := &testMember{disk: testDisk{stored: stored}}
 	member.node = New(testConfig(id), stored, g.now)
 	g.members[id] = member
@@ -102,7 +102,7 @@
 	if member.down {
 		return
 	}
-	ready := member.node.Take()
+	ready := member.node.Ready()
 	if ready.Restore != nil {
 		member.state, member.applied = string(ready.Restore.Data), nil
 	}
@@ -203,7 +203,7 @@
 	g.settle()
 }
 
-func (g *testGroup) change(change Change) {
+func (g *testGroup) change(change MembershipChange) {
 	g.t.Helper()
 	if err := g.members[g.leader()].node.ChangeMembers(g.now, change); err != nil {
 		g.t.Fatal(err)
--- a/coord/consensus/election.go
+++ b/coord/consensus/election.go
@@ -2,190 +2,190 @@
 
 import "time"
 
-// firstElectionPart is the part of the election timeout after which a member that has just started campaigns at
+// initialElectionDivisor is the part of the election timeout after which a member that has just started campaigns at
 // the soonest; at the latest it does so after half a timeout more.
-const firstElectionPart = 5
+const initialElectionDivisor = 5
 
-// silent reports whether the member's disk was empty and no leader has sent it the group's state
+// lacksGroupState reports whether the member's disk was empty and no leader has sent it the group's state
 // yet. Such a member has made no promises that it could keep.
-func (n *Node) silent() bool {
-	return len(n.members()) == 0 && n.holds(RuleEmptySilent)
+func (n *Node) lacksGroupState() bool {
+	return len(n.members()) == 0 && n.enforces(RuleEmptyDiskNoVote)
 }
 
-// mayCampaign reports whether the member may ask for votes. One whose removal is not committed may: it may be the
+// canCampaign reports whether the member may ask for votes. One whose removal is not committed may: it may be the
 // only one that holds the removal, so that no other could be elected.
-func (n *Node) mayCampaign() bool {
-	if !n.writable {
+func (n *Node) canCampaign() bool {
+	if !n.diskWritable {
 		return false
 	}
-	committed, known := findMember(n.membershipAt(n.commit).members, n.config.ID)
-	return n.isVoter(n.config.ID) || (known && n.votes(committed))
+	committed, known := findMember(n.membershipAt(n.commitIndex).members, n.config.ID)
+	return n.isVoter(n.config.ID) || (known && n.countsInQuorum(committed))
 }
 
-// hearsLeader reports whether a leader was heard within the election timeout, so that votes for
+// inLeaderLease reports whether a leader was heard within the election timeout, so that votes for
 // others are ignored.
-func (n *Node) hearsLeader() bool {
+func (n *Node) inLeaderLease() bool {
 	if n.role == RoleLeader {
 		return true
 	}
-	return n.leader != 0 && n.now-n.lastHeard < n.config.ElectionTimeout
+	return n.leaderID != 0 && n.now-n.leaderContactAt < n.config.ElectionTimeout
 }
 
-// firstDeadline is sooner than the others: after a restart of the whole group nobody leads, and where
+// setInitialElectionDeadline is sooner than the others: after a restart of the whole group nobody leads, and where
 // somebody does, the members that hear from the leader refuse the pre-vote.
-func (n *Node) firstDeadline() {
-	least := n.config.ElectionTimeout / firstElectionPart
+func (n *Node) setInitialElectionDeadline() {
+	least := n.config.ElectionTimeout / initialElectionDivisor
 	spread := n.config.ElectionTimeout / 2
 	if spread > 0 {
 		least += time.Duration(n.random.Int64N(int64(spread)))
 	}
-	n.deadline = n.now + least
+	n.electionDeadline = n.now + least
 }
 
-func (n *Node) resetDeadline() {
+func (n *Node) resetElectionDeadline() {
 	pause := n.config.ElectionTimeout
 	if pause > 0 {
 		pause += time.Duration(n.random.Int64N(int64(pause)))
 	}
-	n.deadline = n.now + pause
+	n.electionDeadline = n.now + pause
 }
 
-// electionDue starts a campaign by asking who would vote for it. While the term is not durable yet
+// startPreVote starts a campaign by asking who would vote for it. While the term is not durable yet
 // the disk is slow, and the member waits for it.
-func (n *Node) electionDue() {
-	n.resetDeadline()
-	if !n.mayCampaign() || n.disk.durable.Term != n.term {
+func (n *Node) startPreVote() {
+	n.resetElectionDeadline()
+	if !n.canCampaign() || n.persistence.durable.Term != n.term {
 		return
 	}
 	n.role = RolePreCandidate
-	n.leader = 0
-	n.grantTo = 0
-	n.ballots = map[MemberID]bool{n.config.ID: true}
-	if n.hasMajority(n.ballots) {
-		n.campaign(false)
+	n.leaderID = 0
+	n.pendingVote = 0
+	n.grantedVotes = map[MemberID]bool{n.config.ID: true}
+	if n.hasQuorum(n.grantedVotes) {
+		n.startElection(false)
 		return
 	}
-	n.askVoters(MessagePreVote, n.term+1)
+	n.broadcastVoteRequest(MessagePreVote, n.term+1)
 }
 
-// campaign enters a new term as a candidate. Votes are asked for once the term is durable.
-func (n *Node) campaign(forced bool) {
+// startElection enters a new term as a candidate. Votes are asked for once the term is durable.
+func (n *Node) startElection(forced bool) {
 	n.role = RoleCandidate
-	n.leader = 0
-	n.grantTo = 0
-	n.forced = forced
-	n.ballots = make(map[MemberID]bool)
-	n.ballotsAsked = false
+	n.leaderID = 0
+	n.pendingVote = 0
+	n.transferElection = forced
+	n.grantedVotes = make(map[MemberID]bool)
+	n.votesRequested = false
 	n.enterTerm(n.term+1, n.config.ID)
-	n.resetDeadline()
-	n.askIfDurable()
+	n.resetElectionDeadline()
+	n.requestVotesIfDurable()
 }
 
-// askIfDurable asks for votes once the candidate's own vote is durable, and counts it.
-func (n *Node) askIfDurable() {
-	if n.role != RoleCandidate || n.ballotsAsked {
+// requestVotesIfDurable asks for votes once the candidate's own vote is durable, and counts it.
+func (n *Node) requestVotesIfDurable() {
+	if n.role != RoleCandidate || n.votesRequested {
 		return
 	}
-	if !n.voteDurable(n.config.ID) && n.holds(RuleCandidateDurable) {
+	if !n.voteDurable(n.config.ID) && n.enforces(RuleCandidateTermDurable) {
 		return
 	}
-	n.ballotsAsked = true
-	n.ballots[n.config.ID] = true
-	n.askVoters(MessageVote, n.term)
-	if n.hasMajority(n.ballots) {
+	n.votesRequested = true
+	n.grantedVotes[n.config.ID] = true
+	n.broadcastVoteRequest(MessageRequestVote, n.term)
+	if n.hasQuorum(n.grantedVotes) {
 		n.becomeLeader()
 	}
 }
 
 // voteDurable reports whether the vote for a member in the present term is durable.
 func (n *Node) voteDurable(id MemberID) bool {
-	return n.disk.durable.Term == n.term && n.disk.durable.Vote == id
+	return n.persistence.durable.Term == n.term && n.persistence.durable.Vote == id
 }
 
-func (n *Node) askVoters(kind MessageKind, term uint64) {
+func (n *Node) broadcastVoteRequest(kind MessageKind, term uint64) {
 	for _, member := range n.members() {
 		if member.ID == n.config.ID || !member.Voter {
 			continue
 		}
 		n.send(Message{
-			Kind:     kind,
-			To:       member.ID,
-			Term:     term,
-			LogIndex: n.log.last(),
-			LogTerm:  n.log.lastTerm(),
-			Forced:   kind == MessageVote && n.forced,
+			Kind:               kind,
+			To:                 member.ID,
+			Term:               term,
+			LogIndex:           n.log.lastIndex(),
+			LogTerm:            n.log.lastTerm(),
+			LeadershipTransfer: kind == MessageRequestVote && n.transferElection,
 		})
 	}
 }
 
-// upToDate reports whether a candidate's log ends at least as late as the member's own.
-func (n *Node) upToDate(message Message) bool {
-	if !n.holds(RuleVoteLog) {
+// candidateUpToDate reports whether a candidate's log ends at least as late as the member's own.
+func (n *Node) candidateUpToDate(message Message) bool {
+	if !n.enforces(RuleVoteUpToDateLog) {
 		return true
 	}
 	if message.LogTerm != n.log.lastTerm() {
 		return message.LogTerm > n.log.lastTerm()
 	}
-	return message.LogIndex >= n.log.last()
+	return message.LogIndex >= n.log.lastIndex()
 }
 
-// onPreVote says whether the member would vote for the sender. It binds the member to nothing.
-func (n *Node) onPreVote(message Message) {
-	if n.hearsLeader() {
+// handlePreVote says whether the member would vote for the sender. It binds the member to nothing.
+func (n *Node) handlePreVote(message Message) {
+	if n.inLeaderLease() {
 		return
 	}
-	free := message.Term > n.term || n.vote == message.From || (n.vote == 0 && n.leader == 0)
-	if !free || !n.upToDate(message) {
+	free := message.Term > n.term || n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0)
+	if !free || !n.candidateUpToDate(message) {
 		n.send(Message{Kind: MessagePreVoteReply, To: message.From, Reject: true})
 		return
 	}
 	n.send(Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term})
 }
 
-func (n *Node) onPreVoteReply(message Message) {
+func (n *Node) handlePreVoteReply(message Message) {
 	if n.role != RolePreCandidate || message.Reject || message.Term != n.term+1 {
 		return
 	}
-	n.ballots[message.From] = true
-	if n.hasMajority(n.ballots) {
-		n.campaign(false)
+	n.grantedVotes[message.From] = true
+	if n.hasQuorum(n.grantedVotes) {
+		n.startElection(false)
 	}
 }
 
-// onVote gives the vote of this term to the first candidate whose log is late enough.
-func (n *Node) onVote(message Message) {
-	free := n.vote == message.From || (n.vote == 0 && n.leader == 0) || !n.holds(RuleVoteOnce)
-	if n.role == RoleLeader || !free || !n.upToDate(message) {
-		n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: true})
+// handleRequestVote gives the vote of this term to the first candidate whose log is late enough.
+func (n *Node) handleRequestVote(message Message) {
+	free := n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0) || !n.enforces(RuleVoteOnce)
+	if n.role == RoleLeader || !free || !n.candidateUpToDate(message) {
+		n.send(Message{Kind: MessageRequestVoteReply, To: message.From, Reject: true})
 		return
 	}
-	if n.vote != message.From {
+	if n.votedFor != message.From {
 		n.becomeFollower(n.term)
 	}
-	n.vote = message.From
-	n.grantTo = message.From
-	n.resetDeadline()
-	n.grantIfDurable()
+	n.votedFor = message.From
+	n.pendingVote = message.From
+	n.resetElectionDeadline()
+	n.grantVoteIfDurable()
 }
 
-// grantIfDurable sends a vote once it is durable.
-func (n *Node) grantIfDurable() {
-	if n.grantTo == 0 {
+// grantVoteIfDurable sends a vote once it is durable.
+func (n *Node) grantVoteIfDurable() {
+	if n.pendingVote == 0 {
 		return
 	}
-	if !n.voteDurable(n.grantTo) && n.holds(RuleVoteDurable) {
+	if !n.voteDurable(n.pendingVote) && n.enforces(RuleVoteDurable) {
 		return
 	}
-	n.send(Message{Kind: MessageVoteReply, To: n.grantTo})
-	n.grantTo = 0
+	n.send(Message{Kind: MessageRequestVoteReply, To: n.pendingVote})
+	n.pendingVote = 0
 }
 
-func (n *Node) onVoteReply(message Message) {
+func (n *Node) handleRequestVoteReply(message Message) {
 	if n.role != RoleCandidate || message.Reject {
 		return
 	}
-	n.ballots[message.From] = true
-	if n.hasMajority(n.ballots) {
+	n.grantedVotes[message.From] = true
+	if n.hasQuorum(n.grantedVotes) {
 		n.becomeLeader()
 	}
 }
@@ -193,12 +193,12 @@
 // SetWritable tells whether the member's disk takes writes. One whose disk does not campaigns no more, and hands
 // leadership over if another voter can take it.
 func (n *Node) SetWritable(now time.Duration, writable bool) {
-	n.advance(now)
-	if writable && !n.writable {
-		n.resetDeadline()
+	n.advanceClock(now)
+	if writable && !n.diskWritable {
+		n.resetElectionDeadline()
 	}
-	n.writable = writable
+	n.diskWritable = writable
 	if !writable && n.role == RoleLeader {
-		n.handOver()
+		n.startTransferToBestPeer()
 	}
 }
--- a/coord/consensus/follower.go
+++ b/coord/consensus/follower.go
@@ -2,74 +2,74 @@
 
 import "fmt"
 
-// heardLeader takes note of a message from the leader of the present term.
-func (n *Node) heardLeader(message Message) {
+// recordLeaderContact takes note of a message from the leader of the present term.
+func (n *Node) recordLeaderContact(message Message) {
 	if n.role != RoleFollower {
 		n.becomeFollower(n.term)
 	}
-	if n.leader != message.From {
-		n.leader = message.From
-		n.grantTo = 0
+	if n.leaderID != message.From {
+		n.leaderID = message.From
+		n.pendingVote = 0
 	}
-	n.lastHeard = n.now
-	n.resetDeadline()
+	n.leaderContactAt = n.now
+	n.resetElectionDeadline()
 }
 
-// noteCurrent records that the member holds all that its leader had committed.
-func (n *Node) noteCurrent(leaderCommit uint64) {
-	if (leaderCommit <= n.verified || !n.holds(RuleCurrentHeld)) && !n.silent() {
-		n.current = n.now
+// confirmIfUpToDate records that the member holds all that its leader had committed.
+func (n *Node) confirmIfUpToDate(leaderCommit uint64) {
+	if (leaderCommit <= n.verifiedIndex || !n.enforces(RuleConfirmedUpToDate)) && !n.lacksGroupState() {
+		n.confirmedAt = n.now
 	}
 }
 
-// onAppend takes entries that follow one which the member shares with its leader.
-func (n *Node) onAppend(message Message) {
+// handleAppendEntries takes entries that follow one which the member shares with its leader.
+func (n *Node) handleAppendEntries(message Message) {
 	if n.role == RoleLeader {
 		return
 	}
-	n.heardLeader(message)
-	if message.LogIndex < n.commit && n.holds(RuleAppendMatch) {
-		message = n.skipCommitted(message)
+	n.recordLeaderContact(message)
+	if message.LogIndex < n.commitIndex && n.enforces(RuleAppendLogMatching) {
+		message = n.withoutCommittedEntries(message)
 	}
-	if message.LogIndex < n.log.base || message.LogIndex > n.log.last() {
-		n.refuseAppend(message)
+	if message.LogIndex < n.log.baseIndex || message.LogIndex > n.log.lastIndex() {
+		n.rejectAppendEntries(message)
 		return
 	}
-	if !n.log.matches(message.LogIndex, message.LogTerm) && n.holds(RuleAppendMatch) {
-		n.refuseAppend(message)
+	if !n.log.matches(message.LogIndex, message.LogTerm) && n.enforces(RuleAppendLogMatching) {
+		n.rejectAppendEntries(message)
 		return
 	}
-	added := n.takeEntries(message.Entries)
+	added := n.appendMissing(message.Entries)
 	end := message.LogIndex + uint64(len(message.Entries))
-	n.verified = max(n.verified, end)
-	n.followCommit(message.Commit)
-	n.noteCurrent(message.Commit)
-	if !added || n.ackable() >= end {
+	n.verifiedIndex = max(n.verifiedIndex, end)
+	n.followLeaderCommit(message.Commit)
+	n.confirmIfUpToDate(message.Commit)
+	if !added || n.ackableIndex() >= end {
 		n.acknowledge()
 	}
 }
 
-// skipCommitted cuts off the entries of a message up to the commit index: all logs share those.
-func (n *Node) skipCommitted(message Message) Message {
+// withoutCommittedEntries cuts off the entries of a message up to the commit index: all logs share those.
+func (n *Node) withoutCommittedEntries(message Message) Message {
 	end := message.LogIndex + uint64(len(message.Entries))
-	if end <= n.commit {
+	if end <= n.commitIndex {
 		message.Entries = nil
 	} else {
-		message.Entries = message.Entries[n.commit-message.LogIndex:]
+		message.Entries = message.Entries[n.commitIndex-message.LogIndex:]
 	}
-	message.LogIndex = n.commit
-	message.LogTerm, _ = n.log.term(n.commit)
+	message.LogIndex = n.commitIndex
+	message.LogTerm, _ = n.log.term(n.commitIndex)
 	return message
 }
 
-// refuseAppend tells the leader where the logs may still agree.
-func (n *Node) refuseAppend(message Message) {
-	hint, term := n.log.findAtMost(message.LogIndex, message.LogTerm)
-	if message.LogIndex > n.log.last() {
-		hint, term = n.log.last(), n.log.lastTerm()
+// rejectAppendEntries tells the leader where the logs may still agree.
+func (n *Node) rejectAppendEntries(message Message) {
+	hint, term := n.log.findConflictByTerm(message.LogIndex, message.LogTerm)
+	if message.LogIndex > n.log.lastIndex() {
+		hint, term = n.log.lastIndex(), n.log.lastTerm()
 	}
 	n.send(Message{
-		Kind:      MessageAppendReply,
+		Kind:      MessageAppendEntriesReply,
 		To:        message.From,
 		Reject:    true,
 		LogIndex:  message.LogIndex,
@@ -78,17 +78,17 @@
 	})
 }
 
-// takeEntries appends the entries that the log does not hold yet, in place of any that conflict.
-func (n *Node) takeEntries(entries []Entry) (added bool) {
+// appendMissing appends the entries that the log does not hold yet, in place of any that conflict.
+func (n *Node) appendMissing(entries []Entry) (added bool) {
 	for at, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
-		if entry.Index <= n.log.last() {
+		if entry.Index <= n.log.lastIndex() {
 			n.truncate(entry.Index)
 		}
 		n.log.append(entries[at:]...)
-		n.noteMembers(entries[at:])
+		n.recordMemberships(entries[at:])
 		return true
 	}
 	return false
@@ -96,90 +96,90 @@
 
 // truncate drops the entries from index on, and the changes of members among them.
 func (n *Node) truncate(index uint64) {
-	if index <= n.commit {
-		panic(fmt.Errorf("%w: entry %d, committed up to %d", ErrCommittedConflict, index, n.commit))
+	if index <= n.commitIndex {
+		panic(fmt.Errorf("%w: entry %d, committed up to %d", ErrCommittedConflict, index, n.commitIndex))
 	}
 	n.log.truncate(index)
-	n.verified = min(n.verified, index-1)
-	n.disk.truncate(index)
-	if n.holds(RuleMembersRollBack) {
-		n.rollBackMembers(index)
+	n.verifiedIndex = min(n.verifiedIndex, index-1)
+	n.persistence.truncate(index)
+	if n.enforces(RuleMembershipRollback) {
+		n.rollBackMemberships(index)
 	}
 }
 
-// followCommit commits what the leader has committed and the member shares with it.
-func (n *Node) followCommit(leaderCommit uint64) {
-	if n.holds(RuleCommitVerified) {
-		leaderCommit = min(leaderCommit, n.verified)
+// followLeaderCommit commits what the leader has committed and the member shares with it.
+func (n *Node) followLeaderCommit(leaderCommit uint64) {
+	if n.enforces(RuleCommitVerified) {
+		leaderCommit = min(leaderCommit, n.verifiedIndex)
 	}
-	n.setCommit(leaderCommit)
+	n.commitTo(leaderCommit)
 }
 
-// ackable returns up to where the log is the same as the leader's and durable, in a term that is durable.
-func (n *Node) ackable() uint64 {
-	if !n.holds(RuleAppendDurable) {
-		return n.verified
+// ackableIndex returns up to where the log is the same as the leader's and durable, in a term that is durable.
+func (n *Node) ackableIndex() uint64 {
+	if !n.enforces(RuleAppendDurable) {
+		return n.verifiedIndex
 	}
-	if n.disk.durable.Term != n.term {
+	if n.persistence.durable.Term != n.term {
 		return 0
 	}
-	return min(n.verified, n.disk.stable)
+	return min(n.verifiedIndex, n.persistence.stableIndex)
 }
 
 // acknowledge tells the leader what is held durably, and in HintIndex what is held at all.
 func (n *Node) acknowledge() {
-	n.acked = n.ackable()
-	n.send(Message{Kind: MessageAppendReply, To: n.leader, LogIndex: n.acked, HintIndex: n.verified})
+	n.ackedIndex = n.ackableIndex()
+	n.send(Message{Kind: MessageAppendEntriesReply, To: n.leaderID, LogIndex: n.ackedIndex, HintIndex: n.verifiedIndex})
 }
 
-// onHeartbeat follows the leader's commit index. A heartbeat without a Context wants no answer.
-func (n *Node) onHeartbeat(message Message) {
+// handleHeartbeat follows the leader's commit index. A heartbeat without a Context wants no answer.
+func (n *Node) handleHeartbeat(message Message) {
 	if n.role == RoleLeader {
 		return
 	}
-	n.heardLeader(message)
-	n.followCommit(message.Commit)
-	n.noteCurrent(message.Commit)
-	if message.Context == 0 {
+	n.recordLeaderContact(message)
+	n.followLeaderCommit(message.Commit)
+	n.confirmIfUpToDate(message.Commit)
+	if message.HeartbeatRound == 0 {
 		return
 	}
 	n.send(Message{
-		Kind:      MessageHeartbeatReply,
-		To:        message.From,
-		Context:   message.Context,
-		LogIndex:  n.verified,
-		HintIndex: n.ackable(),
+		Kind:           MessageHeartbeatReply,
+		To:             message.From,
+		HeartbeatRound: message.HeartbeatRound,
+		LogIndex:       n.verifiedIndex,
+		HintIndex:      n.ackableIndex(),
 	})
 }
 
-// onSnapshot takes the group's state in place of the log, unless the log holds it already.
-func (n *Node) onSnapshot(message Message) {
+// handleInstallSnapshot takes the group's state in place of the log, unless the log holds it already.
+func (n *Node) handleInstallSnapshot(message Message) {
 	if n.role == RoleLeader || message.Snapshot == nil {
 		return
 	}
-	n.heardLeader(message)
+	n.recordLeaderContact(message)
 	snapshot := message.Snapshot
 	switch {
-	case snapshot.Index <= n.commit:
+	case snapshot.Index <= n.commitIndex:
 	case n.log.matches(snapshot.Index, snapshot.Term):
-		n.verified = max(n.verified, snapshot.Index)
-		n.setCommit(snapshot.Index)
+		n.verifiedIndex = max(n.verifiedIndex, snapshot.Index)
+		n.commitTo(snapshot.Index)
 	default:
-		n.install(*snapshot)
+		n.installSnapshot(*snapshot)
 		return
 	}
 	n.acknowledge()
 }
 
-// install replaces the log by a snapshot.
-func (n *Node) install(snapshot Snapshot) {
-	n.disk.replace(n.commit, snapshot.Index)
-	n.log = entryLog{base: snapshot.Index, baseTerm: snapshot.Term}
+// installSnapshot replaces the log by a snapshot.
+func (n *Node) installSnapshot(snapshot Snapshot) {
+	n.persistence.replace(n.commitIndex, snapshot.Index)
+	n.log = entryLog{baseIndex: snapshot.Index, baseTerm: snapshot.Term}
 	n.snapshot = snapshot
 	n.memberships = []membership{newMembership(snapshot.Index, snapshot.Members)}
-	n.commit = snapshot.Index
-	n.applied = snapshot.Index
-	n.verified = snapshot.Index
-	n.restorePoint = &snapshot
-	n.pendingInsert = &snapshot
+	n.commitIndex = snapshot.Index
+	n.appliedIndex = snapshot.Index
+	n.verifiedIndex = snapshot.Index
+	n.pendingRestore = &snapshot
+	n.unpersistedSnapshot = &snapshot
 }
--- a/coord/consensus/group_test.go
+++ b/coord/consensus/group_test.go
@@ -37,7 +37,7 @@
 	node := g.elect()
 	g.propose("a")
 	g.wantApplied(1, "a")
-	if err := node.Read(g.now, 5); err != nil {
+	if err := node.ReadIndex(g.now, 5); err != nil {
 		t.Fatal(err)
 	}
 	g.settle()
@@ -52,18 +52,18 @@
 	g.propose("a")
 	lost := g.others(g.leader())[0]
 	g.members[lost].down = true
-	g.add(9, Stored{})
+	g.add(9, PersistedState{})
 	g.run(testElection)
 	if status := g.members[9].node.Status(); status.Term != 0 || status.Role != RoleFollower {
 		t.Fatalf("empty member acts: %+v", status)
 	}
 	added := Member{ID: 9, Address: "10.0.0.9:1"}
-	g.change(Change{Add: &added})
+	g.change(MembershipChange{Add: &added})
 	g.run(testElection)
 	g.wantApplied(9, "a")
 	added.Voter = true
-	g.change(Change{Add: &added})
-	g.change(Change{Remove: lost})
+	g.change(MembershipChange{Add: &added})
+	g.change(MembershipChange{Remove: lost})
 	g.propose("b")
 	g.wantApplied(9, "a", "b")
 	if members := leader.Status().Members; len(members) != 3 {
@@ -77,12 +77,12 @@
 	for range 400 {
 		g.propose("x")
 	}
-	leader.Compact(leader.Status().Applied, nil, []byte("state"))
-	if leader.Status().First == 2 {
+	leader.Compact(leader.Status().AppliedIndex, nil, []byte("state"))
+	if leader.Status().FirstIndex == 2 {
 		t.Fatal("nothing was compacted")
 	}
-	g.add(9, Stored{})
-	g.change(Change{Add: &Member{ID: 9, Address: "10.0.0.9:1"}})
+	g.add(9, PersistedState{})
+	g.change(MembershipChange{Add: &Member{ID: 9, Address: "10.0.0.9:1"}})
 	g.run(testElection)
 	g.propose("b")
 	g.wantApplied(9, "b")
@@ -99,10 +99,10 @@
 	leader := g.elect()
 	to := g.others(g.leader())[1]
 	before := g.now
-	if err := leader.Transfer(g.now, to); err != nil {
+	if err := leader.TransferLeadership(g.now, to); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrTransferring) {
+	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrTransferInProgress) {
 		t.Fatalf("propose during a transfer: %v", err)
 	}
 	g.settle()
@@ -150,14 +150,14 @@
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	for _, id := range g.order {
-		if age := g.now - g.members[id].node.Status().Confirmed; age > 2*testHeartbeat {
+		if age := g.now - g.members[id].node.Status().ConfirmedAt; age > 2*testHeartbeat {
 			t.Errorf("member %d: confirmed %v ago", id, age)
 		}
 	}
 	cut := g.others(g.leader())[0]
 	g.members[cut].down = true
 	g.run(2 * time.Second)
-	if age := g.now - g.members[cut].node.Status().Confirmed; age < 2*time.Second {
+	if age := g.now - g.members[cut].node.Status().ConfirmedAt; age < 2*time.Second {
 		t.Errorf("cut member: confirmed %v ago", age)
 	}
 }
--- a/coord/consensus/leader.go
+++ b/coord/consensus/leader.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// leadership is what a leader knows of its term.
-type leadership struct {
-	peers         []*progress
-	since         time.Duration
-	nextHeartbeat time.Duration
-	rounds        []round // sent and not too long ago
-	lastRound     uint64
-	waitingBytes  int // of own entries that are not committed
-	reads         readQueue
-	transfer      handover
-}
-
-// round is one round of heartbeats.
-type round struct {
+// leaderState is what a leader knows of its term.
+type leaderState struct {
+	peers            []*progress
+	electedAt        time.Duration
+	nextHeartbeat    time.Duration
+	rounds           []heartbeatRound // sent and not too long ago
+	lastRound        uint64
+	uncommittedBytes int // of own entries that are not committed
+	reads            readQueue
+	transfer         leadershipTransfer
+}
+
+// heartbeatRound is one round of heartbeats.
+type heartbeatRound struct {
 	number uint64
-	sent   time.Duration
+	sentAt time.Duration
 }
 
 // Bounds of the entries that may wait for a majority.
 const (
-	maxWaitingEntries = 4096
-	maxWaitingBytes   = 16 << 20
+	maxUncommittedEntries = 4096
+	maxUncommittedBytes   = 16 << 20
 )
 
-func (l *leadership) nextTick() time.Duration {
-	if l.transfer.to != 0 {
+func (l *leaderState) nextTick() time.Duration {
+	if l.transfer.target != 0 {
 		return min(l.nextHeartbeat, l.transfer.deadline)
 	}
 	return l.nextHeartbeat
@@ -36,39 +36,39 @@
 // becomeLeader starts a term as leader with an entry of its own.
 func (n *Node) becomeLeader() {
 	n.role = RoleLeader
-	n.leader = n.config.ID
-	n.ballots = nil
-	n.leading = leadership{since: n.now}
-	n.matchPeers()
-	n.appendOwn(Entry{Kind: EntryNoop})
-	n.startRound()
+	n.leaderID = n.config.ID
+	n.grantedVotes = nil
+	n.leaderState = leaderState{electedAt: n.now}
+	n.syncPeers()
+	n.appendEntry(Entry{Kind: EntryNoop})
+	n.broadcastHeartbeat()
 	n.advanceCommit()
 }
 
-// stopLeading answers what waits for the leader, and forgets its peers.
-func (n *Node) stopLeading() {
+// resetLeaderState answers what waits for the leader, and forgets its peers.
+func (n *Node) resetLeaderState() {
 	n.failReads()
-	n.leading = leadership{}
-	n.current = 0
+	n.leaderState = leaderState{}
+	n.confirmedAt = 0
 }
 
-// appendOwn appends an entry of the present term.
-func (n *Node) appendOwn(entry Entry) Entry {
+// appendEntry appends an entry of the present term.
+func (n *Node) appendEntry(entry Entry) Entry {
 	entry.Term = n.term
-	entry.Index = n.log.last() + 1
+	entry.Index = n.log.lastIndex() + 1
 	n.log.append(entry)
-	n.noteMembers([]Entry{entry})
-	n.leading.waitingBytes += entrySize(&entry)
+	n.recordMemberships([]Entry{entry})
+	n.leaderState.uncommittedBytes += entrySize(&entry)
 	return entry
 }
 
-// mayPropose reports why the member cannot take a proposal.
-func (n *Node) mayPropose() error {
+// checkProposable reports why the member cannot take a proposal.
+func (n *Node) checkProposable() error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
 	}
-	if n.leading.transfer.to != 0 {
-		return ErrTransferring
+	if n.leaderState.transfer.target != 0 {
+		return ErrTransferInProgress
 	}
 	return nil
 }
@@ -77,17 +77,17 @@
 // index; it is lost if an entry of another term takes its place.
 // Errors: ErrNotLeader, ErrTransferring, ErrBusy.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
-	n.advance(now)
+	n.advanceClock(now)
 	n.checkQuorum()
-	if err := n.mayPropose(); err != nil {
+	if err := n.checkProposable(); err != nil {
 		return 0, 0, err
 	}
-	waiting := n.log.last() - n.commit
-	if waiting >= maxWaitingEntries || (n.leading.waitingBytes >= maxWaitingBytes && waiting > 0) {
-		return 0, 0, ErrBusy
+	waiting := n.log.lastIndex() - n.commitIndex
+	if waiting >= maxUncommittedEntries || (n.leaderState.uncommittedBytes >= maxUncommittedBytes && waiting > 0) {
+		return 0, 0, ErrTooManyUncommitted
 	}
-	entry := n.appendOwn(Entry{Kind: EntryCommand, Data: data})
-	if !n.holds(RuleLeaderDurable) {
+	entry := n.appendEntry(Entry{Kind: EntryCommand, Data: data})
+	if !n.enforces(RuleLeaderEntriesDurable) {
 		n.advanceCommit()
 	}
 	return entry.Term, entry.Index, nil
@@ -99,9 +99,9 @@
 	if n.role != RoleLeader {
 		return
 	}
-	n.checkTransfer()
-	if n.now >= n.leading.nextHeartbeat {
-		n.startRound()
+	n.tickTransfer()
+	if n.now >= n.leaderState.nextHeartbeat {
+		n.broadcastHeartbeat()
 	}
 }
 
@@ -110,56 +110,56 @@
 	if n.role != RoleLeader {
 		return
 	}
-	if n.now-max(n.quorumAnswered(), n.leading.since) > n.config.ElectionTimeout {
+	if n.now-max(n.quorumContactAt(), n.leaderState.electedAt) > n.config.ElectionTimeout {
 		n.becomeFollower(n.term)
 	}
 }
 
-// quorumAnswered returns the time by which a heartbeat was sent that a majority has answered.
-func (n *Node) quorumAnswered() time.Duration {
-	return time.Duration(reachedByMajority(n, n.members(), n.answeredBy))
+// quorumContactAt returns the time by which a heartbeat was sent that a majority has answered.
+func (n *Node) quorumContactAt() time.Duration {
+	return time.Duration(quorumValue(n, n.members(), n.contactAt))
 }
 
-// answeredBy returns when the heartbeat was sent that a member answered last.
-func (n *Node) answeredBy(id MemberID) uint64 {
+// contactAt returns when the heartbeat was sent that a member answered last.
+func (n *Node) contactAt(id MemberID) uint64 {
 	if id == n.config.ID {
 		return uint64(n.now)
 	}
 	if peer := n.peer(id); peer != nil {
-		return uint64(peer.answered)
+		return uint64(peer.contactAt)
 	}
 	return 0
 }
 
-// startRound sends a heartbeat to all peers. Reads that wait are confirmed by its answers.
-func (n *Node) startRound() {
-	leading := &n.leading
+// broadcastHeartbeat sends a heartbeat to all peers. Reads that wait are confirmed by its answers.
+func (n *Node) broadcastHeartbeat() {
+	leading := &n.leaderState
 	leading.lastRound++
-	leading.nextHeartbeat = n.now + n.config.Heartbeat
-	n.forgetRounds()
-	leading.rounds = append(leading.rounds, round{number: leading.lastRound, sent: n.now})
+	leading.nextHeartbeat = n.now + n.config.HeartbeatInterval
+	n.dropExpiredRounds()
+	leading.rounds = append(leading.rounds, heartbeatRound{number: leading.lastRound, sentAt: n.now})
 	n.assignReads()
 	for _, peer := range leading.peers {
-		peer.heartbeatSent(leading.lastRound)
-		peer.told = n.commit
-		n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commit, Context: leading.lastRound})
+		peer.startLossCheck(leading.lastRound)
+		peer.sentCommit = n.commitIndex
+		n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commitIndex, HeartbeatRound: leading.lastRound})
 	}
 	n.confirmReads()
 }
 
-// forgetRounds drops rounds so old that an answer to them is worth nothing.
-func (n *Node) forgetRounds() {
-	rounds := n.leading.rounds
-	for len(rounds) > 0 && n.now-rounds[0].sent > n.config.ElectionTimeout {
+// dropExpiredRounds drops rounds so old that an answer to them is worth nothing.
+func (n *Node) dropExpiredRounds() {
+	rounds := n.leaderState.rounds
+	for len(rounds) > 0 && n.now-rounds[0].sentAt > n.config.ElectionTimeout {
 		rounds = rounds[1:]
 	}
-	n.leading.rounds = rounds
+	n.leaderState.rounds = rounds
 }
 
-func (n *Node) roundSent(number uint64) (time.Duration, bool) {
-	for _, sent := range n.leading.rounds {
+func (n *Node) roundSentAt(number uint64) (time.Duration, bool) {
+	for _, sent := range n.leaderState.rounds {
 		if sent.number == number {
-			return sent.sent, true
+			return sent.sentAt, true
 		}
 	}
 	return 0, false
@@ -170,61 +170,61 @@
 	if n.role != RoleLeader {
 		return
 	}
-	held := reachedByMajority(n, n.members(), n.heldBy)
-	if !n.holds(RuleCommitMajority) {
-		held = n.heldBy(n.config.ID)
+	held := quorumValue(n, n.members(), n.matchIndexOf)
+	if !n.enforces(RuleCommitMajority) {
+		held = n.matchIndexOf(n.config.ID)
 	}
-	if held <= n.commit {
+	if held <= n.commitIndex {
 		return
 	}
 	term, _ := n.log.term(held)
-	if term != n.term && n.holds(RuleCommitOwnTerm) {
+	if term != n.term && n.enforces(RuleCommitCurrentTerm) {
 		return
 	}
-	n.settleWaiting(held)
-	n.setCommit(held)
-	n.verified = n.commit
-	n.finishChange()
+	n.releaseUncommitted(held)
+	n.commitTo(held)
+	n.verifiedIndex = n.commitIndex
+	n.finishMembershipChange()
 }
 
-// settleWaiting counts off the entries that become committed.
-func (n *Node) settleWaiting(held uint64) {
-	for _, entry := range n.log.span(n.commit+1, held) {
+// releaseUncommitted counts off the entries that become committed.
+func (n *Node) releaseUncommitted(held uint64) {
+	for _, entry := range n.log.span(n.commitIndex+1, held) {
 		if entry.Term == n.term {
-			n.leading.waitingBytes -= entrySize(&entry)
+			n.leaderState.uncommittedBytes -= entrySize(&entry)
 		}
 	}
 }
 
-// heldBy returns the last entry that a member holds durably.
-func (n *Node) heldBy(id MemberID) uint64 {
+// matchIndexOf returns the last entry that a member holds durably.
+func (n *Node) matchIndexOf(id MemberID) uint64 {
 	if id == n.config.ID {
-		if !n.holds(RuleLeaderDurable) {
-			return n.log.last()
+		if !n.enforces(RuleLeaderEntriesDurable) {
+			return n.log.lastIndex()
 		}
-		return n.disk.stable
+		return n.persistence.stableIndex
 	}
 	if peer := n.peer(id); peer != nil {
-		return peer.match
+		return peer.matchIndex
 	}
 	return 0
 }
 
-// finishChange acts on a committed change of members: removed peers get a last word, and a
+// finishMembershipChange acts on a committed change of members: removed peers get a last word, and a
 // leader that is no voter any more steps down.
-func (n *Node) finishChange() {
-	if n.memberships[len(n.memberships)-1].index > n.commit {
+func (n *Node) finishMembershipChange() {
+	if n.memberships[len(n.memberships)-1].index > n.commitIndex {
 		return
 	}
-	n.dismissPeers()
+	n.dropRemovedPeers()
 	if n.isVoter(n.config.ID) {
 		return
 	}
-	for _, peer := range n.leading.peers {
-		n.tellCommit(peer)
+	for _, peer := range n.leaderState.peers {
+		n.sendCommitIndex(peer)
 	}
-	if successor := n.successor(); successor != nil && successor.match == n.log.last() {
-		n.send(Message{Kind: MessageTransferNow, To: successor.id})
+	if successor := n.bestTransferTarget(); successor != nil && successor.matchIndex == n.log.lastIndex() {
+		n.send(Message{Kind: MessageTimeoutNow, To: successor.id})
 	}
 	n.becomeFollower(n.term)
 }
--- a/coord/consensus/log.go
+++ b/coord/consensus/log.go
@@ -5,29 +5,29 @@
 // entryLog holds the entries after base. Slices handed out stay valid: entries are never
 // overwritten in place.
 type entryLog struct {
-	base     uint64 // index before the first entry held
-	baseTerm uint64
-	entries  []Entry
+	baseIndex uint64 // index before the first entry held
+	baseTerm  uint64
+	entries   []Entry
 }
 
-func (l *entryLog) first() uint64 { return l.base + 1 }
+func (l *entryLog) firstIndex() uint64 { return l.baseIndex + 1 }
 
-func (l *entryLog) last() uint64 { return l.base + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
 func (l *entryLog) lastTerm() uint64 {
-	term, _ := l.term(l.last())
+	term, _ := l.term(l.lastIndex())
 	return term
 }
 
 // term returns the term of the entry at index, and false if the entry is not held.
 func (l *entryLog) term(index uint64) (uint64, bool) {
-	if index == l.base {
+	if index == l.baseIndex {
 		return l.baseTerm, true
 	}
-	if index < l.base || index > l.last() {
+	if index < l.baseIndex || index > l.lastIndex() {
 		return 0, false
 	}
-	return l.entries[index-l.base-1].Term, true
+	return l.entries[index-l.baseIndex-1].Term, true
 }
 
 // matches reports whether the log holds an entry of the given index and term.
@@ -41,15 +41,15 @@
 	if first > last {
 		return nil
 	}
-	from, to := first-l.base-1, last-l.base
+	from, to := first-l.baseIndex-1, last-l.baseIndex
 	return l.entries[from:to:to]
 }
 
-// limited returns entries from first on with at most maxBytes, and at least one if there is one.
-func (l *entryLog) limited(first uint64, maxBytes int) []Entry {
+// sizeLimited returns entries from first on with at most maxBytes, and at least one if there is one.
+func (l *entryLog) sizeLimited(first uint64, maxBytes int) []Entry {
 	last, size := first, 0
-	for ; last <= l.last(); last++ {
-		size += entrySize(&l.entries[last-l.base-1])
+	for ; last <= l.lastIndex(); last++ {
+		size += entrySize(&l.entries[last-l.baseIndex-1])
 		if size > maxBytes && last > first {
 			break
 		}
@@ -64,38 +64,38 @@
 // truncate drops the entries from index on. The rest is copied, since dropped entries may
 // still be on their way to the disk or to a peer.
 func (l *entryLog) truncate(index uint64) {
-	l.entries = slices.Clone(l.entries[:index-l.base-1])
+	l.entries = slices.Clone(l.entries[:index-l.baseIndex-1])
 }
 
-// drop forgets the entries up to index.
-func (l *entryLog) drop(index uint64) {
-	if index <= l.base {
+// compact forgets the entries up to index.
+func (l *entryLog) compact(index uint64) {
+	if index <= l.baseIndex {
 		return
 	}
 	term, _ := l.term(index)
-	l.entries = slices.Clone(l.entries[index-l.base:])
-	l.base, l.baseTerm = index, term
+	l.entries = slices.Clone(l.entries[index-l.baseIndex:])
+	l.baseIndex, l.baseTerm = index, term
 }
 
-// findAtMost returns the highest index up to limit whose term is at most term. It ends at base.
-func (l *entryLog) findAtMost(limit, term uint64) (index, found uint64) {
-	index = min(limit, l.last())
-	for index > l.base {
+// findConflictByTerm returns the highest index up to limit whose term is at most term. It ends at base.
+func (l *entryLog) findConflictByTerm(limit, term uint64) (index, found uint64) {
+	index = min(limit, l.lastIndex())
+	for index > l.baseIndex {
 		own, _ := l.term(index)
 		if own <= term {
 			return index, own
 		}
 		index--
 	}
-	return l.base, l.baseTerm
+	return l.baseIndex, l.baseTerm
 }
 
 // entryOverhead is the assumed cost of an entry's fields in a message, in bytes.
 const entryOverhead = 24
 
-// memberSize is the assumed cost of a member in a message, in bytes.
-const memberSize = 40
+// memberOverhead is the assumed cost of a member in a message, in bytes.
+const memberOverhead = 40
 
 func entrySize(entry *Entry) int {
-	return entryOverhead + len(entry.Data) + memberSize*len(entry.Members)
+	return entryOverhead + len(entry.Data) + memberOverhead*len(entry.Members)
 }
--- a/coord/consensus/members.go
+++ b/coord/consensus/members.go
@@ -25,8 +25,8 @@
 	return made
 }
 
-// Change adds, alters or removes one member.
-type Change struct {
+// MembershipChange adds, alters or removes one member.
+type MembershipChange struct {
 	Add    *Member  // a new learner, or a member as it shall be from now on
 	Remove MemberID // if Add is nil
 	Retire bool     // with Remove: the group remembers the ID, which is never a member again
@@ -35,8 +35,8 @@
 // maxRetired bounds the remembered IDs; beyond it the oldest are forgotten.
 const maxRetired = 64
 
-// promotionLag is how many entries a learner may lack when it becomes a voter.
-const promotionLag = 256
+// maxPromotionLag is how many entries a learner may lack when it becomes a voter.
+const maxPromotionLag = 256
 
 // members returns the membership in force: the last one in the log, committed or not.
 func (n *Node) members() []Member {
@@ -57,24 +57,24 @@
 	return n.memberships[at]
 }
 
-// noteMembers takes over the memberships in appended entries.
-func (n *Node) noteMembers(entries []Entry) {
+// recordMemberships takes over the memberships in appended entries.
+func (n *Node) recordMemberships(entries []Entry) {
 	for _, entry := range entries {
-		if entry.Kind == EntryMembers {
+		if entry.Kind == EntryMembership {
 			n.memberships = append(n.memberships, newMembership(entry.Index, entry.Members))
 		}
 	}
 }
 
-// rollBackMembers undoes the memberships from index on.
-func (n *Node) rollBackMembers(index uint64) {
+// rollBackMemberships undoes the memberships from index on.
+func (n *Node) rollBackMemberships(index uint64) {
 	for len(n.memberships) > 1 && n.memberships[len(n.memberships)-1].index >= index {
 		n.memberships = n.memberships[:len(n.memberships)-1]
 	}
 }
 
-// forgetMembers drops the memberships before the one at index.
-func (n *Node) forgetMembers(index uint64) {
+// compactMemberships drops the memberships before the one at index.
+func (n *Node) compactMemberships(index uint64) {
 	first := 0
 	for first+1 < len(n.memberships) && n.memberships[first+1].index <= index {
 		first++
@@ -84,12 +84,12 @@
 
 func (n *Node) isVoter(id MemberID) bool {
 	member, known := findMember(n.members(), id)
-	return known && n.votes(member)
+	return known && n.countsInQuorum(member)
 }
 
-// votes reports whether a member counts in majorities.
-func (n *Node) votes(member Member) bool {
-	return member.Voter || !n.holds(RuleLearnerNoMajority)
+// countsInQuorum reports whether a member counts in majorities.
+func (n *Node) countsInQuorum(member Member) bool {
+	return member.Voter || !n.enforces(RuleLearnerNoQuorum)
 }
 
 func findMember(members []Member, id MemberID) (Member, bool) {
@@ -101,11 +101,11 @@
 	return Member{}, false
 }
 
-// hasMajority reports whether a majority of the voters is in a set.
-func (n *Node) hasMajority(set map[MemberID]bool) bool {
+// hasQuorum reports whether a majority of the voters is in a set.
+func (n *Node) hasQuorum(set map[MemberID]bool) bool {
 	voters, held := 0, 0
 	for _, member := range n.members() {
-		if !n.votes(member) {
+		if !n.countsInQuorum(member) {
 			continue
 		}
 		voters++
@@ -119,12 +119,12 @@
 // maxVotersInline is the group size up to which a majority is found without allocating.
 const maxVotersInline = 16
 
-// reachedByMajority returns the highest value that a majority of voters has reached, 0 without voters.
-func reachedByMajority(n *Node, members []Member, value func(MemberID) uint64) uint64 {
+// quorumValue returns the highest value that a majority of voters has reached, 0 without voters.
+func quorumValue(n *Node, members []Member, value func(MemberID) uint64) uint64 {
 	var space [maxVotersInline]uint64
 	values := space[:0]
 	for _, member := range members {
-		if n.votes(member) {
+		if n.countsInQuorum(member) {
 			values = append(values, value(member.ID))
 		}
 	}
@@ -139,35 +139,35 @@
 // taken when it is committed. A member enters as a learner and becomes a voter once it holds
 // nearly all of the log. A change that changes nothing costs no entry.
 // Errors: ErrNotLeader, ErrTransferring, ErrMemberChange.
-func (n *Node) ChangeMembers(now time.Duration, change Change) error {
-	n.advance(now)
+func (n *Node) ChangeMembers(now time.Duration, change MembershipChange) error {
+	n.advanceClock(now)
 	n.checkQuorum()
-	if err := n.mayPropose(); err != nil {
+	if err := n.checkProposable(); err != nil {
 		return err
 	}
-	if n.memberships[len(n.memberships)-1].index > n.commit && n.holds(RuleMembersOneByOne) {
-		return ErrMemberChange
+	if n.memberships[len(n.memberships)-1].index > n.commitIndex && n.enforces(RuleMembershipSingleChange) {
+		return ErrMembershipChange
 	}
-	if !n.ownTermCommitted() && n.holds(RuleMembersOwnTerm) {
-		return ErrMemberChange
+	if !n.currentTermCommitted() && n.enforces(RuleMembershipCurrentTerm) {
+		return ErrMembershipChange
 	}
-	recorded, changed := changedMembers(n.recorded(), change)
+	recorded, changed := applyChange(n.recorded(), change)
 	if !changed {
 		return nil
 	}
-	if !n.allowsMembers(change, newMembership(0, recorded).members) {
-		return ErrMemberChange
+	if !n.changeAllowed(change, newMembership(0, recorded).members) {
+		return ErrMembershipChange
 	}
-	n.appendOwn(Entry{Kind: EntryMembers, Members: recorded})
-	n.matchPeers()
+	n.appendEntry(Entry{Kind: EntryMembership, Members: recorded})
+	n.syncPeers()
 	n.advanceCommit()
 	return nil
 }
 
-// changedMembers returns the recorded members after a change, and whether they differ.
-func changedMembers(recorded []Member, change Change) ([]Member, bool) {
+// applyChange returns the recorded members after a change, and whether they differ.
+func applyChange(recorded []Member, change MembershipChange) ([]Member, bool) {
 	if change.Add == nil {
-		return withoutMember(recorded, change)
+		return removeMember(recorded, change)
 	}
 	altered := slices.Clone(recorded)
 	for at, member := range altered {
@@ -179,8 +179,8 @@
 	return append(altered, *change.Add), true
 }
 
-// withoutMember removes a member and leaves its mark if it is retired.
-func withoutMember(recorded []Member, change Change) ([]Member, bool) {
+// removeMember removes a member and leaves its mark if it is retired.
+func removeMember(recorded []Member, change MembershipChange) ([]Member, bool) {
 	member, known := findMember(recorded, change.Remove)
 	if !known || member.Retired {
 		return recorded, false
@@ -189,11 +189,11 @@
 	if !change.Retire {
 		return kept, true
 	}
-	return forgetOldestRetired(append(kept, Member{ID: change.Remove, Retired: true})), true
+	return trimRetired(append(kept, Member{ID: change.Remove, Retired: true})), true
 }
 
-// forgetOldestRetired drops the marks beyond the bound. Marks stand in the order in which they were made.
-func forgetOldestRetired(recorded []Member) []Member {
+// trimRetired drops the marks beyond the bound. Marks stand in the order in which they were made.
+func trimRetired(recorded []Member) []Member {
 	surplus := -maxRetired
 	for _, member := range recorded {
 		if member.Retired {
@@ -209,10 +209,10 @@
 	})
 }
 
-// allowsMembers reports whether a change is a single, sound one: a voter was a current learner before, and a
+// changeAllowed reports whether a change is a single, sound one: a voter was a current learner before, and a
 // majority of the new voters is reachable.
-func (n *Node) allowsMembers(change Change, members []Member) bool {
-	if change.Add != nil && !n.allowsAdd(*change.Add, change.Remove) {
+func (n *Node) changeAllowed(change MembershipChange, members []Member) bool {
+	if change.Add != nil && !n.addAllowed(*change.Add, change.Remove) {
 		return false
 	}
 	voters := 0
@@ -221,44 +221,44 @@
 			voters++
 		}
 	}
-	answered := reachedByMajority(n, members, n.answeredBy)
+	answered := quorumValue(n, members, n.contactAt)
 	return voters > 0 && n.now-time.Duration(answered) <= n.config.ElectionTimeout
 }
 
-func (n *Node) allowsAdd(added Member, removed MemberID) bool {
+func (n *Node) addAllowed(added Member, removed MemberID) bool {
 	if added.ID == 0 || removed != 0 || added.Retired {
 		return false
 	}
-	if known, found := findMember(n.recorded(), added.ID); found && known.Retired && n.holds(RuleRetiredStayOut) {
+	if known, found := findMember(n.recorded(), added.ID); found && known.Retired && n.enforces(RuleRetiredNeverReturns) {
 		return false
 	}
-	return !added.Voter || n.isVoter(added.ID) || n.MayPromote(added.ID)
+	return !added.Voter || n.isVoter(added.ID) || n.CanPromote(added.ID)
 }
 
-// MayPromote reports whether a learner could be made a voter now: it answers, and what it has acknowledged as durable is
+// CanPromote reports whether a learner could be made a voter now: it answers, and what it has acknowledged as durable is
 // nearly all of the log. Only the leader knows.
-func (n *Node) MayPromote(id MemberID) bool {
+func (n *Node) CanPromote(id MemberID) bool {
 	peer := n.peer(id)
-	if n.role != RoleLeader || peer == nil || peer.leaving {
+	if n.role != RoleLeader || peer == nil || peer.removing {
 		return false
 	}
-	answers := peer.round > 0 && n.now-peer.answered <= n.config.ElectionTimeout
-	holds := peer.match+promotionLag >= n.log.last() && peer.match >= n.memberships[len(n.memberships)-1].index
+	answers := peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
+	holds := peer.matchIndex+maxPromotionLag >= n.log.lastIndex() && peer.matchIndex >= n.memberships[len(n.memberships)-1].index
 	return answers && holds
 }
 
-// Matched returns the last entry that a member is known to hold durably. It returns false on any member but the
+// MatchIndex returns the last entry that a member is known to hold durably. It returns false on any member but the
 // leader, and for an unknown member.
-func (n *Node) Matched(id MemberID) (index uint64, known bool) {
+func (n *Node) MatchIndex(id MemberID) (index uint64, known bool) {
 	if n.role != RoleLeader {
 		return 0, false
 	}
 	if id == n.config.ID {
-		return n.disk.stable, true
+		return n.persistence.stableIndex, true
 	}
 	peer := n.peer(id)
 	if peer == nil {
 		return 0, false
 	}
-	return peer.match, true
+	return peer.matchIndex, true
 }
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -10,16 +10,16 @@
 	gap := storedLog(2, 2)
 	gap.Entries = gap.Entries[1:]
 	falling := storedLog(3, 2)
-	for name, stored := range map[string]Stored{
+	for name, stored := range map[string]PersistedState{
 		"gap":              gap,
 		"falling terms":    falling,
 		"without snapshot": {Entries: []Entry{{Term: 1, Index: 1}}},
 	} {
-		if err := stored.Check(); !errors.Is(err, ErrStored) {
+		if err := stored.Check(); !errors.Is(err, ErrInvalidState) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, stored := range map[string]Stored{"empty": {}, "founding": storedLog(), "entries": storedLog(2, 3)} {
+	for name, stored := range map[string]PersistedState{"empty": {}, "founding": storedLog(), "entries": storedLog(2, 3)} {
 		if err := stored.Check(); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -33,7 +33,7 @@
 	if term := n.Status().Term; term != 7 {
 		t.Fatalf("term %d", term)
 	}
-	ready := n.Take()
+	ready := n.Ready()
 	if ready.Persist == nil || ready.Persist.HardState.Term != 7 || ready.Persist.HardState.Vote != 0 {
 		t.Fatalf("persist %+v", ready.Persist)
 	}
@@ -53,8 +53,8 @@
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 3})
 		n.saved()
 		n.now = test.pause
-		n.step(Message{Kind: MessageVote, From: 3, Term: 4, LogIndex: 9, LogTerm: 3, Forced: test.forced})
-		if got := has(n.saved().Messages, MessageVoteReply, 3, false); got != test.want {
+		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 4, LogIndex: 9, LogTerm: 3, LeadershipTransfer: test.forced})
+		if got := has(n.saved().Messages, MessageRequestVoteReply, 3, false); got != test.want {
 			t.Errorf("%s: voted %v", name, got)
 		}
 	}
@@ -68,7 +68,7 @@
 	} {
 		n.step(request)
 	}
-	ready := n.Take()
+	ready := n.Ready()
 	if ready.Persist != nil || n.Status().Term != 2 {
 		t.Fatalf("persist %+v, term %d", ready.Persist, n.Status().Term)
 	}
@@ -81,7 +81,7 @@
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	first := g.leader()
-	if err := leader.Read(g.now, 1); err != nil {
+	if err := leader.ReadIndex(g.now, 1); err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range g.others(first) {
@@ -100,7 +100,7 @@
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	late := g.now + 2*testElection
-	if err := leader.Read(late, 1); !errors.Is(err, ErrNotLeader) {
+	if err := leader.ReadIndex(late, 1); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("read: %v", err)
 	}
 	if _, _, err := leader.Propose(late, nil); !errors.Is(err, ErrNotLeader) {
@@ -124,24 +124,24 @@
 	last := g.members[first].held[len(g.members[first].held)-1]
 	leader := g.members[first].node
 	leader.Persisted(g.now, last.Sequence)
-	if stable, _ := leader.Matched(first); stable != leader.Status().Last {
-		t.Fatalf("durable up to %d of %d", stable, leader.Status().Last)
+	if stable, _ := leader.MatchIndex(first); stable != leader.Status().LastIndex {
+		t.Fatalf("durable up to %d of %d", stable, leader.Status().LastIndex)
 	}
 }
 
 func TestFollowerAcknowledgesNothingThatATruncationTookAway(t *testing.T) {
 	n := newRuleNode(t, storedLog())
 	old := []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
-	n.step(Message{Kind: MessageAppend, From: 2, Term: 2, LogIndex: 1, LogTerm: 1, Entries: old})
-	first := n.Take()
-	n.step(Message{Kind: MessageAppend, From: 3, Term: 3, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 3, Index: 2}, {Term: 3, Index: 3}}})
-	second := n.Take()
+	n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 2, LogIndex: 1, LogTerm: 1, Entries: old})
+	first := n.Ready()
+	n.step(Message{Kind: MessageAppendEntries, From: 3, Term: 3, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 3, Index: 2}, {Term: 3, Index: 3}}})
+	second := n.Ready()
 	n.Persisted(0, first.Persist.Sequence)
-	if got := n.ackable(); got > 1 {
+	if got := n.ackableIndex(); got > 1 {
 		t.Fatalf("acknowledges %d by the old batch", got)
 	}
 	n.Persisted(0, second.Persist.Sequence)
-	if got := n.ackable(); got != 3 {
+	if got := n.ackableIndex(); got != 3 {
 		t.Fatalf("acknowledges %d, want 3", got)
 	}
 }
@@ -151,7 +151,7 @@
 	leader := g.elect()
 	first := g.leader()
 	g.run(testElection)
-	g.change(Change{Remove: first})
+	g.change(MembershipChange{Remove: first})
 	if leader.Status().Role == RoleLeader || leader.NextTick() != NoTick {
 		t.Fatalf("removed leader goes on: %+v", leader.Status())
 	}
@@ -169,7 +169,7 @@
 	g.elect()
 	g.run(testElection)
 	removed := g.others(g.leader())[0]
-	g.change(Change{Remove: removed})
+	g.change(MembershipChange{Remove: removed})
 	if members := g.members[removed].node.Status().Members; len(members) != 2 {
 		t.Fatalf("members %v", members)
 	}
@@ -181,14 +181,14 @@
 
 func TestMemberWhoseRemovalIsNotCommittedMayCampaign(t *testing.T) {
 	stored := storedLog(2)
-	stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembers, testVoters(2, 3)
+	stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(2, 3)
 	n := newRuleNode(t, stored)
 	if n.NextTick() == NoTick {
 		t.Fatal("never campaigns")
 	}
 	n.now = n.NextTick()
 	n.Tick(n.now)
-	if !has(n.Take().Messages, MessagePreVote, 2, false) {
+	if !has(n.Ready().Messages, MessagePreVote, 2, false) {
 		t.Fatal("asks for no votes")
 	}
 }
@@ -199,7 +199,7 @@
 	g.run(testElection)
 	first := g.leader()
 	others := g.others(first)
-	for name, change := range map[string]Change{
+	for name, change := range map[string]MembershipChange{
 		"voter at once":        {Add: &Member{ID: 9, Voter: true}},
 		"no ID":                {Add: &Member{}},
 		"two changes":          {Add: &Member{ID: 9}, Remove: others[0]},
@@ -208,10 +208,10 @@
 		if name == "last reachable voter" {
 			g.members[others[0]].down, g.members[others[1]].down = true, true
 			g.now += testElection * 9 / 10
-			leader.leading.since = g.now
+			leader.leaderState.electedAt = g.now
 			g.now += testElection / 2
 		}
-		if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMemberChange) {
+		if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
 			t.Errorf("%s: %v", name, err)
 		}
 		g.members[others[0]].down, g.members[others[1]].down = false, false
@@ -222,12 +222,12 @@
 func TestProposalsThatWaitAreBounded(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
-	for range maxWaitingEntries {
+	for range maxUncommittedEntries {
 		if _, _, err := leader.Propose(g.now, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrBusy) {
+	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrTooManyUncommitted) {
 		t.Fatalf("propose: %v", err)
 	}
 	g.settle()
@@ -242,7 +242,7 @@
 	g.run(testElection)
 	lost := 0
 	g.drop = func(message Message) bool {
-		drop := (message.Kind == MessageAppend || message.Kind == MessageAppendReply) && lost < 6
+		drop := (message.Kind == MessageAppendEntries || message.Kind == MessageAppendEntriesReply) && lost < 6
 		if drop {
 			lost++
 		}
@@ -262,9 +262,9 @@
 	n.hold(2, 2)
 	n.saved()
 	for range 5 {
-		n.step(Message{Kind: MessageAppendReply, From: 2, Term: 2, Reject: true, LogIndex: 2})
+		n.step(Message{Kind: MessageAppendEntriesReply, From: 2, Term: 2, Reject: true, LogIndex: 2})
 	}
-	if sent := n.Take().Messages; len(sent) > 1 {
+	if sent := n.Ready().Messages; len(sent) > 1 {
 		t.Fatalf("%d messages", len(sent))
 	}
 }
@@ -274,7 +274,7 @@
 	leader := g.elect()
 	g.sent = 0
 	for id := range uint64(50) {
-		if err := leader.Read(g.now, id); err != nil {
+		if err := leader.ReadIndex(g.now, id); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -288,8 +288,8 @@
 	const timeout = 500 * time.Millisecond
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	for seed := range uint64(200) {
-		node := New(Config{ID: 1, ElectionTimeout: timeout, Heartbeat: timeout / 4, Seed: seed}, Founding(members, nil), 0)
-		if due := node.NextTick(); due < timeout/firstElectionPart || due > timeout/firstElectionPart+timeout/2 {
+		node := New(Config{ID: 1, ElectionTimeout: timeout, HeartbeatInterval: timeout / 4, Seed: seed}, Bootstrap(members, nil), 0)
+		if due := node.NextTick(); due < timeout/initialElectionDivisor || due > timeout/initialElectionDivisor+timeout/2 {
 			t.Fatalf("seed %d: the first campaign is due at %s", seed, due)
 		}
 		node.Step(time.Millisecond, Message{Kind: MessageHeartbeat, From: 2, To: 1, Term: 1})
--- a/coord/consensus/persist.go
+++ b/coord/consensus/persist.go
@@ -2,125 +2,125 @@
 
 import "time"
 
-// durability tracks what of a member's state is durable.
-type durability struct {
-	unsaved  uint64    // first entry that no Persist has held yet
-	stable   uint64    // last entry that is durable and still in the log
-	saved    HardState // as last handed out
-	durable  HardState // Term and Vote as last reported durable
-	sequence uint64
-	pending  []batch // handed out, not yet reported durable
+// persistenceTracker tracks what of a member's state is durable.
+type persistenceTracker struct {
+	firstUnsaved uint64    // first entry that no Persist has held yet
+	stableIndex  uint64    // last entry that is durable and still in the log
+	handedOut    HardState // as last handed out
+	durable      HardState // Term and Vote as last reported durable
+	sequence     uint64
+	pending      []pendingWrite // handed out, not yet reported durable
 }
 
-// batch is what one Persist held.
-type batch struct {
-	sequence uint64
-	last     uint64     // last entry, 0 if it held none
-	hard     *HardState // nil if it held none
+// pendingWrite is what one Persist held.
+type pendingWrite struct {
+	sequence  uint64
+	lastIndex uint64     // last entry, 0 if it held none
+	hardState *HardState // nil if it held none
 }
 
 // truncate takes note that the log was cut off from index on.
-func (d *durability) truncate(index uint64) {
-	d.unsaved = min(d.unsaved, index)
-	d.limit(index - 1)
+func (d *persistenceTracker) truncate(index uint64) {
+	d.firstUnsaved = min(d.firstUnsaved, index)
+	d.clampStable(index - 1)
 }
 
 // replace takes note that a snapshot at index takes the place of a log whose entries up to commit
 // belong to the snapshot's history.
-func (d *durability) replace(commit, index uint64) {
-	d.unsaved = index + 1
-	d.limit(commit)
+func (d *persistenceTracker) replace(commit, index uint64) {
+	d.firstUnsaved = index + 1
+	d.clampStable(commit)
 }
 
-// limit forgets what is durable after index, now or by a batch under way.
-func (d *durability) limit(index uint64) {
-	d.stable = min(d.stable, index)
+// clampStable forgets what is durable after index, now or by a batch under way.
+func (d *persistenceTracker) clampStable(index uint64) {
+	d.stableIndex = min(d.stableIndex, index)
 	for at := range d.pending {
-		d.pending[at].last = min(d.pending[at].last, index)
+		d.pending[at].lastIndex = min(d.pending[at].lastIndex, index)
 	}
 }
 
-// report takes note that all batches up to a sequence are durable.
-func (d *durability) report(sequence uint64) {
+// complete takes note that all batches up to a sequence are durable.
+func (d *persistenceTracker) complete(sequence uint64) {
 	done := 0
 	for done < len(d.pending) && d.pending[done].sequence <= sequence {
 		held := d.pending[done]
-		d.stable = max(d.stable, held.last)
-		if held.hard != nil {
-			d.durable = *held.hard
+		d.stableIndex = max(d.stableIndex, held.lastIndex)
+		if held.hardState != nil {
+			d.durable = *held.hardState
 		}
 		done++
 	}
 	d.pending = d.pending[done:]
 }
 
-// Take returns all that is to be done since the last call.
-func (n *Node) Take() Ready {
+// Ready returns all that is to be done since the last call.
+func (n *Node) Ready() Ready {
 	if n.role == RoleLeader {
-		n.lead()
+		n.replicateAll()
 	}
 	ready := Ready{
-		Persist:  n.takePersist(),
-		Messages: n.outgoing,
-		Restore:  n.restorePoint,
+		Persist:  n.nextPersistRequest(),
+		Messages: n.messages,
+		Restore:  n.pendingRestore,
 		Reads:    n.readResults,
 	}
-	if n.applied < n.commit {
-		ready.Committed = n.log.span(n.applied+1, n.commit)
-		n.applied = n.commit
+	if n.appliedIndex < n.commitIndex {
+		ready.Committed = n.log.span(n.appliedIndex+1, n.commitIndex)
+		n.appliedIndex = n.commitIndex
 	}
-	n.outgoing, n.restorePoint, n.readResults = nil, nil, nil
+	n.messages, n.pendingRestore, n.readResults = nil, nil, nil
 	return ready
 }
 
-// takePersist returns what is not handed out yet. A commit index alone costs no write.
-func (n *Node) takePersist() *Persist {
-	hard := HardState{Term: n.term, Vote: n.vote, Commit: n.commit}
-	saved := n.disk.saved
+// nextPersistRequest returns what is not handed out yet. A commit index alone costs no write.
+func (n *Node) nextPersistRequest() *PersistRequest {
+	hard := HardState{Term: n.term, Vote: n.votedFor, Commit: n.commitIndex}
+	saved := n.persistence.handedOut
 	promised := hard.Term != saved.Term || hard.Vote != saved.Vote
-	entries := n.log.span(n.disk.unsaved, n.log.last())
-	if !promised && len(entries) == 0 && n.pendingInsert == nil {
+	entries := n.log.span(n.persistence.firstUnsaved, n.log.lastIndex())
+	if !promised && len(entries) == 0 && n.unpersistedSnapshot == nil {
 		return nil
 	}
-	n.disk.sequence++
-	persist := &Persist{Sequence: n.disk.sequence, Entries: entries, Snapshot: n.pendingInsert}
-	held := batch{sequence: n.disk.sequence}
-	if len(entries) > 0 || n.pendingInsert != nil {
-		held.last = n.log.last()
+	n.persistence.sequence++
+	persist := &PersistRequest{Sequence: n.persistence.sequence, Entries: entries, Snapshot: n.unpersistedSnapshot}
+	held := pendingWrite{sequence: n.persistence.sequence}
+	if len(entries) > 0 || n.unpersistedSnapshot != nil {
+		held.lastIndex = n.log.lastIndex()
 	}
 	if hard != saved {
-		persist.HardState, held.hard = &hard, &hard
+		persist.HardState, held.hardState = &hard, &hard
 	}
-	n.disk.saved = hard
-	n.disk.unsaved = n.log.last() + 1
-	n.disk.pending = append(n.disk.pending, held)
-	n.pendingInsert = nil
+	n.persistence.handedOut = hard
+	n.persistence.firstUnsaved = n.log.lastIndex() + 1
+	n.persistence.pending = append(n.persistence.pending, held)
+	n.unpersistedSnapshot = nil
 	return persist
 }
 
 // Persisted reports that what the Persist of this sequence and all before it held is durable. Whatever rests on it
 // is released.
 func (n *Node) Persisted(now time.Duration, sequence uint64) {
-	n.advance(now)
-	n.disk.report(sequence)
+	n.advanceClock(now)
+	n.persistence.complete(sequence)
 	switch n.role {
 	case RoleLeader:
 		n.advanceCommit()
 	case RoleCandidate:
-		n.askIfDurable()
+		n.requestVotesIfDurable()
 	default:
-		n.grantIfDurable()
-		if n.leader != 0 && n.ackable() > n.acked {
+		n.grantVoteIfDurable()
+		if n.leaderID != 0 && n.ackableIndex() > n.ackedIndex {
 			n.acknowledge()
 		}
 	}
 }
 
-// trailingEntries is how many entries before a snapshot are kept unless the configuration says otherwise.
-const trailingEntries = 256
+// defaultTrailingEntries is how many entries before a snapshot are kept unless the configuration says otherwise.
+const defaultTrailingEntries = 256
 
-// trailingBytes bounds them, in bytes.
-const trailingBytes = 1 << 20
+// maxTrailingBytes bounds them, in bytes.
+const maxTrailingBytes = 1 << 20
 
 // Compact tells that a snapshot of the state machine at an applied index is durable, so that the entries up to it
 // need not be kept. Data is sent to members that are further behind. Members nil stands for those at index.
@@ -134,20 +134,20 @@
 		snapshot.Members = members
 	}
 	n.snapshot = snapshot
-	n.log.drop(n.neededStart(n.trailingStart(index)))
-	n.forgetMembers(index)
+	n.log.compact(n.retentionStart(n.trailingStart(index)))
+	n.compactMemberships(index)
 }
 
 // trailingStart returns the index up to which entries are dropped after a snapshot at index.
 func (n *Node) trailingStart(index uint64) uint64 {
-	keep := n.config.Trailing
+	keep := n.config.TrailingEntries
 	if keep == 0 {
-		keep = trailingEntries
+		keep = defaultTrailingEntries
 	}
 	size, count := 0, 0
-	for index > n.log.base && count < keep {
-		size += entrySize(&n.log.entries[index-n.log.base-1])
-		if size > trailingBytes {
+	for index > n.log.baseIndex && count < keep {
+		size += entrySize(&n.log.entries[index-n.log.baseIndex-1])
+		if size > maxTrailingBytes {
 			break
 		}
 		count++
@@ -158,46 +158,46 @@
 
 // Bounds of the entries that a leader keeps for members that catch up, whatever is compacted meanwhile.
 const (
-	catchUpEntries = 8192
-	catchUpBytes   = 16 << 20
+	maxCatchUpEntries = 8192
+	maxCatchUpBytes   = 16 << 20
 )
 
-// neededStart returns the index up to which entries may be dropped so that members in touch which lack some of them,
+// retentionStart returns the index up to which entries may be dropped so that members in touch which lack some of them,
 // or are being sent a snapshot that stands before them, find the entries that they ask for next: else changes that
 // go on could compact the log away under a member that catches up, again and again. What is kept is bounded.
-func (n *Node) neededStart(start uint64) uint64 {
-	if n.role != RoleLeader || !n.holds(RuleCatchUpKept) {
+func (n *Node) retentionStart(start uint64) uint64 {
+	if n.role != RoleLeader || !n.enforces(RuleCatchUpRetention) {
 		return start
 	}
 	needed := start
-	for _, peer := range n.leading.peers {
-		if held := peer.holdsNext(); n.inTouch(peer) && held >= n.log.base {
+	for _, peer := range n.leaderState.peers {
+		if held := peer.expectedMatchIndex(); n.recentlyActive(peer) && held >= n.log.baseIndex {
 			needed = min(needed, held)
 		}
 	}
-	return n.boundedStart(needed, start)
+	return n.boundRetention(needed, start)
 }
 
-// holdsNext returns the last entry that the peer holds, or will hold with the snapshot that it is being sent.
-func (p *progress) holdsNext() uint64 {
-	if p.flow == flowSnapshot {
-		return p.next - 1
+// expectedMatchIndex returns the last entry that the peer holds, or will hold with the snapshot that it is being sent.
+func (p *progress) expectedMatchIndex() uint64 {
+	if p.state == stateSnapshot {
+		return p.nextIndex - 1
 	}
-	return p.match
+	return p.matchIndex
 }
 
-// inTouch reports whether a peer has answered lately.
-func (n *Node) inTouch(peer *progress) bool {
-	return peer.answered > 0 && n.now-peer.answered <= maxSnapshotPause*n.config.ElectionTimeout
+// recentlyActive reports whether a peer has answered lately.
+func (n *Node) recentlyActive(peer *progress) bool {
+	return peer.contactAt > 0 && n.now-peer.contactAt <= maxSnapshotBackoff*n.config.ElectionTimeout
 }
 
-// boundedStart raises the start of what is kept, but not over most, until the entries after it are within bounds.
-func (n *Node) boundedStart(needed, most uint64) uint64 {
-	size, count, start := 0, 0, n.log.last()
+// boundRetention raises the start of what is kept, but not over most, until the entries after it are within bounds.
+func (n *Node) boundRetention(needed, most uint64) uint64 {
+	size, count, start := 0, 0, n.log.lastIndex()
 	for start > needed {
-		size += entrySize(&n.log.entries[start-n.log.base-1])
+		size += entrySize(&n.log.entries[start-n.log.baseIndex-1])
 		count++
-		if size > catchUpBytes || count > catchUpEntries {
+		if size > maxCatchUpBytes || count > maxCatchUpEntries {
 			break
 		}
 		start--
@@ -209,7 +209,7 @@
 // before Compact is called. It returns false if the index is not applied or no longer held.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, bool) {
 	term, held := n.log.term(index)
-	if !held || index > n.applied || index < n.snapshot.Index {
+	if !held || index > n.appliedIndex || index < n.snapshot.Index {
 		return Snapshot{}, false
 	}
 	return Snapshot{Index: index, Term: term, Members: n.membershipAt(index).recorded, Data: data}, true
--- a/coord/consensus/replication.go
+++ b/coord/consensus/replication.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// flow is how a leader sends entries to a peer.
-type flow uint8
+// progressState is how a leader sends entries to a peer.
+type progressState uint8
 
 const (
-	flowProbe     flow = iota // one message at a time, until it is known where the logs agree
-	flowReplicate             // many messages without waiting for answers
-	flowSnapshot              // a snapshot is under way
+	stateProbe     progressState = iota // one message at a time, until it is known where the logs agree
+	stateReplicate                      // many messages without waiting for answers
+	stateSnapshot                       // a snapshot is under way
 )
 
 // progress is what a leader knows of a peer.
 type progress struct {
-	id       MemberID
-	leaving  bool   // removed by a change that is not committed yet
-	match    uint64 // last entry that it holds durably
-	next     uint64 // first entry to send
-	flow     flow
-	probed   bool     // flowProbe: the message is sent
-	inflight []uint64 // flowReplicate: the last entry of each unanswered message
-	told     uint64   // commit index as last sent
+	id         MemberID
+	removing   bool   // removed by a change that is not committed yet
+	matchIndex uint64 // last entry that it holds durably
+	nextIndex  uint64 // first entry to send
+	state      progressState
+	probeSent  bool     // flowProbe: the message is sent
+	inflight   []uint64 // flowReplicate: the last entry of each unanswered message
+	sentCommit uint64   // commit index as last sent
 
-	answered time.Duration // when the heartbeat was sent that it answered last
-	round    uint64        // that heartbeat's round
-	mark     uint64        // last entry sent before the heartbeat of markRound
-	marked   uint64        // markRound, 0: none
+	contactAt      time.Duration // when the heartbeat was sent that it answered last
+	answeredRound  uint64        // that heartbeat's round
+	lossCheckIndex uint64        // last entry sent before the heartbeat of markRound
+	lossCheckRound uint64        // markRound, 0: none
 
-	snapshotAgain time.Duration // flowSnapshot: when it may be sent again
-	snapshotPause time.Duration
+	snapshotRetryAt time.Duration // flowSnapshot: when it may be sent again
+	snapshotBackoff time.Duration
 }
 
-// maxSnapshotPause bounds the doubling of the pause between two snapshots, in election timeouts.
-const maxSnapshotPause = 8
+// maxSnapshotBackoff bounds the doubling of the pause between two snapshots, in election timeouts.
+const maxSnapshotBackoff = 8
 
 func (n *Node) peer(id MemberID) *progress {
-	for _, peer := range n.leading.peers {
+	for _, peer := range n.leaderState.peers {
 		if peer.id == id {
 			return peer
 		}
@@ -46,75 +46,75 @@
 	return nil
 }
 
-// matchPeers makes the peers those of the membership in force. Removed ones stay until the change is committed.
-func (n *Node) matchPeers() {
+// syncPeers makes the peers those of the membership in force. Removed ones stay until the change is committed.
+func (n *Node) syncPeers() {
 	for _, member := range n.members() {
 		if member.ID == n.config.ID {
 			continue
 		}
 		if peer := n.peer(member.ID); peer != nil {
-			peer.leaving = false
+			peer.removing = false
 			continue
 		}
-		n.leading.peers = append(n.leading.peers, &progress{id: member.ID, next: n.log.last() + 1})
+		n.leaderState.peers = append(n.leaderState.peers, &progress{id: member.ID, nextIndex: n.log.lastIndex() + 1})
 	}
-	for _, peer := range n.leading.peers {
+	for _, peer := range n.leaderState.peers {
 		_, known := findMember(n.members(), peer.id)
-		peer.leaving = !known
+		peer.removing = !known
 	}
 }
 
-// dismissPeers tells removed peers that their removal is committed, and forgets them.
-func (n *Node) dismissPeers() {
-	n.leading.peers = slices.DeleteFunc(n.leading.peers, func(peer *progress) bool {
-		if peer.leaving {
-			n.sendLast(peer)
+// dropRemovedPeers tells removed peers that their removal is committed, and forgets them.
+func (n *Node) dropRemovedPeers() {
+	n.leaderState.peers = slices.DeleteFunc(n.leaderState.peers, func(peer *progress) bool {
+		if peer.removing {
+			n.sendFinalEntries(peer)
 		}
-		return peer.leaving
+		return peer.removing
 	})
 }
 
-// sendLast sends a removed peer what it lacks up to the commit index, in one message.
-func (n *Node) sendLast(peer *progress) {
-	prior := peer.match
+// sendFinalEntries sends a removed peer what it lacks up to the commit index, in one message.
+func (n *Node) sendFinalEntries(peer *progress) {
+	prior := peer.matchIndex
 	term, held := n.log.term(prior)
-	if !held || n.commit-prior > promotionLag {
+	if !held || n.commitIndex-prior > maxPromotionLag {
 		return
 	}
 	n.send(Message{
-		Kind:     MessageAppend,
+		Kind:     MessageAppendEntries,
 		To:       peer.id,
 		LogIndex: prior,
 		LogTerm:  term,
-		Commit:   n.commit,
-		Entries:  n.log.span(prior+1, n.commit),
+		Commit:   n.commitIndex,
+		Entries:  n.log.span(prior+1, n.commitIndex),
 	})
 }
 
-// lead sends what peers lack. It is called once for all that came in between two Takes.
-func (n *Node) lead() {
+// replicateAll sends what peers lack. It is called once for all that came in between two Takes.
+func (n *Node) replicateAll() {
 	n.startReads()
-	for _, peer := range n.leading.peers {
-		n.replicate(peer)
+	for _, peer := range n.leaderState.peers {
+		n.replicateTo(peer)
 	}
 	n.finishTransfer()
 }
 
-// replicate sends a peer the entries that it lacks, as far as its flow allows, and the commit index.
-func (n *Node) replicate(peer *progress) {
-	for peer.next <= n.log.last() && n.maySend(peer) {
+// replicateTo sends a peer the entries that it lacks, as far as its flow allows, and the commit index.
+func (n *Node) replicateTo(peer *progress) {
+	for peer.nextIndex <= n.log.lastIndex() && n.canSend(peer) {
 		n.sendEntries(peer)
 	}
-	if peer.flow == flowReplicate && peer.told < n.commit {
-		n.tellCommit(peer)
+	if peer.state == stateReplicate && peer.sentCommit < n.commitIndex {
+		n.sendCommitIndex(peer)
 	}
 }
 
-func (n *Node) maySend(peer *progress) bool {
-	switch peer.flow {
-	case flowProbe:
-		return !peer.probed
-	case flowReplicate:
+func (n *Node) canSend(peer *progress) bool {
+	switch peer.state {
+	case stateProbe:
+		return !peer.probeSent
+	case stateReplicate:
 		return len(peer.inflight) < max(1, n.config.MaxInflight)
 	default:
 		return false
@@ -123,161 +123,161 @@
 
 // sendEntries sends one message of entries, none if the peer has all, or a snapshot if they are not held any more.
 func (n *Node) sendEntries(peer *progress) {
-	prior := peer.next - 1
+	prior := peer.nextIndex - 1
 	term, held := n.log.term(prior)
 	if !held {
 		n.sendSnapshot(peer)
 		return
 	}
-	entries := n.log.limited(peer.next, n.config.MaxAppendBytes)
+	entries := n.log.sizeLimited(peer.nextIndex, n.config.MaxAppendBytes)
 	n.send(Message{
-		Kind:     MessageAppend,
+		Kind:     MessageAppendEntries,
 		To:       peer.id,
 		LogIndex: prior,
 		LogTerm:  term,
-		Commit:   n.commit,
+		Commit:   n.commitIndex,
 		Entries:  entries,
 	})
-	peer.told = n.commit
-	if peer.flow == flowProbe {
-		peer.probed = true
+	peer.sentCommit = n.commitIndex
+	if peer.state == stateProbe {
+		peer.probeSent = true
 		return
 	}
-	peer.next += uint64(len(entries))
-	peer.inflight = append(peer.inflight, peer.next-1)
+	peer.nextIndex += uint64(len(entries))
+	peer.inflight = append(peer.inflight, peer.nextIndex-1)
 }
 
 // sendSnapshot sends the last snapshot to a peer that is reachable.
 func (n *Node) sendSnapshot(peer *progress) {
-	peer.probe(peer.next)
-	peer.probed = true
-	if peer.round == 0 || n.now < peer.snapshotAgain {
+	peer.becomeProbe(peer.nextIndex)
+	peer.probeSent = true
+	if peer.answeredRound == 0 || n.now < peer.snapshotRetryAt {
 		return
 	}
-	pause := max(n.config.ElectionTimeout, peer.snapshotPause)
-	peer.snapshotAgain = n.now + pause
-	peer.snapshotPause = min(2*pause, maxSnapshotPause*n.config.ElectionTimeout)
-	peer.flow = flowSnapshot
-	peer.next = n.snapshot.Index + 1
+	pause := max(n.config.ElectionTimeout, peer.snapshotBackoff)
+	peer.snapshotRetryAt = n.now + pause
+	peer.snapshotBackoff = min(2*pause, maxSnapshotBackoff*n.config.ElectionTimeout)
+	peer.state = stateSnapshot
+	peer.nextIndex = n.snapshot.Index + 1
 	snapshot := n.snapshot
-	n.send(Message{Kind: MessageSnapshot, To: peer.id, Commit: n.commit, Snapshot: &snapshot})
+	n.send(Message{Kind: MessageInstallSnapshot, To: peer.id, Commit: n.commitIndex, Snapshot: &snapshot})
 }
 
-// tellCommit sends the commit index alone.
-func (n *Node) tellCommit(peer *progress) {
-	peer.told = n.commit
-	n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commit})
+// sendCommitIndex sends the commit index alone.
+func (n *Node) sendCommitIndex(peer *progress) {
+	peer.sentCommit = n.commitIndex
+	n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commitIndex})
 }
 
-// onAppendReply takes what a peer says it holds, or where to go on.
-func (n *Node) onAppendReply(message Message) {
+// handleAppendEntriesReply takes what a peer says it holds, or where to go on.
+func (n *Node) handleAppendEntriesReply(message Message) {
 	peer := n.peer(message.From)
 	if n.role != RoleLeader || peer == nil {
 		return
 	}
 	if message.Reject {
-		n.goBack(peer, message)
+		n.backtrack(peer, message)
 		return
 	}
-	n.noteHeld(peer, message.LogIndex, message.HintIndex)
+	n.updateMatch(peer, message.LogIndex, message.HintIndex)
 }
 
-// goBack lowers a peer's next entry to where the logs may agree. A peer that refuses what it acknowledged lost its
+// backtrack lowers a peer's next entry to where the logs may agree. A peer that refuses what it acknowledged lost its
 // disk without a new ID: it gets no more than the probes with heartbeats.
-func (n *Node) goBack(peer *progress, message Message) {
-	stale := message.LogIndex <= peer.match || message.LogIndex >= peer.next
-	if peer.flow == flowProbe {
-		stale = message.LogIndex != peer.next-1 || message.LogIndex <= peer.match
+func (n *Node) backtrack(peer *progress, message Message) {
+	stale := message.LogIndex <= peer.matchIndex || message.LogIndex >= peer.nextIndex
+	if peer.state == stateProbe {
+		stale = message.LogIndex != peer.nextIndex-1 || message.LogIndex <= peer.matchIndex
 	}
-	if stale || peer.flow == flowSnapshot {
+	if stale || peer.state == stateSnapshot {
 		return
 	}
-	peer.probe(max(peer.match, n.agreedAtMost(message.HintIndex, message.HintTerm)) + 1)
+	peer.becomeProbe(max(peer.matchIndex, n.highestPossibleMatch(message.HintIndex, message.HintTerm)) + 1)
 }
 
-// agreedAtMost returns the highest index at which a log may agree whose entry at index is of the given term. It is
+// highestPossibleMatch returns the highest index at which a log may agree whose entry at index is of the given term. It is
 // before the leader's first entries if only a snapshot helps.
-func (n *Node) agreedAtMost(index, term uint64) uint64 {
-	if index < n.log.base {
+func (n *Node) highestPossibleMatch(index, term uint64) uint64 {
+	if index < n.log.baseIndex {
 		return index
 	}
-	found, own := n.log.findAtMost(index, term)
+	found, own := n.log.findConflictByTerm(index, term)
 	if own > term {
 		return found - 1
 	}
 	return found
 }
 
-// probe sends one message at a time from next on.
-func (p *progress) probe(next uint64) {
-	p.flow = flowProbe
-	p.next = next
-	p.probed = false
+// becomeProbe sends one message at a time from next on.
+func (p *progress) becomeProbe(next uint64) {
+	p.state = stateProbe
+	p.nextIndex = next
+	p.probeSent = false
 	p.inflight = nil
-	p.marked = 0
+	p.lossCheckRound = 0
 }
 
-// noteHeld takes note that a peer holds entries durably up to one index and shares the log up to another.
-func (n *Node) noteHeld(peer *progress, durable, shared uint64) {
-	shared = min(max(shared, durable), n.log.last())
-	peer.match = max(peer.match, min(durable, n.log.last()))
-	for len(peer.inflight) > 0 && peer.inflight[0] <= peer.match {
+// updateMatch takes note that a peer holds entries durably up to one index and shares the log up to another.
+func (n *Node) updateMatch(peer *progress, durable, shared uint64) {
+	shared = min(max(shared, durable), n.log.lastIndex())
+	peer.matchIndex = max(peer.matchIndex, min(durable, n.log.lastIndex()))
+	for len(peer.inflight) > 0 && peer.inflight[0] <= peer.matchIndex {
 		peer.inflight = peer.inflight[1:]
 	}
-	if peer.flow != flowReplicate && shared >= peer.next-1 {
-		peer.flow = flowReplicate
-		peer.next = shared + 1
+	if peer.state != stateReplicate && shared >= peer.nextIndex-1 {
+		peer.state = stateReplicate
+		peer.nextIndex = shared + 1
 		peer.inflight = nil
-		peer.marked = 0
-		peer.snapshotAgain, peer.snapshotPause = 0, 0
+		peer.lossCheckRound = 0
+		peer.snapshotRetryAt, peer.snapshotBackoff = 0, 0
 	}
 	n.advanceCommit()
 }
 
-// heartbeatSent notes what was sent before a heartbeat, so that its answer shows a loss.
-func (p *progress) heartbeatSent(number uint64) {
-	if p.flow == flowReplicate && p.marked == 0 {
-		p.mark, p.marked = p.next-1, number
+// startLossCheck notes what was sent before a heartbeat, so that its answer shows a loss.
+func (p *progress) startLossCheck(number uint64) {
+	if p.state == stateReplicate && p.lossCheckRound == 0 {
+		p.lossCheckIndex, p.lossCheckRound = p.nextIndex-1, number
 	}
 }
 
-// onHeartbeatReply confirms the leader's term and shows what was lost on the way.
-func (n *Node) onHeartbeatReply(message Message) {
+// handleHeartbeatReply confirms the leader's term and shows what was lost on the way.
+func (n *Node) handleHeartbeatReply(message Message) {
 	peer := n.peer(message.From)
 	if n.role != RoleLeader || peer == nil {
 		return
 	}
-	if sent, known := n.roundSent(message.Context); known {
-		peer.round = max(peer.round, message.Context)
-		peer.answered = max(peer.answered, sent)
+	if sent, known := n.roundSentAt(message.HeartbeatRound); known {
+		peer.answeredRound = max(peer.answeredRound, message.HeartbeatRound)
+		peer.contactAt = max(peer.contactAt, sent)
 	}
 	n.confirmReads()
-	n.noteHeld(peer, message.HintIndex, message.LogIndex)
+	n.updateMatch(peer, message.HintIndex, message.LogIndex)
 	if n.role == RoleLeader {
-		n.sendLost(peer, message)
+		n.resendLost(peer, message)
 	}
 }
 
-// sendLost goes back to what a peer lacks although it was sent before the heartbeat that it answers.
-func (n *Node) sendLost(peer *progress, message Message) {
-	switch peer.flow {
-	case flowProbe:
-		peer.probed = false
-		if peer.next > n.log.last() && message.LogIndex < n.log.last() {
+// resendLost goes back to what a peer lacks although it was sent before the heartbeat that it answers.
+func (n *Node) resendLost(peer *progress, message Message) {
+	switch peer.state {
+	case stateProbe:
+		peer.probeSent = false
+		if peer.nextIndex > n.log.lastIndex() && message.LogIndex < n.log.lastIndex() {
 			n.sendEntries(peer)
 		}
-	case flowSnapshot:
-		if n.now >= peer.snapshotAgain {
-			peer.probe(peer.match + 1)
+	case stateSnapshot:
+		if n.now >= peer.snapshotRetryAt {
+			peer.becomeProbe(peer.matchIndex + 1)
 		}
-	case flowReplicate:
-		if peer.marked == 0 || message.Context < peer.marked {
+	case stateReplicate:
+		if peer.lossCheckRound == 0 || message.HeartbeatRound < peer.lossCheckRound {
 			return
 		}
-		lost := message.LogIndex < peer.mark
-		peer.marked = 0
+		lost := message.LogIndex < peer.lossCheckIndex
+		peer.lossCheckRound = 0
 		if lost {
-			peer.probe(max(peer.match, min(message.LogIndex, n.log.last())) + 1)
+			peer.becomeProbe(max(peer.matchIndex, min(message.LogIndex, n.log.lastIndex())) + 1)
 		}
 	}
 }
--- a/coord/consensus/retired_test.go
+++ b/coord/consensus/retired_test.go
@@ -11,24 +11,24 @@
 	leader := g.elect()
 	g.run(testElection)
 	replaced := g.others(g.leader())[0]
-	g.change(Change{Remove: replaced, Retire: true})
+	g.change(MembershipChange{Remove: replaced, Retire: true})
 	if members := leader.Status().Members; len(members) != 2 {
 		t.Fatalf("members %v", members)
 	}
-	if err := leader.ChangeMembers(g.now, Change{Add: &Member{ID: replaced}}); !errors.Is(err, ErrMemberChange) {
+	if err := leader.ChangeMembers(g.now, MembershipChange{Add: &Member{ID: replaced}}); !errors.Is(err, ErrMembershipChange) {
 		t.Fatalf("it comes back: %v", err)
 	}
-	if err := leader.ChangeMembers(g.now, Change{Add: &Member{ID: 9, Retired: true}}); !errors.Is(err, ErrMemberChange) {
+	if err := leader.ChangeMembers(g.now, MembershipChange{Add: &Member{ID: 9, Retired: true}}); !errors.Is(err, ErrMembershipChange) {
 		t.Fatalf("a mark as a member: %v", err)
 	}
 	mark := Member{ID: replaced, Retired: true}
 	for _, id := range []MemberID{g.leader(), g.others(g.leader())[1]} {
 		status := g.members[id].node.Status()
-		snapshot, known := g.members[id].node.SnapshotAt(status.Applied, nil)
+		snapshot, known := g.members[id].node.SnapshotAt(status.AppliedIndex, nil)
 		if !known || !slices.Contains(snapshot.Members, mark) {
 			t.Fatalf("member %d does not remember: %v", id, snapshot.Members)
 		}
-		restarted := New(testConfig(id), Stored{HardState: HardState{Term: status.Term}, Snapshot: snapshot}, g.now)
+		restarted := New(testConfig(id), PersistedState{HardState: HardState{Term: status.Term}, Snapshot: snapshot}, g.now)
 		if !slices.Contains(restarted.recorded(), mark) || len(restarted.Status().Members) != 2 {
 			t.Fatalf("member %d has forgotten: %v", id, restarted.recorded())
 		}
@@ -37,10 +37,10 @@
 
 func TestRetiredMarkOfATruncatedChangeIsUndone(t *testing.T) {
 	stored := storedLog(2)
-	stored.Entries[0].Kind = EntryMembers
+	stored.Entries[0].Kind = EntryMembership
 	stored.Entries[0].Members = append(testVoters(1, 2), Member{ID: 3, Retired: true})
 	n := newRuleNode(t, stored)
-	n.step(Message{Kind: MessageAppend, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
+	n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 	if recorded := n.recorded(); !slices.Equal(recorded, testVoters(1, 2, 3)) {
 		t.Fatalf("recorded %v", recorded)
 	}
@@ -50,7 +50,7 @@
 	recorded := testVoters(1)
 	for id := MemberID(100); id < 100+2*maxRetired; id++ {
 		added := append(recorded, Member{ID: id})
-		recorded, _ = changedMembers(added, Change{Remove: id, Retire: true})
+		recorded, _ = applyChange(added, MembershipChange{Remove: id, Retire: true})
 	}
 	if len(recorded) != 1+maxRetired || recorded[1].ID != 100+maxRetired || !recorded[0].Voter {
 		t.Fatalf("%d recorded, the oldest %+v", len(recorded), recorded[1])
@@ -65,16 +65,16 @@
 	n.saved()
 	n.hold(2, 2)
 	n.answer(2)
-	promotion := Change{Add: &Member{ID: 4, Voter: true}}
-	if n.MayPromote(4) || n.ChangeMembers(n.now, promotion) == nil {
+	promotion := MembershipChange{Add: &Member{ID: 4, Voter: true}}
+	if n.CanPromote(4) || n.ChangeMembers(n.now, promotion) == nil {
 		t.Fatal("promoted without an answer")
 	}
 	n.answer(4)
-	if n.MayPromote(4) {
+	if n.CanPromote(4) {
 		t.Fatal("promoted without an acknowledgement")
 	}
 	n.hold(4, 2)
-	if !n.MayPromote(4) || n.MayPromote(9) {
+	if !n.CanPromote(4) || n.CanPromote(9) {
 		t.Fatal("not promoted, or an unknown one is")
 	}
 	n.now += testElection - testHeartbeat
@@ -84,10 +84,10 @@
 	n.answer(2)
 	n.now += 2 * testHeartbeat
 	n.Tick(n.now)
-	if n.Status().Role != RoleLeader || n.MayPromote(4) {
+	if n.Status().Role != RoleLeader || n.CanPromote(4) {
 		t.Fatal("promoted although it is silent, or leads no more")
 	}
-	if err := n.ChangeMembers(n.now, promotion); !errors.Is(err, ErrMemberChange) {
+	if err := n.ChangeMembers(n.now, promotion); !errors.Is(err, ErrMembershipChange) {
 		t.Fatalf("promotion of a silent learner: %v", err)
 	}
 }
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -13,8 +13,8 @@
 }
 
 // storedLog is the state of a founder of members 1 to 3 whose log goes on with commands of the given terms.
-func storedLog(terms ...uint64) Stored {
-	stored := Founding(testVoters(1, 2, 3), nil)
+func storedLog(terms ...uint64) PersistedState {
+	stored := Bootstrap(testVoters(1, 2, 3), nil)
 	for at, term := range terms {
 		stored.Entries = append(stored.Entries, Entry{Term: term, Index: uint64(at) + 2, Data: []byte("x")})
 		stored.HardState.Term = term
@@ -22,19 +22,19 @@
 	return stored
 }
 
-func newRuleNode(t *testing.T, stored Stored, omit ...Rule) *ruleNode {
+func newRuleNode(t *testing.T, stored PersistedState, omit ...Rule) *ruleNode {
 	config := testConfig(1)
-	config.Omit = omit
+	config.DisabledRules = omit
 	return &ruleNode{Node: New(config, stored, 0), t: t}
 }
 
 // saved takes all that is to be done and reports it durable.
 func (n *ruleNode) saved() Ready {
-	ready := n.Take()
+	ready := n.Ready()
 	if ready.Persist != nil {
 		n.Persisted(n.now, ready.Persist.Sequence)
 	}
-	released := n.Take()
+	released := n.Ready()
 	ready.Messages = append(ready.Messages, released.Messages...)
 	ready.Committed = append(ready.Committed, released.Committed...)
 	ready.Reads = append(ready.Reads, released.Reads...)
@@ -53,7 +53,7 @@
 	n.Tick(n.now)
 	n.step(Message{Kind: MessagePreVoteReply, From: 2, Term: n.Status().Term + 1})
 	n.saved()
-	n.step(Message{Kind: MessageVoteReply, From: 2, Term: n.Status().Term})
+	n.step(Message{Kind: MessageRequestVoteReply, From: 2, Term: n.Status().Term})
 	if n.Status().Role != RoleLeader {
 		n.t.Fatalf("no leader: %+v", n.Status())
 	}
@@ -61,12 +61,12 @@
 
 // hold has a peer acknowledge the log up to an index.
 func (n *ruleNode) hold(peer MemberID, index uint64) {
-	n.step(Message{Kind: MessageAppendReply, From: peer, Term: n.Status().Term, LogIndex: index, HintIndex: index})
+	n.step(Message{Kind: MessageAppendEntriesReply, From: peer, Term: n.Status().Term, LogIndex: index, HintIndex: index})
 }
 
 // answer has a peer answer the last round of heartbeats.
 func (n *ruleNode) answer(peer MemberID) {
-	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, Context: n.leading.lastRound})
+	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, HeartbeatRound: n.leaderState.lastRound})
 }
 
 func has(messages []Message, kind MessageKind, to MemberID, reject bool) bool {
@@ -82,129 +82,129 @@
 var ruleScenarios = map[Rule]func(t *testing.T, omit ...Rule) (harm bool){
 	RuleVoteOnce: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
-		n.step(Message{Kind: MessageVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
+		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
 		n.saved()
-		n.step(Message{Kind: MessageVote, From: 3, Term: 5, LogIndex: 9, LogTerm: 4})
-		return has(n.saved().Messages, MessageVoteReply, 3, false)
+		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 5, LogIndex: 9, LogTerm: 4})
+		return has(n.saved().Messages, MessageRequestVoteReply, 3, false)
 	},
-	RuleVoteLog: func(t *testing.T, omit ...Rule) bool {
+	RuleVoteUpToDateLog: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(2), omit...)
-		n.step(Message{Kind: MessageVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 1})
-		return has(n.saved().Messages, MessageVoteReply, 2, false)
+		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 1})
+		return has(n.saved().Messages, MessageRequestVoteReply, 2, false)
 	},
 	RuleVoteDurable: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
-		n.step(Message{Kind: MessageVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		return has(n.Take().Messages, MessageVoteReply, 2, false)
+		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
+		return has(n.Ready().Messages, MessageRequestVoteReply, 2, false)
 	},
-	RuleCandidateDurable: func(t *testing.T, omit ...Rule) bool {
+	RuleCandidateTermDurable: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
 		n.now = n.NextTick()
 		n.Tick(n.now)
 		n.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
-		return has(n.Take().Messages, MessageVote, 2, false)
+		return has(n.Ready().Messages, MessageRequestVote, 2, false)
 	},
-	RuleAppendTerm: func(t *testing.T, omit ...Rule) bool {
+	RuleAppendCurrentTerm: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(4), omit...)
-		n.step(Message{Kind: MessageAppend, From: 2, Term: 3, LogIndex: 1, LogTerm: 1,
+		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 3, LogIndex: 1, LogTerm: 1,
 			Entries: []Entry{{Term: 3, Index: 2}, {Term: 3, Index: 3}}})
-		return n.Status().Last == 3
+		return n.Status().LastIndex == 3
 	},
-	RuleAppendMatch: func(t *testing.T, omit ...Rule) bool {
+	RuleAppendLogMatching: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(4), omit...)
-		n.step(Message{Kind: MessageAppend, From: 2, Term: 5, LogIndex: 2, LogTerm: 5, Entries: []Entry{{Term: 5, Index: 3}}})
-		return n.Status().Last == 3
+		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 2, LogTerm: 5, Entries: []Entry{{Term: 5, Index: 3}}})
+		return n.Status().LastIndex == 3
 	},
 	RuleAppendDurable: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
-		n.step(Message{Kind: MessageAppend, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
-		for _, message := range n.Take().Messages {
-			if message.Kind == MessageAppendReply && message.LogIndex >= 2 {
+		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
+		for _, message := range n.Ready().Messages {
+			if message.Kind == MessageAppendEntriesReply && message.LogIndex >= 2 {
 				return true
 			}
 		}
 		return false
 	},
-	RuleLeaderDurable: func(t *testing.T, omit ...Rule) bool {
+	RuleLeaderEntriesDurable: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
 		n.lead()
-		n.Take()
+		n.Ready()
 		n.hold(2, 2)
-		return n.Status().Commit == 2
+		return n.Status().CommitIndex == 2
 	},
 	RuleCommitMajority: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
 		n.lead()
 		n.saved()
-		return n.Status().Commit == 2
+		return n.Status().CommitIndex == 2
 	},
-	RuleCommitOwnTerm: func(t *testing.T, omit ...Rule) bool {
+	RuleCommitCurrentTerm: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(2), omit...)
 		n.lead()
 		n.saved()
 		n.hold(2, 2)
-		return n.Status().Commit == 2
+		return n.Status().CommitIndex == 2
 	},
 	RuleCommitVerified: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(2), omit...)
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 2})
-		return n.Status().Commit == 2
+		return n.Status().CommitIndex == 2
 	},
-	RuleReadConfirmed: func(t *testing.T, omit ...Rule) bool {
+	RuleReadQuorumConfirmed: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
 		n.lead()
 		n.saved()
 		n.hold(2, 2)
-		n.Read(n.now, 7)
-		return len(n.Take().Reads) > 0
+		n.ReadIndex(n.now, 7)
+		return len(n.Ready().Reads) > 0
 	},
-	RuleReadOwnTerm: func(t *testing.T, omit ...Rule) bool {
+	RuleReadCurrentTerm: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(2), omit...)
 		n.lead()
-		n.Read(n.now, 7)
+		n.ReadIndex(n.now, 7)
 		n.saved()
 		n.answer(2)
-		return len(n.Take().Reads) > 0
+		return len(n.Ready().Reads) > 0
 	},
-	RuleMembersOneByOne: func(t *testing.T, omit ...Rule) bool {
+	RuleMembershipSingleChange: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
 		n.lead()
 		n.saved()
 		n.hold(2, 2)
 		n.answer(2)
-		if err := n.ChangeMembers(n.now, Change{Add: &Member{ID: 4}}); err != nil {
+		if err := n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}); err != nil {
 			t.Fatal(err)
 		}
-		return n.ChangeMembers(n.now, Change{Add: &Member{ID: 5}}) == nil
+		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 5}}) == nil
 	},
-	RuleMembersOwnTerm: func(t *testing.T, omit ...Rule) bool {
+	RuleMembershipCurrentTerm: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(2), omit...)
 		n.lead()
 		n.saved()
 		n.answer(2)
-		return n.ChangeMembers(n.now, Change{Add: &Member{ID: 4}}) == nil
+		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
-	RuleMembersRollBack: func(t *testing.T, omit ...Rule) bool {
+	RuleMembershipRollback: func(t *testing.T, omit ...Rule) bool {
 		stored := storedLog(2)
-		stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembers, testVoters(1, 2, 3, 4)
+		stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(1, 2, 3, 4)
 		n := newRuleNode(t, stored, omit...)
-		n.step(Message{Kind: MessageAppend, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
+		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		return len(n.Status().Members) == 4
 	},
-	RuleLearnerNoMajority: func(t *testing.T, omit ...Rule) bool {
+	RuleLearnerNoQuorum: func(t *testing.T, omit ...Rule) bool {
 		stored := storedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4}, Member{ID: 5})
 		n := newRuleNode(t, stored)
 		n.lead()
 		for _, rule := range omit {
-			n.omitted[rule] = true
+			n.disabledRules[rule] = true
 		}
 		n.saved()
 		n.hold(4, 2)
 		n.hold(5, 2)
-		return n.Status().Commit == 2
+		return n.Status().CommitIndex == 2
 	},
-	RuleRetiredStayOut: func(t *testing.T, omit ...Rule) bool {
+	RuleRetiredNeverReturns: func(t *testing.T, omit ...Rule) bool {
 		stored := storedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4, Retired: true})
 		n := newRuleNode(t, stored, omit...)
@@ -212,17 +212,17 @@
 		n.saved()
 		n.hold(2, 2)
 		n.answer(2)
-		return n.ChangeMembers(n.now, Change{Add: &Member{ID: 4}}) == nil
+		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
-	RuleCurrentHeld: func(t *testing.T, omit ...Rule) bool {
+	RuleConfirmedUpToDate: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
 		n.now = time.Second
-		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 9, Context: 1})
-		return n.Status().Confirmed > 0
+		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 9, HeartbeatRound: 1})
+		return n.Status().ConfirmedAt > 0
 	},
-	RuleCatchUpKept: func(t *testing.T, omit ...Rule) bool {
+	RuleCatchUpRetention: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, storedLog(), omit...)
-		n.config.Trailing = -1
+		n.config.TrailingEntries = -1
 		n.lead()
 		n.saved()
 		n.hold(2, 2)
@@ -230,9 +230,9 @@
 		n.saved()
 		n.Compact(2, nil, nil)
 		n.answer(3)
-		n.step(Message{Kind: MessageAppendReply, From: 3, Term: n.Status().Term, Reject: true, LogIndex: 1})
+		n.step(Message{Kind: MessageAppendEntriesReply, From: 3, Term: n.Status().Term, Reject: true, LogIndex: 1})
 		n.answer(3)
-		if !has(n.saved().Messages, MessageSnapshot, 3, false) {
+		if !has(n.saved().Messages, MessageInstallSnapshot, 3, false) {
 			t.Fatal("no snapshot is sent")
 		}
 		if _, index, err := n.Propose(n.now, []byte("x")); err != nil || index != 3 {
@@ -243,12 +243,12 @@
 		n.saved()
 		n.Compact(3, nil, nil)
 		n.hold(3, 2)
-		return has(n.saved().Messages, MessageSnapshot, 3, false)
+		return has(n.saved().Messages, MessageInstallSnapshot, 3, false)
 	},
-	RuleEmptySilent: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, Stored{}, omit...)
-		n.step(Message{Kind: MessageVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		return has(n.saved().Messages, MessageVoteReply, 2, false)
+	RuleEmptyDiskNoVote: func(t *testing.T, omit ...Rule) bool {
+		n := newRuleNode(t, PersistedState{}, omit...)
+		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
+		return has(n.saved().Messages, MessageRequestVoteReply, 2, false)
 	},
 }
 
--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -61,7 +61,7 @@
 // claim checks a message that only the leader of its term may send.
 func (c *checks) claim(message consensus.Message) {
 	switch message.Kind {
-	case consensus.MessageAppend, consensus.MessageHeartbeat, consensus.MessageSnapshot:
+	case consensus.MessageAppendEntries, consensus.MessageHeartbeat, consensus.MessageInstallSnapshot:
 		c.leader(message.Term, message.From)
 	}
 }
@@ -75,7 +75,7 @@
 }
 
 // leads checks that a new leader holds all that was acknowledged.
-func (c *checks) leads(h *host, term uint64, log consensus.Stored) {
+func (c *checks) leads(h *host, term uint64, log consensus.PersistedState) {
 	c.leader(term, h.id)
 	for _, index := range c.acknowledged {
 		want := c.agreed[index-firstIndex].term
@@ -87,7 +87,7 @@
 }
 
 // holds reports whether a log has an entry, or a snapshot in its place.
-func holds(log consensus.Stored, index, term uint64) bool {
+func holds(log consensus.PersistedState, index, term uint64) bool {
 	base := log.Snapshot.Index
 	if index <= base {
 		return true
--- a/coord/consensus/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -45,7 +45,7 @@
 const mostWaiting = 50
 
 func (h *host) propose() {
-	if status := h.node.Status(); status.Last > status.Commit+mostWaiting {
+	if status := h.node.Status(); status.LastIndex > status.CommitIndex+mostWaiting {
 		return
 	}
 	h.world.lastCommand++
@@ -68,7 +68,7 @@
 func (h *host) read() {
 	h.world.lastRead++
 	id := h.world.lastRead
-	if h.node.Read(h.clock(), id) == nil {
+	if h.node.ReadIndex(h.clock(), id) == nil {
 		h.began[id] = h.world.checks.last()
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 // neededChange returns the next change by which a machine comes back under its present ID.
-func (h *host) neededChange(members []consensus.Member, removeFirst bool) (consensus.Change, bool) {
+func (h *host) neededChange(members []consensus.Member, removeFirst bool) (consensus.MembershipChange, bool) {
 	var own, old *consensus.Member
 	for at := range members {
 		switch {
@@ -127,12 +127,12 @@
 	added := consensus.Member{ID: h.id, Address: h.address()}
 	switch {
 	case own == nil:
-		return consensus.Change{Add: &added}, true
+		return consensus.MembershipChange{Add: &added}, true
 	case old != nil && (removeFirst || own.Voter):
-		return consensus.Change{Remove: old.ID}, true
+		return consensus.MembershipChange{Remove: old.ID}, true
 	case !own.Voter:
 		added.Voter = true
-		return consensus.Change{Add: &added}, true
+		return consensus.MembershipChange{Add: &added}, true
 	}
-	return consensus.Change{}, false
+	return consensus.MembershipChange{}, false
 }
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -23,12 +23,12 @@
 
 // disk holds what is durable and what is on its way there.
 type disk struct {
-	durable consensus.Stored
+	durable consensus.PersistedState
 	queue   []operation
 	syncing bool
 }
 
-func persistOperation(persist *consensus.Persist, done func()) operation {
+func persistOperation(persist *consensus.PersistRequest, done func()) operation {
 	written := operation{done: done}
 	if persist.Snapshot != nil {
 		written.records = append(written.records, record{snapshot: persist.Snapshot})
@@ -43,7 +43,7 @@
 }
 
 // write applies a record to stored state.
-func write(stored *consensus.Stored, written record) error {
+func write(stored *consensus.PersistedState, written record) error {
 	switch {
 	case written.snapshot != nil:
 		stored.Snapshot = *written.snapshot
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func compact(stored *consensus.Stored, snapshot consensus.Snapshot) {
+func compact(stored *consensus.PersistedState, snapshot consensus.Snapshot) {
 	if snapshot.Index <= stored.Snapshot.Index {
 		return
 	}
@@ -70,7 +70,7 @@
 	stored.Snapshot = snapshot
 }
 
-func writeEntry(stored *consensus.Stored, entry consensus.Entry) error {
+func writeEntry(stored *consensus.PersistedState, entry consensus.Entry) error {
 	base := stored.Snapshot.Index
 	if entry.Index <= base {
 		return nil
@@ -107,7 +107,7 @@
 }
 
 // view returns the state as it will be when all writes are durable.
-func (d *disk) view() consensus.Stored {
+func (d *disk) view() consensus.PersistedState {
 	seen := d.durable
 	seen.Entries = slices.Clone(seen.Entries)
 	for _, operation := range d.queue {
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -286,7 +286,7 @@
 		to = w.anyHost().id
 	}
 	for _, leader := range w.leaders() {
-		leader.act(func() { leader.node.Transfer(leader.clock(), to) })
+		leader.act(func() { leader.node.TransferLeadership(leader.clock(), to) })
 	}
 }
 
@@ -315,7 +315,7 @@
 	w.noteLoss(&w.lastRemoval, w.lastWipe)
 	removed := w.anyHost().id
 	h.act(func() {
-		if h.node.ChangeMembers(h.clock(), consensus.Change{Remove: removed}) == nil {
+		if h.node.ChangeMembers(h.clock(), consensus.MembershipChange{Remove: removed}) == nil {
 			w.count.MemberChanges++
 		}
 	})
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -68,14 +68,14 @@
 
 func (h *host) config() consensus.Config {
 	return consensus.Config{
-		ID:              h.id,
-		ElectionTimeout: h.world.profile.election,
-		Heartbeat:       h.world.profile.election / heartbeatShare,
-		MaxAppendBytes:  h.world.profile.appendBytes,
-		MaxInflight:     h.world.profile.inflight,
-		Seed:            h.world.random.Uint64(),
-		Trailing:        h.world.profile.trailing,
-		Omit:            h.world.options.Omit,
+		ID:                h.id,
+		ElectionTimeout:   h.world.profile.election,
+		HeartbeatInterval: h.world.profile.election / heartbeatShare,
+		MaxAppendBytes:    h.world.profile.appendBytes,
+		MaxInflight:       h.world.profile.inflight,
+		Seed:              h.world.random.Uint64(),
+		TrailingEntries:   h.world.profile.trailing,
+		DisabledRules:     h.world.options.Omit,
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // pump carries out what the node wants done.
 func (h *host) pump() {
-	ready := h.node.Take()
+	ready := h.node.Ready()
 	if ready.Persist != nil {
 		sequence := ready.Persist.Sequence
 		h.write(persistOperation(ready.Persist, func() { h.node.Persisted(h.clock(), sequence) }))
--- a/coord/consensus/simulation/simulation_test.go
+++ b/coord/consensus/simulation/simulation_test.go
@@ -44,16 +44,16 @@
 // rest shows rarely (docs/design/agreement.md); all have a scenario of their own in package agreement.
 func TestAbsentRulesAreNoticed(t *testing.T) {
 	for _, rule := range []consensus.Rule{
-		consensus.RuleVoteOnce, consensus.RuleVoteLog, consensus.RuleVoteDurable,
-		consensus.RuleAppendMatch, consensus.RuleAppendDurable, consensus.RuleLeaderDurable,
+		consensus.RuleVoteOnce, consensus.RuleVoteUpToDateLog, consensus.RuleVoteDurable,
+		consensus.RuleAppendLogMatching, consensus.RuleAppendDurable, consensus.RuleLeaderEntriesDurable,
 		consensus.RuleCommitMajority, consensus.RuleCommitVerified,
-		consensus.RuleReadConfirmed, consensus.RuleReadOwnTerm, consensus.RuleLearnerNoMajority,
+		consensus.RuleReadQuorumConfirmed, consensus.RuleReadCurrentTerm, consensus.RuleLearnerNoQuorum,
 	} {
 		wantNoticed(t, string(rule), Options{Members: 3, Omit: []consensus.Rule{rule}})
 	}
 	wantNoticed(t, "empty-silent, old ID", Options{
 		Members:       3,
-		Omit:          []consensus.Rule{consensus.RuleEmptySilent},
+		Omit:          []consensus.Rule{consensus.RuleEmptyDiskNoVote},
 		ReuseIdentity: true,
 	})
 }
@@ -62,9 +62,9 @@
 // (courses.go). Those of changes of members do harm where the number of voters is even at some time.
 func TestAbsentRulesOfKnownCoursesAreNoticed(t *testing.T) {
 	for rule, members := range map[consensus.Rule]int{
-		consensus.RuleCommitOwnTerm:   5,
-		consensus.RuleMembersOwnTerm:  4,
-		consensus.RuleMembersRollBack: 4,
+		consensus.RuleCommitCurrentTerm:     5,
+		consensus.RuleMembershipCurrentTerm: 4,
+		consensus.RuleMembershipRollback:    4,
 	} {
 		wantNoticed(t, string(rule), Options{Members: members, Omit: []consensus.Rule{rule}})
 	}
--- a/coord/consensus/simulation/world.go
+++ b/coord/consensus/simulation/world.go
@@ -77,7 +77,7 @@
 		founders = append(founders, consensus.Member{ID: host.id, Address: host.address(), Voter: true})
 	}
 	for _, host := range w.hosts {
-		host.disk.durable = consensus.Founding(founders, encodeChain(foundingChain))
+		host.disk.durable = consensus.Bootstrap(founders, encodeChain(foundingChain))
 	}
 	return w
 }
@@ -151,7 +151,7 @@
 // send delivers a message after a delay, several times or never.
 func (w *world) send(message consensus.Message) {
 	w.count.Messages++
-	if message.Kind == consensus.MessageSnapshot {
+	if message.Kind == consensus.MessageInstallSnapshot {
 		w.count.Snapshots++
 	}
 	w.checks.claim(message)
--- a/coord/consensus/transfer.go
+++ b/coord/consensus/transfer.go
@@ -2,95 +2,95 @@
 
 import "time"
 
-// handover is a planned transfer of leadership.
-type handover struct {
-	to       MemberID // 0: none under way
-	deadline time.Duration
-	asked    bool          // the successor was told to campaign
-	next     time.Duration // when a leader whose disk takes no writes may try again
+// leadershipTransfer is a planned transfer of leadership.
+type leadershipTransfer struct {
+	target         MemberID // 0: none under way
+	deadline       time.Duration
+	timeoutNowSent bool          // the successor was told to campaign
+	retryAt        time.Duration // when a leader whose disk takes no writes may try again
 }
 
-// Transfer hands leadership over to another voter, or to the most current one if to is 0. Until it is
+// TransferLeadership hands leadership over to another voter, or to the most current one if to is 0. Until it is
 // done, or an election timeout has passed, proposals are refused.
 // Errors: ErrNotLeader, ErrTransferring, ErrNoSuccessor.
-func (n *Node) Transfer(now time.Duration, to MemberID) error {
-	n.advance(now)
+func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
+	n.advanceClock(now)
 	n.checkQuorum()
-	if err := n.mayPropose(); err != nil {
+	if err := n.checkProposable(); err != nil {
 		return err
 	}
 	if to == 0 {
-		successor := n.successor()
+		successor := n.bestTransferTarget()
 		if successor == nil {
-			return ErrNoSuccessor
+			return ErrNoTransferTarget
 		}
 		to = successor.id
 	}
 	if to == n.config.ID || n.peer(to) == nil || !n.isVoter(to) {
-		return ErrNoSuccessor
+		return ErrNoTransferTarget
 	}
-	n.leading.transfer = handover{to: to, deadline: n.now + n.config.ElectionTimeout}
+	n.leaderState.transfer = leadershipTransfer{target: to, deadline: n.now + n.config.ElectionTimeout}
 	return nil
 }
 
-// successor returns the reachable voter that holds most of the log, or nil.
-func (n *Node) successor() *progress {
+// bestTransferTarget returns the reachable voter that holds most of the log, or nil.
+func (n *Node) bestTransferTarget() *progress {
 	var best *progress
-	for _, peer := range n.leading.peers {
-		reachable := peer.round > 0 && n.now-peer.answered <= n.config.ElectionTimeout
+	for _, peer := range n.leaderState.peers {
+		reachable := peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
 		if !reachable || !n.isVoter(peer.id) {
 			continue
 		}
-		if best == nil || peer.match > best.match {
+		if best == nil || peer.matchIndex > best.matchIndex {
 			best = peer
 		}
 	}
 	return best
 }
 
-// handOver starts a transfer if the last one was not too long ago.
-func (n *Node) handOver() {
-	transfer := &n.leading.transfer
-	if transfer.to != 0 || n.now < transfer.next {
+// startTransferToBestPeer starts a transfer if the last one was not too long ago.
+func (n *Node) startTransferToBestPeer() {
+	transfer := &n.leaderState.transfer
+	if transfer.target != 0 || n.now < transfer.retryAt {
 		return
 	}
-	successor := n.successor()
+	successor := n.bestTransferTarget()
 	if successor == nil {
 		return
 	}
 	pause := 2 * n.config.ElectionTimeout
-	n.leading.transfer = handover{to: successor.id, deadline: n.now + n.config.ElectionTimeout, next: n.now + pause}
+	n.leaderState.transfer = leadershipTransfer{target: successor.id, deadline: n.now + n.config.ElectionTimeout, retryAt: n.now + pause}
 }
 
-// checkTransfer gives up a transfer that takes too long, and starts one if the leader's disk takes no writes.
-func (n *Node) checkTransfer() {
-	transfer := &n.leading.transfer
-	if transfer.to != 0 && n.now >= transfer.deadline {
-		*transfer = handover{next: transfer.next}
+// tickTransfer gives up a transfer that takes too long, and starts one if the leader's disk takes no writes.
+func (n *Node) tickTransfer() {
+	transfer := &n.leaderState.transfer
+	if transfer.target != 0 && n.now >= transfer.deadline {
+		*transfer = leadershipTransfer{retryAt: transfer.retryAt}
 	}
-	if !n.writable {
-		n.handOver()
+	if !n.diskWritable {
+		n.startTransferToBestPeer()
 	}
 }
 
 // finishTransfer tells the successor to campaign once it holds the whole log.
 func (n *Node) finishTransfer() {
-	transfer := &n.leading.transfer
-	if transfer.to == 0 || transfer.asked {
+	transfer := &n.leaderState.transfer
+	if transfer.target == 0 || transfer.timeoutNowSent {
 		return
 	}
-	peer := n.peer(transfer.to)
-	if peer == nil || peer.match < n.log.last() {
+	peer := n.peer(transfer.target)
+	if peer == nil || peer.matchIndex < n.log.lastIndex() {
 		return
 	}
-	transfer.asked = true
-	n.send(Message{Kind: MessageTransferNow, To: transfer.to})
+	transfer.timeoutNowSent = true
+	n.send(Message{Kind: MessageTimeoutNow, To: transfer.target})
 }
 
-// onTransferNow campaigns at once, without asking first who would vote.
-func (n *Node) onTransferNow(message Message) {
-	if message.From != n.leader || !n.mayCampaign() {
+// handleTimeoutNow campaigns at once, without asking first who would vote.
+func (n *Node) handleTimeoutNow(message Message) {
+	if message.From != n.leaderID || !n.canCampaign() {
 		return
 	}
-	n.campaign(true)
+	n.startElection(true)
 }
--- a/coord/consensus/types.go
+++ b/coord/consensus/types.go
@@ -25,9 +25,9 @@
 type EntryKind uint8
 
 const (
-	EntryCommand EntryKind = iota // Data is a command of the state machine
-	EntryNoop                     // a new leader's first entry
-	EntryMembers                  // Members is the group's membership from here on
+	EntryCommand    EntryKind = iota // Data is a command of the state machine
+	EntryNoop                        // a new leader's first entry
+	EntryMembership                  // Members is the group's membership from here on
 )
 
 // Entry is one record of the replicated log.
@@ -58,15 +58,15 @@
 const (
 	MessagePreVote MessageKind = iota
 	MessagePreVoteReply
-	MessageVote
-	MessageVoteReply
-	MessageAppend
-	MessageAppendReply
+	MessageRequestVote
+	MessageRequestVoteReply
+	MessageAppendEntries
+	MessageAppendEntriesReply
 	MessageHeartbeat
 	MessageHeartbeatReply
-	MessageSnapshot
-	MessageSnapshotReply
-	MessageTransferNow // the leader asks the receiver to campaign at once
+	MessageInstallSnapshot
+	MessageInstallSnapshotReply
+	MessageTimeoutNow // the leader asks the receiver to campaign at once
 )
 
 // Message is what two members of a group say to each other.
@@ -76,15 +76,15 @@
 	Term     uint64
 	LogIndex uint64 // Append: entry before the first one sent. Vote: last entry of the candidate. AppendReply: last matching entry
 	// that is durable; rejected: LogIndex of the Append. HeartbeatReply: last matching entry
-	LogTerm   uint64
-	Commit    uint64
-	Entries   []Entry
-	Snapshot  *Snapshot
-	Reject    bool
-	HintIndex uint64 // AppendReply: last matching entry; rejected: where to go on. HeartbeatReply: last matching entry that is durable
-	HintTerm  uint64
-	Context   uint64 // Heartbeat and its reply: the read round that it confirms; 0: tells the commit index and wants no reply
-	Forced    bool   // Vote: part of a planned transfer, so leases do not hold it back
+	LogTerm            uint64
+	Commit             uint64
+	Entries            []Entry
+	Snapshot           *Snapshot
+	Reject             bool
+	HintIndex          uint64 // AppendReply: last matching entry; rejected: where to go on. HeartbeatReply: last matching entry that is durable
+	HintTerm           uint64
+	HeartbeatRound     uint64 // Heartbeat and its reply: the read round that it confirms; 0: tells the commit index and wants no reply
+	LeadershipTransfer bool   // Vote: part of a planned transfer, so leases do not hold it back
 }
 
 // Role is what a member does in its term.
@@ -99,34 +99,34 @@
 
 // Config sets up a member.
 type Config struct {
-	ID              MemberID
-	ElectionTimeout time.Duration // least silence of the leader before a campaign; drawn up to twice this
-	Heartbeat       time.Duration // pause between a leader's heartbeats
-	MaxAppendBytes  int           // most bytes of entries in one message
-	MaxInflight     int           // most unanswered Append messages for a member
-	Seed            uint64        // of the draws of election timeouts
-	Trailing        int           // entries kept before a snapshot for members a little behind; 0: 256, negative: none
-	Omit            []Rule        // checks left out, by tests alone
+	ID                MemberID
+	ElectionTimeout   time.Duration // least silence of the leader before a campaign; drawn up to twice this
+	HeartbeatInterval time.Duration // pause between a leader's heartbeats
+	MaxAppendBytes    int           // most bytes of entries in one message
+	MaxInflight       int           // most unanswered Append messages for a member
+	Seed              uint64        // of the draws of election timeouts
+	TrailingEntries   int           // entries kept before a snapshot for members a little behind; 0: 256, negative: none
+	DisabledRules     []Rule        // checks left out, by tests alone
 }
 
-// Stored is what a member finds on its disk. The zero value is an empty disk: such a member
+// PersistedState is what a member finds on its disk. The zero value is an empty disk: such a member
 // has no vote and waits for a leader to send it the group's state.
-type Stored struct {
+type PersistedState struct {
 	HardState HardState
 	Snapshot  Snapshot // Index 0: none
 	Entries   []Entry  // those after the snapshot
 }
 
-// Founding returns the state of a group's first members at its formation: a snapshot at index 1
+// Bootstrap returns the state of a group's first members at its formation: a snapshot at index 1
 // of term 1 with nothing but the membership. All founders must be given the same members.
-func Founding(members []Member, data []byte) Stored {
-	return Stored{HardState: HardState{Term: 1, Commit: 1},
+func Bootstrap(members []Member, data []byte) PersistedState {
+	return PersistedState{HardState: HardState{Term: 1, Commit: 1},
 		Snapshot: Snapshot{Index: 1, Term: 1, Members: members, Data: data}}
 }
 
-// Persist is what is to be made durable, in this order: Snapshot, then Entries, then HardState.
+// PersistRequest is what is to be made durable, in this order: Snapshot, then Entries, then HardState.
 // Entries replace all stored entries from the index of the first one on.
-type Persist struct {
+type PersistRequest struct {
 	Sequence  uint64 // to be handed to Persisted once all is durable
 	HardState *HardState
 	Entries   []Entry
@@ -142,41 +142,41 @@
 
 // Ready is all that a member wants done since the last Take.
 type Ready struct {
-	Persist   *Persist  // nil: nothing. May be batched and written apart from the caller's loop
-	Messages  []Message // may be sent at once; those that rest on Persist come after Persisted
-	Restore   *Snapshot // the state machine takes this state before it applies Committed
-	Committed []Entry   // to be applied in order, each exactly once in a process's life
+	Persist   *PersistRequest // nil: nothing. May be batched and written apart from the caller's loop
+	Messages  []Message       // may be sent at once; those that rest on Persist come after Persisted
+	Restore   *Snapshot       // the state machine takes this state before it applies Committed
+	Committed []Entry         // to be applied in order, each exactly once in a process's life
 	Reads     []ReadResult
 }
 
 // Status describes a member for its caller.
 type Status struct {
-	Role      Role
-	Term      uint64
-	Leader    MemberID // 0: unknown
-	Members   []Member
-	Retired   []MemberID // IDs that were replaced and never come back
-	Commit    uint64
-	Applied   uint64
-	First     uint64 // first entry in the log
-	Last      uint64 // last entry in the log
-	Durable   uint64 // last entry that is durable at this member
-	Confirmed time.Duration
+	Role         Role
+	Term         uint64
+	Leader       MemberID // 0: unknown
+	Members      []Member
+	Retired      []MemberID // IDs that were replaced and never come back
+	CommitIndex  uint64
+	AppliedIndex uint64
+	FirstIndex   uint64 // first entry in the log
+	LastIndex    uint64 // last entry in the log
+	DurableIndex uint64 // last entry that is durable at this member
+	ConfirmedAt  time.Duration
 	// Confirmed: of a leader, when a majority last answered a heartbeat sent by then; of a follower, when it
 	// last heard its leader and held all that the leader had then committed.
 }
 
 // Errors of proposals.
 var (
-	ErrNotLeader    = errors.New("agreement: not the leader")
-	ErrTransferring = errors.New("agreement: leadership is being handed over")
-	ErrBusy         = errors.New("agreement: too many entries are waiting for a majority")
-	ErrMemberChange = errors.New("agreement: a change of members is under way or not allowed")
-	ErrNoSuccessor  = errors.New("agreement: no other voter can take over leadership")
+	ErrNotLeader          = errors.New("agreement: not the leader")
+	ErrTransferInProgress = errors.New("agreement: leadership is being handed over")
+	ErrTooManyUncommitted = errors.New("agreement: too many entries are waiting for a majority")
+	ErrMembershipChange   = errors.New("agreement: a change of members is under way or not allowed")
+	ErrNoTransferTarget   = errors.New("agreement: no other voter can take over leadership")
 )
 
 // Errors of states that must never be.
 var (
-	ErrStored            = errors.New("agreement: stored state cannot be used")
+	ErrInvalidState      = errors.New("agreement: stored state cannot be used")
 	ErrCommittedConflict = errors.New("agreement: a leader's entry conflicts with a committed one")
 )
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -255,7 +255,7 @@
 	c.t.Helper()
 	c.until("a leader whose own entry is applied", func() bool {
 		leader := c.leader()
-		return leader != nil && leader.group.Status().Applied == leader.group.loop.status.Last && leader.group.Status().Applied > 1
+		return leader != nil && leader.group.Status().Applied == leader.group.loop.status.LastIndex && leader.group.Status().Applied > 1
 	})
 	return c.leader()
 }
@@ -290,7 +290,7 @@
 }
 
 // change asks again while the leader does not know yet that it may make the change.
-func (c *cluster) change(change consensus.Change) {
+func (c *cluster) change(change consensus.MembershipChange) {
 	c.t.Helper()
 	limit := c.clock.now + testDuration
 	for {
@@ -300,7 +300,7 @@
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, consensus.ErrMemberChange) || c.clock.now > limit {
+		if !errors.Is(err, consensus.ErrMembershipChange) || c.clock.now > limit {
 			c.t.Fatal(err)
 		}
 		c.step()
--- a/coord/replica/events.go
+++ b/coord/replica/events.go
@@ -18,7 +18,7 @@
 }
 
 type changeEvent struct {
-	change consensus.Change
+	change consensus.MembershipChange
 	done   chan outcome
 }
 
--- a/coord/replica/group.go
+++ b/coord/replica/group.go
@@ -44,7 +44,7 @@
 	return group, nil
 }
 
-func start(options *Options, log storage, stored consensus.Stored) (*Group, error) {
+func start(options *Options, log storage, stored consensus.PersistedState) (*Group, error) {
 	if err := stored.Check(); err != nil {
 		return nil, err
 	}
@@ -58,20 +58,20 @@
 }
 
 // openLog reads the disk and writes the founding state to an empty one if it is to found the group.
-func openLog(options *Options) (*seglog.Log, consensus.Stored, error) {
+func openLog(options *Options) (*seglog.Log, consensus.PersistedState, error) {
 	log, stored, err := seglog.Open(seglog.Options{FileSystem: options.FileSystem, Directory: options.Directory})
 	if err != nil || len(options.Founders) == 0 || !isEmpty(&stored) {
 		return log, stored, err
 	}
-	stored = consensus.Founding(options.Founders, options.Machine.Snapshot())
-	founding := consensus.Persist{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
-	if err := log.Save([]*consensus.Persist{&founding}); err != nil {
-		return nil, consensus.Stored{}, errors.Join(err, log.Close())
+	stored = consensus.Bootstrap(options.Founders, options.Machine.Snapshot())
+	founding := consensus.PersistRequest{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
+	if err := log.Save([]*consensus.PersistRequest{&founding}); err != nil {
+		return nil, consensus.PersistedState{}, errors.Join(err, log.Close())
 	}
 	return log, stored, nil
 }
 
-func isEmpty(stored *consensus.Stored) bool {
+func isEmpty(stored *consensus.PersistedState) bool {
 	return stored.HardState == consensus.HardState{} && stored.Snapshot.Index == 0 && len(stored.Entries) == 0
 }
 
@@ -169,7 +169,7 @@
 	var found []consensus.MemberID
 	err := g.Do(func() {
 		for _, member := range g.loop.node.Status().Members {
-			if !member.Voter && g.loop.node.MayPromote(member.ID) {
+			if !member.Voter && g.loop.node.CanPromote(member.ID) {
 				found = append(found, member.ID)
 			}
 		}
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -135,7 +135,7 @@
 	for _, to := range []consensus.MemberID{leader.member.ID, 99} {
 		done := newDone()
 		leader.group.inbox.post(transferEvent{to: to, done: done})
-		if err := c.await(done).err; !errors.Is(err, consensus.ErrNoSuccessor) {
+		if err := c.await(done).err; !errors.Is(err, consensus.ErrNoTransferTarget) {
 			t.Fatalf("to %d: %v", to, err)
 		}
 	}
@@ -199,15 +199,15 @@
 		c.commit(fmt.Sprint("command ", i))
 	}
 	leader := c.awaitLeader()
-	if first := leader.group.loop.status.First; first == 2 {
+	if first := leader.group.loop.status.FirstIndex; first == 2 {
 		t.Fatal("the log was not compacted")
 	}
 	added := c.add(testMember(4, false), nil)
-	c.change(consensus.Change{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
+	c.change(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
 	c.awaitCommands(added, compactEntries+100)
-	c.change(consensus.Change{Add: &consensus.Member{ID: 4, Address: added.member.Address, Voter: true}})
+	c.change(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address, Voter: true}})
 	removed := c.awaitLeader().member.ID%3 + 1
-	c.change(consensus.Change{Remove: removed})
+	c.change(consensus.MembershipChange{Remove: removed})
 	c.commit("last")
 	c.awaitCommands(added, compactEntries+101)
 	c.restart(added, true, 3)
--- a/coord/replica/guards_test.go
+++ b/coord/replica/guards_test.go
@@ -56,7 +56,7 @@
 	GuardStallHandsOver: func(t *testing.T, omit ...Guard) bool {
 		s := newScript()
 		s.loop.options.OmitGuards = omit
-		s.node.ready.Persist = &consensus.Persist{Sequence: 1}
+		s.node.ready.Persist = &consensus.PersistRequest{Sequence: 1}
 		s.turn(0)
 		s.turn(2 * stallAfter)
 		return s.node.writable
--- a/coord/replica/loop.go
+++ b/coord/replica/loop.go
@@ -62,7 +62,7 @@
 	}
 	l.checkDisk()
 	l.startReads()
-	l.carryOut(l.node.Take())
+	l.carryOut(l.node.Ready())
 	l.checkLeadership()
 	l.expire()
 	l.startCompaction()
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -12,22 +12,22 @@
 	NextTick() time.Duration
 	Step(now time.Duration, message consensus.Message)
 	Propose(now time.Duration, data []byte) (term, index uint64, err error)
-	ChangeMembers(now time.Duration, change consensus.Change) error
-	Read(now time.Duration, id uint64) error
-	Transfer(now time.Duration, to consensus.MemberID) error
+	ChangeMembers(now time.Duration, change consensus.MembershipChange) error
+	ReadIndex(now time.Duration, id uint64) error
+	TransferLeadership(now time.Duration, to consensus.MemberID) error
 	SetWritable(now time.Duration, writable bool)
-	Take() consensus.Ready
+	Ready() consensus.Ready
 	Persisted(now time.Duration, sequence uint64)
 	SnapshotAt(index uint64, data []byte) (consensus.Snapshot, bool)
 	Compact(index uint64, members []consensus.Member, data []byte)
-	MayPromote(id consensus.MemberID) bool
+	CanPromote(id consensus.MemberID) bool
 	Status() consensus.Status
 }
 
 var _ decider = (*consensus.Node)(nil)
 
 // Change adds, alters or removes one member.
-type Change = consensus.Change
+type Change = consensus.MembershipChange
 
 // Bounds of what a leader has under way with one member.
 const (
@@ -39,15 +39,15 @@
 // without costing the next one its place on the grid of time.
 const heartbeatMargin = 6
 
-func newNode(options *Options, stored consensus.Stored, now time.Duration) decider {
+func newNode(options *Options, stored consensus.PersistedState, now time.Duration) decider {
 	config := consensus.Config{
-		ID:              options.Self.ID,
-		ElectionTimeout: options.ElectionTimeout,
-		Heartbeat:       options.Heartbeat - options.Heartbeat/heartbeatMargin,
-		MaxAppendBytes:  maxAppendBytes,
-		MaxInflight:     maxInflight,
-		Seed:            uint64(options.Self.ID) + uint64(options.Shard),
-		Omit:            options.Omit,
+		ID:                options.Self.ID,
+		ElectionTimeout:   options.ElectionTimeout,
+		HeartbeatInterval: options.Heartbeat - options.Heartbeat/heartbeatMargin,
+		MaxAppendBytes:    maxAppendBytes,
+		MaxInflight:       maxInflight,
+		Seed:              uint64(options.Self.ID) + uint64(options.Shard),
+		DisabledRules:     options.Omit,
 	}
 	return consensus.New(config, stored, now)
 }
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -34,17 +34,17 @@
 }
 
 func (l *loop) changeMembers(one changeEvent) {
-	before := l.node.Status().Last
+	before := l.node.Status().LastIndex
 	if err := l.node.ChangeMembers(l.now, one.change); err != nil {
 		one.done <- outcome{err: l.refusal(err)}
 		return
 	}
 	status := l.node.Status()
-	if status.Last == before {
+	if status.LastIndex == before {
 		one.done <- outcome{} // nothing to change, and the last change is committed
 		return
 	}
-	l.waiting.add(status.Last, &proposal{term: status.Term, done: one.done})
+	l.waiting.add(status.LastIndex, &proposal{term: status.Term, done: one.done})
 }
 
 // refusal turns the node's error into the caller's.
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -23,7 +23,7 @@
 	fresh := l.reads.fresh
 	l.reads.fresh = nil
 	l.reads.lastID++
-	if err := l.node.Read(l.now, l.reads.lastID); err != nil {
+	if err := l.node.ReadIndex(l.now, l.reads.lastID); err != nil {
 		answer(fresh, l.refusal(err))
 		return
 	}
--- a/coord/replica/received_test.go
+++ b/coord/replica/received_test.go
@@ -19,8 +19,8 @@
 	member := testMember(9, false)
 	added := s.add(member, nil)
 	added.disk.Room = room
-	s.changeMembers(consensus.Change{Remove: gone.member.ID})
-	s.changeMembers(consensus.Change{Add: &member})
+	s.changeMembers(consensus.MembershipChange{Remove: gone.member.ID})
+	s.changeMembers(consensus.MembershipChange{Add: &member})
 	return s, added
 }
 
@@ -55,7 +55,7 @@
 	if !ok {
 		return 0
 	}
-	matched, _ := node.Matched(p.member.ID)
+	matched, _ := node.MatchIndex(p.member.ID)
 	return matched
 }
 
--- a/coord/replica/scripted_test.go
+++ b/coord/replica/scripted_test.go
@@ -30,24 +30,26 @@
 
 func (n *scriptedNode) Propose(time.Duration, []byte) (term, index uint64, err error) {
 	if n.refusal == nil {
-		n.status.Last++
+		n.status.LastIndex++
 	}
-	return n.status.Term, n.status.Last, n.refusal
+	return n.status.Term, n.status.LastIndex, n.refusal
 }
 
-func (n *scriptedNode) MayPromote(consensus.MemberID) bool                  { return false }
-func (n *scriptedNode) ChangeMembers(time.Duration, consensus.Change) error { return n.refusal }
+func (n *scriptedNode) CanPromote(consensus.MemberID) bool { return false }
+func (n *scriptedNode) ChangeMembers(time.Duration, consensus.MembershipChange) error {
+	return n.refusal
+}
 
-func (n *scriptedNode) Read(_ time.Duration, id uint64) error {
+func (n *scriptedNode) ReadIndex(_ time.Duration, id uint64) error {
 	n.reads = append(n.reads, id)
 	return n.refusal
 }
 
-func (n *scriptedNode) Transfer(time.Duration, consensus.MemberID) error { return n.refusal }
-func (n *scriptedNode) SetWritable(_ time.Duration, writable bool)       { n.writable = writable }
-func (n *scriptedNode) Persisted(_ time.Duration, sequence uint64)       { n.persisted = sequence }
+func (n *scriptedNode) TransferLeadership(time.Duration, consensus.MemberID) error { return n.refusal }
+func (n *scriptedNode) SetWritable(_ time.Duration, writable bool)                 { n.writable = writable }
+func (n *scriptedNode) Persisted(_ time.Duration, sequence uint64)                 { n.persisted = sequence }
 
-func (n *scriptedNode) Take() consensus.Ready {
+func (n *scriptedNode) Ready() consensus.Ready {
 	ready := n.ready
 	n.ready = consensus.Ready{}
 	return ready
@@ -239,7 +241,7 @@
 
 func TestStallTellsNode(t *testing.T) {
 	s := newScript()
-	s.node.ready.Persist = &consensus.Persist{Sequence: 1}
+	s.node.ready.Persist = &consensus.PersistRequest{Sequence: 1}
 	s.turn(0)
 	if next := s.loop.next(); next != s.clock.now+stallAfter {
 		t.Fatalf("wakes in %v", next-s.clock.now)
@@ -256,7 +258,7 @@
 
 func TestFailedWriteTellsNode(t *testing.T) {
 	s := newScript()
-	s.node.ready.Persist = &consensus.Persist{Sequence: 1}
+	s.node.ready.Persist = &consensus.PersistRequest{Sequence: 1}
 	s.turn(0)
 	s.turn(0, diskEvent{err: seglogtest.ErrFull})
 	if s.node.writable || s.node.persisted != 0 {
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -9,19 +9,19 @@
 
 // publish makes the state visible to other goroutines and reports what has changed.
 func (l *loop) publish() {
-	l.sharedAge.Store(int64(l.status.Confirmed))
+	l.sharedAge.Store(int64(l.status.ConfirmedAt))
 	l.sharedWeight.Store(l.disk.diskBytes)
-	l.sharedStable.Store(l.status.Durable)
+	l.sharedStable.Store(l.status.DurableIndex)
 	l.handOver.ended(l.status)
 	changed := l.hasChanged()
-	if !changed && l.published.Applied == l.applied && l.published.Commit == l.status.Commit {
+	if !changed && l.published.Applied == l.applied && l.published.Commit == l.status.CommitIndex {
 		return
 	}
 	l.published = l.describe()
 	copied := l.published
 	l.shared.Store(&copied)
 	if changed && l.options.OnStatus != nil {
-		l.options.OnStatus(withAge(copied, l.status.Confirmed, l.now))
+		l.options.OnStatus(withAge(copied, l.status.ConfirmedAt, l.now))
 	}
 }
 
@@ -44,7 +44,7 @@
 		Members:   slices.Clone(l.status.Members),
 		Retired:   slices.Clone(l.status.Retired),
 		Applied:   l.applied,
-		Commit:    l.status.Commit,
+		Commit:    l.status.CommitIndex,
 		Writable:  l.disk.writable,
 		DiskBytes: l.disk.diskBytes,
 	}
--- a/coord/replica/storm_test.go
+++ b/coord/replica/storm_test.go
@@ -129,13 +129,13 @@
 	}
 	s.remove(p)
 	added := s.add(member, nil)
-	s.changeMembers(consensus.Change{Remove: old.ID})
-	s.changeMembers(consensus.Change{Add: &member})
+	s.changeMembers(consensus.MembershipChange{Remove: old.ID})
+	s.changeMembers(consensus.MembershipChange{Add: &member})
 	return added
 }
 
 // changeMembers makes a change of members while the other changes go on.
-func (s *storm) changeMembers(change consensus.Change) {
+func (s *storm) changeMembers(change consensus.MembershipChange) {
 	s.t.Helper()
 	for {
 		s.pass("a leader", testDuration, func() bool { return s.leader() != nil })
@@ -172,7 +172,7 @@
 			if manner != "restarted" {
 				voter := back.member
 				voter.Voter = true
-				s.changeMembers(consensus.Change{Add: &voter})
+				s.changeMembers(consensus.MembershipChange{Add: &voter})
 			}
 		}
 	}
@@ -360,7 +360,7 @@
 	if problem := watchReturns(t); problem != "" {
 		t.Error(problem)
 	}
-	without := watchReturns(t, consensus.RuleCurrentHeld)
+	without := watchReturns(t, consensus.RuleConfirmedUpToDate)
 	if without == "" {
 		t.Error("current-held left out: not noticed")
 	}
--- a/coord/replica/transfers.go
+++ b/coord/replica/transfers.go
@@ -16,7 +16,7 @@
 }
 
 func (l *loop) transfer(one transferEvent) {
-	if err := l.node.Transfer(l.now, one.to); err != nil {
+	if err := l.node.TransferLeadership(l.now, one.to); err != nil {
 		one.done <- outcome{err: l.refusal(err)}
 		return
 	}
--- a/coord/replica/writer.go
+++ b/coord/replica/writer.go
@@ -15,13 +15,13 @@
 
 // job is one write: either a state of the node or a snapshot of the machine.
 type job struct {
-	persist  *consensus.Persist
+	persist  *consensus.PersistRequest
 	snapshot *consensus.Snapshot
 }
 
 // storage is what the writer needs of seglog.Log.
 type storage interface {
-	Save(batch []*consensus.Persist) error
+	Save(batch []*consensus.PersistRequest) error
 	Compact(snapshot consensus.Snapshot) error
 	LogBytes() int64
 	DiskBytes() int64
@@ -118,7 +118,7 @@
 	if w.held[0].snapshot != nil {
 		return w.writeSnapshot(w.held[0].snapshot)
 	}
-	var batch []*consensus.Persist
+	var batch []*consensus.PersistRequest
 	for _, one := range w.held {
 		if one.persist == nil {
 			break
--- a/coord/replica/writer_test.go
+++ b/coord/replica/writer_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func (l *scriptedLog) Save(batch []*consensus.Persist) error {
+func (l *scriptedLog) Save(batch []*consensus.PersistRequest) error {
 	var call []int
 	for _, persist := range batch {
 		call = append(call, int(persist.Sequence))
@@ -50,7 +50,7 @@
 
 func submitStates(w *writer, sequences ...uint64) {
 	for _, sequence := range sequences {
-		w.submit(job{persist: &consensus.Persist{Sequence: sequence}})
+		w.submit(job{persist: &consensus.PersistRequest{Sequence: sequence}})
 	}
 }
 
@@ -137,7 +137,7 @@
 	began, released chan struct{}
 }
 
-func (l *hungLog) Save([]*consensus.Persist) error {
+func (l *hungLog) Save([]*consensus.PersistRequest) error {
 	close(l.began)
 	<-l.released
 	return nil
@@ -148,7 +148,7 @@
 	options := Options{
 		Self: testMember(1, true), Machine: &listMachine{}, Send: func(consensus.Member, consensus.Message) {},
 	}.withDefaults()
-	group, err := start(&options, log, consensus.Founding([]consensus.Member{testMember(1, true)}, []byte("{}")))
+	group, err := start(&options, log, consensus.Bootstrap([]consensus.Member{testMember(1, true)}, []byte("{}")))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coord/seglog/benchmark_test.go
+++ b/coord/seglog/benchmark_test.go
@@ -22,7 +22,7 @@
 	for b.Loop() {
 		index++
 		entries := []consensus.Entry{{Term: 1, Index: index, Data: data}}
-		if err := log.Save([]*consensus.Persist{{Entries: entries}}); err != nil {
+		if err := log.Save([]*consensus.PersistRequest{{Entries: entries}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/coord/seglog/cut_test.go
+++ b/coord/seglog/cut_test.go
@@ -13,7 +13,7 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-var emptyDisk consensus.Stored
+var emptyDisk consensus.PersistedState
 
 // writtenDisk has a history on disk, with the size of the last segment after each call.
 type writtenDisk struct {
@@ -171,11 +171,11 @@
 
 func saveEntries(t *testing.T, log *seglog.Log, record *history, first, last uint64) {
 	t.Helper()
-	persist := &consensus.Persist{}
+	persist := &consensus.PersistRequest{}
 	for index := first; index <= last; index++ {
 		persist.Entries = append(persist.Entries, consensus.Entry{Term: 1, Index: index, Data: []byte("command")})
 	}
-	one := operation{batch: []*consensus.Persist{persist}}
+	one := operation{batch: []*consensus.PersistRequest{persist}}
 	record.attempt(one)
 	if err := carryOut(log, one); err != nil {
 		t.Fatal(err)
--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -41,11 +41,11 @@
 }
 
 // callOf makes the call that a letter stands for; it fits the state.
-func callOf(letter rune, state consensus.Stored) operation {
+func callOf(letter rune, state consensus.PersistedState) operation {
 	last, term := lastIndex(state), max(lastTerm(state), 1)
 	entry := func(index, term uint64) operation {
 		entries := []consensus.Entry{{Term: term, Index: index, Data: []byte{byte(index), byte(term)}}}
-		return operation{batch: []*consensus.Persist{{Entries: entries}}}
+		return operation{batch: []*consensus.PersistRequest{{Entries: entries}}}
 	}
 	snapshot := func(index, term uint64) *consensus.Snapshot {
 		return &consensus.Snapshot{Index: index, Term: term, Members: []consensus.Member{{ID: 1, Voter: true}}, Data: []byte{byte(index)}}
@@ -53,13 +53,13 @@
 	switch {
 	case letter == callVote:
 		vote := state.HardState.Vote + 1
-		return operation{batch: []*consensus.Persist{{HardState: &consensus.HardState{Term: term + uint64(vote), Vote: vote}}}}
+		return operation{batch: []*consensus.PersistRequest{{HardState: &consensus.HardState{Term: term + uint64(vote), Vote: vote}}}}
 	case letter == callCompact && len(state.Entries) > 0:
 		return operation{compact: snapshot(last, lastTerm(state))}
 	case letter == callReceive:
 		hard := state.HardState
 		hard.Term++
-		return operation{batch: []*consensus.Persist{{Snapshot: snapshot(last+2, term+1), HardState: &hard}}}
+		return operation{batch: []*consensus.PersistRequest{{Snapshot: snapshot(last+2, term+1), HardState: &hard}}}
 	case letter == callReplace && len(state.Entries) > 0:
 		return entry(last, term+1)
 	}
@@ -67,7 +67,7 @@
 }
 
 // tinyLog opens a log whose segments hold one record each.
-func tinyLog(disk *seglogtest.Disk, omit ...seglog.Guard) (*seglog.Log, consensus.Stored, error) {
+func tinyLog(disk *seglogtest.Disk, omit ...seglog.Guard) (*seglog.Log, consensus.PersistedState, error) {
 	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: tinySegment, Omit: omit})
 }
 
@@ -196,7 +196,7 @@
 // mixedMoment is what the folder held at one moment of a sequence.
 type mixedMoment struct {
 	files map[string][]byte
-	state consensus.Stored
+	state consensus.PersistedState
 }
 
 // momentsOf returns the folder and the state after each call.
@@ -273,7 +273,7 @@
 
 // checkMixed checks what a mixed folder yields. An older log beside a newer snapshot is like the newer log without
 // its end; a newer log beside an older snapshot holds all, or is refused.
-func checkMixed(moments []mixedMoment, log, snapshot int, found consensus.Stored) error {
+func checkMixed(moments []mixedMoment, log, snapshot int, found consensus.PersistedState) error {
 	if found.Snapshot.Index < moments[snapshot].state.Snapshot.Index {
 		return fmt.Errorf("the snapshot is lost: %s", text(found))
 	}
@@ -299,13 +299,13 @@
 }
 
 // sameEnd tells whether two states have the same last entry, term and vote.
-func sameEnd(one, other consensus.Stored) bool {
+func sameEnd(one, other consensus.PersistedState) bool {
 	return lastIndex(one) == lastIndex(other) && lastTerm(one) == lastTerm(other) &&
 		one.HardState.Term == other.HardState.Term && one.HardState.Vote == other.HardState.Vote
 }
 
 // snapshotAlone allows the snapshot of a moment with no segment that counts.
-func snapshotAlone(moments []mixedMoment, found consensus.Stored) error {
+func snapshotAlone(moments []mixedMoment, found consensus.PersistedState) error {
 	same := func(moment mixedMoment) bool { return moment.state.Snapshot.Index == found.Snapshot.Index }
 	if len(found.Entries) == 0 && slices.ContainsFunc(moments, same) {
 		return nil
--- a/coord/seglog/fault_test.go
+++ b/coord/seglog/fault_test.go
@@ -48,7 +48,7 @@
 func (r *faultyRun) again(call operation) {
 	r.t.Helper()
 	if call.compact == nil {
-		more := operation{batch: []*consensus.Persist{r.calls.persist(r.record.last())}}
+		more := operation{batch: []*consensus.PersistRequest{r.calls.persist(r.record.last())}}
 		r.record.attempt(more)
 		call.batch = append(call.batch, more.batch...)
 	}
@@ -156,8 +156,8 @@
 	log, stored := mustOpen(t, disk)
 	record := newHistory(stored)
 	saveEntries(t, log, record, 1, 3)
-	persist := &consensus.Persist{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
-	one := operation{batch: []*consensus.Persist{persist}}
+	persist := &consensus.PersistRequest{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
+	one := operation{batch: []*consensus.PersistRequest{persist}}
 	record.attempt(one)
 	disk.Refuse = true
 	for range 3 {
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -19,16 +19,16 @@
 
 // operation is one call of the log.
 type operation struct {
-	batch   []*consensus.Persist
+	batch   []*consensus.PersistRequest
 	compact *consensus.Snapshot
 }
 
 // stateAfter returns the states that a call passes through, the last one being its result.
-func statesOf(before consensus.Stored, one operation) []consensus.Stored {
+func statesOf(before consensus.PersistedState, one operation) []consensus.PersistedState {
 	if one.compact != nil {
-		return []consensus.Stored{compacted(before, *one.compact)}
+		return []consensus.PersistedState{compacted(before, *one.compact)}
 	}
-	var states []consensus.Stored
+	var states []consensus.PersistedState
 	current := before
 	for _, persist := range one.batch {
 		for _, next := range statesOfPersist(current, persist) {
@@ -39,8 +39,8 @@
 	return states
 }
 
-func statesOfPersist(before consensus.Stored, persist *consensus.Persist) []consensus.Stored {
-	var states []consensus.Stored
+func statesOfPersist(before consensus.PersistedState, persist *consensus.PersistRequest) []consensus.PersistedState {
+	var states []consensus.PersistedState
 	current := before
 	if persist.Snapshot != nil {
 		current.Snapshot = *persist.Snapshot
@@ -62,7 +62,7 @@
 	return states
 }
 
-func compacted(before consensus.Stored, snapshot consensus.Snapshot) consensus.Stored {
+func compacted(before consensus.PersistedState, snapshot consensus.Snapshot) consensus.PersistedState {
 	after := before
 	after.Entries = slices.Clone(before.Entries[snapshot.Index-before.Snapshot.Index:])
 	after.Snapshot = snapshot
@@ -70,17 +70,17 @@
 }
 
 // text writes a state in one form, so that states can be compared.
-func text(state consensus.Stored) string {
+func text(state consensus.PersistedState) string {
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	state.HardState.Commit = min(state.HardState.Commit, last)
 	return fmt.Sprintf("%+v", state)
 }
 
-func lastIndex(state consensus.Stored) uint64 {
+func lastIndex(state consensus.PersistedState) uint64 {
 	return state.Snapshot.Index + uint64(len(state.Entries))
 }
 
-func lastTerm(state consensus.Stored) uint64 {
+func lastTerm(state consensus.PersistedState) uint64 {
 	if len(state.Entries) > 0 {
 		return state.Entries[len(state.Entries)-1].Term
 	}
@@ -94,15 +94,15 @@
 }
 
 // committed returns the index up to which nothing is replaced.
-func (w workload) committed(state consensus.Stored) uint64 {
+func (w workload) committed(state consensus.PersistedState) uint64 {
 	return max(state.Snapshot.Index, w.floor)
 }
 
-func (w workload) next(state consensus.Stored) operation {
+func (w workload) next(state consensus.PersistedState) operation {
 	if w.random.IntN(6) == 0 && len(state.Entries) > 0 {
 		return operation{compact: w.localSnapshot(state)}
 	}
-	var batch []*consensus.Persist
+	var batch []*consensus.PersistRequest
 	current := state
 	for range 1 + w.random.IntN(3) {
 		persist := w.persist(current)
@@ -113,13 +113,13 @@
 	return operation{batch: batch}
 }
 
-func (w workload) localSnapshot(state consensus.Stored) *consensus.Snapshot {
+func (w workload) localSnapshot(state consensus.PersistedState) *consensus.Snapshot {
 	entry := state.Entries[w.random.IntN(len(state.Entries))]
 	return &consensus.Snapshot{Index: entry.Index, Term: entry.Term, Members: w.members(), Data: w.data()}
 }
 
-func (w workload) persist(state consensus.Stored) *consensus.Persist {
-	persist := &consensus.Persist{}
+func (w workload) persist(state consensus.PersistedState) *consensus.PersistRequest {
+	persist := &consensus.PersistRequest{}
 	switch w.random.IntN(10) {
 	case 0:
 		persist.Snapshot = w.receivedSnapshot(state)
@@ -137,18 +137,18 @@
 }
 
 // replacedFrom draws the index from which a new leader replaces entries.
-func (w workload) replacedFrom(state consensus.Stored) uint64 {
+func (w workload) replacedFrom(state consensus.PersistedState) uint64 {
 	first := w.committed(state) + 1
 	return first + uint64(w.random.IntN(int(lastIndex(state)+2-first)))
 }
 
-func (w workload) receivedSnapshot(state consensus.Stored) *consensus.Snapshot {
+func (w workload) receivedSnapshot(state consensus.PersistedState) *consensus.Snapshot {
 	first := w.committed(state) + 1
 	index := first + uint64(w.random.IntN(int(lastIndex(state)+6-first)))
 	return &consensus.Snapshot{Index: index, Term: lastTerm(state) + 1, Members: w.members(), Data: w.data()}
 }
 
-func (w workload) hardState(state consensus.Stored) *consensus.HardState {
+func (w workload) hardState(state consensus.PersistedState) *consensus.HardState {
 	return &consensus.HardState{
 		Term:   state.HardState.Term + uint64(w.random.IntN(3)),
 		Vote:   consensus.MemberID(w.random.Uint64()),
@@ -161,7 +161,7 @@
 	for i := range uint64(1 + w.random.IntN(4)) {
 		entry := consensus.Entry{Term: term, Index: first + i, Data: w.data()}
 		if w.random.IntN(8) == 0 {
-			entry.Kind, entry.Members = consensus.EntryMembers, w.members()
+			entry.Kind, entry.Members = consensus.EntryMembership, w.members()
 		}
 		entries = append(entries, entry)
 	}
@@ -186,24 +186,24 @@
 
 // history is what may be on disk: all states, of which those before acknowledged must not be.
 type history struct {
-	states       []consensus.Stored
+	states       []consensus.PersistedState
 	texts        []string // of the states, where they were needed
 	acknowledged int
 	abandoned    []consensus.Snapshot // local ones that failed and were not tried again
 }
 
-func newHistory(state consensus.Stored) *history {
-	return &history{states: []consensus.Stored{state}}
+func newHistory(state consensus.PersistedState) *history {
+	return &history{states: []consensus.PersistedState{state}}
 }
 
-func (h *history) last() consensus.Stored { return h.states[len(h.states)-1] }
+func (h *history) last() consensus.PersistedState { return h.states[len(h.states)-1] }
 
 func (h *history) attempt(one operation) { h.states = append(h.states, statesOf(h.last(), one)...) }
 
 func (h *history) acknowledge() { h.acknowledged = len(h.states) - 1 }
 
 // check fails unless the state is one that was passed through since the last acknowledged one.
-func (h *history) check(state consensus.Stored) error {
+func (h *history) check(state consensus.PersistedState) error {
 	recovered := text(state)
 	for i := h.acknowledged; i < len(h.states); i++ {
 		if h.text(i) == recovered || h.isAbandoned(h.states[i], recovered) {
@@ -223,7 +223,7 @@
 }
 
 // isAbandoned tells whether a snapshot that failed is all that sets the states apart.
-func (h *history) isAbandoned(allowed consensus.Stored, recovered string) bool {
+func (h *history) isAbandoned(allowed consensus.PersistedState, recovered string) bool {
 	for _, snapshot := range h.abandoned {
 		inLog := snapshot.Index > allowed.Snapshot.Index && snapshot.Index <= lastIndex(allowed)
 		if inLog && text(compacted(allowed, snapshot)) == recovered {
@@ -240,11 +240,11 @@
 	return log.Save(one.batch)
 }
 
-func open(disk *seglogtest.Disk) (*seglog.Log, consensus.Stored, error) {
+func open(disk *seglogtest.Disk) (*seglog.Log, consensus.PersistedState, error) {
 	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: smallSegmentBytes})
 }
 
-func mustOpen(t *testing.T, disk *seglogtest.Disk) (*seglog.Log, consensus.Stored) {
+func mustOpen(t *testing.T, disk *seglogtest.Disk) (*seglog.Log, consensus.PersistedState) {
 	t.Helper()
 	log, stored, err := open(disk)
 	if err != nil {
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -12,17 +12,17 @@
 // Open reads a directory back, makes what it read durable and returns it with the log, ready to be
 // appended to. Errors: ErrFormat, ErrDamaged and those of the file system; the directory may then
 // be opened again later.
-func Open(options Options) (*Log, consensus.Stored, error) {
+func Open(options Options) (*Log, consensus.PersistedState, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDirectory(log.directory); err != nil {
-		return nil, consensus.Stored{}, err
+		return nil, consensus.PersistedState{}, err
 	}
 	recovery := recovery{log: log}
 	if err := recovery.read(); err != nil {
-		return nil, consensus.Stored{}, err
+		return nil, consensus.PersistedState{}, err
 	}
 	if err := recovery.makeDurable(); err != nil {
-		return nil, consensus.Stored{}, err
+		return nil, consensus.PersistedState{}, err
 	}
 	return log, recovery.stored, nil
 }
@@ -59,7 +59,7 @@
 type recovery struct {
 	log      *Log
 	segments []foundSegment // in order of their numbers
-	stored   consensus.Stored
+	stored   consensus.PersistedState
 	kept     int  // segments that count
 	stopped  int  // first segment behind those that were looked at
 	severed  bool // the last one looked at has what was written behind more than there is
--- a/coord/seglog/seglog.go
+++ b/coord/seglog/seglog.go
@@ -79,7 +79,7 @@
 // Save makes the states of the batch durable in their order, with one sync if no snapshot and no
 // new segment is among them. After an error a prefix of the batch may or may not be on disk; the
 // same states are to be saved again, first in the next batch.
-func (l *Log) Save(batch []*consensus.Persist) error {
+func (l *Log) Save(batch []*consensus.PersistRequest) error {
 	if l.closed {
 		return ErrClosed
 	}
@@ -98,7 +98,7 @@
 
 // saveSnapshot stores the last snapshot of the batch, if any, together with the hard state that
 // holds with it, and returns the states that come after the snapshot.
-func (l *Log) saveSnapshot(batch []*consensus.Persist) ([]*consensus.Persist, error) {
+func (l *Log) saveSnapshot(batch []*consensus.PersistRequest) ([]*consensus.PersistRequest, error) {
 	position := lastSnapshot(batch)
 	if position < 0 {
 		return batch, nil
@@ -113,11 +113,11 @@
 	if err := l.replace(*received.Snapshot, hardState); err != nil {
 		return nil, err
 	}
-	after := &consensus.Persist{Sequence: received.Sequence, Entries: received.Entries}
-	return append([]*consensus.Persist{after}, batch[position+1:]...), nil
+	after := &consensus.PersistRequest{Sequence: received.Sequence, Entries: received.Entries}
+	return append([]*consensus.PersistRequest{after}, batch[position+1:]...), nil
 }
 
-func lastSnapshot(batch []*consensus.Persist) int {
+func lastSnapshot(batch []*consensus.PersistRequest) int {
 	for i := len(batch) - 1; i >= 0; i-- {
 		if batch[i].Snapshot != nil {
 			return i
@@ -126,7 +126,7 @@
 	return -1
 }
 
-func anyRecords(batch []*consensus.Persist) bool {
+func anyRecords(batch []*consensus.PersistRequest) bool {
 	for _, persist := range batch {
 		if persist.HardState != nil || len(persist.Entries) > 0 {
 			return true
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -102,7 +102,7 @@
 }
 
 // appendBatch writes the records of the batch to the current segment and syncs it.
-func (l *Log) appendBatch(batch []*consensus.Persist) error {
+func (l *Log) appendBatch(batch []*consensus.PersistRequest) error {
 	writer := recordWriter{chain: l.current.chain}
 	if l.current.good == 0 {
 		writer.header(l.current.sequence, l.last+1, l.current.previous)
@@ -132,7 +132,7 @@
 	greatest  uint64
 }
 
-func (s *batchState) add(writer *recordWriter, persist *consensus.Persist) {
+func (s *batchState) add(writer *recordWriter, persist *consensus.PersistRequest) {
 	for i := range persist.Entries {
 		writer.entry(&persist.Entries[i])
 		s.last = persist.Entries[i].Index
--- a/internal/controlplane/peertransport/messages.go
+++ b/internal/controlplane/peertransport/messages.go
@@ -74,7 +74,7 @@
 		From: int64(message.From), To: int64(message.To), Term: int64(message.Term),
 		LogIndex: int64(message.LogIndex), LogTerm: int64(message.LogTerm), Commit: int64(message.Commit),
 		Reject: message.Reject, HintIndex: int64(message.HintIndex), HintTerm: int64(message.HintTerm),
-		Context: int64(message.Context), Forced: message.Forced,
+		Context: int64(message.HeartbeatRound), Forced: message.LeadershipTransfer,
 		Entries: make([]wireEntry, len(message.Entries)),
 	}
 	for i, entry := range message.Entries {
@@ -98,7 +98,7 @@
 		From: consensus.MemberID(wire.From), To: consensus.MemberID(wire.To), Term: uint64(wire.Term),
 		LogIndex: uint64(wire.LogIndex), LogTerm: uint64(wire.LogTerm), Commit: uint64(wire.Commit),
 		Reject: wire.Reject, HintIndex: uint64(wire.HintIndex), HintTerm: uint64(wire.HintTerm),
-		Context: uint64(wire.Context), Forced: wire.Forced,
+		HeartbeatRound: uint64(wire.Context), LeadershipTransfer: wire.Forced,
 	}
 	for _, entry := range wire.Entries {
 		message.Entries = append(message.Entries, consensus.Entry{
--- a/internal/controlplane/peertransport/network_test.go
+++ b/internal/controlplane/peertransport/network_test.go
@@ -96,12 +96,12 @@
 	here := start(t, listen(t), 1, newRecorder())
 
 	sent := consensus.Message{
-		Kind: consensus.MessageSnapshot, From: 1, To: 2, Term: 1 << 63, LogIndex: 4, LogTerm: 5, Commit: 6,
-		Entries: []consensus.Entry{{Term: 1, Index: 2, Kind: consensus.EntryMembers, Data: []byte("d"),
+		Kind: consensus.MessageInstallSnapshot, From: 1, To: 2, Term: 1 << 63, LogIndex: 4, LogTerm: 5, Commit: 6,
+		Entries: []consensus.Entry{{Term: 1, Index: 2, Kind: consensus.EntryMembership, Data: []byte("d"),
 			Members: []consensus.Member{{ID: 1<<64 - 1, Address: "a", Voter: true}}}},
 		Snapshot: &consensus.Snapshot{Index: 9, Term: 8, Data: bytes.Repeat([]byte("s"), 8<<20),
 			Members: []consensus.Member{{ID: 3, Address: "b"}, {ID: 4, Retired: true}}},
-		Reject: true, HintIndex: 10, HintTerm: 11, Context: 12, Forced: true,
+		Reject: true, HintIndex: 10, HintTerm: 11, HeartbeatRound: 12, LeadershipTransfer: true,
 	}
 	here.Send(consensus.Member{ID: 2, Address: listener.Addr().String()}, 3, sent)
 	got := receive(t, there.messages)
@@ -114,7 +114,7 @@
 	if !bytes.Equal(got.Message.Snapshot.Data, sent.Snapshot.Data) || !slices.Equal(got.Message.Snapshot.Members, sent.Snapshot.Members) {
 		t.Fatal("the snapshot differs")
 	}
-	if !got.Message.Reject || !got.Message.Forced || got.Message.Context != 12 || got.Message.HintIndex != 10 {
+	if !got.Message.Reject || !got.Message.LeadershipTransfer || got.Message.HeartbeatRound != 12 || got.Message.HintIndex != 10 {
 		t.Fatalf("fields %+v", got.Message)
 	}
 }
--- a/internal/controlplane/server/execute.go
+++ b/internal/controlplane/server/execute.go
@@ -44,9 +44,9 @@
 	switch {
 	case errors.As(err, &other):
 		return notOwner(other.Leader.Address)
-	case errors.Is(err, consensus.ErrTransferring), errors.Is(err, replica.ErrClosed):
+	case errors.Is(err, consensus.ErrTransferInProgress), errors.Is(err, replica.ErrClosed):
 		return notOwner("")
-	case errors.Is(err, consensus.ErrBusy):
+	case errors.Is(err, consensus.ErrTooManyUncommitted):
 		return failed(Busy)
 	}
 	return failed(OutcomeUnknown)
--- a/internal/controlplane/server/route_test.go
+++ b/internal/controlplane/server/route_test.go
@@ -273,10 +273,10 @@
 		{"accepted", accepted, nil, http.StatusOK, ""},
 		{"refused when applied", stale, nil, http.StatusPreconditionFailed, ""},
 		{"unknown", nil, replica.ErrUnknownOutcome, http.StatusServiceUnavailable, ""},
-		{"busy", nil, consensus.ErrBusy, http.StatusServiceUnavailable, ""},
+		{"busy", nil, consensus.ErrTooManyUncommitted, http.StatusServiceUnavailable, ""},
 		{"too late", nil, context.DeadlineExceeded, http.StatusServiceUnavailable, ""},
 		{"not the leader", nil, replica.ErrNotLeader{Leader: consensus.Member{ID: 2, Address: "b"}}, 0, "b"},
-		{"being handed over", nil, consensus.ErrTransferring, 0, ""},
+		{"being handed over", nil, consensus.ErrTransferInProgress, 0, ""},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
--- a/internal/controlplane/server/trouble_test.go
+++ b/internal/controlplane/server/trouble_test.go
@@ -161,8 +161,8 @@
 	{"it leads", canChange | canRead | canAcknowledge, func(s *scene) { decideHere(s.keeper, s.groups) }},
 	{"it leads, cut off a moment ago", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), nil) }},
 	{"it leads, cut off", 0, func(s *scene) { s.everyGroup(stale(leaderStatus(), 2*currencyAge), nil) }},
-	{"it leads, too many proposals wait", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), consensus.ErrBusy) }},
-	{"it leads, its disk is full", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), consensus.ErrTransferring) }},
+	{"it leads, too many proposals wait", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), consensus.ErrTooManyUncommitted) }},
+	{"it leads, its disk is full", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), consensus.ErrTransferInProgress) }},
 	{"it led until now", canChange | canRead | canAcknowledge, func(s *scene) {
 		s.everyGroup(leaderStatus(), replica.ErrNotLeader{Leader: consensus.Member{ID: 2, Address: ownerAddress}})
 		s.link.owner = s.owner
--- a/internal/node/zones/replicatedlog/agreed.go
+++ b/internal/node/zones/replicatedlog/agreed.go
@@ -108,8 +108,8 @@
 		return nil, err
 	}
 	node := consensus.New(consensus.Config{ID: consensus.MemberID(c.ID), ElectionTimeout: time.Duration(c.Election) * tick,
-		Heartbeat: time.Duration(c.Heartbeat) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
-		Seed: c.Rand.Uint64(), Trailing: trailingEntries}, state, 0)
+		HeartbeatInterval: time.Duration(c.Heartbeat) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
+		Seed: c.Rand.Uint64(), TrailingEntries: trailingEntries}, state, 0)
 	l := &Log{config: c, node: node, machine: machine}
 	// The state machine takes the stored snapshot and what is known to be agreed on. There is nothing to send yet.
 	if _, err := l.Advance(); err != nil {
@@ -134,7 +134,7 @@
 	for _, member := range l.node.Status().Members {
 		if !member.Voter {
 			member.Voter = true
-			_ = l.node.ChangeMembers(l.now, consensus.Change{Add: &member}) // refused until it holds enough: tried again with the next tick
+			_ = l.node.ChangeMembers(l.now, consensus.MembershipChange{Add: &member}) // refused until it holds enough: tried again with the next tick
 		}
 	}
 }
@@ -156,8 +156,8 @@
 		l.silent = 0
 	}
 	// A later leader may have cut off what was acknowledged to an earlier one.
-	if m.Term == status.Term && m.Held > status.Last {
-		return &Broken{fmt.Errorf("%w: the log ends at %d, %d were acknowledged", ErrAcknowledgedLost, status.Last, m.Held)}
+	if m.Term == status.Term && m.Held > status.LastIndex {
+		return &Broken{fmt.Errorf("%w: the log ends at %d, %d were acknowledged", ErrAcknowledgedLost, status.LastIndex, m.Held)}
 	}
 	return nil
 }
@@ -172,7 +172,7 @@
 
 // fromLeader reports whether only a leader sends messages of this kind.
 func fromLeader(kind consensus.MessageKind) bool {
-	return kind == consensus.MessageAppend || kind == consensus.MessageHeartbeat || kind == consensus.MessageSnapshot
+	return kind == consensus.MessageAppendEntries || kind == consensus.MessageHeartbeat || kind == consensus.MessageInstallSnapshot
 }
 
 // Propose puts an order to the voters. Whether it is agreed on shows when it is applied.
@@ -192,7 +192,7 @@
 	if slices.Contains(l.Voters(), add) {
 		return nil
 	}
-	change := consensus.Change{Remove: consensus.MemberID(remove)}
+	change := consensus.MembershipChange{Remove: consensus.MemberID(remove)}
 	if add != 0 {
 		change.Add = &consensus.Member{ID: consensus.MemberID(add)}
 	}
@@ -213,7 +213,7 @@
 // Advance applies what is agreed on by now and returns the messages that may be sent. It is
 // called after all other calls, also while a write is under way.
 func (l *Log) Advance() ([]Message, error) {
-	ready := l.node.Take()
+	ready := l.node.Ready()
 	l.pending.add(ready.Persist)
 	if err := l.restore(ready.Restore); err != nil {
 		return nil, err
@@ -235,7 +235,7 @@
 	for at, m := range messages {
 		out[at].Message = m
 		if fromLeader(m.Kind) && m.Term == term {
-			out[at].Held, _ = l.node.Matched(m.To)
+			out[at].Held, _ = l.node.MatchIndex(m.To)
 		}
 	}
 	return out
@@ -257,7 +257,7 @@
 	switch entry.Kind {
 	case consensus.EntryCommand:
 		l.machine.Apply(entry.Index, entry.Data)
-	case consensus.EntryMembers:
+	case consensus.EntryMembership:
 		l.config.Logger.Info("the voters have changed", "voters", votersOf(entry.Members))
 	}
 }
@@ -276,7 +276,7 @@
 		return nil
 	}
 	l.snapshotAt, l.compacting = l.applied, true
-	first := max(l.node.Status().First, l.applied+1-min(l.applied, trailingEntries))
+	first := max(l.node.Status().FirstIndex, l.applied+1-min(l.applied, trailingEntries))
 	l.pending.compact(s, first)
 	return nil
 }
@@ -319,7 +319,7 @@
 func (l *Log) Applied() uint64 { return l.applied }
 
 // Committed is the last index that is agreed on, as far as this voter knows.
-func (l *Log) Committed() uint64 { return l.node.Status().Commit }
+func (l *Log) Committed() uint64 { return l.node.Status().CommitIndex }
 
 // Settled tells whether a leader has applied all that was agreed on before it led: its
 // own first entry shows it.
--- a/internal/node/zones/replicatedlog/codec.go
+++ b/internal/node/zones/replicatedlog/codec.go
@@ -157,8 +157,8 @@
 // EncodeMessage returns a message's bytes.
 func EncodeMessage(m Message) []byte {
 	form := messageForm{Kind: m.Kind, From: m.From, To: m.To, Term: m.Term, LogIndex: m.LogIndex, LogTerm: m.LogTerm, Commit: m.Commit,
-		Entries: convert(m.Entries, entryTo), Reject: m.Reject, HintIndex: m.HintIndex, HintTerm: m.HintTerm, Context: m.Context,
-		Forced: m.Forced, Held: m.Held}
+		Entries: convert(m.Entries, entryTo), Reject: m.Reject, HintIndex: m.HintIndex, HintTerm: m.HintTerm, Context: m.HeartbeatRound,
+		Forced: m.LeadershipTransfer, Held: m.Held}
 	if m.Snapshot != nil {
 		snapshot := snapshotTo(*m.Snapshot)
 		form.Snapshot = &snapshot
@@ -174,7 +174,7 @@
 	}
 	m := Message{Held: form.Held, Message: consensus.Message{Kind: form.Kind, From: form.From, To: form.To, Term: form.Term,
 		LogIndex: form.LogIndex, LogTerm: form.LogTerm, Commit: form.Commit, Entries: convert(form.Entries, entryFrom), Reject: form.Reject,
-		HintIndex: form.HintIndex, HintTerm: form.HintTerm, Context: form.Context, Forced: form.Forced}}
+		HintIndex: form.HintIndex, HintTerm: form.HintTerm, HeartbeatRound: form.Context, LeadershipTransfer: form.Forced}}
 	if form.Snapshot != nil {
 		snapshot := snapshotFrom(*form.Snapshot)
 		m.Snapshot = &snapshot
@@ -183,12 +183,12 @@
 }
 
 func (m *Message) check() error {
-	if m.Kind > consensus.MessageTransferNow {
+	if m.Kind > consensus.MessageTimeoutNow {
 		return fmt.Errorf("%w: a message of kind %d", ErrEncoding, m.Kind)
 	}
 	index, term := m.LogIndex, m.LogTerm
 	for _, entry := range m.Entries {
-		if entry.Index != index+1 || entry.Term < term || entry.Term > m.Term || entry.Kind > consensus.EntryMembers {
+		if entry.Index != index+1 || entry.Term < term || entry.Term > m.Term || entry.Kind > consensus.EntryMembership {
 			return fmt.Errorf("%w: entry %d of term %d and kind %d after entry %d of term %d", ErrEncoding, entry.Index, entry.Term, entry.Kind,
 				index, term)
 		}
--- a/internal/node/zones/replicatedlog/stored.go
+++ b/internal/node/zones/replicatedlog/stored.go
@@ -24,13 +24,13 @@
 	for at, id := range ids {
 		members[at] = consensus.Member{ID: consensus.MemberID(id), Voter: true}
 	}
-	state := consensus.Founding(members, nil)
+	state := consensus.Bootstrap(members, nil)
 	return Stored{Snapshot: &state.Snapshot}
 }
 
 // state returns it as the core takes it.
-func (s Stored) state() (consensus.Stored, error) {
-	var state consensus.Stored
+func (s Stored) state() (consensus.PersistedState, error) {
+	var state consensus.PersistedState
 	if s.Snapshot != nil {
 		state.Snapshot = *s.Snapshot
 		state.HardState = consensus.HardState{Term: s.Snapshot.Term, Commit: s.Snapshot.Index}
@@ -71,7 +71,7 @@
 }
 
 // add takes in what the core wants durable after all that is in already.
-func (p *Persist) add(later *consensus.Persist) {
+func (p *Persist) add(later *consensus.PersistRequest) {
 	if later == nil {
 		return
 	}
--- a/internal/node/zones/replicatedlog/stored_test.go
+++ b/internal/node/zones/replicatedlog/stored_test.go
@@ -23,8 +23,8 @@
 	}
 	p.add(nil)
 	shared := entries(1, 2, 3, 4, 5)
-	p.add(&consensus.Persist{Sequence: 1, Entries: shared[:3:3], HardState: &consensus.HardState{Term: 1}})
-	p.add(&consensus.Persist{Sequence: 2, Entries: entries(2, 4), HardState: &consensus.HardState{Term: 2}})
+	p.add(&consensus.PersistRequest{Sequence: 1, Entries: shared[:3:3], HardState: &consensus.HardState{Term: 1}})
+	p.add(&consensus.PersistRequest{Sequence: 2, Entries: entries(2, 4), HardState: &consensus.HardState{Term: 2}})
 	if want := append(entries(1, 2, 3), entries(2, 4)...); !reflect.DeepEqual(p.Entries, want) || p.HardState.Term != 2 || p.sequence != 2 {
 		t.Errorf("%+v", p)
 	}
@@ -35,7 +35,7 @@
 	if p.Snapshot.Index != 3 || p.First != 2 || p.Replaces || !p.compacts || len(p.Entries) != 3 {
 		t.Errorf("with a snapshot made here: %+v", p)
 	}
-	p.add(&consensus.Persist{Sequence: 3, Snapshot: &consensus.Snapshot{Index: 9, Term: 3}, Entries: entries(3, 10)})
+	p.add(&consensus.PersistRequest{Sequence: 3, Snapshot: &consensus.Snapshot{Index: 9, Term: 3}, Entries: entries(3, 10)})
 	if p.Snapshot.Index != 9 || p.First != 10 || !p.Replaces || !reflect.DeepEqual(p.Entries, entries(3, 10)) || p.HardState.Term != 2 {
 		t.Errorf("with a received snapshot: %+v", p)
 	}
@@ -48,20 +48,20 @@
 // Messages whose entries do not follow each other are refused: the core takes them as they are.
 func TestDecodeMessageChecks(t *testing.T) {
 	of := func(e []consensus.Entry) []byte {
-		return EncodeMessage(Message{Message: consensus.Message{Kind: consensus.MessageAppend, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 2, Entries: e}})
+		return EncodeMessage(Message{Message: consensus.Message{Kind: consensus.MessageAppendEntries, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 2, Entries: e}})
 	}
 	if _, err := DecodeMessage(of(append(entries(2, 8), entries(4, 9)...))); err != nil {
 		t.Errorf("entries in order: %v", err)
 	}
 	strange := entries(3, 8)
-	strange[0].Kind = consensus.EntryMembers + 1
+	strange[0].Kind = consensus.EntryMembership + 1
 	for name, text := range map[string][]byte{
 		"a gap":              of(entries(3, 9)),
 		"an entry twice":     of(entries(3, 8, 8)),
 		"a falling term":     of(append(entries(3, 8), entries(2, 9)...)),
 		"a term yet to come": of(entries(5, 8)),
 		"an unknown entry":   of(strange),
-		"an unknown message": EncodeMessage(Message{Message: consensus.Message{Kind: consensus.MessageTransferNow + 1}}),
+		"an unknown message": EncodeMessage(Message{Message: consensus.Message{Kind: consensus.MessageTimeoutNow + 1}}),
 		"bytes behind it":    append(of(nil), 0),
 		"nothing":            nil,
 	} {
