--- a/internal/dataplane/dispatch/outcome_test.go
+++ b/internal/dataplane/dispatch/outcome_test.go
@@ -14,7 +14,7 @@
 	"ospreybend/internal/dataplane/upstream/upstreamtest"
 )
 
-const tablePage = "../../docs/design/exchange.md"
+const tablePage = "../../../docs/design/exchange.md"
 
 // outcome is one cell of the table: what a worker does with a request, whose kind, in which call and on which connection.
 type outcome struct {
