--- a/internal/node/zones/commands/orders.go
+++ b/internal/node/zones/commands/orders.go
@@ -37,14 +37,14 @@
 
 // Zone is the order on one zone.
 type Zone struct {
-	Phase    Phase    `cbor:"1,keyasint"`
-	Share    float64  `cbor:"2,keyasint"`           // of what it would take; while Trying, of those chosen
-	Chosen   float64  `cbor:"3,keyasint,omitempty"` // part of the processes that try
-	Step     int      `cbor:"4,keyasint,omitempty"` // of the rise
-	Failures int      `cbor:"5,keyasint,omitempty"` // in a row; each doubles the rest
-	Cut      []string `cbor:"6,keyasint,omitempty"` // zones whose processes do not reach it: they send nothing there
+	Phase    Phase    `cbor:"1,keyasint" json:"Phase"`
+	Share    float64  `cbor:"2,keyasint"`                         // of what it would take; while Trying, of those chosen
+	Chosen   float64  `cbor:"3,keyasint,omitempty" json:"Chosen"` // part of the processes that try
+	Step     int      `cbor:"4,keyasint,omitempty"`               // of the rise
+	Failures int      `cbor:"5,keyasint,omitempty"`               // in a row; each doubles the rest
+	Cut      []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes do not reach it: they send nothing there
 	Reason   string   `cbor:"7,keyasint,omitempty"`
-	Since    uint64   `cbor:"8,keyasint,omitempty"` // the epoch that set it
+	Since    uint64   `cbor:"8,keyasint,omitempty" json:"Since"` // the epoch that set it
 }
 
 // The words that a person may say on a zone.
@@ -59,17 +59,17 @@
 // until its end.
 type Word struct {
 	Zone   string `cbor:"1,keyasint"`
-	Do     string `cbor:"2,keyasint"`
+	Do     string `cbor:"2,keyasint" json:"Do"`
 	Reason string `cbor:"3,keyasint"`
-	Until  int64  `cbor:"4,keyasint"` // Unix microseconds
+	Until  int64  `cbor:"4,keyasint" json:"Until"` // Unix microseconds
 }
 
 // Table is all that holds now.
 type Table struct {
 	Epoch uint64             `cbor:"1,keyasint"`
 	Zones map[string]Zone    `cbor:"2,keyasint"`
-	Admit map[string]float64 `cbor:"3,keyasint,omitempty"` // part of each class that is let in; who is not named is let in whole
-	Words map[string]Word    `cbor:"4,keyasint,omitempty"`
+	Admit map[string]float64 `cbor:"3,keyasint,omitempty" json:"Admit"` // part of each class that is let in; who is not named is let in whole
+	Words map[string]Word    `cbor:"4,keyasint,omitempty" json:"Words"`
 }
 
 // Of is the order on a zone; one that nothing was said of is in.
@@ -94,8 +94,8 @@
 // so that a leader that was outvoted, or answers late, changes nothing.
 type Change struct {
 	Expect uint64             `cbor:"1,keyasint"`
-	Zones  map[string]Zone    `cbor:"2,keyasint,omitempty"` // these alone change
-	Admit  map[string]float64 `cbor:"3,keyasint,omitempty"` // in place of the last, where Admits
+	Zones  map[string]Zone    `cbor:"2,keyasint,omitempty"`              // these alone change
+	Admit  map[string]float64 `cbor:"3,keyasint,omitempty" json:"Admit"` // in place of the last, where Admits
 	Admits bool               `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/node/zones/quota/quota.go
+++ b/internal/node/zones/quota/quota.go
@@ -48,13 +48,13 @@
 
 // Ask is a child's.
 type Ask struct {
-	Tenant      string `cbor:"1,keyasint"`
-	Child       string `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"` // raised by each start of the child
-	Number      uint64 `cbor:"4,keyasint"` // of the ask, from 1
-	Holds       uint64 `cbor:"5,keyasint"` // the number of the grant that the child goes by; 0: none
-	Used        float64
-	Want        Amount `cbor:"6,keyasint"`
+	Tenant      string  `cbor:"1,keyasint"`
+	Child       string  `cbor:"2,keyasint"`
+	Incarnation uint64  `cbor:"3,keyasint"` // raised by each start of the child
+	Number      uint64  `cbor:"4,keyasint"` // of the ask, from 1
+	Holds       uint64  `cbor:"5,keyasint"` // the number of the grant that the child goes by; 0: none
+	Used        float64 `cbor:"Used"`
+	Want        Amount  `cbor:"6,keyasint"`
 }
 
 // Grant answers one ask. It is void for any other.
@@ -69,25 +69,25 @@
 
 // Site is what a parent is told of a child.
 type Site struct {
-	Safe   Amount // what the child may use without a lease, set aside for ever
-	Weight float64
+	Safe   Amount  `cbor:"Safe"` // what the child may use without a lease, set aside for ever
+	Weight float64 `cbor:"Weight"`
 }
 
 // lent is a slice that a child may be going by.
 type lent struct {
-	Incarnation uint64
-	Number      uint64
-	Slice       Amount
-	Until       time.Duration
+	Incarnation uint64        `cbor:"Incarnation"`
+	Number      uint64        `cbor:"Number"`
+	Slice       Amount        `cbor:"Slice"`
+	Until       time.Duration `cbor:"Until"`
 }
 
 // account is what a parent knows of a child.
 type account struct {
 	Site
-	Incarnation uint64
-	Number      uint64 // the last ask answered
-	Lent        []lent
-	Want        Amount
+	Incarnation uint64 `cbor:"Incarnation"`
+	Number      uint64 `cbor:"Number"` // the last ask answered
+	Lent        []lent `cbor:"Lent"`
+	Want        Amount `cbor:"Want"`
 	wantAt      time.Duration
 }
 
--- a/internal/node/zones/replica/voter.go
+++ b/internal/node/zones/replica/voter.go
@@ -94,7 +94,13 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Reports, Late, Outdone, Strangers, Orders, Stale, Refused uint64
+	Reports   uint64 `cbor:"Reports" json:"Reports"`
+	Late      uint64 `cbor:"Late" json:"Late"`
+	Outdone   uint64 `cbor:"Outdone" json:"Outdone"`
+	Strangers uint64 `cbor:"Strangers" json:"Strangers"`
+	Orders    uint64 `cbor:"Orders" json:"Orders"`
+	Stale     uint64 `cbor:"Stale" json:"Stale"`
+	Refused   uint64 `cbor:"Refused" json:"Refused"`
 }
 
 // ErrUnknown says that it is not known whether an order was agreed on. It may yet be.
