--- a/internal/dataplane/dispatch/deadline.go
+++ b/internal/dataplane/dispatch/deadline.go
@@ -11,7 +11,7 @@
 
 // allowance is how long a request may be held from its first byte on: for the route's time, and no longer than the client
 // waits. Where the client names several times the shortest counts; one that cannot be meant counts for nothing.
-func allowance(fields http1.Fields, most time.Duration) time.Duration {
+func allowance(fields http1.Header, most time.Duration) time.Duration {
 	allowed := most
 	for i := range fields {
 		if !http1.EqualFold(fields[i].Name, fieldDeadline) {
--- a/internal/dataplane/dispatch/departed_test.go
+++ b/internal/dataplane/dispatch/departed_test.go
@@ -126,7 +126,7 @@
 
 // TestWhatTheClientSaysOfItsPromptIsPassedOn sends odd values with a reading and a run; both carry them as they came.
 func TestWhatTheClientSaysOfItsPromptIsPassedOn(t *testing.T) {
-	said := http1.Fields{
+	said := http1.Header{
 		{Name: "x-model", Value: "M-1:lora"}, {Name: "X-Model", Value: "second"},
 		{Name: fieldTokenCount, Value: "1460,80,7"}, {Name: "X-PROMPT-prefix", Value: "not hex:x,5c1e07a2"},
 		{Name: "Last-Event-Id", Value: "41"},
@@ -136,7 +136,7 @@
 		r.plays("p1", hands("3fa0"))
 		r.plays("d1", streams(42, 43, nil))
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = append(http1.Fields{{Name: fieldRequestID, Value: testID}}, said...)
+			request.Fields = append(http1.Header{{Name: fieldRequestID, Value: testID}}, said...)
 		})
 		if r.workersCalled() != "p1 d1 " {
 			t.Fatal(r.workersCalled())
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -206,17 +206,17 @@
 	if retryAfter <= 0 {
 		retryAfter = defaultRetryAfter
 	}
-	fields := append(ownAnswerFields(request), http1.Field{
+	fields := append(ownAnswerFields(request), http1.HeaderField{
 		Name: fieldRetryAfter, Value: formatSeconds(min(retryAfter, maxRetryAfter)),
 	})
 	_ = responder.Answer(statusUnavailable, fields, nil)
 }
 
 // ownAnswerFields are the fields of an answer that no worker gave.
-func ownAnswerFields(request *httpserver.Request) http1.Fields {
+func ownAnswerFields(request *httpserver.Request) http1.Header {
 	id := request.Fields.Get(fieldRequestID)
 	if id == "" {
 		return nil
 	}
-	return http1.Fields{{Name: fieldRequestID, Value: id}}
+	return http1.Header{{Name: fieldRequestID, Value: id}}
 }
--- a/internal/dataplane/dispatch/fields.go
+++ b/internal/dataplane/dispatch/fields.go
@@ -48,8 +48,8 @@
 }
 
 // without copies the fields that have none of the names, with room for more.
-func without(fields http1.Fields, names []string, room int) http1.Fields {
-	kept := make(http1.Fields, 0, len(fields)+room)
+func without(fields http1.Header, names []string, room int) http1.Header {
+	kept := make(http1.Header, 0, len(fields)+room)
 	for _, field := range fields {
 		if !isOneOf(field.Name, names) {
 			kept = append(kept, field)
--- a/internal/dataplane/dispatch/fields_test.go
+++ b/internal/dataplane/dispatch/fields_test.go
@@ -12,7 +12,7 @@
 )
 
 // wireHead sends a request with further fields and returns the lines of the head that its worker got.
-func wireHead(r *rig, fields http1.Fields) []string {
+func wireHead(r *rig, fields http1.Header) []string {
 	workers := upstreamtest.NewWorkers()
 	pool := upstream.New(upstream.Options{Dial: workers.Dial})
 	defer pool.Close()
@@ -20,14 +20,14 @@
 	workers.Play("d1:80", func(int) []upstreamtest.Turn { return []upstreamtest.Turn{upstreamtest.Works(true)} })
 	r.chooser.offers("d1")
 	r.ask(func(request *httpserver.Request) {
-		request.Fields = append(http1.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: testID}}, fields...)
+		request.Fields = append(http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: testID}}, fields...)
 	})
 	return strings.Split(workers.Conns("d1:80")[0].Requests()[0].Head, "\r\n")
 }
 
 // What a client says of its prompt reaches the worker to the byte, whatever its spelling.
 func TestFieldsOfThePromptReachTheWorkerAsSent(t *testing.T) {
-	for _, fields := range []http1.Fields{
+	for _, fields := range []http1.Header{
 		{{Name: "X-Model", Value: "m"}, {Name: "X-Token-Count", Value: "1460,80"}, {Name: "X-Prompt-Prefix", Value: "5c1e07a2:800,91bd3f06:660"}},
 		{{Name: "x-MODEL", Value: "M  two\twords"}, {Name: "x-token-count", Value: " 7 , 9"}, {Name: "x-prompt-prefix", Value: "a:1, b:2,,"}},
 		{{Name: "X-Model", Value: "one"}, {Name: "x-model", Value: "two"}, {Name: "X-Token-Count", Value: "1,2"}, {Name: "X-Token-Count", Value: "3,4"}},
@@ -56,11 +56,11 @@
 // What is the system's to set is never a client's, however it is spelled; X-Not-Executed says something in answers alone.
 func TestNoClientSetsWhatIsTheSystems(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *rig) {
-		var fields http1.Fields
+		var fields http1.Header
 		for _, name := range ownFields {
-			fields = append(fields, http1.Field{Name: strings.ToLower(name), Value: "evil"}, http1.Field{Name: name, Value: "9"})
+			fields = append(fields, http1.HeaderField{Name: strings.ToLower(name), Value: "evil"}, http1.HeaderField{Name: name, Value: "9"})
 		}
-		fields = append(fields, http1.Field{Name: fieldNotExecuted, Value: "1"})
+		fields = append(fields, http1.HeaderField{Name: fieldNotExecuted, Value: "1"})
 		lines := wireHead(r, fields)
 		for _, want := range []string{"X-Target-Instance: d1", "Priority: 0", "X-Not-Executed: 1"} {
 			if !slices.Contains(lines, want) {
--- a/internal/dataplane/dispatch/handles.go
+++ b/internal/dataplane/dispatch/handles.go
@@ -19,10 +19,10 @@
 )
 
 // fields hand the memory over to the worker that is to run the request, and only to one with the same weights.
-func (h *handle) fields() http1.Fields {
-	fields := http1.Fields{{Name: fieldKVFrom, Value: h.worker.Address + "/" + h.id}}
+func (h *handle) fields() http1.Header {
+	fields := http1.Header{{Name: fieldKVFrom, Value: h.worker.Address + "/" + h.id}}
 	if h.version != "" {
-		fields = append(fields, http1.Field{Name: fieldVersion, Value: h.version})
+		fields = append(fields, http1.HeaderField{Name: fieldVersion, Value: h.version})
 	}
 	return fields
 }
@@ -72,7 +72,7 @@
 		Address: held.worker.Address,
 		Method:  methodDelete,
 		Target:  handlePath + held.id,
-		Fields: http1.Fields{
+		Fields: http1.Header{
 			{Name: fieldHost, Value: held.worker.Address},
 			{Name: fieldTarget, Value: held.worker.ID},
 		},
--- a/internal/dataplane/dispatch/ports.go
+++ b/internal/dataplane/dispatch/ports.go
@@ -16,9 +16,9 @@
 	// EndBy bounds writing to a client that does not read: a write fails that is not done by then, or a moment later.
 	EndBy(after time.Duration)
 	// Answer sends a whole answer.
-	Answer(status int, fields http1.Fields, body []byte) error
+	Answer(status int, fields http1.Header, body []byte) error
 	// Begin starts an answer that comes in pieces; its head is written with the first of them.
-	Begin(status int, fields http1.Fields) error
+	Begin(status int, fields http1.Header) error
 	// Event writes one piece at once.
 	Event(piece []byte) error
 	// Finish ends the answer as complete, with a last piece that may be empty.
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -148,7 +148,7 @@
 
 func (t *try) prefillCall(worker *fleetview.Worker) *upstream.Call {
 	fields := t.workerFields(worker, 1)
-	fields = append(fields, http1.Field{Name: fieldStage, Value: stagePrefill})
+	fields = append(fields, http1.HeaderField{Name: fieldStage, Value: stagePrefill})
 	return &upstream.Call{
 		Address: worker.Address,
 		Method:  t.request.Method,
--- a/internal/dataplane/dispatch/prefill_test.go
+++ b/internal/dataplane/dispatch/prefill_test.go
@@ -313,7 +313,7 @@
 		r.plays("p1", hands("h1"))
 		r.plays("d1", streams(1, 1, nil))
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = append(request.Fields, http1.Field{Name: "X-Serving-Stage", Value: "decode"})
+			request.Fields = append(request.Fields, http1.HeaderField{Name: "X-Serving-Stage", Value: "decode"})
 		}).mustBe(t, 200, texts(1, 1))
 		if r.calls[0].call.Fields.Count(fieldStage) != 1 {
 			t.Fatal("two stages")
@@ -372,7 +372,7 @@
 		r.route.Type, r.route.Resumable = configuration.NonIdempotent, false
 		r.setRoute()
 		r.chooser.offers("p1>d1", "p2>d1")
-		r.plays("p1", answers(200, "done", http1.Fields{{Name: fieldSignature, Value: "s"}}))
+		r.plays("p1", answers(200, "done", http1.Header{{Name: fieldSignature, Value: "s"}}))
 		r.ask(nil).mustBe(t, 200, "done")
 		if r.workersCalled() != "p1 " {
 			t.Fatal(r.workersCalled())
--- a/internal/dataplane/dispatch/property_test.go
+++ b/internal/dataplane/dispatch/property_test.go
@@ -60,7 +60,7 @@
 	c.rig.askAs(asked, func(request *httpserver.Request) {
 		request.Fields = request.Fields.Without(fieldDeadline)
 		for _, value := range c.waits.fields {
-			request.Fields = append(request.Fields, http1.Field{Name: "x-request-DEADLINE", Value: value})
+			request.Fields = append(request.Fields, http1.HeaderField{Name: "x-request-DEADLINE", Value: value})
 		}
 		request.ReadAt = time.Now()
 		request.FirstByteAt = request.ReadAt.Add(-c.slowIn)
--- a/internal/dataplane/dispatch/rig_test.go
+++ b/internal/dataplane/dispatch/rig_test.go
@@ -158,9 +158,9 @@
 }
 
 // answers gives a whole answer.
-func answers(status int, body string, fields http1.Fields) script {
+func answers(status int, body string, fields http1.Header) script {
 	return func(context.Context, *upstream.Call) (*Answer, *upstream.Failure) {
-		all := append(http1.Fields{{Name: fieldRequestID, Value: testID}}, fields...)
+		all := append(http1.Header{{Name: fieldRequestID, Value: testID}}, fields...)
 		result := upstream.Answered
 		if all.Has(fieldNotExecuted) {
 			result = upstream.NotExecuted
@@ -173,8 +173,8 @@
 }
 
 var (
-	signed      = http1.Fields{{Name: fieldSignature, Value: "3e1b"}}
-	notExecuted = http1.Fields{{Name: fieldNotExecuted, Value: "1"}, {Name: fieldSignature, Value: "ff"}}
+	signed      = http1.Header{{Name: fieldSignature, Value: "3e1b"}}
+	notExecuted = http1.Header{{Name: fieldNotExecuted, Value: "1"}, {Name: fieldSignature, Value: "ff"}}
 )
 
 func hands(handle string) script {
@@ -269,7 +269,7 @@
 // streams answers with events from to to, 10 ms apart.
 func streams(from, to int, change func(*scriptedEvents)) script {
 	return func(ctx context.Context, call *upstream.Call) (*Answer, *upstream.Failure) {
-		answer, _ := answers(200, "", append(signed, http1.Field{Name: "Versions", Value: call.Fields.Get(fieldTarget)}))(ctx, call)
+		answer, _ := answers(200, "", append(signed, http1.HeaderField{Name: "Versions", Value: call.Fields.Get(fieldTarget)}))(ctx, call)
 		stream := &scriptedEvents{ctx: ctx, gap: 10 * time.Millisecond}
 		for id := from; id <= to; id++ {
 			stream.events = append(stream.events, event(id))
@@ -290,7 +290,7 @@
 	r        *rig
 	leavesIn time.Duration // 0: stays
 	status   int
-	fields   http1.Fields
+	fields   http1.Header
 	body     string
 	answers  int
 	finished bool
@@ -302,13 +302,13 @@
 	pieces   []time.Duration
 }
 
-func (c *client) Answer(status int, fields http1.Fields, body []byte) error {
+func (c *client) Answer(status int, fields http1.Header, body []byte) error {
 	c.status, c.fields, c.body, c.finished = status, fields, string(body), true
 	c.answers++
 	return nil
 }
 
-func (c *client) Begin(status int, fields http1.Fields) error {
+func (c *client) Begin(status int, fields http1.Header) error {
 	c.status, c.fields = status, fields
 	c.answers++
 	return nil
@@ -348,7 +348,7 @@
 	}
 	request := &httpserver.Request{
 		Context: ctx, Method: "POST", Target: testPath + "?q=1", Path: testPath, Host: "Ficu95.example:8144",
-		Fields: http1.Fields{
+		Fields: http1.Header{
 			{Name: "Host", Value: "Ficu95.example:8144"}, {Name: "x-request-id", Value: testID},
 			{Name: fieldModel, Value: "m"}, {Name: fieldTokenCount, Value: "1460,80"},
 			{Name: fieldPrefix, Value: "5c1e07a2:800,91bd3f06:660"}, {Name: fieldDeadline, Value: "3000"},
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -211,7 +211,7 @@
 	}
 	if t.relay.passed {
 		fields = without(fields, []string{fieldLastEvent}, 1)
-		fields = append(fields, http1.Field{Name: fieldLastEvent, Value: t.relay.lastID})
+		fields = append(fields, http1.HeaderField{Name: fieldLastEvent, Value: t.relay.lastID})
 	}
 	return &upstream.Call{
 		Address: worker.Address,
@@ -233,14 +233,14 @@
 }
 
 // workerFields are the fields that every call for the request has, with room for more.
-func (t *try) workerFields(worker *fleetview.Worker, room int) http1.Fields {
+func (t *try) workerFields(worker *fleetview.Worker, room int) http1.Header {
 	fields := without(t.request.Fields, ownFields, 3+room)
 	fields = append(fields,
-		http1.Field{Name: fieldDeadline, Value: formatMillis(max(t.left(), leastLeft))},
-		http1.Field{Name: fieldTarget, Value: worker.ID})
+		http1.HeaderField{Name: fieldDeadline, Value: formatMillis(max(t.left(), leastLeft))},
+		http1.HeaderField{Name: fieldTarget, Value: worker.ID})
 	if t.service.Engine != nil {
 		priority := strconv.Itoa(t.urgency())
-		fields = append(fields, http1.Field{Name: fieldPriority, Value: priority})
+		fields = append(fields, http1.HeaderField{Name: fieldPriority, Value: priority})
 	}
 	return fields
 }
--- a/internal/dataplane/dispatch/run_test.go
+++ b/internal/dataplane/dispatch/run_test.go
@@ -92,9 +92,9 @@
 		r.plays("d1", answers(200, "bytes", signed))
 		c := r.ask(func(request *httpserver.Request) {
 			for _, name := range []string{"x-serving-stage", "kv-from", "X-TARGET-instance", "expect-version", "priority"} {
-				request.Fields = append(request.Fields, http1.Field{Name: name, Value: "evil"})
+				request.Fields = append(request.Fields, http1.HeaderField{Name: name, Value: "evil"})
 			}
-			request.Fields = append(request.Fields, http1.Field{Name: "X-Other", Value: "kept"})
+			request.Fields = append(request.Fields, http1.HeaderField{Name: "X-Other", Value: "kept"})
 		})
 		c.mustBe(t, 200, "bytes")
 		call := r.calls[0]
@@ -180,7 +180,7 @@
 func TestEncodedAnswerIsNotPassedOn(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *rig) {
 		r.chooser.offers("d1")
-		r.plays("d1", answers(200, "bytes", append(signed, http1.Field{Name: fieldEncoding, Value: "gzip"})))
+		r.plays("d1", answers(200, "bytes", append(signed, http1.HeaderField{Name: fieldEncoding, Value: "gzip"})))
 		r.ask(nil).mustBe(t, 502, "")
 	})
 }
--- a/internal/dataplane/dispatch/small_test.go
+++ b/internal/dataplane/dispatch/small_test.go
@@ -26,7 +26,7 @@
 		"NaN": time.Second, "Inf": time.Second, "-Inf": time.Second, "1e300": time.Second, "0x1p9": 512 * time.Millisecond,
 		"250.5": 250500 * time.Microsecond, "400, 250": 250 * time.Millisecond, "x, 300": 300 * time.Millisecond,
 	} {
-		fields := http1.Fields{{Name: "x-request-deadline", Value: value}}
+		fields := http1.Header{{Name: "x-request-deadline", Value: value}}
 		if got := allowance(fields, time.Second); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
--- a/internal/dataplane/dispatch/try.go
+++ b/internal/dataplane/dispatch/try.go
@@ -173,7 +173,7 @@
 }
 
 // clientFields are the fields of a worker's answer that the client gets.
-func clientFields(fields http1.Fields) http1.Fields { return without(fields, innerFields, 0) }
+func clientFields(fields http1.Header) http1.Header { return without(fields, innerFields, 0) }
 
 // left is the time for which something may be done for the request.
 func (t *try) left() time.Duration { return t.limit - t.d.now() }
--- a/internal/dataplane/dispatch/version_test.go
+++ b/internal/dataplane/dispatch/version_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-func withVersions(version string) http1.Fields {
-	return http1.Fields{{Name: "versions", Value: version}}
+func withVersions(version string) http1.Header {
+	return http1.Header{{Name: "versions", Value: version}}
 }
 
 // A decode worker with other weights refuses the memory. It is not taken for a wrong worker, and what goes on has no use for the
--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -32,9 +32,9 @@
 type conn struct {
 	server *Server
 	socket net.Conn
-	in     http1.Input     // what has come and is not used yet
-	looked bool            // the last look at a deadline was taken
-	raw    syscall.RawConn // nil where the connection is no socket
+	in     http1.ReadBuffer // what has come and is not used yet
+	looked bool             // the last look at a deadline was taken
+	raw    syscall.RawConn  // nil where the connection is no socket
 
 	// under Server.mu
 	state    connState
@@ -133,7 +133,7 @@
 	s.counts.inWork.Add(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Context = ctx
-	w := &ResponseWriter{conn: c, method: r.Method, closing: a.head.Close, old: a.head.Old}
+	w := &ResponseWriter{conn: c, method: r.Method, closing: a.head.Close, old: a.head.HTTP10}
 	s.mu.Lock()
 	c.enter(working)
 	c.ahead = c.in.Len()
@@ -260,8 +260,8 @@
 
 // more takes in what comes next.
 func (c *conn) more() error {
-	n, err := c.read(c.in.Space())
-	c.in.Took(n)
+	n, err := c.read(c.in.Free())
+	c.in.Extend(n)
 	return err
 }
 
@@ -306,7 +306,7 @@
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // fail answers a request that cannot be read, and ends the connection.
-func (c *conn) fail(fault *http1.Fault) {
+func (c *conn) fail(fault *http1.StatusError) {
 	if isOverLimit(fault) && !c.server.confirmed() {
 		fault = &unsureFault
 	}
@@ -326,6 +326,6 @@
 }
 
 // isOverLimit tells whether a request is refused for a limit that a configuration sets.
-func isOverLimit(fault *http1.Fault) bool {
+func isOverLimit(fault *http1.StatusError) bool {
 	return fault.Status == statusTooLarge || fault.Status == statusLongHead
 }
--- a/internal/dataplane/httpserver/faults.go
+++ b/internal/dataplane/httpserver/faults.go
@@ -19,7 +19,7 @@
 func appendInt(out []byte, value int) []byte { return strconv.AppendInt(out, int64(value), 10) }
 
 // appendFault appends the last answer of a connection whose request cannot be read.
-func (s *Server) appendFault(out []byte, fault *http1.Fault) []byte {
+func (s *Server) appendFault(out []byte, fault *http1.StatusError) []byte {
 	out = http1.AppendStatusLine(out, fault.Status)
 	if fault.Status == statusUnavailable {
 		out = http1.AppendField(out, "Retry-After", s.retryAfter)
--- a/internal/dataplane/httpserver/request.go
+++ b/internal/dataplane/httpserver/request.go
@@ -20,18 +20,18 @@
 )
 
 var (
-	fullFault = http1.Fault{Status: statusUnavailable, Text: "there is no place for the request"}
-	lateFault = http1.Fault{Status: statusTimeout, Text: "the request did not come in time"}
+	fullFault = http1.StatusError{Status: statusUnavailable, Reason: "there is no place for the request"}
+	lateFault = http1.StatusError{Status: statusTimeout, Reason: "the request did not come in time"}
 	// unsureFault stands in for faults over a limit that may not be in force any more.
-	unsureFault = http1.Fault{Status: statusUnavailable, Text: "the limits in force are not known"}
-	longFault   = http1.Fault{Status: statusTooLarge, Text: "the body is too long"}
+	unsureFault = http1.StatusError{Status: statusUnavailable, Reason: "the limits in force are not known"}
+	longFault   = http1.StatusError{Status: statusTooLarge, Reason: "the body is too long"}
 )
 
 // arrival is one request as far as it has come in.
 type arrival struct {
 	conn    *conn
 	limits  configuration.Limits
-	rules   http1.Rules
+	rules   http1.ParseRules
 	begun   time.Time // the first byte, on the clock of the deadlines
 	armed   bool      // the deadline is set
 	headIn  bool      // the head has come whole
@@ -40,7 +40,7 @@
 }
 
 // readRequest reads the next request. err is of the connection, and nobody is to be answered then.
-func (c *conn) readRequest() (a *arrival, fault *http1.Fault, err error) {
+func (c *conn) readRequest() (a *arrival, fault *http1.StatusError, err error) {
 	for c.in.Len() == 0 {
 		if err := c.more(); err != nil {
 			return nil, nil, err
@@ -48,7 +48,7 @@
 	}
 	c.setState(reading)
 	a = &arrival{conn: c, limits: c.server.limits(), begun: time.Now(), request: &Request{FirstByteAt: c.server.now()}}
-	a.rules = http1.Rules{HeadBytes: a.limits.MaxHeaderBytes, BodyBytes: a.limits.MaxBodyBytes, Strict: true}
+	a.rules = http1.ParseRules{MaxHeadBytes: a.limits.MaxHeaderBytes, MaxBodyBytes: a.limits.MaxBodyBytes, Strict: true}
 	if fault, err = a.readHead(); fault == nil && err == nil {
 		fault, err = a.readBody()
 	}
@@ -61,7 +61,7 @@
 }
 
 // more waits for further bytes of the request by its deadline.
-func (a *arrival) more() (*http1.Fault, error) {
+func (a *arrival) more() (*http1.StatusError, error) {
 	a.arm()
 	return a.orLate(a.conn.more())
 }
@@ -83,14 +83,14 @@
 	c.server.mu.Unlock()
 }
 
-func (a *arrival) orLate(err error) (*http1.Fault, error) {
+func (a *arrival) orLate(err error) (*http1.StatusError, error) {
 	if err != nil && isTimeout(err) {
 		return &lateFault, nil
 	}
 	return nil, err
 }
 
-func (a *arrival) readHead() (*http1.Fault, error) {
+func (a *arrival) readHead() (*http1.StatusError, error) {
 	c := a.conn
 	reader := http1.HeadReader{Kind: http1.Request, Rules: a.rules}
 	for {
@@ -100,7 +100,7 @@
 			return fault, nil
 		case used > 0:
 			a.takeHead()
-			c.in.Drop(used)
+			c.in.Discard(used)
 			return nil, nil
 		}
 		if fault, err := a.more(); fault != nil || err != nil {
@@ -116,25 +116,25 @@
 	r.Target = string(a.head.Target)
 	path, _, _ := bytes.Cut(a.head.Target, []byte{'?'})
 	r.Path = r.Target[:len(path)]
-	all := a.head.Fields()
+	all := a.head.Header()
 	r.Host = all.Get("Host")
-	r.Fields = http1.HopsOf(all).Strip(all)
-	expects := a.head.Expects()
+	r.Fields = http1.HopByHopOf(all).Strip(all)
+	expects := a.head.ExpectsContinue()
 	a.headIn, a.armed = true, false
-	a.head.Method, a.head.Target, a.head.Raw = nil, nil, nil // the buffer goes on to be used
+	a.head.Method, a.head.Target, a.head.RawHeader = nil, nil, nil // the buffer goes on to be used
 	if expects {
-		a.head.Raw = []http1.RawField{expectField}
+		a.head.RawHeader = []http1.RawHeaderField{expectField}
 	}
 }
 
-var expectField = http1.RawField{Name: []byte("Expect"), Value: []byte("100-continue")}
+var expectField = http1.RawHeaderField{Name: []byte("Expect"), Value: []byte("100-continue")}
 
-func (a *arrival) readBody() (*http1.Fault, error) {
-	if a.head.Length > a.limits.MaxBodyBytes {
+func (a *arrival) readBody() (*http1.StatusError, error) {
+	if a.head.ContentLength > a.limits.MaxBodyBytes {
 		return &longFault, nil
 	}
-	body := http1.RequestBody(&a.head, &a.rules)
-	if body.Over {
+	body := http1.NewRequestBodyReader(&a.head, &a.rules)
+	if body.Done {
 		return nil, nil
 	}
 	if err := a.goOn(); err != nil {
@@ -143,12 +143,12 @@
 	if body.Chunked {
 		return a.readChunks(&body)
 	}
-	return a.readLength(a.head.Length)
+	return a.readLength(a.head.ContentLength)
 }
 
 // goOn tells a client that waits for it to send its body.
 func (a *arrival) goOn() error {
-	if !a.head.Expects() || a.head.Old || a.conn.in.Len() > 0 {
+	if !a.head.ExpectsContinue() || a.head.HTTP10 || a.conn.in.Len() > 0 {
 		return nil
 	}
 	_ = a.conn.socket.SetWriteDeadline(time.Now().Add(a.conn.server.writeTime))
@@ -157,7 +157,7 @@
 }
 
 // readLength reads a body of a known length. Memory is made as it comes: a length alone costs the client nothing.
-func (a *arrival) readLength(length int) (*http1.Fault, error) {
+func (a *arrival) readLength(length int) (*http1.StatusError, error) {
 	c, r := a.conn, a.request
 	for len(r.Body) < length {
 		if !a.grow(length) {
@@ -166,7 +166,7 @@
 		space := r.Body[len(r.Body):min(length, cap(r.Body))]
 		if c.in.Len() > 0 {
 			n := copy(space, c.in.Bytes())
-			c.in.Drop(n)
+			c.in.Discard(n)
 			r.Body = r.Body[:len(r.Body)+n]
 			continue
 		}
@@ -200,10 +200,10 @@
 }
 
 // readChunks reads a body in chunks.
-func (a *arrival) readChunks(body *http1.BodyReader) (*http1.Fault, error) {
+func (a *arrival) readChunks(body *http1.BodyReader) (*http1.StatusError, error) {
 	c, r := a.conn, a.request
 	framing := 0
-	for !body.Over {
+	for !body.Done {
 		data, used, fault := body.Next(c.in.Bytes())
 		switch {
 		case fault != nil:
@@ -214,7 +214,7 @@
 		if fault := a.append(data); fault != nil {
 			return fault, nil
 		}
-		c.in.Drop(used)
+		c.in.Discard(used)
 		if framing += used - len(data); framing > mostFraming+len(r.Body) {
 			return &longFault, nil
 		}
@@ -228,7 +228,7 @@
 	return nil, nil
 }
 
-func (a *arrival) append(data []byte) *http1.Fault {
+func (a *arrival) append(data []byte) *http1.StatusError {
 	r := a.request
 	for len(data) > 0 {
 		if !a.grow(a.limits.MaxBodyBytes) {
--- a/internal/dataplane/httpserver/types.go
+++ b/internal/dataplane/httpserver/types.go
@@ -31,7 +31,7 @@
 	Target string // path and query as they came
 	Path   string // the target without its query
 	Host   string // as it came; one only, never empty
-	Fields http1.Fields
+	Fields http1.Header
 	Body   []byte // the handler's own; nil where there is none
 
 	FirstByteAt time.Time
--- a/internal/dataplane/httpserver/writer.go
+++ b/internal/dataplane/httpserver/writer.go
@@ -55,7 +55,7 @@
 // Answer sends a whole answer in one write. It is refused with ErrAnswered where a byte of an answer has been written;
 // an answer begun of which nothing was written is replaced.
 // Content-Length, Connection, Keep-Alive and Transfer-Encoding are set by the server and left out of the fields given.
-func (w *ResponseWriter) Answer(status int, fields http1.Fields, body []byte) error {
+func (w *ResponseWriter) Answer(status int, fields http1.Header, body []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.open(nothing, begun); err != nil {
@@ -65,7 +65,7 @@
 	buffer := buffers.Get().(*[]byte)
 	out := w.appendHead((*buffer)[:0], status, fields)
 	if status != 204 && status != 304 {
-		out = http1.AppendNumberField(out, "Content-Length", len(body))
+		out = http1.AppendIntField(out, "Content-Length", len(body))
 	}
 	out = append(out, "\r\n"...)
 	var err error
@@ -100,7 +100,7 @@
 }
 
 // Begin starts an answer that comes in pieces. Its head is written together with the first piece, or by Flush.
-func (w *ResponseWriter) Begin(status int, fields http1.Fields) error {
+func (w *ResponseWriter) Begin(status int, fields http1.Header) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.open(nothing, begun); err != nil {
@@ -234,18 +234,18 @@
 }
 
 // appendHead appends the status line and the fields, without the blank line.
-func (w *ResponseWriter) appendHead(out []byte, status int, fields http1.Fields) []byte {
+func (w *ResponseWriter) appendHead(out []byte, status int, fields http1.Header) []byte {
 	s := w.conn.server
 	w.closing = w.closing || s.draining.Load()
 	w.bare = w.method == "HEAD" || status == 204 || status == 304
 	out = http1.AppendStatusLine(out, status)
-	var hops http1.Hops
+	var hops http1.HopByHop
 	for i := range fields {
 		f := &fields[i]
-		if hops.Has(f.Name) || http1.EqualFold(f.Name, "Content-Length") {
+		if hops.Contains(f.Name) || http1.EqualFold(f.Name, "Content-Length") {
 			continue
 		}
-		if http1.IsToken(f.Name) && http1.IsValue(f.Value) {
+		if http1.IsToken(f.Name) && http1.IsFieldValue(f.Value) {
 			out = http1.AppendField(out, f.Name, f.Value)
 		}
 	}
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -66,9 +66,9 @@
 		p.dispatcher.Serve(w, r)
 		return
 	}
-	fields := http1.Fields{{Name: "Retry-After", Value: lateRetryAfter}}
+	fields := http1.Header{{Name: "Retry-After", Value: lateRetryAfter}}
 	if id := r.Fields.Get("X-Request-Id"); id != "" {
-		fields = append(fields, http1.Field{Name: "X-Request-Id", Value: id})
+		fields = append(fields, http1.HeaderField{Name: "X-Request-Id", Value: id})
 	}
 	_ = w.Answer(http.StatusServiceUnavailable, fields, nil)
 }
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -25,7 +25,7 @@
 	appendMetrics(&text, dispatchMetrics(p.dispatcher.Counts()))
 	appendMetrics(&text, serverMetrics(p.front.Counts()))
 	appendMetrics(&text, upstreamMetrics(p.pool.Counts()))
-	fields := http1.Fields{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
+	fields := http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
 	_ = w.Answer(statusOK, fields, []byte(text.String()))
 }
 
--- a/internal/dataplane/upstream/early_test.go
+++ b/internal/dataplane/upstream/early_test.go
@@ -106,7 +106,7 @@
 // numberedCall makes a request whose id and body tell its number.
 func numberedCall(w *worker, number, size int) *Call {
 	return &Call{Address: w.address(), Method: "POST", Target: "/", Body: bytes.Repeat([]byte{byte('a' + number)}, size),
-		Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: strconv.Itoa(number)}}}
+		Fields: http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: strconv.Itoa(number)}}}
 }
 
 // earlyWorker answers the first request of a connection as soon as it has a part of its body, reads on when it is told to, and then
--- a/internal/dataplane/upstream/exchange_test.go
+++ b/internal/dataplane/upstream/exchange_test.go
@@ -19,7 +19,7 @@
 		"1\r\no\r\n1\r\nk\r\n0\r\n\r\n"))
 	p := pool(t, Options{})
 	call := w.call()
-	call.Fields = append(call.Fields, http1.Fields{{Name: "Connection", Value: "close, X-Mine"}, {Name: "X-Mine", Value: "1"},
+	call.Fields = append(call.Fields, http1.Header{{Name: "Connection", Value: "close, X-Mine"}, {Name: "X-Mine", Value: "1"},
 		{Name: "Accept-Encoding", Value: "gzip"}, {Name: "Proxy-X", Value: "1"}, {Name: "TE", Value: "x"}, {Name: "X-Other", Value: "2"},
 		{Name: "Content-Length", Value: "77"}, {Name: "X-Split", Value: "a\r\nb: c"}}...)
 	for n := range 3 {
@@ -254,7 +254,7 @@
 			_, _ = io.WriteString(far, text[at:])
 		}()
 		p := New(Options{Dial: func(context.Context, string) (net.Conn, error) { return near, nil }})
-		r, f := p.Do(within(t), &Call{Address: "a", Method: "GET", Target: "/", Fields: http1.Fields{
+		r, f := p.Do(within(t), &Call{Address: "a", Method: "GET", Target: "/", Fields: http1.Header{
 			{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: "r1"}}})
 		if must(t, r, f); string(r.Body) != "hi!" {
 			t.Errorf("%d: %q", at, r.Body)
--- a/internal/dataplane/upstream/fuzz_test.go
+++ b/internal/dataplane/upstream/fuzz_test.go
@@ -273,7 +273,7 @@
 	id := requestID(number)
 	response, failure := pool.Do(ctx, &upstream.Call{Address: workerAddress, Method: "POST", Target: "/", Events: true,
 		Body:   bytes.Repeat([]byte{byte('a' + number)}, size),
-		Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}})
+		Fields: http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}})
 	switch {
 	case failure != nil:
 		return
--- a/internal/dataplane/upstream/outcome_test.go
+++ b/internal/dataplane/upstream/outcome_test.go
@@ -47,7 +47,7 @@
 
 func numbered(id string, size int) *upstream.Call {
 	return &upstream.Call{Address: workerAddress, Method: "POST", Target: "/", Body: bytes.Repeat([]byte("b"), size), Events: true,
-		Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}}
+		Fields: http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}}
 }
 
 // play is the script of the worker's connections: those behind the first are well.
--- a/internal/dataplane/upstream/rig_test.go
+++ b/internal/dataplane/upstream/rig_test.go
@@ -133,7 +133,7 @@
 
 func (w *worker) call() *Call {
 	return &Call{Address: w.address(), Method: "POST", Target: "/a?x=1", Body: []byte("hello"),
-		Fields: http1.Fields{{Name: "Host", Value: "h.example"}, {Name: "X-Request-Id", Value: "r1"}}}
+		Fields: http1.Header{{Name: "Host", Value: "h.example"}, {Name: "X-Request-Id", Value: "r1"}}}
 }
 
 func within(t *testing.T) context.Context {
--- a/internal/dataplane/upstream/send.go
+++ b/internal/dataplane/upstream/send.go
@@ -111,16 +111,16 @@
 	out = append(out, ' ')
 	out = append(out, call.Target...)
 	out = append(out, " HTTP/1.1\r\n"...)
-	hops := http1.HopsOf(call.Fields)
+	hops := http1.HopByHopOf(call.Fields)
 	for i := range call.Fields {
 		f := &call.Fields[i]
-		if hops.Has(f.Name) || isSetHere(f.Name) || !http1.IsToken(f.Name) || !http1.IsValue(f.Value) {
+		if hops.Contains(f.Name) || isSetHere(f.Name) || !http1.IsToken(f.Name) || !http1.IsFieldValue(f.Value) {
 			continue
 		}
 		out = http1.AppendField(out, f.Name, f.Value)
 	}
 	if len(call.Body) > 0 || call.Method == "POST" || call.Method == "PUT" || call.Method == "PATCH" {
-		out = http1.AppendNumberField(out, "Content-Length", len(call.Body))
+		out = http1.AppendIntField(out, "Content-Length", len(call.Body))
 	}
 	return append(out, "\r\n"...)
 }
--- a/internal/dataplane/upstream/socket.go
+++ b/internal/dataplane/upstream/socket.go
@@ -18,7 +18,7 @@
 	pool   *Pool
 	to     *peer
 	socket net.Conn
-	in     http1.Input
+	in     http1.ReadBuffer
 	reused bool
 	age    int // of the address, when it was made
 
@@ -94,8 +94,8 @@
 
 // more takes in what comes next.
 func (c *conn) more() error {
-	n, err := c.socket.Read(c.in.Space())
-	c.in.Took(n)
+	n, err := c.socket.Read(c.in.Free())
+	c.in.Extend(n)
 	if n > 0 {
 		return nil
 	}
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -40,14 +40,14 @@
 		if err := s.takeIn(); err != nil {
 			return nil, s.fail(err)
 		}
-		if len(s.split.whole) > 0 || s.body.Over {
+		if len(s.split.whole) > 0 || s.body.Done {
 			return s.handOn(), nil
 		}
 		err := s.trip.conn.more()
 		switch {
 		case err == nil:
-		case err == io.EOF && s.body.ToEnd && len(s.split.rest()) == 0 && s.trip.endedInOrder():
-			s.body.Over = true
+		case err == io.EOF && s.body.UntilClose && len(s.split.rest()) == 0 && s.trip.endedInOrder():
+			s.body.Done = true
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, ErrDeadline
 		default:
@@ -65,7 +65,7 @@
 			return s.holdBack(fault)
 		}
 		s.split.add(data)
-		c.in.Drop(used)
+		c.in.Discard(used)
 		if len(s.split.rest()) > mostOpen {
 			return s.holdBack(errLong)
 		}
@@ -85,13 +85,13 @@
 
 // handOn returns the events that are whole.
 func (s *Stream) handOn() *Batch {
-	open := s.body.Over && s.split.endOpen()
+	open := s.body.Done && s.split.endOpen()
 	raw, events := s.split.take()
 	if open {
 		events[len(events)-1].Open = true
 	}
-	s.batch = Batch{Raw: raw, Events: events, Last: s.body.Over, ReadAt: s.trip.conn.pool.now()}
-	if s.body.Over {
+	s.batch = Batch{Raw: raw, Events: events, Last: s.body.Done, ReadAt: s.trip.conn.pool.now()}
+	if s.body.Done {
 		s.result = io.EOF
 		s.finish(s.giveBack)
 	}
@@ -103,7 +103,7 @@
 	if s.bounded {
 		_ = s.trip.conn.socket.SetReadDeadline(time.Time{})
 	}
-	s.trip.done(s.body.ToEnd)
+	s.trip.done(s.body.UntilClose)
 }
 
 // finish ends the use of the connection, once.
--- a/internal/dataplane/upstream/trip.go
+++ b/internal/dataplane/upstream/trip.go
@@ -40,8 +40,8 @@
 	sending  sending
 	poisoned bool         // the connection is not to be kept
 	head     http1.Head   // of the answer, without its fields
-	fields   http1.Fields // of the answer, all of them
-	rules    http1.Rules
+	fields   http1.Header // of the answer, all of them
+	rules    http1.ParseRules
 	headAt   time.Time
 }
 
@@ -55,7 +55,7 @@
 			return nil, failure
 		}
 		t := &trip{conn: c, call: call, ctx: ctx}
-		t.rules = http1.Rules{HeadBytes: headLimit, Strict: true}
+		t.rules = http1.ParseRules{MaxHeadBytes: headLimit, Strict: true}
 		t.stop = context.AfterFunc(ctx, c.drop)
 		t.send()
 		response, failure := t.receive()
@@ -86,7 +86,7 @@
 // fail gives the connection up.
 func (t *trip) fail(err error) *Failure {
 	t.giveUp()
-	var fault *http1.Fault
+	var fault *http1.StatusError
 	switch {
 	case errors.Is(err, io.EOF):
 		return t.failure(Ended, io.ErrUnexpectedEOF)
@@ -119,7 +119,7 @@
 			return nil, t.fail(errForeign)
 		}
 		body := t.body()
-		if body.ToEnd {
+		if body.UntilClose {
 			return nil, t.fail(errForeign)
 		}
 		if err := t.passOver(&body); err != nil {
@@ -133,10 +133,10 @@
 	c := t.conn
 	for {
 		reader := http1.HeadReader{Kind: http1.Response, Rules: t.rules}
-		t.head = http1.Head{Raw: t.head.Raw[:0]}
+		t.head = http1.Head{RawHeader: t.head.RawHeader[:0]}
 		used := 0
 		for used == 0 {
-			var fault *http1.Fault
+			var fault *http1.StatusError
 			if used, fault = reader.Read(c.in.Bytes(), &t.head); fault != nil {
 				return fault
 			}
@@ -153,13 +153,13 @@
 		switch {
 		case t.head.Status >= 200:
 			t.headAt = c.pool.now()
-			t.fields = t.head.Fields() // the input goes on to be used
-			c.in.Drop(used)
+			t.fields = t.head.Header() // the input goes on to be used
+			c.in.Discard(used)
 			return nil
 		case t.head.Status == 101:
 			return errSwitched
 		}
-		c.in.Drop(used)
+		c.in.Discard(used)
 	}
 }
 
@@ -205,9 +205,9 @@
 
 func (t *trip) body() http1.BodyReader {
 	if t.call.Method == "HEAD" {
-		return http1.BodyReader{BodyState: http1.BodyState{Over: true}}
+		return http1.BodyReader{BodyState: http1.BodyState{Done: true}}
 	}
-	return http1.ResponseBody(&t.head, &t.rules)
+	return http1.NewResponseBodyReader(&t.head, &t.rules)
 }
 
 // passOver reads a body that nobody is to have.
@@ -223,7 +223,7 @@
 	if limit <= 0 {
 		limit = DefaultBodyLimit
 	}
-	for !body.Over {
+	for !body.Done {
 		data, used, fault := body.Next(c.in.Bytes())
 		switch {
 		case fault != nil:
@@ -232,13 +232,13 @@
 			return nil, errLong
 		}
 		whole = append(whole, data...)
-		c.in.Drop(used)
+		c.in.Discard(used)
 		if used > 0 {
 			continue
 		}
 		err := c.more()
-		if err == io.EOF && body.ToEnd && t.endedInOrder() {
-			body.Over = true
+		if err == io.EOF && body.UntilClose && t.endedInOrder() {
+			body.Done = true
 			return whole, nil
 		}
 		if err != nil {
@@ -256,7 +256,7 @@
 func (t *trip) answer() (*Response, *Failure) {
 	r := t.response()
 	body := t.body()
-	r.ToEnd = body.ToEnd
+	r.ToEnd = body.UntilClose
 	if t.call.Events && r.Status < 300 && isEventStream(r.Fields.Get("Content-Type")) {
 		r.Stream = &Stream{trip: t, body: body}
 		return r, nil
@@ -264,7 +264,7 @@
 	whole, err := t.readWhole(&body, nil)
 	switch {
 	case err == nil:
-		t.done(body.ToEnd)
+		t.done(body.UntilClose)
 	case r.Result != Answered: // the head alone says that the request has not run; nobody is to have the body
 		t.giveUp()
 		whole = nil
@@ -276,9 +276,9 @@
 }
 
 func (t *trip) response() *Response {
-	r := &Response{Result: Answered, Status: t.head.Status, Leaving: t.head.Close && !t.head.Old, Reused: t.conn.reused,
+	r := &Response{Result: Answered, Status: t.head.Status, Leaving: t.head.Close && !t.head.HTTP10, Reused: t.conn.reused,
 		HeadAt: t.headAt}
-	r.Fields = http1.HopsOf(t.fields).Strip(t.fields).Without("Content-Length")
+	r.Fields = http1.HopByHopOf(t.fields).Strip(t.fields).Without("Content-Length")
 	r.Load = parseLoad(r.Fields.Get(serverLoad))
 	switch {
 	case r.Status == misdirected:
--- a/internal/dataplane/upstream/types.go
+++ b/internal/dataplane/upstream/types.go
@@ -74,7 +74,7 @@
 	Target  string // path and query, sent as they are
 	// Fields are the header fields, Host with them. Those that concern one connection only are left out when they
 	// are sent, as are Accept-Encoding, Expect and Content-Length, which the exchange sets itself.
-	Fields http1.Fields
+	Fields http1.Header
 	Body   []byte
 	// Events tells that an answer that is an event stream with a 2xx status is to be read event by event. Any other is read whole.
 	Events bool
@@ -89,7 +89,7 @@
 	Result Result // NotExecuted, Misdirected or Answered
 	Status int
 	// Fields are the header fields without those that concern one connection only and without Content-Length.
-	Fields http1.Fields
+	Fields http1.Header
 	Body   []byte  // whole; nil with Stream, and where a NotExecuted or Misdirected answer was cut
 	Stream *Stream // not nil: the body is to be read by Stream.Next until its error, or Stream.Close called
 	Load   *Load   // of X-Server-Load; nil where there is none
--- a/internal/node/protocol/answers.go
+++ b/internal/node/protocol/answers.go
@@ -20,7 +20,7 @@
 	}
 	c.trip = nil
 	c.owner.settle(t, c)
-	if c.head && c.body.ToEnd && !c.told && c.status != 200 {
+	if c.head && c.body.UntilClose && !c.told && c.status != 200 {
 		c.conclude(t) // the body ended with the connection
 		return
 	}
@@ -76,7 +76,7 @@
 		if !conn.Open() {
 			return len(in)
 		}
-		if c.body.Over {
+		if c.body.Done {
 			c.finish()
 			return len(in)
 		}
@@ -90,7 +90,7 @@
 // broken ends an exchange whose answer cannot be read. The request went out
 // whole, so that it may have run.
 func (c *destinationConn) broken(in []byte, why *Fault) int {
-	c.owner.unreadableAnswer(c.to.name, why.Text)
+	c.owner.unreadableAnswer(c.to.name, why.Reason)
 	t := c.trip
 	c.trip = nil
 	c.close()
@@ -114,7 +114,7 @@
 	c.declined = string(m.Header("Srv-Declined")) == "1"
 	c.load = append(c.load[:0], m.Header("Srv-Load")...)
 	c.body = newBody(m)
-	c.last = c.last || c.body.ToEnd
+	c.last = c.last || c.body.UntilClose
 }
 
 // news is one line of an answer.
--- a/internal/node/protocol/carry.go
+++ b/internal/node/protocol/carry.go
@@ -136,7 +136,7 @@
 
 // release takes a request in work out of the core and the destinations.
 func (f *Front) release(to *Destinations, ref slottable.Ref, c *Call, sockets []*os.File) (*CallPart, []*os.File) {
-	part := &CallPart{Last: c.last, Old: c.Old}
+	part := &CallPart{Last: c.last, Old: c.HTTP10}
 	part.Carried = f.core.Release(ref, func(try int, step slottable.Ref) (moved, begun bool) {
 		s, socket, begun := to.release(step)
 		if socket != nil {
@@ -173,7 +173,7 @@
 func (f *Front) resume(to *Destinations, s *frontSocket, p *Parcel, conns []*eventloop.Conn) {
 	part := p.Call
 	c := &Call{socket: s, last: part.Last || f.stopping, id: part.Carried.Operation.Work.ID, size: p.Size}
-	c.Old = part.Old
+	c.HTTP10 = part.Old
 	s.call = c
 	f.held += c.size
 	ref, steps := f.core.Adopt(part.Carried, f)
@@ -214,8 +214,8 @@
 	c.lost()
 	delete(d.trips, step)
 	return StepPart{Name: t.to.name, Address: t.to.address, Rest: rest, Head: c.head, Status: c.status, Declined: c.declined,
-		Load: c.load, Line: c.line, Last: c.last, Kept: c.kept, Left: c.body.Left, Chunked: c.body.Chunked, ToEnd: c.body.ToEnd,
-		Over: c.body.Over}, socket, true
+		Load: c.load, Line: c.line, Last: c.last, Kept: c.kept, Left: c.body.Remaining, Chunked: c.body.Chunked, ToEnd: c.body.UntilClose,
+		Over: c.body.Done}, socket, true
 }
 
 // adopt takes over a connection at work on a step.
@@ -228,7 +228,7 @@
 	}
 	c := &destinationConn{owner: d, to: to, conn: conn, process: to.process, head: p.Head, status: p.Status, declined: p.Declined,
 		load: p.Load, line: p.Line, last: p.Last, kept: p.Kept,
-		body: http1.BodyReader{Rules: &rules, BodyState: http1.BodyState{Left: p.Left, Chunked: p.Chunked, ToEnd: p.ToEnd, Over: p.Over}}}
+		body: http1.BodyReader{Rules: &rules, BodyState: http1.BodyState{Remaining: p.Left, Chunked: p.Chunked, UntilClose: p.ToEnd, Done: p.Over}}}
 	t := &trip{step: step, id: w.ID, once: w.Once, to: to, conn: c, sentAt: d.loop.Now()}
 	c.trip = t
 	d.trips[step] = t
--- a/internal/node/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -45,7 +45,7 @@
 		f.close()
 		return
 	}
-	f.refuse(&Fault{Status: 408, Text: "the request did not come in time"})
+	f.refuse(&Fault{Status: 408, Reason: "the request did not come in time"})
 }
 
 func (f *frontSocket) close() {
@@ -137,8 +137,8 @@
 
 // refuse answers what cannot be read, and ends the connection.
 func (f *frontSocket) refuse(why *Fault) {
-	f.server.rejected(why.Text)
-	f.complain(why.Status, why.Text, []byte(why.Text+"\n"))
+	f.server.rejected(why.Reason)
+	f.complain(why.Status, why.Reason, []byte(why.Reason+"\n"))
 }
 
 // complain answers what never becomes a call, and ends the connection.
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -128,7 +128,7 @@
 // Closed is the pool config's end of the connection.
 func (c *call) Closed(*eventloop.Conn) {
 	c.conn = nil
-	if c.head && c.body.ToEnd && c.asked {
+	if c.head && c.body.UntilClose && c.asked {
 		c.finish()
 		return
 	}
@@ -145,7 +145,7 @@
 			var m Message
 			n, err := parseResponse(in[used:], &m)
 			if err != nil {
-				c.fail(err.Text)
+				c.fail(err.Reason)
 				return len(in)
 			}
 			if n == 0 {
@@ -156,7 +156,7 @@
 		}
 		data, n, err := c.body.Next(in[used:])
 		if err != nil {
-			c.fail(err.Text)
+			c.fail(err.Reason)
 			return len(in)
 		}
 		used += n
@@ -164,7 +164,7 @@
 			c.fail("the list is too long")
 			return len(in)
 		}
-		if c.body.Over {
+		if c.body.Done {
 			c.finish()
 			return used
 		}
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -86,7 +86,7 @@
 	}
 	op, err := f.operation(&c.Message, class)
 	if err != nil {
-		c.Reject(err.Status, err.Text)
+		c.Reject(err.Status, err.Reason)
 		return
 	}
 	// A second one would be a second copy to the destinations, and what it brings
--- a/internal/node/protocol/http.go
+++ b/internal/node/protocol/http.go
@@ -17,12 +17,12 @@
 )
 
 // rules are those of every message.
-var rules = http1.Rules{HeadBytes: maxHead}
+var rules = http1.ParseRules{MaxHeadBytes: maxHead}
 
 // Fault is why a message cannot be read, with the status that says so.
-type Fault = http1.Fault
+type Fault = http1.StatusError
 
-func bad(text string) *Fault { return http1.Bad(text) }
+func bad(text string) *Fault { return http1.BadMessage(text) }
 
 // Message is a request or a response as far as it has come in. Its slices are
 // those of the connection's buffer, valid until the handler returns.
@@ -37,11 +37,11 @@
 // doubled returns the name of a header field with a prefix that comes more than
 // once. Which of the two holds, one side may see otherwise than the next.
 func (m *Message) doubled(prefix string) string {
-	for i, f := range m.Raw {
+	for i, f := range m.RawHeader {
 		if len(f.Name) < len(prefix) || !http1.EqualFold(f.Name[:len(prefix)], prefix) {
 			continue
 		}
-		for _, g := range m.Raw[:i] {
+		for _, g := range m.RawHeader[:i] {
 			if bytes.EqualFold(f.Name, g.Name) {
 				return string(f.Name)
 			}
@@ -98,18 +98,18 @@
 	var h http1.Head
 	r.lines.Rules = rules
 	end, err := r.lines.Read(in, &h)
-	r.at = r.lines.At()
+	r.at = r.lines.Scanned()
 	switch {
 	case err != nil || end == 0:
 		return err
-	case h.Length > maxBody:
-		return &Fault{Status: 413, Text: "the body is over 64 KiB"}
+	case h.ContentLength > maxBody:
+		return &Fault{Status: 413, Reason: "the body is over 64 KiB"}
 	}
-	r.head, r.length, r.expects = end, h.Length, h.Expects()
-	if h.Length == http1.LengthNone {
+	r.head, r.length, r.expects = end, h.ContentLength, h.ExpectsContinue()
+	if h.ContentLength == http1.LengthNone {
 		r.length = 0 // a request without framing has no body
 	}
-	r.framing = http1.RequestBody(&h, &rules)
+	r.framing = http1.NewRequestBodyReader(&h, &rules)
 	return nil
 }
 
@@ -128,11 +128,11 @@
 			seen = len(in)
 		}
 		switch {
-		case r.framing.Left > maxBody:
-			return 0, &Fault{Status: 413, Text: "a chunk is over 64 KiB"}
+		case r.framing.Remaining > maxBody:
+			return 0, &Fault{Status: 413, Reason: "a chunk is over 64 KiB"}
 		case len(r.body) > maxBody || seen-r.head > mostChunked:
-			return 0, &Fault{Status: 413, Text: "the body is over 64 KiB"}
-		case r.framing.Over:
+			return 0, &Fault{Status: 413, Reason: "the body is over 64 KiB"}
+		case r.framing.Done:
 			return r.at, nil
 		case n == 0:
 			return 0, nil
@@ -146,13 +146,13 @@
 }
 
 // newBody starts on the body of a response whose head has been read.
-func newBody(m *Message) http1.BodyReader { return http1.ResponseBody(&m.Head, &rules) }
+func newBody(m *Message) http1.BodyReader { return http1.NewResponseBodyReader(&m.Head, &rules) }
 
 // AppendResponse writes a response. extra holds further header lines, each with
 // its end.
 func AppendResponse(out []byte, status int, extra string, body []byte, closing bool) []byte {
 	out = http1.AppendStatusLine(out, status)
-	out = http1.AppendNumberField(out, "Content-Length", len(body))
+	out = http1.AppendIntField(out, "Content-Length", len(body))
 	out = append(out, extra...)
 	if closing {
 		out = append(out, "Connection: close\r\n"...)
--- a/internal/node/protocol/server_call.go
+++ b/internal/node/protocol/server_call.go
@@ -37,7 +37,7 @@
 // It tells whether the client can read one: a client of HTTP/1.0 cannot.
 func (c *Call) Begin(status int, extra string) bool {
 	f := c.socket
-	if f.call != c || c.parts || c.Old {
+	if f.call != c || c.parts || c.HTTP10 {
 		return false
 	}
 	c.parts = true
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -162,16 +162,16 @@
 // turnAway answers that the request was not run.
 func (w *Worker) turnAway(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
 	fields := w.fields(request)
-	fields = append(fields, http1.Field{Name: fieldNotRun, Value: "1"})
+	fields = append(fields, http1.HeaderField{Name: fieldNotRun, Value: "1"})
 	_ = answer.Answer(status, fields, nil)
 }
 
 // fields are those of each answer.
-func (w *Worker) fields(request *httpserver.Request) http1.Fields {
-	fields := make(http1.Fields, 0, 8)
-	fields = append(fields, http1.Field{Name: fieldRequestID, Value: request.Fields.Get(fieldRequestID)})
-	fields = append(fields, http1.Field{Name: fieldInstance, Value: w.options.ID})
-	fields = append(fields, http1.Field{Name: fieldLoad, Value: fmt.Sprintf("%d,0,%d", w.running.Load(), w.options.Slots)})
+func (w *Worker) fields(request *httpserver.Request) http1.Header {
+	fields := make(http1.Header, 0, 8)
+	fields = append(fields, http1.HeaderField{Name: fieldRequestID, Value: request.Fields.Get(fieldRequestID)})
+	fields = append(fields, http1.HeaderField{Name: fieldInstance, Value: w.options.ID})
+	fields = append(fields, http1.HeaderField{Name: fieldLoad, Value: fmt.Sprintf("%d,0,%d", w.running.Load(), w.options.Slots)})
 	return fields
 }
 
@@ -193,7 +193,7 @@
 	w.prefills.Add(1)
 	handle := w.options.Handles.give(w.options.Address)
 	fields := w.fields(request)
-	fields = append(fields, http1.Field{Name: "Content-Type", Value: "application/json"})
+	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "application/json"})
 	body := fmt.Sprintf(`{"prefillHandle":%q,"tokens":%d,"generation":1}`, handle, in)
 	_ = answer.Answer(statusOK, fields, []byte(body))
 }
@@ -217,7 +217,7 @@
 	}
 	w.runs.Add(1)
 	fields := w.signed(request)
-	fields = append(fields, http1.Field{Name: "Content-Type", Value: "text/event-stream"})
+	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "text/event-stream"})
 	if answer.Begin(statusOK, fields) != nil {
 		return
 	}
@@ -233,9 +233,9 @@
 	_ = answer.Finish(nil)
 }
 
-func (w *Worker) signed(request *httpserver.Request) http1.Fields {
+func (w *Worker) signed(request *httpserver.Request) http1.Header {
 	fields := w.fields(request)
-	fields = append(fields, http1.Field{Name: fieldSignature, Value: "standin." + w.options.ID})
+	fields = append(fields, http1.HeaderField{Name: fieldSignature, Value: "standin." + w.options.ID})
 	return fields
 }
 
--- a/internal/testkit/localfleet/operator.go
+++ b/internal/testkit/localfleet/operator.go
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
 	response, failure := o.pool.Do(ctx, &upstream.Call{Address: address, Method: method, Target: target, Body: body,
-		Fields: http1.Fields{{Name: "Host", Value: address}, {Name: "Content-Type", Value: "application/json"},
+		Fields: http1.Header{{Name: "Host", Value: address}, {Name: "Content-Type", Value: "application/json"},
 			{Name: "X-Base-Version", Value: strconv.FormatUint(base, 10)}}})
 	if failure != nil {
 		return nil, failure
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -173,7 +173,7 @@
 func (l *load) send(ctx context.Context, tokens int) error {
 	number, sent := l.number.Add(1), time.Now()
 	response, failure := l.pool.Do(ctx, &upstream.Call{Address: l.fleet.Front(0), Method: "POST", Target: "/v1/chat", Events: true,
-		Body: []byte("{}"), Fields: http1.Fields{{Name: "Host", Value: "tenant-0.example"},
+		Body: []byte("{}"), Fields: http1.Header{{Name: "Host", Value: "tenant-0.example"},
 			{Name: "X-Request-Id", Value: fmt.Sprintf("scale-%d", number)}, {Name: "X-Model", Value: "m"},
 			{Name: "X-Token-Count", Value: fmt.Sprintf("%d,%d", promptTokens, tokens)},
 			{Name: "X-Prompt-Prefix", Value: fmt.Sprintf("a1:800,%x:400", number)},
--- a/internal/util/http1/head.go
+++ b/internal/util/http1/head.go
@@ -14,120 +14,120 @@
 
 const maxLengthDigits = 18 // of a Content-Length that still fits
 
-// Rules bound a message and say how strictly it is read.
-type Rules struct {
-	HeadBytes int // most bytes of the start line and the header, line ends included
-	BodyBytes int // most bytes of a body and of one chunk
+// ParseRules bound a message and say how strictly it is read.
+type ParseRules struct {
+	MaxHeadBytes int // most bytes of the start line and the header, line ends included
+	MaxBodyBytes int // most bytes of a body and of one chunk
 	// Strict refuses what another reader may take otherwise: line ends without CR, white space within chunk sizes,
 	// requests without exactly one Host, any transfer coding but chunked.
 	Strict bool
 }
 
-// Fault is why a message cannot be read, with the status that says so.
-type Fault struct {
+// StatusError is why a message cannot be read, with the status that says so.
+type StatusError struct {
 	Status int
-	Text   string
+	Reason string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%d %s", f.Status, f.Text) }
+func (f *StatusError) Error() string { return fmt.Sprintf("%d %s", f.Status, f.Reason) }
 
-// Bad is a fault with status 400.
-func Bad(text string) *Fault { return &Fault{400, text} }
+// BadMessage is a fault with status 400.
+func BadMessage(text string) *StatusError { return &StatusError{400, text} }
 
-// RawField is a header field within the buffer that was read.
-type RawField struct{ Name, Value []byte }
+// RawHeaderField is a header field within the buffer that was read.
+type RawHeaderField struct{ Name, Value []byte }
 
 // Head is a start line with its header. Its slices are those of the buffer that was read.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
-	Raw            []RawField
-	Length         int  // of the body, or LengthChunked, or LengthNone
+	RawHeader      []RawHeaderField
+	ContentLength  int  // of the body, or LengthChunked, or LengthNone
 	Close          bool // no message follows on the connection
-	Old            bool // HTTP/1.0
+	HTTP10         bool // HTTP/1.0
 }
 
-// Kind tells requests from responses.
-type Kind uint8
+// MessageKind tells requests from responses.
+type MessageKind uint8
 
 // Kinds of messages.
 const (
-	Request Kind = iota
+	Request MessageKind = iota
 	Response
 )
 
 // Get returns the first value of a header field, or nil.
 func (h *Head) Get(name string) []byte {
-	for i := range h.Raw {
-		if EqualFold(h.Raw[i].Name, name) {
-			return h.Raw[i].Value
+	for i := range h.RawHeader {
+		if EqualFold(h.RawHeader[i].Name, name) {
+			return h.RawHeader[i].Value
 		}
 	}
 	return nil
 }
 
-// Expects tells whether a client waits for word before it sends the body.
-func (h *Head) Expects() bool { return EqualFold(h.Get("Expect"), "100-continue") }
+// ExpectsContinue tells whether a client waits for word before it sends the body.
+func (h *Head) ExpectsContinue() bool { return EqualFold(h.Get("Expect"), "100-continue") }
 
-// Fields copies the header fields.
-func (h *Head) Fields() Fields {
-	fields := make(Fields, len(h.Raw))
-	for i, f := range h.Raw {
-		fields[i] = Field{string(f.Name), string(f.Value)}
+// Header copies the header fields.
+func (h *Head) Header() Header {
+	fields := make(Header, len(h.RawHeader))
+	for i, f := range h.RawHeader {
+		fields[i] = HeaderField{string(f.Name), string(f.Value)}
 	}
 	return fields
 }
 
 // ParseHead reads a start line and header fields from the beginning of in. used is 0 where they are not all there.
-func ParseHead(kind Kind, in []byte, rules *Rules, h *Head) (used int, fault *Fault) {
-	at := 0
+func ParseHead(kind MessageKind, in []byte, rules *ParseRules, head *Head) (used int, statusErr *StatusError) {
+	offset := 0
 	for lines := 0; ; lines++ {
-		line, n, fault := cutLine(in[at:], rules)
-		if fault != nil {
-			return 0, fault
+		line, length, statusErr := cutLine(in[offset:], rules)
+		if statusErr != nil {
+			return 0, statusErr
 		}
-		at += n
-		if at > rules.HeadBytes || n == 0 && len(in) > rules.HeadBytes {
-			return 0, &Fault{431, "the header is too long"}
+		offset += length
+		if offset > rules.MaxHeadBytes || length == 0 && len(in) > rules.MaxHeadBytes {
+			return 0, &StatusError{431, "the header is too long"}
 		}
 		switch {
-		case n == 0:
+		case length == 0:
 			return 0, nil
 		case lines == 0:
-			if fault := startLine(kind, line, h); fault != nil {
-				return 0, fault
+			if statusErr := parseStartLine(kind, line, head); statusErr != nil {
+				return 0, statusErr
 			}
 		case len(line) == 0:
-			return at, h.finish(kind, rules)
+			return offset, head.parseFraming(kind, rules)
 		default:
-			field, fault := fieldLine(line)
-			if fault != nil {
-				return 0, fault
+			field, statusErr := parseFieldLine(line)
+			if statusErr != nil {
+				return 0, statusErr
 			}
-			h.Raw = append(h.Raw, field)
+			head.RawHeader = append(head.RawHeader, field)
 		}
 	}
 }
 
 // cutLine returns the first line of in without its end; used is 0 where it is not all there.
-func cutLine(in []byte, rules *Rules) (line []byte, used int, fault *Fault) {
+func cutLine(in []byte, rules *ParseRules) (line []byte, used int, statusErr *StatusError) {
 	end := bytes.IndexByte(in, '\n')
 	if end < 0 {
 		return nil, 0, nil
 	}
 	line, returned := bytes.CutSuffix(in[:end], []byte{'\r'})
 	if rules.Strict && !returned {
-		return nil, 0, Bad("a line ends without a carriage return")
+		return nil, 0, BadMessage("a line ends without a carriage return")
 	}
 	return line, end + 1, nil
 }
 
-func fieldLine(line []byte) (RawField, *Fault) {
+func parseFieldLine(line []byte) (RawHeaderField, *StatusError) {
 	name, value, ok := bytes.Cut(line, []byte{':'})
 	if !ok || !IsToken(name) || bytes.ContainsFunc(value, isControl) {
-		return RawField{}, Bad("a header line is malformed")
+		return RawHeaderField{}, BadMessage("a header line is malformed")
 	}
-	return RawField{name, bytes.Trim(value, " \t")}, nil
+	return RawHeaderField{name, bytes.Trim(value, " \t")}, nil
 }
 
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
@@ -151,93 +151,93 @@
 	return false
 }
 
-func startLine(kind Kind, line []byte, h *Head) *Fault {
+func parseStartLine(kind MessageKind, line []byte, head *Head) *StatusError {
 	if kind == Request {
-		return requestLine(line, h)
+		return parseRequestLine(line, head)
 	}
-	return statusLine(line, h)
+	return parseStatusLine(line, head)
 }
 
-func requestLine(line []byte, h *Head) *Fault {
+func parseRequestLine(line []byte, head *Head) *StatusError {
 	method, rest, _ := bytes.Cut(line, []byte{' '})
 	target, version, ok := bytes.Cut(rest, []byte{' '})
 	if !ok || !IsToken(method) || bytes.IndexByte(version, ' ') >= 0 {
-		return Bad("the request line is malformed")
+		return BadMessage("the request line is malformed")
 	}
-	h.Method, h.Target = method, target
+	head.Method, head.Target = method, target
 	if len(target) == 0 || target[0] != '/' {
-		return Bad("the target is no path")
+		return BadMessage("the target is no path")
 	}
 	for _, c := range target {
 		if c <= ' ' || c >= 0x7f {
-			return Bad("the target has a byte that no path has")
+			return BadMessage("the target has a byte that no path has")
 		}
 	}
-	return h.version(version)
+	return head.parseVersion(version)
 }
 
-func statusLine(line []byte, h *Head) *Fault {
+func parseStatusLine(line []byte, head *Head) *StatusError {
 	version, rest, _ := bytes.Cut(line, []byte{' '})
 	code, _, _ := bytes.Cut(rest, []byte{' '})
 	status, err := strconv.Atoi(string(code))
 	if err != nil || len(code) != 3 || status < 100 {
-		return Bad("the status line is malformed")
+		return BadMessage("the status line is malformed")
 	}
-	h.Status = status
-	return h.version(version)
+	head.Status = status
+	return head.parseVersion(version)
 }
 
-func (h *Head) version(v []byte) *Fault {
+func (h *Head) parseVersion(v []byte) *StatusError {
 	switch {
 	case string(v) == "HTTP/1.1":
 	case string(v) == "HTTP/1.0":
-		h.Old = true
+		h.HTTP10 = true
 	case bytes.HasPrefix(v, []byte("HTTP/")):
-		return &Fault{505, "only HTTP/1.1 is spoken"}
+		return &StatusError{505, "only HTTP/1.1 is spoken"}
 	default:
-		return Bad("the version is malformed")
+		return BadMessage("the version is malformed")
 	}
 	return nil
 }
 
-// finish finds out how the body is delimited. Where two fields disagree, the message is refused: what one side
+// parseFraming finds out how the body is delimited. Where two fields disagree, the message is refused: what one side
 // takes for a body another may take for the next message.
-func (h *Head) finish(kind Kind, rules *Rules) *Fault {
-	h.Length, h.Close = LengthNone, h.Old
-	for i := range h.Raw {
-		f := &h.Raw[i]
-		var fault *Fault
+func (h *Head) parseFraming(kind MessageKind, rules *ParseRules) *StatusError {
+	h.ContentLength, h.Close = LengthNone, h.HTTP10
+	for i := range h.RawHeader {
+		f := &h.RawHeader[i]
+		var statusErr *StatusError
 		switch {
 		case EqualFold(f.Name, "Content-Length"):
-			fault = h.contentLength(f.Value, rules)
+			statusErr = h.parseContentLength(f.Value, rules)
 		case EqualFold(f.Name, "Transfer-Encoding"):
-			fault = h.transferEncoding(f.Value, rules)
+			statusErr = h.parseTransferEncoding(f.Value, rules)
 		case EqualFold(f.Name, "Connection"):
-			h.connection(f.Value)
+			h.parseConnection(f.Value)
 		}
-		if fault != nil {
-			return fault
+		if statusErr != nil {
+			return statusErr
 		}
 	}
 	if kind == Request && rules.Strict {
-		return h.host()
+		return h.checkHost()
 	}
 	return nil
 }
 
-func (h *Head) contentLength(value []byte, rules *Rules) *Fault {
+func (h *Head) parseContentLength(value []byte, rules *ParseRules) *StatusError {
 	n, err := strconv.ParseUint(string(value), 10, 31)
 	switch {
-	case err == nil && h.Length == LengthNone:
-		h.Length = int(n)
+	case err == nil && h.ContentLength == LengthNone:
+		h.ContentLength = int(n)
 		return nil
-	case err != nil && rules.Strict && areDigits(value) && len(value) <= maxLengthDigits:
-		return &Fault{413, "the body is too long"}
+	case err != nil && rules.Strict && isAllDigits(value) && len(value) <= maxLengthDigits:
+		return &StatusError{413, "the body is too long"}
 	}
-	return Bad("the length is malformed")
+	return BadMessage("the length is malformed")
 }
 
-func areDigits(b []byte) bool {
+func isAllDigits(b []byte) bool {
 	for _, c := range b {
 		if c < '0' || c > '9' {
 			return false
@@ -246,50 +246,50 @@
 	return len(b) > 0
 }
 
-func (h *Head) transferEncoding(value []byte, rules *Rules) *Fault {
+func (h *Head) parseTransferEncoding(value []byte, rules *ParseRules) *StatusError {
 	if !EqualFold(value, "chunked") {
 		if rules.Strict {
-			return Bad("the transfer coding is unknown")
+			return BadMessage("the transfer coding is unknown")
 		}
-		return &Fault{501, "the transfer coding is unknown"}
+		return &StatusError{501, "the transfer coding is unknown"}
 	}
-	if h.Length != LengthNone || h.Old {
-		return Bad("the body is framed twice")
+	if h.ContentLength != LengthNone || h.HTTP10 {
+		return BadMessage("the body is framed twice")
 	}
-	h.Length = LengthChunked
+	h.ContentLength = LengthChunked
 	return nil
 }
 
-func (h *Head) connection(value []byte) {
+func (h *Head) parseConnection(value []byte) {
 	for part := range bytes.SplitSeq(value, []byte{','}) {
 		switch part = bytes.TrimSpace(part); {
 		case EqualFold(part, "close"):
 			h.Close = true
-		case EqualFold(part, "keep-alive") && h.Old:
+		case EqualFold(part, "keep-alive") && h.HTTP10:
 			h.Close = false
 		}
 	}
 }
 
-// host checks that there is one Host and that it may be one.
-func (h *Head) host() *Fault {
+// checkHost checks that there is one Host and that it may be one.
+func (h *Head) checkHost() *StatusError {
 	count := 0
-	for i := range h.Raw {
-		if !EqualFold(h.Raw[i].Name, "Host") {
+	for i := range h.RawHeader {
+		if !EqualFold(h.RawHeader[i].Name, "Host") {
 			continue
 		}
 		count++
-		if !isHost(h.Raw[i].Value) {
-			return Bad("the host is malformed")
+		if !isHostValue(h.RawHeader[i].Value) {
+			return BadMessage("the host is malformed")
 		}
 	}
 	if count != 1 {
-		return Bad("the host is missing or comes twice")
+		return BadMessage("the host is missing or comes twice")
 	}
 	return nil
 }
 
-func isHost(value []byte) bool {
+func isHostValue(value []byte) bool {
 	for _, c := range value {
 		if c <= ' ' || c >= 0x7f || c != ':' && c != '[' && c != ']' && isSeparator(c) {
 			return false
--- a/internal/util/http1/header.go
+++ b/internal/util/http1/header.go
@@ -1,13 +1,13 @@
 package http1
 
-// Field is one header field, name and value as they came.
-type Field struct{ Name, Value string }
+// HeaderField is one header field, name and value as they came.
+type HeaderField struct{ Name, Value string }
 
-// Fields are header fields in the order in which they came.
-type Fields []Field
+// Header are header fields in the order in which they came.
+type Header []HeaderField
 
 // Get returns the first value of a field, compared without regard to case, and "" where there is none.
-func (f Fields) Get(name string) string {
+func (f Header) Get(name string) string {
 	for i := range f {
 		if EqualFold(f[i].Name, name) {
 			return f[i].Value
@@ -17,10 +17,10 @@
 }
 
 // Has tells whether a field is there.
-func (f Fields) Has(name string) bool { return f.Count(name) > 0 }
+func (f Header) Has(name string) bool { return f.Count(name) > 0 }
 
 // Count returns how many fields have a name.
-func (f Fields) Count(name string) int {
+func (f Header) Count(name string) int {
 	count := 0
 	for i := range f {
 		if EqualFold(f[i].Name, name) {
@@ -32,19 +32,19 @@
 
 // With returns the fields without those of a name, and with one of that name and value at the end.
 // The fields themselves stay as they are.
-func (f Fields) With(name, value string) Fields {
-	return append(f.Without(name), Field{name, value})
+func (f Header) With(name, value string) Header {
+	return append(f.Without(name), HeaderField{name, value})
 }
 
 // Without returns the fields that have another name, in an array of their own.
-func (f Fields) Without(name string) Fields {
-	kept := make(Fields, 0, len(f)+1)
+func (f Header) Without(name string) Header {
+	remaining := make(Header, 0, len(f)+1)
 	for _, field := range f {
 		if !EqualFold(field.Name, name) {
-			kept = append(kept, field)
+			remaining = append(remaining, field)
 		}
 	}
-	return kept
+	return remaining
 }
 
 // EqualFold compares field names without regard to case, in ASCII alone.
@@ -53,14 +53,14 @@
 		return false
 	}
 	for i := range len(a) {
-		if lower(a[i]) != lower(b[i]) {
+		if toLower(a[i]) != toLower(b[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func lower(c byte) byte {
+func toLower(c byte) byte {
 	if 'A' <= c && c <= 'Z' {
 		return c + 'a' - 'A'
 	}
--- a/internal/util/http1/http1_test.go
+++ b/internal/util/http1/http1_test.go
@@ -10,50 +10,50 @@
 	"testing"
 )
 
-var strict = Rules{HeadBytes: 4 << 10, BodyBytes: 4 << 10, Strict: true}
+var strict = ParseRules{MaxHeadBytes: 4 << 10, MaxBodyBytes: 4 << 10, Strict: true}
 
-// message is what was read of one message.
-type message struct {
-	head  string
-	body  string
-	used  int
-	whole bool
-	fault *Fault
+// parsedMessage is what was read of one message.
+type parsedMessage struct {
+	head     string
+	body     string
+	used     int
+	complete bool
+	fault    *StatusError
 }
 
-func (m message) String() string {
-	return fmt.Sprintf("%s %q %d %v %v", m.head, m.body, m.used, m.whole, m.fault)
+func (m parsedMessage) String() string {
+	return fmt.Sprintf("%s %q %d %v %v", m.head, m.body, m.used, m.complete, m.fault)
 }
 
-// readCut reads a message that comes in pieces with the given ends.
-func readCut(kind Kind, text string, ends []int) message {
+// readInParts reads a message that comes in pieces with the given ends.
+func readInParts(kind MessageKind, text string, ends []int) parsedMessage {
 	reader := HeadReader{Kind: kind, Rules: strict}
 	var h Head
 	var body BodyReader
-	var m message
+	var m parsedMessage
 	headed := false
 	for _, end := range ends {
 		in := bytes.Clone([]byte(text[:end])) // each time at another place in memory
 		if !headed {
-			used, fault := reader.Read(in, &h)
-			if fault != nil {
-				return message{fault: fault}
+			used, statusErr := reader.Read(in, &h)
+			if statusErr != nil {
+				return parsedMessage{fault: statusErr}
 			}
 			if used == 0 {
 				continue
 			}
 			headed = true
 			m.used = used
-			m.head = fmt.Sprintf("%s %s %d %d %v %q", h.Method, h.Target, h.Status, h.Length, h.Close, h.Fields())
-			body = RequestBody(&h, &strict)
+			m.head = fmt.Sprintf("%s %s %d %d %v %q", h.Method, h.Target, h.Status, h.ContentLength, h.Close, h.Header())
+			body = NewRequestBodyReader(&h, &strict)
 			if kind == Response {
-				body = ResponseBody(&h, &strict)
+				body = NewResponseBodyReader(&h, &strict)
 			}
 		}
-		for !body.Over {
-			data, used, fault := body.Next(in[m.used:])
-			if fault != nil {
-				return message{fault: fault}
+		for !body.Done {
+			data, used, statusErr := body.Next(in[m.used:])
+			if statusErr != nil {
+				return parsedMessage{fault: statusErr}
 			}
 			if used == 0 {
 				break
@@ -61,16 +61,16 @@
 			m.body += string(data)
 			m.used += used
 		}
-		m.whole = body.Over
-		if m.whole {
+		m.complete = body.Done
+		if m.complete {
 			break
 		}
 	}
 	return m
 }
 
-var texts = []struct {
-	kind Kind
+var sampleMessages = []struct {
+	kind MessageKind
 	text string
 }{
 	{Request, "\r\nPOST /a?x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nConnection: close\r\n\r\nhi"},
@@ -85,45 +85,45 @@
 	{Response, "HTTP/1.1 20 OK\r\n\r\n"},
 }
 
-func wholeEnd(text string) []int { return []int{len(text)} }
+func endOf(text string) []int { return []int{len(text)} }
 
 // A message is the same wherever what comes is cut, up to its end or its fault.
-func TestEveryCut(t *testing.T) {
-	for _, c := range texts {
-		want := readCut(c.kind, c.text, wholeEnd(c.text)).String()
+func TestHeadReader_Read_atEverySplit(t *testing.T) {
+	for _, c := range sampleMessages {
+		want := readInParts(c.kind, c.text, endOf(c.text)).String()
 		var all []int
 		for at := 1; at <= len(c.text); at++ {
 			all = append(all, at)
-			if got := readCut(c.kind, c.text, []int{at, len(c.text)}).String(); got != want {
+			if got := readInParts(c.kind, c.text, []int{at, len(c.text)}).String(); got != want {
 				t.Errorf("%q cut at %d: %s, not %s", c.text, at, got, want)
 			}
 		}
-		if got := readCut(c.kind, c.text, all).String(); got != want {
+		if got := readInParts(c.kind, c.text, all).String(); got != want {
 			t.Errorf("%q byte by byte: %s, not %s", c.text, got, want)
 		}
 	}
 }
 
 // What is read as a request, the standard library reads alike or refuses: nothing can hide between the two.
-func FuzzRequestAgainstStandard(f *testing.F) {
-	for _, c := range texts {
+func FuzzHeadReader_againstNetHTTP(f *testing.F) {
+	for _, c := range sampleMessages {
 		f.Add(c.text, 3, 40)
 	}
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n", 9, 10)
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding:\tchunked\r\n\r\n1\r\n\n\r\n00\r\n\r\n", 9, 10)
 	f.Fuzz(func(t *testing.T, text string, one, two int) {
-		got := readCut(Request, text, wholeEnd(text))
+		got := readInParts(Request, text, endOf(text))
 		one = min(max(one, 1), len(text))
 		two = min(max(two, one), len(text))
 		if len(text) > 0 {
-			if cut := readCut(Request, text, []int{one, two, len(text)}); cut.String() != got.String() {
+			if cut := readInParts(Request, text, []int{one, two, len(text)}); cut.String() != got.String() {
 				t.Fatalf("%s, in pieces %s", got, cut)
 			}
 		}
 		if got.used < 0 || got.used > len(text) || len(got.body) > len(text) {
 			t.Fatalf("%s of %d bytes", got, len(text))
 		}
-		if !got.whole {
+		if !got.complete {
 			return
 		}
 		left := bufio.NewReaderSize(strings.NewReader(text), 16)
@@ -143,19 +143,19 @@
 		if string(body) != got.body || len(rest) > 0 && !strings.HasSuffix(text, string(rest)) {
 			t.Errorf("%q, the library %q", got.body, body)
 		}
-		whole := strings.TrimSuffix(text, string(rest))
-		if again := readCut(Request, whole, wholeEnd(whole)); !again.whole || again.used != len(whole) {
-			t.Errorf("%s, the library uses %d bytes", got, len(whole))
+		trimmed := strings.TrimSuffix(text, string(rest))
+		if again := readInParts(Request, trimmed, endOf(trimmed)); !again.complete || again.used != len(trimmed) {
+			t.Errorf("%s, the library uses %d bytes", got, len(trimmed))
 		}
 	})
 }
 
-func FuzzResponse(f *testing.F) {
-	for _, c := range texts {
+func FuzzHeadReader_response(f *testing.F) {
+	for _, c := range sampleMessages {
 		f.Add(c.text, 3, 40)
 	}
 	f.Fuzz(func(t *testing.T, text string, one, two int) {
-		got := readCut(Response, text, wholeEnd(text))
+		got := readInParts(Response, text, endOf(text))
 		if got.used < 0 || got.used > len(text) {
 			t.Fatalf("%s of %d bytes", got, len(text))
 		}
@@ -164,17 +164,17 @@
 		if len(text) == 0 {
 			return
 		}
-		if cut := readCut(Response, text, []int{one, two, len(text)}); cut.String() != got.String() {
+		if cut := readInParts(Response, text, []int{one, two, len(text)}); cut.String() != got.String() {
 			t.Fatalf("%s, in pieces %s", got, cut)
 		}
 	})
 }
 
-func TestHops(t *testing.T) {
-	fields := Fields{{"Host", "h"}, {"connection", "a, Host ,keep-alive"}, {"A", "1"}, {"B", "2"}, {"Proxy-", "3"},
+func TestHopByHop_Strip(t *testing.T) {
+	fields := Header{{"Host", "h"}, {"connection", "a, Host ,keep-alive"}, {"A", "1"}, {"B", "2"}, {"Proxy-", "3"},
 		{"proxy-x", "4"}, {"Upgrade", "5"}, {"Connection", "c"}, {"C", "6"}, {"Trailer", "7"}}
 	var names []string
-	for _, f := range HopsOf(fields).Strip(fields) {
+	for _, f := range HopByHopOf(fields).Strip(fields) {
 		names = append(names, f.Name)
 	}
 	if got := strings.Join(names, " "); got != "Host B Proxy-" {
@@ -183,16 +183,16 @@
 }
 
 // A Connection field does not take from a message what its far end needs.
-func TestHopsKeepWhatIsMeantForTheFarEnd(t *testing.T) {
-	fields := Fields{{"Connection", "x-model, X-Token-Count,X-Prompt-Prefix, x-request-id, X-Response-Signature, close, X-Mine"},
+func TestHopByHop_Strip_keepsEndToEndFields(t *testing.T) {
+	fields := Header{{"Connection", "x-model, X-Token-Count,X-Prompt-Prefix, x-request-id, X-Response-Signature, close, X-Mine"},
 		{"X-Model", "1"}, {"X-Token-Count", "2"}, {"X-Prompt-Prefix", "3"}, {"X-Request-Id", "4"}, {"X-Response-Signature", "5"}, {"X-Mine", "6"}}
-	if got := fmt.Sprint(HopsOf(fields).Strip(fields)); got != fmt.Sprint(fields[1:6]) {
+	if got := fmt.Sprint(HopByHopOf(fields).Strip(fields)); got != fmt.Sprint(fields[1:6]) {
 		t.Error(got)
 	}
 }
 
-func TestFields(t *testing.T) {
-	fields := Fields{{"A", "1"}, {"b", "2"}, {"a", "3"}}
+func TestHeader(t *testing.T) {
+	fields := Header{{"A", "1"}, {"b", "2"}, {"a", "3"}}
 	with := fields.With("B", "4")
 	if fields.Get("a") != "1" || fields.Get("c") != "" || fields.Count("A") != 2 || fields.Has("C") ||
 		fmt.Sprint(with) != "[{A 1} {a 3} {B 4}]" || fmt.Sprint(fields.Without("a")) != "[{b 2}]" || len(fields) != 3 {
@@ -200,20 +200,20 @@
 	}
 }
 
-func TestInput(t *testing.T) {
-	var in Input
+func TestReadBuffer(t *testing.T) {
+	var in ReadBuffer
 	text := strings.Repeat("0123456789", 3000)
 	for left := text; len(left) > 0; {
-		n := copy(in.Space(), left[:min(len(left), 777)])
-		in.Took(n)
+		n := copy(in.Free(), left[:min(len(left), 777)])
+		in.Extend(n)
 		left = left[n:]
 	}
-	in.Drop(1)
+	in.Discard(1)
 	if string(in.Bytes()) != text[1:] {
 		t.Error("the bytes are others")
 	}
-	in.Drop(in.Len())
-	if in.Len() != 0 || len(in.Space()) > keepInput {
+	in.Discard(in.Len())
+	if in.Len() != 0 || len(in.Free()) > maxRetainedBytes {
 		t.Error("the array is kept")
 	}
 }
--- a/internal/util/http1/write.go
+++ b/internal/util/http1/write.go
@@ -30,8 +30,8 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendNumberField appends one header line with a whole number.
-func AppendNumberField(out []byte, name string, value int) []byte {
+// AppendIntField appends one header line with a whole number.
+func AppendIntField(out []byte, name string, value int) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
 	out = strconv.AppendInt(out, int64(value), 10)
@@ -55,8 +55,8 @@
 // ContinueLine tells a client to send its body.
 const ContinueLine = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// IsValue tells whether a text may be a field's value as it is.
-func IsValue(value string) bool {
+// IsFieldValue tells whether a text may be a field's value as it is.
+func IsFieldValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
