--- a/internal/controlplane/registry/assigned_stage_test.go
+++ b/internal/controlplane/registry/assigned_stage_test.go
@@ -11,9 +11,9 @@
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 1), Recorded)
 	change := apply(t, store, EncodeAssign("a", "prefill"), Recorded)
-	told, err := DecodeItem(change.Put[0].Value)
-	if err != nil || told.Assigned != "prefill" || told.Stage != "decode" || !told.Turning() {
-		t.Fatalf("%+v %v", told, err)
+	heartbeat, err := DecodeItem(change.Put[0].Value)
+	if err != nil || heartbeat.Assigned != "prefill" || heartbeat.Stage != "decode" || !heartbeat.Transitioning() {
+		t.Fatalf("%+v %v", heartbeat, err)
 	}
 	apply(t, store, EncodeAssign("a", "prefill"), Unchanged)
 	apply(t, store, EncodePut(instance, 2), Unchanged)
@@ -22,8 +22,8 @@
 	}
 	instance.Stage = "prefill"
 	apply(t, store, EncodePut(instance, 3), Recorded)
-	if held := store.Instance("a"); held.Turning() || held.Assigned != "prefill" {
-		t.Fatalf("%+v", held)
+	if current := store.Instance("a"); current.Transitioning() || current.Assigned != "prefill" {
+		t.Fatalf("%+v", current)
 	}
 	apply(t, store, EncodeAssign("a", ""), Recorded)
 	apply(t, store, EncodeAssign("b", "prefill"), Gone)
@@ -35,7 +35,7 @@
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 4), Recorded)
 	apply(t, store, EncodeStage("a", "prefill"), Recorded)
-	apply(t, store, EncodePut(instance, 3), Late)
+	apply(t, store, EncodePut(instance, 3), Stale)
 	if store.Instance("a").Stage != "prefill" {
 		t.Fatal("a late heartbeat took it back")
 	}
@@ -60,20 +60,20 @@
 
 func TestASnapshotOfTheEarlierFormatIsRead(t *testing.T) {
 	instance := exampleInstance("a", "1.2.3.4:5")
-	value := mustMarshal(earlierItemSchema, recordOf(instance))
+	value := mustMarshal(itemSchemaV1, recordOf(instance))
 	earlier := mustMarshal(snapshotSchema, snapshotRecord{
-		Format: earlierSnapshotFormat, Instances: []heldRecord{{Sequence: 7, Value: value}},
+		Format: snapshotFormatV1, Instances: []snapshotInstance{{Sequence: 7, Value: value}},
 	})
 	store := NewStore()
 	if err := store.Restore(earlier); err != nil || !SameRecord(*store.Instance("a"), instance) {
 		t.Fatalf("%+v %v", store.Instance("a"), err)
 	}
-	var record itemRecord
-	if strictavro.Unmarshal(binary, itemSchema, value, &record) == nil {
+	var record instanceRecord
+	if strictavro.Unmarshal(codec, itemSchema, value, &record) == nil {
 		t.Fatal("an item of the earlier form passes for one of this form")
 	}
-	var whole snapshotRecord
-	if err := strictavro.Unmarshal(binary, snapshotSchema, store.Snapshot(), &whole); err != nil || whole.Format != snapshotFormat {
-		t.Fatal(whole.Format, err)
+	var state snapshotRecord
+	if err := strictavro.Unmarshal(codec, snapshotSchema, store.Snapshot(), &state); err != nil || state.Format != snapshotFormat {
+		t.Fatal(state.Format, err)
 	}
 }
--- a/internal/controlplane/registry/codes.go
+++ b/internal/controlplane/registry/codes.go
@@ -10,41 +10,41 @@
 type Code = resultcode.Code
 
 const (
-	Recorded     Code = 1100
-	Unchanged    Code = 1101
-	Late         Code = 1102
-	Gone         Code = 1103
-	Removed      Code = 1104
-	Unreadable   Code = 1110
-	MissingField Code = 1111
-	BadField     Code = 1112
-	TooLarge     Code = 1113
-	BadCommand   Code = 1114
-	NotOwner     Code = 1115
+	Recorded       Code = 1100
+	Unchanged      Code = 1101
+	Stale          Code = 1102
+	Gone           Code = 1103
+	Removed        Code = 1104
+	Malformed      Code = 1110
+	MissingField   Code = 1111
+	InvalidField   Code = 1112
+	TooLarge       Code = 1113
+	InvalidCommand Code = 1114
+	NotOwner       Code = 1115
 )
 
 // CodeEntry is one line of the table of codes.
 type CodeEntry = resultcode.Entry
 
-// Refusal tells why something is not taken. It is an error.
-type Refusal = resultcode.Refusal
+// Rejection tells why something is not taken. It is an error.
+type Rejection = resultcode.Refusal
 
 var codes = resultcode.NewTable([]CodeEntry{
 	{Code: Recorded, Name: "recorded", Status: http.StatusOK, Text: "the instance is recorded as told"},
 	{Code: Unchanged, Name: "unchanged", Status: http.StatusOK, Text: "nothing has changed"},
-	{Code: Late, Name: "late", Status: http.StatusOK, Text: "a later heartbeat came before; nothing is changed"},
+	{Code: Stale, Name: "late", Status: http.StatusOK, Text: "a later heartbeat came before; nothing is changed"},
 	{Code: Gone, Name: "gone", Status: http.StatusOK, Text: "the instance is gone for good; nothing is changed"},
 	{Code: Removed, Name: "removed", Status: http.StatusOK, Text: "the instance is removed"},
-	{Code: Unreadable, Name: "unreadable", Status: http.StatusBadRequest, Text: "the body is not one whole JSON object"},
+	{Code: Malformed, Name: "unreadable", Status: http.StatusBadRequest, Text: "the body is not one whole JSON object"},
 	{Code: MissingField, Name: "missing_field", Status: http.StatusBadRequest, Text: "a member that is needed is missing"},
-	{Code: BadField, Name: "bad_field", Status: http.StatusBadRequest, Text: "a member has a value that cannot be meant"},
+	{Code: InvalidField, Name: "bad_field", Status: http.StatusBadRequest, Text: "a member has a value that cannot be meant"},
 	{Code: TooLarge, Name: "too_large", Status: http.StatusRequestEntityTooLarge, Text: "the body or a part of it is too large"},
-	{Code: BadCommand, Name: "bad_command", Status: http.StatusBadRequest, Text: "the entry in the log cannot be read"},
+	{Code: InvalidCommand, Name: "bad_command", Status: http.StatusBadRequest, Text: "the entry in the log cannot be read"},
 	{Code: NotOwner, Name: "not_owner", Status: http.StatusServiceUnavailable, Text: "this process does not own the shard now"},
 }...)
 
 // Codes returns all codes in rising order.
 func Codes() []CodeEntry { return codes.Entries() }
 
-// refuse makes the refusal of a code; place tells which part of the input it concerns.
-func refuse(code Code, place string) *Refusal { return codes.Refuse(code, place) }
+// reject makes the refusal of a code; place tells which part of the input it concerns.
+func reject(code Code, place string) *Rejection { return codes.Refuse(code, place) }
--- a/internal/controlplane/registry/command.go
+++ b/internal/controlplane/registry/command.go
@@ -12,10 +12,10 @@
 type Reason uint8
 
 const (
-	Deregistered Reason = 1 // it said so; final
-	Expired      Reason = 2 // it fell silent; a later heartbeat brings it back
-	Superseded   Reason = 3 // another instance has its address; final
-	Unheard      Reason = 4 // it said that it goes before any heartbeat of it came; final
+	Deregistered    Reason = 1 // it said so; final
+	Expired         Reason = 2 // it fell silent; a later heartbeat brings it back
+	Superseded      Reason = 3 // another instance has its address; final
+	NeverRegistered Reason = 4 // it said that it goes before any heartbeat of it came; final
 )
 
 // final tells whether heartbeats no longer bring the instance back.
@@ -32,11 +32,11 @@
 )
 
 const (
-	commandFormat = 1
-	longestArray  = 1 << 17 // elements of an array that is read from the log or a snapshot
+	commandFormat    = 1
+	maxArrayElements = 1 << 17 // elements of an array that is read from the log or a snapshot
 )
 
-var binary = avro.Config{MaxSliceAllocSize: longestArray}.Freeze()
+var codec = avro.Config{MaxSliceAllocSize: maxArrayElements}.Freeze()
 
 // The schemas of instances; a command holds one with its operation's fields.
 const instanceFields = `
@@ -56,15 +56,15 @@
 var (
 	itemSchema = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `,
 	{"name":"assigned","type":"string"}]}`)
-	earlierItemSchema = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `]}`) // of snapshots of format 1
-	commandSchema     = avro.MustParse(`{"type":"record","name":"registry_command","fields":[
+	itemSchemaV1  = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `]}`) // of snapshots of format 1
+	commandSchema = avro.MustParse(`{"type":"record","name":"registry_command","fields":[
 	{"name":"format","type":"int"},
 	{"name":"operation","type":"int"},
 	{"name":"sequence","type":"long"},
 	{"name":"reason","type":"int"},` + instanceFields + `]}`)
 )
 
-type itemRecord struct {
+type instanceRecord struct {
 	ID         string  `avro:"id"`
 	Service    string  `avro:"service"`
 	Address    string  `avro:"address"`
@@ -82,7 +82,7 @@
 	Operation int   `avro:"operation"`
 	Sequence  int64 `avro:"sequence"`
 	Reason    int   `avro:"reason"`
-	itemRecord
+	instanceRecord
 }
 
 // command is what was decoded.
@@ -93,8 +93,8 @@
 	reason    Reason
 }
 
-func recordOf(instance Instance) itemRecord {
-	return itemRecord{
+func recordOf(instance Instance) instanceRecord {
+	return instanceRecord{
 		ID:         instance.ID,
 		Service:    instance.Service,
 		Address:    instance.Address,
@@ -108,7 +108,7 @@
 	}
 }
 
-func (r itemRecord) instance() Instance {
+func (r instanceRecord) instance() Instance {
 	return Instance{
 		ID:         r.ID,
 		Service:    r.Service,
@@ -126,10 +126,10 @@
 // EncodePut returns the command that records an instance as its heartbeat of that sequence told.
 func EncodePut(instance Instance, sequence uint64) []byte {
 	return mustMarshal(commandSchema, commandRecord{
-		Format:     commandFormat,
-		Operation:  int(operationPut),
-		Sequence:   int64(sequence),
-		itemRecord: recordOf(instance),
+		Format:         commandFormat,
+		Operation:      int(operationPut),
+		Sequence:       int64(sequence),
+		instanceRecord: recordOf(instance),
 	})
 }
 
@@ -137,42 +137,42 @@
 // sequence; 0 where it is not known.
 func EncodeRemove(id string, reason Reason, sequence uint64) []byte {
 	return mustMarshal(commandSchema, commandRecord{
-		Format:     commandFormat,
-		Operation:  int(operationRemove),
-		Sequence:   int64(sequence),
-		Reason:     int(reason),
-		itemRecord: itemRecord{ID: id},
+		Format:         commandFormat,
+		Operation:      int(operationRemove),
+		Sequence:       int64(sequence),
+		Reason:         int(reason),
+		instanceRecord: instanceRecord{ID: id},
 	})
 }
 
 // EncodeAssign returns the command that records which stage the fleet wants of an instance; empty: none.
 func EncodeAssign(id, stage string) []byte {
 	return mustMarshal(commandSchema, commandRecord{
-		Format:     commandFormat,
-		Operation:  int(operationAssign),
-		itemRecord: itemRecord{ID: id, Stage: stage},
+		Format:         commandFormat,
+		Operation:      int(operationAssign),
+		instanceRecord: instanceRecord{ID: id, Stage: stage},
 	})
 }
 
 // EncodeStage returns the command that records the stage that an instance has been found to have.
 func EncodeStage(id, stage string) []byte {
 	return mustMarshal(commandSchema, commandRecord{
-		Format:     commandFormat,
-		Operation:  int(operationStage),
-		itemRecord: itemRecord{ID: id, Stage: stage},
+		Format:         commandFormat,
+		Operation:      int(operationStage),
+		instanceRecord: instanceRecord{ID: id, Stage: stage},
 	})
 }
 
-func decodeCommand(encoded []byte) (command, *Refusal) {
+func decodeCommand(encoded []byte) (command, *Rejection) {
 	if len(encoded) == 0 {
-		return command{}, refuse(BadCommand, "it is empty")
+		return command{}, reject(InvalidCommand, "it is empty")
 	}
 	var record commandRecord
-	if err := strictavro.Unmarshal(binary, commandSchema, encoded, &record); err != nil {
-		return command{}, refuse(BadCommand, err.Error())
+	if err := strictavro.Unmarshal(codec, commandSchema, encoded, &record); err != nil {
+		return command{}, reject(InvalidCommand, err.Error())
 	}
 	if record.Format != commandFormat {
-		return command{}, refuse(BadCommand, fmt.Sprintf("format %d", record.Format))
+		return command{}, reject(InvalidCommand, fmt.Sprintf("format %d", record.Format))
 	}
 	decoded := command{
 		operation: operation(record.Operation),
@@ -181,7 +181,7 @@
 		reason:    Reason(record.Reason),
 	}
 	if decoded.instance.ID == "" {
-		return command{}, refuse(BadCommand, "it names no instance")
+		return command{}, reject(InvalidCommand, "it names no instance")
 	}
 	return decoded, nil
 }
@@ -194,18 +194,18 @@
 
 func decodeItem(schema avro.Schema, value []byte) (Instance, error) {
 	if len(value) == 0 {
-		return Instance{}, refuse(BadCommand, "the item is empty")
+		return Instance{}, reject(InvalidCommand, "the item is empty")
 	}
-	var record itemRecord
-	if err := strictavro.Unmarshal(binary, schema, value, &record); err != nil {
-		return Instance{}, refuse(BadCommand, err.Error())
+	var record instanceRecord
+	if err := strictavro.Unmarshal(codec, schema, value, &record); err != nil {
+		return Instance{}, reject(InvalidCommand, err.Error())
 	}
 	return record.instance(), nil
 }
 
 // mustMarshal writes a record of this package's own schemas, which cannot fail.
 func mustMarshal(schema avro.Schema, record any) []byte {
-	encoded, err := binary.Marshal(schema, record)
+	encoded, err := codec.Marshal(schema, record)
 	if err != nil {
 		panic(fmt.Sprintf("registry: encode: %v", err))
 	}
--- a/internal/controlplane/registry/departure_test.go
+++ b/internal/controlplane/registry/departure_test.go
@@ -14,20 +14,20 @@
 	draining.State = Draining
 	ways := map[string]func(s *shard){
 		"drains, then leaves": func(s *shard) {
-			s.beat(ready, 1)
-			s.beat(draining, 6)
+			s.heartbeat(ready, 1)
+			s.heartbeat(draining, 6)
 			s.deregister(ready.ID)
 		},
 		"leaves without draining": func(s *shard) {
-			s.beat(ready, 1)
-			s.beat(ready, 5)
+			s.heartbeat(ready, 1)
+			s.heartbeat(ready, 5)
 			s.deregister(ready.ID)
 		},
 		"leaves before it is heard": func(s *shard) { s.deregister(ready.ID) },
 		"leaves after it fell silent": func(s *shard) {
 			s.register(workers(4))
-			s.beat(ready, 1)
-			s.advance(2*span, worker(0), worker(2), worker(3))
+			s.heartbeat(ready, 1)
+			s.advance(2*expiryTimeout, worker(0), worker(2), worker(3))
 			if s.store.Instance(ready.ID) != nil {
 				t.Fatal("it did not expire")
 			}
@@ -54,8 +54,8 @@
 			then(s)
 			for _, sequence := range []uint64{0, 1, 3, 5, 6, 7, 99} {
 				for _, word := range []Instance{ready, draining} {
-					s.beat(word, sequence)
-					s.owner.Heard(s.now, word.ID, sequence)
+					s.heartbeat(word, sequence)
+					s.tracker.RemoteHeartbeat(s.now, word.ID, sequence)
 				}
 			}
 			if s.store.Instance(ready.ID) != nil {
@@ -72,17 +72,17 @@
 	for _, newOwner := range []bool{false, true} {
 		s := newShard()
 		s.gain()
-		s.beat(worker(1), 1)
-		s.beat(worker(1), 4)
-		s.beat(draining, 5)
+		s.heartbeat(worker(1), 1)
+		s.heartbeat(worker(1), 4)
+		s.heartbeat(draining, 5)
 		if newOwner {
 			s.gain()
 		}
 		for _, sequence := range []uint64{0, 1, 2, 4, 5} {
-			s.beat(worker(1), sequence)
+			s.heartbeat(worker(1), sequence)
 		}
-		if held := s.store.Instance(worker(1).ID); held == nil || held.State != Draining {
-			t.Errorf("new owner %v: %+v", newOwner, held)
+		if current := s.store.Instance(worker(1).ID); current == nil || current.State != Draining {
+			t.Errorf("new owner %v: %+v", newOwner, current)
 		}
 	}
 }
@@ -104,14 +104,14 @@
 			}
 			word := worker(1)
 			word.State = states[number]
-			s.beat(word, uint64(number+1))
+			s.heartbeat(word, uint64(number+1))
 			if random.Intn(4) == 0 {
 				s.gain()
 			}
 		}
-		held := s.store.Instance(worker(1).ID)
-		if leaves && held != nil || !leaves && (held == nil || held.State != Draining) {
-			t.Fatal(fmt.Sprintf("seed %d: leaves %v, order %v:", seed, leaves, words), held)
+		current := s.store.Instance(worker(1).ID)
+		if leaves && current != nil || !leaves && (current == nil || current.State != Draining) {
+			t.Fatal(fmt.Sprintf("seed %d: leaves %v, order %v:", seed, leaves, words), current)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 func TestHomeOfADeparture(t *testing.T) {
 	s := newShard()
 	s.gain()
-	s.beat(worker(1), 1)
+	s.heartbeat(worker(1), 1)
 	if !s.store.Knows("i01") || s.store.Knows("i02") {
 		t.Fatal("a registration decides")
 	}
@@ -131,7 +131,7 @@
 	}
 	s.apply(EncodePut(worker(3), 1))
 	s.apply(EncodeRemove("i03", Expired, 1))
-	s.apply(EncodeRemove("i03", Unheard, 0))
+	s.apply(EncodeRemove("i03", NeverRegistered, 0))
 	if !s.store.Knows("i03") || !s.store.Removed("i03") {
 		t.Fatal("one that fell silent had a record")
 	}
--- a/internal/controlplane/registry/expiry.go
+++ b/internal/controlplane/registry/expiry.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// silence sorts the instances of one service for the expiry.
-type silence struct {
-	live     int      // ready, registered, and not being removed
-	silent   []string // of those, the ones not heard for a span
-	draining []string // draining ones not heard for a span
-	again    []string // removals that were proposed a span ago and are not applied
+// expiryCandidates sorts the instances of one service for the expiry.
+type expiryCandidates struct {
+	ready         int      // ready, registered, and not being removed
+	timedOut      []string // of those, the ones not heard for a span
+	draining      []string // draining ones not heard for a span
+	stuckRemovals []string // removals that were proposed a span ago and are not applied
 }
 
 // Expired returns the commands to propose for instances that fell silent. It is to be called
@@ -19,15 +19,15 @@
 // Of the ready instances of a service at most half expire within ShareWindow. Where more are
 // silent, none of them expires: the fault may be on this side. Draining instances, which are not
 // sent to, expire regardless.
-func (o *Owner) Expired(now time.Time) [][]byte {
-	if !o.owned {
+func (t *LivenessTracker) Expired(now time.Time) [][]byte {
+	if !t.owned {
 		return nil
 	}
-	now = o.arrive(now)
-	if now.Before(o.quietUntil) {
+	now = t.advanceClock(now)
+	if now.Before(t.graceUntil) {
 		return nil
 	}
-	byService := o.silences(now)
+	byService := t.classifyInstances(now)
 	services := make([]string, 0, len(byService))
 	for service := range byService {
 		services = append(services, service)
@@ -35,90 +35,90 @@
 	sort.Strings(services)
 	commands := [][]byte{}
 	for _, service := range services {
-		for _, id := range o.expire(now, service, byService[service]) {
-			commands = append(commands, EncodeRemove(id, Expired, o.instances[id].sequence))
+		for _, id := range t.selectExpired(now, service, byService[service]) {
+			commands = append(commands, EncodeRemove(id, Expired, t.instances[id].sequence))
 		}
 	}
 	return commands
 }
 
-// silences sorts all instances and forgets those that were never recorded.
-func (o *Owner) silences(now time.Time) map[string]*silence {
-	byService := map[string]*silence{}
-	for id, held := range o.instances {
-		silent := now.Sub(held.heard) >= o.span
-		if !held.registered {
-			if silent {
-				delete(o.instances, id)
+// classifyInstances sorts all instances and forgets those that were never recorded.
+func (t *LivenessTracker) classifyInstances(now time.Time) map[string]*expiryCandidates {
+	byService := map[string]*expiryCandidates{}
+	for id, liveness := range t.instances {
+		timedOut := now.Sub(liveness.lastHeartbeat) >= t.timeout
+		if !liveness.registered {
+			if timedOut {
+				delete(t.instances, id)
 			}
 			continue
 		}
-		found := byService[held.service]
-		if found == nil {
-			found = &silence{}
-			byService[held.service] = found
+		candidates := byService[liveness.service]
+		if candidates == nil {
+			candidates = &expiryCandidates{}
+			byService[liveness.service] = candidates
 		}
-		o.sort(now, id, held, silent, found)
+		t.classify(now, id, liveness, timedOut, candidates)
 	}
 	return byService
 }
 
-// sort puts one registered instance in its place.
-func (o *Owner) sort(now time.Time, id string, held *presence, silent bool, into *silence) {
+// classify puts one registered instance in its place.
+func (t *LivenessTracker) classify(now time.Time, id string, liveness *instanceLiveness, timedOut bool, into *expiryCandidates) {
 	switch {
-	case held.removing:
-		if silent && now.Sub(held.proposed) >= o.span {
-			into.again = append(into.again, id)
+	case liveness.removalPending:
+		if timedOut && now.Sub(liveness.removalProposedAt) >= t.timeout {
+			into.stuckRemovals = append(into.stuckRemovals, id)
 		}
-	case held.state == Draining:
-		if silent {
+	case liveness.state == Draining:
+		if timedOut {
 			into.draining = append(into.draining, id)
 		}
 	default:
-		into.live++
-		if silent {
-			into.silent = append(into.silent, id)
+		into.ready++
+		if timedOut {
+			into.timedOut = append(into.timedOut, id)
 		}
 	}
 }
 
-// expire returns the IDs of a service to remove, and notes that their removal is proposed.
-func (o *Owner) expire(now time.Time, service string, found *silence) []string {
-	recent := o.recent(now, service)
-	chosen := append(found.draining, found.again...)
-	total := found.live + recent
-	if 2*(recent+len(found.silent)) <= total {
-		chosen = append(chosen, found.silent...)
-		o.count(now, service, found.silent)
+// selectExpired returns the IDs of a service to remove, and notes that their removal is proposed.
+func (t *LivenessTracker) selectExpired(now time.Time, service string, candidates *expiryCandidates) []string {
+	recentCount := t.countRecentExpiries(now, service)
+	chosen := append(candidates.draining, candidates.stuckRemovals...)
+	total := candidates.ready + recentCount
+	if 2*(recentCount+len(candidates.timedOut)) <= total {
+		chosen = append(chosen, candidates.timedOut...)
+		t.noteExpiries(now, service, candidates.timedOut)
 	}
 	for _, id := range chosen {
-		o.instances[id].removing = true
-		o.instances[id].proposed = now
+		t.instances[id].removalPending = true
+		t.instances[id].removalProposedAt = now
 	}
 	sort.Strings(chosen)
 	return chosen
 }
 
-// recent returns how many instances of a service expired within the window.
-func (o *Owner) recent(now time.Time, service string) int {
-	times := o.expired[service]
+// countRecentExpiries returns how many instances of a service expired within the window.
+func (t *LivenessTracker) countRecentExpiries(now time.Time, service string) int {
+	times := t.recentExpiries[service]
 	for id, at := range times {
-		if now.Sub(at) > o.options.ShareWindow {
+		if now.Sub(at) > t.options.ExpiryWindow {
 			delete(times, id)
 		}
 	}
 	return len(times)
 }
 
-// count notes the expiry of instances of a service.
-func (o *Owner) count(now time.Time, service string, ids []string) {
+// noteExpiries notes the expiry of instances of a service.
+func (t *LivenessTracker) noteExpiries(now time.Time, service string, ids []string) {
 	if len(ids) == 0 {
 		return
 	}
-	if o.expired[service] == nil {
-		o.expired[service] = map[string]time.Time{}
+	if t.recentExpiries[service] == nil {
+		t.recentExpiries[service] = map[string]time.Time{}
 	}
 	for _, id := range ids {
-		o.expired[service][id] = now
+		t.recentExpiries[service][id] = now
 	}
 }
--- a/internal/controlplane/registry/expiry_test.go
+++ b/internal/controlplane/registry/expiry_test.go
@@ -14,8 +14,8 @@
 	s.gain()
 	list := workers(4)
 	s.register(list)
-	s.advance(span, list...)
-	s.advance(span-tick, list[1:]...)
+	s.advance(expiryTimeout, list...)
+	s.advance(expiryTimeout-tick, list[1:]...)
 	if len(s.store.Instances("")) != 4 {
 		t.Fatal("it expired too early")
 	}
@@ -23,19 +23,19 @@
 	if len(s.store.Instances("")) != 3 || s.store.Instance("i00") != nil {
 		t.Fatal(s.store.Instances(""))
 	}
-	if action, code := s.beat(list[0], 0); action != Propose || code != Recorded {
+	if action, code := s.heartbeat(list[0], 0); action != Propose || code != Recorded {
 		t.Fatal("it must come back", action, code)
 	}
 }
 
 func TestSpanIsAtLeastItsBound(t *testing.T) {
-	for beat, expected := range map[time.Duration]time.Duration{
-		100 * time.Millisecond: defaultSilentAtLeast,
+	for heartbeat, expected := range map[time.Duration]time.Duration{
+		100 * time.Millisecond: defaultMinTimeout,
 		time.Second:            4 * time.Second,
 		3 * time.Second:        12 * time.Second,
 	} {
-		if owner := NewOwner(beat, OwnerOptions{}); owner.span != expected {
-			t.Errorf("%v: %v", beat, owner.span)
+		if owner := NewLivenessTracker(heartbeat, LivenessOptions{}); owner.timeout != expected {
+			t.Errorf("%v: %v", heartbeat, owner.timeout)
 		}
 	}
 }
@@ -45,11 +45,11 @@
 	s.gain()
 	list := workers(4)
 	for number, instance := range list {
-		s.beat(instance, uint64(5+number))
+		s.heartbeat(instance, uint64(5+number))
 	}
-	s.advance(span - tick)
+	s.advance(expiryTimeout - tick)
 	s.gain()
-	s.advance(span-tick, list[1:]...)
+	s.advance(expiryTimeout-tick, list[1:]...)
 	if len(s.store.Instances("")) != 4 {
 		t.Fatal("it expired too early")
 	}
@@ -64,12 +64,12 @@
 	s.gain()
 	list := workers(4)
 	s.register(list)
-	s.advance(span, list...)
+	s.advance(expiryTimeout, list...)
 	s.now = s.now.Add(time.Minute)
 	if s.expire() != 0 {
 		t.Fatal("expired on waking")
 	}
-	s.advance(span-tick, list[1:]...)
+	s.advance(expiryTimeout-tick, list[1:]...)
 	if len(s.store.Instances("")) != 4 {
 		t.Fatal("expired within the span")
 	}
@@ -84,12 +84,12 @@
 	s.gain()
 	list := workers(10)
 	s.register(list)
-	s.advance(span, list...)
-	s.advance(10*span, list[6:]...)
+	s.advance(expiryTimeout, list...)
+	s.advance(10*expiryTimeout, list[6:]...)
 	if len(s.store.Instances("")) != 10 {
 		t.Fatal("6 of 10 expired")
 	}
-	s.advance(span, list[5:]...)
+	s.advance(expiryTimeout, list[5:]...)
 	if len(s.store.Instances("")) != 5 {
 		t.Fatal("5 of 10 did not expire")
 	}
@@ -99,12 +99,12 @@
 	s := newShard()
 	s.gain()
 	s.register(workers(1))
-	s.advance(5 * span)
+	s.advance(5 * expiryTimeout)
 	if len(s.store.Instances("")) != 1 {
 		t.Fatal("it expired")
 	}
 	next := worker(2)
-	s.advance(span, next)
+	s.advance(expiryTimeout, next)
 	if s.store.Instance("i00") != nil {
 		t.Fatal("it stays beside its successor")
 	}
@@ -116,8 +116,8 @@
 	list := workers(4)
 	list[2].Service, list[3].Service = "other", "other"
 	s.register(list)
-	s.advance(span, list...)
-	s.advance(2*span, list[0], list[2])
+	s.advance(expiryTimeout, list...)
+	s.advance(2*expiryTimeout, list[0], list[2])
 	if len(s.store.Instances("")) != 2 {
 		t.Fatal(s.store.Instances(""))
 	}
@@ -131,7 +131,7 @@
 		list[number].State = Draining
 	}
 	s.register(list)
-	s.advance(2 * span)
+	s.advance(2 * expiryTimeout)
 	if len(s.store.Instances("")) != 1 {
 		t.Fatal(s.store.Instances(""))
 	}
@@ -145,19 +145,19 @@
 		list[number].Service = NodesService
 	}
 	s.register(list)
-	s.beat(list[0], 900)
-	if action, _ := s.beat(list[0], 3); action != Acknowledge {
+	s.heartbeat(list[0], 900)
+	if action, _ := s.heartbeat(list[0], 3); action != Acknowledge {
 		t.Fatal(action)
 	}
-	s.advance(2*span, list[1:]...)
+	s.advance(2*expiryTimeout, list[1:]...)
 	if len(s.store.Instances(NodesService)) != 3 {
 		t.Fatal(s.store.Instances(NodesService))
 	}
-	if action, code := s.beat(list[0], 4); action != Propose || code != Recorded {
+	if action, code := s.heartbeat(list[0], 4); action != Propose || code != Recorded {
 		t.Fatal(action, code)
 	}
 	s.deregister(list[0].ID)
-	if action, code := s.beat(list[0], 1); action != Propose || code != Recorded {
+	if action, code := s.heartbeat(list[0], 1); action != Propose || code != Recorded {
 		t.Fatal("a node may start again under its ID", action, code)
 	}
 }
@@ -167,14 +167,14 @@
 	s.gain()
 	list := workers(4)
 	s.register(list)
-	s.advance(span, list...)
-	s.held = true
-	s.advance(span, list[1:]...)
+	s.advance(expiryTimeout, list...)
+	s.stalled = true
+	s.advance(expiryTimeout, list[1:]...)
 	if s.expire() != 0 {
 		t.Fatal("proposed twice within a span")
 	}
-	s.held = false
-	s.advance(span, list[1:]...)
+	s.stalled = false
+	s.advance(expiryTimeout, list[1:]...)
 	if len(s.store.Instances("")) != 3 {
 		t.Fatal("a lost proposal was not made again")
 	}
@@ -185,15 +185,15 @@
 	s.gain()
 	list := workers(4)
 	s.register(list)
-	s.advance(span, list...)
-	s.held = true
-	s.advance(span, list[1:]...)
-	s.held = false
-	if action, code := s.beat(list[0], 0); action != Propose || code != Unchanged {
+	s.advance(expiryTimeout, list...)
+	s.stalled = true
+	s.advance(expiryTimeout, list[1:]...)
+	s.stalled = false
+	if action, code := s.heartbeat(list[0], 0); action != Propose || code != Unchanged {
 		t.Fatal("while its removal is under way a beat must be an entry", action, code)
 	}
-	s.advance(2*span, list...)
-	if action, _ := s.beat(list[0], 0); action != Acknowledge || s.store.Instance("i00") == nil {
+	s.advance(2*expiryTimeout, list...)
+	if action, _ := s.heartbeat(list[0], 0); action != Acknowledge || s.store.Instance("i00") == nil {
 		t.Fatal(action)
 	}
 }
@@ -202,7 +202,7 @@
 	s := newShard()
 	s.gain()
 	s.register(workers(4))
-	if commands := s.owner.Expired(s.now.Add(-time.Hour)); commands != nil {
+	if commands := s.tracker.Expired(s.now.Add(-time.Hour)); commands != nil {
 		t.Fatal(commands)
 	}
 	s.now = s.now.Add(tick)
@@ -230,7 +230,7 @@
 				s.now = s.now.Add(tick)
 				for number, instance := range list {
 					if from, silent := silentFrom[number]; !silent || s.now.Before(from) {
-						s.beat(instance, 0)
+						s.heartbeat(instance, 0)
 					}
 				}
 				before := len(s.store.Instances(""))
@@ -241,7 +241,7 @@
 				total += expired
 				within := 0
 				for _, at := range gone {
-					if s.now.Sub(at) <= defaultShareWindow {
+					if s.now.Sub(at) <= defaultExpiryWindow {
 						within++
 					}
 				}
@@ -252,7 +252,7 @@
 			}
 			for number, instance := range list {
 				from, silent := silentFrom[number]
-				if (!silent || s.now.Before(from.Add(span))) && s.store.Instance(instance.ID) == nil {
+				if (!silent || s.now.Before(from.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
 					return false
 				}
 			}
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -12,105 +12,105 @@
 
 // Bounds of what a heartbeat may tell.
 const (
-	largestBody     = 256 << 10 // bytes
-	longestText     = 256       // bytes of a name or an address
-	mostModels      = 1024
-	mostAdapters    = 4096 // of one model
-	largestNumber   = 1 << 40
-	reservedPrefix  = "@" // of services that are the fleet's own
-	stateReady      = "ready"
-	smallestSlots   = 1
-	unknownSequence = 0
+	maxBodyBytes   = 256 << 10 // bytes
+	maxNameBytes   = 256       // bytes of a name or an address
+	maxModels      = 1024
+	maxAdapters    = 4096 // of one model
+	maxNumber      = 1 << 40
+	reservedPrefix = "@" // of services that are the fleet's own
+	stateReady     = "ready"
+	minSlots       = 1
+	unnumbered     = 0
 )
 
-// Beat is one heartbeat.
-type Beat struct {
+// Heartbeat is one heartbeat.
+type Heartbeat struct {
 	Instance
-	ColdRemainingMs int64  // it stays slow for so long; not replicated
-	Sequence        uint64 // rises with every call of the instance; 0: not numbered
+	WarmUpRemainingMs int64  // it stays slow for so long; not replicated
+	Sequence          uint64 // rises with every call of the instance; 0: not numbered
 }
 
-// ParseBeat reads the body of a heartbeat of the instance id. Unknown fields are ignored; a state
+// ParseHeartbeat reads the body of a heartbeat of the instance id. Unknown fields are ignored; a state
 // that is not known counts as draining. The error is a *Refusal.
-func ParseBeat(id string, body []byte) (Beat, error) {
-	if len(body) > largestBody {
-		return Beat{}, refuse(TooLarge, "body")
+func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
+	if len(body) > maxBodyBytes {
+		return Heartbeat{}, reject(TooLarge, "body")
 	}
-	beat := Beat{}
+	heartbeat := Heartbeat{}
 	err := jsonfield.EachMember(body, func(decoder *jx.Decoder, key string) error {
-		return beatMember(decoder, key, &beat)
+		return readMember(decoder, key, &heartbeat)
 	})
 	if err != nil {
-		return Beat{}, asRefusal(err)
+		return Heartbeat{}, asRejection(err)
 	}
-	beat.ID = id
-	beat.Slots = max(beat.Slots, smallestSlots)
-	if refusal := checkBeat(beat); refusal != nil {
-		return Beat{}, refusal
+	heartbeat.ID = id
+	heartbeat.Slots = max(heartbeat.Slots, minSlots)
+	if rejection := validateHeartbeat(heartbeat); rejection != nil {
+		return Heartbeat{}, rejection
 	}
-	return beat, nil
+	return heartbeat, nil
 }
 
-// asRefusal returns the refusal within err, or one that says what is wrong with a member, or that
+// asRejection returns the refusal within err, or one that says what is wrong with a member, or that
 // the body cannot be read.
-func asRefusal(err error) *Refusal {
-	var refusal *Refusal
-	if errors.As(err, &refusal) {
-		return refusal
+func asRejection(err error) *Rejection {
+	var rejection *Rejection
+	if errors.As(err, &rejection) {
+		return rejection
 	}
 	var mismatch *jsonfield.MismatchError
 	if errors.As(err, &mismatch) {
-		return refuse(BadField, mismatch.Error())
+		return reject(InvalidField, mismatch.Error())
 	}
-	return refuse(Unreadable, err.Error())
+	return reject(Malformed, err.Error())
 }
 
-func beatMember(decoder *jx.Decoder, key string, beat *Beat) error {
+func readMember(decoder *jx.Decoder, key string, heartbeat *Heartbeat) error {
 	switch key {
 	case "service":
-		return readText(decoder, key, &beat.Service)
+		return readText(decoder, key, &heartbeat.Service)
 	case "address":
-		return readText(decoder, key, &beat.Address)
+		return readText(decoder, key, &heartbeat.Address)
 	case "zone":
-		return readText(decoder, key, &beat.Zone)
+		return readText(decoder, key, &heartbeat.Zone)
 	case "generation":
-		return readText(decoder, key, &beat.Generation)
+		return readText(decoder, key, &heartbeat.Generation)
 	case "slots":
-		return readInt(decoder, key, &beat.Slots)
+		return readInt(decoder, key, &heartbeat.Slots)
 	case "state":
-		return readState(decoder, key, &beat.State)
+		return readState(decoder, key, &heartbeat.State)
 	case "coldRemainingMs":
-		return readCold(decoder, key, &beat.ColdRemainingMs)
+		return readWarmUpRemaining(decoder, key, &heartbeat.WarmUpRemainingMs)
 	case "stage":
-		return readText(decoder, key, &beat.Stage)
+		return readText(decoder, key, &heartbeat.Stage)
 	case "models":
-		return readModels(decoder, key, &beat.Models)
+		return readModels(decoder, key, &heartbeat.Models)
 	case "sequence":
-		return readSequence(decoder, key, &beat.Sequence)
+		return readSequence(decoder, key, &heartbeat.Sequence)
 	default:
 		return decoder.Skip()
 	}
 }
 
-// checkBeat refuses what cannot be recorded.
-func checkBeat(beat Beat) *Refusal {
-	if beat.ID == "" {
-		return refuse(MissingField, "id")
+// validateHeartbeat refuses what cannot be recorded.
+func validateHeartbeat(heartbeat Heartbeat) *Rejection {
+	if heartbeat.ID == "" {
+		return reject(MissingField, "id")
 	}
-	if len(beat.ID) > longestText {
-		return refuse(TooLarge, "id")
+	if len(heartbeat.ID) > maxNameBytes {
+		return reject(TooLarge, "id")
 	}
-	if beat.Service == "" {
-		return refuse(MissingField, "service")
+	if heartbeat.Service == "" {
+		return reject(MissingField, "service")
 	}
-	if strings.HasPrefix(beat.Service, reservedPrefix) {
-		return refuse(BadField, "service is reserved")
+	if strings.HasPrefix(heartbeat.Service, reservedPrefix) {
+		return reject(InvalidField, "service is reserved")
 	}
-	if beat.Address == "" {
-		return refuse(MissingField, "address")
+	if heartbeat.Address == "" {
+		return reject(MissingField, "address")
 	}
-	if _, err := netip.ParseAddrPort(beat.Address); err != nil {
-		return refuse(BadField, "address is not IP:PORT")
+	if _, err := netip.ParseAddrPort(heartbeat.Address); err != nil {
+		return reject(InvalidField, "address is not IP:PORT")
 	}
 	return nil
 }
@@ -120,8 +120,8 @@
 	if err := jsonfield.String(decoder, key, into); err != nil {
 		return err
 	}
-	if len(*into) > longestText {
-		return refuse(TooLarge, key)
+	if len(*into) > maxNameBytes {
+		return reject(TooLarge, key)
 	}
 	return nil
 }
@@ -132,8 +132,8 @@
 	if err := jsonfield.Number(decoder, key, &value); err != nil {
 		return 0, err
 	}
-	if value < -largestNumber || value > largestNumber {
-		return 0, refuse(BadField, key+" is out of range")
+	if value < -maxNumber || value > maxNumber {
+		return 0, reject(InvalidField, key+" is out of range")
 	}
 	return int64(value), nil
 }
@@ -144,8 +144,8 @@
 	return err
 }
 
-// readCold reads the time that is left; a negative one counts as 0.
-func readCold(decoder *jx.Decoder, key string, into *int64) error {
+// readWarmUpRemaining reads the time that is left; a negative one counts as 0.
+func readWarmUpRemaining(decoder *jx.Decoder, key string, into *int64) error {
 	value, err := readNumber(decoder, key)
 	*into = max(value, 0)
 	return err
@@ -153,16 +153,16 @@
 
 // readSequence reads a whole number of up to 63 bits; null counts as not numbered.
 func readSequence(decoder *jx.Decoder, key string, into *uint64) error {
-	*into = unknownSequence
+	*into = unnumbered
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
 	if decoder.Next() != jx.Number {
-		return refuse(BadField, key+" is not a number")
+		return reject(InvalidField, key+" is not a number")
 	}
 	value, err := decoder.Int64()
 	if err != nil || value < 0 {
-		return refuse(BadField, key+" is not a whole number")
+		return reject(InvalidField, key+" is not a whole number")
 	}
 	*into = uint64(value)
 	return nil
@@ -189,11 +189,11 @@
 		return nil
 	}
 	if decoder.Next() != jx.Array {
-		return refuse(BadField, key+" is not a list")
+		return reject(InvalidField, key+" is not a list")
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
-		if len(*into) == mostModels {
-			return refuse(TooLarge, key)
+		if len(*into) == maxModels {
+			return reject(TooLarge, key)
 		}
 		model, err := readModel(decoder, key)
 		*into = append(*into, model)
@@ -204,7 +204,7 @@
 func readModel(decoder *jx.Decoder, list string) (Model, error) {
 	model := Model{}
 	if decoder.Next() != jx.Object {
-		return model, refuse(BadField, list+" holds something that is not an object")
+		return model, reject(InvalidField, list+" holds something that is not an object")
 	}
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		switch key {
@@ -227,11 +227,11 @@
 		return nil
 	}
 	if decoder.Next() != jx.Array {
-		return refuse(BadField, key+" is not a list")
+		return reject(InvalidField, key+" is not a list")
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
-		if len(*into) == mostAdapters {
-			return refuse(TooLarge, key)
+		if len(*into) == maxAdapters {
+			return reject(TooLarge, key)
 		}
 		name := ""
 		err := readText(decoder, key, &name)
--- a/internal/controlplane/registry/heartbeat_test.go
+++ b/internal/controlplane/registry/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const exampleBeat = `{"service":"huvo11a","address":"10.128.0.9:8080","zone":"halle-a","generation":"v1","slots":64,"state":"ready","coldRemainingMs":120,"stage":"decode","models":[{"name":"m","generation":1,"adapters":["a"]}],"sequence":4,"later":[{"x":1}]}`
+const exampleHeartbeat = `{"service":"huvo11a","address":"10.128.0.9:8080","zone":"halle-a","generation":"v1","slots":64,"state":"ready","coldRemainingMs":120,"stage":"decode","models":[{"name":"m","generation":1,"adapters":["a"]}],"sequence":4,"later":[{"x":1}]}`
 
 func exampleInstance(id, address string) Instance {
 	return Instance{
@@ -18,74 +18,74 @@
 }
 
 func TestParseBeat(t *testing.T) {
-	beat, err := ParseBeat("i-1", []byte(exampleBeat))
-	expected := Beat{Instance: exampleInstance("i-1", "10.128.0.9:8080"), ColdRemainingMs: 120, Sequence: 4}
-	if err != nil || !reflect.DeepEqual(beat, expected) {
-		t.Fatalf("%+v %v", beat, err)
+	heartbeat, err := ParseHeartbeat("i-1", []byte(exampleHeartbeat))
+	expected := Heartbeat{Instance: exampleInstance("i-1", "10.128.0.9:8080"), WarmUpRemainingMs: 120, Sequence: 4}
+	if err != nil || !reflect.DeepEqual(heartbeat, expected) {
+		t.Fatalf("%+v %v", heartbeat, err)
 	}
 }
 
 func TestParseBeatDefaults(t *testing.T) {
-	beat, err := ParseBeat("i-1", []byte(`{"service":"s","address":"1.2.3.4:5","models":null,"stage":null,"coldRemainingMs":-4}`))
-	if err != nil || beat.Slots != 1 || beat.State != Ready || beat.Models != nil || beat.ColdRemainingMs != 0 {
-		t.Fatalf("%+v %v", beat, err)
+	heartbeat, err := ParseHeartbeat("i-1", []byte(`{"service":"s","address":"1.2.3.4:5","models":null,"stage":null,"coldRemainingMs":-4}`))
+	if err != nil || heartbeat.Slots != 1 || heartbeat.State != Ready || heartbeat.Models != nil || heartbeat.WarmUpRemainingMs != 0 {
+		t.Fatalf("%+v %v", heartbeat, err)
 	}
 	for state, expected := range map[string]State{"ready": Ready, "draining": Draining, "of_a_later_day": Draining} {
-		beat, err := ParseBeat("i-1", []byte(fmt.Sprintf(`{"service":"s","address":"1.2.3.4:5","state":%q}`, state)))
-		if err != nil || beat.State != expected {
-			t.Errorf("%s: %+v %v", state, beat, err)
+		heartbeat, err := ParseHeartbeat("i-1", []byte(fmt.Sprintf(`{"service":"s","address":"1.2.3.4:5","state":%q}`, state)))
+		if err != nil || heartbeat.State != expected {
+			t.Errorf("%s: %+v %v", state, heartbeat, err)
 		}
 	}
 }
 
 func TestParseBeatRefuses(t *testing.T) {
-	large := strings.Repeat("x", longestText+1)
+	large := strings.Repeat("x", maxNameBytes+1)
 	fields := func(more string) string { return `{"service":"s","address":"1.2.3.4:5",` + more + `}` }
 	for body, code := range map[string]Code{
-		``:                                    Unreadable,
-		`[]`:                                  Unreadable,
-		`{"service":"s"`:                      Unreadable,
-		exampleBeat + `{}`:                    Unreadable,
+		``:                                    Malformed,
+		`[]`:                                  Malformed,
+		`{"service":"s"`:                      Malformed,
+		exampleHeartbeat + `{}`:               Malformed,
 		`{"address":"1.2.3.4:5"}`:             MissingField,
 		`{"service":"s"}`:                     MissingField,
-		`{"service":"s","address":"host:80"}`: BadField,
-		`{"service":"s","address":"1.2.3.4"}`: BadField,
-		`{"service":"@nodes","address":"1.2.3.4:5"}`:                     BadField,
-		fields(`"slots":"4"`):                                            BadField,
-		fields(`"slots":1e300`):                                          BadField,
-		fields(`"sequence":-1`):                                          BadField,
-		fields(`"sequence":1.5`):                                         BadField,
-		fields(`"models":{}`):                                            BadField,
-		fields(`"models":["m"]`):                                         BadField,
-		fields(`"zone":"` + large + `"`):                                 TooLarge,
-		fields(`"models":[` + strings.Repeat(`{},`, mostModels) + `{}]`): TooLarge,
-		strings.Repeat(" ", largestBody+1):                               TooLarge,
+		`{"service":"s","address":"host:80"}`: InvalidField,
+		`{"service":"s","address":"1.2.3.4"}`: InvalidField,
+		`{"service":"@nodes","address":"1.2.3.4:5"}`:                    InvalidField,
+		fields(`"slots":"4"`):                                           InvalidField,
+		fields(`"slots":1e300`):                                         InvalidField,
+		fields(`"sequence":-1`):                                         InvalidField,
+		fields(`"sequence":1.5`):                                        InvalidField,
+		fields(`"models":{}`):                                           InvalidField,
+		fields(`"models":["m"]`):                                        InvalidField,
+		fields(`"zone":"` + large + `"`):                                TooLarge,
+		fields(`"models":[` + strings.Repeat(`{},`, maxModels) + `{}]`): TooLarge,
+		strings.Repeat(" ", maxBodyBytes+1):                             TooLarge,
 	} {
-		_, err := ParseBeat("i-1", []byte(body))
-		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Code != code {
+		_, err := ParseHeartbeat("i-1", []byte(body))
+		var rejection *Rejection
+		if !errors.As(err, &rejection) || rejection.Code != code {
 			t.Errorf("%.80s: %v, not %v", body, err, code)
 		}
 	}
-	if _, err := ParseBeat("", []byte(exampleBeat)); err == nil {
+	if _, err := ParseHeartbeat("", []byte(exampleHeartbeat)); err == nil {
 		t.Error("no ID")
 	}
-	if _, err := ParseBeat(large, []byte(exampleBeat)); err == nil {
+	if _, err := ParseHeartbeat(large, []byte(exampleHeartbeat)); err == nil {
 		t.Error("a large ID")
 	}
 }
 
 func FuzzParseBeat(f *testing.F) {
-	f.Add([]byte(exampleBeat))
+	f.Add([]byte(exampleHeartbeat))
 	f.Add([]byte(`{"service":"s","address":"[::1]:5","models":[{"adapters":null}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		beat, err := ParseBeat("i", body)
+		heartbeat, err := ParseHeartbeat("i", body)
 		if err != nil {
 			return
 		}
-		decoded, err := DecodeItem(EncodeItem(beat.Instance))
-		if err != nil || !SameRecord(decoded, beat.Instance) {
-			t.Fatalf("%+v %+v %v", beat.Instance, decoded, err)
+		decoded, err := DecodeItem(EncodeItem(heartbeat.Instance))
+		if err != nil || !SameRecord(decoded, heartbeat.Instance) {
+			t.Fatalf("%+v %+v %v", heartbeat.Instance, decoded, err)
 		}
 	})
 }
--- a/internal/controlplane/registry/liveness_test.go
+++ b/internal/controlplane/registry/liveness_test.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	heartbeat = 1200 * time.Millisecond
-	span      = 4 * heartbeat
-	tick      = 200 * time.Millisecond
+	heartbeatInterval = 1200 * time.Millisecond
+	expiryTimeout     = 4 * heartbeatInterval
+	tick              = 200 * time.Millisecond
 )
 
 // shard plays the owner with its store: what is proposed is applied at once, unless held is set.
 type shard struct {
 	store    *Store
-	owner    *Owner
+	tracker  *LivenessTracker
 	now      time.Time
 	index    uint64
-	held     bool
+	stalled  bool
 	proposed int
 }
 
 func newShard() *shard {
-	return &shard{store: NewStore(), owner: NewOwner(heartbeat, OwnerOptions{}), now: time.Unix(1000, 0)}
+	return &shard{store: NewStore(), tracker: NewLivenessTracker(heartbeatInterval, LivenessOptions{}), now: time.Unix(1000, 0)}
 }
 
-func (s *shard) gain() { s.owner.Gained(s.now, s.store.Instances("")) }
+func (s *shard) gain() { s.tracker.OwnershipGained(s.now, s.store.Instances("")) }
 
 func (s *shard) apply(entry []byte) Outcome {
 	s.index++
 	s.proposed++
 	outcome, change := s.store.Apply(s.index, entry)
-	s.owner.Applied(s.now, change)
+	s.tracker.Applied(s.now, change)
 	return outcome
 }
 
 func (s *shard) decide(decision Decision) (Action, Code) {
-	if decision.Action == Propose && !s.held {
+	if decision.Action == Propose && !s.stalled {
 		return decision.Action, s.apply(decision.Command).Code
 	}
-	if decision.Action == Refuse {
-		return decision.Action, decision.Refusal.Code
+	if decision.Action == Reject {
+		return decision.Action, decision.Rejection.Code
 	}
 	return decision.Action, 0
 }
 
-func (s *shard) beat(instance Instance, sequence uint64) (Action, Code) {
-	beat := Beat{Instance: instance, Sequence: sequence}
-	return s.decide(s.owner.Beat(s.now, beat, s.store.Instance(instance.ID)))
+func (s *shard) heartbeat(instance Instance, sequence uint64) (Action, Code) {
+	heartbeat := Heartbeat{Instance: instance, Sequence: sequence}
+	return s.decide(s.tracker.Heartbeat(s.now, heartbeat, s.store.Instance(instance.ID)))
 }
 
 func (s *shard) deregister(id string) (Action, Code) {
-	return s.decide(s.owner.Deregister(s.now, id, s.store.Knows(id)))
+	return s.decide(s.tracker.Deregister(s.now, id, s.store.Knows(id)))
 }
 
 // advance lets time pass in ticks; each one heartbeats those that are alive and expires others.
@@ -62,7 +62,7 @@
 	for end := s.now.Add(duration); s.now.Before(end); {
 		s.now = s.now.Add(tick)
 		for _, instance := range alive {
-			s.beat(instance, 0)
+			s.heartbeat(instance, 0)
 		}
 		s.expire()
 	}
@@ -70,9 +70,9 @@
 
 // expire applies what expires now and returns how many that were.
 func (s *shard) expire() int {
-	commands := s.owner.Expired(s.now)
+	commands := s.tracker.Expired(s.now)
 	for _, command := range commands {
-		if !s.held {
+		if !s.stalled {
 			s.apply(command)
 		}
 	}
@@ -94,7 +94,7 @@
 
 func (s *shard) register(list []Instance) {
 	for _, instance := range list {
-		s.beat(instance, 0)
+		s.heartbeat(instance, 0)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	for position, step := range steps {
 		step.change()
-		if action, _ := s.beat(instance, step.sequence); action != step.action {
+		if action, _ := s.heartbeat(instance, step.sequence); action != step.action {
 			t.Fatalf("step %d: %v, not %v", position, action, step.action)
 		}
 	}
@@ -132,37 +132,37 @@
 	s := newShard()
 	s.gain()
 	instance := worker(1)
-	s.held = true
-	s.beat(instance, 2)
-	if action, _ := s.beat(instance, 1); action != Propose {
+	s.stalled = true
+	s.heartbeat(instance, 2)
+	if action, _ := s.heartbeat(instance, 1); action != Propose {
 		t.Fatal("acknowledged before the instance is registered")
 	}
-	s.held = false
-	s.beat(instance, 3)
-	s.held = true
+	s.stalled = false
+	s.heartbeat(instance, 3)
+	s.stalled = true
 	instance.State = Draining
-	s.beat(instance, 5)
-	if action, _ := s.beat(instance, 4); action != Propose {
+	s.heartbeat(instance, 5)
+	if action, _ := s.heartbeat(instance, 4); action != Propose {
 		t.Fatal("acknowledged before the drain is recorded")
 	}
-	s.held = false
-	s.beat(instance, 6)
-	if action, _ := s.beat(instance, 4); action != Acknowledge {
+	s.stalled = false
+	s.heartbeat(instance, 6)
+	if action, _ := s.heartbeat(instance, 4); action != Acknowledge {
 		t.Fatal("a late drain that is recorded costs an entry")
 	}
 }
 
 func TestOwnershipIsNeeded(t *testing.T) {
 	s := newShard()
-	if action, code := s.beat(worker(1), 1); action != Refuse || code != NotOwner {
+	if action, code := s.heartbeat(worker(1), 1); action != Reject || code != NotOwner {
 		t.Fatal(action, code)
 	}
-	if action, code := s.deregister("i01"); action != Refuse || code != NotOwner {
+	if action, code := s.deregister("i01"); action != Reject || code != NotOwner {
 		t.Fatal(action, code)
 	}
 	s.gain()
 	s.register(workers(4))
-	s.owner.Lost()
+	s.tracker.OwnershipLost()
 	s.now = s.now.Add(time.Hour)
 	if s.expire() != 0 {
 		t.Fatal("it expires without owning")
@@ -175,19 +175,19 @@
 	if action, code := s.deregister("i04"); action != Propose || code != Gone || !s.store.Removed("i04") {
 		t.Fatal("a departure of an instance that is not known must hold", action, code)
 	}
-	if action, code := s.beat(worker(4), 1); action != Propose || code != Gone {
+	if action, code := s.heartbeat(worker(4), 1); action != Propose || code != Gone {
 		t.Fatal("a heartbeat that came late brought the instance back", action, code)
 	}
-	s.beat(worker(1), 5)
+	s.heartbeat(worker(1), 5)
 	if action, code := s.deregister("i01"); action != Propose || code != Removed {
 		t.Fatal(action, code)
 	}
-	if action, code := s.beat(worker(1), 9); action != Propose || code != Gone {
+	if action, code := s.heartbeat(worker(1), 9); action != Propose || code != Gone {
 		t.Fatal(action, code)
 	}
-	s.held = true
-	s.beat(worker(2), 1)
-	s.held = false
+	s.stalled = true
+	s.heartbeat(worker(2), 1)
+	s.stalled = false
 	if action, code := s.deregister("i02"); action != Propose || code != Gone || !s.store.Removed("i02") {
 		t.Fatal("a departure before its registration is applied must hold", action, code)
 	}
@@ -198,8 +198,8 @@
 	s.gain()
 	s.apply(EncodePut(worker(1), 3))
 	s.apply(EncodePut(worker(2), 3))
-	s.owner.Applied(s.now, feed.Change{Put: []feed.Item{{Key: "i03", Value: []byte{1}}}})
-	s.advance(2*span, worker(2))
+	s.tracker.Applied(s.now, feed.Change{Put: []feed.Item{{Key: "i03", Value: []byte{1}}}})
+	s.advance(2*expiryTimeout, worker(2))
 	if len(s.store.Instances("")) != 1 {
 		t.Fatal(s.store.Instances(""))
 	}
--- a/internal/controlplane/registry/snapshot.go
+++ b/internal/controlplane/registry/snapshot.go
@@ -14,8 +14,8 @@
 
 // Formats of a snapshot. Instances of the earlier one have no assigned stage; it is read and no longer written.
 const (
-	earlierSnapshotFormat = 1
-	snapshotFormat        = 2
+	snapshotFormatV1 = 1
+	snapshotFormat   = 2
 )
 
 var snapshotSchema = avro.MustParse(`{"type":"record","name":"registry_snapshot","fields":[
@@ -29,7 +29,7 @@
 		{"name":"draining","type":"boolean"},
 		{"name":"sequence","type":"long"}]}}}]}`)
 
-type heldRecord struct {
+type snapshotInstance struct {
 	Sequence int64  `avro:"sequence"`
 	Value    []byte `avro:"value"`
 }
@@ -42,28 +42,28 @@
 }
 
 type snapshotRecord struct {
-	Format     int               `avro:"format"`
-	Instances  []heldRecord      `avro:"instances"`
-	Tombstones []tombstoneRecord `avro:"tombstones"`
+	Format     int                `avro:"format"`
+	Instances  []snapshotInstance `avro:"instances"`
+	Tombstones []tombstoneRecord  `avro:"tombstones"`
 }
 
 // Snapshot returns the whole state; equal states give equal bytes.
 func (s *Store) Snapshot() []byte {
-	whole := snapshotRecord{Format: snapshotFormat}
+	state := snapshotRecord{Format: snapshotFormat}
 	for _, id := range s.sortedIDs() {
-		held := s.records[id]
-		whole.Instances = append(whole.Instances, heldRecord{Sequence: int64(held.sequence), Value: held.value})
+		current := s.records[id]
+		state.Instances = append(state.Instances, snapshotInstance{Sequence: int64(current.sequence), Value: current.value})
 	}
-	for _, id := range s.buried {
-		stone := s.tombstones[id]
-		whole.Tombstones = append(whole.Tombstones, tombstoneRecord{
+	for _, id := range s.tombstoneOrder {
+		removed := s.tombstones[id]
+		state.Tombstones = append(state.Tombstones, tombstoneRecord{
 			ID:       id,
-			Reason:   int(stone.reason),
-			Draining: stone.draining,
-			Sequence: int64(stone.sequence),
+			Reason:   int(removed.reason),
+			Draining: removed.draining,
+			Sequence: int64(removed.sequence),
 		})
 	}
-	return mustMarshal(snapshotSchema, whole)
+	return mustMarshal(snapshotSchema, state)
 }
 
 // Restore replaces the state by what Snapshot returned. The error wraps ErrSnapshot; the state is
@@ -72,31 +72,31 @@
 	if len(snapshot) == 0 {
 		return fmt.Errorf("%w: it is empty", ErrSnapshot)
 	}
-	var whole snapshotRecord
-	if err := strictavro.Unmarshal(binary, snapshotSchema, snapshot, &whole); err != nil {
+	var state snapshotRecord
+	if err := strictavro.Unmarshal(codec, snapshotSchema, snapshot, &state); err != nil {
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	schema := itemSchema
-	switch whole.Format {
+	switch state.Format {
 	case snapshotFormat:
-	case earlierSnapshotFormat:
-		schema = earlierItemSchema
+	case snapshotFormatV1:
+		schema = itemSchemaV1
 	default:
-		return fmt.Errorf("%w: format %d", ErrSnapshot, whole.Format)
+		return fmt.Errorf("%w: format %d", ErrSnapshot, state.Format)
 	}
 	restored := NewStore()
-	for _, held := range whole.Instances {
-		instance, err := decodeItem(schema, held.Value)
+	for _, entry := range state.Instances {
+		instance, err := decodeItem(schema, entry.Value)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrSnapshot, err)
 		}
-		restored.insert(&record{instance: &instance, value: EncodeItem(instance), sequence: uint64(held.Sequence)})
+		restored.insertRecord(&record{instance: &instance, value: EncodeItem(instance), sequence: uint64(entry.Sequence)})
 	}
-	for _, stone := range whole.Tombstones {
-		restored.bury(stone.ID, tombstone{
-			reason:   Reason(stone.Reason),
-			draining: stone.Draining,
-			sequence: uint64(stone.Sequence),
+	for _, removed := range state.Tombstones {
+		restored.addTombstone(removed.ID, tombstone{
+			reason:   Reason(removed.Reason),
+			draining: removed.Draining,
+			sequence: uint64(removed.Sequence),
 		})
 	}
 	*s = *restored
--- a/internal/controlplane/registry/store.go
+++ b/internal/controlplane/registry/store.go
@@ -7,8 +7,8 @@
 	"ospreybend/coord/feed"
 )
 
-// tombstonesKept bounds how many removed instances are remembered.
-const tombstonesKept = 2048
+// maxTombstones bounds how many removed instances are remembered.
+const maxTombstones = 2048
 
 // Outcome is what became of one command. The caller is answered with Status.
 type Outcome struct {
@@ -38,10 +38,10 @@
 
 // Store is the replicated list of instances of one shard. It is not safe for concurrent use.
 type Store struct {
-	records    map[string]*record
-	byAddress  map[string]string // ID of the instance at an address
-	tombstones map[string]tombstone
-	buried     []string // IDs of tombstones, oldest first
+	records        map[string]*record
+	byAddress      map[string]string // ID of the instance at an address
+	tombstones     map[string]tombstone
+	tombstoneOrder []string // IDs of tombstones, oldest first
 }
 
 // NewStore returns a store without instances.
@@ -57,9 +57,9 @@
 // is empty where nothing changed.
 func (s *Store) Apply(index uint64, encoded []byte) (Outcome, feed.Change) {
 	change := feed.Change{Index: index}
-	decoded, refusal := decodeCommand(encoded)
-	if refusal != nil {
-		return Outcome{Status: refusal.Status, Code: refusal.Code, Text: refusal.Text}, change
+	decoded, rejection := decodeCommand(encoded)
+	if rejection != nil {
+		return Outcome{Status: rejection.Status, Code: rejection.Code, Text: rejection.Text}, change
 	}
 	switch decoded.operation {
 	case operationPut:
@@ -68,12 +68,12 @@
 		return outcome(s.remove(decoded, &change)), change
 	case operationAssign:
 		wanted := decoded.instance.Stage
-		return outcome(s.amend(decoded.instance.ID, &change, func(i *Instance) { i.Assigned = wanted })), change
+		return outcome(s.update(decoded.instance.ID, &change, func(i *Instance) { i.Assigned = wanted })), change
 	case operationStage:
 		found := decoded.instance.Stage
-		return outcome(s.amend(decoded.instance.ID, &change, func(i *Instance) { i.Stage = found })), change
+		return outcome(s.update(decoded.instance.ID, &change, func(i *Instance) { i.Stage = found })), change
 	default:
-		return outcome(BadCommand), change
+		return outcome(InvalidCommand), change
 	}
 }
 
@@ -84,82 +84,82 @@
 
 // put records an instance unless a later word of it is known.
 func (s *Store) put(instance Instance, sequence uint64, change *feed.Change) Code {
-	if code, refused := s.deadOrLate(instance, sequence); refused {
+	if code, stale := s.checkStale(instance, sequence); stale {
 		return code
 	}
-	held := s.records[instance.ID]
-	if held != nil { // heartbeats know nothing of it
-		instance.Assigned = held.instance.Assigned
+	current := s.records[instance.ID]
+	if current != nil { // heartbeats know nothing of it
+		instance.Assigned = current.instance.Assigned
 	}
 	value := EncodeItem(instance)
-	if held != nil && bytes.Equal(held.value, value) {
-		held.sequence = max(held.sequence, sequence)
+	if current != nil && bytes.Equal(current.value, value) {
+		current.sequence = max(current.sequence, sequence)
 		return Unchanged
 	}
 	// A word that is not numbered leaves the number that earlier words are told by.
 	sequence = max(sequence, s.tombstones[instance.ID].sequence)
-	if held != nil {
-		sequence = max(sequence, held.sequence)
-		s.forget(instance.ID)
+	if current != nil {
+		sequence = max(sequence, current.sequence)
+		s.deleteRecord(instance.ID)
 	}
-	s.evict(instance.Address, change)
-	s.exhume(instance.ID)
-	s.insert(&record{instance: &instance, value: value, sequence: sequence})
+	s.evictAddress(instance.Address, change)
+	s.dropTombstone(instance.ID)
+	s.insertRecord(&record{instance: &instance, value: value, sequence: sequence})
 	change.Put = append(change.Put, feed.Item{Key: instance.ID, Value: value})
 	return Recorded
 }
 
-// amend changes a part of an instance's record, if there is one.
-func (s *Store) amend(id string, change *feed.Change, amendment func(*Instance)) Code {
-	held := s.records[id]
-	if held == nil {
+// update changes a part of an instance's record, if there is one.
+func (s *Store) update(id string, change *feed.Change, mutate func(*Instance)) Code {
+	current := s.records[id]
+	if current == nil {
 		return Gone
 	}
-	instance := *held.instance
-	amendment(&instance)
+	instance := *current.instance
+	mutate(&instance)
 	value := EncodeItem(instance)
-	if bytes.Equal(value, held.value) {
+	if bytes.Equal(value, current.value) {
 		return Unchanged
 	}
-	s.records[id] = &record{instance: &instance, value: value, sequence: held.sequence}
+	s.records[id] = &record{instance: &instance, value: value, sequence: current.sequence}
 	change.Put = append(change.Put, feed.Item{Key: id, Value: value})
 	return Recorded
 }
 
-// deadOrLate tells whether a heartbeat changes nothing: its instance is gone for good, or what is
+// checkStale tells whether a heartbeat changes nothing: its instance is gone for good, or what is
 // known of it is newer. Of NodesService every word counts: its heartbeats have no order and an ID
 // may start again.
-func (s *Store) deadOrLate(instance Instance, sequence uint64) (Code, bool) {
+func (s *Store) checkStale(instance Instance, sequence uint64) (Code, bool) {
 	if instance.Service == NodesService {
 		return Recorded, false
 	}
-	if stone, dead := s.tombstones[instance.ID]; dead {
-		return s.stillDead(instance, sequence, stone)
+	if removed, found := s.tombstones[instance.ID]; found {
+		return s.checkTombstone(instance, sequence, removed)
 	}
-	held := s.records[instance.ID]
-	if held == nil {
+	current := s.records[instance.ID]
+	if current == nil {
 		return Recorded, false
 	}
-	if sequence != unknownSequence && sequence < held.sequence {
-		return Late, true
+	if sequence != unnumbered && sequence < current.sequence {
+		return Stale, true
 	}
-	revoked := held.instance.State == Draining && instance.State == Ready
-	if revoked && sequence <= held.sequence {
-		return Late, true
+	revoked := current.instance.State == Draining && instance.State == Ready
+	if revoked && sequence <= current.sequence {
+		return Stale, true
 	}
 	return Recorded, false
 }
 
-// stillDead tells whether a heartbeat leaves a removed instance removed.
-func (s *Store) stillDead(instance Instance, sequence uint64, stone tombstone) (Code, bool) {
-	if stone.reason.final() {
+// checkTombstone tells whether a heartbeat leaves a removed instance removed.
+func (s *Store) checkTombstone(instance Instance, sequence uint64, removed tombstone) (Code, bool) {
+	if removed.reason.final() {
 		return Gone, true
 	}
-	if sequence != unknownSequence && sequence <= stone.sequence {
-		return Late, true
+	if sequence != unnumbered && sequence <= removed.sequence {
+		return Stale, true
 	}
-	if sequence == unknownSequence && stone.draining && instance.State == Ready {
-		return Late, true
+	if sequence == unnumbered && removed.draining && instance.State == Ready {
+		return Stale, true
 	}
 	if _, taken := s.byAddress[instance.Address]; taken {
 		return Gone, true
@@ -167,61 +167,61 @@
 	return Recorded, false
 }
 
-// evict removes the instance that had an address which is used again.
-func (s *Store) evict(address string, change *feed.Change) {
+// evictAddress removes the instance that had an address which is used again.
+func (s *Store) evictAddress(address string, change *feed.Change) {
 	id, taken := s.byAddress[address]
 	if !taken {
 		return
 	}
-	stone := s.records[id].tombstone(Superseded)
-	s.forget(id)
-	s.bury(id, stone)
+	removed := s.records[id].tombstone(Superseded)
+	s.deleteRecord(id)
+	s.addTombstone(id, removed)
 	change.Delete = append(change.Delete, id)
 }
 
 // remove removes an instance, or only remembers that it is gone.
 func (s *Store) remove(decoded command, change *feed.Change) Code {
 	id := decoded.instance.ID
-	held := s.records[id]
-	if held == nil {
-		return s.confirmGone(id, decoded)
-	}
-	numbered := decoded.sequence != unknownSequence
-	if decoded.reason == Expired && numbered && decoded.sequence < held.sequence {
-		return Late // it was heard after the removal was proposed
-	}
-	stone := held.tombstone(decoded.reason)
-	stone.sequence = max(stone.sequence, decoded.sequence)
-	s.forget(id)
-	s.bury(id, stone)
+	current := s.records[id]
+	if current == nil {
+		return s.finalizeRemoval(id, decoded)
+	}
+	numbered := decoded.sequence != unnumbered
+	if decoded.reason == Expired && numbered && decoded.sequence < current.sequence {
+		return Stale // it was heard after the removal was proposed
+	}
+	removed := current.tombstone(decoded.reason)
+	removed.sequence = max(removed.sequence, decoded.sequence)
+	s.deleteRecord(id)
+	s.addTombstone(id, removed)
 	change.Delete = append(change.Delete, id)
 	return Removed
 }
 
-// confirmGone makes the removal of an instance that is not there final where it is meant so.
-func (s *Store) confirmGone(id string, decoded command) Code {
-	stone, dead := s.tombstones[id]
-	if dead && stone.reason.final() || !decoded.reason.final() {
+// finalizeRemoval makes the removal of an instance that is not there final where it is meant so.
+func (s *Store) finalizeRemoval(id string, decoded command) Code {
+	removed, found := s.tombstones[id]
+	if found && removed.reason.final() || !decoded.reason.final() {
 		return Gone
 	}
-	stone.reason = decoded.reason
-	if dead && decoded.reason == Unheard {
-		stone.reason = Deregistered // it had a record here once
+	removed.reason = decoded.reason
+	if found && decoded.reason == NeverRegistered {
+		removed.reason = Deregistered // it had a record here once
 	}
-	stone.sequence = max(stone.sequence, decoded.sequence)
-	s.exhume(id)
-	s.bury(id, stone)
+	removed.sequence = max(removed.sequence, decoded.sequence)
+	s.dropTombstone(id)
+	s.addTombstone(id, removed)
 	return Gone
 }
 
-func (s *Store) insert(entry *record) {
+func (s *Store) insertRecord(entry *record) {
 	s.records[entry.instance.ID] = entry
 	if entry.instance.Address != "" {
 		s.byAddress[entry.instance.Address] = entry.instance.ID
 	}
 }
 
-func (s *Store) forget(id string) {
+func (s *Store) deleteRecord(id string) {
 	address := s.records[id].instance.Address
 	delete(s.records, id)
 	if s.byAddress[address] == id {
@@ -229,25 +229,25 @@
 	}
 }
 
-// bury remembers a removed instance and forgets the oldest beyond the bound.
-func (s *Store) bury(id string, stone tombstone) {
-	s.tombstones[id] = stone
-	s.buried = append(s.buried, id)
-	if len(s.buried) > tombstonesKept {
-		delete(s.tombstones, s.buried[0])
-		s.buried = append([]string(nil), s.buried[1:]...)
+// addTombstone remembers a removed instance and forgets the oldest beyond the bound.
+func (s *Store) addTombstone(id string, removed tombstone) {
+	s.tombstones[id] = removed
+	s.tombstoneOrder = append(s.tombstoneOrder, id)
+	if len(s.tombstoneOrder) > maxTombstones {
+		delete(s.tombstones, s.tombstoneOrder[0])
+		s.tombstoneOrder = append([]string(nil), s.tombstoneOrder[1:]...)
 	}
 }
 
-// exhume forgets that an instance was removed.
-func (s *Store) exhume(id string) {
-	if _, dead := s.tombstones[id]; !dead {
+// dropTombstone forgets that an instance was removed.
+func (s *Store) dropTombstone(id string) {
+	if _, found := s.tombstones[id]; !found {
 		return
 	}
 	delete(s.tombstones, id)
-	for position, buried := range s.buried {
-		if buried == id {
-			s.buried = append(s.buried[:position:position], s.buried[position+1:]...)
+	for position, candidate := range s.tombstoneOrder {
+		if candidate == id {
+			s.tombstoneOrder = append(s.tombstoneOrder[:position:position], s.tombstoneOrder[position+1:]...)
 			return
 		}
 	}
@@ -255,11 +255,11 @@
 
 // Instance returns a record that nobody may write to, or nil.
 func (s *Store) Instance(id string) *Instance {
-	held := s.records[id]
-	if held == nil {
+	current := s.records[id]
+	if current == nil {
 		return nil
 	}
-	return held.instance
+	return current.instance
 }
 
 // Instances returns the instances of a service in the order of their IDs, of all for "".
@@ -276,14 +276,14 @@
 
 // Removed tells whether an instance is gone for good, so that its heartbeats change nothing.
 func (s *Store) Removed(id string) bool {
-	stone, dead := s.tombstones[id]
-	return dead && stone.reason.final()
+	removed, found := s.tombstones[id]
+	return found && removed.reason.final()
 }
 
 // Knows tells whether an instance has, or had, a record here: its heartbeats come to this shard and to no other.
 func (s *Store) Knows(id string) bool {
-	stone, dead := s.tombstones[id]
-	return s.records[id] != nil || dead && stone.reason != Unheard
+	removed, found := s.tombstones[id]
+	return s.records[id] != nil || found && removed.reason != NeverRegistered
 }
 
 // Items returns the feed's items, sorted by key (the instance's ID).
--- a/internal/controlplane/registry/store_test.go
+++ b/internal/controlplane/registry/store_test.go
@@ -42,7 +42,7 @@
 		t.Fatalf("%+v", change)
 	}
 	instance.Stage = "prefill"
-	if change := apply(t, store, EncodePut(instance, 8), Late); !empty(change) {
+	if change := apply(t, store, EncodePut(instance, 8), Stale); !empty(change) {
 		t.Fatalf("%+v", change)
 	}
 	apply(t, store, EncodePut(instance, 10), Recorded)
@@ -63,8 +63,8 @@
 		}
 		apply(t, store, EncodePut(ready, sequences[0]), Recorded)
 		apply(t, store, EncodePut(draining, sequences[1]), Recorded)
-		apply(t, store, EncodePut(ready, sequences[2]), Late)
-		apply(t, store, EncodePut(ready, sequences[0]), Late)
+		apply(t, store, EncodePut(ready, sequences[2]), Stale)
+		apply(t, store, EncodePut(ready, sequences[0]), Stale)
 		if store.Instance("a").State != Draining {
 			t.Fatal("it is ready again")
 		}
@@ -93,12 +93,12 @@
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 3), Recorded)
 	apply(t, store, EncodeRemove("a", Expired, 7), Removed)
-	apply(t, store, EncodePut(instance, 7), Late)
+	apply(t, store, EncodePut(instance, 7), Stale)
 	if store.Removed("a") {
 		t.Fatal("it may come back")
 	}
 	apply(t, store, EncodePut(instance, 8), Recorded)
-	apply(t, store, EncodeRemove("a", Expired, 7), Late)
+	apply(t, store, EncodeRemove("a", Expired, 7), Stale)
 	apply(t, store, EncodeRemove("a", Expired, 0), Removed)
 	apply(t, store, EncodeRemove("a", Deregistered, 0), Gone)
 	apply(t, store, EncodePut(instance, 99), Gone)
@@ -136,19 +136,19 @@
 
 func TestTombstonesAreBounded(t *testing.T) {
 	store := NewStore()
-	for number := 0; number <= tombstonesKept; number++ {
+	for number := 0; number <= maxTombstones; number++ {
 		apply(t, store, EncodeRemove(fmt.Sprint(number), Deregistered, 0), Gone)
 	}
-	if store.Removed("0") || !store.Removed("1") || len(store.tombstones) != tombstonesKept || len(store.buried) != tombstonesKept {
-		t.Fatal(len(store.tombstones), len(store.buried))
+	if store.Removed("0") || !store.Removed("1") || len(store.tombstones) != maxTombstones || len(store.tombstoneOrder) != maxTombstones {
+		t.Fatal(len(store.tombstones), len(store.tombstoneOrder))
 	}
 }
 
 func TestUnreadableEntriesChangeNothing(t *testing.T) {
 	store := NewStore()
-	whole := EncodePut(exampleInstance("a", "1.2.3.4:5"), 3)
-	for _, entry := range [][]byte{nil, {}, {2}, {200, 3}, whole[:len(whole)-1], append(whole[:len(whole):len(whole)], 0), EncodeRemove("", Expired, 0)} {
-		apply(t, store, entry, BadCommand)
+	state := EncodePut(exampleInstance("a", "1.2.3.4:5"), 3)
+	for _, entry := range [][]byte{nil, {}, {2}, {200, 3}, state[:len(state)-1], append(state[:len(state):len(state)], 0), EncodeRemove("", Expired, 0)} {
+		apply(t, store, entry, InvalidCommand)
 	}
 	for _, wrong := range [][]byte{nil, {1}, {6, 0, 0}} {
 		if err := store.Restore(wrong); !errors.Is(err, ErrSnapshot) {
@@ -193,7 +193,7 @@
 				if follower.Append(change) != nil || len(first.records) != len(first.byAddress) {
 					return false
 				}
-				if len(first.buried) != len(first.tombstones) {
+				if len(first.tombstoneOrder) != len(first.tombstones) {
 					return false
 				}
 			}
@@ -217,7 +217,7 @@
 			for position, number := range numbers {
 				entry := drawnEntry(number)
 				store.Apply(uint64(position+2), entry)
-				if held := store.Instance("i0"); held != nil && held.State != Draining {
+				if current := store.Instance("i0"); current != nil && current.State != Draining {
 					return false
 				}
 			}
--- a/internal/controlplane/registry/types.go
+++ b/internal/controlplane/registry/types.go
@@ -31,8 +31,8 @@
 	Assigned   string // stage that the fleet wants of it, beside Stage, which it tells itself; empty: none
 }
 
-// Turning tells whether an instance has been assigned a stage that it does not have yet: it takes nothing new.
-func (i *Instance) Turning() bool { return i.Assigned != "" && i.Assigned != i.Stage }
+// Transitioning tells whether an instance has been assigned a stage that it does not have yet: it takes nothing new.
+func (i *Instance) Transitioning() bool { return i.Assigned != "" && i.Assigned != i.Stage }
 
 // NodesService is the reserved service name under which the fleet's own edge nodes are registered.
 const NodesService = "@nodes"
--- a/internal/controlplane/server/departure_test.go
+++ b/internal/controlplane/server/departure_test.go
@@ -106,7 +106,7 @@
 	machine := k.instances(shards.Of(registry.NodesService))
 	for index, id := range []string{"n1", "n2", "n1"} {
 		node := registry.Instance{ID: id, Service: registry.NodesService, Address: "10.0.0.1:7660", Slots: 1}
-		decision, owned := machine.beat(time.Now(), registry.Beat{Instance: node})
+		decision, owned := machine.beat(time.Now(), registry.Heartbeat{Instance: node})
 		if !owned || decision.Action != registry.Propose {
 			t.Fatalf("%s: %+v", id, decision)
 		}
--- a/internal/controlplane/server/execute.go
+++ b/internal/controlplane/server/execute.go
@@ -83,7 +83,7 @@
 }
 
 func (k *Keeper) takeBeat(ctx context.Context, c call) answer {
-	beat, err := registry.ParseBeat(c.ID, c.Body)
+	beat, err := registry.ParseHeartbeat(c.ID, c.Body)
 	if err != nil {
 		return refusedBeat(err)
 	}
@@ -91,7 +91,7 @@
 }
 
 // decideBeat has the shard's owner decide on a heartbeat and carries the decision out.
-func (k *Keeper) decideBeat(ctx context.Context, c call, beat registry.Beat) answer {
+func (k *Keeper) decideBeat(ctx context.Context, c call, beat registry.Heartbeat) answer {
 	machine := k.instances(c.Shard)
 	if machine == nil {
 		return failed(InternalFault)
@@ -125,8 +125,8 @@
 // while this replica is known to lead.
 func (k *Keeper) carryOut(ctx context.Context, c call, decision registry.Decision) answer {
 	switch decision.Action {
-	case registry.Refuse:
-		return refusedBeat(decision.Refusal)
+	case registry.Reject:
+		return refusedBeat(decision.Rejection)
 	case registry.Propose:
 		return k.proposeInstance(ctx, c, decision.Command)
 	}
@@ -153,7 +153,7 @@
 
 // refusedBeat turns the registry's refusal into an answer.
 func refusedBeat(err error) answer {
-	var refusal *registry.Refusal
+	var refusal *registry.Rejection
 	if !errors.As(err, &refusal) || refusal == nil {
 		return failed(InternalFault)
 	}
--- a/internal/controlplane/server/handle.go
+++ b/internal/controlplane/server/handle.go
@@ -119,7 +119,7 @@
 	if len(request.Body) > maxBeatBytes {
 		return failed(BodyTooLarge)
 	}
-	beat, err := registry.ParseBeat(request.ID, request.Body)
+	beat, err := registry.ParseHeartbeat(request.ID, request.Body)
 	if err != nil {
 		return refusedBeat(err)
 	}
--- a/internal/controlplane/server/machines.go
+++ b/internal/controlplane/server/machines.go
@@ -103,7 +103,7 @@
 type registryMachine struct {
 	feedState
 	store   *registry.Store
-	owner   *registry.Owner
+	owner   *registry.LivenessTracker
 	now     func() time.Time
 	held    func(Guard) bool // tells whether a guard is in force
 	leading uint64           // term in which this replica leads; 0: it does not
@@ -113,7 +113,7 @@
 func newRegistryMachine(beat time.Duration, outside Environment) *registryMachine {
 	return &registryMachine{
 		feedState: newFeedState(), store: registry.NewStore(),
-		owner: registry.NewOwner(beat, registry.OwnerOptions{}), now: outside.Now, held: outside.holds,
+		owner: registry.NewLivenessTracker(beat, registry.LivenessOptions{}), now: outside.Now, held: outside.holds,
 	}
 }
 
@@ -158,7 +158,7 @@
 		return
 	}
 	m.owned = false
-	m.owner.Lost()
+	m.owner.OwnershipLost()
 }
 
 // gained starts the ownership, unless leadership of the term has ended meanwhile.
@@ -169,11 +169,11 @@
 		return
 	}
 	m.owned = true
-	m.owner.Gained(now, m.store.Instances(""))
+	m.owner.OwnershipGained(now, m.store.Instances(""))
 }
 
 // beat decides on a heartbeat. owned is false while this replica does not own the shard.
-func (m *registryMachine) beat(now time.Time, beat registry.Beat) (decision registry.Decision, owned bool) {
+func (m *registryMachine) beat(now time.Time, beat registry.Heartbeat) (decision registry.Decision, owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.owned {
@@ -182,17 +182,17 @@
 	if m.isGone(beat) {
 		return registry.Decision{Action: registry.Acknowledge}, true
 	}
-	return m.owner.Beat(now, beat, m.store.Instance(beat.ID)), true
+	return m.owner.Heartbeat(now, beat, m.store.Instance(beat.ID)), true
 }
 
 // isGone tells whether a heartbeat is of an instance that is gone for good: it may serve on, and its words change nothing. The IDs of
 // nodes come back. The caller holds the mutex.
-func (m *registryMachine) isGone(beat registry.Beat) bool {
+func (m *registryMachine) isGone(beat registry.Heartbeat) bool {
 	return beat.Service != registry.NodesService && m.store.Removed(beat.ID)
 }
 
 // records tells whether the store has just what a heartbeat says, or that its instance is gone for good.
-func (m *registryMachine) records(beat registry.Beat) bool {
+func (m *registryMachine) records(beat registry.Heartbeat) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	held := m.store.Instance(beat.ID)
@@ -207,7 +207,7 @@
 		return false
 	}
 	for _, one := range instances {
-		m.owner.Heard(now, one.ID, uint64(one.Sequence))
+		m.owner.RemoteHeartbeat(now, one.ID, uint64(one.Sequence))
 	}
 	return true
 }
--- a/internal/controlplane/server/nodes.go
+++ b/internal/controlplane/server/nodes.go
@@ -137,8 +137,8 @@
 	return succeeded(emptyObject)
 }
 
-func nodeBeat(one node) registry.Beat {
-	return registry.Beat{Instance: registry.Instance{
+func nodeBeat(one node) registry.Heartbeat {
+	return registry.Heartbeat{Instance: registry.Instance{
 		ID: one.ID, Service: registry.NodesService, Address: one.Address, Zone: one.Zone, Slots: 1, State: registry.Ready,
 	}}
 }
--- a/internal/controlplane/server/presence.go
+++ b/internal/controlplane/server/presence.go
@@ -44,7 +44,7 @@
 
 // acknowledgeHere tells whether a heartbeat may be acknowledged without its shard's owner: this replica is current and
 // has just what the heartbeat says. The owner is told within presenceInterval that the instance was heard.
-func (k *Keeper) acknowledgeHere(shard shards.ID, beat registry.Beat) bool {
+func (k *Keeper) acknowledgeHere(shard shards.ID, beat registry.Heartbeat) bool {
 	machine := k.instances(shard)
 	status := k.shards[shard].group.Status()
 	if machine == nil || status.IsLeader() {
--- a/internal/controlplane/server/presence_test.go
+++ b/internal/controlplane/server/presence_test.go
@@ -16,11 +16,11 @@
 )
 
 // withRecord returns a keeper that follows the shard of an instance and has its record.
-func withRecord(t *testing.T) (*Keeper, *scriptedGroup, registry.Beat) {
+func withRecord(t *testing.T) (*Keeper, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
 	k, groups, _ := scripted(t)
 	id := shards.Of(presentService)
-	beat, err := registry.ParseBeat(presentID, []byte(beatOf("ready", 1)))
+	beat, err := registry.ParseHeartbeat(presentID, []byte(beatOf("ready", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,18 +47,18 @@
 }
 
 func TestBeatGoesToTheOwner(t *testing.T) {
-	cases := map[string]func(k *Keeper, group *scriptedGroup, beat *registry.Beat){
-		"draining":        func(_ *Keeper, _ *scriptedGroup, beat *registry.Beat) { beat.State = registry.Draining },
-		"another stage":   func(_ *Keeper, _ *scriptedGroup, beat *registry.Beat) { beat.Stage = "decode" },
-		"another address": func(_ *Keeper, _ *scriptedGroup, beat *registry.Beat) { beat.Address = "10.9.9.9:9" },
-		"not recorded":    func(_ *Keeper, _ *scriptedGroup, beat *registry.Beat) { beat.ID = "i-2" },
-		"not current": func(_ *Keeper, group *scriptedGroup, _ *registry.Beat) {
+	cases := map[string]func(k *Keeper, group *scriptedGroup, beat *registry.Heartbeat){
+		"draining":        func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.State = registry.Draining },
+		"another stage":   func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.Stage = "decode" },
+		"another address": func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.Address = "10.9.9.9:9" },
+		"not recorded":    func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.ID = "i-2" },
+		"not current": func(_ *Keeper, group *scriptedGroup, _ *registry.Heartbeat) {
 			status := followerOf("b")
 			status.ConfirmedAge = 2 * currencyAge
 			group.set(status)
 		},
-		"leads itself": func(_ *Keeper, group *scriptedGroup, _ *registry.Beat) { group.set(leaderStatus()) },
-		"removed": func(k *Keeper, _ *scriptedGroup, _ *registry.Beat) {
+		"leads itself": func(_ *Keeper, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
+		"removed": func(k *Keeper, _ *scriptedGroup, _ *registry.Heartbeat) {
 			k.instances(shards.Of(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
 		},
 	}
--- a/internal/controlplane/server/trouble_test.go
+++ b/internal/controlplane/server/trouble_test.go
@@ -79,7 +79,7 @@
 		apply(shards.Configuration, uint64(index+1), configuration.EncodeCommand(change))
 	}
 	for index, id := range []string{removedID, presentID} {
-		beat, err := registry.ParseBeat(id, []byte(beatOf("ready", 1)))
+		beat, err := registry.ParseHeartbeat(id, []byte(beatOf("ready", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dataplane/dispatch/try.go
+++ b/internal/dataplane/dispatch/try.go
@@ -202,7 +202,7 @@
 	view := t.d.view.Load()
 	for _, other := range view.Workers[t.service.Name] {
 		if other.ID == worker.ID {
-			return !other.Turning()
+			return !other.Transitioning()
 		}
 	}
 	return false
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -109,7 +109,7 @@
 		w.kept.capacity = s.memory()
 		s.workers[entry.ID] = w
 		s.byNumber[w.number] = w
-		if !entry.Turning() {
+		if !entry.Transitioning() {
 			s.byClass[w.class] = append(s.byClass[w.class], w)
 		}
 	}
