--- a/cmd/inference-router/main.go
+++ b/cmd/inference-router/main.go
@@ -97,7 +97,7 @@
 
 // runRole runs one process until it is told to end by SIGTERM or SIGINT.
 func runRole(role string, command *roleCommand, run runner, errors io.Writer) int {
-	loaded, err := bootconfig.LoadWhole(command.Settings)
+	loaded, err := bootconfig.LoadWithRetry(command.Settings)
 	if err != nil {
 		fmt.Fprintln(errors, err)
 		return exitUsage
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -21,10 +21,10 @@
 
 // Ports of the machine's range that the agent knows of, by their place in it.
 const (
-	feedPortPlace  = 0 // of keepers: where they serve the feed
-	proxyPortPlace = 1 // on loopback: where the agent serves its proxy
-	probePortPlace = 2 // where agents answer the probes of others
-	portsNeeded    = 3
+	feedPortOffset  = 0 // of keepers: where they serve the feed
+	proxyPortOffset = 1 // on loopback: where the agent serves its proxy
+	probePortOffset = 2 // where agents answer the probes of others
+	portsNeeded     = 3
 )
 
 const (
@@ -42,11 +42,11 @@
 	ProbePeers bool // take part in the probing between agents
 	Probing    membership.Options
 
-	Dial       func(ctx context.Context, address string) (net.Conn, error)     // of keepers; nil: feedlink.Dial
-	Listen     func(ctx context.Context, address string) (net.Listener, error) // for the proxy; nil: feedlink.Listen
-	Random     func() uint64                                                   // nil: rand.Uint64
-	StaleAfter time.Duration                                                   // how long a keeper may not be current; zero: feedlink.StaleAfter
-	Origin     time.Time                                                       // of the grid of statuses; zero: the start of the process
+	Dial         func(ctx context.Context, address string) (net.Conn, error)     // of keepers; nil: feedlink.Dial
+	Listen       func(ctx context.Context, address string) (net.Listener, error) // for the proxy; nil: feedlink.Listen
+	Random       func() uint64                                                   // nil: rand.Uint64
+	StaleTimeout time.Duration                                                   // how long a keeper may not be current; zero: feedlink.StaleAfter
+	Origin       time.Time                                                       // of the grid of statuses; zero: the start of the process
 }
 
 func (o Options) withDefaults() Options {
@@ -83,25 +83,25 @@
 	}
 	options = options.withDefaults()
 	store := newStore()
-	client := newKeeperClient(config, ports.feed, options, store, log)
-	front, err := newProxyFront(ctx, ports.proxy, options, store, client.Report)
+	client := newFeedClient(config, ports.feed, options, store, log)
+	proxies, err := newProxyServer(ctx, ports.proxy, options, store, client.Report)
 	if err != nil {
 		return fmt.Errorf("agent: listen for the proxy: %w", err)
 	}
-	store.onReport(front.broadcast)
+	store.setReportHandler(proxies.broadcast)
 	if options.ProbePeers {
 		stop, err := startProbing(ctx, config.IP, ports.probe, options.Probing, store, client.Report)
 		if err != nil {
-			front.close()
+			proxies.close()
 			return fmt.Errorf("agent: open the port for probes: %w", err)
 		}
 		defer stop()
 	}
-	go front.accept()
+	go proxies.accept()
 	log.Info("agent started", zap.String("node", config.NodeName))
 
 	_ = client.Run(ctx)
-	front.drain(drainLimit(config.Bounds))
+	proxies.drain(drainTimeout(config.Bounds))
 	log.Info("agent stopped")
 	return nil
 }
@@ -114,9 +114,9 @@
 		return machinePorts{}, fmt.Errorf("%w: %d to %d", ErrPorts, first, last)
 	}
 	return machinePorts{
-		feed:  first + feedPortPlace,
-		proxy: first + proxyPortPlace,
-		probe: first + probePortPlace,
+		feed:  first + feedPortOffset,
+		proxy: first + proxyPortOffset,
+		probe: first + probePortOffset,
 	}, nil
 }
 
@@ -128,12 +128,12 @@
 	}
 }
 
-// drainLimit says how long the proxy is served after the signal to stop.
-func drainLimit(bounds bootconfig.Bounds) time.Duration {
+// drainTimeout says how long the proxy is served after the signal to stop.
+func drainTimeout(bounds bootconfig.Bounds) time.Duration {
 	return max(bootconfig.Seconds(bounds.GraceS)-graceMargin, graceMargin)
 }
 
-func newKeeperClient(config bootconfig.Settings, feedPort int, options Options, store *store, log *zap.Logger) *feedtransport.Client {
+func newFeedClient(config bootconfig.Settings, feedPort int, options Options, store *store, log *zap.Logger) *feedtransport.Client {
 	return feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello: feedtransport.Hello{
 			Node:        config.NodeName,
@@ -144,15 +144,15 @@
 			Incarnation: options.Random(),
 			Compressed:  true,
 		},
-		Choice: feedtransport.ChoiceOptions{
-			Node:       config.NodeName,
-			Zone:       config.Zone,
-			Region:     config.Region,
-			Seeds:      config.Seeds,
-			FeedPort:   feedPort,
-			StaleAfter: options.StaleAfter,
+		Selector: feedtransport.SelectorOptions{
+			Node:         config.NodeName,
+			Zone:         config.Zone,
+			Region:       config.Region,
+			Seeds:        config.Seeds,
+			FeedPort:     feedPort,
+			StaleTimeout: options.StaleTimeout,
 		},
 		Dial:   options.Dial,
 		Random: options.fraction,
-	}, &upstream{store: store, log: log})
+	}, &feedHandler{store: store, log: log})
 }
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	keeperIP  = "127.0.0.2"
+	serverIP  = "127.0.0.2"
 	agentIP   = "127.0.0.3"
 	waitLimit = 20 * time.Second // generous: the machine may be busy
 )
 
-// keeperStandIn serves a store of the agent's own kind as a keeper would.
-type keeperStandIn struct {
+// fakeServer serves a store of the agent's own kind as a keeper would.
+type fakeServer struct {
 	*store
 	listener net.Listener
 	reports  chan feedtransport.Report
@@ -37,13 +37,13 @@
 	sessions []*feedtransport.Session
 }
 
-func startKeeper(t *testing.T) (keeper *keeperStandIn, port int) {
+func startServer(t *testing.T) (server *fakeServer, port int) {
 	t.Helper()
 	listener, port := listenWithFreePorts(t)
-	keeper = &keeperStandIn{store: newStore(), listener: listener, reports: make(chan feedtransport.Report, 10)}
-	go keeper.serve(t.Context())
+	server = &fakeServer{store: newStore(), listener: listener, reports: make(chan feedtransport.Report, 10)}
+	go server.serve(t.Context())
 	t.Cleanup(func() { _ = listener.Close() })
-	return keeper, port
+	return server, port
 }
 
 // listenWithFreePorts opens the keeper's listener on a port after which the agent's are free. Ports come
@@ -53,7 +53,7 @@
 	const lowest, count, attempts = 20000, 10000, 100
 	for range attempts {
 		port = lowest + rand.IntN(count)
-		listener, err := feedtransport.Listen(t.Context(), net.JoinHostPort(keeperIP, strconv.Itoa(port)))
+		listener, err := feedtransport.Listen(t.Context(), net.JoinHostPort(serverIP, strconv.Itoa(port)))
 		if err != nil {
 			continue
 		}
@@ -68,12 +68,12 @@
 
 func portsAreFree(t *testing.T, port int) bool {
 	t.Helper()
-	forProxy, err := feedtransport.Listen(t.Context(), feedtransport.LoopbackAddress(port+proxyPortPlace))
+	forProxy, err := feedtransport.Listen(t.Context(), feedtransport.LoopbackAddress(port+proxyPortOffset))
 	if err != nil {
 		return false
 	}
 	_ = forProxy.Close()
-	forProbes, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(agentIP), Port: port + probePortPlace})
+	forProbes, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(agentIP), Port: port + probePortOffset})
 	if err != nil {
 		return false
 	}
@@ -81,7 +81,7 @@
 	return true
 }
 
-func (k *keeperStandIn) serve(ctx context.Context) {
+func (k *fakeServer) serve(ctx context.Context) {
 	for {
 		connection, err := k.listener.Accept()
 		if err != nil {
@@ -103,11 +103,11 @@
 	}
 }
 
-func (k *keeperStandIn) OnReport(_ feedtransport.Hello, topic string, body []byte) {
+func (k *fakeServer) OnReport(_ feedtransport.Hello, topic string, body []byte) {
 	k.reports <- feedtransport.Report{Topic: topic, Body: body}
 }
 
-func (k *keeperStandIn) commit(t *testing.T, shard shards.ID, index uint64, key, value string) {
+func (k *fakeServer) commit(t *testing.T, shard shards.ID, index uint64, key, value string) {
 	t.Helper()
 	change := feed.Change{Index: index, Put: []feed.Item{{Key: key, Value: []byte(value)}}}
 	if err := k.change(shard, change); err != nil {
@@ -121,7 +121,7 @@
 	k.wakeAll()
 }
 
-func (k *keeperStandIn) broadcast(topic string, body []byte) {
+func (k *fakeServer) broadcast(topic string, body []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, session := range k.sessions {
@@ -129,31 +129,31 @@
 	}
 }
 
-// proxyStandIn tells a test what it receives.
-type proxyStandIn struct{ events chan string }
+// fakeProxy tells a test what it receives.
+type fakeProxy struct{ events chan string }
 
-func (p proxyStandIn) Snapshot(_ shards.ID, snapshot feed.Snapshot) {
+func (p fakeProxy) Snapshot(_ shards.ID, snapshot feed.Snapshot) {
 	for _, item := range snapshot.Items {
 		p.events <- item.Key + "=" + string(item.Value)
 	}
 }
 
-func (p proxyStandIn) Change(_ shards.ID, change feed.Change) {
+func (p fakeProxy) Change(_ shards.ID, change feed.Change) {
 	p.Snapshot(0, feed.Snapshot{Items: change.Put})
 }
 
-func (p proxyStandIn) Status(status feedtransport.Status) {
+func (p fakeProxy) Status(status feedtransport.Status) {
 	p.events <- "current " + strconv.FormatBool(status.Current())
 }
 
-func (p proxyStandIn) Connected(string) { p.events <- "connected" }
+func (p fakeProxy) Connected(string) { p.events <- "connected" }
 
-func (p proxyStandIn) Disconnected(error) { p.events <- "disconnected" }
+func (p fakeProxy) Disconnected(error) { p.events <- "disconnected" }
 
-func (p proxyStandIn) Report(report feedtransport.Report) { p.events <- "report " + report.Topic }
+func (p fakeProxy) Report(report feedtransport.Report) { p.events <- "report " + report.Topic }
 
 // expect waits for an event and passes over others.
-func (p proxyStandIn) expect(t *testing.T, wanted string) {
+func (p fakeProxy) expect(t *testing.T, wanted string) {
 	t.Helper()
 	limit := time.After(waitLimit)
 	for {
@@ -174,7 +174,7 @@
 		IP:        agentIP,
 		Zone:      "a",
 		PortRange: [2]int{feedPort, feedPort + portsNeeded - 1},
-		Seeds:     []string{keeperIP + ":1"},
+		Seeds:     []string{serverIP + ":1"},
 		Limits:    bootconfig.Limits{MemoryMb: 200},
 		Bounds:    bootconfig.Bounds{GraceS: 8},
 	}
@@ -190,9 +190,9 @@
 	return cancel, done
 }
 
-func startProxy(t *testing.T, agentPort int) (client *feedtransport.Client, proxy proxyStandIn, stop func()) {
+func startProxy(t *testing.T, agentPort int) (client *feedtransport.Client, proxy fakeProxy, stop func()) {
 	t.Helper()
-	proxy = proxyStandIn{events: make(chan string, 100)}
+	proxy = fakeProxy{events: make(chan string, 100)}
 	client = feedtransport.NewProxyClient(feedtransport.Hello{Node: "edge-1"}, agentPort, proxy)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -221,20 +221,20 @@
 }
 
 func TestTheProxyGetsWhatTheKeeperCommits(t *testing.T) {
-	keeper, port := startKeeper(t)
-	keeper.commit(t, 0, 3, "route/a", "1")
+	server, port := startServer(t)
+	server.commit(t, 0, 3, "route/a", "1")
 	stop, done := startAgent(t, agentSettings(port))
-	client, proxy, stopProxy := startProxy(t, port+proxyPortPlace)
+	client, proxy, stopProxy := startProxy(t, port+proxyPortOffset)
 	proxy.expect(t, "route/a=1")
 	proxy.expect(t, "current true")
 
-	keeper.commit(t, 0, 5, "route/b", "2")
+	server.commit(t, 0, 5, "route/b", "2")
 	proxy.expect(t, "route/b=2")
-	keeper.broadcast("finding", nil)
+	server.broadcast("finding", nil)
 	proxy.expect(t, "report finding")
 	client.Report("budget", []byte("x"))
 	select {
-	case report := <-keeper.reports:
+	case report := <-server.reports:
 		if report.Topic != "budget" || string(report.Body) != "x" {
 			t.Errorf("got %+v", report)
 		}
@@ -254,12 +254,12 @@
 }
 
 func TestAProxySeesNothingBeforeTheStoreIsWhole(t *testing.T) {
-	keeper, port := startKeeper(t)
+	server, port := startServer(t)
 	_, _ = startAgent(t, agentSettings(port))
-	_, proxy, _ := startProxy(t, port+proxyPortPlace)
+	_, proxy, _ := startProxy(t, port+proxyPortOffset)
 	proxy.expect(t, "connected")
-	keeper.commit(t, 0, 3, "route/a", "1")
-	keeper.commit(t, 1, 4, "worker", "2")
+	server.commit(t, 0, 3, "route/a", "1")
+	server.commit(t, 1, 4, "worker", "2")
 	var seen []string
 	for len(seen) == 0 || seen[len(seen)-1] != "current true" {
 		select {
@@ -278,42 +278,42 @@
 func TestAConfigurationThatMayBeOldIsPassedOnSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		from := &upstream{store: store, log: zap.NewNop()}
+		from := &feedHandler{store: store, log: zap.NewNop()}
 		from.Snapshot(shards.Configuration, feed.Snapshot{Index: 7})
 		from.Status(feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: shards.Configuration}}})
-		time.Sleep(wholeAfter - 1)
+		time.Sleep(staleStateDelay - 1)
 		synctest.Wait()
 		select {
-		case <-store.whole:
+		case <-store.ready:
 			t.Error("too early: a current keeper may answer meanwhile")
 		default:
 		}
 		time.Sleep(time.Nanosecond)
-		<-store.whole
+		<-store.ready
 	})
 }
 
 func TestAStateThatIsNotCurrentIsPassedOnAfterAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		from := &upstream{store: store, log: zap.NewNop()}
+		from := &feedHandler{store: store, log: zap.NewNop()}
 		notCurrent := feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: 0}}}
 		from.Status(notCurrent)
-		time.Sleep(wholeAtLast - 1)
+		time.Sleep(maxReadyDelay - 1)
 		from.Status(notCurrent)
 		select {
-		case <-store.whole:
+		case <-store.ready:
 			t.Error("too early")
 		default:
 		}
 		time.Sleep(time.Nanosecond)
 		from.Status(notCurrent)
-		<-store.whole
+		<-store.ready
 	})
 }
 
 func TestAnAgentWithoutAProxyEndsAtOnce(t *testing.T) {
-	_, port := startKeeper(t)
+	_, port := startServer(t)
 	stop, done := startAgent(t, agentSettings(port))
 	stop()
 	awaitEnd(t, done)
@@ -329,16 +329,16 @@
 
 func TestTheDrainEndsThoughTheProxyStays(t *testing.T) {
 	store := newStore()
-	store.markWhole()
-	front, err := newProxyFront(t.Context(), 0, Options{}.withDefaults(), store, nil)
+	store.markReady()
+	proxies, err := newProxyServer(t.Context(), 0, Options{}.withDefaults(), store, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go front.accept()
-	_, proxy, _ := startProxy(t, front.listener.Addr().(*net.TCPAddr).Port)
+	go proxies.accept()
+	_, proxy, _ := startProxy(t, proxies.listener.Addr().(*net.TCPAddr).Port)
 	proxy.expect(t, "connected")
 	proxy.expect(t, "current false")
-	front.drain(time.Millisecond)
+	proxies.drain(time.Millisecond)
 	proxy.expect(t, "disconnected")
 }
 
@@ -364,7 +364,7 @@
 	if _, err := peer.Write(question.Encode(nil)); err != nil {
 		t.Fatal(err)
 	}
-	answer := make([]byte, packetBuffer)
+	answer := make([]byte, maxPacketBytes)
 	_ = peer.SetReadDeadline(time.Now().Add(waitLimit))
 	count, err := peer.Read(answer)
 	if err != nil {
--- a/internal/controlplane/agent/probing.go
+++ b/internal/controlplane/agent/probing.go
@@ -21,7 +21,7 @@
 	nodesInterval = 5 * time.Second
 	// readRetryAfter is the wait after a failed read of the socket that is no timeout.
 	readRetryAfter = 100 * time.Millisecond
-	packetBuffer   = 64 // bytes, more than a packet has
+	maxPacketBytes = 64 // bytes, more than a packet has
 )
 
 // probing drives a prober with one UDP socket and one goroutine.
@@ -73,7 +73,7 @@
 
 // run reads packets and does what is due until ctx ends.
 func (p *probing) run(ctx context.Context) {
-	var buffer [packetBuffer]byte
+	var buffer [maxPacketBytes]byte
 	for ctx.Err() == nil {
 		_ = p.socket.SetReadDeadline(p.nextAt())
 		count, from, err := p.socket.ReadFromUDPAddrPort(buffer[:])
@@ -88,7 +88,7 @@
 		}
 		p.refreshNodes(now)
 		if at, ok := p.prober.NextAt(); ok && !now.Before(at) {
-			p.carryOut(p.prober.Tick(now))
+			p.execute(p.prober.Tick(now))
 		}
 	}
 }
@@ -108,10 +108,10 @@
 		return
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	p.carryOut(p.prober.Receive(now, from, packet))
+	p.execute(p.prober.Receive(now, from, packet))
 }
 
-func (p *probing) carryOut(actions membership.Actions) {
+func (p *probing) execute(actions membership.Actions) {
 	for _, out := range actions.Send {
 		p.sendBuffer = out.Packet.Encode(p.sendBuffer[:0])
 		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // a lost packet is asked about again
--- a/internal/controlplane/agent/proxy_server.go
+++ b/internal/controlplane/agent/proxy_server.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	helloLimit       = 2 * time.Second       // for the first frame of a connection
+	helloTimeout     = 2 * time.Second       // for the first frame of a connection
 	acceptRetryAfter = 50 * time.Millisecond // after a failure of accept, such as too few descriptors
 )
 
-// proxyFront serves the feed to the proxy of this machine.
-type proxyFront struct {
+// proxyServer serves the feed to the proxy of this machine.
+type proxyServer struct {
 	listener net.Listener
 	source   feedtransport.Source
 	origin   time.Time       // of the grid of statuses
-	whole    <-chan struct{} // closed once there is something to serve
+	ready    <-chan struct{} // closed once there is something to serve
 	stopping <-chan struct{} // closed with the signal to stop
 
 	cancel context.CancelFunc
@@ -33,44 +33,44 @@
 	idle     chan struct{} // closed once closed is set and the last session has ended
 }
 
-func newProxyFront(
+func newProxyServer(
 	ctx context.Context, port int, options Options, store *store, report func(topic string, body []byte),
-) (*proxyFront, error) {
+) (*proxyServer, error) {
 	listener, err := options.Listen(ctx, feedtransport.LoopbackAddress(port))
 	if err != nil {
 		return nil, err
 	}
-	front := &proxyFront{
+	proxies := &proxyServer{
 		listener: listener,
 		source:   proxySource{store: store, report: report},
 		origin:   options.Origin,
-		whole:    store.whole,
+		ready:    store.ready,
 		stopping: ctx.Done(),
 		sessions: make(map[*feedtransport.Session]struct{}),
 		idle:     make(chan struct{}),
 	}
-	front.ctx, front.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	return front, nil
+	proxies.ctx, proxies.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	return proxies, nil
 }
 
 // accept serves connections until the listener is closed.
-func (f *proxyFront) accept() {
+func (s *proxyServer) accept() {
 	for {
-		connection, err := f.listener.Accept()
+		connection, err := s.listener.Accept()
 		if err == nil {
-			go f.serve(connection)
+			go s.serve(connection)
 			continue
 		}
-		if f.isClosed() {
+		if s.isClosed() {
 			return
 		}
 		time.Sleep(acceptRetryAfter)
 	}
 }
 
-func (f *proxyFront) serve(connection net.Conn) {
+func (s *proxyServer) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
-	kind, body, err := feedtransport.ReadFirstFrame(connection, helloLimit)
+	kind, body, err := feedtransport.ReadFirstFrame(connection, helloTimeout)
 	if err != nil || kind != feedtransport.KindHello {
 		return
 	}
@@ -78,86 +78,86 @@
 	if err != nil {
 		return
 	}
-	if !f.awaitWhole() {
+	if !s.awaitReady() {
 		return
 	}
-	options := feedtransport.SessionOptions{StatusInterval: feedtransport.LoopbackStatusInterval, Origin: f.origin}
-	session := feedtransport.NewSession(connection, hello, f.source, options)
-	if !f.add(session) {
+	options := feedtransport.SessionOptions{StatusInterval: feedtransport.LoopbackStatusInterval, Origin: s.origin}
+	session := feedtransport.NewSession(connection, hello, s.source, options)
+	if !s.add(session) {
 		return
 	}
-	defer f.remove(session)
-	_ = session.Run(f.ctx)
+	defer s.remove(session)
+	_ = session.Run(s.ctx)
 }
 
-// awaitWhole waits until there is something to serve. It is false if the agent stops before.
-func (f *proxyFront) awaitWhole() bool {
+// awaitReady waits until there is something to serve. It is false if the agent stops before.
+func (s *proxyServer) awaitReady() bool {
 	select {
-	case <-f.whole:
+	case <-s.ready:
 		return true
-	case <-f.stopping:
+	case <-s.stopping:
 		return false
 	}
 }
 
-func (f *proxyFront) add(session *feedtransport.Session) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
+func (s *proxyServer) add(session *feedtransport.Session) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return false
 	}
-	f.sessions[session] = struct{}{}
+	s.sessions[session] = struct{}{}
 	return true
 }
 
-func (f *proxyFront) remove(session *feedtransport.Session) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.sessions, session)
-	if f.closed && len(f.sessions) == 0 {
-		close(f.idle)
+func (s *proxyServer) remove(session *feedtransport.Session) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.sessions, session)
+	if s.closed && len(s.sessions) == 0 {
+		close(s.idle)
 	}
 }
 
-func (f *proxyFront) isClosed() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.closed
+func (s *proxyServer) isClosed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closed
 }
 
 // broadcast passes a report of the keeper on.
-func (f *proxyFront) broadcast(report feedtransport.Report) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for session := range f.sessions {
+func (s *proxyServer) broadcast(report feedtransport.Report) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for session := range s.sessions {
 		session.Send(report.Topic, report.Body)
 	}
 }
 
 // close takes no more connections.
-func (f *proxyFront) close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
+func (s *proxyServer) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return
 	}
-	f.closed = true
-	_ = f.listener.Close()
-	if len(f.sessions) == 0 {
-		close(f.idle)
+	s.closed = true
+	_ = s.listener.Close()
+	if len(s.sessions) == 0 {
+		close(s.idle)
 	}
 }
 
 // drain takes no more connections and returns once those that are open have ended, or after limit.
-func (f *proxyFront) drain(limit time.Duration) {
-	f.close()
-	timer := time.NewTimer(limit)
+func (s *proxyServer) drain(timeout time.Duration) {
+	s.close()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-f.idle:
+	case <-s.idle:
 	case <-timer.C:
 	}
-	f.cancel()
+	s.cancel()
 }
 
 // proxySource is the store together with the way that the proxy's reports take.
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -14,21 +14,21 @@
 // was away for longer gets a snapshot, over loopback.
 const backlogBytes = 64 << 10
 
-// toldFor is how long a keeper's word counts that it is current. The agent leaves a keeper that is silent for so long, but
+// currencyTTL is how long a keeper's word counts that it is current. The agent leaves a keeper that is silent for so long, but
 // not before it runs again where it stood still itself.
-const toldFor = feedtransport.SilentAfter + feedtransport.StatusInterval
+const currencyTTL = feedtransport.ReceiveTimeout + feedtransport.StatusInterval
 
 // store holds the items of all shards as the keeper sent them.
 type store struct {
-	mu       sync.Mutex
-	buffers  map[shards.ID]*feed.Buffer
-	current  map[shards.ID]bool // by the keeper's last status; empty without a keeper
-	toldAt   time.Time          // when that status came
-	wakes    map[chan<- struct{}]struct{}
-	toReport func(report feedtransport.Report)
-
-	whole     chan struct{} // closed once the store is fit for readers
-	wholeOnce sync.Once
+	mu            sync.Mutex
+	buffers       map[shards.ID]*feed.Buffer
+	current       map[shards.ID]bool // by the keeper's last status; empty without a keeper
+	statusAt      time.Time          // when that status came
+	wakes         map[chan<- struct{}]struct{}
+	reportHandler func(report feedtransport.Report)
+
+	ready     chan struct{} // closed once the store is fit for readers
+	readyOnce sync.Once
 }
 
 func newStore() *store {
@@ -36,15 +36,15 @@
 		buffers: make(map[shards.ID]*feed.Buffer),
 		current: make(map[shards.ID]bool),
 		wakes:   make(map[chan<- struct{}]struct{}),
-		whole:   make(chan struct{}),
+		ready:   make(chan struct{}),
 	}
 }
 
-// markWhole lets readers in: all shards have come as far as a keeper had them.
-func (s *store) markWhole() { s.wholeOnce.Do(func() { close(s.whole) }) }
+// markReady lets readers in: all shards have come as far as a keeper had them.
+func (s *store) markReady() { s.readyOnce.Do(func() { close(s.ready) }) }
 
-// onReport sets what becomes of the keeper's reports. It is called before the feed is read.
-func (s *store) onReport(take func(report feedtransport.Report)) { s.toReport = take }
+// setReportHandler sets what becomes of the keeper's reports. It is called before the feed is read.
+func (s *store) setReportHandler(take func(report feedtransport.Report)) { s.reportHandler = take }
 
 func (s *store) reset(shard shards.ID, snapshot feed.Snapshot) {
 	s.mu.Lock()
@@ -87,7 +87,7 @@
 		known, ok := s.current[shard.Shard]
 		changed = changed || !ok || known != shard.Current
 	}
-	s.toldAt = time.Now()
+	s.statusAt = time.Now()
 	clear(s.current)
 	for _, shard := range status {
 		s.current[shard.Shard] = shard.Current
@@ -118,12 +118,12 @@
 
 // sortedShards lists the shards that there is anything of. The caller holds mu.
 func (s *store) sortedShards() []shards.ID {
-	held := make([]shards.ID, 0, len(s.buffers))
+	ids := make([]shards.ID, 0, len(s.buffers))
 	for shard := range s.buffers {
-		held = append(held, shard)
+		ids = append(ids, shard)
 	}
-	slices.Sort(held)
-	return held
+	slices.Sort(ids)
+	return ids
 }
 
 // Since implements feedlink.Source.
@@ -146,10 +146,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var status feedtransport.Status
-	told := time.Since(s.toldAt) <= toldFor
+	confirmed := time.Since(s.statusAt) <= currencyTTL
 	for _, shard := range s.sortedShards() {
 		status.Shards = append(status.Shards, feedtransport.ShardStatus{
-			Shard: shard, Index: s.buffers[shard].Index(), Current: told && s.current[shard],
+			Shard: shard, Index: s.buffers[shard].Index(), Current: confirmed && s.current[shard],
 		})
 	}
 	return status
--- a/internal/controlplane/agent/store_test.go
+++ b/internal/controlplane/agent/store_test.go
@@ -22,7 +22,7 @@
 		}
 		word := []feedtransport.ShardStatus{{Shard: shards.Configuration, Index: 3, Current: true}}
 		s.setCurrent(word)
-		time.Sleep(toldFor)
+		time.Sleep(currencyTTL)
 		if !current() {
 			t.Fatal("the keeper's word does not count for long enough")
 		}
--- a/internal/controlplane/feedtransport/candidates.go
+++ b/internal/controlplane/feedtransport/candidates.go
@@ -23,49 +23,49 @@
 	distance distance
 	rank     uint64 // by rendezvous hashing of the node with the address: the highest comes first
 
-	failures   int // since it was last current
-	avoidUntil time.Time
-	triedAt    time.Time
+	failures    int // since it was last current
+	avoidUntil  time.Time
+	attemptedAt time.Time
 }
 
 func (c *candidate) avoided(now time.Time) bool { return now.Before(c.avoidUntil) }
 
 // candidateList holds the seeds and the keepers that were learned.
 type candidateList struct {
-	options ChoiceOptions
-	all     []*candidate
+	options    SelectorOptions
+	candidates []*candidate
 }
 
-func newCandidateList(options ChoiceOptions) candidateList {
+func newCandidateList(options SelectorOptions) candidateList {
 	list := candidateList{options: options}
-	if options.Fixed != "" {
-		list.all = []*candidate{{address: options.Fixed}}
+	if options.FixedServer != "" {
+		list.candidates = []*candidate{{address: options.FixedServer}}
 		return list
 	}
-	list.learn(nil)
+	list.update(nil)
 	return list
 }
 
-func (l *candidateList) len() int { return len(l.all) }
+func (l *candidateList) len() int { return len(l.candidates) }
 
-// learn replaces the keepers that were learned before, and keeps what is known of those that stay.
+// update replaces the keepers that were learned before, and keeps what is known of those that stay.
 // An empty list changes nothing but that the seeds are there.
-func (l *candidateList) learn(keepers []Keeper) {
-	if l.options.Fixed != "" || (len(keepers) == 0 && len(l.all) > 0) {
+func (l *candidateList) update(servers []ServerEndpoint) {
+	if l.options.FixedServer != "" || (len(servers) == 0 && len(l.candidates) > 0) {
 		return
 	}
 	var next []*candidate
-	for _, keeper := range keepers {
-		next = l.include(next, keeper.Address, l.distanceTo(keeper))
+	for _, server := range servers {
+		next = l.include(next, server.Address, l.distanceTo(server))
 	}
 	for _, seed := range l.options.Seeds {
 		next = l.include(next, seed, unlisted)
 	}
-	l.all = next
+	l.candidates = next
 }
 
 // include adds the server of an address to the list unless it is there already.
-func (l *candidateList) include(list []*candidate, address string, away distance) []*candidate {
+func (l *candidateList) include(list []*candidate, address string, proximity distance) []*candidate {
 	feedAddress, ok := FeedAddress(address, l.options.FeedPort)
 	if !ok {
 		return list
@@ -74,19 +74,19 @@
 	if slices.ContainsFunc(list, hasAddress) {
 		return list
 	}
-	if known := slices.IndexFunc(l.all, hasAddress); known >= 0 {
-		l.all[known].distance = away
-		return append(list, l.all[known])
+	if known := slices.IndexFunc(l.candidates, hasAddress); known >= 0 {
+		l.candidates[known].distance = proximity
+		return append(list, l.candidates[known])
 	}
 	rank := rendezvousRank(l.options.Node, feedAddress)
-	return append(list, &candidate{address: feedAddress, distance: away, rank: rank})
+	return append(list, &candidate{address: feedAddress, distance: proximity, rank: rank})
 }
 
-func (l *candidateList) distanceTo(keeper Keeper) distance {
+func (l *candidateList) distanceTo(server ServerEndpoint) distance {
 	switch {
-	case keeper.Zone != "" && keeper.Zone == l.options.Zone:
+	case server.Zone != "" && server.Zone == l.options.Zone:
 		return sameZone
-	case keeper.Region != "" && keeper.Region == l.options.Region:
+	case server.Region != "" && server.Region == l.options.Region:
 		return sameRegion
 	}
 	return otherRegion
@@ -95,30 +95,30 @@
 // best returns the server to use: the nearest that did not fail lately, or, where all did, the one
 // that was tried the longest ago. It is nil if there is none.
 func (l *candidateList) best(now time.Time) *candidate {
-	if len(l.all) == 0 {
+	if len(l.candidates) == 0 {
 		return nil
 	}
-	return slices.MinFunc(l.all, func(a, b *candidate) int {
+	return slices.MinFunc(l.candidates, func(a, b *candidate) int {
 		return compareCandidates(a, b, now)
 	})
 }
 
-func compareCandidates(a, b *candidate, now time.Time) int {
-	if a.avoided(now) != b.avoided(now) {
-		if b.avoided(now) {
+func compareCandidates(left, right *candidate, now time.Time) int {
+	if left.avoided(now) != right.avoided(now) {
+		if right.avoided(now) {
 			return -1
 		}
 		return 1
 	}
-	if a.avoided(now) {
-		if order := a.triedAt.Compare(b.triedAt); order != 0 {
+	if left.avoided(now) {
+		if order := left.attemptedAt.Compare(right.attemptedAt); order != 0 {
 			return order
 		}
 	}
-	if order := cmp.Compare(a.distance, b.distance); order != 0 {
+	if order := cmp.Compare(left.distance, right.distance); order != 0 {
 		return order
 	}
-	return cmp.Compare(b.rank, a.rank)
+	return cmp.Compare(right.rank, left.rank)
 }
 
 // rendezvousRank hashes a node with a server's address.
--- a/internal/controlplane/feedtransport/client.go
+++ b/internal/controlplane/feedtransport/client.go
@@ -38,11 +38,11 @@
 
 // ClientOptions say who reads and from whom.
 type ClientOptions struct {
-	Hello  Hello // Offsets: what is held already
-	Choice ChoiceOptions
-	Dial   func(ctx context.Context, address string) (net.Conn, error) // nil: Dial
-	Random func() float64                                              // uniform in [0, 1); nil: rand.Float64
-	Omit   []Guard                                                     // guards left out, by tests alone
+	Hello    Hello // Offsets: what is held already
+	Selector SelectorOptions
+	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: Dial
+	Random   func() float64                                              // uniform in [0, 1); nil: rand.Float64
+	Omit     []Guard                                                     // guards left out, by tests alone
 }
 
 // Client reads the feed from one server at a time and goes to another when that one fails.
@@ -50,10 +50,10 @@
 	hello    Hello
 	handler  Handler
 	dial     func(ctx context.Context, address string) (net.Conn, error)
-	choice   *Choice
+	selector *ServerSelector
 	receiver *receiver
 	outbox   *outbox
-	keepers  []Keeper // that a server has named last; it names them again when they change
+	servers  []ServerEndpoint // that a server has named last; it names them again when they change
 }
 
 // NewClient prepares a client.
@@ -70,7 +70,7 @@
 		hello:    options.Hello,
 		handler:  handler,
 		dial:     dial,
-		choice:   NewChoice(options.Choice, random),
+		selector: NewServerSelector(options.Selector, random),
 		receiver: newReceiver(options.Hello.Offsets, options.Omit...),
 		outbox:   newOutbox(),
 	}
@@ -80,12 +80,12 @@
 // The agent's port is the second of the machine's range (settings' portRange[1]). Role is set.
 func NewProxyClient(hello Hello, agentPort int, handler Handler) *Client {
 	hello.Role = RoleProxy
-	choice := ChoiceOptions{
-		Node:        hello.Node,
-		Fixed:       LoopbackAddress(agentPort),
-		SilentAfter: LoopbackSilentAfter,
+	selector := SelectorOptions{
+		Node:           hello.Node,
+		FixedServer:    LoopbackAddress(agentPort),
+		ReceiveTimeout: LoopbackReceiveTimeout,
 	}
-	return NewClient(ClientOptions{Hello: hello, Choice: choice}, handler)
+	return NewClient(ClientOptions{Hello: hello, Selector: selector}, handler)
 }
 
 // LoopbackAddress is where an agent serves its proxy.
@@ -94,19 +94,19 @@
 // Run reads until ctx ends, and returns its error.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		address, wait := c.choice.Next(time.Now())
+		address, wait := c.selector.Next(time.Now())
 		if !pause(ctx, wait) {
 			break
 		}
 		err := c.attempt(ctx, address)
-		c.choice.Ended(time.Now(), err)
+		c.selector.AttemptEnded(time.Now(), err)
 	}
 	return ctx.Err()
 }
 
 // Report has a report sent to the server, once connected. It does not block; the oldest reports are
 // dropped where too many wait.
-func (c *Client) Report(topic string, body []byte) { c.outbox.put(Report{Topic: topic, Body: body}) }
+func (c *Client) Report(topic string, body []byte) { c.outbox.add(Report{Topic: topic, Body: body}) }
 
 // attempt dials a server and follows its feed. It returns why that ended.
 func (c *Client) attempt(ctx context.Context, address string) error {
@@ -115,7 +115,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	limit := time.AfterFunc(c.choice.DialLimit(), cancel)
+	limit := time.AfterFunc(c.selector.DialTimeout(), cancel)
 	connection, err := c.dial(ctx, address)
 	if !limit.Stop() && err == nil {
 		_ = connection.Close()
@@ -124,21 +124,21 @@
 	if err != nil {
 		return err
 	}
-	c.choice.Connected(time.Now())
+	c.selector.Connected(time.Now())
 	c.handler.Connected(address)
-	err = c.follow(ctx, connection)
+	err = c.serveConnection(ctx, connection)
 	c.handler.Disconnected(err)
 	return err
 }
 
-// follow reads one connection until it fails, is to be left, or ctx ends, and closes it.
-func (c *Client) follow(ctx context.Context, connection net.Conn) error {
+// serveConnection reads one connection until it fails, is to be left, or ctx ends, and closes it.
+func (c *Client) serveConnection(ctx context.Context, connection net.Conn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
 
 	hello := c.hello
-	hello.Offsets = c.receiver.connected()
+	hello.Offsets = c.receiver.reset()
 	writerDone := make(chan struct{})
 	go func() {
 		defer close(writerDone)
@@ -160,10 +160,10 @@
 		return err
 	}
 	for {
-		if frames, err = appendReports(frames, c.outbox.take()); err != nil {
+		if frames, err = appendReports(frames, c.outbox.drain()); err != nil {
 			return err
 		}
-		if err := writeAll(connection, frames, WriteLimit); err != nil {
+		if err := writeAll(connection, frames, WriteTimeout); err != nil {
 			return err
 		}
 		frames = nil
--- a/internal/controlplane/feedtransport/client_receive.go
+++ b/internal/controlplane/feedtransport/client_receive.go
@@ -15,27 +15,27 @@
 // ErrNoServer is the failure of an attempt for which no server is known.
 var ErrNoServer = errors.New("feedlink: no server is known")
 
-// watchedConnection reads with a deadline at which the choice is asked whether to stay.
-type watchedConnection struct {
+// monitoredConnection reads with a deadline at which the choice is asked whether to stay.
+type monitoredConnection struct {
 	net.Conn
-	choice *Choice
+	selector *ServerSelector
 }
 
-func (w watchedConnection) Read(buffer []byte) (int, error) {
+func (w monitoredConnection) Read(buffer []byte) (int, error) {
 	for {
-		if err := w.SetReadDeadline(w.choice.Deadline()); err != nil {
+		if err := w.SetReadDeadline(w.selector.Deadline()); err != nil {
 			return 0, err
 		}
 		count, err := w.Conn.Read(buffer)
 		now := time.Now()
 		if count > 0 {
-			w.choice.Heard(now)
+			w.selector.Received(now)
 			return count, nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return 0, err
 		}
-		if reason := w.choice.Check(now); reason != nil {
+		if reason := w.selector.Check(now); reason != nil {
 			return 0, reason
 		}
 	}
@@ -43,38 +43,38 @@
 
 // receive hands over what comes until the connection fails or is to be left.
 func (c *Client) receive(connection net.Conn) error {
-	watched := watchedConnection{Conn: connection, choice: c.choice}
+	watched := monitoredConnection{Conn: connection, selector: c.selector}
 	reader := bufio.NewReaderSize(watched, feedBufferBytes)
 	for {
 		kind, body, err := ReadFrame(reader)
 		if err != nil {
 			return err
 		}
-		if err := c.take(kind, body); err != nil {
+		if err := c.handleFrame(kind, body); err != nil {
 			return err
 		}
 	}
 }
 
-// take hands over one frame.
-func (c *Client) take(kind Kind, body []byte) error {
+// handleFrame hands over one frame.
+func (c *Client) handleFrame(kind Kind, body []byte) error {
 	switch kind {
 	case KindSnapshot:
-		return c.takeSnapshotPart(body)
+		return c.handleSnapshotPart(body)
 	case KindChanges:
-		return c.takeChanges(body)
+		return c.handleChanges(body)
 	case KindStatus:
-		return c.takeStatus(body)
+		return c.handleStatus(body)
 	case KindReport:
-		return c.takeReport(body)
+		return c.handleReport(body)
 	case KindCompressed:
-		return c.takeCompressed(body)
+		return c.handleCompressed(body)
 	}
 	return UnexpectedKindError{Kind: kind}
 }
 
-// takeCompressed hands over the frames within a frame.
-func (c *Client) takeCompressed(body []byte) error {
+// handleCompressed hands over the frames within a frame.
+func (c *Client) handleCompressed(body []byte) error {
 	frames, err := decompressFrames(body)
 	if err != nil {
 		return err
@@ -88,19 +88,19 @@
 		if kind == KindCompressed {
 			return UnexpectedKindError{Kind: kind}
 		}
-		if err := c.take(kind, inner); err != nil {
+		if err := c.handleFrame(kind, inner); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Client) takeSnapshotPart(body []byte) error {
+func (c *Client) handleSnapshotPart(body []byte) error {
 	part, err := DecodeSnapshotPart(body)
 	if err != nil {
 		return err
 	}
-	snapshot, complete, err := c.receiver.part(part)
+	snapshot, complete, err := c.receiver.addPart(part)
 	if err != nil || !complete {
 		return err
 	}
@@ -109,13 +109,13 @@
 	return nil
 }
 
-func (c *Client) takeChanges(body []byte) error {
+func (c *Client) handleChanges(body []byte) error {
 	changes, err := DecodeChanges(body)
 	if err != nil {
 		return err
 	}
 	for _, change := range changes.Changes {
-		above, err := c.receiver.change(changes.Shard, change)
+		above, err := c.receiver.accept(changes.Shard, change)
 		if err != nil {
 			return err
 		}
@@ -127,22 +127,22 @@
 	return nil
 }
 
-func (c *Client) takeStatus(body []byte) error {
+func (c *Client) handleStatus(body []byte) error {
 	status, err := DecodeStatus(body)
 	if err != nil {
 		return err
 	}
-	if len(status.Keepers) == 0 {
-		status.Keepers = c.keepers
+	if len(status.Servers) == 0 {
+		status.Servers = c.servers
 	}
-	c.keepers = status.Keepers
+	c.servers = status.Servers
 	now := time.Now()
-	c.choice.Status(now, status)
+	c.selector.ObserveStatus(now, status)
 	c.handler.Status(status)
-	return c.choice.Check(now)
+	return c.selector.Check(now)
 }
 
-func (c *Client) takeReport(body []byte) error {
+func (c *Client) handleReport(body []byte) error {
 	report, err := DecodeReport(body)
 	if err != nil {
 		return err
--- a/internal/controlplane/feedtransport/codec.go
+++ b/internal/controlplane/feedtransport/codec.go
@@ -47,7 +47,7 @@
 	wireStatus struct {
 		Sequence int64
 		Shards   []wireShardStatus
-		Keepers  []Keeper
+		Keepers  []ServerEndpoint
 	}
 )
 
@@ -73,7 +73,7 @@
 	reader.Error = nil
 	defer func() {
 		if panicked := recover(); panicked != nil { // the codec does so for some false lengths
-			err = &DecodeError{Kind: kind, Cause: fmt.Errorf("%w: %v", errBadLength, panicked)}
+			err = &DecodeError{Kind: kind, Cause: fmt.Errorf("%w: %v", errInvalidLength, panicked)}
 			return
 		}
 		reader.Reset(nil)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-var errBadLength = errors.New("feedlink: false length")
+var errInvalidLength = errors.New("feedlink: false length")
 
 func appendMessage(buffer []byte, kind Kind, schema avro.Schema, message any) ([]byte, error) {
 	body, err := codec.Marshal(schema, message)
@@ -116,7 +116,7 @@
 	var wire wireHello
 	if decode(KindHello, helloSchema, body, &wire) != nil {
 		wire = wireHello{}
-		if err := decode(KindHello, earlierHelloSchema, body, &wire); err != nil {
+		if err := decode(KindHello, helloSchemaV1, body, &wire); err != nil {
 			return Hello{}, err
 		}
 	}
@@ -174,7 +174,7 @@
 
 // AppendStatus appends status to buffer as a frame.
 func AppendStatus(buffer []byte, status Status) ([]byte, error) {
-	wire := wireStatus{Sequence: int64(status.Sequence), Keepers: status.Keepers}
+	wire := wireStatus{Sequence: int64(status.Sequence), Keepers: status.Servers}
 	for _, shard := range status.Shards {
 		wire.Shards = append(wire.Shards, wireShardStatus{
 			Shard: int64(shard.Shard), Index: int64(shard.Index), Current: shard.Current,
@@ -189,7 +189,7 @@
 	if err := decode(KindStatus, statusSchema, body, &wire); err != nil {
 		return Status{}, err
 	}
-	status := Status{Sequence: uint64(wire.Sequence), Keepers: wire.Keepers}
+	status := Status{Sequence: uint64(wire.Sequence), Servers: wire.Keepers}
 	for _, shard := range wire.Shards {
 		status.Shards = append(status.Shards, ShardStatus{
 			Shard: shards.ID(shard.Shard), Index: uint64(shard.Index), Current: shard.Current,
--- a/internal/controlplane/feedtransport/compression.go
+++ b/internal/controlplane/feedtransport/compression.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// compressedFrom is the length from which frames are worth compressing.
-	compressedFrom = 256
+	// minCompressBytes is the length from which frames are worth compressing.
+	minCompressBytes = 256
 	// compressionLevel leaves a quarter less of 3,000 workers than the fastest, for twice its time. A keeper compresses
 	// once for all its readers.
 	compressionLevel = 5
 )
 
-var errFalseLength = errors.New("feedlink: compressed frames are not as long as they say")
+var errLengthMismatch = errors.New("feedlink: compressed frames are not as long as they say")
 
 // wireCompressed mirrors compressedSchema.
 type wireCompressed struct {
@@ -38,7 +38,7 @@
 
 // compressFrames returns frames as one frame of KindCompressed, or as they are if that is not shorter.
 func compressFrames(frames []byte) ([]byte, error) {
-	if len(frames) < compressedFrom {
+	if len(frames) < minCompressBytes {
 		return frames, nil
 	}
 	var deflated bytes.Buffer
@@ -77,9 +77,9 @@
 	if err != nil {
 		return nil, &DecodeError{Kind: KindCompressed, Cause: err}
 	}
-	var further [1]byte
-	if count, err := reader.Read(further[:]); count > 0 || !errors.Is(err, io.EOF) {
-		return nil, &DecodeError{Kind: KindCompressed, Cause: errFalseLength}
+	var extra [1]byte
+	if count, err := reader.Read(extra[:]); count > 0 || !errors.Is(err, io.EOF) {
+		return nil, &DecodeError{Kind: KindCompressed, Cause: errLengthMismatch}
 	}
 	return frames, nil
 }
--- a/internal/controlplane/feedtransport/compression_test.go
+++ b/internal/controlplane/feedtransport/compression_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestShortFramesAreNotCompressed(t *testing.T) {
-	frames := must(t)(AppendReport(nil, Report{Topic: "t", Body: make([]byte, compressedFrom/2)}))
+	frames := must(t)(AppendReport(nil, Report{Topic: "t", Body: make([]byte, minCompressBytes/2)}))
 	if sent, err := compressFrames(frames); err != nil || !bytes.Equal(sent, frames) {
 		t.Errorf("%d bytes for %d, %v", len(sent), len(frames), err)
 	}
@@ -68,8 +68,8 @@
 	}
 	for _, length := range []int64{-1, 0, int64(len(frames)) - 1, int64(len(frames)) + 1, MaxFrameBytes + 1} {
 		message.Length = length
-		lying := body(t, must(t)(appendMessage(nil, KindCompressed, compressedSchema, message)), KindCompressed)
-		if _, err := decompressFrames(lying); err == nil {
+		mismatched := body(t, must(t)(appendMessage(nil, KindCompressed, compressedSchema, message)), KindCompressed)
+		if _, err := decompressFrames(mismatched); err == nil {
 			t.Errorf("length %d: no error", length)
 		}
 	}
@@ -77,10 +77,10 @@
 
 func TestCompressedFramesWithinCompressedFramesAreRefused(t *testing.T) {
 	inner := must(t)(appendMessage(nil, KindCompressed, compressedSchema, wireCompressed{}))
-	outer := body(t, must(t)(compressFrames(bytes.Repeat(inner, compressedFrom))), KindCompressed)
+	outer := body(t, must(t)(compressFrames(bytes.Repeat(inner, minCompressBytes))), KindCompressed)
 	client := NewClient(ClientOptions{}, newRecorder())
 	var wanted UnexpectedKindError
-	if err := client.take(KindCompressed, outer); !errors.As(err, &wanted) || wanted.Kind != KindCompressed {
+	if err := client.handleFrame(KindCompressed, outer); !errors.As(err, &wanted) || wanted.Kind != KindCompressed {
 		t.Errorf("got %v", err)
 	}
 }
@@ -103,7 +103,7 @@
 	near, far := net.Pipe()
 	hello := Hello{Node: node, Role: RoleAgent, Compressed: true}
 	dial := func(context.Context, string) (net.Conn, error) { return near, nil }
-	client := NewClient(ClientOptions{Hello: hello, Choice: ChoiceOptions{Fixed: "keeper"}, Dial: dial}, handler)
+	client := NewClient(ClientOptions{Hello: hello, Selector: SelectorOptions{FixedServer: "keeper"}, Dial: dial}, handler)
 	done := make(chan struct{}, 2)
 	go func() {
 		defer func() { done <- struct{}{} }()
@@ -111,11 +111,11 @@
 		if err != nil {
 			return
 		}
-		told, err := DecodeHello(content)
+		decoded, err := DecodeHello(content)
 		if err != nil {
 			return
 		}
-		_ = NewSession(countedConnection{far, written}, told, source, SessionOptions{Encoder: encoder}).Run(ctx)
+		_ = NewSession(countedConnection{far, written}, decoded, source, SessionOptions{Encoder: encoder}).Run(ctx)
 	}()
 	go func() {
 		defer func() { done <- struct{}{} }()
@@ -155,7 +155,7 @@
 func (e *Encoder) reaches(shard shards.ID) uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.behind[shard].to
+	return e.changeFrames[shard].to
 }
 
 // What changes together is sent together, and encoded once for all readers.
@@ -180,12 +180,12 @@
 				made, before = made+1, now
 			}
 		}
-		time.Sleep(GatherInterval)
+		time.Sleep(BatchInterval)
 		synctest.Wait()
 		for _, handler := range handlers {
 			expectItems(t, handler, 1, source)
 		}
-		if most := int(400*time.Millisecond/GatherInterval) + 2; made > most {
+		if most := int(400*time.Millisecond/BatchInterval) + 2; made > most {
 			t.Errorf("encoded %d times, want at most %d", made, most)
 		}
 	})
@@ -202,11 +202,11 @@
 		if err != nil || len(frames) != 1 {
 			t.Fatalf("%d frames, %v", len(frames), err)
 		}
-		told, err := DecodeChanges(body(t, frames[0], KindChanges))
+		decoded, err := DecodeChanges(body(t, frames[0], KindChanges))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return told
+		return decoded
 	}
 	for _, wanted := range []Changes{
 		{Shard: 1, Changes: []feed.Change{change(5, "a"), change(6, "b")}},
--- a/internal/controlplane/feedtransport/encoder.go
+++ b/internal/controlplane/feedtransport/encoder.go
@@ -10,9 +10,9 @@
 // Encoder makes the compressed frames of snapshots and changes, once for all sessions of a server that need the same.
 // What lies between two indexes of a shard never changes, so the indexes tell which frames are the same.
 type Encoder struct {
-	mutex     sync.Mutex
-	snapshots map[shards.ID]encodedFrames
-	behind    map[shards.ID]encodedFrames // changes
+	mutex          sync.Mutex
+	snapshotFrames map[shards.ID]encodedFrames
+	changeFrames   map[shards.ID]encodedFrames // changes
 }
 
 // encodedFrames are the frames that take a reader from one index to another.
@@ -23,37 +23,37 @@
 
 // NewEncoder returns an encoder that holds nothing.
 func NewEncoder() *Encoder {
-	return &Encoder{snapshots: make(map[shards.ID]encodedFrames), behind: make(map[shards.ID]encodedFrames)}
+	return &Encoder{snapshotFrames: make(map[shards.ID]encodedFrames), changeFrames: make(map[shards.ID]encodedFrames)}
 }
 
 // snapshot returns the frames of a snapshot. Nobody may write to them.
 func (e *Encoder) snapshot(shard shards.ID, snapshot feed.Snapshot) ([][]byte, error) {
-	return e.encoded(e.snapshots, shard, 0, snapshot.Index, func() ([][]byte, error) {
+	return e.cachedFrames(e.snapshotFrames, shard, 0, snapshot.Index, func() ([][]byte, error) {
 		return compressEach(snapshotParts(shard, snapshot), AppendSnapshotPart)
 	})
 }
 
 // changes returns the frames of the changes above an index, of which there is at least one. Nobody may write to them.
 func (e *Encoder) changes(shard shards.ID, from uint64, changes []feed.Change) ([][]byte, error) {
-	return e.encoded(e.behind, shard, from, changes[len(changes)-1].Index, func() ([][]byte, error) {
+	return e.cachedFrames(e.changeFrames, shard, from, changes[len(changes)-1].Index, func() ([][]byte, error) {
 		return compressEach(changeParts(shard, changes), AppendChanges)
 	})
 }
 
-// encoded returns the frames that are held for two indexes, or makes them and holds them instead of what was held.
-func (e *Encoder) encoded(
-	held map[shards.ID]encodedFrames, shard shards.ID, from, to uint64, encode func() ([][]byte, error),
+// cachedFrames returns the frames that are held for two indexes, or makes them and holds them instead of what was held.
+func (e *Encoder) cachedFrames(
+	cache map[shards.ID]encodedFrames, shard shards.ID, from, to uint64, encode func() ([][]byte, error),
 ) ([][]byte, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if found, ok := held[shard]; ok && found.from == from && found.to == to {
+	if found, ok := cache[shard]; ok && found.from == from && found.to == to {
 		return found.frames, nil
 	}
 	frames, err := encode()
 	if err != nil {
 		return nil, err
 	}
-	held[shard] = encodedFrames{from: from, to: to, frames: frames}
+	cache[shard] = encodedFrames{from: from, to: to, frames: frames}
 	return frames, nil
 }
 
--- a/internal/controlplane/feedtransport/frames.go
+++ b/internal/controlplane/feedtransport/frames.go
@@ -31,8 +31,8 @@
 
 	// MaxFrameBytes is the longest body that is read.
 	MaxFrameBytes = 16 << 20
-	// readStepBytes bounds what is allocated ahead of the bytes that have arrived.
-	readStepBytes = 64 << 10
+	// readChunkBytes bounds what is allocated ahead of the bytes that have arrived.
+	readChunkBytes = 64 << 10
 )
 
 // ErrFrameTooLong is returned for a frame whose body exceeds MaxFrameBytes.
@@ -66,11 +66,11 @@
 // readBody reads length bytes and allocates for them in steps, so that a false length costs no
 // more memory than what was sent.
 func readBody(reader io.Reader, length int) ([]byte, error) {
-	body := make([]byte, 0, min(length, readStepBytes))
+	body := make([]byte, 0, min(length, readChunkBytes))
 	for len(body) < length {
-		step := min(length-len(body), readStepBytes)
+		chunk := min(length-len(body), readChunkBytes)
 		start := len(body)
-		body = append(body, make([]byte, step)...)
+		body = append(body, make([]byte, chunk)...)
 		if _, err := io.ReadFull(reader, body[start:]); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
@@ -90,8 +90,8 @@
 
 // ReadFirstFrame reads the first frame of an accepted connection, within limit. It reads no byte
 // beyond that frame, so that the protocol which the kind names goes on with connection itself.
-func ReadFirstFrame(connection net.Conn, limit time.Duration) (Kind, []byte, error) {
-	if err := connection.SetReadDeadline(time.Now().Add(limit)); err != nil {
+func ReadFirstFrame(connection net.Conn, timeout time.Duration) (Kind, []byte, error) {
+	if err := connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, nil, err
 	}
 	kind, body, err := ReadFrame(connection)
--- a/internal/controlplane/feedtransport/frames_test.go
+++ b/internal/controlplane/feedtransport/frames_test.go
@@ -66,7 +66,7 @@
 
 	wantStatus := Status{
 		Sequence: 9, Shards: []ShardStatus{{Shard: 1, Index: 3, Current: true}},
-		Keepers: []Keeper{{Address: "10.0.0.9:8146", Zone: "a", Region: "north"}},
+		Servers: []ServerEndpoint{{Address: "10.0.0.9:8146", Zone: "a", Region: "north"}},
 	}
 	status, err := DecodeStatus(body(t, frame(AppendStatus(nil, wantStatus)), KindStatus))
 	expectEqual(t, status, wantStatus, err)
--- a/internal/controlplane/feedtransport/guards_test.go
+++ b/internal/controlplane/feedtransport/guards_test.go
@@ -9,35 +9,35 @@
 // guardClient is a client without some guards, with what its handler saw.
 func guardClient(omit []Guard, offsets ...Offset) (*Client, *recorder) {
 	handler := newRecorder()
-	client := NewClient(ClientOptions{Hello: Hello{Offsets: offsets}, Choice: ChoiceOptions{Fixed: "agent"}, Omit: omit}, handler)
+	client := NewClient(ClientOptions{Hello: Hello{Offsets: offsets}, Selector: SelectorOptions{FixedServer: "agent"}, Omit: omit}, handler)
 	return client, handler
 }
 
 // guardScenarios tell for each guard a course of frames that does harm without it.
 var guardScenarios = map[Guard]func(t *testing.T, omit ...Guard) (harm bool){
 	// A server that is behind sends what was overtaken long ago.
-	GuardNothingBelow: func(t *testing.T, omit ...Guard) bool {
+	GuardAboveOffset: func(t *testing.T, omit ...Guard) bool {
 		client, handler := guardClient(omit, Offset{Shard: 1, Index: 7})
 		old := SnapshotPart{Index: 5, First: true, Last: true, Items: items("key", "old")}
-		if err := takeFrames(t, client, partFrame(t, old), changesFrame(t, put(6, "key", "old"))); err != nil {
+		if err := handleFrames(t, client, partFrame(t, old), changesFrame(t, put(6, "key", "old"))); err != nil {
 			t.Fatal(err)
 		}
 		return len(handler.items[1]) > 0
 	},
 	// The parts of two snapshots come mixed.
-	GuardSnapshotWhole: func(t *testing.T, omit ...Guard) bool {
+	GuardCompleteSnapshot: func(t *testing.T, omit ...Guard) bool {
 		client, handler := guardClient(omit)
 		first := SnapshotPart{Index: 5, First: true, Items: items("key", "old")}
 		other := SnapshotPart{Index: 9, Last: true, Items: items("other", "new")}
-		err := takeFrames(t, client, partFrame(t, first), partFrame(t, other))
+		err := handleFrames(t, client, partFrame(t, first), partFrame(t, other))
 		return err == nil && handler.items[1]["key"] == "old" && handler.items[1]["other"] == "new"
 	},
 	// A change comes before the snapshot that it builds on is whole: the snapshot would be dropped.
-	GuardNoChangeAmidSnapshot: func(t *testing.T, omit ...Guard) bool {
+	GuardNoChangeDuringSnapshot: func(t *testing.T, omit ...Guard) bool {
 		client, handler := guardClient(omit)
 		first := SnapshotPart{Index: 5, First: true, Items: items("key", "kept")}
 		last := SnapshotPart{Index: 5, Last: true, Items: items("other", "kept")}
-		err := takeFrames(t, client, partFrame(t, first), changesFrame(t, put(6, "third", "new")), partFrame(t, last))
+		err := handleFrames(t, client, partFrame(t, first), changesFrame(t, put(6, "third", "new")), partFrame(t, last))
 		return err == nil && handler.items[1]["third"] == "new" && handler.items[1]["key"] == ""
 	},
 }
@@ -58,29 +58,29 @@
 	}
 }
 
-// stormOfChanges is how many changes come while an agent lags.
-const stormOfChanges = 400
+// changeCount is how many changes come while an agent lags.
+const changeCount = 400
 
 // TestAnAgentBehindTheBacklogGetsASnapshot has an agent that stopped anywhere amid hundreds of changes read on from a
 // keeper whose backlog holds only the last few: it gets one snapshot at most, no gap, and nothing older.
 func TestAnAgentBehindTheBacklogGetsASnapshot(t *testing.T) {
 	buffer := feed.NewBuffer(10 << 10)
 	r := &replicas{}
-	for index := uint64(1); index <= stormOfChanges; index++ {
+	for index := uint64(1); index <= changeCount; index++ {
 		change := put(index, "key-"+string(rune('a'+index%20)), "value")
 		r.log = append(r.log, change)
 		if err := buffer.Append(change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for stopped := range stormOfChanges {
+	for stopped := range changeCount {
 		handler := newRecorder()
 		client := propertyClient(handler)
 		if stopped > 0 {
 			readFrom(t, client, r.log[:stopped], buffer, false)
 		}
 		readFrom(t, client, r.log, buffer, true)
-		if problem := r.compare(handler); problem != "" || handler.index[0] != stormOfChanges {
+		if problem := r.compare(handler); problem != "" || handler.index[0] != changeCount {
 			t.Fatalf("stopped at %d: at %d, %s", stopped, handler.index[0], problem)
 		}
 	}
@@ -90,12 +90,12 @@
 func readFrom(t *testing.T, client *Client, log []feed.Change, buffer *feed.Buffer, short bool) {
 	t.Helper()
 	connection := &capture{}
-	writer := newFeedWriter(connection, client.receiver.connected(), WriteLimit)
+	writer := newFeedWriter(connection, client.receiver.reset(), WriteTimeout)
 	changes, snapshot := log, (*feed.Snapshot)(nil)
 	if short {
 		changes, snapshot = buffer.From(client.receiver.offsets[0])
 	}
-	if err := writer.shard(0, changes, snapshot); err != nil {
+	if err := writer.writeShard(0, changes, snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if err := writer.flush(); err != nil {
--- a/internal/controlplane/feedtransport/messages.go
+++ b/internal/controlplane/feedtransport/messages.go
@@ -36,8 +36,8 @@
 	Current bool   // the server knows that it is not behind the shard's owner
 }
 
-// Keeper is one keeper that the server knows of. Zone and Region are empty where unknown.
-type Keeper struct {
+// ServerEndpoint is one keeper that the server knows of. Zone and Region are empty where unknown.
+type ServerEndpoint struct {
 	Address string // any address of its own IP, "ip:port"; clients take the IP alone
 	Zone    string
 	Region  string
@@ -47,7 +47,7 @@
 type Status struct {
 	Sequence uint64 // of the statuses of one connection; set by the server's session
 	Shards   []ShardStatus
-	Keepers  []Keeper // on the wire empty where they are as in the status before
+	Servers  []ServerEndpoint // on the wire empty where they are as in the status before
 }
 
 // Current tells whether all shards of the status are current. A status without shards is not.
--- a/internal/controlplane/feedtransport/outbox.go
+++ b/internal/controlplane/feedtransport/outbox.go
@@ -3,8 +3,8 @@
 import "sync"
 
 const (
-	outboxReports = 64
-	outboxBytes   = 256 << 10
+	maxOutboxReports = 64
+	maxOutboxBytes   = 256 << 10
 )
 
 // outbox holds reports until they are sent. Where they exceed its bounds, the oldest are dropped.
@@ -18,11 +18,11 @@
 
 func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
 
-func (o *outbox) put(report Report) {
+func (o *outbox) add(report Report) {
 	o.mu.Lock()
 	o.reports = append(o.reports, report)
 	o.bytes += len(report.Body)
-	for len(o.reports) > outboxReports || o.bytes > outboxBytes {
+	for len(o.reports) > maxOutboxReports || o.bytes > maxOutboxBytes {
 		o.bytes -= len(o.reports[0].Body)
 		o.reports = o.reports[1:]
 	}
@@ -30,7 +30,7 @@
 	notify(o.ready)
 }
 
-func (o *outbox) take() []Report {
+func (o *outbox) drain() []Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	reports := o.reports
--- a/internal/controlplane/feedtransport/property_test.go
+++ b/internal/controlplane/feedtransport/property_test.go
@@ -76,9 +76,9 @@
 	source.logs[0] = r.log[:r.lengths[place]]
 	source.floors[0] = r.floors[place]
 	connection := &capture{}
-	offsets := client.receiver.connected()
+	offsets := client.receiver.reset()
 	session := NewSession(connection, Hello{Offsets: offsets}, source, SessionOptions{})
-	if err := session.sendNews(); err != nil {
+	if err := session.sendUpdates(); err != nil {
 		return err
 	}
 	const shares = 8
@@ -97,17 +97,17 @@
 		if err != nil {
 			return err
 		}
-		if err := client.take(kind, content); err != nil {
+		if err := client.handleFrame(kind, content); err != nil {
 			return err
 		}
 	}
 }
 
 func propertyClient(handler Handler) *Client {
-	client := NewClient(ClientOptions{Choice: ChoiceOptions{Fixed: "agent"}}, handler)
+	client := NewClient(ClientOptions{Selector: SelectorOptions{FixedServer: "agent"}}, handler)
 	now := time.Now()
-	client.choice.Next(now)
-	client.choice.Connected(now)
+	client.selector.Next(now)
+	client.selector.Connected(now)
 	return client
 }
 
--- a/internal/controlplane/feedtransport/receiver.go
+++ b/internal/controlplane/feedtransport/receiver.go
@@ -17,14 +17,14 @@
 
 // The guards that can be left out.
 const (
-	GuardNothingBelow         Guard = "nothing-below"           // what is not above the offset held is dropped
-	GuardSnapshotWhole        Guard = "snapshot-whole"          // the parts of a snapshot are of one snapshot, from its first to its last
-	GuardNoChangeAmidSnapshot Guard = "no-change-amid-snapshot" // no change counts before the snapshot of its shard is whole
+	GuardAboveOffset            Guard = "nothing-below"           // what is not above the offset held is dropped
+	GuardCompleteSnapshot       Guard = "snapshot-whole"          // the parts of a snapshot are of one snapshot, from its first to its last
+	GuardNoChangeDuringSnapshot Guard = "no-change-amid-snapshot" // no change counts before the snapshot of its shard is whole
 )
 
 // Guards returns all guards that can be left out.
 func Guards() []Guard {
-	return []Guard{GuardNothingBelow, GuardSnapshotWhole, GuardNoChangeAmidSnapshot}
+	return []Guard{GuardAboveOffset, GuardCompleteSnapshot, GuardNoChangeDuringSnapshot}
 }
 
 // receiver knows how far each shard is held, and drops what is not above that.
@@ -35,19 +35,19 @@
 }
 
 func newReceiver(offsets []Offset, omit ...Guard) *receiver {
-	held := make(map[shards.ID]uint64)
+	known := make(map[shards.ID]uint64)
 	for _, offset := range offsets {
-		held[offset.Shard] = offset.Index
+		known[offset.Shard] = offset.Index
 	}
 	omitted := make(map[Guard]bool, len(omit))
 	for _, guard := range omit {
 		omitted[guard] = true
 	}
-	return &receiver{offsets: held, partial: make(map[shards.ID]feed.Snapshot), omitted: omitted}
+	return &receiver{offsets: known, partial: make(map[shards.ID]feed.Snapshot), omitted: omitted}
 }
 
-// connected forgets what an earlier connection did not complete, and returns the offsets to ask from.
-func (r *receiver) connected() []Offset {
+// reset forgets what an earlier connection did not complete, and returns the offsets to ask from.
+func (r *receiver) reset() []Offset {
 	clear(r.partial)
 	offsets := make([]Offset, 0, len(r.offsets))
 	for shard, index := range r.offsets {
@@ -57,37 +57,37 @@
 	return offsets
 }
 
-// part takes one part of a snapshot, and returns the whole with the last of them, unless it is not
+// addPart takes one part of a snapshot, and returns the whole with the last of them, unless it is not
 // above what is held.
-func (r *receiver) part(part SnapshotPart) (snapshot feed.Snapshot, complete bool, err error) {
+func (r *receiver) addPart(part SnapshotPart) (snapshot feed.Snapshot, complete bool, err error) {
 	if part.First {
 		snapshot = feed.Snapshot{Index: part.Index, Items: part.Items}
 	} else {
-		begun, ok := r.partial[part.Shard]
-		if (!ok || begun.Index != part.Index) && !r.omitted[GuardSnapshotWhole] {
+		pending, ok := r.partial[part.Shard]
+		if (!ok || pending.Index != part.Index) && !r.omitted[GuardCompleteSnapshot] {
 			return feed.Snapshot{}, false, ErrBrokenSnapshot
 		}
-		snapshot = feed.Snapshot{Index: part.Index, Items: append(begun.Items, part.Items...)}
+		snapshot = feed.Snapshot{Index: part.Index, Items: append(pending.Items, part.Items...)}
 	}
 	if !part.Last {
 		r.partial[part.Shard] = snapshot
 		return feed.Snapshot{}, false, nil
 	}
 	delete(r.partial, part.Shard)
-	if snapshot.Index <= r.offsets[part.Shard] && !r.omitted[GuardNothingBelow] {
+	if snapshot.Index <= r.offsets[part.Shard] && !r.omitted[GuardAboveOffset] {
 		return feed.Snapshot{}, false, nil
 	}
 	r.offsets[part.Shard] = snapshot.Index
 	return snapshot, true, nil
 }
 
-// change tells whether a change is above what is held, and counts it as held then. It cannot come amid the parts of its
+// accept tells whether a change is above what is held, and counts it as held then. It cannot come amid the parts of its
 // shard's snapshot, which would be below what is held once they are whole.
-func (r *receiver) change(shard shards.ID, change feed.Change) (above bool, err error) {
-	if _, begun := r.partial[shard]; begun && !r.omitted[GuardNoChangeAmidSnapshot] {
+func (r *receiver) accept(shard shards.ID, change feed.Change) (above bool, err error) {
+	if _, pending := r.partial[shard]; pending && !r.omitted[GuardNoChangeDuringSnapshot] {
 		return false, ErrBrokenSnapshot
 	}
-	if change.Index <= r.offsets[shard] && !r.omitted[GuardNothingBelow] {
+	if change.Index <= r.offsets[shard] && !r.omitted[GuardAboveOffset] {
 		return false, nil
 	}
 	r.offsets[shard] = change.Index
--- a/internal/controlplane/feedtransport/receiver_test.go
+++ b/internal/controlplane/feedtransport/receiver_test.go
@@ -9,8 +9,8 @@
 	"ospreybend/coord/shards"
 )
 
-// takeFrames hands frames to a client as if they came over a connection.
-func takeFrames(t *testing.T, client *Client, frames ...[]byte) error {
+// handleFrames hands frames to a client as if they came over a connection.
+func handleFrames(t *testing.T, client *Client, frames ...[]byte) error {
 	t.Helper()
 	var sent []byte
 	for _, frame := range frames {
@@ -35,7 +35,7 @@
 func TestWhatIsNotAboveTheOffsetIsDropped(t *testing.T) {
 	handler := newRecorder()
 	client := propertyClient(handler)
-	err := takeFrames(t, client,
+	err := handleFrames(t, client,
 		changesFrame(t, put(5, "k", "five")),
 		changesFrame(t, put(4, "k", "four"), put(5, "k", "five again"), put(6, "k", "six")),
 		partFrame(t, SnapshotPart{Index: 5, First: true, Last: true, Items: items("k", "lower")}),
@@ -48,7 +48,7 @@
 	if !reflect.DeepEqual(handler.items[1], want) || handler.snapshots != 0 || len(handler.faults) > 0 {
 		t.Errorf("%v, %d snapshots, %v", handler.items[1], handler.snapshots, handler.faults)
 	}
-	if offsets := client.receiver.connected(); !reflect.DeepEqual(offsets, []Offset{{Shard: 1, Index: 6}}) {
+	if offsets := client.receiver.reset(); !reflect.DeepEqual(offsets, []Offset{{Shard: 1, Index: 6}}) {
 		t.Errorf("offsets %v", offsets)
 	}
 }
@@ -57,14 +57,14 @@
 	handler := newRecorder()
 	client := propertyClient(handler)
 	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")})
-	if err := takeFrames(t, client, changesFrame(t, put(2, "old", "x")), first); err != nil {
+	if err := handleFrames(t, client, changesFrame(t, put(2, "old", "x")), first); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := handler.items[1]["old"]; !ok || handler.snapshots != 0 {
 		t.Error("a part took hold")
 	}
 	last := partFrame(t, SnapshotPart{Index: 9, Last: true, Items: items("b", "2")})
-	if err := takeFrames(t, client, last); err != nil {
+	if err := handleFrames(t, client, last); err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]string{"a": "1", "b": "2"}
@@ -78,15 +78,15 @@
 	other := partFrame(t, SnapshotPart{Index: 8, Last: true})
 	rest := partFrame(t, SnapshotPart{Index: 9, Last: true})
 	client := propertyClient(newRecorder())
-	if err := takeFrames(t, client, first, other); !errors.Is(err, ErrBrokenSnapshot) {
+	if err := handleFrames(t, client, first, other); !errors.Is(err, ErrBrokenSnapshot) {
 		t.Errorf("another index: %v", err)
 	}
 	client = propertyClient(newRecorder())
-	if err := takeFrames(t, client, first); err != nil {
+	if err := handleFrames(t, client, first); err != nil {
 		t.Fatal(err)
 	}
-	client.receiver.connected()
-	if err := takeFrames(t, client, rest); !errors.Is(err, ErrBrokenSnapshot) {
+	client.receiver.reset()
+	if err := handleFrames(t, client, rest); !errors.Is(err, ErrBrokenSnapshot) {
 		t.Errorf("parts of two connections: %v", err)
 	}
 }
@@ -95,30 +95,30 @@
 func TestAChangeAmidASnapshotEndsTheConnection(t *testing.T) {
 	handler := newRecorder()
 	client := propertyClient(handler)
-	err := takeFrames(t, client,
+	err := handleFrames(t, client,
 		partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")}),
 		changesFrame(t, put(10, "k", "ten")),
 	)
 	if !errors.Is(err, ErrBrokenSnapshot) || len(handler.items[1]) != 0 {
 		t.Fatalf("%v, %v", err, handler.items[1])
 	}
-	if offsets := client.receiver.connected(); len(offsets) > 0 && offsets[0].Index > 0 {
+	if offsets := client.receiver.reset(); len(offsets) > 0 && offsets[0].Index > 0 {
 		t.Fatalf("offsets %v", offsets)
 	}
 }
 
 func TestAWriterSendsOnlyWhatIsAboveTheOffset(t *testing.T) {
 	connection := &capture{}
-	writer := newFeedWriter(connection, []Offset{{Shard: 1, Index: 5}}, WriteLimit)
+	writer := newFeedWriter(connection, []Offset{{Shard: 1, Index: 5}}, WriteTimeout)
 	snapshot := feed.Snapshot{Index: 5, Items: items("k", "v")}
 	changes := []feed.Change{put(4, "k", "4"), put(5, "k", "5")}
-	if err := writer.shard(shards.ID(1), changes, &snapshot); err != nil {
+	if err := writer.writeShard(shards.ID(1), changes, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if err := writer.flush(); err != nil || connection.written.Len() != 0 {
 		t.Errorf("%d bytes were sent, %v", connection.written.Len(), err)
 	}
-	if err := writer.shard(shards.ID(1), append(changes, put(6, "k", "6")), nil); err != nil {
+	if err := writer.writeShard(shards.ID(1), append(changes, put(6, "k", "6")), nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := writer.flush(); err != nil {
@@ -132,16 +132,16 @@
 
 func TestOldReportsAreDroppedWhereTooManyWait(t *testing.T) {
 	waiting := newOutbox()
-	for number := range outboxReports + 10 {
-		waiting.put(Report{Topic: "t", Body: []byte{byte(number)}})
+	for number := range maxOutboxReports + 10 {
+		waiting.add(Report{Topic: "t", Body: []byte{byte(number)}})
 	}
-	reports := waiting.take()
-	if len(reports) != outboxReports || reports[0].Body[0] != 10 {
+	reports := waiting.drain()
+	if len(reports) != maxOutboxReports || reports[0].Body[0] != 10 {
 		t.Errorf("%d reports, the first is %v", len(reports), reports[0])
 	}
-	waiting.put(Report{Body: make([]byte, outboxBytes)})
-	waiting.put(Report{Body: make([]byte, 1)})
-	if reports := waiting.take(); len(reports) != 1 || len(reports[0].Body) != 1 {
+	waiting.add(Report{Body: make([]byte, maxOutboxBytes)})
+	waiting.add(Report{Body: make([]byte, 1)})
+	if reports := waiting.drain(); len(reports) != 1 || len(reports[0].Body) != 1 {
 		t.Errorf("%d reports", len(reports))
 	}
 }
--- a/internal/controlplane/feedtransport/schemas.go
+++ b/internal/controlplane/feedtransport/schemas.go
@@ -18,7 +18,7 @@
 		{"name":"Shard","type":"long"},{"name":"Index","type":"long"}]}}}`
 
 var (
-	earlierHelloSchema = avro.MustParse(`{"type":"record","name":"Hello","fields":[` + helloFields + `]}`)
+	helloSchemaV1 = avro.MustParse(`{"type":"record","name":"Hello","fields":[` + helloFields + `]}`)
 
 	helloSchema = avro.MustParse(`{"type":"record","name":"Hello","fields":[` + helloFields + `,
 		{"name":"Compressed","type":"boolean"}]}`)
--- a/internal/controlplane/feedtransport/server_selector_test.go
+++ b/internal/controlplane/feedtransport/server_selector_test.go
@@ -11,48 +11,48 @@
 
 var start = time.Unix(1000, 0)
 
-// script drives a choice on a clock of its own.
-type script struct {
-	t      *testing.T
-	choice *Choice
-	now    time.Time
+// selectorScript drives a choice on a clock of its own.
+type selectorScript struct {
+	t        *testing.T
+	selector *ServerSelector
+	now      time.Time
 }
 
-func newScript(t *testing.T, seeds ...string) *script {
+func newScript(t *testing.T, seeds ...string) *selectorScript {
 	t.Helper()
-	options := ChoiceOptions{Node: "edge-1", Zone: "a", Region: "north", Seeds: seeds, FeedPort: feedPort}
-	return &script{t: t, choice: NewChoice(options, func() float64 { return 0.5 }), now: start}
+	options := SelectorOptions{Node: "edge-1", Zone: "a", Region: "north", Seeds: seeds, FeedPort: feedPort}
+	return &selectorScript{t: t, selector: NewServerSelector(options, func() float64 { return 0.5 }), now: start}
 }
 
-func (s *script) next() string {
-	address, wait := s.choice.Next(s.now)
+func (s *selectorScript) next() string {
+	address, wait := s.selector.Next(s.now)
 	s.now = s.now.Add(wait)
 	return address
 }
 
-func (s *script) connect() string {
+func (s *selectorScript) connect() string {
 	address := s.next()
-	s.choice.Connected(s.now)
+	s.selector.Connected(s.now)
 	return address
 }
 
-func (s *script) pass(span time.Duration) { s.now = s.now.Add(span) }
+func (s *selectorScript) pass(span time.Duration) { s.now = s.now.Add(span) }
 
-func (s *script) status(current bool, keepers ...Keeper) {
-	s.choice.Heard(s.now)
-	s.choice.Status(s.now, Status{Shards: []ShardStatus{{Current: current}}, Keepers: keepers})
+func (s *selectorScript) status(current bool, servers ...ServerEndpoint) {
+	s.selector.Received(s.now)
+	s.selector.ObserveStatus(s.now, Status{Shards: []ShardStatus{{Current: current}}, Servers: servers})
 }
 
-// followUntilLeft passes time in the steps of the choice's own deadlines, with a status at every
+// observeUntilLeft passes time in the steps of the choice's own deadlines, with a status at every
 // interval, until it leaves the server.
-func (s *script) followUntilLeft(current bool, longest time.Duration) (time.Duration, error) {
+func (s *selectorScript) observeUntilLeft(current bool, longest time.Duration) (time.Duration, error) {
 	begun := s.now
 	for s.now.Sub(begun) < longest {
 		s.pass(StatusInterval / 4)
 		if s.now.Sub(begun)%StatusInterval == 0 {
 			s.status(current)
 		}
-		if reason := s.choice.Check(s.now); reason != nil {
+		if reason := s.selector.Check(s.now); reason != nil {
 			return s.now.Sub(begun), reason
 		}
 	}
@@ -66,8 +66,8 @@
 	tried := make(map[string]int)
 	for range 6 {
 		tried[s.next()]++
-		s.pass(DialLimit)
-		s.choice.Ended(s.now, errors.New("refused"))
+		s.pass(DialTimeout)
+		s.selector.AttemptEnded(s.now, errors.New("refused"))
 	}
 	if len(tried) != 3 {
 		t.Errorf("tried %v", tried)
@@ -77,7 +77,7 @@
 			t.Errorf("%s was tried %d times", address, count)
 		}
 	}
-	if elapsed := s.now.Sub(start); elapsed > 6*DialLimit+6*retryLongest {
+	if elapsed := s.now.Sub(start); elapsed > 6*DialTimeout+6*maxRetryBackoff {
 		t.Errorf("took %v", elapsed)
 	}
 }
@@ -86,15 +86,15 @@
 	s := newScript(t, threeSeeds()...)
 	var last time.Duration
 	for attempt := range 10 {
-		_, wait := s.choice.Next(s.now)
+		_, wait := s.selector.Next(s.now)
 		if attempt == 0 && wait != 0 {
 			t.Errorf("the first attempt waits %v", wait)
 		}
-		if attempt > 0 && (wait < retryShortest || wait > retryLongest || wait < last) {
+		if attempt > 0 && (wait < minRetryBackoff || wait > maxRetryBackoff || wait < last) {
 			t.Errorf("attempt %d waits %v after %v", attempt, wait, last)
 		}
 		last = wait
-		s.choice.Ended(s.now, errors.New("refused"))
+		s.selector.AttemptEnded(s.now, errors.New("refused"))
 	}
 }
 
@@ -102,19 +102,19 @@
 	s := newScript(t, threeSeeds()...)
 	first := s.connect()
 	s.status(true)
-	if deadline := s.choice.Deadline(); !deadline.Equal(s.now.Add(SilentAfter)) {
+	if deadline := s.selector.Deadline(); !deadline.Equal(s.now.Add(ReceiveTimeout)) {
 		t.Errorf("deadline %v after now", deadline.Sub(s.now))
 	}
-	s.pass(SilentAfter - time.Millisecond)
-	if reason := s.choice.Check(s.now); reason != nil {
+	s.pass(ReceiveTimeout - time.Millisecond)
+	if reason := s.selector.Check(s.now); reason != nil {
 		t.Errorf("left early: %v", reason)
 	}
 	s.pass(time.Millisecond)
-	reason := s.choice.Check(s.now)
-	if !errors.Is(reason, ErrSilent) {
+	reason := s.selector.Check(s.now)
+	if !errors.Is(reason, ErrReceiveTimeout) {
 		t.Fatalf("got %v", reason)
 	}
-	s.choice.Ended(s.now, reason)
+	s.selector.AttemptEnded(s.now, reason)
 	if second := s.next(); second == first {
 		t.Errorf("went back to %s", second)
 	}
@@ -123,15 +123,15 @@
 func TestAServerThatIsNotCurrentIsLeftWhereThereIsAnother(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	first := s.connect()
-	elapsed, reason := s.followUntilLeft(false, 10*time.Second)
-	if !errors.Is(reason, ErrNotCurrent) || elapsed != StaleAfter {
+	elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
+	if !errors.Is(reason, ErrNotCurrent) || elapsed != StaleTimeout {
 		t.Fatalf("after %v: %v", elapsed, reason)
 	}
-	s.choice.Ended(s.now, reason)
+	s.selector.AttemptEnded(s.now, reason)
 	if second := s.connect(); second == first {
 		t.Errorf("went back to %s", second)
 	}
-	if elapsed, reason := s.followUntilLeft(true, 10*time.Second); reason != nil {
+	if elapsed, reason := s.observeUntilLeft(true, 10*time.Second); reason != nil {
 		t.Errorf("left a current server after %v: %v", elapsed, reason)
 	}
 }
@@ -139,7 +139,7 @@
 func TestTheOnlyServerIsKeptThoughNotCurrent(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
-	if elapsed, reason := s.followUntilLeft(false, 20*time.Second); reason != nil {
+	if elapsed, reason := s.observeUntilLeft(false, 20*time.Second); reason != nil {
 		t.Errorf("left after %v: %v", elapsed, reason)
 	}
 }
@@ -148,11 +148,11 @@
 	s := newScript(t, threeSeeds()...)
 	for range 6 {
 		s.connect()
-		elapsed, reason := s.followUntilLeft(false, 10*time.Second)
-		if !errors.Is(reason, ErrNotCurrent) || elapsed > 2*StaleAfter {
+		elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
+		if !errors.Is(reason, ErrNotCurrent) || elapsed > 2*StaleTimeout {
 			t.Fatalf("after %v: %v", elapsed, reason)
 		}
-		s.choice.Ended(s.now, reason)
+		s.selector.AttemptEnded(s.now, reason)
 	}
 }
 
@@ -167,8 +167,8 @@
 	for range cutOff {
 		s.connect()
 		s.status(false)
-		_, reason := s.followUntilLeft(false, 10*time.Second)
-		s.choice.Ended(s.now, reason)
+		_, reason := s.observeUntilLeft(false, 10*time.Second)
+		s.selector.AttemptEnded(s.now, reason)
 	}
 	s.connect()
 	if elapsed := s.now.Sub(start); elapsed > promised {
@@ -183,10 +183,10 @@
 		s.connect()
 		s.status(false)
 		var reason error
-		elapsed, reason = s.followUntilLeft(false, 10*time.Second)
-		s.choice.Ended(s.now, reason)
+		elapsed, reason = s.observeUntilLeft(false, 10*time.Second)
+		s.selector.AttemptEnded(s.now, reason)
 	}
-	if elapsed != 2*StaleAfter {
+	if elapsed != 2*StaleTimeout {
 		t.Errorf("the fifth server was left after %v", elapsed)
 	}
 }
@@ -196,59 +196,59 @@
 	s.connect()
 	s.status(true)
 	s.pass(20 * time.Second)
-	if reason := s.choice.Check(s.now); reason != nil {
+	if reason := s.selector.Check(s.now); reason != nil {
 		t.Fatalf("left: %v", reason)
 	}
-	s.now = s.choice.Deadline()
+	s.now = s.selector.Deadline()
 	if s.now.Sub(start) > 20*time.Second+time.Second {
 		t.Errorf("the next deadline is %v after the start", s.now.Sub(start))
 	}
-	if reason := s.choice.Check(s.now); !errors.Is(reason, ErrSilent) {
+	if reason := s.selector.Check(s.now); !errors.Is(reason, ErrReceiveTimeout) {
 		t.Errorf("got %v", reason)
 	}
 }
 
-func keeper(ip int, zone, region string) Keeper {
-	return Keeper{Address: fmt.Sprintf("10.0.0.%d:8146", ip), Zone: zone, Region: region}
+func keeper(ip int, zone, region string) ServerEndpoint {
+	return ServerEndpoint{Address: fmt.Sprintf("10.0.0.%d:8146", ip), Zone: zone, Region: region}
 }
 
 func TestANearerKeeperIsPreferredAfterAWhile(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
-	keepers := []Keeper{keeper(1, "b", "south"), keeper(2, "a", "north"), keeper(3, "c", "north")}
-	s.status(true, keepers...)
-	if reason := s.choice.Check(s.now); reason != nil {
+	servers := []ServerEndpoint{keeper(1, "b", "south"), keeper(2, "a", "north"), keeper(3, "c", "north")}
+	s.status(true, servers...)
+	if reason := s.selector.Check(s.now); reason != nil {
 		t.Fatalf("left at once: %v", reason)
 	}
-	elapsed, reason := s.followUntilLeft(true, time.Minute)
-	if !errors.Is(reason, ErrOtherPreferred) || elapsed < nearerAfter || elapsed > 2*nearerAfter+StatusInterval {
+	elapsed, reason := s.observeUntilLeft(true, time.Minute)
+	if !errors.Is(reason, ErrOtherPreferred) || elapsed < preferNearerAfter || elapsed > 2*preferNearerAfter+StatusInterval {
 		t.Fatalf("after %v: %v", elapsed, reason)
 	}
-	s.choice.Ended(s.now, reason)
+	s.selector.AttemptEnded(s.now, reason)
 	if address := s.connect(); address != "10.0.0.2:7660" {
 		t.Fatalf("went to %s", address)
 	}
-	s.status(true, keepers...)
-	if elapsed, reason := s.followUntilLeft(true, time.Minute); reason != nil {
+	s.status(true, servers...)
+	if elapsed, reason := s.observeUntilLeft(true, time.Minute); reason != nil {
 		t.Errorf("left the nearest after %v: %v", elapsed, reason)
 	}
 }
 
 func TestANearerKeeperThatFailsIsTriedLessAndLess(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
-	keepers := []Keeper{keeper(1, "b", "south"), keeper(2, "a", "north")}
+	servers := []ServerEndpoint{keeper(1, "b", "south"), keeper(2, "a", "north")}
 	failures := 0
 	for s.now.Sub(start) < 5*time.Minute {
 		if address := s.next(); address == "10.0.0.2:7660" {
 			failures++
-			s.pass(DialLimit)
-			s.choice.Ended(s.now, errors.New("no answer"))
+			s.pass(DialTimeout)
+			s.selector.AttemptEnded(s.now, errors.New("no answer"))
 			continue
 		}
-		s.choice.Connected(s.now)
-		s.status(true, keepers...)
-		_, reason := s.followUntilLeft(true, time.Minute)
-		s.choice.Ended(s.now, reason)
+		s.selector.Connected(s.now)
+		s.status(true, servers...)
+		_, reason := s.observeUntilLeft(true, time.Minute)
+		s.selector.AttemptEnded(s.now, reason)
 	}
 	if failures < 3 || failures > 10 {
 		t.Errorf("tried %d times in five minutes", failures)
@@ -260,11 +260,11 @@
 	s.connect()
 	s.status(true, keeper(1, "", ""), keeper(2, "", ""))
 	s.status(true, keeper(1, "", ""))
-	if count := s.choice.candidates.len(); count != 1 {
+	if count := s.selector.candidates.len(); count != 1 {
 		t.Errorf("%d candidates", count)
 	}
 	s.status(true)
-	if count := s.choice.candidates.len(); count != 1 {
+	if count := s.selector.candidates.len(); count != 1 {
 		t.Errorf("%d candidates after an empty list", count)
 	}
 }
@@ -273,8 +273,8 @@
 	const nodes = 300
 	chosen := make(map[string]int)
 	for node := range nodes {
-		options := ChoiceOptions{Node: fmt.Sprintf("edge-%d", node), Seeds: threeSeeds(), FeedPort: feedPort}
-		address, _ := NewChoice(options, func() float64 { return 0 }).Next(start)
+		options := SelectorOptions{Node: fmt.Sprintf("edge-%d", node), Seeds: threeSeeds(), FeedPort: feedPort}
+		address, _ := NewServerSelector(options, func() float64 { return 0 }).Next(start)
 		chosen[address]++
 	}
 	for address, count := range chosen {
@@ -286,28 +286,28 @@
 
 func TestNoServerIsKnown(t *testing.T) {
 	s := newScript(t, "not an address")
-	address, wait := s.choice.Next(s.now)
+	address, wait := s.selector.Next(s.now)
 	if address != "" || wait <= 0 {
 		t.Errorf("got %q after %v", address, wait)
 	}
-	s.choice.Ended(s.now, ErrNoServer)
+	s.selector.AttemptEnded(s.now, ErrNoServer)
 }
 
 func TestFirstDialsAreShort(t *testing.T) {
-	choice := NewChoice(ChoiceOptions{Node: "n", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, FeedPort: 7},
+	selector := NewServerSelector(SelectorOptions{Node: "n", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, FeedPort: 7},
 		func() float64 { return 0.5 })
 	now := time.Unix(0, 0)
 	last := time.Duration(0)
 	for attempt := range 6 {
-		choice.Next(now)
-		limit := choice.DialLimit()
-		if limit < last || limit > DialLimit || attempt == 0 && limit != dialShortest {
+		selector.Next(now)
+		limit := selector.DialTimeout()
+		if limit < last || limit > DialTimeout || attempt == 0 && limit != minDialTimeout {
 			t.Fatalf("attempt %d may take %s after %s", attempt, limit, last)
 		}
 		last = limit
-		choice.Ended(now, errors.New("no answer"))
+		selector.AttemptEnded(now, errors.New("no answer"))
 	}
-	if last != DialLimit {
-		t.Errorf("later attempts may take %s, want %s", last, DialLimit)
+	if last != DialTimeout {
+		t.Errorf("later attempts may take %s, want %s", last, DialTimeout)
 	}
 }
--- a/internal/controlplane/feedtransport/session.go
+++ b/internal/controlplane/feedtransport/session.go
@@ -32,17 +32,17 @@
 	StatusInterval = 400 * time.Millisecond
 	// LoopbackStatusInterval is the same to the proxy of the same machine.
 	LoopbackStatusInterval = 2 * time.Second
-	// GatherInterval is the shortest time between two looks at the source for the first news after a calm, so that one
+	// BatchInterval is the shortest time between two looks at the source for the first news after a calm, so that one
 	// write carries all that was committed in between. While news go on coming, all sessions look at its multiples since
 	// the origin: those that have got as far need the same frames.
-	GatherInterval = 40 * time.Millisecond
+	BatchInterval = 40 * time.Millisecond
 )
 
 // SessionOptions change a session's intervals; zero values stand for the constants.
 type SessionOptions struct {
 	StatusInterval time.Duration
-	GatherInterval time.Duration
-	WriteLimit     time.Duration
+	BatchInterval  time.Duration
+	WriteTimeout   time.Duration
 	Encoder        *Encoder  // shared by the sessions of a server; nil: frames are not compressed
 	Origin         time.Time // of the intervals' multiples; zero: the start of the process
 }
@@ -51,11 +51,11 @@
 	if o.StatusInterval == 0 {
 		o.StatusInterval = StatusInterval
 	}
-	if o.GatherInterval == 0 {
-		o.GatherInterval = GatherInterval
+	if o.BatchInterval == 0 {
+		o.BatchInterval = BatchInterval
 	}
-	if o.WriteLimit == 0 {
-		o.WriteLimit = WriteLimit
+	if o.WriteTimeout == 0 {
+		o.WriteTimeout = WriteTimeout
 	}
 	if o.Origin.IsZero() {
 		o.Origin = processStart
@@ -65,13 +65,13 @@
 
 // Session is the server's side of one connection.
 type Session struct {
-	connection net.Conn
-	hello      Hello
-	source     Source
-	options    SessionOptions
-	outbox     *outbox
-	writer     *feedWriter
-	newsAt     time.Time // when news last made it look at the source
+	connection   net.Conn
+	hello        Hello
+	source       Source
+	options      SessionOptions
+	outbox       *outbox
+	writer       *feedWriter
+	lastUpdateAt time.Time // when news last made it look at the source
 }
 
 // Serve runs a session with the usual intervals until the connection or ctx ends, and closes
@@ -83,7 +83,7 @@
 // NewSession prepares a session. The connection's first frame, hello, has been read.
 func NewSession(connection net.Conn, hello Hello, source Source, options SessionOptions) *Session {
 	options = options.withDefaults()
-	writer := newFeedWriter(connection, hello.Offsets, options.WriteLimit)
+	writer := newFeedWriter(connection, hello.Offsets, options.WriteTimeout)
 	if hello.Compressed {
 		writer.encoder = options.Encoder
 	}
@@ -99,7 +99,7 @@
 
 // Send has a report sent to the reader. It does not block; the oldest reports are dropped where
 // too many wait.
-func (s *Session) Send(topic string, body []byte) { s.outbox.put(Report{Topic: topic, Body: body}) }
+func (s *Session) Send(topic string, body []byte) { s.outbox.add(Report{Topic: topic, Body: body}) }
 
 // Run serves the connection as Serve says.
 func (s *Session) Run(ctx context.Context) error {
@@ -148,18 +148,18 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if err := s.sendNews(); err != nil {
+		if err := s.sendUpdates(); err != nil {
 			return err
 		}
-		timer.Reset(s.untilStatus(time.Now()))
-		if !s.await(ctx, wake, timer) {
+		timer.Reset(s.untilNextStatus(time.Now()))
+		if !s.awaitUpdate(ctx, wake, timer) {
 			return ctx.Err()
 		}
 	}
 }
 
-// await returns at the next look at the source, or false once ctx has ended.
-func (s *Session) await(ctx context.Context, wake <-chan struct{}, timer *time.Timer) bool {
+// awaitUpdate returns at the next look at the source, or false once ctx has ended.
+func (s *Session) awaitUpdate(ctx context.Context, wake <-chan struct{}, timer *time.Timer) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -168,56 +168,56 @@
 	case <-wake:
 	case <-s.outbox.ready:
 	}
-	if !pause(ctx, s.untilGathered(time.Now())) {
+	if !pause(ctx, s.batchDelay(time.Now())) {
 		return false
 	}
-	s.newsAt = time.Now()
+	s.lastUpdateAt = time.Now()
 	return true
 }
 
-// untilGathered says how long news wait for others: not at all after a calm.
-func (s *Session) untilGathered(now time.Time) time.Duration {
-	if now.Sub(s.newsAt) >= s.options.GatherInterval {
+// batchDelay says how long news wait for others: not at all after a calm.
+func (s *Session) batchDelay(now time.Time) time.Duration {
+	if now.Sub(s.lastUpdateAt) >= s.options.BatchInterval {
 		return 0
 	}
-	return s.options.GatherInterval - s.sinceMultiple(now, s.options.GatherInterval)
+	return s.options.BatchInterval - s.sinceIntervalBoundary(now, s.options.BatchInterval)
 }
 
-// sendNews sends, in this order, what the shards have, the status if it is due, and reports. The
+// sendUpdates sends, in this order, what the shards have, the status if it is due, and reports. The
 // status is read first, so that a reader that gets it has each shard as far as it says.
-func (s *Session) sendNews() error {
+func (s *Session) sendUpdates() error {
 	status := s.source.Status()
 	for _, shard := range s.source.Shards() {
 		changes, snapshot := s.source.Since(shard, s.writer.sent[shard])
-		if err := s.writer.shard(shard, changes, snapshot); err != nil {
+		if err := s.writer.writeShard(shard, changes, snapshot); err != nil {
 			return err
 		}
 	}
-	if s.writer.statusChanged(status) || s.untilStatus(time.Now()) <= 0 {
-		if err := s.writer.status(status); err != nil {
+	if s.writer.statusChanged(status) || s.untilNextStatus(time.Now()) <= 0 {
+		if err := s.writer.writeStatus(status); err != nil {
 			return err
 		}
 	}
-	for _, report := range s.outbox.take() {
-		if err := s.writer.report(report); err != nil {
+	for _, report := range s.outbox.drain() {
+		if err := s.writer.writeReport(report); err != nil {
 			return err
 		}
 	}
 	return s.writer.flush()
 }
 
-// untilStatus says how long the next status may wait. Statuses are due at multiples of the interval
+// untilNextStatus says how long the next status may wait. Statuses are due at multiples of the interval
 // since the origin, so that all sessions send theirs in one wake-up of the process.
-func (s *Session) untilStatus(now time.Time) time.Duration {
+func (s *Session) untilNextStatus(now time.Time) time.Duration {
 	if s.writer.statusAt.IsZero() {
 		return 0
 	}
 	latest := s.writer.statusAt.Add(s.options.StatusInterval)
-	return latest.Add(-s.sinceMultiple(latest, s.options.StatusInterval)).Sub(now)
+	return latest.Add(-s.sinceIntervalBoundary(latest, s.options.StatusInterval)).Sub(now)
 }
 
-// sinceMultiple returns how long before a moment the last multiple of an interval since the origin was.
-func (s *Session) sinceMultiple(moment time.Time, interval time.Duration) time.Duration {
+// sinceIntervalBoundary returns how long before a moment the last multiple of an interval since the origin was.
+func (s *Session) sinceIntervalBoundary(moment time.Time, interval time.Duration) time.Duration {
 	beyond := moment.Sub(s.options.Origin) % interval
 	if beyond < 0 {
 		beyond += interval
--- a/internal/controlplane/feedtransport/session_test.go
+++ b/internal/controlplane/feedtransport/session_test.go
@@ -66,9 +66,9 @@
 		seeds = append(seeds, address(place))
 	}
 	client = NewClient(ClientOptions{
-		Hello:  Hello{Node: "edge-1", Role: RoleAgent},
-		Choice: ChoiceOptions{Node: "edge-1", Seeds: seeds, FeedPort: feedPort},
-		Dial:   reachable.dial,
+		Hello:    Hello{Node: "edge-1", Role: RoleAgent},
+		Selector: SelectorOptions{Node: "edge-1", Seeds: seeds, FeedPort: feedPort},
+		Dial:     reachable.dial,
 	}, handler)
 	done := make(chan struct{})
 	go func() {
@@ -155,7 +155,7 @@
 		defer stop()
 		time.Sleep(StatusInterval / 4)
 		source.setCurrent(false)
-		time.Sleep(GatherInterval)
+		time.Sleep(BatchInterval)
 		synctest.Wait()
 		if last := handler.seen().statuses[len(handler.seen().statuses)-1]; last.Current() {
 			t.Errorf("the last status is current: %+v", last)
@@ -175,10 +175,10 @@
 			source.commit(0, put(index+1, fmt.Sprintf("key-%d", index%10), fmt.Sprint(index)))
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(GatherInterval)
+		time.Sleep(BatchInterval)
 		synctest.Wait()
 		expectItems(t, handler, 0, source)
-		most := int(commits*time.Millisecond/GatherInterval) + 5
+		most := int(commits*time.Millisecond/BatchInterval) + 5
 		if handler.seen().batches > most {
 			t.Errorf("%d batches, want at most %d", handler.seen().batches, most)
 		}
@@ -218,10 +218,10 @@
 		synctest.Wait()
 		hung := handler.seen().events[0]
 		reachable.set(func() { reachable.hung = map[string]bool{hung: true} })
-		time.Sleep(SilentAfter + 2*retryShortest)
+		time.Sleep(ReceiveTimeout + 2*minRetryBackoff)
 		synctest.Wait()
 		expectItems(t, handler, 0, source)
-		want := []string{hung, ErrSilent.Error()}
+		want := []string{hung, ErrReceiveTimeout.Error()}
 		if len(handler.seen().events) != 3 || !reflect.DeepEqual(handler.seen().events[:2], want) {
 			t.Errorf("connections: %v", handler.seen().events)
 		}
@@ -264,20 +264,20 @@
 		go func() { ended <- session.Run(ctx) }()
 		handler := newRecorder()
 		client := NewClient(ClientOptions{
-			Choice: ChoiceOptions{Fixed: "agent"},
-			Dial:   func(context.Context, string) (net.Conn, error) { return ours, nil },
+			Selector: SelectorOptions{FixedServer: "agent"},
+			Dial:     func(context.Context, string) (net.Conn, error) { return ours, nil },
 		}, handler)
 		client.Report("budget", []byte("1"))
 		session.Send("finding", []byte("2"))
-		client.choice.Next(time.Now())
-		client.choice.Connected(time.Now())
+		client.selector.Next(time.Now())
+		client.selector.Connected(time.Now())
 		go func() { _ = client.receive(ours) }()
 		synctest.Wait()
-		frames, err := appendReports(nil, client.outbox.take())
+		frames, err := appendReports(nil, client.outbox.drain())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := writeAll(ours, frames, WriteLimit); err != nil {
+		if err := writeAll(ours, frames, WriteTimeout); err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
@@ -298,7 +298,7 @@
 		begun := time.Now()
 		err := Serve(context.Background(), theirs, sampleHello(), source)
 		var timeout net.Error
-		if !errors.As(err, &timeout) || !timeout.Timeout() || time.Since(begun) != WriteLimit {
+		if !errors.As(err, &timeout) || !timeout.Timeout() || time.Since(begun) != WriteTimeout {
 			t.Errorf("after %v: %v", time.Since(begun), err)
 		}
 		if len(source.wakes) != 0 {
--- a/internal/controlplane/feedtransport/shared_snapshot_test.go
+++ b/internal/controlplane/feedtransport/shared_snapshot_test.go
@@ -46,10 +46,10 @@
 	const (
 		readers = 60
 		workers = 600
-		further = 40 // changes while the herd comes
+		extra   = 40 // changes while the herd comes
 	)
 	synctest.Test(t, func(t *testing.T) {
-		items := manyItems(4, workers+further)
+		items := manyItems(4, workers+extra)
 		source := newBufferSource(items[:workers])
 		encoder := NewEncoder()
 		var handlers []*recorder
@@ -60,12 +60,12 @@
 			written, stop := serveOne(source, encoder, fmt.Sprintf("edge-%d", number), handlers[number])
 			defer stop()
 			counts = append(counts, written)
-			if number < further {
+			if number < extra {
 				source.put(items[workers+number])
 			}
 			time.Sleep(time.Millisecond)
 			synctest.Wait()
-			snapshots[encoder.snapshots[1].to] = true
+			snapshots[encoder.snapshotFrames[1].to] = true
 		}
 		time.Sleep(StatusInterval)
 		synctest.Wait()
@@ -99,7 +99,7 @@
 		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		for index := range uint64(60) { // at all phases of the statuses' interval
-			time.Sleep(GatherInterval + 7*time.Millisecond)
+			time.Sleep(BatchInterval + 7*time.Millisecond)
 			source.commit(0, put(index+1, "key", fmt.Sprint(index)))
 			synctest.Wait()
 			expectItems(t, handler, 0, source)
--- a/internal/controlplane/feedtransport/source_test.go
+++ b/internal/controlplane/feedtransport/source_test.go
@@ -14,7 +14,7 @@
 	logs    map[shards.ID][]feed.Change
 	floors  map[shards.ID]uint64 // below it, a reader gets a snapshot
 	current bool
-	keepers []Keeper
+	servers []ServerEndpoint
 	wakes   map[chan<- struct{}]bool
 	reports []Report
 	looks   int // calls of Since
@@ -65,7 +65,7 @@
 func (s *scriptedSource) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	status := Status{Keepers: s.keepers}
+	status := Status{Servers: s.servers}
 	for shard := range shards.ID(shards.Count) {
 		if log, ok := s.logs[shard]; ok {
 			status.Shards = append(status.Shards, ShardStatus{Shard: shard, Index: lastIndex(log), Current: s.current})
--- a/internal/controlplane/feedtransport/status_test.go
+++ b/internal/controlplane/feedtransport/status_test.go
@@ -11,19 +11,19 @@
 func TestKeepersAreToldWhenTheyChange(t *testing.T) {
 	connection := &capture{}
 	writer := newFeedWriter(connection, nil, time.Second)
-	keepers := []Keeper{{Address: "10.0.0.1:7000", Zone: "a"}}
-	for number, wanted := range [][]Keeper{keepers, nil, nil, append(keepers, Keeper{Address: "10.0.0.2:7000"}), nil} {
-		status := Status{Shards: []ShardStatus{{Current: true}}, Keepers: keepers}
+	servers := []ServerEndpoint{{Address: "10.0.0.1:7000", Zone: "a"}}
+	for number, wanted := range [][]ServerEndpoint{servers, nil, nil, append(servers, ServerEndpoint{Address: "10.0.0.2:7000"}), nil} {
+		status := Status{Shards: []ShardStatus{{Current: true}}, Servers: servers}
 		if number >= 3 {
-			status.Keepers = append(keepers, Keeper{Address: "10.0.0.2:7000"})
+			status.Servers = append(servers, ServerEndpoint{Address: "10.0.0.2:7000"})
 		}
 		connection.written.Reset()
-		if err := errors.Join(writer.status(status), writer.flush()); err != nil {
+		if err := errors.Join(writer.writeStatus(status), writer.flush()); err != nil {
 			t.Fatal(err)
 		}
-		told, err := DecodeStatus(body(t, connection.written.Bytes(), KindStatus))
-		if err != nil || len(told.Keepers) != len(wanted) {
-			t.Errorf("status %d tells of %v, want %v, %v", number, told.Keepers, wanted, err)
+		decoded, err := DecodeStatus(body(t, connection.written.Bytes(), KindStatus))
+		if err != nil || len(decoded.Servers) != len(wanted) {
+			t.Errorf("status %d tells of %v, want %v, %v", number, decoded.Servers, wanted, err)
 		}
 		if writer.statusChanged(status) {
 			t.Errorf("status %d counts as changed after it was sent", number)
@@ -34,15 +34,15 @@
 func TestAHandlerIsToldOfTheKeepersWithEachStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
-		source.keepers = []Keeper{{Address: address(1)}, {Address: address(2)}}
+		source.servers = []ServerEndpoint{{Address: address(1)}, {Address: address(2)}}
 		handler := newRecorder()
 		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		time.Sleep(3 * StatusInterval)
 		synctest.Wait()
 		for number, status := range handler.seen().statuses {
-			if len(status.Keepers) != len(source.keepers) {
-				t.Errorf("status %d of %d tells of %v", number, len(handler.seen().statuses), status.Keepers)
+			if len(status.Servers) != len(source.servers) {
+				t.Errorf("status %d of %d tells of %v", number, len(handler.seen().statuses), status.Servers)
 			}
 		}
 	})
--- a/internal/controlplane/feedtransport/writer.go
+++ b/internal/controlplane/feedtransport/writer.go
@@ -12,37 +12,37 @@
 const (
 	// partBytes is about how much of a snapshot or of changes one frame carries.
 	partBytes = 48 << 10
-	// keptBytes is the largest buffer that is kept from one write to the next.
-	keptBytes = 64 << 10
+	// maxRetainedBytes is the largest buffer that is kept from one write to the next.
+	maxRetainedBytes = 64 << 10
 	// reportBufferBytes is the buffer for what a reader of the feed sends.
 	reportBufferBytes = 1 << 10
 )
 
 // feedWriter turns what a source has into frames. It knows how far the reader has each shard.
 type feedWriter struct {
-	connection net.Conn
-	limit      time.Duration
-	encoder    *Encoder // nil: frames are not compressed
-	buffer     []byte
-	sent       map[shards.ID]uint64
+	connection   net.Conn
+	writeTimeout time.Duration
+	encoder      *Encoder // nil: frames are not compressed
+	buffer       []byte
+	sent         map[shards.ID]uint64
 
 	sequence   uint64
 	lastStatus Status
 	statusAt   time.Time // zero: none yet
 }
 
-func newFeedWriter(connection net.Conn, offsets []Offset, limit time.Duration) *feedWriter {
-	writer := &feedWriter{connection: connection, limit: limit, sent: make(map[shards.ID]uint64)}
+func newFeedWriter(connection net.Conn, offsets []Offset, writeTimeout time.Duration) *feedWriter {
+	writer := &feedWriter{connection: connection, writeTimeout: writeTimeout, sent: make(map[shards.ID]uint64)}
 	for _, offset := range offsets {
 		writer.sent[offset.Shard] = offset.Index
 	}
 	return writer
 }
 
-// shard writes what is above the index that the reader has.
-func (w *feedWriter) shard(shard shards.ID, changes []feed.Change, snapshot *feed.Snapshot) error {
+// writeShard writes what is above the index that the reader has.
+func (w *feedWriter) writeShard(shard shards.ID, changes []feed.Change, snapshot *feed.Snapshot) error {
 	if snapshot != nil && snapshot.Index > w.sent[shard] {
-		if err := w.snapshot(shard, *snapshot); err != nil {
+		if err := w.writeSnapshot(shard, *snapshot); err != nil {
 			return err
 		}
 		w.sent[shard] = snapshot.Index
@@ -53,31 +53,31 @@
 	if len(changes) == 0 {
 		return nil
 	}
-	if err := w.changes(shard, changes); err != nil {
+	if err := w.writeChanges(shard, changes); err != nil {
 		return err
 	}
 	w.sent[shard] = changes[len(changes)-1].Index
 	return nil
 }
 
-func (w *feedWriter) snapshot(shard shards.ID, snapshot feed.Snapshot) error {
+func (w *feedWriter) writeSnapshot(shard shards.ID, snapshot feed.Snapshot) error {
 	if w.encoder != nil {
-		return w.addAll(w.encoder.snapshot(shard, snapshot))
+		return w.appendFrames(w.encoder.snapshot(shard, snapshot))
 	}
 	for _, part := range snapshotParts(shard, snapshot) {
-		if err := w.add(AppendSnapshotPart(w.buffer, part)); err != nil {
+		if err := w.appendFrame(AppendSnapshotPart(w.buffer, part)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *feedWriter) changes(shard shards.ID, changes []feed.Change) error {
+func (w *feedWriter) writeChanges(shard shards.ID, changes []feed.Change) error {
 	if w.encoder != nil {
-		return w.addAll(w.encoder.changes(shard, w.sent[shard], changes))
+		return w.appendFrames(w.encoder.changes(shard, w.sent[shard], changes))
 	}
 	for _, part := range changeParts(shard, changes) {
-		if err := w.add(AppendChanges(w.buffer, part)); err != nil {
+		if err := w.appendFrame(AppendChanges(w.buffer, part)); err != nil {
 			return err
 		}
 	}
@@ -117,36 +117,38 @@
 	if !slices.EqualFunc(status.Shards, w.lastStatus.Shards, sameCurrency) {
 		return true
 	}
-	return w.statusAt.IsZero() || !slices.Equal(status.Keepers, w.lastStatus.Keepers)
+	return w.statusAt.IsZero() || !slices.Equal(status.Servers, w.lastStatus.Servers)
 }
 
-func (w *feedWriter) status(status Status) error {
+func (w *feedWriter) writeStatus(status Status) error {
 	w.sequence++
 	status.Sequence = w.sequence
-	keepers := status.Keepers
-	if w.sequence > 1 && slices.Equal(keepers, w.lastStatus.Keepers) {
-		status.Keepers = nil // the reader keeps those that it was told of
+	servers := status.Servers
+	if w.sequence > 1 && slices.Equal(servers, w.lastStatus.Servers) {
+		status.Servers = nil // the reader keeps those that it was told of
 	}
 	w.lastStatus = status
-	w.lastStatus.Keepers = keepers
+	w.lastStatus.Servers = servers
 	w.statusAt = time.Now()
-	return w.add(AppendStatus(w.buffer, status))
+	return w.appendFrame(AppendStatus(w.buffer, status))
 }
 
-func (w *feedWriter) report(report Report) error { return w.add(AppendReport(w.buffer, report)) }
+func (w *feedWriter) writeReport(report Report) error {
+	return w.appendFrame(AppendReport(w.buffer, report))
+}
 
-// addAll takes frames that are shared with other writers.
-func (w *feedWriter) addAll(frames [][]byte, err error) error {
+// appendFrames takes frames that are shared with other writers.
+func (w *feedWriter) appendFrames(frames [][]byte, err error) error {
 	for _, frame := range frames {
 		if err == nil {
-			err = w.add(append(w.buffer, frame...), nil)
+			err = w.appendFrame(append(w.buffer, frame...), nil)
 		}
 	}
 	return err
 }
 
-// add takes the buffer with one more frame, and sends it once it is long enough.
-func (w *feedWriter) add(buffer []byte, err error) error {
+// appendFrame takes the buffer with one more frame, and sends it once it is long enough.
+func (w *feedWriter) appendFrame(buffer []byte, err error) error {
 	if err != nil {
 		return err
 	}
@@ -161,9 +163,9 @@
 	if len(w.buffer) == 0 {
 		return nil
 	}
-	err := writeAll(w.connection, w.buffer, w.limit)
+	err := writeAll(w.connection, w.buffer, w.writeTimeout)
 	w.buffer = w.buffer[:0]
-	if cap(w.buffer) > keptBytes {
+	if cap(w.buffer) > maxRetainedBytes {
 		w.buffer = nil
 	}
 	return err
--- a/internal/controlplane/peertransport/codec.go
+++ b/internal/controlplane/peertransport/codec.go
@@ -112,9 +112,9 @@
 	return messages, nil
 }
 
-func encodeCall(id uint64, kind CallKind, budget time.Duration, body []byte) (frame, error) {
+func encodeCall(id uint64, kind CallKind, timeout time.Duration, body []byte) (frame, error) {
 	return encode(kindCall, callSchema, wireCall{
-		ID: int64(id), Kind: int(kind), BudgetMs: int(budget / time.Millisecond), Body: body,
+		ID: int64(id), Kind: int(kind), BudgetMs: int(timeout / time.Millisecond), Body: body,
 	})
 }
 
--- a/internal/controlplane/peertransport/frame_writer.go
+++ b/internal/controlplane/peertransport/frame_writer.go
@@ -10,9 +10,9 @@
 
 // Sizes of writes.
 const (
-	writePieceBytes = 64 << 10  // the write deadline is looked at before each piece
-	gatherBytes     = 64 << 10  // frames up to this length are gathered into one write
-	keepBufferBytes = 256 << 10 // a larger buffer is not kept for the next write
+	writeChunkBytes  = 64 << 10  // the write deadline is looked at before each piece
+	maxBufferedBytes = 64 << 10  // frames up to this length are gathered into one write
+	maxRetainedBytes = 256 << 10 // a larger buffer is not kept for the next write
 )
 
 // frameWriter gathers frames and writes them with few calls. Not for concurrent use.
@@ -22,11 +22,11 @@
 	deadline   time.Time // of writes, as it was set last
 }
 
-// add gathers a frame; one that is long is written at once, after what was gathered.
-func (w *frameWriter) add(next frame) error {
-	if len(next.body) <= gatherBytes {
+// append gathers a frame; one that is long is written at once, after what was gathered.
+func (w *frameWriter) append(next frame) error {
+	if len(next.body) <= maxBufferedBytes {
 		w.buffer = feedtransport.AppendFrame(w.buffer, next.kind, next.body)
-		if len(w.buffer) < gatherBytes {
+		if len(w.buffer) < maxBufferedBytes {
 			return nil
 		}
 		return w.flush()
@@ -47,7 +47,7 @@
 // flush writes what was gathered.
 func (w *frameWriter) flush() error {
 	err := w.write(w.buffer)
-	if cap(w.buffer) > keepBufferBytes {
+	if cap(w.buffer) > maxRetainedBytes {
 		w.buffer = nil
 	}
 	w.buffer = w.buffer[:0]
@@ -67,14 +67,14 @@
 
 func (w *frameWriter) write(data []byte) error {
 	for len(data) > 0 {
-		piece := data[:min(len(data), writePieceBytes)]
+		chunk := data[:min(len(data), writeChunkBytes)]
 		if err := w.renewDeadline(); err != nil {
 			return err
 		}
-		if _, err := w.connection.Write(piece); err != nil {
+		if _, err := w.connection.Write(chunk); err != nil {
 			return err
 		}
-		data = data[len(piece):]
+		data = data[len(chunk):]
 	}
 	return nil
 }
--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// lastBudget is the longest time that a call may take.
-	lastBudget = 10 * time.Second
-	// maxRunningCalls bounds the calls of one peer that are worked on at a time.
-	maxRunningCalls = 256
+	// maxCallTimeout is the longest time that a call may take.
+	maxCallTimeout = 10 * time.Second
+	// maxConcurrentCalls bounds the calls of one peer that are worked on at a time.
+	maxConcurrentCalls = 256
 )
 
 // Reasons to carry out no part of a call.
 var (
 	errTooManyCalls = errors.New("peerlink: too many calls of this peer are under way")
-	errNoTime       = errors.New("peerlink: the call has no time left")
+	errCallExpired  = errors.New("peerlink: the call has no time left")
 )
 
 // inbound is a connection that a peer has opened.
 type inbound struct {
-	network    *Network
+	transport  *Transport
 	connection net.Conn
 	peer       Hello
 	running    chan struct{} // one token for each call that is worked on
@@ -39,7 +39,7 @@
 }
 
 // Serve accepts connections until the listener or the network is closed, and closes the listener.
-func (n *Network) Serve(listener net.Listener) error {
+func (n *Transport) Serve(listener net.Listener) error {
 	stop := context.AfterFunc(n.ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -51,7 +51,7 @@
 			return err
 		}
 		if err != nil {
-			n.pauseAccept()
+			n.delayAccept()
 			continue
 		}
 		n.running.Add(1)
@@ -62,9 +62,9 @@
 	}
 }
 
-// pauseAccept waits a little after a failed accept, as when descriptors have run out.
-func (n *Network) pauseAccept() {
-	timer := time.NewTimer(firstPause)
+// delayAccept waits a little after a failed accept, as when descriptors have run out.
+func (n *Transport) delayAccept() {
+	timer := time.NewTimer(minBackoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -73,17 +73,17 @@
 }
 
 // identify reads the first frame and hands the connection to the protocol that it names.
-func (n *Network) identify(connection net.Conn) {
+func (n *Transport) identify(connection net.Conn) {
 	stop := context.AfterFunc(n.ctx, func() { _ = connection.Close() })
 	defer stop()
-	kind, body, err := feedtransport.ReadFirstFrame(connection, firstFrameTime)
+	kind, body, err := feedtransport.ReadFirstFrame(connection, firstFrameTimeout)
 	if err != nil {
 		n.options.Logger.Debug("connection not identified", zap.Error(err))
 		_ = connection.Close()
 		return
 	}
 	if kind < feedtransport.FirstPeerKind {
-		n.options.Handler.Reader(n.ctx, connection, kind, body)
+		n.options.Handler.FeedConnection(n.ctx, connection, kind, body)
 		return
 	}
 	defer func() { _ = connection.Close() }()
@@ -97,30 +97,30 @@
 	n.serveInbound(connection, peer)
 }
 
-func (n *Network) serveInbound(connection net.Conn, peer Hello) {
+func (n *Transport) serveInbound(connection net.Conn, peer Hello) {
 	in := &inbound{
-		network: n, connection: connection, peer: peer,
-		running: make(chan struct{}, maxRunningCalls), writer: frameWriter{connection: connection},
+		transport: n, connection: connection, peer: peer,
+		running: make(chan struct{}, maxConcurrentCalls), writer: frameWriter{connection: connection},
 	}
 	n.register(in)
 	defer n.unregister(in)
 	n.options.Handler.Connected(peer)
-	in.read()
+	in.readFrames()
 }
 
 // register notes a connection of a peer. It leaves the peer's other ones alone, since the one that is
 // accepted last need not be the newest: it may have waited while this process stood still. A
 // connection that its peer has given up ends by itself.
-func (n *Network) register(in *inbound) {
+func (n *Transport) register(in *inbound) {
 	now := n.options.Now()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.accepted[in.peer.Address]++
 	n.members[in.peer.Member] = in.peer
-	n.heard[in.peer.Address] = now
+	n.lastReceived[in.peer.Address] = now
 }
 
-func (n *Network) unregister(in *inbound) {
+func (n *Transport) unregister(in *inbound) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.accepted[in.peer.Address]--
@@ -129,61 +129,61 @@
 	}
 }
 
-// read takes frames until the connection ends.
-func (in *inbound) read() {
-	ctx, cancel := context.WithCancel(in.network.ctx)
+// readFrames takes frames until the connection ends.
+func (in *inbound) readFrames() {
+	ctx, cancel := context.WithCancel(in.transport.ctx)
 	defer cancel()
 	reader := bufio.NewReaderSize(in.connection, readBufferBytes)
 	for {
 		kind, body, err := feedtransport.ReadFrame(reader)
 		if err != nil {
-			in.network.options.Logger.Debug("peer's connection ended", zap.String("peer", in.peer.Address), zap.Error(err))
+			in.transport.options.Logger.Debug("peer's connection ended", zap.String("peer", in.peer.Address), zap.Error(err))
 			return
 		}
-		in.network.noteHeard(in.peer.Address)
-		if !in.take(ctx, kind, body) {
+		in.transport.noteReceived(in.peer.Address)
+		if !in.handleFrame(ctx, kind, body) {
 			return
 		}
 	}
 }
 
-// take handles one frame; false ends the connection.
-func (in *inbound) take(ctx context.Context, kind feedtransport.Kind, body []byte) bool {
+// handleFrame handles one frame; false ends the connection.
+func (in *inbound) handleFrame(ctx context.Context, kind feedtransport.Kind, body []byte) bool {
 	switch kind {
 	case kindBatch:
 		batch, err := decodeBatch(body)
 		if err != nil {
 			return false
 		}
-		in.network.options.Handler.Messages(in.peer, known(batch))
+		in.transport.options.Handler.Messages(in.peer, withKnownShards(batch))
 		return true
 	case kindCall:
 		var call wireCall
 		if err := decode(kindCall, callSchema, body, &call); err != nil {
 			return false
 		}
-		in.start(ctx, call)
+		in.startCall(ctx, call)
 		return true
 	}
 	return false
 }
 
-// known leaves out messages of shards that this program does not have.
-func known(batch []GroupMessage) []GroupMessage {
-	kept := batch[:0]
+// withKnownShards leaves out messages of shards that this program does not have.
+func withKnownShards(batch []GroupMessage) []GroupMessage {
+	remaining := batch[:0]
 	for _, message := range batch {
 		if message.Shard < shards.Count {
-			kept = append(kept, message)
+			remaining = append(remaining, message)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// start works on a call in a goroutine of its own. It refuses one that has no time left, and all while
+// startCall works on a call in a goroutine of its own. It refuses one that has no time left, and all while
 // too many are under way.
-func (in *inbound) start(ctx context.Context, call wireCall) {
+func (in *inbound) startCall(ctx context.Context, call wireCall) {
 	if call.BudgetMs <= 0 {
-		in.reply(call.ID, nil, errNoTime)
+		in.reply(call.ID, nil, errCallExpired)
 		return
 	}
 	select {
@@ -192,14 +192,14 @@
 		in.reply(call.ID, nil, errTooManyCalls)
 		return
 	}
-	in.network.running.Add(1)
+	in.transport.running.Add(1)
 	go func() {
-		defer in.network.running.Done()
+		defer in.transport.running.Done()
 		defer func() { <-in.running }()
-		budget := time.Duration(call.BudgetMs) * time.Millisecond
-		ctx, cancel := context.WithTimeout(ctx, budget)
+		timeout := time.Duration(call.BudgetMs) * time.Millisecond
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		body, err := in.network.options.Handler.Call(ctx, in.peer, CallKind(call.Kind), call.Body)
+		body, err := in.transport.options.Handler.Call(ctx, in.peer, CallKind(call.Kind), call.Body)
 		in.reply(call.ID, body, err)
 	}()
 }
@@ -214,7 +214,7 @@
 	}
 	in.mutex.Lock()
 	defer in.mutex.Unlock()
-	if in.writer.add(encoded) != nil || in.writer.flush() != nil {
+	if in.writer.append(encoded) != nil || in.writer.flush() != nil {
 		_ = in.connection.Close()
 	}
 }
--- a/internal/controlplane/peertransport/inbound_test.go
+++ b/internal/controlplane/peertransport/inbound_test.go
@@ -20,50 +20,50 @@
 	closed      chan struct{}
 }
 
-func (l *pipeListener) Accept() (net.Conn, error) {
+func (o *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-l.connections:
+	case connection := <-o.connections:
 		return connection, nil
-	case <-l.closed:
+	case <-o.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *pipeListener) Close() error {
-	close(l.closed)
+func (o *pipeListener) Close() error {
+	close(o.closed)
 	return nil
 }
 
-func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (o *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// host is a network under test that a test dials.
-type host struct {
+// inboundFixture is a network under test that a test dials.
+type inboundFixture struct {
 	t        *testing.T
-	network  *Network
+	network  *Transport
 	listener *pipeListener
 	handler  *recorder
 	asked    chan string // bodies of calls that are carried out
 }
 
-func newHost(t *testing.T) *host {
+func newInboundFixture(t *testing.T) *inboundFixture {
 	t.Helper()
-	h := &host{t: t, handler: newRecorder(), asked: make(chan string, 16)}
+	h := &inboundFixture{t: t, handler: newRecorder(), asked: make(chan string, 16)}
 	h.listener = &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 	h.handler.call = func(_ context.Context, _ CallKind, body []byte) ([]byte, error) {
 		h.asked <- string(body)
 		return body, nil
 	}
-	network, err := New(Options{Self: Hello{Address: "127.0.0.1:1", Member: 1}, Handler: h.handler, Logger: zaptest.NewLogger(t)})
+	transport, err := New(Options{Self: Hello{Address: "127.0.0.1:1", Member: 1}, Handler: h.handler, Logger: zaptest.NewLogger(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.network = network
-	go func() { _ = network.Serve(h.listener) }()
+	h.network = transport
+	go func() { _ = transport.Serve(h.listener) }()
 	return h
 }
 
 // dial opens a connection as the given peer.
-func (h *host) dial(peer Hello) net.Conn {
+func (h *inboundFixture) dial(peer Hello) net.Conn {
 	h.t.Helper()
 	near, far := net.Pipe()
 	h.listener.connections <- far
@@ -103,7 +103,7 @@
 // TestWhatIsTakenFromAPeer sends all kinds of bytes and tells which calls are carried out and whether the connection goes
 // on; another one of the same peer goes on in any case.
 func TestWhatIsTakenFromAPeer(t *testing.T) {
-	whole := callBytes(t, 1, time.Second, "x")
+	complete := callBytes(t, 1, time.Second, "x")
 	cases := []struct {
 		name    string
 		sent    []byte
@@ -111,12 +111,12 @@
 		replies int  // that come back
 		ends    bool // the connection
 	}{
-		{"a whole call", whole, 1, 1, false},
-		{"repeated", append(whole[:len(whole):len(whole)], whole...), 2, 2, false},
+		{"a whole call", complete, 1, 1, false},
+		{"repeated", append(complete[:len(complete):len(complete)], complete...), 2, 2, false},
 		{"without time", callBytes(t, 1, 0, "x"), 0, 1, false},
 		{"too late", callBytes(t, 1, -time.Second, "x"), 0, 1, false},
-		{"cut in its head", whole[:3], 0, 0, false},
-		{"cut in its body", whole[:len(whole)-1], 0, 0, false},
+		{"cut in its head", complete[:3], 0, 0, false},
+		{"cut in its body", complete[:len(complete)-1], 0, 0, false},
 		{"no call at all", feedtransport.AppendFrame(nil, kindCall, []byte("?")), 0, 0, true},
 		{"a reply", replyBytes(t, 1, "x"), 0, 0, true},
 		{"a second hello", feedtransport.AppendFrame(nil, kindHello, []byte("x")), 0, 0, true},
@@ -125,7 +125,7 @@
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := newHost(t)
+				h := newInboundFixture(t)
 				defer h.network.Close()
 				other := h.dial(somePeer)
 				connection := h.dial(somePeer)
@@ -157,7 +157,7 @@
 // A connection of a peer's former process may be accepted after those of its new one, as when this process stood still.
 func TestLateConnectionLeavesNewerOnesAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHost(t)
+		h := newInboundFixture(t)
 		defer h.network.Close()
 		former := Hello{Address: peerAddress, Member: 9}
 		newer := h.dial(somePeer)
@@ -180,7 +180,7 @@
 // The answer to a call of a connection that has ended reaches none of the peer's other connections.
 func TestAnswerStaysOnItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHost(t)
+		h := newInboundFixture(t)
 		defer h.network.Close()
 		release := make(chan struct{})
 		h.handler.call = func(_ context.Context, _ CallKind, body []byte) ([]byte, error) {
@@ -206,7 +206,7 @@
 // An answer that no frame can hold ends the call at once.
 func TestAnswerTooLongForAFrame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHost(t)
+		h := newInboundFixture(t)
 		defer h.network.Close()
 		h.handler.call = func(context.Context, CallKind, []byte) ([]byte, error) {
 			return make([]byte, feedtransport.MaxFrameBytes), nil
--- a/internal/controlplane/peertransport/outbound_connection.go
+++ b/internal/controlplane/peertransport/outbound_connection.go
@@ -15,60 +15,60 @@
 const readBufferBytes = 16 << 10
 
 // serve works on an open connection until it breaks.
-func (l *link) serve(connection net.Conn) {
-	ctx, cancel := context.WithCancel(l.network.ctx)
+func (o *outbound) serve(connection net.Conn) {
+	ctx, cancel := context.WithCancel(o.transport.ctx)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
 
-	l.setConnection(connection)
+	o.setConnection(connection)
 	readerDone := make(chan struct{})
 	go func() {
 		defer close(readerDone)
 		defer cancel()
-		l.readReplies(connection)
+		o.readReplies(connection)
 	}()
-	if err := l.write(ctx, connection); err != nil {
-		l.network.options.Logger.Debug("peer connection broke", zap.String("peer", l.address), zap.Error(err))
+	if err := o.write(ctx, connection); err != nil {
+		o.transport.options.Logger.Debug("peer connection broke", zap.String("peer", o.address), zap.Error(err))
 	}
 	cancel()
 	_ = connection.Close()
 	<-readerDone
-	l.setConnection(nil)
-	l.failSent()
+	o.setConnection(nil)
+	o.failSent()
 }
 
-func (l *link) setConnection(connection net.Conn) {
-	l.mutex.Lock()
-	l.connection = connection
-	l.mutex.Unlock()
+func (o *outbound) setConnection(connection net.Conn) {
+	o.mutex.Lock()
+	o.connection = connection
+	o.mutex.Unlock()
 }
 
 // write sends the hello and then all that is queued, until ctx ends or a write fails.
-func (l *link) write(ctx context.Context, connection net.Conn) error {
+func (o *outbound) write(ctx context.Context, connection net.Conn) error {
 	writer := &frameWriter{connection: connection}
-	if err := writer.add(l.network.hello); err != nil {
+	if err := writer.append(o.transport.hello); err != nil {
 		return err
 	}
 	if err := writer.flush(); err != nil { // the peer waits for it, and what follows may take long to encode
 		return err
 	}
 	for {
-		if err := l.writeQueued(writer); err != nil {
+		if err := o.writeQueued(writer); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.wake:
+		case <-o.wake:
 		}
 	}
 }
 
 // writeQueued writes until nothing is queued.
-func (l *link) writeQueued(writer *frameWriter) error {
+func (o *outbound) writeQueued(writer *frameWriter) error {
 	for {
 		runtime.Gosched() // groups that are about to send at this moment go first: their messages join the batch
-		batch, calls := l.takeQueued()
+		batch, calls := o.takeQueued()
 		if len(batch) == 0 && len(calls) == 0 {
 			return writer.flush()
 		}
@@ -76,7 +76,7 @@
 			return err
 		}
 		for _, call := range calls {
-			if err := writer.add(call); err != nil {
+			if err := writer.append(call); err != nil {
 				return err
 			}
 		}
@@ -91,27 +91,27 @@
 	if err != nil {
 		return nil // too long for a frame: lost, as any message may be
 	}
-	return writer.add(encoded)
+	return writer.append(encoded)
 }
 
 // takeQueued takes a batch of messages and all calls that wait.
-func (l *link) takeQueued() ([]GroupMessage, []frame) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (o *outbound) takeQueued() ([]GroupMessage, []frame) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	var calls []frame
-	for _, id := range l.waiting {
-		if pending := l.calls[id]; pending != nil {
+	for _, id := range o.queuedCalls {
+		if pending := o.calls[id]; pending != nil {
 			pending.sent = true
 			calls = append(calls, pending.frame)
 			pending.frame = frame{}
 		}
 	}
-	l.waiting = nil
-	return l.messages.take(maxBatchBytes), calls
+	o.queuedCalls = nil
+	return o.messages.take(maxBatchBytes), calls
 }
 
 // readReplies hands replies to their callers until the connection ends.
-func (l *link) readReplies(connection net.Conn) {
+func (o *outbound) readReplies(connection net.Conn) {
 	reader := bufio.NewReaderSize(connection, readBufferBytes)
 	for {
 		kind, body, err := feedtransport.ReadFrame(reader)
@@ -122,8 +122,8 @@
 		if err := decode(kindReply, replySchema, body, &reply); err != nil {
 			return
 		}
-		l.network.noteHeard(l.address)
-		l.finish(uint64(reply.ID), resultOf(reply))
+		o.transport.noteReceived(o.address)
+		o.complete(uint64(reply.ID), resultOf(reply))
 	}
 }
 
--- a/internal/controlplane/peertransport/replies_test.go
+++ b/internal/controlplane/peertransport/replies_test.go
@@ -16,47 +16,47 @@
 
 const peerAddress = "127.0.0.1:2"
 
-// bench is a network under test whose peer a test plays, over pipes within a bubble of fake time.
-type bench struct {
+// callFixture is a network under test whose peer a test plays, over pipes within a bubble of fake time.
+type callFixture struct {
 	t       *testing.T
-	network *Network
+	network *Transport
 	dialed  chan net.Conn // the peer's end of each connection
 }
 
-func newBench(t *testing.T) *bench {
+func newCallFixture(t *testing.T) *callFixture {
 	t.Helper()
-	b := &bench{t: t, dialed: make(chan net.Conn, 4)}
+	b := &callFixture{t: t, dialed: make(chan net.Conn, 4)}
 	dial := func(context.Context, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		b.dialed <- far
 		return near, nil
 	}
-	network, err := New(Options{Self: Hello{Address: "127.0.0.1:1", Member: 1}, Handler: newRecorder(), Dial: dial, Logger: zaptest.NewLogger(t)})
+	transport, err := New(Options{Self: Hello{Address: "127.0.0.1:1", Member: 1}, Handler: newRecorder(), Dial: dial, Logger: zaptest.NewLogger(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.network = network
+	b.network = transport
 	return b
 }
 
-// called is what a caller was told.
-type called struct {
+// callOutcome is what a caller was told.
+type callOutcome struct {
 	body string
 	err  error
 }
 
 // call starts a call with that body.
-func (b *bench) call(ctx context.Context, body string) <-chan called {
-	told := make(chan called, 1)
+func (b *callFixture) call(ctx context.Context, body string) <-chan callOutcome {
+	outcome := make(chan callOutcome, 1)
 	go func() {
 		reply, err := b.network.Call(ctx, peerAddress, 1, []byte(body))
-		told <- called{string(reply), err}
+		outcome <- callOutcome{string(reply), err}
 	}()
-	return told
+	return outcome
 }
 
 // accept returns the peer's end of the next connection, after its hello.
-func (b *bench) accept() net.Conn {
+func (b *callFixture) accept() net.Conn {
 	b.t.Helper()
 	connection := <-b.dialed
 	if kind, _, err := feedtransport.ReadFrame(connection); kind != kindHello || err != nil {
@@ -66,7 +66,7 @@
 }
 
 // nextCall reads the next call on a connection.
-func (b *bench) nextCall(connection net.Conn) wireCall {
+func (b *callFixture) nextCall(connection net.Conn) wireCall {
 	b.t.Helper()
 	kind, body, err := feedtransport.ReadFrame(connection)
 	if kind != kindCall || err != nil {
@@ -98,30 +98,30 @@
 
 // TestWhatComesBackForACall has the peer send all kinds of bytes for one call, and then serves a second call well.
 func TestWhatComesBackForACall(t *testing.T) {
-	whole := func(id int64) []byte { return replyBytes(t, id, "first") }
+	complete := func(id int64) []byte { return replyBytes(t, id, "first") }
 	cases := []struct {
 		name string
 		sent func(id int64) []byte
 		ends bool  // the connection ends, by either side
 		told error // nil: "first"
 	}{
-		{"a whole answer", whole, false, nil},
-		{"a whole answer, then the end", whole, true, nil},
-		{"repeated", func(id int64) []byte { return append(whole(id), replyBytes(t, id, "other")...) }, false, nil},
-		{"a surplus answer before it", func(id int64) []byte { return append(replyBytes(t, id+7, "other"), whole(id)...) }, false, nil},
-		{"an answer to a call to come before it", func(id int64) []byte { return append(replyBytes(t, id+1, "other"), whole(id)...) }, false, nil},
+		{"a whole answer", complete, false, nil},
+		{"a whole answer, then the end", complete, true, nil},
+		{"repeated", func(id int64) []byte { return append(complete(id), replyBytes(t, id, "other")...) }, false, nil},
+		{"a surplus answer before it", func(id int64) []byte { return append(replyBytes(t, id+7, "other"), complete(id)...) }, false, nil},
+		{"an answer to a call to come before it", func(id int64) []byte { return append(replyBytes(t, id+1, "other"), complete(id)...) }, false, nil},
 		{"a foreign answer alone", func(id int64) []byte { return replyBytes(t, id+7, "other") }, true, ErrOutcomeUnknown},
 		{"nothing", func(int64) []byte { return nil }, true, ErrOutcomeUnknown},
-		{"cut in its head", func(id int64) []byte { return whole(id)[:3] }, true, ErrOutcomeUnknown},
-		{"cut in its body", func(id int64) []byte { return whole(id)[:len(whole(id))-1] }, true, ErrOutcomeUnknown},
+		{"cut in its head", func(id int64) []byte { return complete(id)[:3] }, true, ErrOutcomeUnknown},
+		{"cut in its body", func(id int64) []byte { return complete(id)[:len(complete(id))-1] }, true, ErrOutcomeUnknown},
 		{"no answer at all", func(int64) []byte { return feedtransport.AppendFrame(nil, kindReply, []byte("?")) }, true, ErrOutcomeUnknown},
-		{"a frame of another kind", func(id int64) []byte { return feedtransport.AppendFrame(nil, kindBatch, whole(id)[5:]) }, true, ErrOutcomeUnknown},
+		{"a frame of another kind", func(id int64) []byte { return feedtransport.AppendFrame(nil, kindBatch, complete(id)[5:]) }, true, ErrOutcomeUnknown},
 		{"a false length", func(int64) []byte { return []byte{0xff, 0xff, 0xff, 0xff, byte(kindReply)} }, true, ErrOutcomeUnknown},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newCallFixture(t)
 				defer b.network.Close()
 				first := b.call(t.Context(), "1")
 				connection := b.accept()
@@ -131,17 +131,17 @@
 					_ = connection.Close()
 					synctest.Wait()
 				}
-				told := <-first
-				if !errors.Is(told.err, one.told) || told.err == nil && told.body != "first" {
-					t.Fatalf("told %q, %v", told.body, told.err)
+				outcome := <-first
+				if !errors.Is(outcome.err, one.told) || outcome.err == nil && outcome.body != "first" {
+					t.Fatalf("told %q, %v", outcome.body, outcome.err)
 				}
 				second := b.call(t.Context(), "2")
 				if one.ends {
 					connection = b.accept()
 				}
 				write(t, connection, replyBytes(t, b.nextCall(connection).ID, "second"))
-				if told := <-second; told.err != nil || told.body != "second" {
-					t.Fatalf("the next call: %q, %v", told.body, told.err)
+				if outcome := <-second; outcome.err != nil || outcome.body != "second" {
+					t.Fatalf("the next call: %q, %v", outcome.body, outcome.err)
 				}
 			})
 		})
@@ -151,22 +151,22 @@
 // A call that its caller gave up is answered late, on a connection that goes on: the next call gets its own answer.
 func TestLateAnswerReachesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newCallFixture(t)
 		defer b.network.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		first := b.call(ctx, "1")
 		connection := b.accept()
 		late := b.nextCall(connection)
-		if told := <-first; !errors.Is(told.err, ErrOutcomeUnknown) {
-			t.Fatal(told.err)
+		if outcome := <-first; !errors.Is(outcome.err, ErrOutcomeUnknown) {
+			t.Fatal(outcome.err)
 		}
 		second := b.call(t.Context(), "2")
 		next := b.nextCall(connection)
 		write(t, connection, replyBytes(t, late.ID, "late"))
 		write(t, connection, replyBytes(t, next.ID, "second"))
-		if told := <-second; told.err != nil || told.body != "second" || next.ID == late.ID {
-			t.Fatalf("told %q, %v", told.body, told.err)
+		if outcome := <-second; outcome.err != nil || outcome.body != "second" || next.ID == late.ID {
+			t.Fatalf("told %q, %v", outcome.body, outcome.err)
 		}
 	})
 }
@@ -174,14 +174,14 @@
 // The answer to a call of a connection that broke comes on the next one, as from a peer that numbers calls by itself.
 func TestAnswerToACallOfAnEarlierConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newCallFixture(t)
 		defer b.network.Close()
 		first := b.call(t.Context(), "1")
 		connection := b.accept()
 		early := b.nextCall(connection)
 		_ = connection.Close()
-		if told := <-first; !errors.Is(told.err, ErrOutcomeUnknown) {
-			t.Fatal(told.err)
+		if outcome := <-first; !errors.Is(outcome.err, ErrOutcomeUnknown) {
+			t.Fatal(outcome.err)
 		}
 		synctest.Wait()
 		second := b.call(t.Context(), "2")
@@ -192,8 +192,8 @@
 		}
 		write(t, connection, replyBytes(t, early.ID, "early"))
 		write(t, connection, replyBytes(t, next.ID, "second"))
-		if told := <-second; told.err != nil || told.body != "second" {
-			t.Fatalf("told %q, %v", told.body, told.err)
+		if outcome := <-second; outcome.err != nil || outcome.body != "second" {
+			t.Fatalf("told %q, %v", outcome.body, outcome.err)
 		}
 	})
 }
@@ -202,22 +202,22 @@
 // connection before.
 func TestAnswerToACallThatWasNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network, err := New(Options{Handler: newRecorder()})
+		transport, err := New(Options{Handler: newRecorder()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer network.Close()
-		waiting := newLink(network, peerAddress)
+		defer transport.Close()
+		waiting := newOutbound(transport, peerAddress)
 		id, pending, err := waiting.enqueue(t.Context(), 1, []byte("1"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		waiting.finish(id, callResult{body: []byte("foreign")})
+		waiting.complete(id, callResult{body: []byte("foreign")})
 		waiting.failSent()
 		if _, calls := waiting.takeQueued(); len(calls) != 1 || len(pending.done) != 0 {
 			t.Fatalf("%d calls are sent, %d results", len(calls), len(pending.done))
 		}
-		waiting.finish(id, callResult{body: []byte("own")})
+		waiting.complete(id, callResult{body: []byte("own")})
 		if result := <-pending.done; string(result.body) != "own" {
 			t.Fatal(string(result.body))
 		}
@@ -226,12 +226,12 @@
 
 // What a caller hands over it may use again as soon as the call has ended, also while the call still waits to be sent.
 func TestCallOwnsItsBytes(t *testing.T) {
-	network, err := New(Options{Handler: newRecorder()})
+	transport, err := New(Options{Handler: newRecorder()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer network.Close()
-	waiting := newLink(network, peerAddress)
+	defer transport.Close()
+	waiting := newOutbound(transport, peerAddress)
 	body := []byte("the body of a call")
 	sent := bytes.Clone(body)
 	if _, _, err := waiting.enqueue(t.Context(), 1, body); err != nil {
--- a/internal/controlplane/peertransport/socket.go
+++ b/internal/controlplane/peertransport/socket.go
@@ -11,16 +11,16 @@
 
 // Times of the connections.
 const (
-	dialTimeout    = 500 * time.Millisecond
-	userTimeout    = 1500 * time.Millisecond // unacknowledged data ends the connection
-	writeTimeout   = 3 * time.Second         // for each piece of writePieceBytes; at times down to half
-	firstFrameTime = 2 * time.Second
-	probeIdle      = 2 * time.Second
-	probeInterval  = time.Second
-	probeCount     = 3
+	dialTimeout       = 500 * time.Millisecond
+	userTimeout       = 1500 * time.Millisecond // unacknowledged data ends the connection
+	writeTimeout      = 3 * time.Second         // for each piece of writePieceBytes; at times down to half
+	firstFrameTimeout = 2 * time.Second
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
 // Dial opens a connection to a peer, with the options that let a silent peer be found out.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/controlplane/peertransport/transport_test.go
+++ b/internal/controlplane/peertransport/transport_test.go
@@ -45,7 +45,7 @@
 	return r.call(ctx, kind, body)
 }
 
-func (r *recorder) Reader(_ context.Context, connection net.Conn, kind feedtransport.Kind, _ []byte) {
+func (r *recorder) FeedConnection(_ context.Context, connection net.Conn, kind feedtransport.Kind, _ []byte) {
 	_ = connection.Close()
 	r.readers <- kind
 }
@@ -61,15 +61,15 @@
 }
 
 // start opens a network that serves the listener until the test ends.
-func start(t *testing.T, listener net.Listener, member consensus.MemberID, handler Handler) *Network {
+func start(t *testing.T, listener net.Listener, member consensus.MemberID, handler Handler) *Transport {
 	t.Helper()
-	network, err := New(Options{Self: Hello{Address: listener.Addr().String(), Member: member, Zone: "z"}, Handler: handler, Logger: zaptest.NewLogger(t)})
+	transport, err := New(Options{Self: Hello{Address: listener.Addr().String(), Member: member, Zone: "z"}, Handler: handler, Logger: zaptest.NewLogger(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = network.Serve(listener) }()
-	t.Cleanup(network.Close)
-	return network
+	go func() { _ = transport.Serve(listener) }()
+	t.Cleanup(transport.Close)
+	return transport
 }
 
 func receive[T any](t *testing.T, from <-chan T) T {
@@ -273,7 +273,7 @@
 }
 
 func TestFramesOfUnknownShardsAreLeftOut(t *testing.T) {
-	batch := known([]GroupMessage{{Shard: shards.Count}, {Shard: 1}, {Shard: 1 << 30}})
+	batch := withKnownShards([]GroupMessage{{Shard: shards.Count}, {Shard: 1}, {Shard: 1 << 30}})
 	if len(batch) != 1 || batch[0].Shard != 1 {
 		t.Fatal(batch)
 	}
@@ -285,12 +285,12 @@
 	defer func() { _ = far.Close() }()
 	self := Hello{Address: "127.0.0.1:1", Member: 1}
 	dial := func(context.Context, string) (net.Conn, error) { return near, nil }
-	network, err := New(Options{Self: self, Handler: newRecorder(), Dial: dial, Logger: zaptest.NewLogger(t)})
+	transport, err := New(Options{Self: self, Handler: newRecorder(), Dial: dial, Logger: zaptest.NewLogger(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer network.Close()
-	network.Send(consensus.Member{ID: 2, Address: "127.0.0.1:2"}, 0, consensus.Message{Term: 1})
+	defer transport.Close()
+	transport.Send(consensus.Member{ID: 2, Address: "127.0.0.1:2"}, 0, consensus.Message{Term: 1})
 	buffer := make([]byte, 4096)
 	count, err := far.Read(buffer) // a pipe hands over what one Write was given
 	if err != nil {
--- a/internal/controlplane/roleplanner/demand.go
+++ b/internal/controlplane/roleplanner/demand.go
@@ -23,23 +23,23 @@
 // keeps one worker busy. What is to be read counts once for each request, also where it is refused or fails; so the
 // demand does not fall because there are too few readers. Reading is measured by what it is expected to take by itself.
 type Demand struct {
-	Offered  float64 // requests that came; a number, not a time
-	Begun    float64 // requests whose streams began; a number too
-	Read     float64 // prompts that came, as expected
-	ReadDone float64 // prompts that prefill workers have read, as expected
-	ReadTime float64 // how long these took, their waits included
-	Slots    float64 // streams, against all slots of a decode worker at the pace that it has then
-	Memory   float64 // memory of running streams, against all of a decode worker's
-	Moves    float64 // fetching memory, by decode workers
+	Offered     float64 // requests that came; a number, not a time
+	Started     float64 // requests whose streams began; a number too
+	Prefill     float64 // prompts that came, as expected
+	PrefillDone float64 // prompts that prefill workers have read, as expected
+	PrefillTime float64 // how long these took, their waits included
+	Slots       float64 // streams, against all slots of a decode worker at the pace that it has then
+	Memory      float64 // memory of running streams, against all of a decode worker's
+	Transfers   float64 // fetching memory, by decode workers
 }
 
 // parts lists the parts of a demand.
 func (d *Demand) parts() [8]*float64 {
-	return [...]*float64{&d.Offered, &d.Begun, &d.Read, &d.ReadDone, &d.ReadTime, &d.Slots, &d.Memory, &d.Moves}
+	return [...]*float64{&d.Offered, &d.Started, &d.Prefill, &d.PrefillDone, &d.PrefillTime, &d.Slots, &d.Memory, &d.Transfers}
 }
 
-// Plus returns the sum of two demands.
-func (d Demand) Plus(other Demand) Demand {
+// Add returns the sum of two demands.
+func (d Demand) Add(other Demand) Demand {
 	more := other.parts()
 	for i, part := range d.parts() {
 		*part += *more[i]
@@ -47,8 +47,8 @@
 	return d
 }
 
-// Times returns a multiple of a demand.
-func (d Demand) Times(factor float64) Demand {
+// Scale returns a multiple of a demand.
+func (d Demand) Scale(factor float64) Demand {
 	for _, part := range d.parts() {
 		*part *= factor
 	}
@@ -57,7 +57,7 @@
 
 // Since returns the demand that came after an earlier sum; all of it if the sum has begun anew meanwhile.
 func (d Demand) Since(before Demand) Demand {
-	since := d.Plus(before.Times(-1))
+	since := d.Add(before.Scale(-1))
 	if !since.valid() {
 		return d
 	}
@@ -74,11 +74,11 @@
 	return true
 }
 
-// mostServices bounds the services of one report.
-const mostServices = 4096
+// maxServices bounds the services of one report.
+const maxServices = 4096
 
-// ErrReport is the error for bytes that are no report.
-var ErrReport = errors.New("staging: not a report of demand")
+// ErrInvalidReport is the error for bytes that are no report.
+var ErrInvalidReport = errors.New("staging: not a report of demand")
 
 // ServiceDemand is the rate of the demand of one service, in workers.
 type ServiceDemand struct {
@@ -96,39 +96,39 @@
 	{"name":"service","type":"string"},
 	{"name":"parts","type":{"type":"array","items":"double"}}]}}`)
 
-var binary = avro.Config{MaxSliceAllocSize: mostServices}.Freeze()
+var codec = avro.Config{MaxSliceAllocSize: maxServices}.Freeze()
 
 // EncodeReport returns the bytes of a report.
 func EncodeReport(report []ServiceDemand) ([]byte, error) {
 	wire := make([]wireDemand, 0, len(report))
-	for _, one := range report {
-		encoded := wireDemand{Service: one.Service}
-		for _, part := range one.Demand.parts() {
+	for _, entry := range report {
+		encoded := wireDemand{Service: entry.Service}
+		for _, part := range entry.Demand.parts() {
 			encoded.Parts = append(encoded.Parts, *part)
 		}
 		wire = append(wire, encoded)
 	}
-	return binary.Marshal(reportSchema, wire)
+	return codec.Marshal(reportSchema, wire)
 }
 
 // DecodeReport reads what EncodeReport wrote. The error wraps ErrReport.
 func DecodeReport(encoded []byte) ([]ServiceDemand, error) {
 	var wire []wireDemand
-	if err := strictavro.Unmarshal(binary, reportSchema, encoded, &wire); err != nil {
-		return nil, errors.Join(ErrReport, err)
+	if err := strictavro.Unmarshal(codec, reportSchema, encoded, &wire); err != nil {
+		return nil, errors.Join(ErrInvalidReport, err)
 	}
 	report := make([]ServiceDemand, 0, len(wire))
-	for _, one := range wire {
-		read := ServiceDemand{Service: one.Service}
+	for _, entry := range wire {
+		read := ServiceDemand{Service: entry.Service}
 		parts := read.Demand.parts()
-		if one.Service == "" || len(one.Parts) != len(parts) {
-			return nil, ErrReport
+		if entry.Service == "" || len(entry.Parts) != len(parts) {
+			return nil, ErrInvalidReport
 		}
-		for i, part := range one.Parts {
+		for i, part := range entry.Parts {
 			*parts[i] = part
 		}
 		if !read.Demand.valid() {
-			return nil, ErrReport
+			return nil, ErrInvalidReport
 		}
 		report = append(report, read)
 	}
--- a/internal/controlplane/roleplanner/demand_table.go
+++ b/internal/controlplane/roleplanner/demand_table.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Ledger holds the newest report of each source and adds them up. A source is a proxy, or a keeper that
+// DemandTable holds the newest report of each source and adds them up. A source is a proxy, or a keeper that
 // passes on the sum of its proxies. It is not safe for concurrent use.
-type Ledger struct {
-	life    time.Duration // for which a report counts
+type DemandTable struct {
+	ttl     time.Duration // for which a report counts
 	sources map[string]sourceReport
 }
 
@@ -14,31 +14,31 @@
 	demand map[string]Demand // by service
 }
 
-// NewLedger returns a ledger in which a report counts for a time.
-func NewLedger(life time.Duration) *Ledger {
-	return &Ledger{life: life, sources: map[string]sourceReport{}}
+// NewDemandTable returns a ledger in which a report counts for a time.
+func NewDemandTable(ttl time.Duration) *DemandTable {
+	return &DemandTable{ttl: ttl, sources: map[string]sourceReport{}}
 }
 
 // Put replaces what a source has reported before.
-func (l *Ledger) Put(now time.Duration, source string, report []ServiceDemand) {
-	taken := sourceReport{at: now, demand: make(map[string]Demand, len(report))}
-	for _, one := range report {
-		taken.demand[one.Service] = one.Demand
+func (t *DemandTable) Put(now time.Duration, source string, report []ServiceDemand) {
+	received := sourceReport{at: now, demand: make(map[string]Demand, len(report))}
+	for _, entry := range report {
+		received.demand[entry.Service] = entry.Demand
 	}
-	l.sources[source] = taken
+	t.sources[source] = received
 }
 
 // Sum adds up the reports that still count, by service, and forgets the others. Sources that reported no
 // demand of a service leave no entry.
-func (l *Ledger) Sum(now time.Duration) map[string]Demand {
+func (t *DemandTable) Sum(now time.Duration) map[string]Demand {
 	sum := map[string]Demand{}
-	for source, report := range l.sources {
-		if now-report.at > l.life {
-			delete(l.sources, source)
+	for source, report := range t.sources {
+		if now-report.at > t.ttl {
+			delete(t.sources, source)
 			continue
 		}
 		for service, demand := range report.demand {
-			sum[service] = sum[service].Plus(demand)
+			sum[service] = sum[service].Add(demand)
 		}
 	}
 	return sum
--- a/internal/controlplane/roleplanner/demand_test.go
+++ b/internal/controlplane/roleplanner/demand_test.go
@@ -11,7 +11,7 @@
 func TestReportsSurviveTheirEncoding(t *testing.T) {
 	for _, report := range [][]ServiceDemand{
 		{},
-		{{Service: "a", Demand: Demand{Read: 1.5, Slots: 0.25, Memory: 3, Moves: 1e-9}}, {Service: "b"}},
+		{{Service: "a", Demand: Demand{Prefill: 1.5, Slots: 0.25, Memory: 3, Transfers: 1e-9}}, {Service: "b"}},
 	} {
 		encoded, err := EncodeReport(report)
 		if err != nil {
@@ -21,7 +21,7 @@
 		if err != nil || !reflect.DeepEqual(read, report) {
 			t.Fatalf("%+v became %+v: %v", report, read, err)
 		}
-		if _, err := DecodeReport(append(encoded, 0)); !errors.Is(err, ErrReport) {
+		if _, err := DecodeReport(append(encoded, 0)); !errors.Is(err, ErrInvalidReport) {
 			t.Fatalf("bytes after a report: %v", err)
 		}
 	}
@@ -29,39 +29,39 @@
 
 func TestReportsThatCannotBeAreRefused(t *testing.T) {
 	for _, wrong := range []ServiceDemand{
-		{Service: "", Demand: Demand{Read: 1}},
-		{Service: "a", Demand: Demand{Read: -1}},
+		{Service: "", Demand: Demand{Prefill: 1}},
+		{Service: "a", Demand: Demand{Prefill: -1}},
 		{Service: "a", Demand: Demand{Slots: math.NaN()}},
-		{Service: "a", Demand: Demand{Moves: math.Inf(1)}},
+		{Service: "a", Demand: Demand{Transfers: math.Inf(1)}},
 	} {
 		encoded, err := EncodeReport([]ServiceDemand{wrong})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := DecodeReport(encoded); !errors.Is(err, ErrReport) {
+		if _, err := DecodeReport(encoded); !errors.Is(err, ErrInvalidReport) {
 			t.Errorf("%+v: %v", wrong, err)
 		}
 	}
 }
 
 func TestTheLedgerAddsUpWhatStillCounts(t *testing.T) {
-	ledger := NewLedger(2 * time.Second)
-	ledger.Put(0, "one", []ServiceDemand{{"a", Demand{Read: 1}}, {"b", Demand{Slots: 1}}})
-	ledger.Put(time.Second, "two", []ServiceDemand{{"a", Demand{Read: 2}}})
-	if sum := ledger.Sum(time.Second); sum["a"].Read != 3 || sum["b"].Slots != 1 {
+	table := NewDemandTable(2 * time.Second)
+	table.Put(0, "one", []ServiceDemand{{"a", Demand{Prefill: 1}}, {"b", Demand{Slots: 1}}})
+	table.Put(time.Second, "two", []ServiceDemand{{"a", Demand{Prefill: 2}}})
+	if sum := table.Sum(time.Second); sum["a"].Prefill != 3 || sum["b"].Slots != 1 {
 		t.Fatal(sum)
 	}
-	ledger.Put(2*time.Second, "two", []ServiceDemand{{"a", Demand{Read: 5}}})
-	if sum := ledger.Sum(2500 * time.Millisecond); sum["a"].Read != 5 || len(sum) != 1 {
+	table.Put(2*time.Second, "two", []ServiceDemand{{"a", Demand{Prefill: 5}}})
+	if sum := table.Sum(2500 * time.Millisecond); sum["a"].Prefill != 5 || len(sum) != 1 {
 		t.Fatal(sum)
 	}
 }
 
 func TestASumThatBeganAnewCountsWhole(t *testing.T) {
-	if since := (Demand{Read: 3, Slots: 1}).Since(Demand{Read: 1, Slots: 1}); since != (Demand{Read: 2}) {
+	if since := (Demand{Prefill: 3, Slots: 1}).Since(Demand{Prefill: 1, Slots: 1}); since != (Demand{Prefill: 2}) {
 		t.Fatal(since)
 	}
-	if since := (Demand{Read: 1}).Since(Demand{Read: 3}); since != (Demand{Read: 1}) {
+	if since := (Demand{Prefill: 1}).Since(Demand{Prefill: 3}); since != (Demand{Prefill: 1}) {
 		t.Fatal(since)
 	}
 }
--- a/internal/controlplane/server/demand.go
+++ b/internal/controlplane/server/demand.go
@@ -14,14 +14,14 @@
 // sums that other keepers have passed on.
 type demands struct {
 	mutex   sync.Mutex
-	proxies *roleplanner.Ledger
-	keepers [shards.Count]*roleplanner.Ledger
+	proxies *roleplanner.DemandTable
+	keepers [shards.Count]*roleplanner.DemandTable
 }
 
 func newDemands() *demands {
-	d := &demands{proxies: roleplanner.NewLedger(demandLife)}
+	d := &demands{proxies: roleplanner.NewDemandTable(demandLife)}
 	for i := range d.keepers {
-		d.keepers[i] = roleplanner.NewLedger(demandLife)
+		d.keepers[i] = roleplanner.NewDemandTable(demandLife)
 	}
 	return d
 }
--- a/internal/controlplane/server/feed_test.go
+++ b/internal/controlplane/server/feed_test.go
@@ -53,7 +53,7 @@
 func (v *view) Status(status feedtransport.Status) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.current, v.keepers = status.Current(), len(status.Keepers)
+	v.current, v.keepers = status.Current(), len(status.Servers)
 }
 
 func (v *view) Connected(address string) {
@@ -84,8 +84,8 @@
 	config := f.processes[0].config
 	v := newView()
 	client := feedtransport.NewClient(feedtransport.ClientOptions{
-		Hello:  feedtransport.Hello{Node: node, Zone: "zone-0", IP: "127.0.0.1", Role: feedtransport.RoleAgent, Incarnation: 1},
-		Choice: feedtransport.ChoiceOptions{Node: node, Zone: "zone-0", Seeds: config.Seeds, FeedPort: config.PortRange[0]},
+		Hello:    feedtransport.Hello{Node: node, Zone: "zone-0", IP: "127.0.0.1", Role: feedtransport.RoleAgent, Incarnation: 1},
+		Selector: feedtransport.SelectorOptions{Node: node, Zone: "zone-0", Seeds: config.Seeds, FeedPort: config.PortRange[0]},
 	}, v)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/controlplane/server/join.go
+++ b/internal/controlplane/server/join.go
@@ -277,7 +277,7 @@
 	k.mutex.Unlock()
 	silent := make(map[consensus.MemberID]time.Duration, len(members))
 	for _, member := range members {
-		silent[member.ID] = silence(now, k.network.LastHeard(member.Address), ledSince)
+		silent[member.ID] = silence(now, k.network.LastReceived(member.Address), ledSince)
 	}
 	return silent
 }
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -65,7 +65,7 @@
 	living map[string]identityReply
 }
 
-func (n *livingNetwork) LastHeard(string) time.Time { return time.Now() }
+func (n *livingNetwork) LastReceived(string) time.Time { return time.Now() }
 
 func (n *livingNetwork) Call(ctx context.Context, address string, kind peertransport.CallKind, body []byte) ([]byte, error) {
 	if kind != callIdentity {
--- a/internal/controlplane/server/keeper.go
+++ b/internal/controlplane/server/keeper.go
@@ -25,7 +25,7 @@
 type transport interface {
 	Send(to consensus.Member, shard shards.ID, message consensus.Message)
 	Call(ctx context.Context, address string, kind peertransport.CallKind, body []byte) ([]byte, error)
-	LastHeard(address string) time.Time
+	LastReceived(address string) time.Time
 	Peers() []peertransport.PeerStatus
 }
 
--- a/internal/controlplane/server/nodes.go
+++ b/internal/controlplane/server/nodes.go
@@ -56,8 +56,8 @@
 	return listed
 }
 
-// Reader serves the feed to an agent over a connection whose first frame has been read.
-func (k *Keeper) Reader(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
+// FeedConnection serves the feed to an agent over a connection whose first frame has been read.
+func (k *Keeper) FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
 	hello, err := feedtransport.DecodeHello(body)
 	if kind != feedtransport.KindHello || err != nil || k.leaving.Load() {
 		_ = connection.Close()
--- a/internal/controlplane/server/source.go
+++ b/internal/controlplane/server/source.go
@@ -35,7 +35,7 @@
 		})
 	}
 	for _, info := range k.directory.serving() {
-		status.Keepers = append(status.Keepers, feedtransport.Keeper{Address: info.Address, Zone: info.Zone, Region: info.Region})
+		status.Servers = append(status.Servers, feedtransport.ServerEndpoint{Address: info.Address, Zone: info.Zone, Region: info.Region})
 	}
 	return status
 }
--- a/internal/controlplane/server/stages.go
+++ b/internal/controlplane/server/stages.go
@@ -35,7 +35,7 @@
 type stageShard struct {
 	term        uint64    // of the ownership that this belongs to; 0: none
 	since       time.Time // when it began
-	controllers map[string]*roleplanner.Controller
+	controllers map[string]*roleplanner.Planner
 }
 
 // controlStages has the workers of services change their stages as the demand asks, for the shards that this keeper
@@ -61,7 +61,7 @@
 	}
 	now := k.outside.Now()
 	if held.term != status.Term {
-		*held = stageShard{term: status.Term, since: now, controllers: map[string]*roleplanner.Controller{}}
+		*held = stageShard{term: status.Term, since: now, controllers: map[string]*roleplanner.Planner{}}
 	}
 	if now.Sub(held.since) < holderRest(k.settings.Bounds) || !current(status) {
 		return
@@ -70,14 +70,14 @@
 	for service, workers := range machine.stagedWorkers() {
 		controller := held.controllers[service]
 		if controller == nil {
-			controller = roleplanner.NewController()
+			controller = roleplanner.NewPlanner()
 			held.controllers[service] = controller
 		}
 		plan := controller.Plan(k.sinceStart(), workers, demands[service], k.configuration().switchTime(service))
-		k.noteStages(service, controller.State())
-		k.assign(ctx, shard, service, plan.Assign)
-		k.order(ctx, shard, status, controller, plan.Order)
-		k.recordTurned(ctx, shard, plan.Ask)
+		k.noteStages(service, controller.Status())
+		k.assign(ctx, shard, service, plan.Assignments)
+		k.order(ctx, shard, status, controller, plan.Commands)
+		k.recordTurned(ctx, shard, plan.Polls)
 	}
 }
 
@@ -116,7 +116,7 @@
 }
 
 // recordTurned asks workers for their stages and records those that have the stage that is wanted.
-func (k *Keeper) recordTurned(ctx context.Context, shard *shard, questions []roleplanner.Order) {
+func (k *Keeper) recordTurned(ctx context.Context, shard *shard, questions []roleplanner.Command) {
 	stages := make([]string, len(questions))
 	var group errgroup.Group
 	for i, one := range questions {
@@ -138,7 +138,7 @@
 }
 
 // order gives workers orders, all at once, and waits for their answers.
-func (k *Keeper) order(ctx context.Context, shard *shard, status replica.Status, controller *roleplanner.Controller, orders []roleplanner.Order) {
+func (k *Keeper) order(ctx context.Context, shard *shard, status replica.Status, controller *roleplanner.Planner, orders []roleplanner.Command) {
 	type ended struct {
 		id     string
 		status int
@@ -159,7 +159,7 @@
 	}
 	for range orders {
 		one := <-done
-		controller.Ended(one.id, resultOfOrder(one.status))
+		controller.CommandFinished(one.id, resultOfOrder(one.status))
 		k.metrics.countOrder(one.status)
 		k.log.Info("stage ordered", zap.String("worker", one.id), zap.Int("status", one.status))
 	}
@@ -169,24 +169,24 @@
 func resultOfOrder(status int) roleplanner.Result {
 	switch status {
 	case statusOK, statusAccepted:
-		return roleplanner.Taken
+		return roleplanner.Accepted
 	case statusBadRequest, statusPreconditionFailed, statusMisdirected:
-		return roleplanner.Refused
+		return roleplanner.Rejected
 	default:
 		return roleplanner.Busy
 	}
 }
 
 // noteStages keeps how a service stands for the figures, and logs a new decision.
-func (k *Keeper) noteStages(service string, state roleplanner.State) {
+func (k *Keeper) noteStages(service string, state roleplanner.Status) {
 	before := k.metrics.setStages(service, state)
-	if before.Wanted == state.Wanted && (state.Demand == (roleplanner.Demand{}) || k.sinceStart()%stagesLogged >= stagesInterval) {
+	if before.TargetPrefill == state.TargetPrefill && (state.Demand == (roleplanner.Demand{}) || k.sinceStart()%stagesLogged >= stagesInterval) {
 		return
 	}
-	k.log.Info("stages", zap.String("service", service), zap.Int("wanted", state.Wanted),
-		zap.Int("readers", state.Readers), zap.Int("writers", state.Writers), zap.Int("turning", state.Turning),
-		zap.Float64("read", state.Demand.Read), zap.Float64("readDone", state.Demand.ReadDone), zap.Float64("slots", state.Demand.Slots),
-		zap.Float64("memory", state.Demand.Memory), zap.Float64("moves", state.Demand.Moves))
+	k.log.Info("stages", zap.String("service", service), zap.Int("wanted", state.TargetPrefill),
+		zap.Int("readers", state.PrefillWorkers), zap.Int("writers", state.DecodeWorkers), zap.Int("turning", state.Transitioning),
+		zap.Float64("read", state.Demand.Prefill), zap.Float64("readDone", state.Demand.PrefillDone), zap.Float64("slots", state.Demand.Slots),
+		zap.Float64("memory", state.Demand.Memory), zap.Float64("moves", state.Demand.Transfers))
 }
 
 // ownedIn tells whether this replica owns the shard, in a term.
--- a/internal/controlplane/server/stages_test.go
+++ b/internal/controlplane/server/stages_test.go
@@ -103,7 +103,7 @@
 func (s *stagedScene) run(span time.Duration) {
 	for end := s.now.Add(span); s.now.Before(end); s.now = s.now.Add(stagesInterval) {
 		report, err := roleplanner.EncodeReport([]roleplanner.ServiceDemand{{Service: stagedService, Demand: roleplanner.Demand{
-			Offered: 30, Begun: 30, Read: 3, ReadDone: 1.9, ReadTime: 10, Slots: 0.4}}})
+			Offered: 30, Started: 30, Prefill: 3, PrefillDone: 1.9, PrefillTime: 10, Slots: 0.4}}})
 		if err != nil {
 			s.Fatal(err)
 		}
@@ -207,8 +207,8 @@
 
 func TestResultsOfOrders(t *testing.T) {
 	for status, expected := range map[int]roleplanner.Result{
-		200: roleplanner.Taken, 202: roleplanner.Taken, 409: roleplanner.Busy, 503: roleplanner.Busy, 0: roleplanner.Busy,
-		400: roleplanner.Refused, 412: roleplanner.Refused, 421: roleplanner.Refused,
+		200: roleplanner.Accepted, 202: roleplanner.Accepted, 409: roleplanner.Busy, 503: roleplanner.Busy, 0: roleplanner.Busy,
+		400: roleplanner.Rejected, 412: roleplanner.Rejected, 421: roleplanner.Rejected,
 	} {
 		if result := resultOfOrder(status); result != expected {
 			t.Errorf("%d is %d", status, result)
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -100,7 +100,7 @@
 	for _, peer := range k.network.Peers() {
 		report.Peers = append(report.Peers, peerReport{
 			Address: peer.Address, Connected: peer.Connected, Accepted: peer.Accepted,
-			Queued: peer.Queued, Dropped: peer.Dropped, HeardMs: milliseconds(peer.HeardAge),
+			Queued: peer.Queued, Dropped: peer.Dropped, HeardMs: milliseconds(peer.SinceReceived),
 		})
 	}
 	slices.SortFunc(report.Peers, func(a, b peerReport) int { return strings.Compare(a.Address, b.Address) })
@@ -145,8 +145,8 @@
 	feedSessions atomic.Int64
 	mutex        sync.Mutex
 	calls        map[callSeries]uint64
-	orders       map[int]uint64               // by the status of the worker's answer
-	stages       map[string]roleplanner.State // by service, as this keeper saw it last as the holder
+	orders       map[int]uint64                // by the status of the worker's answer
+	stages       map[string]roleplanner.Status // by service, as this keeper saw it last as the holder
 }
 
 // callSeries is one line of the counted calls.
@@ -175,11 +175,11 @@
 }
 
 // setStages notes how a service stands, and returns how it stood before.
-func (m *metrics) setStages(service string, state roleplanner.State) (before roleplanner.State) {
+func (m *metrics) setStages(service string, state roleplanner.Status) (before roleplanner.Status) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.stages == nil {
-		m.stages = make(map[string]roleplanner.State)
+		m.stages = make(map[string]roleplanner.Status)
 	}
 	before, m.stages[service] = m.stages[service], state
 	return before
@@ -194,14 +194,14 @@
 	for service, state := range m.stages {
 		label := fmt.Sprintf("{service=%q}", service)
 		lines = append(lines,
-			fmt.Sprintf("keeper_stage_readers%s %d", label, state.Readers),
-			fmt.Sprintf("keeper_stage_writers%s %d", label, state.Writers),
-			fmt.Sprintf("keeper_stage_turning%s %d", label, state.Turning),
-			fmt.Sprintf("keeper_stage_readers_wanted%s %d", label, state.Wanted),
-			fmt.Sprintf("keeper_demand_read_workers%s %.3f", label, state.Demand.Read),
+			fmt.Sprintf("keeper_stage_readers%s %d", label, state.PrefillWorkers),
+			fmt.Sprintf("keeper_stage_writers%s %d", label, state.DecodeWorkers),
+			fmt.Sprintf("keeper_stage_turning%s %d", label, state.Transitioning),
+			fmt.Sprintf("keeper_stage_readers_wanted%s %d", label, state.TargetPrefill),
+			fmt.Sprintf("keeper_demand_read_workers%s %.3f", label, state.Demand.Prefill),
 			fmt.Sprintf("keeper_demand_slots_workers%s %.3f", label, state.Demand.Slots),
 			fmt.Sprintf("keeper_demand_memory_workers%s %.3f", label, state.Demand.Memory),
-			fmt.Sprintf("keeper_demand_moves_workers%s %.3f", label, state.Demand.Moves))
+			fmt.Sprintf("keeper_demand_moves_workers%s %.3f", label, state.Demand.Transfers))
 	}
 	return lines
 }
--- a/internal/dataplane/proxy/demand.go
+++ b/internal/dataplane/proxy/demand.go
@@ -28,7 +28,7 @@
 	}
 	var list []roleplanner.ServiceDemand
 	for service, sum := range total {
-		rate := sum.Since(r.before[service]).Times(1 / span)
+		rate := sum.Since(r.before[service]).Scale(1 / span)
 		if rate != (roleplanner.Demand{}) {
 			list = append(list, roleplanner.ServiceDemand{Service: service, Demand: rate})
 		}
--- a/internal/dataplane/proxy/demand_test.go
+++ b/internal/dataplane/proxy/demand_test.go
@@ -11,13 +11,13 @@
 	var reporter demandReporter
 	start := time.Now()
 	total := func(read float64) map[string]roleplanner.Demand {
-		return map[string]roleplanner.Demand{"s": {Read: read}}
+		return map[string]roleplanner.Demand{"s": {Prefill: read}}
 	}
 	if _, tell := reporter.report(start, total(5)); tell {
 		t.Fatal("a sum without a time before it was told")
 	}
 	list, tell := reporter.report(start.Add(2*time.Second), total(9))
-	if !tell || len(list) != 1 || list[0].Demand.Read != 2 {
+	if !tell || len(list) != 1 || list[0].Demand.Prefill != 2 {
 		t.Fatalf("%+v", list)
 	}
 	if list, tell := reporter.report(start.Add(3*time.Second), total(9)); !tell || len(list) != 0 {
@@ -26,7 +26,7 @@
 	if _, tell := reporter.report(start.Add(4*time.Second), total(9)); tell {
 		t.Fatal("no demand was told twice")
 	}
-	if list, _ := reporter.report(start.Add(5*time.Second), total(1)); len(list) != 1 || list[0].Demand.Read != 1 {
+	if list, _ := reporter.report(start.Add(5*time.Second), total(1)); len(list) != 1 || list[0].Demand.Prefill != 1 {
 		t.Fatalf("a sum that began anew: %+v", list)
 	}
 }
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -130,7 +130,7 @@
 // reload takes over what may change while the process runs: the memory limit and the grace. A file
 // that cannot be read, also not a moment later, changes nothing.
 func (p *proxy) reload(path string) {
-	loaded, err := bootconfig.LoadWhole(path)
+	loaded, err := bootconfig.LoadWithRetry(path)
 	if err != nil {
 		p.log.Warn("settings not reloaded", zap.Error(err))
 		return
--- a/internal/dataplane/proxy/run_test.go
+++ b/internal/dataplane/proxy/run_test.go
@@ -73,7 +73,7 @@
 	defer s.proxy.watchSettings()()
 	changed := settingsOfTests()
 	changed.Bounds.GraceS = 3
-	t.Setenv(bootconfig.Variable, writeSettings(t, changed))
+	t.Setenv(bootconfig.PathVariable, writeSettings(t, changed))
 	answered := make(chan int, 1)
 	go func() {
 		status, _, _ := s.ask("/a/held")
--- a/internal/dataplane/selection/calls.go
+++ b/internal/dataplane/selection/calls.go
@@ -89,7 +89,7 @@
 	c.begun, c.first = true, now
 	w.kept.add(c.prompt, s.selector.nodes, s.held(w, load{}))
 	if c.class == classDecode {
-		s.demand.Begun++
+		s.demand.Started++
 		s.pools[classDecode].memory.Add(c.memory, poolMemory)
 	}
 	if c.source != nil {
--- a/internal/dataplane/selection/demand.go
+++ b/internal/dataplane/selection/demand.go
@@ -50,12 +50,12 @@
 		reader = best.run
 	}
 	s.demand.Offered++
-	s.demand.Read += soloOf(classPrefill, max(1, reader.missing), j.tokens-reader.missing)
-	s.demand.Moves += s.moveTold(best.run.missing)
+	s.demand.Prefill += soloOf(classPrefill, max(1, reader.missing), j.tokens-reader.missing)
+	s.demand.Transfers += s.moveTold(best.run.missing)
 }
 
 // noteRead adds a prompt that a prefill worker has read.
 func (s *service) noteRead(call *Call, seconds float64) {
-	s.demand.ReadDone += call.forecast.solo
-	s.demand.ReadTime += max(0, seconds-call.forecast.transfer)
+	s.demand.PrefillDone += call.forecast.solo
+	s.demand.PrefillTime += max(0, seconds-call.forecast.transfer)
 }
--- a/internal/dataplane/selection/demand_test.go
+++ b/internal/dataplane/selection/demand_test.go
@@ -10,7 +10,7 @@
 	r := ask(time.Second, 7, 3200, 800)
 	choice, _ := s.Choose(time.Second, r, nil)
 	first := s.Demands(time.Second)["m"]
-	if first.Offered != 1 || first.Read <= 0 || first.Moves <= 0 {
+	if first.Offered != 1 || first.Prefill <= 0 || first.Transfers <= 0 {
 		t.Fatalf("%+v", first)
 	}
 	s.Choose(time.Second, r, []string{choice.Run.ID})
@@ -40,13 +40,13 @@
 	choice, _ := s.Choose(now, r, nil)
 	read := s.Sent(now, r, CallPrefill, choice)
 	s.Done(now+100*time.Millisecond, read, nil)
-	if demand := s.Demands(now + 100*time.Millisecond)["m"]; demand.ReadDone <= 0 || demand.ReadTime <= 0 || demand.Slots != 0 {
+	if demand := s.Demands(now + 100*time.Millisecond)["m"]; demand.PrefillDone <= 0 || demand.PrefillTime <= 0 || demand.Slots != 0 {
 		t.Fatalf("%+v", demand)
 	}
 	run := s.Sent(now+100*time.Millisecond, r, CallRun, choice)
 	s.FirstEvent(now+150*time.Millisecond, run)
 	demand := s.Demands(now + 600*time.Millisecond)["m"]
-	if demand.Begun != 1 || demand.Slots < 0.5/64 || demand.Slots > 1./64+1e-9 || demand.Memory <= 0 {
+	if demand.Started != 1 || demand.Slots < 0.5/64 || demand.Slots > 1./64+1e-9 || demand.Memory <= 0 {
 		t.Fatalf("%+v", demand)
 	}
 	s.Done(now+700*time.Millisecond, run, nil)
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -71,7 +71,7 @@
 	self      consensus.Member
 	directory string
 	group     *replica.Group
-	network   *peertransport.Network
+	network   *peertransport.Transport
 	ended     sync.WaitGroup
 }
 
@@ -131,8 +131,8 @@
 	return nil, nil
 }
 
-// Reader closes the connection: nobody reads.
-func (m *member) Reader(_ context.Context, connection net.Conn, _ feedtransport.Kind, _ []byte) {
+// FeedConnection closes the connection: nobody reads.
+func (m *member) FeedConnection(_ context.Context, connection net.Conn, _ feedtransport.Kind, _ []byte) {
 	_ = connection.Close()
 }
 
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -40,7 +40,7 @@
 			Dial: own.Dial, Listen: own.Listen, Random: e.world.sharedRandom("agent", e.index), Origin: time.Now(),
 		}
 		if e.world.omit.leaveStale {
-			options.StaleAfter = never
+			options.StaleTimeout = never
 		}
 		if err := agent.RunWith(ctx, e.settings(), options, e.world.log.With(zap.String("machine", e.ip))); err != nil {
 			e.world.record.fault("an agent ended by itself: " + err.Error())
@@ -69,8 +69,8 @@
 	random := e.world.random("proxy", e.index)
 	return feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello: feedtransport.Hello{Node: e.name(), Zone: "zone", Region: "region", IP: e.ip, Role: feedtransport.RoleProxy, Incarnation: random.Uint64()},
-		Choice: feedtransport.ChoiceOptions{
-			Node: e.name(), Fixed: feedtransport.LoopbackAddress(config.PortRange[0] + 1), SilentAfter: feedtransport.LoopbackSilentAfter,
+		Selector: feedtransport.SelectorOptions{
+			Node: e.name(), FixedServer: feedtransport.LoopbackAddress(config.PortRange[0] + 1), ReceiveTimeout: feedtransport.LoopbackReceiveTimeout,
 		},
 		Dial:   process.Dial,
 		Random: random.Float64,
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -70,7 +70,7 @@
 	agent.client = feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello: feedtransport.Hello{Node: options.node, Zone: options.zone, Region: "local", IP: options.ip,
 			Role: feedtransport.RoleAgent, Incarnation: rand.Uint64(), Compressed: true},
-		Choice: feedtransport.ChoiceOptions{Node: options.node, Zone: options.zone, Region: "local",
+		Selector: feedtransport.SelectorOptions{Node: options.node, Zone: options.zone, Region: "local",
 			Seeds: options.seeds, FeedPort: options.feedPort},
 		Dial: options.dial,
 	}, agent)
--- a/internal/util/bootconfig/load.go
+++ b/internal/util/bootconfig/load.go
@@ -12,22 +12,22 @@
 
 // Where the platform puts the file.
 const (
-	Variable    = "OSPREYBEND_CONFIG"         // environment variable with the file's path
-	DefaultPath = "/etc/ospreybend/boot.json" // where the variable is not set
+	PathVariable = "OSPREYBEND_CONFIG"         // environment variable with the file's path
+	DefaultPath  = "/etc/ospreybend/boot.json" // where the variable is not set
 )
 
 // Ports of PortRange, counted from its first, that the fleet uses.
 const (
-	portPeers   = 0 // keepers: other keepers and agents
-	portFeed    = 1 // agents, on loopback: the proxy beside them
-	portMonitor = 2 // agents, UDP: other agents
-	portLoad    = 3 // proxies, UDP: other proxies
-	portsNeeded = 4
+	peerPortOffset  = 0 // keepers: other keepers and agents
+	feedPortOffset  = 1 // agents, on loopback: the proxy beside them
+	probePortOffset = 2 // agents, UDP: other agents
+	loadPortOffset  = 3 // proxies, UDP: other proxies
+	portsNeeded     = 4
 )
 
 // Path returns the path of the settings file.
 func Path() string {
-	if path := os.Getenv(Variable); path != "" {
+	if path := os.Getenv(PathVariable); path != "" {
 		return path
 	}
 	return DefaultPath
@@ -48,18 +48,18 @@
 
 // Times of LoadWhole.
 const (
-	mostReads = 6
-	readPause = 100 * time.Millisecond
+	maxReadAttempts = 6
+	readRetryDelay  = 100 * time.Millisecond
 )
 
-// LoadWhole is Load for a file that may just be written: one that cannot be read is read again for half a second.
-func LoadWhole(path string) (Settings, error) {
-	for reads := 1; ; reads++ {
+// LoadWithRetry is Load for a file that may just be written: one that cannot be read is read again for half a second.
+func LoadWithRetry(path string) (Settings, error) {
+	for attempt := 1; ; attempt++ {
 		loaded, err := Load(path)
-		if err == nil || reads == mostReads {
+		if err == nil || attempt == maxReadAttempts {
 			return loaded, err
 		}
-		time.Sleep(readPause)
+		time.Sleep(readRetryDelay)
 	}
 }
 
@@ -126,16 +126,18 @@
 
 // PeerAddressOf is where the keeper of the machine with that IP takes peers and agents: all machines
 // have alike ports.
-func (s *Settings) PeerAddressOf(ip string) string { return join(ip, s.PortRange[0]+portPeers) }
+func (s *Settings) PeerAddressOf(ip string) string { return join(ip, s.PortRange[0]+peerPortOffset) }
 
 // FeedAddress is where this machine's agent serves its proxy.
-func (s *Settings) FeedAddress() string { return join("127.0.0.1", s.PortRange[0]+portFeed) }
+func (s *Settings) FeedAddress() string { return join("127.0.0.1", s.PortRange[0]+feedPortOffset) }
 
 // MonitorAddressOf is where the agent of the machine with that IP answers probes, over UDP.
-func (s *Settings) MonitorAddressOf(ip string) string { return join(ip, s.PortRange[0]+portMonitor) }
+func (s *Settings) MonitorAddressOf(ip string) string {
+	return join(ip, s.PortRange[0]+probePortOffset)
+}
 
 // LoadAddressOf is where the proxy of the machine with that IP hears of other proxies' load, over UDP.
-func (s *Settings) LoadAddressOf(ip string) string { return join(ip, s.PortRange[0]+portLoad) }
+func (s *Settings) LoadAddressOf(ip string) string { return join(ip, s.PortRange[0]+loadPortOffset) }
 
 // SeedPeerAddresses are the peer addresses of the seeds.
 func (s *Settings) SeedPeerAddresses() []string {
--- a/internal/util/bootconfig/settings_test.go
+++ b/internal/util/bootconfig/settings_test.go
@@ -65,13 +65,13 @@
 		}
 		write(example[:len(example)/2])
 		time.AfterFunc(250*time.Millisecond, func() { write(example) })
-		loaded, err := LoadWhole(path)
+		loaded, err := LoadWithRetry(path)
 		if err != nil || loaded.Bounds.GraceS != 8.5 {
 			t.Fatal(loaded.Bounds, err)
 		}
 		write("")
 		began := time.Now()
-		if _, err := LoadWhole(path); err == nil || time.Since(began) > time.Second {
+		if _, err := LoadWithRetry(path); err == nil || time.Since(began) > time.Second {
 			t.Fatalf("%v after %v", err, time.Since(began))
 		}
 	})
