--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -44,16 +44,16 @@
 	if err != nil {
 		return err
 	}
-	c := server.Config{Fleet: f.Fleet, ID: f.Voter.ID, Listen: f.Voter.Listen, Store: f.Voter.Store, Voters: map[uint64]string{},
-		Classes: classesOf(node), Rules: replica.Usual(), Without: os.Getenv("OSPREYBEND_WITHOUT")}
+	c := server.Config{Fleet: f.Fleet, ID: f.Voter.ID, Listen: f.Voter.Listen, StorePath: f.Voter.Store, Voters: map[uint64]string{},
+		Classes: classesOf(node), Settings: replica.DefaultSettings(), DisabledCheck: os.Getenv("OSPREYBEND_WITHOUT")}
 	for _, v := range f.Voters {
 		c.Voters[v.ID] = v.Address
 	}
-	if c.Without == "majority" {
-		c.Rules.Zone.Majority, c.Rules.Zone.Zones = 0, 1
+	if c.DisabledCheck == "majority" {
+		c.Settings.Failover.Majority, c.Settings.Failover.MinObserverZones = 0, 1
 	}
 	if !f.Voter.Joins {
-		c.Founds = f.Numbers()
+		c.InitialVoters = f.Numbers()
 	}
 	s, err := server.Open(c)
 	if err != nil {
@@ -77,7 +77,7 @@
 func classesOf(n *nodeconfig.Node) (out []failover.Class) {
 	for i, name := range n.ClassNames {
 		c := n.Settings.Classes[i]
-		out = append(out, failover.Class{Name: name, Worth: c.Worth, Once: c.Effect == balance.Unsafe})
+		out = append(out, failover.Class{Name: name, Value: c.Worth, NonIdempotent: c.Effect == balance.Unsafe})
 	}
 	return out
 }
@@ -151,13 +151,13 @@
 	cfg := n.cfg
 	n.calls = transport.NewClient()
 	a := agent.Config{Fleet: f.Fleet, Name: cfg.Name, Zone: f.Zone, Zones: cfg.Zones, Classes: cfg.Settings.Classes,
-		ClassNames: cfg.ClassNames, TellsStart: cfg.Settings.TellsStart, Rules: follower.Usual(), Due: &n.loop.Due,
+		ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.TellsStart, Settings: follower.DefaultSettings(), Timers: &n.loop.Due,
 		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())), ZoneOf: n.pool.ZoneOf}
 	for _, v := range f.Voters {
 		a.Voters = append(a.Voters, agent.Voter{Zone: v.Zone, Address: v.Address})
 	}
 	n.voters = f.Voters
-	a.Without = os.Getenv("OSPREYBEND_WITHOUT")
+	a.DisabledCheck = os.Getenv("OSPREYBEND_WITHOUT")
 	n.agent = agent.New(a, n.loop, n.core, n.calls)
 	n.core.Observe(n.agent)
 	n.core.Keep(n.agent)
@@ -168,14 +168,14 @@
 // sayZone puts a person's word on a zone to the voters, one after the other until one has it
 // agreed on. done is called on the loop.
 func (n *node) sayZone(zone, do, reason string, span time.Duration, done func(error)) {
-	w := commands.Word{Zone: zone, Do: do, Reason: reason, Until: time.Now().Add(span).UnixMicro()}
+	w := commands.Override{Zone: zone, Action: do, Reason: reason, Until: time.Now().Add(span).UnixMicro()}
 	voters := n.voters
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), sayWithin)
 		defer cancel()
 		var faults []error
 		for _, v := range voters {
-			err := n.calls.Say(ctx, v.Address, w)
+			err := n.calls.ApplyOverride(ctx, v.Address, w)
 			if err == nil {
 				n.loop.Post(func() { done(nil) })
 				return
@@ -189,15 +189,15 @@
 // fleetText is what the operators' address tells of the fleet.
 func (n *node) fleetText() []byte {
 	f := n.agent.Follower()
-	text := fmt.Appendf(nil, "epoch %d, led %v, older orders refused %d\n", f.Epoch(), f.Led(n.loop.Now()), f.Refused())
+	text := fmt.Appendf(nil, "epoch %d, led %v, older orders refused %d\n", f.Epoch(), f.HasLease(n.loop.Now()), f.StaleResponses())
 	shares := f.Shares(n.loop.Now(), n.cfg.Zones)
 	for _, name := range n.cfg.Zones {
-		z := f.Table().Of(name)
+		z := f.Table().Zone(name)
 		text = fmt.Appendf(text, "zone %s: %v, share here %.3f, failures %d, reason %q\n", name, z.Phase, shares[name], z.Failures, z.Reason)
 	}
 	for _, name := range n.cfg.Zones {
-		if w, ok := f.Table().Words[name]; ok {
-			text = fmt.Appendf(text, "by hand: %s %s until %s, %q\n", w.Do, name, time.UnixMicro(w.Until).UTC().Format(time.RFC3339), w.Reason)
+		if w, ok := f.Table().Overrides[name]; ok {
+			text = fmt.Appendf(text, "by hand: %s %s until %s, %q\n", w.Action, name, time.UnixMicro(w.Until).UTC().Format(time.RFC3339), w.Reason)
 		}
 	}
 	return text
--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -18,11 +18,11 @@
 
 // The phases. docs/design/fleet-as-one.md has every transition.
 const (
-	In     Phase = iota // takes its whole share
-	Eased               // slow: takes a part
-	Left                // takes nothing
-	Trying              // a few processes try it
-	Rising              // takes a part that grows by steps
+	PhaseActive    Phase = iota // takes its whole share
+	PhaseReduced                // slow: takes a part
+	PhaseEvacuated              // takes nothing
+	PhaseProbing                // a few processes try it
+	PhaseSlowStart              // takes a part that grows by steps
 )
 
 var phaseNames = [...]string{"in", "eased", "left", "trying", "rising"}
@@ -35,57 +35,57 @@
 	return "phase " + strconv.Itoa(int(p))
 }
 
-// Zone is the order on one zone.
-type Zone struct {
-	Phase    Phase    `cbor:"1,keyasint" json:"Phase"`
-	Share    float64  `cbor:"2,keyasint"`                         // of what it would take; while Trying, of those chosen
-	Chosen   float64  `cbor:"3,keyasint,omitempty" json:"Chosen"` // part of the processes that try
-	Step     int      `cbor:"4,keyasint,omitempty"`               // of the rise
-	Failures int      `cbor:"5,keyasint,omitempty"`               // in a row; each doubles the rest
-	Cut      []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes do not reach it: they send nothing there
-	Reason   string   `cbor:"7,keyasint,omitempty"`
-	Since    uint64   `cbor:"8,keyasint,omitempty" json:"Since"` // the epoch that set it
+// ZoneState is the order on one zone.
+type ZoneState struct {
+	Phase           Phase    `cbor:"1,keyasint" json:"Phase"`
+	Share           float64  `cbor:"2,keyasint"`                         // of what it would take; while Trying, of those chosen
+	ProbeFraction   float64  `cbor:"3,keyasint,omitempty" json:"Chosen"` // part of the processes that try
+	Step            int      `cbor:"4,keyasint,omitempty"`               // of the rise
+	Failures        int      `cbor:"5,keyasint,omitempty"`               // in a row; each doubles the rest
+	UnreachableFrom []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes do not reach it: they send nothing there
+	Reason          string   `cbor:"7,keyasint,omitempty"`
+	SinceEpoch      uint64   `cbor:"8,keyasint,omitempty" json:"Since"` // the epoch that set it
 }
 
 // The words that a person may say on a zone.
 const (
-	DoLeave  = "leave"
-	DoReturn = "return"
-	DoHold   = "hold"
-	DoClear  = "clear"
+	OverrideEvacuate = "leave"
+	OverrideRestore  = "return"
+	OverrideFreeze   = "hold"
+	OverrideClear    = "clear"
 )
 
-// Word is what a person has said on a zone. It goes before the program's own orders
+// Override is what a person has said on a zone. It goes before the program's own orders
 // until its end.
-type Word struct {
+type Override struct {
 	Zone   string `cbor:"1,keyasint"`
-	Do     string `cbor:"2,keyasint" json:"Do"`
+	Action string `cbor:"2,keyasint" json:"Do"`
 	Reason string `cbor:"3,keyasint"`
 	Until  int64  `cbor:"4,keyasint" json:"Until"` // Unix microseconds
 }
 
 // Table is all that holds now.
 type Table struct {
-	Epoch uint64             `cbor:"1,keyasint"`
-	Zones map[string]Zone    `cbor:"2,keyasint"`
-	Admit map[string]float64 `cbor:"3,keyasint,omitempty" json:"Admit"` // part of each class that is let in; who is not named is let in whole
-	Words map[string]Word    `cbor:"4,keyasint,omitempty" json:"Words"`
+	Epoch     uint64               `cbor:"1,keyasint"`
+	Zones     map[string]ZoneState `cbor:"2,keyasint"`
+	Admission map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // part of each class that is let in; who is not named is let in whole
+	Overrides map[string]Override  `cbor:"4,keyasint,omitempty" json:"Words"`
 }
 
-// Of is the order on a zone; one that nothing was said of is in.
-func (t *Table) Of(zone string) Zone {
+// Zone is the order on a zone; one that nothing was said of is in.
+func (t *Table) Zone(zone string) ZoneState {
 	if z, ok := t.Zones[zone]; ok {
 		return z
 	}
-	return Zone{Phase: In, Share: 1}
+	return ZoneState{Phase: PhaseActive, Share: 1}
 }
 
 // Clone copies the table.
 func (t *Table) Clone() Table {
-	out := Table{Epoch: t.Epoch, Zones: maps.Clone(t.Zones), Admit: maps.Clone(t.Admit), Words: maps.Clone(t.Words)}
-	for name, z := range out.Zones {
-		z.Cut = slices.Clone(z.Cut)
-		out.Zones[name] = z
+	out := Table{Epoch: t.Epoch, Zones: maps.Clone(t.Zones), Admission: maps.Clone(t.Admission), Overrides: maps.Clone(t.Overrides)}
+	for name, zone := range out.Zones {
+		zone.UnreachableFrom = slices.Clone(zone.UnreachableFrom)
+		out.Zones[name] = zone
 	}
 	return out
 }
@@ -93,66 +93,68 @@
 // Change is a new order. It is void unless the epoch that it was made for still holds,
 // so that a leader that was outvoted, or answers late, changes nothing.
 type Change struct {
-	Expect uint64             `cbor:"1,keyasint"`
-	Zones  map[string]Zone    `cbor:"2,keyasint,omitempty"`              // these alone change
-	Admit  map[string]float64 `cbor:"3,keyasint,omitempty" json:"Admit"` // in place of the last, where Admits
-	Admits bool               `cbor:"4,keyasint,omitempty"`
+	ExpectedEpoch uint64               `cbor:"1,keyasint"`
+	Zones         map[string]ZoneState `cbor:"2,keyasint,omitempty"`              // these alone change
+	Admission     map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // in place of the last, where Admits
+	SetsAdmission bool                 `cbor:"4,keyasint,omitempty"`
 }
 
-// Start is a voter's, told before it votes for anything but its start.
-type Start struct {
+// VoterStart is a voter's, told before it votes for anything but its start.
+type VoterStart struct {
 	Voter uint64 `cbor:"1,keyasint"`
 	Store string `cbor:"2,keyasint"`
 	Runs  uint64 `cbor:"3,keyasint"`
 }
 
-// Order is one entry of the log: one of its parts is set.
-type Order struct {
-	ID     string  `cbor:"1,keyasint"` // unique, so that who put it knows it again; a doubled one is void
-	Change *Change `cbor:"2,keyasint,omitempty"`
-	Word   *Word   `cbor:"3,keyasint,omitempty"`
-	Start  *Start  `cbor:"4,keyasint,omitempty"`
+// Command is one entry of the log: one of its parts is set.
+type Command struct {
+	ID       string      `cbor:"1,keyasint"` // unique, so that who put it knows it again; a doubled one is void
+	Change   *Change     `cbor:"2,keyasint,omitempty"`
+	Override *Override   `cbor:"3,keyasint,omitempty"`
+	Start    *VoterStart `cbor:"4,keyasint,omitempty"`
 }
 
 // ErrStale says that an order was made for an epoch that is over.
 var ErrStale = errors.New("the order was made for an epoch that is over")
 
-// ErrOldStore says that a voter's store was put back from an older copy.
-var ErrOldStore = errors.New("the voter's store is an older copy than the fleet has heard of")
+// ErrStoreRolledBack says that a voter's store was put back from an older copy.
+var ErrStoreRolledBack = errors.New("the voter's store is an older copy than the fleet has heard of")
 
-// Machine applies orders. Applied is told of each.
-type Machine struct {
-	state   state
-	Applied func(o Order, err error)
-	Without string // a check left out, for the tests that show what it is for
+// StateMachine applies orders. Applied is told of each.
+type StateMachine struct {
+	state         state
+	OnApplied     func(o Command, err error)
+	DisabledCheck string // a check left out, for the tests that show what it is for
 }
 
 type state struct {
-	Table  Table             `cbor:"1,keyasint"`
-	Starts map[uint64]Start  `cbor:"2,keyasint"`
-	Recent []string          `cbor:"3,keyasint"` // IDs of the last orders
-	Old    map[uint64]string `cbor:"4,keyasint"` // voters whose store is an older copy, by its ID
+	Table      Table                 `cbor:"1,keyasint"`
+	Starts     map[uint64]VoterStart `cbor:"2,keyasint"`
+	Recent     []string              `cbor:"3,keyasint"` // IDs of the last orders
+	RolledBack map[uint64]string     `cbor:"4,keyasint"` // voters whose store is an older copy, by its ID
 }
 
-const recent = 256 // orders remembered by their IDs
+const maxRecentIDs = 256 // orders remembered by their IDs
 
-// NewMachine makes an empty one.
-func NewMachine() *Machine {
-	m := &Machine{}
-	m.state = empty()
+// NewStateMachine makes an empty one.
+func NewStateMachine() *StateMachine {
+	m := &StateMachine{}
+	m.state = emptyState()
 	return m
 }
 
-func empty() state {
-	return state{Table: Table{Zones: map[string]Zone{}, Words: map[string]Word{}, Admit: map[string]float64{}},
-		Starts: map[uint64]Start{}, Old: map[uint64]string{}}
+func emptyState() state {
+	return state{Table: Table{Zones: map[string]ZoneState{}, Overrides: map[string]Override{}, Admission: map[string]float64{}},
+		Starts: map[uint64]VoterStart{}, RolledBack: map[uint64]string{}}
 }
 
 // Table returns what holds now; it is not to be changed.
-func (m *Machine) Table() *Table { return &m.state.Table }
+func (m *StateMachine) Table() *Table { return &m.state.Table }
 
-// OldStore tells whether a voter's store was found to be an older copy.
-func (m *Machine) OldStore(voter uint64, store string) bool { return m.state.Old[voter] == store }
+// StoreRolledBack tells whether a voter's store was found to be an older copy.
+func (m *StateMachine) StoreRolledBack(voter uint64, store string) bool {
+	return m.state.RolledBack[voter] == store
+}
 
 var (
 	encoder = must(cbor.CoreDetEncOptions().EncMode())
@@ -171,79 +173,79 @@
 func Encode(v any) ([]byte, error) { return encoder.Marshal(v) }
 
 // Decode reads one.
-func Decode(text []byte, into any) error { return decoder.Unmarshal(text, into) }
+func Decode(data []byte, into any) error { return decoder.Unmarshal(data, into) }
 
 // Apply takes in the next entry. What cannot be read is void at every voter alike.
-func (m *Machine) Apply(_ uint64, text []byte) {
-	var o Order
-	err := Decode(text, &o)
+func (m *StateMachine) Apply(_ uint64, data []byte) {
+	var command Command
+	err := Decode(data, &command)
 	if err == nil {
-		err = m.apply(o)
+		err = m.applyCommand(command)
 	}
-	if m.Applied != nil {
-		m.Applied(o, err)
+	if m.OnApplied != nil {
+		m.OnApplied(command, err)
 	}
 }
 
-func (m *Machine) apply(o Order) error {
-	if o.ID == "" || slices.Contains(m.state.Recent, o.ID) {
+func (m *StateMachine) applyCommand(command Command) error {
+	if command.ID == "" || slices.Contains(m.state.Recent, command.ID) {
 		return errors.New("an order without an ID of its own")
 	}
-	m.state.Recent = append(m.state.Recent, o.ID)
-	if extra := len(m.state.Recent) - recent; extra > 0 {
+	m.state.Recent = append(m.state.Recent, command.ID)
+	if extra := len(m.state.Recent) - maxRecentIDs; extra > 0 {
 		m.state.Recent = slices.Delete(m.state.Recent, 0, extra)
 	}
 	switch {
-	case o.Change != nil:
-		return m.change(o.Change)
-	case o.Word != nil:
-		return m.say(*o.Word)
-	case o.Start != nil:
-		return m.start(*o.Start)
+	case command.Change != nil:
+		return m.applyChange(command.Change)
+	case command.Override != nil:
+		return m.applyOverride(*command.Override)
+	case command.Start != nil:
+		return m.applyVoterStart(*command.Start)
 	}
 	return errors.New("an order that says nothing")
 }
 
-func (m *Machine) change(c *Change) error {
-	t := &m.state.Table
-	if c.Expect != t.Epoch && m.Without != "expect" {
+func (m *StateMachine) applyChange(change *Change) error {
+	table := &m.state.Table
+	if change.ExpectedEpoch != table.Epoch && m.DisabledCheck != "expect" {
 		return ErrStale
 	}
-	for name, z := range c.Zones {
-		if err := z.check(); err != nil {
+	for name, zone := range change.Zones {
+		if err := zone.validate(); err != nil {
 			return fmt.Errorf("zone %q: %w", name, err)
 		}
 	}
-	t.Epoch++
-	for name, z := range c.Zones {
-		z.Since = t.Epoch
-		t.Zones[name] = z
+	table.Epoch++
+	for name, zone := range change.Zones {
+		zone.SinceEpoch = table.Epoch
+		table.Zones[name] = zone
 	}
-	if c.Admits {
-		t.Admit = maps.Clone(c.Admit)
+	if change.SetsAdmission {
+		table.Admission = maps.Clone(change.Admission)
 	}
 	return nil
 }
 
-func (z Zone) check() error {
+func (z ZoneState) validate() error {
 	switch {
 	case int(z.Phase) >= len(phaseNames):
 		return fmt.Errorf("%v", z.Phase)
-	case !(z.Share >= 0 && z.Share <= 1), !(z.Chosen >= 0 && z.Chosen <= 1):
-		return fmt.Errorf("a share of %v, %v chosen", z.Share, z.Chosen)
+	case !(z.Share >= 0 && z.Share <= 1), !(z.ProbeFraction >= 0 && z.ProbeFraction <= 1):
+		return fmt.Errorf("a share of %v, %v chosen", z.Share, z.ProbeFraction)
 	}
 	return nil
 }
 
-// Check tells what is wrong with a word before it goes into the log.
-func (w Word) Check() error {
+// Validate tells what is wrong with a word before it goes into the log.
+func (w Override) Validate() error {
 	switch {
 	case w.Zone == "":
 		return errors.New("zone: missing")
-	case w.Do == DoClear:
+	case w.Action == OverrideClear:
 		return nil
-	case w.Do != DoLeave && w.Do != DoReturn && w.Do != DoHold:
-		return fmt.Errorf("do: %q is none of leave, return, hold and clear", w.Do)
+	case w.Action != OverrideEvacuate && w.Action != OverrideRestore && w.Action != OverrideFreeze:
+		return fmt.Errorf("do: %q is none of leave, return, hold and clear", w.Action)
 	case w.Reason == "":
 		return errors.New("reason: missing")
 	case w.Until <= 0:
@@ -252,47 +254,47 @@
 	return nil
 }
 
-func (m *Machine) say(w Word) error {
-	if err := w.Check(); err != nil {
+func (m *StateMachine) applyOverride(override Override) error {
+	if err := override.Validate(); err != nil {
 		return err
 	}
-	t := &m.state.Table
-	t.Epoch++
-	if w.Do == DoClear {
-		delete(t.Words, w.Zone)
+	table := &m.state.Table
+	table.Epoch++
+	if override.Action == OverrideClear {
+		delete(table.Overrides, override.Zone)
 		return nil
 	}
-	t.Words[w.Zone] = w
+	table.Overrides[override.Zone] = override
 	return nil
 }
 
-// start notes a voter's start. A file whose count of starts falls was put back from an
+// applyVoterStart notes a voter's start. A file whose count of starts falls was put back from an
 // older copy: what it had promised since is not in it.
-func (m *Machine) start(s Start) error {
+func (m *StateMachine) applyVoterStart(s VoterStart) error {
 	if last, ok := m.state.Starts[s.Voter]; ok && last.Store == s.Store && s.Runs <= last.Runs {
-		m.state.Old[s.Voter] = s.Store
-		return ErrOldStore
+		m.state.RolledBack[s.Voter] = s.Store
+		return ErrStoreRolledBack
 	}
 	m.state.Starts[s.Voter] = s
 	return nil
 }
 
 // Snapshot writes the state.
-func (m *Machine) Snapshot() ([]byte, error) { return Encode(m.state) }
+func (m *StateMachine) Snapshot() ([]byte, error) { return Encode(m.state) }
 
 // Restore takes a state; none stands for an empty one.
-func (m *Machine) Restore(text []byte) error {
-	s := empty()
-	if len(text) > 0 {
-		if err := Decode(text, &s); err != nil {
+func (m *StateMachine) Restore(data []byte) error {
+	s := emptyState()
+	if len(data) > 0 {
+		if err := Decode(data, &s); err != nil {
 			return fmt.Errorf("the orders cannot be read: %w", err)
 		}
 	}
-	if s.Table.Zones == nil || s.Table.Words == nil || s.Starts == nil {
+	if s.Table.Zones == nil || s.Table.Overrides == nil || s.Starts == nil {
 		return errors.New("the orders lack a part")
 	}
-	if s.Old == nil {
-		s.Old = map[uint64]string{}
+	if s.RolledBack == nil {
+		s.RolledBack = map[uint64]string{}
 	}
 	m.state = s
 	return nil
--- a/internal/node/zones/commands/commands_test.go
+++ b/internal/node/zones/commands/commands_test.go
@@ -5,59 +5,59 @@
 	"testing"
 )
 
-func put(t *testing.T, m *Machine, o Order) (got error) {
+func applyTo(t *testing.T, m *StateMachine, o Command) (got error) {
 	t.Helper()
-	text, err := Encode(o)
+	data, err := Encode(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Applied = func(_ Order, err error) { got = err }
-	m.Apply(1, text)
+	m.OnApplied = func(_ Command, err error) { got = err }
+	m.Apply(1, data)
 	return got
 }
 
-func leave(expect uint64) *Change {
-	return &Change{Expect: expect, Zones: map[string]Zone{"b": {Phase: Left, Failures: 1}}}
+func evacuation(expect uint64) *Change {
+	return &Change{ExpectedEpoch: expect, Zones: map[string]ZoneState{"b": {Phase: PhaseEvacuated, Failures: 1}}}
 }
 
 // An order made for an epoch that is over is void, and so is one that comes twice.
-func TestStaleAndDoubledOrdersAreVoid(t *testing.T) {
-	m := NewMachine()
-	if err := put(t, m, Order{ID: "1", Change: leave(0)}); err != nil || m.Table().Epoch != 1 || m.Table().Of("b").Since != 1 {
+func TestStateMachine_Apply_rejectsStaleAndDuplicate(t *testing.T) {
+	m := NewStateMachine()
+	if err := applyTo(t, m, Command{ID: "1", Change: evacuation(0)}); err != nil || m.Table().Epoch != 1 || m.Table().Zone("b").SinceEpoch != 1 {
 		t.Fatalf("%v, %+v", err, m.Table())
 	}
-	back := &Change{Expect: 0, Zones: map[string]Zone{"b": {Phase: In, Share: 1}}}
-	if err := put(t, m, Order{ID: "2", Change: back}); !errors.Is(err, ErrStale) || m.Table().Of("b").Phase != Left {
+	back := &Change{ExpectedEpoch: 0, Zones: map[string]ZoneState{"b": {Phase: PhaseActive, Share: 1}}}
+	if err := applyTo(t, m, Command{ID: "2", Change: back}); !errors.Is(err, ErrStale) || m.Table().Zone("b").Phase != PhaseEvacuated {
 		t.Errorf("a stale order: %v, %+v", err, m.Table())
 	}
-	if err := put(t, m, Order{ID: "1", Change: leave(1)}); err == nil || m.Table().Epoch != 1 {
+	if err := applyTo(t, m, Command{ID: "1", Change: evacuation(1)}); err == nil || m.Table().Epoch != 1 {
 		t.Errorf("a doubled order: %v, epoch %d", err, m.Table().Epoch)
 	}
-	m.Without = "expect"
-	if put(t, m, Order{ID: "3", Change: back}); m.Table().Of("b").Phase != In {
+	m.DisabledCheck = "expect"
+	if applyTo(t, m, Command{ID: "3", Change: back}); m.Table().Zone("b").Phase != PhaseActive {
 		t.Error("without the check nothing is otherwise")
 	}
 }
 
 // What cannot be is turned away by name, and changes nothing.
-func TestBadOrders(t *testing.T) {
-	m := NewMachine()
-	for name, o := range map[string]Order{
-		"no id":    {Change: leave(0)},
+func TestStateMachine_Apply_rejectsInvalid(t *testing.T) {
+	m := NewStateMachine()
+	for name, o := range map[string]Command{
+		"no id":    {Change: evacuation(0)},
 		"nothing":  {ID: "1"},
-		"share":    {ID: "2", Change: &Change{Zones: map[string]Zone{"b": {Share: 2}}}},
-		"phase":    {ID: "3", Change: &Change{Zones: map[string]Zone{"b": {Phase: 9}}}},
-		"no zone":  {ID: "4", Word: &Word{Do: DoLeave, Reason: "r", Until: 1}},
-		"no do":    {ID: "5", Word: &Word{Zone: "b", Reason: "r", Until: 1}},
-		"no end":   {ID: "6", Word: &Word{Zone: "b", Do: DoHold, Reason: "r"}},
-		"no cause": {ID: "7", Word: &Word{Zone: "b", Do: DoHold, Until: 1}},
+		"share":    {ID: "2", Change: &Change{Zones: map[string]ZoneState{"b": {Share: 2}}}},
+		"phase":    {ID: "3", Change: &Change{Zones: map[string]ZoneState{"b": {Phase: 9}}}},
+		"no zone":  {ID: "4", Override: &Override{Action: OverrideEvacuate, Reason: "r", Until: 1}},
+		"no do":    {ID: "5", Override: &Override{Zone: "b", Reason: "r", Until: 1}},
+		"no end":   {ID: "6", Override: &Override{Zone: "b", Action: OverrideFreeze, Reason: "r"}},
+		"no cause": {ID: "7", Override: &Override{Zone: "b", Action: OverrideFreeze, Until: 1}},
 	} {
-		if err := put(t, m, o); err == nil || m.Table().Epoch != 0 {
+		if err := applyTo(t, m, o); err == nil || m.Table().Epoch != 0 {
 			t.Errorf("%s: %v, epoch %d", name, err, m.Table().Epoch)
 		}
 	}
 	var got error
-	m.Applied = func(_ Order, err error) { got = err }
+	m.OnApplied = func(_ Command, err error) { got = err }
 	if m.Apply(1, []byte("no order")); got == nil {
 		t.Error("garbage is taken")
 	}
@@ -67,23 +67,23 @@
 }
 
 // A store whose count of starts falls was put back from an older copy; one made anew was not.
-func TestOldStoreIsKnown(t *testing.T) {
-	m := NewMachine()
-	for i, s := range []Start{{2, "x", 1}, {2, "x", 2}, {2, "y", 1}} {
-		if err := put(t, m, Order{ID: string(rune('a' + i)), Start: &s}); err != nil {
+func TestStateMachine_Apply_detectsRolledBackStore(t *testing.T) {
+	m := NewStateMachine()
+	for i, s := range []VoterStart{{2, "x", 1}, {2, "x", 2}, {2, "y", 1}} {
+		if err := applyTo(t, m, Command{ID: string(rune('a' + i)), Start: &s}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := put(t, m, Order{ID: "z", Start: &Start{2, "y", 1}}); !errors.Is(err, ErrOldStore) || !m.OldStore(2, "y") || m.OldStore(2, "x") {
+	if err := applyTo(t, m, Command{ID: "z", Start: &VoterStart{2, "y", 1}}); !errors.Is(err, ErrStoreRolledBack) || !m.StoreRolledBack(2, "y") || m.StoreRolledBack(2, "x") {
 		t.Errorf("%v", err)
 	}
 	// The state goes through a snapshot whole.
-	text, err := m.Snapshot()
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := NewMachine()
-	if err := other.Restore(text); err != nil || !other.OldStore(2, "y") {
+	other := NewStateMachine()
+	if err := other.Restore(data); err != nil || !other.StoreRolledBack(2, "y") {
 		t.Errorf("restored: %v", err)
 	}
 }
--- a/internal/node/zones/failover/admission.go
+++ b/internal/node/zones/failover/admission.go
@@ -8,33 +8,33 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// admit decides what part of each class is let in while a part of the fleet is out:
+// decideAdmission decides what part of each class is let in while a part of the fleet is out:
 // bookings first, then what is worth most a slot-second, as far as the rest can take it.
-func (d *Decider) admit(now time.Duration, verdicts map[string]Verdict, t, after *commands.Table) (map[string]float64, bool) {
-	capacity, out := 0.0, false
-	asked := make([]float64, len(d.classes))
-	for name, v := range verdicts {
-		z := after.Of(name)
-		switch z.Phase {
-		case commands.Left, commands.Trying:
-			out = true
-		case commands.In:
-			capacity += v.Sum.Slots
+func (d *Decider) decideAdmission(now time.Duration, assessments map[string]Assessment, table, after *commands.Table) (map[string]float64, bool) {
+	capacity, degraded := 0.0, false
+	demand := make([]float64, len(d.classes))
+	for name, assessment := range assessments {
+		state := after.Zone(name)
+		switch state.Phase {
+		case commands.PhaseEvacuated, commands.PhaseProbing:
+			degraded = true
+		case commands.PhaseActive:
+			capacity += assessment.Total.Slots
 		default:
-			out = true
-			capacity += v.Sum.Slots * z.Share
+			degraded = true
+			capacity += assessment.Total.Slots * state.Share
 		}
-		for i, w := range v.Sum.Work {
-			if i < len(asked) {
-				asked[i] += w
+		for i, w := range assessment.Total.WorkRate {
+			if i < len(demand) {
+				demand[i] += w
 			}
 		}
 	}
-	want := map[string]float64{}
-	if out && capacity > 0 {
+	wanted := map[string]float64{}
+	if degraded && capacity > 0 {
 		for i, c := range d.classes {
-			if part, ok := t.Admit[c.Name]; ok {
-				asked[i] /= max(part, 0.01) // what was refused was asked for, too
+			if fraction, ok := table.Admission[c.Name]; ok {
+				demand[i] /= max(fraction, 0.01) // what was refused was asked for, too
 			}
 		}
 		order := make([]int, len(d.classes))
@@ -43,46 +43,46 @@
 		}
 		slices.SortStableFunc(order, func(a, b int) int {
 			x, y := d.classes[a], d.classes[b]
-			if x.Once != y.Once {
-				return map[bool]int{true: -1, false: 1}[x.Once]
+			if x.NonIdempotent != y.NonIdempotent {
+				return map[bool]int{true: -1, false: 1}[x.NonIdempotent]
 			}
-			return compareDown(x.Worth, y.Worth)
+			return compareDescending(x.Value, y.Value)
 		})
-		room := d.rules.Full * capacity
+		remaining := d.settings.MaxUtilization * capacity
 		for _, i := range order {
-			part := 1.0
-			if asked[i] > room {
-				part = room / asked[i]
+			fraction := 1.0
+			if demand[i] > remaining {
+				fraction = remaining / demand[i]
 			}
-			room = max(0, room-asked[i])
-			if part < 1 {
-				want[d.classes[i].Name] = math.Round(part*100) / 100
+			remaining = max(0, remaining-demand[i])
+			if fraction < 1 {
+				wanted[d.classes[i].Name] = math.Round(fraction*100) / 100
 			}
 		}
 	}
 	// A burst, as of clients whose process stood still, is queued for a moment; refusing it
 	// would lose more.
-	if len(want) == 0 {
-		d.fullAt = 0
-	} else if d.fullAt == 0 {
-		d.fullAt = now
+	if len(wanted) == 0 {
+		d.overloadedSince = 0
+	} else if d.overloadedSince == 0 {
+		d.overloadedSince = now
 	}
-	if len(want) > 0 && len(t.Admit) == 0 && now-d.fullAt < d.rules.FullFor {
+	if len(wanted) > 0 && len(table.Admission) == 0 && now-d.overloadedSince < d.settings.OverloadGraceTime {
 		return nil, false
 	}
-	worth := false
+	significant := false
 	for _, c := range d.classes {
-		was, wanted := part(t.Admit, c.Name), part(want, c.Name)
-		worth = worth || math.Abs(was-wanted) >= d.rules.AdmitBy || was != wanted && len(want) == 0
+		was, desired := admittedFraction(table.Admission, c.Name), admittedFraction(wanted, c.Name)
+		significant = significant || math.Abs(was-desired) >= d.settings.MinAdmissionChange || was != desired && len(wanted) == 0
 	}
-	if !worth || len(want) > 0 && len(t.Admit) > 0 && now-d.admitAt < d.rules.Hold {
+	if !significant || len(wanted) > 0 && len(table.Admission) > 0 && now-d.admissionChangedAt < d.settings.MinStepTime {
 		return nil, false
 	}
-	d.admitAt = now
-	return want, true
+	d.admissionChangedAt = now
+	return wanted, true
 }
 
-func compareDown(a, b float64) int {
+func compareDescending(a, b float64) int {
 	switch {
 	case a > b:
 		return -1
@@ -92,7 +92,7 @@
 	return 0
 }
 
-func part(m map[string]float64, class string) float64 {
+func admittedFraction(m map[string]float64, class string) float64 {
 	if v, ok := m[class]; ok {
 		return v
 	}
--- a/internal/node/zones/failover/assessment.go
+++ b/internal/node/zones/failover/assessment.go
@@ -9,167 +9,167 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-// Kind is what the fleet makes of a zone.
-type Kind uint8
+// Condition is what the fleet makes of a zone.
+type Condition uint8
 
 // The kinds, the mildest first.
 const (
-	Well      Kind = iota
-	Unknown        // too little is seen of it
-	Crowded        // it serves all it can: leaving it would only move the crowd
-	Slow           // it serves, but later than the others
-	Cut            // some zones do not reach it, others do
-	Fails          // nobody reaches it or gets anything done there
-	Undecided      // it looks failed, but so does more than half of the fleet
+	Healthy              Condition = iota
+	Unknown                        // too little is seen of it
+	Overloaded                     // it serves all it can: leaving it would only move the crowd
+	Slow                           // it serves, but later than the others
+	PartiallyUnreachable           // some zones do not reach it, others do
+	Failed                         // nobody reaches it or gets anything done there
+	Inconclusive                   // it looks failed, but so does more than half of the fleet
 )
 
-var kindNames = [...]string{"well", "unknown", "crowded", "slow", "cut", "fails", "undecided"}
+var conditionNames = [...]string{"well", "unknown", "crowded", "slow", "cut", "fails", "undecided"}
 
 // String names the kind.
-func (k Kind) String() string { return kindNames[k] }
+func (k Condition) String() string { return conditionNames[k] }
 
-// Verdict is what the fleet makes of one zone, and from whose evidence.
-type Verdict struct {
-	Kind    Kind
-	From    []string // the zones that say so
-	Reached []string // the zones that reach it
-	Keep    float64  // of a slow one: the part that it keeps up with
-	Sum     health.Sight
-	Offered float64 // slot-seconds a second sent there, all classes
+// Assessment is what the fleet makes of one zone, and from whose evidence.
+type Assessment struct {
+	Condition           Condition
+	Observers           []string // the zones that say so
+	ReachedFrom         []string // the zones that reach it
+	SustainableFraction float64  // of a slow one: the part that it keeps up with
+	Total               health.Observation
+	OfferedWork         float64 // slot-seconds a second sent there, all classes
 }
 
-// view is what one zone's processes see of another.
-type view uint8
+// reachability is what one zone's processes see of another.
+type reachability uint8
 
 const (
-	unseen view = iota
-	good
-	bad
+	reachUnknown reachability = iota
+	reachable
+	unreachable
 )
 
 // String tells what and why.
-func (v Verdict) String() string {
+func (v Assessment) String() string {
 	return fmt.Sprintf("%v, by %s, reached by %s: %.0f of %.0f processes see it fail; of %.0f steps ended %.0f broken, %.0f silent, %.0f late; %.1f of %.1f slots at work",
-		v.Kind, strings.Join(v.From, " "), strings.Join(v.Reached, " "), v.Sum.Bad, v.Sum.Seers, v.Sum.Ended(), v.Sum.Broken, v.Sum.Silent, v.Sum.Late,
-		v.Offered, v.Sum.Slots)
+		v.Condition, strings.Join(v.Observers, " "), strings.Join(v.ReachedFrom, " "), v.Total.FailingObservers, v.Total.Observers, v.Total.Completed(), v.Total.Failed, v.Total.TimedOut, v.Total.Late,
+		v.OfferedWork, v.Total.Slots)
 }
 
-// judge makes the verdicts on all zones that anything is known of.
-func (r Rules) judge(d health.Digest, t *commands.Table) map[string]Verdict {
+// assessZones makes the verdicts on all zones that anything is known of.
+func (r Settings) assessZones(digest health.Digest, table *commands.Table) map[string]Assessment {
 	var names []string
-	for from, at := range d {
+	for from, at := range digest {
 		names = append(names, from)
-		for to := range at.Sights {
+		for to := range at.Observations {
 			names = append(names, to)
 		}
 	}
 	slices.Sort(names)
 	names = slices.Compact(names)
-	seen := map[string]map[string]view{}
-	blind := map[string]bool{}
+	views := map[string]map[string]reachability{}
+	unreliable := map[string]bool{}
 	for _, from := range names {
-		at := d[from]
-		seen[from] = map[string]view{}
-		nBad, nSeen := 0, 0
+		at := digest[from]
+		views[from] = map[string]reachability{}
+		failing, known := 0, 0
 		for _, to := range names {
-			v := r.view(at, at.Sights[to])
-			seen[from][to] = v
-			if v != unseen {
-				nSeen++
+			v := r.classify(at, at.Observations[to])
+			views[from][to] = v
+			if v != reachUnknown {
+				known++
 			}
-			if v == bad {
-				nBad++
+			if v == unreachable {
+				failing++
 			}
 		}
 		// Who sees most of the fleet fail is cut off itself, or all are crowded.
-		blind[from] = nBad > 0 && 2*nBad > nSeen
+		unreliable[from] = failing > 0 && 2*failing > known
 	}
-	out := map[string]Verdict{}
+	out := map[string]Assessment{}
 	for _, zone := range names {
-		out[zone] = r.verdict(zone, t.Of(zone).Cut, names, seen, blind, d)
+		out[zone] = r.assessZone(zone, table.Zone(zone).UnreachableFrom, names, views, unreliable, digest)
 	}
-	r.compare(out)
+	r.markSlowZones(out)
 	return out
 }
 
-// view is what the processes of a zone make of another. A single one of several, cut off
+// classify is what the processes of a zone make of another. A single one of several, cut off
 // by itself, condemns nobody: more than half of them have to see it, over enough steps. That
 // it is reached one can tell alone.
-func (r Rules) view(from health.From, s health.Sight) view {
+func (r Settings) classify(from health.ZoneReport, s health.Observation) reachability {
 	switch {
-	case s.Seers == 0:
-		return unseen
-	case s.Bad < r.Majority*s.Seers || s.Bad == 0:
-		return good
-	case s.Bad > r.Majority*s.Seers && s.Seers >= min(2, from.Processes) && s.Last >= r.LeastBad:
-		return bad
+	case s.Observers == 0:
+		return reachUnknown
+	case s.FailingObservers < r.Majority*s.Observers || s.FailingObservers == 0:
+		return reachable
+	case s.FailingObservers > r.Majority*s.Observers && s.Observers >= min(2, from.Processes) && s.RecentSteps >= r.MinFailureSteps:
+		return unreachable
 	}
-	return unseen
+	return reachUnknown
 }
 
-func (r Rules) verdict(zone string, cut, names []string, seen map[string]map[string]view, blind map[string]bool, d health.Digest) Verdict {
-	v := Verdict{Kind: Unknown}
-	var bads, goods []string
+func (r Settings) assessZone(zone string, unreachableFrom, names []string, views map[string]map[string]reachability, unreliable map[string]bool, digest health.Digest) Assessment {
+	assessment := Assessment{Condition: Unknown}
+	var failedFrom, reachedFrom []string
 	for _, from := range names {
-		if s, ok := d[from].Sights[zone]; ok {
-			v.Sum.Add(s)
+		if s, ok := digest[from].Observations[zone]; ok {
+			assessment.Total.Add(s)
 		}
-		if blind[from] {
+		if unreliable[from] {
 			continue
 		}
-		switch v := seen[from][zone]; {
-		case v == good:
-			goods = append(goods, from)
-		case v == bad, slices.Contains(cut, from): // who was told to send nothing there has not reached it again
-			bads = append(bads, from)
+		switch assessment := views[from][zone]; {
+		case assessment == reachable:
+			reachedFrom = append(reachedFrom, from)
+		case assessment == unreachable, slices.Contains(unreachableFrom, from): // who was told to send nothing there has not reached it again
+			failedFrom = append(failedFrom, from)
 		}
 	}
-	for _, w := range v.Sum.Work {
-		v.Offered += w
+	for _, w := range assessment.Total.WorkRate {
+		assessment.OfferedWork += w
 	}
-	v.Reached = goods
+	assessment.ReachedFrom = reachedFrom
 	switch {
-	case len(bads) == 0 && len(goods) == 0:
-		return v
-	case len(bads) == 0:
-		v.Kind, v.From = Well, goods
-	case r.crowded(v):
-		v.Kind, v.From = Crowded, bads
-	case len(goods) > 0:
-		v.Kind, v.From = Cut, bads
-	case len(bads) >= r.Zones:
-		v.Kind, v.From = Fails, bads
+	case len(failedFrom) == 0 && len(reachedFrom) == 0:
+		return assessment
+	case len(failedFrom) == 0:
+		assessment.Condition, assessment.Observers = Healthy, reachedFrom
+	case r.overloaded(assessment):
+		assessment.Condition, assessment.Observers = Overloaded, failedFrom
+	case len(reachedFrom) > 0:
+		assessment.Condition, assessment.Observers = PartiallyUnreachable, failedFrom
+	case len(failedFrom) >= r.MinObserverZones:
+		assessment.Condition, assessment.Observers = Failed, failedFrom
 	}
-	return v
+	return assessment
 }
 
-// crowded tells whether a zone is offered more than it can do and still does much: what
+// overloaded tells whether a zone is offered more than it can do and still does much: what
 // stays silent there waits in queues.
-func (r Rules) crowded(v Verdict) bool {
-	return v.Sum.Slots > 0 && v.Offered >= v.Sum.Slots && v.Sum.Good >= r.StillGood*v.Sum.Ended()
+func (r Settings) overloaded(assessment Assessment) bool {
+	return assessment.Total.Slots > 0 && assessment.OfferedWork >= assessment.Total.Slots && assessment.Total.Succeeded >= r.OverloadSuccessRatio*assessment.Total.Completed()
 }
 
-// compare holds the zones against each other: one that is late alone is slow, and where
+// markSlowZones holds the zones against each other: one that is late alone is slow, and where
 // all are late nobody is.
-func (r Rules) compare(all map[string]Verdict) {
-	var late []float64
-	for _, v := range all {
-		if v.Kind == Well && v.Sum.Good >= r.Least {
-			late = append(late, v.Sum.LatePart())
+func (r Settings) markSlowZones(assessments map[string]Assessment) {
+	var lateRatios []float64
+	for _, v := range assessments {
+		if v.Condition == Healthy && v.Total.Succeeded >= r.MinSteps {
+			lateRatios = append(lateRatios, v.Total.LateRatio())
 		}
 	}
-	if len(late) < 2 {
+	if len(lateRatios) < 2 {
 		return
 	}
-	slices.Sort(late)
-	usual := late[(len(late)-1)/2]
-	for name, v := range all {
-		if v.Kind != Well || v.Sum.Good < r.Least || len(v.From) < min(r.Zones, len(late)) {
+	slices.Sort(lateRatios)
+	median := lateRatios[(len(lateRatios)-1)/2]
+	for name, v := range assessments {
+		if v.Condition != Healthy || v.Total.Succeeded < r.MinSteps || len(v.Observers) < min(r.MinObserverZones, len(lateRatios)) {
 			continue
 		}
-		if at := v.Sum.LatePart(); at >= usual+r.SlowBy {
-			v.Kind, v.Keep = Slow, (1-at)/max(1-usual, 0.01)
-			all[name] = v
+		if at := v.Total.LateRatio(); at >= median+r.SlowMargin {
+			v.Condition, v.SustainableFraction = Slow, (1-at)/max(1-median, 0.01)
+			assessments[name] = v
 		}
 	}
 }
--- a/internal/node/zones/failover/decider.go
+++ b/internal/node/zones/failover/decider.go
@@ -16,274 +16,278 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-// Rules are the figures that the decisions go by.
-type Rules struct {
-	Majority  float64       // of a zone's processes that must see another fail
-	Zones     int           // that must see it
-	Confirm   time.Duration // for so long
-	CutFor    time.Duration // and for so long where others reach it
-	Doubt     float64       // part of all capacity that may be left
-	StillGood float64       // part of the steps that go well in a zone that is only crowded
-	SlowBy    float64       // part of the steps, over the usual, that is late in a slow one
-	SlowFor   time.Duration // and for so long: a burst makes some late, too
-	Full      float64       // part of the rest's capacity that may be filled
-	FullFor   time.Duration // for so long more is asked for, before any is refused for it
-	Rest      time.Duration // before the first try; doubles with each failure
-	RestMost  time.Duration
-	Tries     float64       // processes that try
-	First     float64       // share of the first step; doubles
-	TryFor    time.Duration // after which more try, if too little was seen
-	Settle    time.Duration // until an order has reached all in contact and shows
-	Hold      time.Duration // a step lasts at least
-	LeastBad  float64       // steps that must have ended for a zone to see another fail: the nodes send little to whom they doubt themselves
-	Least     float64       // steps that must have ended to judge a return by
-	Fine      float64       // part that may go wrong in a step that is earned
-	Steady    time.Duration // in without a failure, after which failures are forgotten
-	AdmitBy   float64       // change in what is let in that is worth an order
+// Settings are the figures that the decisions go by.
+type Settings struct {
+	Majority             float64       // of a zone's processes that must see another fail
+	MinObserverZones     int           // that must see it
+	FailureConfirmTime   time.Duration // for so long
+	PartitionConfirmTime time.Duration // and for so long where others reach it
+	MaxFailedCapacity    float64       // part of all capacity that may be left
+	OverloadSuccessRatio float64       // part of the steps that go well in a zone that is only crowded
+	SlowMargin           float64       // part of the steps, over the usual, that is late in a slow one
+	SlowConfirmTime      time.Duration // and for so long: a burst makes some late, too
+	MaxUtilization       float64       // part of the rest's capacity that may be filled
+	OverloadGraceTime    time.Duration // for so long more is asked for, before any is refused for it
+	InitialBackoff       time.Duration // before the first try; doubles with each failure
+	MaxBackoff           time.Duration
+	ProbeProcesses       float64       // processes that try
+	InitialShare         float64       // share of the first step; doubles
+	ProbeTimeout         time.Duration // after which more try, if too little was seen
+	PropagationTime      time.Duration // until an order has reached all in contact and shows
+	MinStepTime          time.Duration // a step lasts at least
+	MinFailureSteps      float64       // steps that must have ended for a zone to see another fail: the nodes send little to whom they doubt themselves
+	MinSteps             float64       // steps that must have ended to judge a return by
+	MaxFailureRatio      float64       // part that may go wrong in a step that is earned
+	StableTime           time.Duration // in without a failure, after which failures are forgotten
+	MinAdmissionChange   float64       // change in what is let in that is worth an order
 }
 
-// Usual are the figures that the program uses.
-func Usual() Rules {
-	return Rules{Majority: 0.5, Zones: 2, Confirm: 200 * time.Millisecond, CutFor: 600 * time.Millisecond, Doubt: 0.5, StillGood: 0.25, SlowBy: 0.3, SlowFor: 3 * time.Second,
-		Full: 0.95, FullFor: 4 * time.Second,
-		Rest: 2 * time.Second, RestMost: time.Minute, Tries: 3, First: 1. / 16, TryFor: 2 * time.Second, Settle: time.Second, Hold: 1500 * time.Millisecond,
-		LeastBad: 3, Least: 4, Fine: 0.2, Steady: 30 * time.Second, AdmitBy: 0.1}
+// DefaultSettings are the figures that the program uses.
+func DefaultSettings() Settings {
+	return Settings{Majority: 0.5, MinObserverZones: 2, FailureConfirmTime: 200 * time.Millisecond, PartitionConfirmTime: 600 * time.Millisecond, MaxFailedCapacity: 0.5, OverloadSuccessRatio: 0.25, SlowMargin: 0.3, SlowConfirmTime: 3 * time.Second,
+		MaxUtilization: 0.95, OverloadGraceTime: 4 * time.Second,
+		InitialBackoff: 2 * time.Second, MaxBackoff: time.Minute, ProbeProcesses: 3, InitialShare: 1. / 16, ProbeTimeout: 2 * time.Second, PropagationTime: time.Second, MinStepTime: 1500 * time.Millisecond,
+		MinFailureSteps: 3, MinSteps: 4, MaxFailureRatio: 0.2, StableTime: 30 * time.Second, MinAdmissionChange: 0.1}
 }
 
 // Class is what the decisions must know of a class of operations.
 type Class struct {
-	Name  string
-	Worth float64 // of a slot-second
-	Once  bool    // must not run twice: a booking
+	Name          string
+	Value         float64 // of a slot-second
+	NonIdempotent bool    // must not run twice: a booking
 }
 
-// mark is what the decider remembers of a zone's present order.
-type mark struct {
-	since uint64
-	at    time.Duration // when it first met that order
-	kind  Kind
-	from  time.Duration // since when the verdict has been that kind
+// zoneHistory is what the decider remembers of a zone's present order.
+type zoneHistory struct {
+	sinceEpoch uint64
+	stateSince time.Duration // when it first met that order
+	condition  Condition
+	kindSince  time.Duration // since when the verdict has been that kind
 }
 
 // Decider decides. A new leader makes a new one: what it has not seen itself counts anew
 // from the moment it leads, so that a step of a rise is rather held too long.
 type Decider struct {
-	rules   Rules
-	classes []Class
-	marks   map[string]*mark
-	admitAt time.Duration
-	fullAt  time.Duration // since when more is asked for than there is room; 0: it is not
+	settings           Settings
+	classes            []Class
+	history            map[string]*zoneHistory
+	admissionChangedAt time.Duration
+	overloadedSince    time.Duration // since when more is asked for than there is room; 0: it is not
 }
 
 // New makes a decider.
-func New(rules Rules, classes []Class) *Decider {
-	return &Decider{rules: rules, classes: classes, marks: map[string]*mark{}}
+func New(settings Settings, classes []Class) *Decider {
+	return &Decider{settings: settings, classes: classes, history: map[string]*zoneHistory{}}
 }
 
-// Look decides on the evidence and what holds. wall is the time of day, for what persons
+// Decide decides on the evidence and what holds. wall is the time of day, for what persons
 // have said: Unix microseconds. The order is nil where all stays as it is.
-func (d *Decider) Look(now time.Duration, wall int64, view health.Digest, t *commands.Table) (*commands.Change, map[string]Verdict) {
-	verdicts := d.rules.judge(view, t)
+func (d *Decider) Decide(now time.Duration, wall int64, digest health.Digest, table *commands.Table) (*commands.Change, map[string]Assessment) {
+	assessments := d.settings.assessZones(digest, table)
 	processes := 0.0
-	for _, from := range view {
+	for _, from := range digest {
 		processes += from.Processes
 	}
-	d.note(now, verdicts, t)
-	d.doubt(verdicts, t)
-	change := &commands.Change{Expect: t.Epoch, Zones: map[string]commands.Zone{}}
-	for _, name := range d.names(verdicts, t) {
-		at := t.Of(name)
-		next := d.next(now, wall, name, at, verdicts[name], t, processes)
-		if !same(at, next) {
+	d.updateHistory(now, assessments, table)
+	d.withholdMassFailure(assessments, table)
+	change := &commands.Change{ExpectedEpoch: table.Epoch, Zones: map[string]commands.ZoneState{}}
+	for _, name := range d.zoneNames(assessments, table) {
+		at := table.Zone(name)
+		next := d.nextState(now, wall, name, at, assessments[name], table, processes)
+		if !sameState(at, next) {
 			change.Zones[name] = next
 		}
 	}
-	after := t.Clone()
+	after := table.Clone()
 	maps.Copy(after.Zones, change.Zones)
-	if admit, ok := d.admit(now, verdicts, t, &after); ok {
-		change.Admit, change.Admits = admit, true
+	if admit, ok := d.decideAdmission(now, assessments, table, &after); ok {
+		change.Admission, change.SetsAdmission = admit, true
 	}
-	if len(change.Zones) == 0 && !change.Admits {
-		return nil, verdicts
+	if len(change.Zones) == 0 && !change.SetsAdmission {
+		return nil, assessments
 	}
-	return change, verdicts
+	return change, assessments
 }
 
-func (d *Decider) names(verdicts map[string]Verdict, t *commands.Table) []string {
-	names := slices.Collect(maps.Keys(verdicts))
-	names = slices.AppendSeq(names, maps.Keys(t.Zones))
-	names = slices.AppendSeq(names, maps.Keys(t.Words))
+func (d *Decider) zoneNames(assessments map[string]Assessment, table *commands.Table) []string {
+	names := slices.Collect(maps.Keys(assessments))
+	names = slices.AppendSeq(names, maps.Keys(table.Zones))
+	names = slices.AppendSeq(names, maps.Keys(table.Overrides))
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-func same(a, b commands.Zone) bool {
-	return a.Phase == b.Phase && a.Share == b.Share && a.Chosen == b.Chosen && a.Step == b.Step && a.Failures == b.Failures &&
-		slices.Equal(a.Cut, b.Cut)
+func sameState(a, b commands.ZoneState) bool {
+	return a.Phase == b.Phase && a.Share == b.Share && a.ProbeFraction == b.ProbeFraction && a.Step == b.Step && a.Failures == b.Failures &&
+		slices.Equal(a.UnreachableFrom, b.UnreachableFrom)
 }
 
-// note keeps since when each zone's order and verdict have stood.
-func (d *Decider) note(now time.Duration, verdicts map[string]Verdict, t *commands.Table) {
-	for _, name := range d.names(verdicts, t) {
-		since, kind := t.Of(name).Since, verdicts[name].Kind
-		m := d.marks[name]
-		if m == nil {
-			m = &mark{since: since, at: now, kind: kind, from: now}
-			d.marks[name] = m
+// updateHistory keeps since when each zone's order and verdict have stood.
+func (d *Decider) updateHistory(now time.Duration, assessments map[string]Assessment, table *commands.Table) {
+	for _, name := range d.zoneNames(assessments, table) {
+		since, kind := table.Zone(name).SinceEpoch, assessments[name].Condition
+		history := d.history[name]
+		if history == nil {
+			history = &zoneHistory{sinceEpoch: since, stateSince: now, condition: kind, kindSince: now}
+			d.history[name] = history
 		}
-		if m.since != since {
-			m.since, m.at = since, now
+		if history.sinceEpoch != since {
+			history.sinceEpoch, history.stateSince = since, now
 		}
-		if m.kind != kind {
-			m.kind, m.from = kind, now
+		if history.condition != kind {
+			history.condition, history.kindSince = kind, now
 		}
 	}
 }
 
-// doubt takes back verdicts where leaving would leave too little: what is out already
+// withholdMassFailure takes back verdicts where leaving would leave too little: what is out already
 // counts, and the zones that look worst by their order among the names come first.
-func (d *Decider) doubt(verdicts map[string]Verdict, t *commands.Table) {
-	all, out := 0.0, 0.0
-	for name, v := range verdicts {
-		all += v.Sum.Slots
-		if p := t.Of(name).Phase; v.Kind == Fails || p == commands.Left || p == commands.Trying {
-			out += v.Sum.Slots
+func (d *Decider) withholdMassFailure(assessments map[string]Assessment, table *commands.Table) {
+	total, unavailable := 0.0, 0.0
+	for name, v := range assessments {
+		total += v.Total.Slots
+		if p := table.Zone(name).Phase; v.Condition == Failed || p == commands.PhaseEvacuated || p == commands.PhaseProbing {
+			unavailable += v.Total.Slots
 		}
 	}
-	if out <= d.rules.Doubt*all {
+	if unavailable <= d.settings.MaxFailedCapacity*total {
 		return
 	}
-	for name, v := range verdicts {
-		if v.Kind == Fails {
-			v.Kind = Undecided
-			verdicts[name] = v
+	for name, v := range assessments {
+		if v.Condition == Failed {
+			v.Condition = Inconclusive
+			assessments[name] = v
 		}
 	}
 }
 
-// next is the order that a zone is to have.
-func (d *Decider) next(now time.Duration, wall int64, name string, z commands.Zone, v Verdict, t *commands.Table, processes float64) commands.Zone {
-	m := d.marks[name]
-	word, spoken := t.Words[name]
-	spoken = spoken && wall < word.Until
-	if spoken {
-		switch word.Do {
-		case commands.DoHold:
-			return z
-		case commands.DoLeave:
-			if z.Phase != commands.Left || z.Share != 0 {
-				return commands.Zone{Phase: commands.Left, Failures: z.Failures, Reason: "by hand: " + word.Reason}
+// nextState is the order that a zone is to have.
+func (d *Decider) nextState(now time.Duration, wall int64, name string, state commands.ZoneState, assessment Assessment, table *commands.Table, processes float64) commands.ZoneState {
+	history := d.history[name]
+	override, overridden := table.Overrides[name]
+	overridden = overridden && wall < override.Until
+	if overridden {
+		switch override.Action {
+		case commands.OverrideFreeze:
+			return state
+		case commands.OverrideEvacuate:
+			if state.Phase != commands.PhaseEvacuated || state.Share != 0 {
+				return commands.ZoneState{Phase: commands.PhaseEvacuated, Failures: state.Failures, Reason: "by hand: " + override.Reason}
 			}
-			return z
-		case commands.DoReturn:
-			if z.Phase == commands.Left || z.Phase == commands.Trying {
-				return commands.Zone{Phase: commands.Rising, Share: d.rules.First, Step: 1, Failures: z.Failures, Reason: "by hand: " + word.Reason}
+			return state
+		case commands.OverrideRestore:
+			if state.Phase == commands.PhaseEvacuated || state.Phase == commands.PhaseProbing {
+				return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1, Failures: state.Failures, Reason: "by hand: " + override.Reason}
 			}
-			if v.Kind == Fails {
-				v.Kind = Unknown // a person has said that it is to come back
+			if assessment.Condition == Failed {
+				assessment.Condition = Unknown // a person has said that it is to come back
 			}
 		}
 	}
-	age, held := now-m.at, now-m.from
-	switch z.Phase {
-	case commands.In, commands.Eased:
-		return d.inside(z, v, age, held, processes)
-	case commands.Left:
-		if age >= d.rest(z.Failures) {
-			part := chosen(d.rules.Tries, processes)
-			return commands.Zone{Phase: commands.Trying, Share: min(1, d.rules.First/part), Chosen: part, Failures: z.Failures, Reason: "rested"}
+	stateAge, conditionAge := now-history.stateSince, now-history.kindSince
+	switch state.Phase {
+	case commands.PhaseActive, commands.PhaseReduced:
+		return d.nextWhileServing(state, assessment, stateAge, conditionAge, processes)
+	case commands.PhaseEvacuated:
+		if stateAge >= d.probeBackoff(state.Failures) {
+			fraction := probeFraction(d.settings.ProbeProcesses, processes)
+			return commands.ZoneState{Phase: commands.PhaseProbing, Share: min(1, d.settings.InitialShare/fraction), ProbeFraction: fraction, Failures: state.Failures, Reason: "rested"}
 		}
-	case commands.Trying:
-		if age >= d.rules.TryFor && !d.judged(v) && z.Chosen < 1 {
+	case commands.PhaseProbing:
+		if stateAge >= d.settings.ProbeTimeout && !d.hasEnoughSteps(assessment) && state.ProbeFraction < 1 {
 			// Those chosen have had nothing to send there: more are.
-			z.Chosen = min(1, 2*z.Chosen)
-			z.Share, z.Reason = min(1, d.rules.First/z.Chosen), "too little was tried"
-			return z
+			state.ProbeFraction = min(1, 2*state.ProbeFraction)
+			state.Share, state.Reason = min(1, d.settings.InitialShare/state.ProbeFraction), "too little was tried"
+			return state
 		}
-		if age >= d.rules.Settle && d.judged(v) {
-			if fine(v, d.rules) {
-				return commands.Zone{Phase: commands.Rising, Share: d.rules.First, Step: 1, Failures: z.Failures, Reason: "the tries went well"}
+		if stateAge >= d.settings.PropagationTime && d.hasEnoughSteps(assessment) {
+			if acceptable(assessment, d.settings) {
+				return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1, Failures: state.Failures, Reason: "the tries went well"}
 			}
-			if v.Sum.Count.Bad() >= 0.5 {
-				return d.left(z, "the tries went wrong")
+			if assessment.Total.StepCounts.FailureRatio() >= 0.5 {
+				return d.evacuate(state, "the tries went wrong")
 			}
 		}
-	case commands.Rising:
-		return d.rise(z, v, age)
+	case commands.PhaseSlowStart:
+		return d.nextWhileSlowStart(state, assessment, stateAge)
 	}
-	return z
+	return state
 }
 
-func chosen(tries, processes float64) float64 {
+func probeFraction(tries, processes float64) float64 {
 	if processes <= tries {
 		return 1
 	}
 	return tries / processes
 }
 
-func (d *Decider) rest(failures int) time.Duration {
-	return min(d.rules.RestMost, d.rules.Rest<<min(max(failures-1, 0), 16))
+func (d *Decider) probeBackoff(failures int) time.Duration {
+	return min(d.settings.MaxBackoff, d.settings.InitialBackoff<<min(max(failures-1, 0), 16))
 }
 
-// judged tells whether enough has been seen since the order.
-func (d *Decider) judged(v Verdict) bool { return v.Sum.Ended() >= d.rules.Least }
+// hasEnoughSteps tells whether enough has been seen since the order.
+func (d *Decider) hasEnoughSteps(assessment Assessment) bool {
+	return assessment.Total.Completed() >= d.settings.MinSteps
+}
 
-// fine tells whether a step is earned: what was tried has gone well. What was served late
+// acceptable tells whether a step is earned: what was tried has gone well. What was served late
 // by cold prep workers is bounded by their part of the share.
-func fine(v Verdict, r Rules) bool { return v.Sum.Count.Bad() <= r.Fine }
+func acceptable(assessment Assessment, settings Settings) bool {
+	return assessment.Total.StepCounts.FailureRatio() <= settings.MaxFailureRatio
+}
 
-func (d *Decider) left(z commands.Zone, reason string) commands.Zone {
-	return commands.Zone{Phase: commands.Left, Failures: z.Failures + 1, Reason: reason}
+func (d *Decider) evacuate(state commands.ZoneState, reason string) commands.ZoneState {
+	return commands.ZoneState{Phase: commands.PhaseEvacuated, Failures: state.Failures + 1, Reason: reason}
 }
 
-// inside is for a zone that takes work.
-func (d *Decider) inside(z commands.Zone, v Verdict, age, held time.Duration, processes float64) commands.Zone {
-	lasting := held >= d.rules.Confirm
+// nextWhileServing is for a zone that takes work.
+func (d *Decider) nextWhileServing(state commands.ZoneState, assessment Assessment, stateAge, conditionAge time.Duration, processes float64) commands.ZoneState {
+	confirmed := conditionAge >= d.settings.FailureConfirmTime
 	switch {
-	case v.Kind == Fails && lasting:
-		return d.left(z, "it fails, seen from "+strings.Join(v.From, ", "))
-	case v.Kind == Cut && held >= d.rules.CutFor && !within(v.From, z.Cut):
-		z.Cut, z.Chosen, z.Reason = merge(z.Cut, v.From), chosen(d.rules.Tries, processes), "cut from "+strings.Join(v.From, ", ")
-		return z
-	case len(z.Cut) > 0 && age >= d.rules.Settle && meet(z.Cut, v.Reached):
-		z.Cut = slices.DeleteFunc(slices.Clone(z.Cut), func(from string) bool { return slices.Contains(v.Reached, from) })
-		if z.Reason = "reached again"; len(z.Cut) == 0 {
-			z.Cut, z.Chosen = nil, 0
+	case assessment.Condition == Failed && confirmed:
+		return d.evacuate(state, "it fails, seen from "+strings.Join(assessment.Observers, ", "))
+	case assessment.Condition == PartiallyUnreachable && conditionAge >= d.settings.PartitionConfirmTime && !isSubset(assessment.Observers, state.UnreachableFrom):
+		state.UnreachableFrom, state.ProbeFraction, state.Reason = union(state.UnreachableFrom, assessment.Observers), probeFraction(d.settings.ProbeProcesses, processes), "cut from "+strings.Join(assessment.Observers, ", ")
+		return state
+	case len(state.UnreachableFrom) > 0 && stateAge >= d.settings.PropagationTime && intersect(state.UnreachableFrom, assessment.ReachedFrom):
+		state.UnreachableFrom = slices.DeleteFunc(slices.Clone(state.UnreachableFrom), func(from string) bool { return slices.Contains(assessment.ReachedFrom, from) })
+		if state.Reason = "reached again"; len(state.UnreachableFrom) == 0 {
+			state.UnreachableFrom, state.ProbeFraction = nil, 0
 		}
-		return z
-	case v.Kind == Slow && held >= d.rules.SlowFor && age >= d.rules.Settle:
-		if share := step(v.Keep*z.Share, d.rules.First); share < z.Share {
-			z.Phase, z.Share, z.Reason = commands.Eased, share, "slower than the others"
+		return state
+	case assessment.Condition == Slow && conditionAge >= d.settings.SlowConfirmTime && stateAge >= d.settings.PropagationTime:
+		if share := roundDownToStep(assessment.SustainableFraction*state.Share, d.settings.InitialShare); share < state.Share {
+			state.Phase, state.Share, state.Reason = commands.PhaseReduced, share, "slower than the others"
 		}
-		return z
-	case v.Kind == Well && lasting && z.Phase == commands.Eased && age >= d.rules.Hold && d.judged(v):
-		z.Share, z.Reason = min(1, 2*z.Share), "as quick as the others"
-		if z.Share == 1 {
-			z.Phase = commands.In
+		return state
+	case assessment.Condition == Healthy && confirmed && state.Phase == commands.PhaseReduced && stateAge >= d.settings.MinStepTime && d.hasEnoughSteps(assessment):
+		state.Share, state.Reason = min(1, 2*state.Share), "as quick as the others"
+		if state.Share == 1 {
+			state.Phase = commands.PhaseActive
 		}
-		return z
-	case z.Phase == commands.In && z.Failures > 0 && age >= d.rules.Steady && v.Kind != Fails:
-		z.Failures, z.Reason = 0, "steady"
+		return state
+	case state.Phase == commands.PhaseActive && state.Failures > 0 && stateAge >= d.settings.StableTime && assessment.Condition != Failed:
+		state.Failures, state.Reason = 0, "steady"
 	}
-	return z
+	return state
 }
 
-func within(a, b []string) bool {
+func isSubset(a, b []string) bool {
 	return !slices.ContainsFunc(a, func(v string) bool { return !slices.Contains(b, v) })
 }
 
-func meet(a, b []string) bool {
+func intersect(a, b []string) bool {
 	return slices.ContainsFunc(a, func(v string) bool { return slices.Contains(b, v) })
 }
 
-func merge(a, b []string) []string {
+func union(a, b []string) []string {
 	out := append(slices.Clone(a), b...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// step rounds a share down to one that doubling the first gives.
-func step(share, first float64) float64 {
+// roundDownToStep rounds a share down to one that doubling the first gives.
+func roundDownToStep(share, first float64) float64 {
 	s := first
 	for 2*s <= share+1e-9 {
 		s *= 2
@@ -291,26 +295,26 @@
 	return min(s, 1)
 }
 
-// rise is for a zone that comes back by steps. Each is earned by what was seen in it, and
+// nextWhileSlowStart is for a zone that comes back by steps. Each is earned by what was seen in it, and
 // is no larger than what its prep workers, still cold, bear together.
-func (d *Decider) rise(z commands.Zone, v Verdict, age time.Duration) commands.Zone {
-	if age < d.rules.Settle || !d.judged(v) {
-		return z
+func (d *Decider) nextWhileSlowStart(state commands.ZoneState, assessment Assessment, stateAge time.Duration) commands.ZoneState {
+	if stateAge < d.settings.PropagationTime || !d.hasEnoughSteps(assessment) {
+		return state
 	}
-	if v.Kind == Fails || v.Sum.Count.Bad() >= 0.5 {
-		if z.Share /= 2; z.Share < d.rules.First {
-			return d.left(z, "it failed again")
+	if assessment.Condition == Failed || assessment.Total.StepCounts.FailureRatio() >= 0.5 {
+		if state.Share /= 2; state.Share < d.settings.InitialShare {
+			return d.evacuate(state, "it failed again")
 		}
-		z.Step, z.Reason = z.Step-1, "bad news"
-		return z
+		state.Step, state.Reason = state.Step-1, "bad news"
+		return state
 	}
-	next := min(1, 2*z.Share)
-	if age < d.rules.Hold || !fine(v, d.rules) || next > max(d.rules.First, 1-v.Sum.Cold)+1e-9 {
-		return z
+	next := min(1, 2*state.Share)
+	if stateAge < d.settings.MinStepTime || !acceptable(assessment, d.settings) || next > max(d.settings.InitialShare, 1-assessment.Total.WarmupDeficit)+1e-9 {
+		return state
 	}
-	z.Share, z.Step, z.Reason = next, z.Step+1, "earned"
+	state.Share, state.Step, state.Reason = next, state.Step+1, "earned"
 	if next == 1 {
-		z.Phase, z.Step = commands.In, 0
+		state.Phase, state.Step = commands.PhaseActive, 0
 	}
-	return z
+	return state
 }
--- a/internal/node/zones/members/members.go
+++ b/internal/node/zones/members/members.go
@@ -12,79 +12,79 @@
 
 // Member is a process as one voter knows it.
 type Member struct {
-	Name        string
-	Zone        string
-	Incarnation uint64
-	HeardAt     time.Duration
-	Sequence    uint64 // of its last word
+	Name          string
+	Zone          string
+	Incarnation   uint64
+	LastHeartbeat time.Duration
+	Sequence      uint64 // of its last word
 }
 
 // Table is all of them.
 type Table struct {
-	life time.Duration
-	all  map[string]*Member
-	past map[string]uint64 // incarnations of those that fell silent, so that they stay void
+	timeout time.Duration
+	live    map[string]*Member
+	expired map[string]uint64 // incarnations of those that fell silent, so that they stay void
 }
 
 // New makes a table of processes that count as alive for some time after a word.
-func New(life time.Duration) *Table {
-	return &Table{life: life, all: map[string]*Member{}, past: map[string]uint64{}}
+func New(timeout time.Duration) *Table {
+	return &Table{timeout: timeout, live: map[string]*Member{}, expired: map[string]uint64{}}
 }
 
-// Verdict is what becomes of a word.
-type Verdict uint8
+// HeartbeatResult is what becomes of a word.
+type HeartbeatResult uint8
 
 // The verdicts.
 const (
-	Taken   Verdict = iota
-	Late            // a word overtaken by a later one of the same process: nothing changes
-	Outdone         // of an incarnation that a later start has outdone: nothing changes
+	Accepted   HeartbeatResult = iota
+	OutOfOrder                 // a word overtaken by a later one of the same process: nothing changes
+	Superseded                 // of an incarnation that a later start has outdone: nothing changes
 )
 
-// Hear takes in a word. Words of one incarnation are numbered from 1 by Sequence.
-func (t *Table) Hear(now time.Duration, name, zone string, incarnation, sequence uint64) (Verdict, uint64) {
-	m := t.all[name]
-	if m == nil {
-		if past := t.past[name]; incarnation < past {
-			return Outdone, past
+// Heartbeat takes in a word. Words of one incarnation are numbered from 1 by Sequence.
+func (t *Table) Heartbeat(now time.Duration, name, zone string, incarnation, sequence uint64) (HeartbeatResult, uint64) {
+	member := t.live[name]
+	if member == nil {
+		if lastIncarnation := t.expired[name]; incarnation < lastIncarnation {
+			return Superseded, lastIncarnation
 		}
-		delete(t.past, name)
-		t.all[name] = &Member{Name: name, Zone: zone, Incarnation: incarnation, HeardAt: now, Sequence: sequence}
-		return Taken, incarnation
+		delete(t.expired, name)
+		t.live[name] = &Member{Name: name, Zone: zone, Incarnation: incarnation, LastHeartbeat: now, Sequence: sequence}
+		return Accepted, incarnation
 	}
 	switch {
-	case incarnation < m.Incarnation:
-		return Outdone, m.Incarnation
-	case incarnation > m.Incarnation:
-		*m = Member{Name: name, Incarnation: incarnation}
-	case sequence <= m.Sequence:
-		return Late, m.Incarnation
+	case incarnation < member.Incarnation:
+		return Superseded, member.Incarnation
+	case incarnation > member.Incarnation:
+		*member = Member{Name: name, Incarnation: incarnation}
+	case sequence <= member.Sequence:
+		return OutOfOrder, member.Incarnation
 	}
-	m.Zone, m.Sequence, m.HeardAt = zone, sequence, now
-	return Taken, incarnation
+	member.Zone, member.Sequence, member.LastHeartbeat = zone, sequence, now
+	return Accepted, incarnation
 }
 
-// Sweep forgets who has been silent for too long, and returns their names.
-func (t *Table) Sweep(now time.Duration) (gone []string) {
-	for name, m := range t.all {
-		if now-m.HeardAt > t.life {
-			t.past[name] = m.Incarnation
-			delete(t.all, name)
-			gone = append(gone, name)
+// Expire forgets who has been silent for too long, and returns their names.
+func (t *Table) Expire(now time.Duration) (names []string) {
+	for name, member := range t.live {
+		if now-member.LastHeartbeat > t.timeout {
+			t.expired[name] = member.Incarnation
+			delete(t.live, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(names)
+	return names
 }
 
-// Alive are those that have been heard of, by name.
-func (t *Table) Alive() []Member {
-	out := make([]Member, 0, len(t.all))
-	for _, name := range slices.Sorted(maps.Keys(t.all)) {
-		out = append(out, *t.all[name])
+// Live are those that have been heard of, by name.
+func (t *Table) Live() []Member {
+	out := make([]Member, 0, len(t.live))
+	for _, name := range slices.Sorted(maps.Keys(t.live)) {
+		out = append(out, *t.live[name])
 	}
 	return out
 }
 
 // Len is their number.
-func (t *Table) Len() int { return len(t.all) }
+func (t *Table) Len() int { return len(t.live) }
--- a/internal/node/zones/quota/model_test.go
+++ b/internal/node/zones/quota/model_test.go
@@ -24,13 +24,13 @@
 
 // message is on its way; it may arrive twice.
 type message struct {
-	ask   *Ask
+	ask   *LeaseRequest
 	grant *Grant
 	left  int
 }
 
 type state struct {
-	ledger   *Ledger
+	ledger   *Parent
 	children [2]*Child
 	net      []message
 	tick     int
@@ -41,10 +41,10 @@
 func (s *state) clone() *state {
 	out := *s
 	l := *s.ledger
-	l.children = map[string]*account{}
+	l.children = map[string]*childAccount{}
 	for name, c := range s.ledger.children {
 		of := *c
-		of.Lent = slices.Clone(c.Lent)
+		of.Leases = slices.Clone(c.Leases)
 		l.children[name] = &of
 	}
 	out.ledger = &l
@@ -62,10 +62,10 @@
 	fmt.Fprint(&b, s.tick, s.starts, s.crashes)
 	for _, name := range slices.Sorted(maps.Keys(s.ledger.children)) {
 		c := s.ledger.children[name]
-		fmt.Fprint(&b, "|", c.Incarnation, c.Number, c.Lent, c.Want, c.wantAt)
+		fmt.Fprint(&b, "|", c.Incarnation, c.Number, c.Leases, c.Want, c.wantedAt)
 	}
 	for _, c := range s.children {
-		fmt.Fprint(&b, "|", c.incarnation, c.number, c.holds, c.asking, c.askedAt, c.slice, c.until)
+		fmt.Fprint(&b, "|", c.incarnation, c.requestNumber, c.currentGrant, c.requesting, c.requestedAt, c.leased, c.leaseUntil)
 	}
 	texts := make([]string, 0, len(s.net))
 	for _, m := range s.net {
@@ -82,7 +82,7 @@
 
 // model is one choice of what the search goes through.
 type model struct {
-	rules Rules
+	rules Settings
 	rates [2]float64 // of the children's clocks
 	safe  [2]Amount
 	quota Amount
@@ -102,13 +102,13 @@
 }
 
 func (m *model) start() *state {
-	sites := map[string]Site{}
+	sites := map[string]ChildConfig{}
 	s := &state{}
 	for i := range s.children {
-		sites[names(i)] = Site{Safe: m.safe[i], Weight: 1}
+		sites[names(i)] = ChildConfig{Guaranteed: m.safe[i], Weight: 1}
 		s.children[i], _ = NewChild(0, m.rules, "t", names(i), 1, m.safe[i])
 	}
-	l, err := NewLedger(m.rules, "t", m.quota, sites)
+	l, err := NewParent(m.rules, "t", m.quota, sites)
 	if err != nil {
 		panic(err)
 	}
@@ -120,9 +120,9 @@
 func (m *model) check(s *state, how []string) {
 	sum := Amount{}
 	for i, c := range s.children {
-		sum = sum.plus(c.Has(m.childNow(s, i), 0))
+		sum = sum.add(c.Available(m.childNow(s, i), 0))
 	}
-	if sum.Slots > m.quota.Slots+tiny {
+	if sum.Slots > m.quota.Slots+epsilon {
 		m.found = fmt.Sprintf("%v slots of %v: %s", sum.Slots, m.quota.Slots, strings.Join(how, ", "))
 	}
 }
@@ -150,20 +150,20 @@
 	}
 	for i := range s.children {
 		for _, want := range m.wants {
-			if s.children[i].number >= mostAsks {
+			if s.children[i].requestNumber >= mostAsks {
 				continue
 			}
 			try(fmt.Sprintf("%s asks for %v", names(i), want), func(n *state) bool {
 				c := n.children[i]
 				c.peak = want
-				a, ok := c.Ask(m.childNow(n, i))
-				a.Want = Amount{Slots: want}.most(c.safe)
+				a, ok := c.NextRequest(m.childNow(n, i))
+				a.Want = Amount{Slots: want}.maximum(c.guaranteed)
 				if i == 0 || !ok {
 					n.net = append(n.net, message{ask: &a, left: 1})
 					return ok && len(n.net) <= inFlight
 				}
-				if g, err := n.ledger.Ask(m.parentNow(n), a); err == nil {
-					c.Took(m.childNow(n, i), g)
+				if g, err := n.ledger.Grant(m.parentNow(n), a); err == nil {
+					c.ApplyGrant(m.childNow(n, i), g)
 				}
 				return true
 			})
@@ -194,7 +194,7 @@
 				n.net = slices.Delete(n.net, i, i+1)
 			}
 			if msg.ask != nil {
-				g, err := n.ledger.Ask(m.parentNow(n), *msg.ask)
+				g, err := n.ledger.Grant(m.parentNow(n), *msg.ask)
 				if err != nil {
 					return true
 				}
@@ -202,7 +202,7 @@
 				return len(n.net) <= inFlight
 			}
 			child := int(msg.grant.Child[0] - 'a')
-			n.children[child].Took(m.childNow(n, child), *msg.grant)
+			n.children[child].ApplyGrant(m.childNow(n, child), *msg.grant)
 			return true
 		})
 	}
@@ -215,7 +215,7 @@
 }
 
 func models(without string) []model {
-	rules := Rules{Lease: leaseFor, Margin: 0.25, Without: without}
+	rules := Settings{Lease: leaseFor, ClockDrift: 0.25, DisabledCheck: without}
 	even, two := [2]float64{1, 1}, []float64{2}
 	return []model{
 		{rules: rules, rates: even, quota: Amount{Slots: 2}, wants: two, ticks: 4},
@@ -227,7 +227,7 @@
 }
 
 // No interleaving has the children use more than there is.
-func TestNoInterleavingIsOverTheQuota(t *testing.T) {
+func TestModel_noInterleavingExceedsQuota(t *testing.T) {
 	for i, m := range models("") {
 		t.Run(fmt.Sprint("model ", i), func(t *testing.T) {
 			t.Parallel()
@@ -242,7 +242,7 @@
 }
 
 // Each check of the protocol is needed: without it some interleaving is over the quota.
-func TestEachCheckIsNeeded(t *testing.T) {
+func TestModel_eachCheckIsNeeded(t *testing.T) {
 	for _, check := range []string{"margin", "sent", "number", "confirm", "reserve", "restore"} {
 		t.Run(check, func(t *testing.T) {
 			t.Parallel()
--- a/internal/node/zones/quota/quota_test.go
+++ b/internal/node/zones/quota/quota_test.go
@@ -11,22 +11,25 @@
 )
 
 func TestBadInput(t *testing.T) {
-	rules := Rules{Lease: time.Second, Margin: 0.1}
-	site := map[string]Site{"a": {Safe: Amount{2, 1}, Weight: 1}}
+	rules := Settings{Lease: time.Second, ClockDrift: 0.1}
+	site := map[string]ChildConfig{"a": {Guaranteed: Amount{2, 1}, Weight: 1}}
 	for name, f := range map[string]func() error{
-		"no lease":  func() error { _, err := NewLedger(Rules{}, "t", Amount{9, 9}, site); return err },
-		"too small": func() error { _, err := NewLedger(rules, "t", Amount{1, 9}, site); return err },
-		"negative":  func() error { _, err := NewLedger(rules, "t", Amount{-1, 9}, nil); return err },
-		"no weight": func() error { _, err := NewLedger(rules, "t", Amount{9, 9}, map[string]Site{"a": {}}); return err },
-		"no name":   func() error { _, err := NewChild(0, rules, "t", "", 1, Amount{}); return err },
+		"no lease":  func() error { _, err := NewParent(Settings{}, "t", Amount{9, 9}, site); return err },
+		"too small": func() error { _, err := NewParent(rules, "t", Amount{1, 9}, site); return err },
+		"negative":  func() error { _, err := NewParent(rules, "t", Amount{-1, 9}, nil); return err },
+		"no weight": func() error {
+			_, err := NewParent(rules, "t", Amount{9, 9}, map[string]ChildConfig{"a": {}})
+			return err
+		},
+		"no name": func() error { _, err := NewChild(0, rules, "t", "", 1, Amount{}); return err },
 		"stranger": func() error {
-			l, _ := NewLedger(rules, "t", Amount{9, 9}, site)
-			_, err := l.Ask(0, Ask{Tenant: "t", Child: "x", Number: 1})
+			l, _ := NewParent(rules, "t", Amount{9, 9}, site)
+			_, err := l.Grant(0, LeaseRequest{Tenant: "t", Child: "x", Number: 1})
 			return err
 		},
 		"nonsense": func() error {
-			l, _ := NewLedger(rules, "t", Amount{9, 9}, site)
-			_, err := l.Ask(0, Ask{Tenant: "t", Child: "a", Number: 1, Want: Amount{-1, 0}})
+			l, _ := NewParent(rules, "t", Amount{9, 9}, site)
+			_, err := l.Grant(0, LeaseRequest{Tenant: "t", Child: "a", Number: 1, Want: Amount{-1, 0}})
 			return err
 		},
 	} {
@@ -40,13 +43,13 @@
 // are lent, and two leaves under each that admit jobs.
 type world struct {
 	rng    *rand.Rand
-	rules  Rules
+	rules  Settings
 	quota  Amount
 	now    time.Duration
 	queue  events
 	made   int
 	loss   float64
-	root   *Ledger
+	root   *Parent
 	middle []*middle
 	leaves []*leaf
 	bad    string
@@ -65,7 +68,7 @@
 type middle struct {
 	name  string
 	child *Child
-	below *Ledger
+	below *Parent
 	rate  float64
 	life  int
 }
@@ -121,10 +124,10 @@
 )
 
 func newWorld(seed uint64, loss float64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), rules: Rules{Lease: 4 * time.Second, Margin: 0.02}, quota: Amount{40, 40}, loss: loss}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), rules: Settings{Lease: 4 * time.Second, ClockDrift: 0.02}, quota: Amount{40, 40}, loss: loss}
 	safe, leafSafe := Amount{4, 4}, Amount{2, 2}
 	var err error
-	if w.root, err = NewLedger(w.rules, "t", w.quota, map[string]Site{"m0": {safe, 1}, "m1": {safe, 2}}); err != nil {
+	if w.root, err = NewParent(w.rules, "t", w.quota, map[string]ChildConfig{"m0": {safe, 1}, "m1": {safe, 2}}); err != nil {
 		panic(err)
 	}
 	for i := range 2 {
@@ -143,9 +146,9 @@
 
 func (w *world) startMiddle(m *middle, safe, leafSafe Amount) {
 	m.life++
-	life, now := m.life, clock(w.now, m.rate)
+	incarnation, now := m.life, clock(w.now, m.rate)
 	m.child, _ = NewChild(now, w.rules, "t", m.name, uint64(m.life), safe)
-	below, err := NewLedger(w.rules, "t", safe, map[string]Site{"l0": {leafSafe, 1}, "l1": {leafSafe, 1}})
+	below, err := NewParent(w.rules, "t", safe, map[string]ChildConfig{"l0": {leafSafe, 1}, "l1": {leafSafe, 1}})
 	if err != nil {
 		panic(err)
 	}
@@ -155,19 +158,19 @@
 	m.below = below
 	var step func()
 	step = func() {
-		if m.life != life {
+		if m.life != incarnation {
 			return
 		}
 		now := clock(w.now, m.rate)
 		// What is below it decides what it asks for.
-		m.child.Lends(m.below.Out(now), m.below.Wanted(now))
+		m.child.SetSublet(m.below.TotalExposure(now), m.below.Demand(now))
 		m.lend(now, safe)
-		if a, ok := m.child.Ask(now); ok {
+		if a, ok := m.child.NextRequest(now); ok {
 			w.carry(func() {
-				if g, err := w.root.Ask(w.now, a); err == nil {
+				if g, err := w.root.Grant(w.now, a); err == nil {
 					w.carry(func() {
-						if m.life == life {
-							m.child.Took(clock(w.now, m.rate), g)
+						if m.life == incarnation {
+							m.child.ApplyGrant(clock(w.now, m.rate), g)
 							m.lend(clock(w.now, m.rate), safe)
 						}
 					})
@@ -181,7 +184,7 @@
 
 // lend has the ledger below lend what the site holds, for as long as it holds it.
 func (m *middle) lend(now time.Duration, safe Amount) {
-	if slice, until := m.child.Slice(); until > now {
+	if slice, until := m.child.Leased(); until > now {
 		m.below.SetQuota(slice, until)
 	} else {
 		m.below.SetQuota(safe, 0)
@@ -190,19 +193,19 @@
 
 func (w *world) startLeaf(l *leaf, safe Amount) {
 	l.life++
-	life := l.life
+	incarnation := l.life
 	l.child, _ = NewChild(clock(w.now, l.rate), w.rules, "t", l.name, uint64(l.life), safe)
 	var step func()
 	step = func() {
-		if l.life != life {
+		if l.life != incarnation {
 			return
 		}
-		if a, ok := l.child.Ask(clock(w.now, l.rate)); ok && !l.cut {
+		if a, ok := l.child.NextRequest(clock(w.now, l.rate)); ok && !l.cut {
 			w.carry(func() {
-				if g, err := l.above.below.Ask(clock(w.now, l.above.rate), a); err == nil && !l.cut {
+				if g, err := l.above.below.Grant(clock(w.now, l.above.rate), a); err == nil && !l.cut {
 					w.carry(func() {
-						if l.life == life && !l.cut {
-							l.child.Took(clock(w.now, l.rate), g)
+						if l.life == incarnation && !l.cut {
+							l.child.ApplyGrant(clock(w.now, l.rate), g)
 						}
 					})
 				}
@@ -221,17 +224,17 @@
 			return
 		}
 		w.came = append(w.came, w.now)
-		life, child := l.life, l.child
+		incarnation, child := l.life, l.child
 		if _, ok := child.Admit(clock(w.now, l.rate), 1, jobWork, jobHold); ok {
 			w.admits++
-			if w.used++; w.used > w.quota.Slots+tiny && w.bad == "" {
+			if w.used++; w.used > w.quota.Slots+epsilon && w.bad == "" {
 				w.bad = fmt.Sprintf("%v: %v slots of %v", w.now, w.used, w.quota.Slots)
 			}
 			w.begun = append(w.begun, spent{w.now, jobWork})
 			// A crash of the site does not end what runs at the prep workers.
 			w.after(time.Duration(float64(jobHold)*0.9), func() {
 				w.used--
-				if l.life == life {
+				if l.life == incarnation {
 					child.Done(clock(w.now, l.rate), 1, jobWork, jobWork)
 				}
 			})
@@ -269,7 +272,7 @@
 	var ends []time.Duration
 	tokens, at := 0.0, time.Duration(0)
 	for _, now := range w.came {
-		tokens = min(tokens+w.quota.Rate*(now-at).Seconds(), w.quota.Rate*burst*w.rules.Lease.Seconds())
+		tokens = min(tokens+w.quota.Rate*(now-at).Seconds(), w.quota.Rate*burstFraction*w.rules.Lease.Seconds())
 		at = now
 		for len(ends) > 0 && ends[0] <= now {
 			ends = ends[1:]
@@ -286,7 +289,7 @@
 // Over three levels, with a third of the messages lost, sites cut off for half a minute,
 // restarted, and clocks that drift: never more slots at once than the quota, and at most a
 // twentieth over its slot-seconds in any window of ten leases.
-func TestTreeKeepsTheQuota(t *testing.T) {
+func TestTree_staysWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(0, 0.34).Draw(t, "loss"))
 		for _, l := range w.leaves {
@@ -306,7 +309,7 @@
 			default: // the root goes, and comes back with the ledger of its log
 				w.after(at, func() {
 					kept := w.root.Export()
-					w.root, _ = NewLedger(w.rules, "t", w.quota, map[string]Site{"m0": {Amount{4, 4}, 1}, "m1": {Amount{4, 4}, 2}})
+					w.root, _ = NewParent(w.rules, "t", w.quota, map[string]ChildConfig{"m0": {Amount{4, 4}, 1}, "m1": {Amount{4, 4}, 2}})
 					w.root.Import(w.now, kept)
 				})
 			}
@@ -324,7 +327,7 @@
 // With nothing lost, the sites together admit nearly what a perfect central count would,
 // from the first second on, at half of the quota by one site alone. At four fifths the safe
 // shares set aside for the others show: 0.87.
-func TestSlicesFollowUse(t *testing.T) {
+func TestTree_leasesFollowUse(t *testing.T) {
 	for _, c := range []struct{ rate, least float64 }{{40, 0.95}, {60, 0.85}} {
 		admitted, could := 0.0, 0.0
 		for seed := range uint64(10) {
@@ -343,36 +346,36 @@
 }
 
 // A quota lowered under what is out is reached within one lease.
-func TestLoweredQuotaIsReachedWithinALease(t *testing.T) {
+func TestParent_SetQuota_loweredWithinOneLease(t *testing.T) {
 	w := newWorld(1, 0)
 	for _, l := range w.leaves {
 		w.jobs(l, 60, 60*time.Second)
 	}
 	w.play(20 * time.Second)
 	w.root.SetQuota(Amount{12, 12}, 0)
-	w.play(20*time.Second + time.Duration(float64(w.rules.Lease)*(1+w.rules.Margin)) + jobHold)
-	if out := w.root.Out(w.now); out.Slots > 12+tiny || w.used > 12 {
+	w.play(20*time.Second + time.Duration(float64(w.rules.Lease)*(1+w.rules.ClockDrift)) + jobHold)
+	if out := w.root.TotalExposure(w.now); out.Slots > 12+epsilon || w.used > 12 {
 		t.Errorf("%v lent and %v used of 12", out, w.used)
 	}
 }
 
 // A child that stood still past its lease and goes on uses its safe share alone.
-func TestFrozenPastItsLease(t *testing.T) {
+func TestChild_frozenPastItsLease(t *testing.T) {
 	w := newWorld(2, 0)
 	w.jobs(w.leaves[0], 60, 10*time.Second)
 	w.play(10 * time.Second)
 	l := w.leaves[0]
-	if has := l.child.Has(clock(w.now, l.rate), jobHold); has.Slots <= 2 {
+	if has := l.child.Available(clock(w.now, l.rate), jobHold); has.Slots <= 2 {
 		t.Fatalf("it had %v", has)
 	}
-	if has := l.child.Has(clock(w.now+w.rules.Lease, l.rate), 0); has.Slots != 2 {
+	if has := l.child.Available(clock(w.now+w.rules.Lease, l.rate), 0); has.Slots != 2 {
 		t.Errorf("past its lease it has %v", has)
 	}
 }
 
 // An admission costs no message and no allocation.
 func BenchmarkAdmit(b *testing.B) {
-	c, _ := NewChild(0, Rules{Lease: time.Hour, Margin: 0.1}, "t", "a", 1, Amount{1e9, 1e9})
+	c, _ := NewChild(0, Settings{Lease: time.Hour, ClockDrift: 0.1}, "t", "a", 1, Amount{1e9, 1e9})
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/node/zones/replica/pending.go
+++ b/internal/node/zones/replica/pending.go
@@ -11,86 +11,86 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// pending is an order put through this voter that is not agreed on yet.
-type pending struct {
-	order commands.Order
-	until time.Duration
-	sent  time.Duration
-	done  func(error)
+// pendingCommand is an order put through this voter that is not agreed on yet.
+type pendingCommand struct {
+	command  commands.Command
+	deadline time.Duration
+	sentAt   time.Duration
+	done     func(error)
 }
 
-// Say puts what a person has said. done is told once what became of it.
-func (v *Voter) Say(now time.Duration, w commands.Word, done func(error)) {
-	if err := w.Check(); err != nil {
+// ProposeOverride puts what a person has said. done is told once what became of it.
+func (r *Replica) ProposeOverride(now time.Duration, override commands.Override, done func(error)) {
+	if err := override.Validate(); err != nil {
 		done(err)
 		return
 	}
-	if w.Do == commands.DoLeave && !v.another(w.Zone) {
-		done(fmt.Errorf("zone: %q is the last that takes work", w.Zone))
+	if override.Action == commands.OverrideEvacuate && !r.otherZoneServes(override.Zone) {
+		done(fmt.Errorf("zone: %q is the last that takes work", override.Zone))
 		return
 	}
-	v.put(now, commands.Order{Word: &w}, now+v.config.Rules.Patience, done)
+	r.submit(now, commands.Command{Override: &override}, now+r.config.Settings.CommitTimeout, done)
 }
 
-// another tells whether a zone other than this one takes work.
-func (v *Voter) another(than string) bool {
+// otherZoneServes tells whether a zone other than this one takes work.
+func (r *Replica) otherZoneServes(zone string) bool {
 	zones := map[string]bool{}
-	for name, from := range v.digest() {
+	for name, report := range r.localDigest() {
 		zones[name] = true
-		for to := range from.Sights {
+		for to := range report.Observations {
 			zones[to] = true
 		}
 	}
-	t := v.machine.Table()
-	for name := range t.Zones {
+	table := r.machine.Table()
+	for name := range table.Zones {
 		zones[name] = true
 	}
 	for name := range zones {
-		if p := t.Of(name).Phase; name != than && (p == commands.In || p == commands.Eased || p == commands.Rising) {
+		if phase := table.Zone(name).Phase; name != zone && (phase == commands.PhaseActive || phase == commands.PhaseReduced || phase == commands.PhaseSlowStart) {
 			return true
 		}
 	}
 	return false
 }
 
-// put has an order agreed on, by the leader wherever it is. It is sent again until it is
+// submit has an order agreed on, by the leader wherever it is. It is sent again until it is
 // applied or its time is over; the order's ID keeps it from counting twice.
-func (v *Voter) put(now time.Duration, o commands.Order, until time.Duration, done func(error)) {
-	v.number++
-	o.ID = strconv.FormatUint(v.config.ID, 10) + "-" + v.config.Store + "-" + strconv.FormatUint(v.config.Runs, 10) + "-" +
-		strconv.FormatUint(v.number, 10)
-	v.waits[o.ID] = &pending{order: o, until: until, sent: now - time.Second, done: done}
-	v.counts.Orders++
-	v.push(now)
+func (r *Replica) submit(now time.Duration, command commands.Command, deadline time.Duration, done func(error)) {
+	r.lastCommandNumber++
+	command.ID = strconv.FormatUint(r.config.ID, 10) + "-" + r.config.Store + "-" + strconv.FormatUint(r.config.Starts, 10) + "-" +
+		strconv.FormatUint(r.lastCommandNumber, 10)
+	r.pending[command.ID] = &pendingCommand{command: command, deadline: deadline, sentAt: now - time.Second, done: done}
+	r.counts.Commands++
+	r.resendPending(now)
 }
 
-// push sends on what waits to be agreed on.
-func (v *Voter) push(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(v.waits)) {
-		p := v.waits[id]
+// resendPending sends on what waits to be agreed on.
+func (r *Replica) resendPending(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
+		p := r.pending[id]
 		switch {
-		case now >= p.until:
-			delete(v.waits, id)
-			p.done(ErrUnknown)
-		case now-p.sent < 2*v.config.Rules.Digest:
-		case v.log.Leads():
-			if text, err := commands.Encode(p.order); err == nil && v.log.Propose(text) == nil {
-				p.sent = now
+		case now >= p.deadline:
+			delete(r.pending, id)
+			p.done(ErrOutcomeUnknown)
+		case now-p.sentAt < 2*r.config.Settings.RoundInterval:
+		case r.log.IsLeader():
+			if data, err := commands.Encode(p.command); err == nil && r.log.Propose(data) == nil {
+				p.sentAt = now
 			}
-		case v.log.Leader() != 0:
-			v.send(v.log.Leader(), Letter{Orders: []commands.Order{p.order}})
-			p.sent = now
+		case r.log.Leader() != 0:
+			r.send(r.log.Leader(), Message{Commands: []commands.Command{p.command}})
+			p.sentAt = now
 		}
 	}
 }
 
-// applied hears of each order as it is applied.
-func (v *Voter) applied(o commands.Order, err error) {
+// onApplied hears of each order as it is applied.
+func (r *Replica) onApplied(command commands.Command, err error) {
 	if errors.Is(err, commands.ErrStale) {
-		v.counts.Stale++
+		r.counts.Stale++
 	}
-	if p := v.waits[o.ID]; p != nil {
-		delete(v.waits, o.ID)
+	if p := r.pending[command.ID]; p != nil {
+		delete(r.pending, command.ID)
 		p.done(err)
 	}
 }
--- a/internal/node/zones/replicatedlog/codec.go
+++ b/internal/node/zones/replicatedlog/codec.go
@@ -14,49 +14,49 @@
 
 // The forms below are what voters send and store. A change of a stored one changes form in package keep.
 
-type memberForm struct {
+type memberRecord struct {
 	ID      consensus.MemberID `cbor:"1,keyasint"`
 	Address string             `cbor:"2,keyasint,omitempty"`
 	Voter   bool               `cbor:"3,keyasint,omitempty"`
 }
 
-type entryForm struct {
+type entryRecord struct {
 	Term    uint64              `cbor:"1,keyasint"`
 	Index   uint64              `cbor:"2,keyasint"`
 	Kind    consensus.EntryKind `cbor:"3,keyasint,omitempty"`
 	Data    []byte              `cbor:"4,keyasint,omitempty"`
-	Members []memberForm        `cbor:"5,keyasint,omitempty"`
+	Members []memberRecord      `cbor:"5,keyasint,omitempty"`
 }
 
-type snapshotForm struct {
-	Index   uint64       `cbor:"1,keyasint"`
-	Term    uint64       `cbor:"2,keyasint"`
-	Members []memberForm `cbor:"3,keyasint,omitempty"`
-	Data    []byte       `cbor:"4,keyasint,omitempty"`
+type snapshotRecord struct {
+	Index   uint64         `cbor:"1,keyasint"`
+	Term    uint64         `cbor:"2,keyasint"`
+	Members []memberRecord `cbor:"3,keyasint,omitempty"`
+	Data    []byte         `cbor:"4,keyasint,omitempty"`
 }
 
-type hardStateForm struct {
+type hardStateRecord struct {
 	Term   uint64             `cbor:"1,keyasint"`
 	Vote   consensus.MemberID `cbor:"2,keyasint"`
 	Commit uint64             `cbor:"3,keyasint"`
 }
 
-type messageForm struct {
-	Kind      consensus.MessageKind `cbor:"1,keyasint"`
-	From      consensus.MemberID    `cbor:"2,keyasint"`
-	To        consensus.MemberID    `cbor:"3,keyasint"`
-	Term      uint64                `cbor:"4,keyasint"`
-	LogIndex  uint64                `cbor:"5,keyasint,omitempty"`
-	LogTerm   uint64                `cbor:"6,keyasint,omitempty"`
-	Commit    uint64                `cbor:"7,keyasint,omitempty"`
-	Entries   []entryForm           `cbor:"8,keyasint,omitempty"`
-	Snapshot  *snapshotForm         `cbor:"9,keyasint,omitempty"`
-	Reject    bool                  `cbor:"10,keyasint,omitempty"`
-	HintIndex uint64                `cbor:"11,keyasint,omitempty"`
-	HintTerm  uint64                `cbor:"12,keyasint,omitempty"`
-	Context   uint64                `cbor:"13,keyasint,omitempty"`
-	Forced    bool                  `cbor:"14,keyasint,omitempty"`
-	Held      uint64                `cbor:"15,keyasint,omitempty"`
+type messageRecord struct {
+	Kind         consensus.MessageKind `cbor:"1,keyasint"`
+	From         consensus.MemberID    `cbor:"2,keyasint"`
+	To           consensus.MemberID    `cbor:"3,keyasint"`
+	Term         uint64                `cbor:"4,keyasint"`
+	LogIndex     uint64                `cbor:"5,keyasint,omitempty"`
+	LogTerm      uint64                `cbor:"6,keyasint,omitempty"`
+	Commit       uint64                `cbor:"7,keyasint,omitempty"`
+	Entries      []entryRecord         `cbor:"8,keyasint,omitempty"`
+	Snapshot     *snapshotRecord       `cbor:"9,keyasint,omitempty"`
+	Reject       bool                  `cbor:"10,keyasint,omitempty"`
+	HintIndex    uint64                `cbor:"11,keyasint,omitempty"`
+	HintTerm     uint64                `cbor:"12,keyasint,omitempty"`
+	Context      uint64                `cbor:"13,keyasint,omitempty"`
+	Forced       bool                  `cbor:"14,keyasint,omitempty"`
+	Acknowledged uint64                `cbor:"15,keyasint,omitempty"`
 }
 
 // Bounds of what is decoded.
@@ -78,105 +78,105 @@
 	return value
 }
 
-func encode(form any) []byte { return must(encoder.Marshal(form)) } // forms are plain values
+func encode(record any) []byte { return must(encoder.Marshal(record)) } // forms are plain values
 
-func decode(text []byte, form any) error {
-	if err := decoder.Unmarshal(text, form); err != nil {
+func decode(data []byte, record any) error {
+	if err := decoder.Unmarshal(data, record); err != nil {
 		return fmt.Errorf("%w: %w", ErrEncoding, err)
 	}
 	return nil
 }
 
-// convert converts each of some values.
-func convert[From, To any](values []From, one func(From) To) []To {
+// convertAll converts each of some values.
+func convertAll[From, To any](values []From, convert func(From) To) []To {
 	if values == nil {
 		return nil
 	}
 	out := make([]To, len(values))
-	for at, value := range values {
-		out[at] = one(value)
+	for i, value := range values {
+		out[i] = convert(value)
 	}
 	return out
 }
 
-// memberTo leaves out the mark of a retired ID: this log never retires one.
-func memberTo(m consensus.Member) memberForm {
-	return memberForm{ID: m.ID, Address: m.Address, Voter: m.Voter}
+// toMemberRecord leaves out the mark of a retired ID: this log never retires one.
+func toMemberRecord(m consensus.Member) memberRecord {
+	return memberRecord{ID: m.ID, Address: m.Address, Voter: m.Voter}
 }
 
-func memberFrom(m memberForm) consensus.Member {
+func fromMemberRecord(m memberRecord) consensus.Member {
 	return consensus.Member{ID: m.ID, Address: m.Address, Voter: m.Voter}
 }
 
-func entryTo(e consensus.Entry) entryForm {
-	return entryForm{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convert(e.Members, memberTo)}
+func toEntryRecord(e consensus.Entry) entryRecord {
+	return entryRecord{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convertAll(e.Members, toMemberRecord)}
 }
 
-func entryFrom(e entryForm) consensus.Entry {
-	return consensus.Entry{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convert(e.Members, memberFrom)}
+func fromEntryRecord(e entryRecord) consensus.Entry {
+	return consensus.Entry{Term: e.Term, Index: e.Index, Kind: e.Kind, Data: e.Data, Members: convertAll(e.Members, fromMemberRecord)}
 }
 
-func snapshotTo(s consensus.Snapshot) snapshotForm {
-	return snapshotForm{Index: s.Index, Term: s.Term, Members: convert(s.Members, memberTo), Data: s.Data}
+func toSnapshotRecord(s consensus.Snapshot) snapshotRecord {
+	return snapshotRecord{Index: s.Index, Term: s.Term, Members: convertAll(s.Members, toMemberRecord), Data: s.Data}
 }
 
-func snapshotFrom(s snapshotForm) consensus.Snapshot {
-	return consensus.Snapshot{Index: s.Index, Term: s.Term, Members: convert(s.Members, memberFrom), Data: s.Data}
+func fromSnapshotRecord(s snapshotRecord) consensus.Snapshot {
+	return consensus.Snapshot{Index: s.Index, Term: s.Term, Members: convertAll(s.Members, fromMemberRecord), Data: s.Data}
 }
 
 // EncodeHardState returns a hard state's bytes.
-func EncodeHardState(h consensus.HardState) []byte { return encode(hardStateForm(h)) }
+func EncodeHardState(h consensus.HardState) []byte { return encode(hardStateRecord(h)) }
 
 // DecodeHardState reads them.
-func DecodeHardState(text []byte) (consensus.HardState, error) {
-	var form hardStateForm
-	err := decode(text, &form)
-	return consensus.HardState(form), err
+func DecodeHardState(data []byte) (consensus.HardState, error) {
+	var record hardStateRecord
+	err := decode(data, &record)
+	return consensus.HardState(record), err
 }
 
 // EncodeEntry returns an entry's bytes.
-func EncodeEntry(e consensus.Entry) []byte { return encode(entryTo(e)) }
+func EncodeEntry(e consensus.Entry) []byte { return encode(toEntryRecord(e)) }
 
 // DecodeEntry reads them.
-func DecodeEntry(text []byte) (consensus.Entry, error) {
-	var form entryForm
-	err := decode(text, &form)
-	return entryFrom(form), err
+func DecodeEntry(data []byte) (consensus.Entry, error) {
+	var record entryRecord
+	err := decode(data, &record)
+	return fromEntryRecord(record), err
 }
 
 // EncodeSnapshot returns a snapshot's bytes.
-func EncodeSnapshot(s consensus.Snapshot) []byte { return encode(snapshotTo(s)) }
+func EncodeSnapshot(s consensus.Snapshot) []byte { return encode(toSnapshotRecord(s)) }
 
 // DecodeSnapshot reads them.
-func DecodeSnapshot(text []byte) (consensus.Snapshot, error) {
-	var form snapshotForm
-	err := decode(text, &form)
-	return snapshotFrom(form), err
+func DecodeSnapshot(data []byte) (consensus.Snapshot, error) {
+	var record snapshotRecord
+	err := decode(data, &record)
+	return fromSnapshotRecord(record), err
 }
 
 // EncodeMessage returns a message's bytes.
 func EncodeMessage(m Message) []byte {
-	form := messageForm{Kind: m.Kind, From: m.From, To: m.To, Term: m.Term, LogIndex: m.LogIndex, LogTerm: m.LogTerm, Commit: m.Commit,
-		Entries: convert(m.Entries, entryTo), Reject: m.Reject, HintIndex: m.HintIndex, HintTerm: m.HintTerm, Context: m.HeartbeatRound,
-		Forced: m.LeadershipTransfer, Held: m.Held}
+	record := messageRecord{Kind: m.Kind, From: m.From, To: m.To, Term: m.Term, LogIndex: m.LogIndex, LogTerm: m.LogTerm, Commit: m.Commit,
+		Entries: convertAll(m.Entries, toEntryRecord), Reject: m.Reject, HintIndex: m.HintIndex, HintTerm: m.HintTerm, Context: m.HeartbeatRound,
+		Forced: m.LeadershipTransfer, Acknowledged: m.Acknowledged}
 	if m.Snapshot != nil {
-		snapshot := snapshotTo(*m.Snapshot)
-		form.Snapshot = &snapshot
+		snapshot := toSnapshotRecord(*m.Snapshot)
+		record.Snapshot = &snapshot
 	}
-	return encode(form)
+	return encode(record)
 }
 
 // DecodeMessage reads them, and checks that entries follow each other as the core expects it.
-func DecodeMessage(text []byte) (Message, error) {
-	var form messageForm
-	if err := decode(text, &form); err != nil {
+func DecodeMessage(data []byte) (Message, error) {
+	var record messageRecord
+	if err := decode(data, &record); err != nil {
 		return Message{}, err
 	}
-	m := Message{Held: form.Held, Message: consensus.Message{Kind: form.Kind, From: form.From, To: form.To, Term: form.Term,
-		LogIndex: form.LogIndex, LogTerm: form.LogTerm, Commit: form.Commit, Entries: convert(form.Entries, entryFrom), Reject: form.Reject,
-		HintIndex: form.HintIndex, HintTerm: form.HintTerm, HeartbeatRound: form.Context, LeadershipTransfer: form.Forced}}
-	if form.Snapshot != nil {
-		snapshot := snapshotFrom(*form.Snapshot)
+	m := Message{Acknowledged: record.Acknowledged, Message: consensus.Message{Kind: record.Kind, From: record.From, To: record.To, Term: record.Term,
+		LogIndex: record.LogIndex, LogTerm: record.LogTerm, Commit: record.Commit, Entries: convertAll(record.Entries, fromEntryRecord), Reject: record.Reject,
+		HintIndex: record.HintIndex, HintTerm: record.HintTerm, HeartbeatRound: record.Context, LeadershipTransfer: record.Forced}}
+	if record.Snapshot != nil {
+		snapshot := fromSnapshotRecord(*record.Snapshot)
 		m.Snapshot = &snapshot
 	}
 	return m, m.check()
--- a/internal/node/zones/replicatedlog/log.go
+++ b/internal/node/zones/replicatedlog/log.go
@@ -28,28 +28,28 @@
 
 // Errors of proposals.
 var (
-	ErrNotLeader = errors.New("this voter does not lead")
-	ErrBusy      = errors.New("the log takes nothing more just now") // too many orders wait for a majority, or a change of voters is under way
-	ErrChange    = errors.New("one voter is added or removed at a time")
+	ErrNotLeader     = errors.New("this voter does not lead")
+	ErrBusy          = errors.New("the log takes nothing more just now") // too many orders wait for a majority, or a change of voters is under way
+	ErrInvalidChange = errors.New("one voter is added or removed at a time")
 )
 
 // ErrAcknowledgedLost says that a voter's log is shorter than what it has acknowledged.
 var ErrAcknowledgedLost = errors.New("entries that were acknowledged are missing")
 
-// Broken is the error of a log that contradicts what was agreed on, as after a store was put
+// ConsistencyError is the error of a log that contradicts what was agreed on, as after a store was put
 // back from an old copy. The voter must not go on.
-type Broken struct{ Err error }
+type ConsistencyError struct{ Err error }
 
 // Error tells what is wrong.
-func (b *Broken) Error() string { return "the agreed log is broken: " + b.Err.Error() }
+func (b *ConsistencyError) Error() string { return "the agreed log is broken: " + b.Err.Error() }
 
 // Unwrap returns what is wrong.
-func (b *Broken) Unwrap() error { return b.Err }
+func (b *ConsistencyError) Unwrap() error { return b.Err }
 
-// Machine is the state machine. Each voter has its own, and all apply the same orders in the
+// StateMachine is the state machine. Each voter has its own, and all apply the same orders in the
 // same sequence.
-type Machine interface {
-	Apply(index uint64, order []byte)
+type StateMachine interface {
+	Apply(index uint64, command []byte)
 	Snapshot() ([]byte, error)
 	Restore(state []byte) error
 }
@@ -57,60 +57,60 @@
 // Message is what one voter's log says to another's.
 type Message struct {
 	consensus.Message
-	// Held is the last entry that the addressee has acknowledged to this leader, 0 where the sender does not lead. A log
+	// Acknowledged is the last entry that the addressee has acknowledged to this leader, 0 where the sender does not lead. A log
 	// that ends before it has lost entries.
-	Held uint64
+	Acknowledged uint64
 }
 
 // Config sets up a Log. Times are in ticks.
 type Config struct {
-	ID            uint64
-	Election      int // silence of the leader before a campaign; drawn up to twice this
-	Heartbeat     int // pause between a leader's heartbeats
-	SnapshotEvery int // entries applied from one snapshot to the next
-	Rand          *rand.Rand
-	Logger        *slog.Logger
+	ID               uint64
+	ElectionTicks    int // silence of the leader before a campaign; drawn up to twice this
+	HeartbeatTicks   int // pause between a leader's heartbeats
+	SnapshotInterval int // entries applied from one snapshot to the next
+	Rand             *rand.Rand
+	Logger           *slog.Logger
 }
 
 func (c *Config) check() error {
-	if c.ID == 0 || c.Heartbeat < 1 || c.Election <= c.Heartbeat || c.SnapshotEvery < 1 || c.Rand == nil {
-		return fmt.Errorf("agreed: voter %d, election after %d ticks, heartbeat each %d, snapshot each %d entries", c.ID, c.Election, c.Heartbeat,
-			c.SnapshotEvery)
+	if c.ID == 0 || c.HeartbeatTicks < 1 || c.ElectionTicks <= c.HeartbeatTicks || c.SnapshotInterval < 1 || c.Rand == nil {
+		return fmt.Errorf("agreed: voter %d, election after %d ticks, heartbeat each %d, snapshot each %d entries", c.ID, c.ElectionTicks, c.HeartbeatTicks,
+			c.SnapshotInterval)
 	}
 	return nil
 }
 
 // Log is one voter's part in the agreement. It belongs to one goroutine.
 type Log struct {
-	config      Config
-	node        *consensus.Node
-	machine     Machine
-	now         time.Duration
-	silent      int // ticks without word of a leader
-	applied     uint64
-	appliedTerm uint64 // of the entry at applied
-	snapshotAt  uint64 // index of the last snapshot
-	pending     Persist
-	writing     bool // a Persist is handed out and not durable yet
-	compacting  bool // a snapshot made here is not durable yet
+	config           Config
+	node             *consensus.Node
+	machine          StateMachine
+	now              time.Duration
+	ticksSinceLeader int // ticks without word of a leader
+	applied          uint64
+	appliedTerm      uint64 // of the entry at applied
+	snapshotIndex    uint64 // index of the last snapshot
+	pending          Persist
+	persisting       bool // a Persist is handed out and not durable yet
+	compacting       bool // a snapshot made here is not durable yet
 }
 
 // New goes on from what has been stored.
-func New(c Config, stored Stored, machine Machine) (*Log, error) {
-	if err := c.check(); err != nil {
+func New(config Config, stored StoredState, machine StateMachine) (*Log, error) {
+	if err := config.check(); err != nil {
 		return nil, err
 	}
-	if c.Logger == nil {
-		c.Logger = slog.Default()
+	if config.Logger == nil {
+		config.Logger = slog.Default()
 	}
-	state, err := stored.state()
+	state, err := stored.toConsensus()
 	if err != nil {
 		return nil, err
 	}
-	node := consensus.New(consensus.Config{ID: consensus.MemberID(c.ID), ElectionTimeout: time.Duration(c.Election) * tick,
-		HeartbeatInterval: time.Duration(c.Heartbeat) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
-		Seed: c.Rand.Uint64(), TrailingEntries: trailingEntries}, state, 0)
-	l := &Log{config: c, node: node, machine: machine}
+	node := consensus.New(consensus.Config{ID: consensus.MemberID(config.ID), ElectionTimeout: time.Duration(config.ElectionTicks) * tick,
+		HeartbeatInterval: time.Duration(config.HeartbeatTicks) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
+		Seed: config.Rand.Uint64(), TrailingEntries: trailingEntries}, state, 0)
+	l := &Log{config: config, node: node, machine: machine}
 	// The state machine takes the stored snapshot and what is known to be agreed on. There is nothing to send yet.
 	if _, err := l.Advance(); err != nil {
 		return nil, err
@@ -121,16 +121,16 @@
 // Tick lets one tick pass.
 func (l *Log) Tick() {
 	l.now += tick
-	l.silent++
+	l.ticksSinceLeader++
 	l.node.Tick(l.now)
-	if l.Leads() {
-		l.silent = 0
-		l.promote()
+	if l.IsLeader() {
+		l.ticksSinceLeader = 0
+		l.promoteLearners()
 	}
 }
 
-// promote makes voters of those that were added and hold nearly all of the log by now.
-func (l *Log) promote() {
+// promoteLearners makes voters of those that were added and hold nearly all of the log by now.
+func (l *Log) promoteLearners() {
 	for _, member := range l.node.Status().Members {
 		if !member.Voter {
 			member.Voter = true
@@ -140,32 +140,32 @@
 }
 
 // Step takes another voter's message. After a *Broken this voter must not go on.
-func (l *Log) Step(m Message) (err error) {
+func (l *Log) Step(message Message) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = broken(r)
+			err = consistencyError(r)
 		}
 	}()
 	before := l.Term()
-	l.node.Step(l.now, m.Message)
-	if !fromLeader(m.Kind) {
+	l.node.Step(l.now, message.Message)
+	if !fromLeader(message.Kind) {
 		return nil
 	}
 	status := l.node.Status()
-	if m.Term >= before && status.Role != consensus.RoleLeader {
-		l.silent = 0
+	if message.Term >= before && status.Role != consensus.RoleLeader {
+		l.ticksSinceLeader = 0
 	}
 	// A later leader may have cut off what was acknowledged to an earlier one.
-	if m.Term == status.Term && m.Held > status.LastIndex {
-		return &Broken{fmt.Errorf("%w: the log ends at %d, %d were acknowledged", ErrAcknowledgedLost, status.LastIndex, m.Held)}
+	if message.Term == status.Term && message.Acknowledged > status.LastIndex {
+		return &ConsistencyError{fmt.Errorf("%w: the log ends at %d, %d were acknowledged", ErrAcknowledgedLost, status.LastIndex, message.Acknowledged)}
 	}
 	return nil
 }
 
-// broken makes an error of what the core panics with where a leader contradicts what was agreed on.
-func broken(panicked any) error {
+// consistencyError makes an error of what the core panics with where a leader contradicts what was agreed on.
+func consistencyError(panicked any) error {
 	if err, ok := panicked.(error); ok && errors.Is(err, consensus.ErrCommittedConflict) {
-		return &Broken{err}
+		return &ConsistencyError{err}
 	}
 	panic(panicked)
 }
@@ -177,17 +177,17 @@
 
 // Propose puts an order to the voters. Whether it is agreed on shows when it is applied.
 // Errors: ErrNotLeader, ErrBusy.
-func (l *Log) Propose(order []byte) error {
-	_, _, err := l.node.Propose(l.now, order)
-	return refusal(err)
+func (l *Log) Propose(command []byte) error {
+	_, _, err := l.node.Propose(l.now, command)
+	return proposalError(err)
 }
 
-// Replace adds a voter or removes one. One change at a time: the next is taken when this one is
+// ChangeVoters adds a voter or removes one. One change at a time: the next is taken when this one is
 // agreed on. A new voter votes once it holds nearly all of the log.
 // Errors: ErrChange, ErrNotLeader, ErrBusy.
-func (l *Log) Replace(add, remove uint64) error {
+func (l *Log) ChangeVoters(add, remove uint64) error {
 	if (add == 0) == (remove == 0) {
-		return ErrChange
+		return ErrInvalidChange
 	}
 	if slices.Contains(l.Voters(), add) {
 		return nil
@@ -196,10 +196,10 @@
 	if add != 0 {
 		change.Add = &consensus.Member{ID: consensus.MemberID(add)}
 	}
-	return refusal(l.node.ChangeMembers(l.now, change))
+	return proposalError(l.node.ChangeMembers(l.now, change))
 }
 
-func refusal(err error) error {
+func proposalError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -214,14 +214,14 @@
 // called after all other calls, also while a write is under way.
 func (l *Log) Advance() ([]Message, error) {
 	ready := l.node.Ready()
-	l.pending.add(ready.Persist)
+	l.pending.merge(ready.Persist)
 	if err := l.restore(ready.Restore); err != nil {
 		return nil, err
 	}
 	for _, entry := range ready.Committed {
 		l.apply(entry)
 	}
-	if err := l.snapshot(); err != nil {
+	if err := l.maybeSnapshot(); err != nil {
 		return nil, err
 	}
 	return l.outgoing(ready.Messages), nil
@@ -232,10 +232,10 @@
 		return nil
 	}
 	out, term := make([]Message, len(messages)), l.Term()
-	for at, m := range messages {
-		out[at].Message = m
+	for i, m := range messages {
+		out[i].Message = m
 		if fromLeader(m.Kind) && m.Term == term {
-			out[at].Held, _ = l.node.MatchIndex(m.To)
+			out[i].Acknowledged, _ = l.node.MatchIndex(m.To)
 		}
 	}
 	return out
@@ -248,7 +248,7 @@
 	if err := l.machine.Restore(s.Data); err != nil {
 		return fmt.Errorf("the snapshot at %d: %w", s.Index, err)
 	}
-	l.applied, l.appliedTerm, l.snapshotAt = s.Index, s.Term, s.Index
+	l.applied, l.appliedTerm, l.snapshotIndex = s.Index, s.Term, s.Index
 	return nil
 }
 
@@ -262,9 +262,9 @@
 	}
 }
 
-// snapshot makes a snapshot when enough has been applied since the last.
-func (l *Log) snapshot() error {
-	if l.compacting || l.applied < l.snapshotAt+uint64(l.config.SnapshotEvery) {
+// maybeSnapshot makes a snapshot when enough has been applied since the last.
+func (l *Log) maybeSnapshot() error {
+	if l.compacting || l.applied < l.snapshotIndex+uint64(l.config.SnapshotInterval) {
 		return nil
 	}
 	state, err := l.machine.Snapshot()
@@ -275,38 +275,38 @@
 	if !known {
 		return nil
 	}
-	l.snapshotAt, l.compacting = l.applied, true
+	l.snapshotIndex, l.compacting = l.applied, true
 	first := max(l.node.Status().FirstIndex, l.applied+1-min(l.applied, trailingEntries))
-	l.pending.compact(s, first)
+	l.pending.addSnapshot(s, first)
 	return nil
 }
 
-// Next returns what has to be made durable next. Nothing more comes before Persisted.
-func (l *Log) Next() (Persist, bool) {
-	if l.writing || l.pending.Empty() {
+// NextPersist returns what has to be made durable next. Nothing more comes before Persisted.
+func (l *Log) NextPersist() (Persist, bool) {
+	if l.persisting || l.pending.Empty() {
 		return Persist{}, false
 	}
 	next := l.pending
-	l.pending, l.writing = Persist{}, true
+	l.pending, l.persisting = Persist{}, true
 	return next, true
 }
 
 // Persisted reports that what Next returned is durable.
 func (l *Log) Persisted(p Persist) {
-	l.writing = false
+	l.persisting = false
 	l.node.Persisted(l.now, p.sequence)
-	if p.compacts {
+	if p.ownSnapshot {
 		l.compacting = false
 		l.node.Compact(p.Snapshot.Index, nil, p.Snapshot.Data)
 	}
 }
 
-// Leads tells whether this voter leads, as far as it knows.
-func (l *Log) Leads() bool { return l.node.Status().Role == consensus.RoleLeader }
+// IsLeader tells whether this voter leads, as far as it knows.
+func (l *Log) IsLeader() bool { return l.node.Status().Role == consensus.RoleLeader }
 
 // Leader is the voter that leads, as far as this one knows; 0: none has been heard for an election timeout.
 func (l *Log) Leader() uint64 {
-	if l.silent >= l.config.Election {
+	if l.ticksSinceLeader >= l.config.ElectionTicks {
 		return 0
 	}
 	return uint64(l.node.Status().Leader)
@@ -321,9 +321,9 @@
 // Committed is the last index that is agreed on, as far as this voter knows.
 func (l *Log) Committed() uint64 { return l.node.Status().CommitIndex }
 
-// Settled tells whether a leader has applied all that was agreed on before it led: its
+// LeaderCaughtUp tells whether a leader has applied all that was agreed on before it led: its
 // own first entry shows it.
-func (l *Log) Settled() bool {
+func (l *Log) LeaderCaughtUp() bool {
 	status := l.node.Status()
 	return status.Role == consensus.RoleLeader && l.appliedTerm == status.Term
 }
--- a/internal/node/zones/replicatedlog/log_test.go
+++ b/internal/node/zones/replicatedlog/log_test.go
@@ -12,12 +12,12 @@
 	"ospreybend/coord/consensus"
 )
 
-// list is a machine that keeps its orders.
-type list struct{ orders []string }
+// listMachine is a machine that keeps its orders.
+type listMachine struct{ orders []string }
 
-func (l *list) Apply(_ uint64, order []byte) { l.orders = append(l.orders, string(order)) }
-func (l *list) Snapshot() ([]byte, error)    { return []byte(strings.Join(l.orders, ",")), nil }
-func (l *list) Restore(state []byte) error {
+func (l *listMachine) Apply(_ uint64, command []byte) { l.orders = append(l.orders, string(command)) }
+func (l *listMachine) Snapshot() ([]byte, error)      { return []byte(strings.Join(l.orders, ",")), nil }
+func (l *listMachine) Restore(state []byte) error {
 	l.orders = nil
 	if len(state) > 0 {
 		l.orders = strings.Split(string(state), ",")
@@ -25,36 +25,36 @@
 	return nil
 }
 
-// voters are some logs whose messages arrive at once, but for those that are cut off.
-type voters struct {
+// cluster are some logs whose messages arrive at once, but for those that are cut off.
+type cluster struct {
 	t      *testing.T
 	logs   map[uint64]*Log
-	of     map[uint64]*list
-	stored map[uint64]*Stored
+	of     map[uint64]*listMachine
+	stored map[uint64]*StoredState
 	cut    map[uint64]bool
 	ends   map[uint64]error // what a voter has ended with
 }
 
-func newVoters(t *testing.T, ids ...uint64) *voters {
-	v := &voters{t: t, logs: map[uint64]*Log{}, of: map[uint64]*list{}, stored: map[uint64]*Stored{}, cut: map[uint64]bool{}, ends: map[uint64]error{}}
+func newCluster(t *testing.T, ids ...uint64) *cluster {
+	v := &cluster{t: t, logs: map[uint64]*Log{}, of: map[uint64]*listMachine{}, stored: map[uint64]*StoredState{}, cut: map[uint64]bool{}, ends: map[uint64]error{}}
 	for _, id := range ids {
-		k := Founding(ids)
+		k := Bootstrap(ids)
 		v.stored[id] = &k
 		v.start(id)
 	}
 	return v
 }
 
-func (v *voters) start(id uint64) {
-	v.of[id] = &list{}
-	log, err := New(Config{ID: id, Election: 8, Heartbeat: 2, SnapshotEvery: 100, Rand: rand.New(rand.NewPCG(id, 1))}, *v.stored[id], v.of[id])
+func (v *cluster) start(id uint64) {
+	v.of[id] = &listMachine{}
+	log, err := New(Config{ID: id, ElectionTicks: 8, HeartbeatTicks: 2, SnapshotInterval: 100, Rand: rand.New(rand.NewPCG(id, 1))}, *v.stored[id], v.of[id])
 	if err != nil {
 		v.t.Fatal(err)
 	}
 	v.logs[id] = log
 }
 
-func (v *voters) ids() []uint64 {
+func (v *cluster) ids() []uint64 {
 	var ids []uint64
 	for id := range v.logs {
 		ids = append(ids, id)
@@ -63,8 +63,8 @@
 	return ids
 }
 
-// settle writes, sends and applies until nothing is left.
-func (v *voters) settle() {
+// runUntilIdle writes, sends and applies until nothing is left.
+func (v *cluster) runUntilIdle() {
 	rounds := 0
 	for again := true; again; {
 		again = false
@@ -78,7 +78,7 @@
 }
 
 // advance sends and writes what a voter wants done, and reports whether there was anything.
-func (v *voters) advance(id uint64) bool {
+func (v *cluster) advance(id uint64) bool {
 	if v.ends[id] != nil {
 		return false
 	}
@@ -89,7 +89,7 @@
 	for _, m := range messages {
 		v.send(id, m)
 	}
-	p, ok := v.logs[id].Next()
+	p, ok := v.logs[id].NextPersist()
 	if ok {
 		v.write(id, p)
 		v.logs[id].Persisted(p)
@@ -98,7 +98,7 @@
 }
 
 // send delivers a message in the form in which voters send it.
-func (v *voters) send(from uint64, m Message) {
+func (v *cluster) send(from uint64, m Message) {
 	id := uint64(m.To)
 	to := v.logs[id]
 	if to == nil || v.cut[from] || v.cut[id] || v.ends[id] != nil {
@@ -111,7 +111,7 @@
 	v.ends[id] = to.Step(read)
 }
 
-func (v *voters) write(id uint64, p Persist) {
+func (v *cluster) write(id uint64, p Persist) {
 	s := v.stored[id]
 	if p.HardState != nil {
 		s.HardState = p.HardState
@@ -126,18 +126,18 @@
 	}
 }
 
-func (v *voters) tick(n int) {
+func (v *cluster) tick(n int) {
 	for range n {
 		for _, id := range v.ids() {
 			v.logs[id].Tick()
 		}
-		v.settle()
+		v.runUntilIdle()
 	}
 }
 
-func (v *voters) leader() uint64 {
+func (v *cluster) leader() uint64 {
 	for _, id := range v.ids() {
-		if v.logs[id].Leads() && !v.cut[id] {
+		if v.logs[id].IsLeader() && !v.cut[id] {
 			return id
 		}
 	}
@@ -145,17 +145,17 @@
 	return 0
 }
 
-func (v *voters) propose(order string) {
+func (v *cluster) propose(command string) {
 	v.t.Helper()
-	if err := v.logs[v.leader()].Propose([]byte(order)); err != nil {
+	if err := v.logs[v.leader()].Propose([]byte(command)); err != nil {
 		v.t.Fatal(err)
 	}
-	v.settle()
+	v.runUntilIdle()
 }
 
 // An order holds at all voters, a minority orders nothing, and what it missed it learns.
-func TestMajorityOrders(t *testing.T) {
-	v := newVoters(t, 1, 2, 3)
+func TestLog_Propose_needsMajority(t *testing.T) {
+	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
 	v.propose("one")
 	old := v.leader()
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	v.tick(30)
-	if v.logs[old].Leads() {
+	if v.logs[old].IsLeader() {
 		t.Error("who is cut off still leads")
 	}
 	if err := v.logs[old].Propose([]byte("alone")); !errors.Is(err, ErrNotLeader) {
@@ -182,8 +182,8 @@
 
 // A voter that was away for long gets a snapshot; one that starts anew goes on from what
 // it has written; and voters are replaced one at a time.
-func TestSnapshotRestartReplace(t *testing.T) {
-	v := newVoters(t, 1, 2, 3)
+func TestLog_snapshotRestartAndVoterChange(t *testing.T) {
+	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
 	away := v.leader()%3 + 1
 	v.cut[away] = true
@@ -210,20 +210,20 @@
 		}
 	}
 	leader := v.logs[v.leader()]
-	if err := leader.Replace(4, 1); err == nil {
+	if err := leader.ChangeVoters(4, 1); err == nil {
 		t.Error("two changes at once")
 	}
-	if err := leader.Replace(4, 0); err != nil {
+	if err := leader.ChangeVoters(4, 0); err != nil {
 		t.Fatal(err)
 	}
-	v.stored[4] = &Stored{}
+	v.stored[4] = &StoredState{}
 	v.start(4)
 	v.tick(10)
 	if !slices.Equal(v.of[4].orders, want) || len(leader.Voters()) != 4 {
 		t.Errorf("the new voter has %d orders of %d; the voters are %v", len(v.of[4].orders), len(want), leader.Voters())
 	}
 	gone := v.leader()%3 + 1
-	if err := leader.Replace(0, gone); err != nil {
+	if err := leader.ChangeVoters(0, gone); err != nil {
 		t.Fatal(err)
 	}
 	v.tick(5)
@@ -235,13 +235,13 @@
 	}
 }
 
-func TestStoredMustFit(t *testing.T) {
-	hole := Founding([]uint64{1})
+func TestNew_rejectsInvalidStoredState(t *testing.T) {
+	hole := Bootstrap([]uint64{1})
 	hole.Entries = []consensus.Entry{{Index: 3, Term: 1}}
-	ahead := Founding([]uint64{1})
+	ahead := Bootstrap([]uint64{1})
 	ahead.HardState = &consensus.HardState{Term: 2, Commit: 9}
-	for name, k := range map[string]Stored{"a hole": hole, "agreed beyond the log": ahead} {
-		if _, err := New(Config{ID: 1, Election: 8, Heartbeat: 2, SnapshotEvery: 9, Rand: rand.New(rand.NewPCG(1, 1))}, k, &list{}); err == nil {
+	for name, k := range map[string]StoredState{"a hole": hole, "agreed beyond the log": ahead} {
+		if _, err := New(Config{ID: 1, ElectionTicks: 8, HeartbeatTicks: 2, SnapshotInterval: 9, Rand: rand.New(rand.NewPCG(1, 1))}, k, &listMachine{}); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
@@ -249,18 +249,18 @@
 
 // A voter whose store was put back from an older copy does not go on: the leader counts on
 // entries that it has acknowledged.
-func TestOlderCopyBreaks(t *testing.T) {
-	v := newVoters(t, 1, 2, 3)
+func TestLog_Step_detectsLostAcknowledgedEntries(t *testing.T) {
+	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
 	v.propose("one")
 	id := v.leader()%3 + 1
-	old := Stored{HardState: v.stored[id].HardState, Snapshot: v.stored[id].Snapshot, Entries: slices.Clone(v.stored[id].Entries)}
+	old := StoredState{HardState: v.stored[id].HardState, Snapshot: v.stored[id].Snapshot, Entries: slices.Clone(v.stored[id].Entries)}
 	v.propose("two")
 	v.propose("three")
 	v.stored[id] = &old
 	v.start(id)
 	v.tick(10)
-	var broken *Broken
+	var broken *ConsistencyError
 	if err := v.ends[id]; !errors.As(err, &broken) || !errors.Is(err, ErrAcknowledgedLost) {
 		t.Errorf("it goes on, with %v", err)
 	}
@@ -273,8 +273,8 @@
 
 // While the leader's own write is under way its messages go out, the others agree without it, and what comes meanwhile
 // is written in one piece afterwards.
-func TestWriteUnderWay(t *testing.T) {
-	v := newVoters(t, 1, 2, 3)
+func TestLog_NextPersist_oneAtATime(t *testing.T) {
+	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
 	id := v.leader()
 	leader := v.logs[id]
@@ -285,7 +285,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, ok := leader.Next()
+	first, ok := leader.NextPersist()
 	if !ok || len(first.Entries) != 1 || len(messages) != 2 {
 		t.Fatalf("%d messages, to write %+v", len(messages), first)
 	}
@@ -300,12 +300,12 @@
 	}
 	v.propose("two")
 	v.propose("three")
-	if _, ok := leader.Next(); ok {
+	if _, ok := leader.NextPersist(); ok {
 		t.Error("two writes at once")
 	}
 	v.write(id, first)
 	leader.Persisted(first)
-	rest, ok := leader.Next()
+	rest, ok := leader.NextPersist()
 	if !ok || len(rest.Entries) != 2 {
 		t.Errorf("to write then %+v", rest)
 	}
@@ -319,8 +319,8 @@
 }
 
 // A leader that is not heard for an election timeout is named no more.
-func TestSilentLeaderIsForgotten(t *testing.T) {
-	v := newVoters(t, 1, 2, 3)
+func TestLog_Leader_forgottenAfterTimeout(t *testing.T) {
+	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
 	leader := v.leader()
 	other := leader%3 + 1
--- a/internal/node/zones/replicatedlog/stored_test.go
+++ b/internal/node/zones/replicatedlog/stored_test.go
@@ -16,37 +16,37 @@
 }
 
 // What the core hands out while a write is under way becomes one write: what is later replaces what it cuts off.
-func TestPersistMerges(t *testing.T) {
+func TestPersist_merge(t *testing.T) {
 	var p Persist
 	if !p.Empty() {
 		t.Error("nothing is something")
 	}
-	p.add(nil)
+	p.merge(nil)
 	shared := entries(1, 2, 3, 4, 5)
-	p.add(&consensus.PersistRequest{Sequence: 1, Entries: shared[:3:3], HardState: &consensus.HardState{Term: 1}})
-	p.add(&consensus.PersistRequest{Sequence: 2, Entries: entries(2, 4), HardState: &consensus.HardState{Term: 2}})
+	p.merge(&consensus.PersistRequest{Sequence: 1, Entries: shared[:3:3], HardState: &consensus.HardState{Term: 1}})
+	p.merge(&consensus.PersistRequest{Sequence: 2, Entries: entries(2, 4), HardState: &consensus.HardState{Term: 2}})
 	if want := append(entries(1, 2, 3), entries(2, 4)...); !reflect.DeepEqual(p.Entries, want) || p.HardState.Term != 2 || p.sequence != 2 {
 		t.Errorf("%+v", p)
 	}
 	if !reflect.DeepEqual(shared, entries(1, 2, 3, 4, 5)) {
 		t.Errorf("the core's entries have changed: %v", shared)
 	}
-	p.compact(consensus.Snapshot{Index: 3, Term: 1}, 2)
-	if p.Snapshot.Index != 3 || p.First != 2 || p.Replaces || !p.compacts || len(p.Entries) != 3 {
+	p.addSnapshot(consensus.Snapshot{Index: 3, Term: 1}, 2)
+	if p.Snapshot.Index != 3 || p.First != 2 || p.Replaces || !p.ownSnapshot || len(p.Entries) != 3 {
 		t.Errorf("with a snapshot made here: %+v", p)
 	}
-	p.add(&consensus.PersistRequest{Sequence: 3, Snapshot: &consensus.Snapshot{Index: 9, Term: 3}, Entries: entries(3, 10)})
+	p.merge(&consensus.PersistRequest{Sequence: 3, Snapshot: &consensus.Snapshot{Index: 9, Term: 3}, Entries: entries(3, 10)})
 	if p.Snapshot.Index != 9 || p.First != 10 || !p.Replaces || !reflect.DeepEqual(p.Entries, entries(3, 10)) || p.HardState.Term != 2 {
 		t.Errorf("with a received snapshot: %+v", p)
 	}
-	p.compact(consensus.Snapshot{Index: 10, Term: 3}, 9)
+	p.addSnapshot(consensus.Snapshot{Index: 10, Term: 3}, 9)
 	if p.Snapshot.Index != 10 || p.First != 9 || !p.Replaces || len(p.Entries) != 1 {
 		t.Errorf("with one made here after it: %+v", p)
 	}
 }
 
 // Messages whose entries do not follow each other are refused: the core takes them as they are.
-func TestDecodeMessageChecks(t *testing.T) {
+func TestDecodeMessage_rejectsInvalid(t *testing.T) {
 	of := func(e []consensus.Entry) []byte {
 		return EncodeMessage(Message{Message: consensus.Message{Kind: consensus.MessageAppendEntries, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 2, Entries: e}})
 	}
@@ -55,7 +55,7 @@
 	}
 	strange := entries(3, 8)
 	strange[0].Kind = consensus.EntryMembership + 1
-	for name, text := range map[string][]byte{
+	for name, data := range map[string][]byte{
 		"a gap":              of(entries(3, 9)),
 		"an entry twice":     of(entries(3, 8, 8)),
 		"a falling term":     of(append(entries(3, 8), entries(2, 9)...)),
@@ -65,7 +65,7 @@
 		"bytes behind it":    append(of(nil), 0),
 		"nothing":            nil,
 	} {
-		if _, err := DecodeMessage(text); !errors.Is(err, ErrEncoding) {
+		if _, err := DecodeMessage(data); !errors.Is(err, ErrEncoding) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	headWithin = time.Second // for a call's header to come
-	leaveIn    = 500 * time.Millisecond
+	readHeaderTimeout = time.Second // for a call's header to come
+	shutdownTimeout   = 500 * time.Millisecond
 )
 
 // Config is what a seat is told.
 type Config struct {
-	Fleet   string
-	ID      uint64
-	Listen  string
-	Store   string            // the file
-	Voters  map[uint64]string // addresses by number, its own included
-	Founds  []uint64          // the voters that a new fleet begins with; empty: it joins one
-	Classes []failover.Class
-	Rules   replica.Rules
-	Without string // a check left out, for trials
+	Fleet         string
+	ID            uint64
+	Listen        string
+	StorePath     string            // the file
+	Voters        map[uint64]string // addresses by number, its own included
+	InitialVoters []uint64          // the voters that a new fleet begins with; empty: it joins one
+	Classes       []failover.Class
+	Settings      replica.Settings
+	DisabledCheck string // a check left out, for trials
 }
 
 // durableStore is where a voter writes through.
@@ -46,77 +46,77 @@
 	Starts() uint64
 }
 
-// Seat is a voter at work.
-type Seat struct {
-	config Config
-	store  durableStore
-	voter  *replica.Voter
-	client *transport.Client
-	mail   map[uint64]*transport.Mail
-	began  time.Time
-	calls  chan func(now time.Duration)
-	wrote  chan error
-	writes replicatedlog.Persist
-	busy   bool
-	end    context.CancelFunc
-	done   <-chan struct{}
-	server *http.Server
-	listen net.Listener
+// Server is a voter at work.
+type Server struct {
+	config     Config
+	store      durableStore
+	replica    *replica.Replica
+	client     *transport.Client
+	outboxes   map[uint64]*transport.Outbox
+	startedAt  time.Time
+	calls      chan func(now time.Duration)
+	written    chan error
+	writing    replicatedlog.Persist
+	isWriting  bool
+	cancel     context.CancelFunc
+	done       <-chan struct{}
+	httpServer *http.Server
+	listener   net.Listener
 }
 
 // Open opens the store and listens. Run does the rest.
-func Open(c Config) (*Seat, error) {
-	file, stored, err := store.Open(c.Store, store.Owner{Fleet: c.Fleet, Voter: c.ID, Voters: c.Founds})
+func Open(config Config) (*Server, error) {
+	file, stored, err := store.Open(config.StorePath, store.Owner{Fleet: config.Fleet, Voter: config.ID, Voters: config.InitialVoters})
 	if err != nil {
 		return nil, err
 	}
-	s := &Seat{config: c, store: file, client: transport.NewClient(), mail: map[uint64]*transport.Mail{}, began: time.Now(),
-		calls: make(chan func(time.Duration)), wrote: make(chan error, 1)}
-	s.voter, err = replica.New(0, replica.Config{Fleet: c.Fleet, ID: c.ID, Store: file.ID(), Runs: file.Starts(), Rules: c.Rules,
-		Classes: c.Classes, Rand: rand.New(rand.NewPCG(rand.Uint64(), c.ID)), Wall: func() int64 { return time.Now().UnixMicro() },
-		Without: c.Without}, stored)
+	s := &Server{config: config, store: file, client: transport.NewClient(), outboxes: map[uint64]*transport.Outbox{}, startedAt: time.Now(),
+		calls: make(chan func(time.Duration)), written: make(chan error, 1)}
+	s.replica, err = replica.New(0, replica.Config{Fleet: config.Fleet, ID: config.ID, Store: file.ID(), Starts: file.Starts(), Settings: config.Settings,
+		Classes: config.Classes, Rand: rand.New(rand.NewPCG(rand.Uint64(), config.ID)), WallClock: func() int64 { return time.Now().UnixMicro() },
+		DisabledCheck: config.DisabledCheck}, stored)
 	if err == nil {
-		s.listen, err = net.Listen("tcp", c.Listen)
+		s.listener, err = net.Listen("tcp", config.Listen)
 	}
 	if err != nil {
-		return nil, errors.Join(&store.Fault{Path: c.Store, Err: err}, file.Close())
+		return nil, errors.Join(&store.Error{Path: config.StorePath, Err: err}, file.Close())
 	}
 	return s, nil
 }
 
 // Address is where it listens.
-func (s *Seat) Address() string { return s.listen.Addr().String() }
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Run votes until ctx ends, or until the voter must not go on.
-func (s *Seat) Run(ctx context.Context) error {
-	ctx, s.end = context.WithCancel(ctx)
-	defer s.end()
+func (s *Server) Run(ctx context.Context) error {
+	ctx, s.cancel = context.WithCancel(ctx)
+	defer s.cancel()
 	s.done = ctx.Done()
 	for id, address := range s.config.Voters {
 		if id != s.config.ID {
-			s.mail[id] = transport.NewMail(ctx, s.client, address)
+			s.outboxes[id] = transport.NewOutbox(ctx, s.client, address)
 		}
 	}
-	s.server = &http.Server{Handler: transport.Serve(s), ReadHeaderTimeout: headWithin}
+	s.httpServer = &http.Server{Handler: transport.NewHandler(s), ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
-	go func() { served <- s.server.Serve(s.listen) }()
-	slog.Info("voter", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(), "store", s.config.Store, "starts", s.store.Starts())
+	go func() { served <- s.httpServer.Serve(s.listener) }()
+	slog.Info("voter", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(), "store", s.config.StorePath, "starts", s.store.Starts())
 	err := s.loop(ctx, served)
-	leave, cancel := context.WithTimeout(context.Background(), leaveIn)
+	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	s.end()
-	_ = s.server.Shutdown(leave)
-	if s.busy {
-		<-s.wrote // the file is closed only when nothing is written
+	s.cancel()
+	_ = s.httpServer.Shutdown(shutdown)
+	if s.isWriting {
+		<-s.written // the file is closed only when nothing is written
 	}
 	s.client.Close()
 	return errors.Join(err, s.store.Close())
 }
 
-func (s *Seat) now() time.Duration { return time.Since(s.began) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-func (s *Seat) loop(ctx context.Context, served <-chan error) error {
-	tick := time.NewTicker(s.config.Rules.Tick)
+func (s *Server) loop(ctx context.Context, served <-chan error) error {
+	tick := time.NewTicker(s.config.Settings.Tick)
 	defer tick.Stop()
 	for {
 		select {
@@ -124,113 +124,117 @@
 			return nil
 		case err := <-served:
 			return err
-		case f := <-s.calls:
-			f(s.now())
+		case call := <-s.calls:
+			call(s.now())
 		case <-tick.C:
-			s.voter.Tick(s.now())
-		case err := <-s.wrote:
-			s.busy = false
+			s.replica.Tick(s.now())
+		case err := <-s.written:
+			s.isWriting = false
 			if err != nil {
 				// What the file holds is not known: it is read anew at the next start.
 				return err
 			}
-			s.voter.Done(s.writes)
+			s.replica.Persisted(s.writing)
 		}
-		if err := s.voter.Broken(); err != nil {
-			return &store.Fault{Path: s.config.Store, Err: err}
+		if err := s.replica.Err(); err != nil {
+			return &store.Error{Path: s.config.StorePath, Err: err}
 		}
 		s.flush()
 	}
 }
 
 // flush has the next work written, and sends what may go out.
-func (s *Seat) flush() {
-	if !s.busy {
-		if p, ok := s.voter.Next(); ok {
-			s.busy, s.writes = true, p
-			go func() { s.wrote <- s.store.Write(p) }()
+func (s *Server) flush() {
+	if !s.isWriting {
+		if persist, ok := s.replica.NextPersist(); ok {
+			s.isWriting, s.writing = true, persist
+			go func() { s.written <- s.store.Write(persist) }()
 		}
 	}
-	for _, p := range s.voter.Post() {
-		if m := s.mail[p.To]; m != nil {
-			m.Put(p.Letter)
+	for _, persist := range s.replica.TakeOutgoing() {
+		if outbox := s.outboxes[persist.To]; outbox != nil {
+			outbox.Enqueue(persist.Message)
 		}
 	}
 }
 
-var errLeaving = errors.New("this voter leaves")
+var errShuttingDown = errors.New("this voter leaves")
 
-// on has f called on the loop.
-func (s *Seat) on(ctx context.Context, f func(now time.Duration)) error {
+// post has f called on the loop.
+func (s *Server) post(ctx context.Context, call func(now time.Duration)) error {
 	select {
-	case s.calls <- f:
+	case s.calls <- call:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-s.done:
-		return errLeaving
+		return errShuttingDown
 	}
 }
 
-type result[T any] struct {
-	v   T
-	err error
+type callResult[T any] struct {
+	value T
+	err   error
 }
 
-// ask has f answer on the loop, then or later.
-func ask[T any](ctx context.Context, s *Seat, f func(now time.Duration, answer func(T, error))) (T, error) {
-	back := make(chan result[T], 1)
-	answer := func(v T, err error) {
+// call has f answer on the loop, then or later.
+func call[T any](ctx context.Context, server *Server, method func(now time.Duration, answer func(T, error))) (T, error) {
+	replies := make(chan callResult[T], 1)
+	answer := func(value T, err error) {
 		select {
-		case back <- result[T]{v, err}:
+		case replies <- callResult[T]{value, err}:
 		default: // answered already
 		}
 	}
 	var none T
-	if err := s.on(ctx, func(now time.Duration) { f(now, answer) }); err != nil {
+	if err := server.post(ctx, func(now time.Duration) { method(now, answer) }); err != nil {
 		return none, err
 	}
 	select {
-	case r := <-back:
-		return r.v, r.err
+	case reply := <-replies:
+		return reply.value, reply.err
 	case <-ctx.Done():
 		return none, ctx.Err()
-	case <-s.done:
-		return none, errLeaving
+	case <-server.done:
+		return none, errShuttingDown
 	}
 }
 
 // Report takes in a process's report.
-func (s *Seat) Report(ctx context.Context, r follower.Report) (follower.Answer, error) {
-	return ask(ctx, s, func(now time.Duration, answer func(follower.Answer, error)) { answer(s.voter.Report(now, r)) })
+func (s *Server) Report(ctx context.Context, report follower.Report) (follower.Response, error) {
+	return call(ctx, s, func(now time.Duration, answer func(follower.Response, error)) {
+		answer(s.replica.HandleReport(now, report))
+	})
 }
 
 // Deliver takes in a letter.
-func (s *Seat) Deliver(ctx context.Context, l replica.Letter) error {
-	_, err := ask(ctx, s, func(now time.Duration, answer func(struct{}, error)) { answer(struct{}{}, s.voter.Take(now, l)) })
+func (s *Server) Deliver(ctx context.Context, message replica.Message) error {
+	_, err := call(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
+		answer(struct{}{}, s.replica.Receive(now, message))
+	})
 	return err
 }
 
-// Say puts what a person has said, and returns once it is agreed on.
-func (s *Seat) Say(ctx context.Context, w commands.Word) error {
-	_, err := ask(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
-		s.voter.Say(now, w, func(err error) { answer(struct{}{}, err) })
+// ApplyOverride puts what a person has said, and returns once it is agreed on.
+func (s *Server) ApplyOverride(ctx context.Context, override commands.Override) error {
+	_, err := call(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
+		s.replica.ProposeOverride(now, override, func(err error) { answer(struct{}{}, err) })
 	})
 	return err
 }
 
 // Status tells how things stand.
-func (s *Seat) Status(ctx context.Context) (transport.Status, error) {
-	return ask(ctx, s, func(now time.Duration, answer func(transport.Status, error)) {
-		v, log := s.voter, s.voter.Log()
-		out := transport.Status{Voter: s.config.ID, Leader: log.Leader(), Term: log.Term(), Applied: log.Applied(), Voters: log.Voters(),
-			Table: v.Table().Clone(), Counts: v.Counts(), Verdicts: map[string]string{}}
-		for _, m := range v.Members() {
-			out.Members = append(out.Members, transport.Member{Name: m.Name, Zone: m.Zone, Incarnation: m.Incarnation, Silent: now - m.HeardAt})
+func (s *Server) Status(ctx context.Context) (transport.Status, error) {
+	return call(ctx, s, func(now time.Duration, answer func(transport.Status, error)) {
+		replica, log := s.replica, s.replica.Log()
+		status := transport.Status{Voter: s.config.ID, Leader: log.Leader(), Term: log.Term(), Applied: log.Applied(), Voters: log.Voters(),
+			Table: replica.Table().Clone(), Counts: replica.Counts(), Verdicts: map[string]string{}}
+		for _, member := range replica.Members() {
+			status.Members = append(status.Members, transport.MemberStatus{Name: member.Name, Zone: member.Zone, Incarnation: member.Incarnation, SinceHeartbeat: now - member.LastHeartbeat})
 		}
-		for name, verdict := range v.Verdicts() {
-			out.Verdicts[name] = verdict.String()
+		for name, verdict := range replica.Verdicts() {
+			status.Verdicts[name] = verdict.String()
 		}
-		answer(out, nil)
+		answer(status, nil)
 	})
 }
--- a/internal/node/zones/server/server_test.go
+++ b/internal/node/zones/server/server_test.go
@@ -20,30 +20,30 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// filling is a store that may fill.
-type filling struct {
+// fillingStore is a store that may fill.
+type fillingStore struct {
 	durableStore
 	full *atomic.Bool
 	path string
 }
 
-func (f *filling) Write(p replicatedlog.Persist) error {
+func (f *fillingStore) Write(p replicatedlog.Persist) error {
 	if f.full.Load() {
-		return &store.Fault{Path: f.path, Err: syscall.ENOSPC}
+		return &store.Error{Path: f.path, Err: syscall.ENOSPC}
 	}
 	return f.durableStore.Write(p)
 }
 
-// three are voters over loopback, in this process.
-type three struct {
+// threeServers are voters over loopback, in this process.
+type threeServers struct {
 	at     map[uint64]string
 	full   map[uint64]*atomic.Bool
 	ended  map[uint64]chan error
 	client *transport.Client
 }
 
-func newThree(t *testing.T) *three {
-	v := &three{at: map[uint64]string{}, full: map[uint64]*atomic.Bool{}, ended: map[uint64]chan error{}, client: transport.NewClient()}
+func newThreeServers(t *testing.T) *threeServers {
+	v := &threeServers{at: map[uint64]string{}, full: map[uint64]*atomic.Bool{}, ended: map[uint64]chan error{}, client: transport.NewClient()}
 	dir := t.TempDir()
 	for id := uint64(1); id <= 3; id++ {
 		at, err := fakeplatform.FreeAddress()
@@ -55,12 +55,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	for id := range v.at {
 		path := filepath.Join(dir, "store"+string(rune('0'+id)))
-		s, err := Open(Config{Fleet: "f", ID: id, Listen: v.at[id], Store: path, Voters: v.at, Founds: []uint64{1, 2, 3}, Rules: replica.Usual()})
+		s, err := Open(Config{Fleet: "f", ID: id, Listen: v.at[id], StorePath: path, Voters: v.at, InitialVoters: []uint64{1, 2, 3}, Settings: replica.DefaultSettings()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		v.full[id], v.ended[id] = &atomic.Bool{}, make(chan error, 1)
-		s.store = &filling{s.store, v.full[id], path}
+		s.store = &fillingStore{s.store, v.full[id], path}
 		go func() { v.ended[id] <- s.Run(ctx) }()
 	}
 	t.Cleanup(func() {
@@ -74,7 +74,7 @@
 }
 
 // leader waits until one leads that is not the given one.
-func (v *three) leader(t *testing.T, not uint64) (leader uint64) {
+func (v *threeServers) leader(t *testing.T, not uint64) (leader uint64) {
 	t.Helper()
 	if err := fakeplatform.Until(t.Context(), 10*time.Second, func() bool {
 		for id, at := range v.at {
@@ -95,36 +95,36 @@
 
 // The leader's disk is full: it ends with an error that names its file, another leads and orders
 // go on, with all that was agreed on before; and what the full one wrote is whole.
-func TestDiskFullAtTheLeader(t *testing.T) {
-	v := newThree(t)
+func TestServer_fullDiskAtLeader(t *testing.T) {
+	v := newThreeServers(t)
 	first := v.leader(t, 0)
 	for i, name := range []string{"n", "m"} {
 		zone := string(rune('a' + i))
 		if _, err := v.client.Report(t.Context(), v.at[first], follower.Report{Fleet: "f", Name: name, Zone: zone, Incarnation: 1, Sequence: 1,
-			Sights: health.Sights{zone: {}}}); err != nil {
+			Observations: health.Observations{zone: {}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	word := commands.Word{Zone: "a", Do: commands.DoHold, Reason: "before", Until: time.Now().Add(time.Hour).UnixMicro()}
-	if err := v.client.Say(t.Context(), v.at[first], word); err != nil {
+	word := commands.Override{Zone: "a", Action: commands.OverrideFreeze, Reason: "before", Until: time.Now().Add(time.Hour).UnixMicro()}
+	if err := v.client.ApplyOverride(t.Context(), v.at[first], word); err != nil {
 		t.Fatal(err)
 	}
 	v.full[first].Store(true)
 	word.Zone, word.Reason = "b", "after"
-	_ = v.client.Say(t.Context(), v.at[first], word) // it may have been taken or not
+	_ = v.client.ApplyOverride(t.Context(), v.at[first], word) // it may have been taken or not
 	err := <-v.ended[first]
 	v.ended[first] <- nil
-	var f *store.Fault
+	var f *store.Error
 	if !errors.As(err, &f) || !strings.Contains(err.Error(), "store"+string(rune('0'+first))) || !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("it ends with %v", err)
 	}
 	second := v.leader(t, first)
 	word.Zone = "c"
-	if err := v.client.Say(t.Context(), v.at[second], word); err != nil {
+	if err := v.client.ApplyOverride(t.Context(), v.at[second], word); err != nil {
 		t.Errorf("nobody orders any more: %v", err)
 	}
 	s, err := v.client.Status(t.Context(), v.at[second])
-	if err != nil || s.Table.Words["a"].Reason != "before" || s.Table.Words["c"].Reason != "after" {
+	if err != nil || s.Table.Overrides["a"].Reason != "before" || s.Table.Overrides["c"].Reason != "after" {
 		t.Errorf("what was agreed on: %+v, %v", s.Table, err)
 	}
 	again, _, err := store.Open(f.Path, store.Owner{Fleet: "f", Voter: first})
@@ -136,14 +136,14 @@
 
 // The leader goes, and orders go on within a few seconds, whoever is asked; strangers are turned
 // away by name.
-func TestCallsOverLinks(t *testing.T) {
-	v := newThree(t)
+func TestServer_callsOverTransport(t *testing.T) {
+	v := newThreeServers(t)
 	leader := v.leader(t, 0)
 	other := leader%3 + 1
-	if err := v.client.Say(t.Context(), v.at[other], commands.Word{Zone: "a", Do: commands.DoHold, Reason: "r", Until: 1 << 60}); err != nil {
+	if err := v.client.ApplyOverride(t.Context(), v.at[other], commands.Override{Zone: "a", Action: commands.OverrideFreeze, Reason: "r", Until: 1 << 60}); err != nil {
 		t.Errorf("a voter that does not lead passes nothing on: %v", err)
 	}
-	if err := v.client.Say(t.Context(), v.at[other], commands.Word{Zone: "a", Do: "burn"}); err == nil || !strings.Contains(err.Error(), "burn") {
+	if err := v.client.ApplyOverride(t.Context(), v.at[other], commands.Override{Zone: "a", Action: "burn"}); err == nil || !strings.Contains(err.Error(), "burn") {
 		t.Errorf("nonsense: %v", err)
 	}
 	if _, err := v.client.Report(t.Context(), v.at[other], follower.Report{Fleet: "g", Name: "n", Zone: "a"}); err == nil || !strings.Contains(err.Error(), `not "g"`) {
--- a/internal/node/zones/simulation/failures_test.go
+++ b/internal/node/zones/simulation/failures_test.go
@@ -8,7 +8,7 @@
 // Each day causes one of the hard cases on purpose; the drawn days may or may not.
 
 // hard plays a day on several seeds, and holds what must always be so besides.
-func hard(t *testing.T, day func(seed uint64) Day, check func(Result) string) {
+func hard(t *testing.T, day func(seed uint64) Scenario, check func(Result) string) {
 	t.Helper()
 	for seed := range uint64(5) {
 		r := play(t, day(seed+1))
@@ -23,13 +23,13 @@
 func leftInTime(within, held time.Duration) func(Result) string {
 	return func(r Result) string {
 		switch {
-		case r.Left == 0:
+		case r.Evacuations == 0:
 			return "never left"
-		case r.LeftAt > within:
+		case r.EvacuatedAfter > within:
 			return "left late"
-		case r.AllLeft == 0 || r.AllLeft > held:
+		case r.EvacuationSpread == 0 || r.EvacuationSpread > held:
 			return "not held by all in time"
-		case r.Felled > 0:
+		case r.Overloads > 0:
 			return "felled on return"
 		}
 		return ""
@@ -38,22 +38,22 @@
 
 // The leader dies while a zone fails, about when the order is made and spread: another makes
 // or spreads it. Who does not hold it within a second waits for an election: the leader has died amid the spread.
-func TestLeaderDiesBetweenOrderAndSpread(t *testing.T) {
+func TestRun_leaderCrashBetweenCommitAndSpread(t *testing.T) {
 	const election = 500 * time.Millisecond
 	days, slow := 0, 0
 	for after := 1200 * time.Millisecond; after < 3*time.Second; after += 100 * time.Millisecond {
-		hard(t, func(seed uint64) Day {
-			d := Plain(seed)
-			d.Troubles = []Trouble{{Kind: ZoneBreaks, At: 5 * time.Second, For: 8 * time.Second, Zone: "b", ColdBack: true},
-				{Kind: LeaderDies, At: 5*time.Second + after, For: 3 * time.Second}}
+		hard(t, func(seed uint64) Scenario {
+			d := Baseline(seed)
+			d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 8 * time.Second, Zone: "b", WarmsUp: true},
+				{Kind: LeaderCrash, At: 5*time.Second + after, Duration: 3 * time.Second}}
 			return d
 		}, func(r Result) string {
 			days++
 			held := time.Second
-			if r.AllLeft > held {
+			if r.EvacuationSpread > held {
 				slow++
 			}
-			if r.LeftAt <= after && after < r.LeftAt+r.AllLeft {
+			if r.EvacuatedAfter <= after && after < r.EvacuatedAfter+r.EvacuationSpread {
 				held += election
 			}
 			return leftInTime(5*time.Second, held)(r)
@@ -65,28 +65,28 @@
 }
 
 // The zone that fails holds two of five voters, the leader being one of them as often as not.
-func TestFailingZoneHoldsTwoOfFiveVoters(t *testing.T) {
-	hard(t, func(seed uint64) Day {
-		d := Plain(seed)
+func TestRun_failingZoneWithTwoOfFiveVoters(t *testing.T) {
+	hard(t, func(seed uint64) Scenario {
+		d := Baseline(seed)
 		d.Voters = 5 // of three zones: a and b have two each
-		d.Troubles = []Trouble{{Kind: ZoneDies, At: 5 * time.Second, For: 8 * time.Second, Zone: "a", ColdBack: true}}
+		d.Faults = []Fault{{Kind: ZoneCrash, At: 5 * time.Second, Duration: 8 * time.Second, Zone: "a", WarmsUp: true}}
 		return d
 	}, leftInTime(5*time.Second, time.Second))
 }
 
 // A minority keeps serving and orders nothing: of three voters two are gone, and a zone fails.
-func TestMinorityOrdersNothing(t *testing.T) {
-	hard(t, func(seed uint64) Day {
-		d := Plain(seed)
-		d.Troubles = []Trouble{{Kind: Crash, At: 4 * time.Second, For: 20 * time.Second, Process: "v1"},
-			{Kind: Crash, At: 4 * time.Second, For: 20 * time.Second, Process: "v2"},
-			{Kind: ZoneBreaks, At: 8 * time.Second, For: 8 * time.Second, Zone: "c"}}
+func TestRun_minorityCommitsNothing(t *testing.T) {
+	hard(t, func(seed uint64) Scenario {
+		d := Baseline(seed)
+		d.Faults = []Fault{{Kind: ProcessCrash, At: 4 * time.Second, Duration: 20 * time.Second, Process: "v1"},
+			{Kind: ProcessCrash, At: 4 * time.Second, Duration: 20 * time.Second, Process: "v2"},
+			{Kind: ZoneErrors, At: 8 * time.Second, Duration: 8 * time.Second, Zone: "c"}}
 		return d
 	}, func(r Result) string {
-		if r.Left > 0 && r.LeftAt < 20*time.Second {
+		if r.Evacuations > 0 && r.EvacuatedAfter < 20*time.Second {
 			return "a minority has left a zone"
 		}
-		if r.TroubleOK < 0.9*r.Trouble {
+		if r.ServedDuringFaults < 0.9*r.OfferedDuringFaults {
 			return "nodes without orders do not look after themselves"
 		}
 		return ""
@@ -95,26 +95,26 @@
 
 // Two of five zones fail within two seconds: both are left. Three would be more than half: the
 // third is not.
-func TestTwoZonesFailWithinSeconds(t *testing.T) {
-	two := func(seed uint64) Day {
-		d := Plain(seed)
+func TestRun_twoZonesFailWithinSeconds(t *testing.T) {
+	two := func(seed uint64) Scenario {
+		d := Baseline(seed)
 		d.Zones, d.Voters, d.Nodes = 5, 5, 15
-		d.Troubles = []Trouble{{Kind: ZoneBreaks, At: 5 * time.Second, For: 9 * time.Second, Zone: "b"},
-			{Kind: ZoneBreaks, At: 7 * time.Second, For: 7 * time.Second, Zone: "d"}}
+		d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 9 * time.Second, Zone: "b"},
+			{Kind: ZoneErrors, At: 7 * time.Second, Duration: 7 * time.Second, Zone: "d"}}
 		return d
 	}
 	hard(t, two, func(r Result) string {
-		if r.Left != 2 {
+		if r.Evacuations != 2 {
 			return "not both were left"
 		}
 		return ""
 	})
-	hard(t, func(seed uint64) Day {
+	hard(t, func(seed uint64) Scenario {
 		d := two(seed)
-		d.Troubles = append(d.Troubles, Trouble{Kind: ZoneBreaks, At: 9 * time.Second, For: 5 * time.Second, Zone: "e"})
+		d.Faults = append(d.Faults, Fault{Kind: ZoneErrors, At: 9 * time.Second, Duration: 5 * time.Second, Zone: "e"})
 		return d
 	}, func(r Result) string {
-		if r.Left > 2 {
+		if r.Evacuations > 2 {
 			return "more than half was left"
 		}
 		return ""
@@ -122,15 +122,15 @@
 }
 
 // A zone fails again while it is re-entered: it is left again, and rests longer.
-func TestFailsWhileReentered(t *testing.T) {
-	hard(t, func(seed uint64) Day {
-		d := Plain(seed)
+func TestRun_failureDuringSlowStart(t *testing.T) {
+	hard(t, func(seed uint64) Scenario {
+		d := Baseline(seed)
 		d.Length = 50 * time.Second
-		d.Troubles = []Trouble{{Kind: ZoneBreaks, At: 5 * time.Second, For: 4 * time.Second, Zone: "b", ColdBack: true},
-			{Kind: ZoneBreaks, At: 14 * time.Second, For: 5 * time.Second, Zone: "b", ColdBack: true}}
+		d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 4 * time.Second, Zone: "b", WarmsUp: true},
+			{Kind: ZoneErrors, At: 14 * time.Second, Duration: 5 * time.Second, Zone: "b", WarmsUp: true}}
 		return d
 	}, func(r Result) string {
-		if r.Left < 1 || r.Returned == 0 {
+		if r.Evacuations < 1 || r.RecoveryTime == 0 {
 			return "not left, or never whole again"
 		}
 		return ""
@@ -139,20 +139,20 @@
 
 // A node restarted, and all processes restarted, amid a ramp: it goes on from its step, and no
 // process sends more there than the step allows (held after every event). The restart waits for a step of the ramp.
-func TestRestartsAmidTheRamp(t *testing.T) {
-	for _, again := range []Trouble{{Kind: Crash, For: 300 * time.Millisecond, Process: "n4"}, {Kind: AllRestart}} {
-		hard(t, func(seed uint64) Day {
-			d := Plain(seed)
+func TestRun_restartsDuringSlowStart(t *testing.T) {
+	for _, again := range []Fault{{Kind: ProcessCrash, Duration: 300 * time.Millisecond, Process: "n4"}, {Kind: AllRestart}} {
+		hard(t, func(seed uint64) Scenario {
+			d := Baseline(seed)
 			d.Length = 45 * time.Second
-			again.At, again.Amid = 10*time.Second, "b"
-			again.Share = []float64{1. / 16, 1. / 8, 1. / 4}[seed%3]
-			d.Troubles = []Trouble{{Kind: ZoneBreaks, At: 5 * time.Second, For: 5 * time.Second, Zone: "b", ColdBack: true}, again}
+			again.At, again.DuringSlowStartOf = 10*time.Second, "b"
+			again.MinShare = []float64{1. / 16, 1. / 8, 1. / 4}[seed%3]
+			d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 5 * time.Second, Zone: "b", WarmsUp: true}, again}
 			return d
 		}, func(r Result) string {
-			if r.Left == 0 || r.Returned == 0 || r.Felled > 0 {
+			if r.Evacuations == 0 || r.RecoveryTime == 0 || r.Overloads > 0 {
 				return "not left, never whole again, or felled"
 			}
-			if !r.Rising {
+			if !r.FaultDuringSlowStart {
 				return "the day has no restart amid a ramp"
 			}
 			return ""
--- a/internal/node/zones/simulation/faults.go
+++ b/internal/node/zones/simulation/faults.go
@@ -7,125 +7,125 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// lookEvery is how often a trouble that waits for a rise looks for it.
-const lookEvery = 10 * time.Millisecond
+// slowStartPollInterval is how often a trouble that waits for a rise looks for it.
+const slowStartPollInterval = 10 * time.Millisecond
 
-// plan has a trouble begin at its time, or amid the rise that it waits for.
-func (w *world) plan(t Trouble) {
-	if t.Amid == "" {
-		w.trouble(t)
+// scheduleWhenDue has a trouble begin at its time, or amid the rise that it waits for.
+func (w *simulation) scheduleWhenDue(fault Fault) {
+	if fault.DuringSlowStartOf == "" {
+		w.schedule(fault)
 		return
 	}
-	w.line.Add(begins+t.At, func() { w.await(t) })
+	w.timers.Add(startTime+fault.At, func() { w.awaitSlowStart(fault) })
 }
 
-func (w *world) await(t Trouble) {
-	if !w.rises(t.Amid, t.Share) {
-		w.after(lookEvery, func() { w.await(t) })
+func (w *simulation) awaitSlowStart(fault Fault) {
+	if !w.isInSlowStart(fault.DuringSlowStartOf, fault.MinShare) {
+		w.after(slowStartPollInterval, func() { w.awaitSlowStart(fault) })
 		return
 	}
-	w.result.Rising = true
-	t.At = w.now - begins
-	w.trouble(t)
+	w.result.FaultDuringSlowStart = true
+	fault.At = w.now - startTime
+	w.schedule(fault)
 }
 
-// rises tells whether the leader has a zone rise with at least a share.
-func (w *world) rises(zone string, share float64) bool {
+// isInSlowStart tells whether the leader has a zone rise with at least a share.
+func (w *simulation) isInSlowStart(zone string, share float64) bool {
 	p := w.leader()
 	if p == nil {
 		return false
 	}
-	z := p.voter.v.Table().Of(zone)
-	return z.Phase == commands.Rising && z.Share >= share
+	z := p.voter.replica.Table().Zone(zone)
+	return z.Phase == commands.PhaseSlowStart && z.Share >= share
 }
 
-// trouble plans one at its time.
-func (w *world) trouble(t Trouble) {
-	at, until := begins+t.At, begins+t.At+t.For
-	if w.first == 0 || at < w.first {
-		w.first = at
+// schedule plans one at its time.
+func (w *simulation) schedule(fault Fault) {
+	at, until := startTime+fault.At, startTime+fault.At+fault.Duration
+	if w.firstFaultAt == 0 || at < w.firstFaultAt {
+		w.firstFaultAt = at
 	}
-	w.last = max(w.last, until)
-	plan := func(on, off func()) {
-		w.line.Add(at, on)
-		w.line.Add(until, off)
+	w.lastFaultEnd = max(w.lastFaultEnd, until)
+	between := func(on, off func()) {
+		w.timers.Add(at, on)
+		w.timers.Add(until, off)
 	}
-	z := w.state[t.Zone]
-	cold := func() {
-		if t.ColdBack {
-			z.cold, z.fell = w.now, false
+	zone := w.zoneStates[fault.Zone]
+	recovered := func() {
+		if fault.WarmsUp {
+			zone.warmingSince, zone.overloaded = w.now, false
 		}
-		w.ended[t.Zone] = w.now
+		w.faultEndedAt[fault.Zone] = w.now
 	}
-	p := w.find(t.Process)
-	there := w.in(t.Zone)
-	switch t.Kind {
-	case ZoneDies:
-		plan(func() {
-			z.dead = true
-			each(there, func(p *process) {
+	p := w.processNamed(fault.Process)
+	processes := w.processesIn(fault.Zone)
+	switch fault.Kind {
+	case ZoneCrash:
+		between(func() {
+			zone.crashed = true
+			each(processes, func(p *process) {
 				if !p.down {
 					p.crash()
 				}
 			})
 		}, func() {
-			z.dead = false
-			cold()
-			each(there, func(p *process) {
+			zone.crashed = false
+			recovered()
+			each(processes, func(p *process) {
 				if p.down {
 					p.start()
 				}
 			})
 		})
-	case ZoneBreaks:
-		plan(func() { z.broken = true }, func() { z.broken = false; cold() })
+	case ZoneErrors:
+		between(func() { zone.erroring = true }, func() { zone.erroring = false; recovered() })
 	case ZoneSlow:
-		plan(func() { z.slow = true }, func() { z.slow = false; w.ended[t.Zone] = w.now })
+		between(func() { zone.isSlow = true }, func() { zone.isSlow = false; w.faultEndedAt[fault.Zone] = w.now })
 	case ZoneFlaps:
 		for i := time.Duration(0); i < 4; i++ {
-			w.line.Add(at+i*t.For/4, func() { z.broken = i%2 == 0 })
+			w.timers.Add(at+i*fault.Duration/4, func() { zone.erroring = i%2 == 0 })
 		}
-		w.line.Add(until, func() { z.broken = false; cold() })
-	case SomeBad:
-		plan(func() { z.partBad = 0.2 }, func() { z.partBad = 0 })
-	case LinkCut:
-		plan(func() { w.net.block(t.Zone, t.Other); w.net.block(t.Other, t.Zone) },
-			func() { w.net.heal(t.Zone, t.Other); w.net.heal(t.Other, t.Zone) })
-	case OneWay:
-		plan(func() { w.net.block(t.Zone, t.Other) }, func() { w.net.heal(t.Zone, t.Other) })
-	case ZoneCutOff:
-		plan(func() { w.net.isolate(t.Zone) }, func() { w.net.mend(t.Zone); w.ended[t.Zone] = w.now })
-	case OneCut:
-		plan(func() { w.net.block(t.Process, "*"); w.net.block("*", t.Process) },
-			func() { w.net.heal(t.Process, "*"); w.net.heal("*", t.Process) })
-	case Crowd:
-		plan(func() { w.crowd = 2.4 }, func() { w.crowd = 1 })
-	case Crash:
-		plan(func() { w.stop(p) }, func() { w.up(p) })
-	case Frozen:
-		plan(func() {
+		w.timers.Add(until, func() { zone.erroring = false; recovered() })
+	case SomeWorkersFail:
+		between(func() { zone.failingFraction = 0.2 }, func() { zone.failingFraction = 0 })
+	case LinkPartition:
+		between(func() { w.network.block(fault.Zone, fault.Other); w.network.block(fault.Other, fault.Zone) },
+			func() { w.network.unblock(fault.Zone, fault.Other); w.network.unblock(fault.Other, fault.Zone) })
+	case OneWayPartition:
+		between(func() { w.network.block(fault.Zone, fault.Other) }, func() { w.network.unblock(fault.Zone, fault.Other) })
+	case ZoneIsolated:
+		between(func() { w.network.isolate(fault.Zone) }, func() { w.network.reconnect(fault.Zone); w.faultEndedAt[fault.Zone] = w.now })
+	case ProcessIsolated:
+		between(func() { w.network.block(fault.Process, "*"); w.network.block("*", fault.Process) },
+			func() { w.network.unblock(fault.Process, "*"); w.network.unblock("*", fault.Process) })
+	case LoadBurst:
+		between(func() { w.loadFactor = 2.4 }, func() { w.loadFactor = 1 })
+	case ProcessCrash:
+		between(func() { w.crashProcess(p) }, func() { w.startProcess(p) })
+	case ProcessPause:
+		between(func() {
 			if !p.down {
-				p.freeze()
+				p.pause()
 			}
 		}, func() {
-			if p.frozen {
-				p.thaw()
+			if p.paused {
+				p.resume()
 			}
 		})
-	case LeaderDies:
-		w.line.Add(at, func() {
+	case LeaderCrash:
+		w.timers.Add(at, func() {
 			if p := w.leader(); p != nil {
 				p.crash()
-				w.line.Add(until, func() { w.up(p) })
+				w.timers.Add(until, func() { w.startProcess(p) })
 			}
 		})
 	case AllRestart:
 		for _, p := range append(slices.Clone(w.voters), w.nodes...) {
 			down := at + time.Duration(w.rng.Int64N(int64(time.Second)))
-			w.line.Add(down, func() { w.stop(p) })
-			w.line.Add(down+time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.up(p) })
+			w.timers.Add(down, func() { w.crashProcess(p) })
+			w.timers.Add(down+time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.startProcess(p) })
 		}
 	default:
-		w.violate("no such trouble: %s", t.Kind)
+		w.violate("no such trouble: %s", fault.Kind)
 	}
 }
--- a/internal/node/zones/simulation/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -13,32 +13,32 @@
 
 // process is one of the fleet's, with a clock of its own.
 type process struct {
-	w      *world
-	name   string
-	zone   string
-	down   bool
-	frozen bool
-	later  []func() // what came while it was frozen
-	life   int      // raised by each start
-	rate   float64  // of its clock
-	voter  *voterProcess
-	node   *nodeProcess
+	simulation  *simulation
+	name        string
+	zone        string
+	down        bool
+	paused      bool
+	deferred    []func() // what came while it was frozen
+	incarnation int      // raised by each start
+	clockRate   float64  // of its clock
+	voter       *voterProcess
+	node        *nodeProcess
 }
 
 // now is the time on the process's own clock.
-func (p *process) now() time.Duration { return time.Duration(float64(p.w.now) * p.rate) }
+func (p *process) now() time.Duration { return time.Duration(float64(p.simulation.now) * p.clockRate) }
 
 // after has the process do something after a time on its own clock, unless it has ended.
 func (p *process) after(d time.Duration, f func()) {
-	life := p.life
-	p.w.after(time.Duration(float64(d)/p.rate), func() { p.do(life, f) })
+	incarnation := p.incarnation
+	p.simulation.after(time.Duration(float64(d)/p.clockRate), func() { p.do(incarnation, f) })
 }
 
-func (p *process) do(life int, f func()) {
+func (p *process) do(incarnation int, f func()) {
 	switch {
-	case p.down || p.life != life:
-	case p.frozen:
-		p.later = append(p.later, func() { p.do(life, f) })
+	case p.down || p.incarnation != incarnation:
+	case p.paused:
+		p.deferred = append(p.deferred, func() { p.do(incarnation, f) })
 	default:
 		f()
 	}
@@ -47,19 +47,19 @@
 // crash ends it without a word.
 func (p *process) crash() {
 	p.down = true
-	p.life++
-	p.later, p.frozen = nil, false
+	p.incarnation++
+	p.deferred, p.paused = nil, false
 	if p.voter != nil {
-		p.voter.end()
+		p.voter.stop()
 	}
 	if p.node != nil {
-		p.node.f = nil
+		p.node.follower = nil
 	}
 }
 
 func (p *process) start() {
 	p.down = false
-	p.life++
+	p.incarnation++
 	if p.voter != nil {
 		p.voter.start()
 	} else {
@@ -67,12 +67,12 @@
 	}
 }
 
-func (p *process) freeze() { p.frozen = true }
+func (p *process) pause() { p.paused = true }
 
-func (p *process) thaw() {
-	p.frozen = false
-	later := p.later
-	p.later = nil
+func (p *process) resume() {
+	p.paused = false
+	later := p.deferred
+	p.deferred = nil
 	for _, f := range later {
 		f()
 	}
@@ -80,112 +80,112 @@
 
 // disk is what a voter has written through.
 type disk struct {
-	stored replicatedlog.Stored
-	runs   uint64
+	stored replicatedlog.StoredState
+	starts uint64
 	name   string
 }
 
-func (d *disk) write(p replicatedlog.Persist) {
-	if p.HardState != nil {
-		d.stored.HardState = p.HardState
+func (d *disk) write(persist replicatedlog.Persist) {
+	if persist.HardState != nil {
+		d.stored.HardState = persist.HardState
 	}
 	entries := d.stored.Entries
-	if p.Snapshot != nil {
-		d.stored.Snapshot = p.Snapshot
-		if p.Replaces {
+	if persist.Snapshot != nil {
+		d.stored.Snapshot = persist.Snapshot
+		if persist.Replaces {
 			entries = nil
 		}
-		for len(entries) > 0 && entries[0].Index < p.First {
+		for len(entries) > 0 && entries[0].Index < persist.First {
 			entries = entries[1:]
 		}
 	}
-	if len(p.Entries) > 0 {
-		for len(entries) > 0 && entries[len(entries)-1].Index >= p.Entries[0].Index {
+	if len(persist.Entries) > 0 {
+		for len(entries) > 0 && entries[len(entries)-1].Index >= persist.Entries[0].Index {
 			entries = entries[:len(entries)-1]
 		}
-		entries = append(entries[:len(entries):len(entries)], p.Entries...)
+		entries = append(entries[:len(entries):len(entries)], persist.Entries...)
 	}
 	d.stored.Entries = entries
 }
 
 // reopen is what a start finds.
-func (d *disk) reopen() replicatedlog.Stored {
-	d.runs++
+func (d *disk) reopen() replicatedlog.StoredState {
+	d.starts++
 	return d.stored
 }
 
 // voterProcess is a voter with its disk.
 type voterProcess struct {
-	p       *process
-	id      uint64
-	disk    disk
-	v       *replica.Voter
-	writing bool
-	checked uint64        // the last entry applied that the orders were held against
-	born    time.Duration // the voter's clock begins with each start
+	process   *process
+	id        uint64
+	disk      disk
+	replica   *replica.Replica
+	writing   bool
+	checked   uint64        // the last entry applied that the orders were held against
+	startedAt time.Duration // the voter's clock begins with each start
 }
 
-func (v *voterProcess) now() time.Duration { return v.p.now() - v.born }
+func (v *voterProcess) now() time.Duration { return v.process.now() - v.startedAt }
 
 func (v *voterProcess) start() {
-	d := v.p.w.day
-	rules := d.Voter
+	d := v.process.simulation.scenario
+	rules := d.Replica
 	stored := v.disk.reopen()
-	v.born = v.p.now()
-	made, err := replica.New(0, replica.Config{Fleet: "sim", ID: v.id, Store: v.disk.name, Runs: v.disk.runs, Rules: rules, Classes: classes,
-		Rand: rand.New(rand.NewPCG(d.Seed, v.id<<16|v.disk.runs)), Logger: slog.New(slog.DiscardHandler),
-		Wall: func() int64 { return v.p.w.now.Microseconds() }, Without: d.Without}, stored)
+	v.startedAt = v.process.now()
+	made, err := replica.New(0, replica.Config{Fleet: "sim", ID: v.id, Store: v.disk.name, Starts: v.disk.starts, Settings: rules, Classes: classes,
+		Rand: rand.New(rand.NewPCG(d.Seed, v.id<<16|v.disk.starts)), Logger: slog.New(slog.DiscardHandler),
+		WallClock: func() int64 { return v.process.simulation.now.Microseconds() }, DisabledCheck: d.DisabledCheck}, stored)
 	if err != nil {
-		v.p.w.violate("voter %s does not start: %v", v.p.name, err)
+		v.process.simulation.violate("voter %s does not start: %v", v.process.name, err)
 		return
 	}
-	v.v, v.writing, v.checked = made, false, 0
+	v.replica, v.writing, v.checked = made, false, 0
 	v.tick()
 }
 
-func (v *voterProcess) end() { v.v = nil }
+func (v *voterProcess) stop() { v.replica = nil }
 
 func (v *voterProcess) tick() {
-	v.v.Tick(v.now())
+	v.replica.Tick(v.now())
 	v.flush()
-	v.p.after(v.p.w.day.Voter.Tick, v.tick)
+	v.process.after(v.process.simulation.scenario.Replica.Tick, v.tick)
 }
 
 // flush writes through what is next, and sends what may go out.
 func (v *voterProcess) flush() {
-	w := v.p.w
-	if err := v.v.Broken(); err != nil {
-		w.violate("voter %s: %v", v.p.name, err)
-		v.p.crash()
+	w := v.process.simulation
+	if err := v.replica.Err(); err != nil {
+		w.violate("voter %s: %v", v.process.name, err)
+		v.process.crash()
 		return
 	}
 	if !v.writing {
-		if persist, ok := v.v.Next(); ok {
+		if persist, ok := v.replica.NextPersist(); ok {
 			v.writing = true
 			written := func() {
 				v.disk.write(persist)
-				v.v.Done(persist)
+				v.replica.Persisted(persist)
 				v.writing = false
 				w.checkLog(v)
 				v.flush()
 			}
-			if w.day.Without == "write" {
+			if w.scenario.DisabledCheck == "write" {
 				// Said before it is written through: a crash takes it back.
-				v.v.Done(persist)
+				v.replica.Persisted(persist)
 				w.checkLog(v)
-				v.p.after(w.day.Disk.draw(w.rng), func() { v.disk.write(persist); v.writing = false; v.flush() })
+				v.process.after(w.scenario.DiskLatency.draw(w.rng), func() { v.disk.write(persist); v.writing = false; v.flush() })
 			} else {
-				v.p.after(w.day.Disk.draw(w.rng), written)
+				v.process.after(w.scenario.DiskLatency.draw(w.rng), written)
 			}
 		}
 	}
-	posts := v.v.Post()
+	posts := v.replica.TakeOutgoing()
 	w.checkLog(v)
 	for _, post := range posts {
 		to := w.voters[post.To-1]
-		w.net.send(v.p, to, func() {
-			to.do(to.life, func() {
-				_ = to.voter.v.Take(to.voter.now(), post.Letter)
+		w.network.send(v.process, to, func() {
+			to.do(to.incarnation, func() {
+				_ = to.voter.replica.Receive(to.voter.now(), post.Message)
 				to.voter.flush()
 			})
 		})
@@ -194,24 +194,24 @@
 
 // nodeProcess is a node that sends work to zones.
 type nodeProcess struct {
-	p      *process
-	number int
-	f      *follower.Follower
-	asks   int // voters asked in vain
-	credit float64
-	epoch  uint64
-	began  time.Duration
+	process       *process
+	number        int
+	follower      *follower.Follower
+	failedReports int // voters asked in vain
+	credit        float64
+	epoch         uint64
+	startedAt     time.Duration
 }
 
-var classes = []failover.Class{{Name: "check", Worth: 2}, {Name: "preview", Worth: 1}, {Name: "book", Worth: 4, Once: true}}
+var classes = []failover.Class{{Name: "check", Value: 2}, {Name: "preview", Value: 1}, {Name: "book", Value: 4, NonIdempotent: true}}
 
 func (n *nodeProcess) start() {
-	d := n.p.w.day
-	n.f = follower.New(n.p.now(), d.Follow, "sim", n.p.name, n.p.zone, uint64(n.p.now().Microseconds())+1, len(classes),
-		rand.New(rand.NewPCG(d.Seed, uint64(n.number)<<20|uint64(n.p.life))))
-	n.f.Without = d.Without
-	n.asks, n.epoch, n.began = 0, 0, n.p.now()
-	if !d.Alone {
+	d := n.process.simulation.scenario
+	n.follower = follower.New(n.process.now(), d.Follower, "sim", n.process.name, n.process.zone, uint64(n.process.now().Microseconds())+1, len(classes),
+		rand.New(rand.NewPCG(d.Seed, uint64(n.number)<<20|uint64(n.process.incarnation))))
+	n.follower.DisabledCheck = d.DisabledCheck
+	n.failedReports, n.epoch, n.startedAt = 0, 0, n.process.now()
+	if !d.Standalone {
 		n.report()
 	}
 	n.work()
@@ -219,72 +219,72 @@
 
 // report tells a voter what is seen, the near one first.
 func (n *nodeProcess) report() {
-	w := n.p.w
-	r, next := n.f.Report(n.p.now())
-	sent := n.p.now()
+	w := n.process.simulation
+	r, next := n.follower.Report(n.process.now())
+	sent := n.process.now()
 	voters := len(w.voters)
-	to := w.voters[(n.number+n.asks)%voters]
+	to := w.voters[(n.number+n.failedReports)%voters]
 	answered := false
-	w.net.send(n.p, to, func() {
-		to.do(to.life, func() {
-			a, err := to.voter.v.Report(to.voter.now(), r)
+	w.network.send(n.process, to, func() {
+		to.do(to.incarnation, func() {
+			a, err := to.voter.replica.HandleReport(to.voter.now(), r)
 			to.voter.flush()
 			if err != nil {
 				return
 			}
-			w.net.send(to, n.p, func() {
-				n.p.do(n.p.life, func() {
+			w.network.send(to, n.process, func() {
+				n.process.do(n.process.incarnation, func() {
 					answered = answered || a.Lease > 0
-					if n.f.Heard(n.p.now(), sent, a) {
-						n.took()
+					if n.follower.HandleResponse(n.process.now(), sent, a) {
+						n.checkTable()
 					}
 				})
 			})
 		})
 	})
-	n.p.after(next, func() {
+	n.process.after(next, func() {
 		if !answered {
-			n.asks++
+			n.failedReports++
 		}
 		n.report()
 	})
 }
 
-// took checks the orders that have been taken up.
-func (n *nodeProcess) took() {
-	w := n.p.w
-	at := n.f.Epoch()
+// checkTable checks the orders that have been taken up.
+func (n *nodeProcess) checkTable() {
+	w := n.process.simulation
+	at := n.follower.Epoch()
 	if at < n.epoch {
-		w.violate("%s went back from epoch %d to %d", n.p.name, n.epoch, at)
+		w.violate("%s went back from epoch %d to %d", n.process.name, n.epoch, at)
 	}
 	n.epoch = at
-	if known, ok := w.tables[at]; ok && at > 0 && known != w.text(n.f.Table()) {
-		w.violate("%s holds other orders of epoch %d than were agreed on", n.p.name, at)
+	if known, ok := w.tablesByEpoch[at]; ok && at > 0 && known != w.encodeTable(n.follower.Table()) {
+		w.violate("%s holds other orders of epoch %d than were agreed on", n.process.name, at)
 	}
 }
 
 // work sends for a tenth of a second.
 func (n *nodeProcess) work() {
-	w, d := n.p.w, n.p.w.day
+	w, d := n.process.simulation, n.process.simulation.scenario
 	const span = 100 * time.Millisecond
-	now := n.p.now()
-	if !d.Alone && d.Without != "ready" && !n.f.Ready(now) {
-		n.p.after(span, n.work) // no client is let in yet
+	now := n.process.now()
+	if !d.Standalone && d.DisabledCheck != "ready" && !n.follower.Ready(now) {
+		n.process.after(span, n.work) // no client is let in yet
 		return
 	}
-	shares := n.f.Shares(now, w.zones)
+	shares := n.follower.Shares(now, w.zones)
 	w.checkShares(n, shares)
 	total := 0.0
 	for _, z := range w.zones {
 		total += shares[z]
 	}
-	rate := d.Rate * w.crowd * span.Seconds()
+	rate := d.Rate * w.loadFactor * span.Seconds()
 	n.credit += rate
 	for ; n.credit >= 1; n.credit-- {
 		class := w.rng.IntN(len(classes))
-		w.result.Asked += classes[class].Worth
-		if w.rng.Float64() >= n.f.Admit(now, classes[class].Name) {
-			w.result.Refused += classes[class].Worth
+		w.result.Offered += classes[class].Value
+		if w.rng.Float64() >= n.follower.AdmittedFraction(now, classes[class].Name) {
+			w.result.Rejected += classes[class].Value
 			continue
 		}
 		at := w.rng.Float64() * total
@@ -296,28 +296,28 @@
 			}
 			at -= shares[z]
 		}
-		n.step(zone, class)
+		n.sendStep(zone, class)
 	}
 	for _, z := range w.zones {
-		n.f.Eyes().Knows(now, z, w.state[z].slots, 1-w.state[z].warm())
+		n.follower.Monitor().SetCapacity(now, z, w.zoneStates[z].slots, 1-w.zoneStates[z].warmCapacity())
 	}
-	n.p.after(span, n.work)
+	n.process.after(span, n.work)
 }
 
-// step sends one step, and sees what becomes of it.
-func (n *nodeProcess) step(zone string, class int) {
-	w := n.p.w
-	sent, life := n.p.now(), n.p.life
-	eyes := n.f.Eyes()
-	eyes.Sent(sent, zone, class, workEach)
-	outcome, after := w.outcome(n, zone)
-	n.p.after(after, func() {
-		if n.p.life != life {
+// sendStep sends one step, and sees what becomes of it.
+func (n *nodeProcess) sendStep(zone string, class int) {
+	w := n.process.simulation
+	sent, incarnation := n.process.now(), n.process.incarnation
+	monitor := n.follower.Monitor()
+	monitor.RecordSent(sent, zone, class, workPerStep)
+	outcome, after := w.stepOutcome(n, zone)
+	n.process.after(after, func() {
+		if n.process.incarnation != incarnation {
 			return
 		}
-		eyes.Note(n.p.now(), sent, zone, outcome)
+		monitor.RecordOutcome(n.process.now(), sent, zone, outcome)
 	})
-	if outcome.Good > 0 && outcome.Late == 0 {
-		w.result.Served += classes[class].Worth
+	if outcome.Succeeded > 0 && outcome.Late == 0 {
+		w.result.Served += classes[class].Value
 	}
 }
--- a/internal/node/zones/simulation/simulation_test.go
+++ b/internal/node/zones/simulation/simulation_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-func play(t interface{ Fatal(...any) }, d Day) Result {
-	r, err := Play(d)
+func play(t interface{ Fatal(...any) }, d Scenario) Result {
+	r, err := Run(d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,19 +18,19 @@
 }
 
 // The same day plays the same, another seed does not.
-func TestSameSeedSameDay(t *testing.T) {
-	a, b := play(t, Mixed(5)), play(t, Mixed(5))
+func TestRun_sameSeedSameResult(t *testing.T) {
+	a, b := play(t, RandomFaults(5)), play(t, RandomFaults(5))
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, then %+v", a, b)
 	}
-	if c := play(t, Mixed(6)); reflect.DeepEqual(a, c) {
+	if c := play(t, RandomFaults(6)); reflect.DeepEqual(a, c) {
 		t.Error("another seed makes no difference")
 	}
 }
 
-func TestNoSuchDay(t *testing.T) {
-	for _, d := range []Day{{}, {Zones: 3}, {Zones: 3, Voters: 1, Nodes: 1, Length: -1}} {
-		if _, err := Play(d); err == nil {
+func TestRun_rejectsInvalidScenario(t *testing.T) {
+	for _, d := range []Scenario{{}, {Zones: 3}, {Zones: 3, Voters: 1, Nodes: 1, Length: -1}} {
+		if _, err := Run(d); err == nil {
 			t.Errorf("%+v is played", d)
 		}
 	}
@@ -38,20 +38,20 @@
 
 // Whatever fails, no voter goes back on what was agreed on, and no process goes by old
 // orders for longer than its lease. The library shrinks a failure to the fewest troubles.
-func TestAgreementHoldsThroughTroubles(t *testing.T) {
-	kinds := []Kind{ZoneDies, ZoneBreaks, ZoneSlow, ZoneFlaps, SomeBad, LinkCut, OneWay, OneCut, ZoneCutOff, Crowd, Crash, LeaderDies, AllRestart, Frozen}
+func TestRun_agreementHoldsThroughFaults(t *testing.T) {
+	kinds := []FaultKind{ZoneCrash, ZoneErrors, ZoneSlow, ZoneFlaps, SomeWorkersFail, LinkPartition, OneWayPartition, ProcessIsolated, ZoneIsolated, LoadBurst, ProcessCrash, LeaderCrash, AllRestart, ProcessPause}
 	rapid.Check(t, func(t *rapid.T) {
-		d := Plain(rapid.Uint64Range(1, 1<<40).Draw(t, "seed"))
+		d := Baseline(rapid.Uint64Range(1, 1<<40).Draw(t, "seed"))
 		d.Length = 20 * time.Second
 		if rapid.Bool().Draw(t, "five") {
 			d.Zones, d.Voters, d.Nodes = 5, 5, 10
 		}
-		d.Loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
-		d.Twice, d.Stray = rapid.Float64Range(0, 0.2).Draw(t, "twice"), rapid.Float64Range(0, 0.1).Draw(t, "stray")
+		d.LossProbability = rapid.Float64Range(0, 0.3).Draw(t, "loss")
+		d.DuplicateProbability, d.ReorderProbability = rapid.Float64Range(0, 0.2).Draw(t, "twice"), rapid.Float64Range(0, 0.1).Draw(t, "stray")
 		for range rapid.IntRange(0, 4).Draw(t, "troubles") {
 			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
 			at := rapid.Uint64().Draw(t, "where")
-			d.Troubles = append(d.Troubles, d.Draw(rand.New(rand.NewPCG(at, 1)), kind))
+			d.Faults = append(d.Faults, d.RandomFault(rand.New(rand.NewPCG(at, 1)), kind))
 		}
 		if r := play(t, d); len(r.Violations) > 0 {
 			t.Fatalf("%v", r.Violations)
@@ -61,18 +61,18 @@
 
 // A zone that fails for all is left once, by all, within a stated time of the order, and
 // takes its whole share again. At 25 operations a second a process and at 2.
-func TestFailingZoneIsLeftByAll(t *testing.T) {
-	for _, kind := range []Kind{ZoneDies, ZoneBreaks} {
+func TestRun_failingZoneIsEvacuated(t *testing.T) {
+	for _, kind := range []FaultKind{ZoneCrash, ZoneErrors} {
 		for seed := range uint64(6) {
-			d := Plain(seed + 1)
+			d := Baseline(seed + 1)
 			d.Length = 40 * time.Second
 			if seed%2 == 1 {
 				d.Nodes, d.Rate = 60, 2
 			}
-			d.Troubles = []Trouble{{Kind: kind, At: 5 * time.Second, For: 6 * time.Second, Zone: "b", ColdBack: true}}
+			d.Faults = []Fault{{Kind: kind, At: 5 * time.Second, Duration: 6 * time.Second, Zone: "b", WarmsUp: true}}
 			r := play(t, d)
-			if len(r.Violations) > 0 || r.Left == 0 || r.LeftAt > 4*time.Second || r.AllLeft == 0 || r.AllLeft > time.Second ||
-				r.Returned == 0 || r.Felled > 0 {
+			if len(r.Violations) > 0 || r.Evacuations == 0 || r.EvacuatedAfter > 4*time.Second || r.EvacuationSpread == 0 || r.EvacuationSpread > time.Second ||
+				r.RecoveryTime == 0 || r.Overloads > 0 {
 				t.Errorf("%s, seed %d: %+v", kind, seed, r)
 			}
 		}
@@ -81,64 +81,64 @@
 
 // Other troubles condemn no zone: a few bad prep workers, one process cut off, a crowd
 // everywhere, processes that die.
-func TestNothingElseLeavesAZone(t *testing.T) {
+func TestRun_harmlessFaultsEvacuateNothing(t *testing.T) {
 	for seed := range uint64(100) {
-		d := Harmless(seed)
-		if r := play(t, d); r.Left > 0 || len(r.Violations) > 0 {
-			t.Errorf("seed %d, %s: left %d times, %v", seed, d.Troubles[0].Kind, r.Left, r.Violations)
+		d := HarmlessFault(seed)
+		if r := play(t, d); r.Evacuations > 0 || len(r.Violations) > 0 {
+			t.Errorf("seed %d, %s: left %d times, %v", seed, d.Faults[0].Kind, r.Evacuations, r.Violations)
 		}
 	}
 }
 
 // Each check of the protocol is there for something: without it the same days show a
 // violation.
-func TestEachCheckIsNeeded(t *testing.T) {
+func TestRun_eachCheckIsNeeded(t *testing.T) {
 	for _, check := range []string{"write", "contact", "epoch", "echo", "start", "ready", "settled"} {
 		found := false
 		for seed := uint64(0); seed < 60 && !found; seed++ {
-			d := Mixed(seed)
+			d := RandomFaults(seed)
 			if check == "write" {
-				d = Restless(seed)
+				d = RepeatedRestarts(seed)
 				if r := play(t, d); len(r.Violations) > 0 {
 					t.Fatalf("seed %d, with all checks: %v", seed, r.Violations)
 				}
 			}
 			if check == "echo" || check == "start" {
 				// The leader's words to a voter take ever longer, and it does not hear the voter.
-				d = Plain(seed)
-				d.Troubles = []Trouble{{Kind: ZoneBreaks, At: 6 * time.Second, For: 10 * time.Second, Zone: "b"}}
-				d.Lag = 6 * time.Second
+				d = Baseline(seed)
+				d.Faults = []Fault{{Kind: ZoneErrors, At: 6 * time.Second, Duration: 10 * time.Second, Zone: "b"}}
+				d.VoterLag = 6 * time.Second
 				if check == "start" {
 					// And it has just been started anew: the leader answers what an earlier start wrote. It has time enough before
 					// it is not heard any more to learn what is agreed on, and the zone breaks soon.
-					d.Troubles[0].At = 5200 * time.Millisecond
-					d.Troubles = append(d.Troubles, Trouble{Kind: Crash, At: 4700 * time.Millisecond, For: 50 * time.Millisecond, Process: "v3"})
+					d.Faults[0].At = 5200 * time.Millisecond
+					d.Faults = append(d.Faults, Fault{Kind: ProcessCrash, At: 4700 * time.Millisecond, Duration: 50 * time.Millisecond, Process: "v3"})
 				}
 			}
 			if check == "epoch" {
 				// Answers overtake each other.
-				d = Restless(seed)
-				d.Troubles = d.Troubles[:1]
-				d.Delay, d.Stray = Span{time.Millisecond, 40 * time.Millisecond}, 0.2
+				d = RepeatedRestarts(seed)
+				d.Faults = d.Faults[:1]
+				d.MessageDelay, d.ReorderProbability = Range{time.Millisecond, 40 * time.Millisecond}, 0.2
 			}
 			if check == "settled" {
 				// All restart soon after an order, and the new leader's messages are lost.
-				d = Plain(seed)
-				d.Loss = 0.22
-				d.Troubles = []Trouble{{Kind: ZoneCutOff, At: 4300 * time.Millisecond, For: 10 * time.Second, Zone: "b"},
+				d = Baseline(seed)
+				d.LossProbability = 0.22
+				d.Faults = []Fault{{Kind: ZoneIsolated, At: 4300 * time.Millisecond, Duration: 10 * time.Second, Zone: "b"},
 					{Kind: AllRestart, At: 6600 * time.Millisecond}}
 			}
 			if check == "ready" {
 				// A node restarts while a zone rises.
-				d = Plain(seed)
-				d.Troubles = []Trouble{{Kind: ZoneBreaks, At: 5 * time.Second, For: 5 * time.Second, Zone: "b", ColdBack: true},
-					{Kind: Crash, At: 20 * time.Second, For: 300 * time.Millisecond, Process: "n4"}}
+				d = Baseline(seed)
+				d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 5 * time.Second, Zone: "b", WarmsUp: true},
+					{Kind: ProcessCrash, At: 20 * time.Second, Duration: 300 * time.Millisecond, Process: "n4"}}
 			}
-			d.Without = check
+			d.DisabledCheck = check
 			if r := play(t, d); len(r.Violations) > 0 {
 				t.Logf("without %q, seed %d: %s", check, seed, r.Violations[0])
 				found = true
-				d.Without = ""
+				d.DisabledCheck = ""
 				if r := play(t, d); len(r.Violations) > 0 {
 					t.Errorf("%q, seed %d, with all checks: %v", check, seed, r.Violations)
 				}
@@ -151,9 +151,9 @@
 }
 
 // At 300 processes a process says as much as at 12.
-func TestCostAProcessIsFlat(t *testing.T) {
+func TestRun_costPerProcessIsFlat(t *testing.T) {
 	each := func(nodes int) float64 {
-		d := Plain(3)
+		d := Baseline(3)
 		d.Nodes, d.Rate, d.Length = nodes, 2, 8*time.Second
 		r := play(t, d)
 		if len(r.Violations) > 0 {
--- a/internal/node/zones/store/store.go
+++ b/internal/node/zones/store/store.go
@@ -22,20 +22,20 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// form is the number of the file's form. A program reads its own form alone. Form 1 held the records of another
+// formatVersion is the number of the file's form. A program reads its own form alone. Form 1 held the records of another
 // consensus library.
-const form = 2
+const formatVersion = 2
 
-const lockWait = 200 * time.Millisecond // for another process to let go of the file
+const lockTimeout = 200 * time.Millisecond // for another process to let go of the file
 
-// mostBytes bounds a file; 0: nothing does but the disk. Tests have one fill.
-var mostBytes = 0
+// maxFileBytes bounds a file; 0: nothing does but the disk. Tests have one fill.
+var maxFileBytes = 0
 
 var (
 	bucketAbout   = []byte("about")
 	bucketState   = []byte("state")
 	bucketEntries = []byte("entries")
-	keyForm       = []byte("form")
+	keyFormat     = []byte("form")
 	keyFleet      = []byte("fleet")
 	keyVoter      = []byte("voter")
 	keyStore      = []byte("store")
@@ -55,37 +55,37 @@
 // Store is an open file. Its methods may wait for the disk: they are called beside the
 // loop, one at a time.
 type Store struct {
-	db   *bbolt.DB
-	path string
-	id   string
-	runs uint64
+	db     *bbolt.DB
+	path   string
+	id     string
+	starts uint64
 }
 
-// Fault is what is wrong with a store. It names the file.
-type Fault struct {
+// Error is what is wrong with a store. It names the file.
+type Error struct {
 	Path string
 	Err  error
 }
 
 // Error names the file and what is wrong with it.
-func (f *Fault) Error() string { return fmt.Sprintf("store %s: %v", f.Path, f.Err) }
+func (e *Error) Error() string { return fmt.Sprintf("store %s: %v", e.Path, e.Err) }
 
 // Unwrap returns what is wrong.
-func (f *Fault) Unwrap() error { return f.Err }
+func (e *Error) Unwrap() error { return e.Err }
 
 // Open opens a voter's store, makes it where there is none, and counts the start, all
 // written through before it returns.
-func Open(path string, owner Owner) (s *Store, stored replicatedlog.Stored, err error) {
+func Open(path string, owner Owner) (s *Store, stored replicatedlog.StoredState, err error) {
 	defer func() {
 		if err != nil {
-			err = &Fault{path, err}
+			err = &Error{path, err}
 		}
 	}()
 	if owner.Voter == 0 || owner.Fleet == "" {
 		return nil, stored, fmt.Errorf("voter %d of the fleet %q: a number above 0 and a name are wanted", owner.Voter, owner.Fleet)
 	}
 	s = &Store{path: path}
-	if err := s.open(); err != nil {
+	if err := s.openFile(); err != nil {
 		return nil, stored, err
 	}
 	defer func() {
@@ -93,17 +93,17 @@
 			_ = s.db.Close()
 		}
 	}()
-	err = guard(func() error {
+	err = recoverPanic(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error {
-			if err := s.whole(tx); err != nil {
+			if err := s.checkSize(tx); err != nil {
 				return err
 			}
 			if tx.Bucket(bucketAbout) == nil {
-				if err := found(tx, owner); err != nil {
+				if err := initialize(tx, owner); err != nil {
 					return err
 				}
 			}
-			if err := s.begin(tx, owner); err != nil {
+			if err := s.verifyAndCountStart(tx, owner); err != nil {
 				return err
 			}
 			var err error
@@ -114,14 +114,14 @@
 	return s, stored, err
 }
 
-// open maps the file. Where it is cut short the library meets pages that are not there.
-func (s *Store) open() error {
+// openFile maps the file. Where it is cut short the library meets pages that are not there.
+func (s *Store) openFile() error {
 	info, err := os.Stat(s.path)
 	if err == nil && info.Size() == 0 {
 		return errors.New("it is empty: it was cut, or is not a store; a new store begins without a file")
 	}
-	return guard(func() (err error) {
-		s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockWait, FreelistType: bbolt.FreelistArrayType, MaxSize: mostBytes})
+	return recoverPanic(func() (err error) {
+		s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistArrayType, MaxSize: maxFileBytes})
 		switch {
 		case errors.Is(err, bbolterrors.ErrTimeout):
 			return errors.New("another process has it open")
@@ -132,8 +132,8 @@
 	})
 }
 
-// whole tells whether all pages that the file speaks of are there.
-func (s *Store) whole(tx *bbolt.Tx) error {
+// checkSize tells whether all pages that the file speaks of are there.
+func (s *Store) checkSize(tx *bbolt.Tx) error {
 	info, err := os.Stat(s.path)
 	if err != nil {
 		return err
@@ -144,19 +144,19 @@
 	return nil
 }
 
-// guard makes an error of what reading a damaged file panics with.
-func guard(f func() error) (err error) {
+// recoverPanic makes an error of what reading a damaged file panics with.
+func recoverPanic(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("it is damaged: %v", r)
 		}
 	}()
-	return f()
+	return read()
 }
 
-// found writes an empty store.
-func found(tx *bbolt.Tx, owner Owner) error {
+// initialize writes an empty store.
+func initialize(tx *bbolt.Tx, owner Owner) error {
 	about, err := tx.CreateBucket(bucketAbout)
 	if err != nil {
 		return err
@@ -172,79 +172,79 @@
 	if _, err := rand.Read(id); err != nil {
 		return err
 	}
-	for _, v := range []struct{ key, value []byte }{{keyForm, number(form)}, {keyFleet, []byte(owner.Fleet)},
-		{keyVoter, number(owner.Voter)}, {keyStore, id}, {keyStarts, number(0)}} {
-		if err := put(about, v.key, v.value); err != nil {
+	for _, pair := range []struct{ key, value []byte }{{keyFormat, encodeUint64(formatVersion)}, {keyFleet, []byte(owner.Fleet)},
+		{keyVoter, encodeUint64(owner.Voter)}, {keyStore, id}, {keyStarts, encodeUint64(0)}} {
+		if err := putChecked(about, pair.key, pair.value); err != nil {
 			return err
 		}
 	}
 	if len(owner.Voters) == 0 {
 		return nil
 	}
-	return put(state, keySnapshot, replicatedlog.EncodeSnapshot(*replicatedlog.Founding(owner.Voters).Snapshot))
+	return putChecked(state, keySnapshot, replicatedlog.EncodeSnapshot(*replicatedlog.Bootstrap(owner.Voters).Snapshot))
 }
 
-// begin holds the store against who opens it, and counts the start.
-func (s *Store) begin(tx *bbolt.Tx, owner Owner) error {
+// verifyAndCountStart holds the store against who opens it, and counts the start.
+func (s *Store) verifyAndCountStart(tx *bbolt.Tx, owner Owner) error {
 	about := tx.Bucket(bucketAbout)
 	if tx.Bucket(bucketState) == nil || tx.Bucket(bucketEntries) == nil {
 		return errors.New("it is no store of a voter")
 	}
-	read := func(key []byte) uint64 { v, _ := get(about, key); return numberOf(v) }
-	if at := read(keyForm); at != form {
-		return fmt.Errorf("it has the form %d, this program reads form %d", at, form)
+	readUint64 := func(key []byte) uint64 { v, _ := getChecked(about, key); return decodeUint64(v) }
+	if at := readUint64(keyFormat); at != formatVersion {
+		return fmt.Errorf("it has the form %d, this program reads form %d", at, formatVersion)
 	}
-	fleet, err := get(about, keyFleet)
+	fleet, err := getChecked(about, keyFleet)
 	if err != nil {
 		return err
 	}
-	if string(fleet) != owner.Fleet || read(keyVoter) != owner.Voter {
-		return fmt.Errorf("it belongs to voter %d of the fleet %q, not to voter %d of %q", read(keyVoter), fleet, owner.Voter, owner.Fleet)
+	if string(fleet) != owner.Fleet || readUint64(keyVoter) != owner.Voter {
+		return fmt.Errorf("it belongs to voter %d of the fleet %q, not to voter %d of %q", readUint64(keyVoter), fleet, owner.Voter, owner.Fleet)
 	}
-	id, err := get(about, keyStore)
+	id, err := getChecked(about, keyStore)
 	if err != nil {
 		return err
 	}
-	starts, err := get(about, keyStarts)
+	starts, err := getChecked(about, keyStarts)
 	if err != nil {
 		return err
 	}
-	s.id, s.runs = hex.EncodeToString(id), numberOf(starts)+1
-	return put(about, keyStarts, number(s.runs))
+	s.id, s.starts = hex.EncodeToString(id), decodeUint64(starts)+1
+	return putChecked(about, keyStarts, encodeUint64(s.starts))
 }
 
-func load(tx *bbolt.Tx) (stored replicatedlog.Stored, err error) {
+func load(tx *bbolt.Tx) (stored replicatedlog.StoredState, err error) {
 	state := tx.Bucket(bucketState)
-	if stored.HardState, err = record(state, keyHard, replicatedlog.DecodeHardState); err != nil {
+	if stored.HardState, err = readRecord(state, keyHard, replicatedlog.DecodeHardState); err != nil {
 		return stored, err
 	}
-	if stored.Snapshot, err = record(state, keySnapshot, replicatedlog.DecodeSnapshot); err != nil {
+	if stored.Snapshot, err = readRecord(state, keySnapshot, replicatedlog.DecodeSnapshot); err != nil {
 		return stored, err
 	}
 	return stored, tx.Bucket(bucketEntries).ForEach(func(k, v []byte) error {
-		text, err := open(k, v)
+		data, err := verifyChecksum(k, v)
 		if err != nil {
-			return fmt.Errorf("entry %d: %w", numberOf(k), err)
+			return fmt.Errorf("entry %d: %w", decodeUint64(k), err)
 		}
-		entry, err := replicatedlog.DecodeEntry(text)
+		entry, err := replicatedlog.DecodeEntry(data)
 		if err != nil {
-			return fmt.Errorf("entry %d: %w", numberOf(k), err)
+			return fmt.Errorf("entry %d: %w", decodeUint64(k), err)
 		}
-		if entry.Index != numberOf(k) {
-			return fmt.Errorf("entry %d stands in the place of entry %d", entry.Index, numberOf(k))
+		if entry.Index != decodeUint64(k) {
+			return fmt.Errorf("entry %d stands in the place of entry %d", entry.Index, decodeUint64(k))
 		}
 		stored.Entries = append(stored.Entries, entry)
 		return nil
 	})
 }
 
-// record reads one record; nil: none is there.
-func record[T any](b *bbolt.Bucket, key []byte, decode func([]byte) (T, error)) (*T, error) {
-	text, err := get(b, key)
-	if err != nil || text == nil {
+// readRecord reads one record; nil: none is there.
+func readRecord[T any](bucket *bbolt.Bucket, key []byte, decode func([]byte) (T, error)) (*T, error) {
+	data, err := getChecked(bucket, key)
+	if err != nil || data == nil {
 		return nil, err
 	}
-	value, err := decode(text)
+	value, err := decode(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
 	}
@@ -253,36 +253,36 @@
 
 // ID names this file; a store made anew has another. Starts is how often it was opened.
 func (s *Store) ID() string     { return s.id }
-func (s *Store) Starts() uint64 { return s.runs }
+func (s *Store) Starts() uint64 { return s.starts }
 
 // Write writes through. After an error nothing of it counts as written, and
 // nothing more is to be written in this run: what the file holds is known at the next.
-func (s *Store) Write(p replicatedlog.Persist) error {
-	if p.Empty() {
+func (s *Store) Write(persist replicatedlog.Persist) error {
+	if persist.Empty() {
 		return nil
 	}
-	if err := s.db.Update(func(tx *bbolt.Tx) error { return writeRecords(tx, p) }); err != nil {
-		return &Fault{s.path, fmt.Errorf("cannot be written: %w", err)}
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return writeRecords(tx, persist) }); err != nil {
+		return &Error{s.path, fmt.Errorf("cannot be written: %w", err)}
 	}
 	return nil
 }
 
-func writeRecords(tx *bbolt.Tx, p replicatedlog.Persist) error {
+func writeRecords(tx *bbolt.Tx, persist replicatedlog.Persist) error {
 	state, entries := tx.Bucket(bucketState), tx.Bucket(bucketEntries)
-	if p.HardState != nil {
-		if err := put(state, keyHard, replicatedlog.EncodeHardState(*p.HardState)); err != nil {
+	if persist.HardState != nil {
+		if err := putChecked(state, keyHard, replicatedlog.EncodeHardState(*persist.HardState)); err != nil {
 			return err
 		}
 	}
-	if p.Snapshot != nil {
-		if err := put(state, keySnapshot, replicatedlog.EncodeSnapshot(*p.Snapshot)); err != nil {
+	if persist.Snapshot != nil {
+		if err := putChecked(state, keySnapshot, replicatedlog.EncodeSnapshot(*persist.Snapshot)); err != nil {
 			return err
 		}
-		if err := drop(entries, func(index uint64) bool { return p.Replaces || index < p.First }); err != nil {
+		if err := deleteEntries(entries, func(index uint64) bool { return persist.Replaces || index < persist.First }); err != nil {
 			return err
 		}
 	}
-	return writeEntries(entries, p.Entries)
+	return writeEntries(entries, persist.Entries)
 }
 
 // writeEntries writes entries in place of all from the first one's index on.
@@ -290,11 +290,11 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := drop(bucket, func(index uint64) bool { return index >= entries[0].Index }); err != nil {
+	if err := deleteEntries(bucket, func(index uint64) bool { return index >= entries[0].Index }); err != nil {
 		return err
 	}
 	for _, entry := range entries {
-		if err := put(bucket, number(entry.Index), replicatedlog.EncodeEntry(entry)); err != nil {
+		if err := putChecked(bucket, encodeUint64(entry.Index), replicatedlog.EncodeEntry(entry)); err != nil {
 			return err
 		}
 	}
@@ -304,11 +304,11 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// drop removes the entries that f picks. They are few: snapshots see to that.
-func drop(entries *bbolt.Bucket, f func(index uint64) bool) error {
+// deleteEntries removes the entries that f picks. They are few: snapshots see to that.
+func deleteEntries(entries *bbolt.Bucket, match func(index uint64) bool) error {
 	var keys [][]byte
 	if err := entries.ForEach(func(k, _ []byte) error {
-		if f(numberOf(k)) {
+		if match(decodeUint64(k)) {
 			keys = append(keys, bytes.Clone(k))
 		}
 		return nil
@@ -323,40 +323,40 @@
 	return nil
 }
 
-func number(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
+func encodeUint64(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
 
-func numberOf(v []byte) uint64 {
-	if len(v) != 8 {
+func decodeUint64(data []byte) uint64 {
+	if len(data) != 8 {
 		return 0
 	}
-	return binary.BigEndian.Uint64(v)
+	return binary.BigEndian.Uint64(data)
 }
 
-// put writes a value behind the checksum of key and value.
-func put(b *bbolt.Bucket, key, value []byte) error {
-	return b.Put(key, append(binary.BigEndian.AppendUint32(nil, sum(key, value)), value...))
+// putChecked writes a value behind the checksum of key and value.
+func putChecked(bucket *bbolt.Bucket, key, value []byte) error {
+	return bucket.Put(key, append(binary.BigEndian.AppendUint32(nil, checksum(key, value)), value...))
 }
 
-// get reads a value; nil: none is there.
-func get(b *bbolt.Bucket, key []byte) ([]byte, error) {
-	v := b.Get(key)
-	if v == nil {
+// getChecked reads a value; nil: none is there.
+func getChecked(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
+	stored := bucket.Get(key)
+	if stored == nil {
 		return nil, nil
 	}
-	text, err := open(key, v)
+	data, err := verifyChecksum(key, stored)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
 	}
-	return text, nil
+	return data, nil
 }
 
-func open(key, v []byte) ([]byte, error) {
-	if len(v) < 4 || binary.BigEndian.Uint32(v) != sum(key, v[4:]) {
+func verifyChecksum(key, stored []byte) ([]byte, error) {
+	if len(stored) < 4 || binary.BigEndian.Uint32(stored) != checksum(key, stored[4:]) {
 		return nil, errors.New("the checksum does not fit")
 	}
-	return bytes.Clone(v[4:]), nil
+	return bytes.Clone(stored[4:]), nil
 }
 
-func sum(key, value []byte) uint32 {
+func checksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
