--- a/internal/node/zones/store/store_test.go
+++ b/internal/node/zones/store/store_test.go
@@ -24,7 +24,7 @@
 	return &consensus.HardState{Term: 1, Vote: 1, Commit: commit}
 }
 
-func opened(t *testing.T, path string) (*Store, replicatedlog.Stored) {
+func opened(t *testing.T, path string) (*Store, replicatedlog.StoredState) {
 	t.Helper()
 	s, stored, err := Open(path, owner)
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func texts(k replicatedlog.Stored) string {
+func texts(k replicatedlog.StoredState) string {
 	var b strings.Builder
 	for _, e := range k.Entries {
 		b.Write(e.Data)
@@ -50,7 +50,7 @@
 
 // What is written is there at the next start, later entries replace those they follow, and
 // a snapshot takes the place of what it holds.
-func TestWrittenThrough(t *testing.T) {
+func TestStore_Write_survivesReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, stored := opened(t, path)
 	if len(stored.Snapshot.Members) != 3 || s.Starts() != 1 {
@@ -64,7 +64,7 @@
 	if texts(stored) != "ad" || stored.HardState.Vote != 1 || s.ID() != id || s.Starts() != 2 {
 		t.Errorf("entries %q, %v, store %s after start %d", texts(stored), stored.HardState, s.ID(), s.Starts())
 	}
-	shot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Founding(owner.Voters).Snapshot.Members}
+	shot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Bootstrap(owner.Voters).Snapshot.Members}
 	write(t, s, replicatedlog.Persist{Snapshot: shot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
 	s.Close()
 	s, stored = opened(t, path)
@@ -80,7 +80,7 @@
 }
 
 // A start says what is wrong with a file, by its name.
-func TestBadFiles(t *testing.T) {
+func TestOpen_rejectsBadFiles(t *testing.T) {
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good")
 	s, _ := opened(t, good)
@@ -115,15 +115,17 @@
 		{spoil("empty", nil, nil), "it is empty", owner},
 		{spoil("foreign", bytes.Repeat([]byte("no store "), 4000), nil), "cannot be opened", owner},
 		{spoil("flipped", flipped, nil), "checksum", owner},
-		{spoil("newer", text, func(tx *bbolt.Tx) error { return put(tx.Bucket(bucketAbout), keyForm, number(7)) }), "form 7", owner},
-		{spoil("older", text, func(tx *bbolt.Tx) error { return put(tx.Bucket(bucketAbout), keyForm, number(form-1)) }),
+		{spoil("newer", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketAbout), keyFormat, encodeUint64(7)) }), "form 7", owner},
+		{spoil("older", text, func(tx *bbolt.Tx) error {
+			return putChecked(tx.Bucket(bucketAbout), keyFormat, encodeUint64(formatVersion-1))
+		}),
 			"it has the form 1, this program reads form 2", owner},
-		{spoil("strange entry", text, func(tx *bbolt.Tx) error { return put(tx.Bucket(bucketEntries), number(2), []byte{1}) }),
+		{spoil("strange entry", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketEntries), encodeUint64(2), []byte{1}) }),
 			"entry 2: agreed: the bytes cannot be read", owner},
 		{spoil("misplaced entry", text, func(tx *bbolt.Tx) error {
-			return put(tx.Bucket(bucketEntries), number(3), replicatedlog.EncodeEntry(entry(2, "a")))
+			return putChecked(tx.Bucket(bucketEntries), encodeUint64(3), replicatedlog.EncodeEntry(entry(2, "a")))
 		}), "entry 2 stands in the place of entry 3", owner},
-		{spoil("strange snapshot", text, func(tx *bbolt.Tx) error { return put(tx.Bucket(bucketState), keySnapshot, []byte("s")) }),
+		{spoil("strange snapshot", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketState), keySnapshot, []byte("s")) }),
 			"snapshot: agreed: the bytes cannot be read", owner},
 		{spoil("bare", text, func(tx *bbolt.Tx) error { return tx.DeleteBucket(bucketState) }), "no store", owner},
 		{good, "voter 2", Owner{Fleet: "f", Voter: 3}},
@@ -132,8 +134,8 @@
 		{filepath.Join(dir, "none", "store"), "no such file", owner},
 	} {
 		_, _, err := Open(c.path, c.owner)
-		var f *Fault
-		if !errors.As(err, &f) || f.Path != c.path || !strings.Contains(err.Error(), c.want) {
+		var e *Error
+		if !errors.As(err, &e) || e.Path != c.path || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.path, err)
 		}
 	}
@@ -158,7 +160,7 @@
 
 // A write that is cut at any byte, as by a loss of power, leaves what was there before it,
 // or all of it: the library writes the new pages first and the page that names them last.
-func TestWriteCutAnywhere(t *testing.T) {
+func TestStore_Write_cutAnywhere(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, _ := opened(t, path)
 	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, "before")}})
@@ -223,10 +225,10 @@
 }
 
 // A store that is full says so by its file's name, and loses nothing that it has taken.
-func TestFull(t *testing.T) {
+func TestStore_Write_fullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
-	mostBytes = 1 << 20
-	defer func() { mostBytes = 0 }()
+	maxFileBytes = 1 << 20
+	defer func() { maxFileBytes = 0 }()
 	s, _ := opened(t, path)
 	taken := uint64(0)
 	var err error
@@ -235,12 +237,12 @@
 			taken = index
 		}
 	}
-	var f *Fault
-	if !errors.As(err, &f) || f.Path != path || taken < 10 {
+	var e *Error
+	if !errors.As(err, &e) || e.Path != path || taken < 10 {
 		t.Fatalf("after %d entries: %v", taken, err)
 	}
 	s.Close()
-	mostBytes = 0
+	maxFileBytes = 0
 	s, stored := opened(t, path)
 	defer s.Close()
 	if n := len(stored.Entries); uint64(n) != taken-1 || stored.Entries[n-1].Index != taken {
--- a/internal/node/zones/transport/transport.go
+++ b/internal/node/zones/transport/transport.go
@@ -23,14 +23,14 @@
 const (
 	service = "/ospreybend.fleet.v1.Fleet/"
 	// A call that takes longer says nothing more: the next report is due.
-	reportWithin = 500 * time.Millisecond
-	letterWithin = 500 * time.Millisecond
-	sayWithin    = 5 * time.Second
-	mostBytes    = 4 << 20 // of a message
-	queueLength  = 64      // letters to a voter that wait; the oldest gives way
-	firstWait    = 20 * time.Millisecond
-	mostWait     = 500 * time.Millisecond
-	idleFor      = time.Minute
+	reportTimeout     = 500 * time.Millisecond
+	messageTimeout    = 500 * time.Millisecond
+	overrideTimeout   = 5 * time.Second
+	maxMessageBytes   = 4 << 20 // of a message
+	maxQueuedMessages = 64      // letters to a voter that wait; the oldest gives way
+	initialBackoff    = 20 * time.Millisecond
+	maxBackoff        = 500 * time.Millisecond
+	idleConnTimeout   = time.Minute
 )
 
 // codec writes messages as they go into the agreed log.
@@ -38,13 +38,13 @@
 
 func (codec) Name() string                          { return "cbor" }
 func (codec) Marshal(v any) ([]byte, error)         { return commands.Encode(v) }
-func (codec) Unmarshal(text []byte, into any) error { return commands.Decode(text, into) }
+func (codec) Unmarshal(data []byte, into any) error { return commands.Decode(data, into) }
 
-// Taken answers a letter.
-type Taken struct{}
+// Ack answers a letter.
+type Ack struct{}
 
-// Ask asks a voter how things stand.
-type Ask struct{}
+// StatusRequest asks a voter how things stand.
+type StatusRequest struct{}
 
 // Status is how things stand, as one voter sees it.
 type Status struct {
@@ -54,41 +54,45 @@
 	Applied  uint64            `cbor:"4,keyasint" json:"applied"`
 	Voters   []uint64          `cbor:"5,keyasint" json:"voters"`
 	Table    commands.Table    `cbor:"6,keyasint" json:"table"`
-	Members  []Member          `cbor:"7,keyasint" json:"members"` // that report to this voter
+	Members  []MemberStatus    `cbor:"7,keyasint" json:"members"` // that report to this voter
 	Verdicts map[string]string `cbor:"8,keyasint" json:"verdicts,omitempty"`
 	Counts   replica.Counts    `cbor:"9,keyasint" json:"counts"`
 }
 
-// Member is a process that reports to a voter.
-type Member struct {
-	Name        string        `cbor:"1,keyasint" json:"name"`
-	Zone        string        `cbor:"2,keyasint" json:"zone"`
-	Incarnation uint64        `cbor:"3,keyasint" json:"incarnation"`
-	Silent      time.Duration `cbor:"4,keyasint" json:"silentNs"`
+// MemberStatus is a process that reports to a voter.
+type MemberStatus struct {
+	Name           string        `cbor:"1,keyasint" json:"name"`
+	Zone           string        `cbor:"2,keyasint" json:"zone"`
+	Incarnation    uint64        `cbor:"3,keyasint" json:"incarnation"`
+	SinceHeartbeat time.Duration `cbor:"4,keyasint" json:"silentNs"`
 }
 
 // Handler is a voter, as its links see it. Calls come from many goroutines.
 type Handler interface {
-	Report(ctx context.Context, r follower.Report) (follower.Answer, error)
-	Deliver(ctx context.Context, l replica.Letter) error
-	Say(ctx context.Context, w commands.Word) error
+	Report(ctx context.Context, r follower.Report) (follower.Response, error)
+	Deliver(ctx context.Context, l replica.Message) error
+	ApplyOverride(ctx context.Context, w commands.Override) error
 	Status(ctx context.Context) (Status, error)
 }
 
-// Serve makes the HTTP side of a voter.
-func Serve(h Handler) http.Handler {
+// NewHandler makes the HTTP side of a voter.
+func NewHandler(handler Handler) http.Handler {
 	mux := http.NewServeMux()
-	options := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(mostBytes)}
-	handle(mux, "Report", options, h.Report)
-	handle(mux, "Deliver", options, func(ctx context.Context, l replica.Letter) (Taken, error) { return Taken{}, h.Deliver(ctx, l) })
-	handle(mux, "Say", options, func(ctx context.Context, w commands.Word) (Taken, error) { return Taken{}, h.Say(ctx, w) })
-	handle(mux, "Status", options, func(ctx context.Context, _ Ask) (Status, error) { return h.Status(ctx) })
+	options := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessageBytes)}
+	handle(mux, "Report", options, handler.Report)
+	handle(mux, "Deliver", options, func(ctx context.Context, message replica.Message) (Ack, error) {
+		return Ack{}, handler.Deliver(ctx, message)
+	})
+	handle(mux, "Say", options, func(ctx context.Context, override commands.Override) (Ack, error) {
+		return Ack{}, handler.ApplyOverride(ctx, override)
+	})
+	handle(mux, "Status", options, func(ctx context.Context, _ StatusRequest) (Status, error) { return handler.Status(ctx) })
 	return mux
 }
 
-func handle[In, Out any](mux *http.ServeMux, name string, options []connect.HandlerOption, f func(context.Context, In) (Out, error)) {
+func handle[In, Out any](mux *http.ServeMux, name string, options []connect.HandlerOption, method func(context.Context, In) (Out, error)) {
 	mux.Handle(service+name, connect.NewUnaryHandler(service+name, func(ctx context.Context, in *connect.Request[In]) (*connect.Response[Out], error) {
-		out, err := f(ctx, *in.Msg)
+		out, err := method(ctx, *in.Msg)
 		if err != nil {
 			var known *connect.Error
 			if !errors.As(err, &known) {
@@ -105,17 +109,17 @@
 
 // NewClient makes one that keeps few connections to each voter.
 func NewClient() *Client {
-	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: idleFor,
-		DialContext: (&net.Dialer{Timeout: reportWithin}).DialContext}}}
+	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: idleConnTimeout,
+		DialContext: (&net.Dialer{Timeout: reportTimeout}).DialContext}}}
 }
 
 // Close lets go of idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-func call[In, Out any](ctx context.Context, c *Client, address, name string, within time.Duration, in In) (Out, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func call[In, Out any](ctx context.Context, c *Client, address, name string, timeout time.Duration, in In) (Out, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	caller := connect.NewClient[In, Out](c.http, "http://"+address+service+name, connect.WithCodec(codec{}), connect.WithReadMaxBytes(mostBytes))
+	caller := connect.NewClient[In, Out](c.http, "http://"+address+service+name, connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessageBytes))
 	out, err := caller.CallUnary(ctx, connect.NewRequest(&in))
 	if err != nil {
 		var none Out
@@ -125,84 +129,84 @@
 }
 
 // Report reports to a voter.
-func (c *Client) Report(ctx context.Context, address string, r follower.Report) (follower.Answer, error) {
-	return call[follower.Report, follower.Answer](ctx, c, address, "Report", reportWithin, r)
+func (c *Client) Report(ctx context.Context, address string, report follower.Report) (follower.Response, error) {
+	return call[follower.Report, follower.Response](ctx, c, address, "Report", reportTimeout, report)
 }
 
 // Deliver sends a letter to a voter.
-func (c *Client) Deliver(ctx context.Context, address string, l replica.Letter) error {
-	_, err := call[replica.Letter, Taken](ctx, c, address, "Deliver", letterWithin, l)
+func (c *Client) Deliver(ctx context.Context, address string, message replica.Message) error {
+	_, err := call[replica.Message, Ack](ctx, c, address, "Deliver", messageTimeout, message)
 	return err
 }
 
-// Say has a voter put what a person has said.
-func (c *Client) Say(ctx context.Context, address string, w commands.Word) error {
-	_, err := call[commands.Word, Taken](ctx, c, address, "Say", sayWithin, w)
+// ApplyOverride has a voter put what a person has said.
+func (c *Client) ApplyOverride(ctx context.Context, address string, override commands.Override) error {
+	_, err := call[commands.Override, Ack](ctx, c, address, "Say", overrideTimeout, override)
 	return err
 }
 
 // Status asks a voter how things stand.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
-	return call[Ask, Status](ctx, c, address, "Status", reportWithin, Ask{})
+	return call[StatusRequest, Status](ctx, c, address, "Status", reportTimeout, StatusRequest{})
 }
 
-// Mail carries letters to one voter, in order, as long as it answers.
-type Mail struct {
+// Outbox carries letters to one voter, in order, as long as it answers.
+type Outbox struct {
 	client  *Client
 	address string
-	queue   chan replica.Letter
+	queue   chan replica.Message
 }
 
-// NewMail starts to carry until ctx ends.
-func NewMail(ctx context.Context, c *Client, address string) *Mail {
-	m := &Mail{client: c, address: address, queue: make(chan replica.Letter, queueLength)}
-	go m.carry(ctx)
-	return m
+// NewOutbox starts to carry until ctx ends.
+func NewOutbox(ctx context.Context, c *Client, address string) *Outbox {
+	o := &Outbox{client: c, address: address, queue: make(chan replica.Message, maxQueuedMessages)}
+	go o.run(ctx)
+	return o
 }
 
-// Put has a letter carried. Where the queue is full the oldest gives way: what it said of
+// Enqueue has a letter carried. Where the queue is full the oldest gives way: what it said of
 // the log is said again. It is called by one goroutine alone.
-func (m *Mail) Put(l replica.Letter) {
+func (o *Outbox) Enqueue(message replica.Message) {
 	for {
 		select {
-		case m.queue <- l:
+		case o.queue <- message:
 			return
 		default:
 		}
 		select {
-		case <-m.queue:
+		case <-o.queue:
 		default:
 		}
 	}
 }
 
-func (m *Mail) carry(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = firstWait, mostWait
+func (o *Outbox) run(ctx context.Context) {
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = initialBackoff, maxBackoff
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case l := <-m.queue:
+		case message := <-o.queue:
 			// What has come meanwhile goes along: on a slow link one call after the other would
 			// tell ever older things.
-			for more := true; more && len(l.Log) < queueLength; {
+			for more := true; more && len(message.Log) < maxQueuedMessages; {
 				select {
-				case next := <-m.queue:
-					l = l.And(next)
+				case next := <-o.queue:
+					message = message.Merge(next)
 				default:
 					more = false
 				}
 			}
-			if m.client.Deliver(ctx, m.address, l) == nil {
-				wait.Reset()
+			if o.client.Deliver(ctx, o.address, message) == nil {
+				retry.Reset()
 				continue
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
--- a/internal/testkit/endtoend/zone.go
+++ b/internal/testkit/endtoend/zone.go
@@ -206,7 +206,7 @@
 	}
 	for _, z := range zones {
 		verdict, _, _ := strings.Cut(st.Verdicts[z], ",")
-		o := st.Table.Of(z)
+		o := st.Table.Zone(z)
 		now := fmt.Sprintf("%s, ordered: %v, share %.3f", verdict, o.Phase, o.Share)
 		if now != said[z] {
 			said[z] = now
@@ -278,18 +278,18 @@
 		}
 		epochs[run] = l.table.Epoch
 		for _, z := range zones {
-			if o := l.table.Of(z); z != bad && o.Phase != commands.In {
+			if o := l.table.Zone(z); z != bad && o.Phase != commands.PhaseActive {
 				violate("zone %s, which is well, is %v: %s", z, o.Phase, o.Reason)
 				return
 			}
 		}
-		z := l.table.Of(bad)
+		z := l.table.Zone(bad)
 		switch {
-		case left == 0 && z.Phase == commands.Left:
+		case left == 0 && z.Phase == commands.PhaseEvacuated:
 			left = l.at
-		case left > 0 && tried == 0 && z.Phase != commands.Left && l.leads:
+		case left > 0 && tried == 0 && z.Phase != commands.PhaseEvacuated && l.leads:
 			tried = l.at
-		case tried > 0 && l.at > s.plan.Calm+s.plan.Trouble && back == 0 && z.Phase == commands.In && len(z.Cut) == 0 && l.leads:
+		case tried > 0 && l.at > s.plan.Calm+s.plan.Trouble && back == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && l.leads:
 			back = l.at
 		}
 	}
