--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -162,14 +162,14 @@
 
 func (k *Keeper) departAnywhere(ctx context.Context, id string) answer {
 	replies := make([]answer, shards.ServiceShards)
-	var waiting sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	for i := range replies {
 		shard := shards.ID(i + 1)
-		waiting.Go(func() {
+		waitGroup.Go(func() {
 			replies[i] = k.carry(ctx, call{Kind: callDeregister, Shard: shard, ID: id})
 		})
 	}
-	waiting.Wait()
+	waitGroup.Wait()
 	for _, reply := range replies {
 		if reply.Known && reply.Status == http.StatusOK {
 			return reply
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -158,9 +158,9 @@
 		request := newHeldRequest(presentID, "", beatOf("ready", 5))
 		s.keeper.adapt(APIHeartbeat)(t.Context(), request.context)
 		request.spoil()
-		told := s.keeper.presences.take(shards.Of(presentService))
-		if len(told) != 1 || told[0].ID != presentID {
-			t.Fatal(told)
+		drained := s.keeper.presences.take(shards.Of(presentService))
+		if len(drained) != 1 || drained[0].ID != presentID {
+			t.Fatal(drained)
 		}
 		decideHere(s.keeper, s.groups)
 		request = newHeldRequest("i-new", "", beatOf("ready", 1))
--- a/internal/controlplane/server/concurrent_changes_test.go
+++ b/internal/controlplane/server/concurrent_changes_test.go
@@ -22,11 +22,11 @@
 	ctx, cancel := context.WithTimeout(f.t.Context(), fleetLimit)
 	defer cancel()
 	answers := make([][]int, len(orders))
-	var waiting sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	for number, order := range orders {
 		answers[number] = make([]int, len(keepers))
 		for place, keeper := range keepers {
-			waiting.Go(func() {
+			waitGroup.Go(func() {
 				_ = localfleet.Await(ctx, pollPause, func() bool {
 					status, _ := f.do(keeper, http.MethodPost, "/-/Config.Replace", order.base, order.body)
 					answers[number][place] = status
@@ -35,7 +35,7 @@
 			})
 		}
 	}
-	waiting.Wait()
+	waitGroup.Wait()
 	return answers
 }
 
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -17,7 +17,7 @@
 
 // leave ends the feed's sessions, so that agents go elsewhere at once, hands over all leaderships and, where a successor
 // stands by, the places in the groups, and stops the API, which until then takes calls.
-func (k *Keeper) leave(api Server) {
+func (k *Keeper) leave(api APIServer) {
 	k.leaving.Store(true)
 	k.stopFeed()
 	k.handOverAll()
@@ -32,13 +32,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), transferBudget)
 	defer cancel()
 	started := k.outside.Now()
-	var waiting sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	for _, shard := range k.shards {
 		if shard.group.Status().IsLeader() {
-			waiting.Go(func() { k.handOver(ctx, shard) })
+			waitGroup.Go(func() { k.handOver(ctx, shard) })
 		}
 	}
-	waiting.Wait()
+	waitGroup.Wait()
 	k.giveUpPlaces(ctx)
 	k.log.Info("leaving", zap.Duration("handed over in", k.outside.Now().Sub(started)))
 }
@@ -63,18 +63,18 @@
 func (k *Keeper) giveUpPlaces(ctx context.Context) {
 	left := slices.Clone(allShards[:])
 	for len(left) > 0 {
-		var waiting sync.WaitGroup
+		var waitGroup sync.WaitGroup
 		var mutex sync.Mutex
 		places, elsewhere := k.placesByLeader(ctx, left)
 		for address, places := range places {
-			waiting.Go(func() {
+			waitGroup.Go(func() {
 				refused := k.giveUp(ctx, address, places)
 				mutex.Lock()
 				defer mutex.Unlock()
 				elsewhere = append(elsewhere, refused...)
 			})
 		}
-		waiting.Wait()
+		waitGroup.Wait()
 		left = elsewhere
 		if !pause(ctx, nil, releasePoll) {
 			return
@@ -139,7 +139,7 @@
 	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
 		return nil, err
 	}
-	var waiting sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	elsewhere := []groupState{}
 	for _, state := range states {
 		if state.Shard < 0 || state.Shard >= shards.Count {
@@ -147,9 +147,9 @@
 		}
 		shard := k.shards[state.Shard]
 		k.noteLeaving(shard, peer.Member)
-		waiting.Go(func() { k.awaitRelease(ctx, shard, peer.Member) })
+		waitGroup.Go(func() { k.awaitRelease(ctx, shard, peer.Member) })
 	}
-	waiting.Wait()
+	waitGroup.Wait()
 	for _, state := range states {
 		if known := state.Shard >= 0 && state.Shard < shards.Count; known && !k.shards[state.Shard].group.Status().IsLeader() {
 			elsewhere = append(elsewhere, state)
@@ -218,7 +218,7 @@
 		if !slices.Contains(leaving, member.ID) {
 			continue
 		}
-		if told, err := k.askIdentity(k.workContext, member.Address); err != nil || told.ID != member.ID || told.Leaving {
+		if identity, err := k.askIdentity(k.workContext, member.Address); err != nil || identity.ID != member.ID || identity.Leaving {
 			continue
 		}
 		k.mutex.Lock()
@@ -235,8 +235,8 @@
 		if member.Voter {
 			continue
 		}
-		told, err := k.askIdentity(k.workContext, member.Address)
-		if err == nil && told.ID == member.ID && !told.Leaving && told.Age <= successorAge {
+		identity, err := k.askIdentity(k.workContext, member.Address)
+		if err == nil && identity.ID == member.ID && !identity.Leaving && identity.Age <= successorAge {
 			found = append(found, member.ID)
 		}
 	}
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -48,8 +48,8 @@
 	lost    bool // replicas without a member ID were found and removed
 }
 
-// identity returns this disk's member ID, and the founders of the groups if this process is one of them.
-func identity(config bootconfig.Settings, address string, outside Environment) (consensus.Member, []consensus.Member, error) {
+// resolveIdentity returns this disk's member ID, and the founders of the groups if this process is one of them.
+func resolveIdentity(config bootconfig.Settings, address string, outside Environment) (consensus.Member, []consensus.Member, error) {
 	return (&identityStart{config: config, address: address, outside: outside}).try()
 }
 
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -28,17 +28,17 @@
 	config.PortRange = [2]int{7000, 7015}
 	config.Seeds = []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}
 	address := seedAddresses(config)[0]
-	before, founders, err := identity(config, address, Environment{}.withDefaults())
+	before, founders, err := resolveIdentity(config, address, Environment{}.withDefaults())
 	if err != nil || len(founders) != 3 {
 		t.Fatal(before, founders, err)
 	}
-	if again, founders, err := identity(config, address, Environment{}.withDefaults()); err != nil || again != before || len(founders) != 3 {
+	if again, founders, err := resolveIdentity(config, address, Environment{}.withDefaults()); err != nil || again != before || len(founders) != 3 {
 		t.Fatal(again, founders, err)
 	}
 	if err := os.WriteFile(filepath.Join(config.DataDir, "member"), []byte("?"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	after, founders, err := identity(config, address, Environment{}.withDefaults())
+	after, founders, err := resolveIdentity(config, address, Environment{}.withDefaults())
 	if err != nil || after.ID == before.ID || founders != nil {
 		t.Fatalf("member %d after %d, founders %v, %v", after.ID, before.ID, founders, err)
 	}
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -69,16 +69,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
-	var waiting sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	for _, address := range k.directory.others() {
-		waiting.Go(func() {
+		waitGroup.Go(func() {
 			reply, err := k.network.Call(ctx, address, callJoin, body)
 			if err == nil {
 				k.learnKeepers(reply)
 			}
 		})
 	}
-	waiting.Wait()
+	waitGroup.Wait()
 }
 
 func (k *Keeper) groupStates() []groupState {
@@ -193,12 +193,12 @@
 	if asking.ID == 0 {
 		return true
 	}
-	told, err := k.askIdentity(k.workContext, asking.Address)
-	if err == nil && told.ID == asking.ID && !told.Leaving {
+	identity, err := k.askIdentity(k.workContext, asking.Address)
+	if err == nil && identity.ID == asking.ID && !identity.Leaving {
 		return true
 	}
 	k.log.Info("a request to join does not hold", zap.String("address", asking.Address),
-		zap.Uint64("asked", uint64(asking.ID)), zap.Uint64("lives there", uint64(told.ID)), zap.Error(err))
+		zap.Uint64("asked", uint64(asking.ID)), zap.Uint64("lives there", uint64(identity.ID)), zap.Error(err))
 	return false
 }
 
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -71,11 +71,11 @@
 	if kind != callIdentity {
 		return n.scriptedNetwork.Call(ctx, address, kind, body)
 	}
-	told, lives := n.living[address]
+	identity, lives := n.living[address]
 	if !lives {
 		return nil, peertransport.ErrNotSent
 	}
-	return encodeIdentity(told)
+	return encodeIdentity(identity)
 }
 
 // request plays a request to join one shard's group.
@@ -167,9 +167,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := decodeIdentity(body)
-	if err != nil || told.ID != k.self.ID || told.Leaving || told.Age < 0 {
-		t.Fatalf("%+v, %v", told, err)
+	identity, err := decodeIdentity(body)
+	if err != nil || identity.ID != k.self.ID || identity.Leaving || identity.Age < 0 {
+		t.Fatalf("%+v, %v", identity, err)
 	}
 }
 
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -165,9 +165,9 @@
 	Leaving       bool
 }
 
-func encodeIdentity(told identityReply) ([]byte, error) {
+func encodeIdentity(identity identityReply) ([]byte, error) {
 	return codec.Marshal(identitySchema, wireIdentity{
-		Member: int64(told.ID), AgeMs: told.Age.Milliseconds(), Leaving: told.Leaving,
+		Member: int64(identity.ID), AgeMs: identity.Age.Milliseconds(), Leaving: identity.Leaving,
 	})
 }
 
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -64,15 +64,15 @@
 
 func newStagedScene(t *testing.T) *stagedScene {
 	k, groups, _ := scripted(t)
-	s := &stagedScene{T: t, keeper: k, id: shards.Of(stagedService), workers: &scriptedWorkers{status: http.StatusAccepted}, now: k.started}
-	k.outside.Now = func() time.Time { return s.now }
-	s.group = groups[s.id]
-	k.outside.Orders = s.workers
+	scene := &stagedScene{T: t, keeper: k, id: shards.Of(stagedService), workers: &scriptedWorkers{status: http.StatusAccepted}, now: k.started}
+	k.outside.Now = func() time.Time { return scene.now }
+	scene.group = groups[scene.id]
+	k.outside.Orders = scene.workers
 	index := uint64(0)
-	machine := k.instances(s.id)
-	s.group.submit = func(_ context.Context, data []byte) (any, error) {
-		s.workers.mutex.Lock()
-		defer s.workers.mutex.Unlock()
+	machine := k.instances(scene.id)
+	scene.group.submit = func(_ context.Context, data []byte) (any, error) {
+		scene.workers.mutex.Lock()
+		defer scene.workers.mutex.Unlock()
 		index++
 		return machine.Apply(consensus.Entry{Index: index, Data: data}), nil
 	}
@@ -85,8 +85,8 @@
 		index++
 		machine.Apply(consensus.Entry{Index: index, Data: registry.EncodePut(instance, 1)})
 	}
-	s.own(3)
-	return s
+	scene.own(3)
+	return scene
 }
 
 // own makes the keeper the owner in a term.
--- a/internal/controlplane/server/run.go
+++ b/internal/controlplane/server/run.go
@@ -76,15 +76,15 @@
 	return k, nil
 }
 
-// Server takes calls from outside the process and hands them to Handle. Run returns after Shutdown, or with a fault.
-type Server interface {
+// APIServer takes calls from outside the process and hands them to Handle. Run returns after Shutdown, or with a fault.
+type APIServer interface {
 	Run() error
 	Shutdown(ctx context.Context) error
 }
 
 // Serve runs all parts until ctx ends or one of them fails; it then hands over what it leads. Errors: the listener for
 // peers cannot be opened, or a listener fails.
-func (k *Keeper) Serve(ctx context.Context, api Server) error {
+func (k *Keeper) Serve(ctx context.Context, api APIServer) error {
 	peers, err := k.listenPeers(ctx)
 	if err != nil {
 		return err
@@ -140,15 +140,15 @@
 
 // closeAllGroups closes the replicas at the same time, since each may wait for a disk that hangs.
 func (k *Keeper) closeAllGroups() {
-	var closing sync.WaitGroup
+	var waitGroup sync.WaitGroup
 	for _, closeGroup := range k.closeGroups {
-		closing.Go(func() {
+		waitGroup.Go(func() {
 			if err := closeGroup(); err != nil {
 				k.log.Warn("a replica was not closed well", zap.Error(err))
 			}
 		})
 	}
-	closing.Wait()
+	waitGroup.Wait()
 }
 
 // Close ends everything that Open and Serve have begun, without a hand-over.
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -150,7 +150,7 @@
 		OnApplied:       func(uint64) { k.readers.wake() },
 		OnStatus:        func(status replica.Status) { k.onStatus(shard, status) },
 		ElectionTimeout: electionTimeout,
-		Heartbeat:       heartbeat,
+		Heartbeat:       groupHeartbeatInterval,
 		Logger:          k.log,
 		Clock:           groupClock{now: k.outside.Now, start: k.started},
 		Omit:            k.outside.OmitRules,
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -38,11 +38,11 @@
 			t.Fatal("an unchanged heartbeat was not acknowledged")
 		}
 	}
-	if told := k.presences.take(id); len(told) != 1 || told[0] != (presence{ID: presentID, Sequence: 7}) {
-		t.Fatal(told)
+	if drained := k.presences.take(id); len(drained) != 1 || drained[0] != (presence{ID: presentID, Sequence: 7}) {
+		t.Fatal(drained)
 	}
-	if told := k.presences.take(id); len(told) != 0 {
-		t.Fatal("told twice", told)
+	if drained := k.presences.take(id); len(drained) != 0 {
+		t.Fatal("told twice", drained)
 	}
 }
 
@@ -80,14 +80,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := call{Kind: callPresences, Shard: id, Body: body}
+	request := call{Kind: callPresences, Shard: id, Body: body}
 	groups[id].set(followerOf("b"))
-	if reply := k.execute(t.Context(), told); !reply.NotOwner || reply.Leader != "b" {
+	if reply := k.execute(t.Context(), request); !reply.NotOwner || reply.Leader != "b" {
 		t.Fatal(reply)
 	}
 	k.instances(id).setLeading(3)
 	k.instances(id).gained(time.Now(), 3)
-	if reply := k.execute(t.Context(), told); reply.Status != http.StatusOK {
+	if reply := k.execute(t.Context(), request); reply.Status != http.StatusOK {
 		t.Fatal(reply)
 	}
 }
--- a/internal/controlplane/server/timing.go
+++ b/internal/controlplane/server/timing.go
@@ -4,8 +4,8 @@
 
 // Times of the replica groups.
 const (
-	heartbeat       = 120 * time.Millisecond
-	electionTimeout = 500 * time.Millisecond
+	groupHeartbeatInterval = 120 * time.Millisecond
+	electionTimeout        = 500 * time.Millisecond
 )
 
 // Times of calls. A caller moves on after a second of silence, later for large bodies.
