--- a/coord/consensus/election.go
+++ b/coord/consensus/election.go
@@ -34,20 +34,20 @@
 // setInitialElectionDeadline is sooner than the others: after a restart of the whole group nobody leads, and where
 // somebody does, the members that hear from the leader refuse the pre-vote.
 func (n *Node) setInitialElectionDeadline() {
-	least := n.config.ElectionTimeout / initialElectionDivisor
+	timeout := n.config.ElectionTimeout / initialElectionDivisor
 	spread := n.config.ElectionTimeout / 2
 	if spread > 0 {
-		least += time.Duration(n.random.Int64N(int64(spread)))
+		timeout += time.Duration(n.random.Int64N(int64(spread)))
 	}
-	n.electionDeadline = n.now + least
+	n.electionDeadline = n.now + timeout
 }
 
 func (n *Node) resetElectionDeadline() {
-	pause := n.config.ElectionTimeout
-	if pause > 0 {
-		pause += time.Duration(n.random.Int64N(int64(pause)))
+	timeout := n.config.ElectionTimeout
+	if timeout > 0 {
+		timeout += time.Duration(n.random.Int64N(int64(timeout)))
 	}
-	n.electionDeadline = n.now + pause
+	n.electionDeadline = n.now + timeout
 }
 
 // startPreVote starts a campaign by asking who would vote for it. While the term is not durable yet
@@ -134,8 +134,8 @@
 	if n.inLeaderLease() {
 		return
 	}
-	free := message.Term > n.term || n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0)
-	if !free || !n.candidateUpToDate(message) {
+	mayVote := message.Term > n.term || n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0)
+	if !mayVote || !n.candidateUpToDate(message) {
 		n.send(Message{Kind: MessagePreVoteReply, To: message.From, Reject: true})
 		return
 	}
@@ -154,8 +154,8 @@
 
 // handleRequestVote gives the vote of this term to the first candidate whose log is late enough.
 func (n *Node) handleRequestVote(message Message) {
-	free := n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0) || !n.enforces(RuleVoteOnce)
-	if n.role == RoleLeader || !free || !n.candidateUpToDate(message) {
+	mayVote := n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0) || !n.enforces(RuleVoteOnce)
+	if n.role == RoleLeader || !mayVote || !n.candidateUpToDate(message) {
 		n.send(Message{Kind: MessageRequestVoteReply, To: message.From, Reject: true})
 		return
 	}
--- a/coord/consensus/follower.go
+++ b/coord/consensus/follower.go
@@ -64,31 +64,31 @@
 
 // rejectAppendEntries tells the leader where the logs may still agree.
 func (n *Node) rejectAppendEntries(message Message) {
-	hint, term := n.log.findConflictByTerm(message.LogIndex, message.LogTerm)
+	hintIndex, hintTerm := n.log.findConflictByTerm(message.LogIndex, message.LogTerm)
 	if message.LogIndex > n.log.lastIndex() {
-		hint, term = n.log.lastIndex(), n.log.lastTerm()
+		hintIndex, hintTerm = n.log.lastIndex(), n.log.lastTerm()
 	}
 	n.send(Message{
 		Kind:      MessageAppendEntriesReply,
 		To:        message.From,
 		Reject:    true,
 		LogIndex:  message.LogIndex,
-		HintIndex: hint,
-		HintTerm:  term,
+		HintIndex: hintIndex,
+		HintTerm:  hintTerm,
 	})
 }
 
 // appendMissing appends the entries that the log does not hold yet, in place of any that conflict.
 func (n *Node) appendMissing(entries []Entry) (added bool) {
-	for at, entry := range entries {
+	for i, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
 			continue
 		}
 		if entry.Index <= n.log.lastIndex() {
 			n.truncate(entry.Index)
 		}
-		n.log.append(entries[at:]...)
-		n.recordMemberships(entries[at:])
+		n.log.append(entries[i:]...)
+		n.recordMemberships(entries[i:])
 		return true
 	}
 	return false
--- a/coord/consensus/group_test.go
+++ b/coord/consensus/group_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestCommandsReachAllMembersInOrder(t *testing.T) {
+func TestGroup_replicatesCommandsInOrder(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.propose("a")
@@ -16,12 +16,12 @@
 	}
 }
 
-func TestGroupGoesOnWithoutAMinority(t *testing.T) {
+func TestGroup_continuesWithoutAMinority(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.propose("a")
 	first := g.leader()
-	g.members[first].down = true
+	g.members[first].stopped = true
 	g.elect()
 	g.propose("b")
 	for _, id := range g.others(first) {
@@ -32,7 +32,7 @@
 	g.wantApplied(first, "a", "b")
 }
 
-func TestSoleVoterCommitsAndReadsAlone(t *testing.T) {
+func TestGroup_soleVoterCommitsAndReads(t *testing.T) {
 	g := newTestGroup(t, 1)
 	node := g.elect()
 	g.propose("a")
@@ -40,18 +40,18 @@
 	if err := node.ReadIndex(g.now, 5); err != nil {
 		t.Fatal(err)
 	}
-	g.settle()
+	g.deliverAll()
 	if len(g.members[1].reads) != 1 || !g.members[1].reads[0].OK {
 		t.Fatalf("reads %v", g.members[1].reads)
 	}
 }
 
-func TestEmptyDiskComesBackAsLearnerThenVoter(t *testing.T) {
+func TestGroup_emptyDiskRejoinsAsLearnerThenVoter(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	g.propose("a")
 	lost := g.others(g.leader())[0]
-	g.members[lost].down = true
+	g.members[lost].stopped = true
 	g.add(9, PersistedState{})
 	g.run(testElection)
 	if status := g.members[9].node.Status(); status.Term != 0 || status.Role != RoleFollower {
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestLearnerTakesASnapshotThenEntries(t *testing.T) {
+func TestGroup_learnerReceivesSnapshotThenEntries(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	for range 400 {
@@ -86,15 +86,15 @@
 	g.run(testElection)
 	g.propose("b")
 	g.wantApplied(9, "b")
-	if g.members[9].state != "state" {
-		t.Fatalf("state %q", g.members[9].state)
+	if g.members[9].restoredState != "state" {
+		t.Fatalf("state %q", g.members[9].restoredState)
 	}
 	g.restart(9)
 	g.run(testElection)
 	g.wantApplied(9, "b")
 }
 
-func TestTransferHandsLeadershipOver(t *testing.T) {
+func TestNode_TransferLeadership_electsTheTarget(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	to := g.others(g.leader())[1]
@@ -105,13 +105,13 @@
 	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrTransferInProgress) {
 		t.Fatalf("propose during a transfer: %v", err)
 	}
-	g.settle()
+	g.deliverAll()
 	if g.leader() != to || g.now != before {
 		t.Fatalf("leader %d at %v, want %d at %v", g.leader(), g.now, to, before)
 	}
 }
 
-func TestStalledDiskHandsLeadershipOver(t *testing.T) {
+func TestNode_SetWritable_stalledDiskTransfersLeadership(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	first := g.leader()
@@ -120,7 +120,7 @@
 	g.propose("a")
 	g.wantApplied(first, "a")
 	leader.SetWritable(g.now, false)
-	g.settle()
+	g.deliverAll()
 	if g.leader() == first || g.leader() == 0 {
 		t.Fatalf("leader %d, was %d", g.leader(), first)
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestRestSendsHeartbeatsAlone(t *testing.T) {
+func TestGroup_idleSendsHeartbeatsOnly(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.run(testElection)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestConfirmedIsRecentOnCurrentMembers(t *testing.T) {
+func TestStatus_ConfirmedAt_isRecentOnConnectedMembers(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	for _, id := range g.order {
@@ -155,7 +155,7 @@
 		}
 	}
 	cut := g.others(g.leader())[0]
-	g.members[cut].down = true
+	g.members[cut].stopped = true
 	g.run(2 * time.Second)
 	if age := g.now - g.members[cut].node.Status().ConfirmedAt; age < 2*time.Second {
 		t.Errorf("cut member: confirmed %v ago", age)
--- a/coord/consensus/harness_test.go
+++ b/coord/consensus/harness_test.go
@@ -13,12 +13,12 @@
 	testStep      = 20 * time.Millisecond
 )
 
-// testDisk is what a member has made durable.
-type testDisk struct {
+// testStorage is what a member has made durable.
+type testStorage struct {
 	stored PersistedState
 }
 
-func (d *testDisk) write(persist *PersistRequest) {
+func (d *testStorage) write(persist *PersistRequest) {
 	if persist.Snapshot != nil {
 		d.stored.Snapshot = *persist.Snapshot
 		d.stored.Entries = nil
@@ -34,25 +34,25 @@
 
 // testMember is a node with its disk and what its state machine was given.
 type testMember struct {
-	node    *Node
-	disk    testDisk
-	held    []*PersistRequest // not durable while stalled
-	stalled bool
-	down    bool
-	applied []string
-	reads   []ReadResult
-	state   string // of the last snapshot
+	node          *Node
+	storage       testStorage
+	pendingWrites []*PersistRequest // not durable while stalled
+	stalled       bool
+	stopped       bool
+	applied       []string
+	reads         []ReadResult
+	restoredState string // of the last snapshot
 }
 
 // testGroup plays a group with a network that delivers at once.
 type testGroup struct {
-	t       *testing.T
-	now     time.Duration
-	members map[MemberID]*testMember
-	order   []MemberID
-	queue   []Message
-	drop    func(Message) bool
-	sent    int
+	t           *testing.T
+	now         time.Duration
+	members     map[MemberID]*testMember
+	order       []MemberID
+	queue       []Message
+	dropMessage func(Message) bool
+	sent        int
 }
 
 func testConfig(id MemberID) Config {
@@ -83,7 +83,7 @@
 }
 
 func (g *testGroup) add(id MemberID, stored PersistedState) *testMember {
-	member := &testMember{disk: testDisk{stored: stored}}
+	member := &testMember{storage: testStorage{stored: stored}}
 	member.node = New(testConfig(id), stored, g.now)
 	g.members[id] = member
 	g.order = append(g.order, id)
@@ -93,18 +93,18 @@
 // restart starts a member again with what its disk holds.
 func (g *testGroup) restart(id MemberID) {
 	member := g.members[id]
-	member.held, member.applied, member.down = nil, nil, false
-	member.node = New(testConfig(id), member.disk.stored, g.now)
+	member.pendingWrites, member.applied, member.stopped = nil, nil, false
+	member.node = New(testConfig(id), member.storage.stored, g.now)
 }
 
-func (g *testGroup) collect(id MemberID) {
+func (g *testGroup) processReady(id MemberID) {
 	member := g.members[id]
-	if member.down {
+	if member.stopped {
 		return
 	}
 	ready := member.node.Ready()
 	if ready.Restore != nil {
-		member.state, member.applied = string(ready.Restore.Data), nil
+		member.restoredState, member.applied = string(ready.Restore.Data), nil
 	}
 	for _, entry := range ready.Committed {
 		if entry.Kind == EntryCommand {
@@ -115,7 +115,7 @@
 	g.queue = append(g.queue, ready.Messages...)
 	g.sent += len(ready.Messages)
 	if ready.Persist != nil {
-		member.held = append(member.held, ready.Persist)
+		member.pendingWrites = append(member.pendingWrites, ready.Persist)
 	}
 	if !member.stalled {
 		g.sync(id)
@@ -125,18 +125,18 @@
 // sync makes durable what a member has handed out.
 func (g *testGroup) sync(id MemberID) {
 	member := g.members[id]
-	for _, persist := range member.held {
-		member.disk.write(persist)
+	for _, persist := range member.pendingWrites {
+		member.storage.write(persist)
 		member.node.Persisted(g.now, persist.Sequence)
 	}
-	member.held = nil
+	member.pendingWrites = nil
 }
 
-// settle delivers all messages until none is left.
-func (g *testGroup) settle() {
+// deliverAll delivers all messages until none is left.
+func (g *testGroup) deliverAll() {
 	for quiet := 0; quiet < 2; {
 		for _, id := range g.order {
-			g.collect(id)
+			g.processReady(id)
 		}
 		if len(g.queue) == 0 {
 			quiet++
@@ -152,7 +152,7 @@
 	g.queue = nil
 	for _, message := range queue {
 		member := g.members[message.To]
-		if member == nil || member.down || (g.drop != nil && g.drop(message)) {
+		if member == nil || member.stopped || (g.dropMessage != nil && g.dropMessage(message)) {
 			continue
 		}
 		member.node.Step(g.now, message)
@@ -164,11 +164,11 @@
 		g.now += testStep
 		for _, id := range g.order {
 			member := g.members[id]
-			if !member.down && g.now >= member.node.NextTick() {
+			if !member.stopped && g.now >= member.node.NextTick() {
 				member.node.Tick(g.now)
 			}
 		}
-		g.settle()
+		g.deliverAll()
 	}
 }
 
@@ -178,7 +178,7 @@
 	var term uint64
 	for _, id := range g.order {
 		status := g.members[id].node.Status()
-		if !g.members[id].down && status.Role == RoleLeader && status.Term > term {
+		if !g.members[id].stopped && status.Role == RoleLeader && status.Term > term {
 			leader, term = id, status.Term
 		}
 	}
@@ -200,7 +200,7 @@
 	if _, _, err := g.members[g.leader()].node.Propose(g.now, []byte(data)); err != nil {
 		g.t.Fatal(err)
 	}
-	g.settle()
+	g.deliverAll()
 }
 
 func (g *testGroup) change(change MembershipChange) {
@@ -208,7 +208,7 @@
 	if err := g.members[g.leader()].node.ChangeMembers(g.now, change); err != nil {
 		g.t.Fatal(err)
 	}
-	g.settle()
+	g.deliverAll()
 }
 
 func (g *testGroup) wantApplied(id MemberID, want ...string) {
--- a/coord/consensus/leader.go
+++ b/coord/consensus/leader.go
@@ -82,8 +82,8 @@
 	if err := n.checkProposable(); err != nil {
 		return 0, 0, err
 	}
-	waiting := n.log.lastIndex() - n.commitIndex
-	if waiting >= maxUncommittedEntries || (n.leaderState.uncommittedBytes >= maxUncommittedBytes && waiting > 0) {
+	uncommitted := n.log.lastIndex() - n.commitIndex
+	if uncommitted >= maxUncommittedEntries || (n.leaderState.uncommittedBytes >= maxUncommittedBytes && uncommitted > 0) {
 		return 0, 0, ErrTooManyUncommitted
 	}
 	entry := n.appendEntry(Entry{Kind: EntryCommand, Data: data})
@@ -157,9 +157,9 @@
 }
 
 func (n *Node) roundSentAt(number uint64) (time.Duration, bool) {
-	for _, sent := range n.leaderState.rounds {
-		if sent.number == number {
-			return sent.sentAt, true
+	for _, round := range n.leaderState.rounds {
+		if round.number == number {
+			return round.sentAt, true
 		}
 	}
 	return 0, false
@@ -170,26 +170,26 @@
 	if n.role != RoleLeader {
 		return
 	}
-	held := quorumValue(n, n.members(), n.matchIndexOf)
+	quorumIndex := quorumValue(n, n.members(), n.matchIndexOf)
 	if !n.enforces(RuleCommitMajority) {
-		held = n.matchIndexOf(n.config.ID)
+		quorumIndex = n.matchIndexOf(n.config.ID)
 	}
-	if held <= n.commitIndex {
+	if quorumIndex <= n.commitIndex {
 		return
 	}
-	term, _ := n.log.term(held)
+	term, _ := n.log.term(quorumIndex)
 	if term != n.term && n.enforces(RuleCommitCurrentTerm) {
 		return
 	}
-	n.releaseUncommitted(held)
-	n.commitTo(held)
+	n.releaseUncommitted(quorumIndex)
+	n.commitTo(quorumIndex)
 	n.verifiedIndex = n.commitIndex
 	n.finishMembershipChange()
 }
 
 // releaseUncommitted counts off the entries that become committed.
-func (n *Node) releaseUncommitted(held uint64) {
-	for _, entry := range n.log.span(n.commitIndex+1, held) {
+func (n *Node) releaseUncommitted(quorumIndex uint64) {
+	for _, entry := range n.log.span(n.commitIndex+1, quorumIndex) {
 		if entry.Term == n.term {
 			n.leaderState.uncommittedBytes -= entrySize(&entry)
 		}
@@ -223,8 +223,8 @@
 	for _, peer := range n.leaderState.peers {
 		n.sendCommitIndex(peer)
 	}
-	if successor := n.bestTransferTarget(); successor != nil && successor.matchIndex == n.log.lastIndex() {
-		n.send(Message{Kind: MessageTimeoutNow, To: successor.id})
+	if best := n.bestTransferTarget(); best != nil && best.matchIndex == n.log.lastIndex() {
+		n.send(Message{Kind: MessageTimeoutNow, To: best.id})
 	}
 	n.becomeFollower(n.term)
 }
--- a/coord/consensus/log.go
+++ b/coord/consensus/log.go
@@ -32,8 +32,8 @@
 
 // matches reports whether the log holds an entry of the given index and term.
 func (l *entryLog) matches(index, term uint64) bool {
-	own, held := l.term(index)
-	return held && own == term
+	entryTerm, present := l.term(index)
+	return present && entryTerm == term
 }
 
 // span returns the entries from first to last, both included.
@@ -78,12 +78,12 @@
 }
 
 // findConflictByTerm returns the highest index up to limit whose term is at most term. It ends at base.
-func (l *entryLog) findConflictByTerm(limit, term uint64) (index, found uint64) {
+func (l *entryLog) findConflictByTerm(limit, term uint64) (index, foundTerm uint64) {
 	index = min(limit, l.lastIndex())
 	for index > l.baseIndex {
-		own, _ := l.term(index)
-		if own <= term {
-			return index, own
+		entryTerm, _ := l.term(index)
+		if entryTerm <= term {
+			return index, entryTerm
 		}
 		index--
 	}
--- a/coord/consensus/membership.go
+++ b/coord/consensus/membership.go
@@ -14,15 +14,15 @@
 }
 
 func newMembership(index uint64, recorded []Member) membership {
-	made := membership{index: index, recorded: recorded}
+	result := membership{index: index, recorded: recorded}
 	for _, member := range recorded {
 		if member.Retired {
-			made.retired = append(made.retired, member.ID)
+			result.retired = append(result.retired, member.ID)
 		} else {
-			made.members = append(made.members, member)
+			result.members = append(result.members, member)
 		}
 	}
-	return made
+	return result
 }
 
 // MembershipChange adds, alters or removes one member.
@@ -32,8 +32,8 @@
 	Retire bool     // with Remove: the group remembers the ID, which is never a member again
 }
 
-// maxRetired bounds the remembered IDs; beyond it the oldest are forgotten.
-const maxRetired = 64
+// maxRetiredMembers bounds the remembered IDs; beyond it the oldest are forgotten.
+const maxRetiredMembers = 64
 
 // maxPromotionLag is how many entries a learner may lack when it becomes a voter.
 const maxPromotionLag = 256
@@ -50,11 +50,11 @@
 
 // membershipAt returns the membership at an index.
 func (n *Node) membershipAt(index uint64) membership {
-	at := len(n.memberships) - 1
-	for at > 0 && n.memberships[at].index > index {
-		at--
+	i := len(n.memberships) - 1
+	for i > 0 && n.memberships[i].index > index {
+		i--
 	}
-	return n.memberships[at]
+	return n.memberships[i]
 }
 
 // recordMemberships takes over the memberships in appended entries.
@@ -103,17 +103,17 @@
 
 // hasQuorum reports whether a majority of the voters is in a set.
 func (n *Node) hasQuorum(set map[MemberID]bool) bool {
-	voters, held := 0, 0
+	voters, inSet := 0, 0
 	for _, member := range n.members() {
 		if !n.countsInQuorum(member) {
 			continue
 		}
 		voters++
 		if set[member.ID] {
-			held++
+			inSet++
 		}
 	}
-	return held > voters/2
+	return inSet > voters/2
 }
 
 // maxVotersInline is the group size up to which a majority is found without allocating.
@@ -121,8 +121,8 @@
 
 // quorumValue returns the highest value that a majority of voters has reached, 0 without voters.
 func quorumValue(n *Node, members []Member, value func(MemberID) uint64) uint64 {
-	var space [maxVotersInline]uint64
-	values := space[:0]
+	var inline [maxVotersInline]uint64
+	values := inline[:0]
 	for _, member := range members {
 		if n.countsInQuorum(member) {
 			values = append(values, value(member.ID))
@@ -170,9 +170,9 @@
 		return removeMember(recorded, change)
 	}
 	altered := slices.Clone(recorded)
-	for at, member := range altered {
+	for i, member := range altered {
 		if member.ID == change.Add.ID {
-			altered[at] = *change.Add
+			altered[i] = *change.Add
 			return altered, member != *change.Add
 		}
 	}
@@ -185,16 +185,16 @@
 	if !known || member.Retired {
 		return recorded, false
 	}
-	kept := slices.DeleteFunc(slices.Clone(recorded), func(member Member) bool { return member.ID == change.Remove })
+	remaining := slices.DeleteFunc(slices.Clone(recorded), func(member Member) bool { return member.ID == change.Remove })
 	if !change.Retire {
-		return kept, true
+		return remaining, true
 	}
-	return trimRetired(append(kept, Member{ID: change.Remove, Retired: true})), true
+	return trimRetired(append(remaining, Member{ID: change.Remove, Retired: true})), true
 }
 
 // trimRetired drops the marks beyond the bound. Marks stand in the order in which they were made.
 func trimRetired(recorded []Member) []Member {
-	surplus := -maxRetired
+	surplus := -maxRetiredMembers
 	for _, member := range recorded {
 		if member.Retired {
 			surplus++
@@ -221,8 +221,8 @@
 			voters++
 		}
 	}
-	answered := quorumValue(n, members, n.contactAt)
-	return voters > 0 && n.now-time.Duration(answered) <= n.config.ElectionTimeout
+	quorumContact := quorumValue(n, members, n.contactAt)
+	return voters > 0 && n.now-time.Duration(quorumContact) <= n.config.ElectionTimeout
 }
 
 func (n *Node) addAllowed(added Member, removed MemberID) bool {
@@ -242,9 +242,9 @@
 	if n.role != RoleLeader || peer == nil || peer.removing {
 		return false
 	}
-	answers := peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
-	holds := peer.matchIndex+maxPromotionLag >= n.log.lastIndex() && peer.matchIndex >= n.memberships[len(n.memberships)-1].index
-	return answers && holds
+	responsive := peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
+	caughtUp := peer.matchIndex+maxPromotionLag >= n.log.lastIndex() && peer.matchIndex >= n.memberships[len(n.memberships)-1].index
+	return responsive && caughtUp
 }
 
 // MatchIndex returns the last entry that a member is known to hold durably. It returns false on any member but the
--- a/coord/consensus/membership_test.go
+++ b/coord/consensus/membership_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRetiredMemberIsRememberedAndNeverComesBack(t *testing.T) {
+func TestNode_ChangeMembers_retiredMemberNeverReturns(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	g.run(testElection)
@@ -35,8 +35,8 @@
 	}
 }
 
-func TestRetiredMarkOfATruncatedChangeIsUndone(t *testing.T) {
-	stored := storedLog(2)
+func TestNode_Step_truncationUndoesRetirement(t *testing.T) {
+	stored := persistedLog(2)
 	stored.Entries[0].Kind = EntryMembership
 	stored.Entries[0].Members = append(testVoters(1, 2), Member{ID: 3, Retired: true})
 	n := newRuleNode(t, stored)
@@ -46,42 +46,42 @@
 	}
 }
 
-func TestRetiredMarksAreBounded(t *testing.T) {
+func TestApplyChange_retiredMembersAreBounded(t *testing.T) {
 	recorded := testVoters(1)
-	for id := MemberID(100); id < 100+2*maxRetired; id++ {
+	for id := MemberID(100); id < 100+2*maxRetiredMembers; id++ {
 		added := append(recorded, Member{ID: id})
 		recorded, _ = applyChange(added, MembershipChange{Remove: id, Retire: true})
 	}
-	if len(recorded) != 1+maxRetired || recorded[1].ID != 100+maxRetired || !recorded[0].Voter {
+	if len(recorded) != 1+maxRetiredMembers || recorded[1].ID != 100+maxRetiredMembers || !recorded[0].Voter {
 		t.Fatalf("%d recorded, the oldest %+v", len(recorded), recorded[1])
 	}
 }
 
-func TestLearnerIsPromotedByWhatItHasAcknowledged(t *testing.T) {
-	stored := storedLog()
+func TestNode_CanPromote_requiresDurableLogAndContact(t *testing.T) {
+	stored := persistedLog()
 	stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4})
 	n := newRuleNode(t, stored)
-	n.lead()
-	n.saved()
-	n.hold(2, 2)
-	n.answer(2)
+	n.becomeLeader()
+	n.persistAll()
+	n.ackAppend(2, 2)
+	n.ackHeartbeat(2)
 	promotion := MembershipChange{Add: &Member{ID: 4, Voter: true}}
 	if n.CanPromote(4) || n.ChangeMembers(n.now, promotion) == nil {
 		t.Fatal("promoted without an answer")
 	}
-	n.answer(4)
+	n.ackHeartbeat(4)
 	if n.CanPromote(4) {
 		t.Fatal("promoted without an acknowledgement")
 	}
-	n.hold(4, 2)
+	n.ackAppend(4, 2)
 	if !n.CanPromote(4) || n.CanPromote(9) {
 		t.Fatal("not promoted, or an unknown one is")
 	}
 	n.now += testElection - testHeartbeat
-	n.answer(2) // member 2 goes on answering, member 4 falls silent
+	n.ackHeartbeat(2) // member 2 goes on answering, member 4 falls silent
 	n.Tick(n.now)
-	n.saved()
-	n.answer(2)
+	n.persistAll()
+	n.ackHeartbeat(2)
 	n.now += 2 * testHeartbeat
 	n.Tick(n.now)
 	if n.Status().Role != RoleLeader || n.CanPromote(4) {
--- a/coord/consensus/node.go
+++ b/coord/consensus/node.go
@@ -107,13 +107,13 @@
 
 // restoreTerm sets the term. An entry may have become durable without the term it belongs to,
 // if power was lost in between: no vote of that term has left this machine then.
-func (n *Node) restoreTerm(hard HardState) {
-	n.term = hard.Term
+func (n *Node) restoreTerm(hardState HardState) {
+	n.term = hardState.Term
 	if n.log.lastTerm() > n.term {
 		n.term, n.votedFor = n.log.lastTerm(), 0
 	}
-	n.persistence.handedOut = hard
-	n.persistence.durable = HardState{Term: hard.Term, Vote: hard.Vote}
+	n.persistence.handedOut = hardState
+	n.persistence.durable = HardState{Term: hardState.Term, Vote: hardState.Vote}
 }
 
 // advanceClock takes over the caller's time, which never runs backwards.
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-func TestCheckRefusesUnusableState(t *testing.T) {
-	gap := storedLog(2, 2)
+func TestPersistedState_Check_rejectsInvalidState(t *testing.T) {
+	gap := persistedLog(2, 2)
 	gap.Entries = gap.Entries[1:]
-	falling := storedLog(3, 2)
+	falling := persistedLog(3, 2)
 	for name, stored := range map[string]PersistedState{
 		"gap":              gap,
 		"falling terms":    falling,
@@ -19,15 +19,15 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for name, stored := range map[string]PersistedState{"empty": {}, "founding": storedLog(), "entries": storedLog(2, 3)} {
+	for name, stored := range map[string]PersistedState{"empty": {}, "founding": persistedLog(), "entries": persistedLog(2, 3)} {
 		if err := stored.Check(); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestTermIsAtLeastThatOfTheLastEntry(t *testing.T) {
-	stored := storedLog(2, 7)
+func TestNew_termIsAtLeastThatOfTheLastEntry(t *testing.T) {
+	stored := persistedLog(2, 7)
 	stored.HardState = HardState{Term: 6, Vote: 3}
 	n := newRuleNode(t, stored)
 	if term := n.Status().Term; term != 7 {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestVotesForOthersAreIgnoredWhileALeaderIsHeard(t *testing.T) {
+func TestNode_Step_votesAreIgnoredWithinLeaderLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		pause  time.Duration
 		forced bool
@@ -49,19 +49,19 @@
 		"silent":         {pause: testElection, want: true},
 		"planned change": {pause: testElection / 2, forced: true, want: true},
 	} {
-		n := newRuleNode(t, storedLog())
+		n := newRuleNode(t, persistedLog())
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 3})
-		n.saved()
+		n.persistAll()
 		n.now = test.pause
 		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 4, LogIndex: 9, LogTerm: 3, LeadershipTransfer: test.forced})
-		if got := has(n.saved().Messages, MessageRequestVoteReply, 3, false); got != test.want {
+		if got := containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3, false); got != test.want {
 			t.Errorf("%s: voted %v", name, got)
 		}
 	}
 }
 
-func TestPreVoteChangesNoTerm(t *testing.T) {
-	n := newRuleNode(t, storedLog(2))
+func TestNode_Step_preVoteChangesNoTerm(t *testing.T) {
+	n := newRuleNode(t, persistedLog(2))
 	for _, request := range []Message{
 		{Kind: MessagePreVote, From: 2, Term: 9, LogIndex: 2, LogTerm: 2},
 		{Kind: MessagePreVote, From: 3, Term: 9, LogIndex: 2, LogTerm: 2},
@@ -72,12 +72,12 @@
 	if ready.Persist != nil || n.Status().Term != 2 {
 		t.Fatalf("persist %+v, term %d", ready.Persist, n.Status().Term)
 	}
-	if !has(ready.Messages, MessagePreVoteReply, 2, false) || !has(ready.Messages, MessagePreVoteReply, 3, false) {
+	if !containsMessage(ready.Messages, MessagePreVoteReply, 2, false) || !containsMessage(ready.Messages, MessagePreVoteReply, 3, false) {
 		t.Fatalf("messages %+v", ready.Messages)
 	}
 }
 
-func TestLeaderWithoutAMajorityStepsDown(t *testing.T) {
+func TestNode_Tick_leaderWithoutQuorumStepsDown(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	first := g.leader()
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	for _, id := range g.others(first) {
-		g.members[id].down = true
+		g.members[id].stopped = true
 	}
 	g.run(testElection + 2*testHeartbeat)
 	if leader.Status().Role == RoleLeader {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestLeaderThatWasFrozenStepsDownBeforeItActs(t *testing.T) {
+func TestNode_Propose_frozenLeaderStepsDownFirst(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	late := g.now + 2*testElection
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestLeaderCommitsWhileItsOwnDiskStalls(t *testing.T) {
+func TestNode_Persisted_leaderCommitsWhileItsDiskStalls(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	first := g.leader()
@@ -118,10 +118,10 @@
 	for _, id := range g.order {
 		g.wantApplied(id, "a", "b")
 	}
-	if held := len(g.members[first].held); held < 2 {
+	if held := len(g.members[first].pendingWrites); held < 2 {
 		t.Fatalf("%d writes under way", held)
 	}
-	last := g.members[first].held[len(g.members[first].held)-1]
+	last := g.members[first].pendingWrites[len(g.members[first].pendingWrites)-1]
 	leader := g.members[first].node
 	leader.Persisted(g.now, last.Sequence)
 	if stable, _ := leader.MatchIndex(first); stable != leader.Status().LastIndex {
@@ -129,8 +129,8 @@
 	}
 }
 
-func TestFollowerAcknowledgesNothingThatATruncationTookAway(t *testing.T) {
-	n := newRuleNode(t, storedLog())
+func TestNode_Persisted_truncatedEntriesAreNotAcknowledged(t *testing.T) {
+	n := newRuleNode(t, persistedLog())
 	old := []Entry{{Term: 2, Index: 2}, {Term: 2, Index: 3}, {Term: 2, Index: 4}}
 	n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 2, LogIndex: 1, LogTerm: 1, Entries: old})
 	first := n.Ready()
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestLeaderRemovesItselfAfterTheCommit(t *testing.T) {
+func TestNode_ChangeMembers_removedLeaderStepsDownAfterCommit(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	first := g.leader()
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestRemovedMemberLearnsOfItsRemoval(t *testing.T) {
+func TestNode_ChangeMembers_removedMemberLearnsOfItsRemoval(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.run(testElection)
@@ -179,8 +179,8 @@
 	}
 }
 
-func TestMemberWhoseRemovalIsNotCommittedMayCampaign(t *testing.T) {
-	stored := storedLog(2)
+func TestNode_Tick_memberWithUncommittedRemovalMayCampaign(t *testing.T) {
+	stored := persistedLog(2)
 	stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(2, 3)
 	n := newRuleNode(t, stored)
 	if n.NextTick() == NoTick {
@@ -188,12 +188,12 @@
 	}
 	n.now = n.NextTick()
 	n.Tick(n.now)
-	if !has(n.Ready().Messages, MessagePreVote, 2, false) {
+	if !containsMessage(n.Ready().Messages, MessagePreVote, 2, false) {
 		t.Fatal("asks for no votes")
 	}
 }
 
-func TestChangesThatAreNotAllowed(t *testing.T) {
+func TestNode_ChangeMembers_rejectsInvalidChanges(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	g.run(testElection)
@@ -206,7 +206,7 @@
 		"last reachable voter": {Remove: first},
 	} {
 		if name == "last reachable voter" {
-			g.members[others[0]].down, g.members[others[1]].down = true, true
+			g.members[others[0]].stopped, g.members[others[1]].stopped = true, true
 			g.now += testElection * 9 / 10
 			leader.leaderState.electedAt = g.now
 			g.now += testElection / 2
@@ -214,12 +214,12 @@
 		if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
 			t.Errorf("%s: %v", name, err)
 		}
-		g.members[others[0]].down, g.members[others[1]].down = false, false
+		g.members[others[0]].stopped, g.members[others[1]].stopped = false, false
 		g.run(2 * testHeartbeat)
 	}
 }
 
-func TestProposalsThatWaitAreBounded(t *testing.T) {
+func TestNode_Propose_uncommittedEntriesAreBounded(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	for range maxUncommittedEntries {
@@ -230,18 +230,18 @@
 	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrTooManyUncommitted) {
 		t.Fatalf("propose: %v", err)
 	}
-	g.settle()
+	g.deliverAll()
 	if _, _, err := leader.Propose(g.now, nil); err != nil {
 		t.Fatalf("propose after the commit: %v", err)
 	}
 }
 
-func TestLostMessagesAreSentAgain(t *testing.T) {
+func TestGroup_lostMessagesAreResent(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.run(testElection)
 	lost := 0
-	g.drop = func(message Message) bool {
+	g.dropMessage = func(message Message) bool {
 		drop := (message.Kind == MessageAppendEntries || message.Kind == MessageAppendEntriesReply) && lost < 6
 		if drop {
 			lost++
@@ -255,12 +255,12 @@
 	}
 }
 
-func TestPeerThatRefusesWhatItAcknowledgedIsNotAskedWithoutPause(t *testing.T) {
-	n := newRuleNode(t, storedLog())
-	n.lead()
-	n.saved()
-	n.hold(2, 2)
-	n.saved()
+func TestNode_Step_repeatedRejectionsCauseNoResendStorm(t *testing.T) {
+	n := newRuleNode(t, persistedLog())
+	n.becomeLeader()
+	n.persistAll()
+	n.ackAppend(2, 2)
+	n.persistAll()
 	for range 5 {
 		n.step(Message{Kind: MessageAppendEntriesReply, From: 2, Term: 2, Reject: true, LogIndex: 2})
 	}
@@ -269,7 +269,7 @@
 	}
 }
 
-func TestReadsBetweenTwoTakesShareARound(t *testing.T) {
+func TestNode_ReadIndex_readsShareAHeartbeatRound(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	g.sent = 0
@@ -278,13 +278,13 @@
 			t.Fatal(err)
 		}
 	}
-	g.settle()
+	g.deliverAll()
 	if got := len(g.members[g.leader()].reads); got != 50 || g.sent > 4 {
 		t.Fatalf("%d reads by %d messages", got, g.sent)
 	}
 }
 
-func TestFirstElectionAfterAStartIsSooner(t *testing.T) {
+func TestNew_firstElectionTimeoutIsShorter(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	members := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	for seed := range uint64(200) {
--- a/coord/consensus/persist.go
+++ b/coord/consensus/persist.go
@@ -35,8 +35,8 @@
 // clampStable forgets what is durable after index, now or by a batch under way.
 func (d *persistenceTracker) clampStable(index uint64) {
 	d.stableIndex = min(d.stableIndex, index)
-	for at := range d.pending {
-		d.pending[at].lastIndex = min(d.pending[at].lastIndex, index)
+	for i := range d.pending {
+		d.pending[i].lastIndex = min(d.pending[i].lastIndex, index)
 	}
 }
 
@@ -44,10 +44,10 @@
 func (d *persistenceTracker) complete(sequence uint64) {
 	done := 0
 	for done < len(d.pending) && d.pending[done].sequence <= sequence {
-		held := d.pending[done]
-		d.stableIndex = max(d.stableIndex, held.lastIndex)
-		if held.hardState != nil {
-			d.durable = *held.hardState
+		write := d.pending[done]
+		d.stableIndex = max(d.stableIndex, write.lastIndex)
+		if write.hardState != nil {
+			d.durable = *write.hardState
 		}
 		done++
 	}
@@ -75,27 +75,27 @@
 
 // nextPersistRequest returns what is not handed out yet. A commit index alone costs no write.
 func (n *Node) nextPersistRequest() *PersistRequest {
-	hard := HardState{Term: n.term, Vote: n.votedFor, Commit: n.commitIndex}
-	saved := n.persistence.handedOut
-	promised := hard.Term != saved.Term || hard.Vote != saved.Vote
+	hardState := HardState{Term: n.term, Vote: n.votedFor, Commit: n.commitIndex}
+	handedOut := n.persistence.handedOut
+	termOrVoteChanged := hardState.Term != handedOut.Term || hardState.Vote != handedOut.Vote
 	entries := n.log.span(n.persistence.firstUnsaved, n.log.lastIndex())
-	if !promised && len(entries) == 0 && n.unpersistedSnapshot == nil {
+	if !termOrVoteChanged && len(entries) == 0 && n.unpersistedSnapshot == nil {
 		return nil
 	}
 	n.persistence.sequence++
-	persist := &PersistRequest{Sequence: n.persistence.sequence, Entries: entries, Snapshot: n.unpersistedSnapshot}
-	held := pendingWrite{sequence: n.persistence.sequence}
+	request := &PersistRequest{Sequence: n.persistence.sequence, Entries: entries, Snapshot: n.unpersistedSnapshot}
+	write := pendingWrite{sequence: n.persistence.sequence}
 	if len(entries) > 0 || n.unpersistedSnapshot != nil {
-		held.lastIndex = n.log.lastIndex()
+		write.lastIndex = n.log.lastIndex()
 	}
-	if hard != saved {
-		persist.HardState, held.hardState = &hard, &hard
+	if hardState != handedOut {
+		request.HardState, write.hardState = &hardState, &hardState
 	}
-	n.persistence.handedOut = hard
+	n.persistence.handedOut = hardState
 	n.persistence.firstUnsaved = n.log.lastIndex() + 1
-	n.persistence.pending = append(n.persistence.pending, held)
+	n.persistence.pending = append(n.persistence.pending, write)
 	n.unpersistedSnapshot = nil
-	return persist
+	return request
 }
 
 // Persisted reports that what the Persist of this sequence and all before it held is durable. Whatever rests on it
@@ -165,17 +165,17 @@
 // retentionStart returns the index up to which entries may be dropped so that members in touch which lack some of them,
 // or are being sent a snapshot that stands before them, find the entries that they ask for next: else changes that
 // go on could compact the log away under a member that catches up, again and again. What is kept is bounded.
-func (n *Node) retentionStart(start uint64) uint64 {
+func (n *Node) retentionStart(compactTo uint64) uint64 {
 	if n.role != RoleLeader || !n.enforces(RuleCatchUpRetention) {
-		return start
+		return compactTo
 	}
-	needed := start
+	needed := compactTo
 	for _, peer := range n.leaderState.peers {
-		if held := peer.expectedMatchIndex(); n.recentlyActive(peer) && held >= n.log.baseIndex {
-			needed = min(needed, held)
+		if matchIndex := peer.expectedMatchIndex(); n.recentlyActive(peer) && matchIndex >= n.log.baseIndex {
+			needed = min(needed, matchIndex)
 		}
 	}
-	return n.boundRetention(needed, start)
+	return n.boundRetention(needed, compactTo)
 }
 
 // expectedMatchIndex returns the last entry that the peer holds, or will hold with the snapshot that it is being sent.
@@ -192,24 +192,24 @@
 }
 
 // boundRetention raises the start of what is kept, but not over most, until the entries after it are within bounds.
-func (n *Node) boundRetention(needed, most uint64) uint64 {
-	size, count, start := 0, 0, n.log.lastIndex()
-	for start > needed {
-		size += entrySize(&n.log.entries[start-n.log.baseIndex-1])
+func (n *Node) boundRetention(needed, limit uint64) uint64 {
+	size, count, first := 0, 0, n.log.lastIndex()
+	for first > needed {
+		size += entrySize(&n.log.entries[first-n.log.baseIndex-1])
 		count++
 		if size > maxCatchUpBytes || count > maxCatchUpEntries {
 			break
 		}
-		start--
+		first--
 	}
-	return min(start, most)
+	return min(first, limit)
 }
 
 // SnapshotAt describes the snapshot of the state machine at an applied index, to be made durable
 // before Compact is called. It returns false if the index is not applied or no longer held.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, bool) {
-	term, held := n.log.term(index)
-	if !held || index > n.appliedIndex || index < n.snapshot.Index {
+	term, present := n.log.term(index)
+	if !present || index > n.appliedIndex || index < n.snapshot.Index {
 		return Snapshot{}, false
 	}
 	return Snapshot{Index: index, Term: term, Members: n.membershipAt(index).recorded, Data: data}, true
--- a/coord/consensus/replication.go
+++ b/coord/consensus/replication.go
@@ -76,18 +76,18 @@
 
 // sendFinalEntries sends a removed peer what it lacks up to the commit index, in one message.
 func (n *Node) sendFinalEntries(peer *progress) {
-	prior := peer.matchIndex
-	term, held := n.log.term(prior)
-	if !held || n.commitIndex-prior > maxPromotionLag {
+	prevIndex := peer.matchIndex
+	prevTerm, present := n.log.term(prevIndex)
+	if !present || n.commitIndex-prevIndex > maxPromotionLag {
 		return
 	}
 	n.send(Message{
 		Kind:     MessageAppendEntries,
 		To:       peer.id,
-		LogIndex: prior,
-		LogTerm:  term,
+		LogIndex: prevIndex,
+		LogTerm:  prevTerm,
 		Commit:   n.commitIndex,
-		Entries:  n.log.span(prior+1, n.commitIndex),
+		Entries:  n.log.span(prevIndex+1, n.commitIndex),
 	})
 }
 
@@ -123,9 +123,9 @@
 
 // sendEntries sends one message of entries, none if the peer has all, or a snapshot if they are not held any more.
 func (n *Node) sendEntries(peer *progress) {
-	prior := peer.nextIndex - 1
-	term, held := n.log.term(prior)
-	if !held {
+	prevIndex := peer.nextIndex - 1
+	prevTerm, present := n.log.term(prevIndex)
+	if !present {
 		n.sendSnapshot(peer)
 		return
 	}
@@ -133,8 +133,8 @@
 	n.send(Message{
 		Kind:     MessageAppendEntries,
 		To:       peer.id,
-		LogIndex: prior,
-		LogTerm:  term,
+		LogIndex: prevIndex,
+		LogTerm:  prevTerm,
 		Commit:   n.commitIndex,
 		Entries:  entries,
 	})
@@ -154,9 +154,9 @@
 	if peer.answeredRound == 0 || n.now < peer.snapshotRetryAt {
 		return
 	}
-	pause := max(n.config.ElectionTimeout, peer.snapshotBackoff)
-	peer.snapshotRetryAt = n.now + pause
-	peer.snapshotBackoff = min(2*pause, maxSnapshotBackoff*n.config.ElectionTimeout)
+	backoff := max(n.config.ElectionTimeout, peer.snapshotBackoff)
+	peer.snapshotRetryAt = n.now + backoff
+	peer.snapshotBackoff = min(2*backoff, maxSnapshotBackoff*n.config.ElectionTimeout)
 	peer.state = stateSnapshot
 	peer.nextIndex = n.snapshot.Index + 1
 	snapshot := n.snapshot
@@ -201,8 +201,8 @@
 	if index < n.log.baseIndex {
 		return index
 	}
-	found, own := n.log.findConflictByTerm(index, term)
-	if own > term {
+	found, foundTerm := n.log.findConflictByTerm(index, term)
+	if foundTerm > term {
 		return found - 1
 	}
 	return found
@@ -218,15 +218,15 @@
 }
 
 // updateMatch takes note that a peer holds entries durably up to one index and shares the log up to another.
-func (n *Node) updateMatch(peer *progress, durable, shared uint64) {
-	shared = min(max(shared, durable), n.log.lastIndex())
-	peer.matchIndex = max(peer.matchIndex, min(durable, n.log.lastIndex()))
+func (n *Node) updateMatch(peer *progress, durableIndex, matchingIndex uint64) {
+	matchingIndex = min(max(matchingIndex, durableIndex), n.log.lastIndex())
+	peer.matchIndex = max(peer.matchIndex, min(durableIndex, n.log.lastIndex()))
 	for len(peer.inflight) > 0 && peer.inflight[0] <= peer.matchIndex {
 		peer.inflight = peer.inflight[1:]
 	}
-	if peer.state != stateReplicate && shared >= peer.nextIndex-1 {
+	if peer.state != stateReplicate && matchingIndex >= peer.nextIndex-1 {
 		peer.state = stateReplicate
-		peer.nextIndex = shared + 1
+		peer.nextIndex = matchingIndex + 1
 		peer.inflight = nil
 		peer.lossCheckRound = 0
 		peer.snapshotRetryAt, peer.snapshotBackoff = 0, 0
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -12,8 +12,8 @@
 	now time.Duration
 }
 
-// storedLog is the state of a founder of members 1 to 3 whose log goes on with commands of the given terms.
-func storedLog(terms ...uint64) PersistedState {
+// persistedLog is the state of a founder of members 1 to 3 whose log goes on with commands of the given terms.
+func persistedLog(terms ...uint64) PersistedState {
 	stored := Bootstrap(testVoters(1, 2, 3), nil)
 	for at, term := range terms {
 		stored.Entries = append(stored.Entries, Entry{Term: term, Index: uint64(at) + 2, Data: []byte("x")})
@@ -28,8 +28,8 @@
 	return &ruleNode{Node: New(config, stored, 0), t: t}
 }
 
-// saved takes all that is to be done and reports it durable.
-func (n *ruleNode) saved() Ready {
+// persistAll takes all that is to be done and reports it durable.
+func (n *ruleNode) persistAll() Ready {
 	ready := n.Ready()
 	if ready.Persist != nil {
 		n.Persisted(n.now, ready.Persist.Sequence)
@@ -46,30 +46,30 @@
 	n.Step(n.now, message)
 }
 
-// lead makes the member leader of the next term by member 2's vote.
-func (n *ruleNode) lead() {
+// becomeLeader makes the member leader of the next term by member 2's vote.
+func (n *ruleNode) becomeLeader() {
 	n.t.Helper()
 	n.now = n.NextTick()
 	n.Tick(n.now)
 	n.step(Message{Kind: MessagePreVoteReply, From: 2, Term: n.Status().Term + 1})
-	n.saved()
+	n.persistAll()
 	n.step(Message{Kind: MessageRequestVoteReply, From: 2, Term: n.Status().Term})
 	if n.Status().Role != RoleLeader {
 		n.t.Fatalf("no leader: %+v", n.Status())
 	}
 }
 
-// hold has a peer acknowledge the log up to an index.
-func (n *ruleNode) hold(peer MemberID, index uint64) {
+// ackAppend has a peer acknowledge the log up to an index.
+func (n *ruleNode) ackAppend(peer MemberID, index uint64) {
 	n.step(Message{Kind: MessageAppendEntriesReply, From: peer, Term: n.Status().Term, LogIndex: index, HintIndex: index})
 }
 
-// answer has a peer answer the last round of heartbeats.
-func (n *ruleNode) answer(peer MemberID) {
+// ackHeartbeat has a peer answer the last round of heartbeats.
+func (n *ruleNode) ackHeartbeat(peer MemberID) {
 	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, HeartbeatRound: n.leaderState.lastRound})
 }
 
-func has(messages []Message, kind MessageKind, to MemberID, reject bool) bool {
+func containsMessage(messages []Message, kind MessageKind, to MemberID, reject bool) bool {
 	for _, message := range messages {
 		if message.Kind == kind && message.To == to && message.Reject == reject {
 			return true
@@ -81,42 +81,42 @@
 // ruleScenarios tell for each rule a course of events that does harm without it.
 var ruleScenarios = map[Rule]func(t *testing.T, omit ...Rule) (harm bool){
 	RuleVoteOnce: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
+		n := newRuleNode(t, persistedLog(), omit...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		n.saved()
+		n.persistAll()
 		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 5, LogIndex: 9, LogTerm: 4})
-		return has(n.saved().Messages, MessageRequestVoteReply, 3, false)
+		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3, false)
 	},
 	RuleVoteUpToDateLog: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(2), omit...)
+		n := newRuleNode(t, persistedLog(2), omit...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 1})
-		return has(n.saved().Messages, MessageRequestVoteReply, 2, false)
+		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2, false)
 	},
 	RuleVoteDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
+		n := newRuleNode(t, persistedLog(), omit...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		return has(n.Ready().Messages, MessageRequestVoteReply, 2, false)
+		return containsMessage(n.Ready().Messages, MessageRequestVoteReply, 2, false)
 	},
 	RuleCandidateTermDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
+		n := newRuleNode(t, persistedLog(), omit...)
 		n.now = n.NextTick()
 		n.Tick(n.now)
 		n.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
-		return has(n.Ready().Messages, MessageRequestVote, 2, false)
+		return containsMessage(n.Ready().Messages, MessageRequestVote, 2, false)
 	},
 	RuleAppendCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(4), omit...)
+		n := newRuleNode(t, persistedLog(4), omit...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 3, LogIndex: 1, LogTerm: 1,
 			Entries: []Entry{{Term: 3, Index: 2}, {Term: 3, Index: 3}}})
 		return n.Status().LastIndex == 3
 	},
 	RuleAppendLogMatching: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(4), omit...)
+		n := newRuleNode(t, persistedLog(4), omit...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 2, LogTerm: 5, Entries: []Entry{{Term: 5, Index: 3}}})
 		return n.Status().LastIndex == 3
 	},
 	RuleAppendDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
+		n := newRuleNode(t, persistedLog(), omit...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		for _, message := range n.Ready().Messages {
 			if message.Kind == MessageAppendEntriesReply && message.LogIndex >= 2 {
@@ -126,133 +126,133 @@
 		return false
 	},
 	RuleLeaderEntriesDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
-		n.lead()
+		n := newRuleNode(t, persistedLog(), omit...)
+		n.becomeLeader()
 		n.Ready()
-		n.hold(2, 2)
+		n.ackAppend(2, 2)
 		return n.Status().CommitIndex == 2
 	},
 	RuleCommitMajority: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
-		n.lead()
-		n.saved()
+		n := newRuleNode(t, persistedLog(), omit...)
+		n.becomeLeader()
+		n.persistAll()
 		return n.Status().CommitIndex == 2
 	},
 	RuleCommitCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(2), omit...)
-		n.lead()
-		n.saved()
-		n.hold(2, 2)
+		n := newRuleNode(t, persistedLog(2), omit...)
+		n.becomeLeader()
+		n.persistAll()
+		n.ackAppend(2, 2)
 		return n.Status().CommitIndex == 2
 	},
 	RuleCommitVerified: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(2), omit...)
+		n := newRuleNode(t, persistedLog(2), omit...)
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 2})
 		return n.Status().CommitIndex == 2
 	},
 	RuleReadQuorumConfirmed: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
-		n.lead()
-		n.saved()
-		n.hold(2, 2)
+		n := newRuleNode(t, persistedLog(), omit...)
+		n.becomeLeader()
+		n.persistAll()
+		n.ackAppend(2, 2)
 		n.ReadIndex(n.now, 7)
 		return len(n.Ready().Reads) > 0
 	},
 	RuleReadCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(2), omit...)
-		n.lead()
+		n := newRuleNode(t, persistedLog(2), omit...)
+		n.becomeLeader()
 		n.ReadIndex(n.now, 7)
-		n.saved()
-		n.answer(2)
+		n.persistAll()
+		n.ackHeartbeat(2)
 		return len(n.Ready().Reads) > 0
 	},
 	RuleMembershipSingleChange: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
-		n.lead()
-		n.saved()
-		n.hold(2, 2)
-		n.answer(2)
+		n := newRuleNode(t, persistedLog(), omit...)
+		n.becomeLeader()
+		n.persistAll()
+		n.ackAppend(2, 2)
+		n.ackHeartbeat(2)
 		if err := n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}); err != nil {
 			t.Fatal(err)
 		}
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 5}}) == nil
 	},
 	RuleMembershipCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(2), omit...)
-		n.lead()
-		n.saved()
-		n.answer(2)
+		n := newRuleNode(t, persistedLog(2), omit...)
+		n.becomeLeader()
+		n.persistAll()
+		n.ackHeartbeat(2)
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
 	RuleMembershipRollback: func(t *testing.T, omit ...Rule) bool {
-		stored := storedLog(2)
+		stored := persistedLog(2)
 		stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(1, 2, 3, 4)
 		n := newRuleNode(t, stored, omit...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		return len(n.Status().Members) == 4
 	},
 	RuleLearnerNoQuorum: func(t *testing.T, omit ...Rule) bool {
-		stored := storedLog()
+		stored := persistedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4}, Member{ID: 5})
 		n := newRuleNode(t, stored)
-		n.lead()
+		n.becomeLeader()
 		for _, rule := range omit {
 			n.disabledRules[rule] = true
 		}
-		n.saved()
-		n.hold(4, 2)
-		n.hold(5, 2)
+		n.persistAll()
+		n.ackAppend(4, 2)
+		n.ackAppend(5, 2)
 		return n.Status().CommitIndex == 2
 	},
 	RuleRetiredNeverReturns: func(t *testing.T, omit ...Rule) bool {
-		stored := storedLog()
+		stored := persistedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4, Retired: true})
 		n := newRuleNode(t, stored, omit...)
-		n.lead()
-		n.saved()
-		n.hold(2, 2)
-		n.answer(2)
+		n.becomeLeader()
+		n.persistAll()
+		n.ackAppend(2, 2)
+		n.ackHeartbeat(2)
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
 	RuleConfirmedUpToDate: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
+		n := newRuleNode(t, persistedLog(), omit...)
 		n.now = time.Second
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 9, HeartbeatRound: 1})
 		return n.Status().ConfirmedAt > 0
 	},
 	RuleCatchUpRetention: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, storedLog(), omit...)
+		n := newRuleNode(t, persistedLog(), omit...)
 		n.config.TrailingEntries = -1
-		n.lead()
-		n.saved()
-		n.hold(2, 2)
-		n.answer(2)
-		n.saved()
+		n.becomeLeader()
+		n.persistAll()
+		n.ackAppend(2, 2)
+		n.ackHeartbeat(2)
+		n.persistAll()
 		n.Compact(2, nil, nil)
-		n.answer(3)
+		n.ackHeartbeat(3)
 		n.step(Message{Kind: MessageAppendEntriesReply, From: 3, Term: n.Status().Term, Reject: true, LogIndex: 1})
-		n.answer(3)
-		if !has(n.saved().Messages, MessageInstallSnapshot, 3, false) {
+		n.ackHeartbeat(3)
+		if !containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3, false) {
 			t.Fatal("no snapshot is sent")
 		}
 		if _, index, err := n.Propose(n.now, []byte("x")); err != nil || index != 3 {
 			t.Fatal(index, err)
 		}
-		n.saved()
-		n.hold(2, 3)
-		n.saved()
+		n.persistAll()
+		n.ackAppend(2, 3)
+		n.persistAll()
 		n.Compact(3, nil, nil)
-		n.hold(3, 2)
-		return has(n.saved().Messages, MessageInstallSnapshot, 3, false)
+		n.ackAppend(3, 2)
+		return containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3, false)
 	},
 	RuleEmptyDiskNoVote: func(t *testing.T, omit ...Rule) bool {
 		n := newRuleNode(t, PersistedState{}, omit...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		return has(n.saved().Messages, MessageRequestVoteReply, 2, false)
+		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2, false)
 	},
 }
 
-func TestEachRulePreventsHarm(t *testing.T) {
+func TestRules_eachPreventsHarm(t *testing.T) {
 	for _, rule := range Rules() {
 		scenario := ruleScenarios[rule]
 		if scenario == nil {
--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -6,16 +6,16 @@
 	"ospreybend/coord/consensus"
 )
 
-// foundingChain stands for the state at a group's formation.
-const foundingChain = 1
+// initialStateHash stands for the state at a group's formation.
+const initialStateHash = 1
 
 // firstIndex is the index of the founding snapshot.
 const firstIndex = 1
 
-// agreed is an entry as the first state machine took it.
-type agreed struct {
-	term  uint64
-	chain uint64 // of the state after it
+// committedEntry is an entry as the first state machine took it.
+type committedEntry struct {
+	term      uint64
+	stateHash uint64 // of the state after it
 }
 
 // checks holds what a history has shown so far.
@@ -23,15 +23,15 @@
 	seed         uint64
 	violations   []Violation
 	leaders      map[uint64]consensus.MemberID // by term
-	agreed       []agreed                      // by index, from firstIndex on
+	committed    []committedEntry              // by index, from firstIndex on
 	acknowledged []uint64                      // indexes
 }
 
 func newChecks(seed uint64) checks {
 	return checks{
-		seed:    seed,
-		leaders: make(map[uint64]consensus.MemberID),
-		agreed:  []agreed{{term: 1, chain: foundingChain}},
+		seed:      seed,
+		leaders:   make(map[uint64]consensus.MemberID),
+		committed: []committedEntry{{term: 1, stateHash: initialStateHash}},
 	}
 }
 
@@ -39,13 +39,13 @@
 	c.violations = append(c.violations, Violation{Seed: c.seed, Check: check, Text: text})
 }
 
-// last returns the highest index that any state machine has taken.
-func (c *checks) last() uint64 {
-	return firstIndex + uint64(len(c.agreed)) - 1
+// lastCommitted returns the highest index that any state machine has taken.
+func (c *checks) lastCommitted() uint64 {
+	return firstIndex + uint64(len(c.committed)) - 1
 }
 
-// nextChain returns a number that stands for the state after an entry (FNV-1a over its parts).
-func nextChain(chain uint64, entry consensus.Entry) uint64 {
+// nextStateHash returns a number that stands for the state after an entry (FNV-1a over its parts).
+func nextStateHash(chain uint64, entry consensus.Entry) uint64 {
 	const prime = 1099511628211
 	chain = (chain ^ entry.Index) * prime
 	chain = (chain ^ entry.Term) * prime
@@ -58,36 +58,36 @@
 	return chain
 }
 
-// claim checks a message that only the leader of its term may send.
-func (c *checks) claim(message consensus.Message) {
+// leaderMessage checks a message that only the leader of its term may send.
+func (c *checks) leaderMessage(message consensus.Message) {
 	switch message.Kind {
 	case consensus.MessageAppendEntries, consensus.MessageHeartbeat, consensus.MessageInstallSnapshot:
-		c.leader(message.Term, message.From)
+		c.recordLeader(message.Term, message.From)
 	}
 }
 
-func (c *checks) leader(term uint64, id consensus.MemberID) {
+func (c *checks) recordLeader(term uint64, id consensus.MemberID) {
 	known, found := c.leaders[term]
 	if found && known != id {
-		c.fail(CheckOneLeader, fmt.Sprintf("term %d: leaders %d and %d", term, known, id))
+		c.fail(CheckElectionSafety, fmt.Sprintf("term %d: leaders %d and %d", term, known, id))
 	}
 	c.leaders[term] = id
 }
 
-// leads checks that a new leader holds all that was acknowledged.
-func (c *checks) leads(h *host, term uint64, log consensus.PersistedState) {
-	c.leader(term, h.id)
+// leaderElected checks that a new leader holds all that was acknowledged.
+func (c *checks) leaderElected(h *host, term uint64, log consensus.PersistedState) {
+	c.recordLeader(term, h.id)
 	for _, index := range c.acknowledged {
-		want := c.agreed[index-firstIndex].term
-		if want < term && !holds(log, index, want) {
-			c.fail(CheckKept, fmt.Sprintf("leader %d of term %d lacks entry %d of term %d", h.id, term, index, want))
+		want := c.committed[index-firstIndex].term
+		if want < term && !hasEntry(log, index, want) {
+			c.fail(CheckAcknowledgedDurable, fmt.Sprintf("leader %d of term %d lacks entry %d of term %d", h.id, term, index, want))
 			return
 		}
 	}
 }
 
-// holds reports whether a log has an entry, or a snapshot in its place.
-func holds(log consensus.PersistedState, index, term uint64) bool {
+// hasEntry reports whether a log has an entry, or a snapshot in its place.
+func hasEntry(log consensus.PersistedState, index, term uint64) bool {
 	base := log.Snapshot.Index
 	if index <= base {
 		return true
@@ -99,43 +99,43 @@
 // applied checks an entry that a state machine takes.
 func (c *checks) applied(h *host, entry consensus.Entry) {
 	if entry.Index != h.applied+1 {
-		c.fail(CheckOrder, fmt.Sprintf("member %d takes entry %d after %d", h.id, entry.Index, h.applied))
+		c.fail(CheckApplyOrder, fmt.Sprintf("member %d takes entry %d after %d", h.id, entry.Index, h.applied))
 		return
 	}
-	chain := nextChain(h.chain, entry)
-	if entry.Index > c.last() {
-		c.agreed = append(c.agreed, agreed{term: entry.Term, chain: chain})
+	stateHash := nextStateHash(h.stateHash, entry)
+	if entry.Index > c.lastCommitted() {
+		c.committed = append(c.committed, committedEntry{term: entry.Term, stateHash: stateHash})
 		return
 	}
-	known := c.agreed[entry.Index-firstIndex]
-	if known.chain != chain {
-		c.fail(CheckAgreement, fmt.Sprintf("member %d takes entry %d of term %d, another took one of term %d",
+	known := c.committed[entry.Index-firstIndex]
+	if known.stateHash != stateHash {
+		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes entry %d of term %d, another took one of term %d",
 			h.id, entry.Index, entry.Term, known.term))
 	}
 }
 
 // restored checks a snapshot that a state machine takes.
 func (c *checks) restored(h *host, snapshot consensus.Snapshot) {
-	if snapshot.Index > c.last() {
-		c.fail(CheckAgreement, fmt.Sprintf("member %d takes a snapshot at %d, applied is %d", h.id, snapshot.Index, c.last()))
+	if snapshot.Index > c.lastCommitted() {
+		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes a snapshot at %d, applied is %d", h.id, snapshot.Index, c.lastCommitted()))
 		return
 	}
-	if c.agreed[snapshot.Index-firstIndex].chain != h.chain {
-		c.fail(CheckAgreement, fmt.Sprintf("member %d takes another state at %d", h.id, snapshot.Index))
+	if c.committed[snapshot.Index-firstIndex].stateHash != h.stateHash {
+		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes another state at %d", h.id, snapshot.Index))
 	}
 }
 
 // read checks an index that confirms a read.
 func (c *checks) read(h *host, floor, index uint64) {
 	if index < floor {
-		c.fail(CheckRead, fmt.Sprintf("member %d reads at %d, entry %d was applied before", h.id, index, floor))
+		c.fail(CheckLinearizableRead, fmt.Sprintf("member %d reads at %d, entry %d was applied before", h.id, index, floor))
 	}
 }
 
 // termOf returns the term of an entry that a state machine has taken.
 func (c *checks) termOf(index uint64) (uint64, bool) {
-	if index < firstIndex || index > c.last() {
+	if index < firstIndex || index > c.lastCommitted() {
 		return 0, false
 	}
-	return c.agreed[index-firstIndex].term, true
+	return c.committed[index-firstIndex].term, true
 }
--- a/coord/consensus/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -7,33 +7,33 @@
 	"ospreybend/coord/consensus"
 )
 
-// calmPause is the mean pause between two calls of the client once the faults are over, so that members far behind
+// minRecoveryPause is the mean pause between two calls of the client once the faults are over, so that members far behind
 // catch up whatever the schedule's flow of messages is.
-const calmPause = 100 * time.Millisecond
+const minRecoveryPause = 100 * time.Millisecond
 
-// clientWorks proposes a command or reads at a member that takes itself for the leader.
-func (w *world) clientWorks() {
-	pause := w.profile.work
-	if w.calm {
-		pause = max(pause, calmPause)
+// runClient proposes a command or reads at a member that takes itself for the leader.
+func (c *cluster) runClient() {
+	pause := c.profile.clientPause
+	if c.faultsOver {
+		pause = max(pause, minRecoveryPause)
 	}
-	w.after(w.draw(0, 2*pause), w.clientWorks)
-	leaders := w.leaders()
+	c.schedule(c.randomDuration(0, 2*pause), c.runClient)
+	leaders := c.leaders()
 	if len(leaders) == 0 {
 		return
 	}
-	chosen := leaders[w.random.IntN(len(leaders))]
-	if w.chance(0.4) {
-		chosen.act(chosen.read)
+	target := leaders[c.random.IntN(len(leaders))]
+	if c.chance(0.4) {
+		target.whenRunning(target.read)
 		return
 	}
-	chosen.act(chosen.propose)
+	target.whenRunning(target.propose)
 }
 
 // leaders returns the machines whose process takes itself for the leader.
-func (w *world) leaders() []*host {
+func (c *cluster) leaders() []*host {
 	var leaders []*host
-	for _, host := range w.hosts {
+	for _, host := range c.hosts {
 		if host.up && host.node.Status().Role == consensus.RoleLeader {
 			leaders = append(leaders, host)
 		}
@@ -41,73 +41,73 @@
 	return leaders
 }
 
-// mostWaiting is how many entries may wait for a majority before the client holds back.
-const mostWaiting = 50
+// maxUncommitted is how many entries may wait for a majority before the client holds back.
+const maxUncommitted = 50
 
 func (h *host) propose() {
-	if status := h.node.Status(); status.LastIndex > status.CommitIndex+mostWaiting {
+	if status := h.node.Status(); status.LastIndex > status.CommitIndex+maxUncommitted {
 		return
 	}
-	h.world.lastCommand++
-	data := binary.LittleEndian.AppendUint64(nil, h.world.lastCommand)
+	h.cluster.lastCommandID++
+	data := binary.LittleEndian.AppendUint64(nil, h.cluster.lastCommandID)
 	term, index, err := h.node.Propose(h.clock(), data)
 	if err == nil {
-		h.proposed[index] = term
+		h.proposedTerms[index] = term
 	}
 }
 
 // acknowledged notes a command that its proposer saw committed. Some schedules cut the power at that moment.
-func (w *world) acknowledged(entry consensus.Entry) {
-	w.count.Acknowledged++
-	w.checks.acknowledged = append(w.checks.acknowledged, entry.Index)
-	if !w.calm && w.chance(w.profile.cutAtAck) {
-		w.after(0, w.loseAllPower)
+func (c *cluster) acknowledged(entry consensus.Entry) {
+	c.counters.Acknowledged++
+	c.checks.acknowledged = append(c.checks.acknowledged, entry.Index)
+	if !c.faultsOver && c.chance(c.profile.powerLossAtAckRate) {
+		c.schedule(0, c.loseAllPower)
 	}
 }
 
 func (h *host) read() {
-	h.world.lastRead++
-	id := h.world.lastRead
+	h.cluster.lastReadID++
+	id := h.cluster.lastReadID
 	if h.node.ReadIndex(h.clock(), id) == nil {
-		h.began[id] = h.world.checks.last()
+		h.readFloors[id] = h.cluster.checks.lastCommitted()
 	}
 }
 
 func (h *host) finishReads(results []consensus.ReadResult) {
 	for _, result := range results {
-		floor := h.began[result.ID]
-		delete(h.began, result.ID)
+		floor := h.readFloors[result.ID]
+		delete(h.readFloors, result.ID)
 		if result.OK {
-			h.world.count.Reads++
-			h.world.checks.read(h, floor, result.Index)
+			h.cluster.counters.Reads++
+			h.cluster.checks.read(h, floor, result.Index)
 		}
 	}
 }
 
-// operatorPause is the pause between two looks at the members.
-const operatorPause = 100 * time.Millisecond
+// operatorInterval is the pause between two looks at the members.
+const operatorInterval = 100 * time.Millisecond
 
-// operatorWorks brings machines that lost their disk back into the group.
-func (w *world) operatorWorks() {
-	w.after(w.draw(operatorPause/2, operatorPause), w.operatorWorks)
-	if w.rivals != nil && !w.rivals.over && !w.calm {
+// runOperator brings machines that lost their disk back into the group.
+func (c *cluster) runOperator() {
+	c.schedule(c.randomDuration(operatorInterval/2, operatorInterval), c.runOperator)
+	if c.competition != nil && !c.competition.finished && !c.faultsOver {
 		return
 	}
-	for _, leader := range w.leaders() {
-		leader.act(leader.mendMembers)
+	for _, leader := range c.leaders() {
+		leader.whenRunning(leader.repairMembership)
 	}
 }
 
-// mendMembers makes the first change that the members need.
-func (h *host) mendMembers() {
+// repairMembership makes the first change that the members need.
+func (h *host) repairMembership() {
 	members := h.node.Status().Members
-	for _, machine := range h.world.hosts {
-		change, needed := machine.neededChange(members, h.world.profile.removeFirst)
+	for _, machine := range h.cluster.hosts {
+		change, needed := machine.neededChange(members, h.cluster.profile.removeFirst)
 		if !needed {
 			continue
 		}
 		if h.node.ChangeMembers(h.clock(), change) == nil {
-			h.world.count.MemberChanges++
+			h.cluster.counters.MembershipChanges++
 		}
 		return
 	}
--- a/coord/consensus/simulation/cluster.go
+++ b/coord/consensus/simulation/cluster.go
@@ -11,15 +11,15 @@
 
 // Times of a schedule.
 const (
-	heartbeatShare = 5                // heartbeats in an election timeout
-	recovery       = 20 * time.Second // after the faults
+	heartbeatsPerElectionTimeout = 5                // heartbeats in an election timeout
+	recoveryLimit                = 20 * time.Second // after the faults
 )
 
 // event is something that happens at a time.
 type event struct {
-	at     time.Duration
-	order  uint64
-	action func()
+	at       time.Duration
+	sequence uint64
+	action   func()
 }
 
 type eventQueue []event
@@ -29,7 +29,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -40,144 +40,144 @@
 	return popped
 }
 
-// world is all machines, what is between them and what happens to them in one schedule.
-type world struct {
-	options Options
-	random  *rand.Rand
-	profile profile
-	now     time.Duration
-	events  eventQueue
-	order   uint64
-	hosts   []*host
-	cuts    [][]time.Duration // until when nothing passes, by sender and receiver
-	mutes   [][]time.Duration // until when no entries of the sender's own term pass
-	rivals  *rivalry          // the last one, nil: none yet
-	checks  checks
-	count   Count
-	calm    bool // the faults are over
-
-	lastWipe      time.Duration
+// cluster is all machines, what is between them and what happens to them in one schedule.
+type cluster struct {
+	options          Options
+	random           *rand.Rand
+	profile          profile
+	now              time.Duration
+	events           eventQueue
+	lastSequence     uint64
+	hosts            []*host
+	partitionedUntil [][]time.Duration // until when nothing passes, by sender and receiver
+	entriesLostUntil [][]time.Duration // until when no entries of the sender's own term pass
+	competition      *competingChanges // the last one, nil: none yet
+	checks           checks
+	counters         Counters
+	faultsOver       bool // the faults are over
+
+	lastDiskLoss  time.Duration
 	lastRemoval   time.Duration
-	mayStandStill bool // more was lost at a time than the group stands
+	mayLoseQuorum bool // more was lost at a time than the group stands
 
-	lastCommand uint64
-	lastRead    uint64
+	lastCommandID uint64
+	lastReadID    uint64
 }
 
-func newWorld(seed uint64, options Options) *world {
-	w := &world{options: options, random: rand.New(rand.NewPCG(seed, seed^seedStep))}
-	w.checks = newChecks(seed)
-	w.profile = drawProfile(w.random)
+func newCluster(seed uint64, options Options) *cluster {
+	c := &cluster{options: options, random: rand.New(rand.NewPCG(seed, seed^seedStep))}
+	c.checks = newChecks(seed)
+	c.profile = drawProfile(c.random)
 	var founders []consensus.Member
 	for index := range options.Members {
-		host := newHost(w, index)
-		w.hosts = append(w.hosts, host)
-		w.cuts = append(w.cuts, make([]time.Duration, options.Members))
-		w.mutes = append(w.mutes, make([]time.Duration, options.Members))
+		host := newHost(c, index)
+		c.hosts = append(c.hosts, host)
+		c.partitionedUntil = append(c.partitionedUntil, make([]time.Duration, options.Members))
+		c.entriesLostUntil = append(c.entriesLostUntil, make([]time.Duration, options.Members))
 		founders = append(founders, consensus.Member{ID: host.id, Address: host.address(), Voter: true})
 	}
-	for _, host := range w.hosts {
-		host.disk.durable = consensus.Bootstrap(founders, encodeChain(foundingChain))
+	for _, host := range c.hosts {
+		host.disk.durable = consensus.Bootstrap(founders, encodeStateHash(initialStateHash))
 	}
-	return w
+	return c
 }
 
 // play runs the schedule: faults strike for a while, then the group must recover.
-func (w *world) play() {
-	defer w.noticePanic()
-	for _, host := range w.hosts {
+func (c *cluster) play() {
+	defer c.recordPanic()
+	for _, host := range c.hosts {
 		host.start()
 	}
-	w.after(0, w.clientWorks)
-	w.after(0, w.operatorWorks)
-	w.after(0, w.faultStrikes)
-	trouble := w.options.Trouble
-	if trouble == 0 {
-		trouble = defaultTrouble
+	c.schedule(0, c.runClient)
+	c.schedule(0, c.runOperator)
+	c.schedule(0, c.injectFault)
+	faultDuration := c.options.FaultDuration
+	if faultDuration == 0 {
+		faultDuration = defaultFaultDuration
 	}
-	if !w.runUntil(trouble, nil) {
+	if !c.runUntil(faultDuration, nil) {
 		return
 	}
-	w.calmDown()
-	recovered := func() bool { return w.now > trouble+time.Second && w.allCurrent() }
-	if w.runUntil(trouble+recovery, recovered) {
-		w.checkRecovery()
+	c.endFaults()
+	recovered := func() bool { return c.now > faultDuration+time.Second && c.converged() }
+	if c.runUntil(faultDuration+recoveryLimit, recovered) {
+		c.checkRecovery()
 	}
 }
 
-// noticePanic records that the core found an impossible state.
-func (w *world) noticePanic() {
+// recordPanic records that the core found an impossible state.
+func (c *cluster) recordPanic() {
 	if cause := recover(); cause != nil {
-		w.checks.fail(CheckPanic, fmt.Sprint(cause))
+		c.checks.fail(CheckPanic, fmt.Sprint(cause))
 	}
 }
 
 // runUntil plays events until a time, or until done says so. It returns false after a violation.
-func (w *world) runUntil(end time.Duration, done func() bool) bool {
-	for len(w.events) > 0 && w.events[0].at <= end {
-		if len(w.checks.violations) > 0 {
+func (c *cluster) runUntil(end time.Duration, done func() bool) bool {
+	for len(c.events) > 0 && c.events[0].at <= end {
+		if len(c.checks.violations) > 0 {
 			return false
 		}
 		if done != nil && done() {
 			return true
 		}
-		next := heap.Pop(&w.events).(event)
-		w.now = next.at
+		next := heap.Pop(&c.events).(event)
+		c.now = next.at
 		next.action()
 	}
-	w.now = end
-	return len(w.checks.violations) == 0
+	c.now = end
+	return len(c.checks.violations) == 0
 }
 
-// after has something happen after a pause.
-func (w *world) after(pause time.Duration, action func()) {
-	w.order++
-	heap.Push(&w.events, event{at: w.now + pause, order: w.order, action: action})
+// schedule has something happen after a pause.
+func (c *cluster) schedule(pause time.Duration, action func()) {
+	c.lastSequence++
+	heap.Push(&c.events, event{at: c.now + pause, sequence: c.lastSequence, action: action})
 }
 
-// draw returns a time from least up to most.
-func (w *world) draw(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
+// randomDuration returns a time from least up to most.
+func (c *cluster) randomDuration(least, most time.Duration) time.Duration {
+	return least + time.Duration(c.random.Int64N(int64(most-least)+1))
 }
 
-func (w *world) chance(probability float64) bool {
-	return w.random.Float64() < probability
+func (c *cluster) chance(probability float64) bool {
+	return c.random.Float64() < probability
 }
 
-func (w *world) anyHost() *host {
-	return w.hosts[w.random.IntN(len(w.hosts))]
+func (c *cluster) randomHost() *host {
+	return c.hosts[c.random.IntN(len(c.hosts))]
 }
 
 // send delivers a message after a delay, several times or never.
-func (w *world) send(message consensus.Message) {
-	w.count.Messages++
+func (c *cluster) send(message consensus.Message) {
+	c.counters.Messages++
 	if message.Kind == consensus.MessageInstallSnapshot {
-		w.count.Snapshots++
+		c.counters.Snapshots++
 	}
-	w.checks.claim(message)
+	c.checks.leaderMessage(message)
 	copies := 1
-	if !w.calm && w.chance(w.profile.repeat) {
+	if !c.faultsOver && c.chance(c.profile.duplicateRate) {
 		copies = 2
 	}
 	for range copies {
-		w.sendOnce(message)
+		c.deliverLater(message)
 	}
 }
 
-func (w *world) sendOnce(message consensus.Message) {
+func (c *cluster) deliverLater(message consensus.Message) {
 	from, to := hostOf(message.From), hostOf(message.To)
-	if to < 0 || to >= len(w.hosts) {
+	if to < 0 || to >= len(c.hosts) {
 		return
 	}
-	delay := w.draw(time.Millisecond, w.profile.delay)
-	if !w.calm {
-		if w.now < w.cuts[from][to] || w.muted(message, from, to) || w.chance(w.profile.loss) {
+	delay := c.randomDuration(time.Millisecond, c.profile.maxDelay)
+	if !c.faultsOver {
+		if c.now < c.partitionedUntil[from][to] || c.losesEntries(message, from, to) || c.chance(c.profile.lossRate) {
 			return
 		}
-		if w.chance(w.profile.late) {
-			delay += w.draw(0, 2*time.Second)
+		if c.chance(c.profile.lateRate) {
+			delay += c.randomDuration(0, 2*time.Second)
 		}
 	}
-	receiver := w.hosts[to]
-	w.after(delay, func() { receiver.receive(message) })
+	receiver := c.hosts[to]
+	c.schedule(delay, func() { receiver.receive(message) })
 }
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -9,14 +9,14 @@
 
 // record is the smallest part of a write that a loss of power leaves whole or takes away.
 type record struct {
-	snapshot *consensus.Snapshot // received: replaces the log
-	compact  *consensus.Snapshot // taken here: replaces the entries up to it
-	entry    *consensus.Entry    // replaces all entries from its index on
-	hard     *consensus.HardState
+	snapshot  *consensus.Snapshot // received: replaces the log
+	compact   *consensus.Snapshot // taken here: replaces the entries up to it
+	entry     *consensus.Entry    // replaces all entries from its index on
+	hardState *consensus.HardState
 }
 
-// operation is a write that is reported durable as a whole.
-type operation struct {
+// writeOperation is a write that is reported durable as a whole.
+type writeOperation struct {
 	records []record
 	done    func()
 }
@@ -24,12 +24,12 @@
 // disk holds what is durable and what is on its way there.
 type disk struct {
 	durable consensus.PersistedState
-	queue   []operation
+	queue   []writeOperation
 	syncing bool
 }
 
-func persistOperation(persist *consensus.PersistRequest, done func()) operation {
-	written := operation{done: done}
+func newWriteOperation(persist *consensus.PersistRequest, done func()) writeOperation {
+	written := writeOperation{done: done}
 	if persist.Snapshot != nil {
 		written.records = append(written.records, record{snapshot: persist.Snapshot})
 	}
@@ -37,28 +37,28 @@
 		written.records = append(written.records, record{entry: &persist.Entries[at]})
 	}
 	if persist.HardState != nil {
-		written.records = append(written.records, record{hard: persist.HardState})
+		written.records = append(written.records, record{hardState: persist.HardState})
 	}
 	return written
 }
 
-// write applies a record to stored state.
-func write(stored *consensus.PersistedState, written record) error {
+// applyRecord applies a record to stored state.
+func applyRecord(stored *consensus.PersistedState, written record) error {
 	switch {
 	case written.snapshot != nil:
 		stored.Snapshot = *written.snapshot
 		stored.Entries = nil
 	case written.compact != nil:
-		compact(stored, *written.compact)
+		applyCompaction(stored, *written.compact)
 	case written.entry != nil:
-		return writeEntry(stored, *written.entry)
-	case written.hard != nil:
-		stored.HardState = *written.hard
+		return applyEntry(stored, *written.entry)
+	case written.hardState != nil:
+		stored.HardState = *written.hardState
 	}
 	return nil
 }
 
-func compact(stored *consensus.PersistedState, snapshot consensus.Snapshot) {
+func applyCompaction(stored *consensus.PersistedState, snapshot consensus.Snapshot) {
 	if snapshot.Index <= stored.Snapshot.Index {
 		return
 	}
@@ -70,7 +70,7 @@
 	stored.Snapshot = snapshot
 }
 
-func writeEntry(stored *consensus.PersistedState, entry consensus.Entry) error {
+func applyEntry(stored *consensus.PersistedState, entry consensus.Entry) error {
 	base := stored.Snapshot.Index
 	if entry.Index <= base {
 		return nil
@@ -83,15 +83,15 @@
 	return nil
 }
 
-// lose ends all writes under way: of their records, in order, only the first kept ones are there.
-func (d *disk) lose(kept int) {
+// crash ends all writes under way: of their records, in order, only the first kept ones are there.
+func (d *disk) crash(kept int) {
 	for _, operation := range d.queue {
 		for _, written := range operation.records {
 			if kept == 0 {
 				break
 			}
 			kept--
-			write(&d.durable, written)
+			applyRecord(&d.durable, written)
 		}
 	}
 	d.queue, d.syncing = nil, false
@@ -106,13 +106,13 @@
 	return count
 }
 
-// view returns the state as it will be when all writes are durable.
-func (d *disk) view() consensus.PersistedState {
+// stateAfterWrites returns the state as it will be when all writes are durable.
+func (d *disk) stateAfterWrites() consensus.PersistedState {
 	seen := d.durable
 	seen.Entries = slices.Clone(seen.Entries)
 	for _, operation := range d.queue {
 		for _, written := range operation.records {
-			write(&seen, written)
+			applyRecord(&seen, written)
 		}
 	}
 	return seen
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -8,139 +8,139 @@
 	"ospreybend/coord/consensus"
 )
 
-// incarnations is how many IDs a machine has.
-const incarnations = 1000
+// idsPerHost is how many IDs a machine has.
+const idsPerHost = 1000
 
 // host is one machine with its disk and its process.
 type host struct {
-	world       *world
+	cluster     *cluster
 	index       int
 	incarnation int
 	id          consensus.MemberID
 	disk        disk
-	offset      time.Duration // of its monotonic clock
+	clockOffset time.Duration // of its monotonic clock
 
-	process  int // counts the starts; what belongs to an earlier one is void
-	up       bool
-	node     *consensus.Node
-	frozen   time.Duration // until when
-	stalled  time.Duration // until when its disk is
-	tickAt   time.Duration // when the next Tick is planned, 0: none
-	pumping  bool          // a Take is planned
-	ledTerm  uint64        // last term in which it was seen as leader
-	applied  uint64
-	chain    uint64
-	sinceCut int // entries applied since the last snapshot
+	processID              int // counts the starts; what belongs to an earlier one is void
+	up                     bool
+	node                   *consensus.Node
+	frozenUntil            time.Duration // until when
+	diskStalledUntil       time.Duration // until when its disk is
+	tickAt                 time.Duration // when the next Tick is planned, 0: none
+	readyScheduled         bool          // a Take is planned
+	lastLedTerm            uint64        // last term in which it was seen as leader
+	applied                uint64
+	stateHash              uint64
+	appliedSinceCompaction int // entries applied since the last snapshot
 
-	proposed map[uint64]uint64 // term by index of the own proposals that wait
-	began    map[uint64]uint64 // by read: what it must cover
+	proposedTerms map[uint64]uint64 // term by index of the own proposals that wait
+	readFloors    map[uint64]uint64 // by read: what it must cover
 }
 
-func newHost(w *world, index int) *host {
-	h := &host{world: w, index: index, offset: w.draw(0, time.Hour)}
-	h.nextIdentity()
+func newHost(c *cluster, index int) *host {
+	h := &host{cluster: c, index: index, clockOffset: c.randomDuration(0, time.Hour)}
+	h.nextMemberID()
 	return h
 }
 
-func hostOf(id consensus.MemberID) int { return int(id/incarnations) - 1 }
+func hostOf(id consensus.MemberID) int { return int(id/idsPerHost) - 1 }
 
-func (h *host) nextIdentity() {
+func (h *host) nextMemberID() {
 	h.incarnation++
-	h.id = consensus.MemberID((h.index+1)*incarnations + h.incarnation)
+	h.id = consensus.MemberID((h.index+1)*idsPerHost + h.incarnation)
 }
 
 func (h *host) address() string { return fmt.Sprintf("10.0.0.%d:1", h.index+1) }
 
-func (h *host) clock() time.Duration { return h.world.now + h.offset }
+func (h *host) clock() time.Duration { return h.cluster.now + h.clockOffset }
 
 // start starts the process with what the disk holds.
 func (h *host) start() {
-	h.process++
+	h.processID++
 	h.up = true
-	h.frozen = 0
-	h.tickAt, h.pumping = 0, false
-	h.ledTerm, h.applied, h.chain, h.sinceCut = 0, 0, 0, 0
-	h.proposed = make(map[uint64]uint64)
-	h.began = make(map[uint64]uint64)
+	h.frozenUntil = 0
+	h.tickAt, h.readyScheduled = 0, false
+	h.lastLedTerm, h.applied, h.stateHash, h.appliedSinceCompaction = 0, 0, 0, 0
+	h.proposedTerms = make(map[uint64]uint64)
+	h.readFloors = make(map[uint64]uint64)
 	h.node = consensus.New(h.config(), h.disk.durable, h.clock())
-	h.pump()
+	h.processReady()
 }
 
 func (h *host) config() consensus.Config {
 	return consensus.Config{
 		ID:                h.id,
-		ElectionTimeout:   h.world.profile.election,
-		HeartbeatInterval: h.world.profile.election / heartbeatShare,
-		MaxAppendBytes:    h.world.profile.appendBytes,
-		MaxInflight:       h.world.profile.inflight,
-		Seed:              h.world.random.Uint64(),
-		TrailingEntries:   h.world.profile.trailing,
-		DisabledRules:     h.world.options.Omit,
+		ElectionTimeout:   h.cluster.profile.electionTimeout,
+		HeartbeatInterval: h.cluster.profile.electionTimeout / heartbeatsPerElectionTimeout,
+		MaxAppendBytes:    h.cluster.profile.maxAppendBytes,
+		MaxInflight:       h.cluster.profile.maxInflight,
+		Seed:              h.cluster.random.Uint64(),
+		TrailingEntries:   h.cluster.profile.trailingEntries,
+		DisabledRules:     h.cluster.options.DisabledRules,
 	}
 }
 
 // stop ends the process. Of the writes under way some first records are kept.
-func (h *host) stop(kept int) {
+func (h *host) stop(survivingRecords int) {
 	h.up = false
-	h.process++
-	h.disk.lose(kept)
+	h.processID++
+	h.disk.crash(survivingRecords)
 }
 
-// act lets the process do something, after a freeze if it is frozen, unless it has ended.
-func (h *host) act(action func()) {
+// whenRunning lets the process do something, after a freeze if it is frozen, unless it has ended.
+func (h *host) whenRunning(action func()) {
 	if !h.up {
 		return
 	}
-	if h.world.now < h.frozen {
-		process := h.process
-		pause := h.frozen - h.world.now + h.world.draw(0, time.Millisecond)
-		h.world.after(pause, func() { h.actAs(process, action) })
+	if h.cluster.now < h.frozenUntil {
+		process := h.processID
+		pause := h.frozenUntil - h.cluster.now + h.cluster.randomDuration(0, time.Millisecond)
+		h.cluster.schedule(pause, func() { h.whenProcessRunning(process, action) })
 		return
 	}
 	action()
-	h.pumpSoon()
+	h.scheduleReady()
 }
 
-// actAs is act for a process that may have ended since.
-func (h *host) actAs(process int, action func()) {
-	if h.process == process {
-		h.act(action)
+// whenProcessRunning is act for a process that may have ended since.
+func (h *host) whenProcessRunning(process int, action func()) {
+	if h.processID == process {
+		h.whenRunning(action)
 	}
 }
 
 func (h *host) receive(message consensus.Message) {
-	h.act(func() { h.node.Step(h.clock(), message) })
+	h.whenRunning(func() { h.node.Step(h.clock(), message) })
 }
 
-// pumpSoon calls Take now, or a little later so that several calls fall together.
-func (h *host) pumpSoon() {
-	if !h.world.chance(h.world.profile.batch) {
-		h.pump()
+// scheduleReady calls Take now, or a little later so that several calls fall together.
+func (h *host) scheduleReady() {
+	if !h.cluster.chance(h.cluster.profile.batchRate) {
+		h.processReady()
 		return
 	}
-	if h.pumping {
+	if h.readyScheduled {
 		return
 	}
-	h.pumping = true
-	process := h.process
-	h.world.after(h.world.draw(0, 5*time.Millisecond), func() {
-		if h.process != process {
+	h.readyScheduled = true
+	process := h.processID
+	h.cluster.schedule(h.cluster.randomDuration(0, 5*time.Millisecond), func() {
+		if h.processID != process {
 			return
 		}
-		h.pumping = false
-		h.act(func() {})
+		h.readyScheduled = false
+		h.whenRunning(func() {})
 	})
 }
 
-// pump carries out what the node wants done.
-func (h *host) pump() {
+// processReady carries out what the node wants done.
+func (h *host) processReady() {
 	ready := h.node.Ready()
 	if ready.Persist != nil {
 		sequence := ready.Persist.Sequence
-		h.write(persistOperation(ready.Persist, func() { h.node.Persisted(h.clock(), sequence) }))
+		h.write(newWriteOperation(ready.Persist, func() { h.node.Persisted(h.clock(), sequence) }))
 	}
 	for _, message := range ready.Messages {
-		h.world.send(message)
+		h.cluster.send(message)
 	}
 	if ready.Restore != nil {
 		h.restore(*ready.Restore)
@@ -149,141 +149,141 @@
 		h.apply(entry)
 	}
 	h.finishReads(ready.Reads)
-	h.noticeLeader()
-	h.cutLog()
-	h.planTick()
+	h.checkNewLeader()
+	h.compactLog()
+	h.scheduleTick()
 }
 
-// planTick plans the next Tick, a little late.
-func (h *host) planTick() {
+// scheduleTick plans the next Tick, a little late.
+func (h *host) scheduleTick() {
 	next := h.node.NextTick()
 	if next == consensus.NoTick {
 		h.tickAt = 0
 		return
 	}
-	at := max(next-h.offset, h.world.now)
+	at := max(next-h.clockOffset, h.cluster.now)
 	if h.tickAt != 0 && h.tickAt <= at {
 		return
 	}
 	h.tickAt = at
-	process := h.process
-	h.world.after(at-h.world.now+h.world.draw(0, 2*time.Millisecond), func() {
-		if h.process == process && h.tickAt == at {
+	process := h.processID
+	h.cluster.schedule(at-h.cluster.now+h.cluster.randomDuration(0, 2*time.Millisecond), func() {
+		if h.processID == process && h.tickAt == at {
 			h.tickAt = 0
-			h.act(func() { h.node.Tick(h.clock()) })
+			h.whenRunning(func() { h.node.Tick(h.clock()) })
 		}
 	})
 }
 
 func (h *host) restore(snapshot consensus.Snapshot) {
 	h.applied = snapshot.Index
-	h.chain = binary.LittleEndian.Uint64(snapshot.Data)
-	h.sinceCut = 0
-	h.world.checks.restored(h, snapshot)
+	h.stateHash = binary.LittleEndian.Uint64(snapshot.Data)
+	h.appliedSinceCompaction = 0
+	h.cluster.checks.restored(h, snapshot)
 }
 
 func (h *host) apply(entry consensus.Entry) {
-	h.world.checks.applied(h, entry)
+	h.cluster.checks.applied(h, entry)
 	h.applied = entry.Index
-	h.chain = nextChain(h.chain, entry)
-	h.sinceCut++
-	term, own := h.proposed[entry.Index]
+	h.stateHash = nextStateHash(h.stateHash, entry)
+	h.appliedSinceCompaction++
+	term, own := h.proposedTerms[entry.Index]
 	if !own {
 		return
 	}
-	delete(h.proposed, entry.Index)
+	delete(h.proposedTerms, entry.Index)
 	if term == entry.Term {
-		h.world.acknowledged(entry)
+		h.cluster.acknowledged(entry)
 	}
 }
 
-// noticeLeader checks a new leader's log.
-func (h *host) noticeLeader() {
+// checkNewLeader checks a new leader's log.
+func (h *host) checkNewLeader() {
 	status := h.node.Status()
-	if status.Role != consensus.RoleLeader || status.Term == h.ledTerm {
+	if status.Role != consensus.RoleLeader || status.Term == h.lastLedTerm {
 		return
 	}
-	h.ledTerm = status.Term
-	h.world.count.Leaders++
-	h.world.checks.leads(h, status.Term, h.disk.view())
-	if h.world.rivals != nil && !h.world.calm {
-		h.world.rivals.leads(h)
+	h.lastLedTerm = status.Term
+	h.cluster.counters.Leaders++
+	h.cluster.checks.leaderElected(h, status.Term, h.disk.stateAfterWrites())
+	if h.cluster.competition != nil && !h.cluster.faultsOver {
+		h.cluster.competition.leaderElected(h)
 	}
-	if !h.world.calm && h.world.chance(h.world.profile.cutAtLead) {
-		process := h.process
-		h.world.after(h.world.draw(0, 100*time.Millisecond), func() {
-			if h.process == process {
-				h.world.cutPower(h)
+	if !h.cluster.faultsOver && h.cluster.chance(h.cluster.profile.powerLossAtElectionRate) {
+		process := h.processID
+		h.cluster.schedule(h.cluster.randomDuration(0, 100*time.Millisecond), func() {
+			if h.processID == process {
+				h.cluster.losePowerOf(h)
 			}
 		})
 	}
 }
 
-// cutLog takes a snapshot after a number of entries.
-func (h *host) cutLog() {
-	if h.sinceCut < h.world.profile.cutAfter {
+// compactLog takes a snapshot after a number of entries.
+func (h *host) compactLog() {
+	if h.appliedSinceCompaction < h.cluster.profile.compactionInterval {
 		return
 	}
-	snapshot, known := h.node.SnapshotAt(h.applied, encodeChain(h.chain))
+	snapshot, known := h.node.SnapshotAt(h.applied, encodeStateHash(h.stateHash))
 	if !known {
 		return
 	}
-	h.sinceCut = 0
-	h.world.count.Compactions++
-	h.write(operation{
+	h.appliedSinceCompaction = 0
+	h.cluster.counters.Compactions++
+	h.write(writeOperation{
 		records: []record{{compact: &snapshot}},
 		done:    func() { h.node.Compact(snapshot.Index, snapshot.Members, snapshot.Data) },
 	})
 }
 
 // write queues a write. One sync takes all that is queued when it starts.
-func (h *host) write(written operation) {
+func (h *host) write(written writeOperation) {
 	h.disk.queue = append(h.disk.queue, written)
-	h.sync()
+	h.startSync()
 }
 
-func (h *host) sync() {
+func (h *host) startSync() {
 	if h.disk.syncing || len(h.disk.queue) == 0 {
 		return
 	}
 	h.disk.syncing = true
-	pause := h.world.draw(0, h.world.profile.sync) + max(0, h.stalled-h.world.now)
-	count, process := len(h.disk.queue), h.process
-	h.world.after(pause, func() { h.synced(process, count) })
+	pause := h.cluster.randomDuration(0, h.cluster.profile.maxSync) + max(0, h.diskStalledUntil-h.cluster.now)
+	count, process := len(h.disk.queue), h.processID
+	h.cluster.schedule(pause, func() { h.finishSync(process, count) })
 }
 
-func (h *host) synced(process, count int) {
-	if h.process != process {
+func (h *host) finishSync(process, count int) {
+	if h.processID != process {
 		return
 	}
-	if h.world.now < h.stalled {
-		h.world.after(h.stalled-h.world.now, func() { h.synced(process, count) })
+	if h.cluster.now < h.diskStalledUntil {
+		h.cluster.schedule(h.diskStalledUntil-h.cluster.now, func() { h.finishSync(process, count) })
 		return
 	}
 	finished := h.disk.queue[:count]
 	h.disk.queue = h.disk.queue[count:]
 	h.disk.syncing = false
 	for _, operation := range finished {
-		h.keep(operation)
+		h.applyWrite(operation)
 	}
-	h.act(func() { h.report(finished) })
-	h.sync()
+	h.whenRunning(func() { h.reportDurable(finished) })
+	h.startSync()
 }
 
-func (h *host) keep(operation operation) {
+func (h *host) applyWrite(operation writeOperation) {
 	for _, written := range operation.records {
-		if err := write(&h.disk.durable, written); err != nil {
-			h.world.checks.fail(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
+		if err := applyRecord(&h.disk.durable, written); err != nil {
+			h.cluster.checks.fail(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
 		}
 	}
 }
 
-func (h *host) report(finished []operation) {
+func (h *host) reportDurable(finished []writeOperation) {
 	for _, operation := range finished {
 		operation.done()
 	}
 }
 
-func encodeChain(chain uint64) []byte {
+func encodeStateHash(chain uint64) []byte {
 	return binary.LittleEndian.AppendUint64(nil, chain)
 }
--- a/coord/consensus/simulation/manyschedules_test.go
+++ b/coord/consensus/simulation/manyschedules_test.go
@@ -10,19 +10,19 @@
 
 // Flags of TestManySchedules.
 var (
-	manySchedules = flag.Int("schedules", 0, "schedules that TestManySchedules plays; 0: it is skipped")
-	manyMembers   = flag.Int("members", 3, "members of a schedule")
-	manySeed      = flag.Uint64("seed", testSeed, "seed of the schedules")
-	manyWorkers   = flag.Int("workers", 1, "schedules played at a time")
-	manyTrouble   = flag.Duration("trouble", testTrouble, "how long faults strike in a schedule")
-	manyOmit      = flag.String("omit", "", "a rule that is left out; the run ends at the first schedule that notices it")
-	manyOldID     = flag.Bool("old-identity", false, "a machine that lost its disk comes back under its old ID")
+	manySchedules     = flag.Int("schedules", 0, "schedules that TestManySchedules plays; 0: it is skipped")
+	manyMembers       = flag.Int("members", 3, "members of a schedule")
+	manySeed          = flag.Uint64("seed", testSeed, "seed of the schedules")
+	manyWorkers       = flag.Int("workers", 1, "schedules played at a time")
+	manyFaultDuration = flag.Duration("trouble", testFaultDuration, "how long faults strike in a schedule")
+	manyDisabledRule  = flag.String("omit", "", "a rule that is left out; the run ends at the first schedule that notices it")
+	manyReuseMemberID = flag.Bool("old-identity", false, "a machine that lost its disk comes back under its old ID")
 )
 
-// TestManySchedules plays any number of schedules:
+// TestRun_manySchedules plays any number of schedules:
 //
-//	go test ./coord/consensus/simulation -run TestManySchedules -v -timeout 2h -schedules 10000 -members 5 -workers 4
-func TestManySchedules(t *testing.T) {
+//	go test ./coord/consensus/simulation -run TestRun_manySchedules -v -timeout 2h -schedules 10000 -members 5 -workers 4
+func TestRun_manySchedules(t *testing.T) {
 	if *manySchedules == 0 {
 		t.Skip("no -schedules")
 	}
@@ -30,21 +30,21 @@
 		Members:       *manyMembers,
 		Schedules:     *manySchedules,
 		Workers:       *manyWorkers,
-		Trouble:       *manyTrouble,
-		ReuseIdentity: *manyOldID,
+		FaultDuration: *manyFaultDuration,
+		ReuseMemberID: *manyReuseMemberID,
 	}
-	if *manyOmit != "" {
-		options.Omit = []consensus.Rule{consensus.Rule(*manyOmit)}
-		options.StopAtFirst = true
+	if *manyDisabledRule != "" {
+		options.DisabledRules = []consensus.Rule{consensus.Rule(*manyDisabledRule)}
+		options.StopAtFirstViolation = true
 	}
 	began := time.Now()
 	report := Run(*manySeed, options)
-	t.Logf("%d schedules of %d members in %v: %+v", report.Played, options.Members, time.Since(began).Round(time.Second), report.Count)
+	t.Logf("%d schedules of %d members in %v: %+v", report.Played, options.Members, time.Since(began).Round(time.Second), report.Counters)
 	for _, violation := range report.Violations {
 		t.Log(violation)
 	}
-	if *manyOmit != "" {
-		t.Logf("%s left out: noticed after %d schedules", *manyOmit, report.FirstCaught())
+	if *manyDisabledRule != "" {
+		t.Logf("%s left out: noticed after %d schedules", *manyDisabledRule, report.FirstViolation())
 		return
 	}
 	if len(report.Violations) > 0 {
--- a/coord/consensus/simulation/recovery.go
+++ b/coord/consensus/simulation/recovery.go
@@ -2,37 +2,37 @@
 
 import "fmt"
 
-// calmDown ends all faults.
-func (w *world) calmDown() {
-	w.calm = true
-	for _, host := range w.hosts {
-		host.stalled = min(host.stalled, w.now)
-		host.frozen = min(host.frozen, w.now)
+// endFaults ends all faults.
+func (c *cluster) endFaults() {
+	c.faultsOver = true
+	for _, host := range c.hosts {
+		host.diskStalledUntil = min(host.diskStalledUntil, c.now)
+		host.frozenUntil = min(host.frozenUntil, c.now)
 		if !host.up {
 			host.start()
 		}
-		host.act(func() { host.node.SetWritable(host.clock(), true) })
-		host.sync()
+		host.whenRunning(func() { host.node.SetWritable(host.clock(), true) })
+		host.startSync()
 	}
 }
 
-// backlog is how many entries a member may lack while commands go on.
-const backlog = 100
+// maxConvergenceLag is how many entries a member may lack while commands go on.
+const maxConvergenceLag = 100
 
-// allCurrent reports whether all members are back and have applied an entry of a common term after the faults.
-func (w *world) allCurrent() bool {
-	leaders := w.leaders()
+// converged reports whether all members are back and have applied an entry of a common term after the faults.
+func (c *cluster) converged() bool {
+	leaders := c.leaders()
 	if len(leaders) != 1 {
 		return false
 	}
 	leader := leaders[0]
-	term, found := w.checks.termOf(leader.applied)
+	term, found := c.checks.termOf(leader.applied)
 	if !found || term != leader.node.Status().Term {
 		return false
 	}
-	for _, host := range w.hosts {
-		behind := host.applied+backlog < leader.applied
-		if behind || !host.settledIn(leader.node.Status().Members) {
+	for _, host := range c.hosts {
+		behind := host.applied+maxConvergenceLag < leader.applied
+		if behind || !host.restoredIn(leader.node.Status().Members) {
 			return false
 		}
 	}
@@ -41,17 +41,17 @@
 
 // checkRecovery checks that the group works again. It need not where lost disks come back under old IDs: such
 // members are refused what they lost.
-func (w *world) checkRecovery() {
-	if w.mayStandStill || w.options.ReuseIdentity || w.allCurrent() {
+func (c *cluster) checkRecovery() {
+	if c.mayLoseQuorum || c.options.ReuseMemberID || c.converged() {
 		return
 	}
-	check := CheckAllCurrent
-	if len(w.leaders()) != 1 {
-		check = CheckRecovers
+	check := CheckConvergence
+	if len(c.leaders()) != 1 {
+		check = CheckLeaderAfterFaults
 	}
-	text := fmt.Sprintf("%d leaders", len(w.leaders()))
-	for _, host := range w.hosts {
+	text := fmt.Sprintf("%d leaders", len(c.leaders()))
+	for _, host := range c.hosts {
 		text += fmt.Sprintf("; member %d at %v: %+v", host.id, host.clock(), host.node.Status())
 	}
-	w.checks.fail(check, text)
+	c.checks.fail(check, text)
 }
--- a/coord/consensus/simulation/scenarios.go
+++ b/coord/consensus/simulation/scenarios.go
@@ -9,42 +9,42 @@
 // The faults of this file lead schedules towards courses of events that are known to do harm to a group without
 // certain rules, and that faults drawn one by one hardly ever make up.
 
-// muteLeaders loses, for a while, all messages that carry entries of their sender's own term, while entries of
+// loseCurrentTermEntries loses, for a while, all messages that carry entries of their sender's own term, while entries of
 // former terms, votes and heartbeats pass. Leaders are cut off in turn, so that entries of several terms stand in
 // one place of different logs and a former leader leads again: the course of events in which counting the copies
 // of a former term's entry does harm.
-func (w *world) muteLeaders() {
-	w.count.Mutes++
-	until := w.now + w.draw(2*w.profile.election, 16*w.profile.election)
-	for from := range w.hosts {
-		w.mute(from, until, func(*host) bool { return true })
+func (c *cluster) loseCurrentTermEntries() {
+	c.counters.EntryLosses++
+	until := c.now + c.randomDuration(2*c.profile.electionTimeout, 16*c.profile.electionTimeout)
+	for from := range c.hosts {
+		c.loseEntries(from, until, func(*host) bool { return true })
 	}
-	w.changeLeaders(until)
+	c.isolateLeadersRepeatedly(until)
 }
 
-// changeLeaders cuts off whoever leads, again and again until a time.
-func (w *world) changeLeaders(until time.Duration) {
-	if w.calm || w.now >= until {
+// isolateLeadersRepeatedly cuts off whoever leads, again and again until a time.
+func (c *cluster) isolateLeadersRepeatedly(until time.Duration) {
+	if c.faultsOver || c.now >= until {
 		return
 	}
-	for _, leader := range w.leaders() {
-		w.cutApart(func(other *host) bool { return other == leader }, w.now+w.draw(w.profile.election, 4*w.profile.election))
+	for _, leader := range c.leaders() {
+		c.partition(func(other *host) bool { return other == leader }, c.now+c.randomDuration(c.profile.electionTimeout, 4*c.profile.electionTimeout))
 	}
-	w.after(w.draw(w.profile.election/2, 2*w.profile.election), func() { w.changeLeaders(until) })
+	c.schedule(c.randomDuration(c.profile.electionTimeout/2, 2*c.profile.electionTimeout), func() { c.isolateLeadersRepeatedly(until) })
 }
 
-// mute loses a machine's messages with entries of its own term to some others until a time.
-func (w *world) mute(from int, until time.Duration, to func(*host) bool) {
-	for _, other := range w.hosts {
+// loseEntries loses a machine's messages with entries of its own term to some others until a time.
+func (c *cluster) loseEntries(from int, until time.Duration, to func(*host) bool) {
+	for _, other := range c.hosts {
 		if to(other) {
-			w.mutes[from][other.index] = until
+			c.entriesLostUntil[from][other.index] = until
 		}
 	}
 }
 
-// muted reports whether a message is one that muting loses.
-func (w *world) muted(message consensus.Message, from, to int) bool {
-	if w.now >= w.mutes[from][to] {
+// losesEntries reports whether a message is one that muting loses.
+func (c *cluster) losesEntries(message consensus.Message, from, to int) bool {
+	if c.now >= c.entriesLostUntil[from][to] {
 		return false
 	}
 	for _, entry := range message.Entries {
@@ -55,63 +55,63 @@
 	return false
 }
 
-// cutApart cuts some machines off from the rest, in both directions, until a time.
-func (w *world) cutApart(some func(*host) bool, until time.Duration) {
-	for _, one := range w.hosts {
-		for _, other := range w.hosts {
+// partition cuts some machines off from the rest, in both directions, until a time.
+func (c *cluster) partition(some func(*host) bool, until time.Duration) {
+	for _, one := range c.hosts {
+		for _, other := range c.hosts {
 			if some(one) != some(other) {
-				w.cuts[one.index][other.index] = until
+				c.partitionedUntil[one.index][other.index] = until
 			}
 		}
 	}
 }
 
 // heal ends all cuts and mutes.
-func (w *world) heal() {
-	for from := range w.hosts {
-		clear(w.cuts[from])
-		clear(w.mutes[from])
+func (c *cluster) heal() {
+	for from := range c.hosts {
+		clear(c.partitionedUntil[from])
+		clear(c.entriesLostUntil[from])
 	}
 }
 
-// rivalry is a course of events with two leaders, one after the other, that each have a change of members which
+// competingChanges is a course of events with two leaders, one after the other, that each have a change of members which
 // only a part of the group gets; then the first one's part meets those that got neither. A group with an even
 // number of voters is harmed by it unless a change waits for an entry of the own term, and unless a truncated
 // change is undone.
-type rivalry struct {
-	world *world
-	first *host
-	parts []rivalryPart // by machine
-	late  bool          // the first leader's change is truncated before the second one makes its own
-	rival *host         // the second leader, nil: not elected yet
-	over  bool
+type competingChanges struct {
+	cluster       *cluster
+	firstLeader   *host
+	sides         []partitionSide // by machine
+	truncateFirst bool            // the first leader's change is truncated before the second one makes its own
+	secondLeader  *host           // the second leader, nil: not elected yet
+	finished      bool
 }
 
-// rivalryPart tells whose change a machine may get.
-type rivalryPart int
+// partitionSide tells whose change a machine may get.
+type partitionSide int
 
 const (
-	partNeither rivalryPart = iota
-	partFirst
-	partSecond
+	sideNeither partitionSide = iota
+	sideFirst
+	sideSecond
 )
 
-// rivalChanges starts a rivalry, unless one is under way. Meanwhile the operator makes no changes.
-func (w *world) rivalChanges() {
-	leaders := w.leaders()
-	if len(leaders) == 0 || (w.rivals != nil && !w.rivals.over) {
+// startCompetingChanges starts a rivalry, unless one is under way. Meanwhile the operator makes no changes.
+func (c *cluster) startCompetingChanges() {
+	leaders := c.leaders()
+	if len(leaders) == 0 || (c.competition != nil && !c.competition.finished) {
 		return
 	}
-	w.count.Rivalries++
-	r := &rivalry{world: w, first: leaders[0], late: w.chance(0.5)}
-	w.rivals = r
-	w.after(w.draw(6*w.profile.election, 16*w.profile.election), r.end)
-	if countVoters(r.first.node.Status().Members)%2 == 0 {
-		r.divide()
+	c.counters.CompetingChanges++
+	r := &competingChanges{cluster: c, firstLeader: leaders[0], truncateFirst: c.chance(0.5)}
+	c.competition = r
+	c.schedule(c.randomDuration(6*c.profile.electionTimeout, 16*c.profile.electionTimeout), r.finish)
+	if countVoters(r.firstLeader.node.Status().Members)%2 == 0 {
+		r.splitGroup()
 		return
 	}
-	r.first.removeAny()
-	w.after(w.draw(0, w.profile.election), r.divide)
+	r.firstLeader.removeRandomVoter()
+	c.schedule(c.randomDuration(0, c.profile.electionTimeout), r.splitGroup)
 }
 
 func countVoters(members []consensus.Member) int {
@@ -124,96 +124,96 @@
 	return voters
 }
 
-// divide draws the parts and has the first leader change the members in its own part alone.
-func (r *rivalry) divide() {
-	if r.over || !r.first.up {
+// splitGroup draws the parts and has the first leader change the members in its own part alone.
+func (r *competingChanges) splitGroup() {
+	if r.finished || !r.firstLeader.up {
 		return
 	}
-	w := r.world
-	r.parts = make([]rivalryPart, len(w.hosts))
-	for at := range r.parts {
+	c := r.cluster
+	r.sides = make([]partitionSide, len(c.hosts))
+	for at := range r.sides {
 		switch {
-		case at == r.first.index || w.chance(0.15):
-			r.parts[at] = partFirst
-		case w.chance(0.6):
-			r.parts[at] = partSecond
+		case at == r.firstLeader.index || c.chance(0.15):
+			r.sides[at] = sideFirst
+		case c.chance(0.6):
+			r.sides[at] = sideSecond
 		}
 	}
-	until := w.now + 16*w.profile.election
-	w.cutApart(r.in(partFirst), until)
-	if !r.late {
-		r.muteNeither(until)
+	until := c.now + 16*c.profile.electionTimeout
+	c.partition(r.onSide(sideFirst), until)
+	if !r.truncateFirst {
+		r.confineEntriesToSecondSide(until)
 	}
-	r.first.removeAny()
+	r.firstLeader.removeRandomVoter()
 }
 
-func (r *rivalry) in(part rivalryPart) func(*host) bool {
-	return func(one *host) bool { return r.parts[one.index] == part }
+func (r *competingChanges) onSide(part partitionSide) func(*host) bool {
+	return func(one *host) bool { return r.sides[one.index] == part }
 }
 
-func (r *rivalry) muteNeither(until time.Duration) {
-	for from := range r.world.hosts {
-		r.world.mute(from, until, func(to *host) bool { return !r.in(partSecond)(to) })
+func (r *competingChanges) confineEntriesToSecondSide(until time.Duration) {
+	for from := range r.cluster.hosts {
+		r.cluster.loseEntries(from, until, func(to *host) bool { return !r.onSide(sideSecond)(to) })
 	}
 }
 
-// leads takes note of a new leader: the second one, if it is not of the first one's part.
-func (r *rivalry) leads(leader *host) {
-	if r.over || r.rival != nil || r.parts == nil || r.in(partFirst)(leader) {
+// leaderElected takes note of a new leader: the second one, if it is not of the first one's part.
+func (r *competingChanges) leaderElected(leader *host) {
+	if r.finished || r.secondLeader != nil || r.sides == nil || r.onSide(sideFirst)(leader) {
 		return
 	}
-	r.rival = leader
-	r.parts[leader.index] = partSecond
-	w := r.world
-	if !r.late {
-		r.change()
+	r.secondLeader = leader
+	r.sides[leader.index] = sideSecond
+	c := r.cluster
+	if !r.truncateFirst {
+		r.changeUntilJoined()
 	} else {
-		w.heal()
-		w.after(w.draw(0, w.profile.election), func() {
-			if !r.over {
-				r.muteNeither(w.now + 16*w.profile.election)
-				r.change()
+		c.heal()
+		c.schedule(c.randomDuration(0, c.profile.electionTimeout), func() {
+			if !r.finished {
+				r.confineEntriesToSecondSide(c.now + 16*c.profile.electionTimeout)
+				r.changeUntilJoined()
 			}
 		})
 	}
-	w.after(w.draw(w.profile.election, 3*w.profile.election), r.meet)
+	c.schedule(c.randomDuration(c.profile.electionTimeout, 3*c.profile.electionTimeout), r.joinOtherSides)
 }
 
-// change has the second leader try to change the members until the parts meet.
-func (r *rivalry) change() {
-	if r.over || r.rival == nil || !r.rival.up || r.rival.node.Status().Role != consensus.RoleLeader {
+// changeUntilJoined has the second leader try to change the members until the parts meet.
+func (r *competingChanges) changeUntilJoined() {
+	if r.finished || r.secondLeader == nil || !r.secondLeader.up || r.secondLeader.node.Status().Role != consensus.RoleLeader {
 		return
 	}
-	r.rival.removeAny()
-	r.world.after(r.world.draw(0, r.world.profile.election/2), r.change)
+	r.secondLeader.removeRandomVoter()
+	r.cluster.schedule(r.cluster.randomDuration(0, r.cluster.profile.electionTimeout/2), r.changeUntilJoined)
 }
 
-// meet cuts the second part off and lets the others meet.
-func (r *rivalry) meet() {
-	if r.over {
+// joinOtherSides cuts the second part off and lets the others meet.
+func (r *competingChanges) joinOtherSides() {
+	if r.finished {
 		return
 	}
-	w := r.world
-	w.heal()
-	w.cutApart(r.in(partSecond), w.now+w.draw(2*w.profile.election, 6*w.profile.election))
-	r.over = true
+	c := r.cluster
+	c.heal()
+	c.partition(r.onSide(sideSecond), c.now+c.randomDuration(2*c.profile.electionTimeout, 6*c.profile.electionTimeout))
+	r.finished = true
 }
 
-func (r *rivalry) end() { r.over = true }
+func (r *competingChanges) finish() { r.finished = true }
 
-// strikeAmidChange ends all machines while a change of members is on its way: by a kill, or by a loss of power
+// stopAllDuringChange ends all machines while a change of members is on its way: by a kill, or by a loss of power
 // that takes from each what it had not synced.
-func (w *world) strikeAmidChange() {
-	for _, leader := range w.leaders() {
-		w.count.AmidChange++
-		leader.removeAny()
+func (c *cluster) stopAllDuringChange() {
+	for _, leader := range c.leaders() {
+		c.counters.OutagesDuringChange++
+		leader.removeRandomVoter()
 	}
-	all := w.loseAllPower
-	if w.chance(0.5) {
-		all = w.killAll
+	all := c.loseAllPower
+	if c.chance(0.5) {
+		all = c.killAllProcesses
 	}
-	w.after(w.draw(0, 2*(w.profile.delay+w.profile.sync)), func() {
-		if !w.calm {
+	c.schedule(c.randomDuration(0, 2*(c.profile.maxDelay+c.profile.maxSync)), func() {
+		if !c.faultsOver {
 			all()
 		}
 	})
--- a/coord/consensus/simulation/simulation.go
+++ b/coord/consensus/simulation/simulation.go
@@ -13,32 +13,32 @@
 
 // Options says what is played.
 type Options struct {
-	Members       int              // voters, one on each machine
-	Schedules     int              // how many are drawn
-	Workers       int              // schedules played at a time; 0: one
-	Omit          []consensus.Rule // checks of the core that are left out
-	ReuseIdentity bool             // a machine that lost its disk comes back under its old ID: a fault that must be noticed
-	StopAtFirst   bool             // play no more schedules after the first violation
-	Trouble       time.Duration    // how long faults strike in a schedule; 0: defaultTrouble
+	Members              int              // voters, one on each machine
+	Schedules            int              // how many are drawn
+	Workers              int              // schedules played at a time; 0: one
+	DisabledRules        []consensus.Rule // checks of the core that are left out
+	ReuseMemberID        bool             // a machine that lost its disk comes back under its old ID: a fault that must be noticed
+	StopAtFirstViolation bool             // play no more schedules after the first violation
+	FaultDuration        time.Duration    // how long faults strike in a schedule; 0: defaultTrouble
 }
 
-// defaultTrouble is how long faults strike in a schedule.
-const defaultTrouble = 8 * time.Second
+// defaultFaultDuration is how long faults strike in a schedule.
+const defaultFaultDuration = 8 * time.Second
 
 // Check names what a history must fulfil.
 type Check string
 
 // The checks of a history.
 const (
-	CheckOneLeader  Check = "one-leader"  // one leader a term
-	CheckAgreement  Check = "agreement"   // all state machines take the same entries
-	CheckOrder      Check = "order"       // entries are handed out in order, each once
-	CheckKept       Check = "kept"        // an acknowledged command is in every later leader's log
-	CheckRead       Check = "read"        // a read covers what was applied anywhere before it began
-	CheckStorage    Check = "storage"     // what is to be made durable has no gap
-	CheckPanic      Check = "panic"       // the core found a state that must never be
-	CheckRecovers   Check = "recovers"    // with all faults over, commands are committed again
-	CheckAllCurrent Check = "all-current" // with all faults over, all members apply all entries
+	CheckElectionSafety      Check = "one-leader"  // one leader a term
+	CheckStateMachineSafety  Check = "agreement"   // all state machines take the same entries
+	CheckApplyOrder          Check = "order"       // entries are handed out in order, each once
+	CheckAcknowledgedDurable Check = "kept"        // an acknowledged command is in every later leader's log
+	CheckLinearizableRead    Check = "read"        // a read covers what was applied anywhere before it began
+	CheckStorage             Check = "storage"     // what is to be made durable has no gap
+	CheckPanic               Check = "panic"       // the core found a state that must never be
+	CheckLeaderAfterFaults   Check = "recovers"    // with all faults over, commands are committed again
+	CheckConvergence         Check = "all-current" // with all faults over, all members apply all entries
 )
 
 // Violation is a check that a history broke.
@@ -49,24 +49,24 @@
 	Text     string
 }
 
-// Count is what happened in the schedules.
-type Count struct {
-	Leaders, Acknowledged, Reads, Messages     int
-	Kills, PowerLosses, AllDown, Wipes, Stalls int
-	Freezes, Cuts, Transfers, Compactions      int
-	Snapshots, MemberChanges                   int
-	Mutes, Rivalries, AmidChange               int
+// Counters is what happened in the schedules.
+type Counters struct {
+	Leaders, Acknowledged, Reads, Messages                          int
+	ProcessKills, PowerLosses, GroupOutages, DiskLosses, DiskStalls int
+	ProcessFreezes, Partitions, Transfers, Compactions              int
+	Snapshots, MembershipChanges                                    int
+	EntryLosses, CompetingChanges, OutagesDuringChange              int
 }
 
 // Report is the result of a run.
 type Report struct {
 	Played     int // schedules
 	Violations []Violation
-	Count      Count
+	Counters   Counters
 }
 
-// FirstCaught returns after how many schedules the first violation was seen, 0 if there was none.
-func (r *Report) FirstCaught() int {
+// FirstViolation returns after how many schedules the first violation was seen, 0 if there was none.
+func (r *Report) FirstViolation() int {
 	first := 0
 	for _, violation := range r.Violations {
 		if first == 0 || violation.Schedule+1 < first {
@@ -92,14 +92,14 @@
 	seed    uint64
 	options Options
 
-	lock   sync.Mutex
+	mutex  sync.Mutex
 	next   int
 	report Report
 }
 
 func (r *run) work() {
 	for {
-		schedule, left := r.take()
+		schedule, left := r.nextSchedule()
 		if !left {
 			return
 		}
@@ -112,10 +112,10 @@
 	}
 }
 
-func (r *run) take() (schedule int, left bool) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	stopped := r.options.StopAtFirst && len(r.report.Violations) > 0
+func (r *run) nextSchedule() (schedule int, left bool) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	stopped := r.options.StopAtFirstViolation && len(r.report.Violations) > 0
 	if r.next >= r.options.Schedules || stopped {
 		return 0, false
 	}
@@ -123,11 +123,11 @@
 	return r.next - 1, true
 }
 
-func (r *run) add(count Count, violations []Violation) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+func (r *run) add(count Counters, violations []Violation) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.report.Played++
-	r.report.Count.add(count)
+	r.report.Counters.add(count)
 	r.report.Violations = append(r.report.Violations, violations...)
 }
 
@@ -139,31 +139,31 @@
 }
 
 // Play plays one schedule and returns the first violations of each check.
-func Play(seed uint64, options Options) (Count, []Violation) {
-	world := newWorld(seed, options)
+func Play(seed uint64, options Options) (Counters, []Violation) {
+	world := newCluster(seed, options)
 	world.play()
-	return world.count, world.checks.violations
+	return world.counters, world.checks.violations
 }
 
-func (c *Count) add(other Count) {
+func (c *Counters) add(other Counters) {
 	c.Leaders += other.Leaders
 	c.Acknowledged += other.Acknowledged
 	c.Reads += other.Reads
 	c.Messages += other.Messages
-	c.Kills += other.Kills
+	c.ProcessKills += other.ProcessKills
 	c.PowerLosses += other.PowerLosses
-	c.AllDown += other.AllDown
-	c.Wipes += other.Wipes
-	c.Stalls += other.Stalls
-	c.Freezes += other.Freezes
-	c.Cuts += other.Cuts
+	c.GroupOutages += other.GroupOutages
+	c.DiskLosses += other.DiskLosses
+	c.DiskStalls += other.DiskStalls
+	c.ProcessFreezes += other.ProcessFreezes
+	c.Partitions += other.Partitions
 	c.Transfers += other.Transfers
 	c.Compactions += other.Compactions
 	c.Snapshots += other.Snapshots
-	c.MemberChanges += other.MemberChanges
-	c.Mutes += other.Mutes
-	c.Rivalries += other.Rivalries
-	c.AmidChange += other.AmidChange
+	c.MembershipChanges += other.MembershipChanges
+	c.EntryLosses += other.EntryLosses
+	c.CompetingChanges += other.CompetingChanges
+	c.OutagesDuringChange += other.OutagesDuringChange
 }
 
 // String tells a violation in one line.
--- a/coord/consensus/transfer.go
+++ b/coord/consensus/transfer.go
@@ -13,23 +13,23 @@
 // TransferLeadership hands leadership over to another voter, or to the most current one if to is 0. Until it is
 // done, or an election timeout has passed, proposals are refused.
 // Errors: ErrNotLeader, ErrTransferring, ErrNoSuccessor.
-func (n *Node) TransferLeadership(now time.Duration, to MemberID) error {
+func (n *Node) TransferLeadership(now time.Duration, target MemberID) error {
 	n.advanceClock(now)
 	n.checkQuorum()
 	if err := n.checkProposable(); err != nil {
 		return err
 	}
-	if to == 0 {
-		successor := n.bestTransferTarget()
-		if successor == nil {
+	if target == 0 {
+		best := n.bestTransferTarget()
+		if best == nil {
 			return ErrNoTransferTarget
 		}
-		to = successor.id
+		target = best.id
 	}
-	if to == n.config.ID || n.peer(to) == nil || !n.isVoter(to) {
+	if target == n.config.ID || n.peer(target) == nil || !n.isVoter(target) {
 		return ErrNoTransferTarget
 	}
-	n.leaderState.transfer = leadershipTransfer{target: to, deadline: n.now + n.config.ElectionTimeout}
+	n.leaderState.transfer = leadershipTransfer{target: target, deadline: n.now + n.config.ElectionTimeout}
 	return nil
 }
 
@@ -54,12 +54,12 @@
 	if transfer.target != 0 || n.now < transfer.retryAt {
 		return
 	}
-	successor := n.bestTransferTarget()
-	if successor == nil {
+	best := n.bestTransferTarget()
+	if best == nil {
 		return
 	}
 	pause := 2 * n.config.ElectionTimeout
-	n.leaderState.transfer = leadershipTransfer{target: successor.id, deadline: n.now + n.config.ElectionTimeout, retryAt: n.now + pause}
+	n.leaderState.transfer = leadershipTransfer{target: best.id, deadline: n.now + n.config.ElectionTimeout, retryAt: n.now + pause}
 }
 
 // tickTransfer gives up a transfer that takes too long, and starts one if the leader's disk takes no writes.
