--- a/cmd/inference-router/check.go
+++ b/cmd/inference-router/check.go
@@ -40,8 +40,8 @@
 		fmt.Fprintln(errors, err)
 		return exitFault
 	}
-	command := configuration.Command{Kind: configuration.Replace, Body: body}
-	if refusal := configuration.CheckStatic(command); refusal != nil {
+	command := configuration.Command{Kind: configuration.CommandReplace, Body: body}
+	if refusal := configuration.ValidateCommand(command); refusal != nil {
 		fmt.Fprintf(errors, "configuration: %d %s\n", refusal.Code, refusal.Text)
 		return exitFault
 	}
--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -114,13 +114,13 @@
 		wanted = append(wanted, fmt.Sprintf("| %d | `%s` | %d | %s |", code, name, status, text))
 	}
 	for _, entry := range configuration.Codes() {
-		row(int(entry.Code), entry.Name, entry.Status, entry.Text)
+		row(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
 	}
 	for _, entry := range registry.Codes() {
-		row(int(entry.Code), entry.Name, entry.Status, entry.Text)
+		row(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
 	}
 	for _, entry := range server.Codes() {
-		row(int(entry.Code), entry.Name, entry.Status, entry.Text)
+		row(int(entry.Code), entry.Name, entry.HTTPStatus, entry.Text)
 	}
 	listed := map[string]bool{}
 	for line := range strings.Lines(string(page)) {
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	testIdle     = 10 * time.Millisecond // a step in which nothing is due
-	testDelay    = 2 * time.Millisecond  // of a message
-	testDuration = 20 * time.Second      // until a test gives up, on the fake clock
+	idleStep     = 10 * time.Millisecond // a step in which nothing is due
+	messageDelay = 2 * time.Millisecond  // of a message
+	testTimeout  = 20 * time.Second      // until a test gives up, on the fake clock
 )
 
-// listMachine keeps all commands in order.
-type listMachine struct{ Commands []string }
+// listStateMachine keeps all commands in order.
+type listStateMachine struct{ Commands []string }
 
-func (m *listMachine) Apply(entry consensus.Entry) any {
+func (m *listStateMachine) Apply(entry consensus.Entry) any {
 	m.Commands = append(m.Commands, string(entry.Data))
 	return len(m.Commands)
 }
 
-func (m *listMachine) Snapshot() []byte {
+func (m *listStateMachine) Snapshot() []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -34,7 +34,7 @@
 	return data
 }
 
-func (m *listMachine) Restore(_ uint64, data []byte) error {
+func (m *listStateMachine) Restore(_ uint64, data []byte) error {
 	m.Commands = nil
 	return json.Unmarshal(data, m)
 }
@@ -49,28 +49,28 @@
 	message consensus.Message
 }
 
-// peer is one process with its disk.
-type peer struct {
-	member  consensus.Member
-	disk    *seglogtest.Disk
-	group   *Group
-	machine *listMachine
-	cut     bool          // no messages in or out
-	stalled bool          // its writer does not run
-	stopped bool          // its process has ended
-	retryAt time.Duration // of a failed write; 0: none
+// testReplica is one process with its disk.
+type testReplica struct {
+	member       consensus.Member
+	disk         *seglogtest.MemoryDisk
+	group        *Group
+	stateMachine *listStateMachine
+	partitioned  bool          // no messages in or out
+	stalled      bool          // its writer does not run
+	stopped      bool          // its process has ended
+	retryAt      time.Duration // of a failed write; 0: none
 }
 
-// cluster is a group whose loops, writers and network are driven by hand.
-type cluster struct {
-	t       *testing.T
-	clock   *fakeClock
-	peers   []*peer
-	network []envelope
+// testCluster is a group whose loops, writers and network are driven by hand.
+type testCluster struct {
+	t        *testing.T
+	clock    *fakeClock
+	replicas []*testReplica
+	network  []envelope
 
-	newMachine func() Machine   // nil: a listMachine
-	omit       []consensus.Rule // left out of all members
-	omitGuards []Guard          // as well
+	newStateMachine func() StateMachine // nil: a listMachine
+	omitRules       []consensus.Rule    // left out of all members
+	omitGuards      []Guard             // as well
 }
 
 func testMember(number int, voter bool) consensus.Member {
@@ -81,8 +81,8 @@
 	}
 }
 
-func newCluster(t *testing.T, founders int) *cluster {
-	c := &cluster{t: t, clock: &fakeClock{now: time.Second}}
+func newTestCluster(t *testing.T, founders int) *testCluster {
+	c := &testCluster{t: t, clock: &fakeClock{now: time.Second}}
 	var members []consensus.Member
 	for number := 1; number <= founders; number++ {
 		members = append(members, testMember(number, true))
@@ -93,30 +93,30 @@
 	return c
 }
 
-func (c *cluster) add(member consensus.Member, founders []consensus.Member) *peer {
-	added := &peer{member: member, disk: seglogtest.NewDisk()}
-	c.peers = append(c.peers, added)
+func (c *testCluster) add(member consensus.Member, founders []consensus.Member) *testReplica {
+	added := &testReplica{member: member, disk: seglogtest.NewMemoryDisk()}
+	c.replicas = append(c.replicas, added)
 	c.open(added, founders)
 	return added
 }
 
-func (c *cluster) open(p *peer, founders []consensus.Member) {
+func (c *testCluster) open(p *testReplica, founders []consensus.Member) {
 	c.t.Helper()
-	p.machine = &listMachine{}
-	machine := Machine(p.machine)
-	if c.newMachine != nil {
-		machine = c.newMachine()
+	p.stateMachine = &listStateMachine{}
+	machine := StateMachine(p.stateMachine)
+	if c.newStateMachine != nil {
+		machine = c.newStateMachine()
 	}
 	group, err := Open(Options{
-		Directory:  "group",
-		FileSystem: p.disk,
-		Self:       p.member,
-		Founders:   founders,
-		Machine:    machine,
-		Send:       func(_ consensus.Member, message consensus.Message) { c.send(p, message) },
-		Clock:      c.clock,
-		Omit:       c.omit,
-		OmitGuards: c.omitGuards,
+		Directory:    "group",
+		FileSystem:   p.disk,
+		Self:         p.member,
+		Founders:     founders,
+		StateMachine: machine,
+		Send:         func(_ consensus.Member, message consensus.Message) { c.send(p, message) },
+		Clock:        c.clock,
+		OmitRules:    c.omitRules,
+		OmitGuards:   c.omitGuards,
 	})
 	if err != nil {
 		c.t.Fatal(err)
@@ -125,54 +125,54 @@
 }
 
 // restart ends a process and starts it again from its disk, after a loss of power if asked.
-func (c *cluster) restart(p *peer, powerLoss bool, seed uint64) {
+func (c *testCluster) restart(p *testReplica, powerLoss bool, seed uint64) {
 	if powerLoss {
 		p.disk.LosePower(seglogtest.NewRandom(seed))
 	} else {
 		p.disk.Restart()
 	}
-	p.group.loop.stop(p.group.inbox.close())
+	p.group.loop.stop(p.group.queue.close())
 	p.stalled, p.retryAt = false, 0
 	c.open(p, nil)
 }
 
 // remove takes a peer out of the cluster for good.
-func (c *cluster) remove(gone *peer) {
-	c.peers = slices.DeleteFunc(c.peers, func(p *peer) bool { return p == gone })
+func (c *testCluster) remove(gone *testReplica) {
+	c.replicas = slices.DeleteFunc(c.replicas, func(p *testReplica) bool { return p == gone })
 }
 
-func (c *cluster) send(from *peer, message consensus.Message) {
-	if !from.cut {
-		c.network = append(c.network, envelope{due: c.clock.now + testDelay, message: message})
+func (c *testCluster) send(from *testReplica, message consensus.Message) {
+	if !from.partitioned {
+		c.network = append(c.network, envelope{due: c.clock.now + messageDelay, message: message})
 	}
 }
 
 // step goes on to the next moment at which something is due and does it.
-func (c *cluster) step() {
+func (c *testCluster) step() {
 	due := c.nextDue()
 	if due == never {
-		due = c.clock.now + testIdle
+		due = c.clock.now + idleStep
 	}
 	c.clock.now = max(c.clock.now, due)
 	c.deliver()
-	for _, p := range c.peers {
+	for _, p := range c.replicas {
 		p.work(c.clock.now)
 	}
 }
 
-func (c *cluster) nextDue() time.Duration {
+func (c *testCluster) nextDue() time.Duration {
 	due := never
 	for _, one := range c.network {
 		due = min(due, one.due)
 	}
-	for _, p := range c.peers {
+	for _, p := range c.replicas {
 		if p.stopped {
 			continue
 		}
-		if len(p.group.inbox.events) > 0 || p.mayWrite() {
+		if len(p.group.queue.events) > 0 || p.hasWriteReady() {
 			return c.clock.now
 		}
-		due = min(due, p.group.loop.next())
+		due = min(due, p.group.loop.nextWakeUp())
 		if p.retryAt > 0 {
 			due = min(due, p.retryAt)
 		}
@@ -180,43 +180,43 @@
 	return due
 }
 
-// mayWrite tells whether the writer has work that it may do at once.
-func (p *peer) mayWrite() bool {
-	return !p.stalled && p.retryAt == 0 && len(p.group.writer.arrived)+len(p.group.writer.held) > 0
+// hasWriteReady tells whether the writer has work that it may do at once.
+func (p *testReplica) hasWriteReady() bool {
+	return !p.stalled && p.retryAt == 0 && len(p.group.writer.submitted)+len(p.group.writer.pending) > 0
 }
 
-func (c *cluster) deliver() {
+func (c *testCluster) deliver() {
 	var later []envelope
 	for _, one := range c.network {
 		if one.due > c.clock.now {
 			later = append(later, one)
 			continue
 		}
-		if to := c.peer(one.message.To); to != nil && !to.cut {
+		if to := c.replica(one.message.To); to != nil && !to.partitioned {
 			to.group.Step(one.message)
 		}
 	}
 	c.network = later
 }
 
-func (p *peer) work(now time.Duration) {
+func (p *testReplica) work(now time.Duration) {
 	if p.stopped {
 		return
 	}
-	if len(p.group.inbox.events) > 0 || now >= p.group.loop.next() {
-		p.group.loop.turn(p.group.inbox.take())
+	if len(p.group.queue.events) > 0 || now >= p.group.loop.nextWakeUp() {
+		p.group.loop.iterate(p.group.queue.drain())
 	}
 	if p.stalled || now < p.retryAt {
 		return
 	}
 	p.retryAt = 0
-	if pause := p.group.writer.step(); pause > 0 {
-		p.retryAt = now + pause
+	if retryDelay := p.group.writer.writePending(); retryDelay > 0 {
+		p.retryAt = now + retryDelay
 	}
 }
 
-func (c *cluster) peer(id consensus.MemberID) *peer {
-	for _, p := range c.peers {
+func (c *testCluster) replica(id consensus.MemberID) *testReplica {
+	for _, p := range c.replicas {
 		if p.member.ID == id {
 			return p
 		}
@@ -224,24 +224,24 @@
 	return nil
 }
 
-// until steps until the condition holds.
-func (c *cluster) until(what string, condition func() bool) {
+// stepUntil steps until the condition holds.
+func (c *testCluster) stepUntil(what string, condition func() bool) {
 	c.t.Helper()
-	limit := c.clock.now + testDuration
+	limit := c.clock.now + testTimeout
 	for !condition() {
 		if c.clock.now > limit {
-			c.t.Fatalf("not reached in %v: %s", testDuration, what)
+			c.t.Fatalf("not reached in %v: %s", testTimeout, what)
 		}
 		c.step()
 	}
 }
 
 // leader returns the replica that leads in the highest term, or nil.
-func (c *cluster) leader() *peer {
-	var found *peer
-	for _, p := range c.peers {
+func (c *testCluster) leader() *testReplica {
+	var found *testReplica
+	for _, p := range c.replicas {
 		status := p.group.Status()
-		if p.cut || !status.IsLeader() {
+		if p.partitioned || !status.IsLeader() {
 			continue
 		}
 		if found == nil || status.Term > found.group.Status().Term {
@@ -251,51 +251,51 @@
 	return found
 }
 
-func (c *cluster) awaitLeader() *peer {
+func (c *testCluster) awaitLeader() *testReplica {
 	c.t.Helper()
-	c.until("a leader whose own entry is applied", func() bool {
+	c.stepUntil("a leader whose own entry is applied", func() bool {
 		leader := c.leader()
-		return leader != nil && leader.group.Status().Applied == leader.group.loop.status.LastIndex && leader.group.Status().Applied > 1
+		return leader != nil && leader.group.Status().AppliedIndex == leader.group.loop.status.LastIndex && leader.group.Status().AppliedIndex > 1
 	})
 	return c.leader()
 }
 
 // propose posts a proposal without waiting.
-func (p *peer) propose(command string) chan outcome {
-	done := newDone()
-	p.group.inbox.post(proposeEvent{data: []byte(command), done: done})
+func (p *testReplica) propose(command string) chan outcome {
+	done := newOutcomeChannel()
+	p.group.queue.push(proposeEvent{data: []byte(command), done: done})
 	return done
 }
 
-func (c *cluster) await(done chan outcome) outcome {
+func (c *testCluster) await(done chan outcome) outcome {
 	c.t.Helper()
-	c.until("an answer", func() bool { return len(done) > 0 })
+	c.stepUntil("an answer", func() bool { return len(done) > 0 })
 	return <-done
 }
 
 // commit proposes at the leader and waits until it is applied there.
-func (c *cluster) commit(command string) {
+func (c *testCluster) commit(command string) {
 	c.t.Helper()
 	leader := c.awaitLeader()
-	if answered := c.await(leader.propose(command)); answered.err != nil {
-		c.t.Fatal(answered.err)
+	if received := c.await(leader.propose(command)); received.err != nil {
+		c.t.Fatal(received.err)
 	}
 }
 
-func (c *cluster) awaitCommands(p *peer, count int) {
+func (c *testCluster) awaitCommands(p *testReplica, count int) {
 	c.t.Helper()
-	c.until(fmt.Sprintf("%d commands at member %d", count, p.member.ID), func() bool {
-		return len(p.machine.Commands) == count
+	c.stepUntil(fmt.Sprintf("%d commands at member %d", count, p.member.ID), func() bool {
+		return len(p.stateMachine.Commands) == count
 	})
 }
 
 // change asks again while the leader does not know yet that it may make the change.
-func (c *cluster) change(change consensus.MembershipChange) {
+func (c *testCluster) change(change consensus.MembershipChange) {
 	c.t.Helper()
-	limit := c.clock.now + testDuration
+	limit := c.clock.now + testTimeout
 	for {
-		done := newDone()
-		c.awaitLeader().group.inbox.post(changeEvent{change: change, done: done})
+		done := newOutcomeChannel()
+		c.awaitLeader().group.queue.push(changeEvent{change: change, done: done})
 		err := c.await(done).err
 		if err == nil {
 			return
--- a/coord/replica/consensus_node.go
+++ b/coord/replica/consensus_node.go
@@ -6,8 +6,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// decider is what the loop needs of agreement.Node. Tests put a scripted one in its place.
-type decider interface {
+// consensusNode is what the loop needs of agreement.Node. Tests put a scripted one in its place.
+type consensusNode interface {
 	Tick(now time.Duration)
 	NextTick() time.Duration
 	Step(now time.Duration, message consensus.Message)
@@ -24,30 +24,30 @@
 	Status() consensus.Status
 }
 
-var _ decider = (*consensus.Node)(nil)
+var _ consensusNode = (*consensus.Node)(nil)
 
 // Change adds, alters or removes one member.
 type Change = consensus.MembershipChange
 
 // Bounds of what a leader has under way with one member.
 const (
-	maxAppendBytes = 256 << 10
-	maxInflight    = 16
+	maxAppendBytes      = 256 << 10
+	maxInflightMessages = 16
 )
 
-// heartbeatMargin is the part of the pause between two heartbeats, one in so many, by which a heartbeat may be late
+// heartbeatMarginDivisor is the part of the pause between two heartbeats, one in so many, by which a heartbeat may be late
 // without costing the next one its place on the grid of time.
-const heartbeatMargin = 6
+const heartbeatMarginDivisor = 6
 
-func newNode(options *Options, stored consensus.PersistedState, now time.Duration) decider {
+func newNode(options *Options, stored consensus.PersistedState, now time.Duration) consensusNode {
 	config := consensus.Config{
 		ID:                options.Self.ID,
 		ElectionTimeout:   options.ElectionTimeout,
-		HeartbeatInterval: options.Heartbeat - options.Heartbeat/heartbeatMargin,
+		HeartbeatInterval: options.HeartbeatInterval - options.HeartbeatInterval/heartbeatMarginDivisor,
 		MaxAppendBytes:    maxAppendBytes,
-		MaxInflight:       maxInflight,
+		MaxInflight:       maxInflightMessages,
 		Seed:              uint64(options.Self.ID) + uint64(options.Shard),
-		DisabledRules:     options.Omit,
+		DisabledRules:     options.OmitRules,
 	}
 	return consensus.New(config, stored, now)
 }
--- a/coord/replica/disk_health.go
+++ b/coord/replica/disk_health.go
@@ -6,54 +6,54 @@
 	"go.uber.org/zap"
 )
 
-// stallAfter is how long a write may be outstanding before the disk counts as stalled.
-const stallAfter = 300 * time.Millisecond
+// diskStallTimeout is how long a write may be outstanding before the disk counts as stalled.
+const diskStallTimeout = 300 * time.Millisecond
 
 // diskHealth follows the writes under way.
 type diskHealth struct {
-	submitted []time.Duration // of the writes that are not finished, oldest first
-	failing   bool            // the last try failed
-	writable  bool            // as told to the node
-	logBytes  int64
-	diskBytes int64
+	outstandingSince []time.Duration // of the writes that are not finished, oldest first
+	failing          bool            // the last try failed
+	writable         bool            // as told to the node
+	logBytes         int64
+	diskBytes        int64
 }
 
-// write hands a job to the log writer.
-func (l *loop) write(one job) {
-	l.disk.submitted = append(l.disk.submitted, l.now)
-	l.submit(one)
+// submitWrite hands a job to the log writer.
+func (l *eventLoop) submitWrite(job writeJob) {
+	l.disk.outstandingSince = append(l.disk.outstandingSince, l.now)
+	l.submitJob(job)
 }
 
-// onDisk takes a report of the log writer.
-func (l *loop) onDisk(report diskEvent) {
-	l.disk.submitted = l.disk.submitted[report.jobs:]
-	if len(l.disk.submitted) == 0 {
-		l.disk.submitted = nil
+// handleDiskReport takes a report of the log writer.
+func (l *eventLoop) handleDiskReport(report diskReport) {
+	l.disk.outstandingSince = l.disk.outstandingSince[report.finishedJobs:]
+	if len(l.disk.outstandingSince) == 0 {
+		l.disk.outstandingSince = nil
 	}
 	l.disk.logBytes, l.disk.diskBytes = report.logBytes, report.diskBytes
-	l.noteFailure(report.err)
-	if report.persisted > 0 {
-		l.node.Persisted(l.now, report.persisted)
+	l.recordWriteError(report.err)
+	if report.persistedSequence > 0 {
+		l.node.Persisted(l.now, report.persistedSequence)
 	}
-	if report.compacted != nil {
-		l.onCompacted(report)
+	if report.compactedSnapshot != nil {
+		l.handleCompacted(report)
 	}
-	if report.dropped {
-		l.compact.dropped(l.now)
+	if report.snapshotFailed {
+		l.compaction.failed(l.now)
 	}
 }
 
-func (l *loop) noteFailure(err error) {
+func (l *eventLoop) recordWriteError(err error) {
 	if err != nil && !l.disk.failing {
 		l.options.Logger.Warn("the disk refuses a write", zap.Uint32("shard", uint32(l.options.Shard)), zap.Error(err))
 	}
 	l.disk.failing = err != nil
 }
 
-// checkDisk tells the node whether its disk takes writes in time.
-func (l *loop) checkDisk() {
+// updateWritability tells the node whether its disk takes writes in time.
+func (l *eventLoop) updateWritability() {
 	writable := !l.disk.failing && l.now < l.disk.stalledAt()
-	if writable == l.disk.writable || !l.options.holds(GuardStallHandsOver) {
+	if writable == l.disk.writable || !l.options.enforces(GuardStalledDiskStepsDown) {
 		return
 	}
 	l.disk.writable = writable
@@ -64,10 +64,10 @@
 
 // stalledAt returns when the oldest write has been outstanding for too long.
 func (d *diskHealth) stalledAt() time.Duration {
-	if len(d.submitted) == 0 {
+	if len(d.outstandingSince) == 0 {
 		return never
 	}
-	return d.submitted[0] + stallAfter
+	return d.outstandingSince[0] + diskStallTimeout
 }
 
 // nextCheck returns when the disk's state may change without a report.
--- a/coord/replica/errors.go
+++ b/coord/replica/errors.go
@@ -7,13 +7,13 @@
 	"ospreybend/coord/consensus"
 )
 
-// ErrNotLeader refuses a call that only the leader can take. The proposal or change that it answers
+// NotLeaderError refuses a call that only the leader can take. The proposal or change that it answers
 // is not in the log and never will be. Use errors.As with a value of this type.
-type ErrNotLeader struct {
+type NotLeaderError struct {
 	Leader consensus.Member // ID 0: unknown
 }
 
-func (e ErrNotLeader) Error() string {
+func (e NotLeaderError) Error() string {
 	if e.Leader.ID == 0 {
 		return "replica: not the leader, and none is known"
 	}
@@ -26,8 +26,8 @@
 	ErrUnknownOutcome = errors.New("replica: the outcome of the proposal is unknown")
 	// ErrClosed: the group has ended. What was proposed before may still be committed by the others.
 	ErrClosed = errors.New("replica: the group is closed")
-	// ErrDiskHangs: the disk has not ended a write, so the group's files are still open.
-	ErrDiskHangs = errors.New("replica: the disk has not ended a write")
+	// ErrDiskStalled: the disk has not ended a write, so the group's files are still open.
+	ErrDiskStalled = errors.New("replica: the disk has not ended a write")
 	// ErrTransferFailed: leadership was not taken over in time.
 	ErrTransferFailed = errors.New("replica: no other member took over leadership in time")
 )
--- a/coord/replica/event_loop.go
+++ b/coord/replica/event_loop.go
@@ -12,64 +12,64 @@
 // never is a time that is not reached.
 const never = time.Duration(1<<63 - 1)
 
-// loop owns the node and the machine of a group. It has no goroutine of its own: turn does all that
+// eventLoop owns the node and the machine of a group. It has no goroutine of its own: turn does all that
 // is due and next tells when it is to be called again.
-type loop struct {
-	options  *Options
-	node     decider
-	submit   func(job) // hands a write to the log writer; does not block
-	known    map[consensus.MemberID]consensus.Member
-	now      time.Duration
-	status   consensus.Status // of the node, as of the last turn
-	applied  uint64           // by the machine
-	waiting  proposals
-	reads    reads
-	handOver transfers
-	disk     diskHealth
-	compact  compaction
-	failure  error // the group cannot go on
-
-	published    Status
-	shared       atomic.Pointer[Status] // for other goroutines
-	sharedAge    atomic.Int64           // Status.Confirmed of the node
-	sharedWeight atomic.Int64           // bytes on disk
-	sharedStable atomic.Uint64          // Status.Durable of the node
-}
-
-func newLoop(options *Options, node decider, submit func(job)) *loop {
-	l := &loop{
-		options: options,
-		node:    node,
-		submit:  submit,
-		known:   map[consensus.MemberID]consensus.Member{},
-		waiting: proposals{byIndex: map[uint64]*proposal{}},
-		reads:   reads{rounds: map[uint64][]chan outcome{}},
+type eventLoop struct {
+	options      *Options
+	node         consensusNode
+	submitJob    func(writeJob) // hands a write to the log writer; does not block
+	knownMembers map[consensus.MemberID]consensus.Member
+	now          time.Duration
+	status       consensus.Status // of the node, as of the last turn
+	appliedIndex uint64           // by the machine
+	proposals    pendingProposals
+	reads        pendingReads
+	transfers    pendingTransfers
+	disk         diskHealth
+	compaction   compaction
+	fatalError   error // the group cannot go on
+
+	lastPublished         Status
+	publishedStatus       atomic.Pointer[Status] // for other goroutines
+	publishedConfirmed    atomic.Int64           // Status.Confirmed of the node
+	publishedDiskBytes    atomic.Int64           // bytes on disk
+	publishedDurableIndex atomic.Uint64          // Status.Durable of the node
+}
+
+func newEventLoop(options *Options, node consensusNode, submit func(writeJob)) *eventLoop {
+	l := &eventLoop{
+		options:      options,
+		node:         node,
+		submitJob:    submit,
+		knownMembers: map[consensus.MemberID]consensus.Member{},
+		proposals:    pendingProposals{byIndex: map[uint64]*pendingProposal{}},
+		reads:        pendingReads{confirming: map[uint64][]chan outcome{}},
 	}
 	l.disk.writable = true
-	l.know(options.Founders)
-	l.shared.Store(&Status{Shard: options.Shard, Writable: true})
+	l.rememberMembers(options.Founders)
+	l.publishedStatus.Store(&Status{Shard: options.Shard, Writable: true})
 	return l
 }
 
-// turn handles the events and everything that is due at this moment.
-func (l *loop) turn(events []event) {
+// iterate handles the events and everything that is due at this moment.
+func (l *eventLoop) iterate(events []loopEvent) {
 	l.now = l.options.Clock.Now()
 	for _, one := range events {
-		l.handle(one)
+		l.handleEvent(one)
 	}
 	if l.now >= l.nextTick() {
 		l.node.Tick(l.now)
 	}
-	l.checkDisk()
+	l.updateWritability()
 	l.startReads()
-	l.carryOut(l.node.Ready())
-	l.checkLeadership()
-	l.expire()
+	l.processReady(l.node.Ready())
+	l.updateProposalDeadlines()
+	l.expirePending()
 	l.startCompaction()
 	l.publish()
 }
 
-func (l *loop) handle(one event) {
+func (l *eventLoop) handleEvent(one loopEvent) {
 	switch one := one.(type) {
 	case messageEvent:
 		l.node.Step(l.now, one.message)
@@ -78,44 +78,44 @@
 	case changeEvent:
 		l.changeMembers(one)
 	case readEvent:
-		l.reads.fresh = append(l.reads.fresh, one.done)
+		l.reads.queued = append(l.reads.queued, one.done)
 	case transferEvent:
 		l.transfer(one)
 	case callEvent:
 		one.function()
 		one.done <- outcome{}
-	case diskEvent:
-		l.onDisk(one)
+	case diskReport:
+		l.handleDiskReport(one)
 	}
 }
 
-// next returns when turn must be called at the latest.
-func (l *loop) next() time.Duration {
+// nextWakeUp returns when turn must be called at the latest.
+func (l *eventLoop) nextWakeUp() time.Duration {
 	return min(
 		l.nextTick(),
-		l.waiting.deadline(),
-		l.handOver.next(),
+		l.proposals.deadline(),
+		l.transfers.nextDeadline(),
 		l.disk.nextCheck(),
-		l.compact.nextTry(),
+		l.compaction.nextAttempt(),
 	)
 }
 
 // nextTick returns when the node must be told the time. A leader is told at whole multiples of the heartbeat, so that
 // the heartbeats of all groups of the process go out together, and in one batch to each peer.
-func (l *loop) nextTick() time.Duration {
+func (l *eventLoop) nextTick() time.Duration {
 	next := l.node.NextTick()
 	if l.status.Role != consensus.RoleLeader || next == consensus.NoTick {
 		return next
 	}
-	beat := l.options.Heartbeat
-	return (next + beat - 1) / beat * beat
+	interval := l.options.HeartbeatInterval
+	return (next + interval - 1) / interval * interval
 }
 
-// carryOut does what the node wants done.
-func (l *loop) carryOut(ready consensus.Ready) {
-	l.readNode()
+// processReady does what the node wants done.
+func (l *eventLoop) processReady(ready consensus.Ready) {
+	l.refreshStatus()
 	if ready.Persist != nil {
-		l.write(job{persist: ready.Persist})
+		l.submitWrite(writeJob{persist: ready.Persist})
 	}
 	for _, message := range ready.Messages {
 		l.options.Send(l.member(message.To), message)
@@ -123,99 +123,99 @@
 	if ready.Restore != nil {
 		l.restore(ready.Restore)
 	}
-	if l.failure == nil {
+	if l.fatalError == nil {
 		l.apply(ready.Committed)
 	}
 	for _, result := range ready.Reads {
-		l.onRead(result)
+		l.handleReadResult(result)
 	}
 	l.answerReads()
 }
 
 // restore gives the machine a snapshot's state.
-func (l *loop) restore(snapshot *consensus.Snapshot) {
-	if err := l.options.Machine.Restore(snapshot.Index, snapshot.Data); err != nil {
-		l.failure = err
+func (l *eventLoop) restore(snapshot *consensus.Snapshot) {
+	if err := l.options.StateMachine.Restore(snapshot.Index, snapshot.Data); err != nil {
+		l.fatalError = err
 		l.options.Logger.Error("the machine cannot take the snapshot",
 			zap.Uint32("shard", uint32(l.options.Shard)), zap.Uint64("index", snapshot.Index), zap.Error(err))
 		return
 	}
-	l.applied = snapshot.Index
-	l.compact.covered(snapshot.Index)
-	l.waiting.skipped(snapshot.Index, l.options)
+	l.appliedIndex = snapshot.Index
+	l.compaction.advance(snapshot.Index)
+	l.proposals.resolveSkipped(snapshot.Index, l.options)
 	l.notifyApplied()
 }
 
 // apply gives the machine the committed commands and answers those that wait for them.
-func (l *loop) apply(entries []consensus.Entry) {
+func (l *eventLoop) apply(entries []consensus.Entry) {
 	for _, entry := range entries {
 		var result any
 		if entry.Kind == consensus.EntryCommand {
-			result = l.options.Machine.Apply(entry)
+			result = l.options.StateMachine.Apply(entry)
 		}
-		l.applied = entry.Index
-		l.waiting.applied(entry, result, l.leader(), l.options)
+		l.appliedIndex = entry.Index
+		l.proposals.resolveApplied(entry, result, l.leader(), l.options)
 	}
 	if len(entries) > 0 {
 		l.notifyApplied()
 	}
 }
 
-func (l *loop) notifyApplied() {
+func (l *eventLoop) notifyApplied() {
 	if l.options.OnApplied != nil {
-		l.options.OnApplied(l.applied)
+		l.options.OnApplied(l.appliedIndex)
 	}
 }
 
-// readNode takes over the node's state.
-func (l *loop) readNode() {
+// refreshStatus takes over the node's state.
+func (l *eventLoop) refreshStatus() {
 	l.status = l.node.Status()
-	l.know(l.status.Members)
+	l.rememberMembers(l.status.Members)
 }
 
-// know remembers members' addresses, also of those that are removed later.
-func (l *loop) know(members []consensus.Member) {
+// rememberMembers remembers members' addresses, also of those that are removed later.
+func (l *eventLoop) rememberMembers(members []consensus.Member) {
 	for _, member := range members {
-		if l.known[member.ID] != member {
-			l.known[member.ID] = member
+		if l.knownMembers[member.ID] != member {
+			l.knownMembers[member.ID] = member
 		}
 	}
 }
 
 // member returns what is known of a member, its ID at least.
-func (l *loop) member(id consensus.MemberID) consensus.Member {
-	if member, known := l.known[id]; known {
+func (l *eventLoop) member(id consensus.MemberID) consensus.Member {
+	if member, known := l.knownMembers[id]; known {
 		return member
 	}
 	return consensus.Member{ID: id}
 }
 
 // leader returns the leader as of now, the zero value if none is known.
-func (l *loop) leader() consensus.Member {
+func (l *eventLoop) leader() consensus.Member {
 	if l.status.Leader == 0 {
 		return consensus.Member{}
 	}
 	return l.member(l.status.Leader)
 }
 
-// expire ends what has waited for too long.
-func (l *loop) expire() {
-	l.waiting.expire(l.now)
-	l.handOver.expire(l.now)
+// expirePending ends what has waited for too long.
+func (l *eventLoop) expirePending() {
+	l.proposals.expire(l.now)
+	l.transfers.expire(l.now)
 }
 
 // stop answers all that waits.
-func (l *loop) stop(unhandled []event) {
-	l.waiting.fail(ErrUnknownOutcome)
-	l.reads.fail(ErrClosed)
-	l.handOver.fail(ErrClosed)
+func (l *eventLoop) stop(unhandled []loopEvent) {
+	l.proposals.failAll(ErrUnknownOutcome)
+	l.reads.failAll(ErrClosed)
+	l.transfers.failAll(ErrClosed)
 	for _, one := range unhandled {
-		refuse(one)
+		rejectClosed(one)
 	}
 }
 
-// refuse answers an event that came after the end.
-func refuse(one event) {
+// rejectClosed answers an event that came after the end.
+func rejectClosed(one loopEvent) {
 	closed := outcome{err: ErrClosed}
 	switch one := one.(type) {
 	case proposeEvent:
--- a/coord/replica/event_queue.go
+++ b/coord/replica/event_queue.go
@@ -6,9 +6,9 @@
 	"ospreybend/coord/consensus"
 )
 
-// event is what the loop handles. Types: messageEvent, proposeEvent, changeEvent, readEvent,
+// loopEvent is what the loop handles. Types: messageEvent, proposeEvent, changeEvent, readEvent,
 // transferEvent, callEvent, diskEvent.
-type event interface{}
+type loopEvent interface{}
 
 type messageEvent struct{ message consensus.Message }
 
@@ -34,15 +34,15 @@
 	done     chan outcome
 }
 
-// diskEvent is a report of the log writer.
-type diskEvent struct {
-	jobs      int // finished since the last report, oldest first
-	persisted uint64
-	compacted *consensus.Snapshot // now durable
-	dropped   bool                // the snapshot failed and is not tried again by itself
-	err       error               // the last try failed
-	logBytes  int64
-	diskBytes int64
+// diskReport is a report of the log writer.
+type diskReport struct {
+	finishedJobs      int // finished since the last report, oldest first
+	persistedSequence uint64
+	compactedSnapshot *consensus.Snapshot // now durable
+	snapshotFailed    bool                // the snapshot failed and is not tried again by itself
+	err               error               // the last try failed
+	logBytes          int64
+	diskBytes         int64
 }
 
 // outcome answers a waiting call. Its channel has room for it, so that the loop never waits.
@@ -52,63 +52,63 @@
 	err    error
 }
 
-func newDone() chan outcome { return make(chan outcome, 1) }
+func newOutcomeChannel() chan outcome { return make(chan outcome, 1) }
 
-// maxWaitingMessages bounds the messages that wait for the loop; more are dropped.
-const maxWaitingMessages = 4096
+// maxQueuedMessages bounds the messages that wait for the loop; more are dropped.
+const maxQueuedMessages = 4096
 
-// inbox collects events for the loop.
-type inbox struct {
+// eventQueue collects events for the loop.
+type eventQueue struct {
 	mutex    sync.Mutex
-	events   []event
+	events   []loopEvent
 	messages int
 	closed   bool
 	signal   chan struct{} // has room for one
 }
 
-func newInbox() *inbox { return &inbox{signal: make(chan struct{}, 1)} }
+func newEventQueue() *eventQueue { return &eventQueue{signal: make(chan struct{}, 1)} }
 
-// post adds an event. It returns false if the inbox is closed, or full in the case of messages.
-func (b *inbox) post(one event) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.closed {
+// push adds an event. It returns false if the inbox is closed, or full in the case of messages.
+func (q *eventQueue) push(one loopEvent) bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	if q.closed {
 		return false
 	}
 	if _, isMessage := one.(messageEvent); isMessage {
-		if b.messages >= maxWaitingMessages {
+		if q.messages >= maxQueuedMessages {
 			return false
 		}
-		b.messages++
+		q.messages++
 	}
-	b.events = append(b.events, one)
-	if len(b.events) == 1 {
-		wake(b.signal)
+	q.events = append(q.events, one)
+	if len(q.events) == 1 {
+		notify(q.signal)
 	}
 	return true
 }
 
-// wake marks a channel with room for one.
-func wake(signal chan struct{}) {
+// notify marks a channel with room for one.
+func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// take returns all events that wait.
-func (b *inbox) take() []event {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	events := b.events
-	b.events, b.messages = nil, 0
+// drain returns all events that wait.
+func (q *eventQueue) drain() []loopEvent {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	events := q.events
+	q.events, q.messages = nil, 0
 	return events
 }
 
 // close refuses further events and returns those that wait.
-func (b *inbox) close() []event {
-	b.mutex.Lock()
-	b.closed = true
-	b.mutex.Unlock()
-	return b.take()
+func (q *eventQueue) close() []loopEvent {
+	q.mutex.Lock()
+	q.closed = true
+	q.mutex.Unlock()
+	return q.drain()
 }
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -12,21 +12,21 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-func TestThreeMembersApplyAlike(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_replicasApplySameCommands(t *testing.T) {
+	c := newTestCluster(t, 3)
 	for i := range 20 {
 		c.commit(fmt.Sprint("command ", i))
 	}
-	for _, p := range c.peers {
+	for _, p := range c.replicas {
 		c.awaitCommands(p, 20)
-		if !slices.Equal(p.machine.Commands, c.peers[0].machine.Commands) {
+		if !slices.Equal(p.stateMachine.Commands, c.replicas[0].stateMachine.Commands) {
 			t.Fatal("replicas differ")
 		}
 	}
 }
 
-func TestProposeAnswers(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_Propose_returnsResultAndIndex(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
 	first := c.await(leader.propose("one"))
 	second := c.await(leader.propose("two"))
@@ -35,74 +35,74 @@
 	}
 }
 
-func TestFollowerNamesLeader(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_Propose_followerNamesLeader(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	for _, p := range c.peers {
+	for _, p := range c.replicas {
 		if p == leader {
 			continue
 		}
-		c.until("knows the leader", func() bool { return p.group.Status().Leader.ID != 0 })
-		var refused ErrNotLeader
-		if err := c.await(p.propose("x")).err; !errors.As(err, &refused) || refused.Leader != leader.member {
+		c.stepUntil("knows the leader", func() bool { return p.group.Status().Leader.ID != 0 })
+		var rejected NotLeaderError
+		if err := c.await(p.propose("x")).err; !errors.As(err, &rejected) || rejected.Leader != leader.member {
 			t.Fatalf("got %v", err)
 		}
 	}
 }
 
-func TestCutLeaderOutcomeUnknown(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_Propose_partitionedLeaderOutcomeUnknown(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	leader.cut = true
+	leader.partitioned = true
 	done := leader.propose("lost")
 	if err := c.await(done).err; !errors.Is(err, ErrUnknownOutcome) {
 		t.Fatalf("got %v", err)
 	}
 	c.commit("other")
-	leader.cut = false
+	leader.partitioned = false
 	c.awaitCommands(leader, 1)
-	if leader.machine.Commands[0] != "other" {
-		t.Fatalf("got %q", leader.machine.Commands)
+	if leader.stateMachine.Commands[0] != "other" {
+		t.Fatalf("got %q", leader.stateMachine.Commands)
 	}
 }
 
-func TestProposalOfLostTermIsRefused(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_Propose_proposalOfLostTermIsRejected(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	leader.cut = true
+	leader.partitioned = true
 	done := leader.propose("lost")
-	c.until("another leader", func() bool { return c.leader() != nil && c.leader().group.loop.applied > 2 })
-	leader.cut = false
-	var refused ErrNotLeader
-	if err := c.await(done).err; !errors.As(err, &refused) && !errors.Is(err, ErrUnknownOutcome) {
+	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader().group.loop.appliedIndex > 2 })
+	leader.partitioned = false
+	var rejected NotLeaderError
+	if err := c.await(done).err; !errors.As(err, &rejected) && !errors.Is(err, ErrUnknownOutcome) {
 		t.Fatalf("got %v", err)
 	}
 	c.commit("other")
 	c.awaitCommands(leader, 1)
 }
 
-func TestReadBarrier(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_ReadBarrier(t *testing.T) {
+	c := newTestCluster(t, 3)
 	c.commit("one")
 	leader := c.leader()
-	done := newDone()
-	leader.group.inbox.post(readEvent{done})
+	done := newOutcomeChannel()
+	leader.group.queue.push(readEvent{done})
 	if err := c.await(done).err; err != nil {
 		t.Fatal(err)
 	}
-	leader.cut = true
-	refused := newDone()
-	leader.group.inbox.post(readEvent{refused})
-	if err := c.await(refused).err; err == nil {
+	leader.partitioned = true
+	rejected := newOutcomeChannel()
+	leader.group.queue.push(readEvent{rejected})
+	if err := c.await(rejected).err; err == nil {
 		t.Fatal("a leader that is cut off confirmed a read")
 	}
 }
 
-func TestTransfer(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_TransferLeadership(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	done := newDone()
-	leader.group.inbox.post(transferEvent{done: done})
+	done := newOutcomeChannel()
+	leader.group.queue.push(transferEvent{done: done})
 	if err := c.await(done).err; err != nil {
 		t.Fatal(err)
 	}
@@ -111,15 +111,15 @@
 	}
 }
 
-func TestTransferToChosenVoter(t *testing.T) {
-	c := newCluster(t, 5)
+func TestGroup_TransferLeadershipTo_chosenVoter(t *testing.T) {
+	c := newTestCluster(t, 5)
 	leader := c.awaitLeader()
-	for _, chosen := range c.peers {
+	for _, chosen := range c.replicas {
 		if chosen == leader {
 			continue
 		}
-		done := newDone()
-		leader.group.inbox.post(transferEvent{to: chosen.member.ID, done: done})
+		done := newOutcomeChannel()
+		leader.group.queue.push(transferEvent{to: chosen.member.ID, done: done})
 		if err := c.await(done).err; err != nil {
 			t.Fatal(err)
 		}
@@ -129,12 +129,12 @@
 	}
 }
 
-func TestTransferToNoVoter(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_TransferLeadershipTo_nonVoter(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
 	for _, to := range []consensus.MemberID{leader.member.ID, 99} {
-		done := newDone()
-		leader.group.inbox.post(transferEvent{to: to, done: done})
+		done := newOutcomeChannel()
+		leader.group.queue.push(transferEvent{to: to, done: done})
 		if err := c.await(done).err; !errors.Is(err, consensus.ErrNoTransferTarget) {
 			t.Fatalf("to %d: %v", to, err)
 		}
@@ -144,58 +144,58 @@
 	}
 }
 
-func TestStalledDiskHandsOver(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_stalledDiskStepsDown(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
 	leader.stalled = true
 	done := leader.propose("with the others' disks")
-	c.until("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
-	if answered := c.await(done); answered.err != nil {
-		t.Fatal(answered.err)
+	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
+	if received := c.await(done); received.err != nil {
+		t.Fatal(received.err)
 	}
 	if leader.group.Status().Writable {
 		t.Fatal("a stalled disk counts as writable")
 	}
 	c.commit("and on")
 	leader.stalled = false
-	c.until("writable", func() bool { return leader.group.Status().Writable })
+	c.stepUntil("writable", func() bool { return leader.group.Status().Writable })
 	c.awaitCommands(leader, 2)
 }
 
-func TestFullDiskRecovers(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_fullDiskRecovers(t *testing.T) {
+	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	leader.disk.Room = 10
+	leader.disk.FreeBytes = 10
 	done := leader.propose("kept by the others")
-	if answered := c.await(done); answered.err != nil {
-		t.Fatal(answered.err)
+	if received := c.await(done); received.err != nil {
+		t.Fatal(received.err)
 	}
-	c.until("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
-	leader.disk.Room = seglogtest.Unlimited
+	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
+	leader.disk.FreeBytes = seglogtest.Unlimited
 	c.commit("more")
-	c.until("writable", func() bool { return leader.group.Status().Writable })
+	c.stepUntil("writable", func() bool { return leader.group.Status().Writable })
 	c.awaitCommands(leader, 2)
 	c.restart(leader, true, 1)
 	c.awaitCommands(leader, 2)
 }
 
-func TestAllLosePower(t *testing.T) {
-	c := newCluster(t, 3)
+func TestGroup_allMembersLosePower(t *testing.T) {
+	c := newTestCluster(t, 3)
 	for round := range 10 {
 		c.commit(fmt.Sprint("command ", round))
-		for _, p := range c.peers {
+		for _, p := range c.replicas {
 			c.restart(p, round%2 == 0, uint64(round))
 		}
 	}
 	c.awaitLeader()
-	for _, p := range c.peers {
+	for _, p := range c.replicas {
 		c.awaitCommands(p, 10)
 	}
 }
 
-func TestLearnerIsTakenIn(t *testing.T) {
-	c := newCluster(t, 3)
-	for i := range compactEntries + 100 {
+func TestGroup_ChangeMembers_learnerCatchesUpAndIsPromoted(t *testing.T) {
+	c := newTestCluster(t, 3)
+	for i := range compactionEntries + 100 {
 		c.commit(fmt.Sprint("command ", i))
 	}
 	leader := c.awaitLeader()
@@ -204,36 +204,36 @@
 	}
 	added := c.add(testMember(4, false), nil)
 	c.change(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
-	c.awaitCommands(added, compactEntries+100)
+	c.awaitCommands(added, compactionEntries+100)
 	c.change(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address, Voter: true}})
 	removed := c.awaitLeader().member.ID%3 + 1
 	c.change(consensus.MembershipChange{Remove: removed})
 	c.commit("last")
-	c.awaitCommands(added, compactEntries+101)
+	c.awaitCommands(added, compactionEntries+101)
 	c.restart(added, true, 3)
-	c.awaitCommands(added, compactEntries+101)
+	c.awaitCommands(added, compactionEntries+101)
 	if members := c.awaitLeader().group.Status().Members; len(members) != 3 {
 		t.Fatalf("got %v", members)
 	}
 }
 
-// TestRunWithGoroutines runs one group of one member with its goroutines and the steady clock.
-func TestRunWithGoroutines(t *testing.T) {
+// TestGroup_Run_withGoroutines runs one group of one member with its goroutines and the steady clock.
+func TestGroup_Run_withGoroutines(t *testing.T) {
 	member := testMember(1, true)
-	machine := &listMachine{}
+	machine := &listStateMachine{}
 	leading := make(chan struct{}, 1)
 	group, err := Open(Options{
-		Directory:       "group",
-		FileSystem:      seglogtest.NewDisk(),
-		Self:            member,
-		Founders:        []consensus.Member{member},
-		Machine:         machine,
-		Send:            func(consensus.Member, consensus.Message) {},
-		ElectionTimeout: time.Millisecond,
-		Heartbeat:       time.Millisecond,
+		Directory:         "group",
+		FileSystem:        seglogtest.NewMemoryDisk(),
+		Self:              member,
+		Founders:          []consensus.Member{member},
+		StateMachine:      machine,
+		Send:              func(consensus.Member, consensus.Message) {},
+		ElectionTimeout:   time.Millisecond,
+		HeartbeatInterval: time.Millisecond,
 		OnStatus: func(status Status) {
 			if status.IsLeader() {
-				wake(leading)
+				notify(leading)
 			}
 		},
 	})
--- a/coord/replica/guards.go
+++ b/coord/replica/guards.go
@@ -8,17 +8,17 @@
 
 // The guards that can be left out.
 const (
-	GuardOutcomeOfTerm  Guard = "outcome-of-term"  // a proposal is acknowledged only by the entry of its own term
-	GuardLostUnknown    Guard = "lost-unknown"     // a proposal whose leader leads no more has an unknown outcome until its entry shows
-	GuardSkippedUnknown Guard = "skipped-unknown"  // a proposal that a snapshot stands for has an unknown outcome
-	GuardReadApplied    Guard = "read-applied"     // a read is answered once the machine has applied all that it covers
-	GuardStallHandsOver Guard = "stall-hands-over" // a member whose disk hangs or refuses leads no more
+	GuardOutcomeMatchesTerm    Guard = "outcome-of-term"  // a proposal is acknowledged only by the entry of its own term
+	GuardLostLeadershipUnknown Guard = "lost-unknown"     // a proposal whose leader leads no more has an unknown outcome until its entry shows
+	GuardSkippedUnknown        Guard = "skipped-unknown"  // a proposal that a snapshot stands for has an unknown outcome
+	GuardReadWaitsForApply     Guard = "read-applied"     // a read is answered once the machine has applied all that it covers
+	GuardStalledDiskStepsDown  Guard = "stall-hands-over" // a member whose disk hangs or refuses leads no more
 )
 
 // Guards returns all guards that can be left out.
 func Guards() []Guard {
-	return []Guard{GuardOutcomeOfTerm, GuardLostUnknown, GuardSkippedUnknown, GuardReadApplied, GuardStallHandsOver}
+	return []Guard{GuardOutcomeMatchesTerm, GuardLostLeadershipUnknown, GuardSkippedUnknown, GuardReadWaitsForApply, GuardStalledDiskStepsDown}
 }
 
-// holds reports whether a guard is in force.
-func (o *Options) holds(guard Guard) bool { return !slices.Contains(o.OmitGuards, guard) }
+// enforces reports whether a guard is in force.
+func (o *Options) enforces(guard Guard) bool { return !slices.Contains(o.OmitGuards, guard) }
--- a/coord/replica/log_writer.go
+++ b/coord/replica/log_writer.go
@@ -9,18 +9,18 @@
 
 // Pauses after a failed write, each twice the one before.
 const (
-	firstRetryPause = 50 * time.Millisecond
-	lastRetryPause  = time.Second
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// job is one write: either a state of the node or a snapshot of the machine.
-type job struct {
+// writeJob is one write: either a state of the node or a snapshot of the machine.
+type writeJob struct {
 	persist  *consensus.PersistRequest
 	snapshot *consensus.Snapshot
 }
 
-// storage is what the writer needs of seglog.Log.
-type storage interface {
+// logStorage is what the writer needs of seglog.Log.
+type logStorage interface {
 	Save(batch []*consensus.PersistRequest) error
 	Compact(snapshot consensus.Snapshot) error
 	LogBytes() int64
@@ -28,51 +28,51 @@
 	Close() error
 }
 
-// writer owns a group's log. All that is submitted while it writes goes into its next write.
-type writer struct {
-	log    storage
-	report func(diskEvent)
+// logWriter owns a group's log. All that is submitted while it writes goes into its next write.
+type logWriter struct {
+	log    logStorage
+	report func(diskReport)
 
-	mutex   sync.Mutex
-	arrived []job
-	signal  chan struct{} // has room for one
+	mutex     sync.Mutex
+	submitted []writeJob
+	signal    chan struct{} // has room for one
 
-	held  []job // taken and not written yet
-	pause time.Duration
+	pending    []writeJob // taken and not written yet
+	retryDelay time.Duration
 }
 
-func newWriter(log storage, report func(diskEvent)) *writer {
-	return &writer{log: log, report: report, signal: make(chan struct{}, 1)}
+func newLogWriter(log logStorage, report func(diskReport)) *logWriter {
+	return &logWriter{log: log, report: report, signal: make(chan struct{}, 1)}
 }
 
-func (w *writer) submit(one job) {
+func (w *logWriter) submit(job writeJob) {
 	w.mutex.Lock()
-	w.arrived = append(w.arrived, one)
+	w.submitted = append(w.submitted, job)
 	w.mutex.Unlock()
-	wake(w.signal)
+	notify(w.signal)
 }
 
-func (w *writer) takeArrived() {
+func (w *logWriter) collectSubmitted() {
 	w.mutex.Lock()
-	w.held = append(w.held, w.arrived...)
-	w.arrived = nil
+	w.pending = append(w.pending, w.submitted...)
+	w.submitted = nil
 	w.mutex.Unlock()
 }
 
 // run writes until stop is closed.
-func (w *writer) run(stop <-chan struct{}) {
+func (w *logWriter) run(stop <-chan struct{}) {
 	for {
-		pause := w.step()
-		if !w.wait(pause, stop) {
+		retryDelay := w.writePending()
+		if !w.waitForWork(retryDelay, stop) {
 			return
 		}
 	}
 }
 
-// wait returns at the next job, or after the pause if there is one; false at the end.
-func (w *writer) wait(pause time.Duration, stop <-chan struct{}) bool {
-	if pause > 0 {
-		timer := time.NewTimer(pause)
+// waitForWork returns at the next job, or after the pause if there is one; false at the end.
+func (w *logWriter) waitForWork(retryDelay time.Duration, stop <-chan struct{}) bool {
+	if retryDelay > 0 {
+		timer := time.NewTimer(retryDelay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -89,53 +89,53 @@
 	}
 }
 
-// step writes all that waits and reports it. It returns how long to wait before the next try, 0
+// writePending writes all that waits and reports it. It returns how long to wait before the next try, 0
 // if nothing failed.
-func (w *writer) step() time.Duration {
-	w.takeArrived()
-	for len(w.held) > 0 {
+func (w *logWriter) writePending() time.Duration {
+	w.collectSubmitted()
+	for len(w.pending) > 0 {
 		report := w.writeFirst()
 		report.logBytes, report.diskBytes = w.log.LogBytes(), w.log.DiskBytes()
-		w.held = w.held[report.jobs:]
+		w.pending = w.pending[report.finishedJobs:]
 		w.report(report)
 		if report.err != nil {
-			return w.backOff()
+			return w.nextRetryDelay()
 		}
-		w.pause = 0
-		w.takeArrived()
+		w.retryDelay = 0
+		w.collectSubmitted()
 	}
-	w.held = nil
+	w.pending = nil
 	return 0
 }
 
-func (w *writer) backOff() time.Duration {
-	w.pause = min(max(2*w.pause, firstRetryPause), lastRetryPause)
-	return w.pause
+func (w *logWriter) nextRetryDelay() time.Duration {
+	w.retryDelay = min(max(2*w.retryDelay, minRetryDelay), maxRetryDelay)
+	return w.retryDelay
 }
 
 // writeFirst writes the states up to the next snapshot, or that snapshot if it is first.
-func (w *writer) writeFirst() diskEvent {
-	if w.held[0].snapshot != nil {
-		return w.writeSnapshot(w.held[0].snapshot)
+func (w *logWriter) writeFirst() diskReport {
+	if w.pending[0].snapshot != nil {
+		return w.writeSnapshot(w.pending[0].snapshot)
 	}
 	var batch []*consensus.PersistRequest
-	for _, one := range w.held {
+	for _, one := range w.pending {
 		if one.persist == nil {
 			break
 		}
 		batch = append(batch, one.persist)
 	}
 	if err := w.log.Save(batch); err != nil {
-		return diskEvent{err: err}
+		return diskReport{err: err}
 	}
-	return diskEvent{jobs: len(batch), persisted: batch[len(batch)-1].Sequence}
+	return diskReport{finishedJobs: len(batch), persistedSequence: batch[len(batch)-1].Sequence}
 }
 
 // writeSnapshot gives a snapshot up at the first failure: the states after it matter more, and the
 // loop takes a newer one later.
-func (w *writer) writeSnapshot(snapshot *consensus.Snapshot) diskEvent {
+func (w *logWriter) writeSnapshot(snapshot *consensus.Snapshot) diskReport {
 	if err := w.log.Compact(*snapshot); err != nil {
-		return diskEvent{jobs: 1, dropped: true, err: err}
+		return diskReport{finishedJobs: 1, snapshotFailed: true, err: err}
 	}
-	return diskEvent{jobs: 1, compacted: snapshot}
+	return diskReport{finishedJobs: 1, compactedSnapshot: snapshot}
 }
--- a/coord/replica/log_writer_test.go
+++ b/coord/replica/log_writer_test.go
@@ -42,113 +42,113 @@
 func (l *scriptedLog) DiskBytes() int64 { return 2 }
 func (l *scriptedLog) Close() error     { return nil }
 
-func newScriptedWriter() (*writer, *scriptedLog, *[]diskEvent) {
+func newScriptedWriter() (*logWriter, *scriptedLog, *[]diskReport) {
 	log := &scriptedLog{}
-	var reports []diskEvent
-	return newWriter(log, func(report diskEvent) { reports = append(reports, report) }), log, &reports
+	var reports []diskReport
+	return newLogWriter(log, func(report diskReport) { reports = append(reports, report) }), log, &reports
 }
 
-func submitStates(w *writer, sequences ...uint64) {
+func submitStates(w *logWriter, sequences ...uint64) {
 	for _, sequence := range sequences {
-		w.submit(job{persist: &consensus.PersistRequest{Sequence: sequence}})
+		w.submit(writeJob{persist: &consensus.PersistRequest{Sequence: sequence}})
 	}
 }
 
-func TestWriterKeepsOrder(t *testing.T) {
+func TestLogWriter_keepsOrder(t *testing.T) {
 	w, log, reports := newScriptedWriter()
 	submitStates(w, 1, 2)
-	w.submit(job{snapshot: &consensus.Snapshot{Index: 9}})
+	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 3)
-	if pause := w.step(); pause != 0 {
-		t.Fatal(pause)
+	if retryDelay := w.writePending(); retryDelay != 0 {
+		t.Fatal(retryDelay)
 	}
 	want := [][]int{{1, 2}, {-9}, {3}}
 	if !slices.EqualFunc(log.calls, want, slices.Equal) {
 		t.Fatalf("got %v", log.calls)
 	}
 	got := *reports
-	if got[0].jobs != 2 || got[0].persisted != 2 || got[1].compacted == nil || got[2].persisted != 3 {
+	if got[0].finishedJobs != 2 || got[0].persistedSequence != 2 || got[1].compactedSnapshot == nil || got[2].persistedSequence != 3 {
 		t.Fatalf("got %+v", got)
 	}
 }
 
-func TestWriterTriesAgain(t *testing.T) {
+func TestLogWriter_retriesWithBackoff(t *testing.T) {
 	w, log, reports := newScriptedWriter()
 	log.fail = 8
 	submitStates(w, 1)
-	want := firstRetryPause
+	want := minRetryDelay
 	for range 8 {
-		if pause := w.step(); pause != want {
-			t.Fatalf("pause %v, not %v", pause, want)
+		if retryDelay := w.writePending(); retryDelay != want {
+			t.Fatalf("pause %v, not %v", retryDelay, want)
 		}
-		want = min(2*want, lastRetryPause)
+		want = min(2*want, maxRetryDelay)
 	}
 	submitStates(w, 2)
-	if pause := w.step(); pause != 0 {
-		t.Fatal(pause)
+	if retryDelay := w.writePending(); retryDelay != 0 {
+		t.Fatal(retryDelay)
 	}
 	if last := log.calls[len(log.calls)-1]; !slices.Equal(last, []int{1, 2}) {
 		t.Fatalf("got %v", last)
 	}
 	for _, report := range (*reports)[:8] {
-		if report.jobs != 0 || report.persisted != 0 || report.err == nil {
+		if report.finishedJobs != 0 || report.persistedSequence != 0 || report.err == nil {
 			t.Fatalf("got %+v", report)
 		}
 	}
 	log.fail = 1
 	submitStates(w, 3)
-	if pause := w.step(); pause != firstRetryPause {
-		t.Fatalf("the pause after a success is %v", pause)
+	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
+		t.Fatalf("the pause after a success is %v", retryDelay)
 	}
 }
 
-func TestWriterGivesSnapshotUp(t *testing.T) {
+func TestLogWriter_abandonsFailedSnapshot(t *testing.T) {
 	w, log, reports := newScriptedWriter()
 	log.fail = 1
-	w.submit(job{snapshot: &consensus.Snapshot{Index: 9}})
+	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 1)
-	if pause := w.step(); pause != firstRetryPause {
-		t.Fatal(pause)
+	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
+		t.Fatal(retryDelay)
 	}
-	if pause := w.step(); pause != 0 {
-		t.Fatal(pause)
+	if retryDelay := w.writePending(); retryDelay != 0 {
+		t.Fatal(retryDelay)
 	}
 	got := *reports
-	if len(got) != 2 || !got[0].dropped || got[0].jobs != 1 || got[1].persisted != 1 {
+	if len(got) != 2 || !got[0].snapshotFailed || got[0].finishedJobs != 1 || got[1].persistedSequence != 1 {
 		t.Fatalf("got %+v", got)
 	}
 }
 
-func TestWriterEnds(t *testing.T) {
+func TestLogWriter_stops(t *testing.T) {
 	w, log, _ := newScriptedWriter()
 	log.fail = 1
 	submitStates(w, 1)
 	stop := make(chan struct{})
 	close(stop)
 	w.run(stop)
-	if w.wait(time.Hour, stop) {
+	if w.waitForWork(time.Hour, stop) {
 		t.Fatal("waits after the end")
 	}
 }
 
-// hungLog has writes that end only when they are released.
-type hungLog struct {
+// stalledLog has writes that end only when they are released.
+type stalledLog struct {
 	scriptedLog
 	began, released chan struct{}
 }
 
-func (l *hungLog) Save([]*consensus.PersistRequest) error {
+func (l *stalledLog) Save([]*consensus.PersistRequest) error {
 	close(l.began)
 	<-l.released
 	return nil
 }
 
-func TestCloseDoesNotWaitForHungDisk(t *testing.T) {
-	log := &hungLog{began: make(chan struct{}), released: make(chan struct{})}
+func TestGroup_Close_doesNotWaitForStalledDisk(t *testing.T) {
+	log := &stalledLog{began: make(chan struct{}), released: make(chan struct{})}
 	options := Options{
-		Self: testMember(1, true), Machine: &listMachine{}, Send: func(consensus.Member, consensus.Message) {},
+		Self: testMember(1, true), StateMachine: &listStateMachine{}, Send: func(consensus.Member, consensus.Message) {},
 	}.withDefaults()
-	group, err := start(&options, log, consensus.Bootstrap([]consensus.Member{testMember(1, true)}, []byte("{}")))
+	group, err := newGroup(&options, log, consensus.Bootstrap([]consensus.Member{testMember(1, true)}, []byte("{}")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if err := group.closeWithin(0); !errors.Is(err, ErrDiskHangs) {
+	if err := group.closeWithin(0); !errors.Is(err, ErrDiskStalled) {
 		t.Fatal(err)
 	}
 	close(log.released)
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -10,8 +10,8 @@
 	"ospreybend/coord/shards"
 )
 
-// Machine is the replicated state machine. Only the group's loop calls it.
-type Machine interface {
+// StateMachine is the replicated state machine. Only the group's loop calls it.
+type StateMachine interface {
 	// Apply carries out one command and returns its result. It is called once for each command
 	// entry, in the order of the log, and must give the same result on all replicas.
 	Apply(entry consensus.Entry) any
@@ -29,12 +29,12 @@
 
 // Options sets up a Group.
 type Options struct {
-	Shard      shards.ID
-	Directory  string            // of this group alone
-	FileSystem seglog.FileSystem // nil: the operating system's
-	Self       consensus.Member
-	Founders   []consensus.Member // only at the system's first formation; used if the disk is empty
-	Machine    Machine            // in its initial state
+	Shard        shards.ID
+	Directory    string            // of this group alone
+	FileSystem   seglog.FileSystem // nil: the operating system's
+	Self         consensus.Member
+	Founders     []consensus.Member // only at the system's first formation; used if the disk is empty
+	StateMachine StateMachine       // in its initial state
 
 	// Send hands a message to the transport. It is called by the loop and must not block; a message
 	// may be lost. Address is empty where the group does not know the receiver as a member yet: the
@@ -47,21 +47,21 @@
 	// once by Open. It must not call the group. May be nil.
 	OnStatus func(Status)
 
-	ElectionTimeout time.Duration // 0: DefaultElectionTimeout
-	Heartbeat       time.Duration // 0: DefaultHeartbeat
-	Logger          *zap.Logger   // nil: none
-	Clock           Clock         // nil: the process's steady clock
+	ElectionTimeout   time.Duration // 0: DefaultElectionTimeout
+	HeartbeatInterval time.Duration // 0: DefaultHeartbeat
+	Logger            *zap.Logger   // nil: none
+	Clock             Clock         // nil: the process's steady clock
 
-	// Omit leaves out rules of the agreement, by tests alone.
-	Omit []consensus.Rule
+	// OmitRules leaves out rules of the agreement, by tests alone.
+	OmitRules []consensus.Rule
 	// OmitGuards leaves out guards of the group, by tests alone.
 	OmitGuards []Guard
 }
 
 // Defaults of Options.
 const (
-	DefaultElectionTimeout = 500 * time.Millisecond
-	DefaultHeartbeat       = 100 * time.Millisecond
+	DefaultElectionTimeout   = 500 * time.Millisecond
+	DefaultHeartbeatInterval = 100 * time.Millisecond
 )
 
 // NeverConfirmed is the ConfirmedAge of a member that has not been confirmed since its start.
@@ -75,12 +75,12 @@
 	Leader       consensus.Member // ID 0: unknown
 	Members      []consensus.Member
 	Retired      []consensus.MemberID // IDs that were replaced and never come back
-	Applied      uint64
-	Commit       uint64
+	AppliedIndex uint64
+	CommitIndex  uint64
 	ConfirmedAge time.Duration // since agreement.Status.Confirmed
 	Writable     bool          // the disk takes writes in time
 	DiskBytes    int64
-	Durable      uint64 // highest index that is durable here
+	DurableIndex uint64 // highest index that is durable here
 }
 
 // withDefaults fills in what may be left out.
@@ -91,8 +91,8 @@
 	if o.ElectionTimeout == 0 {
 		o.ElectionTimeout = DefaultElectionTimeout
 	}
-	if o.Heartbeat == 0 {
-		o.Heartbeat = DefaultHeartbeat
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	drawSeed       = 20260102
-	drawnRuns      = 300
-	troublesOfRun  = 150
-	roomOfFullDisk = 200 // bytes, at most
-	kindsOfTrouble = 12
-	troubleOdds    = 3 // a member that is drawn is in trouble one time in so many, else well again
+	randomSeed        = 20260102
+	randomRuns        = 300
+	faultsPerRun      = 150
+	fullDiskFreeBytes = 200 // bytes, at most
+	faultKinds        = 12
+	faultOdds         = 3 // a member that is drawn is in trouble one time in so many, else well again
 )
 
 // attempt is one proposal or read of a drawn run.
 type attempt struct {
 	command string // "": a read
-	at      *peer
+	at      *testReplica
 	seen    int // acknowledged commands at the time of a read
 	done    chan outcome
 }
 
-// drawnRun makes proposals and reads while things fail.
-type drawnRun struct {
-	*cluster
+// randomFaultRun makes proposals and reads while things fail.
+type randomFaultRun struct {
+	*testCluster
 	random       *rand.Rand
-	open         []attempt
+	pending      []attempt
 	acknowledged []string
-	refused      map[string]bool
+	rejected     map[string]bool
 	failure      error
 }
 
-// TestDrawnTroubles checks that what was acknowledged lasts, what was refused is not there, and
+// TestGroup_randomFaults checks that what was acknowledged lasts, what was refused is not there, and
 // reads see all that was acknowledged before them.
-func TestDrawnTroubles(t *testing.T) {
-	parameters := gopter.DefaultTestParametersWithSeed(drawSeed)
-	parameters.MinSuccessfulTests = drawnRuns
+func TestGroup_randomFaults(t *testing.T) {
+	parameters := gopter.DefaultTestParametersWithSeed(randomSeed)
+	parameters.MinSuccessfulTests = randomRuns
 	properties := gopter.NewProperties(parameters)
 	properties.Property("acknowledged commands last", prop.ForAll(
 		func(seed uint64) string {
-			if err := playTroubles(t, seed); err != nil {
+			if err := runRandomFaults(t, seed); err != nil {
 				return err.Error()
 			}
 			return ""
@@ -59,11 +59,11 @@
 	properties.TestingRun(t)
 }
 
-func playTroubles(t *testing.T, seed uint64, omit ...Guard) error {
-	run := &drawnRun{cluster: newCluster(t, 3), random: seglogtest.NewRandom(seed), refused: map[string]bool{}}
-	run.leaveOut(omit)
-	for number := range troublesOfRun {
-		run.trouble(number)
+func runRandomFaults(t *testing.T, seed uint64, omit ...Guard) error {
+	run := &randomFaultRun{testCluster: newTestCluster(t, 3), random: seglogtest.NewRandom(seed), rejected: map[string]bool{}}
+	run.setOmittedGuards(omit)
+	for number := range faultsPerRun {
+		run.injectFault(number)
 		for range run.random.IntN(12) {
 			run.step()
 			run.collect()
@@ -76,22 +76,22 @@
 	return run.checkCommands()
 }
 
-// trouble does one thing at a drawn member.
-func (r *drawnRun) trouble(number int) {
-	p := r.peers[r.random.IntN(len(r.peers))]
-	switch r.random.IntN(kindsOfTrouble) {
+// injectFault does one thing at a drawn member.
+func (r *randomFaultRun) injectFault(number int) {
+	p := r.replicas[r.random.IntN(len(r.replicas))]
+	switch r.random.IntN(faultKinds) {
 	case 0:
-		p.cut = r.random.IntN(troubleOdds) == 0
+		p.partitioned = r.random.IntN(faultOdds) == 0
 	case 1:
-		p.stalled = r.random.IntN(troubleOdds) == 0
+		p.stalled = r.random.IntN(faultOdds) == 0
 	case 2:
 		r.restart(p, r.random.IntN(2) == 0, r.random.Uint64())
 	case 3:
-		p.disk.Room = int64(r.random.IntN(roomOfFullDisk))
+		p.disk.FreeBytes = int64(r.random.IntN(fullDiskFreeBytes))
 	case 4:
-		p.disk.Room = seglogtest.Unlimited
+		p.disk.FreeBytes = seglogtest.Unlimited
 	case 5:
-		p.group.inbox.post(transferEvent{done: newDone()})
+		p.group.queue.push(transferEvent{done: newOutcomeChannel()})
 	case 6:
 		r.read(p)
 	default:
@@ -99,70 +99,70 @@
 	}
 }
 
-func (r *drawnRun) proposeAt(p *peer, command string) {
-	r.open = append(r.open, attempt{command: command, at: p, done: p.propose(command)})
+func (r *randomFaultRun) proposeAt(p *testReplica, command string) {
+	r.pending = append(r.pending, attempt{command: command, at: p, done: p.propose(command)})
 }
 
-func (r *drawnRun) read(p *peer) {
-	done := newDone()
-	p.group.inbox.post(readEvent{done})
-	r.open = append(r.open, attempt{at: p, seen: len(r.acknowledged), done: done})
+func (r *randomFaultRun) read(p *testReplica) {
+	done := newOutcomeChannel()
+	p.group.queue.push(readEvent{done})
+	r.pending = append(r.pending, attempt{at: p, seen: len(r.acknowledged), done: done})
 }
 
 // collect takes the answers that are there.
-func (r *drawnRun) collect() {
+func (r *randomFaultRun) collect() {
 	var left []attempt
-	for _, one := range r.open {
+	for _, one := range r.pending {
 		select {
-		case answered := <-one.done:
-			r.note(one, answered)
+		case received := <-one.done:
+			r.record(one, received)
 		default:
 			left = append(left, one)
 		}
 	}
-	r.open = left
+	r.pending = left
 }
 
-func (r *drawnRun) note(one attempt, answered outcome) {
+func (r *randomFaultRun) record(one attempt, received outcome) {
 	switch {
-	case one.command == "" && answered.err == nil:
+	case one.command == "" && received.err == nil:
 		r.checkRead(one)
 	case one.command == "":
-	case answered.err == nil:
+	case received.err == nil:
 		r.acknowledged = append(r.acknowledged, one.command)
-	case !errors.Is(answered.err, ErrUnknownOutcome):
-		r.refused[one.command] = true
+	case !errors.Is(received.err, ErrUnknownOutcome):
+		r.rejected[one.command] = true
 	}
 }
 
-func (r *drawnRun) checkRead(one attempt) {
+func (r *randomFaultRun) checkRead(one attempt) {
 	for _, command := range r.acknowledged[:one.seen] {
-		if !slices.Contains(one.at.machine.Commands, command) {
+		if !slices.Contains(one.at.stateMachine.Commands, command) {
 			r.failure = fmt.Errorf("a read at member %d does not see %q", one.at.member.ID, command)
 		}
 	}
 }
 
 // heal ends all troubles and waits until all members are current.
-func (r *drawnRun) heal() {
+func (r *randomFaultRun) heal() {
 	r.t.Helper()
-	for _, p := range r.peers {
-		p.cut, p.stalled = false, false
-		p.disk.Room = seglogtest.Unlimited
+	for _, p := range r.replicas {
+		p.partitioned, p.stalled = false, false
+		p.disk.FreeBytes = seglogtest.Unlimited
 	}
-	r.until("no open attempt", func() bool {
+	r.stepUntil("no open attempt", func() bool {
 
 		r.collect()
-		return len(r.open) == 0
+		return len(r.pending) == 0
 	})
 	last := r.commitLast()
-	r.until("all members current", func() bool { return r.allHave(last) })
+	r.stepUntil("all members current", func() bool { return r.allHave(last) })
 }
 
 // commitLast tries until the leader has taken a command: a transfer may still be under way.
-func (r *drawnRun) commitLast() string {
+func (r *randomFaultRun) commitLast() string {
 	r.t.Helper()
-	limit := r.clock.now + testDuration
+	limit := r.clock.now + testTimeout
 	for try := 0; r.clock.now < limit; try++ {
 		command := fmt.Sprint("last ", try)
 		if r.await(r.awaitLeader().propose(command)).err == nil {
@@ -174,27 +174,27 @@
 	return ""
 }
 
-func (r *drawnRun) allHave(command string) bool {
-	for _, p := range r.peers {
-		if !slices.Contains(p.machine.Commands, command) {
+func (r *randomFaultRun) allHave(command string) bool {
+	for _, p := range r.replicas {
+		if !slices.Contains(p.stateMachine.Commands, command) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *drawnRun) checkCommands() error {
-	commands := r.peers[0].machine.Commands
-	for _, p := range r.peers {
-		if !slices.Equal(p.machine.Commands, commands) {
-			return fmt.Errorf("members differ: %q and %q", commands, p.machine.Commands)
+func (r *randomFaultRun) checkCommands() error {
+	commands := r.replicas[0].stateMachine.Commands
+	for _, p := range r.replicas {
+		if !slices.Equal(p.stateMachine.Commands, commands) {
+			return fmt.Errorf("members differ: %q and %q", commands, p.stateMachine.Commands)
 		}
 	}
 	counts := map[string]int{}
 	for _, command := range commands {
 		counts[command]++
-		if counts[command] > 1 || r.refused[command] {
-			return fmt.Errorf("%q is there %d times, refused: %v", command, counts[command], r.refused[command])
+		if counts[command] > 1 || r.rejected[command] {
+			return fmt.Errorf("%q is there %d times, refused: %v", command, counts[command], r.rejected[command])
 		}
 	}
 	for _, command := range r.acknowledged {
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -2,12 +2,12 @@
 
 import "ospreybend/coord/consensus"
 
-// reads are the read barriers that wait.
-type reads struct {
-	fresh  []chan outcome            // not asked of the node yet
-	lastID uint64                    // of a round
-	rounds map[uint64][]chan outcome // asked, by the round's ID
-	behind []confirmedRead           // confirmed, but the machine is not there yet
+// pendingReads are the read barriers that wait.
+type pendingReads struct {
+	queued      []chan outcome            // not asked of the node yet
+	lastRoundID uint64                    // of a round
+	confirming  map[uint64][]chan outcome // asked, by the round's ID
+	confirmed   []confirmedRead           // confirmed, but the machine is not there yet
 }
 
 type confirmedRead struct {
@@ -16,56 +16,56 @@
 }
 
 // startReads asks once for all barriers that came since the last turn.
-func (l *loop) startReads() {
-	if len(l.reads.fresh) == 0 {
+func (l *eventLoop) startReads() {
+	if len(l.reads.queued) == 0 {
 		return
 	}
-	fresh := l.reads.fresh
-	l.reads.fresh = nil
-	l.reads.lastID++
-	if err := l.node.ReadIndex(l.now, l.reads.lastID); err != nil {
-		answer(fresh, l.refusal(err))
+	queued := l.reads.queued
+	l.reads.queued = nil
+	l.reads.lastRoundID++
+	if err := l.node.ReadIndex(l.now, l.reads.lastRoundID); err != nil {
+		answerAll(queued, l.callerError(err))
 		return
 	}
-	l.reads.rounds[l.reads.lastID] = fresh
+	l.reads.confirming[l.reads.lastRoundID] = queued
 }
 
-// onRead takes the node's answer to a round.
-func (l *loop) onRead(result consensus.ReadResult) {
-	done := l.reads.rounds[result.ID]
-	delete(l.reads.rounds, result.ID)
+// handleReadResult takes the node's answer to a round.
+func (l *eventLoop) handleReadResult(result consensus.ReadResult) {
+	done := l.reads.confirming[result.ID]
+	delete(l.reads.confirming, result.ID)
 	if !result.OK {
-		answer(done, ErrNotLeader{Leader: l.leader()})
+		answerAll(done, NotLeaderError{Leader: l.leader()})
 		return
 	}
-	l.reads.behind = append(l.reads.behind, confirmedRead{index: result.Index, done: done})
+	l.reads.confirmed = append(l.reads.confirmed, confirmedRead{index: result.Index, done: done})
 }
 
 // answerReads answers the barriers that the machine has reached.
-func (l *loop) answerReads() {
-	var behind []confirmedRead
-	for _, read := range l.reads.behind {
-		if read.index <= l.applied || !l.options.holds(GuardReadApplied) {
-			answer(read.done, nil)
+func (l *eventLoop) answerReads() {
+	var waiting []confirmedRead
+	for _, read := range l.reads.confirmed {
+		if read.index <= l.appliedIndex || !l.options.enforces(GuardReadWaitsForApply) {
+			answerAll(read.done, nil)
 		} else {
-			behind = append(behind, read)
+			waiting = append(waiting, read)
 		}
 	}
-	l.reads.behind = behind
+	l.reads.confirmed = waiting
 }
 
-func (r *reads) fail(err error) {
-	answer(r.fresh, err)
-	for _, done := range r.rounds {
-		answer(done, err)
+func (r *pendingReads) failAll(err error) {
+	answerAll(r.queued, err)
+	for _, done := range r.confirming {
+		answerAll(done, err)
 	}
-	for _, read := range r.behind {
-		answer(read.done, err)
+	for _, read := range r.confirmed {
+		answerAll(read.done, err)
 	}
-	*r = reads{rounds: map[uint64][]chan outcome{}}
+	*r = pendingReads{confirming: map[uint64][]chan outcome{}}
 }
 
-func answer(all []chan outcome, err error) {
+func answerAll(all []chan outcome, err error) {
 	for _, done := range all {
 		done <- outcome{err: err}
 	}
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -8,58 +8,58 @@
 )
 
 // publish makes the state visible to other goroutines and reports what has changed.
-func (l *loop) publish() {
-	l.sharedAge.Store(int64(l.status.ConfirmedAt))
-	l.sharedWeight.Store(l.disk.diskBytes)
-	l.sharedStable.Store(l.status.DurableIndex)
-	l.handOver.ended(l.status)
-	changed := l.hasChanged()
-	if !changed && l.published.Applied == l.applied && l.published.Commit == l.status.CommitIndex {
+func (l *eventLoop) publish() {
+	l.publishedConfirmed.Store(int64(l.status.ConfirmedAt))
+	l.publishedDiskBytes.Store(l.disk.diskBytes)
+	l.publishedDurableIndex.Store(l.status.DurableIndex)
+	l.transfers.resolveIfNotLeader(l.status)
+	changed := l.hasStatusChanged()
+	if !changed && l.lastPublished.AppliedIndex == l.appliedIndex && l.lastPublished.CommitIndex == l.status.CommitIndex {
 		return
 	}
-	l.published = l.describe()
-	copied := l.published
-	l.shared.Store(&copied)
+	l.lastPublished = l.buildStatus()
+	copied := l.lastPublished
+	l.publishedStatus.Store(&copied)
 	if changed && l.options.OnStatus != nil {
 		l.options.OnStatus(withAge(copied, l.status.ConfirmedAt, l.now))
 	}
 }
 
-// hasChanged tells whether anything but progress has changed.
-func (l *loop) hasChanged() bool {
-	before := &l.published
-	return before.Role != l.status.Role ||
-		before.Term != l.status.Term ||
-		before.Leader != l.leader() ||
-		before.Writable != l.disk.writable ||
-		!slices.Equal(before.Members, l.status.Members)
+// hasStatusChanged tells whether anything but progress has changed.
+func (l *eventLoop) hasStatusChanged() bool {
+	previous := &l.lastPublished
+	return previous.Role != l.status.Role ||
+		previous.Term != l.status.Term ||
+		previous.Leader != l.leader() ||
+		previous.Writable != l.disk.writable ||
+		!slices.Equal(previous.Members, l.status.Members)
 }
 
-func (l *loop) describe() Status {
+func (l *eventLoop) buildStatus() Status {
 	return Status{
-		Shard:     l.options.Shard,
-		Role:      l.status.Role,
-		Term:      l.status.Term,
-		Leader:    l.leader(),
-		Members:   slices.Clone(l.status.Members),
-		Retired:   slices.Clone(l.status.Retired),
-		Applied:   l.applied,
-		Commit:    l.status.CommitIndex,
-		Writable:  l.disk.writable,
-		DiskBytes: l.disk.diskBytes,
+		Shard:        l.options.Shard,
+		Role:         l.status.Role,
+		Term:         l.status.Term,
+		Leader:       l.leader(),
+		Members:      slices.Clone(l.status.Members),
+		Retired:      slices.Clone(l.status.Retired),
+		AppliedIndex: l.appliedIndex,
+		CommitIndex:  l.status.CommitIndex,
+		Writable:     l.disk.writable,
+		DiskBytes:    l.disk.diskBytes,
 	}
 }
 
-// read returns the last published state. Any goroutine may call it.
-func (l *loop) read() Status {
-	return withAge(l.readTimeless(), time.Duration(l.sharedAge.Load()), l.options.Clock.Now())
+// currentStatus returns the last published state. Any goroutine may call it.
+func (l *eventLoop) currentStatus() Status {
+	return withAge(l.currentStatusWithoutAge(), time.Duration(l.publishedConfirmed.Load()), l.options.Clock.Now())
 }
 
-// readTimeless is read without the age, and asks no clock.
-func (l *loop) readTimeless() Status {
-	status := *l.shared.Load()
-	status.DiskBytes = l.sharedWeight.Load()
-	status.Durable = l.sharedStable.Load()
+// currentStatusWithoutAge is read without the age, and asks no clock.
+func (l *eventLoop) currentStatusWithoutAge() Status {
+	status := *l.publishedStatus.Load()
+	status.DiskBytes = l.publishedDiskBytes.Load()
+	status.DurableIndex = l.publishedDurableIndex.Load()
 	return status
 }
 
--- a/coord/seglog/corruption_test.go
+++ b/coord/seglog/corruption_test.go
@@ -15,25 +15,25 @@
 
 var emptyDisk consensus.PersistedState
 
-// writtenDisk has a history on disk, with the size of the last segment after each call.
-type writtenDisk struct {
-	disk   *seglogtest.Disk
+// populatedDisk has a history on disk, with the size of the last segment after each call.
+type populatedDisk struct {
+	disk   *seglogtest.MemoryDisk
 	record *history
 	files  map[string][]byte
 }
 
-func write(t *testing.T, seed uint64, calls int) writtenDisk {
+func populateDisk(t *testing.T, seed uint64, calls int) populatedDisk {
 	t.Helper()
-	disk := seglogtest.NewDisk()
+	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
 	record := newHistory(stored)
 	if err := runUntilFailure(log, workload{random: newRandom(seed)}, record, calls); err != nil {
 		t.Fatal(err)
 	}
-	return writtenDisk{disk: disk, record: record, files: contents(t, disk)}
+	return populatedDisk{disk: disk, record: record, files: contents(t, disk)}
 }
 
-func contents(t *testing.T, disk *seglogtest.Disk) map[string][]byte {
+func contents(t *testing.T, disk *seglogtest.MemoryDisk) map[string][]byte {
 	t.Helper()
 	files, err := disk.List(directory)
 	if err != nil {
@@ -50,9 +50,9 @@
 	return all
 }
 
-func (w writtenDisk) segments() []string { return w.withSuffix(".segment") }
+func (w populatedDisk) segments() []string { return w.withSuffix(".segment") }
 
-func (w writtenDisk) withSuffix(suffix string) []string {
+func (w populatedDisk) withSuffix(suffix string) []string {
 	var names []string
 	for name := range w.files {
 		if strings.HasSuffix(name, suffix) {
@@ -63,52 +63,52 @@
 }
 
 // with returns a copy of the disk with other content in one file.
-func (w writtenDisk) with(name string, data []byte) *seglogtest.Disk {
+func (w populatedDisk) with(name string, data []byte) *seglogtest.MemoryDisk {
 	changed := w.disk.Clone()
 	changed.WriteFile(filepath.Join(directory, name), data)
 	return changed
 }
 
-// TestCutSegments cuts each segment at each byte. Of the last segment all states passed through are prefixes, and what
+// TestOpen_truncatedSegment cuts each segment at each byte. Of the last segment all states passed through are prefixes, and what
 // is recovered must be one of them. Without a part of another one the log is older than what was promised with it:
 // such a disk is refused as damaged.
-func TestCutSegments(t *testing.T) {
+func TestOpen_truncatedSegment(t *testing.T) {
 	for seed := range uint64(3) {
-		written := write(t, seed, 8)
+		written := populateDisk(t, seed, 8)
 		written.record.acknowledged = 0
 		for _, name := range written.segments() {
 			for cut := range written.files[name] {
-				checkChanged(t, written, name, written.files[name][:cut])
+				checkAlteredSegment(t, written, name, written.files[name][:cut])
 			}
 		}
 	}
 }
 
-// TestDamagedSegments changes each byte of each segment, as TestCutSegments does.
-func TestDamagedSegments(t *testing.T) {
+// TestOpen_corruptSegment changes each byte of each segment, as TestCutSegments does.
+func TestOpen_corruptSegment(t *testing.T) {
 	for seed := range uint64(3) {
-		written := write(t, seed, 8)
+		written := populateDisk(t, seed, 8)
 		written.record.acknowledged = 0
 		for _, name := range written.segments() {
 			for position := range written.files[name] {
 				data := bytes.Clone(written.files[name])
 				data[position] ^= 0x41
-				checkChanged(t, written, name, data)
+				checkAlteredSegment(t, written, name, data)
 			}
 		}
 	}
 }
 
-// TestMissingSegments takes each segment away but the last.
-func TestMissingSegments(t *testing.T) {
+// TestOpen_missingSegment takes each segment away but the last.
+func TestOpen_missingSegment(t *testing.T) {
 	for seed := range uint64(3) {
-		written := write(t, seed, 8)
+		written := populateDisk(t, seed, 8)
 		for _, name := range written.segments() {
 			disk := written.disk.Clone()
 			if err := disk.Remove(filepath.Join(directory, name)); err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err := open(disk); !written.isLast(name) && !errors.Is(err, seglog.ErrDamaged) {
+			if _, _, err := open(disk); !written.isLast(name) && !errors.Is(err, seglog.ErrCorrupt) {
 				t.Fatalf("without %s: %v", name, err)
 			}
 		}
@@ -116,22 +116,22 @@
 }
 
 // isLast tells whether no segment stands behind the one of the name.
-func (w writtenDisk) isLast(name string) bool { return name == slices.Max(w.segments()) }
+func (w populatedDisk) isLast(name string) bool { return name == slices.Max(w.segments()) }
 
-// checkChanged opens the disk with other content in one segment.
-func checkChanged(t *testing.T, written writtenDisk, name string, data []byte) {
+// checkAlteredSegment opens the disk with other content in one segment.
+func checkAlteredSegment(t *testing.T, written populatedDisk, name string, data []byte) {
 	t.Helper()
 	if written.isLast(name) {
 		checkPrefix(t, written, name, data)
 		return
 	}
-	if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrDamaged) {
+	if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
 		t.Fatalf("%s with %d bytes: %v", name, len(data), err)
 	}
 }
 
 // checkPrefix opens the changed disk, then writes to it and opens it again.
-func checkPrefix(t *testing.T, written writtenDisk, name string, data []byte) {
+func checkPrefix(t *testing.T, written populatedDisk, name string, data []byte) {
 	t.Helper()
 	disk := written.with(name, data)
 	log, stored := mustOpen(t, disk)
@@ -148,20 +148,20 @@
 	}
 }
 
-// TestLastBatchCut shows that a cut in the last batch keeps all batches before it.
-func TestLastBatchCut(t *testing.T) {
-	disk := seglogtest.NewDisk()
+// TestOpen_truncatedLastBatch shows that a cut in the last batch keeps all batches before it.
+func TestOpen_truncatedLastBatch(t *testing.T) {
+	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
 	record := newHistory(stored)
 	saveEntries(t, log, record, 1, 2)
-	name := seglogtest.OnlyFile(disk, directory)
+	name := seglogtest.SingleFile(disk, directory)
 	synced, _ := disk.ReadFile(name)
 	saveEntries(t, log, record, 3, 3)
-	whole, _ := disk.ReadFile(name)
+	complete, _ := disk.ReadFile(name)
 	record.acknowledged = 2 // states: empty disk, entry 1, entry 2
-	for cut := len(synced); cut < len(whole); cut++ {
+	for cut := len(synced); cut < len(complete); cut++ {
 		torn := disk.Clone()
-		torn.WriteFile(name, whole[:cut])
+		torn.WriteFile(name, complete[:cut])
 		_, recovered := mustOpen(t, torn)
 		if err := record.check(recovered); err != nil {
 			t.Fatal(err)
@@ -177,30 +177,30 @@
 	}
 	one := operation{batch: []*consensus.PersistRequest{persist}}
 	record.attempt(one)
-	if err := carryOut(log, one); err != nil {
+	if err := runOperation(log, one); err != nil {
 		t.Fatal(err)
 	}
 	record.acknowledge()
 }
 
-// TestCutSnapshots cuts and changes the snapshot at each byte: such a disk is refused as damaged.
-func TestCutSnapshots(t *testing.T) {
+// TestOpen_corruptSnapshot cuts and changes the snapshot at each byte: such a disk is refused as damaged.
+func TestOpen_corruptSnapshot(t *testing.T) {
 	written := writeWithSnapshot(t)
 	name := written.withSuffix(".snapshot")[0]
 	for cut := range written.files[name] {
-		if _, _, err := open(written.with(name, written.files[name][:cut])); !errors.Is(err, seglog.ErrDamaged) {
+		if _, _, err := open(written.with(name, written.files[name][:cut])); !errors.Is(err, seglog.ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		data := bytes.Clone(written.files[name])
 		data[cut] ^= 0x41
-		if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrDamaged) {
+		if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", cut, err)
 		}
 	}
 }
 
-// TestUnfinishedSnapshotIgnored leaves a temporary file of every length.
-func TestUnfinishedSnapshotIgnored(t *testing.T) {
+// TestOpen_ignoresTemporarySnapshot leaves a temporary file of every length.
+func TestOpen_ignoresTemporarySnapshot(t *testing.T) {
 	written := writeWithSnapshot(t)
 	snapshot := written.files[written.withSuffix(".snapshot")[0]]
 	for cut := range snapshot {
@@ -215,22 +215,22 @@
 	}
 }
 
-func writeWithSnapshot(t *testing.T) writtenDisk {
+func writeWithSnapshot(t *testing.T) populatedDisk {
 	t.Helper()
 	for seed := range uint64(100) {
-		written := write(t, seed, 10)
+		written := populateDisk(t, seed, 10)
 		if len(written.withSuffix(".snapshot")) == 1 {
 			return written
 		}
 	}
 	t.Fatal("no workload has a snapshot")
-	return writtenDisk{}
+	return populatedDisk{}
 }
 
-// TestRemovedFilesComeBack puts back every set of segments and snapshots that were removed before.
-func TestRemovedFilesComeBack(t *testing.T) {
+// TestOpen_ignoresReappearedObsoleteFiles puts back every set of segments and snapshots that were removed before.
+func TestOpen_ignoresReappearedObsoleteFiles(t *testing.T) {
 	for seed := range uint64(6) {
-		disk := seglogtest.NewDisk()
+		disk := seglogtest.NewMemoryDisk()
 		log, stored := mustOpen(t, disk)
 		record := newHistory(stored)
 		seen := map[string][]byte{}
@@ -243,11 +243,11 @@
 				seen[name] = data
 			}
 		}
-		checkComeBack(t, disk, record, seen, seed)
+		checkReappearedFiles(t, disk, record, seen, seed)
 	}
 }
 
-func checkComeBack(t *testing.T, disk *seglogtest.Disk, record *history, seen map[string][]byte, seed uint64) {
+func checkReappearedFiles(t *testing.T, disk *seglogtest.MemoryDisk, record *history, seen map[string][]byte, seed uint64) {
 	t.Helper()
 	random := newRandom(seed)
 	present := contents(t, disk)
--- a/coord/seglog/encoding.go
+++ b/coord/seglog/encoding.go
@@ -9,37 +9,37 @@
 	"ospreybend/coord/consensus"
 )
 
-var errTooLong = errors.New("seglog: a record is too long")
+var errRecordTooLong = errors.New("seglog: a record is too long")
 
 // Avro has signed numbers only; 64-bit values are stored with the same bits.
 
-type wireMember struct {
+type storedMember struct {
 	ID      int64  `avro:"id"`
 	Address string `avro:"address"`
 	Voter   bool   `avro:"voter"`
 }
 
-type wireEntry struct {
-	Term    int64        `avro:"term"`
-	Index   int64        `avro:"index"`
-	Kind    int          `avro:"kind"`
-	Data    []byte       `avro:"data"`
-	Members []wireMember `avro:"members"`
+type storedEntry struct {
+	Term    int64          `avro:"term"`
+	Index   int64          `avro:"index"`
+	Kind    int            `avro:"kind"`
+	Data    []byte         `avro:"data"`
+	Members []storedMember `avro:"members"`
 }
 
-type wireHardState struct {
+type storedHardState struct {
 	Term   int64 `avro:"term"`
 	Vote   int64 `avro:"vote"`
 	Commit int64 `avro:"commit"`
 }
 
-type wireSnapshot struct {
-	Index        int64         `avro:"index"`
-	Term         int64         `avro:"term"`
-	Members      []wireMember  `avro:"members"`
-	Data         []byte        `avro:"data"`
-	HardState    wireHardState `avro:"hardState"`
-	FirstSegment int64         `avro:"firstSegment"`
+type storedSnapshotRecord struct {
+	Index        int64           `avro:"index"`
+	Term         int64           `avro:"term"`
+	Members      []storedMember  `avro:"members"`
+	Data         []byte          `avro:"data"`
+	HardState    storedHardState `avro:"hardState"`
+	FirstSegment int64           `avro:"firstSegment"`
 }
 
 const (
@@ -59,13 +59,13 @@
 
 // Schemas and codec are made at their first use, so that programs without a log do not pay for it.
 var (
-	entrySchema     = schemaOf(entrySchemaText)
-	hardStateSchema = schemaOf(hardStateSchemaText)
-	snapshotSchema  = schemaOf(snapshotSchemaText)
-	codec           = sync.OnceValue(func() avro.API { return avro.Config{MaxByteSliceSize: maxRecord}.Freeze() })
+	entrySchema     = lazySchema(entrySchemaText)
+	hardStateSchema = lazySchema(hardStateSchemaText)
+	snapshotSchema  = lazySchema(snapshotSchemaText)
+	codec           = sync.OnceValue(func() avro.API { return avro.Config{MaxByteSliceSize: maxRecordBytes}.Freeze() })
 )
 
-func schemaOf(text string) func() avro.Schema {
+func lazySchema(text string) func() avro.Schema {
 	return sync.OnceValue(func() avro.Schema { return parseSchema(text) })
 }
 
@@ -79,68 +79,68 @@
 }
 
 func encodeEntry(entry *consensus.Entry) ([]byte, error) {
-	return codec().Marshal(entrySchema(), wireEntry{
+	return codec().Marshal(entrySchema(), storedEntry{
 		Term:    int64(entry.Term),
 		Index:   int64(entry.Index),
 		Kind:    int(entry.Kind),
 		Data:    entry.Data,
-		Members: membersToWire(entry.Members),
+		Members: encodeMembers(entry.Members),
 	})
 }
 
 func decodeEntry(body []byte) (consensus.Entry, error) {
-	var wire wireEntry
-	if err := codec().Unmarshal(entrySchema(), body, &wire); err != nil {
+	var stored storedEntry
+	if err := codec().Unmarshal(entrySchema(), body, &stored); err != nil {
 		return consensus.Entry{}, err
 	}
 	return consensus.Entry{
-		Term:    uint64(wire.Term),
-		Index:   uint64(wire.Index),
-		Kind:    consensus.EntryKind(wire.Kind),
-		Data:    wire.Data,
-		Members: membersFromWire(wire.Members),
+		Term:    uint64(stored.Term),
+		Index:   uint64(stored.Index),
+		Kind:    consensus.EntryKind(stored.Kind),
+		Data:    stored.Data,
+		Members: decodeMembers(stored.Members),
 	}, nil
 }
 
 func encodeHardState(state consensus.HardState) ([]byte, error) {
-	return codec().Marshal(hardStateSchema(), hardStateToWire(state))
+	return codec().Marshal(hardStateSchema(), toStoredHardState(state))
 }
 
 func decodeHardState(body []byte) (consensus.HardState, error) {
-	var wire wireHardState
-	err := codec().Unmarshal(hardStateSchema(), body, &wire)
-	return hardStateFromWire(wire), err
+	var stored storedHardState
+	err := codec().Unmarshal(hardStateSchema(), body, &stored)
+	return fromStoredHardState(stored), err
 }
 
-func hardStateToWire(state consensus.HardState) wireHardState {
-	return wireHardState{Term: int64(state.Term), Vote: int64(state.Vote), Commit: int64(state.Commit)}
+func toStoredHardState(state consensus.HardState) storedHardState {
+	return storedHardState{Term: int64(state.Term), Vote: int64(state.Vote), Commit: int64(state.Commit)}
 }
 
-func hardStateFromWire(wire wireHardState) consensus.HardState {
-	return consensus.HardState{Term: uint64(wire.Term), Vote: consensus.MemberID(wire.Vote), Commit: uint64(wire.Commit)}
+func fromStoredHardState(stored storedHardState) consensus.HardState {
+	return consensus.HardState{Term: uint64(stored.Term), Vote: consensus.MemberID(stored.Vote), Commit: uint64(stored.Commit)}
 }
 
-// membersToWire writes the mark of a retired ID as a learner without an address, which no member is. Readers older than
+// encodeMembers writes the mark of a retired ID as a learner without an address, which no member is. Readers older than
 // these marks take it for one that is never reached, and remove it after some time.
-func membersToWire(members []consensus.Member) []wireMember {
-	wire := make([]wireMember, len(members))
+func encodeMembers(members []consensus.Member) []storedMember {
+	stored := make([]storedMember, len(members))
 	for i, member := range members {
 		if member.Retired {
-			wire[i] = wireMember{ID: int64(member.ID)}
+			stored[i] = storedMember{ID: int64(member.ID)}
 			continue
 		}
-		wire[i] = wireMember{ID: int64(member.ID), Address: member.Address, Voter: member.Voter}
+		stored[i] = storedMember{ID: int64(member.ID), Address: member.Address, Voter: member.Voter}
 	}
-	return wire
+	return stored
 }
 
-// membersFromWire returns nil for none.
-func membersFromWire(wire []wireMember) []consensus.Member {
-	if len(wire) == 0 {
+// decodeMembers returns nil for none.
+func decodeMembers(stored []storedMember) []consensus.Member {
+	if len(stored) == 0 {
 		return nil
 	}
-	members := make([]consensus.Member, len(wire))
-	for i, member := range wire {
+	members := make([]consensus.Member, len(stored))
+	for i, member := range stored {
 		members[i] = consensus.Member{
 			ID: consensus.MemberID(member.ID), Address: member.Address, Voter: member.Voter,
 			Retired: member.Address == "" && !member.Voter,
--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -19,7 +19,7 @@
 	callReplace  = 'r' // the last entry, by one of a later term
 	callVote     = 'v' // a hard state
 	callCompact  = 'c' // a local snapshot of all
-	callReceive  = 's' // a received snapshot behind the log
+	callInstall  = 's' // a received snapshot behind the log
 	callAlphabet = "arvcs"
 	sequenceSize = 3
 	tinySegment  = 60 // bytes: each record fills a segment
@@ -40,8 +40,8 @@
 	return all
 }
 
-// callOf makes the call that a letter stands for; it fits the state.
-func callOf(letter rune, state consensus.PersistedState) operation {
+// operationFor makes the call that a letter stands for; it fits the state.
+func operationFor(call rune, state consensus.PersistedState) operation {
 	last, term := lastIndex(state), max(lastTerm(state), 1)
 	entry := func(index, term uint64) operation {
 		entries := []consensus.Entry{{Term: term, Index: index, Data: []byte{byte(index), byte(term)}}}
@@ -51,37 +51,37 @@
 		return &consensus.Snapshot{Index: index, Term: term, Members: []consensus.Member{{ID: 1, Voter: true}}, Data: []byte{byte(index)}}
 	}
 	switch {
-	case letter == callVote:
+	case call == callVote:
 		vote := state.HardState.Vote + 1
 		return operation{batch: []*consensus.PersistRequest{{HardState: &consensus.HardState{Term: term + uint64(vote), Vote: vote}}}}
-	case letter == callCompact && len(state.Entries) > 0:
+	case call == callCompact && len(state.Entries) > 0:
 		return operation{compact: snapshot(last, lastTerm(state))}
-	case letter == callReceive:
+	case call == callInstall:
 		hard := state.HardState
 		hard.Term++
 		return operation{batch: []*consensus.PersistRequest{{Snapshot: snapshot(last+2, term+1), HardState: &hard}}}
-	case letter == callReplace && len(state.Entries) > 0:
+	case call == callReplace && len(state.Entries) > 0:
 		return entry(last, term+1)
 	}
 	return entry(last+1, term)
 }
 
 // tinyLog opens a log whose segments hold one record each.
-func tinyLog(disk *seglogtest.Disk, omit ...seglog.Guard) (*seglog.Log, consensus.PersistedState, error) {
-	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: tinySegment, Omit: omit})
+func tinyLog(disk *seglogtest.MemoryDisk, omit ...seglog.Guard) (*seglog.Log, consensus.PersistedState, error) {
+	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: tinySegment, OmitGuards: omit})
 }
 
-// runSequence makes the calls until one fails, and shows each state on the way.
-func runSequence(disk *seglogtest.Disk, calls string, passed func(), omit ...seglog.Guard) (*history, error) {
+// runCalls makes the calls until one fails, and shows each state on the way.
+func runCalls(disk *seglogtest.MemoryDisk, calls string, passed func(), omit ...seglog.Guard) (*history, error) {
 	log, stored, err := tinyLog(disk, omit...)
 	record := newHistory(stored)
-	for _, letter := range calls {
+	for _, call := range calls {
 		if err != nil {
 			return record, err
 		}
-		one := callOf(letter, record.last())
+		one := operationFor(call, record.last())
 		record.attempt(one)
-		if err = carryOut(log, one); err == nil {
+		if err = runOperation(log, one); err == nil {
 			record.acknowledge()
 		}
 		if passed != nil {
@@ -91,25 +91,25 @@
 	return record, err
 }
 
-// losses counts what was played.
-type losses struct{ points, outcomes int }
+// powerLossCheck counts what was played.
+type powerLossCheck struct{ moments, outcomes int }
 
 // checkSequence loses power before each operation of the disk, in all ways, and opens the disk twice: what was
 // acknowledged must be there, and what was found once must be there again whatever a second loss of power leaves.
-func (l *losses) checkSequence(calls string, omit ...seglog.Guard) error {
+func (l *powerLossCheck) checkSequence(calls string, omit ...seglog.Guard) error {
 	for operations := int64(0); ; operations++ {
-		disk := seglogtest.NewDisk()
-		disk.Operations = operations
-		record, failure := runSequence(disk, calls, nil, omit...)
-		l.points++
-		err := disk.EachPowerLoss(func(lost *seglogtest.Disk) error {
+		disk := seglogtest.NewMemoryDisk()
+		disk.RemainingOperations = operations
+		record, failure := runCalls(disk, calls, nil, omit...)
+		l.moments++
+		err := disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error {
 			l.outcomes++
-			return checkTwice(lost, record, omit...)
+			return checkTwoRecoveries(lost, record, omit...)
 		})
 		if err == nil {
 			killed := disk.Clone()
 			killed.Restart()
-			err = checkTwice(killed, record, omit...)
+			err = checkTwoRecoveries(killed, record, omit...)
 		}
 		if err != nil {
 			return fmt.Errorf("calls %s, power lost after %d operations: %w", calls, operations, err)
@@ -120,7 +120,7 @@
 	}
 }
 
-func checkTwice(disk *seglogtest.Disk, record *history, omit ...seglog.Guard) error {
+func checkTwoRecoveries(disk *seglogtest.MemoryDisk, record *history, omit ...seglog.Guard) error {
 	_, first, err := tinyLog(disk, omit...)
 	if err != nil {
 		return errors.Join(errNotRecovered, err)
@@ -128,33 +128,33 @@
 	if err := record.check(first); err != nil {
 		return err
 	}
-	return disk.EachPowerLoss(func(lost *seglogtest.Disk) error {
+	return disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error {
 		_, second, err := tinyLog(lost, omit...)
 		if err != nil {
 			return errors.Join(errNotRecovered, err)
 		}
-		if text(first) != text(second) {
-			return fmt.Errorf("first %s\nthen %s", text(first), text(second))
+		if stateText(first) != stateText(second) {
+			return fmt.Errorf("first %s\nthen %s", stateText(first), stateText(second))
 		}
 		return nil
 	})
 }
 
-// TestEachNameKeptOrLostByItself plays all sequences of calls, stops each before each operation of the disk, and has
+// TestOpen_afterEachDirectoryOutcome plays all sequences of calls, stops each before each operation of the disk, and has
 // each file that was made, renamed or removed without a sync of its folder kept or lost by itself.
-func TestEachNameKeptOrLostByItself(t *testing.T) {
-	played := losses{}
+func TestOpen_afterEachDirectoryOutcome(t *testing.T) {
+	played := powerLossCheck{}
 	for _, calls := range sequences(sequenceSize) {
 		if err := played.checkSequence(calls); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Logf("%d sequences, %d moments, %d outcomes", len(sequences(sequenceSize)), played.points, played.outcomes)
+	t.Logf("%d sequences, %d moments, %d outcomes", len(sequences(sequenceSize)), played.moments, played.outcomes)
 }
 
-// TestOneOperationFailsThenPowerGoes fails each operation of each sequence once, has the call made again as its callers
+// TestLog_failedOperationThenPowerLoss fails each operation of each sequence once, has the call made again as its callers
 // do, goes on with the sequence, and then loses power in all ways.
-func TestOneOperationFailsThenPowerGoes(t *testing.T) {
+func TestLog_failedOperationThenPowerLoss(t *testing.T) {
 	for _, calls := range sequences(sequenceSize - 1) {
 		if err := failEachOperation(calls); err != nil {
 			t.Fatal(err)
@@ -164,67 +164,67 @@
 
 func failEachOperation(calls string, omit ...seglog.Guard) error {
 	for position := int64(1); ; position++ {
-		disk := seglogtest.NewDisk()
+		disk := seglogtest.NewMemoryDisk()
 		log, stored, err := tinyLog(disk, omit...)
 		if err != nil {
 			return err
 		}
 		record := newHistory(stored)
-		disk.FailIn = position
-		for _, letter := range calls + "av" {
-			one := callOf(letter, record.last())
+		disk.FailOperation = position
+		for _, call := range calls + "av" {
+			one := operationFor(call, record.last())
 			record.attempt(one)
-			err := carryOut(log, one)
+			err := runOperation(log, one)
 			if err != nil {
-				err = carryOut(log, one)
+				err = runOperation(log, one)
 			}
 			if err != nil {
 				return fmt.Errorf("calls %s, operation %d fails: %w", calls, position, err)
 			}
 			record.acknowledge()
-			err = disk.EachPowerLoss(func(lost *seglogtest.Disk) error { return checkTwice(lost, record, omit...) })
+			err = disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error { return checkTwoRecoveries(lost, record, omit...) })
 			if err != nil {
 				return fmt.Errorf("calls %s, operation %d fails: %w", calls, position, err)
 			}
 		}
-		if disk.FailIn > 0 {
+		if disk.FailOperation > 0 {
 			return nil
 		}
 	}
 }
 
-// mixedMoment is what the folder held at one moment of a sequence.
-type mixedMoment struct {
+// diskMoment is what the folder held at one moment of a sequence.
+type diskMoment struct {
 	files map[string][]byte
 	state consensus.PersistedState
 }
 
-// momentsOf returns the folder and the state after each call.
-func momentsOf(t *testing.T, calls string) []mixedMoment {
+// momentsAfterEachCall returns the folder and the state after each call.
+func momentsAfterEachCall(t *testing.T, calls string) []diskMoment {
 	t.Helper()
-	disk := seglogtest.NewDisk()
+	disk := seglogtest.NewMemoryDisk()
 	var folders []map[string][]byte
-	record, err := runSequence(disk, calls, func() { folders = append(folders, contents(t, disk)) })
+	record, err := runCalls(disk, calls, func() { folders = append(folders, contents(t, disk)) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	var moments []mixedMoment
+	var moments []diskMoment
 	for at, folder := range folders {
-		state, err := runSequence(seglogtest.NewDisk(), calls[:at+1], nil)
+		state, err := runCalls(seglogtest.NewMemoryDisk(), calls[:at+1], nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		moments = append(moments, mixedMoment{files: folder, state: state.last()})
+		moments = append(moments, diskMoment{files: folder, state: state.last()})
 	}
-	if text(record.last()) != text(moments[len(moments)-1].state) {
+	if stateText(record.last()) != stateText(moments[len(moments)-1].state) {
 		t.Fatal("the same calls give other states")
 	}
 	return moments
 }
 
-// mixed returns a disk with the segments of one moment and the snapshots of another.
-func mixed(segments, snapshots mixedMoment) *seglogtest.Disk {
-	disk := seglogtest.NewDisk()
+// combineMoments returns a disk with the segments of one moment and the snapshots of another.
+func combineMoments(segments, snapshots diskMoment) *seglogtest.MemoryDisk {
+	disk := seglogtest.NewMemoryDisk()
 	for name, data := range segments.files {
 		if strings.HasSuffix(name, ".segment") {
 			disk.WriteFile(filepath.Join(directory, name), data)
@@ -238,19 +238,19 @@
 	return disk
 }
 
-// TestOldLogBesideNewSnapshotAndTheReverse puts the segments of each moment of each sequence beside the snapshot of
+// TestOpen_segmentsAndSnapshotOfDifferentMoments puts the segments of each moment of each sequence beside the snapshot of
 // each other moment. Such a disk is refused, or it yields a state that the log has passed through, with the snapshot's
 // state at least; a log that is newer than its snapshot never yields less than its segments hold.
-func TestOldLogBesideNewSnapshotAndTheReverse(t *testing.T) {
-	refused, taken := 0, 0
+func TestOpen_segmentsAndSnapshotOfDifferentMoments(t *testing.T) {
+	rejected, taken := 0, 0
 	for _, calls := range sequences(sequenceSize + 1) {
-		moments := momentsOf(t, calls)
+		moments := momentsAfterEachCall(t, calls)
 		for log := range moments {
 			for snapshot := range moments {
-				_, found, err := tinyLog(mixed(moments[log], moments[snapshot]))
+				_, found, err := tinyLog(combineMoments(moments[log], moments[snapshot]))
 				switch {
-				case errors.Is(err, seglog.ErrDamaged):
-					refused++
+				case errors.Is(err, seglog.ErrCorrupt):
+					rejected++
 					if log == snapshot {
 						t.Fatalf("%s: the folder of moment %d is refused: %v", calls, log, err)
 					}
@@ -265,20 +265,20 @@
 			}
 		}
 	}
-	t.Logf("%d folders were refused, %d taken", refused, taken)
-	if refused == 0 || taken == 0 {
+	t.Logf("%d folders were refused, %d taken", rejected, taken)
+	if rejected == 0 || taken == 0 {
 		t.Fatal("one of the kinds has not been met")
 	}
 }
 
 // checkMixed checks what a mixed folder yields. An older log beside a newer snapshot is like the newer log without
 // its end; a newer log beside an older snapshot holds all, or is refused.
-func checkMixed(moments []mixedMoment, log, snapshot int, found consensus.PersistedState) error {
+func checkMixed(moments []diskMoment, log, snapshot int, found consensus.PersistedState) error {
 	if found.Snapshot.Index < moments[snapshot].state.Snapshot.Index {
-		return fmt.Errorf("the snapshot is lost: %s", text(found))
+		return fmt.Errorf("the snapshot is lost: %s", stateText(found))
 	}
 	if log > snapshot && moments[log].hasSegments() && !sameEnd(moments[log].state, found) {
-		return fmt.Errorf("found %s\nthe log held %s", text(found), text(moments[log].state))
+		return fmt.Errorf("found %s\nthe log held %s", stateText(found), stateText(moments[log].state))
 	}
 	for _, moment := range moments {
 		if sameEnd(moment.state, found) {
@@ -289,7 +289,7 @@
 }
 
 // hasSegments tells whether the folder has any: a received snapshot voids all of them.
-func (m mixedMoment) hasSegments() bool {
+func (m diskMoment) hasSegments() bool {
 	for name := range m.files {
 		if strings.HasSuffix(name, ".segment") {
 			return true
@@ -305,18 +305,18 @@
 }
 
 // snapshotAlone allows the snapshot of a moment with no segment that counts.
-func snapshotAlone(moments []mixedMoment, found consensus.PersistedState) error {
-	same := func(moment mixedMoment) bool { return moment.state.Snapshot.Index == found.Snapshot.Index }
+func snapshotAlone(moments []diskMoment, found consensus.PersistedState) error {
+	same := func(moment diskMoment) bool { return moment.state.Snapshot.Index == found.Snapshot.Index }
 	if len(found.Entries) == 0 && slices.ContainsFunc(moments, same) {
 		return nil
 	}
-	return fmt.Errorf("found %s, which never was", text(found))
+	return fmt.Errorf("found %s, which never was", stateText(found))
 }
 
-// TestAbsentGuardsAreNoticed leaves out each guard of the log by name.
-func TestAbsentGuardsAreNoticed(t *testing.T) {
+// TestGuards_omissionIsDetected leaves out each guard of the log by name.
+func TestGuards_omissionIsDetected(t *testing.T) {
 	for _, guard := range seglog.Guards() {
-		noticed := checkWithout(guard)
+		noticed := detectOmission(guard)
 		if noticed == nil {
 			t.Errorf("%s: not noticed", guard)
 			continue
@@ -325,9 +325,9 @@
 	}
 }
 
-// checkWithout plays all that the tests of this file play until the absence of a guard is noticed.
-func checkWithout(guard seglog.Guard) error {
-	if err := checkCuts(guard); err != nil {
+// detectOmission plays all that the tests of this file play until the absence of a guard is noticed.
+func detectOmission(guard seglog.Guard) error {
+	if err := checkTruncations(guard); err != nil {
 		return err
 	}
 	for _, calls := range sequences(1) {
@@ -336,18 +336,18 @@
 		}
 	}
 	for _, calls := range sequences(sequenceSize) {
-		if err := (&losses{}).checkSequence(calls, guard); err != nil {
+		if err := (&powerLossCheck{}).checkSequence(calls, guard); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkCuts cuts each segment but the last at each byte: the log must be refused.
-func checkCuts(omit ...seglog.Guard) error {
+// checkTruncations cuts each segment but the last at each byte: the log must be refused.
+func checkTruncations(omit ...seglog.Guard) error {
 	for _, calls := range sequences(sequenceSize) {
-		disk := seglogtest.NewDisk()
-		if _, err := runSequence(disk, calls, nil, omit...); err != nil {
+		disk := seglogtest.NewMemoryDisk()
+		if _, err := runCalls(disk, calls, nil, omit...); err != nil {
 			return err
 		}
 		files, err := disk.List(directory)
@@ -358,14 +358,14 @@
 		files = slices.DeleteFunc(files, func(one seglog.FileInfo) bool { return !strings.HasSuffix(one.Name, ".segment") })
 		for _, file := range files[:max(len(files), 1)-1] {
 			path := filepath.Join(directory, file.Name)
-			whole, err := disk.ReadFile(path)
+			complete, err := disk.ReadFile(path)
 			if err != nil {
 				return err
 			}
-			for cut := range whole {
+			for cut := range complete {
 				shorter := disk.Clone()
-				shorter.WriteFile(path, whole[:cut])
-				if _, _, err := tinyLog(shorter, omit...); !errors.Is(err, seglog.ErrDamaged) {
+				shorter.WriteFile(path, complete[:cut])
+				if _, _, err := tinyLog(shorter, omit...); !errors.Is(err, seglog.ErrCorrupt) {
 					return fmt.Errorf("calls %s, %s cut to %d bytes: %v", calls, file.Name, cut, err)
 				}
 			}
@@ -374,8 +374,8 @@
 	return nil
 }
 
-func TestCutSegmentsOfAllSequences(t *testing.T) {
-	if err := checkCuts(); err != nil {
+func TestOpen_truncatedSealedSegment(t *testing.T) {
+	if err := checkTruncations(); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/coord/seglog/fault_test.go
+++ b/coord/seglog/fault_test.go
@@ -12,53 +12,53 @@
 // callsAfterFault is how many calls follow a fault.
 const callsAfterFault = 4
 
-// faultyRun makes calls on a disk that fails once.
-type faultyRun struct {
+// faultInjectionRun makes calls on a disk that fails once.
+type faultInjectionRun struct {
 	t       *testing.T
 	log     *seglog.Log
-	disk    *seglogtest.Disk
+	disk    *seglogtest.MemoryDisk
 	calls   workload
 	record  *history
 	abandon bool // a failed Compact is not tried again
 	failed  bool
 }
 
-// one makes a drawn call, and after a failure makes the disk well and tries again.
-func (r *faultyRun) one() {
+// runCall makes a drawn call, and after a failure makes the disk well and tries again.
+func (r *faultInjectionRun) runCall() {
 	r.t.Helper()
 	call := r.calls.next(r.record.last())
 	before := len(r.record.states)
 	r.record.attempt(call)
-	if err := carryOut(r.log, call); err != nil {
+	if err := runOperation(r.log, call); err != nil {
 		r.failed = true
 		r.checkAfterLoss()
-		r.disk.Room, r.disk.Refuse = seglogtest.Unlimited, false
+		r.disk.FreeBytes, r.disk.FailAll = seglogtest.Unlimited, false
 		if call.compact != nil && r.abandon {
-			r.record.states, r.record.texts = r.record.states[:before], nil
-			r.calls.floor = call.compact.Index
+			r.record.states, r.record.stateTexts = r.record.states[:before], nil
+			r.calls.committedIndex = call.compact.Index
 			r.record.abandoned = append(r.record.abandoned, *call.compact)
 			return
 		}
-		r.again(call)
+		r.retryCall(call)
 	}
 	r.record.acknowledge()
 }
 
-// again makes the call with more states after those that failed.
-func (r *faultyRun) again(call operation) {
+// retryCall makes the call with more states after those that failed.
+func (r *faultInjectionRun) retryCall(call operation) {
 	r.t.Helper()
 	if call.compact == nil {
 		more := operation{batch: []*consensus.PersistRequest{r.calls.persist(r.record.last())}}
 		r.record.attempt(more)
 		call.batch = append(call.batch, more.batch...)
 	}
-	if err := carryOut(r.log, call); err != nil {
+	if err := runOperation(r.log, call); err != nil {
 		r.t.Fatalf("second try: %v", err)
 	}
 }
 
 // checkAfterLoss shows what a loss of power at this moment leaves.
-func (r *faultyRun) checkAfterLoss() {
+func (r *faultInjectionRun) checkAfterLoss() {
 	r.t.Helper()
 	for outcome := range uint64(4) {
 		lost := r.disk.Clone()
@@ -70,11 +70,11 @@
 	}
 }
 
-func startFaulty(t *testing.T, seed uint64) *faultyRun {
+func newFaultInjectionRun(t *testing.T, seed uint64) *faultInjectionRun {
 	t.Helper()
-	disk := seglogtest.NewDisk()
+	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
-	return &faultyRun{
+	return &faultInjectionRun{
 		t:       t,
 		log:     log,
 		disk:    disk,
@@ -84,24 +84,24 @@
 	}
 }
 
-// play makes calls until one has failed, and some more.
-func (r *faultyRun) play() {
+// run makes calls until one has failed, and some more.
+func (r *faultInjectionRun) run() {
 	r.t.Helper()
 	for range workloadCalls {
-		r.one()
+		r.runCall()
 	}
 	if !r.failed {
 		return
 	}
 	for range callsAfterFault {
-		r.one()
+		r.runCall()
 	}
 	r.checkAfterLoss()
 	r.checkNothingLeft()
 }
 
 // checkNothingLeft compacts once more: then the disk has the files that count and no others.
-func (r *faultyRun) checkNothingLeft() {
+func (r *faultInjectionRun) checkNothingLeft() {
 	r.t.Helper()
 	state := r.record.last()
 	if len(state.Entries) == 0 {
@@ -119,30 +119,30 @@
 	}
 }
 
-// TestOneOperationFails fails each operation of a workload once.
-func TestOneOperationFails(t *testing.T) {
+// TestLog_failedOperationIsRetried fails each operation of a workload once.
+func TestLog_failedOperationIsRetried(t *testing.T) {
 	for seed := range uint64(6) {
 		for position := int64(1); ; position++ {
-			run := startFaulty(t, seed)
-			run.disk.FailIn = position
-			run.play()
-			if run.disk.FailIn > 0 {
+			run := newFaultInjectionRun(t, seed)
+			run.disk.FailOperation = position
+			run.run()
+			if run.disk.FailOperation > 0 {
 				break
 			}
 		}
 	}
 }
 
-// roomStep is the difference between two sizes of a disk, bytes. It has no factor in common with record sizes.
-const roomStep = 11
+// freeBytesStep is the difference between two sizes of a disk, bytes. It has no factor in common with record sizes.
+const freeBytesStep = 11
 
-// TestFullDisk fills the disk at many places of a workload.
-func TestFullDisk(t *testing.T) {
+// TestLog_fullDisk fills the disk at many places of a workload.
+func TestLog_fullDisk(t *testing.T) {
 	for seed := range uint64(2) {
-		for room := int64(0); ; room += roomStep {
-			run := startFaulty(t, seed)
-			run.disk.Room = room
-			run.play()
+		for freeBytes := int64(0); ; freeBytes += freeBytesStep {
+			run := newFaultInjectionRun(t, seed)
+			run.disk.FreeBytes = freeBytes
+			run.run()
 			if !run.failed {
 				break
 			}
@@ -150,23 +150,23 @@
 	}
 }
 
-// TestRefusingDisk refuses everything for a while.
-func TestRefusingDisk(t *testing.T) {
-	disk := seglogtest.NewDisk()
+// TestLog_Save_whileDiskFails refuses everything for a while.
+func TestLog_Save_whileDiskFails(t *testing.T) {
+	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
 	record := newHistory(stored)
 	saveEntries(t, log, record, 1, 3)
 	persist := &consensus.PersistRequest{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
 	one := operation{batch: []*consensus.PersistRequest{persist}}
 	record.attempt(one)
-	disk.Refuse = true
+	disk.FailAll = true
 	for range 3 {
-		if err := carryOut(log, one); !errors.Is(err, seglogtest.ErrRefused) {
+		if err := runOperation(log, one); !errors.Is(err, seglogtest.ErrInjected) {
 			t.Fatalf("got %v", err)
 		}
 	}
-	disk.Refuse = false
-	if err := carryOut(log, one); err != nil {
+	disk.FailAll = false
+	if err := runOperation(log, one); err != nil {
 		t.Fatal(err)
 	}
 	record.acknowledge()
@@ -177,21 +177,21 @@
 	}
 }
 
-// TestOpenFails shows that a directory can be opened again after an opening that failed.
-func TestOpenFails(t *testing.T) {
+// TestOpen_succeedsAfterFailedOpen shows that a directory can be opened again after an opening that failed.
+func TestOpen_succeedsAfterFailedOpen(t *testing.T) {
 	for position := int64(1); position < 12; position++ {
-		disk := seglogtest.NewDisk()
+		disk := seglogtest.NewMemoryDisk()
 		record, failure := runOnDisk(disk, 3)
 		if failure != nil {
 			t.Fatal(failure)
 		}
 		disk.LosePower(newRandom(uint64(position)))
-		disk.FailIn = position
+		disk.FailOperation = position
 		_, _, err := open(disk)
-		if err != nil && !errors.Is(err, seglogtest.ErrRefused) {
+		if err != nil && !errors.Is(err, seglogtest.ErrInjected) {
 			t.Fatal(err)
 		}
-		disk.FailIn = 0
+		disk.FailOperation = 0
 		_, stored := mustOpen(t, disk)
 		if err := record.check(stored); err != nil {
 			t.Fatal(err)
--- a/coord/seglog/log.go
+++ b/coord/seglog/log.go
@@ -37,7 +37,7 @@
 	FileSystem   FileSystem // nil: the operating system's
 	Directory    string     // of this log alone; made if it is missing
 	SegmentBytes int64      // 0: DefaultSegmentBytes
-	Omit         []Guard    // guards left out, by tests alone
+	OmitGuards   []Guard    // guards left out, by tests alone
 }
 
 // Log is the durable state of one group. Its methods must not be called at the same time.
@@ -46,33 +46,33 @@
 	directory    string
 	segmentBytes int64
 
-	sealed      []segment   // oldest first, all synced
-	current     *appendFile // nil: the next write starts a segment
-	nextSegment uint64      // number of the next segment
-	snapshot    snapshotFile
-	hardState   consensus.HardState
-	last        uint64   // index of the last entry, or of the snapshot
-	removable   []string // names of files that are not needed, to be removed
-	closed      bool
-	omitted     map[Guard]bool
+	sealed        []segment      // oldest first, all synced
+	active        *activeSegment // nil: the next write starts a segment
+	nextSegment   uint64         // number of the next segment
+	snapshot      snapshotFile
+	hardState     consensus.HardState
+	lastIndex     uint64   // index of the last entry, or of the snapshot
+	obsoleteFiles []string // names of files that are not needed, to be removed
+	closed        bool
+	omittedGuards map[Guard]bool
 }
 
 // Errors of a log. Other errors are those of the file system: the call may then be made again with
 // the same arguments or with more, and nothing of it counts as durable until a call succeeds.
 var (
-	// ErrDamaged: a file that was durable cannot be read. The member's state is lost: it must come
+	// ErrCorrupt: a file that was durable cannot be read. The member's state is lost: it must come
 	// back under a new member ID with an empty directory.
-	ErrDamaged = errors.New("seglog: a durable file is damaged")
+	ErrCorrupt = errors.New("seglog: a durable file is damaged")
 	ErrClosed  = errors.New("seglog: the log is closed")
 )
 
-// ErrFormat refuses a directory with files of another format. Nothing in it has been changed.
-type ErrFormat struct {
+// FormatError refuses a directory with files of another format. Nothing in it has been changed.
+type FormatError struct {
 	File             string
 	Found, Supported uint32
 }
 
-func (e ErrFormat) Error() string {
+func (e FormatError) Error() string {
 	return fmt.Sprintf("seglog: %s has format %d, this program reads format %d", e.File, e.Found, e.Supported)
 }
 
@@ -87,10 +87,10 @@
 	if err != nil {
 		return err
 	}
-	if !anyRecords(rest) {
+	if !hasRecords(rest) {
 		return nil
 	}
-	if err := l.prepare(); err != nil {
+	if err := l.prepareActiveSegment(); err != nil {
 		return err
 	}
 	return l.appendBatch(rest)
@@ -110,7 +110,7 @@
 		}
 	}
 	received := batch[position]
-	if err := l.replace(*received.Snapshot, hardState); err != nil {
+	if err := l.resetToSnapshot(*received.Snapshot, hardState); err != nil {
 		return nil, err
 	}
 	after := &consensus.PersistRequest{Sequence: received.Sequence, Entries: received.Entries}
@@ -126,7 +126,7 @@
 	return -1
 }
 
-func anyRecords(batch []*consensus.PersistRequest) bool {
+func hasRecords(batch []*consensus.PersistRequest) bool {
 	for _, persist := range batch {
 		if persist.HardState != nil || len(persist.Entries) > 0 {
 			return true
@@ -135,15 +135,15 @@
 	return false
 }
 
-// replace stores a snapshot that stands for the whole log and voids all segments.
-func (l *Log) replace(snapshot consensus.Snapshot, hardState consensus.HardState) error {
+// resetToSnapshot stores a snapshot that stands for the whole log and voids all segments.
+func (l *Log) resetToSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState) error {
 	if err := l.writeSnapshot(snapshot, hardState, l.nextSegment); err != nil {
 		return err
 	}
-	l.voidSegments(len(l.sealed), true)
+	l.discardSegments(len(l.sealed), true)
 	l.hardState = hardState
-	l.last = snapshot.Index
-	l.removeFiles()
+	l.lastIndex = snapshot.Index
+	l.removeObsoleteFiles()
 	return nil
 }
 
@@ -156,61 +156,61 @@
 	if snapshot.Index <= l.snapshot.index {
 		return nil
 	}
-	if snapshot.Index > l.last {
-		return l.replace(snapshot, l.hardState)
+	if snapshot.Index > l.lastIndex {
+		return l.resetToSnapshot(snapshot, l.hardState)
 	}
-	covered := 0
-	for covered < len(l.sealed) && l.sealed[covered].greatest <= snapshot.Index {
-		covered++
+	coveredSegments := 0
+	for coveredSegments < len(l.sealed) && l.sealed[coveredSegments].maxIndex <= snapshot.Index {
+		coveredSegments++
 	}
 	hardState := l.hardState
-	if !l.holds(GuardSnapshotVote) {
+	if !l.enforces(GuardSnapshotHardState) {
 		hardState = consensus.HardState{}
 	}
-	if err := l.writeSnapshot(snapshot, hardState, l.sequenceAfter(covered)); err != nil {
+	if err := l.writeSnapshot(snapshot, hardState, l.firstRequiredSegment(coveredSegments)); err != nil {
 		return err
 	}
-	l.voidSegments(covered, false)
-	l.removeFiles()
+	l.discardSegments(coveredSegments, false)
+	l.removeObsoleteFiles()
 	return nil
 }
 
-// sequenceAfter returns the number of the segment that follows the first covered sealed ones.
-func (l *Log) sequenceAfter(covered int) uint64 {
-	if covered < len(l.sealed) {
-		return l.sealed[covered].sequence
+// firstRequiredSegment returns the number of the segment that follows the first covered sealed ones.
+func (l *Log) firstRequiredSegment(coveredSegments int) uint64 {
+	if coveredSegments < len(l.sealed) {
+		return l.sealed[coveredSegments].sequence
 	}
-	if l.current != nil {
-		return l.current.sequence
+	if l.active != nil {
+		return l.active.sequence
 	}
 	return l.nextSegment
 }
 
-// voidSegments marks the first sealed segments, and the current one if asked, for removal.
-func (l *Log) voidSegments(count int, withCurrent bool) {
-	for _, voided := range l.sealed[:count] {
-		l.removable = append(l.removable, voided.name)
+// discardSegments marks the first sealed segments, and the current one if asked, for removal.
+func (l *Log) discardSegments(count int, includeActive bool) {
+	for _, discarded := range l.sealed[:count] {
+		l.obsoleteFiles = append(l.obsoleteFiles, discarded.name)
 	}
 	l.sealed = append([]segment(nil), l.sealed[count:]...)
-	if !withCurrent || l.current == nil {
+	if !includeActive || l.active == nil {
 		return
 	}
-	_ = l.current.file.Close() // its content does not count any more
-	l.removable = append(l.removable, l.current.name)
-	l.current = nil
+	_ = l.active.file.Close() // its content does not count any more
+	l.obsoleteFiles = append(l.obsoleteFiles, l.active.name)
+	l.active = nil
 }
 
-// removeFiles removes what is not needed. What cannot be removed is tried again at the next call,
+// removeObsoleteFiles removes what is not needed. What cannot be removed is tried again at the next call,
 // and after a restart. The directory is not synced: files that come back are known as void.
-func (l *Log) removeFiles() {
-	var kept []string
-	for _, name := range l.removable {
+func (l *Log) removeObsoleteFiles() {
+	var remaining []string
+	for _, name := range l.obsoleteFiles {
 		err := l.fileSystem.Remove(filepath.Join(l.directory, name))
-		if err != nil && !isMissing(err) {
-			kept = append(kept, name)
+		if err != nil && !isNotExist(err) {
+			remaining = append(remaining, name)
 		}
 	}
-	l.removable = kept
+	l.obsoleteFiles = remaining
 }
 
 // DiskBytes returns the size of the segments and of the snapshot.
@@ -222,18 +222,18 @@
 	for _, one := range l.sealed {
 		total += one.size
 	}
-	if l.current != nil {
-		total += l.current.good
+	if l.active != nil {
+		total += l.active.durableBytes
 	}
 	return total
 }
 
 // Close closes the open file. Everything that was reported as durable is.
 func (l *Log) Close() error {
-	if l.closed || l.current == nil {
+	if l.closed || l.active == nil {
 		l.closed = true
 		return nil
 	}
 	l.closed = true
-	return l.current.file.Close()
+	return l.active.file.Close()
 }
--- a/coord/seglog/log_test.go
+++ b/coord/seglog/log_test.go
@@ -12,9 +12,9 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// TestOneSyncForEachBatch counts the syncs of files once the segment is there.
-func TestOneSyncForEachBatch(t *testing.T) {
-	disk := seglogtest.NewDisk()
+// TestLog_Save_syncsOncePerBatch counts the syncs of files once the segment is there.
+func TestLog_Save_syncsOncePerBatch(t *testing.T) {
+	disk := seglogtest.NewMemoryDisk()
 	log, _, err := seglog.Open(seglog.Options{FileSystem: disk, Directory: directory})
 	if err != nil {
 		t.Fatal(err)
@@ -28,12 +28,12 @@
 	}
 }
 
-// TestBounded compacts again and again: the disk holds no more than the last segments.
-func TestBounded(t *testing.T) {
-	disk := seglogtest.NewDisk()
+// TestLog_Compact_boundsDiskUsage compacts again and again: the disk holds no more than the last segments.
+func TestLog_Compact_boundsDiskUsage(t *testing.T) {
+	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
 	record := newHistory(stored)
-	greatest := int64(0)
+	maxBytes := int64(0)
 	for first := uint64(1); first < 5000; first += 10 {
 		saveEntries(t, log, record, first, first+9)
 		snapshot := consensus.Snapshot{Index: first + 9, Term: 1, Data: []byte("state")}
@@ -41,10 +41,10 @@
 			t.Fatal(err)
 		}
 		record = newHistory(compacted(record.last(), snapshot))
-		greatest = max(greatest, log.DiskBytes())
+		maxBytes = max(maxBytes, log.DiskBytes())
 	}
-	if limit := int64(4 * smallSegmentBytes); greatest > limit {
-		t.Fatalf("%d bytes, more than %d", greatest, limit)
+	if limit := int64(4 * smallSegmentBytes); maxBytes > limit {
+		t.Fatalf("%d bytes, more than %d", maxBytes, limit)
 	}
 	onDisk := int64(0)
 	for _, data := range contents(t, disk) {
@@ -59,18 +59,18 @@
 	}
 }
 
-// TestOtherFormatRefused changes the format number of each file; nothing on disk may change then.
-func TestOtherFormatRefused(t *testing.T) {
+// TestOpen_rejectsOtherFormatVersion changes the format number of each file; nothing on disk may change then.
+func TestOpen_rejectsOtherFormatVersion(t *testing.T) {
 	written := writeWithSnapshot(t)
 	for name, data := range written.files {
 		other := append([]byte(nil), data...)
-		binary.LittleEndian.PutUint32(other[4:], seglog.FormatNumber+1)
+		binary.LittleEndian.PutUint32(other[4:], seglog.FormatVersion+1)
 		check := crc32.Checksum(other[:8], crc32.MakeTable(crc32.Castagnoli))
 		binary.LittleEndian.PutUint32(other[8:], check)
 		disk := written.with(name, other)
 		before := contents(t, disk)
-		var refused seglog.ErrFormat
-		if _, _, err := open(disk); !errors.As(err, &refused) || refused.File != name || refused.Found != seglog.FormatNumber+1 {
+		var rejected seglog.FormatError
+		if _, _, err := open(disk); !errors.As(err, &rejected) || rejected.File != name || rejected.Found != seglog.FormatVersion+1 {
 			t.Fatalf("%s: got %v", name, err)
 		}
 		after := contents(t, disk)
@@ -82,8 +82,8 @@
 	}
 }
 
-func TestClosedLog(t *testing.T) {
-	log, _ := mustOpen(t, seglogtest.NewDisk())
+func TestLog_rejectsCallsAfterClose(t *testing.T) {
+	log, _ := mustOpen(t, seglogtest.NewMemoryDisk())
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestOperatingSystem runs drawn calls on the real file system and opens it again.
-func TestOperatingSystem(t *testing.T) {
+// TestOpen_onOperatingSystemFiles runs drawn calls on the real file system and opens it again.
+func TestOpen_onOperatingSystemFiles(t *testing.T) {
 	options := seglog.Options{Directory: filepath.Join(t.TempDir(), "one", "two"), SegmentBytes: smallSegmentBytes}
 	random := newRandom(7)
 	record := newHistory(emptyDisk)
@@ -118,17 +118,17 @@
 	}
 }
 
-// TestMemberIDLasts loses power before each operation of the first start.
-func TestMemberIDLasts(t *testing.T) {
+// TestLoadOrCreateMemberID_survivesPowerLoss loses power before each operation of the first start.
+func TestLoadOrCreateMemberID_survivesPowerLoss(t *testing.T) {
 	for operations := int64(0); ; operations++ {
-		disk := seglogtest.NewDisk()
-		disk.Operations = operations
-		id, created, err := drawMember(disk, 11)
+		disk := seglogtest.NewMemoryDisk()
+		disk.RemainingOperations = operations
+		id, created, err := loadMemberID(disk, 11)
 		if err == nil && (id != 11 || !created) {
 			t.Fatal(id, created)
 		}
 		disk.LosePower(newRandom(uint64(operations)))
-		again, _, failure := drawMember(disk, 22)
+		again, _, failure := loadMemberID(disk, 22)
 		if failure != nil {
 			t.Fatal(failure)
 		}
@@ -136,7 +136,7 @@
 			t.Fatalf("the ID %d became %d", id, again)
 		}
 		disk.LosePower(newRandom(uint64(operations)))
-		if third, created, err := drawMember(disk, 33); err != nil || created || third != again {
+		if third, created, err := loadMemberID(disk, 33); err != nil || created || third != again {
 			t.Fatal(third, created, err)
 		}
 		if err == nil {
@@ -145,27 +145,27 @@
 	}
 }
 
-func drawMember(disk *seglogtest.Disk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
-	return seglog.MemberID(disk, directory, func() consensus.MemberID { return drawn })
+func loadMemberID(disk *seglogtest.MemoryDisk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
+	return seglog.LoadOrCreateMemberID(disk, directory, func() consensus.MemberID { return drawn })
 }
 
-// TestDamagedMemberID cuts and changes the file at each byte.
-func TestDamagedMemberID(t *testing.T) {
-	disk := seglogtest.NewDisk()
-	if _, _, err := drawMember(disk, 11); err != nil {
+// TestLoadOrCreateMemberID_rejectsCorruptFile cuts and changes the file at each byte.
+func TestLoadOrCreateMemberID_rejectsCorruptFile(t *testing.T) {
+	disk := seglogtest.NewMemoryDisk()
+	if _, _, err := loadMemberID(disk, 11); err != nil {
 		t.Fatal(err)
 	}
-	name := seglogtest.OnlyFile(disk, directory)
-	whole, _ := disk.ReadFile(name)
-	for cut := range whole {
-		disk.WriteFile(name, whole[:cut])
-		if _, _, err := drawMember(disk, 22); !errors.Is(err, seglog.ErrDamaged) {
+	name := seglogtest.SingleFile(disk, directory)
+	complete, _ := disk.ReadFile(name)
+	for cut := range complete {
+		disk.WriteFile(name, complete[:cut])
+		if _, _, err := loadMemberID(disk, 22); !errors.Is(err, seglog.ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		data := append([]byte(nil), whole...)
+		data := append([]byte(nil), complete...)
 		data[cut] ^= 0x41
 		disk.WriteFile(name, data)
-		if _, _, err := drawMember(disk, 22); !errors.Is(err, seglog.ErrDamaged) {
+		if _, _, err := loadMemberID(disk, 22); !errors.Is(err, seglog.ErrCorrupt) {
 			t.Fatalf("byte %d changed: %v", cut, err)
 		}
 	}
--- a/coord/seglog/member_id.go
+++ b/coord/seglog/member_id.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	memberName      = "member"
-	memberTemporary = "member.temporary"
-	memberFileBytes = preambleBytes + 8 + 4 // and the ID, check value
+	memberFileName      = "member"
+	memberTemporaryName = "member.temporary"
+	memberFileBytes     = preambleBytes + 8 + 4 // and the ID, check value
 )
 
-// MemberID reads the member ID of this disk from the directory, or draws one and stores it durably
+// LoadOrCreateMemberID reads the member ID of this disk from the directory, or draws one and stores it durably
 // before it returns it; created tells which. The directory is made if it is missing. Errors:
 // ErrFormat, ErrDamaged and those of the file system.
-func MemberID(fileSystem FileSystem, directory string, draw func() consensus.MemberID) (id consensus.MemberID, created bool, err error) {
+func LoadOrCreateMemberID(fileSystem FileSystem, directory string, newID func() consensus.MemberID) (id consensus.MemberID, created bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
 	}
 	if err := fileSystem.MakeDirectory(directory); err != nil {
 		return 0, false, err
 	}
-	data, err := fileSystem.ReadFile(filepath.Join(directory, memberName))
-	if isMissing(err) {
-		id = draw()
-		return id, true, writeFileDurably(fileSystem, directory, memberTemporary, memberName, encodeMemberID(id))
+	data, err := fileSystem.ReadFile(filepath.Join(directory, memberFileName))
+	if isNotExist(err) {
+		id = newID()
+		return id, true, writeFileDurably(fileSystem, directory, memberTemporaryName, memberFileName, encodeMemberID(id))
 	}
 	if err != nil {
 		return 0, false, err
@@ -41,40 +41,40 @@
 	return id, false, fileSystem.SyncDirectory(directory)
 }
 
-// ForgetMember removes the member ID of a disk, durably. The disk then counts as lost: RemoveOrphans removes its replicas, and
+// RemoveMemberID removes the member ID of a disk, durably. The disk then counts as lost: RemoveOrphans removes its replicas, and
 // MemberID draws a new ID.
-func ForgetMember(fileSystem FileSystem, directory string) error {
+func RemoveMemberID(fileSystem FileSystem, directory string) error {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
 	}
-	if err := fileSystem.Remove(filepath.Join(directory, memberName)); err != nil && !isMissing(err) {
+	if err := fileSystem.Remove(filepath.Join(directory, memberFileName)); err != nil && !isNotExist(err) {
 		return err
 	}
 	return fileSystem.SyncDirectory(directory)
 }
 
-// RemoveOrphans removes the replicas of a disk whose member ID is missing or damaged, and a damaged ID: nobody knows any
+// RemoveOrphanedReplicas removes the replicas of a disk whose member ID is missing or damaged, and a damaged ID: nobody knows any
 // more what they promised in whose name. lost tells whether there was anything of the kind. It is to be called
 // before MemberID. Errors: ErrFormat and those of the file system.
-func RemoveOrphans(fileSystem FileSystem, directory string, replicas []string) (lost bool, err error) {
+func RemoveOrphanedReplicas(fileSystem FileSystem, directory string, replicas []string) (lost bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
 	}
-	data, err := fileSystem.ReadFile(filepath.Join(directory, memberName))
+	data, err := fileSystem.ReadFile(filepath.Join(directory, memberFileName))
 	if err == nil {
 		_, err = decodeMemberID(data)
 	}
 	switch {
-	case errors.Is(err, ErrDamaged):
+	case errors.Is(err, ErrCorrupt):
 		lost = true
-		if err := ForgetMember(fileSystem, directory); err != nil {
+		if err := RemoveMemberID(fileSystem, directory); err != nil {
 			return lost, err
 		}
-	case !isMissing(err):
+	case !isNotExist(err):
 		return false, err
 	}
 	for _, replica := range replicas {
-		removed, err := removeFiles(fileSystem, replica)
+		removed, err := removeAllFiles(fileSystem, replica)
 		lost = lost || removed
 		if err != nil {
 			return lost, err
@@ -83,10 +83,10 @@
 	return lost, nil
 }
 
-// removeFiles removes all files of a directory, which may be missing, and tells whether there were any.
-func removeFiles(fileSystem FileSystem, directory string) (removed bool, err error) {
+// removeAllFiles removes all files of a directory, which may be missing, and tells whether there were any.
+func removeAllFiles(fileSystem FileSystem, directory string) (removed bool, err error) {
 	files, err := fileSystem.List(directory)
-	if isMissing(err) || (err == nil && len(files) == 0) {
+	if isNotExist(err) || (err == nil && len(files) == 0) {
 		return false, nil
 	}
 	for _, file := range files {
@@ -107,15 +107,15 @@
 }
 
 func decodeMemberID(data []byte) (consensus.MemberID, error) {
-	ok, err := checkPreamble(memberName, data, memberMagic)
+	ok, err := checkPreamble(memberFileName, data, memberMagic)
 	if err != nil {
 		return 0, err
 	}
 	if !ok || len(data) != memberFileBytes {
-		return 0, fmt.Errorf("%w: %s", ErrDamaged, memberName)
+		return 0, fmt.Errorf("%w: %s", ErrCorrupt, memberFileName)
 	}
 	if binary.LittleEndian.Uint32(data[memberFileBytes-4:]) != checksum(0, data[:memberFileBytes-4]) {
-		return 0, fmt.Errorf("%w: %s", ErrDamaged, memberName)
+		return 0, fmt.Errorf("%w: %s", ErrCorrupt, memberFileName)
 	}
 	return consensus.MemberID(binary.LittleEndian.Uint64(data[preambleBytes:])), nil
 }
--- a/coord/seglog/member_id_test.go
+++ b/coord/seglog/member_id_test.go
@@ -21,10 +21,10 @@
 	replicaFile = filepath.Join(replicaDirectory, "segment")
 )
 
-// settledDisk has a member ID and one file of a replica, both durable.
-func settledDisk(t *testing.T) *seglogtest.Disk {
+// diskWithReplica has a member ID and one file of a replica, both durable.
+func diskWithReplica(t *testing.T) *seglogtest.MemoryDisk {
 	t.Helper()
-	disk := seglogtest.NewDisk()
+	disk := seglogtest.NewMemoryDisk()
 	if _, _, err := startMember(disk, firstMember); err != nil {
 		t.Fatal(err)
 	}
@@ -33,41 +33,41 @@
 }
 
 // startMember does what a keeper does at its start.
-func startMember(disk *seglogtest.Disk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
-	lost, err := seglog.RemoveOrphans(disk, dataDirectory, []string{replicaDirectory})
+func startMember(disk *seglogtest.MemoryDisk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
+	lost, err := seglog.RemoveOrphanedReplicas(disk, dataDirectory, []string{replicaDirectory})
 	if err != nil {
 		return 0, lost, err
 	}
-	id, _, err := seglog.MemberID(disk, dataDirectory, func() consensus.MemberID { return drawn })
+	id, _, err := seglog.LoadOrCreateMemberID(disk, dataDirectory, func() consensus.MemberID { return drawn })
 	return id, lost, err
 }
 
-func hasReplica(disk *seglogtest.Disk) bool {
+func hasReplica(disk *seglogtest.MemoryDisk) bool {
 	_, err := disk.ReadFile(replicaFile)
 	return err == nil
 }
 
-func TestIntactMemberKeepsItsReplicas(t *testing.T) {
-	disk := settledDisk(t)
+func TestRemoveOrphanedReplicas_keepsReplicasOfIntactMember(t *testing.T) {
+	disk := diskWithReplica(t)
 	id, lost, err := startMember(disk, secondMember)
 	if err != nil || lost || id != firstMember || !hasReplica(disk) {
 		t.Fatal(id, lost, err, hasReplica(disk))
 	}
 }
 
-// TestLostMemberTakesNoReplicaAlong loses power before each operation of a start, and of the one after it.
-func TestLostMemberTakesNoReplicaAlong(t *testing.T) {
-	troubles := map[string]func(disk *seglogtest.Disk) error{
-		"damaged":   func(disk *seglogtest.Disk) error { disk.WriteFile(memberFile, []byte("?")); return nil },
-		"forgotten": func(disk *seglogtest.Disk) error { return seglog.ForgetMember(disk, dataDirectory) },
+// TestRemoveOrphanedReplicas_removesReplicasOfLostMember loses power before each operation of a start, and of the one after it.
+func TestRemoveOrphanedReplicas_removesReplicasOfLostMember(t *testing.T) {
+	faults := map[string]func(disk *seglogtest.MemoryDisk) error{
+		"damaged":   func(disk *seglogtest.MemoryDisk) error { disk.WriteFile(memberFile, []byte("?")); return nil },
+		"forgotten": func(disk *seglogtest.MemoryDisk) error { return seglog.RemoveMemberID(disk, dataDirectory) },
 	}
-	for name, trouble := range troubles {
+	for name, injectFault := range faults {
 		for operations := int64(0); ; operations++ {
-			disk := settledDisk(t)
-			if err := trouble(disk); err != nil {
+			disk := diskWithReplica(t)
+			if err := injectFault(disk); err != nil {
 				t.Fatal(err)
 			}
-			disk.Operations = operations
+			disk.RemainingOperations = operations
 			_, _, failure := startMember(disk, secondMember)
 			disk.LosePower(newRandom(uint64(operations)))
 			id, _, err := startMember(disk, secondMember)
@@ -81,11 +81,11 @@
 	}
 }
 
-func TestForgettingInterrupted(t *testing.T) {
+func TestRemoveMemberID_interruptedByPowerLoss(t *testing.T) {
 	for operations := int64(0); ; operations++ {
-		disk := settledDisk(t)
-		disk.Operations = operations
-		failure := seglog.ForgetMember(disk, dataDirectory)
+		disk := diskWithReplica(t)
+		disk.RemainingOperations = operations
+		failure := seglog.RemoveMemberID(disk, dataDirectory)
 		disk.LosePower(newRandom(uint64(operations)))
 		id, _, err := startMember(disk, secondMember)
 		if err != nil || hasReplica(disk) != (id == firstMember) {
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -24,14 +24,14 @@
 }
 
 // stateAfter returns the states that a call passes through, the last one being its result.
-func statesOf(before consensus.PersistedState, one operation) []consensus.PersistedState {
+func statesAfter(before consensus.PersistedState, one operation) []consensus.PersistedState {
 	if one.compact != nil {
 		return []consensus.PersistedState{compacted(before, *one.compact)}
 	}
 	var states []consensus.PersistedState
 	current := before
 	for _, persist := range one.batch {
-		for _, next := range statesOfPersist(current, persist) {
+		for _, next := range statesAfterPersist(current, persist) {
 			states = append(states, next)
 			current = next
 		}
@@ -39,7 +39,7 @@
 	return states
 }
 
-func statesOfPersist(before consensus.PersistedState, persist *consensus.PersistRequest) []consensus.PersistedState {
+func statesAfterPersist(before consensus.PersistedState, persist *consensus.PersistRequest) []consensus.PersistedState {
 	var states []consensus.PersistedState
 	current := before
 	if persist.Snapshot != nil {
@@ -69,8 +69,8 @@
 	return after
 }
 
-// text writes a state in one form, so that states can be compared.
-func text(state consensus.PersistedState) string {
+// stateText writes a state in one form, so that states can be compared.
+func stateText(state consensus.PersistedState) string {
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	state.HardState.Commit = min(state.HardState.Commit, last)
 	return fmt.Sprintf("%+v", state)
@@ -89,13 +89,13 @@
 
 // workload draws calls that fit the state in which they are made.
 type workload struct {
-	random *rand.Rand
-	floor  uint64 // entries up to here are committed, and so never replaced
+	random         *rand.Rand
+	committedIndex uint64 // entries up to here are committed, and so never replaced
 }
 
 // committed returns the index up to which nothing is replaced.
 func (w workload) committed(state consensus.PersistedState) uint64 {
-	return max(state.Snapshot.Index, w.floor)
+	return max(state.Snapshot.Index, w.committedIndex)
 }
 
 func (w workload) next(state consensus.PersistedState) operation {
@@ -106,7 +106,7 @@
 	current := state
 	for range 1 + w.random.IntN(3) {
 		persist := w.persist(current)
-		states := statesOfPersist(current, persist)
+		states := statesAfterPersist(current, persist)
 		current = states[len(states)-1]
 		batch = append(batch, persist)
 	}
@@ -187,7 +187,7 @@
 // history is what may be on disk: all states, of which those before acknowledged must not be.
 type history struct {
 	states       []consensus.PersistedState
-	texts        []string // of the states, where they were needed
+	stateTexts   []string // of the states, where they were needed
 	acknowledged int
 	abandoned    []consensus.Snapshot // local ones that failed and were not tried again
 }
@@ -198,53 +198,53 @@
 
 func (h *history) last() consensus.PersistedState { return h.states[len(h.states)-1] }
 
-func (h *history) attempt(one operation) { h.states = append(h.states, statesOf(h.last(), one)...) }
+func (h *history) attempt(one operation) { h.states = append(h.states, statesAfter(h.last(), one)...) }
 
 func (h *history) acknowledge() { h.acknowledged = len(h.states) - 1 }
 
 // check fails unless the state is one that was passed through since the last acknowledged one.
 func (h *history) check(state consensus.PersistedState) error {
-	recovered := text(state)
+	recovered := stateText(state)
 	for i := h.acknowledged; i < len(h.states); i++ {
 		if h.text(i) == recovered || h.isAbandoned(h.states[i], recovered) {
 			return nil
 		}
 	}
 	return fmt.Errorf("recovered %s\nacknowledged %s\nattempted %s",
-		text(state), text(h.states[h.acknowledged]), text(h.last()))
+		stateText(state), stateText(h.states[h.acknowledged]), stateText(h.last()))
 }
 
 // text returns the text of a state and keeps it.
 func (h *history) text(position int) string {
-	for len(h.texts) <= position {
-		h.texts = append(h.texts, text(h.states[len(h.texts)]))
+	for len(h.stateTexts) <= position {
+		h.stateTexts = append(h.stateTexts, stateText(h.states[len(h.stateTexts)]))
 	}
-	return h.texts[position]
+	return h.stateTexts[position]
 }
 
 // isAbandoned tells whether a snapshot that failed is all that sets the states apart.
 func (h *history) isAbandoned(allowed consensus.PersistedState, recovered string) bool {
 	for _, snapshot := range h.abandoned {
 		inLog := snapshot.Index > allowed.Snapshot.Index && snapshot.Index <= lastIndex(allowed)
-		if inLog && text(compacted(allowed, snapshot)) == recovered {
+		if inLog && stateText(compacted(allowed, snapshot)) == recovered {
 			return true
 		}
 	}
 	return false
 }
 
-func carryOut(log *seglog.Log, one operation) error {
+func runOperation(log *seglog.Log, one operation) error {
 	if one.compact != nil {
 		return log.Compact(*one.compact)
 	}
 	return log.Save(one.batch)
 }
 
-func open(disk *seglogtest.Disk) (*seglog.Log, consensus.PersistedState, error) {
+func open(disk *seglogtest.MemoryDisk) (*seglog.Log, consensus.PersistedState, error) {
 	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: smallSegmentBytes})
 }
 
-func mustOpen(t *testing.T, disk *seglogtest.Disk) (*seglog.Log, consensus.PersistedState) {
+func mustOpen(t *testing.T, disk *seglogtest.MemoryDisk) (*seglog.Log, consensus.PersistedState) {
 	t.Helper()
 	log, stored, err := open(disk)
 	if err != nil {
@@ -258,7 +258,7 @@
 	for range count {
 		one := calls.next(record.last())
 		record.attempt(one)
-		if err := carryOut(log, one); err != nil {
+		if err := runOperation(log, one); err != nil {
 			return err
 		}
 		record.acknowledge()
--- a/coord/seglog/power_loss_test.go
+++ b/coord/seglog/power_loss_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	drawSeed        = 20260101
-	workloadCalls   = 14
-	lossesPerPoint  = 6
-	maxOperations   = 400 // of the disk in one workload; more than any makes
-	drawnHistories  = 150
-	roundsOfHistory = 4
+	randomSeed           = 20260101
+	workloadCalls        = 14
+	powerLossesPerMoment = 6
+	maxOperations        = 400 // of the disk in one workload; more than any makes
+	randomHistories      = 150
+	roundsOfHistory      = 4
 )
 
-// TestPowerLossAtEachOperation stops the same workloads before each of their disk operations, and
+// TestOpen_afterPowerLossAtEachOperation stops the same workloads before each of their disk operations, and
 // loses power with several outcomes of what was not synced.
-func TestPowerLossAtEachOperation(t *testing.T) {
+func TestOpen_afterPowerLossAtEachOperation(t *testing.T) {
 	for seed := range uint64(4) {
 		points := 0
 		for ; points < maxOperations; points++ {
-			finished, err := lossAfter(seed, int64(points))
+			finished, err := checkPowerLossAfter(seed, int64(points))
 			if err != nil {
 				t.Fatalf("workload %d, power lost after %d operations: %v", seed, points, err)
 			}
@@ -41,12 +41,12 @@
 	}
 }
 
-// lossAfter tells whether the workload finished before the power went.
-func lossAfter(seed uint64, operations int64) (finished bool, err error) {
-	disk := seglogtest.NewDisk()
-	disk.Operations = operations
+// checkPowerLossAfter tells whether the workload finished before the power went.
+func checkPowerLossAfter(seed uint64, operations int64) (finished bool, err error) {
+	disk := seglogtest.NewMemoryDisk()
+	disk.RemainingOperations = operations
 	record, failure := runOnDisk(disk, seed)
-	for outcome := range uint64(lossesPerPoint) {
+	for outcome := range uint64(powerLossesPerMoment) {
 		lost := disk.Clone()
 		lost.LosePower(newRandom(outcome))
 		if err := recoverTwice(lost, record, outcome); err != nil {
@@ -61,7 +61,7 @@
 	return failure == nil, nil
 }
 
-func runOnDisk(disk *seglogtest.Disk, seed uint64) (*history, error) {
+func runOnDisk(disk *seglogtest.MemoryDisk, seed uint64) (*history, error) {
 	log, stored, err := open(disk)
 	record := newHistory(stored)
 	if err != nil {
@@ -72,7 +72,7 @@
 
 // recoverTwice opens the disk, and once more after a loss of power: what the first opening returned
 // must be there again.
-func recoverTwice(disk *seglogtest.Disk, record *history, outcome uint64) error {
+func recoverTwice(disk *seglogtest.MemoryDisk, record *history, outcome uint64) error {
 	_, first, err := open(disk)
 	if err != nil {
 		return errors.Join(errNotRecovered, err)
@@ -85,18 +85,18 @@
 	if err != nil {
 		return errors.Join(errNotRecovered, err)
 	}
-	if text(first) != text(second) {
-		return fmt.Errorf("first %s\nthen %s", text(first), text(second))
+	if stateText(first) != stateText(second) {
+		return fmt.Errorf("first %s\nthen %s", stateText(first), stateText(second))
 	}
 	return nil
 }
 
-// TestPowerLossDuringRecovery stops the recovery itself at each of its operations.
-func TestPowerLossDuringRecovery(t *testing.T) {
+// TestOpen_afterPowerLossDuringRecovery stops the recovery itself at each of its operations.
+func TestOpen_afterPowerLossDuringRecovery(t *testing.T) {
 	for seed := range uint64(3) {
 		for operations := int64(5); operations < 60; operations += 4 {
-			disk := seglogtest.NewDisk()
-			disk.Operations = operations
+			disk := seglogtest.NewMemoryDisk()
+			disk.RemainingOperations = operations
 			record, failure := runOnDisk(disk, seed)
 			if failure == nil {
 				break
@@ -107,11 +107,11 @@
 	}
 }
 
-func checkRecoveryStops(t *testing.T, disk *seglogtest.Disk, record *history) {
+func checkRecoveryStops(t *testing.T, disk *seglogtest.MemoryDisk, record *history) {
 	t.Helper()
 	for operations := int64(0); ; operations++ {
 		stopped := disk.Clone()
-		stopped.Operations = operations
+		stopped.RemainingOperations = operations
 		_, _, failure := open(stopped)
 		stopped.LosePower(newRandom(uint64(operations)))
 		if err := recoverTwice(stopped, record, uint64(operations)); err != nil {
@@ -123,29 +123,29 @@
 	}
 }
 
-// TestDrawnHistories goes on after each loss of power with more calls.
-func TestDrawnHistories(t *testing.T) {
-	parameters := gopter.DefaultTestParametersWithSeed(drawSeed)
-	parameters.MinSuccessfulTests = drawnHistories
+// TestOpen_afterRandomHistories goes on after each loss of power with more calls.
+func TestOpen_afterRandomHistories(t *testing.T) {
+	parameters := gopter.DefaultTestParametersWithSeed(randomSeed)
+	parameters.MinSuccessfulTests = randomHistories
 	properties := gopter.NewProperties(parameters)
 	properties.Property("recovery yields a prefix that has all that was acknowledged", prop.ForAll(
-		func(seed uint64, stops []int64) string { return describe(playHistory(seed, stops)) },
+		func(seed uint64, stops []int64) string { return errorText(runHistory(seed, stops)) },
 		gen.UInt64(),
 		gen.SliceOfN(roundsOfHistory, gen.Int64Range(0, 60)),
 	))
 	properties.TestingRun(t)
 }
 
-// describe gives gopter the reason of a failure; an empty text is a success.
-func describe(err error) string {
+// errorText gives gopter the reason of a failure; an empty text is a success.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-func playHistory(seed uint64, stops []int64) error {
-	disk := seglogtest.NewDisk()
+func runHistory(seed uint64, stops []int64) error {
+	disk := seglogtest.NewMemoryDisk()
 	random := newRandom(seed)
 	record := newHistory(emptyDisk)
 	for _, stop := range stops {
@@ -157,7 +157,7 @@
 			return err
 		}
 		record = newHistory(stored)
-		disk.Operations = stop
+		disk.RemainingOperations = stop
 		_ = runUntilFailure(log, workload{random: random}, record, workloadCalls)
 		disk.LosePower(random)
 	}
--- a/coord/seglog/record_test.go
+++ b/coord/seglog/record_test.go
@@ -12,10 +12,10 @@
 // writeRecords returns a segment of single records and the offset at which each one ends.
 func writeRecords(count int) (data []byte, ends []int) {
 	var writer recordWriter
-	writer.header(testSequence, 1, 0)
+	writer.writeHeader(testSequence, 1, 0)
 	ends = append(ends, len(writer.data))
 	for index := range count {
-		writer.entry(&consensus.Entry{Term: 1, Index: uint64(index + 1), Data: []byte("command")})
+		writer.writeEntry(&consensus.Entry{Term: 1, Index: uint64(index + 1), Data: []byte("command")})
 		ends = append(ends, len(writer.data))
 	}
 	return writer.data, ends
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestRecordLeftOut takes out each record, as if a write in between were missing: whole records
+// TestRecordReader_stopsAtMissingRecord takes out each record, as if a write in between were missing: whole records
 // that follow do not count.
-func TestRecordLeftOut(t *testing.T) {
+func TestRecordReader_stopsAtMissingRecord(t *testing.T) {
 	data, ends := writeRecords(5)
 	for left := range 5 {
 		shorter := slices.Concat(data[:ends[left]], data[ends[left+1]:])
@@ -46,12 +46,12 @@
 	}
 }
 
-// TestOldRecordsBehindNewOnes leaves records of a failed write behind others of the same length.
-func TestOldRecordsBehindNewOnes(t *testing.T) {
+// TestRecordReader_rejectsRecordsOfFailedWrite leaves records of a failed write behind others of the same length.
+func TestRecordReader_rejectsRecordsOfFailedWrite(t *testing.T) {
 	old, ends := writeRecords(5)
 	var writer recordWriter
-	writer.header(testSequence, 1, 0)
-	writer.entry(&consensus.Entry{Term: 2, Index: 1, Data: []byte("COMMAND")})
+	writer.writeHeader(testSequence, 1, 0)
+	writer.writeEntry(&consensus.Entry{Term: 2, Index: 1, Data: []byte("COMMAND")})
 	if len(writer.data) != ends[1] {
 		t.Fatal("the records differ in length")
 	}
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestOtherSegmentsRecords refuses the content of another segment.
-func TestOtherSegmentsRecords(t *testing.T) {
+// TestNewRecordReader_rejectsOtherSegment refuses the content of another segment.
+func TestNewRecordReader_rejectsOtherSegment(t *testing.T) {
 	data, _ := writeRecords(1)
 	if _, ok := newRecordReader(data, testSequence+1); ok {
 		t.Fatal("accepted")
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -40,29 +40,29 @@
 	if log.segmentBytes == 0 {
 		log.segmentBytes = DefaultSegmentBytes
 	}
-	log.omitted = make(map[Guard]bool, len(options.Omit))
-	for _, guard := range options.Omit {
-		log.omitted[guard] = true
+	log.omittedGuards = make(map[Guard]bool, len(options.OmitGuards))
+	for _, guard := range options.OmitGuards {
+		log.omittedGuards[guard] = true
 	}
 	return log
 }
 
-// foundSegment is a segment's file with what was read from it.
-type foundSegment struct {
+// scannedSegment is a segment's file with what was read from it.
+type scannedSegment struct {
 	segment
-	data  []byte
-	good  int    // bytes up to the end of the last record that counts
-	chain uint32 // check value of that record
+	data         []byte
+	validBytes   int    // bytes up to the end of the last record that counts
+	lastChecksum uint32 // check value of that record
 }
 
 // recovery reads a directory. Nothing on disk changes before makeDurable.
 type recovery struct {
-	log      *Log
-	segments []foundSegment // in order of their numbers
-	stored   consensus.PersistedState
-	kept     int  // segments that count
-	stopped  int  // first segment behind those that were looked at
-	severed  bool // the last one looked at has what was written behind more than there is
+	log             *Log
+	segments        []scannedSegment // in order of their numbers
+	stored          consensus.PersistedState
+	validSegments   int  // segments that count
+	scannedSegments int  // first segment behind those that were looked at
+	gapFound        bool // the last one looked at has what was written behind more than there is
 }
 
 func (r *recovery) read() error {
@@ -76,12 +76,12 @@
 	if err := r.readSegments(files); err != nil {
 		return err
 	}
-	r.voidOldSegments()
+	r.skipObsoleteSegments()
 	r.replay()
 	if err := r.checkComplete(); err != nil {
 		return err
 	}
-	r.finish()
+	r.adoptHardState()
 	return nil
 }
 
@@ -89,11 +89,11 @@
 // more than the one before it holds, or has a whole record that cannot follow: all that it follows was durable when it
 // was made, so that what is missing was promised once.
 func (r *recovery) checkComplete() error {
-	if !r.log.holds(GuardAllSegments) || (r.stopped >= len(r.segments) && !r.severed) {
+	if !r.log.enforces(GuardAllSegments) || (r.scannedSegments >= len(r.segments) && !r.gapFound) {
 		return nil
 	}
 	return fmt.Errorf("%w: %s, and %s stands behind it",
-		ErrDamaged, segmentName(r.log.nextSegment), r.segments[len(r.segments)-1].name)
+		ErrCorrupt, segmentName(r.log.nextSegment), r.segments[len(r.segments)-1].name)
 }
 
 // readSnapshots takes the newest snapshot. A damaged one is an error: it was durable before it got
@@ -101,8 +101,8 @@
 func (r *recovery) readSnapshots(files []FileInfo) error {
 	var found []snapshotFile
 	for _, file := range files {
-		if file.Name == snapshotTemporary {
-			r.log.removable = append(r.log.removable, file.Name)
+		if file.Name == snapshotTemporaryName {
+			r.log.obsoleteFiles = append(r.log.obsoleteFiles, file.Name)
 		}
 		if index, ok := parseSnapshotName(file.Name); ok {
 			found = append(found, snapshotFile{name: file.Name, index: index, size: file.Size})
@@ -113,7 +113,7 @@
 	}
 	slices.SortFunc(found, func(a, b snapshotFile) int { return cmp.Compare(b.index, a.index) })
 	for _, older := range found[1:] {
-		r.log.removable = append(r.log.removable, older.name)
+		r.log.obsoleteFiles = append(r.log.obsoleteFiles, older.name)
 	}
 	return r.readSnapshot(found[0])
 }
@@ -131,7 +131,7 @@
 	r.log.nextSegment = max(r.log.nextSegment, snapshot.firstSegment)
 	r.stored.Snapshot = snapshot.Snapshot
 	r.stored.HardState = snapshot.hardState
-	r.log.last = snapshot.Index
+	r.log.lastIndex = snapshot.Index
 	return nil
 }
 
@@ -149,25 +149,25 @@
 		if _, err := checkPreamble(file.Name, data, segmentMagic); err != nil {
 			return err
 		}
-		found := foundSegment{segment: segment{sequence: sequence, name: file.Name, size: int64(len(data))}, data: data}
+		found := scannedSegment{segment: segment{sequence: sequence, name: file.Name, size: int64(len(data))}, data: data}
 		r.segments = append(r.segments, found)
 	}
-	slices.SortFunc(r.segments, func(a, b foundSegment) int { return cmp.Compare(a.sequence, b.sequence) })
+	slices.SortFunc(r.segments, func(a, b scannedSegment) int { return cmp.Compare(a.sequence, b.sequence) })
 	return nil
 }
 
-// voidOldSegments leaves out the segments that the snapshot makes void.
-func (r *recovery) voidOldSegments() {
-	if !r.log.holds(GuardSegmentsVoid) {
+// skipObsoleteSegments leaves out the segments that the snapshot makes void.
+func (r *recovery) skipObsoleteSegments() {
+	if !r.log.enforces(GuardObsoleteSegmentsIgnored) {
 		return
 	}
 	first := r.log.nextSegment // the snapshot's first segment, or 1
-	void := 0
-	for void < len(r.segments) && r.segments[void].sequence < first {
-		r.log.removable = append(r.log.removable, r.segments[void].name)
-		void++
+	obsolete := 0
+	for obsolete < len(r.segments) && r.segments[obsolete].sequence < first {
+		r.log.obsoleteFiles = append(r.log.obsoleteFiles, r.segments[obsolete].name)
+		obsolete++
 	}
-	r.segments = r.segments[void:]
+	r.segments = r.segments[obsolete:]
 }
 
 // replay reads the records up to the first one that cannot be relied on.
@@ -176,10 +176,10 @@
 		if r.segments[i].sequence != r.log.nextSegment {
 			return // the one before it is missing
 		}
-		r.stopped = i + 1
+		r.scannedSegments = i + 1
 		complete := r.replaySegment(&r.segments[i])
-		if r.segments[i].good > 0 {
-			r.kept = i + 1
+		if r.segments[i].validBytes > 0 {
+			r.validSegments = i + 1
 			r.log.nextSegment++
 		}
 		if !complete {
@@ -189,13 +189,13 @@
 }
 
 // replaySegment tells whether all of the segment counts.
-func (r *recovery) replaySegment(found *foundSegment) bool {
+func (r *recovery) replaySegment(found *scannedSegment) bool {
 	reader, ok := newRecordReader(found.data, found.sequence)
 	if !ok {
 		return false
 	}
-	if !r.follows(reader) {
-		r.severed = true
+	if !r.continuesPrevious(reader) {
+		r.gapFound = true
 		return false
 	}
 	for {
@@ -204,26 +204,26 @@
 			break
 		}
 		if !r.apply(found, kind, body) {
-			r.severed = true
+			r.gapFound = true
 			break
 		}
 		reader.accept()
-		found.good = reader.offset
-		found.chain = reader.chain
+		found.validBytes = reader.offset
+		found.lastChecksum = reader.lastChecksum
 	}
-	return found.good == len(found.data)
+	return found.validBytes == len(found.data)
 }
 
-// follows tells whether the segment before ended as it did when this one was started, and nothing is missing in between.
-func (r *recovery) follows(reader *recordReader) bool {
-	if reader.first > r.log.last+1 && r.log.holds(GuardSegmentOrder) {
+// continuesPrevious tells whether the segment before ended as it did when this one was started, and nothing is missing in between.
+func (r *recovery) continuesPrevious(reader *recordReader) bool {
+	if reader.firstIndex > r.log.lastIndex+1 && r.log.enforces(GuardSegmentOrder) {
 		return false
 	}
-	return r.kept == 0 || reader.previous == r.segments[r.kept-1].chain || !r.log.holds(GuardSegmentOrder)
+	return r.validSegments == 0 || reader.previousChecksum == r.segments[r.validSegments-1].lastChecksum || !r.log.enforces(GuardSegmentOrder)
 }
 
 // apply takes one record. It returns false for one that cannot follow those before it.
-func (r *recovery) apply(found *foundSegment, kind recordKind, body []byte) bool {
+func (r *recovery) apply(found *scannedSegment, kind recordKind, body []byte) bool {
 	switch kind {
 	case recordHardState:
 		state, err := decodeHardState(body)
@@ -244,51 +244,51 @@
 }
 
 // applyEntry replaces all entries from the entry's index on by it.
-func (r *recovery) applyEntry(found *foundSegment, entry consensus.Entry) bool {
-	if entry.Index > r.log.last+1 {
+func (r *recovery) applyEntry(found *scannedSegment, entry consensus.Entry) bool {
+	if entry.Index > r.log.lastIndex+1 {
 		return false
 	}
-	found.greatest = max(found.greatest, entry.Index)
+	found.maxIndex = max(found.maxIndex, entry.Index)
 	base := r.stored.Snapshot.Index
 	if entry.Index <= base {
 		r.stored.Entries = nil
-		r.log.last = base
+		r.log.lastIndex = base
 		return true
 	}
 	r.stored.Entries = append(r.stored.Entries[:entry.Index-base-1], entry)
-	r.log.last = entry.Index
+	r.log.lastIndex = entry.Index
 	return true
 }
 
-func (r *recovery) finish() {
-	r.stored.HardState.Commit = min(r.stored.HardState.Commit, r.log.last)
+func (r *recovery) adoptHardState() {
+	r.stored.HardState.Commit = min(r.stored.HardState.Commit, r.log.lastIndex)
 	r.log.hardState = r.stored.HardState
 }
 
 // makeDurable cuts off and removes what does not count and syncs the rest: a process that was
 // killed may have left records that it had not synced. It must succeed before the log is written.
 func (r *recovery) makeDurable() error {
-	if !r.log.holds(GuardRecoverySynced) {
-		return r.openLast()
+	if !r.log.enforces(GuardRecoverySynced) {
+		return r.openActiveSegment()
 	}
-	if err := r.removeDropped(); err != nil {
+	if err := r.removeInvalidSegments(); err != nil {
 		return err
 	}
-	if err := r.openLast(); err != nil {
+	if err := r.openActiveSegment(); err != nil {
 		return err
 	}
 	if err := r.log.fileSystem.SyncDirectory(r.log.directory); err != nil {
 		r.log.Close()
 		return err
 	}
-	r.log.removeFiles()
+	r.log.removeObsoleteFiles()
 	return nil
 }
 
-// removeDropped removes the segments after the cut. Those that come back before the directory is
+// removeInvalidSegments removes the segments after the cut. Those that come back before the directory is
 // synced do not follow the one that was cut, and so never count again.
-func (r *recovery) removeDropped() error {
-	for _, dropped := range r.segments[r.kept:] {
+func (r *recovery) removeInvalidSegments() error {
+	for _, dropped := range r.segments[r.validSegments:] {
 		if err := r.log.fileSystem.Remove(filepath.Join(r.log.directory, dropped.name)); err != nil {
 			return err
 		}
@@ -296,32 +296,32 @@
 	return nil
 }
 
-// openLast opens the last segment that counts for writes, and seals those before it.
-func (r *recovery) openLast() error {
-	if r.kept == 0 {
+// openActiveSegment opens the last segment that counts for writes, and seals those before it.
+func (r *recovery) openActiveSegment() error {
+	if r.validSegments == 0 {
 		return nil
 	}
-	last := r.segments[r.kept-1]
+	last := r.segments[r.validSegments-1]
 	file, err := r.log.fileSystem.OpenAppend(filepath.Join(r.log.directory, last.name))
 	if err != nil {
 		return err
 	}
-	current := &appendFile{segment: last.segment, file: file, good: int64(last.good), chain: last.chain, named: true}
-	if err := r.cutLast(current); err != nil {
+	current := &activeSegment{segment: last.segment, file: file, durableBytes: int64(last.validBytes), lastChecksum: last.lastChecksum, nameSynced: true}
+	if err := r.truncateInvalidTail(current); err != nil {
 		_ = file.Close() // nothing was written
 		return err
 	}
-	for _, sealed := range r.segments[:r.kept-1] {
+	for _, sealed := range r.segments[:r.validSegments-1] {
 		r.log.sealed = append(r.log.sealed, sealed.segment)
 	}
-	r.log.current = current
+	r.log.active = current
 	return nil
 }
 
-// cutLast takes off what does not count in the last segment and makes the rest durable.
-func (r *recovery) cutLast(last *appendFile) error {
-	if !r.log.holds(GuardRecoverySynced) {
+// truncateInvalidTail takes off what does not count in the last segment and makes the rest durable.
+func (r *recovery) truncateInvalidTail(last *activeSegment) error {
+	if !r.log.enforces(GuardRecoverySynced) {
 		return nil
 	}
-	return last.cut()
+	return last.truncate()
 }
--- a/coord/seglog/seglogtest/disk.go
+++ b/coord/seglog/seglogtest/disk.go
@@ -15,113 +15,113 @@
 
 // Errors that the disk gives on demand.
 var (
-	ErrFull    = syscall.ENOSPC
-	ErrRefused = errors.New("seglogtest: the disk refuses")
-	ErrNoPower = errors.New("seglogtest: the machine has lost power")
+	ErrFull      = syscall.ENOSPC
+	ErrInjected  = errors.New("seglogtest: the disk refuses")
+	ErrPowerLost = errors.New("seglogtest: the machine has lost power")
 )
 
 // Unlimited is a number of bytes or operations that is never reached.
 const Unlimited = int64(1<<62 - 1)
 
-// change is one write or one setting of the length that has not been synced.
-type change struct {
+// fileWrite is one write or one setting of the length that has not been synced.
+type fileWrite struct {
 	truncate bool
 	offset   int64 // of the write, or the new length
 	data     []byte
 }
 
-// content is a file's content apart from its names.
-type content struct {
-	data    []byte   // as the processes see it
-	durable []byte   // as of the last sync
-	changes []change // since then
+// inode is a file's content apart from its names.
+type inode struct {
+	data           []byte      // as the processes see it
+	durable        []byte      // as of the last sync
+	unsyncedWrites []fileWrite // since then
 }
 
-// nameChange is one change of a directory that has not been synced.
-type nameChange struct {
-	directory string
-	from      string   // rename: the old path
-	path      string   // the path made, renamed to or removed
-	target    *content // nil: removed
+// directoryChange is one change of a directory that has not been synced.
+type directoryChange struct {
+	directory   string
+	renamedFrom string // rename: the old path
+	path        string // the path made, renamed to or removed
+	target      *inode // nil: removed
 }
 
-// Disk is a file system in memory. Its methods may be called by any goroutine.
-type Disk struct {
-	mutex       sync.Mutex
-	names       map[string]*content
-	durable     map[string]*content
-	changes     []nameChange
-	directories map[string]bool
-	generation  int // files opened before a loss of power are dead
+// MemoryDisk is a file system in memory. Its methods may be called by any goroutine.
+type MemoryDisk struct {
+	mutex           sync.Mutex
+	entries         map[string]*inode
+	durableEntries  map[string]*inode
+	unsyncedChanges []directoryChange
+	directories     map[string]bool
+	generation      int // files opened before a loss of power are dead
 
-	Room       int64 // bytes that writes may still add
-	Operations int64 // changing operations left until the power goes
-	Refuse     bool  // every change fails
-	Full       bool  // every write fails, also one that makes or changes a name; files can be removed
-	FailIn     int64 // this many changing operations from now, one fails; 0: none
-	SyncCount  int   // syncs of files so far
-	OnSync     func()
+	FreeBytes           int64 // bytes that writes may still add
+	RemainingOperations int64 // changing operations left until the power goes
+	FailAll             bool  // every change fails
+	Full                bool  // every write fails, also one that makes or changes a name; files can be removed
+	FailOperation       int64 // this many changing operations from now, one fails; 0: none
+	SyncCount           int   // syncs of files so far
+	OnSync              func()
 }
 
-// NewDisk returns an empty disk without limits.
-func NewDisk() *Disk {
-	return &Disk{
-		names:       map[string]*content{},
-		durable:     map[string]*content{},
-		directories: map[string]bool{},
-		Room:        Unlimited,
-		Operations:  Unlimited,
+// NewMemoryDisk returns an empty disk without limits.
+func NewMemoryDisk() *MemoryDisk {
+	return &MemoryDisk{
+		entries:             map[string]*inode{},
+		durableEntries:      map[string]*inode{},
+		directories:         map[string]bool{},
+		FreeBytes:           Unlimited,
+		RemainingOperations: Unlimited,
 	}
 }
 
 // Clone returns a copy of the disk as it is, without limits.
-func (d *Disk) Clone() *Disk {
+func (d *MemoryDisk) Clone() *MemoryDisk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	clone := NewDisk()
-	copies := map[*content]*content{}
-	copied := func(one *content) *content {
+	clone := NewMemoryDisk()
+	copies := map[*inode]*inode{}
+	copied := func(one *inode) *inode {
 		if one == nil {
 			return nil
 		}
 		if copies[one] == nil {
-			copies[one] = &content{
-				data:    append([]byte(nil), one.data...),
-				durable: append([]byte(nil), one.durable...),
-				changes: append([]change(nil), one.changes...),
+			copies[one] = &inode{
+				data:           append([]byte(nil), one.data...),
+				durable:        append([]byte(nil), one.durable...),
+				unsyncedWrites: append([]fileWrite(nil), one.unsyncedWrites...),
 			}
 		}
 		return copies[one]
 	}
-	for path, one := range d.names {
-		clone.names[path] = copied(one)
+	for path, one := range d.entries {
+		clone.entries[path] = copied(one)
 	}
-	for path, one := range d.durable {
-		clone.durable[path] = copied(one)
+	for path, one := range d.durableEntries {
+		clone.durableEntries[path] = copied(one)
 	}
-	for _, one := range d.changes {
+	for _, one := range d.unsyncedChanges {
 		one.target = copied(one.target)
-		clone.changes = append(clone.changes, one)
+		clone.unsyncedChanges = append(clone.unsyncedChanges, one)
 	}
 	maps.Copy(clone.directories, d.directories)
 	return clone
 }
 
-// operate counts one changing operation.
-func (d *Disk) operate() error {
-	if d.Operations <= 0 {
-		return ErrNoPower
+// countOperation counts one changing operation.
+func (d *MemoryDisk) countOperation() error {
+	if d.RemainingOperations <= 0 {
+		return ErrPowerLost
 	}
-	d.Operations--
-	if d.Refuse || d.failsNow() {
-		return ErrRefused
+	d.RemainingOperations--
+	if d.FailAll || d.injectedFailureDue() {
+		return ErrInjected
 	}
 	return nil
 }
 
-// write counts one changing operation that takes room.
-func (d *Disk) write() error {
-	if err := d.operate(); err != nil {
+// countAllocation counts one changing operation that takes room.
+func (d *MemoryDisk) countAllocation() error {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	if d.Full {
@@ -130,34 +130,34 @@
 	return nil
 }
 
-// Used returns the bytes of all files.
-func (d *Disk) Used() int64 {
+// UsedBytes returns the bytes of all files.
+func (d *MemoryDisk) UsedBytes() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	total := int64(0)
-	for _, one := range d.names {
+	for _, one := range d.entries {
 		total += int64(len(one.data))
 	}
 	return total
 }
 
-// failsNow counts down to the one operation that fails.
-func (d *Disk) failsNow() bool {
-	if d.FailIn == 0 {
+// injectedFailureDue counts down to the one operation that fails.
+func (d *MemoryDisk) injectedFailureDue() bool {
+	if d.FailOperation == 0 {
 		return false
 	}
-	d.FailIn--
-	return d.FailIn == 0
+	d.FailOperation--
+	return d.FailOperation == 0
 }
 
 // MakeDirectory makes a directory, durably.
-func (d *Disk) MakeDirectory(directory string) error {
+func (d *MemoryDisk) MakeDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.directories[directory] {
 		return nil
 	}
-	if err := d.write(); err != nil {
+	if err := d.countAllocation(); err != nil {
 		return err
 	}
 	d.directories[directory] = true
@@ -165,41 +165,41 @@
 }
 
 // Create makes an empty file or empties the existing one.
-func (d *Disk) Create(path string) (seglog.File, error) {
+func (d *MemoryDisk) Create(path string) (seglog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if err := d.write(); err != nil {
+	if err := d.countAllocation(); err != nil {
 		return nil, err
 	}
-	if existing := d.names[path]; existing != nil {
+	if existing := d.entries[path]; existing != nil {
 		existing.truncate(0)
-		return &file{disk: d, content: existing, generation: d.generation}, nil
+		return &file{disk: d, inode: existing, generation: d.generation}, nil
 	}
-	if d.Room <= 0 {
+	if d.FreeBytes <= 0 {
 		return nil, ErrFull
 	}
-	made := &content{}
-	d.names[path] = made
-	d.changes = append(d.changes, nameChange{directory: filepath.Dir(path), path: path, target: made})
-	return &file{disk: d, content: made, generation: d.generation}, nil
+	made := &inode{}
+	d.entries[path] = made
+	d.unsyncedChanges = append(d.unsyncedChanges, directoryChange{directory: filepath.Dir(path), path: path, target: made})
+	return &file{disk: d, inode: made, generation: d.generation}, nil
 }
 
 // OpenAppend opens an existing file.
-func (d *Disk) OpenAppend(path string) (seglog.File, error) {
+func (d *MemoryDisk) OpenAppend(path string) (seglog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	existing := d.names[path]
+	existing := d.entries[path]
 	if existing == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &file{disk: d, content: existing, generation: d.generation}, nil
+	return &file{disk: d, inode: existing, generation: d.generation}, nil
 }
 
 // ReadFile returns a copy of a file's content.
-func (d *Disk) ReadFile(path string) ([]byte, error) {
+func (d *MemoryDisk) ReadFile(path string) ([]byte, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	existing := d.names[path]
+	existing := d.entries[path]
 	if existing == nil {
 		return nil, fs.ErrNotExist
 	}
@@ -207,43 +207,43 @@
 }
 
 // Rename gives a file another name.
-func (d *Disk) Rename(from, to string) error {
+func (d *MemoryDisk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if err := d.write(); err != nil {
+	if err := d.countAllocation(); err != nil {
 		return err
 	}
-	moved := d.names[from]
+	moved := d.entries[from]
 	if moved == nil {
 		return fs.ErrNotExist
 	}
-	delete(d.names, from)
-	d.names[to] = moved
-	d.changes = append(d.changes, nameChange{directory: filepath.Dir(to), from: from, path: to, target: moved})
+	delete(d.entries, from)
+	d.entries[to] = moved
+	d.unsyncedChanges = append(d.unsyncedChanges, directoryChange{directory: filepath.Dir(to), renamedFrom: from, path: to, target: moved})
 	return nil
 }
 
 // Remove takes a name away.
-func (d *Disk) Remove(path string) error {
+func (d *MemoryDisk) Remove(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if err := d.operate(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	if d.names[path] == nil {
+	if d.entries[path] == nil {
 		return fs.ErrNotExist
 	}
-	delete(d.names, path)
-	d.changes = append(d.changes, nameChange{directory: filepath.Dir(path), path: path})
+	delete(d.entries, path)
+	d.unsyncedChanges = append(d.unsyncedChanges, directoryChange{directory: filepath.Dir(path), path: path})
 	return nil
 }
 
 // List returns the files of a directory.
-func (d *Disk) List(directory string) ([]seglog.FileInfo, error) {
+func (d *MemoryDisk) List(directory string) ([]seglog.FileInfo, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var files []seglog.FileInfo
-	for path, one := range d.names {
+	for path, one := range d.entries {
 		if filepath.Dir(path) == directory {
 			files = append(files, seglog.FileInfo{Name: filepath.Base(path), Size: int64(len(one.data))})
 		}
@@ -252,36 +252,36 @@
 }
 
 // SyncDirectory makes the names of a directory durable.
-func (d *Disk) SyncDirectory(directory string) error {
+func (d *MemoryDisk) SyncDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if err := d.operate(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	var left []nameChange
-	for _, one := range d.changes {
+	var unsynced []directoryChange
+	for _, one := range d.unsyncedChanges {
 		if one.directory == directory {
-			one.apply(d.durable)
+			one.apply(d.durableEntries)
 		} else {
-			left = append(left, one)
+			unsynced = append(unsynced, one)
 		}
 	}
-	d.changes = left
+	d.unsyncedChanges = unsynced
 	return nil
 }
 
 // WriteFile puts a file there as if it had been written and synced long ago.
-func (d *Disk) WriteFile(path string, data []byte) {
+func (d *MemoryDisk) WriteFile(path string, data []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	made := &content{data: append([]byte(nil), data...), durable: append([]byte(nil), data...)}
-	d.names[path] = made
-	d.durable[path] = made
+	made := &inode{data: append([]byte(nil), data...), durable: append([]byte(nil), data...)}
+	d.entries[path] = made
+	d.durableEntries[path] = made
 }
 
-func (c nameChange) apply(names map[string]*content) {
-	if c.from != "" {
-		delete(names, c.from)
+func (c directoryChange) apply(names map[string]*inode) {
+	if c.renamedFrom != "" {
+		delete(names, c.renamedFrom)
 	}
 	if c.target == nil {
 		delete(names, c.path)
@@ -290,8 +290,8 @@
 	names[c.path] = c.target
 }
 
-// OnlyFile returns the path of the one file of a directory, or "" if there is not exactly one.
-func OnlyFile(disk *Disk, directory string) string {
+// SingleFile returns the path of the one file of a directory, or "" if there is not exactly one.
+func SingleFile(disk *MemoryDisk, directory string) string {
 	files, err := disk.List(directory)
 	if err != nil || len(files) != 1 {
 		return ""
--- a/coord/seglog/seglogtest/file.go
+++ b/coord/seglog/seglogtest/file.go
@@ -4,35 +4,35 @@
 
 // file is an open file. Writes go to its end.
 type file struct {
-	disk       *Disk
-	content    *content
+	disk       *MemoryDisk
+	inode      *inode
 	generation int
 	closed     bool
 }
 
-func (f *file) begin() error {
+func (f *file) countOperation() error {
 	if f.generation != f.disk.generation {
-		return ErrNoPower
+		return ErrPowerLost
 	}
-	return f.disk.operate()
+	return f.disk.countOperation()
 }
 
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	if f.generation != f.disk.generation {
-		return 0, ErrNoPower
+		return 0, ErrPowerLost
 	}
-	if err := f.begin(); err != nil {
-		f.content.write(append([]byte(nil), data[:len(data)/2]...))
+	if err := f.countOperation(); err != nil {
+		f.inode.write(append([]byte(nil), data[:len(data)/2]...))
 		return len(data) / 2, err
 	}
 	if f.disk.Full {
 		return 0, ErrFull
 	}
-	fits := min(int64(len(data)), max(f.disk.Room, 0))
-	f.disk.Room -= fits
-	f.content.write(append([]byte(nil), data[:fits]...))
+	fits := min(int64(len(data)), max(f.disk.FreeBytes, 0))
+	f.disk.FreeBytes -= fits
+	f.inode.write(append([]byte(nil), data[:fits]...))
 	if fits < int64(len(data)) {
 		return int(fits), ErrFull
 	}
@@ -42,10 +42,10 @@
 func (f *file) Truncate(size int64) error {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	if err := f.begin(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
-	f.content.truncate(size)
+	f.inode.truncate(size)
 	return nil
 }
 
@@ -55,12 +55,12 @@
 	}
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	if err := f.begin(); err != nil {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	f.disk.SyncCount++
-	f.content.durable = append([]byte(nil), f.content.data...)
-	f.content.changes = nil
+	f.inode.durable = append([]byte(nil), f.inode.data...)
+	f.inode.unsyncedWrites = nil
 	return nil
 }
 
@@ -69,16 +69,16 @@
 	return nil
 }
 
-func (c *content) write(data []byte) {
-	c.changes = append(c.changes, change{offset: int64(len(c.data)), data: data})
+func (c *inode) write(data []byte) {
+	c.unsyncedWrites = append(c.unsyncedWrites, fileWrite{offset: int64(len(c.data)), data: data})
 	c.data = append(c.data, data...)
 }
 
-func (c *content) truncate(size int64) {
+func (c *inode) truncate(size int64) {
 	if size == int64(len(c.data)) {
 		return
 	}
-	c.changes = append(c.changes, change{truncate: true, offset: size})
+	c.unsyncedWrites = append(c.unsyncedWrites, fileWrite{truncate: true, offset: size})
 	c.data = resized(c.data, size)
 }
 
@@ -89,7 +89,7 @@
 	return append(append([]byte(nil), data...), make([]byte, size-int64(len(data)))...)
 }
 
-func (c change) apply(data []byte) []byte {
+func (c fileWrite) apply(data []byte) []byte {
 	if c.truncate {
 		return resized(data, c.offset)
 	}
@@ -102,71 +102,71 @@
 
 // Chances of a loss of power, in tenths.
 const (
-	chanceAllLost = 2 // nothing that was not synced is there
-	chanceKept    = 4 // of each change by itself
-	chanceTorn    = 3 // a part of a write, from its start or with a hole
-	tenths        = 10
+	chanceAllLost   = 2 // nothing that was not synced is there
+	chancePersisted = 4 // of each change by itself
+	chanceTorn      = 3 // a part of a write, from its start or with a hole
+	tenths          = 10
 )
 
 // LosePower leaves what was synced and, of each later change by itself, all, a part or nothing.
 // The limits are lifted; open files are dead.
-func (d *Disk) LosePower(random *rand.Rand) {
+func (d *MemoryDisk) LosePower(random *rand.Rand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	allLost := random.IntN(tenths) < chanceAllLost
-	for _, one := range d.changes {
+	for _, one := range d.unsyncedChanges {
 		if !allLost && random.IntN(2) == 0 {
-			one.apply(d.durable)
+			one.apply(d.durableEntries)
 		}
 	}
-	d.names = map[string]*content{}
-	for path, one := range d.durable {
+	d.entries = map[string]*inode{}
+	for path, one := range d.durableEntries {
 		one.losePower(random, allLost)
-		d.names[path] = one
+		d.entries[path] = one
 	}
-	d.changes = nil
-	d.restart()
+	d.unsyncedChanges = nil
+	d.reboot()
 }
 
 // Restart leaves everything as the process left it; open files are dead.
-func (d *Disk) Restart() {
+func (d *MemoryDisk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.restart()
+	d.reboot()
 }
 
-func (d *Disk) restart() {
+func (d *MemoryDisk) reboot() {
 	d.generation++
-	d.Room, d.Operations = Unlimited, Unlimited
-	d.Refuse, d.Full, d.FailIn = false, false, 0
+	d.FreeBytes, d.RemainingOperations = Unlimited, Unlimited
+	d.FailAll, d.Full, d.FailOperation = false, false, 0
 }
 
-func (c *content) losePower(random *rand.Rand, allLost bool) {
+func (c *inode) losePower(random *rand.Rand, allLost bool) {
 	data := append([]byte(nil), c.durable...)
-	for _, one := range c.changes {
+	for _, one := range c.unsyncedWrites {
 		if !allLost {
-			data = one.survive(data, random)
+			data = one.applyRandomPart(data, random)
 		}
 	}
 	c.data = data
 	c.durable = append([]byte(nil), data...)
-	c.changes = nil
+	c.unsyncedWrites = nil
 }
 
-// survive applies the change, a part of it, or nothing.
-func (c change) survive(data []byte, random *rand.Rand) []byte {
+// applyRandomPart applies the change, a part of it, or nothing.
+func (c fileWrite) applyRandomPart(data []byte, random *rand.Rand) []byte {
 	draw := random.IntN(tenths)
-	if draw < chanceKept {
+	if draw < chancePersisted {
 		return c.apply(data)
 	}
-	if draw >= chanceKept+chanceTorn || c.truncate || len(c.data) == 0 {
+	if draw >= chancePersisted+chanceTorn || c.truncate || len(c.data) == 0 {
 		return data
 	}
 	cut := random.IntN(len(c.data))
 	if random.IntN(2) == 0 {
-		return change{offset: c.offset, data: c.data[:cut]}.apply(data)
+		return fileWrite{offset: c.offset, data: c.data[:cut]}.apply(data)
 	}
-	return change{offset: c.offset + int64(cut), data: c.data[cut:]}.apply(data)
+	return fileWrite{offset: c.offset + int64(cut), data: c.data[cut:]}.apply(data)
 }
 
 // NewRandom returns the draws of a seed, the same ones each time.
--- a/coord/seglog/seglogtest/power_loss.go
+++ b/coord/seglog/seglogtest/power_loss.go
@@ -6,89 +6,89 @@
 type contentOutcome int
 
 const (
-	contentLost contentOutcome = iota // nothing
-	contentKept                       // all
-	contentTorn                       // all but the second half of the last write to each file
-	contentOutcomes
+	contentLost      contentOutcome = iota // nothing
+	contentPersisted                       // all
+	contentTorn                            // all but the second half of the last write to each file
+	contentOutcomeCount
 )
 
-// nameOutcome is what a loss of power leaves of one change of a directory that was not synced.
-type nameOutcome int
+// directoryOutcome is what a loss of power leaves of one change of a directory that was not synced.
+type directoryOutcome int
 
 const (
-	nameLost nameOutcome = iota
-	nameKept
-	nameBoth // of a rename: the new name is there and the old one as well
+	nameLost directoryOutcome = iota
+	namePersisted
+	nameDuplicated // of a rename: the new name is there and the old one as well
 )
 
 // outcomes returns what may become of a change of a directory.
-func (c nameChange) outcomes() []nameOutcome {
-	if c.from != "" {
-		return []nameOutcome{nameLost, nameKept, nameBoth}
+func (c directoryChange) outcomes() []directoryOutcome {
+	if c.renamedFrom != "" {
+		return []directoryOutcome{nameLost, namePersisted, nameDuplicated}
 	}
-	return []nameOutcome{nameLost, nameKept}
+	return []directoryOutcome{nameLost, namePersisted}
 }
 
-// EachPowerLoss calls visit with a copy of the disk for each way in which a loss of power at this moment may leave it,
+// ForEachPowerLoss calls visit with a copy of the disk for each way in which a loss of power at this moment may leave it,
 // until one call fails: each name that was made, changed or removed since its directory was synced is kept or lost by
 // itself, and the content that was not synced is lost, kept or torn. The copies have no limits.
-func (d *Disk) EachPowerLoss(visit func(lost *Disk) error) error {
-	for content := range contentOutcomes {
-		if err := d.eachNames(nil, content, visit); err != nil {
+func (d *MemoryDisk) ForEachPowerLoss(visit func(lost *MemoryDisk) error) error {
+	for content := range contentOutcomeCount {
+		if err := d.forEachDirectoryOutcome(nil, content, visit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// eachNames visits all outcomes that begin with those chosen.
-func (d *Disk) eachNames(chosen []nameOutcome, content contentOutcome, visit func(lost *Disk) error) error {
-	if len(chosen) == len(d.changes) {
+// forEachDirectoryOutcome visits all outcomes that begin with those chosen.
+func (d *MemoryDisk) forEachDirectoryOutcome(chosen []directoryOutcome, content contentOutcome, visit func(lost *MemoryDisk) error) error {
+	if len(chosen) == len(d.unsyncedChanges) {
 		lost := d.Clone()
-		lost.losePowerBy(chosen, content)
+		lost.applyPowerLoss(chosen, content)
 		return visit(lost)
 	}
-	for _, outcome := range d.changes[len(chosen)].outcomes() {
-		if err := d.eachNames(append(slices.Clone(chosen), outcome), content, visit); err != nil {
+	for _, outcome := range d.unsyncedChanges[len(chosen)].outcomes() {
+		if err := d.forEachDirectoryOutcome(append(slices.Clone(chosen), outcome), content, visit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// losePowerBy leaves of each change of a directory what is chosen for it, and of each file's content one outcome.
-func (d *Disk) losePowerBy(chosen []nameOutcome, unsynced contentOutcome) {
-	for at, change := range d.changes {
+// applyPowerLoss leaves of each change of a directory what is chosen for it, and of each file's content one outcome.
+func (d *MemoryDisk) applyPowerLoss(chosen []directoryOutcome, unsynced contentOutcome) {
+	for at, change := range d.unsyncedChanges {
 		switch chosen[at] {
-		case nameBoth:
-			change.from = ""
-			change.apply(d.durable)
-		case nameKept:
-			change.apply(d.durable)
+		case nameDuplicated:
+			change.renamedFrom = ""
+			change.apply(d.durableEntries)
+		case namePersisted:
+			change.apply(d.durableEntries)
 		}
 	}
-	d.names = map[string]*content{}
-	for path, one := range d.durable {
-		one.settle(unsynced)
-		d.names[path] = one
+	d.entries = map[string]*inode{}
+	for path, one := range d.durableEntries {
+		one.applyOutcome(unsynced)
+		d.entries[path] = one
 	}
-	d.changes = nil
-	d.restart()
+	d.unsyncedChanges = nil
+	d.reboot()
 }
 
-// settle makes durable what is left of the content.
-func (c *content) settle(outcome contentOutcome) {
+// applyOutcome makes durable what is left of the content.
+func (c *inode) applyOutcome(outcome contentOutcome) {
 	data := append([]byte(nil), c.durable...)
-	for at, one := range c.changes {
+	for at, one := range c.unsyncedWrites {
 		if outcome == contentLost {
 			break
 		}
-		if outcome == contentTorn && at == len(c.changes)-1 {
+		if outcome == contentTorn && at == len(c.unsyncedWrites)-1 {
 			one.data = one.data[:len(one.data)/2]
 		}
 		data = one.apply(data)
 	}
 	c.data = data
 	c.durable = append([]byte(nil), data...)
-	c.changes = nil
+	c.unsyncedWrites = nil
 }
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -18,18 +18,18 @@
 	sequence uint64
 	name     string
 	size     int64  // bytes
-	greatest uint64 // greatest index of its entries, replaced ones too; 0: none
+	maxIndex uint64 // greatest index of its entries, replaced ones too; 0: none
 }
 
-// appendFile is the segment that is written to.
-type appendFile struct {
+// activeSegment is the segment that is written to.
+type activeSegment struct {
 	segment
-	file     File
-	previous uint32 // check value of the last record of the segment before this one; 0: none
-	good     int64  // bytes that are durable
-	chain    uint32 // check value of the last durable record
-	named    bool   // its directory entry is durable
-	dirty    bool   // there may be something after good
+	file             File
+	previousChecksum uint32 // check value of the last record of the segment before this one; 0: none
+	durableBytes     int64  // bytes that are durable
+	lastChecksum     uint32 // check value of the last durable record
+	nameSynced       bool   // its directory entry is durable
+	dirty            bool   // there may be something after good
 }
 
 func segmentName(sequence uint64) string { return fmt.Sprintf(segmentFormat, sequence) }
@@ -45,23 +45,23 @@
 	return sequence, segmentName(sequence) == name
 }
 
-// prepare makes the current segment fit for a write: what a failed write left is cut off, and a
+// prepareActiveSegment makes the current segment fit for a write: what a failed write left is cut off, and a
 // new segment is started if there is none or if it is full.
-func (l *Log) prepare() error {
-	if l.current != nil && l.current.dirty && l.holds(GuardFailedWriteCut) {
-		if err := l.current.cut(); err != nil {
+func (l *Log) prepareActiveSegment() error {
+	if l.active != nil && l.active.dirty && l.enforces(GuardFailedWriteTruncated) {
+		if err := l.active.truncate(); err != nil {
 			return err
 		}
 	}
-	if l.current == nil || l.current.good >= l.segmentBytes {
+	if l.active == nil || l.active.durableBytes >= l.segmentBytes {
 		return l.startSegment()
 	}
 	return nil
 }
 
-// cut takes off what may stand after the durable records.
-func (a *appendFile) cut() error {
-	if err := a.file.Truncate(a.good); err != nil {
+// truncate takes off what may stand after the durable records.
+func (a *activeSegment) truncate() error {
+	if err := a.file.Truncate(a.durableBytes); err != nil {
 		return err
 	}
 	if err := a.file.Sync(); err != nil {
@@ -82,32 +82,32 @@
 		return err
 	}
 	l.nextSegment++
-	previous := l.seal()
-	l.current = &appendFile{segment: segment{sequence: sequence, name: name}, file: file, previous: previous}
+	previous := l.sealActiveSegment()
+	l.active = &activeSegment{segment: segment{sequence: sequence, name: name}, file: file, previousChecksum: previous}
 	return nil
 }
 
-// seal closes the current segment, all of which is durable, and returns its last check value.
-func (l *Log) seal() uint32 {
-	if l.current == nil {
+// sealActiveSegment closes the current segment, all of which is durable, and returns its last check value.
+func (l *Log) sealActiveSegment() uint32 {
+	if l.active == nil {
 		return 0
 	}
-	_ = l.current.file.Close() // synced before
-	sealed := l.current.segment
-	sealed.size = l.current.good
+	_ = l.active.file.Close() // synced before
+	sealed := l.active.segment
+	sealed.size = l.active.durableBytes
 	l.sealed = append(l.sealed, sealed)
-	chain := l.current.chain
-	l.current = nil
-	return chain
+	sum := l.active.lastChecksum
+	l.active = nil
+	return sum
 }
 
 // appendBatch writes the records of the batch to the current segment and syncs it.
 func (l *Log) appendBatch(batch []*consensus.PersistRequest) error {
-	writer := recordWriter{chain: l.current.chain}
-	if l.current.good == 0 {
-		writer.header(l.current.sequence, l.last+1, l.current.previous)
+	writer := recordWriter{lastChecksum: l.active.lastChecksum}
+	if l.active.durableBytes == 0 {
+		writer.writeHeader(l.active.sequence, l.lastIndex+1, l.active.previousChecksum)
 	}
-	state := batchState{hardState: l.hardState, last: l.last, greatest: l.current.greatest}
+	state := batchState{hardState: l.hardState, lastIndex: l.lastIndex, maxIndex: l.active.maxIndex}
 	for _, persist := range batch {
 		state.add(&writer, persist)
 	}
@@ -117,36 +117,36 @@
 	if err := l.writeDurably(writer.data); err != nil {
 		return err
 	}
-	l.current.good += int64(len(writer.data))
-	l.current.chain = writer.chain
-	l.current.greatest = state.greatest
+	l.active.durableBytes += int64(len(writer.data))
+	l.active.lastChecksum = writer.lastChecksum
+	l.active.maxIndex = state.maxIndex
 	l.hardState = state.hardState
-	l.last = state.last
+	l.lastIndex = state.lastIndex
 	return nil
 }
 
 // batchState follows what the records of a batch change.
 type batchState struct {
 	hardState consensus.HardState
-	last      uint64
-	greatest  uint64
+	lastIndex uint64
+	maxIndex  uint64
 }
 
 func (s *batchState) add(writer *recordWriter, persist *consensus.PersistRequest) {
 	for i := range persist.Entries {
-		writer.entry(&persist.Entries[i])
-		s.last = persist.Entries[i].Index
-		s.greatest = max(s.greatest, s.last)
+		writer.writeEntry(&persist.Entries[i])
+		s.lastIndex = persist.Entries[i].Index
+		s.maxIndex = max(s.maxIndex, s.lastIndex)
 	}
 	if persist.HardState != nil {
-		writer.hardState(*persist.HardState)
+		writer.writeHardState(*persist.HardState)
 		s.hardState = *persist.HardState
 	}
 }
 
 // writeDurably appends data to the current segment, and its name to the directory if it is new.
 func (l *Log) writeDurably(data []byte) error {
-	current := l.current
+	current := l.active
 	current.dirty = true
 	if _, err := current.file.Write(data); err != nil {
 		return err
@@ -154,11 +154,11 @@
 	if err := current.file.Sync(); err != nil {
 		return err
 	}
-	if !current.named && l.holds(GuardNameSynced) {
+	if !current.nameSynced && l.enforces(GuardSegmentNameSynced) {
 		if err := l.fileSystem.SyncDirectory(l.directory); err != nil {
 			return err
 		}
-		current.named = true
+		current.nameSynced = true
 	}
 	current.dirty = false
 	return nil
