--- a/coord/seglog/snapshot.go
+++ b/coord/seglog/snapshot.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	snapshotSuffix    = ".snapshot"
-	snapshotFormat    = "%020d" + snapshotSuffix // index
-	snapshotTemporary = "snapshot.temporary"
+	snapshotSuffix        = ".snapshot"
+	snapshotFormat        = "%020d" + snapshotSuffix // index
+	snapshotTemporaryName = "snapshot.temporary"
 )
 
 // snapshotFile describes the stored snapshot.
@@ -25,14 +25,14 @@
 	size  int64 // bytes
 }
 
-// storedSnapshot is a snapshot as read back.
-type storedSnapshot struct {
+// recoveredSnapshot is a snapshot as read back.
+type recoveredSnapshot struct {
 	consensus.Snapshot
 	hardState    consensus.HardState
 	firstSegment uint64 // segments with lower numbers are void
 }
 
-func isMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
 func snapshotName(index uint64) string { return fmt.Sprintf(snapshotFormat, index) }
 
@@ -53,13 +53,13 @@
 		return err
 	}
 	name := snapshotName(snapshot.Index)
-	l.removable = slices.DeleteFunc(l.removable, func(one string) bool { return one == name })
+	l.obsoleteFiles = slices.DeleteFunc(l.obsoleteFiles, func(one string) bool { return one == name })
 	if err := l.storeSnapshot(name, data); err != nil {
-		l.discard(name)
+		l.discardSnapshot(name)
 		return err
 	}
 	if l.snapshot.name != "" && l.snapshot.name != name {
-		l.removable = append(l.removable, l.snapshot.name)
+		l.obsoleteFiles = append(l.obsoleteFiles, l.snapshot.name)
 	}
 	l.snapshot = snapshotFile{name: name, index: snapshot.Index, size: int64(len(data))}
 	return nil
@@ -68,25 +68,25 @@
 // storeSnapshot writes the snapshot's file.
 func (l *Log) storeSnapshot(name string, data []byte) error {
 	switch {
-	case !l.holds(GuardSnapshotWhole):
+	case !l.enforces(GuardSnapshotRenamedWhenComplete):
 		if err := writeAndSync(l.fileSystem, filepath.Join(l.directory, name), data); err != nil {
 			return err
 		}
 		return l.fileSystem.SyncDirectory(l.directory)
-	case !l.holds(GuardSnapshotNamed):
-		path := filepath.Join(l.directory, snapshotTemporary)
+	case !l.enforces(GuardSnapshotNameSynced):
+		path := filepath.Join(l.directory, snapshotTemporaryName)
 		if err := writeAndSync(l.fileSystem, path, data); err != nil {
 			return err
 		}
 		return l.fileSystem.Rename(path, filepath.Join(l.directory, name))
 	}
-	return writeFileDurably(l.fileSystem, l.directory, snapshotTemporary, name, data)
+	return writeFileDurably(l.fileSystem, l.directory, snapshotTemporaryName, name, data)
 }
 
-// discard marks a snapshot that may have got its name, but not durably, for removal.
-func (l *Log) discard(name string) {
+// discardSnapshot marks a snapshot that may have got its name, but not durably, for removal.
+func (l *Log) discardSnapshot(name string) {
 	if name != l.snapshot.name {
-		l.removable = append(l.removable, name)
+		l.obsoleteFiles = append(l.obsoleteFiles, name)
 	}
 }
 
@@ -119,60 +119,60 @@
 }
 
 func encodeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) ([]byte, error) {
-	body, err := codec().Marshal(snapshotSchema(), wireSnapshot{
+	body, err := codec().Marshal(snapshotSchema(), storedSnapshotRecord{
 		Index:        int64(snapshot.Index),
 		Term:         int64(snapshot.Term),
-		Members:      membersToWire(snapshot.Members),
+		Members:      encodeMembers(snapshot.Members),
 		Data:         snapshot.Data,
-		HardState:    hardStateToWire(hardState),
+		HardState:    toStoredHardState(hardState),
 		FirstSegment: int64(firstSegment),
 	})
 	if err != nil {
 		return nil, err
 	}
-	if len(snapshot.Data) >= maxRecord {
-		return nil, errTooLong
+	if len(snapshot.Data) >= maxRecordBytes {
+		return nil, errRecordTooLong
 	}
-	data := make([]byte, 0, snapshotStart+len(body))
+	data := make([]byte, 0, snapshotHeaderBytes+len(body))
 	data = appendPreamble(data, snapshotMagic)
 	data = binary.LittleEndian.AppendUint64(data, uint64(len(body)))
-	data = binary.LittleEndian.AppendUint32(data, snapshotCheck(data, body))
+	data = binary.LittleEndian.AppendUint32(data, snapshotChecksum(data, body))
 	return append(data, body...), nil
 }
 
-// snapshotCheck computes the check value of the length in the header and of the body.
-func snapshotCheck(header, body []byte) uint32 {
+// snapshotChecksum computes the check value of the length in the header and of the body.
+func snapshotChecksum(header, body []byte) uint32 {
 	return checksum(checksum(0, header[preambleBytes:preambleBytes+8]), body)
 }
 
 // decodeSnapshot reads a snapshot file: ErrFormat or ErrDamaged where it cannot.
-func decodeSnapshot(name string, data []byte) (storedSnapshot, error) {
+func decodeSnapshot(name string, data []byte) (recoveredSnapshot, error) {
 	ok, err := checkPreamble(name, data, snapshotMagic)
 	if err != nil {
-		return storedSnapshot{}, err
+		return recoveredSnapshot{}, err
 	}
-	damaged := fmt.Errorf("%w: %s", ErrDamaged, name)
-	if !ok || len(data) < snapshotStart {
-		return storedSnapshot{}, damaged
+	damaged := fmt.Errorf("%w: %s", ErrCorrupt, name)
+	if !ok || len(data) < snapshotHeaderBytes {
+		return recoveredSnapshot{}, damaged
 	}
-	body := data[snapshotStart:]
+	body := data[snapshotHeaderBytes:]
 	length := binary.LittleEndian.Uint64(data[preambleBytes:])
-	check := binary.LittleEndian.Uint32(data[snapshotStart-4:])
-	if length != uint64(len(body)) || check != snapshotCheck(data, body) {
-		return storedSnapshot{}, damaged
+	check := binary.LittleEndian.Uint32(data[snapshotHeaderBytes-4:])
+	if length != uint64(len(body)) || check != snapshotChecksum(data, body) {
+		return recoveredSnapshot{}, damaged
 	}
-	var wire wireSnapshot
-	if err := codec().Unmarshal(snapshotSchema(), body, &wire); err != nil {
-		return storedSnapshot{}, damaged
+	var stored storedSnapshotRecord
+	if err := codec().Unmarshal(snapshotSchema(), body, &stored); err != nil {
+		return recoveredSnapshot{}, damaged
 	}
-	return storedSnapshot{
+	return recoveredSnapshot{
 		Snapshot: consensus.Snapshot{
-			Index:   uint64(wire.Index),
-			Term:    uint64(wire.Term),
-			Members: membersFromWire(wire.Members),
-			Data:    wire.Data,
+			Index:   uint64(stored.Index),
+			Term:    uint64(stored.Term),
+			Members: decodeMembers(stored.Members),
+			Data:    stored.Data,
 		},
-		hardState:    hardStateFromWire(wire.HardState),
-		firstSegment: uint64(wire.FirstSegment),
+		hardState:    fromStoredHardState(stored.HardState),
+		firstSegment: uint64(stored.FirstSegment),
 	}, nil
 }
--- a/internal/controlplane/configuration/cluster_test.go
+++ b/internal/controlplane/configuration/cluster_test.go
@@ -8,42 +8,42 @@
 	"slices"
 )
 
-// lapse names a fault of the keepers around the store, for runs that show that it is noticed.
-type lapse string
+// injectedDefect names a fault of the keepers around the store, for runs that show that it is noticed.
+type injectedDefect string
 
 // The lapses that a cluster may have.
 const (
-	refusesWhatsLost lapse = "refuses-whats-lost" // a proposal that its leader lost is refused with 412
-	answersTooSoon   lapse = "answers-too-soon"   // an entry is answered when it is proposed, not when it is committed
+	rejectsLostProposals injectedDefect = "refuses-whats-lost" // a proposal that its leader lost is refused with 412
+	answersBeforeCommit  injectedDefect = "answers-too-soon"   // an entry is answered when it is proposed, not when it is committed
 )
 
 // clusterOptions shape a drawn cluster.
 type clusterOptions struct {
 	replicas, operators int
-	openOrders          int  // most that one operator has under way
-	kept                int  // changes that stores remember
-	refuseEarly         bool // any keeper refuses by what it has applied, however old that is
-	omit                []Rule
-	lapse               lapse
+	openCommands        int  // most that one operator has under way
+	maxAccepted         int  // changes that stores remember
+	rejectEarly         bool // any keeper refuses by what it has applied, however old that is
+	omitRules           []Rule
+	defect              injectedDefect
 }
 
-// nobody stands for a proposer that has answered already.
-const nobody = -1
+// noProposer stands for a proposer that has answered already.
+const noProposer = -1
 
 // proposal is an entry with the replica that answers for it.
 type proposal struct {
-	command  Command
-	proposer int
-	life     int // of the proposer: one that has restarted answers nobody
+	command     Command
+	proposer    int
+	incarnation int // of the proposer: one that has restarted answers nobody
 }
 
 // replicaModel is one keeper's store with its disk.
 type replicaModel struct {
-	store   *Store
-	applied int // entries of the log
-	life    int
-	saved   []byte // snapshot on disk
-	savedAt int
+	store         *Store
+	applied       int // entries of the log
+	incarnation   int
+	savedSnapshot []byte // snapshot on disk
+	savedAt       int
 }
 
 // operatorModel sends orders and sends them again.
@@ -55,23 +55,23 @@
 
 // cluster is a log with the stores that follow it and the operators that fill it, all in one thread.
 type cluster struct {
-	options   clusterOptions
-	random    *rand.Rand
-	log       []proposal // committed
-	outcomes  []Outcome  // of the log's entries, as the first store decided
-	tail      []proposal // in the leader's log alone
-	leader    int
-	replicas  []*replicaModel
-	operators []*operatorModel
-	onTheWay  []Command // copies that have not arrived
-	history   *judge
-	counts    map[Code]int
+	options     clusterOptions
+	random      *rand.Rand
+	log         []proposal // committed
+	outcomes    []Outcome  // of the log's entries, as the first store decided
+	uncommitted []proposal // in the leader's log alone
+	leader      int
+	replicas    []*replicaModel
+	operators   []*operatorModel
+	inFlight    []Command // copies that have not arrived
+	history     *historyChecker
+	counts      map[Code]int
 }
 
 func newCluster(options clusterOptions, seed uint64) *cluster {
 	c := &cluster{
 		options: options, random: rand.New(rand.NewPCG(seed, 42)),
-		history: newJudge(), counts: map[Code]int{},
+		history: newHistoryChecker(), counts: map[Code]int{},
 	}
 	for range options.replicas {
 		c.replicas = append(c.replicas, &replicaModel{store: c.newStore()})
@@ -83,8 +83,8 @@
 }
 
 func (c *cluster) newStore() *Store {
-	store := NewStore(c.options.omit...)
-	store.kept = c.options.kept
+	store := NewStore(c.options.omitRules...)
+	store.maxAccepted = c.options.maxAccepted
 	return store
 }
 
@@ -92,36 +92,36 @@
 func (c *cluster) step() error {
 	switch c.random.IntN(20) {
 	case 0, 1, 2:
-		return c.order(c.operators[c.random.IntN(len(c.operators))])
+		return c.createCommand(c.operators[c.random.IntN(len(c.operators))])
 	case 3, 4, 5, 6:
 		return c.send(c.operators[c.random.IntN(len(c.operators))])
 	case 7, 8, 9:
-		return c.arrive()
+		return c.deliver()
 	case 10, 11:
-		return c.commit(c.random.IntN(len(c.tail) + 1))
+		return c.commit(c.random.IntN(len(c.uncommitted) + 1))
 	case 12, 13, 14, 15, 16:
 		return c.apply(c.random.IntN(len(c.replicas)))
 	case 17:
 		return c.changeLeader()
 	case 18:
-		return c.disk(c.replicas[c.random.IntN(len(c.replicas))])
+		return c.saveOrRestart(c.replicas[c.random.IntN(len(c.replicas))])
 	}
 	return c.read(c.operators[c.random.IntN(len(c.operators))])
 }
 
-// order has an operator think of a new order.
-func (c *cluster) order(operator *operatorModel) error {
-	if len(operator.open) >= c.options.openOrders {
+// createCommand has an operator think of a new order.
+func (c *cluster) createCommand(operator *operatorModel) error {
+	if len(operator.open) >= c.options.openCommands {
 		return nil
 	}
-	command := c.draw(operator)
+	command := c.randomCommand(operator)
 	operator.open = append(operator.open, command)
 	operator.sent = append(operator.sent, command)
 	return nil
 }
 
-// draw returns an order on what an operator knows, on one of its own orders, or like one of another operator.
-func (c *cluster) draw(operator *operatorModel) Command {
+// randomCommand returns an order on what an operator knows, on one of its own orders, or like one of another operator.
+func (c *cluster) randomCommand(operator *operatorModel) Command {
 	other := c.operators[c.random.IntN(len(c.operators))]
 	if len(other.sent) > 0 && c.random.IntN(6) == 0 {
 		same := other.sent[c.random.IntN(len(other.sent))]
@@ -136,9 +136,9 @@
 	}
 	generation := base + c.random.Uint64N(3)
 	if c.random.IntN(4) == 0 {
-		return replaceCommand(base, drawnWhole(generation))
+		return replaceCommand(base, randomConfiguration(generation))
 	}
-	return updateCommand(base, drawnUpdate(generation, c.random.Uint32N(64)))
+	return updateCommand(base, randomUpdate(generation, c.random.Uint32N(64)))
 }
 
 // send has an operator send one of its open orders, perhaps again.
@@ -147,71 +147,71 @@
 		return nil
 	}
 	command := operator.open[c.random.IntN(len(operator.open))]
-	refusal := CheckStatic(command)
-	if refusal != nil && c.random.IntN(4) > 0 { // a keeper of another version may know fewer checks
-		return c.tell(command, Outcome{Status: refusal.Status, Code: refusal.Code})
+	rejection := ValidateCommand(command)
+	if rejection != nil && c.random.IntN(4) > 0 { // a keeper of another version may know fewer checks
+		return c.answer(command, Outcome{HTTPStatus: rejection.HTTPStatus, Code: rejection.Code})
 	}
-	if c.options.refuseEarly {
-		outcome, err := decideBeforehand(c.replicas[c.random.IntN(len(c.replicas))], command)
+	if c.options.rejectEarly {
+		outcome, err := applyToCopy(c.replicas[c.random.IntN(len(c.replicas))], command)
 		if err != nil {
 			return err
 		}
-		if outcome.Status != http.StatusOK {
-			return c.tell(command, outcome)
+		if outcome.HTTPStatus != http.StatusOK {
+			return c.answer(command, outcome)
 		}
 	}
-	c.onTheWay = append(c.onTheWay, command)
+	c.inFlight = append(c.inFlight, command)
 	return nil
 }
 
-// arrive has the leader propose a copy that was on its way.
-func (c *cluster) arrive() error {
-	if len(c.onTheWay) == 0 {
+// deliver has the leader propose a copy that was on its way.
+func (c *cluster) deliver() error {
+	if len(c.inFlight) == 0 {
 		return nil
 	}
-	at := c.random.IntN(len(c.onTheWay))
-	command := c.onTheWay[at]
-	c.onTheWay = slices.Delete(c.onTheWay, at, at+1)
+	at := c.random.IntN(len(c.inFlight))
+	command := c.inFlight[at]
+	c.inFlight = slices.Delete(c.inFlight, at, at+1)
 	leader := c.replicas[c.leader]
-	if c.options.lapse != answersTooSoon {
-		c.tail = append(c.tail, proposal{command: command, proposer: c.leader, life: leader.life})
+	if c.options.defect != answersBeforeCommit {
+		c.uncommitted = append(c.uncommitted, proposal{command: command, proposer: c.leader, incarnation: leader.incarnation})
 		return nil
 	}
-	c.tail = append(c.tail, proposal{command: command, proposer: nobody})
-	outcome, err := decideBeforehand(leader, command)
+	c.uncommitted = append(c.uncommitted, proposal{command: command, proposer: noProposer})
+	outcome, err := applyToCopy(leader, command)
 	if err != nil {
 		return err
 	}
-	return c.tell(command, outcome)
+	return c.answer(command, outcome)
 }
 
-// decideBeforehand returns what a store would make of a command now.
-func decideBeforehand(replica *replicaModel, command Command) (Outcome, error) {
-	ahead, err := restarted(replica.store)
+// applyToCopy returns what a store would make of a command now.
+func applyToCopy(replica *replicaModel, command Command) (Outcome, error) {
+	ahead, err := restartedStore(replica.store)
 	if err != nil {
 		return Outcome{}, err
 	}
-	return applied(ahead, command), nil
+	return applyCommand(ahead, command), nil
 }
 
 // commit makes the first entries of the leader's tail part of the log.
 func (c *cluster) commit(count int) error {
-	c.log = append(c.log, c.tail[:count]...)
-	c.tail = slices.Clone(c.tail[count:])
+	c.log = append(c.log, c.uncommitted[:count]...)
+	c.uncommitted = slices.Clone(c.uncommitted[count:])
 	return nil
 }
 
 // changeLeader has another replica lead, which has only the first entries of the tail.
 func (c *cluster) changeLeader() error {
-	kept := c.random.IntN(len(c.tail) + 1)
-	lost := c.tail[kept:]
-	c.tail = slices.Clone(c.tail[:kept])
+	retained := c.random.IntN(len(c.uncommitted) + 1)
+	lost := c.uncommitted[retained:]
+	c.uncommitted = slices.Clone(c.uncommitted[:retained])
 	c.leader = c.random.IntN(len(c.replicas))
-	if c.options.lapse != refusesWhatsLost {
+	if c.options.defect != rejectsLostProposals {
 		return nil
 	}
 	for _, one := range lost {
-		if err := c.tell(one.command, Outcome{Status: http.StatusPreconditionFailed, Code: BaseNotCurrent}); err != nil {
+		if err := c.answer(one.command, Outcome{HTTPStatus: http.StatusPreconditionFailed, Code: CodeBaseNotCurrent}); err != nil {
 			return err
 		}
 	}
@@ -237,24 +237,24 @@
 	if first := c.outcomes[replica.applied-1]; first != outcome {
 		return fmt.Errorf("entry %d: %+v, elsewhere %+v", replica.applied, outcome, first)
 	}
-	if entry.proposer == at && entry.life == replica.life {
-		return c.tell(entry.command, outcome)
+	if entry.proposer == at && entry.incarnation == replica.incarnation {
+		return c.answer(entry.command, outcome)
 	}
 	return nil
 }
 
-// disk has a replica save its state, or restart from what it has saved, or take another one's snapshot.
-func (c *cluster) disk(replica *replicaModel) error {
+// saveOrRestart has a replica save its state, or restart from what it has saved, or take another one's snapshot.
+func (c *cluster) saveOrRestart(replica *replicaModel) error {
 	switch c.random.IntN(3) {
 	case 0:
-		replica.saved, replica.savedAt = replica.store.Snapshot(), replica.applied
+		replica.savedSnapshot, replica.savedAt = replica.store.Snapshot(), replica.applied
 		return nil
 	case 1:
 		return c.restart(replica)
 	}
 	for _, other := range c.replicas {
 		if other.applied > replica.applied {
-			replica.saved, replica.savedAt = other.store.Snapshot(), other.applied
+			replica.savedSnapshot, replica.savedAt = other.store.Snapshot(), other.applied
 			return c.restart(replica)
 		}
 	}
@@ -263,11 +263,11 @@
 
 func (c *cluster) restart(replica *replicaModel) error {
 	replica.store, replica.applied = c.newStore(), replica.savedAt
-	replica.life++
-	if replica.saved == nil {
+	replica.incarnation++
+	if replica.savedSnapshot == nil {
 		return nil
 	}
-	return replica.store.Restore(replica.saved)
+	return replica.store.Restore(replica.savedSnapshot)
 }
 
 // read has an operator read what is in force, confirmed by a majority.
@@ -282,12 +282,12 @@
 	return c.history.read(store)
 }
 
-// tell gives the operators an answer, which may be lost on its way. A clear one ends the order.
-func (c *cluster) tell(command Command, outcome Outcome) error {
-	if err := c.history.answered(command, outcome.Status); err != nil {
+// answer gives the operators an answer, which may be lost on its way. A clear one ends the order.
+func (c *cluster) answer(command Command, outcome Outcome) error {
+	if err := c.history.answered(command, outcome.HTTPStatus); err != nil {
 		return err
 	}
-	if outcome.Status == http.StatusServiceUnavailable || c.random.IntN(3) == 0 {
+	if outcome.HTTPStatus == http.StatusServiceUnavailable || c.random.IntN(3) == 0 {
 		return nil
 	}
 	same := func(open Command) bool { return digestOf(open) == digestOf(command) }
@@ -296,28 +296,28 @@
 			continue
 		}
 		operator.open = slices.DeleteFunc(operator.open, same)
-		if outcome.Status == http.StatusOK {
+		if outcome.HTTPStatus == http.StatusOK {
 			operator.known = max(operator.known, outcome.Generation)
 		}
 	}
 	return nil
 }
 
-// settle has all copies arrive, each order sent once more, and all replicas apply all.
-func (c *cluster) settle() error {
+// drain has all copies arrive, each order sent once more, and all replicas apply all.
+func (c *cluster) drain() error {
 	for _, operator := range c.operators {
 		for _, command := range operator.sent {
-			if CheckStatic(command) == nil {
-				c.onTheWay = append(c.onTheWay, command)
+			if ValidateCommand(command) == nil {
+				c.inFlight = append(c.inFlight, command)
 			}
 		}
 	}
-	for len(c.onTheWay) > 0 {
-		if err := c.arrive(); err != nil {
+	for len(c.inFlight) > 0 {
+		if err := c.deliver(); err != nil {
 			return err
 		}
 	}
-	if err := c.commit(len(c.tail)); err != nil {
+	if err := c.commit(len(c.uncommitted)); err != nil {
 		return err
 	}
 	for at, replica := range c.replicas {
@@ -333,12 +333,12 @@
 	return c.history.read(c.replicas[0].store)
 }
 
-// play runs a drawn cluster and returns the first broken rule.
-func (c *cluster) play(steps int) error {
+// run runs a drawn cluster and returns the first broken rule.
+func (c *cluster) run(steps int) error {
 	for range steps {
 		if err := c.step(); err != nil {
 			return err
 		}
 	}
-	return c.settle()
+	return c.drain()
 }
--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -28,10 +28,10 @@
 
 // member is one member of a configuration: a list of named items, or anything else as it was sent.
 type member struct {
-	name  string
-	raw   []byte  // of what is not a list of named items
-	named bool    // it is a list of named items, perhaps empty
-	items []*item // in the order in which they came
+	name       string
+	raw        []byte  // of what is not a list of named items
+	isItemList bool    // it is a list of named items, perhaps empty
+	items      []*item // in the order in which they came
 }
 
 // document is a configuration whose members and items keep their bytes. It never changes.
@@ -44,39 +44,39 @@
 func emptyDocument() *document {
 	return &document{members: []member{
 		{name: memberGeneration, raw: []byte("0")},
-		{name: listRoutes, named: true},
-		{name: listServices, named: true},
+		{name: listRoutes, isItemList: true},
+		{name: listServices, isItemList: true},
 	}}
 }
 
 // readDocument reads and checks a whole configuration, except for what its parts mean together.
-func readDocument(body []byte) (*document, *Refusal) {
+func readDocument(body []byte) (*document, *Rejection) {
 	if !utf8.Valid(body) {
-		return nil, refuse(Unreadable, "it is not UTF-8")
+		return nil, reject(CodeUnreadable, "it is not UTF-8")
 	}
-	members, refusal := readMembers(body, "configuration")
-	if refusal != nil {
-		return nil, refusal
+	members, rejection := readMembers(body, "configuration")
+	if rejection != nil {
+		return nil, rejection
 	}
-	whole := &document{members: members}
-	whole.generation, refusal = readGeneration(find(members, memberGeneration))
-	if refusal != nil {
-		return nil, refusal
+	parsed := &document{members: members}
+	parsed.generation, rejection = readGeneration(findMember(members, memberGeneration))
+	if rejection != nil {
+		return nil, rejection
 	}
 	for _, name := range []string{listRoutes, listServices} {
-		if find(members, name) == nil {
-			return nil, refuse(MissingField, name)
+		if findMember(members, name) == nil {
+			return nil, reject(CodeMissingField, name)
 		}
 	}
-	return whole, nil
+	return parsed, nil
 }
 
 // readMembers reads the members of an object, in their order.
-func readMembers(raw []byte, where string) ([]member, *Refusal) {
+func readMembers(raw []byte, where string) ([]member, *Rejection) {
 	members := []member{}
-	refusal := eachMember(raw, where, func(decoder *jx.Decoder, key string) error {
-		if find(members, key) != nil {
-			return refuse(DuplicateName, where+" has "+key+" twice")
+	rejection := eachMember(raw, where, func(decoder *jx.Decoder, key string) error {
+		if findMember(members, key) != nil {
+			return reject(CodeDuplicateName, where+" has "+key+" twice")
 		}
 		read, err := readMember(decoder, key)
 		if err != nil {
@@ -85,7 +85,7 @@
 		members = append(members, read)
 		return nil
 	})
-	return members, refusal
+	return members, rejection
 }
 
 // readMember reads one member and the items of a list that is known.
@@ -102,23 +102,23 @@
 	known := key == listRoutes || key == listServices
 	if raw.Type() != jx.Array {
 		if known {
-			return read, refuse(BadField, key+" is not a list")
+			return read, reject(CodeBadField, key+" is not a list")
 		}
 		return read, nil
 	}
-	items, refusal := readItems(raw, key)
-	if refusal == nil {
-		return member{name: key, named: true, items: items}, nil
+	items, rejection := readItems(raw, key)
+	if rejection == nil {
+		return member{name: key, isItemList: true, items: items}, nil
 	}
-	if refusal.Code == MissingField && !known {
+	if rejection.Code == CodeMissingField && !known {
 		return read, nil // a list of something else: kept as it is
 	}
-	return read, refusal
+	return read, rejection
 }
 
 // readItems reads a list of objects with different names. Its refusal has the code MissingField
 // where something has no name.
-func readItems(raw []byte, list string) ([]*item, *Refusal) {
+func readItems(raw []byte, list string) ([]*item, *Rejection) {
 	items := []*item{}
 	names := map[string]bool{}
 	err := jx.DecodeBytes(raw).Arr(func(decoder *jx.Decoder) error {
@@ -126,67 +126,67 @@
 		if err != nil {
 			return err
 		}
-		read, refusal := readItem(element, list)
-		if refusal != nil {
-			return refusal
+		read, rejection := readItem(element, list)
+		if rejection != nil {
+			return rejection
 		}
 		if names[read.name] {
-			return refuse(DuplicateName, list+" has "+read.name+" twice")
+			return reject(CodeDuplicateName, list+" has "+read.name+" twice")
 		}
 		names[read.name] = true
 		items = append(items, read)
 		return nil
 	})
 	if err != nil {
-		return nil, asRefusal(err, list)
+		return nil, asRejection(err, list)
 	}
 	return items, nil
 }
 
 // readItem reads one item, whole where its list is known.
-func readItem(raw jx.Raw, list string) (*item, *Refusal) {
+func readItem(raw jx.Raw, list string) (*item, *Rejection) {
 	if raw.Type() != jx.Object {
-		return nil, refuse(MissingField, list+" holds something that is not an object")
+		return nil, reject(CodeMissingField, list+" holds something that is not an object")
 	}
 	switch list {
 	case listRoutes:
-		route, refusal := parseRoute(raw)
-		return &item{name: route.Name, raw: raw, route: &route}, refusal
+		route, rejection := parseRoute(raw)
+		return &item{name: route.Name, raw: raw, route: &route}, rejection
 	case listServices:
-		service, refusal := parseService(raw)
-		return &item{name: service.Name, raw: raw}, refusal
+		service, rejection := parseService(raw)
+		return &item{name: service.Name, raw: raw}, rejection
 	}
 	name := ""
-	refusal := eachMember(raw, list, func(decoder *jx.Decoder, key string) error {
+	rejection := eachMember(raw, list, func(decoder *jx.Decoder, key string) error {
 		if key != fieldName || decoder.Next() != jx.String {
 			return decoder.Skip()
 		}
 		return jsonfield.String(decoder, key, &name)
 	})
-	if refusal == nil && name == "" {
-		refusal = refuse(MissingField, "name of an item of "+list)
+	if rejection == nil && name == "" {
+		rejection = reject(CodeMissingField, "name of an item of "+list)
 	}
-	return &item{name: name, raw: raw}, refusal
+	return &item{name: name, raw: raw}, rejection
 }
 
 // readGeneration reads the number of a configuration.
-func readGeneration(from *member) (uint64, *Refusal) {
-	if from == nil || from.named {
-		return 0, refuse(GenerationUnreadable, "")
+func readGeneration(from *member) (uint64, *Rejection) {
+	if from == nil || from.isItemList {
+		return 0, reject(CodeGenerationUnreadable, "")
 	}
 	text := string(from.raw)
-	if whole, err := strconv.ParseUint(text, 10, 63); err == nil && whole > 0 {
-		return whole, nil
+	if integer, err := strconv.ParseUint(text, 10, 63); err == nil && integer > 0 {
+		return integer, nil
 	}
 	number, err := strconv.ParseFloat(text, 64)
-	if err != nil || number != math.Trunc(number) || number < 1 || number > largestCount {
-		return 0, refuse(GenerationUnreadable, text)
+	if err != nil || number != math.Trunc(number) || number < 1 || number > maxCount {
+		return 0, reject(CodeGenerationUnreadable, text)
 	}
 	return uint64(number), nil
 }
 
-// find returns the member of that name, or nil.
-func find(members []member, name string) *member {
+// findMember returns the member of that name, or nil.
+func findMember(members []member, name string) *member {
 	for position := range members {
 		if members[position].name == name {
 			return &members[position]
@@ -197,11 +197,11 @@
 
 // list returns the items of a list, or none.
 func (d *document) list(name string) []*item {
-	return itemsOf(d.members, name)
+	return itemsOfList(d.members, name)
 }
 
-func itemsOf(members []member, name string) []*item {
-	if found := find(members, name); found != nil {
+func itemsOfList(members []member, name string) []*item {
+	if found := findMember(members, name); found != nil {
 		return found.items
 	}
 	return nil
@@ -232,7 +232,7 @@
 }
 
 func renderMember(encoder *jx.Encoder, part member) {
-	if !part.named {
+	if !part.isItemList {
 		encoder.Raw(part.raw)
 		return
 	}
--- a/internal/controlplane/configuration/document_update.go
+++ b/internal/controlplane/configuration/document_update.go
@@ -22,31 +22,31 @@
 
 // update is the body of a change to named items.
 type update struct {
-	generation uint64
-	raw        []byte // of the generation
-	upserts    []member
-	removals   []removal
+	generation    uint64
+	rawGeneration []byte // of the generation
+	upserts       []member
+	removals      []removal
 }
 
 // readUpdate reads and checks what can be told of an update without the document.
-func readUpdate(body []byte) (*update, *Refusal) {
+func readUpdate(body []byte) (*update, *Rejection) {
 	if !utf8.Valid(body) {
-		return nil, refuse(Unreadable, "it is not UTF-8")
+		return nil, reject(CodeUnreadable, "it is not UTF-8")
 	}
 	change := &update{}
 	seen := map[string]bool{}
-	refusal := eachMember(body, "update", func(decoder *jx.Decoder, key string) error {
+	rejection := eachMember(body, "update", func(decoder *jx.Decoder, key string) error {
 		if seen[key] {
-			return refuse(DuplicateName, "the update has "+key+" twice")
+			return reject(CodeDuplicateName, "the update has "+key+" twice")
 		}
 		seen[key] = true
 		return change.readMember(decoder, key)
 	})
-	if refusal != nil {
-		return nil, refusal
+	if rejection != nil {
+		return nil, rejection
 	}
 	if !seen[memberGeneration] {
-		return nil, refuse(GenerationUnreadable, "")
+		return nil, reject(CodeGenerationUnreadable, "")
 	}
 	return change, nil
 }
@@ -56,35 +56,35 @@
 	if err != nil {
 		return err
 	}
-	refusal := (*Refusal)(nil)
+	rejection := (*Rejection)(nil)
 	switch {
 	case key == memberGeneration:
-		u.raw = raw
-		u.generation, refusal = readGeneration(&member{raw: raw})
+		u.rawGeneration = raw
+		u.generation, rejection = readGeneration(&member{raw: raw})
 	case raw.Type() == jx.Null:
 	case key == memberUpsert:
-		u.upserts, refusal = readMembers(raw, memberUpsert)
+		u.upserts, rejection = readMembers(raw, memberUpsert)
 	case key == memberRemove:
-		u.removals, refusal = readRemovals(raw)
+		u.removals, rejection = readRemovals(raw)
 	}
-	if refusal != nil {
-		return refusal
+	if rejection != nil {
+		return rejection
 	}
-	if find(u.upserts, memberGeneration) != nil {
-		return refuse(BadField, "upsert holds a generation")
+	if findMember(u.upserts, memberGeneration) != nil {
+		return reject(CodeBadField, "upsert holds a generation")
 	}
 	return nil
 }
 
 // readRemovals reads an object of lists of names.
-func readRemovals(raw []byte) ([]removal, *Refusal) {
+func readRemovals(raw []byte) ([]removal, *Rejection) {
 	removals := []removal{}
-	refusal := eachMember(raw, memberRemove, func(decoder *jx.Decoder, key string) error {
+	rejection := eachMember(raw, memberRemove, func(decoder *jx.Decoder, key string) error {
 		if jsonfield.IsNull(decoder) {
 			return nil
 		}
 		if decoder.Next() != jx.Array {
-			return refuse(BadField, "remove: "+key+" is not a list")
+			return reject(CodeBadField, "remove: "+key+" is not a list")
 		}
 		names := map[string]bool{}
 		removals = append(removals, removal{list: key, names: names})
@@ -95,24 +95,24 @@
 			return err
 		})
 	})
-	return removals, refusal
+	return removals, rejection
 }
 
 // list returns the items that are added to or replaced in a list.
-func (u *update) list(name string) []*item { return itemsOf(u.upserts, name) }
+func (u *update) list(name string) []*item { return itemsOfList(u.upserts, name) }
 
 // apply returns the document after the update: items are removed first, then replaced in their
 // place, and new ones are appended. The result is not checked.
-func (u *update) apply(before *document) (*document, *Refusal) {
+func (u *update) apply(before *document) (*document, *Rejection) {
 	after := &document{generation: u.generation}
 	after.members = append(after.members, before.members...)
-	after.setGeneration(u.raw)
-	for _, gone := range u.removals {
-		after.remove(gone)
+	after.setGeneration(u.rawGeneration)
+	for _, deleted := range u.removals {
+		after.remove(deleted)
 	}
 	for _, part := range u.upserts {
-		if refusal := after.upsert(part); refusal != nil {
-			return nil, refusal
+		if rejection := after.upsert(part); rejection != nil {
+			return nil, rejection
 		}
 	}
 	return after, nil
@@ -122,43 +122,43 @@
 	if raw == nil {
 		raw = strconv.AppendUint(nil, d.generation, 10)
 	}
-	if held := find(d.members, memberGeneration); held != nil {
-		held.raw = raw
+	if existing := findMember(d.members, memberGeneration); existing != nil {
+		existing.raw = raw
 		return
 	}
 	d.members = append(d.members, member{name: memberGeneration, raw: raw})
 }
 
 // remove takes items out of a list; names that are not there are passed over.
-func (d *document) remove(gone removal) {
-	held := find(d.members, gone.list)
-	if held == nil || !held.named {
+func (d *document) remove(deleted removal) {
+	existing := findMember(d.members, deleted.list)
+	if existing == nil || !existing.isItemList {
 		return
 	}
-	kept := make([]*item, 0, len(held.items))
-	for _, entry := range held.items {
-		if !gone.names[entry.name] {
-			kept = append(kept, entry)
+	remaining := make([]*item, 0, len(existing.items))
+	for _, entry := range existing.items {
+		if !deleted.names[entry.name] {
+			remaining = append(remaining, entry)
 		}
 	}
-	held.items = kept
+	existing.items = remaining
 }
 
 // upsert merges a list of named items, and replaces any other member whole.
-func (d *document) upsert(part member) *Refusal {
-	held := find(d.members, part.name)
-	if held == nil {
+func (d *document) upsert(part member) *Rejection {
+	existing := findMember(d.members, part.name)
+	if existing == nil {
 		d.members = append(d.members, part)
 		return nil
 	}
-	if held.named && len(held.items) > 0 && !part.named && jx.Raw(part.raw).Type() == jx.Array {
-		return refuse(MissingField, "name of an item of "+part.name)
+	if existing.isItemList && len(existing.items) > 0 && !part.isItemList && jx.Raw(part.raw).Type() == jx.Array {
+		return reject(CodeMissingField, "name of an item of "+part.name)
 	}
-	if !held.named || !part.named {
-		*held = part
+	if !existing.isItemList || !part.isItemList {
+		*existing = part
 		return nil
 	}
-	held.items = merge(held.items, part.items)
+	existing.items = merge(existing.items, part.items)
 	return nil
 }
 
--- a/internal/controlplane/configuration/example_data_test.go
+++ b/internal/controlplane/configuration/example_data_test.go
@@ -18,14 +18,14 @@
 
 const exampleLimits = `{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}`
 
-// wholeOf returns a whole configuration of the given lists.
-func wholeOf(generation uint64, routes, services []string) string {
+// configurationOf returns a whole configuration of the given lists.
+func configurationOf(generation uint64, routes, services []string) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[%s],"limits":%s,"notes":{"by":"a"}}`,
 		generation, strings.Join(routes, ","), strings.Join(services, ","), exampleLimits)
 }
 
-func exampleWhole(generation uint64) string {
-	return wholeOf(generation, []string{exampleRoute, exampleSingleRoute}, []string{exampleService, examplePlainService})
+func exampleConfiguration(generation uint64) string {
+	return configurationOf(generation, []string{exampleRoute, exampleSingleRoute}, []string{exampleService, examplePlainService})
 }
 
 func routeNamed(name, host, prefix, service string, timeout int) string {
@@ -34,31 +34,31 @@
 }
 
 func replaceCommand(base uint64, body string) Command {
-	return Command{Kind: Replace, Base: base, Body: []byte(body)}
+	return Command{Kind: CommandReplace, Base: base, Body: []byte(body)}
 }
 
 func updateCommand(base uint64, body string) Command {
-	return Command{Kind: Update, Base: base, Body: []byte(body)}
+	return Command{Kind: CommandUpdate, Base: base, Body: []byte(body)}
 }
 
-// applied applies a command and returns its outcome alone.
-func applied(store *Store, command Command) Outcome {
+// applyCommand applies a command and returns its outcome alone.
+func applyCommand(store *Store, command Command) Outcome {
 	outcome, _ := store.Apply(1, EncodeCommand(command))
 	return outcome
 }
 
 func mustAccept(t testing.TB, store *Store, command Command) {
 	t.Helper()
-	if refusal := CheckStatic(command); refusal != nil {
-		t.Fatal(refusal)
+	if rejection := ValidateCommand(command); rejection != nil {
+		t.Fatal(rejection)
 	}
-	if outcome := applied(store, command); outcome.Code != Accepted {
+	if outcome := applyCommand(store, command); outcome.Code != CodeAccepted {
 		t.Fatalf("%+v", outcome)
 	}
 }
 
-// sameJSON compares two texts as JSON.
-func sameJSON(t testing.TB, got, expected string) {
+// requireSameJSON compares two texts as JSON.
+func requireSameJSON(t testing.TB, got, expected string) {
 	t.Helper()
 	var left, right any
 	if err := json.Unmarshal([]byte(got), &left); err != nil {
--- a/internal/controlplane/configuration/format_test.go
+++ b/internal/controlplane/configuration/format_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// firstFormat is what a store that wrote the first format has left: four entries that it accepted, one after the other,
+// format1Directory is what a store that wrote the first format has left: four entries that it accepted, one after the other,
 // and its snapshot and document after them.
-const firstFormat = "testdata/format1"
+const format1Directory = "testdata/format1"
 
-// firstEntries is how many entries it has left.
-const firstEntries = 4
+// format1Entries is how many entries it has left.
+const format1Entries = 4
 
-func readFirst(t *testing.T, name string) []byte {
+func readFormat1File(t *testing.T, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join(firstFormat, name))
+	content, err := os.ReadFile(filepath.Join(format1Directory, name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,60 +26,60 @@
 
 // What was accepted once is accepted whenever a log is replayed, by any later check, and is never refused beforehand:
 // checks may become stricter only for commands of a new format.
-func TestWhatWasAcceptedStaysAccepted(t *testing.T) {
+func TestStore_Apply_acceptsEntriesOfFormat1(t *testing.T) {
 	replayed := NewStore()
-	for number := 1; number <= firstEntries; number++ {
-		entry := readFirst(t, fmt.Sprintf("entry%d", number))
+	for number := 1; number <= format1Entries; number++ {
+		entry := readFormat1File(t, fmt.Sprintf("entry%d", number))
 		command, err := DecodeCommand(entry)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if refusal := CheckStatic(command); refusal != nil {
-			t.Errorf("entry %d: %v", number, refusal)
+		if rejection := ValidateCommand(command); rejection != nil {
+			t.Errorf("entry %d: %v", number, rejection)
 		}
-		if outcome, _ := replayed.Apply(uint64(number), entry); outcome.Code != Accepted {
+		if outcome, _ := replayed.Apply(uint64(number), entry); outcome.Code != CodeAccepted {
 			t.Errorf("entry %d: %+v", number, outcome)
 		}
 	}
-	if !bytes.Equal(replayed.Document(), readFirst(t, "document.json")) {
+	if !bytes.Equal(replayed.Document(), readFormat1File(t, "document.json")) {
 		t.Errorf("%s", replayed.Document())
 	}
 }
 
-func TestSnapshotOfTheFirstFormatIsRead(t *testing.T) {
+func TestStore_Restore_format1(t *testing.T) {
 	store := NewStore()
-	if err := store.Restore(readFirst(t, "snapshot")); err != nil {
+	if err := store.Restore(readFormat1File(t, "snapshot")); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(store.Document(), readFirst(t, "document.json")) {
+	if !bytes.Equal(store.Document(), readFormat1File(t, "document.json")) {
 		t.Errorf("%s", store.Document())
 	}
-	for number := 1; number <= firstEntries; number++ {
-		if outcome, _ := store.Apply(uint64(number), readFirst(t, fmt.Sprintf("entry%d", number))); outcome.Code != Repeated {
+	for number := 1; number <= format1Entries; number++ {
+		if outcome, _ := store.Apply(uint64(number), readFormat1File(t, fmt.Sprintf("entry%d", number))); outcome.Code != CodeRepeated {
 			t.Errorf("entry %d: %+v", number, outcome)
 		}
 	}
-	if outcome := applied(store, replaceCommand(0, exampleWhole(7)+" ")); outcome.Code != BaseNotCurrent {
+	if outcome := applyCommand(store, replaceCommand(0, exampleConfiguration(7)+" ")); outcome.Code != CodeBaseNotCurrent {
 		t.Errorf("nothing is forgotten yet: %+v", outcome)
 	}
 }
 
 // The first format holds no bases, so once something of it is forgotten, nothing that old is told for sure.
-func TestForgettingOfTheFirstFormatIsCautious(t *testing.T) {
+func TestStore_Restore_format1BasesAreConservative(t *testing.T) {
 	store := NewStore()
-	store.kept = firstEntries
-	if err := store.Restore(readFirst(t, "snapshot")); err != nil {
+	store.maxAccepted = format1Entries
+	if err := store.Restore(readFormat1File(t, "snapshot")); err != nil {
 		t.Fatal(err)
 	}
 	base := store.Generation()
 	mustAccept(t, store, updateCommand(base, fmt.Sprintf(`{"generation":%d}`, base+1)))
-	if outcome, _ := store.Apply(1, readFirst(t, "entry1")); outcome.Code != BaseForgotten {
+	if outcome, _ := store.Apply(1, readFormat1File(t, "entry1")); outcome.Code != CodeBaseForgotten {
 		t.Errorf("%+v", outcome)
 	}
-	if outcome, _ := store.Apply(1, readFirst(t, "entry2")); outcome.Code != Repeated {
+	if outcome, _ := store.Apply(1, readFormat1File(t, "entry2")); outcome.Code != CodeRepeated {
 		t.Errorf("%+v", outcome)
 	}
-	if outcome := applied(store, updateCommand(base, fmt.Sprintf(`{"generation":%d}`, base+2))); outcome.Code != BaseNotCurrent {
+	if outcome := applyCommand(store, updateCommand(base, fmt.Sprintf(`{"generation":%d}`, base+2))); outcome.Code != CodeBaseNotCurrent {
 		t.Errorf("%+v", outcome)
 	}
 }
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -18,20 +18,20 @@
 	defaultMaxBodyBytes   = 4 << 20
 	defaultHeaderTimeout  = 3 * time.Second
 	defaultIdleTimeout    = 15 * time.Second
-	wholeWeight           = 1
+	singleServiceWeight   = 1
 )
 
 const (
-	typeIdempotent = "idempotent"
-	typeStreaming  = "streaming"
+	routeTypeIdempotent = "idempotent"
+	routeTypeStreaming  = "streaming"
 )
 
 // ParseRoute reads an item of "routes". Targets without a weight are left out. The error is a
 // *Refusal.
 func ParseRoute(raw []byte) (Route, error) {
-	route, refusal := parseRoute(raw)
-	if refusal != nil {
-		return Route{}, refusal
+	route, rejection := parseRoute(raw)
+	if rejection != nil {
+		return Route{}, rejection
 	}
 	weighted := make([]Target, 0, len(route.Targets))
 	for _, target := range route.Targets {
@@ -44,27 +44,27 @@
 }
 
 // parseRoute reads a route with all targets that it names.
-func parseRoute(raw []byte) (Route, *Refusal) {
+func parseRoute(raw []byte) (Route, *Rejection) {
 	route := Route{MaxAttempts: defaultMaxAttempts}
 	single := ""
-	refusal := eachMember(raw, "route", func(decoder *jx.Decoder, key string) error {
-		return routeMember(decoder, key, &route, &single)
+	rejection := eachMember(raw, "route", func(decoder *jx.Decoder, key string) error {
+		return readRouteMember(decoder, key, &route, &single)
 	})
-	if refusal != nil {
-		return Route{}, refusal
+	if rejection != nil {
+		return Route{}, rejection
 	}
 	if len(route.Targets) == 0 && single != "" {
-		route.Targets = []Target{{Service: single, Weight: wholeWeight}}
+		route.Targets = []Target{{Service: single, Weight: singleServiceWeight}}
 	}
-	route.Hostname = normalHost(route.Hostname)
+	route.Hostname = normalizeHost(route.Hostname)
 	route.MaxAttempts = max(route.MaxAttempts, defaultMaxAttempts)
 	route.TargetLatency = max(route.TargetLatency, 0)
-	route.GapObjective = max(route.GapObjective, 0)
-	return route, checkRoute(route)
+	route.InterTokenTarget = max(route.InterTokenTarget, 0)
+	return route, validateRoute(route)
 }
 
-// routeMember reads one member of a route; single takes "service".
-func routeMember(decoder *jx.Decoder, key string, route *Route, single *string) error {
+// readRouteMember reads one member of a route; single takes "service".
+func readRouteMember(decoder *jx.Decoder, key string, route *Route, single *string) error {
 	switch key {
 	case "name":
 		return jsonfield.String(decoder, key, &route.Name)
@@ -75,9 +75,9 @@
 	case "routeType":
 		return readRouteType(decoder, key, &route.Type)
 	case "timeoutMs":
-		return readSpan(decoder, key, time.Millisecond, &route.Timeout)
+		return readDuration(decoder, key, time.Millisecond, &route.Timeout)
 	case "targetLatencyMs":
-		return readSpan(decoder, key, time.Millisecond, &route.TargetLatency)
+		return readDuration(decoder, key, time.Millisecond, &route.TargetLatency)
 	case "priority":
 		return readCount(decoder, key, &route.Priority)
 	case "service":
@@ -91,7 +91,7 @@
 	case "resumable":
 		return jsonfield.Bool(decoder, key, &route.Resumable)
 	case "gap_aim_ms":
-		return readSpan(decoder, key, time.Millisecond, &route.GapObjective)
+		return readDuration(decoder, key, time.Millisecond, &route.InterTokenTarget)
 	default:
 		return decoder.Skip()
 	}
@@ -104,9 +104,9 @@
 		return err
 	}
 	switch name {
-	case typeIdempotent:
+	case routeTypeIdempotent:
 		*into = Idempotent
-	case typeStreaming:
+	case routeTypeStreaming:
 		*into = Streaming
 	default:
 		*into = NonIdempotent
@@ -121,7 +121,7 @@
 		return nil
 	}
 	if decoder.Next() != jx.Array {
-		return refuse(BadField, key+" is not a list")
+		return reject(CodeBadField, key+" is not a list")
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
 		target, err := readTarget(decoder, key)
@@ -136,7 +136,7 @@
 func readTarget(decoder *jx.Decoder, key string) (Target, error) {
 	target := Target{}
 	if decoder.Next() != jx.Object {
-		return target, refuse(BadField, key+" holds something that is not an object")
+		return target, reject(CodeBadField, key+" holds something that is not an object")
 	}
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		switch key {
@@ -151,8 +151,8 @@
 	return target, err
 }
 
-// normalHost returns a host as routes are compared: in lower case and without a port.
-func normalHost(host string) string {
+// normalizeHost returns a host as routes are compared: in lower case and without a port.
+func normalizeHost(host string) string {
 	host = strings.ToLower(host)
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.HasSuffix(host, "]") || strings.IndexByte(host, ':') != colon && host[0] != '[' {
@@ -163,16 +163,16 @@
 
 // ParseService reads an item of "services". The error is a *Refusal.
 func ParseService(raw []byte) (Service, error) {
-	service, refusal := parseService(raw)
-	if refusal != nil {
-		return Service{}, refusal
+	service, rejection := parseService(raw)
+	if rejection != nil {
+		return Service{}, rejection
 	}
 	return service, nil
 }
 
-func parseService(raw []byte) (Service, *Refusal) {
+func parseService(raw []byte) (Service, *Rejection) {
 	service := Service{}
-	refusal := eachMember(raw, "service", func(decoder *jx.Decoder, key string) error {
+	rejection := eachMember(raw, "service", func(decoder *jx.Decoder, key string) error {
 		switch key {
 		case "name":
 			return jsonfield.String(decoder, key, &service.Name)
@@ -186,11 +186,11 @@
 			return decoder.Skip()
 		}
 	})
-	if refusal != nil {
-		return Service{}, refusal
+	if rejection != nil {
+		return Service{}, rejection
 	}
 	if service.Name == "" {
-		return Service{}, refuse(MissingField, "name of a service")
+		return Service{}, reject(CodeMissingField, "name of a service")
 	}
 	if service.HealthPath == "" {
 		service.HealthPath = defaultHealthPath
@@ -206,42 +206,42 @@
 		return nil
 	}
 	if decoder.Next() != jx.Object {
-		return refuse(BadField, key+" is not an object")
+		return reject(CodeBadField, key+" is not an object")
 	}
 	engine := &Engine{}
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
-		return engineMember(decoder, key, engine)
+		return readEngineMember(decoder, key, engine)
 	})
 	if err != nil {
 		return err
 	}
 	engine.Slots = max(engine.Slots, 0)
-	engine.KVTokens = max(engine.KVTokens, 0)
-	engine.KVTokenBytes = math.Max(engine.KVTokenBytes, 0)
+	engine.KVCapacityTokens = max(engine.KVCapacityTokens, 0)
+	engine.KVBytesPerToken = math.Max(engine.KVBytesPerToken, 0)
 	engine.LinkMbps = math.Max(engine.LinkMbps, 0)
-	engine.Stride = max(engine.Stride, 1)
+	engine.MaxTokensPerEvent = max(engine.MaxTokensPerEvent, 1)
 	engine.HandleTTL = max(engine.HandleTTL, 0)
-	engine.SwitchTime = max(engine.SwitchTime, 0)
+	engine.RoleSwitchTime = max(engine.RoleSwitchTime, 0)
 	*into = engine
 	return nil
 }
 
-func engineMember(decoder *jx.Decoder, key string, engine *Engine) error {
+func readEngineMember(decoder *jx.Decoder, key string, engine *Engine) error {
 	switch key {
 	case "slots":
 		return readCount(decoder, key, &engine.Slots)
 	case "kvTokens":
-		return readCount(decoder, key, &engine.KVTokens)
+		return readCount(decoder, key, &engine.KVCapacityTokens)
 	case "kvTokenBytes":
-		return jsonfield.Number(decoder, key, &engine.KVTokenBytes)
+		return jsonfield.Number(decoder, key, &engine.KVBytesPerToken)
 	case "linkMbps":
 		return jsonfield.Number(decoder, key, &engine.LinkMbps)
 	case "stride":
-		return readCount(decoder, key, &engine.Stride)
+		return readCount(decoder, key, &engine.MaxTokensPerEvent)
 	case "handleTtlS":
-		return readSpan(decoder, key, time.Second, &engine.HandleTTL)
+		return readDuration(decoder, key, time.Second, &engine.HandleTTL)
 	case "switchS":
-		return readSpan(decoder, key, time.Second, &engine.SwitchTime)
+		return readDuration(decoder, key, time.Second, &engine.RoleSwitchTime)
 	case "models":
 		return readModelNames(decoder, key, &engine.Models)
 	default:
@@ -256,7 +256,7 @@
 		return nil
 	}
 	if decoder.Next() != jx.Array {
-		return refuse(BadField, key+" is not a list")
+		return reject(CodeBadField, key+" is not a list")
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
 		name := ""
@@ -296,39 +296,39 @@
 // *Refusal.
 func ParseLimits(raw []byte) (Limits, error) {
 	limits := Limits{}
-	refusal := eachMember(raw, "limits", func(decoder *jx.Decoder, key string) error {
+	rejection := eachMember(raw, "limits", func(decoder *jx.Decoder, key string) error {
 		switch key {
 		case "maxHeaderBytes":
 			return readCount(decoder, key, &limits.MaxHeaderBytes)
 		case "maxBodyBytes":
 			return readCount(decoder, key, &limits.MaxBodyBytes)
 		case "headerTimeoutMs":
-			return readSpan(decoder, key, time.Millisecond, &limits.HeaderTimeout)
+			return readDuration(decoder, key, time.Millisecond, &limits.HeaderTimeout)
 		case "idleTimeoutMs":
-			return readSpan(decoder, key, time.Millisecond, &limits.IdleTimeout)
+			return readDuration(decoder, key, time.Millisecond, &limits.IdleTimeout)
 		default:
 			return decoder.Skip()
 		}
 	})
-	if refusal != nil {
-		return Limits{}, refusal
+	if rejection != nil {
+		return Limits{}, rejection
 	}
 	return limits.withDefaults(), nil
 }
 
 func (l Limits) withDefaults() Limits {
-	preset := DefaultLimits()
+	defaults := DefaultLimits()
 	if l.MaxHeaderBytes <= 0 {
-		l.MaxHeaderBytes = preset.MaxHeaderBytes
+		l.MaxHeaderBytes = defaults.MaxHeaderBytes
 	}
 	if l.MaxBodyBytes <= 0 {
-		l.MaxBodyBytes = preset.MaxBodyBytes
+		l.MaxBodyBytes = defaults.MaxBodyBytes
 	}
 	if l.HeaderTimeout <= 0 {
-		l.HeaderTimeout = preset.HeaderTimeout
+		l.HeaderTimeout = defaults.HeaderTimeout
 	}
 	if l.IdleTimeout <= 0 {
-		l.IdleTimeout = preset.IdleTimeout
+		l.IdleTimeout = defaults.IdleTimeout
 	}
 	return l
 }
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -16,14 +16,14 @@
 		Name: "r-3d3zji9", Hostname: "ficu95.example", PathPrefix: "/lohu930/", Type: Streaming,
 		Timeout: 4 * time.Second, TargetLatency: 500 * time.Millisecond, Priority: 1,
 		Targets:     []Target{{"huvo11a", 90}, {"wuno96b", 10}},
-		MaxAttempts: 1, SessionAffinity: true, GapObjective: 200 * time.Millisecond,
+		MaxAttempts: 1, SessionAffinity: true, InterTokenTarget: 200 * time.Millisecond,
 	}
 	if !reflect.DeepEqual(route, expected) {
 		t.Fatalf("%+v", route)
 	}
 }
 
-func TestParseRouteDefaults(t *testing.T) {
+func TestParseRoute_defaults(t *testing.T) {
 	raw := `{"name":"r","hostname":"A.Example:8443","pathPrefix":"/a/","routeType":"of_a_later_day","timeoutMs":1500.5,
 		"trafficSplit":null,"service":"s","maxAttempts":null,"unknown":[{}]}`
 	route, err := ParseRoute([]byte(raw))
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestParseRouteLeavesOutTargetsWithoutWeight(t *testing.T) {
+func TestParseRoute_dropsTargetsWithoutWeight(t *testing.T) {
 	raw := `{"name":"r","hostname":"h","pathPrefix":"/","timeoutMs":1,"trafficSplit":[{"service":"a","weight":0},{"service":"b","weight":5}]}`
 	route, err := ParseRoute([]byte(raw))
 	if err != nil || !reflect.DeepEqual(route.Targets, []Target{{"b", 5}}) {
@@ -47,11 +47,11 @@
 	}
 }
 
-func TestNormalHost(t *testing.T) {
+func TestNormalizeHost(t *testing.T) {
 	for host, expected := range map[string]string{
 		"A.b:80": "a.b", "a.b": "a.b", "[::1]:80": "[::1]", "[::1]": "[::1]", "::1": "::1", "": "", ":80": "",
 	} {
-		if got := normalHost(host); got != expected {
+		if got := normalizeHost(host); got != expected {
 			t.Errorf("%q: %q, not %q", host, got, expected)
 		}
 	}
@@ -63,8 +63,8 @@
 		t.Fatal(err)
 	}
 	expected := Service{Name: "huvo11a", HealthPath: "/health", MaxConnections: 360, Engine: &Engine{
-		Slots: 64, KVTokens: 342882, KVTokenBytes: 327680, LinkMbps: 2600000, Stride: 7,
-		HandleTTL: 5 * time.Second, SwitchTime: 860 * time.Millisecond, Models: []string{"m"},
+		Slots: 64, KVCapacityTokens: 342882, KVBytesPerToken: 327680, LinkMbps: 2600000, MaxTokensPerEvent: 7,
+		HandleTTL: 5 * time.Second, RoleSwitchTime: 860 * time.Millisecond, Models: []string{"m"},
 	}}
 	if !reflect.DeepEqual(service, expected) {
 		t.Fatalf("%+v", service)
@@ -84,20 +84,20 @@
 	}
 }
 
-func TestErrorsAreRefusals(t *testing.T) {
+func TestParse_errorsAreRejections(t *testing.T) {
 	_, routeError := ParseRoute([]byte(`{"name":3}`))
 	_, serviceError := ParseService([]byte(`{"name":"a"`))
 	_, limitsError := ParseLimits([]byte(`[]`))
-	for place, err := range map[string]error{"route": routeError, "service": serviceError, "limits": limitsError} {
-		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Status != 400 {
-			t.Errorf("%s: %v", place, err)
+	for subject, err := range map[string]error{"route": routeError, "service": serviceError, "limits": limitsError} {
+		var rejection *Rejection
+		if !errors.As(err, &rejection) || rejection.HTTPStatus != 400 {
+			t.Errorf("%s: %v", subject, err)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	for _, seed := range []string{exampleRoute, exampleSingleRoute, exampleService, exampleLimits, exampleWhole(7), `{`, `[1e999]`, `{"a":"\ud800"}`} {
+	for _, seed := range []string{exampleRoute, exampleSingleRoute, exampleService, exampleLimits, exampleConfiguration(7), `{`, `[1e999]`, `{"a":"\ud800"}`} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -108,15 +108,15 @@
 			_ = err.Error()
 		}
 		_, _ = ParseLimits(raw)
-		whole, refusal := readDocument(raw)
-		if refusal != nil {
+		parsed, rejection := readDocument(raw)
+		if rejection != nil {
 			return
 		}
-		again, refusal := readDocument(whole.render())
-		if refusal != nil {
-			t.Fatalf("what was rendered cannot be read: %v: %s", refusal, whole.render())
+		again, rejection := readDocument(parsed.render())
+		if rejection != nil {
+			t.Fatalf("what was rendered cannot be read: %v: %s", rejection, parsed.render())
 		}
-		if !reflect.DeepEqual(whole.items(), again.items()) {
+		if !reflect.DeepEqual(parsed.items(), again.items()) {
 			t.Fatalf("the items of %s differ after a round", raw)
 		}
 	})
@@ -127,13 +127,13 @@
 	f.Add([]byte(`{"generation":9.0,"upsert":null,"remove":{"x":null}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		store := NewStore()
-		mustAccept(t, store, replaceCommand(0, exampleWhole(7)))
-		outcome := applied(store, Command{Kind: Update, Base: 7, Body: raw})
-		if refusal := CheckStatic(Command{Kind: Update, Base: 7, Body: raw}); refusal != nil && outcome.Status == 200 {
-			t.Fatalf("accepted, but refused without the state: %v", refusal)
+		mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
+		outcome := applyCommand(store, Command{Kind: CommandUpdate, Base: 7, Body: raw})
+		if rejection := ValidateCommand(Command{Kind: CommandUpdate, Base: 7, Body: raw}); rejection != nil && outcome.HTTPStatus == 200 {
+			t.Fatalf("accepted, but refused without the state: %v", rejection)
 		}
-		if _, refusal := readDocument(store.Document()); refusal != nil {
-			t.Fatalf("%v: %s", refusal, store.Document())
+		if _, rejection := readDocument(store.Document()); rejection != nil {
+			t.Fatalf("%v: %s", rejection, store.Document())
 		}
 	})
 }
--- a/internal/controlplane/configuration/property_test.go
+++ b/internal/controlplane/configuration/property_test.go
@@ -15,51 +15,51 @@
 )
 
 const (
-	drawnSeed  = 7041
-	drawnNames = 6
-	drawnHosts = 2
+	randomSeed  = 7041
+	randomNames = 6
+	randomHosts = 2
 )
 
-// drawnUpdate turns a drawn number into an update that may be valid or not.
-func drawnUpdate(generation uint64, number uint32) string {
+// randomUpdate turns a drawn number into an update that may be valid or not.
+func randomUpdate(generation uint64, number uint32) string {
 	routes := []string{}
 	for round := uint32(0); round < number%3; round++ {
 		draw := number >> (4 * round)
-		name := fmt.Sprintf("r%d", draw%drawnNames)
-		host := fmt.Sprintf("h%d", draw/7%drawnHosts)
-		prefix := fmt.Sprintf("/p%d/", draw/3%(drawnNames*2))
+		name := fmt.Sprintf("r%d", draw%randomNames)
+		host := fmt.Sprintf("h%d", draw/7%randomHosts)
+		prefix := fmt.Sprintf("/p%d/", draw/3%(randomNames*2))
 		service := fmt.Sprintf("s%d", draw/5%3)
 		routes = append(routes, routeNamed(name, host, prefix, service, int(draw%9)))
 	}
-	removed := fmt.Sprintf(`"r%d"`, number/11%drawnNames)
+	removed := fmt.Sprintf(`"r%d"`, number/11%randomNames)
 	services := fmt.Sprintf(`{"name":"s%d","maxConnections":%d}`, number/13%3, number%50)
 	return fmt.Sprintf(`{"generation":%d,"upsert":{"routes":[%s],"services":[%s]},"remove":{"routes":[%s]}}`,
 		generation, strings.Join(routes, ","), services, removed)
 }
 
-// drawnWhole is a whole configuration that drawn updates change.
-func drawnWhole(generation uint64) string {
+// randomConfiguration is a whole configuration that drawn updates change.
+func randomConfiguration(generation uint64) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[],"services":[{"name":"s0"},{"name":"s1"}],"other":[1]}`, generation)
 }
 
-func TestUpdatesAreLikeAReplaceByTheirResult(t *testing.T) {
+func TestStore_updatesEqualReplaceWithResult(t *testing.T) {
 	accepted := 0
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed))
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed))
 	properties.Property("items, document and feed agree", prop.ForAll(
 		func(numbers []uint32) bool {
 			store := NewStore()
-			mustAccept(t, store, replaceCommand(0, drawnWhole(1)))
+			mustAccept(t, store, replaceCommand(0, randomConfiguration(1)))
 			follower := feed.NewBuffer(0)
 			follower.Reset(feed.Snapshot{Index: 1, Items: store.Items()})
 			for position, number := range numbers {
 				base := store.Generation()
-				command := updateCommand(base, drawnUpdate(base+1+uint64(number%3), number))
-				refusal := CheckStatic(command)
+				command := updateCommand(base, randomUpdate(base+1+uint64(number%3), number))
+				rejection := ValidateCommand(command)
 				outcome, change := store.Apply(uint64(position+2), EncodeCommand(command))
-				if refusal != nil && outcome.Status == 200 || follower.Append(change) != nil {
+				if rejection != nil && outcome.HTTPStatus == 200 || follower.Append(change) != nil {
 					return false
 				}
-				if outcome.Code == Accepted {
+				if outcome.Code == CodeAccepted {
 					accepted++
 				}
 				if !reflect.DeepEqual(follower.Snapshot().Items, store.Items()) {
@@ -67,7 +67,7 @@
 				}
 			}
 			other := NewStore()
-			mustAccept(t, other, Command{Kind: Replace, Body: store.Document()})
+			mustAccept(t, other, Command{Kind: CommandReplace, Body: store.Document()})
 			return reflect.DeepEqual(other.Items(), store.Items()) && bytes.Equal(other.Document(), store.Document())
 		},
 		gen.SliceOf(gen.UInt32()),
@@ -78,14 +78,14 @@
 	}
 }
 
-func TestReplicasAgreeThroughSnapshots(t *testing.T) {
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 1))
+func TestStore_replicasAgreeThroughSnapshots(t *testing.T) {
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 1))
 	properties.Property("a replica that restores in between is the same", prop.ForAll(
 		func(numbers []uint32) bool {
 			first, second := NewStore(), NewStore()
-			entries := [][]byte{EncodeCommand(replaceCommand(0, drawnWhole(1)))}
+			entries := [][]byte{EncodeCommand(replaceCommand(0, randomConfiguration(1)))}
 			for position, number := range numbers {
-				entries = append(entries, EncodeCommand(updateCommand(uint64(number%4)+uint64(position/2), drawnUpdate(uint64(position)+1, number))))
+				entries = append(entries, EncodeCommand(updateCommand(uint64(number%4)+uint64(position/2), randomUpdate(uint64(position)+1, number))))
 				entries = append(entries, entries[number%uint32(len(entries))])
 			}
 			for position, entry := range entries {
@@ -107,37 +107,37 @@
 	properties.TestingRun(t)
 }
 
-func TestOfTwoChangesOnOneBaseOneWins(t *testing.T) {
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 2))
+func TestStore_Apply_oneOfTwoChangesOnSameBaseWins(t *testing.T) {
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 2))
 	properties.Property("the second is refused, each repeat is answered as before or 412", prop.ForAll(
-		func(rise, otherRise uint8, whole bool) bool {
+		func(rise, otherRise uint8, asReplace bool) bool {
 			store := NewStore()
-			mustAccept(t, store, replaceCommand(0, exampleWhole(7)))
+			mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
 			one := updateCommand(7, fmt.Sprintf(`{"generation":%d,"remove":{"routes":["r-n73hh2b"]}}`, 8+uint64(rise)))
 			other := updateCommand(7, fmt.Sprintf(`{"generation":%d}`, 8+uint64(otherRise)))
-			if whole {
-				other = replaceCommand(7, exampleWhole(8+uint64(otherRise)))
+			if asReplace {
+				other = replaceCommand(7, exampleConfiguration(8+uint64(otherRise)))
 			}
 			mustAccept(t, store, one)
-			lost := applied(store, other)
-			again := applied(store, one)
-			return lost.Code == BaseNotCurrent && again.Code == Repeated && store.Generation() == 8+uint64(rise)
+			lost := applyCommand(store, other)
+			again := applyCommand(store, one)
+			return lost.Code == CodeBaseNotCurrent && again.Code == CodeRepeated && store.Generation() == 8+uint64(rise)
 		},
 		gen.UInt8(), gen.UInt8(), gen.Bool(),
 	))
 	properties.TestingRun(t)
 }
 
-func TestRawMembersAreKept(t *testing.T) {
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 3))
+func TestStore_Document_preservesRawMembers(t *testing.T) {
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 3))
 	properties.Property("what was sent is read back", prop.ForAll(
 		func(text string, number float64, spaces uint8) bool {
 			blank := strings.Repeat(" ", int(spaces%5))
 			unknown := fmt.Sprintf(`{%s"text":%q,"number":%g}`, blank, strings.ToValidUTF8(text, ""), number)
 			route := strings.Replace(exampleRoute, "{", `{"unknown":`+unknown+`,`, 1)
-			whole := wholeOf(7, []string{route}, []string{exampleService, examplePlainService})
+			body := configurationOf(7, []string{route}, []string{exampleService, examplePlainService})
 			store := NewStore()
-			mustAccept(t, store, replaceCommand(0, whole))
+			mustAccept(t, store, replaceCommand(0, body))
 			mustAccept(t, store, updateCommand(7, `{"generation":8,"upsert":{"services":[`+exampleService+`]}}`))
 			return bytes.Contains(store.Document(), []byte(route))
 		},
--- a/internal/controlplane/configuration/snapshot.go
+++ b/internal/controlplane/configuration/snapshot.go
@@ -50,11 +50,11 @@
 		Format:     snapshotFormat,
 		Generation: int64(s.document.generation),
 		Document:   s.document.render(),
-		Forgotten:  int64(s.forgotten),
+		Forgotten:  int64(s.forgottenBelow),
 	}
-	if s.holds(RuleRepeatSnapshot) {
-		for _, one := range s.order {
-			record.Accepted = append(record.Accepted, one.mark[:]...)
+	if s.enforces(RuleDuplicateInSnapshot) {
+		for _, one := range s.acceptedOrder {
+			record.Accepted = append(record.Accepted, one.digest[:]...)
 			record.Bases = append(record.Bases, int64(one.base))
 		}
 	}
@@ -69,19 +69,19 @@
 		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	restored := &Store{
-		document: emptyDocument(), accepted: map[digest]struct{}{},
-		kept: s.kept, forgotten: uint64(record.Forgotten), omitted: s.omitted,
+		document: emptyDocument(), accepted: map[commandDigest]struct{}{},
+		maxAccepted: s.maxAccepted, forgottenBelow: uint64(record.Forgotten), omittedRules: s.omittedRules,
 	}
 	if record.Generation != 0 {
-		whole, refusal := readDocument(record.Document)
-		if refusal != nil {
-			return fmt.Errorf("%w: %w", ErrSnapshot, refusal)
+		parsed, rejection := readDocument(record.Document)
+		if rejection != nil {
+			return fmt.Errorf("%w: %w", ErrSnapshot, rejection)
 		}
-		restored.document = whole
+		restored.document = parsed
 	}
 	for position, base := range record.Bases {
-		mark := digest(record.Accepted[position*digestBytes:])
-		restored.remember(acceptance{base: uint64(base), mark: mark})
+		digest := commandDigest(record.Accepted[position*digestBytes:])
+		restored.rememberAccepted(acceptedChange{base: uint64(base), digest: digest})
 	}
 	*s = *restored
 	return nil
@@ -94,15 +94,15 @@
 		return record, errors.New("it is empty")
 	}
 	format := 0
-	if err := binary.Unmarshal(formatSchema, snapshot, &format); err != nil {
+	if err := avroCodec.Unmarshal(formatSchema, snapshot, &format); err != nil {
 		return record, err
 	}
 	var err error
 	switch format {
 	case snapshotFormat:
-		err = strictavro.Unmarshal(binary, snapshotSchema, snapshot, &record)
+		err = strictavro.Unmarshal(avroCodec, snapshotSchema, snapshot, &record)
 	case firstSnapshotFormat:
-		err = strictavro.Unmarshal(binary, firstSnapshotSchema, snapshot, &record)
+		err = strictavro.Unmarshal(avroCodec, firstSnapshotSchema, snapshot, &record)
 		record.Bases = unknownBases(record)
 	default:
 		err = fmt.Errorf("format %d", format)
--- a/internal/controlplane/configuration/store.go
+++ b/internal/controlplane/configuration/store.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	digestBytes    = 16
-	acceptedKept   = 4096 // accepted changes whose repetition is acknowledged again
-	baseBytes      = 8
-	decimalNumbers = 10
+	digestBytes        = 16
+	maxAcceptedChanges = 4096 // accepted changes whose repetition is acknowledged again
+	baseBytes          = 8
+	decimalBase        = 10
 
-	// largestDocument bounds what updates may make of a configuration, so that its snapshots and reads fit into one frame
+	// maxDocumentBytes bounds what updates may make of a configuration, so that its snapshots and reads fit into one frame
 	// between keepers. A whole one is bounded by the call that brings it.
-	largestDocument = 8 << 20
+	maxDocumentBytes = 8 << 20
 )
 
-type digest [digestBytes]byte
+type commandDigest [digestBytes]byte
 
-// acceptance is what is remembered of an accepted change.
-type acceptance struct {
-	base uint64 // the generation that it built on, or one above that but below its own
-	mark digest
+// acceptedChange is what is remembered of an accepted change.
+type acceptedChange struct {
+	base   uint64 // the generation that it built on, or one above that but below its own
+	digest commandDigest
 }
 
 // Outcome is what became of one change.
 type Outcome struct {
-	Status     int // of HTTP: 200, 400, 412 or 503
+	HTTPStatus int // of HTTP: 200, 400, 412 or 503
 	Code       Code
 	Text       string
 	Generation uint64 // in force after the change
@@ -44,22 +44,22 @@
 // never accepted later: generations only rise, so that a base which was passed is never in force
 // again. A base that may still come into force is not refused for that reason.
 type Store struct {
-	document  *document
-	accepted  map[digest]struct{}
-	order     []acceptance // of accepted, oldest first
-	kept      int          // bound of order
-	forgotten uint64       // whatever is forgotten built on a generation below this one
-	omitted   map[Rule]bool
+	document       *document
+	accepted       map[commandDigest]struct{}
+	acceptedOrder  []acceptedChange // of accepted, oldest first
+	maxAccepted    int              // bound of order
+	forgottenBelow uint64           // whatever is forgotten built on a generation below this one
+	omittedRules   map[Rule]bool
 }
 
 // NewStore returns a store without a configuration: generation 0. Tests alone leave rules out.
 func NewStore(omit ...Rule) *Store {
 	store := &Store{
-		document: emptyDocument(), accepted: map[digest]struct{}{}, kept: acceptedKept,
-		omitted: make(map[Rule]bool, len(omit)),
+		document: emptyDocument(), accepted: map[commandDigest]struct{}{}, maxAccepted: maxAcceptedChanges,
+		omittedRules: make(map[Rule]bool, len(omit)),
 	}
 	for _, rule := range omit {
-		store.omitted[rule] = true
+		store.omittedRules[rule] = true
 	}
 	return store
 }
@@ -70,117 +70,117 @@
 	change := feed.Change{Index: index}
 	decoded, err := DecodeCommand(command)
 	if err != nil {
-		return s.refused(asRefusal(err, "command")), change
+		return s.rejected(asRejection(err, "command")), change
 	}
-	mark := s.markOf(decoded)
-	if s.repeats(decoded, mark) {
-		return s.outcome(Repeated), change
+	digest := s.duplicateKey(decoded)
+	if s.isDuplicate(decoded, digest) {
+		return s.outcome(CodeRepeated), change
 	}
-	if refusal := s.checkBase(decoded.Base); refusal != nil {
-		return s.refused(refusal), change
+	if rejection := s.compareBase(decoded.Base); rejection != nil {
+		return s.rejected(rejection), change
 	}
-	next, refusal := s.next(decoded)
-	if refusal != nil {
-		return s.refused(refusal), change
+	next, rejection := s.nextDocument(decoded)
+	if rejection != nil {
+		return s.rejected(rejection), change
 	}
-	change.Put, change.Delete = difference(s.document, next)
+	change.Put, change.Delete = diff(s.document, next)
 	s.document = next
-	s.remember(acceptance{base: decoded.Base, mark: mark})
-	return s.outcome(Accepted), change
+	s.rememberAccepted(acceptedChange{base: decoded.Base, digest: digest})
+	return s.outcome(CodeAccepted), change
 }
 
-// repeats tells whether a change was accepted before.
-func (s *Store) repeats(command Command, mark digest) bool {
-	if !s.holds(RuleRepeatFirst) && command.Base != s.document.generation {
+// isDuplicate tells whether a change was accepted before.
+func (s *Store) isDuplicate(command Command, digest commandDigest) bool {
+	if !s.enforces(RuleDuplicateBeforeBase) && command.Base != s.document.generation {
 		return false
 	}
-	_, repeated := s.accepted[mark]
+	_, repeated := s.accepted[digest]
 	return repeated
 }
 
-// checkBase refuses a change that does not build on the generation in force. It is refused for good
+// compareBase refuses a change that does not build on the generation in force. It is refused for good
 // only if that generation was passed and the changes which built on it are still remembered.
-func (s *Store) checkBase(base uint64) *Refusal {
+func (s *Store) compareBase(base uint64) *Rejection {
 	current := s.document.generation
-	place := "in force is " + strconv.FormatUint(current, decimalNumbers)
+	detail := "in force is " + strconv.FormatUint(current, decimalBase)
 	switch {
-	case base == current || !s.holds(RuleBaseCurrent):
+	case base == current || !s.enforces(RuleBaseCurrent):
 		return nil
-	case base > current && s.holds(RuleBaseAheadOpen):
-		return refuse(BaseAhead, place)
-	case base < s.forgotten && s.holds(RuleForgottenOpen):
-		return refuse(BaseForgotten, place)
+	case base > current && s.enforces(RuleBaseAheadUndecided):
+		return reject(CodeBaseAhead, detail)
+	case base < s.forgottenBelow && s.enforces(RuleBaseForgottenUndecided):
+		return reject(CodeBaseForgotten, detail)
 	}
-	return refuse(BaseNotCurrent, place)
+	return reject(CodeBaseNotCurrent, detail)
 }
 
-// next returns the checked document after a command that builds on the one in force.
-func (s *Store) next(command Command) (*document, *Refusal) {
-	after, refusal := s.document.changed(command)
-	if refusal != nil {
-		return nil, refusal
+// nextDocument returns the checked document after a command that builds on the one in force.
+func (s *Store) nextDocument(command Command) (*document, *Rejection) {
+	after, rejection := s.document.applyCommand(command)
+	if rejection != nil {
+		return nil, rejection
 	}
-	if refusal := checkRise(after.generation, s.document.generation); refusal != nil && s.holds(RuleGenerationRises) {
-		return nil, refusal
+	if rejection := validateGeneration(after.generation, s.document.generation); rejection != nil && s.enforces(RuleGenerationIncreases) {
+		return nil, rejection
 	}
-	if command.Kind == Update && after.size() > largestDocument {
-		return nil, refuse(TooLarge, "")
+	if command.Kind == CommandUpdate && after.size() > maxDocumentBytes {
+		return nil, reject(CodeTooLarge, "")
 	}
-	return after, after.check()
+	return after, after.validate()
 }
 
-func (d *document) changed(command Command) (*document, *Refusal) {
-	if command.Kind == Replace {
+func (d *document) applyCommand(command Command) (*document, *Rejection) {
+	if command.Kind == CommandReplace {
 		return readDocument(command.Body)
 	}
-	change, refusal := readUpdate(command.Body)
-	if refusal != nil {
-		return nil, refusal
+	change, rejection := readUpdate(command.Body)
+	if rejection != nil {
+		return nil, rejection
 	}
 	return change.apply(d)
 }
 
 func (s *Store) outcome(code Code) Outcome {
 	entry := codes.Entry(code)
-	return Outcome{Status: entry.Status, Code: code, Text: entry.Text, Generation: s.document.generation}
+	return Outcome{HTTPStatus: entry.HTTPStatus, Code: code, Text: entry.Text, Generation: s.document.generation}
 }
 
-func (s *Store) refused(refusal *Refusal) Outcome {
-	return Outcome{Status: refusal.Status, Code: refusal.Code, Text: refusal.Text, Generation: s.document.generation}
+func (s *Store) rejected(rejection *Rejection) Outcome {
+	return Outcome{HTTPStatus: rejection.HTTPStatus, Code: rejection.Code, Text: rejection.Text, Generation: s.document.generation}
 }
 
-// markOf returns the digest that a change is remembered by.
-func (s *Store) markOf(command Command) digest {
-	if !s.holds(RuleRepeatIsOfOrder) {
+// duplicateKey returns the digest that a change is remembered by.
+func (s *Store) duplicateKey(command Command) commandDigest {
+	if !s.enforces(RuleDuplicateMatchesCommand) {
 		command.Kind, command.Base = 0, 0
 	}
 	return digestOf(command)
 }
 
 // digestOf identifies a command by its kind, base and body.
-func digestOf(command Command) digest {
+func digestOf(command Command) commandDigest {
 	hash := sha256.New()
 	var head [1 + baseBytes]byte
 	head[0] = byte(command.Kind)
 	bits.BigEndian.PutUint64(head[1:], command.Base)
 	hash.Write(head[:])
 	hash.Write(command.Body)
-	var mark digest
-	copy(mark[:], hash.Sum(nil))
-	return mark
+	var digest commandDigest
+	copy(digest[:], hash.Sum(nil))
+	return digest
 }
 
-// remember keeps an accepted change and forgets the oldest beyond the bound.
-func (s *Store) remember(one acceptance) {
-	if !s.holds(RuleRepeatKnown) {
+// rememberAccepted keeps an accepted change and forgets the oldest beyond the bound.
+func (s *Store) rememberAccepted(one acceptedChange) {
+	if !s.enforces(RuleDuplicateRemembered) {
 		return
 	}
-	s.accepted[one.mark] = struct{}{}
-	s.order = append(s.order, one)
-	if len(s.order) > s.kept {
-		delete(s.accepted, s.order[0].mark)
-		s.forgotten = max(s.forgotten, s.order[0].base+1)
-		s.order = append([]acceptance(nil), s.order[1:]...)
+	s.accepted[one.digest] = struct{}{}
+	s.acceptedOrder = append(s.acceptedOrder, one)
+	if len(s.acceptedOrder) > s.maxAccepted {
+		delete(s.accepted, s.acceptedOrder[0].digest)
+		s.forgottenBelow = max(s.forgottenBelow, s.acceptedOrder[0].base+1)
+		s.acceptedOrder = append([]acceptedChange(nil), s.acceptedOrder[1:]...)
 	}
 }
 
@@ -209,8 +209,8 @@
 	if d.generation == 0 {
 		return nil
 	}
-	items := []feed.Item{{Key: KeyGeneration, Value: strconv.AppendUint(nil, d.generation, decimalNumbers)}}
-	if limits := find(d.members, memberLimits); limits != nil {
+	items := []feed.Item{{Key: KeyGeneration, Value: strconv.AppendUint(nil, d.generation, decimalBase)}}
+	if limits := findMember(d.members, memberLimits); limits != nil {
 		items = append(items, feed.Item{Key: KeyLimits, Value: limits.raw})
 	}
 	for _, entry := range d.list(listRoutes) {
@@ -223,22 +223,22 @@
 	return items
 }
 
-// difference returns the items to put and the keys to delete, each sorted by key.
-func difference(before, after *document) (put []feed.Item, gone []string) {
-	held := map[string][]byte{}
+// diff returns the items to put and the keys to delete, each sorted by key.
+func diff(before, after *document) (put []feed.Item, deleted []string) {
+	previous := map[string][]byte{}
 	for _, entry := range before.items() {
-		held[entry.Key] = entry.Value
+		previous[entry.Key] = entry.Value
 	}
 	for _, entry := range after.items() {
-		value, found := held[entry.Key]
-		delete(held, entry.Key)
+		value, found := previous[entry.Key]
+		delete(previous, entry.Key)
 		if !found || !bytes.Equal(value, entry.Value) {
 			put = append(put, entry)
 		}
 	}
-	for key := range held {
-		gone = append(gone, key)
+	for key := range previous {
+		deleted = append(deleted, key)
 	}
-	sort.Strings(gone)
-	return put, gone
+	sort.Strings(deleted)
+	return put, deleted
 }
--- a/internal/controlplane/configuration/types.go
+++ b/internal/controlplane/configuration/types.go
@@ -21,30 +21,30 @@
 
 // Route is one item of "routes".
 type Route struct {
-	Name            string
-	Hostname        string // compared without regard to case, without port
-	PathPrefix      string // begins and ends with a slash
-	Type            RouteType
-	Timeout         time.Duration // longest the operator wants a request held
-	TargetLatency   time.Duration // objective: to the whole answer, of a stream to its first event
-	Priority        int           // 0 is highest
-	Targets         []Target      // one with weight 1 for "service", several for "trafficSplit"
-	MaxAttempts     int           // most workers that one try may be sent to; at least 1
-	SessionAffinity bool
-	Resumable       bool
-	GapObjective    time.Duration // longest pause between events in time; 0: none given
+	Name             string
+	Hostname         string // compared without regard to case, without port
+	PathPrefix       string // begins and ends with a slash
+	Type             RouteType
+	Timeout          time.Duration // longest the operator wants a request held
+	TargetLatency    time.Duration // objective: to the whole answer, of a stream to its first event
+	Priority         int           // 0 is highest
+	Targets          []Target      // one with weight 1 for "service", several for "trafficSplit"
+	MaxAttempts      int           // most workers that one try may be sent to; at least 1
+	SessionAffinity  bool
+	Resumable        bool
+	InterTokenTarget time.Duration // longest pause between events in time; 0: none given
 }
 
 // Engine is the part of a model service that tells of its workers.
 type Engine struct {
-	Slots        int
-	KVTokens     int     // memory of a worker in tokens
-	KVTokenBytes float64 // bytes of one token's memory
-	LinkMbps     float64 // of a worker's link for hand-overs
-	Stride       int     // most tokens in one event
-	HandleTTL    time.Duration
-	SwitchTime   time.Duration // a worker's time to change its stage
-	Models       []string
+	Slots             int
+	KVCapacityTokens  int     // memory of a worker in tokens
+	KVBytesPerToken   float64 // bytes of one token's memory
+	LinkMbps          float64 // of a worker's link for hand-overs
+	MaxTokensPerEvent int     // most tokens in one event
+	HandleTTL         time.Duration
+	RoleSwitchTime    time.Duration // a worker's time to change its stage
+	Models            []string
 }
 
 // Service is one item of "services".
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -5,62 +5,62 @@
 	"strings"
 )
 
-// checkRoute checks what can be told of a route by itself.
-func checkRoute(route Route) *Refusal {
+// validateRoute checks what can be told of a route by itself.
+func validateRoute(route Route) *Rejection {
 	if route.Name == "" {
-		return refuse(MissingField, "name of a route")
+		return reject(CodeMissingField, "name of a route")
 	}
 	if route.Hostname == "" {
-		return refuse(MissingField, "hostname of route "+route.Name)
+		return reject(CodeMissingField, "hostname of route "+route.Name)
 	}
 	if !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/") {
-		return refuse(BadPrefix, "route "+route.Name)
+		return reject(CodeBadPrefix, "route "+route.Name)
 	}
 	if route.Timeout <= 0 {
-		return refuse(NoTimeout, "route "+route.Name)
+		return reject(CodeNoTimeout, "route "+route.Name)
 	}
-	return checkTargets(route)
+	return validateTargets(route)
 }
 
-// checkTargets checks the weights of a route.
-func checkTargets(route Route) *Refusal {
+// validateTargets checks the weights of a route.
+func validateTargets(route Route) *Rejection {
 	sum := 0.0
 	for _, target := range route.Targets {
 		if target.Weight < 0 {
-			return refuse(NoWeight, "route "+route.Name)
+			return reject(CodeNoWeight, "route "+route.Name)
 		}
 		if target.Service == "" {
-			return refuse(UnknownService, "route "+route.Name+" has a target without a name")
+			return reject(CodeUnknownService, "route "+route.Name+" has a target without a name")
 		}
 		sum += target.Weight
 	}
 	if sum <= 0 || math.IsInf(sum, 0) {
-		return refuse(NoWeight, "route "+route.Name)
+		return reject(CodeNoWeight, "route "+route.Name)
 	}
 	return nil
 }
 
-// place is where a route takes requests.
-type place struct {
-	host   string
-	prefix string
+// routeMatch is where a route takes requests.
+type routeMatch struct {
+	hostname   string
+	pathPrefix string
 }
 
-// checkPlaces refuses two routes with the same host and prefix.
-func checkPlaces(routes []*item) *Refusal {
-	names := make(map[place]string, len(routes))
+// validateUniqueMatches refuses two routes with the same host and prefix.
+func validateUniqueMatches(routes []*item) *Rejection {
+	names := make(map[routeMatch]string, len(routes))
 	for _, entry := range routes {
-		at := place{host: entry.route.Hostname, prefix: entry.route.PathPrefix}
+		at := routeMatch{hostname: entry.route.Hostname, pathPrefix: entry.route.PathPrefix}
 		if other, taken := names[at]; taken {
-			return refuse(SamePlace, "routes "+other+" and "+entry.name)
+			return reject(CodeDuplicateMatch, "routes "+other+" and "+entry.name)
 		}
 		names[at] = entry.name
 	}
 	return nil
 }
 
-// checkServices refuses a route that names a service that is not listed, with any weight.
-func checkServices(routes, services []*item) *Refusal {
+// validateServiceReferences refuses a route that names a service that is not listed, with any weight.
+func validateServiceReferences(routes, services []*item) *Rejection {
 	known := make(map[string]bool, len(services))
 	for _, entry := range services {
 		known[entry.name] = true
@@ -68,61 +68,61 @@
 	for _, entry := range routes {
 		for _, target := range entry.route.Targets {
 			if !known[target.Service] {
-				return refuse(UnknownService, "route "+entry.name+" names "+target.Service)
+				return reject(CodeUnknownService, "route "+entry.name+" names "+target.Service)
 			}
 		}
 	}
 	return nil
 }
 
-// check refuses a document whose parts do not fit together.
-func (d *document) check() *Refusal {
+// validate refuses a document whose parts do not fit together.
+func (d *document) validate() *Rejection {
 	routes := d.list(listRoutes)
-	if refusal := checkPlaces(routes); refusal != nil {
-		return refusal
+	if rejection := validateUniqueMatches(routes); rejection != nil {
+		return rejection
 	}
-	return checkServices(routes, d.list(listServices))
+	return validateServiceReferences(routes, d.list(listServices))
 }
 
-// checkRise refuses a generation that is not above the one that a change builds on.
-func checkRise(generation, base uint64) *Refusal {
+// validateGeneration refuses a generation that is not above the one that a change builds on.
+func validateGeneration(generation, base uint64) *Rejection {
 	if generation <= base {
-		return refuse(GenerationNotAbove, "")
+		return reject(CodeGenerationNotAbove, "")
 	}
 	return nil
 }
 
-// CheckStatic returns why a command is invalid whatever the state is, or nil. A change that was
+// ValidateCommand returns why a command is invalid whatever the state is, or nil. A change that was
 // accepted before is never refused by it.
-func CheckStatic(command Command) *Refusal {
+func ValidateCommand(command Command) *Rejection {
 	switch command.Kind {
-	case Replace:
-		return checkReplace(command)
-	case Update:
-		return checkUpdate(command)
+	case CommandReplace:
+		return validateReplace(command)
+	case CommandUpdate:
+		return validateUpdate(command)
 	default:
-		return refuse(BadCommand, "kind")
+		return reject(CodeBadCommand, "kind")
 	}
 }
 
-func checkReplace(command Command) *Refusal {
-	whole, refusal := readDocument(command.Body)
-	if refusal != nil {
-		return refusal
+func validateReplace(command Command) *Rejection {
+	parsed, rejection := readDocument(command.Body)
+	if rejection != nil {
+		return rejection
 	}
-	if refusal := checkRise(whole.generation, command.Base); refusal != nil {
-		return refusal
+	if rejection := validateGeneration(parsed.generation, command.Base); rejection != nil {
+		return rejection
 	}
-	return whole.check()
+	return parsed.validate()
 }
 
-func checkUpdate(command Command) *Refusal {
-	change, refusal := readUpdate(command.Body)
-	if refusal != nil {
-		return refusal
+func validateUpdate(command Command) *Rejection {
+	change, rejection := readUpdate(command.Body)
+	if rejection != nil {
+		return rejection
 	}
-	if refusal := checkRise(change.generation, command.Base); refusal != nil {
-		return refusal
+	if rejection := validateGeneration(change.generation, command.Base); rejection != nil {
+		return rejection
 	}
-	return checkPlaces(change.list(listRoutes))
+	return validateUniqueMatches(change.list(listRoutes))
 }
--- a/internal/controlplane/registry/codes.go
+++ b/internal/controlplane/registry/codes.go
@@ -27,24 +27,24 @@
 type CodeEntry = resultcode.Entry
 
 // Rejection tells why something is not taken. It is an error.
-type Rejection = resultcode.Refusal
+type Rejection = resultcode.Rejection
 
 var codes = resultcode.NewTable([]CodeEntry{
-	{Code: Recorded, Name: "recorded", Status: http.StatusOK, Text: "the instance is recorded as told"},
-	{Code: Unchanged, Name: "unchanged", Status: http.StatusOK, Text: "nothing has changed"},
-	{Code: Stale, Name: "late", Status: http.StatusOK, Text: "a later heartbeat came before; nothing is changed"},
-	{Code: Gone, Name: "gone", Status: http.StatusOK, Text: "the instance is gone for good; nothing is changed"},
-	{Code: Removed, Name: "removed", Status: http.StatusOK, Text: "the instance is removed"},
-	{Code: Malformed, Name: "unreadable", Status: http.StatusBadRequest, Text: "the body is not one whole JSON object"},
-	{Code: MissingField, Name: "missing_field", Status: http.StatusBadRequest, Text: "a member that is needed is missing"},
-	{Code: InvalidField, Name: "bad_field", Status: http.StatusBadRequest, Text: "a member has a value that cannot be meant"},
-	{Code: TooLarge, Name: "too_large", Status: http.StatusRequestEntityTooLarge, Text: "the body or a part of it is too large"},
-	{Code: InvalidCommand, Name: "bad_command", Status: http.StatusBadRequest, Text: "the entry in the log cannot be read"},
-	{Code: NotOwner, Name: "not_owner", Status: http.StatusServiceUnavailable, Text: "this process does not own the shard now"},
+	{Code: Recorded, Name: "recorded", HTTPStatus: http.StatusOK, Text: "the instance is recorded as told"},
+	{Code: Unchanged, Name: "unchanged", HTTPStatus: http.StatusOK, Text: "nothing has changed"},
+	{Code: Stale, Name: "late", HTTPStatus: http.StatusOK, Text: "a later heartbeat came before; nothing is changed"},
+	{Code: Gone, Name: "gone", HTTPStatus: http.StatusOK, Text: "the instance is gone for good; nothing is changed"},
+	{Code: Removed, Name: "removed", HTTPStatus: http.StatusOK, Text: "the instance is removed"},
+	{Code: Malformed, Name: "unreadable", HTTPStatus: http.StatusBadRequest, Text: "the body is not one whole JSON object"},
+	{Code: MissingField, Name: "missing_field", HTTPStatus: http.StatusBadRequest, Text: "a member that is needed is missing"},
+	{Code: InvalidField, Name: "bad_field", HTTPStatus: http.StatusBadRequest, Text: "a member has a value that cannot be meant"},
+	{Code: TooLarge, Name: "too_large", HTTPStatus: http.StatusRequestEntityTooLarge, Text: "the body or a part of it is too large"},
+	{Code: InvalidCommand, Name: "bad_command", HTTPStatus: http.StatusBadRequest, Text: "the entry in the log cannot be read"},
+	{Code: NotOwner, Name: "not_owner", HTTPStatus: http.StatusServiceUnavailable, Text: "this process does not own the shard now"},
 }...)
 
 // Codes returns all codes in rising order.
 func Codes() []CodeEntry { return codes.Entries() }
 
 // reject makes the refusal of a code; place tells which part of the input it concerns.
-func reject(code Code, place string) *Rejection { return codes.Refuse(code, place) }
+func reject(code Code, place string) *Rejection { return codes.Reject(code, place) }
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -58,7 +58,7 @@
 	if errors.As(err, &rejection) {
 		return rejection
 	}
-	var mismatch *jsonfield.MismatchError
+	var mismatch *jsonfield.TypeMismatchError
 	if errors.As(err, &mismatch) {
 		return reject(InvalidField, mismatch.Error())
 	}
--- a/internal/controlplane/registry/store.go
+++ b/internal/controlplane/registry/store.go
@@ -59,7 +59,7 @@
 	change := feed.Change{Index: index}
 	decoded, rejection := decodeCommand(encoded)
 	if rejection != nil {
-		return Outcome{Status: rejection.Status, Code: rejection.Code, Text: rejection.Text}, change
+		return Outcome{Status: rejection.HTTPStatus, Code: rejection.Code, Text: rejection.Text}, change
 	}
 	switch decoded.operation {
 	case operationPut:
@@ -79,7 +79,7 @@
 
 func outcome(code Code) Outcome {
 	entry := codes.Entry(code)
-	return Outcome{Status: entry.Status, Code: code, Text: entry.Text}
+	return Outcome{Status: entry.HTTPStatus, Code: code, Text: entry.Text}
 }
 
 // put records an instance unless a later word of it is known.
--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -80,12 +80,12 @@
 		return failed(BadBaseVersion)
 	}
 	body := request.Body
-	command := configuration.Command{Kind: configuration.Update, Base: base, Body: body}
+	command := configuration.Command{Kind: configuration.CommandUpdate, Base: base, Body: body}
 	if kind == callReplace {
-		command.Kind = configuration.Replace
+		command.Kind = configuration.CommandReplace
 	}
-	if refusal := configuration.CheckStatic(command); refusal != nil {
-		return answer{Status: refusal.Status, Code: int(refusal.Code), Text: refusal.Text}
+	if refusal := configuration.ValidateCommand(command); refusal != nil {
+		return answer{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
 	}
 	ctx, cancel := context.WithTimeout(ctx, budgetFor(len(body)))
 	defer cancel()
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -178,7 +178,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newScene(t)
 		decideHere(s.keeper, s.groups)
-		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.Replace, Base: currentNumber, Body: []byte(configurationOf(9))})
+		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentNumber, Body: []byte(configurationOf(9))})
 		if _, err := s.groups[0].submit(t.Context(), data); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/server/codes.go
+++ b/internal/controlplane/server/codes.go
@@ -27,15 +27,15 @@
 type CodeEntry = resultcode.Entry
 
 var codes = resultcode.NewTable([]CodeEntry{
-	{Code: NoOwner, Name: "no_owner", Status: http.StatusServiceUnavailable, Text: "no owner of the shard could be reached in time"},
-	{Code: OutcomeUnknown, Name: "outcome_unknown", Status: http.StatusServiceUnavailable, Text: "the change may or may not be taken; send it again"},
-	{Code: Busy, Name: "busy", Status: http.StatusServiceUnavailable, Text: "too many calls are under way"},
-	{Code: UnknownPath, Name: "unknown_path", Status: http.StatusNotFound, Text: "there is no such call"},
-	{Code: BadBaseVersion, Name: "bad_base_version", Status: http.StatusBadRequest, Text: "X-Base-Version is not a whole number"},
-	{Code: BodyTooLarge, Name: "body_too_large", Status: http.StatusRequestEntityTooLarge, Text: "the body is too large"},
-	{Code: MissingInstance, Name: "missing_instance", Status: http.StatusBadRequest, Text: "the path names no instance"},
-	{Code: Leaving, Name: "leaving", Status: http.StatusServiceUnavailable, Text: "this keeper is about to end"},
-	{Code: InternalFault, Name: "internal_fault", Status: http.StatusServiceUnavailable, Text: "the call failed within this keeper"},
+	{Code: NoOwner, Name: "no_owner", HTTPStatus: http.StatusServiceUnavailable, Text: "no owner of the shard could be reached in time"},
+	{Code: OutcomeUnknown, Name: "outcome_unknown", HTTPStatus: http.StatusServiceUnavailable, Text: "the change may or may not be taken; send it again"},
+	{Code: Busy, Name: "busy", HTTPStatus: http.StatusServiceUnavailable, Text: "too many calls are under way"},
+	{Code: UnknownPath, Name: "unknown_path", HTTPStatus: http.StatusNotFound, Text: "there is no such call"},
+	{Code: BadBaseVersion, Name: "bad_base_version", HTTPStatus: http.StatusBadRequest, Text: "X-Base-Version is not a whole number"},
+	{Code: BodyTooLarge, Name: "body_too_large", HTTPStatus: http.StatusRequestEntityTooLarge, Text: "the body is too large"},
+	{Code: MissingInstance, Name: "missing_instance", HTTPStatus: http.StatusBadRequest, Text: "the path names no instance"},
+	{Code: Leaving, Name: "leaving", HTTPStatus: http.StatusServiceUnavailable, Text: "this keeper is about to end"},
+	{Code: InternalFault, Name: "internal_fault", HTTPStatus: http.StatusServiceUnavailable, Text: "the call failed within this keeper"},
 }...)
 
 // Codes returns all codes in rising order.
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -73,8 +73,8 @@
 		k.shards[shard].machine.Apply(consensus.Entry{Index: index, Data: data})
 	}
 	for index, change := range []configuration.Command{
-		{Kind: configuration.Replace, Base: 0, Body: []byte(configurationOf(3))},
-		{Kind: configuration.Replace, Base: 3, Body: []byte(configurationOf(currentNumber))},
+		{Kind: configuration.CommandReplace, Base: 0, Body: []byte(configurationOf(3))},
+		{Kind: configuration.CommandReplace, Base: 3, Body: []byte(configurationOf(currentNumber))},
 	} {
 		apply(shards.Configuration, uint64(index+1), configuration.EncodeCommand(change))
 	}
@@ -164,24 +164,24 @@
 	{"it leads, too many proposals wait", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), consensus.ErrTooManyUncommitted) }},
 	{"it leads, its disk is full", canAcknowledge, func(s *scene) { s.everyGroup(leaderStatus(), consensus.ErrTransferInProgress) }},
 	{"it led until now", canChange | canRead | canAcknowledge, func(s *scene) {
-		s.everyGroup(leaderStatus(), replica.ErrNotLeader{Leader: consensus.Member{ID: 2, Address: ownerAddress}})
+		s.everyGroup(leaderStatus(), replica.NotLeaderError{Leader: consensus.Member{ID: 2, Address: ownerAddress}})
 		s.link.owner = s.owner
 	}},
 	{"it has closed its groups", 0, func(s *scene) { s.everyGroup(stale(followerOf(""), 2*currencyAge), replica.ErrClosed) }},
 	{"it follows", canChange | canRead | canAcknowledge, func(s *scene) {
-		s.everyGroup(followerOf(ownerAddress), replica.ErrNotLeader{})
+		s.everyGroup(followerOf(ownerAddress), replica.NotLeaderError{})
 		s.link.owner = s.owner
 	}},
 	{"it follows, behind", canChange | canRead | canAcknowledge, func(s *scene) {
-		s.everyGroup(stale(followerOf(ownerAddress), 2*currencyAge), replica.ErrNotLeader{})
+		s.everyGroup(stale(followerOf(ownerAddress), 2*currencyAge), replica.NotLeaderError{})
 		s.link.owner = s.owner
 	}},
 	{"it follows, answers are lost", canAcknowledge, func(s *scene) {
-		s.everyGroup(followerOf(ownerAddress), replica.ErrNotLeader{})
+		s.everyGroup(followerOf(ownerAddress), replica.NotLeaderError{})
 		s.link.owner, s.link.lost = s.owner, peertransport.ErrOutcomeUnknown
 	}},
 	{"it follows, the owner is mute", canAcknowledge, func(s *scene) {
-		s.everyGroup(followerOf(ownerAddress), replica.ErrNotLeader{})
+		s.everyGroup(followerOf(ownerAddress), replica.NotLeaderError{})
 		s.link.mute = true
 	}},
 	{"it follows, cut off", 0, func(s *scene) { s.everyGroup(stale(followerOf(ownerAddress), 2*lostContactAge), nil) }},
@@ -194,7 +194,7 @@
 		s.link.owner = s.owner
 	}},
 	{"it is leaving", canChange | canRead | canAcknowledge, func(s *scene) {
-		s.everyGroup(followerOf(ownerAddress), replica.ErrNotLeader{})
+		s.everyGroup(followerOf(ownerAddress), replica.NotLeaderError{})
 		s.keeper.leaving.Store(true)
 		s.link.owner = s.owner
 	}},
--- a/internal/controlplane/server/forward_test.go
+++ b/internal/controlplane/server/forward_test.go
@@ -50,8 +50,8 @@
 }
 
 func (g *scriptedGroup) ChangeMembers(context.Context, replica.Change) error { return nil }
-func (g *scriptedGroup) Promotable() []consensus.MemberID                    { return nil }
-func (g *scriptedGroup) Transfer(context.Context) error                      { return nil }
+func (g *scriptedGroup) PromotableLearners() []consensus.MemberID            { return nil }
+func (g *scriptedGroup) TransferLeadership(context.Context) error            { return nil }
 
 func (g *scriptedGroup) Status() replica.Status {
 	g.mutex.Lock()
@@ -261,8 +261,8 @@
 }
 
 func TestOwnerAnswersByTheProposalsEnd(t *testing.T) {
-	accepted := configuration.Outcome{Status: http.StatusOK, Generation: 7}
-	stale := configuration.Outcome{Status: http.StatusPreconditionFailed, Code: configuration.BaseNotCurrent}
+	accepted := configuration.Outcome{HTTPStatus: http.StatusOK, Generation: 7}
+	stale := configuration.Outcome{HTTPStatus: http.StatusPreconditionFailed, Code: configuration.CodeBaseNotCurrent}
 	cases := []struct {
 		name   string
 		result any
@@ -275,7 +275,7 @@
 		{"unknown", nil, replica.ErrUnknownOutcome, http.StatusServiceUnavailable, ""},
 		{"busy", nil, consensus.ErrTooManyUncommitted, http.StatusServiceUnavailable, ""},
 		{"too late", nil, context.DeadlineExceeded, http.StatusServiceUnavailable, ""},
-		{"not the leader", nil, replica.ErrNotLeader{Leader: consensus.Member{ID: 2, Address: "b"}}, 0, "b"},
+		{"not the leader", nil, replica.NotLeaderError{Leader: consensus.Member{ID: 2, Address: "b"}}, 0, "b"},
 		{"being handed over", nil, consensus.ErrTransferInProgress, 0, ""},
 	}
 	for _, one := range cases {
--- a/internal/controlplane/server/full_disk_test.go
+++ b/internal/controlplane/server/full_disk_test.go
@@ -15,7 +15,7 @@
 )
 
 // startOnDisk is the start of a seed at the system's first start.
-func startOnDisk(disk *seglogtest.Disk) *identityStart {
+func startOnDisk(disk *seglogtest.MemoryDisk) *identityStart {
 	config := bootconfig.Defaults()
 	config.Bootstrap, config.DataDir = true, "data"
 	config.PortRange = [2]int{7000, 7015}
@@ -25,7 +25,7 @@
 }
 
 // awaitAfter fills the disk, begins the start, makes room after a while and returns the ID.
-func awaitAfter(t *testing.T, disk *seglogtest.Disk, span time.Duration) (self consensus.Member, founders []consensus.Member) {
+func awaitAfter(t *testing.T, disk *seglogtest.MemoryDisk, span time.Duration) (self consensus.Member, founders []consensus.Member) {
 	t.Helper()
 	disk.Full = true
 	done := make(chan error, 1)
@@ -49,7 +49,7 @@
 // TestStartOnAFullDiskWaits has a process whose disk takes no member ID wait instead of ending.
 func TestStartOnAFullDiskWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := seglogtest.NewDisk()
+		disk := seglogtest.NewMemoryDisk()
 		self, founders := awaitAfter(t, disk, 10*time.Second)
 		if self.ID != memberID(self.Address, foundingNonce) || len(founders) != 3 {
 			t.Fatal(self, founders)
@@ -61,7 +61,7 @@
 // ID of a later try founds nothing all the same.
 func TestLostDiskStaysLostWhileItIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := seglogtest.NewDisk()
+		disk := seglogtest.NewMemoryDisk()
 		disk.WriteFile(filepath.Join("data", "member"), []byte("?"))
 		disk.WriteFile(filepath.Join("data", "shard-1", "segment"), []byte("promises"))
 		self, founders := awaitAfter(t, disk, 3*time.Second)
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -46,7 +46,7 @@
 // handOver transfers the leadership of one shard, and tries again while the group refuses.
 func (k *Keeper) handOver(ctx context.Context, shard *shard) {
 	for {
-		err := shard.group.Transfer(ctx)
+		err := shard.group.TransferLeadership(ctx)
 		if err == nil || !shard.group.Status().IsLeader() {
 			return
 		}
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -30,7 +30,7 @@
 	groups[0].set(leaderStatus())
 	groups[0].submit = func(context.Context, []byte) (any, error) {
 		number := h.proposed.Add(1)
-		return configuration.Outcome{Status: http.StatusOK, Generation: uint64(number)}, nil
+		return configuration.Outcome{HTTPStatus: http.StatusOK, Generation: uint64(number)}, nil
 	}
 	h.address = strings.TrimPrefix(serveAPI(t, k), "http://")
 	return h
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -57,7 +57,7 @@
 func (s *identityStart) await(ctx context.Context, log *zap.Logger) (consensus.Member, []consensus.Member, error) {
 	for {
 		self, founders, err := s.try()
-		var otherFormat seglog.ErrFormat
+		var otherFormat seglog.FormatError
 		if err == nil || errors.As(err, &otherFormat) {
 			return self, founders, err
 		}
@@ -85,7 +85,7 @@
 		}
 		return memberID(s.address, s.outside.Random()|1)
 	}
-	id, _, err := seglog.MemberID(s.outside.FileSystem, s.config.DataDir, draw)
+	id, _, err := seglog.LoadOrCreateMemberID(s.outside.FileSystem, s.config.DataDir, draw)
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "member ID")
 	}
@@ -101,7 +101,7 @@
 	if !outside.holds(GuardOrphans) {
 		return false, nil
 	}
-	return seglog.RemoveOrphans(outside.FileSystem, config.DataDir, replicaDirectories(config.DataDir))
+	return seglog.RemoveOrphanedReplicas(outside.FileSystem, config.DataDir, replicaDirectories(config.DataDir))
 }
 
 func foundersOf(seeds []string) []consensus.Member {
--- a/internal/controlplane/server/leadership_balance.go
+++ b/internal/controlplane/server/leadership_balance.go
@@ -51,7 +51,7 @@
 	k.lastMove = now
 	ctx, cancel := context.WithTimeout(ctx, transferBudget)
 	defer cancel()
-	err := group.TransferTo(ctx, preferred.ID)
+	err := group.TransferLeadershipTo(ctx, preferred.ID)
 	k.log.Info("leadership handed to the preferred owner",
 		zap.Uint32("shard", uint32(shard.id)), zap.String("to", preferred.Address), zap.Error(err))
 }
--- a/internal/controlplane/server/leadership_balance_test.go
+++ b/internal/controlplane/server/leadership_balance_test.go
@@ -16,7 +16,7 @@
 	moved []consensus.MemberID
 }
 
-func (g *movableGroup) TransferTo(_ context.Context, to consensus.MemberID) error {
+func (g *movableGroup) TransferLeadershipTo(_ context.Context, to consensus.MemberID) error {
 	g.moved = append(g.moved, to)
 	return nil
 }
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -15,7 +15,7 @@
 // storedMember returns the member ID of a data directory.
 func storedMember(t *testing.T, directory string) consensus.MemberID {
 	t.Helper()
-	id, created, err := seglog.MemberID(nil, directory, func() consensus.MemberID { return 1 })
+	id, created, err := seglog.LoadOrCreateMemberID(nil, directory, func() consensus.MemberID { return 1 })
 	if err != nil || created {
 		t.Fatal(created, err)
 	}
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -230,10 +230,10 @@
 		Omit: k.outside.Omit,
 	}
 	if made.voters() < len(made.Members) {
-		made.Promotable = shard.group.Promotable()
+		made.PromotableLearners = shard.group.PromotableLearners()
 	}
 	k.forgetReturned(shard, status, k.leavingMembers(shard, now))
-	made.Steady = k.noteReady(shard, made.Promotable, now)
+	made.Steady = k.noteReady(shard, made.PromotableLearners, now)
 	if made.Leaving = k.leavingMembers(shard, now); len(made.Leaving) > 0 {
 		made.Successors = k.successors(status)
 	}
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -25,7 +25,7 @@
 	return group
 }
 
-func (g *changingGroup) Promotable() []consensus.MemberID { return g.promotable }
+func (g *changingGroup) PromotableLearners() []consensus.MemberID { return g.promotable }
 
 func (g *changingGroup) ChangeMembers(_ context.Context, change replica.Change) error {
 	g.mutex.Lock()
@@ -46,12 +46,12 @@
 	asked, lag int
 }
 
-func (g *laggingGroup) Promotable() []consensus.MemberID {
+func (g *laggingGroup) PromotableLearners() []consensus.MemberID {
 	g.asked++
 	if g.asked <= g.lag {
 		return nil
 	}
-	return g.changingGroup.Promotable()
+	return g.changingGroup.PromotableLearners()
 }
 
 func (g *laggingGroup) ChangeMembers(ctx context.Context, change replica.Change) error {
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -160,7 +160,7 @@
 			made.Silent[id] = answersWithin
 		}
 		if s.mayPromote(machine, disk) {
-			made.Promotable = append(made.Promotable, id)
+			made.PromotableLearners = append(made.PromotableLearners, id)
 			if s.machines[machine].steady {
 				made.Steady = append(made.Steady, id)
 			}
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -10,17 +10,17 @@
 
 // situation is what the leader of a group knows when it decides on the next change of members.
 type situation struct {
-	Self       consensus.MemberID
-	Members    []consensus.Member
-	Retired    []consensus.MemberID                 // IDs that were replaced: they never come back
-	Wanted     int                                  // voters that the group should have
-	Spares     int                                  // learners that it keeps besides, for the voters that will be lost
-	Candidates []candidate                          // those who asked lately, at most one for each address
-	Promotable []consensus.MemberID                 // learners that answer and have acknowledged nearly all of the log as durable
-	Steady     []consensus.MemberID                 // those of them that have been so for some time, the longest first
-	Silent     map[consensus.MemberID]time.Duration // how long nothing was heard of a member's address
-	Leaving    []consensus.MemberID                 // members that said that they are about to end
-	Successors []consensus.MemberID                 // learners whose process began lately: started to take a leaving voter's place
+	Self               consensus.MemberID
+	Members            []consensus.Member
+	Retired            []consensus.MemberID                 // IDs that were replaced: they never come back
+	Wanted             int                                  // voters that the group should have
+	Spares             int                                  // learners that it keeps besides, for the voters that will be lost
+	Candidates         []candidate                          // those who asked lately, at most one for each address
+	PromotableLearners []consensus.MemberID                 // learners that answer and have acknowledged nearly all of the log as durable
+	Steady             []consensus.MemberID                 // those of them that have been so for some time, the longest first
+	Silent             map[consensus.MemberID]time.Duration // how long nothing was heard of a member's address
+	Leaving            []consensus.MemberID                 // members that said that they are about to end
+	Successors         []consensus.MemberID                 // learners whose process began lately: started to take a leaving voter's place
 
 	Omit []Guard // guards left out, by tests alone
 }
@@ -156,7 +156,7 @@
 // mayPromote tells whether a learner is known to hold what makes it a sound voter. Without the guard its own request to
 // join is believed.
 func (s situation) mayPromote(id consensus.MemberID) bool {
-	return slices.Contains(s.Promotable, id) || (!s.holds(GuardPromotedDurable) && s.asks(id))
+	return slices.Contains(s.PromotableLearners, id) || (!s.holds(GuardPromotedDurable) && s.asks(id))
 }
 
 func addLearner(s situation) (step, bool) {
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -53,23 +53,23 @@
 		{name: "a learner that is behind stays one",
 			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, Candidates: []candidate{asks(3)}}},
 		{name: "a learner that holds nearly all becomes a voter",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, Promotable: ids(3)},
+			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, PromotableLearners: ids(3)},
 			want:  added(voter(3))},
 		{name: "one learner makes no group of four: it would bear no more losses than three",
-			given: situation{Members: threeAndOne, Wanted: 5, Promotable: ids(4), Steady: ids(4)}},
+			given: situation{Members: threeAndOne, Wanted: 5, PromotableLearners: ids(4), Steady: ids(4)}},
 		{name: "two make a group of five, one after the other",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, Promotable: ids(4, 5), Steady: ids(4, 5)},
+			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(4, 5)},
 			want:  added(voter(4))},
 		{name: "that which has been ready longest is the first of them",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, Promotable: ids(4, 5), Steady: ids(5, 4)},
+			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(5, 4)},
 			want:  added(voter(5))},
 		{name: "and then",
-			given: situation{Members: append(four[:4:4], learner(5)), Wanted: 5, Promotable: ids(5)},
+			given: situation{Members: append(four[:4:4], learner(5)), Wanted: 5, PromotableLearners: ids(5)},
 			want:  added(voter(5))},
 		{name: "not before both have been ready for some time",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, Promotable: ids(4, 5), Steady: ids(5)}},
+			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(5)}},
 		{name: "nor while a voter does not answer",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, Promotable: ids(4, 5), Steady: ids(4, 5),
+			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(4, 5),
 				Silent: silence(3, answersWithin)}},
 		{name: "a wiped disk: the old member goes first, for good, if the new one lives",
 			given: situation{Members: three, Wanted: 3, Candidates: []candidate{renewed}},
@@ -99,13 +99,13 @@
 			given: situation{Members: three, Wanted: 3, Candidates: []candidate{asks(4)}, Silent: silence(3, goneAfter)},
 			want:  added(learner(4)), confirm: 4},
 		{name: "a silent voter makes room for a learner that holds nearly all",
-			given: situation{Members: threeAndOne, Wanted: 3, Promotable: ids(4),
+			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4),
 				Silent: map[consensus.MemberID]time.Duration{2: goneAfter, 3: 2 * goneAfter}},
 			want: replica.Change{Remove: 3}},
 		{name: "but not for one that only asks",
 			given: situation{Members: threeAndOne, Wanted: 3, Candidates: []candidate{asks(4)}, Silent: silence(3, goneAfter)}},
 		{name: "not silent for long enough",
-			given: situation{Members: threeAndOne, Wanted: 3, Promotable: ids(4), Silent: silence(3, goneAfter-1)}},
+			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Silent: silence(3, goneAfter-1)}},
 		{name: "one learner for each place",
 			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, Candidates: []candidate{asks(3), asks(4)}}},
 		{name: "a surplus voter goes when it is silent",
@@ -117,10 +117,10 @@
 			given: situation{Members: threeAndOne, Wanted: 3, Silent: silence(4, lostLearnerAfter)},
 			want:  replica.Change{Remove: 4}},
 		{name: "a leaving voter becomes a learner if its successor can take the place",
-			given: situation{Members: threeAndOne, Wanted: 3, Promotable: ids(4), Leaving: ids(3), Successors: ids(4)},
+			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(3), Successors: ids(4)},
 			want:  added(learner(3))},
 		{name: "then the successor takes the place",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3), learner(4)}, Wanted: 3, Promotable: ids(3, 4),
+			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3), learner(4)}, Wanted: 3, PromotableLearners: ids(3, 4),
 				Leaving: ids(3), Successors: ids(4)},
 			want: added(voter(4))},
 		{name: "a successor that has not caught up takes no place",
@@ -129,11 +129,11 @@
 			given: situation{Members: four, Wanted: 3, Leaving: ids(3)},
 			want:  added(learner(3))},
 		{name: "a stand-by that was there before is no successor: the voter may be back soon",
-			given: situation{Members: threeAndOne, Wanted: 3, Promotable: ids(4), Leaving: ids(3)}},
+			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(3)}},
 		{name: "a learner that is leaving itself is no successor",
-			given: situation{Members: threeAndOne, Wanted: 3, Promotable: ids(4), Leaving: ids(3, 4), Successors: ids(4)}},
+			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(3, 4), Successors: ids(4)}},
 		{name: "the leader does not give its own place away",
-			given: situation{Members: threeAndOne, Wanted: 3, Promotable: ids(4), Leaving: ids(1), Successors: ids(4)}},
+			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(1), Successors: ids(4)}},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
@@ -194,7 +194,7 @@
 			s.Candidates = append(s.Candidates, candidate{ID: id, Address: address})
 		}
 		if found && !member.Voter {
-			s.Promotable = append(s.Promotable, id)
+			s.PromotableLearners = append(s.PromotableLearners, id)
 			s.Steady = append(s.Steady, id)
 		}
 	}
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -207,7 +207,7 @@
 // failed is the answer of one of this package's codes.
 func failed(code Code) answer {
 	entry := codes.Entry(code)
-	return answer{Status: entry.Status, Code: int(code), Text: entry.Text}
+	return answer{Status: entry.HTTPStatus, Code: int(code), Text: entry.Text}
 }
 
 // notOwner is the answer of a keeper that does not lead the shard.
--- a/internal/controlplane/server/run.go
+++ b/internal/controlplane/server/run.go
@@ -47,11 +47,11 @@
 func Open(ctx context.Context, config bootconfig.Settings, outside Environment, log *zap.Logger) (*Keeper, error) {
 	for {
 		k, err := openReplicas(ctx, config, outside, log)
-		if !errors.Is(err, seglog.ErrDamaged) {
+		if !errors.Is(err, seglog.ErrCorrupt) {
 			return k, err
 		}
 		log.Error("this disk counts as lost", zap.Error(err))
-		if err := seglog.ForgetMember(outside.FileSystem, config.DataDir); err != nil {
+		if err := seglog.RemoveMemberID(outside.FileSystem, config.DataDir); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -123,7 +123,7 @@
 			if err == nil {
 				break
 			}
-			if errors.Is(err, seglog.ErrDamaged) {
+			if errors.Is(err, seglog.ErrCorrupt) {
 				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
 			}
 			k.log.Error("a replica cannot be opened", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
@@ -138,22 +138,22 @@
 
 func (k *Keeper) openGroup(shard *shard, founders []consensus.Member) error {
 	group, err := replica.Open(replica.Options{
-		Shard:      shard.id,
-		Directory:  replicaDirectory(k.settings.DataDir, shard.id),
-		FileSystem: k.outside.FileSystem,
-		Self:       k.self,
-		Founders:   founders,
-		Machine:    shard.machine,
+		Shard:        shard.id,
+		Directory:    replicaDirectory(k.settings.DataDir, shard.id),
+		FileSystem:   k.outside.FileSystem,
+		Self:         k.self,
+		Founders:     founders,
+		StateMachine: shard.machine,
 		Send: func(to consensus.Member, message consensus.Message) {
 			k.network.Send(to, shard.id, message)
 		},
-		OnApplied:       func(uint64) { k.readers.wake() },
-		OnStatus:        func(status replica.Status) { k.onStatus(shard, status) },
-		ElectionTimeout: electionTimeout,
-		Heartbeat:       groupHeartbeatInterval,
-		Logger:          k.log,
-		Clock:           groupClock{now: k.outside.Now, start: k.started},
-		Omit:            k.outside.OmitRules,
+		OnApplied:         func(uint64) { k.readers.wake() },
+		OnStatus:          func(status replica.Status) { k.onStatus(shard, status) },
+		ElectionTimeout:   electionTimeout,
+		HeartbeatInterval: groupHeartbeatInterval,
+		Logger:            k.log,
+		Clock:             groupClock{now: k.outside.Now, start: k.started},
+		OmitRules:         k.outside.OmitRules,
 	})
 	if err != nil {
 		return err
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -16,19 +16,19 @@
 	Propose(ctx context.Context, data []byte) (result any, index uint64, err error)
 	ReadBarrier(ctx context.Context) error
 	ChangeMembers(ctx context.Context, change replica.Change) error
-	Promotable() []consensus.MemberID
-	Transfer(ctx context.Context) error
+	PromotableLearners() []consensus.MemberID
+	TransferLeadership(ctx context.Context) error
 	Status() replica.Status
 }
 
 // targetedTransfer is what a group offers that can hand leadership to a chosen voter.
 type targetedTransfer interface {
-	TransferTo(ctx context.Context, to consensus.MemberID) error
+	TransferLeadershipTo(ctx context.Context, to consensus.MemberID) error
 }
 
 // machine is the part of a shard's state machine that does not depend on what it holds.
 type machine interface {
-	replica.Machine
+	replica.StateMachine
 	since(index uint64) ([]feed.Change, *feed.Snapshot)
 	index() uint64
 	setLeading(term uint64)
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -19,9 +19,9 @@
 func (k *Keeper) execute(ctx context.Context, c call) answer {
 	switch c.Kind {
 	case callReplace:
-		return k.changeConfiguration(ctx, c, configuration.Replace)
+		return k.changeConfiguration(ctx, c, configuration.CommandReplace)
 	case callUpdate:
-		return k.changeConfiguration(ctx, c, configuration.Update)
+		return k.changeConfiguration(ctx, c, configuration.CommandUpdate)
 	case callRead:
 		return k.readConfiguration(ctx, c)
 	case callBeat:
@@ -40,7 +40,7 @@
 
 // refusedProposal turns the error of a group's call into an answer.
 func refusedProposal(err error) answer {
-	var other replica.ErrNotLeader
+	var other replica.NotLeaderError
 	switch {
 	case errors.As(err, &other):
 		return notOwner(other.Leader.Address)
@@ -52,7 +52,7 @@
 	return failed(OutcomeUnknown)
 }
 
-func (k *Keeper) changeConfiguration(ctx context.Context, c call, kind configuration.Kind) answer {
+func (k *Keeper) changeConfiguration(ctx context.Context, c call, kind configuration.CommandKind) answer {
 	command := configuration.Command{Kind: kind, Base: c.Base, Body: c.Body}
 	result, _, err := k.shards[c.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
 	if err != nil {
@@ -62,8 +62,8 @@
 	if !ok {
 		return failed(InternalFault)
 	}
-	if outcome.Status != http.StatusOK {
-		return answer{Status: outcome.Status, Code: int(outcome.Code), Text: outcome.Text}
+	if outcome.HTTPStatus != http.StatusOK {
+		return answer{Status: outcome.HTTPStatus, Code: int(outcome.Code), Text: outcome.Text}
 	}
 	return succeeded(generationBody(outcome.Generation))
 }
@@ -160,7 +160,7 @@
 	if refusal.Code == registry.NotOwner {
 		return notOwner("")
 	}
-	return answer{Status: refusal.Status, Code: int(refusal.Code), Text: refusal.Text}
+	return answer{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
 }
 
 // takeDeparture removes an instance. One that is not known is acknowledged once the group remembers that it is gone.
--- a/internal/controlplane/server/state_machines.go
+++ b/internal/controlplane/server/state_machines.go
@@ -92,7 +92,7 @@
 	if !found || description.Engine == nil {
 		return 0
 	}
-	return description.Engine.SwitchTime
+	return description.Engine.RoleSwitchTime
 }
 
 func (m *configurationMachine) setLeading(uint64)                     {}
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -110,7 +110,7 @@
 func reportShard(status replica.Status, position uint64) shardReport {
 	report := shardReport{
 		Shard: int(status.Shard), Role: roleName(status.Role), Term: status.Term, Leader: status.Leader.Address,
-		Applied: status.Applied, Commit: status.Commit, ConfirmedMs: milliseconds(status.ConfirmedAge),
+		Applied: status.AppliedIndex, Commit: status.CommitIndex, ConfirmedMs: milliseconds(status.ConfirmedAge),
 		Current: current(status), Writable: status.Writable, DiskBytes: status.DiskBytes, FeedPosition: position,
 	}
 	for _, member := range status.Members {
@@ -239,7 +239,7 @@
 		fmt.Sprintf("keeper_shard_leads%s %d", label, oneIf(status.IsLeader())),
 		fmt.Sprintf("keeper_shard_current%s %d", label, oneIf(current(status))),
 		fmt.Sprintf("keeper_shard_term%s %d", label, status.Term),
-		fmt.Sprintf("keeper_shard_applied%s %d", label, status.Applied),
+		fmt.Sprintf("keeper_shard_applied%s %d", label, status.AppliedIndex),
 		fmt.Sprintf("keeper_shard_disk_bytes%s %d", label, status.DiskBytes),
 	}
 }
@@ -259,7 +259,7 @@
 	var all []replica.Status
 	for _, shard := range k.shards {
 		if group, ok := shard.group.(*replica.Group); ok {
-			all = append(all, group.Timeless())
+			all = append(all, group.StatusWithoutAge())
 		}
 	}
 	return all
--- a/internal/dataplane/dispatch/relay.go
+++ b/internal/dataplane/dispatch/relay.go
@@ -173,7 +173,7 @@
 	if first {
 		return max(objectivePatience*t.route.TargetLatency, leastSilence)
 	}
-	return max(gapPatience*t.route.GapObjective, leastSilence)
+	return max(gapPatience*t.route.InterTokenTarget, leastSilence)
 }
 
 // streamLoad is the load that the stream's head told, unless that was long ago.
--- a/internal/dataplane/dispatch/rig_test.go
+++ b/internal/dataplane/dispatch/rig_test.go
@@ -68,7 +68,7 @@
 	return &configuration.Route{
 		Name: "r1", Hostname: testHost, PathPrefix: "/lohu930/", Type: configuration.Streaming,
 		Timeout: 4 * time.Second, TargetLatency: 400 * time.Millisecond, Priority: 1, MaxAttempts: 3,
-		Targets: []configuration.Target{{Service: testService, Weight: 1}}, GapObjective: 200 * time.Millisecond,
+		Targets: []configuration.Target{{Service: testService, Weight: 1}}, InterTokenTarget: 200 * time.Millisecond,
 	}
 }
 
--- a/internal/dataplane/fleetview/builder_test.go
+++ b/internal/dataplane/fleetview/builder_test.go
@@ -34,9 +34,9 @@
 func (s *source) replace(t testing.TB, body []byte) feed.Change {
 	t.Helper()
 	s.index++
-	command := configuration.Command{Kind: configuration.Replace, Base: s.store.Generation(), Body: body}
+	command := configuration.Command{Kind: configuration.CommandReplace, Base: s.store.Generation(), Body: body}
 	outcome, change := s.store.Apply(s.index, configuration.EncodeCommand(command))
-	if outcome.Code != configuration.Accepted {
+	if outcome.Code != configuration.CodeAccepted {
 		t.Fatalf("%+v", outcome)
 	}
 	return change
--- a/internal/dataplane/selection/call_test.go
+++ b/internal/dataplane/selection/call_test.go
@@ -19,7 +19,7 @@
 func rig(prefill, decode int, seed uint64) (*Selector, *fleetview.View) {
 	view := &fleetview.View{Nodes: 4, Workers: map[string][]*fleetview.Worker{},
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
-			Slots: 64, KVTokens: 300000, KVTokenBytes: 327680, LinkMbps: 2.6e6, Stride: 7}}}}
+			Slots: 64, KVCapacityTokens: 300000, KVBytesPerToken: 327680, LinkMbps: 2.6e6, MaxTokensPerEvent: 7}}}}
 	for i := range prefill + decode {
 		stage := "prefill"
 		if i >= prefill {
--- a/internal/dataplane/selection/choose.go
+++ b/internal/dataplane/selection/choose.go
@@ -183,7 +183,7 @@
 	pace, output := w.tokenPace(now, l), float64(j.request.OutputTokens)
 	cost := restWeight*pace*output + s.memoryPenalty(w, l, j.tokens+output)
 	if s.engine != nil {
-		cost += gapCost * max(0, pace*float64(s.engine.Stride)-usualGap)
+		cost += gapCost * max(0, pace*float64(s.engine.MaxTokensPerEvent)-usualGap)
 	}
 	return cost
 }
--- a/internal/dataplane/selection/fleet_test.go
+++ b/internal/dataplane/selection/fleet_test.go
@@ -72,7 +72,7 @@
 	}
 	view := &fleetview.View{Workers: map[string][]*fleetview.Worker{"m": f.list}, Nodes: nodes,
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
-			Slots: 64, KVTokens: 342882, KVTokenBytes: 327680, LinkMbps: 2.6e6, Stride: 7}}}}
+			Slots: 64, KVCapacityTokens: 342882, KVBytesPerToken: 327680, LinkMbps: 2.6e6, MaxTokensPerEvent: 7}}}}
 	for i := range nodes {
 		s := New(Options{Zone: zoneName(i % zones), Seed: seed + uint64(i)})
 		s.SetView(0, view)
--- a/internal/dataplane/selection/links.go
+++ b/internal/dataplane/selection/links.go
@@ -53,8 +53,8 @@
 	if s.engine != nil && s.engine.LinkMbps > 0 {
 		bits = s.engine.LinkMbps * 1e6
 	}
-	if s.engine != nil && s.engine.KVTokenBytes > 0 {
-		bytes = s.engine.KVTokenBytes
+	if s.engine != nil && s.engine.KVBytesPerToken > 0 {
+		bytes = s.engine.KVBytesPerToken
 	}
 	return bytes * 8 / bits
 }
@@ -121,8 +121,8 @@
 // movePrice is what moving memory counts as, in seconds, by its amount and distance.
 func (s *service) movePrice(from, to *worker, tokens float64) float64 {
 	bytes := usualToken
-	if s.engine != nil && s.engine.KVTokenBytes > 0 {
-		bytes = s.engine.KVTokenBytes
+	if s.engine != nil && s.engine.KVBytesPerToken > 0 {
+		bytes = s.engine.KVBytesPerToken
 	}
 	price := tokens * bytes / 1e9 * movedPrice
 	if from.zone != to.zone {
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -127,10 +127,10 @@
 
 // memory is a worker's memory in tokens.
 func (s *service) memory() float64 {
-	if s.engine == nil || s.engine.KVTokens <= 0 {
+	if s.engine == nil || s.engine.KVCapacityTokens <= 0 {
 		return usualMemory
 	}
-	return float64(s.engine.KVTokens)
+	return float64(s.engine.KVCapacityTokens)
 }
 
 // slotsOf is the number of requests that a worker works on at once.
--- a/internal/testkit/catchupbench/document.go
+++ b/internal/testkit/catchupbench/document.go
@@ -21,7 +21,7 @@
 	next := generation + 1
 	if generation%uint64(p.ReplaceEvery) != 0 {
 		body := fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s]}}`, next, route(int(next)%p.Routes, 8000+next))
-		return configuration.Command{Kind: configuration.Update, Base: generation, Body: body}
+		return configuration.Command{Kind: configuration.CommandUpdate, Base: generation, Body: body}
 	}
 	listed := make([]string, p.Routes)
 	for number := range listed {
@@ -29,5 +29,5 @@
 	}
 	body := fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"services":[{"name":%q,"healthPath":"/health","maxConnections":370}],"limits":{}}`,
 		next, strings.Join(listed, ","), service)
-	return configuration.Command{Kind: configuration.Replace, Base: generation, Body: body}
+	return configuration.Command{Kind: configuration.CommandReplace, Base: generation, Body: body}
 }
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -88,11 +88,11 @@
 	}
 	m.network = network
 	m.group, err = replica.Open(replica.Options{
-		Shard:     shards.Configuration,
-		Directory: directory,
-		Self:      self,
-		Founders:  founders,
-		Machine:   machine{store: configuration.NewStore()},
+		Shard:        shards.Configuration,
+		Directory:    directory,
+		Self:         self,
+		Founders:     founders,
+		StateMachine: machine{store: configuration.NewStore()},
 		Send: func(to consensus.Member, message consensus.Message) {
 			network.Send(to, shards.Configuration, message)
 		},
@@ -136,7 +136,7 @@
 	_ = connection.Close()
 }
 
-func (m *member) applied() uint64 { return m.group.Status().Applied }
+func (m *member) applied() uint64 { return m.group.Status().AppliedIndex }
 
 // memberDirectory is where the disk of a member is.
 func memberDirectory(parent string, id consensus.MemberID) string {
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -197,7 +197,7 @@
 			continue
 		}
 		outcome := result.(configuration.Outcome)
-		if outcome.Status != 200 {
+		if outcome.HTTPStatus != 200 {
 			return fmt.Errorf("%w: %d %s", errRefused, outcome.Code, outcome.Text)
 		}
 		f.generation++
--- a/internal/testkit/controlplanesim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -19,12 +19,12 @@
 // machineDisk is the disk of a machine, whatever process uses it.
 type machineDisk struct {
 	mutex   sync.Mutex // held while an operation is carried out, never while one waits
-	content *seglogtest.Disk
+	content *seglogtest.MemoryDisk
 	trouble schedule.Variant // empty: none
 	over    chan struct{}    // closed when the trouble is over
 }
 
-func newMachineDisk() *machineDisk { return &machineDisk{content: seglogtest.NewDisk()} }
+func newMachineDisk() *machineDisk { return &machineDisk{content: seglogtest.NewMemoryDisk()} }
 
 // disturb brings trouble to the disk until it is calmed.
 func (d *machineDisk) disturb(trouble schedule.Variant) (calm func()) {
@@ -33,7 +33,7 @@
 	over := make(chan struct{})
 	d.trouble, d.over = trouble, over
 	if trouble == schedule.DiskFull {
-		d.content.Room = 0
+		d.content.FreeBytes = 0
 	}
 	return func() {
 		d.mutex.Lock()
@@ -41,7 +41,7 @@
 		close(over)
 		if d.over == over {
 			d.trouble, d.over = "", nil
-			d.content.Room = seglogtest.Unlimited
+			d.content.FreeBytes = seglogtest.Unlimited
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.content.Restart()
-	d.content = seglogtest.NewDisk()
+	d.content = seglogtest.NewMemoryDisk()
 	d.resume()
 }
 
@@ -74,7 +74,7 @@
 // resume brings the trouble back that a restart of the content has lifted.
 func (d *machineDisk) resume() {
 	if d.trouble == schedule.DiskFull {
-		d.content.Room = 0
+		d.content.FreeBytes = 0
 	}
 }
 
@@ -87,14 +87,14 @@
 var _ seglog.FileSystem = processDisk{}
 
 // operate carries out an operation that takes a time.
-func (d processDisk) operate(takes time.Duration, operation func(content *seglogtest.Disk) error) error {
+func (d processDisk) operate(takes time.Duration, operation func(content *seglogtest.MemoryDisk) error) error {
 	if !d.await(takes) {
-		return seglogtest.ErrNoPower
+		return seglogtest.ErrPowerLost
 	}
 	d.disk.mutex.Lock()
 	defer d.disk.mutex.Unlock()
 	if d.process.Dead() {
-		return seglogtest.ErrNoPower
+		return seglogtest.ErrPowerLost
 	}
 	return operation(d.disk.content)
 }
@@ -120,20 +120,20 @@
 }
 
 func (d processDisk) MakeDirectory(directory string) error {
-	return d.operate(0, func(content *seglogtest.Disk) error { return content.MakeDirectory(directory) })
+	return d.operate(0, func(content *seglogtest.MemoryDisk) error { return content.MakeDirectory(directory) })
 }
 
 func (d processDisk) Create(path string) (seglog.File, error) {
-	return d.open(func(content *seglogtest.Disk) (seglog.File, error) { return content.Create(path) })
+	return d.open(func(content *seglogtest.MemoryDisk) (seglog.File, error) { return content.Create(path) })
 }
 
 func (d processDisk) OpenAppend(path string) (seglog.File, error) {
-	return d.open(func(content *seglogtest.Disk) (seglog.File, error) { return content.OpenAppend(path) })
+	return d.open(func(content *seglogtest.MemoryDisk) (seglog.File, error) { return content.OpenAppend(path) })
 }
 
-func (d processDisk) open(open func(content *seglogtest.Disk) (seglog.File, error)) (seglog.File, error) {
+func (d processDisk) open(open func(content *seglogtest.MemoryDisk) (seglog.File, error)) (seglog.File, error) {
 	var opened seglog.File
-	err := d.operate(0, func(content *seglogtest.Disk) (err error) {
+	err := d.operate(0, func(content *seglogtest.MemoryDisk) (err error) {
 		opened, err = open(content)
 		return err
 	})
@@ -144,7 +144,7 @@
 }
 
 func (d processDisk) ReadFile(path string) (data []byte, err error) {
-	err = d.operate(0, func(content *seglogtest.Disk) (err error) {
+	err = d.operate(0, func(content *seglogtest.MemoryDisk) (err error) {
 		data, err = content.ReadFile(path)
 		return err
 	})
@@ -152,15 +152,15 @@
 }
 
 func (d processDisk) Rename(from, to string) error {
-	return d.operate(0, func(content *seglogtest.Disk) error { return content.Rename(from, to) })
+	return d.operate(0, func(content *seglogtest.MemoryDisk) error { return content.Rename(from, to) })
 }
 
 func (d processDisk) Remove(path string) error {
-	return d.operate(0, func(content *seglogtest.Disk) error { return content.Remove(path) })
+	return d.operate(0, func(content *seglogtest.MemoryDisk) error { return content.Remove(path) })
 }
 
 func (d processDisk) List(directory string) (files []seglog.FileInfo, err error) {
-	err = d.operate(0, func(content *seglogtest.Disk) (err error) {
+	err = d.operate(0, func(content *seglogtest.MemoryDisk) (err error) {
 		files, err = content.List(directory)
 		return err
 	})
@@ -168,7 +168,7 @@
 }
 
 func (d processDisk) SyncDirectory(directory string) error {
-	return d.operate(syncTime, func(content *seglogtest.Disk) error { return content.SyncDirectory(directory) })
+	return d.operate(syncTime, func(content *seglogtest.MemoryDisk) error { return content.SyncDirectory(directory) })
 }
 
 // processFile is an open file of a process.
@@ -178,7 +178,7 @@
 }
 
 func (f processFile) Write(data []byte) (count int, err error) {
-	err = f.disk.operate(0, func(*seglogtest.Disk) (err error) {
+	err = f.disk.operate(0, func(*seglogtest.MemoryDisk) (err error) {
 		count, err = f.file.Write(data)
 		return err
 	})
@@ -186,11 +186,11 @@
 }
 
 func (f processFile) Truncate(size int64) error {
-	return f.disk.operate(0, func(*seglogtest.Disk) error { return f.file.Truncate(size) })
+	return f.disk.operate(0, func(*seglogtest.MemoryDisk) error { return f.file.Truncate(size) })
 }
 
 func (f processFile) Sync() error {
-	return f.disk.operate(syncTime, func(*seglogtest.Disk) error { return f.file.Sync() })
+	return f.disk.operate(syncTime, func(*seglogtest.MemoryDisk) error { return f.file.Sync() })
 }
 
 func (f processFile) Close() error { return f.file.Close() }
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -166,7 +166,7 @@
 	var committed [shards.Count]uint64
 	for _, m := range all {
 		for _, status := range m.inspect() {
-			committed[status.Shard] = max(committed[status.Shard], status.Commit)
+			committed[status.Shard] = max(committed[status.Shard], status.CommitIndex)
 		}
 	}
 	states := make([][]replica.Status, len(all))
@@ -212,7 +212,7 @@
 	id := m.member
 	m.mutex.Unlock()
 	if known := r.members[id]; known != nil {
-		known.durable[status.Shard] = status.Durable
+		known.durable[status.Shard] = status.DurableIndex
 	}
 }
 
--- a/internal/testkit/scalerun/trial_test.go
+++ b/internal/testkit/scalerun/trial_test.go
@@ -123,12 +123,12 @@
 }
 
 func TestDocumentsAreValid(t *testing.T) {
-	command := configuration.Command{Kind: configuration.Replace, Body: document(1, 20)}
-	if refusal := configuration.CheckStatic(command); refusal != nil {
+	command := configuration.Command{Kind: configuration.CommandReplace, Body: document(1, 20)}
+	if refusal := configuration.ValidateCommand(command); refusal != nil {
 		t.Errorf("whole: %v", refusal)
 	}
-	command = configuration.Command{Kind: configuration.Update, Base: 1, Body: oneRoute(2, 3)}
-	if refusal := configuration.CheckStatic(command); refusal != nil {
+	command = configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: oneRoute(2, 3)}
+	if refusal := configuration.ValidateCommand(command); refusal != nil {
 		t.Errorf("change: %v", refusal)
 	}
 }
--- a/internal/util/jsonfield/jsonfield.go
+++ b/internal/util/jsonfield/jsonfield.go
@@ -10,25 +10,25 @@
 	"github.com/go-faster/jx"
 )
 
-// ErrTrailing is returned where something follows the end of an object.
-var ErrTrailing = errors.New("something follows the end")
+// ErrTrailingData is returned where something follows the end of an object.
+var ErrTrailingData = errors.New("something follows the end")
 
-// MismatchError tells that a member has a value of another kind than expected.
-type MismatchError struct {
+// TypeMismatchError tells that a member has a value of another kind than expected.
+type TypeMismatchError struct {
 	Key     string
 	Problem string
 }
 
-func (e *MismatchError) Error() string { return e.Key + " " + e.Problem }
+func (e *TypeMismatchError) Error() string { return e.Key + " " + e.Problem }
 
 // EachMember calls member for every member of the object raw, which must be all that raw holds.
-func EachMember(raw []byte, member func(decoder *jx.Decoder, key string) error) error {
+func EachMember(raw []byte, visit func(decoder *jx.Decoder, key string) error) error {
 	decoder := jx.DecodeBytes(raw)
-	if err := decoder.Obj(member); err != nil {
+	if err := decoder.Obj(visit); err != nil {
 		return err
 	}
 	if err := decoder.Skip(); !errors.Is(err, io.EOF) {
-		return ErrTrailing
+		return ErrTrailingData
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 		return nil
 	}
 	if decoder.Next() != jx.String {
-		return &MismatchError{Key: key, Problem: "is not a string"}
+		return &TypeMismatchError{Key: key, Problem: "is not a string"}
 	}
 	text, err := decoder.Str()
 	if err != nil {
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if decoder.Next() != jx.Bool {
-		return &MismatchError{Key: key, Problem: "is not true or false"}
+		return &TypeMismatchError{Key: key, Problem: "is not true or false"}
 	}
 	value, err := decoder.Bool()
 	if err != nil {
@@ -82,14 +82,14 @@
 		return nil
 	}
 	if decoder.Next() != jx.Number {
-		return &MismatchError{Key: key, Problem: "is not a number"}
+		return &TypeMismatchError{Key: key, Problem: "is not a number"}
 	}
 	value, err := decoder.Float64()
 	if err != nil {
 		return err
 	}
 	if math.IsInf(value, 0) || math.IsNaN(value) {
-		return &MismatchError{Key: key, Problem: "is out of range"}
+		return &TypeMismatchError{Key: key, Problem: "is out of range"}
 	}
 	*into = value
 	return nil
--- a/internal/util/resultcode/resultcode.go
+++ b/internal/util/resultcode/resultcode.go
@@ -12,10 +12,10 @@
 
 // Entry is one line of a table of codes.
 type Entry struct {
-	Code   Code
-	Name   string
-	Status int // of HTTP
-	Text   string
+	Code       Code
+	Name       string
+	HTTPStatus int // of HTTP
+	Text       string
 }
 
 // Table is the codes of one package in rising order.
@@ -28,8 +28,8 @@
 // stands in two tables is a fault of the program.
 func NewTable(entries ...Entry) Table {
 	for _, entry := range entries {
-		if known, has := names[entry.Code]; has {
-			panic(fmt.Sprintf("resultcode: %d is %s and %s", int(entry.Code), known, entry.Name))
+		if existing, exists := names[entry.Code]; exists {
+			panic(fmt.Sprintf("resultcode: %d is %s and %s", int(entry.Code), existing, entry.Name))
 		}
 		names[entry.Code] = entry.Name
 	}
@@ -46,33 +46,33 @@
 			return candidate
 		}
 	}
-	return Entry{Code: code, Name: code.String(), Status: http.StatusInternalServerError}
+	return Entry{Code: code, Name: code.String(), HTTPStatus: http.StatusInternalServerError}
 }
 
 // String returns the name of the code.
 func (c Code) String() string {
-	if name, has := names[c]; has {
+	if name, exists := names[c]; exists {
 		return name
 	}
 	return "unknown"
 }
 
-// Refusal tells why something is not taken. It is an error.
-type Refusal struct {
-	Status int // of HTTP
-	Code   Code
-	Text   string // what the code means, and where it applies
+// Rejection tells why something is not taken. It is an error.
+type Rejection struct {
+	HTTPStatus int // of HTTP
+	Code       Code
+	Text       string // what the code means, and where it applies
 }
 
 // Error returns the number, the name and the text.
-func (r *Refusal) Error() string { return fmt.Sprintf("%d %s: %s", int(r.Code), r.Code, r.Text) }
+func (r *Rejection) Error() string { return fmt.Sprintf("%d %s: %s", int(r.Code), r.Code, r.Text) }
 
-// Refuse makes the refusal of a code; place tells which part of the input it concerns and may be empty.
-func (t Table) Refuse(code Code, place string) *Refusal {
+// Reject makes the refusal of a code; place tells which part of the input it concerns and may be empty.
+func (t Table) Reject(code Code, detail string) *Rejection {
 	entry := t.Entry(code)
 	text := entry.Text
-	if place != "" {
-		text += ": " + place
+	if detail != "" {
+		text += ": " + detail
 	}
-	return &Refusal{Status: entry.Status, Code: code, Text: text}
+	return &Rejection{HTTPStatus: entry.HTTPStatus, Code: code, Text: text}
 }
--- a/internal/util/strictavro/strictavro.go
+++ b/internal/util/strictavro/strictavro.go
@@ -11,15 +11,15 @@
 
 // Errors of reading, besides those of the codec.
 var (
-	ErrTrailing = errors.New("strictavro: bytes follow the record")
-	ErrLength   = errors.New("strictavro: a length cannot be")
+	ErrTrailingBytes = errors.New("strictavro: bytes follow the record")
+	ErrInvalidLength = errors.New("strictavro: a length cannot be")
 )
 
 // Unmarshal reads a record into a value. It fails unless the record ends where the bytes end.
 func Unmarshal(api avro.API, schema avro.Schema, encoded []byte, into any) (err error) {
 	defer func() {
-		if panicked := recover(); panicked != nil {
-			err = fmt.Errorf("%w: %v", ErrLength, panicked)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("%w: %v", ErrInvalidLength, recovered)
 		}
 	}()
 	reader := avro.NewReader(nil, 0, avro.WithReaderConfig(api)).Reset(encoded)
@@ -29,7 +29,7 @@
 	}
 	reader.Peek()
 	if reader.Error == nil {
-		return ErrTrailing
+		return ErrTrailingBytes
 	}
 	return nil
 }
--- a/internal/util/strictavro/strictavro_test.go
+++ b/internal/util/strictavro/strictavro_test.go
@@ -14,7 +14,7 @@
 	List []int64 `avro:"list"`
 }
 
-func TestOnlyAWholeRecordIsRead(t *testing.T) {
+func TestUnmarshal_acceptsOnlyACompleteRecord(t *testing.T) {
 	api := avro.Config{}.Freeze()
 	encoded, err := api.Marshal(schema, record{"some text", []int64{1, 2, 300}})
 	if err != nil {
@@ -29,7 +29,7 @@
 			t.Errorf("cut at %d of %d: taken as whole", cut, len(encoded))
 		}
 	}
-	if err := Unmarshal(api, schema, append(encoded, 0), &read); !errors.Is(err, ErrTrailing) {
+	if err := Unmarshal(api, schema, append(encoded, 0), &read); !errors.Is(err, ErrTrailingBytes) {
 		t.Errorf("a byte more: %v", err)
 	}
 }
