--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -40,13 +40,13 @@
 }
 
 // Handle carries a call out, as far as this keeper can, and returns what the caller is told.
-func (k *Keeper) Handle(ctx context.Context, request APIRequest) APIResponse {
-	reply := k.handle(ctx, request)
-	return APIResponse{Status: reply.Status, Body: bodyOf(reply)}
+func (s *Server) Handle(ctx context.Context, request APIRequest) APIResponse {
+	reply := s.handle(ctx, request)
+	return APIResponse{Status: reply.Status, Body: responseBody(reply)}
 }
 
-// bodyOf returns what the caller reads of an answer.
-func bodyOf(reply answer) []byte {
+// responseBody returns what the caller reads of an answer.
+func responseBody(reply shardResponse) []byte {
 	switch {
 	case reply.Status != http.StatusOK:
 		return errorBody(reply.Code, reply.Text)
@@ -56,28 +56,28 @@
 	return reply.Body
 }
 
-func (k *Keeper) handle(ctx context.Context, request APIRequest) answer {
+func (s *Server) handle(ctx context.Context, request APIRequest) shardResponse {
 	switch request.Call {
 	case APIReplace:
-		return k.takeChange(ctx, request, callReplace)
+		return s.handleConfigurationChange(ctx, request, callReplace)
 	case APIUpdate:
-		return k.takeChange(ctx, request, callUpdate)
+		return s.handleConfigurationChange(ctx, request, callUpdate)
 	case APIRead:
-		return k.takeRead(ctx)
+		return s.handleConfigurationRead(ctx)
 	case APIHeartbeat:
-		return k.takeHeartbeat(ctx, request)
+		return s.handleHeartbeat(ctx, request)
 	case APIDeregister:
-		return k.takeDeregister(ctx, request)
+		return s.handleDeregister(ctx, request)
 	}
-	return failed(UnknownPath)
+	return errorResponse(UnknownPath)
 }
 
-// takeChange takes a change to the configuration. What is invalid whatever the state is, is refused
+// handleConfigurationChange takes a change to the configuration. What is invalid whatever the state is, is refused
 // here and costs no entry.
-func (k *Keeper) takeChange(ctx context.Context, request APIRequest, kind peertransport.CallKind) answer {
-	base, valid := baseVersion(request.Base)
+func (s *Server) handleConfigurationChange(ctx context.Context, request APIRequest, kind peertransport.CallKind) shardResponse {
+	base, valid := parseBaseVersion(request.Base)
 	if !valid {
-		return failed(BadBaseVersion)
+		return errorResponse(BadBaseVersion)
 	}
 	body := request.Body
 	command := configuration.Command{Kind: configuration.CommandUpdate, Base: base, Body: body}
@@ -85,15 +85,15 @@
 		command.Kind = configuration.CommandReplace
 	}
 	if refusal := configuration.ValidateCommand(command); refusal != nil {
-		return answer{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
+		return shardResponse{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
 	}
-	ctx, cancel := context.WithTimeout(ctx, budgetFor(len(body)))
+	ctx, cancel := context.WithTimeout(ctx, timeoutFor(len(body)))
 	defer cancel()
-	return k.carry(ctx, call{Kind: kind, Shard: shards.Configuration, Base: base, Body: body})
+	return s.forward(ctx, shardRequest{Kind: kind, Shard: shards.Configuration, Base: base, Body: body})
 }
 
-// baseVersion reads the header; one that is missing counts as 0.
-func baseVersion(text string) (uint64, bool) {
+// parseBaseVersion reads the header; one that is missing counts as 0.
+func parseBaseVersion(text string) (uint64, bool) {
 	if text == "" {
 		return 0, true
 	}
@@ -101,72 +101,72 @@
 	return base, err == nil
 }
 
-// budgetFor is the time that a call with a body of that length may take.
-func budgetFor(bodyBytes int) time.Duration {
+// timeoutFor is the time that a call with a body of that length may take.
+func timeoutFor(bodyBytes int) time.Duration {
 	if bodyBytes > largeBodyBytes {
-		return largeCallBudget
+		return largeCallTimeout
 	}
-	return smallCallBudget
+	return smallCallTimeout
 }
 
-func (k *Keeper) takeRead(ctx context.Context) answer {
-	ctx, cancel := context.WithTimeout(ctx, smallCallBudget)
+func (s *Server) handleConfigurationRead(ctx context.Context) shardResponse {
+	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
-	return k.carry(ctx, call{Kind: callRead, Shard: shards.Configuration})
+	return s.forward(ctx, shardRequest{Kind: callRead, Shard: shards.Configuration})
 }
 
-func (k *Keeper) takeHeartbeat(ctx context.Context, request APIRequest) answer {
-	if len(request.Body) > maxBeatBytes {
-		return failed(BodyTooLarge)
+func (s *Server) handleHeartbeat(ctx context.Context, request APIRequest) shardResponse {
+	if len(request.Body) > maxHeartbeatBytes {
+		return errorResponse(BodyTooLarge)
 	}
-	beat, err := registry.ParseHeartbeat(request.ID, request.Body)
+	heartbeat, err := registry.ParseHeartbeat(request.ID, request.Body)
 	if err != nil {
-		return refusedBeat(err)
+		return registryErrorResponse(err)
 	}
-	shard := shards.Of(beat.Service)
-	if k.acknowledgeHere(shard, beat) {
-		return succeeded(emptyObject)
+	shard := shards.Of(heartbeat.Service)
+	if s.acknowledgeLocally(shard, heartbeat) {
+		return okResponse(emptyObject)
 	}
-	ctx, cancel := context.WithTimeout(ctx, smallCallBudget)
+	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
-	return k.carry(ctx, call{Kind: callBeat, Shard: shard, ID: request.ID, Body: request.Body})
+	return s.forward(ctx, shardRequest{Kind: callHeartbeat, Shard: shard, ID: request.ID, Body: request.Body})
 }
 
-func (k *Keeper) takeDeregister(ctx context.Context, request APIRequest) answer {
+func (s *Server) handleDeregister(ctx context.Context, request APIRequest) shardResponse {
 	if request.ID == "" {
-		return failed(MissingInstance)
+		return errorResponse(MissingInstance)
 	}
-	ctx, cancel := context.WithTimeout(ctx, smallCallBudget)
+	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
-	return k.depart(ctx, request.ID)
+	return s.deregister(ctx, request.ID)
 }
 
-// depart has the owner of an instance's shard remove it. Where no replica here knows the instance,
+// deregister has the owner of an instance's shard remove it. Where no replica here knows the instance,
 // all owners are asked; it is acknowledged once the one that knows it has removed it, or each remembers that it is gone.
-func (k *Keeper) depart(ctx context.Context, id string) answer {
+func (s *Server) deregister(ctx context.Context, id string) shardResponse {
 	for _, shard := range allShards {
-		machine := k.instances(shard)
+		machine := s.instances(shard)
 		if machine == nil {
 			continue
 		}
-		known, removed := machine.holds(id)
+		known, removed := machine.lookUp(id)
 		if removed {
-			return succeeded(emptyObject)
+			return okResponse(emptyObject)
 		}
 		if known {
-			return k.carry(ctx, call{Kind: callDeregister, Shard: shard, ID: id})
+			return s.forward(ctx, shardRequest{Kind: callDeregister, Shard: shard, ID: id})
 		}
 	}
-	return k.departAnywhere(ctx, id)
+	return s.deregisterInAllShards(ctx, id)
 }
 
-func (k *Keeper) departAnywhere(ctx context.Context, id string) answer {
-	replies := make([]answer, shards.ServiceShards)
+func (s *Server) deregisterInAllShards(ctx context.Context, id string) shardResponse {
+	replies := make([]shardResponse, shards.ServiceShards)
 	var waitGroup sync.WaitGroup
 	for i := range replies {
 		shard := shards.ID(i + 1)
 		waitGroup.Go(func() {
-			replies[i] = k.carry(ctx, call{Kind: callDeregister, Shard: shard, ID: id})
+			replies[i] = s.forward(ctx, shardRequest{Kind: callDeregister, Shard: shard, ID: id})
 		})
 	}
 	waitGroup.Wait()
@@ -175,5 +175,5 @@
 			return reply
 		}
 	}
-	return worst(replies)
+	return firstFailure(replies)
 }
--- a/internal/controlplane/server/broadcast.go
+++ b/internal/controlplane/server/broadcast.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// signal lets goroutines wait for the next change of something that they then look at.
-type signal struct {
+// broadcast lets goroutines wait for the next change of something that they then look at.
+type broadcast struct {
 	mutex sync.Mutex
 	next  chan struct{}
 }
 
-// wait returns a channel that is closed by the next raise. It is to be taken before the look.
-func (s *signal) wait() <-chan struct{} {
+// changed returns a channel that is closed by the next raise. It is to be taken before the look.
+func (s *broadcast) changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.next == nil {
@@ -18,8 +18,8 @@
 	return s.next
 }
 
-// raise wakes all that wait.
-func (s *signal) raise() {
+// notifyAll wakes all that wait.
+func (s *broadcast) notifyAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.next != nil {
@@ -30,21 +30,21 @@
 
 // subscribers are the sessions of the feed that wait for news.
 type subscribers struct {
-	mutex sync.Mutex
-	all   map[chan<- struct{}]struct{}
+	mutex   sync.Mutex
+	wakeups map[chan<- struct{}]struct{}
 }
 
 func (s *subscribers) add(wake chan<- struct{}) (cancel func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.all == nil {
-		s.all = make(map[chan<- struct{}]struct{})
+	if s.wakeups == nil {
+		s.wakeups = make(map[chan<- struct{}]struct{})
 	}
-	s.all[wake] = struct{}{}
+	s.wakeups[wake] = struct{}{}
 	return func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		delete(s.all, wake)
+		delete(s.wakeups, wake)
 	}
 }
 
@@ -52,7 +52,7 @@
 func (s *subscribers) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for wake := range s.all {
+	for wake := range s.wakeups {
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -60,8 +60,8 @@
 	}
 }
 
-// kick sends a token to a channel of capacity one, unless it holds one.
-func kick(channel chan<- struct{}) {
+// notify sends a token to a channel of capacity one, unless it holds one.
+func notify(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -21,33 +21,33 @@
 // The HTTP server uses the memory of a request again as soon as its handler has returned. What outlives the handler must
 // be a copy: a proposal that waits for its group, a call that waits for its peer, and what a keeper remembers.
 
-// heldRequest is a request whose memory the test spoils after its handler has returned.
-type heldRequest struct {
+// reusedBufferRequest is a request whose memory the test spoils after its handler has returned.
+type reusedBufferRequest struct {
 	context *app.RequestContext
 	memory  [][]byte
 }
 
-func (h *heldRequest) hold(text string) []byte {
+func (h *reusedBufferRequest) allocate(text string) []byte {
 	memory := []byte(text)
 	h.memory = append(h.memory, memory)
 	return memory
 }
 
-// newHeldRequest lays out a request as the server does: its parameter and body are memory of the connection.
-func newHeldRequest(id, base, body string) *heldRequest {
-	h := &heldRequest{context: app.NewContext(1)}
+// newReusedBufferRequest lays out a request as the server does: its parameter and body are memory of the connection.
+func newReusedBufferRequest(id, base, body string) *reusedBufferRequest {
+	h := &reusedBufferRequest{context: app.NewContext(1)}
 	if id != "" {
-		memory := h.hold(id)
+		memory := h.allocate(id)
 		value := unsafe.String(&memory[0], len(memory))
 		h.context.Params = append(h.context.Params, param.Param{Key: parameterID, Value: value})
 	}
-	h.context.Request.SetBodyRaw(h.hold(body))
-	h.context.Request.Header.Set(headerBase, base)
+	h.context.Request.SetBodyRaw(h.allocate(body))
+	h.context.Request.Header.Set(headerBaseVersion, base)
 	return h
 }
 
-// spoil overwrites the request's memory, as its connection's next request does.
-func (h *heldRequest) spoil() {
+// overwrite overwrites the request's memory, as its connection's next request does.
+func (h *reusedBufferRequest) overwrite() {
 	for _, memory := range h.memory {
 		for i := range memory {
 			memory[i] = '#'
@@ -56,116 +56,116 @@
 	h.context.Reset()
 }
 
-// keptProposals are the proposals that a group was given and has not decided on.
-type keptProposals struct {
-	mutex sync.Mutex
-	kept  [][]byte
-	then  [][]byte // copies of the same, made at once
+// retainedProposals are the proposals that a group was given and has not decided on.
+type retainedProposals struct {
+	mutex    sync.Mutex
+	retained [][]byte
+	copies   [][]byte // copies of the same, made at once
 }
 
-func (p *keptProposals) keep(data []byte) {
+func (p *retainedProposals) retain(data []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.kept = append(p.kept, data)
-	p.then = append(p.then, bytes.Clone(data))
+	p.retained = append(p.retained, data)
+	p.copies = append(p.copies, bytes.Clone(data))
 }
 
-func (p *keptProposals) check(t *testing.T) {
+func (p *retainedProposals) check(t *testing.T) {
 	t.Helper()
-	if len(p.kept) == 0 {
+	if len(p.retained) == 0 {
 		t.Fatal("nothing was kept")
 	}
-	for i, data := range p.kept {
-		if !bytes.Equal(data, p.then[i]) || bytes.Contains(data, []byte("####")) {
-			t.Errorf("%q has become %q", p.then[i], data)
+	for i, data := range p.retained {
+		if !bytes.Equal(data, p.copies[i]) || bytes.Contains(data, []byte("####")) {
+			t.Errorf("%q has become %q", p.copies[i], data)
 		}
 	}
 }
 
-// held are calls that may outlive their handler.
-var held = []struct {
+// requestsOutlivingHandler are calls that may outlive their handler.
+var requestsOutlivingHandler = []struct {
 	name     string
 	kind     APICall
 	id, body string
 }{
-	{"a whole configuration", APIReplace, "", configurationOf(9)},
+	{"a whole configuration", APIReplace, "", configurationJSON(9)},
 	{"a change", APIUpdate, "", `{"generation":9}`},
-	{"a heartbeat", APIHeartbeat, "i-new", beatOf("ready", 1)},
-	{"a drain", APIHeartbeat, presentID, beatOf("draining", 2)},
+	{"a heartbeat", APIHeartbeat, "i-new", heartbeatJSON("ready", 1)},
+	{"a drain", APIHeartbeat, presentID, heartbeatJSON("draining", 2)},
 	{"a departure", APIDeregister, presentID, ""},
 }
 
-func TestProposalOwnsItsBytes(t *testing.T) {
-	for _, one := range held {
+func TestServer_APIHandler_proposalOwnsItsBytes(t *testing.T) {
+	for _, one := range requestsOutlivingHandler {
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene(t)
-				s.everyGroup(leaderStatus(), nil)
-				proposals := &keptProposals{}
+				s := newDegradedServerFixture(t)
+				s.setEveryGroup(leaderStatus(), nil)
+				proposals := &retainedProposals{}
 				for _, group := range s.groups {
 					group.submit = func(ctx context.Context, data []byte) (any, error) {
-						proposals.keep(data)
+						proposals.retain(data)
 						<-ctx.Done()
 						return nil, replica.ErrUnknownOutcome
 					}
 				}
-				request := newHeldRequest(one.id, "7", one.body)
-				s.keeper.adapt(one.kind)(t.Context(), request.context)
+				request := newReusedBufferRequest(one.id, "7", one.body)
+				s.keeper.apiHandler(one.kind)(t.Context(), request.context)
 				if status := request.context.Response.StatusCode(); status != http.StatusServiceUnavailable {
 					t.Fatal(status)
 				}
-				request.spoil()
+				request.overwrite()
 				proposals.check(t)
 			})
 		})
 	}
 }
 
-func TestForwardedCallOwnsItsBytes(t *testing.T) {
-	for _, one := range held {
+func TestServer_APIHandler_forwardedCallOwnsItsBytes(t *testing.T) {
+	for _, one := range requestsOutlivingHandler {
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene(t)
-				s.everyGroup(followerOf(ownerAddress), nil)
-				calls := &keptProposals{}
-				s.keeper.network = &keepingNetwork{calls: calls}
-				request := newHeldRequest(one.id, "7", one.body)
-				s.keeper.adapt(one.kind)(t.Context(), request.context)
-				request.spoil()
+				s := newDegradedServerFixture(t)
+				s.setEveryGroup(followerStatus(ownerAddress), nil)
+				calls := &retainedProposals{}
+				s.keeper.network = &retainingNetwork{calls: calls}
+				request := newReusedBufferRequest(one.id, "7", one.body)
+				s.keeper.apiHandler(one.kind)(t.Context(), request.context)
+				request.overwrite()
 				calls.check(t)
 			})
 		})
 	}
 }
 
-// keepingNetwork keeps the calls that it is given, and answers none.
-type keepingNetwork struct {
+// retainingNetwork keeps the calls that it is given, and answers none.
+type retainingNetwork struct {
 	scriptedNetwork
-	calls *keptProposals
+	calls *retainedProposals
 }
 
-func (n *keepingNetwork) Call(ctx context.Context, _ string, _ peertransport.CallKind, body []byte) ([]byte, error) {
-	n.calls.keep(body)
+func (n *retainingNetwork) Call(ctx context.Context, _ string, _ peertransport.CallKind, body []byte) ([]byte, error) {
+	n.calls.retain(body)
 	<-ctx.Done()
 	return nil, peertransport.ErrOutcomeUnknown
 }
 
 // A keeper remembers instances by their IDs, which come in the request's memory.
-func TestWhatIsRememberedOwnsItsBytes(t *testing.T) {
+func TestServer_APIHandler_recordedStateOwnsItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t)
-		s.everyGroup(followerOf(ownerAddress), nil)
-		request := newHeldRequest(presentID, "", beatOf("ready", 5))
-		s.keeper.adapt(APIHeartbeat)(t.Context(), request.context)
-		request.spoil()
-		drained := s.keeper.presences.take(shards.Of(presentService))
+		s := newDegradedServerFixture(t)
+		s.setEveryGroup(followerStatus(ownerAddress), nil)
+		request := newReusedBufferRequest(presentID, "", heartbeatJSON("ready", 5))
+		s.keeper.apiHandler(APIHeartbeat)(t.Context(), request.context)
+		request.overwrite()
+		drained := s.keeper.liveness.drain(shards.Of(presentService))
 		if len(drained) != 1 || drained[0].ID != presentID {
 			t.Fatal(drained)
 		}
-		decideHere(s.keeper, s.groups)
-		request = newHeldRequest("i-new", "", beatOf("ready", 1))
-		s.keeper.adapt(APIHeartbeat)(t.Context(), request.context)
-		request.spoil()
+		makeOwner(s.keeper, s.groups)
+		request = newReusedBufferRequest("i-new", "", heartbeatJSON("ready", 1))
+		s.keeper.apiHandler(APIHeartbeat)(t.Context(), request.context)
+		request.overwrite()
 		machine := s.keeper.instances(shards.Of(presentService))
 		if machine.store.Instance("i-new") == nil {
 			t.Fatal(machine.store.Instances(""))
@@ -174,18 +174,18 @@
 }
 
 // A configuration that is in force does not change with the memory of the entry or of the answers that tell of it.
-func TestConfigurationOwnsItsBytes(t *testing.T) {
+func TestServer_APIHandler_configurationOwnsItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene(t)
-		decideHere(s.keeper, s.groups)
-		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentNumber, Body: []byte(configurationOf(9))})
+		s := newDegradedServerFixture(t)
+		makeOwner(s.keeper, s.groups)
+		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentNumber, Body: []byte(configurationJSON(9))})
 		if _, err := s.groups[0].submit(t.Context(), data); err != nil {
 			t.Fatal(err)
 		}
 		clear(data)
 		first := s.keeper.Handle(t.Context(), APIRequest{Call: APIRead})
 		clear(first.Body)
-		if second := s.keeper.Handle(t.Context(), APIRequest{Call: APIRead}); string(second.Body) != configurationOf(9) {
+		if second := s.keeper.Handle(t.Context(), APIRequest{Call: APIRead}); string(second.Body) != configurationJSON(9) {
 			t.Fatalf("%s", second.Body)
 		}
 		changes, snapshot := s.keeper.Since(shards.Configuration, 0)
--- a/internal/controlplane/server/cluster_test.go
+++ b/internal/controlplane/server/cluster_test.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	fleetLimit = 30 * time.Second
-	pollPause  = 10 * time.Millisecond // between two looks at a condition
+	clusterTimeout = 30 * time.Second
+	pollInterval   = 10 * time.Millisecond // between two looks at a condition
 )
 
-// process is a keeper that a test runs.
-type process struct {
+// serverProcess is a keeper that a test runs.
+type serverProcess struct {
 	config bootconfig.Settings
 	stop   context.CancelFunc
 	ended  chan error
 }
 
-// fleet is a set of keepers on loopback addresses of this machine.
-type fleet struct {
+// testCluster is a set of keepers on loopback addresses of this machine.
+type testCluster struct {
 	t         *testing.T
-	processes []*process
+	processes []*serverProcess
 	client    *http.Client
 }
 
@@ -66,15 +66,15 @@
 	return true
 }
 
-// newFleet prepares keepers of which the first three are the seeds. None is started.
-func newFleet(t *testing.T, count int) *fleet {
+// newTestCluster prepares keepers of which the first three are the seeds. None is started.
+func newTestCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
 	ips := make([]string, count)
 	for i := range ips {
 		ips[i] = fmt.Sprintf("127.0.0.%d", 2+i)
 	}
 	control, peers := freePort(t, ips), freePort(t, ips)
-	f := &fleet{t: t, client: &http.Client{
+	f := &testCluster{t: t, client: &http.Client{
 		Timeout:   5 * time.Second,
 		Transport: &http.Transport{DisableKeepAlives: true},
 	}}
@@ -91,21 +91,21 @@
 		for _, seed := range ips[:min(count, 3)] {
 			config.Seeds = append(config.Seeds, net.JoinHostPort(seed, strconv.Itoa(control)))
 		}
-		f.processes = append(f.processes, &process{config: config})
+		f.processes = append(f.processes, &serverProcess{config: config})
 	}
 	t.Cleanup(f.stopAll)
 	return f
 }
 
-func (f *fleet) start(i int) {
+func (f *testCluster) start(i int) {
 	p := f.processes[i]
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stop, p.ended = cancel, make(chan error, 1)
 	go func() { p.ended <- Run(ctx, p.config, zap.NewNop()) }()
 }
 
-// finish stops a keeper as a SIGTERM does and returns how long it took.
-func (f *fleet) finish(i int) time.Duration {
+// terminate stops a keeper as a SIGTERM does and returns how long it took.
+func (f *testCluster) terminate(i int) time.Duration {
 	f.t.Helper()
 	p := f.processes[i]
 	began := time.Now()
@@ -115,38 +115,38 @@
 		if err != nil {
 			f.t.Fatalf("keeper %d: %v", i, err)
 		}
-	case <-time.After(fleetLimit):
+	case <-time.After(clusterTimeout):
 		f.t.Fatalf("keeper %d does not end", i)
 	}
 	p.stop = nil
 	return time.Since(began)
 }
 
-func (f *fleet) stopAll() {
+func (f *testCluster) stopAll() {
 	for i, p := range f.processes {
 		if p.stop != nil {
-			f.finish(i)
+			f.terminate(i)
 		}
 	}
 }
 
 // await looks until a condition holds.
-func (f *fleet) await(what string, holds func() bool) {
+func (f *testCluster) await(what string, holds func() bool) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(f.t.Context(), fleetLimit)
+	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
 	defer cancel()
-	if err := localfleet.Await(ctx, pollPause, holds); err != nil {
-		f.t.Fatalf("%s: not within %s", what, fleetLimit)
+	if err := localfleet.Await(ctx, pollInterval, holds); err != nil {
+		f.t.Fatalf("%s: not within %s", what, clusterTimeout)
 	}
 }
 
 // do sends one call to a keeper; a status of 0 means that no answer came.
-func (f *fleet) do(i int, method, path string, base uint64, body string) (status int, content []byte) {
+func (f *testCluster) do(i int, method, path string, base uint64, body string) (status int, content []byte) {
 	request, err := http.NewRequest(method, "http://"+f.processes[i].config.Listen.Control+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	request.Header.Set(headerBase, strconv.FormatUint(base, 10))
+	request.Header.Set(headerBaseVersion, strconv.FormatUint(base, 10))
 	response, err := f.client.Do(request)
 	if err != nil {
 		return 0, nil
@@ -156,8 +156,8 @@
 	return response.StatusCode, content
 }
 
-// insist repeats a call, as callers do, until it has a clear answer.
-func (f *fleet) insist(i int, method, path string, base uint64, body string) (status int, content []byte) {
+// doUntilDefinitive repeats a call, as callers do, until it has a clear answer.
+func (f *testCluster) doUntilDefinitive(i int, method, path string, base uint64, body string) (status int, content []byte) {
 	f.t.Helper()
 	f.await(method+" "+path, func() bool {
 		status, content = f.do(i, method, path, base, body)
@@ -166,7 +166,7 @@
 	return status, content
 }
 
-func (f *fleet) status(i int) (report statusReport, ok bool) {
+func (f *testCluster) status(i int) (report statusReport, ok bool) {
 	code, body := f.do(i, http.MethodGet, "/-/status", 0, "")
 	if code != http.StatusOK {
 		return report, false
@@ -174,8 +174,8 @@
 	return report, json.Unmarshal(body, &report) == nil
 }
 
-// settled tells whether a keeper sees every shard with the given voters, current.
-func (f *fleet) settled(i, voters int) bool {
+// isConverged tells whether a keeper sees every shard with the given voters, current.
+func (f *testCluster) isConverged(i, voters int) bool {
 	report, ok := f.status(i)
 	if !ok {
 		return false
@@ -195,57 +195,57 @@
 	return true
 }
 
-func configurationOf(generation int) string {
+func configurationJSON(generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[{"name":"r","hostname":"a.example","pathPrefix":"/p/",`+
 		`"routeType":"idempotent","timeoutMs":1000,"targetLatencyMs":400,"priority":0,"service":"s","maxAttempts":2}],`+
 		`"services":[{"name":"s","healthPath":"/health","maxConnections":10}],`+
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`, generation)
 }
 
-func beatOf(state string, sequence int) string {
+func heartbeatJSON(state string, sequence int) string {
 	return fmt.Sprintf(`{"service":"s","address":"10.0.0.9:80","zone":"z","generation":"v1","slots":4,"state":%q,"sequence":%d}`,
 		state, sequence)
 }
 
-func (f *fleet) expect(want, got int, content []byte) {
+func (f *testCluster) requireStatus(want, got int, content []byte) {
 	f.t.Helper()
 	if got != want {
 		f.t.Fatalf("status %d, not %d: %s", got, want, content)
 	}
 }
 
-func TestThreeKeepersFormTakeACallAndRepair(t *testing.T) {
-	f := newFleet(t, 3)
+func TestCluster_threeServersBootstrapServeAndRepair(t *testing.T) {
+	f := newTestCluster(t, 3)
 	for i := range 3 {
 		f.start(i)
 	}
 	began := time.Now()
 	for i := range 3 {
-		f.await("formation", func() bool { return f.settled(i, 3) })
+		f.await("formation", func() bool { return f.isConverged(i, 3) })
 	}
 	t.Logf("formed in %s", time.Since(began))
 
 	replace, read := "/-/Config.Replace", "/-/Config.Read"
 	for i := range 3 {
 		base, next := i, i+1
-		status, content := f.insist(i, http.MethodPost, replace, uint64(base), configurationOf(next))
-		f.expect(http.StatusOK, status, content)
-		status, content = f.insist((i+1)%3, http.MethodPost, replace, uint64(base), configurationOf(next)) // sent again
-		f.expect(http.StatusOK, status, content)
+		status, content := f.doUntilDefinitive(i, http.MethodPost, replace, uint64(base), configurationJSON(next))
+		f.requireStatus(http.StatusOK, status, content)
+		status, content = f.doUntilDefinitive((i+1)%3, http.MethodPost, replace, uint64(base), configurationJSON(next)) // sent again
+		f.requireStatus(http.StatusOK, status, content)
 	}
-	status, content := f.insist(0, http.MethodPost, replace, 1, configurationOf(9))
-	f.expect(http.StatusPreconditionFailed, status, content)
-	status, content = f.insist(1, http.MethodPost, replace, 3, `{"generation":4`)
-	f.expect(http.StatusBadRequest, status, content)
+	status, content := f.doUntilDefinitive(0, http.MethodPost, replace, 1, configurationJSON(9))
+	f.requireStatus(http.StatusPreconditionFailed, status, content)
+	status, content = f.doUntilDefinitive(1, http.MethodPost, replace, 3, `{"generation":4`)
+	f.requireStatus(http.StatusBadRequest, status, content)
 
-	took := f.finish(0)
+	took := f.terminate(0)
 	t.Logf("one keeper left in %s", took)
 	if took > 2*time.Second {
 		t.Errorf("leaving took %s", took)
 	}
 	began = time.Now()
-	status, content = f.insist(1, http.MethodPost, replace, 3, configurationOf(4))
-	f.expect(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(1, http.MethodPost, replace, 3, configurationJSON(4))
+	f.requireStatus(http.StatusOK, status, content)
 	t.Logf("a configuration with two of three in %s", time.Since(began))
 
 	// The keeper comes back without its disk.
@@ -254,40 +254,40 @@
 	f.start(0)
 	began = time.Now()
 	for i := range 3 {
-		f.await("repair", func() bool { return f.settled(i, 3) })
+		f.await("repair", func() bool { return f.isConverged(i, 3) })
 	}
 	t.Logf("repaired in %s", time.Since(began))
-	f.finish(1)
-	status, content = f.insist(0, http.MethodPost, replace, 4, configurationOf(5))
-	f.expect(http.StatusOK, status, content)
-	status, content = f.insist(0, http.MethodGet, read, 0, "")
-	f.expect(http.StatusOK, status, content)
+	f.terminate(1)
+	status, content = f.doUntilDefinitive(0, http.MethodPost, replace, 4, configurationJSON(5))
+	f.requireStatus(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(0, http.MethodGet, read, 0, "")
+	f.requireStatus(http.StatusOK, status, content)
 	var document struct{ Generation int }
 	if err := json.Unmarshal(content, &document); err != nil || document.Generation != 5 {
 		t.Fatalf("read %s: %v", content, err)
 	}
 }
 
-func TestInstancesAreTakenByAnyKeeper(t *testing.T) {
-	f := newFleet(t, 3)
+func TestCluster_anyServerAcceptsInstanceCalls(t *testing.T) {
+	f := newTestCluster(t, 3)
 	for i := range 3 {
 		f.start(i)
 	}
-	f.await("formation", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
+	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
 	for i := range 3 {
-		status, content := f.insist(i, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, beatOf("ready", 1+i))
-		f.expect(http.StatusOK, status, content)
+		status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1+i))
+		f.requireStatus(http.StatusOK, status, content)
 	}
-	status, content := f.insist(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, beatOf("draining", 9))
-	f.expect(http.StatusOK, status, content)
-	status, content = f.insist(2, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, `{"service":`)
-	f.expect(http.StatusBadRequest, status, content)
-	status, content = f.insist(2, http.MethodPost, "/-/Instances.Deregister/i-1", 0, "{}")
-	f.expect(http.StatusOK, status, content)
-	status, content = f.insist(0, http.MethodPost, "/-/Instances.Deregister/i-unknown", 0, "{}")
-	f.expect(http.StatusOK, status, content)
-	status, content = f.insist(0, http.MethodGet, "/-/nothing", 0, "")
-	f.expect(http.StatusNotFound, status, content)
-	status, content = f.insist(0, http.MethodGet, "/-/metrics", 0, "")
-	f.expect(http.StatusOK, status, content)
+	status, content := f.doUntilDefinitive(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("draining", 9))
+	f.requireStatus(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, `{"service":`)
+	f.requireStatus(http.StatusBadRequest, status, content)
+	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Instances.Deregister/i-1", 0, "{}")
+	f.requireStatus(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(0, http.MethodPost, "/-/Instances.Deregister/i-unknown", 0, "{}")
+	f.requireStatus(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(0, http.MethodGet, "/-/nothing", 0, "")
+	f.requireStatus(http.StatusNotFound, status, content)
+	status, content = f.doUntilDefinitive(0, http.MethodGet, "/-/metrics", 0, "")
+	f.requireStatus(http.StatusOK, status, content)
 }
--- a/internal/controlplane/server/compatibility_test.go
+++ b/internal/controlplane/server/compatibility_test.go
@@ -17,9 +17,9 @@
 	name string
 	kind peertransport.CallKind
 }{
-	{"call-replace", callReplace}, {"call-update", callUpdate}, {"call-read", callRead}, {"call-heartbeat", callBeat},
-	{"call-nodes", callNodes}, {"call-deregister", callDeregister}, {"call-join", callJoin}, {"call-currency", callCurrency},
-	{"call-presences", callPresences}, {"call-identity", callIdentity}, {"call-leave", callLeave}, {"call-demand", callDemand},
+	{"call-replace", callReplace}, {"call-update", callUpdate}, {"call-read", callRead}, {"call-heartbeat", callHeartbeat},
+	{"call-nodes", callNodeHeartbeats}, {"call-deregister", callDeregister}, {"call-join", callJoin}, {"call-currency", callGroupStates},
+	{"call-presences", callSessionLiveness}, {"call-identity", callIdentity}, {"call-leave", callLeave}, {"call-demand", callDemand},
 }
 
 // listRow is a row of the body of a call or an answer that is encoded as its schema says.
@@ -36,11 +36,11 @@
 }
 
 // answerRow is a row of the owner's answer to a call.
-func answerRow(name string, value answer) golden.Row {
+func answerRow(name string, value shardResponse) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
-		Encode: func() ([]byte, error) { return encodeAnswer(value) },
-		Decode: func(body []byte) (any, error) { return decodeAnswer(body) },
+		Encode: func() ([]byte, error) { return encodeShardResponse(value) },
+		Decode: func(body []byte) (any, error) { return decodeShardResponse(body) },
 	}
 }
 
@@ -52,31 +52,31 @@
 func callRows() []golden.Row {
 	var rows []golden.Row
 	for _, one := range callKinds {
-		value := call{Kind: one.kind, Shard: 1, ID: "worker-1", Base: 1<<64 - 1, Body: []byte("body")}
+		value := shardRequest{Kind: one.kind, Shard: 1, ID: "worker-1", Base: 1<<64 - 1, Body: []byte("body")}
 		rows = append(rows, golden.Row{
 			Name: one.name, Value: value,
-			Encode: func() ([]byte, error) { return encodeCall(value) },
-			Decode: func(body []byte) (any, error) { return decodeCall(body) },
+			Encode: func() ([]byte, error) { return encodeShardRequest(value) },
+			Decode: func(body []byte) (any, error) { return decodeShardRequest(body) },
 		})
 	}
 	return rows
 }
 
 func answerRows() []golden.Row {
-	identity := identityReply{ID: 1<<64 - 3, Age: 4321 * time.Millisecond, Leaving: true}
+	identity := identityReply{ID: 1<<64 - 3, Age: 4321 * time.Millisecond, ShuttingDown: true}
 	return []golden.Row{
-		answerRow("answer-success", answer{Status: 200, Body: []byte(`{"generation":4}`), Known: true}),
-		answerRow("answer-refusal", answer{Status: 409, Code: 1203, Text: "base is not current", Body: []byte{}}),
-		answerRow("answer-not-owner", answer{NotOwner: true, Leader: "192.0.2.2:7100", Body: []byte{}}),
+		answerRow("answer-success", shardResponse{Status: 200, Body: []byte(`{"generation":4}`), Known: true}),
+		answerRow("answer-refusal", shardResponse{Status: 409, Code: 1203, Text: "base is not current", Body: []byte{}}),
+		answerRow("answer-not-owner", shardResponse{NotOwner: true, Leader: "192.0.2.2:7100", Body: []byte{}}),
 		{
 			Name: "identity", Value: identity,
 			Encode: func() ([]byte, error) { return encodeIdentity(identity) },
 			Decode: func(body []byte) (any, error) { return decodeIdentity(body) },
 		},
-		listRow("nodes", nodesSchema, []node{{ID: "node-1", Address: "192.0.2.7:7000", Zone: "zone-b"}}),
-		listRow("presences", presencesSchema, []presence{{ID: "worker-1", Sequence: 1 << 40}, {ID: "worker-2", Sequence: 2}}),
+		listRow("nodes", nodesSchema, []edgeNode{{ID: "node-1", Address: "192.0.2.7:7000", Zone: "zone-b"}}),
+		listRow("presences", sessionHeartbeatsSchema, []sessionHeartbeat{{ID: "worker-1", Sequence: 1 << 40}, {ID: "worker-2", Sequence: 2}}),
 		listRow("groups", groupsSchema, []groupState{{Shard: 1, Voter: true, Writable: true}, {Shard: 2, Current: true}}),
-		listRow("servers", keepersSchema, []keeperInfo{{Address: "192.0.2.1:7100", Zone: "zone-a", Region: "region-1"}}),
+		listRow("servers", serversSchema, []serverInfo{{Address: "192.0.2.1:7100", Zone: "zone-a", Region: "region-1"}}),
 	}
 }
 
@@ -84,7 +84,7 @@
 	var refused errorReport
 	refused.Error.Code, refused.Error.Text = 1203, "base is not current"
 	return []golden.Row{
-		jsonRow("order.json", orderBody{Operation: operationStage, Stage: "decode", Holder: "192.0.2.1:7100", Fence: 77}),
+		jsonRow("order.json", roleCommandBody{Operation: operationSetRole, Role: "decode", LeaseHolder: "192.0.2.1:7100", FencingToken: 77}),
 		jsonRow("error.json", refused),
 		jsonRow("status.json", statusReport{
 			Address: "192.0.2.1:7100", Member: "1f", UptimeS: 60, Leaving: true, Agents: 3,
@@ -96,8 +96,8 @@
 			Peers: []peerReport{{Address: "192.0.2.2:7100", Connected: true, Accepted: true, Queued: 1, Dropped: 2, HeardMs: 3}},
 		}),
 		{
-			Name: "report.json", Value: workerReport{Stage: "prefill", Busy: true},
-			Encode: func() ([]byte, error) { return json.Marshal(workerReport{Stage: "prefill", Busy: true}) },
+			Name: "report.json", Value: workerReport{Role: "prefill", Busy: true},
+			Encode: func() ([]byte, error) { return json.Marshal(workerReport{Role: "prefill", Busy: true}) },
 			Decode: func(body []byte) (any, error) {
 				var report workerReport
 				err := json.Unmarshal(body, &report)
--- a/internal/controlplane/server/concurrent_changes_test.go
+++ b/internal/controlplane/server/concurrent_changes_test.go
@@ -10,16 +10,16 @@
 	"ospreybend/internal/testkit/localfleet"
 )
 
-// orderOf is one operator's order, which it sends unchanged until it has a clear answer.
-type orderOf struct {
+// configurationChange is one operator's order, which it sends unchanged until it has a clear answer.
+type configurationChange struct {
 	base uint64
 	body string
 }
 
-// raceAt sends orders to keepers at the same time, each to all of them, and returns the clear answers of each.
-func (f *fleet) raceAt(keepers []int, orders ...orderOf) [][]int {
+// sendConcurrently sends orders to keepers at the same time, each to all of them, and returns the clear answers of each.
+func (f *testCluster) sendConcurrently(keepers []int, orders ...configurationChange) [][]int {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(f.t.Context(), fleetLimit)
+	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
 	defer cancel()
 	answers := make([][]int, len(orders))
 	var waitGroup sync.WaitGroup
@@ -27,7 +27,7 @@
 		answers[number] = make([]int, len(keepers))
 		for place, keeper := range keepers {
 			waitGroup.Go(func() {
-				_ = localfleet.Await(ctx, pollPause, func() bool {
+				_ = localfleet.Await(ctx, pollInterval, func() bool {
 					status, _ := f.do(keeper, http.MethodPost, "/-/Config.Replace", order.base, order.body)
 					answers[number][place] = status
 					return status != 0 && status < http.StatusInternalServerError
@@ -39,8 +39,8 @@
 	return answers
 }
 
-// expectRace wants one order acknowledged at all keepers and the others refused at all; it returns the one.
-func (f *fleet) expectRace(orders []orderOf, answers [][]int) orderOf {
+// requireOneWinner wants one order acknowledged at all keepers and the others refused at all; it returns the one.
+func (f *testCluster) requireOneWinner(orders []configurationChange, answers [][]int) configurationChange {
 	f.t.Helper()
 	won := -1
 	for number, statuses := range answers {
@@ -65,65 +65,65 @@
 	return orders[won]
 }
 
-// TestRacesAndRepeatsAtAllKeepers has operators send two changes with one number to all keepers at once, and repeats of what
+// TestCluster_concurrentAndRepeatedChangesAtAllServers has operators send two changes with one number to all keepers at once, and repeats of what
 // was taken after a change of leader, a lost disk and a restart of all.
-func TestRacesAndRepeatsAtAllKeepers(t *testing.T) {
-	f := newFleet(t, 3)
+func TestCluster_concurrentAndRepeatedChangesAtAllServers(t *testing.T) {
+	f := newTestCluster(t, 3)
 	all := []int{0, 1, 2}
 	for _, i := range all {
 		f.start(i)
 	}
-	f.await("formation", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
-	var won []orderOf
-	lost := map[orderOf]bool{}
+	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	var won []configurationChange
+	lost := map[configurationChange]bool{}
 	race := func(keepers ...int) {
 		base := len(won)
-		orders := []orderOf{
-			{uint64(base), configurationOf(base + 1)},
-			{uint64(base), configurationOf(base+1) + " "},
+		orders := []configurationChange{
+			{uint64(base), configurationJSON(base + 1)},
+			{uint64(base), configurationJSON(base+1) + " "},
 			{uint64(base), fmt.Sprintf(`{"generation":%d,"routes":[],"services":[]}`, base+1)},
 		}
 		for _, order := range orders {
 			lost[order] = true
 		}
-		winner := f.expectRace(orders, f.raceAt(keepers, orders...))
+		winner := f.requireOneWinner(orders, f.sendConcurrently(keepers, orders...))
 		delete(lost, winner)
 		won = append(won, winner)
 	}
 	repeat := func(keepers ...int) {
 		for _, order := range won {
 			for _, i := range keepers {
-				status, content := f.insist(i, http.MethodPost, "/-/Config.Replace", order.base, order.body)
-				f.expect(http.StatusOK, status, content)
+				status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Config.Replace", order.base, order.body)
+				f.requireStatus(http.StatusOK, status, content)
 			}
 		}
 		for order := range lost {
-			status, content := f.insist(keepers[0], http.MethodPost, "/-/Config.Replace", order.base, order.body)
-			f.expect(http.StatusPreconditionFailed, status, content)
+			status, content := f.doUntilDefinitive(keepers[0], http.MethodPost, "/-/Config.Replace", order.base, order.body)
+			f.requireStatus(http.StatusPreconditionFailed, status, content)
 		}
 	}
 	race(all...)
 	race(all...)
 	repeat(all...)
 
-	f.finish(0) // its shards go to others
+	f.terminate(0) // its shards go to others
 	race(1, 2)
 	repeat(1, 2)
 
 	f.processes[0].config.DataDir = t.TempDir() // it comes back without its disk
 	f.processes[0].config.Bootstrap = false
 	f.start(0)
-	f.await("repair", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
+	f.await("repair", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
 	repeat(0)
 	race(all...)
 
 	for _, i := range all {
-		f.finish(i)
+		f.terminate(i)
 	}
 	for _, i := range all {
 		f.processes[i].config.Bootstrap = false
 		f.start(i)
 	}
-	f.await("return", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
+	f.await("return", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
 	repeat(all...)
 }
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -13,13 +13,13 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// owning returns a keeper that owns all shards of instances. Proposals to those in lost come to nothing.
-func owning(t *testing.T) (k *Keeper, lost map[shards.ID]bool) {
+// newOwningServer returns a keeper that owns all shards of instances. Proposals to those in lost come to nothing.
+func newOwningServer(t *testing.T) (s *Server, lost map[shards.ID]bool) {
 	t.Helper()
-	k, groups, _ := scripted(t)
+	s, groups, _ := newScriptedServer(t)
 	lost = map[shards.ID]bool{}
 	for id := shards.ID(1); id < shards.Count; id++ {
-		machine, index := k.instances(id), uint64(0)
+		machine, index := s.instances(id), uint64(0)
 		groups[id].set(leaderStatus())
 		groups[id].submit = func(_ context.Context, data []byte) (any, error) {
 			if lost[id] {
@@ -28,65 +28,65 @@
 			index++
 			return machine.Apply(consensus.Entry{Index: index, Data: data}), nil
 		}
-		machine.setLeading(3)
-		machine.gained(time.Now(), 3)
+		machine.setLeaderTerm(3)
+		machine.ownershipGained(time.Now(), 3)
 	}
-	return k, lost
+	return s, lost
 }
 
-// depart deregisters an instance and returns the status.
-func depart(t *testing.T, k *Keeper, id string) int {
-	return k.Handle(limited(t), APIRequest{Call: APIDeregister, ID: id}).Status
+// deregister deregisters an instance and returns the status.
+func deregister(t *testing.T, s *Server, id string) int {
+	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: id}).Status
 }
 
-// TestDepartureOfAnUnknownInstanceHoldsInEveryShard has an instance leave that nobody has heard of, while one shard takes nothing.
+// TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard has an instance leave that nobody has heard of, while one shard takes nothing.
 // Its heartbeat comes late, and would go to just that shard.
-func TestDepartureOfAnUnknownInstanceHoldsInEveryShard(t *testing.T) {
-	k, lost := owning(t)
+func TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard(t *testing.T) {
+	s, lost := newOwningServer(t)
 	home := shards.Of(presentService)
 	lost[home] = true
 	for range 2 {
-		if status := depart(t, k, presentID); status == http.StatusOK {
+		if status := deregister(t, s, presentID); status == http.StatusOK {
 			t.Fatal("acknowledged though its service's shard does not remember it")
 		}
 	}
 	lost[home] = false
-	if status := depart(t, k, presentID); status != http.StatusOK {
+	if status := deregister(t, s, presentID); status != http.StatusOK {
 		t.Fatal(status)
 	}
-	late := k.Handle(limited(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(beatOf("ready", 9))})
-	if known, _ := k.instances(home).holds(presentID); late.Status != http.StatusOK || known {
+	late := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 9))})
+	if known, _ := s.instances(home).lookUp(presentID); late.Status != http.StatusOK || known {
 		t.Fatal("a heartbeat that came late brought it back", late.Status)
 	}
 }
 
-// TestDepartureOfAKnownInstanceNeedsItsShardAlone has an instance leave twice, while all other shards take nothing.
-func TestDepartureOfAKnownInstanceNeedsItsShardAlone(t *testing.T) {
-	k, lost := owning(t)
+// TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly has an instance leave twice, while all other shards take nothing.
+func TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly(t *testing.T) {
+	s, lost := newOwningServer(t)
 	home := shards.Of(presentService)
-	k.Handle(limited(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(beatOf("ready", 1))})
+	s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 1))})
 	for id := shards.ID(1); id < shards.Count; id++ {
 		lost[id] = id != home
 	}
 	for range 2 {
-		if status := depart(t, k, presentID); status != http.StatusOK {
+		if status := deregister(t, s, presentID); status != http.StatusOK {
 			t.Fatal(status)
 		}
 	}
-	if known, removed := k.instances(home).holds(presentID); !known || !removed {
+	if known, removed := s.instances(home).lookUp(presentID); !known || !removed {
 		t.Fatal(known, removed)
 	}
 }
 
-// TestWordsAfterADepartureCostNoEntry has an instance leave that goes on to tell that it is ready, as long as it serves.
-func TestWordsAfterADepartureCostNoEntry(t *testing.T) {
-	k, lost := owning(t)
+// TestServer_Handle_heartbeatAfterDeregisterProposesNothing has an instance leave that goes on to tell that it is ready, as long as it serves.
+func TestServer_Handle_heartbeatAfterDeregisterProposesNothing(t *testing.T) {
+	s, lost := newOwningServer(t)
 	home := shards.Of(presentService)
 	tell := func(sequence int) int {
-		call := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(beatOf("ready", sequence))}
-		return k.Handle(limited(t), call).Status
+		call := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", sequence))}
+		return s.Handle(timeoutContext(t), call).Status
 	}
-	if tell(1) != http.StatusOK || depart(t, k, presentID) != http.StatusOK {
+	if tell(1) != http.StatusOK || deregister(t, s, presentID) != http.StatusOK {
 		t.Fatal("it does not come, or does not leave")
 	}
 	lost[home] = true // an entry would come to nothing
@@ -95,40 +95,40 @@
 			t.Fatal(status)
 		}
 	}
-	if _, removed := k.instances(home).holds(presentID); !removed {
+	if _, removed := s.instances(home).lookUp(presentID); !removed {
 		t.Fatal("it is back")
 	}
 }
 
-// TestNodeComesBackToItsAddress has two nodes tell one address in turn: a node's ID may come back, unlike a worker's.
-func TestNodeComesBackToItsAddress(t *testing.T) {
-	k, _ := owning(t)
-	machine := k.instances(shards.Of(registry.NodesService))
+// TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two nodes tell one address in turn: a node's ID may come back, unlike a worker's.
+func TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress(t *testing.T) {
+	s, _ := newOwningServer(t)
+	machine := s.instances(shards.Of(registry.NodesService))
 	for index, id := range []string{"n1", "n2", "n1"} {
 		node := registry.Instance{ID: id, Service: registry.NodesService, Address: "10.0.0.1:7660", Slots: 1}
-		decision, owned := machine.beat(time.Now(), registry.Heartbeat{Instance: node})
+		decision, owned := machine.decideHeartbeat(time.Now(), registry.Heartbeat{Instance: node})
 		if !owned || decision.Action != registry.Propose {
 			t.Fatalf("%s: %+v", id, decision)
 		}
 		machine.Apply(consensus.Entry{Index: uint64(index + 1), Data: decision.Command})
 	}
-	if known, removed := machine.holds("n1"); !known || removed {
+	if known, removed := machine.lookUp("n1"); !known || removed {
 		t.Fatal("the node is not back")
 	}
 }
 
-// TestAnswersToWorkersAreSmall gives the longest and oddest calls; workers take no answer of more than 4 KiB.
-func TestAnswersToWorkersAreSmall(t *testing.T) {
+// TestServer_Handle_responsesToWorkersAreSmall gives the longest and oddest calls; workers take no answer of more than 4 KiB.
+func TestServer_Handle_responsesToWorkersAreSmall(t *testing.T) {
 	const most = 4 << 10
-	k, _ := owning(t)
+	s, _ := newOwningServer(t)
 	long := strings.Repeat("x", 1<<15)
 	bodies := []string{
-		"", long, `{"` + long + `":`, `{"service":"` + long + `"}`, `{"address":"` + long[:250] + `","service":"s"}`, beatOf("ready", 1),
-		beatOf(long, 2), `{"slots":"` + long + `"}`, strings.Repeat("[", 1<<15), strings.Repeat(long, 3),
+		"", long, `{"` + long + `":`, `{"service":"` + long + `"}`, `{"address":"` + long[:250] + `","service":"s"}`, heartbeatJSON("ready", 1),
+		heartbeatJSON(long, 2), `{"slots":"` + long + `"}`, strings.Repeat("[", 1<<15), strings.Repeat(long, 3),
 	}
 	for _, body := range bodies {
 		for _, id := range []string{presentID, long[:200], long} {
-			reply := k.Handle(limited(t), APIRequest{Call: APIHeartbeat, ID: id, Body: []byte(body)})
+			reply := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: id, Body: []byte(body)})
 			if size := len(reply.Body); size > most-1024 { // the head has the rest
 				t.Errorf("%.40q: an answer of %d bytes", body, size)
 			}
@@ -139,7 +139,7 @@
 			t.Errorf("%s: %d bytes", entry.Name, size)
 		}
 	}
-	if smallCallBudget >= time.Second {
+	if smallCallTimeout >= time.Second {
 		t.Error("workers wait for a second")
 	}
 }
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -17,127 +17,127 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// nodeTable holds the edge nodes whose agents read this keeper's feed.
-type nodeTable struct {
-	mutex  sync.Mutex
-	counts map[node]int // connections
-	came   chan struct{}
+// edgeNodeTable holds the edge nodes whose agents read this keeper's feed.
+type edgeNodeTable struct {
+	mutex       sync.Mutex
+	connections map[edgeNode]int // connections
+	added       chan struct{}
 }
 
-func newNodeTable() *nodeTable {
-	return &nodeTable{counts: make(map[node]int), came: make(chan struct{}, 1)}
+func newEdgeNodeTable() *edgeNodeTable {
+	return &edgeNodeTable{connections: make(map[edgeNode]int), added: make(chan struct{}, 1)}
 }
 
-func (t *nodeTable) add(one node) {
+func (t *edgeNodeTable) add(one edgeNode) {
 	t.mutex.Lock()
-	t.counts[one]++
+	t.connections[one]++
 	t.mutex.Unlock()
-	kick(t.came)
+	notify(t.added)
 }
 
-func (t *nodeTable) remove(one node) {
+func (t *edgeNodeTable) remove(one edgeNode) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.counts[one]--
-	if t.counts[one] <= 0 {
-		delete(t.counts, one)
+	t.connections[one]--
+	if t.connections[one] <= 0 {
+		delete(t.connections, one)
 	}
 }
 
 // list returns the nodes by ID.
-func (t *nodeTable) list() []node {
+func (t *edgeNodeTable) list() []edgeNode {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	listed := make([]node, 0, len(t.counts))
-	for one := range t.counts {
+	listed := make([]edgeNode, 0, len(t.connections))
+	for one := range t.connections {
 		listed = append(listed, one)
 	}
-	slices.SortFunc(listed, func(a, b node) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(listed, func(a, b edgeNode) int { return strings.Compare(a.ID, b.ID) })
 	return listed
 }
 
 // FeedConnection serves the feed to an agent over a connection whose first frame has been read.
-func (k *Keeper) FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
+func (s *Server) FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
 	hello, err := feedtransport.DecodeHello(body)
-	if kind != feedtransport.KindHello || err != nil || k.leaving.Load() {
+	if kind != feedtransport.KindHello || err != nil || s.shuttingDown.Load() {
 		_ = connection.Close()
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(k.feedContext, cancel)()
+	defer context.AfterFunc(s.feedContext, cancel)()
 	if hello.Role == feedtransport.RoleAgent {
-		one := node{ID: hello.Node, Address: k.settings.MonitorAddressOf(hello.IP), Zone: hello.Zone}
-		k.nodes.add(one)
-		defer k.nodes.remove(one)
+		one := edgeNode{ID: hello.Node, Address: s.settings.MonitorAddressOf(hello.IP), Zone: hello.Zone}
+		s.edgeNodes.add(one)
+		defer s.edgeNodes.remove(one)
 	}
-	k.metrics.feedSessions.Add(1)
-	defer k.metrics.feedSessions.Add(-1)
-	options := feedtransport.SessionOptions{Encoder: k.encoder, Origin: k.started}
-	_ = feedtransport.NewSession(connection, hello, k, options).Run(ctx)
+	s.metrics.feedSessions.Add(1)
+	defer s.metrics.feedSessions.Add(-1)
+	options := feedtransport.SessionOptions{Encoder: s.feedEncoder, Origin: s.startedAt}
+	_ = feedtransport.NewSession(connection, hello, s, options).Run(ctx)
 }
 
-// beatNodes registers the nodes whose agents are connected, at once when one comes and then at an
+// runNodeHeartbeats registers the nodes whose agents are connected, at once when one comes and then at an
 // interval. It sleeps while there are none.
-func (k *Keeper) beatNodes(ctx context.Context) {
-	timer := time.NewTimer(nodesInterval)
+func (s *Server) runNodeHeartbeats(ctx context.Context) {
+	timer := time.NewTimer(nodeHeartbeatInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.nodes.came:
+		case <-s.edgeNodes.added:
 		case <-timer.C:
 		}
-		nodes := k.nodes.list()
+		nodes := s.edgeNodes.list()
 		if len(nodes) == 0 {
 			continue // the next one that comes sends a token
 		}
-		k.sendNodes(ctx, nodes)
-		timer.Reset(nodesInterval)
+		s.sendNodeHeartbeats(ctx, nodes)
+		timer.Reset(nodeHeartbeatInterval)
 	}
 }
 
-func (k *Keeper) sendNodes(ctx context.Context, nodes []node) {
-	ctx, cancel := context.WithTimeout(ctx, smallCallBudget)
+func (s *Server) sendNodeHeartbeats(ctx context.Context, nodes []edgeNode) {
+	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
 	body, err := codec.Marshal(nodesSchema, nodes)
 	if err != nil {
 		return
 	}
-	k.carry(ctx, call{Kind: callNodes, Shard: shards.Of(registry.NodesService), Body: body})
+	s.forward(ctx, shardRequest{Kind: callNodeHeartbeats, Shard: shards.Of(registry.NodesService), Body: body})
 }
 
-// takeNodes takes the heartbeats of edge nodes as the owner of their shard.
-func (k *Keeper) takeNodes(ctx context.Context, c call) answer {
-	var nodes []node
+// executeNodeHeartbeats takes the heartbeats of edge nodes as the owner of their shard.
+func (s *Server) executeNodeHeartbeats(ctx context.Context, c shardRequest) shardResponse {
+	var nodes []edgeNode
 	if err := strictavro.Unmarshal(codec, nodesSchema, c.Body, &nodes); err != nil {
-		return failed(InternalFault)
+		return errorResponse(InternalFault)
 	}
-	replies := make([]answer, len(nodes))
+	replies := make([]shardResponse, len(nodes))
 	var group errgroup.Group
-	group.SetLimit(proposalsAtOnce)
+	group.SetLimit(maxConcurrentProposals)
 	for i, one := range nodes {
 		group.Go(func() error {
-			replies[i] = k.decideBeat(ctx, c, nodeBeat(one))
+			replies[i] = s.decideHeartbeat(ctx, c, nodeHeartbeat(one))
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return worst(replies)
+	return firstFailure(replies)
 }
 
-// worst returns an answer that is no success, if there is one.
-func worst(replies []answer) answer {
+// firstFailure returns an answer that is no success, if there is one.
+func firstFailure(replies []shardResponse) shardResponse {
 	for _, reply := range replies {
 		if reply.Status != http.StatusOK {
 			return reply
 		}
 	}
-	return succeeded(emptyObject)
+	return okResponse(emptyObject)
 }
 
-func nodeBeat(one node) registry.Heartbeat {
+func nodeHeartbeat(one edgeNode) registry.Heartbeat {
 	return registry.Heartbeat{Instance: registry.Instance{
 		ID: one.ID, Service: registry.NodesService, Address: one.Address, Zone: one.Zone, Slots: 1, State: registry.Ready,
 	}}
--- a/internal/controlplane/server/environment.go
+++ b/internal/controlplane/server/environment.go
@@ -23,14 +23,14 @@
 	Dial       func(ctx context.Context, address string) (net.Conn, error)     // of peers
 	Listen     func(ctx context.Context, address string) (net.Listener, error) // for peers and agents
 
-	Orders WorkerCaller // to workers; nil: none is given, and stages are left as they are
+	Workers WorkerClient // to workers; nil: none is given, and stages are left as they are
 
-	Observe func(replica.Status) // told of each change of a group's status; must not block
+	OnGroupStatus func(replica.Status) // told of each change of a group's status; must not block
 
 	// What is left out, by tests alone: they show that a simulation notices the absence.
-	Omit      []Guard
-	OmitRules []consensus.Rule
-	OmitStore []configuration.Rule
+	OmitGuards []Guard
+	OmitRules  []consensus.Rule
+	OmitStore  []configuration.Rule
 }
 
 func (e Environment) withDefaults() Environment {
@@ -49,14 +49,14 @@
 	if e.Listen == nil {
 		e.Listen = peertransport.Listen
 	}
-	if e.Observe == nil {
-		e.Observe = func(replica.Status) {}
+	if e.OnGroupStatus == nil {
+		e.OnGroupStatus = func(replica.Status) {}
 	}
 	return e
 }
 
-// holds tells whether a guard is in force.
-func (e Environment) holds(guard Guard) bool { return !slices.Contains(e.Omit, guard) }
+// guardEnabled tells whether a guard is in force.
+func (e Environment) guardEnabled(guard Guard) bool { return !slices.Contains(e.OmitGuards, guard) }
 
 // clockStart keeps the groups' clock above 0.
 const clockStart = time.Second
--- a/internal/controlplane/server/feed_source.go
+++ b/internal/controlplane/server/feed_source.go
@@ -7,7 +7,7 @@
 )
 
 // The keeper is the source of its feed's sessions.
-var _ feedtransport.Source = (*Keeper)(nil)
+var _ feedtransport.Source = (*Server)(nil)
 
 // allShards lists the shards in their order.
 var allShards = func() []shards.ID {
@@ -19,26 +19,26 @@
 }()
 
 // Shards lists the shards of the feed.
-func (k *Keeper) Shards() []shards.ID { return allShards }
+func (s *Server) Shards() []shards.ID { return allShards }
 
 // Since returns what takes a reader on from index.
-func (k *Keeper) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
-	return k.shards[shard].machine.since(index)
+func (s *Server) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
+	return s.shards[shard].stateMachine.changesSince(index)
 }
 
 // Status tells how far this keeper has each shard, whether it is current, and which keepers serve.
-func (k *Keeper) Status() feedtransport.Status {
+func (s *Server) Status() feedtransport.Status {
 	status := feedtransport.Status{Shards: make([]feedtransport.ShardStatus, 0, shards.Count)}
-	for _, shard := range k.shards {
+	for _, shard := range s.shards {
 		status.Shards = append(status.Shards, feedtransport.ShardStatus{
-			Shard: shard.id, Index: shard.machine.index(), Current: current(shard.group.Status()) || !k.outside.holds(GuardFeedCurrent),
+			Shard: shard.id, Index: shard.stateMachine.index(), Current: current(shard.group.Status()) || !s.environment.guardEnabled(GuardFeedCurrent),
 		})
 	}
-	for _, info := range k.directory.serving() {
+	for _, info := range s.directory.serving() {
 		status.Servers = append(status.Servers, feedtransport.ServerEndpoint{Address: info.Address, Zone: info.Zone, Region: info.Region})
 	}
 	return status
 }
 
 // Subscribe has a token sent whenever a shard has advanced or the members of a group have changed.
-func (k *Keeper) Subscribe(wake chan<- struct{}) (cancel func()) { return k.readers.add(wake) }
+func (s *Server) Subscribe(wake chan<- struct{}) (cancel func()) { return s.feedSubscribers.add(wake) }
--- a/internal/controlplane/server/feed_source_test.go
+++ b/internal/controlplane/server/feed_source_test.go
@@ -13,24 +13,24 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// view is what an agent holds of the feed.
-type view struct {
+// recordingFeedHandler is what an agent holds of the feed.
+type recordingFeedHandler struct {
 	mutex     sync.Mutex
 	items     [shards.Count]map[string]string
 	current   bool
-	keepers   int
+	servers   int
 	connected []string
 }
 
-func newView() *view {
-	v := &view{}
+func newRecordingFeedHandler() *recordingFeedHandler {
+	v := &recordingFeedHandler{}
 	for i := range v.items {
 		v.items[i] = map[string]string{}
 	}
 	return v
 }
 
-func (v *view) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
+func (v *recordingFeedHandler) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.items[shard] = map[string]string{}
@@ -39,7 +39,7 @@
 	}
 }
 
-func (v *view) Change(shard shards.ID, change feed.Change) {
+func (v *recordingFeedHandler) Change(shard shards.ID, change feed.Change) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	for _, key := range change.Delete {
@@ -50,39 +50,39 @@
 	}
 }
 
-func (v *view) Status(status feedtransport.Status) {
+func (v *recordingFeedHandler) Status(status feedtransport.Status) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.current, v.keepers = status.Current(), len(status.Servers)
+	v.current, v.servers = status.Current(), len(status.Servers)
 }
 
-func (v *view) Connected(address string) {
+func (v *recordingFeedHandler) Connected(address string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.connected = append(v.connected, address)
 }
 
-func (v *view) Disconnected(error) {}
+func (v *recordingFeedHandler) Disconnected(error) {}
 
-// holds tells whether an item is there; an empty value matches any.
-func (v *view) holds(shard shards.ID, key, value string) bool {
+// hasItem tells whether an item is there; an empty value matches any.
+func (v *recordingFeedHandler) hasItem(shard shards.ID, key, value string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	held, found := v.items[shard][key]
 	return found && (value == "" || held == value)
 }
 
-func (v *view) reads() (current bool, keepers, connections int) {
+func (v *recordingFeedHandler) observed() (current bool, servers, connections int) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.current, v.keepers, len(v.connected)
+	return v.current, v.servers, len(v.connected)
 }
 
-// follow runs an agent's client against the fleet until the test ends.
-func (f *fleet) follow(node string) *view {
+// startAgent runs an agent's client against the fleet until the test ends.
+func (f *testCluster) startAgent(node string) *recordingFeedHandler {
 	f.t.Helper()
 	config := f.processes[0].config
-	v := newView()
+	v := newRecordingFeedHandler()
 	client := feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello:    feedtransport.Hello{Node: node, Zone: "zone-0", IP: "127.0.0.1", Role: feedtransport.RoleAgent, Incarnation: 1},
 		Selector: feedtransport.SelectorOptions{Node: node, Zone: "zone-0", Seeds: config.Seeds, FeedPort: config.PortRange[0]},
@@ -100,96 +100,96 @@
 	return v
 }
 
-func TestAgentsFollowAndAreRegistered(t *testing.T) {
-	f := newFleet(t, 3)
-	v := f.follow("edge-1") // before any keeper runs
+func TestCluster_agentsFollowFeedAndAreRegistered(t *testing.T) {
+	f := newTestCluster(t, 3)
+	v := f.startAgent("edge-1") // before any keeper runs
 	for i := range 3 {
 		f.start(i)
 	}
 	f.await("a current view", func() bool {
-		current, keepers, _ := v.reads()
+		current, keepers, _ := v.observed()
 		return current && keepers == 3
 	})
-	f.await("the node's registration", func() bool { return v.holds(shards.Of(registry.NodesService), "edge-1", "") })
+	f.await("the node's registration", func() bool { return v.hasItem(shards.Of(registry.NodesService), "edge-1", "") })
 
-	status, content := f.insist(0, http.MethodPost, "/-/Config.Replace", 0, configurationOf(1))
-	f.expect(http.StatusOK, status, content)
-	status, content = f.insist(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, beatOf("ready", 1))
-	f.expect(http.StatusOK, status, content)
+	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	f.requireStatus(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1))
+	f.requireStatus(http.StatusOK, status, content)
 	f.await("both changes", func() bool {
-		return v.holds(shards.Configuration, configuration.KeyGeneration, "1") && v.holds(shards.Of("s"), "i-1", "")
+		return v.hasItem(shards.Configuration, configuration.KeyGeneration, "1") && v.hasItem(shards.Of("s"), "i-1", "")
 	})
 
 	// One keeper after the other is stopped and comes back; the agent is led elsewhere at least once.
-	_, _, before := v.reads()
+	_, _, before := v.observed()
 	for i := range 3 {
-		f.finish(i)
+		f.terminate(i)
 		f.start(i)
-		f.await("the keeper's return", func() bool { return f.settled(i, 3) })
+		f.await("the keeper's return", func() bool { return f.isConverged(i, 3) })
 	}
-	status, content = f.insist(2, http.MethodPost, "/-/Config.Replace", 1, configurationOf(2))
-	f.expect(http.StatusOK, status, content)
-	f.await("the next generation", func() bool { return v.holds(shards.Configuration, configuration.KeyGeneration, "2") })
-	if _, _, after := v.reads(); after == before {
+	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	f.requireStatus(http.StatusOK, status, content)
+	f.await("the next generation", func() bool { return v.hasItem(shards.Configuration, configuration.KeyGeneration, "2") })
+	if _, _, after := v.observed(); after == before {
 		t.Error("the agent was never led elsewhere, though every keeper was stopped once")
 	}
 }
 
-func TestAllKeepersReturnWithTheirState(t *testing.T) {
-	f := newFleet(t, 3)
+func TestCluster_stateSurvivesRestartOfAllServers(t *testing.T) {
+	f := newTestCluster(t, 3)
 	for i := range 3 {
 		f.start(i)
 	}
-	f.await("formation", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
-	status, content := f.insist(0, http.MethodPost, "/-/Config.Replace", 0, configurationOf(1))
-	f.expect(http.StatusOK, status, content)
-	status, content = f.insist(0, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, beatOf("ready", 1))
-	f.expect(http.StatusOK, status, content)
+	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	f.requireStatus(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(0, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1))
+	f.requireStatus(http.StatusOK, status, content)
 	for i := range 3 {
-		f.finish(i)
+		f.terminate(i)
 	}
 	for i := range 3 {
 		f.processes[i].config.Bootstrap = false
 		f.start(i)
 	}
-	v := f.follow("edge-1")
+	v := f.startAgent("edge-1")
 	f.await("the state", func() bool {
-		return v.holds(shards.Configuration, configuration.KeyGeneration, "1") && v.holds(shards.Of("s"), "i-1", "")
+		return v.hasItem(shards.Configuration, configuration.KeyGeneration, "1") && v.hasItem(shards.Of("s"), "i-1", "")
 	})
-	status, content = f.insist(2, http.MethodPost, "/-/Config.Replace", 1, configurationOf(2))
-	f.expect(http.StatusOK, status, content)
+	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	f.requireStatus(http.StatusOK, status, content)
 }
 
-func TestAReplacementAtAnotherAddressTakesTheGoneOnesPlace(t *testing.T) {
-	f := newFleet(t, 4)
+func TestCluster_replacementAtAnotherAddressBecomesVoter(t *testing.T) {
+	f := newTestCluster(t, 4)
 	f.processes[3].config.Bootstrap = false
 	for i := range 3 {
 		f.start(i)
 	}
-	f.await("formation", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
-	status, content := f.insist(0, http.MethodPost, "/-/Config.Replace", 0, configurationOf(1))
-	f.expect(http.StatusOK, status, content)
-	f.finish(1)
+	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	f.requireStatus(http.StatusOK, status, content)
+	f.terminate(1)
 	f.start(3)
-	f.await("replacement", func() bool { return f.settled(0, 3) && f.settled(2, 3) && f.settled(3, 3) })
-	f.finish(0) // the new member counts
-	status, content = f.insist(3, http.MethodPost, "/-/Config.Replace", 1, configurationOf(2))
-	f.expect(http.StatusOK, status, content)
+	f.await("replacement", func() bool { return f.isConverged(0, 3) && f.isConverged(2, 3) && f.isConverged(3, 3) })
+	f.terminate(0) // the new member counts
+	status, content = f.doUntilDefinitive(3, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	f.requireStatus(http.StatusOK, status, content)
 }
 
-func TestFiveKeepersFormFromThreeSeeds(t *testing.T) {
-	f := newFleet(t, 5)
+func TestCluster_fiveServersBootstrapFromThreeSeeds(t *testing.T) {
+	f := newTestCluster(t, 5)
 	for i, p := range f.processes {
 		p.config.FaultTolerance.Machines = 2
 		f.start(i)
 	}
 	for i := range f.processes {
-		f.await("formation", func() bool { return f.settled(i, 5) })
+		f.await("formation", func() bool { return f.isConverged(i, 5) })
 	}
-	status, content := f.insist(4, http.MethodPost, "/-/Config.Replace", 0, configurationOf(1))
-	f.expect(http.StatusOK, status, content)
-	f.finish(0)
-	f.finish(1)
-	status, content = f.insist(4, http.MethodPost, "/-/Config.Replace", 1, configurationOf(2))
-	f.expect(http.StatusOK, status, content)
+	status, content := f.doUntilDefinitive(4, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	f.requireStatus(http.StatusOK, status, content)
+	f.terminate(0)
+	f.terminate(1)
+	status, content = f.doUntilDefinitive(4, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	f.requireStatus(http.StatusOK, status, content)
 }
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -12,38 +12,38 @@
 // errNoOwner: no owner of the shard was found before the context ended.
 var errNoOwner = errors.New("keeper: no owner of the shard is known")
 
-// avoidPauses is for how many pauses an owner that could not be reached is not tried again.
-const avoidPauses = 3
+// maxAvoidPauses is for how many pauses an owner that could not be reached is not tried again.
+const maxAvoidPauses = 3
 
-// maxHints is how many times a call goes at once to the owner that another keeper has named. Keepers that name each other
+// maxOwnerHints is how many times a call goes at once to the owner that another keeper has named. Keepers that name each other
 // would pass it round until its context ends.
-const maxHints = 3
+const maxOwnerHints = 3
 
-// target is the keeper that a call goes to.
-type target struct {
+// forwardTarget is the keeper that a call goes to.
+type forwardTarget struct {
 	self    bool
 	address string
 	known   bool // by the local replica: the call is broken off if that learns of another leader
 }
 
-// carry has the owner of the call's shard carry it out and returns the owner's answer. Where the
+// forward has the owner of the call's shard carry it out and returns the owner's answer. Where the
 // owner is unknown, was changed or cannot be reached, it waits for another one and tries again
 // until ctx ends; calls may therefore be carried out more than once.
-func (k *Keeper) carry(ctx context.Context, c call) answer {
+func (s *Server) forward(ctx context.Context, c shardRequest) shardResponse {
 	hint, avoid, asked, hints := "", "", false, 0
 	for attempt := 0; ; attempt++ {
 		if hint != "" {
 			hints++
 		}
-		if hints > maxHints {
+		if hints > maxOwnerHints {
 			hint = ""
 		}
-		to, err := k.awaitOwner(ctx, c.Shard, hint, avoid, attempt)
+		to, err := s.awaitOwner(ctx, c.Shard, hint, avoid, attempt)
 		if err != nil {
 			break
 		}
 		hint, avoid = "", ""
-		reply, err := k.ask(ctx, to, c)
+		reply, err := s.callTarget(ctx, to, c)
 		if err == nil && !reply.NotOwner {
 			return reply
 		}
@@ -54,81 +54,81 @@
 		hint = reply.Leader
 	}
 	if asked {
-		return failed(OutcomeUnknown)
+		return errorResponse(OutcomeUnknown)
 	}
-	return failed(NoOwner)
+	return errorResponse(NoOwner)
 }
 
-// ask has one keeper carry out a call.
-func (k *Keeper) ask(ctx context.Context, to target, c call) (answer, error) {
+// callTarget has one keeper carry out a call.
+func (s *Server) callTarget(ctx context.Context, to forwardTarget, c shardRequest) (shardResponse, error) {
 	if to.self {
-		return k.execute(ctx, c), nil
+		return s.execute(ctx, c), nil
 	}
-	body, err := encodeCall(c)
+	body, err := encodeShardRequest(c)
 	if err != nil {
-		return answer{}, err
+		return shardResponse{}, err
 	}
 	if to.known {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(k.leaderContext(k.shards[c.Shard]), cancel)()
+		defer context.AfterFunc(s.leaderContext(s.shards[c.Shard]), cancel)()
 	}
-	reply, err := k.network.Call(ctx, to.address, c.Kind, body)
+	reply, err := s.network.Call(ctx, to.address, c.Kind, body)
 	if err != nil {
-		return answer{}, err
+		return shardResponse{}, err
 	}
-	return decodeAnswer(reply)
+	return decodeShardResponse(reply)
 }
 
 // awaitOwner returns the owner of a shard: the one that another keeper has named, or the one that the
 // local replica knows of, or, if that has lost its group, any other keeper. The address to avoid has just
 // failed. After the first attempt it gives a change of owner a little time.
-func (k *Keeper) awaitOwner(ctx context.Context, id shards.ID, hint, avoid string, attempt int) (target, error) {
-	if hint != "" && hint != k.self.Address {
-		return target{address: hint}, nil
+func (s *Server) awaitOwner(ctx context.Context, id shards.ID, hint, avoid string, attempt int) (forwardTarget, error) {
+	if hint != "" && hint != s.self.Address {
+		return forwardTarget{address: hint}, nil
 	}
-	began := k.outside.Now()
+	began := s.environment.Now()
 	for pauses := 0; ; pauses++ {
-		changed := k.ownersChanged.wait()
-		if pauses > avoidPauses {
+		changed := s.ownersChanged.changed()
+		if pauses > maxAvoidPauses {
 			avoid = ""
 		}
 		if attempt == 0 || pauses > 0 {
-			to, found := k.owner(id, avoid, attempt)
+			to, found := s.lookUpOwner(id, avoid, attempt)
 			// Keepers that may know the owner are asked at an interval: what changes meanwhile may be other shards' owners.
-			if found && (attempt == 0 || to.self || to.known || k.outside.Now().Sub(began) >= ownerRetryPause) {
+			if found && (attempt == 0 || to.self || to.known || s.environment.Now().Sub(began) >= ownerRetryInterval) {
 				return to, nil
 			}
 		}
-		if !pause(ctx, changed, ownerRetryPause) {
-			return target{}, errNoOwner
+		if !waitForChange(ctx, changed, ownerRetryInterval) {
+			return forwardTarget{}, errNoOwner
 		}
 	}
 }
 
-// owner returns the owner of a shard as far as the local replica knows.
-func (k *Keeper) owner(id shards.ID, avoid string, attempt int) (target, bool) {
-	status := k.shards[id].group.Status()
+// lookUpOwner returns the owner of a shard as far as the local replica knows.
+func (s *Server) lookUpOwner(id shards.ID, avoid string, attempt int) (forwardTarget, bool) {
+	status := s.shards[id].group.Status()
 	if status.IsLeader() {
-		return target{self: true}, true
+		return forwardTarget{self: true}, true
 	}
 	if address := status.Leader.Address; address != "" {
-		return target{address: address, known: true}, address != avoid && address != k.self.Address
+		return forwardTarget{address: address, known: true}, address != avoid && address != s.self.Address
 	}
-	if len(status.Members) > 0 && status.ConfirmedAge <= lostContactAge {
-		return target{}, false
+	if len(status.Members) > 0 && status.ConfirmedAge <= contactLostAfter {
+		return forwardTarget{}, false
 	}
-	others := k.directory.others()
+	others := s.directory.otherAddresses()
 	if len(others) == 0 {
-		return target{}, false
+		return forwardTarget{}, false
 	}
-	return target{address: others[attempt%len(others)]}, true
+	return forwardTarget{address: others[attempt%len(others)]}, true
 }
 
-// pause waits for a change, at most for a time. It returns false once ctx has ended.
-func pause(ctx context.Context, changed <-chan struct{}, most time.Duration) bool {
-	timer := time.NewTimer(most)
+// waitForChange waits for a change, at most for a time. It returns false once ctx has ended.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/controlplane/server/forward_test.go
+++ b/internal/controlplane/server/forward_test.go
@@ -69,7 +69,7 @@
 type scriptedNetwork struct {
 	mutex sync.Mutex
 	asked []string
-	reply func(address string, attempt int) (answer, error)
+	reply func(address string, attempt int) (shardResponse, error)
 
 	hang    string        // calls to this address end with their context only
 	hanging chan struct{} // one token for each of them
@@ -93,29 +93,29 @@
 	if err != nil {
 		return nil, err
 	}
-	return encodeAnswer(reply)
+	return encodeShardResponse(reply)
 }
 
-// scripted returns a keeper whose groups and network a test plays.
-func scripted(t *testing.T) (*Keeper, [shards.Count]*scriptedGroup, *scriptedNetwork) {
+// newScriptedServer returns a keeper whose groups and network a test plays.
+func newScriptedServer(t *testing.T) (*Server, [shards.Count]*scriptedGroup, *scriptedNetwork) {
 	t.Helper()
 	config := bootconfig.Defaults()
 	config.IP, config.PortRange = "127.0.0.1", [2]int{7000, 7015}
 	self := consensus.Member{ID: 1, Address: "127.0.0.1:7000"}
-	k := newKeeper(config, self, Environment{}, zap.NewNop())
+	s := newServer(config, self, Environment{}, zap.NewNop())
 	network := &scriptedNetwork{}
-	k.network = network
+	s.network = network
 	var groups [shards.Count]*scriptedGroup
-	for i, shard := range k.shards {
+	for i, shard := range s.shards {
 		groups[i] = &scriptedGroup{}
 		shard.group = groups[i]
 	}
-	close(k.opened)
-	t.Cleanup(k.Close)
-	return k, groups, network
+	close(s.groupsOpened)
+	t.Cleanup(s.Close)
+	return s, groups, network
 }
 
-func followerOf(address string) replica.Status {
+func followerStatus(address string) replica.Status {
 	return replica.Status{
 		Role: consensus.RoleFollower, Leader: consensus.Member{ID: 2, Address: address},
 		Members: []consensus.Member{{ID: 1, Address: "127.0.0.1:7000", Voter: true}, {ID: 2, Address: address, Voter: true}},
@@ -124,143 +124,143 @@
 
 func leaderStatus() replica.Status { return replica.Status{Role: consensus.RoleLeader, Term: 3} }
 
-func limited(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), smallCallBudget)
+func timeoutContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(t.Context(), smallCallTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-var change = call{Kind: callReplace, Shard: shards.Configuration, Body: []byte("{}")}
+var change = shardRequest{Kind: callReplace, Shard: shards.Configuration, Body: []byte("{}")}
 
-func TestCarryHandsTheCallToTheOwner(t *testing.T) {
-	k, groups, network := scripted(t)
-	groups[0].set(followerOf("b"))
-	network.reply = func(string, int) (answer, error) { return succeeded([]byte(`{"generation":1}`)), nil }
-	reply := k.carry(limited(t), change)
+func TestServer_Forward_reachesOwner(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
+	network.reply = func(string, int) (shardResponse, error) { return okResponse([]byte(`{"generation":1}`)), nil }
+	reply := s.forward(timeoutContext(t), change)
 	if reply.Status != http.StatusOK || string(reply.Body) != `{"generation":1}` || network.asked[0] != "b" {
 		t.Fatal(reply, network.asked)
 	}
 }
 
-func TestCarryFollowsTheNewOwner(t *testing.T) {
-	k, groups, network := scripted(t)
-	groups[0].set(followerOf("b"))
-	network.reply = func(address string, _ int) (answer, error) {
+func TestServer_Forward_followsNewOwner(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
+	network.reply = func(address string, _ int) (shardResponse, error) {
 		if address == "b" {
-			return notOwner("c"), nil
+			return notOwnerResponse("c"), nil
 		}
-		return succeeded(nil), nil
+		return okResponse(nil), nil
 	}
-	if reply := k.carry(limited(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
+	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
 		t.Fatal(reply, network.asked)
 	}
 }
 
-func TestCarryWaitsForAnElection(t *testing.T) {
-	k, groups, network := scripted(t)
-	groups[0].set(followerOf("b"))
-	network.reply = func(address string, _ int) (answer, error) {
+func TestServer_Forward_waitsForElection(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
+	network.reply = func(address string, _ int) (shardResponse, error) {
 		if address == "b" {
-			groups[0].set(followerOf("c"))
-			k.ownersChanged.raise()
-			return answer{}, peertransport.ErrNotSent
+			groups[0].set(followerStatus("c"))
+			s.ownersChanged.notifyAll()
+			return shardResponse{}, peertransport.ErrNotSent
 		}
-		return succeeded(nil), nil
+		return okResponse(nil), nil
 	}
-	if reply := k.carry(limited(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
+	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
 		t.Fatal(reply, network.asked)
 	}
 }
 
-func TestCarryLeavesAnOwnerThatAnotherReplaced(t *testing.T) {
-	k, groups, network := scripted(t)
+func TestServer_Forward_abandonsReplacedOwner(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
 	network.hang, network.hanging = "b", make(chan struct{})
-	network.reply = func(string, int) (answer, error) { return succeeded(nil), nil }
-	groups[0].set(followerOf("b"))
-	k.onStatus(k.shards[0], followerOf("b"))
-	replies := make(chan answer, 1)
-	go func() { replies <- k.carry(limited(t), change) }()
+	network.reply = func(string, int) (shardResponse, error) { return okResponse(nil), nil }
+	groups[0].set(followerStatus("b"))
+	s.onGroupStatus(s.shards[0], followerStatus("b"))
+	replies := make(chan shardResponse, 1)
+	go func() { replies <- s.forward(timeoutContext(t), change) }()
 	<-network.hanging
-	groups[0].set(followerOf("c"))
-	k.onStatus(k.shards[0], followerOf("c"))
+	groups[0].set(followerStatus("c"))
+	s.onGroupStatus(s.shards[0], followerStatus("c"))
 	if reply := <-replies; reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
 		t.Fatal(reply, network.asked)
 	}
 }
 
-func TestCarryWithoutAnOwnerEndsInTime(t *testing.T) {
-	k, groups, network := scripted(t)
-	status := followerOf("")
+func TestServer_Forward_withoutOwnerEndsInTime(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	status := followerStatus("")
 	groups[0].set(status)
-	network.reply = func(string, int) (answer, error) { return answer{}, errors.New("not to be asked") }
-	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryPause)
+	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, errors.New("not to be asked") }
+	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := k.carry(ctx, change); reply.Status != http.StatusServiceUnavailable || reply.Code != int(NoOwner) {
+	if reply := s.forward(ctx, change); reply.Status != http.StatusServiceUnavailable || reply.Code != int(NoOwner) {
 		t.Fatal(reply)
 	}
 }
 
-func TestCarryOfUnknownOutcomeIsNoRefusal(t *testing.T) {
-	k, groups, network := scripted(t)
-	groups[0].set(followerOf("b"))
-	network.reply = func(string, int) (answer, error) { return answer{}, peertransport.ErrOutcomeUnknown }
-	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryPause)
+func TestServer_Forward_unknownOutcomeIsNoRejection(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
+	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, peertransport.ErrOutcomeUnknown }
+	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := k.carry(ctx, change); reply.Status != http.StatusServiceUnavailable || reply.Code != int(OutcomeUnknown) {
+	if reply := s.forward(ctx, change); reply.Status != http.StatusServiceUnavailable || reply.Code != int(OutcomeUnknown) {
 		t.Fatal(reply)
 	}
 }
 
-func TestCarryAsksAnyKeeperWithoutAGroup(t *testing.T) {
-	k, _, network := scripted(t)
-	k.directory.learn(keeperInfo{Address: "x", Zone: "z"})
-	network.reply = func(address string, _ int) (answer, error) {
+func TestServer_Forward_withoutGroupAsksAnyServer(t *testing.T) {
+	s, _, network := newScriptedServer(t)
+	s.directory.learn(serverInfo{Address: "x", Zone: "z"})
+	network.reply = func(address string, _ int) (shardResponse, error) {
 		if address == "x" {
-			return notOwner("y"), nil
+			return notOwnerResponse("y"), nil
 		}
-		return succeeded(nil), nil
+		return okResponse(nil), nil
 	}
-	if reply := k.carry(limited(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "xy" {
+	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "xy" {
 		t.Fatal(reply, network.asked)
 	}
 }
 
-// TestCarryOutlastsTheElectionsOfOtherShards has owners of other shards change whenever the call is refused.
-func TestCarryOutlastsTheElectionsOfOtherShards(t *testing.T) {
-	k, groups, network := scripted(t)
-	k.directory.learn(keeperInfo{Address: "x", Zone: "z"})
+// TestServer_Forward_outlastsElectionsOfOtherShards has owners of other shards change whenever the call is refused.
+func TestServer_Forward_outlastsElectionsOfOtherShards(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	s.directory.learn(serverInfo{Address: "x", Zone: "z"})
 	const refusals = 8
-	network.reply = func(address string, attempt int) (answer, error) {
+	network.reply = func(address string, attempt int) (shardResponse, error) {
 		if address == "b" {
-			return succeeded(nil), nil
+			return okResponse(nil), nil
 		}
 		if attempt == refusals {
-			groups[0].set(followerOf("b"))
+			groups[0].set(followerStatus("b"))
 		}
-		k.ownersChanged.raise()
-		return notOwner(""), nil
+		s.ownersChanged.notifyAll()
+		return notOwnerResponse(""), nil
 	}
-	if reply := k.carry(limited(t), change); reply.Status != http.StatusOK {
+	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK {
 		t.Fatal(reply, network.asked)
 	}
 }
 
-func TestCarryIsNotPassedRound(t *testing.T) {
-	k, groups, network := scripted(t)
-	groups[0].set(followerOf("b"))
+func TestServer_Forward_hintsAreLimited(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
 	other := map[string]string{"b": "c", "c": "b"}
-	network.reply = func(address string, _ int) (answer, error) { return notOwner(other[address]), nil }
-	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryPause)
+	network.reply = func(address string, _ int) (shardResponse, error) { return notOwnerResponse(other[address]), nil }
+	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := k.carry(ctx, change); reply.Code != int(NoOwner) {
+	if reply := s.forward(ctx, change); reply.Code != int(NoOwner) {
 		t.Fatal(reply)
 	}
-	if len(network.asked) > 1+maxHints+3 {
+	if len(network.asked) > 1+maxOwnerHints+3 {
 		t.Fatal(network.asked)
 	}
 }
 
-func TestOwnerAnswersByTheProposalsEnd(t *testing.T) {
+func TestServer_Execute_responseMatchesProposalOutcome(t *testing.T) {
 	accepted := configuration.Outcome{HTTPStatus: http.StatusOK, Generation: 7}
 	stale := configuration.Outcome{HTTPStatus: http.StatusPreconditionFailed, Code: configuration.CodeBaseNotCurrent}
 	cases := []struct {
@@ -280,9 +280,9 @@
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
-			k, groups, _ := scripted(t)
+			s, groups, _ := newScriptedServer(t)
 			groups[0].propose = func() (any, error) { return one.result, one.err }
-			reply := k.execute(limited(t), change)
+			reply := s.execute(timeoutContext(t), change)
 			if reply.Status != one.status || reply.NotOwner != (one.status == 0) || reply.Leader != one.leader {
 				t.Fatalf("%+v", reply)
 			}
@@ -290,76 +290,76 @@
 	}
 }
 
-func TestBeatWaitsForOwnership(t *testing.T) {
-	k, groups, _ := scripted(t)
+func TestServer_Execute_heartbeatWaitsForOwnership(t *testing.T) {
+	s, groups, _ := newScriptedServer(t)
 	id := shards.Of("s")
 	groups[id].set(leaderStatus())
-	machine := k.instances(id)
-	machine.setLeading(3)
+	machine := s.instances(id)
+	machine.setLeaderTerm(3)
 	proposed := make(chan struct{}, 1)
 	groups[id].propose = func() (any, error) {
 		proposed <- struct{}{}
 		return nil, replica.ErrUnknownOutcome
 	}
-	beat := call{Kind: callBeat, Shard: id, ID: "i", Body: []byte(beatOf("ready", 1))}
-	replies := make(chan answer, 1)
-	ctx := limited(t)
-	go func() { replies <- k.execute(ctx, beat) }()
+	heartbeat := shardRequest{Kind: callHeartbeat, Shard: id, ID: "i", Body: []byte(heartbeatJSON("ready", 1))}
+	replies := make(chan shardResponse, 1)
+	ctx := timeoutContext(t)
+	go func() { replies <- s.execute(ctx, heartbeat) }()
 	select {
 	case <-proposed:
 		t.Fatal("proposed before the shard is owned")
-	case <-time.After(2 * ownerRetryPause):
+	case <-time.After(2 * ownerRetryInterval):
 	}
-	machine.gained(time.Now(), 2) // of an earlier term: no
-	machine.gained(time.Now(), 3)
-	k.ownersChanged.raise()
+	machine.ownershipGained(time.Now(), 2) // of an earlier term: no
+	machine.ownershipGained(time.Now(), 3)
+	s.ownersChanged.notifyAll()
 	if reply := <-replies; reply.Status != http.StatusServiceUnavailable {
 		t.Fatal(reply)
 	}
-	machine.setLeading(0)
-	groups[id].set(followerOf("b"))
-	if reply := k.execute(ctx, beat); !reply.NotOwner || reply.Leader != "b" {
+	machine.setLeaderTerm(0)
+	groups[id].set(followerStatus("b"))
+	if reply := s.execute(ctx, heartbeat); !reply.NotOwner || reply.Leader != "b" {
 		t.Fatal(reply)
 	}
 }
 
-func TestStaleOwnerAcknowledgesNothing(t *testing.T) {
-	k, group, beat := withRecord(t)
+func TestServer_Execute_staleOwnerAcknowledgesNothing(t *testing.T) {
+	s, group, heartbeat := newServerWithInstance(t)
 	id := shards.Of(presentService)
 	group.propose = func() (any, error) { return nil, replica.ErrUnknownOutcome }
 	status := leaderStatus()
-	status.ConfirmedAge = 2 * currencyAge
+	status.ConfirmedAge = 2 * currentMaxAge
 	group.set(status)
-	k.instances(id).setLeading(3)
-	k.instances(id).gained(time.Now(), 3)
-	unchanged := call{Kind: callBeat, Shard: id, ID: beat.ID, Body: []byte(beatOf("ready", 1))}
-	departure := call{Kind: callDeregister, Shard: id, ID: "i-unknown"}
-	for _, one := range []call{unchanged, departure} {
-		if reply := k.execute(limited(t), one); reply.Status != http.StatusServiceUnavailable {
+	s.instances(id).setLeaderTerm(3)
+	s.instances(id).ownershipGained(time.Now(), 3)
+	unchanged := shardRequest{Kind: callHeartbeat, Shard: id, ID: heartbeat.ID, Body: []byte(heartbeatJSON("ready", 1))}
+	departure := shardRequest{Kind: callDeregister, Shard: id, ID: "i-unknown"}
+	for _, one := range []shardRequest{unchanged, departure} {
+		if reply := s.execute(timeoutContext(t), one); reply.Status != http.StatusServiceUnavailable {
 			t.Fatal(one.Kind, reply)
 		}
 	}
 	group.set(leaderStatus())
-	if reply := k.execute(limited(t), unchanged); reply.Status != http.StatusOK {
+	if reply := s.execute(timeoutContext(t), unchanged); reply.Status != http.StatusOK {
 		t.Fatal(reply)
 	}
-	if reply := k.execute(limited(t), departure); reply.Status != http.StatusServiceUnavailable {
+	if reply := s.execute(timeoutContext(t), departure); reply.Status != http.StatusServiceUnavailable {
 		t.Fatal("a departure is acknowledged before it is committed", reply)
 	}
 	group.propose = func() (any, error) { return registry.Outcome{Status: http.StatusOK}, nil }
-	if reply := k.execute(limited(t), departure); reply.Status != http.StatusOK || reply.Known {
+	if reply := s.execute(timeoutContext(t), departure); reply.Status != http.StatusOK || reply.Known {
 		t.Fatal(reply)
 	}
 }
 
 // serveAPI runs the API of a scripted keeper.
-func serveAPI(t *testing.T, k *Keeper) string {
+func serveAPI(t *testing.T, s *Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	api := newAPI(k, listener)
+	api := newAPIServer(s, listener)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -372,30 +372,30 @@
 	return "http://" + listener.Addr().String()
 }
 
-func TestAPIRefusesByTheRulesOnly(t *testing.T) {
-	k, groups, network := scripted(t)
-	groups[0].set(followerOf("b"))
-	network.reply = func(string, int) (answer, error) { return failed(OutcomeUnknown), nil }
-	address := serveAPI(t, k)
+func TestAPI_rejectsByTheRulesOnly(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
+	network.reply = func(string, int) (shardResponse, error) { return errorResponse(OutcomeUnknown), nil }
+	address := serveAPI(t, s)
 	cases := []struct {
 		name, path, base, body string
 		status                 int
 	}{
-		{"unknown outcome", "/-/Config.Replace", "0", configurationOf(1), http.StatusServiceUnavailable},
+		{"unknown outcome", "/-/Config.Replace", "0", configurationJSON(1), http.StatusServiceUnavailable},
 		{"no JSON", "/-/Config.Replace", "0", "{", http.StatusBadRequest},
-		{"bad base", "/-/Config.Replace", "x", configurationOf(1), http.StatusBadRequest},
+		{"bad base", "/-/Config.Replace", "x", configurationJSON(1), http.StatusBadRequest},
 		{"no such call", "/-/Config.Remove", "0", "", http.StatusNotFound},
 		{"no JSON in a heartbeat", "/-/Instances.Heartbeat/i", "0", "{", http.StatusBadRequest},
-		{"a heartbeat that is too large", "/-/Instances.Heartbeat/i", "0", strings.Repeat(" ", maxBeatBytes+1), http.StatusRequestEntityTooLarge},
+		{"a heartbeat that is too large", "/-/Instances.Heartbeat/i", "0", strings.Repeat(" ", maxHeartbeatBytes+1), http.StatusRequestEntityTooLarge},
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: fleetLimit}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clusterTimeout}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address+one.path, bytes.NewReader([]byte(one.body)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			request.Header.Set(headerBase, one.base)
+			request.Header.Set(headerBaseVersion, one.base)
 			response, err := client.Do(request)
 			if err != nil {
 				t.Fatal(err)
@@ -411,7 +411,7 @@
 	}
 }
 
-func TestCodesAreUnique(t *testing.T) {
+func TestCodes_unique(t *testing.T) {
 	seen := map[Code]bool{}
 	for _, entry := range Codes() {
 		if seen[entry.Code] || entry.Name == "" || entry.Text == "" {
--- a/internal/controlplane/server/full_disk_test.go
+++ b/internal/controlplane/server/full_disk_test.go
@@ -14,24 +14,24 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// startOnDisk is the start of a seed at the system's first start.
-func startOnDisk(disk *seglogtest.MemoryDisk) *identityStart {
+// newIdentityResolver is the start of a seed at the system's first start.
+func newIdentityResolver(disk *seglogtest.MemoryDisk) *identityResolver {
 	config := bootconfig.Defaults()
 	config.Bootstrap, config.DataDir = true, "data"
 	config.PortRange = [2]int{7000, 7015}
 	config.Seeds = []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}
 	outside := Environment{FileSystem: disk}.withDefaults()
-	return &identityStart{config: config, address: seedAddresses(config)[0], outside: outside}
+	return &identityResolver{config: config, address: seedPeerAddresses(config)[0], environment: outside}
 }
 
-// awaitAfter fills the disk, begins the start, makes room after a while and returns the ID.
-func awaitAfter(t *testing.T, disk *seglogtest.MemoryDisk, span time.Duration) (self consensus.Member, founders []consensus.Member) {
+// resolveAfterFreeing fills the disk, begins the start, makes room after a while and returns the ID.
+func resolveAfterFreeing(t *testing.T, disk *seglogtest.MemoryDisk, span time.Duration) (self consensus.Member, founders []consensus.Member) {
 	t.Helper()
 	disk.Full = true
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		self, founders, err = startOnDisk(disk).await(context.Background(), zap.NewNop())
+		self, founders, err = newIdentityResolver(disk).resolveWithRetry(context.Background(), zap.NewNop())
 		done <- err
 	}()
 	time.Sleep(span)
@@ -46,25 +46,25 @@
 	return self, founders
 }
 
-// TestStartOnAFullDiskWaits has a process whose disk takes no member ID wait instead of ending.
-func TestStartOnAFullDiskWaits(t *testing.T) {
+// TestIdentityResolver_ResolveWithRetry_fullDiskWaits has a process whose disk takes no member ID wait instead of ending.
+func TestIdentityResolver_ResolveWithRetry_fullDiskWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := seglogtest.NewMemoryDisk()
-		self, founders := awaitAfter(t, disk, 10*time.Second)
+		self, founders := resolveAfterFreeing(t, disk, 10*time.Second)
 		if self.ID != memberID(self.Address, foundingNonce) || len(founders) != 3 {
 			t.Fatal(self, founders)
 		}
 	})
 }
 
-// TestLostDiskStaysLostWhileItIsFull has the replicas of a lost disk removed at a try that cannot store a new ID: the
+// TestIdentityResolver_ResolveWithRetry_lostDiskStaysLostWhileFull has the replicas of a lost disk removed at a try that cannot store a new ID: the
 // ID of a later try founds nothing all the same.
-func TestLostDiskStaysLostWhileItIsFull(t *testing.T) {
+func TestIdentityResolver_ResolveWithRetry_lostDiskStaysLostWhileFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := seglogtest.NewMemoryDisk()
 		disk.WriteFile(filepath.Join("data", "member"), []byte("?"))
 		disk.WriteFile(filepath.Join("data", "shard-1", "segment"), []byte("promises"))
-		self, founders := awaitAfter(t, disk, 3*time.Second)
+		self, founders := resolveAfterFreeing(t, disk, 3*time.Second)
 		if self.ID == memberID(self.Address, foundingNonce) || founders != nil {
 			t.Fatalf("member %+v founds %v", self, founders)
 		}
--- a/internal/controlplane/server/http_api.go
+++ b/internal/controlplane/server/http_api.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	headerBase      = "X-Base-Version"
-	contentTypeJSON = "application/json"
-	contentTypeText = "text/plain; charset=utf-8"
-	retryAfter      = "0.2" // seconds, of answers with 503
-	parameterID     = "id"
+	headerBaseVersion = "X-Base-Version"
+	contentTypeJSON   = "application/json"
+	contentTypeText   = "text/plain; charset=utf-8"
+	retryAfter        = "0.2" // seconds, of answers with 503
+	parameterID       = "id"
 )
 
-// quiet silences the library's own log, which is one for the whole process.
-var quiet = sync.OnceFunc(func() {
+// silenceLibraryLog silences the library's own log, which is one for the whole process.
+var silenceLibraryLog = sync.OnceFunc(func() {
 	hlog.SetSilentMode(true)
 	hlog.SetLevel(hlog.LevelFatal)
 })
@@ -36,19 +36,19 @@
 	return listener, eris.Wrap(err, "listen for calls")
 }
 
-// newAPI makes the HTTP server of the control plane on a listener.
-func newAPI(k *Keeper, listener net.Listener) *server.Hertz {
-	quiet()
+// newAPIServer makes the HTTP server of the control plane on a listener.
+func newAPIServer(s *Server, listener net.Listener) *server.Hertz {
+	silenceLibraryLog()
 	api := server.New(apiOptions(listener)...)
-	api.Use(recovery.Recovery(recovery.WithRecoveryHandler(k.onPanic)), k.mark)
-	api.POST("/-/Config.Replace", k.adapt(APIReplace))
-	api.POST("/-/Config.Update", k.adapt(APIUpdate))
-	api.GET("/-/Config.Read", k.adapt(APIRead))
-	api.POST("/-/Instances.Heartbeat/:"+parameterID, k.adapt(APIHeartbeat))
-	api.POST("/-/Instances.Deregister/:"+parameterID, k.adapt(APIDeregister))
-	api.GET("/-/status", k.serveStatus)
-	api.GET("/-/metrics", k.serveMetrics)
-	api.NoRoute(func(_ context.Context, c *app.RequestContext) { respond(c, failed(UnknownPath)) })
+	api.Use(recovery.Recovery(recovery.WithRecoveryHandler(s.onPanic)), s.trackCall)
+	api.POST("/-/Config.Replace", s.apiHandler(APIReplace))
+	api.POST("/-/Config.Update", s.apiHandler(APIUpdate))
+	api.GET("/-/Config.Read", s.apiHandler(APIRead))
+	api.POST("/-/Instances.Heartbeat/:"+parameterID, s.apiHandler(APIHeartbeat))
+	api.POST("/-/Instances.Deregister/:"+parameterID, s.apiHandler(APIDeregister))
+	api.GET("/-/status", s.serveStatus)
+	api.GET("/-/metrics", s.serveMetrics)
+	api.NoRoute(func(_ context.Context, c *app.RequestContext) { writeResponse(c, errorResponse(UnknownPath)) })
 	return api
 }
 
@@ -57,46 +57,46 @@
 		server.WithListener(listener),
 		server.WithTransport(standard.NewTransporter),
 		server.WithMaxRequestBodySize(maxBodyBytes),
-		server.WithMaxKeepBodySize(keepBodyBytes),
+		server.WithMaxKeepBodySize(maxRetainedBodyBytes),
 		server.WithMaxHeaderBytes(maxHeaderBytes),
 		server.WithReadTimeout(readTimeout),
 		server.WithIdleTimeout(idleTimeout),
-		server.WithExitWaitTime(shutdownBudget),
+		server.WithExitWaitTime(apiShutdownTimeout),
 		server.WithRedirectTrailingSlash(false),
 		server.WithDisablePrintRoute(true),
 		server.WithDisableDefaultDate(true),
 	}
 }
 
-func (k *Keeper) onPanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
-	k.log.Sugar().Errorf("a call failed: %v\n%s", fault, stack)
-	respond(c, failed(InternalFault))
+func (s *Server) onPanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
+	s.logger.Sugar().Errorf("a call failed: %v\n%s", fault, stack)
+	writeResponse(c, errorResponse(InternalFault))
 }
 
-// mark counts a call and, on a keeper that is about to end, has its connection closed after it.
-func (k *Keeper) mark(ctx context.Context, c *app.RequestContext) {
-	if k.leaving.Load() {
+// trackCall counts a call and, on a keeper that is about to end, has its connection closed after it.
+func (s *Server) trackCall(ctx context.Context, c *app.RequestContext) {
+	if s.shuttingDown.Load() {
 		c.SetConnectionClose()
 	}
 	c.Next(ctx)
-	k.metrics.count(string(c.Request.Header.Method()), c.Response.StatusCode())
+	s.metrics.countCall(string(c.Request.Header.Method()), c.Response.StatusCode())
 }
 
-// adapt hands a call of HTTP to Handle.
-func (k *Keeper) adapt(kind APICall) app.HandlerFunc {
+// apiHandler hands a call of HTTP to Handle.
+func (s *Server) apiHandler(kind APICall) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		respond(c, k.handle(ctx, APIRequest{
+		writeResponse(c, s.handle(ctx, APIRequest{
 			Call: kind, Body: c.Request.Body(),
 			ID:   strings.Clone(c.Param(parameterID)), // the parameter's memory is used again after the call
-			Base: string(c.GetHeader(headerBase)),
+			Base: string(c.GetHeader(headerBaseVersion)),
 		}))
 	}
 }
 
-// respond writes an answer. An error's body tells its code; one that may pass asks to come again.
-func respond(c *app.RequestContext, reply answer) {
+// writeResponse writes an answer. An error's body tells its code; one that may pass asks to come again.
+func writeResponse(c *app.RequestContext, reply shardResponse) {
 	if reply.Status == http.StatusServiceUnavailable {
 		c.Header("Retry-After", retryAfter)
 	}
-	c.Data(reply.Status, contentTypeJSON, bodyOf(reply))
+	c.Data(reply.Status, contentTypeJSON, responseBody(reply))
 }
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -18,21 +18,21 @@
 // httpHost is the API of a keeper whose group accepts everything, and counts it.
 type httpHost struct {
 	t        *testing.T
-	keeper   *Keeper
+	keeper   *Server
 	address  string
 	proposed atomic.Int64
 }
 
 func newHTTPHost(t *testing.T) *httpHost {
 	t.Helper()
-	k, groups, _ := scripted(t)
-	h := &httpHost{t: t, keeper: k}
+	s, groups, _ := newScriptedServer(t)
+	h := &httpHost{t: t, keeper: s}
 	groups[0].set(leaderStatus())
 	groups[0].submit = func(context.Context, []byte) (any, error) {
 		number := h.proposed.Add(1)
 		return configuration.Outcome{HTTPStatus: http.StatusOK, Generation: uint64(number)}, nil
 	}
-	h.address = strings.TrimPrefix(serveAPI(t, k), "http://")
+	h.address = strings.TrimPrefix(serveAPI(t, s), "http://")
 	return h
 }
 
@@ -43,39 +43,39 @@
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() { _ = connection.Close() })
-	if err := connection.SetDeadline(time.Now().Add(fleetLimit)); err != nil {
+	if err := connection.SetDeadline(time.Now().Add(clusterTimeout)); err != nil {
 		h.t.Fatal(err)
 	}
 	return connection
 }
 
-// orderHead is the head of an order with further header lines.
-func orderHead(lines ...string) string {
+// configurationRequestHead is the head of an order with further header lines.
+func configurationRequestHead(lines ...string) string {
 	return "POST /-/Config.Replace HTTP/1.1\r\nHost: control\r\nX-Base-Version: 0\r\n" + strings.Join(append(lines, "\r\n"), "\r\n")
 }
 
-func withLength(body string) string {
-	return orderHead(fmt.Sprintf("Content-Length: %d", len(body))) + body
+func withContentLength(body string) string {
+	return configurationRequestHead(fmt.Sprintf("Content-Length: %d", len(body))) + body
 }
 
-func inChunks(body string) string {
-	return orderHead("Transfer-Encoding: chunked") + fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
+func chunkedBody(body string) string {
+	return configurationRequestHead("Transfer-Encoding: chunked") + fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 }
 
 // What is not a whole order is not carried out, also if what came so far would be one.
-func TestOrderThatIsCutIsNotCarriedOut(t *testing.T) {
-	body := configurationOf(1)
+func TestAPI_truncatedRequestIsNotExecuted(t *testing.T) {
+	body := configurationJSON(1)
 	for name, sent := range map[string]string{
-		"in its first line":            withLength(body)[:12],
-		"in its head":                  withLength(body)[:40],
-		"after its head":               orderHead(fmt.Sprintf("Content-Length: %d", len(body))),
-		"in its body":                  withLength(body + " ")[:len(withLength(body+" "))-1],
-		"in its first chunk":           inChunks(body)[:len(inChunks(body))-9],
-		"after a chunk that is whole":  inChunks(body),
-		"in the last chunk":            inChunks(body) + "0",
-		"in a further chunk":           inChunks(body) + "5\r\n  ",
-		"with a length that is false":  orderHead("Content-Length: x") + body,
-		"with two lengths that differ": orderHead("Content-Length: 3", fmt.Sprintf("Content-Length: %d", len(body))) + body[:3],
+		"in its first line":            withContentLength(body)[:12],
+		"in its head":                  withContentLength(body)[:40],
+		"after its head":               configurationRequestHead(fmt.Sprintf("Content-Length: %d", len(body))),
+		"in its body":                  withContentLength(body + " ")[:len(withContentLength(body+" "))-1],
+		"in its first chunk":           chunkedBody(body)[:len(chunkedBody(body))-9],
+		"after a chunk that is whole":  chunkedBody(body),
+		"in the last chunk":            chunkedBody(body) + "0",
+		"in a further chunk":           chunkedBody(body) + "5\r\n  ",
+		"with a length that is false":  configurationRequestHead("Content-Length: x") + body,
+		"with two lengths that differ": configurationRequestHead("Content-Length: 3", fmt.Sprintf("Content-Length: %d", len(body))) + body[:3],
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHTTPHost(t)
@@ -95,15 +95,15 @@
 }
 
 // Orders that follow one another on a connection have their answers in the same order, and no bytes of one another.
-func TestOrdersOnOneConnection(t *testing.T) {
+func TestAPI_severalRequestsOnOneConnection(t *testing.T) {
 	h := newHTTPHost(t)
 	connection := h.dial()
 	const orders = 20
 	sent := ""
 	for number := range orders {
-		order := withLength(configurationOf(number + 1))
+		order := withContentLength(configurationJSON(number + 1))
 		if number%2 == 1 {
-			order = inChunks(configurationOf(number+1)) + "0\r\n\r\n"
+			order = chunkedBody(configurationJSON(number+1)) + "0\r\n\r\n"
 		}
 		sent += order
 	}
@@ -126,11 +126,11 @@
 }
 
 // A keeper that is about to end answers, and tells its callers to come to others.
-func TestLeavingKeeperClosesConnections(t *testing.T) {
+func TestAPI_shuttingDownServerClosesConnections(t *testing.T) {
 	h := newHTTPHost(t)
-	h.keeper.leaving.Store(true)
+	h.keeper.shuttingDown.Store(true)
 	connection := h.dial()
-	if _, err := io.WriteString(connection, withLength(configurationOf(1))+withLength(configurationOf(2))); err != nil {
+	if _, err := io.WriteString(connection, withContentLength(configurationJSON(1))+withContentLength(configurationJSON(2))); err != nil {
 		t.Fatal(err)
 	}
 	reader := bufio.NewReader(connection)
@@ -146,10 +146,10 @@
 }
 
 // An order that is too long is refused whatever the state is, and not carried out.
-func TestOrderThatIsTooLong(t *testing.T) {
+func TestAPI_tooLongRequestIsRejected(t *testing.T) {
 	h := newHTTPHost(t)
 	connection := h.dial()
-	head := orderHead(fmt.Sprintf("Content-Length: %d", maxBodyBytes+1))
+	head := configurationRequestHead(fmt.Sprintf("Content-Length: %d", maxBodyBytes+1))
 	if _, err := io.WriteString(connection, head); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -40,52 +40,52 @@
 	return directories
 }
 
-// identityStart is a process's way to the identity of its disk, which may take several tries.
-type identityStart struct {
-	config  bootconfig.Settings
-	address string
-	outside Environment
-	lost    bool // replicas without a member ID were found and removed
+// identityResolver is a process's way to the identity of its disk, which may take several tries.
+type identityResolver struct {
+	config      bootconfig.Settings
+	address     string
+	environment Environment
+	diskLost    bool // replicas without a member ID were found and removed
 }
 
 // resolveIdentity returns this disk's member ID, and the founders of the groups if this process is one of them.
 func resolveIdentity(config bootconfig.Settings, address string, outside Environment) (consensus.Member, []consensus.Member, error) {
-	return (&identityStart{config: config, address: address, outside: outside}).try()
+	return (&identityResolver{config: config, address: address, environment: outside}).resolve()
 }
 
-// await tries until ctx ends while the disk refuses, as a full one does. Files of another format are refused at once.
-func (s *identityStart) await(ctx context.Context, log *zap.Logger) (consensus.Member, []consensus.Member, error) {
+// resolveWithRetry tries until ctx ends while the disk refuses, as a full one does. Files of another format are refused at once.
+func (s *identityResolver) resolveWithRetry(ctx context.Context, log *zap.Logger) (consensus.Member, []consensus.Member, error) {
 	for {
-		self, founders, err := s.try()
+		self, founders, err := s.resolve()
 		var otherFormat seglog.FormatError
 		if err == nil || errors.As(err, &otherFormat) {
 			return self, founders, err
 		}
 		log.Error("the member ID cannot be read or stored", zap.Error(err))
-		if !pause(ctx, nil, openRetryInterval) {
+		if !waitForChange(ctx, nil, openRetryInterval) {
 			return consensus.Member{}, nil, err
 		}
 	}
 }
 
-// try returns the member ID, which a first start draws and writes, and the founders of the groups if this process is
+// resolve returns the member ID, which a first start draws and writes, and the founders of the groups if this process is
 // one of them. A founder is a seed at the system's first start. A disk with replicas whose member ID is missing or
 // damaged counts as lost: the replicas are removed, and the new ID founds nothing, also if it is drawn at a later try.
-func (s *identityStart) try() (consensus.Member, []consensus.Member, error) {
-	seeds := seedAddresses(s.config)
-	lost, err := removeOrphans(s.config, s.outside)
-	s.lost = s.lost || lost
+func (s *identityResolver) resolve() (consensus.Member, []consensus.Member, error) {
+	seeds := seedPeerAddresses(s.config)
+	lost, err := removeOrphanReplicas(s.config, s.environment)
+	s.diskLost = s.diskLost || lost
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "replicas without a member ID")
 	}
-	founds := slices.Contains(seeds, s.address) && (s.config.Bootstrap && !s.lost || !s.outside.holds(GuardFoundingOnce))
+	founds := slices.Contains(seeds, s.address) && (s.config.Bootstrap && !s.diskLost || !s.environment.guardEnabled(GuardFoundingOnce))
 	draw := func() consensus.MemberID {
 		if founds {
 			return memberID(s.address, foundingNonce)
 		}
-		return memberID(s.address, s.outside.Random()|1)
+		return memberID(s.address, s.environment.Random()|1)
 	}
-	id, _, err := seglog.LoadOrCreateMemberID(s.outside.FileSystem, s.config.DataDir, draw)
+	id, _, err := seglog.LoadOrCreateMemberID(s.environment.FileSystem, s.config.DataDir, draw)
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "member ID")
 	}
@@ -96,9 +96,9 @@
 	return self, foundersOf(seeds), nil
 }
 
-// removeOrphans removes the replicas of a disk whose member ID is missing or damaged, and tells whether there were any.
-func removeOrphans(config bootconfig.Settings, outside Environment) (lost bool, err error) {
-	if !outside.holds(GuardOrphans) {
+// removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged, and tells whether there were any.
+func removeOrphanReplicas(config bootconfig.Settings, outside Environment) (lost bool, err error) {
+	if !outside.guardEnabled(GuardOrphans) {
 		return false, nil
 	}
 	return seglog.RemoveOrphanedReplicas(outside.FileSystem, config.DataDir, replicaDirectories(config.DataDir))
--- a/internal/controlplane/server/join_requests.go
+++ b/internal/controlplane/server/join_requests.go
@@ -10,54 +10,54 @@
 	"ospreybend/coord/shards"
 )
 
-// candidate is a keeper that asks to be taken into a group. Its request may be late: the process that sent it may have
+// joinRequest is a keeper that asks to be taken into a group. Its request may be late: the process that sent it may have
 // ended, and another may live at its address under another ID.
-type candidate struct {
+type joinRequest struct {
 	ID      consensus.MemberID
 	Address string
 }
 
-// candidates are the keepers that asked lately to be taken into groups.
-type candidates struct {
-	mutex sync.Mutex
-	asked [shards.Count]map[string]asking // by address
+// joinRequests are the keepers that asked lately to be taken into groups.
+type joinRequests struct {
+	mutex     sync.Mutex
+	byAddress [shards.Count]map[string]receivedJoinRequest // by address
 }
 
-type asking struct {
-	candidate candidate
-	at        time.Time
+type receivedJoinRequest struct {
+	request    joinRequest
+	receivedAt time.Time
 }
 
-func (c *candidates) note(shard shards.ID, one candidate, now time.Time) {
+func (c *joinRequests) record(shard shards.ID, one joinRequest, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.asked[shard] == nil {
-		c.asked[shard] = make(map[string]asking)
+	if c.byAddress[shard] == nil {
+		c.byAddress[shard] = make(map[string]receivedJoinRequest)
 	}
-	c.asked[shard][one.Address] = asking{candidate: one, at: now}
+	c.byAddress[shard][one.Address] = receivedJoinRequest{request: one, receivedAt: now}
 }
 
 // forget drops a request that does not hold. A newer one from the same address under another ID stays.
-func (c *candidates) forget(shard shards.ID, one candidate) {
+func (c *joinRequests) forget(shard shards.ID, one joinRequest) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.asked[shard][one.Address].candidate == one {
-		delete(c.asked[shard], one.Address)
+	if c.byAddress[shard][one.Address].request == one {
+		delete(c.byAddress[shard], one.Address)
 	}
 }
 
-// fresh returns those who asked not long ago, by address, and forgets the others.
-func (c *candidates) fresh(shard shards.ID, now time.Time) []candidate {
+// recent returns those who asked not long ago, by address, and forgets the others.
+func (c *joinRequests) recent(shard shards.ID, now time.Time) []joinRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var found []candidate
-	for address, one := range c.asked[shard] {
-		if now.Sub(one.at) > candidateFresh {
-			delete(c.asked[shard], address)
+	var found []joinRequest
+	for address, one := range c.byAddress[shard] {
+		if now.Sub(one.receivedAt) > joinRequestMaxAge {
+			delete(c.byAddress[shard], address)
 			continue
 		}
-		found = append(found, one.candidate)
+		found = append(found, one.request)
 	}
-	slices.SortFunc(found, func(a, b candidate) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(found, func(a, b joinRequest) int { return cmp.Compare(a.Address, b.Address) })
 	return found
 }
--- a/internal/controlplane/server/leadership_balance.go
+++ b/internal/controlplane/server/leadership_balance.go
@@ -33,34 +33,34 @@
 	return consensus.Member{}, false
 }
 
-// spreadShard hands leadership of a shard to its preferred owner once that has been able to take
+// balanceLeadership hands leadership of a shard to its preferred owner once that has been able to take
 // it for spreadCalm. At most one shard moves in spreadInterval. Called by maintenance alone.
-func (k *Keeper) spreadShard(ctx context.Context, shard *shard, status replica.Status, now time.Time) {
-	group, able := shard.group.(targetedTransfer)
+func (s *Server) balanceLeadership(ctx context.Context, shard *shard, status replica.Status, now time.Time) {
+	group, able := shard.group.(leadershipTransferrer)
 	preferred, found := preferredOwner(shard.id, status.Members)
-	if !able || !found || preferred.ID == k.self.ID || !k.couldOwn(ctx, preferred.Address, shard.id) {
-		shard.better = time.Time{}
+	if !able || !found || preferred.ID == s.self.ID || !s.canOwn(ctx, preferred.Address, shard.id) {
+		shard.preferredReadySince = time.Time{}
 		return
 	}
-	if shard.better.IsZero() {
-		shard.better = now
+	if shard.preferredReadySince.IsZero() {
+		shard.preferredReadySince = now
 	}
-	if now.Sub(shard.better) < spreadCalm || now.Sub(k.lastMove) < spreadInterval {
+	if now.Sub(shard.preferredReadySince) < preferredOwnerStableFor || now.Sub(s.lastLeaderTransfer) < minLeaderTransferInterval {
 		return
 	}
-	k.lastMove = now
-	ctx, cancel := context.WithTimeout(ctx, transferBudget)
+	s.lastLeaderTransfer = now
+	ctx, cancel := context.WithTimeout(ctx, leaderTransferTimeout)
 	defer cancel()
 	err := group.TransferLeadershipTo(ctx, preferred.ID)
-	k.log.Info("leadership handed to the preferred owner",
+	s.logger.Info("leadership handed to the preferred owner",
 		zap.Uint32("shard", uint32(shard.id)), zap.String("to", preferred.Address), zap.Error(err))
 }
 
-// couldOwn asks a keeper whether its replica of a shard is current and takes writes.
-func (k *Keeper) couldOwn(ctx context.Context, address string, id shards.ID) bool {
+// canOwn asks a keeper whether its replica of a shard is current and takes writes.
+func (s *Server) canOwn(ctx context.Context, address string, id shards.ID) bool {
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
-	reply, err := k.network.Call(ctx, address, callCurrency, nil)
+	reply, err := s.network.Call(ctx, address, callGroupStates, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/controlplane/server/leadership_balance_test.go
+++ b/internal/controlplane/server/leadership_balance_test.go
@@ -10,41 +10,41 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// movableGroup is a scripted group that can hand leadership to a chosen voter.
-type movableGroup struct {
+// transferrableGroup is a scripted group that can hand leadership to a chosen voter.
+type transferrableGroup struct {
 	scriptedGroup
 	moved []consensus.MemberID
 }
 
-func (g *movableGroup) TransferLeadershipTo(_ context.Context, to consensus.MemberID) error {
+func (g *transferrableGroup) TransferLeadershipTo(_ context.Context, to consensus.MemberID) error {
 	g.moved = append(g.moved, to)
 	return nil
 }
 
-// currencyNetwork answers which shards a keeper could own.
-type currencyNetwork struct {
+// groupStatesNetwork answers which shards a keeper could own.
+type groupStatesNetwork struct {
 	scriptedNetwork
 	states []groupState
 }
 
-func (n *currencyNetwork) Call(ctx context.Context, address string, kind peertransport.CallKind, body []byte) ([]byte, error) {
-	if kind != callCurrency {
+func (n *groupStatesNetwork) Call(ctx context.Context, address string, kind peertransport.CallKind, body []byte) ([]byte, error) {
+	if kind != callGroupStates {
 		return n.scriptedNetwork.Call(ctx, address, kind, body)
 	}
 	return codec.Marshal(groupsSchema, n.states)
 }
 
-func TestLeadershipMovesToAPreferredOwnerThatIsSteady(t *testing.T) {
-	k, _, _ := scripted(t)
+func TestServer_BalanceLeadership_movesToStablePreferredOwner(t *testing.T) {
+	s, _, _ := newScriptedServer(t)
 	const id = shards.ID(1)
-	group := &movableGroup{}
-	k.shards[id].group = group
-	network := &currencyNetwork{}
-	k.network = network
+	group := &transferrableGroup{}
+	s.shards[id].group = group
+	network := &groupStatesNetwork{}
+	s.network = network
 
 	// Choose an address that the hash prefers to this keeper's.
 	status := leaderStatus()
-	status.Members = []consensus.Member{{ID: k.self.ID, Address: k.self.Address, Voter: true}}
+	status.Members = []consensus.Member{{ID: s.self.ID, Address: s.self.Address, Voter: true}}
 	other := consensus.Member{ID: 2, Voter: true}
 	for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1", "10.0.0.5:1", "10.0.0.6:1"} {
 		other.Address = address
@@ -59,39 +59,39 @@
 	began := time.Now()
 	at := func(after time.Duration, able bool) {
 		network.states = []groupState{{Shard: int(id), Voter: true, Current: able, Writable: true}}
-		k.spreadShard(t.Context(), k.shards[id], status, began.Add(after))
+		s.balanceLeadership(t.Context(), s.shards[id], status, began.Add(after))
 	}
 	at(0, true)
-	at(spreadCalm-1, true)
-	at(spreadCalm, false) // not steady: it begins anew
-	at(spreadCalm+1, true)
-	at(2*spreadCalm, true)
+	at(preferredOwnerStableFor-1, true)
+	at(preferredOwnerStableFor, false) // not steady: it begins anew
+	at(preferredOwnerStableFor+1, true)
+	at(2*preferredOwnerStableFor, true)
 	if len(group.moved) != 0 {
 		t.Fatalf("moved to %v too early", group.moved)
 	}
-	at(2*spreadCalm+1, true)
-	at(2*spreadCalm+spreadInterval, true) // too soon after the last move
+	at(2*preferredOwnerStableFor+1, true)
+	at(2*preferredOwnerStableFor+minLeaderTransferInterval, true) // too soon after the last move
 	if len(group.moved) != 1 || group.moved[0] != other.ID {
 		t.Fatalf("moved to %v", group.moved)
 	}
-	at(2*spreadCalm+1+spreadInterval, true)
+	at(2*preferredOwnerStableFor+1+minLeaderTransferInterval, true)
 	if len(group.moved) != 2 {
 		t.Fatalf("moved %d times", len(group.moved))
 	}
 }
 
-func TestAnEarlierLeadershipSaysNothingOfThePreferredOwner(t *testing.T) {
-	k, groups, _ := scripted(t)
+func TestServer_BalanceLeadership_forgetsEarlierLeadership(t *testing.T) {
+	s, groups, _ := newScriptedServer(t)
 	const id = shards.ID(1)
-	k.shards[id].better = time.Now().Add(-2 * spreadCalm)
-	groups[id].set(followerOf("b"))
-	k.maintainShard(t.Context(), k.shards[id])
-	if !k.shards[id].better.IsZero() {
+	s.shards[id].preferredReadySince = time.Now().Add(-2 * preferredOwnerStableFor)
+	groups[id].set(followerStatus("b"))
+	s.maintainShard(t.Context(), s.shards[id])
+	if !s.shards[id].preferredReadySince.IsZero() {
 		t.Fatal("a keeper that follows keeps count of an owner's calm")
 	}
 }
 
-func TestLearnersAreNotPreferred(t *testing.T) {
+func TestPreferredOwner_ignoresLearners(t *testing.T) {
 	if _, found := preferredOwner(1, []consensus.Member{{ID: 1, Address: "a"}}); found {
 		t.Fatal("a learner is preferred")
 	}
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -22,12 +22,12 @@
 	return id
 }
 
-func TestDamagedMemberFoundsNothing(t *testing.T) {
+func TestOpen_damagedMemberIDBootstrapsNothing(t *testing.T) {
 	config := bootconfig.Defaults()
 	config.Bootstrap, config.DataDir = true, t.TempDir()
 	config.PortRange = [2]int{7000, 7015}
 	config.Seeds = []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}
-	address := seedAddresses(config)[0]
+	address := seedPeerAddresses(config)[0]
 	before, founders, err := resolveIdentity(config, address, Environment{}.withDefaults())
 	if err != nil || len(founders) != 3 {
 		t.Fatal(before, founders, err)
@@ -44,29 +44,29 @@
 	}
 }
 
-func TestDamagedReplicaCountsAsLostDisk(t *testing.T) {
-	f := newFleet(t, 3)
+func TestOpen_damagedReplicaCountsAsLostDisk(t *testing.T) {
+	f := newTestCluster(t, 3)
 	for i := range 3 {
 		f.start(i)
 	}
-	f.await("formation", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
-	status, content := f.insist(0, http.MethodPost, "/-/Config.Replace", 0, configurationOf(1))
-	f.expect(http.StatusOK, status, content)
-	f.finish(2)
+	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	f.requireStatus(http.StatusOK, status, content)
+	f.terminate(2)
 	directory := f.processes[2].config.DataDir
 	before := storedMember(t, directory)
 	damageSnapshot(t, replicaDirectory(directory, 1))
 	f.processes[2].config.Bootstrap = false
 	f.start(2)
 	for i := range 3 {
-		f.await("repair", func() bool { return f.settled(i, 3) })
+		f.await("repair", func() bool { return f.isConverged(i, 3) })
 	}
 	if after := storedMember(t, directory); after == before {
 		t.Fatal("the member that lost a replica came back under its old ID")
 	}
-	f.finish(0) // the new member counts
-	status, content = f.insist(2, http.MethodPost, "/-/Config.Replace", 1, configurationOf(2))
-	f.expect(http.StatusOK, status, content)
+	f.terminate(0) // the new member counts
+	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	f.requireStatus(http.StatusOK, status, content)
 }
 
 // damageSnapshot changes the last byte of a replica's snapshot.
--- a/internal/controlplane/server/membership_model_exhaustive_test.go
+++ b/internal/controlplane/server/membership_model_exhaustive_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// walked is how a state was first reached.
-type walked struct {
+// predecessor is how a state was first reached.
+type predecessor struct {
 	from modelState
 	step string
 }
@@ -17,20 +17,20 @@
 // explore plays all orders of steps, and returns the number of states and the first thing that is wrong, with the way there.
 func (m model) explore() (states int, wrong string) {
 	start := m.start()
-	reached := map[modelState]walked{start: {}}
+	reached := map[modelState]predecessor{start: {}}
 	queue := []modelState{start}
 	for len(queue) > 0 {
 		state := queue[0]
 		queue = queue[1:]
 		if wrong := m.check(state); wrong != "" {
-			return len(reached), wrong + wayTo(reached, start, state)
+			return len(reached), wrong + pathTo(reached, start, state)
 		}
 		for _, next := range m.steps(state) {
 			if next.wrong != "" {
-				return len(reached), next.wrong + wayTo(reached, start, state) + "\n" + next.name
+				return len(reached), next.wrong + pathTo(reached, start, state) + "\n" + next.name
 			}
 			if _, known := reached[next.after]; !known {
-				reached[next.after] = walked{from: state, step: next.name}
+				reached[next.after] = predecessor{from: state, step: next.name}
 				queue = append(queue, next.after)
 			}
 		}
@@ -43,7 +43,7 @@
 	if wrong := m.weakness(state); wrong != "" {
 		return wrong + " " + state.describe()
 	}
-	if len(m.calm(state)) == 0 {
+	if len(m.faultFreeSteps(state)) == 0 {
 		if wrong := m.unfinished(state); wrong != "" {
 			return wrong + " " + state.describe()
 		}
@@ -51,7 +51,7 @@
 	return ""
 }
 
-func wayTo(reached map[modelState]walked, start, state modelState) string {
+func pathTo(reached map[modelState]predecessor, start, state modelState) string {
 	var names []string
 	for state != start {
 		names = append(names, reached[state].step)
@@ -61,7 +61,7 @@
 	return "\n" + strings.Join(names, "\n")
 }
 
-func TestEveryOrderOfStepsKeepsAMajority(t *testing.T) {
+func TestNextMembershipChange_everyScheduleKeepsMajority(t *testing.T) {
 	for _, m := range []model{
 		{founders: 3, tolerated: 1, faults: 3},
 		{founders: 3, spares: 1, tolerated: 1, faults: 2, freshSpares: true},
@@ -92,7 +92,7 @@
 			return wrong + "\n" + strings.Join(names, "\n")
 		}
 		next := m.steps(state)
-		if calm := m.calm(state); len(calm) > 0 && random.IntN(2) == 0 {
+		if calm := m.faultFreeSteps(state); len(calm) > 0 && random.IntN(2) == 0 {
 			next = calm
 		}
 		if len(next) == 0 {
@@ -105,14 +105,14 @@
 		}
 		state = chosen.after
 	}
-	return m.settles(state)
+	return m.convergesFrom(state)
 }
 
-// settles plays on without faults, and expects an end.
-func (m model) settles(state modelState) (wrong string) {
+// convergesFrom plays on without faults, and expects an end.
+func (m model) convergesFrom(state modelState) (wrong string) {
 	const most = 60
 	for range most {
-		next := m.calm(state)
+		next := m.faultFreeSteps(state)
 		if len(next) == 0 {
 			return ""
 		}
@@ -121,7 +121,7 @@
 	return "changes without end " + state.describe()
 }
 
-func TestDrawnOrdersOfStepsKeepAMajority(t *testing.T) {
+func TestNextMembershipChange_randomSchedulesKeepMajority(t *testing.T) {
 	const walks, length = 400, 150
 	for _, m := range []model{
 		{founders: 5, spares: 3, tolerated: 2, faults: 12, freshSpares: true},
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestEachGuardOnMembersIsNeeded leaves out one guard at a time: some order of steps must then go wrong.
-func TestEachGuardOnMembersIsNeeded(t *testing.T) {
+// TestNextMembershipChange_eachGuardIsNeeded leaves out one guard at a time: some order of steps must then go wrong.
+func TestNextMembershipChange_eachGuardIsNeeded(t *testing.T) {
 	whole := model{founders: 3, spares: 1, tolerated: 1, faults: 2, freshSpares: true, oldDisks: true}
 	wide := model{founders: 3, spares: 1, tolerated: 2, faults: 2, freshSpares: true}
 	for guard, lacking := range map[Guard]model{
--- a/internal/controlplane/server/membership_model_steps_test.go
+++ b/internal/controlplane/server/membership_model_steps_test.go
@@ -17,8 +17,8 @@
 	return found
 }
 
-// calm returns what happens without faults or late requests: the next election, change or catching up.
-func (m model) calm(s modelState) (next []modelStep) {
+// faultFreeSteps returns what happens without faults or late requests: the next election, change or catching up.
+func (m model) faultFreeSteps(s modelState) (next []modelStep) {
 	if !s.led() {
 		return s.elections()
 	}
@@ -26,14 +26,14 @@
 		next = append(next, made)
 	}
 	s.each(func(machine, disk int, role modelRole) {
-		if role == roleLearner && s.lives(machine, disk) && !s.durable[machine][disk] {
+		if role == roleLearner && s.isRunning(machine, disk) && !s.durable[machine][disk] {
 			after := s
 			after.durable[machine][disk] = true
 			next = append(next, modelStep{name: fmt.Sprintf("%d catches up", modelID(machine, disk)), after: after})
 		}
-		if s.mayPromote(machine, disk) && !s.machines[machine].steady {
+		if s.canPromote(machine, disk) && !s.machines[machine].stable {
 			after := s
-			after.machines[machine].steady = true
+			after.machines[machine].stable = true
 			next = append(next, modelStep{name: fmt.Sprintf("%d has been ready for some time", modelID(machine, disk)), after: after})
 		}
 	})
@@ -46,7 +46,7 @@
 		return nil
 	}
 	s.each(func(machine, disk int, role modelRole) {
-		if role == roleVoter && s.lives(machine, disk) && !s.machines[machine].leaving {
+		if role == roleVoter && s.isRunning(machine, disk) && !s.machines[machine].leaving {
 			after := s
 			after.leader = int8(machine)
 			next = append(next, modelStep{name: fmt.Sprintf("%d leads", modelID(machine, disk)), after: after})
@@ -57,7 +57,7 @@
 
 // steps returns all that may happen in a state.
 func (m model) steps(s modelState) []modelStep {
-	next := m.calm(s)
+	next := m.faultFreeSteps(s)
 	settled := len(next) == 0
 	if s.led() {
 		for _, late := range s.lateRequests() {
@@ -68,22 +68,22 @@
 		}
 	}
 	for machine := range m.founders + m.spares {
-		next = append(next, m.happens(s, machine, settled)...)
+		next = append(next, m.machineEvents(s, machine, settled)...)
 	}
 	return next
 }
 
-// happens returns what may befall one machine.
-func (m model) happens(s modelState, machine int, settled bool) (next []modelStep) {
+// machineEvents returns what may befall one machine.
+func (m model) machineEvents(s modelState, machine int, settled bool) (next []modelStep) {
 	befall := func(name string, change func(one *modelMachine, after *modelState)) {
 		after := s
 		change(&after.machines[machine], &after)
 		next = append(next, modelStep{name: fmt.Sprintf("machine %d %s", machine, name), after: after})
 	}
 	one := s.machines[machine]
-	if !one.there {
+	if !one.exists {
 		befall("is added", func(one *modelMachine, _ *modelState) {
-			one.there, one.up, one.fresh = true, true, s.lostMachines() > 0
+			one.exists, one.up, one.fresh = true, true, s.lostMachines() > 0
 		})
 		return next
 	}
@@ -94,26 +94,26 @@
 		befall("is back", func(one *modelMachine, _ *modelState) { one.up, one.silent = true, false })
 	}
 	if one.up && one.leaving {
-		befall("ends", func(one *modelMachine, _ *modelState) { one.up, one.leaving, one.steady = false, false, false })
+		befall("ends", func(one *modelMachine, _ *modelState) { one.up, one.leaving, one.stable = false, false, false })
 	}
 	if one.lost && settled && m.recovered(&s, machine) {
 		befall("counts as lost no more", func(one *modelMachine, after *modelState) {
 			one.lost = false
-			after.settleFresh()
+			after.clearFresh()
 		})
 	}
 	if m.oldDisks && !one.up && !one.gone && one.disk > 0 && s.retiredOrNone(machine) {
 		befall("gets an old disk back", func(one *modelMachine, _ *modelState) { one.disk--; one.up, one.silent = true, false })
 	}
-	if s.faults > 0 && (one.lost || s.lostMachines() < m.bears()) {
-		next = append(next, m.strikes(s, machine)...)
+	if s.faults > 0 && (one.lost || s.lostMachines() < m.toleratedLosses()) {
+		next = append(next, m.faultsAt(s, machine)...)
 	}
 	return next
 }
 
-// settleFresh ends the time in which a new machine counts with one that was lost: with each that counts as lost no more,
+// clearFresh ends the time in which a new machine counts with one that was lost: with each that counts as lost no more,
 // one new machine does not either, and no more stay new than others are lost.
-func (s *modelState) settleFresh() {
+func (s *modelState) clearFresh() {
 	surplus := -s.lostMachines()
 	for _, machine := range s.machines {
 		if machine.fresh {
@@ -140,23 +140,23 @@
 // recovered tells whether a machine is back, or another has its place.
 func (m model) recovered(s *modelState, machine int) bool {
 	for disk, role := range s.roles[machine] {
-		if role == roleVoter && !s.lives(machine, disk) {
+		if role == roleVoter && !s.isRunning(machine, disk) {
 			return false
 		}
 	}
 	_, living, _ := s.count()
 	one := s.machines[machine]
 	back := one.up && !one.leaving && !s.retired[machine][one.disk]
-	return back || (one.gone && living >= min(m.wanted(), m.founders))
+	return back || (one.gone && living >= min(m.desiredVoters(), m.founders))
 }
 
-// strikes returns the faults that may strike a machine.
-func (m model) strikes(s modelState, machine int) (next []modelStep) {
+// faultsAt returns the faults that may strike a machine.
+func (m model) faultsAt(s modelState, machine int) (next []modelStep) {
 	strike := func(name string, change func(one *modelMachine)) {
 		after := s
 		after.faults--
 		one := &after.machines[machine]
-		one.lost, one.steady = true, false
+		one.lost, one.stable = true, false
 		change(one)
 		next = append(next, modelStep{name: fmt.Sprintf("machine %d %s", machine, name), after: after})
 	}
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -26,12 +26,12 @@
 
 // modelMachine is one machine of the core. Its disk is numbered: one that is lost is followed by an empty one.
 type modelMachine struct {
-	there   bool // it was started at some time
+	exists  bool // it was started at some time
 	up      bool // its process runs and is reached
 	gone    bool // it never comes back
 	silent  bool // it is down for so long that the leader counts it as silent
 	leaving bool // it got a SIGTERM
-	steady  bool // its member has been ready to be a voter for some time
+	stable  bool // its member has been ready to be a voter for some time
 	lost    bool // it counts as lost
 	fresh   bool // it came while others were lost, to take a place: the same loss until that is settled
 	disk    uint8
@@ -66,15 +66,15 @@
 	wrong string // what must not happen did
 }
 
-func (m model) wanted() int { return 2*m.tolerated + 1 }
+func (m model) desiredVoters() int { return 2*m.tolerated + 1 }
 
-// bears is how many machines may be lost at once: fewer than the settings tolerate if there are too few machines.
-func (m model) bears() int { return (min(m.wanted(), m.founders) - 1) / 2 }
+// toleratedLosses is how many machines may be lost at once: fewer than the settings tolerate if there are too few machines.
+func (m model) toleratedLosses() int { return (min(m.desiredVoters(), m.founders) - 1) / 2 }
 
 func (m model) start() modelState {
 	state := modelState{leader: -1, faults: int8(m.faults)}
 	for i := range m.founders {
-		state.machines[i] = modelMachine{there: true, up: true}
+		state.machines[i] = modelMachine{exists: true, up: true}
 		state.roles[i][0], state.durable[i][0] = roleVoter, true
 	}
 	return state
@@ -84,14 +84,14 @@
 	return consensus.MemberID(1 + machine*modelDisks + disk)
 }
 
-func modelPlace(id consensus.MemberID) (machine, disk int) {
+func machineAndDiskOf(id consensus.MemberID) (machine, disk int) {
 	return int(id-1) / modelDisks, int(id-1) % modelDisks
 }
 
 func modelAddress(machine int) string { return fmt.Sprintf("k%02d", machine) }
 
-// lives tells whether a member's process runs.
-func (s *modelState) lives(machine, disk int) bool {
+// isRunning tells whether a member's process runs.
+func (s *modelState) isRunning(machine, disk int) bool {
 	return s.machines[machine].up && int(s.machines[machine].disk) == disk
 }
 
@@ -113,7 +113,7 @@
 			return
 		}
 		voters++
-		if s.lives(machine, disk) {
+		if s.isRunning(machine, disk) {
 			living++
 			if !s.machines[machine].lost && !s.machines[machine].fresh {
 				standing++
@@ -140,29 +140,29 @@
 	}
 	disk := int(s.machines[s.leader].disk)
 	voters, living, _ := s.count()
-	return s.lives(int(s.leader), disk) && s.roles[s.leader][disk] == roleVoter && living > voters/2
+	return s.isRunning(int(s.leader), disk) && s.roles[s.leader][disk] == roleVoter && living > voters/2
 }
 
-// situation is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
+// observe is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
 // member in the place of the one from its address.
-func (m model) situation(s *modelState, late consensus.MemberID) situation {
-	made := situation{
-		Self: modelID(int(s.leader), int(s.machines[s.leader].disk)), Wanted: m.wanted(), Spares: max(leastSpares, m.tolerated),
-		Silent: map[consensus.MemberID]time.Duration{}, Omit: m.omit,
+func (m model) observe(s *modelState, late consensus.MemberID) observedState {
+	observed := observedState{
+		Self: modelID(int(s.leader), int(s.machines[s.leader].disk)), DesiredVoters: m.desiredVoters(), SpareLearners: max(minSpareLearners, m.tolerated),
+		SinceHeard: map[consensus.MemberID]time.Duration{}, OmitGuards: m.omit,
 	}
 	s.each(func(machine, disk int, role modelRole) {
 		id := modelID(machine, disk)
-		made.Members = append(made.Members, consensus.Member{ID: id, Address: modelAddress(machine), Voter: role == roleVoter})
+		observed.Members = append(observed.Members, consensus.Member{ID: id, Address: modelAddress(machine), Voter: role == roleVoter})
 		switch {
 		case s.machines[machine].silent:
-			made.Silent[id] = lostLearnerAfter
+			observed.SinceHeard[id] = learnerTimeout
 		case !s.machines[machine].up:
-			made.Silent[id] = answersWithin
+			observed.SinceHeard[id] = missedHeartbeatsAge
 		}
-		if s.mayPromote(machine, disk) {
-			made.PromotableLearners = append(made.PromotableLearners, id)
-			if s.machines[machine].steady {
-				made.Steady = append(made.Steady, id)
+		if s.canPromote(machine, disk) {
+			observed.PromotableLearners = append(observed.PromotableLearners, id)
+			if s.machines[machine].stable {
+				observed.Stable = append(observed.Stable, id)
 			}
 		}
 	})
@@ -170,40 +170,40 @@
 		id := modelID(machine, int(one.disk))
 		for disk, retired := range s.retired[machine] {
 			if retired {
-				made.Retired = append(made.Retired, modelID(machine, disk))
+				observed.Retired = append(observed.Retired, modelID(machine, disk))
 			}
 		}
 		asks := one.up && !one.leaving && s.roles[machine][one.disk] != roleVoter
-		if from, _ := modelPlace(max(late, 1)); late != 0 && from == machine {
+		if from, _ := machineAndDiskOf(max(late, 1)); late != 0 && from == machine {
 			id, asks = late, true
 		}
 		if asks {
-			made.Candidates = append(made.Candidates, candidate{ID: id, Address: modelAddress(machine)})
+			observed.JoinRequests = append(observed.JoinRequests, joinRequest{ID: id, Address: modelAddress(machine)})
 		}
 		if one.up && one.leaving {
-			made.Leaving = append(made.Leaving, id)
+			observed.Leaving = append(observed.Leaving, id)
 		}
 		if m.freshSpares && one.up && !one.leaving && machine >= m.founders {
-			made.Successors = append(made.Successors, id)
+			observed.Successors = append(observed.Successors, id)
 		}
 	}
-	return made
+	return observed
 }
 
-// mayPromote is what the core's leader knows of a learner.
-func (s *modelState) mayPromote(machine, disk int) bool {
-	return s.roles[machine][disk] == roleLearner && s.lives(machine, disk) && s.durable[machine][disk]
+// canPromote is what the core's leader knows of a learner.
+func (s *modelState) canPromote(machine, disk int) bool {
+	return s.roles[machine][disk] == roleLearner && s.isRunning(machine, disk) && s.durable[machine][disk]
 }
 
 // decide has the leader make its next change, after a request that came late if there is one.
 func (m model) decide(s modelState, late consensus.MemberID) (modelStep, bool) {
-	next, found := nextStep(m.situation(&s, late))
+	next, found := nextMembershipChange(m.observe(&s, late))
 	if !found {
 		return modelStep{}, false
 	}
 	if next.Confirm.ID != 0 {
-		machine, disk := modelPlace(next.Confirm.ID)
-		if !s.lives(machine, disk) || s.machines[machine].leaving {
+		machine, disk := machineAndDiskOf(next.Confirm.ID)
+		if !s.isRunning(machine, disk) || s.machines[machine].leaving {
 			return modelStep{}, false
 		}
 	}
@@ -229,7 +229,7 @@
 }
 
 func (m model) remove(s *modelState, change replica.Change) (wrong string) {
-	machine, disk := modelPlace(change.Remove)
+	machine, disk := machineAndDiskOf(change.Remove)
 	wasVoter := s.roles[machine][disk] == roleVoter
 	diskLost := int(s.machines[machine].disk) != disk
 	s.roles[machine][disk] = roleNone
@@ -237,25 +237,25 @@
 	s.retired[machine][disk] = change.Retire
 	s.replaced[machine][disk] = diskLost && s.machines[machine].up
 	switch {
-	case s.lives(machine, disk):
+	case s.isRunning(machine, disk):
 		return fmt.Sprintf("member %d is removed although it lives", change.Remove)
-	case wasVoter && !diskLost && !m.hasHeir(s):
+	case wasVoter && !diskLost && !m.hasPromotionCandidate(s):
 		return fmt.Sprintf("voter %d gives its place to nobody", change.Remove)
 	}
 	return ""
 }
 
 func (m model) add(s *modelState, added consensus.Member) (wrong string) {
-	machine, disk := modelPlace(added.ID)
+	machine, disk := machineAndDiskOf(added.ID)
 	role := s.roles[machine][disk]
 	switch {
 	case s.retired[machine][disk] && !m.omitRetired:
 		return "" // refused
-	case added.Voter && role == roleLearner && s.mayPromote(machine, disk):
+	case added.Voter && role == roleLearner && s.canPromote(machine, disk):
 		s.roles[machine][disk] = roleVoter
 	case !added.Voter && role == roleVoter:
 		s.roles[machine][disk] = roleLearner
-		if !m.hasHeir(s) {
+		if !m.hasPromotionCandidate(s) {
 			return fmt.Sprintf("voter %d gives its place to nobody", added.ID)
 		}
 	case !added.Voter && role == roleNone:
@@ -267,12 +267,12 @@
 	return ""
 }
 
-// hasHeir tells whether the group has its voters, or a learner that can take a free place at once.
-func (m model) hasHeir(s *modelState) bool {
+// hasPromotionCandidate tells whether the group has its voters, or a learner that can take a free place at once.
+func (m model) hasPromotionCandidate(s *modelState) bool {
 	voters, _, _ := s.count()
-	found := voters >= m.wanted()
+	found := voters >= m.desiredVoters()
 	s.each(func(machine, disk int, _ modelRole) {
-		found = found || (s.mayPromote(machine, disk) && !s.machines[machine].leaving)
+		found = found || (s.canPromote(machine, disk) && !s.machines[machine].leaving)
 	})
 	return found
 }
@@ -280,7 +280,7 @@
 // weakness tells what is wrong with a state; empty: nothing.
 func (m model) weakness(s modelState) string {
 	voters, _, standing := s.count()
-	further := m.bears() - s.lostMachines()
+	further := m.toleratedLosses() - s.lostMachines()
 	if standing-further <= voters/2 {
 		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", standing, voters, further)
 	}
@@ -294,7 +294,7 @@
 		if one.up && one.leaving {
 			return "" // it ends first
 		}
-		silent = silent && (!one.there || one.up || one.silent)
+		silent = silent && (!one.exists || one.up || one.silent)
 		if one.up && !s.retired[machine][one.disk] {
 			available++
 		}
@@ -303,7 +303,7 @@
 	if !s.led() || !silent {
 		return ""
 	}
-	if living < m.reachable(available) || (available >= m.wanted() && voters != living) {
+	if living < m.reachable(available) || (available >= m.desiredVoters() && voters != living) {
 		return fmt.Sprintf("%d of %d voters live, with %d machines at hand", living, voters, available)
 	}
 	return ""
@@ -312,7 +312,7 @@
 // reachable is how many voters a group should have with so many machines. An even number bears no more losses than the
 // odd one below it.
 func (m model) reachable(available int) int {
-	voters := min(m.wanted(), available)
+	voters := min(m.desiredVoters(), available)
 	if voters%2 == 0 {
 		return voters - 1
 	}
@@ -323,7 +323,7 @@
 func (s modelState) describe() string {
 	var parts []string
 	s.each(func(machine, disk int, role modelRole) {
-		parts = append(parts, fmt.Sprintf("%d(voter %v, lives %v)", modelID(machine, disk), role == roleVoter, s.lives(machine, disk)))
+		parts = append(parts, fmt.Sprintf("%d(voter %v, lives %v)", modelID(machine, disk), role == roleVoter, s.isRunning(machine, disk)))
 	})
 	slices.Sort(parts)
 	return fmt.Sprint(parts)
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -8,31 +8,31 @@
 	"ospreybend/coord/replica"
 )
 
-// situation is what the leader of a group knows when it decides on the next change of members.
-type situation struct {
+// observedState is what the leader of a group knows when it decides on the next change of members.
+type observedState struct {
 	Self               consensus.MemberID
 	Members            []consensus.Member
 	Retired            []consensus.MemberID                 // IDs that were replaced: they never come back
-	Wanted             int                                  // voters that the group should have
-	Spares             int                                  // learners that it keeps besides, for the voters that will be lost
-	Candidates         []candidate                          // those who asked lately, at most one for each address
+	DesiredVoters      int                                  // voters that the group should have
+	SpareLearners      int                                  // learners that it keeps besides, for the voters that will be lost
+	JoinRequests       []joinRequest                        // those who asked lately, at most one for each address
 	PromotableLearners []consensus.MemberID                 // learners that answer and have acknowledged nearly all of the log as durable
-	Steady             []consensus.MemberID                 // those of them that have been so for some time, the longest first
-	Silent             map[consensus.MemberID]time.Duration // how long nothing was heard of a member's address
+	Stable             []consensus.MemberID                 // those of them that have been so for some time, the longest first
+	SinceHeard         map[consensus.MemberID]time.Duration // how long nothing was heard of a member's address
 	Leaving            []consensus.MemberID                 // members that said that they are about to end
 	Successors         []consensus.MemberID                 // learners whose process began lately: started to take a leaving voter's place
 
-	Omit []Guard // guards left out, by tests alone
+	OmitGuards []Guard // guards left out, by tests alone
 }
 
-// step is one change of members and what it rests on.
-type step struct {
+// membershipChange is one change of members and what it rests on.
+type membershipChange struct {
 	Change replica.Change
 	// Confirm is the keeper that must live at its address under its ID, or the change must not be made. ID 0: nobody.
-	Confirm candidate
+	Confirm joinRequest
 }
 
-// nextStep returns the next change that brings a group's members nearer to what is wanted, or false if there is none.
+// nextMembershipChange returns the next change that brings a group's members nearer to what is wanted, or false if there is none.
 // Changes are of one member:
 //
 //  1. a member whose address now belongs to another member ID has lost its disk: it is removed, which never makes a
@@ -45,167 +45,167 @@
 //  4. a candidate becomes a learner: one for each place that is free or held by a silent voter, and some spares, so that
 //     taking a lost voter's place is one change and no transfer of the state;
 //  5. a learner that no longer asks and is silent for long goes.
-func nextStep(s situation) (step, bool) {
-	for _, rule := range []func(situation) (step, bool){
-		removeSuperseded, releaseSurplus, promoteLearner, addLearner, removeLostLearner,
+func nextMembershipChange(s observedState) (membershipChange, bool) {
+	for _, rule := range []func(observedState) (membershipChange, bool){
+		removeSuperseded, releaseSurplusVoter, promoteLearner, addLearner, removeUnresponsiveLearner,
 	} {
 		if next, found := rule(s); found {
 			return next, true
 		}
 	}
-	return step{}, false
+	return membershipChange{}, false
 }
 
-func removeSuperseded(s situation) (step, bool) {
-	for _, asking := range s.Candidates {
+func removeSuperseded(s observedState) (membershipChange, bool) {
+	for _, request := range s.JoinRequests {
 		for _, member := range s.Members {
-			if member.Address == asking.Address && member.ID != asking.ID && member.ID != s.Self {
-				retire := s.holds(GuardReplacedRetired)
-				return s.confirmed(replica.Change{Remove: member.ID, Retire: retire}, asking), true
+			if member.Address == request.Address && member.ID != request.ID && member.ID != s.Self {
+				retire := s.guardEnabled(GuardReplacedRetired)
+				return s.requireConfirmation(replica.Change{Remove: member.ID, Retire: retire}, request), true
 			}
 		}
 	}
-	return step{}, false
+	return membershipChange{}, false
 }
 
-func releaseSurplus(s situation) (step, bool) {
-	if s.voters() <= s.Wanted && s.holds(GuardSuccessorReady) {
-		return step{}, false
+func releaseSurplusVoter(s observedState) (membershipChange, bool) {
+	if s.voterCount() <= s.DesiredVoters && s.guardEnabled(GuardSuccessorReady) {
+		return membershipChange{}, false
 	}
-	if released, found := s.releaseLeaving(); found {
+	if released, found := s.demoteLeavingVoter(); found {
 		return released, true
 	}
-	gone, found := s.longestSilent(goneAfter)
-	return step{Change: replica.Change{Remove: gone}}, found && s.voters() > s.Wanted
+	gone, found := s.longestUnresponsiveVoter(voterTimeout)
+	return membershipChange{Change: replica.Change{Remove: gone}}, found && s.voterCount() > s.DesiredVoters
 }
 
-// releaseLeaving makes a voter that is about to end a learner. The voter goes before its successor comes: with both as
+// demoteLeavingVoter makes a voter that is about to end a learner. The voter goes before its successor comes: with both as
 // voters, the loss of that one machine's place would cost two votes.
-func (s situation) releaseLeaving() (step, bool) {
+func (s observedState) demoteLeavingVoter() (membershipChange, bool) {
 	for _, member := range s.Members {
 		if member.Voter && member.ID != s.Self && slices.Contains(s.Leaving, member.ID) {
 			member.Voter = false
-			return step{Change: replica.Change{Add: &member}}, true
+			return membershipChange{Change: replica.Change{Add: &member}}, true
 		}
 	}
-	return step{}, false
+	return membershipChange{}, false
 }
 
-func promoteLearner(s situation) (step, bool) {
-	for _, learner := range s.heirs() {
+func promoteLearner(s observedState) (membershipChange, bool) {
+	for _, learner := range s.promotionCandidates() {
 		promoted := learner
 		promoted.Voter = true
-		free, even := s.voters() < s.Wanted, s.voters()%2 == 0
+		free, even := s.voterCount() < s.DesiredVoters, s.voterCount()%2 == 0
 		if free && even {
-			return step{Change: replica.Change{Add: &promoted}}, true
+			return membershipChange{Change: replica.Change{Add: &promoted}}, true
 		}
-		if gone, found := s.longestSilent(goneAfter); found {
-			return step{Change: replica.Change{Remove: gone}}, true
+		if gone, found := s.longestUnresponsiveVoter(voterTimeout); found {
+			return membershipChange{Change: replica.Change{Remove: gone}}, true
 		}
-		if free && s.growsSoundly() {
-			return step{Change: replica.Change{Add: &promoted}}, true
+		if free && s.canAddVoter() {
+			return membershipChange{Change: replica.Change{Add: &promoted}}, true
 		}
-		if released, found := s.releaseLeaving(); found && slices.Contains(s.Successors, learner.ID) {
+		if released, found := s.demoteLeavingVoter(); found && slices.Contains(s.Successors, learner.ID) {
 			return released, true
 		}
 	}
-	return step{}, false
+	return membershipChange{}, false
 }
 
-// heirs returns the learners that could be voters at once, those first that have been able to be for some time.
-func (s situation) heirs() (found []consensus.Member) {
+// promotionCandidates returns the learners that could be voters at once, those first that have been able to be for some time.
+func (s observedState) promotionCandidates() (found []consensus.Member) {
 	for _, member := range s.Members {
-		if !member.Voter && !slices.Contains(s.Leaving, member.ID) && s.mayPromote(member.ID) {
+		if !member.Voter && !slices.Contains(s.Leaving, member.ID) && s.canPromote(member.ID) {
 			found = append(found, member)
 		}
 	}
-	slices.SortStableFunc(found, func(a, b consensus.Member) int { return s.steadiness(a.ID) - s.steadiness(b.ID) })
+	slices.SortStableFunc(found, func(a, b consensus.Member) int { return s.stabilityRank(a.ID) - s.stabilityRank(b.ID) })
 	return found
 }
 
-// steadiness ranks learners by how long they have been able to be voters: the longest first, those last that have only
+// stabilityRank ranks learners by how long they have been able to be voters: the longest first, those last that have only
 // begun. Whoever came back last may still be about to fail, and must not be the one that makes the number even.
-func (s situation) steadiness(id consensus.MemberID) int {
-	if place := slices.Index(s.Steady, id); place >= 0 {
-		return place
+func (s observedState) stabilityRank(id consensus.MemberID) int {
+	if rank := slices.Index(s.Stable, id); rank >= 0 {
+		return rank
 	}
-	return len(s.Steady)
+	return len(s.Stable)
 }
 
-func (s situation) steady(id consensus.MemberID) bool { return slices.Contains(s.Steady, id) }
+func (s observedState) isStable(id consensus.MemberID) bool { return slices.Contains(s.Stable, id) }
 
-// growsSoundly tells whether a group with an odd number of voters may take one more. An even number bears no more losses
+// canAddVoter tells whether a group with an odd number of voters may take one more. An even number bears no more losses
 // than the odd one below it and needs one voter more for a majority, so the group waits for two (unless no more than one is
 // wanted), and until all is calm: its voters answer, none is leaving, and the two have been ready for some time.
-func (s situation) growsSoundly() bool {
-	if !s.holds(GuardVotersOdd) {
+func (s observedState) canAddVoter() bool {
+	if !s.guardEnabled(GuardVotersOdd) {
 		return true
 	}
-	if _, leaving := s.releaseLeaving(); leaving || s.silentVoters(answersWithin) > 0 {
+	if _, leaving := s.demoteLeavingVoter(); leaving || s.unresponsiveVoters(missedHeartbeatsAge) > 0 {
 		return false
 	}
-	steady := 0
-	for _, heir := range s.heirs() {
-		if s.steady(heir.ID) {
-			steady++
+	stable := 0
+	for _, candidate := range s.promotionCandidates() {
+		if s.isStable(candidate.ID) {
+			stable++
 		}
 	}
-	return steady > 1 || (steady == 1 && s.voters()+1 == s.Wanted)
+	return stable > 1 || (stable == 1 && s.voterCount()+1 == s.DesiredVoters)
 }
 
-// mayPromote tells whether a learner is known to hold what makes it a sound voter. Without the guard its own request to
+// canPromote tells whether a learner is known to hold what makes it a sound voter. Without the guard its own request to
 // join is believed.
-func (s situation) mayPromote(id consensus.MemberID) bool {
-	return slices.Contains(s.PromotableLearners, id) || (!s.holds(GuardPromotedDurable) && s.asks(id))
+func (s observedState) canPromote(id consensus.MemberID) bool {
+	return slices.Contains(s.PromotableLearners, id) || (!s.guardEnabled(GuardPromotedDurable) && s.hasJoinRequest(id))
 }
 
-func addLearner(s situation) (step, bool) {
-	places := max(0, s.Wanted-s.voters()+s.silentVoters(goneAfter))
-	if s.learners(goneAfter) >= places+s.Spares {
-		return step{}, false
+func addLearner(s observedState) (membershipChange, bool) {
+	vacancies := max(0, s.DesiredVoters-s.voterCount()+s.unresponsiveVoters(voterTimeout))
+	if s.responsiveLearners(voterTimeout) >= vacancies+s.SpareLearners {
+		return membershipChange{}, false
 	}
-	for _, asking := range s.Candidates {
-		if _, found := s.member(asking.ID); !found && !slices.Contains(s.Retired, asking.ID) {
-			return s.confirmed(replica.Change{Add: &consensus.Member{ID: asking.ID, Address: asking.Address}}, asking), true
+	for _, request := range s.JoinRequests {
+		if _, found := s.member(request.ID); !found && !slices.Contains(s.Retired, request.ID) {
+			return s.requireConfirmation(replica.Change{Add: &consensus.Member{ID: request.ID, Address: request.Address}}, request), true
 		}
 	}
-	return step{}, false
+	return membershipChange{}, false
 }
 
-func removeLostLearner(s situation) (step, bool) {
+func removeUnresponsiveLearner(s observedState) (membershipChange, bool) {
 	for _, member := range s.Members {
-		if !member.Voter && !s.asks(member.ID) && s.Silent[member.ID] >= lostLearnerAfter {
-			return step{Change: replica.Change{Remove: member.ID}}, true
+		if !member.Voter && !s.hasJoinRequest(member.ID) && s.SinceHeard[member.ID] >= learnerTimeout {
+			return membershipChange{Change: replica.Change{Remove: member.ID}}, true
 		}
 	}
-	return step{}, false
+	return membershipChange{}, false
 }
 
-// confirmed is a change that is made only if the candidate lives.
-func (s situation) confirmed(change replica.Change, asking candidate) step {
-	if !s.holds(GuardIdentityAsked) {
-		return step{Change: change}
+// requireConfirmation is a change that is made only if the candidate lives.
+func (s observedState) requireConfirmation(change replica.Change, request joinRequest) membershipChange {
+	if !s.guardEnabled(GuardIdentityAsked) {
+		return membershipChange{Change: change}
 	}
-	return step{Change: change, Confirm: asking}
+	return membershipChange{Change: change, Confirm: request}
 }
 
-// silence is how long a member counts as silent that was last heard at some time. Before a keeper leads, members have no
+// timeSinceHeard is how long a member counts as silent that was last heard at some time. Before a keeper leads, members have no
 // reason to talk to it, so only the time since then counts; one that has left its first heartbeats unanswered for
 // newLeaderPatience, though, was most likely silent before, too: a change of leader does not make a lost voter last longer.
-func silence(now, heard, ledSince time.Time) time.Duration {
-	if !heard.Before(ledSince) {
+func timeSinceHeard(now, heard, leadingSince time.Time) time.Duration {
+	if !heard.Before(leadingSince) {
 		return now.Sub(heard)
 	}
-	led := now.Sub(ledSince)
-	if led < newLeaderPatience {
+	led := now.Sub(leadingSince)
+	if led < newLeaderGracePeriod {
 		return led
 	}
-	return max(led, min(now.Sub(heard), goneAfter))
+	return max(led, min(now.Sub(heard), voterTimeout))
 }
 
-func (s situation) holds(guard Guard) bool { return !slices.Contains(s.Omit, guard) }
+func (s observedState) guardEnabled(guard Guard) bool { return !slices.Contains(s.OmitGuards, guard) }
 
-func (s situation) member(id consensus.MemberID) (consensus.Member, bool) {
+func (s observedState) member(id consensus.MemberID) (consensus.Member, bool) {
 	for _, member := range s.Members {
 		if member.ID == id {
 			return member, true
@@ -214,16 +214,16 @@
 	return consensus.Member{}, false
 }
 
-func (s situation) asks(id consensus.MemberID) bool {
-	for _, asking := range s.Candidates {
-		if asking.ID == id {
+func (s observedState) hasJoinRequest(id consensus.MemberID) bool {
+	for _, request := range s.JoinRequests {
+		if request.ID == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (s situation) voters() int {
+func (s observedState) voterCount() int {
 	count := 0
 	for _, member := range s.Members {
 		if member.Voter {
@@ -233,47 +233,47 @@
 	return count
 }
 
-// learners counts the learners that are not silent for a time.
-func (s situation) learners(silence time.Duration) int {
+// responsiveLearners counts the learners that are not silent for a time.
+func (s observedState) responsiveLearners(limit time.Duration) int {
 	count := 0
 	for _, member := range s.Members {
-		if !member.Voter && s.Silent[member.ID] < silence {
+		if !member.Voter && s.SinceHeard[member.ID] < limit {
 			count++
 		}
 	}
 	return count
 }
 
-// lacksVoter tells whether a place is free that learners take as soon as they can.
-func (s situation) lacksVoter() bool {
-	heirs := 0
+// hasFillableVacancy tells whether a place is free that learners take as soon as they can.
+func (s observedState) hasFillableVacancy() bool {
+	candidates := 0
 	for _, member := range s.Members {
-		if !member.Voter && !slices.Contains(s.Leaving, member.ID) && s.Silent[member.ID] < goneAfter {
-			heirs++
+		if !member.Voter && !slices.Contains(s.Leaving, member.ID) && s.SinceHeard[member.ID] < voterTimeout {
+			candidates++
 		}
 	}
-	return s.voters() < s.Wanted && (heirs > 1 || (heirs == 1 && s.voters()%2 == 0))
+	return s.voterCount() < s.DesiredVoters && (candidates > 1 || (candidates == 1 && s.voterCount()%2 == 0))
 }
 
-// silentVoters counts the voters, the leader apart, that are silent for at least a time.
-func (s situation) silentVoters(atLeast time.Duration) int {
+// unresponsiveVoters counts the voters, the leader apart, that are silent for at least a time.
+func (s observedState) unresponsiveVoters(atLeast time.Duration) int {
 	count := 0
 	for _, member := range s.Members {
-		if member.Voter && member.ID != s.Self && s.Silent[member.ID] >= atLeast {
+		if member.Voter && member.ID != s.Self && s.SinceHeard[member.ID] >= atLeast {
 			count++
 		}
 	}
 	return count
 }
 
-// longestSilent returns the voter that is silent longest, if that is at least a time.
-func (s situation) longestSilent(atLeast time.Duration) (consensus.MemberID, bool) {
+// longestUnresponsiveVoter returns the voter that is silent longest, if that is at least a time.
+func (s observedState) longestUnresponsiveVoter(atLeast time.Duration) (consensus.MemberID, bool) {
 	var longest consensus.Member
 	for _, member := range s.Members {
-		if !member.Voter || member.ID == s.Self || s.Silent[member.ID] < atLeast {
+		if !member.Voter || member.ID == s.Self || s.SinceHeard[member.ID] < atLeast {
 			continue
 		}
-		if longest.ID == 0 || s.Silent[member.ID] > s.Silent[longest.ID] {
+		if longest.ID == 0 || s.SinceHeard[member.ID] > s.SinceHeard[longest.ID] {
 			longest = member
 		}
 	}
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -24,16 +24,16 @@
 	return member
 }
 
-func asks(id consensus.MemberID) candidate {
-	return candidate{ID: id, Address: fmt.Sprintf("k%d", id)}
+func joinRequestFrom(id consensus.MemberID) joinRequest {
+	return joinRequest{ID: id, Address: fmt.Sprintf("k%d", id)}
 }
 
-// ids is a list of member IDs.
-func ids(listed ...consensus.MemberID) []consensus.MemberID { return listed }
+// memberIDs is a list of member IDs.
+func memberIDs(listed ...consensus.MemberID) []consensus.MemberID { return listed }
 
-func TestNextStep(t *testing.T) {
+func TestNextMembershipChange(t *testing.T) {
 	added := func(member consensus.Member) replica.Change { return replica.Change{Add: &member} }
-	renewed := candidate{ID: 9, Address: "k3"}
+	renewed := joinRequest{ID: 9, Address: "k3"}
 	silence := func(id consensus.MemberID, span time.Duration) map[consensus.MemberID]time.Duration {
 		return map[consensus.MemberID]time.Duration{id: span}
 	}
@@ -42,103 +42,103 @@
 	four := append(three[:3:3], voter(4))
 	cases := []struct {
 		name    string
-		given   situation
+		given   observedState
 		want    replica.Change // zero: none
 		confirm consensus.MemberID
 	}{
-		{name: "nothing asked", given: situation{Members: three, Wanted: 3, Spares: 2}},
+		{name: "nothing asked", given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2}},
 		{name: "a free place: learner first, if it lives",
-			given: situation{Members: three[:2], Wanted: 3, Candidates: []candidate{asks(3)}},
+			given: observedState{Members: three[:2], DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want:  added(learner(3)), confirm: 3},
 		{name: "a learner that is behind stays one",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, Candidates: []candidate{asks(3)}}},
+			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "a learner that holds nearly all becomes a voter",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, PromotableLearners: ids(3)},
+			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, PromotableLearners: memberIDs(3)},
 			want:  added(voter(3))},
 		{name: "one learner makes no group of four: it would bear no more losses than three",
-			given: situation{Members: threeAndOne, Wanted: 5, PromotableLearners: ids(4), Steady: ids(4)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 5, PromotableLearners: memberIDs(4), Stable: memberIDs(4)}},
 		{name: "two make a group of five, one after the other",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(4, 5)},
+			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5)},
 			want:  added(voter(4))},
 		{name: "that which has been ready longest is the first of them",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(5, 4)},
+			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5, 4)},
 			want:  added(voter(5))},
 		{name: "and then",
-			given: situation{Members: append(four[:4:4], learner(5)), Wanted: 5, PromotableLearners: ids(5)},
+			given: observedState{Members: append(four[:4:4], learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(5)},
 			want:  added(voter(5))},
 		{name: "not before both have been ready for some time",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(5)}},
+			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5)}},
 		{name: "nor while a voter does not answer",
-			given: situation{Members: append(three[:3:3], learner(4), learner(5)), Wanted: 5, PromotableLearners: ids(4, 5), Steady: ids(4, 5),
-				Silent: silence(3, answersWithin)}},
+			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5),
+				SinceHeard: silence(3, missedHeartbeatsAge)}},
 		{name: "a wiped disk: the old member goes first, for good, if the new one lives",
-			given: situation{Members: three, Wanted: 3, Candidates: []candidate{renewed}},
+			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{renewed}},
 			want:  replica.Change{Remove: 3, Retire: true}, confirm: 9},
 		{name: "a replaced member is not taken in",
-			given: situation{Members: []consensus.Member{voter(1), voter(2)}, Wanted: 3, Spares: 2,
-				Retired: ids(3), Candidates: []candidate{asks(3)}}},
+			given: observedState{Members: []consensus.Member{voter(1), voter(2)}, DesiredVoters: 3, SpareLearners: 2,
+				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "but if it lives, the member that had its place does not",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "k3", Voter: true}}, Wanted: 3, Spares: 2,
-				Retired: ids(3), Candidates: []candidate{asks(3)}},
+			given: observedState{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "k3", Voter: true}}, DesiredVoters: 3, SpareLearners: 2,
+				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want: replica.Change{Remove: 9, Retire: true}, confirm: 3},
 		{name: "the leader is not removed for one that claims its address",
-			given: situation{Members: three, Wanted: 3, Candidates: []candidate{{ID: 9, Address: "k1"}}}},
+			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{{ID: 9, Address: "k1"}}}},
 		{name: "a voter that asks because it was cut off changes nothing",
-			given: situation{Members: three, Wanted: 3, Spares: 2, Candidates: []candidate{asks(3)}}},
+			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "no place and no spare wanted: a stand-by stays out",
-			given: situation{Members: three, Wanted: 3, Candidates: []candidate{asks(4)}}},
+			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}}},
 		{name: "no place: a stand-by becomes a learner",
-			given: situation{Members: three, Wanted: 3, Spares: 1, Candidates: []candidate{asks(4)}},
+			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(4)}},
 			want:  added(learner(4)), confirm: 4},
 		{name: "no more stand-bys than wanted",
-			given: situation{Members: threeAndOne, Wanted: 3, Spares: 1, Candidates: []candidate{asks(4), asks(5)}}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(4), joinRequestFrom(5)}}},
 		{name: "a stand-by that is silent leaves its place to another",
-			given: situation{Members: threeAndOne, Wanted: 3, Spares: 1, Candidates: []candidate{asks(5)}, Silent: silence(4, goneAfter)},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(5)}, SinceHeard: silence(4, voterTimeout)},
 			want:  added(learner(5)), confirm: 5},
 		{name: "a voter is silent: a further stand-by becomes a learner",
-			given: situation{Members: three, Wanted: 3, Candidates: []candidate{asks(4)}, Silent: silence(3, goneAfter)},
+			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: silence(3, voterTimeout)},
 			want:  added(learner(4)), confirm: 4},
 		{name: "a silent voter makes room for a learner that holds nearly all",
-			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4),
-				Silent: map[consensus.MemberID]time.Duration{2: goneAfter, 3: 2 * goneAfter}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4),
+				SinceHeard: map[consensus.MemberID]time.Duration{2: voterTimeout, 3: 2 * voterTimeout}},
 			want: replica.Change{Remove: 3}},
 		{name: "but not for one that only asks",
-			given: situation{Members: threeAndOne, Wanted: 3, Candidates: []candidate{asks(4)}, Silent: silence(3, goneAfter)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: silence(3, voterTimeout)}},
 		{name: "not silent for long enough",
-			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Silent: silence(3, goneAfter-1)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), SinceHeard: silence(3, voterTimeout-1)}},
 		{name: "one learner for each place",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3)}, Wanted: 3, Candidates: []candidate{asks(3), asks(4)}}},
+			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3), joinRequestFrom(4)}}},
 		{name: "a surplus voter goes when it is silent",
-			given: situation{Members: four, Wanted: 3, Silent: silence(4, goneAfter)},
+			given: observedState{Members: four, DesiredVoters: 3, SinceHeard: silence(4, voterTimeout)},
 			want:  replica.Change{Remove: 4}},
 		{name: "a surplus voter that is there stays",
-			given: situation{Members: four, Wanted: 3}},
+			given: observedState{Members: four, DesiredVoters: 3}},
 		{name: "a learner that asks no more goes",
-			given: situation{Members: threeAndOne, Wanted: 3, Silent: silence(4, lostLearnerAfter)},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, SinceHeard: silence(4, learnerTimeout)},
 			want:  replica.Change{Remove: 4}},
 		{name: "a leaving voter becomes a learner if its successor can take the place",
-			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(3), Successors: ids(4)},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want:  added(learner(3))},
 		{name: "then the successor takes the place",
-			given: situation{Members: []consensus.Member{voter(1), voter(2), learner(3), learner(4)}, Wanted: 3, PromotableLearners: ids(3, 4),
-				Leaving: ids(3), Successors: ids(4)},
+			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3), learner(4)}, DesiredVoters: 3, PromotableLearners: memberIDs(3, 4),
+				Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want: added(voter(4))},
 		{name: "a successor that has not caught up takes no place",
-			given: situation{Members: threeAndOne, Wanted: 3, Leaving: ids(3), Successors: ids(4)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, Leaving: memberIDs(3), Successors: memberIDs(4)}},
 		{name: "a surplus voter that is leaving becomes a learner",
-			given: situation{Members: four, Wanted: 3, Leaving: ids(3)},
+			given: observedState{Members: four, DesiredVoters: 3, Leaving: memberIDs(3)},
 			want:  added(learner(3))},
 		{name: "a stand-by that was there before is no successor: the voter may be back soon",
-			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(3)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3)}},
 		{name: "a learner that is leaving itself is no successor",
-			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(3, 4), Successors: ids(4)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3, 4), Successors: memberIDs(4)}},
 		{name: "the leader does not give its own place away",
-			given: situation{Members: threeAndOne, Wanted: 3, PromotableLearners: ids(4), Leaving: ids(1), Successors: ids(4)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(1), Successors: memberIDs(4)}},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			one.given.Self = 1
-			got, found := nextStep(one.given)
+			got, found := nextMembershipChange(one.given)
 			if found != (one.want != replica.Change{}) || !sameChange(got.Change, one.want) || got.Confirm.ID != one.confirm {
 				t.Fatalf("got %s confirmed by %d, want %s by %d",
 					changeText(got.Change), got.Confirm.ID, changeText(one.want), one.confirm)
@@ -147,19 +147,19 @@
 	}
 }
 
-func TestSilenceUnderANewLeader(t *testing.T) {
+func TestTimeSinceHeard_newLeader(t *testing.T) {
 	start := time.Now()
 	for _, one := range []struct {
 		name               string
 		heard, led, silent time.Duration // before now
 	}{
 		{"heard since it leads", 50 * time.Millisecond, time.Hour, 50 * time.Millisecond},
-		{"silent since it leads, for a moment", time.Hour, newLeaderPatience - 1, newLeaderPatience - 1},
-		{"heard shortly before it led, and not since", newLeaderPatience + time.Millisecond, newLeaderPatience, newLeaderPatience + time.Millisecond},
-		{"lost before it led", time.Hour, newLeaderPatience, goneAfter},
-		{"silent for long under this leader", time.Hour, lostLearnerAfter, lostLearnerAfter},
+		{"silent since it leads, for a moment", time.Hour, newLeaderGracePeriod - 1, newLeaderGracePeriod - 1},
+		{"heard shortly before it led, and not since", newLeaderGracePeriod + time.Millisecond, newLeaderGracePeriod, newLeaderGracePeriod + time.Millisecond},
+		{"lost before it led", time.Hour, newLeaderGracePeriod, voterTimeout},
+		{"silent for long under this leader", time.Hour, learnerTimeout, learnerTimeout},
 	} {
-		if got := silence(start, start.Add(-one.heard), start.Add(-one.led)); got != one.silent {
+		if got := timeSinceHeard(start, start.Add(-one.heard), start.Add(-one.led)); got != one.silent {
 			t.Errorf("%s: %s, want %s", one.name, got, one.silent)
 		}
 	}
@@ -179,35 +179,35 @@
 	return fmt.Sprintf("remove %d", change.Remove)
 }
 
-// world is a group together with the keepers that run; each asks whenever it is not a voter.
-type world struct {
+// simulatedGroup is a group together with the keepers that run; each asks whenever it is not a voter.
+type simulatedGroup struct {
 	members []consensus.Member
 	running map[string]consensus.MemberID // by address
 	wanted  int
 }
 
-func (w *world) situation() situation {
-	s := situation{Self: 1, Members: w.members, Wanted: w.wanted, Spares: 1, Silent: map[consensus.MemberID]time.Duration{}}
+func (w *simulatedGroup) observe() observedState {
+	s := observedState{Self: 1, Members: w.members, DesiredVoters: w.wanted, SpareLearners: 1, SinceHeard: map[consensus.MemberID]time.Duration{}}
 	for address, id := range w.running {
 		member, found := s.member(id)
 		if !found || !member.Voter {
-			s.Candidates = append(s.Candidates, candidate{ID: id, Address: address})
+			s.JoinRequests = append(s.JoinRequests, joinRequest{ID: id, Address: address})
 		}
 		if found && !member.Voter {
 			s.PromotableLearners = append(s.PromotableLearners, id)
-			s.Steady = append(s.Steady, id)
+			s.Stable = append(s.Stable, id)
 		}
 	}
 	for _, member := range w.members {
 		if _, runs := w.running[member.Address]; !runs {
-			s.Silent[member.ID] = lostLearnerAfter
+			s.SinceHeard[member.ID] = learnerTimeout
 		}
 	}
 	return s
 }
 
 // apply makes a change as a group does; it returns false for one that a group would refuse.
-func (w *world) apply(change replica.Change) bool {
+func (w *simulatedGroup) apply(change replica.Change) bool {
 	if change.Add == nil {
 		kept := []consensus.Member{}
 		for _, member := range w.members {
@@ -229,7 +229,7 @@
 	return !change.Add.Voter
 }
 
-func (w *world) runningVoters() (running, all int) {
+func (w *simulatedGroup) runningVoters() (running, all int) {
 	for _, member := range w.members {
 		if !member.Voter {
 			continue
@@ -242,16 +242,16 @@
 	return running, all
 }
 
-func TestReconciliationReachesWhatIsWanted(t *testing.T) {
+func TestNextMembershipChange_reachesDesiredVoters(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("whatever came and went, the group ends with as many running voters as it can", prop.ForAll(
 		func(fate []int, tolerated int) bool {
-			w := &world{running: map[string]consensus.MemberID{"k1": 1}, wanted: 2*tolerated + 1}
+			w := &simulatedGroup{running: map[string]consensus.MemberID{"k1": 1}, wanted: 2*tolerated + 1}
 			w.members = []consensus.Member{voter(1)}
 			for i, what := range fate {
 				addFate(w, consensus.MemberID(i+2), what)
 			}
-			return settles(w)
+			return converges(w)
 		},
 		gen.SliceOfN(7, gen.IntRange(0, 4)), gen.IntRange(1, 2),
 	))
@@ -259,7 +259,7 @@
 }
 
 // addFate adds one more machine, as a member, wiped, gone, or new.
-func addFate(w *world, id consensus.MemberID, fate int) {
+func addFate(w *simulatedGroup, id consensus.MemberID, fate int) {
 	address := fmt.Sprintf("k%d", id)
 	_, voters := w.runningVoters()
 	place := voters < w.wanted
@@ -277,11 +277,11 @@
 	}
 }
 
-func settles(w *world) bool {
+func converges(w *simulatedGroup) bool {
 	const mostChanges = 50
 	for range mostChanges {
 		before, voters := w.runningVoters()
-		next, found := nextStep(w.situation())
+		next, found := nextMembershipChange(w.observe())
 		if !found {
 			most := min(w.wanted, len(w.running))
 			least := most - 1 + most%2 // an even number of voters bears no more losses than the odd one below it
@@ -297,22 +297,22 @@
 	return false
 }
 
-// TestLearnersThatAreReadyLongestComeFirst holds the order in which learners are to become voters: one whose disk hung is
+// TestServer_TrackReadiness_longestReadyFirst holds the order in which learners are to become voters: one whose disk hung is
 // ready anew, and after the others.
-func TestLearnersThatAreReadyLongestComeFirst(t *testing.T) {
-	k, _, _ := scripted(t)
-	shard := k.shards[1]
+func TestServer_TrackReadiness_longestReadyFirst(t *testing.T) {
+	s, _, _ := newScriptedServer(t)
+	shard := s.shards[1]
 	start := time.Now()
 	at := func(after time.Duration, ready ...consensus.MemberID) []consensus.MemberID {
-		return k.noteReady(shard, ready, start.Add(after))
+		return s.trackReadiness(shard, ready, start.Add(after))
 	}
 	at(0, 4, 5)
-	later := readyGap + time.Millisecond
+	later := readinessGap + time.Millisecond
 	at(later, 5)
-	for after := later; after < later+steadyAfter; after += readyGap {
+	for after := later; after < later+stableAfter; after += readinessGap {
 		at(after, 4, 5)
 	}
-	if steady := at(later+steadyAfter, 4, 5); !slices.Equal(steady, ids(5, 4)) {
+	if steady := at(later+stableAfter, 4, 5); !slices.Equal(steady, memberIDs(5, 4)) {
 		t.Fatalf("ready for some time: %v", steady)
 	}
 }
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -16,22 +16,22 @@
 
 // Kinds of calls between keepers.
 const (
-	callReplace    peertransport.CallKind = 1 // a whole configuration
-	callUpdate     peertransport.CallKind = 2 // a change of it
-	callRead       peertransport.CallKind = 3 // the newest configuration
-	callBeat       peertransport.CallKind = 4 // a worker's heartbeat
-	callNodes      peertransport.CallKind = 5 // heartbeats of edge nodes
-	callDeregister peertransport.CallKind = 6
-	callJoin       peertransport.CallKind = 7  // a keeper asks to be taken into groups
-	callCurrency   peertransport.CallKind = 8  // which shards a keeper could own
-	callPresences  peertransport.CallKind = 9  // instances whose heartbeats another keeper has acknowledged
-	callIdentity   peertransport.CallKind = 10 // which member lives at this address
-	callLeave      peertransport.CallKind = 11 // a keeper that is about to end offers its places in groups
-	callDemand     peertransport.CallKind = 12 // the demand of services that a keeper's proxies report
+	callReplace         peertransport.CallKind = 1 // a whole configuration
+	callUpdate          peertransport.CallKind = 2 // a change of it
+	callRead            peertransport.CallKind = 3 // the newest configuration
+	callHeartbeat       peertransport.CallKind = 4 // a worker's heartbeat
+	callNodeHeartbeats  peertransport.CallKind = 5 // heartbeats of edge nodes
+	callDeregister      peertransport.CallKind = 6
+	callJoin            peertransport.CallKind = 7  // a keeper asks to be taken into groups
+	callGroupStates     peertransport.CallKind = 8  // which shards a keeper could own
+	callSessionLiveness peertransport.CallKind = 9  // instances whose heartbeats another keeper has acknowledged
+	callIdentity        peertransport.CallKind = 10 // which member lives at this address
+	callLeave           peertransport.CallKind = 11 // a keeper that is about to end offers its places in groups
+	callDemand          peertransport.CallKind = 12 // the demand of services that a keeper's proxies report
 )
 
-// call is what the owner of a shard is asked.
-type call struct {
+// shardRequest is what the owner of a shard is asked.
+type shardRequest struct {
 	Kind  peertransport.CallKind
 	Shard shards.ID
 	ID    string // of the instance
@@ -39,8 +39,8 @@
 	Body  []byte
 }
 
-// answer is what the owner of a shard says.
-type answer struct {
+// shardResponse is what the owner of a shard says.
+type shardResponse struct {
 	NotOwner bool   // nothing was done; Leader is the address of the owner, if known
 	Leader   string // "ip:port" of the peer listener
 	Status   int    // of HTTP
@@ -50,15 +50,15 @@
 	Known    bool   // Deregister: the instance was known
 }
 
-// node is one edge node whose agent reads this keeper's feed.
-type node struct {
+// edgeNode is one edge node whose agent reads this keeper's feed.
+type edgeNode struct {
 	ID      string
 	Address string // "ip:port"
 	Zone    string
 }
 
-// presence tells that an instance was heard.
-type presence struct {
+// sessionHeartbeat tells that an instance was heard.
+type sessionHeartbeat struct {
 	ID       string
 	Sequence int64 // of its heartbeat
 }
@@ -73,13 +73,13 @@
 
 // identityReply tells which member lives at an address.
 type identityReply struct {
-	ID      consensus.MemberID
-	Age     time.Duration // since its process began
-	Leaving bool          // it is about to end
+	ID           consensus.MemberID
+	Age          time.Duration // since its process began
+	ShuttingDown bool          // it is about to end
 }
 
-// keeperInfo tells where a keeper is.
-type keeperInfo struct {
+// serverInfo tells where a keeper is.
+type serverInfo struct {
 	Address string // "ip:port" of the peer listener
 	Zone    string
 	Region  string
@@ -93,7 +93,7 @@
 		{"name":"Base","type":"long"},
 		{"name":"Body","type":"bytes"}]}`)
 
-	answerSchema = avro.MustParse(`{"type":"record","name":"Answer","fields":[
+	responseSchema = avro.MustParse(`{"type":"record","name":"Answer","fields":[
 		{"name":"NotOwner","type":"boolean"},
 		{"name":"Leader","type":"string"},
 		{"name":"Status","type":"int"},
@@ -107,7 +107,7 @@
 		{"name":"Address","type":"string"},
 		{"name":"Zone","type":"string"}]}}`)
 
-	presencesSchema = avro.MustParse(`{"type":"array","items":{"type":"record","name":"Presence","fields":[
+	sessionHeartbeatsSchema = avro.MustParse(`{"type":"array","items":{"type":"record","name":"Presence","fields":[
 		{"name":"ID","type":"string"},
 		{"name":"Sequence","type":"long"}]}}`)
 
@@ -122,7 +122,7 @@
 		{"name":"AgeMs","type":"long"},
 		{"name":"Leaving","type":"boolean"}]}`)
 
-	keepersSchema = avro.MustParse(`{"type":"array","items":{"type":"record","name":"Keeper","fields":[
+	serversSchema = avro.MustParse(`{"type":"array","items":{"type":"record","name":"Keeper","fields":[
 		{"name":"Address","type":"string"},
 		{"name":"Zone","type":"string"},
 		{"name":"Region","type":"string"}]}}`)
@@ -131,29 +131,29 @@
 // codec admits strings and byte fields up to the length of a frame.
 var codec = avro.Config{MaxByteSliceSize: feedtransport.MaxFrameBytes}.Freeze()
 
-// wireCall mirrors callSchema.
-type wireCall struct {
+// wireShardRequest mirrors callSchema.
+type wireShardRequest struct {
 	Kind        int
 	Shard, Base int64
 	ID          string
 	Body        []byte
 }
 
-func encodeCall(c call) ([]byte, error) {
-	return codec.Marshal(callSchema, wireCall{
+func encodeShardRequest(c shardRequest) ([]byte, error) {
+	return codec.Marshal(callSchema, wireShardRequest{
 		Kind: int(c.Kind), Shard: int64(c.Shard), Base: int64(c.Base), ID: c.ID, Body: c.Body,
 	})
 }
 
-func decodeCall(body []byte) (call, error) {
-	var wire wireCall
+func decodeShardRequest(body []byte) (shardRequest, error) {
+	var wire wireShardRequest
 	if err := strictavro.Unmarshal(codec, callSchema, body, &wire); err != nil {
-		return call{}, fmt.Errorf("keeper: call: %w", err)
+		return shardRequest{}, fmt.Errorf("keeper: call: %w", err)
 	}
 	if wire.Shard < 0 || wire.Shard >= shards.Count {
-		return call{}, fmt.Errorf("keeper: call: no shard %d", wire.Shard)
+		return shardRequest{}, fmt.Errorf("keeper: call: no shard %d", wire.Shard)
 	}
-	return call{
+	return shardRequest{
 		Kind: peertransport.CallKind(wire.Kind), Shard: shards.ID(wire.Shard),
 		Base: uint64(wire.Base), ID: wire.ID, Body: wire.Body,
 	}, nil
@@ -167,7 +167,7 @@
 
 func encodeIdentity(identity identityReply) ([]byte, error) {
 	return codec.Marshal(identitySchema, wireIdentity{
-		Member: int64(identity.ID), AgeMs: identity.Age.Milliseconds(), Leaving: identity.Leaving,
+		Member: int64(identity.ID), AgeMs: identity.Age.Milliseconds(), Leaving: identity.ShuttingDown,
 	})
 }
 
@@ -177,38 +177,40 @@
 		return identityReply{}, fmt.Errorf("keeper: identity: %w", err)
 	}
 	return identityReply{
-		ID: consensus.MemberID(wire.Member), Age: time.Duration(wire.AgeMs) * time.Millisecond, Leaving: wire.Leaving,
+		ID: consensus.MemberID(wire.Member), Age: time.Duration(wire.AgeMs) * time.Millisecond, ShuttingDown: wire.Leaving,
 	}, nil
 }
 
-func encodeAnswer(a answer) ([]byte, error) { return codec.Marshal(answerSchema, a) }
+func encodeShardResponse(a shardResponse) ([]byte, error) { return codec.Marshal(responseSchema, a) }
 
-func decodeAnswer(body []byte) (answer, error) {
-	var a answer
-	if err := strictavro.Unmarshal(codec, answerSchema, body, &a); err != nil {
-		return answer{}, fmt.Errorf("keeper: answer: %w", err)
+func decodeShardResponse(body []byte) (shardResponse, error) {
+	var a shardResponse
+	if err := strictavro.Unmarshal(codec, responseSchema, body, &a); err != nil {
+		return shardResponse{}, fmt.Errorf("keeper: answer: %w", err)
 	}
-	if !a.isClear() {
-		return answer{}, fmt.Errorf("keeper: answer: status %d", a.Status)
+	if !a.isDefinitive() {
+		return shardResponse{}, fmt.Errorf("keeper: answer: status %d", a.Status)
 	}
 	return a, nil
 }
 
-// isClear tells whether an answer is one that an owner gives: a success, a refusal, or that it is not
+// isDefinitive tells whether an answer is one that an owner gives: a success, a refusal, or that it is not
 // known what became of the call, or not done.
-func (a answer) isClear() bool {
+func (a shardResponse) isDefinitive() bool {
 	refused := a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError
 	return a.NotOwner || a.Status == http.StatusOK || refused || a.Status == http.StatusServiceUnavailable
 }
 
-// succeeded is the answer to a call that was carried out.
-func succeeded(body []byte) answer { return answer{Status: http.StatusOK, Body: body} }
+// okResponse is the answer to a call that was carried out.
+func okResponse(body []byte) shardResponse { return shardResponse{Status: http.StatusOK, Body: body} }
 
-// failed is the answer of one of this package's codes.
-func failed(code Code) answer {
+// errorResponse is the answer of one of this package's codes.
+func errorResponse(code Code) shardResponse {
 	entry := codes.Entry(code)
-	return answer{Status: entry.HTTPStatus, Code: int(code), Text: entry.Text}
+	return shardResponse{Status: entry.HTTPStatus, Code: int(code), Text: entry.Text}
 }
 
-// notOwner is the answer of a keeper that does not lead the shard.
-func notOwner(leader string) answer { return answer{NotOwner: true, Leader: leader} }
+// notOwnerResponse is the answer of a keeper that does not lead the shard.
+func notOwnerResponse(leader string) shardResponse {
+	return shardResponse{NotOwner: true, Leader: leader}
+}
