--- a/internal/controlplane/server/planned_replacement_test.go
+++ b/internal/controlplane/server/planned_replacement_test.go
@@ -8,9 +8,9 @@
 	"ospreybend/coord/consensus"
 )
 
-// places counts the voters and learners of all shards by address, as the shards' leaders among some keepers see them. It
+// votersAndLearners counts the voters and learners of all shards by address, as the shards' leaders among some keepers see them. It
 // returns false while a shard has no leader among them.
-func (f *fleet) places(among ...int) (voters, learners map[string]int, led bool) {
+func (f *testCluster) votersAndLearners(among ...int) (voters, learners map[string]int, led bool) {
 	voters, learners = map[string]int{}, map[string]int{}
 	leaders := 0
 	for _, i := range among {
@@ -32,30 +32,30 @@
 	return voters, learners, leaders == len(allShards)
 }
 
-// TestPlannedReplacementLeavesNoGap starts a fourth keeper, ends a voter as a SIGTERM does, and expects the place to be
+// TestCluster_plannedReplacementKeepsVoters starts a fourth keeper, ends a voter as a SIGTERM does, and expects the place to be
 // taken before that process has ended, unless it had to end before.
-func TestPlannedReplacementLeavesNoGap(t *testing.T) {
-	f := newFleet(t, 4)
+func TestCluster_plannedReplacementKeepsVoters(t *testing.T) {
+	f := newTestCluster(t, 4)
 	for i := range 3 {
 		f.start(i)
 	}
-	f.await("formation", func() bool { return f.settled(0, 3) && f.settled(1, 3) && f.settled(2, 3) })
-	status, content := f.insist(0, http.MethodPost, "/-/Config.Replace", 0, configurationOf(1))
-	f.expect(http.StatusOK, status, content)
+	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	f.requireStatus(http.StatusOK, status, content)
 
 	f.processes[3].config.Bootstrap = false
 	f.start(3)
 	shards := len(allShards)
-	newcomer := ownAddress(f.processes[3].config)
+	newcomer := ownPeerAddress(f.processes[3].config)
 	f.await("a warm learner", func() bool {
-		_, learners, _ := f.places(0, 1, 2)
+		_, learners, _ := f.votersAndLearners(0, 1, 2)
 		report, answers := f.status(3)
 		for _, shard := range report.Shards {
 			answers = answers && shard.Current
 		}
 		return answers && learners[newcomer] == shards
 	})
-	took := f.finish(0)
+	took := f.terminate(0)
 	t.Logf("the old keeper left in %s", took)
 	if took > 2*time.Second {
 		t.Errorf("leaving took %s", took)
@@ -63,21 +63,21 @@
 	ended := time.Now()
 	var voters map[string]int
 	handedOver := func() bool {
-		return voters[newcomer] == shards && voters[ownAddress(f.processes[0].config)] == 0
+		return voters[newcomer] == shards && voters[ownPeerAddress(f.processes[0].config)] == 0
 	}
 	f.await("leaders", func() (led bool) {
-		voters, _, led = f.places(1, 2, 3)
+		voters, _, led = f.votersAndLearners(1, 2, 3)
 		return led
 	})
-	inTime := took < transferBudget*3/4 // on a machine under load the time that it gives itself may run out
-	if inTime && (!handedOver() || time.Since(ended) >= goneAfter) {
+	inTime := took < leaderTransferTimeout*3/4 // on a machine under load the time that it gives itself may run out
+	if inTime && (!handedOver() || time.Since(ended) >= voterTimeout) {
 		t.Fatalf("%s after the old keeper ended, the voters are %v", time.Since(ended), voters)
 	}
 	f.await("a successor for each place", func() bool {
-		voters, _, _ = f.places(1, 2, 3)
+		voters, _, _ = f.votersAndLearners(1, 2, 3)
 		return handedOver()
 	})
-	f.finish(2) // a second loss right after the replacement
-	status, content = f.insist(1, http.MethodPost, "/-/Config.Replace", 1, configurationOf(2))
-	f.expect(http.StatusOK, status, content)
+	f.terminate(2) // a second loss right after the replacement
+	status, content = f.doUntilDefinitive(1, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	f.requireStatus(http.StatusOK, status, content)
 }
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -18,17 +18,17 @@
 
 const stagedService = "llm"
 
-// scriptedWorkers are the workers that a keeper calls.
-type scriptedWorkers struct {
+// scriptedWorkerClient are the workers that a keeper calls.
+type scriptedWorkerClient struct {
 	mutex  sync.Mutex
-	orders []StageOrder
+	orders []RoleCommand
 	status int
-	before func(order StageOrder)
+	before func(order RoleCommand)
 	stages map[string]string // by ID, as workers tell when asked
 	asked  int
 }
 
-func (w *scriptedWorkers) Order(_ context.Context, order StageOrder) int {
+func (w *scriptedWorkerClient) SendRoleCommand(_ context.Context, order RoleCommand) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.before != nil {
@@ -38,38 +38,38 @@
 	return w.status
 }
 
-func (w *scriptedWorkers) Stage(_ context.Context, instance, _ string) string {
+func (w *scriptedWorkerClient) ReportedRole(_ context.Context, instance, _ string) string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.asked++
 	return w.stages[instance]
 }
 
-func (w *scriptedWorkers) given() []StageOrder {
+func (w *scriptedWorkerClient) commands() []RoleCommand {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]StageOrder(nil), w.orders...)
+	return append([]RoleCommand(nil), w.orders...)
 }
 
-// stagedScene is a keeper that owns the shard of a service with two readers and seven writers.
-type stagedScene struct {
+// rolePlannerFixture is a keeper that owns the shard of a service with two readers and seven writers.
+type rolePlannerFixture struct {
 	*testing.T
-	keeper  *Keeper
+	keeper  *Server
 	group   *scriptedGroup
-	workers *scriptedWorkers
+	workers *scriptedWorkerClient
 	id      shards.ID
-	held    stageShard
+	held    shardRoles
 	now     time.Time // of the scene's clock
 }
 
-func newStagedScene(t *testing.T) *stagedScene {
-	k, groups, _ := scripted(t)
-	scene := &stagedScene{T: t, keeper: k, id: shards.Of(stagedService), workers: &scriptedWorkers{status: http.StatusAccepted}, now: k.started}
-	k.outside.Now = func() time.Time { return scene.now }
+func newRolePlannerFixture(t *testing.T) *rolePlannerFixture {
+	s, groups, _ := newScriptedServer(t)
+	scene := &rolePlannerFixture{T: t, keeper: s, id: shards.Of(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
+	s.environment.Now = func() time.Time { return scene.now }
 	scene.group = groups[scene.id]
-	k.outside.Orders = scene.workers
+	s.environment.Workers = scene.workers
 	index := uint64(0)
-	machine := k.instances(scene.id)
+	machine := s.instances(scene.id)
 	scene.group.submit = func(_ context.Context, data []byte) (any, error) {
 		scene.workers.mutex.Lock()
 		defer scene.workers.mutex.Unlock()
@@ -85,107 +85,107 @@
 		index++
 		machine.Apply(consensus.Entry{Index: index, Data: registry.EncodePut(instance, 1)})
 	}
-	scene.own(3)
+	scene.becomeOwner(3)
 	return scene
 }
 
-// own makes the keeper the owner in a term.
-func (s *stagedScene) own(term uint64) {
+// becomeOwner makes the keeper the owner in a term.
+func (s *rolePlannerFixture) becomeOwner(term uint64) {
 	status := leaderStatus()
 	status.Term = term
 	s.group.set(status)
 	machine := s.keeper.instances(s.id)
-	machine.setLeading(term)
-	machine.gained(s.now, term)
+	machine.setLeaderTerm(term)
+	machine.ownershipGained(s.now, term)
 }
 
 // run plays a time in the loop's steps, while proxies report a demand that needs more readers.
-func (s *stagedScene) run(span time.Duration) {
-	for end := s.now.Add(span); s.now.Before(end); s.now = s.now.Add(stagesInterval) {
+func (s *rolePlannerFixture) run(span time.Duration) {
+	for end := s.now.Add(span); s.now.Before(end); s.now = s.now.Add(rolePlanInterval) {
 		report, err := roleplanner.EncodeReport([]roleplanner.ServiceDemand{{Service: stagedService, Demand: roleplanner.Demand{
 			Offered: 30, Started: 30, Prefill: 3, PrefillDone: 1.9, PrefillTime: 10, Slots: 0.4}}})
 		if err != nil {
 			s.Fatal(err)
 		}
 		s.keeper.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, report)
-		for id, sums := range s.keeper.demands.byShard(s.keeper.sinceStart()) {
+		for id, sums := range s.keeper.demands.byShard(s.keeper.uptime()) {
 			body, _ := roleplanner.EncodeReport(sums)
-			s.keeper.execute(s.Context(), call{Kind: callDemand, Shard: id, ID: "self", Body: body})
+			s.keeper.execute(s.Context(), shardRequest{Kind: callDemand, Shard: id, ID: "self", Body: body})
 		}
-		s.keeper.controlShard(s.Context(), s.keeper.shards[s.id], &s.held)
+		s.keeper.planShardRoles(s.Context(), s.keeper.shards[s.id], &s.held)
 	}
 }
 
-func TestANewOwnerGivesNoOrderWithinTheLeaseOfTheOneBefore(t *testing.T) {
-	s := newStagedScene(t)
+func TestServer_PlanShardRoles_newOwnerWaitsOutEarlierLease(t *testing.T) {
+	s := newRolePlannerFixture(t)
 	lease := bootconfig.Millis(s.keeper.settings.Bounds.LeaseMs)
 	s.run(lease)
-	if orders := s.workers.given(); len(orders) != 0 {
+	if orders := s.workers.commands(); len(orders) != 0 {
 		s.Fatalf("%+v", orders)
 	}
 	s.run(4 * time.Second)
-	orders := s.workers.given()
+	orders := s.workers.commands()
 	if len(orders) == 0 {
 		s.Fatal("no order")
 	}
 	for _, order := range orders {
-		if order.Fence != 3 || order.Holder != s.keeper.settings.NodeName || order.Stage != roleplanner.Prefill || order.Address == "" {
+		if order.FencingToken != 3 || order.LeaseHolder != s.keeper.settings.NodeName || order.Role != roleplanner.Prefill || order.Address == "" {
 			s.Fatalf("%+v", order)
 		}
 	}
-	s.own(7)
+	s.becomeOwner(7)
 	before := len(orders)
 	s.run(lease)
-	if after := s.workers.given(); len(after) != before {
+	if after := s.workers.commands(); len(after) != before {
 		s.Fatalf("%d orders within the lease of the term before", len(after)-before)
 	}
 }
 
-func TestAnOwnerWithoutContactGivesNoOrder(t *testing.T) {
-	s := newStagedScene(t)
+func TestServer_PlanShardRoles_ownerWithoutQuorumContactSendsNothing(t *testing.T) {
+	s := newRolePlannerFixture(t)
 	status := leaderStatus()
-	status.ConfirmedAge = 2 * currencyAge
+	status.ConfirmedAge = 2 * currentMaxAge
 	s.group.set(status)
 	s.run(20 * time.Second)
-	if orders := s.workers.given(); len(orders) != 0 {
+	if orders := s.workers.commands(); len(orders) != 0 {
 		s.Fatalf("%+v", orders)
 	}
 }
 
-func TestAKeeperThatDoesNotOwnTheShardGivesNoOrder(t *testing.T) {
-	s := newStagedScene(t)
+func TestServer_PlanShardRoles_nonOwnerSendsNothing(t *testing.T) {
+	s := newRolePlannerFixture(t)
 	s.run(5 * time.Second)
-	before := len(s.workers.given())
-	s.group.set(followerOf("b"))
-	s.keeper.instances(s.id).setLeading(0)
+	before := len(s.workers.commands())
+	s.group.set(followerStatus("b"))
+	s.keeper.instances(s.id).setLeaderTerm(0)
 	s.run(20 * time.Second)
-	if after := len(s.workers.given()); after != before || s.held.term != 0 {
+	if after := len(s.workers.commands()); after != before || s.held.term != 0 {
 		s.Fatalf("%d orders", after-before)
 	}
 }
 
-func TestAStageIsRecordedAsWantedBeforeItIsOrdered(t *testing.T) {
-	s := newStagedScene(t)
+func TestServer_PlanShardRoles_assignmentIsRecordedBeforeCommand(t *testing.T) {
+	s := newRolePlannerFixture(t)
 	early := 0
-	s.workers.before = func(order StageOrder) {
-		if s.keeper.instances(s.id).store.Instance(order.Instance).Assigned != order.Stage {
+	s.workers.before = func(order RoleCommand) {
+		if s.keeper.instances(s.id).store.Instance(order.Instance).Assigned != order.Role {
 			early++
 		}
 	}
 	s.run(6 * time.Second)
-	if len(s.workers.given()) == 0 || early > 0 {
-		s.Fatalf("%d of %d orders came before their record", early, len(s.workers.given()))
+	if len(s.workers.commands()) == 0 || early > 0 {
+		s.Fatalf("%d of %d orders came before their record", early, len(s.workers.commands()))
 	}
 }
 
-func TestAWorkerThatHasTurnedIsRecordedWithoutItsHeartbeat(t *testing.T) {
-	s := newStagedScene(t)
+func TestServer_PlanShardRoles_completedTransitionIsRecordedWithoutHeartbeat(t *testing.T) {
+	s := newRolePlannerFixture(t)
 	s.run(6 * time.Second)
 	if s.workers.asked == 0 {
 		s.Fatal("no worker was asked")
 	}
 	s.workers.stages = map[string]string{}
-	for _, order := range s.workers.given() {
+	for _, order := range s.workers.commands() {
 		s.workers.stages[order.Instance] = roleplanner.Prefill
 	}
 	s.run(time.Second)
@@ -196,21 +196,21 @@
 	}
 }
 
-func TestDemandThatIsNoReportIsDropped(t *testing.T) {
-	k, _, _ := scripted(t)
-	k.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, []byte{9, 9})
-	k.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicSuspicion, nil)
-	if sums := k.demands.byShard(0); len(sums) != 0 {
+func TestServer_OnReport_invalidDemandIsDropped(t *testing.T) {
+	s, _, _ := newScriptedServer(t)
+	s.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, []byte{9, 9})
+	s.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicSuspicion, nil)
+	if sums := s.demands.byShard(0); len(sums) != 0 {
 		t.Fatal(sums)
 	}
 }
 
-func TestResultsOfOrders(t *testing.T) {
+func TestCommandResult(t *testing.T) {
 	for status, expected := range map[int]roleplanner.Result{
 		200: roleplanner.Accepted, 202: roleplanner.Accepted, 409: roleplanner.Busy, 503: roleplanner.Busy, 0: roleplanner.Busy,
 		400: roleplanner.Rejected, 412: roleplanner.Rejected, 421: roleplanner.Rejected,
 	} {
-		if result := resultOfOrder(status); result != expected {
+		if result := commandResult(status); result != expected {
 			t.Errorf("%d is %d", status, result)
 		}
 	}
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -10,109 +10,109 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// presences are the heartbeats that this keeper has acknowledged by itself and the owners of their shards have not been
+// livenessReports are the heartbeats that this keeper has acknowledged by itself and the owners of their shards have not been
 // told of.
-type presences struct {
+type livenessReports struct {
 	mutex sync.Mutex
 	heard [shards.Count]map[string]uint64 // the highest sequence, by instance
-	came  chan struct{}
+	added chan struct{}
 }
 
-func newPresences() *presences { return &presences{came: make(chan struct{}, 1)} }
+func newLivenessReports() *livenessReports { return &livenessReports{added: make(chan struct{}, 1)} }
 
-func (p *presences) note(shard shards.ID, id string, sequence uint64) {
+func (p *livenessReports) record(shard shards.ID, id string, sequence uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.heard[shard] == nil {
 		p.heard[shard] = make(map[string]uint64)
-		kick(p.came)
+		notify(p.added)
 	}
 	p.heard[shard][id] = max(p.heard[shard][id], sequence)
 }
 
-// take returns what was noted of a shard since the last call.
-func (p *presences) take(shard shards.ID) []presence {
+// drain returns what was noted of a shard since the last call.
+func (p *livenessReports) drain(shard shards.ID) []sessionHeartbeat {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	taken := make([]presence, 0, len(p.heard[shard]))
+	taken := make([]sessionHeartbeat, 0, len(p.heard[shard]))
 	for id, sequence := range p.heard[shard] {
-		taken = append(taken, presence{ID: id, Sequence: int64(sequence)})
+		taken = append(taken, sessionHeartbeat{ID: id, Sequence: int64(sequence)})
 	}
 	p.heard[shard] = nil
 	return taken
 }
 
-// acknowledgeHere tells whether a heartbeat may be acknowledged without its shard's owner: this replica is current and
+// acknowledgeLocally tells whether a heartbeat may be acknowledged without its shard's owner: this replica is current and
 // has just what the heartbeat says. The owner is told within presenceInterval that the instance was heard.
-func (k *Keeper) acknowledgeHere(shard shards.ID, beat registry.Heartbeat) bool {
-	machine := k.instances(shard)
-	status := k.shards[shard].group.Status()
+func (s *Server) acknowledgeLocally(shard shards.ID, heartbeat registry.Heartbeat) bool {
+	machine := s.instances(shard)
+	status := s.shards[shard].group.Status()
 	if machine == nil || status.IsLeader() {
 		return false
 	}
-	if !current(status) && k.outside.holds(GuardBeatCurrent) {
+	if !current(status) && s.environment.guardEnabled(GuardHeartbeatCurrent) {
 		return false
 	}
-	if !machine.records(beat) && k.outside.holds(GuardBeatRecorded) {
+	if !machine.matchesRecord(heartbeat) && s.environment.guardEnabled(GuardHeartbeatRecorded) {
 		return false
 	}
-	k.presences.note(shard, beat.ID, beat.Sequence)
+	s.liveness.record(shard, heartbeat.ID, heartbeat.Sequence)
 	return true
 }
 
-// tellPresences tells the owners of shards who was heard, until ctx ends. It sleeps while nobody is.
-func (k *Keeper) tellPresences(ctx context.Context) {
-	timer := time.NewTimer(presenceInterval)
+// runLivenessReports tells the owners of shards who was heard, until ctx ends. It sleeps while nobody is.
+func (s *Server) runLivenessReports(ctx context.Context) {
+	timer := time.NewTimer(livenessReportInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.presences.came:
+		case <-s.liveness.added:
 		}
-		timer.Reset(presenceInterval)
+		timer.Reset(livenessReportInterval)
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
 		for _, id := range allShards {
-			k.tellOwner(ctx, id)
+			s.reportLiveness(ctx, id)
 		}
 	}
 }
 
-// tellOwner tells the owner of one shard. What it cannot be told is dropped: the instances send again.
-func (k *Keeper) tellOwner(ctx context.Context, id shards.ID) {
-	heard := k.presences.take(id)
+// reportLiveness tells the owner of one shard. What it cannot be told is dropped: the instances send again.
+func (s *Server) reportLiveness(ctx context.Context, id shards.ID) {
+	heard := s.liveness.drain(id)
 	if len(heard) == 0 {
 		return
 	}
-	body, err := codec.Marshal(presencesSchema, heard)
+	body, err := codec.Marshal(sessionHeartbeatsSchema, heard)
 	if err != nil {
 		return
 	}
-	k.carryInBackground(ctx, call{Kind: callPresences, Shard: id, Body: body}, smallCallBudget)
+	s.forwardInBackground(ctx, shardRequest{Kind: callSessionLiveness, Shard: id, Body: body}, smallCallTimeout)
 }
 
-// carryInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
-func (k *Keeper) carryInBackground(ctx context.Context, c call, within time.Duration) {
-	k.background.Go(func() {
+// forwardInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
+func (s *Server) forwardInBackground(ctx context.Context, c shardRequest, within time.Duration) {
+	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
-		k.carry(ctx, c)
+		s.forward(ctx, c)
 	})
 }
 
-// takePresences notes as the owner of a shard whom another keeper has heard.
-func (k *Keeper) takePresences(c call) answer {
-	var heard []presence
-	machine := k.instances(c.Shard)
-	if machine == nil || strictavro.Unmarshal(codec, presencesSchema, c.Body, &heard) != nil {
-		return failed(InternalFault)
+// executeSessionLiveness notes as the owner of a shard whom another keeper has heard.
+func (s *Server) executeSessionLiveness(c shardRequest) shardResponse {
+	var heard []sessionHeartbeat
+	machine := s.instances(c.Shard)
+	if machine == nil || strictavro.Unmarshal(codec, sessionHeartbeatsSchema, c.Body, &heard) != nil {
+		return errorResponse(InternalFault)
 	}
-	if !machine.heard(k.outside.Now(), heard) {
-		return notOwner(k.shards[c.Shard].group.Status().Leader.Address)
+	if !machine.recordHeard(s.environment.Now(), heard) {
+		return notOwnerResponse(s.shards[c.Shard].group.Status().Leader.Address)
 	}
-	return succeeded(emptyObject)
+	return okResponse(emptyObject)
 }
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -15,79 +15,79 @@
 	presentService = "s"
 )
 
-// withRecord returns a keeper that follows the shard of an instance and has its record.
-func withRecord(t *testing.T) (*Keeper, *scriptedGroup, registry.Heartbeat) {
+// newServerWithInstance returns a keeper that follows the shard of an instance and has its record.
+func newServerWithInstance(t *testing.T) (*Server, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
-	k, groups, _ := scripted(t)
+	s, groups, _ := newScriptedServer(t)
 	id := shards.Of(presentService)
-	beat, err := registry.ParseHeartbeat(presentID, []byte(beatOf("ready", 1)))
+	heartbeat, err := registry.ParseHeartbeat(presentID, []byte(heartbeatJSON("ready", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.instances(id).Apply(consensus.Entry{Index: 1, Data: registry.EncodePut(beat.Instance, beat.Sequence)})
-	groups[id].set(followerOf("b"))
-	return k, groups[id], beat
+	s.instances(id).Apply(consensus.Entry{Index: 1, Data: registry.EncodePut(heartbeat.Instance, heartbeat.Sequence)})
+	groups[id].set(followerStatus("b"))
+	return s, groups[id], heartbeat
 }
 
-func TestUnchangedBeatIsAcknowledgedByAnyCurrentKeeper(t *testing.T) {
-	k, _, beat := withRecord(t)
+func TestServer_AcknowledgeLocally_unchangedHeartbeatOnCurrentReplica(t *testing.T) {
+	s, _, heartbeat := newServerWithInstance(t)
 	id := shards.Of(presentService)
 	for _, sequence := range []uint64{5, 7, 6} {
-		beat.Sequence = sequence
-		if !k.acknowledgeHere(id, beat) {
+		heartbeat.Sequence = sequence
+		if !s.acknowledgeLocally(id, heartbeat) {
 			t.Fatal("an unchanged heartbeat was not acknowledged")
 		}
 	}
-	if drained := k.presences.take(id); len(drained) != 1 || drained[0] != (presence{ID: presentID, Sequence: 7}) {
+	if drained := s.liveness.drain(id); len(drained) != 1 || drained[0] != (sessionHeartbeat{ID: presentID, Sequence: 7}) {
 		t.Fatal(drained)
 	}
-	if drained := k.presences.take(id); len(drained) != 0 {
+	if drained := s.liveness.drain(id); len(drained) != 0 {
 		t.Fatal("told twice", drained)
 	}
 }
 
-func TestBeatGoesToTheOwner(t *testing.T) {
-	cases := map[string]func(k *Keeper, group *scriptedGroup, beat *registry.Heartbeat){
-		"draining":        func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.State = registry.Draining },
-		"another stage":   func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.Stage = "decode" },
-		"another address": func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.Address = "10.9.9.9:9" },
-		"not recorded":    func(_ *Keeper, _ *scriptedGroup, beat *registry.Heartbeat) { beat.ID = "i-2" },
-		"not current": func(_ *Keeper, group *scriptedGroup, _ *registry.Heartbeat) {
-			status := followerOf("b")
-			status.ConfirmedAge = 2 * currencyAge
+func TestServer_AcknowledgeLocally_changedHeartbeatNeedsOwner(t *testing.T) {
+	cases := map[string]func(s *Server, group *scriptedGroup, heartbeat *registry.Heartbeat){
+		"draining":        func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.State = registry.Draining },
+		"another stage":   func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Stage = "decode" },
+		"another address": func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Address = "10.9.9.9:9" },
+		"not recorded":    func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.ID = "i-2" },
+		"not current": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) {
+			status := followerStatus("b")
+			status.ConfirmedAge = 2 * currentMaxAge
 			group.set(status)
 		},
-		"leads itself": func(_ *Keeper, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
-		"removed": func(k *Keeper, _ *scriptedGroup, _ *registry.Heartbeat) {
-			k.instances(shards.Of(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
+		"leads itself": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
+		"removed": func(s *Server, _ *scriptedGroup, _ *registry.Heartbeat) {
+			s.instances(shards.Of(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
 		},
 	}
 	for name, alter := range cases {
 		t.Run(name, func(t *testing.T) {
-			k, group, beat := withRecord(t)
-			alter(k, group, &beat)
-			if k.acknowledgeHere(shards.Of(presentService), beat) {
+			s, group, heartbeat := newServerWithInstance(t)
+			alter(s, group, &heartbeat)
+			if s.acknowledgeLocally(shards.Of(presentService), heartbeat) {
 				t.Fatal("acknowledged without the owner")
 			}
 		})
 	}
 }
 
-func TestOwnerIsToldOfPresences(t *testing.T) {
-	k, groups, _ := scripted(t)
+func TestServer_Execute_sessionLivenessNeedsOwnership(t *testing.T) {
+	s, groups, _ := newScriptedServer(t)
 	id := shards.Of(presentService)
-	body, err := codec.Marshal(presencesSchema, []presence{{ID: presentID, Sequence: 4}})
+	body, err := codec.Marshal(sessionHeartbeatsSchema, []sessionHeartbeat{{ID: presentID, Sequence: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	request := call{Kind: callPresences, Shard: id, Body: body}
-	groups[id].set(followerOf("b"))
-	if reply := k.execute(t.Context(), request); !reply.NotOwner || reply.Leader != "b" {
+	request := shardRequest{Kind: callSessionLiveness, Shard: id, Body: body}
+	groups[id].set(followerStatus("b"))
+	if reply := s.execute(t.Context(), request); !reply.NotOwner || reply.Leader != "b" {
 		t.Fatal(reply)
 	}
-	k.instances(id).setLeading(3)
-	k.instances(id).gained(time.Now(), 3)
-	if reply := k.execute(t.Context(), request); reply.Status != http.StatusOK {
+	s.instances(id).setLeaderTerm(3)
+	s.instances(id).ownershipGained(time.Now(), 3)
+	if reply := s.execute(t.Context(), request); reply.Status != http.StatusOK {
 		t.Fatal(reply)
 	}
 }
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -21,44 +21,44 @@
 	Status() replica.Status
 }
 
-// targetedTransfer is what a group offers that can hand leadership to a chosen voter.
-type targetedTransfer interface {
+// leadershipTransferrer is what a group offers that can hand leadership to a chosen voter.
+type leadershipTransferrer interface {
 	TransferLeadershipTo(ctx context.Context, to consensus.MemberID) error
 }
 
-// machine is the part of a shard's state machine that does not depend on what it holds.
-type machine interface {
+// stateMachine is the part of a shard's state machine that does not depend on what it holds.
+type stateMachine interface {
 	replica.StateMachine
-	since(index uint64) ([]feed.Change, *feed.Snapshot)
+	changesSince(index uint64) ([]feed.Change, *feed.Snapshot)
 	index() uint64
-	setLeading(term uint64)
-	gained(now time.Time, term uint64)
-	expired(now time.Time) [][]byte
+	setLeaderTerm(term uint64)
+	ownershipGained(now time.Time, term uint64)
+	expiryCommands(now time.Time) [][]byte
 }
 
 // shard is a keeper's replica of one shard.
 type shard struct {
-	id      shards.ID
-	group   replicaGroup
-	machine machine
+	id           shards.ID
+	group        replicaGroup
+	stateMachine stateMachine
 
-	better time.Time // of maintain alone: since when the preferred owner could take over
+	preferredReadySince time.Time // of maintain alone: since when the preferred owner could take over
 
 	// Guarded by the keeper's mutex.
-	ledSince      time.Time                        // zero: not leading
-	reconciling   bool                             // changes of members are under way
-	leaving       map[consensus.MemberID]time.Time // members that are about to end, and when they said so
-	ready         map[consensus.MemberID]readiness // learners that could be voters
-	leader        consensus.Member                 // as the group's last status said
-	leaderContext context.Context                  // ends when that is no longer the leader
-	leaderGone    context.CancelFunc
+	leadingSince        time.Time                        // zero: not leading
+	reconciling         bool                             // changes of members are under way
+	leavingNotices      map[consensus.MemberID]time.Time // members that are about to end, and when they said so
+	learnerReadiness    map[consensus.MemberID]readiness // learners that could be voters
+	leader              consensus.Member                 // as the group's last status said
+	leaderContext       context.Context                  // ends when that is no longer the leader
+	cancelLeaderContext context.CancelFunc
 }
 
 // readiness is the span in which a learner was seen able to be a voter.
-type readiness struct{ since, seen time.Time }
+type readiness struct{ since, lastSeen time.Time }
 
 // current tells whether the replica is known not to be behind the shard's owner.
-func current(status replica.Status) bool { return status.ConfirmedAge <= currencyAge }
+func current(status replica.Status) bool { return status.ConfirmedAge <= currentMaxAge }
 
 // isVoter tells whether a member has a vote by the membership that this replica knows.
 func isVoter(status replica.Status, id consensus.MemberID) bool {
@@ -71,12 +71,12 @@
 }
 
 // configuration returns the state machine of shard 0.
-func (k *Keeper) configuration() *configurationMachine {
-	return k.shards[shards.Configuration].machine.(*configurationMachine)
+func (s *Server) configuration() *configurationMachine {
+	return s.shards[shards.Configuration].stateMachine.(*configurationMachine)
 }
 
 // instances returns the state machine of a shard of instances, or nil for shard 0.
-func (k *Keeper) instances(id shards.ID) *registryMachine {
-	machine, _ := k.shards[id].machine.(*registryMachine)
+func (s *Server) instances(id shards.ID) *registryMachine {
+	machine, _ := s.shards[id].stateMachine.(*registryMachine)
 	return machine
 }
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -16,56 +16,56 @@
 var emptyObject = []byte("{}")
 
 // execute carries out a call as the owner of its shard, or says who the owner is.
-func (k *Keeper) execute(ctx context.Context, c call) answer {
+func (s *Server) execute(ctx context.Context, c shardRequest) shardResponse {
 	switch c.Kind {
 	case callReplace:
-		return k.changeConfiguration(ctx, c, configuration.CommandReplace)
+		return s.changeConfiguration(ctx, c, configuration.CommandReplace)
 	case callUpdate:
-		return k.changeConfiguration(ctx, c, configuration.CommandUpdate)
+		return s.changeConfiguration(ctx, c, configuration.CommandUpdate)
 	case callRead:
-		return k.readConfiguration(ctx, c)
-	case callBeat:
-		return k.takeBeat(ctx, c)
-	case callNodes:
-		return k.takeNodes(ctx, c)
-	case callPresences:
-		return k.takePresences(c)
+		return s.readConfiguration(ctx, c)
+	case callHeartbeat:
+		return s.executeHeartbeat(ctx, c)
+	case callNodeHeartbeats:
+		return s.executeNodeHeartbeats(ctx, c)
+	case callSessionLiveness:
+		return s.executeSessionLiveness(c)
 	case callDemand:
-		return k.takeDemand(c)
+		return s.executeDemand(c)
 	case callDeregister:
-		return k.takeDeparture(ctx, c)
+		return s.executeDeregister(ctx, c)
 	}
-	return failed(InternalFault)
+	return errorResponse(InternalFault)
 }
 
-// refusedProposal turns the error of a group's call into an answer.
-func refusedProposal(err error) answer {
+// proposalErrorResponse turns the error of a group's call into an answer.
+func proposalErrorResponse(err error) shardResponse {
 	var other replica.NotLeaderError
 	switch {
 	case errors.As(err, &other):
-		return notOwner(other.Leader.Address)
+		return notOwnerResponse(other.Leader.Address)
 	case errors.Is(err, consensus.ErrTransferInProgress), errors.Is(err, replica.ErrClosed):
-		return notOwner("")
+		return notOwnerResponse("")
 	case errors.Is(err, consensus.ErrTooManyUncommitted):
-		return failed(Busy)
+		return errorResponse(Busy)
 	}
-	return failed(OutcomeUnknown)
+	return errorResponse(OutcomeUnknown)
 }
 
-func (k *Keeper) changeConfiguration(ctx context.Context, c call, kind configuration.CommandKind) answer {
+func (s *Server) changeConfiguration(ctx context.Context, c shardRequest, kind configuration.CommandKind) shardResponse {
 	command := configuration.Command{Kind: kind, Base: c.Base, Body: c.Body}
-	result, _, err := k.shards[c.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
+	result, _, err := s.shards[c.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
 	if err != nil {
-		return refusedProposal(err)
+		return proposalErrorResponse(err)
 	}
 	outcome, ok := result.(configuration.Outcome)
 	if !ok {
-		return failed(InternalFault)
+		return errorResponse(InternalFault)
 	}
 	if outcome.HTTPStatus != http.StatusOK {
-		return answer{Status: outcome.HTTPStatus, Code: int(outcome.Code), Text: outcome.Text}
+		return shardResponse{Status: outcome.HTTPStatus, Code: int(outcome.Code), Text: outcome.Text}
 	}
-	return succeeded(generationBody(outcome.Generation))
+	return okResponse(generationBody(outcome.Generation))
 }
 
 func generationBody(generation uint64) []byte {
@@ -73,36 +73,36 @@
 	return append(body, '}')
 }
 
-func (k *Keeper) readConfiguration(ctx context.Context, c call) answer {
-	if k.outside.holds(GuardReadConfirmed) {
-		if err := k.shards[c.Shard].group.ReadBarrier(ctx); err != nil {
-			return refusedProposal(err)
+func (s *Server) readConfiguration(ctx context.Context, c shardRequest) shardResponse {
+	if s.environment.guardEnabled(GuardReadConfirmed) {
+		if err := s.shards[c.Shard].group.ReadBarrier(ctx); err != nil {
+			return proposalErrorResponse(err)
 		}
 	}
-	return succeeded(k.configuration().document())
+	return okResponse(s.configuration().document())
 }
 
-func (k *Keeper) takeBeat(ctx context.Context, c call) answer {
-	beat, err := registry.ParseHeartbeat(c.ID, c.Body)
+func (s *Server) executeHeartbeat(ctx context.Context, c shardRequest) shardResponse {
+	heartbeat, err := registry.ParseHeartbeat(c.ID, c.Body)
 	if err != nil {
-		return refusedBeat(err)
+		return registryErrorResponse(err)
 	}
-	return k.decideBeat(ctx, c, beat)
+	return s.decideHeartbeat(ctx, c, heartbeat)
 }
 
-// decideBeat has the shard's owner decide on a heartbeat and carries the decision out.
-func (k *Keeper) decideBeat(ctx context.Context, c call, beat registry.Heartbeat) answer {
-	machine := k.instances(c.Shard)
+// decideHeartbeat has the shard's owner decide on a heartbeat and carries the decision out.
+func (s *Server) decideHeartbeat(ctx context.Context, c shardRequest, heartbeat registry.Heartbeat) shardResponse {
+	machine := s.instances(c.Shard)
 	if machine == nil {
-		return failed(InternalFault)
+		return errorResponse(InternalFault)
 	}
 	for {
-		changed := k.ownersChanged.wait()
-		decision, owned := machine.beat(k.outside.Now(), beat)
+		changed := s.ownersChanged.changed()
+		decision, owned := machine.decideHeartbeat(s.environment.Now(), heartbeat)
 		if owned {
-			return k.carryOut(ctx, c, decision)
+			return s.applyDecision(ctx, c, decision)
 		}
-		if reply, waiting := k.awaitOwnership(ctx, c, changed); !waiting {
+		if reply, waiting := s.awaitOwnership(ctx, c, changed); !waiting {
 			return reply
 		}
 	}
@@ -110,74 +110,74 @@
 
 // awaitOwnership waits while this replica leads the shard and does not own it yet. Where it does not
 // lead, waiting is false and the answer says so.
-func (k *Keeper) awaitOwnership(ctx context.Context, c call, changed <-chan struct{}) (reply answer, waiting bool) {
-	status := k.shards[c.Shard].group.Status()
+func (s *Server) awaitOwnership(ctx context.Context, c shardRequest, changed <-chan struct{}) (reply shardResponse, waiting bool) {
+	status := s.shards[c.Shard].group.Status()
 	if !status.IsLeader() {
-		return notOwner(status.Leader.Address), false
+		return notOwnerResponse(status.Leader.Address), false
 	}
-	if !pause(ctx, changed, ownerRetryPause) {
-		return failed(NoOwner), false
+	if !waitForChange(ctx, changed, ownerRetryInterval) {
+		return errorResponse(NoOwner), false
 	}
-	return answer{}, true
+	return shardResponse{}, true
 }
 
-// carryOut does what the owner of a shard has decided. What costs no entry is acknowledged only
+// applyDecision does what the owner of a shard has decided. What costs no entry is acknowledged only
 // while this replica is known to lead.
-func (k *Keeper) carryOut(ctx context.Context, c call, decision registry.Decision) answer {
+func (s *Server) applyDecision(ctx context.Context, c shardRequest, decision registry.Decision) shardResponse {
 	switch decision.Action {
 	case registry.Reject:
-		return refusedBeat(decision.Rejection)
+		return registryErrorResponse(decision.Rejection)
 	case registry.Propose:
-		return k.proposeInstance(ctx, c, decision.Command)
+		return s.proposeInstanceChange(ctx, c, decision.Command)
 	}
-	if status := k.shards[c.Shard].group.Status(); !current(status) && k.outside.holds(GuardBeatCurrent) {
-		return failed(NoOwner)
+	if status := s.shards[c.Shard].group.Status(); !current(status) && s.environment.guardEnabled(GuardHeartbeatCurrent) {
+		return errorResponse(NoOwner)
 	}
-	return succeeded(emptyObject)
+	return okResponse(emptyObject)
 }
 
-func (k *Keeper) proposeInstance(ctx context.Context, c call, command []byte) answer {
-	result, _, err := k.shards[c.Shard].group.Propose(ctx, command)
+func (s *Server) proposeInstanceChange(ctx context.Context, c shardRequest, command []byte) shardResponse {
+	result, _, err := s.shards[c.Shard].group.Propose(ctx, command)
 	if err != nil {
-		return refusedProposal(err)
+		return proposalErrorResponse(err)
 	}
 	outcome, ok := result.(registry.Outcome)
 	if !ok {
-		return failed(InternalFault)
+		return errorResponse(InternalFault)
 	}
 	if outcome.Status != http.StatusOK {
-		return answer{Status: outcome.Status, Code: int(outcome.Code), Text: outcome.Text}
+		return shardResponse{Status: outcome.Status, Code: int(outcome.Code), Text: outcome.Text}
 	}
-	return succeeded(emptyObject)
+	return okResponse(emptyObject)
 }
 
-// refusedBeat turns the registry's refusal into an answer.
-func refusedBeat(err error) answer {
+// registryErrorResponse turns the registry's refusal into an answer.
+func registryErrorResponse(err error) shardResponse {
 	var refusal *registry.Rejection
 	if !errors.As(err, &refusal) || refusal == nil {
-		return failed(InternalFault)
+		return errorResponse(InternalFault)
 	}
 	if refusal.Code == registry.NotOwner {
-		return notOwner("")
+		return notOwnerResponse("")
 	}
-	return answer{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
+	return shardResponse{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
 }
 
-// takeDeparture removes an instance. One that is not known is acknowledged once the group remembers that it is gone.
-func (k *Keeper) takeDeparture(ctx context.Context, c call) answer {
-	machine := k.instances(c.Shard)
+// executeDeregister removes an instance. One that is not known is acknowledged once the group remembers that it is gone.
+func (s *Server) executeDeregister(ctx context.Context, c shardRequest) shardResponse {
+	machine := s.instances(c.Shard)
 	if machine == nil {
-		return failed(InternalFault)
+		return errorResponse(InternalFault)
 	}
 	for {
-		changed := k.ownersChanged.wait()
-		decision, known, owned := machine.deregister(k.outside.Now(), c.ID)
+		changed := s.ownersChanged.changed()
+		decision, known, owned := machine.decideDeregister(s.environment.Now(), c.ID)
 		if owned {
-			reply := k.carryOut(ctx, c, decision)
+			reply := s.applyDecision(ctx, c, decision)
 			reply.Known = known
 			return reply
 		}
-		if reply, waiting := k.awaitOwnership(ctx, c, changed); !waiting {
+		if reply, waiting := s.awaitOwnership(ctx, c, changed); !waiting {
 			return reply
 		}
 	}
--- a/internal/controlplane/server/state_machines.go
+++ b/internal/controlplane/server/state_machines.go
@@ -19,8 +19,8 @@
 
 func newFeedState() feedState { return feedState{buffer: feed.NewBuffer(feedBacklogBytes)} }
 
-// since returns what takes a reader on from index; both are nil if there is nothing above it.
-func (s *feedState) since(index uint64) ([]feed.Change, *feed.Snapshot) {
+// changesSince returns what takes a reader on from index; both are nil if there is nothing above it.
+func (s *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.buffer.From(index)
@@ -84,8 +84,8 @@
 	return m.store.Document()
 }
 
-// switchTime is what a worker of a service needs to change its stage; 0: not told.
-func (m *configurationMachine) switchTime(service string) time.Duration {
+// roleSwitchTime is what a worker of a service needs to change its stage; 0: not told.
+func (m *configurationMachine) roleSwitchTime(service string) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	description, found := m.store.Service(service)
@@ -95,25 +95,25 @@
 	return description.Engine.RoleSwitchTime
 }
 
-func (m *configurationMachine) setLeading(uint64)                     {}
-func (m *configurationMachine) gained(time.Time, uint64)              {}
-func (m *configurationMachine) expired(time.Time) (commands [][]byte) { return nil }
+func (m *configurationMachine) setLeaderTerm(uint64)                         {}
+func (m *configurationMachine) ownershipGained(time.Time, uint64)            {}
+func (m *configurationMachine) expiryCommands(time.Time) (commands [][]byte) { return nil }
 
 // registryMachine is the state machine of a shard of instances, with what its owner knows beside.
 type registryMachine struct {
 	feedState
-	store   *registry.Store
-	owner   *registry.LivenessTracker
-	now     func() time.Time
-	held    func(Guard) bool // tells whether a guard is in force
-	leading uint64           // term in which this replica leads; 0: it does not
-	owned   bool             // it leads and has applied all that earlier owners acknowledged
+	store        *registry.Store
+	owner        *registry.LivenessTracker
+	now          func() time.Time
+	guardEnabled func(Guard) bool // tells whether a guard is in force
+	leaderTerm   uint64           // term in which this replica leads; 0: it does not
+	owned        bool             // it leads and has applied all that earlier owners acknowledged
 }
 
-func newRegistryMachine(beat time.Duration, outside Environment) *registryMachine {
+func newRegistryMachine(heartbeatInterval time.Duration, outside Environment) *registryMachine {
 	return &registryMachine{
 		feedState: newFeedState(), store: registry.NewStore(),
-		owner: registry.NewLivenessTracker(beat, registry.LivenessOptions{}), now: outside.Now, held: outside.holds,
+		owner: registry.NewLivenessTracker(heartbeatInterval, registry.LivenessOptions{}), now: outside.Now, guardEnabled: outside.guardEnabled,
 	}
 }
 
@@ -146,61 +146,61 @@
 	return nil
 }
 
-// setLeading notes the term in which this replica leads, 0 if it does not. Ownership ends with it.
-func (m *registryMachine) setLeading(term uint64) {
+// setLeaderTerm notes the term in which this replica leads, 0 if it does not. Ownership ends with it.
+func (m *registryMachine) setLeaderTerm(term uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.leading == term {
+	if m.leaderTerm == term {
 		return
 	}
-	m.leading = term
-	if !m.held(GuardOwnershipTerm) {
+	m.leaderTerm = term
+	if !m.guardEnabled(GuardOwnershipTerm) {
 		return
 	}
 	m.owned = false
 	m.owner.OwnershipLost()
 }
 
-// gained starts the ownership, unless leadership of the term has ended meanwhile.
-func (m *registryMachine) gained(now time.Time, term uint64) {
+// ownershipGained starts the ownership, unless leadership of the term has ended meanwhile.
+func (m *registryMachine) ownershipGained(now time.Time, term uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if (m.leading != term && m.held(GuardOwnershipTerm)) || m.owned {
+	if (m.leaderTerm != term && m.guardEnabled(GuardOwnershipTerm)) || m.owned {
 		return
 	}
 	m.owned = true
 	m.owner.OwnershipGained(now, m.store.Instances(""))
 }
 
-// beat decides on a heartbeat. owned is false while this replica does not own the shard.
-func (m *registryMachine) beat(now time.Time, beat registry.Heartbeat) (decision registry.Decision, owned bool) {
+// decideHeartbeat decides on a heartbeat. owned is false while this replica does not own the shard.
+func (m *registryMachine) decideHeartbeat(now time.Time, heartbeat registry.Heartbeat) (decision registry.Decision, owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.owned {
 		return registry.Decision{}, false
 	}
-	if m.isGone(beat) {
+	if m.isRemoved(heartbeat) {
 		return registry.Decision{Action: registry.Acknowledge}, true
 	}
-	return m.owner.Heartbeat(now, beat, m.store.Instance(beat.ID)), true
+	return m.owner.Heartbeat(now, heartbeat, m.store.Instance(heartbeat.ID)), true
 }
 
-// isGone tells whether a heartbeat is of an instance that is gone for good: it may serve on, and its words change nothing. The IDs of
+// isRemoved tells whether a heartbeat is of an instance that is gone for good: it may serve on, and its words change nothing. The IDs of
 // nodes come back. The caller holds the mutex.
-func (m *registryMachine) isGone(beat registry.Heartbeat) bool {
-	return beat.Service != registry.NodesService && m.store.Removed(beat.ID)
+func (m *registryMachine) isRemoved(heartbeat registry.Heartbeat) bool {
+	return heartbeat.Service != registry.NodesService && m.store.Removed(heartbeat.ID)
 }
 
-// records tells whether the store has just what a heartbeat says, or that its instance is gone for good.
-func (m *registryMachine) records(beat registry.Heartbeat) bool {
+// matchesRecord tells whether the store has just what a heartbeat says, or that its instance is gone for good.
+func (m *registryMachine) matchesRecord(heartbeat registry.Heartbeat) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held := m.store.Instance(beat.ID)
-	return m.isGone(beat) || held != nil && registry.SameRecord(*held, beat.Instance)
+	stored := m.store.Instance(heartbeat.ID)
+	return m.isRemoved(heartbeat) || stored != nil && registry.SameRecord(*stored, heartbeat.Instance)
 }
 
-// heard notes instances that another keeper has heard. It returns false while this replica does not own the shard.
-func (m *registryMachine) heard(now time.Time, instances []presence) (owned bool) {
+// recordHeard notes instances that another keeper has heard. It returns false while this replica does not own the shard.
+func (m *registryMachine) recordHeard(now time.Time, instances []sessionHeartbeat) (owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.owned {
@@ -212,8 +212,8 @@
 	return true
 }
 
-// deregister decides on a departure; known tells whether the instance is in the store, or was.
-func (m *registryMachine) deregister(now time.Time, id string) (decision registry.Decision, known, owned bool) {
+// decideDeregister decides on a departure; known tells whether the instance is in the store, or was.
+func (m *registryMachine) decideDeregister(now time.Time, id string) (decision registry.Decision, known, owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.owned {
@@ -226,16 +226,16 @@
 	return m.owner.Deregister(now, id, known), known, true
 }
 
-// holds tells whether this replica knows an instance, and whether it is gone for good then.
-func (m *registryMachine) holds(id string) (known, removed bool) {
+// lookUp tells whether this replica knows an instance, and whether it is gone for good then.
+func (m *registryMachine) lookUp(id string) (known, removed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known = m.store.Knows(id)
 	return known, known && m.store.Removed(id)
 }
 
-// expired returns the commands that remove instances which fell silent.
-func (m *registryMachine) expired(now time.Time) [][]byte {
+// expiryCommands returns the commands that remove instances which fell silent.
+func (m *registryMachine) expiryCommands(now time.Time) [][]byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.owned {
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -80,24 +80,24 @@
 	}
 )
 
-func (k *Keeper) serveStatus(_ context.Context, c *app.RequestContext) {
-	body, err := json.Marshal(k.report())
+func (s *Server) serveStatus(_ context.Context, c *app.RequestContext) {
+	body, err := json.Marshal(s.report())
 	if err != nil {
-		respond(c, failed(InternalFault))
+		writeResponse(c, errorResponse(InternalFault))
 		return
 	}
 	c.Data(http.StatusOK, contentTypeJSON, body)
 }
 
-func (k *Keeper) report() statusReport {
+func (s *Server) report() statusReport {
 	report := statusReport{
-		Address: k.self.Address, Member: hexadecimal(k.self.ID), UptimeS: int64(k.outside.Now().Sub(k.started).Seconds()),
-		Leaving: k.leaving.Load(), Agents: len(k.nodes.list()),
+		Address: s.self.Address, Member: formatMemberID(s.self.ID), UptimeS: int64(s.environment.Now().Sub(s.startedAt).Seconds()),
+		Leaving: s.shuttingDown.Load(), Agents: len(s.edgeNodes.list()),
 	}
-	for _, shard := range k.shards {
-		report.Shards = append(report.Shards, reportShard(shard.group.Status(), shard.machine.index()))
+	for _, shard := range s.shards {
+		report.Shards = append(report.Shards, newShardReport(shard.group.Status(), shard.stateMachine.index()))
 	}
-	for _, peer := range k.network.Peers() {
+	for _, peer := range s.network.Peers() {
 		report.Peers = append(report.Peers, peerReport{
 			Address: peer.Address, Connected: peer.Connected, Accepted: peer.Accepted,
 			Queued: peer.Queued, Dropped: peer.Dropped, HeardMs: milliseconds(peer.SinceReceived),
@@ -107,7 +107,7 @@
 	return report
 }
 
-func reportShard(status replica.Status, position uint64) shardReport {
+func newShardReport(status replica.Status, position uint64) shardReport {
 	report := shardReport{
 		Shard: int(status.Shard), Role: roleName(status.Role), Term: status.Term, Leader: status.Leader.Address,
 		Applied: status.AppliedIndex, Commit: status.CommitIndex, ConfirmedMs: milliseconds(status.ConfirmedAge),
@@ -115,13 +115,13 @@
 	}
 	for _, member := range status.Members {
 		report.Members = append(report.Members, memberReport{
-			Member: hexadecimal(member.ID), Address: member.Address, Voter: member.Voter,
+			Member: formatMemberID(member.ID), Address: member.Address, Voter: member.Voter,
 		})
 	}
 	return report
 }
 
-func hexadecimal(id consensus.MemberID) string { return strconv.FormatUint(uint64(id), 16) }
+func formatMemberID(id consensus.MemberID) string { return strconv.FormatUint(uint64(id), 16) }
 
 func milliseconds(age time.Duration) int64 {
 	if age < 0 || age == replica.NeverConfirmed {
@@ -145,8 +145,8 @@
 	feedSessions atomic.Int64
 	mutex        sync.Mutex
 	calls        map[callSeries]uint64
-	orders       map[int]uint64                // by the status of the worker's answer
-	stages       map[string]roleplanner.Status // by service, as this keeper saw it last as the holder
+	roleCommands map[int]uint64                // by the status of the worker's answer
+	roleStates   map[string]roleplanner.Status // by service, as this keeper saw it last as the holder
 }
 
 // callSeries is one line of the counted calls.
@@ -155,7 +155,7 @@
 	status int
 }
 
-func (m *metrics) count(method string, status int) {
+func (m *metrics) countCall(method string, status int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.calls == nil {
@@ -164,34 +164,34 @@
 	m.calls[callSeries{method, status}]++
 }
 
-// countOrder counts an order to a worker by the status of its answer, 0 if there was none.
-func (m *metrics) countOrder(status int) {
+// countRoleCommand counts an order to a worker by the status of its answer, 0 if there was none.
+func (m *metrics) countRoleCommand(status int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.orders == nil {
-		m.orders = make(map[int]uint64)
+	if m.roleCommands == nil {
+		m.roleCommands = make(map[int]uint64)
 	}
-	m.orders[status]++
+	m.roleCommands[status]++
 }
 
-// setStages notes how a service stands, and returns how it stood before.
-func (m *metrics) setStages(service string, state roleplanner.Status) (before roleplanner.Status) {
+// setRoleState notes how a service stands, and returns how it stood before.
+func (m *metrics) setRoleState(service string, state roleplanner.Status) (before roleplanner.Status) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.stages == nil {
-		m.stages = make(map[string]roleplanner.Status)
+	if m.roleStates == nil {
+		m.roleStates = make(map[string]roleplanner.Status)
 	}
-	before, m.stages[service] = m.stages[service], state
+	before, m.roleStates[service] = m.roleStates[service], state
 	return before
 }
 
-// stageLines returns the stages of services and the orders given as text.
-func (m *metrics) stageLines() []string {
+// roleLines returns the stages of services and the orders given as text.
+func (m *metrics) roleLines() []string {
 	var lines []string
-	for status, count := range m.orders {
+	for status, count := range m.roleCommands {
 		lines = append(lines, fmt.Sprintf("keeper_orders_total{status=\"%d\"} %d", status, count))
 	}
-	for service, state := range m.stages {
+	for service, state := range m.roleStates {
 		label := fmt.Sprintf("{service=%q}", service)
 		lines = append(lines,
 			fmt.Sprintf("keeper_stage_readers%s %d", label, state.PrefillWorkers),
@@ -214,20 +214,20 @@
 	for series, count := range m.calls {
 		lines = append(lines, fmt.Sprintf("keeper_calls_total{method=%q,status=\"%d\"} %d", series.method, series.status, count))
 	}
-	lines = append(lines, m.stageLines()...)
+	lines = append(lines, m.roleLines()...)
 	slices.Sort(lines)
 	return lines
 }
 
-func (k *Keeper) serveMetrics(_ context.Context, c *app.RequestContext) {
-	lines := k.metrics.lines()
-	lines = append(lines, fmt.Sprintf("keeper_feed_sessions %d", k.metrics.feedSessions.Load()))
-	for _, shard := range k.shards {
+func (s *Server) serveMetrics(_ context.Context, c *app.RequestContext) {
+	lines := s.metrics.lines()
+	lines = append(lines, fmt.Sprintf("keeper_feed_sessions %d", s.metrics.feedSessions.Load()))
+	for _, shard := range s.shards {
 		lines = append(lines, shardLines(shard.group.Status())...)
 	}
-	for _, peer := range k.network.Peers() {
+	for _, peer := range s.network.Peers() {
 		lines = append(lines,
-			fmt.Sprintf("keeper_peer_connected{peer=%q} %d", peer.Address, oneIf(peer.Connected)),
+			fmt.Sprintf("keeper_peer_connected{peer=%q} %d", peer.Address, boolToInt(peer.Connected)),
 			fmt.Sprintf("keeper_peer_dropped_total{peer=%q} %d", peer.Address, peer.Dropped))
 	}
 	c.Data(http.StatusOK, contentTypeText, []byte(strings.Join(lines, "\n")+"\n"))
@@ -236,15 +236,15 @@
 func shardLines(status replica.Status) []string {
 	label := fmt.Sprintf("{shard=\"%d\"}", status.Shard)
 	return []string{
-		fmt.Sprintf("keeper_shard_leads%s %d", label, oneIf(status.IsLeader())),
-		fmt.Sprintf("keeper_shard_current%s %d", label, oneIf(current(status))),
+		fmt.Sprintf("keeper_shard_leads%s %d", label, boolToInt(status.IsLeader())),
+		fmt.Sprintf("keeper_shard_current%s %d", label, boolToInt(current(status))),
 		fmt.Sprintf("keeper_shard_term%s %d", label, status.Term),
 		fmt.Sprintf("keeper_shard_applied%s %d", label, status.AppliedIndex),
 		fmt.Sprintf("keeper_shard_disk_bytes%s %d", label, status.DiskBytes),
 	}
 }
 
-func oneIf(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
@@ -252,12 +252,12 @@
 }
 
 // Self returns this keeper as a member of its groups.
-func (k *Keeper) Self() consensus.Member { return k.self }
+func (s *Server) Self() consensus.Member { return s.self }
 
 // Inspect returns the state of all groups without its age. It asks no clock.
-func (k *Keeper) Inspect() []replica.Status {
+func (s *Server) Inspect() []replica.Status {
 	var all []replica.Status
-	for _, shard := range k.shards {
+	for _, shard := range s.shards {
 		if group, ok := shard.group.(*replica.Group); ok {
 			all = append(all, group.StatusWithoutAge())
 		}
--- a/internal/controlplane/server/worker_client.go
+++ b/internal/controlplane/server/worker_client.go
@@ -21,63 +21,63 @@
 )
 
 const (
-	orderPath      = "/-/order"
-	reportPath     = "/-/report"
-	headerInstance = "X-Target-Instance"
-	operationStage = "stage"
+	commandPath      = "/-/order"
+	reportPath       = "/-/report"
+	headerInstance   = "X-Target-Instance"
+	operationSetRole = "stage"
 )
 
-// orderBody is the body of an order.
-type orderBody struct {
-	Operation string `json:"op"`
-	Stage     string `json:"stage"`
-	Holder    string `json:"holder"`
-	Fence     uint64 `json:"fenceToken"`
+// roleCommandBody is the body of an order.
+type roleCommandBody struct {
+	Operation    string `json:"op"`
+	Role         string `json:"stage"`
+	LeaseHolder  string `json:"holder"`
+	FencingToken uint64 `json:"fenceToken"`
 }
 
 // workerReport is what is read of a worker's report.
 type workerReport struct {
-	Stage string `json:"stage"`
-	Busy  bool   `json:"utilization"` // an order is under way
+	Role string `json:"stage"`
+	Busy bool   `json:"utilization"` // an order is under way
 }
 
-// httpCaller calls workers over HTTP. It sends each call once, on a connection of its own.
-type httpCaller struct{ http1 *client.Client }
+// httpWorkerClient calls workers over HTTP. It sends each call once, on a connection of its own.
+type httpWorkerClient struct{ client *client.Client }
 
-func newHTTPCaller() (*httpCaller, error) {
-	quiet()
+func newHTTPWorkerClient() (*httpWorkerClient, error) {
+	silenceLibraryLog()
 	http1, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
-		client.WithDialTimeout(orderBudget/2),
-		client.WithClientReadTimeout(orderBudget),
-		client.WithWriteTimeout(orderBudget),
+		client.WithDialTimeout(workerCommandTimeout/2),
+		client.WithClientReadTimeout(workerCommandTimeout),
+		client.WithWriteTimeout(workerCommandTimeout),
 		client.WithKeepAlive(false),
 	)
-	return &httpCaller{http1: http1}, err
+	return &httpWorkerClient{client: http1}, err
 }
 
-// Order implements WorkerCaller.
-func (h *httpCaller) Order(ctx context.Context, order StageOrder) int {
-	body, err := json.Marshal(orderBody{Operation: operationStage, Stage: order.Stage, Holder: order.Holder, Fence: order.Fence})
+// SendRoleCommand implements WorkerCaller.
+func (h *httpWorkerClient) SendRoleCommand(ctx context.Context, order RoleCommand) int {
+	body, err := json.Marshal(roleCommandBody{Operation: operationSetRole, Role: order.Role, LeaseHolder: order.LeaseHolder, FencingToken: order.FencingToken})
 	if err != nil {
 		return 0
 	}
-	status, _ := h.call(ctx, http.MethodPost, order.Instance, order.Address, orderPath, body)
+	status, _ := h.call(ctx, http.MethodPost, order.Instance, order.Address, commandPath, body)
 	return status
 }
 
-// Stage implements WorkerCaller.
-func (h *httpCaller) Stage(ctx context.Context, instance, address string) string {
+// ReportedRole implements WorkerCaller.
+func (h *httpWorkerClient) ReportedRole(ctx context.Context, instance, address string) string {
 	var report workerReport
 	status, body := h.call(ctx, http.MethodGet, instance, address, reportPath, nil)
 	if status != statusOK || json.Unmarshal(body, &report) != nil || report.Busy {
 		return ""
 	}
-	return report.Stage
+	return report.Role
 }
 
 // call makes one call and returns the status and the body of its answer, 0 if there is none.
-func (h *httpCaller) call(ctx context.Context, method, instance, address, path string, body []byte) (int, []byte) {
+func (h *httpWorkerClient) call(ctx context.Context, method, instance, address, path string, body []byte) (int, []byte) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
 	defer protocol.ReleaseResponse(response)
@@ -90,9 +90,9 @@
 	}
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
-		deadline = time.Now().Add(orderBudget)
+		deadline = time.Now().Add(workerCommandTimeout)
 	}
-	if err := h.http1.DoDeadline(ctx, request, response, deadline); err != nil {
+	if err := h.client.DoDeadline(ctx, request, response, deadline); err != nil {
 		return 0, nil
 	}
 	return response.StatusCode(), append([]byte(nil), response.Body()...)
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -34,7 +34,7 @@
 	process *simnet.Process
 	stop    context.CancelFunc // as SIGTERM does
 	ended   chan struct{}      // closed once nothing of it runs any more
-	keeper  *server.Keeper     // nil until it is open
+	keeper  *server.Server     // nil until it is open
 	serving bool               // its API takes calls
 }
 
@@ -76,13 +76,13 @@
 func (m *machine) environment(life *keeperProcess, start int) server.Environment {
 	w := m.world
 	return server.Environment{
-		FileSystem: processDisk{disk: m.disk, process: life.process},
-		Now:        life.process.Now,
-		Random:     w.sharedRandom("keeper "+m.ip, start),
-		Dial:       life.process.Dial,
-		Listen:     life.process.Listen,
-		Observe:    func(status replica.Status) { w.record.observe(m, status) },
-		Omit:       w.omit.keeper, OmitRules: w.omit.agreement, OmitStore: w.omit.configuration,
+		FileSystem:    processDisk{disk: m.disk, process: life.process},
+		Now:           life.process.Now,
+		Random:        w.sharedRandom("keeper "+m.ip, start),
+		Dial:          life.process.Dial,
+		Listen:        life.process.Listen,
+		OnGroupStatus: func(status replica.Status) { w.record.observe(m, status) },
+		OmitGuards:    w.omit.keeper, OmitRules: w.omit.agreement, OmitStore: w.omit.configuration,
 	}
 }
 
@@ -198,7 +198,7 @@
 }
 
 // serving returns the keeper whose API takes calls, and its process.
-func (m *machine) serving() (*server.Keeper, *simnet.Process) {
+func (m *machine) serving() (*server.Server, *simnet.Process) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running == nil || !m.running.serving {
@@ -210,7 +210,7 @@
 // inspect returns the state of the keeper's groups, nil if it has none.
 func (m *machine) inspect() []replica.Status {
 	m.mutex.Lock()
-	var opened *server.Keeper
+	var opened *server.Server
 	if m.running != nil {
 		opened = m.running.keeper
 	}
