--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -45,17 +45,17 @@
 }
 
 // nextStateHash returns a number that stands for the state after an entry (FNV-1a over its parts).
-func nextStateHash(chain uint64, entry consensus.Entry) uint64 {
+func nextStateHash(hash uint64, entry consensus.Entry) uint64 {
 	const prime = 1099511628211
-	chain = (chain ^ entry.Index) * prime
-	chain = (chain ^ entry.Term) * prime
+	hash = (hash ^ entry.Index) * prime
+	hash = (hash ^ entry.Term) * prime
 	for _, part := range entry.Data {
-		chain = (chain ^ uint64(part)) * prime
+		hash = (hash ^ uint64(part)) * prime
 	}
 	for _, member := range entry.Members {
-		chain = (chain ^ uint64(member.ID)) * prime
+		hash = (hash ^ uint64(member.ID)) * prime
 	}
-	return chain
+	return hash
 }
 
 // leaderMessage checks a message that only the leader of its term may send.
--- a/coord/consensus/simulation/cluster.go
+++ b/coord/consensus/simulation/cluster.go
@@ -136,8 +136,8 @@
 }
 
 // randomDuration returns a time from least up to most.
-func (c *cluster) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.random.Int64N(int64(most-least)+1))
+func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
 }
 
 func (c *cluster) chance(probability float64) bool {
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -75,22 +75,22 @@
 	if entry.Index <= base {
 		return nil
 	}
-	keep := entry.Index - base - 1
-	if keep > uint64(len(stored.Entries)) {
+	kept := entry.Index - base - 1
+	if kept > uint64(len(stored.Entries)) {
 		return fmt.Errorf("entry %d is written after entry %d", entry.Index, base+uint64(len(stored.Entries)))
 	}
-	stored.Entries = append(stored.Entries[:keep:keep], entry)
+	stored.Entries = append(stored.Entries[:kept:kept], entry)
 	return nil
 }
 
 // crash ends all writes under way: of their records, in order, only the first kept ones are there.
-func (d *disk) crash(kept int) {
+func (d *disk) crash(survivingRecords int) {
 	for _, operation := range d.queue {
 		for _, written := range operation.records {
-			if kept == 0 {
+			if survivingRecords == 0 {
 				break
 			}
-			kept--
+			survivingRecords--
 			applyRecord(&d.durable, written)
 		}
 	}
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -170,11 +170,11 @@
 }
 
 func (c *cluster) killProcessOf(target *host) {
-	kept := target.disk.pendingRecords()
+	survivingRecords := target.disk.pendingRecords()
 	if c.chance(0.3) {
-		kept = c.random.IntN(kept + 1)
+		survivingRecords = c.random.IntN(survivingRecords + 1)
 	}
-	target.stop(kept)
+	target.stop(survivingRecords)
 	c.restartLater(target, c.randomDuration(0, time.Second))
 }
 
@@ -185,11 +185,11 @@
 }
 
 func (c *cluster) losePowerOf(target *host) {
-	kept := 0
+	survivingRecords := 0
 	if c.chance(0.5) {
-		kept = c.random.IntN(target.disk.pendingRecords() + 1)
+		survivingRecords = c.random.IntN(target.disk.pendingRecords() + 1)
 	}
-	target.stop(kept)
+	target.stop(survivingRecords)
 	c.restartLater(target, c.randomDuration(0, 2*time.Second))
 }
 
@@ -236,23 +236,23 @@
 // lostHosts returns the machines that lost their disk and are not back, as a majority of disks knows it: the voters
 // under their addresses are not just the present ID.
 func (c *cluster) lostHosts() map[int]bool {
-	away := make(map[int]bool)
+	lost := make(map[int]bool)
 	for _, host := range c.hosts {
 		for _, other := range c.hosts {
 			if other.up && len(other.node.Status().Members) > 0 && !host.restoredIn(other.node.Status().Members) {
-				away[host.index] = true
+				lost[host.index] = true
 			}
 		}
 		if host.up && len(host.node.Status().Members) == 0 {
-			away[host.index] = true
+			lost[host.index] = true
 		}
 	}
 	for _, other := range c.hosts {
 		if !other.up {
-			away[other.index] = true
+			lost[other.index] = true
 		}
 	}
-	return away
+	return lost
 }
 
 func (h *host) restoredIn(members []consensus.Member) bool {
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -284,6 +284,6 @@
 	}
 }
 
-func encodeStateHash(chain uint64) []byte {
-	return binary.LittleEndian.AppendUint64(nil, chain)
+func encodeStateHash(hash uint64) []byte {
+	return binary.LittleEndian.AppendUint64(nil, hash)
 }
--- a/coord/consensus/simulation/scenarios.go
+++ b/coord/consensus/simulation/scenarios.go
@@ -147,8 +147,8 @@
 	r.firstLeader.removeRandomVoter()
 }
 
-func (r *competingChanges) onSide(part partitionSide) func(*host) bool {
-	return func(one *host) bool { return r.sides[one.index] == part }
+func (r *competingChanges) onSide(side partitionSide) func(*host) bool {
+	return func(one *host) bool { return r.sides[one.index] == side }
 }
 
 func (r *competingChanges) confineEntriesToSecondSide(until time.Duration) {
--- a/coord/feed/buffer.go
+++ b/coord/feed/buffer.go
@@ -7,16 +7,16 @@
 	"github.com/google/btree"
 )
 
-// ErrIndexNotRising is returned for a change whose index is not above the buffer's.
-var ErrIndexNotRising = errors.New("feed: the index of a change is not above the last one")
+// ErrIndexNotIncreasing is returned for a change whose index is not above the buffer's.
+var ErrIndexNotIncreasing = errors.New("feed: the index of a change is not above the last one")
 
 const (
 	itemTreeDegree = 32
 	changeOverhead = 64 // bytes counted for a change beside its keys and values
 	itemOverhead   = 32 // bytes counted for an item or a deleted key beside its text
 
-	// sharedLagBytes is how much of changes may follow a snapshot that is handed to a further reader.
-	sharedLagBytes = 32 << 10
+	// maxSharedSnapshotLag is how much of changes may follow a snapshot that is handed to a further reader.
+	maxSharedSnapshotLag = 32 << 10
 )
 
 // Guard names one check of a buffer. Tests leave guards out to show that their absence is noticed. A running system
@@ -25,29 +25,29 @@
 
 // The guards that can be left out.
 const (
-	GuardBacklogFloor Guard = "backlog-floor" // a reader that lags behind the backlog gets a snapshot
-	GuardIndexRises   Guard = "index-rises"   // a change that is not above the last one is refused
+	GuardBacklogFloor   Guard = "backlog-floor" // a reader that lags behind the backlog gets a snapshot
+	GuardIndexIncreases Guard = "index-rises"   // a change that is not above the last one is refused
 )
 
 // Buffer holds the items of one shard and the latest changes to them. Values that are handed in
 // and out are shared: nobody may write to them. It is not safe for concurrent use.
 type Buffer struct {
 	index           uint64 // of the last change or of the snapshot
-	floor           uint64 // the changes above it are all in the backlog
+	backlogFloor    uint64 // the changes above it are all in the backlog
 	items           *btree.BTreeG[Item]
 	backlog         []Change
 	backlogBytes    int
 	maxBacklogBytes int
-	omitted         map[Guard]bool
-	shared          *Snapshot // handed out last by From; nil: none
+	disabledGuards  map[Guard]bool
+	sharedSnapshot  *Snapshot // handed out last by From; nil: none
 }
 
 // NewBuffer returns an empty buffer at index 0, which keeps at most maxBacklogBytes of changes. Tests alone leave
 // guards out.
 func NewBuffer(maxBacklogBytes int, omit ...Guard) *Buffer {
-	buffer := &Buffer{maxBacklogBytes: maxBacklogBytes, omitted: make(map[Guard]bool, len(omit))}
+	buffer := &Buffer{maxBacklogBytes: maxBacklogBytes, disabledGuards: make(map[Guard]bool, len(omit))}
 	for _, guard := range omit {
-		buffer.omitted[guard] = true
+		buffer.disabledGuards[guard] = true
 	}
 	buffer.items = newItemTree()
 	return buffer
@@ -60,10 +60,10 @@
 // Reset replaces all that is held by a snapshot. The backlog is empty afterwards.
 func (b *Buffer) Reset(snapshot Snapshot) {
 	b.index = snapshot.Index
-	b.floor = snapshot.Index
+	b.backlogFloor = snapshot.Index
 	b.backlog = nil
 	b.backlogBytes = 0
-	b.shared = nil
+	b.sharedSnapshot = nil
 	b.items = newItemTree()
 	for _, item := range snapshot.Items {
 		b.items.ReplaceOrInsert(item)
@@ -74,8 +74,8 @@
 // without items is kept as well: the offsets of readers follow the log. Within a change, deleted
 // keys go before those that are put.
 func (b *Buffer) Append(change Change) error {
-	if change.Index <= b.index && !b.omitted[GuardIndexRises] {
-		return ErrIndexNotRising
+	if change.Index <= b.index && !b.disabledGuards[GuardIndexIncreases] {
+		return ErrIndexNotIncreasing
 	}
 	for _, key := range change.Delete {
 		b.items.Delete(Item{Key: key})
@@ -85,26 +85,26 @@
 	}
 	b.index = change.Index
 	b.backlog = append(b.backlog, change)
-	b.backlogBytes += size(change)
-	b.trim()
+	b.backlogBytes += changeBytes(change)
+	b.trimBacklog()
 	return nil
 }
 
-// trim drops the oldest changes until the backlog is within its bound.
-func (b *Buffer) trim() {
+// trimBacklog drops the oldest changes until the backlog is within its bound.
+func (b *Buffer) trimBacklog() {
 	dropped := 0
 	for b.backlogBytes > b.maxBacklogBytes && dropped < len(b.backlog) {
 		oldest := b.backlog[dropped]
-		b.floor = oldest.Index
-		b.backlogBytes -= size(oldest)
+		b.backlogFloor = oldest.Index
+		b.backlogBytes -= changeBytes(oldest)
 		b.backlog[dropped] = Change{}
 		dropped++
 	}
 	b.backlog = b.backlog[dropped:]
 }
 
-// size returns the bytes that a change counts in the backlog.
-func size(change Change) int {
+// changeBytes returns the bytes that a change counts in the backlog.
+func changeBytes(change Change) int {
 	total := changeOverhead
 	for _, item := range change.Put {
 		total += itemOverhead + len(item.Key) + len(item.Value)
@@ -118,7 +118,7 @@
 // Since returns the changes above index in their order. It is false where some of them are no
 // longer held, so that the reader needs a snapshot. A reader that is ahead gets nothing.
 func (b *Buffer) Since(index uint64) (changes []Change, ok bool) {
-	if index < b.floor && !b.omitted[GuardBacklogFloor] {
+	if index < b.backlogFloor && !b.disabledGuards[GuardBacklogFloor] {
 		return nil, false
 	}
 	first := sort.Search(len(b.backlog), func(i int) bool { return b.backlog[i].Index > index })
@@ -137,20 +137,20 @@
 			return changes, nil
 		}
 	}
-	if b.shared != nil {
-		if changes, ok := b.Since(b.shared.Index); ok && sizeOf(changes) <= sharedLagBytes {
-			return changes, b.shared
+	if b.sharedSnapshot != nil {
+		if changes, ok := b.Since(b.sharedSnapshot.Index); ok && totalChangeBytes(changes) <= maxSharedSnapshotLag {
+			return changes, b.sharedSnapshot
 		}
 	}
 	made := b.Snapshot()
-	b.shared = &made
-	return nil, b.shared
+	b.sharedSnapshot = &made
+	return nil, b.sharedSnapshot
 }
 
-func sizeOf(changes []Change) int {
+func totalChangeBytes(changes []Change) int {
 	total := 0
 	for _, change := range changes {
-		total += size(change)
+		total += changeBytes(change)
 	}
 	return total
 }
--- a/coord/feed/buffer_test.go
+++ b/coord/feed/buffer_test.go
@@ -15,8 +15,8 @@
 
 const (
 	largeBacklog = 1 << 20
-	drawnSeed    = 20261
-	drawnKeys    = 7
+	randomSeed   = 20261
+	randomKeys   = 7
 )
 
 func put(index uint64, key, value string) feed.Change {
@@ -30,11 +30,11 @@
 	}
 }
 
-func TestIndexMustRise(t *testing.T) {
+func TestBuffer_Append_rejectsIndexThatDoesNotIncrease(t *testing.T) {
 	buffer := feed.NewBuffer(largeBacklog)
 	mustAppend(t, buffer, put(4, "a", "1"))
 	for _, index := range []uint64{0, 3, 4} {
-		if err := buffer.Append(put(index, "a", "2")); !errors.Is(err, feed.ErrIndexNotRising) {
+		if err := buffer.Append(put(index, "a", "2")); !errors.Is(err, feed.ErrIndexNotIncreasing) {
 			t.Fatalf("index %d: %v", index, err)
 		}
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestSinceGivesWhatIsAbove(t *testing.T) {
+func TestBuffer_Since_returnsLaterChanges(t *testing.T) {
 	buffer := feed.NewBuffer(largeBacklog)
 	mustAppend(t, buffer, put(2, "a", "1"))
 	mustAppend(t, buffer, feed.Change{Index: 5})
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestBacklogIsBounded(t *testing.T) {
+func TestBuffer_Append_boundsBacklog(t *testing.T) {
 	buffer := feed.NewBuffer(1000)
 	for index := uint64(1); index <= 100; index++ {
 		mustAppend(t, buffer, put(index, "key", "0123456789"))
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestResetDropsTheBacklog(t *testing.T) {
+func TestBuffer_Reset_dropsBacklog(t *testing.T) {
 	buffer := feed.NewBuffer(largeBacklog)
 	mustAppend(t, buffer, put(3, "a", "1"))
 	buffer.Reset(feed.Snapshot{Index: 8, Items: []feed.Item{{Key: "z"}, {Key: "b"}}})
@@ -100,11 +100,11 @@
 	}
 }
 
-// drawnChange turns a drawn number into a change.
-func drawnChange(index uint64, number uint32) feed.Change {
+// randomChange turns a drawn number into a change.
+func randomChange(index uint64, number uint32) feed.Change {
 	change := feed.Change{Index: index}
-	key := fmt.Sprintf("key%d", number%drawnKeys)
-	other := fmt.Sprintf("key%d", number/drawnKeys%drawnKeys)
+	key := fmt.Sprintf("key%d", number%randomKeys)
+	other := fmt.Sprintf("key%d", number/randomKeys%randomKeys)
 	switch number % 4 {
 	case 0:
 		change.Delete = []string{key}
@@ -117,8 +117,8 @@
 	return change
 }
 
-// follow applies changes to items by the plainest means.
-func follow(state map[string]string, change feed.Change) {
+// applyChange applies changes to items by the plainest means.
+func applyChange(state map[string]string, change feed.Change) {
 	for _, key := range change.Delete {
 		delete(state, key)
 	}
@@ -129,20 +129,20 @@
 
 func stateOf(snapshot feed.Snapshot) map[string]string {
 	state := map[string]string{}
-	follow(state, feed.Change{Put: snapshot.Items})
+	applyChange(state, feed.Change{Put: snapshot.Items})
 	return state
 }
 
-func TestSnapshotAndChangesAreTheState(t *testing.T) {
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed))
+func TestBuffer_Since_fromAnyOffsetGivesSameState(t *testing.T) {
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed))
 	properties.Property("a reader from any moment ends in the same state", prop.ForAll(
 		func(numbers []uint32, backlog int) bool {
 			buffer := feed.NewBuffer(backlog)
 			expected := map[string]string{}
 			starts := []feed.Snapshot{buffer.Snapshot()}
 			for position, number := range numbers {
-				change := drawnChange(uint64(2*position+1), number)
-				follow(expected, change)
+				change := randomChange(uint64(2*position+1), number)
+				applyChange(expected, change)
 				if buffer.Append(change) != nil {
 					return false
 				}
@@ -155,7 +155,7 @@
 					state = stateOf(buffer.Snapshot())
 				}
 				for _, change := range changes {
-					follow(state, change)
+					applyChange(state, change)
 				}
 				if !reflect.DeepEqual(state, expected) {
 					return false
@@ -168,8 +168,8 @@
 	properties.TestingRun(t)
 }
 
-// take applies what From returned to what a reader holds.
-func take(held map[string]string, changes []feed.Change, snapshot *feed.Snapshot) {
+// applyFrom applies what From returned to what a reader holds.
+func applyFrom(held map[string]string, changes []feed.Change, snapshot *feed.Snapshot) {
 	if snapshot != nil {
 		clear(held)
 		for _, item := range snapshot.Items {
@@ -189,11 +189,11 @@
 func itemsOf(buffer *feed.Buffer) map[string]string {
 	items := make(map[string]string)
 	snapshot := buffer.Snapshot()
-	take(items, nil, &snapshot)
+	applyFrom(items, nil, &snapshot)
 	return items
 }
 
-func TestFromTakesEveryReaderOn(t *testing.T) {
+func TestBuffer_From_anyReaderCatchesUp(t *testing.T) {
 	buffer := feed.NewBuffer(1500)
 	indexes := []uint64{0}
 	states := []map[string]string{{}}
@@ -209,7 +209,7 @@
 	for position, index := range indexes {
 		changes, snapshot := buffer.From(index)
 		held := states[position]
-		take(held, changes, snapshot)
+		applyFrom(held, changes, snapshot)
 		if want := itemsOf(buffer); !reflect.DeepEqual(held, want) {
 			t.Fatalf("a reader at %d has %v, not %v", index, held, want)
 		}
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestReadersShareASnapshotUntilMuchHasChanged(t *testing.T) {
+func TestBuffer_From_readersShareSnapshot(t *testing.T) {
 	buffer := feed.NewBuffer(largeBacklog)
 	for index := uint64(1); index <= 100; index++ {
 		mustAppend(t, buffer, put(index, fmt.Sprintf("key-%d", index), "1"))
--- a/coord/feed/guards_test.go
+++ b/coord/feed/guards_test.go
@@ -28,16 +28,16 @@
 	return feed.Change{Index: index}
 }
 
-// lagProblem plays all sequences of changes, with readers that stopped after each of them and read on at the end, and
+// checkAllSequences plays all sequences of changes, with readers that stopped after each of them and read on at the end, and
 // returns what differs first.
-func lagProblem(omit ...feed.Guard) error {
+func checkAllSequences(omit ...feed.Guard) error {
 	sequences := 1
 	for range lagLength {
 		sequences *= 4
 	}
 	for _, backlog := range lagBacklogs {
 		for sequence := range sequences {
-			if err := lagSequence(backlog, sequence, omit...); err != nil {
+			if err := checkSequence(backlog, sequence, omit...); err != nil {
 				return err
 			}
 		}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func lagSequence(backlog, sequence int, omit ...feed.Guard) error {
+func checkSequence(backlog, sequence int, omit ...feed.Guard) error {
 	buffer := feed.NewBuffer(backlog, omit...)
 	want := map[string]string{}
 	readers := []map[string]string{{}}
@@ -55,7 +55,7 @@
 		if err := buffer.Append(change); err != nil {
 			return err
 		}
-		follow(want, change)
+		applyChange(want, change)
 		readers = append(readers, stateOf(feed.Snapshot{Items: buffer.Snapshot().Items}))
 	}
 	for index, state := range readers {
@@ -72,7 +72,7 @@
 				return fmt.Errorf("a reader at %d gets change %d", at, change.Index)
 			}
 			at = change.Index
-			follow(state, change)
+			applyChange(state, change)
 		}
 		if at != buffer.Index() || !reflect.DeepEqual(state, want) {
 			return fmt.Errorf("a reader from %d with a backlog of %d bytes ends at %d with %v, not %v", index, backlog, at, state, want)
@@ -81,28 +81,28 @@
 	return nil
 }
 
-// TestAReaderBehindTheBacklogHasNoGap shows that a reader that stopped at any index has the whole state afterwards and
+// TestBuffer_From_readerBehindBacklogHasNoGap shows that a reader that stopped at any index has the whole state afterwards and
 // never goes back, and that it would not without the snapshot for those behind the backlog.
-func TestAReaderBehindTheBacklogHasNoGap(t *testing.T) {
-	if err := lagProblem(); err != nil {
+func TestBuffer_From_readerBehindBacklogHasNoGap(t *testing.T) {
+	if err := checkAllSequences(); err != nil {
 		t.Fatal(err)
 	}
-	without := lagProblem(feed.GuardBacklogFloor)
+	without := checkAllSequences(feed.GuardBacklogFloor)
 	if without == nil {
 		t.Fatal("backlog-floor left out: not noticed")
 	}
 	t.Log(without)
 }
 
-// TestAChangeThatIsNotAboveIsRefused shows the same for changes whose index does not rise.
-func TestAChangeThatIsNotAboveIsRefused(t *testing.T) {
+// TestBuffer_Append_guardPreventsStaleChange shows the same for changes whose index does not rise.
+func TestBuffer_Append_guardPreventsStaleChange(t *testing.T) {
 	harm := func(omit ...feed.Guard) bool {
 		buffer := feed.NewBuffer(largeBacklog, omit...)
 		mustAppend(t, buffer, put(4, "a", "new"))
 		err := buffer.Append(put(3, "a", "old"))
 		return err == nil && string(buffer.Snapshot().Items[0].Value) == "old"
 	}
-	if harm() || !harm(feed.GuardIndexRises) {
-		t.Fatalf("harm with the guard: %t, without: %t", harm(), harm(feed.GuardIndexRises))
+	if harm() || !harm(feed.GuardIndexIncreases) {
+		t.Fatalf("harm with the guard: %t, without: %t", harm(), harm(feed.GuardIndexIncreases))
 	}
 }
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func names(count int) []string {
+func nodeNames(count int) []string {
 	list := make([]string, count)
 	for i := range list {
 		list[i] = fmt.Sprintf("edge-%03d", i)
@@ -16,7 +16,7 @@
 	return list
 }
 
-func probers(t *testing.T, all []string) map[string]int {
+func probeCounts(t *testing.T, all []string) map[string]int {
 	t.Helper()
 	probed := make(map[string]int)
 	for _, name := range all {
@@ -31,11 +31,11 @@
 	return probed
 }
 
-func TestEachNodeIsProbedByAboutThreeOthers(t *testing.T) {
+func TestTargets_eachNodeIsProbedByAboutThreeOthers(t *testing.T) {
 	for _, count := range []int{4, 10, 60, 300} {
-		probed := probers(t, names(count))
+		probed := probeCounts(t, nodeNames(count))
 		total := 0
-		for _, name := range names(count) {
+		for _, name := range nodeNames(count) {
 			if probed[name] < 1 || probed[name] > Rings {
 				t.Errorf("of %d nodes, %s is probed by %d", count, name, probed[name])
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestFewNodes(t *testing.T) {
+func TestTargets_fewNodes(t *testing.T) {
 	if targets := Targets("a", nil, Rings); len(targets) != 0 {
 		t.Errorf("targets of a lone node: %v", targets)
 	}
@@ -56,9 +56,9 @@
 	}
 }
 
-func TestAJoinChangesFewTargets(t *testing.T) {
-	before := names(100)
-	after := append(names(100), "edge-new")
+func TestTargets_joinChangesFewTargets(t *testing.T) {
+	before := nodeNames(100)
+	after := append(nodeNames(100), "edge-new")
 	changed := 0
 	for _, name := range before {
 		for _, target := range Targets(name, after, Rings) {
@@ -72,8 +72,8 @@
 	}
 }
 
-func TestTargetsDoNotDependOnTheOrder(t *testing.T) {
-	all := names(30)
+func TestTargets_ignoresOrder(t *testing.T) {
+	all := nodeNames(30)
 	want := Targets(all[3], all, Rings)
 	slices.Reverse(all)
 	if got := Targets(all[26], all, Rings); !slices.Equal(got, want) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestPacketRoundTrip(t *testing.T) {
+func TestPacket_Encode_roundTrip(t *testing.T) {
 	packets := []Packet{
 		{Kind: Ping, Sequence: 1},
 		{Kind: Ack, Sequence: 1<<64 - 1},
@@ -107,16 +107,16 @@
 
 // network carries packets between probers on a clock of its own; each packet takes latency.
 type network struct {
-	now      time.Time
-	probers  map[netip.AddrPort]*Prober
-	down     map[netip.AddrPort]bool
-	cut      map[[2]netip.AddrPort]bool
-	flights  []flight
-	findings map[string][]Finding // by the node that found
-	sent     int
+	now         time.Time
+	probers     map[netip.AddrPort]*Prober
+	down        map[netip.AddrPort]bool
+	partitioned map[[2]netip.AddrPort]bool
+	inFlight    []delayedPacket
+	findings    map[string][]Finding // by the node that found
+	sent        int
 }
 
-type flight struct {
+type delayedPacket struct {
 	at       time.Time
 	from, to netip.AddrPort
 	packet   Packet
@@ -129,14 +129,14 @@
 
 func newNetwork(count int) *network {
 	n := &network{
-		now:      time.Unix(1000, 0),
-		probers:  make(map[netip.AddrPort]*Prober),
-		down:     make(map[netip.AddrPort]bool),
-		cut:      make(map[[2]netip.AddrPort]bool),
-		findings: make(map[string][]Finding),
+		now:         time.Unix(1000, 0),
+		probers:     make(map[netip.AddrPort]*Prober),
+		down:        make(map[netip.AddrPort]bool),
+		partitioned: make(map[[2]netip.AddrPort]bool),
+		findings:    make(map[string][]Finding),
 	}
 	var nodes []Node
-	for i, name := range names(count) {
+	for i, name := range nodeNames(count) {
 		nodes = append(nodes, Node{Name: name, Address: address(i)})
 	}
 	for i, node := range nodes {
@@ -158,30 +158,30 @@
 		n.deliver()
 		for from, prober := range n.probers {
 			if at, ok := prober.NextAt(); ok && !n.down[from] && !n.now.Before(at) {
-				n.carryOut(from, prober, prober.Tick(n.now))
+				n.apply(from, prober, prober.Tick(n.now))
 			}
 		}
 	}
 }
 
 func (n *network) deliver() {
-	due := n.flights
-	n.flights = nil
+	due := n.inFlight
+	n.inFlight = nil
 	for _, f := range due {
 		switch {
 		case n.now.Before(f.at):
-			n.flights = append(n.flights, f)
-		case n.down[f.to] || n.down[f.from] || n.cut[[2]netip.AddrPort{f.from, f.to}]:
+			n.inFlight = append(n.inFlight, f)
+		case n.down[f.to] || n.down[f.from] || n.partitioned[[2]netip.AddrPort{f.from, f.to}]:
 		default:
-			n.carryOut(f.to, n.probers[f.to], n.probers[f.to].Receive(n.now, f.from, f.packet))
+			n.apply(f.to, n.probers[f.to], n.probers[f.to].Receive(n.now, f.from, f.packet))
 		}
 	}
 }
 
-func (n *network) carryOut(from netip.AddrPort, prober *Prober, actions Actions) {
+func (n *network) apply(from netip.AddrPort, prober *Prober, actions Actions) {
 	for _, out := range actions.Send {
 		n.sent++
-		n.flights = append(n.flights, flight{at: n.now.Add(latency), from: from, to: out.To, packet: out.Packet})
+		n.inFlight = append(n.inFlight, delayedPacket{at: n.now.Add(latency), from: from, to: out.To, packet: out.Packet})
 	}
 	n.findings[prober.self] = append(n.findings[prober.self], actions.Findings...)
 }
@@ -198,7 +198,7 @@
 	return count
 }
 
-func TestAllAnswer(t *testing.T) {
+func TestProber_Tick_healthyNodesAreNotSuspected(t *testing.T) {
 	n := newNetwork(10)
 	n.run(20 * time.Second)
 	for name, findings := range n.findings {
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestADeadNodeIsSuspectedAndComesBack(t *testing.T) {
+func TestProber_Tick_deadNodeIsSuspectedThenRecovers(t *testing.T) {
 	n := newNetwork(10)
 	n.run(5 * time.Second)
 	n.down[address(4)] = true
@@ -219,7 +219,7 @@
 	if n.suspicions("edge-004") == 0 {
 		t.Error("the dead node is not suspected")
 	}
-	for _, name := range names(10) {
+	for _, name := range nodeNames(10) {
 		if name != "edge-004" && n.suspicions(name) > 0 {
 			t.Errorf("%s is suspected", name)
 		}
@@ -233,28 +233,28 @@
 	}
 }
 
-func TestACutBetweenTwoNodesSuspectsNobody(t *testing.T) {
+func TestProber_Tick_partitionOfTwoNodesSuspectsNobody(t *testing.T) {
 	n := newNetwork(10)
-	target := Targets("edge-000", names(10), Rings)[0]
-	for i, name := range names(10) {
+	target := Targets("edge-000", nodeNames(10), Rings)[0]
+	for i, name := range nodeNames(10) {
 		if name == target {
-			n.cut[[2]netip.AddrPort{address(0), address(i)}] = true
-			n.cut[[2]netip.AddrPort{address(i), address(0)}] = true
+			n.partitioned[[2]netip.AddrPort{address(0), address(i)}] = true
+			n.partitioned[[2]netip.AddrPort{address(i), address(0)}] = true
 		}
 	}
 	n.run(20 * time.Second)
-	for _, name := range names(10) {
+	for _, name := range nodeNames(10) {
 		if n.suspicions(name) > 0 {
 			t.Errorf("%s is suspected", name)
 		}
 	}
 }
 
-func TestANodeThatIsCutOffSuspectsNobody(t *testing.T) {
+func TestProber_Tick_isolatedNodeSuspectsNobody(t *testing.T) {
 	n := newNetwork(10)
 	for i := 1; i < 10; i++ {
-		n.cut[[2]netip.AddrPort{address(0), address(i)}] = true
-		n.cut[[2]netip.AddrPort{address(i), address(0)}] = true
+		n.partitioned[[2]netip.AddrPort{address(0), address(i)}] = true
+		n.partitioned[[2]netip.AddrPort{address(i), address(0)}] = true
 	}
 	n.run(20 * time.Second)
 	if len(n.findings["edge-000"]) > 0 {
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestAStallOfTheProberGivesUpWhatIsOut(t *testing.T) {
+func TestProber_Tick_stallDropsOutstandingProbes(t *testing.T) {
 	n := newNetwork(3)
 	prober := n.probers[address(0)]
 	actions := prober.Tick(n.now)
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestNodesThatAreGoneAreNotProbed(t *testing.T) {
+func TestProber_SetNodes_removedNodesAreNotProbed(t *testing.T) {
 	n := newNetwork(3)
 	prober := n.probers[address(0)]
 	prober.Tick(n.now)
--- a/coord/membership/probe.go
+++ b/coord/membership/probe.go
@@ -9,24 +9,24 @@
 func (p *Prober) startProbe(now time.Time, actions *Actions) {
 	p.turn++
 	target := p.targets[p.turn%len(p.targets)]
-	p.probe = &probe{target: target, sequence: p.nextSequence(), deadline: now.Add(p.options.AckLimit)}
+	p.probe = &probe{target: target, sequence: p.nextSequence(), deadline: now.Add(p.options.AckTimeout)}
 	actions.send(target.Address, Packet{Kind: Ping, Sequence: p.probe.sequence})
 }
 
-// probeExpired asks peers about a target that did not answer, and gives up where they did not
+// handleProbeTimeout asks peers about a target that did not answer, and gives up where they did not
 // all confirm it in time.
-func (p *Prober) probeExpired(now time.Time, actions *Actions) {
-	if p.probe.peersAsked > 0 {
+func (p *Prober) handleProbeTimeout(now time.Time, actions *Actions) {
+	if p.probe.indirectRequested > 0 {
 		p.probe = nil
 		return
 	}
-	peers := p.drawPeers(p.probe.target)
+	peers := p.randomPeers(p.probe.target)
 	if len(peers) == 0 {
 		p.probe = nil
 		return
 	}
-	p.probe.peersAsked = len(peers)
-	p.probe.deadline = now.Add(p.options.PeersLimit)
+	p.probe.indirectRequested = len(peers)
+	p.probe.deadline = now.Add(p.options.IndirectTimeout)
 	for _, peer := range peers {
 		actions.send(peer.Address, Packet{
 			Kind: PingRequest, Sequence: p.probe.sequence, Target: p.probe.target.Address,
@@ -34,24 +34,24 @@
 	}
 }
 
-// drawPeers draws the nodes that are asked about a target.
-func (p *Prober) drawPeers(target Node) []Node {
+// randomPeers draws the nodes that are asked about a target.
+func (p *Prober) randomPeers(target Node) []Node {
 	others := make([]Node, 0, len(p.nodes))
 	for _, node := range p.nodes {
 		if node.Name != p.self && node.Name != target.Name && !p.suspected[node.Name] {
 			others = append(others, node)
 		}
 	}
-	count := min(confirmations, len(others))
+	count := min(indirectProbes, len(others))
 	for i := range count {
-		drawn := i + int(p.random()%uint64(len(others)-i))
-		others[i], others[drawn] = others[drawn], others[i]
+		other := i + int(p.random()%uint64(len(others)-i))
+		others[i], others[other] = others[other], others[i]
 	}
 	return others[:count]
 }
 
-// acknowledged ends the probe or the relay that the sequence belongs to.
-func (p *Prober) acknowledged(sequence uint64, actions *Actions) {
+// handleAck ends the probe or the relay that the sequence belongs to.
+func (p *Prober) handleAck(sequence uint64, actions *Actions) {
 	if relay, ok := p.relays[sequence]; ok {
 		delete(p.relays, sequence)
 		actions.send(relay.requester, Packet{Kind: Ack, Sequence: relay.sequence})
@@ -68,13 +68,13 @@
 	}
 }
 
-// notAcknowledged counts a peer that had no answer either.
-func (p *Prober) notAcknowledged(sequence uint64, actions *Actions) {
-	if p.probe == nil || p.probe.sequence != sequence || p.probe.peersAsked == 0 {
+// handleNoAck counts a peer that had no answer either.
+func (p *Prober) handleNoAck(sequence uint64, actions *Actions) {
+	if p.probe == nil || p.probe.sequence != sequence || p.probe.indirectRequested == 0 {
 		return
 	}
 	p.probe.noAcks++
-	if p.probe.noAcks < p.probe.peersAsked {
+	if p.probe.noAcks < p.probe.indirectRequested {
 		return
 	}
 	target := p.probe.target
@@ -85,12 +85,12 @@
 
 // startRelay pings a node for another one.
 func (p *Prober) startRelay(now time.Time, from netip.AddrPort, request Packet, actions *Actions) {
-	if len(p.relays) >= relayLimit {
+	if len(p.relays) >= maxRelays {
 		return
 	}
 	sequence := p.nextSequence()
 	p.relays[sequence] = relay{
-		requester: from, sequence: request.Sequence, deadline: now.Add(p.options.AckLimit),
+		requester: from, sequence: request.Sequence, deadline: now.Add(p.options.AckTimeout),
 	}
 	actions.send(request.Target, Packet{Kind: Ping, Sequence: sequence})
 }
--- a/coord/membership/prober.go
+++ b/coord/membership/prober.go
@@ -7,23 +7,23 @@
 
 // Options are a prober's intervals; zero values stand for the defaults.
 type Options struct {
-	Interval   time.Duration // between two pings; each goes to the next target
-	AckLimit   time.Duration // for the answer to a ping
-	PeersLimit time.Duration // for the answers of the peers that are asked then
-	Rings      int
+	ProbeInterval   time.Duration // between two pings; each goes to the next target
+	AckTimeout      time.Duration // for the answer to a ping
+	IndirectTimeout time.Duration // for the answers of the peers that are asked then
+	Rings           int
 }
 
 const (
-	defaultInterval   = time.Second
-	defaultAckLimit   = 400 * time.Millisecond
-	defaultPeersLimit = 900 * time.Millisecond
-
-	// confirmations is how many peers must have had no answer either before a node is suspected.
-	confirmations = 2
-	// relayLimit bounds the pings that are out for others.
-	relayLimit = 64
-	// stallSlack is how late a call may come before the process counts as having stood still.
-	stallSlack = 250 * time.Millisecond
+	defaultProbeInterval   = time.Second
+	defaultAckTimeout      = 400 * time.Millisecond
+	defaultIndirectTimeout = 900 * time.Millisecond
+
+	// indirectProbes is how many peers must have had no answer either before a node is suspected.
+	indirectProbes = 2
+	// maxRelays bounds the pings that are out for others.
+	maxRelays = 64
+	// maxTickDelay is how late a call may come before the process counts as having stood still.
+	maxTickDelay = 250 * time.Millisecond
 )
 
 // Node is one node of the fleet.
@@ -52,11 +52,11 @@
 
 // probe is the question that is out to a target.
 type probe struct {
-	target     Node
-	sequence   uint64
-	deadline   time.Time
-	peersAsked int // 0: the target itself was asked
-	noAcks     int
+	target            Node
+	sequence          uint64
+	deadline          time.Time
+	indirectRequested int // 0: the target itself was asked
+	noAcks            int
 }
 
 // relay is a ping that is out for another node.
@@ -97,14 +97,14 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.Interval == 0 {
-		o.Interval = defaultInterval
+	if o.ProbeInterval == 0 {
+		o.ProbeInterval = defaultProbeInterval
 	}
-	if o.AckLimit == 0 {
-		o.AckLimit = defaultAckLimit
+	if o.AckTimeout == 0 {
+		o.AckTimeout = defaultAckTimeout
 	}
-	if o.PeersLimit == 0 {
-		o.PeersLimit = defaultPeersLimit
+	if o.IndirectTimeout == 0 {
+		o.IndirectTimeout = defaultIndirectTimeout
 	}
 	if o.Rings == 0 {
 		o.Rings = Rings
@@ -154,16 +154,16 @@
 // Tick does what is due at a time.
 func (p *Prober) Tick(now time.Time) Actions {
 	var actions Actions
-	if at, ok := p.NextAt(); ok && !at.IsZero() && now.Sub(at) > stallSlack {
+	if at, ok := p.NextAt(); ok && !at.IsZero() && now.Sub(at) > maxTickDelay {
 		p.probe = nil
 		clear(p.relays)
 	}
 	p.expireRelays(now, &actions)
 	if p.probe != nil && !now.Before(p.probe.deadline) {
-		p.probeExpired(now, &actions)
+		p.handleProbeTimeout(now, &actions)
 	}
 	if len(p.targets) > 0 && !now.Before(p.nextPing) {
-		p.nextPing = now.Add(p.options.Interval)
+		p.nextPing = now.Add(p.options.ProbeInterval)
 		if p.probe == nil {
 			p.startProbe(now, &actions)
 		}
@@ -178,9 +178,9 @@
 	case Ping:
 		actions.send(from, Packet{Kind: Ack, Sequence: packet.Sequence})
 	case Ack:
-		p.acknowledged(packet.Sequence, &actions)
+		p.handleAck(packet.Sequence, &actions)
 	case NoAck:
-		p.notAcknowledged(packet.Sequence, &actions)
+		p.handleNoAck(packet.Sequence, &actions)
 	case PingRequest:
 		p.startRelay(now, from, packet, &actions)
 	}
--- a/coord/replica/sustained_load_test.go
+++ b/coord/replica/sustained_load_test.go
@@ -207,7 +207,7 @@
 
 // TestDiskBound_allReplicasFitOnDisk adds up the bounds of all replicas of a keeper.
 func TestDiskBound_allReplicasFitOnDisk(t *testing.T) {
-	total := replicaDiskBound(maxSnapshotBytes, maxPendingDocumentBytes) + shards.ServiceShards*replicaDiskBound(maxInstanceBytes, maxPendingInstanceBytes)
+	total := replicaDiskBound(maxSnapshotBytes, maxPendingDocumentBytes) + shards.ServiceShardCount*replicaDiskBound(maxInstanceBytes, maxPendingInstanceBytes)
 	t.Logf("%d MiB at most", total>>20)
 	if total > diskCapacity {
 		t.Errorf("%d bytes", total)
--- a/coord/shards/shards.go
+++ b/coord/shards/shards.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Of returns the shard that holds the instances of a service, one of 1 to ServiceShards.
-func Of(serviceName string) ID {
-	return ID(1 + xxhash.Sum64String(serviceName)%ServiceShards)
+// ForService returns the shard that holds the instances of a service, one of 1 to ServiceShards.
+func ForService(serviceName string) ID {
+	return ID(1 + xxhash.Sum64String(serviceName)%ServiceShardCount)
 }
 
-// scored is a member with its weight for one shard.
-type scored struct {
+// weightedMember is a member with its weight for one shard.
+type weightedMember struct {
 	address string
 	weight  uint64
 }
 
-// Group returns the addresses of the members that hold the shard, the heaviest first: the size ones
+// ReplicaGroup returns the addresses of the members that hold the shard, the heaviest first: the size ones
 // with the greatest rendezvous weights, or all if there are no more. The order of members and
 // repeats in it change nothing, and one member more or less moves only the places that it takes or leaves.
-func Group(shard ID, members []string, size int) []string {
-	candidates := weigh(shard, members)
+func ReplicaGroup(shard ID, members []string, size int) []string {
+	candidates := withWeights(shard, members)
 	slices.SortFunc(candidates, heavierFirst)
 	candidates = slices.Compact(candidates)
 	candidates = candidates[:min(max(size, 0), len(candidates))]
@@ -33,16 +33,16 @@
 	return chosen
 }
 
-func weigh(shard ID, members []string) []scored {
-	candidates := make([]scored, len(members))
+func withWeights(shard ID, members []string) []weightedMember {
+	candidates := make([]weightedMember, len(members))
 	for i, address := range members {
-		candidates[i] = scored{address: address, weight: weight(shard, address)}
+		candidates[i] = weightedMember{address: address, weight: rendezvousWeight(shard, address)}
 	}
 	return candidates
 }
 
-// weight hashes the shard's number, four bytes with the least first, followed by the address.
-func weight(shard ID, address string) uint64 {
+// rendezvousWeight hashes the shard's number, four bytes with the least first, followed by the address.
+func rendezvousWeight(shard ID, address string) uint64 {
 	key := make([]byte, 0, 4+len(address))
 	key = append(key, byte(shard), byte(shard>>8), byte(shard>>16), byte(shard>>24))
 	key = append(key, address...)
@@ -50,7 +50,7 @@
 }
 
 // heavierFirst orders by weight, then by address so that equal weights give one order everywhere.
-func heavierFirst(a, b scored) int {
+func heavierFirst(a, b weightedMember) int {
 	if order := cmp.Compare(b.weight, a.weight); order != 0 {
 		return order
 	}
--- a/coord/shards/shards_test.go
+++ b/coord/shards/shards_test.go
@@ -14,38 +14,38 @@
 	return all
 }
 
-// TestOfSpreads expects each shard to get its part of many names, within a tenth.
-func TestOfSpreads(t *testing.T) {
+// TestForService_spreadsEvenly expects each shard to get its part of many names, within a tenth.
+func TestForService_spreadsEvenly(t *testing.T) {
 	const names = 40000
 	counts := map[ID]int{}
 	for i := range names {
-		counts[Of(fmt.Sprint("service-", i))]++
+		counts[ForService(fmt.Sprint("service-", i))]++
 	}
-	if len(counts) != ServiceShards {
+	if len(counts) != ServiceShardCount {
 		t.Fatalf("%d shards", len(counts))
 	}
-	for shard := ID(1); shard <= ServiceShards; shard++ {
-		if share := names / ServiceShards; counts[shard] < share*9/10 || counts[shard] > share*11/10 {
+	for shard := ID(1); shard <= ServiceShardCount; shard++ {
+		if share := names / ServiceShardCount; counts[shard] < share*9/10 || counts[shard] > share*11/10 {
 			t.Errorf("shard %d has %d of %d names", shard, counts[shard], names)
 		}
 	}
 }
 
-// TestOfLasts holds values that stored data rests on.
-func TestOfLasts(t *testing.T) {
+// TestForService_isStable holds values that stored data rests on.
+func TestForService_isStable(t *testing.T) {
 	for name, want := range map[string]ID{"@nodes": 1, "chat": 1, "": 2} {
-		if got := Of(name); got != want {
+		if got := ForService(name); got != want {
 			t.Errorf("%q is in shard %d, was in %d", name, got, want)
 		}
 	}
 }
 
-func TestGroupIgnoresOrderAndRepeats(t *testing.T) {
+func TestReplicaGroup_ignoresOrderAndRepeats(t *testing.T) {
 	members := addresses(9)
-	want := Group(3, members, 5)
+	want := ReplicaGroup(3, members, 5)
 	backwards := slices.Clone(members)
 	slices.Reverse(backwards)
-	if got := Group(3, append(backwards, members[0]), 5); !slices.Equal(got, want) {
+	if got := ReplicaGroup(3, append(backwards, members[0]), 5); !slices.Equal(got, want) {
 		t.Fatalf("%v, not %v", got, want)
 	}
 	if !slices.Equal(members, addresses(9)) {
@@ -53,24 +53,24 @@
 	}
 }
 
-func TestGroupSizes(t *testing.T) {
+func TestReplicaGroup_sizes(t *testing.T) {
 	members := addresses(3)
 	for size, want := range map[int]int{-1: 0, 0: 0, 1: 1, 3: 3, 5: 3} {
-		if got := Group(0, members, size); len(got) != want {
+		if got := ReplicaGroup(0, members, size); len(got) != want {
 			t.Errorf("size %d: %v", size, got)
 		}
 	}
-	if got := Group(0, nil, 3); len(got) != 0 {
+	if got := ReplicaGroup(0, nil, 3); len(got) != 0 {
 		t.Errorf("without members: %v", got)
 	}
 }
 
-// TestGroupSpreads expects each member to be in its part of many groups, within a fifth.
-func TestGroupSpreads(t *testing.T) {
+// TestReplicaGroup_spreadsEvenly expects each member to be in its part of many groups, within a fifth.
+func TestReplicaGroup_spreadsEvenly(t *testing.T) {
 	const groups, size, count = 6000, 3, 9
 	counts := map[string]int{}
 	for shard := range ID(groups) {
-		for _, address := range Group(shard, addresses(count), size) {
+		for _, address := range ReplicaGroup(shard, addresses(count), size) {
 			counts[address]++
 		}
 	}
@@ -81,20 +81,20 @@
 	}
 }
 
-// TestGroupStable adds and removes each member: only its own places change.
-func TestGroupStable(t *testing.T) {
+// TestReplicaGroup_changesFewMembers adds and removes each member: only its own places change.
+func TestReplicaGroup_changesFewMembers(t *testing.T) {
 	members := addresses(8)
 	for shard := range ID(200) {
-		before := Group(shard, members, 3)
+		before := ReplicaGroup(shard, members, 3)
 		for i, removed := range members {
-			after := Group(shard, slices.Delete(slices.Clone(members), i, i+1), 3)
-			checkPlaces(t, before, after, removed)
+			after := ReplicaGroup(shard, slices.Delete(slices.Clone(members), i, i+1), 3)
+			requireSameOrder(t, before, after, removed)
 		}
 	}
 }
 
-// checkPlaces expects after to have all of before but the removed one, in the same order.
-func checkPlaces(t *testing.T, before, after []string, removed string) {
+// requireSameOrder expects after to have all of before but the removed one, in the same order.
+func requireSameOrder(t *testing.T, before, after []string, removed string) {
 	t.Helper()
 	kept := slices.DeleteFunc(slices.Clone(before), func(address string) bool { return address == removed })
 	if !slices.Equal(after[:len(kept)], kept) {
--- a/coord/shards/types.go
+++ b/coord/shards/types.go
@@ -6,7 +6,7 @@
 type ID uint32
 
 const (
-	Configuration ID = 0 // the shard of the operator's configuration
-	ServiceShards    = 4 // shards 1 to ServiceShards hold the instances of services
-	Count            = ServiceShards + 1
+	ConfigurationShard ID = 0 // the shard of the operator's configuration
+	ServiceShardCount     = 4 // shards 1 to ServiceShards hold the instances of services
+	ShardCount            = ServiceShardCount + 1
 )
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -279,8 +279,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		from := &feedHandler{store: store, log: zap.NewNop()}
-		from.Snapshot(shards.Configuration, feed.Snapshot{Index: 7})
-		from.Status(feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: shards.Configuration}}})
+		from.Snapshot(shards.ConfigurationShard, feed.Snapshot{Index: 7})
+		from.Status(feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: shards.ConfigurationShard}}})
 		time.Sleep(staleStateDelay - 1)
 		synctest.Wait()
 		select {
--- a/internal/controlplane/agent/feed_handler.go
+++ b/internal/controlplane/agent/feed_handler.go
@@ -55,7 +55,7 @@
 
 // acceptStale passes on a state that is not known to be current, if there is a configuration in it.
 func (h *feedHandler) acceptStale() {
-	if h.store.index(shards.Configuration) > 0 {
+	if h.store.index(shards.ConfigurationShard) > 0 {
 		h.store.markReady()
 	}
 }
--- a/internal/controlplane/agent/probing.go
+++ b/internal/controlplane/agent/probing.go
@@ -140,7 +140,7 @@
 	p.prober.SetNodes(nodesOf(values, p.port))
 }
 
-func nodesShard() shards.ID { return shards.Of(registry.NodesService) }
+func nodesShard() shards.ID { return shards.ForService(registry.NodesService) }
 
 // nodesOf picks the fleet's nodes out of a shard's items. A node is named by its IP.
 func nodesOf(values [][]byte, port int) []membership.Node {
--- a/internal/controlplane/agent/store_test.go
+++ b/internal/controlplane/agent/store_test.go
@@ -15,12 +15,12 @@
 func TestAKeepersWordLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		s.reset(shards.Configuration, feed.Snapshot{Index: 3})
+		s.reset(shards.ConfigurationShard, feed.Snapshot{Index: 3})
 		current := func() bool { return s.Status().Current() }
 		if current() {
 			t.Fatal("current without a keeper")
 		}
-		word := []feedtransport.ShardStatus{{Shard: shards.Configuration, Index: 3, Current: true}}
+		word := []feedtransport.ShardStatus{{Shard: shards.ConfigurationShard, Index: 3, Current: true}}
 		s.setCurrent(word)
 		time.Sleep(currencyTTL)
 		if !current() {
--- a/internal/controlplane/feedtransport/source_test.go
+++ b/internal/controlplane/feedtransport/source_test.go
@@ -37,7 +37,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []shards.ID
-	for shard := range shards.ID(shards.Count) {
+	for shard := range shards.ID(shards.ShardCount) {
 		if _, ok := s.logs[shard]; ok {
 			list = append(list, shard)
 		}
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status := Status{Servers: s.servers}
-	for shard := range shards.ID(shards.Count) {
+	for shard := range shards.ID(shards.ShardCount) {
 		if log, ok := s.logs[shard]; ok {
 			status.Shards = append(status.Shards, ShardStatus{Shard: shard, Index: lastIndex(log), Current: s.current})
 		}
--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -172,7 +172,7 @@
 func withKnownShards(batch []GroupMessage) []GroupMessage {
 	remaining := batch[:0]
 	for _, message := range batch {
-		if message.Shard < shards.Count {
+		if message.Shard < shards.ShardCount {
 			remaining = append(remaining, message)
 		}
 	}
--- a/internal/controlplane/peertransport/transport_test.go
+++ b/internal/controlplane/peertransport/transport_test.go
@@ -273,7 +273,7 @@
 }
 
 func TestFramesOfUnknownShardsAreLeftOut(t *testing.T) {
-	batch := withKnownShards([]GroupMessage{{Shard: shards.Count}, {Shard: 1}, {Shard: 1 << 30}})
+	batch := withKnownShards([]GroupMessage{{Shard: shards.ShardCount}, {Shard: 1}, {Shard: 1 << 30}})
 	if len(batch) != 1 || batch[0].Shard != 1 {
 		t.Fatal(batch)
 	}
--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -89,7 +89,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeoutFor(len(body)))
 	defer cancel()
-	return s.forward(ctx, shardRequest{Kind: kind, Shard: shards.Configuration, Base: base, Body: body})
+	return s.forward(ctx, shardRequest{Kind: kind, Shard: shards.ConfigurationShard, Base: base, Body: body})
 }
 
 // parseBaseVersion reads the header; one that is missing counts as 0.
@@ -112,7 +112,7 @@
 func (s *Server) handleConfigurationRead(ctx context.Context) shardResponse {
 	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
-	return s.forward(ctx, shardRequest{Kind: callRead, Shard: shards.Configuration})
+	return s.forward(ctx, shardRequest{Kind: callRead, Shard: shards.ConfigurationShard})
 }
 
 func (s *Server) handleHeartbeat(ctx context.Context, request APIRequest) shardResponse {
@@ -123,7 +123,7 @@
 	if err != nil {
 		return registryErrorResponse(err)
 	}
-	shard := shards.Of(heartbeat.Service)
+	shard := shards.ForService(heartbeat.Service)
 	if s.acknowledgeLocally(shard, heartbeat) {
 		return okResponse(emptyObject)
 	}
@@ -161,7 +161,7 @@
 }
 
 func (s *Server) deregisterInAllShards(ctx context.Context, id string) shardResponse {
-	replies := make([]shardResponse, shards.ServiceShards)
+	replies := make([]shardResponse, shards.ServiceShardCount)
 	var waitGroup sync.WaitGroup
 	for i := range replies {
 		shard := shards.ID(i + 1)
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -158,7 +158,7 @@
 		request := newReusedBufferRequest(presentID, "", heartbeatJSON("ready", 5))
 		s.keeper.apiHandler(APIHeartbeat)(t.Context(), request.context)
 		request.overwrite()
-		drained := s.keeper.liveness.drain(shards.Of(presentService))
+		drained := s.keeper.liveness.drain(shards.ForService(presentService))
 		if len(drained) != 1 || drained[0].ID != presentID {
 			t.Fatal(drained)
 		}
@@ -166,7 +166,7 @@
 		request = newReusedBufferRequest("i-new", "", heartbeatJSON("ready", 1))
 		s.keeper.apiHandler(APIHeartbeat)(t.Context(), request.context)
 		request.overwrite()
-		machine := s.keeper.instances(shards.Of(presentService))
+		machine := s.keeper.instances(shards.ForService(presentService))
 		if machine.store.Instance("i-new") == nil {
 			t.Fatal(machine.store.Instances(""))
 		}
@@ -188,7 +188,7 @@
 		if second := s.keeper.Handle(t.Context(), APIRequest{Call: APIRead}); string(second.Body) != configurationJSON(9) {
 			t.Fatalf("%s", second.Body)
 		}
-		changes, snapshot := s.keeper.Since(shards.Configuration, 0)
+		changes, snapshot := s.keeper.Since(shards.ConfigurationShard, 0)
 		if len(changes) == 0 && snapshot == nil {
 			t.Fatal("the feed has nothing")
 		}
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -38,7 +38,7 @@
 // degradedServerFixture is a keeper in trouble, and perhaps another one that owns all shards.
 type degradedServerFixture struct {
 	keeper *Server
-	groups [shards.Count]*scriptedGroup
+	groups [shards.ShardCount]*scriptedGroup
 	owner  *Server
 	link   *ownerOnlyNetwork
 }
@@ -76,22 +76,22 @@
 		{Kind: configuration.CommandReplace, Base: 0, Body: []byte(configurationJSON(3))},
 		{Kind: configuration.CommandReplace, Base: 3, Body: []byte(configurationJSON(currentNumber))},
 	} {
-		apply(shards.Configuration, uint64(index+1), configuration.EncodeCommand(change))
+		apply(shards.ConfigurationShard, uint64(index+1), configuration.EncodeCommand(change))
 	}
 	for index, id := range []string{removedID, presentID} {
 		heartbeat, err := registry.ParseHeartbeat(id, []byte(heartbeatJSON("ready", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		apply(shards.Of(presentService), uint64(2*index+1), registry.EncodePut(heartbeat.Instance, 1))
+		apply(shards.ForService(presentService), uint64(2*index+1), registry.EncodePut(heartbeat.Instance, 1))
 		if id == removedID {
-			apply(shards.Of(presentService), 2, registry.EncodeRemove(id, registry.Deregistered, 1))
+			apply(shards.ForService(presentService), 2, registry.EncodeRemove(id, registry.Deregistered, 1))
 		}
 	}
 }
 
 // makeOwner has the groups of a keeper commit what is proposed at once.
-func makeOwner(s *Server, groups [shards.Count]*scriptedGroup) {
+func makeOwner(s *Server, groups [shards.ShardCount]*scriptedGroup) {
 	for i, group := range groups {
 		index := uint64(10)
 		group.submit = func(_ context.Context, data []byte) (any, error) {
@@ -136,7 +136,7 @@
 	config.IP, config.PortRange = "127.0.0.1", [2]int{7100, 7115}
 	s.owner = newServer(config, consensus.Member{ID: 2, Address: ownerAddress}, Environment{}, zap.NewNop())
 	t.Cleanup(s.owner.Close)
-	var groups [shards.Count]*scriptedGroup
+	var groups [shards.ShardCount]*scriptedGroup
 	for i, shard := range s.owner.shards {
 		groups[i] = &scriptedGroup{}
 		shard.group = groups[i]
--- a/internal/controlplane/server/demand_reports.go
+++ b/internal/controlplane/server/demand_reports.go
@@ -15,7 +15,7 @@
 type demandReports struct {
 	mutex       sync.Mutex
 	fromProxies *roleplanner.DemandTable
-	fromServers [shards.Count]*roleplanner.DemandTable
+	fromServers [shards.ShardCount]*roleplanner.DemandTable
 }
 
 func newDemandReports() *demandReports {
@@ -38,7 +38,7 @@
 	defer d.mutex.Unlock()
 	sums := map[shards.ID][]roleplanner.ServiceDemand{}
 	for service, demand := range d.fromProxies.Sum(now) {
-		id := shards.Of(service)
+		id := shards.ForService(service)
 		sums[id] = append(sums[id], roleplanner.ServiceDemand{Service: service, Demand: demand})
 	}
 	return sums
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
 	lost = map[shards.ID]bool{}
-	for id := shards.ID(1); id < shards.Count; id++ {
+	for id := shards.ID(1); id < shards.ShardCount; id++ {
 		machine, index := s.instances(id), uint64(0)
 		groups[id].set(leaderStatus())
 		groups[id].submit = func(_ context.Context, data []byte) (any, error) {
@@ -43,7 +43,7 @@
 // Its heartbeat comes late, and would go to just that shard.
 func TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard(t *testing.T) {
 	s, lost := newOwningServer(t)
-	home := shards.Of(presentService)
+	home := shards.ForService(presentService)
 	lost[home] = true
 	for range 2 {
 		if status := deregister(t, s, presentID); status == http.StatusOK {
@@ -63,9 +63,9 @@
 // TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly has an instance leave twice, while all other shards take nothing.
 func TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly(t *testing.T) {
 	s, lost := newOwningServer(t)
-	home := shards.Of(presentService)
+	home := shards.ForService(presentService)
 	s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 1))})
-	for id := shards.ID(1); id < shards.Count; id++ {
+	for id := shards.ID(1); id < shards.ShardCount; id++ {
 		lost[id] = id != home
 	}
 	for range 2 {
@@ -81,7 +81,7 @@
 // TestServer_Handle_heartbeatAfterDeregisterProposesNothing has an instance leave that goes on to tell that it is ready, as long as it serves.
 func TestServer_Handle_heartbeatAfterDeregisterProposesNothing(t *testing.T) {
 	s, lost := newOwningServer(t)
-	home := shards.Of(presentService)
+	home := shards.ForService(presentService)
 	tell := func(sequence int) int {
 		call := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", sequence))}
 		return s.Handle(timeoutContext(t), call).Status
@@ -103,7 +103,7 @@
 // TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two nodes tell one address in turn: a node's ID may come back, unlike a worker's.
 func TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress(t *testing.T) {
 	s, _ := newOwningServer(t)
-	machine := s.instances(shards.Of(registry.NodesService))
+	machine := s.instances(shards.ForService(registry.NodesService))
 	for index, id := range []string{"n1", "n2", "n1"} {
 		node := registry.Instance{ID: id, Service: registry.NodesService, Address: "10.0.0.1:7660", Slots: 1}
 		decision, owned := machine.decideHeartbeat(time.Now(), registry.Heartbeat{Instance: node})
--- a/internal/controlplane/server/directory.go
+++ b/internal/controlplane/server/directory.go
@@ -15,7 +15,7 @@
 
 	mutex        sync.Mutex
 	known        map[string]serverInfo // by address; all that were ever heard of
-	members      [shards.Count][]consensus.Member
+	members      [shards.ShardCount][]consensus.Member
 	servingCache []serverInfo // those of members, sorted by address; nil: to be made anew
 }
 
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return
 	}
-	s.forward(ctx, shardRequest{Kind: callNodeHeartbeats, Shard: shards.Of(registry.NodesService), Body: body})
+	s.forward(ctx, shardRequest{Kind: callNodeHeartbeats, Shard: shards.ForService(registry.NodesService), Body: body})
 }
 
 // executeNodeHeartbeats takes the heartbeats of edge nodes as the owner of their shard.
--- a/internal/controlplane/server/feed_source.go
+++ b/internal/controlplane/server/feed_source.go
@@ -11,7 +11,7 @@
 
 // allShards lists the shards in their order.
 var allShards = func() []shards.ID {
-	all := make([]shards.ID, shards.Count)
+	all := make([]shards.ID, shards.ShardCount)
 	for i := range all {
 		all[i] = shards.ID(i)
 	}
@@ -28,7 +28,7 @@
 
 // Status tells how far this keeper has each shard, whether it is current, and which keepers serve.
 func (s *Server) Status() feedtransport.Status {
-	status := feedtransport.Status{Shards: make([]feedtransport.ShardStatus, 0, shards.Count)}
+	status := feedtransport.Status{Shards: make([]feedtransport.ShardStatus, 0, shards.ShardCount)}
 	for _, shard := range s.shards {
 		status.Shards = append(status.Shards, feedtransport.ShardStatus{
 			Shard: shard.id, Index: shard.stateMachine.index(), Current: current(shard.group.Status()) || !s.environment.guardEnabled(GuardFeedCurrent),
--- a/internal/controlplane/server/feed_source_test.go
+++ b/internal/controlplane/server/feed_source_test.go
@@ -16,7 +16,7 @@
 // recordingFeedHandler is what an agent holds of the feed.
 type recordingFeedHandler struct {
 	mutex     sync.Mutex
-	items     [shards.Count]map[string]string
+	items     [shards.ShardCount]map[string]string
 	current   bool
 	servers   int
 	connected []string
@@ -110,14 +110,14 @@
 		current, keepers, _ := v.observed()
 		return current && keepers == 3
 	})
-	f.await("the node's registration", func() bool { return v.hasItem(shards.Of(registry.NodesService), "edge-1", "") })
+	f.await("the node's registration", func() bool { return v.hasItem(shards.ForService(registry.NodesService), "edge-1", "") })
 
 	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
 	f.requireStatus(http.StatusOK, status, content)
 	status, content = f.doUntilDefinitive(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1))
 	f.requireStatus(http.StatusOK, status, content)
 	f.await("both changes", func() bool {
-		return v.hasItem(shards.Configuration, configuration.KeyGeneration, "1") && v.hasItem(shards.Of("s"), "i-1", "")
+		return v.hasItem(shards.ConfigurationShard, configuration.KeyGeneration, "1") && v.hasItem(shards.ForService("s"), "i-1", "")
 	})
 
 	// One keeper after the other is stopped and comes back; the agent is led elsewhere at least once.
@@ -129,7 +129,7 @@
 	}
 	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
 	f.requireStatus(http.StatusOK, status, content)
-	f.await("the next generation", func() bool { return v.hasItem(shards.Configuration, configuration.KeyGeneration, "2") })
+	f.await("the next generation", func() bool { return v.hasItem(shards.ConfigurationShard, configuration.KeyGeneration, "2") })
 	if _, _, after := v.observed(); after == before {
 		t.Error("the agent was never led elsewhere, though every keeper was stopped once")
 	}
@@ -154,7 +154,7 @@
 	}
 	v := f.startAgent("edge-1")
 	f.await("the state", func() bool {
-		return v.hasItem(shards.Configuration, configuration.KeyGeneration, "1") && v.hasItem(shards.Of("s"), "i-1", "")
+		return v.hasItem(shards.ConfigurationShard, configuration.KeyGeneration, "1") && v.hasItem(shards.ForService("s"), "i-1", "")
 	})
 	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
 	f.requireStatus(http.StatusOK, status, content)
--- a/internal/controlplane/server/forward_test.go
+++ b/internal/controlplane/server/forward_test.go
@@ -97,7 +97,7 @@
 }
 
 // newScriptedServer returns a keeper whose groups and network a test plays.
-func newScriptedServer(t *testing.T) (*Server, [shards.Count]*scriptedGroup, *scriptedNetwork) {
+func newScriptedServer(t *testing.T) (*Server, [shards.ShardCount]*scriptedGroup, *scriptedNetwork) {
 	t.Helper()
 	config := bootconfig.Defaults()
 	config.IP, config.PortRange = "127.0.0.1", [2]int{7000, 7015}
@@ -105,7 +105,7 @@
 	s := newServer(config, self, Environment{}, zap.NewNop())
 	network := &scriptedNetwork{}
 	s.network = network
-	var groups [shards.Count]*scriptedGroup
+	var groups [shards.ShardCount]*scriptedGroup
 	for i, shard := range s.shards {
 		groups[i] = &scriptedGroup{}
 		shard.group = groups[i]
@@ -130,7 +130,7 @@
 	return ctx
 }
 
-var change = shardRequest{Kind: callReplace, Shard: shards.Configuration, Body: []byte("{}")}
+var change = shardRequest{Kind: callReplace, Shard: shards.ConfigurationShard, Body: []byte("{}")}
 
 func TestServer_Forward_reachesOwner(t *testing.T) {
 	s, groups, network := newScriptedServer(t)
@@ -292,7 +292,7 @@
 
 func TestServer_Execute_heartbeatWaitsForOwnership(t *testing.T) {
 	s, groups, _ := newScriptedServer(t)
-	id := shards.Of("s")
+	id := shards.ForService("s")
 	groups[id].set(leaderStatus())
 	machine := s.instances(id)
 	machine.setLeaderTerm(3)
@@ -325,7 +325,7 @@
 
 func TestServer_Execute_staleOwnerAcknowledgesNothing(t *testing.T) {
 	s, group, heartbeat := newServerWithInstance(t)
-	id := shards.Of(presentService)
+	id := shards.ForService(presentService)
 	group.propose = func() (any, error) { return nil, replica.ErrUnknownOutcome }
 	status := leaderStatus()
 	status.ConfirmedAge = 2 * currentMaxAge
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -142,7 +142,7 @@
 	var waitGroup sync.WaitGroup
 	elsewhere := []groupState{}
 	for _, state := range states {
-		if state.Shard < 0 || state.Shard >= shards.Count {
+		if state.Shard < 0 || state.Shard >= shards.ShardCount {
 			continue
 		}
 		shard := s.shards[state.Shard]
@@ -151,7 +151,7 @@
 	}
 	waitGroup.Wait()
 	for _, state := range states {
-		if known := state.Shard >= 0 && state.Shard < shards.Count; known && !s.shards[state.Shard].group.Status().IsLeader() {
+		if known := state.Shard >= 0 && state.Shard < shards.ShardCount; known && !s.shards[state.Shard].group.Status().IsLeader() {
 			elsewhere = append(elsewhere, state)
 		}
 	}
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -33,7 +33,7 @@
 }
 
 func replicaDirectories(dataDirectory string) []string {
-	directories := make([]string, 0, shards.Count)
+	directories := make([]string, 0, shards.ShardCount)
 	for _, id := range allShards {
 		directories = append(directories, replicaDirectory(dataDirectory, id))
 	}
--- a/internal/controlplane/server/join_requests.go
+++ b/internal/controlplane/server/join_requests.go
@@ -20,7 +20,7 @@
 // joinRequests are the keepers that asked lately to be taken into groups.
 type joinRequests struct {
 	mutex     sync.Mutex
-	byAddress [shards.Count]map[string]receivedJoinRequest // by address
+	byAddress [shards.ShardCount]map[string]receivedJoinRequest // by address
 }
 
 type receivedJoinRequest struct {
--- a/internal/controlplane/server/leadership_balance.go
+++ b/internal/controlplane/server/leadership_balance.go
@@ -21,7 +21,7 @@
 			addresses = append(addresses, member.Address)
 		}
 	}
-	chosen := shards.Group(shard, addresses, 1)
+	chosen := shards.ReplicaGroup(shard, addresses, 1)
 	if len(chosen) == 0 {
 		return consensus.Member{}, false
 	}
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -82,7 +82,7 @@
 }
 
 func (s *Server) groupStates() []groupState {
-	states := make([]groupState, 0, shards.Count)
+	states := make([]groupState, 0, shards.ShardCount)
 	for _, shard := range s.shards {
 		status := shard.group.Status()
 		states = append(states, groupState{
@@ -112,7 +112,7 @@
 	}
 	now := s.environment.Now()
 	for _, state := range states {
-		if state.Shard < 0 || state.Shard >= shards.Count {
+		if state.Shard < 0 || state.Shard >= shards.ShardCount {
 			continue
 		}
 		shard := s.shards[state.Shard]
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -150,7 +150,7 @@
 	if err := strictavro.Unmarshal(codec, callSchema, body, &wire); err != nil {
 		return shardRequest{}, fmt.Errorf("keeper: call: %w", err)
 	}
-	if wire.Shard < 0 || wire.Shard >= shards.Count {
+	if wire.Shard < 0 || wire.Shard >= shards.ShardCount {
 		return shardRequest{}, fmt.Errorf("keeper: call: no shard %d", wire.Shard)
 	}
 	return shardRequest{
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -41,10 +41,10 @@
 // runRolePlanner has the workers of services change their stages as the demand asks, for the shards that this keeper
 // owns, until ctx ends. All state but what is replicated ends with the ownership.
 func (s *Server) runRolePlanner(ctx context.Context) {
-	var roles [shards.Count]shardRoles
+	var roles [shards.ShardCount]shardRoles
 	runPeriodically(ctx, rolePlanInterval, func() {
 		for _, shard := range s.shards {
-			if shard.id != shards.Configuration {
+			if shard.id != shards.ConfigurationShard {
 				s.planShardRoles(ctx, shard, &roles[shard.id])
 			}
 		}
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -64,7 +64,7 @@
 
 func newRolePlannerFixture(t *testing.T) *rolePlannerFixture {
 	s, groups, _ := newScriptedServer(t)
-	scene := &rolePlannerFixture{T: t, keeper: s, id: shards.Of(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
+	scene := &rolePlannerFixture{T: t, keeper: s, id: shards.ForService(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
 	s.environment.Now = func() time.Time { return scene.now }
 	scene.group = groups[scene.id]
 	s.environment.Workers = scene.workers
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -35,7 +35,7 @@
 	environment Environment
 	logger      *zap.Logger
 	self        consensus.Member
-	shards      [shards.Count]*shard
+	shards      [shards.ShardCount]*shard
 	network     peerNetwork
 	directory   *directory
 	edgeNodes   *edgeNodeTable
@@ -82,7 +82,7 @@
 }
 
 func newStateMachine(id shards.ID, heartbeatInterval time.Duration, outside Environment) stateMachine {
-	if id == shards.Configuration {
+	if id == shards.ConfigurationShard {
 		return newConfigurationMachine(outside)
 	}
 	return newRegistryMachine(heartbeatInterval, outside)
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -14,7 +14,7 @@
 // told of.
 type livenessReports struct {
 	mutex sync.Mutex
-	heard [shards.Count]map[string]uint64 // the highest sequence, by instance
+	heard [shards.ShardCount]map[string]uint64 // the highest sequence, by instance
 	added chan struct{}
 }
 
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -19,7 +19,7 @@
 func newServerWithInstance(t *testing.T) (*Server, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
-	id := shards.Of(presentService)
+	id := shards.ForService(presentService)
 	heartbeat, err := registry.ParseHeartbeat(presentID, []byte(heartbeatJSON("ready", 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 
 func TestServer_AcknowledgeLocally_unchangedHeartbeatOnCurrentReplica(t *testing.T) {
 	s, _, heartbeat := newServerWithInstance(t)
-	id := shards.Of(presentService)
+	id := shards.ForService(presentService)
 	for _, sequence := range []uint64{5, 7, 6} {
 		heartbeat.Sequence = sequence
 		if !s.acknowledgeLocally(id, heartbeat) {
@@ -59,14 +59,14 @@
 		},
 		"leads itself": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
 		"removed": func(s *Server, _ *scriptedGroup, _ *registry.Heartbeat) {
-			s.instances(shards.Of(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
+			s.instances(shards.ForService(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
 		},
 	}
 	for name, alter := range cases {
 		t.Run(name, func(t *testing.T) {
 			s, group, heartbeat := newServerWithInstance(t)
 			alter(s, group, &heartbeat)
-			if s.acknowledgeLocally(shards.Of(presentService), heartbeat) {
+			if s.acknowledgeLocally(shards.ForService(presentService), heartbeat) {
 				t.Fatal("acknowledged without the owner")
 			}
 		})
@@ -75,7 +75,7 @@
 
 func TestServer_Execute_sessionLivenessNeedsOwnership(t *testing.T) {
 	s, groups, _ := newScriptedServer(t)
-	id := shards.Of(presentService)
+	id := shards.ForService(presentService)
 	body, err := codec.Marshal(sessionHeartbeatsSchema, []sessionHeartbeat{{ID: presentID, Sequence: 4}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -72,7 +72,7 @@
 
 // configuration returns the state machine of shard 0.
 func (s *Server) configuration() *configurationMachine {
-	return s.shards[shards.Configuration].stateMachine.(*configurationMachine)
+	return s.shards[shards.ConfigurationShard].stateMachine.(*configurationMachine)
 }
 
 // instances returns the state machine of a shard of instances, or nil for shard 0.
--- a/internal/dataplane/fleetview/builder.go
+++ b/internal/dataplane/fleetview/builder.go
@@ -126,7 +126,7 @@
 	if found && bytes.Equal(value, item.Value) {
 		return
 	}
-	if shard != shards.Configuration {
+	if shard != shards.ConfigurationShard {
 		b.putInstance(held, item)
 	} else {
 		b.putConfiguration(item)
@@ -141,7 +141,7 @@
 		return
 	}
 	delete(held.values, key)
-	if shard != shards.Configuration {
+	if shard != shards.ConfigurationShard {
 		b.dropInstance(key, value)
 		return
 	}
--- a/internal/dataplane/fleetview/builder_test.go
+++ b/internal/dataplane/fleetview/builder_test.go
@@ -70,7 +70,7 @@
 	builder := NewBuilder()
 	from := source{store: configuration.NewStore()}
 	first := from.replace(t, whole(1, `,"limits":{"maxBodyBytes":9}`, route("a", "h", "/a/", 1000), route("b", "h", "/b/", 1000)))
-	if !builder.ApplyChange(shards.Configuration, first) || !builder.Ready() {
+	if !builder.ApplyChange(shards.ConfigurationShard, first) || !builder.Ready() {
 		t.Fatal("not ready")
 	}
 	before := builder.View()
@@ -78,7 +78,7 @@
 		t.Fatalf("%+v", before)
 	}
 	kept := before.Match("h", "/b/")
-	builder.ApplyChange(shards.Configuration, from.replace(t, whole(4, "", route("c", "h", "/a/", 2000), route("b", "h", "/b/", 1000))))
+	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, whole(4, "", route("c", "h", "/a/", 2000), route("b", "h", "/b/", 1000))))
 	after := builder.View()
 	if after.Generation != 4 || after.Match("h", "/a/x").Timeout != 2*time.Second || after.Limits != configuration.DefaultLimits() {
 		t.Fatalf("%+v", after)
@@ -225,7 +225,7 @@
 	builder := NewBuilder()
 	builder.ApplyChange(instanceShard, feed.Change{Index: 1, Put: []feed.Item{instanceItem("a", "s", "", registry.Ready)}})
 	builder.ApplyChange(instanceShard, feed.Change{Index: 2, Put: []feed.Item{{Key: "a", Value: []byte{9}}, {Key: "b"}}})
-	builder.ApplyChange(shards.Configuration, feed.Change{Index: 1, Put: []feed.Item{
+	builder.ApplyChange(shards.ConfigurationShard, feed.Change{Index: 1, Put: []feed.Item{
 		{Key: "route/x", Value: []byte("{")}, {Key: "service/x", Value: []byte("{")}, {Key: "limits", Value: []byte("{")},
 		{Key: "generation", Value: []byte("x")}, {Key: "of_a_later_day", Value: []byte("x")},
 	}})
@@ -242,7 +242,7 @@
 func TestMatchTakesTheLongestPrefix(t *testing.T) {
 	builder := NewBuilder()
 	from := source{store: configuration.NewStore()}
-	builder.ApplyChange(shards.Configuration, from.replace(t, whole(1, "",
+	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, whole(1, "",
 		route("all", "H.example:80", "/", 1), route("a", "h.example", "/a/", 1), route("ab", "h.example", "/a/b/", 1),
 		route("other", "other.example", "/a/", 1))))
 	for place, expected := range map[[2]string]string{
--- a/internal/dataplane/proxy/confirmation.go
+++ b/internal/dataplane/proxy/confirmation.go
@@ -22,7 +22,7 @@
 // note takes in a status of the agent, which follows all that the agent had before.
 func (c *confirmation) note(now time.Time, status feedtransport.Status) {
 	for _, shard := range status.Shards {
-		if shard.Shard == shards.Configuration && shard.Current {
+		if shard.Shard == shards.ConfigurationShard && shard.Current {
 			c.at.Store(&now)
 			return
 		}
--- a/internal/dataplane/proxy/confirmation_test.go
+++ b/internal/dataplane/proxy/confirmation_test.go
@@ -15,7 +15,7 @@
 
 func statusOf(current bool) feedtransport.Status {
 	return feedtransport.Status{Shards: []feedtransport.ShardStatus{
-		{Shard: shards.Configuration, Index: 4, Current: current}, {Shard: 1, Index: 9, Current: !current},
+		{Shard: shards.ConfigurationShard, Index: 4, Current: current}, {Shard: 1, Index: 9, Current: !current},
 	}}
 }
 
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -88,13 +88,13 @@
 	}
 	m.network = network
 	m.group, err = replica.Open(replica.Options{
-		Shard:        shards.Configuration,
+		Shard:        shards.ConfigurationShard,
 		Directory:    directory,
 		Self:         self,
 		Founders:     founders,
 		StateMachine: machine{store: configuration.NewStore()},
 		Send: func(to consensus.Member, message consensus.Message) {
-			network.Send(to, shards.Configuration, message)
+			network.Send(to, shards.ConfigurationShard, message)
 		},
 	})
 	if err != nil {
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -115,7 +115,9 @@
 
 // victim returns the place of the keeper that leads the configuration's group, or of one that doesn't.
 func (w *world) victim(follower bool) int {
-	leads := func(status replica.Status) bool { return status.Shard == shards.Configuration && status.IsLeader() }
+	leads := func(status replica.Status) bool {
+		return status.Shard == shards.ConfigurationShard && status.IsLeader()
+	}
 	for _, m := range w.everyPlace() {
 		if slices.ContainsFunc(m.inspect(), leads) != follower {
 			return m.place
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -98,7 +98,7 @@
 func (f *follower) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	before := f.builder.Offsets()[shard]
 	f.builder.ApplySnapshot(shard, snapshot)
-	if shard == shards.Configuration || snapshot.Index <= before {
+	if shard == shards.ConfigurationShard || snapshot.Index <= before {
 		return
 	}
 	f.items[shard] = make(map[string]history.State)
@@ -109,7 +109,7 @@
 func (f *follower) Change(shard shards.ID, change feed.Change) {
 	before := f.builder.Offsets()[shard]
 	f.builder.ApplyChange(shard, change)
-	if shard == shards.Configuration || change.Index <= before {
+	if shard == shards.ConfigurationShard || change.Index <= before {
 		return
 	}
 	for _, key := range change.Delete {
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -24,8 +24,8 @@
 	faults      []string
 	departures  map[string]*departing
 	members     map[consensus.MemberID]*knownMember
-	standings   [shards.Count]history.Standing // the last ones
-	memberships [shards.Count]membership
+	standings   [shards.ShardCount]history.Standing // the last ones
+	memberships [shards.ShardCount]membership
 	leaders     map[uint64]bool // terms of the configuration's group that had one
 }
 
@@ -33,7 +33,7 @@
 type knownMember struct {
 	machine *machine
 	gone    bool
-	durable [shards.Count]uint64
+	durable [shards.ShardCount]uint64
 }
 
 // departing is a departure under way.
@@ -145,7 +145,7 @@
 	if !status.IsLeader() {
 		return
 	}
-	if status.Shard == shards.Configuration && r.firstOfTerm(status.Term) {
+	if status.Shard == shards.ConfigurationShard && r.firstOfTerm(status.Term) {
 		r.world.raise(schedule.Election)
 	}
 	r.sample()
@@ -163,7 +163,7 @@
 // they are asked one after the other, what is committed is asked of all before what is durable.
 func (r *recorder) sample() {
 	all := r.world.everyMachine()
-	var committed [shards.Count]uint64
+	var committed [shards.ShardCount]uint64
 	for _, m := range all {
 		for _, status := range m.inspect() {
 			committed[status.Shard] = max(committed[status.Shard], status.CommitIndex)
@@ -178,7 +178,7 @@
 	if r.over {
 		return // members are being ended, and what they hold is not told any more
 	}
-	var leading [shards.Count]replica.Status
+	var leading [shards.ShardCount]replica.Status
 	for i, m := range all {
 		for _, status := range states[i] {
 			r.noteDurable(m, status)
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -102,7 +102,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.held[shard] = index
-	if shard != shards.Configuration {
+	if shard != shards.ConfigurationShard {
 		return
 	}
 	for _, item := range items {
