--- a/internal/util/jsonfield/jsonfield.go
+++ b/internal/util/jsonfield/jsonfield.go
@@ -1,5 +1,6 @@
-// Package jsonfield reads the members of JSON objects that other programs wrote. A value of another kind than expected is
-// told as such, and null counts as the zero value.
+// Package jsonfield reads single members of JSON objects that other programs wrote, with one function for each type of
+// value. A value of another type than expected gives a *TypeMismatchError, and null counts as the zero value. The packages
+// configuration and registry use it for operators' and workers' bodies. It does not map objects to structs.
 package jsonfield
 
 import (
@@ -10,18 +11,21 @@
 	"github.com/go-faster/jx"
 )
 
-// ErrTrailingData is returned where something follows the end of an object.
+// ErrTrailingData reports that something follows the end of the object.
 var ErrTrailingData = errors.New("something follows the end")
 
-// TypeMismatchError tells that a member has a value of another kind than expected.
+// TypeMismatchError reports that a member has a value of another type than expected.
 type TypeMismatchError struct {
-	Key     string
-	Problem string
+	Key     string // name of the member
+	Problem string // what is wrong with its value
 }
 
+// Error returns the name of the member and what is wrong with its value.
 func (e *TypeMismatchError) Error() string { return e.Key + " " + e.Problem }
 
-// EachMember calls member for every member of the object raw, which must be all that raw holds.
+// EachMember calls visit for each member of the JSON object in raw, in order. visit must consume the member's value from
+// the decoder. Errors: that of visit, the decoder's for malformed JSON, and ErrTrailingData if raw contains more than the
+// object.
 func EachMember(raw []byte, visit func(decoder *jx.Decoder, key string) error) error {
 	decoder := jx.DecodeBytes(raw)
 	if err := decoder.Obj(visit); err != nil {
@@ -33,7 +37,7 @@
 	return nil
 }
 
-// IsNull tells whether the next value is null, and skips it then.
+// IsNull reports whether the next value is null, and consumes it if it is.
 func IsNull(decoder *jx.Decoder) bool {
 	if decoder.Next() != jx.Null {
 		return false
@@ -41,9 +45,10 @@
 	return decoder.Null() == nil
 }
 
-// String reads a string.
-func String(decoder *jx.Decoder, key string, into *string) error {
-	*into = ""
+// String reads a string into the target. The result does not share memory with the input. The error is a
+// *TypeMismatchError or the decoder's.
+func String(decoder *jx.Decoder, key string, target *string) error {
+	*target = ""
 	if IsNull(decoder) {
 		return nil
 	}
@@ -54,13 +59,13 @@
 	if err != nil {
 		return err
 	}
-	*into = text
+	*target = text
 	return nil
 }
 
-// Bool reads true or false.
-func Bool(decoder *jx.Decoder, key string, into *bool) error {
-	*into = false
+// Bool reads true or false into the target. The error is a *TypeMismatchError or the decoder's.
+func Bool(decoder *jx.Decoder, key string, target *bool) error {
+	*target = false
 	if IsNull(decoder) {
 		return nil
 	}
@@ -71,13 +76,14 @@
 	if err != nil {
 		return err
 	}
-	*into = value
+	*target = value
 	return nil
 }
 
-// Number reads a number.
-func Number(decoder *jx.Decoder, key string, into *float64) error {
-	*into = 0
+// Number reads a finite number into the target. The error is a *TypeMismatchError, also for a number out of the range of
+// float64, or the decoder's.
+func Number(decoder *jx.Decoder, key string, target *float64) error {
+	*target = 0
 	if IsNull(decoder) {
 		return nil
 	}
@@ -91,6 +97,6 @@
 	if math.IsInf(value, 0) || math.IsNaN(value) {
 		return &TypeMismatchError{Key: key, Problem: "is out of range"}
 	}
-	*into = value
+	*target = value
 	return nil
 }
--- a/internal/util/resultcode/resultcode.go
+++ b/internal/util/resultcode/resultcode.go
@@ -1,5 +1,6 @@
-// Package resultcode numbers the results that the control plane answers with. Each package that gives
-// results has a range of numbers and a table; docs/ERRORS.md lists them all.
+// Package resultcode defines the numbered results that the control plane answers with. Each package that produces
+// results owns a range of numbers and a Table of them (configuration, registry and server); docs/ERRORS.md lists
+// them all. The package does not write HTTP responses: its callers turn an Entry or a Rejection into one.
 package resultcode
 
 import (
@@ -7,25 +8,26 @@
 	"net/http"
 )
 
-// Code numbers a result. Numbers are never given anew.
+// Code is the number of a result. A number is never reused for another result.
 type Code int
 
-// Entry is one line of a table of codes.
+// Entry describes one code of a table.
 type Entry struct {
 	Code       Code
-	Name       string
-	HTTPStatus int // of HTTP
+	Name       string // snake case, as it appears in answers, logs and metrics
+	HTTPStatus int
 	Text       string
 }
 
-// Table is the codes of one package in rising order.
+// Table lists the codes of one package in ascending order.
 type Table []Entry
 
-// names are those of all tables; they are filled while packages are initialised and only read after that.
+// names maps the codes of all tables to their names. It is filled during package initialization and only read
+// afterwards, so it needs no lock.
 var names = map[Code]string{}
 
-// NewTable returns a table and makes its codes' names known. It is called while packages are initialised; a code that
-// stands in two tables is a fault of the program.
+// NewTable returns a table of the entries and registers the names of their codes. It must be called during package
+// initialization. It panics if a code is registered already, since that is a programming error.
 func NewTable(entries ...Entry) Table {
 	for _, entry := range entries {
 		if existing, exists := names[entry.Code]; exists {
@@ -36,10 +38,10 @@
 	return entries
 }
 
-// Entries returns a copy of the table's lines.
+// Entries returns a copy of the table's entries.
 func (t Table) Entries() []Entry { return append([]Entry(nil), t...) }
 
-// Entry returns the line of a code; of one that the table does not have, a line with status 500.
+// Entry returns the entry of a code. For a code that the table does not contain it returns an entry with status 500.
 func (t Table) Entry(code Code) Entry {
 	for _, candidate := range t {
 		if candidate.Code == code {
@@ -49,7 +51,7 @@
 	return Entry{Code: code, Name: code.String(), HTTPStatus: http.StatusInternalServerError}
 }
 
-// String returns the name of the code.
+// String returns the name of the code, or "unknown" for a code of no table.
 func (c Code) String() string {
 	if name, exists := names[c]; exists {
 		return name
@@ -57,17 +59,18 @@
 	return "unknown"
 }
 
-// Rejection tells why something is not taken. It is an error.
+// Rejection is the error for a request, a change or a stored record that was not accepted.
 type Rejection struct {
-	HTTPStatus int // of HTTP
+	HTTPStatus int
 	Code       Code
-	Text       string // what the code means, and where it applies
+	Text       string // the text of the code's entry and, after a colon, the part of the input it applies to
 }
 
 // Error returns the number, the name and the text.
 func (r *Rejection) Error() string { return fmt.Sprintf("%d %s: %s", int(r.Code), r.Code, r.Text) }
 
-// Reject makes the refusal of a code; place tells which part of the input it concerns and may be empty.
+// Reject returns the rejection with the given code. The detail names the part of the input that the code applies to;
+// it may be empty.
 func (t Table) Reject(code Code, detail string) *Rejection {
 	entry := t.Entry(code)
 	text := entry.Text
