--- a/internal/controlplane/configuration/codes.go
+++ b/internal/controlplane/configuration/codes.go
@@ -6,34 +6,54 @@
 	"ospreybend/internal/util/resultcode"
 )
 
-// Code numbers the result of a change to the configuration. Numbers are never given anew.
+// Code is the number of the result of a change to the configuration. A number is never reused.
 type Code = resultcode.Code
 
+// The results of a change. Their names and texts, which answers contain, are in the table below.
 const (
-	CodeAccepted             Code = 1000
-	CodeRepeated             Code = 1001
-	CodeBaseNotCurrent       Code = 1010
-	CodeBaseAhead            Code = 1011
-	CodeBaseForgotten        Code = 1012
-	CodeUnreadable           Code = 1020
-	CodeMissingField         Code = 1021
-	CodeBadField             Code = 1022
-	CodeDuplicateName        Code = 1023
+	// CodeAccepted means that the change was accepted and is in force.
+	CodeAccepted Code = 1000
+	// CodeRepeated means that the same change was accepted before; it is acknowledged again.
+	CodeRepeated Code = 1001
+	// CodeBaseNotCurrent means that the change is based on a generation that is no longer in force.
+	CodeBaseNotCurrent Code = 1010
+	// CodeBaseAhead means that the change is based on a generation that may still come into force. The answer is not final.
+	CodeBaseAhead Code = 1011
+	// CodeBaseForgotten means that the change is based on a generation so old that the store no longer remembers whether it was
+	// accepted. The answer is not final.
+	CodeBaseForgotten Code = 1012
+	// CodeUnreadable means that the body is not one complete JSON object in UTF-8.
+	CodeUnreadable Code = 1020
+	// CodeMissingField means that a required member is missing.
+	CodeMissingField Code = 1021
+	// CodeBadField means that a member has a value of the wrong type.
+	CodeBadField Code = 1022
+	// CodeDuplicateName means that a list or an object contains a name twice.
+	CodeDuplicateName Code = 1023
+	// CodeGenerationUnreadable means that the generation is missing or is not a positive integer.
 	CodeGenerationUnreadable Code = 1024
-	CodeGenerationNotAbove   Code = 1025
-	CodeUnknownService       Code = 1026
-	CodeDuplicateMatch       Code = 1027
-	CodeNoWeight             Code = 1028
-	CodeNoTimeout            Code = 1029
-	CodeBadPrefix            Code = 1030
-	CodeBadCommand           Code = 1031
-	CodeTooLarge             Code = 1032
+	// CodeGenerationNotAbove means that the generation is not above the one that the change is based on.
+	CodeGenerationNotAbove Code = 1025
+	// CodeUnknownService means that a route names a service that the configuration does not contain.
+	CodeUnknownService Code = 1026
+	// CodeDuplicateMatch means that two routes match the same hostname and path prefix.
+	CodeDuplicateMatch Code = 1027
+	// CodeNoWeight means that a route has no target, a negative weight, or weights that sum to 0.
+	CodeNoWeight Code = 1028
+	// CodeNoTimeout means that the timeout of a route is missing or not positive.
+	CodeNoTimeout Code = 1029
+	// CodeBadPrefix means that the path prefix of a route does not begin and end with a slash.
+	CodeBadPrefix Code = 1030
+	// CodeBadCommand means that the entry of the replicated log cannot be decoded.
+	CodeBadCommand Code = 1031
+	// CodeTooLarge means that an update would make the configuration larger than maxDocumentBytes.
+	CodeTooLarge Code = 1032
 )
 
-// CodeEntry is one line of the table of codes.
+// CodeEntry describes one code.
 type CodeEntry = resultcode.Entry
 
-// Rejection tells why something is not taken. It is an error.
+// Rejection is the error for a change, a command or an item that is invalid or conflicts with the state.
 type Rejection = resultcode.Rejection
 
 var codes = resultcode.NewTable([]CodeEntry{
@@ -57,8 +77,8 @@
 	{Code: CodeTooLarge, Name: "too_large", HTTPStatus: http.StatusRequestEntityTooLarge, Text: "the whole configuration would be larger than 8 MiB"},
 }...)
 
-// Codes returns all codes in rising order.
+// Codes returns all codes in ascending order.
 func Codes() []CodeEntry { return codes.Entries() }
 
-// reject makes the refusal of a code; place tells which part of the input it concerns.
+// reject returns the rejection with the given code; detail names the part of the input that it concerns.
 func reject(code Code, detail string) *Rejection { return codes.Reject(code, detail) }
--- a/internal/controlplane/configuration/command.go
+++ b/internal/controlplane/configuration/command.go
@@ -8,27 +8,29 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// CommandKind tells what the body of a command is.
+// CommandKind determines what the body of a command contains. Its numbers are stored.
 type CommandKind uint8
 
 const (
-	CommandReplace CommandKind = 1 // a whole configuration
-	CommandUpdate  CommandKind = 2 // items to add, to replace and to remove
+	// CommandReplace replaces the configuration by the one in the body.
+	CommandReplace CommandKind = 1
+	// CommandUpdate adds, replaces and removes the items in the body.
+	CommandUpdate CommandKind = 2
 )
 
-// Command is one change as the operator sent it.
+// Command is one change of the configuration, as the operator sent it.
 type Command struct {
 	Kind CommandKind
-	Base uint64 // the generation that it builds on; 0 for the first
-	Body []byte // JSON, byte for byte
+	Base uint64 // generation that the change is based on; 0: no configuration yet
+	Body []byte // JSON, byte for byte as received
 }
 
 const (
 	commandFormat = 1
-	maxBodyBytes  = 256 << 20 // bytes of a field that is read from the log or a snapshot
+	maxBodyBytes  = 256 << 20 // bound of a field that is read from the log or a snapshot
 )
 
-// avroCodec reads and writes avro. The library's own bound, 1 MiB, is below what a body may have.
+// avroCodec encodes and decodes stored records. The library's default bound of a byte field, 1 MiB, is too small for a body.
 var avroCodec = avro.Config{MaxByteSliceSize: maxBodyBytes}.Freeze()
 
 var commandSchema = avro.MustParse(`{"type":"record","name":"configuration_command","fields":[
@@ -44,7 +46,7 @@
 	Body   []byte `avro:"body"`
 }
 
-// EncodeCommand returns the form that is replicated.
+// EncodeCommand returns the command as a log entry for replica.Group.Propose.
 func EncodeCommand(command Command) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format: commandFormat,
@@ -54,7 +56,8 @@
 	})
 }
 
-// DecodeCommand reads what EncodeCommand wrote. The body is a copy.
+// DecodeCommand decodes a log entry made by EncodeCommand. The body does not share memory with the entry. The error is a
+// *Rejection with CodeBadCommand.
 func DecodeCommand(encoded []byte) (Command, error) {
 	if len(encoded) == 0 {
 		return Command{}, reject(CodeBadCommand, "it is empty")
@@ -73,7 +76,8 @@
 	return Command{Kind: kind, Base: uint64(record.Base), Body: record.Body}, nil
 }
 
-// mustMarshal writes a record of this package's own schemas, which cannot fail.
+// mustMarshal encodes a record with one of this package's schemas. It panics on an error, since that can only mean that
+// the record type does not match the schema.
 func mustMarshal(schema avro.Schema, record any) []byte {
 	encoded, err := avroCodec.Marshal(schema, record)
 	if err != nil {
--- /dev/null
+++ b/internal/controlplane/configuration/doc.go
@@ -0,0 +1,24 @@
+// Package configuration defines the operator's configuration of the router fleet: how its JSON is parsed and validated,
+// how one change follows another, and Store, the replicated state that holds the document in force.
+//
+// It does not replicate, store or serve anything itself. The control plane server (internal/controlplane/server) runs a
+// Store as the state machine of the configuration shard's replica group and turns outcomes into HTTP answers. Agents and
+// proxies use only the parsers (ParseRoute, ParseService, ParseLimits) and the keys of the feed's items.
+//
+// # Path of a change, and where it becomes durable
+//
+//  1. The server reads the operator's call into a Command, and ValidateCommand rejects what is invalid in any state.
+//  2. EncodeCommand makes the log entry, and replica.Group.Propose appends it to the leader's log.
+//  3. Each replica writes the entry with seglog.Log.Save, which returns only after a sync of the disk. The change is
+//     durable once a majority of the voters has done so: consensus.Node then counts the entry as committed.
+//  4. Every replica applies the committed entry with Store.Apply. There the change is compared with the generation in
+//     force (compare-and-set) and accepted or rejected, on all replicas alike.
+//  5. The proposing replica returns the Outcome to the operator. CodeAccepted is never answered before steps 3 and 4.
+//  6. The changed items go to the agents through the feed, as the feed.Change that Store.Apply returns.
+//
+// # Compare-and-set
+//
+// Each document has a generation, a number that only increases. A change names the generation it is based on and takes
+// effect only if that is the one in force; see Store.compareBase. A change that was accepted before is recognized by its
+// digest and acknowledged again, so that an operator may retry a call whose answer was lost.
+package configuration
--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/util/jsonfield"
 )
 
-// Names of the members of a configuration that this package knows.
+// Names of the members of a configuration that have a meaning to this package. Others are stored as received.
 const (
 	memberGeneration = "generation"
 	memberLimits     = "limits"
@@ -19,28 +19,29 @@
 	fieldName        = "name"
 )
 
-// item is one element of a list of named objects, as it was sent. It never changes.
+// item is one element of a list of named objects, with the bytes received. It is immutable and shared between documents.
 type item struct {
 	name  string
 	raw   []byte
-	route *Route // of listRoutes, with all targets that it names
+	route *Route // parsed, with its targets of weight 0; nil outside listRoutes
 }
 
-// member is one member of a configuration: a list of named items, or anything else as it was sent.
+// member is one member of a configuration: either a list of named items or any other value, as received.
 type member struct {
 	name       string
-	raw        []byte  // of what is not a list of named items
-	isItemList bool    // it is a list of named items, perhaps empty
-	items      []*item // in the order in which they came
+	raw        []byte  // JSON value; nil for a list of named items
+	isItemList bool    // the value is a list of named items, possibly empty
+	items      []*item // in the order received
 }
 
-// document is a configuration whose members and items keep their bytes. It never changes.
+// document is a configuration whose members and items preserve the bytes received. It is immutable: a change makes a new
+// document that shares the unchanged items.
 type document struct {
 	generation uint64
 	members    []member
 }
 
-// emptyDocument is what is in force before the first configuration.
+// emptyDocument returns the document in force before the first configuration.
 func emptyDocument() *document {
 	return &document{members: []member{
 		{name: memberGeneration, raw: []byte("0")},
@@ -49,7 +50,8 @@
 	}}
 }
 
-// readDocument reads and checks a whole configuration, except for what its parts mean together.
+// readDocument parses a complete configuration and validates each part by itself; document.validate checks how they fit
+// together.
 func readDocument(body []byte) (*document, *Rejection) {
 	if !utf8.Valid(body) {
 		return nil, reject(CodeUnreadable, "it is not UTF-8")
@@ -71,12 +73,12 @@
 	return parsed, nil
 }
 
-// readMembers reads the members of an object, in their order.
-func readMembers(raw []byte, where string) ([]member, *Rejection) {
+// readMembers parses the members of a JSON object, in their order. subject names the object in rejections.
+func readMembers(raw []byte, subject string) ([]member, *Rejection) {
 	members := []member{}
-	rejection := eachMember(raw, where, func(decoder *jx.Decoder, key string) error {
+	rejection := eachMember(raw, subject, func(decoder *jx.Decoder, key string) error {
 		if findMember(members, key) != nil {
-			return reject(CodeDuplicateName, where+" has "+key+" twice")
+			return reject(CodeDuplicateName, subject+" has "+key+" twice")
 		}
 		read, err := readMember(decoder, key)
 		if err != nil {
@@ -88,7 +90,8 @@
 	return members, rejection
 }
 
-// readMember reads one member and the items of a list that is known.
+// readMember parses one member. The items of the known lists are validated; a list of anything else becomes a list of
+// items only if each of its elements is an object with a name.
 func readMember(decoder *jx.Decoder, key string) (member, error) {
 	raw, err := decoder.Raw()
 	if err != nil {
@@ -111,13 +114,13 @@
 		return member{name: key, isItemList: true, items: items}, nil
 	}
 	if rejection.Code == CodeMissingField && !known {
-		return read, nil // a list of something else: kept as it is
+		return read, nil // a list of something else: stored as it is
 	}
 	return read, rejection
 }
 
-// readItems reads a list of objects with different names. Its refusal has the code MissingField
-// where something has no name.
+// readItems parses a list of objects with distinct names. The rejection's code is CodeMissingField if an element has no
+// name.
 func readItems(raw []byte, list string) ([]*item, *Rejection) {
 	items := []*item{}
 	names := map[string]bool{}
@@ -143,7 +146,7 @@
 	return items, nil
 }
 
-// readItem reads one item, whole where its list is known.
+// readItem parses one item: completely in a known list, else only its name.
 func readItem(raw jx.Raw, list string) (*item, *Rejection) {
 	if raw.Type() != jx.Object {
 		return nil, reject(CodeMissingField, list+" holds something that is not an object")
@@ -169,12 +172,12 @@
 	return &item{name: name, raw: raw}, rejection
 }
 
-// readGeneration reads the number of a configuration.
-func readGeneration(from *member) (uint64, *Rejection) {
-	if from == nil || from.isItemList {
+// readGeneration parses the generation: a positive integer, also in a notation such as 7.0 or 1e3.
+func readGeneration(source *member) (uint64, *Rejection) {
+	if source == nil || source.isItemList {
 		return 0, reject(CodeGenerationUnreadable, "")
 	}
-	text := string(from.raw)
+	text := string(source.raw)
 	if integer, err := strconv.ParseUint(text, 10, 63); err == nil && integer > 0 {
 		return integer, nil
 	}
@@ -195,11 +198,12 @@
 	return nil
 }
 
-// list returns the items of a list, or none.
+// list returns the items of a list, or none if the document does not contain it.
 func (d *document) list(name string) []*item {
 	return itemsOfList(d.members, name)
 }
 
+// itemsOfList returns the items of the member of that name, or none.
 func itemsOfList(members []member, name string) []*item {
 	if found := findMember(members, name); found != nil {
 		return found.items
@@ -207,7 +211,7 @@
 	return nil
 }
 
-// size returns about the bytes that render gives.
+// size returns the approximate number of bytes of the rendered document.
 func (d *document) size() int {
 	total := 0
 	for _, part := range d.members {
@@ -231,6 +235,7 @@
 	return encoder.Bytes()
 }
 
+// renderMember writes the value of one member.
 func renderMember(encoder *jx.Encoder, part member) {
 	if !part.isItemList {
 		encoder.Raw(part.raw)
--- a/internal/controlplane/configuration/document_update.go
+++ b/internal/controlplane/configuration/document_update.go
@@ -9,26 +9,27 @@
 	"ospreybend/internal/util/jsonfield"
 )
 
+// Names of the members of an update besides the generation.
 const (
 	memberUpsert = "upsert"
 	memberRemove = "remove"
 )
 
-// removal names items of one list.
+// removal names the items to remove from one list.
 type removal struct {
 	list  string
 	names map[string]bool
 }
 
-// update is the body of a change to named items.
+// update is the parsed body of a CommandUpdate.
 type update struct {
 	generation    uint64
-	rawGeneration []byte // of the generation
+	rawGeneration []byte // JSON value of the generation
 	upserts       []member
 	removals      []removal
 }
 
-// readUpdate reads and checks what can be told of an update without the document.
+// readUpdate parses an update and validates what does not depend on the document that it applies to.
 func readUpdate(body []byte) (*update, *Rejection) {
 	if !utf8.Valid(body) {
 		return nil, reject(CodeUnreadable, "it is not UTF-8")
@@ -51,6 +52,7 @@
 	return change, nil
 }
 
+// readMember parses one member of an update; unknown members are ignored.
 func (u *update) readMember(decoder *jx.Decoder, key string) error {
 	raw, err := decoder.Raw()
 	if err != nil {
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// readRemovals reads an object of lists of names.
+// readRemovals parses "remove", an object of lists of names.
 func readRemovals(raw []byte) ([]removal, *Rejection) {
 	removals := []removal{}
 	rejection := eachMember(raw, memberRemove, func(decoder *jx.Decoder, key string) error {
@@ -98,11 +100,11 @@
 	return removals, rejection
 }
 
-// list returns the items that are added to or replaced in a list.
+// list returns the items that the update adds to a list or replaces in it.
 func (u *update) list(name string) []*item { return itemsOfList(u.upserts, name) }
 
-// apply returns the document after the update: items are removed first, then replaced in their
-// place, and new ones are appended. The result is not checked.
+// apply returns the document after the update: items are removed first, then replaced at their position, and new ones are
+// appended. The result is not validated.
 func (u *update) apply(before *document) (*document, *Rejection) {
 	after := &document{generation: u.generation}
 	after.members = append(after.members, before.members...)
@@ -118,9 +120,10 @@
 	return after, nil
 }
 
+// setGeneration sets the member "generation" to the raw value, or to the document's number if raw is nil.
 func (d *document) setGeneration(raw []byte) {
 	if raw == nil {
-		raw = strconv.AppendUint(nil, d.generation, 10)
+		raw = strconv.AppendUint(nil, d.generation, decimalBase)
 	}
 	if existing := findMember(d.members, memberGeneration); existing != nil {
 		existing.raw = raw
@@ -129,7 +132,7 @@
 	d.members = append(d.members, member{name: memberGeneration, raw: raw})
 }
 
-// remove takes items out of a list; names that are not there are passed over.
+// remove removes items from a list. Names that it does not contain are ignored.
 func (d *document) remove(deleted removal) {
 	existing := findMember(d.members, deleted.list)
 	if existing == nil || !existing.isItemList {
@@ -144,7 +147,7 @@
 	existing.items = remaining
 }
 
-// upsert merges a list of named items, and replaces any other member whole.
+// upsert merges a list of named items into the document's list, and replaces any other member.
 func (d *document) upsert(part member) *Rejection {
 	existing := findMember(d.members, part.name)
 	if existing == nil {
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// merge returns the items with those of upserts in the place of their namesakes, or at the end.
+// merge returns the items with each upsert at the position of the item with its name, or else appended.
 func merge(items, upserts []*item) []*item {
 	merged := make([]*item, len(items), len(items)+len(upserts))
 	copy(merged, items)
--- a/internal/controlplane/configuration/field.go
+++ b/internal/controlplane/configuration/field.go
@@ -10,14 +10,14 @@
 	"ospreybend/internal/util/jsonfield"
 )
 
-// maxDuration bounds what is read, so that sums of durations stay within their type.
+// maxDuration bounds parsed durations, so that sums of a few do not overflow.
 const maxDuration = 10 * 365 * 24 * time.Hour
 
-// maxCount bounds whole numbers, so that sums and products of a few stay within their type.
+// maxCount bounds parsed integers. Up to it float64 represents each integer exactly, and sums of a few do not overflow.
 const maxCount = 1 << 53
 
-// eachMember calls member for every member of the object raw, which must be all that raw holds.
-// A *Refusal of member is returned as it is.
+// eachMember calls visit for each member of the JSON object raw, which must not be followed by anything. A *Rejection
+// returned by visit is passed on; subject names the object in other rejections.
 func eachMember(raw []byte, subject string, visit func(decoder *jx.Decoder, key string) error) *Rejection {
 	if err := jsonfield.EachMember(raw, visit); err != nil {
 		return asRejection(err, subject)
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// asRejection returns the refusal within err, or one that says what is wrong with a member, or that
-// place cannot be read.
+// asRejection returns the rejection that err wraps, or else one that describes a member of the wrong type, or an input
+// that cannot be parsed; subject names that input.
 func asRejection(err error, subject string) *Rejection {
 	var rejection *Rejection
 	if errors.As(err, &rejection) {
@@ -39,19 +39,19 @@
 	return reject(CodeUnreadable, subject+": "+err.Error())
 }
 
-// readCount reads a number and cuts off its fraction; one beyond the bound becomes the bound.
-func readCount(decoder *jx.Decoder, key string, into *int) error {
+// readCount reads a number, truncates its fraction and clamps it to maxCount.
+func readCount(decoder *jx.Decoder, key string, target *int) error {
 	var value float64
 	if err := jsonfield.Number(decoder, key, &value); err != nil {
 		return err
 	}
 	value = math.Max(-maxCount, math.Min(maxCount, value))
-	*into = int(value)
+	*target = int(value)
 	return nil
 }
 
-// readDuration reads a number of units as a duration, bounded to either side.
-func readDuration(decoder *jx.Decoder, key string, unit time.Duration, into *time.Duration) error {
+// readDuration reads a number of units as a duration, rounded to nanoseconds and clamped to maxDuration.
+func readDuration(decoder *jx.Decoder, key string, unit time.Duration, target *time.Duration) error {
 	var value float64
 	if err := jsonfield.Number(decoder, key, &value); err != nil {
 		return err
@@ -59,6 +59,6 @@
 	nanoseconds := value * float64(unit)
 	bound := float64(maxDuration)
 	nanoseconds = math.Max(-bound, math.Min(bound, nanoseconds))
-	*into = time.Duration(math.Round(nanoseconds))
+	*target = time.Duration(math.Round(nanoseconds))
 	return nil
 }
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/util/jsonfield"
 )
 
-// What holds where the operator gives no value, or one that cannot be meant.
+// Defaults for values that the operator does not give or that are out of range.
 const (
 	defaultHealthPath     = "/health"
 	defaultMaxAttempts    = 1
@@ -21,13 +21,13 @@
 	singleServiceWeight   = 1
 )
 
+// Names of route types in JSON. Any other name is a NonIdempotent route.
 const (
 	routeTypeIdempotent = "idempotent"
 	routeTypeStreaming  = "streaming"
 )
 
-// ParseRoute reads an item of "routes". Targets without a weight are left out. The error is a
-// *Refusal.
+// ParseRoute parses an item of "routes". Targets with weight 0 are dropped. The error is a *Rejection.
 func ParseRoute(raw []byte) (Route, error) {
 	route, rejection := parseRoute(raw)
 	if rejection != nil {
@@ -43,18 +43,18 @@
 	return route, nil
 }
 
-// parseRoute reads a route with all targets that it names.
+// parseRoute parses and validates a route with all its targets, those with weight 0 included.
 func parseRoute(raw []byte) (Route, *Rejection) {
 	route := Route{MaxAttempts: defaultMaxAttempts}
-	single := ""
+	singleService := ""
 	rejection := eachMember(raw, "route", func(decoder *jx.Decoder, key string) error {
-		return readRouteMember(decoder, key, &route, &single)
+		return readRouteMember(decoder, key, &route, &singleService)
 	})
 	if rejection != nil {
 		return Route{}, rejection
 	}
-	if len(route.Targets) == 0 && single != "" {
-		route.Targets = []Target{{Service: single, Weight: singleServiceWeight}}
+	if len(route.Targets) == 0 && singleService != "" {
+		route.Targets = []Target{{Service: singleService, Weight: singleServiceWeight}}
 	}
 	route.Hostname = normalizeHost(route.Hostname)
 	route.MaxAttempts = max(route.MaxAttempts, defaultMaxAttempts)
@@ -63,8 +63,8 @@
 	return route, validateRoute(route)
 }
 
-// readRouteMember reads one member of a route; single takes "service".
-func readRouteMember(decoder *jx.Decoder, key string, route *Route, single *string) error {
+// readRouteMember parses one member of a route; singleService receives "service", the alternative to "trafficSplit".
+func readRouteMember(decoder *jx.Decoder, key string, route *Route, singleService *string) error {
 	switch key {
 	case "name":
 		return jsonfield.String(decoder, key, &route.Name)
@@ -81,7 +81,7 @@
 	case "priority":
 		return readCount(decoder, key, &route.Priority)
 	case "service":
-		return jsonfield.String(decoder, key, single)
+		return jsonfield.String(decoder, key, singleService)
 	case "trafficSplit":
 		return readTargets(decoder, key, &route.Targets)
 	case "maxAttempts":
@@ -97,26 +97,26 @@
 	}
 }
 
-// readRouteType reads the type; one that is not known is held to the strictest rules.
-func readRouteType(decoder *jx.Decoder, key string, into *RouteType) error {
+// readRouteType parses the route type. An unknown type is treated as the strictest one, NonIdempotent.
+func readRouteType(decoder *jx.Decoder, key string, routeType *RouteType) error {
 	name := ""
 	if err := jsonfield.String(decoder, key, &name); err != nil {
 		return err
 	}
 	switch name {
 	case routeTypeIdempotent:
-		*into = Idempotent
+		*routeType = Idempotent
 	case routeTypeStreaming:
-		*into = Streaming
+		*routeType = Streaming
 	default:
-		*into = NonIdempotent
+		*routeType = NonIdempotent
 	}
 	return nil
 }
 
-// readTargets reads "trafficSplit".
-func readTargets(decoder *jx.Decoder, key string, into *[]Target) error {
-	*into = nil
+// readTargets parses "trafficSplit".
+func readTargets(decoder *jx.Decoder, key string, targets *[]Target) error {
+	*targets = nil
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
@@ -128,11 +128,12 @@
 		if err != nil {
 			return err
 		}
-		*into = append(*into, target)
+		*targets = append(*targets, target)
 		return nil
 	})
 }
 
+// readTarget parses one element of "trafficSplit".
 func readTarget(decoder *jx.Decoder, key string) (Target, error) {
 	target := Target{}
 	if decoder.Next() != jx.Object {
@@ -151,7 +152,7 @@
 	return target, err
 }
 
-// normalizeHost returns a host as routes are compared: in lower case and without a port.
+// normalizeHost returns a host in the form in which hosts are compared: in lower case and without a port.
 func normalizeHost(host string) string {
 	host = strings.ToLower(host)
 	colon := strings.LastIndexByte(host, ':')
@@ -161,7 +162,7 @@
 	return host[:colon]
 }
 
-// ParseService reads an item of "services". The error is a *Refusal.
+// ParseService parses an item of "services". The error is a *Rejection.
 func ParseService(raw []byte) (Service, error) {
 	service, rejection := parseService(raw)
 	if rejection != nil {
@@ -170,6 +171,7 @@
 	return service, nil
 }
 
+// parseService parses and validates a service.
 func parseService(raw []byte) (Service, *Rejection) {
 	service := Service{}
 	rejection := eachMember(raw, "service", func(decoder *jx.Decoder, key string) error {
@@ -199,9 +201,9 @@
 	return service, nil
 }
 
-// readEngine reads "engine"; null counts as absent.
-func readEngine(decoder *jx.Decoder, key string, into **Engine) error {
-	*into = nil
+// readEngine parses "engine"; null counts as absent.
+func readEngine(decoder *jx.Decoder, key string, target **Engine) error {
+	*target = nil
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
@@ -222,10 +224,11 @@
 	engine.MaxTokensPerEvent = max(engine.MaxTokensPerEvent, 1)
 	engine.HandleTTL = max(engine.HandleTTL, 0)
 	engine.RoleSwitchTime = max(engine.RoleSwitchTime, 0)
-	*into = engine
+	*target = engine
 	return nil
 }
 
+// readEngineMember parses one member of "engine".
 func readEngineMember(decoder *jx.Decoder, key string, engine *Engine) error {
 	switch key {
 	case "slots":
@@ -249,9 +252,9 @@
 	}
 }
 
-// readModelNames reads a list of names, or of objects with a name.
-func readModelNames(decoder *jx.Decoder, key string, into *[]string) error {
-	*into = nil
+// readModelNames parses "models", a list of names or of objects with a name.
+func readModelNames(decoder *jx.Decoder, key string, names *[]string) error {
+	*names = nil
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
@@ -264,25 +267,26 @@
 			return err
 		}
 		if name != "" {
-			*into = append(*into, name)
+			*names = append(*names, name)
 		}
 		return nil
 	})
 }
 
-func readModelName(decoder *jx.Decoder, key string, into *string) error {
+// readModelName parses one element of "models".
+func readModelName(decoder *jx.Decoder, key string, name *string) error {
 	if decoder.Next() != jx.Object {
-		return jsonfield.String(decoder, key, into)
+		return jsonfield.String(decoder, key, name)
 	}
 	return decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		if key == "name" {
-			return jsonfield.String(decoder, key, into)
+			return jsonfield.String(decoder, key, name)
 		}
 		return decoder.Skip()
 	})
 }
 
-// DefaultLimits returns what holds where the operator gives no limits.
+// DefaultLimits returns the limits in force if the operator does not configure any.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxHeaderBytes: defaultMaxHeaderBytes,
@@ -292,8 +296,7 @@
 	}
 }
 
-// ParseLimits reads "limits"; what is missing or not above 0 has its default. The error is a
-// *Refusal.
+// ParseLimits parses "limits". Values that are missing or not positive get their defaults. The error is a *Rejection.
 func ParseLimits(raw []byte) (Limits, error) {
 	limits := Limits{}
 	rejection := eachMember(raw, "limits", func(decoder *jx.Decoder, key string) error {
@@ -316,6 +319,7 @@
 	return limits.withDefaults(), nil
 }
 
+// withDefaults replaces the values that are not positive by their defaults.
 func (l Limits) withDefaults() Limits {
 	defaults := DefaultLimits()
 	if l.MaxHeaderBytes <= 0 {
--- a/internal/controlplane/configuration/rules.go
+++ b/internal/controlplane/configuration/rules.go
@@ -1,22 +1,30 @@
 package configuration
 
-// Rule names one check of the store. Tests leave rules out to show that their absence is noticed. A
-// running system leaves out none.
+// Rule names one safety rule of the store. Tests omit rules one by one to show that a violation is then detected; a
+// running system enforces all of them.
 type Rule string
 
-// The rules that can be left out.
+// The rules that tests can omit.
 const (
-	RuleDuplicateRemembered     Rule = "repeat-known"       // the digest of each accepted change is remembered
-	RuleDuplicateInSnapshot     Rule = "repeat-snapshot"    // a snapshot holds the digests too
-	RuleDuplicateBeforeBase     Rule = "repeat-first"       // a repeat is looked for before the base is compared
-	RuleBaseCurrent             Rule = "base-current"       // a change builds on the generation in force
-	RuleBaseAheadUndecided      Rule = "base-ahead-open"    // a change on a generation to come gets no clear answer
-	RuleBaseForgottenUndecided  Rule = "forgotten-open"     // nor does one on a base whose digest is forgotten
-	RuleGenerationIncreases     Rule = "generation-rises"   // a generation is above the one that it takes the place of
-	RuleDuplicateMatchesCommand Rule = "repeat-is-of-order" // kind, base and body make a change the same
+	// RuleDuplicateRemembered requires that the digest of each accepted change is remembered.
+	RuleDuplicateRemembered Rule = "repeat-known"
+	// RuleDuplicateInSnapshot requires that a snapshot contains the digests.
+	RuleDuplicateInSnapshot Rule = "repeat-snapshot"
+	// RuleDuplicateBeforeBase requires that a duplicate is detected before the base is compared.
+	RuleDuplicateBeforeBase Rule = "repeat-first"
+	// RuleBaseCurrent requires that a change is accepted only if it is based on the generation in force.
+	RuleBaseCurrent Rule = "base-current"
+	// RuleBaseAheadUndecided requires that a change based on a future generation gets an answer that is not final.
+	RuleBaseAheadUndecided Rule = "base-ahead-open"
+	// RuleBaseForgottenUndecided requires that a change based on a generation whose digest is forgotten gets an answer that is not final.
+	RuleBaseForgottenUndecided Rule = "forgotten-open"
+	// RuleGenerationIncreases requires that a generation is above the one that it replaces.
+	RuleGenerationIncreases Rule = "generation-rises"
+	// RuleDuplicateMatchesCommand requires that a duplicate has the kind, base and body of the accepted change.
+	RuleDuplicateMatchesCommand Rule = "repeat-is-of-order"
 )
 
-// Rules returns all rules that can be left out.
+// Rules returns all rules that tests can omit.
 func Rules() []Rule {
 	return []Rule{
 		RuleDuplicateRemembered, RuleDuplicateInSnapshot, RuleDuplicateBeforeBase, RuleBaseCurrent,
@@ -24,5 +32,5 @@
 	}
 }
 
-// enforces tells whether a rule is in force.
+// enforces reports whether the store enforces a rule.
 func (s *Store) enforces(rule Rule) bool { return !s.omittedRules[rule] }
--- a/internal/controlplane/configuration/snapshot.go
+++ b/internal/controlplane/configuration/snapshot.go
@@ -9,12 +9,18 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// ErrSnapshot is wrapped by what Restore returns for bytes that it cannot read.
+// ErrSnapshot is wrapped by the errors that Store.Restore returns for a snapshot that cannot be decoded.
 var ErrSnapshot = errors.New("configuration: the snapshot cannot be read")
 
+// Reasons that ErrSnapshot is wrapped with.
+var (
+	errEmptySnapshot = errors.New("it is empty")
+	errDigestCount   = errors.New("digests are cut short")
+)
+
 const (
 	snapshotFormat      = 2
-	firstSnapshotFormat = 1 // holds no bases of the accepted changes; still read
+	firstSnapshotFormat = 1 // without the bases of the accepted changes; read but no longer written
 )
 
 var (
@@ -39,12 +45,12 @@
 	Format     int     `avro:"format"`
 	Generation int64   `avro:"generation"`
 	Document   []byte  `avro:"document"`
-	Accepted   []byte  `avro:"accepted"`  // digests one after the other, oldest first
-	Bases      []int64 `avro:"bases"`     // of each of them
-	Forgotten  int64   `avro:"forgotten"` // whatever is forgotten built on a generation below this one
+	Accepted   []byte  `avro:"accepted"`  // concatenated digests, oldest first
+	Bases      []int64 `avro:"bases"`     // base generation of each digest
+	Forgotten  int64   `avro:"forgotten"` // see Store.forgottenBelow
 }
 
-// Snapshot returns the whole state; equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (s *Store) Snapshot() []byte {
 	record := snapshotRecord{
 		Format:     snapshotFormat,
@@ -53,16 +59,16 @@
 		Forgotten:  int64(s.forgottenBelow),
 	}
 	if s.enforces(RuleDuplicateInSnapshot) {
-		for _, one := range s.acceptedOrder {
-			record.Accepted = append(record.Accepted, one.digest[:]...)
-			record.Bases = append(record.Bases, int64(one.base))
+		for _, accepted := range s.acceptedOrder {
+			record.Accepted = append(record.Accepted, accepted.digest[:]...)
+			record.Bases = append(record.Bases, int64(accepted.base))
 		}
 	}
 	return mustMarshal(snapshotSchema, record)
 }
 
-// Restore replaces the state by what Snapshot returned. The error wraps ErrSnapshot; the state is
-// as before then.
+// Restore replaces the state by that of a snapshot made by Snapshot. On an error, which wraps ErrSnapshot, the state is
+// unchanged.
 func (s *Store) Restore(snapshot []byte) error {
 	record, err := readSnapshot(snapshot)
 	if err != nil {
@@ -87,11 +93,11 @@
 	return nil
 }
 
-// readSnapshot reads a record of either format.
+// readSnapshot decodes a snapshot of either format.
 func readSnapshot(snapshot []byte) (snapshotRecord, error) {
 	var record snapshotRecord
 	if len(snapshot) == 0 {
-		return record, errors.New("it is empty")
+		return record, errEmptySnapshot
 	}
 	format := 0
 	if err := avroCodec.Unmarshal(formatSchema, snapshot, &format); err != nil {
@@ -108,13 +114,14 @@
 		err = fmt.Errorf("format %d", format)
 	}
 	if err == nil && len(record.Bases)*digestBytes != len(record.Accepted) {
-		err = errors.New("digests are cut short")
+		err = errDigestCount
 	}
 	return record, err
 }
 
-// unknownBases stands for the bases that the first format does not hold: each change built on a
-// generation below the one in force.
+// unknownBases returns bases for the first format, which does not contain them: the highest possible one, since each
+// accepted change was based on a generation below the one in force. With it, RuleBaseForgottenUndecided errs on the side
+// of an answer that is not final.
 func unknownBases(record snapshotRecord) []int64 {
 	bases := make([]int64, len(record.Accepted)/digestBytes)
 	for position := range bases {
--- a/internal/controlplane/configuration/store.go
+++ b/internal/controlplane/configuration/store.go
@@ -11,48 +11,55 @@
 )
 
 const (
-	digestBytes        = 16
-	maxAcceptedChanges = 4096 // accepted changes whose repetition is acknowledged again
-	baseBytes          = 8
-	decimalBase        = 10
+	digestBytes = 16
+	baseBytes   = 8 // of a base generation, as it is hashed
+	decimalBase = 10
 
-	// maxDocumentBytes bounds what updates may make of a configuration, so that its snapshots and reads fit into one frame
-	// between keepers. A whole one is bounded by the call that brings it.
+	// maxAcceptedChanges is how many accepted changes a store remembers in order to recognize duplicates.
+	maxAcceptedChanges = 4096
+
+	// maxDocumentBytes bounds the document that results from an update, so that its snapshots and reads fit into one frame
+	// between control plane servers. A complete configuration is bounded by the call that carries it.
 	maxDocumentBytes = 8 << 20
 )
 
+// commandDigest identifies a command by its kind, base and body.
 type commandDigest [digestBytes]byte
 
-// acceptedChange is what is remembered of an accepted change.
+// acceptedChange is what the store remembers of an accepted change.
 type acceptedChange struct {
-	base   uint64 // the generation that it built on, or one above that but below its own
+	base   uint64 // generation that it was based on; from a snapshot of format 1, the highest possible one
 	digest commandDigest
 }
 
-// Outcome is what became of one change.
+// Outcome is the result of applying one command.
 type Outcome struct {
-	HTTPStatus int // of HTTP: 200, 400, 412 or 503
+	HTTPStatus int // 200, 400, 412, 413 or 503
 	Code       Code
 	Text       string
-	Generation uint64 // in force after the change
+	Generation uint64 // in force after the command
 }
 
-// Store is the replicated configuration. It is not safe for concurrent use.
+// Store is the replicated state of the configuration: the document in force and the accepted changes that duplicates are
+// recognized by. It is not safe for concurrent use; the event loop of the replica group owns it.
 //
-// Its answers to one change are final. A change that was accepted is acknowledged again whenever it
-// comes; once it is no longer remembered it gets no clear answer (503). One that was refused (4xx) is
-// never accepted later: generations only rise, so that a base which was passed is never in force
-// again. A base that may still come into force is not refused for that reason.
+// The answers to a change are final. An accepted change is acknowledged again (CodeRepeated) whenever it arrives again;
+// once it is no longer remembered, the answer is CodeBaseForgotten (503), which is not final. A change that was rejected
+// with a 4xx status is never accepted later: since generations only increase, a base that was passed is never in force
+// again. For the same reason a base that may still come into force is answered with CodeBaseAhead (503).
 type Store struct {
-	document       *document
+	document *document // in force
+
+	// Remembered accepted changes.
 	accepted       map[commandDigest]struct{}
-	acceptedOrder  []acceptedChange // of accepted, oldest first
-	maxAccepted    int              // bound of order
-	forgottenBelow uint64           // whatever is forgotten built on a generation below this one
-	omittedRules   map[Rule]bool
+	acceptedOrder  []acceptedChange // the same changes, oldest first
+	maxAccepted    int              // how many are remembered
+	forgottenBelow uint64           // each forgotten change was based on a generation below this one
+
+	omittedRules map[Rule]bool // by tests
 }
 
-// NewStore returns a store without a configuration: generation 0. Tests alone leave rules out.
+// NewStore returns a store without a configuration, at generation 0. Only tests omit rules.
 func NewStore(omit ...Rule) *Store {
 	store := &Store{
 		document: emptyDocument(), accepted: map[commandDigest]struct{}{}, maxAccepted: maxAcceptedChanges,
@@ -64,8 +71,8 @@
 	return store
 }
 
-// Apply carries out a committed command. It is deterministic. The change has the given index, and
-// is empty where nothing changed.
+// Apply executes a committed log entry. It is deterministic, so that all replicas reach the same state and outcome. The
+// returned feed change has the given index of the entry; it is empty if the document did not change.
 func (s *Store) Apply(index uint64, command []byte) (Outcome, feed.Change) {
 	change := feed.Change{Index: index}
 	decoded, err := DecodeCommand(command)
@@ -89,7 +96,7 @@
 	return s.outcome(CodeAccepted), change
 }
 
-// isDuplicate tells whether a change was accepted before.
+// isDuplicate reports whether the same change was accepted before.
 func (s *Store) isDuplicate(command Command, digest commandDigest) bool {
 	if !s.enforces(RuleDuplicateBeforeBase) && command.Base != s.document.generation {
 		return false
@@ -98,8 +105,8 @@
 	return repeated
 }
 
-// compareBase refuses a change that does not build on the generation in force. It is refused for good
-// only if that generation was passed and the changes which built on it are still remembered.
+// compareBase is the compare step of compare-and-set: it rejects a change that is not based on the generation in force.
+// The rejection is final (CodeBaseNotCurrent) only if that base was passed and the changes accepted on it are remembered.
 func (s *Store) compareBase(base uint64) *Rejection {
 	current := s.document.generation
 	detail := "in force is " + strconv.FormatUint(current, decimalBase)
@@ -114,7 +121,7 @@
 	return reject(CodeBaseNotCurrent, detail)
 }
 
-// nextDocument returns the checked document after a command that builds on the one in force.
+// nextDocument returns the validated document that results from a command based on the document in force.
 func (s *Store) nextDocument(command Command) (*document, *Rejection) {
 	after, rejection := s.document.applyCommand(command)
 	if rejection != nil {
@@ -129,6 +136,7 @@
 	return after, after.validate()
 }
 
+// applyCommand returns the document that results from the command, not validated as a whole.
 func (d *document) applyCommand(command Command) (*document, *Rejection) {
 	if command.Kind == CommandReplace {
 		return readDocument(command.Body)
@@ -140,16 +148,18 @@
 	return change.apply(d)
 }
 
+// outcome returns the outcome of a change that is accepted, or was accepted before.
 func (s *Store) outcome(code Code) Outcome {
 	entry := codes.Entry(code)
 	return Outcome{HTTPStatus: entry.HTTPStatus, Code: code, Text: entry.Text, Generation: s.document.generation}
 }
 
+// rejected returns the outcome of a rejected change.
 func (s *Store) rejected(rejection *Rejection) Outcome {
 	return Outcome{HTTPStatus: rejection.HTTPStatus, Code: rejection.Code, Text: rejection.Text, Generation: s.document.generation}
 }
 
-// duplicateKey returns the digest that a change is remembered by.
+// duplicateKey returns the digest by which a duplicate of the command is recognized.
 func (s *Store) duplicateKey(command Command) commandDigest {
 	if !s.enforces(RuleDuplicateMatchesCommand) {
 		command.Kind, command.Base = 0, 0
@@ -157,26 +167,26 @@
 	return digestOf(command)
 }
 
-// digestOf identifies a command by its kind, base and body.
+// digestOf returns the truncated SHA-256 of the command's kind, base and body.
 func digestOf(command Command) commandDigest {
 	hash := sha256.New()
-	var head [1 + baseBytes]byte
-	head[0] = byte(command.Kind)
-	bits.BigEndian.PutUint64(head[1:], command.Base)
-	hash.Write(head[:])
+	var header [1 + baseBytes]byte
+	header[0] = byte(command.Kind)
+	bits.BigEndian.PutUint64(header[1:], command.Base)
+	hash.Write(header[:])
 	hash.Write(command.Body)
 	var digest commandDigest
 	copy(digest[:], hash.Sum(nil))
 	return digest
 }
 
-// rememberAccepted keeps an accepted change and forgets the oldest beyond the bound.
-func (s *Store) rememberAccepted(one acceptedChange) {
+// rememberAccepted remembers an accepted change and forgets the oldest one beyond the bound.
+func (s *Store) rememberAccepted(change acceptedChange) {
 	if !s.enforces(RuleDuplicateRemembered) {
 		return
 	}
-	s.accepted[one.digest] = struct{}{}
-	s.acceptedOrder = append(s.acceptedOrder, one)
+	s.accepted[change.digest] = struct{}{}
+	s.acceptedOrder = append(s.acceptedOrder, change)
 	if len(s.acceptedOrder) > s.maxAccepted {
 		delete(s.accepted, s.acceptedOrder[0].digest)
 		s.forgottenBelow = max(s.forgottenBelow, s.acceptedOrder[0].base+1)
@@ -184,27 +194,27 @@
 	}
 }
 
-// Document returns the configuration as JSON, each item as it was sent.
+// Document returns the configuration in force as JSON, with each item byte for byte as it was received.
 func (s *Store) Document() []byte { return s.document.render() }
 
-// Generation returns the number of the configuration in force; 0: none.
+// Generation returns the generation in force, or 0 before the first configuration.
 func (s *Store) Generation() uint64 { return s.document.generation }
 
-// Service returns the description of a service, and whether there is one.
+// Service returns the service of that name, and false if there is none.
 func (s *Store) Service(name string) (Service, bool) {
-	for _, one := range s.document.list(listServices) {
-		if one.name == name {
-			service, err := ParseService(one.raw)
+	for _, entry := range s.document.list(listServices) {
+		if entry.name == name {
+			service, err := ParseService(entry.raw)
 			return service, err == nil
 		}
 	}
 	return Service{}, false
 }
 
-// Items returns the feed's items, sorted by key. There are none before the first configuration.
+// Items returns the feed's items of the configuration in force, sorted by key, or none before the first configuration.
 func (s *Store) Items() []feed.Item { return s.document.items() }
 
-// items returns what the feed tells of a document, sorted by key.
+// items returns the feed's items of the document, sorted by key.
 func (d *document) items() []feed.Item {
 	if d.generation == 0 {
 		return nil
@@ -223,7 +233,7 @@
 	return items
 }
 
-// diff returns the items to put and the keys to delete, each sorted by key.
+// diff returns the items to put and the keys to delete that lead from one document to the other, both sorted by key.
 func diff(before, after *document) (put []feed.Item, deleted []string) {
 	previous := map[string][]byte{}
 	for _, entry := range before.items() {
--- a/internal/controlplane/configuration/types.go
+++ b/internal/controlplane/configuration/types.go
@@ -1,72 +1,78 @@
-// Package configuration holds the operator's configuration: how it is read and checked, field by
-// field, how changes follow one another, and the replicated state that keeps it.
 package configuration
 
 import "time"
 
-// RouteType tells whether a request may run more than once.
+// RouteType determines whether a request of a route may be sent to more than one worker, that is, whether it may be
+// retried or hedged.
 type RouteType uint8
 
 const (
-	NonIdempotent RouteType = iota // at most once for each try
+	// NonIdempotent requests run at most once. It is the type of routes whose type is unknown.
+	NonIdempotent RouteType = iota
+	// Idempotent requests may run more than once.
 	Idempotent
-	Streaming // an event stream; at most once unless Resumable
+	// Streaming requests are answered by an event stream. They run at most once unless the route is Resumable.
+	Streaming
 )
 
-// Target is one service of a route with its share of the requests.
+// Target is one service of a route with its weight.
 type Target struct {
 	Service string
-	Weight  float64
+	Weight  float64 // share of the requests, relative to the sum of the route's weights
 }
 
-// Route is one item of "routes".
+// Route is one item of the list "routes".
 type Route struct {
 	Name             string
-	Hostname         string // compared without regard to case, without port
+	Hostname         string // lower case, without a port
 	PathPrefix       string // begins and ends with a slash
 	Type             RouteType
-	Timeout          time.Duration // longest the operator wants a request held
-	TargetLatency    time.Duration // objective: to the whole answer, of a stream to its first event
-	Priority         int           // 0 is highest
+	Timeout          time.Duration // longest time that a request may take, queueing included
+	TargetLatency    time.Duration // objective for the time to the complete answer, of a stream to its first event
+	Priority         int           // 0 is the highest
 	Targets          []Target      // one with weight 1 for "service", several for "trafficSplit"
-	MaxAttempts      int           // most workers that one try may be sent to; at least 1
+	MaxAttempts      int           // greatest number of workers that one request may be sent to; at least 1
 	SessionAffinity  bool
-	Resumable        bool
-	InterTokenTarget time.Duration // longest pause between events in time; 0: none given
+	Resumable        bool          // a broken stream may be continued at another worker
+	InterTokenTarget time.Duration // objective for the longest gap between the events of a stream; 0: none
 }
 
-// Engine is the part of a model service that tells of its workers.
+// Engine is the part of a model service that describes its workers.
 type Engine struct {
-	Slots             int
-	KVCapacityTokens  int     // memory of a worker in tokens
-	KVBytesPerToken   float64 // bytes of one token's memory
-	LinkMbps          float64 // of a worker's link for hand-overs
-	MaxTokensPerEvent int     // most tokens in one event
-	HandleTTL         time.Duration
-	RoleSwitchTime    time.Duration // a worker's time to change its stage
+	Slots             int           // requests that one worker runs at a time
+	KVCapacityTokens  int           // tokens that fit into a worker's KV cache
+	KVBytesPerToken   float64       // bytes of KV cache for one token
+	LinkMbps          float64       // bandwidth of a worker's link for transfers of KV cache, in Mbit/s
+	MaxTokensPerEvent int           // greatest number of tokens in one event; at least 1
+	HandleTTL         time.Duration // how long the handle of a KV cache stays valid for its transfer
+	RoleSwitchTime    time.Duration // how long a worker needs to change between prefill and decode
 	Models            []string
 }
 
-// Service is one item of "services".
+// Service is one item of the list "services".
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // that one worker accepts from all callers; 0: not told
-	Engine         *Engine
+	MaxConnections int     // connections that one worker accepts from all callers; 0: unknown
+	Engine         *Engine // nil: not a model service
 }
 
-// Limits bounds what a client may send and how long it may take or rest.
+// Limits bounds the size and the duration of what a client sends.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	HeaderTimeout  time.Duration // for the complete header of a request
+	IdleTimeout    time.Duration // of a connection without a request
 }
 
-// Keys of the feed's items: a configuration is the items below, each with its raw JSON as value.
+// Keys of the feed's items. A configuration is fed to the agents as the items below, with the raw JSON as value.
 const (
-	KeyGeneration    = "generation" // value: decimal digits
-	KeyLimits        = "limits"
-	KeyRoutePrefix   = "route/"   // + name
-	KeyServicePrefix = "service/" // + name
+	// KeyGeneration is the key of the generation, whose value is decimal digits.
+	KeyGeneration = "generation"
+	// KeyLimits is the key of the limits.
+	KeyLimits = "limits"
+	// KeyRoutePrefix precedes the name of a route.
+	KeyRoutePrefix = "route/"
+	// KeyServicePrefix precedes the name of a service.
+	KeyServicePrefix = "service/"
 )
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// validateRoute checks what can be told of a route by itself.
+// validateRoute checks a route by itself, without the other routes and the services.
 func validateRoute(route Route) *Rejection {
 	if route.Name == "" {
 		return reject(CodeMissingField, "name of a route")
@@ -22,7 +22,7 @@
 	return validateTargets(route)
 }
 
-// validateTargets checks the weights of a route.
+// validateTargets checks the targets and weights of a route.
 func validateTargets(route Route) *Rejection {
 	sum := 0.0
 	for _, target := range route.Targets {
@@ -40,26 +40,26 @@
 	return nil
 }
 
-// routeMatch is where a route takes requests.
+// routeMatch is the pair that selects a route for a request. It must be unique among the routes.
 type routeMatch struct {
 	hostname   string
 	pathPrefix string
 }
 
-// validateUniqueMatches refuses two routes with the same host and prefix.
+// validateUniqueMatches rejects two routes with the same hostname and path prefix.
 func validateUniqueMatches(routes []*item) *Rejection {
 	names := make(map[routeMatch]string, len(routes))
 	for _, entry := range routes {
-		at := routeMatch{hostname: entry.route.Hostname, pathPrefix: entry.route.PathPrefix}
-		if other, taken := names[at]; taken {
+		match := routeMatch{hostname: entry.route.Hostname, pathPrefix: entry.route.PathPrefix}
+		if other, exists := names[match]; exists {
 			return reject(CodeDuplicateMatch, "routes "+other+" and "+entry.name)
 		}
-		names[at] = entry.name
+		names[match] = entry.name
 	}
 	return nil
 }
 
-// validateServiceReferences refuses a route that names a service that is not listed, with any weight.
+// validateServiceReferences rejects a route that names an unknown service, whatever the target's weight.
 func validateServiceReferences(routes, services []*item) *Rejection {
 	known := make(map[string]bool, len(services))
 	for _, entry := range services {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// validate refuses a document whose parts do not fit together.
+// validate rejects a document whose routes and services do not fit together.
 func (d *document) validate() *Rejection {
 	routes := d.list(listRoutes)
 	if rejection := validateUniqueMatches(routes); rejection != nil {
@@ -84,7 +84,7 @@
 	return validateServiceReferences(routes, d.list(listServices))
 }
 
-// validateGeneration refuses a generation that is not above the one that a change builds on.
+// validateGeneration rejects a generation that is not above the one that the change is based on.
 func validateGeneration(generation, base uint64) *Rejection {
 	if generation <= base {
 		return reject(CodeGenerationNotAbove, "")
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// ValidateCommand returns why a command is invalid whatever the state is, or nil. A change that was
-// accepted before is never refused by it.
+// ValidateCommand returns the reason why a command is invalid in any state, or nil. The server calls it before it proposes
+// the command. It must never become stricter for commands that were accepted before: their outcome is final.
 func ValidateCommand(command Command) *Rejection {
 	switch command.Kind {
 	case CommandReplace:
@@ -105,6 +105,7 @@
 	}
 }
 
+// validateReplace checks a CommandReplace without the state.
 func validateReplace(command Command) *Rejection {
 	parsed, rejection := readDocument(command.Body)
 	if rejection != nil {
@@ -116,6 +117,7 @@
 	return parsed.validate()
 }
 
+// validateUpdate checks a CommandUpdate without the state.
 func validateUpdate(command Command) *Rejection {
 	change, rejection := readUpdate(command.Body)
 	if rejection != nil {
