--- a/coord/replica/compaction.go
+++ b/coord/replica/compaction.go
@@ -6,25 +6,25 @@
 	"go.uber.org/zap"
 )
 
-// A snapshot is taken when the log has grown by more than either of these since the last one.
+// A snapshot is taken once the log has grown by more than either of these since the previous one.
 const (
 	compactionEntries  = 2000
 	compactionLogBytes = 4 << 20
 )
 
-// compactionRetryDelay is how long a snapshot that could not be written is not tried again.
+// compactionRetryDelay is the pause after a snapshot that could not be written.
 const compactionRetryDelay = 2 * time.Second
 
-// compaction follows the local snapshots.
+// compaction tracks the local snapshots that replace the beginning of the log.
 type compaction struct {
-	snapshotIndex    uint64        // index of the last one that is durable
-	snapshotLogBytes int64         // size of the log with it
-	running          bool          // one is being written
-	retryAt          time.Duration // the last one failed
-	retryPending     bool          // one waits for notUntil
+	snapshotIndex    uint64        // of the latest durable snapshot
+	snapshotLogBytes int64         // size of the log after that snapshot
+	running          bool          // a snapshot is being written
+	retryAt          time.Duration // earliest time of the next snapshot, after a failure
+	retryPending     bool          // a snapshot is due but waits for retryAt
 }
 
-// startCompaction takes a snapshot of the machine and hands it to the log writer if the log is long.
+// startCompaction submits a snapshot of the state machine to the log writer if the log has grown enough.
 func (l *eventLoop) startCompaction() {
 	l.compaction.retryPending = false
 	if l.compaction.running || l.appliedIndex <= l.compaction.snapshotIndex || !l.needsCompaction() {
@@ -42,30 +42,32 @@
 	l.submitWrite(writeJob{snapshot: &snapshot})
 }
 
+// needsCompaction reports whether the log has grown enough for a snapshot.
 func (l *eventLoop) needsCompaction() bool {
 	return l.appliedIndex-l.compaction.snapshotIndex > compactionEntries || l.disk.logBytes-l.compaction.snapshotLogBytes > compactionLogBytes
 }
 
-// handleCompacted takes note of a local snapshot that is durable.
+// handleCompacted records a local snapshot that became durable and lets the node drop the entries that it covers.
 func (l *eventLoop) handleCompacted(report diskReport) {
 	snapshot := report.compactedSnapshot
 	l.compaction.running = false
 	l.compaction.snapshotLogBytes = report.logBytes
 	l.compaction.advance(snapshot.Index)
 	l.node.Compact(snapshot.Index, snapshot.Members, snapshot.Data)
-	l.options.Logger.Debug("the log was compacted", zap.Uint32("shard", uint32(l.options.Shard)),
+	l.options.Logger.Debug("log compacted", zap.Uint32("shard", uint32(l.options.Shard)),
 		zap.Uint64("index", snapshot.Index), zap.Int64("bytes", report.diskBytes))
 }
 
-// advance takes note of a snapshot of either kind.
+// advance records a durable snapshot, local or received from the leader.
 func (c *compaction) advance(index uint64) { c.snapshotIndex = max(c.snapshotIndex, index) }
 
-// failed takes note of a snapshot that could not be written.
+// failed records a snapshot that could not be written.
 func (c *compaction) failed(now time.Duration) {
 	c.running = false
 	c.retryAt = now + compactionRetryDelay
 }
 
+// nextAttempt returns when a delayed snapshot is due.
 func (c *compaction) nextAttempt() time.Duration {
 	if !c.retryPending {
 		return never
--- a/coord/replica/consensus_node.go
+++ b/coord/replica/consensus_node.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// consensusNode is what the loop needs of agreement.Node. Tests put a scripted one in its place.
+// consensusNode is what the event loop uses of consensus.Node. Tests replace it by a scripted one.
 type consensusNode interface {
 	Tick(now time.Duration)
 	NextTick() time.Duration
@@ -26,19 +26,21 @@
 
 var _ consensusNode = (*consensus.Node)(nil)
 
-// Change adds, alters or removes one member.
+// Change is a change of the group's membership: it adds, alters or removes one member.
 type Change = consensus.MembershipChange
 
-// Bounds of what a leader has under way with one member.
+// Bounds of the append messages that a leader has in flight to one member.
 const (
 	maxAppendBytes      = 256 << 10
 	maxInflightMessages = 16
 )
 
-// heartbeatMarginDivisor is the part of the pause between two heartbeats, one in so many, by which a heartbeat may be late
-// without costing the next one its place on the grid of time.
+// heartbeatMarginDivisor sets the interval at which the node itself asks for heartbeats: shorter than HeartbeatInterval by
+// this fraction of it. Since a leader ticks only at multiples of HeartbeatInterval (see eventLoop.nextTick), a heartbeat that
+// is sent slightly late must not push the next one past the following multiple.
 const heartbeatMarginDivisor = 6
 
+// newNode returns the consensus core with the state that was read from the disk.
 func newNode(options *Options, stored consensus.PersistedState, now time.Duration) consensusNode {
 	config := consensus.Config{
 		ID:                options.Self.ID,
--- a/coord/replica/errors.go
+++ b/coord/replica/errors.go
@@ -7,12 +7,13 @@
 	"ospreybend/coord/consensus"
 )
 
-// NotLeaderError refuses a call that only the leader can take. The proposal or change that it answers
-// is not in the log and never will be. Use errors.As with a value of this type.
+// NotLeaderError rejects a call that only the leader can serve. The proposal or change is not in the log and never will be.
+// Callers use errors.As with a value, not a pointer, of this type, and forward the call to Leader.
 type NotLeaderError struct {
 	Leader consensus.Member // ID 0: unknown
 }
 
+// Error names the leader's address if it is known.
 func (e NotLeaderError) Error() string {
 	if e.Leader.ID == 0 {
 		return "replica: not the leader, and none is known"
@@ -20,14 +21,14 @@
 	return fmt.Sprintf("replica: not the leader; it is %s", e.Leader.Address)
 }
 
-// Errors of a group's calls.
+// Errors of a group's calls, besides those of the consensus core.
 var (
-	// ErrUnknownOutcome: the proposal may be committed, now or later, or be lost.
+	// ErrUnknownOutcome means that the proposal may be committed, now or later, or may be lost.
 	ErrUnknownOutcome = errors.New("replica: the outcome of the proposal is unknown")
-	// ErrClosed: the group has ended. What was proposed before may still be committed by the others.
+	// ErrClosed means that the group is closed. What was proposed before may still be committed by other members.
 	ErrClosed = errors.New("replica: the group is closed")
-	// ErrDiskStalled: the disk has not ended a write, so the group's files are still open.
+	// ErrDiskStalled means that the disk has not completed a write, so that the group's files are still open.
 	ErrDiskStalled = errors.New("replica: the disk has not ended a write")
-	// ErrTransferFailed: leadership was not taken over in time.
+	// ErrTransferFailed means that no other member took over leadership in time.
 	ErrTransferFailed = errors.New("replica: no other member took over leadership in time")
 )
--- a/coord/replica/event_loop.go
+++ b/coord/replica/event_loop.go
@@ -1,41 +1,39 @@
 package replica
 
 import (
-	"sync/atomic"
+	"fmt"
 	"time"
 
-	"go.uber.org/zap"
-
 	"ospreybend/coord/consensus"
 )
 
-// never is a time that is not reached.
+// never is a time that is never reached: nothing is due.
 const never = time.Duration(1<<63 - 1)
 
-// eventLoop owns the node and the machine of a group. It has no goroutine of its own: turn does all that
-// is due and next tells when it is to be called again.
+// eventLoop owns the consensus node and the state machine of a group. It has no goroutine of its own: Group.Run, or a test,
+// calls iterate with the queued events, and again no later than nextWakeUp. All fields but published belong to that caller.
 type eventLoop struct {
-	options      *Options
-	node         consensusNode
-	submitJob    func(writeJob) // hands a write to the log writer; does not block
+	options   *Options
+	node      consensusNode
+	submitJob func(writeJob) // hands a job to the log writer; does not block
+
+	now          time.Duration    // read from the clock once in each iteration
+	status       consensus.Status // of the node, as of refreshStatus
+	appliedIndex uint64           // of the state machine
 	knownMembers map[consensus.MemberID]consensus.Member
-	now          time.Duration
-	status       consensus.Status // of the node, as of the last turn
-	appliedIndex uint64           // by the machine
-	proposals    pendingProposals
-	reads        pendingReads
-	transfers    pendingTransfers
-	disk         diskHealth
-	compaction   compaction
-	fatalError   error // the group cannot go on
-
-	lastPublished         Status
-	publishedStatus       atomic.Pointer[Status] // for other goroutines
-	publishedConfirmed    atomic.Int64           // Status.Confirmed of the node
-	publishedDiskBytes    atomic.Int64           // bytes on disk
-	publishedDurableIndex atomic.Uint64          // Status.Durable of the node
+	fatalError   error // the group cannot continue
+
+	// Calls that wait for an answer.
+	proposals pendingProposals
+	reads     pendingReads
+	transfers pendingTransfers
+
+	disk       diskHealth
+	compaction compaction
+	published  publication
 }
 
+// newEventLoop returns the loop of a group whose disk is assumed to be writable.
 func newEventLoop(options *Options, node consensusNode, submit func(writeJob)) *eventLoop {
 	l := &eventLoop{
 		options:      options,
@@ -47,15 +45,16 @@
 	}
 	l.disk.writable = true
 	l.rememberMembers(options.Founders)
-	l.publishedStatus.Store(&Status{Shard: options.Shard, Writable: true})
+	l.published.status.Store(&Status{Shard: options.Shard, Writable: true})
 	return l
 }
 
-// iterate handles the events and everything that is due at this moment.
+// iterate handles the events and everything else that is due now. The order matters: what the node wants done is processed
+// after all events, so that they share one write and one message to each peer.
 func (l *eventLoop) iterate(events []loopEvent) {
 	l.now = l.options.Clock.Now()
-	for _, one := range events {
-		l.handleEvent(one)
+	for _, received := range events {
+		l.handleEvent(received)
 	}
 	if l.now >= l.nextTick() {
 		l.node.Tick(l.now)
@@ -66,30 +65,32 @@
 	l.updateProposalDeadlines()
 	l.expirePending()
 	l.startCompaction()
+	l.transfers.resolveIfNotLeader(l.status)
 	l.publish()
 }
 
-func (l *eventLoop) handleEvent(one loopEvent) {
-	switch one := one.(type) {
+// handleEvent passes an event to the node or to the state that it concerns.
+func (l *eventLoop) handleEvent(received loopEvent) {
+	switch event := received.(type) {
 	case messageEvent:
-		l.node.Step(l.now, one.message)
+		l.node.Step(l.now, event.message)
 	case proposeEvent:
-		l.propose(one)
+		l.propose(event)
 	case changeEvent:
-		l.changeMembers(one)
+		l.changeMembers(event)
 	case readEvent:
-		l.reads.queued = append(l.reads.queued, one.done)
+		l.reads.queued = append(l.reads.queued, event.done)
 	case transferEvent:
-		l.transfer(one)
+		l.transfer(event)
 	case callEvent:
-		one.function()
-		one.done <- outcome{}
+		event.function()
+		event.done <- outcome{}
 	case diskReport:
-		l.handleDiskReport(one)
+		l.handleDiskReport(event)
 	}
 }
 
-// nextWakeUp returns when turn must be called at the latest.
+// nextWakeUp returns when iterate must be called at the latest.
 func (l *eventLoop) nextWakeUp() time.Duration {
 	return min(
 		l.nextTick(),
@@ -100,8 +101,8 @@
 	)
 }
 
-// nextTick returns when the node must be told the time. A leader is told at whole multiples of the heartbeat, so that
-// the heartbeats of all groups of the process go out together, and in one batch to each peer.
+// nextTick returns when the node must be ticked. A leader is ticked only at multiples of the heartbeat interval, so that the
+// heartbeats of all groups of the process are sent together, in one batch to each peer.
 func (l *eventLoop) nextTick() time.Duration {
 	next := l.node.NextTick()
 	if l.status.Role != consensus.RoleLeader || next == consensus.NoTick {
@@ -111,7 +112,8 @@
 	return (next + interval - 1) / interval * interval
 }
 
-// processReady does what the node wants done.
+// processReady carries out what the node asks for: writes, messages, a received snapshot, committed entries and the
+// answers to read requests.
 func (l *eventLoop) processReady(ready consensus.Ready) {
 	l.refreshStatus()
 	if ready.Persist != nil {
@@ -132,12 +134,10 @@
 	l.answerReads()
 }
 
-// restore gives the machine a snapshot's state.
+// restore replaces the state machine's state by a received snapshot.
 func (l *eventLoop) restore(snapshot *consensus.Snapshot) {
 	if err := l.options.StateMachine.Restore(snapshot.Index, snapshot.Data); err != nil {
-		l.fatalError = err
-		l.options.Logger.Error("the machine cannot take the snapshot",
-			zap.Uint32("shard", uint32(l.options.Shard)), zap.Uint64("index", snapshot.Index), zap.Error(err))
+		l.fatalError = fmt.Errorf("restore the snapshot at index %d: %w", snapshot.Index, err)
 		return
 	}
 	l.appliedIndex = snapshot.Index
@@ -146,7 +146,7 @@
 	l.notifyApplied()
 }
 
-// apply gives the machine the committed commands and answers those that wait for them.
+// apply executes the committed commands and answers the calls that proposed them.
 func (l *eventLoop) apply(entries []consensus.Entry) {
 	for _, entry := range entries {
 		var result any
@@ -161,19 +161,20 @@
 	}
 }
 
+// notifyApplied calls Options.OnApplied.
 func (l *eventLoop) notifyApplied() {
 	if l.options.OnApplied != nil {
 		l.options.OnApplied(l.appliedIndex)
 	}
 }
 
-// refreshStatus takes over the node's state.
+// refreshStatus reads the node's status.
 func (l *eventLoop) refreshStatus() {
 	l.status = l.node.Status()
 	l.rememberMembers(l.status.Members)
 }
 
-// rememberMembers remembers members' addresses, also of those that are removed later.
+// rememberMembers stores the members' addresses. Those of removed members stay known: they are still sent messages.
 func (l *eventLoop) rememberMembers(members []consensus.Member) {
 	for _, member := range members {
 		if l.knownMembers[member.ID] != member {
@@ -182,7 +183,7 @@
 	}
 }
 
-// member returns what is known of a member, its ID at least.
+// member returns the member of an ID, or one with the ID alone if it is not known.
 func (l *eventLoop) member(id consensus.MemberID) consensus.Member {
 	if member, known := l.knownMembers[id]; known {
 		return member
@@ -190,7 +191,7 @@
 	return consensus.Member{ID: id}
 }
 
-// leader returns the leader as of now, the zero value if none is known.
+// leader returns the current leader, or the zero value if none is known.
 func (l *eventLoop) leader() consensus.Member {
 	if l.status.Leader == 0 {
 		return consensus.Member{}
@@ -198,35 +199,18 @@
 	return l.member(l.status.Leader)
 }
 
-// expirePending ends what has waited for too long.
+// expirePending ends the calls whose deadline has passed.
 func (l *eventLoop) expirePending() {
 	l.proposals.expire(l.now)
 	l.transfers.expire(l.now)
 }
 
-// stop answers all that waits.
+// stop answers all pending calls and the given unhandled events at the end of the group.
 func (l *eventLoop) stop(unhandled []loopEvent) {
 	l.proposals.failAll(ErrUnknownOutcome)
 	l.reads.failAll(ErrClosed)
 	l.transfers.failAll(ErrClosed)
-	for _, one := range unhandled {
-		rejectClosed(one)
-	}
-}
-
-// rejectClosed answers an event that came after the end.
-func rejectClosed(one loopEvent) {
-	closed := outcome{err: ErrClosed}
-	switch one := one.(type) {
-	case proposeEvent:
-		one.done <- closed
-	case changeEvent:
-		one.done <- closed
-	case readEvent:
-		one.done <- closed
-	case transferEvent:
-		one.done <- closed
-	case callEvent:
-		one.done <- closed
+	for _, event := range unhandled {
+		event.reject(ErrClosed)
 	}
 }
--- a/coord/replica/group.go
+++ b/coord/replica/group.go
@@ -1,8 +1,3 @@
-// Package replica drives one replica group: it owns the group's agreement node, its state machine
-// and its log on disk, and takes proposals, reads and changes of members from the process.
-//
-// One goroutine, the loop, owns node and machine; a second one owns the log and writes all that
-// waits with one sync. Between events both sleep: the loop until the node's next timeout.
 package replica
 
 import (
@@ -15,22 +10,23 @@
 	"ospreybend/coord/seglog"
 )
 
-// Group is the local replica of one group. All methods may be called by any goroutine.
+// Group is the local replica of one replica group. Its methods may be called by any goroutine.
 type Group struct {
-	loop   *eventLoop
+	loop   *eventLoop // owned by the goroutine of Run while that runs
 	writer *logWriter
 	queue  *eventQueue
 
-	mutex   sync.Mutex
+	mutex   sync.Mutex // guards started and closed
 	started bool
 	closed  bool
-	stop    chan struct{} // closed by Close
-	running sync.WaitGroup
+
+	stop    chan struct{}  // closed by Close
+	running sync.WaitGroup // Run and the log writer
 }
 
-// Open reads the group's disk, forms the group if Founders are given and the disk is empty, and
-// restores the machine. Run must be called after it, and Close at the end. Errors: those of
-// seglog.Open, agreement.ErrStored, the machine's and those of the file system.
+// Open recovers the group from its directory, or forms it if Founders are given and the directory is empty, and restores the
+// state machine. The caller must then call Run, and Close at the end. Errors: those of seglog.Open,
+// consensus.ErrInvalidState, and those of the state machine and of the file system.
 func Open(options Options) (*Group, error) {
 	options = options.withDefaults()
 	log, stored, err := openLog(&options)
@@ -44,6 +40,7 @@
 	return group, nil
 }
 
+// newGroup returns the group with the state that was read from its log.
 func newGroup(options *Options, log logStorage, stored consensus.PersistedState) (*Group, error) {
 	if err := stored.Check(); err != nil {
 		return nil, err
@@ -57,7 +54,7 @@
 	return group, group.loop.fatalError
 }
 
-// openLog reads the disk and writes the founding state to an empty one if it is to found the group.
+// openLog recovers the log. If the group is to be formed and the log is empty, it first makes the founding state durable.
 func openLog(options *Options) (*seglog.Log, consensus.PersistedState, error) {
 	log, stored, err := seglog.Open(seglog.Options{FileSystem: options.FileSystem, Directory: options.Directory})
 	if err != nil || len(options.Founders) == 0 || !isEmpty(&stored) {
@@ -71,12 +68,14 @@
 	return log, stored, nil
 }
 
+// isEmpty reports whether nothing was ever stored.
 func isEmpty(stored *consensus.PersistedState) bool {
 	return stored.HardState == consensus.HardState{} && stored.Snapshot.Index == 0 && len(stored.Entries) == 0
 }
 
-// Run works until ctx ends or Close is called. Every waiting call then ends with ErrClosed or
-// ErrUnknownOutcome. The error is the machine's if it could not take a snapshot.
+// Run serves the group until ctx ends or Close is called. All pending calls then end with ErrClosed or ErrUnknownOutcome.
+// The error is that of the state machine if it could not restore a snapshot, or ErrClosed if the group is closed or has
+// been run before.
 func (g *Group) Run(ctx context.Context) error {
 	if !g.markStarted() {
 		return ErrClosed
@@ -90,7 +89,7 @@
 	return g.loop.fatalError
 }
 
-// markStarted returns false if the group is closed or runs already.
+// markStarted returns false if the group is closed or was started before.
 func (g *Group) markStarted() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -102,6 +101,7 @@
 	return true
 }
 
+// runLoop iterates the event loop until the group ends or cannot continue.
 func (g *Group) runLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -113,7 +113,7 @@
 	}
 }
 
-// waitForWork returns at the next event or timeout, and false at the end.
+// waitForWork returns true at the next event or timeout, and false at the end.
 func (g *Group) waitForWork(ctx context.Context, timer *time.Timer) bool {
 	var timeout <-chan time.Time
 	if next := g.loop.nextWakeUp(); next != never {
@@ -132,14 +132,14 @@
 	}
 }
 
-// Step takes a message of another member. It does not block; messages beyond a bound are dropped.
-// The message must not be changed afterwards.
+// Step passes a message of another member to the node. It does not block: beyond maxQueuedMessages, messages are dropped. The
+// message must not be changed afterwards.
 func (g *Group) Step(message consensus.Message) { g.queue.push(messageEvent{message}) }
 
-// Propose adds a command to the log and returns the machine's result and the entry's index once it
-// is committed and applied here. Errors: ErrNotLeader, ErrUnknownOutcome, ErrClosed,
-// agreement.ErrBusy and agreement.ErrTransferring. All but ErrUnknownOutcome mean that the command
-// is not in the log and never will be.
+// Propose appends a command to the log and returns the state machine's result and the entry's index once the entry is
+// committed and applied here. Errors: NotLeaderError, ErrUnknownOutcome, ErrClosed, consensus.ErrTooManyUncommitted and
+// consensus.ErrTransferInProgress. All but ErrUnknownOutcome mean that the command is not in the log and never will be, so
+// that the caller may retry it.
 func (g *Group) Propose(ctx context.Context, data []byte) (result any, index uint64, err error) {
 	done := newOutcomeChannel()
 	if !g.queue.push(proposeEvent{data: data, done: done}) {
@@ -149,22 +149,22 @@
 	return received.result, received.index, received.err
 }
 
-// ReadBarrier returns once the machine has applied all that was acknowledged, by any member, before
-// the call. Only the leader can; errors: ErrNotLeader, ErrClosed and the context's.
+// ReadBarrier returns once the state machine has applied everything that any member acknowledged before the call, so that
+// a following read is linearizable. Only the leader can confirm this. Errors: NotLeaderError, ErrClosed and the context's.
 func (g *Group) ReadBarrier(ctx context.Context) error {
 	done := newOutcomeChannel()
 	return g.call(ctx, readEvent{done}, done, nil)
 }
 
-// ChangeMembers returns once the change is committed and applied here. Errors: those of Propose and
-// agreement.ErrMemberChange.
+// ChangeMembers changes the membership and returns once the change is committed and applied here. Errors: those of Propose,
+// and consensus.ErrMembershipChange if the change is not possible now.
 func (g *Group) ChangeMembers(ctx context.Context, change Change) error {
 	done := newOutcomeChannel()
 	return g.call(ctx, changeEvent{change: change, done: done}, done, ErrUnknownOutcome)
 }
 
-// PromotableLearners returns the learners that could be made voters now: they answer, and have acknowledged nearly all of the log
-// as durable. Only the leader knows; others return none.
+// PromotableLearners returns the learners that could be made voters now: they respond and have acknowledged nearly all of the
+// log as durable. Only the leader knows; other members return none.
 func (g *Group) PromotableLearners() []consensus.MemberID {
 	var found []consensus.MemberID
 	err := g.Do(func() {
@@ -180,37 +180,39 @@
 	return found
 }
 
-// TransferLeadership hands leadership to the most current other voter and returns once this replica leads no
-// more. Errors: ErrNotLeader, ErrTransferFailed, ErrClosed, agreement.ErrTransferring,
-// agreement.ErrNoSuccessor and the context's.
+// TransferLeadership transfers leadership to the most up-to-date other voter and returns once this replica is no longer the
+// leader. Errors: NotLeaderError, ErrTransferFailed, ErrClosed, consensus.ErrTransferInProgress, consensus.ErrNoTransferTarget
+// and the context's.
 func (g *Group) TransferLeadership(ctx context.Context) error {
 	return g.TransferLeadershipTo(ctx, 0)
 }
 
-// TransferLeadershipTo hands leadership to a chosen voter, or to the most current other one if the ID is 0, and
-// returns once this replica leads no more; another voter may have been elected then. Errors: those of Transfer;
-// agreement.ErrNoSuccessor also if the member chosen is no voter, or this one.
+// TransferLeadershipTo transfers leadership to the given voter, or to the most up-to-date other one if the ID is 0, and
+// returns once this replica is no longer the leader; a different voter may have been elected by then. Errors: those of
+// TransferLeadership, with consensus.ErrNoTransferTarget also if the given member is not a voter or is this one.
 func (g *Group) TransferLeadershipTo(ctx context.Context, to consensus.MemberID) error {
 	done := newOutcomeChannel()
 	return g.call(ctx, transferEvent{to: to, done: done}, done, nil)
 }
 
-// Do runs a function inside the loop, where the machine may be read, and returns after it.
-// The function must not call the group. Error: ErrClosed.
+// Do runs a function in the event loop, where the state machine may be read, and returns after it. The function must not call
+// the group. Error: ErrClosed.
 func (g *Group) Do(function func()) error {
 	done := newOutcomeChannel()
 	return g.call(context.Background(), callEvent{function: function, done: done}, done, nil)
 }
 
-func (g *Group) call(ctx context.Context, one loopEvent, done chan outcome, timeoutError error) error {
-	if !g.queue.push(one) {
+// call queues an event that carries a call and waits for its answer.
+func (g *Group) call(ctx context.Context, event loopEvent, done chan outcome, timeoutError error) error {
+	if !g.queue.push(event) {
 		return ErrClosed
 	}
 	return awaitOutcome(ctx, done, timeoutError).err
 }
 
-// awaitOutcome returns the answer, or an error if the context ends first: late, or the context's if late is nil.
-func awaitOutcome(ctx context.Context, done chan outcome, timeoutError error) outcome {
+// awaitOutcome returns the answer to a call. If the context ends first, the error is timeoutError, or that of the context if
+// timeoutError is nil.
+func awaitOutcome(ctx context.Context, done <-chan outcome, timeoutError error) outcome {
 	select {
 	case received := <-done:
 		return received
@@ -222,19 +224,21 @@
 	return outcome{err: timeoutError}
 }
 
-// Status returns the last published state, without waiting for the loop.
+// Status returns the last published status, without waiting for the event loop.
 func (g *Group) Status() Status { return g.loop.currentStatus() }
 
-// StatusWithoutAge returns the last published state without its age. It asks no clock.
+// StatusWithoutAge is like Status with a ConfirmedAge of 0. It does not read the clock.
 func (g *Group) StatusWithoutAge() Status { return g.loop.currentStatusWithoutAge() }
 
-// closeTimeout bounds the wait for the write in hand at the end.
+// closeTimeout is how long Close waits for the write in progress.
 const closeTimeout = 500 * time.Millisecond
 
-// Close ends Run, waits for the write in hand and closes the files. Error ErrDiskHangs: that write does not end, and the
-// files stay open until the process ends; what it was writing was never reported as durable.
+// Close ends Run, waits for the write in progress and closes the files. The error ErrDiskStalled means that the write did not
+// complete in time: the files then stay open until the process ends, and what was being written was never reported as
+// durable.
 func (g *Group) Close() error { return g.closeWithin(closeTimeout) }
 
+// closeWithin is Close with a given timeout.
 func (g *Group) closeWithin(timeout time.Duration) error {
 	if !g.markClosed() {
 		return nil
--- a/coord/replica/guards.go
+++ b/coord/replica/guards.go
@@ -2,23 +2,32 @@
 
 import "slices"
 
-// Guard names one check of a group. Tests leave guards out to show that their absence is noticed. A running system
-// leaves out none.
+// Guard names one safety check of a group. Tests omit guards one by one to show that a violation is then detected; a
+// running system enforces all of them.
 type Guard string
 
-// The guards that can be left out.
+// The guards that tests can omit.
 const (
-	GuardOutcomeMatchesTerm    Guard = "outcome-of-term"  // a proposal is acknowledged only by the entry of its own term
-	GuardLostLeadershipUnknown Guard = "lost-unknown"     // a proposal whose leader leads no more has an unknown outcome until its entry shows
-	GuardSkippedUnknown        Guard = "skipped-unknown"  // a proposal that a snapshot stands for has an unknown outcome
-	GuardReadWaitsForApply     Guard = "read-applied"     // a read is answered once the machine has applied all that it covers
-	GuardStalledDiskStepsDown  Guard = "stall-hands-over" // a member whose disk hangs or refuses leads no more
+	// GuardOutcomeMatchesTerm requires that a proposal is acknowledged only by an entry of its own term.
+	GuardOutcomeMatchesTerm Guard = "outcome-of-term"
+	// GuardLostLeadershipUnknown requires that a proposal has an unknown outcome once its leader has lost leadership, until
+	// its entry is applied or replaced.
+	GuardLostLeadershipUnknown Guard = "lost-unknown"
+	// GuardSkippedUnknown requires that a proposal whose index is covered by a received snapshot has an unknown outcome.
+	GuardSkippedUnknown Guard = "skipped-unknown"
+	// GuardReadWaitsForApply requires that a read is answered only after the state machine has applied all that it covers.
+	GuardReadWaitsForApply Guard = "read-applied"
+	// GuardStalledDiskStepsDown requires that a member whose disk stalls or fails hands leadership over.
+	GuardStalledDiskStepsDown Guard = "stall-hands-over"
 )
 
-// Guards returns all guards that can be left out.
+// Guards returns all guards that tests can omit.
 func Guards() []Guard {
-	return []Guard{GuardOutcomeMatchesTerm, GuardLostLeadershipUnknown, GuardSkippedUnknown, GuardReadWaitsForApply, GuardStalledDiskStepsDown}
+	return []Guard{
+		GuardOutcomeMatchesTerm, GuardLostLeadershipUnknown, GuardSkippedUnknown, GuardReadWaitsForApply,
+		GuardStalledDiskStepsDown,
+	}
 }
 
-// enforces reports whether a guard is in force.
+// enforces reports whether the group enforces a guard.
 func (o *Options) enforces(guard Guard) bool { return !slices.Contains(o.OmitGuards, guard) }
--- a/coord/replica/log_writer.go
+++ b/coord/replica/log_writer.go
@@ -7,19 +7,19 @@
 	"ospreybend/coord/consensus"
 )
 
-// Pauses after a failed write, each twice the one before.
+// Bounds of the delay before a failed write is retried. It doubles with each failure.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// writeJob is one write: either a state of the node or a snapshot of the machine.
+// writeJob is one job of the log writer: either a state of the node to persist or a snapshot of the state machine.
 type writeJob struct {
 	persist  *consensus.PersistRequest
 	snapshot *consensus.Snapshot
 }
 
-// logStorage is what the writer needs of seglog.Log.
+// logStorage is what the log writer uses of seglog.Log.
 type logStorage interface {
 	Save(batch []*consensus.PersistRequest) error
 	Compact(snapshot consensus.Snapshot) error
@@ -28,23 +28,26 @@
 	Close() error
 }
 
-// logWriter owns a group's log. All that is submitted while it writes goes into its next write.
+// logWriter owns a group's log on disk. All jobs that are submitted during a write go into the next one, so that the cost of
+// a sync is shared (group commit).
 type logWriter struct {
 	log    logStorage
 	report func(diskReport)
 
-	mutex     sync.Mutex
+	mutex     sync.Mutex // guards submitted
 	submitted []writeJob
-	signal    chan struct{} // has room for one
+	signal    chan struct{} // buffered; receives a value when a job was submitted
 
-	pending    []writeJob // taken and not written yet
+	pending    []writeJob // taken from submitted and not written yet
 	retryDelay time.Duration
 }
 
+// newLogWriter returns a writer that calls report, from the goroutine of run, after each write.
 func newLogWriter(log logStorage, report func(diskReport)) *logWriter {
 	return &logWriter{log: log, report: report, signal: make(chan struct{}, 1)}
 }
 
+// submit queues a job. It does not block and may be called by any goroutine.
 func (w *logWriter) submit(job writeJob) {
 	w.mutex.Lock()
 	w.submitted = append(w.submitted, job)
@@ -52,6 +55,7 @@
 	notify(w.signal)
 }
 
+// collectSubmitted moves the submitted jobs to the pending ones.
 func (w *logWriter) collectSubmitted() {
 	w.mutex.Lock()
 	w.pending = append(w.pending, w.submitted...)
@@ -59,7 +63,7 @@
 	w.mutex.Unlock()
 }
 
-// run writes until stop is closed.
+// run writes submitted jobs until stop is closed.
 func (w *logWriter) run(stop <-chan struct{}) {
 	for {
 		retryDelay := w.writePending()
@@ -69,7 +73,7 @@
 	}
 }
 
-// waitForWork returns at the next job, or after the pause if there is one; false at the end.
+// waitForWork returns true at the next job or, if a write failed, after the retry delay; false at the end.
 func (w *logWriter) waitForWork(retryDelay time.Duration, stop <-chan struct{}) bool {
 	if retryDelay > 0 {
 		timer := time.NewTimer(retryDelay)
@@ -89,8 +93,7 @@
 	}
 }
 
-// writePending writes all that waits and reports it. It returns how long to wait before the next try, 0
-// if nothing failed.
+// writePending writes and reports all pending jobs. It returns the delay before the next attempt, or 0 if nothing failed.
 func (w *logWriter) writePending() time.Duration {
 	w.collectSubmitted()
 	for len(w.pending) > 0 {
@@ -108,22 +111,24 @@
 	return 0
 }
 
+// nextRetryDelay doubles the retry delay, within its bounds.
 func (w *logWriter) nextRetryDelay() time.Duration {
 	w.retryDelay = min(max(2*w.retryDelay, minRetryDelay), maxRetryDelay)
 	return w.retryDelay
 }
 
-// writeFirst writes the states up to the next snapshot, or that snapshot if it is first.
+// writeFirst writes the states up to the next snapshot as one batch, or the snapshot if that is first. Once Save has
+// returned, the states are durable on this member.
 func (w *logWriter) writeFirst() diskReport {
 	if w.pending[0].snapshot != nil {
 		return w.writeSnapshot(w.pending[0].snapshot)
 	}
 	var batch []*consensus.PersistRequest
-	for _, one := range w.pending {
-		if one.persist == nil {
+	for _, job := range w.pending {
+		if job.persist == nil {
 			break
 		}
-		batch = append(batch, one.persist)
+		batch = append(batch, job.persist)
 	}
 	if err := w.log.Save(batch); err != nil {
 		return diskReport{err: err}
@@ -131,8 +136,8 @@
 	return diskReport{finishedJobs: len(batch), persistedSequence: batch[len(batch)-1].Sequence}
 }
 
-// writeSnapshot gives a snapshot up at the first failure: the states after it matter more, and the
-// loop takes a newer one later.
+// writeSnapshot writes a snapshot and abandons it at the first failure: the states behind it are more urgent, and the event
+// loop submits a newer snapshot later.
 func (w *logWriter) writeSnapshot(snapshot *consensus.Snapshot) diskReport {
 	if err := w.log.Compact(*snapshot); err != nil {
 		return diskReport{finishedJobs: 1, snapshotFailed: true, err: err}
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -10,51 +10,52 @@
 	"ospreybend/coord/shards"
 )
 
-// StateMachine is the replicated state machine. Only the group's loop calls it.
+// StateMachine is the replicated state machine. Only the group's event loop calls it.
 type StateMachine interface {
-	// Apply carries out one command and returns its result. It is called once for each command
-	// entry, in the order of the log, and must give the same result on all replicas.
+	// Apply executes one command and returns its result. It is called once for each command entry, in the order of the log,
+	// and must be deterministic: the same state and result on all replicas.
 	Apply(entry consensus.Entry) any
-	// Snapshot returns the whole state. The group keeps the slice; the machine must not change it.
+	// Snapshot returns the encoded state. The group keeps the slice, so that the state machine must not change it.
 	Snapshot() []byte
-	// Restore replaces the state by that of a snapshot taken after the entry at index. The data
-	// was made by Snapshot, of this machine or of another replica's.
+	// Restore replaces the state by that of a snapshot that was taken after the entry at index. The data was made by Snapshot,
+	// of this replica or of another one.
 	Restore(index uint64, data []byte) error
 }
 
-// Clock is a monotonic clock. Now is never 0 or less.
+// Clock is a monotonic clock.
 type Clock interface {
+	// Now returns the time since an arbitrary origin. It is always above 0.
 	Now() time.Duration
 }
 
-// Options sets up a Group.
+// Options configures a Group.
 type Options struct {
 	Shard        shards.ID
-	Directory    string            // of this group alone
-	FileSystem   seglog.FileSystem // nil: the operating system's
+	Directory    string            // used by this group alone
+	FileSystem   seglog.FileSystem // nil: seglog.OSFileSystem
 	Self         consensus.Member
-	Founders     []consensus.Member // only at the system's first formation; used if the disk is empty
+	Founders     []consensus.Member // voters of a new group; only used if the directory is empty
 	StateMachine StateMachine       // in its initial state
 
-	// Send hands a message to the transport. It is called by the loop and must not block; a message
-	// may be lost. Address is empty where the group does not know the receiver as a member yet: the
-	// transport then looks it up by ID, or drops the message. The message must not be changed.
+	// Send passes a message to the transport. It is called by the event loop and must not block; messages may be lost. The
+	// address is empty if the group does not know the receiver as a member yet: the transport then looks it up by ID, or drops
+	// the message. The message must not be changed.
 	Send func(to consensus.Member, message consensus.Message)
-	// OnApplied is called by the loop, and by Open, after the machine has applied all up to index. It
-	// must not call the group. May be nil.
+	// OnApplied is called by the event loop, and by Open, after the state machine has applied everything up to index. It must
+	// not call the group. It may be nil.
 	OnApplied func(index uint64)
-	// OnStatus is called by the loop when role, term, leader, members or writability have changed, and
-	// once by Open. It must not call the group. May be nil.
+	// OnStatus is called by the event loop after a change of role, term, leader, members or writability, and once by Open. It
+	// must not call the group. It may be nil.
 	OnStatus func(Status)
 
-	ElectionTimeout   time.Duration // 0: DefaultElectionTimeout
-	HeartbeatInterval time.Duration // 0: DefaultHeartbeat
-	Logger            *zap.Logger   // nil: none
-	Clock             Clock         // nil: the process's steady clock
+	ElectionTimeout   time.Duration // minimum time without a leader before an election; 0: DefaultElectionTimeout
+	HeartbeatInterval time.Duration // 0: DefaultHeartbeatInterval
+	Logger            *zap.Logger   // nil: no logging
+	Clock             Clock         // nil: the monotonic clock of the process
 
-	// OmitRules leaves out rules of the agreement, by tests alone.
+	// OmitRules lists rules of the consensus core that are not enforced. Only tests set it.
 	OmitRules []consensus.Rule
-	// OmitGuards leaves out guards of the group, by tests alone.
+	// OmitGuards lists guards of the group that are not enforced. Only tests set it.
 	OmitGuards []Guard
 }
 
@@ -64,26 +65,26 @@
 	DefaultHeartbeatInterval = 100 * time.Millisecond
 )
 
-// NeverConfirmed is the ConfirmedAge of a member that has not been confirmed since its start.
+// NeverConfirmed is the ConfirmedAge of a replica that has not been confirmed since its start.
 const NeverConfirmed = time.Duration(1<<63 - 1)
 
-// Status describes a group's local replica.
+// Status describes the local replica of a group.
 type Status struct {
 	Shard        shards.ID
 	Role         consensus.Role
 	Term         uint64
 	Leader       consensus.Member // ID 0: unknown
 	Members      []consensus.Member
-	Retired      []consensus.MemberID // IDs that were replaced and never come back
+	Retired      []consensus.MemberID // IDs that were replaced and are never members again
 	AppliedIndex uint64
 	CommitIndex  uint64
-	ConfirmedAge time.Duration // since agreement.Status.Confirmed
-	Writable     bool          // the disk takes writes in time
+	ConfirmedAge time.Duration // since consensus.Status.ConfirmedAt, or NeverConfirmed
+	Writable     bool          // the disk completes writes in time
 	DiskBytes    int64
-	DurableIndex uint64 // highest index that is durable here
+	DurableIndex uint64 // highest index that is durable on this replica
 }
 
-// withDefaults fills in what may be left out.
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	if o.FileSystem == nil {
 		o.FileSystem = seglog.OSFileSystem{}
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -7,47 +7,49 @@
 	"ospreybend/coord/consensus"
 )
 
-// gracePeriodTimeouts is how many election timeouts a proposal may still be committed by the next leader
-// before its outcome is called unknown.
+// gracePeriodTimeouts is the grace period, in election timeouts, in which the next leader may still commit a proposal of a
+// lost leadership before its outcome is reported as unknown.
 const gracePeriodTimeouts = 2
 
-// pendingProposal is an entry of this leader that somebody waits for.
+// pendingProposal is an entry of this leader whose proposer waits for the outcome.
 type pendingProposal struct {
-	term     uint64
+	term     uint64 // of the entry
 	done     chan outcome
-	deadline time.Duration // set once leadership is lost; 0: none
+	deadline time.Duration // after which its outcome is unknown; 0: none, as this replica still leads its term
 }
 
-// pendingProposals are the entries that are waited for, by index.
+// pendingProposals are the pending proposals by index of their entry.
 type pendingProposals struct {
 	byIndex      map[uint64]*pendingProposal
-	nextDeadline time.Duration // earliest deadline; 0: none has one
+	nextDeadline time.Duration // earliest deadline; 0: none
 }
 
-func (l *eventLoop) propose(one proposeEvent) {
-	term, index, err := l.node.Propose(l.now, one.data)
+// propose appends a command to the log if this replica leads.
+func (l *eventLoop) propose(event proposeEvent) {
+	term, index, err := l.node.Propose(l.now, event.data)
 	if err != nil {
-		one.done <- outcome{err: l.callerError(err)}
+		event.done <- outcome{err: l.callerError(err)}
 		return
 	}
-	l.proposals.add(index, &pendingProposal{term: term, done: one.done})
+	l.proposals.add(index, &pendingProposal{term: term, done: event.done})
 }
 
-func (l *eventLoop) changeMembers(one changeEvent) {
+// changeMembers appends a membership change to the log if this replica leads.
+func (l *eventLoop) changeMembers(event changeEvent) {
 	previous := l.node.Status().LastIndex
-	if err := l.node.ChangeMembers(l.now, one.change); err != nil {
-		one.done <- outcome{err: l.callerError(err)}
+	if err := l.node.ChangeMembers(l.now, event.change); err != nil {
+		event.done <- outcome{err: l.callerError(err)}
 		return
 	}
 	status := l.node.Status()
 	if status.LastIndex == previous {
-		one.done <- outcome{} // nothing to change, and the last change is committed
+		event.done <- outcome{} // the change has no effect, and the previous one is committed
 		return
 	}
-	l.proposals.add(status.LastIndex, &pendingProposal{term: status.Term, done: one.done})
+	l.proposals.add(status.LastIndex, &pendingProposal{term: status.Term, done: event.done})
 }
 
-// callerError turns the node's error into the caller's.
+// callerError converts the node's error to the one that callers of the group get.
 func (l *eventLoop) callerError(err error) error {
 	if !errors.Is(err, consensus.ErrNotLeader) {
 		return err
@@ -56,43 +58,44 @@
 	return NotLeaderError{Leader: l.leader()}
 }
 
-func (p *pendingProposals) add(index uint64, one *pendingProposal) {
+// add registers a proposal. One that is pending at the same index belongs to an earlier term.
+func (p *pendingProposals) add(index uint64, proposal *pendingProposal) {
 	if previous := p.byIndex[index]; previous != nil {
 		previous.done <- outcome{err: ErrUnknownOutcome}
 	}
-	p.byIndex[index] = one
+	p.byIndex[index] = proposal
 }
 
-// resolveApplied answers whoever waits for the entry's index. An entry of another term has taken the
-// place of the one proposed, which then never was and never will be committed.
+// resolveApplied answers the proposal at the entry's index. If the entry is of another term, it has replaced the proposed
+// one, which therefore never was and never will be committed.
 func (p *pendingProposals) resolveApplied(entry consensus.Entry, result any, leader consensus.Member, options *Options) {
-	one := p.byIndex[entry.Index]
-	if one == nil {
+	proposal := p.byIndex[entry.Index]
+	if proposal == nil {
 		return
 	}
 	delete(p.byIndex, entry.Index)
-	if one.term != entry.Term && options.enforces(GuardOutcomeMatchesTerm) {
-		one.done <- outcome{err: NotLeaderError{Leader: leader}}
+	if proposal.term != entry.Term && options.enforces(GuardOutcomeMatchesTerm) {
+		proposal.done <- outcome{err: NotLeaderError{Leader: leader}}
 		return
 	}
-	one.done <- outcome{result: result, index: entry.Index}
+	proposal.done <- outcome{result: result, index: entry.Index}
 }
 
-// resolveSkipped answers those whose entries a snapshot stands for.
+// resolveSkipped answers the proposals that a received snapshot covers: whether they are part of it is unknown.
 func (p *pendingProposals) resolveSkipped(index uint64, options *Options) {
 	outcomeError := error(ErrUnknownOutcome)
 	if !options.enforces(GuardSkippedUnknown) {
 		outcomeError = NotLeaderError{}
 	}
-	for at, one := range p.byIndex {
-		if at <= index {
-			delete(p.byIndex, at)
-			one.done <- outcome{err: outcomeError}
+	for skippedIndex, proposal := range p.byIndex {
+		if skippedIndex <= index {
+			delete(p.byIndex, skippedIndex)
+			proposal.done <- outcome{err: outcomeError}
 		}
 	}
 }
 
-// updateProposalDeadlines starts the grace of proposals whose leadership is over.
+// updateProposalDeadlines starts the grace period of proposals whose term this replica no longer leads.
 func (l *eventLoop) updateProposalDeadlines() {
 	if len(l.proposals.byIndex) == 0 {
 		l.proposals.nextDeadline = 0
@@ -105,19 +108,21 @@
 	l.proposals.startGracePeriod(l.status, l.now+gracePeriodTimeouts*l.options.ElectionTimeout)
 }
 
+// startGracePeriod sets the deadline of proposals whose term has ended, and recomputes the earliest one.
 func (p *pendingProposals) startGracePeriod(status consensus.Status, deadline time.Duration) {
 	p.nextDeadline = 0
-	for _, one := range p.byIndex {
-		leading := status.Role == consensus.RoleLeader && status.Term == one.term
-		if !leading && one.deadline == 0 {
-			one.deadline = deadline
+	for _, proposal := range p.byIndex {
+		leading := status.Role == consensus.RoleLeader && status.Term == proposal.term
+		if !leading && proposal.deadline == 0 {
+			proposal.deadline = deadline
 		}
-		if one.deadline != 0 && (p.nextDeadline == 0 || one.deadline < p.nextDeadline) {
-			p.nextDeadline = one.deadline
+		if proposal.deadline != 0 && (p.nextDeadline == 0 || proposal.deadline < p.nextDeadline) {
+			p.nextDeadline = proposal.deadline
 		}
 	}
 }
 
+// deadline returns the earliest deadline.
 func (p *pendingProposals) deadline() time.Duration {
 	if p.nextDeadline == 0 {
 		return never
@@ -125,26 +130,28 @@
 	return p.nextDeadline
 }
 
+// expire answers the proposals whose deadline has passed.
 func (p *pendingProposals) expire(now time.Duration) {
 	if p.nextDeadline == 0 || now < p.nextDeadline {
 		return
 	}
 	p.nextDeadline = 0
-	for index, one := range p.byIndex {
+	for index, proposal := range p.byIndex {
 		switch {
-		case one.deadline == 0:
-		case now >= one.deadline:
+		case proposal.deadline == 0:
+		case now >= proposal.deadline:
 			delete(p.byIndex, index)
-			one.done <- outcome{err: ErrUnknownOutcome}
-		case p.nextDeadline == 0 || one.deadline < p.nextDeadline:
-			p.nextDeadline = one.deadline
+			proposal.done <- outcome{err: ErrUnknownOutcome}
+		case p.nextDeadline == 0 || proposal.deadline < p.nextDeadline:
+			p.nextDeadline = proposal.deadline
 		}
 	}
 }
 
+// failAll answers all proposals with an error.
 func (p *pendingProposals) failAll(err error) {
-	for index, one := range p.byIndex {
+	for index, proposal := range p.byIndex {
 		delete(p.byIndex, index)
-		one.done <- outcome{err: err}
+		proposal.done <- outcome{err: err}
 	}
 }
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -2,20 +2,22 @@
 
 import "ospreybend/coord/consensus"
 
-// pendingReads are the read barriers that wait.
+// pendingReads are the pending read barriers. All that arrive before one iteration of the event loop form a round, which the
+// node confirms at once (the ReadIndex of the Raft dissertation, section 6.4).
 type pendingReads struct {
-	queued      []chan outcome            // not asked of the node yet
-	lastRoundID uint64                    // of a round
-	confirming  map[uint64][]chan outcome // asked, by the round's ID
-	confirmed   []confirmedRead           // confirmed, but the machine is not there yet
+	queued      []chan outcome            // not passed to the node yet
+	lastRoundID uint64                    // ID of the latest round
+	confirming  map[uint64][]chan outcome // passed to the node, by the ID of the round
+	confirmed   []confirmedRead           // confirmed by a majority; the state machine has not reached the index yet
 }
 
+// confirmedRead is a round that may be answered once the state machine has reached the index.
 type confirmedRead struct {
 	index uint64
 	done  []chan outcome
 }
 
-// startReads asks once for all barriers that came since the last turn.
+// startReads passes the barriers that arrived since the last iteration to the node, as one round.
 func (l *eventLoop) startReads() {
 	if len(l.reads.queued) == 0 {
 		return
@@ -30,7 +32,7 @@
 	l.reads.confirming[l.reads.lastRoundID] = queued
 }
 
-// handleReadResult takes the node's answer to a round.
+// handleReadResult processes the node's answer to a round.
 func (l *eventLoop) handleReadResult(result consensus.ReadResult) {
 	done := l.reads.confirming[result.ID]
 	delete(l.reads.confirming, result.ID)
@@ -41,19 +43,20 @@
 	l.reads.confirmed = append(l.reads.confirmed, confirmedRead{index: result.Index, done: done})
 }
 
-// answerReads answers the barriers that the machine has reached.
+// answerReads answers the rounds whose index the state machine has reached.
 func (l *eventLoop) answerReads() {
-	var waiting []confirmedRead
+	var unreached []confirmedRead
 	for _, read := range l.reads.confirmed {
 		if read.index <= l.appliedIndex || !l.options.enforces(GuardReadWaitsForApply) {
 			answerAll(read.done, nil)
 		} else {
-			waiting = append(waiting, read)
+			unreached = append(unreached, read)
 		}
 	}
-	l.reads.confirmed = waiting
+	l.reads.confirmed = unreached
 }
 
+// failAll answers all barriers with an error.
 func (r *pendingReads) failAll(err error) {
 	answerAll(r.queued, err)
 	for _, done := range r.confirming {
@@ -65,8 +68,9 @@
 	*r = pendingReads{confirming: map[uint64][]chan outcome{}}
 }
 
-func answerAll(all []chan outcome, err error) {
-	for _, done := range all {
+// answerAll sends the same answer, without a result, to several calls.
+func answerAll(waiting []chan outcome, err error) {
+	for _, done := range waiting {
 		done <- outcome{err: err}
 	}
 }
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -2,32 +2,43 @@
 
 import (
 	"slices"
+	"sync/atomic"
 	"time"
 
 	"ospreybend/coord/consensus"
 )
 
-// publish makes the state visible to other goroutines and reports what has changed.
+// publication is the state that the event loop makes visible to other goroutines. Fields that change often are apart from
+// the status, so that publishing them allocates nothing.
+type publication struct {
+	status       atomic.Pointer[Status]
+	confirmedAt  atomic.Int64  // consensus.Status.ConfirmedAt
+	diskBytes    atomic.Int64  // Status.DiskBytes
+	durableIndex atomic.Uint64 // Status.DurableIndex
+
+	last Status // the latest status published; read by the event loop alone
+}
+
+// publish makes the current state visible to other goroutines and calls Options.OnStatus if more than progress changed.
 func (l *eventLoop) publish() {
-	l.publishedConfirmed.Store(int64(l.status.ConfirmedAt))
-	l.publishedDiskBytes.Store(l.disk.diskBytes)
-	l.publishedDurableIndex.Store(l.status.DurableIndex)
-	l.transfers.resolveIfNotLeader(l.status)
+	l.published.confirmedAt.Store(int64(l.status.ConfirmedAt))
+	l.published.diskBytes.Store(l.disk.diskBytes)
+	l.published.durableIndex.Store(l.status.DurableIndex)
 	changed := l.hasStatusChanged()
-	if !changed && l.lastPublished.AppliedIndex == l.appliedIndex && l.lastPublished.CommitIndex == l.status.CommitIndex {
+	if !changed && l.published.last.AppliedIndex == l.appliedIndex && l.published.last.CommitIndex == l.status.CommitIndex {
 		return
 	}
-	l.lastPublished = l.buildStatus()
-	copied := l.lastPublished
-	l.publishedStatus.Store(&copied)
+	l.published.last = l.buildStatus()
+	copied := l.published.last
+	l.published.status.Store(&copied)
 	if changed && l.options.OnStatus != nil {
 		l.options.OnStatus(withAge(copied, l.status.ConfirmedAt, l.now))
 	}
 }
 
-// hasStatusChanged tells whether anything but progress has changed.
+// hasStatusChanged reports whether anything but progress changed since the last publication.
 func (l *eventLoop) hasStatusChanged() bool {
-	previous := &l.lastPublished
+	previous := &l.published.last
 	return previous.Role != l.status.Role ||
 		previous.Term != l.status.Term ||
 		previous.Leader != l.leader() ||
@@ -35,6 +46,7 @@
 		!slices.Equal(previous.Members, l.status.Members)
 }
 
+// buildStatus returns the current status without its age.
 func (l *eventLoop) buildStatus() Status {
 	return Status{
 		Shard:        l.options.Shard,
@@ -50,19 +62,20 @@
 	}
 }
 
-// currentStatus returns the last published state. Any goroutine may call it.
+// currentStatus returns the last published status. Any goroutine may call it.
 func (l *eventLoop) currentStatus() Status {
-	return withAge(l.currentStatusWithoutAge(), time.Duration(l.publishedConfirmed.Load()), l.options.Clock.Now())
+	return withAge(l.currentStatusWithoutAge(), time.Duration(l.published.confirmedAt.Load()), l.options.Clock.Now())
 }
 
-// currentStatusWithoutAge is read without the age, and asks no clock.
+// currentStatusWithoutAge is like currentStatus but does not read the clock. Any goroutine may call it.
 func (l *eventLoop) currentStatusWithoutAge() Status {
-	status := *l.publishedStatus.Load()
-	status.DiskBytes = l.publishedDiskBytes.Load()
-	status.DurableIndex = l.publishedDurableIndex.Load()
+	status := *l.published.status.Load()
+	status.DiskBytes = l.published.diskBytes.Load()
+	status.DurableIndex = l.published.durableIndex.Load()
 	return status
 }
 
+// withAge returns the status with the time since the node was last confirmed; a time of 0 means never.
 func withAge(status Status, confirmed, now time.Duration) Status {
 	status.ConfirmedAge = NeverConfirmed
 	if confirmed > 0 {
@@ -71,5 +84,5 @@
 	return status
 }
 
-// IsLeader tells whether this replica leads the group.
+// IsLeader reports whether this replica leads the group.
 func (s Status) IsLeader() bool { return s.Role == consensus.RoleLeader }
--- a/coord/replica/transfers.go
+++ b/coord/replica/transfers.go
@@ -6,31 +6,33 @@
 	"ospreybend/coord/consensus"
 )
 
-// transferElectionTimeouts is how many election timeouts a transfer may take.
+// transferElectionTimeouts is how many election timeouts a leadership transfer may take.
 const transferElectionTimeouts = 2
 
-// pendingTransfers are the calls that wait for the end of this replica's leadership.
+// pendingTransfers are the calls that wait until this replica is no longer the leader.
 type pendingTransfers struct {
 	waiting  []chan outcome
-	deadline time.Duration // of all; 0: none waits
+	deadline time.Duration // of all of them; 0: none is pending
 }
 
-func (l *eventLoop) transfer(one transferEvent) {
-	if err := l.node.TransferLeadership(l.now, one.to); err != nil {
-		one.done <- outcome{err: l.callerError(err)}
+// transfer starts a leadership transfer if this replica leads.
+func (l *eventLoop) transfer(event transferEvent) {
+	if err := l.node.TransferLeadership(l.now, event.to); err != nil {
+		event.done <- outcome{err: l.callerError(err)}
 		return
 	}
-	l.transfers.waiting = append(l.transfers.waiting, one.done)
+	l.transfers.waiting = append(l.transfers.waiting, event.done)
 	l.transfers.deadline = l.now + transferElectionTimeouts*l.options.ElectionTimeout
 }
 
-// resolveIfNotLeader answers the calls once the replica leads no more.
+// resolveIfNotLeader answers the calls once this replica is no longer the leader.
 func (t *pendingTransfers) resolveIfNotLeader(status consensus.Status) {
 	if status.Role != consensus.RoleLeader {
 		t.failAll(nil)
 	}
 }
 
+// nextDeadline returns when the calls time out.
 func (t *pendingTransfers) nextDeadline() time.Duration {
 	if t.deadline == 0 {
 		return never
@@ -38,12 +40,14 @@
 	return t.deadline
 }
 
+// expire answers the calls with ErrTransferFailed if their deadline has passed.
 func (t *pendingTransfers) expire(now time.Duration) {
 	if t.deadline != 0 && now >= t.deadline {
 		t.failAll(ErrTransferFailed)
 	}
 }
 
+// failAll answers all calls with err; nil means success.
 func (t *pendingTransfers) failAll(err error) {
 	answerAll(t.waiting, err)
 	*t = pendingTransfers{}
--- a/internal/controlplane/configuration/store.go
+++ b/internal/controlplane/configuration/store.go
@@ -2,7 +2,7 @@
 
 import (
 	"crypto/sha256"
-	bits "encoding/binary"
+	"encoding/binary"
 	"strconv"
 
 	"ospreybend/coord/feed"
@@ -170,7 +170,7 @@
 	hash := sha256.New()
 	var header [1 + baseBytes]byte
 	header[0] = byte(command.Kind)
-	bits.BigEndian.PutUint64(header[1:], command.Base)
+	binary.BigEndian.PutUint64(header[1:], command.Base)
 	hash.Write(header[:])
 	hash.Write(command.Body)
 	var digest commandDigest
