--- a/coord/seglog/encoding.go
+++ b/coord/seglog/encoding.go
@@ -9,9 +9,11 @@
 	"ospreybend/coord/consensus"
 )
 
+// errRecordTooLong reports an entry or a snapshot beyond maxRecordBytes.
 var errRecordTooLong = errors.New("seglog: a record is too long")
 
-// Avro has signed numbers only; 64-bit values are stored with the same bits.
+// The stored types mirror the avro schemas below. Avro has only signed integers, so that 64-bit values are stored with the
+// same bits.
 
 type storedMember struct {
 	ID      int64  `avro:"id"`
@@ -57,7 +59,7 @@
 		{"name":"firstSegment","type":"long"}]}`
 )
 
-// Schemas and codec are made at their first use, so that programs without a log do not pay for it.
+// Schemas and codec are made at their first use, so that programs without a log do not pay for them at startup.
 var (
 	entrySchema     = lazySchema(entrySchemaText)
 	hardStateSchema = lazySchema(hardStateSchemaText)
@@ -65,19 +67,21 @@
 	codec           = sync.OnceValue(func() avro.API { return avro.Config{MaxByteSliceSize: maxRecordBytes}.Freeze() })
 )
 
+// lazySchema returns a function that parses the schema at its first call.
 func lazySchema(text string) func() avro.Schema {
 	return sync.OnceValue(func() avro.Schema { return parseSchema(text) })
 }
 
-// parseSchema keeps each schema apart, so that names may repeat between them.
+// parseSchema parses a schema with a cache of its own, so that record names may occur in several schemas.
 func parseSchema(text string) avro.Schema {
 	schema, err := avro.ParseWithCache(text, "", &avro.SchemaCache{})
 	if err != nil {
-		panic(err) // a constant of this file is wrong
+		panic(err) // an invalid constant in this file
 	}
 	return schema
 }
 
+// encodeEntry returns the body of an entry record.
 func encodeEntry(entry *consensus.Entry) ([]byte, error) {
 	return codec().Marshal(entrySchema(), storedEntry{
 		Term:    int64(entry.Term),
@@ -88,6 +92,7 @@
 	})
 }
 
+// decodeEntry decodes the body of an entry record.
 func decodeEntry(body []byte) (consensus.Entry, error) {
 	var stored storedEntry
 	if err := codec().Unmarshal(entrySchema(), body, &stored); err != nil {
@@ -102,10 +107,12 @@
 	}, nil
 }
 
+// encodeHardState returns the body of a hard state record.
 func encodeHardState(state consensus.HardState) ([]byte, error) {
 	return codec().Marshal(hardStateSchema(), toStoredHardState(state))
 }
 
+// decodeHardState decodes the body of a hard state record.
 func decodeHardState(body []byte) (consensus.HardState, error) {
 	var stored storedHardState
 	err := codec().Unmarshal(hardStateSchema(), body, &stored)
@@ -120,8 +127,8 @@
 	return consensus.HardState{Term: uint64(stored.Term), Vote: consensus.MemberID(stored.Vote), Commit: uint64(stored.Commit)}
 }
 
-// encodeMembers writes the mark of a retired ID as a learner without an address, which no member is. Readers older than
-// these marks take it for one that is never reached, and remove it after some time.
+// encodeMembers converts members to their stored form. The mark of a retired ID is stored as a learner without an address,
+// which no member is. Program versions older than these marks take it for an unreachable member, and remove it after a time.
 func encodeMembers(members []consensus.Member) []storedMember {
 	stored := make([]storedMember, len(members))
 	for i, member := range members {
@@ -134,7 +141,7 @@
 	return stored
 }
 
-// decodeMembers returns nil for none.
+// decodeMembers converts members from their stored form. It returns nil for an empty list.
 func decodeMembers(stored []storedMember) []consensus.Member {
 	if len(stored) == 0 {
 		return nil
--- a/coord/seglog/member_id.go
+++ b/coord/seglog/member_id.go
@@ -9,15 +9,16 @@
 	"ospreybend/coord/consensus"
 )
 
+// The file of the member ID.
 const (
 	memberFileName      = "member"
 	memberTemporaryName = "member.temporary"
-	memberFileBytes     = preambleBytes + 8 + 4 // and the ID, check value
+	memberFileBytes     = preambleBytes + 8 + 4 // preamble, ID, checksum
 )
 
-// LoadOrCreateMemberID reads the member ID of this disk from the directory, or draws one and stores it durably
-// before it returns it; created tells which. The directory is made if it is missing. Errors:
-// ErrFormat, ErrDamaged and those of the file system.
+// LoadOrCreateMemberID reads the member ID of this disk from the directory. If there is none, it makes the result of newID
+// durable and returns that; created reports which. The directory is created if it is missing. A nil file system stands for
+// OSFileSystem. Errors: FormatError, ErrCorrupt and those of the file system.
 func LoadOrCreateMemberID(fileSystem FileSystem, directory string, newID func() consensus.MemberID) (id consensus.MemberID, created bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
@@ -37,12 +38,12 @@
 	if err != nil {
 		return 0, false, err
 	}
-	// A process that was killed may have left the name without a sync of the directory.
+	// A process that was killed may have left the name without syncing the directory.
 	return id, false, fileSystem.SyncDirectory(directory)
 }
 
-// RemoveMemberID removes the member ID of a disk, durably. The disk then counts as lost: RemoveOrphans removes its replicas, and
-// MemberID draws a new ID.
+// RemoveMemberID durably removes the member ID of a disk. The disk then counts as lost: RemoveOrphanedReplicas removes its
+// replicas, and LoadOrCreateMemberID creates a new ID.
 func RemoveMemberID(fileSystem FileSystem, directory string) error {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
@@ -53,9 +54,9 @@
 	return fileSystem.SyncDirectory(directory)
 }
 
-// RemoveOrphanedReplicas removes the replicas of a disk whose member ID is missing or damaged, and a damaged ID: nobody knows any
-// more what they promised in whose name. lost tells whether there was anything of the kind. It is to be called
-// before MemberID. Errors: ErrFormat and those of the file system.
+// RemoveOrphanedReplicas removes the replicas, given by their directories, of a disk whose member ID is missing or corrupt,
+// and a corrupt ID: nobody knows any more under which ID they voted and acknowledged entries. lost reports whether anything
+// was removed. It must be called before LoadOrCreateMemberID. Errors: FormatError and those of the file system.
 func RemoveOrphanedReplicas(fileSystem FileSystem, directory string, replicas []string) (lost bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
@@ -83,7 +84,7 @@
 	return lost, nil
 }
 
-// removeAllFiles removes all files of a directory, which may be missing, and tells whether there were any.
+// removeAllFiles removes all files of a directory, which may be missing, and reports whether there were any.
 func removeAllFiles(fileSystem FileSystem, directory string) (removed bool, err error) {
 	files, err := fileSystem.List(directory)
 	if isNotExist(err) || (err == nil && len(files) == 0) {
@@ -100,12 +101,14 @@
 	return true, fileSystem.SyncDirectory(directory)
 }
 
+// encodeMemberID returns the content of the member ID's file.
 func encodeMemberID(id consensus.MemberID) []byte {
 	data := appendPreamble(nil, memberMagic)
 	data = binary.LittleEndian.AppendUint64(data, uint64(id))
 	return binary.LittleEndian.AppendUint32(data, checksum(0, data))
 }
 
+// decodeMemberID decodes the member ID's file. Errors: FormatError and ErrCorrupt.
 func decodeMemberID(data []byte) (consensus.MemberID, error) {
 	ok, err := checkPreamble(memberFileName, data, memberMagic)
 	if err != nil {
--- a/coord/seglog/os_file_system.go
+++ b/coord/seglog/os_file_system.go
@@ -15,6 +15,7 @@
 // OSFileSystem is the operating system's file system.
 type OSFileSystem struct{}
 
+// osFile is an open file of OSFileSystem.
 type osFile struct{ file *os.File }
 
 func (f osFile) Write(data []byte) (int, error) { return f.file.Write(data) }
@@ -30,7 +31,7 @@
 func (f osFile) Sync() error  { return f.file.Sync() }
 func (f osFile) Close() error { return f.file.Close() }
 
-// MakeDirectory creates a directory and its missing parents and syncs the folder of each one made.
+// MakeDirectory creates a directory and its missing parents, and syncs the parent of each one created.
 func (s OSFileSystem) MakeDirectory(directory string) error {
 	info, err := os.Stat(directory)
 	if err == nil && info.IsDir() {
@@ -48,7 +49,7 @@
 	return s.SyncDirectory(parent)
 }
 
-// Create makes an empty file, or empties the existing one.
+// Create creates an empty file, or truncates the existing one.
 func (OSFileSystem) Create(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return osFile{file}, nil
 }
 
-// OpenAppend opens an existing file and goes to its end.
+// OpenAppend opens an existing file for appending.
 func (OSFileSystem) OpenAppend(path string) (File, error) {
 	file, err := os.OpenFile(path, os.O_RDWR, fileMode)
 	if err != nil {
@@ -69,16 +70,16 @@
 	return osFile{file}, nil
 }
 
-// ReadFile returns the whole content of a file.
+// ReadFile returns the content of a file.
 func (OSFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Rename gives a file another name in place of the file that has it.
+// Rename renames a file and replaces the target if that exists.
 func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove takes a file's name away.
+// Remove removes a file.
 func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// List returns the plain files of a directory.
+// List returns the regular files of a directory.
 func (OSFileSystem) List(directory string) ([]FileInfo, error) {
 	entries, err := os.ReadDir(directory)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return files, nil
 }
 
-// SyncDirectory syncs the directory's own content, its names.
+// SyncDirectory syncs the directory itself, that is, the names in it.
 func (OSFileSystem) SyncDirectory(directory string) error {
 	file, err := os.Open(directory)
 	if err != nil {
--- a/coord/seglog/record.go
+++ b/coord/seglog/record.go
@@ -8,26 +8,27 @@
 	"ospreybend/coord/consensus"
 )
 
-// FormatVersion is the format of all files that this package writes.
+// FormatVersion is the version of the format of all files that this package writes.
 const FormatVersion uint32 = 1
 
-// Kinds of files, the first bytes of each.
+// Magic numbers: the first bytes of each kind of file.
 const (
 	segmentMagic  = "OBSG"
 	snapshotMagic = "OBSS"
 	memberMagic   = "OBSM"
 )
 
+// Sizes in bytes.
 const (
 	magicBytes          = 4
-	preambleBytes       = magicBytes + 4 + 4            // kind, format number, check value
-	segmentHeaderBytes  = preambleBytes + 8 + 8 + 4 + 4 // segment: and number, first index, check values of the segment before and of the header
-	recordPrefixBytes   = 4 + 4                         // length of kind and body, check value
-	snapshotHeaderBytes = preambleBytes + 8 + 4         // snapshot: and length of the body, check value
-	maxRecordBytes      = 1 << 30                       // greatest length of kind and body, bytes
+	preambleBytes       = magicBytes + 4 + 4            // magic number, format version, checksum
+	segmentHeaderBytes  = preambleBytes + 8 + 8 + 4 + 4 // of a segment: preamble, sequence number, first index, checksums of the previous segment and of the header
+	recordPrefixBytes   = 4 + 4                         // length of kind and body, checksum
+	snapshotHeaderBytes = preambleBytes + 8 + 4         // preamble, length of the body, checksum
+	maxRecordBytes      = 1 << 30                       // bound of the length of kind and body
 )
 
-// recordKind tells what a record's body holds.
+// recordKind determines what the body of a record contains. Its values are stored.
 type recordKind byte
 
 const (
@@ -35,12 +36,13 @@
 	recordHardState
 )
 
-// castagnoli is made at its first use, like the schemas.
+// castagnoli is the table of CRC-32C, made at its first use like the schemas.
 var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
+// checksum continues a CRC-32C with more data; 0 starts one.
 func checksum(sum uint32, data []byte) uint32 { return crc32.Update(sum, castagnoli(), data) }
 
-// appendPreamble adds the kind of the file, the format number and the check value of both.
+// appendPreamble appends the magic number, the format version and the checksum of both.
 func appendPreamble(data []byte, magic string) []byte {
 	start := len(data)
 	data = append(data, magic...)
@@ -48,8 +50,8 @@
 	return binary.LittleEndian.AppendUint32(data, checksum(0, data[start:]))
 }
 
-// checkPreamble tells whether the data starts with an undamaged preamble of the kind. One of
-// another format gives ErrFormat.
+// checkPreamble reports whether the data starts with an intact preamble with the magic number. An intact one with another
+// format version gives a FormatError.
 func checkPreamble(name string, data []byte, magic string) (ok bool, err error) {
 	if len(data) < preambleBytes || string(data[:magicBytes]) != magic {
 		return false, nil
@@ -64,14 +66,14 @@
 	return true, nil
 }
 
-// recordWriter collects the bytes of records. chain is the check value of the last one.
+// recordWriter encodes records to a buffer. lastChecksum is the checksum of the last one.
 type recordWriter struct {
 	data         []byte
 	lastChecksum uint32
-	err          error // the first one
+	err          error // the first error; later calls do nothing
 }
 
-// writeHeader adds a segment's header, whose check value starts the chain.
+// writeHeader appends a segment's header. Its checksum starts the chain of the records' checksums.
 func (w *recordWriter) writeHeader(sequence, firstIndex uint64, previous uint32) {
 	w.data = appendPreamble(w.data, segmentMagic)
 	w.data = binary.LittleEndian.AppendUint64(w.data, sequence)
@@ -81,16 +83,19 @@
 	w.data = binary.LittleEndian.AppendUint32(w.data, w.lastChecksum)
 }
 
+// writeEntry appends an entry record.
 func (w *recordWriter) writeEntry(entry *consensus.Entry) {
 	body, err := encodeEntry(entry)
 	w.writeRecord(recordEntry, body, err)
 }
 
+// writeHardState appends a hard state record.
 func (w *recordWriter) writeHardState(state consensus.HardState) {
 	body, err := encodeHardState(state)
 	w.writeRecord(recordHardState, body, err)
 }
 
+// writeRecord appends a record, unless err or an earlier error is set.
 func (w *recordWriter) writeRecord(kind recordKind, body []byte, err error) {
 	if w.err != nil {
 		return
@@ -104,28 +109,28 @@
 	}
 	start := len(w.data)
 	w.data = binary.LittleEndian.AppendUint32(w.data, uint32(1+len(body)))
-	w.data = binary.LittleEndian.AppendUint32(w.data, 0) // the check value, known below
+	w.data = binary.LittleEndian.AppendUint32(w.data, 0) // the checksum, set below
 	w.data = append(w.data, byte(kind))
 	w.data = append(w.data, body...)
 	w.lastChecksum = recordChecksum(w.lastChecksum, w.data[start:])
 	binary.LittleEndian.PutUint32(w.data[start+4:], w.lastChecksum)
 }
 
-// recordChecksum computes a record's check value from the one before it, its length, kind and body.
+// recordChecksum computes a record's checksum from that of the previous one and the record's length, kind and body.
 func recordChecksum(sum uint32, record []byte) uint32 {
 	return checksum(checksum(sum, record[:4]), record[recordPrefixBytes:])
 }
 
-// recordReader walks through a segment's bytes.
+// recordReader iterates over the records of a segment.
 type recordReader struct {
 	data             []byte
-	offset           int // after the last undamaged record
+	offset           int // after the last accepted record
 	lastChecksum     uint32
-	previousChecksum uint32 // check value of the last record of the segment before
-	firstIndex       uint64 // index of the entry after the last one when the segment was started
+	previousChecksum uint32 // checksum of the last record of the previous segment
+	firstIndex       uint64 // index after the last entry when the segment was started
 }
 
-// newRecordReader checks the header. ok is false if it is missing, damaged or of another segment.
+// newRecordReader checks the segment's header. ok is false if it is missing, corrupt or of another segment.
 func newRecordReader(data []byte, sequence uint64) (reader *recordReader, ok bool) {
 	if len(data) < segmentHeaderBytes {
 		return nil, false
@@ -142,8 +147,8 @@
 	return &recordReader{data: data, offset: segmentHeaderBytes, lastChecksum: sum, previousChecksum: previous, firstIndex: first}, true
 }
 
-// next returns the next record, which counts once accept is called. ok is false at the end of the
-// data and at a record that is incomplete or damaged.
+// next returns the next record without advancing. ok is false at the end of the data and at a record that is incomplete or
+// corrupt.
 func (r *recordReader) next() (kind recordKind, body []byte, ok bool) {
 	rest := r.data[r.offset:]
 	if len(rest) <= recordPrefixBytes {
@@ -160,7 +165,7 @@
 	return recordKind(record[recordPrefixBytes]), record[recordPrefixBytes+1:], true
 }
 
-// accept moves behind the record that next returned.
+// accept advances past the record that next returned.
 func (r *recordReader) accept() {
 	length := int(binary.LittleEndian.Uint32(r.data[r.offset:]))
 	r.lastChecksum = binary.LittleEndian.Uint32(r.data[r.offset+4:])
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -9,9 +9,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// Open reads a directory back, makes what it read durable and returns it with the log, ready to be
-// appended to. Errors: ErrFormat, ErrDamaged and those of the file system; the directory may then
-// be opened again later.
+// Open recovers a directory, makes what it has read durable, and returns that state with the log, ready to be appended to.
+// Errors: FormatError, ErrCorrupt and those of the file system; Open may be called again later.
 func Open(options Options) (*Log, consensus.PersistedState, error) {
 	log := newLog(options)
 	if err := log.fileSystem.MakeDirectory(log.directory); err != nil {
@@ -27,6 +26,7 @@
 	return log, recovery.stored, nil
 }
 
+// newLog returns the log of an empty directory.
 func newLog(options Options) *Log {
 	log := &Log{
 		fileSystem:   options.FileSystem,
@@ -47,24 +47,25 @@
 	return log
 }
 
-// scannedSegment is a segment's file with what was read from it.
+// scannedSegment is a segment's file with its content and what was recovered from it.
 type scannedSegment struct {
 	segment
 	data         []byte
-	validBytes   int    // bytes up to the end of the last record that counts
-	lastChecksum uint32 // check value of that record
+	validBytes   int    // size up to the end of the last valid record
+	lastChecksum uint32 // of that record
 }
 
 // recovery reads a directory. Nothing on disk changes before makeDurable.
 type recovery struct {
 	log             *Log
-	segments        []scannedSegment // in order of their numbers
+	segments        []scannedSegment // by sequence number
 	stored          consensus.PersistedState
-	validSegments   int  // segments that count
-	scannedSegments int  // first segment behind those that were looked at
-	gapFound        bool // the last one looked at has what was written behind more than there is
+	validSegments   int  // how many of the segments are valid, at least in part
+	scannedSegments int  // how many of the segments were examined
+	gapFound        bool // the last examined segment contains records that do not continue the ones before
 }
 
+// read reads the snapshot and the segments, and replays the valid records.
 func (r *recovery) read() error {
 	files, err := r.log.fileSystem.List(r.log.directory)
 	if err != nil {
@@ -85,9 +86,8 @@
 	return nil
 }
 
-// checkComplete refuses a log in which a segment stands behind the place where recovery has stopped, was started behind
-// more than the one before it holds, or has a whole record that cannot follow: all that it follows was durable when it
-// was made, so that what is missing was promised once.
+// checkComplete rejects a log in which recovery stopped at a segment that others follow, or at one that does not continue the
+// ones before it: whatever a segment was started after was durable then, so that something acknowledged is missing.
 func (r *recovery) checkComplete() error {
 	if !r.log.enforces(GuardAllSegments) || (r.scannedSegments >= len(r.segments) && !r.gapFound) {
 		return nil
@@ -96,8 +96,8 @@
 		ErrCorrupt, segmentName(r.log.nextSegment), r.segments[len(r.segments)-1].name)
 }
 
-// readSnapshots takes the newest snapshot. A damaged one is an error: it was durable before it got
-// its name.
+// readSnapshots reads the newest snapshot and marks older ones for removal. A corrupt one is an error, since its content was
+// durable before it got its name.
 func (r *recovery) readSnapshots(files []FileInfo) error {
 	var found []snapshotFile
 	for _, file := range files {
@@ -118,6 +118,7 @@
 	return r.readSnapshot(found[0])
 }
 
+// readSnapshot reads a snapshot as the state that the records are replayed on.
 func (r *recovery) readSnapshot(file snapshotFile) error {
 	data, err := r.log.fileSystem.ReadFile(filepath.Join(r.log.directory, file.name))
 	if err != nil {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// readSegments reads all segments and refuses other formats.
+// readSegments reads all segments and rejects other format versions.
 func (r *recovery) readSegments(files []FileInfo) error {
 	for _, file := range files {
 		sequence, ok := parseSegmentName(file.Name)
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// skipObsoleteSegments leaves out the segments that the snapshot makes void.
+// skipObsoleteSegments drops the segments that the snapshot replaces.
 func (r *recovery) skipObsoleteSegments() {
 	if !r.log.enforces(GuardObsoleteSegmentsIgnored) {
 		return
@@ -170,11 +171,11 @@
 	r.segments = r.segments[obsolete:]
 }
 
-// replay reads the records up to the first one that cannot be relied on.
+// replay replays the records up to the first one that is not valid.
 func (r *recovery) replay() {
 	for i := range r.segments {
 		if r.segments[i].sequence != r.log.nextSegment {
-			return // the one before it is missing
+			return // the previous segment is missing
 		}
 		r.scannedSegments = i + 1
 		complete := r.replaySegment(&r.segments[i])
@@ -188,7 +189,7 @@
 	}
 }
 
-// replaySegment tells whether all of the segment counts.
+// replaySegment replays one segment and reports whether all of it is valid.
 func (r *recovery) replaySegment(found *scannedSegment) bool {
 	reader, ok := newRecordReader(found.data, found.sequence)
 	if !ok {
@@ -214,7 +215,8 @@
 	return found.validBytes == len(found.data)
 }
 
-// continuesPrevious tells whether the segment before ended as it did when this one was started, and nothing is missing in between.
+// continuesPrevious reports whether the previous segment ends with the record that this one was started after, and no entry
+// is missing in between.
 func (r *recovery) continuesPrevious(reader *recordReader) bool {
 	if reader.firstIndex > r.log.lastIndex+1 && r.log.enforces(GuardSegmentOrder) {
 		return false
@@ -222,7 +224,7 @@
 	return r.validSegments == 0 || reader.previousChecksum == r.segments[r.validSegments-1].lastChecksum || !r.log.enforces(GuardSegmentOrder)
 }
 
-// apply takes one record. It returns false for one that cannot follow those before it.
+// apply replays one record. It returns false if the record cannot follow those before it.
 func (r *recovery) apply(found *scannedSegment, kind recordKind, body []byte) bool {
 	switch kind {
 	case recordHardState:
@@ -243,7 +245,7 @@
 	}
 }
 
-// applyEntry replaces all entries from the entry's index on by it.
+// applyEntry replaces all entries from the entry's index on by the entry.
 func (r *recovery) applyEntry(found *scannedSegment, entry consensus.Entry) bool {
 	if entry.Index > r.log.lastIndex+1 {
 		return false
@@ -260,13 +262,14 @@
 	return true
 }
 
+// adoptHardState limits the commit index to what was recovered, and makes the hard state the log's.
 func (r *recovery) adoptHardState() {
 	r.stored.HardState.Commit = min(r.stored.HardState.Commit, r.log.lastIndex)
 	r.log.hardState = r.stored.HardState
 }
 
-// makeDurable cuts off and removes what does not count and syncs the rest: a process that was
-// killed may have left records that it had not synced. It must succeed before the log is written.
+// makeDurable truncates and removes what is not valid, and syncs the rest: a process that was killed may have left records
+// that it had not synced. It must succeed before the log is written to.
 func (r *recovery) makeDurable() error {
 	if !r.log.enforces(GuardRecoverySynced) {
 		return r.openActiveSegment()
@@ -285,18 +288,18 @@
 	return nil
 }
 
-// removeInvalidSegments removes the segments after the cut. Those that come back before the directory is
-// synced do not follow the one that was cut, and so never count again.
+// removeInvalidSegments removes the segments behind the last valid one. Those that reappear because the directory was not
+// synced do not continue the truncated one, and so never become valid again.
 func (r *recovery) removeInvalidSegments() error {
-	for _, dropped := range r.segments[r.validSegments:] {
-		if err := r.log.fileSystem.Remove(filepath.Join(r.log.directory, dropped.name)); err != nil {
+	for _, invalid := range r.segments[r.validSegments:] {
+		if err := r.log.fileSystem.Remove(filepath.Join(r.log.directory, invalid.name)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// openActiveSegment opens the last segment that counts for writes, and seals those before it.
+// openActiveSegment opens the last valid segment for appending. The ones before it are sealed.
 func (r *recovery) openActiveSegment() error {
 	if r.validSegments == 0 {
 		return nil
@@ -306,22 +309,22 @@
 	if err != nil {
 		return err
 	}
-	current := &activeSegment{segment: last.segment, file: file, durableBytes: int64(last.validBytes), lastChecksum: last.lastChecksum, nameSynced: true}
-	if err := r.truncateInvalidTail(current); err != nil {
-		_ = file.Close() // nothing was written
+	active := &activeSegment{segment: last.segment, file: file, durableBytes: int64(last.validBytes), lastChecksum: last.lastChecksum, nameSynced: true}
+	if err := r.truncateInvalidTail(active); err != nil {
+		_ = file.Close() // nothing was written to it
 		return err
 	}
 	for _, sealed := range r.segments[:r.validSegments-1] {
 		r.log.sealed = append(r.log.sealed, sealed.segment)
 	}
-	r.log.active = current
+	r.log.active = active
 	return nil
 }
 
-// truncateInvalidTail takes off what does not count in the last segment and makes the rest durable.
-func (r *recovery) truncateInvalidTail(last *activeSegment) error {
+// truncateInvalidTail removes what is not valid in the last segment and makes the rest durable.
+func (r *recovery) truncateInvalidTail(active *activeSegment) error {
 	if !r.log.enforces(GuardRecoverySynced) {
 		return nil
 	}
-	return last.truncate()
+	return active.truncate()
 }
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -8,9 +8,10 @@
 	"ospreybend/coord/consensus"
 )
 
+// Names of segments.
 const (
 	segmentSuffix = ".segment"
-	segmentFormat = "%020d" + segmentSuffix // number
+	segmentFormat = "%020d" + segmentSuffix // sequence number
 )
 
 // segment describes a segment's file.
@@ -18,23 +19,24 @@
 	sequence uint64
 	name     string
 	size     int64  // bytes
-	maxIndex uint64 // greatest index of its entries, replaced ones too; 0: none
+	maxIndex uint64 // greatest index of its entries, replaced ones included; 0: none
 }
 
-// activeSegment is the segment that is written to.
+// activeSegment is the segment that is appended to.
 type activeSegment struct {
 	segment
 	file             File
-	previousChecksum uint32 // check value of the last record of the segment before this one; 0: none
-	durableBytes     int64  // bytes that are durable
-	lastChecksum     uint32 // check value of the last durable record
+	previousChecksum uint32 // checksum of the last record of the previous segment; 0: none
+	durableBytes     int64  // size up to the end of the last durable record
+	lastChecksum     uint32 // of the last durable record
 	nameSynced       bool   // its directory entry is durable
-	dirty            bool   // there may be something after good
+	dirty            bool   // there may be data after durableBytes
 }
 
+// segmentName returns the file name of a segment.
 func segmentName(sequence uint64) string { return fmt.Sprintf(segmentFormat, sequence) }
 
-// parseSegmentName returns the segment's number.
+// parseSegmentName returns the sequence number of a segment; ok is false for other files.
 func parseSegmentName(name string) (sequence uint64, ok bool) {
 	if !strings.HasSuffix(name, segmentSuffix) {
 		return 0, false
@@ -45,8 +47,8 @@
 	return sequence, segmentName(sequence) == name
 }
 
-// prepareActiveSegment makes the current segment fit for a write: what a failed write left is cut off, and a
-// new segment is started if there is none or if it is full.
+// prepareActiveSegment makes the active segment ready for a write: it truncates the remains of a failed write, and starts a
+// new segment if there is none or if it is full.
 func (l *Log) prepareActiveSegment() error {
 	if l.active != nil && l.active.dirty && l.enforces(GuardFailedWriteTruncated) {
 		if err := l.active.truncate(); err != nil {
@@ -59,7 +61,7 @@
 	return nil
 }
 
-// truncate takes off what may stand after the durable records.
+// truncate removes whatever may follow the durable records.
 func (a *activeSegment) truncate() error {
 	if err := a.file.Truncate(a.durableBytes); err != nil {
 		return err
@@ -71,9 +73,8 @@
 	return nil
 }
 
-// startSegment makes the file of a new segment and seals the one before it. Its header is written
-// with the first records. After an error the next try uses the same number, so that no empty file
-// stands before a segment that counts.
+// startSegment creates the file of a new segment and seals the previous one. The header is written with the first records.
+// After an error the next attempt uses the same sequence number, so that no empty file stands before a segment that counts.
 func (l *Log) startSegment() error {
 	sequence := l.nextSegment
 	name := segmentName(sequence)
@@ -87,12 +88,12 @@
 	return nil
 }
 
-// sealActiveSegment closes the current segment, all of which is durable, and returns its last check value.
+// sealActiveSegment closes the active segment, all of which is durable, and returns the checksum of its last record.
 func (l *Log) sealActiveSegment() uint32 {
 	if l.active == nil {
 		return 0
 	}
-	_ = l.active.file.Close() // synced before
+	_ = l.active.file.Close() // its content is synced
 	sealed := l.active.segment
 	sealed.size = l.active.durableBytes
 	l.sealed = append(l.sealed, sealed)
@@ -101,7 +102,7 @@
 	return sum
 }
 
-// appendBatch writes the records of the batch to the current segment and syncs it.
+// appendBatch writes the records of the batch to the active segment and makes them durable.
 func (l *Log) appendBatch(batch []*consensus.PersistRequest) error {
 	writer := recordWriter{lastChecksum: l.active.lastChecksum}
 	if l.active.durableBytes == 0 {
@@ -125,13 +126,14 @@
 	return nil
 }
 
-// batchState follows what the records of a batch change.
+// batchState tracks the log's state while a batch is encoded. It is adopted once the batch is durable.
 type batchState struct {
 	hardState consensus.HardState
 	lastIndex uint64
 	maxIndex  uint64
 }
 
+// add encodes the records of one state.
 func (s *batchState) add(writer *recordWriter, persist *consensus.PersistRequest) {
 	for i := range persist.Entries {
 		writer.writeEntry(&persist.Entries[i])
@@ -144,22 +146,23 @@
 	}
 }
 
-// writeDurably appends data to the current segment, and its name to the directory if it is new.
+// writeDurably appends data to the active segment and syncs it, and the directory if the segment's name is not durable yet.
+// When it returns without an error, the data survives a power loss.
 func (l *Log) writeDurably(data []byte) error {
-	current := l.active
-	current.dirty = true
-	if _, err := current.file.Write(data); err != nil {
+	active := l.active
+	active.dirty = true
+	if _, err := active.file.Write(data); err != nil {
 		return err
 	}
-	if err := current.file.Sync(); err != nil {
+	if err := active.file.Sync(); err != nil {
 		return err
 	}
-	if !current.nameSynced && l.enforces(GuardSegmentNameSynced) {
+	if !active.nameSynced && l.enforces(GuardSegmentNameSynced) {
 		if err := l.fileSystem.SyncDirectory(l.directory); err != nil {
 			return err
 		}
-		current.nameSynced = true
+		active.nameSynced = true
 	}
-	current.dirty = false
+	active.dirty = false
 	return nil
 }
--- a/coord/seglog/snapshot.go
+++ b/coord/seglog/snapshot.go
@@ -12,6 +12,7 @@
 	"ospreybend/coord/consensus"
 )
 
+// Names of snapshots.
 const (
 	snapshotSuffix        = ".snapshot"
 	snapshotFormat        = "%020d" + snapshotSuffix // index
@@ -25,17 +26,20 @@
 	size  int64 // bytes
 }
 
-// recoveredSnapshot is a snapshot as read back.
+// recoveredSnapshot is the decoded content of a snapshot file.
 type recoveredSnapshot struct {
 	consensus.Snapshot
 	hardState    consensus.HardState
-	firstSegment uint64 // segments with lower numbers are void
+	firstSegment uint64 // segments with lower sequence numbers are obsolete
 }
 
+// isNotExist reports whether the error is that of a missing file.
 func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
 
+// snapshotName returns the file name of a snapshot.
 func snapshotName(index uint64) string { return fmt.Sprintf(snapshotFormat, index) }
 
+// parseSnapshotName returns the index of a snapshot; ok is false for other files.
 func parseSnapshotName(name string) (index uint64, ok bool) {
 	if !strings.HasSuffix(name, snapshotSuffix) {
 		return 0, false
@@ -46,14 +50,14 @@
 	return index, snapshotName(index) == name
 }
 
-// writeSnapshot makes a snapshot durable under its name and marks the one before it for removal.
+// writeSnapshot makes a snapshot durable under its name and marks the previous one for removal.
 func (l *Log) writeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) error {
 	data, err := encodeSnapshot(snapshot, hardState, firstSegment)
 	if err != nil {
 		return err
 	}
 	name := snapshotName(snapshot.Index)
-	l.obsoleteFiles = slices.DeleteFunc(l.obsoleteFiles, func(one string) bool { return one == name })
+	l.obsoleteFiles = slices.DeleteFunc(l.obsoleteFiles, func(obsolete string) bool { return obsolete == name })
 	if err := l.storeSnapshot(name, data); err != nil {
 		l.discardSnapshot(name)
 		return err
@@ -65,7 +69,7 @@
 	return nil
 }
 
-// storeSnapshot writes the snapshot's file.
+// storeSnapshot writes the snapshot's file. A running system uses writeFileDurably; the other cases omit one of its steps.
 func (l *Log) storeSnapshot(name string, data []byte) error {
 	switch {
 	case !l.enforces(GuardSnapshotRenamedWhenComplete):
@@ -83,19 +87,18 @@
 	return writeFileDurably(l.fileSystem, l.directory, snapshotTemporaryName, name, data)
 }
 
-// discardSnapshot marks a snapshot that may have got its name, but not durably, for removal.
+// discardSnapshot marks a snapshot for removal that may have its name, but not durably.
 func (l *Log) discardSnapshot(name string) {
 	if name != l.snapshot.name {
 		l.obsoleteFiles = append(l.obsoleteFiles, name)
 	}
 }
 
-// writeFileDurably puts a whole file in place of the one of that name: after a loss of power the
-// directory has the old one or the new one.
+// writeFileDurably replaces a file atomically: after a power loss the directory contains the old content or the new one.
 func writeFileDurably(fileSystem FileSystem, directory, temporary, name string, data []byte) error {
 	path := filepath.Join(directory, temporary)
 	if err := writeAndSync(fileSystem, path, data); err != nil {
-		_ = fileSystem.Remove(path) // frees its room; the next try would empty it as well
+		_ = fileSystem.Remove(path) // frees its space at once; the next attempt would truncate it
 		return err
 	}
 	if err := fileSystem.Rename(path, filepath.Join(directory, name)); err != nil {
@@ -104,6 +107,7 @@
 	return fileSystem.SyncDirectory(directory)
 }
 
+// writeAndSync creates a file with the data and syncs its content.
 func writeAndSync(fileSystem FileSystem, path string, data []byte) error {
 	file, err := fileSystem.Create(path)
 	if err != nil {
@@ -118,6 +122,7 @@
 	return file.Close()
 }
 
+// encodeSnapshot returns the content of a snapshot file.
 func encodeSnapshot(snapshot consensus.Snapshot, hardState consensus.HardState, firstSegment uint64) ([]byte, error) {
 	body, err := codec().Marshal(snapshotSchema(), storedSnapshotRecord{
 		Index:        int64(snapshot.Index),
@@ -140,30 +145,30 @@
 	return append(data, body...), nil
 }
 
-// snapshotChecksum computes the check value of the length in the header and of the body.
+// snapshotChecksum computes the checksum of the length in the header and of the body.
 func snapshotChecksum(header, body []byte) uint32 {
 	return checksum(checksum(0, header[preambleBytes:preambleBytes+8]), body)
 }
 
-// decodeSnapshot reads a snapshot file: ErrFormat or ErrDamaged where it cannot.
+// decodeSnapshot decodes a snapshot file. Errors: FormatError and ErrCorrupt.
 func decodeSnapshot(name string, data []byte) (recoveredSnapshot, error) {
 	ok, err := checkPreamble(name, data, snapshotMagic)
 	if err != nil {
 		return recoveredSnapshot{}, err
 	}
-	damaged := fmt.Errorf("%w: %s", ErrCorrupt, name)
+	corrupt := fmt.Errorf("%w: %s", ErrCorrupt, name)
 	if !ok || len(data) < snapshotHeaderBytes {
-		return recoveredSnapshot{}, damaged
+		return recoveredSnapshot{}, corrupt
 	}
 	body := data[snapshotHeaderBytes:]
 	length := binary.LittleEndian.Uint64(data[preambleBytes:])
 	check := binary.LittleEndian.Uint32(data[snapshotHeaderBytes-4:])
 	if length != uint64(len(body)) || check != snapshotChecksum(data, body) {
-		return recoveredSnapshot{}, damaged
+		return recoveredSnapshot{}, corrupt
 	}
 	var stored storedSnapshotRecord
 	if err := codec().Unmarshal(snapshotSchema(), body, &stored); err != nil {
-		return recoveredSnapshot{}, damaged
+		return recoveredSnapshot{}, corrupt
 	}
 	return recoveredSnapshot{
 		Snapshot: consensus.Snapshot{
