--- a/coord/seglog/seglogtest/disk.go
+++ b/coord/seglog/seglogtest/disk.go
@@ -1,5 +1,6 @@
-// Package seglogtest has a disk in memory for tests. It keeps what was synced apart from what was
-// only written, and can lose power, be full, fail and stop at a chosen operation.
+// Package seglogtest provides MemoryDisk, an in-memory seglog.FileSystem for tests. It distinguishes what was synced from what
+// was only written, and can lose power with all, some or none of the unsynced writes, be full, and fail or stop at a chosen
+// operation. Only tests and the simulation of the control plane import it.
 package seglogtest
 
 import (
@@ -13,54 +14,59 @@
 	"ospreybend/coord/seglog"
 )
 
-// Errors that the disk gives on demand.
+// Errors that the disk returns on demand.
 var (
-	ErrFull      = syscall.ENOSPC
-	ErrInjected  = errors.New("seglogtest: the disk refuses")
+	// ErrFull means that the disk has no free space.
+	ErrFull = syscall.ENOSPC
+	// ErrInjected means that the operation was chosen to fail.
+	ErrInjected = errors.New("seglogtest: injected failure")
+	// ErrPowerLost means that the machine has lost power, or had when the file was opened.
 	ErrPowerLost = errors.New("seglogtest: the machine has lost power")
 )
 
 // Unlimited is a number of bytes or operations that is never reached.
 const Unlimited = int64(1<<62 - 1)
 
-// fileWrite is one write or one setting of the length that has not been synced.
+// fileWrite is one write to a file, or one change of its size, that has not been synced.
 type fileWrite struct {
 	truncate bool
-	offset   int64 // of the write, or the new length
+	offset   int64 // of the write, or the new size
 	data     []byte
 }
 
-// inode is a file's content apart from its names.
+// inode is a file's content, apart from its names.
 type inode struct {
-	data           []byte      // as the processes see it
-	durable        []byte      // as of the last sync
-	unsyncedWrites []fileWrite // since then
+	data           []byte      // as processes read it
+	durable        []byte      // as of the latest sync
+	unsyncedWrites []fileWrite // since the latest sync, in order
 }
 
 // directoryChange is one change of a directory that has not been synced.
 type directoryChange struct {
 	directory   string
-	renamedFrom string // rename: the old path
-	path        string // the path made, renamed to or removed
+	renamedFrom string // old path, of a rename
+	path        string // path created, renamed to or removed
 	target      *inode // nil: removed
 }
 
-// MemoryDisk is a file system in memory. Its methods may be called by any goroutine.
+// MemoryDisk is an in-memory file system. Its methods may be called by any goroutine.
 type MemoryDisk struct {
-	mutex           sync.Mutex
-	entries         map[string]*inode
-	durableEntries  map[string]*inode
+	mutex           sync.Mutex        // guards the fields below and, during operations, those after them
+	entries         map[string]*inode // by path, as processes see them
+	durableEntries  map[string]*inode // as of the latest syncs of their directories
 	unsyncedChanges []directoryChange
 	directories     map[string]bool
-	generation      int // files opened before a loss of power are dead
+	generation      int // counts power losses and restarts; files opened before the latest one are unusable
 
+	// Faults, set by the test while no operation is running.
 	FreeBytes           int64 // bytes that writes may still add
-	RemainingOperations int64 // changing operations left until the power goes
-	FailAll             bool  // every change fails
-	Full                bool  // every write fails, also one that makes or changes a name; files can be removed
-	FailOperation       int64 // this many changing operations from now, one fails; 0: none
-	SyncCount           int   // syncs of files so far
-	OnSync              func()
+	RemainingOperations int64 // modifying operations until the power is lost
+	FailAll             bool  // each modifying operation fails
+	Full                bool  // each write fails, also one that creates or renames a file; files can be removed
+	FailOperation       int64 // the number of the modifying operation from now that fails; 0: none
+
+	SyncCount int    // syncs of files so far
+	OnSync    func() // called before each sync of a file; may be nil
 }
 
 // NewMemoryDisk returns an empty disk without limits.
@@ -74,40 +80,45 @@
 	}
 }
 
-// Clone returns a copy of the disk as it is, without limits.
+// Clone returns a copy of the disk without faults.
 func (d *MemoryDisk) Clone() *MemoryDisk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	clone := NewMemoryDisk()
 	copies := map[*inode]*inode{}
-	copied := func(one *inode) *inode {
-		if one == nil {
+	copyOf := func(original *inode) *inode {
+		if original == nil {
 			return nil
 		}
-		if copies[one] == nil {
-			copies[one] = &inode{
-				data:           append([]byte(nil), one.data...),
-				durable:        append([]byte(nil), one.durable...),
-				unsyncedWrites: append([]fileWrite(nil), one.unsyncedWrites...),
-			}
+		if copies[original] == nil {
+			copies[original] = original.clone()
 		}
-		return copies[one]
+		return copies[original]
 	}
-	for path, one := range d.entries {
-		clone.entries[path] = copied(one)
+	for path, original := range d.entries {
+		clone.entries[path] = copyOf(original)
 	}
-	for path, one := range d.durableEntries {
-		clone.durableEntries[path] = copied(one)
+	for path, original := range d.durableEntries {
+		clone.durableEntries[path] = copyOf(original)
 	}
-	for _, one := range d.unsyncedChanges {
-		one.target = copied(one.target)
-		clone.unsyncedChanges = append(clone.unsyncedChanges, one)
+	for _, change := range d.unsyncedChanges {
+		change.target = copyOf(change.target)
+		clone.unsyncedChanges = append(clone.unsyncedChanges, change)
 	}
 	maps.Copy(clone.directories, d.directories)
 	return clone
 }
 
-// countOperation counts one changing operation.
+// clone returns a copy of the inode.
+func (n *inode) clone() *inode {
+	return &inode{
+		data:           append([]byte(nil), n.data...),
+		durable:        append([]byte(nil), n.durable...),
+		unsyncedWrites: append([]fileWrite(nil), n.unsyncedWrites...),
+	}
+}
+
+// countOperation counts one modifying operation and returns the error that is due for it.
 func (d *MemoryDisk) countOperation() error {
 	if d.RemainingOperations <= 0 {
 		return ErrPowerLost
@@ -119,7 +130,7 @@
 	return nil
 }
 
-// countAllocation counts one changing operation that takes room.
+// countAllocation counts one modifying operation that needs free space.
 func (d *MemoryDisk) countAllocation() error {
 	if err := d.countOperation(); err != nil {
 		return err
@@ -130,18 +141,18 @@
 	return nil
 }
 
-// UsedBytes returns the bytes of all files.
+// UsedBytes returns the size of all files.
 func (d *MemoryDisk) UsedBytes() int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	total := int64(0)
-	for _, one := range d.entries {
-		total += int64(len(one.data))
+	for _, file := range d.entries {
+		total += int64(len(file.data))
 	}
 	return total
 }
 
-// injectedFailureDue counts down to the one operation that fails.
+// injectedFailureDue counts down to FailOperation.
 func (d *MemoryDisk) injectedFailureDue() bool {
 	if d.FailOperation == 0 {
 		return false
@@ -150,7 +161,7 @@
 	return d.FailOperation == 0
 }
 
-// MakeDirectory makes a directory, durably.
+// MakeDirectory creates a directory, durably.
 func (d *MemoryDisk) MakeDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -164,7 +175,7 @@
 	return nil
 }
 
-// Create makes an empty file or empties the existing one.
+// Create creates an empty file, or truncates the existing one.
 func (d *MemoryDisk) Create(path string) (seglog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -184,7 +195,7 @@
 	return &file{disk: d, inode: made, generation: d.generation}, nil
 }
 
-// OpenAppend opens an existing file.
+// OpenAppend opens an existing file for appending.
 func (d *MemoryDisk) OpenAppend(path string) (seglog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -206,7 +217,7 @@
 	return append([]byte(nil), existing.data...), nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file and replaces the target if that exists.
 func (d *MemoryDisk) Rename(from, to string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -223,7 +234,7 @@
 	return nil
 }
 
-// Remove takes a name away.
+// Remove removes a file.
 func (d *MemoryDisk) Remove(path string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -243,15 +254,15 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var files []seglog.FileInfo
-	for path, one := range d.entries {
+	for path, content := range d.entries {
 		if filepath.Dir(path) == directory {
-			files = append(files, seglog.FileInfo{Name: filepath.Base(path), Size: int64(len(one.data))})
+			files = append(files, seglog.FileInfo{Name: filepath.Base(path), Size: int64(len(content.data))})
 		}
 	}
 	return files, nil
 }
 
-// SyncDirectory makes the names of a directory durable.
+// SyncDirectory makes the entries of a directory durable.
 func (d *MemoryDisk) SyncDirectory(directory string) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -259,18 +270,18 @@
 		return err
 	}
 	var unsynced []directoryChange
-	for _, one := range d.unsyncedChanges {
-		if one.directory == directory {
-			one.apply(d.durableEntries)
+	for _, change := range d.unsyncedChanges {
+		if change.directory == directory {
+			change.apply(d.durableEntries)
 		} else {
-			unsynced = append(unsynced, one)
+			unsynced = append(unsynced, change)
 		}
 	}
 	d.unsyncedChanges = unsynced
 	return nil
 }
 
-// WriteFile puts a file there as if it had been written and synced long ago.
+// WriteFile puts a durable file on the disk. It is not counted as an operation.
 func (d *MemoryDisk) WriteFile(path string, data []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -279,6 +290,7 @@
 	d.durableEntries[path] = made
 }
 
+// apply makes the change in a map of paths.
 func (c directoryChange) apply(names map[string]*inode) {
 	if c.renamedFrom != "" {
 		delete(names, c.renamedFrom)
@@ -290,7 +302,7 @@
 	names[c.path] = c.target
 }
 
-// SingleFile returns the path of the one file of a directory, or "" if there is not exactly one.
+// SingleFile returns the path of the only file of a directory, or "" if there is not exactly one.
 func SingleFile(disk *MemoryDisk, directory string) string {
 	files, err := disk.List(directory)
 	if err != nil || len(files) != 1 {
--- a/coord/seglog/seglogtest/file.go
+++ b/coord/seglog/seglogtest/file.go
@@ -2,14 +2,14 @@
 
 import "math/rand/v2"
 
-// file is an open file. Writes go to its end.
+// file is an open file that is appended to.
 type file struct {
 	disk       *MemoryDisk
 	inode      *inode
-	generation int
-	closed     bool
+	generation int // of the disk when the file was opened
 }
 
+// countOperation counts one modifying operation. A file that was opened before a power loss or restart is unusable.
 func (f *file) countOperation() error {
 	if f.generation != f.disk.generation {
 		return ErrPowerLost
@@ -17,6 +17,7 @@
 	return f.disk.countOperation()
 }
 
+// Write appends data: half of it if the operation fails, and as much as fits on a disk that fills up.
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
@@ -39,6 +40,7 @@
 	return len(data), nil
 }
 
+// Truncate sets the size of the file.
 func (f *file) Truncate(size int64) error {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
@@ -49,6 +51,7 @@
 	return nil
 }
 
+// Sync makes the content durable.
 func (f *file) Sync() error {
 	if f.disk.OnSync != nil {
 		f.disk.OnSync()
@@ -64,24 +67,25 @@
 	return nil
 }
 
-func (f *file) Close() error {
-	f.closed = true
-	return nil
-}
+// Close does nothing: the test disk has no open files to release.
+func (f *file) Close() error { return nil }
 
-func (c *inode) write(data []byte) {
-	c.unsyncedWrites = append(c.unsyncedWrites, fileWrite{offset: int64(len(c.data)), data: data})
-	c.data = append(c.data, data...)
+// write appends data that is not durable yet.
+func (n *inode) write(data []byte) {
+	n.unsyncedWrites = append(n.unsyncedWrites, fileWrite{offset: int64(len(n.data)), data: data})
+	n.data = append(n.data, data...)
 }
 
-func (c *inode) truncate(size int64) {
-	if size == int64(len(c.data)) {
+// truncate sets the size, not durably yet.
+func (n *inode) truncate(size int64) {
+	if size == int64(len(n.data)) {
 		return
 	}
-	c.unsyncedWrites = append(c.unsyncedWrites, fileWrite{truncate: true, offset: size})
-	c.data = resized(c.data, size)
+	n.unsyncedWrites = append(n.unsyncedWrites, fileWrite{truncate: true, offset: size})
+	n.data = resized(n.data, size)
 }
 
+// resized returns a copy of the data with the given size, filled up with zeros.
 func resized(data []byte, size int64) []byte {
 	if size <= int64(len(data)) {
 		return append([]byte(nil), data[:size]...)
@@ -89,85 +93,89 @@
 	return append(append([]byte(nil), data...), make([]byte, size-int64(len(data)))...)
 }
 
-func (c fileWrite) apply(data []byte) []byte {
-	if c.truncate {
-		return resized(data, c.offset)
+// apply returns the data after the write. It may change data in place.
+func (w fileWrite) apply(data []byte) []byte {
+	if w.truncate {
+		return resized(data, w.offset)
 	}
-	if end := c.offset + int64(len(c.data)); end > int64(len(data)) {
+	if end := w.offset + int64(len(w.data)); end > int64(len(data)) {
 		data = resized(data, end)
 	}
-	copy(data[c.offset:], c.data)
+	copy(data[w.offset:], w.data)
 	return data
 }
 
-// Chances of a loss of power, in tenths.
+// Probabilities of what a power loss leaves, in tenths.
 const (
-	chanceAllLost   = 2 // nothing that was not synced is there
-	chancePersisted = 4 // of each change by itself
-	chanceTorn      = 3 // a part of a write, from its start or with a hole
+	chanceAllLost   = 2 // of all unsynced changes being lost together
+	chancePersisted = 4 // of one write being persisted completely
+	chanceTorn      = 3 // of one write being persisted in part: its beginning, or its end behind a hole
 	tenths          = 10
 )
 
-// LosePower leaves what was synced and, of each later change by itself, all, a part or nothing.
-// The limits are lifted; open files are dead.
+// LosePower leaves what was synced and, independently of each unsynced change, all, a part or nothing of it. Faults are
+// reset, and open files become unusable.
 func (d *MemoryDisk) LosePower(random *rand.Rand) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	allLost := random.IntN(tenths) < chanceAllLost
-	for _, one := range d.unsyncedChanges {
+	for _, change := range d.unsyncedChanges {
 		if !allLost && random.IntN(2) == 0 {
-			one.apply(d.durableEntries)
+			change.apply(d.durableEntries)
 		}
 	}
 	d.entries = map[string]*inode{}
-	for path, one := range d.durableEntries {
-		one.losePower(random, allLost)
-		d.entries[path] = one
+	for path, content := range d.durableEntries {
+		content.losePower(random, allLost)
+		d.entries[path] = content
 	}
 	d.unsyncedChanges = nil
 	d.reboot()
 }
 
-// Restart leaves everything as the process left it; open files are dead.
+// Restart leaves everything as the process left it, as after the end of a process. Faults are reset, and open files become
+// unusable.
 func (d *MemoryDisk) Restart() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.reboot()
 }
 
+// reboot resets the faults and makes open files unusable.
 func (d *MemoryDisk) reboot() {
 	d.generation++
 	d.FreeBytes, d.RemainingOperations = Unlimited, Unlimited
 	d.FailAll, d.Full, d.FailOperation = false, false, 0
 }
 
-func (c *inode) losePower(random *rand.Rand, allLost bool) {
-	data := append([]byte(nil), c.durable...)
-	for _, one := range c.unsyncedWrites {
+// losePower decides what is left of the unsynced writes.
+func (n *inode) losePower(random *rand.Rand, allLost bool) {
+	data := append([]byte(nil), n.durable...)
+	for _, write := range n.unsyncedWrites {
 		if !allLost {
-			data = one.applyRandomPart(data, random)
+			data = write.applyRandomPart(data, random)
 		}
 	}
-	c.data = data
-	c.durable = append([]byte(nil), data...)
-	c.unsyncedWrites = nil
+	n.data = data
+	n.durable = append([]byte(nil), data...)
+	n.unsyncedWrites = nil
 }
 
-// applyRandomPart applies the change, a part of it, or nothing.
-func (c fileWrite) applyRandomPart(data []byte, random *rand.Rand) []byte {
+// applyRandomPart returns the data after the write, a part of it, or nothing.
+func (w fileWrite) applyRandomPart(data []byte, random *rand.Rand) []byte {
 	draw := random.IntN(tenths)
 	if draw < chancePersisted {
-		return c.apply(data)
+		return w.apply(data)
 	}
-	if draw >= chancePersisted+chanceTorn || c.truncate || len(c.data) == 0 {
+	if draw >= chancePersisted+chanceTorn || w.truncate || len(w.data) == 0 {
 		return data
 	}
-	cut := random.IntN(len(c.data))
+	cut := random.IntN(len(w.data))
 	if random.IntN(2) == 0 {
-		return fileWrite{offset: c.offset, data: c.data[:cut]}.apply(data)
+		return fileWrite{offset: w.offset, data: w.data[:cut]}.apply(data)
 	}
-	return fileWrite{offset: c.offset + int64(cut), data: c.data[cut:]}.apply(data)
+	return fileWrite{offset: w.offset + int64(cut), data: w.data[cut:]}.apply(data)
 }
 
-// NewRandom returns the draws of a seed, the same ones each time.
+// NewRandom returns a source of random numbers that is determined by the seed.
 func NewRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
--- a/coord/seglog/seglogtest/power_loss.go
+++ b/coord/seglog/seglogtest/power_loss.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// contentOutcome is what a loss of power leaves of the writes that were not synced.
+// contentOutcome is what a power loss leaves of the writes that were not synced.
 type contentOutcome int
 
 const (
@@ -12,7 +12,7 @@
 	contentOutcomeCount
 )
 
-// directoryOutcome is what a loss of power leaves of one change of a directory that was not synced.
+// directoryOutcome is what a power loss leaves of one directory change that was not synced.
 type directoryOutcome int
 
 const (
@@ -21,7 +21,7 @@
 	nameDuplicated // of a rename: the new name is there and the old one as well
 )
 
-// outcomes returns what may become of a change of a directory.
+// outcomes returns the possible outcomes of a directory change.
 func (c directoryChange) outcomes() []directoryOutcome {
 	if c.renamedFrom != "" {
 		return []directoryOutcome{nameLost, namePersisted, nameDuplicated}
@@ -29,9 +29,9 @@
 	return []directoryOutcome{nameLost, namePersisted}
 }
 
-// ForEachPowerLoss calls visit with a copy of the disk for each way in which a loss of power at this moment may leave it,
-// until one call fails: each name that was made, changed or removed since its directory was synced is kept or lost by
-// itself, and the content that was not synced is lost, kept or torn. The copies have no limits.
+// ForEachPowerLoss calls visit with a copy of the disk for each state in which a power loss at this moment may leave it, until
+// a call returns an error, which it returns. Each unsynced directory change is lost or persisted independently; the unsynced
+// content is lost, persisted or torn. The copies have no faults.
 func (d *MemoryDisk) ForEachPowerLoss(visit func(lost *MemoryDisk) error) error {
 	for content := range contentOutcomeCount {
 		if err := d.forEachDirectoryOutcome(nil, content, visit); err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// forEachDirectoryOutcome visits all outcomes that begin with those chosen.
+// forEachDirectoryOutcome visits all combinations of outcomes that begin with the chosen ones.
 func (d *MemoryDisk) forEachDirectoryOutcome(chosen []directoryOutcome, content contentOutcome, visit func(lost *MemoryDisk) error) error {
 	if len(chosen) == len(d.unsyncedChanges) {
 		lost := d.Clone()
@@ -56,10 +56,10 @@
 	return nil
 }
 
-// applyPowerLoss leaves of each change of a directory what is chosen for it, and of each file's content one outcome.
+// applyPowerLoss applies the chosen outcome to each directory change, and one outcome to the content of all files.
 func (d *MemoryDisk) applyPowerLoss(chosen []directoryOutcome, unsynced contentOutcome) {
-	for at, change := range d.unsyncedChanges {
-		switch chosen[at] {
+	for i, change := range d.unsyncedChanges {
+		switch chosen[i] {
 		case nameDuplicated:
 			change.renamedFrom = ""
 			change.apply(d.durableEntries)
@@ -68,27 +68,27 @@
 		}
 	}
 	d.entries = map[string]*inode{}
-	for path, one := range d.durableEntries {
-		one.applyOutcome(unsynced)
-		d.entries[path] = one
+	for path, content := range d.durableEntries {
+		content.applyOutcome(unsynced)
+		d.entries[path] = content
 	}
 	d.unsyncedChanges = nil
 	d.reboot()
 }
 
-// applyOutcome makes durable what is left of the content.
-func (c *inode) applyOutcome(outcome contentOutcome) {
-	data := append([]byte(nil), c.durable...)
-	for at, one := range c.unsyncedWrites {
+// applyOutcome makes durable what the outcome leaves of the content.
+func (n *inode) applyOutcome(outcome contentOutcome) {
+	data := append([]byte(nil), n.durable...)
+	for i, write := range n.unsyncedWrites {
 		if outcome == contentLost {
 			break
 		}
-		if outcome == contentTorn && at == len(c.unsyncedWrites)-1 {
-			one.data = one.data[:len(one.data)/2]
+		if outcome == contentTorn && i == len(n.unsyncedWrites)-1 {
+			write.data = write.data[:len(write.data)/2]
 		}
-		data = one.apply(data)
+		data = write.apply(data)
 	}
-	c.data = data
-	c.durable = append([]byte(nil), data...)
-	c.unsyncedWrites = nil
+	n.data = data
+	n.durable = append([]byte(nil), data...)
+	n.unsyncedWrites = nil
 }
