--- a/coord/seglog/seglogtest/power_loss.go
+++ b/coord/seglog/seglogtest/power_loss.go
@@ -1,6 +1,81 @@
 package seglogtest
 
-import "slices"
+import (
+	"math/rand/v2"
+	"slices"
+)
+
+// Probabilities of what a power loss leaves, in tenths.
+const (
+	chanceAllLost   = 2 // of all unsynced changes being lost together
+	chancePersisted = 4 // of one write being persisted completely
+	chanceTorn      = 3 // of one write being persisted in part: its beginning, or its end behind a hole
+	tenths          = 10
+)
+
+// LosePower leaves what was synced and, independently of each unsynced change, all, a part or nothing of it. Faults are
+// reset, and open files become unusable.
+func (d *MemoryDisk) LosePower(random *rand.Rand) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	allLost := random.IntN(tenths) < chanceAllLost
+	for _, change := range d.unsyncedChanges {
+		if !allLost && random.IntN(2) == 0 {
+			change.apply(d.durableEntries)
+		}
+	}
+	d.entries = map[string]*inode{}
+	for path, content := range d.durableEntries {
+		content.losePower(random, allLost)
+		d.entries[path] = content
+	}
+	d.unsyncedChanges = nil
+	d.reboot()
+}
+
+// Restart leaves everything as the process left it, as after the end of a process. Faults are reset, and open files become
+// unusable.
+func (d *MemoryDisk) Restart() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.reboot()
+}
+
+// reboot resets the faults and makes open files unusable.
+func (d *MemoryDisk) reboot() {
+	d.generation++
+	d.FreeBytes, d.RemainingOperations = Unlimited, Unlimited
+	d.FailAll, d.Full, d.FailOperation = false, false, 0
+}
+
+// losePower decides what is left of the unsynced writes.
+func (n *inode) losePower(random *rand.Rand, allLost bool) {
+	data := append([]byte(nil), n.durable...)
+	for _, write := range n.unsyncedWrites {
+		if !allLost {
+			data = write.applyRandomPart(data, random)
+		}
+	}
+	n.data = data
+	n.durable = append([]byte(nil), data...)
+	n.unsyncedWrites = nil
+}
+
+// applyRandomPart returns the data after the write, a part of it, or nothing.
+func (w fileWrite) applyRandomPart(data []byte, random *rand.Rand) []byte {
+	draw := random.IntN(tenths)
+	if draw < chancePersisted {
+		return w.apply(data)
+	}
+	if draw >= chancePersisted+chanceTorn || w.truncate || len(w.data) == 0 {
+		return data
+	}
+	cut := random.IntN(len(w.data))
+	if random.IntN(2) == 0 {
+		return fileWrite{offset: w.offset, data: w.data[:cut]}.apply(data)
+	}
+	return fileWrite{offset: w.offset + int64(cut), data: w.data[cut:]}.apply(data)
+}
 
 // contentOutcome is what a power loss leaves of the writes that were not synced.
 type contentOutcome int
@@ -92,3 +167,6 @@
 	n.durable = append([]byte(nil), data...)
 	n.unsyncedWrites = nil
 }
+
+// NewRandom returns a source of random numbers that is determined by the seed.
+func NewRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
