--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	idleStep     = 10 * time.Millisecond // a step in which nothing is due
-	messageDelay = 2 * time.Millisecond  // of a message
-	testTimeout  = 20 * time.Second      // until a test gives up, on the fake clock
+	idleStep     = 10 * time.Millisecond // length of a step in which nothing is due
+	messageDelay = 2 * time.Millisecond  // of the test network
+	testTimeout  = 20 * time.Second      // on the fake clock
 )
 
-// listStateMachine keeps all commands in order.
+// listStateMachine collects all commands in order.
 type listStateMachine struct{ Commands []string }
 
 func (m *listStateMachine) Apply(entry consensus.Entry) any {
@@ -43,34 +43,34 @@
 
 func (c *fakeClock) Now() time.Duration { return c.now }
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
 	due     time.Duration
 	message consensus.Message
 }
 
-// testReplica is one process with its disk.
+// testReplica is one member: a process with its disk.
 type testReplica struct {
 	member       consensus.Member
 	disk         *seglogtest.MemoryDisk
 	group        *Group
 	stateMachine *listStateMachine
-	partitioned  bool          // no messages in or out
-	stalled      bool          // its writer does not run
+	partitioned  bool          // sends and receives no messages
+	stalled      bool          // its log writer does not run
 	stopped      bool          // its process has ended
-	retryAt      time.Duration // of a failed write; 0: none
+	retryAt      time.Duration // when a failed write is retried; 0: none failed
 }
 
-// testCluster is a group whose loops, writers and network are driven by hand.
+// testCluster is a group whose event loops, log writers and network are driven by the test on a fake clock.
 type testCluster struct {
 	t        *testing.T
 	clock    *fakeClock
 	replicas []*testReplica
 	network  []envelope
 
-	newStateMachine func() StateMachine // nil: a listMachine
-	omitRules       []consensus.Rule    // left out of all members
-	omitGuards      []Guard             // as well
+	newStateMachine func() StateMachine // nil: a listStateMachine
+	omitRules       []consensus.Rule    // omitted by all members
+	omitGuards      []Guard             // likewise
 }
 
 func testMember(number int, voter bool) consensus.Member {
@@ -124,7 +124,7 @@
 	p.group = group
 }
 
-// restart ends a process and starts it again from its disk, after a loss of power if asked.
+// restart ends a process and starts it again from its disk, after a power loss if requested.
 func (c *testCluster) restart(p *testReplica, powerLoss bool, seed uint64) {
 	if powerLoss {
 		p.disk.LosePower(seglogtest.NewRandom(seed))
@@ -136,7 +136,7 @@
 	c.open(p, nil)
 }
 
-// remove takes a peer out of the cluster for good.
+// remove removes a replica from the cluster for good.
 func (c *testCluster) remove(gone *testReplica) {
 	c.replicas = slices.DeleteFunc(c.replicas, func(p *testReplica) bool { return p == gone })
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// step goes on to the next moment at which something is due and does it.
+// step advances the clock to the next moment at which something is due, and does that.
 func (c *testCluster) step() {
 	due := c.nextDue()
 	if due == never {
@@ -180,7 +180,7 @@
 	return due
 }
 
-// hasWriteReady tells whether the writer has work that it may do at once.
+// hasWriteReady reports whether the log writer has work that it may do at once.
 func (p *testReplica) hasWriteReady() bool {
 	return !p.stalled && p.retryAt == 0 && len(p.group.writer.submitted)+len(p.group.writer.pending) > 0
 }
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// stepUntil steps until the condition holds.
+// stepUntil steps until the condition is true.
 func (c *testCluster) stepUntil(what string, condition func() bool) {
 	c.t.Helper()
 	limit := c.clock.now + testTimeout
@@ -260,7 +260,7 @@
 	return c.leader()
 }
 
-// propose posts a proposal without waiting.
+// propose queues a proposal without waiting.
 func (p *testReplica) propose(command string) chan outcome {
 	done := newOutcomeChannel()
 	p.group.queue.push(proposeEvent{data: []byte(command), done: done})
@@ -273,7 +273,7 @@
 	return <-done
 }
 
-// commit proposes at the leader and waits until it is applied there.
+// commit proposes a command at the leader and waits until it is applied there.
 func (c *testCluster) commit(command string) {
 	c.t.Helper()
 	leader := c.awaitLeader()
@@ -289,7 +289,7 @@
 	})
 }
 
-// change asks again while the leader does not know yet that it may make the change.
+// change changes the membership, and retries while the leader does not know yet that the change is possible.
 func (c *testCluster) change(change consensus.MembershipChange) {
 	c.t.Helper()
 	limit := c.clock.now + testTimeout
--- a/coord/replica/event_loop_test.go
+++ b/coord/replica/event_loop_test.go
@@ -10,13 +10,13 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// scriptedNode gives what the test put there and notes what it is told.
+// scriptedNode is a consensusNode that returns what the test has set and records its calls.
 type scriptedNode struct {
 	nextTick  time.Duration
 	ticks     int
-	ready     consensus.Ready // given once
+	ready     consensus.Ready // returned once
 	status    consensus.Status
-	callError error // of proposals, reads, changes and transfers
+	callError error // returned by proposals, reads, changes and transfers
 	reads     []uint64
 	writable  bool
 	persisted uint64
@@ -63,7 +63,7 @@
 
 func (n *scriptedNode) Compact(index uint64, _ []consensus.Member, _ []byte) { n.compacted = index }
 
-// scriptedLoop has a loop with a scripted node that leads term 1, and the jobs that it submits.
+// scriptedLoop is an event loop with a scripted node that leads term 1, and the jobs that it has submitted.
 type scriptedLoop struct {
 	clock *fakeClock
 	node  *scriptedNode
@@ -83,13 +83,13 @@
 	return s
 }
 
-// iterate handles the events after some time.
+// iterate advances the clock and handles the events.
 func (s *scriptedLoop) iterate(after time.Duration, events ...loopEvent) {
 	s.clock.now += after
 	s.loop.iterate(events)
 }
 
-// commit has the node give entries of term 1 up to an index.
+// commit makes the node return the entries of term 1 from first to last as committed.
 func (s *scriptedLoop) commit(first, last uint64) {
 	var entries []consensus.Entry
 	for index := first; index <= last; index++ {
@@ -113,13 +113,13 @@
 	done, second := newOutcomeChannel(), newOutcomeChannel()
 	s.iterate(0, readEvent{done}, readEvent{second})
 	if len(s.node.reads) != 1 {
-		t.Fatalf("%d rounds for two reads of one turn", len(s.node.reads))
+		t.Fatalf("%d rounds for two reads of one iteration", len(s.node.reads))
 	}
 	s.node.ready.Reads = []consensus.ReadResult{{ID: s.node.reads[0], Index: 5, OK: true}}
 	s.commit(1, 4)
 	s.iterate(0)
 	if len(done) > 0 {
-		t.Fatal("answered before the machine was there")
+		t.Fatal("answered before the state machine reached the index")
 	}
 	s.commit(5, 5)
 	s.iterate(0)
@@ -187,13 +187,13 @@
 	s.clock.now = grid - 1
 	s.iterate(0)
 	if s.node.ticks != 0 {
-		t.Fatal("ticked between two moments of the grid")
+		t.Fatal("ticked between two multiples of the interval")
 	}
 	s.iterate(1)
 	if s.node.ticks != 1 {
 		t.Fatalf("ticked %d times", s.node.ticks)
 	}
-	s.node.nextTick = grid // on the grid already
+	s.node.nextTick = grid // a multiple already
 	if next := s.loop.nextWakeUp(); next != grid {
 		t.Fatalf("wakes at %v, not at %v", next, grid)
 	}
@@ -254,7 +254,7 @@
 	}
 	s.iterate(time.Second, diskReport{finishedJobs: 1, persistedSequence: 1})
 	if !s.node.writable || s.node.persisted != 1 || !s.loop.currentStatus().Writable {
-		t.Fatal("the write that ended was not noted")
+		t.Fatal("the completed write was not recorded")
 	}
 }
 
@@ -287,7 +287,7 @@
 	}
 	s.iterate(0, diskReport{finishedJobs: 1, compactedSnapshot: s.jobs[0].snapshot})
 	if s.node.compacted != compactionEntries+1 || len(s.jobs) != 1 {
-		t.Fatal("the node was not told, or a second snapshot was taken")
+		t.Fatal("the node was not informed, or a second snapshot was taken")
 	}
 }
 
@@ -306,7 +306,7 @@
 	s.commit(2, 2)
 	s.iterate(0, diskReport{logBytes: compactionLogBytes + 1})
 	if len(s.jobs) != 1 {
-		t.Fatal("what compaction left counts as grown")
+		t.Fatal("the log after the compaction counts as grown")
 	}
 }
 
@@ -316,11 +316,11 @@
 	s.iterate(0)
 	s.iterate(0, diskReport{finishedJobs: 1, snapshotFailed: true, err: seglogtest.ErrFull})
 	if len(s.jobs) != 1 || s.loop.nextWakeUp() != s.clock.now+compactionRetryDelay {
-		t.Fatal("tried again at once, or never")
+		t.Fatal("retried at once, or never")
 	}
 	s.iterate(compactionRetryDelay)
 	if len(s.jobs) != 2 {
-		t.Fatal("not tried again")
+		t.Fatal("not retried")
 	}
 }
 
@@ -328,25 +328,25 @@
 	box := newEventQueue()
 	for range maxQueuedMessages {
 		if !box.push(messageEvent{}) {
-			t.Fatal("refused too early")
+			t.Fatal("rejected too early")
 		}
 	}
 	if box.push(messageEvent{}) {
 		t.Fatal("not bounded")
 	}
 	if !box.push(readEvent{}) {
-		t.Fatal("a call was refused because of messages")
+		t.Fatal("a call was rejected because of messages")
 	}
 	box.drain()
 	if !box.push(messageEvent{}) {
-		t.Fatal("refused after it was emptied")
+		t.Fatal("rejected after it was drained")
 	}
 }
 
-// failingStateMachine cannot restore.
+// failingStateMachine cannot restore a snapshot.
 type failingStateMachine struct{ listStateMachine }
 
-var errStateMachine = errors.New("the machine fails")
+var errStateMachine = errors.New("the state machine fails")
 
 func (*failingStateMachine) Restore(uint64, []byte) error { return errStateMachine }
 
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -94,7 +94,7 @@
 	rejected := newOutcomeChannel()
 	leader.group.queue.push(readEvent{rejected})
 	if err := c.await(rejected).err; err == nil {
-		t.Fatal("a leader that is cut off confirmed a read")
+		t.Fatal("a partitioned leader confirmed a read")
 	}
 }
 
@@ -148,7 +148,7 @@
 	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
 	leader.stalled = true
-	done := leader.propose("with the others' disks")
+	done := leader.propose("durable on the other disks")
 	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
 	if received := c.await(done); received.err != nil {
 		t.Fatal(received.err)
@@ -166,7 +166,7 @@
 	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
 	leader.disk.FreeBytes = 10
-	done := leader.propose("kept by the others")
+	done := leader.propose("durable on the other disks")
 	if received := c.await(done); received.err != nil {
 		t.Fatal(received.err)
 	}
--- a/coord/replica/guards_test.go
+++ b/coord/replica/guards_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// setOmittedGuards leaves guards out of all members, also of those that run.
+// setOmittedGuards omits guards in all members, running ones included.
 func (c *testCluster) setOmittedGuards(guards []Guard) {
 	c.omitGuards = guards
 	for _, p := range c.replicas {
@@ -15,9 +15,9 @@
 	}
 }
 
-// guardViolations tell for each guard a course of events that does harm without it.
+// guardViolations contains for each guard a sequence of events that violates a promise if the guard is omitted.
 var guardViolations = map[Guard]func(t *testing.T, omit ...Guard) (violated bool){
-	// The next leader's entry takes the place of the one proposed.
+	// The next leader's entry replaces the proposed one.
 	GuardOutcomeMatchesTerm: func(t *testing.T, omit ...Guard) bool {
 		s, done := loopWithProposal(t, omit)
 		s.node.ready.Committed = []consensus.Entry{{Term: 2, Index: 1}}
@@ -34,14 +34,14 @@
 		}
 		return !errors.Is((<-done).err, ErrUnknownOutcome)
 	},
-	// A snapshot holds the entry, or another in its place.
+	// A snapshot contains the entry, or another one at its index.
 	GuardSkippedUnknown: func(t *testing.T, omit ...Guard) bool {
 		s, done := loopWithProposal(t, omit)
 		s.node.ready.Restore = &consensus.Snapshot{Index: 10, Term: 1, Data: []byte("{}")}
 		s.iterate(0)
 		return !errors.Is((<-done).err, ErrUnknownOutcome)
 	},
-	// A majority confirms the leader before its machine is as far as the log.
+	// A majority confirms the leader before its state machine has applied the log.
 	GuardReadWaitsForApply: func(t *testing.T, omit ...Guard) bool {
 		s := newScriptedLoop()
 		s.loop.options.OmitGuards = omit
@@ -52,7 +52,7 @@
 		s.iterate(0)
 		return len(done) > 0
 	},
-	// A write does not come back.
+	// A write does not complete.
 	GuardStalledDiskStepsDown: func(t *testing.T, omit ...Guard) bool {
 		s := newScriptedLoop()
 		s.loop.options.OmitGuards = omit
@@ -84,27 +84,27 @@
 			continue
 		}
 		if scenario(t) {
-			t.Errorf("%s: harm although the guard holds", guard)
+			t.Errorf("%s: violated although the guard is enforced", guard)
 		}
 		if !scenario(t, guard) {
-			t.Errorf("%s: no harm without the guard", guard)
+			t.Errorf("%s: not violated without the guard", guard)
 		}
 	}
 }
 
-// TestGuards_omissionIsDetectedByRandomFaults leaves out the guards whose absence shows in histories of drawn troubles.
+// TestGuards_omissionIsDetectedByRandomFaults omits the guards whose omission shows in runs with random faults.
 func TestGuards_omissionIsDetectedByRandomFaults(t *testing.T) {
 	for _, guard := range []Guard{GuardOutcomeMatchesTerm, GuardLostLeadershipUnknown} {
-		var noticed error
+		var detected error
 		runs := 0
-		for noticed == nil && runs < randomRuns {
+		for detected == nil && runs < randomRuns {
 			runs++
-			noticed = runRandomFaults(t, uint64(runs), guard)
+			detected = runRandomFaults(t, uint64(runs), guard)
 		}
-		if noticed == nil {
-			t.Errorf("%s: not noticed in %d runs", guard, runs)
+		if detected == nil {
+			t.Errorf("%s: not detected in %d runs", guard, runs)
 			continue
 		}
-		t.Logf("%s: noticed after %d runs: %v", guard, runs, noticed)
+		t.Logf("%s: detected after %d runs: %v", guard, runs, detected)
 	}
 }
--- a/coord/replica/log_writer_test.go
+++ b/coord/replica/log_writer_test.go
@@ -11,10 +11,10 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// scriptedLog notes the calls as text: sequences of a batch, or -index of a snapshot.
+// scriptedLog records its calls: the sequences of a batch, or the negative index of a snapshot.
 type scriptedLog struct {
 	calls [][]int
-	fail  int // this many calls fail
+	fail  int // how many of the next calls fail
 }
 
 func (l *scriptedLog) note(call []int) error {
@@ -79,7 +79,7 @@
 	want := minRetryDelay
 	for range 8 {
 		if retryDelay := w.writePending(); retryDelay != want {
-			t.Fatalf("pause %v, not %v", retryDelay, want)
+			t.Fatalf("delay %v, not %v", retryDelay, want)
 		}
 		want = min(2*want, maxRetryDelay)
 	}
@@ -98,7 +98,7 @@
 	log.fail = 1
 	submitStates(w, 3)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
-		t.Fatalf("the pause after a success is %v", retryDelay)
+		t.Fatalf("the delay after a success is %v", retryDelay)
 	}
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-// stalledLog has writes that end only when they are released.
+// stalledLog has writes that complete only once they are released.
 type stalledLog struct {
 	scriptedLog
 	began, released chan struct{}
--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -18,20 +18,20 @@
 	randomSeed        = 20260102
 	randomRuns        = 300
 	faultsPerRun      = 150
-	fullDiskFreeBytes = 200 // bytes, at most
+	fullDiskFreeBytes = 200 // bytes, exclusive
 	faultKinds        = 12
-	faultOdds         = 3 // a member that is drawn is in trouble one time in so many, else well again
+	faultOdds         = 3 // a chosen member becomes faulty one time in this many, and healthy otherwise
 )
 
-// attempt is one proposal or read of a drawn run.
+// attempt is one proposal or read of a random run.
 type attempt struct {
-	command string // "": a read
+	command string // empty: a read
 	at      *testReplica
 	seen    int // acknowledged commands at the time of a read
 	done    chan outcome
 }
 
-// randomFaultRun makes proposals and reads while things fail.
+// randomFaultRun makes proposals and reads while faults are injected.
 type randomFaultRun struct {
 	*testCluster
 	random       *rand.Rand
@@ -41,13 +41,13 @@
 	failure      error
 }
 
-// TestGroup_randomFaults checks that what was acknowledged lasts, what was refused is not there, and
-// reads see all that was acknowledged before them.
+// TestGroup_randomFaults checks that acknowledged commands persist, rejected ones are never applied, and reads observe
+// everything that was acknowledged before them.
 func TestGroup_randomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(randomSeed)
 	parameters.MinSuccessfulTests = randomRuns
 	properties := gopter.NewProperties(parameters)
-	properties.Property("acknowledged commands last", prop.ForAll(
+	properties.Property("acknowledged commands persist", prop.ForAll(
 		func(seed uint64) string {
 			if err := runRandomFaults(t, seed); err != nil {
 				return err.Error()
@@ -76,7 +76,7 @@
 	return run.checkCommands()
 }
 
-// injectFault does one thing at a drawn member.
+// injectFault makes one fault or call at a random member.
 func (r *randomFaultRun) injectFault(number int) {
 	p := r.replicas[r.random.IntN(len(r.replicas))]
 	switch r.random.IntN(faultKinds) {
@@ -109,7 +109,7 @@
 	r.pending = append(r.pending, attempt{at: p, seen: len(r.acknowledged), done: done})
 }
 
-// collect takes the answers that are there.
+// collect processes the answers that have arrived.
 func (r *randomFaultRun) collect() {
 	var left []attempt
 	for _, one := range r.pending {
@@ -143,34 +143,33 @@
 	}
 }
 
-// heal ends all troubles and waits until all members are current.
+// heal ends all faults and waits until all members are up to date.
 func (r *randomFaultRun) heal() {
 	r.t.Helper()
 	for _, p := range r.replicas {
 		p.partitioned, p.stalled = false, false
 		p.disk.FreeBytes = seglogtest.Unlimited
 	}
-	r.stepUntil("no open attempt", func() bool {
-
+	r.stepUntil("no pending attempt", func() bool {
 		r.collect()
 		return len(r.pending) == 0
 	})
 	last := r.commitLast()
-	r.stepUntil("all members current", func() bool { return r.allHave(last) })
+	r.stepUntil("all members up to date", func() bool { return r.allHave(last) })
 }
 
-// commitLast tries until the leader has taken a command: a transfer may still be under way.
+// commitLast retries until the leader has accepted a command: a transfer may still be in progress.
 func (r *randomFaultRun) commitLast() string {
 	r.t.Helper()
 	limit := r.clock.now + testTimeout
-	for try := 0; r.clock.now < limit; try++ {
-		command := fmt.Sprint("last ", try)
+	for number := 0; r.clock.now < limit; number++ {
+		command := fmt.Sprint("last ", number)
 		if r.await(r.awaitLeader().propose(command)).err == nil {
 			return command
 		}
 		r.step()
 	}
-	r.t.Fatal("no leader takes a command")
+	r.t.Fatal("no leader accepts a command")
 	return ""
 }
 
@@ -194,12 +193,12 @@
 	for _, command := range commands {
 		counts[command]++
 		if counts[command] > 1 || r.rejected[command] {
-			return fmt.Errorf("%q is there %d times, refused: %v", command, counts[command], r.rejected[command])
+			return fmt.Errorf("%q was applied %d times, rejected: %v", command, counts[command], r.rejected[command])
 		}
 	}
 	for _, command := range r.acknowledged {
 		if counts[command] != 1 {
-			return fmt.Errorf("%q was acknowledged and is not there", command)
+			return fmt.Errorf("%q was acknowledged and not applied", command)
 		}
 	}
 	return nil
--- a/coord/replica/received_snapshot_test.go
+++ b/coord/replica/received_snapshot_test.go
@@ -8,8 +8,8 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// replaceMemberUnderLoad returns a storm in which a member's place is taken by one with an empty disk of little room, after
-// the log was compacted: it is being sent a snapshot that it cannot keep.
+// replaceMemberUnderLoad returns a cluster under load in which a member is replaced by one whose empty disk has little free
+// space, after the log was compacted: the new member is sent a snapshot that it cannot store.
 func replaceMemberUnderLoad(t *testing.T, freeBytes int64) (*loadedCluster, *testReplica) {
 	t.Helper()
 	s := newLoadedCluster(t)
@@ -24,32 +24,33 @@
 	return s, added
 }
 
-// TestGroup_fullDiskDuringReceivedSnapshot has a new member receive a snapshot on a disk that fills at many places of it: it
-// says nothing that rests on it, the others go on, and it is current once there is room, also after a loss of power.
+// TestGroup_fullDiskDuringReceivedSnapshot has a new member receive a snapshot on a disk that becomes full at various points:
+// the member acknowledges nothing that depends on it, the others continue, and it is up to date once space is freed, also
+// after a power loss.
 func TestGroup_fullDiskDuringReceivedSnapshot(t *testing.T) {
 	for round, freeBytes := range []int64{0, 1, 40, stateBytes / 3, stateBytes - 1, stateBytes + 40, stateBytes + 400} {
 		s, added := replaceMemberUnderLoad(t, freeBytes)
 		previous := s.proposedChanges
 		s.runFor(3 * time.Second)
 		if s.proposedChanges-previous < 60 {
-			t.Errorf("room %d: %d changes in three seconds", freeBytes, s.proposedChanges-previous)
+			t.Errorf("%d bytes free: %d changes in three seconds", freeBytes, s.proposedChanges-previous)
 		}
 		if matched := matchedIndex(s, added); freeBytes < stateBytes && matched > 0 {
-			t.Errorf("room %d: the member has acknowledged entry %d", freeBytes, matched)
+			t.Errorf("%d bytes free: the member has acknowledged entry %d", freeBytes, matched)
 		}
 		if round%2 == 0 {
 			s.restart(added, true, uint64(round))
 		}
 		added.disk.FreeBytes = seglogtest.Unlimited
-		took := s.runUntil("current", testTimeout, func() bool { return s.isCurrent(added) })
+		took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(added) })
 		if took > catchUpBound {
-			t.Errorf("room %d: current after %v", freeBytes, took)
+			t.Errorf("%d bytes free: up to date after %v", freeBytes, took)
 		}
-		t.Logf("room %6d: current %v after there was room", freeBytes, took)
+		t.Logf("%6d bytes free: up to date %v after space was freed", freeBytes, took)
 	}
 }
 
-// matchedIndex returns what the leader knows a member to hold durably.
+// matchedIndex returns the index up to which the leader knows a member's log to be durable.
 func matchedIndex(s *loadedCluster, p *testReplica) uint64 {
 	node, ok := s.leader().group.loop.node.(*consensus.Node)
 	if !ok {
@@ -59,7 +60,7 @@
 	return matched
 }
 
-// TestGroup_stalledDiskDuringReceivedSnapshot has the new member's disk hang for seconds while it receives the snapshot.
+// TestGroup_stalledDiskDuringReceivedSnapshot has the new member's disk stall for seconds while it receives the snapshot.
 func TestGroup_stalledDiskDuringReceivedSnapshot(t *testing.T) {
 	s, added := replaceMemberUnderLoad(t, seglogtest.Unlimited)
 	added.stalled = true
@@ -68,7 +69,7 @@
 		t.Errorf("the member has acknowledged entry %d", matched)
 	}
 	added.stalled = false
-	if took := s.runUntil("current", testTimeout, func() bool { return s.isCurrent(added) }); took > catchUpBound {
-		t.Errorf("current after %v", took)
+	if took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(added) }); took > catchUpBound {
+		t.Errorf("up to date after %v", took)
 	}
 }
--- a/coord/replica/sustained_load_test.go
+++ b/coord/replica/sustained_load_test.go
@@ -11,7 +11,7 @@
 	"ospreybend/coord/shards"
 )
 
-// A storm of changes to a document of 450 routes: every tenth replaces the document, the others one route.
+// A load of changes to a document of 450 routes: every tenth replaces the document, the others one route.
 const (
 	minChanges     = 2000
 	changeInterval = time.Second / 30
@@ -19,10 +19,10 @@
 	updatedBytes   = 400
 	replacedEvery  = 10
 	stateBytes     = 250 << 10
-	catchUpBound   = 4 * time.Second // catchUpS of the operators' pages
+	catchUpBound   = 4 * time.Second // catchUpS of the operators' requirements
 )
 
-// documentStateMachine has a state as large as the storm's document, and counts the commands.
+// documentStateMachine has a state as large as that document, and counts the commands.
 type documentStateMachine struct{ count int }
 
 func (m *documentStateMachine) Apply(consensus.Entry) any { m.count++; return m.count }
@@ -36,7 +36,7 @@
 	return err
 }
 
-// loadedCluster is a cluster that takes changes at a steady pace on the fake clock.
+// loadedCluster is a test cluster that is given changes at a steady rate on the fake clock.
 type loadedCluster struct {
 	*testCluster
 	nextChangeAt    time.Duration // when the next change is due
@@ -61,7 +61,7 @@
 	return s
 }
 
-// runUntil lets time pass until a condition holds, with changes going on, and returns how long it took.
+// runUntil continues the load until a condition is true and returns how long that took.
 func (s *loadedCluster) runUntil(what string, limit time.Duration, done func() bool) time.Duration {
 	s.t.Helper()
 	began := s.clock.now
@@ -95,7 +95,7 @@
 	s.runUntil("time", span+time.Second, func() bool { return s.clock.now >= until })
 }
 
-// isCurrent tells whether a member has applied all that the leader has, up to what is on its way.
+// isCurrent reports whether a member has applied all that the leader has, except for what is in flight.
 func (s *loadedCluster) isCurrent(p *testReplica) bool {
 	leader := s.leader()
 	if leader == nil || p.group.Status().AppliedIndex < 2 {
@@ -104,7 +104,7 @@
 	return p.group.Status().AppliedIndex+2 >= leader.group.Status().AppliedIndex && p.group.Status().ConfirmedAge < time.Second
 }
 
-// stopFor ends a member's process for a while.
+// stopFor stops a member's process for a while.
 func (s *loadedCluster) stopFor(p *testReplica, span time.Duration) {
 	p.group.loop.stop(p.group.queue.close())
 	p.partitioned, p.stopped = true, true
@@ -112,10 +112,10 @@
 	p.partitioned, p.stopped = false, false
 }
 
-// returnModes are the ways in which a member comes back.
+// returnModes are the ways in which a member returns.
 var returnModes = []string{"restarted", "wiped", "replaced"}
 
-// returnMember starts the member again and returns the one that takes its place.
+// returnMember brings the member back in the given mode and returns the replica that takes its place.
 func (s *loadedCluster) returnMember(p *testReplica, mode string, number int) *testReplica {
 	if mode == "restarted" {
 		p.disk.Restart()
@@ -134,7 +134,7 @@
 	return added
 }
 
-// changeMembers makes a change of members while the other changes go on.
+// changeMembers changes the membership under load.
 func (s *loadedCluster) changeMembers(change consensus.MembershipChange) {
 	s.t.Helper()
 	for {
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestGroup_returningMembersCatchUpWithinBound has members down for 0.1 to 60 s amid 30 changes a second, which go on, and come
-// back restarted, wiped or replaced: each is current within catchUpS.
+// TestGroup_returningMembersCatchUpWithinBound stops members for 0.1 to 60 s under a load of 30 changes per second and brings
+// them back restarted, wiped or replaced: each is up to date within catchUpS.
 func TestGroup_returningMembersCatchUpWithinBound(t *testing.T) {
 	s := newLoadedCluster(t)
 	number := 3
@@ -163,12 +163,12 @@
 			lacked := s.proposedChanges - previous
 			began := s.clock.now
 			back := s.returnMember(chosen, mode, number)
-			s.runUntil("current", testTimeout, func() bool { return s.isCurrent(back) })
+			s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(back) })
 			took := s.clock.now - began
 			if took > catchUpBound {
-				t.Errorf("%s after %v: current after %v", mode, span, took)
+				t.Errorf("%s after %v: up to date after %v", mode, span, took)
 			}
-			t.Logf("%-9s after %5v, %4d changes: current after %v", mode, span, lacked, took)
+			t.Logf("%-9s after %5v, %4d changes: up to date after %v", mode, span, lacked, took)
 			if mode != "restarted" {
 				voter := back.member
 				voter.Voter = true
@@ -186,16 +186,16 @@
 	}
 }
 
-// replicaDiskBound is the most that a replica takes on disk: what a snapshot could not remove since it came in one write
-// with an entry after it, the log up to where the next snapshot is due, what is written in one go with the entry that
-// makes it due, and two snapshots.
+// replicaDiskBound returns the greatest size of a replica on disk: a segment that a snapshot could not remove because it was
+// written in one batch with a later entry, the log up to the next snapshot, the batch whose entry makes that snapshot due, and
+// two snapshots.
 func replicaDiskBound(snapshot, batch int64) int64 {
 	return batch + seglog.DefaultSegmentBytes + compactionLogBytes + batch + 2*snapshot
 }
 
-// Of a machine's disk and what may come onto it: entries of a leader that wait for a majority, of a follower those that
-// are sent to it before it answers. A document is 1 MiB at most, some 3,000 routes, and 512 KiB are remembered of
-// changes beside it; a shard of instances holds 2 MiB.
+// Sizes in bytes on the disk of a machine. What is pending at a leader are entries that wait for a majority, at a follower
+// those that are sent to it before it acknowledges them. A document is at most 1 MiB, some 3,000 routes, besides 512 KiB of
+// remembered changes; a shard of instances is at most 2 MiB.
 const (
 	diskCapacity            = 128_000_000
 	maxDocumentBytes        = 1 << 20
@@ -205,7 +205,7 @@
 	maxInstanceBytes        = 2 << 20
 )
 
-// TestDiskBound_allReplicasFitOnDisk adds up the bounds of all replicas of a keeper.
+// TestDiskBound_allReplicasFitOnDisk adds up the bounds of all replicas of a control plane server.
 func TestDiskBound_allReplicasFitOnDisk(t *testing.T) {
 	total := replicaDiskBound(maxSnapshotBytes, maxPendingDocumentBytes) + shards.ServiceShardCount*replicaDiskBound(maxInstanceBytes, maxPendingInstanceBytes)
 	t.Logf("%d MiB at most", total>>20)
@@ -214,8 +214,8 @@
 	}
 }
 
-// TestGroup_failedSnapshotsLeaveNoFiles has one operation of a member's disk fail each second amid changes, and the power go
-// now and then: what is on disk stays within the bound.
+// TestGroup_failedSnapshotsLeaveNoFiles fails one operation of a member's disk each second under load, with some power losses:
+// what is on disk stays within the bound.
 func TestGroup_failedSnapshotsLeaveNoFiles(t *testing.T) {
 	s := newLoadedCluster(t)
 	for round := range 40 {
@@ -225,10 +225,10 @@
 		chosen.disk.FailOperation = 0
 		if round%5 == 4 {
 			s.restart(chosen, true, uint64(round))
-			s.runUntil("current", testTimeout, func() bool { return s.isCurrent(chosen) })
+			s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(chosen) })
 		}
 	}
-	s.runUntil("all current", testTimeout, func() bool {
+	s.runUntil("all up to date", testTimeout, func() bool {
 		return s.isCurrent(s.replicas[0]) && s.isCurrent(s.replicas[1]) && s.isCurrent(s.replicas[2])
 	})
 	for p, peak := range s.peakDiskBytes {
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestGroup_fullDiskDuringSnapshots fills a member's disk for a while at many places, also so that not even a name can be
-// made or changed: the others go on, and it is current again when there is room.
+// TestGroup_fullDiskDuringSnapshots fills a member's disk for a while at various points, also so that no file can be created or
+// renamed: the others continue, and the member is up to date again once space is freed.
 func TestGroup_fullDiskDuringSnapshots(t *testing.T) {
 	for _, freeBytes := range []int64{0, 1 << 10, stateBytes / 2, stateBytes, stateBytes + 100, 1 << 20} {
 		s := newLoadedCluster(t)
@@ -249,24 +249,24 @@
 		full.disk.FreeBytes = freeBytes
 		s.runFor(20 * time.Second)
 		if leader := s.leader(); leader == full && full.disk.FreeBytes == 0 {
-			t.Errorf("room %d: the member with the full disk leads", freeBytes)
+			t.Errorf("%d bytes free: the member with the full disk leads", freeBytes)
 		}
 		previous := full.disk.UsedBytes()
 		full.disk.Full = true
 		s.runFor(5 * time.Second)
 		if after := full.disk.UsedBytes(); after > previous {
-			t.Errorf("room %d: a full disk has grown from %d to %d bytes", freeBytes, previous, after)
+			t.Errorf("%d bytes free: a full disk has grown from %d to %d bytes", freeBytes, previous, after)
 		}
 		full.disk.Full, full.disk.FreeBytes = false, seglogtest.Unlimited
-		took := s.runUntil("current", testTimeout, func() bool { return s.isCurrent(full) && full.group.Status().Writable })
+		took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(full) && full.group.Status().Writable })
 		if took > catchUpBound {
-			t.Errorf("room %d: current after %v", freeBytes, took)
+			t.Errorf("%d bytes free: up to date after %v", freeBytes, took)
 		}
-		t.Logf("room %7d: current %v after there was room again", freeBytes, took)
+		t.Logf("%7d bytes free: up to date %v after space was freed", freeBytes, took)
 	}
 }
 
-// TestGroup_stalledDiskDuringSnapshots has a member's disk hang for seconds amid snapshots: the others go on meanwhile.
+// TestGroup_stalledDiskDuringSnapshots stalls the leader's disk for seconds at a time under load: the others continue.
 func TestGroup_stalledDiskDuringSnapshots(t *testing.T) {
 	s := newLoadedCluster(t)
 	for round := range 12 {
@@ -278,26 +278,26 @@
 			t.Errorf("round %d: %d changes in three seconds", round, s.proposedChanges-previous)
 		}
 		slow.stalled = false
-		if took := s.runUntil("current", testTimeout, func() bool { return s.isCurrent(slow) }); took > catchUpBound {
-			t.Errorf("round %d: current after %v", round, took)
+		if took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(slow) }); took > catchUpBound {
+			t.Errorf("round %d: up to date after %v", round, took)
 		}
 	}
 }
 
-// Checks of members whose state is old, as the keeper makes them.
+// Bounds of staleness, as the control plane server applies them.
 const (
-	maxCurrentAge     = 800 * time.Millisecond // a replica confirmed longer ago feeds nothing as current
-	confirmationDelay = 2 * messageDelay       // between what a leader has committed and what it says of it
+	maxCurrentAge     = 800 * time.Millisecond // a replica that was confirmed longer ago serves nothing as current
+	confirmationDelay = 2 * messageDelay       // between a commit at the leader and its confirmation at a follower
 )
 
-// progress notes how far the group had committed at each time.
+// progress records how far the group had committed at a time.
 type progress struct {
 	at     time.Duration
 	commit uint64
 }
 
-// staleMember returns what a member with old state has done wrong at this moment: it leads, or calls itself current,
-// though it lacks what was committed when it was last confirmed.
+// staleMember returns a description of a stale member that is treated as current: one that was recently confirmed although it
+// lacks entries that were committed before that.
 func (s *loadedCluster) staleMember(history []progress) string {
 	for _, p := range s.replicas {
 		status := p.group.Status()
@@ -318,7 +318,7 @@
 	return ""
 }
 
-// checkReturningMembers has members down for seconds amid changes, restarted and cut off, and returns what first went wrong.
+// checkReturningMembers stops, partitions and stalls members for seconds under load, and returns the first violation.
 func checkReturningMembers(t *testing.T, omit ...consensus.Rule) string {
 	s := newLoadedCluster(t, omit...)
 	var history []progress
@@ -355,22 +355,21 @@
 	return problem
 }
 
-// TestGroup_staleMemberIsNotCurrent has members come back that lack hundreds of changes: until they hold what the
-// leader has committed they are not current, so that they feed nothing as such and acknowledge nothing by their state.
-// Without that check they would be.
+// TestGroup_staleMemberIsNotCurrent has members return that lack hundreds of changes: they do not count as current until they
+// have what the leader has committed. Without that rule they would.
 func TestGroup_staleMemberIsNotCurrent(t *testing.T) {
 	if problem := checkReturningMembers(t); problem != "" {
 		t.Error(problem)
 	}
 	without := checkReturningMembers(t, consensus.RuleConfirmedUpToDate)
 	if without == "" {
-		t.Error("current-held left out: not noticed")
+		t.Error("current-held omitted: not detected")
 	}
 	t.Log(without)
 }
 
-// TestGroup_staleMemberNeitherLeadsNorConfirmsReads cuts a leader off amid changes: it answers no read meanwhile, and when
-// it is back, with what it never got, it neither leads nor answers before it has caught up.
+// TestGroup_staleMemberNeitherLeadsNorConfirmsReads partitions a leader under load: it answers no read meanwhile, and when it
+// returns it neither leads nor answers before it has caught up.
 func TestGroup_staleMemberNeitherLeadsNorConfirmsReads(t *testing.T) {
 	s := newLoadedCluster(t)
 	for range 6 {
@@ -380,7 +379,7 @@
 		old.group.queue.push(readEvent{received})
 		s.runFor(4 * time.Second)
 		if len(received) == 0 || (<-received).err == nil {
-			t.Fatal("a leader that is cut off answers a read")
+			t.Fatal("a partitioned leader answers a read")
 		}
 		target := s.leader().group.Status().CommitIndex
 		old.partitioned = false
