--- a/coord/seglog/corruption_test.go
+++ b/coord/seglog/corruption_test.go
@@ -15,7 +15,7 @@
 
 var emptyDisk consensus.PersistedState
 
-// populatedDisk has a history on disk, with the size of the last segment after each call.
+// populatedDisk is a disk with a history of calls, and its files.
 type populatedDisk struct {
 	disk   *seglogtest.MemoryDisk
 	record *history
@@ -69,22 +69,22 @@
 	return changed
 }
 
-// TestOpen_truncatedSegment cuts each segment at each byte. Of the last segment all states passed through are prefixes, and what
-// is recovered must be one of them. Without a part of another one the log is older than what was promised with it:
-// such a disk is refused as damaged.
+// TestOpen_truncatedSegment truncates each segment at each byte. Of the last segment all states passed through are prefixes, and
+// the recovered state must be one of them. Without a part of an earlier segment the log lacks what was acknowledged: Open must
+// return ErrCorrupt.
 func TestOpen_truncatedSegment(t *testing.T) {
 	for seed := range uint64(3) {
 		written := populateDisk(t, seed, 8)
 		written.record.acknowledged = 0
 		for _, name := range written.segments() {
-			for cut := range written.files[name] {
-				checkAlteredSegment(t, written, name, written.files[name][:cut])
+			for length := range written.files[name] {
+				checkAlteredSegment(t, written, name, written.files[name][:length])
 			}
 		}
 	}
 }
 
-// TestOpen_corruptSegment changes each byte of each segment, as TestCutSegments does.
+// TestOpen_corruptSegment changes each byte of each segment, with the same expectations as TestOpen_truncatedSegment.
 func TestOpen_corruptSegment(t *testing.T) {
 	for seed := range uint64(3) {
 		written := populateDisk(t, seed, 8)
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestOpen_missingSegment takes each segment away but the last.
+// TestOpen_missingSegment removes each segment but the last.
 func TestOpen_missingSegment(t *testing.T) {
 	for seed := range uint64(3) {
 		written := populateDisk(t, seed, 8)
@@ -115,7 +115,7 @@
 	}
 }
 
-// isLast tells whether no segment stands behind the one of the name.
+// isLast reports whether no segment follows the one of the name.
 func (w populatedDisk) isLast(name string) bool { return name == slices.Max(w.segments()) }
 
 // checkAlteredSegment opens the disk with other content in one segment.
@@ -130,7 +130,7 @@
 	}
 }
 
-// checkPrefix opens the changed disk, then writes to it and opens it again.
+// checkPrefix opens the altered disk, then writes to it and opens it again.
 func checkPrefix(t *testing.T, written populatedDisk, name string, data []byte) {
 	t.Helper()
 	disk := written.with(name, data)
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestOpen_truncatedLastBatch shows that a cut in the last batch keeps all batches before it.
+// TestOpen_truncatedLastBatch checks that a truncation in the last batch preserves all batches before it.
 func TestOpen_truncatedLastBatch(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
@@ -159,9 +159,9 @@
 	saveEntries(t, log, record, 3, 3)
 	complete, _ := disk.ReadFile(name)
 	record.acknowledged = 2 // states: empty disk, entry 1, entry 2
-	for cut := len(synced); cut < len(complete); cut++ {
+	for length := len(synced); length < len(complete); length++ {
 		torn := disk.Clone()
-		torn.WriteFile(name, complete[:cut])
+		torn.WriteFile(name, complete[:length])
 		_, recovered := mustOpen(t, torn)
 		if err := record.check(recovered); err != nil {
 			t.Fatal(err)
@@ -183,18 +183,18 @@
 	record.acknowledge()
 }
 
-// TestOpen_corruptSnapshot cuts and changes the snapshot at each byte: such a disk is refused as damaged.
+// TestOpen_corruptSnapshot truncates and changes the snapshot at each byte: Open must return ErrCorrupt.
 func TestOpen_corruptSnapshot(t *testing.T) {
 	written := writeWithSnapshot(t)
 	name := written.withSuffix(".snapshot")[0]
-	for cut := range written.files[name] {
-		if _, _, err := open(written.with(name, written.files[name][:cut])); !errors.Is(err, seglog.ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", cut, err)
+	for length := range written.files[name] {
+		if _, _, err := open(written.with(name, written.files[name][:length])); !errors.Is(err, seglog.ErrCorrupt) {
+			t.Fatalf("truncated to %d bytes: %v", length, err)
 		}
 		data := bytes.Clone(written.files[name])
-		data[cut] ^= 0x41
+		data[length] ^= 0x41
 		if _, _, err := open(written.with(name, data)); !errors.Is(err, seglog.ErrCorrupt) {
-			t.Fatalf("byte %d changed: %v", cut, err)
+			t.Fatalf("byte %d changed: %v", length, err)
 		}
 	}
 }
@@ -203,8 +203,8 @@
 func TestOpen_ignoresTemporarySnapshot(t *testing.T) {
 	written := writeWithSnapshot(t)
 	snapshot := written.files[written.withSuffix(".snapshot")[0]]
-	for cut := range snapshot {
-		disk := written.with("snapshot.temporary", snapshot[:cut])
+	for length := range snapshot {
+		disk := written.with("snapshot.temporary", snapshot[:length])
 		_, stored := mustOpen(t, disk)
 		if err := written.record.check(stored); err != nil {
 			t.Fatal(err)
@@ -227,7 +227,7 @@
 	return populatedDisk{}
 }
 
-// TestOpen_ignoresReappearedObsoleteFiles puts back every set of segments and snapshots that were removed before.
+// TestOpen_ignoresReappearedObsoleteFiles puts back random sets of segments and snapshots that were removed before.
 func TestOpen_ignoresReappearedObsoleteFiles(t *testing.T) {
 	for seed := range uint64(6) {
 		disk := seglogtest.NewMemoryDisk()
--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -19,13 +19,13 @@
 	callReplace  = 'r' // the last entry, by one of a later term
 	callVote     = 'v' // a hard state
 	callCompact  = 'c' // a local snapshot of all
-	callInstall  = 's' // a received snapshot behind the log
+	callInstall  = 's' // a received snapshot beyond the log
 	callAlphabet = "arvcs"
 	sequenceSize = 3
-	tinySegment  = 60 // bytes: each record fills a segment
+	tinySegment  = 60 // bytes, so that each record fills a segment
 )
 
-// sequences returns all sequences of calls of a length, each behind two appended entries.
+// sequences returns all sequences of calls of a length, each after two appended entries.
 func sequences(length int) []string {
 	all := []string{"aa"}
 	for range length {
@@ -40,7 +40,7 @@
 	return all
 }
 
-// operationFor makes the call that a letter stands for; it fits the state.
+// operationFor returns the operation that a call's letter stands for in the given state.
 func operationFor(call rune, state consensus.PersistedState) operation {
 	last, term := lastIndex(state), max(lastTerm(state), 1)
 	entry := func(index, term uint64) operation {
@@ -66,12 +66,12 @@
 	return entry(last+1, term)
 }
 
-// tinyLog opens a log whose segments hold one record each.
+// tinyLog opens a log whose segments contain one record each.
 func tinyLog(disk *seglogtest.MemoryDisk, omit ...seglog.Guard) (*seglog.Log, consensus.PersistedState, error) {
 	return seglog.Open(seglog.Options{FileSystem: disk, Directory: directory, SegmentBytes: tinySegment, OmitGuards: omit})
 }
 
-// runCalls makes the calls until one fails, and shows each state on the way.
+// runCalls makes the calls until one fails, and calls passed, if not nil, after each.
 func runCalls(disk *seglogtest.MemoryDisk, calls string, passed func(), omit ...seglog.Guard) (*history, error) {
 	log, stored, err := tinyLog(disk, omit...)
 	record := newHistory(stored)
@@ -91,11 +91,11 @@
 	return record, err
 }
 
-// powerLossCheck counts what was played.
+// powerLossCheck counts what was checked.
 type powerLossCheck struct{ moments, outcomes int }
 
-// checkSequence loses power before each operation of the disk, in all ways, and opens the disk twice: what was
-// acknowledged must be there, and what was found once must be there again whatever a second loss of power leaves.
+// checkSequence loses power before each operation of the disk, with all outcomes, and opens the disk twice: what was
+// acknowledged must be there, and what was recovered once must be recovered again whatever a second power loss leaves.
 func (l *powerLossCheck) checkSequence(calls string, omit ...seglog.Guard) error {
 	for operations := int64(0); ; operations++ {
 		disk := seglogtest.NewMemoryDisk()
@@ -140,8 +140,8 @@
 	})
 }
 
-// TestOpen_afterEachDirectoryOutcome plays all sequences of calls, stops each before each operation of the disk, and has
-// each file that was made, renamed or removed without a sync of its folder kept or lost by itself.
+// TestOpen_afterEachDirectoryOutcome runs all sequences of calls, stops each before each operation of the disk, and persists or
+// loses each unsynced directory change independently.
 func TestOpen_afterEachDirectoryOutcome(t *testing.T) {
 	played := powerLossCheck{}
 	for _, calls := range sequences(sequenceSize) {
@@ -152,8 +152,8 @@
 	t.Logf("%d sequences, %d moments, %d outcomes", len(sequences(sequenceSize)), played.moments, played.outcomes)
 }
 
-// TestLog_failedOperationThenPowerLoss fails each operation of each sequence once, has the call made again as its callers
-// do, goes on with the sequence, and then loses power in all ways.
+// TestLog_failedOperationThenPowerLoss fails each operation of each sequence once, retries the call as its callers do, continues
+// the sequence, and then loses power with all outcomes.
 func TestLog_failedOperationThenPowerLoss(t *testing.T) {
 	for _, calls := range sequences(sequenceSize - 1) {
 		if err := failEachOperation(calls); err != nil {
@@ -193,13 +193,13 @@
 	}
 }
 
-// diskMoment is what the folder held at one moment of a sequence.
+// diskMoment is the directory and the state at one moment of a sequence.
 type diskMoment struct {
 	files map[string][]byte
 	state consensus.PersistedState
 }
 
-// momentsAfterEachCall returns the folder and the state after each call.
+// momentsAfterEachCall returns the directory and the state after each call.
 func momentsAfterEachCall(t *testing.T, calls string) []diskMoment {
 	t.Helper()
 	disk := seglogtest.NewMemoryDisk()
@@ -238,11 +238,11 @@
 	return disk
 }
 
-// TestOpen_segmentsAndSnapshotOfDifferentMoments puts the segments of each moment of each sequence beside the snapshot of
-// each other moment. Such a disk is refused, or it yields a state that the log has passed through, with the snapshot's
-// state at least; a log that is newer than its snapshot never yields less than its segments hold.
+// TestOpen_segmentsAndSnapshotOfDifferentMoments combines the segments of each moment of each sequence with the snapshot of each
+// other moment. Such a disk is rejected, or it yields a state that the log has passed through, with the snapshot's state at
+// least; a log that is newer than its snapshot never yields less than its segments contain.
 func TestOpen_segmentsAndSnapshotOfDifferentMoments(t *testing.T) {
-	rejected, taken := 0, 0
+	rejected, accepted := 0, 0
 	for _, calls := range sequences(sequenceSize + 1) {
 		moments := momentsAfterEachCall(t, calls)
 		for log := range moments {
@@ -252,12 +252,12 @@
 				case errors.Is(err, seglog.ErrCorrupt):
 					rejected++
 					if log == snapshot {
-						t.Fatalf("%s: the folder of moment %d is refused: %v", calls, log, err)
+						t.Fatalf("%s: the directory of moment %d is rejected: %v", calls, log, err)
 					}
 				case err != nil:
 					t.Fatal(err)
 				default:
-					taken++
+					accepted++
 					if err := checkMixed(moments, log, snapshot, found); err != nil {
 						t.Fatalf("calls %s, segments of %d, snapshot of %d: %v", calls, log, snapshot, err)
 					}
@@ -265,20 +265,20 @@
 			}
 		}
 	}
-	t.Logf("%d folders were refused, %d taken", rejected, taken)
-	if rejected == 0 || taken == 0 {
-		t.Fatal("one of the kinds has not been met")
+	t.Logf("%d directories were rejected, %d accepted", rejected, accepted)
+	if rejected == 0 || accepted == 0 {
+		t.Fatal("one of the two cases did not occur")
 	}
 }
 
-// checkMixed checks what a mixed folder yields. An older log beside a newer snapshot is like the newer log without
-// its end; a newer log beside an older snapshot holds all, or is refused.
+// checkMixed checks the state recovered from combined moments. An older log with a newer snapshot is like the newer log without
+// its end; a newer log with an older snapshot yields everything, or is rejected.
 func checkMixed(moments []diskMoment, log, snapshot int, found consensus.PersistedState) error {
 	if found.Snapshot.Index < moments[snapshot].state.Snapshot.Index {
 		return fmt.Errorf("the snapshot is lost: %s", stateText(found))
 	}
 	if log > snapshot && moments[log].hasSegments() && !sameEnd(moments[log].state, found) {
-		return fmt.Errorf("found %s\nthe log held %s", stateText(found), stateText(moments[log].state))
+		return fmt.Errorf("found %s\nthe log contained %s", stateText(found), stateText(moments[log].state))
 	}
 	for _, moment := range moments {
 		if sameEnd(moment.state, found) {
@@ -288,7 +288,7 @@
 	return snapshotAlone(moments, found)
 }
 
-// hasSegments tells whether the folder has any: a received snapshot voids all of them.
+// hasSegments reports whether the directory contains segments: a received snapshot discards all of them.
 func (m diskMoment) hasSegments() bool {
 	for name := range m.files {
 		if strings.HasSuffix(name, ".segment") {
@@ -298,34 +298,34 @@
 	return false
 }
 
-// sameEnd tells whether two states have the same last entry, term and vote.
+// sameEnd reports whether two states have the same last entry, term and vote.
 func sameEnd(one, other consensus.PersistedState) bool {
 	return lastIndex(one) == lastIndex(other) && lastTerm(one) == lastTerm(other) &&
 		one.HardState.Term == other.HardState.Term && one.HardState.Vote == other.HardState.Vote
 }
 
-// snapshotAlone allows the snapshot of a moment with no segment that counts.
+// snapshotAlone accepts the snapshot of a moment without any valid segment.
 func snapshotAlone(moments []diskMoment, found consensus.PersistedState) error {
 	same := func(moment diskMoment) bool { return moment.state.Snapshot.Index == found.Snapshot.Index }
 	if len(found.Entries) == 0 && slices.ContainsFunc(moments, same) {
 		return nil
 	}
-	return fmt.Errorf("found %s, which never was", stateText(found))
+	return fmt.Errorf("found %s, which never existed", stateText(found))
 }
 
-// TestGuards_omissionIsDetected leaves out each guard of the log by name.
+// TestGuards_omissionIsDetected omits each guard of the log.
 func TestGuards_omissionIsDetected(t *testing.T) {
 	for _, guard := range seglog.Guards() {
-		noticed := detectOmission(guard)
-		if noticed == nil {
-			t.Errorf("%s: not noticed", guard)
+		detected := detectOmission(guard)
+		if detected == nil {
+			t.Errorf("%s: not detected", guard)
 			continue
 		}
-		t.Logf("%s: %s", guard, strings.SplitN(noticed.Error(), "\n", 2)[0])
+		t.Logf("%s: %s", guard, strings.SplitN(detected.Error(), "\n", 2)[0])
 	}
 }
 
-// detectOmission plays all that the tests of this file play until the absence of a guard is noticed.
+// detectOmission runs the checks of this file without a guard until one detects the omission.
 func detectOmission(guard seglog.Guard) error {
 	if err := checkTruncations(guard); err != nil {
 		return err
@@ -343,7 +343,7 @@
 	return nil
 }
 
-// checkTruncations cuts each segment but the last at each byte: the log must be refused.
+// checkTruncations truncates each segment but the last at each byte: the log must be rejected.
 func checkTruncations(omit ...seglog.Guard) error {
 	for _, calls := range sequences(sequenceSize) {
 		disk := seglogtest.NewMemoryDisk()
@@ -355,18 +355,18 @@
 			return err
 		}
 		slices.SortFunc(files, func(a, b seglog.FileInfo) int { return strings.Compare(a.Name, b.Name) })
-		files = slices.DeleteFunc(files, func(one seglog.FileInfo) bool { return !strings.HasSuffix(one.Name, ".segment") })
+		files = slices.DeleteFunc(files, func(file seglog.FileInfo) bool { return !strings.HasSuffix(file.Name, ".segment") })
 		for _, file := range files[:max(len(files), 1)-1] {
 			path := filepath.Join(directory, file.Name)
 			complete, err := disk.ReadFile(path)
 			if err != nil {
 				return err
 			}
-			for cut := range complete {
+			for length := range complete {
 				shorter := disk.Clone()
-				shorter.WriteFile(path, complete[:cut])
+				shorter.WriteFile(path, complete[:length])
 				if _, _, err := tinyLog(shorter, omit...); !errors.Is(err, seglog.ErrCorrupt) {
-					return fmt.Errorf("calls %s, %s cut to %d bytes: %v", calls, file.Name, cut, err)
+					return fmt.Errorf("calls %s, %s truncated to %d bytes: %v", calls, file.Name, length, err)
 				}
 			}
 		}
--- a/coord/seglog/fault_test.go
+++ b/coord/seglog/fault_test.go
@@ -19,11 +19,11 @@
 	disk    *seglogtest.MemoryDisk
 	calls   workload
 	record  *history
-	abandon bool // a failed Compact is not tried again
+	abandon bool // a failed Compact is not retried
 	failed  bool
 }
 
-// runCall makes a drawn call, and after a failure makes the disk well and tries again.
+// runCall makes a random call. If it fails, it ends the fault and retries the call.
 func (r *faultInjectionRun) runCall() {
 	r.t.Helper()
 	call := r.calls.next(r.record.last())
@@ -44,7 +44,7 @@
 	r.record.acknowledge()
 }
 
-// retryCall makes the call with more states after those that failed.
+// retryCall retries the call with more states after those that failed.
 func (r *faultInjectionRun) retryCall(call operation) {
 	r.t.Helper()
 	if call.compact == nil {
@@ -53,11 +53,11 @@
 		call.batch = append(call.batch, more.batch...)
 	}
 	if err := runOperation(r.log, call); err != nil {
-		r.t.Fatalf("second try: %v", err)
+		r.t.Fatalf("second attempt: %v", err)
 	}
 }
 
-// checkAfterLoss shows what a loss of power at this moment leaves.
+// checkAfterLoss checks what a power loss at this moment leaves.
 func (r *faultInjectionRun) checkAfterLoss() {
 	r.t.Helper()
 	for outcome := range uint64(4) {
@@ -100,7 +100,7 @@
 	r.checkNothingLeft()
 }
 
-// checkNothingLeft compacts once more: then the disk has the files that count and no others.
+// checkNothingLeft compacts once more: then the disk contains the required files and no others.
 func (r *faultInjectionRun) checkNothingLeft() {
 	r.t.Helper()
 	state := r.record.last()
@@ -115,7 +115,7 @@
 		onDisk += int64(len(data))
 	}
 	if onDisk != r.log.DiskBytes() {
-		r.t.Fatalf("%d bytes on disk, %d told", onDisk, r.log.DiskBytes())
+		r.t.Fatalf("%d bytes on disk, %d reported", onDisk, r.log.DiskBytes())
 	}
 }
 
@@ -133,10 +133,10 @@
 	}
 }
 
-// freeBytesStep is the difference between two sizes of a disk, bytes. It has no factor in common with record sizes.
+// freeBytesStep is the difference between two sizes of a disk in bytes. It has no factor in common with record sizes.
 const freeBytesStep = 11
 
-// TestLog_fullDisk fills the disk at many places of a workload.
+// TestLog_fullDisk fills the disk at many points of a workload.
 func TestLog_fullDisk(t *testing.T) {
 	for seed := range uint64(2) {
 		for freeBytes := int64(0); ; freeBytes += freeBytesStep {
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestLog_Save_whileDiskFails refuses everything for a while.
+// TestLog_Save_whileDiskFails fails all operations for a while.
 func TestLog_Save_whileDiskFails(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
@@ -177,7 +177,7 @@
 	}
 }
 
-// TestOpen_succeedsAfterFailedOpen shows that a directory can be opened again after an opening that failed.
+// TestOpen_succeedsAfterFailedOpen checks that a directory can be opened after a failed attempt.
 func TestOpen_succeedsAfterFailedOpen(t *testing.T) {
 	for position := int64(1); position < 12; position++ {
 		disk := seglogtest.NewMemoryDisk()
--- a/coord/seglog/full_disk_test.go
+++ b/coord/seglog/full_disk_test.go
@@ -8,11 +8,11 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// attemptsOnFullDisk is how often a call is made again while the disk is full.
+// attemptsOnFullDisk is how often a call is made while the disk is full.
 const attemptsOnFullDisk = 20
 
-// TestLog_fullDiskRejectsNewNames fills the disk after each call of each sequence, so that nothing can be written, made or
-// renamed: calls fail again and again, the disk does not grow by it, power may go, and all goes on once there is room.
+// TestLog_fullDiskRejectsNewNames fills the disk after each call of each sequence, so that nothing can be written, created or
+// renamed: calls fail repeatedly, the disk does not grow, power may be lost, and everything continues once there is space.
 func TestLog_fullDiskRejectsNewNames(t *testing.T) {
 	for _, calls := range sequences(sequenceSize) {
 		for filled := range calls {
@@ -40,7 +40,7 @@
 	}
 }
 
-// checkCallFailsOnFullDisk makes a call on a full disk.
+// checkCallFailsOnFullDisk makes a call repeatedly on a full disk.
 func checkCallFailsOnFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, log *seglog.Log, one operation, record *history) {
 	t.Helper()
 	disk.Full = true
@@ -60,7 +60,7 @@
 	disk.Full = false
 }
 
-// TestOpen_onFullDisk opens a log on a full disk: what was durable can be read, and nothing need be written.
+// TestOpen_onFullDisk opens a log on a full disk: what was durable can be read, and nothing needs to be written.
 func TestOpen_onFullDisk(t *testing.T) {
 	for _, calls := range sequences(sequenceSize) {
 		disk := seglogtest.NewMemoryDisk()
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestLoadOrCreateMemberID_onFullDisk has no ID drawn that is not on disk, and reads one that is.
+// TestLoadOrCreateMemberID_onFullDisk checks that no ID is returned that is not on disk, and that an existing one is read.
 func TestLoadOrCreateMemberID_onFullDisk(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	disk.Full = true
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestLoadOrCreateMemberID_afterEachDirectoryOutcome loses power before each operation of the first start, in all ways: an ID that was
-// returned is there again, and one that was found once lasts.
+// TestLoadOrCreateMemberID_afterEachDirectoryOutcome loses power before each operation of the first start, with all outcomes: an
+// ID that was returned is there again, and one that was read once persists.
 func TestLoadOrCreateMemberID_afterEachDirectoryOutcome(t *testing.T) {
 	for operations := int64(0); ; operations++ {
 		disk := seglogtest.NewMemoryDisk()
--- a/coord/seglog/log_test.go
+++ b/coord/seglog/log_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// TestLog_Save_syncsOncePerBatch counts the syncs of files once the segment is there.
+// TestLog_Save_syncsOncePerBatch counts the syncs of files once the segment exists.
 func TestLog_Save_syncsOncePerBatch(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, _, err := seglog.Open(seglog.Options{FileSystem: disk, Directory: directory})
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestLog_Compact_boundsDiskUsage compacts again and again: the disk holds no more than the last segments.
+// TestLog_Compact_boundsDiskUsage compacts repeatedly: the disk contains no more than the last segments.
 func TestLog_Compact_boundsDiskUsage(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
@@ -51,7 +51,7 @@
 		onDisk += int64(len(data))
 	}
 	if onDisk != log.DiskBytes() {
-		t.Fatalf("%d bytes on disk, %d told", onDisk, log.DiskBytes())
+		t.Fatalf("%d bytes on disk, %d reported", onDisk, log.DiskBytes())
 	}
 	_, recovered := mustOpen(t, disk)
 	if err := record.check(recovered); err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestOpen_rejectsOtherFormatVersion changes the format number of each file; nothing on disk may change then.
+// TestOpen_rejectsOtherFormatVersion changes the format version of each file. Nothing on disk may change then.
 func TestOpen_rejectsOtherFormatVersion(t *testing.T) {
 	written := writeWithSnapshot(t)
 	for name, data := range written.files {
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestOpen_onOperatingSystemFiles runs drawn calls on the real file system and opens it again.
+// TestOpen_onOperatingSystemFiles makes random calls on the real file system and opens it again.
 func TestOpen_onOperatingSystemFiles(t *testing.T) {
 	options := seglog.Options{Directory: filepath.Join(t.TempDir(), "one", "two"), SegmentBytes: smallSegmentBytes}
 	random := newRandom(7)
@@ -149,7 +149,7 @@
 	return seglog.LoadOrCreateMemberID(disk, directory, func() consensus.MemberID { return drawn })
 }
 
-// TestLoadOrCreateMemberID_rejectsCorruptFile cuts and changes the file at each byte.
+// TestLoadOrCreateMemberID_rejectsCorruptFile truncates and changes the file at each byte.
 func TestLoadOrCreateMemberID_rejectsCorruptFile(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	if _, _, err := loadMemberID(disk, 11); err != nil {
@@ -157,16 +157,16 @@
 	}
 	name := seglogtest.SingleFile(disk, directory)
 	complete, _ := disk.ReadFile(name)
-	for cut := range complete {
-		disk.WriteFile(name, complete[:cut])
+	for length := range complete {
+		disk.WriteFile(name, complete[:length])
 		if _, _, err := loadMemberID(disk, 22); !errors.Is(err, seglog.ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated to %d bytes: %v", length, err)
 		}
 		data := append([]byte(nil), complete...)
-		data[cut] ^= 0x41
+		data[length] ^= 0x41
 		disk.WriteFile(name, data)
 		if _, _, err := loadMemberID(disk, 22); !errors.Is(err, seglog.ErrCorrupt) {
-			t.Fatalf("byte %d changed: %v", cut, err)
+			t.Fatalf("byte %d changed: %v", length, err)
 		}
 	}
 }
--- a/coord/seglog/member_id_test.go
+++ b/coord/seglog/member_id_test.go
@@ -21,18 +21,18 @@
 	replicaFile = filepath.Join(replicaDirectory, "segment")
 )
 
-// diskWithReplica has a member ID and one file of a replica, both durable.
+// diskWithReplica returns a disk with a member ID and one file of a replica, both durable.
 func diskWithReplica(t *testing.T) *seglogtest.MemoryDisk {
 	t.Helper()
 	disk := seglogtest.NewMemoryDisk()
 	if _, _, err := startMember(disk, firstMember); err != nil {
 		t.Fatal(err)
 	}
-	disk.WriteFile(replicaFile, []byte("promises"))
+	disk.WriteFile(replicaFile, []byte("votes"))
 	return disk
 }
 
-// startMember does what a keeper does at its start.
+// startMember does what a control plane server does when it starts.
 func startMember(disk *seglogtest.MemoryDisk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
 	lost, err := seglog.RemoveOrphanedReplicas(disk, dataDirectory, []string{replicaDirectory})
 	if err != nil {
@@ -55,11 +55,11 @@
 	}
 }
 
-// TestRemoveOrphanedReplicas_removesReplicasOfLostMember loses power before each operation of a start, and of the one after it.
+// TestRemoveOrphanedReplicas_removesReplicasOfLostMember loses power before each operation of a start, and checks the next one.
 func TestRemoveOrphanedReplicas_removesReplicasOfLostMember(t *testing.T) {
 	faults := map[string]func(disk *seglogtest.MemoryDisk) error{
-		"damaged":   func(disk *seglogtest.MemoryDisk) error { disk.WriteFile(memberFile, []byte("?")); return nil },
-		"forgotten": func(disk *seglogtest.MemoryDisk) error { return seglog.RemoveMemberID(disk, dataDirectory) },
+		"corrupt": func(disk *seglogtest.MemoryDisk) error { disk.WriteFile(memberFile, []byte("?")); return nil },
+		"removed": func(disk *seglogtest.MemoryDisk) error { return seglog.RemoveMemberID(disk, dataDirectory) },
 	}
 	for name, injectFault := range faults {
 		for operations := int64(0); ; operations++ {
@@ -72,7 +72,7 @@
 			disk.LosePower(newRandom(uint64(operations)))
 			id, _, err := startMember(disk, secondMember)
 			if err != nil || id != secondMember || hasReplica(disk) {
-				t.Fatalf("%s, power lost before operation %d: member %d, replica kept: %t, %v", name, operations, id, hasReplica(disk), err)
+				t.Fatalf("%s, power lost before operation %d: member %d, replica exists: %t, %v", name, operations, id, hasReplica(disk), err)
 			}
 			if failure == nil {
 				break
@@ -89,11 +89,11 @@
 		disk.LosePower(newRandom(uint64(operations)))
 		id, _, err := startMember(disk, secondMember)
 		if err != nil || hasReplica(disk) != (id == firstMember) {
-			t.Fatalf("power lost before operation %d: member %d, replica kept: %t, %v", operations, id, hasReplica(disk), err)
+			t.Fatalf("power lost before operation %d: member %d, replica exists: %t, %v", operations, id, hasReplica(disk), err)
 		}
 		if failure == nil {
 			if id != secondMember {
-				t.Fatal("a member that was forgotten came back")
+				t.Fatal("a removed member ID was read again")
 			}
 			return
 		}
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -23,7 +23,7 @@
 	compact *consensus.Snapshot
 }
 
-// stateAfter returns the states that a call passes through, the last one being its result.
+// statesAfter returns the states that an operation passes through, the last one being its result.
 func statesAfter(before consensus.PersistedState, one operation) []consensus.PersistedState {
 	if one.compact != nil {
 		return []consensus.PersistedState{compacted(before, *one.compact)}
@@ -69,7 +69,7 @@
 	return after
 }
 
-// stateText writes a state in one form, so that states can be compared.
+// stateText returns a canonical text of a state for comparisons.
 func stateText(state consensus.PersistedState) string {
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	state.HardState.Commit = min(state.HardState.Commit, last)
@@ -87,13 +87,13 @@
 	return state.Snapshot.Term
 }
 
-// workload draws calls that fit the state in which they are made.
+// workload draws random operations that are valid in the state in which they are made.
 type workload struct {
 	random         *rand.Rand
 	committedIndex uint64 // entries up to here are committed, and so never replaced
 }
 
-// committed returns the index up to which nothing is replaced.
+// committed returns the index up to which entries are never replaced.
 func (w workload) committed(state consensus.PersistedState) uint64 {
 	return max(state.Snapshot.Index, w.committedIndex)
 }
@@ -136,7 +136,7 @@
 	return persist
 }
 
-// replacedFrom draws the index from which a new leader replaces entries.
+// replacedFrom returns a random index from which a new leader replaces entries.
 func (w workload) replacedFrom(state consensus.PersistedState) uint64 {
 	first := w.committed(state) + 1
 	return first + uint64(w.random.IntN(int(lastIndex(state)+2-first)))
@@ -184,12 +184,12 @@
 	return data
 }
 
-// history is what may be on disk: all states, of which those before acknowledged must not be.
+// history is the sequence of states that may be on disk: the acknowledged one, or a later one.
 type history struct {
 	states       []consensus.PersistedState
-	stateTexts   []string // of the states, where they were needed
+	stateTexts   []string // of the states, as far as computed
 	acknowledged int
-	abandoned    []consensus.Snapshot // local ones that failed and were not tried again
+	abandoned    []consensus.Snapshot // local ones that failed and were not retried
 }
 
 func newHistory(state consensus.PersistedState) *history {
@@ -202,7 +202,7 @@
 
 func (h *history) acknowledge() { h.acknowledged = len(h.states) - 1 }
 
-// check fails unless the state is one that was passed through since the last acknowledged one.
+// check returns an error unless the state is the last acknowledged one or a later one.
 func (h *history) check(state consensus.PersistedState) error {
 	recovered := stateText(state)
 	for i := h.acknowledged; i < len(h.states); i++ {
@@ -214,7 +214,7 @@
 		stateText(state), stateText(h.states[h.acknowledged]), stateText(h.last()))
 }
 
-// text returns the text of a state and keeps it.
+// text returns the text of a state, and caches it.
 func (h *history) text(position int) string {
 	for len(h.stateTexts) <= position {
 		h.stateTexts = append(h.stateTexts, stateText(h.states[len(h.stateTexts)]))
@@ -222,7 +222,7 @@
 	return h.stateTexts[position]
 }
 
-// isAbandoned tells whether a snapshot that failed is all that sets the states apart.
+// isAbandoned reports whether the states differ only by a snapshot that failed and was not retried.
 func (h *history) isAbandoned(allowed consensus.PersistedState, recovered string) bool {
 	for _, snapshot := range h.abandoned {
 		inLog := snapshot.Index > allowed.Snapshot.Index && snapshot.Index <= lastIndex(allowed)
@@ -253,7 +253,7 @@
 	return log, stored
 }
 
-// runUntilFailure makes drawn calls until one fails or count are done.
+// runUntilFailure makes random calls until one fails or count calls are done.
 func runUntilFailure(log *seglog.Log, calls workload, record *history, count int) error {
 	for range count {
 		one := calls.next(record.last())
--- a/coord/seglog/power_loss_test.go
+++ b/coord/seglog/power_loss_test.go
@@ -21,8 +21,8 @@
 	roundsOfHistory      = 4
 )
 
-// TestOpen_afterPowerLossAtEachOperation stops the same workloads before each of their disk operations, and
-// loses power with several outcomes of what was not synced.
+// TestOpen_afterPowerLossAtEachOperation stops the same workloads before each of their disk operations, and loses power with
+// several outcomes of what was not synced.
 func TestOpen_afterPowerLossAtEachOperation(t *testing.T) {
 	for seed := range uint64(4) {
 		points := 0
@@ -41,7 +41,7 @@
 	}
 }
 
-// checkPowerLossAfter tells whether the workload finished before the power went.
+// checkPowerLossAfter reports whether the workload finished before the power loss.
 func checkPowerLossAfter(seed uint64, operations int64) (finished bool, err error) {
 	disk := seglogtest.NewMemoryDisk()
 	disk.RemainingOperations = operations
@@ -70,8 +70,7 @@
 	return record, runUntilFailure(log, workload{random: newRandom(seed)}, record, workloadCalls)
 }
 
-// recoverTwice opens the disk, and once more after a loss of power: what the first opening returned
-// must be there again.
+// recoverTwice opens the disk, and again after a power loss: what the first recovery returned must be recovered again.
 func recoverTwice(disk *seglogtest.MemoryDisk, record *history, outcome uint64) error {
 	_, first, err := open(disk)
 	if err != nil {
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// TestOpen_afterPowerLossDuringRecovery stops the recovery itself at each of its operations.
+// TestOpen_afterPowerLossDuringRecovery stops recovery itself at each of its operations.
 func TestOpen_afterPowerLossDuringRecovery(t *testing.T) {
 	for seed := range uint64(3) {
 		for operations := int64(5); operations < 60; operations += 4 {
@@ -123,7 +122,7 @@
 	}
 }
 
-// TestOpen_afterRandomHistories goes on after each loss of power with more calls.
+// TestOpen_afterRandomHistories continues after each power loss with more calls.
 func TestOpen_afterRandomHistories(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(randomSeed)
 	parameters.MinSuccessfulTests = randomHistories
@@ -136,7 +135,7 @@
 	properties.TestingRun(t)
 }
 
-// errorText gives gopter the reason of a failure; an empty text is a success.
+// errorText returns the reason of a failure for gopter, to which an empty text means success.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/coord/seglog/record_test.go
+++ b/coord/seglog/record_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestRecordReader_stopsAtMissingRecord takes out each record, as if a write in between were missing: whole records
-// that follow do not count.
+// TestRecordReader_stopsAtMissingRecord removes each record, as if a write in between were missing: the complete records that
+// follow are not valid.
 func TestRecordReader_stopsAtMissingRecord(t *testing.T) {
 	data, ends := writeRecords(5)
 	for left := range 5 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestRecordReader_rejectsRecordsOfFailedWrite leaves records of a failed write behind others of the same length.
+// TestRecordReader_rejectsRecordsOfFailedWrite leaves records of a failed write after others of the same length.
 func TestRecordReader_rejectsRecordsOfFailedWrite(t *testing.T) {
 	old, ends := writeRecords(5)
 	var writer recordWriter
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestNewRecordReader_rejectsOtherSegment refuses the content of another segment.
+// TestNewRecordReader_rejectsOtherSegment rejects the content of another segment.
 func TestNewRecordReader_rejectsOtherSegment(t *testing.T) {
 	data, _ := writeRecords(1)
 	if _, ok := newRecordReader(data, testSequence+1); ok {
