--- a/internal/controlplane/configuration/cluster_test.go
+++ b/internal/controlplane/configuration/cluster_test.go
@@ -8,25 +8,28 @@
 	"slices"
 )
 
-// injectedDefect names a fault of the keepers around the store, for runs that show that it is noticed.
+// injectedDefect names a defect of the servers around the store, for runs that show that the checks detect it.
 type injectedDefect string
 
-// The lapses that a cluster may have.
+// The defects that a cluster may have.
 const (
-	rejectsLostProposals injectedDefect = "refuses-whats-lost" // a proposal that its leader lost is refused with 412
-	answersBeforeCommit  injectedDefect = "answers-too-soon"   // an entry is answered when it is proposed, not when it is committed
+	rejectsLostProposals injectedDefect = "rejects-lost-proposals" // a proposal that its leader has lost is rejected with 412
+	answersBeforeCommit  injectedDefect = "answers-before-commit"  // an entry is answered when it is proposed, not when it is committed
 )
 
-// clusterOptions shape a drawn cluster.
+// clusterOptions configure a random cluster.
 type clusterOptions struct {
 	replicas, operators int
-	openCommands        int  // most that one operator has under way
-	maxAccepted         int  // changes that stores remember
-	rejectEarly         bool // any keeper refuses by what it has applied, however old that is
+	openCommands        int  // greatest number that one operator has pending
+	maxAccepted         int  // changes that a store remembers
+	rejectEarly         bool // any server rejects by the state that it has applied, however stale
 	omitRules           []Rule
 	defect              injectedDefect
 }
 
+// errStoresDiffer reports a violation of determinism.
+var errStoresDiffer = errors.New("two stores that applied the same log differ")
+
 // noProposer stands for a proposer that has answered already.
 const noProposer = -1
 
@@ -34,10 +37,10 @@
 type proposal struct {
 	command     Command
 	proposer    int
-	incarnation int // of the proposer: one that has restarted answers nobody
+	incarnation int // of the proposer, which no longer answers after a restart
 }
 
-// replicaModel is one keeper's store with its disk.
+// replicaModel is one server's store with its disk.
 type replicaModel struct {
 	store         *Store
 	applied       int // entries of the log
@@ -46,24 +49,24 @@
 	savedAt       int
 }
 
-// operatorModel sends orders and sends them again.
+// operatorModel is an operator that sends commands and retries them.
 type operatorModel struct {
-	known uint64 // the newest generation that it has heard of
+	known uint64 // the latest generation that it knows of
 	open  []Command
-	sent  []Command // all that it ever sent
+	sent  []Command // all commands that it has created
 }
 
-// cluster is a log with the stores that follow it and the operators that fill it, all in one thread.
+// cluster is a log with the stores that apply it and the operators that send commands, all in one goroutine.
 type cluster struct {
 	options     clusterOptions
 	random      *rand.Rand
 	log         []proposal // committed
-	outcomes    []Outcome  // of the log's entries, as the first store decided
-	uncommitted []proposal // in the leader's log alone
+	outcomes    []Outcome  // of the log's entries, from the first store that applied them
+	uncommitted []proposal // in the log of the leader alone
 	leader      int
 	replicas    []*replicaModel
 	operators   []*operatorModel
-	inFlight    []Command // copies that have not arrived
+	inFlight    []Command // copies of commands that have not arrived
 	history     *historyChecker
 	counts      map[Code]int
 }
@@ -88,7 +91,7 @@
 	return store
 }
 
-// step does one drawn thing.
+// step makes one random step.
 func (c *cluster) step() error {
 	switch c.random.IntN(20) {
 	case 0, 1, 2:
@@ -109,7 +112,7 @@
 	return c.read(c.operators[c.random.IntN(len(c.operators))])
 }
 
-// createCommand has an operator think of a new order.
+// createCommand gives an operator a new command to send.
 func (c *cluster) createCommand(operator *operatorModel) error {
 	if len(operator.open) >= c.options.openCommands {
 		return nil
@@ -120,7 +123,8 @@
 	return nil
 }
 
-// randomCommand returns an order on what an operator knows, on one of its own orders, or like one of another operator.
+// randomCommand returns a command based on what an operator knows or on one of its own commands, or a copy of another
+// operator's command.
 func (c *cluster) randomCommand(operator *operatorModel) Command {
 	other := c.operators[c.random.IntN(len(c.operators))]
 	if len(other.sent) > 0 && c.random.IntN(6) == 0 {
@@ -132,7 +136,7 @@
 	}
 	base := operator.known
 	if len(operator.open) > 0 && c.random.IntN(3) == 0 {
-		base += 1 + c.random.Uint64N(2) // built on an order that is still under way, or on none
+		base += 1 + c.random.Uint64N(2) // based on a command that is still pending, or on a generation that never exists
 	}
 	generation := base + c.random.Uint64N(3)
 	if c.random.IntN(4) == 0 {
@@ -141,14 +145,14 @@
 	return updateCommand(base, randomUpdate(generation, c.random.Uint32N(64)))
 }
 
-// send has an operator send one of its open orders, perhaps again.
+// send makes an operator send one of its open commands, possibly again.
 func (c *cluster) send(operator *operatorModel) error {
 	if len(operator.open) == 0 {
 		return nil
 	}
 	command := operator.open[c.random.IntN(len(operator.open))]
 	rejection := ValidateCommand(command)
-	if rejection != nil && c.random.IntN(4) > 0 { // a keeper of another version may know fewer checks
+	if rejection != nil && c.random.IntN(4) > 0 { // a server of another version may know fewer checks
 		return c.answer(command, Outcome{HTTPStatus: rejection.HTTPStatus, Code: rejection.Code})
 	}
 	if c.options.rejectEarly {
@@ -164,7 +168,7 @@
 	return nil
 }
 
-// deliver has the leader propose a copy that was on its way.
+// deliver makes the leader propose a copy that was in flight.
 func (c *cluster) deliver() error {
 	if len(c.inFlight) == 0 {
 		return nil
@@ -185,7 +189,7 @@
 	return c.answer(command, outcome)
 }
 
-// applyToCopy returns what a store would make of a command now.
+// applyToCopy returns the outcome that a command would have now.
 func applyToCopy(replica *replicaModel, command Command) (Outcome, error) {
 	ahead, err := restartedStore(replica.store)
 	if err != nil {
@@ -194,14 +198,14 @@
 	return applyCommand(ahead, command), nil
 }
 
-// commit makes the first entries of the leader's tail part of the log.
+// commit moves the first uncommitted entries to the log.
 func (c *cluster) commit(count int) error {
 	c.log = append(c.log, c.uncommitted[:count]...)
 	c.uncommitted = slices.Clone(c.uncommitted[count:])
 	return nil
 }
 
-// changeLeader has another replica lead, which has only the first entries of the tail.
+// changeLeader makes another replica the leader, which has only the first uncommitted entries.
 func (c *cluster) changeLeader() error {
 	retained := c.random.IntN(len(c.uncommitted) + 1)
 	lost := c.uncommitted[retained:]
@@ -218,7 +222,7 @@
 	return nil
 }
 
-// apply has a replica apply the next entry of the log.
+// apply makes a replica apply the next entry of the log.
 func (c *cluster) apply(at int) error {
 	replica := c.replicas[at]
 	if replica.applied == len(c.log) {
@@ -243,7 +247,7 @@
 	return nil
 }
 
-// saveOrRestart has a replica save its state, or restart from what it has saved, or take another one's snapshot.
+// saveOrRestart makes a replica save its state, restart from what it has saved, or install another one's snapshot.
 func (c *cluster) saveOrRestart(replica *replicaModel) error {
 	switch c.random.IntN(3) {
 	case 0:
@@ -270,7 +274,7 @@
 	return replica.store.Restore(replica.savedSnapshot)
 }
 
-// read has an operator read what is in force, confirmed by a majority.
+// read makes an operator read the configuration in force, confirmed by a majority.
 func (c *cluster) read(operator *operatorModel) error {
 	for c.replicas[c.leader].applied < len(c.log) {
 		if err := c.apply(c.leader); err != nil {
@@ -282,7 +286,7 @@
 	return c.history.read(store)
 }
 
-// answer gives the operators an answer, which may be lost on its way. A clear one ends the order.
+// answer gives the operators an answer, which may be lost. A final one ends the command.
 func (c *cluster) answer(command Command, outcome Outcome) error {
 	if err := c.history.answered(command, outcome.HTTPStatus); err != nil {
 		return err
@@ -303,7 +307,7 @@
 	return nil
 }
 
-// drain has all copies arrive, each order sent once more, and all replicas apply all.
+// drain delivers all copies, sends each command once more, and makes all replicas apply the whole log.
 func (c *cluster) drain() error {
 	for _, operator := range c.operators {
 		for _, command := range operator.sent {
@@ -327,13 +331,13 @@
 			}
 		}
 		if !sameState(replica.store, c.replicas[0].store) {
-			return errors.New("two stores that applied the same log differ")
+			return errStoresDiffer
 		}
 	}
 	return c.history.read(c.replicas[0].store)
 }
 
-// run runs a drawn cluster and returns the first broken rule.
+// run makes random steps and returns the first violation.
 func (c *cluster) run(steps int) error {
 	for range steps {
 		if err := c.step(); err != nil {
--- a/internal/controlplane/configuration/command_sequences_test.go
+++ b/internal/controlplane/configuration/command_sequences_test.go
@@ -1,26 +1,26 @@
 package configuration
 
 import (
-	"fmt"
+	"errors"
 	"testing"
 )
 
-// All that an owner answers follows from the entries of the log before it, so every race, repeat, change of owner and
-// truncation is one sequence of copies of the orders: what was truncated is not in it. TestEverySequenceOfOrders plays
-// all of them up to a length.
+// Each answer follows from the entries of the log before it, so that every race, duplicate, change of leader and truncation is
+// one sequence of copies of the commands; truncated entries are not in it. TestStore_everyCommandSequence runs all sequences up
+// to a length.
 
 const (
-	// maxSequenceLength is how many copies of orders a sequence has at most.
+	// maxSequenceLength is the greatest number of commands in a sequence.
 	maxSequenceLength = 5
 	// shortMaxAccepted is a bound of remembered changes that so short a sequence exceeds.
 	shortMaxAccepted = 1
 )
 
-// sequenceCommands are three orders of each of two operators, with one that both send and one body on two bases.
+// sequenceCommands are three commands of each of two operators, with one that both send and one body on two bases.
 func sequenceCommands() []Command {
 	return []Command{
 		replaceCommand(0, randomConfiguration(5)),
-		updateCommand(5, `{"generation":7}`), // of both operators
+		updateCommand(5, `{"generation":7}`), // sent by both operators
 		updateCommand(7, `{"generation":9,"upsert":{"services":[{"name":"a"}]}}`),
 		replaceCommand(0, configurationOf(5, nil, []string{exampleService})), // the same number
 		updateCommand(5, `{"generation":7,"upsert":{"notes":1}}`),            // the same number
@@ -29,14 +29,14 @@
 	}
 }
 
-// sequenceSearch plays all sequences.
+// sequenceSearch runs all sequences of its commands.
 type sequenceSearch struct {
 	commands  []Command
 	maxLength int // of the longest sequence
 	played    int // sequences
 }
 
-// run puts each order after what a store has applied. It returns the first broken rule.
+// run applies each command after those that the store has applied, and recurses. It returns the first violation.
 func (e *sequenceSearch) run(store *Store, history *historyChecker, depth int) error {
 	if depth == e.maxLength {
 		return nil
@@ -47,7 +47,7 @@
 			return err
 		}
 		if !sameState(store, next) {
-			return fmt.Errorf("a store is another one after a restart")
+			return errors.New("a store differs after a restart")
 		}
 		e.played++
 		seen := history.clone()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// searchSequences plays all sequences on stores that remember so many changes and leave rules out.
+// searchSequences runs all sequences on stores that remember maxAccepted changes and omit the rules.
 func searchSequences(maxAccepted, length int, omit ...Rule) (played int, broken error) {
 	store := NewStore(omit...)
 	store.maxAccepted = maxAccepted
@@ -90,7 +90,7 @@
 	}
 }
 
-// Each rule is needed: without it some sequence breaks what an operator is promised.
+// TestRules_omissionIsDetectedByCommandSequence checks that each rule is needed: without it some sequence violates a promise.
 func TestRules_omissionIsDetectedByCommandSequence(t *testing.T) {
 	for _, rule := range Rules() {
 		for _, maxAccepted := range []int{maxAcceptedChanges, shortMaxAccepted} {
@@ -100,7 +100,7 @@
 				break
 			}
 			if maxAccepted == shortMaxAccepted {
-				t.Errorf("nothing breaks without %s in %d sequences", rule, played)
+				t.Errorf("no violation without %s in %d sequences", rule, played)
 			}
 		}
 	}
--- a/internal/controlplane/configuration/example_data_test.go
+++ b/internal/controlplane/configuration/example_data_test.go
@@ -18,7 +18,7 @@
 
 const exampleLimits = `{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}`
 
-// configurationOf returns a whole configuration of the given lists.
+// configurationOf returns a complete configuration with the given lists.
 func configurationOf(generation uint64, routes, services []string) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[%s],"limits":%s,"notes":{"by":"a"}}`,
 		generation, strings.Join(routes, ","), strings.Join(services, ","), exampleLimits)
@@ -41,7 +41,7 @@
 	return Command{Kind: CommandUpdate, Base: base, Body: []byte(body)}
 }
 
-// applyCommand applies a command and returns its outcome alone.
+// applyCommand applies a command and returns its outcome.
 func applyCommand(store *Store, command Command) Outcome {
 	outcome, _ := store.Apply(1, EncodeCommand(command))
 	return outcome
--- a/internal/controlplane/configuration/format_test.go
+++ b/internal/controlplane/configuration/format_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// format1Directory is what a store that wrote the first format has left: four entries that it accepted, one after the other,
-// and its snapshot and document after them.
+// format1Directory contains what a store that wrote format 1 has left: four entries that it accepted, one after the other, and
+// its snapshot and document after them.
 const format1Directory = "testdata/format1"
 
-// format1Entries is how many entries it has left.
+// format1Entries is the number of those entries.
 const format1Entries = 4
 
 func readFormat1File(t *testing.T, name string) []byte {
@@ -24,8 +24,8 @@
 	return content
 }
 
-// What was accepted once is accepted whenever a log is replayed, by any later check, and is never refused beforehand:
-// checks may become stricter only for commands of a new format.
+// TestStore_Apply_acceptsEntriesOfFormat1 checks that what was accepted once is accepted by every later replay of the log, and is
+// not rejected by ValidateCommand: checks may become stricter only for commands of a new format.
 func TestStore_Apply_acceptsEntriesOfFormat1(t *testing.T) {
 	replayed := NewStore()
 	for number := 1; number <= format1Entries; number++ {
@@ -64,7 +64,8 @@
 	}
 }
 
-// The first format holds no bases, so once something of it is forgotten, nothing that old is told for sure.
+// TestStore_Restore_format1BasesAreConservative checks that, once a change of format 1 is forgotten, commands on bases that old
+// get no final answer, since that format does not contain the bases.
 func TestStore_Restore_format1BasesAreConservative(t *testing.T) {
 	store := NewStore()
 	store.maxAccepted = format1Entries
--- a/internal/controlplane/configuration/history_checker_test.go
+++ b/internal/controlplane/configuration/history_checker_test.go
@@ -6,13 +6,13 @@
 	"net/http"
 )
 
-// historyChecker follows all answers to orders and all that was taken, and tells of the first rule that they break.
+// historyChecker follows all answers to commands and all accepted changes, and returns the first violation.
 type historyChecker struct {
-	acknowledged map[commandDigest]bool   // orders that somebody was told 200 for
-	rejected     map[commandDigest]bool   // orders that somebody was told 4xx for
-	accepted     map[commandDigest]uint64 // orders in force at some time, with the generation
-	bases        map[uint64]commandDigest // the order that was taken on each base
-	generation   uint64                   // generation that was taken last
+	acknowledged map[commandDigest]bool   // commands that were answered with 200
+	rejected     map[commandDigest]bool   // commands that were answered with 4xx
+	accepted     map[commandDigest]uint64 // commands that were accepted, with the generation
+	bases        map[uint64]commandDigest // the command that was accepted on each base
+	generation   uint64                   // accepted last
 }
 
 func newHistoryChecker() *historyChecker {
@@ -22,7 +22,7 @@
 	}
 }
 
-// clone returns a judge that has seen the same.
+// clone returns a checker that has seen the same history.
 func (c *historyChecker) clone() *historyChecker {
 	copied := newHistoryChecker()
 	copied.generation = c.generation
@@ -41,7 +41,7 @@
 	return copied
 }
 
-// applied notes what became of the next entry of the log.
+// applied records the outcome of the next entry of the log.
 func (c *historyChecker) applied(command Command, outcome Outcome) error {
 	if outcome.Code != CodeAccepted {
 		return nil
@@ -49,15 +49,15 @@
 	digest := digestOf(command)
 	switch before, twice := c.bases[command.Base]; {
 	case c.rejected[digest]:
-		return fmt.Errorf("an order that was refused is in force: %s on %d", command.Body, command.Base)
+		return fmt.Errorf("a rejected command is in force: %s on %d", command.Body, command.Base)
 	case c.accepted[digest] > 0:
-		return fmt.Errorf("an order is taken a second time: %s on %d", command.Body, command.Base)
+		return fmt.Errorf("a command is accepted a second time: %s on %d", command.Body, command.Base)
 	case twice && before != digest:
-		return fmt.Errorf("two changes on the same base %d are taken", command.Base)
+		return fmt.Errorf("two changes on the same base %d are accepted", command.Base)
 	case command.Base != c.generation:
-		return fmt.Errorf("a change on %d is taken where %d is in force", command.Base, c.generation)
+		return fmt.Errorf("a change on %d is accepted where %d is in force", command.Base, c.generation)
 	case outcome.Generation <= c.generation:
-		return fmt.Errorf("generation %d is taken after %d", outcome.Generation, c.generation)
+		return fmt.Errorf("generation %d is accepted after %d", outcome.Generation, c.generation)
 	}
 	c.bases[command.Base] = digest
 	c.accepted[digest] = outcome.Generation
@@ -65,22 +65,22 @@
 	return nil
 }
 
-// answered notes what an operator is told.
+// answered records an answer to an operator.
 func (c *historyChecker) answered(command Command, status int) error {
 	digest := digestOf(command)
 	switch status {
 	case http.StatusOK:
 		c.acknowledged[digest] = true
 		if c.rejected[digest] {
-			return fmt.Errorf("an order that was refused is acknowledged: %s on %d", command.Body, command.Base)
+			return fmt.Errorf("a rejected command is acknowledged: %s on %d", command.Body, command.Base)
 		}
 		if c.accepted[digest] == 0 {
-			return fmt.Errorf("an order that was not taken is acknowledged: %s on %d", command.Body, command.Base)
+			return fmt.Errorf("a command that was not accepted is acknowledged: %s on %d", command.Body, command.Base)
 		}
 	case http.StatusBadRequest, http.StatusPreconditionFailed:
 		c.rejected[digest] = true
 		if c.acknowledged[digest] || c.accepted[digest] > 0 {
-			return fmt.Errorf("an order that was taken is refused: %s on %d", command.Body, command.Base)
+			return fmt.Errorf("an accepted command is rejected: %s on %d", command.Body, command.Base)
 		}
 	case http.StatusServiceUnavailable:
 	default:
@@ -89,15 +89,15 @@
 	return nil
 }
 
-// read compares a configuration that is read with what was taken last.
+// read compares a configuration that was read with the one accepted last.
 func (c *historyChecker) read(store *Store) error {
 	if store.Generation() != c.generation {
-		return fmt.Errorf("generation %d is read where %d was taken last", store.Generation(), c.generation)
+		return fmt.Errorf("generation %d is read where %d was accepted last", store.Generation(), c.generation)
 	}
 	return nil
 }
 
-// restartedStore returns a store that has read the snapshot of another.
+// restartedStore returns a store restored from the snapshot of another.
 func restartedStore(store *Store) (*Store, error) {
 	fresh := NewStore()
 	fresh.maxAccepted, fresh.omittedRules = store.maxAccepted, store.omittedRules
@@ -107,5 +107,5 @@
 	return fresh, nil
 }
 
-// sameState tells whether two stores are the same and would answer alike.
+// sameState reports whether two stores have the same state, and so would answer alike.
 func sameState(one, other *Store) bool { return bytes.Equal(one.Snapshot(), other.Snapshot()) }
--- a/internal/controlplane/configuration/parse_test.go
+++ b/internal/controlplane/configuration/parse_test.go
@@ -130,7 +130,7 @@
 		mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
 		outcome := applyCommand(store, Command{Kind: CommandUpdate, Base: 7, Body: raw})
 		if rejection := ValidateCommand(Command{Kind: CommandUpdate, Base: 7, Body: raw}); rejection != nil && outcome.HTTPStatus == 200 {
-			t.Fatalf("accepted, but refused without the state: %v", rejection)
+			t.Fatalf("accepted, but rejected without the state: %v", rejection)
 		}
 		if _, rejection := readDocument(store.Document()); rejection != nil {
 			t.Fatalf("%v: %s", rejection, store.Document())
--- a/internal/controlplane/configuration/property_test.go
+++ b/internal/controlplane/configuration/property_test.go
@@ -20,7 +20,7 @@
 	randomHosts = 2
 )
 
-// randomUpdate turns a drawn number into an update that may be valid or not.
+// randomUpdate derives an update, valid or not, from a random number.
 func randomUpdate(generation uint64, number uint32) string {
 	routes := []string{}
 	for round := uint32(0); round < number%3; round++ {
@@ -37,7 +37,7 @@
 		generation, strings.Join(routes, ","), services, removed)
 }
 
-// randomConfiguration is a whole configuration that drawn updates change.
+// randomConfiguration is a complete configuration that random updates change.
 func randomConfiguration(generation uint64) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[],"services":[{"name":"s0"},{"name":"s1"}],"other":[1]}`, generation)
 }
@@ -74,13 +74,13 @@
 	))
 	properties.TestingRun(t)
 	if accepted < 100 {
-		t.Fatalf("only %d updates were accepted: the property says little", accepted)
+		t.Fatalf("only %d updates were accepted: the property is hardly tested", accepted)
 	}
 }
 
 func TestStore_replicasAgreeThroughSnapshots(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 1))
-	properties.Property("a replica that restores in between is the same", prop.ForAll(
+	properties.Property("a replica that is restored in between has the same state", prop.ForAll(
 		func(numbers []uint32) bool {
 			first, second := NewStore(), NewStore()
 			entries := [][]byte{EncodeCommand(replaceCommand(0, randomConfiguration(1)))}
@@ -109,7 +109,7 @@
 
 func TestStore_Apply_oneOfTwoChangesOnSameBaseWins(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 2))
-	properties.Property("the second is refused, each repeat is answered as before or 412", prop.ForAll(
+	properties.Property("the second is rejected, each duplicate is acknowledged", prop.ForAll(
 		func(rise, otherRise uint8, asReplace bool) bool {
 			store := NewStore()
 			mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
--- a/internal/controlplane/configuration/random_commands_test.go
+++ b/internal/controlplane/configuration/random_commands_test.go
@@ -5,10 +5,10 @@
 const (
 	randomClusters     = 150 // of each shape
 	randomSteps        = 400
-	fewAcceptedChanges = 3 // remembered changes, so few that orders outlive them
+	fewAcceptedChanges = 3 // remembered changes, so few that commands outlive them
 )
 
-// clusterShapes differ in replicas, operators, orders under way and memory.
+// clusterShapes differ in the numbers of replicas, operators, pending commands and remembered changes.
 func clusterShapes() []clusterOptions {
 	return []clusterOptions{
 		{replicas: 3, operators: 2, openCommands: 3, maxAccepted: maxAcceptedChanges},
@@ -17,12 +17,12 @@
 	}
 }
 
-// TestStore_randomCommands has operators send orders, again and to any keeper, while leaders change, proposals are lost at unknown
-// points, answers are lost, and keepers restart, replay and take snapshots.
+// TestStore_randomCommands has operators send and retry commands at any server, while leaders change, proposals are lost at
+// unknown points, answers are lost, and servers restart, replay the log and install snapshots.
 func TestStore_randomCommands(t *testing.T) { runRandomClusters(t, false) }
 
-// A refusal is final, so that it does not matter by which state it is given: any keeper could give it by its own replica,
-// however far that is behind. Only an acknowledgement needs the log.
+// TestStore_rejectionsHoldForAnyState checks that a rejection is final whatever state it is based on: any server could reject by
+// its own replica, however stale that is. Only an acknowledgement needs the log.
 func TestStore_rejectionsHoldForAnyState(t *testing.T) { runRandomClusters(t, true) }
 
 func runRandomClusters(t *testing.T, refuseEarly bool) {
@@ -41,14 +41,14 @@
 	}
 	for _, code := range []Code{CodeAccepted, CodeRepeated, CodeBaseNotCurrent, CodeBaseAhead, CodeBaseForgotten, CodeUnknownService} {
 		if counts[code] < randomClusters/10 {
-			t.Errorf("%s came only %d times: the runs say little", codes.Entry(code).Name, counts[code])
+			t.Errorf("%s occurred only %d times: the case is hardly tested", codes.Entry(code).Name, counts[code])
 		}
 	}
 	t.Logf("%d clusters: %d accepted, %d repeated, %d lost races, %d ahead, %d forgotten",
 		randomClusters*len(clusterShapes()), counts[CodeAccepted], counts[CodeRepeated], counts[CodeBaseNotCurrent], counts[CodeBaseAhead], counts[CodeBaseForgotten])
 }
 
-// firstViolation returns the number of the first drawn cluster that breaks a rule, and that rule.
+// firstViolation returns the number of the first random cluster with a violation, and that violation.
 func firstViolation(alter func(options *clusterOptions)) (number int, broken error) {
 	for seed := range uint64(randomClusters) {
 		for _, shape := range clusterShapes() {
@@ -62,20 +62,21 @@
 	return number, nil
 }
 
-// Each rule of the store and each habit of its keepers is needed: without it a drawn cluster breaks a promise.
+// TestRules_omissionIsDetectedByRandomCommands checks that each rule of the store, and each property of the servers around it, is
+// needed: without it a random cluster violates a promise.
 func TestRules_omissionIsDetectedByRandomCommands(t *testing.T) {
 	for _, rule := range Rules() {
 		number, broken := firstViolation(func(options *clusterOptions) { options.omitRules = []Rule{rule} })
 		if broken == nil {
-			t.Errorf("nothing breaks without %s", rule)
+			t.Errorf("no violation without %s", rule)
 		}
 		t.Logf("without %s: %v (cluster %d)", rule, broken, number)
 	}
-	for _, lapse := range []injectedDefect{rejectsLostProposals, answersBeforeCommit} {
-		number, broken := firstViolation(func(options *clusterOptions) { options.defect = lapse })
+	for _, defect := range []injectedDefect{rejectsLostProposals, answersBeforeCommit} {
+		number, broken := firstViolation(func(options *clusterOptions) { options.defect = defect })
 		if broken == nil {
-			t.Errorf("nothing breaks where a keeper %s", lapse)
+			t.Errorf("no violation although a server %s", defect)
 		}
-		t.Logf("%s: %v (cluster %d)", lapse, broken, number)
+		t.Logf("%s: %v (cluster %d)", defect, broken, number)
 	}
 }
--- a/internal/controlplane/configuration/store_test.go
+++ b/internal/controlplane/configuration/store_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// invalidReplaceBodies are invalid whatever came before, with the code that each is refused with.
+// invalidReplaceBodies are invalid in any state, with the code of their rejection.
 func invalidReplaceBodies() map[string]Code {
 	services := []string{`{"name":"s"}`}
 	route := func(fields string) string {
@@ -175,7 +175,8 @@
 	}
 }
 
-// A change that builds on one which is still under way may be taken later, so it is not refused.
+// TestStore_Apply_baseAheadIsUndecided checks that a change based on one which is still pending gets no final answer, since it
+// may be accepted later.
 func TestStore_Apply_baseAheadIsUndecided(t *testing.T) {
 	store := NewStore()
 	mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
@@ -185,13 +186,13 @@
 		t.Fatalf("%+v", outcome)
 	}
 	if !bytes.Equal(before, store.Snapshot()) {
-		t.Fatal("a change without a clear answer has changed the state")
+		t.Fatal("a change without a final answer has changed the state")
 	}
 	mustAccept(t, store, updateCommand(7, `{"generation":9}`))
 	mustAccept(t, store, early)
 }
 
-// What makes two orders the same: the call, X-Base-Version and each byte of the body.
+// TestStore_Apply_duplicateNeedsSameKindBaseAndBytes checks that only the same call, X-Base-Version and body make a duplicate.
 func TestStore_Apply_duplicateNeedsSameKindBaseAndBytes(t *testing.T) {
 	store := NewStore()
 	body := exampleConfiguration(7)
@@ -203,7 +204,7 @@
 		code    Code
 	}{
 		{"unchanged", replaceCommand(0, body), CodeRepeated},
-		{"another base, passed too", replaceCommand(7, body), CodeBaseNotCurrent},
+		{"another base that was passed", replaceCommand(7, body), CodeBaseNotCurrent},
 		{"another base, in force", replaceCommand(9, body), CodeGenerationNotAbove},
 		{"another call", updateCommand(0, body), CodeBaseNotCurrent},
 		{"a space more", replaceCommand(0, body+" "), CodeBaseNotCurrent},
@@ -249,8 +250,8 @@
 	}
 }
 
-// A change that is too old to be remembered gets no clear answer, neither an accepted one nor another: which it was is
-// not known any more.
+// TestStore_Apply_forgetsDuplicatesBeyondBound checks that a change too old to be remembered gets no final answer, whether it was
+// accepted or not: the store does not know any more.
 func TestStore_Apply_forgetsDuplicatesBeyondBound(t *testing.T) {
 	store := NewStore()
 	commands := []Command{}
@@ -281,7 +282,8 @@
 	}
 }
 
-// Updates make a configuration no larger than what keepers can send to one another, and may make a large one smaller.
+// TestStore_Apply_boundsDocumentSize checks that updates make a configuration no larger than what servers can send to each other,
+// and may make a large one smaller.
 func TestStore_Apply_boundsDocumentSize(t *testing.T) {
 	store := NewStore()
 	mustAccept(t, store, replaceCommand(0, `{"generation":1,"routes":[],"services":[],"notes":[{"name":"a"}]}`))
