--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -100,20 +100,20 @@
 	return added
 }
 
-func (c *testCluster) open(p *testReplica, founders []consensus.Member) {
+func (c *testCluster) open(replica *testReplica, founders []consensus.Member) {
 	c.t.Helper()
-	p.stateMachine = &listStateMachine{}
-	machine := StateMachine(p.stateMachine)
+	replica.stateMachine = &listStateMachine{}
+	machine := StateMachine(replica.stateMachine)
 	if c.newStateMachine != nil {
 		machine = c.newStateMachine()
 	}
 	group, err := Open(Options{
 		Directory:    "group",
-		FileSystem:   p.disk,
-		Self:         p.member,
+		FileSystem:   replica.disk,
+		Self:         replica.member,
 		Founders:     founders,
 		StateMachine: machine,
-		Send:         func(_ consensus.Member, message consensus.Message) { c.send(p, message) },
+		Send:         func(_ consensus.Member, message consensus.Message) { c.send(replica, message) },
 		Clock:        c.clock,
 		OmitRules:    c.omitRules,
 		OmitGuards:   c.omitGuards,
@@ -121,24 +121,24 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	p.group = group
+	replica.group = group
 }
 
 // restart ends a process and starts it again from its disk, after a power loss if requested.
-func (c *testCluster) restart(p *testReplica, powerLoss bool, seed uint64) {
+func (c *testCluster) restart(replica *testReplica, powerLoss bool, seed uint64) {
 	if powerLoss {
-		p.disk.LosePower(seglogtest.NewRandom(seed))
+		replica.disk.LosePower(seglogtest.NewRandom(seed))
 	} else {
-		p.disk.Restart()
+		replica.disk.Restart()
 	}
-	p.group.loop.stop(p.group.queue.close())
-	p.stalled, p.retryAt = false, 0
-	c.open(p, nil)
+	replica.group.loop.stop(replica.group.queue.close())
+	replica.stalled, replica.retryAt = false, 0
+	c.open(replica, nil)
 }
 
 // remove removes a replica from the cluster for good.
-func (c *testCluster) remove(gone *testReplica) {
-	c.replicas = slices.DeleteFunc(c.replicas, func(p *testReplica) bool { return p == gone })
+func (c *testCluster) remove(removed *testReplica) {
+	c.replicas = slices.DeleteFunc(c.replicas, func(replica *testReplica) bool { return replica == removed })
 }
 
 func (c *testCluster) send(from *testReplica, message consensus.Message) {
@@ -155,70 +155,70 @@
 	}
 	c.clock.now = max(c.clock.now, due)
 	c.deliver()
-	for _, p := range c.replicas {
-		p.work(c.clock.now)
+	for _, replica := range c.replicas {
+		replica.work(c.clock.now)
 	}
 }
 
 func (c *testCluster) nextDue() time.Duration {
 	due := never
-	for _, one := range c.network {
-		due = min(due, one.due)
+	for _, sent := range c.network {
+		due = min(due, sent.due)
 	}
-	for _, p := range c.replicas {
-		if p.stopped {
+	for _, replica := range c.replicas {
+		if replica.stopped {
 			continue
 		}
-		if len(p.group.queue.events) > 0 || p.hasWriteReady() {
+		if len(replica.group.queue.events) > 0 || replica.hasWriteReady() {
 			return c.clock.now
 		}
-		due = min(due, p.group.loop.nextWakeUp())
-		if p.retryAt > 0 {
-			due = min(due, p.retryAt)
+		due = min(due, replica.group.loop.nextWakeUp())
+		if replica.retryAt > 0 {
+			due = min(due, replica.retryAt)
 		}
 	}
 	return due
 }
 
 // hasWriteReady reports whether the log writer has work that it may do at once.
-func (p *testReplica) hasWriteReady() bool {
-	return !p.stalled && p.retryAt == 0 && len(p.group.writer.submitted)+len(p.group.writer.pending) > 0
+func (replica *testReplica) hasWriteReady() bool {
+	return !replica.stalled && replica.retryAt == 0 && len(replica.group.writer.submitted)+len(replica.group.writer.pending) > 0
 }
 
 func (c *testCluster) deliver() {
 	var later []envelope
-	for _, one := range c.network {
-		if one.due > c.clock.now {
-			later = append(later, one)
+	for _, sent := range c.network {
+		if sent.due > c.clock.now {
+			later = append(later, sent)
 			continue
 		}
-		if to := c.replica(one.message.To); to != nil && !to.partitioned {
-			to.group.Step(one.message)
+		if to := c.replica(sent.message.To); to != nil && !to.partitioned {
+			to.group.Step(sent.message)
 		}
 	}
 	c.network = later
 }
 
-func (p *testReplica) work(now time.Duration) {
-	if p.stopped {
+func (replica *testReplica) work(now time.Duration) {
+	if replica.stopped {
 		return
 	}
-	if len(p.group.queue.events) > 0 || now >= p.group.loop.nextWakeUp() {
-		p.group.loop.iterate(p.group.queue.drain())
+	if len(replica.group.queue.events) > 0 || now >= replica.group.loop.nextWakeUp() {
+		replica.group.loop.iterate(replica.group.queue.drain())
 	}
-	if p.stalled || now < p.retryAt {
+	if replica.stalled || now < replica.retryAt {
 		return
 	}
-	p.retryAt = 0
-	if retryDelay := p.group.writer.writePending(); retryDelay > 0 {
-		p.retryAt = now + retryDelay
+	replica.retryAt = 0
+	if retryDelay := replica.group.writer.writePending(); retryDelay > 0 {
+		replica.retryAt = now + retryDelay
 	}
 }
 
 func (c *testCluster) replica(id consensus.MemberID) *testReplica {
-	for _, p := range c.replicas {
-		if p.member.ID == id {
-			return p
+	for _, replica := range c.replicas {
+		if replica.member.ID == id {
+			return replica
 		}
 	}
 	return nil
@@ -239,13 +239,13 @@
 // leader returns the replica that leads in the highest term, or nil.
 func (c *testCluster) leader() *testReplica {
 	var found *testReplica
-	for _, p := range c.replicas {
-		status := p.group.Status()
-		if p.partitioned || !status.IsLeader() {
+	for _, replica := range c.replicas {
+		status := replica.group.Status()
+		if replica.partitioned || !status.IsLeader() {
 			continue
 		}
 		if found == nil || status.Term > found.group.Status().Term {
-			found = p
+			found = replica
 		}
 	}
 	return found
@@ -261,9 +261,9 @@
 }
 
 // propose queues a proposal without waiting.
-func (p *testReplica) propose(command string) chan outcome {
+func (replica *testReplica) propose(command string) chan outcome {
 	done := newOutcomeChannel()
-	p.group.queue.push(proposeEvent{data: []byte(command), done: done})
+	replica.group.queue.push(proposeEvent{data: []byte(command), done: done})
 	return done
 }
 
@@ -282,10 +282,10 @@
 	}
 }
 
-func (c *testCluster) awaitCommands(p *testReplica, count int) {
+func (c *testCluster) awaitCommands(replica *testReplica, count int) {
 	c.t.Helper()
-	c.stepUntil(fmt.Sprintf("%d commands at member %d", count, p.member.ID), func() bool {
-		return len(p.stateMachine.Commands) == count
+	c.stepUntil(fmt.Sprintf("%d commands at member %d", count, replica.member.ID), func() bool {
+		return len(replica.stateMachine.Commands) == count
 	})
 }
 
--- a/coord/replica/event_loop_test.go
+++ b/coord/replica/event_loop_test.go
@@ -79,7 +79,7 @@
 		writable: true,
 	}
 	options := Options{StateMachine: &listStateMachine{}, Clock: s.clock, Send: func(consensus.Member, consensus.Message) {}}.withDefaults()
-	s.loop = newEventLoop(&options, s.node, func(one writeJob) { s.jobs = append(s.jobs, one) })
+	s.loop = newEventLoop(&options, s.node, func(job writeJob) { s.jobs = append(s.jobs, job) })
 	return s
 }
 
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -17,9 +17,9 @@
 	for i := range 20 {
 		c.commit(fmt.Sprint("command ", i))
 	}
-	for _, p := range c.replicas {
-		c.awaitCommands(p, 20)
-		if !slices.Equal(p.stateMachine.Commands, c.replicas[0].stateMachine.Commands) {
+	for _, replica := range c.replicas {
+		c.awaitCommands(replica, 20)
+		if !slices.Equal(replica.stateMachine.Commands, c.replicas[0].stateMachine.Commands) {
 			t.Fatal("replicas differ")
 		}
 	}
@@ -38,13 +38,13 @@
 func TestGroup_Propose_followerNamesLeader(t *testing.T) {
 	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	for _, p := range c.replicas {
-		if p == leader {
+	for _, replica := range c.replicas {
+		if replica == leader {
 			continue
 		}
-		c.stepUntil("knows the leader", func() bool { return p.group.Status().Leader.ID != 0 })
+		c.stepUntil("knows the leader", func() bool { return replica.group.Status().Leader.ID != 0 })
 		var rejected NotLeaderError
-		if err := c.await(p.propose("x")).err; !errors.As(err, &rejected) || rejected.Leader != leader.member {
+		if err := c.await(replica.propose("x")).err; !errors.As(err, &rejected) || rejected.Leader != leader.member {
 			t.Fatalf("got %v", err)
 		}
 	}
@@ -183,13 +183,13 @@
 	c := newTestCluster(t, 3)
 	for round := range 10 {
 		c.commit(fmt.Sprint("command ", round))
-		for _, p := range c.replicas {
-			c.restart(p, round%2 == 0, uint64(round))
+		for _, replica := range c.replicas {
+			c.restart(replica, round%2 == 0, uint64(round))
 		}
 	}
 	c.awaitLeader()
-	for _, p := range c.replicas {
-		c.awaitCommands(p, 10)
+	for _, replica := range c.replicas {
+		c.awaitCommands(replica, 10)
 	}
 }
 
--- a/coord/replica/guards_test.go
+++ b/coord/replica/guards_test.go
@@ -10,8 +10,8 @@
 // setOmittedGuards omits guards in all members, running ones included.
 func (c *testCluster) setOmittedGuards(guards []Guard) {
 	c.omitGuards = guards
-	for _, p := range c.replicas {
-		p.group.loop.options.OmitGuards = guards
+	for _, replica := range c.replicas {
+		replica.group.loop.options.OmitGuards = guards
 	}
 }
 
--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -78,67 +78,67 @@
 
 // injectFault makes one fault or call at a random member.
 func (r *randomFaultRun) injectFault(number int) {
-	p := r.replicas[r.random.IntN(len(r.replicas))]
+	replica := r.replicas[r.random.IntN(len(r.replicas))]
 	switch r.random.IntN(faultKinds) {
 	case 0:
-		p.partitioned = r.random.IntN(faultOdds) == 0
+		replica.partitioned = r.random.IntN(faultOdds) == 0
 	case 1:
-		p.stalled = r.random.IntN(faultOdds) == 0
+		replica.stalled = r.random.IntN(faultOdds) == 0
 	case 2:
-		r.restart(p, r.random.IntN(2) == 0, r.random.Uint64())
+		r.restart(replica, r.random.IntN(2) == 0, r.random.Uint64())
 	case 3:
-		p.disk.FreeBytes = int64(r.random.IntN(fullDiskFreeBytes))
+		replica.disk.FreeBytes = int64(r.random.IntN(fullDiskFreeBytes))
 	case 4:
-		p.disk.FreeBytes = seglogtest.Unlimited
+		replica.disk.FreeBytes = seglogtest.Unlimited
 	case 5:
-		p.group.queue.push(transferEvent{done: newOutcomeChannel()})
+		replica.group.queue.push(transferEvent{done: newOutcomeChannel()})
 	case 6:
-		r.read(p)
+		r.read(replica)
 	default:
-		r.proposeAt(p, fmt.Sprint("command ", number))
+		r.proposeAt(replica, fmt.Sprint("command ", number))
 	}
 }
 
-func (r *randomFaultRun) proposeAt(p *testReplica, command string) {
-	r.pending = append(r.pending, attempt{command: command, at: p, done: p.propose(command)})
+func (r *randomFaultRun) proposeAt(replica *testReplica, command string) {
+	r.pending = append(r.pending, attempt{command: command, at: replica, done: replica.propose(command)})
 }
 
-func (r *randomFaultRun) read(p *testReplica) {
+func (r *randomFaultRun) read(replica *testReplica) {
 	done := newOutcomeChannel()
-	p.group.queue.push(readEvent{done})
-	r.pending = append(r.pending, attempt{at: p, seen: len(r.acknowledged), done: done})
+	replica.group.queue.push(readEvent{done})
+	r.pending = append(r.pending, attempt{at: replica, seen: len(r.acknowledged), done: done})
 }
 
 // collect processes the answers that have arrived.
 func (r *randomFaultRun) collect() {
 	var left []attempt
-	for _, one := range r.pending {
+	for _, pending := range r.pending {
 		select {
-		case received := <-one.done:
-			r.record(one, received)
+		case received := <-pending.done:
+			r.record(pending, received)
 		default:
-			left = append(left, one)
+			left = append(left, pending)
 		}
 	}
 	r.pending = left
 }
 
-func (r *randomFaultRun) record(one attempt, received outcome) {
+func (r *randomFaultRun) record(pending attempt, received outcome) {
 	switch {
-	case one.command == "" && received.err == nil:
-		r.checkRead(one)
-	case one.command == "":
+	case pending.command == "" && received.err == nil:
+		r.checkRead(pending)
+	case pending.command == "":
 	case received.err == nil:
-		r.acknowledged = append(r.acknowledged, one.command)
+		r.acknowledged = append(r.acknowledged, pending.command)
 	case !errors.Is(received.err, ErrUnknownOutcome):
-		r.rejected[one.command] = true
+		r.rejected[pending.command] = true
 	}
 }
 
-func (r *randomFaultRun) checkRead(one attempt) {
-	for _, command := range r.acknowledged[:one.seen] {
-		if !slices.Contains(one.at.stateMachine.Commands, command) {
-			r.failure = fmt.Errorf("a read at member %d does not see %q", one.at.member.ID, command)
+func (r *randomFaultRun) checkRead(read attempt) {
+	for _, command := range r.acknowledged[:read.seen] {
+		if !slices.Contains(read.at.stateMachine.Commands, command) {
+			r.failure = fmt.Errorf("a read at member %d does not see %q", read.at.member.ID, command)
 		}
 	}
 }
@@ -146,9 +146,9 @@
 // heal ends all faults and waits until all members are up to date.
 func (r *randomFaultRun) heal() {
 	r.t.Helper()
-	for _, p := range r.replicas {
-		p.partitioned, p.stalled = false, false
-		p.disk.FreeBytes = seglogtest.Unlimited
+	for _, replica := range r.replicas {
+		replica.partitioned, replica.stalled = false, false
+		replica.disk.FreeBytes = seglogtest.Unlimited
 	}
 	r.stepUntil("no pending attempt", func() bool {
 		r.collect()
@@ -174,8 +174,8 @@
 }
 
 func (r *randomFaultRun) allHave(command string) bool {
-	for _, p := range r.replicas {
-		if !slices.Contains(p.stateMachine.Commands, command) {
+	for _, replica := range r.replicas {
+		if !slices.Contains(replica.stateMachine.Commands, command) {
 			return false
 		}
 	}
@@ -184,9 +184,9 @@
 
 func (r *randomFaultRun) checkCommands() error {
 	commands := r.replicas[0].stateMachine.Commands
-	for _, p := range r.replicas {
-		if !slices.Equal(p.stateMachine.Commands, commands) {
-			return fmt.Errorf("members differ: %q and %q", commands, p.stateMachine.Commands)
+	for _, replica := range r.replicas {
+		if !slices.Equal(replica.stateMachine.Commands, commands) {
+			return fmt.Errorf("members differ: %q and %q", commands, replica.stateMachine.Commands)
 		}
 	}
 	counts := map[string]int{}
--- a/coord/replica/received_snapshot_test.go
+++ b/coord/replica/received_snapshot_test.go
@@ -13,13 +13,13 @@
 func replaceMemberUnderLoad(t *testing.T, freeBytes int64) (*loadedCluster, *testReplica) {
 	t.Helper()
 	s := newLoadedCluster(t)
-	gone := s.replicas[1]
-	s.stopFor(gone, 10*time.Second)
-	s.remove(gone)
+	replaced := s.replicas[1]
+	s.stopFor(replaced, 10*time.Second)
+	s.remove(replaced)
 	member := testMember(9, false)
 	added := s.add(member, nil)
 	added.disk.FreeBytes = freeBytes
-	s.changeMembers(consensus.MembershipChange{Remove: gone.member.ID})
+	s.changeMembers(consensus.MembershipChange{Remove: replaced.member.ID})
 	s.changeMembers(consensus.MembershipChange{Add: &member})
 	return s, added
 }
@@ -51,12 +51,12 @@
 }
 
 // matchedIndex returns the index up to which the leader knows a member's log to be durable.
-func matchedIndex(s *loadedCluster, p *testReplica) uint64 {
+func matchedIndex(s *loadedCluster, replica *testReplica) uint64 {
 	node, ok := s.leader().group.loop.node.(*consensus.Node)
 	if !ok {
 		return 0
 	}
-	matched, _ := node.MatchIndex(p.member.ID)
+	matched, _ := node.MatchIndex(replica.member.ID)
 	return matched
 }
 
--- a/coord/replica/sustained_load_test.go
+++ b/coord/replica/sustained_load_test.go
@@ -74,8 +74,8 @@
 			s.propose(leader)
 		}
 		s.step()
-		for _, p := range s.replicas {
-			s.peakDiskBytes[p] = max(s.peakDiskBytes[p], p.disk.UsedBytes())
+		for _, replica := range s.replicas {
+			s.peakDiskBytes[replica] = max(s.peakDiskBytes[replica], replica.disk.UsedBytes())
 		}
 	}
 	return s.clock.now - began
@@ -96,38 +96,38 @@
 }
 
 // isCurrent reports whether a member has applied all that the leader has, except for what is in flight.
-func (s *loadedCluster) isCurrent(p *testReplica) bool {
+func (s *loadedCluster) isCurrent(replica *testReplica) bool {
 	leader := s.leader()
-	if leader == nil || p.group.Status().AppliedIndex < 2 {
+	if leader == nil || replica.group.Status().AppliedIndex < 2 {
 		return false
 	}
-	return p.group.Status().AppliedIndex+2 >= leader.group.Status().AppliedIndex && p.group.Status().ConfirmedAge < time.Second
+	return replica.group.Status().AppliedIndex+2 >= leader.group.Status().AppliedIndex && replica.group.Status().ConfirmedAge < time.Second
 }
 
 // stopFor stops a member's process for a while.
-func (s *loadedCluster) stopFor(p *testReplica, span time.Duration) {
-	p.group.loop.stop(p.group.queue.close())
-	p.partitioned, p.stopped = true, true
+func (s *loadedCluster) stopFor(replica *testReplica, span time.Duration) {
+	replica.group.loop.stop(replica.group.queue.close())
+	replica.partitioned, replica.stopped = true, true
 	s.runFor(span)
-	p.partitioned, p.stopped = false, false
+	replica.partitioned, replica.stopped = false, false
 }
 
 // returnModes are the ways in which a member returns.
 var returnModes = []string{"restarted", "wiped", "replaced"}
 
 // returnMember brings the member back in the given mode and returns the replica that takes its place.
-func (s *loadedCluster) returnMember(p *testReplica, mode string, number int) *testReplica {
+func (s *loadedCluster) returnMember(replica *testReplica, mode string, number int) *testReplica {
 	if mode == "restarted" {
-		p.disk.Restart()
-		s.open(p, nil)
-		return p
+		replica.disk.Restart()
+		s.open(replica, nil)
+		return replica
 	}
-	old := p.member
+	old := replica.member
 	member := testMember(number, false)
 	if mode == "wiped" {
 		member.Address = old.Address
 	}
-	s.remove(p)
+	s.remove(replica)
 	added := s.add(member, nil)
 	s.changeMembers(consensus.MembershipChange{Remove: old.ID})
 	s.changeMembers(consensus.MembershipChange{Add: &member})
@@ -179,9 +179,9 @@
 	if s.proposedChanges < minChanges {
 		t.Fatalf("%d changes only", s.proposedChanges)
 	}
-	for p, peak := range s.peakDiskBytes {
+	for replica, peak := range s.peakDiskBytes {
 		if bound := replicaDiskBound(stateBytes, maxInflightMessages*maxAppendBytes); peak > bound {
-			t.Errorf("member %d: %d bytes on disk, bound %d", p.member.ID, peak, bound)
+			t.Errorf("member %d: %d bytes on disk, bound %d", replica.member.ID, peak, bound)
 		}
 	}
 }
@@ -231,11 +231,11 @@
 	s.runUntil("all up to date", testTimeout, func() bool {
 		return s.isCurrent(s.replicas[0]) && s.isCurrent(s.replicas[1]) && s.isCurrent(s.replicas[2])
 	})
-	for p, peak := range s.peakDiskBytes {
+	for replica, peak := range s.peakDiskBytes {
 		if bound := replicaDiskBound(stateBytes, 2*replacedBytes); peak > bound {
-			t.Errorf("member %d: %d bytes on disk, bound %d", p.member.ID, peak, bound)
+			t.Errorf("member %d: %d bytes on disk, bound %d", replica.member.ID, peak, bound)
 		}
-		t.Logf("member %d: %d KiB at most", p.member.ID, peak>>10)
+		t.Logf("member %d: %d KiB at most", replica.member.ID, peak>>10)
 	}
 }
 
@@ -299,9 +299,9 @@
 // staleMember returns a description of a stale member that is treated as current: one that was recently confirmed although it
 // lacks entries that were committed before that.
 func (s *loadedCluster) staleMember(history []progress) string {
-	for _, p := range s.replicas {
-		status := p.group.Status()
-		if p.stopped || status.ConfirmedAge > maxCurrentAge {
+	for _, replica := range s.replicas {
+		status := replica.group.Status()
+		if replica.stopped || status.ConfirmedAge > maxCurrentAge {
 			continue
 		}
 		confirmed := s.clock.now - status.ConfirmedAge - confirmationDelay
@@ -310,7 +310,7 @@
 				continue
 			}
 			if status.AppliedIndex < history[at].commit {
-				return fmt.Sprintf("member %d is current at %d, committed was %d", p.member.ID, status.AppliedIndex, history[at].commit)
+				return fmt.Sprintf("member %d is current at %d, committed was %d", replica.member.ID, status.AppliedIndex, history[at].commit)
 			}
 			break
 		}
@@ -325,8 +325,8 @@
 	problem := ""
 	note := func() bool {
 		highest := uint64(0)
-		for _, p := range s.replicas {
-			highest = max(highest, p.group.Status().CommitIndex)
+		for _, replica := range s.replicas {
+			highest = max(highest, replica.group.Status().CommitIndex)
 		}
 		history = append(history, progress{at: s.clock.now, commit: highest})
 		if problem == "" {
--- a/coord/seglog/corruption_test.go
+++ b/coord/seglog/corruption_test.go
@@ -175,9 +175,9 @@
 	for index := first; index <= last; index++ {
 		persist.Entries = append(persist.Entries, consensus.Entry{Term: 1, Index: index, Data: []byte("command")})
 	}
-	one := operation{batch: []*consensus.PersistRequest{persist}}
-	record.attempt(one)
-	if err := runOperation(log, one); err != nil {
+	save := operation{batch: []*consensus.PersistRequest{persist}}
+	record.attempt(save)
+	if err := runOperation(log, save); err != nil {
 		t.Fatal(err)
 	}
 	record.acknowledge()
--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -30,9 +30,9 @@
 	all := []string{"aa"}
 	for range length {
 		var longer []string
-		for _, one := range all {
+		for _, prefix := range all {
 			for _, call := range callAlphabet {
-				longer = append(longer, one+string(call))
+				longer = append(longer, prefix+string(call))
 			}
 		}
 		all = longer
@@ -79,9 +79,9 @@
 		if err != nil {
 			return record, err
 		}
-		one := operationFor(call, record.last())
-		record.attempt(one)
-		if err = runOperation(log, one); err == nil {
+		operation := operationFor(call, record.last())
+		record.attempt(operation)
+		if err = runOperation(log, operation); err == nil {
 			record.acknowledge()
 		}
 		if passed != nil {
@@ -172,11 +172,11 @@
 		record := newHistory(stored)
 		disk.FailOperation = position
 		for _, call := range calls + "av" {
-			one := operationFor(call, record.last())
-			record.attempt(one)
-			err := runOperation(log, one)
+			operation := operationFor(call, record.last())
+			record.attempt(operation)
+			err := runOperation(log, operation)
 			if err != nil {
-				err = runOperation(log, one)
+				err = runOperation(log, operation)
 			}
 			if err != nil {
 				return fmt.Errorf("calls %s, operation %d fails: %w", calls, position, err)
@@ -299,9 +299,9 @@
 }
 
 // sameEnd reports whether two states have the same last entry, term and vote.
-func sameEnd(one, other consensus.PersistedState) bool {
-	return lastIndex(one) == lastIndex(other) && lastTerm(one) == lastTerm(other) &&
-		one.HardState.Term == other.HardState.Term && one.HardState.Vote == other.HardState.Vote
+func sameEnd(state, other consensus.PersistedState) bool {
+	return lastIndex(state) == lastIndex(other) && lastTerm(state) == lastTerm(other) &&
+		state.HardState.Term == other.HardState.Term && state.HardState.Vote == other.HardState.Vote
 }
 
 // snapshotAlone accepts the snapshot of a moment without any valid segment.
--- a/coord/seglog/fault_test.go
+++ b/coord/seglog/fault_test.go
@@ -157,16 +157,16 @@
 	record := newHistory(stored)
 	saveEntries(t, log, record, 1, 3)
 	persist := &consensus.PersistRequest{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
-	one := operation{batch: []*consensus.PersistRequest{persist}}
-	record.attempt(one)
+	save := operation{batch: []*consensus.PersistRequest{persist}}
+	record.attempt(save)
 	disk.FailAll = true
 	for range 3 {
-		if err := runOperation(log, one); !errors.Is(err, seglogtest.ErrInjected) {
+		if err := runOperation(log, save); !errors.Is(err, seglogtest.ErrInjected) {
 			t.Fatalf("got %v", err)
 		}
 	}
 	disk.FailAll = false
-	if err := runOperation(log, one); err != nil {
+	if err := runOperation(log, save); err != nil {
 		t.Fatal(err)
 	}
 	record.acknowledge()
--- a/coord/seglog/full_disk_test.go
+++ b/coord/seglog/full_disk_test.go
@@ -23,12 +23,12 @@
 			}
 			record := newHistory(stored)
 			for at, call := range calls {
-				one := operationFor(call, record.last())
-				record.attempt(one)
+				operation := operationFor(call, record.last())
+				record.attempt(operation)
 				if at == filled {
-					checkCallFailsOnFullDisk(t, disk, log, one, record)
+					checkCallFailsOnFullDisk(t, disk, log, operation, record)
 				}
-				if err := runOperation(log, one); err != nil {
+				if err := runOperation(log, operation); err != nil {
 					t.Fatalf("calls %s, full at call %d, call %d: %v", calls, filled, at, err)
 				}
 				record.acknowledge()
@@ -41,12 +41,12 @@
 }
 
 // checkCallFailsOnFullDisk makes a call repeatedly on a full disk.
-func checkCallFailsOnFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, log *seglog.Log, one operation, record *history) {
+func checkCallFailsOnFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, log *seglog.Log, call operation, record *history) {
 	t.Helper()
 	disk.Full = true
 	before := disk.UsedBytes()
 	for range attemptsOnFullDisk {
-		if err := runOperation(log, one); !errors.Is(err, seglogtest.ErrFull) {
+		if err := runOperation(log, call); !errors.Is(err, seglogtest.ErrFull) {
 			t.Fatalf("got %v", err)
 		}
 	}
--- a/coord/seglog/log_test.go
+++ b/coord/seglog/log_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func loadMemberID(disk *seglogtest.MemoryDisk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
-	return seglog.LoadOrCreateMemberID(disk, directory, func() consensus.MemberID { return drawn })
+func loadMemberID(disk *seglogtest.MemoryDisk, newID consensus.MemberID) (consensus.MemberID, bool, error) {
+	return seglog.LoadOrCreateMemberID(disk, directory, func() consensus.MemberID { return newID })
 }
 
 // TestLoadOrCreateMemberID_rejectsCorruptFile truncates and changes the file at each byte.
--- a/coord/seglog/member_id_test.go
+++ b/coord/seglog/member_id_test.go
@@ -33,12 +33,12 @@
 }
 
 // startMember does what a control plane server does when it starts.
-func startMember(disk *seglogtest.MemoryDisk, drawn consensus.MemberID) (consensus.MemberID, bool, error) {
+func startMember(disk *seglogtest.MemoryDisk, newID consensus.MemberID) (consensus.MemberID, bool, error) {
 	lost, err := seglog.RemoveOrphanedReplicas(disk, dataDirectory, []string{replicaDirectory})
 	if err != nil {
 		return 0, lost, err
 	}
-	id, _, err := seglog.LoadOrCreateMemberID(disk, dataDirectory, func() consensus.MemberID { return drawn })
+	id, _, err := seglog.LoadOrCreateMemberID(disk, dataDirectory, func() consensus.MemberID { return newID })
 	return id, lost, err
 }
 
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -24,13 +24,13 @@
 }
 
 // statesAfter returns the states that an operation passes through, the last one being its result.
-func statesAfter(before consensus.PersistedState, one operation) []consensus.PersistedState {
-	if one.compact != nil {
-		return []consensus.PersistedState{compacted(before, *one.compact)}
+func statesAfter(before consensus.PersistedState, call operation) []consensus.PersistedState {
+	if call.compact != nil {
+		return []consensus.PersistedState{compacted(before, *call.compact)}
 	}
 	var states []consensus.PersistedState
 	current := before
-	for _, persist := range one.batch {
+	for _, persist := range call.batch {
 		for _, next := range statesAfterPersist(current, persist) {
 			states = append(states, next)
 			current = next
@@ -198,7 +198,9 @@
 
 func (h *history) last() consensus.PersistedState { return h.states[len(h.states)-1] }
 
-func (h *history) attempt(one operation) { h.states = append(h.states, statesAfter(h.last(), one)...) }
+func (h *history) attempt(call operation) {
+	h.states = append(h.states, statesAfter(h.last(), call)...)
+}
 
 func (h *history) acknowledge() { h.acknowledged = len(h.states) - 1 }
 
@@ -233,11 +235,11 @@
 	return false
 }
 
-func runOperation(log *seglog.Log, one operation) error {
-	if one.compact != nil {
-		return log.Compact(*one.compact)
+func runOperation(log *seglog.Log, call operation) error {
+	if call.compact != nil {
+		return log.Compact(*call.compact)
 	}
-	return log.Save(one.batch)
+	return log.Save(call.batch)
 }
 
 func open(disk *seglogtest.MemoryDisk) (*seglog.Log, consensus.PersistedState, error) {
@@ -256,9 +258,9 @@
 // runUntilFailure makes random calls until one fails or count calls are done.
 func runUntilFailure(log *seglog.Log, calls workload, record *history, count int) error {
 	for range count {
-		one := calls.next(record.last())
-		record.attempt(one)
-		if err := runOperation(log, one); err != nil {
+		call := calls.next(record.last())
+		record.attempt(call)
+		if err := runOperation(log, call); err != nil {
 			return err
 		}
 		record.acknowledge()
--- a/coord/seglog/seglogtest/power_loss.go
+++ b/coord/seglog/seglogtest/power_loss.go
@@ -63,11 +63,11 @@
 
 // applyRandomPart returns the data after the write, a part of it, or nothing.
 func (w fileWrite) applyRandomPart(data []byte, random *rand.Rand) []byte {
-	draw := random.IntN(tenths)
-	if draw < chancePersisted {
+	number := random.IntN(tenths)
+	if number < chancePersisted {
 		return w.apply(data)
 	}
-	if draw >= chancePersisted+chanceTorn || w.truncate || len(w.data) == 0 {
+	if number >= chancePersisted+chanceTorn || w.truncate || len(w.data) == 0 {
 		return data
 	}
 	cut := random.IntN(len(w.data))
--- a/internal/controlplane/configuration/cluster_test.go
+++ b/internal/controlplane/configuration/cluster_test.go
@@ -214,8 +214,8 @@
 	if c.options.defect != rejectsLostProposals {
 		return nil
 	}
-	for _, one := range lost {
-		if err := c.answer(one.command, Outcome{HTTPStatus: http.StatusPreconditionFailed, Code: CodeBaseNotCurrent}); err != nil {
+	for _, entry := range lost {
+		if err := c.answer(entry.command, Outcome{HTTPStatus: http.StatusPreconditionFailed, Code: CodeBaseNotCurrent}); err != nil {
 			return err
 		}
 	}
--- a/internal/controlplane/configuration/history_checker_test.go
+++ b/internal/controlplane/configuration/history_checker_test.go
@@ -108,4 +108,4 @@
 }
 
 // sameState reports whether two stores have the same state, and so would answer alike.
-func sameState(one, other *Store) bool { return bytes.Equal(one.Snapshot(), other.Snapshot()) }
+func sameState(store, other *Store) bool { return bytes.Equal(store.Snapshot(), other.Snapshot()) }
--- a/internal/controlplane/configuration/property_test.go
+++ b/internal/controlplane/configuration/property_test.go
@@ -89,14 +89,14 @@
 				entries = append(entries, entries[number%uint32(len(entries))])
 			}
 			for position, entry := range entries {
-				one, oneChange := first.Apply(uint64(position), entry)
+				outcome, change := first.Apply(uint64(position), entry)
 				restored := NewStore()
 				if restored.Restore(second.Snapshot()) != nil {
 					return false
 				}
 				second = restored
 				other, otherChange := second.Apply(uint64(position), entry)
-				if one != other || !reflect.DeepEqual(oneChange, otherChange) || !bytes.Equal(first.Snapshot(), second.Snapshot()) {
+				if outcome != other || !reflect.DeepEqual(change, otherChange) || !bytes.Equal(first.Snapshot(), second.Snapshot()) {
 					return false
 				}
 			}
@@ -113,14 +113,14 @@
 		func(rise, otherRise uint8, asReplace bool) bool {
 			store := NewStore()
 			mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
-			one := updateCommand(7, fmt.Sprintf(`{"generation":%d,"remove":{"routes":["r-n73hh2b"]}}`, 8+uint64(rise)))
-			other := updateCommand(7, fmt.Sprintf(`{"generation":%d}`, 8+uint64(otherRise)))
+			winner := updateCommand(7, fmt.Sprintf(`{"generation":%d,"remove":{"routes":["r-n73hh2b"]}}`, 8+uint64(rise)))
+			loser := updateCommand(7, fmt.Sprintf(`{"generation":%d}`, 8+uint64(otherRise)))
 			if asReplace {
-				other = replaceCommand(7, exampleConfiguration(8+uint64(otherRise)))
+				loser = replaceCommand(7, exampleConfiguration(8+uint64(otherRise)))
 			}
-			mustAccept(t, store, one)
-			lost := applyCommand(store, other)
-			again := applyCommand(store, one)
+			mustAccept(t, store, winner)
+			lost := applyCommand(store, loser)
+			again := applyCommand(store, winner)
 			return lost.Code == CodeBaseNotCurrent && again.Code == CodeRepeated && store.Generation() == 8+uint64(rise)
 		},
 		gen.UInt8(), gen.UInt8(), gen.Bool(),
--- a/internal/controlplane/configuration/random_commands_test.go
+++ b/internal/controlplane/configuration/random_commands_test.go
@@ -25,16 +25,16 @@
 // its own replica, however stale that is. Only an acknowledgement needs the log.
 func TestStore_rejectionsHoldForAnyState(t *testing.T) { runRandomClusters(t, true) }
 
-func runRandomClusters(t *testing.T, refuseEarly bool) {
+func runRandomClusters(t *testing.T, rejectEarly bool) {
 	counts := map[Code]int{}
 	for _, shape := range clusterShapes() {
-		shape.rejectEarly = refuseEarly
+		shape.rejectEarly = rejectEarly
 		for seed := range uint64(randomClusters) {
-			drawn := newCluster(shape, seed)
-			if err := drawn.run(randomSteps); err != nil {
+			random := newCluster(shape, seed)
+			if err := random.run(randomSteps); err != nil {
 				t.Fatalf("%+v, seed %d: %v", shape, seed, err)
 			}
-			for code, count := range drawn.counts {
+			for code, count := range random.counts {
 				counts[code] += count
 			}
 		}
--- a/internal/controlplane/configuration/store_test.go
+++ b/internal/controlplane/configuration/store_test.go
@@ -198,7 +198,7 @@
 	body := exampleConfiguration(7)
 	mustAccept(t, store, replaceCommand(0, body))
 	mustAccept(t, store, replaceCommand(7, exampleConfiguration(9)))
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		command Command
 		code    Code
@@ -210,8 +210,8 @@
 		{"a space more", replaceCommand(0, body+" "), CodeBaseNotCurrent},
 		{"members in another order", replaceCommand(0, strings.Replace(body, `"name":"huvo11a","healthPath":"/health"`, `"healthPath":"/health","name":"huvo11a"`, 1)), CodeBaseNotCurrent},
 	} {
-		if outcome := applyCommand(store, one.command); outcome.Code != one.code {
-			t.Errorf("%s: %+v, not %d", one.name, outcome, one.code)
+		if outcome := applyCommand(store, test.command); outcome.Code != test.code {
+			t.Errorf("%s: %+v, not %d", test.name, outcome, test.code)
 		}
 	}
 }
@@ -265,7 +265,7 @@
 		t.Fatal(err)
 	}
 	for _, tested := range []*Store{store, restored} {
-		for _, one := range []struct {
+		for _, test := range []struct {
 			command Command
 			code    Code
 		}{
@@ -275,8 +275,8 @@
 			{updateCommand(1, `{"generation":2,"upsert":{}}`), CodeBaseNotCurrent},
 			{commands[maxAcceptedChanges], CodeRepeated},
 		} {
-			if outcome := applyCommand(tested, one.command); outcome.Code != one.code || outcome.HTTPStatus != codes.Entry(one.code).HTTPStatus {
-				t.Errorf("%s on %d: %+v, not %d", one.command.Body, one.command.Base, outcome, one.code)
+			if outcome := applyCommand(tested, test.command); outcome.Code != test.code || outcome.HTTPStatus != codes.Entry(test.code).HTTPStatus {
+				t.Errorf("%s on %d: %+v, not %d", test.command.Body, test.command.Base, outcome, test.code)
 			}
 		}
 	}
--- a/internal/util/strictavro/strictavro_test.go
+++ b/internal/util/strictavro/strictavro_test.go
@@ -26,7 +26,7 @@
 	}
 	for cut := range encoded {
 		if err := Unmarshal(api, schema, encoded[:cut], &read); err == nil {
-			t.Errorf("cut at %d of %d: taken as whole", cut, len(encoded))
+			t.Errorf("cut at %d of %d: accepted as complete", cut, len(encoded))
 		}
 	}
 	if err := Unmarshal(api, schema, append(encoded, 0), &read); !errors.Is(err, ErrTrailingBytes) {
