--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -49,10 +49,10 @@
 	n.loop.Call(func() {
 		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, Name: n.to.Name,
 			MostSlots: n.batchSlots(cfg), Target: time.Duration(cfg.Target) * time.Millisecond,
-			LongestWait: time.Duration(cfg.LongestWait) * time.Second, Events: cfg.Events, Kept: jobs.DefaultKept}, n.core, f.keeper, n.loop, &n.loop.Due)
+			LongestWait: time.Duration(cfg.LongestWait) * time.Second, Events: cfg.Events, Kept: jobs.DefaultKept}, n.core, f.keeper, n.loop, &n.loop.Timers)
 		n.core.Show(f.jobs)
 		f.jobs.Load(tenants, sessions, unfinished, arrays)
-		front := httpapi.New(f.jobs, n.loop, &n.loop.Due, version)
+		front := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
 		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.Sockets, n.cfg.FrontMemory, front.Serve))
 		if cfg.AdminListen != "" {
 			f.admin = httpapi.NewAdmin(front, f.jobs.Keeper(), cfg.AdminToken)
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -143,9 +143,9 @@
 	readyBy time.Duration // from then on a start is over though the pool config has not answered yet
 	voters  []nodeconfig.FleetVoter
 
-	inherited net.Listener     // the clients' socket, where the platform holds it; nil: the front opens its own
-	room      *hotrestart.Room // nil: no folder to meet other processes of this node in
-	words     override.Words
+	inherited net.Listener          // the clients' socket, where the platform holds it; nil: the front opens its own
+	room      *hotrestart.Directory // nil: no folder to meet other processes of this node in
+	words     override.Overrides
 	stop      chan struct{} // closed when the node leaves
 	deaf      func()        // ends the taking over from a process before this one; nil: none
 	leaving   bool
@@ -156,7 +156,7 @@
 }
 
 func start(cfg *nodeconfig.Node) (*node, error) {
-	n := &node{cfg: cfg, words: override.Words{}, stop: make(chan struct{})}
+	n := &node{cfg: cfg, words: override.Overrides{}, stop: make(chan struct{})}
 	var err error
 	if cfg.Inherited != "" {
 		if n.inherited, err = eventloop.Inherit(cfg.Inherited); err != nil {
@@ -189,7 +189,7 @@
 // wire makes the parts and starts them. It runs on the loop.
 func (n *node) wire() error {
 	cfg, s := n.cfg, n.cfg.Settings
-	core, err := routing.New(s, cfg.Seed, n.loop, &n.loop.Due)
+	core, err := routing.New(s, cfg.Seed, n.loop, &n.loop.Timers)
 	if err != nil {
 		return err
 	}
@@ -236,7 +236,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	n.loop.Due.Add(n.loop.Now()+countsEvery, n.count)
+	n.loop.Timers.Add(n.loop.Now()+countsEvery, n.count)
 	return nil
 }
 
@@ -255,7 +255,7 @@
 		case n.agent.Ready():
 			n.front.StartOn(ln)
 		default:
-			n.loop.Due.Add(n.loop.Now()+readyLook, look)
+			n.loop.Timers.Add(n.loop.Now()+readyLook, look)
 		}
 	}
 	look()
@@ -286,7 +286,7 @@
 			"window", b.Window.Size, "used", b.Window.Used, "queueing_s", b.Window.Delay, "halvings", b.Window.Halvings,
 			"store", b.Store, "turned_away", b.Turned)
 	}
-	n.loop.Due.Add(n.loop.Now()+countsEvery, n.count)
+	n.loop.Timers.Add(n.loop.Now()+countsEvery, n.count)
 }
 
 // reload reads the configuration once more, off the loop. Discovery's address
--- a/cmd/ospreybend/upgrade.go
+++ b/cmd/ospreybend/upgrade.go
@@ -20,7 +20,7 @@
 		return 0
 	}
 	n.room = room
-	words, err := room.Words()
+	words, err := room.Overrides()
 	if err != nil {
 		slog.Warn("words by hand cannot be read", "fault", err)
 	}
@@ -29,7 +29,7 @@
 }
 
 // noticed takes in, from beside the loop, what has changed in the room.
-func (n *node) noticed(words override.Words, others int) {
+func (n *node) noticed(words override.Overrides, others int) {
 	n.loop.Post(func() {
 		n.admin.Merge(words)
 		n.share(others)
@@ -57,7 +57,7 @@
 		n.front.StartOn(n.inherited)
 		return
 	}
-	n.loop.Due.Add(n.loop.Now()+readyLook, func() { n.acceptOnceReady(by) })
+	n.loop.Timers.Add(n.loop.Now()+readyLook, func() { n.acceptOnceReady(by) })
 }
 
 // openAdmin makes the operators' address.
@@ -66,10 +66,10 @@
 	a := protocol.AdminConfig{Listen: cfg.Admin, Sockets: cfg.AdminSockets, Memory: cfg.AdminMemory, Classes: cfg.ClassNames,
 		Ready: func() bool { return n.front.Accepting() && !n.leaving && n.core.Able() }}
 	if n.room != nil {
-		a.Record = func(name string, out bool, done func(override.Words, error)) {
+		a.Record = func(name string, out bool, done func(override.Overrides, error)) {
 			at := n.loop.Now()
 			go func() {
-				now, err := n.room.Change(func(w override.Words) { w.Say(name, out, at) })
+				now, err := n.room.Change(func(w override.Overrides) { w.Set(name, out, at) })
 				n.loop.Post(func() { done(now, err) })
 			}()
 		}
@@ -99,7 +99,7 @@
 }
 
 // adopt takes over one client's connection with what is in work on it.
-func (n *node) adopt(parcel hotrestart.Parcel) {
+func (n *node) adopt(parcel hotrestart.Message) {
 	p, err := protocol.DecodeParcel(parcel.Text, len(parcel.Sockets))
 	if err != nil {
 		slog.Error("a client's connection is lost", "fault", err)
@@ -173,7 +173,7 @@
 // give hands one parcel over, or takes it back where that fails.
 func (n *node) give(next *hotrestart.Next, p *protocol.Parcel, sockets []*os.File) bool {
 	text, err := p.Encode()
-	parcel := hotrestart.Parcel{Text: text, Sockets: sockets}
+	parcel := hotrestart.Message{Text: text, Sockets: sockets}
 	if err == nil && next != nil {
 		if err = next.Send(parcel); err == nil {
 			return true
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -151,7 +151,7 @@
 	cfg := n.cfg
 	n.calls = transport.NewClient()
 	a := agent.Config{Fleet: f.Fleet, Name: cfg.Name, Zone: f.Zone, Zones: cfg.Zones, Classes: cfg.Settings.Classes,
-		ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.TellsStart, Settings: follower.DefaultSettings(), Timers: &n.loop.Due,
+		ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.TellsStart, Settings: follower.DefaultSettings(), Timers: &n.loop.Timers,
 		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())), ZoneOf: n.pool.ZoneOf}
 	for _, v := range f.Voters {
 		a.Voters = append(a.Voters, agent.Voter{Zone: v.Zone, Address: v.Address})
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -35,12 +35,12 @@
 type Front struct {
 	jobs    *jobs.Manager
 	clock   routing.Clock
-	due     *timerqueue.Line
+	due     *timerqueue.Queue
 	version string
 }
 
 // New makes a front. version is the program's.
-func New(m *jobs.Manager, clock routing.Clock, line *timerqueue.Line, version string) *Front {
+func New(m *jobs.Manager, clock routing.Clock, line *timerqueue.Queue, version string) *Front {
 	return &Front{jobs: m, clock: clock, due: line, version: version}
 }
 
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -68,8 +68,8 @@
 	timeout time.Duration
 	leave   func()
 	over    bool
-	next    *timerqueue.Deadline // when to look again
-	beat    time.Duration        // when a line must go out, or the wait is over
+	next    *timerqueue.Timer // when to look again
+	beat    time.Duration     // when a line must go out, or the wait is over
 }
 
 func (r *reader) start() {
@@ -103,7 +103,7 @@
 func (r *reader) stop() {
 	r.over = true
 	r.leave()
-	r.front.due.Drop(r.next)
+	r.front.due.Cancel(r.next)
 	r.next = nil
 }
 
@@ -112,7 +112,7 @@
 	if r.over || r.next != nil && r.next.At() <= at {
 		return
 	}
-	r.front.due.Drop(r.next)
+	r.front.due.Cancel(r.next)
 	r.next = r.front.due.Add(at, func() {
 		r.next = nil
 		r.look()
--- a/internal/node/batch/httpapi/world_test.go
+++ b/internal/node/batch/httpapi/world_test.go
@@ -69,7 +69,7 @@
 	w.Words["returned"] = scriptedpeer.Chunk(`{"state":"returned"}`) + `0\r\n\r\n`
 	w.keeper = store.NewKeeper(record, w.Loop.Post)
 	w.Loop.Call(func() {
-		w.core, err = routing.New(s, 1, w.Loop, &w.Loop.Due)
+		w.core, err = routing.New(s, 1, w.Loop, &w.Loop.Timers)
 		must(t, err)
 		w.to = protocol.NewDestinations(protocol.DestinationConfig{Sockets: 8, ConnectTimeout: 10 * time.Second,
 			ConnIdle: time.Minute}, w.Loop, w.core)
@@ -80,10 +80,10 @@
 		pool.Start()
 		w.service = jobs.New(jobs.Config{Machine: "n0", Classes: map[string]int{"pruefen": 0, "buchen": 1}, Settings: s, Name: w.to.Name,
 			MostSlots: 100, Target: jobs.DefaultTarget, LongestWait: jobs.DefaultLongestWait, Events: 2000, Kept: kept},
-			w.core, w.keeper, w.Loop, &w.Loop.Due)
+			w.core, w.keeper, w.Loop, &w.Loop.Timers)
 		w.core.Show(w.service)
 		w.service.Load(tenants, sessions, unfinished, arrays)
-		front := New(w.service, w.Loop, &w.Loop.Due, "test")
+		front := New(w.service, w.Loop, &w.Loop.Timers, "test")
 		must(t, protocol.NewServer(w.Loop, batch, 40, 1<<20, front.Serve).Start())
 		must(t, protocol.NewServer(w.Loop, admin, 40, 1<<20, NewAdmin(front, w.keeper, HashOf(adminToken)).Serve).Start())
 	})
--- a/internal/node/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -34,15 +34,15 @@
 	ending      bool // its final state is decided, and being recorded
 	terminate   bool // asked for before it was recorded
 	counted     bool // among its array's active jobs
-	op          slottable.Ref
+	op          slottable.Handle
 	tries       int // operations made of it
 	refusals    int // in a row
 	failures    int // operations in which prep workers ran it and it failed
 	failedNow   bool
 	failedSteps int // of this operation
 	notBefore   time.Duration
-	wake        *timerqueue.Deadline // when it may be put in the queue
-	deadline    *timerqueue.Deadline
+	wake        *timerqueue.Timer // when it may be put in the queue
+	deadline    *timerqueue.Timer
 	after       time.Duration // the last refusal's advice
 	entry       *entry        // while it is being recorded
 	waiters     waiters
@@ -219,7 +219,7 @@
 // park takes a job out of wherever it waits. Its place among its array's active
 // jobs goes to the next.
 func (m *Manager) park(j *Job) {
-	m.due.Drop(j.wake)
+	m.due.Cancel(j.wake)
 	j.wake = nil
 	if j.stage == lined {
 		m.line.Drop(j.place())
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -38,14 +38,14 @@
 	keeper  Keeper
 	circuit *circuitbreaker.Circuit
 	clock   routing.Clock
-	due     *timerqueue.Line
+	due     *timerqueue.Queue
 
 	tenants map[string]*TenantState // by name
 	byToken map[string]*TenantState // by the token's hash
 	jobs    map[string]*Job
 	arrays  map[string]*Array
 	byKey   map[string]keyed // by tenant and client key
-	byOp    map[slottable.Ref]*Job
+	byOp    map[slottable.Handle]*Job
 	ended   []string // jobs at hand that have ended, oldest first
 	past    []string // arrays at hand that have ended, oldest first
 	lastSeq int64
@@ -96,10 +96,10 @@
 }
 
 // New makes a manager. Load must follow.
-func New(config Config, core Core, keeper Keeper, clock routing.Clock, line *timerqueue.Line) *Manager {
+func New(config Config, core Core, keeper Keeper, clock routing.Clock, line *timerqueue.Queue) *Manager {
 	m := &Manager{config: config, classes: map[string]drmaa.Class{}, core: core, keeper: keeper, clock: clock, due: line,
 		tenants: map[string]*TenantState{}, byToken: map[string]*TenantState{}, jobs: map[string]*Job{},
-		arrays: map[string]*Array{}, byKey: map[string]keyed{}, byOp: map[slottable.Ref]*Job{}, line: queue.New[*Job](),
+		arrays: map[string]*Array{}, byKey: map[string]keyed{}, byOp: map[slottable.Handle]*Job{}, line: queue.New[*Job](),
 		epoch: newID()[:8], streams: map[string]*stream{}, machines: map[balance.WorkerID]*machine{}, entries: map[*entry]bool{},
 		freeAt: slices.Index(config.Settings.Report, balance.FieldFreeSlots)}
 	m.circuit = circuitbreaker.New(circuitbreaker.Config{Slow: storeSlow, Again: storeAgain})
--- a/internal/node/batch/jobs/model.go
+++ b/internal/node/batch/jobs/model.go
@@ -156,10 +156,10 @@
 
 // Core is what the manager needs of package routing's core.
 type Core interface {
-	Take(routing.Operation) slottable.Ref
-	Route(slottable.Ref)
-	Withdraw(slottable.Ref)
-	MayHaveRun(slottable.Ref) bool
+	Take(routing.Operation) slottable.Handle
+	Route(slottable.Handle)
+	Withdraw(slottable.Handle)
+	MayHaveRun(slottable.Handle) bool
 	Able() bool
 	Listed(func(balance.WorkerID, balance.State, float64))
 }
--- a/internal/node/batch/jobs/rig_test.go
+++ b/internal/node/batch/jobs/rig_test.go
@@ -19,7 +19,7 @@
 type rig struct {
 	t     failer
 	now   time.Duration
-	due   timerqueue.Line
+	due   timerqueue.Queue
 	core  *fakeCore
 	store *memory
 	m     *Manager
@@ -110,8 +110,8 @@
 // start starts the program; after another one it is a restart, of which the
 // store alone knows the past.
 func (r *rig) start() {
-	r.calls, r.due = nil, timerqueue.Line{}
-	r.core = &fakeCore{rig: r, able: true, ops: map[slottable.Ref]*fakeOp{}}
+	r.calls, r.due = nil, timerqueue.Queue{}
+	r.core = &fakeCore{rig: r, able: true, ops: map[slottable.Handle]*fakeOp{}}
 	r.m = New(Config{Machine: "n", Classes: r.classes, Settings: r.settings, MostSlots: 64, Target: DefaultTarget,
 		LongestWait: time.Hour, Events: 64, Kept: 8, Name: func(w balance.WorkerID) string { return string(rune('a' + w)) }},
 		r.core, r, r, &r.due)
@@ -182,8 +182,8 @@
 // fakeCore is a core whose operations end as the test says.
 type fakeCore struct {
 	rig  *rig
-	ops  map[slottable.Ref]*fakeOp
-	last slottable.Ref
+	ops  map[slottable.Handle]*fakeOp
+	last slottable.Handle
 	able bool
 }
 
@@ -195,15 +195,15 @@
 	begun bool
 }
 
-func (c *fakeCore) Take(op routing.Operation) slottable.Ref {
+func (c *fakeCore) Take(op routing.Operation) slottable.Handle {
 	c.last++
 	c.ops[c.last] = &fakeOp{Operation: op}
 	return c.last
 }
-func (c *fakeCore) Route(slottable.Ref)        {}
-func (c *fakeCore) Withdraw(ref slottable.Ref) { delete(c.ops, ref) }
-func (c *fakeCore) Able() bool                 { return c.able }
-func (c *fakeCore) MayHaveRun(ref slottable.Ref) bool {
+func (c *fakeCore) Route(slottable.Handle)        {}
+func (c *fakeCore) Withdraw(ref slottable.Handle) { delete(c.ops, ref) }
+func (c *fakeCore) Able() bool                    { return c.able }
+func (c *fakeCore) MayHaveRun(ref slottable.Handle) bool {
 	op := c.ops[ref]
 	return op != nil && (op.ran || op.out > 0)
 }
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -52,7 +52,7 @@
 
 // Gate has a job's first step wait until the store knows that it may be sent:
 // after a restart only what the store does not have so never ran for certain.
-func (m *Manager) Gate(op slottable.Ref, open func(bool)) {
+func (m *Manager) Gate(op slottable.Handle, open func(bool)) {
 	j := m.byOp[op]
 	switch {
 	case j == nil || j.ending:
@@ -151,7 +151,7 @@
 }
 
 // Stepped is the core's word that a route step goes out.
-func (m *Manager) Stepped(op slottable.Ref, to balance.WorkerID) {
+func (m *Manager) Stepped(op slottable.Handle, to balance.WorkerID) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -183,7 +183,7 @@
 }
 
 // Started is the core's word that a prep worker has begun to run the job.
-func (m *Manager) Started(op slottable.Ref, to balance.WorkerID) {
+func (m *Manager) Started(op slottable.Handle, to balance.WorkerID) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -197,7 +197,7 @@
 }
 
 // StepDone is the core's word of how a route step ended.
-func (m *Manager) StepDone(op slottable.Ref, to balance.WorkerID, how balance.Outcome) {
+func (m *Manager) StepDone(op slottable.Handle, to balance.WorkerID, how balance.Outcome) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -243,7 +243,7 @@
 	balance.Cancelled: "cancelled", balance.NotSent: "not sent"}
 
 // Answered is the core's final answer on an operation.
-func (m *Manager) Answered(op slottable.Ref, a routing.Answer) {
+func (m *Manager) Answered(op slottable.Handle, a routing.Answer) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -308,7 +308,7 @@
 	m.leave(j)
 	m.park(j)
 	j.ending, j.stage = true, over
-	m.due.Drop(j.deadline)
+	m.due.Cancel(j.deadline)
 	j.deadline = nil
 	final := j.Record
 	final.State, final.Reason, final.MayHaveRun, final.EndedAt = state, reason, ran, m.unixNow()
--- a/internal/node/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -12,7 +12,7 @@
 type waiter struct {
 	started bool // the start is enough
 	in      []waiters
-	timeout *timerqueue.Deadline
+	timeout *timerqueue.Timer
 	over    bool
 	done    func(*Job, *drmaa.Error)
 }
@@ -41,7 +41,7 @@
 	}
 	w.over = true
 	m.waits--
-	m.due.Drop(w.timeout)
+	m.due.Cancel(w.timeout)
 	for _, set := range w.in {
 		delete(set, w)
 	}
--- a/internal/node/batch/store/bench_test.go
+++ b/internal/node/batch/store/bench_test.go
@@ -18,10 +18,10 @@
 // idleCore is a core that nothing is sent to.
 type idleCore struct{}
 
-func (idleCore) Take(routing.Operation) slottable.Ref                  { return 0 }
-func (idleCore) Route(slottable.Ref)                                   {}
-func (idleCore) Withdraw(slottable.Ref)                                {}
-func (idleCore) MayHaveRun(slottable.Ref) bool                         { return false }
+func (idleCore) Take(routing.Operation) slottable.Handle               { return 0 }
+func (idleCore) Route(slottable.Handle)                                {}
+func (idleCore) Withdraw(slottable.Handle)                             {}
+func (idleCore) MayHaveRun(slottable.Handle) bool                      { return false }
 func (idleCore) Able() bool                                            { return false }
 func (idleCore) Listed(func(balance.WorkerID, balance.State, float64)) {}
 func (idleCore) Now() time.Duration                                    { return time.Duration(time.Now().UnixMicro()) * time.Microsecond }
@@ -38,7 +38,7 @@
 	results := make(chan func(), 4096)
 	keeper := NewKeeper(s, func(f func()) { results <- f })
 	m := jobs.New(jobs.Config{Classes: map[string]int{"c": 0}, Settings: balance.Settings{Classes: []balance.Class{{GiveUp: time.Second}}},
-		MostSlots: 1, Target: jobs.DefaultTarget, LongestWait: time.Hour, Events: 1024, Kept: 10}, idleCore{}, keeper, idleCore{}, &timerqueue.Line{})
+		MostSlots: 1, Target: jobs.DefaultTarget, LongestWait: time.Hour, Events: 1024, Kept: 10}, idleCore{}, keeper, idleCore{}, &timerqueue.Queue{})
 	m.Load([]jobs.Tenant{{Name: "anna", TokenHash: "h", Quota: 1 << 30}}, []jobs.SessionRecord{{Tenant: "anna", Name: "s", State: jobs.SessionOpen}}, nil, nil)
 	t := &drmaa.JobTemplate{RemoteCommand: "c", SubmitAsHold: true, Input: strings.Repeat("x", 300)}
 	const clients = 64
--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	keptBuffer = 16 << 10              // a buffer grown past this is given back once empty
-	lingerFor  = time.Second           // for the other side to end a connection, or to take some more of what is owed
-	lingerMost = 10 * lingerFor        // for one that takes what is owed ever more slowly
-	lingerLook = 10 * time.Millisecond // how often what is owed is looked at
-	readSoon   = 2 * time.Millisecond  // what has come is read by the loop within it
+	maxRetainedBuffer  = 16 << 10              // a buffer grown past this is given back once empty
+	lingerTimeout      = time.Second           // for the other side to end a connection, or to take some more of what is owed
+	maxLinger          = 10 * lingerTimeout    // for one that takes what is owed ever more slowly
+	lingerPollInterval = 10 * time.Millisecond // how often what is owed is looked at
+	readDelayBound     = 2 * time.Millisecond  // what has come is read by the loop within it
 )
 
 // Handler is what a protocol does with a connection.
@@ -35,10 +35,10 @@
 type Conn struct {
 	loop      *Loop
 	raw       gnet.Conn
-	ref       slottable.Ref
+	ref       slottable.Handle
 	handler   Handler
 	opened    func()
-	leave     func()
+	onClose   func()
 	ended     func() // told when a lingering connection is closed
 	in        []byte
 	from      int // where the unused bytes start
@@ -83,7 +83,7 @@
 	c.pumping = false
 	if c.from == len(c.in) {
 		c.in, c.from = c.in[:0], 0
-		if cap(c.in) > keptBuffer {
+		if cap(c.in) > maxRetainedBuffer {
 			c.in = nil
 		}
 	}
@@ -171,7 +171,7 @@
 	c.lingering, c.ended = true, ended
 	c.in, c.from = nil, 0
 	now := c.loop.now
-	c.flush(c.raw.OutboundBuffered(), now+lingerFor, now+lingerMost)
+	c.flush(c.raw.OutboundBuffered(), now+lingerTimeout, now+maxLinger)
 }
 
 // flush waits for the rest of what was sent for as long as the other side takes some of it.
@@ -179,25 +179,25 @@
 	if c.closed {
 		return
 	}
-	now, owed := c.loop.now, c.raw.OutboundBuffered()
-	if owed < left {
-		left, until = owed, now+lingerFor
+	now, pending := c.loop.now, c.raw.OutboundBuffered()
+	if pending < left {
+		left, until = pending, now+lingerTimeout
 	}
 	switch {
-	case owed == 0:
+	case pending == 0:
 		_ = syscall.Shutdown(c.raw.Fd(), syscall.SHUT_WR)
-		c.loop.Due.Add(now+lingerFor, func() { c.endQuietly(latest) })
+		c.loop.Timers.Add(now+lingerTimeout, func() { c.endQuietly(latest) })
 	case now >= min(until, latest):
 		c.Close()
 	default:
-		c.loop.Due.Add(now+lingerLook, func() { c.flush(left, until, latest) })
+		c.loop.Timers.Add(now+lingerPollInterval, func() { c.flush(left, until, latest) })
 	}
 }
 
 // endQuietly closes what lingers, between two reads: not over what has just come.
 func (c *Conn) endQuietly(latest time.Duration) {
 	if !c.closed && c.loop.now < latest && !c.Quiet() {
-		c.loop.Due.Add(c.loop.now+readSoon, func() { c.endQuietly(latest) })
+		c.loop.Timers.Add(c.loop.now+readDelayBound, func() { c.endQuietly(latest) })
 		return
 	}
 	c.Close()
--- a/internal/node/eventloop/handover.go
+++ b/internal/node/eventloop/handover.go
@@ -33,9 +33,9 @@
 func (*parked) Data(*Conn, []byte) int { return 0 }
 func (p *parked) Closed(*Conn)         { p.closed = true }
 
-// Settle gives an adopted connection its handler, which then gets what has come in
+// SetHandler gives an adopted connection its handler, which then gets what has come in
 // until now, or hears of its end.
-func (c *Conn) Settle(h Handler) {
+func (c *Conn) SetHandler(h Handler) {
 	p, ok := c.handler.(*parked)
 	c.handler = h
 	if ok && p.closed {
@@ -82,11 +82,11 @@
 	return func() { in.open.Add(-1) }
 }
 
-// Leaves sets what is called once when the connection has ended.
-func (c *Conn) Leaves(f func()) {
+// OnClose sets what is called once when the connection has ended.
+func (c *Conn) OnClose(f func()) {
 	if c.closed {
 		f()
 		return
 	}
-	c.leave = f
+	c.onClose = f
 }
--- a/internal/node/eventloop/listen.go
+++ b/internal/node/eventloop/listen.go
@@ -16,7 +16,7 @@
 // Listener takes in connections until it is closed.
 type Listener struct {
 	net.Listener
-	room   chan struct{}
+	slots  chan struct{}
 	take   func(net.Conn) // an accepted connection, which has its place in room
 	open   atomic.Int32
 	coming atomic.Int32 // accepted, and not shown to the loop yet
@@ -64,7 +64,7 @@
 // once; further ones wait in the system's queue. accept is called on the loop with
 // each, and ended once the listener has been closed and the last one been shown.
 func (l *Loop) Accept(ln net.Listener, most int, accept func(*Conn) Handler, ended func()) *Listener {
-	in := &Listener{Listener: ln, room: make(chan struct{}, most)}
+	in := &Listener{Listener: ln, slots: make(chan struct{}, most)}
 	in.take = func(raw net.Conn) { in.enroll(l, raw, accept) }
 	go func() {
 		in.serve()
@@ -78,14 +78,14 @@
 
 func (in *Listener) serve() {
 	for {
-		in.room <- struct{}{}
+		in.slots <- struct{}{}
 		raw, err := in.Listener.Accept()
 		if err != nil {
-			<-in.room
+			<-in.slots
 			if isClosed(err) {
 				return
 			}
-			time.Sleep(acceptPause) // out of descriptors, perhaps: they come back
+			time.Sleep(acceptBackoff) // out of descriptors, perhaps: they come back
 			continue
 		}
 		in.take(raw)
@@ -98,9 +98,9 @@
 	in.coming.Add(1)
 	leave := func() {
 		in.open.Add(-1)
-		<-in.room
+		<-in.slots
 	}
-	c := &Conn{loop: l, leave: leave}
+	c := &Conn{loop: l, onClose: leave}
 	c.opened = func() {
 		c.handler = accept(c)
 		in.coming.Add(-1)
@@ -133,7 +133,7 @@
 		return false
 	}
 	select {
-	case in.room <- struct{}{}:
+	case in.slots <- struct{}{}:
 	default:
 		return false
 	}
@@ -142,14 +142,14 @@
 	if err := system.Control(func(listening uintptr) {
 		fd, _, err = unix.Accept4(int(listening), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	}); err != nil || fd < 0 {
-		<-in.room
+		<-in.slots
 		return false
 	}
 	f := os.NewFile(uintptr(fd), "accepted")
 	raw, err := net.FileConn(f)
 	_ = f.Close()
 	if err != nil {
-		<-in.room
+		<-in.slots
 		return true
 	}
 	in.take(raw)
--- a/internal/node/eventloop/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	readChunk    = 64 << 10 // most that one read takes in
-	acceptPause  = 20 * time.Millisecond
-	packetBuffer = 2 << 10
-	nobody       = 9 // the port to which what is sent is dropped
+	readChunk     = 64 << 10 // most that one read takes in
+	acceptBackoff = 20 * time.Millisecond
+	packetBuffer  = 2 << 10
+	discardPort   = 9 // the port to which what is sent is dropped
 )
 
 // Loop is the event loop. Its methods are for callbacks on the loop, except
@@ -32,7 +32,7 @@
 type Loop struct {
 	gnet.BuiltinEventEngine
 
-	Due timerqueue.Line // fired by the loop, on its clock
+	Timers timerqueue.Queue // fired by the loop, on its clock
 
 	client  *gnet.Client
 	self    gnet.EventLoop
@@ -90,7 +90,7 @@
 // datagram socket that nobody knows of is enrolled for that, and closed again. Not a
 // Unix one: where those are refused the node would not start.
 func (l *Loop) findSelf() error {
-	conn, err := net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: nobody})
+	conn, err := net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discardPort})
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	if l.depth > 0 {
 		return
 	}
-	at, ok := l.Due.Next()
+	at, ok := l.Timers.Next()
 	if !ok || l.clock != nil || l.armed != 0 && l.armed <= at {
 		return
 	}
@@ -134,12 +134,12 @@
 
 func (l *Loop) fire() {
 	l.armed = 0
-	l.Due.Run(l.now)
+	l.Timers.Run(l.now)
 }
 
 // Tick fires what is due by a clock of the caller's, and returns when it has
 // been. It is for a goroutine outside.
-func (l *Loop) Tick() { l.Call(func() { l.Due.Run(l.now) }) }
+func (l *Loop) Tick() { l.Call(func() { l.Timers.Run(l.now) }) }
 
 // Post runs f on the loop. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
@@ -274,9 +274,9 @@
 	}
 	l.begin()
 	defer l.end()
-	l.conns.Drop(c.ref)
-	if c.leave != nil {
-		c.leave()
+	l.conns.Remove(c.ref)
+	if c.onClose != nil {
+		c.onClose()
 	}
 	if !c.closed {
 		c.closed = true
--- a/internal/node/faultinjection/fault.go
+++ b/internal/node/faultinjection/fault.go
@@ -34,16 +34,16 @@
 		FinishBefore, FinishAfter, ShownBefore}
 }
 
-type plan struct {
-	point string
-	left  atomic.Int64
-	stall time.Duration // 0: the process is killed
+type injection struct {
+	point     string
+	remaining atomic.Int64
+	stall     time.Duration // 0: the process is killed
 }
 
-var armed atomic.Pointer[plan]
+var armed atomic.Pointer[injection]
 
-// ofTheStore are the points off the loop, where a stall is the store's.
-var ofTheStore = []string{InsertBefore, InsertAfter, MarkBefore, MarkAfter, FinishBefore, FinishAfter}
+// storePoints are the points off the loop, where a stall is the store's.
+var storePoints = []string{InsertBefore, InsertAfter, MarkBefore, MarkAfter, FinishBefore, FinishAfter}
 
 // Arm has the process killed at a point, "POINT" or "POINT:N" at its Nth passing,
 // or with "POINT:N:5s" the store stalled there for so long, once.
@@ -53,7 +53,7 @@
 	var stall time.Duration
 	if stalls {
 		var err error
-		if stall, err = time.ParseDuration(span); err != nil || stall <= 0 || !slices.Contains(ofTheStore, point) {
+		if stall, err = time.ParseDuration(span); err != nil || stall <= 0 || !slices.Contains(storePoints, point) {
 			return fmt.Errorf("fault %q: no stall of the store", text)
 		}
 	}
@@ -67,8 +67,8 @@
 	if !slices.Contains(Points(), point) {
 		return fmt.Errorf("fault %q: no such point", text)
 	}
-	p := &plan{point: point, stall: stall}
-	p.left.Store(n)
+	p := &injection{point: point, stall: stall}
+	p.remaining.Store(n)
 	armed.Store(p)
 	return nil
 }
@@ -76,7 +76,7 @@
 // Hit stands at a point.
 func Hit(point string) {
 	p := armed.Load()
-	if p == nil || p.point != point || p.left.Add(-1) != 0 {
+	if p == nil || p.point != point || p.remaining.Add(-1) != 0 {
 		return
 	}
 	if p.stall > 0 {
--- a/internal/node/faultinjection/fault_test.go
+++ b/internal/node/faultinjection/fault_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestArm(t *testing.T) {
+func TestArm_rejectsMalformedPlans(t *testing.T) {
 	for _, bad := range []string{"", "nowhere", "gate-open:", "gate-open:0", "gate-open:x", ":1", "gate-open:1:5s", "mark-after:1:", "mark-after:1:-5s"} {
 		if err := Arm(bad); err == nil {
 			t.Errorf("%q is taken", bad)
--- a/internal/node/hotrestart/directory.go
+++ b/internal/node/hotrestart/directory.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	version   = 1
-	wordsFile = "by-hand.json"
-	lockFile  = "lock"
-	alive     = "alive-"
-	mostWords = 1 << 20 // bytes of a file that is worth reading
-	tries     = 20      // for a file of one's own that another process takes for a dead one's
+	version           = 1
+	overridesName     = "by-hand.json"
+	lockFile          = "lock"
+	alive             = "alive-"
+	maxOverridesBytes = 1 << 20 // bytes of a file that is worth reading
+	maxLockAttempts   = 20      // for a file of one's own that another process takes for a dead one's
 )
 
-// Room is the folder.
-type Room struct {
+// Directory is the folder.
+type Directory struct {
 	dir  string
 	name string // this process's own, among all that were ever here
 	self string
 	own  *os.File // locked for as long as the process lives
 }
 
-// words is the file's form.
-type words struct {
-	Version int            `json:"version"`
-	Words   override.Words `json:"words"`
+// overridesFile is the file's form.
+type overridesFile struct {
+	Version   int                `json:"version"`
+	Overrides override.Overrides `json:"words"`
 }
 
 // Open enters the room of a node in a folder.
-func Open(tmp, node string) (*Room, error) {
+func Open(tmp, node string) (*Directory, error) {
 	if tmp == "" {
 		return nil, errors.New("TMPDIR: not set")
 	}
@@ -58,8 +58,8 @@
 	}
 	// By the number alone two processes might be one, where each has numbers of its own.
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-	r := &Room{dir: dir, name: name, self: filepath.Join(dir, alive+name)}
-	for range tries {
+	r := &Directory{dir: dir, name: name, self: filepath.Join(dir, alive+name)}
+	for range maxLockAttempts {
 		f, err := os.OpenFile(r.self, os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return nil, fmt.Errorf("TMPDIR: %w", err)
@@ -85,14 +85,14 @@
 }
 
 // Close leaves the room.
-func (r *Room) Close() {
+func (r *Directory) Close() {
 	_ = os.Remove(r.self)
 	_ = r.own.Close()
 }
 
 // Others counts the other processes in the room. What dead ones have left is
 // removed.
-func (r *Room) Others() int {
+func (r *Directory) Others() int {
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
 		return 0
@@ -117,15 +117,15 @@
 	return n
 }
 
-// Words reads the words on prep workers. A file that is missing, torn or of
+// Overrides reads the words on prep workers. A file that is missing, torn or of
 // another version gives none, and an error that says so unless it is missing.
-func (r *Room) Words() (override.Words, error) {
-	path := filepath.Join(r.dir, wordsFile)
+func (r *Directory) Overrides() (override.Overrides, error) {
+	path := filepath.Join(r.dir, overridesName)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return override.Words{}, nil
+		return override.Overrides{}, nil
 	}
-	if err == nil && info.Size() > mostWords {
+	if err == nil && info.Size() > maxOverridesBytes {
 		err = errors.New("the file is too long")
 	}
 	var text []byte
@@ -133,24 +133,24 @@
 		text, err = os.ReadFile(path)
 	}
 	if err != nil {
-		return override.Words{}, fmt.Errorf("%s: %w", path, err)
+		return override.Overrides{}, fmt.Errorf("%s: %w", path, err)
 	}
-	var w words
+	var w overridesFile
 	if err := json.Unmarshal(text, &w); err != nil {
-		return override.Words{}, fmt.Errorf("%s: %w", path, err)
+		return override.Overrides{}, fmt.Errorf("%s: %w", path, err)
 	}
 	if w.Version != version {
-		return override.Words{}, fmt.Errorf("%s: version %d, known is %d", path, w.Version, version)
+		return override.Overrides{}, fmt.Errorf("%s: version %d, known is %d", path, w.Version, version)
 	}
-	if w.Words == nil {
-		w.Words = override.Words{}
+	if w.Overrides == nil {
+		w.Overrides = override.Overrides{}
 	}
-	return w.Words, nil
+	return w.Overrides, nil
 }
 
 // Change has the words changed and written whole, one process at a time, and
 // returns what holds now. What cannot be read is begun anew.
-func (r *Room) Change(change func(override.Words)) (override.Words, error) {
+func (r *Directory) Change(change func(override.Overrides)) (override.Overrides, error) {
 	lock, err := os.OpenFile(filepath.Join(r.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -159,26 +159,26 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return nil, fmt.Errorf("%s: %w", lock.Name(), err)
 	}
-	now, err := r.Words()
+	now, err := r.Overrides()
 	if err != nil {
 		slog.Warn("words by hand begun anew", "fault", err)
 	}
 	change(now)
-	text, err := json.Marshal(words{version, now})
+	text, err := json.Marshal(overridesFile{version, now})
 	if err != nil {
 		return nil, err
 	}
-	whole, err := os.CreateTemp(r.dir, "new-")
+	temporary, err := os.CreateTemp(r.dir, "new-")
 	if err != nil {
 		return nil, err
 	}
-	_, err = whole.Write(text)
-	err = errors.Join(err, whole.Close())
+	_, err = temporary.Write(text)
+	err = errors.Join(err, temporary.Close())
 	if err == nil {
-		err = os.Rename(whole.Name(), filepath.Join(r.dir, wordsFile))
+		err = os.Rename(temporary.Name(), filepath.Join(r.dir, overridesName))
 	}
 	if err != nil {
-		_ = os.Remove(whole.Name())
+		_ = os.Remove(temporary.Name())
 		return nil, err
 	}
 	return now, nil
@@ -186,21 +186,21 @@
 
 // Watch looks into the room in steps and tells when the words or the number of
 // other processes have changed, until stop is closed.
-func (r *Room) Watch(every time.Duration, stop <-chan struct{}, told func(w override.Words, others int)) {
+func (r *Directory) Watch(every time.Duration, stop <-chan struct{}, notify func(w override.Overrides, others int)) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	var last fs.FileInfo
 	others := -1
 	for {
-		info, _ := os.Stat(filepath.Join(r.dir, wordsFile))
+		info, _ := os.Stat(filepath.Join(r.dir, overridesName))
 		fresh := info != nil && (last == nil || !os.SameFile(info, last) || !info.ModTime().Equal(last.ModTime()))
 		n := r.Others()
 		if fresh || n != others {
-			w, err := r.Words()
+			w, err := r.Overrides()
 			if err != nil {
 				slog.Warn("words by hand cannot be read", "fault", err)
 			}
-			told(w, n)
+			notify(w, n)
 		}
 		last, others = info, n
 		select {
--- a/internal/node/hotrestart/directory_test.go
+++ b/internal/node/hotrestart/directory_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/node/override"
 )
 
-func enter(t *testing.T, tmp string) *Room {
+func enter(t *testing.T, tmp string) *Directory {
 	t.Helper()
 	r, err := Open(tmp, "n1")
 	if err != nil {
@@ -20,8 +20,8 @@
 	return r
 }
 
-func out(name string) func(override.Words) {
-	return func(w override.Words) { w.Say(name, true, time.Hour) }
+func out(name string) func(override.Overrides) {
+	return func(w override.Overrides) { w.Set(name, true, time.Hour) }
 }
 
 // What one process records the next one finds. A file that cannot be read gives no
@@ -29,22 +29,22 @@
 // left counts as nobody.
 func TestWords(t *testing.T) {
 	for spoilt, text := range map[string]string{"torn": `{"version":1,"words":{"a":{"out":tr`, "empty": "",
-		"version": `{"version":7,"words":{"a":{"out":true}}}`, "long": strings.Repeat(" ", mostWords+1)} {
+		"version": `{"version":7,"words":{"a":{"out":true}}}`, "long": strings.Repeat(" ", maxOverridesBytes+1)} {
 		tmp := t.TempDir()
 		a, b := enter(t, tmp), enter(t, tmp)
-		path := filepath.Join(a.dir, wordsFile)
+		path := filepath.Join(a.dir, overridesName)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if w, err := a.Words(); err == nil || len(w) > 0 {
+		if w, err := a.Overrides(); err == nil || len(w) > 0 {
 			t.Errorf("%s: %+v, %v", spoilt, w, err)
 		}
-		for i, r := range []*Room{a, b} {
+		for i, r := range []*Directory{a, b} {
 			if _, err := r.Change(out([]string{"x", "y"}[i])); err != nil {
 				t.Errorf("%s: %v", spoilt, err)
 			}
 		}
-		if w, err := a.Words(); err != nil || !w.Out("x") || !w.Out("y") || len(w) != 2 {
+		if w, err := a.Overrides(); err != nil || !w.Out("x") || !w.Out("y") || len(w) != 2 {
 			t.Errorf("%s, then: %+v, %v", spoilt, w, err)
 		}
 		_ = os.WriteFile(filepath.Join(a.dir, alive+"1"), nil, 0o600)
@@ -62,8 +62,8 @@
 func TestParcels(t *testing.T) {
 	tmp := filepath.Join(t.TempDir(), strings.Repeat("long", 30))
 	a, b := enter(t, tmp), enter(t, tmp)
-	got := make(chan Parcel, 1)
-	stop, err := b.Receive(func(p Parcel) { got <- p })
+	got := make(chan Message, 1)
+	stop, err := b.Receive(func(p Message) { got <- p })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	if err := next.Send(Parcel{Text: make([]byte, 150<<10), Sockets: []*os.File{far}}); err != nil {
+	if err := next.Send(Message{Text: make([]byte, 150<<10), Sockets: []*os.File{far}}); err != nil {
 		t.Fatal(err)
 	}
 	p, buf := <-got, make([]byte, 2)
@@ -86,7 +86,7 @@
 		t.Errorf("%d bytes, and through the socket came %q, %v", len(p.Text), buf, err)
 	}
 	p.Close()
-	if err := next.Send(Parcel{Text: make([]byte, mostParcel+1)}); err == nil {
+	if err := next.Send(Message{Text: make([]byte, maxMessageBytes+1)}); err == nil {
 		t.Error("a parcel that is too long was sent")
 	}
 	if stop(); a.Next() != nil {
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	socketName  = "next-2-" // with the version of what is said there
-	mostParcel  = 512 << 10
-	mostSockets = 32 // beside one parcel
-	bufferSize  = 1 << 20
+	socketName           = "next-2-" // with the version of what is said there
+	maxMessageBytes      = 512 << 10
+	maxSocketsPerMessage = 32 // beside one parcel
+	bufferSize           = 1 << 20
 )
 
-// Parcel is a message with the sockets that go with it.
-type Parcel struct {
+// Message is a message with the sockets that go with it.
+type Message struct {
 	Text    []byte
 	Sockets []*os.File
 }
 
 // Close closes the sockets.
-func (p Parcel) Close() {
+func (p Message) Close() {
 	for _, s := range p.Sockets {
 		s.Close()
 	}
@@ -33,7 +33,7 @@
 
 // Receive opens the place where the process before this one hands over what it has
 // in work, and calls got with each parcel, from a goroutine of its own.
-func (r *Room) Receive(got func(Parcel)) (stop func(), err error) {
+func (r *Directory) Receive(got func(Message)) (stop func(), err error) {
 	name := filepath.Join(r.dir, socketName+r.name)
 	at, free, err := r.address(name)
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // address names a socket's file within the length that the system allows.
-func (r *Room) address(path string) (*net.UnixAddr, func(), error) {
+func (r *Directory) address(path string) (*net.UnixAddr, func(), error) {
 	if len(path) < 100 {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
 	}
@@ -70,15 +70,15 @@
 	return &net.UnixAddr{Name: short, Net: "unixpacket"}, func() { dir.Close() }, nil
 }
 
-func receive(c *net.UnixConn, got func(Parcel)) {
+func receive(c *net.UnixConn, got func(Message)) {
 	defer c.Close()
-	text, rights := make([]byte, mostParcel), make([]byte, syscall.CmsgSpace(4*mostSockets))
+	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4*maxSocketsPerMessage))
 	for {
 		n, rn, flags, _, err := c.ReadMsgUnix(text, rights)
 		if err != nil || n == 0 {
 			return
 		}
-		p := Parcel{Text: append([]byte(nil), text[:n]...), Sockets: sockets(rights[:rn])}
+		p := Message{Text: append([]byte(nil), text[:n]...), Sockets: sockets(rights[:rn])}
 		if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 			slog.Error("a parcel of another process is too long", "bytes", n, "sockets", len(p.Sockets))
 			p.Close()
@@ -111,7 +111,7 @@
 
 // Next finds the process that follows this one. nil: there is none that speaks as
 // this one does.
-func (r *Room) Next() *Next {
+func (r *Directory) Next() *Next {
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
 		return nil
@@ -140,8 +140,8 @@
 }
 
 // Send hands a parcel over. After an error the sockets are still the caller's.
-func (n *Next) Send(p Parcel) error {
-	if len(p.Text) > mostParcel || len(p.Sockets) > mostSockets {
+func (n *Next) Send(p Message) error {
+	if len(p.Text) > maxMessageBytes || len(p.Sockets) > maxSocketsPerMessage {
 		return fmt.Errorf("a parcel of %d bytes and %d sockets is too long", len(p.Text), len(p.Sockets))
 	}
 	fds := make([]int, len(p.Sockets))
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -10,25 +10,25 @@
 	"ospreybend/balance"
 )
 
-// Word is the last that was said of a prep worker. Times are the clock's.
-type Word struct {
+// Override is the last that was said of a prep worker. Times are the clock's.
+type Override struct {
 	Out   bool          `json:"out"`
 	At    time.Duration `json:"at"`
 	Since time.Duration `json:"since,omitempty"` // when it was last taken out from being in; 0: never
 	Back  time.Duration `json:"back,omitempty"`  // when it was last called back from being out; 0: never
 }
 
-// Words holds the last word on each prep worker, by name.
-type Words map[string]Word
+// Overrides holds the last word on each prep worker, by name.
+type Overrides map[string]Override
 
 // Out tells whether a prep worker is out by hand.
-func (w Words) Out(name string) bool { return w[name].Out }
+func (w Overrides) Out(name string) bool { return w[name].Out }
 
-// Say notes a call. One back undoes any number out; back for one that is not out
+// Set notes a call. One back undoes any number out; back for one that is not out
 // changes nothing but the time of the last word.
-func (w Words) Say(name string, out bool, now time.Duration) {
+func (w Overrides) Set(name string, out bool, now time.Duration) {
 	old := w[name]
-	next := Word{Out: out, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
+	next := Override{Out: out, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
 	switch {
 	case old.Out && !out:
 		next.Back = next.At
@@ -41,7 +41,7 @@
 // Merge takes in the words that another process of this node knows. Of two words
 // on one prep worker the later holds; the order of merging does not matter. It
 // returns the names for which something else holds now.
-func (w Words) Merge(other Words) (changed []string) {
+func (w Overrides) Merge(other Overrides) (changed []string) {
 	for name, theirs := range other {
 		old := w[name]
 		next := later(old, theirs)
@@ -56,7 +56,7 @@
 	return changed
 }
 
-func later(a, b Word) Word {
+func later(a, b Override) Override {
 	if b.At > a.At || b.At == a.At && b.Out {
 		a, b = b, a // a is the one that holds; of two at once, out is the safe one
 	}
@@ -67,21 +67,21 @@
 	return a
 }
 
-// Lay gives a prep worker's entry in the pool config as the core is to see it. One
+// Apply gives a prep worker's entry in the pool config as the core is to see it. One
 // that is out drains, whatever the list says of it. One called back has been
 // restarted meanwhile. Where the list has that start, later than the word that took
 // it out, it holds; where it does not yet, the prep worker counts as started with
 // the call back, since the start that is listed is its old process's.
-func (w Words) Lay(name string, l balance.Listing) balance.Listing {
-	word, ok := w[name]
+func (w Overrides) Apply(name string, l balance.Listing) balance.Listing {
+	latest, ok := w[name]
 	if !ok || l.State == balance.Gone {
 		return l
 	}
-	if word.Out && l.State == balance.Ready {
+	if latest.Out && l.State == balance.Ready {
 		l.State = balance.Draining
 	}
-	if l.Started <= word.Since {
-		l.Started = max(l.Started, word.Back)
+	if l.Started <= latest.Since {
+		l.Started = max(l.Started, latest.Back)
 	}
 	return l
 }
--- a/internal/node/override/override_test.go
+++ b/internal/node/override/override_test.go
@@ -16,13 +16,13 @@
 // lays every list as the model says: out is out whatever the list says; called back
 // means started since the last word out, or with the call where the list has no such
 // start.
-func TestTwoProcessesAgainstAModel(t *testing.T) {
+func TestOverrides_twoProcessesAgainstAModel(t *testing.T) {
 	type truth struct {
 		out         bool
 		since, back time.Duration
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		two, now := [2]Words{{}, {}}, time.Hour
+		two, now := [2]Overrides{{}, {}}, time.Hour
 		model := map[string]truth{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond
@@ -41,7 +41,7 @@
 			}
 			m.out = out
 			model[name] = m
-			two[at].Say(name, out, now)
+			two[at].Set(name, out, now)
 		}
 		two[0].Merge(two[1])
 		two[1].Merge(two[0])
@@ -56,7 +56,7 @@
 				want.Started = max(started, m.back)
 			}
 			for i := range two {
-				if got := two[i].Lay(name, balance.Listing{State: state, Started: started}); got != want {
+				if got := two[i].Apply(name, balance.Listing{State: state, Started: started}); got != want {
 					t.Fatalf("%s in process %d: %+v, want %+v", name, i, got, want)
 				}
 			}
@@ -65,12 +65,12 @@
 }
 
 // Words that meet only after both were said: the later holds, in either order.
-func TestLaterWordHolds(t *testing.T) {
-	a, b := Words{}, Words{}
-	a.Say("x", true, time.Hour)
-	b.Say("x", false, 2*time.Hour)
+func TestOverrides_Merge_laterWins(t *testing.T) {
+	a, b := Overrides{}, Overrides{}
+	a.Set("x", true, time.Hour)
+	b.Set("x", false, 2*time.Hour)
 	a.Merge(b)
-	b.Merge(Words{"x": {Out: true, At: time.Hour, Since: time.Hour}})
+	b.Merge(Overrides{"x": {Out: true, At: time.Hour, Since: time.Hour}})
 	if a["x"] != b["x"] || a.Out("x") || a["x"].Back != 2*time.Hour {
 		t.Errorf("%+v and %+v", a["x"], b["x"])
 	}
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -28,7 +28,7 @@
 	Ready   func() bool
 	// Record has a word by hand written where the next process finds it, beside the
 	// loop, and tells on the loop what holds now. nil: there is no such place.
-	Record func(name string, out bool, done func(override.Words, error))
+	Record func(name string, out bool, done func(override.Overrides, error))
 	// Zone puts a word on a zone to the fleet, and tells on the loop what became of it; Fleet
 	// tells how the fleet stands. nil: the node belongs to none.
 	Zone  func(zone, do, reason string, span time.Duration, done func(error))
@@ -44,13 +44,13 @@
 	core   *routing.Core
 	pool   *Discovery
 	to     *Destinations
-	words  override.Words
+	words  override.Overrides
 }
 
 // NewAdmin makes the front; Start opens it. words are those that the pool config
 // is laid under.
 func NewAdmin(config AdminConfig, loop *eventloop.Loop, core *routing.Core, pool *Discovery, to *Destinations,
-	words override.Words) *Admin {
+	words override.Overrides) *Admin {
 	a := &Admin{config: config, loop: loop, core: core, pool: pool, to: to, words: words}
 	a.Server = NewServer(loop, config.Listen, config.Sockets, config.Memory, a.call)
 	return a
@@ -155,7 +155,7 @@
 	}
 	slog.Info("by hand", "prep_worker", name, "out", out)
 	if out {
-		a.words.Say(name, true, a.loop.Now())
+		a.words.Set(name, true, a.loop.Now())
 		a.apply(name, id)
 	}
 	answered := false
@@ -167,15 +167,15 @@
 	}
 	if a.config.Record == nil {
 		if !out {
-			a.words.Say(name, false, a.loop.Now())
+			a.words.Set(name, false, a.loop.Now())
 			a.apply(name, id)
 		}
 		reply(200, "done")
 		return
 	}
-	late := a.loop.Due.Add(a.loop.Now()+recordWithin, func() { reply(503, "the record in TMPDIR takes too long") })
-	a.config.Record(name, out, func(now override.Words, err error) {
-		a.loop.Due.Drop(late)
+	late := a.loop.Timers.Add(a.loop.Now()+recordWithin, func() { reply(503, "the record in TMPDIR takes too long") })
+	a.config.Record(name, out, func(now override.Overrides, err error) {
+		a.loop.Timers.Cancel(late)
 		if err != nil {
 			slog.Error("a word by hand is not recorded", "prep_worker", name, "out", out, "fault", err)
 			reply(500, "it is out in this process, but not recorded in TMPDIR: an upgrade would forget it")
@@ -187,7 +187,7 @@
 }
 
 // Merge takes in the words that another process has recorded.
-func (a *Admin) Merge(words override.Words) {
+func (a *Admin) Merge(words override.Overrides) {
 	for _, name := range a.words.Merge(words) {
 		slog.Info("by hand", "prep_worker", name, "out", a.words.Out(name), "recorded", true)
 		a.apply(name, numberOf(name))
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -13,11 +13,11 @@
 )
 
 // withAdmin opens the operators' address of a world. record may be nil.
-func (w *world) withAdmin(t *testing.T, record func(string, bool, func(override.Words, error))) (a *Admin) {
+func (w *world) withAdmin(t *testing.T, record func(string, bool, func(override.Overrides, error))) (a *Admin) {
 	t.Helper()
 	at := scriptedpeer.Free(t)
 	w.Loop.Call(func() {
-		w.pool.config.ByHand = override.Words{}
+		w.pool.config.ByHand = override.Overrides{}
 		a = NewAdmin(AdminConfig{Listen: at, Sockets: 12, Memory: 64 << 10, Classes: []string{"pruefen", "buchen"},
 			Ready: w.core.Able, Record: record}, w.Loop, w.core, w.pool, w.to, w.pool.config.ByHand)
 		if err := a.Start(); err != nil {
@@ -168,9 +168,9 @@
 // What cannot be recorded gets a no within the second. Out holds all the same; back
 // does not.
 func TestUnrecorded(t *testing.T) {
-	for _, record := range []func(string, bool, func(override.Words, error)){
-		func(_ string, _ bool, done func(override.Words, error)) { done(nil, errors.New("no room left")) },
-		func(string, bool, func(override.Words, error)) {}, // it hangs
+	for _, record := range []func(string, bool, func(override.Overrides, error)){
+		func(_ string, _ bool, done func(override.Overrides, error)) { done(nil, errors.New("no room left")) },
+		func(string, bool, func(override.Overrides, error)) {}, // it hangs
 	} {
 		w := newWorld(t, nil)
 		a := w.withAdmin(t, record)
--- a/internal/node/protocol/answers.go
+++ b/internal/node/protocol/answers.go
@@ -201,7 +201,7 @@
 	c.trip.conn = nil
 	c.trip, c.told = nil, true
 	loop := c.owner.loop
-	c.deadline = loop.Due.Add(loop.Now()+restWithin, c.close)
+	c.deadline = loop.Timers.Add(loop.Now()+restWithin, c.close)
 }
 
 // finish stands at the end of an answer.
@@ -214,7 +214,7 @@
 	}
 	t := c.trip
 	c.trip, c.told = nil, false
-	c.owner.loop.Due.Drop(c.deadline)
+	c.owner.loop.Timers.Cancel(c.deadline)
 	// First the connection, so that what follows from the outcome can use it.
 	if c.last {
 		c.close()
--- a/internal/node/protocol/carry.go
+++ b/internal/node/protocol/carry.go
@@ -102,16 +102,16 @@
 // over, and forgets it. What cannot be moved now, as its last bytes wait for the
 // system, stays.
 func (f *Front) HandOver(to *Destinations, give func(p *Parcel, sockets []*os.File)) {
-	byCall := make(map[*Call]slottable.Ref, len(f.calls))
+	byCall := make(map[*Call]slottable.Handle, len(f.calls))
 	for ref, c := range f.calls {
 		byCall[c] = ref
 	}
-	f.sockets.All(func(_ slottable.Ref, s *frontSocket) {
+	f.sockets.All(func(_ slottable.Handle, s *frontSocket) {
 		if !s.conn.CanHandOver() {
 			return
 		}
 		p := &Parcel{Asked: s.asked, Began: s.began, Since: s.since}
-		var work slottable.Ref
+		var work slottable.Handle
 		if s.call != nil {
 			ref, ok := byCall[s.call]
 			if !ok || !to.movable(f.core.Out(ref)) {
@@ -135,9 +135,9 @@
 }
 
 // release takes a request in work out of the core and the destinations.
-func (f *Front) release(to *Destinations, ref slottable.Ref, c *Call, sockets []*os.File) (*CallPart, []*os.File) {
+func (f *Front) release(to *Destinations, ref slottable.Handle, c *Call, sockets []*os.File) (*CallPart, []*os.File) {
 	part := &CallPart{Last: c.last, Old: c.HTTP10}
-	part.Carried = f.core.Release(ref, func(try int, step slottable.Ref) (moved, begun bool) {
+	part.Carried = f.core.Release(ref, func(try int, step slottable.Handle) (moved, begun bool) {
 		s, socket, begun := to.release(step)
 		if socket != nil {
 			s.Try = try
@@ -158,15 +158,15 @@
 	s := &frontSocket{server: f.Server, conn: conns[0], asked: p.Asked, began: p.Began, since: p.Since}
 	s.ref = f.sockets.Add(s)
 	if f.listener != nil {
-		s.conn.Leaves(f.listener.Admit())
+		s.conn.OnClose(f.listener.Admit())
 	}
 	switch {
 	case p.Call != nil:
 		f.resume(to, s, p, conns[1:])
 	case !p.Asked:
-		s.limit = f.loop.Due.Add(p.Began+requestWithin, s.late) // it may stand idle only once it has asked
+		s.limit = f.loop.Timers.Add(p.Began+requestWithin, s.late) // it may stand idle only once it has asked
 	}
-	s.conn.Settle(s)
+	s.conn.SetHandler(s)
 	f.makeRoom()
 }
 
@@ -184,12 +184,12 @@
 	}
 	f.core.Resume(ref)
 	for i, c := range handlers {
-		conns[i].Settle(c) // last, as an answer may be among what has come in
+		conns[i].SetHandler(c) // last, as an answer may be among what has come in
 	}
 }
 
 // movable tells whether all connections at work on some steps can be handed over.
-func (d *Destinations) movable(steps []slottable.Ref) bool {
+func (d *Destinations) movable(steps []slottable.Handle) bool {
 	for _, at := range steps {
 		if t := d.trips[at]; t != nil && t.conn != nil && !t.conn.conn.CanHandOver() {
 			return false
@@ -200,7 +200,7 @@
 
 // release gives up the connection at work on a step, and tells whether a byte of
 // the step may have gone out. No socket: it cannot be moved.
-func (d *Destinations) release(step slottable.Ref) (part StepPart, socket *os.File, begun bool) {
+func (d *Destinations) release(step slottable.Handle) (part StepPart, socket *os.File, begun bool) {
 	t := d.trips[step]
 	if t == nil || t.conn == nil {
 		return part, nil, false
@@ -219,7 +219,7 @@
 }
 
 // adopt takes over a connection at work on a step.
-func (d *Destinations) adopt(step slottable.Ref, id balance.WorkerID, p StepPart, w *routing.Work,
+func (d *Destinations) adopt(step slottable.Handle, id balance.WorkerID, p StepPart, w *routing.Work,
 	conn *eventloop.Conn) *destinationConn {
 	to := d.byID[id]
 	if to == nil {
--- a/internal/node/protocol/carry_test.go
+++ b/internal/node/protocol/carry_test.go
@@ -82,12 +82,12 @@
 	old, next := newWorld(t, nil), newWorld(t, nil)
 	old.Play("c dial front\nc send {book}\ns accept workers\ns expect b1")
 	next.Loop.Call(func() {}) // both are up
-	var ref slottable.Ref
+	var ref slottable.Handle
 	old.Loop.Call(func() {
 		for at := range old.front.calls {
 			ref = at
 		}
-		carried := old.core.Release(ref, func(int, slottable.Ref) (bool, bool) { return false, true })
+		carried := old.core.Release(ref, func(int, slottable.Handle) (bool, bool) { return false, true })
 		next.Loop.Post(func() {
 			at, _ := next.core.Adopt(carried, next.front)
 			next.core.Resume(at)
--- a/internal/node/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -12,16 +12,16 @@
 type frontSocket struct {
 	server  *Server
 	conn    *eventloop.Conn
-	ref     slottable.Ref
-	call    *Call                // whose answer is owed; nil: none
-	reader  requestReader        // of the request that is coming
-	began   time.Duration        // when it began to come, or the connection
-	limit   *timerqueue.Deadline // by which it must be whole
-	heard   time.Duration        // when the last of it came
-	pieces  bool                 // it has come in more than one
-	held    int                  // bytes of input held for it
-	asked   bool                 // has brought a whole request
-	since   time.Duration        // the last answer
+	ref     slottable.Handle
+	call    *Call             // whose answer is owed; nil: none
+	reader  requestReader     // of the request that is coming
+	began   time.Duration     // when it began to come, or the connection
+	limit   *timerqueue.Timer // by which it must be whole
+	heard   time.Duration     // when the last of it came
+	pieces  bool              // it has come in more than one
+	held    int               // bytes of input held for it
+	asked   bool              // has brought a whole request
+	since   time.Duration     // the last answer
 	told100 bool
 }
 
@@ -29,7 +29,7 @@
 func (f *frontSocket) await() {
 	if f.limit == nil {
 		f.began = f.server.loop.Now()
-		f.limit = f.server.loop.Due.Add(f.began+requestWithin, f.late)
+		f.limit = f.server.loop.Timers.Add(f.began+requestWithin, f.late)
 	}
 }
 
@@ -37,7 +37,7 @@
 func (f *frontSocket) late() {
 	f.limit = nil
 	if !f.conn.Quiet() {
-		f.limit = f.server.loop.Due.Add(f.server.loop.Now()+readSoon, f.late) // it is to be read first
+		f.limit = f.server.loop.Timers.Add(f.server.loop.Now()+readSoon, f.late) // it is to be read first
 		return
 	}
 	if f.held == 0 {
@@ -55,7 +55,7 @@
 
 // forget drops the socket and tells whoever works on its call.
 func (f *frontSocket) forget() {
-	if !f.server.sockets.Drop(f.ref) {
+	if !f.server.sockets.Remove(f.ref) {
 		return
 	}
 	f.release()
@@ -71,7 +71,7 @@
 
 // release gives back what the request that was coming took up.
 func (f *frontSocket) release() {
-	f.server.loop.Due.Drop(f.limit)
+	f.server.loop.Timers.Cancel(f.limit)
 	f.limit = nil
 	f.server.held -= f.held
 	f.held = 0
@@ -168,7 +168,7 @@
 // finish ends a connection that has had its last answer.
 func (f *frontSocket) finish() {
 	f.release()
-	f.server.sockets.Drop(f.ref)
+	f.server.sockets.Remove(f.ref)
 	f.server.linger(f.conn)
 	f.server.check()
 }
--- a/internal/node/protocol/crowd_test.go
+++ b/internal/node/protocol/crowd_test.go
@@ -135,7 +135,7 @@
 				core, err := routing.New(balance.Settings{Balancers: nodes, Ordinal: i, AskDiscovery: true,
 					Resolution: 2 * time.Millisecond, Classes: []balance.Class{{GiveUp: time.Second}},
 					Limits: balance.Limits{MaxAttempts: 1}, Rules: balance.Rules{ColdFrom: 1, AskWithin: 10 * time.Second}},
-					seed*nodes+uint64(i), stage.Loop, &stage.Loop.Due)
+					seed*nodes+uint64(i), stage.Loop, &stage.Loop.Timers)
 				if err != nil {
 					t.Error(err)
 					return
--- a/internal/node/protocol/destinations.go
+++ b/internal/node/protocol/destinations.go
@@ -37,10 +37,10 @@
 	loop   *eventloop.Loop
 	core   *routing.Core
 	byID   map[balance.WorkerID]*destination
-	trips  map[slottable.Ref]*trip // by route step
-	open   int                     // connections, those being made included
-	wary   time.Duration           // until when kept connections are mistrusted
-	load   map[string]int          // a report field's place, by each name it may have
+	trips  map[slottable.Handle]*trip // by route step
+	open   int                        // connections, those being made included
+	wary   time.Duration              // until when kept connections are mistrusted
+	load   map[string]int             // a report field's place, by each name it may have
 
 	unreadable uint64        // answers
 	tellAt     time.Duration // when to log of them again
@@ -60,9 +60,9 @@
 
 // trip is one exchange with a destination: a route step or a probe.
 type trip struct {
-	step    slottable.Ref // 0: a probe
-	id      string        // of the request
-	once    bool          // must not run twice
+	step    slottable.Handle // 0: a probe
+	id      string           // of the request
+	once    bool             // must not run twice
 	to      *destination
 	request []byte        // of a probe
 	work    *routing.Work // of a route step: its request is made as it is written, since it tells the time left
@@ -70,14 +70,14 @@
 	conn    *destinationConn // nil: still being made
 	abandon func()           // gives up the making of the connection
 	sentAt  time.Duration
-	timeout *timerqueue.Deadline // of a probe
+	timeout *timerqueue.Timer // of a probe
 	over    bool
 }
 
 // NewDestinations makes the adapter.
 func NewDestinations(config DestinationConfig, loop *eventloop.Loop, core *routing.Core) *Destinations {
 	d := &Destinations{config: config, loop: loop, core: core, byID: map[balance.WorkerID]*destination{},
-		trips: map[slottable.Ref]*trip{}, load: map[string]int{}, partly: map[*trip]*destinationConn{}}
+		trips: map[slottable.Handle]*trip{}, load: map[string]int{}, partly: map[*trip]*destinationConn{}}
 	for i, name := range config.Report {
 		d.load[name] = i
 		// The settings name the fields as the simulator's wire does; on the
@@ -194,7 +194,7 @@
 func (d *Destinations) mistrust() { d.wary = d.loop.Now() + waryFor }
 
 // Send starts a route step.
-func (d *Destinations) Send(step slottable.Ref, id balance.WorkerID, w *routing.Work, until time.Duration) {
+func (d *Destinations) Send(step slottable.Handle, id balance.WorkerID, w *routing.Work, until time.Duration) {
 	to := d.byID[id]
 	if to == nil {
 		d.core.StepEnded(step, routing.StepEnd{Outcome: balance.NotSent})
@@ -234,7 +234,7 @@
 	}
 	t := &trip{to: to, sentAt: d.loop.Now(),
 		request: []byte("GET /load HTTP/1.1\r\nHost: " + d.config.Host + "\r\n\r\n")}
-	t.timeout = d.loop.Due.Add(t.sentAt+probeTimeout, func() {
+	t.timeout = d.loop.Timers.Add(t.sentAt+probeTimeout, func() {
 		d.drop(t)
 		d.end(t, routing.StepEnd{Outcome: balance.TimedOut})
 	})
@@ -259,7 +259,7 @@
 }
 
 // Abort gives a route step up: its connection closes, or never comes up.
-func (d *Destinations) Abort(step slottable.Ref) {
+func (d *Destinations) Abort(step slottable.Handle) {
 	if t := d.trips[step]; t != nil {
 		delete(d.trips, step)
 		d.drop(t)
@@ -289,7 +289,7 @@
 		// It answers, so that it has all; or it could not read the rest.
 		d.settle(t, c)
 	}
-	d.loop.Due.Drop(t.timeout)
+	d.loop.Timers.Cancel(t.timeout)
 	if t.step == 0 {
 		d.core.ProbeEnded(balance.ProbeDone{Worker: t.to.id, Outcome: e.Outcome,
 			Elapsed: d.loop.Now() - t.sentAt, Report: e.Report})
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -54,7 +54,7 @@
 	Zones, Kinds   []string // their numbers are their places here
 	ConnectTimeout time.Duration
 	Known          List
-	ByHand         override.Words // laid over each list; nil: none
+	ByHand         override.Overrides // laid over each list; nil: none
 	ColdTime       time.Duration
 	Draw           func() float64 // from 0 to 1, by which holds differ: watches that open together would end together; nil: they do not
 	Pushed         bool           // the list is an agent's: watched from the start on, whatever the module asks for
@@ -138,7 +138,7 @@
 
 // lay gives a destination's entry as the core is to see it.
 func (d *Discovery) lay(id balance.WorkerID, l balance.Listing) balance.Listing {
-	l = d.config.ByHand.Lay(d.names[id], l)
+	l = d.config.ByHand.Apply(d.names[id], l)
 	if d.spare && l.State == balance.Ready && d.loop.Now()-l.Started < d.config.ColdTime {
 		l.State = balance.Draining
 	}
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -19,7 +19,7 @@
 	owner   *Discovery
 	conn    *eventloop.Conn
 	abandon func()
-	timeout *timerqueue.Deadline
+	timeout *timerqueue.Timer
 	target  string
 	hold    time.Duration // how long it may wait for news
 	again   bool          // asked a second time, after the first failed
@@ -36,7 +36,7 @@
 	c.target, c.asked, c.head, c.text = target, true, false, nil
 	slog.Debug("pool config asked", "target", target)
 	d.counts.Asked++
-	c.timeout = d.loop.Due.Add(d.loop.Now()+c.hold+d.patience(c), func() {
+	c.timeout = d.loop.Timers.Add(d.loop.Now()+c.hold+d.patience(c), func() {
 		// Silence is no sign of a crowd, in which a call is refused: what broke the connection is
 		// over, or it is not, and what is owed is owed soon.
 		c.again = c.again && d.config.Pushed
@@ -66,7 +66,7 @@
 
 // close ends the call's part on the network.
 func (c *call) close() {
-	c.owner.loop.Due.Drop(c.timeout)
+	c.owner.loop.Timers.Cancel(c.timeout)
 	if c.abandon != nil {
 		c.abandon()
 		c.abandon = nil
@@ -118,7 +118,7 @@
 		d.silent = true
 	}
 	wait := pushedAgain/2 + time.Duration(rand.Int64N(int64(pushedAgain)))
-	d.loop.Due.Add(d.loop.Now()+wait, func() {
+	d.loop.Timers.Add(d.loop.Now()+wait, func() {
 		if d.wanted && d.watch == nil {
 			d.Watch(true)
 		}
@@ -179,7 +179,7 @@
 // later one would count as a new watch.
 func (c *call) finish() {
 	d := c.owner
-	d.loop.Due.Drop(c.timeout)
+	d.loop.Timers.Cancel(c.timeout)
 	c.asked = false
 	if c.status != 200 {
 		d.counts.Refused++
--- a/internal/node/protocol/ending_test.go
+++ b/internal/node/protocol/ending_test.go
@@ -37,7 +37,7 @@
 
 // sockets returns the clients' connections, on the loop.
 func (w *world) sockets() (all []*frontSocket) {
-	w.front.sockets.All(func(_ slottable.Ref, f *frontSocket) { all = append(all, f) })
+	w.front.sockets.All(func(_ slottable.Handle, f *frontSocket) { all = append(all, f) })
 	return all
 }
 
@@ -265,7 +265,7 @@
 	w.Advance(requestWithin - 5*time.Millisecond)
 	w.busy("c send {ask}\nc arrives", func() {
 		f := w.sockets()[0]
-		w.Loop.Due.Drop(f.limit)
+		w.Loop.Timers.Cancel(f.limit)
 		f.late()
 	})
 	w.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect fine")
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -39,14 +39,14 @@
 	*Server
 	config  FrontConfig
 	core    *routing.Core
-	calls   map[slottable.Ref]*Call // by operation
-	open    map[string]bool         // the ids of the operations in work
-	leaving bool                    // told to stop: not healthy any more
+	calls   map[slottable.Handle]*Call // by operation
+	open    map[string]bool            // the ids of the operations in work
+	leaving bool                       // told to stop: not healthy any more
 }
 
 // NewFront makes the front; Start opens it.
 func NewFront(config FrontConfig, loop *eventloop.Loop, core *routing.Core) *Front {
-	f := &Front{config: config, core: core, calls: map[slottable.Ref]*Call{}, open: map[string]bool{}}
+	f := &Front{config: config, core: core, calls: map[slottable.Handle]*Call{}, open: map[string]bool{}}
 	f.Server = NewServer(loop, config.Listen, config.Sockets, config.Memory, f.request)
 	return f
 }
@@ -103,7 +103,7 @@
 	f.core.Route(ref)
 }
 
-func (f *Front) register(ref slottable.Ref, c *Call) {
+func (f *Front) register(ref slottable.Handle, c *Call) {
 	f.calls[ref] = c
 	f.open[c.id] = true
 	c.Gone(func() {
@@ -198,7 +198,7 @@
 }
 
 // Answered sends an operation's final answer.
-func (f *Front) Answered(op slottable.Ref, a routing.Answer) {
+func (f *Front) Answered(op slottable.Handle, a routing.Answer) {
 	c := f.calls[op]
 	if c == nil {
 		return
@@ -231,7 +231,7 @@
 
 // Waits looks whether an operation's client is still there. One that has left is heard of
 // only when the loop reads its end, behind all that has come before.
-func (f *Front) Waits(op slottable.Ref) bool {
+func (f *Front) Waits(op slottable.Handle) bool {
 	c := f.calls[op]
 	if c == nil || !c.socket.conn.Ended() {
 		return true
@@ -242,10 +242,10 @@
 
 // Started, Stepped and StepDone concern other fronts: a client here hears of
 // nothing but the final answer.
-func (f *Front) Started(slottable.Ref, balance.WorkerID) {}
+func (f *Front) Started(slottable.Handle, balance.WorkerID) {}
 
 // Stepped is of no concern here either.
-func (f *Front) Stepped(slottable.Ref, balance.WorkerID) {}
+func (f *Front) Stepped(slottable.Handle, balance.WorkerID) {}
 
 // StepDone is of no concern here either.
-func (f *Front) StepDone(slottable.Ref, balance.WorkerID, balance.Outcome) {}
+func (f *Front) StepDone(slottable.Handle, balance.WorkerID, balance.Outcome) {}
--- a/internal/node/protocol/peers.go
+++ b/internal/node/protocol/peers.go
@@ -82,7 +82,7 @@
 // later asks for the address until it is free. Until then peers are neither told
 // nor heard.
 func (p *Peers) later(loop *eventloop.Loop, core *routing.Core) {
-	loop.Due.Add(loop.Now()+askPeersEvery, func() {
+	loop.Timers.Add(loop.Now()+askPeersEvery, func() {
 		if p.closed || p.open(loop, core) == nil {
 			return
 		}
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -323,7 +323,7 @@
 	})
 	t.Run("by hand", func(t *testing.T) {
 		drainWhileConnecting(t, func(w *world, up balance.ListUpdate) {
-			w.pool.config.ByHand = override.Words{"s-1": {Out: true}, "s-2": {Out: true}}
+			w.pool.config.ByHand = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
 			for _, l := range up.Workers {
 				w.pool.Relay(l.Worker)
 			}
@@ -562,7 +562,7 @@
 	w.Play("slow dial front")
 	var slow *frontSocket
 	w.Until(func() bool {
-		w.front.sockets.All(func(_ slottable.Ref, f *frontSocket) { slow = f })
+		w.front.sockets.All(func(_ slottable.Handle, f *frontSocket) { slow = f })
 		return slow != nil
 	})
 	come := 0
@@ -695,7 +695,7 @@
 // closed: descriptors would else be given out twice.
 func TestGivenUpDialKeepsItsPlace(t *testing.T) {
 	w := newWorld(t, nil)
-	step := slottable.Ref(99)
+	step := slottable.Handle(99)
 	w.Loop.Call(func() {
 		for id := range w.to.byID {
 			w.to.Send(step, id, &routing.Work{ID: "a1", Target: "/pruefen"}, w.Loop.Now()+time.Second)
--- a/internal/node/protocol/room.go
+++ b/internal/node/protocol/room.go
@@ -32,7 +32,7 @@
 	now := s.loop.Now()
 	var silent, unfinished, idle *frontSocket
 	slow := 0
-	s.sockets.All(func(_ slottable.Ref, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Handle, f *frontSocket) {
 		switch {
 		case f.call != nil || !f.conn.Open():
 		case f.asked && f.held == 0:
@@ -94,7 +94,7 @@
 	f.held = bytes
 	for s.held > s.memory {
 		var largest *frontSocket
-		s.sockets.All(func(_ slottable.Ref, g *frontSocket) {
+		s.sockets.All(func(_ slottable.Handle, g *frontSocket) {
 			if g.call == nil && g.held > 0 && (largest == nil || g.held > largest.held) {
 				largest = g
 			}
--- a/internal/node/protocol/server.go
+++ b/internal/node/protocol/server.go
@@ -104,13 +104,13 @@
 	} else {
 		s.ended = true
 	}
-	s.sockets.All(func(_ slottable.Ref, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Handle, f *frontSocket) {
 		if f.call != nil {
 			f.call.last = true
 		}
 	})
 	if after > 0 {
-		s.loop.Due.Add(s.loop.Now()+after, s.closeIdle)
+		s.loop.Timers.Add(s.loop.Now()+after, s.closeIdle)
 	} else {
 		s.closeIdle()
 	}
@@ -122,7 +122,7 @@
 // end of the sending could not be answered, and goes no further.
 func (s *Server) closeIdle() {
 	again := false
-	s.sockets.All(func(_ slottable.Ref, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Handle, f *frontSocket) {
 		switch {
 		case f.call != nil || f.held > 0:
 		case f.conn.Quiet():
@@ -132,7 +132,7 @@
 		}
 	})
 	if again {
-		s.loop.Due.Add(s.loop.Now()+readSoon, s.closeIdle)
+		s.loop.Timers.Add(s.loop.Now()+readSoon, s.closeIdle)
 	}
 }
 
@@ -152,7 +152,7 @@
 	f.ref = s.sockets.Add(f)
 	f.await()
 	if s.stopping { // it waited in the backlog; a usual client's request is there, or comes at once
-		s.loop.Due.Add(s.loop.Now()+freshFor, s.closeIdle)
+		s.loop.Timers.Add(s.loop.Now()+freshFor, s.closeIdle)
 	}
 	s.makeRoom()
 	if s.listener.Open() > s.most-socketLast {
--- a/internal/node/protocol/stage_test.go
+++ b/internal/node/protocol/stage_test.go
@@ -50,7 +50,7 @@
 	known := List{Version: 7, Entries: []Listed{{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
 		{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}
 	w.Loop.Call(func() {
-		core, err := routing.New(s, 1, w.Loop, &w.Loop.Due)
+		core, err := routing.New(s, 1, w.Loop, &w.Loop.Timers)
 		if err != nil {
 			t.Error(err)
 			return
--- a/internal/node/protocol/worker_connection.go
+++ b/internal/node/protocol/worker_connection.go
@@ -29,7 +29,7 @@
 	body     http1.BodyReader
 	last     bool   // no further exchange on this connection
 	line     []byte // the part of a line that is in
-	deadline *timerqueue.Deadline
+	deadline *timerqueue.Timer
 	kept     bool // has served an exchange before
 	restedAt time.Duration
 	told     bool  // the outcome is known
@@ -57,7 +57,7 @@
 			continue
 		}
 		t.to.idle = slices.Delete(t.to.idle, i, i+1)
-		d.loop.Due.Drop(c.deadline)
+		d.loop.Timers.Cancel(c.deadline)
 		return c
 	}
 	return nil
@@ -142,7 +142,7 @@
 	if d.config.ConnIdle == 0 {
 		keep = time.Minute
 	}
-	c.deadline = d.loop.Due.Add(d.loop.Now()+keep, c.close)
+	c.deadline = d.loop.Timers.Add(d.loop.Now()+keep, c.close)
 }
 
 // close ends the connection.
@@ -154,7 +154,7 @@
 // lost forgets a connection that has ended.
 func (c *destinationConn) lost() {
 	c.owner.open--
-	c.owner.loop.Due.Drop(c.deadline)
+	c.owner.loop.Timers.Cancel(c.deadline)
 	if i := slices.Index(c.to.idle, c); i >= 0 {
 		c.to.idle = slices.Delete(c.to.idle, i, i+1)
 	}
--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -21,13 +21,13 @@
 // operation is one operation and its route steps.
 type operation struct {
 	Operation
-	steps    []slottable.Ref // by number; a Ref goes stale when its step ends
-	tries    []balance.Try   // the same, as another process would have to know them
+	steps    []slottable.Handle // by number; a Ref goes stale when its step ends
+	tries    []balance.Try      // the same, as another process would have to know them
 	arrived  time.Duration
 	out      int
 	gated    int  // of those that are out: before the gate
 	over     bool // has its final answer, or nobody waits for one
-	deadline *timerqueue.Deadline
+	deadline *timerqueue.Timer
 }
 
 // Core is the node's state of operations and route steps. It belongs to the
@@ -36,7 +36,7 @@
 	settings balance.Settings
 	decide   *balance.Balancer
 	clock    Clock
-	due      *timerqueue.Line
+	timers   *timerqueue.Queue
 	to       Destinations
 	pool     Pool
 	peers    Peers
@@ -49,7 +49,7 @@
 	idle     func()        // called when the last open operation is answered
 	witness  Witness       // nil: none
 	observer Observer      // nil: none
-	keeper   Doorkeeper    // nil: all are let in
+	keeper   Admission     // nil: all are let in
 	heardAt  time.Duration // the last message of another node; 0: none
 	endBy    time.Duration // what ending owns is to be answered by then
 	ending   Owner         // nil: none
@@ -71,12 +71,12 @@
 type ClassCounts struct{ Served, Refused, Failed uint64 }
 
 // New makes a core. Connect must follow before anything else.
-func New(s balance.Settings, seed uint64, clock Clock, line *timerqueue.Line) (*Core, error) {
+func New(s balance.Settings, seed uint64, clock Clock, line *timerqueue.Queue) (*Core, error) {
 	decide, err := balance.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{settings: s, decide: decide, clock: clock, due: line,
+	return &Core{settings: s, decide: decide, clock: clock, timers: line,
 		counts: Counts{Classes: make([]ClassCounts, len(s.Classes))}, state: map[balance.WorkerID]balance.State{}, idle: func() {}, traced: tracing(),
 		named: func(id balance.WorkerID) string { return strconv.FormatUint(uint64(id), 16) }}, nil
 }
@@ -93,10 +93,10 @@
 func (c *Core) Observe(o Observer) { c.observer = o }
 
 // Keep has a doorkeeper asked about each operation from now on.
-func (c *Core) Keep(k Doorkeeper) { c.keeper = k }
+func (c *Core) Keep(k Admission) { c.keeper = k }
 
 // ZoneShares hands the module what the fleet has decided on the zones.
-func (c *Core) ZoneShares(s balance.ZoneShares) { c.tell(s) }
+func (c *Core) ZoneShares(s balance.ZoneShares) { c.dispatch(s) }
 
 // Zones tells what is known of the zones' ready destinations.
 func (c *Core) Zones() []balance.ZoneView { return c.decide.Zones(c.clock.Now()) }
@@ -130,7 +130,7 @@
 
 // Take takes an operation in. Nothing becomes of it before Route, so that its
 // owner can note the Ref first.
-func (c *Core) Take(in Operation) slottable.Ref {
+func (c *Core) Take(in Operation) slottable.Handle {
 	if c.ending != nil && in.Owner == c.ending {
 		in.Deadline = min(in.Deadline, c.endBy)
 	}
@@ -141,7 +141,7 @@
 	c.counts.Operations++
 	// The module answers a little before the deadline. Should it ever not, the
 	// client is still owed an answer while it listens.
-	op.deadline = c.due.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(ref) })
+	op.deadline = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(ref) })
 	return ref
 }
 
@@ -150,8 +150,8 @@
 // then.
 func (c *Core) EndBy(owner Owner, at time.Duration) {
 	c.ending, c.endBy = owner, at
-	var refs []slottable.Ref
-	c.ops.All(func(ref slottable.Ref, op *operation) {
+	var refs []slottable.Handle
+	c.ops.All(func(ref slottable.Handle, op *operation) {
 		if !op.over && op.Owner == owner && op.Deadline > at {
 			refs = append(refs, ref)
 		}
@@ -162,9 +162,9 @@
 			continue
 		}
 		op.Deadline = at
-		c.due.Drop(op.deadline)
-		op.deadline = c.due.Add(at+graceAfterDeadline, func() { c.overdue(ref) })
-		c.tell(balance.Shortened{Request: balance.RequestID(ref), Deadline: at})
+		c.timers.Cancel(op.deadline)
+		op.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(ref) })
+		c.dispatch(balance.Shortened{Request: balance.RequestID(ref), Deadline: at})
 	}
 }
 
@@ -175,7 +175,7 @@
 
 // Route puts an operation to the module. Its final answer may come before Route
 // returns.
-func (c *Core) Route(ref slottable.Ref) {
+func (c *Core) Route(ref slottable.Handle) {
 	op := c.ops.Get(ref)
 	if op == nil {
 		return
@@ -183,16 +183,16 @@
 	c.traceOperation("operation taken", op, "class", op.Class, "slots", op.Slots, "hint_us", op.Cost.Microseconds(),
 		"due_us", (op.Deadline - op.arrived).Microseconds())
 	if c.keeper != nil {
-		if after, ok := c.keeper.Lets(op.Class); !ok {
+		if after, ok := c.keeper.Admit(op.Class); !ok {
 			c.conclude(ref, Answer{Verdict: Refused, RetryAfter: c.advice(after)})
 			return
 		}
 	}
-	c.tell(c.request(ref, op))
+	c.dispatch(c.request(ref, op))
 }
 
 // request is an operation as the module sees it.
-func (c *Core) request(ref slottable.Ref, op *operation) balance.Request {
+func (c *Core) request(ref slottable.Handle, op *operation) balance.Request {
 	return balance.Request{ID: balance.RequestID(ref), Class: op.Class, Tenant: op.Tenant, Key: op.Key,
 		Cost: op.Cost, HasCost: op.HasCost, Repeat: op.Repeat, Slots: op.Slots, Memory: op.Memory,
 		Deadline: op.Deadline}
@@ -200,7 +200,7 @@
 
 // MayHaveRun tells whether a route step of the operation has had effect, or yet
 // may.
-func (c *Core) MayHaveRun(ref slottable.Ref) bool {
+func (c *Core) MayHaveRun(ref slottable.Handle) bool {
 	op := c.ops.Get(ref)
 	return op != nil && (op.out > op.gated ||
 		slices.ContainsFunc(op.tries, func(t balance.Try) bool { return t.MayHave && !t.Out }))
@@ -208,7 +208,7 @@
 
 // Withdraw tells that nobody waits for the operation any more. It gets no
 // answer from then on.
-func (c *Core) Withdraw(ref slottable.Ref) {
+func (c *Core) Withdraw(ref slottable.Handle) {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return
@@ -216,23 +216,23 @@
 	c.counts.Gone++
 	c.traceOperation("operation withdrawn", op)
 	c.finish(op)
-	c.tell(balance.RequestGone{Request: balance.RequestID(ref)})
+	c.dispatch(balance.RequestGone{Request: balance.RequestID(ref)})
 	c.forget(ref, op)
 }
 
-func (c *Core) overdue(ref slottable.Ref) {
+func (c *Core) overdue(ref slottable.Handle) {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return
 	}
 	slog.Warn("operation overdue", "id", op.Work.ID, "steps", len(op.steps))
 	c.answer(ref, op, Answer{Verdict: Failed})
-	c.tell(balance.RequestGone{Request: balance.RequestID(ref)})
+	c.dispatch(balance.RequestGone{Request: balance.RequestID(ref)})
 	c.forget(ref, op)
 }
 
 // answer gives the operation its one final answer.
-func (c *Core) answer(ref slottable.Ref, op *operation, a Answer) {
+func (c *Core) answer(ref slottable.Handle, op *operation, a Answer) {
 	if op.over {
 		return
 	}
@@ -271,7 +271,7 @@
 
 func (c *Core) finish(op *operation) {
 	op.over = true
-	c.due.Drop(op.deadline)
+	c.timers.Cancel(op.deadline)
 	c.open--
 	if c.open == 0 {
 		c.idle()
@@ -279,9 +279,9 @@
 }
 
 // forget frees the slot of an operation that is over with nothing out.
-func (c *Core) forget(ref slottable.Ref, op *operation) {
+func (c *Core) forget(ref slottable.Handle, op *operation) {
 	if op.over && op.out == 0 {
-		c.ops.Drop(ref)
+		c.ops.Remove(ref)
 	}
 }
 
@@ -294,7 +294,7 @@
 		slog.Debug("probe ended", "destination", c.named(ev.Worker), "outcome", ev.Outcome, "after_us",
 			ev.Elapsed.Microseconds(), "report", ev.Report)
 	}
-	c.tell(ev)
+	c.dispatch(ev)
 }
 
 // PoolChanged takes in news of the destinations.
@@ -310,18 +310,18 @@
 		}
 		c.state[l.Worker] = l.State
 	}
-	c.tell(up)
+	c.dispatch(up)
 }
 
 // Heard takes in a message of another node.
 func (c *Core) Heard(from int, payload []byte) {
 	c.heardAt = c.clock.Now()
-	c.tell(balance.PeerMessage{From: from, Payload: payload})
+	c.dispatch(balance.PeerMessage{From: from, Payload: payload})
 }
 
-// tell hands an event to the module and carries its actions out. What they
+// dispatch hands an event to the module and carries its actions out. What they
 // bring about waits its turn, as the module is not to be called within a call.
-func (c *Core) tell(ev balance.Event) {
+func (c *Core) dispatch(ev balance.Event) {
 	c.events = append(c.events, ev)
 	if c.busy {
 		return
@@ -331,24 +331,24 @@
 		next := c.events[0]
 		c.events = slices.Delete(c.events, 0, 1)
 		for _, a := range c.decide.Handle(c.clock.Now(), next) {
-			c.do(a)
+			c.perform(a)
 		}
 	}
 	c.busy = false
 }
 
-func (c *Core) do(a balance.Action) {
+func (c *Core) perform(a balance.Action) {
 	switch a := a.(type) {
 	case balance.Send:
-		c.send(slottable.Ref(a.Request), a)
+		c.send(slottable.Handle(a.Request), a)
 	case balance.Refuse:
-		c.conclude(slottable.Ref(a.Request), Answer{Verdict: Refused, RetryAfter: c.advice(a.RetryAfter)})
+		c.conclude(slottable.Handle(a.Request), Answer{Verdict: Refused, RetryAfter: c.advice(a.RetryAfter)})
 	case balance.Fail:
-		c.conclude(slottable.Ref(a.Request), Answer{Verdict: Failed})
+		c.conclude(slottable.Handle(a.Request), Answer{Verdict: Failed})
 	case balance.Cancel:
-		c.cancel(slottable.Ref(a.Request), a.Attempt)
+		c.cancel(slottable.Handle(a.Request), a.Attempt)
 	case balance.SetTimer:
-		c.due.Add(c.clock.Now()+a.After, func() { c.tell(balance.TimerFired{Token: a.Token}) })
+		c.timers.Add(c.clock.Now()+a.After, func() { c.dispatch(balance.TimerFired{Token: a.Token}) })
 	case balance.Probe:
 		if state, listed := c.state[a.Worker]; c.settings.Limits.Probes && listed && state == balance.Ready {
 			c.to.Probe(a.Worker)
@@ -381,7 +381,7 @@
 	return after
 }
 
-func (c *Core) conclude(ref slottable.Ref, a Answer) {
+func (c *Core) conclude(ref slottable.Handle, a Answer) {
 	if op := c.ops.Get(ref); op != nil {
 		c.answer(ref, op, a)
 		c.forget(ref, op)
--- a/internal/node/routing/core_test.go
+++ b/internal/node/routing/core_test.go
@@ -12,26 +12,26 @@
 // far is all that stands round a core in a test.
 type far struct {
 	now     time.Duration
-	line    timerqueue.Line
-	sent    []slottable.Ref
-	aborted []slottable.Ref
+	line    timerqueue.Queue
+	sent    []slottable.Handle
+	aborted []slottable.Handle
 	answers []Answer
 }
 
 func (f *far) Now() time.Duration { return f.now }
-func (f *far) Send(step slottable.Ref, _ balance.WorkerID, _ *Work, _ time.Duration) {
+func (f *far) Send(step slottable.Handle, _ balance.WorkerID, _ *Work, _ time.Duration) {
 	f.sent = append(f.sent, step)
 }
-func (f *far) Abort(step slottable.Ref)                                  { f.aborted = append(f.aborted, step) }
-func (f *far) Probe(balance.WorkerID)                                    {}
-func (f *far) CloseIdle(balance.WorkerID)                                {}
-func (f *far) Watch(bool)                                                {}
-func (f *far) Fetch()                                                    {}
-func (f *far) Tell(int, []byte)                                          {}
-func (f *far) Answered(_ slottable.Ref, a Answer)                        { f.answers = append(f.answers, a) }
-func (f *far) Started(slottable.Ref, balance.WorkerID)                   {}
-func (f *far) Stepped(slottable.Ref, balance.WorkerID)                   {}
-func (f *far) StepDone(slottable.Ref, balance.WorkerID, balance.Outcome) {}
+func (f *far) Abort(step slottable.Handle)                                  { f.aborted = append(f.aborted, step) }
+func (f *far) Probe(balance.WorkerID)                                       {}
+func (f *far) CloseIdle(balance.WorkerID)                                   {}
+func (f *far) Watch(bool)                                                   {}
+func (f *far) Fetch()                                                       {}
+func (f *far) Tell(int, []byte)                                             {}
+func (f *far) Answered(_ slottable.Handle, a Answer)                        { f.answers = append(f.answers, a) }
+func (f *far) Started(slottable.Handle, balance.WorkerID)                   {}
+func (f *far) Stepped(slottable.Handle, balance.WorkerID)                   {}
+func (f *far) StepDone(slottable.Handle, balance.WorkerID, balance.Outcome) {}
 func (f *far) run(until time.Duration) {
 	for ; f.now < until; f.now += time.Millisecond {
 		f.line.Run(f.now)
@@ -39,7 +39,7 @@
 }
 
 // newCore has one ready worker, number 7, and one operation with a step out.
-func newCore(t *testing.T) (*Core, *far, slottable.Ref) {
+func newCore(t *testing.T) (*Core, *far, slottable.Handle) {
 	t.Helper()
 	f := &far{now: time.Hour}
 	c, err := New(balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond,
@@ -120,10 +120,10 @@
 	open []func(bool)
 }
 
-func (g *gated) Gate(_ slottable.Ref, open func(bool)) { g.open = append(g.open, open) }
+func (g *gated) Gate(_ slottable.Handle, open func(bool)) { g.open = append(g.open, open) }
 
 // newGated has one ready worker and one operation whose step is before its gate.
-func newGated(t *testing.T) (*Core, *gated, slottable.Ref) {
+func newGated(t *testing.T) (*Core, *gated, slottable.Handle) {
 	t.Helper()
 	c, f, first := newCore(t)
 	c.StepEnded(f.sent[0], StepEnd{Outcome: balance.Served})
@@ -154,14 +154,14 @@
 // What is over, late, or at a destination that drains or is gone does not go out
 // when its gate opens at last, and has never run.
 func TestGateOpensTooLate(t *testing.T) {
-	for name, meanwhile := range map[string]func(c *Core, g *gated, op slottable.Ref){
-		"withdrawn": func(c *Core, _ *gated, op slottable.Ref) { c.Withdraw(op) },
-		"draining": func(c *Core, _ *gated, _ slottable.Ref) {
+	for name, meanwhile := range map[string]func(c *Core, g *gated, op slottable.Handle){
+		"withdrawn": func(c *Core, _ *gated, op slottable.Handle) { c.Withdraw(op) },
+		"draining": func(c *Core, _ *gated, _ slottable.Handle) {
 			c.PoolChanged(balance.ListUpdate{Workers: []balance.Listing{{Worker: 7, Scale: 1, State: balance.Draining}}})
 		},
-		"gone":     func(c *Core, _ *gated, _ slottable.Ref) { c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull}) },
-		"deadline": func(_ *Core, g *gated, _ slottable.Ref) { g.run(g.now + 3*time.Second) },
-		"refused":  func(_ *Core, g *gated, _ slottable.Ref) { g.open[0](false) },
+		"gone":     func(c *Core, _ *gated, _ slottable.Handle) { c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull}) },
+		"deadline": func(_ *Core, g *gated, _ slottable.Handle) { g.run(g.now + 3*time.Second) },
+		"refused":  func(_ *Core, g *gated, _ slottable.Handle) { g.open[0](false) },
 	} {
 		c, g, op := newGated(t)
 		meanwhile(c, g, op)
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -58,14 +58,14 @@
 type Owner interface {
 	// Answered is called exactly once for each operation, unless it was
 	// withdrawn before.
-	Answered(op slottable.Ref, a Answer)
+	Answered(op slottable.Handle, a Answer)
 	// Started tells that a destination has begun to run the operation.
-	Started(op slottable.Ref, at balance.WorkerID)
+	Started(op slottable.Handle, at balance.WorkerID)
 	// Stepped tells that a route step goes out, before its first byte does.
-	Stepped(op slottable.Ref, to balance.WorkerID)
+	Stepped(op slottable.Handle, to balance.WorkerID)
 	// StepDone tells how a route step ended, while the operation has no final
 	// answer yet.
-	StepDone(op slottable.Ref, at balance.WorkerID, how balance.Outcome)
+	StepDone(op slottable.Handle, at balance.WorkerID, how balance.Outcome)
 }
 
 // Witness hears of the operations of all fronts, to learn how busy the
@@ -81,16 +81,16 @@
 
 // Observer hears of all route steps that go out, to learn how the zones fare.
 type Observer interface {
-	StepSent(step slottable.Ref, to balance.WorkerID, class int, slots float64)
-	StepStarted(step slottable.Ref)
+	StepSent(step slottable.Handle, to balance.WorkerID, class int, slots float64)
+	StepStarted(step slottable.Handle)
 	// StepEnded tells how a step ended, also one that was never sent.
-	StepEnded(step slottable.Ref, how balance.Outcome)
+	StepEnded(step slottable.Handle, how balance.Outcome)
 }
 
-// Doorkeeper decides whether an operation is let in at all. One that is not is refused at
+// Admission decides whether an operation is let in at all. One that is not is refused at
 // once, with a time to come back.
-type Doorkeeper interface {
-	Lets(class int) (after time.Duration, ok bool)
+type Admission interface {
+	Admit(class int) (after time.Duration, ok bool)
 }
 
 // Gate is an owner that must do something, as write to a record, between the
@@ -100,13 +100,15 @@
 // deadline, the destination's state and the final answer. Until then the step has
 // never run, however it ends.
 type Gate interface {
-	Gate(op slottable.Ref, open func(ok bool))
+	Gate(op slottable.Handle, open func(ok bool))
 }
 
 // Waiter is an owner that can look whether anybody still waits for an operation, though
 // it may not have been told otherwise yet. The core asks before each attempt's first
 // byte. An owner that finds nobody withdraws the operation before it says no.
-type Waiter interface{ Waits(op slottable.Ref) bool }
+type Waiter interface {
+	Waits(op slottable.Handle) bool
+}
 
 // StepEnd is how a route step ended.
 type StepEnd struct {
@@ -119,8 +121,8 @@
 // Destinations carries route steps to destinations. For each Send it calls
 // Core.StepEnded once, unless Abort came before.
 type Destinations interface {
-	Send(step slottable.Ref, to balance.WorkerID, w *Work, until time.Duration)
-	Abort(step slottable.Ref) // closes the step's connection
+	Send(step slottable.Handle, to balance.WorkerID, w *Work, until time.Duration)
+	Abort(step slottable.Handle) // closes the step's connection
 	Probe(to balance.WorkerID)
 	CloseIdle(to balance.WorkerID)
 }
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -9,24 +9,24 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// onItsWay is what the network may take, with half of the slack that the rules have on sockets to spare.
-const onItsWay = 25 * time.Millisecond
+// networkAllowance is what the network may take, with half of the slack that the rules have on sockets to spare.
+const networkAllowance = 25 * time.Millisecond
 
 // step is one route step.
 type step struct {
-	op       slottable.Ref
+	op       slottable.Handle
 	number   int
 	to       balance.WorkerID
 	sentAt   time.Duration
 	until    time.Duration
-	deadline *timerqueue.Deadline
+	deadline *timerqueue.Timer
 	gated    bool // not let through to the destination yet
 }
 
 // MayStart tells whether a route step whose connection has come up only now may
 // still write its first byte: the destination may have been told to drain, the
 // deadline may have passed and the client may have left while the connection was made.
-func (c *Core) MayStart(ref slottable.Ref) bool {
+func (c *Core) MayStart(ref slottable.Handle) bool {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return false
@@ -43,7 +43,7 @@
 		return true
 	}
 	for i, t := range op.tries {
-		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[op.Class].Window-onItsWay {
+		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[op.Class].Window-networkAllowance {
 			return false
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 // awaited tells whether anybody waits for an operation's answer. It may withdraw it.
-func (c *Core) awaited(ref slottable.Ref) bool {
+func (c *Core) awaited(ref slottable.Handle) bool {
 	op := c.ops.Get(ref)
 	if op == nil || op.over {
 		return false
@@ -61,7 +61,7 @@
 }
 
 // StepStarted tells that the destination has begun to run the step.
-func (c *Core) StepStarted(ref slottable.Ref) {
+func (c *Core) StepStarted(ref slottable.Handle) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
@@ -77,25 +77,25 @@
 			c.witness.Waited(op.Owner, c.clock.Now()-s.sentAt)
 		}
 	}
-	c.tell(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
+	c.dispatch(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
 }
 
 // StepProgress tells how far the destination is.
-func (c *Core) StepProgress(ref slottable.Ref, share float64) {
+func (c *Core) StepProgress(ref slottable.Handle, share float64) {
 	if s := c.steps.Get(ref); s != nil {
-		c.tell(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
+		c.dispatch(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
 			Progress: share})
 	}
 }
 
 // StepEnded tells how a route step ended. Only the first word on a step counts.
-func (c *Core) StepEnded(ref slottable.Ref, end StepEnd) {
+func (c *Core) StepEnded(ref slottable.Handle, end StepEnd) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
 	}
-	c.steps.Drop(ref)
-	c.due.Drop(s.deadline)
+	c.steps.Remove(ref)
+	c.timers.Cancel(s.deadline)
 	if end.Rejected {
 		// No fault of the destination's, and another would say the same: one bad
 		// client could else make all of them look sick. To the module it is as if
@@ -122,14 +122,14 @@
 	case end.Outcome == balance.Served:
 		c.answer(s.op, op, Answer{Verdict: Served, Result: end.Result})
 	}
-	c.tell(balance.AttemptDone{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
+	c.dispatch(balance.AttemptDone{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
 		Outcome: end.Outcome, Elapsed: c.clock.Now() - s.sentAt, Over: op.over, Report: end.Report})
 	c.forget(s.op, op)
 }
 
 // send starts a route step. What the rules forbid outright ends as not sent,
 // whatever the module thinks.
-func (c *Core) send(ref slottable.Ref, a balance.Send) {
+func (c *Core) send(ref slottable.Handle, a balance.Send) {
 	op, now := c.ops.Get(ref), c.clock.Now()
 	if op == nil {
 		return
@@ -153,7 +153,7 @@
 	if c.observer != nil {
 		c.observer.StepSent(at, a.Worker, op.Class, op.Slots)
 	}
-	s.deadline = c.due.Add(until, func() { c.stop(at, balance.TimedOut) })
+	s.deadline = c.timers.Add(until, func() { c.stop(at, balance.TimedOut) })
 	op.Owner.Stepped(ref, a.Worker)
 	gate, ok := op.Owner.(Gate)
 	if !ok {
@@ -167,7 +167,7 @@
 
 // pass lets a step through its gate, or ends it there. What is now over, late or
 // at a destination that has been told to drain does not go out any more.
-func (c *Core) pass(at slottable.Ref, ok bool) {
+func (c *Core) pass(at slottable.Handle, ok bool) {
 	s := c.steps.Get(at)
 	if s == nil || !s.gated {
 		return
@@ -183,14 +183,14 @@
 	c.to.Send(at, s.to, &op.Work, s.until)
 }
 
-func (c *Core) cancel(ref slottable.Ref, number int) {
+func (c *Core) cancel(ref slottable.Handle, number int) {
 	if op := c.ops.Get(ref); op != nil && number >= 0 && number < len(op.steps) {
 		c.stop(op.steps[number], balance.Cancelled)
 	}
 }
 
 // stop gives a step up. Its connection is closed with it.
-func (c *Core) stop(ref slottable.Ref, as balance.Outcome) {
+func (c *Core) stop(ref slottable.Handle, as balance.Outcome) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
--- a/internal/node/slottable/table_test.go
+++ b/internal/node/slottable/table_test.go
@@ -4,10 +4,10 @@
 
 // A late answer for an operation that is over must not reach the operation
 // that has its slot now.
-func TestStaleRefFindsNothing(t *testing.T) {
+func TestTable_Get_staleHandle(t *testing.T) {
 	var table Table[string]
 	first := table.Add("first")
-	if !table.Drop(first) || table.Drop(first) {
+	if !table.Remove(first) || table.Remove(first) {
 		t.Fatal("a slot is dropped once")
 	}
 	second := table.Add("second")
@@ -25,17 +25,17 @@
 	}
 }
 
-func TestAllVisitsWhatIsInUse(t *testing.T) {
+func TestTable_All(t *testing.T) {
 	var table Table[int]
-	var refs []Ref
+	var refs []Handle
 	for i := range 4 {
 		refs = append(refs, table.Add(i))
 	}
-	table.Drop(refs[1])
+	table.Remove(refs[1])
 	sum := 0
-	table.All(func(ref Ref, v int) {
-		if table.Get(ref) != v {
-			t.Errorf("All gives %d under a Ref of %d", v, table.Get(ref))
+	table.All(func(handle Handle, v int) {
+		if table.Get(handle) != v {
+			t.Errorf("All gives %d under a Ref of %d", v, table.Get(handle))
 		}
 		sum += v
 	})
--- a/internal/node/timerqueue/queue_test.go
+++ b/internal/node/timerqueue/queue_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-func TestOrderDropAndRun(t *testing.T) {
-	var l Line
+func TestQueue_firesInOrderWithoutTheCancelled(t *testing.T) {
+	var l Queue
 	var got []int
 	note := func(n int) func() { return func() { got = append(got, n) } }
 	l.Add(30, note(3))
 	dropped := l.Add(20, note(9))
 	l.Add(10, note(1))
 	l.Add(10, note(2))
-	l.Drop(dropped)
-	l.Drop(dropped)
-	l.Drop(nil)
+	l.Cancel(dropped)
+	l.Cancel(dropped)
+	l.Cancel(nil)
 	if at, ok := l.Next(); !ok || at != 10 {
 		t.Errorf("next is %v, %v", at, ok)
 	}
@@ -32,8 +32,8 @@
 
 // A deadline that sets itself anew for a time already past must not hold the
 // loop for ever.
-func TestRunEndsWhereADeadlineSetsItselfAnew(t *testing.T) {
-	var l Line
+func TestQueue_Run_endsWhenATimerSetsItselfAgain(t *testing.T) {
+	var l Queue
 	runs := 0
 	var again func()
 	again = func() { runs++; l.Add(0, again) }
@@ -49,12 +49,12 @@
 }
 
 // What one deadline sets and another takes back in the same Run stays back.
-func TestDropDuringRun(t *testing.T) {
-	var l Line
-	var second *Deadline
+func TestQueue_Cancel_duringRun(t *testing.T) {
+	var l Queue
+	var second *Timer
 	fired := false
 	l.Add(1, func() { second = l.Add(0, func() { fired = true }) })
-	l.Add(2, func() { l.Drop(second) })
+	l.Add(2, func() { l.Cancel(second) })
 	l.Run(3)
 	l.Run(4)
 	if fired {
--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -63,7 +63,7 @@
 	Rand              *rand.Rand
 	ZoneOf            func(balance.WorkerID) (string, bool)
 	// Apart from the deadlines of the loop nothing here needs a clock of its own.
-	Timers        *timerqueue.Line
+	Timers        *timerqueue.Queue
 	DisabledCheck string // a check left out, for trials
 }
 
@@ -89,7 +89,7 @@
 	failedReports int     // voters asked in vain
 	reporting     bool
 	reportedAt    time.Duration
-	steps         map[slottable.Ref]*pendingStep
+	steps         map[slottable.Handle]*pendingStep
 	meanStartWait float64 // usual seconds from a send to its start
 	shares        []float64
 	failed        []int
@@ -102,7 +102,7 @@
 
 // New makes an agent; Start sets it going. It belongs to the loop.
 func New(config Config, loop Loop, dispatcher Dispatcher, reporter Reporter) *Agent {
-	a := &Agent{config: config, loop: loop, dispatcher: dispatcher, reporter: reporter, rng: config.Rand, steps: map[slottable.Ref]*pendingStep{},
+	a := &Agent{config: config, loop: loop, dispatcher: dispatcher, reporter: reporter, rng: config.Rand, steps: map[slottable.Handle]*pendingStep{},
 		follower: follower.New(loop.Now(), config.Settings, config.Fleet, config.Name, config.Zone, config.Incarnation, len(config.Classes), config.Rand)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.voters = slices.Clone(config.Voters)
@@ -251,8 +251,8 @@
 	a.dispatcher.ZoneShares(balance.ZoneShares{Shares: shares, Failed: failed})
 }
 
-// Lets tells whether an operation is let in.
-func (a *Agent) Lets(class int) (time.Duration, bool) {
+// Admit tells whether an operation is let in.
+func (a *Agent) Admit(class int) (time.Duration, bool) {
 	if class < 0 || class >= len(a.config.ClassNames) {
 		return 0, true
 	}
@@ -262,7 +262,7 @@
 }
 
 // StepSent notes a route step.
-func (a *Agent) StepSent(ref slottable.Ref, to balance.WorkerID, class int, slots float64) {
+func (a *Agent) StepSent(ref slottable.Handle, to balance.WorkerID, class int, slots float64) {
 	zone, ok := a.config.ZoneOf(to)
 	if !ok {
 		return
@@ -273,7 +273,7 @@
 }
 
 // StepStarted notes that it has begun to run.
-func (a *Agent) StepStarted(ref slottable.Ref) {
+func (a *Agent) StepStarted(ref slottable.Handle) {
 	s := a.steps[ref]
 	if s == nil || s.started > 0 {
 		return
@@ -288,7 +288,7 @@
 }
 
 // StepEnded notes how it ended.
-func (a *Agent) StepEnded(ref slottable.Ref, outcome balance.Outcome) {
+func (a *Agent) StepEnded(ref slottable.Handle, outcome balance.Outcome) {
 	s := a.steps[ref]
 	if s == nil {
 		return
--- a/internal/node/zones/simulation/simulation.go
+++ b/internal/node/zones/simulation/simulation.go
@@ -37,7 +37,7 @@
 type simulation struct {
 	scenario      Scenario
 	rng           *rand.Rand
-	timers        timerqueue.Line
+	timers        timerqueue.Queue
 	now           time.Duration
 	network       *network
 	zones         []string
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -44,7 +44,7 @@
 	queue   []*step
 	used    float64
 	at      time.Duration // up to which running work is booked
-	next    *timerqueue.Deadline
+	next    *timerqueue.Timer
 	shown   []float32 // the report that can be read
 
 	sent   []coldSend // while cold, for the rule on felling
@@ -98,7 +98,7 @@
 }
 
 func (k *worker) plan() {
-	k.w.line.Drop(k.next)
+	k.w.line.Cancel(k.next)
 	k.next = nil
 	if len(k.running) == 0 {
 		return
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -47,7 +47,7 @@
 	day     Day
 	rng     *rand.Rand
 	traffic *rand.Rand // of its own: two versions of the decisions meet the same operations
-	line    timerqueue.Line
+	line    timerqueue.Queue
 	now     time.Duration
 	nodes   []*node
 	workers []*worker
