--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -31,7 +31,7 @@
 	d.SetView(testView(r.route))
 	request := &httpserver.Request{
 		Context: context.Background(), Method: "POST", Target: testPath, Path: testPath, Host: testHost,
-		Fields: http1.Header{
+		Header: http1.Header{
 			{Name: fieldRequestID, Value: testID}, {Name: fieldTokenCount, Value: "1460,80"},
 			{Name: fieldPrefix, Value: "5c1e07a2:800,91bd3f06:660"}, {Name: fieldDeadline, Value: "3000"},
 		},
--- a/internal/dataplane/dispatch/deadline.go
+++ b/internal/dataplane/dispatch/deadline.go
@@ -48,5 +48,5 @@
 	if route == nil {
 		return 0
 	}
-	return allowance(request.Fields, route.Timeout)
+	return allowance(request.Header, route.Timeout)
 }
--- a/internal/dataplane/dispatch/departed_test.go
+++ b/internal/dataplane/dispatch/departed_test.go
@@ -85,7 +85,7 @@
 
 // TestRequestOutlivesItsConfiguration puts a configuration without route and service in force while a request is in work.
 func TestRequestOutlivesItsConfiguration(t *testing.T) {
-	empty := &fleetview.View{Generation: 9, Nodes: 1}
+	empty := &fleetview.View{Generation: 9, EdgeNodeCount: 1}
 	cases := map[string]struct {
 		kind   configuration.RouteType
 		offers string
@@ -136,7 +136,7 @@
 		r.plays("p1", hands("3fa0"))
 		r.plays("d1", streams(42, 43, nil))
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = append(http1.Header{{Name: fieldRequestID, Value: testID}}, said...)
+			request.Header = append(http1.Header{{Name: fieldRequestID, Value: testID}}, said...)
 		})
 		if r.workersCalled() != "p1 d1 " {
 			t.Fatal(r.workersCalled())
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -128,8 +128,8 @@
 		d.serveUnrouted(responder, request, view)
 		return
 	}
-	if request.Fields.Get(fieldRequestID) == "" {
-		_ = responder.Answer(statusBadRequest, nil, nil)
+	if request.Header.Get(fieldRequestID) == "" {
+		_ = responder.WriteResponse(statusBadRequest, nil, nil)
 		return
 	}
 	d.serveRoute(responder, request, view, route)
@@ -140,7 +140,7 @@
 	if view == nil || view.Generation == 0 {
 		return nil
 	}
-	return view.Match(plainHost(request.Host), request.Path)
+	return view.MatchRoute(plainHost(request.Host), request.Path)
 }
 
 // serveUnrouted answers a request without a route. A client that gets 404 does not ask again: that there is no route is
@@ -151,7 +151,7 @@
 		return
 	}
 	d.counts.unrouted.Add(1)
-	_ = responder.Answer(statusNotFound, nil, nil)
+	_ = responder.WriteResponse(statusNotFound, nil, nil)
 }
 
 func (d *Dispatcher) serveRoute(responder Responder, request *httpserver.Request, view *fleetview.View,
@@ -209,12 +209,12 @@
 	fields := append(ownAnswerFields(request), http1.HeaderField{
 		Name: fieldRetryAfter, Value: formatSeconds(min(retryAfter, maxRetryAfter)),
 	})
-	_ = responder.Answer(statusUnavailable, fields, nil)
+	_ = responder.WriteResponse(statusUnavailable, fields, nil)
 }
 
 // ownAnswerFields are the fields of an answer that no worker gave.
 func ownAnswerFields(request *httpserver.Request) http1.Header {
-	id := request.Fields.Get(fieldRequestID)
+	id := request.Header.Get(fieldRequestID)
 	if id == "" {
 		return nil
 	}
--- a/internal/dataplane/dispatch/fields_test.go
+++ b/internal/dataplane/dispatch/fields_test.go
@@ -20,7 +20,7 @@
 	workers.Play("d1:80", func(int) []upstreamtest.Turn { return []upstreamtest.Turn{upstreamtest.Works(true)} })
 	r.chooser.offers("d1")
 	r.ask(func(request *httpserver.Request) {
-		request.Fields = append(http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: testID}}, fields...)
+		request.Header = append(http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: testID}}, fields...)
 	})
 	return strings.Split(workers.Conns("d1:80")[0].Requests()[0].Head, "\r\n")
 }
--- a/internal/dataplane/dispatch/outcome_test.go
+++ b/internal/dataplane/dispatch/outcome_test.go
@@ -143,7 +143,7 @@
 	workers.Play("d2:80", func(int) []upstreamtest.Turn { return []upstreamtest.Turn{upstreamtest.Works(o.streams())} })
 	if o.reused {
 		r.chooser.offers(tested[:2])
-		r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.With(fieldRequestID, "earlier") })
+		r.ask(func(request *httpserver.Request) { request.Header = request.Header.With(fieldRequestID, "earlier") })
 		r.chooser.choices = nil
 	}
 	if o.held {
--- a/internal/dataplane/dispatch/ports.go
+++ b/internal/dataplane/dispatch/ports.go
@@ -13,18 +13,18 @@
 
 // Responder takes the one answer to a request; *front.ResponseWriter is one.
 type Responder interface {
-	// EndBy bounds writing to a client that does not read: a write fails that is not done by then, or a moment later.
-	EndBy(after time.Duration)
-	// Answer sends a whole answer.
-	Answer(status int, fields http1.Header, body []byte) error
-	// Begin starts an answer that comes in pieces; its head is written with the first of them.
-	Begin(status int, fields http1.Header) error
-	// Event writes one piece at once.
-	Event(piece []byte) error
+	// SetWriteTimeout bounds writing to a client that does not read: a write fails that is not done by then, or a moment later.
+	SetWriteTimeout(after time.Duration)
+	// WriteResponse sends a whole answer.
+	WriteResponse(status int, fields http1.Header, body []byte) error
+	// WriteHeader starts an answer that comes in pieces; its head is written with the first of them.
+	WriteHeader(status int, fields http1.Header) error
+	// WriteChunk writes one piece at once.
+	WriteChunk(piece []byte) error
 	// Finish ends the answer as complete, with a last piece that may be empty.
 	Finish(last []byte) error
-	// Break closes the connection so that the client sees that the answer is not complete.
-	Break()
+	// Abort closes the connection so that the client sees that the answer is not complete.
+	Abort()
 }
 
 // Workers makes calls to workers.
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -69,7 +69,7 @@
 	service := t.service.Name
 	needed := t.route.TargetLatency / 2
 	return func() bool {
-		return t.left() >= needed && t.d.guard.spend(service, t.d.view.Load().Nodes)
+		return t.left() >= needed && t.d.guard.spend(service, t.d.view.Load().EdgeNodeCount)
 	}
 }
 
--- a/internal/dataplane/dispatch/prefill_test.go
+++ b/internal/dataplane/dispatch/prefill_test.go
@@ -167,7 +167,7 @@
 		r.chooser.offers("p1>d1", "d1")
 		r.plays("p1", hands("h1"))
 		r.plays("d1", breaks())
-		r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.With(fieldRequestID, "another") })
+		r.ask(func(request *httpserver.Request) { request.Header = request.Header.With(fieldRequestID, "another") })
 		if r.workersCalled() != "p1 d1 " || r.calls[1].field(fieldKVFrom) != "" {
 			t.Fatal(r.workersCalled())
 		}
@@ -313,7 +313,7 @@
 		r.plays("p1", hands("h1"))
 		r.plays("d1", streams(1, 1, nil))
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = append(request.Fields, http1.HeaderField{Name: "X-Serving-Stage", Value: "decode"})
+			request.Header = append(request.Header, http1.HeaderField{Name: "X-Serving-Stage", Value: "decode"})
 		}).mustBe(t, 200, texts(1, 1))
 		if r.calls[0].call.Fields.Count(fieldStage) != 1 {
 			t.Fatal("two stages")
@@ -359,7 +359,7 @@
 		r.chooser.offers("p1>d1")
 		r.plays("d1", streams(1, 1, nil))
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = request.Fields.Without(fieldTokenCount)
+			request.Header = request.Header.Without(fieldTokenCount)
 		}).mustBe(t, 200, texts(1, 1))
 		if r.workersCalled() != "d1 " {
 			t.Fatal(r.workersCalled())
--- a/internal/dataplane/dispatch/property_test.go
+++ b/internal/dataplane/dispatch/property_test.go
@@ -58,9 +58,9 @@
 		c.slowIn = time.Duration(c.random.Intn(1000)) * time.Millisecond
 	}
 	c.rig.askAs(asked, func(request *httpserver.Request) {
-		request.Fields = request.Fields.Without(fieldDeadline)
+		request.Header = request.Header.Without(fieldDeadline)
 		for _, value := range c.waits.fields {
-			request.Fields = append(request.Fields, http1.HeaderField{Name: "x-request-DEADLINE", Value: value})
+			request.Header = append(request.Header, http1.HeaderField{Name: "x-request-DEADLINE", Value: value})
 		}
 		request.ReadAt = time.Now()
 		request.FirstByteAt = request.ReadAt.Add(-c.slowIn)
--- a/internal/dataplane/dispatch/relay.go
+++ b/internal/dataplane/dispatch/relay.go
@@ -126,7 +126,7 @@
 		if !t.passBatch(answer, batch) {
 			ticket.abandoned()
 			t.d.counts.left.Add(1)
-			t.responder.Break()
+			t.responder.Abort()
 			return false
 		}
 		if batch.Last {
@@ -145,14 +145,14 @@
 	if !t.relay.begun {
 		t.relay.begun = true
 		t.status = answer.Status
-		if err := t.responder.Begin(answer.Status, clientFields(answer.Fields)); err != nil {
+		if err := t.responder.WriteHeader(answer.Status, clientFields(answer.Fields)); err != nil {
 			return false
 		}
 	}
 	if batch.Last {
 		return t.responder.Finish(piece) == nil
 	}
-	return t.responder.Event(piece) == nil
+	return t.responder.WriteChunk(piece) == nil
 }
 
 // streamCut follows a stream that ended before its last piece.
--- a/internal/dataplane/dispatch/resume_test.go
+++ b/internal/dataplane/dispatch/resume_test.go
@@ -152,5 +152,5 @@
 	for _, address := range []string{"d1:80", "d2:80", "d3:80"} {
 		workers.Play(address, d.turn)
 	}
-	return r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.Without(fieldPrefix) })
+	return r.ask(func(request *httpserver.Request) { request.Header = request.Header.Without(fieldPrefix) })
 }
--- a/internal/dataplane/dispatch/rig_test.go
+++ b/internal/dataplane/dispatch/rig_test.go
@@ -95,7 +95,7 @@
 	view := catalogViewWith(route)
 	view.Generation = 1
 	view.Services = map[string]*configuration.Service{testService: service, "other": other}
-	view.Nodes = 1
+	view.EdgeNodeCount = 1
 	view.Workers = map[string][]*fleetview.Worker{testService: {
 		testWorker("d1"), testWorker("d2"), testWorker("d3"), testWorker("p1"), testWorker("p2")}}
 	return view
@@ -116,7 +116,7 @@
 		{Key: configuration.KeyServicePrefix + testService, Value: []byte(`{"name":"` + testService + `"}`)},
 	}})
 	view := *builder.View()
-	if found := view.Match(testHost, testPath); found != nil {
+	if found := view.MatchRoute(testHost, testPath); found != nil {
 		*found = *route
 	}
 	return &view
@@ -302,21 +302,21 @@
 	pieces   []time.Duration
 }
 
-func (c *client) Answer(status int, fields http1.Header, body []byte) error {
+func (c *client) WriteResponse(status int, fields http1.Header, body []byte) error {
 	c.status, c.fields, c.body, c.finished = status, fields, string(body), true
 	c.answers++
 	return nil
 }
 
-func (c *client) Begin(status int, fields http1.Header) error {
+func (c *client) WriteHeader(status int, fields http1.Header) error {
 	c.status, c.fields = status, fields
 	c.answers++
 	return nil
 }
 
-func (c *client) Event(piece []byte) error {
+func (c *client) WriteChunk(piece []byte) error {
 	if c.leaves {
-		return httpserver.ErrGone
+		return httpserver.ErrClientGone
 	}
 	c.body += string(piece)
 	c.pieces = append(c.pieces, c.r.now())
@@ -329,9 +329,9 @@
 	return nil
 }
 
-func (c *client) Break() { c.broken = true }
+func (c *client) Abort() { c.broken = true }
 
-func (c *client) EndBy(after time.Duration) { c.endBy = c.r.now() + after }
+func (c *client) SetWriteTimeout(after time.Duration) { c.endBy = c.r.now() + after }
 
 // ask sends a request and waits for the end of its answer.
 func (r *rig) ask(change func(*httpserver.Request)) *client {
@@ -348,7 +348,7 @@
 	}
 	request := &httpserver.Request{
 		Context: ctx, Method: "POST", Target: testPath + "?q=1", Path: testPath, Host: "Ficu95.example:8144",
-		Fields: http1.Header{
+		Header: http1.Header{
 			{Name: "Host", Value: "Ficu95.example:8144"}, {Name: "x-request-id", Value: testID},
 			{Name: fieldModel, Value: "m"}, {Name: fieldTokenCount, Value: "1460,80"},
 			{Name: fieldPrefix, Value: "5c1e07a2:800,91bd3f06:660"}, {Name: fieldDeadline, Value: "3000"},
@@ -379,7 +379,7 @@
 )
 
 // setRoute puts the rig's route in force as it is now.
-func (r *rig) setRoute() { *r.view.Match(testHost, testPath) = *r.route }
+func (r *rig) setRoute() { *r.view.MatchRoute(testHost, testPath) = *r.route }
 
 // notSentAtEnd is a connection that does not come up until the call is given up.
 func notSentAtEnd(ctx context.Context, _ *upstream.Call) (*Answer, *upstream.Failure) {
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -201,7 +201,7 @@
 
 // answersThis tells whether an answer carries the request's own ID.
 func (t *try) answersThis(answer *Answer) bool {
-	return answer.Fields.Get(fieldRequestID) == t.request.Fields.Get(fieldRequestID)
+	return answer.Fields.Get(fieldRequestID) == t.request.Header.Get(fieldRequestID)
 }
 
 func (t *try) runCall(worker *fleetview.Worker) *upstream.Call {
@@ -234,7 +234,7 @@
 
 // workerFields are the fields that every call for the request has, with room for more.
 func (t *try) workerFields(worker *fleetview.Worker, room int) http1.Header {
-	fields := without(t.request.Fields, ownFields, 3+room)
+	fields := without(t.request.Header, ownFields, 3+room)
 	fields = append(fields,
 		http1.HeaderField{Name: fieldDeadline, Value: formatMillis(max(t.left(), leastLeft))},
 		http1.HeaderField{Name: fieldTarget, Value: worker.ID})
@@ -274,7 +274,7 @@
 			return false
 		}
 		view := t.d.view.Load()
-		return len(view.Workers[service]) > tried && t.d.guard.spend(service, view.Nodes)
+		return len(view.Workers[service]) > tried && t.d.guard.spend(service, view.EdgeNodeCount)
 	}
 }
 
--- a/internal/dataplane/dispatch/run_test.go
+++ b/internal/dataplane/dispatch/run_test.go
@@ -48,7 +48,7 @@
 
 func TestMissingIDIs400(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *rig) {
-		r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.Without(fieldRequestID) }).mustBe(t, 400, "")
+		r.ask(func(request *httpserver.Request) { request.Header = request.Header.Without(fieldRequestID) }).mustBe(t, 400, "")
 	})
 }
 
@@ -92,9 +92,9 @@
 		r.plays("d1", answers(200, "bytes", signed))
 		c := r.ask(func(request *httpserver.Request) {
 			for _, name := range []string{"x-serving-stage", "kv-from", "X-TARGET-instance", "expect-version", "priority"} {
-				request.Fields = append(request.Fields, http1.HeaderField{Name: name, Value: "evil"})
+				request.Header = append(request.Header, http1.HeaderField{Name: name, Value: "evil"})
 			}
-			request.Fields = append(request.Fields, http1.HeaderField{Name: "X-Other", Value: "kept"})
+			request.Header = append(request.Header, http1.HeaderField{Name: "X-Other", Value: "kept"})
 		})
 		c.mustBe(t, 200, "bytes")
 		call := r.calls[0]
@@ -190,7 +190,7 @@
 		r.chooser.offers("d1")
 		r.plays("d1", answers(200, "bytes", signed))
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = request.Fields.With(fieldRequestID, "another")
+			request.Header = request.Header.With(fieldRequestID, "another")
 		}).mustBe(t, 502, "")
 	})
 }
--- a/internal/dataplane/dispatch/stream_test.go
+++ b/internal/dataplane/dispatch/stream_test.go
@@ -134,7 +134,7 @@
 		r.plays("d1", streams(1, 0, cut))
 		r.plays("d2", streams(8, 9, nil))
 		c := r.ask(func(request *httpserver.Request) {
-			request.Fields = append(request.Fields, http1.HeaderField{Name: "last-event-id", Value: "7"})
+			request.Header = append(request.Header, http1.HeaderField{Name: "last-event-id", Value: "7"})
 		})
 		c.mustBe(t, 200, texts(8, 9))
 		if r.calls[0].field(fieldLastEvent) != "7" || r.calls[1].field(fieldLastEvent) != "7" {
--- a/internal/dataplane/dispatch/timeout_test.go
+++ b/internal/dataplane/dispatch/timeout_test.go
@@ -35,7 +35,7 @@
 				}
 				r.chooser.offers(c.offers...)
 				r.plays(c.offers[0][:2], c.plays)
-				asked := r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.Without(fieldDeadline) })
+				asked := r.ask(func(request *httpserver.Request) { request.Header = request.Header.Without(fieldDeadline) })
 				if asked.took < routesTime-time.Millisecond || asked.took > routesTime+time.Millisecond {
 					t.Errorf("held for %v", asked.took)
 				}
@@ -95,7 +95,7 @@
 		r.others = func(string, *upstream.Call) script { return answers(200, "there", signed) }
 		r.ask(note)
 		r.ask(func(request *httpserver.Request) {
-			request.Fields = request.Fields.Without(fieldDeadline)
+			request.Header = request.Header.Without(fieldDeadline)
 			note(request)
 		})
 		r.ask(func(request *httpserver.Request) {
--- a/internal/dataplane/dispatch/trace.go
+++ b/internal/dataplane/dispatch/trace.go
@@ -40,7 +40,7 @@
 		return
 	}
 	fields := []zap.Field{
-		zap.String("id", t.request.Fields.Get(fieldRequestID)),
+		zap.String("id", t.request.Header.Get(fieldRequestID)),
 		zap.String("route", t.route.Name),
 		zap.Int("status", t.status),
 		zap.Int("runs", t.runs),
--- a/internal/dataplane/dispatch/try.go
+++ b/internal/dataplane/dispatch/try.go
@@ -52,7 +52,7 @@
 func newTry(d *Dispatcher, responder Responder, request *httpserver.Request, view *fleetview.View,
 	route *configuration.Route, service *configuration.Service) *try {
 	arrived := d.now() - spent(request)
-	limit := arrived + allowance(request.Fields, route.Timeout)
+	limit := arrived + allowance(request.Header, route.Timeout)
 	t := &try{
 		d: d, responder: responder, request: request, view: view, route: route, service: service, limit: limit,
 	}
@@ -63,13 +63,13 @@
 
 // askOf is what the choice of workers depends on.
 func askOf(request *httpserver.Request, route *configuration.Route, service string, arrived, limit time.Duration) selection.Request {
-	in, out := parseTokenCount(request.Fields.Get(fieldTokenCount))
+	in, out := parseTokenCount(request.Header.Get(fieldTokenCount))
 	return selection.Request{
 		Service:      service,
 		Route:        route.Name,
-		Model:        request.Fields.Get(fieldModel),
+		Model:        request.Header.Get(fieldModel),
 		Priority:     route.Priority,
-		Prompt:       parsePrefix(request.Fields.Get(fieldPrefix)),
+		Prompt:       parsePrefix(request.Header.Get(fieldPrefix)),
 		PromptTokens: in,
 		OutputTokens: out,
 		Streaming:    route.Type == configuration.Streaming,
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(t.request.Context, t.left())
 	defer cancel()
 	t.ctx = ctx
-	t.responder.EndBy(t.left())
+	t.responder.SetWriteTimeout(t.left())
 	defer t.freeHandle()
 	for t.step() {
 		t.steps++
@@ -143,10 +143,10 @@
 	switch {
 	case t.clientLeft():
 		t.d.counts.left.Add(1)
-		t.responder.Break()
+		t.responder.Abort()
 	case t.relay.begun:
 		t.d.counts.broken.Add(1)
-		t.responder.Break()
+		t.responder.Abort()
 	case t.failedAnswer != nil:
 		t.passOn(t.failedAnswer)
 	case !t.mayHaveRun:
@@ -163,13 +163,13 @@
 func (t *try) fail(status int) {
 	t.status = status
 	t.d.counts.failed.Add(1)
-	_ = t.responder.Answer(status, ownAnswerFields(t.request), nil)
+	_ = t.responder.WriteResponse(status, ownAnswerFields(t.request), nil)
 }
 
 // passOn answers with a worker's whole answer.
 func (t *try) passOn(answer *Answer) {
 	t.status = answer.Status
-	_ = t.responder.Answer(answer.Status, clientFields(answer.Fields), answer.Body)
+	_ = t.responder.WriteResponse(answer.Status, clientFields(answer.Fields), answer.Body)
 }
 
 // clientFields are the fields of a worker's answer that the client gets.
@@ -212,5 +212,5 @@
 
 // spend takes a call beyond the first out of the node's budget.
 func (t *try) spend() bool {
-	return t.d.guard.spend(t.service.Name, t.d.view.Load().Nodes)
+	return t.d.guard.spend(t.service.Name, t.d.view.Load().EdgeNodeCount)
 }
--- a/internal/dataplane/dispatch/version_test.go
+++ b/internal/dataplane/dispatch/version_test.go
@@ -103,7 +103,7 @@
 		workers.Play("d1:80", func(int) []upstreamtest.Turn { return []upstreamtest.Turn{run, run, run} })
 		r.chooser.offers("p1>d1")
 		for _, id := range []string{"a", "b", "c"} {
-			r.ask(func(request *httpserver.Request) { request.Fields = request.Fields.With(fieldRequestID, id) })
+			r.ask(func(request *httpserver.Request) { request.Header = request.Header.With(fieldRequestID, id) })
 		}
 		count := 0
 		for _, conn := range workers.Conns("d1:80") {
--- a/internal/dataplane/fleetview/builder_test.go
+++ b/internal/dataplane/fleetview/builder_test.go
@@ -17,21 +17,21 @@
 
 const instanceShard shards.ID = 2
 
-func route(name, host, prefix string, timeout int) string {
+func routeJSON(name, host, prefix string, timeout int) string {
 	return fmt.Sprintf(`{"name":%q,"hostname":%q,"pathPrefix":%q,"timeoutMs":%d,"service":"s"}`, name, host, prefix, timeout)
 }
 
-func whole(generation int, limits string, routes ...string) []byte {
+func configurationJSON(generation int, limits string, routes ...string) []byte {
 	return []byte(fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[{"name":"s"}]%s}`, generation, strings.Join(routes, ","), limits))
 }
 
-// source is a shard of the configuration that a builder follows.
-type source struct {
+// configurationSource is a shard of the configuration that a builder follows.
+type configurationSource struct {
 	store *configuration.Store
 	index uint64
 }
 
-func (s *source) replace(t testing.TB, body []byte) feed.Change {
+func (s *configurationSource) replace(t testing.TB, body []byte) feed.Change {
 	t.Helper()
 	s.index++
 	command := configuration.Command{Kind: configuration.CommandReplace, Base: s.store.Generation(), Body: body}
@@ -55,43 +55,43 @@
 	return list
 }
 
-func TestEmptyView(t *testing.T) {
+func TestNewBuilder_emptyView(t *testing.T) {
 	builder := NewBuilder()
 	view := builder.View()
-	if builder.Ready() || view.Generation != 0 || view.Nodes != 1 || view.Match("h", "/") != nil {
+	if builder.HasConfiguration() || view.Generation != 0 || view.EdgeNodeCount != 1 || view.MatchRoute("h", "/") != nil {
 		t.Fatalf("%+v", view)
 	}
-	if view.Limits != configuration.DefaultLimits() || len(builder.Offsets()) != 0 {
+	if view.Limits != configuration.DefaultLimits() || len(builder.Indexes()) != 0 {
 		t.Fatalf("%+v", view.Limits)
 	}
 }
 
-func TestConfigurationTakesHoldAtOneMoment(t *testing.T) {
+func TestBuilder_ApplyChange_configurationIsAtomic(t *testing.T) {
 	builder := NewBuilder()
-	from := source{store: configuration.NewStore()}
-	first := from.replace(t, whole(1, `,"limits":{"maxBodyBytes":9}`, route("a", "h", "/a/", 1000), route("b", "h", "/b/", 1000)))
-	if !builder.ApplyChange(shards.ConfigurationShard, first) || !builder.Ready() {
+	from := configurationSource{store: configuration.NewStore()}
+	first := from.replace(t, configurationJSON(1, `,"limits":{"maxBodyBytes":9}`, routeJSON("a", "h", "/a/", 1000), routeJSON("b", "h", "/b/", 1000)))
+	if !builder.ApplyChange(shards.ConfigurationShard, first) || !builder.HasConfiguration() {
 		t.Fatal("not ready")
 	}
 	before := builder.View()
 	if before.Limits.MaxBodyBytes != 9 || before.Services["s"].Name != "s" {
 		t.Fatalf("%+v", before)
 	}
-	kept := before.Match("h", "/b/")
-	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, whole(4, "", route("c", "h", "/a/", 2000), route("b", "h", "/b/", 1000))))
+	unchanged := before.MatchRoute("h", "/b/")
+	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, configurationJSON(4, "", routeJSON("c", "h", "/a/", 2000), routeJSON("b", "h", "/b/", 1000))))
 	after := builder.View()
-	if after.Generation != 4 || after.Match("h", "/a/x").Timeout != 2*time.Second || after.Limits != configuration.DefaultLimits() {
+	if after.Generation != 4 || after.MatchRoute("h", "/a/x").Timeout != 2*time.Second || after.Limits != configuration.DefaultLimits() {
 		t.Fatalf("%+v", after)
 	}
-	if after.Match("h", "/b/") != kept {
+	if after.MatchRoute("h", "/b/") != unchanged {
 		t.Fatal("a route that did not change was read anew")
 	}
-	if before.Generation != 1 || before.Match("h", "/a/x").Name != "a" {
+	if before.Generation != 1 || before.MatchRoute("h", "/a/x").Name != "a" {
 		t.Fatal("a view changed after it was given out")
 	}
 }
 
-func TestIndicesOnlyRise(t *testing.T) {
+func TestBuilder_ApplyChange_ignoresOlderIndexes(t *testing.T) {
 	builder := NewBuilder()
 	put := func(index uint64, id string) feed.Change {
 		return feed.Change{Index: index, Put: []feed.Item{instanceItem(id, "s", "", registry.Ready)}}
@@ -112,15 +112,15 @@
 		t.Fatal("nothing changed")
 	}
 	expected := map[shards.ID]uint64{instanceShard: 8, instanceShard + 1: 1}
-	if !reflect.DeepEqual(builder.Offsets(), expected) {
-		t.Fatal(builder.Offsets())
+	if !reflect.DeepEqual(builder.Indexes(), expected) {
+		t.Fatal(builder.Indexes())
 	}
 	if !builder.ApplySnapshot(instanceShard, feed.Snapshot{Index: 9}) || !reflect.DeepEqual(ids(builder.View().Workers["s"]), []string{"c"}) {
 		t.Fatal(ids(builder.View().Workers["s"]))
 	}
 }
 
-func TestWorkersAreReadyOnesInOrder(t *testing.T) {
+func TestBuilder_View_readyWorkersInOrder(t *testing.T) {
 	builder := NewBuilder()
 	builder.ApplySnapshot(instanceShard, feed.Snapshot{Index: 1, Items: []feed.Item{
 		instanceItem("c", "s", "", registry.Ready),
@@ -148,19 +148,19 @@
 	if moved := builder.View(); moved.Workers["s"] != nil || !reflect.DeepEqual(ids(moved.Workers["other"]), []string{"c"}) {
 		t.Fatal(moved.Workers)
 	}
-	held := builder.View().Workers["other"][0]
+	previous := builder.View().Workers["other"][0]
 	builder.ApplySnapshot(instanceShard, feed.Snapshot{Index: 4, Items: []feed.Item{
 		instanceItem("c", "other", "", registry.Ready),
 		instanceItem("b", "other", "", registry.Ready),
 	}})
-	if list := builder.View().Workers["other"]; !reflect.DeepEqual(ids(list), []string{"b", "c"}) || list[1] != held {
+	if list := builder.View().Workers["other"]; !reflect.DeepEqual(ids(list), []string{"b", "c"}) || list[1] != previous {
 		t.Fatal("a snapshot with the same record keeps the worker")
 	}
 }
 
-// TestWorkersFollowDrawnChanges compares lists with the plainest ones, on drawn changes with a
+// TestBuilder_ApplyChange_randomChanges compares lists with the plainest ones, on drawn changes with a
 // fixed seed.
-func TestWorkersFollowDrawnChanges(t *testing.T) {
+func TestBuilder_ApplyChange_randomChanges(t *testing.T) {
 	random := rand.New(rand.NewSource(12))
 	builder := NewBuilder()
 	states := map[string]registry.Instance{}
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestSnapshotKeepsIdentities(t *testing.T) {
+func TestBuilder_ApplySnapshot_keepsUnchangedWorkers(t *testing.T) {
 	builder := NewBuilder()
 	items := []feed.Item{instanceItem("a", "s", "", registry.Ready), instanceItem("b", "s", "", registry.Ready)}
 	builder.ApplySnapshot(instanceShard, feed.Snapshot{Index: 1, Items: items})
@@ -205,23 +205,23 @@
 	}
 }
 
-func TestNodesAreCounted(t *testing.T) {
+func TestBuilder_View_edgeNodeCount(t *testing.T) {
 	builder := NewBuilder()
 	items := []feed.Item{}
 	for number := range 3 {
 		items = append(items, instanceItem(fmt.Sprint("n", number), registry.NodesService, "", registry.Ready))
 	}
 	builder.ApplySnapshot(instanceShard, feed.Snapshot{Index: 1, Items: items})
-	if view := builder.View(); view.Nodes != 3 || view.Workers[registry.NodesService] != nil {
+	if view := builder.View(); view.EdgeNodeCount != 3 || view.Workers[registry.NodesService] != nil {
 		t.Fatalf("%+v", view)
 	}
 	builder.ApplyChange(instanceShard, feed.Change{Index: 2, Delete: []string{"n0", "n1", "n2"}})
-	if builder.View().Nodes != 1 {
-		t.Fatal(builder.View().Nodes)
+	if builder.View().EdgeNodeCount != 1 {
+		t.Fatal(builder.View().EdgeNodeCount)
 	}
 }
 
-func TestUnreadableItemsArePassedOver(t *testing.T) {
+func TestBuilder_ApplyChange_skipsUndecodableItems(t *testing.T) {
 	builder := NewBuilder()
 	builder.ApplyChange(instanceShard, feed.Change{Index: 1, Put: []feed.Item{instanceItem("a", "s", "", registry.Ready)}})
 	builder.ApplyChange(instanceShard, feed.Change{Index: 2, Put: []feed.Item{{Key: "a", Value: []byte{9}}, {Key: "b"}}})
@@ -230,8 +230,8 @@
 		{Key: "generation", Value: []byte("x")}, {Key: "of_a_later_day", Value: []byte("x")},
 	}})
 	view := builder.View()
-	if len(view.Workers) != 0 || len(view.Services) != 0 || builder.Ready() || builder.Unreadable() != 6 {
-		t.Fatalf("%+v %d", view, builder.Unreadable())
+	if len(view.Workers) != 0 || len(view.Services) != 0 || builder.HasConfiguration() || builder.Undecodable() != 6 {
+		t.Fatalf("%+v %d", view, builder.Undecodable())
 	}
 	builder.ApplyChange(instanceShard, feed.Change{Index: 3, Delete: []string{"b"}, Put: []feed.Item{instanceItem("a", "s", "", registry.Ready)}})
 	if len(builder.View().Workers["s"]) != 1 {
@@ -239,13 +239,13 @@
 	}
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestView_MatchRoute_longestPrefix(t *testing.T) {
 	builder := NewBuilder()
-	from := source{store: configuration.NewStore()}
-	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, whole(1, "",
-		route("all", "H.example:80", "/", 1), route("a", "h.example", "/a/", 1), route("ab", "h.example", "/a/b/", 1),
-		route("other", "other.example", "/a/", 1))))
-	for place, expected := range map[[2]string]string{
+	from := configurationSource{store: configuration.NewStore()}
+	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, configurationJSON(1, "",
+		routeJSON("all", "H.example:80", "/", 1), routeJSON("a", "h.example", "/a/", 1), routeJSON("ab", "h.example", "/a/b/", 1),
+		routeJSON("other", "other.example", "/a/", 1))))
+	for target, expected := range map[[2]string]string{
 		{"h.example", "/"}:          "all",
 		{"h.example", "/a"}:         "all",
 		{"h.example", "/a/"}:        "a",
@@ -261,17 +261,17 @@
 		{"unknown.example", "/a/x"}: "",
 	} {
 		name := ""
-		if found := builder.View().Match(place[0], place[1]); found != nil {
+		if found := builder.View().MatchRoute(target[0], target[1]); found != nil {
 			name = found.Name
 		}
 		if name != expected {
-			t.Errorf("%v: %q, not %q", place, name, expected)
+			t.Errorf("%v: %q, not %q", target, name, expected)
 		}
 	}
 }
 
-// TestMatchIsLikeTryingAll compares with the plainest search, on drawn routes with a fixed seed.
-func TestMatchIsLikeTryingAll(t *testing.T) {
+// TestView_MatchRoute_randomRoutes compares with the plainest search, on drawn routes with a fixed seed.
+func TestView_MatchRoute_randomRoutes(t *testing.T) {
 	random := rand.New(rand.NewSource(11))
 	path := func(parts int) string {
 		text := "/"
@@ -295,14 +295,14 @@
 					expected = candidate
 				}
 			}
-			if view.Match("h", asked) != expected {
+			if view.MatchRoute("h", asked) != expected {
 				t.Fatalf("%s among %v", asked, routes)
 			}
 		}
 	}
 }
 
-func BenchmarkMatch(b *testing.B) {
+func BenchmarkView_MatchRoute(b *testing.B) {
 	routes := map[string]*configuration.Route{}
 	for number := range 400 {
 		prefix := fmt.Sprintf("/p%d/", number)
@@ -311,14 +311,14 @@
 	view := &View{routes: newRouteTable(routes)}
 	b.ReportAllocs()
 	for b.Loop() {
-		if view.Match("h", "/p399/2f") == nil {
+		if view.MatchRoute("h", "/p399/2f") == nil {
 			b.Fatal()
 		}
 	}
 }
 
-// BenchmarkOneWorkerOfMany applies a change of one worker among 1,000 of its service.
-func BenchmarkOneWorkerOfMany(b *testing.B) {
+// BenchmarkBuilder_ApplyChange_oneWorkerOfMany applies a change of one worker among 1,000 of its service.
+func BenchmarkBuilder_ApplyChange_oneWorkerOfMany(b *testing.B) {
 	builder := NewBuilder()
 	items := []feed.Item{}
 	for number := range 1000 {
--- a/internal/dataplane/fleetview/routetable.go
+++ b/internal/dataplane/fleetview/routetable.go
@@ -21,32 +21,32 @@
 func newRouteTable(routes map[string]*configuration.Route) routeTable {
 	table := routeTable{byHost: map[string]hostRoutes{}}
 	for _, route := range routes {
-		held, found := table.byHost[route.Hostname]
+		ofHost, found := table.byHost[route.Hostname]
 		if !found {
-			held.byPrefix = map[string]*configuration.Route{}
+			ofHost.byPrefix = map[string]*configuration.Route{}
 		}
-		held.byPrefix[route.PathPrefix] = route
-		held.longest = max(held.longest, len(route.PathPrefix))
-		table.byHost[route.Hostname] = held
+		ofHost.byPrefix[route.PathPrefix] = route
+		ofHost.longest = max(ofHost.longest, len(route.PathPrefix))
+		table.byHost[route.Hostname] = ofHost
 	}
 	return table
 }
 
-// Match returns the route of a request, or nil. The host is in lower case and has no port; the path
+// MatchRoute returns the route of a request, or nil. The host is in lower case and has no port; the path
 // has no query.
-func (v *View) Match(host, path string) *configuration.Route {
-	held, found := v.routes.byHost[host]
+func (v *View) MatchRoute(host, path string) *configuration.Route {
+	ofHost, found := v.routes.byHost[host]
 	if !found {
 		return nil
 	}
 	// Each prefix ends with a slash: only what ends so can be one.
-	candidate := path[:min(len(path), held.longest)]
+	candidate := path[:min(len(path), ofHost.longest)]
 	for {
 		slash := strings.LastIndexByte(candidate, '/')
 		if slash < 0 {
 			return nil
 		}
-		if route := held.byPrefix[candidate[:slash+1]]; route != nil {
+		if route := ofHost.byPrefix[candidate[:slash+1]]; route != nil {
 			return route
 		}
 		candidate = candidate[:slash]
--- a/internal/dataplane/fleetview/view.go
+++ b/internal/dataplane/fleetview/view.go
@@ -14,12 +14,12 @@
 
 // View is the state that one request is handled by, from its route to its last byte.
 type View struct {
-	Generation uint64 // of the configuration; 0: none has come
-	Services   map[string]*configuration.Service
-	Limits     configuration.Limits
-	Workers    map[string][]*Worker // by service, in the order of their IDs, draining ones left out
-	Nodes      int                  // edge nodes that are known to run, this one included; at least 1
-	NodeList   []*Worker            // those nodes
+	Generation    uint64 // of the configuration; 0: none has come
+	Services      map[string]*configuration.Service
+	Limits        configuration.Limits
+	Workers       map[string][]*Worker // by service, in the order of their IDs, draining ones left out
+	EdgeNodeCount int                  // edge nodes that are known to run, this one included; at least 1
+	EdgeNodes     []*Worker            // those nodes
 
 	routes routeTable
 }
--- a/internal/dataplane/httpserver/api.go
+++ b/internal/dataplane/httpserver/api.go
@@ -13,9 +13,9 @@
 
 // Errors of a ResponseWriter. Errors of the connection are returned as they came.
 var (
-	ErrAnswered = errors.New("front: the request has its answer already")
-	ErrNotBegun = errors.New("front: no answer was begun")
-	ErrGone     = errors.New("front: the client's connection is closed")
+	ErrAlreadyAnswered = errors.New("front: the request has its answer already")
+	ErrNotStarted      = errors.New("front: no answer was begun")
+	ErrClientGone      = errors.New("front: the client's connection is closed")
 )
 
 // Handler serves one request. When it returns, the request is finished: one without an answer is
@@ -31,7 +31,7 @@
 	Target string // path and query as they came
 	Path   string // the target without its query
 	Host   string // as it came; one only, never empty
-	Fields http1.Header
+	Header http1.Header
 	Body   []byte // the handler's own; nil where there is none
 
 	FirstByteAt time.Time
@@ -43,17 +43,17 @@
 	Handler Handler
 	// Limits returns the limits in force; it is called several times for each request. A figure of zero or below stands for its default.
 	Limits func() configuration.Limits
-	// Held tells for how long a request with that head may be held, from its first byte on; its body has not come. A figure of zero
+	// RequestTimeout tells for how long a request with that head may be held, from its first byte on; its body has not come. A figure of zero
 	// or below stands for no bound. It may be left out.
-	Held func(r *Request) time.Duration
-	// Confirmed tells whether the limits are known to be those in force. Where they are not, a request beyond them is answered 503 and
+	RequestTimeout func(r *Request) time.Duration
+	// LimitsConfirmed tells whether the limits are known to be those in force. Where they are not, a request beyond them is answered 503 and
 	// may come again. It may be left out: the limits count as those in force then.
-	Confirmed func() bool
+	LimitsConfirmed func() bool
 	// MaxConnections is the most connections held at once; 0 stands for DefaultMaxConnections.
 	MaxConnections int
-	// BodyBudget is the most bytes of request bodies held at once, over all connections; 0 stands for no
+	// MaxBufferedBodyBytes is the most bytes of request bodies held at once, over all connections; 0 stands for no
 	// bound. Above it requests are answered 503.
-	BodyBudget int64
+	MaxBufferedBodyBytes int64
 	// WriteTimeout is how long one write to a client may take; 0 stands for DefaultWriteTimeout.
 	WriteTimeout time.Duration
 	// RetryAfter is what refused connections are told; 0 stands for DefaultRetryAfter.
@@ -66,16 +66,16 @@
 
 // Counts tells what a server has seen since its start.
 type Counts struct {
-	Accepted      int64 // connections
-	Refused       int64 // connections turned away as all places were taken
-	Evicted       int64 // idle connections closed in favour of new ones
-	Requests      int64 // read whole and handed to the handler
-	Malformed     int64 // requests that could not be read, with those over a limit
-	TimedOut      int64 // requests that did not come in whole within the time
-	Left          int64 // clients that left while their request was in work
-	SecondAnswers int64 // answers refused as the request had one
-	Unanswered    int64 // handlers that returned without an answer
-	Broken        int64 // answers broken off
-	Open          int64 // connections now
-	InWork        int64 // requests now
+	Accepted           int64 // connections
+	Rejected           int64 // connections turned away as all places were taken
+	Evicted            int64 // idle connections closed in favour of new ones
+	Requests           int64 // read whole and handed to the handler
+	Malformed          int64 // requests that could not be read, with those over a limit
+	TimedOut           int64 // requests that did not come in whole within the time
+	ClientsGone        int64 // clients that left while their request was in work
+	DuplicateResponses int64 // answers refused as the request had one
+	MissingResponses   int64 // handlers that returned without an answer
+	AbortedResponses   int64 // answers broken off
+	Open               int64 // connections now
+	InFlight           int64 // requests now
 }
--- a/internal/dataplane/httpserver/client_gone_test.go
+++ b/internal/dataplane/httpserver/client_gone_test.go
@@ -11,15 +11,15 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// leave ends a client's side in one of the ways that the network knows.
-var leave = map[string]func(p *peer){
-	"closed": func(p *peer) { p.socket.Close() },
-	"half-closed": func(p *peer) {
+// closeModes ends a client's side in one of the ways that the network knows.
+var closeModes = map[string]func(p *testClient){
+	"closed": func(p *testClient) { p.socket.Close() },
+	"half-closed": func(p *testClient) {
 		if err := p.socket.CloseWrite(); err != nil {
 			p.t.Error(err)
 		}
 	},
-	"reset": func(p *peer) {
+	"reset": func(p *testClient) {
 		_ = p.socket.SetLinger(0)
 		p.socket.Close()
 	},
@@ -27,30 +27,30 @@
 
 // A handler hears that its client has left, whatever the client sent before: nothing, a part of its next request, or more than is
 // kept.
-func TestClientLeavesWhileItsRequestIsInWork(t *testing.T) {
-	behind := map[string]string{"nothing": "", "a part": "GET /early", "much": strings.Repeat(get, 2*mostAhead/len(get))}
-	for way, end := range leave {
+func TestServer_clientGoneDuringRequest(t *testing.T) {
+	behind := map[string]string{"nothing": "", "a part": "GET /early", "much": strings.Repeat(getRequest, 2*maxPipelinedBytes/len(getRequest))}
+	for way, end := range closeModes {
 		for what, text := range behind {
 			t.Run(way+" behind "+what, func(t *testing.T) {
 				began, ended := make(chan bool), make(chan error, 1)
-				w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+				w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 					began <- true
 					<-r.Context.Done()
-					ended <- w.Answer(200, nil, nil)
+					ended <- w.WriteResponse(200, nil, nil)
 				}})
 				p := w.dial()
-				p.send(get + text)
+				p.send(getRequest + text)
 				<-began
 				end(p)
 				select {
 				case err := <-ended:
-					if err != ErrGone {
+					if err != ErrClientGone {
 						t.Errorf("the answer ends with %v", err)
 					}
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatal("the handler does not hear of it")
 				}
-				if n := w.server.Counts(); n.Left != 1 || n.Requests != 1 {
+				if n := w.server.Counts(); n.ClientsGone != 1 || n.Requests != 1 {
 					t.Errorf("%+v", n)
 				}
 			})
@@ -59,19 +59,19 @@
 }
 
 // A client that stays is served all that it sent, though it was more than is kept.
-func TestMuchBehindARequest(t *testing.T) {
-	w := start(t, Options{Handler: echo})
+func TestServer_manyPipelinedRequests(t *testing.T) {
+	w := startServer(t, Options{Handler: echo})
 	p := w.dial()
 	const requests = 1000
-	go func() { _, _ = p.socket.Write([]byte(strings.Repeat(get, requests))) }()
+	go func() { _, _ = p.socket.Write([]byte(strings.Repeat(getRequest, requests))) }()
 	for range requests {
 		p.expect(200, "GET /a ")
 	}
 }
 
 // A request that is read only after its client has left is not served.
-func TestRequestOfAClientThatHasLeft(t *testing.T) {
-	for way, end := range leave {
+func TestServer_clientGoneBeforeRequest(t *testing.T) {
+	for way, end := range closeModes {
 		t.Run(way, func(t *testing.T) {
 			listener, err := Listen("127.0.0.1:0")
 			if err != nil {
@@ -82,15 +82,15 @@
 				Handler: func(*ResponseWriter, *Request) { t.Error("served") },
 				Limits:  func() configuration.Limits { return configuration.Limits{} },
 			})
-			p := (&world{t: t, address: listener.Addr().String()}).dial()
+			p := (&testServer{t: t, address: listener.Addr().String()}).dial()
 			accepted, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			p.send(get)
+			p.send(getRequest)
 			end(p)
 			c := newConn(s, accepted)
-			for until := time.Now().Add(patience); !c.hasHungUp(); runtime.Gosched() {
+			for until := time.Now().Add(testTimeout); !c.hasHungUp(); runtime.Gosched() {
 				if time.Now().After(until) {
 					t.Fatal("the end does not come")
 				}
@@ -104,10 +104,10 @@
 }
 
 // A client that leaves amid its body is not served.
-func TestClientLeavesAmidItsBody(t *testing.T) {
-	for way, end := range leave {
+func TestServer_clientGoneDuringBody(t *testing.T) {
+	for way, end := range closeModes {
 		t.Run(way, func(t *testing.T) {
-			w := start(t, Options{Handler: func(*ResponseWriter, *Request) { t.Error("served") }})
+			w := startServer(t, Options{Handler: func(*ResponseWriter, *Request) { t.Error("served") }})
 			p := w.dial()
 			p.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf")
 			w.await(func(states map[connState]int) bool { return states[reading] == 1 })
@@ -118,15 +118,15 @@
 }
 
 // Two requests with one ID that come at once on two connections get an answer each, their own.
-func TestOneIDOnTwoConnections(t *testing.T) {
+func TestServer_sameRequestIDOnTwoConnections(t *testing.T) {
 	both := make(chan bool)
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		both <- true
 		both <- true
-		_ = w.Answer(200, nil, r.Body)
+		_ = w.WriteResponse(200, nil, r.Body)
 	}})
 	first, second := w.dial(), w.dial()
-	for body, p := range map[string]*peer{"one": first, "two": second} {
+	for body, p := range map[string]*testClient{"one": first, "two": second} {
 		p.send("POST /a HTTP/1.1\r\nHost: h\r\nX-Request-Id: 7\r\nContent-Length: 3\r\n\r\n" + body)
 	}
 	for range 4 {
@@ -137,34 +137,34 @@
 }
 
 // The rest of a body that was refused early is no request: nothing of it is answered or served.
-func TestRestOfARefusedBody(t *testing.T) {
-	w := start(t, Options{
+func TestServer_restOfRejectedBody(t *testing.T) {
+	w := startServer(t, Options{
 		Handler: func(*ResponseWriter, *Request) { t.Error("served") },
 		Limits:  func() configuration.Limits { return configuration.Limits{MaxBodyBytes: 16} },
 	})
 	p := w.dial()
 	rest := strings.Repeat("GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n", 100)
 	p.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3500\r\n\r\n")
-	response, err := http.ReadResponse(p.in, nil)
+	response, err := http.ReadResponse(p.input, nil)
 	if err != nil || response.StatusCode != 413 || !response.Close {
 		t.Fatal(response, err)
 	}
 	p.send(rest)
-	if behind := p.rest(); behind != "" {
+	if behind := p.readToEnd(); behind != "" {
 		t.Errorf("%q behind the answer", behind)
 	}
 }
 
 // A write to a client that reads no more ends when the client ends its side, not only with the time of the write.
-func TestClientLeavesWhileItIsWrittenTo(t *testing.T) {
+func TestServer_clientGoneDuringWrite(t *testing.T) {
 	failed := make(chan error, 1)
-	w := start(t, Options{WriteTimeout: time.Hour, Handler: func(w *ResponseWriter, r *Request) {
-		_ = w.Begin(200, nil)
-		failed <- w.Event(make([]byte, 32<<20)) // more than sockets hold
+	w := startServer(t, Options{WriteTimeout: time.Hour, Handler: func(w *ResponseWriter, r *Request) {
+		_ = w.WriteHeader(200, nil)
+		failed <- w.WriteChunk(make([]byte, 32<<20)) // more than sockets hold
 	}})
 	p := w.dial()
-	p.send(get)
-	if _, err := io.CopyN(io.Discard, p.in, 1<<20); err != nil {
+	p.send(getRequest)
+	if _, err := io.CopyN(io.Discard, p.input, 1<<20); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.socket.CloseWrite(); err != nil {
@@ -175,7 +175,7 @@
 		if err == nil {
 			t.Error("a client that has left took the piece")
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the write does not end")
 	}
 }
--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	mostAhead = 16 << 10 // bytes kept of what a client sends while its request is in work
-	// hangUpLook is the time between two looks for the end of a client whose further bytes are not read.
-	hangUpLook = 100 * time.Millisecond
-	lastLook   = 10 * time.Millisecond // for a last read at a deadline: after a standstill of the process bytes may be there
+	maxPipelinedBytes = 16 << 10 // bytes kept of what a client sends while its request is in work
+	// hangupPollInterval is the time between two looks for the end of a client whose further bytes are not read.
+	hangupPollInterval = 100 * time.Millisecond
+	finalReadWindow    = 10 * time.Millisecond // for a last read at a deadline: after a standstill of the process bytes may be there
 )
 
 type connState uint8
@@ -24,51 +24,51 @@
 const (
 	idle      connState = iota // nothing of a request has come
 	reading                    // a part of a request has come
-	working                    // a request is in work
+	handling                   // a request is in work
 	lingering                  // the last answer was written
 )
 
 // conn is one client's connection. Its own goroutine reads, also while a handler is at work on a request in another.
 type conn struct {
-	server *Server
-	socket net.Conn
-	in     http1.ReadBuffer // what has come and is not used yet
-	looked bool             // the last look at a deadline was taken
-	raw    syscall.RawConn  // nil where the connection is no socket
+	server         *Server
+	socket         net.Conn
+	input          http1.ReadBuffer // what has come and is not used yet
+	finalReadTaken bool             // the last look at a deadline was taken
+	rawConn        syscall.RawConn  // nil where the connection is no socket
 
 	// under Server.mu
-	state    connState
-	since    time.Time // it is in the state
-	deadline time.Time // of reading; zero: none
-	ahead    int       // bytes of in while a request is in work
-	woken    bool      // the deadline is there to wake the goroutine that reads
+	state          connState
+	stateSince     time.Time // it is in the state
+	readDeadline   time.Time // of reading; zero: none
+	pipelinedBytes int       // bytes of in while a request is in work
+	woken          bool      // the deadline is there to wake the goroutine that reads
 }
 
 func newConn(s *Server, socket net.Conn) *conn {
-	return &conn{server: s, socket: socket, raw: rawOf(socket), since: s.now()}
+	return &conn{server: s, socket: socket, rawConn: rawConnOf(socket), stateSince: s.now()}
 }
 
 // serve reads and serves one request after the other.
 func (c *conn) serve() {
-	defer c.end()
-	c.rest()
+	defer c.close()
+	c.startIdle()
 	for {
-		arrived, fault, err := c.readRequest()
+		reader, statusErr, err := c.readRequest()
 		switch {
 		case err != nil:
 			return
-		case fault != nil:
-			c.fail(fault)
+		case statusErr != nil:
+			c.reject(statusErr)
 			return
 		}
-		if !c.work(arrived) {
+		if !c.handleRequest(reader) {
 			return
 		}
 	}
 }
 
-// rest starts the time that the connection may be idle.
-func (c *conn) rest() {
+// startIdle starts the time that the connection may be idle.
+func (c *conn) startIdle() {
 	limits := c.server.limits()
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -78,21 +78,21 @@
 // enterIdle makes the connection idle. The caller holds the server's lock.
 func (c *conn) enterIdle(timeout time.Duration) {
 	c.enter(idle)
-	rest := timeout + idleMargin
+	idleTime := timeout + idleMargin
 	if c.server.draining.Load() {
-		rest = min(rest, c.server.drainFor)
+		idleTime = min(idleTime, c.server.drainGrace)
 	}
-	c.setDeadline(rest)
+	c.setReadDeadline(idleTime)
 }
 
-// setDeadline bounds reading. The caller holds the server's lock.
-func (c *conn) setDeadline(after time.Duration) {
+// setReadDeadline bounds reading. The caller holds the server's lock.
+func (c *conn) setReadDeadline(timeout time.Duration) {
 	c.woken = false
-	c.deadline = time.Now().Add(after)
-	_ = c.socket.SetReadDeadline(c.deadline)
+	c.readDeadline = time.Now().Add(timeout)
+	_ = c.socket.SetReadDeadline(c.readDeadline)
 }
 
-func (c *conn) end() {
+func (c *conn) close() {
 	c.setState(idle)
 	c.server.remove(c)
 	_ = c.socket.Close()
@@ -115,40 +115,40 @@
 		c.server.addBusy(delta)
 	}
 	c.state = state
-	c.since = c.server.now()
+	c.stateSince = c.server.now()
 }
 
-func (s connState) isBusy() bool { return s == working || s == lingering }
+func (s connState) isBusy() bool { return s == handling || s == lingering }
 
-// work has a request served while it listens whether the client leaves. It returns whether another request may follow.
-func (c *conn) work(a *arrival) bool {
-	r := a.request
+// handleRequest has a request served while it listens whether the client leaves. It returns whether another request may follow.
+func (c *conn) handleRequest(reader *requestReader) bool {
+	r := reader.request
 	s := c.server
 	if c.hasHungUp() {
 		s.bodyBytes.Add(-int64(cap(r.Body)))
-		s.counts.left.Add(1)
+		s.counts.clientsGone.Add(1)
 		return false
 	}
 	s.counts.requests.Add(1)
-	s.counts.inWork.Add(1)
+	s.counts.inFlight.Add(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Context = ctx
-	w := &ResponseWriter{conn: c, method: r.Method, closing: a.head.Close, old: a.head.HTTP10}
+	w := &ResponseWriter{conn: c, method: r.Method, closing: reader.head.Close, http10: reader.head.HTTP10}
 	s.mu.Lock()
-	c.enter(working)
-	c.ahead = c.in.Len()
+	c.enter(handling)
+	c.pipelinedBytes = c.input.Len()
 	s.mu.Unlock()
-	held := int64(cap(r.Body))
+	bodyBytes := int64(cap(r.Body))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.handle(w, r)
+		c.runHandler(w, r)
 		cancel()
-		s.bodyBytes.Add(-held)
-		s.counts.inWork.Add(-1)
-		c.answered(w)
+		s.bodyBytes.Add(-bodyBytes)
+		s.counts.inFlight.Add(-1)
+		c.afterResponse(w)
 	}()
-	alive := c.watch(w, done)
+	alive := c.watchClient(w, done)
 	if !alive {
 		cancel()
 		<-done
@@ -156,82 +156,82 @@
 	return alive
 }
 
-// handle calls the handler and sees to it that there is one answer.
-func (c *conn) handle(w *ResponseWriter, r *Request) {
+// runHandler calls the handler and sees to it that there is one answer.
+func (c *conn) runHandler(w *ResponseWriter, r *Request) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			c.server.log(fmt.Sprintf("front: a handler failed: %v", cause))
 		}
-		w.end()
+		w.finishHandler()
 	}()
 	c.server.options.Handler(w, r)
 }
 
-// answered sets the state after an answer, and the time for what may follow. The goroutine that reads is woken where it must go
+// afterResponse sets the state after an answer, and the time for what may follow. The goroutine that reads is woken where it must go
 // on.
-func (c *conn) answered(w *ResponseWriter) {
-	broken, closing := w.ending()
+func (c *conn) afterResponse(writer *ResponseWriter) {
+	wasAborted, closing := writer.connState()
 	limits := c.server.limits()
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	switch {
-	case broken:
+	case wasAborted:
 		c.enter(idle) // the socket is closed
 	case closing:
 		c.enter(lingering)
-		if half, ok := c.socket.(halfCloser); ok {
-			_ = half.CloseWrite()
+		if socket, ok := c.socket.(halfCloser); ok {
+			_ = socket.CloseWrite()
 		}
-		c.setDeadline(lingerTime)
-	case c.ahead > 0:
+		c.setReadDeadline(lingerTimeout)
+	case c.pipelinedBytes > 0:
 		c.enter(reading)
-		c.setDeadline(0)
+		c.setReadDeadline(0)
 		c.woken = true
 	default:
 		c.enterIdle(limits.IdleTimeout)
 	}
 }
 
-// watch reads while a request is in work, and on to the first bytes of the next. It returns false when no request may
+// watchClient reads while a request is in work, and on to the first bytes of the next. It returns false when no request may
 // follow.
-func (c *conn) watch(w *ResponseWriter, done <-chan struct{}) bool {
+func (c *conn) watchClient(writer *ResponseWriter, done <-chan struct{}) bool {
 	for {
-		state := c.noteAhead()
+		state := c.recordPipelined()
 		switch {
-		case state == working && c.in.Len() >= mostAhead:
-			if !c.awaitDone(done) {
-				c.gone(w)
+		case state == handling && c.input.Len() >= maxPipelinedBytes:
+			if !c.awaitHandler(done) {
+				c.clientGone(writer)
 				return false
 			}
 			continue
 		case state == lingering:
-			dropInput(c.socket)
+			discardInput(c.socket)
 			return false
-		case state != working && c.in.Len() > 0:
-			broken, _ := w.ending()
-			return !broken
+		case state != handling && c.input.Len() > 0:
+			wasAborted, _ := writer.connState()
+			return !wasAborted
 		}
-		err := c.more()
+		err := c.readMore()
 		switch {
 		case err == nil:
 		case !isTimeout(err):
-			c.gone(w)
+			c.clientGone(writer)
 			return false
-		case c.noteAhead() == idle && c.in.Len() == 0:
+		case c.recordPipelined() == idle && c.input.Len() == 0:
 			return false
 		}
 	}
 }
 
-// awaitDone waits for a handler without reading: as much as may be kept has come. It returns false once the client has left.
-func (c *conn) awaitDone(done <-chan struct{}) bool {
-	look := time.NewTicker(hangUpLook)
-	defer look.Stop()
+// awaitHandler waits for a handler without reading: as much as may be kept has come. It returns false once the client has left.
+func (c *conn) awaitHandler(done <-chan struct{}) bool {
+	ticker := time.NewTicker(hangupPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return true
-		case <-look.C:
+		case <-ticker.C:
 			if c.hasHungUp() {
 				return false
 			}
@@ -239,93 +239,93 @@
 	}
 }
 
-// noteAhead notes how much has come, and returns the state.
-func (c *conn) noteAhead() connState {
+// recordPipelined notes how much has come, and returns the state.
+func (c *conn) recordPipelined() connState {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
-	c.ahead = c.in.Len()
+	c.pipelinedBytes = c.input.Len()
 	return c.state
 }
 
-// gone notes that the client's side has ended. What is still written to it is refused.
-func (c *conn) gone(w *ResponseWriter) {
+// clientGone notes that the client's side has ended. What is still written to it is refused.
+func (c *conn) clientGone(writer *ResponseWriter) {
 	c.server.mu.Lock()
-	left := c.state == working
+	inFlight := c.state == handling
 	c.server.mu.Unlock()
 	_ = c.socket.Close()
-	if left && w.abandon() {
-		c.server.counts.left.Add(1)
+	if inFlight && writer.abandon() {
+		c.server.counts.clientsGone.Add(1)
 	}
 }
 
-// more takes in what comes next.
-func (c *conn) more() error {
-	n, err := c.read(c.in.Free())
-	c.in.Extend(n)
+// readMore takes in what comes next.
+func (c *conn) readMore() error {
+	n, err := c.read(c.input.Free())
+	c.input.Extend(n)
 	return err
 }
 
 // read reads once. It returns a timeout only where the deadline in force has passed.
-func (c *conn) read(into []byte) (int, error) {
+func (c *conn) read(buffer []byte) (int, error) {
 	for {
-		n, err := c.socket.Read(into)
+		n, err := c.socket.Read(buffer)
 		switch {
 		case n > 0:
-			c.looked = false
+			c.finalReadTaken = false
 			return n, nil
 		case err == nil:
 			continue
-		case isTimeout(err) && c.againAfterTimeout():
+		case isTimeout(err) && c.shouldRetryRead():
 			continue
 		}
 		return 0, err
 	}
 }
 
-// againAfterTimeout tells whether a read that ran into a deadline is to be tried again: the deadline may be of the time before.
-func (c *conn) againAfterTimeout() bool {
+// shouldRetryRead tells whether a read that ran into a deadline is to be tried again: the deadline may be of the time before.
+func (c *conn) shouldRetryRead() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	switch {
-	case c.state == working:
-		c.deadline = time.Time{}
-		_ = c.socket.SetReadDeadline(c.deadline)
+	case c.state == handling:
+		c.readDeadline = time.Time{}
+		_ = c.socket.SetReadDeadline(c.readDeadline)
 		return true
 	case c.woken:
 		return false
-	case time.Now().Before(c.deadline):
+	case time.Now().Before(c.readDeadline):
 		return true
-	case c.looked || c.state == lingering:
+	case c.finalReadTaken || c.state == lingering:
 		return false
 	}
-	c.looked = true
-	c.setDeadline(lastLook)
+	c.finalReadTaken = true
+	c.setReadDeadline(finalReadWindow)
 	return true
 }
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// fail answers a request that cannot be read, and ends the connection.
-func (c *conn) fail(fault *http1.StatusError) {
-	if isOverLimit(fault) && !c.server.confirmed() {
-		fault = &unsureFault
+// reject answers a request that cannot be read, and ends the connection.
+func (c *conn) reject(statusErr *http1.StatusError) {
+	if isLimitExceeded(statusErr) && !c.server.limitsConfirmed() {
+		statusErr = &errLimitsUnconfirmed
 	}
-	switch fault.Status {
-	case statusTimeout:
+	switch statusErr.Status {
+	case statusRequestTimeout:
 		c.server.counts.timedOut.Add(1)
 	case statusUnavailable:
-		c.server.counts.refused.Add(1)
+		c.server.counts.rejected.Add(1)
 	default:
 		c.server.counts.malformed.Add(1)
 	}
 	c.setState(lingering)
-	_ = c.socket.SetWriteDeadline(time.Now().Add(c.server.writeTime))
-	if _, err := c.socket.Write(c.server.appendFault(nil, fault)); err == nil {
-		discard(c.socket)
+	_ = c.socket.SetWriteDeadline(time.Now().Add(c.server.writeTimeout))
+	if _, err := c.socket.Write(c.server.appendErrorResponse(nil, statusErr)); err == nil {
+		closeAfterLinger(c.socket)
 	}
 }
 
-// isOverLimit tells whether a request is refused for a limit that a configuration sets.
-func isOverLimit(fault *http1.StatusError) bool {
-	return fault.Status == statusTooLarge || fault.Status == statusLongHead
+// isLimitExceeded tells whether a request is refused for a limit that a configuration sets.
+func isLimitExceeded(statusErr *http1.StatusError) bool {
+	return statusErr.Status == statusContentTooLarge || statusErr.Status == statusHeaderTooLarge
 }
--- a/internal/dataplane/httpserver/hangup.go
+++ b/internal/dataplane/httpserver/hangup.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawOf returns the socket below a connection, or nil where there is none.
-func rawOf(connection net.Conn) syscall.RawConn {
+// rawConnOf returns the socket below a connection, or nil where there is none.
+func rawConnOf(connection net.Conn) syscall.RawConn {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
 		return nil
@@ -24,13 +24,13 @@
 // wait unread. A client that has ended its side alone counts as gone: on the wire it cannot be told from one that has closed
 // the connection, until an answer is written to it.
 func (c *conn) hasHungUp() bool {
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return false
 	}
 	ended := false
-	err := c.raw.Control(func(descriptor uintptr) {
-		asked := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
-		count, err := unix.Poll(asked, 0)
+	err := c.rawConn.Control(func(descriptor uintptr) {
+		poll := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+		count, err := unix.Poll(poll, 0)
 		ended = err == nil && count > 0
 	})
 	return err != nil || ended
--- a/internal/dataplane/httpserver/helpers_test.go
+++ b/internal/dataplane/httpserver/helpers_test.go
@@ -13,16 +13,16 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-const patience = 5 * time.Second // of a test for what must come
+const testTimeout = 5 * time.Second // of a test for what must come
 
-// world is a server on loopback with one handler.
-type world struct {
+// testServer is a server on loopback with one handler.
+type testServer struct {
 	t       *testing.T
 	server  *Server
 	address string
 }
 
-func start(t *testing.T, options Options) *world {
+func startServer(t *testing.T, options Options) *testServer {
 	t.Helper()
 	if options.Limits == nil {
 		options.Limits = func() configuration.Limits { return configuration.Limits{} }
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t, New(options), listener.Addr().String()}
+	w := &testServer{t, New(options), listener.Addr().String()}
 	served := make(chan error, 1)
 	go func() { served <- w.server.Serve(listener) }()
 	t.Cleanup(func() {
@@ -44,9 +44,9 @@
 }
 
 // await returns when the connections are in states that hold.
-func (w *world) await(holds func(map[connState]int) bool) {
+func (w *testServer) await(holds func(map[connState]int) bool) {
 	w.t.Helper()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(testTimeout)
 	for time.Now().Before(until) {
 		states := map[connState]int{}
 		w.server.mu.Lock()
@@ -63,37 +63,37 @@
 }
 
 func echo(w *ResponseWriter, r *Request) {
-	_ = w.Answer(200, nil, fmt.Appendf(nil, "%s %s %s", r.Method, r.Target, r.Body))
+	_ = w.WriteResponse(200, nil, fmt.Appendf(nil, "%s %s %s", r.Method, r.Target, r.Body))
 }
 
-func (w *world) dial() *peer {
+func (w *testServer) dial() *testClient {
 	w.t.Helper()
 	socket, err := net.Dial("tcp4", w.address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { socket.Close() })
-	_ = socket.SetDeadline(time.Now().Add(patience))
-	return &peer{w.t, socket.(*net.TCPConn), bufio.NewReader(socket)}
+	_ = socket.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{w.t, socket.(*net.TCPConn), bufio.NewReader(socket)}
 }
 
-// peer is a client that a test scripts.
-type peer struct {
+// testClient is a client that a test scripts.
+type testClient struct {
 	t      *testing.T
 	socket *net.TCPConn
-	in     *bufio.Reader
+	input  *bufio.Reader
 }
 
-func (p *peer) send(text string) {
+func (p *testClient) send(text string) {
 	p.t.Helper()
 	if _, err := p.socket.Write([]byte(text)); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *peer) answer() (*http.Response, string) {
+func (p *testClient) readResponse() (*http.Response, string) {
 	p.t.Helper()
-	response, err := http.ReadResponse(p.in, nil)
+	response, err := http.ReadResponse(p.input, nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -104,19 +104,19 @@
 	return response, string(body)
 }
 
-func (p *peer) expect(status int, body string) *http.Response {
+func (p *testClient) expect(status int, body string) *http.Response {
 	p.t.Helper()
-	response, got := p.answer()
+	response, got := p.readResponse()
 	if response.StatusCode != status || got != body {
 		p.t.Fatalf("%d %q, not %d %q", response.StatusCode, got, status, body)
 	}
 	return response
 }
 
-// rest reads what comes up to the connection's end.
-func (p *peer) rest() string {
+// readToEnd reads what comes up to the connection's end.
+func (p *testClient) readToEnd() string {
 	p.t.Helper()
-	rest, err := io.ReadAll(p.in)
+	rest, err := io.ReadAll(p.input)
 	if err != nil {
 		p.t.Fatalf("%q, then %v", rest, err)
 	}
--- a/internal/dataplane/httpserver/lifecycle_test.go
+++ b/internal/dataplane/httpserver/lifecycle_test.go
@@ -14,16 +14,16 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-func TestClientLeaves(t *testing.T) {
+func TestServer_clientClosesDuringRequest(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		began, ended := make(chan bool), make(chan error)
-		w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+		w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 			began <- true
 			<-r.Context.Done()
-			ended <- w.Answer(200, nil, nil)
+			ended <- w.WriteResponse(200, nil, nil)
 		}})
 		p := w.dial()
-		p.send(get + "GET /early") // what comes early must not hide the end
+		p.send(getRequest + "GET /early") // what comes early must not hide the end
 		<-began
 		if reset {
 			_ = p.socket.SetLinger(0)
@@ -31,89 +31,89 @@
 		p.socket.Close()
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the handler does not hear of it")
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		if err := w.server.Wait(ctx); err != nil {
 			t.Error(err)
 		}
 		cancel()
-		if n := w.server.Counts(); n.Unanswered != 0 {
+		if n := w.server.Counts(); n.MissingResponses != 0 {
 			t.Errorf("%+v", n)
 		}
 	}
 }
 
-func TestHandlerWithoutAnswer(t *testing.T) {
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+func TestServer_handlerWithoutResponse(t *testing.T) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path == "/panic" {
 			panic("as the test wants")
 		}
 	}})
 	p := w.dial()
-	p.send(get)
+	p.send(getRequest)
 	p.expect(500, "")
 	p.send("GET /panic HTTP/1.1\r\nHost: h\r\n\r\n")
 	p.expect(500, "")
-	if n := w.server.Counts().Unanswered; n != 2 {
+	if n := w.server.Counts().MissingResponses; n != 2 {
 		t.Errorf("%d unanswered", n)
 	}
 }
 
-func TestFull(t *testing.T) {
+func TestServer_maxConnections(t *testing.T) {
 	hold := make(chan bool)
 	var ahead atomic.Int64 // of the clock
 	clock := func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
-	w := start(t, Options{MaxConnections: 2, Now: clock, Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{MaxConnections: 2, Now: clock, Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path == "/hold" {
 			<-hold
 		}
-		_ = w.Answer(200, nil, nil)
+		_ = w.WriteResponse(200, nil, nil)
 	}})
 	defer close(hold)
 	first, second := w.dial(), w.dial()
 	first.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
-	second.send(get)
+	second.send(getRequest)
 	second.expect(200, "")
 	w.await(func(states map[connState]int) bool { return states[idle] == 1 })
 	ahead.Store(int64(time.Second))
 	third := w.dial() // takes the place of the idle second
 	third.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
-	if rest := second.rest(); rest != "" {
+	if rest := second.readToEnd(); rest != "" {
 		t.Errorf("the evicted one is told %q", rest)
 	}
-	w.await(func(states map[connState]int) bool { return states[working] == 2 })
+	w.await(func(states map[connState]int) bool { return states[handling] == 2 })
 	fourth := w.dial()
 	if r := fourth.expect(503, ""); r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("%v", r.Header)
 	}
-	if n := w.server.Counts(); n.Refused != 1 || n.Evicted != 1 {
+	if n := w.server.Counts(); n.Rejected != 1 || n.Evicted != 1 {
 		t.Errorf("%+v", n)
 	}
 }
 
-func TestDrain(t *testing.T) {
+func TestServer_Drain(t *testing.T) {
 	began, hold := make(chan bool), make(chan bool)
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path == "/hold" {
 			began <- true
 			<-hold
 		}
-		_ = w.Answer(200, nil, nil)
+		_ = w.WriteResponse(200, nil, nil)
 	}})
 	resting, busy := w.dial(), w.dial()
-	resting.send(get)
+	resting.send(getRequest)
 	resting.expect(200, "")
 	busy.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-began
 	w.server.Drain(time.Second)
 	fresh := w.dial()
-	fresh.send(get)
+	fresh.send(getRequest)
 	if !fresh.expect(200, "").Close {
 		t.Error("the connection is kept")
 	}
-	if rest := resting.rest(); rest != "" {
+	if rest := resting.readToEnd(); rest != "" {
 		t.Errorf("%q", rest)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,7 +127,7 @@
 	}
 	busy.socket.Close()
 	fresh.socket.Close()
-	ctx, cancel = context.WithTimeout(context.Background(), patience)
+	ctx, cancel = context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := w.server.Wait(ctx); err != nil {
 		t.Errorf("Wait: %v", err)
@@ -135,17 +135,17 @@
 }
 
 // A client that does not read holds its own answer only.
-func TestClientThatDoesNotRead(t *testing.T) {
+func TestServer_clientThatDoesNotRead(t *testing.T) {
 	failed := make(chan error, 1)
 	big := bytes.Repeat([]byte("x"), 1<<20)
-	w := start(t, Options{WriteTimeout: 100 * time.Millisecond, Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{WriteTimeout: 100 * time.Millisecond, Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path != "/stream" {
-			_ = w.Answer(200, nil, nil)
+			_ = w.WriteResponse(200, nil, nil)
 			return
 		}
-		_ = w.Begin(200, nil)
+		_ = w.WriteHeader(200, nil)
 		for {
-			if err := w.Event(big); err != nil {
+			if err := w.WriteChunk(big); err != nil {
 				failed <- err
 				return
 			}
@@ -153,92 +153,92 @@
 	}})
 	stuck, other := w.dial(), w.dial()
 	stuck.send("GET /stream HTTP/1.1\r\nHost: h\r\n\r\n")
-	other.send(get)
+	other.send(getRequest)
 	other.expect(200, "")
 	select {
 	case <-failed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the write does not end")
 	}
 }
 
-func TestLargeAnswer(t *testing.T) {
+func TestServer_largeResponse(t *testing.T) {
 	big := bytes.Repeat([]byte("x"), 1<<20)
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		if !bytes.Equal(r.Body, big) {
 			t.Errorf("%d bytes", len(r.Body))
 		}
-		_ = w.Answer(200, nil, big)
+		_ = w.WriteResponse(200, nil, big)
 	}})
 	p := w.dial()
 	p.send(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(big), big))
 	p.expect(200, string(big))
 }
 
-func TestBodyBudget(t *testing.T) {
-	w := start(t, Options{Handler: echo, BodyBudget: firstBody})
+func TestServer_maxBufferedBodyBytes(t *testing.T) {
+	w := startServer(t, Options{Handler: echo, MaxBufferedBodyBytes: initialBodyBytes})
 	p := w.dial()
-	p.send(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", 2*firstBody, strings.Repeat("x", 2*firstBody)))
+	p.send(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", 2*initialBodyBytes, strings.Repeat("x", 2*initialBodyBytes)))
 	p.expect(503, "")
 	p = w.dial()
 	p.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi")
 	p.expect(200, "POST /a hi")
-	p.send(get)
+	p.send(getRequest)
 	p.expect(200, "GET /a ")
 	if held := w.server.bodyBytes.Load(); held != 0 {
 		t.Errorf("%d bytes held", held)
 	}
 }
 
-func TestFieldsOfOneConnection(t *testing.T) {
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+func TestServer_stripsHopByHopFields(t *testing.T) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		var names []string
-		for _, f := range r.Fields {
+		for _, f := range r.Header {
 			names = append(names, f.Name)
 		}
-		_ = w.Answer(200, append(r.Fields, r.Fields...), []byte(strings.Join(names, " ")))
+		_ = w.WriteResponse(200, append(r.Header, r.Header...), []byte(strings.Join(names, " ")))
 	}})
 	p := w.dial()
 	p.send("GET /a HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, X-Own, host\r\nX-Own: 1\r\nTE: x\r\nProxy-A: b\r\nX-Id: 7\r\n\r\n")
 	p.expect(200, "Host X-Id")
 }
 
-func TestReadiness(t *testing.T) {
+func TestReadinessHandler(t *testing.T) {
 	ready := false
-	w := start(t, Options{Handler: Readiness(func() bool { return ready })})
+	w := startServer(t, Options{Handler: ReadinessHandler(func() bool { return ready })})
 	p := w.dial()
 	p.send("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	p.expect(503, "")
 	ready = true
 	p.send("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	p.expect(200, "")
-	p.send(get)
+	p.send(getRequest)
 	p.expect(404, "")
 }
 
-// thawed is a connection whose first read comes only after its deadline, with a request there.
-type thawed struct {
+// lateConn is a connection whose first read comes only after its deadline, with a request there.
+type lateConn struct {
 	net.Conn
 	reads int
 }
 
-func (t *thawed) Read(into []byte) (int, error) {
+func (t *lateConn) Read(buffer []byte) (int, error) {
 	t.reads++
 	if t.reads == 1 {
 		return 0, os.ErrDeadlineExceeded
 	}
-	return t.Conn.Read(into)
+	return t.Conn.Read(buffer)
 }
 
 // A process that stood still past a deadline looks once more: a request that came meanwhile is served.
-func TestRequestBehindADeadline(t *testing.T) {
+func TestServer_requestBehindExpiredDeadline(t *testing.T) {
 	s := New(Options{Handler: echo, Limits: func() configuration.Limits { return configuration.Limits{} }})
 	s.Drain(0)
 	near, far := net.Pipe()
-	_ = far.SetDeadline(time.Now().Add(patience))
+	_ = far.SetDeadline(time.Now().Add(testTimeout))
 	// What waits on a pipe is read without regard to the deadline that has passed.
-	go newConn(s, &thawed{Conn: undated{near}}).serve()
-	if _, err := far.Write([]byte(get)); err != nil {
+	go newConn(s, &lateConn{Conn: noDeadlineConn{near}}).serve()
+	if _, err := far.Write([]byte(getRequest)); err != nil {
 		t.Fatal(err)
 	}
 	answer := make([]byte, 12)
@@ -248,7 +248,7 @@
 	far.Close()
 }
 
-// undated is a connection without deadlines of reading.
-type undated struct{ net.Conn }
+// noDeadlineConn is a connection without deadlines of reading.
+type noDeadlineConn struct{ net.Conn }
 
-func (undated) SetReadDeadline(time.Time) error { return nil }
+func (noDeadlineConn) SetReadDeadline(time.Time) error { return nil }
--- a/internal/dataplane/httpserver/listen.go
+++ b/internal/dataplane/httpserver/listen.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-const backlog = 4096 // new connections that may wait to be accepted
+const listenBacklog = 4096 // new connections that may wait to be accepted
 
 // Listen opens a listener ("ip:port") with a long queue of new connections. Accepted connections send small pieces at once and
 // have no probes: deadlines end those whose client has gone.
@@ -17,12 +17,12 @@
 	if err != nil {
 		return nil, err
 	}
-	lengthen(listener)
+	extendBacklog(listener)
 	return listener, nil
 }
 
-// lengthen asks for a longer queue than the system's default. Where that is refused the default stays.
-func lengthen(listener net.Listener) {
+// extendBacklog asks for a longer queue than the system's default. Where that is refused the default stays.
+func extendBacklog(listener net.Listener) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		return
@@ -31,5 +31,5 @@
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), backlog) })
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), listenBacklog) })
 }
--- a/internal/dataplane/httpserver/readiness.go
+++ b/internal/dataplane/httpserver/readiness.go
@@ -1,7 +1,7 @@
 package httpserver
 
-// Readiness answers "GET /-/ready" with 200 or 503, and all else with 404.
-func Readiness(ready func() bool) Handler {
+// ReadinessHandler answers "GET /-/ready" with 200 or 503, and all else with 404.
+func ReadinessHandler(ready func() bool) Handler {
 	return func(w *ResponseWriter, r *Request) {
 		status := 404
 		if r.Path == "/-/ready" && r.Method == "GET" {
@@ -10,6 +10,6 @@
 				status = 200
 			}
 		}
-		_ = w.Answer(status, nil, nil)
+		_ = w.WriteResponse(status, nil, nil)
 	}
 }
--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -9,118 +9,118 @@
 )
 
 const (
-	statusTimeout     = 408
-	statusTooLarge    = 413
-	statusLongHead    = 431
-	statusUnavailable = 503
-
-	firstBody = 64 << 10 // bytes made for a body at first; more as they come
-	// mostFraming is how many bytes of framing a body in chunks may have beyond its own length.
-	mostFraming = 64 << 10
+	statusRequestTimeout  = 408
+	statusContentTooLarge = 413
+	statusHeaderTooLarge  = 431
+	statusUnavailable     = 503
+
+	initialBodyBytes = 64 << 10 // bytes made for a body at first; more as they come
+	// maxChunkFraming is how many bytes of framing a body in chunks may have beyond its own length.
+	maxChunkFraming = 64 << 10
 )
 
 var (
-	fullFault = http1.StatusError{Status: statusUnavailable, Reason: "there is no place for the request"}
-	lateFault = http1.StatusError{Status: statusTimeout, Reason: "the request did not come in time"}
-	// unsureFault stands in for faults over a limit that may not be in force any more.
-	unsureFault = http1.StatusError{Status: statusUnavailable, Reason: "the limits in force are not known"}
-	longFault   = http1.StatusError{Status: statusTooLarge, Reason: "the body is too long"}
+	errOverloaded     = http1.StatusError{Status: statusUnavailable, Reason: "there is no place for the request"}
+	errRequestTimeout = http1.StatusError{Status: statusRequestTimeout, Reason: "the request did not come in time"}
+	// errLimitsUnconfirmed stands in for faults over a limit that may not be in force any more.
+	errLimitsUnconfirmed = http1.StatusError{Status: statusUnavailable, Reason: "the limits in force are not known"}
+	errBodyTooLarge      = http1.StatusError{Status: statusContentTooLarge, Reason: "the body is too long"}
 )
 
-// arrival is one request as far as it has come in.
-type arrival struct {
-	conn    *conn
-	limits  configuration.Limits
-	rules   http1.ParseRules
-	begun   time.Time // the first byte, on the clock of the deadlines
-	armed   bool      // the deadline is set
-	headIn  bool      // the head has come whole
-	request *Request
-	head    http1.Head
+// requestReader is one request as far as it has come in.
+type requestReader struct {
+	conn        *conn
+	limits      configuration.Limits
+	rules       http1.ParseRules
+	startedAt   time.Time // the first byte, on the clock of the deadlines
+	deadlineSet bool      // the deadline is set
+	headRead    bool      // the head has come whole
+	request     *Request
+	head        http1.Head
 }
 
 // readRequest reads the next request. err is of the connection, and nobody is to be answered then.
-func (c *conn) readRequest() (a *arrival, fault *http1.StatusError, err error) {
-	for c.in.Len() == 0 {
-		if err := c.more(); err != nil {
+func (c *conn) readRequest() (reader *requestReader, statusErr *http1.StatusError, err error) {
+	for c.input.Len() == 0 {
+		if err := c.readMore(); err != nil {
 			return nil, nil, err
 		}
 	}
 	c.setState(reading)
-	a = &arrival{conn: c, limits: c.server.limits(), begun: time.Now(), request: &Request{FirstByteAt: c.server.now()}}
-	a.rules = http1.ParseRules{MaxHeadBytes: a.limits.MaxHeaderBytes, MaxBodyBytes: a.limits.MaxBodyBytes, Strict: true}
-	if fault, err = a.readHead(); fault == nil && err == nil {
-		fault, err = a.readBody()
+	reader = &requestReader{conn: c, limits: c.server.limits(), startedAt: time.Now(), request: &Request{FirstByteAt: c.server.now()}}
+	reader.rules = http1.ParseRules{MaxHeadBytes: reader.limits.MaxHeaderBytes, MaxBodyBytes: reader.limits.MaxBodyBytes, Strict: true}
+	if statusErr, err = reader.readHead(); statusErr == nil && err == nil {
+		statusErr, err = reader.readBody()
 	}
-	if fault != nil || err != nil {
-		c.server.bodyBytes.Add(-int64(cap(a.request.Body)))
-		return nil, fault, err
+	if statusErr != nil || err != nil {
+		c.server.bodyBytes.Add(-int64(cap(reader.request.Body)))
+		return nil, statusErr, err
 	}
-	a.request.ReadAt = c.server.now()
-	return a, nil, nil
+	reader.request.ReadAt = c.server.now()
+	return reader, nil, nil
 }
 
-// more waits for further bytes of the request by its deadline.
-func (a *arrival) more() (*http1.StatusError, error) {
-	a.arm()
-	return a.orLate(a.conn.more())
+// readMore waits for further bytes of the request by its deadline.
+func (a *requestReader) readMore() (*http1.StatusError, error) {
+	a.setDeadline()
+	return a.mapTimeout(a.conn.readMore())
 }
 
-// arm sets the deadline of the whole request, when it has not come at once: a first time for the head, and once more for the
+// setDeadline sets the deadline of the whole request, when it has not come at once: a first time for the head, and once more for the
 // body, since the head tells how long the request may be held.
-func (a *arrival) arm() {
-	if a.armed {
+func (a *requestReader) setDeadline() {
+	if a.deadlineSet {
 		return
 	}
-	a.armed = true
+	a.deadlineSet = true
 	c := a.conn
-	most := a.limits.HeaderTimeout
-	if held := c.server.options.Held; held != nil && a.headIn {
-		most = min(most, positive(held(a.request), most))
+	timeout := a.limits.HeaderTimeout
+	if requestTimeout := c.server.options.RequestTimeout; requestTimeout != nil && a.headRead {
+		timeout = min(timeout, positiveOr(requestTimeout(a.request), timeout))
 	}
 	c.server.mu.Lock()
-	c.setDeadline(most - time.Since(a.begun))
+	c.setReadDeadline(timeout - time.Since(a.startedAt))
 	c.server.mu.Unlock()
 }
 
-func (a *arrival) orLate(err error) (*http1.StatusError, error) {
+func (a *requestReader) mapTimeout(err error) (*http1.StatusError, error) {
 	if err != nil && isTimeout(err) {
-		return &lateFault, nil
+		return &errRequestTimeout, nil
 	}
 	return nil, err
 }
 
-func (a *arrival) readHead() (*http1.StatusError, error) {
+func (a *requestReader) readHead() (*http1.StatusError, error) {
 	c := a.conn
 	reader := http1.HeadReader{Kind: http1.Request, Rules: a.rules}
 	for {
-		used, fault := reader.Read(c.in.Bytes(), &a.head)
+		used, statusErr := reader.Read(c.input.Bytes(), &a.head)
 		switch {
-		case fault != nil:
-			return fault, nil
+		case statusErr != nil:
+			return statusErr, nil
 		case used > 0:
-			a.takeHead()
-			c.in.Discard(used)
+			a.copyHead()
+			c.input.Discard(used)
 			return nil, nil
 		}
-		if fault, err := a.more(); fault != nil || err != nil {
-			return fault, err
+		if statusErr, err := a.readMore(); statusErr != nil || err != nil {
+			return statusErr, err
 		}
 	}
 }
 
-// takeHead copies what the request needs of the head.
-func (a *arrival) takeHead() {
-	r := a.request
-	r.Method = string(a.head.Method)
-	r.Target = string(a.head.Target)
+// copyHead copies what the request needs of the head.
+func (a *requestReader) copyHead() {
+	request := a.request
+	request.Method = string(a.head.Method)
+	request.Target = string(a.head.Target)
 	path, _, _ := bytes.Cut(a.head.Target, []byte{'?'})
-	r.Path = r.Target[:len(path)]
-	all := a.head.Header()
-	r.Host = all.Get("Host")
-	r.Fields = http1.HopByHopOf(all).Strip(all)
+	request.Path = request.Target[:len(path)]
+	header := a.head.Header()
+	request.Host = header.Get("Host")
+	request.Header = http1.HopByHopOf(header).Strip(header)
 	expects := a.head.ExpectsContinue()
-	a.headIn, a.armed = true, false
+	a.headRead, a.deadlineSet = true, false
 	a.head.Method, a.head.Target, a.head.RawHeader = nil, nil, nil // the buffer goes on to be used
 	if expects {
 		a.head.RawHeader = []http1.RawHeaderField{expectField}
@@ -129,113 +129,113 @@
 
 var expectField = http1.RawHeaderField{Name: []byte("Expect"), Value: []byte("100-continue")}
 
-func (a *arrival) readBody() (*http1.StatusError, error) {
+func (a *requestReader) readBody() (*http1.StatusError, error) {
 	if a.head.ContentLength > a.limits.MaxBodyBytes {
-		return &longFault, nil
+		return &errBodyTooLarge, nil
 	}
 	body := http1.NewRequestBodyReader(&a.head, &a.rules)
 	if body.Done {
 		return nil, nil
 	}
-	if err := a.goOn(); err != nil {
+	if err := a.sendContinue(); err != nil {
 		return nil, err
 	}
 	if body.Chunked {
-		return a.readChunks(&body)
+		return a.readChunkedBody(&body)
 	}
-	return a.readLength(a.head.ContentLength)
+	return a.readFixedBody(a.head.ContentLength)
 }
 
-// goOn tells a client that waits for it to send its body.
-func (a *arrival) goOn() error {
-	if !a.head.ExpectsContinue() || a.head.HTTP10 || a.conn.in.Len() > 0 {
+// sendContinue tells a client that waits for it to send its body.
+func (a *requestReader) sendContinue() error {
+	if !a.head.ExpectsContinue() || a.head.HTTP10 || a.conn.input.Len() > 0 {
 		return nil
 	}
-	_ = a.conn.socket.SetWriteDeadline(time.Now().Add(a.conn.server.writeTime))
+	_ = a.conn.socket.SetWriteDeadline(time.Now().Add(a.conn.server.writeTimeout))
 	_, err := a.conn.socket.Write([]byte(http1.ContinueLine))
 	return err
 }
 
-// readLength reads a body of a known length. Memory is made as it comes: a length alone costs the client nothing.
-func (a *arrival) readLength(length int) (*http1.StatusError, error) {
-	c, r := a.conn, a.request
-	for len(r.Body) < length {
-		if !a.grow(length) {
-			return &fullFault, nil
+// readFixedBody reads a body of a known length. Memory is made as it comes: a length alone costs the client nothing.
+func (a *requestReader) readFixedBody(length int) (*http1.StatusError, error) {
+	c, request := a.conn, a.request
+	for len(request.Body) < length {
+		if !a.growBody(length) {
+			return &errOverloaded, nil
 		}
-		space := r.Body[len(r.Body):min(length, cap(r.Body))]
-		if c.in.Len() > 0 {
-			n := copy(space, c.in.Bytes())
-			c.in.Discard(n)
-			r.Body = r.Body[:len(r.Body)+n]
+		space := request.Body[len(request.Body):min(length, cap(request.Body))]
+		if c.input.Len() > 0 {
+			n := copy(space, c.input.Bytes())
+			c.input.Discard(n)
+			request.Body = request.Body[:len(request.Body)+n]
 			continue
 		}
-		a.arm()
+		a.setDeadline()
 		n, err := c.read(space)
-		r.Body = r.Body[:len(r.Body)+n]
+		request.Body = request.Body[:len(request.Body)+n]
 		if err != nil {
-			return a.orLate(err)
+			return a.mapTimeout(err)
 		}
 	}
 	return nil, nil
 }
 
-// grow makes room for more of the body. It returns false where the server holds as much as it may.
-func (a *arrival) grow(most int) bool {
-	r := a.request
-	if len(r.Body) < cap(r.Body) {
+// growBody makes room for more of the body. It returns false where the server holds as much as it may.
+func (a *requestReader) growBody(length int) bool {
+	request := a.request
+	if len(request.Body) < cap(request.Body) {
 		return true
 	}
-	size := min(most, max(2*cap(r.Body), firstBody))
+	size := min(length, max(2*cap(request.Body), initialBodyBytes))
 	s := a.conn.server
-	held := s.bodyBytes.Add(int64(size - cap(r.Body)))
-	if budget := s.options.BodyBudget; budget > 0 && held > budget {
-		s.bodyBytes.Add(-int64(size - cap(r.Body)))
+	buffered := s.bodyBytes.Add(int64(size - cap(request.Body)))
+	if maxBuffered := s.options.MaxBufferedBodyBytes; maxBuffered > 0 && buffered > maxBuffered {
+		s.bodyBytes.Add(-int64(size - cap(request.Body)))
 		return false
 	}
-	grown := make([]byte, len(r.Body), size)
-	copy(grown, r.Body)
-	r.Body = grown
+	grown := make([]byte, len(request.Body), size)
+	copy(grown, request.Body)
+	request.Body = grown
 	return true
 }
 
-// readChunks reads a body in chunks.
-func (a *arrival) readChunks(body *http1.BodyReader) (*http1.StatusError, error) {
-	c, r := a.conn, a.request
+// readChunkedBody reads a body in chunks.
+func (a *requestReader) readChunkedBody(body *http1.BodyReader) (*http1.StatusError, error) {
+	c, request := a.conn, a.request
 	framing := 0
 	for !body.Done {
-		data, used, fault := body.Next(c.in.Bytes())
+		data, used, statusErr := body.Next(c.input.Bytes())
 		switch {
-		case fault != nil:
-			return fault, nil
-		case len(r.Body)+len(data) > a.limits.MaxBodyBytes:
-			return &longFault, nil
+		case statusErr != nil:
+			return statusErr, nil
+		case len(request.Body)+len(data) > a.limits.MaxBodyBytes:
+			return &errBodyTooLarge, nil
 		}
-		if fault := a.append(data); fault != nil {
-			return fault, nil
+		if statusErr := a.appendBody(data); statusErr != nil {
+			return statusErr, nil
 		}
-		c.in.Discard(used)
-		if framing += used - len(data); framing > mostFraming+len(r.Body) {
-			return &longFault, nil
+		c.input.Discard(used)
+		if framing += used - len(data); framing > maxChunkFraming+len(request.Body) {
+			return &errBodyTooLarge, nil
 		}
 		if used > 0 {
 			continue
 		}
-		if fault, err := a.more(); fault != nil || err != nil {
-			return fault, err
+		if statusErr, err := a.readMore(); statusErr != nil || err != nil {
+			return statusErr, err
 		}
 	}
 	return nil, nil
 }
 
-func (a *arrival) append(data []byte) *http1.StatusError {
-	r := a.request
+func (a *requestReader) appendBody(data []byte) *http1.StatusError {
+	request := a.request
 	for len(data) > 0 {
-		if !a.grow(a.limits.MaxBodyBytes) {
-			return &fullFault
+		if !a.growBody(a.limits.MaxBodyBytes) {
+			return &errOverloaded
 		}
-		n := min(len(data), cap(r.Body)-len(r.Body))
-		r.Body = append(r.Body, data[:n]...)
+		n := min(len(data), cap(request.Body)-len(request.Body))
+		request.Body = append(request.Body, data[:n]...)
 		data = data[n:]
 	}
 	return nil
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	idleMargin      = 500 * time.Millisecond // kept open beyond the idle timeout
-	lingerTime      = time.Second            // for a client to read its last answer and end its side
-	lingerBytes     = 256 << 10              // read and dropped meanwhile, at most
-	acceptPause     = 20 * time.Millisecond  // after an error of accepting that may pass
-	mostRefusing    = 32                     // connections told 503 at the same time as there is no place
-	refuseWriteTime = 200 * time.Millisecond
-	freshFor        = 100 * time.Millisecond // a connection idle for less may have a request on its way
+	idleMargin              = 500 * time.Millisecond // kept open beyond the idle timeout
+	lingerTimeout           = time.Second            // for a client to read its last answer and end its side
+	maxLingerBytes          = 256 << 10              // read and dropped meanwhile, at most
+	acceptRetryDelay        = 20 * time.Millisecond  // after an error of accepting that may pass
+	maxConcurrentRejections = 32                     // connections told 503 at the same time as there is no place
+	rejectWriteTimeout      = 200 * time.Millisecond
+	minIdleBeforeEviction   = 100 * time.Millisecond // a connection idle for less may have a request on its way
 )
 
 // Server serves HTTP/1.1 on one or more listeners.
@@ -37,25 +37,25 @@
 	options Options
 	counts  counters
 
-	mu        sync.Mutex
-	listeners map[net.Listener]struct{}
-	conns     map[*conn]struct{}
-	drainFor  time.Duration // the grace; valid while draining
-	closed    bool
-	refusing  int
-	busy      int           // requests in work and connections that linger
-	quiet     chan struct{} // closed when busy is 0; nil: nobody waits
+	mu         sync.Mutex
+	listeners  map[net.Listener]struct{}
+	conns      map[*conn]struct{}
+	drainGrace time.Duration // the grace; valid while draining
+	closed     bool
+	rejecting  int
+	busy       int           // requests in work and connections that linger
+	idleNotify chan struct{} // closed when busy is 0; nil: nobody waits
 
-	draining   atomic.Bool
-	bodyBytes  atomic.Int64 // of the request bodies held
-	now        func() time.Time
-	maxConns   int
-	writeTime  time.Duration
-	retryAfter string
+	draining     atomic.Bool
+	bodyBytes    atomic.Int64 // of the request bodies held
+	now          func() time.Time
+	maxConns     int
+	writeTimeout time.Duration
+	retryAfter   string
 }
 
 type counters struct {
-	accepted, refused, evicted, requests, malformed, timedOut, left, second, unanswered, broken, inWork atomic.Int64
+	accepted, rejected, evicted, requests, malformed, timedOut, clientsGone, duplicateResponses, missingResponses, abortedResponses, inFlight atomic.Int64
 }
 
 // New makes a server.
@@ -65,13 +65,13 @@
 	if s.now == nil {
 		s.now = time.Now
 	}
-	s.maxConns = positive(options.MaxConnections, DefaultMaxConnections)
-	s.writeTime = positive(options.WriteTimeout, DefaultWriteTimeout)
-	s.retryAfter = RetryAfter(positive(options.RetryAfter, DefaultRetryAfter))
+	s.maxConns = positiveOr(options.MaxConnections, DefaultMaxConnections)
+	s.writeTimeout = positiveOr(options.WriteTimeout, DefaultWriteTimeout)
+	s.retryAfter = RetryAfter(positiveOr(options.RetryAfter, DefaultRetryAfter))
 	return s
 }
 
-func positive[T int | time.Duration](value, otherwise T) T {
+func positiveOr[T int | time.Duration](value, otherwise T) T {
 	if value > 0 {
 		return value
 	}
@@ -81,15 +81,17 @@
 // limits returns the limits in force, with defaults in place of what is not given.
 func (s *Server) limits() configuration.Limits {
 	limits := s.options.Limits()
-	limits.MaxHeaderBytes = positive(limits.MaxHeaderBytes, DefaultHeaderBytes)
-	limits.MaxBodyBytes = positive(limits.MaxBodyBytes, DefaultBodyBytes)
-	limits.HeaderTimeout = positive(limits.HeaderTimeout, DefaultHeaderTimeout)
-	limits.IdleTimeout = positive(limits.IdleTimeout, DefaultIdleTimeout)
+	limits.MaxHeaderBytes = positiveOr(limits.MaxHeaderBytes, DefaultHeaderBytes)
+	limits.MaxBodyBytes = positiveOr(limits.MaxBodyBytes, DefaultBodyBytes)
+	limits.HeaderTimeout = positiveOr(limits.HeaderTimeout, DefaultHeaderTimeout)
+	limits.IdleTimeout = positiveOr(limits.IdleTimeout, DefaultIdleTimeout)
 	return limits
 }
 
-// confirmed tells whether the limits are known to be those in force.
-func (s *Server) confirmed() bool { return s.options.Confirmed == nil || s.options.Confirmed() }
+// limitsConfirmed tells whether the limits are known to be those in force.
+func (s *Server) limitsConfirmed() bool {
+	return s.options.LimitsConfirmed == nil || s.options.LimitsConfirmed()
+}
 
 // Serve accepts connections until Close, and returns nil then. An error of the listener that does not pass is returned.
 func (s *Server) Serve(listener net.Listener) error {
@@ -107,8 +109,8 @@
 			return err
 		default:
 			s.log("accept: " + err.Error())
-			s.evict()
-			time.Sleep(acceptPause) // mostly no descriptors are left: one is freed meanwhile
+			s.evictIdle()
+			time.Sleep(acceptRetryDelay) // mostly no descriptors are left: one is freed meanwhile
 		}
 	}
 }
@@ -139,11 +141,11 @@
 func (s *Server) accept(socket net.Conn) {
 	s.counts.accepted.Add(1)
 	c := newConn(s, socket)
-	if s.add(c) || s.evict() && s.add(c) {
+	if s.add(c) || s.evictIdle() && s.add(c) {
 		go c.serve()
 		return
 	}
-	s.refuse(socket)
+	s.reject(socket)
 }
 
 func (s *Server) add(c *conn) bool {
@@ -162,17 +164,17 @@
 	s.mu.Unlock()
 }
 
-// evict closes the connection that has been idle, or that a client has kept after its last answer, for longest, if one has been
+// evictIdle closes the connection that has been idle, or that a client has kept after its last answer, for longest, if one has been
 // for long enough.
-func (s *Server) evict() bool {
+func (s *Server) evictIdle() bool {
 	now := s.now()
 	s.mu.Lock()
 	var oldest *conn
 	for c := range s.conns {
-		if c.state != idle && c.state != lingering || now.Sub(c.since) < freshFor {
+		if c.state != idle && c.state != lingering || now.Sub(c.stateSince) < minIdleBeforeEviction {
 			continue
 		}
-		if oldest == nil || c.since.Before(oldest.since) {
+		if oldest == nil || c.stateSince.Before(oldest.stateSince) {
 			oldest = c
 		}
 	}
@@ -188,32 +190,32 @@
 	return true
 }
 
-// refuse tells a client that there is no place.
-func (s *Server) refuse(socket net.Conn) {
-	s.counts.refused.Add(1)
+// reject tells a client that there is no place.
+func (s *Server) reject(socket net.Conn) {
+	s.counts.rejected.Add(1)
 	s.mu.Lock()
-	full := s.closed || s.refusing >= mostRefusing
+	full := s.closed || s.rejecting >= maxConcurrentRejections
 	if !full {
-		s.refusing++
+		s.rejecting++
 	}
 	s.mu.Unlock()
 	if full {
 		_ = socket.Close()
 		return
 	}
-	go s.tellFull(socket)
+	go s.rejectOverloaded(socket)
 }
 
-func (s *Server) tellFull(socket net.Conn) {
+func (s *Server) rejectOverloaded(socket net.Conn) {
 	defer func() {
 		_ = socket.Close()
 		s.mu.Lock()
-		s.refusing--
+		s.rejecting--
 		s.mu.Unlock()
 	}()
-	_ = socket.SetWriteDeadline(time.Now().Add(refuseWriteTime))
-	if _, err := socket.Write(s.appendFault(nil, &fullFault)); err == nil {
-		discard(socket)
+	_ = socket.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
+	if _, err := socket.Write(s.appendErrorResponse(nil, &errOverloaded)); err == nil {
+		closeAfterLinger(socket)
 	}
 }
 
@@ -222,11 +224,11 @@
 func (s *Server) Drain(grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drainFor = grace
+	s.drainGrace = grace
 	s.draining.Store(true)
 	for c := range s.conns {
-		if c.state == idle && time.Until(c.deadline) > grace {
-			c.setDeadline(grace)
+		if c.state == idle && time.Until(c.readDeadline) > grace {
+			c.setReadDeadline(grace)
 		}
 	}
 }
@@ -239,13 +241,13 @@
 			s.mu.Unlock()
 			return nil
 		}
-		if s.quiet == nil {
-			s.quiet = make(chan struct{})
+		if s.idleNotify == nil {
+			s.idleNotify = make(chan struct{})
 		}
-		quiet := s.quiet
+		idle := s.idleNotify
 		s.mu.Unlock()
 		select {
-		case <-quiet:
+		case <-idle:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -255,9 +257,9 @@
 // addBusy counts what Wait waits for. The caller holds the lock.
 func (s *Server) addBusy(delta int) {
 	s.busy += delta
-	if s.busy == 0 && s.quiet != nil {
-		close(s.quiet)
-		s.quiet = nil
+	if s.busy == 0 && s.idleNotify != nil {
+		close(s.idleNotify)
+		s.idleNotify = nil
 	}
 }
 
@@ -285,7 +287,7 @@
 	open := len(s.conns)
 	s.mu.Unlock()
 	n := &s.counts
-	return Counts{Accepted: n.accepted.Load(), Refused: n.refused.Load(), Evicted: n.evicted.Load(), Requests: n.requests.Load(),
-		Malformed: n.malformed.Load(), TimedOut: n.timedOut.Load(), Left: n.left.Load(), SecondAnswers: n.second.Load(),
-		Unanswered: n.unanswered.Load(), Broken: n.broken.Load(), Open: int64(open), InWork: n.inWork.Load()}
+	return Counts{Accepted: n.accepted.Load(), Rejected: n.rejected.Load(), Evicted: n.evicted.Load(), Requests: n.requests.Load(),
+		Malformed: n.malformed.Load(), TimedOut: n.timedOut.Load(), ClientsGone: n.clientsGone.Load(), DuplicateResponses: n.duplicateResponses.Load(),
+		MissingResponses: n.missingResponses.Load(), AbortedResponses: n.abortedResponses.Load(), Open: int64(open), InFlight: n.inFlight.Load()}
 }
--- a/internal/dataplane/httpserver/server_test.go
+++ b/internal/dataplane/httpserver/server_test.go
@@ -10,16 +10,16 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-const get = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+const getRequest = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func TestRequestsOnOneConnection(t *testing.T) {
-	w := start(t, Options{Handler: echo})
+func TestServer_pipelinedRequests(t *testing.T) {
+	w := startServer(t, Options{Handler: echo})
 	p := w.dial()
-	p.send(get)
+	p.send(getRequest)
 	if h := p.expect(200, "GET /a ").Header.Get("Keep-Alive"); h != "timeout=15" {
 		t.Errorf("Keep-Alive %q", h)
 	}
-	p.send("\r\nPOST /b?x=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi" + get +
+	p.send("\r\nPOST /b?x=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi" + getRequest +
 		"POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhi\r\n1\r\n!\r\n0\r\nT: x\r\n\r\n" +
 		"GET /d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	p.expect(200, "POST /b?x=1 hi")
@@ -28,14 +28,14 @@
 	if !p.expect(200, "GET /d ").Close {
 		t.Error("no Connection: close")
 	}
-	if rest := p.rest(); rest != "" {
+	if rest := p.readToEnd(); rest != "" {
 		t.Errorf("%q behind the last answer", rest)
 	}
 }
 
 // A request is the same wherever what comes is cut.
-func TestEveryCut(t *testing.T) {
-	w := start(t, Options{Handler: echo})
+func TestServer_requestSplitAnywhere(t *testing.T) {
+	w := startServer(t, Options{Handler: echo})
 	const text = "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n1\r\n!\r\n0\r\n\r\n"
 	p := w.dial()
 	for at := 1; at < len(text); at++ {
@@ -49,14 +49,14 @@
 	p.expect(200, "POST /c hi!")
 }
 
-func TestRefusedRequests(t *testing.T) {
+func TestServer_rejectedRequests(t *testing.T) {
 	ran := make(chan string, 100)
 	limits := func() configuration.Limits {
 		return configuration.Limits{MaxHeaderBytes: 512, MaxBodyBytes: 16}
 	}
-	w := start(t, Options{Limits: limits, Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{Limits: limits, Handler: func(w *ResponseWriter, r *Request) {
 		ran <- r.Target
-		_ = w.Answer(200, nil, nil)
+		_ = w.WriteResponse(200, nil, nil)
 	}})
 	const head = "POST /a HTTP/1.1\r\nHost: h\r\n"
 	const behind = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -103,11 +103,11 @@
 	for name, c := range cases {
 		p := w.dial()
 		p.send(c.text + behind)
-		response, body := p.answer()
+		response, body := p.readResponse()
 		if response.StatusCode != c.status || body != "" || !response.Close {
 			t.Errorf("%s: %d %q", name, response.StatusCode, body)
 		}
-		if rest := p.rest(); rest != "" {
+		if rest := p.readToEnd(); rest != "" {
 			t.Errorf("%s: then %q", name, rest)
 		}
 	}
@@ -119,36 +119,36 @@
 	}
 }
 
-func TestExpectContinue(t *testing.T) {
-	w := start(t, Options{Handler: echo})
+func TestServer_expectContinue(t *testing.T) {
+	w := startServer(t, Options{Handler: echo})
 	p := w.dial()
 	p.send("POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	if line, _ := p.in.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
+	if line, _ := p.input.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
 		t.Fatalf("%q", line)
 	}
-	_, _ = p.in.ReadString('\n')
+	_, _ = p.input.ReadString('\n')
 	p.send("hi")
 	p.expect(200, "POST /a hi")
 }
 
-func TestLateRequests(t *testing.T) {
+func TestServer_requestTimeout(t *testing.T) {
 	limits := func() configuration.Limits { return configuration.Limits{HeaderTimeout: 50 * time.Millisecond} }
-	w := start(t, Options{Handler: echo, Limits: limits})
-	for _, text := range []string{"G", get[:20], "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nh",
+	w := startServer(t, Options{Handler: echo, Limits: limits})
+	for _, text := range []string{"G", getRequest[:20], "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nh",
 		"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nh"} {
 		p := w.dial()
 		p.send(text)
 		p.expect(408, "")
-		if rest := p.rest(); rest != "" {
+		if rest := p.readToEnd(); rest != "" {
 			t.Errorf("then %q", rest)
 		}
 	}
 	if n := w.server.Counts().TimedOut; n != 4 {
 		t.Errorf("%d timed out", n)
 	}
-	w = start(t, Options{Handler: echo, Limits: func() configuration.Limits { return configuration.Limits{IdleTimeout: time.Millisecond} }})
+	w = startServer(t, Options{Handler: echo, Limits: func() configuration.Limits { return configuration.Limits{IdleTimeout: time.Millisecond} }})
 	silent := w.dial()
-	if rest := silent.rest(); rest != "" {
+	if rest := silent.readToEnd(); rest != "" {
 		t.Errorf("a silent connection is told %q", rest)
 	}
 	if n := w.server.Counts().TimedOut; n != 0 {
@@ -156,40 +156,40 @@
 	}
 }
 
-func TestStream(t *testing.T) {
+func TestResponseWriter_stream(t *testing.T) {
 	next := make(chan string)
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
-		_ = w.Begin(200, nil)
-		for piece := range next {
-			if err := w.Event([]byte(piece)); err != nil {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+		_ = w.WriteHeader(200, nil)
+		for chunk := range next {
+			if err := w.WriteChunk([]byte(chunk)); err != nil {
 				t.Error(err)
 			}
 		}
 		if r.Path == "/break" {
-			w.Break()
+			w.Abort()
 			return
 		}
 		if err := w.Finish([]byte("last")); err != nil {
 			t.Error(err)
 		}
-		if err := w.Answer(200, nil, nil); err != ErrAnswered {
+		if err := w.WriteResponse(200, nil, nil); err != ErrAlreadyAnswered {
 			t.Errorf("a second answer: %v", err)
 		}
 	}})
 	p := w.dial()
-	p.send(get)
+	p.send(getRequest)
 	next <- "one"
-	response, err := http.ReadResponse(p.in, nil)
+	response, err := http.ReadResponse(p.input, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	piece := make([]byte, 3)
+	chunk := make([]byte, 3)
 	for _, text := range []string{"one", "two"} {
 		if text != "one" {
 			next <- text
 		}
-		if _, err := io.ReadFull(response.Body, piece); err != nil || string(piece) != text {
-			t.Fatalf("%q, %v", piece, err)
+		if _, err := io.ReadFull(response.Body, chunk); err != nil || string(chunk) != text {
+			t.Fatalf("%q, %v", chunk, err)
 		}
 	}
 	close(next)
@@ -200,25 +200,25 @@
 	p.send("GET /break HTTP/1.1\r\nHost: h\r\n\r\n")
 	next <- "one"
 	close(next)
-	response, err = http.ReadResponse(p.in, nil)
+	response, err = http.ReadResponse(p.input, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := io.ReadAll(response.Body); string(rest) != "one" || err != io.ErrUnexpectedEOF {
 		t.Errorf("%q, %v", rest, err)
 	}
-	if n := w.server.Counts(); n.SecondAnswers != 1 || n.Broken != 1 {
+	if n := w.server.Counts(); n.DuplicateResponses != 1 || n.AbortedResponses != 1 {
 		t.Errorf("%+v", n)
 	}
 }
 
 // A stream to a client of HTTP/1.0 ends with the connection; one broken off is reset, as its end would look whole.
-func TestOldClient(t *testing.T) {
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
-		_ = w.Begin(200, nil)
-		_ = w.Event([]byte("one"))
+func TestResponseWriter_streamToHTTP10Client(t *testing.T) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+		_ = w.WriteHeader(200, nil)
+		_ = w.WriteChunk([]byte("one"))
 		if r.Path == "/break" {
-			w.Break()
+			w.Abort()
 		} else {
 			_ = w.Finish([]byte("two"))
 		}
@@ -228,7 +228,7 @@
 	p.expect(200, "onetwo")
 	p = w.dial()
 	p.send("GET /break HTTP/1.0\r\nHost: h\r\n\r\n")
-	if rest, err := io.ReadAll(p.in); err == nil {
+	if rest, err := io.ReadAll(p.input); err == nil {
 		t.Errorf("%q looks complete", rest)
 	}
 }
--- a/internal/dataplane/httpserver/timeout_test.go
+++ b/internal/dataplane/httpserver/timeout_test.go
@@ -8,13 +8,13 @@
 )
 
 // A body that trickles in ends with the time for which its request may be held, not with the longer one for the request as such.
-func TestBodyBeyondTheRequestsTime(t *testing.T) {
+func TestServer_bodyAfterRequestTimeout(t *testing.T) {
 	held := make(chan string, 8)
-	w := start(t, Options{
+	w := startServer(t, Options{
 		Handler: func(*ResponseWriter, *Request) { t.Error("served") },
 		Limits:  func() configuration.Limits { return configuration.Limits{HeaderTimeout: time.Hour} },
-		Held: func(r *Request) time.Duration {
-			held <- r.Host + r.Path + r.Fields.Get("A")
+		RequestTimeout: func(r *Request) time.Duration {
+			held <- r.Host + r.Path + r.Header.Get("A")
 			return 50 * time.Millisecond
 		},
 	})
@@ -25,8 +25,8 @@
 	}
 	for _, pieces := range heads {
 		p := w.dial()
-		for _, piece := range pieces {
-			p.send(piece)
+		for _, chunk := range pieces {
+			p.send(chunk)
 			w.await(func(states map[connState]int) bool { return states[reading]+states[lingering] == 1 })
 		}
 		p.send("x")
@@ -38,36 +38,36 @@
 }
 
 // A stream to a client that reads nothing ends with the request's time, not with the longer one of a write.
-func TestWritingEndsWithTheRequestsTime(t *testing.T) {
+func TestResponseWriter_SetWriteTimeout(t *testing.T) {
 	failed := make(chan time.Duration, 1)
-	w := start(t, Options{WriteTimeout: time.Hour, Handler: func(w *ResponseWriter, r *Request) {
+	w := startServer(t, Options{WriteTimeout: time.Hour, Handler: func(w *ResponseWriter, r *Request) {
 		began := time.Now()
-		w.EndBy(50 * time.Millisecond)
-		_ = w.Begin(200, nil)
-		piece := make([]byte, 1<<20)
-		for w.Event(piece) == nil {
+		w.SetWriteTimeout(50 * time.Millisecond)
+		_ = w.WriteHeader(200, nil)
+		chunk := make([]byte, 1<<20)
+		for w.WriteChunk(chunk) == nil {
 		}
 		failed <- time.Since(began)
 	}})
 	p := w.dial()
-	p.send(get)
+	p.send(getRequest)
 	select {
 	case took := <-failed:
 		if took < 50*time.Millisecond {
 			t.Errorf("it ends after %v", took)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the write does not end")
 	}
 }
 
 // An answer that is due just at the end of the request's time is written.
-func TestAnswerAtTheEndOfTheRequestsTime(t *testing.T) {
-	w := start(t, Options{Handler: func(w *ResponseWriter, r *Request) {
-		w.EndBy(-time.Second)
-		_ = w.Answer(504, nil, []byte("late"))
+func TestResponseWriter_SetWriteTimeout_responseAtDeadline(t *testing.T) {
+	w := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+		w.SetWriteTimeout(-time.Second)
+		_ = w.WriteResponse(504, nil, []byte("late"))
 	}})
 	p := w.dial()
-	p.send(get)
+	p.send(getRequest)
 	p.expect(504, "late")
 }
--- a/internal/dataplane/httpserver/unconfirmed_limits_test.go
+++ b/internal/dataplane/httpserver/unconfirmed_limits_test.go
@@ -8,9 +8,9 @@
 )
 
 // A request over a limit that may not be in force any more may come again.
-func TestLimitsThatAreNotConfirmed(t *testing.T) {
+func TestServer_limitsUnconfirmed(t *testing.T) {
 	limits := func() configuration.Limits { return configuration.Limits{MaxHeaderBytes: 512, MaxBodyBytes: 16} }
-	w := start(t, Options{Handler: echo, Limits: limits, Confirmed: func() bool { return false }})
+	w := startServer(t, Options{Handler: echo, Limits: limits, LimitsConfirmed: func() bool { return false }})
 	const head = "POST /a HTTP/1.1\r\nHost: h\r\n"
 	for name, text := range map[string]string{
 		"long header": head + "A: " + strings.Repeat("a", 512) + "\r\n\r\n",
--- a/internal/dataplane/proxy/confirmation_test.go
+++ b/internal/dataplane/proxy/confirmation_test.go
@@ -19,68 +19,68 @@
 	}}
 }
 
-func TestConfirmation(t *testing.T) {
-	var c confirmation
+func TestConfigConfirmation_isValid(t *testing.T) {
+	var c configConfirmation
 	now := time.Now()
-	expect := func(after time.Duration, held bool) {
+	expect := func(after time.Duration, valid bool) {
 		t.Helper()
-		if c.holds(now.Add(after)) != held {
-			t.Fatalf("after %v: %v", after, !held)
+		if c.isValid(now.Add(after)) != valid {
+			t.Fatalf("after %v: %v", after, !valid)
 		}
 	}
 	expect(0, false)
-	c.note(now, feedtransport.Status{})
+	c.update(now, feedtransport.Status{})
 	expect(0, false)
-	c.note(now, statusOf(false))
+	c.update(now, statusOf(false))
 	expect(0, false)
-	c.note(now, statusOf(true))
+	c.update(now, statusOf(true))
 	expect(0, true)
-	expect(confirmedFor, true)
-	expect(confirmedFor+1, false) // the process stood still, or the agent does
-	c.note(now.Add(time.Second), statusOf(true))
-	expect(confirmedFor+1, true)
-	c.lose()
+	expect(confirmationTTL, true)
+	expect(confirmationTTL+1, false) // the process stood still, or the agent does
+	c.update(now.Add(time.Second), statusOf(true))
+	expect(confirmationTTL+1, true)
+	c.clear()
 	expect(time.Second, false)
-	c.note(now, statusOf(true))
-	c.note(now, statusOf(false))
+	c.update(now, statusOf(true))
+	c.update(now, statusOf(false))
 	expect(0, false)
 }
 
-// TestUnknownRouteWithAnUnconfirmedConfiguration asks a proxy whose agent cannot tell whether its configuration is the newest.
-func TestUnknownRouteWithAnUnconfirmedConfiguration(t *testing.T) {
-	s := newSystemOn(t, &standInAgent{behind: true})
-	s.awaitReady()
-	s.mustAnswer("/a/x", 200, "POST /a/x "+requestBody)
-	if status, _, err := s.ask("/none/"); status != http.StatusServiceUnavailable || err != nil {
+// TestProxy_unknownRoute_configurationUnconfirmed asks a proxy whose agent cannot tell whether its configuration is the newest.
+func TestProxy_unknownRoute_configurationUnconfirmed(t *testing.T) {
+	s := newTestSystemWithAgent(t, &fakeAgent{behind: true})
+	s.waitUntilReady()
+	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
+	if status, _, err := s.request("/none/"); status != http.StatusServiceUnavailable || err != nil {
 		t.Fatal(status, err)
 	}
 }
 
-// TestUnknownRouteWithoutTheAgent asks a proxy whose agent has gone.
-func TestUnknownRouteWithoutTheAgent(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
-	s.await("denied", func() bool { return s.statusOf("/none/") == http.StatusNotFound })
+// TestProxy_unknownRoute_agentLost asks a proxy whose agent has gone.
+func TestProxy_unknownRoute_agentLost(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
+	s.waitFor("denied", func() bool { return s.statusOf("/none/") == http.StatusNotFound })
 	s.proxy.stopFeed()
-	s.await("unconfirmed", func() bool { return !s.proxy.isConfirmed() })
-	s.mustAnswer("/a/x", 200, "POST /a/x "+requestBody)
-	s.mustAnswer("/none/", 503, "")
+	s.waitFor("unconfirmed", func() bool { return !s.proxy.isConfigConfirmed() })
+	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
+	s.requireResponse("/none/", 503, "")
 }
 
-// TestFollowerTakesTheConfirmationFromTheAgent follows an agent that says that it is current, and is lost.
-func TestFollowerTakesTheConfirmationFromTheAgent(t *testing.T) {
-	var c confirmation
-	f := newFollower(func(*fleetview.View) {}, &c, zap.NewNop())
+// TestViewPublisher_Status_confirmsConfiguration follows an agent that says that it is current, and is lost.
+func TestViewPublisher_Status_confirmsConfiguration(t *testing.T) {
+	var c configConfirmation
+	f := newViewPublisher(func(*fleetview.View) {}, &c, zap.NewNop())
 	f.Connected("127.0.0.1:1")
-	if c.holds(time.Now()) {
+	if c.isValid(time.Now()) {
 		t.Fatal("confirmed by a connection")
 	}
 	f.Status(statusOf(true))
-	if !c.holds(time.Now()) {
+	if !c.isValid(time.Now()) {
 		t.Fatal("not confirmed by a status")
 	}
 	f.Disconnected(errors.New("as the test wants"))
-	if c.holds(time.Now()) {
+	if c.isValid(time.Now()) {
 		t.Fatal("confirmed without an agent")
 	}
 }
--- a/internal/dataplane/proxy/connlimits.go
+++ b/internal/dataplane/proxy/connlimits.go
@@ -9,16 +9,16 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// leastPlaces is the least number of connections that a node may have to one worker.
-const leastPlaces = 2
+// minConnsPerWorker is the least number of connections that a node may have to one worker.
+const minConnsPerWorker = 2
 
-// places tells how many connections this node may have to each worker's address.
-type places struct {
+// connLimits tells how many connections this node may have to each worker's address.
+type connLimits struct {
 	byAddress atomic.Pointer[map[string]int]
 }
 
-// of returns the most connections to an address; 0: no bound is known.
-func (p *places) of(address string) int {
+// limit returns the most connections to an address; 0: no bound is known.
+func (p *connLimits) limit(address string) int {
 	byAddress := p.byAddress.Load()
 	if byAddress == nil {
 		return 0
@@ -26,49 +26,49 @@
 	return (*byAddress)[address]
 }
 
-// set takes the addresses of a view, and returns those that no worker of it has any more.
-func (p *places) set(view *fleetview.View) []string {
-	next := placesOf(view)
+// update takes the addresses of a view, and returns those that no worker of it has any more.
+func (p *connLimits) update(view *fleetview.View) []string {
+	next := connLimitsOf(view)
 	previous := p.byAddress.Swap(&next)
 	if previous == nil {
 		return nil
 	}
-	var gone []string
+	var removed []string
 	for address := range maps.Keys(*previous) {
 		if _, stays := next[address]; !stays {
-			gone = append(gone, address)
+			removed = append(removed, address)
 		}
 	}
-	return gone
+	return removed
 }
 
-func placesOf(view *fleetview.View) map[string]int {
+func connLimitsOf(view *fleetview.View) map[string]int {
 	byAddress := map[string]int{}
 	for name, workers := range view.Workers {
-		share := shareOfPlaces(view, name)
+		limit := connLimitPerNode(view, name)
 		for _, worker := range workers {
-			byAddress[worker.Address] = share
+			byAddress[worker.Address] = limit
 		}
 	}
 	return byAddress
 }
 
-// shareOfPlaces is this node's part of the connections that a worker of a service accepts. One part
+// connLimitPerNode is this node's part of the connections that a worker of a service accepts. One part
 // is left free for nodes that are not known yet.
-func shareOfPlaces(view *fleetview.View, name string) int {
+func connLimitPerNode(view *fleetview.View, name string) int {
 	service := view.Services[name]
 	if service == nil || service.MaxConnections <= 0 {
 		return 0
 	}
-	return max(leastPlaces, service.MaxConnections/(max(view.Nodes, 1)+1))
+	return max(minConnsPerWorker, service.MaxConnections/(max(view.EdgeNodeCount, 1)+1))
 }
 
-// publish puts a view in force. Idle connections to workers that are not in it are closed.
-func (p *proxy) publish(view *fleetview.View) {
+// publishView puts a view in force. Idle connections to workers that are not in it are closed.
+func (p *proxy) publishView(view *fleetview.View) {
 	first := p.dispatcher.View() == nil
-	gone := p.places.set(view)
+	removed := p.connLimits.update(view)
 	p.dispatcher.SetView(view)
-	for _, address := range gone {
+	for _, address := range removed {
 		p.pool.Forget(address)
 	}
 	if first {
--- a/internal/dataplane/proxy/demand.go
+++ b/internal/dataplane/proxy/demand.go
@@ -13,29 +13,29 @@
 
 // demandReporter turns the demand since the start into rates. It is used by one goroutine.
 type demandReporter struct {
-	before map[string]roleplanner.Demand
-	at     time.Time
-	told   bool // the report before was not empty
+	previous         map[string]roleplanner.Demand
+	reportedAt       time.Time
+	reportedNonEmpty bool // the report before was not empty
 }
 
 // report returns the rates since the call before, and whether they are to be told: one empty report follows the last one
 // that was not.
-func (r *demandReporter) report(now time.Time, total map[string]roleplanner.Demand) ([]roleplanner.ServiceDemand, bool) {
-	span := now.Sub(r.at).Seconds()
-	if r.at.IsZero() || span <= 0 {
-		r.before, r.at = total, now
+func (r *demandReporter) report(now time.Time, totals map[string]roleplanner.Demand) ([]roleplanner.ServiceDemand, bool) {
+	span := now.Sub(r.reportedAt).Seconds()
+	if r.reportedAt.IsZero() || span <= 0 {
+		r.previous, r.reportedAt = totals, now
 		return nil, false
 	}
-	var list []roleplanner.ServiceDemand
-	for service, sum := range total {
-		rate := sum.Since(r.before[service]).Scale(1 / span)
+	var rates []roleplanner.ServiceDemand
+	for service, total := range totals {
+		rate := total.Since(r.previous[service]).Scale(1 / span)
 		if rate != (roleplanner.Demand{}) {
-			list = append(list, roleplanner.ServiceDemand{Service: service, Demand: rate})
+			rates = append(rates, roleplanner.ServiceDemand{Service: service, Demand: rate})
 		}
 	}
-	tell := len(list) > 0 || r.told
-	r.before, r.at, r.told = total, now, len(list) > 0
-	return list, tell
+	shouldSend := len(rates) > 0 || r.reportedNonEmpty
+	r.previous, r.reportedAt, r.reportedNonEmpty = totals, now, len(rates) > 0
+	return rates, shouldSend
 }
 
 // reportDemand reports the demand of services to the control plane until ctx ends.
@@ -48,11 +48,11 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			list, tell := reporter.report(now, p.dispatcher.Demands())
-			if !tell {
+			rates, shouldSend := reporter.report(now, p.dispatcher.Demands())
+			if !shouldSend {
 				continue
 			}
-			if body, err := roleplanner.EncodeReport(list); err == nil {
+			if body, err := roleplanner.EncodeReport(rates); err == nil {
 				client.Report(feedtransport.TopicDemand, body)
 			}
 		}
--- a/internal/dataplane/proxy/demand_test.go
+++ b/internal/dataplane/proxy/demand_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-func TestDemandIsReportedAsARate(t *testing.T) {
+func TestDemandReporter_report(t *testing.T) {
 	var reporter demandReporter
 	start := time.Now()
 	total := func(read float64) map[string]roleplanner.Demand {
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -16,86 +16,86 @@
 )
 
 const (
-	// noticeTime is how long the platform may take to send no more connections: it asks each second,
+	// platformNoticeTime is how long the platform may take to send no more connections: it asks each second,
 	// and two answers must be missed.
-	noticeTime = 2500 * time.Millisecond
-	// quietTime is how long no new connection may have come before the process ends.
-	quietTime = 500 * time.Millisecond
-	// endMargin is left of the platform's grace for ending.
-	endMargin = 700 * time.Millisecond
-	pollTime  = 100 * time.Millisecond
-	// lateRetryAfter is what a client is told that is refused then, in seconds.
-	lateRetryAfter = "0.01"
-	// settleTime is how long calls that free handles may take at the end; it is part of endMargin.
-	settleTime = 200 * time.Millisecond
+	platformNoticeTime = 2500 * time.Millisecond
+	// quietPeriod is how long no new connection may have come before the process ends.
+	quietPeriod = 500 * time.Millisecond
+	// shutdownMargin is left of the platform's grace for ending.
+	shutdownMargin    = 700 * time.Millisecond
+	drainPollInterval = 100 * time.Millisecond
+	// shutdownRetryAfter is what a client is told that is refused then, in seconds.
+	shutdownRetryAfter = "0.01"
+	// handleReleaseTimeout is how long calls that free handles may take at the end; it is part of endMargin.
+	handleReleaseTimeout = 200 * time.Millisecond
 )
 
 // drain tells the platform to send no more clients, and returns once nothing is in work and nothing new
 // comes, or the grace is nearly over.
 func (p *proxy) drain() {
-	told := time.Now()
-	grace := max(bootconfig.Seconds(p.settings.Load().Bounds.GraceS)-endMargin, 0)
-	p.closing.Store(&closing{told: told, end: told.Add(grace)})
+	signaledAt := time.Now()
+	grace := max(bootconfig.Seconds(p.settings.Load().Bounds.GraceS)-shutdownMargin, 0)
+	p.shutdown.Store(&shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(grace)})
 	p.log.Info("draining", zap.Duration("at most", grace))
-	p.front.Drain(min(noticeTime, grace))
+	p.clientServer.Drain(min(platformNoticeTime, grace))
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	quiet := awaitQuiet(ctx, p.front.Counts)
-	p.ending.Store(true) // a request that comes on a connection which is still open is refused, and not cut
-	settleCtx, stop := context.WithTimeout(context.Background(), settleTime)
+	quiet := waitUntilQuiet(ctx, p.clientServer.Counts)
+	p.rejectAll.Store(true) // a request that comes on a connection which is still open is refused, and not cut
+	releaseCtx, stop := context.WithTimeout(context.Background(), handleReleaseTimeout)
 	defer stop()
-	p.dispatcher.Settle(settleCtx)
+	p.dispatcher.Settle(releaseCtx)
 	if quiet {
-		_ = p.front.Wait(ctx)
+		_ = p.clientServer.Wait(ctx)
 	}
-	p.log.Info("ending", zap.Int64("cut", p.front.Counts().InWork))
+	p.log.Info("ending", zap.Int64("cut", p.clientServer.Counts().InFlight))
 }
 
-// takes tells whether a request is served, and not refused since the process is about to end.
-func (p *proxy) takes(r *httpserver.Request) bool {
-	told := p.closing.Load()
-	if told == nil {
+// accepts tells whether a request is served, and not refused since the process is about to end.
+func (p *proxy) accepts(r *httpserver.Request) bool {
+	shutdown := p.shutdown.Load()
+	if shutdown == nil {
 		return true
 	}
-	return !p.ending.Load() && told.takes(time.Now(), r.FirstByteAt, p.dispatcher.Held(r))
+	return !p.rejectAll.Load() && shutdown.accepts(time.Now(), r.FirstByteAt, p.dispatcher.Held(r))
 }
 
-// take serves a request, or refuses it if the process is about to end.
-func (p *proxy) take(w *httpserver.ResponseWriter, r *httpserver.Request) {
-	if p.takes(r) {
+// serveRequest serves a request, or refuses it if the process is about to end.
+func (p *proxy) serveRequest(w *httpserver.ResponseWriter, r *httpserver.Request) {
+	if p.accepts(r) {
 		p.dispatcher.Serve(w, r)
 		return
 	}
-	fields := http1.Header{{Name: "Retry-After", Value: lateRetryAfter}}
-	if id := r.Fields.Get("X-Request-Id"); id != "" {
+	fields := http1.Header{{Name: "Retry-After", Value: shutdownRetryAfter}}
+	if id := r.Header.Get("X-Request-Id"); id != "" {
 		fields = append(fields, http1.HeaderField{Name: "X-Request-Id", Value: id})
 	}
-	_ = w.Answer(http.StatusServiceUnavailable, fields, nil)
+	_ = w.WriteResponse(http.StatusServiceUnavailable, fields, nil)
 }
 
-// awaitQuiet returns true once clients come no more and no request is in work, and false once ctx has ended.
-func awaitQuiet(ctx context.Context, read func() httpserver.Counts) bool {
+// waitUntilQuiet returns true once clients come no more and no request is in work, and false once ctx has ended.
+func waitUntilQuiet(ctx context.Context, readCounts func() httpserver.Counts) bool {
 	started := time.Now()
-	lastNew := started
-	seen := read().Accepted
-	for pause(ctx, pollTime) {
-		counts := read()
+	lastAcceptedAt := started
+	accepted := readCounts().Accepted
+	for sleep(ctx, drainPollInterval) {
+		counts := readCounts()
 		now := time.Now()
-		if counts.Accepted != seen {
-			seen = counts.Accepted
-			lastNew = now
+		if counts.Accepted != accepted {
+			accepted = counts.Accepted
+			lastAcceptedAt = now
 		}
-		noticed := now.Sub(started) >= noticeTime && now.Sub(lastNew) >= quietTime
-		if noticed && counts.InWork == 0 {
+		quiet := now.Sub(started) >= platformNoticeTime && now.Sub(lastAcceptedAt) >= quietPeriod
+		if quiet && counts.InFlight == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// pause waits, and returns false once ctx has ended.
-func pause(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
+// sleep waits, and returns false once ctx has ended.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/dataplane/proxy/loadsharer.go
+++ b/internal/dataplane/proxy/loadsharer.go
@@ -14,33 +14,33 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// sharer tells the other proxies what this one has under way, and hears what they have.
-type sharer struct {
-	own        string // this machine's address
-	port       uint16
-	socket     *net.UDPConn
-	dispatcher *dispatch.Dispatcher
-	changed    chan struct{} // holds one
-	done       chan struct{}
-	node       uint64
-	sequence   uint64
-	pace       loadshare.Pace
-	order      loadshare.Order
-	started    time.Time
-	told       bool // the last state sent was not empty
-	peers      []netip.AddrPort
-	peersOf    *fleetview.View
+// loadSharer tells the other proxies what this one has under way, and hears what they have.
+type loadSharer struct {
+	ownIP        string // this machine's address
+	port         uint16
+	socket       *net.UDPConn
+	dispatcher   *dispatch.Dispatcher
+	changed      chan struct{} // holds one
+	done         chan struct{}
+	node         uint64
+	sequence     uint64
+	pace         loadshare.Pace
+	order        loadshare.Order
+	started      time.Time
+	sentNonEmpty bool // the last state sent was not empty
+	peers        []netip.AddrPort
+	peersView    *fleetview.View
 }
 
-// newSharer opens the socket. Without one the proxy works by what answers tell alone.
-func newSharer(loaded *bootconfig.Settings, log *zap.Logger) *sharer {
-	s := &sharer{own: loaded.IP, changed: make(chan struct{}, 1), done: make(chan struct{}), node: rand.Uint64(), started: time.Now()}
-	at, err := netip.ParseAddrPort(loaded.LoadAddressOf(loaded.IP))
+// newLoadSharer opens the socket. Without one the proxy works by what answers tell alone.
+func newLoadSharer(loaded *bootconfig.Settings, log *zap.Logger) *loadSharer {
+	s := &loadSharer{ownIP: loaded.IP, changed: make(chan struct{}, 1), done: make(chan struct{}), node: rand.Uint64(), started: time.Now()}
+	address, err := netip.ParseAddrPort(loaded.LoadAddressOf(loaded.IP))
 	if err != nil {
 		return s
 	}
-	s.port = at.Port()
-	s.socket, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+	s.port = address.Port()
+	s.socket, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		log.Warn("load is not shared", zap.Error(err))
 		s.socket = nil
@@ -49,17 +49,17 @@
 }
 
 // start begins to send and to hear.
-func (s *sharer) start(dispatcher *dispatch.Dispatcher) {
+func (s *loadSharer) start(dispatcher *dispatch.Dispatcher) {
 	s.dispatcher = dispatcher
 	if s.socket == nil {
 		return
 	}
 	go s.send()
-	go s.hear()
+	go s.receive()
 }
 
-// note says that what is under way has changed.
-func (s *sharer) note() {
+// notifyChanged says that what is under way has changed.
+func (s *loadSharer) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -67,7 +67,7 @@
 }
 
 // close ends both goroutines.
-func (s *sharer) close() {
+func (s *loadSharer) close() {
 	close(s.done)
 	if s.socket != nil {
 		_ = s.socket.Close()
@@ -75,7 +75,7 @@
 }
 
 // send sends the state when it has changed, as often as the pace allows, and now and then while it is not empty.
-func (s *sharer) send() {
+func (s *loadSharer) send() {
 	repeat := time.NewTimer(loadshare.Repeat)
 	defer repeat.Stop()
 	for {
@@ -84,29 +84,29 @@
 			return
 		case <-s.changed:
 		case <-repeat.C:
-			if !s.told {
+			if !s.sentNonEmpty {
 				continue
 			}
 		}
-		peers := s.others()
+		peers := s.peerAddresses()
 		if wait := s.pace.Wait(time.Since(s.started), len(peers)); wait > 0 {
-			s.told = true // what is held back is sent then
+			s.sentNonEmpty = true // what is held back is sent then
 			repeat.Reset(wait)
 			continue
 		}
-		s.tell(peers)
-		if s.told {
+		s.broadcast(peers)
+		if s.sentNonEmpty {
 			repeat.Reset(loadshare.Repeat)
 		}
 	}
 }
 
-// tell sends the state to all peers.
-func (s *sharer) tell(peers []netip.AddrPort) {
-	list := s.dispatcher.Outstanding()
-	s.told = len(list) > 0
+// broadcast sends the state to all peers.
+func (s *loadSharer) broadcast(peers []netip.AddrPort) {
+	outstanding := s.dispatcher.Outstanding()
+	s.sentNonEmpty = len(outstanding) > 0
 	s.sequence++
-	datagram, err := loadshare.Encode(loadshare.Message{Node: s.node, Sequence: s.sequence, List: list})
+	datagram, err := loadshare.Encode(loadshare.Message{Node: s.node, Sequence: s.sequence, List: outstanding})
 	if err != nil || len(datagram) > loadshare.MostBytes {
 		return
 	}
@@ -115,20 +115,20 @@
 	}
 }
 
-// others are the addresses of the other proxies by the view in force.
-func (s *sharer) others() []netip.AddrPort {
+// peerAddresses are the addresses of the other proxies by the view in force.
+func (s *loadSharer) peerAddresses() []netip.AddrPort {
 	view := s.dispatcher.View()
-	if view == nil || view == s.peersOf {
+	if view == nil || view == s.peersView {
 		return s.peers
 	}
-	s.peersOf, s.peers = view, nil
-	for _, node := range view.NodeList {
+	s.peersView, s.peers = view, nil
+	for _, node := range view.EdgeNodes {
 		host, _, err := net.SplitHostPort(node.Address)
 		if err != nil {
 			host = node.Address
 		}
 		address, err := netip.ParseAddr(host)
-		if err != nil || host == s.own {
+		if err != nil || host == s.ownIP {
 			continue
 		}
 		s.peers = append(s.peers, netip.AddrPortFrom(address, s.port))
@@ -136,8 +136,8 @@
 	return s.peers
 }
 
-// hear takes in what other proxies tell.
-func (s *sharer) hear() {
+// receive takes in what other proxies tell.
+func (s *loadSharer) receive() {
 	buffer := make([]byte, loadshare.MostBytes)
 	for {
 		length, _, err := s.socket.ReadFromUDPAddrPort(buffer)
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -23,10 +23,10 @@
 	var text strings.Builder
 	appendMetrics(&text, viewMetrics(p.dispatcher.View()))
 	appendMetrics(&text, dispatchMetrics(p.dispatcher.Counts()))
-	appendMetrics(&text, serverMetrics(p.front.Counts()))
+	appendMetrics(&text, serverMetrics(p.clientServer.Counts()))
 	appendMetrics(&text, upstreamMetrics(p.pool.Counts()))
 	fields := http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
-	_ = w.Answer(statusOK, fields, []byte(text.String()))
+	_ = w.WriteResponse(statusOK, fields, []byte(text.String()))
 }
 
 // appendMetrics writes metrics, one on each line.
@@ -47,7 +47,7 @@
 	}
 	return []metric{
 		{"view_generation", int64(view.Generation)},
-		{"view_nodes", int64(view.Nodes)},
+		{"view_nodes", int64(view.EdgeNodeCount)},
 		{"view_workers", int64(workers)},
 	}
 }
@@ -73,17 +73,17 @@
 func serverMetrics(counts httpserver.Counts) []metric {
 	return []metric{
 		{"front_accepted", counts.Accepted},
-		{"front_refused", counts.Refused},
+		{"front_refused", counts.Rejected},
 		{"front_evicted", counts.Evicted},
 		{"front_requests", counts.Requests},
 		{"front_malformed", counts.Malformed},
 		{"front_timedout", counts.TimedOut},
-		{"front_left", counts.Left},
-		{"front_secondanswers", counts.SecondAnswers},
-		{"front_unanswered", counts.Unanswered},
-		{"front_broken", counts.Broken},
+		{"front_left", counts.ClientsGone},
+		{"front_secondanswers", counts.DuplicateResponses},
+		{"front_unanswered", counts.MissingResponses},
+		{"front_broken", counts.AbortedResponses},
 		{"front_open", counts.Open},
-		{"front_inwork", counts.InWork},
+		{"front_inwork", counts.InFlight},
 	}
 }
 
--- a/internal/dataplane/proxy/parts_test.go
+++ b/internal/dataplane/proxy/parts_test.go
@@ -18,38 +18,38 @@
 	return &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "s", Address: address}}
 }
 
-func viewOf(mostConnections, nodes int, workers ...*fleetview.Worker) *fleetview.View {
+func viewOf(maxConnections, nodes int, workers ...*fleetview.Worker) *fleetview.View {
 	return &fleetview.View{
-		Nodes:    nodes,
-		Services: map[string]*configuration.Service{"s": {Name: "s", MaxConnections: mostConnections}},
-		Workers:  map[string][]*fleetview.Worker{"s": workers},
+		EdgeNodeCount: nodes,
+		Services:      map[string]*configuration.Service{"s": {Name: "s", MaxConnections: maxConnections}},
+		Workers:       map[string][]*fleetview.Worker{"s": workers},
 	}
 }
 
-func TestNodesShareAWorkersConnections(t *testing.T) {
+func TestConnLimits_limit(t *testing.T) {
 	for _, c := range []struct{ most, nodes, want int }{{360, 8, 40}, {10, 8, 2}, {0, 8, 0}, {100, 0, 50}} {
-		var shares places
-		shares.set(viewOf(c.most, c.nodes, worker("a", "1:1")))
-		if got := shares.of("1:1"); got != c.want {
+		var limits connLimits
+		limits.update(viewOf(c.most, c.nodes, worker("a", "1:1")))
+		if got := limits.limit("1:1"); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
 }
 
-func TestAddressesThatNoWorkerHasAnyMoreAreNamed(t *testing.T) {
-	var shares places
-	if shares.of("1:1") != 0 || shares.set(viewOf(9, 1, worker("a", "1:1"), worker("b", "1:2"))) != nil {
+func TestConnLimits_update_returnsRemovedAddresses(t *testing.T) {
+	var limits connLimits
+	if limits.limit("1:1") != 0 || limits.update(viewOf(9, 1, worker("a", "1:1"), worker("b", "1:2"))) != nil {
 		t.Fatal("something before the first view")
 	}
-	gone := shares.set(viewOf(9, 1, worker("b", "1:2"), worker("c", "1:3")))
-	if !slices.Equal(gone, []string{"1:1"}) || shares.of("1:1") != 0 || shares.of("1:3") == 0 {
-		t.Fatal(gone)
+	removed := limits.update(viewOf(9, 1, worker("b", "1:2"), worker("c", "1:3")))
+	if !slices.Equal(removed, []string{"1:1"}) || limits.limit("1:1") != 0 || limits.limit("1:3") == 0 {
+		t.Fatal(removed)
 	}
 }
 
-func TestNoViewBeforeEveryShardHasCome(t *testing.T) {
+func TestViewPublisher_publishesOnceSynced(t *testing.T) {
 	var published []*fleetview.View
-	f := newFollower(func(view *fleetview.View) { published = append(published, view) }, new(confirmation), zap.NewNop())
+	f := newViewPublisher(func(view *fleetview.View) { published = append(published, view) }, new(configConfirmation), zap.NewNop())
 	f.Snapshot(0, feed.Snapshot{Index: 3, Items: configurationItems("3")})
 	f.BatchDone()
 	if published != nil {
@@ -71,16 +71,16 @@
 	}
 }
 
-func TestAgentsPortIsTheSecondOfTheRange(t *testing.T) {
-	port, err := agentPort(&bootconfig.Settings{PortRange: [2]int{7660, 7675}})
+func TestAgentFeedPort(t *testing.T) {
+	port, err := agentFeedPort(&bootconfig.Settings{PortRange: [2]int{7660, 7675}})
 	if err != nil || port != 7661 {
 		t.Fatal(port, err)
 	}
 }
 
-func TestDescriptorsAreShared(t *testing.T) {
-	for fds, want := range map[int]int{4100: 1950, 100: 1, 100000: mostClients} {
-		if got := clientConnections(bootconfig.Limits{MaxFds: fds}); got != want {
+func TestClientConnectionLimit(t *testing.T) {
+	for fds, want := range map[int]int{4100: 1950, 100: 1, 100000: maxClientConnections} {
+		if got := clientConnectionLimit(bootconfig.Limits{MaxFds: fds}); got != want {
 			t.Errorf("%d: %d", fds, got)
 		}
 	}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -42,77 +42,77 @@
 
 // proxy is a running process.
 type proxy struct {
-	settings   atomic.Pointer[bootconfig.Settings]
-	log        *zap.Logger
-	pool       *upstream.Pool
-	places     *places
-	dispatcher *dispatch.Dispatcher
-	front      *httpserver.Server
-	readiness  *httpserver.Server
-	sharer     *sharer
-	confirmed  confirmation
-	closing    atomic.Pointer[closing] // nil: the process was not told to end
-	ending     atomic.Bool             // nothing is taken any more
-	stopFeed   context.CancelFunc
-	failed     chan error
+	settings        atomic.Pointer[bootconfig.Settings]
+	log             *zap.Logger
+	pool            *upstream.Pool
+	connLimits      *connLimits
+	dispatcher      *dispatch.Dispatcher
+	clientServer    *httpserver.Server
+	readinessServer *httpserver.Server
+	loadSharer      *loadSharer
+	configConfirmed configConfirmation
+	shutdown        atomic.Pointer[shutdown] // nil: the process was not told to end
+	rejectAll       atomic.Bool              // nothing is taken any more
+	stopFeed        context.CancelFunc
+	failed          chan error
 }
 
 // start opens the listeners and begins to serve.
 func start(loaded bootconfig.Settings, log *zap.Logger) (*proxy, error) {
-	frontListener, err := httpserver.Listen(loaded.Listen.Front)
+	clientListener, err := httpserver.Listen(loaded.Listen.Front)
 	if err != nil {
 		return nil, eris.Wrap(err, "proxy: listen for clients")
 	}
 	readinessListener, err := httpserver.Listen(loaded.Listen.Readiness)
 	if err != nil {
-		_ = frontListener.Close()
+		_ = clientListener.Close()
 		return nil, eris.Wrap(err, "proxy: listen for the readiness check")
 	}
-	return startOn(loaded, log, frontListener, readinessListener)
+	return startOnListeners(loaded, log, clientListener, readinessListener)
 }
 
-// startOn begins to serve on listeners that are open.
-func startOn(loaded bootconfig.Settings, log *zap.Logger, frontListener, readinessListener net.Listener) (*proxy, error) {
-	port, err := agentPort(&loaded)
+// startOnListeners begins to serve on listeners that are open.
+func startOnListeners(loaded bootconfig.Settings, log *zap.Logger, clientListener, readinessListener net.Listener) (*proxy, error) {
+	port, err := agentFeedPort(&loaded)
 	if err != nil {
 		return nil, err
 	}
 	applyMemoryLimit(loaded.Limits)
 	p := newProxy(loaded, log)
-	p.serve(p.front, frontListener)
-	p.serve(p.readiness, readinessListener)
+	p.serveInBackground(p.clientServer, clientListener)
+	p.serveInBackground(p.readinessServer, readinessListener)
 	p.followFeed(port)
 	log.Info("serving",
-		zap.Stringer("front", frontListener.Addr()), zap.Stringer("readiness", readinessListener.Addr()))
+		zap.Stringer("front", clientListener.Addr()), zap.Stringer("readiness", readinessListener.Addr()))
 	return p, nil
 }
 
 func newProxy(loaded bootconfig.Settings, log *zap.Logger) *proxy {
-	p := &proxy{log: log, places: new(places), failed: make(chan error, 2), stopFeed: func() {}}
+	p := &proxy{log: log, connLimits: new(connLimits), failed: make(chan error, 2), stopFeed: func() {}}
 	p.settings.Store(&loaded)
-	p.pool = upstream.New(upstream.Options{MaxConnections: p.places.of})
+	p.pool = upstream.New(upstream.Options{MaxConnections: p.connLimits.limit})
 	started := time.Now()
-	p.sharer = newSharer(&loaded, log)
+	p.loadSharer = newLoadSharer(&loaded, log)
 	p.dispatcher = dispatch.New(dispatch.Options{
 		Workers: dispatch.OverPool(p.pool),
 		Chooser: selection.New(selection.Options{
 			Zone: loaded.Zone, Seed: rand.Uint64(), Again: bootconfig.Seconds(loaded.Bounds.AgainS),
 		}),
-		Budget:  budgetRules(loaded.Bounds),
+		Budget:  retryBudgetRules(loaded.Bounds),
 		Now:     func() time.Duration { return time.Since(started) },
 		Draw:    rand.Float64,
 		Log:     log,
-		Changed: p.sharer.note,
+		Changed: p.loadSharer.notifyChanged,
 
-		Confirmed: p.isConfirmed,
+		Confirmed: p.isConfigConfirmed,
 	})
-	p.sharer.start(p.dispatcher)
-	p.front = p.newFront(loaded.Limits)
-	p.readiness = p.newReadiness()
+	p.loadSharer.start(p.dispatcher)
+	p.clientServer = p.newClientServer(loaded.Limits)
+	p.readinessServer = p.newReadinessServer()
 	return p
 }
 
-func budgetRules(bounds bootconfig.Bounds) retrybudget.Rules {
+func retryBudgetRules(bounds bootconfig.Bounds) retrybudget.Rules {
 	return retrybudget.Rules{
 		Ratio:  bounds.RetryBudgetRatio,
 		Slack:  bounds.RetryBudgetSlack,
@@ -120,21 +120,21 @@
 	}
 }
 
-// newFront makes the server towards clients.
-func (p *proxy) newFront(limits bootconfig.Limits) *httpserver.Server {
+// newClientServer makes the server towards clients.
+func (p *proxy) newClientServer(limits bootconfig.Limits) *httpserver.Server {
 	return httpserver.New(httpserver.Options{
-		Handler:        p.take,
-		Limits:         p.clientLimits,
-		Held:           p.dispatcher.Held,
-		Confirmed:      p.isConfirmed,
-		MaxConnections: clientConnections(limits),
-		BodyBudget:     bodyBudget(limits),
-		Log:            func(line string) { p.log.Warn("front", zap.String("what", line)) },
+		Handler:              p.serveRequest,
+		Limits:               p.clientLimits,
+		RequestTimeout:       p.dispatcher.Held,
+		LimitsConfirmed:      p.isConfigConfirmed,
+		MaxConnections:       clientConnectionLimit(limits),
+		MaxBufferedBodyBytes: bodyBudget(limits),
+		Log:                  func(line string) { p.log.Warn("front", zap.String("what", line)) },
 	})
 }
 
-// isConfirmed tells whether the configuration in force is known to be the newest.
-func (p *proxy) isConfirmed() bool { return p.confirmed.holds(time.Now()) }
+// isConfigConfirmed tells whether the configuration in force is known to be the newest.
+func (p *proxy) isConfigConfirmed() bool { return p.configConfirmed.isValid(time.Now()) }
 
 // clientLimits are the limits of the configuration in force.
 func (p *proxy) clientLimits() configuration.Limits {
@@ -145,8 +145,8 @@
 	return view.Limits
 }
 
-// serve accepts connections in a goroutine. An error that lasts ends the process.
-func (p *proxy) serve(server *httpserver.Server, listener net.Listener) {
+// serveInBackground accepts connections in a goroutine. An error that lasts ends the process.
+func (p *proxy) serveInBackground(server *httpserver.Server, listener net.Listener) {
 	go func() {
 		if err := server.Serve(listener); err != nil {
 			p.failed <- eris.Wrap(err, "proxy: accept")
@@ -160,7 +160,7 @@
 	hello := feedtransport.Hello{
 		Node: loaded.NodeName, Zone: loaded.Zone, Region: loaded.Region, IP: loaded.IP, Incarnation: rand.Uint64(),
 	}
-	client := feedtransport.NewProxyClient(hello, port, newFollower(p.publish, &p.confirmed, p.log))
+	client := feedtransport.NewProxyClient(hello, port, newViewPublisher(p.publishView, &p.configConfirmed, p.log))
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stopFeed = cancel
 	go func() { _ = client.Run(ctx) }()
@@ -170,14 +170,14 @@
 // close ends all that is still open.
 func (p *proxy) close() {
 	p.stopFeed()
-	p.sharer.close()
-	_ = p.front.Close()
-	_ = p.readiness.Close()
+	p.loadSharer.close()
+	_ = p.clientServer.Close()
+	_ = p.readinessServer.Close()
 	p.pool.Close()
 }
 
-// agentPort is where the machine's agent serves the feed on loopback.
-func agentPort(loaded *bootconfig.Settings) (int, error) {
+// agentFeedPort is where the machine's agent serves the feed on loopback.
+func agentFeedPort(loaded *bootconfig.Settings) (int, error) {
 	_, port, err := net.SplitHostPort(loaded.FeedAddress())
 	if err != nil {
 		return 0, eris.Wrap(err, "proxy: address of the feed")
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -24,7 +24,7 @@
 
 const (
 	testHost    = "ficu95.example"
-	patience    = 20 * time.Second
+	testTimeout = 20 * time.Second
 	requestBody = "the prompt"
 )
 
@@ -45,15 +45,15 @@
 	}
 }
 
-// standInAgent is a feed with fixed items.
-type standInAgent struct {
+// fakeAgent is a feed with fixed items.
+type fakeAgent struct {
 	snapshots map[shards.ID]feed.Snapshot
 	behind    bool // it does not know whether its configuration is the newest
 }
 
-func (a *standInAgent) Shards() []shards.ID { return []shards.ID{0, 1} }
+func (a *fakeAgent) Shards() []shards.ID { return []shards.ID{0, 1} }
 
-func (a *standInAgent) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
+func (a *fakeAgent) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	snapshot := a.snapshots[shard]
 	if index >= snapshot.Index {
 		return nil, nil
@@ -61,16 +61,16 @@
 	return nil, &snapshot
 }
 
-func (a *standInAgent) Status() feedtransport.Status {
+func (a *fakeAgent) Status() feedtransport.Status {
 	return feedtransport.Status{Shards: []feedtransport.ShardStatus{{Index: 4, Current: !a.behind}, {Shard: 1, Index: 9, Current: true}}}
 }
 
-func (a *standInAgent) Subscribe(chan<- struct{}) func() { return func() {} }
+func (a *fakeAgent) Subscribe(chan<- struct{}) func() { return func() {} }
 
-func (a *standInAgent) OnReport(feedtransport.Hello, string, []byte) {}
+func (a *fakeAgent) OnReport(feedtransport.Hello, string, []byte) {}
 
 // serve answers proxies until the test ends.
-func (a *standInAgent) serve(t *testing.T, listener net.Listener) {
+func (a *fakeAgent) serve(t *testing.T, listener net.Listener) {
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -82,8 +82,8 @@
 	}()
 }
 
-func (a *standInAgent) session(ctx context.Context, connection net.Conn) {
-	_, body, err := feedtransport.ReadFirstFrame(connection, patience)
+func (a *fakeAgent) session(ctx context.Context, connection net.Conn) {
+	_, body, err := feedtransport.ReadFirstFrame(connection, testTimeout)
 	if err != nil {
 		return
 	}
@@ -94,13 +94,13 @@
 	_ = feedtransport.Serve(ctx, connection, hello, a)
 }
 
-// standInWorker answers as a worker does.
-type standInWorker struct {
-	hold    chan struct{} // requests to /a/held wait for it
+// fakeWorker answers as a worker does.
+type fakeWorker struct {
+	release chan struct{} // requests to /a/held wait for it
 	arrived chan struct{} // told of each of them
 }
 
-func (w *standInWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (w *fakeWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if request.Header.Get("X-Target-Instance") != "w1" {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -109,7 +109,7 @@
 	writer.Header().Set("X-Response-Signature", "3e1b")
 	if request.URL.Path == "/a/held" {
 		w.arrived <- struct{}{}
-		<-w.hold
+		<-w.release
 	}
 	if strings.HasPrefix(request.URL.Path, "/stream/") {
 		streamEvents(writer, request)
@@ -136,42 +136,42 @@
 	}
 }
 
-// system is a proxy among stand-ins on loopback.
-type system struct {
-	t         *testing.T
-	agent     *standInAgent
-	proxy     *proxy
-	worker    *standInWorker
-	front     string
-	readiness string
-	client    *http.Client
-	waits     string // what the client says of its time; empty: nothing
+// testSystem is a proxy among stand-ins on loopback.
+type testSystem struct {
+	t                *testing.T
+	agent            *fakeAgent
+	proxy            *proxy
+	worker           *fakeWorker
+	clientAddress    string
+	readinessAddress string
+	client           *http.Client
+	deadlineHeader   string // what the client says of its time; empty: nothing
 }
 
-func newSystem(t *testing.T) *system {
+func newTestSystem(t *testing.T) *testSystem {
 	t.Helper()
-	return newSystemOn(t, &standInAgent{})
+	return newTestSystemWithAgent(t, &fakeAgent{})
 }
 
-// newSystemOn starts a proxy on an agent, whose items it sets.
-func newSystemOn(t *testing.T, agent *standInAgent) *system {
+// newTestSystemWithAgent starts a proxy on an agent, whose items it sets.
+func newTestSystemWithAgent(t *testing.T, agent *fakeAgent) *testSystem {
 	t.Helper()
-	s := &system{t: t, agent: agent, worker: &standInWorker{hold: make(chan struct{}), arrived: make(chan struct{}, 8)}}
+	s := &testSystem{t: t, agent: agent, worker: &fakeWorker{release: make(chan struct{}), arrived: make(chan struct{}, 8)}}
 	server := httptest.NewServer(s.worker)
 	t.Cleanup(server.Close)
-	feedListener := listen(t)
+	feedListener := listenLoopback(t)
 	agent.snapshots = map[shards.ID]feed.Snapshot{
 		0: {Index: 4, Items: configurationItems("7")},
 		1: {Index: 9, Items: []feed.Item{workerItem("w1", server.Listener.Addr().String())}},
 	}
 	agent.serve(t, feedListener)
 	s.startProxy(feedListener.Addr().(*net.TCPAddr).Port)
-	s.client = &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	s.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	t.Cleanup(s.client.CloseIdleConnections)
 	return s
 }
 
-func listen(t *testing.T) net.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := httpserver.Listen("127.0.0.1:0")
 	if err != nil {
@@ -186,15 +186,15 @@
 	return feed.Item{Key: id, Value: registry.EncodeItem(instance)}
 }
 
-func (s *system) startProxy(feedPort int) {
+func (s *testSystem) startProxy(feedPort int) {
 	loaded := bootconfig.Defaults()
 	loaded.PortRange = [2]int{feedPort - 1, feedPort + 10}
 	loaded.Bounds.GraceS = 8
 	loaded.Bounds.BudgetWindowS = 0.001
 	loaded.Bounds.RetryBudgetSlack = 50
-	frontListener, readinessListener := listen(s.t), listen(s.t)
-	s.front, s.readiness = frontListener.Addr().String(), readinessListener.Addr().String()
-	started, err := startOn(loaded, zap.NewNop(), frontListener, readinessListener)
+	clientListener, readinessListener := listenLoopback(s.t), listenLoopback(s.t)
+	s.clientAddress, s.readinessAddress = clientListener.Addr().String(), readinessListener.Addr().String()
+	started, err := startOnListeners(loaded, zap.NewNop(), clientListener, readinessListener)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -202,18 +202,18 @@
 	s.t.Cleanup(started.close)
 }
 
-// await asks a condition again and again until it holds.
-func (s *system) await(what string, condition func() bool) {
+// waitFor asks a condition again and again until it holds.
+func (s *testSystem) waitFor(what string, condition func() bool) {
 	s.t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); {
+	for deadline := time.Now().Add(testTimeout); !condition(); {
 		if time.Now().After(deadline) {
 			s.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (s *system) readinessStatus() int {
-	response, err := s.client.Get("http://" + s.readiness + "/-/ready")
+func (s *testSystem) readinessStatus() int {
+	response, err := s.client.Get("http://" + s.readinessAddress + "/-/ready")
 	if err != nil {
 		return 0
 	}
@@ -222,16 +222,16 @@
 	return response.StatusCode
 }
 
-// ask sends a request and returns the status, the body, and the error of reading it.
-func (s *system) ask(path string) (int, string, error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+s.front+path, strings.NewReader(requestBody))
+// request sends a request and returns the status, the body, and the error of reading it.
+func (s *testSystem) request(path string) (int, string, error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+s.clientAddress+path, strings.NewReader(requestBody))
 	if err != nil {
 		return 0, "", err
 	}
 	request.Host = testHost
 	request.Header.Set("X-Request-Id", "9c41d07be2a35f68")
-	if s.waits != "" {
-		request.Header.Set("X-Request-Deadline", s.waits)
+	if s.deadlineHeader != "" {
+		request.Header.Set("X-Request-Deadline", s.deadlineHeader)
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
@@ -242,64 +242,64 @@
 	return response.StatusCode, string(body), err
 }
 
-func (s *system) awaitReady() {
+func (s *testSystem) waitUntilReady() {
 	s.t.Helper()
-	s.await("ready", func() bool { return s.readinessStatus() == http.StatusOK })
+	s.waitFor("ready", func() bool { return s.readinessStatus() == http.StatusOK })
 }
 
 // statusOf sends a request and returns the status; 0: it failed.
-func (s *system) statusOf(path string) int {
-	status, _, _ := s.ask(path)
+func (s *testSystem) statusOf(path string) int {
+	status, _, _ := s.request(path)
 	return status
 }
 
-func (s *system) mustAnswer(path string, status int, body string) {
+func (s *testSystem) requireResponse(path string, status int, body string) {
 	s.t.Helper()
-	gotStatus, gotBody, err := s.ask(path)
+	gotStatus, gotBody, err := s.request(path)
 	if gotStatus != status || gotBody != body || err != nil {
 		s.t.Fatalf("%s: %d %q %v", path, gotStatus, gotBody, err)
 	}
 }
 
-func TestProxyForwardsOnceConfigured(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
-	s.mustAnswer("/a/x?y=1", 200, "POST /a/x?y=1 "+requestBody)
+func TestProxy_forwardsOnceConfigured(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
+	s.requireResponse("/a/x?y=1", 200, "POST /a/x?y=1 "+requestBody)
 	// The configuration is put in force a moment before it is confirmed.
-	s.await("denied", func() bool { return s.statusOf("/none/") == http.StatusNotFound })
+	s.waitFor("denied", func() bool { return s.statusOf("/none/") == http.StatusNotFound })
 }
 
-func TestProxyTakesAStreamUpAgain(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
-	status, body, err := s.ask("/stream/whole")
+func TestProxy_resumesStream(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
+	status, body, err := s.request("/stream/whole")
 	want := "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"
 	if status != 200 || body != want || err != nil {
 		t.Fatalf("%d %q %v", status, body, err)
 	}
-	if _, body, err := s.ask("/stream/cut"); err == nil || !strings.HasPrefix(want, body) {
+	if _, body, err := s.request("/stream/cut"); err == nil || !strings.HasPrefix(want, body) {
 		t.Fatalf("a stream cut with no other worker ended as complete: %q", body)
 	}
 }
 
-func TestProxyIsNotReadyWithoutAConfiguration(t *testing.T) {
-	s := &system{t: t, client: &http.Client{Timeout: patience}}
-	unused := listen(t)
+func TestProxy_isReady_withoutConfiguration(t *testing.T) {
+	s := &testSystem{t: t, client: &http.Client{Timeout: testTimeout}}
+	unused := listenLoopback(t)
 	s.startProxy(unused.Addr().(*net.TCPAddr).Port)
 	if status := s.readinessStatus(); status != http.StatusServiceUnavailable {
 		t.Fatal(status)
 	}
-	if status, _, err := s.ask("/a/x"); status != http.StatusServiceUnavailable || err != nil {
+	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
 		t.Fatal(status, err)
 	}
 }
 
-func TestDrainingProxyIsNotReadyAndFinishesWhatIsInWork(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
+func TestProxy_drain_finishesRequestsInFlight(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
 	answered := make(chan string, 1)
 	go func() {
-		_, body, _ := s.ask("/a/held")
+		_, body, _ := s.request("/a/held")
 		answered <- body
 	}()
 	<-s.worker.arrived
@@ -308,41 +308,41 @@
 		s.proxy.drain()
 		close(drained)
 	}()
-	s.await("not ready", func() bool { return s.readinessStatus() == http.StatusServiceUnavailable })
-	s.mustAnswer("/a/x", 200, "POST /a/x "+requestBody)
-	close(s.worker.hold)
+	s.waitFor("not ready", func() bool { return s.readinessStatus() == http.StatusServiceUnavailable })
+	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
+	close(s.worker.release)
 	if body := <-answered; body != "POST /a/held "+requestBody {
 		t.Fatalf("the request in work got %q", body)
 	}
 	<-drained
-	if cut := s.proxy.front.Counts().InWork; cut != 0 {
+	if cut := s.proxy.clientServer.Counts().InFlight; cut != 0 {
 		t.Fatalf("%d requests in work at the end", cut)
 	}
 }
 
-// TestProxyAboutToEndTakesNoRequest drains with a grace of which only the last part is left.
-func TestProxyAboutToEndTakesNoRequest(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
+// TestProxy_drain_rejectsInFinalWindow drains with a grace of which only the last part is left.
+func TestProxy_drain_rejectsInFinalWindow(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
 	answered := make(chan string, 1)
 	go func() {
-		_, body, _ := s.ask("/a/held")
+		_, body, _ := s.request("/a/held")
 		answered <- body
 	}()
 	<-s.worker.arrived
 	loaded := *s.proxy.settings.Load()
-	loaded.Bounds.GraceS = (endMargin + lastTime).Seconds()
+	loaded.Bounds.GraceS = (shutdownMargin + finalWindow).Seconds()
 	s.proxy.settings.Store(&loaded)
 	drained := make(chan struct{})
 	go func() {
 		s.proxy.drain()
 		close(drained)
 	}()
-	s.await("told to end", func() bool { return s.proxy.closing.Load() != nil })
-	if status, _, err := s.ask("/a/x"); status != http.StatusServiceUnavailable || err != nil {
+	s.waitFor("told to end", func() bool { return s.proxy.shutdown.Load() != nil })
+	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
 		t.Fatal(status, err)
 	}
-	close(s.worker.hold)
+	close(s.worker.release)
 	if body := <-answered; body != "POST /a/held "+requestBody {
 		t.Fatalf("the request in work got %q", body)
 	}
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -9,12 +9,12 @@
 	pathMetrics = "/-/metrics"
 	statusOK    = 200
 
-	readinessConnections = 64
+	maxReadinessConnections = 64
 )
 
-// newReadiness makes the server that the platform asks whether to send clients here.
-func (p *proxy) newReadiness() *httpserver.Server {
-	check := httpserver.Readiness(p.ready)
+// newReadinessServer makes the server that the platform asks whether to send clients here.
+func (p *proxy) newReadinessServer() *httpserver.Server {
+	check := httpserver.ReadinessHandler(p.isReady)
 	return httpserver.New(httpserver.Options{
 		Handler: func(w *httpserver.ResponseWriter, r *httpserver.Request) {
 			if r.Path == pathMetrics {
@@ -24,12 +24,12 @@
 			check(w, r)
 		},
 		Limits:         func() configuration.Limits { return configuration.Limits{} },
-		MaxConnections: readinessConnections,
+		MaxConnections: maxReadinessConnections,
 	})
 }
 
-// ready tells whether clients may be sent here: a configuration has come, and the process is not to end.
-func (p *proxy) ready() bool {
+// isReady tells whether clients may be sent here: a configuration has come, and the process is not to end.
+func (p *proxy) isReady() bool {
 	view := p.dispatcher.View()
-	return view != nil && view.Generation > 0 && p.closing.Load() == nil
+	return view != nil && view.Generation > 0 && p.shutdown.Load() == nil
 }
--- a/internal/dataplane/proxy/run_test.go
+++ b/internal/dataplane/proxy/run_test.go
@@ -13,8 +13,8 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// settingsOfTests listen on any free port. The grace is too short for anything to be waited for.
-func settingsOfTests() bootconfig.Settings {
+// testSettings listen on any free port. The grace is too short for anything to be waited for.
+func testSettings() bootconfig.Settings {
 	loaded := bootconfig.Defaults()
 	loaded.NodeName, loaded.Role, loaded.IP = "edge-1", "proxy", "127.0.0.1"
 	loaded.Listen = bootconfig.Listen{Front: "127.0.0.1:0", Readiness: "127.0.0.1:0"}
@@ -23,17 +23,17 @@
 	return loaded
 }
 
-func TestRunEndsWithoutErrorOnceTold(t *testing.T) {
+func TestRun_endsWhenContextIsCanceled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := Run(ctx, settingsOfTests(), zap.NewNop()); err != nil {
+	if err := Run(ctx, testSettings(), zap.NewNop()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestRunNamesAnAddressThatIsTaken(t *testing.T) {
-	taken := listen(t)
-	loaded := settingsOfTests()
+func TestRun_addressInUse(t *testing.T) {
+	taken := listenLoopback(t)
+	loaded := testSettings()
 	loaded.Listen.Readiness = taken.Addr().String()
 	if err := Run(t.Context(), loaded, zap.NewNop()); err == nil {
 		t.Fatal("two servers on one address")
@@ -53,8 +53,8 @@
 	return path
 }
 
-func TestReloadTakesTheGraceOver(t *testing.T) {
-	loaded := settingsOfTests()
+func TestProxy_reload_grace(t *testing.T) {
+	loaded := testSettings()
 	p := newProxy(loaded, zap.NewNop())
 	loaded.Bounds.GraceS = 5
 	p.reload(writeSettings(t, loaded))
@@ -67,24 +67,24 @@
 	}
 }
 
-func TestHangUpReloadsAndCutsNothing(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
+func TestProxy_watchSettings_reloadsOnSIGHUP(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
 	defer s.proxy.watchSettings()()
-	changed := settingsOfTests()
+	changed := testSettings()
 	changed.Bounds.GraceS = 3
 	t.Setenv(bootconfig.PathVariable, writeSettings(t, changed))
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _ := s.ask("/a/held")
+		status, _, _ := s.request("/a/held")
 		answered <- status
 	}()
 	<-s.worker.arrived
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	s.await("reloaded", func() bool { return s.proxy.settings.Load().Bounds.GraceS == 3 })
-	close(s.worker.hold)
+	s.waitFor("reloaded", func() bool { return s.proxy.settings.Load().Bounds.GraceS == 3 })
+	close(s.worker.release)
 	if status := <-answered; status != 200 {
 		t.Fatalf("the request in work got %d", status)
 	}
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func TestRequestsTakenByAProcessThatIsToEnd(t *testing.T) {
-	told := time.Now()
-	c := closing{told: told, end: told.Add(7300 * time.Millisecond)}
+func TestShutdown_accepts(t *testing.T) {
+	signaledAt := time.Now()
+	s := shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(7300 * time.Millisecond)}
 	for _, at := range []struct {
 		firstByte, now, held time.Duration
 		taken                bool
@@ -26,46 +26,46 @@
 		{6500 * time.Millisecond, 6500 * time.Millisecond, 800 * time.Millisecond, true},  // it ends just in time
 		{6500 * time.Millisecond, 6500 * time.Millisecond, 801 * time.Millisecond, false}, // and this one does not
 	} {
-		if taken := c.takes(told.Add(at.now), told.Add(at.firstByte), at.held); taken != at.taken {
-			t.Errorf("%+v: %v", at, taken)
+		if accepted := s.accepts(signaledAt.Add(at.now), signaledAt.Add(at.firstByte), at.held); accepted != at.taken {
+			t.Errorf("%+v: %v", at, accepted)
 		}
 	}
 }
 
-// TestGraceThatIsShorterThanTheNotice holds a process with little time to the end of it.
-func TestGraceThatIsShorterThanTheNotice(t *testing.T) {
-	told := time.Now()
-	c := closing{told: told, end: told.Add(time.Second)}
-	if c.takes(told, told, 10*time.Second) || !c.takes(told, told, 900*time.Millisecond) {
+// TestShutdown_accepts_graceShorterThanNotice holds a process with little time to the end of it.
+func TestShutdown_accepts_graceShorterThanNotice(t *testing.T) {
+	signaledAt := time.Now()
+	c := shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(time.Second)}
+	if c.accepts(signaledAt, signaledAt, 10*time.Second) || !c.accepts(signaledAt, signaledAt, 900*time.Millisecond) {
 		t.Fatal("a request is taken that is sure to be cut, or one refused that is not")
 	}
 }
 
-// TestRequestLongAfterTheSignal asks a proxy that was told to end 3.5 s ago and goes on for 3.9 s, on a route of 4 s.
-func TestRequestLongAfterTheSignal(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
+// TestProxy_accepts_longAfterSignal asks a proxy that was told to end 3.5 s ago and goes on for 3.9 s, on a route of 4 s.
+func TestProxy_accepts_longAfterSignal(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
 	now := time.Now()
-	s.proxy.closing.Store(&closing{told: now.Add(-3500 * time.Millisecond), end: now.Add(3900 * time.Millisecond)})
-	if status, _, err := s.ask("/a/x"); status != http.StatusServiceUnavailable || err != nil {
+	s.proxy.shutdown.Store(&shutdown{signaledAt: now.Add(-3500 * time.Millisecond), deadline: now.Add(3900 * time.Millisecond)})
+	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
 		t.Fatal(status, err)
 	}
-	s.waits = "1500"
-	s.mustAnswer("/a/x", 200, "POST /a/x "+requestBody)
-	s.proxy.ending.Store(true)
-	if status, _, err := s.ask("/a/x"); status != http.StatusServiceUnavailable || err != nil {
+	s.deadlineHeader = "1500"
+	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
+	s.proxy.rejectAll.Store(true)
+	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
 		t.Fatal(status, err)
 	}
 }
 
-// TestReadinessTurnsWithTheSignal asks on a connection that got 200 before, right after the process was told to end, and while a
+// TestProxy_drain_notReadyAfterSignal asks on a connection that got 200 before, right after the process was told to end, and while a
 // request is in work.
-func TestReadinessTurnsWithTheSignal(t *testing.T) {
-	s := newSystem(t)
-	s.awaitReady()
+func TestProxy_drain_notReadyAfterSignal(t *testing.T) {
+	s := newTestSystem(t)
+	s.waitUntilReady()
 	answered := make(chan string, 1)
 	go func() {
-		_, body, _ := s.ask("/a/held")
+		_, body, _ := s.request("/a/held")
 		answered <- body
 	}()
 	<-s.worker.arrived
@@ -74,13 +74,13 @@
 		s.proxy.drain()
 		close(drained)
 	}()
-	s.await("told to end", func() bool { return s.proxy.closing.Load() != nil })
+	s.waitFor("told to end", func() bool { return s.proxy.shutdown.Load() != nil })
 	for range 4 {
 		if status := s.readinessStatus(); status != http.StatusServiceUnavailable {
 			t.Errorf("still ready: %d", status)
 		}
 	}
-	close(s.worker.hold)
+	close(s.worker.release)
 	<-answered
 	<-drained
 }
--- a/internal/dataplane/selection/call_test.go
+++ b/internal/dataplane/selection/call_test.go
@@ -17,7 +17,7 @@
 
 // rig builds a selector for an engine service of some prefill and decode workers in two zones.
 func rig(prefill, decode int, seed uint64) (*Selector, *fleetview.View) {
-	view := &fleetview.View{Nodes: 4, Workers: map[string][]*fleetview.Worker{},
+	view := &fleetview.View{EdgeNodeCount: 4, Workers: map[string][]*fleetview.Worker{},
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
 			Slots: 64, KVCapacityTokens: 300000, KVBytesPerToken: 327680, LinkMbps: 2.6e6, MaxTokensPerEvent: 7}}}}
 	for i := range prefill + decode {
--- a/internal/dataplane/selection/fleet_test.go
+++ b/internal/dataplane/selection/fleet_test.go
@@ -70,7 +70,7 @@
 		f.list = append(f.list, &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "m",
 			Zone: zoneName(i % zones), Slots: 64, Stage: stage}})
 	}
-	view := &fleetview.View{Workers: map[string][]*fleetview.Worker{"m": f.list}, Nodes: nodes,
+	view := &fleetview.View{Workers: map[string][]*fleetview.Worker{"m": f.list}, EdgeNodeCount: nodes,
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
 			Slots: 64, KVCapacityTokens: 342882, KVBytesPerToken: 327680, LinkMbps: 2.6e6, MaxTokensPerEvent: 7}}}}
 	for i := range nodes {
--- a/internal/dataplane/selection/homes_test.go
+++ b/internal/dataplane/selection/homes_test.go
@@ -138,7 +138,7 @@
 	s, view := rig(2, 2, 1)
 	w := s.services["m"].workers["wa"]
 	w.delays[classPrefill].AddProcess(0, 1, 0, 2)
-	changed := &fleetview.View{Nodes: 4, Services: view.Services, Workers: map[string][]*fleetview.Worker{"m": {
+	changed := &fleetview.View{EdgeNodeCount: 4, Services: view.Services, Workers: map[string][]*fleetview.Worker{"m": {
 		entry(0, "decode"), view.Workers["m"][1], view.Workers["m"][2], view.Workers["m"][3]}}}
 	s.SetView(0, changed)
 	if s.services["m"].workers["wa"] != w || w.class != classDecode {
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -62,7 +62,7 @@
 // SetView takes in a new view. Workers that stay keep their state; one whose stage changed puts the
 // windows of its old stage away.
 func (s *Selector) SetView(now time.Duration, view *fleetview.View) {
-	s.nodes = max(1, view.Nodes)
+	s.nodes = max(1, view.EdgeNodeCount)
 	for name := range s.services {
 		if len(view.Workers[name]) == 0 && view.Services[name] == nil {
 			delete(s.services, name)
--- a/internal/dataplane/selection/windows_test.go
+++ b/internal/dataplane/selection/windows_test.go
@@ -97,7 +97,7 @@
 
 func TestPlainServicesSpreadOverTheirSlots(t *testing.T) {
 	s := New(Options{Seed: 3})
-	view := &fleetview.View{Nodes: 3, Services: map[string]*configuration.Service{"p": {Name: "p"}}, Workers: map[string][]*fleetview.Worker{}}
+	view := &fleetview.View{EdgeNodeCount: 3, Services: map[string]*configuration.Service{"p": {Name: "p"}}, Workers: map[string][]*fleetview.Worker{}}
 	for _, id := range []string{"a", "b", "c"} {
 		view.Workers["p"] = append(view.Workers["p"], &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "p", Slots: 6}})
 	}
@@ -121,7 +121,7 @@
 
 func TestABusyPlainWorkerIsAvoided(t *testing.T) {
 	s := New(Options{Seed: 3})
-	view := &fleetview.View{Nodes: 3, Workers: map[string][]*fleetview.Worker{"p": {
+	view := &fleetview.View{EdgeNodeCount: 3, Workers: map[string][]*fleetview.Worker{"p": {
 		{Instance: registry.Instance{ID: "a", Slots: 6}}, {Instance: registry.Instance{ID: "b", Slots: 6}}}}}
 	s.SetView(0, view)
 	r := &Request{Service: "p"}
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -96,7 +96,7 @@
 
 // Snapshot implements feedlink.Handler.
 func (f *follower) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
-	before := f.builder.Offsets()[shard]
+	before := f.builder.Indexes()[shard]
 	f.builder.ApplySnapshot(shard, snapshot)
 	if shard == shards.ConfigurationShard || snapshot.Index <= before {
 		return
@@ -107,7 +107,7 @@
 
 // Change implements feedlink.Handler.
 func (f *follower) Change(shard shards.ID, change feed.Change) {
-	before := f.builder.Offsets()[shard]
+	before := f.builder.Indexes()[shard]
 	f.builder.ApplyChange(shard, change)
 	if shard == shards.ConfigurationShard || change.Index <= before {
 		return
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -137,7 +137,7 @@
 		w.free(answer, strings.TrimPrefix(request.Path, handlePath))
 		return
 	}
-	if target := request.Fields.Get(fieldTarget); target != "" && target != w.options.ID {
+	if target := request.Header.Get(fieldTarget); target != "" && target != w.options.ID {
 		w.strays.Add(1)
 		w.turnAway(answer, request, statusMisrouted)
 		return
@@ -152,7 +152,7 @@
 	switch {
 	case w.options.Stage == "":
 		w.plain(answer, request)
-	case request.Fields.Get(fieldStage) == stagePrefill:
+	case request.Header.Get(fieldStage) == stagePrefill:
 		w.prefill(answer, request)
 	default:
 		w.run(answer, request)
@@ -163,13 +163,13 @@
 func (w *Worker) turnAway(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: fieldNotRun, Value: "1"})
-	_ = answer.Answer(status, fields, nil)
+	_ = answer.WriteResponse(status, fields, nil)
 }
 
 // fields are those of each answer.
 func (w *Worker) fields(request *httpserver.Request) http1.Header {
 	fields := make(http1.Header, 0, 8)
-	fields = append(fields, http1.HeaderField{Name: fieldRequestID, Value: request.Fields.Get(fieldRequestID)})
+	fields = append(fields, http1.HeaderField{Name: fieldRequestID, Value: request.Header.Get(fieldRequestID)})
 	fields = append(fields, http1.HeaderField{Name: fieldInstance, Value: w.options.ID})
 	fields = append(fields, http1.HeaderField{Name: fieldLoad, Value: fmt.Sprintf("%d,0,%d", w.running.Load(), w.options.Slots)})
 	return fields
@@ -181,7 +181,7 @@
 		return
 	}
 	w.runs.Add(1)
-	_ = answer.Answer(statusOK, w.signed(request), []byte("done by "+w.options.ID+"\n"))
+	_ = answer.WriteResponse(statusOK, w.signed(request), []byte("done by "+w.options.ID+"\n"))
 }
 
 // prefill reads a prompt and hands out a handle.
@@ -195,7 +195,7 @@
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "application/json"})
 	body := fmt.Sprintf(`{"prefillHandle":%q,"tokens":%d,"generation":1}`, handle, in)
-	_ = answer.Answer(statusOK, fields, []byte(body))
+	_ = answer.WriteResponse(statusOK, fields, []byte(body))
 }
 
 // run streams tokens, from a handle or after reading the prompt at half the pace.
@@ -206,7 +206,7 @@
 		w.turnAway(answer, request, statusMisrouted)
 		return
 	}
-	handle := request.Fields.Get(fieldHandle)
+	handle := request.Header.Get(fieldHandle)
 	if handle != "" && !w.options.Handles.take(handle) {
 		w.rejected.Add(1)
 		w.turnAway(answer, request, statusFull)
@@ -218,15 +218,15 @@
 	w.runs.Add(1)
 	fields := w.signed(request)
 	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "text/event-stream"})
-	if answer.Begin(statusOK, fields) != nil {
+	if answer.WriteHeader(statusOK, fields) != nil {
 		return
 	}
-	first, _ := strconv.Atoi(request.Fields.Get(fieldLastEvent))
+	first, _ := strconv.Atoi(request.Header.Get(fieldLastEvent))
 	for id := first + 1; id <= out; id++ {
 		if !pause(request.Context, w.options.TokenTime) {
 			return
 		}
-		if answer.Event(fmt.Appendf(nil, "id: %d\ndata: token %d\n\n", id, id)) != nil {
+		if answer.WriteChunk(fmt.Appendf(nil, "id: %d\ndata: token %d\n\n", id, id)) != nil {
 			return
 		}
 	}
@@ -242,11 +242,11 @@
 // free drops a handle.
 func (w *Worker) free(answer *httpserver.ResponseWriter, handle string) {
 	if !w.options.Handles.take(w.options.Address + "/" + handle) {
-		_ = answer.Answer(statusNotFound, nil, nil)
+		_ = answer.WriteResponse(statusNotFound, nil, nil)
 		return
 	}
 	w.deleted.Add(1)
-	_ = answer.Answer(statusOK, nil, nil)
+	_ = answer.WriteResponse(statusOK, nil, nil)
 }
 
 // readTime is how long a prompt takes to read, at a part of the pace.
@@ -259,7 +259,7 @@
 
 // tokens reads how many tokens a request's prompt has and how many it asks for at most.
 func tokens(request *httpserver.Request) (in, out int) {
-	before, after, _ := strings.Cut(request.Fields.Get(fieldTokens), ",")
+	before, after, _ := strings.Cut(request.Header.Get(fieldTokens), ",")
 	in, _ = strconv.Atoi(strings.TrimSpace(before))
 	out, _ = strconv.Atoi(strings.TrimSpace(after))
 	if out <= 0 {
