--- /dev/null
+++ b/balance/compatibility_test.go
@@ -0,0 +1,55 @@
+package balance_test
+
+import (
+	"encoding/binary"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"ospreybend/balance"
+)
+
+// compatibilityRow is the fixture: what a dispatcher of commit 8782861 has learned, as big-endian words.
+const compatibilityRow = "testdata/v8782861/learned"
+
+// newCompatible returns a dispatcher over two workers.
+func newCompatible(t *testing.T) *balance.Balancer {
+	t.Helper()
+	class := balance.Class{Aim: time.Second, GiveUp: 4 * time.Second, Worth: 1, Kind: -1}
+	b, err := balance.New(balance.Settings{
+		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class}, Report: []balance.Field{balance.FieldFreeSlots},
+		Limits: balance.Limits{MaxAttempts: 2},
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	workers := []balance.Listing{{Worker: 1}, {Worker: 3, Kind: 1}}
+	b.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull, Version: 1, Workers: workers})
+	return b
+}
+
+// readRow returns the words of the fixture.
+func readRow(t *testing.T) (row []uint64) {
+	t.Helper()
+	content, err := os.ReadFile(filepath.FromSlash(compatibilityRow))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for word := range slices.Chunk(content, 8) {
+		row = append(row, binary.BigEndian.Uint64(word))
+	}
+	return row
+}
+
+// The order of a row's tables is that of maps, so the words are compared without it.
+func TestRecall_readsVersion8782861(t *testing.T) {
+	row, taken := readRow(t), newCompatible(t)
+	if err := taken.Recall(2*time.Hour, slices.Clone(row)); err != nil {
+		t.Fatal(err)
+	}
+	if again := taken.Learned(); !slices.Equal(slices.Sorted(slices.Values(again)), slices.Sorted(slices.Values(row))) {
+		t.Errorf("what was recalled is %v, the fixture %v", again, row)
+	}
+}
--- /dev/null
+++ b/internal/node/protocol/testdata/v8782861/generator/compatibility_test.go
@@ -0,0 +1,85 @@
+package protocol
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+	"time"
+
+	"ospreybend/balance"
+	"ospreybend/internal/routing"
+	"ospreybend/internal/testkit/golden"
+)
+
+// compatibilityParcel has every field set, and two sockets.
+func compatibilityParcel() *Parcel {
+	return &Parcel{
+		Rest: []byte("GET"), Asked: true, Began: time.Second, Since: 2 * time.Second, Size: 77,
+		Call: &CallPart{
+			Last: true, Old: true,
+			Carried: routing.Carried{
+				Operation: routing.Operation{
+					Work:  routing.Work{ID: "id-1", Target: "/prepare?x=1", Idempotent: "key-1", Body: []byte("body"), Once: true},
+					Class: 1, Tenant: 2, Key: 1 << 63, Cost: 3 * time.Second, HasCost: true, Repeat: true, Slots: 1.5, Memory: 2.5,
+					Deadline: time.Hour,
+				},
+				Arrived: time.Minute,
+				Tries: []balance.Try{
+					{Worker: 4, SentAt: 5, Started: 6, MayHave: true},
+					{Worker: 1 << 31, SentAt: 8, Started: 9, Out: true, MayHave: true},
+				},
+				Until: []time.Duration{0, 11},
+			},
+			Steps: []StepPart{{
+				Try: 1, Name: "worker-1", Address: "192.0.2.20:8000", Rest: []byte("HTTP"), Head: true, Status: 200, Declined: true,
+				Load: []byte("load"), Line: []byte("line"), Last: true, Kept: true, Left: 12, Chunked: true, ToEnd: true, Over: true,
+			}},
+		},
+		rests: [][]byte{[]byte("GET"), []byte("HTTP")},
+	}
+}
+
+// parcelRow is a row of a parcel. The bytes begin with the names of the types, which a reader leaves alone, so the
+// meaning is compared.
+func parcelRow(name string, parcel *Parcel) golden.Row {
+	return golden.Row{
+		Name: name, Value: parcel, SameMeaning: true, Encode: parcel.Encode,
+		Decode: func(encoded []byte) (any, error) { return DecodeParcel(encoded, len(parcel.rests)) },
+	}
+}
+
+// compatibilityRows are both kinds of parcel that a process hands to the next.
+func compatibilityRows() []golden.Row {
+	return []golden.Row{
+		parcelRow("connection", compatibilityParcel()),
+		parcelRow("learned", &Parcel{Learned: []uint64{2, 1 << 63, 0, 7}}),
+	}
+}
+
+func TestParcel_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
+
+// memberNames returns the names of the members that an encoded parcel lists ahead of its values.
+func memberNames() [][]byte {
+	var names [][]byte
+	for _, value := range []any{
+		Parcel{}, CallPart{}, StepPart{}, routing.Carried{}, routing.Operation{}, routing.Work{}, balance.Try{},
+	} {
+		fields := reflect.VisibleFields(reflect.TypeOf(value))
+		for _, field := range fields {
+			if field.IsExported() {
+				names = append(names, []byte(field.Name))
+			}
+		}
+	}
+	return names
+}
+
+// An earlier process drops members that it does not know by name, so none may be added or have another name.
+func TestParcel_hasTheMemberNamesOfVersion8782861(t *testing.T) {
+	fixture := golden.Read(t, "connection")
+	for _, name := range memberNames() {
+		if !bytes.Contains(fixture, name) {
+			t.Errorf("member %s is not in the fixture", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/zones/store/compatibility_test.go
@@ -0,0 +1,60 @@
+package store_test
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"ospreybend/coord/consensus"
+	"ospreybend/internal/node/zones/replicatedlog"
+	"ospreybend/internal/node/zones/store"
+	"ospreybend/internal/testkit/golden"
+)
+
+// compatibilityFile is the fixture: a voter's store.
+const compatibilityFile = "voter.store"
+
+func compatibilityOwner() store.Owner {
+	return store.Owner{Fleet: "fleet-a", Voter: 2, Voters: []uint64{1, 2, 3}}
+}
+
+// compatibilityState is what the store holds.
+func compatibilityState() replicatedlog.StoredState {
+	members := []consensus.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
+	return replicatedlog.StoredState{
+		HardState: &consensus.HardState{Term: 4, Vote: 3, Commit: 7},
+		Snapshot:  &consensus.Snapshot{Index: 5, Term: 3, Members: members, Data: []byte("state of the machine")},
+		Entries: []consensus.Entry{
+			{Term: 3, Index: 6, Kind: consensus.EntryNoop},
+			{Term: 4, Index: 7, Data: []byte("order")},
+			{Term: 4, Index: 8, Kind: consensus.EntryMembership, Members: members},
+		},
+	}
+}
+
+// openCopy opens a copy of the fixture, so that the start that it counts changes nothing there.
+func openCopy(t *testing.T) (*store.Store, replicatedlog.StoredState) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), compatibilityFile)
+	if err := os.WriteFile(path, golden.Read(t, compatibilityFile), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	store, stored, err := store.Open(path, compatibilityOwner())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = store.Close() })
+	return store, stored
+}
+
+// The records' bytes are compared in the package of the log; the pages of the file are the database library's.
+func TestOpen_readsVersion8782861(t *testing.T) {
+	store, stored := openCopy(t)
+	if want := compatibilityState(); !reflect.DeepEqual(stored, want) {
+		t.Errorf("read %+v, want %+v", stored, want)
+	}
+	if store.Starts() != 2 {
+		t.Errorf("%d starts, want this one after the fixture's", store.Starts())
+	}
+}
