--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -375,7 +375,7 @@
 
 // What the documentation says of each attribute and method is there.
 func TestDocumented(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/BATCH.md")
+	page, err := os.ReadFile("../../../../docs/BATCH.md")
 	must(t, err)
 	var names []string
 	for name := range drmaa.Refused {
--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -14,7 +14,7 @@
 
 func example(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile("../../examples/config.json")
+	text, err := os.ReadFile("../../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 
 // On the platform the batch front is off, and nothing of it opens.
 func TestBatchFrontIsOff(t *testing.T) {
-	b, err := LoadBatch(func(string) string { return "../../deploy/batch.toml" })
+	b, err := LoadBatch(func(string) string { return "../../../deploy/batch.toml" })
 	if err != nil || b != (Batch{}) {
 		t.Errorf("%+v, %v", b, err)
 	}
