--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestTheProxyGetsWhatTheKeeperCommits(t *testing.T) {
+func TestRunWith_forwardsCommittedChanges(t *testing.T) {
 	server, port := startServer(t)
 	server.commit(t, 0, 3, "route/a", "1")
 	stop, done := startAgent(t, agentSettings(port))
@@ -253,7 +253,7 @@
 	awaitEnd(t, done)
 }
 
-func TestAProxySeesNothingBeforeTheStoreIsWhole(t *testing.T) {
+func TestRunWith_servesNothingBeforeReady(t *testing.T) {
 	server, port := startServer(t)
 	_, _ = startAgent(t, agentSettings(port))
 	_, proxy, _ := startProxy(t, port+proxyPortOffset)
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestAConfigurationThatMayBeOldIsPassedOnSoon(t *testing.T) {
+func TestRunWith_servesStaleConfigurationSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		from := &feedHandler{store: store, log: zap.NewNop()}
@@ -293,7 +293,7 @@
 	})
 }
 
-func TestAStateThatIsNotCurrentIsPassedOnAfterAWhile(t *testing.T) {
+func TestRunWith_servesStaleStateAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		from := &feedHandler{store: store, log: zap.NewNop()}
@@ -312,14 +312,14 @@
 	})
 }
 
-func TestAnAgentWithoutAProxyEndsAtOnce(t *testing.T) {
+func TestRunWith_endsAtOnceWithoutProxy(t *testing.T) {
 	_, port := startServer(t)
 	stop, done := startAgent(t, agentSettings(port))
 	stop()
 	awaitEnd(t, done)
 }
 
-func TestPortsThatAreMissing(t *testing.T) {
+func TestRunWith_portRangeTooShort(t *testing.T) {
 	config := agentSettings(7000)
 	config.PortRange[1] = 7001
 	if err := Run(t.Context(), config, zap.NewNop()); !errors.Is(err, ErrPorts) {
@@ -327,7 +327,7 @@
 	}
 }
 
-func TestTheDrainEndsThoughTheProxyStays(t *testing.T) {
+func TestRunWith_drainTimeout(t *testing.T) {
 	store := newStore()
 	store.markReady()
 	proxies, err := newProxyServer(t.Context(), 0, Options{}.withDefaults(), store, nil)
@@ -342,7 +342,7 @@
 	proxy.expect(t, "disconnected")
 }
 
-func TestProbesBetweenTwoAgents(t *testing.T) {
+func TestRunWith_probesBetweenAgents(t *testing.T) {
 	ips := []string{"127.0.0.3", "127.0.0.4"}
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ips[0])})
 	if err != nil {
--- a/internal/controlplane/agent/store_test.go
+++ b/internal/controlplane/agent/store_test.go
@@ -10,9 +10,9 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// TestAKeepersWordLapses asks a store whose keeper has said nothing for a while: the process may have stood still, and has not
+// TestStore_Status_currencyExpires asks a store whose keeper has said nothing for a while: the process may have stood still, and has not
 // found out yet that the keeper is lost.
-func TestAKeepersWordLapses(t *testing.T) {
+func TestStore_Status_currencyExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.reset(shards.ConfigurationShard, feed.Snapshot{Index: 3})
--- a/internal/controlplane/feedtransport/compression_test.go
+++ b/internal/controlplane/feedtransport/compression_test.go
@@ -35,7 +35,7 @@
 	return items
 }
 
-func TestCompressedFramesComeBackAsSent(t *testing.T) {
+func TestCompressFrames_roundTrip(t *testing.T) {
 	frames := must(t)(AppendSnapshotPart(nil, SnapshotPart{Shard: 2, Index: 9, Items: manyItems(1, 200), First: true, Last: true}))
 	compressed, err := compressFrames(frames)
 	if err != nil || len(compressed) > len(frames)/2 {
@@ -47,14 +47,14 @@
 	}
 }
 
-func TestShortFramesAreNotCompressed(t *testing.T) {
+func TestCompressFrames_shortFramesUncompressed(t *testing.T) {
 	frames := must(t)(AppendReport(nil, Report{Topic: "t", Body: make([]byte, minCompressBytes/2)}))
 	if sent, err := compressFrames(frames); err != nil || !bytes.Equal(sent, frames) {
 		t.Errorf("%d bytes for %d, %v", len(sent), len(frames), err)
 	}
 }
 
-func TestFalseCompressedFramesAreRefused(t *testing.T) {
+func TestDecompressFrames_rejectsInvalidFrames(t *testing.T) {
 	frames := bytes.Repeat(must(t)(AppendReport(nil, Report{Topic: "t", Body: make([]byte, 100)})), 10)
 	content := body(t, must(t)(compressFrames(frames)), KindCompressed)
 	for cut := range len(content) {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestCompressedFramesWithinCompressedFramesAreRefused(t *testing.T) {
+func TestClient_handleCompressed_rejectsNestedFrames(t *testing.T) {
 	inner := must(t)(appendMessage(nil, KindCompressed, compressedSchema, wireCompressed{}))
 	outer := body(t, must(t)(compressFrames(bytes.Repeat(inner, minCompressBytes))), KindCompressed)
 	client := NewClient(ClientOptions{}, newRecorder())
@@ -130,7 +130,7 @@
 }
 
 // A restart of all nodes makes a keeper send all workers to each of them: what that costs grows with both.
-func TestAllWorkersCostFewBytes(t *testing.T) {
+func TestSession_Run_compressedSnapshotSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
 		plain := 0
@@ -159,7 +159,7 @@
 }
 
 // What changes together is sent together, and encoded once for all readers.
-func TestReadersShareWhatIsEncoded(t *testing.T) {
+func TestEncoder_sharedByReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
 		encoder := NewEncoder()
@@ -191,7 +191,7 @@
 	})
 }
 
-func TestAnEncoderTellsShardsAndIndexesApart(t *testing.T) {
+func TestEncoder_distinguishesShardsAndIndexes(t *testing.T) {
 	encoder := NewEncoder()
 	change := func(index uint64, key string) feed.Change {
 		return feed.Change{Index: index, Put: []feed.Item{{Key: key, Value: []byte(key)}}}
--- a/internal/controlplane/feedtransport/frames_test.go
+++ b/internal/controlplane/feedtransport/frames_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestMessagesComeBackAsSent(t *testing.T) {
+func TestAppendDecode_roundTrip(t *testing.T) {
 	frame := must(t)
 	hello, err := DecodeHello(body(t, frame(AppendHello(nil, sampleHello())), KindHello))
 	expectEqual(t, hello, sampleHello(), err)
@@ -82,7 +82,7 @@
 }
 
 // What is read from a frame does not change with the frame's memory.
-func TestMessagesOwnTheirBytes(t *testing.T) {
+func TestDecode_copiesBytes(t *testing.T) {
 	want := Changes{Shard: 2, Changes: []feed.Change{
 		{Index: 5, Put: []feed.Item{{Key: "key", Value: []byte("value")}}, Delete: []string{"gone"}},
 	}}
@@ -97,7 +97,7 @@
 	expectEqual(t, hello, sampleHello(), err)
 }
 
-func TestAnItemAboveAMegabytePasses(t *testing.T) {
+func TestAppendChanges_itemAboveOneMegabyte(t *testing.T) {
 	want := SnapshotPart{Shard: 1, Index: 1, Items: []feed.Item{{Key: "k", Value: make([]byte, 3<<20)}}}
 	frame := must(t)(AppendSnapshotPart(nil, want))
 	part, err := DecodeSnapshotPart(body(t, frame, KindSnapshot))
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestFramesThatEndEarly(t *testing.T) {
+func TestReadFrame_truncated(t *testing.T) {
 	frame := must(t)(AppendHello(nil, sampleHello()))
 	for cut := range len(frame) {
 		_, _, err := ReadFrame(bytes.NewReader(frame[:cut]))
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestAFrameThatIsTooLong(t *testing.T) {
+func TestReadFrame_tooLong(t *testing.T) {
 	header := []byte{0xff, 0xff, 0xff, 0xff, byte(KindHello)}
 	if _, _, err := ReadFrame(bytes.NewReader(header)); !errors.Is(err, ErrFrameTooLong) {
 		t.Errorf("got %v", err)
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestBodiesCutShortAreRefused(t *testing.T) {
+func TestDecode_rejectsTruncatedBodies(t *testing.T) {
 	content := body(t, must(t)(AppendHello(nil, sampleHello())), KindHello)
 	earlier := len(content) - 1 // without the last field it is whole in the earlier form
 	hello, err := DecodeHello(content[:earlier])
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestReadFirstFrameLeavesTheRest(t *testing.T) {
+func TestReadFirstFrame_readsNoFurther(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = ours.Close() }()
 	go func() {
--- a/internal/controlplane/feedtransport/guards_test.go
+++ b/internal/controlplane/feedtransport/guards_test.go
@@ -42,7 +42,7 @@
 	},
 }
 
-func TestEachGuardOfTheReaderPreventsHarm(t *testing.T) {
+func TestReceiver_guards(t *testing.T) {
 	for _, guard := range Guards() {
 		scenario := guardScenarios[guard]
 		if scenario == nil {
@@ -61,9 +61,9 @@
 // changeCount is how many changes come while an agent lags.
 const changeCount = 400
 
-// TestAnAgentBehindTheBacklogGetsASnapshot has an agent that stopped anywhere amid hundreds of changes read on from a
+// TestClient_behindBacklogReceivesSnapshot has an agent that stopped anywhere amid hundreds of changes read on from a
 // keeper whose backlog holds only the last few: it gets one snapshot at most, no gap, and nothing older.
-func TestAnAgentBehindTheBacklogGetsASnapshot(t *testing.T) {
+func TestClient_behindBacklogReceivesSnapshot(t *testing.T) {
 	buffer := feed.NewBuffer(10 << 10)
 	r := &replicas{}
 	for index := uint64(1); index <= changeCount; index++ {
--- a/internal/controlplane/feedtransport/property_test.go
+++ b/internal/controlplane/feedtransport/property_test.go
@@ -111,10 +111,10 @@
 	return client
 }
 
-// TestItemsEqualTheSources draws sequences of commits, replicas that lag, compactions and broken
+// TestClient_convergesToSource draws sequences of commits, replicas that lag, compactions and broken
 // connections: whatever the client holds is the state at its offset, and with a last whole
 // connection it is the source's.
-func TestItemsEqualTheSources(t *testing.T) {
+func TestClient_convergesToSource(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
 	parameters.MinSuccessfulTests = propertyRuns
 	properties := gopter.NewProperties(parameters)
--- a/internal/controlplane/feedtransport/receiver_test.go
+++ b/internal/controlplane/feedtransport/receiver_test.go
@@ -32,7 +32,7 @@
 
 func items(key, value string) []feed.Item { return []feed.Item{{Key: key, Value: []byte(value)}} }
 
-func TestWhatIsNotAboveTheOffsetIsDropped(t *testing.T) {
+func TestReceiver_dropsWhatIsNotAboveOffset(t *testing.T) {
 	handler := newRecorder()
 	client := propertyClient(handler)
 	err := handleFrames(t, client,
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestASnapshotTakesHoldWithItsLastPart(t *testing.T) {
+func TestReceiver_addPart_completesWithLastPart(t *testing.T) {
 	handler := newRecorder()
 	client := propertyClient(handler)
 	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")})
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestPartsThatDoNotBelongTogether(t *testing.T) {
+func TestReceiver_addPart_mismatchedParts(t *testing.T) {
 	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")})
 	other := partFrame(t, SnapshotPart{Index: 8, Last: true})
 	rest := partFrame(t, SnapshotPart{Index: 9, Last: true})
@@ -92,7 +92,7 @@
 }
 
 // A change amid a snapshot's parts would raise the offset above the snapshot, which then would be dropped as old.
-func TestAChangeAmidASnapshotEndsTheConnection(t *testing.T) {
+func TestReceiver_accept_duringSnapshot(t *testing.T) {
 	handler := newRecorder()
 	client := propertyClient(handler)
 	err := handleFrames(t, client,
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAWriterSendsOnlyWhatIsAboveTheOffset(t *testing.T) {
+func TestFeedWriter_writeShard_sendsOnlyAboveOffset(t *testing.T) {
 	connection := &capture{}
 	writer := newFeedWriter(connection, []Offset{{Shard: 1, Index: 5}}, WriteTimeout)
 	snapshot := feed.Snapshot{Index: 5, Items: items("k", "v")}
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestOldReportsAreDroppedWhereTooManyWait(t *testing.T) {
+func TestOutbox_add_dropsOldest(t *testing.T) {
 	waiting := newOutbox()
 	for number := range maxOutboxReports + 10 {
 		waiting.add(Report{Topic: "t", Body: []byte{byte(number)}})
--- a/internal/controlplane/feedtransport/server_selector_test.go
+++ b/internal/controlplane/feedtransport/server_selector_test.go
@@ -61,7 +61,7 @@
 
 func threeSeeds() []string { return []string{"10.0.0.1:8146", "10.0.0.2:8146", "10.0.0.3:8146"} }
 
-func TestAllSeedsAreTriedInTurn(t *testing.T) {
+func TestServerSelector_Next_triesAllSeeds(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	tried := make(map[string]int)
 	for range 6 {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestWaitsGrowWithinTheirBounds(t *testing.T) {
+func TestServerSelector_Next_backoffBounds(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	var last time.Duration
 	for attempt := range 10 {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestASilentServerIsLeft(t *testing.T) {
+func TestServerSelector_Check_receiveTimeout(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	first := s.connect()
 	s.status(true)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestAServerThatIsNotCurrentIsLeftWhereThereIsAnother(t *testing.T) {
+func TestServerSelector_Check_leavesStaleServer(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	first := s.connect()
 	elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestTheOnlyServerIsKeptThoughNotCurrent(t *testing.T) {
+func TestServerSelector_Check_staysWithOnlyServer(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
 	if elapsed, reason := s.observeUntilLeft(false, 20*time.Second); reason != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestPatienceWithServersThatAreNotCurrentIsBounded(t *testing.T) {
+func TestServerSelector_Check_boundsStaleTimeout(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	for range 6 {
 		s.connect()
@@ -157,7 +157,7 @@
 }
 
 // Several keepers may be cut off together. The views that follow them must be as new as promised soon after.
-func TestServersThatAreCutOffTogetherAreLeftInTime(t *testing.T) {
+func TestServerSelector_Check_scansServersPartitionedTogether(t *testing.T) {
 	seeds := append(threeSeeds(), "10.0.0.4:8146", "10.0.0.5:8146", "10.0.0.6:8146", "10.0.0.7:8146", "10.0.0.8:8146", "10.0.0.9:8146")
 	const (
 		cutOff   = 4
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestAllServersAreGivenTimeWhereNoneIsCurrent(t *testing.T) {
+func TestServerSelector_Check_noServerCurrent(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	var elapsed time.Duration
 	for range 5 {
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestAStallOfTheOwnProcessIsNoReasonToLeaveAtOnce(t *testing.T) {
+func TestServerSelector_Check_graceAfterOwnStall(t *testing.T) {
 	s := newScript(t, threeSeeds()...)
 	s.connect()
 	s.status(true)
@@ -212,7 +212,7 @@
 	return ServerEndpoint{Address: fmt.Sprintf("10.0.0.%d:8146", ip), Zone: zone, Region: region}
 }
 
-func TestANearerKeeperIsPreferredAfterAWhile(t *testing.T) {
+func TestServerSelector_Check_prefersNearerServer(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
 	servers := []ServerEndpoint{keeper(1, "b", "south"), keeper(2, "a", "north"), keeper(3, "c", "north")}
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestANearerKeeperThatFailsIsTriedLessAndLess(t *testing.T) {
+func TestServerSelector_Check_failingNearerServerTriedLess(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	servers := []ServerEndpoint{keeper(1, "b", "south"), keeper(2, "a", "north")}
 	failures := 0
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestKeepersThatAreGoneAreForgotten(t *testing.T) {
+func TestServerSelector_ObserveStatus_dropsDepartedServers(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
 	s.status(true, keeper(1, "", ""), keeper(2, "", ""))
@@ -269,7 +269,7 @@
 	}
 }
 
-func TestNodesSpreadOverKeepers(t *testing.T) {
+func TestServerSelector_Next_spreadsNodes(t *testing.T) {
 	const nodes = 300
 	chosen := make(map[string]int)
 	for node := range nodes {
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestNoServerIsKnown(t *testing.T) {
+func TestServerSelector_Next_noServerKnown(t *testing.T) {
 	s := newScript(t, "not an address")
 	address, wait := s.selector.Next(s.now)
 	if address != "" || wait <= 0 {
@@ -293,7 +293,7 @@
 	s.selector.AttemptEnded(s.now, ErrNoServer)
 }
 
-func TestFirstDialsAreShort(t *testing.T) {
+func TestServerSelector_DialTimeout_grows(t *testing.T) {
 	selector := NewServerSelector(SelectorOptions{Node: "n", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, FeedPort: 7},
 		func() float64 { return 0.5 })
 	now := time.Unix(0, 0)
--- a/internal/controlplane/feedtransport/session_test.go
+++ b/internal/controlplane/feedtransport/session_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestAClientGetsSnapshotChangesAndStatus(t *testing.T) {
+func TestClient_Run_receivesSnapshotChangesAndStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0, 1)
 		source.commit(0, put(3, "route/a", "1"))
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestStatusesComeAtTheirInterval(t *testing.T) {
+func TestSession_Run_statusInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
@@ -147,7 +147,7 @@
 	})
 }
 
-func TestALossOfCurrencyIsToldAtOnce(t *testing.T) {
+func TestSession_Run_staleStatusIsImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestChangesThatComeTogetherAreSentTogether(t *testing.T) {
+func TestSession_Run_batchesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestALargeSnapshotComesInParts(t *testing.T) {
+func TestSession_Run_splitsLargeSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		for index := range uint64(300) {
@@ -203,7 +203,7 @@
 	})
 }
 
-func TestAClientLeavesAServerThatIsSilent(t *testing.T) {
+func TestClient_Run_leavesSilentServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		source.commit(0, put(1, "k", "v"))
@@ -228,7 +228,7 @@
 	})
 }
 
-func TestAClientLeavesAServerThatIsBehindAndNeverGoesBack(t *testing.T) {
+func TestClient_Run_leavesStaleServerWithoutRegression(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ahead, behind := newScriptedSource(0), newScriptedSource(0)
 		reachable := &servers{sources: map[string]*scriptedSource{address(1): ahead, address(2): ahead}}
@@ -254,7 +254,7 @@
 	})
 }
 
-func TestReportsGoBothWays(t *testing.T) {
+func TestSession_Run_reportsBothWays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		ours, theirs := net.Pipe()
@@ -290,7 +290,7 @@
 	})
 }
 
-func TestAReaderThatDoesNotReadEndsTheSession(t *testing.T) {
+func TestSession_Run_writeTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		source.commit(0, put(1, "k", "v"))
@@ -307,7 +307,7 @@
 	})
 }
 
-func TestASessionEndsWithItsReader(t *testing.T) {
+func TestSession_Run_endsWithReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		go func() {
--- a/internal/controlplane/feedtransport/shared_snapshot_test.go
+++ b/internal/controlplane/feedtransport/shared_snapshot_test.go
@@ -42,7 +42,7 @@
 
 // All nodes come at once after a kill of all, while workers come and go: each gets all of them within the time of a
 // status, and nearly all get the same bytes.
-func TestAHerdOfReadersSharesOneSnapshot(t *testing.T) {
+func TestSession_Run_readersShareOneSnapshot(t *testing.T) {
 	const (
 		readers = 60
 		workers = 600
@@ -92,7 +92,7 @@
 }
 
 // News after a calm go out at once, also where a status has just been sent.
-func TestNewsAfterACalmGoOutAtOnce(t *testing.T) {
+func TestSession_Run_firstUpdateIsImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
--- a/internal/controlplane/feedtransport/status_test.go
+++ b/internal/controlplane/feedtransport/status_test.go
@@ -8,7 +8,7 @@
 )
 
 // A status repeats the keepers only when they have changed.
-func TestKeepersAreToldWhenTheyChange(t *testing.T) {
+func TestFeedWriter_writeStatus_serversOnlyWhenChanged(t *testing.T) {
 	connection := &capture{}
 	writer := newFeedWriter(connection, nil, time.Second)
 	servers := []ServerEndpoint{{Address: "10.0.0.1:7000", Zone: "a"}}
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestAHandlerIsToldOfTheKeepersWithEachStatus(t *testing.T) {
+func TestClient_handleStatus_serversInEveryStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
 		source.servers = []ServerEndpoint{{Address: address(1)}, {Address: address(2)}}
--- a/internal/controlplane/peertransport/inbound_test.go
+++ b/internal/controlplane/peertransport/inbound_test.go
@@ -100,9 +100,9 @@
 
 var somePeer = Hello{Address: peerAddress, Member: 2}
 
-// TestWhatIsTakenFromAPeer sends all kinds of bytes and tells which calls are carried out and whether the connection goes
+// TestInbound_handleFrame sends all kinds of bytes and tells which calls are carried out and whether the connection goes
 // on; another one of the same peer goes on in any case.
-func TestWhatIsTakenFromAPeer(t *testing.T) {
+func TestInbound_handleFrame(t *testing.T) {
 	complete := callBytes(t, 1, time.Second, "x")
 	cases := []struct {
 		name    string
@@ -155,7 +155,7 @@
 }
 
 // A connection of a peer's former process may be accepted after those of its new one, as when this process stood still.
-func TestLateConnectionLeavesNewerOnesAlone(t *testing.T) {
+func TestTransport_Serve_lateConnectionKeepsNewerOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
 		defer h.network.Close()
@@ -178,7 +178,7 @@
 }
 
 // The answer to a call of a connection that has ended reaches none of the peer's other connections.
-func TestAnswerStaysOnItsConnection(t *testing.T) {
+func TestInbound_reply_sameConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
 		defer h.network.Close()
@@ -204,7 +204,7 @@
 }
 
 // An answer that no frame can hold ends the call at once.
-func TestAnswerTooLongForAFrame(t *testing.T) {
+func TestInbound_reply_tooLongForFrame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
 		defer h.network.Close()
--- a/internal/controlplane/peertransport/message_queue_test.go
+++ b/internal/controlplane/peertransport/message_queue_test.go
@@ -14,7 +14,7 @@
 	return consensus.Message{Entries: []consensus.Entry{{Data: make([]byte, bytes)}}}
 }
 
-func TestQueueDropsTheOldest(t *testing.T) {
+func TestMessageQueue_push_dropsOldest(t *testing.T) {
 	var queue messageQueue
 	for i := range maxQueuedMessages + 3 {
 		queue.push(0, consensus.Message{Term: uint64(i)})
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestQueueTakesAllInOrder(t *testing.T) {
+func TestMessageQueue_take_inOrder(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("batches keep order, lose nothing and stay near their limit", prop.ForAll(
--- a/internal/controlplane/peertransport/replies_test.go
+++ b/internal/controlplane/peertransport/replies_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestWhatComesBackForACall has the peer send all kinds of bytes for one call, and then serves a second call well.
-func TestWhatComesBackForACall(t *testing.T) {
+// TestTransport_Call_replies has the peer send all kinds of bytes for one call, and then serves a second call well.
+func TestTransport_Call_replies(t *testing.T) {
 	complete := func(id int64) []byte { return replyBytes(t, id, "first") }
 	cases := []struct {
 		name string
@@ -149,7 +149,7 @@
 }
 
 // A call that its caller gave up is answered late, on a connection that goes on: the next call gets its own answer.
-func TestLateAnswerReachesNobody(t *testing.T) {
+func TestTransport_Call_lateReplyDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCallFixture(t)
 		defer b.network.Close()
@@ -172,7 +172,7 @@
 }
 
 // The answer to a call of a connection that broke comes on the next one, as from a peer that numbers calls by itself.
-func TestAnswerToACallOfAnEarlierConnection(t *testing.T) {
+func TestTransport_Call_replyToEarlierConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCallFixture(t)
 		defer b.network.Close()
@@ -200,7 +200,7 @@
 
 // A call that still waits for its connection is not answered by what can be none of its answers, and is not lost with the
 // connection before.
-func TestAnswerToACallThatWasNotSent(t *testing.T) {
+func TestTransport_Call_replyToUnsentCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport, err := New(Options{Handler: newRecorder()})
 		if err != nil {
@@ -225,7 +225,7 @@
 }
 
 // What a caller hands over it may use again as soon as the call has ended, also while the call still waits to be sent.
-func TestCallOwnsItsBytes(t *testing.T) {
+func TestTransport_Call_copiesBody(t *testing.T) {
 	transport, err := New(Options{Handler: newRecorder()})
 	if err != nil {
 		t.Fatal(err)
@@ -246,7 +246,7 @@
 }
 
 // What is read from a frame does not change with the frame's memory.
-func TestDecodedFramesOwnTheirBytes(t *testing.T) {
+func TestDecode_copiesBytes(t *testing.T) {
 	encoded, err := encodeCall(1, 1, time.Second, []byte("the body of a call"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/peertransport/transport_test.go
+++ b/internal/controlplane/peertransport/transport_test.go
@@ -89,7 +89,7 @@
 	return ctx
 }
 
-func TestMessagesArriveWhole(t *testing.T) {
+func TestTransport_Send_roundTrip(t *testing.T) {
 	there := newRecorder()
 	listener := listen(t)
 	start(t, listener, 2, there)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestSendFindsTheAddressByID(t *testing.T) {
+func TestTransport_Send_addressByMember(t *testing.T) {
 	here, there := newRecorder(), newRecorder()
 	hereListener, thereListener := listen(t), listen(t)
 	hereNetwork := start(t, hereListener, 1, here)
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestCallsAnswerInAnyOrder(t *testing.T) {
+func TestTransport_Call_outOfOrderReplies(t *testing.T) {
 	there := newRecorder()
 	release := make(chan struct{})
 	there.call = func(_ context.Context, kind CallKind, body []byte) ([]byte, error) {
@@ -178,7 +178,7 @@
 	return err.Error()
 }
 
-func TestCallToADeadPortIsNotSent(t *testing.T) {
+func TestTransport_Call_unreachablePeer(t *testing.T) {
 	listener := listen(t)
 	address := listener.Addr().String()
 	_ = listener.Close()
@@ -206,7 +206,7 @@
 	return connection
 }
 
-func TestBrokenConnectionLeavesTheOutcomeOpen(t *testing.T) {
+func TestTransport_Call_connectionBreaks(t *testing.T) {
 	listener := listen(t)
 	defer func() { _ = listener.Close() }()
 	here := start(t, listen(t), 1, newRecorder())
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestCallEndsWithItsContext(t *testing.T) {
+func TestTransport_Call_contextEnds(t *testing.T) {
 	listener := listen(t)
 	defer func() { _ = listener.Close() }()
 	here := start(t, listen(t), 1, newRecorder())
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestReadersOfTheFeedAreHandedOver(t *testing.T) {
+func TestTransport_Serve_handsOverFeedConnections(t *testing.T) {
 	there := newRecorder()
 	listener := listen(t)
 	start(t, listener, 2, there)
@@ -272,7 +272,7 @@
 	}
 }
 
-func TestFramesOfUnknownShardsAreLeftOut(t *testing.T) {
+func TestWithKnownShards(t *testing.T) {
 	batch := withKnownShards([]GroupMessage{{Shard: shards.ShardCount}, {Shard: 1}, {Shard: 1 << 30}})
 	if len(batch) != 1 || batch[0].Shard != 1 {
 		t.Fatal(batch)
@@ -280,7 +280,7 @@
 }
 
 // The acceptor waits only so long for the first frame; it must not wait for the encoding of the next.
-func TestHelloIsWrittenByItself(t *testing.T) {
+func TestOutbound_write_helloFirst(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	self := Hello{Address: "127.0.0.1:1", Member: 1}
--- a/internal/controlplane/registry/assigned_stage_test.go
+++ b/internal/controlplane/registry/assigned_stage_test.go
@@ -6,7 +6,7 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-func TestAnAssignedStageOutlivesHeartbeats(t *testing.T) {
+func TestStore_Apply_assignedStageSurvivesHeartbeats(t *testing.T) {
 	store := NewStore()
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 1), Recorded)
@@ -30,7 +30,7 @@
 	apply(t, store, EncodeStage("b", "prefill"), Gone)
 }
 
-func TestAStageThatWasFoundOutIsRecorded(t *testing.T) {
+func TestStore_Apply_recordsPolledStage(t *testing.T) {
 	store := NewStore()
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 4), Recorded)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestSnapshotsKeepAssignedStages(t *testing.T) {
+func TestStore_Snapshot_includesAssignedStage(t *testing.T) {
 	store := NewStore()
 	apply(t, store, EncodePut(exampleInstance("a", "1.2.3.4:5"), 1), Recorded)
 	apply(t, store, EncodeAssign("a", "prefill"), Recorded)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestASnapshotOfTheEarlierFormatIsRead(t *testing.T) {
+func TestStore_Restore_readsFormatV1(t *testing.T) {
 	instance := exampleInstance("a", "1.2.3.4:5")
 	value := mustMarshal(itemSchemaV1, recordOf(instance))
 	earlier := mustMarshal(snapshotSchema, snapshotRecord{
--- a/internal/controlplane/registry/departure_test.go
+++ b/internal/controlplane/registry/departure_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestLateWordsBringNobodyBack has an instance leave in each way that ends for good, and every word that it sent before come late:
+// TestLivenessTracker_lateHeartbeatsDoNotRevive has an instance leave in each way that ends for good, and every word that it sent before come late:
 // to the same owner, to a new one, and after a restart from a snapshot.
-func TestLateWordsBringNobodyBack(t *testing.T) {
+func TestLivenessTracker_lateHeartbeatsDoNotRevive(t *testing.T) {
 	ready := worker(1)
 	draining := ready
 	draining.State = Draining
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDrainIsNotRevokedByLateWords drains an instance and lets words come that it sent before, also to a new owner.
-func TestDrainIsNotRevokedByLateWords(t *testing.T) {
+// TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain drains an instance and lets words come that it sent before, also to a new owner.
+func TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain(t *testing.T) {
 	draining := worker(1)
 	draining.State = Draining
 	for _, newOwner := range []bool{false, true} {
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestWordsInAnyOrderEndWithTheLast draws orders in which the words of one instance come, each possibly twice, with changes of the
+// TestLivenessTracker_reorderedHeartbeatsConverge draws orders in which the words of one instance come, each possibly twice, with changes of the
 // owner between them, and checks that the last word holds.
-func TestWordsInAnyOrderEndWithTheLast(t *testing.T) {
+func TestLivenessTracker_reorderedHeartbeatsConverge(t *testing.T) {
 	for seed := range int64(500) {
 		random := rand.New(rand.NewSource(seed))
 		s := newShard()
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestHomeOfADeparture tells departures of known instances from those of unknown ones.
-func TestHomeOfADeparture(t *testing.T) {
+// TestStore_Knows_afterDeregistration tells departures of known instances from those of unknown ones.
+func TestStore_Knows_afterDeregistration(t *testing.T) {
 	s := newShard()
 	s.gain()
 	s.heartbeat(worker(1), 1)
--- a/internal/controlplane/registry/expiry_test.go
+++ b/internal/controlplane/registry/expiry_test.go
@@ -9,7 +9,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-func TestSilentInstanceExpiresAfterTheSpan(t *testing.T) {
+func TestLivenessTracker_Expired_afterTimeout(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestSpanIsAtLeastItsBound(t *testing.T) {
+func TestNewLivenessTracker_minTimeout(t *testing.T) {
 	for heartbeat, expected := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: defaultMinTimeout,
 		time.Second:            4 * time.Second,
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestNewOwnerGivesAFullSpan(t *testing.T) {
+func TestLivenessTracker_OwnershipGained_grantsFullTimeout(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestNothingExpiresAfterTheOwnerStoodStill(t *testing.T) {
+func TestLivenessTracker_Expired_graceAfterStall(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestMostOfAServiceStays(t *testing.T) {
+func TestLivenessTracker_Expired_spareMajority(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(10)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestTheOnlyInstanceStays(t *testing.T) {
+func TestLivenessTracker_Expired_spareOnlyInstance(t *testing.T) {
 	s := newShard()
 	s.gain()
 	s.register(workers(1))
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestServicesAreCountedApart(t *testing.T) {
+func TestLivenessTracker_Expired_countsServicesSeparately(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestDrainingOnesExpireRegardless(t *testing.T) {
+func TestLivenessTracker_Expired_drainingRegardlessOfLimit(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestNodesExpireAndComeBack(t *testing.T) {
+func TestLivenessTracker_Expired_nodesReturn(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestRemovalIsProposedAgain(t *testing.T) {
+func TestLivenessTracker_Expired_proposesLostRemovalAgain(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestABeatGoesBeforeALostRemoval(t *testing.T) {
+func TestLivenessTracker_Heartbeat_cancelsLostRemoval(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestTimeThatFallsIsPassedOver(t *testing.T) {
+func TestLivenessTracker_clockMovingBackwards(t *testing.T) {
 	s := newShard()
 	s.gain()
 	s.register(workers(4))
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestAtMostHalfExpireWithinTheWindow(t *testing.T) {
+func TestLivenessTracker_Expired_atMostHalfPerWindow(t *testing.T) {
 	total := 0
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 7))
 	properties.Property("whoever falls silent when", prop.ForAll(
--- a/internal/controlplane/registry/heartbeat_test.go
+++ b/internal/controlplane/registry/heartbeat_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestParseBeat(t *testing.T) {
+func TestParseHeartbeat(t *testing.T) {
 	heartbeat, err := ParseHeartbeat("i-1", []byte(exampleHeartbeat))
 	expected := Heartbeat{Instance: exampleInstance("i-1", "10.128.0.9:8080"), WarmUpRemainingMs: 120, Sequence: 4}
 	if err != nil || !reflect.DeepEqual(heartbeat, expected) {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestParseBeatDefaults(t *testing.T) {
+func TestParseHeartbeat_defaults(t *testing.T) {
 	heartbeat, err := ParseHeartbeat("i-1", []byte(`{"service":"s","address":"1.2.3.4:5","models":null,"stage":null,"coldRemainingMs":-4}`))
 	if err != nil || heartbeat.Slots != 1 || heartbeat.State != Ready || heartbeat.Models != nil || heartbeat.WarmUpRemainingMs != 0 {
 		t.Fatalf("%+v %v", heartbeat, err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestParseBeatRefuses(t *testing.T) {
+func TestParseHeartbeat_rejectsInvalidBodies(t *testing.T) {
 	large := strings.Repeat("x", maxNameBytes+1)
 	fields := func(more string) string { return `{"service":"s","address":"1.2.3.4:5",` + more + `}` }
 	for body, code := range map[string]Code{
@@ -75,7 +75,7 @@
 	}
 }
 
-func FuzzParseBeat(f *testing.F) {
+func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(exampleHeartbeat))
 	f.Add([]byte(`{"service":"s","address":"[::1]:5","models":[{"adapters":null}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -90,7 +90,7 @@
 	})
 }
 
-func FuzzApply(f *testing.F) {
+func FuzzStore_Apply(f *testing.F) {
 	f.Add(EncodePut(exampleInstance("a", "1.2.3.4:5"), 3))
 	f.Add(EncodeRemove("a", Expired, 3))
 	f.Fuzz(func(t *testing.T, entry []byte) {
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestCodesAreDistinctAndRise(t *testing.T) {
+func TestCodes_distinctAndAscending(t *testing.T) {
 	table := Codes()
 	names := map[string]bool{}
 	for position, entry := range table {
--- a/internal/controlplane/registry/liveness_test.go
+++ b/internal/controlplane/registry/liveness_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestBeatCostsAnEntryOnlyWhereItChangesSomething(t *testing.T) {
+func TestLivenessTracker_Heartbeat_proposesOnlyChanges(t *testing.T) {
 	s := newShard()
 	s.gain()
 	instance := worker(1)
@@ -128,7 +128,7 @@
 }
 
 // An acknowledgement promises what the heartbeat says, so a late one waits for its entry while the later one's is under way.
-func TestLateBeatIsNotAcknowledgedBeforeItHolds(t *testing.T) {
+func TestLivenessTracker_Heartbeat_lateWaitsForEntry(t *testing.T) {
 	s := newShard()
 	s.gain()
 	instance := worker(1)
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestOwnershipIsNeeded(t *testing.T) {
+func TestLivenessTracker_withoutOwnership(t *testing.T) {
 	s := newShard()
 	if action, code := s.heartbeat(worker(1), 1); action != Reject || code != NotOwner {
 		t.Fatal(action, code)
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestDepartures(t *testing.T) {
+func TestLivenessTracker_Deregister(t *testing.T) {
 	s := newShard()
 	s.gain()
 	if action, code := s.deregister("i04"); action != Propose || code != Gone || !s.store.Removed("i04") {
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestOwnerFollowsForeignChanges(t *testing.T) {
+func TestLivenessTracker_Applied_entriesOfOthers(t *testing.T) {
 	s := newShard()
 	s.gain()
 	s.apply(EncodePut(worker(1), 3))
--- a/internal/controlplane/registry/remote_heartbeat_test.go
+++ b/internal/controlplane/registry/remote_heartbeat_test.go
@@ -9,7 +9,7 @@
 	}
 }
 
-func TestInstancesHeardElsewhereStay(t *testing.T) {
+func TestLivenessTracker_RemoteHeartbeat_renews(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestLateNewsOfAnInstanceIsWorthNothing(t *testing.T) {
+func TestLivenessTracker_RemoteHeartbeat_ignoresStale(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestNewsMakesNoInstance(t *testing.T) {
+func TestLivenessTracker_RemoteHeartbeat_ignoresUnknown(t *testing.T) {
 	s := newShard()
 	s.remoteHeartbeat(1, "i00") // not owned
 	s.gain()
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestNewsDoesNotStopARemoval(t *testing.T) {
+func TestLivenessTracker_RemoteHeartbeat_ignoresPendingRemoval(t *testing.T) {
 	s := newShard()
 	s.gain()
 	list := workers(4)
--- a/internal/controlplane/registry/store_test.go
+++ b/internal/controlplane/registry/store_test.go
@@ -27,7 +27,7 @@
 
 func empty(change feed.Change) bool { return len(change.Put)+len(change.Delete) == 0 }
 
-func TestPutIsRecordedOnce(t *testing.T) {
+func TestStore_Apply_putRecordedOnce(t *testing.T) {
 	store := NewStore()
 	instance := exampleInstance("a", "1.2.3.4:5")
 	change := apply(t, store, EncodePut(instance, 3), Recorded)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestDrainingDoesNotReturnByALateBeat(t *testing.T) {
+func TestStore_Apply_lateHeartbeatKeepsDraining(t *testing.T) {
 	for _, numbered := range []bool{true, false} {
 		store := NewStore()
 		ready := exampleInstance("a", "1.2.3.4:5")
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestDeregisteredStaysGone(t *testing.T) {
+func TestStore_Apply_deregisteredStaysGone(t *testing.T) {
 	store := NewStore()
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 3), Recorded)
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestExpiredComesBackByALaterBeat(t *testing.T) {
+func TestStore_Apply_laterHeartbeatRevivesExpired(t *testing.T) {
 	store := NewStore()
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 3), Recorded)
@@ -104,7 +104,7 @@
 	apply(t, store, EncodePut(instance, 99), Gone)
 }
 
-func TestExpiredDoesNotTakeItsAddressBack(t *testing.T) {
+func TestStore_Apply_expiredDoesNotReclaimAddress(t *testing.T) {
 	store := NewStore()
 	apply(t, store, EncodePut(exampleInstance("a", "1.2.3.4:5"), 3), Recorded)
 	apply(t, store, EncodeRemove("a", Expired, 3), Removed)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestAddressIsUsedAgain(t *testing.T) {
+func TestStore_Apply_addressReused(t *testing.T) {
 	store := NewStore()
 	apply(t, store, EncodePut(exampleInstance("a", "1.2.3.4:5"), 3), Recorded)
 	next := exampleInstance("b", "1.2.3.4:5")
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestTombstonesAreBounded(t *testing.T) {
+func TestStore_Apply_boundsTombstones(t *testing.T) {
 	store := NewStore()
 	for number := 0; number <= maxTombstones; number++ {
 		apply(t, store, EncodeRemove(fmt.Sprint(number), Deregistered, 0), Gone)
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestUnreadableEntriesChangeNothing(t *testing.T) {
+func TestStore_Apply_malformedEntryChangesNothing(t *testing.T) {
 	store := NewStore()
 	state := EncodePut(exampleInstance("a", "1.2.3.4:5"), 3)
 	for _, entry := range [][]byte{nil, {}, {2}, {200, 3}, state[:len(state)-1], append(state[:len(state):len(state)], 0), EncodeRemove("", Expired, 0)} {
@@ -172,7 +172,7 @@
 	return EncodePut(instance, sequence)
 }
 
-func TestReplicasAgree(t *testing.T) {
+func TestStore_Apply_replicasAgree(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed))
 	properties.Property("snapshots, changes and items agree, and no address is had twice", prop.ForAll(
 		func(numbers []uint32) bool {
@@ -205,7 +205,7 @@
 	properties.TestingRun(t)
 }
 
-func TestOnlyLaterWordsCount(t *testing.T) {
+func TestStore_Apply_onlyLaterHeartbeatsCount(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 1))
 	properties.Property("after a draining word, earlier words in any order leave it draining or gone", prop.ForAll(
 		func(numbers []uint32) bool {
--- a/internal/controlplane/roleplanner/demand_test.go
+++ b/internal/controlplane/roleplanner/demand_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestReportsSurviveTheirEncoding(t *testing.T) {
+func TestEncodeReport_roundTrip(t *testing.T) {
 	for _, report := range [][]ServiceDemand{
 		{},
 		{{Service: "a", Demand: Demand{Prefill: 1.5, Slots: 0.25, Memory: 3, Transfers: 1e-9}}, {Service: "b"}},
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestReportsThatCannotBeAreRefused(t *testing.T) {
+func TestDecodeReport_rejectsInvalidReports(t *testing.T) {
 	for _, wrong := range []ServiceDemand{
 		{Service: "", Demand: Demand{Prefill: 1}},
 		{Service: "a", Demand: Demand{Prefill: -1}},
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTheLedgerAddsUpWhatStillCounts(t *testing.T) {
+func TestDemandTable_Sum_ignoresExpiredReports(t *testing.T) {
 	table := NewDemandTable(2 * time.Second)
 	table.Put(0, "one", []ServiceDemand{{"a", Demand{Prefill: 1}}, {"b", Demand{Slots: 1}}})
 	table.Put(time.Second, "two", []ServiceDemand{{"a", Demand{Prefill: 2}}})
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestASumThatBeganAnewCountsWhole(t *testing.T) {
+func TestDemand_Since_afterRestart(t *testing.T) {
 	if since := (Demand{Prefill: 3, Slots: 1}).Since(Demand{Prefill: 1, Slots: 1}); since != (Demand{Prefill: 2}) {
 		t.Fatal(since)
 	}
--- a/internal/controlplane/roleplanner/planner_test.go
+++ b/internal/controlplane/roleplanner/planner_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestSplitFollowsTheDemand(t *testing.T) {
+func TestPlanner_Plan_followsDemand(t *testing.T) {
 	for _, start := range []int{6, 24, 54} {
 		f := newFleet(t, start, 60-start)
 		f.demand = demandOf(24, 2) // about 34 readers and 4.4 writers are needed
@@ -138,14 +138,14 @@
 	}
 }
 
-func TestLongAnswersAndFewPromptsNeedWriters(t *testing.T) {
+func TestPlanner_Plan_decodeHeavyDemand(t *testing.T) {
 	f := newFleet(t, 24, 36)
 	f.demand = demandOf(0.6, 20)
 	f.run(60 * time.Second)
 	f.expectPrefill(2)
 }
 
-func TestWithoutDemandNothingChanges(t *testing.T) {
+func TestPlanner_Plan_withoutDemand(t *testing.T) {
 	f := newFleet(t, 4, 5)
 	f.run(30 * time.Second)
 	f.expectPrefill(4)
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestAServiceThatHasNoWriterLeftGetsSome(t *testing.T) {
+func TestPlanner_Plan_noDecodeWorkerLeft(t *testing.T) {
 	f := newFleet(t, 9, 0)
 	f.mayLackDecode = true
 	f.run(10 * time.Second)
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestSmallChangesOfDemandCostNoOrders(t *testing.T) {
+func TestPlanner_Plan_hysteresis(t *testing.T) {
 	f := newFleet(t, 30, 30)
 	f.demand = demandOf(12, 10)
 	f.run(30 * time.Second)
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestOneWorkerAndServicesWithoutStagesAreLeftAlone(t *testing.T) {
+func TestPlanner_Plan_oneWorkerOrNoStages(t *testing.T) {
 	planner := NewPlanner()
 	for i := range 40 {
 		now := time.Duration(i+1) * 250 * time.Millisecond
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestAnUnansweredOrderIsGivenAgainAndAtLastWithdrawn(t *testing.T) {
+func TestPlanner_Plan_retriesThenWithdrawsCommand(t *testing.T) {
 	f := newFleet(t, 2, 7)
 	f.demand = demandOf(3, 0.4)
 	f.answer = func(command Command) Result {
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestARefusedOrderIsNotRepeated(t *testing.T) {
+func TestPlanner_Plan_rejectedCommandNotRepeated(t *testing.T) {
 	f := newFleet(t, 2, 7)
 	f.demand = demandOf(3, 0.4)
 	f.answer = func(Command) Result { return Rejected }
@@ -246,7 +246,7 @@
 	}
 }
 
-func TestANewHolderGoesOnWithAssignments(t *testing.T) {
+func TestPlanner_Plan_newOwnerContinuesAssignments(t *testing.T) {
 	f := newFleet(t, 2, 7)
 	f.demand = demandOf(3, 0.4)
 	f.transitionTime = time.Hour
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestAReplacedWorkerIsTurnedAnew(t *testing.T) {
+func TestPlanner_Plan_replacedWorkers(t *testing.T) {
 	f := newFleet(t, 4, 5)
 	f.demand = demandOf(3, 0.4)
 	f.run(15 * time.Second)
@@ -275,7 +275,7 @@
 	f.expectPrefill(prefillWorkers)
 }
 
-func TestZonesStayBalanced(t *testing.T) {
+func TestPlanner_Plan_balancesZones(t *testing.T) {
 	f := newFleet(t, 0, 30)
 	f.workers[0].Stage = Prefill
 	f.demand = demandOf(10, 5)
@@ -293,7 +293,7 @@
 	}
 }
 
-func TestThePaceOfReadersIsSeenThroughTheirWaits(t *testing.T) {
+func TestPrefillSlowdown_correctsForQueueing(t *testing.T) {
 	const prefillWorkers = 20
 	for _, slowdown := range []float64{0.5, 1, 2} {
 		for _, busy := range []float64{0.05, 0.5, 0.8, 0.95} {
@@ -310,7 +310,7 @@
 	}
 }
 
-func TestAShiftFromPromptsToAnswersAndBackIsFollowed(t *testing.T) {
+func TestPlanner_Plan_demandShiftsAndReturns(t *testing.T) {
 	f := newFleet(t, 24, 36)
 	f.demand = demandOf(24, 2)
 	f.run(20 * time.Second)
@@ -326,7 +326,7 @@
 	}
 }
 
-func TestWorkersThatCrashWhileTheyTurnAreMadeUpFor(t *testing.T) {
+func TestPlanner_Plan_crashesDuringTransition(t *testing.T) {
 	f := newFleet(t, 6, 18)
 	f.demand = demandOf(9, 0.8)
 	f.transitionTime = time.Hour
--- a/internal/util/bootconfig/settings_test.go
+++ b/internal/util/bootconfig/settings_test.go
@@ -15,7 +15,7 @@
 "limits":{"cpuShare":0.4,"cores":1,"memoryMb":284,"maxFds":4100,"linkMbps":1000.0,"diskMb":0},
 "heartbeatMs":1200,"bounds":{"graceS":8.5,"drainMs":2000}}`
 
-func TestParseReadsWhatThePlatformWrites(t *testing.T) {
+func TestParse_platformFile(t *testing.T) {
 	settings, err := Parse([]byte(example))
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestParseNamesTheFaultyField(t *testing.T) {
+func TestParse_namesInvalidField(t *testing.T) {
 	faults := map[string][2]string{
 		"ip":           {`"ip":"10.1.0.35"`, `"ip":"here"`},
 		"portRange":    {`[7660,7675]`, `[7660,7662]`},
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestLoadWholeWaitsForTheRest reads a file whose second half is written 250 ms later.
-func TestLoadWholeWaitsForTheRest(t *testing.T) {
+// TestLoadWithRetry_partialFile reads a file whose second half is written 250 ms later.
+func TestLoadWithRetry_partialFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := filepath.Join(t.TempDir(), "boot.json")
 		write := func(text string) {
