--- a/internal/controlplane/registry/assigned_stage_test.go
+++ b/internal/controlplane/registry/assigned_stage_test.go
@@ -11,14 +11,14 @@
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 1), Recorded)
 	change := apply(t, store, EncodeAssign("a", "prefill"), Recorded)
-	heartbeat, err := DecodeItem(change.Put[0].Value)
-	if err != nil || heartbeat.Assigned != "prefill" || heartbeat.Stage != "decode" || !heartbeat.Transitioning() {
-		t.Fatalf("%+v %v", heartbeat, err)
+	decoded, err := DecodeItem(change.Put[0].Value)
+	if err != nil || decoded.Assigned != "prefill" || decoded.Stage != "decode" || !decoded.Transitioning() {
+		t.Fatalf("%+v %v", decoded, err)
 	}
 	apply(t, store, EncodeAssign("a", "prefill"), Unchanged)
 	apply(t, store, EncodePut(instance, 2), Unchanged)
 	if !SameRecord(*store.Instance("a"), instance) {
-		t.Fatal("a heartbeat that says what is known counts as news")
+		t.Fatal("a heartbeat that agrees with the record counts as a change")
 	}
 	instance.Stage = "prefill"
 	apply(t, store, EncodePut(instance, 3), Recorded)
@@ -37,7 +37,7 @@
 	apply(t, store, EncodeStage("a", "prefill"), Recorded)
 	apply(t, store, EncodePut(instance, 3), Stale)
 	if store.Instance("a").Stage != "prefill" {
-		t.Fatal("a late heartbeat took it back")
+		t.Fatal("a late heartbeat reverted it")
 	}
 	draining := *store.Instance("a")
 	draining.State = Draining
--- a/internal/controlplane/registry/codes.go
+++ b/internal/controlplane/registry/codes.go
@@ -6,27 +6,39 @@
 	"ospreybend/internal/util/resultcode"
 )
 
-// Code numbers the result of a heartbeat or of a departure. Numbers are never given anew.
+// Code is the result of a heartbeat or of a deregistration. A number is never reused for another meaning.
 type Code = resultcode.Code
 
+// Codes of the registry.
 const (
-	Recorded       Code = 1100
-	Unchanged      Code = 1101
-	Stale          Code = 1102
-	Gone           Code = 1103
-	Removed        Code = 1104
-	Malformed      Code = 1110
-	MissingField   Code = 1111
-	InvalidField   Code = 1112
-	TooLarge       Code = 1113
+	// Recorded means that the command changed the record of the instance.
+	Recorded Code = 1100
+	// Unchanged means that the record said the same already.
+	Unchanged Code = 1101
+	// Stale means that a later heartbeat was applied before; the record is unchanged.
+	Stale Code = 1102
+	// Gone means that the instance is removed and stays so; nothing is changed.
+	Gone Code = 1103
+	// Removed means that the command removed the instance.
+	Removed Code = 1104
+	// Malformed rejects a body that is not exactly one JSON object.
+	Malformed Code = 1110
+	// MissingField rejects a heartbeat without a required member.
+	MissingField Code = 1111
+	// InvalidField rejects a member with a value of the wrong type or out of its range.
+	InvalidField Code = 1112
+	// TooLarge rejects a body, a string or a list above its limit.
+	TooLarge Code = 1113
+	// InvalidCommand rejects a log entry that cannot be decoded.
 	InvalidCommand Code = 1114
-	NotOwner       Code = 1115
+	// NotOwner rejects a call to a server that does not own the instance's shard.
+	NotOwner Code = 1115
 )
 
-// CodeEntry is one line of the table of codes.
+// CodeEntry describes one code: its name, HTTP status and text.
 type CodeEntry = resultcode.Entry
 
-// Rejection tells why something is not taken. It is an error.
+// Rejection is the error of a heartbeat, a deregistration or a command that is not applied.
 type Rejection = resultcode.Rejection
 
 var codes = resultcode.NewTable([]CodeEntry{
@@ -43,8 +55,8 @@
 	{Code: NotOwner, Name: "not_owner", HTTPStatus: http.StatusServiceUnavailable, Text: "this process does not own the shard now"},
 }...)
 
-// Codes returns all codes in rising order.
+// Codes returns all codes in ascending order.
 func Codes() []CodeEntry { return codes.Entries() }
 
-// reject makes the refusal of a code; place tells which part of the input it concerns.
-func reject(code Code, place string) *Rejection { return codes.Reject(code, place) }
+// reject returns the rejection with a code; detail names the part of the input that it concerns.
+func reject(code Code, detail string) *Rejection { return codes.Reject(code, detail) }
--- a/internal/controlplane/registry/command.go
+++ b/internal/controlplane/registry/command.go
@@ -8,37 +8,58 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Reason tells why an instance was removed.
+// Reason is why an instance was removed. Its values are part of the stored commands and snapshots.
 type Reason uint8
 
+// Reasons of a removal. All but Expired are final: no heartbeat registers the instance again.
 const (
-	Deregistered    Reason = 1 // it said so; final
-	Expired         Reason = 2 // it fell silent; a later heartbeat brings it back
-	Superseded      Reason = 3 // another instance has its address; final
-	NeverRegistered Reason = 4 // it said that it goes before any heartbeat of it came; final
+	// Deregistered instances asked for their removal.
+	Deregistered Reason = 1
+	// Expired instances sent no heartbeat for the time-out; a later heartbeat registers them again.
+	Expired Reason = 2
+	// Superseded instances had an address under which another instance has registered.
+	Superseded Reason = 3
+	// NeverRegistered instances deregistered before any heartbeat of theirs arrived.
+	NeverRegistered Reason = 4
 )
 
-// final tells whether heartbeats no longer bring the instance back.
+// String returns the name of the reason.
+func (r Reason) String() string {
+	switch r {
+	case Deregistered:
+		return "deregistered"
+	case Expired:
+		return "expired"
+	case Superseded:
+		return "superseded"
+	case NeverRegistered:
+		return "never registered"
+	default:
+		return "unknown"
+	}
+}
+
+// final reports whether heartbeats no longer register the instance again.
 func (r Reason) final() bool { return r != Expired }
 
-// operation numbers what a command does.
+// operation is what a command does. Its values are part of the log.
 type operation int
 
 const (
 	operationPut    operation = 1
 	operationRemove operation = 2
-	operationAssign operation = 3 // the stage of the command is the one that the fleet wants of the instance
-	operationStage  operation = 4 // the stage of the command is the one that the instance has been found to have
+	operationAssign operation = 3 // records the command's stage as the one assigned to the instance
+	operationStage  operation = 4 // records the command's stage as the one that the instance has
 )
 
 const (
 	commandFormat    = 1
-	maxArrayElements = 1 << 17 // elements of an array that is read from the log or a snapshot
+	maxArrayElements = 1 << 17 // limit for an array that is decoded from the log or a snapshot
 )
 
 var codec = avro.Config{MaxSliceAllocSize: maxArrayElements}.Freeze()
 
-// The schemas of instances; a command holds one with its operation's fields.
+// instanceFields are the schema's fields of an instance. A command has them beside those of its operation.
 const instanceFields = `
 	{"name":"id","type":"string"},
 	{"name":"service","type":"string"},
@@ -56,7 +77,7 @@
 var (
 	itemSchema = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `,
 	{"name":"assigned","type":"string"}]}`)
-	itemSchemaV1  = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `]}`) // of snapshots of format 1
+	itemSchemaV1  = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `]}`) // in snapshots of format 1
 	commandSchema = avro.MustParse(`{"type":"record","name":"registry_command","fields":[
 	{"name":"format","type":"int"},
 	{"name":"operation","type":"int"},
@@ -85,10 +106,10 @@
 	instanceRecord
 }
 
-// command is what was decoded.
+// command is a decoded command. Which fields are set depends on its operation.
 type command struct {
 	operation operation
-	instance  Instance // only its ID where it is removed
+	instance  Instance // a removal has the ID alone, the stage operations the ID and the stage
 	sequence  uint64
 	reason    Reason
 }
@@ -123,7 +144,7 @@
 	}
 }
 
-// EncodePut returns the command that records an instance as its heartbeat of that sequence told.
+// EncodePut returns the command that records an instance as its heartbeat with that sequence reported it.
 func EncodePut(instance Instance, sequence uint64) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
@@ -133,8 +154,7 @@
 	})
 }
 
-// EncodeRemove returns the command that removes an instance whose last known heartbeat had that
-// sequence; 0 where it is not known.
+// EncodeRemove returns the command that removes an instance; sequence is that of its last known heartbeat, or 0.
 func EncodeRemove(id string, reason Reason, sequence uint64) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
@@ -145,7 +165,7 @@
 	})
 }
 
-// EncodeAssign returns the command that records which stage the fleet wants of an instance; empty: none.
+// EncodeAssign returns the command that assigns a stage to an instance; an empty stage withdraws the assignment.
 func EncodeAssign(id, stage string) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
@@ -154,7 +174,7 @@
 	})
 }
 
-// EncodeStage returns the command that records the stage that an instance has been found to have.
+// EncodeStage returns the command that records the stage that an instance has reported when it was polled.
 func EncodeStage(id, stage string) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
@@ -186,10 +206,10 @@
 	return decoded, nil
 }
 
-// EncodeItem returns the feed's value of an instance.
+// EncodeItem returns the value of an instance's item in the feed.
 func EncodeItem(instance Instance) []byte { return mustMarshal(itemSchema, recordOf(instance)) }
 
-// DecodeItem reads what EncodeItem wrote. The error is a *Refusal.
+// DecodeItem decodes what EncodeItem returned. The error is a *Rejection with InvalidCommand.
 func DecodeItem(value []byte) (Instance, error) { return decodeItem(itemSchema, value) }
 
 func decodeItem(schema avro.Schema, value []byte) (Instance, error) {
@@ -203,7 +223,7 @@
 	return record.instance(), nil
 }
 
-// mustMarshal writes a record of this package's own schemas, which cannot fail.
+// mustMarshal encodes a record of this package with its own schema, which cannot fail.
 func mustMarshal(schema avro.Schema, record any) []byte {
 	encoded, err := codec.Marshal(schema, record)
 	if err != nil {
--- a/internal/controlplane/registry/departure_test.go
+++ b/internal/controlplane/registry/departure_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-// TestLivenessTracker_lateHeartbeatsDoNotRevive has an instance leave in each way that ends for good, and every word that it sent before come late:
+// TestLivenessTracker_lateHeartbeatsDoNotRevive removes an instance in each final way and delivers every heartbeat that it sent before late:
 // to the same owner, to a new one, and after a restart from a snapshot.
 func TestLivenessTracker_lateHeartbeatsDoNotRevive(t *testing.T) {
 	ready := worker(1)
 	draining := ready
 	draining.State = Draining
 	ways := map[string]func(s *shard){
-		"drains, then leaves": func(s *shard) {
+		"drains, then deregisters": func(s *shard) {
 			s.heartbeat(ready, 1)
 			s.heartbeat(draining, 6)
 			s.deregister(ready.ID)
 		},
-		"leaves without draining": func(s *shard) {
+		"deregisters without draining": func(s *shard) {
 			s.heartbeat(ready, 1)
 			s.heartbeat(ready, 5)
 			s.deregister(ready.ID)
 		},
-		"leaves before it is heard": func(s *shard) { s.deregister(ready.ID) },
-		"leaves after it fell silent": func(s *shard) {
+		"deregisters before it is heard": func(s *shard) { s.deregister(ready.ID) },
+		"deregisters after it expired": func(s *shard) {
 			s.register(workers(4))
 			s.heartbeat(ready, 1)
 			s.advance(2*expiryTimeout, worker(0), worker(2), worker(3))
@@ -53,9 +53,9 @@
 			leave(s)
 			then(s)
 			for _, sequence := range []uint64{0, 1, 3, 5, 6, 7, 99} {
-				for _, word := range []Instance{ready, draining} {
-					s.heartbeat(word, sequence)
-					s.tracker.RemoteHeartbeat(s.now, word.ID, sequence)
+				for _, late := range []Instance{ready, draining} {
+					s.heartbeat(late, sequence)
+					s.tracker.RemoteHeartbeat(s.now, late.ID, sequence)
 				}
 			}
 			if s.store.Instance(ready.ID) != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain drains an instance and lets words come that it sent before, also to a new owner.
+// TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain drains an instance and delivers earlier heartbeats late, also to a new owner.
 func TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain(t *testing.T) {
 	draining := worker(1)
 	draining.State = Draining
@@ -87,36 +87,36 @@
 	}
 }
 
-// TestLivenessTracker_reorderedHeartbeatsConverge draws orders in which the words of one instance come, each possibly twice, with changes of the
-// owner between them, and checks that the last word holds.
+// TestLivenessTracker_reorderedHeartbeatsConverge delivers the heartbeats of one instance in random order, each possibly twice, with changes of the
+// owner between them, and checks that the record agrees with the last heartbeat.
 func TestLivenessTracker_reorderedHeartbeatsConverge(t *testing.T) {
 	for seed := range int64(500) {
 		random := rand.New(rand.NewSource(seed))
 		s := newShard()
 		s.gain()
 		states := []State{Ready, Ready, Ready, Draining, Draining}
-		leaves := random.Intn(2) == 0
-		words := append(random.Perm(len(states)), random.Perm(len(states))...)
-		departure := random.Intn(len(words))
-		for position, number := range words {
-			if leaves && position == departure {
+		deregisters := random.Intn(2) == 0
+		order := append(random.Perm(len(states)), random.Perm(len(states))...)
+		departure := random.Intn(len(order))
+		for position, number := range order {
+			if deregisters && position == departure {
 				s.deregister(worker(1).ID)
 			}
-			word := worker(1)
-			word.State = states[number]
-			s.heartbeat(word, uint64(number+1))
+			late := worker(1)
+			late.State = states[number]
+			s.heartbeat(late, uint64(number+1))
 			if random.Intn(4) == 0 {
 				s.gain()
 			}
 		}
 		current := s.store.Instance(worker(1).ID)
-		if leaves && current != nil || !leaves && (current == nil || current.State != Draining) {
-			t.Fatal(fmt.Sprintf("seed %d: leaves %v, order %v:", seed, leaves, words), current)
+		if deregisters && current != nil || !deregisters && (current == nil || current.State != Draining) {
+			t.Fatal(fmt.Sprintf("seed %d: deregisters %v, order %v:", seed, deregisters, order), current)
 		}
 	}
 }
 
-// TestStore_Knows_afterDeregistration tells departures of known instances from those of unknown ones.
+// TestStore_Knows_afterDeregistration distinguishes deregistrations of known and of unknown instances.
 func TestStore_Knows_afterDeregistration(t *testing.T) {
 	s := newShard()
 	s.gain()
@@ -133,6 +133,6 @@
 	s.apply(EncodeRemove("i03", Expired, 1))
 	s.apply(EncodeRemove("i03", NeverRegistered, 0))
 	if !s.store.Knows("i03") || !s.store.Removed("i03") {
-		t.Fatal("one that fell silent had a record")
+		t.Fatal("an expired instance had a record")
 	}
 }
--- a/internal/controlplane/registry/expiry.go
+++ b/internal/controlplane/registry/expiry.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// expiryCandidates sorts the instances of one service for the expiry.
+// expiryCandidates are the registered instances of one service, by what their expiry depends on. The lists hold IDs of
+// instances without a heartbeat for the time-out.
 type expiryCandidates struct {
-	ready         int      // ready, registered, and not being removed
-	timedOut      []string // of those, the ones not heard for a span
-	draining      []string // draining ones not heard for a span
-	stuckRemovals []string // removals that were proposed a span ago and are not applied
+	ready         int      // ready instances whose removal is not pending, timed out or not
+	timedOut      []string // those of them that timed out
+	draining      []string // draining instances that timed out
+	stuckRemovals []string // instances whose removal was proposed a time-out ago and is not applied
 }
 
-// Expired returns the commands to propose for instances that fell silent. It is to be called
+// Expired returns the removals to propose for instances that have sent no heartbeat for the time-out. It must be called
 // several times in each StallGap.
 //
-// Of the ready instances of a service at most half expire within ShareWindow. Where more are
-// silent, none of them expires: the fault may be on this side. Draining instances, which are not
-// sent to, expire regardless.
+// At most half of the ready instances of a service expire within ExpiryWindow. Where more have timed out, none of them
+// expires, since the fault may be on the side of this server. Draining instances expire regardless: they get no requests.
 func (t *LivenessTracker) Expired(now time.Time) [][]byte {
 	if !t.owned {
 		return nil
@@ -42,7 +42,7 @@
 	return commands
 }
 
-// classifyInstances sorts all instances and forgets those that were never recorded.
+// classifyInstances groups the registered instances by service, and drops timed-out ones that were never recorded.
 func (t *LivenessTracker) classifyInstances(now time.Time) map[string]*expiryCandidates {
 	byService := map[string]*expiryCandidates{}
 	for id, liveness := range t.instances {
@@ -63,7 +63,7 @@
 	return byService
 }
 
-// classify puts one registered instance in its place.
+// classify adds one registered instance to the candidates of its service.
 func (t *LivenessTracker) classify(now time.Time, id string, liveness *instanceLiveness, timedOut bool, into *expiryCandidates) {
 	switch {
 	case liveness.removalPending:
@@ -82,7 +82,7 @@
 	}
 }
 
-// selectExpired returns the IDs of a service to remove, and notes that their removal is proposed.
+// selectExpired returns the sorted IDs of a service's instances to remove, and marks their removal as pending.
 func (t *LivenessTracker) selectExpired(now time.Time, service string, candidates *expiryCandidates) []string {
 	recentCount := t.countRecentExpiries(now, service)
 	chosen := append(candidates.draining, candidates.stuckRemovals...)
@@ -99,7 +99,7 @@
 	return chosen
 }
 
-// countRecentExpiries returns how many instances of a service expired within the window.
+// countRecentExpiries returns how many instances of a service expired within ExpiryWindow.
 func (t *LivenessTracker) countRecentExpiries(now time.Time, service string) int {
 	times := t.recentExpiries[service]
 	for id, at := range times {
@@ -110,7 +110,7 @@
 	return len(times)
 }
 
-// noteExpiries notes the expiry of instances of a service.
+// noteExpiries records when the removal of a service's instances was proposed.
 func (t *LivenessTracker) noteExpiries(now time.Time, service string, ids []string) {
 	if len(ids) == 0 {
 		return
--- a/internal/controlplane/registry/expiry_test.go
+++ b/internal/controlplane/registry/expiry_test.go
@@ -34,8 +34,8 @@
 		time.Second:            4 * time.Second,
 		3 * time.Second:        12 * time.Second,
 	} {
-		if owner := NewLivenessTracker(heartbeat, LivenessOptions{}); owner.timeout != expected {
-			t.Errorf("%v: %v", heartbeat, owner.timeout)
+		if tracker := NewLivenessTracker(heartbeat, LivenessOptions{}); tracker.timeout != expected {
+			t.Errorf("%v: %v", heartbeat, tracker.timeout)
 		}
 	}
 }
@@ -67,15 +67,15 @@
 	s.advance(expiryTimeout, list...)
 	s.now = s.now.Add(time.Minute)
 	if s.expire() != 0 {
-		t.Fatal("expired on waking")
+		t.Fatal("expired right after the stall")
 	}
 	s.advance(expiryTimeout-tick, list[1:]...)
 	if len(s.store.Instances("")) != 4 {
-		t.Fatal("expired within the span")
+		t.Fatal("expired within the time-out")
 	}
 	s.advance(tick, list[1:]...)
 	if len(s.store.Instances("")) != 3 {
-		t.Fatal("the silent one did not expire after the span")
+		t.Fatal("it did not expire after the time-out")
 	}
 }
 
@@ -171,7 +171,7 @@
 	s.stalled = true
 	s.advance(expiryTimeout, list[1:]...)
 	if s.expire() != 0 {
-		t.Fatal("proposed twice within a span")
+		t.Fatal("proposed twice within the time-out")
 	}
 	s.stalled = false
 	s.advance(expiryTimeout, list[1:]...)
@@ -190,7 +190,7 @@
 	s.advance(expiryTimeout, list[1:]...)
 	s.stalled = false
 	if action, code := s.heartbeat(list[0], 0); action != Propose || code != Unchanged {
-		t.Fatal("while its removal is under way a beat must be an entry", action, code)
+		t.Fatal("a heartbeat during a pending removal must be an entry", action, code)
 	}
 	s.advance(2*expiryTimeout, list...)
 	if action, _ := s.heartbeat(list[0], 0); action != Acknowledge || s.store.Instance("i00") == nil {
@@ -207,29 +207,29 @@
 	}
 	s.now = s.now.Add(tick)
 	if s.expire() != 0 {
-		t.Fatal("it took the fall for a gap")
+		t.Fatal("a decreasing clock was taken for a stall")
 	}
 }
 
 func TestLivenessTracker_Expired_atMostHalfPerWindow(t *testing.T) {
 	total := 0
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 7))
-	properties.Property("whoever falls silent when", prop.ForAll(
-		func(count int, silences []uint16) bool {
+	properties.Property("at most half of a service expires within the window", prop.ForAll(
+		func(count int, stops []uint16) bool {
 			s := newShard()
 			s.gain()
 			list := workers(count)
 			s.register(list)
-			silentFrom := map[int]time.Time{}
-			for position, silence := range silences {
+			stoppedAt := map[int]time.Time{}
+			for position, stop := range stops {
 				number := position % count
-				silentFrom[number] = s.now.Add(time.Duration(silence%300) * tick)
+				stoppedAt[number] = s.now.Add(time.Duration(stop%300) * tick)
 			}
 			var gone []time.Time
 			for round := 0; round < 400; round++ {
 				s.now = s.now.Add(tick)
 				for number, instance := range list {
-					if from, silent := silentFrom[number]; !silent || s.now.Before(from) {
+					if from, stopped := stoppedAt[number]; !stopped || s.now.Before(from) {
 						s.heartbeat(instance, 0)
 					}
 				}
@@ -251,8 +251,8 @@
 				}
 			}
 			for number, instance := range list {
-				from, silent := silentFrom[number]
-				if (!silent || s.now.Before(from.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
+				from, stopped := stoppedAt[number]
+				if (!stopped || s.now.Before(from.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
 					return false
 				}
 			}
@@ -262,6 +262,6 @@
 	))
 	properties.TestingRun(t)
 	if total < 50 {
-		t.Fatalf("only %d expired: the property says little", total)
+		t.Fatalf("only %d expired: the property was hardly exercised", total)
 	}
 }
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -10,28 +10,27 @@
 	"ospreybend/internal/util/jsonfield"
 )
 
-// Bounds of what a heartbeat may tell.
+// Limits of the fields of a heartbeat.
 const (
 	maxBodyBytes   = 256 << 10 // bytes
 	maxNameBytes   = 256       // bytes of a name or an address
 	maxModels      = 1024
 	maxAdapters    = 4096 // of one model
 	maxNumber      = 1 << 40
-	reservedPrefix = "@" // of services that are the fleet's own
-	stateReady     = "ready"
+	reservedPrefix = "@" // of the names of the fleet's own services
 	minSlots       = 1
-	unnumbered     = 0
+	unnumbered     = 0 // sequence of a heartbeat without one
 )
 
-// Heartbeat is one heartbeat.
+// Heartbeat is one heartbeat: the record that the instance reports, and what is not replicated of it.
 type Heartbeat struct {
 	Instance
-	WarmUpRemainingMs int64  // it stays slow for so long; not replicated
-	Sequence          uint64 // rises with every call of the instance; 0: not numbered
+	WarmUpRemainingMs int64  // milliseconds for which the worker is still warming up; not replicated
+	Sequence          uint64 // rises with every call of the instance; unnumbered if it sends none
 }
 
-// ParseHeartbeat reads the body of a heartbeat of the instance id. Unknown fields are ignored; a state
-// that is not known counts as draining. The error is a *Refusal.
+// ParseHeartbeat parses the body of a heartbeat of the instance id. Unknown fields are ignored; an unknown state
+// counts as draining. The error is a *Rejection.
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
 	if len(body) > maxBodyBytes {
 		return Heartbeat{}, reject(TooLarge, "body")
@@ -51,8 +50,8 @@
 	return heartbeat, nil
 }
 
-// asRejection returns the refusal within err, or one that says what is wrong with a member, or that
-// the body cannot be read.
+// asRejection returns the rejection that err wraps. Any other error becomes a rejection: InvalidField for a member of
+// the wrong type, and Malformed for the rest.
 func asRejection(err error) *Rejection {
 	var rejection *Rejection
 	if errors.As(err, &rejection) {
@@ -92,7 +91,7 @@
 	}
 }
 
-// validateHeartbeat refuses what cannot be recorded.
+// validateHeartbeat returns why a heartbeat cannot be recorded, or nil.
 func validateHeartbeat(heartbeat Heartbeat) *Rejection {
 	if heartbeat.ID == "" {
 		return reject(MissingField, "id")
@@ -115,7 +114,7 @@
 	return nil
 }
 
-// readText reads a bounded string; null counts as empty.
+// readText reads a string of at most maxNameBytes; null counts as empty.
 func readText(decoder *jx.Decoder, key string, into *string) error {
 	if err := jsonfield.String(decoder, key, into); err != nil {
 		return err
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// readNumber reads a number and cuts off its fraction; null counts as 0.
+// readNumber reads a number and truncates its fraction; null counts as 0.
 func readNumber(decoder *jx.Decoder, key string) (int64, error) {
 	value := 0.0
 	if err := jsonfield.Number(decoder, key, &value); err != nil {
@@ -144,14 +143,14 @@
 	return err
 }
 
-// readWarmUpRemaining reads the time that is left; a negative one counts as 0.
+// readWarmUpRemaining reads the milliseconds that are left of a warm-up; a negative number counts as 0.
 func readWarmUpRemaining(decoder *jx.Decoder, key string, into *int64) error {
 	value, err := readNumber(decoder, key)
 	*into = max(value, 0)
 	return err
 }
 
-// readSequence reads a whole number of up to 63 bits; null counts as not numbered.
+// readSequence reads an integer of up to 63 bits; null counts as unnumbered.
 func readSequence(decoder *jx.Decoder, key string, into *uint64) error {
 	*into = unnumbered
 	if jsonfield.IsNull(decoder) {
@@ -168,7 +167,7 @@
 	return nil
 }
 
-// readState reads the state; what is not known is not sent to.
+// readState reads the state. An unknown one counts as draining, so that the instance is given no requests.
 func readState(decoder *jx.Decoder, key string, into *State) error {
 	text := ""
 	if err := readText(decoder, key, &text); err != nil {
--- a/internal/controlplane/registry/liveness.go
+++ b/internal/controlplane/registry/liveness.go
@@ -7,23 +7,41 @@
 	"ospreybend/coord/feed"
 )
 
-// Action tells what to do with a call.
+// Action is how the owner of a shard handles a call.
 type Action uint8
 
+// Actions of a Decision.
 const (
-	Acknowledge Action = 1 // answer 200 at once
-	Propose     Action = 2 // propose Command and answer with its outcome once it is applied
-	Reject      Action = 3 // answer with Refusal
+	// Acknowledge answers with status 200 at once, without a log entry.
+	Acknowledge Action = 1
+	// Propose proposes the decision's Command and answers with its outcome once it is applied.
+	Propose Action = 2
+	// Reject answers with the decision's Rejection.
+	Reject Action = 3
 )
 
-// Decision is what the owner of a shard does with one call.
+// String returns the name of the action.
+func (a Action) String() string {
+	switch a {
+	case Acknowledge:
+		return "acknowledge"
+	case Propose:
+		return "propose"
+	case Reject:
+		return "reject"
+	default:
+		return "unknown"
+	}
+}
+
+// Decision is what the owner of a shard does with one heartbeat or deregistration.
 type Decision struct {
 	Action    Action
-	Command   []byte
-	Rejection *Rejection
+	Command   []byte     // with Propose
+	Rejection *Rejection // with Reject
 }
 
-// Defaults of OwnerOptions.
+// Defaults of LivenessOptions.
 const (
 	defaultMissedHeartbeats = 4
 	defaultMinTimeout       = 4 * time.Second
@@ -31,12 +49,12 @@
 	defaultExpiryWindow     = 10 * time.Second
 )
 
-// LivenessOptions are the bounds of the expiry; a field that is 0 has its default.
+// LivenessOptions are the limits of the expiry; a field that is 0 has its default.
 type LivenessOptions struct {
-	MissedHeartbeats int           // heartbeats missed before an instance is removed: 4
-	MinTimeout       time.Duration // and at least: 4 s
-	StallGap         time.Duration // between two calls, above which the owner stood still: 1 s
-	ExpiryWindow     time.Duration // span in which at most half of a service's instances expire: 10 s
+	MissedHeartbeats int           // the time-out in heartbeat intervals; default 4
+	MinTimeout       time.Duration // lower bound of the time-out; default 4 s
+	StallGap         time.Duration // gap between two calls above which the process is taken to have stalled; default 1 s
+	ExpiryWindow     time.Duration // window in which at most half of a service's instances expire; default 10 s
 }
 
 func (o LivenessOptions) withDefaults() LivenessOptions {
@@ -55,32 +73,35 @@
 	return o
 }
 
-// instanceLiveness is what the owner knows of one instance.
+// instanceLiveness is the soft state of one instance.
 type instanceLiveness struct {
 	service           string
 	state             State
 	registered        bool      // the store has a record of it
-	lastHeartbeat     time.Time // when it was heard last, or its record was seen first
-	sequence          uint64    // the highest of its heartbeats
-	removalPending    bool      // its removal was proposed at proposed and not applied yet
+	lastHeartbeat     time.Time // when its last heartbeat arrived, or its record was first seen
+	sequence          uint64    // highest sequence of its heartbeats
+	removalPending    bool      // its removal was proposed and is not applied yet
 	removalProposedAt time.Time
 }
 
-// LivenessTracker is what the owner of a shard knows of its instances beside the replicated store: who was
-// heard when. It has no clock: now must come from the monotonic clock. Every entry that is applied
-// while the shard is owned is to be told by Applied. It is not safe for concurrent use.
+// LivenessTracker is the soft state of a shard's owner beside the replicated Store: when each instance was last heard.
+// Heartbeat and RemoteHeartbeat renew a registration, Expired finds those that have lapsed.
+//
+// All instants must come from one monotonic clock. Applied must be called with each entry that is applied while the shard
+// is owned. A LivenessTracker is not safe for concurrent use.
 type LivenessTracker struct {
-	options        LivenessOptions
-	timeout        time.Duration // of silence, after which an instance is removed
-	owned          bool
-	lastCallAt     time.Time
-	graceUntil     time.Time // nothing expires before
-	instances      map[string]*instanceLiveness
-	recentExpiries map[string]map[string]time.Time // service, ID: when its removal was proposed
+	options    LivenessOptions
+	timeout    time.Duration // without a heartbeat, after which an instance is removed
+	owned      bool
+	lastCallAt time.Time
+	graceUntil time.Time // nothing expires before
+
+	instances      map[string]*instanceLiveness    // by ID
+	recentExpiries map[string]map[string]time.Time // by service and ID: when the removal was proposed
 }
 
-// NewLivenessTracker returns an owner that does not own its shard yet. heartbeat is the time between two
-// heartbeats of an instance.
+// NewLivenessTracker returns the tracker of a shard that is not owned yet. heartbeat is the interval at which instances
+// send heartbeats.
 func NewLivenessTracker(heartbeat time.Duration, options LivenessOptions) *LivenessTracker {
 	options = options.withDefaults()
 	timeout := max(time.Duration(options.MissedHeartbeats)*heartbeat, options.MinTimeout)
@@ -89,7 +110,8 @@
 	return tracker
 }
 
-// OwnershipGained starts the ownership with the instances of the store: each is given a full span.
+// OwnershipGained starts the ownership with the instances of the store. Each of them is given a full time-out, since the
+// heartbeats that the previous owner received are unknown.
 func (t *LivenessTracker) OwnershipGained(now time.Time, instances []Instance) {
 	t.OwnershipLost()
 	t.owned = true
@@ -105,15 +127,15 @@
 	}
 }
 
-// OwnershipLost ends the ownership and forgets all.
+// OwnershipLost ends the ownership and drops all state.
 func (t *LivenessTracker) OwnershipLost() {
 	t.owned = false
 	t.instances = map[string]*instanceLiveness{}
 	t.recentExpiries = map[string]map[string]time.Time{}
 }
 
-// advanceClock notes a call. After a gap in which the owner stood still everyone has a full span again.
-// It returns the time that is decided by, which never falls.
+// advanceClock records a call. After a gap above StallGap the process itself had stalled, and all instances are given a
+// full time-out again. It returns the instant to decide by, which never decreases.
 func (t *LivenessTracker) advanceClock(now time.Time) time.Time {
 	if now.Before(t.lastCallAt) {
 		return t.lastCallAt
@@ -125,8 +147,9 @@
 	return now
 }
 
-// Heartbeat decides on a heartbeat; known is the store's record of that instance, or nil. A heartbeat
-// of NodesService is taken as not numbered, since several processes send them.
+// Heartbeat renews the registration of an instance. It proposes a command where the heartbeat differs from known, the
+// store's record of the instance or nil, and otherwise acknowledges at once. Heartbeats of NodesService count as
+// unnumbered, since several processes send them.
 func (t *LivenessTracker) Heartbeat(now time.Time, heartbeat Heartbeat, known *Instance) Decision {
 	if !t.owned {
 		return Decision{Action: Reject, Rejection: reject(NotOwner, "")}
@@ -147,7 +170,7 @@
 	liveness.sequence = max(liveness.sequence, heartbeat.Sequence)
 	liveness.registered = liveness.registered || known != nil
 	if liveness.removalPending && now.Sub(liveness.removalProposedAt) >= t.timeout {
-		liveness.removalPending = false // the removal came to nothing
+		liveness.removalPending = false // the proposal was lost
 	}
 	if known != nil && !liveness.removalPending && SameRecord(*known, heartbeat.Instance) {
 		return Decision{Action: Acknowledge}
@@ -155,14 +178,15 @@
 	return Decision{Action: Propose, Command: EncodePut(heartbeat.Instance, heartbeat.Sequence)}
 }
 
-// needsEntry tells whether a late heartbeat says what its acknowledgement would promise and the store does not have yet:
-// that the instance is registered, or that it is draining. The later heartbeat's entry may still be lost.
+// needsEntry reports whether a late heartbeat must be proposed nonetheless: its acknowledgement would promise that the
+// instance is registered, or draining, and the store does not have that yet. The entry of the later heartbeat may be lost.
 func needsEntry(heartbeat Heartbeat, known *Instance) bool {
 	return known == nil || heartbeat.State == Draining && known.State != Draining
 }
 
-// RemoteHeartbeat notes a heartbeat that another keeper has acknowledged, since it changes nothing. One of an instance that is not
-// recorded, or is being removed, says nothing: the instance's next heartbeat comes to the owner.
+// RemoteHeartbeat renews the registration of an instance whose heartbeat another server has acknowledged, since it agrees
+// with the replicated record. It has no effect for an instance that is not recorded or is being removed: that instance's
+// next heartbeat is forwarded to the owner.
 func (t *LivenessTracker) RemoteHeartbeat(now time.Time, id string, sequence uint64) {
 	liveness := t.instances[id]
 	if !t.owned || liveness == nil || liveness.removalPending {
@@ -176,7 +200,8 @@
 	liveness.sequence = max(liveness.sequence, sequence)
 }
 
-// SameRecord tells whether two records say the same; an empty list is like none.
+// SameRecord reports whether two records agree in all that heartbeats report; a nil list equals an empty one. Assigned is
+// not compared.
 func SameRecord(left, right Instance) bool {
 	sameModels := slices.EqualFunc(left.Models, right.Models, func(one, other Model) bool {
 		return one.Name == other.Name && one.Generation == other.Generation && slices.Equal(one.Adapters, other.Adapters)
@@ -192,8 +217,8 @@
 		left.Stage == right.Stage
 }
 
-// Deregister decides on a departure; known tells whether the store knows the instance. One of an instance that is not
-// known costs an entry too: an owner that has been replaced may not know it, and a heartbeat may come late.
+// Deregister proposes the removal of an instance; known reports whether the store knows it. The removal of an unknown
+// instance is proposed too: an owner that has been replaced may not know it, and its heartbeat may still arrive.
 func (t *LivenessTracker) Deregister(now time.Time, id string, known bool) Decision {
 	if !t.owned {
 		return Decision{Action: Reject, Rejection: reject(NotOwner, "")}
@@ -210,7 +235,7 @@
 	return Decision{Action: Propose, Command: EncodeRemove(id, Deregistered, sequence)}
 }
 
-// Applied follows what was applied to the store while the shard is owned.
+// Applied updates the tracker by a change that was applied to the store while the shard is owned.
 func (t *LivenessTracker) Applied(now time.Time, change feed.Change) {
 	if !t.owned {
 		return
@@ -222,13 +247,13 @@
 	for _, item := range change.Put {
 		instance, err := DecodeItem(item.Value)
 		if err != nil {
-			continue // the store itself wrote it: it can only be of another form
+			continue // the store encoded it itself: only a later format can be the cause
 		}
 		t.noteRecord(now, instance)
 	}
 }
 
-// noteRecord notes that the store has a new record of an instance.
+// noteRecord marks an instance as registered by a new record of the store.
 func (t *LivenessTracker) noteRecord(now time.Time, instance Instance) {
 	liveness := t.instances[instance.ID]
 	if liveness == nil {
--- a/internal/controlplane/registry/liveness_test.go
+++ b/internal/controlplane/registry/liveness_test.go
@@ -14,7 +14,7 @@
 	tick              = 200 * time.Millisecond
 )
 
-// shard plays the owner with its store: what is proposed is applied at once, unless held is set.
+// shard simulates the owner with its store: commands are applied as soon as they are proposed, unless stalled is set.
 type shard struct {
 	store    *Store
 	tracker  *LivenessTracker
@@ -57,7 +57,7 @@
 	return s.decide(s.tracker.Deregister(s.now, id, s.store.Knows(id)))
 }
 
-// advance lets time pass in ticks; each one heartbeats those that are alive and expires others.
+// advance lets time pass in ticks; at each one, alive instances send heartbeats and others may expire.
 func (s *shard) advance(duration time.Duration, alive ...Instance) {
 	for end := s.now.Add(duration); s.now.Before(end); {
 		s.now = s.now.Add(tick)
@@ -68,7 +68,7 @@
 	}
 }
 
-// expire applies what expires now and returns how many that were.
+// expire applies the removals that are due and returns their number.
 func (s *shard) expire() int {
 	commands := s.tracker.Expired(s.now)
 	for _, command := range commands {
@@ -123,11 +123,11 @@
 		}
 	}
 	if s.store.Instance(instance.ID).State != Draining {
-		t.Fatal("a late beat made it ready")
+		t.Fatal("a late heartbeat made it ready")
 	}
 }
 
-// An acknowledgement promises what the heartbeat says, so a late one waits for its entry while the later one's is under way.
+// An acknowledgement promises what the heartbeat reports, so a late one needs an entry while the later one is not applied.
 func TestLivenessTracker_Heartbeat_lateWaitsForEntry(t *testing.T) {
 	s := newShard()
 	s.gain()
--- a/internal/controlplane/registry/remote_heartbeat_test.go
+++ b/internal/controlplane/registry/remote_heartbeat_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// remoteHeartbeat tells the owner that another keeper has heard instances, with heartbeats of a number.
+// remoteHeartbeat reports to the tracker that another server has acknowledged heartbeats with a sequence.
 func (s *shard) remoteHeartbeat(sequence uint64, ids ...string) {
 	for _, id := range ids {
 		s.tracker.RemoteHeartbeat(s.now, id, sequence)
@@ -19,7 +19,7 @@
 		s.remoteHeartbeat(unnumbered, list[0].ID)
 	}
 	if len(s.store.Instances("")) != 4 {
-		t.Fatal("an instance that another keeper hears has expired")
+		t.Fatal("an instance that another server hears has expired")
 	}
 	s.advance(expiryTimeout, list[1:]...)
 	if s.store.Instance(list[0].ID) != nil {
--- a/internal/controlplane/registry/snapshot.go
+++ b/internal/controlplane/registry/snapshot.go
@@ -9,10 +9,10 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// ErrSnapshot is wrapped by what Restore returns for bytes that it cannot read.
+// ErrSnapshot is wrapped by the errors of Restore for bytes that it cannot decode.
 var ErrSnapshot = errors.New("registry: the snapshot cannot be read")
 
-// Formats of a snapshot. Instances of the earlier one have no assigned stage; it is read and no longer written.
+// Formats of a snapshot. Format 1, whose instances have no assigned stage, is read and no longer written.
 const (
 	snapshotFormatV1 = 1
 	snapshotFormat   = 2
@@ -47,7 +47,7 @@
 	Tombstones []tombstoneRecord  `avro:"tombstones"`
 }
 
-// Snapshot returns the whole state; equal states give equal bytes.
+// Snapshot returns the complete state; equal states give equal bytes.
 func (s *Store) Snapshot() []byte {
 	state := snapshotRecord{Format: snapshotFormat}
 	for _, id := range s.sortedIDs() {
@@ -66,8 +66,7 @@
 	return mustMarshal(snapshotSchema, state)
 }
 
-// Restore replaces the state by what Snapshot returned. The error wraps ErrSnapshot; the state is
-// as before then.
+// Restore replaces the state by that of a snapshot. The error wraps ErrSnapshot; the state is unchanged then.
 func (s *Store) Restore(snapshot []byte) error {
 	if len(snapshot) == 0 {
 		return fmt.Errorf("%w: it is empty", ErrSnapshot)
--- a/internal/controlplane/registry/store.go
+++ b/internal/controlplane/registry/store.go
@@ -7,36 +7,36 @@
 	"ospreybend/coord/feed"
 )
 
-// maxTombstones bounds how many removed instances are remembered.
+// maxTombstones limits the tombstones of a shard; beyond it the oldest are dropped.
 const maxTombstones = 2048
 
-// Outcome is what became of one command. The caller is answered with Status.
+// Outcome is the result of one command, as its caller is answered.
 type Outcome struct {
-	Status int // of HTTP
+	Status int // HTTP status
 	Code   Code
 	Text   string
 }
 
-// record is an instance as it is replicated. It never changes but for its sequence.
+// record is the replicated record of an instance. It is immutable but for its sequence.
 type record struct {
 	instance *Instance
-	value    []byte // for the feed
-	sequence uint64 // of the latest heartbeat that was an entry
+	value    []byte // its value in the feed
+	sequence uint64 // of the latest heartbeat that was applied
 }
 
-// tombstone remembers a removed instance.
+// tombstone is what remains of a removed instance, so that its late heartbeats are recognized.
 type tombstone struct {
 	reason   Reason
 	draining bool
 	sequence uint64 // of the latest heartbeat that was known
 }
 
-// tombstone returns what is remembered of a record once it is removed.
+// tombstone returns the tombstone of a record that is removed.
 func (r *record) tombstone(reason Reason) tombstone {
 	return tombstone{reason: reason, draining: r.instance.State == Draining, sequence: r.sequence}
 }
 
-// Store is the replicated list of instances of one shard. It is not safe for concurrent use.
+// Store is the replicated state of the instances of one shard. It is not safe for concurrent use.
 type Store struct {
 	records        map[string]*record
 	byAddress      map[string]string // ID of the instance at an address
@@ -53,8 +53,8 @@
 	}
 }
 
-// Apply carries out a committed command. It is deterministic. The change has the given index, and
-// is empty where nothing changed.
+// Apply applies the committed command at an index of the log. It is deterministic. The change is for the feed and is
+// empty where the command changed nothing.
 func (s *Store) Apply(index uint64, encoded []byte) (Outcome, feed.Change) {
 	change := feed.Change{Index: index}
 	decoded, rejection := decodeCommand(encoded)
@@ -82,13 +82,13 @@
 	return Outcome{Status: entry.HTTPStatus, Code: code, Text: entry.Text}
 }
 
-// put records an instance unless a later word of it is known.
+// put records an instance unless a later heartbeat or its removal was applied before.
 func (s *Store) put(instance Instance, sequence uint64, change *feed.Change) Code {
 	if code, stale := s.checkStale(instance, sequence); stale {
 		return code
 	}
 	current := s.records[instance.ID]
-	if current != nil { // heartbeats know nothing of it
+	if current != nil { // heartbeats do not carry the assigned stage
 		instance.Assigned = current.instance.Assigned
 	}
 	value := EncodeItem(instance)
@@ -96,7 +96,7 @@
 		current.sequence = max(current.sequence, sequence)
 		return Unchanged
 	}
-	// A word that is not numbered leaves the number that earlier words are told by.
+	// An unnumbered heartbeat keeps the sequence by which late heartbeats are recognized.
 	sequence = max(sequence, s.tombstones[instance.ID].sequence)
 	if current != nil {
 		sequence = max(sequence, current.sequence)
@@ -109,7 +109,7 @@
 	return Recorded
 }
 
-// update changes a part of an instance's record, if there is one.
+// update applies mutate to a copy of an instance's record, if there is one.
 func (s *Store) update(id string, change *feed.Change, mutate func(*Instance)) Code {
 	current := s.records[id]
 	if current == nil {
@@ -126,9 +126,8 @@
 	return Recorded
 }
 
-// checkStale tells whether a heartbeat changes nothing: its instance is gone for good, or what is
-// known of it is newer. Of NodesService every word counts: its heartbeats have no order and an ID
-// may start again.
+// checkStale reports whether a heartbeat changes nothing, and the code then: its instance is removed for good, or a newer
+// heartbeat was applied. Every heartbeat of NodesService counts, as they have no order and an ID may start again.
 func (s *Store) checkStale(instance Instance, sequence uint64) (Code, bool) {
 	if instance.Service == NodesService {
 		return Recorded, false
@@ -150,7 +149,7 @@
 	return Recorded, false
 }
 
-// checkTombstone tells whether a heartbeat leaves a removed instance removed.
+// checkTombstone reports whether a heartbeat leaves a removed instance removed, and the code then.
 func (s *Store) checkTombstone(instance Instance, sequence uint64, removed tombstone) (Code, bool) {
 	if removed.reason.final() {
 		return Gone, true
@@ -167,7 +166,7 @@
 	return Recorded, false
 }
 
-// evictAddress removes the instance that had an address which is used again.
+// evictAddress removes the instance whose address another instance registers with.
 func (s *Store) evictAddress(address string, change *feed.Change) {
 	id, taken := s.byAddress[address]
 	if !taken {
@@ -179,7 +178,7 @@
 	change.Delete = append(change.Delete, id)
 }
 
-// remove removes an instance, or only remembers that it is gone.
+// remove removes an instance, or records the removal of one that is not registered.
 func (s *Store) remove(decoded command, change *feed.Change) Code {
 	id := decoded.instance.ID
 	current := s.records[id]
@@ -188,7 +187,7 @@
 	}
 	numbered := decoded.sequence != unnumbered
 	if decoded.reason == Expired && numbered && decoded.sequence < current.sequence {
-		return Stale // it was heard after the removal was proposed
+		return Stale // a heartbeat was applied after the removal had been proposed
 	}
 	removed := current.tombstone(decoded.reason)
 	removed.sequence = max(removed.sequence, decoded.sequence)
@@ -198,7 +197,7 @@
 	return Removed
 }
 
-// finalizeRemoval makes the removal of an instance that is not there final where it is meant so.
+// finalizeRemoval makes the removal of an instance without a record final, if the command's reason is final.
 func (s *Store) finalizeRemoval(id string, decoded command) Code {
 	removed, found := s.tombstones[id]
 	if found && removed.reason.final() || !decoded.reason.final() {
@@ -206,7 +205,7 @@
 	}
 	removed.reason = decoded.reason
 	if found && decoded.reason == NeverRegistered {
-		removed.reason = Deregistered // it had a record here once
+		removed.reason = Deregistered // the tombstone shows that it had a record
 	}
 	removed.sequence = max(removed.sequence, decoded.sequence)
 	s.dropTombstone(id)
@@ -229,7 +228,7 @@
 	}
 }
 
-// addTombstone remembers a removed instance and forgets the oldest beyond the bound.
+// addTombstone adds a tombstone and drops the oldest one beyond maxTombstones.
 func (s *Store) addTombstone(id string, removed tombstone) {
 	s.tombstones[id] = removed
 	s.tombstoneOrder = append(s.tombstoneOrder, id)
@@ -239,7 +238,7 @@
 	}
 }
 
-// dropTombstone forgets that an instance was removed.
+// dropTombstone removes the tombstone of an instance, if there is one.
 func (s *Store) dropTombstone(id string) {
 	if _, found := s.tombstones[id]; !found {
 		return
@@ -253,7 +252,7 @@
 	}
 }
 
-// Instance returns a record that nobody may write to, or nil.
+// Instance returns the record of an instance, or nil. The caller must not modify it.
 func (s *Store) Instance(id string) *Instance {
 	current := s.records[id]
 	if current == nil {
@@ -262,7 +261,7 @@
 	return current.instance
 }
 
-// Instances returns the instances of a service in the order of their IDs, of all for "".
+// Instances returns the instances of a service, or of all services for "", sorted by ID.
 func (s *Store) Instances(service string) []Instance {
 	instances := []Instance{}
 	for _, id := range s.sortedIDs() {
@@ -274,19 +273,19 @@
 	return instances
 }
 
-// Removed tells whether an instance is gone for good, so that its heartbeats change nothing.
+// Removed reports whether an instance is removed for good, so that its heartbeats change nothing.
 func (s *Store) Removed(id string) bool {
 	removed, found := s.tombstones[id]
 	return found && removed.reason.final()
 }
 
-// Knows tells whether an instance has, or had, a record here: its heartbeats come to this shard and to no other.
+// Knows reports whether an instance has, or had, a record in this shard, to which its heartbeats belong then.
 func (s *Store) Knows(id string) bool {
 	removed, found := s.tombstones[id]
 	return s.records[id] != nil || found && removed.reason != NeverRegistered
 }
 
-// Items returns the feed's items, sorted by key (the instance's ID).
+// Items returns the items of the feed, sorted by key, which is the instance's ID.
 func (s *Store) Items() []feed.Item {
 	items := make([]feed.Item, 0, len(s.records))
 	for _, id := range s.sortedIDs() {
--- a/internal/controlplane/registry/store_test.go
+++ b/internal/controlplane/registry/store_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// drawnEntry turns a drawn number into a command about few instances at few addresses.
+// drawnEntry turns a random number into a command about few instances at few addresses.
 func drawnEntry(number uint32) []byte {
 	id := fmt.Sprintf("i%d", number%5)
 	sequence := uint64(number / 5 % 16)
@@ -207,7 +207,7 @@
 
 func TestStore_Apply_onlyLaterHeartbeatsCount(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 1))
-	properties.Property("after a draining word, earlier words in any order leave it draining or gone", prop.ForAll(
+	properties.Property("after a draining heartbeat, earlier ones in any order leave it draining or removed", prop.ForAll(
 		func(numbers []uint32) bool {
 			store := NewStore()
 			const drainedAt = 20
