--- a/internal/controlplane/roleplanner/planner.go
+++ b/internal/controlplane/roleplanner/planner.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 )
@@ -86,16 +85,6 @@
 	TargetPrefill  int // readers that are wanted
 }
 
-// transition is what the holder knows of a worker's change of stage.
-type transition struct {
-	stage       string
-	assignedAt  time.Duration // when the assignment was seen first
-	commandedAt time.Duration // when the last order was given
-	polledAt    time.Duration // when the worker was asked last; 0: not since the order
-	attempts    int
-	accepted    bool
-}
-
 // Planner follows one service. It is not safe for concurrent use.
 type Planner struct {
 	demandSum       Demand  // of the demand, each moment weighed less the older it is
@@ -142,23 +131,6 @@
 	return eligible
 }
 
-// observe takes in the demand since the call before.
-func (p *Planner) observe(now time.Duration, demand Demand, prefillWorkers int) {
-	span := (now - p.lastObservedAt).Seconds()
-	if p.lastObservedAt == 0 || span <= 0 {
-		p.lastObservedAt = now
-		return
-	}
-	p.lastObservedAt = now
-	if demand == (Demand{}) && p.observedSeconds == 0 {
-		return // traffic has not begun
-	}
-	decay := math.Exp(-span / demandTimeConstant.Seconds())
-	p.demandSum = p.demandSum.Scale(decay).Add(demand.Scale(span))
-	p.prefillSum = p.prefillSum*decay + float64(prefillWorkers)*span
-	p.observedSeconds = p.observedSeconds*decay + span
-}
-
 // countActivePrefill counts the workers that read.
 func countActivePrefill(workers []Worker) int {
 	count := 0
@@ -170,172 +142,6 @@
 	return count
 }
 
-// averageDemand is the demand of late, with reading as it is, and not as expected.
-func (p *Planner) averageDemand() Demand {
-	if p.observedSeconds <= 0 {
-		return Demand{}
-	}
-	demand := p.demandSum.Scale(1 / p.observedSeconds)
-	slowdown := prefillSlowdown(demand, p.prefillSum/p.observedSeconds)
-	demand.Prefill *= slowdown
-	demand.PrefillDone *= slowdown
-	served := min(1, max(minServedShare, demand.Started/max(demand.Offered, negligibleDemand)))
-	demand.Slots /= served // what is refused makes no streams
-	demand.Memory /= served
-	return demand
-}
-
-// prefillSlowdown is how long readers take for a prompt by themselves, against what is expected. Only how long prompts take together
-// with their waits is seen; the waits follow from how busy the readers are at that pace p: of n readers that have read the
-// work D a second, the part b = p*D/n is busy, and prompts take p*(1 + queueing*b/(1-b)) against what is expected.
-// That is solved for p. However long the waits, it says no more than that all readers are busy.
-func prefillSlowdown(demand Demand, prefillWorkers float64) float64 {
-	if demand.PrefillDone < negligibleDemand || prefillWorkers < negligibleDemand {
-		return 1
-	}
-	ratio, done := demand.PrefillTime/demand.PrefillDone, demand.PrefillDone/prefillWorkers
-	square, linear := (1-queueingFactor)*done, 1+ratio*done
-	return (linear - math.Sqrt(max(0, linear*linear-4*square*ratio))) / (2 * square)
-}
-
-// pruneTransitions drops what is known of workers that are gone, and of changes that are done or withdrawn.
-func (p *Planner) pruneTransitions(now time.Duration, workers []Worker) {
-	present := make(map[string]*Worker, len(workers))
-	for i := range workers {
-		present[workers[i].ID] = &workers[i]
-	}
-	for id, current := range p.transitions {
-		worker := present[id]
-		if worker != nil && worker.transitioning() && worker.Assigned == current.stage {
-			continue
-		}
-		if worker != nil && worker.Stage != current.stage && now-current.assignedAt < assignmentTimeout {
-			continue // its assignment is not recorded yet
-		}
-		delete(p.transitions, id)
-		if worker != nil && worker.Stage == current.stage {
-			p.cooldownUntil[id] = now + transitionCooldown
-		}
-	}
-	for id, until := range p.cooldownUntil {
-		if present[id] == nil || now >= until {
-			delete(p.cooldownUntil, id)
-		}
-	}
-}
-
-// continueTransitions gives the orders that are due, and withdraws assignments that came to nothing.
-func (p *Planner) continueTransitions(now time.Duration, workers []Worker) Plan {
-	var plan Plan
-	for i := range workers {
-		worker := &workers[i]
-		if !worker.transitioning() {
-			continue
-		}
-		current := p.transitions[worker.ID]
-		if current == nil {
-			current = &transition{stage: worker.Assigned, assignedAt: now}
-			p.transitions[worker.ID] = current
-		}
-		switch {
-		case current.attempts >= maxAttempts && now-current.commandedAt >= commandRetryInterval:
-			plan.Assignments = append(plan.Assignments, Assignment{ID: worker.ID})
-			p.cooldownUntil[worker.ID] = now + failureCooldown
-		case current.commandDue(now):
-			current.commandedAt, current.polledAt = now, 0
-			current.attempts++
-			current.accepted = false
-			plan.Commands = append(plan.Commands, Command{ID: worker.ID, Address: worker.Address, Stage: worker.Assigned})
-		case current.pollDue(now, p.switchTime):
-			current.polledAt = now
-			plan.Polls = append(plan.Polls, Command{ID: worker.ID, Address: worker.Address, Stage: worker.Assigned})
-		}
-	}
-	return plan
-}
-
-// commandDue tells whether the worker is to be told now.
-func (t *transition) commandDue(now time.Duration) bool {
-	switch {
-	case t.attempts == 0:
-		return now-t.assignedAt >= commandDelay
-	case t.accepted:
-		return now-t.commandedAt >= confirmationTimeout
-	default:
-		return now-t.commandedAt >= commandRetryInterval
-	}
-}
-
-// pollDue tells whether a worker that has taken an order may have its new stage, and is to be asked: its heartbeat would tell
-// only later.
-func (t *transition) pollDue(now, switchTime time.Duration) bool {
-	return t.accepted && now-t.commandedAt >= switchTime+reportLag && (t.polledAt == 0 || now-t.polledAt >= pollInterval)
-}
-
-// CommandFinished takes in what became of an order.
-func (p *Planner) CommandFinished(id string, result Result) {
-	current := p.transitions[id]
-	if current == nil {
-		return
-	}
-	switch result {
-	case Accepted:
-		current.accepted = true
-	case Rejected:
-		current.attempts = maxAttempts
-	}
-}
-
-// updateTarget works out how many workers are to read.
-func (p *Planner) updateTarget(workers []Worker) {
-	total := len(workers)
-	if total < 2 {
-		p.targetPrefill = 0
-		return
-	}
-	if p.targetPrefill == 0 {
-		p.targetPrefill = countTargetPrefill(workers)
-	}
-	if countTargetPrefill(workers) == total { // nothing is served without a writer, and so no demand is seen
-		p.targetPrefill = clampPrefill(total, total)
-		return
-	}
-	if p.observedSeconds < minObservation.Seconds() {
-		return
-	}
-	need := RequiredWorkers(p.averageDemand())
-	share := need.prefillShare(total)
-	if math.IsNaN(share) || need.satisfiedBy(float64(p.targetPrefill), float64(total-p.targetPrefill)) {
-		p.targetPrefill = clampPrefill(p.targetPrefill, total)
-		return
-	}
-	if p.exceedsHysteresis(share, total) {
-		p.targetPrefill = int(share) // what is left of a worker writes
-	}
-	p.targetPrefill = clampPrefill(p.targetPrefill, total)
-	if p.observedSeconds < fullObservation.Seconds() {
-		p.targetPrefill = min(p.targetPrefill, max(countTargetPrefill(workers), total-int(math.Ceil(earlyDecodeShare*float64(total)))))
-	}
-}
-
-// exceedsHysteresis tells whether the share of readers is far enough from the target to be worth orders. More writers are wanted sooner
-// than fewer.
-func (p *Planner) exceedsHysteresis(share float64, total int) bool {
-	shortage, surplus := max(minDecodeShortage, decodeShortageShare*float64(total)), max(minHysteresis, hysteresisShare*float64(total))
-	return share < float64(p.targetPrefill)-shortage || share >= float64(p.targetPrefill)+surplus
-}
-
-// countTargetPrefill counts the workers that read, or will.
-func countTargetPrefill(workers []Worker) int {
-	prefillWorkers := 0
-	for i := range workers {
-		if workers[i].targetStage() == Prefill {
-			prefillWorkers++
-		}
-	}
-	return prefillWorkers
-}
-
 // selectAssignments picks the workers that are to change their stage, so that the split comes nearer to what is wanted.
 func (p *Planner) selectAssignments(now time.Duration, workers []Worker) []Assignment {
 	prefillWorkers := countTargetPrefill(workers)
