--- a/internal/controlplane/roleplanner/demand.go
+++ b/internal/controlplane/roleplanner/demand.go
@@ -1,7 +1,3 @@
-// Package roleplanner decides how many workers of a service read prompts (stage "prefill") and how many
-// make tokens (stage "decode"): it adds up the demand that proxies report, works out the wanted split,
-// and says which workers are to change their stage. It has no clock and no I/O: instants are arguments,
-// on one monotonic clock.
 package roleplanner
 
 import (
@@ -13,27 +9,27 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Stages of workers, as they register them.
+// Stages of workers, as they register with them.
 const (
 	Prefill = "prefill"
 	Decode  = "decode"
 )
 
-// Demand is work that requests bring, as a sum of workers' seconds, or as a rate in workers: a rate of 1
-// keeps one worker busy. What is to be read counts once for each request, also where it is refused or fails; so the
-// demand does not fall because there are too few readers. Reading is measured by what it is expected to take by itself.
+// Demand is the work that requests bring: a sum in worker-seconds, or a rate in workers, where a rate of 1 keeps one worker
+// busy. The prompt of each request counts once for Prefill, also if the request is rejected or fails, so that the demand
+// does not fall where prefill workers are too few. Prompts count with the time that they are expected to take without waits.
 type Demand struct {
-	Offered     float64 // requests that came; a number, not a time
-	Started     float64 // requests whose streams began; a number too
-	Prefill     float64 // prompts that came, as expected
-	PrefillDone float64 // prompts that prefill workers have read, as expected
-	PrefillTime float64 // how long these took, their waits included
-	Slots       float64 // streams, against all slots of a decode worker at the pace that it has then
-	Memory      float64 // memory of running streams, against all of a decode worker's
-	Transfers   float64 // fetching memory, by decode workers
+	Offered     float64 // requests that arrived; a count, not a time
+	Started     float64 // requests that started to stream; a count, too
+	Prefill     float64 // expected time of the prompts that arrived
+	PrefillDone float64 // expected time of the prompts that prefill workers completed
+	PrefillTime float64 // observed time of the same prompts, with their waits
+	Slots       float64 // share of a decode worker's slots that streams occupied, over time
+	Memory      float64 // share of a decode worker's memory that streams occupied, over time
+	Transfers   float64 // time in which decode workers fetched KV caches
 }
 
-// parts lists the parts of a demand.
+// parts returns pointers to the fields, in the order of their encoding.
 func (d *Demand) parts() [8]*float64 {
 	return [...]*float64{&d.Offered, &d.Started, &d.Prefill, &d.PrefillDone, &d.PrefillTime, &d.Slots, &d.Memory, &d.Transfers}
 }
@@ -47,7 +43,7 @@
 	return d
 }
 
-// Scale returns a multiple of a demand.
+// Scale returns the demand multiplied by a factor.
 func (d Demand) Scale(factor float64) Demand {
 	for _, part := range d.parts() {
 		*part *= factor
@@ -55,7 +51,7 @@
 	return d
 }
 
-// Since returns the demand that came after an earlier sum; all of it if the sum has begun anew meanwhile.
+// Since returns the increase over an earlier sum, or all of the demand if the sum was reset meanwhile.
 func (d Demand) Since(before Demand) Demand {
 	since := d.Add(before.Scale(-1))
 	if !since.valid() {
@@ -64,7 +60,7 @@
 	return since
 }
 
-// valid tells whether all parts are finite and none is negative.
+// valid reports whether all fields are finite and none is negative.
 func (d Demand) valid() bool {
 	for _, part := range d.parts() {
 		if !(*part >= 0) || math.IsInf(*part, 1) {
@@ -74,11 +70,11 @@
 	return true
 }
 
-// maxServices bounds the services of one report.
+// maxServices limits the services of one report.
 const maxServices = 4096
 
-// ErrInvalidReport is the error for bytes that are no report.
-var ErrInvalidReport = errors.New("staging: not a report of demand")
+// ErrInvalidReport is wrapped by the errors of DecodeReport.
+var ErrInvalidReport = errors.New("roleplanner: invalid demand report")
 
 // ServiceDemand is the rate of the demand of one service, in workers.
 type ServiceDemand struct {
@@ -86,10 +82,10 @@
 	Demand  Demand
 }
 
-// wireDemand is a ServiceDemand as it is encoded.
+// wireDemand is the encoded form of a ServiceDemand.
 type wireDemand struct {
 	Service string    `avro:"service"`
-	Parts   []float64 `avro:"parts"` // in the order of Demand
+	Parts   []float64 `avro:"parts"` // in the order of Demand's fields
 }
 
 var reportSchema = avro.MustParse(`{"type":"array","items":{"type":"record","name":"demand","fields":[
@@ -98,7 +94,7 @@
 
 var codec = avro.Config{MaxSliceAllocSize: maxServices}.Freeze()
 
-// EncodeReport returns the bytes of a report.
+// EncodeReport returns the encoded form of a report, the body of a message on feedtransport.TopicDemand.
 func EncodeReport(report []ServiceDemand) ([]byte, error) {
 	wire := make([]wireDemand, 0, len(report))
 	for _, entry := range report {
@@ -111,7 +107,7 @@
 	return codec.Marshal(reportSchema, wire)
 }
 
-// DecodeReport reads what EncodeReport wrote. The error wraps ErrReport.
+// DecodeReport decodes what EncodeReport returned. The error wraps ErrInvalidReport.
 func DecodeReport(encoded []byte) ([]ServiceDemand, error) {
 	var wire []wireDemand
 	if err := strictavro.Unmarshal(codec, reportSchema, encoded, &wire); err != nil {
--- a/internal/controlplane/roleplanner/demand_average.go
+++ b/internal/controlplane/roleplanner/demand_average.go
@@ -5,42 +5,69 @@
 	"time"
 )
 
-// observe takes in the demand since the call before.
-func (p *Planner) observe(now time.Duration, demand Demand, prefillWorkers int) {
-	span := (now - p.lastObservedAt).Seconds()
-	if p.lastObservedAt == 0 || span <= 0 {
-		p.lastObservedAt = now
+const (
+	// demandTimeConstant is the time in which the weight of past demand falls to 1/e.
+	demandTimeConstant = 3 * time.Second
+	// queueingFactor compares the waits for prefill workers with those for servers that get their work at random: it is
+	// lower than 1, as proxies send prompts to workers with short queues.
+	queueingFactor = 0.5
+	// minServedShare limits the extrapolation of decode demand from the requests that started to stream to all requests.
+	minServedShare = 0.2
+	// negligibleDemand is a rate, in workers, below which there is none.
+	negligibleDemand = 1e-6
+)
+
+// demandAverage is the exponentially weighted average of a service's demand and of its prefill workers.
+type demandAverage struct {
+	demandSum       Demand        // integral of the demand, weighted by age
+	prefillSum      float64       // integral of the number of prefill workers, weighted alike
+	observedSeconds float64       // integral of the weights
+	lastObservedAt  time.Duration // 0: never
+}
+
+// observe adds the demand and the prefill workers since the call before.
+func (a *demandAverage) observe(now time.Duration, demand Demand, prefillWorkers int) {
+	span := (now - a.lastObservedAt).Seconds()
+	if a.lastObservedAt == 0 || span <= 0 {
+		a.lastObservedAt = now
 		return
 	}
-	p.lastObservedAt = now
-	if demand == (Demand{}) && p.observedSeconds == 0 {
-		return // traffic has not begun
+	a.lastObservedAt = now
+	if demand == (Demand{}) && a.observedSeconds == 0 {
+		return // there has been no request yet
 	}
 	decay := math.Exp(-span / demandTimeConstant.Seconds())
-	p.demandSum = p.demandSum.Scale(decay).Add(demand.Scale(span))
-	p.prefillSum = p.prefillSum*decay + float64(prefillWorkers)*span
-	p.observedSeconds = p.observedSeconds*decay + span
+	a.demandSum = a.demandSum.Scale(decay).Add(demand.Scale(span))
+	a.prefillSum = a.prefillSum*decay + float64(prefillWorkers)*span
+	a.observedSeconds = a.observedSeconds*decay + span
+}
+
+// observedFor reports whether demand of at least a duration has been observed.
+func (a *demandAverage) observedFor(duration time.Duration) bool {
+	return a.observedSeconds >= duration.Seconds()
 }
 
-// averageDemand is the demand of late, with reading as it is, and not as expected.
-func (p *Planner) averageDemand() Demand {
-	if p.observedSeconds <= 0 {
+// mean returns the average rate of the demand, in workers. Prefill is corrected by the slowdown that the waits show, and
+// decode extrapolated to the requests that were rejected before they streamed.
+func (a *demandAverage) mean() Demand {
+	if a.observedSeconds <= 0 {
 		return Demand{}
 	}
-	demand := p.demandSum.Scale(1 / p.observedSeconds)
-	slowdown := prefillSlowdown(demand, p.prefillSum/p.observedSeconds)
+	demand := a.demandSum.Scale(1 / a.observedSeconds)
+	slowdown := prefillSlowdown(demand, a.prefillSum/a.observedSeconds)
 	demand.Prefill *= slowdown
 	demand.PrefillDone *= slowdown
 	served := min(1, max(minServedShare, demand.Started/max(demand.Offered, negligibleDemand)))
-	demand.Slots /= served // what is refused makes no streams
+	demand.Slots /= served
 	demand.Memory /= served
 	return demand
 }
 
-// prefillSlowdown is how long readers take for a prompt by themselves, against what is expected. Only how long prompts take together
-// with their waits is seen; the waits follow from how busy the readers are at that pace p: of n readers that have read the
-// work D a second, the part b = p*D/n is busy, and prompts take p*(1 + queueing*b/(1-b)) against what is expected.
-// That is solved for p. However long the waits, it says no more than that all readers are busy.
+// prefillSlowdown estimates the time that a prompt takes a prefill worker without any wait, relative to its expected time.
+//
+// Only the time with the wait is observed. At a slowdown p, n workers that complete prompts of expected work D each second
+// have the utilization b = p*D/n, and a prompt takes p*(1 + queueingFactor*b/(1-b)) relative to its expected time. This is
+// solved for p, a quadratic equation. Arbitrarily long waits yield at most the p at which all workers are busy.
 func prefillSlowdown(demand Demand, prefillWorkers float64) float64 {
 	if demand.PrefillDone < negligibleDemand || prefillWorkers < negligibleDemand {
 		return 1
--- a/internal/controlplane/roleplanner/demand_table.go
+++ b/internal/controlplane/roleplanner/demand_table.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// DemandTable holds the newest report of each source and adds them up. A source is a proxy, or a keeper that
-// passes on the sum of its proxies. It is not safe for concurrent use.
+// DemandTable holds the latest report of each source and sums them. A source is a proxy, or a server that forwards the sum
+// of its proxies. A DemandTable is not safe for concurrent use.
 type DemandTable struct {
 	ttl     time.Duration // for which a report counts
 	sources map[string]sourceReport
@@ -14,12 +14,12 @@
 	demand map[string]Demand // by service
 }
 
-// NewDemandTable returns a ledger in which a report counts for a time.
+// NewDemandTable returns an empty table in which a report counts for ttl.
 func NewDemandTable(ttl time.Duration) *DemandTable {
 	return &DemandTable{ttl: ttl, sources: map[string]sourceReport{}}
 }
 
-// Put replaces what a source has reported before.
+// Put replaces the report of a source.
 func (t *DemandTable) Put(now time.Duration, source string, report []ServiceDemand) {
 	received := sourceReport{at: now, demand: make(map[string]Demand, len(report))}
 	for _, entry := range report {
@@ -28,8 +28,8 @@
 	t.sources[source] = received
 }
 
-// Sum adds up the reports that still count, by service, and forgets the others. Sources that reported no
-// demand of a service leave no entry.
+// Sum returns the sum of the reports that are not older than the ttl, by service, and drops the others. Services without
+// reported demand have no entry.
 func (t *DemandTable) Sum(now time.Duration) map[string]Demand {
 	sum := map[string]Demand{}
 	for source, report := range t.sources {
--- a/internal/controlplane/roleplanner/demand_test.go
+++ b/internal/controlplane/roleplanner/demand_test.go
@@ -22,7 +22,7 @@
 			t.Fatalf("%+v became %+v: %v", report, read, err)
 		}
 		if _, err := DecodeReport(append(encoded, 0)); !errors.Is(err, ErrInvalidReport) {
-			t.Fatalf("bytes after a report: %v", err)
+			t.Fatalf("trailing bytes: %v", err)
 		}
 	}
 }
--- a/internal/controlplane/roleplanner/planner.go
+++ b/internal/controlplane/roleplanner/planner.go
@@ -6,45 +6,23 @@
 	"time"
 )
 
-// Times and bounds of the loop.
-const (
-	demandTimeConstant    = 3 * time.Second        // in which an earlier demand falls by e
-	queueingFactor        = 0.5                    // waits at readers, against those at servers to which work goes without regard to their queues
-	fullObservation       = 2 * time.Second        // up to which the split stays within earlyShare
-	earlyDecodeShare      = 0.25                   // of the workers that write meanwhile at least: streams that have just begun are few
-	minServedShare        = 0.2                    // part of the requests that begin to stream, from which streams are extrapolated
-	negligibleDemand      = 1e-6                   // workers; less is none
-	minObservation        = 400 * time.Millisecond // of demand before the first decision
-	hysteresisShare       = 0.06                   // part of the workers by which the wanted split must differ
-	minHysteresis         = 1.                     // and at least so many workers
-	decodeShortageShare   = 0.03                   // the same where writers are lacking
-	minDecodeShortage     = 0.25
-	maxTransitioningShare = 0.4                    // part of the workers that change their stage at once
-	commandDelay          = 80 * time.Millisecond  // from an assignment to its order: proxies learn of it before
-	assignmentTimeout     = 2 * time.Second        // an assignment that is not recorded by then has failed
-	commandRetryInterval  = time.Second            // without a clear answer the order is given again
-	reportLag             = 250 * time.Millisecond // by which a worker's report is old at most
-	pollInterval          = 400 * time.Millisecond // between two questions to a worker
-	confirmationTimeout   = 10 * time.Second       // after an order was taken, the worker must have told its new stage
-	failureCooldown       = 30 * time.Second       // a worker that cannot be turned is left alone
-	transitionCooldown    = 8 * time.Second        // a worker that has turned is not turned back
-	maxAttempts           = 6                      // orders for one assignment
-)
+// maxTransitioningShare is the part of a service's workers that may change their stage at a time.
+const maxTransitioningShare = 0.4
 
-// Worker is one worker of a service, as the registry has it.
+// Worker is one worker of a service, as the registry records it.
 type Worker struct {
 	ID       string
-	Address  string
+	Address  string // "ip:port"
 	Zone     string
-	Stage    string // as the worker tells
-	Assigned string // as the fleet wants it; empty: none
+	Stage    string // that it reports: Prefill or Decode
+	Assigned string // that it is to have; empty: none
 	Draining bool
 }
 
-// transitioning tells whether the worker has been assigned a stage that it does not have yet.
+// transitioning reports whether the worker has been assigned a stage that it does not have yet.
 func (w *Worker) transitioning() bool { return w.Assigned != "" && w.Assigned != w.Stage }
 
-// targetStage is the stage that the worker has, or will have.
+// targetStage returns the stage that the worker has, or will have after its transition.
 func (w *Worker) targetStage() string {
 	if w.Assigned != "" {
 		return w.Assigned
@@ -52,66 +30,85 @@
 	return w.Stage
 }
 
-// Assignment says that a worker's stage is to be recorded as wanted. An empty stage withdraws what was recorded.
+// Assignment asks to record in the registry that a worker is to have a stage. An empty stage withdraws the assignment.
 type Assignment struct{ ID, Stage string }
 
-// Command says that a worker is to be told to change its stage.
+// Command asks to command a worker to change to a stage.
 type Command struct {
 	ID, Address, Stage string
 }
 
-// Plan is what is to be done now.
+// Plan is what the caller is to carry out now.
 type Plan struct {
 	Assignments []Assignment
 	Commands    []Command
-	Polls       []Command // workers that may have the stage by now, and are to be asked which one they have
+	Polls       []Command // workers that may have the stage by now; the caller asks each for its present stage
 }
 
-// Result is what became of an order.
+// Result is the outcome of a command.
 type Result uint8
 
+// Results of a command.
 const (
-	Accepted Result = iota + 1 // the worker changes its stage, or has it already
-	Busy                       // another order is under way, or the worker could not be asked: later again
-	Rejected                   // the worker will not do it
+	// Accepted means that the worker changes its stage, or has it already.
+	Accepted Result = iota + 1
+	// Busy means that another command is in progress or that the worker did not answer; the command is retried.
+	Busy
+	// Rejected means that the worker will not change its stage.
+	Rejected
 )
 
-// Status tells how a service stands, for operators.
+// String returns the name of the result.
+func (r Result) String() string {
+	switch r {
+	case Accepted:
+		return "accepted"
+	case Busy:
+		return "busy"
+	case Rejected:
+		return "rejected"
+	default:
+		return "unknown"
+	}
+}
+
+// Status describes a service for the operators' status pages.
 type Status struct {
-	Demand         Demand
-	PrefillWorkers int // workers that read prompts
-	DecodeWorkers  int // workers that make tokens
-	Transitioning  int // workers that change their stage
-	TargetPrefill  int // readers that are wanted
+	Demand         Demand // average of late, in workers
+	PrefillWorkers int    // workers with stage Prefill that are not transitioning
+	DecodeWorkers  int    // workers with stage Decode that are not transitioning
+	Transitioning  int
+	TargetPrefill  int // prefill workers that the service is to have; 0: not decided
 }
 
-// Planner follows one service. It is not safe for concurrent use.
+// Planner plans the stages of one service's workers. It is not safe for concurrent use; the loop of the shard's owner in
+// package server calls it. Its state ends with the ownership: a new owner's planner continues from the assignments that the
+// registry records.
 type Planner struct {
-	demandSum       Demand  // of the demand, each moment weighed less the older it is
-	prefillSum      float64 // the same of the workers that read
-	observedSeconds float64
-	lastObservedAt  time.Duration // of the call before; 0: none
-	targetPrefill   int           // readers; 0: not decided
-	switchTime      time.Duration
-	transitions     map[string]*transition
-	cooldownUntil   map[string]time.Duration // until when a worker is left alone
-	status          Status
+	demand        demandAverage
+	targetPrefill int // prefill workers; 0: not decided
+	status        Status
+
+	// Workers that change their stage, by ID.
+	switchTime    time.Duration // that a worker needs for it
+	transitions   map[string]*transition
+	cooldownUntil map[string]time.Duration // until when a worker is given no new assignment
 }
 
-// NewPlanner returns a controller that knows nothing yet: it takes over whatever assignments the workers have.
+// NewPlanner returns a planner without state. It continues whatever assignments the workers have.
 func NewPlanner() *Planner {
 	return &Planner{transitions: map[string]*transition{}, cooldownUntil: map[string]time.Duration{}}
 }
 
-// Status returns how the service stood at the last call of Plan.
+// Status returns the status of the service at the last call of Plan.
 func (p *Planner) Status() Status { return p.status }
 
-// Plan says what to do for a service with these workers and this demand. It is called several times a second.
-// switchTime is what a worker needs to change its stage.
+// Plan returns what to do for a service with these workers and this rate of demand. It is to be called several times a
+// second. switchTime is the time that a worker needs to change its stage.
 func (p *Planner) Plan(now time.Duration, workers []Worker, demand Demand, switchTime time.Duration) Plan {
 	p.switchTime = switchTime
 	eligible := eligibleWorkers(workers)
-	p.observe(now, demand, countActivePrefill(eligible))
+	p.demand.observe(now, demand, countActivePrefill(eligible))
 	p.pruneTransitions(now, workers)
 	plan := p.continueTransitions(now, eligible)
 	p.updateTarget(eligible)
@@ -120,7 +117,7 @@
 	return plan
 }
 
-// eligibleWorkers leaves out what is no worker with a stage, or is leaving.
+// eligibleWorkers returns the workers that have a stage and are not draining.
 func eligibleWorkers(workers []Worker) []Worker {
 	eligible := make([]Worker, 0, len(workers))
 	for _, worker := range workers {
@@ -131,7 +128,7 @@
 	return eligible
 }
 
-// countActivePrefill counts the workers that read.
+// countActivePrefill returns the number of workers that do prefill and are not transitioning.
 func countActivePrefill(workers []Worker) int {
 	count := 0
 	for i := range workers {
@@ -142,10 +139,11 @@
 	return count
 }
 
-// selectAssignments picks the workers that are to change their stage, so that the split comes nearer to what is wanted.
+// selectAssignments picks the workers that are to change their stage, so that the number of prefill workers approaches the
+// target. Without enough observed demand it changes nothing, except where a service has no decode worker at all.
 func (p *Planner) selectAssignments(now time.Duration, workers []Worker) []Assignment {
 	prefillWorkers := countTargetPrefill(workers)
-	if p.targetPrefill == 0 || p.observedSeconds < minObservation.Seconds() && prefillWorkers < len(workers) {
+	if p.targetPrefill == 0 || !p.demand.observedFor(minObservation) && prefillWorkers < len(workers) {
 		return nil
 	}
 	shortfall := p.targetPrefill - prefillWorkers
@@ -156,47 +154,47 @@
 	capacity := max(1, int(maxTransitioningShare*float64(len(workers)))) - p.status.Transitioning
 	chosen := p.candidates(now, workers, from)
 	chosen = chosen[:max(0, min(shortfall, capacity, len(chosen)))]
-	assign := make([]Assignment, 0, len(chosen))
+	assignments := make([]Assignment, 0, len(chosen))
 	for _, id := range chosen {
-		assign = append(assign, Assignment{ID: id, Stage: stage})
+		assignments = append(assignments, Assignment{ID: id, Stage: stage})
 		p.transitions[id] = &transition{stage: stage, assignedAt: now}
 	}
-	return assign
+	return assignments
 }
 
-// candidates lists the workers of a stage that may be turned: in turn from the zone that has most of that stage, so that
-// zones stay balanced, and within a zone by their IDs.
+// candidates returns the IDs of the workers of a stage that may be given another, in the order of preference: always one
+// of the zone that has most of them left, so that zones stay balanced, and within a zone by ID.
 func (p *Planner) candidates(now time.Duration, workers []Worker, stage string) []string {
-	zones := map[string][]string{}
+	byZone := map[string][]string{}
 	for i := range workers {
 		worker := &workers[i]
 		if worker.transitioning() || p.transitions[worker.ID] != nil || worker.Stage != stage || now < p.cooldownUntil[worker.ID] {
 			continue
 		}
-		zones[worker.Zone] = append(zones[worker.Zone], worker.ID)
+		byZone[worker.Zone] = append(byZone[worker.Zone], worker.ID)
 	}
-	names := make([]string, 0, len(zones))
-	for name := range zones {
-		slices.Sort(zones[name])
-		names = append(names, name)
+	zones := make([]string, 0, len(byZone))
+	for zone := range byZone {
+		slices.Sort(byZone[zone])
+		zones = append(zones, zone)
 	}
-	slices.Sort(names)
-	var list []string
+	slices.Sort(zones)
+	var ordered []string
 	for {
-		fullest := slices.MaxFunc(append([]string{""}, names...), func(a, b string) int {
-			return cmp.Compare(len(zones[a]), len(zones[b]))
+		fullest := slices.MaxFunc(append([]string{""}, zones...), func(left, right string) int {
+			return cmp.Compare(len(byZone[left]), len(byZone[right]))
 		})
-		if len(zones[fullest]) == 0 {
-			return list
+		if len(byZone[fullest]) == 0 {
+			return ordered
 		}
-		list = append(list, zones[fullest][0])
-		zones[fullest] = zones[fullest][1:]
+		ordered = append(ordered, byZone[fullest][0])
+		byZone[fullest] = byZone[fullest][1:]
 	}
 }
 
-// updateStatus notes how the service stands.
+// updateStatus computes the status that Status returns.
 func (p *Planner) updateStatus(workers []Worker) {
-	p.status = Status{Demand: p.averageDemand(), TargetPrefill: p.targetPrefill}
+	p.status = Status{Demand: p.demand.mean(), TargetPrefill: p.targetPrefill}
 	for i := range workers {
 		switch {
 		case workers[i].transitioning():
--- a/internal/controlplane/roleplanner/planner_test.go
+++ b/internal/controlplane/roleplanner/planner_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// fleet is a scripted service: it carries assignments and orders out as workers would.
+// fleet is a scripted service: it carries out assignments and commands as workers would.
 type fleet struct {
 	t              *testing.T
 	planner        *Planner
 	now            time.Duration
 	demand         Demand
 	workers        []Worker
-	transitionTime time.Duration            // a worker's time from its order to its new stage
-	completesAt    map[string]time.Duration // when a worker will have turned
-	answer         func(Command) Result     // nil: taken
+	transitionTime time.Duration            // between a command and the new stage
+	completesAt    map[string]time.Duration // when the transition of a worker completes
+	answer         func(Command) Result     // nil: Accepted
 	commands       []Command
 
 	mayLackDecode bool
@@ -33,13 +33,13 @@
 	return f
 }
 
-// demandOf is a demand by itself.
-func demandOf(read, slots float64) Demand {
-	return Demand{Prefill: read, Slots: slots, Offered: 1, Started: 1}
+// demandOf returns a demand of prefill and decode alone.
+func demandOf(prefill, slots float64) Demand {
+	return Demand{Prefill: prefill, Slots: slots, Offered: 1, Started: 1}
 }
 
-// observedDemand is what proxies see of the demand with the readers that there are: no more is read than they can, prompts wait, and
-// what is not read makes no streams.
+// observedDemand returns what proxies observe of the demand with the present prefill workers: these complete no more prompts
+// than they can, prompts wait, and only completed ones start to stream.
 func (f *fleet) observedDemand() Demand {
 	prefillWorkers := float64(countActivePrefill(f.workers))
 	demand := f.demand
@@ -54,7 +54,7 @@
 	return demand
 }
 
-// run plays a time in steps of a quarter of a second.
+// run simulates a time span in steps of 250 ms.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now + span; f.now < end; f.now += 250 * time.Millisecond {
 		plan := f.planner.Plan(f.now, f.workers, f.observedDemand(), time.Second)
@@ -111,29 +111,29 @@
 	return prefillWorkers, decodeWorkers, transitioning
 }
 
-// check looks at what holds at every moment.
+// check fails the test if an invariant does not hold.
 func (f *fleet) check() {
 	prefillWorkers, decodeWorkers, transitioning := f.count()
 	if prefillWorkers+transitioning < 1 || decodeWorkers < 1 && !f.mayLackDecode || transitioning > max(1, int(maxTransitioningShare*float64(len(f.workers)))) {
-		f.t.Fatalf("at %v: %d readers, %d writers, %d turning", f.now, prefillWorkers, decodeWorkers, transitioning)
+		f.t.Fatalf("at %v: %d prefill, %d decode, %d transitioning", f.now, prefillWorkers, decodeWorkers, transitioning)
 	}
 }
 
 func (f *fleet) expectPrefill(prefillWorkers int) {
 	f.t.Helper()
 	if have, _, transitioning := f.count(); have != prefillWorkers || transitioning != 0 {
-		f.t.Fatalf("%d readers and %d turning, not %d", have, transitioning, prefillWorkers)
+		f.t.Fatalf("%d prefill workers and %d transitioning, not %d", have, transitioning, prefillWorkers)
 	}
 }
 
 func TestPlanner_Plan_followsDemand(t *testing.T) {
 	for _, start := range []int{6, 24, 54} {
 		f := newFleet(t, start, 60-start)
-		f.demand = demandOf(24, 2) // about 34 readers and 4.4 writers are needed
+		f.demand = demandOf(24, 2) // requires about 34 prefill and 4.4 decode workers
 		f.run(30 * time.Second)
 		prefillWorkers, _, transitioning := f.count()
 		if transitioning != 0 || prefillWorkers < 50 || prefillWorkers > 56 {
-			t.Errorf("from %d: %d readers, %d turning", start, prefillWorkers, transitioning)
+			t.Errorf("from %d: %d prefill, %d transitioning", start, prefillWorkers, transitioning)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	f.demand = Demand{}
 	f.run(60 * time.Second)
 	if len(f.commands) != before {
-		t.Fatalf("%d orders after the traffic had ended", len(f.commands)-before)
+		t.Fatalf("%d commands after the traffic had ended", len(f.commands)-before)
 	}
 }
 
@@ -172,11 +172,11 @@
 			left = append(left, worker)
 		}
 	}
-	f.workers = left    // all writers are lost at once
+	f.workers = left    // all decode workers are lost at once
 	f.demand = Demand{} // and without them no demand is seen
 	f.run(10 * time.Second)
 	if _, decodeWorkers, _ := f.count(); decodeWorkers == 0 {
-		t.Fatal("no writer")
+		t.Fatal("no decode worker")
 	}
 }
 
@@ -190,7 +190,7 @@
 		f.run(time.Second)
 	}
 	if len(f.commands) != before {
-		t.Fatalf("%d orders", len(f.commands)-before)
+		t.Fatalf("%d commands", len(f.commands)-before)
 	}
 }
 
@@ -223,10 +223,10 @@
 		}
 	}
 	if given != maxAttempts || f.worker("w02").Assigned != "" {
-		t.Fatalf("%d orders, assigned %q", given, f.worker("w02").Assigned)
+		t.Fatalf("%d commands, assigned %q", given, f.worker("w02").Assigned)
 	}
 	if prefillWorkers, _, _ := f.count(); prefillWorkers < 6 {
-		t.Fatalf("%d readers: no other worker was taken", prefillWorkers)
+		t.Fatalf("%d prefill workers: no other worker was assigned", prefillWorkers)
 	}
 }
 
@@ -235,14 +235,14 @@
 	f.demand = demandOf(3, 0.4)
 	f.answer = func(Command) Result { return Rejected }
 	f.run(20 * time.Second)
-	asked := map[string]int{}
+	commanded := map[string]int{}
 	for _, command := range f.commands {
-		if asked[command.ID]++; asked[command.ID] > 1 {
-			t.Fatalf("%s was asked again", command.ID)
+		if commanded[command.ID]++; commanded[command.ID] > 1 {
+			t.Fatalf("%s was commanded again", command.ID)
 		}
 	}
-	if len(asked) == 0 {
-		t.Fatal("no order")
+	if len(commanded) == 0 {
+		t.Fatal("no command")
 	}
 }
 
@@ -255,7 +255,7 @@
 	f.transitionTime = time.Second
 	f.run(500 * time.Millisecond)
 	if len(f.commands) == 0 || f.commands[0].Stage != Prefill {
-		t.Fatalf("the orders of the holder before were not taken over: %+v", f.commands)
+		t.Fatalf("the assignments of the previous owner were not continued: %+v", f.commands)
 	}
 }
 
@@ -264,7 +264,7 @@
 	f.demand = demandOf(3, 0.4)
 	f.run(15 * time.Second)
 	prefillWorkers, _, _ := f.count()
-	for i := range f.workers { // a release brings all back in the stage that they began with
+	for i := range f.workers { // a release replaces all workers, in their first stages
 		stage := Decode
 		if i < 4 {
 			stage = Prefill
@@ -288,7 +288,7 @@
 	}
 	for zone, prefillWorkers := range byZone {
 		if prefillWorkers < byZone["z0"]-1 || prefillWorkers > byZone["z0"]+1 {
-			t.Errorf("%s has %d readers: %v", zone, prefillWorkers, byZone)
+			t.Errorf("%s has %d prefill workers: %v", zone, prefillWorkers, byZone)
 		}
 	}
 }
@@ -301,12 +301,12 @@
 			wait := slowdown * (1 + queueingFactor*busy/(1-busy))
 			demand := Demand{Prefill: done, PrefillDone: done, PrefillTime: done * wait}
 			if seen := prefillSlowdown(demand, prefillWorkers); seen < 0.99*slowdown || seen > 1.01*slowdown {
-				t.Errorf("pace %v, busy %v: seen as %v", slowdown, busy, seen)
+				t.Errorf("slowdown %v, utilization %v: estimated as %v", slowdown, busy, seen)
 			}
 		}
 	}
 	if seen := prefillSlowdown(Demand{PrefillDone: 10, PrefillTime: 1e6}, prefillWorkers); seen > prefillWorkers/10.+1e-3 {
-		t.Errorf("waits without end are a pace of %v", seen)
+		t.Errorf("endless waits are a slowdown of %v", seen)
 	}
 }
 
@@ -322,7 +322,7 @@
 	f.run(40 * time.Second)
 	again, _, transitioning := f.count()
 	if many < 45 || few > 10 || again < 45 || transitioning != 0 {
-		t.Fatalf("%d readers, then %d, then %d and %d turning", many, few, again, transitioning)
+		t.Fatalf("%d prefill workers, then %d, then %d and %d transitioning", many, few, again, transitioning)
 	}
 }
 
@@ -333,7 +333,7 @@
 	f.run(3 * time.Second)
 	crashed := 0
 	for i := range f.workers {
-		if f.workers[i].transitioning() { // it comes back as another instance, in its first stage
+		if f.workers[i].transitioning() { // its replacement is another instance, in the first stage
 			crashed++
 			f.workers[i] = Worker{ID: fmt.Sprintf("x%02d", i), Zone: f.workers[i].Zone, Stage: Decode}
 		}
@@ -342,9 +342,9 @@
 	f.run(30 * time.Second)
 	prefillWorkers, _, transitioning := f.count()
 	if crashed == 0 || prefillWorkers < 17 || transitioning != 0 {
-		t.Fatalf("%d crashed; %d readers, %d turning", crashed, prefillWorkers, transitioning)
+		t.Fatalf("%d crashed; %d prefill, %d transitioning", crashed, prefillWorkers, transitioning)
 	}
 	if len(f.planner.transitions) != 0 {
-		t.Fatalf("%d attempts are remembered", len(f.planner.transitions))
+		t.Fatalf("%d transitions remain", len(f.planner.transitions))
 	}
 }
--- a/internal/controlplane/roleplanner/requirement.go
+++ b/internal/controlplane/roleplanner/requirement.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// Parts of a worker's capacity up to which it is meant to be used: beyond them waits grow quickly, since work comes in bursts
-// and is spread unevenly. Writers are kept further from their limit: what fails there has been read for nothing.
+// Target utilization of workers. Beyond it waits grow quickly, since requests arrive in bursts and are balanced imperfectly.
+// Decode workers are kept further from their limit: the prefill of a request that fails there is wasted.
 const (
 	prefillUtilization  = 0.7
 	slotUtilization     = 0.35
 	memoryUtilization   = 0.4
-	transferUtilization = 0.2 // they are made one after the other, and first tokens wait for them
+	transferUtilization = 0.2 // a worker makes one transfer at a time, and the first tokens wait for it
 )
 
-// surplusFactor is how many times the need is well more than enough.
+// surplusFactor is the multiple of the required workers above which another division would gain nothing.
 const surplusFactor = 1.5
 
-// redundancyThreshold is the size of a service from which it keeps two workers of each stage, so that the loss of one does
-// not stop it.
+// redundancyThreshold is the number of workers from which a service keeps two of each stage, so that it survives the loss
+// of one.
 const redundancyThreshold = 4
 
-// Requirement is how many workers of each stage a demand needs, if each is used up to its target.
+// Requirement is the number of workers of each stage that a demand requires at their target utilization.
 type Requirement struct{ PrefillWorkers, DecodeWorkers float64 }
 
-// RequiredWorkers returns the need of a demand that is a rate.
+// RequiredWorkers returns the requirement of a demand that is a rate. Decode is bound by the scarcest of slots, memory and
+// transfers.
 func RequiredWorkers(demand Demand) Requirement {
 	return Requirement{
 		PrefillWorkers: demand.Prefill / prefillUtilization,
@@ -29,12 +30,12 @@
 	}
 }
 
-// total is the number of workers that are needed.
+// total returns the number of workers that are required.
 func (r Requirement) total() float64 { return r.PrefillWorkers + r.DecodeWorkers }
 
-// prefillShare returns how many of a service's workers are to read prompts: workers are divided in proportion to the
-// need, so that both stages are used alike, whether there are too few workers or more than are needed.
-// It is a fraction; the caller rounds it.
+// prefillShare returns how many of a service's workers are to do prefill. They are divided in proportion to the requirement,
+// so that both stages are utilized alike whether there are too few workers or too many. The result is not rounded; it is
+// NaN without a requirement.
 func (r Requirement) prefillShare(workers int) float64 {
 	if r.total() <= 0 {
 		return math.NaN()
@@ -42,12 +43,12 @@
 	return float64(workers) * r.PrefillWorkers / r.total()
 }
 
-// satisfiedBy tells whether so many workers of each stage are well more than are needed: another split would gain nothing.
+// satisfiedBy reports whether these workers of each stage exceed the requirement by surplusFactor.
 func (r Requirement) satisfiedBy(prefillWorkers, decodeWorkers float64) bool {
 	return prefillWorkers >= surplusFactor*r.PrefillWorkers && decodeWorkers >= surplusFactor*r.DecodeWorkers
 }
 
-// minPerStage is how many workers of a stage a service keeps at least.
+// minPerStage returns the minimal number of workers of each stage for a service with so many workers.
 func minPerStage(workers int) int {
 	if workers >= redundancyThreshold {
 		return 2
@@ -55,7 +56,7 @@
 	return 1
 }
 
-// clampPrefill keeps the workers that each stage has at least.
+// clampPrefill limits the number of prefill workers so that both stages have minPerStage.
 func clampPrefill(prefillWorkers, workers int) int {
 	minimum := minPerStage(workers)
 	return min(max(prefillWorkers, minimum), workers-minimum)
--- a/internal/controlplane/roleplanner/transition.go
+++ b/internal/controlplane/roleplanner/transition.go
@@ -2,17 +2,33 @@
 
 import "time"
 
-// transition is what the holder knows of a worker's change of stage.
+// Times of a transition.
+const (
+	commandDelay         = 80 * time.Millisecond  // between assignment and first command; proxies learn of the assignment in it
+	assignmentTimeout    = 2 * time.Second        // an assignment that the registry has not recorded by then has failed
+	commandRetryInterval = time.Second            // between commands without a clear answer
+	confirmationTimeout  = 10 * time.Second       // an accepted command is repeated if the worker has not the stage by then
+	pollInterval         = 400 * time.Millisecond // between two polls of a worker
+	reportLag            = 250 * time.Millisecond // maximal age of the stage that a worker reports when polled
+	failureCooldown      = 30 * time.Second       // without an assignment for a worker that failed to change its stage
+	transitionCooldown   = 8 * time.Second        // without an assignment for a worker that has changed its stage
+)
+
+// maxAttempts is the number of commands for one assignment, after which it is withdrawn.
+const maxAttempts = 6
+
+// transition is the state of one worker's change of stage.
 type transition struct {
-	stage       string
-	assignedAt  time.Duration // when the assignment was seen first
-	commandedAt time.Duration // when the last order was given
-	polledAt    time.Duration // when the worker was asked last; 0: not since the order
-	attempts    int
-	accepted    bool
+	stage       string        // that the worker is to have
+	assignedAt  time.Duration // when the assignment was made or first seen
+	commandedAt time.Duration // when the last command was given
+	polledAt    time.Duration // when the worker was last polled; 0: not since the last command
+	attempts    int           // commands that were given
+	accepted    bool          // the worker accepted the last command
 }
 
-// pruneTransitions drops what is known of workers that are gone, and of changes that are done or withdrawn.
+// pruneTransitions drops the transitions that are complete or withdrawn, the state of workers that are gone, and cooldowns
+// that are over.
 func (p *Planner) pruneTransitions(now time.Duration, workers []Worker) {
 	present := make(map[string]*Worker, len(workers))
 	for i := range workers {
@@ -38,7 +54,8 @@
 	}
 }
 
-// continueTransitions gives the orders that are due, and withdraws assignments that came to nothing.
+// continueTransitions returns the commands and polls that are due, and withdraws the assignments of workers that have not
+// changed their stage after maxAttempts.
 func (p *Planner) continueTransitions(now time.Duration, workers []Worker) Plan {
 	var plan Plan
 	for i := range workers {
@@ -68,7 +85,7 @@
 	return plan
 }
 
-// commandDue tells whether the worker is to be told now.
+// commandDue reports whether the worker is to be commanded now.
 func (t *transition) commandDue(now time.Duration) bool {
 	switch {
 	case t.attempts == 0:
@@ -80,13 +97,13 @@
 	}
 }
 
-// pollDue tells whether a worker that has taken an order may have its new stage, and is to be asked: its heartbeat would tell
-// only later.
+// pollDue reports whether a worker that accepted a command may have its new stage and is to be polled now. Its next
+// heartbeat would report the stage only later.
 func (t *transition) pollDue(now, switchTime time.Duration) bool {
 	return t.accepted && now-t.commandedAt >= switchTime+reportLag && (t.polledAt == 0 || now-t.polledAt >= pollInterval)
 }
 
-// CommandFinished takes in what became of an order.
+// CommandFinished records the result of the last command to a worker.
 func (p *Planner) CommandFinished(id string, result Result) {
 	current := p.transitions[id]
 	if current == nil {
