--- a/internal/controlplane/feedtransport/candidates.go
+++ b/internal/controlplane/feedtransport/candidates.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// distance orders servers by how far they are from the reader.
+// distance ranks servers by how far they are from the client, the nearest first.
 type distance int
 
 const (
 	sameZone distance = iota
 	sameRegion
 	otherRegion
-	unlisted // a seed that the keepers do not name
+	unlisted // a seed that is not in the servers' own list
 )
 
-// candidate is one server that a client may use.
+// candidate is a server that the client may use.
 type candidate struct {
 	address  string // of its feed
 	distance distance
-	rank     uint64 // by rendezvous hashing of the node with the address: the highest comes first
+	rank     uint64 // rendezvous hash of the node with the address; the highest is preferred
 
 	failures    int // since it was last current
 	avoidUntil  time.Time
@@ -30,7 +30,7 @@
 
 func (c *candidate) avoided(now time.Time) bool { return now.Before(c.avoidUntil) }
 
-// candidateList holds the seeds and the keepers that were learned.
+// candidateList holds the seeds and the servers that a status has listed.
 type candidateList struct {
 	options    SelectorOptions
 	candidates []*candidate
@@ -48,8 +48,8 @@
 
 func (l *candidateList) len() int { return len(l.candidates) }
 
-// update replaces the keepers that were learned before, and keeps what is known of those that stay.
-// An empty list changes nothing but that the seeds are there.
+// update replaces the listed servers and keeps the state of those that remain. An empty list only makes sure that the
+// seeds are candidates.
 func (l *candidateList) update(servers []ServerEndpoint) {
 	if l.options.FixedServer != "" || (len(servers) == 0 && len(l.candidates) > 0) {
 		return
@@ -64,7 +64,7 @@
 	l.candidates = next
 }
 
-// include adds the server of an address to the list unless it is there already.
+// include appends the server of an address to the list unless the list has it already.
 func (l *candidateList) include(list []*candidate, address string, proximity distance) []*candidate {
 	feedAddress, ok := FeedAddress(address, l.options.FeedPort)
 	if !ok {
@@ -92,8 +92,8 @@
 	return otherRegion
 }
 
-// best returns the server to use: the nearest that did not fail lately, or, where all did, the one
-// that was tried the longest ago. It is nil if there is none.
+// best returns the server to use, or nil if there is none: the nearest that did not fail lately or, where all did, the one
+// whose last attempt is longest ago.
 func (l *candidateList) best(now time.Time) *candidate {
 	if len(l.candidates) == 0 {
 		return nil
@@ -103,6 +103,7 @@
 	})
 }
 
+// compareCandidates returns a negative number if left is preferred to right.
 func compareCandidates(left, right *candidate, now time.Time) int {
 	if left.avoided(now) != right.avoided(now) {
 		if right.avoided(now) {
@@ -121,7 +122,7 @@
 	return cmp.Compare(right.rank, left.rank)
 }
 
-// rendezvousRank hashes a node with a server's address.
+// rendezvousRank returns the rendezvous hash of a node with a server's address, which spreads the nodes over the servers.
 func rendezvousRank(node, address string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node))
@@ -130,7 +131,7 @@
 	return mix(hash.Sum64())
 }
 
-// mix spreads the bits of a hash (the finalizer of MurmurHash3).
+// mix applies the 64-bit finalizer of MurmurHash3, since FNV alone does not spread similar addresses.
 func mix(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
--- a/internal/controlplane/feedtransport/client.go
+++ b/internal/controlplane/feedtransport/client.go
@@ -11,41 +11,46 @@
 	"ospreybend/coord/shards"
 )
 
-// Handler takes what a client receives. One goroutine calls it, that of Run; what it is given is
-// its own to keep.
+// Handler receives the feed of a Client. All methods are called by the goroutine of Client.Run. The handler may retain its
+// arguments.
 type Handler interface {
-	// Snapshot replaces all that is held of a shard.
+	// Snapshot replaces all items of a shard.
 	Snapshot(shard shards.ID, snapshot feed.Snapshot)
-	// Change takes a shard on by one entry.
+	// Change applies the change of one log entry to a shard.
 	Change(shard shards.ID, change feed.Change)
+	// Status receives the server's status, which follows the changes that it counts.
 	Status(status Status)
+	// Connected is called when a connection to a server is open.
 	Connected(address string)
+	// Disconnected is called with the reason when that connection has ended.
 	Disconnected(err error)
 }
 
-// BatchHandler is a Handler that is told when all of one frame's changes, or a whole snapshot,
-// have been handed over.
+// BatchHandler is a Handler that is notified after all changes of one frame, or a complete snapshot.
 type BatchHandler interface {
 	Handler
+	// BatchDone is called after the last Change or Snapshot of a batch.
 	BatchDone()
 }
 
-// ReportHandler is a Handler that takes reports of the server.
+// ReportHandler is a Handler that receives reports of the server.
 type ReportHandler interface {
 	Handler
+	// Report receives one report.
 	Report(report Report)
 }
 
-// ClientOptions say who reads and from whom.
+// ClientOptions describe the reader and the servers.
 type ClientOptions struct {
-	Hello    Hello // Offsets: what is held already
+	Hello    Hello // its Offsets are those that the handler has already
 	Selector SelectorOptions
 	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: Dial
 	Random   func() float64                                              // uniform in [0, 1); nil: rand.Float64
-	Omit     []Guard                                                     // guards left out, by tests alone
+	Omit     []Guard                                                     // checks that tests leave out
 }
 
-// Client reads the feed from one server at a time and goes to another when that one fails.
+// Client reads the feed from one server at a time and fails over to another. All fields but outbox belong to the goroutine
+// of Run.
 type Client struct {
 	hello    Hello
 	handler  Handler
@@ -53,10 +58,10 @@
 	selector *ServerSelector
 	receiver *receiver
 	outbox   *outbox
-	servers  []ServerEndpoint // that a server has named last; it names them again when they change
+	servers  []ServerEndpoint // of the last status that listed them; a status lists them only when they have changed
 }
 
-// NewClient prepares a client.
+// NewClient returns a client that is not connected; Run connects it.
 func NewClient(options ClientOptions, handler Handler) *Client {
 	dial := options.Dial
 	if dial == nil {
@@ -76,8 +81,8 @@
 	}
 }
 
-// NewProxyClient prepares the client of a proxy, which reads from the agent of its own machine.
-// The agent's port is the second of the machine's range (settings' portRange[1]). Role is set.
+// NewProxyClient returns the client of a proxy, which reads from the agent of its own machine at agentPort. The Role of
+// hello is set.
 func NewProxyClient(hello Hello, agentPort int, handler Handler) *Client {
 	hello.Role = RoleProxy
 	selector := SelectorOptions{
@@ -88,10 +93,10 @@
 	return NewClient(ClientOptions{Hello: hello, Selector: selector}, handler)
 }
 
-// LoopbackAddress is where an agent serves its proxy.
+// LoopbackAddress returns the address at which an agent serves its proxy.
 func LoopbackAddress(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// Run reads until ctx ends, and returns its error.
+// Run reads the feed until ctx ends, and returns the error of ctx.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		address, wait := c.selector.Next(time.Now())
@@ -104,11 +109,11 @@
 	return ctx.Err()
 }
 
-// Report has a report sent to the server, once connected. It does not block; the oldest reports are
-// dropped where too many wait.
+// Report queues a report for the server, which is sent once the client is connected. It does not block; the oldest reports
+// are dropped where too many are queued. It may be called by any goroutine.
 func (c *Client) Report(topic string, body []byte) { c.outbox.add(Report{Topic: topic, Body: body}) }
 
-// attempt dials a server and follows its feed. It returns why that ended.
+// attempt dials a server and reads its feed. It returns why the attempt or the connection ended.
 func (c *Client) attempt(ctx context.Context, address string) error {
 	if address == "" {
 		return ErrNoServer
@@ -131,7 +136,8 @@
 	return err
 }
 
-// serveConnection reads one connection until it fails, is to be left, or ctx ends, and closes it.
+// serveConnection reads one connection until it fails, the selector leaves it, or ctx ends, and closes it. A goroutine of
+// its own writes the hello and reports; it has ended when serveConnection returns.
 func (c *Client) serveConnection(ctx context.Context, connection net.Conn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
@@ -153,7 +159,7 @@
 	return context.Cause(ctx)
 }
 
-// send writes the hello and then reports as they come, until ctx ends or a write fails.
+// send writes the hello and then reports as they are queued, until ctx ends or a write fails.
 func (c *Client) send(ctx context.Context, connection net.Conn, hello Hello) error {
 	frames, err := AppendHello(nil, hello)
 	if err != nil {
--- a/internal/controlplane/feedtransport/client_receive.go
+++ b/internal/controlplane/feedtransport/client_receive.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// feedBufferBytes is the buffer for what a server sends.
+// feedBufferBytes is the size of the read buffer for the feed.
 const feedBufferBytes = 8 << 10
 
-// ErrNoServer is the failure of an attempt for which no server is known.
-var ErrNoServer = errors.New("feedlink: no server is known")
+// ErrNoServer is the error of an attempt for which no server is known.
+var ErrNoServer = errors.New("feedtransport: no server is known")
 
-// monitoredConnection reads with a deadline at which the choice is asked whether to stay.
+// monitoredConnection sets read deadlines at which the selector is asked whether to stay with the server.
 type monitoredConnection struct {
 	net.Conn
 	selector *ServerSelector
 }
 
+// Read implements io.Reader. Beside errors of the connection it returns those of ServerSelector.Check.
 func (w monitoredConnection) Read(buffer []byte) (int, error) {
 	for {
 		if err := w.SetReadDeadline(w.selector.Deadline()); err != nil {
@@ -41,7 +42,7 @@
 	}
 }
 
-// receive hands over what comes until the connection fails or is to be left.
+// receive passes frames to the handler until the connection fails or the selector leaves it.
 func (c *Client) receive(connection net.Conn) error {
 	watched := monitoredConnection{Conn: connection, selector: c.selector}
 	reader := bufio.NewReaderSize(watched, feedBufferBytes)
@@ -56,7 +57,7 @@
 	}
 }
 
-// handleFrame hands over one frame.
+// handleFrame passes one frame to the handler.
 func (c *Client) handleFrame(kind Kind, body []byte) error {
 	switch kind {
 	case KindSnapshot:
@@ -73,7 +74,7 @@
 	return UnexpectedKindError{Kind: kind}
 }
 
-// handleCompressed hands over the frames within a frame.
+// handleCompressed passes the frames within a compressed frame to the handler.
 func (c *Client) handleCompressed(body []byte) error {
 	frames, err := decompressFrames(body)
 	if err != nil {
--- a/internal/controlplane/feedtransport/codec.go
+++ b/internal/controlplane/feedtransport/codec.go
@@ -11,7 +11,7 @@
 	"ospreybend/coord/shards"
 )
 
-// The wire types mirror the schemas; the codec has no unsigned 64-bit type.
+// The wire types mirror the schemas, by field names; the codec has no unsigned 64-bit type.
 type (
 	wireOffset struct{ Shard, Index int64 }
 
@@ -47,32 +47,34 @@
 	wireStatus struct {
 		Sequence int64
 		Shards   []wireShardStatus
-		Keepers  []ServerEndpoint
+		Servers  []ServerEndpoint `avro:"Keepers"`
 	}
 )
 
-// DecodeError is returned for a body that its schema does not fit.
+// DecodeError is the error of a body that does not fit its schema.
 type DecodeError struct {
 	Kind  Kind
 	Cause error
 }
 
+// Error implements error.
 func (e *DecodeError) Error() string {
-	return fmt.Sprintf("feedlink: body of a frame of kind %d: %v", e.Kind, e.Cause)
+	return fmt.Sprintf("feedtransport: body of a frame of kind %d: %v", e.Kind, e.Cause)
 }
 
+// Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// readers are kept from one body to the next.
+// readers are reused from one body to the next.
 var readers = sync.Pool{New: func() any { return avro.NewReader(nil, 0, avro.WithReaderConfig(codec)) }}
 
-// decode reads a body. Unlike the codec's own Unmarshal it fails for one that ends early; bytes after
-// the schema's last field are left alone, so that a later schema may have more fields.
+// decode decodes a body. Unlike the codec's own Unmarshal it fails for one that ends early. Bytes after the schema's last
+// field are ignored, so that a later schema may have more fields.
 func decode(kind Kind, schema avro.Schema, body []byte, into any) (err error) {
 	reader := readers.Get().(*avro.Reader).Reset(body)
 	reader.Error = nil
 	defer func() {
-		if panicked := recover(); panicked != nil { // the codec does so for some false lengths
+		if panicked := recover(); panicked != nil { // the codec panics for some invalid lengths
 			err = &DecodeError{Kind: kind, Cause: fmt.Errorf("%w: %v", errInvalidLength, panicked)}
 			return
 		}
@@ -86,12 +88,12 @@
 	return nil
 }
 
-var errInvalidLength = errors.New("feedlink: false length")
+var errInvalidLength = errors.New("feedtransport: invalid length")
 
 func appendMessage(buffer []byte, kind Kind, schema avro.Schema, message any) ([]byte, error) {
 	body, err := codec.Marshal(schema, message)
 	if err != nil {
-		return nil, fmt.Errorf("feedlink: encode a frame of kind %d: %w", kind, err)
+		return nil, fmt.Errorf("feedtransport: encode a frame of kind %d: %w", kind, err)
 	}
 	if len(body) > MaxFrameBytes {
 		return nil, ErrFrameTooLong
@@ -99,7 +101,7 @@
 	return AppendFrame(buffer, kind, body), nil
 }
 
-// AppendHello appends hello to buffer as a frame.
+// AppendHello appends hello to buffer as a frame of KindHello.
 func AppendHello(buffer []byte, hello Hello) ([]byte, error) {
 	wire := wireHello{
 		Node: hello.Node, Zone: hello.Zone, Region: hello.Region, IP: hello.IP, Role: hello.Role,
@@ -111,7 +113,7 @@
 	return appendMessage(buffer, KindHello, helloSchema, wire)
 }
 
-// DecodeHello reads the body of a frame of KindHello.
+// DecodeHello decodes the body of a frame of KindHello, also that of a reader without compression.
 func DecodeHello(body []byte) (Hello, error) {
 	var wire wireHello
 	if decode(KindHello, helloSchema, body, &wire) != nil {
@@ -130,7 +132,7 @@
 	return hello, nil
 }
 
-// AppendSnapshotPart appends part to buffer as a frame.
+// AppendSnapshotPart appends part to buffer as a frame of KindSnapshot.
 func AppendSnapshotPart(buffer []byte, part SnapshotPart) ([]byte, error) {
 	return appendMessage(buffer, KindSnapshot, snapshotSchema, wireSnapshot{
 		Shard: int64(part.Shard), Index: int64(part.Index),
@@ -138,7 +140,7 @@
 	})
 }
 
-// DecodeSnapshotPart reads the body of a frame of KindSnapshot.
+// DecodeSnapshotPart decodes the body of a frame of KindSnapshot.
 func DecodeSnapshotPart(body []byte) (SnapshotPart, error) {
 	var wire wireSnapshot
 	if err := decode(KindSnapshot, snapshotSchema, body, &wire); err != nil {
@@ -150,7 +152,7 @@
 	}, nil
 }
 
-// AppendChanges appends changes to buffer as one frame.
+// AppendChanges appends changes to buffer as one frame of KindChanges.
 func AppendChanges(buffer []byte, changes Changes) ([]byte, error) {
 	wire := wireChanges{Shard: int64(changes.Shard), Changes: make([]wireChange, len(changes.Changes))}
 	for i, change := range changes.Changes {
@@ -159,7 +161,7 @@
 	return appendMessage(buffer, KindChanges, changesSchema, wire)
 }
 
-// DecodeChanges reads the body of a frame of KindChanges.
+// DecodeChanges decodes the body of a frame of KindChanges.
 func DecodeChanges(body []byte) (Changes, error) {
 	var wire wireChanges
 	if err := decode(KindChanges, changesSchema, body, &wire); err != nil {
@@ -172,9 +174,9 @@
 	return changes, nil
 }
 
-// AppendStatus appends status to buffer as a frame.
+// AppendStatus appends status to buffer as a frame of KindStatus.
 func AppendStatus(buffer []byte, status Status) ([]byte, error) {
-	wire := wireStatus{Sequence: int64(status.Sequence), Keepers: status.Servers}
+	wire := wireStatus{Sequence: int64(status.Sequence), Servers: status.Servers}
 	for _, shard := range status.Shards {
 		wire.Shards = append(wire.Shards, wireShardStatus{
 			Shard: int64(shard.Shard), Index: int64(shard.Index), Current: shard.Current,
@@ -183,13 +185,13 @@
 	return appendMessage(buffer, KindStatus, statusSchema, wire)
 }
 
-// DecodeStatus reads the body of a frame of KindStatus.
+// DecodeStatus decodes the body of a frame of KindStatus.
 func DecodeStatus(body []byte) (Status, error) {
 	var wire wireStatus
 	if err := decode(KindStatus, statusSchema, body, &wire); err != nil {
 		return Status{}, err
 	}
-	status := Status{Sequence: uint64(wire.Sequence), Servers: wire.Keepers}
+	status := Status{Sequence: uint64(wire.Sequence), Servers: wire.Servers}
 	for _, shard := range wire.Shards {
 		status.Shards = append(status.Shards, ShardStatus{
 			Shard: shards.ID(shard.Shard), Index: uint64(shard.Index), Current: shard.Current,
@@ -198,12 +200,12 @@
 	return status, nil
 }
 
-// AppendReport appends report to buffer as a frame.
+// AppendReport appends report to buffer as a frame of KindReport.
 func AppendReport(buffer []byte, report Report) ([]byte, error) {
 	return appendMessage(buffer, KindReport, reportSchema, report)
 }
 
-// DecodeReport reads the body of a frame of KindReport.
+// DecodeReport decodes the body of a frame of KindReport.
 func DecodeReport(body []byte) (Report, error) {
 	var report Report
 	err := decode(KindReport, reportSchema, body, &report)
--- a/internal/controlplane/feedtransport/compression.go
+++ b/internal/controlplane/feedtransport/compression.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// minCompressBytes is the length from which frames are worth compressing.
+	// minCompressBytes is the length of frames from which they are compressed.
 	minCompressBytes = 256
-	// compressionLevel leaves a quarter less of 3,000 workers than the fastest, for twice its time. A keeper compresses
-	// once for all its readers.
+	// compressionLevel makes the items of 3,000 workers a quarter smaller than the fastest level, in twice its time. A server
+	// compresses once for all its readers.
 	compressionLevel = 5
 )
 
-var errLengthMismatch = errors.New("feedlink: compressed frames are not as long as they say")
+var errLengthMismatch = errors.New("feedtransport: compressed frames differ from their stated length")
 
 // wireCompressed mirrors compressedSchema.
 type wireCompressed struct {
@@ -24,7 +24,7 @@
 	Deflated []byte
 }
 
-// deflaters and inflaters are kept, as each holds some tens of kilobytes or more.
+// deflaters and inflaters are reused, as each holds some tens of kilobytes or more.
 var (
 	deflaters = sync.Pool{New: func() any {
 		writer, err := flate.NewWriter(nil, compressionLevel)
@@ -36,7 +36,7 @@
 	inflaters = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
-// compressFrames returns frames as one frame of KindCompressed, or as they are if that is not shorter.
+// compressFrames returns frames as one frame of KindCompressed, or unchanged if that is not shorter.
 func compressFrames(frames []byte) ([]byte, error) {
 	if len(frames) < minCompressBytes {
 		return frames, nil
@@ -59,7 +59,7 @@
 	return compressed, nil
 }
 
-// decompressFrames returns the frames that the body of a frame of KindCompressed holds.
+// decompressFrames returns the frames in the body of a frame of KindCompressed.
 func decompressFrames(body []byte) ([]byte, error) {
 	var message wireCompressed
 	if err := decode(KindCompressed, compressedSchema, body, &message); err != nil {
--- a/internal/controlplane/feedtransport/compression_test.go
+++ b/internal/controlplane/feedtransport/compression_test.go
@@ -18,7 +18,7 @@
 
 const manyWorkers = 3000
 
-// workerItem is like an instance of a service in length and in what it shares with the others.
+// workerItem has the size of an instance and, like one, much in common with the others.
 func workerItem(random *rand.Rand, number int) feed.Item {
 	id := fmt.Sprintf("i-%010x", random.Uint64()>>24)
 	value := fmt.Sprintf("%s\x0evolo44a 10.%d.%d.%d:8609 halle-%c v1 ready decode m", id,
@@ -103,7 +103,7 @@
 	near, far := net.Pipe()
 	hello := Hello{Node: node, Role: RoleAgent, Compressed: true}
 	dial := func(context.Context, string) (net.Conn, error) { return near, nil }
-	client := NewClient(ClientOptions{Hello: hello, Selector: SelectorOptions{FixedServer: "keeper"}, Dial: dial}, handler)
+	client := NewClient(ClientOptions{Hello: hello, Selector: SelectorOptions{FixedServer: "server"}, Dial: dial}, handler)
 	done := make(chan struct{}, 2)
 	go func() {
 		defer func() { done <- struct{}{} }()
@@ -129,7 +129,7 @@
 	}
 }
 
-// A restart of all nodes makes a keeper send all workers to each of them: what that costs grows with both.
+// After a restart of all nodes a server sends all workers to each of them: the bytes grow with both numbers.
 func TestSession_Run_compressedSnapshotSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
@@ -151,14 +151,14 @@
 	})
 }
 
-// reaches returns the index that the encoded changes of a shard go to.
+// reaches returns the index of the last encoded change of a shard.
 func (e *Encoder) reaches(shard shards.ID) uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.changeFrames[shard].to
 }
 
-// What changes together is sent together, and encoded once for all readers.
+// Changes that are committed together are sent together, and encoded once for all readers.
 func TestEncoder_sharedByReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
--- a/internal/controlplane/feedtransport/encoder.go
+++ b/internal/controlplane/feedtransport/encoder.go
@@ -7,40 +7,40 @@
 	"ospreybend/coord/shards"
 )
 
-// Encoder makes the compressed frames of snapshots and changes, once for all sessions of a server that need the same.
-// What lies between two indexes of a shard never changes, so the indexes tell which frames are the same.
+// Encoder encodes the compressed frames of snapshots and changes once for all sessions of a server that need the same. It
+// caches the last ones of each shard by their indexes: what lies between two indexes of a shard never changes.
 type Encoder struct {
-	mutex          sync.Mutex
+	mutex          sync.Mutex // guards both maps; encoding waits for it, so that sessions do not encode the same twice
 	snapshotFrames map[shards.ID]encodedFrames
-	changeFrames   map[shards.ID]encodedFrames // changes
+	changeFrames   map[shards.ID]encodedFrames
 }
 
-// encodedFrames are the frames that take a reader from one index to another.
+// encodedFrames are the frames that bring a reader from one index to another.
 type encodedFrames struct {
 	from, to uint64
 	frames   [][]byte
 }
 
-// NewEncoder returns an encoder that holds nothing.
+// NewEncoder returns an encoder with empty caches.
 func NewEncoder() *Encoder {
 	return &Encoder{snapshotFrames: make(map[shards.ID]encodedFrames), changeFrames: make(map[shards.ID]encodedFrames)}
 }
 
-// snapshot returns the frames of a snapshot. Nobody may write to them.
+// snapshot returns the frames of a snapshot. The caller must not modify them.
 func (e *Encoder) snapshot(shard shards.ID, snapshot feed.Snapshot) ([][]byte, error) {
 	return e.cachedFrames(e.snapshotFrames, shard, 0, snapshot.Index, func() ([][]byte, error) {
 		return compressEach(snapshotParts(shard, snapshot), AppendSnapshotPart)
 	})
 }
 
-// changes returns the frames of the changes above an index, of which there is at least one. Nobody may write to them.
+// changes returns the frames of the changes above an index, of which there is at least one. The caller must not modify them.
 func (e *Encoder) changes(shard shards.ID, from uint64, changes []feed.Change) ([][]byte, error) {
 	return e.cachedFrames(e.changeFrames, shard, from, changes[len(changes)-1].Index, func() ([][]byte, error) {
 		return compressEach(changeParts(shard, changes), AppendChanges)
 	})
 }
 
-// cachedFrames returns the frames that are held for two indexes, or makes them and holds them instead of what was held.
+// cachedFrames returns the cached frames between two indexes, or encodes them and replaces those that were cached.
 func (e *Encoder) cachedFrames(
 	cache map[shards.ID]encodedFrames, shard shards.ID, from, to uint64, encode func() ([][]byte, error),
 ) ([][]byte, error) {
@@ -57,7 +57,7 @@
 	return frames, nil
 }
 
-// compressEach makes a frame of each part and compresses it.
+// compressEach encodes each part as a frame and compresses it.
 func compressEach[T any](parts []T, appendPart func([]byte, T) ([]byte, error)) ([][]byte, error) {
 	frames := make([][]byte, 0, len(parts))
 	for _, part := range parts {
--- a/internal/controlplane/feedtransport/writer.go
+++ b/internal/controlplane/feedtransport/feed_writer.go
@@ -9,22 +9,23 @@
 	"ospreybend/coord/shards"
 )
 
+// Sizes of what a session writes and reads.
 const (
-	// partBytes is about how much of a snapshot or of changes one frame carries.
+	// partBytes is the approximate size of the part of a snapshot or of changes that one frame carries.
 	partBytes = 48 << 10
-	// maxRetainedBytes is the largest buffer that is kept from one write to the next.
+	// maxRetainedBytes is the largest buffer that is reused for the next write.
 	maxRetainedBytes = 64 << 10
-	// reportBufferBytes is the buffer for what a reader of the feed sends.
+	// reportBufferBytes is the size of the read buffer for a reader's reports.
 	reportBufferBytes = 1 << 10
 )
 
-// feedWriter turns what a source has into frames. It knows how far the reader has each shard.
+// feedWriter encodes the state of a source as frames and writes them. It tracks the offset that the reader has of each shard.
 type feedWriter struct {
 	connection   net.Conn
 	writeTimeout time.Duration
-	encoder      *Encoder // nil: frames are not compressed
+	encoder      *Encoder // nil: no compression
 	buffer       []byte
-	sent         map[shards.ID]uint64
+	sent         map[shards.ID]uint64 // offsets
 
 	sequence   uint64
 	lastStatus Status
@@ -39,7 +40,7 @@
 	return writer
 }
 
-// writeShard writes what is above the index that the reader has.
+// writeShard writes what is above the reader's offset of a shard, and advances the offset.
 func (w *feedWriter) writeShard(shard shards.ID, changes []feed.Change, snapshot *feed.Snapshot) error {
 	if snapshot != nil && snapshot.Index > w.sent[shard] {
 		if err := w.writeSnapshot(shard, *snapshot); err != nil {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// snapshotParts cuts a snapshot into the parts that one frame each carries.
+// snapshotParts divides a snapshot into parts for one frame each.
 func snapshotParts(shard shards.ID, snapshot feed.Snapshot) []SnapshotPart {
 	var parts []SnapshotPart
 	for items := snapshot.Items; ; {
@@ -100,7 +101,7 @@
 	}
 }
 
-// changeParts cuts changes into those that one frame each carries.
+// changeParts divides changes into parts for one frame each.
 func changeParts(shard shards.ID, changes []feed.Change) []Changes {
 	var parts []Changes
 	for len(changes) > 0 {
@@ -111,21 +112,23 @@
 	return parts
 }
 
-// statusChanged tells whether the reader has to know of a status at once.
+// statusChanged reports whether a status differs from the last one so that it must be sent at once: in the shards, in which
+// of them are current, or in the servers.
 func (w *feedWriter) statusChanged(status Status) bool {
-	sameCurrency := func(a, b ShardStatus) bool { return a.Shard == b.Shard && a.Current == b.Current }
+	sameCurrency := func(left, right ShardStatus) bool { return left.Shard == right.Shard && left.Current == right.Current }
 	if !slices.EqualFunc(status.Shards, w.lastStatus.Shards, sameCurrency) {
 		return true
 	}
 	return w.statusAt.IsZero() || !slices.Equal(status.Servers, w.lastStatus.Servers)
 }
 
+// writeStatus writes a status with the next sequence, and with the servers only if they have changed.
 func (w *feedWriter) writeStatus(status Status) error {
 	w.sequence++
 	status.Sequence = w.sequence
 	servers := status.Servers
 	if w.sequence > 1 && slices.Equal(servers, w.lastStatus.Servers) {
-		status.Servers = nil // the reader keeps those that it was told of
+		status.Servers = nil // the reader has them from an earlier status
 	}
 	w.lastStatus = status
 	w.lastStatus.Servers = servers
@@ -137,7 +140,7 @@
 	return w.appendFrame(AppendReport(w.buffer, report))
 }
 
-// appendFrames takes frames that are shared with other writers.
+// appendFrames appends encoded frames, which are shared with other writers, unless err is set.
 func (w *feedWriter) appendFrames(frames [][]byte, err error) error {
 	for _, frame := range frames {
 		if err == nil {
@@ -147,7 +150,7 @@
 	return err
 }
 
-// appendFrame takes the buffer with one more frame, and sends it once it is long enough.
+// appendFrame replaces the buffer by one with a further frame, unless err is set, and flushes it once it is long enough.
 func (w *feedWriter) appendFrame(buffer []byte, err error) error {
 	if err != nil {
 		return err
@@ -159,6 +162,7 @@
 	return w.flush()
 }
 
+// flush writes the buffer.
 func (w *feedWriter) flush() error {
 	if len(w.buffer) == 0 {
 		return nil
@@ -171,7 +175,7 @@
 	return err
 }
 
-// partLength returns how many of the elements fit into a frame, at least one if there is any.
+// partLength returns how many of the first elements fit into a frame of partBytes, at least one if there is any.
 func partLength[T any](elements []T, size func(T) int) int {
 	total := 0
 	for i, element := range elements {
--- a/internal/controlplane/feedtransport/frames.go
+++ b/internal/controlplane/feedtransport/frames.go
@@ -9,44 +9,50 @@
 	"time"
 )
 
-// Kind tells what the body of a frame holds.
+// Kind is the type of a frame. Its values are part of the wire protocol.
 type Kind uint8
 
 // Kinds of the feed's frames.
 const (
-	KindHello    Kind = 1 // first frame of a reader of the feed
-	KindSnapshot Kind = 2 // one part of a snapshot
-	KindChanges  Kind = 3
-	KindStatus   Kind = 4
-	KindReport   Kind = 5 // either direction
-	// KindCompressed holds frames of the kinds 2 to 5, for a reader whose Hello says that it takes them.
+	// KindHello is the first frame of a reader; its body is a Hello.
+	KindHello Kind = 1
+	// KindSnapshot carries a SnapshotPart.
+	KindSnapshot Kind = 2
+	// KindChanges carries Changes.
+	KindChanges Kind = 3
+	// KindStatus carries a Status.
+	KindStatus Kind = 4
+	// KindReport carries a Report, in either direction.
+	KindReport Kind = 5
+	// KindCompressed carries frames of the kinds 2 to 5, for a reader that sets Compressed in its Hello.
 	KindCompressed Kind = 6
 
-	// FirstPeerKind is the lowest kind that belongs to another protocol.
+	// FirstPeerKind is the lowest kind that belongs to package peertransport.
 	FirstPeerKind Kind = 32
 )
 
 const (
-	headerBytes = 5
+	headerBytes = 5 // length and kind
 
-	// MaxFrameBytes is the longest body that is read.
+	// MaxFrameBytes is the maximal length of a frame's body.
 	MaxFrameBytes = 16 << 20
-	// readChunkBytes bounds what is allocated ahead of the bytes that have arrived.
+	// readChunkBytes is the memory that is allocated at a time for a body, ahead of its bytes.
 	readChunkBytes = 64 << 10
 )
 
-// ErrFrameTooLong is returned for a frame whose body exceeds MaxFrameBytes.
-var ErrFrameTooLong = errors.New("feedlink: frame too long")
+// ErrFrameTooLong is the error of a frame whose body exceeds MaxFrameBytes.
+var ErrFrameTooLong = errors.New("feedtransport: frame too long")
 
-// UnexpectedKindError is returned where a frame of another kind had to come.
+// UnexpectedKindError is the error of a frame of a kind that is not allowed at its place.
 type UnexpectedKindError struct{ Kind Kind }
 
+// Error implements error.
 func (e UnexpectedKindError) Error() string {
-	return fmt.Sprintf("feedlink: unexpected frame of kind %d", e.Kind)
+	return fmt.Sprintf("feedtransport: unexpected frame of kind %d", e.Kind)
 }
 
-// ReadFrame reads one frame. An end of the connection between frames is io.EOF, one within
-// a frame io.ErrUnexpectedEOF.
+// ReadFrame reads one frame. It returns io.EOF if the connection ends between frames, and io.ErrUnexpectedEOF if it ends
+// within one.
 func ReadFrame(reader io.Reader) (Kind, []byte, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -63,8 +69,8 @@
 	return Kind(header[4]), body, nil
 }
 
-// readBody reads length bytes and allocates for them in steps, so that a false length costs no
-// more memory than what was sent.
+// readBody reads length bytes and allocates memory for them in chunks, so that a false length costs little more memory than
+// the bytes that were sent.
 func readBody(reader io.Reader, length int) ([]byte, error) {
 	body := make([]byte, 0, min(length, readChunkBytes))
 	for len(body) < length {
@@ -72,7 +78,7 @@
 		start := len(body)
 		body = append(body, make([]byte, chunk)...)
 		if _, err := io.ReadFull(reader, body[start:]); err != nil {
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
@@ -88,8 +94,8 @@
 	return append(buffer, body...)
 }
 
-// ReadFirstFrame reads the first frame of an accepted connection, within limit. It reads no byte
-// beyond that frame, so that the protocol which the kind names goes on with connection itself.
+// ReadFirstFrame reads the first frame of an accepted connection within timeout. It reads no byte beyond that frame, so that
+// the protocol of its kind can go on with the connection.
 func ReadFirstFrame(connection net.Conn, timeout time.Duration) (Kind, []byte, error) {
 	if err := connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, nil, err
--- a/internal/controlplane/feedtransport/frames_test.go
+++ b/internal/controlplane/feedtransport/frames_test.go
@@ -81,7 +81,7 @@
 	expectEqual(t, suspicion, wantSuspicion, err)
 }
 
-// What is read from a frame does not change with the frame's memory.
+// Decoded messages must not share memory with the frame.
 func TestDecode_copiesBytes(t *testing.T) {
 	want := Changes{Shard: 2, Changes: []feed.Change{
 		{Index: 5, Put: []feed.Item{{Key: "key", Value: []byte("value")}}, Delete: []string{"gone"}},
@@ -132,7 +132,7 @@
 
 func TestDecode_rejectsTruncatedBodies(t *testing.T) {
 	content := body(t, must(t)(AppendHello(nil, sampleHello())), KindHello)
-	earlier := len(content) - 1 // without the last field it is whole in the earlier form
+	earlier := len(content) - 1 // without the last field it is complete in the earlier schema
 	hello, err := DecodeHello(content[:earlier])
 	want := sampleHello()
 	want.Compressed = false
--- a/internal/controlplane/feedtransport/guards_test.go
+++ b/internal/controlplane/feedtransport/guards_test.go
@@ -6,16 +6,16 @@
 	"ospreybend/coord/feed"
 )
 
-// guardClient is a client without some guards, with what its handler saw.
+// guardClient returns a client without some guards, and the recorder of what its handler received.
 func guardClient(omit []Guard, offsets ...Offset) (*Client, *recorder) {
 	handler := newRecorder()
 	client := NewClient(ClientOptions{Hello: Hello{Offsets: offsets}, Selector: SelectorOptions{FixedServer: "agent"}, Omit: omit}, handler)
 	return client, handler
 }
 
-// guardScenarios tell for each guard a course of frames that does harm without it.
+// guardScenarios has for each guard a sequence of frames that does harm without it, and reports whether it did.
 var guardScenarios = map[Guard]func(t *testing.T, omit ...Guard) (harm bool){
-	// A server that is behind sends what was overtaken long ago.
+	// A server that is behind sends an old state.
 	GuardAboveOffset: func(t *testing.T, omit ...Guard) bool {
 		client, handler := guardClient(omit, Offset{Shard: 1, Index: 7})
 		old := SnapshotPart{Index: 5, First: true, Last: true, Items: items("key", "old")}
@@ -24,7 +24,7 @@
 		}
 		return len(handler.items[1]) > 0
 	},
-	// The parts of two snapshots come mixed.
+	// The parts of two snapshots arrive mixed.
 	GuardCompleteSnapshot: func(t *testing.T, omit ...Guard) bool {
 		client, handler := guardClient(omit)
 		first := SnapshotPart{Index: 5, First: true, Items: items("key", "old")}
@@ -32,7 +32,7 @@
 		err := handleFrames(t, client, partFrame(t, first), partFrame(t, other))
 		return err == nil && handler.items[1]["key"] == "old" && handler.items[1]["other"] == "new"
 	},
-	// A change comes before the snapshot that it builds on is whole: the snapshot would be dropped.
+	// A change arrives before the snapshot that it builds on is complete: the snapshot would be dropped.
 	GuardNoChangeDuringSnapshot: func(t *testing.T, omit ...Guard) bool {
 		client, handler := guardClient(omit)
 		first := SnapshotPart{Index: 5, First: true, Items: items("key", "kept")}
@@ -50,7 +50,7 @@
 			continue
 		}
 		if scenario(t) {
-			t.Errorf("%s: harm although the guard holds", guard)
+			t.Errorf("%s: harm in spite of the guard", guard)
 		}
 		if !scenario(t, guard) {
 			t.Errorf("%s: no harm without the guard", guard)
@@ -58,11 +58,11 @@
 	}
 }
 
-// changeCount is how many changes come while an agent lags.
+// changeCount is the number of changes that an agent lags behind.
 const changeCount = 400
 
 // TestClient_behindBacklogReceivesSnapshot has an agent that stopped anywhere amid hundreds of changes read on from a
-// keeper whose backlog holds only the last few: it gets one snapshot at most, no gap, and nothing older.
+// server whose backlog holds only the last few: it gets one snapshot at most, no gap, and nothing older.
 func TestClient_behindBacklogReceivesSnapshot(t *testing.T) {
 	buffer := feed.NewBuffer(10 << 10)
 	r := &replicas{}
@@ -86,7 +86,7 @@
 	}
 }
 
-// readFrom gives the client what takes it on: from the whole log, or from the buffer with its short backlog.
+// readFrom brings the client up to date: from the whole log, or from the buffer with its short backlog.
 func readFrom(t *testing.T, client *Client, log []feed.Change, buffer *feed.Buffer, short bool) {
 	t.Helper()
 	connection := &capture{}
--- a/internal/controlplane/feedtransport/messages.go
+++ b/internal/controlplane/feedtransport/messages.go
@@ -5,16 +5,16 @@
 	"ospreybend/coord/shards"
 )
 
-// Roles of a reader of the feed.
+// Roles of a reader, as Hello has them.
 const (
 	RoleAgent = "agent"
 	RoleProxy = "proxy"
 )
 
-// Offset says how far a reader has a shard.
+// Offset is the index up to which a reader has a shard.
 type Offset struct {
 	Shard shards.ID
-	Index uint64 // 0: nothing of it
+	Index uint64 // 0: nothing
 }
 
 // Hello is the first message of a reader.
@@ -24,33 +24,34 @@
 	Region      string
 	IP          string
 	Role        string // RoleAgent or RoleProxy
-	Incarnation uint64 // differs between two starts of the same node's process
+	Incarnation uint64 // differs between two starts of a node's process
 	Offsets     []Offset
-	Compressed  bool // the reader takes frames of KindCompressed
+	Compressed  bool // the reader accepts frames of KindCompressed
 }
 
-// ShardStatus is what a server says of one shard.
+// ShardStatus is a server's status of one shard.
 type ShardStatus struct {
 	Shard   shards.ID
-	Index   uint64 // how far the server has it
-	Current bool   // the server knows that it is not behind the shard's owner
+	Index   uint64 // up to which the server has the shard
+	Current bool   // the server has confirmed that it is not behind the shard's owner
 }
 
-// ServerEndpoint is one keeper that the server knows of. Zone and Region are empty where unknown.
+// ServerEndpoint is the address of one control plane server. Zone and Region are empty where unknown. The encoding uses the
+// names of the fields.
 type ServerEndpoint struct {
-	Address string // any address of its own IP, "ip:port"; clients take the IP alone
+	Address string // any address of the server, "ip:port"; clients use only the IP
 	Zone    string
 	Region  string
 }
 
-// Status is what a server says at short intervals.
+// Status is sent by a server at short intervals, and at once when it has changed.
 type Status struct {
-	Sequence uint64 // of the statuses of one connection; set by the server's session
+	Sequence uint64 // counts the statuses of a connection; set by the server's session
 	Shards   []ShardStatus
-	Servers  []ServerEndpoint // on the wire empty where they are as in the status before
+	Servers  []ServerEndpoint // known servers; on the wire empty where they are the same as in the status before
 }
 
-// Current tells whether all shards of the status are current. A status without shards is not.
+// Current reports whether all shards of the status are current. A status without shards is not.
 func (s Status) Current() bool {
 	for _, shard := range s.Shards {
 		if !shard.Current {
@@ -60,21 +61,20 @@
 	return len(s.Shards) > 0
 }
 
-// Report is a message on a topic that the feed itself knows nothing of, in either direction.
-// Delivery is best effort.
+// Report is a message on a topic, in either direction. The package does not interpret its body. Delivery is best effort.
 type Report struct {
 	Topic string
 	Body  []byte
 }
 
-// Changes are changes of one shard, by ascending index.
+// Changes are consecutive changes of one shard, by ascending index.
 type Changes struct {
 	Shard   shards.ID
 	Changes []feed.Change
 }
 
-// SnapshotPart is one frame's share of a snapshot. The parts of a snapshot come one after the
-// other; the whole takes hold with the last of them.
+// SnapshotPart is the part of a snapshot that one frame carries. The parts of a snapshot are sent one after the other; the
+// snapshot takes effect with the last of them.
 type SnapshotPart struct {
 	Shard shards.ID
 	Index uint64
--- a/internal/controlplane/feedtransport/outbox.go
+++ b/internal/controlplane/feedtransport/outbox.go
@@ -2,22 +2,24 @@
 
 import "sync"
 
+// Limits of an outbox.
 const (
 	maxOutboxReports = 64
-	maxOutboxBytes   = 256 << 10
+	maxOutboxBytes   = 256 << 10 // of bodies
 )
 
-// outbox holds reports until they are sent. Where they exceed its bounds, the oldest are dropped.
+// outbox queues reports until they are sent. Where they exceed its limits, the oldest are dropped.
 type outbox struct {
-	ready chan struct{} // holds a token while reports may be waiting
+	ready chan struct{} // holds a token if reports may be queued
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	reports []Report
-	bytes   int
+	bytes   int // of their bodies
 }
 
 func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
 
+// add queues a report.
 func (o *outbox) add(report Report) {
 	o.mu.Lock()
 	o.reports = append(o.reports, report)
@@ -30,6 +32,7 @@
 	notify(o.ready)
 }
 
+// drain removes and returns the queued reports.
 func (o *outbox) drain() []Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,7 +41,7 @@
 	return reports
 }
 
-// notify leaves a token in a channel with room for one.
+// notify puts a token into a channel of capacity one, unless it has one already.
 func notify(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/controlplane/feedtransport/property_test.go
+++ b/internal/controlplane/feedtransport/property_test.go
@@ -23,7 +23,7 @@
 	propertyKeys     = 6
 )
 
-// capture is a connection that keeps what is written.
+// capture is a connection that records what is written.
 type capture struct {
 	net.Conn
 	written bytes.Buffer
@@ -33,7 +33,7 @@
 
 func (c *capture) Write(data []byte) (int, error) { return c.written.Write(data) }
 
-// replicas is one log with servers that have it to different lengths.
+// replicas is a log with servers that have replicated it up to different indexes.
 type replicas struct {
 	log     []feed.Change
 	lengths [propertyReplicas]int
@@ -70,7 +70,7 @@
 	}}
 }
 
-// read connects the client to a replica; the connection breaks after a share of what is sent.
+// read connects the client to a replica; the connection breaks after a part of what is sent.
 func (r *replicas) read(place, detail int, client *Client) error {
 	source := newScriptedSource(0)
 	source.logs[0] = r.log[:r.lengths[place]]
@@ -111,9 +111,9 @@
 	return client
 }
 
-// TestClient_convergesToSource draws sequences of commits, replicas that lag, compactions and broken
-// connections: whatever the client holds is the state at its offset, and with a last whole
-// connection it is the source's.
+// TestClient_convergesToSource draws sequences of commits, lagging replicas, compactions and broken
+// connections: the items of the client are always the state at its offset, and after a last complete
+// connection those of the source.
 func TestClient_convergesToSource(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
 	parameters.MinSuccessfulTests = propertyRuns
@@ -142,7 +142,7 @@
 	properties.TestingRun(t)
 }
 
-// compare tells how what the client holds differs from the log up to its offset.
+// compare describes how the items of the client differ from the log up to its offset; empty: not at all.
 func (r *replicas) compare(handler *recorder) string {
 	if len(handler.faults) > 0 {
 		return handler.faults[0]
--- a/internal/controlplane/feedtransport/receiver.go
+++ b/internal/controlplane/feedtransport/receiver.go
@@ -8,18 +8,21 @@
 	"ospreybend/coord/shards"
 )
 
-// ErrBrokenSnapshot is returned where the parts of a snapshot do not belong together.
-var ErrBrokenSnapshot = errors.New("feedlink: parts of a snapshot do not fit")
+// ErrBrokenSnapshot is the error of snapshot parts that do not belong together.
+var ErrBrokenSnapshot = errors.New("feedtransport: parts of a snapshot do not fit")
 
-// Guard names one check of what a reader takes. Tests leave guards out to show that their absence is noticed. A
-// running system leaves out none.
+// Guard names one check of what a reader accepts. Tests leave guards out, by ClientOptions.Omit, to show that each of them is
+// necessary. The production configuration leaves out none.
 type Guard string
 
-// The guards that can be left out.
+// Guards of the receiver.
 const (
-	GuardAboveOffset            Guard = "nothing-below"           // what is not above the offset held is dropped
-	GuardCompleteSnapshot       Guard = "snapshot-whole"          // the parts of a snapshot are of one snapshot, from its first to its last
-	GuardNoChangeDuringSnapshot Guard = "no-change-amid-snapshot" // no change counts before the snapshot of its shard is whole
+	// GuardAboveOffset drops what is not above the offset of its shard.
+	GuardAboveOffset Guard = "nothing-below"
+	// GuardCompleteSnapshot accepts a snapshot only with all its parts, from the first to the last.
+	GuardCompleteSnapshot Guard = "snapshot-whole"
+	// GuardNoChangeDuringSnapshot rejects changes between the parts of their shard's snapshot.
+	GuardNoChangeDuringSnapshot Guard = "no-change-amid-snapshot"
 )
 
 // Guards returns all guards that can be left out.
@@ -27,10 +30,10 @@
 	return []Guard{GuardAboveOffset, GuardCompleteSnapshot, GuardNoChangeDuringSnapshot}
 }
 
-// receiver knows how far each shard is held, and drops what is not above that.
+// receiver tracks the offset of each shard and accepts only what is above it. It belongs to the goroutine of Client.Run.
 type receiver struct {
 	offsets map[shards.ID]uint64
-	partial map[shards.ID]feed.Snapshot // snapshots of which the last part has not come
+	partial map[shards.ID]feed.Snapshot // snapshots whose last part has not arrived
 	omitted map[Guard]bool
 }
 
@@ -46,19 +49,20 @@
 	return &receiver{offsets: known, partial: make(map[shards.ID]feed.Snapshot), omitted: omitted}
 }
 
-// reset forgets what an earlier connection did not complete, and returns the offsets to ask from.
+// reset drops the incomplete snapshots of an earlier connection and returns the offsets for the Hello of a new one, sorted
+// by shard.
 func (r *receiver) reset() []Offset {
 	clear(r.partial)
 	offsets := make([]Offset, 0, len(r.offsets))
 	for shard, index := range r.offsets {
 		offsets = append(offsets, Offset{Shard: shard, Index: index})
 	}
-	slices.SortFunc(offsets, func(a, b Offset) int { return int(a.Shard) - int(b.Shard) })
+	slices.SortFunc(offsets, func(left, right Offset) int { return int(left.Shard) - int(right.Shard) })
 	return offsets
 }
 
-// addPart takes one part of a snapshot, and returns the whole with the last of them, unless it is not
-// above what is held.
+// addPart adds one part of a snapshot. With the last part it returns the complete snapshot, unless that is not above the
+// offset of its shard.
 func (r *receiver) addPart(part SnapshotPart) (snapshot feed.Snapshot, complete bool, err error) {
 	if part.First {
 		snapshot = feed.Snapshot{Index: part.Index, Items: part.Items}
@@ -81,8 +85,8 @@
 	return snapshot, true, nil
 }
 
-// accept tells whether a change is above what is held, and counts it as held then. It cannot come amid the parts of its
-// shard's snapshot, which would be below what is held once they are whole.
+// accept reports whether a change is above the offset of its shard, and advances the offset then. A change between the parts
+// of its shard's snapshot is an error: the snapshot would be below the offset once it is complete.
 func (r *receiver) accept(shard shards.ID, change feed.Change) (above bool, err error) {
 	if _, pending := r.partial[shard]; pending && !r.omitted[GuardNoChangeDuringSnapshot] {
 		return false, ErrBrokenSnapshot
--- a/internal/controlplane/feedtransport/receiver_test.go
+++ b/internal/controlplane/feedtransport/receiver_test.go
@@ -9,7 +9,7 @@
 	"ospreybend/coord/shards"
 )
 
-// handleFrames hands frames to a client as if they came over a connection.
+// handleFrames passes frames to a client as if they had been received.
 func handleFrames(t *testing.T, client *Client, frames ...[]byte) error {
 	t.Helper()
 	var sent []byte
@@ -91,7 +91,7 @@
 	}
 }
 
-// A change amid a snapshot's parts would raise the offset above the snapshot, which then would be dropped as old.
+// A change between the parts of a snapshot would raise the offset above the snapshot, which then would be dropped as old.
 func TestReceiver_accept_duringSnapshot(t *testing.T) {
 	handler := newRecorder()
 	client := propertyClient(handler)
--- a/internal/controlplane/feedtransport/schemas.go
+++ b/internal/controlplane/feedtransport/schemas.go
@@ -2,12 +2,11 @@
 
 import "github.com/hamba/avro/v2"
 
-// Avro schemas of the frames' bodies. Offsets and other counts are unsigned in the program and
-// travel as the long of the same 64 bits.
+// Avro schemas of the frames' bodies. Unsigned 64-bit numbers are encoded as the long with the same bits.
 const itemSchema = `{"type":"record","name":"Item","fields":[
 	{"name":"Key","type":"string"},{"name":"Value","type":"bytes"}]}`
 
-// helloFields are those of a reader that does not know of KindCompressed.
+// helloFields are the fields of the hello of a reader without compression.
 const helloFields = `{"name":"Node","type":"string"},
 	{"name":"Zone","type":"string"},
 	{"name":"Region","type":"string"},
@@ -59,8 +58,8 @@
 		{"name":"IP","type":"string"},{"name":"Suspected","type":"boolean"}]}`)
 )
 
-// maxElements bounds the elements of an array, so that a false count costs little memory.
+// maxElements limits the elements of a decoded array, so that a false count costs little memory.
 const maxElements = 1 << 18
 
-// codec admits strings and byte fields up to the length of a frame.
+// codec accepts strings and byte fields up to the length of a frame.
 var codec = avro.Config{MaxByteSliceSize: MaxFrameBytes, MaxSliceAllocSize: maxElements}.Freeze()
--- a/internal/controlplane/feedtransport/server_selector.go
+++ b/internal/controlplane/feedtransport/server_selector.go
@@ -5,67 +5,84 @@
 	"time"
 )
 
-// Limits of a client's choice between servers.
+// Time-outs of a connection to a server.
 const (
 	// ReceiveTimeout is how long a server may send nothing before the client leaves it.
 	ReceiveTimeout = 900 * time.Millisecond
-	// LoopbackReceiveTimeout is the same for the agent of the own machine.
+	// LoopbackReceiveTimeout is the ReceiveTimeout for the agent of the own machine.
 	LoopbackReceiveTimeout = 5 * time.Second
-	// StaleTimeout is how long a server may not be current before the client leaves it, where there is another. Once a
-	// server was left for that, the client looks at all others in turn, each for little longer than it takes to say
-	// whether it is current: several may be cut off together. If none is, it stays with each for twice as long.
+	// StaleTimeout is how long a server may not be current before the client leaves it, where there is another. Having left
+	// a server for that, the client scans the others in turn, each for little longer than it takes to receive a status:
+	// several may be partitioned together. If none is current, it stays with each for twice the StaleTimeout.
 	StaleTimeout = 900 * time.Millisecond
 
-	scanStaleTimeout  = 150 * time.Millisecond // how long a server of that round is kept that says that it is not current
-	scanSilentTimeout = 450 * time.Millisecond // the same of one that has not said anything yet
-	minDialTimeout    = 100 * time.Millisecond // that a first attempt may take, doubled with each failure up to DialLimit
-	minRetryBackoff   = 20 * time.Millisecond  // wait before a new attempt
-	maxRetryBackoff   = 500 * time.Millisecond // the same after several failures
-	minAvoidance      = 5 * time.Second        // a server that failed is used after the others for so long
-	maxAvoidance      = time.Minute
-	preferNearerAfter = 3 * time.Second  // on one connection, before a nearer server is tried
-	rebalanceAfter    = 20 * time.Second // the same for an equally near one, where this node belongs
-	stallSlack        = 250 * time.Millisecond
-	stallGrace        = 150 * time.Millisecond
+	scanStaleTimeout  = 150 * time.Millisecond // in a scan, for a server whose status is not current
+	scanSilentTimeout = 450 * time.Millisecond // in a scan, for a server that has sent no status yet
+	minDialTimeout    = 100 * time.Millisecond // of a first attempt; doubled with each failure up to DialTimeout
 )
 
-// Why a client leaves a server.
+// Waits between attempts and connections.
+const (
+	minRetryBackoff = 20 * time.Millisecond
+	maxRetryBackoff = 500 * time.Millisecond
+
+	// A server that failed is used after all others for minAvoidance, doubled with each failure up to maxAvoidance.
+	minAvoidance = 5 * time.Second
+	maxAvoidance = time.Minute
+
+	preferNearerAfter = 3 * time.Second  // time on a connection before a nearer server is preferred
+	rebalanceAfter    = 20 * time.Second // time on a connection before an equally near one of a higher rank is
+)
+
+// A deadline that is noticed later than stallSlack shows that this process has stalled itself. What the server sent
+// meanwhile may be unread, so that the server is given stallGrace more.
+const (
+	stallSlack = 250 * time.Millisecond
+	stallGrace = 150 * time.Millisecond
+)
+
+// Reasons for which a client leaves a server.
 var (
-	ErrReceiveTimeout = errors.New("feedlink: the server is silent")
-	ErrNotCurrent     = errors.New("feedlink: the server is not current")
-	ErrOtherPreferred = errors.New("feedlink: another server is preferred")
+	// ErrReceiveTimeout: the server has sent nothing for the ReceiveTimeout.
+	ErrReceiveTimeout = errors.New("feedtransport: no data from the server within the time-out")
+	// ErrNotCurrent: the server was not current for the StaleTimeout.
+	ErrNotCurrent = errors.New("feedtransport: the server is not current")
+	// ErrOtherPreferred: a server that is nearer, or of a higher rank, is available.
+	ErrOtherPreferred = errors.New("feedtransport: another server is preferred")
 )
 
-// SelectorOptions say between which servers a client chooses; zero durations stand for the constants.
+// SelectorOptions name the servers between which a client chooses. Zero durations stand for the constants.
 type SelectorOptions struct {
-	Node, Zone, Region string
-	Seeds              []string // addresses of keepers, "ip:port", of which the IP counts
-	FeedPort           int      // port of the feed at all keepers
-	FixedServer        string   // if not empty: the only server's address; Seeds are not used
+	Node, Zone, Region string   // of the client
+	Seeds              []string // addresses of control plane servers, "ip:port", of which only the IP is used
+	FeedPort           int      // port of the feed, the same on all servers
+	FixedServer        string   // address of the only server to use, instead of Seeds; empty: none
 	ReceiveTimeout     time.Duration
 	StaleTimeout       time.Duration
 }
 
-// ServerSelector decides which server a client uses, when it tries and when it leaves. It has no clock and
-// no I/O; times must come from one monotonic clock. It is used by one goroutine.
+// ServerSelector decides which server a client uses, when it attempts to connect and when it leaves the server. It has no
+// clock and no I/O; all instants must come from one monotonic clock. It belongs to the goroutine of Client.Run.
 type ServerSelector struct {
 	options    SelectorOptions
 	random     func() float64 // uniform in [0, 1)
 	candidates candidateList
 
-	server        *candidate // nil: none
-	failures      int        // attempts in a row that met no current server
-	staleSwitches int        // servers in a row that were left because they were not current
+	// Attempts.
+	server        *candidate // in use; nil: none
+	failures      int        // consecutive attempts that found no current server
+	staleSwitches int        // consecutive servers that were left because they were not current
 
+	// The present connection.
 	connectedAt     time.Time
-	receivedAt      time.Time
+	receivedAt      time.Time // when bytes last arrived
 	staleSince      time.Time
-	statusReceived  bool    // the connection has had a status
-	current         bool    // by the last one
-	rebalanceJitter float64 // factor of nearerAfter and spreadAfter, drawn for each connection
+	statusReceived  bool
+	current         bool    // as of the last status
+	rebalanceJitter float64 // factor of preferNearerAfter and rebalanceAfter, drawn anew for each connection
 }
 
-// NewServerSelector prepares a choice; random returns numbers uniform in [0, 1).
+// NewServerSelector returns a selector for a client that is not connected. random returns numbers uniform in [0, 1).
 func NewServerSelector(options SelectorOptions, random func() float64) *ServerSelector {
 	if options.ReceiveTimeout == 0 {
 		options.ReceiveTimeout = ReceiveTimeout
@@ -78,7 +95,7 @@
 	return selector
 }
 
-// Next chooses the server of the next attempt and says how long to wait before it. The address is
+// Next selects the server of the next attempt and returns its address and the backoff before the attempt. The address is
 // empty if no server is known.
 func (c *ServerSelector) Next(now time.Time) (address string, wait time.Duration) {
 	c.server = c.candidates.best(now)
@@ -89,7 +106,7 @@
 	return c.server.address, c.retryBackoff()
 }
 
-// retryBackoff draws the wait before an attempt, from a range that doubles with each failure.
+// retryBackoff draws the wait before an attempt from a range whose upper end doubles with each failure.
 func (c *ServerSelector) retryBackoff() time.Duration {
 	if c.failures == 0 {
 		return 0
@@ -102,8 +119,8 @@
 	return minRetryBackoff + time.Duration(c.random()*float64(maximum-minRetryBackoff))
 }
 
-// DialTimeout is how long the attempt may take to connect. The first ones are short: a machine that is down says
-// nothing, and the next one may be up.
+// DialTimeout returns how long the attempt may take to connect. The first attempts are short, since a machine that is down
+// does not answer at all and the next one may be up.
 func (c *ServerSelector) DialTimeout() time.Duration {
 	limit := minDialTimeout
 	for i := 0; i < c.failures && limit < DialTimeout; i++ {
@@ -112,7 +129,7 @@
 	return min(limit, DialTimeout)
 }
 
-// Connected notes that the attempt's connection is open.
+// Connected records that the attempt's connection is open.
 func (c *ServerSelector) Connected(now time.Time) {
 	c.connectedAt = now
 	c.receivedAt = now
@@ -121,10 +138,10 @@
 	c.rebalanceJitter = 1 + c.random()
 }
 
-// Received notes that bytes have come.
+// Received records that bytes have arrived.
 func (c *ServerSelector) Received(now time.Time) { c.receivedAt = now }
 
-// ObserveStatus notes what the server says of itself and of the keepers.
+// ObserveStatus records a status of the server: whether it is current, and which servers there are.
 func (c *ServerSelector) ObserveStatus(now time.Time, status Status) {
 	c.candidates.update(status.Servers)
 	wasCurrent := c.current
@@ -139,7 +156,7 @@
 	}
 }
 
-// Deadline says when Check has to be called at the latest if nothing comes before.
+// Deadline returns the instant at which Check has to be called at the latest if nothing arrives before.
 func (c *ServerSelector) Deadline() time.Time {
 	deadline := c.receiveDeadline()
 	if c.staleMatters() && c.staleDeadline().Before(deadline) {
@@ -148,8 +165,8 @@
 	return deadline
 }
 
-// Check returns why the server is to be left now, or nil. Where the call comes so late that
-// the process itself must have stood still, the server gets a moment to be heard.
+// Check returns the reason for which the client is to leave the server now, or nil. Where the call is so late that this
+// process itself must have stalled, the server is given stallGrace first.
 func (c *ServerSelector) Check(now time.Time) error {
 	switch {
 	case !now.Before(c.receiveDeadline()):
@@ -170,7 +187,7 @@
 	return nil
 }
 
-// AttemptEnded notes that the attempt failed, or why its connection ended.
+// AttemptEnded records why the attempt failed or its connection ended.
 func (c *ServerSelector) AttemptEnded(now time.Time, reason error) {
 	used := c.server
 	c.server = nil
@@ -185,6 +202,7 @@
 	used.avoidUntil = now.Add(avoidanceAfter(used.failures))
 }
 
+// avoidanceAfter returns for how long a server is avoided after so many failures.
 func avoidanceAfter(failures int) time.Duration {
 	wait := minAvoidance
 	for i := 1; i < failures && wait < maxAvoidance; i++ {
@@ -199,6 +217,7 @@
 
 func (c *ServerSelector) staleDeadline() time.Time { return c.staleSince.Add(c.staleTimeout()) }
 
+// staleTimeout returns how long the present server may not be current; see StaleTimeout.
 func (c *ServerSelector) staleTimeout() time.Duration {
 	switch {
 	case c.staleSwitches == 0:
@@ -211,10 +230,10 @@
 	return 2 * c.options.StaleTimeout
 }
 
-// staleMatters tells whether it matters that the server is not current.
+// staleMatters reports whether the server is not current although there are others.
 func (c *ServerSelector) staleMatters() bool { return !c.current && c.candidates.len() > 1 }
 
-// prefersOther tells whether a server that suits this node better is worth a new connection.
+// prefersOther reports whether a better server is available and the connection is old enough to be replaced.
 func (c *ServerSelector) prefersOther(now time.Time) bool {
 	best := c.candidates.best(now)
 	if best == nil || best == c.server || best.avoided(now) {
--- a/internal/controlplane/feedtransport/server_selector_test.go
+++ b/internal/controlplane/feedtransport/server_selector_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// selectorScript drives a choice on a clock of its own.
+// selectorScript drives a selector on a simulated clock.
 type selectorScript struct {
 	t        *testing.T
 	selector *ServerSelector
@@ -43,8 +43,8 @@
 	s.selector.ObserveStatus(s.now, Status{Shards: []ShardStatus{{Current: current}}, Servers: servers})
 }
 
-// observeUntilLeft passes time in the steps of the choice's own deadlines, with a status at every
-// interval, until it leaves the server.
+// observeUntilLeft advances the clock in steps, with a status at every
+// interval, until the selector leaves the server.
 func (s *selectorScript) observeUntilLeft(current bool, longest time.Duration) (time.Duration, error) {
 	begun := s.now
 	for s.now.Sub(begun) < longest {
@@ -156,12 +156,12 @@
 	}
 }
 
-// Several keepers may be cut off together. The views that follow them must be as new as promised soon after.
+// Several servers may be partitioned together. Their clients must find a current one within the promised time.
 func TestServerSelector_Check_scansServersPartitionedTogether(t *testing.T) {
 	seeds := append(threeSeeds(), "10.0.0.4:8146", "10.0.0.5:8146", "10.0.0.6:8146", "10.0.0.7:8146", "10.0.0.8:8146", "10.0.0.9:8146")
 	const (
 		cutOff   = 4
-		promised = 2200 * time.Millisecond // contactMs less the time after which a keeper that is cut off says so
+		promised = 2200 * time.Millisecond // contactMs less the time after which a partitioned server reports that it is not current
 	)
 	s := newScript(t, seeds...)
 	for range cutOff {
@@ -208,14 +208,14 @@
 	}
 }
 
-func keeper(ip int, zone, region string) ServerEndpoint {
+func serverIn(ip int, zone, region string) ServerEndpoint {
 	return ServerEndpoint{Address: fmt.Sprintf("10.0.0.%d:8146", ip), Zone: zone, Region: region}
 }
 
 func TestServerSelector_Check_prefersNearerServer(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
-	servers := []ServerEndpoint{keeper(1, "b", "south"), keeper(2, "a", "north"), keeper(3, "c", "north")}
+	servers := []ServerEndpoint{serverIn(1, "b", "south"), serverIn(2, "a", "north"), serverIn(3, "c", "north")}
 	s.status(true, servers...)
 	if reason := s.selector.Check(s.now); reason != nil {
 		t.Fatalf("left at once: %v", reason)
@@ -236,7 +236,7 @@
 
 func TestServerSelector_Check_failingNearerServerTriedLess(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
-	servers := []ServerEndpoint{keeper(1, "b", "south"), keeper(2, "a", "north")}
+	servers := []ServerEndpoint{serverIn(1, "b", "south"), serverIn(2, "a", "north")}
 	failures := 0
 	for s.now.Sub(start) < 5*time.Minute {
 		if address := s.next(); address == "10.0.0.2:7660" {
@@ -258,8 +258,8 @@
 func TestServerSelector_ObserveStatus_dropsDepartedServers(t *testing.T) {
 	s := newScript(t, "10.0.0.1:8146")
 	s.connect()
-	s.status(true, keeper(1, "", ""), keeper(2, "", ""))
-	s.status(true, keeper(1, "", ""))
+	s.status(true, serverIn(1, "", ""), serverIn(2, "", ""))
+	s.status(true, serverIn(1, "", ""))
 	if count := s.selector.candidates.len(); count != 1 {
 		t.Errorf("%d candidates", count)
 	}
--- a/internal/controlplane/feedtransport/session.go
+++ b/internal/controlplane/feedtransport/session.go
@@ -10,40 +10,41 @@
 	"ospreybend/coord/shards"
 )
 
-// Source is what a server's sessions read. Its methods may be called by several goroutines.
+// Source is the state that a server's sessions send. Its methods may be called by several goroutines.
 type Source interface {
-	// Shards lists the shards that the source has.
+	// Shards returns the shards that the source has.
 	Shards() []shards.ID
-	// Since returns what takes a reader on from index: the changes above it, by ascending index,
-	// or a snapshot where those are no longer kept. Both are nil if there is nothing above index.
-	// What it returns must not change afterwards.
+	// Since returns what brings a reader up to date from index: the changes above it, by ascending index, or a snapshot
+	// where those are no longer retained. Both are nil if there is nothing above index. The results must not be modified
+	// afterwards.
 	Since(shard shards.ID, index uint64) (changes []feed.Change, snapshot *feed.Snapshot)
 	// Status returns the source's present status; Sequence is not used.
 	Status() Status
-	// Subscribe has a token sent to wake, without blocking, whenever a shard has advanced or the
-	// currency of one or the keepers have changed, until cancel is called.
+	// Subscribe sends a token to wake, without blocking, whenever a shard has advanced, or whether one is current or the
+	// list of servers has changed, until cancel is called.
 	Subscribe(wake chan<- struct{}) (cancel func())
-	// OnReport takes a report of the reader. It must not block.
+	// OnReport receives a report of the reader. It must not block.
 	OnReport(hello Hello, topic string, body []byte)
 }
 
+// Intervals of a session.
 const (
-	// StatusInterval is the longest time between two statuses to an agent.
+	// StatusInterval is the maximal time between two statuses to an agent.
 	StatusInterval = 400 * time.Millisecond
-	// LoopbackStatusInterval is the same to the proxy of the same machine.
+	// LoopbackStatusInterval is the StatusInterval to the proxy of the same machine.
 	LoopbackStatusInterval = 2 * time.Second
-	// BatchInterval is the shortest time between two looks at the source for the first news after a calm, so that one
-	// write carries all that was committed in between. While news go on coming, all sessions look at its multiples since
-	// the origin: those that have got as far need the same frames.
+	// BatchInterval is the time for which updates are collected, so that one write carries all that was committed in it.
+	// The first update after an interval without any is sent at once. Further ones are sent at the multiples of the interval
+	// since the origin, by all sessions: those at the same offset need the same frames.
 	BatchInterval = 40 * time.Millisecond
 )
 
-// SessionOptions change a session's intervals; zero values stand for the constants.
+// SessionOptions are the intervals and the shared state of a session; zero durations stand for the constants.
 type SessionOptions struct {
 	StatusInterval time.Duration
 	BatchInterval  time.Duration
 	WriteTimeout   time.Duration
-	Encoder        *Encoder  // shared by the sessions of a server; nil: frames are not compressed
+	Encoder        *Encoder  // shared by the sessions of a server; nil: no compression
 	Origin         time.Time // of the intervals' multiples; zero: the start of the process
 }
 
@@ -63,7 +64,8 @@
 	return o
 }
 
-// Session is the server's side of one connection.
+// Session is the server's side of one connection. Run has two goroutines: its caller writes, and another reads the reports of
+// the reader. The writer alone uses the fields below outbox.
 type Session struct {
 	connection   net.Conn
 	hello        Hello
@@ -71,16 +73,16 @@
 	options      SessionOptions
 	outbox       *outbox
 	writer       *feedWriter
-	lastUpdateAt time.Time // when news last made it look at the source
+	lastUpdateAt time.Time // when a wake-up last made it read the source
 }
 
-// Serve runs a session with the usual intervals until the connection or ctx ends, and closes
-// the connection. It returns why it ended: io.EOF if the reader closed the connection.
+// Serve runs a session with default options until the connection or ctx ends, and closes the connection. It returns the
+// reason, which is io.EOF if the reader closed the connection.
 func Serve(ctx context.Context, connection net.Conn, hello Hello, source Source) error {
 	return NewSession(connection, hello, source, SessionOptions{}).Run(ctx)
 }
 
-// NewSession prepares a session. The connection's first frame, hello, has been read.
+// NewSession returns the session of a connection whose first frame, hello, has been read. Run runs it.
 func NewSession(connection net.Conn, hello Hello, source Source, options SessionOptions) *Session {
 	options = options.withDefaults()
 	writer := newFeedWriter(connection, hello.Offsets, options.WriteTimeout)
@@ -97,11 +99,10 @@
 	}
 }
 
-// Send has a report sent to the reader. It does not block; the oldest reports are dropped where
-// too many wait.
+// Send queues a report for the reader. It does not block; the oldest reports are dropped where too many are queued.
 func (s *Session) Send(topic string, body []byte) { s.outbox.add(Report{Topic: topic, Body: body}) }
 
-// Run serves the connection as Serve says.
+// Run serves the connection until it or ctx ends, and closes it. It returns the reason, as Serve does.
 func (s *Session) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -120,7 +121,7 @@
 	return context.Cause(ctx)
 }
 
-// readReports hands the reader's reports to the source until the connection fails.
+// readReports passes the reader's reports to the source until the connection fails.
 func (s *Session) readReports() error {
 	reader := bufio.NewReaderSize(s.connection, reportBufferBytes)
 	for {
@@ -158,7 +159,7 @@
 	}
 }
 
-// awaitUpdate returns at the next look at the source, or false once ctx has ended.
+// awaitUpdate waits until the source is to be read again. It returns false once ctx has ended.
 func (s *Session) awaitUpdate(ctx context.Context, wake <-chan struct{}, timer *time.Timer) bool {
 	select {
 	case <-ctx.Done():
@@ -175,7 +176,7 @@
 	return true
 }
 
-// batchDelay says how long news wait for others: not at all after a calm.
+// batchDelay returns how long an update waits for others: 0 after an interval without updates.
 func (s *Session) batchDelay(now time.Time) time.Duration {
 	if now.Sub(s.lastUpdateAt) >= s.options.BatchInterval {
 		return 0
@@ -183,8 +184,8 @@
 	return s.options.BatchInterval - s.sinceIntervalBoundary(now, s.options.BatchInterval)
 }
 
-// sendUpdates sends, in this order, what the shards have, the status if it is due, and reports. The
-// status is read first, so that a reader that gets it has each shard as far as it says.
+// sendUpdates sends, in this order, what the shards have, the status if it is due, and reports. The status is read first, so
+// that a reader that receives it has each shard at least up to the status's index.
 func (s *Session) sendUpdates() error {
 	status := s.source.Status()
 	for _, shard := range s.source.Shards() {
@@ -206,8 +207,8 @@
 	return s.writer.flush()
 }
 
-// untilNextStatus says how long the next status may wait. Statuses are due at multiples of the interval
-// since the origin, so that all sessions send theirs in one wake-up of the process.
+// untilNextStatus returns the time until the next status is due. Statuses are due at multiples of the interval since the
+// origin, so that all sessions send theirs in one wake-up of the process.
 func (s *Session) untilNextStatus(now time.Time) time.Duration {
 	if s.writer.statusAt.IsZero() {
 		return 0
@@ -216,7 +217,7 @@
 	return latest.Add(-s.sinceIntervalBoundary(latest, s.options.StatusInterval)).Sub(now)
 }
 
-// sinceIntervalBoundary returns how long before a moment the last multiple of an interval since the origin was.
+// sinceIntervalBoundary returns the time between the last multiple of an interval since the origin and a moment.
 func (s *Session) sinceIntervalBoundary(moment time.Time, interval time.Duration) time.Duration {
 	beyond := moment.Sub(s.options.Origin) % interval
 	if beyond < 0 {
@@ -225,10 +226,10 @@
 	return beyond
 }
 
-// processStart is the usual origin of the grid of statuses.
+// processStart is the default origin of the intervals' multiples.
 var processStart = time.Now()
 
-// pause waits for a time, or returns false once ctx has ended.
+// pause waits for a duration. It returns false if ctx ends before.
 func pause(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
--- a/internal/controlplane/feedtransport/session_test.go
+++ b/internal/controlplane/feedtransport/session_test.go
@@ -16,11 +16,11 @@
 	"ospreybend/coord/shards"
 )
 
-// servers lets a client reach scripted sources by address, over pipes.
+// servers connects a client to scripted sources by address, over pipes.
 type servers struct {
 	mu      sync.Mutex
 	sources map[string]*scriptedSource
-	hung    map[string]bool // a connection opens, and nothing ever comes
+	hung    map[string]bool // a connection opens, and nothing is ever sent
 }
 
 func (s *servers) dial(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/controlplane/feedtransport/shared_snapshot_test.go
+++ b/internal/controlplane/feedtransport/shared_snapshot_test.go
@@ -11,7 +11,7 @@
 	"ospreybend/coord/shards"
 )
 
-// bufferSource is a source of one shard that hands out what feed.Buffer does, as a keeper is.
+// bufferSource is a source of one shard with a feed.Buffer, as a control plane server is.
 type bufferSource struct {
 	*scriptedSource
 	mutex  sync.Mutex
@@ -40,13 +40,13 @@
 	return s.buffer.From(index)
 }
 
-// All nodes come at once after a kill of all, while workers come and go: each gets all of them within the time of a
+// All nodes connect at once after a restart of all, while workers change: each gets all of them within the time of a
 // status, and nearly all get the same bytes.
 func TestSession_Run_readersShareOneSnapshot(t *testing.T) {
 	const (
 		readers = 60
 		workers = 600
-		extra   = 40 // changes while the herd comes
+		extra   = 40 // changes while the readers connect
 	)
 	synctest.Test(t, func(t *testing.T) {
 		items := manyItems(4, workers+extra)
@@ -91,14 +91,14 @@
 	})
 }
 
-// News after a calm go out at once, also where a status has just been sent.
+// The first update after a quiet interval is sent at once, also if a status has just been sent.
 func TestSession_Run_firstUpdateIsImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
 		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
-		for index := range uint64(60) { // at all phases of the statuses' interval
+		for index := range uint64(60) { // at all phases of the status interval
 			time.Sleep(BatchInterval + 7*time.Millisecond)
 			source.commit(0, put(index+1, "key", fmt.Sprint(index)))
 			synctest.Wait()
--- a/internal/controlplane/feedtransport/socket.go
+++ b/internal/controlplane/feedtransport/socket.go
@@ -11,35 +11,36 @@
 	"golang.org/x/sys/unix"
 )
 
+// Limits of the feed's connections.
 const (
-	// DialTimeout bounds how long a connection may take to open.
+	// DialTimeout is how long a connection may take to open.
 	DialTimeout = 400 * time.Millisecond
-	// WriteTimeout bounds how long a write may make no progress. Sent bytes that the other machine
-	// does not acknowledge for as long break the connection (TCP_USER_TIMEOUT).
+	// WriteTimeout is how long a write may make no progress. Sent bytes that the other machine does not acknowledge for as
+	// long break the connection, too (TCP_USER_TIMEOUT).
 	WriteTimeout = 1500 * time.Millisecond
 
-	// writeChunkBytes is what has to go out within one WriteLimit.
+	// writeChunkBytes have to be written within one WriteTimeout.
 	writeChunkBytes = 16 << 10
-	// keepAliveDisabled turns off keep-alive probes: statuses take their place.
+	// keepAliveDisabled disables TCP keep-alive: the statuses take its place.
 	keepAliveDisabled = -1
 )
 
-// Dial opens a connection to address, "ip:port", with the feed's limits.
+// Dial opens a connection to address, "ip:port", with DialTimeout and the feed's socket options.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: DialTimeout, KeepAlive: keepAliveDisabled, Control: setUserTimeout}
 	dialer.SetMultipathTCP(false)
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// Listen opens a listener on address, "ip:port", whose connections have the feed's limits.
+// Listen opens a listener on address, "ip:port", whose connections have the feed's socket options.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: keepAliveDisabled, Control: setUserTimeout}
 	config.SetMultipathTCP(false)
 	return config.Listen(ctx, "tcp4", address)
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT before the connection opens; accepted connections take it over
-// from their listener. Both ends have TCP_NODELAY, which package net sets by itself.
+// setUserTimeout sets TCP_USER_TIMEOUT before the connection opens; accepted connections inherit it from their listener. Both
+// ends have TCP_NODELAY, which package net sets by itself.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	set := func(descriptor uintptr) {
@@ -52,8 +53,8 @@
 	return failure
 }
 
-// FeedAddress returns where the machine of an address, "ip:port", serves the feed. It is false
-// if the address is none.
+// FeedAddress returns the address at which the machine of another address, "ip:port", serves the feed. It returns false if
+// that address is invalid.
 func FeedAddress(address string, feedPort int) (string, bool) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return net.JoinHostPort(parsed.Addr().String(), strconv.Itoa(feedPort)), true
 }
 
-// writeAll writes data in steps. It fails once a step has not gone out within limit.
+// writeAll writes data in chunks. It fails once a chunk is not written within timeout.
 func writeAll(connection net.Conn, data []byte, timeout time.Duration) error {
 	for len(data) > 0 {
 		chunk := min(len(data), writeChunkBytes)
--- a/internal/controlplane/feedtransport/source_test.go
+++ b/internal/controlplane/feedtransport/source_test.go
@@ -8,11 +8,11 @@
 	"ospreybend/coord/shards"
 )
 
-// scriptedSource is a source of a test. Its log holds every change since the start of each shard.
+// scriptedSource is a source under control of a test. Its log has every change since the start of each shard.
 type scriptedSource struct {
 	mu      sync.Mutex
 	logs    map[shards.ID][]feed.Change
-	floors  map[shards.ID]uint64 // below it, a reader gets a snapshot
+	floors  map[shards.ID]uint64 // a reader below it gets a snapshot
 	current bool
 	servers []ServerEndpoint
 	wakes   map[chan<- struct{}]bool
@@ -125,7 +125,7 @@
 	return log[len(log)-1].Index
 }
 
-// apply does to items what a change says.
+// apply applies a change to items.
 func apply(items map[string]string, change feed.Change) {
 	for _, key := range change.Delete {
 		delete(items, key)
@@ -151,7 +151,7 @@
 	return snapshot
 }
 
-// recorder is a handler that keeps the items and notes what it is told.
+// recorder is a handler that keeps the items and records its calls.
 type recorder struct {
 	mu sync.Mutex
 	recorded
@@ -174,7 +174,7 @@
 	}}
 }
 
-// seen returns what has been noted so far; its maps must not be read while the client runs.
+// seen returns what has been recorded so far; its maps must not be read while the client runs.
 func (r *recorder) seen() recorded {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/feedtransport/status_test.go
+++ b/internal/controlplane/feedtransport/status_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A status repeats the keepers only when they have changed.
+// A status lists the servers only when they have changed.
 func TestFeedWriter_writeStatus_serversOnlyWhenChanged(t *testing.T) {
 	connection := &capture{}
 	writer := newFeedWriter(connection, nil, time.Second)
@@ -23,7 +23,7 @@
 		}
 		decoded, err := DecodeStatus(body(t, connection.written.Bytes(), KindStatus))
 		if err != nil || len(decoded.Servers) != len(wanted) {
-			t.Errorf("status %d tells of %v, want %v, %v", number, decoded.Servers, wanted, err)
+			t.Errorf("status %d lists %v, want %v, %v", number, decoded.Servers, wanted, err)
 		}
 		if writer.statusChanged(status) {
 			t.Errorf("status %d counts as changed after it was sent", number)
@@ -42,7 +42,7 @@
 		synctest.Wait()
 		for number, status := range handler.seen().statuses {
 			if len(status.Servers) != len(source.servers) {
-				t.Errorf("status %d of %d tells of %v", number, len(handler.seen().statuses), status.Servers)
+				t.Errorf("status %d of %d lists %v", number, len(handler.seen().statuses), status.Servers)
 			}
 		}
 	})
