--- a/internal/controlplane/peertransport/codec.go
+++ b/internal/controlplane/peertransport/codec.go
@@ -11,20 +11,20 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Kinds of frames between keepers.
+// Kinds of frames between servers. Their values are part of the wire protocol.
 const (
 	kindHello feedtransport.Kind = feedtransport.FirstPeerKind + iota // first frame of the dialer
-	kindBatch                                                         // agreement messages
+	kindBatch                                                         // consensus messages
 	kindCall
 	kindReply
 )
 
-// CallKind tells what a call asks. The kinds are the caller's.
+// CallKind is the kind of a call. Its values are defined by the user of the transport.
 type CallKind int
 
-// Hello is what a dialer says of itself.
+// Hello identifies the dialer of a connection.
 type Hello struct {
-	Address string // where it takes its peers, "ip:port"
+	Address string // at which it accepts its peers, "ip:port"
 	Member  consensus.MemberID
 	Zone    string
 	Region  string
@@ -51,10 +51,10 @@
 	}
 )
 
-// codec admits strings and byte fields up to the length of a frame.
+// codec accepts strings and byte fields up to the length of a frame.
 var codec = avro.Config{MaxByteSliceSize: feedtransport.MaxFrameBytes}.Freeze()
 
-// frame is one frame to be written.
+// frame is an encoded frame that is to be written.
 type frame struct {
 	kind feedtransport.Kind
 	body []byte
@@ -63,7 +63,7 @@
 func encode(kind feedtransport.Kind, schema avro.Schema, message any) (frame, error) {
 	body, err := codec.Marshal(schema, message)
 	if err != nil {
-		return frame{}, fmt.Errorf("peerlink: encode a frame of kind %d: %w", kind, err)
+		return frame{}, fmt.Errorf("peertransport: encode a frame of kind %d: %w", kind, err)
 	}
 	if len(body) > feedtransport.MaxFrameBytes {
 		return frame{}, feedtransport.ErrFrameTooLong
@@ -73,7 +73,7 @@
 
 func decode(kind feedtransport.Kind, schema avro.Schema, body []byte, into any) error {
 	if err := strictavro.Unmarshal(codec, schema, body, into); err != nil {
-		return fmt.Errorf("peerlink: decode a frame of kind %d: %w", kind, err)
+		return fmt.Errorf("peertransport: decode a frame of kind %d: %w", kind, err)
 	}
 	return nil
 }
--- a/internal/controlplane/peertransport/frame_writer.go
+++ b/internal/controlplane/peertransport/frame_writer.go
@@ -10,19 +10,19 @@
 
 // Sizes of writes.
 const (
-	writeChunkBytes  = 64 << 10  // the write deadline is looked at before each piece
-	maxBufferedBytes = 64 << 10  // frames up to this length are gathered into one write
-	maxRetainedBytes = 256 << 10 // a larger buffer is not kept for the next write
+	writeChunkBytes  = 64 << 10  // the write deadline is checked before each chunk
+	maxBufferedBytes = 64 << 10  // frames up to this length are collected into one write
+	maxRetainedBytes = 256 << 10 // a larger buffer is not reused for the next write
 )
 
-// frameWriter gathers frames and writes them with few calls. Not for concurrent use.
+// frameWriter collects frames and writes them with few system calls. It is not safe for concurrent use.
 type frameWriter struct {
 	connection net.Conn
 	buffer     []byte
-	deadline   time.Time // of writes, as it was set last
+	deadline   time.Time // write deadline that was last set
 }
 
-// append gathers a frame; one that is long is written at once, after what was gathered.
+// append buffers a frame. A frame longer than maxBufferedBytes is written at once, after what was buffered.
 func (w *frameWriter) append(next frame) error {
 	if len(next.body) <= maxBufferedBytes {
 		w.buffer = feedtransport.AppendFrame(w.buffer, next.kind, next.body)
@@ -44,7 +44,7 @@
 	return append(buffer, byte(kind))
 }
 
-// flush writes what was gathered.
+// flush writes the buffered frames.
 func (w *frameWriter) flush() error {
 	err := w.write(w.buffer)
 	if cap(w.buffer) > maxRetainedBytes {
@@ -54,8 +54,8 @@
 	return err
 }
 
-// renewDeadline gives the next piece at least half of writeTimeout. A deadline that leaves so much
-// stands, since setting it costs more than a small write.
+// renewDeadline gives the next chunk at least half of writeTimeout. A deadline that leaves as much is not set anew, since
+// that costs more than a small write.
 func (w *frameWriter) renewDeadline() error {
 	now := time.Now()
 	if w.deadline.Sub(now) >= writeTimeout/2 {
@@ -65,6 +65,7 @@
 	return w.connection.SetWriteDeadline(w.deadline)
 }
 
+// write writes data in chunks of writeChunkBytes.
 func (w *frameWriter) write(data []byte) error {
 	for len(data) > 0 {
 		chunk := data[:min(len(data), writeChunkBytes)]
--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -15,30 +15,31 @@
 )
 
 const (
-	// maxCallTimeout is the longest time that a call may take.
+	// maxCallTimeout limits the time of a call, also without a deadline.
 	maxCallTimeout = 10 * time.Second
-	// maxConcurrentCalls bounds the calls of one peer that are worked on at a time.
+	// maxConcurrentCalls limits the calls of one connection that are executed at a time.
 	maxConcurrentCalls = 256
 )
 
-// Reasons to carry out no part of a call.
+// Reasons for which a call is rejected before its execution.
 var (
-	errTooManyCalls = errors.New("peerlink: too many calls of this peer are under way")
-	errCallExpired  = errors.New("peerlink: the call has no time left")
+	errTooManyCalls = errors.New("peertransport: too many concurrent calls of this peer")
+	errCallExpired  = errors.New("peertransport: the deadline of the call has passed")
 )
 
-// inbound is a connection that a peer has opened.
+// inbound is a connection that a peer has opened. One goroutine reads it; each call runs in another and writes its reply.
 type inbound struct {
 	transport  *Transport
 	connection net.Conn
 	peer       Hello
-	running    chan struct{} // one token for each call that is worked on
+	running    chan struct{} // one token for each call that is executed
 
-	mutex  sync.Mutex // of writer
+	mutex  sync.Mutex // guards writer
 	writer frameWriter
 }
 
-// Serve accepts connections until the listener or the network is closed, and closes the listener.
+// Serve accepts connections until the listener or the transport is closed, and closes the listener. It returns nil after
+// Close.
 func (n *Transport) Serve(listener net.Listener) error {
 	stop := context.AfterFunc(n.ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -62,7 +63,7 @@
 	}
 }
 
-// delayAccept waits a little after a failed accept, as when descriptors have run out.
+// delayAccept waits minBackoff after a failed accept, such as for lack of file descriptors.
 func (n *Transport) delayAccept() {
 	timer := time.NewTimer(minBackoff)
 	defer timer.Stop()
@@ -72,7 +73,7 @@
 	}
 }
 
-// identify reads the first frame and hands the connection to the protocol that it names.
+// identify reads the first frame of a connection and serves the protocol of its kind.
 func (n *Transport) identify(connection net.Conn) {
 	stop := context.AfterFunc(n.ctx, func() { _ = connection.Close() })
 	defer stop()
@@ -97,6 +98,7 @@
 	n.serveInbound(connection, peer)
 }
 
+// serveInbound serves the connection of a peer until it ends.
 func (n *Transport) serveInbound(connection net.Conn, peer Hello) {
 	in := &inbound{
 		transport: n, connection: connection, peer: peer,
@@ -108,9 +110,8 @@
 	in.readFrames()
 }
 
-// register notes a connection of a peer. It leaves the peer's other ones alone, since the one that is
-// accepted last need not be the newest: it may have waited while this process stood still. A
-// connection that its peer has given up ends by itself.
+// register records a connection of a peer. The peer's other connections stay open, since the one that is accepted last need
+// not be the newest: it may have waited while this process stalled. A connection that its peer has closed ends by itself.
 func (n *Transport) register(in *inbound) {
 	now := n.options.Now()
 	n.mutex.Lock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// readFrames takes frames until the connection ends.
+// readFrames handles frames until the connection ends.
 func (in *inbound) readFrames() {
 	ctx, cancel := context.WithCancel(in.transport.ctx)
 	defer cancel()
@@ -147,7 +148,7 @@
 	}
 }
 
-// handleFrame handles one frame; false ends the connection.
+// handleFrame handles one frame. It returns false if the frame is invalid, which ends the connection.
 func (in *inbound) handleFrame(ctx context.Context, kind feedtransport.Kind, body []byte) bool {
 	switch kind {
 	case kindBatch:
@@ -168,7 +169,7 @@
 	return false
 }
 
-// withKnownShards leaves out messages of shards that this program does not have.
+// withKnownShards filters out, in place, messages of shards that this program does not know.
 func withKnownShards(batch []GroupMessage) []GroupMessage {
 	remaining := batch[:0]
 	for _, message := range batch {
@@ -179,8 +180,8 @@
 	return remaining
 }
 
-// startCall works on a call in a goroutine of its own. It refuses one that has no time left, and all while
-// too many are under way.
+// startCall executes a call in a goroutine of its own. It rejects calls whose deadline has passed, and those above
+// maxConcurrentCalls.
 func (in *inbound) startCall(ctx context.Context, call wireCall) {
 	if call.BudgetMs <= 0 {
 		in.reply(call.ID, nil, errCallExpired)
@@ -204,10 +205,12 @@
 	}()
 }
 
+// reply writes the reply to a call. A reply that is too long for a frame becomes an error, so that the caller need not wait
+// for its deadline.
 func (in *inbound) reply(id int64, body []byte, failure error) {
 	encoded, err := encodeReply(id, body, failure)
 	if err != nil {
-		encoded, err = encodeReply(id, nil, err) // too long for a frame: the caller need not wait for it
+		encoded, err = encodeReply(id, nil, err)
 	}
 	if err != nil {
 		return
--- a/internal/controlplane/peertransport/inbound_test.go
+++ b/internal/controlplane/peertransport/inbound_test.go
@@ -36,13 +36,13 @@
 
 func (o *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// inboundFixture is a network under test that a test dials.
+// inboundFixture is a transport under test that a test dials.
 type inboundFixture struct {
 	t        *testing.T
 	network  *Transport
 	listener *pipeListener
 	handler  *recorder
-	asked    chan string // bodies of calls that are carried out
+	asked    chan string // bodies of calls that are executed
 }
 
 func newInboundFixture(t *testing.T) *inboundFixture {
@@ -100,16 +100,16 @@
 
 var somePeer = Hello{Address: peerAddress, Member: 2}
 
-// TestInbound_handleFrame sends all kinds of bytes and tells which calls are carried out and whether the connection goes
-// on; another one of the same peer goes on in any case.
+// TestInbound_handleFrame sends valid and invalid bytes and checks which calls are executed and whether the connection stays
+// open; another connection of the same peer stays open in any case.
 func TestInbound_handleFrame(t *testing.T) {
 	complete := callBytes(t, 1, time.Second, "x")
 	cases := []struct {
-		name    string
-		sent    []byte
-		carried int  // calls
-		replies int  // that come back
-		ends    bool // the connection
+		name     string
+		sent     []byte
+		executed int  // calls
+		replies  int  // that are received
+		ends     bool // the connection
 	}{
 		{"a whole call", complete, 1, 1, false},
 		{"repeated", append(complete[:len(complete):len(complete)], complete...), 2, 2, false},
@@ -131,7 +131,7 @@
 				connection := h.dial(somePeer)
 				write(t, connection, one.sent)
 				for range one.replies {
-					if reply := nextReply(t, connection); reply.ID != 1 || reply.Failed == (one.carried > 0) {
+					if reply := nextReply(t, connection); reply.ID != 1 || reply.Failed == (one.executed > 0) {
 						t.Fatalf("%+v", reply)
 					}
 				}
@@ -142,8 +142,8 @@
 				}
 				_ = connection.Close()
 				synctest.Wait()
-				if len(h.asked) != one.carried {
-					t.Fatalf("%d calls are carried out", len(h.asked))
+				if len(h.asked) != one.executed {
+					t.Fatalf("%d calls are executed out", len(h.asked))
 				}
 				write(t, other, callBytes(t, 7, time.Second, "next"))
 				if reply := nextReply(t, other); reply.ID != 7 || string(reply.Body) != "next" {
@@ -154,7 +154,7 @@
 	}
 }
 
-// A connection of a peer's former process may be accepted after those of its new one, as when this process stood still.
+// A connection of a peer's earlier process may be accepted after those of its new one, as when this process stalled.
 func TestTransport_Serve_lateConnectionKeepsNewerOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
@@ -177,7 +177,7 @@
 	})
 }
 
-// The answer to a call of a connection that has ended reaches none of the peer's other connections.
+// The reply to a call of a connection that has ended is not sent on the peer's other connections.
 func TestInbound_reply_sameConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
@@ -203,7 +203,7 @@
 	})
 }
 
-// An answer that no frame can hold ends the call at once.
+// A reply that is too long for a frame ends the call at once with an error.
 func TestInbound_reply_tooLongForFrame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
--- a/internal/controlplane/peertransport/message_queue.go
+++ b/internal/controlplane/peertransport/message_queue.go
@@ -5,21 +5,21 @@
 	"ospreybend/coord/shards"
 )
 
-// Bounds of what waits for one peer.
+// Limits of what is queued for one peer.
 const (
 	maxQueuedMessages     = 2048
 	maxQueuedMessageBytes = 24 << 20
 	maxQueuedCalls        = 512
 )
 
-// messageQueue holds the agreement messages that wait for a peer, oldest first.
+// messageQueue is the queue of consensus messages for a peer, oldest first.
 type messageQueue struct {
 	messages []GroupMessage
-	bytes    int
-	dropped  uint64
+	bytes    int    // estimated, see sizeOf
+	dropped  uint64 // messages, since the start
 }
 
-// push adds a message and drops the oldest ones beyond the bounds. The newest always stays.
+// push adds a message and drops the oldest ones beyond the limits. The newest always stays.
 func (q *messageQueue) push(shard shards.ID, message consensus.Message) {
 	q.messages = append(q.messages, GroupMessage{Shard: shard, Message: message})
 	q.bytes += sizeOf(message)
@@ -50,6 +50,7 @@
 	return taken
 }
 
+// clear drops all messages.
 func (q *messageQueue) clear() {
 	q.dropped += uint64(len(q.messages))
 	q.messages, q.bytes = nil, 0
--- a/internal/controlplane/peertransport/messages.go
+++ b/internal/controlplane/peertransport/messages.go
@@ -5,13 +5,13 @@
 	"ospreybend/coord/shards"
 )
 
-// GroupMessage is an agreement message together with the group that it belongs to.
+// GroupMessage is a consensus message with the shard whose group it belongs to.
 type GroupMessage struct {
 	Shard   shards.ID
 	Message consensus.Message
 }
 
-// The wire types mirror the schemas.
+// The wire types mirror the schemas, by field names.
 type (
 	wireMember struct {
 		ID      int64
@@ -48,14 +48,14 @@
 	}
 )
 
-// fixedMessageBytes estimates what a message takes beside its payload.
+// Estimated sizes on the wire of what is not payload.
 const (
 	fixedMessageBytes = 64
 	fixedEntryBytes   = 24
 	fixedMemberBytes  = 40
 )
 
-// sizeOf estimates the bytes that a message takes on the wire.
+// sizeOf estimates the size of a message on the wire, in bytes.
 func sizeOf(message consensus.Message) int {
 	size := fixedMessageBytes
 	for _, entry := range message.Entries {
@@ -115,7 +115,7 @@
 	return GroupMessage{Shard: shards.ID(wire.Shard), Message: message}
 }
 
-// membersToWire sends the mark of a retired ID as a learner without an address, as it is stored.
+// membersToWire converts members. A retired ID is encoded as a learner without an address, as in stored data.
 func membersToWire(members []consensus.Member) []wireMember {
 	wire := make([]wireMember, len(members))
 	for i, member := range members {
--- a/internal/controlplane/peertransport/outbound.go
+++ b/internal/controlplane/peertransport/outbound.go
@@ -14,36 +14,39 @@
 	"ospreybend/coord/shards"
 )
 
-// Pauses between attempts to connect; each is drawn from half of the value up to the whole.
+// Backoff between attempts to connect, doubled with each failure; each delay is drawn between half of the value and the value.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// maxBatchBytes is about the length of the longest batch of several messages.
+// maxBatchBytes is the approximate maximal length of a batch of several messages.
 const maxBatchBytes = 1 << 20
 
-// pendingCall is a call that waits for its reply.
+// pendingCall is a call that awaits its reply.
 type pendingCall struct {
-	frame frame
+	frame frame // empty once it is sent
 	sent  bool
-	done  chan callResult // takes one result without blocking
+	done  chan callResult // of capacity 1, so that the one result never blocks
 }
 
+// callResult is the reply to a call, or why there is none.
+
 type callResult struct {
 	body []byte
 	err  error
 }
 
-// outbound is the connection that this keeper dials to one peer.
+// outbound is the sending side to one peer: its queues, and the connection that this server dials. The goroutine of runLoop
+// dials, and writes.
 type outbound struct {
 	transport *Transport
 	address   string
-	wake      chan struct{} // one token: there is work, or the connection broke
+	wake      chan struct{} // of capacity 1; a token: something is queued, or the connection broke
 
-	mutex       sync.Mutex
+	mutex       sync.Mutex // guards the fields below
 	messages    messageQueue
-	queuedCalls []uint64 // calls that are not sent yet, oldest first
+	queuedCalls []uint64 // IDs of calls that are not sent yet, oldest first
 	calls       map[uint64]*pendingCall
 	lastCallID  uint64
 	connection  net.Conn // nil: none
@@ -61,7 +64,7 @@
 	}
 }
 
-// send queues a message, unless the peer cannot be reached just now.
+// send queues a message. It may be dropped; see messageQueue.
 func (o *outbound) send(shard shards.ID, message consensus.Message) {
 	o.mutex.Lock()
 	o.messages.push(shard, message)
@@ -69,7 +72,7 @@
 	o.notify()
 }
 
-// call queues a call and waits for its result.
+// call queues a call and awaits its result, at most until ctx ends.
 func (o *outbound) call(ctx context.Context, kind CallKind, body []byte) ([]byte, error) {
 	id, pending, err := o.enqueue(ctx, kind, body)
 	if err != nil {
@@ -105,7 +108,7 @@
 	return o.lastCallID, pending, nil
 }
 
-// abandon forgets a call whose caller no longer waits and returns what the caller is told.
+// abandon drops a call whose context has ended and returns the error for its caller.
 func (o *outbound) abandon(id uint64, cause error) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -117,19 +120,19 @@
 	return fmt.Errorf("%w: %w", ErrOutcomeUnknown, cause)
 }
 
-// complete hands a result to the caller of a call that was sent, if it still waits.
+// complete passes a result to the caller of a call that was sent, if it still waits.
 func (o *outbound) complete(id uint64, result callResult) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	pending := o.calls[id]
 	if pending == nil || !pending.sent {
-		return // answered before, given up, or not a call that the peer can know of
+		return // completed before, abandoned, or a false ID: the peer cannot know a call that was not sent
 	}
 	delete(o.calls, id)
 	pending.done <- result
 }
 
-// runLoop connects whenever there is something to send, until the network closes.
+// runLoop connects whenever something is queued, until the transport closes.
 func (o *outbound) runLoop() {
 	defer o.transport.running.Done()
 	defer o.failAll(true)
@@ -151,7 +154,7 @@
 	}
 }
 
-// awaitWork waits until something is queued. It returns false once the network closes.
+// awaitWork waits until something is queued. It returns false once the transport closes.
 func (o *outbound) awaitWork() bool {
 	for {
 		if o.transport.ctx.Err() != nil {
@@ -187,8 +190,8 @@
 	return o.transport.options.Dial(ctx, o.address)
 }
 
-// markUnreachable drops what waits: messages are old by the time that the peer is reached, and callers
-// are better off with another keeper.
+// markUnreachable drops what is queued: messages would be outdated by the time that the peer is reached, and callers can
+// call another server.
 func (o *outbound) markUnreachable() {
 	o.mutex.Lock()
 	o.unreachable = true
@@ -197,14 +200,14 @@
 	o.failAll(false)
 }
 
-// allowReconnect lets the next message or call start an attempt to connect.
+// allowReconnect makes the next message or call start an attempt to connect.
 func (o *outbound) allowReconnect() {
 	o.mutex.Lock()
 	o.unreachable = false
 	o.mutex.Unlock()
 }
 
-// failAll ends all calls that wait for a reply; with closing also those that come later.
+// failAll completes all pending calls with an error, and with closing makes later calls fail, too.
 func (o *outbound) failAll(closing bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -216,7 +219,7 @@
 	}
 }
 
-// failSent ends the calls that were sent on a connection that broke.
+// failSent completes the calls that were sent on a connection that broke with ErrOutcomeUnknown.
 func (o *outbound) failSent() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/controlplane/peertransport/outbound_connection.go
+++ b/internal/controlplane/peertransport/outbound_connection.go
@@ -11,10 +11,11 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// readBufferBytes is the read buffer of a connection.
+// readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 16 << 10
 
-// serve works on an open connection until it breaks.
+// serve writes what is queued and reads replies on an open connection until it breaks. The replies are read by a goroutine of
+// its own, which has ended when serve returns.
 func (o *outbound) serve(connection net.Conn) {
 	ctx, cancel := context.WithCancel(o.transport.ctx)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
@@ -49,7 +50,7 @@
 	if err := writer.append(o.transport.hello); err != nil {
 		return err
 	}
-	if err := writer.flush(); err != nil { // the peer waits for it, and what follows may take long to encode
+	if err := writer.flush(); err != nil { // the peer waits for the hello, and what follows may take long to encode
 		return err
 	}
 	for {
@@ -67,7 +68,7 @@
 // writeQueued writes until nothing is queued.
 func (o *outbound) writeQueued(writer *frameWriter) error {
 	for {
-		runtime.Gosched() // groups that are about to send at this moment go first: their messages join the batch
+		runtime.Gosched() // groups that are about to send run first, so that their messages join the batch
 		batch, calls := o.takeQueued()
 		if len(batch) == 0 && len(calls) == 0 {
 			return writer.flush()
@@ -83,18 +84,19 @@
 	}
 }
 
+// addBatch appends a batch of messages. One that is too long for a frame is dropped, as any message may be lost.
 func addBatch(writer *frameWriter, batch []GroupMessage) error {
 	if len(batch) == 0 {
 		return nil
 	}
 	encoded, err := encodeBatch(batch)
 	if err != nil {
-		return nil // too long for a frame: lost, as any message may be
+		return nil
 	}
 	return writer.append(encoded)
 }
 
-// takeQueued takes a batch of messages and all calls that wait.
+// takeQueued removes a batch of messages and all calls from the queues, and marks the calls as sent.
 func (o *outbound) takeQueued() ([]GroupMessage, []frame) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -110,7 +112,7 @@
 	return o.messages.take(maxBatchBytes), calls
 }
 
-// readReplies hands replies to their callers until the connection ends.
+// readReplies passes replies to their callers until the connection ends.
 func (o *outbound) readReplies(connection net.Conn) {
 	reader := bufio.NewReaderSize(connection, readBufferBytes)
 	for {
--- a/internal/controlplane/peertransport/replies_test.go
+++ b/internal/controlplane/peertransport/replies_test.go
@@ -16,7 +16,7 @@
 
 const peerAddress = "127.0.0.1:2"
 
-// callFixture is a network under test whose peer a test plays, over pipes within a bubble of fake time.
+// callFixture is a transport under test whose peer is the test, over pipes in simulated time.
 type callFixture struct {
 	t       *testing.T
 	network *Transport
@@ -39,13 +39,13 @@
 	return b
 }
 
-// callOutcome is what a caller was told.
+// callOutcome is the result of a call.
 type callOutcome struct {
 	body string
 	err  error
 }
 
-// call starts a call with that body.
+// call starts a call with a body.
 func (b *callFixture) call(ctx context.Context, body string) <-chan callOutcome {
 	outcome := make(chan callOutcome, 1)
 	go func() {
@@ -79,7 +79,7 @@
 	return call
 }
 
-// replyBytes returns a reply as it is sent.
+// replyBytes returns an encoded reply.
 func replyBytes(t *testing.T, id int64, body string) []byte {
 	t.Helper()
 	encoded, err := encodeReply(id, []byte(body), nil)
@@ -96,14 +96,14 @@
 	}
 }
 
-// TestTransport_Call_replies has the peer send all kinds of bytes for one call, and then serves a second call well.
+// TestTransport_Call_replies has the peer send valid and invalid bytes for one call, and then reply to a second call.
 func TestTransport_Call_replies(t *testing.T) {
 	complete := func(id int64) []byte { return replyBytes(t, id, "first") }
 	cases := []struct {
-		name string
-		sent func(id int64) []byte
-		ends bool  // the connection ends, by either side
-		told error // nil: "first"
+		name    string
+		sent    func(id int64) []byte
+		ends    bool  // the connection ends, by either side
+		outcome error // nil: "first"
 	}{
 		{"a whole answer", complete, false, nil},
 		{"a whole answer, then the end", complete, true, nil},
@@ -132,8 +132,8 @@
 					synctest.Wait()
 				}
 				outcome := <-first
-				if !errors.Is(outcome.err, one.told) || outcome.err == nil && outcome.body != "first" {
-					t.Fatalf("told %q, %v", outcome.body, outcome.err)
+				if !errors.Is(outcome.err, one.outcome) || outcome.err == nil && outcome.body != "first" {
+					t.Fatalf("outcome %q, %v", outcome.body, outcome.err)
 				}
 				second := b.call(t.Context(), "2")
 				if one.ends {
@@ -148,7 +148,7 @@
 	}
 }
 
-// A call that its caller gave up is answered late, on a connection that goes on: the next call gets its own answer.
+// The late reply to an abandoned call arrives on a connection that stays open: the next call gets its own reply.
 func TestTransport_Call_lateReplyDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCallFixture(t)
@@ -166,12 +166,12 @@
 		write(t, connection, replyBytes(t, late.ID, "late"))
 		write(t, connection, replyBytes(t, next.ID, "second"))
 		if outcome := <-second; outcome.err != nil || outcome.body != "second" || next.ID == late.ID {
-			t.Fatalf("told %q, %v", outcome.body, outcome.err)
+			t.Fatalf("outcome %q, %v", outcome.body, outcome.err)
 		}
 	})
 }
 
-// The answer to a call of a connection that broke comes on the next one, as from a peer that numbers calls by itself.
+// The reply to a call of a broken connection arrives on the next one, as from a peer with call IDs of its own.
 func TestTransport_Call_replyToEarlierConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCallFixture(t)
@@ -193,13 +193,13 @@
 		write(t, connection, replyBytes(t, early.ID, "early"))
 		write(t, connection, replyBytes(t, next.ID, "second"))
 		if outcome := <-second; outcome.err != nil || outcome.body != "second" {
-			t.Fatalf("told %q, %v", outcome.body, outcome.err)
+			t.Fatalf("outcome %q, %v", outcome.body, outcome.err)
 		}
 	})
 }
 
-// A call that still waits for its connection is not answered by what can be none of its answers, and is not lost with the
-// connection before.
+// A call that waits for its connection is not completed by a reply that cannot be its own, and is not lost with the
+// earlier connection.
 func TestTransport_Call_replyToUnsentCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport, err := New(Options{Handler: newRecorder()})
@@ -224,7 +224,7 @@
 	})
 }
 
-// What a caller hands over it may use again as soon as the call has ended, also while the call still waits to be sent.
+// A caller may reuse the body as soon as the call has ended, also if the call was never sent.
 func TestTransport_Call_copiesBody(t *testing.T) {
 	transport, err := New(Options{Handler: newRecorder()})
 	if err != nil {
@@ -245,7 +245,7 @@
 	}
 }
 
-// What is read from a frame does not change with the frame's memory.
+// Decoded messages must not share memory with the frame.
 func TestDecode_copiesBytes(t *testing.T) {
 	encoded, err := encodeCall(1, 1, time.Second, []byte("the body of a call"))
 	if err != nil {
--- a/internal/controlplane/peertransport/socket.go
+++ b/internal/controlplane/peertransport/socket.go
@@ -9,33 +9,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of the connections.
+// Time-outs of the connections.
 const (
 	dialTimeout       = 500 * time.Millisecond
-	userTimeout       = 1500 * time.Millisecond // unacknowledged data ends the connection
-	writeTimeout      = 3 * time.Second         // for each piece of writePieceBytes; at times down to half
+	userTimeout       = 1500 * time.Millisecond // TCP_USER_TIMEOUT: data unacknowledged for so long breaks the connection
+	writeTimeout      = 3 * time.Second         // for each chunk of writeChunkBytes; at least half of it, see renewDeadline
 	firstFrameTimeout = 2 * time.Second
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
 )
 
+// keepAlive detects a peer that is gone on a connection without data.
+
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// Dial opens a connection to a peer, with the options that let a silent peer be found out.
+// Dial opens a connection to a peer, with the socket options that detect a peer that is gone.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// Listen opens the listener for peers and readers of the feed.
+// Listen opens the listener for peers and readers of the feed, with the same socket options.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return config.Listen(ctx, "tcp4", address)
 }
 
-// setUserTimeout bounds the time that sent data may stay unacknowledged; accepted connections
-// inherit it from the listener.
+// setUserTimeout sets TCP_USER_TIMEOUT to userTimeout; accepted connections inherit it from the listener.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
--- a/internal/controlplane/peertransport/transport.go
+++ b/internal/controlplane/peertransport/transport.go
@@ -14,45 +14,44 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// Handler takes what peers send. Its methods may be called by several goroutines.
+// Handler receives what peers send. Its methods may be called by several goroutines.
 type Handler interface {
-	// Connected is told of each connection that a peer has opened.
+	// Connected is called for each connection that a peer has opened.
 	Connected(peer Hello)
-	// Messages takes a batch of agreement messages. It must not block.
+	// Messages receives a batch of consensus messages. It must not block.
 	Messages(peer Hello, batch []GroupMessage)
-	// Call carries out a call; ctx ends when the caller no longer waits. An error reaches the
-	// caller as a RemoteError.
+	// Call executes a call; ctx ends when the caller no longer waits. The caller gets an error as a RemoteError.
 	Call(ctx context.Context, peer Hello, kind CallKind, body []byte) ([]byte, error)
-	// FeedConnection takes over a connection that began with a frame of the feed.
+	// FeedConnection takes over a connection whose first frame, of that kind and body, belongs to package feedtransport.
 	FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte)
 }
 
-// Options sets up a Network.
+// Options configures a Transport.
 type Options struct {
 	Self    Hello
 	Handler Handler
 	Dial    func(ctx context.Context, address string) (net.Conn, error) // nil: Dial
 	Logger  *zap.Logger                                                 // nil: none
-	Now     func() time.Time                                            // nil: time.Now; called with no mutex held
+	Now     func() time.Time                                            // nil: time.Now; called without a lock
 	Random  func() uint64                                               // nil: rand.Uint64
 }
 
-// Transport is a keeper's end of all its connections to other keepers.
+// Transport is a server's end of all its connections with other servers. It is safe for concurrent use.
 type Transport struct {
 	options Options
 	hello   frame
-	ctx     context.Context
+	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
-	running sync.WaitGroup
+	running sync.WaitGroup // goroutines of connections and calls
 
-	mutex        sync.Mutex
+	mutex        sync.Mutex                   // guards the maps below
 	outbounds    map[string]*outbound         // by peer address
-	accepted     map[string]int               // by peer address: how many connections the peer has opened
-	members      map[consensus.MemberID]Hello // those who have connected
-	lastReceived map[string]time.Time         // by peer address: when a frame last came
+	accepted     map[string]int               // by peer address: number of connections that the peer has opened
+	members      map[consensus.MemberID]Hello // peers that have connected
+	lastReceived map[string]time.Time         // by peer address: when a frame last arrived
 }
 
-// New returns a network without connections. It ends with Close.
+// New returns a transport without connections. It ends with Close. The error is that of encoding options.Self.
 func New(options Options) (*Transport, error) {
 	if options.Dial == nil {
 		options.Dial = Dial
@@ -80,14 +79,14 @@
 	}, nil
 }
 
-// Close ends all connections and waits for the goroutines that served them.
+// Close closes all connections and waits for their goroutines.
 func (n *Transport) Close() {
 	n.cancel()
 	n.running.Wait()
 }
 
-// Send queues an agreement message for a member. It does not block, and the message may be lost.
-// Where the member's address is empty, that of the connection which its ID opened is taken.
+// Send queues a consensus message for a member. It does not block, and the message may be lost. If the member's address is
+// empty, the message goes to the address of the connection that a peer with its ID has opened.
 func (n *Transport) Send(to consensus.Member, shard shards.ID, message consensus.Message) {
 	address := to.Address
 	if address == "" {
@@ -101,7 +100,7 @@
 	}
 }
 
-// Call asks a peer and returns its reply. Errors: ErrNotSent, ErrOutcomeUnknown and RemoteError.
+// Call calls a peer and returns its reply. The error is, or wraps, ErrNotSent, ErrOutcomeUnknown or a RemoteError.
 func (n *Transport) Call(ctx context.Context, address string, kind CallKind, body []byte) ([]byte, error) {
 	link := n.outbound(address)
 	if link == nil {
@@ -110,7 +109,7 @@
 	return link.call(ctx, kind, body)
 }
 
-// outbound returns the link to an address and makes it if there is none, or returns nil after Close.
+// outbound returns the sending side to an address and creates it if there is none. It returns nil after Close.
 func (n *Transport) outbound(address string) *outbound {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -133,7 +132,7 @@
 	return n.members[id].Address
 }
 
-// noteReceived records that a frame of a peer came.
+// noteReceived records that a frame of a peer has arrived.
 func (n *Transport) noteReceived(address string) {
 	now := n.options.Now()
 	n.mutex.Lock()
@@ -141,7 +140,7 @@
 	n.mutex.Unlock()
 }
 
-// LastReceived returns when a frame last came from a peer; zero: never.
+// LastReceived returns when a frame of a peer last arrived; zero: never.
 func (n *Transport) LastReceived(address string) time.Time {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -151,14 +150,14 @@
 // PeerStatus describes the connections with one peer.
 type PeerStatus struct {
 	Address       string
-	Connected     bool // the connection that this keeper dials
-	Accepted      bool // the connection that the peer dials
-	Queued        int  // messages that wait
-	Dropped       uint64
-	SinceReceived time.Duration // -1: never
+	Connected     bool          // this server's connection to the peer is open
+	Accepted      bool          // a connection that the peer has opened is open
+	Queued        int           // messages
+	Dropped       uint64        // messages, since the start
+	SinceReceived time.Duration // since a frame last arrived; -1: never
 }
 
-// Peers describes all peers that were sent to or heard.
+// Peers returns the status of all peers that something was sent to, in no particular order.
 func (n *Transport) Peers() []PeerStatus {
 	now := n.options.Now()
 	n.mutex.Lock()
@@ -176,7 +175,7 @@
 	return peers
 }
 
-// jitter draws from half of a duration up to the whole.
+// jitter draws a duration between half of maximum and maximum.
 func (n *Transport) jitter(maximum time.Duration) time.Duration {
 	half := maximum / 2
 	return half + time.Duration(n.options.Random()%uint64(half+1))
--- a/internal/controlplane/peertransport/transport_test.go
+++ b/internal/controlplane/peertransport/transport_test.go
@@ -18,7 +18,7 @@
 
 const testLimit = 10 * time.Second
 
-// recorder is a Handler that passes on what it is given.
+// recorder is a Handler that passes its arguments to channels.
 type recorder struct {
 	connected chan Hello
 	messages  chan GroupMessage
@@ -60,7 +60,7 @@
 	return listener
 }
 
-// start opens a network that serves the listener until the test ends.
+// start opens a transport that serves the listener until the test ends.
 func start(t *testing.T, listener net.Listener, member consensus.MemberID, handler Handler) *Transport {
 	t.Helper()
 	transport, err := New(Options{Self: Hello{Address: listener.Addr().String(), Member: member, Zone: "z"}, Handler: handler, Logger: zaptest.NewLogger(t)})
@@ -122,13 +122,13 @@
 func TestTransport_Send_addressByMember(t *testing.T) {
 	here, there := newRecorder(), newRecorder()
 	hereListener, thereListener := listen(t), listen(t)
-	hereNetwork := start(t, hereListener, 1, here)
-	thereNetwork := start(t, thereListener, 2, there)
+	hereTransport := start(t, hereListener, 1, here)
+	thereTransport := start(t, thereListener, 2, there)
 
-	hereNetwork.Send(consensus.Member{ID: 2}, 0, consensus.Message{Term: 1}) // nobody with this ID yet: lost
-	thereNetwork.Send(consensus.Member{ID: 1, Address: hereListener.Addr().String()}, 0, consensus.Message{Term: 2})
+	hereTransport.Send(consensus.Member{ID: 2}, 0, consensus.Message{Term: 1}) // no member with this ID is known: dropped
+	thereTransport.Send(consensus.Member{ID: 1, Address: hereListener.Addr().String()}, 0, consensus.Message{Term: 2})
 	receive(t, here.messages)
-	hereNetwork.Send(consensus.Member{ID: 2}, 0, consensus.Message{Term: 3})
+	hereTransport.Send(consensus.Member{ID: 2}, 0, consensus.Message{Term: 3})
 	if got := receive(t, there.messages); got.Message.Term != 3 {
 		t.Fatalf("term %d", got.Message.Term)
 	}
@@ -279,7 +279,7 @@
 	}
 }
 
-// The acceptor waits only so long for the first frame; it must not wait for the encoding of the next.
+// The acceptor limits its wait for the first frame; the hello must not wait for the encoding of the next one.
 func TestOutbound_write_helloFirst(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
@@ -292,7 +292,7 @@
 	defer transport.Close()
 	transport.Send(consensus.Member{ID: 2, Address: "127.0.0.1:2"}, 0, consensus.Message{Term: 1})
 	buffer := make([]byte, 4096)
-	count, err := far.Read(buffer) // a pipe hands over what one Write was given
+	count, err := far.Read(buffer) // a read from a pipe returns the bytes of one Write
 	if err != nil {
 		t.Fatal(err)
 	}
