--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -1,6 +1,3 @@
-// Package agent is the process beside each proxy that holds the fleet's state for it: it reads the
-// feed from one keeper at a time, keeps the items of all shards in memory, and serves the same
-// feed to the proxy over loopback. It also probes a few other machines of the fleet.
 package agent
 
 import (
@@ -19,34 +16,34 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// Ports of the machine's range that the agent knows of, by their place in it.
+// Ports that the agent uses, as offsets in the machine's port range.
 const (
-	feedPortOffset  = 0 // of keepers: where they serve the feed
-	proxyPortOffset = 1 // on loopback: where the agent serves its proxy
-	probePortOffset = 2 // where agents answer the probes of others
+	feedPortOffset  = 0 // of the feed, on control plane servers
+	proxyPortOffset = 1 // of the feed for the proxy, on loopback
+	probePortOffset = 2 // of the probes between agents, over UDP
 	portsNeeded     = 3
 )
 
 const (
 	gcPercent        = 50          // the heap is small and changes rarely
-	memoryLimitShare = 0.6         // of the machine's memory for the Go runtime
+	memoryLimitShare = 0.6         // of the machine's memory, for the Go runtime
 	megabyte         = 1e6         // bytes
-	graceMargin      = time.Second // kept of the time of grace for the end of the process
+	graceMargin      = time.Second // part of the grace period that is left for the exit of the process
 )
 
-// ErrPorts is returned for settings whose port range is too short.
+// ErrPorts is the error for settings whose port range is too short.
 var ErrPorts = errors.New("agent: the port range has too few ports")
 
-// Options switch parts of the agent, and put others in the place of the operating system's.
+// Options enable parts of the agent, and replace functions of the operating system.
 type Options struct {
 	ProbePeers bool // take part in the probing between agents
 	Probing    membership.Options
 
-	Dial         func(ctx context.Context, address string) (net.Conn, error)     // of keepers; nil: feedlink.Dial
-	Listen       func(ctx context.Context, address string) (net.Listener, error) // for the proxy; nil: feedlink.Listen
+	Dial         func(ctx context.Context, address string) (net.Conn, error)     // of servers; nil: feedtransport.Dial
+	Listen       func(ctx context.Context, address string) (net.Listener, error) // for the proxy; nil: feedtransport.Listen
 	Random       func() uint64                                                   // nil: rand.Uint64
-	StaleTimeout time.Duration                                                   // how long a keeper may not be current; zero: feedlink.StaleAfter
-	Origin       time.Time                                                       // of the grid of statuses; zero: the start of the process
+	StaleTimeout time.Duration                                                   // zero: feedtransport.StaleTimeout
+	Origin       time.Time                                                       // see feedtransport.SessionOptions
 }
 
 func (o Options) withDefaults() Options {
@@ -62,20 +59,20 @@
 	return o
 }
 
-// fraction draws a number uniform in [0, 1).
+// fraction draws a number uniformly from [0, 1).
 func (o Options) fraction() float64 { return float64(o.Random()>>11) / (1 << 53) }
 
-// DefaultOptions are those of Run.
+// DefaultOptions returns the options of Run.
 func DefaultOptions() Options { return Options{ProbePeers: true} }
 
-// Run runs the agent with the default options until ctx ends, and then serves the proxy until it has
-// gone or the time of grace is nearly over. It fails if a port of the machine cannot be opened.
+// Run runs the agent with the default options until ctx ends. Then it serves the proxy until that has disconnected or the
+// grace period is nearly over. The error is ErrPorts, or that of opening a port.
 func Run(ctx context.Context, config bootconfig.Settings, log *zap.Logger) error {
 	limitMemory(config.Limits)
 	return RunWith(ctx, config, DefaultOptions(), log)
 }
 
-// RunWith is Run with options.
+// RunWith is Run with options, and without limits of the process's memory.
 func RunWith(ctx context.Context, config bootconfig.Settings, options Options, log *zap.Logger) error {
 	ports, err := portsOf(config)
 	if err != nil {
@@ -106,8 +103,10 @@
 	return nil
 }
 
+// machinePorts are the ports that the agent uses.
 type machinePorts struct{ feed, proxy, probe int }
 
+// portsOf returns the agent's ports, or ErrPorts.
 func portsOf(config bootconfig.Settings) (machinePorts, error) {
 	first, last := config.PortRange[0], config.PortRange[1]
 	if first <= 0 || last < first+portsNeeded-1 {
@@ -120,7 +119,7 @@
 	}, nil
 }
 
-// limitMemory has the runtime collect garbage early: the process is charged for its peak.
+// limitMemory makes the runtime collect garbage early, since the process is charged for its peak memory.
 func limitMemory(limits bootconfig.Limits) {
 	debug.SetGCPercent(gcPercent)
 	if limits.MemoryMb > 0 {
@@ -128,11 +127,12 @@
 	}
 }
 
-// drainTimeout says how long the proxy is served after the signal to stop.
+// drainTimeout returns how long the proxy is served after the signal to stop.
 func drainTimeout(bounds bootconfig.Bounds) time.Duration {
 	return max(bootconfig.Seconds(bounds.GraceS)-graceMargin, graceMargin)
 }
 
+// newFeedClient returns the client that reads the feed of the control plane servers into the store.
 func newFeedClient(config bootconfig.Settings, feedPort int, options Options, store *store, log *zap.Logger) *feedtransport.Client {
 	return feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello: feedtransport.Hello{
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -27,7 +27,7 @@
 	waitLimit = 20 * time.Second // generous: the machine may be busy
 )
 
-// fakeServer serves a store of the agent's own kind as a keeper would.
+// fakeServer serves a store of the agent's own type as a control plane server would.
 type fakeServer struct {
 	*store
 	listener net.Listener
@@ -46,7 +46,7 @@
 	return server, port
 }
 
-// listenWithFreePorts opens the keeper's listener on a port after which the agent's are free. Ports come
+// listenWithFreePorts opens the server's listener on a port after which the agent's are free. Ports come
 // from below those that the system gives to outgoing connections.
 func listenWithFreePorts(t *testing.T) (listener net.Listener, port int) {
 	t.Helper()
@@ -129,7 +129,7 @@
 	}
 }
 
-// fakeProxy tells a test what it receives.
+// fakeProxy passes to a test what it receives.
 type fakeProxy struct{ events chan string }
 
 func (p fakeProxy) Snapshot(_ shards.ID, snapshot feed.Snapshot) {
@@ -152,7 +152,7 @@
 
 func (p fakeProxy) Report(report feedtransport.Report) { p.events <- "report " + report.Topic }
 
-// expect waits for an event and passes over others.
+// expect waits for an event and ignores others.
 func (p fakeProxy) expect(t *testing.T, wanted string) {
 	t.Helper()
 	limit := time.After(waitLimit)
@@ -180,7 +180,7 @@
 	}
 }
 
-// startAgent runs an agent until stop is called; done tells how it ended.
+// startAgent runs an agent until stop is called; done receives its result.
 func startAgent(t *testing.T, config bootconfig.Settings) (stop context.CancelFunc, done chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -285,7 +285,7 @@
 		synctest.Wait()
 		select {
 		case <-store.ready:
-			t.Error("too early: a current keeper may answer meanwhile")
+			t.Error("too early: a current server may answer meanwhile")
 		default:
 		}
 		time.Sleep(time.Nanosecond)
--- a/internal/controlplane/agent/feed_handler.go
+++ b/internal/controlplane/agent/feed_handler.go
@@ -10,37 +10,38 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// How long after a keeper's first status its state is passed on though it is not current. A proxy that has just
-// started serves better by a state that may be a moment old than not at all, provided that there is one.
+// Delays from a server's first status after which its state is served although it is not current. A proxy that has just
+// started serves better by a state that may be slightly stale than not at all, provided that there is one.
 const (
-	staleStateDelay = 120 * time.Millisecond  // with a configuration
-	maxReadyDelay   = 1500 * time.Millisecond // without one
+	staleStateDelay = 120 * time.Millisecond  // if the state has a configuration
+	maxReadyDelay   = 1500 * time.Millisecond // in any case
 )
 
-// feedHandler takes what the keeper sends.
+// feedHandler writes the feed of the control plane servers to the store. It is called by the goroutine of the feed's client,
+// but for acceptStale, which a timer calls.
 type feedHandler struct {
 	store   *store
 	log     *zap.Logger
 	firstAt time.Time // of the first status; zero: none yet
 }
 
-// Snapshot implements feedlink.Handler.
+// Snapshot implements feedtransport.Handler.
 func (h *feedHandler) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	h.store.reset(shard, snapshot)
 }
 
-// Change implements feedlink.Handler.
+// Change implements feedtransport.Handler.
 func (h *feedHandler) Change(shard shards.ID, change feed.Change) {
 	if err := h.store.change(shard, change); err != nil {
-		h.log.Error("a change was not taken", zap.Uint32("shard", uint32(shard)), zap.Error(err))
+		h.log.Error("change not applied", zap.Uint32("shard", uint32(shard)), zap.Error(err))
 	}
 }
 
-// BatchDone implements feedlink.BatchHandler: readers look once per batch.
+// BatchDone implements feedtransport.BatchHandler: subscribers are woken once for each batch.
 func (h *feedHandler) BatchDone() { h.store.wakeAll() }
 
-// Status implements feedlink.Handler. A status follows all that the keeper had of every shard; before
-// the first one that is current, the proxy would see routes without workers.
+// Status implements feedtransport.Handler. A status follows all that the server had of every shard. Before the first one that
+// is current, the proxy might see routes without workers.
 func (h *feedHandler) Status(status feedtransport.Status) {
 	h.store.setCurrent(status.Shards)
 	now := time.Now()
@@ -53,23 +54,23 @@
 	}
 }
 
-// acceptStale passes on a state that is not known to be current, if there is a configuration in it.
+// acceptStale serves a state that is not known to be current, if it has a configuration.
 func (h *feedHandler) acceptStale() {
 	if h.store.index(shards.ConfigurationShard) > 0 {
 		h.store.markReady()
 	}
 }
 
-// Connected implements feedlink.Handler.
+// Connected implements feedtransport.Handler.
 func (h *feedHandler) Connected(address string) {
-	h.log.Debug("connected to a keeper", zap.String("address", address))
+	h.log.Debug("connected to a control plane server", zap.String("address", address))
 }
 
-// Disconnected implements feedlink.Handler.
+// Disconnected implements feedtransport.Handler.
 func (h *feedHandler) Disconnected(err error) {
 	h.store.setCurrent(nil)
-	h.log.Info("keeper left", zap.Error(err))
+	h.log.Info("disconnected from the control plane server", zap.Error(err))
 }
 
-// Report implements feedlink.ReportHandler.
+// Report implements feedtransport.ReportHandler.
 func (h *feedHandler) Report(report feedtransport.Report) { h.store.reportHandler(report) }
--- a/internal/controlplane/agent/probing.go
+++ b/internal/controlplane/agent/probing.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	// nodesInterval is the shortest time between two looks at the list of nodes.
+	// nodesInterval is the minimal time between two updates of the list of nodes.
 	nodesInterval = 5 * time.Second
-	// readRetryAfter is the wait after a failed read of the socket that is no timeout.
+	// readRetryAfter is the delay after a failed read of the socket other than a time-out.
 	readRetryAfter = 100 * time.Millisecond
-	maxPacketBytes = 64 // bytes, more than a packet has
+	// maxPacketBytes exceeds the length of a packet.
+	maxPacketBytes = 64
 )
 
-// probing drives a prober with one UDP socket and one goroutine.
+// probing drives a membership.Prober with one UDP socket. Only the goroutine of run uses it.
 type probing struct {
 	socket *net.UDPConn
 	prober *membership.Prober
@@ -32,13 +33,13 @@
 	report func(topic string, body []byte)
 	port   int
 
-	nodesIndex uint64    // of the shard when the nodes were last read
-	nodesAt    time.Time // when that was
+	nodesIndex uint64    // index of the shard when the nodes were last updated
+	nodesAt    time.Time // when the shard was last checked
 	sendBuffer []byte
 }
 
-// startProbing answers the probes of other machines and probes some of them, until ctx ends. stop
-// waits for the end.
+// startProbing answers the probes of other machines and probes some of them, until ctx ends or stop is called, and passes
+// suspicions to report. stop waits for the goroutine.
 func startProbing(
 	ctx context.Context, ip string, port int, options membership.Options, store *store,
 	report func(topic string, body []byte),
@@ -71,7 +72,7 @@
 	}, nil
 }
 
-// run reads packets and does what is due until ctx ends.
+// run receives packets and executes what is due until ctx ends.
 func (p *probing) run(ctx context.Context) {
 	var buffer [maxPacketBytes]byte
 	for ctx.Err() == nil {
@@ -93,7 +94,7 @@
 	}
 }
 
-// nextAt says when something is due at the latest.
+// nextAt returns when something is due next.
 func (p *probing) nextAt() time.Time {
 	refreshAt := time.Now().Add(nodesInterval)
 	if at, ok := p.prober.NextAt(); ok && at.Before(refreshAt) {
@@ -102,6 +103,7 @@
 	return refreshAt
 }
 
+// receive passes one packet to the prober. Invalid packets are ignored.
 func (p *probing) receive(now time.Time, from netip.AddrPort, data []byte) {
 	packet, err := membership.DecodePacket(data)
 	if err != nil {
@@ -111,10 +113,11 @@
 	p.execute(p.prober.Receive(now, from, packet))
 }
 
+// execute sends the prober's packets and reports its findings.
 func (p *probing) execute(actions membership.Actions) {
 	for _, out := range actions.Send {
 		p.sendBuffer = out.Packet.Encode(p.sendBuffer[:0])
-		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // a lost packet is asked about again
+		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // the prober handles lost packets
 	}
 	for _, finding := range actions.Findings {
 		body, err := feedtransport.EncodeSuspicion(feedtransport.Suspicion{
@@ -126,7 +129,7 @@
 	}
 }
 
-// refreshNodes reads the list of nodes again if its shard has moved on.
+// refreshNodes updates the prober's list of nodes if its shard has changed.
 func (p *probing) refreshNodes(now time.Time) {
 	if !p.nodesAt.IsZero() && now.Sub(p.nodesAt) < nodesInterval {
 		return
@@ -140,9 +143,10 @@
 	p.prober.SetNodes(nodesOf(values, p.port))
 }
 
+// nodesShard returns the shard in which the fleet's nodes are registered.
 func nodesShard() shards.ID { return shards.ForService(registry.NodesService) }
 
-// nodesOf picks the fleet's nodes out of a shard's items. A node is named by its IP.
+// nodesOf returns the fleet's nodes among a shard's items, each IP once. A node is named by its IP.
 func nodesOf(values [][]byte, port int) []membership.Node {
 	var nodes []membership.Node
 	seen := make(map[netip.Addr]bool)
@@ -160,10 +164,10 @@
 	return nodes
 }
 
-// nodeIP returns the IP of an item that is one of the fleet's nodes and is not about to leave.
+// nodeIP returns the IP of an item, if it is one of the fleet's nodes and not draining.
 func nodeIP(value []byte) (ip netip.Addr, ok bool) {
 	if !bytes.Contains(value, []byte(registry.NodesService)) {
-		return netip.Addr{}, false // most items; they need not be decoded
+		return netip.Addr{}, false // most items, which need not be decoded
 	}
 	instance, err := registry.DecodeItem(value)
 	if err != nil || instance.Service != registry.NodesService || instance.State == registry.Draining {
--- a/internal/controlplane/agent/proxy_server.go
+++ b/internal/controlplane/agent/proxy_server.go
@@ -13,26 +13,28 @@
 
 const (
 	helloTimeout     = 2 * time.Second       // for the first frame of a connection
-	acceptRetryAfter = 50 * time.Millisecond // after a failure of accept, such as too few descriptors
+	acceptRetryAfter = 50 * time.Millisecond // after a failed accept, such as for lack of file descriptors
 )
 
-// proxyServer serves the feed to the proxy of this machine.
+// proxyServer serves the feed to the proxy of this machine. The goroutine of accept accepts connections, and each session has
+// a goroutine of its own, which ends with the connection or with drain.
 type proxyServer struct {
 	listener net.Listener
 	source   feedtransport.Source
-	origin   time.Time       // of the grid of statuses
-	ready    <-chan struct{} // closed once there is something to serve
+	origin   time.Time       // see feedtransport.SessionOptions
+	ready    <-chan struct{} // closed once the store may be served
 	stopping <-chan struct{} // closed with the signal to stop
 
 	cancel context.CancelFunc
-	ctx    context.Context // of the sessions: it goes on after the signal to stop
+	ctx    context.Context // of the sessions, which continue after the signal to stop
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards closed and sessions
 	closed   bool
 	sessions map[*feedtransport.Session]struct{}
 	idle     chan struct{} // closed once closed is set and the last session has ended
 }
 
+// newProxyServer opens the loopback port. The proxy's reports are passed to report.
 func newProxyServer(
 	ctx context.Context, port int, options Options, store *store, report func(topic string, body []byte),
 ) (*proxyServer, error) {
@@ -68,6 +70,7 @@
 	}
 }
 
+// serve serves one connection until it ends.
 func (s *proxyServer) serve(connection net.Conn) {
 	defer func() { _ = connection.Close() }()
 	kind, body, err := feedtransport.ReadFirstFrame(connection, helloTimeout)
@@ -90,7 +93,7 @@
 	_ = session.Run(s.ctx)
 }
 
-// awaitReady waits until there is something to serve. It is false if the agent stops before.
+// awaitReady waits until the store may be served. It returns false if the agent stops before.
 func (s *proxyServer) awaitReady() bool {
 	select {
 	case <-s.ready:
@@ -100,6 +103,7 @@
 	}
 }
 
+// add records an open session. It returns false after close.
 func (s *proxyServer) add(session *feedtransport.Session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +129,7 @@
 	return s.closed
 }
 
-// broadcast passes a report of the keeper on.
+// broadcast forwards a report of the control plane server to all sessions.
 func (s *proxyServer) broadcast(report feedtransport.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +138,7 @@
 	}
 }
 
-// close takes no more connections.
+// close stops accepting connections.
 func (s *proxyServer) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +152,7 @@
 	}
 }
 
-// drain takes no more connections and returns once those that are open have ended, or after limit.
+// drain stops accepting connections, waits until the open sessions have ended or timeout has passed, and cancels the rest.
 func (s *proxyServer) drain(timeout time.Duration) {
 	s.close()
 	timer := time.NewTimer(timeout)
@@ -160,22 +164,29 @@
 	s.cancel()
 }
 
-// proxySource is the store together with the way that the proxy's reports take.
+// proxySource is the feedtransport.Source of the proxy's sessions: the store, and the receiver of reports.
 type proxySource struct {
 	store  *store
 	report func(topic string, body []byte)
 }
 
+// Shards implements feedtransport.Source.
 func (s proxySource) Shards() []shards.ID { return s.store.Shards() }
 
+// Since implements feedtransport.Source.
+
 func (s proxySource) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	return s.store.Since(shard, index)
 }
 
+// Status implements feedtransport.Source.
 func (s proxySource) Status() feedtransport.Status { return s.store.Status() }
 
+// Subscribe implements feedtransport.Source.
+
 func (s proxySource) Subscribe(wake chan<- struct{}) func() { return s.store.Subscribe(wake) }
 
+// OnReport implements feedtransport.Source.
 func (s proxySource) OnReport(_ feedtransport.Hello, topic string, body []byte) {
 	s.report(topic, body)
 }
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -10,24 +10,25 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// backlogBytes bounds the changes that are kept of each shard. The proxy reads them at once; one that
-// was away for longer gets a snapshot, over loopback.
+// backlogBytes limits the changes that are retained of each shard. The proxy reads them at once; one that was disconnected
+// for longer gets a snapshot, over loopback.
 const backlogBytes = 64 << 10
 
-// currencyTTL is how long a keeper's word counts that it is current. The agent leaves a keeper that is silent for so long, but
-// not before it runs again where it stood still itself.
+// currencyTTL is how long a server's status counts that it is current. The client leaves a server that sends nothing for as
+// long, but an agent that stalls itself notices that only when it runs again.
 const currencyTTL = feedtransport.ReceiveTimeout + feedtransport.StatusInterval
 
-// store holds the items of all shards as the keeper sent them.
+// store holds the items of all shards as the control plane server sent them.
 type store struct {
-	mu            sync.Mutex
-	buffers       map[shards.ID]*feed.Buffer
-	current       map[shards.ID]bool // by the keeper's last status; empty without a keeper
-	statusAt      time.Time          // when that status came
-	wakes         map[chan<- struct{}]struct{}
-	reportHandler func(report feedtransport.Report)
-
-	ready     chan struct{} // closed once the store is fit for readers
+	mu       sync.Mutex // guards the fields up to wakes
+	buffers  map[shards.ID]*feed.Buffer
+	current  map[shards.ID]bool           // by the server's last status; empty without a connection
+	statusAt time.Time                    // when that status arrived
+	wakes    map[chan<- struct{}]struct{} // of subscribers
+
+	reportHandler func(report feedtransport.Report) // set before the feed is read
+
+	ready     chan struct{} // closed by markReady
 	readyOnce sync.Once
 }
 
@@ -40,11 +41,13 @@
 	}
 }
 
-// markReady lets readers in: all shards have come as far as a keeper had them.
+// markReady marks the store as fit to be served. It is called once all shards have what a server had of them.
 func (s *store) markReady() { s.readyOnce.Do(func() { close(s.ready) }) }
 
-// setReportHandler sets what becomes of the keeper's reports. It is called before the feed is read.
-func (s *store) setReportHandler(take func(report feedtransport.Report)) { s.reportHandler = take }
+// setReportHandler sets the handler of the server's reports. It must be called before the feed is read.
+func (s *store) setReportHandler(handle func(report feedtransport.Report)) { s.reportHandler = handle }
+
+// reset replaces all items of a shard.
 
 func (s *store) reset(shard shards.ID, snapshot feed.Snapshot) {
 	s.mu.Lock()
@@ -52,13 +55,14 @@
 	s.buffer(shard).Reset(snapshot)
 }
 
+// change applies a change to a shard.
 func (s *store) change(shard shards.ID, change feed.Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buffer(shard).Append(change)
 }
 
-// buffer returns a shard's buffer, a new one if there is none. The caller holds mu.
+// buffer returns a shard's buffer and creates it if there is none. The caller must hold mu.
 func (s *store) buffer(shard shards.ID) *feed.Buffer {
 	buffer, ok := s.buffers[shard]
 	if !ok {
@@ -68,7 +72,7 @@
 	return buffer
 }
 
-// index is the offset held of a shard; 0: nothing.
+// index returns the offset of a shard; 0: nothing.
 func (s *store) index(shard shards.ID) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +83,7 @@
 	return buffer.Index()
 }
 
-// setCurrent notes which shards the keeper is current in, and wakes readers if that is news.
+// setCurrent records in which shards the server is current, and wakes subscribers if that has changed.
 func (s *store) setCurrent(status []feedtransport.ShardStatus) {
 	s.mu.Lock()
 	changed := len(status) != len(s.current)
@@ -98,6 +102,7 @@
 	}
 }
 
+// wakeAll wakes all subscribers.
 func (s *store) wakeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +114,14 @@
 	}
 }
 
-// Shards implements feedlink.Source.
+// Shards implements feedtransport.Source.
 func (s *store) Shards() []shards.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sortedShards()
 }
 
-// sortedShards lists the shards that there is anything of. The caller holds mu.
+// sortedShards returns the shards that the store has. The caller must hold mu.
 func (s *store) sortedShards() []shards.ID {
 	ids := make([]shards.ID, 0, len(s.buffers))
 	for shard := range s.buffers {
@@ -126,7 +131,7 @@
 	return ids
 }
 
-// Since implements feedlink.Source.
+// Since implements feedtransport.Source.
 func (s *store) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +146,7 @@
 	return nil, &snapshot
 }
 
-// Status implements feedlink.Source: a shard is current where the keeper is and has said so within toldFor.
+// Status implements feedtransport.Source: a shard is current if the server's last status said so within currencyTTL.
 func (s *store) Status() feedtransport.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +160,7 @@
 	return status
 }
 
-// Subscribe implements feedlink.Source.
+// Subscribe implements feedtransport.Source.
 func (s *store) Subscribe(wake chan<- struct{}) (cancel func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +172,7 @@
 	}
 }
 
-// valuesSince returns the values of a shard's items and their index, or nothing but the index if
-// that is the given one.
+// valuesSince returns the values of a shard's items and the shard's index, or no values if that is the given index.
 func (s *store) valuesSince(shard shards.ID, index uint64) (values [][]byte, now uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/util/bootconfig/load.go
+++ b/internal/util/bootconfig/load.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -10,21 +11,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// Where the platform puts the file.
+// Location of the file.
 const (
 	PathVariable = "OSPREYBEND_CONFIG"         // environment variable with the file's path
 	DefaultPath  = "/etc/ospreybend/boot.json" // where the variable is not set
 )
 
-// Ports of PortRange, counted from its first, that the fleet uses.
+// Ports that the fleet uses, as offsets in PortRange.
 const (
-	peerPortOffset  = 0 // keepers: other keepers and agents
-	feedPortOffset  = 1 // agents, on loopback: the proxy beside them
-	probePortOffset = 2 // agents, UDP: other agents
-	loadPortOffset  = 3 // proxies, UDP: other proxies
+	peerPortOffset  = 0 // of control plane servers, for other servers and agents
+	feedPortOffset  = 1 // of agents, on loopback, for the proxy beside them
+	probePortOffset = 2 // of agents, UDP, for probes of other agents
+	loadPortOffset  = 3 // of proxies, UDP, for the load reports of other proxies
 	portsNeeded     = 4
 )
 
+// maxPort is the highest port number.
+const maxPort = 65535
+
 // Path returns the path of the settings file.
 func Path() string {
 	if path := os.Getenv(PathVariable); path != "" {
@@ -33,7 +37,7 @@
 	return DefaultPath
 }
 
-// Load reads and checks the settings file.
+// Load reads and checks the settings file. The error names the file and the invalid field.
 func Load(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -46,13 +50,13 @@
 	return settings, nil
 }
 
-// Times of LoadWhole.
+// Limits of LoadWithRetry.
 const (
 	maxReadAttempts = 6
 	readRetryDelay  = 100 * time.Millisecond
 )
 
-// LoadWithRetry is Load for a file that may just be written: one that cannot be read is read again for half a second.
+// LoadWithRetry is Load for a file that the platform may still be writing: it retries for half a second.
 func LoadWithRetry(path string) (Settings, error) {
 	for attempt := 1; ; attempt++ {
 		loaded, err := Load(path)
@@ -63,7 +67,21 @@
 	}
 }
 
-// Parse reads and checks settings.
+// FieldError is the error of a setting with an invalid value.
+type FieldError struct {
+	Field   string // its name in the file
+	Problem string
+}
+
+// Error returns the field and the problem.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// fieldError returns a FieldError with a formatted problem.
+func fieldError(field, format string, arguments ...any) error {
+	return &FieldError{Field: field, Problem: fmt.Sprintf(format, arguments...)}
+}
+
+// Parse parses and checks settings. Missing fields have the values of Defaults.
 func Parse(content []byte) (Settings, error) {
 	settings := Defaults()
 	if err := json.Unmarshal(content, &settings); err != nil {
@@ -72,7 +90,7 @@
 	return settings, settings.Check()
 }
 
-// Defaults are the figures that hold where the file has none.
+// Defaults returns the values of fields that are missing in the file.
 func Defaults() Settings {
 	return Settings{
 		HeartbeatMs: 1000,
@@ -83,31 +101,32 @@
 	}
 }
 
-// Check returns the first fault found, naming the field.
+// Check returns a *FieldError for the first invalid field, or nil.
 func (s *Settings) Check() error {
 	if _, err := netip.ParseAddr(s.IP); err != nil {
-		return eris.Errorf("ip: %q is no address", s.IP)
+		return fieldError("ip", "%q is no address", s.IP)
 	}
-	if s.PortRange[0] < 1 || s.PortRange[1] > 65535 || s.PortRange[1]-s.PortRange[0]+1 < portsNeeded {
-		return eris.Errorf("portRange: %v must hold %d ports", s.PortRange, portsNeeded)
+	if s.PortRange[0] < 1 || s.PortRange[1] > maxPort || s.PortRange[1]-s.PortRange[0]+1 < portsNeeded {
+		return fieldError("portRange", "%v must hold %d ports", s.PortRange, portsNeeded)
 	}
 	if s.NodeName == "" {
-		return eris.New("nodeName: missing")
+		return fieldError("nodeName", "missing")
 	}
 	if s.HeartbeatMs <= 0 {
-		return eris.Errorf("heartbeatMs: %d must be positive", s.HeartbeatMs)
+		return fieldError("heartbeatMs", "%d must be positive", s.HeartbeatMs)
 	}
 	if s.Limits.MemoryMb <= 0 || s.Limits.MaxFds <= 0 {
-		return eris.New("limits: memoryMb and maxFds must be positive")
+		return fieldError("limits", "memoryMb and maxFds must be positive")
 	}
 	for _, seed := range s.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			return eris.Errorf("seeds: %q is no address with a port", seed)
+			return fieldError("seeds", "%q is no address with a port", seed)
 		}
 	}
 	return s.checkListen()
 }
 
+// checkListen checks the addresses of Listen.
 func (s *Settings) checkListen() error {
 	named := map[string]string{"front": s.Listen.Front, "readiness": s.Listen.Readiness, "control": s.Listen.Control}
 	for name, address := range named {
@@ -115,31 +134,31 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return eris.Errorf("listen.%s: %q is no address with a port", name, address)
+			return fieldError("listen."+name, "%q is no address with a port", address)
 		}
 	}
 	return nil
 }
 
-// PeerAddress is where this machine's keeper takes peers and agents.
+// PeerAddress returns the address at which this machine's control plane server accepts peers and agents.
 func (s *Settings) PeerAddress() string { return s.PeerAddressOf(s.IP) }
 
-// PeerAddressOf is where the keeper of the machine with that IP takes peers and agents: all machines
-// have alike ports.
+// PeerAddressOf returns the address at which the control plane server of the machine with that IP accepts peers and agents.
+// All machines have the same port range.
 func (s *Settings) PeerAddressOf(ip string) string { return join(ip, s.PortRange[0]+peerPortOffset) }
 
-// FeedAddress is where this machine's agent serves its proxy.
+// FeedAddress returns the address at which this machine's agent serves its proxy.
 func (s *Settings) FeedAddress() string { return join("127.0.0.1", s.PortRange[0]+feedPortOffset) }
 
-// MonitorAddressOf is where the agent of the machine with that IP answers probes, over UDP.
+// MonitorAddressOf returns the UDP address at which the agent of the machine with that IP answers probes.
 func (s *Settings) MonitorAddressOf(ip string) string {
 	return join(ip, s.PortRange[0]+probePortOffset)
 }
 
-// LoadAddressOf is where the proxy of the machine with that IP hears of other proxies' load, over UDP.
+// LoadAddressOf returns the UDP address at which the proxy of the machine with that IP receives the load of other proxies.
 func (s *Settings) LoadAddressOf(ip string) string { return join(ip, s.PortRange[0]+loadPortOffset) }
 
-// SeedPeerAddresses are the peer addresses of the seeds.
+// SeedPeerAddresses returns the peer addresses of the seeds.
 func (s *Settings) SeedPeerAddresses() []string {
 	addresses := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
@@ -150,6 +169,7 @@
 	return addresses
 }
 
+// join returns "ip:port", or an empty string for an invalid IP.
 func join(ip string, port int) string {
 	address, err := netip.ParseAddr(ip)
 	if err != nil {
--- a/internal/util/bootconfig/settings.go
+++ b/internal/util/bootconfig/settings.go
@@ -1,9 +1,11 @@
-// Package bootconfig reads and checks the file that the platform hands to each process of the fleet.
+// Package bootconfig reads and checks boot.json, the file in which the platform hands its settings to each process of the
+// router fleet, and derives the addresses of the fleet's processes from it. Every command of the fleet calls Load or
+// LoadWithRetry once at its start. The settings of the earlier load-balancing node have a package of their own.
 package bootconfig
 
 import "time"
 
-// Settings is what the platform tells a process. Unknown fields are ignored.
+// Settings are the platform's settings of a process. Unknown fields are ignored. The JSON names are the platform's.
 type Settings struct {
 	NodeName        string            `json:"nodeName"`
 	Role            string            `json:"role"`
@@ -15,25 +17,25 @@
 	Zones           map[string]string `json:"zones"` // zone to region
 	Listen          Listen            `json:"listen"`
 	PortRange       [2]int            `json:"portRange"` // free ports, first to last
-	Seeds           []string          `json:"seeds"`     // control addresses, "ip:port"
+	Seeds           []string          `json:"seeds"`     // control addresses of some servers, "ip:port"
 	Bootstrap       bool              `json:"bootstrap"`
 	CountsForQuorum bool              `json:"countsForQuorum"`
 	Limits          Limits            `json:"limits"`
 	DataDir         string            `json:"dataDir"`
-	HeartbeatMs     int               `json:"heartbeatMs"` // of workers
+	HeartbeatMs     int               `json:"heartbeatMs"` // interval of workers' heartbeats
 	Contracts       []string          `json:"contracts"`
 	FaultTolerance  FaultTolerance    `json:"faultTolerance"`
 	Bounds          Bounds            `json:"bounds"`
 }
 
-// Listen holds the addresses of what the role serves, "ip:port" each, empty where it serves none.
+// Listen has the addresses at which the role is to listen, "ip:port" each; empty: not at all.
 type Listen struct {
 	Front     string `json:"front"`
 	Readiness string `json:"readiness"`
 	Control   string `json:"control"`
 }
 
-// Limits are the machine's means.
+// Limits are the resources of the machine.
 type Limits struct {
 	CPUShare float64 `json:"cpuShare"`
 	Cores    int     `json:"cores"`
@@ -43,14 +45,14 @@
 	DiskMb   int     `json:"diskMb"`
 }
 
-// FaultTolerance is what may be lost at once.
+// FaultTolerance is the number of failures at a time that the fleet must survive.
 type FaultTolerance struct {
 	Machines int `json:"machines"`
 	Zones    int `json:"zones"`
 	Regions  int `json:"regions"`
 }
 
-// Bounds are the figures of the rules; those in seconds may be fractions.
+// Bounds are the time limits and ratios that the platform's rules require. The suffix of a name is its unit, Ms or S.
 type Bounds struct {
 	SeedLagS         float64 `json:"seedLagS"`
 	ReuseDelayS      float64 `json:"reuseDelayS"`
@@ -74,8 +76,8 @@
 	ThawMs           float64 `json:"thawMs"`
 }
 
-// Millis turns a figure in milliseconds into a duration.
+// Millis returns a number of milliseconds as a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds turns a figure in seconds into a duration.
+// Seconds returns a number of seconds as a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/util/logging/logging.go
+++ b/internal/util/logging/logging.go
@@ -1,4 +1,5 @@
-// Package logging makes the fleet's logger: JSON lines on standard error, by zap.
+// Package logging creates the logger of the fleet's processes, which writes JSON lines to standard error by zap. It does not
+// decide what is logged; each command creates one logger at its start and passes it to its packages.
 package logging
 
 import (
@@ -8,7 +9,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger for a process. level is debug, info, warn or error.
+// New returns a logger whose lines have the role and the node of the process. level is debug, info, warn or error; the error
+// is that of another level.
 func New(level, role, node string) (*zap.Logger, error) {
 	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
