--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -239,14 +239,14 @@
 			t.Errorf("got %+v", report)
 		}
 	case <-time.After(waitLimit):
-		t.Error("the report did not come")
+		t.Error("the report did not arrive")
 	}
 
 	stop()
 	proxy.expect(t, "current false")
 	select {
-	case <-done:
-		t.Error("the agent ended before its proxy")
+	case err := <-done:
+		t.Errorf("the agent ended before its proxy: %v", err)
 	default:
 	}
 	stopProxy()
--- a/internal/controlplane/feedtransport/property_test.go
+++ b/internal/controlplane/feedtransport/property_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -91,7 +92,7 @@
 	reader := bytes.NewReader(sent)
 	for {
 		kind, content, err := ReadFrame(reader)
-		if err == io.EOF || err == io.ErrUnexpectedEOF {
+		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/controlplane/feedtransport/session_test.go
+++ b/internal/controlplane/feedtransport/session_test.go
@@ -59,13 +59,13 @@
 func address(place int) string { return fmt.Sprintf("10.0.0.%d:%d", place, feedPort) }
 
 // runClient runs a client of the given number of servers in the background until stop is called.
-func runClient(reachable *servers, count int, handler Handler) (client *Client, stop func()) {
+func runClient(reachable *servers, count int, handler Handler) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var seeds []string
 	for place := 1; place <= count; place++ {
 		seeds = append(seeds, address(place))
 	}
-	client = NewClient(ClientOptions{
+	client := NewClient(ClientOptions{
 		Hello:    Hello{Node: "edge-1", Role: RoleAgent},
 		Selector: SelectorOptions{Node: "edge-1", Seeds: seeds, FeedPort: feedPort},
 		Dial:     reachable.dial,
@@ -75,7 +75,7 @@
 		defer close(done)
 		_ = client.Run(ctx)
 	}()
-	return client, func() {
+	return func() {
 		cancel()
 		<-done
 		synctest.Wait()
@@ -107,7 +107,7 @@
 		source.compact(0)
 		source.commit(1, put(2, "worker", "x"))
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		synctest.Wait()
 		expectItems(t, handler, 0, source)
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		synctest.Wait()
 		for range 25 {
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		time.Sleep(StatusInterval / 4)
 		source.setCurrent(false)
@@ -167,7 +167,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		time.Sleep(time.Second)
 		const commits = 1000
@@ -193,7 +193,7 @@
 		}
 		source.compact(0)
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		synctest.Wait()
 		expectItems(t, handler, 0, source)
@@ -213,7 +213,7 @@
 			reachable.hung[address(place)] = true
 		}
 		handler := newRecorder()
-		_, stop := runClient(reachable, 3, handler)
+		stop := runClient(reachable, 3, handler)
 		defer stop()
 		synctest.Wait()
 		hung := handler.seen().events[0]
@@ -237,7 +237,7 @@
 		behind.commit(0, put(1, "k", "old"))
 		behind.compact(0)
 		ahead.commit(0, put(2, "k", "new"))
-		_, stop := runClient(reachable, 2, handler)
+		stop := runClient(reachable, 2, handler)
 		defer stop()
 		time.Sleep(time.Second)
 		synctest.Wait()
--- a/internal/controlplane/feedtransport/shared_snapshot_test.go
+++ b/internal/controlplane/feedtransport/shared_snapshot_test.go
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		for index := range uint64(60) { // at all phases of the status interval
 			time.Sleep(BatchInterval + 7*time.Millisecond)
--- a/internal/controlplane/feedtransport/status_test.go
+++ b/internal/controlplane/feedtransport/status_test.go
@@ -36,7 +36,7 @@
 		source := newScriptedSource(1)
 		source.servers = []ServerEndpoint{{Address: address(1)}, {Address: address(2)}}
 		handler := newRecorder()
-		_, stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
 		defer stop()
 		time.Sleep(3 * StatusInterval)
 		synctest.Wait()
--- a/internal/controlplane/peertransport/inbound_test.go
+++ b/internal/controlplane/peertransport/inbound_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"strings"
 	"testing"
@@ -137,13 +138,14 @@
 				}
 				_ = connection.SetReadDeadline(time.Now().Add(time.Second)) // fails on a connection that has ended
 				_, err := connection.Read(make([]byte, 1))
-				if timeout, ok := err.(net.Error); one.ends == (ok && timeout.Timeout()) {
+				var netError net.Error
+				if timedOut := errors.As(err, &netError) && netError.Timeout(); one.ends == timedOut {
 					t.Fatalf("the connection: %v", err)
 				}
 				_ = connection.Close()
 				synctest.Wait()
 				if len(h.asked) != one.executed {
-					t.Fatalf("%d calls are executed out", len(h.asked))
+					t.Fatalf("%d calls were executed", len(h.asked))
 				}
 				write(t, other, callBytes(t, 7, time.Second, "next"))
 				if reply := nextReply(t, other); reply.ID != 7 || string(reply.Body) != "next" {
--- a/internal/controlplane/registry/remote_heartbeat_test.go
+++ b/internal/controlplane/registry/remote_heartbeat_test.go
@@ -62,7 +62,7 @@
 	s.stalled = true
 	s.advance(expiryTimeout, list[1:]...)
 	s.remoteHeartbeat(unnumbered, list[0].ID)
-	if liveness := s.tracker.instances[list[0].ID]; !liveness.removalPending || liveness.lastHeartbeat == s.now {
+	if liveness := s.tracker.instances[list[0].ID]; !liveness.removalPending || liveness.lastHeartbeat.Equal(s.now) {
 		t.Fatal("an instance whose removal is proposed was taken as present")
 	}
 }
