--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -40,51 +40,51 @@
 
 // Serve accepts connections until the listener or the transport is closed, and closes the listener. It returns nil after
 // Close.
-func (n *Transport) Serve(listener net.Listener) error {
-	stop := context.AfterFunc(n.ctx, func() { _ = listener.Close() })
+func (t *Transport) Serve(listener net.Listener) error {
+	stop := context.AfterFunc(t.ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
 		connection, err := listener.Accept()
-		if n.ctx.Err() != nil {
+		if t.ctx.Err() != nil {
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return err
 		}
 		if err != nil {
-			n.delayAccept()
+			t.delayAccept()
 			continue
 		}
-		n.running.Add(1)
+		t.running.Add(1)
 		go func() {
-			defer n.running.Done()
-			n.identify(connection)
+			defer t.running.Done()
+			t.identify(connection)
 		}()
 	}
 }
 
 // delayAccept waits minBackoff after a failed accept, such as for lack of file descriptors.
-func (n *Transport) delayAccept() {
+func (t *Transport) delayAccept() {
 	timer := time.NewTimer(minBackoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-n.ctx.Done():
+	case <-t.ctx.Done():
 	}
 }
 
 // identify reads the first frame of a connection and serves the protocol of its kind.
-func (n *Transport) identify(connection net.Conn) {
-	stop := context.AfterFunc(n.ctx, func() { _ = connection.Close() })
+func (t *Transport) identify(connection net.Conn) {
+	stop := context.AfterFunc(t.ctx, func() { _ = connection.Close() })
 	defer stop()
 	kind, body, err := feedtransport.ReadFirstFrame(connection, firstFrameTimeout)
 	if err != nil {
-		n.options.Logger.Debug("connection not identified", zap.Error(err))
+		t.options.Logger.Debug("connection not identified", zap.Error(err))
 		_ = connection.Close()
 		return
 	}
 	if kind < feedtransport.FirstPeerKind {
-		n.options.Handler.FeedConnection(n.ctx, connection, kind, body)
+		t.options.Handler.FeedConnection(t.ctx, connection, kind, body)
 		return
 	}
 	defer func() { _ = connection.Close() }()
@@ -95,38 +95,38 @@
 	if err != nil || peer.Address == "" {
 		return
 	}
-	n.serveInbound(connection, peer)
+	t.serveInbound(connection, peer)
 }
 
 // serveInbound serves the connection of a peer until it ends.
-func (n *Transport) serveInbound(connection net.Conn, peer Hello) {
+func (t *Transport) serveInbound(connection net.Conn, peer Hello) {
 	in := &inbound{
-		transport: n, connection: connection, peer: peer,
+		transport: t, connection: connection, peer: peer,
 		running: make(chan struct{}, maxConcurrentCalls), writer: frameWriter{connection: connection},
 	}
-	n.register(in)
-	defer n.unregister(in)
-	n.options.Handler.Connected(peer)
+	t.register(in)
+	defer t.unregister(in)
+	t.options.Handler.Connected(peer)
 	in.readFrames()
 }
 
 // register records a connection of a peer. The peer's other connections stay open, since the one that is accepted last need
 // not be the newest: it may have waited while this process stalled. A connection that its peer has closed ends by itself.
-func (n *Transport) register(in *inbound) {
-	now := n.options.Now()
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.accepted[in.peer.Address]++
-	n.members[in.peer.Member] = in.peer
-	n.lastReceived[in.peer.Address] = now
+func (t *Transport) register(in *inbound) {
+	now := t.options.Now()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.accepted[in.peer.Address]++
+	t.members[in.peer.Member] = in.peer
+	t.lastReceived[in.peer.Address] = now
 }
 
-func (n *Transport) unregister(in *inbound) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.accepted[in.peer.Address]--
-	if n.accepted[in.peer.Address] == 0 {
-		delete(n.accepted, in.peer.Address)
+func (t *Transport) unregister(in *inbound) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.accepted[in.peer.Address]--
+	if t.accepted[in.peer.Address] == 0 {
+		delete(t.accepted, in.peer.Address)
 	}
 }
 
--- a/internal/controlplane/peertransport/transport.go
+++ b/internal/controlplane/peertransport/transport.go
@@ -80,29 +80,29 @@
 }
 
 // Close closes all connections and waits for their goroutines.
-func (n *Transport) Close() {
-	n.cancel()
-	n.running.Wait()
+func (t *Transport) Close() {
+	t.cancel()
+	t.running.Wait()
 }
 
 // Send queues a consensus message for a member. It does not block, and the message may be lost. If the member's address is
 // empty, the message goes to the address of the connection that a peer with its ID has opened.
-func (n *Transport) Send(to consensus.Member, shard shards.ID, message consensus.Message) {
+func (t *Transport) Send(to consensus.Member, shard shards.ID, message consensus.Message) {
 	address := to.Address
 	if address == "" {
-		address = n.addressByMember(to.ID)
+		address = t.addressByMember(to.ID)
 	}
-	if address == "" || address == n.options.Self.Address {
+	if address == "" || address == t.options.Self.Address {
 		return
 	}
-	if link := n.outbound(address); link != nil {
+	if link := t.outbound(address); link != nil {
 		link.send(shard, message)
 	}
 }
 
 // Call calls a peer and returns its reply. The error is, or wraps, ErrNotSent, ErrOutcomeUnknown or a RemoteError.
-func (n *Transport) Call(ctx context.Context, address string, kind CallKind, body []byte) ([]byte, error) {
-	link := n.outbound(address)
+func (t *Transport) Call(ctx context.Context, address string, kind CallKind, body []byte) ([]byte, error) {
+	link := t.outbound(address)
 	if link == nil {
 		return nil, ErrNotSent
 	}
@@ -110,41 +110,41 @@
 }
 
 // outbound returns the sending side to an address and creates it if there is none. It returns nil after Close.
-func (n *Transport) outbound(address string) *outbound {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	if found := n.outbounds[address]; found != nil {
+func (t *Transport) outbound(address string) *outbound {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if found := t.outbounds[address]; found != nil {
 		return found
 	}
-	if n.ctx.Err() != nil {
+	if t.ctx.Err() != nil {
 		return nil
 	}
-	made := newOutbound(n, address)
-	n.outbounds[address] = made
-	n.running.Add(1)
+	made := newOutbound(t, address)
+	t.outbounds[address] = made
+	t.running.Add(1)
 	go made.runLoop()
 	return made
 }
 
-func (n *Transport) addressByMember(id consensus.MemberID) string {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return n.members[id].Address
+func (t *Transport) addressByMember(id consensus.MemberID) string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.members[id].Address
 }
 
 // noteReceived records that a frame of a peer has arrived.
-func (n *Transport) noteReceived(address string) {
-	now := n.options.Now()
-	n.mutex.Lock()
-	n.lastReceived[address] = now
-	n.mutex.Unlock()
+func (t *Transport) noteReceived(address string) {
+	now := t.options.Now()
+	t.mutex.Lock()
+	t.lastReceived[address] = now
+	t.mutex.Unlock()
 }
 
 // LastReceived returns when a frame of a peer last arrived; zero: never.
-func (n *Transport) LastReceived(address string) time.Time {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return n.lastReceived[address]
+func (t *Transport) LastReceived(address string) time.Time {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.lastReceived[address]
 }
 
 // PeerStatus describes the connections with one peer.
@@ -158,16 +158,16 @@
 }
 
 // Peers returns the status of all peers that something was sent to, in no particular order.
-func (n *Transport) Peers() []PeerStatus {
-	now := n.options.Now()
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	peers := make([]PeerStatus, 0, len(n.outbounds))
-	for address, link := range n.outbounds {
+func (t *Transport) Peers() []PeerStatus {
+	now := t.options.Now()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	peers := make([]PeerStatus, 0, len(t.outbounds))
+	for address, link := range t.outbounds {
 		status := link.status()
-		status.Accepted = n.accepted[address] > 0
+		status.Accepted = t.accepted[address] > 0
 		status.SinceReceived = -1
-		if heard, ok := n.lastReceived[address]; ok {
+		if heard, ok := t.lastReceived[address]; ok {
 			status.SinceReceived = now.Sub(heard)
 		}
 		peers = append(peers, status)
@@ -176,7 +176,7 @@
 }
 
 // jitter draws a duration between half of maximum and maximum.
-func (n *Transport) jitter(maximum time.Duration) time.Duration {
+func (t *Transport) jitter(maximum time.Duration) time.Duration {
 	half := maximum / 2
-	return half + time.Duration(n.options.Random()%uint64(half+1))
+	return half + time.Duration(t.options.Random()%uint64(half+1))
 }
