--- a/internal/controlplane/registry/departure_test.go
+++ b/internal/controlplane/registry/departure_test.go
@@ -6,52 +6,57 @@
 	"testing"
 )
 
-// TestLivenessTracker_lateHeartbeatsDoNotRevive removes an instance in each final way and delivers every heartbeat that it sent before late:
-// to the same owner, to a new one, and after a restart from a snapshot.
+// finalRemovals are the ways in which an instance is removed for good.
+var finalRemovals = map[string]func(t *testing.T, s *shard, ready, draining Instance){
+	"drains, then deregisters": func(_ *testing.T, s *shard, ready, draining Instance) {
+		s.heartbeat(ready, 1)
+		s.heartbeat(draining, 6)
+		s.deregister(ready.ID)
+	},
+	"deregisters without draining": func(_ *testing.T, s *shard, ready, _ Instance) {
+		s.heartbeat(ready, 1)
+		s.heartbeat(ready, 5)
+		s.deregister(ready.ID)
+	},
+	"deregisters before its first heartbeat": func(_ *testing.T, s *shard, ready, _ Instance) { s.deregister(ready.ID) },
+	"deregisters after it expired": func(t *testing.T, s *shard, ready, _ Instance) {
+		t.Helper()
+		s.register(workers(4))
+		s.heartbeat(ready, 1)
+		s.advance(2*expiryTimeout, worker(0), worker(2), worker(3))
+		if s.store.Instance(ready.ID) != nil {
+			t.Fatal("it did not expire")
+		}
+		s.deregister(ready.ID)
+	},
+}
+
+// ownershipChanges are what may happen to the owner of a shard between a removal and late heartbeats.
+var ownershipChanges = map[string]func(t *testing.T, s *shard){
+	"the same owner": func(*testing.T, *shard) {},
+	"a new owner":    func(_ *testing.T, s *shard) { s.gain() },
+	"a restart": func(t *testing.T, s *shard) {
+		t.Helper()
+		restored := NewStore()
+		if err := restored.Restore(s.store.Snapshot()); err != nil {
+			t.Fatal(err)
+		}
+		s.store = restored
+		s.gain()
+	},
+}
+
+// All heartbeats of an instance that is removed for good arrive late, at each possible owner.
 func TestLivenessTracker_lateHeartbeatsDoNotRevive(t *testing.T) {
 	ready := worker(1)
 	draining := ready
 	draining.State = Draining
-	ways := map[string]func(s *shard){
-		"drains, then deregisters": func(s *shard) {
-			s.heartbeat(ready, 1)
-			s.heartbeat(draining, 6)
-			s.deregister(ready.ID)
-		},
-		"deregisters without draining": func(s *shard) {
-			s.heartbeat(ready, 1)
-			s.heartbeat(ready, 5)
-			s.deregister(ready.ID)
-		},
-		"deregisters before it is heard": func(s *shard) { s.deregister(ready.ID) },
-		"deregisters after it expired": func(s *shard) {
-			s.register(workers(4))
-			s.heartbeat(ready, 1)
-			s.advance(2*expiryTimeout, worker(0), worker(2), worker(3))
-			if s.store.Instance(ready.ID) != nil {
-				t.Fatal("it did not expire")
-			}
-			s.deregister(ready.ID)
-		},
-	}
-	later := map[string]func(s *shard){
-		"the same owner": func(*shard) {},
-		"a new owner":    func(s *shard) { s.gain() },
-		"a restart": func(s *shard) {
-			restored := NewStore()
-			if err := restored.Restore(s.store.Snapshot()); err != nil {
-				t.Fatal(err)
-			}
-			s.store = restored
-			s.gain()
-		},
-	}
-	for way, leave := range ways {
-		for when, then := range later {
+	for removal, remove := range finalRemovals {
+		for change, apply := range ownershipChanges {
 			s := newShard()
 			s.gain()
-			leave(s)
-			then(s)
+			remove(t, s, ready, draining)
+			apply(t, s)
 			for _, sequence := range []uint64{0, 1, 3, 5, 6, 7, 99} {
 				for _, late := range []Instance{ready, draining} {
 					s.heartbeat(late, sequence)
@@ -59,13 +64,13 @@
 				}
 			}
 			if s.store.Instance(ready.ID) != nil {
-				t.Errorf("%s, %s: it is back", way, when)
+				t.Errorf("%s, %s: it is back", removal, change)
 			}
 		}
 	}
 }
 
-// TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain drains an instance and delivers earlier heartbeats late, also to a new owner.
+// Heartbeats from before a drain arrive late, at the same owner and at a new one.
 func TestLivenessTracker_lateHeartbeatsDoNotRevokeDrain(t *testing.T) {
 	draining := worker(1)
 	draining.State = Draining
@@ -87,8 +92,8 @@
 	}
 }
 
-// TestLivenessTracker_reorderedHeartbeatsConverge delivers the heartbeats of one instance in random order, each possibly twice, with changes of the
-// owner between them, and checks that the record agrees with the last heartbeat.
+// The heartbeats of an instance arrive in random order, each possibly twice, with changes of the owner between them. The
+// record must agree with the last one.
 func TestLivenessTracker_reorderedHeartbeatsConverge(t *testing.T) {
 	for seed := range int64(500) {
 		random := rand.New(rand.NewSource(seed))
--- a/internal/controlplane/registry/expiry_test.go
+++ b/internal/controlplane/registry/expiry_test.go
@@ -225,38 +225,9 @@
 				number := position % count
 				stoppedAt[number] = s.now.Add(time.Duration(stop%300) * tick)
 			}
-			var gone []time.Time
-			for round := 0; round < 400; round++ {
-				s.now = s.now.Add(tick)
-				for number, instance := range list {
-					if from, stopped := stoppedAt[number]; !stopped || s.now.Before(from) {
-						s.heartbeat(instance, 0)
-					}
-				}
-				before := len(s.store.Instances(""))
-				expired := s.expire()
-				for range expired {
-					gone = append(gone, s.now)
-				}
-				total += expired
-				within := 0
-				for _, at := range gone {
-					if s.now.Sub(at) <= defaultExpiryWindow {
-						within++
-					}
-				}
-				// Those that expired in the window were all there at its start.
-				if 2*within > before-expired+within {
-					return false
-				}
-			}
-			for number, instance := range list {
-				from, stopped := stoppedAt[number]
-				if (!stopped || s.now.Before(from.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
-					return false
-				}
-			}
-			return true
+			expired, valid := s.expireAtMostHalf(list, stoppedAt)
+			total += expired
+			return valid && s.allLiveRegistered(list, stoppedAt)
 		},
 		gen.IntRange(1, 12), gen.SliceOf(gen.UInt16()),
 	))
@@ -265,3 +236,45 @@
 		t.Fatalf("only %d expired: the property was hardly exercised", total)
 	}
 }
+
+// expireAtMostHalf advances time while instances send heartbeats until they stop. It returns how many expired, and reports
+// whether at most half of the instances expired within each window.
+func (s *shard) expireAtMostHalf(list []Instance, stoppedAt map[int]time.Time) (total int, valid bool) {
+	var expiries []time.Time
+	for round := 0; round < 400; round++ {
+		s.now = s.now.Add(tick)
+		for number, instance := range list {
+			if from, stopped := stoppedAt[number]; !stopped || s.now.Before(from) {
+				s.heartbeat(instance, 0)
+			}
+		}
+		before := len(s.store.Instances(""))
+		expired := s.expire()
+		for range expired {
+			expiries = append(expiries, s.now)
+		}
+		total += expired
+		within := 0
+		for _, at := range expiries {
+			if s.now.Sub(at) <= defaultExpiryWindow {
+				within++
+			}
+		}
+		// Those that expired in the window were all registered at its start.
+		if 2*within > before-expired+within {
+			return total, false
+		}
+	}
+	return total, true
+}
+
+// allLiveRegistered reports whether the store has all instances that sent a heartbeat within the time-out.
+func (s *shard) allLiveRegistered(list []Instance, stoppedAt map[int]time.Time) bool {
+	for number, instance := range list {
+		from, stopped := stoppedAt[number]
+		if (!stopped || s.now.Before(from.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
+			return false
+		}
+	}
+	return true
+}
