--- a/internal/controlplane/feedtransport/client.go
+++ b/internal/controlplane/feedtransport/client.go
@@ -120,9 +120,9 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	limit := time.AfterFunc(c.selector.DialTimeout(), cancel)
+	dialTimer := time.AfterFunc(c.selector.AttemptTimeout(), cancel)
 	connection, err := c.dial(ctx, address)
-	if !limit.Stop() && err == nil {
+	if !dialTimer.Stop() && err == nil {
 		_ = connection.Close()
 		err = context.DeadlineExceeded
 	}
--- a/internal/controlplane/feedtransport/guards_test.go
+++ b/internal/controlplane/feedtransport/guards_test.go
@@ -42,8 +42,13 @@
 	},
 }
 
+// allGuards returns the guards that a client can leave out.
+func allGuards() []Guard {
+	return []Guard{GuardAboveOffset, GuardCompleteSnapshot, GuardNoChangeDuringSnapshot}
+}
+
 func TestReceiver_guards(t *testing.T) {
-	for _, guard := range Guards() {
+	for _, guard := range allGuards() {
 		scenario := guardScenarios[guard]
 		if scenario == nil {
 			t.Errorf("%s: no scenario", guard)
--- a/internal/controlplane/feedtransport/receiver.go
+++ b/internal/controlplane/feedtransport/receiver.go
@@ -25,11 +25,6 @@
 	GuardNoChangeDuringSnapshot Guard = "no-change-amid-snapshot"
 )
 
-// Guards returns all guards that can be left out.
-func Guards() []Guard {
-	return []Guard{GuardAboveOffset, GuardCompleteSnapshot, GuardNoChangeDuringSnapshot}
-}
-
 // receiver tracks the offset of each shard and accepts only what is above it. It belongs to the goroutine of Client.Run.
 type receiver struct {
 	offsets map[shards.ID]uint64
--- a/internal/controlplane/feedtransport/server_selector.go
+++ b/internal/controlplane/feedtransport/server_selector.go
@@ -119,9 +119,9 @@
 	return minRetryBackoff + time.Duration(c.random()*float64(maximum-minRetryBackoff))
 }
 
-// DialTimeout returns how long the attempt may take to connect. The first attempts are short, since a machine that is down
+// AttemptTimeout returns how long the attempt may take to connect, at most DialTimeout. The first attempts are short, since a machine that is down
 // does not answer at all and the next one may be up.
-func (c *ServerSelector) DialTimeout() time.Duration {
+func (c *ServerSelector) AttemptTimeout() time.Duration {
 	limit := minDialTimeout
 	for i := 0; i < c.failures && limit < DialTimeout; i++ {
 		limit *= 2
--- a/internal/controlplane/feedtransport/server_selector_test.go
+++ b/internal/controlplane/feedtransport/server_selector_test.go
@@ -18,7 +18,7 @@
 	now      time.Time
 }
 
-func newScript(t *testing.T, seeds ...string) *selectorScript {
+func newSelectorScript(t *testing.T, seeds ...string) *selectorScript {
 	t.Helper()
 	options := SelectorOptions{Node: "edge-1", Zone: "a", Region: "north", Seeds: seeds, FeedPort: feedPort}
 	return &selectorScript{t: t, selector: NewServerSelector(options, func() float64 { return 0.5 }), now: start}
@@ -62,7 +62,7 @@
 func threeSeeds() []string { return []string{"10.0.0.1:8146", "10.0.0.2:8146", "10.0.0.3:8146"} }
 
 func TestServerSelector_Next_triesAllSeeds(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	tried := make(map[string]int)
 	for range 6 {
 		tried[s.next()]++
@@ -83,7 +83,7 @@
 }
 
 func TestServerSelector_Next_backoffBounds(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	var last time.Duration
 	for attempt := range 10 {
 		_, wait := s.selector.Next(s.now)
@@ -99,7 +99,7 @@
 }
 
 func TestServerSelector_Check_receiveTimeout(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	first := s.connect()
 	s.status(true)
 	if deadline := s.selector.Deadline(); !deadline.Equal(s.now.Add(ReceiveTimeout)) {
@@ -121,7 +121,7 @@
 }
 
 func TestServerSelector_Check_leavesStaleServer(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	first := s.connect()
 	elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
 	if !errors.Is(reason, ErrNotCurrent) || elapsed != StaleTimeout {
@@ -137,7 +137,7 @@
 }
 
 func TestServerSelector_Check_staysWithOnlyServer(t *testing.T) {
-	s := newScript(t, "10.0.0.1:8146")
+	s := newSelectorScript(t, "10.0.0.1:8146")
 	s.connect()
 	if elapsed, reason := s.observeUntilLeft(false, 20*time.Second); reason != nil {
 		t.Errorf("left after %v: %v", elapsed, reason)
@@ -145,7 +145,7 @@
 }
 
 func TestServerSelector_Check_boundsStaleTimeout(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	for range 6 {
 		s.connect()
 		elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
@@ -163,7 +163,7 @@
 		cutOff   = 4
 		promised = 2200 * time.Millisecond // contactMs less the time after which a partitioned server reports that it is not current
 	)
-	s := newScript(t, seeds...)
+	s := newSelectorScript(t, seeds...)
 	for range cutOff {
 		s.connect()
 		s.status(false)
@@ -177,7 +177,7 @@
 }
 
 func TestServerSelector_Check_noServerCurrent(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	var elapsed time.Duration
 	for range 5 {
 		s.connect()
@@ -192,7 +192,7 @@
 }
 
 func TestServerSelector_Check_graceAfterOwnStall(t *testing.T) {
-	s := newScript(t, threeSeeds()...)
+	s := newSelectorScript(t, threeSeeds()...)
 	s.connect()
 	s.status(true)
 	s.pass(20 * time.Second)
@@ -213,7 +213,7 @@
 }
 
 func TestServerSelector_Check_prefersNearerServer(t *testing.T) {
-	s := newScript(t, "10.0.0.1:8146")
+	s := newSelectorScript(t, "10.0.0.1:8146")
 	s.connect()
 	servers := []ServerEndpoint{serverIn(1, "b", "south"), serverIn(2, "a", "north"), serverIn(3, "c", "north")}
 	s.status(true, servers...)
@@ -235,7 +235,7 @@
 }
 
 func TestServerSelector_Check_failingNearerServerTriedLess(t *testing.T) {
-	s := newScript(t, "10.0.0.1:8146")
+	s := newSelectorScript(t, "10.0.0.1:8146")
 	servers := []ServerEndpoint{serverIn(1, "b", "south"), serverIn(2, "a", "north")}
 	failures := 0
 	for s.now.Sub(start) < 5*time.Minute {
@@ -256,7 +256,7 @@
 }
 
 func TestServerSelector_ObserveStatus_dropsDepartedServers(t *testing.T) {
-	s := newScript(t, "10.0.0.1:8146")
+	s := newSelectorScript(t, "10.0.0.1:8146")
 	s.connect()
 	s.status(true, serverIn(1, "", ""), serverIn(2, "", ""))
 	s.status(true, serverIn(1, "", ""))
@@ -285,7 +285,7 @@
 }
 
 func TestServerSelector_Next_noServerKnown(t *testing.T) {
-	s := newScript(t, "not an address")
+	s := newSelectorScript(t, "not an address")
 	address, wait := s.selector.Next(s.now)
 	if address != "" || wait <= 0 {
 		t.Errorf("got %q after %v", address, wait)
@@ -293,14 +293,14 @@
 	s.selector.AttemptEnded(s.now, ErrNoServer)
 }
 
-func TestServerSelector_DialTimeout_grows(t *testing.T) {
+func TestServerSelector_AttemptTimeout_grows(t *testing.T) {
 	selector := NewServerSelector(SelectorOptions{Node: "n", Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, FeedPort: 7},
 		func() float64 { return 0.5 })
 	now := time.Unix(0, 0)
 	last := time.Duration(0)
 	for attempt := range 6 {
 		selector.Next(now)
-		limit := selector.DialTimeout()
+		limit := selector.AttemptTimeout()
 		if limit < last || limit > DialTimeout || attempt == 0 && limit != minDialTimeout {
 			t.Fatalf("attempt %d may take %s after %s", attempt, limit, last)
 		}
--- a/internal/controlplane/feedtransport/session.go
+++ b/internal/controlplane/feedtransport/session.go
@@ -76,12 +76,6 @@
 	lastUpdateAt time.Time // when a wake-up last made it read the source
 }
 
-// Serve runs a session with default options until the connection or ctx ends, and closes the connection. It returns the
-// reason, which is io.EOF if the reader closed the connection.
-func Serve(ctx context.Context, connection net.Conn, hello Hello, source Source) error {
-	return NewSession(connection, hello, source, SessionOptions{}).Run(ctx)
-}
-
 // NewSession returns the session of a connection whose first frame, hello, has been read. Run runs it.
 func NewSession(connection net.Conn, hello Hello, source Source, options SessionOptions) *Session {
 	options = options.withDefaults()
@@ -102,7 +96,8 @@
 // Send queues a report for the reader. It does not block; the oldest reports are dropped where too many are queued.
 func (s *Session) Send(topic string, body []byte) { s.outbox.add(Report{Topic: topic, Body: body}) }
 
-// Run serves the connection until it or ctx ends, and closes it. It returns the reason, as Serve does.
+// Run serves the connection until it or ctx ends, and closes it. It returns the reason, which is io.EOF if the reader closed
+// the connection.
 func (s *Session) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/controlplane/feedtransport/session_test.go
+++ b/internal/controlplane/feedtransport/session_test.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			return
 		}
-		_ = Serve(ctx, theirs, hello, source)
+		_ = NewSession(theirs, hello, source, SessionOptions{}).Run(ctx)
 	}()
 	return ours, nil
 }
@@ -296,7 +296,7 @@
 		source.commit(0, put(1, "k", "v"))
 		_, theirs := net.Pipe()
 		begun := time.Now()
-		err := Serve(context.Background(), theirs, sampleHello(), source)
+		err := NewSession(theirs, sampleHello(), source, SessionOptions{}).Run(t.Context())
 		var timeout net.Error
 		if !errors.As(err, &timeout) || !timeout.Timeout() || time.Since(begun) != WriteTimeout {
 			t.Errorf("after %v: %v", time.Since(begun), err)
@@ -314,7 +314,8 @@
 			_, _ = io.CopyN(io.Discard, ours, 1)
 			_ = ours.Close()
 		}()
-		if err := Serve(context.Background(), theirs, sampleHello(), newScriptedSource(0)); err == nil {
+		session := NewSession(theirs, sampleHello(), newScriptedSource(0), SessionOptions{})
+		if err := session.Run(t.Context()); err == nil {
 			t.Error("no reason")
 		}
 	})
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return
 	}
-	_ = feedtransport.Serve(ctx, connection, hello, a)
+	_ = feedtransport.NewSession(connection, hello, a, feedtransport.SessionOptions{}).Run(ctx)
 }
 
 // fakeWorker answers as a worker does.
