--- a/internal/controlplane/feedtransport/receiver_test.go
+++ b/internal/controlplane/feedtransport/receiver_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	if _, ok := handler.items[1]["old"]; !ok || handler.snapshots != 0 {
-		t.Error("a part took hold")
+		t.Error("an incomplete snapshot took effect")
 	}
 	last := partFrame(t, SnapshotPart{Index: 9, Last: true, Items: items("b", "2")})
 	if err := handleFrames(t, client, last); err != nil {
--- a/internal/controlplane/peertransport/inbound_test.go
+++ b/internal/controlplane/peertransport/inbound_test.go
@@ -39,26 +39,26 @@
 
 // inboundFixture is a transport under test that a test dials.
 type inboundFixture struct {
-	t        *testing.T
-	network  *Transport
-	listener *pipeListener
-	handler  *recorder
-	asked    chan string // bodies of calls that are executed
+	t         *testing.T
+	transport *Transport
+	listener  *pipeListener
+	handler   *recorder
+	executed  chan string // bodies of calls that are executed
 }
 
 func newInboundFixture(t *testing.T) *inboundFixture {
 	t.Helper()
-	h := &inboundFixture{t: t, handler: newRecorder(), asked: make(chan string, 16)}
+	h := &inboundFixture{t: t, handler: newRecorder(), executed: make(chan string, 16)}
 	h.listener = &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 	h.handler.call = func(_ context.Context, _ CallKind, body []byte) ([]byte, error) {
-		h.asked <- string(body)
+		h.executed <- string(body)
 		return body, nil
 	}
 	transport, err := New(Options{Self: Hello{Address: "127.0.0.1:1", Member: 1}, Handler: h.handler, Logger: zaptest.NewLogger(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.network = transport
+	h.transport = transport
 	go func() { _ = transport.Serve(h.listener) }()
 	return h
 }
@@ -101,6 +101,19 @@
 
 var somePeer = Hello{Address: peerAddress, Member: 2}
 
+// readError reads from a connection on which nothing is sent, and returns the error: a time-out if the connection is open.
+func readError(connection net.Conn) error {
+	_ = connection.SetReadDeadline(time.Now().Add(time.Second)) // fails on a connection that has ended
+	_, err := connection.Read(make([]byte, 1))
+	return err
+}
+
+// isTimeout reports whether an error is a time-out.
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
+
 // TestInbound_handleFrame sends valid and invalid bytes and checks which calls are executed and whether the connection stays
 // open; another connection of the same peer stays open in any case.
 func TestInbound_handleFrame(t *testing.T) {
@@ -112,12 +125,12 @@
 		replies  int  // that are received
 		ends     bool // the connection
 	}{
-		{"a whole call", complete, 1, 1, false},
+		{"a complete call", complete, 1, 1, false},
 		{"repeated", append(complete[:len(complete):len(complete)], complete...), 2, 2, false},
-		{"without time", callBytes(t, 1, 0, "x"), 0, 1, false},
-		{"too late", callBytes(t, 1, -time.Second, "x"), 0, 1, false},
-		{"cut in its head", complete[:3], 0, 0, false},
-		{"cut in its body", complete[:len(complete)-1], 0, 0, false},
+		{"without time left", callBytes(t, 1, 0, "x"), 0, 1, false},
+		{"after its deadline", callBytes(t, 1, -time.Second, "x"), 0, 1, false},
+		{"truncated in its header", complete[:3], 0, 0, false},
+		{"truncated in its body", complete[:len(complete)-1], 0, 0, false},
 		{"no call at all", feedtransport.AppendFrame(nil, kindCall, []byte("?")), 0, 0, true},
 		{"a reply", replyBytes(t, 1, "x"), 0, 0, true},
 		{"a second hello", feedtransport.AppendFrame(nil, kindHello, []byte("x")), 0, 0, true},
@@ -127,7 +140,7 @@
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newInboundFixture(t)
-				defer h.network.Close()
+				defer h.transport.Close()
 				other := h.dial(somePeer)
 				connection := h.dial(somePeer)
 				write(t, connection, one.sent)
@@ -136,16 +149,13 @@
 						t.Fatalf("%+v", reply)
 					}
 				}
-				_ = connection.SetReadDeadline(time.Now().Add(time.Second)) // fails on a connection that has ended
-				_, err := connection.Read(make([]byte, 1))
-				var netError net.Error
-				if timedOut := errors.As(err, &netError) && netError.Timeout(); one.ends == timedOut {
+				if err := readError(connection); one.ends == isTimeout(err) {
 					t.Fatalf("the connection: %v", err)
 				}
 				_ = connection.Close()
 				synctest.Wait()
-				if len(h.asked) != one.executed {
-					t.Fatalf("%d calls were executed", len(h.asked))
+				if len(h.executed) != one.executed {
+					t.Fatalf("%d calls were executed", len(h.executed))
 				}
 				write(t, other, callBytes(t, 7, time.Second, "next"))
 				if reply := nextReply(t, other); reply.ID != 7 || string(reply.Body) != "next" {
@@ -160,7 +170,7 @@
 func TestTransport_Serve_lateConnectionKeepsNewerOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
-		defer h.network.Close()
+		defer h.transport.Close()
 		former := Hello{Address: peerAddress, Member: 9}
 		newer := h.dial(somePeer)
 		late := h.dial(former)
@@ -172,8 +182,8 @@
 		}
 		_ = late.Close()
 		synctest.Wait()
-		h.network.Send(consensus.Member{ID: 2, Address: peerAddress}, 0, consensus.Message{})
-		if peers := h.network.Peers(); len(peers) != 1 || !peers[0].Accepted {
+		h.transport.Send(consensus.Member{ID: 2, Address: peerAddress}, 0, consensus.Message{})
+		if peers := h.transport.Peers(); len(peers) != 1 || !peers[0].Accepted {
 			t.Fatalf("%+v", peers)
 		}
 	})
@@ -183,7 +193,7 @@
 func TestInbound_reply_sameConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
-		defer h.network.Close()
+		defer h.transport.Close()
 		release := make(chan struct{})
 		h.handler.call = func(_ context.Context, _ CallKind, body []byte) ([]byte, error) {
 			if string(body) == "slow" {
@@ -209,7 +219,7 @@
 func TestInbound_reply_tooLongForFrame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newInboundFixture(t)
-		defer h.network.Close()
+		defer h.transport.Close()
 		h.handler.call = func(context.Context, CallKind, []byte) ([]byte, error) {
 			return make([]byte, feedtransport.MaxFrameBytes), nil
 		}
--- a/internal/controlplane/peertransport/replies_test.go
+++ b/internal/controlplane/peertransport/replies_test.go
@@ -18,9 +18,9 @@
 
 // callFixture is a transport under test whose peer is the test, over pipes in simulated time.
 type callFixture struct {
-	t       *testing.T
-	network *Transport
-	dialed  chan net.Conn // the peer's end of each connection
+	t         *testing.T
+	transport *Transport
+	dialed    chan net.Conn // the peer's end of each connection
 }
 
 func newCallFixture(t *testing.T) *callFixture {
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.network = transport
+	b.transport = transport
 	return b
 }
 
@@ -49,7 +49,7 @@
 func (b *callFixture) call(ctx context.Context, body string) <-chan callOutcome {
 	outcome := make(chan callOutcome, 1)
 	go func() {
-		reply, err := b.network.Call(ctx, peerAddress, 1, []byte(body))
+		reply, err := b.transport.Call(ctx, peerAddress, 1, []byte(body))
 		outcome <- callOutcome{string(reply), err}
 	}()
 	return outcome
@@ -105,16 +105,16 @@
 		ends    bool  // the connection ends, by either side
 		outcome error // nil: "first"
 	}{
-		{"a whole answer", complete, false, nil},
-		{"a whole answer, then the end", complete, true, nil},
+		{"a complete reply", complete, false, nil},
+		{"a complete reply, then the end", complete, true, nil},
 		{"repeated", func(id int64) []byte { return append(complete(id), replyBytes(t, id, "other")...) }, false, nil},
-		{"a surplus answer before it", func(id int64) []byte { return append(replyBytes(t, id+7, "other"), complete(id)...) }, false, nil},
-		{"an answer to a call to come before it", func(id int64) []byte { return append(replyBytes(t, id+1, "other"), complete(id)...) }, false, nil},
-		{"a foreign answer alone", func(id int64) []byte { return replyBytes(t, id+7, "other") }, true, ErrOutcomeUnknown},
+		{"a surplus reply before it", func(id int64) []byte { return append(replyBytes(t, id+7, "other"), complete(id)...) }, false, nil},
+		{"a reply to a call to come before it", func(id int64) []byte { return append(replyBytes(t, id+1, "other"), complete(id)...) }, false, nil},
+		{"a foreign reply alone", func(id int64) []byte { return replyBytes(t, id+7, "other") }, true, ErrOutcomeUnknown},
 		{"nothing", func(int64) []byte { return nil }, true, ErrOutcomeUnknown},
 		{"cut in its head", func(id int64) []byte { return complete(id)[:3] }, true, ErrOutcomeUnknown},
 		{"cut in its body", func(id int64) []byte { return complete(id)[:len(complete(id))-1] }, true, ErrOutcomeUnknown},
-		{"no answer at all", func(int64) []byte { return feedtransport.AppendFrame(nil, kindReply, []byte("?")) }, true, ErrOutcomeUnknown},
+		{"no reply at all", func(int64) []byte { return feedtransport.AppendFrame(nil, kindReply, []byte("?")) }, true, ErrOutcomeUnknown},
 		{"a frame of another kind", func(id int64) []byte { return feedtransport.AppendFrame(nil, kindBatch, complete(id)[5:]) }, true, ErrOutcomeUnknown},
 		{"a false length", func(int64) []byte { return []byte{0xff, 0xff, 0xff, 0xff, byte(kindReply)} }, true, ErrOutcomeUnknown},
 	}
@@ -122,7 +122,7 @@
 		t.Run(one.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newCallFixture(t)
-				defer b.network.Close()
+				defer b.transport.Close()
 				first := b.call(t.Context(), "1")
 				connection := b.accept()
 				write(t, connection, one.sent(b.nextCall(connection).ID))
@@ -152,7 +152,7 @@
 func TestTransport_Call_lateReplyDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCallFixture(t)
-		defer b.network.Close()
+		defer b.transport.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		first := b.call(ctx, "1")
@@ -175,7 +175,7 @@
 func TestTransport_Call_replyToEarlierConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCallFixture(t)
-		defer b.network.Close()
+		defer b.transport.Close()
 		first := b.call(t.Context(), "1")
 		connection := b.accept()
 		early := b.nextCall(connection)
--- a/internal/controlplane/registry/assigned_stage_test.go
+++ b/internal/controlplane/registry/assigned_stage_test.go
@@ -70,7 +70,7 @@
 	}
 	var record instanceRecord
 	if strictavro.Unmarshal(codec, itemSchema, value, &record) == nil {
-		t.Fatal("an item of the earlier form passes for one of this form")
+		t.Fatal("an item of format 1 was decoded as one of the present format")
 	}
 	var state snapshotRecord
 	if err := strictavro.Unmarshal(codec, snapshotSchema, store.Snapshot(), &state); err != nil || state.Format != snapshotFormat {
--- a/internal/controlplane/registry/departure_test.go
+++ b/internal/controlplane/registry/departure_test.go
@@ -127,12 +127,12 @@
 	s.gain()
 	s.heartbeat(worker(1), 1)
 	if !s.store.Knows("i01") || s.store.Knows("i02") {
-		t.Fatal("a registration decides")
+		t.Fatal("a registered instance must be known, another one not")
 	}
 	s.deregister("i01")
 	s.deregister("i02")
 	if !s.store.Knows("i01") || s.store.Knows("i02") || !s.store.Removed("i01") || !s.store.Removed("i02") {
-		t.Fatal("a departure changes nothing of that")
+		t.Fatal("a deregistration must not change that")
 	}
 	s.apply(EncodePut(worker(3), 1))
 	s.apply(EncodeRemove("i03", Expired, 1))
--- a/internal/controlplane/registry/liveness_test.go
+++ b/internal/controlplane/registry/liveness_test.go
@@ -173,10 +173,10 @@
 	s := newShard()
 	s.gain()
 	if action, code := s.deregister("i04"); action != Propose || code != Gone || !s.store.Removed("i04") {
-		t.Fatal("a departure of an instance that is not known must hold", action, code)
+		t.Fatal("the deregistration of an unknown instance must be final", action, code)
 	}
 	if action, code := s.heartbeat(worker(4), 1); action != Propose || code != Gone {
-		t.Fatal("a heartbeat that came late brought the instance back", action, code)
+		t.Fatal("a late heartbeat revived the instance", action, code)
 	}
 	s.heartbeat(worker(1), 5)
 	if action, code := s.deregister("i01"); action != Propose || code != Removed {
@@ -189,7 +189,7 @@
 	s.heartbeat(worker(2), 1)
 	s.stalled = false
 	if action, code := s.deregister("i02"); action != Propose || code != Gone || !s.store.Removed("i02") {
-		t.Fatal("a departure before its registration is applied must hold", action, code)
+		t.Fatal("a deregistration before the registration is applied must be final", action, code)
 	}
 }
 
--- a/internal/controlplane/registry/remote_heartbeat_test.go
+++ b/internal/controlplane/registry/remote_heartbeat_test.go
@@ -19,11 +19,11 @@
 		s.remoteHeartbeat(unnumbered, list[0].ID)
 	}
 	if len(s.store.Instances("")) != 4 {
-		t.Fatal("an instance that another server hears has expired")
+		t.Fatal("an instance that sends heartbeats to another server has expired")
 	}
 	s.advance(expiryTimeout, list[1:]...)
 	if s.store.Instance(list[0].ID) != nil {
-		t.Fatal("it must expire once nobody hears it")
+		t.Fatal("it must expire once no server receives its heartbeats")
 	}
 }
 
--- a/internal/controlplane/roleplanner/demand.go
+++ b/internal/controlplane/roleplanner/demand.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"math"
 
 	"github.com/hamba/avro/v2"
@@ -111,7 +112,7 @@
 func DecodeReport(encoded []byte) ([]ServiceDemand, error) {
 	var wire []wireDemand
 	if err := strictavro.Unmarshal(codec, reportSchema, encoded, &wire); err != nil {
-		return nil, errors.Join(ErrInvalidReport, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidReport, err)
 	}
 	report := make([]ServiceDemand, 0, len(wire))
 	for _, entry := range wire {
