--- a/internal/controlplane/roleplanner/doc.go
+++ b/internal/controlplane/roleplanner/doc.go
@@ -4,7 +4,7 @@
 // A worker's role is decided by Planner.Plan, which the owner of the service's shard calls several times a second:
 //
 //  1. The demand that proxies report (Demand, summed by DemandTable) is averaged over a few seconds (demandAverage).
-//  2. RequiredWorkers converts the average into the number of workers that each stage needs.
+//  2. requiredWorkers converts the average into the number of workers that each stage needs.
 //  3. Planner.updateTarget divides the workers in proportion to that, with hysteresis against small changes.
 //  4. Planner.selectAssignments picks the workers whose stage is to change.
 //  5. Planner.continueTransitions takes each of them through its transition: the assignment is recorded in the registry, so
--- a/internal/controlplane/roleplanner/requirement.go
+++ b/internal/controlplane/roleplanner/requirement.go
@@ -18,25 +18,25 @@
 // of one.
 const redundancyThreshold = 4
 
-// Requirement is the number of workers of each stage that a demand requires at their target utilization.
-type Requirement struct{ PrefillWorkers, DecodeWorkers float64 }
+// requirement is the number of workers of each stage that a demand requires at their target utilization.
+type requirement struct{ PrefillWorkers, DecodeWorkers float64 }
 
-// RequiredWorkers returns the requirement of a demand that is a rate. Decode is bound by the scarcest of slots, memory and
+// requiredWorkers returns the requirement of a demand that is a rate. Decode is bound by the scarcest of slots, memory and
 // transfers.
-func RequiredWorkers(demand Demand) Requirement {
-	return Requirement{
+func requiredWorkers(demand Demand) requirement {
+	return requirement{
 		PrefillWorkers: demand.Prefill / prefillUtilization,
 		DecodeWorkers:  max(demand.Slots/slotUtilization, demand.Memory/memoryUtilization, demand.Transfers/transferUtilization),
 	}
 }
 
 // total returns the number of workers that are required.
-func (r Requirement) total() float64 { return r.PrefillWorkers + r.DecodeWorkers }
+func (r requirement) total() float64 { return r.PrefillWorkers + r.DecodeWorkers }
 
 // prefillShare returns how many of a service's workers are to do prefill. They are divided in proportion to the requirement,
 // so that both stages are utilized alike whether there are too few workers or too many. The result is not rounded; it is
 // NaN without a requirement.
-func (r Requirement) prefillShare(workers int) float64 {
+func (r requirement) prefillShare(workers int) float64 {
 	if r.total() <= 0 {
 		return math.NaN()
 	}
@@ -44,7 +44,7 @@
 }
 
 // satisfiedBy reports whether these workers of each stage exceed the requirement by surplusFactor.
-func (r Requirement) satisfiedBy(prefillWorkers, decodeWorkers float64) bool {
+func (r requirement) satisfiedBy(prefillWorkers, decodeWorkers float64) bool {
 	return prefillWorkers >= surplusFactor*r.PrefillWorkers && decodeWorkers >= surplusFactor*r.DecodeWorkers
 }
 
--- a/internal/controlplane/roleplanner/target.go
+++ b/internal/controlplane/roleplanner/target.go
@@ -41,7 +41,7 @@
 	if !p.demand.observedFor(minObservation) {
 		return
 	}
-	required := RequiredWorkers(p.demand.mean())
+	required := requiredWorkers(p.demand.mean())
 	share := required.prefillShare(total)
 	if math.IsNaN(share) || required.satisfiedBy(float64(p.targetPrefill), float64(total-p.targetPrefill)) {
 		p.targetPrefill = clampPrefill(p.targetPrefill, total)
