--- /dev/null
+++ b/internal/controlplane/configuration/parse_limits.go
@@ -0,0 +1,66 @@
+package configuration
+
+import (
+	"time"
+
+	"github.com/go-faster/jx"
+)
+
+// Defaults of the limits.
+const (
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 4 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+)
+
+// DefaultLimits returns the limits in force if the operator does not configure any.
+func DefaultLimits() Limits {
+	return Limits{
+		MaxHeaderBytes: defaultMaxHeaderBytes,
+		MaxBodyBytes:   defaultMaxBodyBytes,
+		HeaderTimeout:  defaultHeaderTimeout,
+		IdleTimeout:    defaultIdleTimeout,
+	}
+}
+
+// ParseLimits parses "limits". Values that are missing or not positive get their defaults. The error is a *Rejection.
+func ParseLimits(raw []byte) (Limits, error) {
+	limits := Limits{}
+	rejection := eachMember(raw, "limits", func(decoder *jx.Decoder, key string) error {
+		switch key {
+		case "maxHeaderBytes":
+			return readCount(decoder, key, &limits.MaxHeaderBytes)
+		case "maxBodyBytes":
+			return readCount(decoder, key, &limits.MaxBodyBytes)
+		case "headerTimeoutMs":
+			return readDuration(decoder, key, time.Millisecond, &limits.HeaderTimeout)
+		case "idleTimeoutMs":
+			return readDuration(decoder, key, time.Millisecond, &limits.IdleTimeout)
+		default:
+			return decoder.Skip()
+		}
+	})
+	if rejection != nil {
+		return Limits{}, rejection
+	}
+	return limits.withDefaults(), nil
+}
+
+// withDefaults replaces the values that are not positive by their defaults.
+func (l Limits) withDefaults() Limits {
+	defaults := DefaultLimits()
+	if l.MaxHeaderBytes <= 0 {
+		l.MaxHeaderBytes = defaults.MaxHeaderBytes
+	}
+	if l.MaxBodyBytes <= 0 {
+		l.MaxBodyBytes = defaults.MaxBodyBytes
+	}
+	if l.HeaderTimeout <= 0 {
+		l.HeaderTimeout = defaults.HeaderTimeout
+	}
+	if l.IdleTimeout <= 0 {
+		l.IdleTimeout = defaults.IdleTimeout
+	}
+	return l
+}
