--- /dev/null
+++ b/coord/replica/loaded_cluster_test.go
@@ -0,0 +1,147 @@
+package replica
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ospreybend/coord/consensus"
+)
+
+// A load of changes to a document of 450 routes: every tenth replaces the document, the others one route.
+const (
+	minChanges     = 2000
+	changeInterval = time.Second / 30
+	replacedBytes  = 150 << 10
+	updatedBytes   = 400
+	replacedEvery  = 10
+	stateBytes     = 250 << 10
+	catchUpBound   = 4 * time.Second // catchUpS of the operators' requirements
+)
+
+// documentStateMachine has a state as large as that document, and counts the commands.
+type documentStateMachine struct{ count int }
+
+func (m *documentStateMachine) Apply(consensus.Entry) any { m.count++; return m.count }
+
+func (m *documentStateMachine) Snapshot() []byte {
+	return append(fmt.Appendf(nil, "%020d", m.count), make([]byte, stateBytes)...)
+}
+
+func (m *documentStateMachine) Restore(_ uint64, data []byte) error {
+	_, err := fmt.Sscanf(string(data[:20]), "%d", &m.count)
+	return err
+}
+
+// loadedCluster is a test cluster that is given changes at a steady rate on the fake clock.
+type loadedCluster struct {
+	*testCluster
+	nextChangeAt    time.Duration // when the next change is due
+	proposedChanges int
+	peakDiskBytes   map[*testReplica]int64 // of the bytes on its disk
+}
+
+func newLoadedCluster(t *testing.T, omit ...consensus.Rule) *loadedCluster {
+	c := newTestCluster(t, 0)
+	c.omitRules = omit
+	c.newStateMachine = func() StateMachine { return &documentStateMachine{} }
+	var members []consensus.Member
+	for number := 1; number <= 3; number++ {
+		members = append(members, testMember(number, true))
+	}
+	for _, member := range members {
+		c.add(member, members)
+	}
+	s := &loadedCluster{testCluster: c, peakDiskBytes: map[*testReplica]int64{}}
+	s.awaitLeader()
+	s.nextChangeAt = c.clock.now
+	return s
+}
+
+// runUntil continues the load until a condition is true and returns how long that took.
+func (s *loadedCluster) runUntil(what string, limit time.Duration, done func() bool) time.Duration {
+	s.t.Helper()
+	began := s.clock.now
+	for !done() {
+		if s.clock.now > began+limit {
+			s.t.Fatalf("not reached in %v: %s", limit, what)
+		}
+		if leader := s.leader(); leader != nil && s.clock.now >= s.nextChangeAt {
+			s.nextChangeAt = max(s.nextChangeAt+changeInterval, s.clock.now-time.Second)
+			s.propose(leader)
+		}
+		s.step()
+		for _, replica := range s.replicas {
+			s.peakDiskBytes[replica] = max(s.peakDiskBytes[replica], replica.disk.UsedBytes())
+		}
+	}
+	return s.clock.now - began
+}
+
+func (s *loadedCluster) propose(leader *testReplica) {
+	size := updatedBytes
+	if s.proposedChanges%replacedEvery == 0 {
+		size = replacedBytes
+	}
+	s.proposedChanges++
+	leader.group.queue.push(proposeEvent{data: make([]byte, size), done: newOutcomeChannel()})
+}
+
+func (s *loadedCluster) runFor(span time.Duration) {
+	until := s.clock.now + span
+	s.runUntil("time", span+time.Second, func() bool { return s.clock.now >= until })
+}
+
+// isCurrent reports whether a member has applied all that the leader has, except for what is in flight.
+func (s *loadedCluster) isCurrent(replica *testReplica) bool {
+	leader := s.leader()
+	if leader == nil || replica.group.Status().AppliedIndex < 2 {
+		return false
+	}
+	return replica.group.Status().AppliedIndex+2 >= leader.group.Status().AppliedIndex && replica.group.Status().ConfirmedAge < time.Second
+}
+
+// stopFor stops a member's process for a while.
+func (s *loadedCluster) stopFor(replica *testReplica, span time.Duration) {
+	replica.group.loop.stop(replica.group.queue.close())
+	replica.partitioned, replica.stopped = true, true
+	s.runFor(span)
+	replica.partitioned, replica.stopped = false, false
+}
+
+// returnModes are the ways in which a member returns.
+var returnModes = []string{"restarted", "wiped", "replaced"}
+
+// returnMember brings the member back in the given mode and returns the replica that takes its place.
+func (s *loadedCluster) returnMember(replica *testReplica, mode string, number int) *testReplica {
+	if mode == "restarted" {
+		replica.disk.Restart()
+		s.open(replica, nil)
+		return replica
+	}
+	old := replica.member
+	member := testMember(number, false)
+	if mode == "wiped" {
+		member.Address = old.Address
+	}
+	s.remove(replica)
+	added := s.add(member, nil)
+	s.changeMembers(consensus.MembershipChange{Remove: old.ID})
+	s.changeMembers(consensus.MembershipChange{Add: &member})
+	return added
+}
+
+// changeMembers changes the membership under load.
+func (s *loadedCluster) changeMembers(change consensus.MembershipChange) {
+	s.t.Helper()
+	for {
+		s.runUntil("a leader", testTimeout, func() bool { return s.leader() != nil })
+		done := newOutcomeChannel()
+		s.leader().group.queue.push(changeEvent{change: change, done: done})
+		s.runUntil("an answer", testTimeout, func() bool { return len(done) > 0 })
+		if err := (<-done).err; err == nil {
+			return
+		}
+		s.runFor(changeInterval)
+	}
+}
