--- a/coord/replica/event_loop.go
+++ b/coord/replica/event_loop.go
@@ -112,8 +112,9 @@
 	return (next + interval - 1) / interval * interval
 }
 
-// processReady carries out what the node asks for: writes, messages, a received snapshot, committed entries and the
-// answers to read requests.
+// processReady carries out what the node asks for: writes, messages, a received snapshot, committed entries and the answers to
+// read requests. The messages may be sent before the write completes: the node returns those that depend on durable state, such
+// as a vote or an acknowledgement, only after handleDiskReport has told it that the state is persisted.
 func (l *eventLoop) processReady(ready consensus.Ready) {
 	l.refreshStatus()
 	if ready.Persist != nil {
