--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -343,6 +343,9 @@
 	return nil
 }
 
+// errNotRejected reports a log that was opened although it is corrupt.
+var errNotRejected = errors.New("the log was not rejected as corrupt")
+
 // checkTruncations truncates each segment but the last at each byte: the log must be rejected.
 func checkTruncations(omit ...seglog.Guard) error {
 	for _, calls := range sequences(sequenceSize) {
@@ -366,7 +369,7 @@
 				shorter := disk.Clone()
 				shorter.WriteFile(path, complete[:length])
 				if _, _, err := tinyLog(shorter, omit...); !errors.Is(err, seglog.ErrCorrupt) {
-					return fmt.Errorf("calls %s, %s truncated to %d bytes: %v", calls, file.Name, length, err)
+					return fmt.Errorf("calls %s, %s truncated to %d bytes: %w", calls, file.Name, length, errors.Join(errNotRejected, err))
 				}
 			}
 		}
