--- a/internal/dataplane/dispatch/chooser_test.go
+++ b/internal/dataplane/dispatch/chooser_test.go
@@ -30,7 +30,7 @@
 func (c *scriptedChooser) offers(texts ...string) {
 	for _, text := range texts {
 		var choice selection.Choice
-		choice.First = 100 * time.Millisecond
+		choice.TimeToFirstEvent = 100 * time.Millisecond
 		choice.Urgency = c.urgency
 		if len(text) > 2 {
 			choice.Prefill = testWorker(text[:2])
@@ -47,7 +47,7 @@
 	c.asked = append(c.asked, *request)
 	if c.draws != nil {
 		choice, send := c.draws(excluded)
-		return choice, selection.Verdict{Send: send, RetryAfter: c.refusal}
+		return choice, selection.Verdict{Admit: send, RetryAfter: c.refusal}
 	}
 	for _, choice := range c.choices {
 		if slices.Contains(excluded, choice.Run.ID) {
@@ -56,7 +56,7 @@
 		if choice.Prefill != nil && slices.Contains(excluded, choice.Prefill.ID) {
 			continue
 		}
-		return choice, selection.Verdict{Send: true}
+		return choice, selection.Verdict{Admit: true}
 	}
 	return selection.Choice{}, selection.Verdict{RetryAfter: c.refusal}
 }
@@ -84,12 +84,12 @@
 func (c *scriptedChooser) Abandoned(_ time.Duration, call *selection.Call) { c.end(call, "abandoned") }
 
 func (c *scriptedChooser) Outstanding(time.Duration) []selection.Outstanding {
-	return []selection.Outstanding{{Worker: uint64(len(c.order))}}
+	return []selection.Outstanding{{WorkerHash: uint64(len(c.order))}}
 }
 
 func (c *scriptedChooser) Demands(time.Duration) map[string]roleplanner.Demand { return nil }
 
-func (c *scriptedChooser) Peer(_ time.Duration, node uint64, list []selection.Outstanding) {
+func (c *scriptedChooser) SetPeerLoad(_ time.Duration, node uint64, list []selection.Outstanding) {
 	c.peers = append(c.peers, node)
 	c.peerLists = append(c.peerLists, list)
 }
--- a/internal/dataplane/dispatch/fields.go
+++ b/internal/dataplane/dispatch/fields.go
@@ -73,18 +73,18 @@
 }
 
 // parsePrefix reads "HEXID:TOKENS,..."; it returns nil where any part cannot be read.
-func parsePrefix(value string) []selection.Part {
+func parsePrefix(value string) []selection.PromptSegment {
 	if value == "" {
 		return nil
 	}
-	parts := make([]selection.Part, 0, strings.Count(value, ",")+1)
+	parts := make([]selection.PromptSegment, 0, strings.Count(value, ",")+1)
 	for text := range strings.SplitSeq(value, ",") {
 		id, tokens, found := strings.Cut(strings.TrimSpace(text), ":")
 		number, err := strconv.ParseUint(id, 16, 64)
 		if !found || err != nil {
 			return nil
 		}
-		parts = append(parts, selection.Part{ID: number, Tokens: parseCount(tokens)})
+		parts = append(parts, selection.PromptSegment{ID: number, Tokens: parseCount(tokens)})
 	}
 	return parts
 }
--- a/internal/dataplane/dispatch/guard.go
+++ b/internal/dataplane/dispatch/guard.go
@@ -108,7 +108,7 @@
 func (g *guard) peer(node uint64, list []selection.Outstanding) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.chooser.Peer(g.now(), node, list)
+	g.chooser.SetPeerLoad(g.now(), node, list)
 }
 
 // demands returns what requests have brought to each service whose workers have stages.
--- a/internal/dataplane/dispatch/limits_test.go
+++ b/internal/dataplane/dispatch/limits_test.go
@@ -17,7 +17,7 @@
 		if c.took < 3*time.Second || c.took > 3010*time.Millisecond {
 			t.Fatalf("took %v", c.took)
 		}
-		r.chooser.mustEnd(t, failedBy(selection.FailureSilence))
+		r.chooser.mustEnd(t, failedBy(selection.FailureTimeout))
 	})
 }
 
--- a/internal/dataplane/dispatch/ports.go
+++ b/internal/dataplane/dispatch/ports.go
@@ -60,7 +60,7 @@
 	Failed(now time.Duration, call *selection.Call, cause selection.Failure)
 	Abandoned(now time.Duration, call *selection.Call)
 	Outstanding(now time.Duration) []selection.Outstanding
-	Peer(now time.Duration, node uint64, list []selection.Outstanding)
+	SetPeerLoad(now time.Duration, node uint64, list []selection.Outstanding)
 	Demands(now time.Duration) map[string]roleplanner.Demand
 }
 
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -74,7 +74,7 @@
 }
 
 func (t *try) prefillSilence(choice selection.Choice) time.Duration {
-	return max(prefillPatience*choice.First, t.route.TargetLatency) + prefillSlack
+	return max(prefillPatience*choice.TimeToFirstEvent, t.route.TargetLatency) + prefillSlack
 }
 
 func (t *try) prefillFailed(ticket *ticket, choice selection.Choice, failure *upstream.Failure) {
--- a/internal/dataplane/dispatch/prefill_test.go
+++ b/internal/dataplane/dispatch/prefill_test.go
@@ -124,7 +124,7 @@
 		if c.took != 610*time.Millisecond { // the objective of 400 ms + 200 ms, and the first event
 			t.Fatalf("took %v", c.took)
 		}
-		r.chooser.mustEnd(t, failedBy(selection.FailureSilence), "done", "done")
+		r.chooser.mustEnd(t, failedBy(selection.FailureTimeout), "done", "done")
 	})
 }
 
@@ -201,7 +201,7 @@
 		if r.workersCalled() != "p1 d1 d2 " || r.calls[2].field(fieldKVFrom) != "" {
 			t.Fatal(r.workersCalled())
 		}
-		r.chooser.mustEnd(t, "done", failedBy(selection.FailureHandover), "done")
+		r.chooser.mustEnd(t, "done", failedBy(selection.FailureTransfer), "done")
 		r.mustFree(t, "h1")
 	})
 }
--- a/internal/dataplane/dispatch/property_test.go
+++ b/internal/dataplane/dispatch/property_test.go
@@ -99,7 +99,7 @@
 }
 
 func (c *chaos) choose(excluded []string) (selection.Choice, bool) {
-	choice := selection.Choice{First: time.Duration(c.random.Intn(200)) * time.Millisecond}
+	choice := selection.Choice{TimeToFirstEvent: time.Duration(c.random.Intn(200)) * time.Millisecond}
 	runs := remaining([]string{"d1", "d2", "d3"}, excluded)
 	if len(runs) == 0 || c.random.Intn(12) == 0 {
 		return choice, false
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -71,7 +71,7 @@
 	case failure.Result == upstream.NotSent && failure.Reason != upstream.Canceled:
 		ticket.failed(selection.FailureConnect)
 	case failure.Reason == upstream.Canceled:
-		ticket.failed(selection.FailureSilence)
+		ticket.failed(selection.FailureTimeout)
 	default:
 		ticket.failed(selection.FailureBroken)
 	}
@@ -118,7 +118,7 @@
 	closeEvents(answer)
 	t.account.arrived()
 	if t.hasOtherVersion(answer) {
-		ticket.failed(selection.FailureHandover)
+		ticket.failed(selection.FailureTransfer)
 		t.freeHandle()
 		return true
 	}
@@ -142,7 +142,7 @@
 	t.noteRetryAfter(answer)
 	load := loadOf(answer)
 	if t.held != nil && hasRoom(load) {
-		ticket.failed(selection.FailureHandover)
+		ticket.failed(selection.FailureTransfer)
 		t.freeHandle()
 		return true
 	}
@@ -258,7 +258,7 @@
 	if !t.repeatable() {
 		return 0
 	}
-	silence := runPatience*choice.First + objectivePatience*t.route.TargetLatency
+	silence := runPatience*choice.TimeToFirstEvent + objectivePatience*t.route.TargetLatency
 	return max(silence, leastSilence)
 }
 
--- a/internal/dataplane/dispatch/run_test.go
+++ b/internal/dataplane/dispatch/run_test.go
@@ -77,7 +77,7 @@
 		if asked.Service != testService || asked.Model != "m" || asked.PromptTokens != 1460 || asked.OutputTokens != 80 {
 			t.Fatalf("%+v", asked)
 		}
-		if len(asked.Prompt) != 2 || asked.Prompt[0] != (selection.Part{ID: 0x5c1e07a2, Tokens: 800}) {
+		if len(asked.Prompt) != 2 || asked.Prompt[0] != (selection.PromptSegment{ID: 0x5c1e07a2, Tokens: 800}) {
 			t.Fatalf("%+v", asked.Prompt)
 		}
 		if asked.Objective-asked.Arrived != 400*time.Millisecond || asked.Deadline-asked.Arrived != 3*time.Second {
--- a/internal/dataplane/dispatch/trace.go
+++ b/internal/dataplane/dispatch/trace.go
@@ -51,7 +51,7 @@
 		fields = append(fields, zap.String("prefill", t.trace.choice.Prefill.ID), zap.Duration("read", t.trace.read))
 	}
 	if t.trace.choice.Run != nil {
-		fields = append(fields, zap.String("run", t.trace.choice.Run.ID), zap.Duration("predicted", t.trace.choice.First))
+		fields = append(fields, zap.String("run", t.trace.choice.Run.ID), zap.Duration("predicted", t.trace.choice.TimeToFirstEvent))
 	}
 	if t.trace.first > 0 {
 		fields = append(fields, zap.Duration("first", t.trace.first-t.trace.sent),
--- a/internal/dataplane/dispatch/try.go
+++ b/internal/dataplane/dispatch/try.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	choice, verdict := t.d.guard.choose(&t.ask, t.excluded)
-	if !verdict.Send || choice.Run == nil {
+	if !verdict.Admit || choice.Run == nil {
 		t.retryAfter = verdict.RetryAfter
 		t.conclude()
 		return false
--- a/internal/dataplane/dispatch/version_test.go
+++ b/internal/dataplane/dispatch/version_test.go
@@ -55,7 +55,7 @@
 		if run := r.calls[2]; run.field(fieldKVFrom) != "" || run.field(fieldVersion) != "" {
 			t.Errorf("%+v", run.call)
 		}
-		r.chooser.mustEnd(t, "done", failedBy(selection.FailureHandover), "done")
+		r.chooser.mustEnd(t, "done", failedBy(selection.FailureTransfer), "done")
 		r.mustFree(t, "h1")
 	})
 }
--- a/internal/dataplane/loadshare/loadshare_test.go
+++ b/internal/dataplane/loadshare/loadshare_test.go
@@ -16,7 +16,7 @@
 	properties.Property("decode of encode", prop.ForAll(func(node, sequence uint64, workers []uint64, work uint16) bool {
 		m := Message{Node: node, Sequence: sequence}
 		for i, worker := range workers {
-			m.List = append(m.List, selection.Outstanding{Worker: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0})
+			m.List = append(m.List, selection.Outstanding{WorkerHash: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0})
 		}
 		datagram, err := Encode(m)
 		if err != nil || len(datagram) > MostBytes {
@@ -39,7 +39,7 @@
 func TestLargestStateFitsADatagramByItsHeaviestWorkers(t *testing.T) {
 	m := Message{Node: 1 << 63, Sequence: 1 << 62}
 	for i := range 4 * mostEntries {
-		m.List = append(m.List, selection.Outstanding{Worker: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
+		m.List = append(m.List, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
 	}
 	datagram, err := Encode(m)
 	if err != nil || len(datagram) > MostBytes {
@@ -52,7 +52,7 @@
 }
 
 func TestEveryCutDatagramIsRefusedOrHarmless(t *testing.T) {
-	datagram, _ := Encode(Message{Node: 7, Sequence: 9, List: []selection.Outstanding{{Worker: 5, Waiting: 0.25, Running: 3}}})
+	datagram, _ := Encode(Message{Node: 7, Sequence: 9, List: []selection.Outstanding{{WorkerHash: 5, Waiting: 0.25, Running: 3}}})
 	for cut := range datagram {
 		if read, err := Decode(datagram[:cut]); err == nil {
 			t.Errorf("cut at %d of %d: %+v", cut, len(datagram), read)
--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -55,7 +55,7 @@
 func Encode(m Message) ([]byte, error) {
 	encoded := wireMessage{Node: int64(m.Node), Sequence: int64(m.Sequence)}
 	for _, entry := range foremost(m.List) {
-		encoded.List = append(encoded.List, wireEntry{Worker: int64(entry.Worker), Waiting: int(entry.Waiting * microseconds),
+		encoded.List = append(encoded.List, wireEntry{Worker: int64(entry.WorkerHash), Waiting: int(entry.Waiting * microseconds),
 			Running: int(entry.Running), Memory: int(entry.Memory), Failing: entry.Failing})
 	}
 	return avro.Marshal(schema, encoded)
@@ -72,7 +72,7 @@
 		if entry.Waiting < 0 || entry.Running < 0 || entry.Memory < 0 {
 			return Message{}, ErrMessage
 		}
-		m.List = append(m.List, selection.Outstanding{Worker: uint64(entry.Worker),
+		m.List = append(m.List, selection.Outstanding{WorkerHash: uint64(entry.Worker),
 			Waiting: float64(entry.Waiting) / microseconds, Running: float64(entry.Running), Memory: float64(entry.Memory),
 			Failing: entry.Failing})
 	}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -96,7 +96,7 @@
 	p.dispatcher = dispatch.New(dispatch.Options{
 		Workers: dispatch.OverPool(p.pool),
 		Chooser: selection.New(selection.Options{
-			Zone: loaded.Zone, Seed: rand.Uint64(), Again: bootconfig.Seconds(loaded.Bounds.AgainS),
+			Zone: loaded.Zone, Seed: rand.Uint64(), RereadSpan: bootconfig.Seconds(loaded.Bounds.AgainS),
 		}),
 		Budget:  retryBudgetRules(loaded.Bounds),
 		Now:     func() time.Duration { return time.Since(started) },
--- a/internal/dataplane/selection/affinity_test.go
+++ b/internal/dataplane/selection/affinity_test.go
@@ -11,42 +11,42 @@
 	"ospreybend/internal/util/estimate"
 )
 
-// homeOf is the first home of a key.
-func homeOf(key uint64, list []*worker) string {
+// firstAffinityTarget is the first home of a key.
+func firstAffinityTarget(key uint64, list []*worker) string {
 	best := list[0]
 	for _, w := range list {
-		if estimate.Nearness(key, w.number, len(list)) < estimate.Nearness(key, best.number, len(list)) {
+		if estimate.Nearness(key, w.hash, len(list)) < estimate.Nearness(key, best.hash, len(list)) {
 			best = w
 		}
 	}
 	return best.entry.ID
 }
 
-func TestPropertiesOfHomes(t *testing.T) {
-	p := properties(t)
+func TestAffinityTargets_properties(t *testing.T) {
+	p := newProperties(t)
 	p.Property("nodes agree", prop.ForAll(func(key uint64) bool {
-		one, _ := rig(4, 5, 1)
-		other, _ := rig(4, 5, 77)
-		return homeOf(key, one.services["m"].byClass[classPrefill]) == homeOf(key, other.services["m"].byClass[classPrefill])
+		one, _ := newTestSelector(4, 5, 1)
+		other, _ := newTestSelector(4, 5, 77)
+		return firstAffinityTarget(key, one.services["m"].byClass[classPrefill]) == firstAffinityTarget(key, other.services["m"].byClass[classPrefill])
 	}, gen.UInt64()))
 	p.Property("a home moves only if its worker goes", prop.ForAll(func(key uint64, gone int) bool {
-		s, _ := rig(6, 2, 1)
+		s, _ := newTestSelector(6, 2, 1)
 		list := s.services["m"].byClass[classPrefill]
-		before := homeOf(key, list)
+		before := firstAffinityTarget(key, list)
 		rest := append(append([]*worker{}, list[:gone]...), list[gone+1:]...)
-		after := homeOf(key, rest)
+		after := firstAffinityTarget(key, rest)
 		return after == before || before == list[gone].entry.ID
 	}, gen.UInt64(), gen.IntRange(0, 5)))
 	p.TestingRun(t)
 }
 
-func TestNodesSendAKeyToTheSameReader(t *testing.T) {
+func TestSelector_Choose_nodesAgreeOnAffinityTarget(t *testing.T) {
 	agreed := 0
 	for key := range uint64(40) {
 		seen := map[string]int{}
 		for node := range uint64(5) {
-			s, _ := rig(4, 5, node)
-			c, _ := s.Choose(0, ask(0, key+1, 8000, 2000), nil)
+			s, _ := newTestSelector(4, 5, node)
+			c, _ := s.Choose(0, newTestRequest(0, key+1, 8000, 2000), nil)
 			seen[idOf(c.Prefill)]++
 		}
 		for _, n := range seen {
@@ -60,70 +60,70 @@
 	}
 }
 
-func TestAKeptPromptIsReadWhereItIsKept(t *testing.T) {
-	s, _ := rig(3, 3, 1)
+func TestSelector_Choose_prefersCachedPrefix(t *testing.T) {
+	s, _ := newTestSelector(3, 3, 1)
 	svc := s.services["m"]
-	r := ask(0, 5, 9600, 64)
+	r := newTestRequest(0, 5, 9600, 64)
 	c, _ := s.Choose(0, r, nil)
 	call := s.Sent(0, r, CallRun, Choice{Run: c.Run})
 	s.FirstEvent(time.Second/4, call)
 	s.Done(time.Second/3, call, nil)
-	again := ask(time.Second, 5, 9600, 64)
+	again := newTestRequest(time.Second, 5, 9600, 64)
 	next, _ := s.Choose(time.Second, again, nil)
 	if next.Run != c.Run || next.Prefill != nil {
 		t.Errorf("read at %s, then sent to %s after %s", idOf(c.Run), idOf(next.Run), idOf(next.Prefill))
 	}
-	if kept := svc.workers[c.Run.ID].kept.prefix(again.Prompt); kept != 9600 {
+	if kept := svc.workers[c.Run.ID].cache.cachedTokens(again.Prompt); kept != 9600 {
 		t.Errorf("%v tokens kept", kept)
 	}
 }
 
-func TestKeptParts(t *testing.T) {
-	a, b, own := Part{1, 40}, Part{2, 50}, Part{3, 30}
+func TestPrefixCache_CachedTokens(t *testing.T) {
+	a, b, own := PromptSegment{1, 40}, PromptSegment{2, 50}, PromptSegment{3, 30}
 	cases := []struct {
 		name   string
-		kept   []Part
-		prompt []Part
+		kept   []PromptSegment
+		prompt []PromptSegment
 		want   float64
 	}{
-		{"nothing", nil, []Part{a, b}, 0},
-		{"whole blocks of all", []Part{a, b, own}, []Part{a, b, own}, 112},
-		{"up to the first that is not kept", []Part{a, own}, []Part{a, b, own}, 32},
-		{"not without those before", []Part{b, own}, []Part{a, b, own}, 0},
+		{"nothing", nil, []PromptSegment{a, b}, 0},
+		{"whole blocks of all", []PromptSegment{a, b, own}, []PromptSegment{a, b, own}, 112},
+		{"up to the first that is not kept", []PromptSegment{a, own}, []PromptSegment{a, b, own}, 32},
+		{"not without those before", []PromptSegment{b, own}, []PromptSegment{a, b, own}, 0},
 	}
 	for _, c := range cases {
-		k := kept{capacity: 1000}
+		k := prefixCache{capacity: 1000}
 		k.add(c.kept, 1, 0)
-		if got := k.prefix(c.prompt); got != c.want {
+		if got := k.cachedTokens(c.prompt); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestPartsUnusedLongestGiveWay(t *testing.T) {
-	k := kept{capacity: 100}
-	k.add([]Part{{1, 40}, {2, 20}}, 1, 0)
-	k.add([]Part{{1, 40}, {3, 20}}, 1, 0)
-	k.add([]Part{{1, 40}, {4, 30}}, 1, 0)
+func TestPrefixCache_Add_evictsLeastRecentlyUsed(t *testing.T) {
+	k := prefixCache{capacity: 100}
+	k.add([]PromptSegment{{1, 40}, {2, 20}}, 1, 0)
+	k.add([]PromptSegment{{1, 40}, {3, 20}}, 1, 0)
+	k.add([]PromptSegment{{1, 40}, {4, 30}}, 1, 0)
 	if !k.has(1) || k.has(2) || !k.has(3) || !k.has(4) {
 		t.Errorf("1 %v, 2 %v, 3 %v, 4 %v", k.has(1), k.has(2), k.has(3), k.has(4))
 	}
-	if k.add([]Part{{5, 10}}, 5, 0); k.has(3) || !k.has(5) {
+	if k.add([]PromptSegment{{5, 10}}, 5, 0); k.has(3) || !k.has(5) {
 		t.Errorf("a request's own part weighs for all nodes: 3 %v, 5 %v", k.has(3), k.has(5))
 	}
-	if k.trim(0); k.used != 0 || len(k.byID) != 0 {
+	if k.evict(0); k.used != 0 || len(k.byID) != 0 {
 		t.Errorf("%v used by %d", k.used, len(k.byID))
 	}
 }
 
-func TestPopularKeysHaveMoreHomes(t *testing.T) {
-	s, _ := rig(8, 2, 1)
+func TestAffinityReach_growsWithPopularity(t *testing.T) {
+	s, _ := newTestSelector(8, 2, 1)
 	list := s.services["m"].byClass[classPrefill]
 	inHomes := func(share float64) (n int) {
-		j := job{key: 42, share: share}
-		reach := homes(&j, list)
+		j := requestInfo{affinityKey: 42, keyShare: share}
+		reach := affinityReach(&j, list)
 		for _, w := range list {
-			if estimate.Nearness(42, w.number, len(list)) <= reach {
+			if estimate.Nearness(42, w.hash, len(list)) <= reach {
 				n++
 			}
 		}
@@ -134,12 +134,12 @@
 	}
 }
 
-func TestSetViewKeepsStateAndPutsOldWindowsAway(t *testing.T) {
-	s, view := rig(2, 2, 1)
+func TestSelector_SetView_keepsWindowsByClass(t *testing.T) {
+	s, view := newTestSelector(2, 2, 1)
 	w := s.services["m"].workers["wa"]
 	w.delays[classPrefill].AddProcess(0, 1, 0, 2)
 	changed := &fleetview.View{EdgeNodeCount: 4, Services: view.Services, Workers: map[string][]*fleetview.Worker{"m": {
-		entry(0, "decode"), view.Workers["m"][1], view.Workers["m"][2], view.Workers["m"][3]}}}
+		testWorker(0, "decode"), view.Workers["m"][1], view.Workers["m"][2], view.Workers["m"][3]}}}
 	s.SetView(0, changed)
 	if s.services["m"].workers["wa"] != w || w.class != classDecode {
 		t.Fatalf("the worker's state is gone, or its class is %v", w.class)
--- a/internal/dataplane/selection/bench_test.go
+++ b/internal/dataplane/selection/bench_test.go
@@ -6,15 +6,15 @@
 )
 
 func BenchmarkChoose90(b *testing.B) {
-	f := newModelFleet(90, 90, 5, 1, byDesign)
-	for _, k := range usualKinds {
+	f := newModelFleet(90, 90, 5, 1, selectorPolicy)
+	for _, k := range trafficKinds {
 		f.traffic(k, 6)
 	}
 	f.clock.run(10 * time.Second)
 	s := f.selectors[0]
 	requests := make([]*Request, 256)
 	for i := range requests {
-		requests[i] = f.request(usualKinds[i%len(usualKinds)])
+		requests[i] = f.request(trafficKinds[i%len(trafficKinds)])
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/dataplane/selection/calls.go
+++ b/internal/dataplane/selection/calls.go
@@ -7,69 +7,69 @@
 // Call is one call to a worker that has not ended. It ends by exactly one of Done, Rejected, Failed and
 // Abandoned; whatever comes after that is ignored.
 type Call struct {
-	service  *service
-	worker   *worker
-	source   *worker // of the hand-over; nil: none
-	class    class   // that the worker had
-	forecast forecast
-	prompt   []Part
-	memory   float64
-	output   float64 // tokens that may be made
-	sent     time.Duration
-	first    time.Duration
-	others   counts // this node's other calls there when the answer began
-	begun    bool
-	ended    bool
+	service            *service
+	worker             *worker
+	source             *worker     // of the hand-over; nil: none
+	workerClass        workerClass // that the worker had
+	forecast           forecast
+	prompt             []PromptSegment
+	reservedTokens     float64
+	outputTokens       float64 // tokens that may be made
+	sentAt             time.Duration
+	firstEventAt       time.Duration
+	othersAtFirstEvent callCounts // this node's other calls there when the answer began
+	started            bool
+	ended              bool
 }
 
 // Sent opens a call that is being sent: to c.Prefill (CallPrefill) or c.Run. Its worker must be of the
 // view; otherwise the call counts for nothing.
-func (s *Selector) Sent(now time.Duration, r *Request, kind CallKind, c Choice) *Call {
-	call := &Call{sent: now, prompt: r.Prompt}
-	target, svc := c.Run, s.services[r.Service]
+func (s *Selector) Sent(now time.Duration, request *Request, kind CallKind, choice Choice) *Call {
+	call := &Call{sentAt: now, prompt: request.Prompt}
+	target, svc := choice.Run, s.services[request.Service]
 	if kind == CallPrefill {
-		target = c.Prefill
+		target = choice.Prefill
 	}
 	if svc == nil || target == nil || svc.workers[target.ID] == nil {
 		call.ended = true
 		return call
 	}
 	call.service, call.worker = svc, svc.workers[target.ID]
-	if kind == CallRun && c.Prefill != nil {
-		call.source = svc.workers[c.Prefill.ID]
+	if kind == CallRun && choice.Prefill != nil {
+		call.source = svc.workers[choice.Prefill.ID]
 	}
-	svc.foresee(now, svc.jobFor(now, r), call)
-	call.worker.open(call)
+	svc.predictCall(now, svc.infoFor(now, request), call)
+	call.worker.addCall(call)
 	return call
 }
 
-// foresee fills in what a call is predicted to take.
-func (s *service) foresee(now time.Duration, j *job, call *Call) {
+// predictCall fills in what a call is predicted to take.
+func (s *service) predictCall(now time.Duration, info *requestInfo, call *Call) {
 	w := call.worker
-	call.class, call.output = w.class, float64(j.request.OutputTokens)
+	call.workerClass, call.outputTokens = w.class, float64(info.request.OutputTokens)
 	reach, workers := 0., len(s.byClass[w.class])
 	if w.class != classPlain {
-		reach = homes(j, s.byClass[w.class])
+		reach = affinityReach(info, s.byClass[w.class])
 	}
-	kept := s.keptAt(j, w, reach, workers)
-	t := readTask(w.class, j.tokens, kept)
+	cached := s.cachedTokens(info, w, reach, workers)
+	t := promptTask(w.class, info.promptTokens, cached)
 	if call.source != nil {
-		size := moveSize(call.source, w, j.tokens-kept)
-		t = task{bucket: handBucket, solo: decodeBase, moving: true, size: size}
-		t.move = s.moveBetween(now, call.source, w, size)
+		size := transferSize(call.source, w, info.promptTokens-cached)
+		t = task{bucket: transferBucket, unloaded: firstEventTime, transfersKV: true, size: size}
+		t.transferTime = s.transferTime(now, call.source, w, size)
 	}
 	if w.class == classDecode {
-		call.memory = j.tokens + call.output
+		call.reservedTokens = info.promptTokens + call.outputTokens
 	}
-	call.forecast = s.predict(now, w, t, s.loadOf(now, w))
+	call.forecast = s.predict(now, w, t, s.estimateLoad(now, w))
 }
 
 // FirstEvent takes in that the first event of an answer has come.
 func (s *Selector) FirstEvent(now time.Duration, call *Call) {
-	if call.ended || call.begun {
+	if call.ended || call.started {
 		return
 	}
-	call.begin(now)
+	call.start(now)
 }
 
 // Told takes in the load that the head of an answer told, ahead of the answer's end. Done may be given
@@ -78,22 +78,22 @@
 	if call.ended {
 		return
 	}
-	call.service.hear(now, call.worker, &load, call.worker.besides(call))
+	call.service.recordLoad(now, call.worker, &load, call.worker.ownCallsExcept(call))
 }
 
-// begin learns from an answer's beginning.
-func (c *Call) begin(now time.Duration) {
+// start learns from an answer's beginning.
+func (c *Call) start(now time.Duration) {
 	s, w := c.service, c.worker
-	s.learn(now, c, (now - c.sent).Seconds())
-	c.others = w.besides(c)
-	c.begun, c.first = true, now
-	w.kept.add(c.prompt, s.selector.nodes, s.held(w, load{}))
-	if c.class == classDecode {
+	s.learn(now, c, (now - c.sentAt).Seconds())
+	c.othersAtFirstEvent = w.ownCallsExcept(c)
+	c.started, c.firstEventAt = true, now
+	w.cache.add(c.prompt, s.selector.nodes, s.occupiedTokens(w, workerLoad{}))
+	if c.workerClass == classDecode {
 		s.demand.Started++
-		s.pools[classDecode].memory.Add(c.memory, poolMemory)
+		s.pools[classDecode].requestTokens.Add(c.reservedTokens, poolSamples)
 	}
 	if c.source != nil {
-		s.handedOver(now, c, false)
+		s.recordTransfer(now, c, false)
 	}
 }
 
@@ -104,30 +104,30 @@
 	}
 	svc, w := call.service, call.worker
 	at := now
-	if call.begun {
-		at = call.first
-		call.learnRest(now)
+	if call.started {
+		at = call.firstEventAt
+		call.learnDecodePace(now)
 	} else {
-		call.begin(now)
+		call.start(now)
 	}
-	if at > w.told.at || !w.told.known {
-		svc.hear(at, w, load, call.others)
+	if at > w.report.at || !w.report.known {
+		svc.recordLoad(at, w, load, call.othersAtFirstEvent)
 	}
-	w.health.succeed()
-	if call.class == classPrefill {
-		svc.noteRead(call, (now - call.sent).Seconds())
+	w.health.recordSuccess()
+	if call.workerClass == classPrefill {
+		svc.recordPrefill(call, (now - call.sentAt).Seconds())
 	}
-	call.end()
+	call.close()
 }
 
-// learnRest learns from the time after the first event.
-func (c *Call) learnRest(now time.Duration) {
-	if c.class != classDecode || c.worker.class != c.class || c.output < 1 {
+// learnDecodePace learns from the time after the first event.
+func (c *Call) learnDecodePace(now time.Duration) {
+	if c.workerClass != classDecode || c.worker.class != c.workerClass || c.outputTokens < 1 {
 		return
 	}
-	ratio := (now - c.first).Seconds() / (c.output * tokenTime)
-	ratio = min(max(ratio, 1/oddRatio), oddRatio)
-	c.worker.delays[classDecode].AddProcess(now, restBucket, c.forecast.load.running, ratio)
+	ratio := (now - c.firstEventAt).Seconds() / (c.outputTokens * decodePerToken)
+	ratio = min(max(ratio, 1/maxOutlierRatio), maxOutlierRatio)
+	c.worker.delays[classDecode].AddProcess(now, interTokenBucket, c.forecast.load.running, ratio)
 }
 
 // Rejected ends a call that the worker did not run. Its round trip is no processing, and the worker
@@ -137,13 +137,13 @@
 		return
 	}
 	svc, w, f := call.service, call.worker, call.forecast
-	if !f.moving && w.class == call.class && !call.begun {
-		trip := (now - call.sent).Seconds()
-		svc.learnTransfer(now, call, min(trip, f.transfer*oddRatio))
+	if !f.transfersKV && w.class == call.workerClass && !call.started {
+		roundTrip := (now - call.sentAt).Seconds()
+		svc.learnNetworkTime(now, call, min(roundTrip, f.network*maxOutlierRatio))
 	}
-	w.told.fullUntil = now + fullLife
-	svc.hear(now, w, load, w.besides(call))
-	call.end()
+	w.report.fullUntil = now + fullAfterRejection
+	svc.recordLoad(now, w, load, w.ownCallsExcept(call))
+	call.close()
 }
 
 // Failed ends a call that yielded nothing. It feeds no window.
@@ -151,22 +151,22 @@
 	if call.ended {
 		return
 	}
-	if call.source != nil && cause == FailureHandover {
-		call.service.handedOver(now, call, true)
+	if call.source != nil && cause == FailureTransfer {
+		call.service.recordTransfer(now, call, true)
 	}
-	call.worker.health.fail(now, cause)
-	call.end()
+	call.worker.health.recordFailure(now, cause)
+	call.close()
 }
 
 // Abandoned ends a call that the client left. It feeds no window.
 func (s *Selector) Abandoned(now time.Duration, call *Call) {
 	if !call.ended {
-		call.end()
+		call.close()
 	}
 }
 
-// end takes the call from its worker's counts.
-func (c *Call) end() {
+// close takes the call from its worker's counts.
+func (c *Call) close() {
 	c.ended = true
-	c.worker.shut(c)
+	c.worker.removeCall(c)
 }
--- a/internal/dataplane/selection/calls_test.go
+++ b/internal/dataplane/selection/calls_test.go
@@ -15,8 +15,8 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// rig builds a selector for an engine service of some prefill and decode workers in two zones.
-func rig(prefill, decode int, seed uint64) (*Selector, *fleetview.View) {
+// newTestSelector builds a selector for an engine service of some prefill and decode workers in two zones.
+func newTestSelector(prefill, decode int, seed uint64) (*Selector, *fleetview.View) {
 	view := &fleetview.View{EdgeNodeCount: 4, Workers: map[string][]*fleetview.Worker{},
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
 			Slots: 64, KVCapacityTokens: 300000, KVBytesPerToken: 327680, LinkMbps: 2.6e6, MaxTokensPerEvent: 7}}}}
@@ -25,39 +25,39 @@
 		if i >= prefill {
 			stage = "decode"
 		}
-		view.Workers["m"] = append(view.Workers["m"], entry(i, stage))
+		view.Workers["m"] = append(view.Workers["m"], testWorker(i, stage))
 	}
 	s := New(Options{Zone: zoneName(0), Seed: seed})
 	s.SetView(0, view)
 	return s, view
 }
 
-func entry(i int, stage string) *fleetview.Worker {
+func testWorker(i int, stage string) *fleetview.Worker {
 	return &fleetview.Worker{Instance: registry.Instance{ID: "w" + string(rune('a'+i)), Service: "m",
 		Zone: zoneName(i % 2), Slots: 64, Stage: stage}}
 }
 
-func ask(now time.Duration, key uint64, shared, own int) *Request {
-	return &Request{Service: "m", Route: "r", Prompt: []Part{{key, shared}, {key<<32 + uint64(now), own}},
+func newTestRequest(now time.Duration, key uint64, shared, own int) *Request {
+	return &Request{Service: "m", Route: "r", Prompt: []PromptSegment{{key, shared}, {key<<32 + uint64(now), own}},
 		PromptTokens: shared + own, OutputTokens: 20, Arrived: now,
 		Objective: now + 500*time.Millisecond, Deadline: now + 4*time.Second}
 }
 
-func properties(t *testing.T) *gopter.Properties {
+func newProperties(t *testing.T) *gopter.Properties {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 60
 	return gopter.NewProperties(parameters)
 }
 
-// drive plays random calls, a step for each number, and ends all that are open.
-func drive(s *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
+// playCalls plays random calls, a step for each number, and ends all that are open.
+func playCalls(s *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
 	var open []*Call
 	now := time.Duration(0)
 	random := rand.New(rand.NewPCG(uint64(len(steps)), 5))
 	for _, step := range steps {
 		now += time.Duration(step%97) * time.Millisecond
 		if step%3 != 0 || len(open) == 0 {
-			r := ask(now, uint64(1+step%7), 16*(step%400), step%5000)
+			r := newTestRequest(now, uint64(1+step%7), 16*(step%400), step%5000)
 			c, v := s.Choose(now, r, nil)
 			check(now, c, v)
 			if c.Prefill != nil {
@@ -69,8 +69,8 @@
 			continue
 		}
 		at := random.IntN(len(open))
-		finish(s, now, open[at], step)
-		finish(s, now, open[at], step+1) // a second end is ignored
+		endCall(s, now, open[at], step)
+		endCall(s, now, open[at], step+1) // a second end is ignored
 		open = append(open[:at], open[at+1:]...)
 		if step%41 == 0 {
 			s.SetView(now, view)
@@ -81,7 +81,7 @@
 	}
 }
 
-func finish(s *Selector, now time.Duration, call *Call, how int) {
+func endCall(s *Selector, now time.Duration, call *Call, how int) {
 	switch how % 6 {
 	case 0, 1:
 		s.FirstEvent(now, call)
@@ -97,26 +97,26 @@
 	}
 }
 
-func TestPropertiesOfCalls(t *testing.T) {
-	p := properties(t)
+func TestSelector_Calls_properties(t *testing.T) {
+	p := newProperties(t)
 	steps := gen.SliceOfN(300, gen.IntRange(0, 100000))
 	p.Property("counts return to zero", prop.ForAll(func(steps []int) bool {
-		s, view := rig(3, 4, 1)
-		drive(s, view, steps, func(time.Duration, Choice, Verdict) {})
+		s, view := newTestSelector(3, 4, 1)
+		playCalls(s, view, steps, func(time.Duration, Choice, Verdict) {})
 		for _, w := range s.services["m"].workers {
-			if len(w.calls) != 0 || w.memory != 0 {
+			if len(w.calls) != 0 || w.reservedTokens != 0 {
 				return false
 			}
 		}
 		return true
 	}, steps))
 	p.Property("predictions are finite and not negative", prop.ForAll(func(steps []int) bool {
-		s, view := rig(3, 4, 1)
+		s, view := newTestSelector(3, 4, 1)
 		good := true
-		drive(s, view, steps, func(_ time.Duration, c Choice, v Verdict) {
-			good = good && c.First >= 0 && c.First < time.Hour && (v.Send || v.RetryAfter >= leastRetry)
-			for _, option := range s.services["m"].scratch.options {
-				good = good && option.score >= 0 && option.first >= 0 && option.waits >= 0
+		playCalls(s, view, steps, func(_ time.Duration, c Choice, v Verdict) {
+			good = good && c.TimeToFirstEvent >= 0 && c.TimeToFirstEvent < time.Hour && (v.Admit || v.RetryAfter >= minRetryAfter)
+			for _, option := range s.services["m"].scratch.placements {
+				good = good && option.score >= 0 && option.firstEvent >= 0 && option.queueWait >= 0
 				good = good && !math.IsInf(option.score, 0) && !math.IsNaN(option.score)
 			}
 		})
@@ -124,8 +124,8 @@
 	}, steps))
 	p.Property("the same seed chooses alike", prop.ForAll(func(steps []int) bool {
 		play := func() (out []Choice) {
-			s, view := rig(3, 4, 9)
-			drive(s, view, steps, func(_ time.Duration, c Choice, _ Verdict) { out = append(out, c) })
+			s, view := newTestSelector(3, 4, 9)
+			playCalls(s, view, steps, func(_ time.Duration, c Choice, _ Verdict) { out = append(out, c) })
 			return out
 		}
 		first, second := play(), play()
@@ -146,10 +146,10 @@
 	return w.ID
 }
 
-func TestExcludedAreNotChosen(t *testing.T) {
-	p := properties(t)
+func TestSelector_Choose_skipsExcludedWorkers(t *testing.T) {
+	p := newProperties(t)
 	p.Property("", prop.ForAll(func(mask int, key uint64) bool {
-		s, view := rig(3, 4, 1)
+		s, view := newTestSelector(3, 4, 1)
 		var excluded []string
 		left := 0
 		for i, w := range view.Workers["m"] {
@@ -159,30 +159,30 @@
 				left++
 			}
 		}
-		c, v := s.Choose(0, ask(0, key, 3200, 900), excluded)
+		c, v := s.Choose(0, newTestRequest(0, key, 3200, 900), excluded)
 		if left == 0 {
-			return c.Run == nil && !v.Send && v.RetryAfter > 0
+			return c.Run == nil && !v.Admit && v.RetryAfter > 0
 		}
 		for _, id := range excluded {
 			if idOf(c.Run) == id || idOf(c.Prefill) == id {
 				return false
 			}
 		}
-		return c.Run != nil && v.Send
+		return c.Run != nil && v.Admit
 	}, gen.IntRange(0, 127), gen.UInt64()))
 	p.TestingRun(t)
 }
 
-func TestCallsOfUnknownWorkersCountForNothing(t *testing.T) {
-	s, view := rig(1, 1, 1)
-	r := ask(0, 1, 160, 100)
+func TestSelector_Sent_unknownWorker(t *testing.T) {
+	s, view := newTestSelector(1, 1, 1)
+	r := newTestRequest(0, 1, 160, 100)
 	c, _ := s.Choose(0, r, nil)
 	s.SetView(0, &fleetview.View{Services: view.Services, Workers: map[string][]*fleetview.Worker{}})
 	call := s.Sent(0, r, CallRun, c)
 	s.FirstEvent(1, call)
 	s.Told(1, call, Load{})
 	s.Done(2, call, nil)
-	if _, v := s.Choose(3, r, nil); v.Send || v.RetryAfter <= 0 {
+	if _, v := s.Choose(3, r, nil); v.Admit || v.RetryAfter <= 0 {
 		t.Errorf("without workers: %+v", v)
 	}
 }
--- a/internal/dataplane/selection/demand.go
+++ b/internal/dataplane/selection/demand.go
@@ -10,8 +10,8 @@
 	// batchSlowdown is by how much a decode worker takes longer for a token when all its slots are taken, against one that
 	// runs a single request. What it can make at most is what it makes then.
 	batchSlowdown = 1.
-	// longestSample bounds the time that one look at the running streams stands for.
-	longestSample = 2 * time.Second
+	// maxSampleSpan bounds the time that one look at the running streams stands for.
+	maxSampleSpan = 2 * time.Second
 )
 
 // Demands returns the demand of each service whose workers have stages, since the start. Running streams count for the time
@@ -29,33 +29,33 @@
 
 // countStreams adds the time for which this node's streams have held slots and memory of decode workers.
 func (s *service) countStreams(now time.Duration) {
-	span := min(now-s.streamsAt, longestSample).Seconds()
-	s.streamsAt = now
+	span := min(now-s.streamsCountedAt, maxSampleSpan).Seconds()
+	s.streamsCountedAt = now
 	for _, w := range s.workers {
 		for _, call := range w.calls {
-			if call.class != classDecode || !call.begun && call.source == nil {
+			if call.workerClass != classDecode || !call.started && call.source == nil {
 				continue // it is still reading
 			}
-			taken := min(1, call.forecast.load.running/s.slotsOf(w))
-			s.demand.Slots += span * (1 + batchSlowdown) / (1 + batchSlowdown*taken) / s.slotsOf(w)
-			s.demand.Memory += span * call.memory / s.memory()
+			busy := min(1, call.forecast.load.running/s.slotsOf(w))
+			s.demand.Slots += span * (1 + batchSlowdown) / (1 + batchSlowdown*busy) / s.slotsOf(w)
+			s.demand.Memory += span * call.reservedTokens / s.kvCapacity()
 		}
 	}
 }
 
-// noteOffered adds what a request asks for, by the best way to serve it.
-func (s *service) noteOffered(j *job, best option) {
-	reader := best.from
+// recordOffered adds what a request asks for, by the best way to serve it.
+func (s *service) recordOffered(info *requestInfo, best placement) {
+	reader := best.prefill
 	if reader == nil {
 		reader = best.run
 	}
 	s.demand.Offered++
-	s.demand.Prefill += soloOf(classPrefill, max(1, reader.missing), j.tokens-reader.missing)
-	s.demand.Transfers += s.moveTold(best.run.missing)
+	s.demand.Prefill += unloadedTime(classPrefill, max(1, reader.uncachedTokens), info.promptTokens-reader.uncachedTokens)
+	s.demand.Transfers += s.configuredTransfer(best.run.uncachedTokens)
 }
 
-// noteRead adds a prompt that a prefill worker has read.
-func (s *service) noteRead(call *Call, seconds float64) {
-	s.demand.PrefillDone += call.forecast.solo
-	s.demand.PrefillTime += max(0, seconds-call.forecast.transfer)
+// recordPrefill adds a prompt that a prefill worker has read.
+func (s *service) recordPrefill(call *Call, seconds float64) {
+	s.demand.PrefillDone += call.forecast.unloaded
+	s.demand.PrefillTime += max(0, seconds-call.forecast.network)
 }
--- a/internal/dataplane/selection/demand_test.go
+++ b/internal/dataplane/selection/demand_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func TestARequestIsDemandOnceWhateverBecomesOfIt(t *testing.T) {
-	s, _ := rig(2, 3, 1)
-	r := ask(time.Second, 7, 3200, 800)
+func TestSelector_Demands_countsRequestOnce(t *testing.T) {
+	s, _ := newTestSelector(2, 3, 1)
+	r := newTestRequest(time.Second, 7, 3200, 800)
 	choice, _ := s.Choose(time.Second, r, nil)
 	first := s.Demands(time.Second)["m"]
 	if first.Offered != 1 || first.Prefill <= 0 || first.Transfers <= 0 {
@@ -20,9 +20,9 @@
 	refused := 0
 	for i := range 400 { // far more than there is room for
 		now := time.Second + time.Duration(i)*time.Millisecond
-		r := ask(now, uint64(i), 6400, 9000)
+		r := newTestRequest(now, uint64(i), 6400, 9000)
 		c, v := s.Choose(now, r, nil)
-		if !v.Send {
+		if !v.Admit {
 			refused++
 			continue
 		}
@@ -33,10 +33,10 @@
 	}
 }
 
-func TestStreamsAreDemandAsLongAsTheyRun(t *testing.T) {
-	s, _ := rig(1, 2, 1)
+func TestSelector_Demands_countsRunningStreams(t *testing.T) {
+	s, _ := newTestSelector(1, 2, 1)
 	now := time.Second
-	r := ask(now, 7, 3200, 800)
+	r := newTestRequest(now, 7, 3200, 800)
 	choice, _ := s.Choose(now, r, nil)
 	read := s.Sent(now, r, CallPrefill, choice)
 	s.Done(now+100*time.Millisecond, read, nil)
@@ -56,8 +56,8 @@
 	}
 }
 
-func TestNothingNewGoesToAWorkerThatTurns(t *testing.T) {
-	s, view := rig(2, 3, 1)
+func TestSelector_Choose_skipsTransitioningWorkers(t *testing.T) {
+	s, view := newTestSelector(2, 3, 1)
 	turning := []int{0, 2}
 	for _, i := range turning {
 		entry := *view.Workers["m"][i]
@@ -67,7 +67,7 @@
 	s.SetView(time.Second, view)
 	for i := range 200 {
 		now := time.Second + time.Duration(i)*10*time.Millisecond
-		choice, _ := s.Choose(now, ask(now, uint64(i), 1600, 400), nil)
+		choice, _ := s.Choose(now, newTestRequest(now, uint64(i), 1600, 400), nil)
 		if choice.Prefill == view.Workers["m"][0] || choice.Run == view.Workers["m"][2] || choice.Run == nil {
 			t.Fatalf("%+v", choice)
 		}
--- a/internal/dataplane/selection/ejection.go
+++ b/internal/dataplane/selection/ejection.go
@@ -9,56 +9,56 @@
 // found counts for all.
 
 const (
-	leastClaims   = 2    // nodes that must have found that a worker fails
-	claimShare    = 0.03 // and at least this part of the nodes
-	ownFault      = 0.5  // a node to which more than this part of a service's workers fail is at fault itself
-	mostSetAside  = 0.2  // part of a class's workers that are set aside by what others have found
-	leastSetAside = 500 * time.Millisecond
-	longestAside  = 3 * time.Second // drawn, so that not all nodes try a worker again at one moment
+	minReporters        = 2    // nodes that must have found that a worker fails
+	minReporterShare    = 0.03 // and at least this part of the nodes
+	maxFailingShare     = 0.5  // a node to which more than this part of a service's workers fail is at fault itself
+	maxPeerEjectedShare = 0.2  // part of a class's workers that are set aside by what others have found
+	minPeerEjection     = 500 * time.Millisecond
+	maxPeerEjection     = 3 * time.Second // drawn, so that not all nodes try a worker again at one moment
 )
 
-// takeFindings sets workers aside that, with what a node has just told, enough nodes have found to fail.
-func (s *Selector) takeFindings(now time.Duration, list []Outstanding) {
+// applyFailureReports sets workers aside that, with what a node has just told, enough nodes have found to fail.
+func (s *Selector) applyFailureReports(now time.Duration, list []Outstanding) {
 	for _, service := range s.services {
 		var failing []*worker
 		for _, entry := range list {
-			if w := service.byNumber[entry.Worker]; entry.Failing && w != nil {
+			if w := service.byHash[entry.WorkerHash]; entry.Failing && w != nil {
 				failing = append(failing, w)
 			}
 		}
-		if float64(len(failing)) > ownFault*float64(len(service.workers)) {
+		if float64(len(failing)) > maxFailingShare*float64(len(service.workers)) {
 			continue
 		}
 		for _, w := range failing {
-			service.setAside(now, w)
+			service.ejectByReports(now, w)
 		}
 	}
 }
 
-// setAside sends a worker nothing for a while if enough nodes claim that it fails, and not too many workers are set aside.
-func (s *service) setAside(now time.Duration, w *worker) {
-	needed := max(leastClaims, int(math.Ceil(claimShare*float64(s.selector.nodes))))
-	if now < w.health.until || s.selector.claims(now, w) < needed {
+// ejectByReports sends a worker nothing for a while if enough nodes claim that it fails, and not too many workers are set aside.
+func (s *service) ejectByReports(now time.Duration, worker *worker) {
+	needed := max(minReporters, int(math.Ceil(minReporterShare*float64(s.selector.nodes))))
+	if now < worker.health.ejectedUntil || s.selector.failureReporters(now, worker) < needed {
 		return
 	}
-	aside, class := 1, s.byClass[w.class]
-	for _, other := range class {
-		if other != w && now < other.health.until && !other.health.own {
-			aside++
+	ejected, peers := 1, s.byClass[worker.class]
+	for _, other := range peers {
+		if other != worker && now < other.health.ejectedUntil && !other.health.ejectedLocally {
+			ejected++
 		}
 	}
-	if float64(aside) > max(1, mostSetAside*float64(len(class))) {
+	if float64(ejected) > max(1, maxPeerEjectedShare*float64(len(peers))) {
 		return
 	}
-	span := leastSetAside + time.Duration(s.selector.random.Float64()*float64(longestAside-leastSetAside))
-	w.health.setAside(now + span)
+	span := minPeerEjection + time.Duration(s.selector.random.Float64()*float64(maxPeerEjection-minPeerEjection))
+	worker.health.eject(now + span)
 }
 
-// claims counts the nodes that lately told that a worker fails.
-func (s *Selector) claims(now time.Duration, w *worker) int {
+// failureReporters counts the nodes that lately told that a worker fails.
+func (s *Selector) failureReporters(now time.Duration, w *worker) int {
 	count := 0
-	for _, told := range s.peers {
-		if now-told.at <= peerLife && told.list[w.number].Failing {
+	for _, peer := range s.peers {
+		if now-peer.at <= peerStateTTL && peer.byWorker[w.hash].Failing {
 			count++
 		}
 	}
--- a/internal/dataplane/selection/ejection_test.go
+++ b/internal/dataplane/selection/ejection_test.go
@@ -5,87 +5,87 @@
 	"time"
 )
 
-// claimAt has a node tell that workers fail.
-func claimAt(s *Selector, now time.Duration, node uint64, workers ...*worker) {
+// reportFailing has a node tell that workers fail.
+func reportFailing(s *Selector, now time.Duration, node uint64, workers ...*worker) {
 	var list []Outstanding
 	for _, w := range workers {
-		list = append(list, Outstanding{Worker: w.number, Failing: true})
+		list = append(list, Outstanding{WorkerHash: w.hash, Failing: true})
 	}
-	s.Peer(now, node, list)
+	s.SetPeerLoad(now, node, list)
 }
 
-func TestWhatTwoNodesFoundCountsForAll(t *testing.T) {
-	s, _ := rig(4, 6, 3)
+func TestSelector_SetPeerLoad_ejectsOnEnoughReports(t *testing.T) {
+	s, _ := newTestSelector(4, 6, 3)
 	s.nodes = 7
 	w := s.services["m"].byClass[classDecode][0]
-	claimAt(s, time.Second, 1, w)
-	if time.Second < w.health.until {
+	reportFailing(s, time.Second, 1, w)
+	if time.Second < w.health.ejectedUntil {
 		t.Fatal("one node's word was enough")
 	}
-	claimAt(s, time.Second, 2, w)
-	if w.health.until < time.Second+leastSetAside || w.health.until > time.Second+longestAside || w.health.ramp != 1 {
+	reportFailing(s, time.Second, 2, w)
+	if w.health.ejectedUntil < time.Second+minPeerEjection || w.health.ejectedUntil > time.Second+maxPeerEjection || w.health.slowStartLimit != 1 {
 		t.Fatalf("%+v", w.health)
 	}
 	for _, told := range s.Outstanding(time.Second) {
-		if told.Worker == w.number {
+		if told.WorkerHash == w.hash {
 			t.Fatal("what others found was passed on as this node's own")
 		}
 	}
 	for range 200 {
-		if choice, _ := s.Choose(time.Second, ask(time.Second, 1, 1600, 400), nil); choice.Run == w.entry {
+		if choice, _ := s.Choose(time.Second, newTestRequest(time.Second, 1, 1600, 400), nil); choice.Run == w.entry {
 			t.Fatal("it was sent to")
 		}
 	}
 }
 
-func TestOldFindingsCountForNothing(t *testing.T) {
-	s, _ := rig(4, 6, 3)
+func TestSelector_SetPeerLoad_ignoresExpiredReports(t *testing.T) {
+	s, _ := newTestSelector(4, 6, 3)
 	s.nodes = 7
 	w := s.services["m"].byClass[classDecode][0]
-	claimAt(s, 0, 1, w)
-	claimAt(s, peerLife+ms, 2, w)
-	if w.health.until != 0 {
+	reportFailing(s, 0, 1, w)
+	reportFailing(s, peerStateTTL+ms, 2, w)
+	if w.health.ejectedUntil != 0 {
 		t.Fatalf("%+v", w.health)
 	}
 }
 
-func TestANodeThatReachesHardlyAnyWorkerIsNotBelieved(t *testing.T) {
-	s, _ := rig(4, 6, 3)
+func TestSelector_SetPeerLoad_ignoresIsolatedReporter(t *testing.T) {
+	s, _ := newTestSelector(4, 6, 3)
 	s.nodes = 7
 	svc := s.services["m"]
 	all := append(append([]*worker(nil), svc.byClass[classDecode]...), svc.byClass[classPrefill]...)
 	for node := range uint64(6) {
-		claimAt(s, time.Second, node+1, all...)
+		reportFailing(s, time.Second, node+1, all...)
 	}
 	for _, w := range all {
-		if w.health.until != 0 {
+		if w.health.ejectedUntil != 0 {
 			t.Fatalf("%+v", w.health)
 		}
 	}
 }
 
-func TestNoMoreThanAPartOfAClassIsSetAside(t *testing.T) {
-	s, _ := rig(4, 20, 3)
+func TestSelector_SetPeerLoad_boundsEjectedShare(t *testing.T) {
+	s, _ := newTestSelector(4, 20, 3)
 	s.nodes = 7
 	writers := s.services["m"].byClass[classDecode]
-	claimAt(s, time.Second, 1, writers[:11]...)
-	claimAt(s, time.Second, 2, writers[:11]...)
+	reportFailing(s, time.Second, 1, writers[:11]...)
+	reportFailing(s, time.Second, 2, writers[:11]...)
 	aside := 0
 	for _, w := range writers {
-		if time.Second < w.health.until {
+		if time.Second < w.health.ejectedUntil {
 			aside++
 		}
 	}
-	if aside != int(mostSetAside*20) {
+	if aside != int(maxPeerEjectedShare*20) {
 		t.Fatalf("%d of %d", aside, len(writers))
 	}
 }
 
-func TestANodeTellsWhatItFoundItself(t *testing.T) {
-	s, _ := rig(1, 2, 3)
-	r := ask(time.Second, 1, 1600, 400)
+func TestSelector_Outstanding_reportsOwnEjections(t *testing.T) {
+	s, _ := newTestSelector(1, 2, 3)
+	r := newTestRequest(time.Second, 1, 1600, 400)
 	choice, _ := s.Choose(time.Second, r, nil)
-	s.Failed(time.Second, s.Sent(time.Second, r, CallRun, choice), FailureSilence)
+	s.Failed(time.Second, s.Sent(time.Second, r, CallRun, choice), FailureTimeout)
 	list := s.Outstanding(time.Second)
 	if len(list) != 1 || !list[0].Failing {
 		t.Fatalf("%+v", list)
--- a/internal/dataplane/selection/health_test.go
+++ b/internal/dataplane/selection/health_test.go
@@ -7,120 +7,120 @@
 
 const ms = time.Millisecond
 
-func TestShunnedAfterFailures(t *testing.T) {
+func TestHealth_RecordFailure_ejection(t *testing.T) {
 	cases := []struct {
 		name   string
 		causes []Failure
 		shun   time.Duration // 0: not shunned
 	}{
 		{"no connection", []Failure{FailureConnect}, 500 * ms},
-		{"silence", []Failure{FailureSilence}, time.Second},
+		{"silence", []Failure{FailureTimeout}, time.Second},
 		{"broken once", []Failure{FailureBroken}, 0},
 		{"broken twice", []Failure{FailureBroken, FailureBroken}, 500 * ms},
 		{"an error status", []Failure{FailureStatus, FailureStatus}, 0},
-		{"hand-overs", []Failure{FailureHandover, FailureHandover, FailureHandover}, 0},
+		{"hand-overs", []Failure{FailureTransfer, FailureTransfer, FailureTransfer}, 0},
 		{"the wrong stage", []Failure{FailureMisrouted}, 500 * ms},
 		{"sent before the first failed", []Failure{FailureConnect, FailureConnect, FailureConnect}, 500 * ms},
 	}
 	for _, c := range cases {
 		var h health
 		for _, cause := range c.causes {
-			h.fail(time.Second, cause)
+			h.recordFailure(time.Second, cause)
 		}
-		if want := time.Second + c.shun; h.until != want && (c.shun != 0 || h.until != 0) {
-			t.Errorf("%s: shunned until %v, want %v", c.name, h.until, want)
+		if want := time.Second + c.shun; h.ejectedUntil != want && (c.shun != 0 || h.ejectedUntil != 0) {
+			t.Errorf("%s: shunned until %v, want %v", c.name, h.ejectedUntil, want)
 		}
 	}
 }
 
-func TestShunsGrowToABound(t *testing.T) {
+func TestHealth_RecordFailure_backoffIsBounded(t *testing.T) {
 	var h health
 	now, want := time.Duration(0), []time.Duration{500 * ms, time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second}
 	for i, span := range want {
-		h.fail(now, FailureConnect)
-		if h.until-now != span {
-			t.Errorf("shun %d takes %v, want %v", i, h.until-now, span)
+		h.recordFailure(now, FailureConnect)
+		if h.ejectedUntil-now != span {
+			t.Errorf("shun %d takes %v, want %v", i, h.ejectedUntil-now, span)
 		}
-		now = h.until
+		now = h.ejectedUntil
 		if !h.available(now, 0) || h.available(now, 1) {
 			t.Errorf("after shun %d: not exactly one trial", i)
 		}
 	}
 }
 
-func TestRecoveryStartsSlowly(t *testing.T) {
+func TestHealth_RecordSuccess_slowStart(t *testing.T) {
 	var h health
-	h.fail(0, FailureConnect)
+	h.recordFailure(0, FailureConnect)
 	for _, most := range []int{1, 2, 4, 8} {
 		if !h.available(time.Second, most-1) || h.available(time.Second, most) {
 			t.Errorf("calls at once are not %d", most)
 		}
-		h.succeed()
+		h.recordSuccess()
 	}
-	if !h.available(time.Second, 100) || h.level != 0 {
+	if !h.available(time.Second, 100) || h.ejectionLevel != 0 {
 		t.Errorf("not well again: %+v", h)
 	}
 }
 
-func TestAWorkerWithoutConnectionIsAvoided(t *testing.T) {
-	s, _ := rig(2, 2, 1)
-	r := ask(0, 3, 4000, 3000)
+func TestSelector_Choose_avoidsUnreachableWorker(t *testing.T) {
+	s, _ := newTestSelector(2, 2, 1)
+	r := newTestRequest(0, 3, 4000, 3000)
 	c, _ := s.Choose(0, r, nil)
 	s.Failed(0, s.Sent(0, r, CallRun, c), FailureConnect)
 	for key := range uint64(50) {
-		if next, _ := s.Choose(ms, ask(ms, key, 1600, 300), nil); next.Run == c.Run {
+		if next, _ := s.Choose(ms, newTestRequest(ms, key, 1600, 300), nil); next.Run == c.Run {
 			t.Fatal("it is sent to again within a millisecond")
 		}
 	}
 }
 
-func TestNeverAllAreShunned(t *testing.T) {
-	s, _ := rig(1, 3, 1)
+func TestSelector_Choose_fallsBackWhenAllEjected(t *testing.T) {
+	s, _ := newTestSelector(1, 3, 1)
 	for i, w := range s.services["m"].byClass[classDecode] {
-		w.health.fail(time.Duration(i)*ms, FailureConnect)
+		w.health.recordFailure(time.Duration(i)*ms, FailureConnect)
 	}
-	s.services["m"].byClass[classPrefill][0].health.fail(0, FailureConnect)
-	c, v := s.Choose(10*ms, ask(10*ms, 1, 1600, 3000), nil)
-	if !v.Send || idOf(c.Run) != "wb" || c.Prefill != nil {
-		t.Errorf("sent %v to %q after %q, want the one shunned first, alone", v.Send, idOf(c.Run), idOf(c.Prefill))
+	s.services["m"].byClass[classPrefill][0].health.recordFailure(0, FailureConnect)
+	c, v := s.Choose(10*ms, newTestRequest(10*ms, 1, 1600, 3000), nil)
+	if !v.Admit || idOf(c.Run) != "wb" || c.Prefill != nil {
+		t.Errorf("sent %v to %q after %q, want the one shunned first, alone", v.Admit, idOf(c.Run), idOf(c.Prefill))
 	}
 }
 
-func TestAFailedHandOverCountsAgainstThePair(t *testing.T) {
-	s, _ := rig(2, 2, 1)
+func TestSelector_Failed_transferPenalizesPair(t *testing.T) {
+	s, _ := newTestSelector(2, 2, 1)
 	svc := s.services["m"]
 	from, to := svc.byClass[classPrefill][0], svc.byClass[classDecode][0]
-	r := ask(0, 3, 4000, 3000)
-	before := svc.handoverChance(0)
+	r := newTestRequest(0, 3, 4000, 3000)
+	before := svc.transferFailureProbability(0)
 	call := s.Sent(0, r, CallRun, Choice{Prefill: from.entry, Run: to.entry})
-	s.Failed(0, call, FailureHandover)
-	if svc.linkCost(0, from, to) < linkPenalty || svc.linkCost(0, from, svc.byClass[classDecode][1]) != 0 {
+	s.Failed(0, call, FailureTransfer)
+	if svc.pairPenalty(0, from, to) < pairFailurePenalty || svc.pairPenalty(0, from, svc.byClass[classDecode][1]) != 0 {
 		t.Error("the pair is not penalised, or another is")
 	}
-	if later := svc.linkCost(5*linkLife, from, to); later > linkPenalty/50 {
+	if later := svc.pairPenalty(5*pairFailureDecay, from, to); later > pairFailurePenalty/50 {
 		t.Errorf("the penalty does not decay: %v", later)
 	}
-	if svc.handoverChance(0) <= before || svc.handoverChance(10*handoverLife) > 2*before {
+	if svc.transferFailureProbability(0) <= before || svc.transferFailureProbability(10*transferFailureDecay) > 2*before {
 		t.Error("the chance of a failure does not rise and fall again")
 	}
-	if !to.health.available(0, 0) || svc.pools[classDecode].ratio.N != 0 || svc.moved.Samples != nil {
+	if !to.health.available(0, 0) || svc.pools[classDecode].slowdown.N != 0 || svc.transferTimes.Samples != nil {
 		t.Error("a failed hand-over shuns the worker, or feeds a window")
 	}
 }
 
-func TestHandOversThatAllFailAreLeft(t *testing.T) {
-	s, _ := rig(2, 4, 1)
+func TestSelector_Choose_avoidsFailingTransfers(t *testing.T) {
+	s, _ := newTestSelector(2, 4, 1)
 	svc := s.services["m"]
 	for i := range 40 {
 		now := time.Duration(i) * 50 * ms
-		r := ask(now, 3, 1600, 3000)
+		r := newTestRequest(now, 3, 1600, 3000)
 		call := s.Sent(now, r, CallRun, Choice{Prefill: svc.byClass[classPrefill][i%2].entry, Run: svc.byClass[classDecode][i%4].entry})
-		s.Failed(now, call, FailureHandover)
+		s.Failed(now, call, FailureTransfer)
 	}
-	if c, _ := s.Choose(2*time.Second, ask(2*time.Second, 9, 1600, 3000), nil); c.Prefill != nil {
+	if c, _ := s.Choose(2*time.Second, newTestRequest(2*time.Second, 9, 1600, 3000), nil); c.Prefill != nil {
 		t.Error("a hand-over is chosen after 40 have failed")
 	}
-	if c, _ := s.Choose(time.Minute, ask(time.Minute, 9, 1600, 9000), nil); c.Prefill == nil {
+	if c, _ := s.Choose(time.Minute, newTestRequest(time.Minute, 9, 1600, 9000), nil); c.Prefill == nil {
 		t.Error("none is chosen a minute later")
 	}
 }
--- a/internal/dataplane/selection/modelengine_test.go
+++ b/internal/dataplane/selection/modelengine_test.go
@@ -9,12 +9,12 @@
 // served; a decode worker reads between the tokens of others at half the pace.
 
 const (
-	modelPiece    = 1024.
-	modelPace     = 42600. // tokens a second
-	modelStep     = 0.00555
-	modelStepSlot = 0.000029
-	modelStepK    = 0.0000152 // for each 1,000 tokens held
-	modelLink     = 327680. * 8 / 2.6e12
+	modelChunkTokens      = 1024.
+	modelTokensPerSecond  = 42600. // tokens a second
+	modelStepTime         = 0.00555
+	modelStepPerSlot      = 0.000029
+	modelStepPerKiloToken = 0.0000152 // for each 1,000 tokens held
+	modelTransferPerToken = 327680. * 8 / 2.6e12
 )
 
 type event struct {
@@ -57,7 +57,7 @@
 
 // modelJob is one call at a modelled worker.
 type modelJob struct {
-	prompt []Part
+	prompt []PromptSegment
 	left   float64 // tokens to read
 	output int
 	first  func(Load)
@@ -67,8 +67,8 @@
 type modelWorker struct {
 	clock    *clock
 	decode   bool
-	slow     float64
-	keeps    kept
+	slowdown float64
+	cache    prefixCache
 	waiting  []*modelJob
 	running  []*modelJob
 	stepping bool
@@ -80,7 +80,7 @@
 
 func (w *modelWorker) load() Load { return Load{len(w.running), len(w.waiting), 64} }
 
-func promptTokens(prompt []Part) float64 {
+func promptTokens(prompt []PromptSegment) float64 {
 	total := 0
 	for _, part := range prompt {
 		total += part.Tokens
@@ -88,20 +88,20 @@
 	return float64(total)
 }
 
-// take queues a call that reads.
-func (w *modelWorker) take(j *modelJob) {
-	j.left = max(1, promptTokens(j.prompt)-w.keeps.prefix(j.prompt))
+// startPrefill queues a call that reads.
+func (w *modelWorker) startPrefill(j *modelJob) {
+	j.left = max(1, promptTokens(j.prompt)-w.cache.cachedTokens(j.prompt))
 	w.read += j.left
 	w.reread += max(0, j.left-float64(j.prompt[len(j.prompt)-1].Tokens))
 	w.waiting = append(w.waiting, j)
 	w.step()
 }
 
-// fetch moves a prompt's memory here, and starts the call.
-func (w *modelWorker) fetch(from *modelWorker, far bool, j *modelJob) {
-	tokens := max(0, promptTokens(j.prompt)-w.keeps.prefix(j.prompt))
+// startTransfer moves a prompt's memory here, and starts the call.
+func (w *modelWorker) startTransfer(from *modelWorker, far bool, j *modelJob) {
+	tokens := max(0, promptTokens(j.prompt)-w.cache.cachedTokens(j.prompt))
 	w.moved += tokens
-	span := 0.0025 + tokens*modelLink
+	span := 0.0025 + tokens*modelTransferPerToken
 	if far {
 		span *= 2
 	}
@@ -121,15 +121,15 @@
 		return
 	}
 	w.stepping = true
-	piece, pace, span := modelPiece, modelPace, 0.
+	piece, pace, span := modelChunkTokens, modelTokensPerSecond, 0.
 	if w.decode {
 		piece, pace = piece/4, pace/2
 	}
 	for _, j := range w.running {
-		span += modelStepSlot + modelStepK*promptTokens(j.prompt)/1000
+		span += modelStepPerSlot + modelStepPerKiloToken*promptTokens(j.prompt)/1000
 	}
 	if len(w.running) > 0 || w.decode {
-		span += modelStep
+		span += modelStepTime
 	}
 	var ready []*modelJob
 	for len(w.waiting) > 0 && piece > 0 {
@@ -141,7 +141,7 @@
 		}
 		w.waiting, ready = w.waiting[1:], append(ready, j)
 	}
-	w.clock.after(span*w.slow, func() { w.stepped(ready) })
+	w.clock.after(span*w.slowdown, func() { w.stepped(ready) })
 }
 
 // stepped ends a step.
@@ -158,7 +158,7 @@
 	}
 	w.running = still
 	for _, j := range ready {
-		w.keeps.add(j.prompt, 1, 0)
+		w.cache.add(j.prompt, 1, 0)
 		if w.decode {
 			w.running = append(w.running, j)
 		}
--- a/internal/dataplane/selection/policy_test.go
+++ b/internal/dataplane/selection/policy_test.go
@@ -7,9 +7,9 @@
 	"ospreybend/internal/util/stats"
 )
 
-func mixed(x uint64) uint64 { return stats.Mix(x) }
+func mixHash(x uint64) uint64 { return stats.Mix(x) }
 
-func TestDesignBeatsRandomAndLeastOutstanding(t *testing.T) {
+func TestSelector_Choose_beatsRandomAndLeastOutstanding(t *testing.T) {
 	cases := []struct {
 		name                  string
 		nodes, workers, zones int
@@ -23,10 +23,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			play := func(p policy) figures {
-				return playFleet(c.nodes, c.workers, c.zones, c.scale, 30*time.Second, 7, p)
+			play := func(p policy) fleetResults {
+				return simulateFleet(c.nodes, c.workers, c.zones, c.scale, 30*time.Second, 7, p)
 			}
-			design, random, least := play(byDesign), play(atRandom), play(byOutstanding)
+			design, random, least := play(selectorPolicy), play(randomPolicy), play(leastOutstandingPolicy)
 			t.Logf("design  %+v", design)
 			t.Logf("random  %+v", random)
 			t.Logf("least   %+v", least)
@@ -37,22 +37,22 @@
 			if design.Largest < 0.7 {
 				t.Errorf("the largest tenth of a kind is served %.2f times as often as all of it", design.Largest)
 			}
-			if design.InTime <= max(random.InTime, least.InTime) {
-				t.Errorf("in time: design %.3f, random %.3f, least %.3f", design.InTime, random.InTime, least.InTime)
+			if design.OnTime <= max(random.OnTime, least.OnTime) {
+				t.Errorf("in time: design %.3f, random %.3f, least %.3f", design.OnTime, random.OnTime, least.OnTime)
 			}
 		})
 	}
 }
 
 // Two of nine workers answer nothing for 10 of 30 s, and no node is told.
-func TestSilentWorkersAreFoundOut(t *testing.T) {
+func TestSelector_Choose_detectsUnresponsiveWorkers(t *testing.T) {
 	play := func(p policy) (*modelFleet, int) {
 		f := newModelFleet(7, 9, 4, 3, p)
-		f.dark = func(id string) bool {
+		f.unresponsive = func(id string) bool {
 			in := f.clock.now > 10*time.Second && f.clock.now < 20*time.Second
 			return in && (id == "i-000" || id == "i-003")
 		}
-		for _, k := range usualKinds {
+		for _, k := range trafficKinds {
 			f.traffic(k, 1)
 		}
 		f.clock.run(22 * time.Second)
@@ -61,11 +61,11 @@
 		after := f.workers["i-000"].read + f.workers["i-003"].read
 		return f, int(after - before)
 	}
-	design, read := play(byDesign)
-	least, _ := play(byOutstanding)
-	t.Logf("lost: design %d, least outstanding %d of %d", design.lost, least.lost, design.sent)
-	if design.lost*2 > least.lost {
-		t.Errorf("lost: design %d, least outstanding %d", design.lost, least.lost)
+	design, read := play(selectorPolicy)
+	least, _ := play(leastOutstandingPolicy)
+	t.Logf("lost: design %d, least outstanding %d of %d", design.lostCalls, least.lostCalls, design.sent)
+	if design.lostCalls*2 > least.lostCalls {
+		t.Errorf("lost: design %d, least outstanding %d", design.lostCalls, least.lostCalls)
 	}
 	if read < 20000 {
 		t.Errorf("once they answer again they read %d tokens in 8 s", read)
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -8,187 +8,189 @@
 
 // Facts of the engines that the interface describes, as priors; all are in seconds, or seconds a token.
 const (
-	prefillToken = 1. / 40000     // a prefill worker's time to read a token
-	aloneToken   = 2. * 2 / 40000 // a decode worker's: half the pace, between the tokens of others
-	pairTime     = 0.5e-9         // reading a token, for each token before it
-	prefillBase  = 0.006          // answering a call that reads nothing
-	decodeBase   = 0.015          // a first event
-	plainRun     = 0.05           // answering a request of a service without stages
-	tokenTime    = 0.007          // making one token
-	roundTrip    = 0.002          // within a zone
-	farTrip      = 0.004          // between zones
-	sendToken    = 2e-8           // sending a token of the prompt
-	usualPrompt  = 1500           // tokens, where a request tells none
+	prefillPerToken       = 1. / 40000     // a prefill worker's time to read a token
+	decodePrefillPerToken = 2. * 2 / 40000 // a decode worker's: half the pace, between the tokens of others
+	attentionPerTokenPair = 0.5e-9         // reading a token, for each token before it
+	prefillBase           = 0.006          // answering a call that reads nothing
+	firstEventTime        = 0.015          // a first event
+	plainRequestTime      = 0.05           // answering a request of a service without stages
+	decodePerToken        = 0.007          // making one token
+	sameZoneRoundTrip     = 0.002          // within a zone
+	crossZoneRoundTrip    = 0.004          // between zones
+	sendPerToken          = 2e-8           // sending a token of the prompt
+	defaultPromptTokens   = 1500           // tokens, where a request tells none
 )
 
 const (
-	speedSamples = 2.0  // the pooled ratio counts as this many samples of a worker's own
-	poolMemory   = 256. // samples after which what is pooled forgets
-	poolPrior    = 8.   // samples that a constant counts as against what is pooled
-	waitPrior    = 200. // the same for the wait
-	oddRatio     = 4.   // a call this many times slower or faster than usual counts as just that
-	leastSeconds = 1e-4
-	bucketBase   = 4. // size buckets grow by this factor, so that few of them starve
-	bucketTokens = 64.
-	handWait     = 0.3 // part of the wait of one that reads
-	restBucket   = -1  // the window of the time between tokens
-	handBucket   = 0   // the window of first events of what another worker has read
+	slowdownPriorSamples = 2.0  // the pooled ratio counts as this many samples of a worker's own
+	poolSamples          = 256. // samples after which what is pooled forgets
+	poolPriorSamples     = 8.   // samples that a constant counts as against what is pooled
+	waitPriorSamples     = 200. // the same for the wait
+	maxOutlierRatio      = 4.   // a call this many times slower or faster than usual counts as just that
+	minSeconds           = 1e-4
+	bucketBase           = 4. // size buckets grow by this factor, so that few of them starve
+	bucketTokens         = 64.
+	transferWaitShare    = 0.3 // part of the wait of one that reads
+	interTokenBucket     = -1  // the window of the time between tokens
+	transferBucket       = 0   // the window of first events of what another worker has read
 )
 
 // pool is what the workers of one class have shown together.
 type pool struct {
-	ratio            stats.Mean   // running time for each second that it should take
-	handRatio        stats.Mean   // the same for first events of what another worker has read
-	wait             stats.Pooled // queue wait against the load, with its sign turned
-	nearTrip         stats.Mean   // transfer of calls to the own zone, beyond what moving takes
-	farTrip          stats.Mean
-	solo             stats.Mean    // time that a call should take by itself
-	running, waiting stats.Mean    // load at a worker by others
-	memory           stats.Mean    // tokens that a running request holds
-	heard            time.Duration // when an answer last told of load
-	leavesOut        bool          // an answer does not count its own request
+	slowdown           stats.Mean   // running time for each second that it should take
+	transferSlowdown   stats.Mean   // the same for first events of what another worker has read
+	wait               stats.Pooled // queue wait against the load, with its sign turned
+	sameZoneTrip       stats.Mean   // transfer of calls to the own zone, beyond what moving takes
+	crossZoneTrip      stats.Mean
+	unloadedTime       stats.Mean    // time that a call should take by itself
+	running, waiting   stats.Mean    // load at a worker by others
+	requestTokens      stats.Mean    // tokens that a running request holds
+	lastReport         time.Duration // when an answer last told of load
+	excludesOwnRequest bool          // an answer does not count its own request
 }
 
-// usualSolo is the time that a usual call takes by itself.
-func (p *pool) usualSolo(c class) float64 {
-	prior := plainRun
+// typicalUnloadedTime is the time that a usual call takes by itself.
+func (p *pool) typicalUnloadedTime(c workerClass) float64 {
+	prior := plainRequestTime
 	if c != classPlain {
-		prior = prefillBase + usualPrompt*prefillToken
+		prior = prefillBase + defaultPromptTokens*prefillPerToken
 	}
-	return max(leastSeconds, p.solo.Or(prior, poolPrior))
+	return max(minSeconds, p.unloadedTime.Or(prior, poolPriorSamples))
 }
 
 // task is one call as a prediction sees it.
 type task struct {
-	bucket int
-	solo   float64 // seconds that it should take by itself
-	size   float64 // tokens sent, or tokens to be moved weighed by distance
-	moving bool    // its transfer includes a hand-over
-	move   float64 // seconds that this is predicted to take
+	bucket       int
+	unloaded     float64 // seconds that it should take by itself
+	size         float64 // tokens sent, or tokens to be moved weighed by distance
+	transfersKV  bool    // its transfer includes a hand-over
+	transferTime float64 // seconds that this is predicted to take
 }
 
 // forecast is a prediction for one call, in seconds up to its answer's beginning.
 type forecast struct {
 	task
-	load                load
-	transfer, run, wait float64
+	load               workerLoad
+	network, run, wait float64
 }
 
-func (f forecast) total() float64 { return f.transfer + f.run + f.wait }
+func (f forecast) total() float64 { return f.network + f.run + f.wait }
 
 // bucketOf gives the size bucket of so many tokens to be read.
-func bucketOf(read float64) int { return 1 + stats.Bucket(max(0, read)/bucketTokens, bucketBase) }
+func bucketOf(uncached float64) int {
+	return 1 + stats.Bucket(max(0, uncached)/bucketTokens, bucketBase)
+}
 
-// soloOf is the time that reading takes by itself, where so many tokens before are kept.
-func soloOf(c class, read, kept float64) float64 {
-	switch c {
+// unloadedTime is the time that reading takes by itself, where so many tokens before are kept.
+func unloadedTime(class workerClass, uncached, cached float64) float64 {
+	switch class {
 	case classPrefill:
-		return prefillBase + read*(prefillToken+pairTime*(kept+read/2))
+		return prefillBase + uncached*(prefillPerToken+attentionPerTokenPair*(cached+uncached/2))
 	case classDecode:
-		return decodeBase + read*(aloneToken+pairTime*(kept+read/2))
+		return firstEventTime + uncached*(decodePrefillPerToken+attentionPerTokenPair*(cached+uncached/2))
 	}
-	return plainRun
+	return plainRequestTime
 }
 
-// tripOf predicts the transfer of a call that moves nothing.
-func (p *pool) tripOf(w *worker) float64 {
-	if w.near {
-		return p.nearTrip.Or(roundTrip, poolPrior)
+// roundTrip predicts the transfer of a call that moves nothing.
+func (p *pool) roundTrip(worker *worker) float64 {
+	if worker.sameZone {
+		return p.sameZoneTrip.Or(sameZoneRoundTrip, poolPriorSamples)
 	}
-	return p.farTrip.Or(farTrip, poolPrior)
+	return p.crossZoneTrip.Or(crossZoneRoundTrip, poolPriorSamples)
 }
 
-// speedOf is a worker's running time for each second that a call should take.
-func (p *pool) speedOf(now time.Duration, w *worker) float64 {
-	prior := p.ratio.Or(1, poolPrior)
-	own := w.speed[w.class].Fit(now, sampleLife, 0)
-	weight := speedSamples * p.usualSolo(w.class)
+// slowdownOf is a worker's running time for each second that a call should take.
+func (p *pool) slowdownOf(now time.Duration, w *worker) float64 {
+	prior := p.slowdown.Or(1, poolPriorSamples)
+	own := w.slowdown[w.class].Fit(now, sampleTTL, 0)
+	weight := slowdownPriorSamples * p.typicalUnloadedTime(w.class)
 	return (own.SumY + prior*weight) / (own.SumX + weight)
 }
 
-// waitOf predicts the queue wait at a load.
-func (s *service) waitOf(w *worker, l load) float64 {
-	pool, at := &s.pools[w.class], l.at(w.class)
-	guess := at * pool.usualSolo(w.class)
+// queueWait predicts the queue wait at a load.
+func (s *service) queueWait(w *worker, load workerLoad) float64 {
+	pool, queued := &s.pools[w.class], load.forClass(w.class)
+	prior := queued * pool.typicalUnloadedTime(w.class)
 	if w.class == classPlain {
 		slots := s.slotsOf(w)
-		guess = max(0, at+1-slots) * pool.usualSolo(w.class) / slots
+		prior = max(0, queued+1-slots) * pool.typicalUnloadedTime(w.class) / slots
 	}
 	line := &pool.wait
-	return (line.At(-at)*line.N + guess*waitPrior) / (line.N + waitPrior)
+	return (line.At(-queued)*line.N + prior*waitPriorSamples) / (line.N + waitPriorSamples)
 }
 
 // predict forecasts a call to a worker at its load.
-func (s *service) predict(now time.Duration, w *worker, t task, l load) forecast {
-	f := forecast{task: t, load: l}
+func (s *service) predict(now time.Duration, w *worker, task task, load workerLoad) forecast {
+	f := forecast{task: task, load: load}
 	pool := &s.pools[w.class]
-	run, wait := pool.speedOf(now, w)*t.solo, s.waitOf(w, l)
-	if t.moving { // its first token goes with a step that may read for others too
-		run, wait = pool.handRatio.Or(1, poolPrior)*t.solo, wait*handWait
+	run, wait := pool.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
+	if task.transfersKV { // its first token goes with a step that may read for others too
+		run, wait = pool.transferSlowdown.Or(1, poolPriorSamples)*task.unloaded, wait*transferWaitShare
 	}
-	process := w.delays[w.class].Process(now, t.bucket, l.at(w.class), (run+wait)/t.solo) * t.solo
-	scale := process / max(run+wait, leastSeconds)
-	f.run, f.wait = run*scale, wait*scale+max(0, l.stall)
-	f.transfer = s.transferOf(now, w, t)
+	process := w.delays[w.class].Process(now, task.bucket, load.forClass(w.class), (run+wait)/task.unloaded) * task.unloaded
+	scale := process / max(run+wait, minSeconds)
+	f.run, f.wait = run*scale, wait*scale+max(0, load.stall)
+	f.network = s.networkTime(now, w, task)
 	return f
 }
 
-// transferOf predicts the transfer of a task to a worker.
-func (s *service) transferOf(now time.Duration, w *worker, t task) float64 {
-	pooled := s.pools[w.class].tripOf(w)
-	if t.moving {
-		return pooled + t.move
+// networkTime predicts the transfer of a task to a worker.
+func (s *service) networkTime(now time.Duration, w *worker, task task) float64 {
+	pooled := s.pools[w.class].roundTrip(w)
+	if task.transfersKV {
+		return pooled + task.transferTime
 	}
-	return w.delays[w.class].Transfer(now, t.size, pooled+t.size*sendToken)
+	return w.delays[w.class].Transfer(now, task.size, pooled+task.size*sendPerToken)
 }
 
 // learn takes in the time that a call took up to its answer's beginning. Only the sum is seen: it is
 // shared out as the parts were predicted, and the lines in size and in load tell them apart.
 func (s *service) learn(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
-	if w.class != call.class || seconds <= 0 {
+	if w.class != call.workerClass || seconds <= 0 {
 		return // the worker's stage has changed since
 	}
-	scale := seconds / max(f.total(), leastSeconds)
-	transfer, run, wait := f.transfer*scale, f.run*scale, f.wait*scale
+	scale := seconds / max(f.total(), minSeconds)
+	network, run, wait := f.network*scale, f.run*scale, f.wait*scale
 	pool := &s.pools[w.class]
-	s.learnTransfer(now, call, transfer)
-	w.delays[w.class].AddProcess(now, f.bucket, f.load.at(w.class), (run+wait)/f.solo)
-	if f.moving {
-		pool.handRatio.Add(near(run/f.solo, pool.handRatio.Or(1, poolPrior)), poolMemory)
+	s.learnNetworkTime(now, call, network)
+	w.delays[w.class].AddProcess(now, f.bucket, f.load.forClass(w.class), (run+wait)/f.unloaded)
+	if f.transfersKV {
+		pool.transferSlowdown.Add(clampRatio(run/f.unloaded, pool.transferSlowdown.Or(1, poolPriorSamples)), poolSamples)
 		return
 	}
-	ratio := near(run/f.solo, pool.ratio.Or(1, poolPrior))
-	w.speed[w.class].Add(now, f.solo, ratio*f.solo, windowLength)
-	pool.ratio.Weigh(ratio, min(1, f.solo/pool.usualSolo(w.class)), poolMemory)
-	pool.solo.Add(f.solo, poolMemory)
-	pool.wait.Weigh(-f.load.at(w.class), wait, 1, poolMemory)
+	ratio := clampRatio(run/f.unloaded, pool.slowdown.Or(1, poolPriorSamples))
+	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, windowLength)
+	pool.slowdown.Weigh(ratio, min(1, f.unloaded/pool.typicalUnloadedTime(w.class)), poolSamples)
+	pool.unloadedTime.Add(f.unloaded, poolSamples)
+	pool.wait.Weigh(-f.load.forClass(w.class), wait, 1, poolSamples)
 }
 
-// near bounds an odd ratio by the usual one.
-func near(ratio, usual float64) float64 {
-	return min(max(ratio, usual/oddRatio), usual*oddRatio)
+// clampRatio bounds an odd ratio by the usual one.
+func clampRatio(ratio, usual float64) float64 {
+	return min(max(ratio, usual/maxOutlierRatio), usual*maxOutlierRatio)
 }
 
-// learnTransfer takes in a transfer delay.
-func (s *service) learnTransfer(now time.Duration, call *Call, seconds float64) {
+// learnNetworkTime takes in a transfer delay.
+func (s *service) learnNetworkTime(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
 	pool := &s.pools[w.class]
-	trip := pool.tripOf(w)
-	if f.moving {
-		s.learnMove(now, call, seconds*(1-trip/max(f.transfer, trip)))
+	roundTrip := pool.roundTrip(w)
+	if f.transfersKV {
+		s.learnTransferTime(now, call, seconds*(1-roundTrip/max(f.network, roundTrip)))
 		return
 	}
 	w.delays[w.class].AddTransfer(now, f.size, seconds)
-	trip = min(max(0, seconds-f.size*sendToken), trip*oddRatio)
-	if w.near {
-		pool.nearTrip.Add(trip, poolMemory)
+	roundTrip = min(max(0, seconds-f.size*sendPerToken), roundTrip*maxOutlierRatio)
+	if w.sameZone {
+		pool.sameZoneTrip.Add(roundTrip, poolSamples)
 	} else {
-		pool.farTrip.Add(trip, poolMemory)
+		pool.crossZoneTrip.Add(roundTrip, poolSamples)
 	}
 }
 
-// tokenPace predicts the seconds for each token that a decode worker makes.
-func (w *worker) tokenPace(now time.Duration, l load) float64 {
-	return w.delays[classDecode].Process(now, restBucket, l.running, 1) * tokenTime
+// secondsPerToken predicts the seconds for each token that a decode worker makes.
+func (w *worker) secondsPerToken(now time.Duration, load workerLoad) float64 {
+	return w.delays[classDecode].Process(now, interTokenBucket, load.running, 1) * decodePerToken
 }
--- a/internal/dataplane/selection/prediction_test.go
+++ b/internal/dataplane/selection/prediction_test.go
@@ -10,25 +10,25 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// answer plays one prefill call that takes so long.
-func answer(s *Selector, w *worker, now, span time.Duration, tokens int) {
-	r := ask(now, uint64(now)+7, 0, tokens)
+// playPrefill plays one prefill call that takes so long.
+func playPrefill(s *Selector, w *worker, now, span time.Duration, tokens int) {
+	r := newTestRequest(now, uint64(now)+7, 0, tokens)
 	call := s.Sent(now, r, CallPrefill, Choice{Prefill: w.entry})
 	s.Done(now+span, call, nil)
 }
 
-func TestWindowsFollowTheAnswers(t *testing.T) {
-	s, _ := rig(3, 2, 1)
+func TestService_Predict_followsAnswers(t *testing.T) {
+	s, _ := newTestSelector(3, 2, 1)
 	svc := s.services["m"]
 	slow, quick, unknown := svc.byClass[classPrefill][0], svc.byClass[classPrefill][1], svc.byClass[classPrefill][2]
 	now := time.Duration(0)
 	for range 30 {
 		now += 300 * ms
-		answer(s, slow, now, 240*ms, 4000)
-		answer(s, quick, now, 120*ms, 4000)
+		playPrefill(s, slow, now, 240*ms, 4000)
+		playPrefill(s, quick, now, 120*ms, 4000)
 	}
 	total := func(w *worker) float64 {
-		return svc.predict(now+time.Second, w, readTask(classPrefill, 4000, 0), load{}).total()
+		return svc.predict(now+time.Second, w, promptTask(classPrefill, 4000, 0), workerLoad{}).total()
 	}
 	if got := total(slow); math.Abs(got-0.24) > 0.04 {
 		t.Errorf("the slow worker: %v", got)
@@ -39,18 +39,18 @@
 	if got := total(unknown); got < total(quick) || got > total(slow) {
 		t.Errorf("one without samples: %v, not between the others", got)
 	}
-	if later := svc.predict(now+time.Minute, slow, readTask(classPrefill, 4000, 0), load{}).total(); later > 0.22 {
+	if later := svc.predict(now+time.Minute, slow, promptTask(classPrefill, 4000, 0), workerLoad{}).total(); later > 0.22 {
 		t.Errorf("its samples have expired, yet it is predicted %v", later)
 	}
 }
 
-func TestTimeRisesWithLoad(t *testing.T) {
-	s, _ := rig(1, 1, 1)
+func TestService_Predict_risesWithLoad(t *testing.T) {
+	s, _ := newTestSelector(1, 1, 1)
 	svc := s.services["m"]
-	for c, w := range map[class]*worker{classPrefill: svc.byClass[classPrefill][0], classDecode: svc.byClass[classDecode][0]} {
+	for c, w := range map[workerClass]*worker{classPrefill: svc.byClass[classPrefill][0], classDecode: svc.byClass[classDecode][0]} {
 		last := -1.
 		for waiting := range 5 {
-			f := svc.predict(0, w, readTask(c, 2000, 500), load{waiting: float64(waiting)})
+			f := svc.predict(0, w, promptTask(c, 2000, 500), workerLoad{waiting: float64(waiting)})
 			if f.total() <= last || f.wait < 0 {
 				t.Errorf("class %v with %d waiting: %v after %v", c, waiting, f.total(), last)
 			}
@@ -59,43 +59,43 @@
 	}
 }
 
-func TestFailuresFeedNoWindow(t *testing.T) {
-	s, _ := rig(1, 1, 1)
+func TestSelector_Failed_feedsNoWindow(t *testing.T) {
+	s, _ := newTestSelector(1, 1, 1)
 	svc := s.services["m"]
 	w := svc.byClass[classPrefill][0]
 	for cause := FailureConnect; cause <= FailureMisrouted; cause++ {
-		s.Failed(time.Second, s.Sent(0, ask(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}), cause)
+		s.Failed(time.Second, s.Sent(0, newTestRequest(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}), cause)
 	}
-	s.Abandoned(time.Second, s.Sent(0, ask(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}))
-	if svc.pools[classPrefill].ratio.N != 0 || w.speed[classPrefill].Samples != nil || len(w.kept.byID) != 0 {
+	s.Abandoned(time.Second, s.Sent(0, newTestRequest(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}))
+	if svc.pools[classPrefill].slowdown.N != 0 || w.slowdown[classPrefill].Samples != nil || len(w.cache.byID) != 0 {
 		t.Error("a failed call fed a window")
 	}
 }
 
-func TestSlowHandOversAreLearnedAndForgotten(t *testing.T) {
-	s, _ := rig(2, 2, 1)
+func TestService_TransferTime_learnsAndExpires(t *testing.T) {
+	s, _ := newTestSelector(2, 2, 1)
 	svc := s.services["m"]
 	from, to := svc.byClass[classPrefill][0], svc.byClass[classDecode][0]
-	fresh := svc.moveBetween(0, from, to, 8000)
+	fresh := svc.transferTime(0, from, to, 8000)
 	now := time.Duration(0)
 	for range 12 {
 		now += 200 * ms
-		call := s.Sent(now, ask(now, uint64(now), 0, 8000), CallRun, Choice{Prefill: from.entry, Run: to.entry})
+		call := s.Sent(now, newTestRequest(now, uint64(now), 0, 8000), CallRun, Choice{Prefill: from.entry, Run: to.entry})
 		s.FirstEvent(now+600*ms, call)
 		s.Done(now+700*ms, call, nil)
 	}
-	if got := svc.moveBetween(now, from, to, 8000); got < 0.25 {
+	if got := svc.transferTime(now, from, to, 8000); got < 0.25 {
 		t.Errorf("hand-overs take 0.6 s, yet %v is predicted", got)
 	}
-	if got := svc.moveBetween(now, svc.byClass[classPrefill][1], svc.byClass[classDecode][1], 8000); got < 5*fresh {
+	if got := svc.transferTime(now, svc.byClass[classPrefill][1], svc.byClass[classDecode][1], 8000); got < 5*fresh {
 		t.Errorf("another pair is predicted %v, at first %v", got, fresh)
 	}
-	if got := svc.moveBetween(now+time.Minute, from, to, 8000); math.Abs(got-fresh) > fresh/2 {
+	if got := svc.transferTime(now+time.Minute, from, to, 8000); math.Abs(got-fresh) > fresh/2 {
 		t.Errorf("a minute later %v is predicted, at first %v", got, fresh)
 	}
 }
 
-func TestPlainServicesSpreadOverTheirSlots(t *testing.T) {
+func TestSelector_Choose_spreadsPlainRequests(t *testing.T) {
 	s := New(Options{Seed: 3})
 	view := &fleetview.View{EdgeNodeCount: 3, Services: map[string]*configuration.Service{"p": {Name: "p"}}, Workers: map[string][]*fleetview.Worker{}}
 	for _, id := range []string{"a", "b", "c"} {
@@ -106,7 +106,7 @@
 	for range 18 {
 		r := &Request{Service: "p", Route: "r", Objective: time.Second, Deadline: 4 * time.Second}
 		c, v := s.Choose(0, r, nil)
-		if !v.Send || c.Prefill != nil {
+		if !v.Admit || c.Prefill != nil {
 			t.Fatalf("%+v %+v", c, v)
 		}
 		s.Sent(0, r, CallRun, c)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestABusyPlainWorkerIsAvoided(t *testing.T) {
+func TestSelector_Choose_avoidsBusyPlainWorker(t *testing.T) {
 	s := New(Options{Seed: 3})
 	view := &fleetview.View{EdgeNodeCount: 3, Workers: map[string][]*fleetview.Worker{"p": {
 		{Instance: registry.Instance{ID: "a", Slots: 6}}, {Instance: registry.Instance{ID: "b", Slots: 6}}}}}
--- a/internal/dataplane/selection/requestinfo.go
+++ b/internal/dataplane/selection/requestinfo.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-const innerParts = 3 // shared parts before the last whose shares are counted
+const maxAncestors = 3 // shared parts before the last whose shares are counted
 
-// job is a request as the choice sees it.
-type job struct {
-	request *Request
-	prompt  []Part
-	shared  []Part // the parts that other requests carry too
-	key     uint64 // the part whose homes it goes to; 0: none
-	tokens  float64
-	share   float64             // of the requests that have the key
-	inner   [innerParts]float64 // of those that have a part before it
+// requestInfo is a request as the choice sees it.
+type requestInfo struct {
+	request        *Request
+	prompt         []PromptSegment
+	sharedSegments []PromptSegment // the parts that other requests carry too
+	affinityKey    uint64          // the part whose homes it goes to; 0: none
+	promptTokens   float64
+	keyShare       float64               // of the requests that have the key
+	ancestorShares [maxAncestors]float64 // of those that have a part before it
 }
 
-// jobFor returns what a choice needs to know of a request, worked out and counted once.
-func (s *service) jobFor(now time.Duration, r *Request) *job {
-	if r.job == nil || r.job.request != r {
-		j := s.jobOf(r)
-		s.shared.count(now, &j)
-		r.job = &j
+// infoFor returns what a choice needs to know of a request, worked out and counted once.
+func (s *service) infoFor(now time.Duration, request *Request) *requestInfo {
+	if request.info == nil || request.info.request != request {
+		info := s.newRequestInfo(request)
+		s.popularity.record(now, &info)
+		request.info = &info
 	}
-	return r.job
+	return request.info
 }
 
-// jobOf works out what a choice needs to know of a request.
-func (s *service) jobOf(r *Request) job {
-	j := job{request: r, prompt: r.Prompt, tokens: float64(r.PromptTokens)}
-	if r.PromptTokens <= 0 {
+// newRequestInfo works out what a choice needs to know of a request.
+func (s *service) newRequestInfo(request *Request) requestInfo {
+	info := requestInfo{request: request, prompt: request.Prompt, promptTokens: float64(request.PromptTokens)}
+	if request.PromptTokens <= 0 {
 		total := 0
-		for _, part := range r.Prompt {
-			total += part.Tokens
+		for _, segment := range request.Prompt {
+			total += segment.Tokens
 		}
-		j.tokens = float64(total)
+		info.promptTokens = float64(total)
 	}
-	if j.tokens <= 0 && s.engine != nil {
-		j.tokens = usualPrompt
+	if info.promptTokens <= 0 && s.engine != nil {
+		info.promptTokens = defaultPromptTokens
 	}
-	if n := len(r.Prompt); n > 1 {
-		j.shared = r.Prompt[:n-1]
-		j.key = r.Prompt[n-2].ID
-	} else if n == 1 {
-		j.key = r.Prompt[0].ID
+	if count := len(request.Prompt); count > 1 {
+		info.sharedSegments = request.Prompt[:count-1]
+		info.affinityKey = request.Prompt[count-2].ID
+	} else if count == 1 {
+		info.affinityKey = request.Prompt[0].ID
 	}
-	return j
+	return info
 }
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -12,12 +12,12 @@
 
 // Options fixes what a Selector does not learn.
 type Options struct {
-	Zone  string        // the node's own
-	Seed  uint64        // of the draws among ties and at the edge of admission
-	Again time.Duration // span in which reading the same part again is priced; 0: usualAgain
+	Zone       string        // the node's own
+	Seed       uint64        // of the draws among ties and at the edge of admission
+	RereadSpan time.Duration // span in which reading the same part again is priced; 0: usualAgain
 }
 
-const usualAgain = 8 * time.Second
+const defaultRereadSpan = 8 * time.Second
 
 // Selector chooses workers for the requests of one node. It is not safe for concurrent use.
 type Selector struct {
@@ -25,31 +25,31 @@
 	random   *rand.Rand
 	nodes    int // edge nodes that send to the same workers
 	services map[string]*service
-	peers    map[uint64]peer // by node: what it told of its calls
+	peers    map[uint64]peerState // by node: what it told of its calls
 }
 
 // service is what is known of the workers of one service.
 type service struct {
-	selector  *Selector
-	engine    *configuration.Engine // nil: plain HTTP workers
-	workers   map[string]*worker
-	byNumber  map[uint64]*worker
-	byClass   [classes][]*worker // in the order of their IDs
-	zones     map[string]int
-	pools     [classes]pool
-	shared    popularity
-	handover  outcomes
-	moved     stats.Window // hand-overs of all pairs: what they took against what they should, in seconds
-	admitted  admission
-	demand    roleplanner.Demand // since the start
-	streamsAt time.Duration      // when running streams were counted last
-	scratch   scratch
+	selector         *Selector
+	engine           *configuration.Engine // nil: plain HTTP workers
+	workers          map[string]*worker
+	byHash           map[uint64]*worker
+	byClass          [classCount][]*worker // in the order of their IDs
+	zones            map[string]int
+	pools            [classCount]pool
+	popularity       segmentPopularity
+	transferOutcomes transferOutcomes
+	transferTimes    stats.Window // hand-overs of all pairs: what they took against what they should, in seconds
+	admission        admission
+	demand           roleplanner.Demand // since the start
+	streamsCountedAt time.Duration      // when running streams were counted last
+	scratch          scratchSpace
 }
 
 // New returns a Selector without a view: it refuses all until SetView.
 func New(options Options) *Selector {
-	if options.Again == 0 {
-		options.Again = usualAgain
+	if options.RereadSpan == 0 {
+		options.RereadSpan = defaultRereadSpan
 	}
 	return &Selector{
 		options:  options,
@@ -96,19 +96,19 @@
 	}
 	known := s.workers
 	s.workers = make(map[string]*worker, len(listed))
-	s.byNumber = make(map[uint64]*worker, len(listed))
-	s.byClass = [classes][]*worker{}
+	s.byHash = make(map[uint64]*worker, len(listed))
+	s.byClass = [classCount][]*worker{}
 	for _, entry := range listed {
 		w := known[entry.ID]
 		if w == nil {
 			w = newWorker(entry)
 		}
-		w.entry, w.near = entry, entry.Zone == s.selector.options.Zone
+		w.entry, w.sameZone = entry, entry.Zone == s.selector.options.Zone
 		w.zone = s.zoneOf(entry.Zone)
 		w.class = classOf(entry.Stage)
-		w.kept.capacity = s.memory()
+		w.cache.capacity = s.kvCapacity()
 		s.workers[entry.ID] = w
-		s.byNumber[w.number] = w
+		s.byHash[w.hash] = w
 		if !entry.Transitioning() {
 			s.byClass[w.class] = append(s.byClass[w.class], w)
 		}
@@ -125,18 +125,18 @@
 	return number
 }
 
-// memory is a worker's memory in tokens.
-func (s *service) memory() float64 {
+// kvCapacity is a worker's memory in tokens.
+func (s *service) kvCapacity() float64 {
 	if s.engine == nil || s.engine.KVCapacityTokens <= 0 {
-		return usualMemory
+		return defaultKVCapacity
 	}
 	return float64(s.engine.KVCapacityTokens)
 }
 
 // slotsOf is the number of requests that a worker works on at once.
 func (s *service) slotsOf(w *worker) float64 {
-	if w.told.slots > 0 {
-		return w.told.slots
+	if w.report.slots > 0 {
+		return w.report.slots
 	}
 	if w.entry.Slots > 0 {
 		return float64(w.entry.Slots)
@@ -144,5 +144,5 @@
 	if s.engine != nil && s.engine.Slots > 0 {
 		return float64(s.engine.Slots)
 	}
-	return usualSlots
+	return defaultSlots
 }
--- a/internal/dataplane/selection/simulation_test.go
+++ b/internal/dataplane/selection/simulation_test.go
@@ -11,21 +11,21 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// kind is a kind of request as the model plays it.
-type kind struct {
-	name         string
-	rate         float64
-	first, last  float64 // usual tokens of the shared parts and of the request's own
-	things       int
-	output       int
-	priority     int
-	objective    time.Duration
-	deadline     time.Duration
-	lastSpread   float64
-	sharedOfRoot int
+// trafficKind is a kind of request as the model plays it.
+type trafficKind struct {
+	name                    string
+	rate                    float64
+	sharedTokens, ownTokens float64 // usual tokens of the shared parts and of the request's own
+	documents               int
+	output                  int
+	priority                int
+	objective               time.Duration
+	deadline                time.Duration
+	ownSpread               float64
+	documentsPerRoot        int
 }
 
-var usualKinds = []kind{
+var trafficKinds = []trafficKind{
 	{"long", 10.9, 6300, 2890, 144, 7, 1, 500 * time.Millisecond, 4 * time.Second, 1, 4},
 	{"short", 13.3, 568, 1800, 78, 3, 0, 400 * time.Millisecond, 2500 * time.Millisecond, 1, 20},
 	{"chat", 9.39, 172, 543, 124, 40, 2, 250 * time.Millisecond, 10 * time.Second, 0.8, 8},
@@ -44,20 +44,20 @@
 	counts    []map[string]int // by node: own calls at a worker
 	policy    policy
 
-	dark             func(id string) bool // whether a worker answers nothing now; nil: none
-	lost             int
-	firsts           []float64
-	sent, inTime     int
-	refused, alone   int
-	byKind, timeKind map[string]int
-	sizes            map[string][]sized
+	unresponsive             func(id string) bool // whether a worker answers nothing now; nil: none
+	lostCalls                int
+	firsts                   []float64
+	sent, onTime             int
+	rejected, withoutPrefill int
+	sentByKind, onTimeByKind map[string]int
+	sizes                    map[string][]servedSize
 }
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
 func newModelFleet(nodes, workers, zones int, seed uint64, p policy) *modelFleet {
 	f := &modelFleet{random: rand.New(rand.NewPCG(seed, 1)), workers: map[string]*modelWorker{}, policy: p,
-		byKind: map[string]int{}, timeKind: map[string]int{}, sizes: map[string][]sized{}}
+		sentByKind: map[string]int{}, onTimeByKind: map[string]int{}, sizes: map[string][]servedSize{}}
 	speeds := []float64{1, 1, 1.3}
 	for i := range workers {
 		stage := "decode"
@@ -65,8 +65,8 @@
 			stage = "prefill"
 		}
 		id := fmt.Sprintf("i-%03d", i)
-		f.workers[id] = &modelWorker{clock: &f.clock, decode: stage == "decode", slow: speeds[i%3],
-			keeps: kept{capacity: 342882}}
+		f.workers[id] = &modelWorker{clock: &f.clock, decode: stage == "decode", slowdown: speeds[i%3],
+			cache: prefixCache{capacity: 342882}}
 		f.list = append(f.list, &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "m",
 			Zone: zoneName(i % zones), Slots: 64, Stage: stage}})
 	}
@@ -88,16 +88,16 @@
 	return 1 + int(mean*min(x, 8))
 }
 
-func (f *modelFleet) request(k kind) *Request {
-	thing := f.random.IntN(k.things)
-	root := thing % k.sharedOfRoot
-	hash := func(x int) int { return int(mixed(uint64(x)+uint64(k.things)<<20) % 1000) }
-	rootTokens := int(k.first * 0.4 * (0.6 + 0.0008*float64(hash(root))))
-	thingTokens := int(k.first * 0.6 * (0.5 + 0.001*float64(hash(1000+thing))))
-	own := f.spread(k.last, k.lastSpread)
-	prompt := []Part{
-		{mixed(uint64(k.things)<<32 + uint64(root)), rootTokens},
-		{mixed(uint64(k.things)<<32 + 1<<20 + uint64(thing)), thingTokens},
+func (f *modelFleet) request(k trafficKind) *Request {
+	thing := f.random.IntN(k.documents)
+	root := thing % k.documentsPerRoot
+	hash := func(x int) int { return int(mixHash(uint64(x)+uint64(k.documents)<<20) % 1000) }
+	rootTokens := int(k.sharedTokens * 0.4 * (0.6 + 0.0008*float64(hash(root))))
+	thingTokens := int(k.sharedTokens * 0.6 * (0.5 + 0.001*float64(hash(1000+thing))))
+	own := f.spread(k.ownTokens, k.ownSpread)
+	prompt := []PromptSegment{
+		{mixHash(uint64(k.documents)<<32 + uint64(root)), rootTokens},
+		{mixHash(uint64(k.documents)<<32 + 1<<20 + uint64(thing)), thingTokens},
 		{f.random.Uint64(), own},
 	}
 	return &Request{Service: "m", Route: k.name, Model: "m", Priority: k.priority, Prompt: prompt,
@@ -106,25 +106,25 @@
 }
 
 // traffic starts a kind's arrivals.
-func (f *modelFleet) traffic(k kind, scale float64) {
+func (f *modelFleet) traffic(k trafficKind, scale float64) {
 	f.clock.after(f.random.ExpFloat64()/(k.rate*scale), func() {
 		f.arrive(k, f.request(k))
 		f.traffic(k, scale)
 	})
 }
 
-func (f *modelFleet) arrive(k kind, r *Request) {
+func (f *modelFleet) arrive(k trafficKind, r *Request) {
 	node := f.random.IntN(len(f.selectors))
 	c, ok := f.policy(f, node, r)
 	f.sent++
-	f.byKind[k.name]++
-	f.sizes[k.name] = append(f.sizes[k.name], sized{r.PromptTokens, ok})
+	f.sentByKind[k.name]++
+	f.sizes[k.name] = append(f.sizes[k.name], servedSize{r.PromptTokens, ok})
 	if !ok {
-		f.refused++
+		f.rejected++
 		return
 	}
 	if c.Prefill == nil {
-		f.alone++
+		f.withoutPrefill++
 		f.run(k, node, r, c)
 		return
 	}
@@ -132,125 +132,125 @@
 }
 
 const (
-	modelTrip    = 0.001 // seconds
-	modelSilence = 0.8   // until a node gives up on a worker
+	modelNetworkDelay = 0.001 // seconds
+	modelCallTimeout  = 0.8   // until a node gives up on a worker
 )
 
-func (f *modelFleet) prefill(k kind, node int, r *Request, c Choice) {
+func (f *modelFleet) prefill(k trafficKind, node int, r *Request, c Choice) {
 	s, w := f.selectors[node], f.workers[c.Prefill.ID]
 	call := s.Sent(f.clock.now, r, CallPrefill, c)
 	f.counts[node][c.Prefill.ID]++
-	if f.silent(c.Prefill.ID, node, call) {
+	if f.dropCall(c.Prefill.ID, node, call) {
 		return
 	}
 	job := &modelJob{prompt: r.Prompt}
 	job.first = func(l Load) {
-		f.clock.after(modelTrip, func() {
+		f.clock.after(modelNetworkDelay, func() {
 			f.counts[node][c.Prefill.ID]--
 			s.Done(f.clock.now, call, &l)
 			f.run(k, node, r, c)
 		})
 	}
-	f.clock.after(modelTrip, func() { w.take(job) })
+	f.clock.after(modelNetworkDelay, func() { w.startPrefill(job) })
 }
 
-func (f *modelFleet) run(k kind, node int, r *Request, c Choice) {
+func (f *modelFleet) run(k trafficKind, node int, r *Request, c Choice) {
 	s, w := f.selectors[node], f.workers[c.Run.ID]
 	call := s.Sent(f.clock.now, r, CallRun, c)
 	f.counts[node][c.Run.ID]++
-	if f.silent(c.Run.ID, node, call) {
+	if f.dropCall(c.Run.ID, node, call) {
 		return
 	}
 	job := &modelJob{prompt: r.Prompt, output: r.OutputTokens}
 	var told Load
 	job.first = func(l Load) {
 		told = l
-		f.clock.after(modelTrip, func() {
+		f.clock.after(modelNetworkDelay, func() {
 			f.answered(k, r)
 			s.FirstEvent(f.clock.now, call)
 		})
 	}
 	job.done = func(Load) {
-		f.clock.after(modelTrip, func() {
+		f.clock.after(modelNetworkDelay, func() {
 			f.counts[node][c.Run.ID]--
 			s.Done(f.clock.now, call, &told)
 		})
 	}
-	f.clock.after(modelTrip, func() {
+	f.clock.after(modelNetworkDelay, func() {
 		if c.Prefill != nil {
-			w.fetch(f.workers[c.Prefill.ID], c.Prefill.Zone != c.Run.Zone, job)
+			w.startTransfer(f.workers[c.Prefill.ID], c.Prefill.Zone != c.Run.Zone, job)
 			return
 		}
-		w.take(job)
+		w.startPrefill(job)
 	})
 }
 
-// silent plays a call to a worker that answers nothing, and tells whether it is one.
-func (f *modelFleet) silent(id string, node int, call *Call) bool {
-	if f.dark == nil || !f.dark(id) {
+// dropCall plays a call to a worker that answers nothing, and tells whether it is one.
+func (f *modelFleet) dropCall(id string, node int, call *Call) bool {
+	if f.unresponsive == nil || !f.unresponsive(id) {
 		return false
 	}
-	f.lost++
-	f.clock.after(modelSilence, func() {
+	f.lostCalls++
+	f.clock.after(modelCallTimeout, func() {
 		f.counts[node][id]--
-		f.selectors[node].Failed(f.clock.now, call, FailureSilence)
+		f.selectors[node].Failed(f.clock.now, call, FailureTimeout)
 	})
 	return true
 }
 
-func (f *modelFleet) answered(k kind, r *Request) {
+func (f *modelFleet) answered(k trafficKind, r *Request) {
 	f.firsts = append(f.firsts, (f.clock.now - r.Arrived).Seconds())
 	if f.clock.now <= r.Objective {
-		f.inTime++
-		f.timeKind[k.name]++
+		f.onTime++
+		f.onTimeByKind[k.name]++
 	}
 }
 
-// figures sums up a run.
-type figures struct {
-	Mean, P95, InTime, Refused, Alone float64
-	Read, Reread, Moved               float64 // thousands of tokens
-	Kinds                             string
-	Largest                           float64 // served among the largest tenth of a kind against all of it, the least
+// fleetResults sums up a run.
+type fleetResults struct {
+	Mean, P95, OnTime, Rejected, WithoutPrefill float64
+	Read, Reread, Moved                         float64 // thousands of tokens
+	Kinds                                       string
+	Largest                                     float64 // served among the largest tenth of a kind against all of it, the least
 }
 
-func (f *modelFleet) figures() figures {
+func (f *modelFleet) results() fleetResults {
 	sort.Float64s(f.firsts)
 	var total float64
 	for _, x := range f.firsts {
 		total += x
 	}
 	n := float64(len(f.firsts))
-	out := figures{Mean: total / n, P95: f.firsts[int(n*0.95)], InTime: float64(f.inTime) / float64(f.sent),
-		Refused: float64(f.refused) / float64(f.sent), Alone: float64(f.alone) / n}
+	out := fleetResults{Mean: total / n, P95: f.firsts[int(n*0.95)], OnTime: float64(f.onTime) / float64(f.sent),
+		Rejected: float64(f.rejected) / float64(f.sent), WithoutPrefill: float64(f.withoutPrefill) / n}
 	for _, c := range f.list {
 		w := f.workers[c.ID]
 		out.Read, out.Reread, out.Moved = out.Read+w.read/1000, out.Reread+w.reread/1000, out.Moved+w.moved/1000
 	}
 	out.Largest = 1
-	for _, k := range usualKinds {
-		out.Largest = min(out.Largest, largest(f.sizes[k.name]))
-		out.Kinds += fmt.Sprintf("%s %.3f ", k.name, float64(f.timeKind[k.name])/float64(max(1, f.byKind[k.name])))
+	for _, k := range trafficKinds {
+		out.Largest = min(out.Largest, servedShareOfLargest(f.sizes[k.name]))
+		out.Kinds += fmt.Sprintf("%s %.3f ", k.name, float64(f.onTimeByKind[k.name])/float64(max(1, f.sentByKind[k.name])))
 	}
 	return out
 }
 
-func playFleet(nodes, workers, zones int, scale float64, span time.Duration, seed uint64, p policy) figures {
+func simulateFleet(nodes, workers, zones int, scale float64, span time.Duration, seed uint64, p policy) fleetResults {
 	f := newModelFleet(nodes, workers, zones, seed, p)
-	for _, k := range usualKinds {
+	for _, k := range trafficKinds {
 		f.traffic(k, scale)
 	}
 	f.clock.run(span)
-	return f.figures()
+	return f.results()
 }
 
-func byDesign(f *modelFleet, node int, r *Request) (Choice, bool) {
+func selectorPolicy(f *modelFleet, node int, r *Request) (Choice, bool) {
 	c, v := f.selectors[node].Choose(f.clock.now, r, nil)
-	return c, v.Send
+	return c, v.Admit
 }
 
-// split lists the workers of a stage.
-func (f *modelFleet) split(stage string) []*fleetview.Worker {
+// workersOfStage lists the workers of a stage.
+func (f *modelFleet) workersOfStage(stage string) []*fleetview.Worker {
 	var out []*fleetview.Worker
 	for _, w := range f.list {
 		if w.Stage == stage {
@@ -260,12 +260,12 @@
 	return out
 }
 
-func atRandom(f *modelFleet, node int, r *Request) (Choice, bool) {
-	from, to := f.split("prefill"), f.split("decode")
+func randomPolicy(f *modelFleet, node int, r *Request) (Choice, bool) {
+	from, to := f.workersOfStage("prefill"), f.workersOfStage("decode")
 	return Choice{Prefill: from[f.random.IntN(len(from))], Run: to[f.random.IntN(len(to))]}, true
 }
 
-func byOutstanding(f *modelFleet, node int, r *Request) (Choice, bool) {
+func leastOutstandingPolicy(f *modelFleet, node int, r *Request) (Choice, bool) {
 	pick := func(list []*fleetview.Worker) *fleetview.Worker {
 		best, ties := list[0], 0
 		for _, w := range list {
@@ -280,19 +280,19 @@
 		}
 		return best
 	}
-	return Choice{Prefill: pick(f.split("prefill")), Run: pick(f.split("decode"))}, true
+	return Choice{Prefill: pick(f.workersOfStage("prefill")), Run: pick(f.workersOfStage("decode"))}, true
 }
 
-// sized is a request's size and whether it was sent.
-type sized struct {
+// servedSize is a request's size and whether it was sent.
+type servedSize struct {
 	tokens int
 	served bool
 }
 
-// largest compares how often the largest tenth is served with how often all are.
-func largest(all []sized) float64 {
+// servedShareOfLargest compares how often the largest tenth is served with how often all are.
+func servedShareOfLargest(all []servedSize) float64 {
 	sort.Slice(all, func(i, k int) bool { return all[i].tokens > all[k].tokens })
-	share := func(some []sized) float64 {
+	share := func(some []servedSize) float64 {
 		n := 0.
 		for _, one := range some {
 			if one.served {
--- a/internal/dataplane/selection/types.go
+++ b/internal/dataplane/selection/types.go
@@ -9,8 +9,8 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// Part is one piece of a prompt, shared among requests that carry the same ID in the same place.
-type Part struct {
+// PromptSegment is one piece of a prompt, shared among requests that carry the same ID in the same place.
+type PromptSegment struct {
 	ID     uint64
 	Tokens int
 }
@@ -20,29 +20,29 @@
 	Service      string
 	Route        string
 	Model        string
-	Priority     int    // 0 is highest
-	Prompt       []Part // in order; the last belongs to the request or its session
-	PromptTokens int    // 0: not told
-	OutputTokens int    // most out
+	Priority     int             // 0 is highest
+	Prompt       []PromptSegment // in order; the last belongs to the request or its session
+	PromptTokens int             // 0: not told
+	OutputTokens int             // most out
 	Streaming    bool
 	Arrived      time.Duration
 	Objective    time.Duration // instant by which the first event (or the whole answer) earns its full worth
 	Deadline     time.Duration // instant after which the client waits no more
 
-	job *job // what the first Choose worked out; Prompt must not change after it
+	info *requestInfo // what the first Choose worked out; Prompt must not change after it
 }
 
 // Choice is where a request goes.
 type Choice struct {
-	Prefill *fleetview.Worker // reads the prompt; nil: Run does it alone, or the service has no stages
-	Run     *fleetview.Worker // makes the tokens, or the whole answer
-	First   time.Duration     // predicted time from now to the first event, or to the whole answer
-	Urgency int               // of the call that reads the prompt, 0 (first) to 9; once it is read, 0 holds
+	Prefill          *fleetview.Worker // reads the prompt; nil: Run does it alone, or the service has no stages
+	Run              *fleetview.Worker // makes the tokens, or the whole answer
+	TimeToFirstEvent time.Duration     // predicted time from now to the first event, or to the whole answer
+	Urgency          int               // of the call that reads the prompt, 0 (first) to 9; once it is read, 0 holds
 }
 
 // Verdict is what becomes of a request.
 type Verdict struct {
-	Send       bool
+	Admit      bool
 	RetryAfter time.Duration // of a refusal: when to come back
 }
 
@@ -63,8 +63,8 @@
 const (
 	FailureConnect   Failure = iota // no connection: nothing was sent
 	FailureBroken                   // reset, cut short or garbage after the request was sent
-	FailureSilence                  // no answer in time
+	FailureTimeout                  // no answer in time
 	FailureStatus                   // an error status of a worker that ran the request
-	FailureHandover                 // the handle was gone or its memory could not be fetched
+	FailureTransfer                 // the handle was gone or its memory could not be fetched
 	FailureMisrouted                // 421: another worker has the address, or the stage was wrong
 )
