--- a/coord/consensus/membership.go
+++ b/coord/consensus/membership.go
@@ -82,16 +82,6 @@
 	n.memberships = slices.Clone(n.memberships[first:])
 }
 
-func (n *Node) isVoter(id MemberID) bool {
-	member, known := findMember(n.members(), id)
-	return known && n.countsInQuorum(member)
-}
-
-// countsInQuorum reports whether a member counts in majorities.
-func (n *Node) countsInQuorum(member Member) bool {
-	return member.Voter || !n.enforces(RuleLearnerNoQuorum)
-}
-
 func findMember(members []Member, id MemberID) (Member, bool) {
 	for _, member := range members {
 		if member.ID == id {
@@ -101,40 +91,6 @@
 	return Member{}, false
 }
 
-// hasQuorum reports whether a majority of the voters is in a set.
-func (n *Node) hasQuorum(set map[MemberID]bool) bool {
-	voters, inSet := 0, 0
-	for _, member := range n.members() {
-		if !n.countsInQuorum(member) {
-			continue
-		}
-		voters++
-		if set[member.ID] {
-			inSet++
-		}
-	}
-	return inSet > voters/2
-}
-
-// maxVotersInline is the group size up to which a majority is found without allocating.
-const maxVotersInline = 16
-
-// quorumValue returns the highest value that a majority of voters has reached, 0 without voters.
-func quorumValue(n *Node, members []Member, value func(MemberID) uint64) uint64 {
-	var inline [maxVotersInline]uint64
-	values := inline[:0]
-	for _, member := range members {
-		if n.countsInQuorum(member) {
-			values = append(values, value(member.ID))
-		}
-	}
-	if len(values) == 0 {
-		return 0
-	}
-	slices.Sort(values)
-	return values[(len(values)-1)/2]
-}
-
 // ChangeMembers appends a change of one member. The change is in force at once; another one is
 // taken when it is committed. A member enters as a learner and becomes a voter once it holds
 // nearly all of the log. A change that changes nothing costs no entry.
--- a/coord/consensus/node.go
+++ b/coord/consensus/node.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -71,24 +70,6 @@
 	return n
 }
 
-// Check reports whether the state can be used: entries follow the snapshot without a gap, and terms never fall.
-func (s *PersistedState) Check() error {
-	index, term := s.Snapshot.Index, s.Snapshot.Term
-	if index == 0 && len(s.Entries) > 0 {
-		return fmt.Errorf("%w: entries without a snapshot", ErrInvalidState)
-	}
-	for _, entry := range s.Entries {
-		if entry.Index != index+1 {
-			return fmt.Errorf("%w: entry %d follows %d", ErrInvalidState, entry.Index, index)
-		}
-		if entry.Term < term {
-			return fmt.Errorf("%w: entry %d of term %d follows term %d", ErrInvalidState, entry.Index, entry.Term, term)
-		}
-		index, term = entry.Index, entry.Term
-	}
-	return nil
-}
-
 func (n *Node) restoreLog(stored PersistedState) {
 	base := stored.Snapshot
 	n.log = entryLog{baseIndex: base.Index, baseTerm: base.Term}
@@ -144,91 +125,6 @@
 	return n.electionDeadline
 }
 
-// Step takes a message from another member. Messages may be lost, repeated, late and out of order.
-func (n *Node) Step(now time.Duration, message Message) {
-	n.advanceClock(now)
-	if message.To != n.config.ID || message.From == n.config.ID {
-		return
-	}
-	n.checkQuorum()
-	if n.lacksGroupState() && !isLeaderMessage(message.Kind) {
-		return
-	}
-	if message.Term < n.term && !n.acceptsStaleTerm(message) {
-		n.rejectStaleTerm(message)
-		return
-	}
-	if message.Term > n.term && !n.acceptNewerTerm(message) {
-		return
-	}
-	n.handleMessage(message)
-}
-
-func (n *Node) handleMessage(message Message) {
-	switch message.Kind {
-	case MessagePreVote:
-		n.handlePreVote(message)
-	case MessagePreVoteReply:
-		n.handlePreVoteReply(message)
-	case MessageRequestVote:
-		n.handleRequestVote(message)
-	case MessageRequestVoteReply:
-		n.handleRequestVoteReply(message)
-	case MessageAppendEntries:
-		n.handleAppendEntries(message)
-	case MessageHeartbeat:
-		n.handleHeartbeat(message)
-	case MessageInstallSnapshot:
-		n.handleInstallSnapshot(message)
-	case MessageAppendEntriesReply, MessageInstallSnapshotReply:
-		n.handleAppendEntriesReply(message)
-	case MessageHeartbeatReply:
-		n.handleHeartbeatReply(message)
-	case MessageTimeoutNow:
-		n.handleTimeoutNow(message)
-	}
-}
-
-// isLeaderMessage reports whether only a leader sends messages of this kind.
-func isLeaderMessage(kind MessageKind) bool {
-	return kind == MessageAppendEntries || kind == MessageHeartbeat || kind == MessageInstallSnapshot
-}
-
-// acceptsStaleTerm reports whether a message of a former term is taken all the same.
-func (n *Node) acceptsStaleTerm(message Message) bool {
-	return message.Kind == MessageAppendEntries && !n.enforces(RuleAppendCurrentTerm)
-}
-
-// rejectStaleTerm tells the sender of a former term's message the present term.
-func (n *Node) rejectStaleTerm(message Message) {
-	reply := Message{To: message.From, Term: n.term, LogIndex: message.LogIndex, Reject: true}
-	switch message.Kind {
-	case MessageAppendEntries, MessageHeartbeat, MessageInstallSnapshot:
-		reply.Kind = MessageAppendEntriesReply
-	case MessagePreVote:
-		reply.Kind = MessagePreVoteReply
-	case MessageRequestVote:
-		reply.Kind = MessageRequestVoteReply
-	default:
-		return
-	}
-	n.send(reply)
-}
-
-// acceptNewerTerm takes over the term of a message from a later one. It returns false if the message is to be ignored.
-func (n *Node) acceptNewerTerm(message Message) bool {
-	switch {
-	case message.Kind == MessagePreVote:
-		return true
-	case message.Kind == MessagePreVoteReply && !message.Reject:
-		return true
-	case message.Kind == MessageRequestVote && n.inLeaderLease() && !message.LeadershipTransfer:
-		return false
-	}
-	n.becomeFollower(message.Term)
-	return true
-}
-
 // becomeFollower enters a term, or leaves the candidate's or leader's role in the present one.
 func (n *Node) becomeFollower(term uint64) {
 	if n.role == RoleLeader {
@@ -268,24 +164,3 @@
 func (n *Node) currentTermCommitted() bool {
 	return n.log.matches(n.commitIndex, n.term)
 }
-
-// Status describes the member.
-func (n *Node) Status() Status {
-	status := Status{
-		Role:         n.role,
-		Term:         n.term,
-		Leader:       n.leaderID,
-		Members:      n.members(),
-		Retired:      n.memberships[len(n.memberships)-1].retired,
-		CommitIndex:  n.commitIndex,
-		AppliedIndex: n.appliedIndex,
-		FirstIndex:   n.log.firstIndex(),
-		LastIndex:    n.log.lastIndex(),
-		DurableIndex: n.persistence.stableIndex,
-		ConfirmedAt:  n.confirmedAt,
-	}
-	if n.role == RoleLeader {
-		status.ConfirmedAt = n.quorumContactAt()
-	}
-	return status
-}
--- /dev/null
+++ b/coord/consensus/quorum.go
@@ -0,0 +1,49 @@
+package consensus
+
+import (
+	"slices"
+)
+
+func (n *Node) isVoter(id MemberID) bool {
+	member, known := findMember(n.members(), id)
+	return known && n.countsInQuorum(member)
+}
+
+// countsInQuorum reports whether a member counts in majorities.
+func (n *Node) countsInQuorum(member Member) bool {
+	return member.Voter || !n.enforces(RuleLearnerNoQuorum)
+}
+
+// hasQuorum reports whether a majority of the voters is in a set.
+func (n *Node) hasQuorum(set map[MemberID]bool) bool {
+	voters, inSet := 0, 0
+	for _, member := range n.members() {
+		if !n.countsInQuorum(member) {
+			continue
+		}
+		voters++
+		if set[member.ID] {
+			inSet++
+		}
+	}
+	return inSet > voters/2
+}
+
+// maxVotersInline is the group size up to which a majority is found without allocating.
+const maxVotersInline = 16
+
+// quorumValue returns the highest value that a majority of voters has reached, 0 without voters.
+func quorumValue(n *Node, members []Member, value func(MemberID) uint64) uint64 {
+	var inline [maxVotersInline]uint64
+	values := inline[:0]
+	for _, member := range members {
+		if n.countsInQuorum(member) {
+			values = append(values, value(member.ID))
+		}
+	}
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[(len(values)-1)/2]
+}
--- a/coord/consensus/replication.go
+++ b/coord/consensus/replication.go
@@ -2,41 +2,8 @@
 
 import (
 	"slices"
-	"time"
 )
 
-// progressState is how a leader sends entries to a peer.
-type progressState uint8
-
-const (
-	stateProbe     progressState = iota // one message at a time, until it is known where the logs agree
-	stateReplicate                      // many messages without waiting for answers
-	stateSnapshot                       // a snapshot is under way
-)
-
-// progress is what a leader knows of a peer.
-type progress struct {
-	id         MemberID
-	removing   bool   // removed by a change that is not committed yet
-	matchIndex uint64 // last entry that it holds durably
-	nextIndex  uint64 // first entry to send
-	state      progressState
-	probeSent  bool     // flowProbe: the message is sent
-	inflight   []uint64 // flowReplicate: the last entry of each unanswered message
-	sentCommit uint64   // commit index as last sent
-
-	contactAt      time.Duration // when the heartbeat was sent that it answered last
-	answeredRound  uint64        // that heartbeat's round
-	lossCheckIndex uint64        // last entry sent before the heartbeat of markRound
-	lossCheckRound uint64        // markRound, 0: none
-
-	snapshotRetryAt time.Duration // flowSnapshot: when it may be sent again
-	snapshotBackoff time.Duration
-}
-
-// maxSnapshotBackoff bounds the doubling of the pause between two snapshots, in election timeouts.
-const maxSnapshotBackoff = 8
-
 func (n *Node) peer(id MemberID) *progress {
 	for _, peer := range n.leaderState.peers {
 		if peer.id == id {
@@ -208,15 +175,6 @@
 	return found
 }
 
-// becomeProbe sends one message at a time from next on.
-func (p *progress) becomeProbe(next uint64) {
-	p.state = stateProbe
-	p.nextIndex = next
-	p.probeSent = false
-	p.inflight = nil
-	p.lossCheckRound = 0
-}
-
 // updateMatch takes note that a peer holds entries durably up to one index and shares the log up to another.
 func (n *Node) updateMatch(peer *progress, durableIndex, matchingIndex uint64) {
 	matchingIndex = min(max(matchingIndex, durableIndex), n.log.lastIndex())
@@ -233,51 +191,3 @@
 	}
 	n.advanceCommit()
 }
-
-// startLossCheck notes what was sent before a heartbeat, so that its answer shows a loss.
-func (p *progress) startLossCheck(number uint64) {
-	if p.state == stateReplicate && p.lossCheckRound == 0 {
-		p.lossCheckIndex, p.lossCheckRound = p.nextIndex-1, number
-	}
-}
-
-// handleHeartbeatReply confirms the leader's term and shows what was lost on the way.
-func (n *Node) handleHeartbeatReply(message Message) {
-	peer := n.peer(message.From)
-	if n.role != RoleLeader || peer == nil {
-		return
-	}
-	if sent, known := n.roundSentAt(message.HeartbeatRound); known {
-		peer.answeredRound = max(peer.answeredRound, message.HeartbeatRound)
-		peer.contactAt = max(peer.contactAt, sent)
-	}
-	n.confirmReads()
-	n.updateMatch(peer, message.HintIndex, message.LogIndex)
-	if n.role == RoleLeader {
-		n.resendLost(peer, message)
-	}
-}
-
-// resendLost goes back to what a peer lacks although it was sent before the heartbeat that it answers.
-func (n *Node) resendLost(peer *progress, message Message) {
-	switch peer.state {
-	case stateProbe:
-		peer.probeSent = false
-		if peer.nextIndex > n.log.lastIndex() && message.LogIndex < n.log.lastIndex() {
-			n.sendEntries(peer)
-		}
-	case stateSnapshot:
-		if n.now >= peer.snapshotRetryAt {
-			peer.becomeProbe(peer.matchIndex + 1)
-		}
-	case stateReplicate:
-		if peer.lossCheckRound == 0 || message.HeartbeatRound < peer.lossCheckRound {
-			return
-		}
-		lost := message.LogIndex < peer.lossCheckIndex
-		peer.lossCheckRound = 0
-		if lost {
-			peer.becomeProbe(max(peer.matchIndex, min(message.LogIndex, n.log.lastIndex())) + 1)
-		}
-	}
-}
