--- a/coord/consensus/commit.go
+++ b/coord/consensus/commit.go
@@ -1,11 +1,13 @@
 package consensus
 
-// advanceCommit commits the entries that a majority holds, if the last of them is of the own term.
+// advanceCommit commits the entries that are durable at a majority of voters, provided that the last of
+// them is of the current term: entries of former terms are committed by the commit of a later one alone
+// (paper 5.4.2).
 func (n *Node) advanceCommit() {
 	if n.role != RoleLeader {
 		return
 	}
-	quorumIndex := quorumValue(n, n.members(), n.matchIndexOf)
+	quorumIndex := n.quorumValue(n.members(), n.matchIndexOf)
 	if !n.enforces(RuleCommitMajority) {
 		quorumIndex = n.matchIndexOf(n.config.ID)
 	}
@@ -18,11 +20,11 @@
 	}
 	n.releaseUncommitted(quorumIndex)
 	n.commitTo(quorumIndex)
-	n.verifiedIndex = n.commitIndex
+	n.follower.verifiedIndex = n.commitIndex
 	n.finishMembershipChange()
 }
 
-// matchIndexOf returns the last entry that a member holds durably.
+// matchIndexOf returns the last entry that a member is known to have made durable.
 func (n *Node) matchIndexOf(id MemberID) uint64 {
 	if id == n.config.ID {
 		if !n.enforces(RuleLeaderEntriesDurable) {
@@ -36,17 +38,17 @@
 	return 0
 }
 
-// finishMembershipChange acts on a committed change of members: removed peers get a last word, and a
-// leader that is no voter any more steps down.
+// finishMembershipChange acts on the commit of a membership change: removed peers are sent it, so that they
+// stop campaigning, and a leader that is no longer a voter hands over to the best peer and steps down.
 func (n *Node) finishMembershipChange() {
-	if n.memberships[len(n.memberships)-1].index > n.commitIndex {
+	if n.currentMembership().index > n.commitIndex {
 		return
 	}
 	n.dropRemovedPeers()
 	if n.isVoter(n.config.ID) {
 		return
 	}
-	for _, peer := range n.leaderState.peers {
+	for _, peer := range n.leader.peers {
 		n.sendCommitIndex(peer)
 	}
 	if best := n.bestTransferTarget(); best != nil && best.matchIndex == n.log.lastIndex() {
--- a/coord/consensus/compaction.go
+++ b/coord/consensus/compaction.go
@@ -1,14 +1,21 @@
 package consensus
 
-// defaultTrailingEntries is how many entries before a snapshot are kept unless the configuration says otherwise.
-const defaultTrailingEntries = 256
+// Bounds of the entries retained before a snapshot for members a little behind.
+const (
+	defaultTrailingEntries = 256     // unless Config.TrailingEntries sets another number
+	maxTrailingBytes       = 1 << 20 // whatever their number
+)
 
-// maxTrailingBytes bounds them, in bytes.
-const maxTrailingBytes = 1 << 20
+// Bounds of the entries that a leader retains for members that are catching up, whatever is compacted meanwhile.
+const (
+	maxCatchUpEntries = 8192
+	maxCatchUpBytes   = 16 << 20
+)
 
-// Compact tells that a snapshot of the state machine at an applied index is durable, so that the entries up to it
-// need not be kept. Data is sent to members that are further behind. Members nil stands for those at index.
-// An index not applied yet, or not after the last snapshot, is ignored.
+// Compact reports that a snapshot of the state machine at an applied index is durable, and drops entries up
+// to it from the log. Members nil stands for the membership at index. Data is sent to members that lack the
+// dropped entries; the core keeps it without copying. An index that is not applied yet, or not after the
+// latest snapshot, is ignored.
 func (n *Node) Compact(index uint64, members []Member, data []byte) {
 	snapshot, known := n.SnapshotAt(index, data)
 	if !known || index <= n.snapshot.Index {
@@ -22,14 +29,15 @@
 	n.compactMemberships(index)
 }
 
-// trailingStart returns the index up to which entries are dropped after a snapshot at index.
+// trailingStart returns the index up to which entries may be dropped after a snapshot at index, with the
+// trailing entries retained.
 func (n *Node) trailingStart(index uint64) uint64 {
-	keep := n.config.TrailingEntries
-	if keep == 0 {
-		keep = defaultTrailingEntries
+	maxEntries := n.config.TrailingEntries
+	if maxEntries == 0 {
+		maxEntries = defaultTrailingEntries
 	}
 	size, count := 0, 0
-	for index > n.log.baseIndex && count < keep {
+	for index > n.log.baseIndex && count < maxEntries {
 		size += entrySize(&n.log.entries[index-n.log.baseIndex-1])
 		if size > maxTrailingBytes {
 			break
@@ -40,21 +48,16 @@
 	return index
 }
 
-// Bounds of the entries that a leader keeps for members that catch up, whatever is compacted meanwhile.
-const (
-	maxCatchUpEntries = 8192
-	maxCatchUpBytes   = 16 << 20
-)
-
-// retentionStart returns the index up to which entries may be dropped so that members in touch which lack some of them,
-// or are being sent a snapshot that stands before them, find the entries that they ask for next: else changes that
-// go on could compact the log away under a member that catches up, again and again. What is kept is bounded.
+// retentionStart lowers the index up to which entries are dropped, so that active peers that are catching
+// up find the entries that they need next: those they lack, or those after the snapshot that they are being
+// sent. Otherwise steady writes could compact the log away under such a peer again and again, and it would
+// need a snapshot each time. What is retained is bounded.
 func (n *Node) retentionStart(compactTo uint64) uint64 {
 	if n.role != RoleLeader || !n.enforces(RuleCatchUpRetention) {
 		return compactTo
 	}
 	needed := compactTo
-	for _, peer := range n.leaderState.peers {
+	for _, peer := range n.leader.peers {
 		if matchIndex := peer.expectedMatchIndex(); n.recentlyActive(peer) && matchIndex >= n.log.baseIndex {
 			needed = min(needed, matchIndex)
 		}
@@ -62,12 +65,14 @@
 	return n.boundRetention(needed, compactTo)
 }
 
-// recentlyActive reports whether a peer has answered lately.
+// recentlyActive reports whether a peer has answered a heartbeat within the longest pause between two
+// snapshots.
 func (n *Node) recentlyActive(peer *progress) bool {
 	return peer.contactAt > 0 && n.now-peer.contactAt <= maxSnapshotBackoff*n.config.ElectionTimeout
 }
 
-// boundRetention raises the start of what is kept, but not over most, until the entries after it are within bounds.
+// boundRetention raises needed until the entries after it are within the bounds, and returns it or limit if
+// that is lower.
 func (n *Node) boundRetention(needed, limit uint64) uint64 {
 	size, count, first := 0, 0, n.log.lastIndex()
 	for first > needed {
@@ -81,8 +86,9 @@
 	return min(first, limit)
 }
 
-// SnapshotAt describes the snapshot of the state machine at an applied index, to be made durable
-// before Compact is called. It returns false if the index is not applied or no longer held.
+// SnapshotAt returns the description of a snapshot with the state machine's data at an applied index. The
+// caller makes it durable and calls Compact then. It returns false if the index is not applied, or before
+// the latest snapshot.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, bool) {
 	term, present := n.log.term(index)
 	if !present || index > n.appliedIndex || index < n.snapshot.Index {
--- a/coord/consensus/config.go
+++ b/coord/consensus/config.go
@@ -5,34 +5,38 @@
 	"time"
 )
 
-// Config sets up a member.
+// Config configures a member. All but Seed and DisabledRules should be the same on all members of a group.
 type Config struct {
 	ID                MemberID
-	ElectionTimeout   time.Duration // least silence of the leader before a campaign; drawn up to twice this
-	HeartbeatInterval time.Duration // pause between a leader's heartbeats
-	MaxAppendBytes    int           // most bytes of entries in one message
-	MaxInflight       int           // most unanswered Append messages for a member
-	Seed              uint64        // of the draws of election timeouts
-	TrailingEntries   int           // entries kept before a snapshot for members a little behind; 0: 256, negative: none
-	DisabledRules     []Rule        // checks left out, by tests alone
+	ElectionTimeout   time.Duration // shortest time without a leader before an election; the time is drawn from there up to twice this
+	HeartbeatInterval time.Duration // between two heartbeats of a leader
+	MaxAppendBytes    int           // bound of the entries in one AppendEntries; a larger entry is sent alone
+	MaxInflight       int           // bound of the unanswered AppendEntries to one member
+	Seed              uint64        // of the random election timeouts
+	TrailingEntries   int           // entries retained before a snapshot for members a little behind; 0: defaultTrailingEntries, negative: none
+	DisabledRules     []Rule        // set by tests alone, to show that each rule is needed
 }
 
 // PersistedState is what a member finds on its disk. The zero value is an empty disk: such a member
-// has no vote and waits for a leader to send it the group's state.
+// gives no vote and waits for a leader to send it the group's state.
 type PersistedState struct {
 	HardState HardState
 	Snapshot  Snapshot // Index 0: none
 	Entries   []Entry  // those after the snapshot
 }
 
-// Bootstrap returns the state of a group's first members at its formation: a snapshot at index 1
-// of term 1 with nothing but the membership. All founders must be given the same members.
+// Bootstrap returns the state that the first members of a group start from: a snapshot at index 1 of
+// term 1 with the membership and the state machine's initial data. All of them must be given the same
+// members and data.
 func Bootstrap(members []Member, data []byte) PersistedState {
-	return PersistedState{HardState: HardState{Term: 1, Commit: 1},
-		Snapshot: Snapshot{Index: 1, Term: 1, Members: members, Data: data}}
+	return PersistedState{
+		HardState: HardState{Term: 1, Commit: 1},
+		Snapshot:  Snapshot{Index: 1, Term: 1, Members: members, Data: data},
+	}
 }
 
-// Check reports whether the state can be used: entries follow the snapshot without a gap, and terms never fall.
+// Check returns an error that wraps ErrInvalidState unless the entries follow the snapshot without a
+// gap and their terms never decrease.
 func (s *PersistedState) Check() error {
 	index, term := s.Snapshot.Index, s.Snapshot.Term
 	if index == 0 && len(s.Entries) > 0 {
--- a/coord/consensus/follower.go
+++ b/coord/consensus/follower.go
@@ -1,28 +1,42 @@
 package consensus
 
-import "fmt"
+import (
+	"fmt"
+	"time"
+)
 
-// recordLeaderContact takes note of a message from the leader of the present term.
+// followerState is what a follower knows of its leader and of their logs.
+type followerState struct {
+	leaderContactAt time.Duration // when it last heard from the leader
+	verifiedIndex   uint64        // up to here the log is known to match the leader's; of a leader, its commit index
+	ackedIndex      uint64        // highest index acknowledged to the leader of this term
+	confirmedAt     time.Duration // Status.ConfirmedAt
+}
+
+// recordLeaderContact records a message from the leader of the current term: it renews the leader's lease
+// and puts the election off.
 func (n *Node) recordLeaderContact(message Message) {
 	if n.role != RoleFollower {
 		n.becomeFollower(n.term)
 	}
 	if n.leaderID != message.From {
 		n.leaderID = message.From
-		n.pendingVote = 0
+		n.election.pendingVote = 0
 	}
-	n.leaderContactAt = n.now
+	n.follower.leaderContactAt = n.now
 	n.resetElectionDeadline()
 }
 
-// confirmIfUpToDate records that the member holds all that its leader had committed.
+// confirmIfUpToDate records that the member has all entries that its leader had committed when it sent a
+// message just received.
 func (n *Node) confirmIfUpToDate(leaderCommit uint64) {
-	if (leaderCommit <= n.verifiedIndex || !n.enforces(RuleConfirmedUpToDate)) && !n.lacksGroupState() {
-		n.confirmedAt = n.now
+	if (leaderCommit <= n.follower.verifiedIndex || !n.enforces(RuleConfirmedUpToDate)) && !n.lacksGroupState() {
+		n.follower.confirmedAt = n.now
 	}
 }
 
-// handleAppendEntries takes entries that follow one which the member shares with its leader.
+// handleAppendEntries appends the leader's entries if the entry before them matches, and rejects them
+// otherwise (paper 5.3). They are acknowledged once they are durable.
 func (n *Node) handleAppendEntries(message Message) {
 	if n.role == RoleLeader {
 		return
@@ -41,7 +55,7 @@
 	}
 	added := n.appendMissing(message.Entries)
 	end := message.LogIndex + uint64(len(message.Entries))
-	n.verifiedIndex = max(n.verifiedIndex, end)
+	n.follower.verifiedIndex = max(n.follower.verifiedIndex, end)
 	n.followLeaderCommit(message.Commit)
 	n.confirmIfUpToDate(message.Commit)
 	if !added || n.ackableIndex() >= end {
@@ -49,7 +63,8 @@
 	}
 }
 
-// withoutCommittedEntries cuts off the entries of a message up to the commit index: all logs share those.
+// withoutCommittedEntries returns the message without its entries up to the commit index: all logs share
+// those, and compaction may have dropped them here.
 func (n *Node) withoutCommittedEntries(message Message) Message {
 	end := message.LogIndex + uint64(len(message.Entries))
 	if end <= n.commitIndex {
@@ -62,7 +77,8 @@
 	return message
 }
 
-// rejectAppendEntries tells the leader where the logs may still agree.
+// rejectAppendEntries tells the leader the highest index at which the logs may still match, so that it goes
+// back by a term at a time rather than by an entry (paper 5.3).
 func (n *Node) rejectAppendEntries(message Message) {
 	hintIndex, hintTerm := n.log.findConflictByTerm(message.LogIndex, message.LogTerm)
 	if message.LogIndex > n.log.lastIndex() {
@@ -78,7 +94,8 @@
 	})
 }
 
-// appendMissing appends the entries that the log does not hold yet, in place of any that conflict.
+// appendMissing appends the entries that the log lacks. It truncates the log before an entry that
+// conflicts.
 func (n *Node) appendMissing(entries []Entry) (added bool) {
 	for i, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
@@ -94,45 +111,49 @@
 	return false
 }
 
-// truncate drops the entries from index on, and the changes of members among them.
+// truncate drops the entries from index on, and the memberships among them. It panics if one of them is
+// committed.
 func (n *Node) truncate(index uint64) {
 	if index <= n.commitIndex {
 		panic(fmt.Errorf("%w: entry %d, committed up to %d", ErrCommittedConflict, index, n.commitIndex))
 	}
 	n.log.truncate(index)
-	n.verifiedIndex = min(n.verifiedIndex, index-1)
+	n.follower.verifiedIndex = min(n.follower.verifiedIndex, index-1)
 	n.persistence.truncate(index)
 	if n.enforces(RuleMembershipRollback) {
 		n.rollBackMemberships(index)
 	}
 }
 
-// followLeaderCommit commits what the leader has committed and the member shares with it.
+// followLeaderCommit commits what the leader has committed, as far as the logs are known to match.
 func (n *Node) followLeaderCommit(leaderCommit uint64) {
 	if n.enforces(RuleCommitVerified) {
-		leaderCommit = min(leaderCommit, n.verifiedIndex)
+		leaderCommit = min(leaderCommit, n.follower.verifiedIndex)
 	}
 	n.commitTo(leaderCommit)
 }
 
-// ackableIndex returns up to where the log is the same as the leader's and durable, in a term that is durable.
+// ackableIndex returns the last entry that may be acknowledged: the log matches the leader's up to it, and
+// both the entries and the term are durable.
 func (n *Node) ackableIndex() uint64 {
 	if !n.enforces(RuleAppendDurable) {
-		return n.verifiedIndex
+		return n.follower.verifiedIndex
 	}
 	if n.persistence.durable.Term != n.term {
 		return 0
 	}
-	return min(n.verifiedIndex, n.persistence.stableIndex)
+	return min(n.follower.verifiedIndex, n.persistence.stableIndex)
 }
 
-// acknowledge tells the leader what is held durably, and in HintIndex what is held at all.
+// acknowledge tells the leader up to where the log matches and is durable, and in HintIndex up to where it
+// matches at all.
 func (n *Node) acknowledge() {
-	n.ackedIndex = n.ackableIndex()
-	n.send(Message{Kind: MessageAppendEntriesReply, To: n.leaderID, LogIndex: n.ackedIndex, HintIndex: n.verifiedIndex})
+	n.follower.ackedIndex = n.ackableIndex()
+	n.send(Message{Kind: MessageAppendEntriesReply, To: n.leaderID, LogIndex: n.follower.ackedIndex, HintIndex: n.follower.verifiedIndex})
 }
 
-// handleHeartbeat follows the leader's commit index. A heartbeat without a Context wants no answer.
+// handleHeartbeat follows the leader's commit index, and replies unless the message passes that index
+// alone.
 func (n *Node) handleHeartbeat(message Message) {
 	if n.role == RoleLeader {
 		return
@@ -147,12 +168,12 @@
 		Kind:           MessageHeartbeatReply,
 		To:             message.From,
 		HeartbeatRound: message.HeartbeatRound,
-		LogIndex:       n.verifiedIndex,
+		LogIndex:       n.follower.verifiedIndex,
 		HintIndex:      n.ackableIndex(),
 	})
 }
 
-// handleInstallSnapshot takes the group's state in place of the log, unless the log holds it already.
+// handleInstallSnapshot replaces the log by the leader's snapshot, unless the log contains its last entry.
 func (n *Node) handleInstallSnapshot(message Message) {
 	if n.role == RoleLeader || message.Snapshot == nil {
 		return
@@ -160,9 +181,9 @@
 	n.recordLeaderContact(message)
 	snapshot := message.Snapshot
 	switch {
-	case snapshot.Index <= n.commitIndex:
+	case snapshot.Index <= n.commitIndex: // nothing new
 	case n.log.matches(snapshot.Index, snapshot.Term):
-		n.verifiedIndex = max(n.verifiedIndex, snapshot.Index)
+		n.follower.verifiedIndex = max(n.follower.verifiedIndex, snapshot.Index)
 		n.commitTo(snapshot.Index)
 	default:
 		n.installSnapshot(*snapshot)
@@ -171,7 +192,7 @@
 	n.acknowledge()
 }
 
-// installSnapshot replaces the log by a snapshot.
+// installSnapshot replaces the log, the membership and the state machine's state by a snapshot.
 func (n *Node) installSnapshot(snapshot Snapshot) {
 	n.persistence.replace(n.commitIndex, snapshot.Index)
 	n.log = entryLog{baseIndex: snapshot.Index, baseTerm: snapshot.Term}
@@ -179,7 +200,7 @@
 	n.memberships = []membership{newMembership(snapshot.Index, snapshot.Members)}
 	n.commitIndex = snapshot.Index
 	n.appliedIndex = snapshot.Index
-	n.verifiedIndex = snapshot.Index
+	n.follower.verifiedIndex = snapshot.Index
 	n.pendingRestore = &snapshot
 	n.unpersistedSnapshot = &snapshot
 }
--- a/coord/consensus/heartbeat.go
+++ b/coord/consensus/heartbeat.go
@@ -2,40 +2,45 @@
 
 import "time"
 
-// heartbeatRound is one round of heartbeats.
+// heartbeatRound is one round of heartbeats to all peers. Its number comes back in their replies.
 type heartbeatRound struct {
 	number uint64
 	sentAt time.Duration
 }
 
-// tickLeader sends heartbeats and gives up a term or a transfer that does not get on.
+// tickLeader does what is due for a leader: it steps down without a quorum, gives up a leadership transfer
+// that takes too long and sends heartbeats.
 func (n *Node) tickLeader() {
 	n.checkQuorum()
 	if n.role != RoleLeader {
 		return
 	}
 	n.tickTransfer()
-	if n.now >= n.leaderState.nextHeartbeat {
+	if n.now >= n.leader.nextHeartbeat {
 		n.broadcastHeartbeat()
 	}
 }
 
-// checkQuorum ends the term of a leader that no majority has answered for an election timeout.
+// checkQuorum has a leader step down that no majority has answered for an election timeout: by then another
+// one may be elected. Every call that acts as leader checks this first, so that a process that was
+// suspended does not act on its old term.
 func (n *Node) checkQuorum() {
 	if n.role != RoleLeader {
 		return
 	}
-	if n.now-max(n.quorumContactAt(), n.leaderState.electedAt) > n.config.ElectionTimeout {
+	if n.now-max(n.quorumContactAt(), n.leader.electedAt) > n.config.ElectionTimeout {
 		n.becomeFollower(n.term)
 	}
 }
 
-// quorumContactAt returns the time by which a heartbeat was sent that a majority has answered.
+// quorumContactAt returns the time by which a heartbeat was sent that a majority has answered. No other
+// leader was elected before then.
 func (n *Node) quorumContactAt() time.Duration {
-	return time.Duration(quorumValue(n, n.members(), n.contactAt))
+	return time.Duration(n.quorumValue(n.members(), n.contactAt))
 }
 
-// contactAt returns when the heartbeat was sent that a member answered last.
+// contactAt returns when the latest heartbeat was sent that a member has answered, in nanoseconds for
+// quorumValue; 0 if it has answered none.
 func (n *Node) contactAt(id MemberID) uint64 {
 	if id == n.config.ID {
 		return uint64(n.now)
@@ -46,33 +51,36 @@
 	return 0
 }
 
-// broadcastHeartbeat sends a heartbeat to all peers. Reads that wait are confirmed by its answers.
+// broadcastHeartbeat starts a round: it sends a heartbeat to all peers. The reads that wait for a round are
+// confirmed by the replies.
 func (n *Node) broadcastHeartbeat() {
-	leading := &n.leaderState
-	leading.lastRound++
-	leading.nextHeartbeat = n.now + n.config.HeartbeatInterval
+	leader := &n.leader
+	leader.lastRound++
+	leader.nextHeartbeat = n.now + n.config.HeartbeatInterval
 	n.dropExpiredRounds()
-	leading.rounds = append(leading.rounds, heartbeatRound{number: leading.lastRound, sentAt: n.now})
+	leader.rounds = append(leader.rounds, heartbeatRound{number: leader.lastRound, sentAt: n.now})
 	n.assignReads()
-	for _, peer := range leading.peers {
-		peer.startLossCheck(leading.lastRound)
+	for _, peer := range leader.peers {
+		peer.startLossCheck(leader.lastRound)
 		peer.sentCommit = n.commitIndex
-		n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commitIndex, HeartbeatRound: leading.lastRound})
+		n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commitIndex, HeartbeatRound: leader.lastRound})
 	}
 	n.confirmReads()
 }
 
-// dropExpiredRounds drops rounds so old that an answer to them is worth nothing.
+// dropExpiredRounds drops the rounds sent more than an election timeout ago: a reply to them renews
+// nothing.
 func (n *Node) dropExpiredRounds() {
-	rounds := n.leaderState.rounds
+	rounds := n.leader.rounds
 	for len(rounds) > 0 && n.now-rounds[0].sentAt > n.config.ElectionTimeout {
 		rounds = rounds[1:]
 	}
-	n.leaderState.rounds = rounds
+	n.leader.rounds = rounds
 }
 
+// roundSentAt returns when a round was sent, and false if it is unknown or expired.
 func (n *Node) roundSentAt(number uint64) (time.Duration, bool) {
-	for _, round := range n.leaderState.rounds {
+	for _, round := range n.leader.rounds {
 		if round.number == number {
 			return round.sentAt, true
 		}
@@ -80,7 +88,8 @@
 	return 0, false
 }
 
-// handleHeartbeatReply confirms the leader's term and shows what was lost on the way.
+// handleHeartbeatReply renews the leader's contact with a peer, confirms reads, and resends entries that
+// were lost on the way.
 func (n *Node) handleHeartbeatReply(message Message) {
 	peer := n.peer(message.From)
 	if n.role != RoleLeader || peer == nil {
@@ -97,7 +106,8 @@
 	}
 }
 
-// resendLost goes back to what a peer lacks although it was sent before the heartbeat that it answers.
+// resendLost resumes replication to a peer whose reply lacks entries that were sent before the heartbeat
+// that it answers.
 func (n *Node) resendLost(peer *progress, message Message) {
 	switch peer.state {
 	case stateProbe:
--- a/coord/consensus/membership.go
+++ b/coord/consensus/membership.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// membership is the group's members from an index on.
+// membership is the group's membership from an index of the log on.
 type membership struct {
 	index    uint64
-	members  []Member // those in force
-	recorded []Member // as in the log: with the marks of retired IDs
+	members  []Member // without tombstones
+	recorded []Member // as in the log: with the tombstones of retired IDs
 	retired  []MemberID
 }
 
+// newMembership separates the recorded members from the tombstones.
 func newMembership(index uint64, recorded []Member) membership {
 	result := membership{index: index, recorded: recorded}
 	for _, member := range recorded {
@@ -25,30 +26,37 @@
 	return result
 }
 
-// MembershipChange adds, alters or removes one member.
+// MembershipChange adds, updates or removes one member. One at a time suffices for any two majorities, of
+// before and after, to share a member (dissertation 4.1).
 type MembershipChange struct {
-	Add    *Member  // a new learner, or a member as it shall be from now on
+	Add    *Member  // a new learner, or a member with its new address and role
 	Remove MemberID // if Add is nil
-	Retire bool     // with Remove: the group remembers the ID, which is never a member again
+	Retire bool     // with Remove: a tombstone remains, so that the ID is never admitted again
 }
 
-// maxRetiredMembers bounds the remembered IDs; beyond it the oldest are forgotten.
+// maxRetiredMembers bounds the tombstones; beyond it the oldest are dropped.
 const maxRetiredMembers = 64
 
-// maxPromotionLag is how many entries a learner may lack when it becomes a voter.
+// maxPromotionLag is the number of entries that a learner may lack when it becomes a voter. It also bounds
+// the entries that a removed member is sent at last.
 const maxPromotionLag = 256
 
-// members returns the membership in force: the last one in the log, committed or not.
+// currentMembership returns the last membership in the log.
+func (n *Node) currentMembership() *membership {
+	return &n.memberships[len(n.memberships)-1]
+}
+
+// members returns the current membership: the last one in the log, committed or not (dissertation 4.1).
 func (n *Node) members() []Member {
-	return n.memberships[len(n.memberships)-1].members
+	return n.currentMembership().members
 }
 
-// recorded returns the membership in force with the marks of retired IDs.
+// recorded returns the current membership with the tombstones of retired IDs.
 func (n *Node) recorded() []Member {
-	return n.memberships[len(n.memberships)-1].recorded
+	return n.currentMembership().recorded
 }
 
-// membershipAt returns the membership at an index.
+// membershipAt returns the membership in force at an index.
 func (n *Node) membershipAt(index uint64) membership {
 	i := len(n.memberships) - 1
 	for i > 0 && n.memberships[i].index > index {
@@ -57,7 +65,7 @@
 	return n.memberships[i]
 }
 
-// recordMemberships takes over the memberships in appended entries.
+// recordMemberships takes over the memberships among appended entries.
 func (n *Node) recordMemberships(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind == EntryMembership {
@@ -66,14 +74,14 @@
 	}
 }
 
-// rollBackMemberships undoes the memberships from index on.
+// rollBackMemberships drops the memberships from index on, after a truncation.
 func (n *Node) rollBackMemberships(index uint64) {
-	for len(n.memberships) > 1 && n.memberships[len(n.memberships)-1].index >= index {
+	for len(n.memberships) > 1 && n.currentMembership().index >= index {
 		n.memberships = n.memberships[:len(n.memberships)-1]
 	}
 }
 
-// compactMemberships drops the memberships before the one at index.
+// compactMemberships drops the memberships before the one in force at index.
 func (n *Node) compactMemberships(index uint64) {
 	first := 0
 	for first+1 < len(n.memberships) && n.memberships[first+1].index <= index {
@@ -82,6 +90,7 @@
 	n.memberships = slices.Clone(n.memberships[first:])
 }
 
+// findMember returns the member with an ID.
 func findMember(members []Member, id MemberID) (Member, bool) {
 	for _, member := range members {
 		if member.ID == id {
@@ -91,17 +100,18 @@
 	return Member{}, false
 }
 
-// ChangeMembers appends a change of one member. The change is in force at once; another one is
-// taken when it is committed. A member enters as a learner and becomes a voter once it holds
-// nearly all of the log. A change that changes nothing costs no entry.
-// Errors: ErrNotLeader, ErrTransferring, ErrMemberChange.
+// ChangeMembers appends a change of one member to the leader's log. The change is in force at once, and the
+// next one is allowed when it is committed. A member is added as a learner, and becomes a voter once its
+// log is nearly complete (CanPromote). A change without effect appends nothing.
+//
+// Errors: ErrNotLeader, ErrTransferInProgress, ErrMembershipChange.
 func (n *Node) ChangeMembers(now time.Duration, change MembershipChange) error {
 	n.advanceClock(now)
 	n.checkQuorum()
 	if err := n.checkProposable(); err != nil {
 		return err
 	}
-	if n.memberships[len(n.memberships)-1].index > n.commitIndex && n.enforces(RuleMembershipSingleChange) {
+	if n.currentMembership().index > n.commitIndex && n.enforces(RuleMembershipSingleChange) {
 		return ErrMembershipChange
 	}
 	if !n.currentTermCommitted() && n.enforces(RuleMembershipCurrentTerm) {
@@ -135,7 +145,7 @@
 	return append(altered, *change.Add), true
 }
 
-// removeMember removes a member and leaves its mark if it is retired.
+// removeMember removes a member, and leaves its tombstone if it is retired.
 func removeMember(recorded []Member, change MembershipChange) ([]Member, bool) {
 	member, known := findMember(recorded, change.Remove)
 	if !known || member.Retired {
@@ -148,7 +158,8 @@
 	return trimRetired(append(remaining, Member{ID: change.Remove, Retired: true})), true
 }
 
-// trimRetired drops the marks beyond the bound. Marks stand in the order in which they were made.
+// trimRetired drops the oldest tombstones beyond the bound. They stand in the order in which they were
+// added.
 func trimRetired(recorded []Member) []Member {
 	surplus := -maxRetiredMembers
 	for _, member := range recorded {
@@ -165,8 +176,8 @@
 	})
 }
 
-// changeAllowed reports whether a change is a single, sound one: a voter was a current learner before, and a
-// majority of the new voters is reachable.
+// changeAllowed reports whether a change of a single member is safe and leaves a group that works: a new
+// voter was a learner with a nearly complete log, and a majority of the new voters answers.
 func (n *Node) changeAllowed(change MembershipChange, members []Member) bool {
 	if change.Add != nil && !n.addAllowed(*change.Add, change.Remove) {
 		return false
@@ -177,10 +188,11 @@
 			voters++
 		}
 	}
-	quorumContact := quorumValue(n, members, n.contactAt)
+	quorumContact := n.quorumValue(members, n.contactAt)
 	return voters > 0 && n.now-time.Duration(quorumContact) <= n.config.ElectionTimeout
 }
 
+// addAllowed reports whether a member may be added or updated.
 func (n *Node) addAllowed(added Member, removed MemberID) bool {
 	if added.ID == 0 || removed != 0 || added.Retired {
 		return false
@@ -191,20 +203,19 @@
 	return !added.Voter || n.isVoter(added.ID) || n.CanPromote(added.ID)
 }
 
-// CanPromote reports whether a learner could be made a voter now: it answers, and what it has acknowledged as durable is
-// nearly all of the log. Only the leader knows.
+// CanPromote reports whether a learner may become a voter now: it answers heartbeats, and its durable log
+// is nearly complete and contains the current membership. Only the leader knows; others return false.
 func (n *Node) CanPromote(id MemberID) bool {
 	peer := n.peer(id)
 	if n.role != RoleLeader || peer == nil || peer.removing {
 		return false
 	}
-	responsive := peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
-	caughtUp := peer.matchIndex+maxPromotionLag >= n.log.lastIndex() && peer.matchIndex >= n.memberships[len(n.memberships)-1].index
-	return responsive && caughtUp
+	caughtUp := peer.matchIndex+maxPromotionLag >= n.log.lastIndex() && peer.matchIndex >= n.currentMembership().index
+	return n.responsive(peer) && caughtUp
 }
 
-// MatchIndex returns the last entry that a member is known to hold durably. It returns false on any member but the
-// leader, and for an unknown member.
+// MatchIndex returns the last entry that a member is known to have made durable. It returns false on any
+// member but the leader, and for an unknown member.
 func (n *Node) MatchIndex(id MemberID) (index uint64, known bool) {
 	if n.role != RoleLeader {
 		return 0, false
--- a/coord/consensus/node.go
+++ b/coord/consensus/node.go
@@ -9,45 +9,41 @@
 // NoTick is what NextTick returns if no timeout is running.
 const NoTick = time.Duration(math.MaxInt64)
 
-// Node is one member of a replica group. It is not safe for concurrent use.
+// Node is one member of a replica group. It is not safe for concurrent use: its caller owns it with one
+// goroutine.
 type Node struct {
 	config        Config
 	disabledRules map[Rule]bool
 	random        *rand.Rand
-	now           time.Duration
+	now           time.Duration // of the latest call; never decreases
+	diskWritable  bool          // SetWritable
 
 	role     Role
 	term     uint64
-	votedFor MemberID
-	leaderID MemberID
+	votedFor MemberID // in term; 0: nobody
+	leaderID MemberID // in term; 0: unknown
 
 	log          entryLog
-	snapshot     Snapshot
-	memberships  []membership // the one at the snapshot or before, then those in the log
+	snapshot     Snapshot     // the latest one: sent to members that lack entries no longer in the log
+	memberships  []membership // the one at or before the first entry of the log, then those in the log
 	commitIndex  uint64
-	appliedIndex uint64
-
-	diskWritable     bool
-	electionDeadline time.Duration // of a follower or candidate: when it campaigns
-	leaderContactAt  time.Duration // when the leader was last heard
-	confirmedAt      time.Duration // of a follower: Status.Confirmed
-	verifiedIndex    uint64        // up to where the log is the same as the leader's
-	ackedIndex       uint64        // highest index acknowledged to the leader of this term
-	pendingVote      MemberID      // whom a vote was given that is not durable yet
-
-	grantedVotes        map[MemberID]bool
-	transferElection    bool // the campaign is part of a planned transfer
-	votesRequested      bool
-	leaderState         leaderState
-	persistence         persistenceTracker
+	appliedIndex uint64 // last entry handed out as Ready.Committed
+
+	election    electionState // of a follower or candidate
+	follower    followerState
+	leader      leaderState // of a leader; zero otherwise
+	persistence persistenceTracker
+
+	// What the next Ready hands out.
 	messages            []Message
 	readResults         []ReadResult
-	pendingRestore      *Snapshot // the state machine has not taken it yet
-	unpersistedSnapshot *Snapshot // received and not yet handed out to be made durable
+	pendingRestore      *Snapshot
+	unpersistedSnapshot *Snapshot // received from the leader
 }
 
-// New makes a member from what it found on its disk, which must be durable and pass
-// stored.Check: New panics otherwise. The first Take returns a stored snapshot as Restore.
+// New returns a member that starts from what it found on its disk, which must be durable and pass
+// stored.Check: New panics otherwise. The first Ready returns a stored snapshot as Restore, and the
+// entries known to be committed.
 func New(config Config, stored PersistedState, now time.Duration) *Node {
 	if err := stored.Check(); err != nil {
 		panic(err)
@@ -70,13 +66,14 @@
 	return n
 }
 
+// restoreLog takes over the stored snapshot and entries.
 func (n *Node) restoreLog(stored PersistedState) {
 	base := stored.Snapshot
 	n.log = entryLog{baseIndex: base.Index, baseTerm: base.Term}
 	n.log.append(stored.Entries...)
 	n.commitIndex = max(base.Index, min(stored.HardState.Commit, n.log.lastIndex()))
 	n.appliedIndex = base.Index
-	n.verifiedIndex = n.commitIndex
+	n.follower.verifiedIndex = n.commitIndex
 	n.memberships = []membership{newMembership(base.Index, base.Members)}
 	n.recordMemberships(stored.Entries)
 	if base.Index > 0 {
@@ -86,8 +83,9 @@
 	n.persistence.firstUnsaved = n.log.lastIndex() + 1
 }
 
-// restoreTerm sets the term. An entry may have become durable without the term it belongs to,
-// if power was lost in between: no vote of that term has left this machine then.
+// restoreTerm takes over the stored term and vote. An entry may have become durable without the term
+// that it belongs to, if power was lost between the two writes: the member has sent no vote in that
+// term then, so that it starts the term with its vote free.
 func (n *Node) restoreTerm(hardState HardState) {
 	n.term = hardState.Term
 	if n.log.lastTerm() > n.term {
@@ -97,56 +95,57 @@
 	n.persistence.durable = HardState{Term: hardState.Term, Vote: hardState.Vote}
 }
 
-// advanceClock takes over the caller's time, which never runs backwards.
+// advanceClock takes over the caller's monotonic time. An earlier time than the latest one is ignored.
 func (n *Node) advanceClock(now time.Duration) {
 	n.now = max(n.now, now)
 }
 
-// Tick acts on timeouts that have passed.
+// Tick acts on the time-outs that have passed: of an election, of heartbeats, of a leadership transfer.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == RoleLeader {
 		n.tickLeader()
 		return
 	}
-	if n.now >= n.electionDeadline {
+	if n.now >= n.election.deadline {
 		n.startPreVote()
 	}
 }
 
-// NextTick returns when Tick must be called at the latest, or NoTick.
+// NextTick returns the time by which Tick must be called, or NoTick. It may change with every other call.
 func (n *Node) NextTick() time.Duration {
 	if n.role == RoleLeader {
-		return n.leaderState.nextTick()
+		return n.leader.nextTick()
 	}
 	if !n.canCampaign() {
 		return NoTick
 	}
-	return n.electionDeadline
+	return n.election.deadline
 }
 
-// becomeFollower enters a term, or leaves the candidate's or leader's role in the present one.
+// becomeFollower enters a newer term, or gives up the candidate's or leader's role in the current one.
 func (n *Node) becomeFollower(term uint64) {
 	if n.role == RoleLeader {
 		n.resetLeaderState()
 	}
 	n.role = RoleFollower
 	n.leaderID = 0
-	n.grantedVotes = nil
-	n.pendingVote = 0
+	n.election.grantedVotes = nil
+	n.election.pendingVote = 0
 	n.resetElectionDeadline()
 	if term > n.term {
 		n.enterTerm(term, 0)
 	}
 }
 
+// enterTerm starts a term with a vote, 0 for none. It becomes durable with the next PersistRequest.
 func (n *Node) enterTerm(term uint64, vote MemberID) {
 	n.term, n.votedFor = term, vote
-	n.verifiedIndex = n.commitIndex
-	n.ackedIndex = 0
+	n.follower.verifiedIndex = n.commitIndex
+	n.follower.ackedIndex = 0
 }
 
-// send queues a message of the present term unless it carries one.
+// send queues a message for the next Ready. It is of the current term unless it carries another.
 func (n *Node) send(message Message) {
 	message.From = n.config.ID
 	if message.Term == 0 {
@@ -155,12 +154,12 @@
 	n.messages = append(n.messages, message)
 }
 
-// commitTo raises the commit index.
+// commitTo raises the commit index to an index, at most to the end of the log. It never decreases.
 func (n *Node) commitTo(index uint64) {
 	n.commitIndex = max(n.commitIndex, min(index, n.log.lastIndex()))
 }
 
-// currentTermCommitted reports whether an entry of the present term is committed.
+// currentTermCommitted reports whether an entry of the current term is committed.
 func (n *Node) currentTermCommitted() bool {
 	return n.log.matches(n.commitIndex, n.term)
 }
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -208,7 +208,7 @@
 		if name == "last reachable voter" {
 			g.members[others[0]].stopped, g.members[others[1]].stopped = true, true
 			g.now += testElection * 9 / 10
-			leader.leaderState.electedAt = g.now
+			leader.leader.electedAt = g.now
 			g.now += testElection / 2
 		}
 		if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
--- a/coord/consensus/persistence.go
+++ b/coord/consensus/persistence.go
@@ -1,53 +1,55 @@
 package consensus
 
-// persistenceTracker tracks what of a member's state is durable.
+// persistenceTracker tracks which part of a member's state is durable. Writes are asynchronous: each
+// PersistRequest is a pending write until Persisted reports its sequence.
 type persistenceTracker struct {
-	firstUnsaved uint64    // first entry that no Persist has held yet
-	stableIndex  uint64    // last entry that is durable and still in the log
-	handedOut    HardState // as last handed out
-	durable      HardState // Term and Vote as last reported durable
-	sequence     uint64
-	pending      []pendingWrite // handed out, not yet reported durable
+	firstUnsaved uint64         // first entry that no PersistRequest has contained yet
+	stableIndex  uint64         // last entry that is durable and still in the log
+	handedOut    HardState      // as last put into a PersistRequest
+	durable      HardState      // Term and Vote as last reported durable
+	sequence     uint64         // of the latest PersistRequest
+	pending      []pendingWrite // handed out and not yet reported durable, oldest first
 }
 
-// pendingWrite is what one Persist held.
+// pendingWrite is what one PersistRequest contained.
 type pendingWrite struct {
 	sequence  uint64
-	lastIndex uint64     // last entry, 0 if it held none
-	hardState *HardState // nil if it held none
+	lastIndex uint64     // last entry, 0 if it contained none
+	hardState *HardState // nil if it contained none
 }
 
-// truncate takes note that the log was cut off from index on.
-func (d *persistenceTracker) truncate(index uint64) {
-	d.firstUnsaved = min(d.firstUnsaved, index)
-	d.clampStable(index - 1)
+// truncate records that the log was truncated from index on.
+func (t *persistenceTracker) truncate(index uint64) {
+	t.firstUnsaved = min(t.firstUnsaved, index)
+	t.clampStable(index - 1)
 }
 
-// replace takes note that a snapshot at index takes the place of a log whose entries up to commit
+// replace records that a snapshot at index takes the place of a log whose entries up to commitIndex
 // belong to the snapshot's history.
-func (d *persistenceTracker) replace(commit, index uint64) {
-	d.firstUnsaved = index + 1
-	d.clampStable(commit)
+func (t *persistenceTracker) replace(commitIndex, index uint64) {
+	t.firstUnsaved = index + 1
+	t.clampStable(commitIndex)
 }
 
-// clampStable forgets what is durable after index, now or by a batch under way.
-func (d *persistenceTracker) clampStable(index uint64) {
-	d.stableIndex = min(d.stableIndex, index)
-	for i := range d.pending {
-		d.pending[i].lastIndex = min(d.pending[i].lastIndex, index)
+// clampStable records that entries after index are not durable, nor will be by a pending write: what
+// such a write contains of them has been truncated since.
+func (t *persistenceTracker) clampStable(index uint64) {
+	t.stableIndex = min(t.stableIndex, index)
+	for i := range t.pending {
+		t.pending[i].lastIndex = min(t.pending[i].lastIndex, index)
 	}
 }
 
-// complete takes note that all batches up to a sequence are durable.
-func (d *persistenceTracker) complete(sequence uint64) {
+// complete records that all pending writes up to a sequence are durable.
+func (t *persistenceTracker) complete(sequence uint64) {
 	done := 0
-	for done < len(d.pending) && d.pending[done].sequence <= sequence {
-		write := d.pending[done]
-		d.stableIndex = max(d.stableIndex, write.lastIndex)
+	for done < len(t.pending) && t.pending[done].sequence <= sequence {
+		write := t.pending[done]
+		t.stableIndex = max(t.stableIndex, write.lastIndex)
 		if write.hardState != nil {
-			d.durable = *write.hardState
+			t.durable = *write.hardState
 		}
 		done++
 	}
-	d.pending = d.pending[done:]
+	t.pending = t.pending[done:]
 }
--- a/coord/consensus/quorum.go
+++ b/coord/consensus/quorum.go
@@ -1,15 +1,14 @@
 package consensus
 
-import (
-	"slices"
-)
+import "slices"
 
+// isVoter reports whether a member counts in quorums under the current membership.
 func (n *Node) isVoter(id MemberID) bool {
 	member, known := findMember(n.members(), id)
 	return known && n.countsInQuorum(member)
 }
 
-// countsInQuorum reports whether a member counts in majorities.
+// countsInQuorum reports whether a member counts in quorums: voters do, learners do not.
 func (n *Node) countsInQuorum(member Member) bool {
 	return member.Voter || !n.enforces(RuleLearnerNoQuorum)
 }
@@ -29,11 +28,12 @@
 	return inSet > voters/2
 }
 
-// maxVotersInline is the group size up to which a majority is found without allocating.
+// maxVotersInline is the number of voters up to which quorumValue does not allocate.
 const maxVotersInline = 16
 
-// quorumValue returns the highest value that a majority of voters has reached, 0 without voters.
-func quorumValue(n *Node, members []Member, value func(MemberID) uint64) uint64 {
+// quorumValue returns the highest value that a majority of the voters among members has reached, such as a
+// match index. It returns 0 without voters.
+func (n *Node) quorumValue(members []Member, value func(MemberID) uint64) uint64 {
 	var inline [maxVotersInline]uint64
 	values := inline[:0]
 	for _, member := range members {
--- a/coord/consensus/read.go
+++ b/coord/consensus/read.go
@@ -2,19 +2,22 @@
 
 import "time"
 
-// readQueue holds a leader's reads.
+// readQueue is a leader's pending reads. A round of heartbeats confirms reads that were asked for before it
+// started, so that at most one round is in progress for all of them.
 type readQueue struct {
-	pending []uint64 // IDs that no round confirms yet
+	pending []uint64 // IDs that wait for the next round
 	inRound []roundRead
 }
 
-// roundRead is a read that the answers to a round confirm.
+// roundRead is a read that the replies to a round of heartbeats confirm.
 type roundRead struct {
 	id, index, round uint64
 }
 
-// ReadIndex asks for an index that covers all that was acknowledged before the call. The answer comes in Ready.Reads once
-// a majority has confirmed the leader, or with OK false once it leads no more.
+// ReadIndex asks for an index that covers everything acknowledged before the call (dissertation 6.4). The
+// answer comes in Ready.Reads: with OK once a majority has answered a round of heartbeats that started
+// after the call, or without if the member no longer leads. ID is the caller's, to tell answers apart.
+//
 // Errors: ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, id uint64) error {
 	n.advanceClock(now)
@@ -26,43 +29,44 @@
 		n.readResults = append(n.readResults, ReadResult{ID: id, Index: n.commitIndex, OK: true})
 		return nil
 	}
-	n.leaderState.reads.pending = append(n.leaderState.reads.pending, id)
+	n.leader.reads.pending = append(n.leader.reads.pending, id)
 	return nil
 }
 
-// canServeReads reports whether the leader knows of all that former terms committed.
+// canServeReads reports whether the leader's commit index covers everything that former terms committed: it
+// does once an entry of its own term is committed.
 func (n *Node) canServeReads() bool {
 	return n.currentTermCommitted() || !n.enforces(RuleReadCurrentTerm)
 }
 
-// startReads starts a round for the reads that wait, unless one is under way for others.
+// startReads starts a round of heartbeats for the pending reads, unless one is in progress for others.
 func (n *Node) startReads() {
-	reads := &n.leaderState.reads
+	reads := &n.leader.reads
 	if len(reads.pending) == 0 || len(reads.inRound) > 0 || !n.canServeReads() {
 		return
 	}
 	n.broadcastHeartbeat()
 }
 
-// assignReads has the round that starts confirm the reads that wait.
+// assignReads assigns the pending reads to the round that starts.
 func (n *Node) assignReads() {
-	reads := &n.leaderState.reads
+	reads := &n.leader.reads
 	if !n.canServeReads() {
 		return
 	}
 	for _, id := range reads.pending {
-		reads.inRound = append(reads.inRound, roundRead{id: id, index: n.commitIndex, round: n.leaderState.lastRound})
+		reads.inRound = append(reads.inRound, roundRead{id: id, index: n.commitIndex, round: n.leader.lastRound})
 	}
 	reads.pending = nil
 }
 
 // confirmReads answers the reads whose round a majority has answered.
 func (n *Node) confirmReads() {
-	reads := &n.leaderState.reads
+	reads := &n.leader.reads
 	if len(reads.inRound) == 0 {
 		return
 	}
-	confirmed := quorumValue(n, n.members(), n.answeredRoundOf)
+	confirmed := n.quorumValue(n.members(), n.answeredRoundOf)
 	done := 0
 	for done < len(reads.inRound) && reads.inRound[done].round <= confirmed {
 		read := reads.inRound[done]
@@ -72,10 +76,10 @@
 	reads.inRound = reads.inRound[done:]
 }
 
-// answeredRoundOf returns the last round that a member has answered.
+// answeredRoundOf returns the latest round that a member has answered.
 func (n *Node) answeredRoundOf(id MemberID) uint64 {
 	if id == n.config.ID {
-		return n.leaderState.lastRound
+		return n.leader.lastRound
 	}
 	if peer := n.peer(id); peer != nil {
 		return peer.answeredRound
@@ -83,9 +87,9 @@
 	return 0
 }
 
-// failReads answers all reads of a leader that leads no more.
+// failReads answers all pending reads of a leader that steps down, without OK.
 func (n *Node) failReads() {
-	reads := &n.leaderState.reads
+	reads := &n.leader.reads
 	for _, read := range reads.inRound {
 		n.readResults = append(n.readResults, ReadResult{ID: read.id})
 	}
--- a/coord/consensus/ready.go
+++ b/coord/consensus/ready.go
@@ -1,35 +1,34 @@
 package consensus
 
-import (
-	"time"
-)
+import "time"
+
+// Ready is everything that a member wants its caller to do since the last call of Node.Ready.
+type Ready struct {
+	Persist   *PersistRequest // nil: nothing. Several may be written in one batch, apart from the caller's loop
+	Messages  []Message       // may be sent at once; those that depend on Persist are released by Persisted
+	Restore   *Snapshot       // replaces the state of the state machine, before Committed is applied
+	Committed []Entry         // to be applied in order; each is handed out once in a process's life
+	Reads     []ReadResult
+}
 
 // PersistRequest is what is to be made durable, in this order: Snapshot, then Entries, then HardState.
 // Entries replace all stored entries from the index of the first one on.
 type PersistRequest struct {
-	Sequence  uint64 // to be handed to Persisted once all is durable
+	Sequence  uint64 // to be passed to Persisted once all of it is durable
 	HardState *HardState
 	Entries   []Entry
-	Snapshot  *Snapshot // received from the leader: replaces the whole log
+	Snapshot  *Snapshot // received from the leader; replaces the whole log
 }
 
-// ReadResult answers a Read: the state machine may be read once Index is applied.
+// ReadResult answers a ReadIndex.
 type ReadResult struct {
-	ID    uint64
-	Index uint64
-	OK    bool // false: leadership was lost or could not be confirmed
-}
-
-// Ready is all that a member wants done since the last Take.
-type Ready struct {
-	Persist   *PersistRequest // nil: nothing. May be batched and written apart from the caller's loop
-	Messages  []Message       // may be sent at once; those that rest on Persist come after Persisted
-	Restore   *Snapshot       // the state machine takes this state before it applies Committed
-	Committed []Entry         // to be applied in order, each exactly once in a process's life
-	Reads     []ReadResult
+	ID    uint64 // as passed to ReadIndex
+	Index uint64 // the state machine may be read once this entry is applied
+	OK    bool   // false: leadership was lost or could not be confirmed
 }
 
-// Ready returns all that is to be done since the last call.
+// Ready returns everything that is to be done since the last call. It must be called after each event;
+// several events may share a call, which then batches their messages and writes.
 func (n *Node) Ready() Ready {
 	if n.role == RoleLeader {
 		n.replicateAll()
@@ -48,7 +47,8 @@
 	return ready
 }
 
-// nextPersistRequest returns what is not handed out yet. A commit index alone costs no write.
+// nextPersistRequest returns what has not been handed out yet, or nil. A commit index that rose causes no
+// write of its own: after a restart it is learnt again from the leader.
 func (n *Node) nextPersistRequest() *PersistRequest {
 	hardState := HardState{Term: n.term, Vote: n.votedFor, Commit: n.commitIndex}
 	handedOut := n.persistence.handedOut
@@ -73,8 +73,9 @@
 	return request
 }
 
-// Persisted reports that what the Persist of this sequence and all before it held is durable. Whatever rests on it
-// is released.
+// Persisted reports that the PersistRequest of this sequence, and all before it, are durable. It releases
+// the messages that depend on them: votes, vote requests and acknowledgements. A leader counts its own
+// copy of the entries from here on.
 func (n *Node) Persisted(now time.Duration, sequence uint64) {
 	n.advanceClock(now)
 	n.persistence.complete(sequence)
@@ -85,7 +86,7 @@
 		n.requestVotesIfDurable()
 	default:
 		n.grantVoteIfDurable()
-		if n.leaderID != 0 && n.ackableIndex() > n.ackedIndex {
+		if n.leaderID != 0 && n.ackableIndex() > n.follower.ackedIndex {
 			n.acknowledge()
 		}
 	}
--- a/coord/consensus/replication.go
+++ b/coord/consensus/replication.go
@@ -1,11 +1,10 @@
 package consensus
 
-import (
-	"slices"
-)
+import "slices"
 
+// peer returns the progress of a peer, or nil if it is none of the leader's.
 func (n *Node) peer(id MemberID) *progress {
-	for _, peer := range n.leaderState.peers {
+	for _, peer := range n.leader.peers {
 		if peer.id == id {
 			return peer
 		}
@@ -13,7 +12,8 @@
 	return nil
 }
 
-// syncPeers makes the peers those of the membership in force. Removed ones stay until the change is committed.
+// syncPeers makes the peers those of the current membership. Removed ones stay until their removal is
+// committed.
 func (n *Node) syncPeers() {
 	for _, member := range n.members() {
 		if member.ID == n.config.ID {
@@ -23,17 +23,17 @@
 			peer.removing = false
 			continue
 		}
-		n.leaderState.peers = append(n.leaderState.peers, &progress{id: member.ID, nextIndex: n.log.lastIndex() + 1})
+		n.leader.peers = append(n.leader.peers, &progress{id: member.ID, nextIndex: n.log.lastIndex() + 1})
 	}
-	for _, peer := range n.leaderState.peers {
+	for _, peer := range n.leader.peers {
 		_, known := findMember(n.members(), peer.id)
 		peer.removing = !known
 	}
 }
 
-// dropRemovedPeers tells removed peers that their removal is committed, and forgets them.
+// dropRemovedPeers sends removed peers the entries up to their committed removal, and forgets them.
 func (n *Node) dropRemovedPeers() {
-	n.leaderState.peers = slices.DeleteFunc(n.leaderState.peers, func(peer *progress) bool {
+	n.leader.peers = slices.DeleteFunc(n.leader.peers, func(peer *progress) bool {
 		if peer.removing {
 			n.sendFinalEntries(peer)
 		}
@@ -41,7 +41,8 @@
 	})
 }
 
-// sendFinalEntries sends a removed peer what it lacks up to the commit index, in one message.
+// sendFinalEntries sends a removed peer the entries that it lacks up to the commit index, in one message,
+// unless they are many.
 func (n *Node) sendFinalEntries(peer *progress) {
 	prevIndex := peer.matchIndex
 	prevTerm, present := n.log.term(prevIndex)
@@ -58,16 +59,17 @@
 	})
 }
 
-// replicateAll sends what peers lack. It is called once for all that came in between two Takes.
+// replicateAll sends peers the entries, snapshots and commit index that they lack. Ready calls it, once for
+// all events since the Ready before.
 func (n *Node) replicateAll() {
 	n.startReads()
-	for _, peer := range n.leaderState.peers {
+	for _, peer := range n.leader.peers {
 		n.replicateTo(peer)
 	}
 	n.finishTransfer()
 }
 
-// replicateTo sends a peer the entries that it lacks, as far as its flow allows, and the commit index.
+// replicateTo sends a peer the entries that it lacks, as far as its state allows, and the commit index.
 func (n *Node) replicateTo(peer *progress) {
 	for peer.nextIndex <= n.log.lastIndex() && n.canSend(peer) {
 		n.sendEntries(peer)
@@ -77,6 +79,7 @@
 	}
 }
 
+// canSend reports whether the peer's state allows a further AppendEntries.
 func (n *Node) canSend(peer *progress) bool {
 	switch peer.state {
 	case stateProbe:
@@ -88,7 +91,8 @@
 	}
 }
 
-// sendEntries sends one message of entries, none if the peer has all, or a snapshot if they are not held any more.
+// sendEntries sends a peer one AppendEntries from its next index on, without entries if it has all of them.
+// If they are no longer in the log, it sends a snapshot.
 func (n *Node) sendEntries(peer *progress) {
 	prevIndex := peer.nextIndex - 1
 	prevTerm, present := n.log.term(prevIndex)
@@ -114,7 +118,8 @@
 	peer.inflight = append(peer.inflight, peer.nextIndex-1)
 }
 
-// sendSnapshot sends the last snapshot to a peer that is reachable.
+// sendSnapshot sends the latest snapshot to a peer that has answered a heartbeat, unless the last one was
+// sent too recently. Until then the peer is only probed.
 func (n *Node) sendSnapshot(peer *progress) {
 	peer.becomeProbe(peer.nextIndex)
 	peer.probeSent = true
@@ -130,13 +135,13 @@
 	n.send(Message{Kind: MessageInstallSnapshot, To: peer.id, Commit: n.commitIndex, Snapshot: &snapshot})
 }
 
-// sendCommitIndex sends the commit index alone.
+// sendCommitIndex sends a peer the commit index alone; it does not reply.
 func (n *Node) sendCommitIndex(peer *progress) {
 	peer.sentCommit = n.commitIndex
 	n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commitIndex})
 }
 
-// handleAppendEntriesReply takes what a peer says it holds, or where to go on.
+// handleAppendEntriesReply records what a peer acknowledged, or goes back to where the logs may match.
 func (n *Node) handleAppendEntriesReply(message Message) {
 	peer := n.peer(message.From)
 	if n.role != RoleLeader || peer == nil {
@@ -149,8 +154,9 @@
 	n.updateMatch(peer, message.LogIndex, message.HintIndex)
 }
 
-// backtrack lowers a peer's next entry to where the logs may agree. A peer that refuses what it acknowledged lost its
-// disk without a new ID: it gets no more than the probes with heartbeats.
+// backtrack lowers a peer's next index to where the logs may match. A peer that rejects what it
+// acknowledged has lost its disk without a new ID: it gets no more than the probes that follow heartbeat
+// replies.
 func (n *Node) backtrack(peer *progress, message Message) {
 	stale := message.LogIndex <= peer.matchIndex || message.LogIndex >= peer.nextIndex
 	if peer.state == stateProbe {
@@ -162,8 +168,8 @@
 	peer.becomeProbe(max(peer.matchIndex, n.highestPossibleMatch(message.HintIndex, message.HintTerm)) + 1)
 }
 
-// highestPossibleMatch returns the highest index at which a log may agree whose entry at index is of the given term. It is
-// before the leader's first entries if only a snapshot helps.
+// highestPossibleMatch returns the highest index at which a peer's log may match whose entry at index has
+// the given term. It lies before the log's first entry if only a snapshot helps.
 func (n *Node) highestPossibleMatch(index, term uint64) uint64 {
 	if index < n.log.baseIndex {
 		return index
@@ -175,7 +181,8 @@
 	return found
 }
 
-// updateMatch takes note that a peer holds entries durably up to one index and shares the log up to another.
+// updateMatch records that a peer's log matches up to matchingIndex and is durable up to durableIndex. Once
+// the entry before the next index matches, replication goes on with several messages in flight.
 func (n *Node) updateMatch(peer *progress, durableIndex, matchingIndex uint64) {
 	matchingIndex = min(max(matchingIndex, durableIndex), n.log.lastIndex())
 	peer.matchIndex = max(peer.matchIndex, min(durableIndex, n.log.lastIndex()))
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -66,7 +66,7 @@
 
 // ackHeartbeat has a peer answer the last round of heartbeats.
 func (n *ruleNode) ackHeartbeat(peer MemberID) {
-	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, HeartbeatRound: n.leaderState.lastRound})
+	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, HeartbeatRound: n.leader.lastRound})
 }
 
 func containsMessage(messages []Message, kind MessageKind, to MemberID, reject bool) bool {
@@ -254,16 +254,18 @@
 
 func TestRules_eachPreventsHarm(t *testing.T) {
 	for _, rule := range Rules() {
-		scenario := ruleScenarios[rule]
-		if scenario == nil {
+		if ruleScenarios[rule] == nil {
 			t.Errorf("%s: no scenario", rule)
-			continue
-		}
-		if scenario(t) {
-			t.Errorf("%s: harm although the rule holds", rule)
-		}
-		if !scenario(t, rule) {
-			t.Errorf("%s: no harm without the rule", rule)
 		}
 	}
+	for rule, scenario := range ruleScenarios {
+		t.Run(string(rule), func(t *testing.T) {
+			if scenario(t) {
+				t.Error("harm although the rule is enforced")
+			}
+			if !scenario(t, rule) {
+				t.Error("no harm without the rule")
+			}
+		})
+	}
 }
--- a/coord/consensus/step.go
+++ b/coord/consensus/step.go
@@ -1,10 +1,9 @@
 package consensus
 
-import (
-	"time"
-)
+import "time"
 
-// Step takes a message from another member. Messages may be lost, repeated, late and out of order.
+// Step handles a message from another member. Messages may be lost, duplicated, delayed and reordered. It
+// panics with an error that wraps ErrCommittedConflict if the group's logs have diverged.
 func (n *Node) Step(now time.Duration, message Message) {
 	n.advanceClock(now)
 	if message.To != n.config.ID || message.From == n.config.ID {
@@ -24,6 +23,7 @@
 	n.handleMessage(message)
 }
 
+// handleMessage handles a message of the current term, or one that needs no agreement on the term.
 func (n *Node) handleMessage(message Message) {
 	switch message.Kind {
 	case MessagePreVote:
@@ -49,12 +49,14 @@
 	}
 }
 
-// acceptsStaleTerm reports whether a message of a former term is taken all the same.
+// acceptsStaleTerm reports whether a message of a former term is handled all the same: never, unless a test
+// disables the rule.
 func (n *Node) acceptsStaleTerm(message Message) bool {
 	return message.Kind == MessageAppendEntries && !n.enforces(RuleAppendCurrentTerm)
 }
 
-// rejectStaleTerm tells the sender of a former term's message the present term.
+// rejectStaleTerm replies to a request of a former term with the current one, so that its sender steps
+// down.
 func (n *Node) rejectStaleTerm(message Message) {
 	reply := Message{To: message.From, Term: n.term, LogIndex: message.LogIndex, Reject: true}
 	switch message.Kind {
@@ -70,7 +72,8 @@
 	n.send(reply)
 }
 
-// acceptNewerTerm takes over the term of a message from a later one. It returns false if the message is to be ignored.
+// acceptNewerTerm enters the term of a message from a later one. It returns false if the message is to be
+// ignored. Pre-votes leave the term as it is.
 func (n *Node) acceptNewerTerm(message Message) bool {
 	switch {
 	case message.Kind == MessagePreVote:
--- a/coord/consensus/transfer.go
+++ b/coord/consensus/transfer.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// leadershipTransfer is a planned transfer of leadership.
+// leadershipTransfer is a transfer of leadership to another voter. Proposals are rejected meanwhile.
 type leadershipTransfer struct {
-	target         MemberID // 0: none under way
-	deadline       time.Duration
-	timeoutNowSent bool          // the successor was told to campaign
-	retryAt        time.Duration // when a leader whose disk takes no writes may try again
+	target         MemberID      // 0: no transfer is in progress
+	deadline       time.Duration // when it is given up
+	timeoutNowSent bool
+	retryAt        time.Duration // when a leader whose disk takes no writes may start another
 }
 
-// TransferLeadership hands leadership over to another voter, or to the most current one if to is 0. Until it is
-// done, or an election timeout has passed, proposals are refused.
-// Errors: ErrNotLeader, ErrTransferring, ErrNoSuccessor.
+// TransferLeadership starts a transfer of leadership to another voter, or to the one with the most complete
+// log if target is 0. Until another leader is known, or an election timeout has passed, proposals are
+// rejected.
+//
+// Errors: ErrNotLeader, ErrTransferInProgress, ErrNoTransferTarget.
 func (n *Node) TransferLeadership(now time.Duration, target MemberID) error {
 	n.advanceClock(now)
 	n.checkQuorum()
@@ -29,16 +31,15 @@
 	if target == n.config.ID || n.peer(target) == nil || !n.isVoter(target) {
 		return ErrNoTransferTarget
 	}
-	n.leaderState.transfer = leadershipTransfer{target: target, deadline: n.now + n.config.ElectionTimeout}
+	n.leader.transfer = leadershipTransfer{target: target, deadline: n.now + n.config.ElectionTimeout}
 	return nil
 }
 
-// bestTransferTarget returns the reachable voter that holds most of the log, or nil.
+// bestTransferTarget returns the responsive voter with the most complete durable log, or nil.
 func (n *Node) bestTransferTarget() *progress {
 	var best *progress
-	for _, peer := range n.leaderState.peers {
-		reachable := peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
-		if !reachable || !n.isVoter(peer.id) {
+	for _, peer := range n.leader.peers {
+		if !n.responsive(peer) || !n.isVoter(peer.id) {
 			continue
 		}
 		if best == nil || peer.matchIndex > best.matchIndex {
@@ -48,9 +49,10 @@
 	return best
 }
 
-// startTransferToBestPeer starts a transfer if the last one was not too long ago.
+// startTransferToBestPeer starts a transfer away from a leader whose disk takes no writes, unless the last
+// attempt was less than two election timeouts ago.
 func (n *Node) startTransferToBestPeer() {
-	transfer := &n.leaderState.transfer
+	transfer := &n.leader.transfer
 	if transfer.target != 0 || n.now < transfer.retryAt {
 		return
 	}
@@ -58,13 +60,18 @@
 	if best == nil {
 		return
 	}
-	pause := 2 * n.config.ElectionTimeout
-	n.leaderState.transfer = leadershipTransfer{target: best.id, deadline: n.now + n.config.ElectionTimeout, retryAt: n.now + pause}
+	backoff := 2 * n.config.ElectionTimeout
+	n.leader.transfer = leadershipTransfer{
+		target:   best.id,
+		deadline: n.now + n.config.ElectionTimeout,
+		retryAt:  n.now + backoff,
+	}
 }
 
-// tickTransfer gives up a transfer that takes too long, and starts one if the leader's disk takes no writes.
+// tickTransfer gives up a transfer that takes too long, and starts one if the leader's disk takes no
+// writes.
 func (n *Node) tickTransfer() {
-	transfer := &n.leaderState.transfer
+	transfer := &n.leader.transfer
 	if transfer.target != 0 && n.now >= transfer.deadline {
 		*transfer = leadershipTransfer{retryAt: transfer.retryAt}
 	}
@@ -73,9 +80,9 @@
 	}
 }
 
-// finishTransfer tells the successor to campaign once it holds the whole log.
+// finishTransfer asks the target to start an election once its log is complete and durable.
 func (n *Node) finishTransfer() {
-	transfer := &n.leaderState.transfer
+	transfer := &n.leader.transfer
 	if transfer.target == 0 || transfer.timeoutNowSent {
 		return
 	}
@@ -87,7 +94,7 @@
 	n.send(Message{Kind: MessageTimeoutNow, To: transfer.target})
 }
 
-// handleTimeoutNow campaigns at once, without asking first who would vote.
+// handleTimeoutNow starts an election at once, without a pre-vote: the leader itself asked for it.
 func (n *Node) handleTimeoutNow(message Message) {
 	if message.From != n.leaderID || !n.canCampaign() {
 		return
