--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -108,15 +108,15 @@
 		machine = c.newStateMachine()
 	}
 	group, err := Open(Options{
-		Directory:    "group",
-		FileSystem:   replica.disk,
-		Self:         replica.member,
-		Founders:     founders,
-		StateMachine: machine,
-		Send:         func(_ consensus.Member, message consensus.Message) { c.send(replica, message) },
-		Clock:        c.clock,
-		OmitRules:    c.omitRules,
-		OmitGuards:   c.omitGuards,
+		Directory:        "group",
+		FileSystem:       replica.disk,
+		Self:             replica.member,
+		BootstrapMembers: founders,
+		StateMachine:     machine,
+		Send:             func(_ consensus.Member, message consensus.Message) { c.send(replica, message) },
+		Clock:            c.clock,
+		OmitRules:        c.omitRules,
+		OmitGuards:       c.omitGuards,
 	})
 	if err != nil {
 		c.t.Fatal(err)
--- a/coord/replica/event_loop.go
+++ b/coord/replica/event_loop.go
@@ -44,7 +44,7 @@
 		reads:        pendingReads{confirming: map[uint64][]chan outcome{}},
 	}
 	l.disk.writable = true
-	l.rememberMembers(options.Founders)
+	l.rememberMembers(options.BootstrapMembers)
 	l.published.status.Store(&Status{Shard: options.Shard, Writable: true})
 	return l
 }
--- a/coord/replica/event_loop_test.go
+++ b/coord/replica/event_loop_test.go
@@ -236,12 +236,12 @@
 func TestOpen_stateMachineCannotRestore(t *testing.T) {
 	member := testMember(1, true)
 	_, err := Open(Options{
-		Directory:    "group",
-		FileSystem:   seglogtest.NewMemoryDisk(),
-		Self:         member,
-		Founders:     []consensus.Member{member},
-		StateMachine: &failingStateMachine{},
-		Send:         func(consensus.Member, consensus.Message) {},
+		Directory:        "group",
+		FileSystem:       seglogtest.NewMemoryDisk(),
+		Self:             member,
+		BootstrapMembers: []consensus.Member{member},
+		StateMachine:     &failingStateMachine{},
+		Send:             func(consensus.Member, consensus.Message) {},
 	})
 	if !errors.Is(err, errStateMachine) {
 		t.Fatalf("got %v", err)
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -33,12 +33,12 @@
 	leading := make(chan struct{})
 	wasLeading := false
 	group, err := replica.Open(replica.Options{
-		Directory:    "group",
-		FileSystem:   seglogtest.NewMemoryDisk(), // leave it out to use the operating system's files
-		Self:         member,
-		Founders:     []consensus.Member{member},
-		StateMachine: machine,
-		Send:         func(consensus.Member, consensus.Message) {}, // no other members
+		Directory:        "group",
+		FileSystem:       seglogtest.NewMemoryDisk(), // leave it out to use the operating system's files
+		Self:             member,
+		BootstrapMembers: []consensus.Member{member},
+		StateMachine:     machine,
+		Send:             func(consensus.Member, consensus.Message) {}, // no other members
 		OnStatus: func(status replica.Status) {
 			if status.IsLeader() && !wasLeading {
 				wasLeading = true
--- a/coord/replica/group.go
+++ b/coord/replica/group.go
@@ -57,10 +57,10 @@
 // openLog recovers the log. If the group is to be formed and the log is empty, it first makes the founding state durable.
 func openLog(options *Options) (*seglog.Log, consensus.PersistedState, error) {
 	log, stored, err := seglog.Open(seglog.Options{FileSystem: options.FileSystem, Directory: options.Directory})
-	if err != nil || len(options.Founders) == 0 || !isEmpty(&stored) {
+	if err != nil || len(options.BootstrapMembers) == 0 || !isEmpty(&stored) {
 		return log, stored, err
 	}
-	stored = consensus.Bootstrap(options.Founders, options.StateMachine.Snapshot())
+	stored = consensus.Bootstrap(options.BootstrapMembers, options.StateMachine.Snapshot())
 	founding := consensus.PersistRequest{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
 	if err := log.Save([]*consensus.PersistRequest{&founding}); err != nil {
 		return nil, consensus.PersistedState{}, errors.Join(err, log.Close())
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -226,7 +226,7 @@
 		Directory:         "group",
 		FileSystem:        seglogtest.NewMemoryDisk(),
 		Self:              member,
-		Founders:          []consensus.Member{member},
+		BootstrapMembers:  []consensus.Member{member},
 		StateMachine:      machine,
 		Send:              func(consensus.Member, consensus.Message) {},
 		ElectionTimeout:   time.Millisecond,
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -30,12 +30,12 @@
 
 // Options configures a Group.
 type Options struct {
-	Shard        shards.ID
-	Directory    string            // used by this group alone
-	FileSystem   seglog.FileSystem // nil: seglog.OSFileSystem
-	Self         consensus.Member
-	Founders     []consensus.Member // voters of a new group; only used if the directory is empty
-	StateMachine StateMachine       // in its initial state
+	Shard            shards.ID
+	Directory        string            // used by this group alone
+	FileSystem       seglog.FileSystem // nil: seglog.OSFileSystem
+	Self             consensus.Member
+	BootstrapMembers []consensus.Member // voters of a new group; only used if the directory is empty
+	StateMachine     StateMachine       // in its initial state
 
 	// Send passes a message to the transport. It is called by the event loop and must not block; messages may be lost. The
 	// address is empty if the group does not know the receiver as a member yet: the transport then looks it up by ID, or drops
--- a/internal/controlplane/server/compatibility_disk_test.go
+++ b/internal/controlplane/server/compatibility_disk_test.go
@@ -111,7 +111,7 @@
 	t.Helper()
 	self := consensus.Member{ID: 41, Address: "192.0.2.1:7100", Voter: true}
 	group, err := replica.Open(replica.Options{
-		Shard: fixture.shard, Directory: directory, Self: self, Founders: []consensus.Member{self}, StateMachine: fixture.machine,
+		Shard: fixture.shard, Directory: directory, Self: self, BootstrapMembers: []consensus.Member{self}, StateMachine: fixture.machine,
 		Send: func(consensus.Member, consensus.Message) {},
 	})
 	if err != nil {
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -138,12 +138,12 @@
 
 func (s *Server) openGroup(shard *shard, founders []consensus.Member) error {
 	group, err := replica.Open(replica.Options{
-		Shard:        shard.id,
-		Directory:    replicaDirectory(s.settings.DataDir, shard.id),
-		FileSystem:   s.environment.FileSystem,
-		Self:         s.self,
-		Founders:     founders,
-		StateMachine: shard.stateMachine,
+		Shard:            shard.id,
+		Directory:        replicaDirectory(s.settings.DataDir, shard.id),
+		FileSystem:       s.environment.FileSystem,
+		Self:             s.self,
+		BootstrapMembers: founders,
+		StateMachine:     shard.stateMachine,
 		Send: func(to consensus.Member, message consensus.Message) {
 			s.network.Send(to, shard.id, message)
 		},
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -88,11 +88,11 @@
 	}
 	m.network = network
 	m.group, err = replica.Open(replica.Options{
-		Shard:        shards.ConfigurationShard,
-		Directory:    directory,
-		Self:         self,
-		Founders:     founders,
-		StateMachine: machine{store: configuration.NewStore()},
+		Shard:            shards.ConfigurationShard,
+		Directory:        directory,
+		Self:             self,
+		BootstrapMembers: founders,
+		StateMachine:     machine{store: configuration.NewStore()},
 		Send: func(to consensus.Member, message consensus.Message) {
 			network.Send(to, shards.ConfigurationShard, message)
 		},
