--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -148,7 +148,7 @@
 		b.learnServed(now, r, a, ev.Elapsed.Seconds())
 		b.fleet.judge(now, w, r.Class, false)
 	case Full:
-		b.est.full.Weigh(a.free-r.Slots, 1, 1, poolSamples)
+		b.est.full.AddWeighted(a.free-r.Slots, 1, 1, poolSamples)
 		if a.free >= r.Slots {
 			// Something else is wrong with it, and with nothing in work it would draw ever more.
 			b.fleet.judge(now, w, r.Class, true)
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -148,13 +148,13 @@
 	ratio := min(max(run/size, usual/oddRatio), usual*oddRatio)
 	p.pace.Add(now, size, ratio*size, windowLen)
 	weight := size / e.run.Or(size, 1)
-	stats.Of(e.kindPace, kind).Weigh(ratio, weight, poolSamples)
-	e.allPace.Weigh(ratio, weight, poolSamples)
+	stats.Of(e.kindPace, kind).AddWeighted(ratio, weight, poolSamples)
+	e.allPace.AddWeighted(ratio, weight, poolSamples)
 	e.run.Add(run, poolSamples)
 	line := stats.Of(e.wait, j.level)
-	line.Weigh(free-j.slots, wait, 1, poolSamples)
-	e.full.Weigh(free-j.slots, 0, 1, poolSamples)
+	line.AddWeighted(free-j.slots, wait, 1, poolSamples)
+	e.full.AddWeighted(free-j.slots, 0, 1, poolSamples)
 	// When all are busy the line would otherwise be read flat up to idle.
-	line.Weigh(idle-j.slots, 0, idleWeight, poolSamples)
+	line.AddWeighted(idle-j.slots, 0, idleWeight, poolSamples)
 	stats.Of(p.process, windowKey{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -41,11 +41,11 @@
 	free       float64
 	topFree    float64 // most free slots ever reported
 
-	unfinished float64       // slots of own jobs out
-	health     []stats.Odds  // over all classes, then of each
-	heardAt    time.Duration // when it last started or answered an own job; 0: not since its start
-	others     float64       // slots that peers say their jobs hold here
-	tokens     float64       // cold budget left, slot-seconds; negative: overdrawn
+	unfinished float64             // slots of own jobs out
+	health     []stats.FailureRate // over all classes, then of each
+	heardAt    time.Duration       // when it last started or answered an own job; 0: not since its start
+	others     float64             // slots that peers say their jobs hold here
+	tokens     float64             // cold budget left, slot-seconds; negative: overdrawn
 	tokensAt   time.Duration
 }
 
@@ -61,8 +61,8 @@
 	peers    map[int]*peerView
 	fresh    int // peers heard of lately
 	byTag    map[uint16]*worker
-	health   []stats.Odds // the same over the fleet
-	shares   []float64    // what each zone takes, by its number; none: all
+	health   []stats.FailureRate // the same over the fleet
+	shares   []float64           // what each zone takes, by its number; none: all
 
 	subscribed, asking bool
 	askTries           int
@@ -71,7 +71,7 @@
 
 func newFleet(s *Settings, rng *rand.Rand) fleet {
 	return fleet{settings: s, rng: rng, byID: map[WorkerID]*worker{}, kindFree: map[int]float64{},
-		meanFree: map[int]*stats.Mean{}, health: make([]stats.Odds, 1+len(s.Classes)),
+		meanFree: map[int]*stats.Mean{}, health: make([]stats.FailureRate, 1+len(s.Classes)),
 		peers: map[int]*peerView{}}
 }
 
@@ -122,7 +122,7 @@
 }
 
 func (f *fleet) newWorker(now time.Duration, id WorkerID) *worker {
-	w := &worker{id: id, tokensAt: now, health: make([]stats.Odds, len(f.health))}
+	w := &worker{id: id, tokensAt: now, health: make([]stats.FailureRate, len(f.health))}
 	w.profile.life = f.spread(sampleLife)
 	w.profile.forget()
 	return w
@@ -250,7 +250,7 @@
 
 // judge books an outcome on a worker's health, over all and for the class: some hit one alone.
 func (f *fleet) judge(now time.Duration, w *worker, class int, failed bool) {
-	for _, of := range [][]stats.Odds{w.health, f.health} {
+	for _, of := range [][]stats.FailureRate{w.health, f.health} {
 		of[0].Add(now, healthLife, failed)
 		of[1+class].Add(now, healthLife, failed)
 	}
@@ -259,8 +259,8 @@
 // failChance estimates the chance of a failure at a worker. A trouble of the whole fleet shuns nobody.
 func (f *fleet) failChance(now time.Duration, w *worker, class int) (chance float64) {
 	for _, at := range [2]int{0, 1 + class} {
-		prior := max(leastFailure, f.health[at].Chance(f.health[at].At, healthLife, 0, healthPrior))
-		chance = max(chance, w.health[at].Chance(now, healthLife, prior, healthPrior))
+		prior := max(leastFailure, f.health[at].Probability(f.health[at].At, healthLife, 0, healthPrior))
+		chance = max(chance, w.health[at].Probability(now, healthLife, prior, healthPrior))
 	}
 	return chance
 }
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -19,7 +19,7 @@
 
 // nearness tells how far down a key's order a worker is, in workers: the least of all is its first home.
 func (f *fleet) nearness(key uint64, w *worker) float64 {
-	return estimate.Nearness(key, uint64(w.id), len(f.list))
+	return estimate.RendezvousRank(key, uint64(w.id), len(f.list))
 }
 
 // settle takes in a request's key: how far down its order its homes go. Without a key all are homes.
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -154,7 +154,7 @@
 	t.line(*p)
 }
 
-func (t *tape) health(h *stats.Odds) {
+func (t *tape) health(h *stats.FailureRate) {
 	t.numbers(&h.Failures, &h.Outcomes)
 	t.span(&h.At)
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -471,7 +471,7 @@
 func TestSendsWithNothingOut(t *testing.T) {
 	b := balancer(t, ruleSettings(0), 1)
 	b.Handle(0, listOf(ListFull, 4))
-	stats.Of(b.est.wait, 0).Weigh(0, 1000, 1, poolSamples)
+	stats.Of(b.est.wait, 0).AddWeighted(0, 1000, 1, poolSamples)
 	req := Request{ID: 1, Cost: time.Second, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
 	if got := b.Handle(0, req); countOf[Send](got) != 1 {
 		t.Errorf("with nothing out: %v", got)
@@ -552,7 +552,7 @@
 	b := busyBalancer(t, s)
 	b.est.size[4].Add(0.01, poolSamples)
 	for range 50 {
-		stats.Of(b.est.wait, 0).Weigh(0, 0.7, 1, poolSamples)
+		stats.Of(b.est.wait, 0).AddWeighted(0, 0.7, 1, poolSamples)
 	}
 	req := Request{ID: 2, Cost: 100 * time.Millisecond, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
 	if got := b.Handle(0, req); countOf[Send](got)+countOf[Refuse](got) != 0 || len(b.held) != 1 {
@@ -586,7 +586,7 @@
 			b.fleet.judge(0, w, 0, true)
 		}
 	}
-	spared := &worker{health: make([]stats.Odds, len(b.fleet.health))}
+	spared := &worker{health: make([]stats.FailureRate, len(b.fleet.health))}
 	if tried, other := b.fleet.failChance(0, b.fleet.list[0], 0), b.fleet.failChance(0, spared, 0); tried > 1.5*other {
 		t.Errorf("chance of failure %v at a tried worker, %v at an untried one", tried, other)
 	}
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -89,7 +89,7 @@
 		shared: &sharedState{
 			now:      options.Now,
 			chooser:  options.Chooser,
-			budgets:  retrybudget.NewLedger(options.Budget, options.Now()),
+			budgets:  retrybudget.NewBudgets(options.Budget, options.Now()),
 			onChange: changed,
 		},
 		now:    options.Now,
--- a/internal/dataplane/dispatch/sharedstate.go
+++ b/internal/dataplane/dispatch/sharedstate.go
@@ -15,7 +15,7 @@
 	now      func() time.Duration
 	mutex    sync.Mutex
 	chooser  Chooser
-	budgets  *retrybudget.Ledger
+	budgets  *retrybudget.Budgets
 	onChange func() // called when calls have begun, been answered or ended; must not block
 }
 
@@ -24,21 +24,21 @@
 	defer g.mutex.Unlock()
 	now := g.now()
 	g.chooser.SetView(now, view)
-	g.budgets.Keep(now, func(service string) bool { return view.Services[service] != nil })
+	g.budgets.Retain(now, func(service string) bool { return view.Services[service] != nil })
 }
 
 // recordRequest counts a client's request for a service.
 func (g *sharedState) recordRequest(service string) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.budgets.Request(g.now(), service)
+	g.budgets.RecordRequest(g.now(), service)
 }
 
 // spendBudget takes one call beyond the first of a request out of the budget.
 func (g *sharedState) spendBudget(service string, nodes int) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.budgets.Spend(g.now(), service, nodes)
+	return g.budgets.TrySpend(g.now(), service, nodes)
 }
 
 func (g *sharedState) choose(request *selection.Request, excluded []string) (selection.Choice, selection.Verdict) {
--- a/internal/dataplane/loadshare/compatibility_test.go
+++ b/internal/dataplane/loadshare/compatibility_test.go
@@ -9,7 +9,7 @@
 
 // compatibilityRows are one datagram with every field set.
 func compatibilityRows() []golden.Row {
-	message := Message{Node: 1<<64 - 9, Sequence: 12, List: []selection.Outstanding{
+	message := Message{Node: 1<<64 - 9, Sequence: 12, Entries: []selection.Outstanding{
 		{WorkerHash: 1<<63 + 5, Waiting: 2.5, Running: 4, Memory: 3000, Failing: true},
 		{WorkerHash: 77, Waiting: 0.000001, Running: 1, Memory: 20},
 	}}
--- a/internal/dataplane/loadshare/loadshare_test.go
+++ b/internal/dataplane/loadshare/loadshare_test.go
@@ -11,48 +11,48 @@
 	"ospreybend/internal/dataplane/selection"
 )
 
-func TestMessageComesBackAsItWas(t *testing.T) {
+func TestDecode_roundTrip(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("decode of encode", prop.ForAll(func(node, sequence uint64, workers []uint64, work uint16) bool {
 		m := Message{Node: node, Sequence: sequence}
 		for i, worker := range workers {
-			m.List = append(m.List, selection.Outstanding{WorkerHash: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0})
+			m.Entries = append(m.Entries, selection.Outstanding{WorkerHash: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0})
 		}
 		datagram, err := Encode(m)
-		if err != nil || len(datagram) > MostBytes {
+		if err != nil || len(datagram) > MaxDatagramBytes {
 			return false
 		}
 		read, err := Decode(datagram)
-		if err != nil || read.Node != node || read.Sequence != sequence || len(read.List) != len(m.List) {
+		if err != nil || read.Node != node || read.Sequence != sequence || len(read.Entries) != len(m.Entries) {
 			return false
 		}
-		for i := range m.List {
-			if read.List[i] != m.List[i] {
+		for i := range m.Entries {
+			if read.Entries[i] != m.Entries[i] {
 				return false
 			}
 		}
 		return true
-	}, gen.UInt64(), gen.UInt64(), gen.SliceOfN(mostEntries, gen.UInt64()), gen.UInt16()))
+	}, gen.UInt64(), gen.UInt64(), gen.SliceOfN(maxEntries, gen.UInt64()), gen.UInt16()))
 	properties.TestingRun(t)
 }
 
-func TestLargestStateFitsADatagramByItsHeaviestWorkers(t *testing.T) {
+func TestEncode_keepsMostLoadedWorkers(t *testing.T) {
 	m := Message{Node: 1 << 63, Sequence: 1 << 62}
-	for i := range 4 * mostEntries {
-		m.List = append(m.List, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
+	for i := range 4 * maxEntries {
+		m.Entries = append(m.Entries, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
 	}
 	datagram, err := Encode(m)
-	if err != nil || len(datagram) > MostBytes {
+	if err != nil || len(datagram) > MaxDatagramBytes {
 		t.Fatalf("%d bytes, %v", len(datagram), err)
 	}
 	read, err := Decode(datagram)
-	if err != nil || len(read.List) != mostEntries || read.List[0].Waiting != 4*mostEntries-1 {
-		t.Fatalf("%v, %d entries", err, len(read.List))
+	if err != nil || len(read.Entries) != maxEntries || read.Entries[0].Waiting != 4*maxEntries-1 {
+		t.Fatalf("%v, %d entries", err, len(read.Entries))
 	}
 }
 
-func TestEveryCutDatagramIsRefusedOrHarmless(t *testing.T) {
-	datagram, _ := Encode(Message{Node: 7, Sequence: 9, List: []selection.Outstanding{{WorkerHash: 5, Waiting: 0.25, Running: 3}}})
+func TestDecode_rejectsTruncatedDatagrams(t *testing.T) {
+	datagram, _ := Encode(Message{Node: 7, Sequence: 9, Entries: []selection.Outstanding{{WorkerHash: 5, Waiting: 0.25, Running: 3}}})
 	for cut := range datagram {
 		if read, err := Decode(datagram[:cut]); err == nil {
 			t.Errorf("cut at %d of %d: %+v", cut, len(datagram), read)
@@ -60,18 +60,18 @@
 	}
 }
 
-func TestPaceBoundsDatagrams(t *testing.T) {
+func TestRateLimiter_Reserve_boundsDatagrams(t *testing.T) {
 	for _, peers := range []int{1, 6, 89, 359} {
-		var pace Pace
+		var limiter RateLimiter
 		sent := 0
 		const seconds = 20
 		for now := time.Duration(0); now < seconds*time.Second; now += time.Millisecond {
-			if pace.Wait(now, peers) == 0 {
+			if limiter.Reserve(now, peers) == 0 {
 				sent += peers
 			}
 		}
 		rate := rateFor(peers)
-		if most := rate*seconds + max(burst, float64(peers)); float64(sent) > most {
+		if most := rate*seconds + max(minBurst, float64(peers)); float64(sent) > most {
 			t.Errorf("%d peers: %d datagrams in %d s, %v at most", peers, sent, seconds, most)
 		}
 		if float64(sent) < rate*seconds*0.9-float64(peers) {
@@ -80,24 +80,24 @@
 	}
 }
 
-func TestPaceTellsWhenItWillLetPass(t *testing.T) {
-	var pace Pace
+func TestRateLimiter_Reserve_returnsDelay(t *testing.T) {
+	var limiter RateLimiter
 	now := time.Duration(0)
-	wait := pace.Wait(now, 100)
+	wait := limiter.Reserve(now, 100)
 	if wait <= 0 {
 		t.Fatal("a process begins with a budget that it has not saved")
 	}
-	if again := pace.Wait(now+wait+time.Millisecond, 100); again != 0 {
+	if again := limiter.Reserve(now+wait+time.Millisecond, 100); again != 0 {
 		t.Errorf("held back for another %s", again)
 	}
 }
 
-func TestOlderMessagesAreDropped(t *testing.T) {
-	var order Order
-	if !order.Newer(Message{Node: 1, Sequence: 5}) || order.Newer(Message{Node: 1, Sequence: 5}) || order.Newer(Message{Node: 1, Sequence: 4}) {
+func TestSequenceFilter_Accept_dropsOlderMessages(t *testing.T) {
+	var filter SequenceFilter
+	if !filter.Accept(Message{Node: 1, Sequence: 5}) || filter.Accept(Message{Node: 1, Sequence: 5}) || filter.Accept(Message{Node: 1, Sequence: 4}) {
 		t.Error("a repeat or a late message counts")
 	}
-	if !order.Newer(Message{Node: 2, Sequence: 1}) || !order.Newer(Message{Node: 1, Sequence: 6}) {
+	if !filter.Accept(Message{Node: 2, Sequence: 1}) || !filter.Accept(Message{Node: 1, Sequence: 6}) {
 		t.Error("another sender's or a newer message does not count")
 	}
 }
--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -12,22 +12,22 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// MostBytes is the largest datagram that is sent or read.
-const MostBytes = 1400
+// MaxDatagramBytes is the largest datagram that is sent or read.
+const MaxDatagramBytes = 1400
 
 const (
-	mostEntries  = 60  // of a message: the workers with most work go first
-	microseconds = 1e6 // in a second
+	maxEntries            = 60  // of a message: the workers with most work go first
+	microsecondsPerSecond = 1e6 // in a second
 )
 
-// ErrMessage is a datagram that is no message.
-var ErrMessage = errors.New("loadshare: not a message")
+// ErrInvalidMessage is a datagram that is no message.
+var ErrInvalidMessage = errors.New("loadshare: not a message")
 
 // Message is the state of one node.
 type Message struct {
 	Node     uint64 // of one life of a process
 	Sequence uint64 // rises with every message
-	List     []selection.Outstanding
+	Entries  []selection.Outstanding
 }
 
 // wireMessage is a message as it is encoded.
@@ -52,10 +52,10 @@
 {"name":"running","type":"int"},{"name":"memory","type":"int"},{"name":"failing","type":"boolean"}]}}}]}`)
 
 // Encode returns a message's bytes.
-func Encode(m Message) ([]byte, error) {
-	encoded := wireMessage{Node: int64(m.Node), Sequence: int64(m.Sequence)}
-	for _, entry := range foremost(m.List) {
-		encoded.List = append(encoded.List, wireEntry{Worker: int64(entry.WorkerHash), Waiting: int(entry.Waiting * microseconds),
+func Encode(message Message) ([]byte, error) {
+	encoded := wireMessage{Node: int64(message.Node), Sequence: int64(message.Sequence)}
+	for _, entry := range mostLoaded(message.Entries) {
+		encoded.List = append(encoded.List, wireEntry{Worker: int64(entry.WorkerHash), Waiting: int(entry.Waiting * microsecondsPerSecond),
 			Running: int(entry.Running), Memory: int(entry.Memory), Failing: entry.Failing})
 	}
 	return avro.Marshal(schema, encoded)
@@ -63,18 +63,18 @@
 
 // Decode reads a message.
 func Decode(datagram []byte) (Message, error) {
-	var read wireMessage
-	if strictavro.Unmarshal(avro.DefaultConfig, schema, datagram, &read) != nil || len(read.List) > mostEntries {
-		return Message{}, ErrMessage
+	var decoded wireMessage
+	if strictavro.Unmarshal(avro.DefaultConfig, schema, datagram, &decoded) != nil || len(decoded.List) > maxEntries {
+		return Message{}, ErrInvalidMessage
 	}
-	m := Message{Node: uint64(read.Node), Sequence: uint64(read.Sequence)}
-	for _, entry := range read.List {
+	message := Message{Node: uint64(decoded.Node), Sequence: uint64(decoded.Sequence)}
+	for _, entry := range decoded.List {
 		if entry.Waiting < 0 || entry.Running < 0 || entry.Memory < 0 {
-			return Message{}, ErrMessage
+			return Message{}, ErrInvalidMessage
 		}
-		m.List = append(m.List, selection.Outstanding{WorkerHash: uint64(entry.Worker),
-			Waiting: float64(entry.Waiting) / microseconds, Running: float64(entry.Running), Memory: float64(entry.Memory),
+		message.Entries = append(message.Entries, selection.Outstanding{WorkerHash: uint64(entry.Worker),
+			Waiting: float64(entry.Waiting) / microsecondsPerSecond, Running: float64(entry.Running), Memory: float64(entry.Memory),
 			Failing: entry.Failing})
 	}
-	return m, nil
+	return message, nil
 }
--- a/internal/dataplane/loadshare/ratelimit.go
+++ b/internal/dataplane/loadshare/ratelimit.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	usualRate = 400. // datagrams a second that a node of a fleet may send
-	largeRate = 8.   // the same in a large fleet, where states come too late to help
-	largeFrom = 128  // peers from which a fleet is large
-	rounding  = 1e-6 // datagrams below which nothing is missing
-	burst     = 40.  // datagrams that may be sent at once after a rest
-	// Repeat is after how long an unchanged state that is not empty is sent again.
-	Repeat = 300 * time.Millisecond
+	smallFleetRate  = 400. // datagrams a second that a node of a fleet may send
+	largeFleetRate  = 8.   // the same in a large fleet, where states come too late to help
+	smallFleetPeers = 128  // peers from which a fleet is large
+	tokenTolerance  = 1e-6 // datagrams below which nothing is missing
+	minBurst        = 40.  // datagrams that may be sent at once after a rest
+	// ResendInterval is after how long an unchanged state that is not empty is sent again.
+	ResendInterval = 300 * time.Millisecond
 )
 
-// foremost are the entries of failing workers, and those with most work, as many as a message holds.
-func foremost(list []selection.Outstanding) []selection.Outstanding {
-	if len(list) <= mostEntries {
+// mostLoaded are the entries of failing workers, and those with most work, as many as a message holds.
+func mostLoaded(list []selection.Outstanding) []selection.Outstanding {
+	if len(list) <= maxEntries {
 		return list
 	}
 	list = slices.Clone(list)
@@ -37,51 +37,51 @@
 		}
 		return 0
 	})
-	return list[:mostEntries]
+	return list[:maxEntries]
 }
 
-// Pace bounds how many datagrams a node sends, so that the cost at a node does not grow with the fleet.
-type Pace struct {
-	tokens float64
-	at     time.Duration
+// RateLimiter bounds how many datagrams a node sends, so that the cost at a node does not grow with the fleet.
+type RateLimiter struct {
+	tokens    float64
+	updatedAt time.Duration
 }
 
 // rateFor is how many datagrams a second a node with so many peers may send.
 func rateFor(peers int) float64 {
-	if peers > largeFrom {
-		return largeRate
+	if peers > smallFleetPeers {
+		return largeFleetRate
 	}
-	return usualRate
+	return smallFleetRate
 }
 
-// Wait returns how long a state for so many peers is to be held back, and takes the datagrams from the budget
+// Reserve returns how long a state for so many peers is to be held back, and takes the datagrams from the budget
 // if that is zero.
-func (p *Pace) Wait(now time.Duration, peers int) time.Duration {
+func (l *RateLimiter) Reserve(now time.Duration, peers int) time.Duration {
 	rate := rateFor(peers)
-	most := max(burst, float64(peers))
-	p.tokens = min(most, p.tokens+rate*(now-p.at).Seconds())
-	p.at = now
-	missing := float64(peers) - p.tokens
-	if missing <= rounding {
-		p.tokens -= float64(peers)
+	capacity := max(minBurst, float64(peers))
+	l.tokens = min(capacity, l.tokens+rate*(now-l.updatedAt).Seconds())
+	l.updatedAt = now
+	missing := float64(peers) - l.tokens
+	if missing <= tokenTolerance {
+		l.tokens -= float64(peers)
 		return 0
 	}
 	return time.Duration(missing / rate * float64(time.Second))
 }
 
-// Order drops messages that are older than what their sender told last.
-type Order struct{ last map[uint64]uint64 }
+// SequenceFilter drops messages that are older than what their sender told last.
+type SequenceFilter struct{ newestByNode map[uint64]uint64 }
 
-const mostSenders = 4096
+const maxNodes = 4096
 
-// Newer tells whether a message is newer than all before from its sender.
-func (o *Order) Newer(m Message) bool {
-	if o.last == nil || len(o.last) > mostSenders {
-		o.last = map[uint64]uint64{}
+// Accept tells whether a message is newer than all before from its sender.
+func (f *SequenceFilter) Accept(message Message) bool {
+	if f.newestByNode == nil || len(f.newestByNode) > maxNodes {
+		f.newestByNode = map[uint64]uint64{}
 	}
-	if m.Sequence <= o.last[m.Node] {
+	if message.Sequence <= f.newestByNode[message.Node] {
 		return false
 	}
-	o.last[m.Node] = m.Sequence
+	f.newestByNode[message.Node] = message.Sequence
 	return true
 }
--- a/internal/dataplane/proxy/loadsharer.go
+++ b/internal/dataplane/proxy/loadsharer.go
@@ -24,8 +24,8 @@
 	done         chan struct{}
 	node         uint64
 	sequence     uint64
-	pace         loadshare.Pace
-	order        loadshare.Order
+	pace         loadshare.RateLimiter
+	order        loadshare.SequenceFilter
 	started      time.Time
 	sentNonEmpty bool // the last state sent was not empty
 	peers        []netip.AddrPort
@@ -76,7 +76,7 @@
 
 // send sends the state when it has changed, as often as the pace allows, and now and then while it is not empty.
 func (s *loadSharer) send() {
-	repeat := time.NewTimer(loadshare.Repeat)
+	repeat := time.NewTimer(loadshare.ResendInterval)
 	defer repeat.Stop()
 	for {
 		select {
@@ -89,14 +89,14 @@
 			}
 		}
 		peers := s.peerAddresses()
-		if wait := s.pace.Wait(time.Since(s.started), len(peers)); wait > 0 {
+		if wait := s.pace.Reserve(time.Since(s.started), len(peers)); wait > 0 {
 			s.sentNonEmpty = true // what is held back is sent then
 			repeat.Reset(wait)
 			continue
 		}
 		s.broadcast(peers)
 		if s.sentNonEmpty {
-			repeat.Reset(loadshare.Repeat)
+			repeat.Reset(loadshare.ResendInterval)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 	outstanding := s.dispatcher.Outstanding()
 	s.sentNonEmpty = len(outstanding) > 0
 	s.sequence++
-	datagram, err := loadshare.Encode(loadshare.Message{Node: s.node, Sequence: s.sequence, List: outstanding})
-	if err != nil || len(datagram) > loadshare.MostBytes {
+	datagram, err := loadshare.Encode(loadshare.Message{Node: s.node, Sequence: s.sequence, Entries: outstanding})
+	if err != nil || len(datagram) > loadshare.MaxDatagramBytes {
 		return
 	}
 	for _, peer := range peers {
@@ -138,7 +138,7 @@
 
 // receive takes in what other proxies tell.
 func (s *loadSharer) receive() {
-	buffer := make([]byte, loadshare.MostBytes)
+	buffer := make([]byte, loadshare.MaxDatagramBytes)
 	for {
 		length, _, err := s.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -150,8 +150,8 @@
 			}
 		}
 		message, err := loadshare.Decode(buffer[:length])
-		if err == nil && s.order.Newer(message) {
-			s.dispatcher.SetPeerLoad(message.Node, message.List)
+		if err == nil && s.order.Accept(message) {
+			s.dispatcher.SetPeerLoad(message.Node, message.Entries)
 		}
 	}
 }
--- a/internal/dataplane/retrybudget/budget.go
+++ b/internal/dataplane/retrybudget/budget.go
@@ -16,8 +16,8 @@
 	// requests of the window before it, and a call of another node at the end on those of
 	// this window: together up to twice the fuller one of both. One half covers that.
 	ratioShare = 0.5
-	// parts is the number of pieces of a window in which requests are counted.
-	parts = 32
+	// windowSlots is the number of pieces of a window in which requests are counted.
+	windowSlots = 32
 )
 
 // Rules are the figures of the rule, equal on all nodes.
@@ -41,14 +41,14 @@
 	return &Budget{rules: rules, started: now, requests: newRequestCounts(rules.Window)}
 }
 
-// Request notes a client's request for the service.
-func (b *Budget) Request(now time.Duration) { b.requests.add(now) }
+// RecordRequest notes a client's request for the service.
+func (b *Budget) RecordRequest(now time.Duration) { b.requests.add(now) }
 
-// Spend takes one call out of the account and tells whether it was there. Nodes is the
+// TrySpend takes one call out of the account and tells whether it was there. Nodes is the
 // number of nodes that share the slack, this one included.
-func (b *Budget) Spend(now time.Duration, nodes int) bool {
-	b.forget(now)
-	if float64(len(b.spends)+1) > b.allowance(now, nodes) {
+func (b *Budget) TrySpend(now time.Duration, nodes int) bool {
+	b.expire(now)
+	if float64(len(b.spends)+1) > b.allowed(now, nodes) {
 		return false
 	}
 	b.spends = append(b.spends, now)
@@ -57,33 +57,33 @@
 
 // Spent returns the calls taken within the last window.
 func (b *Budget) Spent(now time.Duration) int {
-	b.forget(now)
+	b.expire(now)
 	return len(b.spends)
 }
 
-func (b *Budget) allowance(now time.Duration, nodes int) float64 {
-	fixed := slackShare * b.rules.Slack / float64(max(nodes, 1)) * b.age(now)
-	earned := ratioShare * b.rules.Ratio * float64(b.requests.last(now))
+func (b *Budget) allowed(now time.Duration, nodes int) float64 {
+	fixed := slackShare * b.rules.Slack / float64(max(nodes, 1)) * b.warmup(now)
+	earned := ratioShare * b.rules.Ratio * float64(b.requests.inWindow(now))
 	return fixed + earned
 }
 
-// age is the part of the first window that has passed since the start, at most 1.
-func (b *Budget) age(now time.Duration) float64 {
+// warmup is the part of the first window that has passed since the start, at most 1.
+func (b *Budget) warmup(now time.Duration) float64 {
 	if b.rules.Window <= 0 {
 		return 1
 	}
 	return min(1, float64(now-b.started)/float64(b.rules.Window))
 }
 
-// forget drops the calls that are older than a window.
-func (b *Budget) forget(now time.Duration) {
-	old := 0
-	for old < len(b.spends) && b.spends[old] < now-b.rules.Window {
-		old++
+// expire drops the calls that are older than a window.
+func (b *Budget) expire(now time.Duration) {
+	expired := 0
+	for expired < len(b.spends) && b.spends[expired] < now-b.rules.Window {
+		expired++
 	}
-	if old == 0 {
+	if expired == 0 {
 		return
 	}
-	kept := copy(b.spends, b.spends[old:])
-	b.spends = b.spends[:kept]
+	remaining := copy(b.spends, b.spends[expired:])
+	b.spends = b.spends[:remaining]
 }
--- a/internal/dataplane/retrybudget/budget_test.go
+++ b/internal/dataplane/retrybudget/budget_test.go
@@ -12,10 +12,10 @@
 
 var testRules = Rules{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
-func TestSpendsShareOfSlackOnceFirstWindowHasPassed(t *testing.T) {
+func TestBudget_TrySpend_shareOfSlackAfterFirstWindow(t *testing.T) {
 	budget := New(testRules, 0)
 	spent := 0
-	for budget.Spend(10*time.Second, 4) {
+	for budget.TrySpend(10*time.Second, 4) {
 		spent++
 	}
 	if spent != 10 { // 0.8 * 54 / 4 = 10.8
@@ -23,89 +23,89 @@
 	}
 }
 
-func TestFreshProcessStartsWithoutSlack(t *testing.T) {
+func TestBudget_TrySpend_slackGrowsFromZero(t *testing.T) {
 	budget := New(testRules, 0)
-	if budget.Spend(0, 1) {
+	if budget.TrySpend(0, 1) {
 		t.Fatal("spent at the start")
 	}
-	if !budget.Spend(time.Second, 1) {
+	if !budget.TrySpend(time.Second, 1) {
 		t.Fatal("nothing to spend after a tenth of the window")
 	}
 }
 
-func TestSpendsReturnAfterWindow(t *testing.T) {
+func TestBudget_TrySpend_refillsAfterWindow(t *testing.T) {
 	budget := New(testRules, 0)
-	for budget.Spend(20*time.Second, 1) {
+	for budget.TrySpend(20*time.Second, 1) {
 	}
-	if budget.Spend(30*time.Second, 1) {
+	if budget.TrySpend(30*time.Second, 1) {
 		t.Fatal("spent again within the window")
 	}
-	if !budget.Spend(30*time.Second+1, 1) {
+	if !budget.TrySpend(30*time.Second+1, 1) {
 		t.Fatal("not there after the window")
 	}
 }
 
-func TestRequestsEarnCalls(t *testing.T) {
+func TestBudget_RecordRequest_earnsCalls(t *testing.T) {
 	rules := testRules
 	rules.Slack = 0
 	budget := New(rules, 0)
 	for range 100 {
-		budget.Request(20 * time.Second)
+		budget.RecordRequest(20 * time.Second)
 	}
 	spent := 0
-	for budget.Spend(20*time.Second, 1) {
+	for budget.TrySpend(20*time.Second, 1) {
 		spent++
 	}
 	if spent != 10 {
 		t.Fatalf("spent %d of 10", spent)
 	}
-	if budget.Spend(31*time.Second, 1) {
+	if budget.TrySpend(31*time.Second, 1) {
 		t.Fatal("requests of an older window still earn")
 	}
 }
 
-func TestLedgerKeepsServicesApart(t *testing.T) {
-	ledger := NewLedger(Rules{Ratio: 1, Window: time.Second}, 0)
-	ledger.Request(0, "a")
-	ledger.Request(0, "a")
-	if ledger.Spend(0, "b", 1) {
+func TestBudgets_TrySpend_separatesServices(t *testing.T) {
+	ledger := NewBudgets(Rules{Ratio: 1, Window: time.Second}, 0)
+	ledger.RecordRequest(0, "a")
+	ledger.RecordRequest(0, "a")
+	if ledger.TrySpend(0, "b", 1) {
 		t.Fatal("b spent what a earned")
 	}
-	if !ledger.Spend(0, "a", 1) {
+	if !ledger.TrySpend(0, "a", 1) {
 		t.Fatal("a has nothing")
 	}
 }
 
-func TestLedgerKeepsTheSpendsOfAServiceThatComesBack(t *testing.T) {
-	ledger := NewLedger(Rules{Ratio: 0.5, Window: time.Second}, 0)
+func TestBudgets_Retain_keepsRecentSpends(t *testing.T) {
+	ledger := NewBudgets(Rules{Ratio: 0.5, Window: time.Second}, 0)
 	none := func(string) bool { return false }
 	for range 4 {
-		ledger.Request(0, "a")
+		ledger.RecordRequest(0, "a")
 	}
-	if !ledger.Spend(0, "a", 1) {
+	if !ledger.TrySpend(0, "a", 1) {
 		t.Fatal("a has nothing")
 	}
-	ledger.Keep(time.Second, none)
-	if ledger.accounts["a"] == nil {
+	ledger.Retain(time.Second, none)
+	if ledger.byService["a"] == nil {
 		t.Fatal("an account was dropped with a call in its window")
 	}
-	ledger.Keep(time.Second+1, none)
-	if ledger.accounts["a"] != nil {
+	ledger.Retain(time.Second+1, none)
+	if ledger.byService["a"] != nil {
 		t.Fatal("an account without calls stays")
 	}
 }
 
-// day is what happens at all nodes: instants of requests and of spends that were granted.
-type day struct{ requests, spends []time.Duration }
+// history is what happens at all nodes: instants of requests and of spends that were granted.
+type history struct{ requests, spends []time.Duration }
 
-// playDay lets nodes take requests and wish for calls in an uneven random pattern.
-func playDay(seed int64, nodes int, rules Rules) day {
+// simulate lets nodes take requests and wish for calls in an uneven random pattern.
+func simulate(seed int64, nodes int, rules Rules) history {
 	random := rand.New(rand.NewSource(seed))
 	budgets := make([]*Budget, nodes)
 	for i := range budgets {
 		budgets[i] = New(rules, 0)
 	}
-	var result day
+	var result history
 	now := time.Duration(0)
 	for range 3000 {
 		now += time.Duration(random.ExpFloat64() * float64(20*time.Millisecond) * (1 + 5*random.Float64()))
@@ -114,12 +114,12 @@
 		}
 		node := preferredNode(random, now, nodes, rules.Window)
 		if random.Intn(3) > 0 {
-			budgets[node].Request(now)
+			budgets[node].RecordRequest(now)
 			result.requests = append(result.requests, now)
 			continue
 		}
 		for wishes := random.Intn(20); wishes > 0; wishes-- {
-			if budgets[random.Intn(nodes)].Spend(now, nodes) {
+			if budgets[random.Intn(nodes)].TrySpend(now, nodes) {
 				result.spends = append(result.spends, now)
 			}
 		}
@@ -145,30 +145,30 @@
 	return count
 }
 
-// holds checks the rule in each window that begins at a spend.
-func (d day) holds(rules Rules) bool {
-	for _, from := range d.spends {
+// withinRules checks the rule in each window that begins at a spend.
+func (h history) withinRules(rules Rules) bool {
+	for _, from := range h.spends {
 		to := from + rules.Window
 		requests := max(
-			countWithin(d.requests, from, to),
-			countWithin(d.requests, from-rules.Window, to-rules.Window),
-			countWithin(d.requests, from-rules.Window/2, to-rules.Window/2))
+			countWithin(h.requests, from, to),
+			countWithin(h.requests, from-rules.Window, to-rules.Window),
+			countWithin(h.requests, from-rules.Window/2, to-rules.Window/2))
 		allowed := rules.Ratio*float64(requests) + rules.Slack
-		if float64(countWithin(d.spends, from, to)) > allowed {
+		if float64(countWithin(h.spends, from, to)) > allowed {
 			return false
 		}
 	}
 	return true
 }
 
-func TestFleetKeepsRuleForAnyPattern(t *testing.T) {
+func TestBudget_fleetWithinRules(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 30
 	properties := gopter.NewProperties(parameters)
 	properties.Property("spends of all nodes stay within the rule", prop.ForAll(
 		func(seed int64, nodes int, ratio, slack float64) bool {
 			rules := Rules{Ratio: ratio, Slack: slack, Window: 4 * time.Second}
-			return playDay(seed, nodes, rules).holds(rules)
+			return simulate(seed, nodes, rules).withinRules(rules)
 		},
 		gen.Int64(), gen.IntRange(1, 9), gen.Float64Range(0, 1), gen.Float64Range(0, 60)))
 	properties.TestingRun(t)
@@ -176,25 +176,25 @@
 
 // The worst pattern moves the load: one node spends at the start of a window on the requests of
 // the window before it, another at the end on those of the window.
-func TestFleetKeepsRuleWhenLoadMovesBetweenNodes(t *testing.T) {
+func TestBudget_fleetWithinRulesWhenLoadMoves(t *testing.T) {
 	rules := Rules{Ratio: 1, Window: 10 * time.Second}
 	first, second := New(rules, 0), New(rules, 0)
-	var played day
+	var played history
 	for range 100 {
-		first.Request(19 * time.Second)
-		second.Request(29 * time.Second)
+		first.RecordRequest(19 * time.Second)
+		second.RecordRequest(29 * time.Second)
 		played.requests = append(played.requests, 19*time.Second, 29*time.Second)
 	}
-	for first.Spend(19500*time.Millisecond, 2) {
+	for first.TrySpend(19500*time.Millisecond, 2) {
 		played.spends = append(played.spends, 19500*time.Millisecond)
 	}
-	for second.Spend(29400*time.Millisecond, 2) {
+	for second.TrySpend(29400*time.Millisecond, 2) {
 		played.spends = append(played.spends, 29400*time.Millisecond)
 	}
 	if len(played.spends) != 100 {
 		t.Fatalf("spent %d", len(played.spends))
 	}
-	if !played.holds(rules) {
+	if !played.withinRules(rules) {
 		t.Fatal("rule broken")
 	}
 }
--- a/internal/dataplane/retrybudget/budgets.go
+++ b/internal/dataplane/retrybudget/budgets.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Ledger holds the accounts of one node for all services. It is not safe for concurrent use.
-type Ledger struct {
-	rules    Rules
-	started  time.Duration
-	accounts map[string]*Budget
+// Budgets holds the accounts of one node for all services. It is not safe for concurrent use.
+type Budgets struct {
+	rules     Rules
+	started   time.Duration
+	byService map[string]*Budget
 }
 
-// NewLedger returns a ledger without accounts.
-func NewLedger(rules Rules, now time.Duration) *Ledger {
-	return &Ledger{rules: rules, started: now, accounts: make(map[string]*Budget)}
+// NewBudgets returns a ledger without accounts.
+func NewBudgets(rules Rules, now time.Duration) *Budgets {
+	return &Budgets{rules: rules, started: now, byService: make(map[string]*Budget)}
 }
 
-// Request notes a client's request for a service.
-func (l *Ledger) Request(now time.Duration, service string) {
-	l.account(service).Request(now)
+// RecordRequest notes a client's request for a service.
+func (b *Budgets) RecordRequest(now time.Duration, service string) {
+	b.budgetOf(service).RecordRequest(now)
 }
 
-// Spend takes a call to a service beyond the first of its request and tells whether it may be made.
-func (l *Ledger) Spend(now time.Duration, service string, nodes int) bool {
-	return l.account(service).Spend(now, nodes)
+// TrySpend takes a call to a service beyond the first of its request and tells whether it may be made.
+func (b *Budgets) TrySpend(now time.Duration, service string, nodes int) bool {
+	return b.budgetOf(service).TrySpend(now, nodes)
 }
 
-// Keep drops the accounts of services that are not wanted any more. One with calls in the last window stays,
+// Retain drops the accounts of services that are not wanted any more. One with calls in the last window stays,
 // since the service may come back.
-func (l *Ledger) Keep(now time.Duration, wanted func(service string) bool) {
-	for service, account := range l.accounts {
-		if !wanted(service) && account.Spent(now) == 0 {
-			delete(l.accounts, service)
+func (b *Budgets) Retain(now time.Duration, retained func(service string) bool) {
+	for service, budget := range b.byService {
+		if !retained(service) && budget.Spent(now) == 0 {
+			delete(b.byService, service)
 		}
 	}
 }
 
-func (l *Ledger) account(service string) *Budget {
-	account, ok := l.accounts[service]
+func (b *Budgets) budgetOf(service string) *Budget {
+	budget, ok := b.byService[service]
 	if !ok {
-		account = New(l.rules, l.started)
-		l.accounts[service] = account
+		budget = New(b.rules, b.started)
+		b.byService[service] = budget
 	}
-	return account
+	return budget
 }
--- a/internal/dataplane/retrybudget/requestcounts.go
+++ b/internal/dataplane/retrybudget/requestcounts.go
@@ -5,36 +5,36 @@
 // requestCounts counts requests in pieces of a window. A count leaves out a piece that
 // is not wholly within the window, so that it is never too high.
 type requestCounts struct {
-	piece  time.Duration
-	counts [parts + 1]int
-	pieces [parts + 1]int64 // which piece of time an entry holds
+	slotLength time.Duration
+	counts     [windowSlots + 1]int
+	slots      [windowSlots + 1]int64 // which piece of time an entry holds
 }
 
 func newRequestCounts(window time.Duration) requestCounts {
-	counts := requestCounts{piece: max(window/parts, 1)}
-	for i := range counts.pieces {
-		counts.pieces[i] = -1
+	counts := requestCounts{slotLength: max(window/windowSlots, 1)}
+	for i := range counts.slots {
+		counts.slots[i] = -1
 	}
 	return counts
 }
 
 func (c *requestCounts) add(now time.Duration) {
-	piece := int64(now / c.piece)
-	entry := int(piece % int64(len(c.counts)))
-	if c.pieces[entry] != piece {
-		c.pieces[entry] = piece
+	slot := int64(now / c.slotLength)
+	entry := int(slot % int64(len(c.counts)))
+	if c.slots[entry] != slot {
+		c.slots[entry] = slot
 		c.counts[entry] = 0
 	}
 	c.counts[entry]++
 }
 
-// last returns the requests of the window that ends now.
-func (c *requestCounts) last(now time.Duration) int {
-	newest := int64(now / c.piece)
-	oldest := newest - parts + 1
+// inWindow returns the requests of the window that ends now.
+func (c *requestCounts) inWindow(now time.Duration) int {
+	newest := int64(now / c.slotLength)
+	oldest := newest - windowSlots + 1
 	sum := 0
-	for entry, piece := range c.pieces {
-		if piece >= oldest && piece <= newest {
+	for entry, slot := range c.slots {
+		if slot >= oldest && slot <= newest {
 			sum += c.counts[entry]
 		}
 	}
--- a/internal/dataplane/selection/affinity.go
+++ b/internal/dataplane/selection/affinity.go
@@ -51,7 +51,7 @@
 func affinityReach(info *requestInfo, workers []*worker) float64 {
 	nearest := math.Inf(1)
 	for _, w := range workers {
-		nearest = min(nearest, estimate.Nearness(info.affinityKey, w.hash, len(workers)))
+		nearest = min(nearest, estimate.RendezvousRank(info.affinityKey, w.hash, len(workers)))
 	}
 	return nearest + info.keyShare*affinityTargetFactor*float64(len(workers))
 }
@@ -74,7 +74,7 @@
 
 // cachedProbability is the chance that a worker keeps a shared part, by what all nodes send.
 func (s *service) cachedProbability(info *requestInfo, worker *worker, index int, reach float64, workers int, span float64) float64 {
-	beyond := max(0, estimate.Nearness(info.affinityKey, worker.hash, workers)-reach)
+	beyond := max(0, estimate.RendezvousRank(info.affinityKey, worker.hash, workers)-reach)
 	uses := assumedUses + info.keyShare*span
 	probability := uses / (1 + uses) * math.Exp(-affinityDecay*beyond)
 	if index < len(info.ancestorShares) && index < len(info.sharedSegments)-1 { // spread over the homes of the parts that follow it
--- a/internal/dataplane/selection/affinity_test.go
+++ b/internal/dataplane/selection/affinity_test.go
@@ -15,7 +15,7 @@
 func firstAffinityTarget(key uint64, list []*worker) string {
 	best := list[0]
 	for _, w := range list {
-		if estimate.Nearness(key, w.hash, len(list)) < estimate.Nearness(key, best.hash, len(list)) {
+		if estimate.RendezvousRank(key, w.hash, len(list)) < estimate.RendezvousRank(key, best.hash, len(list)) {
 			best = w
 		}
 	}
@@ -123,7 +123,7 @@
 		j := requestInfo{affinityKey: 42, keyShare: share}
 		reach := affinityReach(&j, list)
 		for _, w := range list {
-			if estimate.Nearness(42, w.hash, len(list)) <= reach {
+			if estimate.RendezvousRank(42, w.hash, len(list)) <= reach {
 				n++
 			}
 		}
--- a/internal/dataplane/selection/kvtransfer.go
+++ b/internal/dataplane/selection/kvtransfer.go
@@ -43,7 +43,7 @@
 
 // transferOutcomes is what became of hand-overs.
 type transferOutcomes struct {
-	overall        stats.Odds
+	overall        stats.FailureRate
 	failuresByPair map[workerPair]decayingCount
 }
 
@@ -117,7 +117,7 @@
 
 // transferFailureProbability is the chance that a hand-over fails.
 func (s *service) transferFailureProbability(now time.Duration) float64 {
-	return min(maxTransferFailure, s.transferOutcomes.overall.Chance(now, transferFailureDecay, transferFailurePrior, transferFailurePriorWeight))
+	return min(maxTransferFailure, s.transferOutcomes.overall.Probability(now, transferFailureDecay, transferFailurePrior, transferFailurePriorWeight))
 }
 
 // transferPrice is what moving memory counts as, in seconds, by its amount and distance.
--- a/internal/dataplane/selection/peers.go
+++ b/internal/dataplane/selection/peers.go
@@ -114,5 +114,5 @@
 	}
 	sum := s.selector.peerLoad(now, w)
 	waitingByPeers := sum.Waiting / max(minSeconds, s.pools[w.class].typicalUnloadedTime(w.class))
-	return stats.Between(waitingByPeers, waiting, coverage), stats.Between(sum.Running, running, coverage)
+	return stats.WeightedMean(waitingByPeers, waiting, coverage), stats.WeightedMean(sum.Running, running, coverage)
 }
--- a/internal/dataplane/selection/peers_test.go
+++ b/internal/dataplane/selection/peers_test.go
@@ -116,7 +116,7 @@
 	svc := s.services["m"]
 	w := svc.byClass[classPrefill][0]
 	for i := range 300 { // by the line alone nobody ever waits
-		svc.pools[classPrefill].wait.Weigh(-float64(i%4), 0, 1, poolSamples)
+		svc.pools[classPrefill].wait.AddWeighted(-float64(i%4), 0, 1, poolSamples)
 	}
 	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, Waiting: 1}})
 	if wait := svc.queueWait(w, svc.estimateLoad(0, w)); wait < 0.4 || wait > 1 {
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -162,9 +162,9 @@
 	}
 	ratio := clampRatio(run/f.unloaded, pool.slowdown.Or(1, poolPriorSamples))
 	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, windowLength)
-	pool.slowdown.Weigh(ratio, min(1, f.unloaded/pool.typicalUnloadedTime(w.class)), poolSamples)
+	pool.slowdown.AddWeighted(ratio, min(1, f.unloaded/pool.typicalUnloadedTime(w.class)), poolSamples)
 	pool.unloadedTime.Add(f.unloaded, poolSamples)
-	pool.wait.Weigh(-f.load.forClass(w.class), wait, 1, poolSamples)
+	pool.wait.AddWeighted(-f.load.forClass(w.class), wait, 1, poolSamples)
 }
 
 // clampRatio bounds an odd ratio by the usual one.
--- a/internal/dataplane/selection/worker.go
+++ b/internal/dataplane/selection/worker.go
@@ -58,7 +58,7 @@
 	hash.Write([]byte(entry.ID))
 	w := &worker{entry: entry, hash: hash.Sum64()}
 	for i := range w.delays {
-		w.delays[i].Life = sampleTTL
+		w.delays[i].SampleTTL = sampleTTL
 	}
 	return w
 }
--- a/internal/util/estimate/estimate.go
+++ b/internal/util/estimate/estimate.go
@@ -22,17 +22,17 @@
 	return (own*samples + pooled*prior) / (samples + prior)
 }
 
-// Nearness tells how far down a key's order a worker is, in workers: the least of all is its first home.
+// RendezvousRank tells how far down a key's order a worker is, in workers: the least of all is its first home.
 // Whoever has the same workers has the same order.
-func Nearness(key, worker uint64, workers int) float64 {
+func RendezvousRank(key, worker uint64, workers int) float64 {
 	return stats.Draw(key, worker) * float64(workers)
 }
 
 // Delays is what is known of one worker's delays in one class.
 type Delays struct {
-	Life     time.Duration // a sample's lifetime
-	transfer stats.Window  // delay against tokens sent or moved
-	process  map[int]*stats.Window
+	SampleTTL time.Duration // a sample's lifetime
+	transfer  stats.Window  // delay against tokens sent or moved
+	process   map[int]*stats.Window
 }
 
 // AddTransfer takes in a transfer delay in seconds at a size.
@@ -42,7 +42,7 @@
 
 // Transfer predicts the transfer delay at a size; pooled is the prediction without samples.
 func (d *Delays) Transfer(now time.Duration, size, pooled float64) float64 {
-	line := d.transfer.Fit(now, d.Life, 1)
+	line := d.transfer.Fit(now, d.SampleTTL, 1)
 	return Blend(line.At(size), line.N, pooled, PriorSamples)
 }
 
@@ -60,6 +60,6 @@
 	if window == nil {
 		return pooled
 	}
-	line := window.Fit(now, d.Life, 1)
+	line := window.Fit(now, d.SampleTTL, 1)
 	return Blend(line.At(load), line.N, pooled, PriorSamples)
 }
--- a/internal/util/estimate/estimate_test.go
+++ b/internal/util/estimate/estimate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func near(t *testing.T, what string, got, want float64) {
+func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.IsNaN(got) || math.Abs(got-want) > 1e-6 {
 		t.Errorf("%s: %v, want %v", what, got, want)
@@ -14,31 +14,31 @@
 }
 
 func TestBlend(t *testing.T) {
-	near(t, "no samples", Blend(9, 0, 2, 6), 2)
-	near(t, "as many as the prior", Blend(4, 6, 2, 6), 3)
+	assertNear(t, "no samples", Blend(9, 0, 2, 6), 2)
+	assertNear(t, "as many as the prior", Blend(4, 6, 2, 6), 3)
 }
 
-func TestDelays(t *testing.T) {
-	d := Delays{Life: time.Second}
-	near(t, "transfer without samples", d.Transfer(0, 5, 0.3), 0.3)
-	near(t, "process without samples", d.Process(0, 1, 5, 2), 2)
+func TestDelays_predictions(t *testing.T) {
+	d := Delays{SampleTTL: time.Second}
+	assertNear(t, "transfer without samples", d.Transfer(0, 5, 0.3), 0.3)
+	assertNear(t, "process without samples", d.Process(0, 1, 5, 2), 2)
 	for x := range 6 {
 		d.AddTransfer(0, float64(x), 0.1*float64(x))
 		d.AddProcess(0, 1, float64(x), 1+float64(x))
 	}
-	near(t, "transfer at 4", d.Transfer(0, 4, 0.4), 0.4)
-	near(t, "process at 2", d.Process(0, 1, 2, 3), 3)
-	near(t, "another bucket", d.Process(0, 2, 2, 7), 7)
-	near(t, "expired transfer", d.Transfer(2*time.Second, 4, 9), 9)
-	near(t, "expired process", d.Process(2*time.Second, 1, 4, 9), 9)
+	assertNear(t, "transfer at 4", d.Transfer(0, 4, 0.4), 0.4)
+	assertNear(t, "process at 2", d.Process(0, 1, 2, 3), 3)
+	assertNear(t, "another bucket", d.Process(0, 2, 2, 7), 7)
+	assertNear(t, "expired transfer", d.Transfer(2*time.Second, 4, 9), 9)
+	assertNear(t, "expired process", d.Process(2*time.Second, 1, 4, 9), 9)
 }
 
-func TestNearnessIsTheSameForAll(t *testing.T) {
+func TestRendezvousRank_spreadsKeysEvenly(t *testing.T) {
 	counts := map[uint64]int{}
 	for key := range uint64(3000) {
 		first, least := uint64(0), math.Inf(1)
 		for worker := uint64(10); worker < 16; worker++ {
-			if n := Nearness(key, worker, 6); n < least {
+			if n := RendezvousRank(key, worker, 6); n < least {
 				first, least = worker, n
 			}
 		}
--- a/internal/util/stats/failurerate.go
+++ b/internal/util/stats/failurerate.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Odds counts failures among outcomes, and forgets both over time.
-type Odds struct {
+// FailureRate counts failures among outcomes, and forgets both over time.
+type FailureRate struct {
 	Failures, Outcomes float64
 	At                 time.Duration
 }
 
-// left is the part of what was counted that stands at a time, where it falls by e in a life.
-func (o *Odds) left(now, life time.Duration) float64 {
-	return math.Exp(-(now - o.At).Seconds() / life.Seconds())
+// decay is the part of what was counted that stands at a time, where it falls by e in a life.
+func (o *FailureRate) decay(now, timeConstant time.Duration) float64 {
+	return math.Exp(-(now - o.At).Seconds() / timeConstant.Seconds())
 }
 
 // Add takes in an outcome.
-func (o *Odds) Add(now, life time.Duration, failed bool) {
-	k := o.left(now, life)
-	o.Failures, o.Outcomes, o.At = o.Failures*k, o.Outcomes*k+1, now
+func (o *FailureRate) Add(now, timeConstant time.Duration, failed bool) {
+	decay := o.decay(now, timeConstant)
+	o.Failures, o.Outcomes, o.At = o.Failures*decay, o.Outcomes*decay+1, now
 	if failed {
 		o.Failures++
 	}
 }
 
-// Chance estimates the chance of a failure, shrunk to a prior that counts as weight outcomes.
-func (o *Odds) Chance(now, life time.Duration, prior, weight float64) float64 {
-	k := o.left(now, life)
-	return (o.Failures*k + prior*weight) / (o.Outcomes*k + weight)
+// Probability estimates the chance of a failure, shrunk to a prior that counts as weight outcomes.
+func (o *FailureRate) Probability(now, timeConstant time.Duration, prior, weight float64) float64 {
+	decay := o.decay(now, timeConstant)
+	return (o.Failures*decay + prior*weight) / (o.Outcomes*decay + weight)
 }
--- a/internal/util/stats/stat.go
+++ b/internal/util/stats/stat.go
@@ -28,43 +28,43 @@
 type Line struct {
 	A, B, N    float64
 	SumX, SumY float64
-	Low, Top   float64 // bounds on what the line may say, from the samples seen
+	Low, High  float64 // bounds on what the line may say, from the samples seen
 }
 
 // At reads the line, within half the least and twice the largest sample: a steep fit may be absurd.
-func (l Line) At(x float64) float64 { return min(max(l.A+l.B*x, l.Low), l.Top) }
+func (l Line) At(x float64) float64 { return min(max(l.A+l.B*x, l.Low), l.High) }
 
 // Window is a moving window of samples that expire after a lifetime.
 type Window struct {
-	Samples []Sample
-	fitted  Line
-	until   time.Duration // the fit holds until its oldest sample expires
-	fresh   bool
+	Samples     []Sample
+	fitted      Line
+	fittedUntil time.Duration // the fit holds until its oldest sample expires
+	fitValid    bool
 }
 
 // Add takes in a sample, in place of the oldest where there are most already.
-func (w *Window) Add(now time.Duration, x, y float64, most int) {
-	if len(w.Samples) == most {
+func (w *Window) Add(now time.Duration, x, y float64, capacity int) {
+	if len(w.Samples) == capacity {
 		copy(w.Samples, w.Samples[1:])
-		w.Samples = w.Samples[:most-1]
+		w.Samples = w.Samples[:capacity-1]
 	}
 	w.Samples = append(w.Samples, Sample{now, x, y})
-	w.fresh = false
+	w.fitValid = false
 }
 
 // Fit returns the least squares line over the samples younger than life, flat where it is against sign.
-func (w *Window) Fit(now, life time.Duration, sign float64) Line {
-	if w.fresh && now < w.until {
+func (w *Window) Fit(now, ttl time.Duration, sign float64) Line {
+	if w.fitValid && now < w.fittedUntil {
 		return w.fitted
 	}
-	old := 0
-	for old < len(w.Samples) && w.Samples[old].At+life <= now {
-		old++
+	expired := 0
+	for expired < len(w.Samples) && w.Samples[expired].At+ttl <= now {
+		expired++
 	}
-	w.Samples = w.Samples[:copy(w.Samples, w.Samples[old:])]
-	w.fitted, w.fresh, w.until = FitLine(w.Samples, sign), true, math.MaxInt64
+	w.Samples = w.Samples[:copy(w.Samples, w.Samples[expired:])]
+	w.fitted, w.fitValid, w.fittedUntil = FitLine(w.Samples, sign), true, math.MaxInt64
 	if len(w.Samples) > 0 {
-		w.until = w.Samples[0].At + life
+		w.fittedUntil = w.Samples[0].At + ttl
 	}
 	return w.fitted
 }
@@ -79,7 +79,7 @@
 	var sx, sy, sxx, sxy float64
 	for _, s := range samples {
 		sx, sy, sxx, sxy = sx+s.X, sy+s.Y, sxx+s.X*s.X, sxy+s.X*s.Y
-		l.Low, l.Top = min(l.Low, s.Y/2), max(l.Top, s.Y*2)
+		l.Low, l.High = min(l.Low, s.Y/2), max(l.High, s.Y*2)
 	}
 	if spread := sxx/n - sx*sx/n/n; n > 2 && spread > minSpread {
 		l.B = (sxy/n - sx*sy/n/n) / spread
@@ -95,15 +95,15 @@
 type Mean struct{ N, Sum float64 }
 
 // Add takes in a sample of weight 1.
-func (m *Mean) Add(v, memory float64) { m.Weigh(v, 1, memory) }
+func (m *Mean) Add(value, memory float64) { m.AddWeighted(value, 1, memory) }
 
-// Weigh takes in a sample.
-func (m *Mean) Weigh(v, weight, memory float64) {
-	if keep := memory - weight; m.N > keep {
-		k := max(0, keep/m.N)
-		m.N, m.Sum = m.N*k, m.Sum*k
+// AddWeighted takes in a sample.
+func (m *Mean) AddWeighted(value, weight, memory float64) {
+	if remaining := memory - weight; m.N > remaining {
+		factor := max(0, remaining/m.N)
+		m.N, m.Sum = m.N*factor, m.Sum*factor
 	}
-	m.N, m.Sum = m.N+weight, m.Sum+v*weight
+	m.N, m.Sum = m.N+weight, m.Sum+value*weight
 }
 
 // Or returns the mean shrunk to a prior that counts as weight samples.
@@ -117,11 +117,11 @@
 // Pooled is a regression that forgets beyond a count.
 type Pooled struct{ N, SX, SY, SXX, SXY float64 }
 
-// Weigh takes in a sample.
-func (p *Pooled) Weigh(x, y, w, memory float64) {
+// AddWeighted takes in a sample.
+func (p *Pooled) AddWeighted(x, y, w, memory float64) {
 	if p.N >= memory {
-		k := (memory - w) / p.N
-		p.N, p.SX, p.SY, p.SXX, p.SXY = p.N*k, p.SX*k, p.SY*k, p.SXX*k, p.SXY*k
+		factor := (memory - w) / p.N
+		p.N, p.SX, p.SY, p.SXX, p.SXY = p.N*factor, p.SX*factor, p.SY*factor, p.SXX*factor, p.SXY*factor
 	}
 	p.N, p.SX, p.SY, p.SXX, p.SXY = p.N+w, p.SX+w*x, p.SY+w*y, p.SXX+w*x*x, p.SXY+w*x*y
 }
@@ -138,5 +138,5 @@
 	return max(0, (p.SY-b*p.SX)/p.N+b*x)
 }
 
-// Between returns the mean of two values, the first of which has the weight given (0 to 1).
-func Between(a, b, weight float64) float64 { return a*weight + b*(1-weight) }
+// WeightedMean returns the mean of two values, the first of which has the weight given (0 to 1).
+func WeightedMean(a, b, weight float64) float64 { return a*weight + b*(1-weight) }
