--- a/internal/controlplane/server/broadcast.go
+++ b/internal/controlplane/server/broadcast.go
@@ -1,6 +1,10 @@
 package server
 
-import "sync"
+import (
+	"context"
+	"sync"
+	"time"
+)
 
 // broadcast lets goroutines wait for the next change of something that they then look at.
 type broadcast struct {
@@ -67,3 +71,16 @@
 	default:
 	}
 }
+
+// waitForChange waits for a change, at most for a time. It returns false once ctx has ended.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-changed:
+	case <-timer.C:
+	}
+	return ctx.Err() == nil
+}
--- a/internal/controlplane/server/demand_reports.go
+++ b/internal/controlplane/server/demand_reports.go
@@ -67,9 +67,6 @@
 	}
 }
 
-// uptime is the time that the process has run, on its monotonic clock.
-func (s *Server) uptime() time.Duration { return s.environment.Now().Sub(s.startedAt) }
-
 // forwardDemands passes on the demand that proxies report to the owners of the services' shards, until ctx ends.
 func (s *Server) forwardDemands(ctx context.Context) {
 	runPeriodically(ctx, demandReportInterval, func() {
--- /dev/null
+++ b/internal/controlplane/server/feed_state.go
@@ -0,0 +1,37 @@
+package server
+
+import (
+	"sync"
+
+	"ospreybend/coord/feed"
+)
+
+// feedState is a shard's feed. The mutex also guards the store that the feed shows, so that both
+// are always at the same entry.
+type feedState struct {
+	mutex  sync.Mutex
+	buffer *feed.Buffer
+}
+
+func newFeedState() feedState { return feedState{buffer: feed.NewBuffer(feedBacklogBytes)} }
+
+// changesSince returns what takes a reader on from index; both are nil if there is nothing above it.
+func (s *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.buffer.From(index)
+}
+
+func (s *feedState) index() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.buffer.Index()
+}
+
+// append takes the change of an entry. The caller holds the mutex. Entries come in the order of
+// their indexes, so the buffer cannot refuse one.
+func (s *feedState) append(change feed.Change) { _ = s.buffer.Append(change) }
+
+func (s *feedState) reset(index uint64, items []feed.Item) {
+	s.buffer.Reset(feed.Snapshot{Index: index, Items: items})
+}
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -126,15 +126,11 @@
 	return forwardTarget{address: others[attempt%len(others)]}, true
 }
 
-// waitForChange waits for a change, at most for a time. It returns false once ctx has ended.
-func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-changed:
-	case <-timer.C:
-	}
-	return ctx.Err() == nil
+// forwardInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
+func (s *Server) forwardInBackground(ctx context.Context, c shardRequest, within time.Duration) {
+	s.background.Go(func() {
+		ctx, cancel := context.WithTimeout(ctx, within)
+		defer cancel()
+		s.forward(ctx, c)
+	})
 }
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -4,14 +4,10 @@
 	"context"
 	"slices"
 	"sync"
-	"time"
 
 	"go.uber.org/zap"
 
-	"ospreybend/coord/consensus"
-	"ospreybend/coord/replica"
 	"ospreybend/coord/shards"
-	"ospreybend/internal/controlplane/peertransport"
 	"ospreybend/internal/util/strictavro"
 )
 
@@ -131,114 +127,3 @@
 	}
 	return found, unknown
 }
-
-// receiveLeave notes as the leader of groups that a voter is about to end, and returns once its place is taken or nobody is
-// there to take it. The reply names the groups that this keeper does not lead.
-func (s *Server) receiveLeave(ctx context.Context, peer peertransport.Hello, body []byte) ([]byte, error) {
-	var states []groupState
-	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
-		return nil, err
-	}
-	var waitGroup sync.WaitGroup
-	elsewhere := []groupState{}
-	for _, state := range states {
-		if state.Shard < 0 || state.Shard >= shards.ShardCount {
-			continue
-		}
-		shard := s.shards[state.Shard]
-		s.recordLeaving(shard, peer.Member)
-		waitGroup.Go(func() { s.awaitRelease(ctx, shard, peer.Member) })
-	}
-	waitGroup.Wait()
-	for _, state := range states {
-		if known := state.Shard >= 0 && state.Shard < shards.ShardCount; known && !s.shards[state.Shard].group.Status().IsLeader() {
-			elsewhere = append(elsewhere, state)
-		}
-	}
-	return codec.Marshal(groupsSchema, elsewhere)
-}
-
-// awaitRelease waits until no change of members is under way or to be made, and no successor may still catch up.
-func (s *Server) awaitRelease(ctx context.Context, shard *shard, leaving consensus.MemberID) {
-	for {
-		status := shard.group.Status()
-		if !status.IsLeader() {
-			return
-		}
-		observed := s.observeGroup(shard, status)
-		_, found := nextMembershipChange(observed)
-		catchingUp := len(observed.Successors) > 0 && (isVoter(status, leaving) || observed.hasFillableVacancy())
-		if !found && !catchingUp && !s.isReconciling(shard) {
-			return
-		}
-		s.startReconcile(shard)
-		if !waitForChange(ctx, nil, releasePollInterval) {
-			return
-		}
-	}
-}
-
-// isReconciling tells whether a change of members may be made that is not committed yet.
-func (s *Server) isReconciling(shard *shard) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return shard.reconciling
-}
-
-func (s *Server) recordLeaving(shard *shard, member consensus.MemberID) {
-	now := s.environment.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if shard.leavingNotices == nil {
-		shard.leavingNotices = make(map[consensus.MemberID]time.Time)
-	}
-	shard.leavingNotices[member] = now
-}
-
-// leavingMembers returns the members that said not long ago that they are about to end.
-func (s *Server) leavingMembers(shard *shard, now time.Time) []consensus.MemberID {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	var found []consensus.MemberID
-	for member, at := range shard.leavingNotices {
-		if now.Sub(at) > leavingNoticeMaxAge {
-			delete(shard.leavingNotices, member)
-			continue
-		}
-		found = append(found, member)
-	}
-	slices.Sort(found)
-	return found
-}
-
-// forgetReturnedMembers forgets that members are leaving whose process is back under the same ID: they only restarted, and their
-// place is not to be given away.
-func (s *Server) forgetReturnedMembers(shard *shard, status replica.Status, leaving []consensus.MemberID) {
-	for _, member := range status.Members {
-		if !slices.Contains(leaving, member.ID) {
-			continue
-		}
-		if identity, err := s.queryIdentity(s.backgroundContext, member.Address); err != nil || identity.ID != member.ID || identity.ShuttingDown {
-			continue
-		}
-		s.mutex.Lock()
-		delete(shard.leavingNotices, member.ID)
-		s.mutex.Unlock()
-	}
-}
-
-// successors returns the learners whose process began so short a time ago that they were started to take the place of a
-// voter that is leaving. A stand-by that has been there for long proves nothing of the kind: the voter may only restart.
-func (s *Server) successors(status replica.Status) []consensus.MemberID {
-	var found []consensus.MemberID
-	for _, member := range status.Members {
-		if member.Voter {
-			continue
-		}
-		identity, err := s.queryIdentity(s.backgroundContext, member.Address)
-		if err == nil && identity.ID == member.ID && !identity.ShuttingDown && identity.Age <= successorMaxUptime {
-			found = append(found, member.ID)
-		}
-	}
-	return found
-}
--- /dev/null
+++ b/internal/controlplane/server/graceful_shutdown_test.go
@@ -0,0 +1,45 @@
+package server
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreybend/coord/consensus"
+	"ospreybend/internal/controlplane/peertransport"
+)
+
+// leaveRecordingNetwork takes leave of keepers.
+type leaveRecordingNetwork struct {
+	scriptedNetwork
+	asked []string
+}
+
+func (n *leaveRecordingNetwork) Call(_ context.Context, address string, kind peertransport.CallKind, _ []byte) ([]byte, error) {
+	if kind != callLeave {
+		return nil, peertransport.ErrNotSent
+	}
+	n.asked = append(n.asked, address)
+	return codec.Marshal(groupsSchema, []groupState{})
+}
+
+func TestServer_ReleaseVotes_waitsForNewLeader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const elected = leaderDiscoveryTimeout + 200*time.Millisecond
+		s, groups, _ := newScriptedServer(t)
+		network := &leaveRecordingNetwork{}
+		s.network = network
+		status := followerStatus("b")
+		status.Leader = consensus.Member{}
+		groups[1].set(status)
+		time.AfterFunc(elected, func() { groups[1].set(followerStatus("b")) })
+		ctx, cancel := context.WithTimeout(t.Context(), leaderTransferTimeout)
+		defer cancel()
+		began := time.Now()
+		s.releaseVotes(ctx)
+		if len(network.asked) != 1 || network.asked[0] != "b" || time.Since(began) > elected+10*releasePollInterval {
+			t.Fatalf("asked %v within %s", network.asked, time.Since(began))
+		}
+	})
+}
--- a/internal/controlplane/server/http_api.go
+++ b/internal/controlplane/server/http_api.go
@@ -7,6 +7,8 @@
 	"strings"
 	"sync"
 
+	"encoding/json"
+
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/cloudwego/hertz/pkg/app/middlewares/server/recovery"
 	"github.com/cloudwego/hertz/pkg/app/server"
@@ -100,3 +102,21 @@
 	}
 	c.Data(reply.Status, contentTypeJSON, responseBody(reply))
 }
+
+// errorReport is the body of an error.
+type errorReport struct {
+	Error struct {
+		Code int    `json:"code"`
+		Text string `json:"text"`
+	} `json:"error"`
+}
+
+func errorBody(code int, text string) []byte {
+	var report errorReport
+	report.Error.Code, report.Error.Text = code, text
+	body, err := json.Marshal(report)
+	if err != nil {
+		return emptyObject
+	}
+	return body
+}
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"bytes"
 	"ospreybend/internal/controlplane/configuration"
 )
 
@@ -162,3 +163,62 @@
 		t.Fatal(response.Status, h.proposed.Load())
 	}
 }
+
+// serveAPI runs the API of a scripted keeper.
+func serveAPI(t *testing.T, s *Server) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	api := newAPIServer(s, listener)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = api.Run()
+	}()
+	t.Cleanup(func() {
+		_ = listener.Close()
+		<-ended
+	})
+	return "http://" + listener.Addr().String()
+}
+
+func TestAPI_rejectsByTheRulesOnly(t *testing.T) {
+	s, groups, network := newScriptedServer(t)
+	groups[0].set(followerStatus("b"))
+	network.reply = func(string, int) (shardResponse, error) { return errorResponse(OutcomeUnknown), nil }
+	address := serveAPI(t, s)
+	cases := []struct {
+		name, path, base, body string
+		status                 int
+	}{
+		{"unknown outcome", "/-/Config.Replace", "0", configurationJSON(1), http.StatusServiceUnavailable},
+		{"no JSON", "/-/Config.Replace", "0", "{", http.StatusBadRequest},
+		{"bad base", "/-/Config.Replace", "x", configurationJSON(1), http.StatusBadRequest},
+		{"no such call", "/-/Config.Remove", "0", "", http.StatusNotFound},
+		{"no JSON in a heartbeat", "/-/Instances.Heartbeat/i", "0", "{", http.StatusBadRequest},
+		{"a heartbeat that is too large", "/-/Instances.Heartbeat/i", "0", strings.Repeat(" ", maxHeartbeatBytes+1), http.StatusRequestEntityTooLarge},
+	}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clusterTimeout}
+	for _, one := range cases {
+		t.Run(one.name, func(t *testing.T) {
+			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address+one.path, bytes.NewReader([]byte(one.body)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			request.Header.Set(headerBaseVersion, one.base)
+			response, err := client.Do(request)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = response.Body.Close() }()
+			if response.StatusCode != one.status {
+				t.Fatal(response.Status)
+			}
+			if retry := response.Header.Get("Retry-After"); (retry != "") != (one.status == http.StatusServiceUnavailable) {
+				t.Fatalf("Retry-After %q", retry)
+			}
+		})
+	}
+}
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -12,6 +12,7 @@
 	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
 
+	"net/netip"
 	"ospreybend/coord/consensus"
 	"ospreybend/coord/seglog"
 	"ospreybend/coord/shards"
@@ -117,3 +118,14 @@
 	})
 	return founders
 }
+
+// ownPeerAddress is where this keeper takes its peers: the IP of its control address, first port.
+func ownPeerAddress(config bootconfig.Settings) string {
+	control, err := netip.ParseAddrPort(config.Listen.Control)
+	if err != nil {
+		return config.PeerAddress()
+	}
+	return config.PeerAddressOf(control.Addr().String())
+}
+
+func seedPeerAddresses(config bootconfig.Settings) []string { return config.SeedPeerAddresses() }
--- a/internal/controlplane/server/run.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -3,15 +3,90 @@
 import (
 	"context"
 	"errors"
-	"runtime/debug"
-	"sync"
+	"net"
 
+	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
 
+	"ospreybend/coord/consensus"
+	"ospreybend/coord/replica"
 	"ospreybend/coord/seglog"
+	"ospreybend/internal/controlplane/peertransport"
 	"ospreybend/internal/util/bootconfig"
+	"runtime/debug"
+	"sync"
 )
 
+// openPeerNetwork makes the connections' end of this keeper. It accepts nothing yet.
+func (s *Server) openPeerNetwork() error {
+	network, err := peertransport.New(peertransport.Options{
+		Self: peertransport.Hello{
+			Address: s.self.Address, Member: s.self.ID, Zone: s.settings.Zone, Region: s.settings.Region,
+		},
+		Handler: s, Logger: s.logger, Dial: s.environment.Dial, Now: s.environment.Now, Random: s.environment.Random,
+	})
+	if err != nil {
+		return err
+	}
+	s.network, s.servePeers, s.closeNetwork = network, network.Serve, network.Close
+	return nil
+}
+
+// openGroups opens all replicas. One that cannot be opened now, as with a full disk, is tried again
+// until ctx ends; one that is damaged gives seglog.ErrDamaged.
+func (s *Server) openGroups(ctx context.Context, founders []consensus.Member) error {
+	for _, shard := range s.shards {
+		for {
+			err := s.openGroup(shard, founders)
+			if err == nil {
+				break
+			}
+			if errors.Is(err, seglog.ErrCorrupt) {
+				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
+			}
+			s.logger.Error("a replica cannot be opened", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
+			if !waitForChange(ctx, nil, openRetryInterval) {
+				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
+			}
+		}
+	}
+	close(s.groupsOpened)
+	return nil
+}
+
+func (s *Server) openGroup(shard *shard, founders []consensus.Member) error {
+	group, err := replica.Open(replica.Options{
+		Shard:            shard.id,
+		Directory:        replicaDirectory(s.settings.DataDir, shard.id),
+		FileSystem:       s.environment.FileSystem,
+		Self:             s.self,
+		BootstrapMembers: founders,
+		StateMachine:     shard.stateMachine,
+		Send: func(to consensus.Member, message consensus.Message) {
+			s.network.Send(to, shard.id, message)
+		},
+		OnApplied:         func(uint64) { s.feedSubscribers.wake() },
+		OnStatus:          func(status replica.Status) { s.onGroupStatus(shard, status) },
+		ElectionTimeout:   electionTimeout,
+		HeartbeatInterval: groupHeartbeatInterval,
+		Logger:            s.logger,
+		Clock:             groupClock{now: s.environment.Now, start: s.startedAt},
+		OmitRules:         s.environment.OmitRules,
+	})
+	if err != nil {
+		return err
+	}
+	shard.group = group
+	s.closeGroups = append(s.closeGroups, group.Close)
+	return nil
+}
+
+// listenPeers opens the listener for peers and agents.
+func (s *Server) listenPeers(ctx context.Context) (net.Listener, error) {
+	listener, err := s.environment.Listen(ctx, s.self.Address)
+	return listener, eris.Wrap(err, "listen for peers")
+}
+
 // Run works as a keeper until ctx ends; it then hands over what it leads, within about two seconds.
 // Errors: a listener or the disk cannot be used.
 func Run(ctx context.Context, config bootconfig.Settings, log *zap.Logger) error {
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -4,127 +4,14 @@
 	"cmp"
 	"context"
 	"slices"
-	"sync"
 	"time"
 
 	"go.uber.org/zap"
 
 	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
-	"ospreybend/coord/shards"
-	"ospreybend/internal/controlplane/peertransport"
-	"ospreybend/internal/util/strictavro"
 )
 
-// runJoin asks the other keepers to be taken into the groups that this keeper is no voter of, or
-// whose leader it has not heard for some time, until ctx ends.
-func (s *Server) runJoin(ctx context.Context) {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	startedAt, requests := s.environment.Now(), 0
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-timer.C:
-		}
-		if s.shuttingDown.Load() || !s.needsToJoin(s.environment.Now().Sub(startedAt)) {
-			requests = 0
-			timer.Reset(joinIdleInterval)
-			continue
-		}
-		s.requestJoin(ctx)
-		requests++
-		timer.Reset(joinRequestInterval(requests))
-	}
-}
-
-// joinRequestInterval is the pause after so many requests in a row: one that is not needed just now asks less often.
-func joinRequestInterval(requests int) time.Duration {
-	if requests > maxEagerJoinRequests {
-		return joinIdleInterval
-	}
-	return joinInterval
-}
-
-// needsToJoin tells whether any group has not taken this keeper in, as far as it knows.
-func (s *Server) needsToJoin(running time.Duration) bool {
-	for _, shard := range s.shards {
-		status := shard.group.Status()
-		if !isVoter(status, s.self.ID) {
-			return true
-		}
-		if running > contactLostAfter && status.ConfirmedAge > contactLostAfter {
-			return true
-		}
-	}
-	return false
-}
-
-// requestJoin asks all other keepers at once and learns of further ones from their replies.
-func (s *Server) requestJoin(ctx context.Context) {
-	body, err := codec.Marshal(groupsSchema, s.groupStates())
-	if err != nil {
-		return
-	}
-	ctx, cancel := context.WithTimeout(ctx, joinInterval)
-	defer cancel()
-	var waitGroup sync.WaitGroup
-	for _, address := range s.directory.otherAddresses() {
-		waitGroup.Go(func() {
-			reply, err := s.network.Call(ctx, address, callJoin, body)
-			if err == nil {
-				s.learnServers(reply)
-			}
-		})
-	}
-	waitGroup.Wait()
-}
-
-func (s *Server) groupStates() []groupState {
-	states := make([]groupState, 0, shards.ShardCount)
-	for _, shard := range s.shards {
-		status := shard.group.Status()
-		states = append(states, groupState{
-			Shard: int(shard.id), Voter: isVoter(status, s.self.ID), Current: current(status),
-			Writable: status.Writable && !s.shuttingDown.Load(),
-		})
-	}
-	return states
-}
-
-func (s *Server) learnServers(body []byte) {
-	var infos []serverInfo
-	if strictavro.Unmarshal(codec, serversSchema, body, &infos) != nil {
-		return
-	}
-	for _, info := range infos {
-		s.directory.learn(info)
-	}
-}
-
-// receiveJoin notes a keeper as a candidate of the groups that this keeper leads, and tells it of the
-// keepers that it knows.
-func (s *Server) receiveJoin(peer peertransport.Hello, body []byte) ([]byte, error) {
-	var states []groupState
-	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
-		return nil, err
-	}
-	now := s.environment.Now()
-	for _, state := range states {
-		if state.Shard < 0 || state.Shard >= shards.ShardCount {
-			continue
-		}
-		shard := s.shards[state.Shard]
-		if !shard.group.Status().IsLeader() {
-			continue
-		}
-		s.joinRequests.record(shard.id, joinRequest{ID: peer.Member, Address: peer.Address}, now)
-		s.startReconcile(shard)
-	}
-	return codec.Marshal(serversSchema, s.directory.serving())
-}
-
 // startReconcile brings a group's members nearer to what is wanted, unless that is under way.
 func (s *Server) startReconcile(shard *shard) {
 	s.mutex.Lock()
@@ -293,3 +180,13 @@
 	tolerated := s.settings.FaultTolerance
 	return max(tolerated.Machines, tolerated.Zones, tolerated.Regions)
 }
+
+func (s *Server) logMembershipChange(shard *shard, change replica.Change, err error) {
+	fields := []zap.Field{zap.Uint32("shard", uint32(shard.id)), zap.Error(err)}
+	if change.Add != nil {
+		fields = append(fields, zap.String("add", change.Add.Address), zap.Bool("voter", change.Add.Voter))
+	} else {
+		fields = append(fields, zap.Uint64("remove", uint64(change.Remove)))
+	}
+	s.logger.Info("membership change", fields...)
+}
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -78,18 +78,6 @@
 	return encodeIdentity(identity)
 }
 
-// sendJoinRequest plays a request to join one shard's group.
-func sendJoinRequest(t *testing.T, s *Server, shard shards.ID, id consensus.MemberID, address string) {
-	t.Helper()
-	body, err := codec.Marshal(groupsSchema, []groupState{{Shard: int(shard), Current: true, Writable: true}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := s.receiveJoin(peertransport.Hello{Address: address, Member: id}, body); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // waitForReconcile waits until no change of members is under way.
 func waitForReconcile(t *testing.T, s *Server, shard *shard) {
 	t.Helper()
@@ -161,76 +149,6 @@
 	}
 }
 
-func TestServer_Call_identity(t *testing.T) {
-	s, _, _ := newScriptedServer(t)
-	body, err := s.Call(t.Context(), peertransport.Hello{Address: "k2", Member: 2}, callIdentity, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	identity, err := decodeIdentity(body)
-	if err != nil || identity.ID != s.self.ID || identity.ShuttingDown || identity.Age < 0 {
-		t.Fatalf("%+v, %v", identity, err)
-	}
-}
-
-func TestServer_ReceiveLeave_voteGoesToSuccessorOnly(t *testing.T) {
-	const id = shards.ID(1)
-	body, err := codec.Marshal(groupsSchema, []groupState{{Shard: int(id), Voter: true}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, one := range []struct {
-		name      string
-		successor identityReply
-		want      []replica.Change
-	}{
-		{"a successor that was just started", identityReply{ID: 4, Age: successorMaxUptime},
-			[]replica.Change{{Add: &consensus.Member{ID: 3, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}}}},
-		{"a stand-by that was there before", identityReply{ID: 4, Age: successorMaxUptime + time.Millisecond}, nil},
-		{"a successor that is about to end", identityReply{ID: 4, ShuttingDown: true}, nil},
-		{"another member at the successor's address", identityReply{ID: 5}, nil},
-	} {
-		s, _, _ := newScriptedServer(t)
-		s.network = &identityNetwork{identities: map[string]identityReply{"k4": one.successor}}
-		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
-		s.settings.FaultTolerance.Machines = 1
-		group.promotable = memberIDs(4)
-		s.shards[id].group = group
-		if _, err := s.Call(timeoutContext(t), peertransport.Hello{Address: "k3", Member: 3}, callLeave, body); err != nil {
-			t.Fatal(err)
-		}
-		waitForReconcile(t, s, s.shards[id])
-		for _, want := range one.want {
-			if got := <-group.changes; !sameChange(got, want) {
-				t.Fatalf("%s: got %s, want %s", one.name, changeText(got), changeText(want))
-			}
-		}
-		if len(group.changes) > 0 {
-			t.Fatalf("%s: %s", one.name, changeText(<-group.changes))
-		}
-	}
-}
-
-// A voter that said that it leaves and is back under its ID only restarted: the successor that was started meanwhile is
-// for another one.
-func TestServer_Reconcile_returnedVoterKeepsItsVote(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		const id = shards.ID(1)
-		s, _, _ := newScriptedServer(t)
-		s.settings.FaultTolerance.Machines = 1
-		s.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, Age: time.Second}, "k4": {ID: 4, Age: time.Second}}}
-		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
-		group.promotable = memberIDs(4)
-		s.shards[id].group = group
-		s.recordLeaving(s.shards[id], 3)
-		s.startReconcile(s.shards[id])
-		waitForReconcile(t, s, s.shards[id])
-		if len(group.changes) > 0 {
-			t.Fatal(changeText(<-group.changes))
-		}
-	})
-}
-
 func TestServer_Reconcile_vacancyOfLostVoterIsFilledAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const id = shards.ID(1)
@@ -258,37 +176,3 @@
 		}
 	})
 }
-
-// leaveRecordingNetwork takes leave of keepers.
-type leaveRecordingNetwork struct {
-	scriptedNetwork
-	asked []string
-}
-
-func (n *leaveRecordingNetwork) Call(_ context.Context, address string, kind peertransport.CallKind, _ []byte) ([]byte, error) {
-	if kind != callLeave {
-		return nil, peertransport.ErrNotSent
-	}
-	n.asked = append(n.asked, address)
-	return codec.Marshal(groupsSchema, []groupState{})
-}
-
-func TestServer_ReleaseVotes_waitsForNewLeader(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		const elected = leaderDiscoveryTimeout + 200*time.Millisecond
-		s, groups, _ := newScriptedServer(t)
-		network := &leaveRecordingNetwork{}
-		s.network = network
-		status := followerStatus("b")
-		status.Leader = consensus.Member{}
-		groups[1].set(status)
-		time.AfterFunc(elected, func() { groups[1].set(followerStatus("b")) })
-		ctx, cancel := context.WithTimeout(t.Context(), leaderTransferTimeout)
-		defer cancel()
-		began := time.Now()
-		s.releaseVotes(ctx)
-		if len(network.asked) != 1 || network.asked[0] != "b" || time.Since(began) > elected+10*releasePollInterval {
-			t.Fatalf("asked %v within %s", network.asked, time.Since(began))
-		}
-	})
-}
--- /dev/null
+++ b/internal/controlplane/server/ownership.go
@@ -0,0 +1,100 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ospreybend/coord/consensus"
+	"ospreybend/coord/replica"
+)
+
+// onGroupStatus follows a group's role and members. Called by the group's loop: it must not block.
+func (s *Server) onGroupStatus(shard *shard, status replica.Status) {
+	s.directory.setMembers(shard.id, status.Members)
+	s.updateLeaderContext(shard, status.Leader)
+	leading := uint64(0)
+	if status.IsLeader() {
+		leading = status.Term
+	}
+	shard.stateMachine.setLeaderTerm(leading)
+	if s.updateLeadership(shard, status.IsLeader()) {
+		s.logger.Info("leads a shard", zap.Uint32("shard", uint32(shard.id)), zap.Uint64("term", status.Term))
+		s.background.Go(func() { s.acquireOwnership(shard, leading) })
+	}
+	s.ownersChanged.notifyAll()
+	s.feedSubscribers.wake()
+	s.environment.OnGroupStatus(status)
+}
+
+// updateLeaderContext ends the calls that wait for an owner of the shard who is no longer the leader.
+func (s *Server) updateLeaderContext(shard *shard, leader consensus.Member) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if shard.leader == leader && shard.leaderContext != nil {
+		return
+	}
+	if shard.cancelLeaderContext != nil {
+		shard.cancelLeaderContext()
+	}
+	shard.leader = leader
+	shard.leaderContext, shard.cancelLeaderContext = context.WithCancel(context.Background())
+}
+
+// leaderContext ends when the leader of the shard is another one.
+func (s *Server) leaderContext(shard *shard) context.Context {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if shard.leaderContext == nil {
+		return context.Background()
+	}
+	return shard.leaderContext
+}
+
+// updateLeadership records whether a shard is led, and tells whether that has just begun.
+func (s *Server) updateLeadership(shard *shard, leads bool) (begun bool) {
+	now := s.environment.Now()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	begun = leads && shard.leadingSince.IsZero()
+	switch {
+	case begun:
+		shard.leadingSince = now
+	case !leads:
+		shard.leadingSince = time.Time{}
+	}
+	return begun
+}
+
+// acquireOwnership waits until this replica has applied all that earlier leaders acknowledged, and
+// then starts to own the shard, unless it no longer leads in the term.
+func (s *Server) acquireOwnership(shard *shard, term uint64) {
+	select {
+	case <-s.groupsOpened:
+	case <-s.backgroundContext.Done():
+		return
+	}
+	for s.backgroundContext.Err() == nil {
+		err := s.ownershipBarrier(shard)
+		status := shard.group.Status()
+		if err == nil {
+			shard.stateMachine.ownershipGained(s.environment.Now(), term)
+			s.ownersChanged.notifyAll()
+			return
+		}
+		if !status.IsLeader() || status.Term != term {
+			return
+		}
+		waitForChange(s.backgroundContext, nil, ownerRetryInterval)
+	}
+}
+
+func (s *Server) ownershipBarrier(shard *shard) error {
+	if !s.environment.guardEnabled(GuardOwnershipBarrier) {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(s.backgroundContext, membershipChangeTimeout)
+	defer cancel()
+	return shard.group.ReadBarrier(ctx)
+}
--- a/internal/controlplane/server/state_machines.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -1,104 +1,13 @@
 package server
 
 import (
-	"sync"
 	"time"
 
 	"ospreybend/coord/consensus"
-	"ospreybend/coord/feed"
-	"ospreybend/internal/controlplane/configuration"
 	"ospreybend/internal/controlplane/registry"
+	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// feedState is a shard's feed. The mutex also guards the store that the feed shows, so that both
-// are always at the same entry.
-type feedState struct {
-	mutex  sync.Mutex
-	buffer *feed.Buffer
-}
-
-func newFeedState() feedState { return feedState{buffer: feed.NewBuffer(feedBacklogBytes)} }
-
-// changesSince returns what takes a reader on from index; both are nil if there is nothing above it.
-func (s *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.buffer.From(index)
-}
-
-func (s *feedState) index() uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.buffer.Index()
-}
-
-// append takes the change of an entry. The caller holds the mutex. Entries come in the order of
-// their indexes, so the buffer cannot refuse one.
-func (s *feedState) append(change feed.Change) { _ = s.buffer.Append(change) }
-
-func (s *feedState) reset(index uint64, items []feed.Item) {
-	s.buffer.Reset(feed.Snapshot{Index: index, Items: items})
-}
-
-// configurationMachine is the state machine of shard 0.
-type configurationMachine struct {
-	feedState
-	store *configuration.Store
-}
-
-func newConfigurationMachine(outside Environment) *configurationMachine {
-	return &configurationMachine{feedState: newFeedState(), store: configuration.NewStore(outside.OmitStore...)}
-}
-
-// Apply carries out a change to the configuration; its result is a configuration.Outcome.
-func (m *configurationMachine) Apply(entry consensus.Entry) any {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	outcome, change := m.store.Apply(entry.Index, entry.Data)
-	m.append(change)
-	return outcome
-}
-
-// Snapshot returns the whole state.
-func (m *configurationMachine) Snapshot() []byte {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.store.Snapshot()
-}
-
-// Restore replaces the state.
-func (m *configurationMachine) Restore(index uint64, data []byte) error {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	if err := m.store.Restore(data); err != nil {
-		return err
-	}
-	m.reset(index, m.store.Items())
-	return nil
-}
-
-// document returns the configuration as JSON.
-func (m *configurationMachine) document() []byte {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.store.Document()
-}
-
-// roleSwitchTime is what a worker of a service needs to change its stage; 0: not told.
-func (m *configurationMachine) roleSwitchTime(service string) time.Duration {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	description, found := m.store.Service(service)
-	if !found || description.Engine == nil {
-		return 0
-	}
-	return description.Engine.RoleSwitchTime
-}
-
-func (m *configurationMachine) setLeaderTerm(uint64)                         {}
-func (m *configurationMachine) ownershipGained(time.Time, uint64)            {}
-func (m *configurationMachine) expiryCommands(time.Time) (commands [][]byte) { return nil }
-
 // registryMachine is the state machine of a shard of instances, with what its owner knows beside.
 type registryMachine struct {
 	feedState
@@ -243,3 +152,27 @@
 	}
 	return m.owner.Expired(now)
 }
+
+// ownsInTerm tells whether this replica owns the shard, in a term.
+func (m *registryMachine) ownsInTerm(term uint64) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.owned && m.leaderTerm == term
+}
+
+// workersByService lists the workers of the services that have stages, by service, in the order of their IDs.
+func (m *registryMachine) workersByService() map[string][]roleplanner.Worker {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	services := map[string][]roleplanner.Worker{}
+	for _, instance := range m.store.Instances("") {
+		if instance.Stage != roleplanner.Prefill && instance.Stage != roleplanner.Decode {
+			continue
+		}
+		services[instance.Service] = append(services[instance.Service], roleplanner.Worker{
+			ID: instance.ID, Address: instance.Address, Zone: instance.Zone, Stage: instance.Stage,
+			Assigned: instance.Assigned, Draining: instance.State == registry.Draining,
+		})
+	}
+	return services
+}
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -188,27 +188,3 @@
 		zap.Float64("read", state.Demand.Prefill), zap.Float64("readDone", state.Demand.PrefillDone), zap.Float64("slots", state.Demand.Slots),
 		zap.Float64("memory", state.Demand.Memory), zap.Float64("moves", state.Demand.Transfers))
 }
-
-// ownsInTerm tells whether this replica owns the shard, in a term.
-func (m *registryMachine) ownsInTerm(term uint64) bool {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.owned && m.leaderTerm == term
-}
-
-// workersByService lists the workers of the services that have stages, by service, in the order of their IDs.
-func (m *registryMachine) workersByService() map[string][]roleplanner.Worker {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	services := map[string][]roleplanner.Worker{}
-	for _, instance := range m.store.Instances("") {
-		if instance.Stage != roleplanner.Prefill && instance.Stage != roleplanner.Decode {
-			continue
-		}
-		services[instance.Service] = append(services[instance.Service], roleplanner.Worker{
-			ID: instance.ID, Address: instance.Address, Zone: instance.Zone, Stage: instance.Stage,
-			Assigned: instance.Assigned, Draining: instance.State == registry.Draining,
-		})
-	}
-	return services
-}
--- /dev/null
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -0,0 +1,130 @@
+package server
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ospreybend/coord/consensus"
+	"ospreybend/coord/replica"
+	"ospreybend/coord/shards"
+	"ospreybend/internal/controlplane/peertransport"
+	"ospreybend/internal/util/bootconfig"
+)
+
+// scriptedGroup is a replica whose status and results a test sets.
+type scriptedGroup struct {
+	mutex   sync.Mutex
+	status  replica.Status
+	propose func() (any, error)
+	submit  func(ctx context.Context, data []byte) (any, error) // in place of propose
+	barrier func(ctx context.Context) error                     // nil: at once
+}
+
+func (g *scriptedGroup) Step(consensus.Message) {}
+
+func (g *scriptedGroup) Propose(ctx context.Context, data []byte) (any, uint64, error) {
+	if g.submit != nil {
+		result, err := g.submit(ctx, data)
+		return result, 1, err
+	}
+	result, err := g.propose()
+	return result, 1, err
+}
+
+func (g *scriptedGroup) ReadBarrier(ctx context.Context) error {
+	if g.barrier != nil {
+		return g.barrier(ctx)
+	}
+	return nil
+}
+
+func (g *scriptedGroup) ChangeMembers(context.Context, replica.Change) error { return nil }
+
+func (g *scriptedGroup) PromotableLearners() []consensus.MemberID { return nil }
+
+func (g *scriptedGroup) TransferLeadership(context.Context) error { return nil }
+
+func (g *scriptedGroup) Status() replica.Status {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.status
+}
+
+func (g *scriptedGroup) set(status replica.Status) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.status = status
+}
+
+// scriptedNetwork answers calls by a function.
+type scriptedNetwork struct {
+	mutex sync.Mutex
+	asked []string
+	reply func(address string, attempt int) (shardResponse, error)
+
+	hang    string        // calls to this address end with their context only
+	hanging chan struct{} // one token for each of them
+}
+
+func (n *scriptedNetwork) Send(consensus.Member, shards.ID, consensus.Message) {}
+
+func (n *scriptedNetwork) LastReceived(string) time.Time { return time.Time{} }
+
+func (n *scriptedNetwork) Peers() []peertransport.PeerStatus { return nil }
+
+func (n *scriptedNetwork) Call(ctx context.Context, address string, _ peertransport.CallKind, _ []byte) ([]byte, error) {
+	n.mutex.Lock()
+	n.asked = append(n.asked, address)
+	attempt := len(n.asked)
+	n.mutex.Unlock()
+	if address == n.hang {
+		n.hanging <- struct{}{}
+		<-ctx.Done()
+		return nil, peertransport.ErrOutcomeUnknown
+	}
+	reply, err := n.reply(address, attempt)
+	if err != nil {
+		return nil, err
+	}
+	return encodeShardResponse(reply)
+}
+
+// newScriptedServer returns a keeper whose groups and network a test plays.
+func newScriptedServer(t *testing.T) (*Server, [shards.ShardCount]*scriptedGroup, *scriptedNetwork) {
+	t.Helper()
+	config := bootconfig.Defaults()
+	config.IP, config.PortRange = "127.0.0.1", [2]int{7000, 7015}
+	self := consensus.Member{ID: 1, Address: "127.0.0.1:7000"}
+	s := newServer(config, self, Environment{}, zap.NewNop())
+	network := &scriptedNetwork{}
+	s.network = network
+	var groups [shards.ShardCount]*scriptedGroup
+	for i, shard := range s.shards {
+		groups[i] = &scriptedGroup{}
+		shard.group = groups[i]
+	}
+	close(s.groupsOpened)
+	t.Cleanup(s.Close)
+	return s, groups, network
+}
+
+func followerStatus(address string) replica.Status {
+	return replica.Status{
+		Role: consensus.RoleFollower, Leader: consensus.Member{ID: 2, Address: address},
+		Members: []consensus.Member{{ID: 1, Address: "127.0.0.1:7000", Voter: true}, {ID: 2, Address: address, Voter: true}},
+	}
+}
+
+func leaderStatus() replica.Status { return replica.Status{Role: consensus.RoleLeader, Term: 3} }
+
+func timeoutContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(t.Context(), smallCallTimeout)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+var change = shardRequest{Kind: callReplace, Shard: shards.ConfigurationShard, Body: []byte("{}")}
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -2,19 +2,15 @@
 
 import (
 	"context"
-	"errors"
 	"net"
-	"net/netip"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
 
 	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
-	"ospreybend/coord/seglog"
 	"ospreybend/coord/shards"
 	"ospreybend/internal/controlplane/feedtransport"
 	"ospreybend/internal/controlplane/peertransport"
@@ -88,119 +84,19 @@
 	return newRegistryMachine(heartbeatInterval, outside)
 }
 
-// ownPeerAddress is where this keeper takes its peers: the IP of its control address, first port.
-func ownPeerAddress(config bootconfig.Settings) string {
-	control, err := netip.ParseAddrPort(config.Listen.Control)
-	if err != nil {
-		return config.PeerAddress()
-	}
-	return config.PeerAddressOf(control.Addr().String())
-}
-
-func seedPeerAddresses(config bootconfig.Settings) []string { return config.SeedPeerAddresses() }
-
-// openPeerNetwork makes the connections' end of this keeper. It accepts nothing yet.
-func (s *Server) openPeerNetwork() error {
-	network, err := peertransport.New(peertransport.Options{
-		Self: peertransport.Hello{
-			Address: s.self.Address, Member: s.self.ID, Zone: s.settings.Zone, Region: s.settings.Region,
-		},
-		Handler: s, Logger: s.logger, Dial: s.environment.Dial, Now: s.environment.Now, Random: s.environment.Random,
-	})
-	if err != nil {
-		return err
-	}
-	s.network, s.servePeers, s.closeNetwork = network, network.Serve, network.Close
-	return nil
-}
+// Self returns this keeper as a member of its groups.
+func (s *Server) Self() consensus.Member { return s.self }
 
-// openGroups opens all replicas. One that cannot be opened now, as with a full disk, is tried again
-// until ctx ends; one that is damaged gives seglog.ErrDamaged.
-func (s *Server) openGroups(ctx context.Context, founders []consensus.Member) error {
+// Inspect returns the state of all groups without its age. It asks no clock.
+func (s *Server) Inspect() []replica.Status {
+	var all []replica.Status
 	for _, shard := range s.shards {
-		for {
-			err := s.openGroup(shard, founders)
-			if err == nil {
-				break
-			}
-			if errors.Is(err, seglog.ErrCorrupt) {
-				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
-			}
-			s.logger.Error("a replica cannot be opened", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
-			if !waitForChange(ctx, nil, openRetryInterval) {
-				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
-			}
-		}
-	}
-	close(s.groupsOpened)
-	return nil
-}
-
-func (s *Server) openGroup(shard *shard, founders []consensus.Member) error {
-	group, err := replica.Open(replica.Options{
-		Shard:            shard.id,
-		Directory:        replicaDirectory(s.settings.DataDir, shard.id),
-		FileSystem:       s.environment.FileSystem,
-		Self:             s.self,
-		BootstrapMembers: founders,
-		StateMachine:     shard.stateMachine,
-		Send: func(to consensus.Member, message consensus.Message) {
-			s.network.Send(to, shard.id, message)
-		},
-		OnApplied:         func(uint64) { s.feedSubscribers.wake() },
-		OnStatus:          func(status replica.Status) { s.onGroupStatus(shard, status) },
-		ElectionTimeout:   electionTimeout,
-		HeartbeatInterval: groupHeartbeatInterval,
-		Logger:            s.logger,
-		Clock:             groupClock{now: s.environment.Now, start: s.startedAt},
-		OmitRules:         s.environment.OmitRules,
-	})
-	if err != nil {
-		return err
-	}
-	shard.group = group
-	s.closeGroups = append(s.closeGroups, group.Close)
-	return nil
-}
-
-// Connected notes where a peer is.
-func (s *Server) Connected(peer peertransport.Hello) {
-	s.directory.learn(serverInfo{Address: peer.Address, Zone: peer.Zone, Region: peer.Region})
-}
-
-// Messages hands agreement messages to their groups. Those for an earlier member with this
-// address are dropped.
-func (s *Server) Messages(_ peertransport.Hello, batch []peertransport.GroupMessage) {
-	for _, one := range batch {
-		if one.Message.To == s.self.ID || !s.environment.guardEnabled(GuardMemberAddressed) {
-			s.shards[one.Shard].group.Step(one.Message)
+		if group, ok := shard.group.(*replica.Group); ok {
+			all = append(all, group.StatusWithoutAge())
 		}
 	}
+	return all
 }
 
-// Call carries out what another keeper asks.
-func (s *Server) Call(ctx context.Context, peer peertransport.Hello, kind peertransport.CallKind, body []byte) ([]byte, error) {
-	switch kind {
-	case callJoin:
-		return s.receiveJoin(peer, body)
-	case callLeave:
-		return s.receiveLeave(ctx, peer, body)
-	case callIdentity:
-		return encodeIdentity(identityReply{
-			ID: s.self.ID, Age: s.environment.Now().Sub(s.startedAt), ShuttingDown: s.shuttingDown.Load(),
-		})
-	case callGroupStates:
-		return codec.Marshal(groupsSchema, s.groupStates())
-	}
-	c, err := decodeShardRequest(body)
-	if err != nil {
-		return nil, err
-	}
-	return encodeShardResponse(s.execute(ctx, c))
-}
-
-// listenPeers opens the listener for peers and agents.
-func (s *Server) listenPeers(ctx context.Context) (net.Listener, error) {
-	listener, err := s.environment.Listen(ctx, s.self.Address)
-	return listener, eris.Wrap(err, "listen for peers")
-}
+// uptime is the time that the process has run, on its monotonic clock.
+func (s *Server) uptime() time.Duration { return s.environment.Now().Sub(s.startedAt) }
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -95,15 +95,6 @@
 	s.forwardInBackground(ctx, shardRequest{Kind: callSessionLiveness, Shard: id, Body: body}, smallCallTimeout)
 }
 
-// forwardInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
-func (s *Server) forwardInBackground(ctx context.Context, c shardRequest, within time.Duration) {
-	s.background.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, within)
-		defer cancel()
-		s.forward(ctx, c)
-	})
-}
-
 // executeSessionLiveness notes as the owner of a shard whom another keeper has heard.
 func (s *Server) executeSessionLiveness(c shardRequest) shardResponse {
 	var heard []sessionHeartbeat
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -1,9 +1,7 @@
 package server
 
 import (
-	"net/http"
 	"testing"
-	"time"
 
 	"ospreybend/coord/consensus"
 	"ospreybend/coord/shards"
@@ -72,22 +70,3 @@
 		})
 	}
 }
-
-func TestServer_Execute_sessionLivenessNeedsOwnership(t *testing.T) {
-	s, groups, _ := newScriptedServer(t)
-	id := shards.ForService(presentService)
-	body, err := codec.Marshal(sessionHeartbeatsSchema, []sessionHeartbeat{{ID: presentID, Sequence: 4}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	request := shardRequest{Kind: callSessionLiveness, Shard: id, Body: body}
-	groups[id].set(followerStatus("b"))
-	if reply := s.execute(t.Context(), request); !reply.NotOwner || reply.Leader != "b" {
-		t.Fatal(reply)
-	}
-	s.instances(id).setLeaderTerm(3)
-	s.instances(id).ownershipGained(time.Now(), 3)
-	if reply := s.execute(t.Context(), request); reply.Status != http.StatusOK {
-		t.Fatal(reply)
-	}
-}
--- /dev/null
+++ b/internal/controlplane/server/vote_release_test.go
@@ -0,0 +1,70 @@
+package server
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreybend/coord/consensus"
+	"ospreybend/coord/replica"
+	"ospreybend/coord/shards"
+	"ospreybend/internal/controlplane/peertransport"
+)
+
+func TestServer_ReceiveLeave_voteGoesToSuccessorOnly(t *testing.T) {
+	const id = shards.ID(1)
+	body, err := codec.Marshal(groupsSchema, []groupState{{Shard: int(id), Voter: true}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, one := range []struct {
+		name      string
+		successor identityReply
+		want      []replica.Change
+	}{
+		{"a successor that was just started", identityReply{ID: 4, Age: successorMaxUptime},
+			[]replica.Change{{Add: &consensus.Member{ID: 3, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}}}},
+		{"a stand-by that was there before", identityReply{ID: 4, Age: successorMaxUptime + time.Millisecond}, nil},
+		{"a successor that is about to end", identityReply{ID: 4, ShuttingDown: true}, nil},
+		{"another member at the successor's address", identityReply{ID: 5}, nil},
+	} {
+		s, _, _ := newScriptedServer(t)
+		s.network = &identityNetwork{identities: map[string]identityReply{"k4": one.successor}}
+		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
+		s.settings.FaultTolerance.Machines = 1
+		group.promotable = memberIDs(4)
+		s.shards[id].group = group
+		if _, err := s.Call(timeoutContext(t), peertransport.Hello{Address: "k3", Member: 3}, callLeave, body); err != nil {
+			t.Fatal(err)
+		}
+		waitForReconcile(t, s, s.shards[id])
+		for _, want := range one.want {
+			if got := <-group.changes; !sameChange(got, want) {
+				t.Fatalf("%s: got %s, want %s", one.name, changeText(got), changeText(want))
+			}
+		}
+		if len(group.changes) > 0 {
+			t.Fatalf("%s: %s", one.name, changeText(<-group.changes))
+		}
+	}
+}
+
+// A voter that said that it leaves and is back under its ID only restarted: the successor that was started meanwhile is
+// for another one.
+func TestServer_Reconcile_returnedVoterKeepsItsVote(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const id = shards.ID(1)
+		s, _, _ := newScriptedServer(t)
+		s.settings.FaultTolerance.Machines = 1
+		s.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, Age: time.Second}, "k4": {ID: 4, Age: time.Second}}}
+		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
+		group.promotable = memberIDs(4)
+		s.shards[id].group = group
+		s.recordLeaving(s.shards[id], 3)
+		s.startReconcile(s.shards[id])
+		waitForReconcile(t, s, s.shards[id])
+		if len(group.changes) > 0 {
+			t.Fatal(changeText(<-group.changes))
+		}
+	})
+}
