--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -145,7 +145,7 @@
 // all owners are asked; it is acknowledged once the one that knows it has removed it, or each remembers that it is gone.
 func (s *Server) deregister(ctx context.Context, id string) shardResponse {
 	for _, shard := range allShards {
-		machine := s.instances(shard)
+		machine := s.registryMachine(shard)
 		if machine == nil {
 			continue
 		}
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -110,7 +110,7 @@
 					}
 				}
 				request := newReusedBufferRequest(one.id, "7", one.body)
-				s.keeper.apiHandler(one.kind)(t.Context(), request.context)
+				s.server.apiHandler(one.kind)(t.Context(), request.context)
 				if status := request.context.Response.StatusCode(); status != http.StatusServiceUnavailable {
 					t.Fatal(status)
 				}
@@ -128,9 +128,9 @@
 				s := newDegradedServerFixture(t)
 				s.setEveryGroup(followerStatus(ownerAddress), nil)
 				calls := &retainedProposals{}
-				s.keeper.network = &retainingNetwork{calls: calls}
+				s.server.network = &retainingNetwork{calls: calls}
 				request := newReusedBufferRequest(one.id, "7", one.body)
-				s.keeper.apiHandler(one.kind)(t.Context(), request.context)
+				s.server.apiHandler(one.kind)(t.Context(), request.context)
 				request.overwrite()
 				calls.check(t)
 			})
@@ -156,17 +156,17 @@
 		s := newDegradedServerFixture(t)
 		s.setEveryGroup(followerStatus(ownerAddress), nil)
 		request := newReusedBufferRequest(presentID, "", heartbeatJSON("ready", 5))
-		s.keeper.apiHandler(APIHeartbeat)(t.Context(), request.context)
+		s.server.apiHandler(APIHeartbeat)(t.Context(), request.context)
 		request.overwrite()
-		drained := s.keeper.liveness.drain(shards.ForService(presentService))
+		drained := s.server.liveness.drain(shards.ForService(presentService))
 		if len(drained) != 1 || drained[0].ID != presentID {
 			t.Fatal(drained)
 		}
-		makeOwner(s.keeper, s.groups)
+		makeOwner(s.server, s.groups)
 		request = newReusedBufferRequest("i-new", "", heartbeatJSON("ready", 1))
-		s.keeper.apiHandler(APIHeartbeat)(t.Context(), request.context)
+		s.server.apiHandler(APIHeartbeat)(t.Context(), request.context)
 		request.overwrite()
-		machine := s.keeper.instances(shards.ForService(presentService))
+		machine := s.server.registryMachine(shards.ForService(presentService))
 		if machine.store.Instance("i-new") == nil {
 			t.Fatal(machine.store.Instances(""))
 		}
@@ -177,18 +177,18 @@
 func TestServer_APIHandler_configurationOwnsItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
-		makeOwner(s.keeper, s.groups)
+		makeOwner(s.server, s.groups)
 		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentNumber, Body: []byte(configurationJSON(9))})
 		if _, err := s.groups[0].submit(t.Context(), data); err != nil {
 			t.Fatal(err)
 		}
 		clear(data)
-		first := s.keeper.Handle(t.Context(), APIRequest{Call: APIRead})
+		first := s.server.Handle(t.Context(), APIRequest{Call: APIRead})
 		clear(first.Body)
-		if second := s.keeper.Handle(t.Context(), APIRequest{Call: APIRead}); string(second.Body) != configurationJSON(9) {
+		if second := s.server.Handle(t.Context(), APIRequest{Call: APIRead}); string(second.Body) != configurationJSON(9) {
 			t.Fatalf("%s", second.Body)
 		}
-		changes, snapshot := s.keeper.Since(shards.ConfigurationShard, 0)
+		changes, snapshot := s.server.Since(shards.ConfigurationShard, 0)
 		if len(changes) == 0 && snapshot == nil {
 			t.Fatal("the feed has nothing")
 		}
--- a/internal/controlplane/server/concurrent_changes_test.go
+++ b/internal/controlplane/server/concurrent_changes_test.go
@@ -17,19 +17,19 @@
 }
 
 // sendConcurrently sends orders to keepers at the same time, each to all of them, and returns the clear answers of each.
-func (f *testCluster) sendConcurrently(keepers []int, orders ...configurationChange) [][]int {
+func (f *testCluster) sendConcurrently(servers []int, orders ...configurationChange) [][]int {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
 	defer cancel()
 	answers := make([][]int, len(orders))
 	var waitGroup sync.WaitGroup
 	for number, order := range orders {
-		answers[number] = make([]int, len(keepers))
-		for place, keeper := range keepers {
+		answers[number] = make([]int, len(servers))
+		for index, server := range servers {
 			waitGroup.Go(func() {
 				_ = localfleet.Await(ctx, pollInterval, func() bool {
-					status, _ := f.do(keeper, http.MethodPost, "/-/Config.Replace", order.base, order.body)
-					answers[number][place] = status
+					status, _ := f.do(server, http.MethodPost, "/-/Config.Replace", order.base, order.body)
+					answers[number][index] = status
 					return status != 0 && status < http.StatusInternalServerError
 				})
 			})
@@ -76,7 +76,7 @@
 	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
 	var won []configurationChange
 	lost := map[configurationChange]bool{}
-	race := func(keepers ...int) {
+	race := func(servers ...int) {
 		base := len(won)
 		orders := []configurationChange{
 			{uint64(base), configurationJSON(base + 1)},
@@ -86,19 +86,19 @@
 		for _, order := range orders {
 			lost[order] = true
 		}
-		winner := f.requireOneWinner(orders, f.sendConcurrently(keepers, orders...))
+		winner := f.requireOneWinner(orders, f.sendConcurrently(servers, orders...))
 		delete(lost, winner)
 		won = append(won, winner)
 	}
-	repeat := func(keepers ...int) {
+	repeat := func(servers ...int) {
 		for _, order := range won {
-			for _, i := range keepers {
+			for _, i := range servers {
 				status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Config.Replace", order.base, order.body)
 				f.requireStatus(http.StatusOK, status, content)
 			}
 		}
 		for order := range lost {
-			status, content := f.doUntilDefinitive(keepers[0], http.MethodPost, "/-/Config.Replace", order.base, order.body)
+			status, content := f.doUntilDefinitive(servers[0], http.MethodPost, "/-/Config.Replace", order.base, order.body)
 			f.requireStatus(http.StatusPreconditionFailed, status, content)
 		}
 	}
--- a/internal/controlplane/server/configuration_machine.go
+++ b/internal/controlplane/server/configuration_machine.go
@@ -13,8 +13,8 @@
 	store *configuration.Store
 }
 
-func newConfigurationMachine(outside Environment) *configurationMachine {
-	return &configurationMachine{feedState: newFeedState(), store: configuration.NewStore(outside.OmitStore...)}
+func newConfigurationMachine(environment Environment) *configurationMachine {
+	return &configurationMachine{feedState: newFeedState(), store: configuration.NewStore(environment.OmitStore...)}
 }
 
 // Apply carries out a change to the configuration; its result is a configuration.Outcome.
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -37,7 +37,7 @@
 
 // degradedServerFixture is a keeper in trouble, and perhaps another one that owns all shards.
 type degradedServerFixture struct {
-	keeper *Server
+	server *Server
 	groups [shards.ShardCount]*scriptedGroup
 	owner  *Server
 	link   *ownerOnlyNetwork
@@ -111,8 +111,8 @@
 		group.submit = func(ctx context.Context, _ []byte) (any, error) { return nil, waitOrFail(ctx, refusal) }
 		group.barrier = func(ctx context.Context) error { return waitOrFail(ctx, refusal) }
 		if status.IsLeader() {
-			s.keeper.shards[i].stateMachine.setLeaderTerm(status.Term)
-			s.keeper.shards[i].stateMachine.ownershipGained(time.Now(), status.Term)
+			s.server.shards[i].stateMachine.setLeaderTerm(status.Term)
+			s.server.shards[i].stateMachine.ownershipGained(time.Now(), status.Term)
 		}
 	}
 }
@@ -129,9 +129,9 @@
 func newDegradedServerFixture(t *testing.T) *degradedServerFixture {
 	t.Helper()
 	s := &degradedServerFixture{link: &ownerOnlyNetwork{}}
-	s.keeper, s.groups, _ = newScriptedServer(t)
-	s.keeper.network = s.link
-	applyInitialState(t, s.keeper)
+	s.server, s.groups, _ = newScriptedServer(t)
+	s.server.network = s.link
+	applyInitialState(t, s.server)
 	config := bootconfig.Defaults()
 	config.IP, config.PortRange = "127.0.0.1", [2]int{7100, 7115}
 	s.owner = newServer(config, consensus.Member{ID: 2, Address: ownerAddress}, Environment{}, zap.NewNop())
@@ -158,7 +158,7 @@
 	able capability
 	set  func(s *degradedServerFixture)
 }{
-	{"it leads", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) { makeOwner(s.keeper, s.groups) }},
+	{"it leads", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) { makeOwner(s.server, s.groups) }},
 	{"it leads, cut off a moment ago", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), nil) }},
 	{"it leads, cut off", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(leaderStatus(), 2*currentMaxAge), nil)
@@ -200,12 +200,12 @@
 	}},
 	{"it has no group, and knows the owner", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(replica.Status{}, 2*contactLostAfter), nil)
-		s.keeper.directory.learn(serverInfo{Address: ownerAddress, Zone: "z"})
+		s.server.directory.learn(serverInfo{Address: ownerAddress, Zone: "z"})
 		s.link.owner = s.owner
 	}},
 	{"it is leaving", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
-		s.keeper.shuttingDown.Store(true)
+		s.server.shuttingDown.Store(true)
 		s.link.owner = s.owner
 	}},
 }
@@ -255,14 +255,14 @@
 func callDegraded(t *testing.T, trouble, one int, omit ...Guard) (wrong string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
-		s.keeper.environment.OmitGuards = omit
+		s.server.environment.OmitGuards = omit
 		degradedStates[trouble].set(s)
 		want := degradedCalls[one].status
 		if needs := degradedCalls[one].needs; degradedStates[trouble].able&needs != needs {
 			want = http.StatusServiceUnavailable
 		}
 		began := time.Now()
-		reply := s.keeper.Handle(t.Context(), degradedCalls[one].request)
+		reply := s.server.Handle(t.Context(), degradedCalls[one].request)
 		if reply.Status != want {
 			wrong = fmt.Sprintf("%d, not %d: %s", reply.Status, want, reply.Body)
 		}
--- a/internal/controlplane/server/demand_reports.go
+++ b/internal/controlplane/server/demand_reports.go
@@ -86,14 +86,14 @@
 }
 
 // executeDemand takes, as the owner of a shard, the demand that another keeper passes on.
-func (s *Server) executeDemand(c shardRequest) shardResponse {
-	if status := s.shards[c.Shard].group.Status(); !status.IsLeader() {
+func (s *Server) executeDemand(request shardRequest) shardResponse {
+	if status := s.shards[request.Shard].group.Status(); !status.IsLeader() {
 		return notOwnerResponse(status.Leader.Address)
 	}
-	report, err := roleplanner.DecodeReport(c.Body)
+	report, err := roleplanner.DecodeReport(request.Body)
 	if err != nil {
 		return errorResponse(InternalFault)
 	}
-	s.demands.putFromServer(s.uptime(), c.Shard, c.ID, report)
+	s.demands.putFromServer(s.uptime(), request.Shard, request.ID, report)
 	return okResponse(emptyObject)
 }
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -19,7 +19,7 @@
 	s, groups, _ := newScriptedServer(t)
 	lost = map[shards.ID]bool{}
 	for id := shards.ID(1); id < shards.ShardCount; id++ {
-		machine, index := s.instances(id), uint64(0)
+		machine, index := s.registryMachine(id), uint64(0)
 		groups[id].set(leaderStatus())
 		groups[id].submit = func(_ context.Context, data []byte) (any, error) {
 			if lost[id] {
@@ -55,7 +55,7 @@
 		t.Fatal(status)
 	}
 	late := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 9))})
-	if known, _ := s.instances(home).lookUp(presentID); late.Status != http.StatusOK || known {
+	if known, _ := s.registryMachine(home).lookUp(presentID); late.Status != http.StatusOK || known {
 		t.Fatal("a heartbeat that came late brought it back", late.Status)
 	}
 }
@@ -73,7 +73,7 @@
 			t.Fatal(status)
 		}
 	}
-	if known, removed := s.instances(home).lookUp(presentID); !known || !removed {
+	if known, removed := s.registryMachine(home).lookUp(presentID); !known || !removed {
 		t.Fatal(known, removed)
 	}
 }
@@ -95,7 +95,7 @@
 			t.Fatal(status)
 		}
 	}
-	if _, removed := s.instances(home).lookUp(presentID); !removed {
+	if _, removed := s.registryMachine(home).lookUp(presentID); !removed {
 		t.Fatal("it is back")
 	}
 }
@@ -103,7 +103,7 @@
 // TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two nodes tell one address in turn: a node's ID may come back, unlike a worker's.
 func TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress(t *testing.T) {
 	s, _ := newOwningServer(t)
-	machine := s.instances(shards.ForService(registry.NodesService))
+	machine := s.registryMachine(shards.ForService(registry.NodesService))
 	for index, id := range []string{"n1", "n2", "n1"} {
 		node := registry.Instance{ID: id, Service: registry.NodesService, Address: "10.0.0.1:7660", Slots: 1}
 		decision, owned := machine.decideHeartbeat(time.Now(), registry.Heartbeat{Instance: node})
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -28,19 +28,19 @@
 	return &edgeNodeTable{connections: make(map[edgeNode]int), added: make(chan struct{}, 1)}
 }
 
-func (t *edgeNodeTable) add(one edgeNode) {
+func (t *edgeNodeTable) add(node edgeNode) {
 	t.mutex.Lock()
-	t.connections[one]++
+	t.connections[node]++
 	t.mutex.Unlock()
 	notify(t.added)
 }
 
-func (t *edgeNodeTable) remove(one edgeNode) {
+func (t *edgeNodeTable) remove(node edgeNode) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.connections[one]--
-	if t.connections[one] <= 0 {
-		delete(t.connections, one)
+	t.connections[node]--
+	if t.connections[node] <= 0 {
+		delete(t.connections, node)
 	}
 }
 
@@ -49,8 +49,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	listed := make([]edgeNode, 0, len(t.connections))
-	for one := range t.connections {
-		listed = append(listed, one)
+	for node := range t.connections {
+		listed = append(listed, node)
 	}
 	slices.SortFunc(listed, func(a, b edgeNode) int { return strings.Compare(a.ID, b.ID) })
 	return listed
@@ -67,9 +67,9 @@
 	defer cancel()
 	defer context.AfterFunc(s.feedContext, cancel)()
 	if hello.Role == feedtransport.RoleAgent {
-		one := edgeNode{ID: hello.Node, Address: s.settings.MonitorAddressOf(hello.IP), Zone: hello.Zone}
-		s.edgeNodes.add(one)
-		defer s.edgeNodes.remove(one)
+		node := edgeNode{ID: hello.Node, Address: s.settings.MonitorAddressOf(hello.IP), Zone: hello.Zone}
+		s.edgeNodes.add(node)
+		defer s.edgeNodes.remove(node)
 	}
 	s.metrics.feedSessions.Add(1)
 	defer s.metrics.feedSessions.Add(-1)
@@ -109,17 +109,17 @@
 }
 
 // executeNodeHeartbeats takes the heartbeats of edge nodes as the owner of their shard.
-func (s *Server) executeNodeHeartbeats(ctx context.Context, c shardRequest) shardResponse {
+func (s *Server) executeNodeHeartbeats(ctx context.Context, request shardRequest) shardResponse {
 	var nodes []edgeNode
-	if err := strictavro.Unmarshal(codec, nodesSchema, c.Body, &nodes); err != nil {
+	if err := strictavro.Unmarshal(codec, nodesSchema, request.Body, &nodes); err != nil {
 		return errorResponse(InternalFault)
 	}
 	replies := make([]shardResponse, len(nodes))
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentProposals)
-	for i, one := range nodes {
+	for i, node := range nodes {
 		group.Go(func() error {
-			replies[i] = s.decideHeartbeat(ctx, c, nodeHeartbeat(one))
+			replies[i] = s.decideHeartbeat(ctx, request, nodeHeartbeat(node))
 			return nil
 		})
 	}
@@ -128,17 +128,17 @@
 }
 
 // firstFailure returns an answer that is no success, if there is one.
-func firstFailure(replies []shardResponse) shardResponse {
-	for _, reply := range replies {
-		if reply.Status != http.StatusOK {
-			return reply
+func firstFailure(responses []shardResponse) shardResponse {
+	for _, response := range responses {
+		if response.Status != http.StatusOK {
+			return response
 		}
 	}
 	return okResponse(emptyObject)
 }
 
-func nodeHeartbeat(one edgeNode) registry.Heartbeat {
+func nodeHeartbeat(node edgeNode) registry.Heartbeat {
 	return registry.Heartbeat{Instance: registry.Instance{
-		ID: one.ID, Service: registry.NodesService, Address: one.Address, Zone: one.Zone, Slots: 1, State: registry.Ready,
+		ID: node.ID, Service: registry.NodesService, Address: node.Address, Zone: node.Zone, Slots: 1, State: registry.Ready,
 	}}
 }
--- a/internal/controlplane/server/feed_source.go
+++ b/internal/controlplane/server/feed_source.go
@@ -31,7 +31,7 @@
 	status := feedtransport.Status{Shards: make([]feedtransport.ShardStatus, 0, shards.ShardCount)}
 	for _, shard := range s.shards {
 		status.Shards = append(status.Shards, feedtransport.ShardStatus{
-			Shard: shard.id, Index: shard.stateMachine.index(), Current: current(shard.group.Status()) || !s.environment.guardEnabled(GuardFeedCurrent),
+			Shard: shard.id, Index: shard.stateMachine.index(), Current: isCurrent(shard.group.Status()) || !s.environment.guardEnabled(GuardFeedCurrent),
 		})
 	}
 	for _, info := range s.directory.serving() {
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -21,15 +21,15 @@
 
 // forwardTarget is the keeper that a call goes to.
 type forwardTarget struct {
-	self    bool
-	address string
-	known   bool // by the local replica: the call is broken off if that learns of another leader
+	isSelf       bool
+	address      string
+	knownLocally bool // by the local replica: the call is broken off if that learns of another leader
 }
 
 // forward has the owner of the call's shard carry it out and returns the owner's answer. Where the
 // owner is unknown, was changed or cannot be reached, it waits for another one and tries again
 // until ctx ends; calls may therefore be carried out more than once.
-func (s *Server) forward(ctx context.Context, c shardRequest) shardResponse {
+func (s *Server) forward(ctx context.Context, request shardRequest) shardResponse {
 	hint, avoid, asked, hints := "", "", false, 0
 	for attempt := 0; ; attempt++ {
 		if hint != "" {
@@ -38,12 +38,12 @@
 		if hints > maxOwnerHints {
 			hint = ""
 		}
-		to, err := s.awaitOwner(ctx, c.Shard, hint, avoid, attempt)
+		to, err := s.awaitOwner(ctx, request.Shard, hint, avoid, attempt)
 		if err != nil {
 			break
 		}
 		hint, avoid = "", ""
-		reply, err := s.callTarget(ctx, to, c)
+		reply, err := s.callTarget(ctx, to, request)
 		if err == nil && !reply.NotOwner {
 			return reply
 		}
@@ -60,21 +60,21 @@
 }
 
 // callTarget has one keeper carry out a call.
-func (s *Server) callTarget(ctx context.Context, to forwardTarget, c shardRequest) (shardResponse, error) {
-	if to.self {
-		return s.execute(ctx, c), nil
+func (s *Server) callTarget(ctx context.Context, to forwardTarget, request shardRequest) (shardResponse, error) {
+	if to.isSelf {
+		return s.execute(ctx, request), nil
 	}
-	body, err := encodeShardRequest(c)
+	body, err := encodeShardRequest(request)
 	if err != nil {
 		return shardResponse{}, err
 	}
-	if to.known {
+	if to.knownLocally {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(s.leaderContext(s.shards[c.Shard]), cancel)()
+		defer context.AfterFunc(s.leaderContext(s.shards[request.Shard]), cancel)()
 	}
-	reply, err := s.network.Call(ctx, to.address, c.Kind, body)
+	reply, err := s.network.Call(ctx, to.address, request.Kind, body)
 	if err != nil {
 		return shardResponse{}, err
 	}
@@ -88,7 +88,7 @@
 	if hint != "" && hint != s.self.Address {
 		return forwardTarget{address: hint}, nil
 	}
-	began := s.environment.Now()
+	startedAt := s.environment.Now()
 	for pauses := 0; ; pauses++ {
 		changed := s.ownersChanged.changed()
 		if pauses > maxAvoidPauses {
@@ -97,7 +97,7 @@
 		if attempt == 0 || pauses > 0 {
 			to, found := s.lookUpOwner(id, avoid, attempt)
 			// Keepers that may know the owner are asked at an interval: what changes meanwhile may be other shards' owners.
-			if found && (attempt == 0 || to.self || to.known || s.environment.Now().Sub(began) >= ownerRetryInterval) {
+			if found && (attempt == 0 || to.isSelf || to.knownLocally || s.environment.Now().Sub(startedAt) >= ownerRetryInterval) {
 				return to, nil
 			}
 		}
@@ -111,10 +111,10 @@
 func (s *Server) lookUpOwner(id shards.ID, avoid string, attempt int) (forwardTarget, bool) {
 	status := s.shards[id].group.Status()
 	if status.IsLeader() {
-		return forwardTarget{self: true}, true
+		return forwardTarget{isSelf: true}, true
 	}
 	if address := status.Leader.Address; address != "" {
-		return forwardTarget{address: address, known: true}, address != avoid && address != s.self.Address
+		return forwardTarget{address: address, knownLocally: true}, address != avoid && address != s.self.Address
 	}
 	if len(status.Members) > 0 && status.ConfirmedAge <= contactLostAfter {
 		return forwardTarget{}, false
@@ -127,10 +127,10 @@
 }
 
 // forwardInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
-func (s *Server) forwardInBackground(ctx context.Context, c shardRequest, within time.Duration) {
+func (s *Server) forwardInBackground(ctx context.Context, request shardRequest, within time.Duration) {
 	s.background.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
-		s.forward(ctx, c)
+		s.forward(ctx, request)
 	})
 }
--- a/internal/controlplane/server/full_disk_test.go
+++ b/internal/controlplane/server/full_disk_test.go
@@ -20,8 +20,8 @@
 	config.Bootstrap, config.DataDir = true, "data"
 	config.PortRange = [2]int{7000, 7015}
 	config.Seeds = []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}
-	outside := Environment{FileSystem: disk}.withDefaults()
-	return &identityResolver{config: config, address: seedPeerAddresses(config)[0], environment: outside}
+	environment := Environment{FileSystem: disk}.withDefaults()
+	return &identityResolver{settings: config, address: seedPeerAddresses(config)[0], environment: environment}
 }
 
 // resolveAfterFreeing fills the disk, begins the start, makes room after a while and returns the ID.
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -27,7 +27,7 @@
 func (s *Server) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaderTransferTimeout)
 	defer cancel()
-	started := s.environment.Now()
+	startedAt := s.environment.Now()
 	var waitGroup sync.WaitGroup
 	for _, shard := range s.shards {
 		if shard.group.Status().IsLeader() {
@@ -36,7 +36,7 @@
 	}
 	waitGroup.Wait()
 	s.releaseVotes(ctx)
-	s.logger.Info("leaving", zap.Duration("handed over in", s.environment.Now().Sub(started)))
+	s.logger.Info("leaving", zap.Duration("handed over in", s.environment.Now().Sub(startedAt)))
 }
 
 // transferLeadership transfers the leadership of one shard, and tries again while the group refuses.
@@ -61,17 +61,17 @@
 	for len(remaining) > 0 {
 		var waitGroup sync.WaitGroup
 		var mutex sync.Mutex
-		votes, elsewhere := s.votesByLeader(ctx, remaining)
+		votes, notLed := s.votesByLeader(ctx, remaining)
 		for address, votes := range votes {
 			waitGroup.Go(func() {
 				refused := s.requestRelease(ctx, address, votes)
 				mutex.Lock()
 				defer mutex.Unlock()
-				elsewhere = append(elsewhere, refused...)
+				notLed = append(notLed, refused...)
 			})
 		}
 		waitGroup.Wait()
-		remaining = elsewhere
+		remaining = notLed
 		if !waitForChange(ctx, nil, releasePollInterval) {
 			return
 		}
@@ -89,11 +89,11 @@
 		s.logger.Debug("a leader does not take leave", zap.String("leader", leader), zap.Error(err))
 		return shardsOf(votes)
 	}
-	var states []groupState
-	if strictavro.Unmarshal(codec, groupsSchema, reply, &states) != nil {
+	var notLed []groupState
+	if strictavro.Unmarshal(codec, groupsSchema, reply, &notLed) != nil {
 		return nil
 	}
-	return shardsOf(states)
+	return shardsOf(notLed)
 }
 
 func shardsOf(states []groupState) []shards.ID {
@@ -106,11 +106,11 @@
 
 // votesByLeader returns the groups in which this keeper votes, out of some, by the address of their leader, and those whose
 // leader is not known. Where leadership has just been handed over, the new leader may be known a moment later.
-func (s *Server) votesByLeader(ctx context.Context, among []shards.ID) (found map[string][]groupState, unknown []shards.ID) {
+func (s *Server) votesByLeader(ctx context.Context, candidates []shards.ID) (found map[string][]groupState, unknown []shards.ID) {
 	ctx, cancel := context.WithTimeout(ctx, leaderDiscoveryTimeout)
 	defer cancel()
 	found = make(map[string][]groupState)
-	for _, id := range among {
+	for _, id := range candidates {
 		group := s.shards[id].group
 		status := group.Status()
 		for isVoter(status, s.self.ID) && status.Leader.Address == "" && waitForChange(ctx, nil, releasePollInterval) {
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -19,7 +19,7 @@
 // httpHost is the API of a keeper whose group accepts everything, and counts it.
 type httpHost struct {
 	t        *testing.T
-	keeper   *Server
+	server   *Server
 	address  string
 	proposed atomic.Int64
 }
@@ -27,7 +27,7 @@
 func newHTTPHost(t *testing.T) *httpHost {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
-	h := &httpHost{t: t, keeper: s}
+	h := &httpHost{t: t, server: s}
 	groups[0].set(leaderStatus())
 	groups[0].submit = func(context.Context, []byte) (any, error) {
 		number := h.proposed.Add(1)
@@ -129,7 +129,7 @@
 // A keeper that is about to end answers, and tells its callers to come to others.
 func TestAPI_shuttingDownServerClosesConnections(t *testing.T) {
 	h := newHTTPHost(t)
-	h.keeper.shuttingDown.Store(true)
+	h.server.shuttingDown.Store(true)
 	connection := h.dial()
 	if _, err := io.WriteString(connection, withContentLength(configurationJSON(1))+withContentLength(configurationJSON(2))); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -43,26 +43,26 @@
 
 // identityResolver is a process's way to the identity of its disk, which may take several tries.
 type identityResolver struct {
-	config      bootconfig.Settings
+	settings    bootconfig.Settings
 	address     string
 	environment Environment
 	diskLost    bool // replicas without a member ID were found and removed
 }
 
 // resolveIdentity returns this disk's member ID, and the founders of the groups if this process is one of them.
-func resolveIdentity(config bootconfig.Settings, address string, outside Environment) (consensus.Member, []consensus.Member, error) {
-	return (&identityResolver{config: config, address: address, environment: outside}).resolve()
+func resolveIdentity(settings bootconfig.Settings, address string, environment Environment) (consensus.Member, []consensus.Member, error) {
+	return (&identityResolver{settings: settings, address: address, environment: environment}).resolve()
 }
 
 // resolveWithRetry tries until ctx ends while the disk refuses, as a full one does. Files of another format are refused at once.
-func (s *identityResolver) resolveWithRetry(ctx context.Context, log *zap.Logger) (consensus.Member, []consensus.Member, error) {
+func (s *identityResolver) resolveWithRetry(ctx context.Context, logger *zap.Logger) (consensus.Member, []consensus.Member, error) {
 	for {
 		self, founders, err := s.resolve()
 		var otherFormat seglog.FormatError
 		if err == nil || errors.As(err, &otherFormat) {
 			return self, founders, err
 		}
-		log.Error("the member ID cannot be read or stored", zap.Error(err))
+		logger.Error("the member ID cannot be read or stored", zap.Error(err))
 		if !waitForChange(ctx, nil, openRetryInterval) {
 			return consensus.Member{}, nil, err
 		}
@@ -73,20 +73,20 @@
 // one of them. A founder is a seed at the system's first start. A disk with replicas whose member ID is missing or
 // damaged counts as lost: the replicas are removed, and the new ID founds nothing, also if it is drawn at a later try.
 func (s *identityResolver) resolve() (consensus.Member, []consensus.Member, error) {
-	seeds := seedPeerAddresses(s.config)
-	lost, err := removeOrphanReplicas(s.config, s.environment)
+	seeds := seedPeerAddresses(s.settings)
+	lost, err := removeOrphanReplicas(s.settings, s.environment)
 	s.diskLost = s.diskLost || lost
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "replicas without a member ID")
 	}
-	founds := slices.Contains(seeds, s.address) && (s.config.Bootstrap && !s.diskLost || !s.environment.guardEnabled(GuardFoundingOnce))
+	founds := slices.Contains(seeds, s.address) && (s.settings.Bootstrap && !s.diskLost || !s.environment.guardEnabled(GuardFoundingOnce))
 	draw := func() consensus.MemberID {
 		if founds {
 			return memberID(s.address, foundingNonce)
 		}
 		return memberID(s.address, s.environment.Random()|1)
 	}
-	id, _, err := seglog.LoadOrCreateMemberID(s.environment.FileSystem, s.config.DataDir, draw)
+	id, _, err := seglog.LoadOrCreateMemberID(s.environment.FileSystem, s.settings.DataDir, draw)
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "member ID")
 	}
@@ -98,11 +98,11 @@
 }
 
 // removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged, and tells whether there were any.
-func removeOrphanReplicas(config bootconfig.Settings, outside Environment) (lost bool, err error) {
-	if !outside.guardEnabled(GuardOrphans) {
+func removeOrphanReplicas(settings bootconfig.Settings, environment Environment) (lost bool, err error) {
+	if !environment.guardEnabled(GuardOrphans) {
 		return false, nil
 	}
-	return seglog.RemoveOrphanedReplicas(outside.FileSystem, config.DataDir, replicaDirectories(config.DataDir))
+	return seglog.RemoveOrphanedReplicas(environment.FileSystem, settings.DataDir, replicaDirectories(settings.DataDir))
 }
 
 func foundersOf(seeds []string) []consensus.Member {
@@ -120,12 +120,12 @@
 }
 
 // ownPeerAddress is where this keeper takes its peers: the IP of its control address, first port.
-func ownPeerAddress(config bootconfig.Settings) string {
-	control, err := netip.ParseAddrPort(config.Listen.Control)
+func ownPeerAddress(settings bootconfig.Settings) string {
+	control, err := netip.ParseAddrPort(settings.Listen.Control)
 	if err != nil {
-		return config.PeerAddress()
+		return settings.PeerAddress()
 	}
-	return config.PeerAddressOf(control.Addr().String())
+	return settings.PeerAddressOf(control.Addr().String())
 }
 
-func seedPeerAddresses(config bootconfig.Settings) []string { return config.SeedPeerAddresses() }
+func seedPeerAddresses(settings bootconfig.Settings) []string { return settings.SeedPeerAddresses() }
--- a/internal/controlplane/server/join.go
+++ b/internal/controlplane/server/join.go
@@ -80,7 +80,7 @@
 	for _, shard := range s.shards {
 		status := shard.group.Status()
 		states = append(states, groupState{
-			Shard: int(shard.id), Voter: isVoter(status, s.self.ID), Current: current(status),
+			Shard: int(shard.id), Voter: isVoter(status, s.self.ID), Current: isCurrent(status),
 			Writable: status.Writable && !s.shuttingDown.Load(),
 		})
 	}
--- a/internal/controlplane/server/join_requests.go
+++ b/internal/controlplane/server/join_requests.go
@@ -28,21 +28,21 @@
 	receivedAt time.Time
 }
 
-func (c *joinRequests) record(shard shards.ID, one joinRequest, now time.Time) {
+func (c *joinRequests) record(shard shards.ID, request joinRequest, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.byAddress[shard] == nil {
 		c.byAddress[shard] = make(map[string]receivedJoinRequest)
 	}
-	c.byAddress[shard][one.Address] = receivedJoinRequest{request: one, receivedAt: now}
+	c.byAddress[shard][request.Address] = receivedJoinRequest{request: request, receivedAt: now}
 }
 
 // forget drops a request that does not hold. A newer one from the same address under another ID stays.
-func (c *joinRequests) forget(shard shards.ID, one joinRequest) {
+func (c *joinRequests) forget(shard shards.ID, request joinRequest) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.byAddress[shard][one.Address].request == one {
-		delete(c.byAddress[shard], one.Address)
+	if c.byAddress[shard][request.Address].request == request {
+		delete(c.byAddress[shard], request.Address)
 	}
 }
 
@@ -51,12 +51,12 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var found []joinRequest
-	for address, one := range c.byAddress[shard] {
-		if now.Sub(one.receivedAt) > joinRequestMaxAge {
+	for address, received := range c.byAddress[shard] {
+		if now.Sub(received.receivedAt) > joinRequestMaxAge {
 			delete(c.byAddress[shard], address)
 			continue
 		}
-		found = append(found, one.request)
+		found = append(found, received.request)
 	}
 	slices.SortFunc(found, func(a, b joinRequest) int { return cmp.Compare(a.Address, b.Address) })
 	return found
--- a/internal/controlplane/server/lifecycle.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -89,18 +89,18 @@
 
 // Run works as a keeper until ctx ends; it then hands over what it leads, within about two seconds.
 // Errors: a listener or the disk cannot be used.
-func Run(ctx context.Context, config bootconfig.Settings, log *zap.Logger) error {
-	limitMemory(config.Limits.MemoryMb)
+func Run(ctx context.Context, settings bootconfig.Settings, logger *zap.Logger) error {
+	limitMemory(settings.Limits.MemoryMb)
 	workers, err := newHTTPWorkerClient()
 	if err != nil {
 		return err
 	}
-	s, err := Open(ctx, config, Environment{Workers: workers}, log)
+	s, err := Open(ctx, settings, Environment{Workers: workers}, logger)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	control, err := listenControl(ctx, config.Listen.Control)
+	control, err := listenControl(ctx, settings.Listen.Control)
 	if err != nil {
 		return err
 	}
@@ -119,26 +119,26 @@
 
 // Open prepares a keeper and opens its replicas. If one of them is damaged, the disk counts as lost: the keeper takes
 // a new member ID and begins without any replica, since what it may have promised is not known any more.
-func Open(ctx context.Context, config bootconfig.Settings, outside Environment, log *zap.Logger) (*Server, error) {
+func Open(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
 	for {
-		s, err := openServer(ctx, config, outside, log)
+		s, err := openServer(ctx, settings, environment, logger)
 		if !errors.Is(err, seglog.ErrCorrupt) {
 			return s, err
 		}
-		log.Error("this disk counts as lost", zap.Error(err))
-		if err := seglog.RemoveMemberID(outside.FileSystem, config.DataDir); err != nil {
+		logger.Error("this disk counts as lost", zap.Error(err))
+		if err := seglog.RemoveMemberID(environment.FileSystem, settings.DataDir); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func openServer(ctx context.Context, config bootconfig.Settings, outside Environment, log *zap.Logger) (*Server, error) {
-	start := &identityResolver{config: config, address: ownPeerAddress(config), environment: outside.withDefaults()}
-	self, founders, err := start.resolveWithRetry(ctx, log)
+func openServer(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
+	start := &identityResolver{settings: settings, address: ownPeerAddress(settings), environment: environment.withDefaults()}
+	self, founders, err := start.resolveWithRetry(ctx, logger)
 	if err != nil {
 		return nil, err
 	}
-	s := newServer(config, self, outside, log)
+	s := newServer(settings, self, environment, logger)
 	if err := s.openPeerNetwork(); err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 		s.Close()
 		return nil, err
 	}
-	log.Info("keeper opened", zap.String("address", self.Address), zap.Uint64("member", uint64(self.ID)),
+	logger.Info("keeper opened", zap.String("address", self.Address), zap.Uint64("member", uint64(self.ID)),
 		zap.Bool("founder", founders != nil))
 	return s, nil
 }
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -56,7 +56,7 @@
 // awaitMembershipChange returns the next step as the leader of a group. After a change it waits a little for a learner to hold that
 // change, too, if a place is free: the place of a voter that went is to be taken at once, not at the next occasion.
 func (s *Server) awaitMembershipChange(shard *shard, changed bool) (membershipChange, bool) {
-	until := s.environment.Now().Add(vacancyFillTimeout)
+	deadline := s.environment.Now().Add(vacancyFillTimeout)
 	for {
 		status := shard.group.Status()
 		if !status.IsLeader() {
@@ -64,7 +64,7 @@
 		}
 		observed := s.observeGroup(shard, status)
 		next, found := nextMembershipChange(observed)
-		if found || !changed || !observed.hasFillableVacancy() || !s.environment.Now().Before(until) {
+		if found || !changed || !observed.hasFillableVacancy() || !s.environment.Now().Before(deadline) {
 			return next, found
 		}
 		if !waitForChange(s.backgroundContext, nil, releasePollInterval) {
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -45,38 +45,38 @@
 //  4. a candidate becomes a learner: one for each place that is free or held by a silent voter, and some spares, so that
 //     taking a lost voter's place is one change and no transfer of the state;
 //  5. a learner that no longer asks and is silent for long goes.
-func nextMembershipChange(s observedState) (membershipChange, bool) {
+func nextMembershipChange(observed observedState) (membershipChange, bool) {
 	for _, rule := range []func(observedState) (membershipChange, bool){
 		removeSuperseded, releaseSurplusVoter, promoteLearner, addLearner, removeUnresponsiveLearner,
 	} {
-		if next, found := rule(s); found {
+		if next, found := rule(observed); found {
 			return next, true
 		}
 	}
 	return membershipChange{}, false
 }
 
-func removeSuperseded(s observedState) (membershipChange, bool) {
-	for _, request := range s.JoinRequests {
-		for _, member := range s.Members {
-			if member.Address == request.Address && member.ID != request.ID && member.ID != s.Self {
-				retire := s.guardEnabled(GuardReplacedRetired)
-				return s.requireConfirmation(replica.Change{Remove: member.ID, Retire: retire}, request), true
+func removeSuperseded(observed observedState) (membershipChange, bool) {
+	for _, request := range observed.JoinRequests {
+		for _, member := range observed.Members {
+			if member.Address == request.Address && member.ID != request.ID && member.ID != observed.Self {
+				retire := observed.guardEnabled(GuardReplacedRetired)
+				return observed.requireConfirmation(replica.Change{Remove: member.ID, Retire: retire}, request), true
 			}
 		}
 	}
 	return membershipChange{}, false
 }
 
-func releaseSurplusVoter(s observedState) (membershipChange, bool) {
-	if s.voterCount() <= s.DesiredVoters && s.guardEnabled(GuardSuccessorReady) {
+func releaseSurplusVoter(observed observedState) (membershipChange, bool) {
+	if observed.voterCount() <= observed.DesiredVoters && observed.guardEnabled(GuardSuccessorReady) {
 		return membershipChange{}, false
 	}
-	if released, found := s.demoteLeavingVoter(); found {
+	if released, found := observed.demoteLeavingVoter(); found {
 		return released, true
 	}
-	gone, found := s.longestUnresponsiveVoter(voterTimeout)
-	return membershipChange{Change: replica.Change{Remove: gone}}, found && s.voterCount() > s.DesiredVoters
+	gone, found := observed.longestUnresponsiveVoter(voterTimeout)
+	return membershipChange{Change: replica.Change{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
 }
 
 // demoteLeavingVoter makes a voter that is about to end a learner. The voter goes before its successor comes: with both as
@@ -91,21 +91,21 @@
 	return membershipChange{}, false
 }
 
-func promoteLearner(s observedState) (membershipChange, bool) {
-	for _, learner := range s.promotionCandidates() {
+func promoteLearner(observed observedState) (membershipChange, bool) {
+	for _, learner := range observed.promotionCandidates() {
 		promoted := learner
 		promoted.Voter = true
-		free, even := s.voterCount() < s.DesiredVoters, s.voterCount()%2 == 0
+		free, even := observed.voterCount() < observed.DesiredVoters, observed.voterCount()%2 == 0
 		if free && even {
 			return membershipChange{Change: replica.Change{Add: &promoted}}, true
 		}
-		if gone, found := s.longestUnresponsiveVoter(voterTimeout); found {
+		if gone, found := observed.longestUnresponsiveVoter(voterTimeout); found {
 			return membershipChange{Change: replica.Change{Remove: gone}}, true
 		}
-		if free && s.canAddVoter() {
+		if free && observed.canAddVoter() {
 			return membershipChange{Change: replica.Change{Add: &promoted}}, true
 		}
-		if released, found := s.demoteLeavingVoter(); found && slices.Contains(s.Successors, learner.ID) {
+		if released, found := observed.demoteLeavingVoter(); found && slices.Contains(observed.Successors, learner.ID) {
 			return released, true
 		}
 	}
@@ -159,22 +159,22 @@
 	return slices.Contains(s.PromotableLearners, id) || (!s.guardEnabled(GuardPromotedDurable) && s.hasJoinRequest(id))
 }
 
-func addLearner(s observedState) (membershipChange, bool) {
-	vacancies := max(0, s.DesiredVoters-s.voterCount()+s.unresponsiveVoters(voterTimeout))
-	if s.responsiveLearners(voterTimeout) >= vacancies+s.SpareLearners {
+func addLearner(observed observedState) (membershipChange, bool) {
+	vacancies := max(0, observed.DesiredVoters-observed.voterCount()+observed.unresponsiveVoters(voterTimeout))
+	if observed.responsiveLearners(voterTimeout) >= vacancies+observed.SpareLearners {
 		return membershipChange{}, false
 	}
-	for _, request := range s.JoinRequests {
-		if _, found := s.member(request.ID); !found && !slices.Contains(s.Retired, request.ID) {
-			return s.requireConfirmation(replica.Change{Add: &consensus.Member{ID: request.ID, Address: request.Address}}, request), true
+	for _, request := range observed.JoinRequests {
+		if _, found := observed.member(request.ID); !found && !slices.Contains(observed.Retired, request.ID) {
+			return observed.requireConfirmation(replica.Change{Add: &consensus.Member{ID: request.ID, Address: request.Address}}, request), true
 		}
 	}
 	return membershipChange{}, false
 }
 
-func removeUnresponsiveLearner(s observedState) (membershipChange, bool) {
-	for _, member := range s.Members {
-		if !member.Voter && !s.hasJoinRequest(member.ID) && s.SinceHeard[member.ID] >= learnerTimeout {
+func removeUnresponsiveLearner(observed observedState) (membershipChange, bool) {
+	for _, member := range observed.Members {
+		if !member.Voter && !observed.hasJoinRequest(member.ID) && observed.SinceHeard[member.ID] >= learnerTimeout {
 			return membershipChange{Change: replica.Change{Remove: member.ID}}, true
 		}
 	}
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -112,7 +112,7 @@
 	label := fmt.Sprintf("{shard=\"%d\"}", status.Shard)
 	return []string{
 		fmt.Sprintf("keeper_shard_leads%s %d", label, boolToInt(status.IsLeader())),
-		fmt.Sprintf("keeper_shard_current%s %d", label, boolToInt(current(status))),
+		fmt.Sprintf("keeper_shard_current%s %d", label, boolToInt(isCurrent(status))),
 		fmt.Sprintf("keeper_shard_term%s %d", label, status.Term),
 		fmt.Sprintf("keeper_shard_applied%s %d", label, status.AppliedIndex),
 		fmt.Sprintf("keeper_shard_disk_bytes%s %d", label, status.DiskBytes),
--- a/internal/controlplane/server/peer_handler.go
+++ b/internal/controlplane/server/peer_handler.go
@@ -14,9 +14,9 @@
 // Messages hands agreement messages to their groups. Those for an earlier member with this
 // address are dropped.
 func (s *Server) Messages(_ peertransport.Hello, batch []peertransport.GroupMessage) {
-	for _, one := range batch {
-		if one.Message.To == s.self.ID || !s.environment.guardEnabled(GuardMemberAddressed) {
-			s.shards[one.Shard].group.Step(one.Message)
+	for _, received := range batch {
+		if received.Message.To == s.self.ID || !s.environment.guardEnabled(GuardMemberAddressed) {
+			s.shards[received.Shard].group.Step(received.Message)
 		}
 	}
 }
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -139,9 +139,9 @@
 	Body        []byte
 }
 
-func encodeShardRequest(c shardRequest) ([]byte, error) {
+func encodeShardRequest(request shardRequest) ([]byte, error) {
 	return codec.Marshal(callSchema, wireShardRequest{
-		Kind: int(c.Kind), Shard: int64(c.Shard), Base: int64(c.Base), ID: c.ID, Body: c.Body,
+		Kind: int(request.Kind), Shard: int64(request.Shard), Base: int64(request.Base), ID: request.ID, Body: request.Body,
 	})
 }
 
@@ -181,24 +181,26 @@
 	}, nil
 }
 
-func encodeShardResponse(a shardResponse) ([]byte, error) { return codec.Marshal(responseSchema, a) }
+func encodeShardResponse(response shardResponse) ([]byte, error) {
+	return codec.Marshal(responseSchema, response)
+}
 
 func decodeShardResponse(body []byte) (shardResponse, error) {
-	var a shardResponse
-	if err := strictavro.Unmarshal(codec, responseSchema, body, &a); err != nil {
+	var response shardResponse
+	if err := strictavro.Unmarshal(codec, responseSchema, body, &response); err != nil {
 		return shardResponse{}, fmt.Errorf("keeper: answer: %w", err)
 	}
-	if !a.isDefinitive() {
-		return shardResponse{}, fmt.Errorf("keeper: answer: status %d", a.Status)
+	if !response.isDefinitive() {
+		return shardResponse{}, fmt.Errorf("keeper: answer: status %d", response.Status)
 	}
-	return a, nil
+	return response, nil
 }
 
 // isDefinitive tells whether an answer is one that an owner gives: a success, a refusal, or that it is not
 // known what became of the call, or not done.
-func (a shardResponse) isDefinitive() bool {
-	refused := a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError
-	return a.NotOwner || a.Status == http.StatusOK || refused || a.Status == http.StatusServiceUnavailable
+func (response shardResponse) isDefinitive() bool {
+	refused := response.Status >= http.StatusBadRequest && response.Status < http.StatusInternalServerError
+	return response.NotOwner || response.Status == http.StatusOK || refused || response.Status == http.StatusServiceUnavailable
 }
 
 // okResponse is the answer to a call that was carried out.
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -19,10 +19,10 @@
 	owned        bool             // it leads and has applied all that earlier owners acknowledged
 }
 
-func newRegistryMachine(heartbeatInterval time.Duration, outside Environment) *registryMachine {
+func newRegistryMachine(heartbeatInterval time.Duration, environment Environment) *registryMachine {
 	return &registryMachine{
 		feedState: newFeedState(), store: registry.NewStore(),
-		owner: registry.NewLivenessTracker(heartbeatInterval, registry.LivenessOptions{}), now: outside.Now, guardEnabled: outside.guardEnabled,
+		owner: registry.NewLivenessTracker(heartbeatInterval, registry.LivenessOptions{}), now: environment.Now, guardEnabled: environment.guardEnabled,
 	}
 }
 
@@ -109,14 +109,14 @@
 }
 
 // recordHeard notes instances that another keeper has heard. It returns false while this replica does not own the shard.
-func (m *registryMachine) recordHeard(now time.Time, instances []sessionHeartbeat) (owned bool) {
+func (m *registryMachine) recordHeard(now time.Time, heartbeats []sessionHeartbeat) (owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if !m.owned {
 		return false
 	}
-	for _, one := range instances {
-		m.owner.RemoteHeartbeat(now, one.ID, uint64(one.Sequence))
+	for _, heartbeat := range heartbeats {
+		m.owner.RemoteHeartbeat(now, heartbeat.ID, uint64(heartbeat.Sequence))
 	}
 	return true
 }
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -33,9 +33,9 @@
 
 // shardRoles is what the holder of a shard's services knows of their stages.
 type shardRoles struct {
-	term        uint64    // of the ownership that this belongs to; 0: none
-	since       time.Time // when it began
-	controllers map[string]*roleplanner.Planner
+	term     uint64    // of the ownership that this belongs to; 0: none
+	since    time.Time // when it began
+	planners map[string]*roleplanner.Planner
 }
 
 // runRolePlanner has the workers of services change their stages as the demand asks, for the shards that this keeper
@@ -54,29 +54,29 @@
 // planShardRoles takes one step for the services of a shard.
 func (s *Server) planShardRoles(ctx context.Context, shard *shard, roles *shardRoles) {
 	status := shard.group.Status()
-	machine := s.instances(shard.id)
+	machine := s.registryMachine(shard.id)
 	if !status.IsLeader() || !machine.ownsInTerm(status.Term) {
 		*roles = shardRoles{}
 		return
 	}
 	now := s.environment.Now()
 	if roles.term != status.Term {
-		*roles = shardRoles{term: status.Term, since: now, controllers: map[string]*roleplanner.Planner{}}
+		*roles = shardRoles{term: status.Term, since: now, planners: map[string]*roleplanner.Planner{}}
 	}
-	if now.Sub(roles.since) < newOwnerQuietPeriod(s.settings.Bounds) || !current(status) {
+	if now.Sub(roles.since) < newOwnerQuietPeriod(s.settings.Bounds) || !isCurrent(status) {
 		return
 	}
 	demands := s.demands.totalByService(s.uptime(), shard.id)
 	for service, workers := range machine.workersByService() {
-		controller := roles.controllers[service]
-		if controller == nil {
-			controller = roleplanner.NewPlanner()
-			roles.controllers[service] = controller
+		planner := roles.planners[service]
+		if planner == nil {
+			planner = roleplanner.NewPlanner()
+			roles.planners[service] = planner
 		}
-		plan := controller.Plan(s.uptime(), workers, demands[service], s.configuration().roleSwitchTime(service))
-		s.recordRoleState(service, controller.Status())
+		plan := planner.Plan(s.uptime(), workers, demands[service], s.configurationMachine().roleSwitchTime(service))
+		s.recordRoleState(service, planner.Status())
 		s.recordAssignments(ctx, shard, service, plan.Assignments)
-		s.sendRoleCommands(ctx, shard, status, controller, plan.Commands)
+		s.sendRoleCommands(ctx, shard, status, planner, plan.Commands)
 		s.recordCompletedTransitions(ctx, shard, plan.Polls)
 	}
 }
@@ -89,9 +89,9 @@
 // recordAssignments records the stages that workers are to have. What fails is decided on anew.
 func (s *Server) recordAssignments(ctx context.Context, shard *shard, service string, assignments []roleplanner.Assignment) {
 	commands := make([][]byte, 0, len(assignments))
-	for _, one := range assignments {
-		commands = append(commands, registry.EncodeAssign(one.ID, one.Stage))
-		s.logger.Info("stage wanted", zap.String("service", service), zap.String("worker", one.ID), zap.String("stage", one.Stage))
+	for _, assignment := range assignments {
+		commands = append(commands, registry.EncodeAssign(assignment.ID, assignment.Stage))
+		s.logger.Info("stage wanted", zap.String("service", service), zap.String("worker", assignment.ID), zap.String("stage", assignment.Stage))
 	}
 	s.proposeAll(ctx, shard, commands)
 }
@@ -116,52 +116,52 @@
 }
 
 // recordCompletedTransitions asks workers for their stages and records those that have the stage that is wanted.
-func (s *Server) recordCompletedTransitions(ctx context.Context, shard *shard, questions []roleplanner.Command) {
-	stages := make([]string, len(questions))
+func (s *Server) recordCompletedTransitions(ctx context.Context, shard *shard, polls []roleplanner.Command) {
+	stages := make([]string, len(polls))
 	var group errgroup.Group
-	for i, one := range questions {
+	for i, poll := range polls {
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
 			defer cancel()
-			stages[i] = s.environment.Workers.ReportedRole(ctx, one.ID, one.Address)
+			stages[i] = s.environment.Workers.ReportedRole(ctx, poll.ID, poll.Address)
 			return nil
 		})
 	}
 	_ = group.Wait()
 	var commands [][]byte
-	for i, one := range questions {
-		if stages[i] == one.Stage {
-			commands = append(commands, registry.EncodeStage(one.ID, one.Stage))
+	for i, poll := range polls {
+		if stages[i] == poll.Stage {
+			commands = append(commands, registry.EncodeStage(poll.ID, poll.Stage))
 		}
 	}
 	s.proposeAll(ctx, shard, commands)
 }
 
 // sendRoleCommands gives workers orders, all at once, and waits for their answers.
-func (s *Server) sendRoleCommands(ctx context.Context, shard *shard, status replica.Status, controller *roleplanner.Planner, orders []roleplanner.Command) {
+func (s *Server) sendRoleCommands(ctx context.Context, shard *shard, status replica.Status, planner *roleplanner.Planner, commands []roleplanner.Command) {
 	type ended struct {
 		id     string
 		status int
 	}
-	done := make(chan ended, len(orders))
-	for _, one := range orders {
+	done := make(chan ended, len(commands))
+	for _, command := range commands {
 		s.background.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
 			defer cancel()
 			answered := 0
-			if now := shard.group.Status(); now.IsLeader() && now.Term == status.Term && current(now) {
+			if now := shard.group.Status(); now.IsLeader() && now.Term == status.Term && isCurrent(now) {
 				answered = s.environment.Workers.SendRoleCommand(ctx, RoleCommand{
-					Instance: one.ID, Address: one.Address, Role: one.Stage, LeaseHolder: s.settings.NodeName, FencingToken: status.Term,
+					Instance: command.ID, Address: command.Address, Role: command.Stage, LeaseHolder: s.settings.NodeName, FencingToken: status.Term,
 				})
 			}
-			done <- ended{one.ID, answered}
+			done <- ended{command.ID, answered}
 		})
 	}
-	for range orders {
-		one := <-done
-		controller.CommandFinished(one.id, commandResult(one.status))
-		s.metrics.countRoleCommand(one.status)
-		s.logger.Info("stage ordered", zap.String("worker", one.id), zap.Int("status", one.status))
+	for range commands {
+		command := <-done
+		planner.CommandFinished(command.id, commandResult(command.status))
+		s.metrics.countRoleCommand(command.status)
+		s.logger.Info("stage ordered", zap.String("worker", command.id), zap.Int("status", command.status))
 	}
 }
 
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -69,7 +69,7 @@
 	scene.group = groups[scene.id]
 	s.environment.Workers = scene.workers
 	index := uint64(0)
-	machine := s.instances(scene.id)
+	machine := s.registryMachine(scene.id)
 	scene.group.submit = func(_ context.Context, data []byte) (any, error) {
 		scene.workers.mutex.Lock()
 		defer scene.workers.mutex.Unlock()
@@ -94,7 +94,7 @@
 	status := leaderStatus()
 	status.Term = term
 	s.group.set(status)
-	machine := s.keeper.instances(s.id)
+	machine := s.keeper.registryMachine(s.id)
 	machine.setLeaderTerm(term)
 	machine.ownershipGained(s.now, term)
 }
@@ -157,7 +157,7 @@
 	s.run(5 * time.Second)
 	before := len(s.workers.commands())
 	s.group.set(followerStatus("b"))
-	s.keeper.instances(s.id).setLeaderTerm(0)
+	s.keeper.registryMachine(s.id).setLeaderTerm(0)
 	s.run(20 * time.Second)
 	if after := len(s.workers.commands()); after != before || s.held.term != 0 {
 		s.Fatalf("%d orders", after-before)
@@ -168,7 +168,7 @@
 	s := newRolePlannerFixture(t)
 	early := 0
 	s.workers.before = func(order RoleCommand) {
-		if s.keeper.instances(s.id).store.Instance(order.Instance).Assigned != order.Role {
+		if s.keeper.registryMachine(s.id).store.Instance(order.Instance).Assigned != order.Role {
 			early++
 		}
 	}
@@ -190,7 +190,7 @@
 	}
 	s.run(time.Second)
 	for id := range s.workers.stages {
-		if stage := s.keeper.instances(s.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
+		if stage := s.keeper.registryMachine(s.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
 			s.Fatalf("%s is recorded as %s", id, stage)
 		}
 	}
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -60,28 +60,28 @@
 }
 
 // newServer prepares a keeper that has no groups and no network yet.
-func newServer(config bootconfig.Settings, self consensus.Member, outside Environment, log *zap.Logger) *Server {
-	outside = outside.withDefaults()
+func newServer(settings bootconfig.Settings, self consensus.Member, environment Environment, logger *zap.Logger) *Server {
+	environment = environment.withDefaults()
 	s := &Server{
-		settings: config, environment: outside, logger: log, self: self, edgeNodes: newEdgeNodeTable(), liveness: newLivenessReports(), demands: newDemandReports(),
-		feedEncoder: feedtransport.NewEncoder(), groupsOpened: make(chan struct{}), startedAt: outside.Now(),
+		settings: settings, environment: environment, logger: logger, self: self, edgeNodes: newEdgeNodeTable(), liveness: newLivenessReports(), demands: newDemandReports(),
+		feedEncoder: feedtransport.NewEncoder(), groupsOpened: make(chan struct{}), startedAt: environment.Now(),
 	}
-	place := serverInfo{Address: self.Address, Zone: config.Zone, Region: config.Region}
-	s.directory = newDirectory(place, seedPeerAddresses(config))
+	info := serverInfo{Address: self.Address, Zone: settings.Zone, Region: settings.Region}
+	s.directory = newDirectory(info, seedPeerAddresses(settings))
 	s.backgroundContext, s.cancelBackground = context.WithCancel(context.Background())
 	s.feedContext, s.cancelFeed = context.WithCancel(context.Background())
-	heartbeatInterval := time.Duration(config.HeartbeatMs) * time.Millisecond
+	heartbeatInterval := time.Duration(settings.HeartbeatMs) * time.Millisecond
 	for i := range s.shards {
-		s.shards[i] = &shard{id: shards.ID(i), stateMachine: newStateMachine(shards.ID(i), heartbeatInterval, outside)}
+		s.shards[i] = &shard{id: shards.ID(i), stateMachine: newStateMachine(shards.ID(i), heartbeatInterval, environment)}
 	}
 	return s
 }
 
-func newStateMachine(id shards.ID, heartbeatInterval time.Duration, outside Environment) stateMachine {
+func newStateMachine(id shards.ID, heartbeatInterval time.Duration, environment Environment) stateMachine {
 	if id == shards.ConfigurationShard {
-		return newConfigurationMachine(outside)
+		return newConfigurationMachine(environment)
 	}
-	return newRegistryMachine(heartbeatInterval, outside)
+	return newRegistryMachine(heartbeatInterval, environment)
 }
 
 // Self returns this keeper as a member of its groups.
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -13,9 +13,9 @@
 // livenessReports are the heartbeats that this keeper has acknowledged by itself and the owners of their shards have not been
 // told of.
 type livenessReports struct {
-	mutex sync.Mutex
-	heard [shards.ShardCount]map[string]uint64 // the highest sequence, by instance
-	added chan struct{}
+	mutex           sync.Mutex
+	highestSequence [shards.ShardCount]map[string]uint64 // the highest sequence, by instance
+	added           chan struct{}
 }
 
 func newLivenessReports() *livenessReports { return &livenessReports{added: make(chan struct{}, 1)} }
@@ -23,34 +23,34 @@
 func (p *livenessReports) record(shard shards.ID, id string, sequence uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.heard[shard] == nil {
-		p.heard[shard] = make(map[string]uint64)
+	if p.highestSequence[shard] == nil {
+		p.highestSequence[shard] = make(map[string]uint64)
 		notify(p.added)
 	}
-	p.heard[shard][id] = max(p.heard[shard][id], sequence)
+	p.highestSequence[shard][id] = max(p.highestSequence[shard][id], sequence)
 }
 
 // drain returns what was noted of a shard since the last call.
 func (p *livenessReports) drain(shard shards.ID) []sessionHeartbeat {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	taken := make([]sessionHeartbeat, 0, len(p.heard[shard]))
-	for id, sequence := range p.heard[shard] {
+	taken := make([]sessionHeartbeat, 0, len(p.highestSequence[shard]))
+	for id, sequence := range p.highestSequence[shard] {
 		taken = append(taken, sessionHeartbeat{ID: id, Sequence: int64(sequence)})
 	}
-	p.heard[shard] = nil
+	p.highestSequence[shard] = nil
 	return taken
 }
 
 // acknowledgeLocally tells whether a heartbeat may be acknowledged without its shard's owner: this replica is current and
 // has just what the heartbeat says. The owner is told within presenceInterval that the instance was heard.
 func (s *Server) acknowledgeLocally(shard shards.ID, heartbeat registry.Heartbeat) bool {
-	machine := s.instances(shard)
+	machine := s.registryMachine(shard)
 	status := s.shards[shard].group.Status()
 	if machine == nil || status.IsLeader() {
 		return false
 	}
-	if !current(status) && s.environment.guardEnabled(GuardHeartbeatCurrent) {
+	if !isCurrent(status) && s.environment.guardEnabled(GuardHeartbeatCurrent) {
 		return false
 	}
 	if !machine.matchesRecord(heartbeat) && s.environment.guardEnabled(GuardHeartbeatRecorded) {
@@ -84,11 +84,11 @@
 
 // reportLiveness tells the owner of one shard. What it cannot be told is dropped: the instances send again.
 func (s *Server) reportLiveness(ctx context.Context, id shards.ID) {
-	heard := s.liveness.drain(id)
-	if len(heard) == 0 {
+	heartbeats := s.liveness.drain(id)
+	if len(heartbeats) == 0 {
 		return
 	}
-	body, err := codec.Marshal(sessionHeartbeatsSchema, heard)
+	body, err := codec.Marshal(sessionHeartbeatsSchema, heartbeats)
 	if err != nil {
 		return
 	}
@@ -96,14 +96,14 @@
 }
 
 // executeSessionLiveness notes as the owner of a shard whom another keeper has heard.
-func (s *Server) executeSessionLiveness(c shardRequest) shardResponse {
-	var heard []sessionHeartbeat
-	machine := s.instances(c.Shard)
-	if machine == nil || strictavro.Unmarshal(codec, sessionHeartbeatsSchema, c.Body, &heard) != nil {
+func (s *Server) executeSessionLiveness(request shardRequest) shardResponse {
+	var heartbeats []sessionHeartbeat
+	machine := s.registryMachine(request.Shard)
+	if machine == nil || strictavro.Unmarshal(codec, sessionHeartbeatsSchema, request.Body, &heartbeats) != nil {
 		return errorResponse(InternalFault)
 	}
-	if !machine.recordHeard(s.environment.Now(), heard) {
-		return notOwnerResponse(s.shards[c.Shard].group.Status().Leader.Address)
+	if !machine.recordHeard(s.environment.Now(), heartbeats) {
+		return notOwnerResponse(s.shards[request.Shard].group.Status().Leader.Address)
 	}
 	return okResponse(emptyObject)
 }
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.instances(id).Apply(consensus.Entry{Index: 1, Data: registry.EncodePut(heartbeat.Instance, heartbeat.Sequence)})
+	s.registryMachine(id).Apply(consensus.Entry{Index: 1, Data: registry.EncodePut(heartbeat.Instance, heartbeat.Sequence)})
 	groups[id].set(followerStatus("b"))
 	return s, groups[id], heartbeat
 }
@@ -57,7 +57,7 @@
 		},
 		"leads itself": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
 		"removed": func(s *Server, _ *scriptedGroup, _ *registry.Heartbeat) {
-			s.instances(shards.ForService(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
+			s.registryMachine(shards.ForService(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
 		},
 	}
 	for name, alter := range cases {
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -57,8 +57,8 @@
 // readiness is the span in which a learner was seen able to be a voter.
 type readiness struct{ since, lastSeen time.Time }
 
-// current tells whether the replica is known not to be behind the shard's owner.
-func current(status replica.Status) bool { return status.ConfirmedAge <= currentMaxAge }
+// isCurrent tells whether the replica is known not to be behind the shard's owner.
+func isCurrent(status replica.Status) bool { return status.ConfirmedAge <= currentMaxAge }
 
 // isVoter tells whether a member has a vote by the membership that this replica knows.
 func isVoter(status replica.Status, id consensus.MemberID) bool {
@@ -70,13 +70,13 @@
 	return false
 }
 
-// configuration returns the state machine of shard 0.
-func (s *Server) configuration() *configurationMachine {
+// configurationMachine returns the state machine of shard 0.
+func (s *Server) configurationMachine() *configurationMachine {
 	return s.shards[shards.ConfigurationShard].stateMachine.(*configurationMachine)
 }
 
-// instances returns the state machine of a shard of instances, or nil for shard 0.
-func (s *Server) instances(id shards.ID) *registryMachine {
+// registryMachine returns the state machine of a shard of instances, or nil for shard 0.
+func (s *Server) registryMachine(id shards.ID) *registryMachine {
 	machine, _ := s.shards[id].stateMachine.(*registryMachine)
 	return machine
 }
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -16,24 +16,24 @@
 var emptyObject = []byte("{}")
 
 // execute carries out a call as the owner of its shard, or says who the owner is.
-func (s *Server) execute(ctx context.Context, c shardRequest) shardResponse {
-	switch c.Kind {
+func (s *Server) execute(ctx context.Context, request shardRequest) shardResponse {
+	switch request.Kind {
 	case callReplace:
-		return s.changeConfiguration(ctx, c, configuration.CommandReplace)
+		return s.changeConfiguration(ctx, request, configuration.CommandReplace)
 	case callUpdate:
-		return s.changeConfiguration(ctx, c, configuration.CommandUpdate)
+		return s.changeConfiguration(ctx, request, configuration.CommandUpdate)
 	case callRead:
-		return s.readConfiguration(ctx, c)
+		return s.readConfiguration(ctx, request)
 	case callHeartbeat:
-		return s.executeHeartbeat(ctx, c)
+		return s.executeHeartbeat(ctx, request)
 	case callNodeHeartbeats:
-		return s.executeNodeHeartbeats(ctx, c)
+		return s.executeNodeHeartbeats(ctx, request)
 	case callSessionLiveness:
-		return s.executeSessionLiveness(c)
+		return s.executeSessionLiveness(request)
 	case callDemand:
-		return s.executeDemand(c)
+		return s.executeDemand(request)
 	case callDeregister:
-		return s.executeDeregister(ctx, c)
+		return s.executeDeregister(ctx, request)
 	}
 	return errorResponse(InternalFault)
 }
@@ -52,9 +52,9 @@
 	return errorResponse(OutcomeUnknown)
 }
 
-func (s *Server) changeConfiguration(ctx context.Context, c shardRequest, kind configuration.CommandKind) shardResponse {
-	command := configuration.Command{Kind: kind, Base: c.Base, Body: c.Body}
-	result, _, err := s.shards[c.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
+func (s *Server) changeConfiguration(ctx context.Context, request shardRequest, kind configuration.CommandKind) shardResponse {
+	command := configuration.Command{Kind: kind, Base: request.Base, Body: request.Body}
+	result, _, err := s.shards[request.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
 	if err != nil {
 		return proposalErrorResponse(err)
 	}
@@ -73,26 +73,26 @@
 	return append(body, '}')
 }
 
-func (s *Server) readConfiguration(ctx context.Context, c shardRequest) shardResponse {
+func (s *Server) readConfiguration(ctx context.Context, request shardRequest) shardResponse {
 	if s.environment.guardEnabled(GuardReadConfirmed) {
-		if err := s.shards[c.Shard].group.ReadBarrier(ctx); err != nil {
+		if err := s.shards[request.Shard].group.ReadBarrier(ctx); err != nil {
 			return proposalErrorResponse(err)
 		}
 	}
-	return okResponse(s.configuration().document())
+	return okResponse(s.configurationMachine().document())
 }
 
-func (s *Server) executeHeartbeat(ctx context.Context, c shardRequest) shardResponse {
-	heartbeat, err := registry.ParseHeartbeat(c.ID, c.Body)
+func (s *Server) executeHeartbeat(ctx context.Context, request shardRequest) shardResponse {
+	heartbeat, err := registry.ParseHeartbeat(request.ID, request.Body)
 	if err != nil {
 		return registryErrorResponse(err)
 	}
-	return s.decideHeartbeat(ctx, c, heartbeat)
+	return s.decideHeartbeat(ctx, request, heartbeat)
 }
 
 // decideHeartbeat has the shard's owner decide on a heartbeat and carries the decision out.
-func (s *Server) decideHeartbeat(ctx context.Context, c shardRequest, heartbeat registry.Heartbeat) shardResponse {
-	machine := s.instances(c.Shard)
+func (s *Server) decideHeartbeat(ctx context.Context, request shardRequest, heartbeat registry.Heartbeat) shardResponse {
+	machine := s.registryMachine(request.Shard)
 	if machine == nil {
 		return errorResponse(InternalFault)
 	}
@@ -100,9 +100,9 @@
 		changed := s.ownersChanged.changed()
 		decision, owned := machine.decideHeartbeat(s.environment.Now(), heartbeat)
 		if owned {
-			return s.applyDecision(ctx, c, decision)
+			return s.applyDecision(ctx, request, decision)
 		}
-		if reply, waiting := s.awaitOwnership(ctx, c, changed); !waiting {
+		if reply, waiting := s.awaitOwnership(ctx, request, changed); !waiting {
 			return reply
 		}
 	}
@@ -110,8 +110,8 @@
 
 // awaitOwnership waits while this replica leads the shard and does not own it yet. Where it does not
 // lead, waiting is false and the answer says so.
-func (s *Server) awaitOwnership(ctx context.Context, c shardRequest, changed <-chan struct{}) (reply shardResponse, waiting bool) {
-	status := s.shards[c.Shard].group.Status()
+func (s *Server) awaitOwnership(ctx context.Context, request shardRequest, changed <-chan struct{}) (reply shardResponse, waiting bool) {
+	status := s.shards[request.Shard].group.Status()
 	if !status.IsLeader() {
 		return notOwnerResponse(status.Leader.Address), false
 	}
@@ -123,21 +123,21 @@
 
 // applyDecision does what the owner of a shard has decided. What costs no entry is acknowledged only
 // while this replica is known to lead.
-func (s *Server) applyDecision(ctx context.Context, c shardRequest, decision registry.Decision) shardResponse {
+func (s *Server) applyDecision(ctx context.Context, request shardRequest, decision registry.Decision) shardResponse {
 	switch decision.Action {
 	case registry.Reject:
 		return registryErrorResponse(decision.Rejection)
 	case registry.Propose:
-		return s.proposeInstanceChange(ctx, c, decision.Command)
+		return s.proposeInstanceChange(ctx, request, decision.Command)
 	}
-	if status := s.shards[c.Shard].group.Status(); !current(status) && s.environment.guardEnabled(GuardHeartbeatCurrent) {
+	if status := s.shards[request.Shard].group.Status(); !isCurrent(status) && s.environment.guardEnabled(GuardHeartbeatCurrent) {
 		return errorResponse(NoOwner)
 	}
 	return okResponse(emptyObject)
 }
 
-func (s *Server) proposeInstanceChange(ctx context.Context, c shardRequest, command []byte) shardResponse {
-	result, _, err := s.shards[c.Shard].group.Propose(ctx, command)
+func (s *Server) proposeInstanceChange(ctx context.Context, request shardRequest, command []byte) shardResponse {
+	result, _, err := s.shards[request.Shard].group.Propose(ctx, command)
 	if err != nil {
 		return proposalErrorResponse(err)
 	}
@@ -164,20 +164,20 @@
 }
 
 // executeDeregister removes an instance. One that is not known is acknowledged once the group remembers that it is gone.
-func (s *Server) executeDeregister(ctx context.Context, c shardRequest) shardResponse {
-	machine := s.instances(c.Shard)
+func (s *Server) executeDeregister(ctx context.Context, request shardRequest) shardResponse {
+	machine := s.registryMachine(request.Shard)
 	if machine == nil {
 		return errorResponse(InternalFault)
 	}
 	for {
 		changed := s.ownersChanged.changed()
-		decision, known, owned := machine.decideDeregister(s.environment.Now(), c.ID)
+		decision, known, owned := machine.decideDeregister(s.environment.Now(), request.ID)
 		if owned {
-			reply := s.applyDecision(ctx, c, decision)
+			reply := s.applyDecision(ctx, request, decision)
 			reply.Known = known
 			return reply
 		}
-		if reply, waiting := s.awaitOwnership(ctx, c, changed); !waiting {
+		if reply, waiting := s.awaitOwnership(ctx, request, changed); !waiting {
 			return reply
 		}
 	}
--- a/internal/controlplane/server/shard_owner_test.go
+++ b/internal/controlplane/server/shard_owner_test.go
@@ -47,7 +47,7 @@
 	s, groups, _ := newScriptedServer(t)
 	id := shards.ForService("s")
 	groups[id].set(leaderStatus())
-	machine := s.instances(id)
+	machine := s.registryMachine(id)
 	machine.setLeaderTerm(3)
 	proposed := make(chan struct{}, 1)
 	groups[id].propose = func() (any, error) {
@@ -83,8 +83,8 @@
 	status := leaderStatus()
 	status.ConfirmedAge = 2 * currentMaxAge
 	group.set(status)
-	s.instances(id).setLeaderTerm(3)
-	s.instances(id).ownershipGained(time.Now(), 3)
+	s.registryMachine(id).setLeaderTerm(3)
+	s.registryMachine(id).ownershipGained(time.Now(), 3)
 	unchanged := shardRequest{Kind: callHeartbeat, Shard: id, ID: heartbeat.ID, Body: []byte(heartbeatJSON("ready", 1))}
 	departure := shardRequest{Kind: callDeregister, Shard: id, ID: "i-unknown"}
 	for _, one := range []shardRequest{unchanged, departure} {
@@ -117,8 +117,8 @@
 	if reply := s.execute(t.Context(), request); !reply.NotOwner || reply.Leader != "b" {
 		t.Fatal(reply)
 	}
-	s.instances(id).setLeaderTerm(3)
-	s.instances(id).ownershipGained(time.Now(), 3)
+	s.registryMachine(id).setLeaderTerm(3)
+	s.registryMachine(id).ownershipGained(time.Now(), 3)
 	if reply := s.execute(t.Context(), request); reply.Status != http.StatusOK {
 		t.Fatal(reply)
 	}
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -89,7 +89,7 @@
 	report := shardReport{
 		Shard: int(status.Shard), Role: roleName(status.Role), Term: status.Term, Leader: status.Leader.Address,
 		Applied: status.AppliedIndex, Commit: status.CommitIndex, ConfirmedMs: milliseconds(status.ConfirmedAge),
-		Current: current(status), Writable: status.Writable, DiskBytes: status.DiskBytes, FeedPosition: position,
+		Current: isCurrent(status), Writable: status.Writable, DiskBytes: status.DiskBytes, FeedPosition: position,
 	}
 	for _, member := range status.Members {
 		report.Members = append(report.Members, memberReport{
--- a/internal/controlplane/server/vote_release.go
+++ b/internal/controlplane/server/vote_release.go
@@ -21,7 +21,7 @@
 		return nil, err
 	}
 	var waitGroup sync.WaitGroup
-	elsewhere := []groupState{}
+	notLed := []groupState{}
 	for _, state := range states {
 		if state.Shard < 0 || state.Shard >= shards.ShardCount {
 			continue
@@ -33,10 +33,10 @@
 	waitGroup.Wait()
 	for _, state := range states {
 		if known := state.Shard >= 0 && state.Shard < shards.ShardCount; known && !s.shards[state.Shard].group.Status().IsLeader() {
-			elsewhere = append(elsewhere, state)
+			notLed = append(notLed, state)
 		}
 	}
-	return codec.Marshal(groupsSchema, elsewhere)
+	return codec.Marshal(groupsSchema, notLed)
 }
 
 // awaitRelease waits until no change of members is under way or to be made, and no successor may still catch up.
