--- a/internal/controlplane/server/broadcast.go
+++ b/internal/controlplane/server/broadcast.go
@@ -13,22 +13,22 @@
 }
 
 // changed returns a channel that is closed by the next raise. It is to be taken before the look.
-func (s *broadcast) changed() <-chan struct{} {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.next == nil {
-		s.next = make(chan struct{})
+func (b *broadcast) changed() <-chan struct{} {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.next == nil {
+		b.next = make(chan struct{})
 	}
-	return s.next
+	return b.next
 }
 
 // notifyAll wakes all that wait.
-func (s *broadcast) notifyAll() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.next != nil {
-		close(s.next)
-		s.next = nil
+func (b *broadcast) notifyAll() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.next != nil {
+		close(b.next)
+		b.next = nil
 	}
 }
 
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -128,7 +128,7 @@
 				s := newDegradedServerFixture(t)
 				s.setEveryGroup(followerStatus(ownerAddress), nil)
 				calls := &retainedProposals{}
-				s.server.network = &retainingNetwork{calls: calls}
+				s.server.peers.network = &retainingNetwork{calls: calls}
 				request := newReusedBufferRequest(one.id, "7", one.body)
 				s.server.apiHandler(one.kind)(t.Context(), request.context)
 				request.overwrite()
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -130,7 +130,7 @@
 	t.Helper()
 	s := &degradedServerFixture{link: &ownerOnlyNetwork{}}
 	s.server, s.groups, _ = newScriptedServer(t)
-	s.server.network = s.link
+	s.server.peers.network = s.link
 	applyInitialState(t, s.server)
 	config := bootconfig.Defaults()
 	config.IP, config.PortRange = "127.0.0.1", [2]int{7100, 7115}
@@ -205,7 +205,7 @@
 	}},
 	{"it is leaving", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
-		s.server.shuttingDown.Store(true)
+		s.server.lifecycle.shuttingDown.Store(true)
 		s.link.owner = s.owner
 	}},
 }
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -59,21 +59,21 @@
 // FeedConnection serves the feed to an agent over a connection whose first frame has been read.
 func (s *Server) FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
 	hello, err := feedtransport.DecodeHello(body)
-	if kind != feedtransport.KindHello || err != nil || s.shuttingDown.Load() {
+	if kind != feedtransport.KindHello || err != nil || s.lifecycle.shuttingDown.Load() {
 		_ = connection.Close()
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(s.feedContext, cancel)()
+	defer context.AfterFunc(s.lifecycle.feedContext, cancel)()
 	if hello.Role == feedtransport.RoleAgent {
 		node := edgeNode{ID: hello.Node, Address: s.settings.MonitorAddressOf(hello.IP), Zone: hello.Zone}
-		s.edgeNodes.add(node)
-		defer s.edgeNodes.remove(node)
+		s.feed.nodes.add(node)
+		defer s.feed.nodes.remove(node)
 	}
 	s.metrics.feedSessions.Add(1)
 	defer s.metrics.feedSessions.Add(-1)
-	options := feedtransport.SessionOptions{Encoder: s.feedEncoder, Origin: s.startedAt}
+	options := feedtransport.SessionOptions{Encoder: s.feed.encoder, Origin: s.startedAt}
 	_ = feedtransport.NewSession(connection, hello, s, options).Run(ctx)
 }
 
@@ -86,10 +86,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.edgeNodes.added:
+		case <-s.feed.nodes.added:
 		case <-timer.C:
 		}
-		nodes := s.edgeNodes.list()
+		nodes := s.feed.nodes.list()
 		if len(nodes) == 0 {
 			continue // the next one that comes sends a token
 		}
--- a/internal/controlplane/server/feed_source.go
+++ b/internal/controlplane/server/feed_source.go
@@ -41,4 +41,4 @@
 }
 
 // Subscribe has a token sent whenever a shard has advanced or the members of a group have changed.
-func (s *Server) Subscribe(wake chan<- struct{}) (cancel func()) { return s.feedSubscribers.add(wake) }
+func (s *Server) Subscribe(wake chan<- struct{}) (cancel func()) { return s.feed.subscribers.add(wake) }
--- a/internal/controlplane/server/feed_state.go
+++ b/internal/controlplane/server/feed_state.go
@@ -16,22 +16,22 @@
 func newFeedState() feedState { return feedState{buffer: feed.NewBuffer(feedBacklogBytes)} }
 
 // changesSince returns what takes a reader on from index; both are nil if there is nothing above it.
-func (s *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.buffer.From(index)
+func (f *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.buffer.From(index)
 }
 
-func (s *feedState) index() uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.buffer.Index()
+func (f *feedState) index() uint64 {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.buffer.Index()
 }
 
 // append takes the change of an entry. The caller holds the mutex. Entries come in the order of
 // their indexes, so the buffer cannot refuse one.
-func (s *feedState) append(change feed.Change) { _ = s.buffer.Append(change) }
+func (f *feedState) append(change feed.Change) { _ = f.buffer.Append(change) }
 
-func (s *feedState) reset(index uint64, items []feed.Item) {
-	s.buffer.Reset(feed.Snapshot{Index: index, Items: items})
+func (f *feedState) reset(index uint64, items []feed.Item) {
+	f.buffer.Reset(feed.Snapshot{Index: index, Items: items})
 }
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -74,7 +74,7 @@
 		defer cancel()
 		defer context.AfterFunc(s.leaderContext(s.shards[request.Shard]), cancel)()
 	}
-	reply, err := s.network.Call(ctx, to.address, request.Kind, body)
+	reply, err := s.peers.network.Call(ctx, to.address, request.Kind, body)
 	if err != nil {
 		return shardResponse{}, err
 	}
@@ -128,7 +128,7 @@
 
 // forwardInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
 func (s *Server) forwardInBackground(ctx context.Context, request shardRequest, within time.Duration) {
-	s.background.Go(func() {
+	s.lifecycle.background.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, within)
 		defer cancel()
 		s.forward(ctx, request)
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -14,13 +14,13 @@
 // shutDown ends the feed's sessions, so that agents go elsewhere at once, hands over all leaderships and, where a successor
 // stands by, the places in the groups, and stops the API, which until then takes calls.
 func (s *Server) shutDown(api APIServer) {
-	s.shuttingDown.Store(true)
-	s.cancelFeed()
+	s.lifecycle.shuttingDown.Store(true)
+	s.lifecycle.cancelFeed()
 	s.handOver()
 	ctx, cancel := context.WithTimeout(context.Background(), apiShutdownTimeout)
 	defer cancel()
 	_ = api.Shutdown(ctx)
-	s.cancelBackground()
+	s.lifecycle.cancelBackground()
 }
 
 // handOver transfers the leadership of all shards that this keeper leads, and then its places.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil
 	}
-	reply, err := s.network.Call(ctx, leader, callLeave, body)
+	reply, err := s.peers.network.Call(ctx, leader, callLeave, body)
 	if err != nil {
 		s.logger.Debug("a leader does not take leave", zap.String("leader", leader), zap.Error(err))
 		return shardsOf(votes)
--- a/internal/controlplane/server/graceful_shutdown_test.go
+++ b/internal/controlplane/server/graceful_shutdown_test.go
@@ -29,7 +29,7 @@
 		const elected = leaderDiscoveryTimeout + 200*time.Millisecond
 		s, groups, _ := newScriptedServer(t)
 		network := &leaveRecordingNetwork{}
-		s.network = network
+		s.peers.network = network
 		status := followerStatus("b")
 		status.Leader = consensus.Member{}
 		groups[1].set(status)
--- a/internal/controlplane/server/http_api.go
+++ b/internal/controlplane/server/http_api.go
@@ -77,7 +77,7 @@
 
 // trackCall counts a call and, on a keeper that is about to end, has its connection closed after it.
 func (s *Server) trackCall(ctx context.Context, c *app.RequestContext) {
-	if s.shuttingDown.Load() {
+	if s.lifecycle.shuttingDown.Load() {
 		c.SetConnectionClose()
 	}
 	c.Next(ctx)
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -129,7 +129,7 @@
 // A keeper that is about to end answers, and tells its callers to come to others.
 func TestAPI_shuttingDownServerClosesConnections(t *testing.T) {
 	h := newHTTPHost(t)
-	h.server.shuttingDown.Store(true)
+	h.server.lifecycle.shuttingDown.Store(true)
 	connection := h.dial()
 	if _, err := io.WriteString(connection, withContentLength(configurationJSON(1))+withContentLength(configurationJSON(2))); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -55,9 +55,9 @@
 }
 
 // resolveWithRetry tries until ctx ends while the disk refuses, as a full one does. Files of another format are refused at once.
-func (s *identityResolver) resolveWithRetry(ctx context.Context, logger *zap.Logger) (consensus.Member, []consensus.Member, error) {
+func (r *identityResolver) resolveWithRetry(ctx context.Context, logger *zap.Logger) (consensus.Member, []consensus.Member, error) {
 	for {
-		self, founders, err := s.resolve()
+		self, founders, err := r.resolve()
 		var otherFormat seglog.FormatError
 		if err == nil || errors.As(err, &otherFormat) {
 			return self, founders, err
@@ -72,26 +72,26 @@
 // resolve returns the member ID, which a first start draws and writes, and the founders of the groups if this process is
 // one of them. A founder is a seed at the system's first start. A disk with replicas whose member ID is missing or
 // damaged counts as lost: the replicas are removed, and the new ID founds nothing, also if it is drawn at a later try.
-func (s *identityResolver) resolve() (consensus.Member, []consensus.Member, error) {
-	seeds := seedPeerAddresses(s.settings)
-	lost, err := removeOrphanReplicas(s.settings, s.environment)
-	s.diskLost = s.diskLost || lost
+func (r *identityResolver) resolve() (consensus.Member, []consensus.Member, error) {
+	seeds := seedPeerAddresses(r.settings)
+	lost, err := removeOrphanReplicas(r.settings, r.environment)
+	r.diskLost = r.diskLost || lost
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "replicas without a member ID")
 	}
-	founds := slices.Contains(seeds, s.address) && (s.settings.Bootstrap && !s.diskLost || !s.environment.guardEnabled(GuardFoundingOnce))
+	founds := slices.Contains(seeds, r.address) && (r.settings.Bootstrap && !r.diskLost || !r.environment.guardEnabled(GuardFoundingOnce))
 	draw := func() consensus.MemberID {
 		if founds {
-			return memberID(s.address, foundingNonce)
+			return memberID(r.address, foundingNonce)
 		}
-		return memberID(s.address, s.environment.Random()|1)
+		return memberID(r.address, r.environment.Random()|1)
 	}
-	id, _, err := seglog.LoadOrCreateMemberID(s.environment.FileSystem, s.settings.DataDir, draw)
+	id, _, err := seglog.LoadOrCreateMemberID(r.environment.FileSystem, r.settings.DataDir, draw)
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "member ID")
 	}
-	self := consensus.Member{ID: id, Address: s.address, Voter: true}
-	if !founds || id != memberID(s.address, foundingNonce) {
+	self := consensus.Member{ID: id, Address: r.address, Voter: true}
+	if !founds || id != memberID(r.address, foundingNonce) {
 		return self, nil, nil
 	}
 	return self, foundersOf(seeds), nil
--- a/internal/controlplane/server/join.go
+++ b/internal/controlplane/server/join.go
@@ -22,7 +22,7 @@
 			return
 		case <-timer.C:
 		}
-		if s.shuttingDown.Load() || !s.needsToJoin(s.environment.Now().Sub(startedAt)) {
+		if s.lifecycle.shuttingDown.Load() || !s.needsToJoin(s.environment.Now().Sub(startedAt)) {
 			requests = 0
 			timer.Reset(joinIdleInterval)
 			continue
@@ -66,7 +66,7 @@
 	var waitGroup sync.WaitGroup
 	for _, address := range s.directory.otherAddresses() {
 		waitGroup.Go(func() {
-			reply, err := s.network.Call(ctx, address, callJoin, body)
+			reply, err := s.peers.network.Call(ctx, address, callJoin, body)
 			if err == nil {
 				s.learnServers(reply)
 			}
@@ -81,7 +81,7 @@
 		status := shard.group.Status()
 		states = append(states, groupState{
 			Shard: int(shard.id), Voter: isVoter(status, s.self.ID), Current: isCurrent(status),
-			Writable: status.Writable && !s.shuttingDown.Load(),
+			Writable: status.Writable && !s.lifecycle.shuttingDown.Load(),
 		})
 	}
 	return states
--- a/internal/controlplane/server/join_requests.go
+++ b/internal/controlplane/server/join_requests.go
@@ -28,32 +28,32 @@
 	receivedAt time.Time
 }
 
-func (c *joinRequests) record(shard shards.ID, request joinRequest, now time.Time) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.byAddress[shard] == nil {
-		c.byAddress[shard] = make(map[string]receivedJoinRequest)
+func (r *joinRequests) record(shard shards.ID, request joinRequest, now time.Time) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.byAddress[shard] == nil {
+		r.byAddress[shard] = make(map[string]receivedJoinRequest)
 	}
-	c.byAddress[shard][request.Address] = receivedJoinRequest{request: request, receivedAt: now}
+	r.byAddress[shard][request.Address] = receivedJoinRequest{request: request, receivedAt: now}
 }
 
 // forget drops a request that does not hold. A newer one from the same address under another ID stays.
-func (c *joinRequests) forget(shard shards.ID, request joinRequest) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.byAddress[shard][request.Address].request == request {
-		delete(c.byAddress[shard], request.Address)
+func (r *joinRequests) forget(shard shards.ID, request joinRequest) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.byAddress[shard][request.Address].request == request {
+		delete(r.byAddress[shard], request.Address)
 	}
 }
 
 // recent returns those who asked not long ago, by address, and forgets the others.
-func (c *joinRequests) recent(shard shards.ID, now time.Time) []joinRequest {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+func (r *joinRequests) recent(shard shards.ID, now time.Time) []joinRequest {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var found []joinRequest
-	for address, received := range c.byAddress[shard] {
+	for address, received := range r.byAddress[shard] {
 		if now.Sub(received.receivedAt) > joinRequestMaxAge {
-			delete(c.byAddress[shard], address)
+			delete(r.byAddress[shard], address)
 			continue
 		}
 		found = append(found, received.request)
--- a/internal/controlplane/server/leadership_balance.go
+++ b/internal/controlplane/server/leadership_balance.go
@@ -60,7 +60,7 @@
 func (s *Server) canOwn(ctx context.Context, address string, id shards.ID) bool {
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
-	reply, err := s.network.Call(ctx, address, callGroupStates, nil)
+	reply, err := s.peers.network.Call(ctx, address, callGroupStates, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/controlplane/server/leadership_balance_test.go
+++ b/internal/controlplane/server/leadership_balance_test.go
@@ -40,7 +40,7 @@
 	group := &transferrableGroup{}
 	s.shards[id].group = group
 	network := &groupStatesNetwork{}
-	s.network = network
+	s.peers.network = network
 
 	// Choose an address that the hash prefers to this keeper's.
 	status := leaderStatus()
--- a/internal/controlplane/server/lifecycle.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	s.network, s.servePeers, s.closeNetwork = network, network.Serve, network.Close
+	s.peers.network, s.peers.serve, s.peers.close = network, network.Serve, network.Close
 	return nil
 }
 
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	close(s.groupsOpened)
+	close(s.groups.opened)
 	return nil
 }
 
@@ -63,9 +63,9 @@
 		BootstrapMembers: founders,
 		StateMachine:     shard.stateMachine,
 		Send: func(to consensus.Member, message consensus.Message) {
-			s.network.Send(to, shard.id, message)
+			s.peers.network.Send(to, shard.id, message)
 		},
-		OnApplied:         func(uint64) { s.feedSubscribers.wake() },
+		OnApplied:         func(uint64) { s.feed.subscribers.wake() },
 		OnStatus:          func(status replica.Status) { s.onGroupStatus(shard, status) },
 		ElectionTimeout:   electionTimeout,
 		HeartbeatInterval: groupHeartbeatInterval,
@@ -77,7 +77,7 @@
 		return err
 	}
 	shard.group = group
-	s.closeGroups = append(s.closeGroups, group.Close)
+	s.groups.close = append(s.groups.close, group.Close)
 	return nil
 }
 
@@ -166,21 +166,21 @@
 	}
 	failed := make(chan error, 2)
 	s.runGroups()
-	s.background.Go(func() { s.runJoin(s.backgroundContext) })
-	s.background.Go(func() { s.runNodeHeartbeats(s.backgroundContext) })
-	s.background.Go(func() { s.runLivenessReports(s.backgroundContext) })
-	s.background.Go(func() { s.runMaintenance(s.backgroundContext) })
+	s.lifecycle.background.Go(func() { s.runJoin(s.lifecycle.backgroundContext) })
+	s.lifecycle.background.Go(func() { s.runNodeHeartbeats(s.lifecycle.backgroundContext) })
+	s.lifecycle.background.Go(func() { s.runLivenessReports(s.lifecycle.backgroundContext) })
+	s.lifecycle.background.Go(func() { s.runMaintenance(s.lifecycle.backgroundContext) })
 	if s.environment.Workers != nil {
-		s.background.Go(func() { s.forwardDemands(s.backgroundContext) })
-		s.background.Go(func() { s.runRolePlanner(s.backgroundContext) })
+		s.lifecycle.background.Go(func() { s.forwardDemands(s.lifecycle.backgroundContext) })
+		s.lifecycle.background.Go(func() { s.runRolePlanner(s.lifecycle.backgroundContext) })
 	}
-	s.background.Go(func() {
-		if err := s.servePeers(peers); err != nil {
+	s.lifecycle.background.Go(func() {
+		if err := s.peers.serve(peers); err != nil {
 			failed <- err
 		}
 	})
-	s.background.Go(func() {
-		if err := api.Run(); err != nil && !s.shuttingDown.Load() {
+	s.lifecycle.background.Go(func() {
+		if err := api.Run(); err != nil && !s.lifecycle.shuttingDown.Load() {
 			failed <- err
 		}
 	})
@@ -205,7 +205,7 @@
 		if !ok {
 			continue
 		}
-		s.background.Go(func() {
+		s.lifecycle.background.Go(func() {
 			if err := group.Run(context.Background()); err != nil {
 				s.logger.Error("a replica has stopped", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 			}
@@ -216,7 +216,7 @@
 // closeAllGroups closes the replicas at the same time, since each may wait for a disk that hangs.
 func (s *Server) closeAllGroups() {
 	var waitGroup sync.WaitGroup
-	for _, closeGroup := range s.closeGroups {
+	for _, closeGroup := range s.groups.close {
 		waitGroup.Go(func() {
 			if err := closeGroup(); err != nil {
 				s.logger.Warn("a replica was not closed well", zap.Error(err))
@@ -228,12 +228,12 @@
 
 // Close ends everything that Open and Serve have begun, without a hand-over.
 func (s *Server) Close() {
-	s.shuttingDown.Store(true)
-	s.cancelBackground()
-	s.cancelFeed()
+	s.lifecycle.shuttingDown.Store(true)
+	s.lifecycle.cancelBackground()
+	s.lifecycle.cancelFeed()
 	s.closeAllGroups()
-	if s.closeNetwork != nil {
-		s.closeNetwork()
+	if s.peers.close != nil {
+		s.peers.close()
 	}
-	s.background.Wait()
+	s.lifecycle.background.Wait()
 }
--- a/internal/controlplane/server/maintenance.go
+++ b/internal/controlplane/server/maintenance.go
@@ -50,8 +50,8 @@
 	if len(commands) == 0 {
 		return
 	}
-	s.background.Go(func() {
-		ctx, cancel := context.WithTimeout(s.backgroundContext, membershipChangeTimeout)
+	s.lifecycle.background.Go(func() {
+		ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
 		defer cancel()
 		var group errgroup.Group
 		group.SetLimit(maxConcurrentProposals)
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -14,20 +14,20 @@
 
 // startReconcile brings a group's members nearer to what is wanted, unless that is under way.
 func (s *Server) startReconcile(shard *shard) {
-	s.mutex.Lock()
-	busy := shard.reconciling || s.shuttingDown.Load()
+	shard.mutex.Lock()
+	busy := shard.reconciling || s.lifecycle.shuttingDown.Load()
 	if !busy {
 		shard.reconciling = true
 	}
-	s.mutex.Unlock()
+	shard.mutex.Unlock()
 	if busy {
 		return
 	}
-	s.background.Go(func() {
+	s.lifecycle.background.Go(func() {
 		defer func() {
-			s.mutex.Lock()
+			shard.mutex.Lock()
 			shard.reconciling = false
-			s.mutex.Unlock()
+			shard.mutex.Unlock()
 		}()
 		s.reconcile(shard)
 	})
@@ -37,7 +37,7 @@
 // join, or the next round of maintenance, goes on.
 func (s *Server) reconcile(shard *shard) {
 	changed := false
-	for s.backgroundContext.Err() == nil {
+	for s.lifecycle.backgroundContext.Err() == nil {
 		next, found := s.awaitMembershipChange(shard, changed)
 		if !found {
 			return
@@ -67,7 +67,7 @@
 		if found || !changed || !observed.hasFillableVacancy() || !s.environment.Now().Before(deadline) {
 			return next, found
 		}
-		if !waitForChange(s.backgroundContext, nil, releasePollInterval) {
+		if !waitForChange(s.lifecycle.backgroundContext, nil, releasePollInterval) {
 			return membershipChange{}, false
 		}
 	}
@@ -80,7 +80,7 @@
 	if request.ID == 0 {
 		return true
 	}
-	identity, err := s.queryIdentity(s.backgroundContext, request.Address)
+	identity, err := s.queryIdentity(s.lifecycle.backgroundContext, request.Address)
 	if err == nil && identity.ID == request.ID && !identity.ShuttingDown {
 		return true
 	}
@@ -93,7 +93,7 @@
 func (s *Server) queryIdentity(ctx context.Context, address string) (identityReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
-	reply, err := s.network.Call(ctx, address, callIdentity, nil)
+	reply, err := s.peers.network.Call(ctx, address, callIdentity, nil)
 	if err != nil {
 		return identityReply{}, err
 	}
@@ -101,7 +101,7 @@
 }
 
 func (s *Server) applyMembershipChange(shard *shard, change replica.Change) bool {
-	ctx, cancel := context.WithTimeout(s.backgroundContext, membershipChangeTimeout)
+	ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
 	defer cancel()
 	err := shard.group.ChangeMembers(ctx, change)
 	s.logMembershipChange(shard, change, err)
@@ -130,8 +130,8 @@
 // trackReadiness notes since when learners have been able to be voters, and returns those that have been for some time. With
 // each change of members they are unable for a moment, until they hold it.
 func (s *Server) trackReadiness(shard *shard, ready []consensus.MemberID, now time.Time) (steady []consensus.MemberID) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	if shard.learnerReadiness == nil {
 		shard.learnerReadiness = make(map[consensus.MemberID]readiness)
 	}
@@ -159,12 +159,12 @@
 
 // sinceHeard returns how long nothing was heard of each member's address.
 func (s *Server) sinceHeard(shard *shard, members []consensus.Member, now time.Time) map[consensus.MemberID]time.Duration {
-	s.mutex.Lock()
+	shard.mutex.Lock()
 	leadingSince := shard.leadingSince
-	s.mutex.Unlock()
+	shard.mutex.Unlock()
 	sinceHeard := make(map[consensus.MemberID]time.Duration, len(members))
 	for _, member := range members {
-		sinceHeard[member.ID] = timeSinceHeard(now, s.network.LastReceived(member.Address), leadingSince)
+		sinceHeard[member.ID] = timeSinceHeard(now, s.peers.network.LastReceived(member.Address), leadingSince)
 	}
 	return sinceHeard
 }
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -81,9 +81,9 @@
 // waitForReconcile waits until no change of members is under way.
 func waitForReconcile(t *testing.T, s *Server, shard *shard) {
 	t.Helper()
-	s.background.Wait()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.lifecycle.background.Wait()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	if shard.reconciling {
 		t.Fatal("still reconciling")
 	}
@@ -94,7 +94,7 @@
 	for _, omit := range [][]Guard{nil, {GuardIdentityAsked}} {
 		s, _, _ := newScriptedServer(t)
 		s.environment.OmitGuards = omit
-		s.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
 		group := newChangingGroup(voter(1), voter(2), consensus.Member{ID: living, Address: "k3", Voter: true})
 		s.shards[id].group = group
 		sendJoinRequest(t, s, id, former, "k3")
@@ -112,7 +112,7 @@
 func TestServer_ReceiveJoin_memberWithLostDiskIsReplacedAndRetired(t *testing.T) {
 	const id, former, living = shards.ID(1), consensus.MemberID(3), consensus.MemberID(31)
 	s, _, _ := newScriptedServer(t)
-	s.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
+	s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
 	group := newChangingGroup(voter(1), voter(2), voter(former))
 	s.shards[id].group = group
 	sendJoinRequest(t, s, id, living, "k3")
@@ -133,7 +133,7 @@
 	const id = shards.ID(1)
 	s, _, _ := newScriptedServer(t)
 	network := &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, ShuttingDown: true}}}
-	s.network = network
+	s.peers.network = network
 	group := newChangingGroup(voter(1), voter(2))
 	s.shards[id].group = group
 	sendJoinRequest(t, s, id, 3, "k3")
@@ -154,7 +154,7 @@
 		const id = shards.ID(1)
 		s, _, _ := newScriptedServer(t)
 		s.settings.FaultTolerance.Machines = 1
-		s.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 31}}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 31}}}
 		group := &laggingGroup{changingGroup: newChangingGroup(voter(1), voter(2), voter(3), learner(4)), lag: 5}
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -81,9 +81,9 @@
 
 // demoteLeavingVoter makes a voter that is about to end a learner. The voter goes before its successor comes: with both as
 // voters, the loss of that one machine's place would cost two votes.
-func (s observedState) demoteLeavingVoter() (membershipChange, bool) {
-	for _, member := range s.Members {
-		if member.Voter && member.ID != s.Self && slices.Contains(s.Leaving, member.ID) {
+func (o observedState) demoteLeavingVoter() (membershipChange, bool) {
+	for _, member := range o.Members {
+		if member.Voter && member.ID != o.Self && slices.Contains(o.Leaving, member.ID) {
 			member.Voter = false
 			return membershipChange{Change: replica.Change{Add: &member}}, true
 		}
@@ -113,50 +113,50 @@
 }
 
 // promotionCandidates returns the learners that could be voters at once, those first that have been able to be for some time.
-func (s observedState) promotionCandidates() (found []consensus.Member) {
-	for _, member := range s.Members {
-		if !member.Voter && !slices.Contains(s.Leaving, member.ID) && s.canPromote(member.ID) {
+func (o observedState) promotionCandidates() (found []consensus.Member) {
+	for _, member := range o.Members {
+		if !member.Voter && !slices.Contains(o.Leaving, member.ID) && o.canPromote(member.ID) {
 			found = append(found, member)
 		}
 	}
-	slices.SortStableFunc(found, func(a, b consensus.Member) int { return s.stabilityRank(a.ID) - s.stabilityRank(b.ID) })
+	slices.SortStableFunc(found, func(a, b consensus.Member) int { return o.stabilityRank(a.ID) - o.stabilityRank(b.ID) })
 	return found
 }
 
 // stabilityRank ranks learners by how long they have been able to be voters: the longest first, those last that have only
 // begun. Whoever came back last may still be about to fail, and must not be the one that makes the number even.
-func (s observedState) stabilityRank(id consensus.MemberID) int {
-	if rank := slices.Index(s.Stable, id); rank >= 0 {
+func (o observedState) stabilityRank(id consensus.MemberID) int {
+	if rank := slices.Index(o.Stable, id); rank >= 0 {
 		return rank
 	}
-	return len(s.Stable)
+	return len(o.Stable)
 }
 
-func (s observedState) isStable(id consensus.MemberID) bool { return slices.Contains(s.Stable, id) }
+func (o observedState) isStable(id consensus.MemberID) bool { return slices.Contains(o.Stable, id) }
 
 // canAddVoter tells whether a group with an odd number of voters may take one more. An even number bears no more losses
 // than the odd one below it and needs one voter more for a majority, so the group waits for two (unless no more than one is
 // wanted), and until all is calm: its voters answer, none is leaving, and the two have been ready for some time.
-func (s observedState) canAddVoter() bool {
-	if !s.guardEnabled(GuardVotersOdd) {
+func (o observedState) canAddVoter() bool {
+	if !o.guardEnabled(GuardVotersOdd) {
 		return true
 	}
-	if _, leaving := s.demoteLeavingVoter(); leaving || s.unresponsiveVoters(missedHeartbeatsAge) > 0 {
+	if _, leaving := o.demoteLeavingVoter(); leaving || o.unresponsiveVoters(missedHeartbeatsAge) > 0 {
 		return false
 	}
 	stable := 0
-	for _, candidate := range s.promotionCandidates() {
-		if s.isStable(candidate.ID) {
+	for _, candidate := range o.promotionCandidates() {
+		if o.isStable(candidate.ID) {
 			stable++
 		}
 	}
-	return stable > 1 || (stable == 1 && s.voterCount()+1 == s.DesiredVoters)
+	return stable > 1 || (stable == 1 && o.voterCount()+1 == o.DesiredVoters)
 }
 
 // canPromote tells whether a learner is known to hold what makes it a sound voter. Without the guard its own request to
 // join is believed.
-func (s observedState) canPromote(id consensus.MemberID) bool {
-	return slices.Contains(s.PromotableLearners, id) || (!s.guardEnabled(GuardPromotedDurable) && s.hasJoinRequest(id))
+func (o observedState) canPromote(id consensus.MemberID) bool {
+	return slices.Contains(o.PromotableLearners, id) || (!o.guardEnabled(GuardPromotedDurable) && o.hasJoinRequest(id))
 }
 
 func addLearner(observed observedState) (membershipChange, bool) {
@@ -182,8 +182,8 @@
 }
 
 // requireConfirmation is a change that is made only if the candidate lives.
-func (s observedState) requireConfirmation(change replica.Change, request joinRequest) membershipChange {
-	if !s.guardEnabled(GuardIdentityAsked) {
+func (o observedState) requireConfirmation(change replica.Change, request joinRequest) membershipChange {
+	if !o.guardEnabled(GuardIdentityAsked) {
 		return membershipChange{Change: change}
 	}
 	return membershipChange{Change: change, Confirm: request}
@@ -203,10 +203,10 @@
 	return max(led, min(now.Sub(heard), voterTimeout))
 }
 
-func (s observedState) guardEnabled(guard Guard) bool { return !slices.Contains(s.OmitGuards, guard) }
+func (o observedState) guardEnabled(guard Guard) bool { return !slices.Contains(o.OmitGuards, guard) }
 
-func (s observedState) member(id consensus.MemberID) (consensus.Member, bool) {
-	for _, member := range s.Members {
+func (o observedState) member(id consensus.MemberID) (consensus.Member, bool) {
+	for _, member := range o.Members {
 		if member.ID == id {
 			return member, true
 		}
@@ -214,8 +214,8 @@
 	return consensus.Member{}, false
 }
 
-func (s observedState) hasJoinRequest(id consensus.MemberID) bool {
-	for _, request := range s.JoinRequests {
+func (o observedState) hasJoinRequest(id consensus.MemberID) bool {
+	for _, request := range o.JoinRequests {
 		if request.ID == id {
 			return true
 		}
@@ -223,9 +223,9 @@
 	return false
 }
 
-func (s observedState) voterCount() int {
+func (o observedState) voterCount() int {
 	count := 0
-	for _, member := range s.Members {
+	for _, member := range o.Members {
 		if member.Voter {
 			count++
 		}
@@ -234,10 +234,10 @@
 }
 
 // responsiveLearners counts the learners that are not silent for a time.
-func (s observedState) responsiveLearners(limit time.Duration) int {
+func (o observedState) responsiveLearners(limit time.Duration) int {
 	count := 0
-	for _, member := range s.Members {
-		if !member.Voter && s.SinceHeard[member.ID] < limit {
+	for _, member := range o.Members {
+		if !member.Voter && o.SinceHeard[member.ID] < limit {
 			count++
 		}
 	}
@@ -245,21 +245,21 @@
 }
 
 // hasFillableVacancy tells whether a place is free that learners take as soon as they can.
-func (s observedState) hasFillableVacancy() bool {
+func (o observedState) hasFillableVacancy() bool {
 	candidates := 0
-	for _, member := range s.Members {
-		if !member.Voter && !slices.Contains(s.Leaving, member.ID) && s.SinceHeard[member.ID] < voterTimeout {
+	for _, member := range o.Members {
+		if !member.Voter && !slices.Contains(o.Leaving, member.ID) && o.SinceHeard[member.ID] < voterTimeout {
 			candidates++
 		}
 	}
-	return s.voterCount() < s.DesiredVoters && (candidates > 1 || (candidates == 1 && s.voterCount()%2 == 0))
+	return o.voterCount() < o.DesiredVoters && (candidates > 1 || (candidates == 1 && o.voterCount()%2 == 0))
 }
 
 // unresponsiveVoters counts the voters, the leader apart, that are silent for at least a time.
-func (s observedState) unresponsiveVoters(atLeast time.Duration) int {
+func (o observedState) unresponsiveVoters(atLeast time.Duration) int {
 	count := 0
-	for _, member := range s.Members {
-		if member.Voter && member.ID != s.Self && s.SinceHeard[member.ID] >= atLeast {
+	for _, member := range o.Members {
+		if member.Voter && member.ID != o.Self && o.SinceHeard[member.ID] >= atLeast {
 			count++
 		}
 	}
@@ -267,13 +267,13 @@
 }
 
 // longestUnresponsiveVoter returns the voter that is silent longest, if that is at least a time.
-func (s observedState) longestUnresponsiveVoter(atLeast time.Duration) (consensus.MemberID, bool) {
+func (o observedState) longestUnresponsiveVoter(atLeast time.Duration) (consensus.MemberID, bool) {
 	var longest consensus.Member
-	for _, member := range s.Members {
-		if !member.Voter || member.ID == s.Self || s.SinceHeard[member.ID] < atLeast {
+	for _, member := range o.Members {
+		if !member.Voter || member.ID == o.Self || o.SinceHeard[member.ID] < atLeast {
 			continue
 		}
-		if longest.ID == 0 || s.SinceHeard[member.ID] > s.SinceHeard[longest.ID] {
+		if longest.ID == 0 || o.SinceHeard[member.ID] > o.SinceHeard[longest.ID] {
 			longest = member
 		}
 	}
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -100,7 +100,7 @@
 	for _, shard := range s.shards {
 		lines = append(lines, shardLines(shard.group.Status())...)
 	}
-	for _, peer := range s.network.Peers() {
+	for _, peer := range s.peers.network.Peers() {
 		lines = append(lines,
 			fmt.Sprintf("keeper_peer_connected{peer=%q} %d", peer.Address, boolToInt(peer.Connected)),
 			fmt.Sprintf("keeper_peer_dropped_total{peer=%q} %d", peer.Address, peer.Dropped))
--- a/internal/controlplane/server/ownership.go
+++ b/internal/controlplane/server/ownership.go
@@ -21,17 +21,17 @@
 	shard.stateMachine.setLeaderTerm(leading)
 	if s.updateLeadership(shard, status.IsLeader()) {
 		s.logger.Info("leads a shard", zap.Uint32("shard", uint32(shard.id)), zap.Uint64("term", status.Term))
-		s.background.Go(func() { s.acquireOwnership(shard, leading) })
+		s.lifecycle.background.Go(func() { s.acquireOwnership(shard, leading) })
 	}
 	s.ownersChanged.notifyAll()
-	s.feedSubscribers.wake()
+	s.feed.subscribers.wake()
 	s.environment.OnGroupStatus(status)
 }
 
 // updateLeaderContext ends the calls that wait for an owner of the shard who is no longer the leader.
 func (s *Server) updateLeaderContext(shard *shard, leader consensus.Member) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	if shard.leader == leader && shard.leaderContext != nil {
 		return
 	}
@@ -44,8 +44,8 @@
 
 // leaderContext ends when the leader of the shard is another one.
 func (s *Server) leaderContext(shard *shard) context.Context {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	if shard.leaderContext == nil {
 		return context.Background()
 	}
@@ -55,8 +55,8 @@
 // updateLeadership records whether a shard is led, and tells whether that has just begun.
 func (s *Server) updateLeadership(shard *shard, leads bool) (begun bool) {
 	now := s.environment.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	begun = leads && shard.leadingSince.IsZero()
 	switch {
 	case begun:
@@ -71,11 +71,11 @@
 // then starts to own the shard, unless it no longer leads in the term.
 func (s *Server) acquireOwnership(shard *shard, term uint64) {
 	select {
-	case <-s.groupsOpened:
-	case <-s.backgroundContext.Done():
+	case <-s.groups.opened:
+	case <-s.lifecycle.backgroundContext.Done():
 		return
 	}
-	for s.backgroundContext.Err() == nil {
+	for s.lifecycle.backgroundContext.Err() == nil {
 		err := s.ownershipBarrier(shard)
 		status := shard.group.Status()
 		if err == nil {
@@ -86,7 +86,7 @@
 		if !status.IsLeader() || status.Term != term {
 			return
 		}
-		waitForChange(s.backgroundContext, nil, ownerRetryInterval)
+		waitForChange(s.lifecycle.backgroundContext, nil, ownerRetryInterval)
 	}
 }
 
@@ -94,7 +94,7 @@
 	if !s.environment.guardEnabled(GuardOwnershipBarrier) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(s.backgroundContext, membershipChangeTimeout)
+	ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
 	defer cancel()
 	return shard.group.ReadBarrier(ctx)
 }
--- a/internal/controlplane/server/peer_handler.go
+++ b/internal/controlplane/server/peer_handler.go
@@ -30,7 +30,7 @@
 		return s.receiveLeave(ctx, peer, body)
 	case callIdentity:
 		return encodeIdentity(identityReply{
-			ID: s.self.ID, Age: s.environment.Now().Sub(s.startedAt), ShuttingDown: s.shuttingDown.Load(),
+			ID: s.self.ID, Age: s.environment.Now().Sub(s.startedAt), ShuttingDown: s.lifecycle.shuttingDown.Load(),
 		})
 	case callGroupStates:
 		return codec.Marshal(groupsSchema, s.groupStates())
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -145,7 +145,7 @@
 	}
 	done := make(chan ended, len(commands))
 	for _, command := range commands {
-		s.background.Go(func() {
+		s.lifecycle.background.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
 			defer cancel()
 			answered := 0
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -101,13 +101,13 @@
 	self := consensus.Member{ID: 1, Address: "127.0.0.1:7000"}
 	s := newServer(config, self, Environment{}, zap.NewNop())
 	network := &scriptedNetwork{}
-	s.network = network
+	s.peers.network = network
 	var groups [shards.ShardCount]*scriptedGroup
 	for i, shard := range s.shards {
 		groups[i] = &scriptedGroup{}
 		shard.group = groups[i]
 	}
-	close(s.groupsOpened)
+	close(s.groups.opened)
 	t.Cleanup(s.Close)
 	return s, groups, network
 }
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -17,7 +17,7 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// peerNetwork is what a keeper uses of the network of keepers.
+// peerNetwork is the part of peertransport.Network that the server uses.
 type peerNetwork interface {
 	Send(to consensus.Member, shard shards.ID, message consensus.Message)
 	Call(ctx context.Context, address string, kind peertransport.CallKind, body []byte) ([]byte, error)
@@ -25,51 +25,81 @@
 	Peers() []peertransport.PeerStatus
 }
 
-// Server is one process of the control plane.
+// Server is one process of the control plane: a replica of each shard and what joins them to peers, agents, workers and
+// operators. Open makes one, Serve runs it, Close ends it.
+//
+// No mutex guards the Server itself. Its own fields are set before Serve starts any goroutine and only read afterwards;
+// each part that changes later guards its own state, as said at its type.
 type Server struct {
 	settings    bootconfig.Settings
 	environment Environment
 	logger      *zap.Logger
 	self        consensus.Member
-	shards      [shards.ShardCount]*shard
-	network     peerNetwork
-	directory   *directory
-	edgeNodes   *edgeNodeTable
-	feedEncoder *feedtransport.Encoder // of the feed's sessions
-
-	liveness        *livenessReports
-	demands         *demandReports
-	joinRequests    joinRequests
-	ownersChanged   broadcast
-	feedSubscribers subscribers
-	metrics         metrics
-	shuttingDown    atomic.Bool
-	groupsOpened    chan struct{} // closed once all groups are open
-	startedAt       time.Time
-
-	backgroundContext  context.Context // of what the keeper does by itself
-	feedContext        context.Context // of the feed's sessions
-	cancelBackground   context.CancelFunc
-	cancelFeed         context.CancelFunc
-	background         sync.WaitGroup
-	mutex              sync.Mutex
-	lastLeaderTransfer time.Time // of maintain alone: when leadership was last handed to a preferred owner
-	closeGroups        []func() error
-	servePeers         func(net.Listener) error
-	closeNetwork       func()
+	startedAt   time.Time
+
+	lifecycle lifecycle
+	peers     peerEndpoint
+	groups    replicaGroups
+	shards    [shards.ShardCount]*shard
+	feed      feedService
+
+	// Control loops and what they share with the API. Each has a mutex of its own.
+	directory     *directory
+	joinRequests  joinRequests
+	liveness      *livenessReports
+	demands       *demandReports
+	metrics       metrics
+	ownersChanged broadcast // sent whenever a group's status changes
+
+	// lastLeaderTransfer is when leadership was last moved to a preferred owner. Only the maintenance loop uses it.
+	lastLeaderTransfer time.Time
+}
+
+// lifecycle owns the goroutines of a server. All of them are started by background.Go and end with backgroundContext, with
+// the groups that Close closes, or with the peers' network.
+type lifecycle struct {
+	shuttingDown      atomic.Bool // set once, by shutDown or Close
+	background        sync.WaitGroup
+	backgroundContext context.Context // of the control loops
+	cancelBackground  context.CancelFunc
+	feedContext       context.Context // of the feed's sessions, which end first
+	cancelFeed        context.CancelFunc
+}
+
+// peerEndpoint is this server's end of the connections with the other servers. Fixed by openPeerNetwork.
+type peerEndpoint struct {
+	network peerNetwork
+	serve   func(net.Listener) error
+	close   func()
+}
+
+// replicaGroups is the state of opening and closing all replica groups. Fixed by openGroups.
+type replicaGroups struct {
+	opened chan struct{} // closed once all groups are open
+	close  []func() error
+}
+
+// feedService serves the feed to agents. Its parts have mutexes of their own.
+type feedService struct {
+	encoder     *feedtransport.Encoder // shared by all sessions
+	subscribers subscribers
+	nodes       *edgeNodeTable
 }
 
-// newServer prepares a keeper that has no groups and no network yet.
+// newServer returns a server that has no groups and no network yet.
 func newServer(settings bootconfig.Settings, self consensus.Member, environment Environment, logger *zap.Logger) *Server {
 	environment = environment.withDefaults()
 	s := &Server{
-		settings: settings, environment: environment, logger: logger, self: self, edgeNodes: newEdgeNodeTable(), liveness: newLivenessReports(), demands: newDemandReports(),
-		feedEncoder: feedtransport.NewEncoder(), groupsOpened: make(chan struct{}), startedAt: environment.Now(),
+		settings: settings, environment: environment, logger: logger, self: self, startedAt: environment.Now(),
+		groups:   replicaGroups{opened: make(chan struct{})},
+		feed:     feedService{encoder: feedtransport.NewEncoder(), nodes: newEdgeNodeTable()},
+		liveness: newLivenessReports(),
+		demands:  newDemandReports(),
 	}
 	info := serverInfo{Address: self.Address, Zone: settings.Zone, Region: settings.Region}
 	s.directory = newDirectory(info, seedPeerAddresses(settings))
-	s.backgroundContext, s.cancelBackground = context.WithCancel(context.Background())
-	s.feedContext, s.cancelFeed = context.WithCancel(context.Background())
+	s.lifecycle.backgroundContext, s.lifecycle.cancelBackground = context.WithCancel(context.Background())
+	s.lifecycle.feedContext, s.lifecycle.cancelFeed = context.WithCancel(context.Background())
 	heartbeatInterval := time.Duration(settings.HeartbeatMs) * time.Millisecond
 	for i := range s.shards {
 		s.shards[i] = &shard{id: shards.ID(i), stateMachine: newStateMachine(shards.ID(i), heartbeatInterval, environment)}
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"ospreybend/coord/consensus"
@@ -44,7 +45,7 @@
 
 	preferredReadySince time.Time // of maintain alone: since when the preferred owner could take over
 
-	// Guarded by the keeper's mutex.
+	mutex               sync.Mutex                       // guards all fields below
 	leadingSince        time.Time                        // zero: not leading
 	reconciling         bool                             // changes of members are under way
 	leavingNotices      map[consensus.MemberID]time.Time // members that are about to end, and when they said so
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -70,12 +70,12 @@
 func (s *Server) report() statusReport {
 	report := statusReport{
 		Address: s.self.Address, Member: formatMemberID(s.self.ID), UptimeS: int64(s.environment.Now().Sub(s.startedAt).Seconds()),
-		Leaving: s.shuttingDown.Load(), Agents: len(s.edgeNodes.list()),
+		Leaving: s.lifecycle.shuttingDown.Load(), Agents: len(s.feed.nodes.list()),
 	}
 	for _, shard := range s.shards {
 		report.Shards = append(report.Shards, newShardReport(shard.group.Status(), shard.stateMachine.index()))
 	}
-	for _, peer := range s.network.Peers() {
+	for _, peer := range s.peers.network.Peers() {
 		report.Peers = append(report.Peers, peerReport{
 			Address: peer.Address, Connected: peer.Connected, Accepted: peer.Accepted,
 			Queued: peer.Queued, Dropped: peer.Dropped, HeardMs: milliseconds(peer.SinceReceived),
--- a/internal/controlplane/server/vote_release.go
+++ b/internal/controlplane/server/vote_release.go
@@ -61,15 +61,15 @@
 
 // isReconciling tells whether a change of members may be made that is not committed yet.
 func (s *Server) isReconciling(shard *shard) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	return shard.reconciling
 }
 
 func (s *Server) recordLeaving(shard *shard, member consensus.MemberID) {
 	now := s.environment.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	if shard.leavingNotices == nil {
 		shard.leavingNotices = make(map[consensus.MemberID]time.Time)
 	}
@@ -78,8 +78,8 @@
 
 // leavingMembers returns the members that said not long ago that they are about to end.
 func (s *Server) leavingMembers(shard *shard, now time.Time) []consensus.MemberID {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	shard.mutex.Lock()
+	defer shard.mutex.Unlock()
 	var found []consensus.MemberID
 	for member, at := range shard.leavingNotices {
 		if now.Sub(at) > leavingNoticeMaxAge {
@@ -99,12 +99,12 @@
 		if !slices.Contains(leaving, member.ID) {
 			continue
 		}
-		if identity, err := s.queryIdentity(s.backgroundContext, member.Address); err != nil || identity.ID != member.ID || identity.ShuttingDown {
+		if identity, err := s.queryIdentity(s.lifecycle.backgroundContext, member.Address); err != nil || identity.ID != member.ID || identity.ShuttingDown {
 			continue
 		}
-		s.mutex.Lock()
+		shard.mutex.Lock()
 		delete(shard.leavingNotices, member.ID)
-		s.mutex.Unlock()
+		shard.mutex.Unlock()
 	}
 }
 
@@ -116,7 +116,7 @@
 		if member.Voter {
 			continue
 		}
-		identity, err := s.queryIdentity(s.backgroundContext, member.Address)
+		identity, err := s.queryIdentity(s.lifecycle.backgroundContext, member.Address)
 		if err == nil && identity.ID == member.ID && !identity.ShuttingDown && identity.Age <= successorMaxUptime {
 			found = append(found, member.ID)
 		}
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -29,7 +29,7 @@
 		{"another member at the successor's address", identityReply{ID: 5}, nil},
 	} {
 		s, _, _ := newScriptedServer(t)
-		s.network = &identityNetwork{identities: map[string]identityReply{"k4": one.successor}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k4": one.successor}}
 		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
 		s.settings.FaultTolerance.Machines = 1
 		group.promotable = memberIDs(4)
@@ -56,7 +56,7 @@
 		const id = shards.ID(1)
 		s, _, _ := newScriptedServer(t)
 		s.settings.FaultTolerance.Machines = 1
-		s.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, Age: time.Second}, "k4": {ID: 4, Age: time.Second}}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, Age: time.Second}, "k4": {ID: 4, Age: time.Second}}}
 		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
