--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -13,39 +13,40 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// APICall names a call of the control plane's API.
+// APICall identifies a call of the control plane's HTTP API.
 type APICall uint8
 
-// The calls of operators and workers.
+// The API calls of operators and workers.
 const (
-	APIReplace    APICall = 1 // a whole configuration
-	APIUpdate     APICall = 2 // a change of it
-	APIRead       APICall = 3 // the newest configuration
+	APIReplace    APICall = 1 // replace the configuration
+	APIUpdate     APICall = 2 // change parts of it
+	APIRead       APICall = 3 // read the newest configuration
 	APIHeartbeat  APICall = 4
 	APIDeregister APICall = 5
 )
 
-// APIRequest is one call as it came, whatever carried it.
+// APIRequest is one API call, independent of the transport that carried it.
 type APIRequest struct {
 	Call APICall
-	ID   string // of the instance
-	Base string // the header X-Base-Version; empty: 0
+	ID   string // instance ID
+	Base string // X-Base-Version header; empty counts as 0
 	Body []byte
 }
 
-// APIResponse is its answer.
+// APIResponse is the answer to an APIRequest.
 type APIResponse struct {
-	Status int // of HTTP
+	Status int // HTTP status
 	Body   []byte
 }
 
-// Handle carries a call out, as far as this keeper can, and returns what the caller is told.
+// Handle executes an API call and returns its response. Calls that concern a shard are forwarded to the shard's owner, with
+// a deadline of its own by the size of the body; a call whose outcome is not known is answered 503.
 func (s *Server) Handle(ctx context.Context, request APIRequest) APIResponse {
 	reply := s.handle(ctx, request)
 	return APIResponse{Status: reply.Status, Body: responseBody(reply)}
 }
 
-// responseBody returns what the caller reads of an answer.
+// responseBody returns the HTTP body of a response: its own, an error report, or an empty object.
 func responseBody(reply shardResponse) []byte {
 	switch {
 	case reply.Status != http.StatusOK:
@@ -72,8 +73,8 @@
 	return errorResponse(UnknownPath)
 }
 
-// handleConfigurationChange takes a change to the configuration. What is invalid whatever the state is, is refused
-// here and costs no entry.
+// handleConfigurationChange forwards a change to the configuration shard's owner. A change that is invalid in every state is
+// rejected here, before it costs a log entry.
 func (s *Server) handleConfigurationChange(ctx context.Context, request APIRequest, kind peertransport.CallKind) shardResponse {
 	base, valid := parseBaseVersion(request.Base)
 	if !valid {
@@ -84,15 +85,15 @@
 	if kind == callReplace {
 		command.Kind = configuration.CommandReplace
 	}
-	if refusal := configuration.ValidateCommand(command); refusal != nil {
-		return shardResponse{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
+	if rejection := configuration.ValidateCommand(command); rejection != nil {
+		return shardResponse{Status: rejection.HTTPStatus, Code: int(rejection.Code), Text: rejection.Text}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeoutFor(len(body)))
 	defer cancel()
 	return s.forward(ctx, shardRequest{Kind: kind, Shard: shards.ConfigurationShard, Base: base, Body: body})
 }
 
-// parseBaseVersion reads the header; one that is missing counts as 0.
+// parseBaseVersion parses the X-Base-Version header; a missing one counts as 0.
 func parseBaseVersion(text string) (uint64, bool) {
 	if text == "" {
 		return 0, true
@@ -101,7 +102,7 @@
 	return base, err == nil
 }
 
-// timeoutFor is the time that a call with a body of that length may take.
+// timeoutFor returns how long a call with a body of that length may take.
 func timeoutFor(bodyBytes int) time.Duration {
 	if bodyBytes > largeBodyBytes {
 		return largeCallTimeout
@@ -141,8 +142,8 @@
 	return s.deregister(ctx, request.ID)
 }
 
-// deregister has the owner of an instance's shard remove it. Where no replica here knows the instance,
-// all owners are asked; it is acknowledged once the one that knows it has removed it, or each remembers that it is gone.
+// deregister removes an instance for good. If no replica of this server knows the instance, the owners of all shards are
+// asked: the call succeeds once the one that knows it has removed it, or each of them has recorded that it is gone.
 func (s *Server) deregister(ctx context.Context, id string) shardResponse {
 	for _, shard := range allShards {
 		machine := s.registryMachine(shard)
--- a/internal/controlplane/server/broadcast.go
+++ b/internal/controlplane/server/broadcast.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// broadcast lets goroutines wait for the next change of something that they then look at.
+// broadcast wakes goroutines at the next change of something. A waiter takes the channel of changed first, then looks at the
+// state, then waits: no change between the look and the wait is missed.
 type broadcast struct {
 	mutex sync.Mutex
 	next  chan struct{}
 }
 
-// changed returns a channel that is closed by the next raise. It is to be taken before the look.
+// changed returns a channel that the next notifyAll closes.
 func (b *broadcast) changed() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -22,7 +23,7 @@
 	return b.next
 }
 
-// notifyAll wakes all that wait.
+// notifyAll wakes all current waiters.
 func (b *broadcast) notifyAll() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -32,7 +33,7 @@
 	}
 }
 
-// subscribers are the sessions of the feed that wait for news.
+// subscribers are the feed sessions that wait for changes.
 type subscribers struct {
 	mutex   sync.Mutex
 	wakeups map[chan<- struct{}]struct{}
@@ -52,7 +53,7 @@
 	}
 }
 
-// wake sends a token to each session that has none.
+// wake sends a token to each session that has none pending.
 func (s *subscribers) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,7 +65,7 @@
 	}
 }
 
-// notify sends a token to a channel of capacity one, unless it holds one.
+// notify sends a token to a channel of capacity one, unless one is pending.
 func notify(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -72,7 +73,7 @@
 	}
 }
 
-// waitForChange waits for a change, at most for a time. It returns false once ctx has ended.
+// waitForChange waits until changed is closed, or until the timeout. It reports whether ctx is still alive.
 func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -18,10 +18,10 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// The HTTP server uses the memory of a request again as soon as its handler has returned. What outlives the handler must
-// be a copy: a proposal that waits for its group, a call that waits for its peer, and what a keeper remembers.
+// The HTTP server reuses the memory of a request as soon as its handler has returned. What outlives the handler must
+// be a copy: a proposal that waits for its group, a call that waits for its peer, and what a server records.
 
-// reusedBufferRequest is a request whose memory the test spoils after its handler has returned.
+// reusedBufferRequest is a request whose memory the test overwrites after its handler has returned.
 type reusedBufferRequest struct {
 	context *app.RequestContext
 	memory  [][]byte
@@ -73,7 +73,7 @@
 func (p *retainedProposals) check(t *testing.T) {
 	t.Helper()
 	if len(p.retained) == 0 {
-		t.Fatal("nothing was kept")
+		t.Fatal("nothing was retained")
 	}
 	for i, data := range p.retained {
 		if !bytes.Equal(data, p.copies[i]) || bytes.Contains(data, []byte("####")) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// retainingNetwork keeps the calls that it is given, and answers none.
+// retainingNetwork retains the calls that it is given, and answers none.
 type retainingNetwork struct {
 	scriptedNetwork
 	calls *retainedProposals
@@ -150,7 +150,7 @@
 	return nil, peertransport.ErrOutcomeUnknown
 }
 
-// A keeper remembers instances by their IDs, which come in the request's memory.
+// A server records instances by their IDs, which lie in the request's memory.
 func TestServer_APIHandler_recordedStateOwnsItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
--- a/internal/controlplane/server/cluster_test.go
+++ b/internal/controlplane/server/cluster_test.go
@@ -23,14 +23,14 @@
 	pollInterval   = 10 * time.Millisecond // between two looks at a condition
 )
 
-// serverProcess is a keeper that a test runs.
+// serverProcess is a server that a test runs.
 type serverProcess struct {
 	config bootconfig.Settings
 	stop   context.CancelFunc
 	ended  chan error
 }
 
-// testCluster is a set of keepers on loopback addresses of this machine.
+// testCluster is a set of servers on loopback addresses of this machine.
 type testCluster struct {
 	t         *testing.T
 	processes []*serverProcess
@@ -66,7 +66,7 @@
 	return true
 }
 
-// newTestCluster prepares keepers of which the first three are the seeds. None is started.
+// newTestCluster prepares servers of which the first three are the seeds. None is started.
 func newTestCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
 	ips := make([]string, count)
@@ -104,7 +104,7 @@
 	go func() { p.ended <- Run(ctx, p.config, zap.NewNop()) }()
 }
 
-// terminate stops a keeper as a SIGTERM does and returns how long it took.
+// terminate stops a server as a SIGTERM does and returns how long it took.
 func (f *testCluster) terminate(i int) time.Duration {
 	f.t.Helper()
 	p := f.processes[i]
@@ -113,10 +113,10 @@
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			f.t.Fatalf("keeper %d: %v", i, err)
+			f.t.Fatalf("server %d: %v", i, err)
 		}
 	case <-time.After(clusterTimeout):
-		f.t.Fatalf("keeper %d does not end", i)
+		f.t.Fatalf("server %d does not end", i)
 	}
 	p.stop = nil
 	return time.Since(began)
@@ -140,7 +140,7 @@
 	}
 }
 
-// do sends one call to a keeper; a status of 0 means that no answer came.
+// do sends one call to a server; a status of 0 means that no answer came.
 func (f *testCluster) do(i int, method, path string, base uint64, body string) (status int, content []byte) {
 	request, err := http.NewRequest(method, "http://"+f.processes[i].config.Listen.Control+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -174,7 +174,7 @@
 	return report, json.Unmarshal(body, &report) == nil
 }
 
-// isConverged tells whether a keeper sees every shard with the given voters, current.
+// isConverged reports whether a server sees every shard with the given voters, current.
 func (f *testCluster) isConverged(i, voters int) bool {
 	report, ok := f.status(i)
 	if !ok {
@@ -239,16 +239,16 @@
 	f.requireStatus(http.StatusBadRequest, status, content)
 
 	took := f.terminate(0)
-	t.Logf("one keeper left in %s", took)
+	t.Logf("one server shut down in %s", took)
 	if took > 2*time.Second {
-		t.Errorf("leaving took %s", took)
+		t.Errorf("the graceful shutdown took %s", took)
 	}
 	began = time.Now()
 	status, content = f.doUntilDefinitive(1, http.MethodPost, replace, 3, configurationJSON(4))
 	f.requireStatus(http.StatusOK, status, content)
 	t.Logf("a configuration with two of three in %s", time.Since(began))
 
-	// The keeper comes back without its disk.
+	// The server comes back without its disk.
 	f.processes[0].config.DataDir = t.TempDir()
 	f.processes[0].config.Bootstrap = false
 	f.start(0)
--- a/internal/controlplane/server/concurrent_changes_test.go
+++ b/internal/controlplane/server/concurrent_changes_test.go
@@ -10,13 +10,13 @@
 	"ospreybend/internal/testkit/localfleet"
 )
 
-// configurationChange is one operator's order, which it sends unchanged until it has a clear answer.
+// configurationChange is one change of an operator, which it sends unchanged until it has a definitive answer.
 type configurationChange struct {
 	base uint64
 	body string
 }
 
-// sendConcurrently sends orders to keepers at the same time, each to all of them, and returns the clear answers of each.
+// sendConcurrently sends changes to servers concurrently, each to all of them, and returns the definitive statuses of each.
 func (f *testCluster) sendConcurrently(servers []int, orders ...configurationChange) [][]int {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
@@ -39,7 +39,7 @@
 	return answers
 }
 
-// requireOneWinner wants one order acknowledged at all keepers and the others refused at all; it returns the one.
+// requireOneWinner requires one change to be acknowledged by all servers and the others to be rejected by all; it returns the one.
 func (f *testCluster) requireOneWinner(orders []configurationChange, answers [][]int) configurationChange {
 	f.t.Helper()
 	won := -1
@@ -47,7 +47,7 @@
 		for _, status := range statuses {
 			switch {
 			case status != statuses[0]:
-				f.t.Fatalf("one order has the answers %v", statuses)
+				f.t.Fatalf("one change has the statuses %v", statuses)
 			case status != http.StatusOK && status != http.StatusPreconditionFailed:
 				f.t.Fatalf("answers %v", answers)
 			}
@@ -65,7 +65,7 @@
 	return orders[won]
 }
 
-// TestCluster_concurrentAndRepeatedChangesAtAllServers has operators send two changes with one number to all keepers at once, and repeats of what
+// TestCluster_concurrentAndRepeatedChangesAtAllServers has operators send competing changes to all servers at once, and repeats of what
 // was taken after a change of leader, a lost disk and a restart of all.
 func TestCluster_concurrentAndRepeatedChangesAtAllServers(t *testing.T) {
 	f := newTestCluster(t, 3)
--- a/internal/controlplane/server/configuration_machine.go
+++ b/internal/controlplane/server/configuration_machine.go
@@ -7,7 +7,8 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// configurationMachine is the state machine of shard 0.
+// configurationMachine is the state machine of the configuration shard. It has no state of an owner: any replica that has
+// applied an entry can serve it.
 type configurationMachine struct {
 	feedState
 	store *configuration.Store
@@ -17,7 +18,7 @@
 	return &configurationMachine{feedState: newFeedState(), store: configuration.NewStore(environment.OmitStore...)}
 }
 
-// Apply carries out a change to the configuration; its result is a configuration.Outcome.
+// Apply applies a committed change of the configuration; its result is a configuration.Outcome.
 func (m *configurationMachine) Apply(entry consensus.Entry) any {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -26,14 +27,14 @@
 	return outcome
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *configurationMachine) Snapshot() []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.store.Snapshot()
 }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot's. It returns an error if the snapshot cannot be decoded.
 func (m *configurationMachine) Restore(index uint64, data []byte) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -44,14 +45,14 @@
 	return nil
 }
 
-// document returns the configuration as JSON.
+// document returns the configuration in force as JSON.
 func (m *configurationMachine) document() []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.store.Document()
 }
 
-// roleSwitchTime is what a worker of a service needs to change its stage; 0: not told.
+// roleSwitchTime returns how long a worker of a service needs to change its role, 0 if the configuration does not say.
 func (m *configurationMachine) roleSwitchTime(service string) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -26,16 +26,16 @@
 	removedID     = "i-gone"
 )
 
-// capability tells what a keeper in some trouble can find out or have done.
+// capability is what a degraded server can still find out or have done.
 type capability uint8
 
 const (
 	canChange      capability = 1 << iota // a majority decides on a change
 	canRead                               // a majority confirms what is newest
-	canAcknowledge                        // this keeper or an owner is current, for heartbeats that change nothing
+	canAcknowledge                        // this server or an owner is current, for heartbeats that change nothing
 )
 
-// degradedServerFixture is a keeper in trouble, and perhaps another one that owns all shards.
+// degradedServerFixture is a degraded server, and perhaps another one that owns all shards.
 type degradedServerFixture struct {
 	server *Server
 	groups [shards.ShardCount]*scriptedGroup
@@ -43,7 +43,7 @@
 	link   *ownerOnlyNetwork
 }
 
-// ownerOnlyNetwork is the network of a keeper that reaches the owner alone.
+// ownerOnlyNetwork is the network of a server that reaches the owner alone.
 type ownerOnlyNetwork struct {
 	scriptedNetwork
 	owner *Server
@@ -66,7 +66,7 @@
 	return reply, err
 }
 
-// applyInitialState gives a keeper's replicas the state of the tables below.
+// applyInitialState gives a server's replicas the state of the tables below.
 func applyInitialState(t *testing.T, s *Server) {
 	t.Helper()
 	apply := func(shard shards.ID, index uint64, data []byte) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// makeOwner has the groups of a keeper commit what is proposed at once.
+// makeOwner makes a server the owner of all shards; proposals are committed at once.
 func makeOwner(s *Server, groups [shards.ShardCount]*scriptedGroup) {
 	for i, group := range groups {
 		index := uint64(10)
@@ -152,7 +152,7 @@
 	return status
 }
 
-// degradedStates are the states of a keeper, with what it is able to answer in each.
+// degradedStates are states of a server, with its capabilities in each.
 var degradedStates = []struct {
 	name string
 	able capability
@@ -210,7 +210,7 @@
 	}},
 }
 
-// degradedCalls are calls with their answer where the keeper is able to give one; elsewhere it is 503. What needs nothing is
+// degradedCalls are calls with their answer where the server is able to give one; elsewhere it is 503. What needs nothing is
 // answered anywhere: what is invalid whatever the state is, and what the replica knows for good.
 var degradedCalls = []struct {
 	name    string
@@ -251,14 +251,14 @@
 	return APIRequest{Call: APIHeartbeat, ID: id, Body: []byte(body)}
 }
 
-// callDegraded makes a call to a keeper in a state, with guards left out, and returns what is wrong with its answer.
-func callDegraded(t *testing.T, trouble, one int, omit ...Guard) (wrong string) {
+// callDegraded makes a call to a server in a state, with guards omitted, and returns what is wrong with its answer.
+func callDegraded(t *testing.T, state, one int, omit ...Guard) (wrong string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
 		s.server.environment.OmitGuards = omit
-		degradedStates[trouble].set(s)
+		degradedStates[state].set(s)
 		want := degradedCalls[one].status
-		if needs := degradedCalls[one].needs; degradedStates[trouble].able&needs != needs {
+		if needs := degradedCalls[one].needs; degradedStates[state].able&needs != needs {
 			want = http.StatusServiceUnavailable
 		}
 		began := time.Now()
@@ -273,7 +273,7 @@
 	return wrong
 }
 
-// TestServer_Handle_degradedStates makes each call to a keeper in each state. What depends on the state of the system is refused by a
+// TestServer_Handle_degradedStates makes each call to a server in each state. What depends on the state of the system is rejected by a
 // majority alone, and nothing is acknowledged that is not recorded; where there is no majority, 503 comes in time.
 func TestServer_Handle_degradedStates(t *testing.T) {
 	for trouble := range degradedStates {
--- a/internal/controlplane/server/demand_reports.go
+++ b/internal/controlplane/server/demand_reports.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// demandReports are the reports of the proxies whose agents read this keeper's feed, and, for shards that it owns, the
-// sums that other keepers have passed on.
+// demandReports holds the latest demand reports: those of the proxies whose agents read this server's feed, and, for the shards
+// that this server owns, the sums that the other servers forward. Reports older than demandReportMaxAge count no more.
 type demandReports struct {
 	mutex       sync.Mutex
 	fromProxies *roleplanner.DemandTable
@@ -32,7 +32,7 @@
 	d.fromProxies.Put(now, node, report)
 }
 
-// byShard adds up what proxies have reported, by the shard of the service.
+// byShard sums the proxies' reports by service and groups them by the service's shard.
 func (d *demandReports) byShard(now time.Duration) map[shards.ID][]roleplanner.ServiceDemand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -50,14 +50,14 @@
 	d.fromServers[id].Put(now, server, report)
 }
 
-// totalByService returns the demand of the services of a shard, over the whole fleet.
+// totalByService returns the fleet-wide demand of a shard's services.
 func (d *demandReports) totalByService(now time.Duration, id shards.ID) map[string]roleplanner.Demand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.fromServers[id].Sum(now)
 }
 
-// OnReport takes a report of an agent. Reports on other topics are dropped: nothing is asked of them yet.
+// OnReport records a proxy's demand report, which an agent relays. Reports on unknown topics are ignored.
 func (s *Server) OnReport(hello feedtransport.Hello, topic string, body []byte) {
 	if topic != feedtransport.TopicDemand {
 		return
@@ -67,7 +67,8 @@
 	}
 }
 
-// forwardDemands passes on the demand that proxies report to the owners of the services' shards, until ctx ends.
+// forwardDemands sends the demand that the proxies report to the owners of the services' shards every demandReportInterval,
+// until ctx ends.
 func (s *Server) forwardDemands(ctx context.Context) {
 	runPeriodically(ctx, demandReportInterval, func() {
 		for id, report := range s.demands.byShard(s.uptime()) {
@@ -76,7 +77,7 @@
 	})
 }
 
-// forwardShardDemand passes on one shard's part. What the owner cannot be told is dropped: the next follows soon.
+// forwardShardDemand sends one shard's demand to its owner, once: a lost report is replaced by the next one.
 func (s *Server) forwardShardDemand(ctx context.Context, id shards.ID, report []roleplanner.ServiceDemand) {
 	body, err := roleplanner.EncodeReport(report)
 	if err != nil {
@@ -85,7 +86,7 @@
 	s.forwardInBackground(ctx, shardRequest{Kind: callDemand, Shard: id, ID: s.self.Address, Body: body}, demandReportInterval)
 }
 
-// executeDemand takes, as the owner of a shard, the demand that another keeper passes on.
+// executeDemand records, as the owner of a shard, the demand that another server forwards.
 func (s *Server) executeDemand(request shardRequest) shardResponse {
 	if status := s.shards[request.Shard].group.Status(); !status.IsLeader() {
 		return notOwnerResponse(status.Leader.Address)
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -13,7 +13,7 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// newOwningServer returns a keeper that owns all shards of instances. Proposals to those in lost come to nothing.
+// newOwningServer returns a server that owns all shards of instances. Proposals to the shards in lost have no outcome.
 func newOwningServer(t *testing.T) (s *Server, lost map[shards.ID]bool) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
@@ -39,8 +39,8 @@
 	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: id}).Status
 }
 
-// TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard has an instance leave that nobody has heard of, while one shard takes nothing.
-// Its heartbeat comes late, and would go to just that shard.
+// TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard deregisters an instance that is not known, while one shard accepts nothing.
+// Its heartbeat comes late, and belongs to that shard.
 func TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard(t *testing.T) {
 	s, lost := newOwningServer(t)
 	home := shards.ForService(presentService)
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly has an instance leave twice, while all other shards take nothing.
+// TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly deregisters an instance twice, while all other shards accept nothing.
 func TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly(t *testing.T) {
 	s, lost := newOwningServer(t)
 	home := shards.ForService(presentService)
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestServer_Handle_heartbeatAfterDeregisterProposesNothing has an instance leave that goes on to tell that it is ready, as long as it serves.
+// TestServer_Handle_heartbeatAfterDeregisterProposesNothing deregisters an instance that goes on to send heartbeats while it serves.
 func TestServer_Handle_heartbeatAfterDeregisterProposesNothing(t *testing.T) {
 	s, lost := newOwningServer(t)
 	home := shards.ForService(presentService)
@@ -87,7 +87,7 @@
 		return s.Handle(timeoutContext(t), call).Status
 	}
 	if tell(1) != http.StatusOK || deregister(t, s, presentID) != http.StatusOK {
-		t.Fatal("it does not come, or does not leave")
+		t.Fatal("it was not registered, or not removed")
 	}
 	lost[home] = true // an entry would come to nothing
 	for sequence := 2; sequence < 10; sequence++ {
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two nodes tell one address in turn: a node's ID may come back, unlike a worker's.
+// TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two nodes use one address in turn: a node's ID may come back, unlike a worker's.
 func TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress(t *testing.T) {
 	s, _ := newOwningServer(t)
 	machine := s.registryMachine(shards.ForService(registry.NodesService))
--- a/internal/controlplane/server/directory.go
+++ b/internal/controlplane/server/directory.go
@@ -9,14 +9,14 @@
 	"ospreybend/coord/shards"
 )
 
-// directory is what a keeper knows of the other keepers' addresses and places.
+// directory holds the addresses and failure domains of the other servers, as learned from seeds, peers and memberships.
 type directory struct {
 	self serverInfo
 
 	mutex        sync.Mutex
-	known        map[string]serverInfo // by address; all that were ever heard of
+	known        map[string]serverInfo // by address, including former members
 	members      [shards.ShardCount][]consensus.Member
-	servingCache []serverInfo // those of members, sorted by address; nil: to be made anew
+	servingCache []serverInfo // result of serving; nil after a change
 }
 
 func newDirectory(self serverInfo, seeds []string) *directory {
@@ -28,7 +28,7 @@
 	return d
 }
 
-// learn notes where a keeper is.
+// learn records the address and failure domain of a server. An entry without a zone never replaces one with a zone.
 func (d *directory) learn(info serverInfo) {
 	if info.Address == "" || info.Address == d.self.Address {
 		return
@@ -43,7 +43,7 @@
 	d.servingCache = nil
 }
 
-// setMembers notes the members of a group.
+// setMembers records the members of a shard's group.
 func (d *directory) setMembers(shard shards.ID, members []consensus.Member) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -56,8 +56,7 @@
 	}
 }
 
-// serving returns the keepers that are members of any group, by address. The slice is not changed
-// later and must not be changed.
+// serving returns the servers that are members of any group, sorted by address. The slice is shared: nobody may change it.
 func (d *directory) serving() []serverInfo {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -81,7 +80,7 @@
 	return listed
 }
 
-// otherAddresses returns the addresses of all other keepers that were ever heard of, sorted.
+// otherAddresses returns the addresses of all known servers but this one, sorted.
 func (d *directory) otherAddresses() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -17,10 +17,10 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// edgeNodeTable holds the edge nodes whose agents read this keeper's feed.
+// edgeNodeTable counts the feed connections of each edge node whose agent reads this server's feed.
 type edgeNodeTable struct {
 	mutex       sync.Mutex
-	connections map[edgeNode]int // connections
+	connections map[edgeNode]int
 	added       chan struct{}
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// list returns the nodes by ID.
+// list returns the connected nodes, sorted by ID.
 func (t *edgeNodeTable) list() []edgeNode {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -56,7 +56,8 @@
 	return listed
 }
 
-// FeedConnection serves the feed to an agent over a connection whose first frame has been read.
+// FeedConnection serves the feed on a connection whose first frame has been read, and returns when the session ends. A server that
+// shuts down accepts no session.
 func (s *Server) FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
 	hello, err := feedtransport.DecodeHello(body)
 	if kind != feedtransport.KindHello || err != nil || s.lifecycle.shuttingDown.Load() {
@@ -77,8 +78,8 @@
 	_ = feedtransport.NewSession(connection, hello, s, options).Run(ctx)
 }
 
-// runNodeHeartbeats registers the nodes whose agents are connected, at once when one comes and then at an
-// interval. It sleeps while there are none.
+// runNodeHeartbeats sends heartbeats for the connected edge nodes: at once when a node connects, then every
+// nodeHeartbeatInterval. It sleeps while no node is connected.
 func (s *Server) runNodeHeartbeats(ctx context.Context) {
 	timer := time.NewTimer(nodeHeartbeatInterval)
 	defer timer.Stop()
@@ -91,7 +92,7 @@
 		}
 		nodes := s.feed.nodes.list()
 		if len(nodes) == 0 {
-			continue // the next one that comes sends a token
+			continue // the next node that connects sends a token
 		}
 		s.sendNodeHeartbeats(ctx, nodes)
 		timer.Reset(nodeHeartbeatInterval)
@@ -108,7 +109,7 @@
 	s.forward(ctx, shardRequest{Kind: callNodeHeartbeats, Shard: shards.ForService(registry.NodesService), Body: body})
 }
 
-// executeNodeHeartbeats takes the heartbeats of edge nodes as the owner of their shard.
+// executeNodeHeartbeats decides, as the owner of the nodes' shard, on the heartbeats of edge nodes.
 func (s *Server) executeNodeHeartbeats(ctx context.Context, request shardRequest) shardResponse {
 	var nodes []edgeNode
 	if err := strictavro.Unmarshal(codec, nodesSchema, request.Body, &nodes); err != nil {
@@ -127,7 +128,7 @@
 	return firstFailure(replies)
 }
 
-// firstFailure returns an answer that is no success, if there is one.
+// firstFailure returns the first response that is no success, or a success if there is none.
 func firstFailure(responses []shardResponse) shardResponse {
 	for _, response := range responses {
 		if response.Status != http.StatusOK {
--- a/internal/controlplane/server/environment.go
+++ b/internal/controlplane/server/environment.go
@@ -14,20 +14,20 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// Environment is what a keeper needs of its machine. Fields that are nil stand for the operating system's; a simulation
-// puts its own in their place.
+// Environment is what a server needs of its machine. A nil field stands for the operating system's implementation; a simulation
+// sets its own.
 type Environment struct {
 	FileSystem seglog.FileSystem
-	Now        func() time.Time // monotonic; called with no mutex held, so that it may wait while a process stands still
+	Now        func() time.Time // monotonic; never called with a mutex held, because a simulation blocks in it
 	Random     func() uint64
-	Dial       func(ctx context.Context, address string) (net.Conn, error)     // of peers
-	Listen     func(ctx context.Context, address string) (net.Listener, error) // for peers and agents
+	Dial       func(ctx context.Context, address string) (net.Conn, error)     // dials peers
+	Listen     func(ctx context.Context, address string) (net.Listener, error) // listens for peers and agents
 
-	Workers WorkerClient // to workers; nil: none is given, and stages are left as they are
+	Workers WorkerClient // nil: workers are not called, and roles are not planned
 
-	OnGroupStatus func(replica.Status) // told of each change of a group's status; must not block
+	OnGroupStatus func(replica.Status) // called at each change of a group's status; must not block
 
-	// What is left out, by tests alone: they show that a simulation notices the absence.
+	// Safety checks that tests omit, to show that the simulation detects their absence.
 	OmitGuards []Guard
 	OmitRules  []consensus.Rule
 	OmitStore  []configuration.Rule
@@ -55,17 +55,17 @@
 	return e
 }
 
-// guardEnabled tells whether a guard is in force.
+// guardEnabled reports whether a guard is in force.
 func (e Environment) guardEnabled(guard Guard) bool { return !slices.Contains(e.OmitGuards, guard) }
 
 // clockStart keeps the groups' clock above 0.
 const clockStart = time.Second
 
-// groupClock is the clock that all groups of one keeper share.
+// groupClock is the monotonic clock that all groups of one server share.
 type groupClock struct {
 	now   func() time.Time
 	start time.Time
 }
 
-// Now returns the time since the keeper began, and a second.
+// Now returns the time since the server was opened, plus clockStart.
 func (c groupClock) Now() time.Duration { return clockStart + c.now().Sub(c.start) }
--- a/internal/controlplane/server/feed_source.go
+++ b/internal/controlplane/server/feed_source.go
@@ -6,10 +6,10 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// The keeper is the source of its feed's sessions.
+// The server is the source of its feed's sessions.
 var _ feedtransport.Source = (*Server)(nil)
 
-// allShards lists the shards in their order.
+// allShards lists the shards in ascending order.
 var allShards = func() []shards.ID {
 	all := make([]shards.ID, shards.ShardCount)
 	for i := range all {
@@ -18,15 +18,16 @@
 	return all
 }()
 
-// Shards lists the shards of the feed.
+// Shards returns the shards of the feed.
 func (s *Server) Shards() []shards.ID { return allShards }
 
-// Since returns what takes a reader on from index.
+// Since returns the changes of a shard above an index, or a snapshot if the changes are no longer buffered. Both are nil if the
+// index is the newest.
 func (s *Server) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	return s.shards[shard].stateMachine.changesSince(index)
 }
 
-// Status tells how far this keeper has each shard, whether it is current, and which keepers serve.
+// Status returns the feed position of each shard, whether its replica is current, and the servers that an agent may use.
 func (s *Server) Status() feedtransport.Status {
 	status := feedtransport.Status{Shards: make([]feedtransport.ShardStatus, 0, shards.ShardCount)}
 	for _, shard := range s.shards {
@@ -40,5 +41,6 @@
 	return status
 }
 
-// Subscribe has a token sent whenever a shard has advanced or the members of a group have changed.
+// Subscribe registers a channel that receives a token whenever a shard has advanced or a group's status has changed. The caller
+// must call cancel when it is done.
 func (s *Server) Subscribe(wake chan<- struct{}) (cancel func()) { return s.feed.subscribers.add(wake) }
--- a/internal/controlplane/server/feed_source_test.go
+++ b/internal/controlplane/server/feed_source_test.go
@@ -64,7 +64,7 @@
 
 func (v *recordingFeedHandler) Disconnected(error) {}
 
-// hasItem tells whether an item is there; an empty value matches any.
+// hasItem reports whether an item is there; an empty value matches any.
 func (v *recordingFeedHandler) hasItem(shard shards.ID, key, value string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -102,13 +102,13 @@
 
 func TestCluster_agentsFollowFeedAndAreRegistered(t *testing.T) {
 	f := newTestCluster(t, 3)
-	v := f.startAgent("edge-1") // before any keeper runs
+	v := f.startAgent("edge-1") // before any server runs
 	for i := range 3 {
 		f.start(i)
 	}
 	f.await("a current view", func() bool {
-		current, keepers, _ := v.observed()
-		return current && keepers == 3
+		current, servers, _ := v.observed()
+		return current && servers == 3
 	})
 	f.await("the node's registration", func() bool { return v.hasItem(shards.ForService(registry.NodesService), "edge-1", "") })
 
@@ -120,18 +120,18 @@
 		return v.hasItem(shards.ConfigurationShard, configuration.KeyGeneration, "1") && v.hasItem(shards.ForService("s"), "i-1", "")
 	})
 
-	// One keeper after the other is stopped and comes back; the agent is led elsewhere at least once.
+	// One server after the other is stopped and comes back; the agent switches servers at least once.
 	_, _, before := v.observed()
 	for i := range 3 {
 		f.terminate(i)
 		f.start(i)
-		f.await("the keeper's return", func() bool { return f.isConverged(i, 3) })
+		f.await("the server's return", func() bool { return f.isConverged(i, 3) })
 	}
 	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
 	f.requireStatus(http.StatusOK, status, content)
 	f.await("the next generation", func() bool { return v.hasItem(shards.ConfigurationShard, configuration.KeyGeneration, "2") })
 	if _, _, after := v.observed(); after == before {
-		t.Error("the agent was never led elsewhere, though every keeper was stopped once")
+		t.Error("the agent never switched, though every server was stopped once")
 	}
 }
 
--- a/internal/controlplane/server/feed_state.go
+++ b/internal/controlplane/server/feed_state.go
@@ -6,8 +6,8 @@
 	"ospreybend/coord/feed"
 )
 
-// feedState is a shard's feed. The mutex also guards the store that the feed shows, so that both
-// are always at the same entry.
+// feedState is the feed of one shard. Its mutex also guards the store that feeds it, so that both are always at the same
+// log index.
 type feedState struct {
 	mutex  sync.Mutex
 	buffer *feed.Buffer
@@ -15,7 +15,7 @@
 
 func newFeedState() feedState { return feedState{buffer: feed.NewBuffer(feedBacklogBytes)} }
 
-// changesSince returns what takes a reader on from index; both are nil if there is nothing above it.
+// changesSince returns the changes above an index, or a snapshot if they are no longer buffered; both are nil if there is none.
 func (f *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -28,8 +28,8 @@
 	return f.buffer.Index()
 }
 
-// append takes the change of an entry. The caller holds the mutex. Entries come in the order of
-// their indexes, so the buffer cannot refuse one.
+// append adds the change of a log entry. The caller holds the mutex. Entries are applied in the order of their indexes, so the
+// buffer cannot reject one.
 func (f *feedState) append(change feed.Change) { _ = f.buffer.Append(change) }
 
 func (f *feedState) reset(index uint64, items []feed.Item) {
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -9,26 +9,26 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// errNoOwner: no owner of the shard was found before the context ended.
-var errNoOwner = errors.New("keeper: no owner of the shard is known")
+// errNoOwner reports that the context ended before an owner of the shard was found.
+var errNoOwner = errors.New("no owner of the shard is known")
 
-// maxAvoidPauses is for how many pauses an owner that could not be reached is not tried again.
+// maxAvoidPauses is for how many pauses an owner that could not be reached is not attempted again.
 const maxAvoidPauses = 3
 
-// maxOwnerHints is how many times a call goes at once to the owner that another keeper has named. Keepers that name each other
-// would pass it round until its context ends.
+// maxOwnerHints limits how often a request follows at once the hint of a server that is not the owner. Without the limit, two
+// servers that name each other would bounce the request until its context ends.
 const maxOwnerHints = 3
 
-// forwardTarget is the keeper that a call goes to.
+// forwardTarget is the server that a request is sent to.
 type forwardTarget struct {
 	isSelf       bool
 	address      string
-	knownLocally bool // by the local replica: the call is broken off if that learns of another leader
+	knownLocally bool // to lead by the local replica; the call is canceled if that learns of another leader
 }
 
-// forward has the owner of the call's shard carry it out and returns the owner's answer. Where the
-// owner is unknown, was changed or cannot be reached, it waits for another one and tries again
-// until ctx ends; calls may therefore be carried out more than once.
+// forward has the owner of the request's shard execute the request and returns the owner's response. While the owner is unknown,
+// has changed or cannot be reached, it waits and attempts again, until ctx ends. A request may therefore be executed more than
+// once: every request is idempotent by its base version or its sequence number.
 func (s *Server) forward(ctx context.Context, request shardRequest) shardResponse {
 	hint, avoid, asked, hints := "", "", false, 0
 	for attempt := 0; ; attempt++ {
@@ -59,7 +59,8 @@
 	return errorResponse(NoOwner)
 }
 
-// callTarget has one keeper carry out a call.
+// callTarget has one server execute a request. If the target was known to lead the shard, the call is canceled when this server's
+// replica learns of another leader.
 func (s *Server) callTarget(ctx context.Context, to forwardTarget, request shardRequest) (shardResponse, error) {
 	if to.isSelf {
 		return s.execute(ctx, request), nil
@@ -81,9 +82,9 @@
 	return decodeShardResponse(reply)
 }
 
-// awaitOwner returns the owner of a shard: the one that another keeper has named, or the one that the
-// local replica knows of, or, if that has lost its group, any other keeper. The address to avoid has just
-// failed. After the first attempt it gives a change of owner a little time.
+// awaitOwner returns the next server to attempt: the one that the hint names, the leader that the local replica knows, or, if the
+// local replica has lost contact with its group, any other server. avoid is the address that has just failed. After the first
+// attempt it waits, to give a change of owner a little time.
 func (s *Server) awaitOwner(ctx context.Context, id shards.ID, hint, avoid string, attempt int) (forwardTarget, error) {
 	if hint != "" && hint != s.self.Address {
 		return forwardTarget{address: hint}, nil
@@ -96,7 +97,7 @@
 		}
 		if attempt == 0 || pauses > 0 {
 			to, found := s.lookUpOwner(id, avoid, attempt)
-			// Keepers that may know the owner are asked at an interval: what changes meanwhile may be other shards' owners.
+			// Servers that may know the owner are asked at an interval: what has changed may be another shard's owner.
 			if found && (attempt == 0 || to.isSelf || to.knownLocally || s.environment.Now().Sub(startedAt) >= ownerRetryInterval) {
 				return to, nil
 			}
@@ -107,7 +108,8 @@
 	}
 }
 
-// lookUpOwner returns the owner of a shard as far as the local replica knows.
+// lookUpOwner returns the owner of a shard as far as the local replica knows. A server whose replica has lost contact names the
+// other known servers in turn, one per attempt.
 func (s *Server) lookUpOwner(id shards.ID, avoid string, attempt int) (forwardTarget, bool) {
 	status := s.shards[id].group.Status()
 	if status.IsLeader() {
@@ -126,7 +128,7 @@
 	return forwardTarget{address: others[attempt%len(others)]}, true
 }
 
-// forwardInBackground has the owner of a call's shard carry it out within a time, and drops its answer.
+// forwardInBackground forwards a request with a timeout and discards the response.
 func (s *Server) forwardInBackground(ctx context.Context, request shardRequest, within time.Duration) {
 	s.lifecycle.background.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, within)
--- a/internal/controlplane/server/forward_test.go
+++ b/internal/controlplane/server/forward_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestServer_Forward_outlastsElectionsOfOtherShards has owners of other shards change whenever the call is refused.
+// TestServer_Forward_outlastsElectionsOfOtherShards changes the owners of other shards whenever the call is rejected.
 func TestServer_Forward_outlastsElectionsOfOtherShards(t *testing.T) {
 	s, groups, network := newScriptedServer(t)
 	s.directory.learn(serverInfo{Address: "x", Zone: "z"})
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -11,8 +11,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// shutDown ends the feed's sessions, so that agents go elsewhere at once, hands over all leaderships and, where a successor
-// stands by, the places in the groups, and stops the API, which until then takes calls.
+// shutDown is the graceful shutdown. It ends the feed's sessions, so that agents switch to other servers at once, hands over the
+// leaderships and votes of this server, and then stops the API, which serves until then, and the control loops.
 func (s *Server) shutDown(api APIServer) {
 	s.lifecycle.shuttingDown.Store(true)
 	s.lifecycle.cancelFeed()
@@ -23,7 +23,7 @@
 	s.lifecycle.cancelBackground()
 }
 
-// handOver transfers the leadership of all shards that this keeper leads, and then its places.
+// handOver transfers all leaderships of this server and then releases its votes, within leaderTransferTimeout.
 func (s *Server) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaderTransferTimeout)
 	defer cancel()
@@ -36,10 +36,10 @@
 	}
 	waitGroup.Wait()
 	s.releaseVotes(ctx)
-	s.logger.Info("leaving", zap.Duration("handed over in", s.environment.Now().Sub(startedAt)))
+	s.logger.Info("shutting down", zap.Duration("handOverDuration", s.environment.Now().Sub(startedAt)))
 }
 
-// transferLeadership transfers the leadership of one shard, and tries again while the group refuses.
+// transferLeadership transfers the leadership of one shard, and retries while the group refuses.
 func (s *Server) transferLeadership(ctx context.Context, shard *shard) {
 	for {
 		err := shard.group.TransferLeadership(ctx)
@@ -47,15 +47,15 @@
 			return
 		}
 		if !waitForChange(ctx, nil, ownerRetryInterval) {
-			s.logger.Warn("leadership is not handed over", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
+			s.logger.Warn("leadership transfer failed", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 			return
 		}
 	}
 }
 
-// releaseVotes tells the leaders of the groups in which this keeper votes that it is about to end, and waits for what
-// they make of it. A leader without a successor at hand answers at once. Where none is known, or the one asked leads
-// no more, the next one is awaited.
+// releaseVotes notifies the leaders of all groups in which this server votes that it is shutting down, and waits until each has
+// reconciled its members. A leader without a successor answers at once. Groups without a known leader, or whose leader has just
+// changed, are attempted again until ctx ends.
 func (s *Server) releaseVotes(ctx context.Context) {
 	remaining := slices.Clone(allShards[:])
 	for len(remaining) > 0 {
@@ -64,10 +64,10 @@
 		votes, notLed := s.votesByLeader(ctx, remaining)
 		for address, votes := range votes {
 			waitGroup.Go(func() {
-				refused := s.requestRelease(ctx, address, votes)
+				rejected := s.requestRelease(ctx, address, votes)
 				mutex.Lock()
 				defer mutex.Unlock()
-				notLed = append(notLed, refused...)
+				notLed = append(notLed, rejected...)
 			})
 		}
 		waitGroup.Wait()
@@ -78,7 +78,7 @@
 	}
 }
 
-// requestRelease tells one leader, and returns the groups that it does not lead.
+// requestRelease notifies one leader, and returns the groups that it does not lead.
 func (s *Server) requestRelease(ctx context.Context, leader string, votes []groupState) []shards.ID {
 	body, err := codec.Marshal(groupsSchema, votes)
 	if err != nil {
@@ -86,7 +86,7 @@
 	}
 	reply, err := s.peers.network.Call(ctx, leader, callLeave, body)
 	if err != nil {
-		s.logger.Debug("a leader does not take leave", zap.String("leader", leader), zap.Error(err))
+		s.logger.Debug("vote release request failed", zap.String("leader", leader), zap.Error(err))
 		return shardsOf(votes)
 	}
 	var notLed []groupState
@@ -104,8 +104,8 @@
 	return found
 }
 
-// votesByLeader returns the groups in which this keeper votes, out of some, by the address of their leader, and those whose
-// leader is not known. Where leadership has just been handed over, the new leader may be known a moment later.
+// votesByLeader groups those of the given shards in which this server votes by the address of their leader. unknown are the shards
+// without a known leader: after a transfer the new leader may be known a moment later.
 func (s *Server) votesByLeader(ctx context.Context, candidates []shards.ID) (found map[string][]groupState, unknown []shards.ID) {
 	ctx, cancel := context.WithTimeout(ctx, leaderDiscoveryTimeout)
 	defer cancel()
--- a/internal/controlplane/server/graceful_shutdown_test.go
+++ b/internal/controlplane/server/graceful_shutdown_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// leaveRecordingNetwork takes leave of keepers.
+// leaveRecordingNetwork accepts and records leave calls.
 type leaveRecordingNetwork struct {
 	scriptedNetwork
 	asked []string
--- a/internal/controlplane/server/guards.go
+++ b/internal/controlplane/server/guards.go
@@ -1,28 +1,28 @@
 package server
 
-// Guard names one check of the keeper. Tests leave guards out to show that the simulation notices their absence. A
-// running keeper leaves out none.
+// Guard names one safety check of the server. Tests leave guards out to show that the simulation detects their absence. A
+// production server omits none. The values are names on the command line (measure simulate --omit) and stay as they are.
 type Guard string
 
-// The guards that can be left out.
+// The guards that can be omitted.
 const (
-	GuardReadConfirmed     Guard = "read-confirmed"    // the configuration is read once a majority has confirmed the leader
+	GuardReadConfirmed     Guard = "read-confirmed"    // a configuration read waits for a majority to confirm the leader
 	GuardFeedCurrent       Guard = "feed-current"      // the feed calls a shard current only after recent contact with a majority
-	GuardHeartbeatCurrent  Guard = "beat-current"      // a heartbeat without an entry is acknowledged only after such contact
+	GuardHeartbeatCurrent  Guard = "beat-current"      // a heartbeat without a log entry is acknowledged only after such contact
 	GuardHeartbeatRecorded Guard = "beat-recorded"     // a follower acknowledges only what its replica has recorded
-	GuardOwnershipBarrier  Guard = "ownership-barrier" // a new leader owns its shard once it has applied what others acknowledged
+	GuardOwnershipBarrier  Guard = "ownership-barrier" // a new leader owns its shard only once it has applied what earlier leaders acknowledged
 	GuardOwnershipTerm     Guard = "ownership-term"    // ownership ends with the term in which it was gained
-	GuardFoundingOnce      Guard = "founding-once"     // only a seed at the system's first start founds groups
+	GuardFoundingOnce      Guard = "founding-once"     // only a seed at the system's first start bootstraps groups
 	GuardOrphans           Guard = "orphans"           // replicas without a readable member ID are removed
 	GuardMemberAddressed   Guard = "member-addressed"  // messages for an earlier member with this address are dropped
-	GuardIdentityAsked     Guard = "identity-asked"    // a request to join counts once its address has told the same member ID
+	GuardIdentityAsked     Guard = "identity-asked"    // a join request counts only once its address has confirmed the member ID
 	GuardReplacedRetired   Guard = "replaced-retired"  // the ID of a member whose disk was lost never comes back
-	GuardPromotedDurable   Guard = "promoted-durable"  // a voter gives way to a learner that has acknowledged nearly all as durable
-	GuardVotersOdd         Guard = "voters-odd"        // a group grows to an even number of voters only on its way to the next odd one
-	GuardSuccessorReady    Guard = "successor-ready"   // a leaving voter gives its place only to a successor that can take it
+	GuardPromotedDurable   Guard = "promoted-durable"  // only a learner that has acknowledged nearly all of the log as durable is promoted
+	GuardVotersOdd         Guard = "voters-odd"        // a group takes an even number of voters only on its way to the next odd one
+	GuardSuccessorReady    Guard = "successor-ready"   // a leaving voter releases its vote only to a successor that can take it
 )
 
-// Guards returns all guards that can be left out.
+// Guards returns all guards that can be omitted.
 func Guards() []Guard {
 	return []Guard{
 		GuardReadConfirmed, GuardFeedCurrent, GuardHeartbeatCurrent, GuardHeartbeatRecorded, GuardOwnershipBarrier,
--- a/internal/controlplane/server/http_api.go
+++ b/internal/controlplane/server/http_api.go
@@ -16,17 +16,18 @@
 	"github.com/cloudwego/hertz/pkg/common/hlog"
 	"github.com/cloudwego/hertz/pkg/network/standard"
 	"github.com/rotisserie/eris"
+	"go.uber.org/zap"
 )
 
 const (
 	headerBaseVersion = "X-Base-Version"
 	contentTypeJSON   = "application/json"
 	contentTypeText   = "text/plain; charset=utf-8"
-	retryAfter        = "0.2" // seconds, of answers with 503
+	retryAfter        = "0.2" // seconds, for responses with 503
 	parameterID       = "id"
 )
 
-// silenceLibraryLog silences the library's own log, which is one for the whole process.
+// silenceLibraryLog turns off the HTTP library's own log, which is global to the process.
 var silenceLibraryLog = sync.OnceFunc(func() {
 	hlog.SetSilentMode(true)
 	hlog.SetLevel(hlog.LevelFatal)
@@ -35,10 +36,10 @@
 func listenControl(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
-	return listener, eris.Wrap(err, "listen for calls")
+	return listener, eris.Wrap(err, "listen for API calls")
 }
 
-// newAPIServer makes the HTTP server of the control plane on a listener.
+// newAPIServer returns the HTTP server of the control plane's API on a listener.
 func newAPIServer(s *Server, listener net.Listener) *server.Hertz {
 	silenceLibraryLog()
 	api := server.New(apiOptions(listener)...)
@@ -71,11 +72,11 @@
 }
 
 func (s *Server) onPanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
-	s.logger.Sugar().Errorf("a call failed: %v\n%s", fault, stack)
+	s.logger.Error("API handler panicked", zap.Any("panic", fault), zap.ByteString("stack", stack))
 	writeResponse(c, errorResponse(InternalFault))
 }
 
-// trackCall counts a call and, on a keeper that is about to end, has its connection closed after it.
+// trackCall is the middleware that counts calls and, once the server shuts down, closes each connection after its call.
 func (s *Server) trackCall(ctx context.Context, c *app.RequestContext) {
 	if s.lifecycle.shuttingDown.Load() {
 		c.SetConnectionClose()
@@ -84,18 +85,18 @@
 	s.metrics.countCall(string(c.Request.Header.Method()), c.Response.StatusCode())
 }
 
-// apiHandler hands a call of HTTP to Handle.
+// apiHandler returns the HTTP handler of an API call.
 func (s *Server) apiHandler(kind APICall) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		writeResponse(c, s.handle(ctx, APIRequest{
 			Call: kind, Body: c.Request.Body(),
-			ID:   strings.Clone(c.Param(parameterID)), // the parameter's memory is used again after the call
+			ID:   strings.Clone(c.Param(parameterID)), // the library reuses the parameter's memory after the call
 			Base: string(c.GetHeader(headerBaseVersion)),
 		}))
 	}
 }
 
-// writeResponse writes an answer. An error's body tells its code; one that may pass asks to come again.
+// writeResponse writes a response. An error's body carries its code; a 503 asks the caller to retry.
 func writeResponse(c *app.RequestContext, reply shardResponse) {
 	if reply.Status == http.StatusServiceUnavailable {
 		c.Header("Retry-After", retryAfter)
@@ -103,7 +104,7 @@
 	c.Data(reply.Status, contentTypeJSON, responseBody(reply))
 }
 
-// errorReport is the body of an error.
+// errorReport is the JSON body of an error.
 type errorReport struct {
 	Error struct {
 		Code int    `json:"code"`
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -16,7 +16,7 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// httpHost is the API of a keeper whose group accepts everything, and counts it.
+// httpHost is the API of a server whose group accepts everything, and counts it.
 type httpHost struct {
 	t        *testing.T
 	server   *Server
@@ -50,7 +50,7 @@
 	return connection
 }
 
-// configurationRequestHead is the head of an order with further header lines.
+// configurationRequestHead is the head of a configuration change with further header lines.
 func configurationRequestHead(lines ...string) string {
 	return "POST /-/Config.Replace HTTP/1.1\r\nHost: control\r\nX-Base-Version: 0\r\n" + strings.Join(append(lines, "\r\n"), "\r\n")
 }
@@ -63,7 +63,7 @@
 	return configurationRequestHead("Transfer-Encoding: chunked") + fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 }
 
-// What is not a whole order is not carried out, also if what came so far would be one.
+// A truncated change is not executed, even if what has arrived would be a valid one.
 func TestAPI_truncatedRequestIsNotExecuted(t *testing.T) {
 	body := configurationJSON(1)
 	for name, sent := range map[string]string{
@@ -89,13 +89,13 @@
 			}
 			answer, _ := io.ReadAll(connection)
 			if strings.Contains(string(answer), " 200 ") || h.proposed.Load() != 0 {
-				t.Fatalf("%d orders are carried out, the answer is %q", h.proposed.Load(), answer)
+				t.Fatalf("%d changes are executed, the answer is %q", h.proposed.Load(), answer)
 			}
 		})
 	}
 }
 
-// Orders that follow one another on a connection have their answers in the same order, and no bytes of one another.
+// Changes that follow one another on a connection are answered in the same order and share no bytes.
 func TestAPI_severalRequestsOnOneConnection(t *testing.T) {
 	h := newHTTPHost(t)
 	connection := h.dial()
@@ -122,11 +122,11 @@
 		}
 	}
 	if h.proposed.Load() != orders {
-		t.Fatalf("%d orders are carried out", h.proposed.Load())
+		t.Fatalf("%d changes are executed", h.proposed.Load())
 	}
 }
 
-// A keeper that is about to end answers, and tells its callers to come to others.
+// A server that shuts down answers, and closes the connection so that callers switch to others.
 func TestAPI_shuttingDownServerClosesConnections(t *testing.T) {
 	h := newHTTPHost(t)
 	h.server.lifecycle.shuttingDown.Store(true)
@@ -142,11 +142,11 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
 	if rest, _ := io.ReadAll(reader); len(rest) != 0 || h.proposed.Load() != 1 {
-		t.Fatalf("%q follows, %d orders are carried out", rest, h.proposed.Load())
+		t.Fatalf("%q follows, %d changes are executed", rest, h.proposed.Load())
 	}
 }
 
-// An order that is too long is refused whatever the state is, and not carried out.
+// A change that is too long is rejected in every state, and not executed.
 func TestAPI_tooLongRequestIsRejected(t *testing.T) {
 	h := newHTTPHost(t)
 	connection := h.dial()
@@ -164,7 +164,7 @@
 	}
 }
 
-// serveAPI runs the API of a scripted keeper.
+// serveAPI runs the API of a scripted server.
 func serveAPI(t *testing.T, s *Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -19,16 +19,16 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// foundingNonce is the nonce of the members that found the groups.
+// foundingNonce is the nonce of the members that bootstrap the groups: their IDs follow from their addresses alone.
 const foundingNonce = 0
 
-// memberID hashes an address and a nonce. It is never 0.
+// memberID derives a member ID from an address and a nonce. It is never 0, which stands for "no member".
 func memberID(address string, nonce uint64) consensus.MemberID {
 	hash := xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(address+"#"), nonce))
 	return consensus.MemberID(max(hash, 1))
 }
 
-// replicaDirectory is where the replica of a shard has its files.
+// replicaDirectory returns the directory of a shard's replica.
 func replicaDirectory(dataDirectory string, id shards.ID) string {
 	return filepath.Join(dataDirectory, "shard-"+strconv.Itoa(int(id)))
 }
@@ -41,7 +41,7 @@
 	return directories
 }
 
-// identityResolver is a process's way to the identity of its disk, which may take several tries.
+// identityResolver determines the member ID of this server's disk, which may take several attempts.
 type identityResolver struct {
 	settings    bootconfig.Settings
 	address     string
@@ -49,12 +49,13 @@
 	diskLost    bool // replicas without a member ID were found and removed
 }
 
-// resolveIdentity returns this disk's member ID, and the founders of the groups if this process is one of them.
+// resolveIdentity returns this disk's member, and the founding members if this server bootstraps the groups.
 func resolveIdentity(settings bootconfig.Settings, address string, environment Environment) (consensus.Member, []consensus.Member, error) {
 	return (&identityResolver{settings: settings, address: address, environment: environment}).resolve()
 }
 
-// resolveWithRetry tries until ctx ends while the disk refuses, as a full one does. Files of another format are refused at once.
+// resolveWithRetry retries until ctx ends while the disk refuses, as a full one does. A disk with files of another format is a
+// permanent error.
 func (r *identityResolver) resolveWithRetry(ctx context.Context, logger *zap.Logger) (consensus.Member, []consensus.Member, error) {
 	for {
 		self, founders, err := r.resolve()
@@ -62,22 +63,23 @@
 		if err == nil || errors.As(err, &otherFormat) {
 			return self, founders, err
 		}
-		logger.Error("the member ID cannot be read or stored", zap.Error(err))
+		logger.Error("member ID not available, retrying", zap.Error(err))
 		if !waitForChange(ctx, nil, openRetryInterval) {
 			return consensus.Member{}, nil, err
 		}
 	}
 }
 
-// resolve returns the member ID, which a first start draws and writes, and the founders of the groups if this process is
-// one of them. A founder is a seed at the system's first start. A disk with replicas whose member ID is missing or
-// damaged counts as lost: the replicas are removed, and the new ID founds nothing, also if it is drawn at a later try.
+// resolve returns the member ID, which the first start draws and stores, and the founding members if this server is one of them.
+// A founder is a seed at the system's first start. A disk with replicas whose member ID is missing or damaged counts as lost:
+// its replicas are removed and the new ID bootstraps nothing, not even if it is drawn by a later attempt. Otherwise a server
+// that forgot its votes could elect a second leader.
 func (r *identityResolver) resolve() (consensus.Member, []consensus.Member, error) {
 	seeds := seedPeerAddresses(r.settings)
 	lost, err := removeOrphanReplicas(r.settings, r.environment)
 	r.diskLost = r.diskLost || lost
 	if err != nil {
-		return consensus.Member{}, nil, eris.Wrap(err, "replicas without a member ID")
+		return consensus.Member{}, nil, eris.Wrap(err, "remove replicas without a member ID")
 	}
 	founds := slices.Contains(seeds, r.address) && (r.settings.Bootstrap && !r.diskLost || !r.environment.guardEnabled(GuardFoundingOnce))
 	draw := func() consensus.MemberID {
@@ -88,7 +90,7 @@
 	}
 	id, _, err := seglog.LoadOrCreateMemberID(r.environment.FileSystem, r.settings.DataDir, draw)
 	if err != nil {
-		return consensus.Member{}, nil, eris.Wrap(err, "member ID")
+		return consensus.Member{}, nil, eris.Wrap(err, "load or create member ID")
 	}
 	self := consensus.Member{ID: id, Address: r.address, Voter: true}
 	if !founds || id != memberID(r.address, foundingNonce) {
@@ -97,7 +99,7 @@
 	return self, foundersOf(seeds), nil
 }
 
-// removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged, and tells whether there were any.
+// removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged, and reports whether there were any.
 func removeOrphanReplicas(settings bootconfig.Settings, environment Environment) (lost bool, err error) {
 	if !environment.guardEnabled(GuardOrphans) {
 		return false, nil
@@ -119,7 +121,7 @@
 	return founders
 }
 
-// ownPeerAddress is where this keeper takes its peers: the IP of its control address, first port.
+// ownPeerAddress returns the address at which this server accepts peers and agents: the IP of its control address, first port.
 func ownPeerAddress(settings bootconfig.Settings) string {
 	control, err := netip.ParseAddrPort(settings.Listen.Control)
 	if err != nil {
--- a/internal/controlplane/server/join.go
+++ b/internal/controlplane/server/join.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// runJoin asks the other keepers to be taken into the groups that this keeper is no voter of, or
-// whose leader it has not heard for some time, until ctx ends.
+// runJoin asks the other servers to add this one to the groups in which it has no vote, or whose leader it has lost contact with,
+// until ctx ends.
 func (s *Server) runJoin(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -33,7 +33,7 @@
 	}
 }
 
-// joinRequestInterval is the pause after so many requests in a row: one that is not needed just now asks less often.
+// joinRequestInterval returns the pause after so many requests in a row: a server that is not needed now asks less often.
 func joinRequestInterval(requests int) time.Duration {
 	if requests > maxEagerJoinRequests {
 		return joinIdleInterval
@@ -41,7 +41,7 @@
 	return joinInterval
 }
 
-// needsToJoin tells whether any group has not taken this keeper in, as far as it knows.
+// needsToJoin reports whether this server, as far as it knows, is missing as a voter of any group or out of contact with one.
 func (s *Server) needsToJoin(running time.Duration) bool {
 	for _, shard := range s.shards {
 		status := shard.group.Status()
@@ -55,7 +55,7 @@
 	return false
 }
 
-// requestJoin asks all other keepers at once and learns of further ones from their replies.
+// requestJoin sends a join request to all other known servers at once, and learns of further servers from their replies.
 func (s *Server) requestJoin(ctx context.Context) {
 	body, err := codec.Marshal(groupsSchema, s.groupStates())
 	if err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// receiveJoin notes a keeper as a candidate of the groups that this keeper leads, and tells it of the
-// keepers that it knows.
+// receiveJoin records a join request for the groups that this server leads, starts to reconcile them, and replies with the servers
+// that it knows.
 func (s *Server) receiveJoin(peer peertransport.Hello, body []byte) ([]byte, error) {
 	var states []groupState
 	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
--- a/internal/controlplane/server/join_requests.go
+++ b/internal/controlplane/server/join_requests.go
@@ -10,17 +10,17 @@
 	"ospreybend/coord/shards"
 )
 
-// joinRequest is a keeper that asks to be taken into a group. Its request may be late: the process that sent it may have
-// ended, and another may live at its address under another ID.
+// joinRequest is a server's request to be added to a group. It may be late: the process that sent it may have ended, and a member
+// with another ID may run at its address. See Server.confirmJoinRequest.
 type joinRequest struct {
 	ID      consensus.MemberID
 	Address string
 }
 
-// joinRequests are the keepers that asked lately to be taken into groups.
+// joinRequests holds the recent join requests of each shard.
 type joinRequests struct {
 	mutex     sync.Mutex
-	byAddress [shards.ShardCount]map[string]receivedJoinRequest // by address
+	byAddress [shards.ShardCount]map[string]receivedJoinRequest // by the address of the sender
 }
 
 type receivedJoinRequest struct {
@@ -37,7 +37,7 @@
 	r.byAddress[shard][request.Address] = receivedJoinRequest{request: request, receivedAt: now}
 }
 
-// forget drops a request that does not hold. A newer one from the same address under another ID stays.
+// forget drops a request that was not confirmed. A newer one from the same address under another ID stays.
 func (r *joinRequests) forget(shard shards.ID, request joinRequest) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// recent returns those who asked not long ago, by address, and forgets the others.
+// recent returns the requests of the last joinRequestMaxAge, sorted by address, and drops older ones.
 func (r *joinRequests) recent(shard shards.ID, now time.Time) []joinRequest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/controlplane/server/leadership_balance.go
+++ b/internal/controlplane/server/leadership_balance.go
@@ -12,8 +12,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// preferredOwner returns the voter that should lead a shard: the one with the greatest rendezvous
-// weight. The members are spread over the shards by it.
+// preferredOwner returns the voter that should lead a shard: the one with the greatest rendezvous hash, which spreads the shards
+// evenly over the members.
 func preferredOwner(shard shards.ID, members []consensus.Member) (consensus.Member, bool) {
 	addresses := make([]string, 0, len(members))
 	for _, member := range members {
@@ -33,8 +33,8 @@
 	return consensus.Member{}, false
 }
 
-// balanceLeadership hands leadership of a shard to its preferred owner once that has been able to take
-// it for spreadCalm. At most one shard moves in spreadInterval. Called by maintenance alone.
+// balanceLeadership moves a shard's leadership to the preferred owner once that has been able to take it for
+// preferredOwnerStableFor. At most one shard moves in minLeaderTransferInterval. Only the maintenance loop calls it.
 func (s *Server) balanceLeadership(ctx context.Context, shard *shard, status replica.Status, now time.Time) {
 	group, able := shard.group.(leadershipTransferrer)
 	preferred, found := preferredOwner(shard.id, status.Members)
@@ -52,11 +52,11 @@
 	ctx, cancel := context.WithTimeout(ctx, leaderTransferTimeout)
 	defer cancel()
 	err := group.TransferLeadershipTo(ctx, preferred.ID)
-	s.logger.Info("leadership handed to the preferred owner",
+	s.logger.Info("leadership transferred to preferred owner",
 		zap.Uint32("shard", uint32(shard.id)), zap.String("to", preferred.Address), zap.Error(err))
 }
 
-// canOwn asks a keeper whether its replica of a shard is current and takes writes.
+// canOwn asks a server whether its replica of a shard is a current voter that accepts writes.
 func (s *Server) canOwn(ctx context.Context, address string, id shards.ID) bool {
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
--- a/internal/controlplane/server/leadership_balance_test.go
+++ b/internal/controlplane/server/leadership_balance_test.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// groupStatesNetwork answers which shards a keeper could own.
+// groupStatesNetwork answers which shards a server can own.
 type groupStatesNetwork struct {
 	scriptedNetwork
 	states []groupState
@@ -42,7 +42,7 @@
 	network := &groupStatesNetwork{}
 	s.peers.network = network
 
-	// Choose an address that the hash prefers to this keeper's.
+	// Choose an address that the hash prefers to this server's.
 	status := leaderStatus()
 	status.Members = []consensus.Member{{ID: s.self.ID, Address: s.self.Address, Voter: true}}
 	other := consensus.Member{ID: 2, Voter: true}
@@ -63,7 +63,7 @@
 	}
 	at(0, true)
 	at(preferredOwnerStableFor-1, true)
-	at(preferredOwnerStableFor, false) // not steady: it begins anew
+	at(preferredOwnerStableFor, false) // not stable: the time starts over
 	at(preferredOwnerStableFor+1, true)
 	at(2*preferredOwnerStableFor, true)
 	if len(group.moved) != 0 {
@@ -87,7 +87,7 @@
 	groups[id].set(followerStatus("b"))
 	s.maintainShard(t.Context(), s.shards[id])
 	if !s.shards[id].preferredReadySince.IsZero() {
-		t.Fatal("a keeper that follows keeps count of an owner's calm")
+		t.Fatal("a follower still tracks how long the preferred owner is ready")
 	}
 }
 
--- a/internal/controlplane/server/lifecycle.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -17,7 +17,7 @@
 	"sync"
 )
 
-// openPeerNetwork makes the connections' end of this keeper. It accepts nothing yet.
+// openPeerNetwork creates this server's endpoint of the peer network. It accepts no connection yet.
 func (s *Server) openPeerNetwork() error {
 	network, err := peertransport.New(peertransport.Options{
 		Self: peertransport.Hello{
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// openGroups opens all replicas. One that cannot be opened now, as with a full disk, is tried again
-// until ctx ends; one that is damaged gives seglog.ErrDamaged.
+// openGroups opens all replicas. One that cannot be opened now, as on a full disk, is retried until ctx ends; a damaged one returns
+// seglog.ErrCorrupt.
 func (s *Server) openGroups(ctx context.Context, founders []consensus.Member) error {
 	for _, shard := range s.shards {
 		for {
@@ -44,7 +44,7 @@
 			if errors.Is(err, seglog.ErrCorrupt) {
 				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
 			}
-			s.logger.Error("a replica cannot be opened", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
+			s.logger.Error("open replica failed, retrying", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 			if !waitForChange(ctx, nil, openRetryInterval) {
 				return eris.Wrapf(err, "open the replica of shard %d", shard.id)
 			}
@@ -87,8 +87,8 @@
 	return listener, eris.Wrap(err, "listen for peers")
 }
 
-// Run works as a keeper until ctx ends; it then hands over what it leads, within about two seconds.
-// Errors: a listener or the disk cannot be used.
+// Run runs a control plane server until ctx ends, and then hands over what it leads, which takes at most about two seconds. It
+// returns an error if the disk cannot be used or a listener fails.
 func Run(ctx context.Context, settings bootconfig.Settings, logger *zap.Logger) error {
 	limitMemory(settings.Limits.MemoryMb)
 	workers, err := newHTTPWorkerClient()
@@ -104,11 +104,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = control.Close() }() // if the server has not begun to run
+	defer func() { _ = control.Close() }() // in case Serve fails before it runs the API server
 	return s.Serve(ctx, newAPIServer(s, control))
 }
 
-// limitMemory has the collector work harder as the machine's memory fills.
+// limitMemory sets the garbage collector's target and limit by the machine's memory.
 func limitMemory(memoryMb int) {
 	if memoryMb <= 0 {
 		return
@@ -117,15 +117,15 @@
 	debug.SetMemoryLimit(int64(memoryMb) << 20 * memoryLimitPercent / 100)
 }
 
-// Open prepares a keeper and opens its replicas. If one of them is damaged, the disk counts as lost: the keeper takes
-// a new member ID and begins without any replica, since what it may have promised is not known any more.
+// Open prepares a server and opens its replicas. If a replica is damaged, the whole disk counts as lost: the server takes a new
+// member ID and begins without any replica, because it no longer knows which votes and entries it has acknowledged.
 func Open(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
 	for {
 		s, err := openServer(ctx, settings, environment, logger)
 		if !errors.Is(err, seglog.ErrCorrupt) {
 			return s, err
 		}
-		logger.Error("this disk counts as lost", zap.Error(err))
+		logger.Error("replica damaged, disk treated as lost", zap.Error(err))
 		if err := seglog.RemoveMemberID(environment.FileSystem, settings.DataDir); err != nil {
 			return nil, err
 		}
@@ -146,19 +146,20 @@
 		s.Close()
 		return nil, err
 	}
-	logger.Info("keeper opened", zap.String("address", self.Address), zap.Uint64("member", uint64(self.ID)),
+	logger.Info("server opened", zap.String("address", self.Address), zap.Uint64("member", uint64(self.ID)),
 		zap.Bool("founder", founders != nil))
 	return s, nil
 }
 
-// APIServer takes calls from outside the process and hands them to Handle. Run returns after Shutdown, or with a fault.
+// APIServer accepts calls from outside the process and passes them to Server.Handle. Run returns after Shutdown, or with the error
+// that ended it.
 type APIServer interface {
 	Run() error
 	Shutdown(ctx context.Context) error
 }
 
-// Serve runs all parts until ctx ends or one of them fails; it then hands over what it leads. Errors: the listener for
-// peers cannot be opened, or a listener fails.
+// Serve runs all parts until ctx ends or one of them fails, and then shuts down gracefully. It returns an error if the listener for
+// peers cannot be opened or a listener fails.
 func (s *Server) Serve(ctx context.Context, api APIServer) error {
 	peers, err := s.listenPeers(ctx)
 	if err != nil {
@@ -166,14 +167,7 @@
 	}
 	failed := make(chan error, 2)
 	s.runGroups()
-	s.lifecycle.background.Go(func() { s.runJoin(s.lifecycle.backgroundContext) })
-	s.lifecycle.background.Go(func() { s.runNodeHeartbeats(s.lifecycle.backgroundContext) })
-	s.lifecycle.background.Go(func() { s.runLivenessReports(s.lifecycle.backgroundContext) })
-	s.lifecycle.background.Go(func() { s.runMaintenance(s.lifecycle.backgroundContext) })
-	if s.environment.Workers != nil {
-		s.lifecycle.background.Go(func() { s.forwardDemands(s.lifecycle.backgroundContext) })
-		s.lifecycle.background.Go(func() { s.runRolePlanner(s.lifecycle.backgroundContext) })
-	}
+	s.startControlLoops()
 	s.lifecycle.background.Go(func() {
 		if err := s.peers.serve(peers); err != nil {
 			failed <- err
@@ -193,12 +187,23 @@
 	return failure
 }
 
-// groupRunner is what runGroups needs beside replicaGroup.
+// startControlLoops starts the loops that run until backgroundContext ends.
+func (s *Server) startControlLoops() {
+	loops := []func(context.Context){s.runJoin, s.runNodeHeartbeats, s.runLivenessReports, s.runMaintenance}
+	if s.environment.Workers != nil {
+		loops = append(loops, s.forwardDemands, s.runRolePlanner)
+	}
+	for _, loop := range loops {
+		s.lifecycle.background.Go(func() { loop(s.lifecycle.backgroundContext) })
+	}
+}
+
+// groupRunner is a group with an event loop. The scripted groups of tests have none.
 type groupRunner interface {
 	Run(ctx context.Context) error
 }
 
-// runGroups starts the groups' loops; they end when the groups are closed.
+// runGroups starts the groups' event loops, which end when closeAllGroups closes the groups.
 func (s *Server) runGroups() {
 	for _, shard := range s.shards {
 		group, ok := shard.group.(groupRunner)
@@ -207,26 +212,26 @@
 		}
 		s.lifecycle.background.Go(func() {
 			if err := group.Run(context.Background()); err != nil {
-				s.logger.Error("a replica has stopped", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
+				s.logger.Error("replica stopped", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 			}
 		})
 	}
 }
 
-// closeAllGroups closes the replicas at the same time, since each may wait for a disk that hangs.
+// closeAllGroups closes the replicas concurrently, since each may wait for a disk that hangs.
 func (s *Server) closeAllGroups() {
 	var waitGroup sync.WaitGroup
 	for _, closeGroup := range s.groups.close {
 		waitGroup.Go(func() {
 			if err := closeGroup(); err != nil {
-				s.logger.Warn("a replica was not closed well", zap.Error(err))
+				s.logger.Warn("close replica failed", zap.Error(err))
 			}
 		})
 	}
 	waitGroup.Wait()
 }
 
-// Close ends everything that Open and Serve have begun, without a hand-over.
+// Close ends everything that Open and Serve have started, without a hand-over, and waits for it.
 func (s *Server) Close() {
 	s.lifecycle.shuttingDown.Store(true)
 	s.lifecycle.cancelBackground()
--- a/internal/controlplane/server/maintenance.go
+++ b/internal/controlplane/server/maintenance.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// runMaintenance does at an interval what only the owners of shards do, until ctx ends.
+// runMaintenance runs the periodic work of shard owners until ctx ends: expiry, membership and leadership balance.
 func (s *Server) runMaintenance(ctx context.Context) {
 	runPeriodically(ctx, maintenanceInterval, func() {
 		for _, shard := range s.shards {
@@ -17,7 +17,7 @@
 	})
 }
 
-// runPeriodically calls a function at an interval until ctx ends.
+// runPeriodically calls a function at an interval until ctx ends. The first call comes after one interval.
 func runPeriodically(ctx context.Context, interval time.Duration, function func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -34,7 +34,7 @@
 func (s *Server) maintainShard(ctx context.Context, shard *shard) {
 	status := shard.group.Status()
 	if !status.IsLeader() {
-		shard.preferredReadySince = time.Time{} // what it saw in an earlier leadership says nothing
+		shard.preferredReadySince = time.Time{} // observations of an earlier leadership do not count
 		return
 	}
 	now := s.environment.Now()
@@ -45,7 +45,7 @@
 	s.balanceLeadership(ctx, shard, status, now)
 }
 
-// startExpiry proposes the removal of instances that fell silent. What fails is decided on anew later.
+// startExpiry proposes the removal of expired instances. A proposal that fails is decided on again by a later round.
 func (s *Server) startExpiry(shard *shard, commands [][]byte) {
 	if len(commands) == 0 {
 		return
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -12,7 +12,7 @@
 	"ospreybend/coord/replica"
 )
 
-// startReconcile brings a group's members nearer to what is wanted, unless that is under way.
+// startReconcile starts to reconcile a group's members with the desired ones, unless that is in progress or the server shuts down.
 func (s *Server) startReconcile(shard *shard) {
 	shard.mutex.Lock()
 	busy := shard.reconciling || s.lifecycle.shuttingDown.Load()
@@ -33,8 +33,7 @@
 	})
 }
 
-// reconcile makes changes of members until there is none to make or one fails; the next request to
-// join, or the next round of maintenance, goes on.
+// reconcile makes membership changes until none is needed or one fails. The next join request or maintenance round continues.
 func (s *Server) reconcile(shard *shard) {
 	changed := false
 	for s.lifecycle.backgroundContext.Err() == nil {
@@ -53,8 +52,9 @@
 	}
 }
 
-// awaitMembershipChange returns the next step as the leader of a group. After a change it waits a little for a learner to hold that
-// change, too, if a place is free: the place of a voter that went is to be taken at once, not at the next occasion.
+// awaitMembershipChange returns the next change, if this server leads the group. After a change it waits up to vacancyFillTimeout for a
+// learner to acknowledge that change, too, while a vacancy can be filled: the vacancy of a lost voter is then filled at once and
+// not at the next occasion.
 func (s *Server) awaitMembershipChange(shard *shard, changed bool) (membershipChange, bool) {
 	deadline := s.environment.Now().Add(vacancyFillTimeout)
 	for {
@@ -73,9 +73,9 @@
 	}
 }
 
-// confirmJoinRequest asks a candidate's address which member lives there now, and tells whether that is the candidate. The question
-// is sent after this leader has learnt of the members that the step concerns, so whoever answers lives later than they
-// did when they were taken in: a former member whose request was held up cannot answer it.
+// confirmJoinRequest asks the address of a join request which member runs there, and reports whether it is the requesting one. This
+// leader knew the members that the change concerns before it asked, so whoever answers started later than they were added: a
+// former member whose request was delayed cannot answer.
 func (s *Server) confirmJoinRequest(request joinRequest) bool {
 	if request.ID == 0 {
 		return true
@@ -84,12 +84,12 @@
 	if err == nil && identity.ID == request.ID && !identity.ShuttingDown {
 		return true
 	}
-	s.logger.Info("a request to join does not hold", zap.String("address", request.Address),
-		zap.Uint64("asked", uint64(request.ID)), zap.Uint64("lives there", uint64(identity.ID)), zap.Error(err))
+	s.logger.Info("join request not confirmed", zap.String("address", request.Address),
+		zap.Uint64("member", uint64(request.ID)), zap.Uint64("incarnation", uint64(identity.ID)), zap.Error(err))
 	return false
 }
 
-// queryIdentity asks an address which member lives there now.
+// queryIdentity asks an address which member runs there.
 func (s *Server) queryIdentity(ctx context.Context, address string) (identityReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
@@ -100,6 +100,7 @@
 	return decodeIdentity(reply)
 }
 
+// applyMembershipChange proposes a change to the group and reports whether it was committed in time.
 func (s *Server) applyMembershipChange(shard *shard, change replica.Change) bool {
 	ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
 	defer cancel()
@@ -108,6 +109,8 @@
 	return err == nil
 }
 
+// observeGroup gathers the observed state of a group that this server leads. It asks learners and leaving voters for their identity
+// if that matters, so it must not be called with a mutex held.
 func (s *Server) observeGroup(shard *shard, status replica.Status) observedState {
 	now := s.environment.Now()
 	observed := observedState{
@@ -127,8 +130,9 @@
 	return observed
 }
 
-// trackReadiness notes since when learners have been able to be voters, and returns those that have been for some time. With
-// each change of members they are unable for a moment, until they hold it.
+// trackReadiness records since when learners have been promotable, and returns those that have been for stableAfter, the longest
+// first. After each membership change learners are not promotable for a moment, until they have acknowledged it: gaps of up to
+// readinessGap do not count.
 func (s *Server) trackReadiness(shard *shard, ready []consensus.MemberID, now time.Time) (steady []consensus.MemberID) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -157,7 +161,7 @@
 	return steady
 }
 
-// sinceHeard returns how long nothing was heard of each member's address.
+// sinceHeard returns, for each member, how long nothing was received from its address.
 func (s *Server) sinceHeard(shard *shard, members []consensus.Member, now time.Time) map[consensus.MemberID]time.Duration {
 	shard.mutex.Lock()
 	leadingSince := shard.leadingSince
@@ -169,13 +173,12 @@
 	return sinceHeard
 }
 
-// desiredVoters is the number of voters that bears the losses of the settings, and no less than the
-// groups are founded with.
+// desiredVoters returns the number of voters that tolerates the losses of the settings, 2f+1, and at least the number of founders.
 func (s *Server) desiredVoters() int {
 	return max(2*s.toleratedLosses()+1, len(s.settings.Seeds))
 }
 
-// toleratedLosses is how many voters may be lost at once by the settings.
+// toleratedLosses returns how many voters may be lost at once according to the settings.
 func (s *Server) toleratedLosses() int {
 	tolerated := s.settings.FaultTolerance
 	return max(tolerated.Machines, tolerated.Zones, tolerated.Regions)
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// changingGroup is a group that this keeper leads and that makes each change of members at once.
+// changingGroup is a group that this server leads and that makes each membership change at once.
 type changingGroup struct {
 	scriptedGroup
 	promotable []consensus.MemberID
@@ -59,7 +59,7 @@
 	return g.changingGroup.ChangeMembers(ctx, change)
 }
 
-// identityNetwork answers which member lives at an address.
+// identityNetwork answers which member runs at an address.
 type identityNetwork struct {
 	scriptedNetwork
 	identities map[string]identityReply
@@ -71,8 +71,8 @@
 	if kind != callIdentity {
 		return n.scriptedNetwork.Call(ctx, address, kind, body)
 	}
-	identity, lives := n.identities[address]
-	if !lives {
+	identity, runs := n.identities[address]
+	if !runs {
 		return nil, peertransport.ErrNotSent
 	}
 	return encodeIdentity(identity)
--- a/internal/controlplane/server/membership_model_exhaustive_test.go
+++ b/internal/controlplane/server/membership_model_exhaustive_test.go
@@ -14,7 +14,7 @@
 	step string
 }
 
-// explore plays all orders of steps, and returns the number of states and the first thing that is wrong, with the way there.
+// explore plays all schedules, and returns the number of states and the first violation with the path to it.
 func (m model) explore() (states int, wrong string) {
 	start := m.start()
 	reached := map[modelState]predecessor{start: {}}
@@ -84,7 +84,7 @@
 	}
 }
 
-// walk plays one drawn order of steps.
+// walk plays one random schedule.
 func (m model) walk(random *rand.Rand, length int) (wrong string) {
 	state, names := m.start(), []string{}
 	for range length {
@@ -92,8 +92,8 @@
 			return wrong + "\n" + strings.Join(names, "\n")
 		}
 		next := m.steps(state)
-		if calm := m.faultFreeSteps(state); len(calm) > 0 && random.IntN(2) == 0 {
-			next = calm
+		if faultFree := m.faultFreeSteps(state); len(faultFree) > 0 && random.IntN(2) == 0 {
+			next = faultFree
 		}
 		if len(next) == 0 {
 			return ""
@@ -137,12 +137,12 @@
 	}
 }
 
-// TestNextMembershipChange_eachGuardIsNeeded leaves out one guard at a time: some order of steps must then go wrong.
+// TestNextMembershipChange_eachGuardIsNeeded omits one guard at a time: some schedule must then violate a rule.
 func TestNextMembershipChange_eachGuardIsNeeded(t *testing.T) {
-	whole := model{founders: 3, spares: 1, tolerated: 1, faults: 2, freshSpares: true, oldDisks: true}
+	base := model{founders: 3, spares: 1, tolerated: 1, faults: 2, freshSpares: true, oldDisks: true}
 	wide := model{founders: 3, spares: 1, tolerated: 2, faults: 2, freshSpares: true}
 	for guard, lacking := range map[Guard]model{
-		GuardIdentityAsked: whole, GuardReplacedRetired: whole, GuardPromotedDurable: whole, GuardSuccessorReady: whole,
+		GuardIdentityAsked: base, GuardReplacedRetired: base, GuardPromotedDurable: base, GuardSuccessorReady: base,
 		GuardVotersOdd: wide,
 	} {
 		lacking.omit = []Guard{guard}
@@ -153,7 +153,7 @@
 		}
 		t.Logf("without %s, after %d states: %s", guard, states, wrong)
 	}
-	lacking := whole
+	lacking := base
 	lacking.omitRetired, lacking.omit = true, []Guard{GuardReplacedRetired}
 	if _, wrong := lacking.explore(); wrong == "" {
 		t.Error("without the core's memory nothing goes wrong")
--- a/internal/controlplane/server/membership_model_steps_test.go
+++ b/internal/controlplane/server/membership_model_steps_test.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// lateRequests are the former members whose requests may still be on their way.
+// lateRequests are the former members whose join requests may still be in flight.
 func (s *modelState) lateRequests() []consensus.MemberID {
 	var found []consensus.MemberID
 	for machine, one := range s.machines {
@@ -58,7 +58,7 @@
 // steps returns all that may happen in a state.
 func (m model) steps(s modelState) []modelStep {
 	next := m.faultFreeSteps(s)
-	settled := len(next) == 0
+	vacancyFilled := len(next) == 0
 	if s.led() {
 		for _, late := range s.lateRequests() {
 			if made, found := m.decide(s, late); found {
@@ -68,13 +68,13 @@
 		}
 	}
 	for machine := range m.founders + m.spares {
-		next = append(next, m.machineEvents(s, machine, settled)...)
+		next = append(next, m.machineEvents(s, machine, vacancyFilled)...)
 	}
 	return next
 }
 
-// machineEvents returns what may befall one machine.
-func (m model) machineEvents(s modelState, machine int, settled bool) (next []modelStep) {
+// machineEvents returns the events that may happen to one machine.
+func (m model) machineEvents(s modelState, machine int, vacancyFilled bool) (next []modelStep) {
 	befall := func(name string, change func(one *modelMachine, after *modelState)) {
 		after := s
 		change(&after.machines[machine], &after)
@@ -96,7 +96,7 @@
 	if one.up && one.leaving {
 		befall("ends", func(one *modelMachine, _ *modelState) { one.up, one.leaving, one.stable = false, false, false })
 	}
-	if one.lost && settled && m.recovered(&s, machine) {
+	if one.lost && vacancyFilled && m.recovered(&s, machine) {
 		befall("counts as lost no more", func(one *modelMachine, after *modelState) {
 			one.lost = false
 			after.clearFresh()
@@ -132,12 +132,12 @@
 	}
 }
 
-// retiredOrNone tells whether the disk before the present one was replaced or was never a member's.
+// retiredOrNone reports whether the previous disk was replaced or never belonged to a member.
 func (s *modelState) retiredOrNone(machine int) bool {
 	return s.roles[machine][s.machines[machine].disk-1] == roleNone
 }
 
-// recovered tells whether a machine is back, or another has its place.
+// recovered reports whether a machine is back, or another has its vote.
 func (m model) recovered(s *modelState, machine int) bool {
 	for disk, role := range s.roles[machine] {
 		if role == roleVoter && !s.isRunning(machine, disk) {
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -29,11 +29,11 @@
 	exists  bool // it was started at some time
 	up      bool // its process runs and is reached
 	gone    bool // it never comes back
-	silent  bool // it is down for so long that the leader counts it as silent
-	leaving bool // it got a SIGTERM
+	silent  bool // it is down for so long that its time-out has passed
+	leaving bool // its graceful shutdown has begun
 	stable  bool // its member has been ready to be a voter for some time
 	lost    bool // it counts as lost
-	fresh   bool // it came while others were lost, to take a place: the same loss until that is settled
+	fresh   bool // it was started to replace a lost machine: part of that loss until it has the vote
 	disk    uint8
 }
 
@@ -42,8 +42,8 @@
 	machines [modelMachines]modelMachine
 	roles    [modelMachines][modelDisks]modelRole
 	durable  [modelMachines][modelDisks]bool // it holds all that is committed
-	retired  [modelMachines][modelDisks]bool // the group remembers that it was replaced
-	replaced [modelMachines][modelDisks]bool // it was removed for another that lives at its address, remembered or not
+	retired  [modelMachines][modelDisks]bool // its ID is retired in the group
+	replaced [modelMachines][modelDisks]bool // it was removed for another member at its address, retired or not
 	leader   int8                            // machine; -1: none
 	faults   int8                            // that may still strike
 }
@@ -53,7 +53,7 @@
 	founders, spares int
 	tolerated        int
 	faults           int
-	freshSpares      bool // spares are started to take the place of a voter that leaves
+	freshSpares      bool // spares are started to replace a voter that leaves
 	oldDisks         bool // an old copy of a disk may be put back
 	omit             []Guard
 	omitRetired      bool // the group's core takes retired members back
@@ -90,7 +90,7 @@
 
 func modelAddress(machine int) string { return fmt.Sprintf("k%02d", machine) }
 
-// isRunning tells whether a member's process runs.
+// isRunning reports whether a member's process runs.
 func (s *modelState) isRunning(machine, disk int) bool {
 	return s.machines[machine].up && int(s.machines[machine].disk) == disk
 }
@@ -133,7 +133,7 @@
 	return count
 }
 
-// led tells whether a leader is there whom a majority follows.
+// led reports whether there is a leader that a majority follows.
 func (s *modelState) led() bool {
 	if s.leader < 0 {
 		return false
@@ -144,7 +144,7 @@
 }
 
 // observe is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
-// member in the place of the one from its address.
+// member in place of the one from its address.
 func (m model) observe(s *modelState, late consensus.MemberID) observedState {
 	observed := observedState{
 		Self: modelID(int(s.leader), int(s.machines[s.leader].disk)), DesiredVoters: m.desiredVoters(), SpareLearners: max(minSpareLearners, m.tolerated),
@@ -212,7 +212,7 @@
 	return made, made.after != s || made.wrong != ""
 }
 
-// apply makes a change if the core's leader would, and tells what is wrong with it.
+// apply makes a change if the core's leader would, and returns the violation if there is one.
 func (m model) apply(s *modelState, change replica.Change) (wrong string) {
 	before := *s
 	if change.Add == nil {
@@ -250,7 +250,7 @@
 	role := s.roles[machine][disk]
 	switch {
 	case s.retired[machine][disk] && !m.omitRetired:
-		return "" // refused
+		return "" // rejected
 	case added.Voter && role == roleLearner && s.canPromote(machine, disk):
 		s.roles[machine][disk] = roleVoter
 	case !added.Voter && role == roleVoter:
@@ -267,7 +267,7 @@
 	return ""
 }
 
-// hasPromotionCandidate tells whether the group has its voters, or a learner that can take a free place at once.
+// hasPromotionCandidate reports whether the group has its voters, or a learner that can fill a vacancy at once.
 func (m model) hasPromotionCandidate(s *modelState) bool {
 	voters, _, _ := s.count()
 	found := voters >= m.desiredVoters()
@@ -277,7 +277,7 @@
 	return found
 }
 
-// weakness tells what is wrong with a state; empty: nothing.
+// weakness returns what is wrong with a state; empty if nothing is.
 func (m model) weakness(s modelState) string {
 	voters, _, standing := s.count()
 	further := m.toleratedLosses() - s.lostMachines()
@@ -287,12 +287,12 @@
 	return ""
 }
 
-// unfinished tells what a group lacks at which nothing more happens by itself; empty: nothing.
+// unfinished returns what a group still lacks when nothing more happens by itself; empty if nothing.
 func (m model) unfinished(s modelState) string {
 	available, silent := 0, true
 	for machine, one := range s.machines {
 		if one.up && one.leaving {
-			return "" // it ends first
+			return "" // its shutdown comes first
 		}
 		silent = silent && (!one.exists || one.up || one.silent)
 		if one.up && !s.retired[machine][one.disk] {
@@ -319,7 +319,7 @@
 	return voters
 }
 
-// describe tells the members of a state.
+// describe lists the members of a state.
 func (s modelState) describe() string {
 	var parts []string
 	s.each(func(machine, disk int, role modelRole) {
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -8,43 +8,44 @@
 	"ospreybend/coord/replica"
 )
 
-// observedState is what the leader of a group knows when it decides on the next change of members.
+// observedState is what the leader of a group knows when it decides on the next membership change.
 type observedState struct {
 	Self               consensus.MemberID
 	Members            []consensus.Member
-	Retired            []consensus.MemberID                 // IDs that were replaced: they never come back
-	DesiredVoters      int                                  // voters that the group should have
-	SpareLearners      int                                  // learners that it keeps besides, for the voters that will be lost
-	JoinRequests       []joinRequest                        // those who asked lately, at most one for each address
-	PromotableLearners []consensus.MemberID                 // learners that answer and have acknowledged nearly all of the log as durable
-	Stable             []consensus.MemberID                 // those of them that have been so for some time, the longest first
-	SinceHeard         map[consensus.MemberID]time.Duration // how long nothing was heard of a member's address
-	Leaving            []consensus.MemberID                 // members that said that they are about to end
-	Successors         []consensus.MemberID                 // learners whose process began lately: started to take a leaving voter's place
+	Retired            []consensus.MemberID                 // IDs of replaced members, which are never added again
+	DesiredVoters      int                                  // desired number of voters
+	SpareLearners      int                                  // desired number of learners beyond the vacancies, for voters to be lost
+	JoinRequests       []joinRequest                        // recent ones, at most one for each address
+	PromotableLearners []consensus.MemberID                 // responsive learners that have acknowledged nearly all of the log as durable
+	Stable             []consensus.MemberID                 // promotable learners that have been so for stableAfter, the longest first
+	SinceHeard         map[consensus.MemberID]time.Duration // how long nothing was received from a member's address
+	Leaving            []consensus.MemberID                 // members that have announced their shutdown
+	Successors         []consensus.MemberID                 // learners started lately, to replace a leaving voter
 
-	OmitGuards []Guard // guards left out, by tests alone
+	OmitGuards []Guard // set by tests only
 }
 
-// membershipChange is one change of members and what it rests on.
+// membershipChange is one change of a group's members and its precondition.
 type membershipChange struct {
 	Change replica.Change
-	// Confirm is the keeper that must live at its address under its ID, or the change must not be made. ID 0: nobody.
+	// Confirm is the join request that must be confirmed before the change is made. ID 0: none.
 	Confirm joinRequest
 }
 
-// nextMembershipChange returns the next change that brings a group's members nearer to what is wanted, or false if there is none.
-// Changes are of one member:
+// nextMembershipChange decides how to bring a group's members nearer to the desired ones; it returns false if nothing is to be done.
+// It is a pure function of the observed state. The first rule that applies wins. Each changes one member:
 //
-//  1. a member whose address now belongs to another member ID has lost its disk: it is removed, which never makes a
-//     majority harder to reach, and its ID is retired. That holds also if the other ID is a retired one, as when an old
-//     copy of a disk was put back: it is not taken in, but the member is no longer there;
-//  2. with more voters than wanted, one that is leaving becomes a learner, else one that is silent goes;
-//  3. a learner that is known to hold nearly all becomes a voter if a place is free and that makes their number odd; else
-//     the voter that is silent longest makes room, if that is long enough; else it becomes a voter if a second one is to
-//     follow; else a voter that is leaving makes room, if the learner is its successor, and becomes a learner itself;
-//  4. a candidate becomes a learner: one for each place that is free or held by a silent voter, and some spares, so that
-//     taking a lost voter's place is one change and no transfer of the state;
-//  5. a learner that no longer asks and is silent for long goes.
+//  1. removeSuperseded: a member whose address now belongs to another member ID has lost its disk. It is removed, which never makes a
+//     majority harder to reach, and its ID is retired. This holds even if the other ID is a retired one, as when an old copy of a
+//     disk was put back: that one is not added, but the member is gone nevertheless.
+//  2. releaseSurplusVoter: with more voters than desired, one that is leaving becomes a learner, else one that has timed out is removed.
+//  3. promoteLearner: a learner that has acknowledged nearly all of the log as durable becomes a voter if there is a vacancy and the
+//     number of voters becomes odd; else the voter that has been unresponsive longest is removed, if it has timed out; else the
+//     learner is promoted if a second one is to follow; else, if the learner is the successor of a leaving voter, that voter
+//     becomes a learner.
+//  4. addLearner: a server with a join request becomes a learner: one for each vacancy or timed-out voter, and some spares, so that
+//     replacing a lost voter takes one change and no transfer of the state.
+//  5. removeUnresponsiveLearner: a learner that sends no join request and has been unresponsive for learnerTimeout is removed.
 func nextMembershipChange(observed observedState) (membershipChange, bool) {
 	for _, rule := range []func(observedState) (membershipChange, bool){
 		removeSuperseded, releaseSurplusVoter, promoteLearner, addLearner, removeUnresponsiveLearner,
@@ -79,8 +80,8 @@
 	return membershipChange{Change: replica.Change{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
 }
 
-// demoteLeavingVoter makes a voter that is about to end a learner. The voter goes before its successor comes: with both as
-// voters, the loss of that one machine's place would cost two votes.
+// demoteLeavingVoter turns a voter that is shutting down into a learner. It goes before its successor comes: with both as voters, the
+// loss of the one machine would cost two votes.
 func (o observedState) demoteLeavingVoter() (membershipChange, bool) {
 	for _, member := range o.Members {
 		if member.Voter && member.ID != o.Self && slices.Contains(o.Leaving, member.ID) {
@@ -112,7 +113,7 @@
 	return membershipChange{}, false
 }
 
-// promotionCandidates returns the learners that could be voters at once, those first that have been able to be for some time.
+// promotionCandidates returns the learners that could become voters at once, by their stability rank.
 func (o observedState) promotionCandidates() (found []consensus.Member) {
 	for _, member := range o.Members {
 		if !member.Voter && !slices.Contains(o.Leaving, member.ID) && o.canPromote(member.ID) {
@@ -123,8 +124,8 @@
 	return found
 }
 
-// stabilityRank ranks learners by how long they have been able to be voters: the longest first, those last that have only
-// begun. Whoever came back last may still be about to fail, and must not be the one that makes the number even.
+// stabilityRank ranks learners by how long they have been promotable without interruption: the longest first, those below stableAfter
+// last. A learner that has just come back may be about to fail again, and must not be the one that makes the number even.
 func (o observedState) stabilityRank(id consensus.MemberID) int {
 	if rank := slices.Index(o.Stable, id); rank >= 0 {
 		return rank
@@ -134,9 +135,9 @@
 
 func (o observedState) isStable(id consensus.MemberID) bool { return slices.Contains(o.Stable, id) }
 
-// canAddVoter tells whether a group with an odd number of voters may take one more. An even number bears no more losses
-// than the odd one below it and needs one voter more for a majority, so the group waits for two (unless no more than one is
-// wanted), and until all is calm: its voters answer, none is leaving, and the two have been ready for some time.
+// canAddVoter reports whether a group with an odd number of voters may add one more. An even number tolerates no more losses than the
+// odd one below it and needs one more vote for a majority. So the group waits until two learners are stable (one, if only one
+// vacancy is left), all voters are responsive and none is leaving.
 func (o observedState) canAddVoter() bool {
 	if !o.guardEnabled(GuardVotersOdd) {
 		return true
@@ -153,8 +154,8 @@
 	return stable > 1 || (stable == 1 && o.voterCount()+1 == o.DesiredVoters)
 }
 
-// canPromote tells whether a learner is known to hold what makes it a sound voter. Without the guard its own request to
-// join is believed.
+// canPromote reports whether a learner has acknowledged enough of the log to be a sound voter. Without the guard its own join request
+// is believed.
 func (o observedState) canPromote(id consensus.MemberID) bool {
 	return slices.Contains(o.PromotableLearners, id) || (!o.guardEnabled(GuardPromotedDurable) && o.hasJoinRequest(id))
 }
@@ -181,7 +182,7 @@
 	return membershipChange{}, false
 }
 
-// requireConfirmation is a change that is made only if the candidate lives.
+// requireConfirmation returns a change that is made only if the requesting server confirms its identity.
 func (o observedState) requireConfirmation(change replica.Change, request joinRequest) membershipChange {
 	if !o.guardEnabled(GuardIdentityAsked) {
 		return membershipChange{Change: change}
@@ -189,9 +190,9 @@
 	return membershipChange{Change: change, Confirm: request}
 }
 
-// timeSinceHeard is how long a member counts as silent that was last heard at some time. Before a keeper leads, members have no
-// reason to talk to it, so only the time since then counts; one that has left its first heartbeats unanswered for
-// newLeaderPatience, though, was most likely silent before, too: a change of leader does not make a lost voter last longer.
+// timeSinceHeard returns how long a member that was last heard at a time counts as unresponsive. Before a server leads, members have
+// no reason to send to it, so only the time since then counts. A member that leaves the first heartbeats of newLeaderGracePeriod
+// unanswered, though, was most likely unresponsive before: a change of leader does not prolong the time-out of a lost voter.
 func timeSinceHeard(now, heard, leadingSince time.Time) time.Duration {
 	if !heard.Before(leadingSince) {
 		return now.Sub(heard)
@@ -233,7 +234,7 @@
 	return count
 }
 
-// responsiveLearners counts the learners that are not silent for a time.
+// responsiveLearners counts the learners that were heard within a time.
 func (o observedState) responsiveLearners(limit time.Duration) int {
 	count := 0
 	for _, member := range o.Members {
@@ -244,7 +245,7 @@
 	return count
 }
 
-// hasFillableVacancy tells whether a place is free that learners take as soon as they can.
+// hasFillableVacancy reports whether there is a vacancy that responsive learners will fill as soon as they are promotable.
 func (o observedState) hasFillableVacancy() bool {
 	candidates := 0
 	for _, member := range o.Members {
@@ -255,7 +256,7 @@
 	return o.voterCount() < o.DesiredVoters && (candidates > 1 || (candidates == 1 && o.voterCount()%2 == 0))
 }
 
-// unresponsiveVoters counts the voters, the leader apart, that are silent for at least a time.
+// unresponsiveVoters counts the voters, the leader apart, that were not heard for at least a time.
 func (o observedState) unresponsiveVoters(atLeast time.Duration) int {
 	count := 0
 	for _, member := range o.Members {
@@ -266,7 +267,7 @@
 	return count
 }
 
-// longestUnresponsiveVoter returns the voter that is silent longest, if that is at least a time.
+// longestUnresponsiveVoter returns the voter that was not heard for longest, if that is at least a time.
 func (o observedState) longestUnresponsiveVoter(atLeast time.Duration) (consensus.MemberID, bool) {
 	var longest consensus.Member
 	for _, member := range o.Members {
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -34,7 +34,7 @@
 func TestNextMembershipChange(t *testing.T) {
 	added := func(member consensus.Member) replica.Change { return replica.Change{Add: &member} }
 	renewed := joinRequest{ID: 9, Address: "k3"}
-	silence := func(id consensus.MemberID, span time.Duration) map[consensus.MemberID]time.Duration {
+	sinceHeard := func(id consensus.MemberID, span time.Duration) map[consensus.MemberID]time.Duration {
 		return map[consensus.MemberID]time.Duration{id: span}
 	}
 	three := []consensus.Member{voter(1), voter(2), voter(3)}
@@ -70,7 +70,7 @@
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5)}},
 		{name: "nor while a voter does not answer",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5),
-				SinceHeard: silence(3, missedHeartbeatsAge)}},
+				SinceHeard: sinceHeard(3, missedHeartbeatsAge)}},
 		{name: "a wiped disk: the old member goes first, for good, if the new one lives",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{renewed}},
 			want:  replica.Change{Remove: 3, Retire: true}, confirm: 9},
@@ -93,28 +93,28 @@
 		{name: "no more stand-bys than wanted",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(4), joinRequestFrom(5)}}},
 		{name: "a stand-by that is silent leaves its place to another",
-			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(5)}, SinceHeard: silence(4, voterTimeout)},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(5)}, SinceHeard: sinceHeard(4, voterTimeout)},
 			want:  added(learner(5)), confirm: 5},
 		{name: "a voter is silent: a further stand-by becomes a learner",
-			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: silence(3, voterTimeout)},
+			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)},
 			want:  added(learner(4)), confirm: 4},
 		{name: "a silent voter makes room for a learner that holds nearly all",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4),
 				SinceHeard: map[consensus.MemberID]time.Duration{2: voterTimeout, 3: 2 * voterTimeout}},
 			want: replica.Change{Remove: 3}},
 		{name: "but not for one that only asks",
-			given: observedState{Members: threeAndOne, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: silence(3, voterTimeout)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)}},
 		{name: "not silent for long enough",
-			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), SinceHeard: silence(3, voterTimeout-1)}},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), SinceHeard: sinceHeard(3, voterTimeout-1)}},
 		{name: "one learner for each place",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3), joinRequestFrom(4)}}},
 		{name: "a surplus voter goes when it is silent",
-			given: observedState{Members: four, DesiredVoters: 3, SinceHeard: silence(4, voterTimeout)},
+			given: observedState{Members: four, DesiredVoters: 3, SinceHeard: sinceHeard(4, voterTimeout)},
 			want:  replica.Change{Remove: 4}},
 		{name: "a surplus voter that is there stays",
 			given: observedState{Members: four, DesiredVoters: 3}},
 		{name: "a learner that asks no more goes",
-			given: observedState{Members: threeAndOne, DesiredVoters: 3, SinceHeard: silence(4, learnerTimeout)},
+			given: observedState{Members: threeAndOne, DesiredVoters: 3, SinceHeard: sinceHeard(4, learnerTimeout)},
 			want:  replica.Change{Remove: 4}},
 		{name: "a leaving voter becomes a learner if its successor can take the place",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3), Successors: memberIDs(4)},
@@ -179,7 +179,7 @@
 	return fmt.Sprintf("remove %d", change.Remove)
 }
 
-// simulatedGroup is a group together with the keepers that run; each asks whenever it is not a voter.
+// simulatedGroup is a group together with the running servers; each sends join requests whenever it is not a voter.
 type simulatedGroup struct {
 	members []consensus.Member
 	running map[string]consensus.MemberID // by address
@@ -206,17 +206,17 @@
 	return s
 }
 
-// apply makes a change as a group does; it returns false for one that a group would refuse.
+// apply makes a change as a group does; it returns false for one that a group would reject.
 func (w *simulatedGroup) apply(change replica.Change) bool {
 	if change.Add == nil {
-		kept := []consensus.Member{}
+		remaining := []consensus.Member{}
 		for _, member := range w.members {
 			if member.ID != change.Remove {
-				kept = append(kept, member)
+				remaining = append(remaining, member)
 			}
 		}
-		removed := len(kept) == len(w.members)-1
-		w.members = kept
+		removed := len(remaining) == len(w.members)-1
+		w.members = remaining
 		return removed && change.Remove != 1
 	}
 	for i, member := range w.members {
@@ -297,7 +297,7 @@
 	return false
 }
 
-// TestServer_TrackReadiness_longestReadyFirst holds the order in which learners are to become voters: one whose disk hung is
+// TestServer_TrackReadiness_longestReadyFirst fixes the order in which learners become voters: one whose disk hung is
 // ready anew, and after the others.
 func TestServer_TrackReadiness_longestReadyFirst(t *testing.T) {
 	s, _, _ := newScriptedServer(t)
@@ -313,6 +313,6 @@
 		at(after, 4, 5)
 	}
 	if steady := at(later+stableAfter, 4, 5); !slices.Equal(steady, memberIDs(5, 4)) {
-		t.Fatalf("ready for some time: %v", steady)
+		t.Fatalf("stable learners: %v", steady)
 	}
 }
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -15,16 +15,16 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// metrics counts what the keeper does.
+// metrics holds the counters of /-/metrics.
 type metrics struct {
 	feedSessions atomic.Int64
 	mutex        sync.Mutex
 	calls        map[callSeries]uint64
-	roleCommands map[int]uint64                // by the status of the worker's answer
-	roleStates   map[string]roleplanner.Status // by service, as this keeper saw it last as the holder
+	roleCommands map[int]uint64                // by the HTTP status of the worker's answer
+	roleStates   map[string]roleplanner.Status // by service, as last planned by this server
 }
 
-// callSeries is one line of the counted calls.
+// callSeries is the label set of one counter of calls.
 type callSeries struct {
 	method string
 	status int
@@ -39,7 +39,7 @@
 	m.calls[callSeries{method, status}]++
 }
 
-// countRoleCommand counts an order to a worker by the status of its answer, 0 if there was none.
+// countRoleCommand counts a role command by the HTTP status of the worker's answer, 0 if there was none.
 func (m *metrics) countRoleCommand(status int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -49,7 +49,7 @@
 	m.roleCommands[status]++
 }
 
-// setRoleState notes how a service stands, and returns how it stood before.
+// setRoleState records the planner's status of a service and returns the one before.
 func (m *metrics) setRoleState(service string, state roleplanner.Status) (before roleplanner.Status) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -60,7 +60,7 @@
 	return before
 }
 
-// roleLines returns the stages of services and the orders given as text.
+// roleLines returns the role states and role commands in the Prometheus text format. The caller holds the mutex.
 func (m *metrics) roleLines() []string {
 	var lines []string
 	for status, count := range m.roleCommands {
@@ -81,7 +81,7 @@
 	return lines
 }
 
-// lines returns the counted calls as text, sorted.
+// lines returns all counters in the Prometheus text format, sorted.
 func (m *metrics) lines() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/server/ownership.go
+++ b/internal/controlplane/server/ownership.go
@@ -10,7 +10,7 @@
 	"ospreybend/coord/replica"
 )
 
-// onGroupStatus follows a group's role and members. Called by the group's loop: it must not block.
+// onGroupStatus handles a change of a group's role, leader or members. The group's event loop calls it: it must not block.
 func (s *Server) onGroupStatus(shard *shard, status replica.Status) {
 	s.directory.setMembers(shard.id, status.Members)
 	s.updateLeaderContext(shard, status.Leader)
@@ -20,7 +20,7 @@
 	}
 	shard.stateMachine.setLeaderTerm(leading)
 	if s.updateLeadership(shard, status.IsLeader()) {
-		s.logger.Info("leads a shard", zap.Uint32("shard", uint32(shard.id)), zap.Uint64("term", status.Term))
+		s.logger.Info("became shard leader", zap.Uint32("shard", uint32(shard.id)), zap.Uint64("term", status.Term))
 		s.lifecycle.background.Go(func() { s.acquireOwnership(shard, leading) })
 	}
 	s.ownersChanged.notifyAll()
@@ -28,7 +28,7 @@
 	s.environment.OnGroupStatus(status)
 }
 
-// updateLeaderContext ends the calls that wait for an owner of the shard who is no longer the leader.
+// updateLeaderContext cancels the calls to the earlier leader of a shard when the leader changes.
 func (s *Server) updateLeaderContext(shard *shard, leader consensus.Member) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -42,7 +42,7 @@
 	shard.leaderContext, shard.cancelLeaderContext = context.WithCancel(context.Background())
 }
 
-// leaderContext ends when the leader of the shard is another one.
+// leaderContext returns a context that ends when the shard has another leader.
 func (s *Server) leaderContext(shard *shard) context.Context {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -52,7 +52,7 @@
 	return shard.leaderContext
 }
 
-// updateLeadership records whether a shard is led, and tells whether that has just begun.
+// updateLeadership records whether this server leads a shard, and reports whether it has just become the leader.
 func (s *Server) updateLeadership(shard *shard, leads bool) (begun bool) {
 	now := s.environment.Now()
 	shard.mutex.Lock()
@@ -67,8 +67,8 @@
 	return begun
 }
 
-// acquireOwnership waits until this replica has applied all that earlier leaders acknowledged, and
-// then starts to own the shard, unless it no longer leads in the term.
+// acquireOwnership waits until this replica has applied all that earlier leaders acknowledged, and then starts to own the shard,
+// unless the leadership of the term has ended.
 func (s *Server) acquireOwnership(shard *shard, term uint64) {
 	select {
 	case <-s.groups.opened:
--- a/internal/controlplane/server/peer_handler.go
+++ b/internal/controlplane/server/peer_handler.go
@@ -6,13 +6,13 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// Connected notes where a peer is.
+// Connected implements peertransport.Handler: it records the failure domain of a peer.
 func (s *Server) Connected(peer peertransport.Hello) {
 	s.directory.learn(serverInfo{Address: peer.Address, Zone: peer.Zone, Region: peer.Region})
 }
 
-// Messages hands agreement messages to their groups. Those for an earlier member with this
-// address are dropped.
+// Messages implements peertransport.Handler: it delivers consensus messages to their groups. Messages for an earlier member at this
+// address are dropped: this one must not vote on its behalf.
 func (s *Server) Messages(_ peertransport.Hello, batch []peertransport.GroupMessage) {
 	for _, received := range batch {
 		if received.Message.To == s.self.ID || !s.environment.guardEnabled(GuardMemberAddressed) {
@@ -21,7 +21,7 @@
 	}
 }
 
-// Call carries out what another keeper asks.
+// Call implements peertransport.Handler: it executes the call of another server.
 func (s *Server) Call(ctx context.Context, peer peertransport.Hello, kind peertransport.CallKind, body []byte) ([]byte, error) {
 	switch kind {
 	case callJoin:
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -14,56 +14,56 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Kinds of calls between keepers.
+// Kinds of calls between servers. The numbers are on the wire.
 const (
-	callReplace         peertransport.CallKind = 1 // a whole configuration
-	callUpdate          peertransport.CallKind = 2 // a change of it
-	callRead            peertransport.CallKind = 3 // the newest configuration
+	callReplace         peertransport.CallKind = 1 // replace the configuration
+	callUpdate          peertransport.CallKind = 2 // change parts of it
+	callRead            peertransport.CallKind = 3 // read the newest configuration
 	callHeartbeat       peertransport.CallKind = 4 // a worker's heartbeat
 	callNodeHeartbeats  peertransport.CallKind = 5 // heartbeats of edge nodes
 	callDeregister      peertransport.CallKind = 6
-	callJoin            peertransport.CallKind = 7  // a keeper asks to be taken into groups
-	callGroupStates     peertransport.CallKind = 8  // which shards a keeper could own
-	callSessionLiveness peertransport.CallKind = 9  // instances whose heartbeats another keeper has acknowledged
-	callIdentity        peertransport.CallKind = 10 // which member lives at this address
-	callLeave           peertransport.CallKind = 11 // a keeper that is about to end offers its places in groups
-	callDemand          peertransport.CallKind = 12 // the demand of services that a keeper's proxies report
+	callJoin            peertransport.CallKind = 7  // join request: be added to groups
+	callGroupStates     peertransport.CallKind = 8  // states of a server's replicas
+	callSessionLiveness peertransport.CallKind = 9  // heartbeats that another server has acknowledged
+	callIdentity        peertransport.CallKind = 10 // which member runs at this address
+	callLeave           peertransport.CallKind = 11 // a server that shuts down releases its votes
+	callDemand          peertransport.CallKind = 12 // demand that another server's proxies report
 )
 
-// shardRequest is what the owner of a shard is asked.
+// shardRequest is a request to the owner of a shard, as one server forwards it to another.
 type shardRequest struct {
 	Kind  peertransport.CallKind
 	Shard shards.ID
-	ID    string // of the instance
-	Base  uint64 // of a change to the configuration
+	ID    string // instance ID; for demand, the sending server's address
+	Base  uint64 // base version of a configuration change
 	Body  []byte
 }
 
-// shardResponse is what the owner of a shard says.
+// shardResponse is the owner's answer to a shardRequest. Its fields are encoded by name (see responseSchema).
 type shardResponse struct {
-	NotOwner bool   // nothing was done; Leader is the address of the owner, if known
+	NotOwner bool   // nothing was done; Leader is the owner, if known
 	Leader   string // "ip:port" of the peer listener
-	Status   int    // of HTTP
-	Code     int    // of an error
+	Status   int    // HTTP status
+	Code     int    // of an error, see docs/ERRORS.md
 	Text     string
-	Body     []byte // of a success
-	Known    bool   // Deregister: the instance was known
+	Body     []byte // response body of a success
+	Known    bool   // of callDeregister: the instance was known
 }
 
-// edgeNode is one edge node whose agent reads this keeper's feed.
+// edgeNode is an edge node whose agent reads this server's feed. Its fields are encoded by name.
 type edgeNode struct {
 	ID      string
 	Address string // "ip:port"
 	Zone    string
 }
 
-// sessionHeartbeat tells that an instance was heard.
+// sessionHeartbeat reports that a heartbeat of an instance was acknowledged. Its fields are encoded by name.
 type sessionHeartbeat struct {
 	ID       string
-	Sequence int64 // of its heartbeat
+	Sequence int64 // of the heartbeat
 }
 
-// groupState is how far a keeper is with one group.
+// groupState is the state of a server's replica of one group. Its fields are encoded by name.
 type groupState struct {
 	Shard    int
 	Voter    bool
@@ -71,14 +71,14 @@
 	Writable bool
 }
 
-// identityReply tells which member lives at an address.
+// identityReply identifies the member that runs at an address.
 type identityReply struct {
 	ID           consensus.MemberID
-	Age          time.Duration // since its process began
-	ShuttingDown bool          // it is about to end
+	Age          time.Duration // since the process was opened
+	ShuttingDown bool          // a graceful shutdown has begun
 }
 
-// serverInfo tells where a keeper is.
+// serverInfo is the address and failure domain of a server. Its fields are encoded by name.
 type serverInfo struct {
 	Address string // "ip:port" of the peer listener
 	Zone    string
@@ -128,7 +128,7 @@
 		{"name":"Region","type":"string"}]}}`)
 )
 
-// codec admits strings and byte fields up to the length of a frame.
+// codec accepts strings and byte fields up to the length of a frame.
 var codec = avro.Config{MaxByteSliceSize: feedtransport.MaxFrameBytes}.Freeze()
 
 // wireShardRequest mirrors callSchema.
@@ -148,10 +148,10 @@
 func decodeShardRequest(body []byte) (shardRequest, error) {
 	var wire wireShardRequest
 	if err := strictavro.Unmarshal(codec, callSchema, body, &wire); err != nil {
-		return shardRequest{}, fmt.Errorf("keeper: call: %w", err)
+		return shardRequest{}, fmt.Errorf("decode shard request: %w", err)
 	}
 	if wire.Shard < 0 || wire.Shard >= shards.ShardCount {
-		return shardRequest{}, fmt.Errorf("keeper: call: no shard %d", wire.Shard)
+		return shardRequest{}, fmt.Errorf("decode shard request: no shard %d", wire.Shard)
 	}
 	return shardRequest{
 		Kind: peertransport.CallKind(wire.Kind), Shard: shards.ID(wire.Shard),
@@ -174,7 +174,7 @@
 func decodeIdentity(body []byte) (identityReply, error) {
 	var wire wireIdentity
 	if err := strictavro.Unmarshal(codec, identitySchema, body, &wire); err != nil {
-		return identityReply{}, fmt.Errorf("keeper: identity: %w", err)
+		return identityReply{}, fmt.Errorf("decode identity: %w", err)
 	}
 	return identityReply{
 		ID: consensus.MemberID(wire.Member), Age: time.Duration(wire.AgeMs) * time.Millisecond, ShuttingDown: wire.Leaving,
@@ -188,31 +188,31 @@
 func decodeShardResponse(body []byte) (shardResponse, error) {
 	var response shardResponse
 	if err := strictavro.Unmarshal(codec, responseSchema, body, &response); err != nil {
-		return shardResponse{}, fmt.Errorf("keeper: answer: %w", err)
+		return shardResponse{}, fmt.Errorf("decode shard response: %w", err)
 	}
 	if !response.isDefinitive() {
-		return shardResponse{}, fmt.Errorf("keeper: answer: status %d", response.Status)
+		return shardResponse{}, fmt.Errorf("decode shard response: unexpected status %d", response.Status)
 	}
 	return response, nil
 }
 
-// isDefinitive tells whether an answer is one that an owner gives: a success, a refusal, or that it is not
-// known what became of the call, or not done.
+// isDefinitive reports whether a response is one that a server gives: a success, a rejection, not the owner, or a 503 for an outcome
+// that is not known. Anything else was damaged or comes from another version.
 func (response shardResponse) isDefinitive() bool {
-	refused := response.Status >= http.StatusBadRequest && response.Status < http.StatusInternalServerError
-	return response.NotOwner || response.Status == http.StatusOK || refused || response.Status == http.StatusServiceUnavailable
+	rejected := response.Status >= http.StatusBadRequest && response.Status < http.StatusInternalServerError
+	return response.NotOwner || response.Status == http.StatusOK || rejected || response.Status == http.StatusServiceUnavailable
 }
 
-// okResponse is the answer to a call that was carried out.
+// okResponse returns the response to a request that succeeded.
 func okResponse(body []byte) shardResponse { return shardResponse{Status: http.StatusOK, Body: body} }
 
-// errorResponse is the answer of one of this package's codes.
+// errorResponse returns the response for one of this package's codes.
 func errorResponse(code Code) shardResponse {
 	entry := codes.Entry(code)
 	return shardResponse{Status: entry.HTTPStatus, Code: int(code), Text: entry.Text}
 }
 
-// notOwnerResponse is the answer of a keeper that does not lead the shard.
+// notOwnerResponse returns the response of a server that does not lead the shard. leader is the address of the one that does, if known.
 func notOwnerResponse(leader string) shardResponse {
 	return shardResponse{NotOwner: true, Leader: leader}
 }
--- a/internal/controlplane/server/planned_replacement_test.go
+++ b/internal/controlplane/server/planned_replacement_test.go
@@ -8,7 +8,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// votersAndLearners counts the voters and learners of all shards by address, as the shards' leaders among some keepers see them. It
+// votersAndLearners counts the voters and learners of all shards by address, as the shards' leaders among some servers see them. It
 // returns false while a shard has no leader among them.
 func (f *testCluster) votersAndLearners(among ...int) (voters, learners map[string]int, led bool) {
 	voters, learners = map[string]int{}, map[string]int{}
@@ -32,7 +32,7 @@
 	return voters, learners, leaders == len(allShards)
 }
 
-// TestCluster_plannedReplacementKeepsVoters starts a fourth keeper, ends a voter as a SIGTERM does, and expects the place to be
+// TestCluster_plannedReplacementKeepsVoters starts a fourth server, ends a voter as a SIGTERM does, and expects the vote to be
 // taken before that process has ended, unless it had to end before.
 func TestCluster_plannedReplacementKeepsVoters(t *testing.T) {
 	f := newTestCluster(t, 4)
@@ -56,26 +56,26 @@
 		return answers && learners[newcomer] == shards
 	})
 	took := f.terminate(0)
-	t.Logf("the old keeper left in %s", took)
+	t.Logf("the old server shut down in %s", took)
 	if took > 2*time.Second {
-		t.Errorf("leaving took %s", took)
+		t.Errorf("the graceful shutdown took %s", took)
 	}
 	ended := time.Now()
 	var voters map[string]int
-	handedOver := func() bool {
+	voteTransferred := func() bool {
 		return voters[newcomer] == shards && voters[ownPeerAddress(f.processes[0].config)] == 0
 	}
 	f.await("leaders", func() (led bool) {
 		voters, _, led = f.votersAndLearners(1, 2, 3)
 		return led
 	})
-	inTime := took < leaderTransferTimeout*3/4 // on a machine under load the time that it gives itself may run out
-	if inTime && (!handedOver() || time.Since(ended) >= voterTimeout) {
-		t.Fatalf("%s after the old keeper ended, the voters are %v", time.Since(ended), voters)
+	inTime := took < leaderTransferTimeout*3/4 // on a loaded machine the hand-over may time out
+	if inTime && (!voteTransferred() || time.Since(ended) >= voterTimeout) {
+		t.Fatalf("%s after the old server ended, the voters are %v", time.Since(ended), voters)
 	}
 	f.await("a successor for each place", func() bool {
 		voters, _, _ = f.votersAndLearners(1, 2, 3)
-		return handedOver()
+		return voteTransferred()
 	})
 	f.terminate(2) // a second loss right after the replacement
 	status, content = f.doUntilDefinitive(1, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -8,15 +8,16 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// registryMachine is the state machine of a shard of instances, with what its owner knows beside.
+// registryMachine is the state machine of a registry shard. Beside the replicated store it holds the owner's soft state, such as
+// the times of heartbeats, which ends with the ownership.
 type registryMachine struct {
 	feedState
 	store        *registry.Store
 	owner        *registry.LivenessTracker
 	now          func() time.Time
-	guardEnabled func(Guard) bool // tells whether a guard is in force
-	leaderTerm   uint64           // term in which this replica leads; 0: it does not
-	owned        bool             // it leads and has applied all that earlier owners acknowledged
+	guardEnabled func(Guard) bool // Environment.guardEnabled
+	leaderTerm   uint64           // term in which this replica leads, 0 if it does not
+	owned        bool             // this replica leads and has applied all that earlier owners acknowledged
 }
 
 func newRegistryMachine(heartbeatInterval time.Duration, environment Environment) *registryMachine {
@@ -26,7 +27,7 @@
 	}
 }
 
-// Apply carries out a change to the instances; its result is a registry.Outcome.
+// Apply applies a committed change of the instances; its result is a registry.Outcome.
 func (m *registryMachine) Apply(entry consensus.Entry) any {
 	now := m.now()
 	m.mutex.Lock()
@@ -37,14 +38,14 @@
 	return outcome
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *registryMachine) Snapshot() []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.store.Snapshot()
 }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot's. It returns an error if the snapshot cannot be decoded.
 func (m *registryMachine) Restore(index uint64, data []byte) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// setLeaderTerm notes the term in which this replica leads, 0 if it does not. Ownership ends with it.
+// setLeaderTerm records the term in which this replica leads, 0 if it does not. The ownership ends when the term changes.
 func (m *registryMachine) setLeaderTerm(term uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -70,7 +71,7 @@
 	m.owner.OwnershipLost()
 }
 
-// ownershipGained starts the ownership, unless leadership of the term has ended meanwhile.
+// ownershipGained starts the ownership, unless the leadership of the term has ended meanwhile.
 func (m *registryMachine) ownershipGained(now time.Time, term uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -94,13 +95,13 @@
 	return m.owner.Heartbeat(now, heartbeat, m.store.Instance(heartbeat.ID)), true
 }
 
-// isRemoved tells whether a heartbeat is of an instance that is gone for good: it may serve on, and its words change nothing. The IDs of
-// nodes come back. The caller holds the mutex.
+// isRemoved reports whether a heartbeat is of an instance that was removed for good: it may still serve, but its heartbeats change
+// nothing. Edge nodes are exempt, their IDs come back. The caller holds the mutex.
 func (m *registryMachine) isRemoved(heartbeat registry.Heartbeat) bool {
 	return heartbeat.Service != registry.NodesService && m.store.Removed(heartbeat.ID)
 }
 
-// matchesRecord tells whether the store has just what a heartbeat says, or that its instance is gone for good.
+// matchesRecord reports whether the store has exactly what a heartbeat says, or its instance was removed for good.
 func (m *registryMachine) matchesRecord(heartbeat registry.Heartbeat) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -108,7 +109,7 @@
 	return m.isRemoved(heartbeat) || stored != nil && registry.SameRecord(*stored, heartbeat.Instance)
 }
 
-// recordHeard notes instances that another keeper has heard. It returns false while this replica does not own the shard.
+// recordHeard records heartbeats that another server has acknowledged. It returns false while this replica does not own the shard.
 func (m *registryMachine) recordHeard(now time.Time, heartbeats []sessionHeartbeat) (owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -121,7 +122,7 @@
 	return true
 }
 
-// decideDeregister decides on a departure; known tells whether the instance is in the store, or was.
+// decideDeregister decides on the removal of an instance. known reports whether the instance is, or was, in the store.
 func (m *registryMachine) decideDeregister(now time.Time, id string) (decision registry.Decision, known, owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -135,7 +136,7 @@
 	return m.owner.Deregister(now, id, known), known, true
 }
 
-// lookUp tells whether this replica knows an instance, and whether it is gone for good then.
+// lookUp reports whether this replica knows an instance, and whether it was removed for good.
 func (m *registryMachine) lookUp(id string) (known, removed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -143,7 +144,7 @@
 	return known, known && m.store.Removed(id)
 }
 
-// expiryCommands returns the commands that remove instances which fell silent.
+// expiryCommands returns the commands that remove the instances whose heartbeats have timed out.
 func (m *registryMachine) expiryCommands(now time.Time) [][]byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -153,14 +154,14 @@
 	return m.owner.Expired(now)
 }
 
-// ownsInTerm tells whether this replica owns the shard, in a term.
+// ownsInTerm reports whether this replica owns the shard in a term.
 func (m *registryMachine) ownsInTerm(term uint64) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.owned && m.leaderTerm == term
 }
 
-// workersByService lists the workers of the services that have stages, by service, in the order of their IDs.
+// workersByService returns the workers of the services with prefill and decode roles, by service, each sorted by ID.
 func (m *registryMachine) workersByService() map[string][]roleplanner.Worker {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -14,32 +14,32 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// WorkerClient calls workers for the control plane.
+// WorkerClient calls workers. The wire calls a worker's role its stage.
 type WorkerClient interface {
-	// SendRoleCommand gives a worker an order and returns the status of its answer, 0 if there is none.
-	SendRoleCommand(ctx context.Context, order RoleCommand) (status int)
-	// ReportedRole asks a worker for its stage; empty: it did not tell, or changes it just now.
+	// SendRoleCommand sends a command to a worker and returns the HTTP status of the answer, 0 if there is none.
+	SendRoleCommand(ctx context.Context, command RoleCommand) (status int)
+	// ReportedRole polls a worker for its role; empty if it gave no answer or is in transition.
 	ReportedRole(ctx context.Context, instance, address string) string
 }
 
-// RoleCommand is one order to a worker to change its stage.
+// RoleCommand commands a worker to change its role.
 type RoleCommand struct {
 	Instance     string // the worker's ID
 	Address      string // "ip:port"
 	Role         string
-	LeaseHolder  string // the machine that gives it
-	FencingToken uint64 // rises with every change of the holder
+	LeaseHolder  string // node name of the sending server
+	FencingToken uint64 // the term of the ownership: rises with every change of owner
 }
 
-// shardRoles is what the holder of a shard's services knows of their stages.
+// shardRoles is the role planners' state of one owned shard. The role planner's loop alone uses it, and drops it when the
+// ownership ends.
 type shardRoles struct {
-	term     uint64    // of the ownership that this belongs to; 0: none
-	since    time.Time // when it began
+	term     uint64    // of the ownership; 0: none
+	since    time.Time // start of the ownership
 	planners map[string]*roleplanner.Planner
 }
 
-// runRolePlanner has the workers of services change their stages as the demand asks, for the shards that this keeper
-// owns, until ctx ends. All state but what is replicated ends with the ownership.
+// runRolePlanner decides and assigns the roles (prefill or decode) of workers for the shards that this server owns, until ctx ends.
 func (s *Server) runRolePlanner(ctx context.Context) {
 	var roles [shards.ShardCount]shardRoles
 	runPeriodically(ctx, rolePlanInterval, func() {
@@ -51,7 +51,9 @@
 	})
 }
 
-// planShardRoles takes one step for the services of a shard.
+// planShardRoles runs one step for the services of a shard: it has roleplanner.Planner decide, records the assignments in the
+// registry, and only then sends the commands to the workers. A new owner waits for newOwnerQuietPeriod, and an owner without
+// recent contact with a majority does nothing.
 func (s *Server) planShardRoles(ctx context.Context, shard *shard, roles *shardRoles) {
 	status := shard.group.Status()
 	machine := s.registryMachine(shard.id)
@@ -81,22 +83,23 @@
 	}
 }
 
-// newOwnerQuietPeriod is how long a new owner gives no orders: those of the owner before it must have been given a lease earlier.
+// newOwnerQuietPeriod returns how long a new owner sends no commands: by then the lease under which the earlier owner may send them
+// has ended.
 func newOwnerQuietPeriod(bounds bootconfig.Bounds) time.Duration {
 	return bootconfig.Millis(bounds.LeaseMs) + leaseSafetyMargin
 }
 
-// recordAssignments records the stages that workers are to have. What fails is decided on anew.
+// recordAssignments records the roles that workers are assigned in the registry. What fails is decided on again.
 func (s *Server) recordAssignments(ctx context.Context, shard *shard, service string, assignments []roleplanner.Assignment) {
 	commands := make([][]byte, 0, len(assignments))
 	for _, assignment := range assignments {
 		commands = append(commands, registry.EncodeAssign(assignment.ID, assignment.Stage))
-		s.logger.Info("stage wanted", zap.String("service", service), zap.String("worker", assignment.ID), zap.String("stage", assignment.Stage))
+		s.logger.Info("role assigned", zap.String("service", service), zap.String("worker", assignment.ID), zap.String("role", assignment.Stage))
 	}
 	s.proposeAll(ctx, shard, commands)
 }
 
-// proposeAll proposes commands at the same time and waits until they are applied, or for assignBudget.
+// proposeAll proposes commands concurrently and waits until they are applied, or for assignmentTimeout.
 func (s *Server) proposeAll(ctx context.Context, shard *shard, commands [][]byte) {
 	if len(commands) == 0 {
 		return
@@ -111,61 +114,69 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		s.logger.Info("not all stages were recorded", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
+		s.logger.Info("not all roles were recorded", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 	}
 }
 
-// recordCompletedTransitions asks workers for their stages and records those that have the stage that is wanted.
+// recordCompletedTransitions polls workers for their roles and records those that have taken their assigned one, which is faster
+// than waiting for their next heartbeats.
 func (s *Server) recordCompletedTransitions(ctx context.Context, shard *shard, polls []roleplanner.Command) {
-	stages := make([]string, len(polls))
+	roles := make([]string, len(polls))
 	var group errgroup.Group
 	for i, poll := range polls {
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
 			defer cancel()
-			stages[i] = s.environment.Workers.ReportedRole(ctx, poll.ID, poll.Address)
+			roles[i] = s.environment.Workers.ReportedRole(ctx, poll.ID, poll.Address)
 			return nil
 		})
 	}
 	_ = group.Wait()
 	var commands [][]byte
 	for i, poll := range polls {
-		if stages[i] == poll.Stage {
+		if roles[i] == poll.Stage {
 			commands = append(commands, registry.EncodeStage(poll.ID, poll.Stage))
 		}
 	}
 	s.proposeAll(ctx, shard, commands)
 }
 
-// sendRoleCommands gives workers orders, all at once, and waits for their answers.
+// commandOutcome is the HTTP status of a worker's answer to a command, 0 if there was none.
+type commandOutcome struct {
+	worker string // ID
+	status int
+}
+
+// sendRoleCommands sends commands to workers concurrently, waits for their answers and passes them on to the planner.
 func (s *Server) sendRoleCommands(ctx context.Context, shard *shard, status replica.Status, planner *roleplanner.Planner, commands []roleplanner.Command) {
-	type ended struct {
-		id     string
-		status int
-	}
-	done := make(chan ended, len(commands))
+	outcomes := make(chan commandOutcome, len(commands))
 	for _, command := range commands {
 		s.lifecycle.background.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
-			defer cancel()
-			answered := 0
-			if now := shard.group.Status(); now.IsLeader() && now.Term == status.Term && isCurrent(now) {
-				answered = s.environment.Workers.SendRoleCommand(ctx, RoleCommand{
-					Instance: command.ID, Address: command.Address, Role: command.Stage, LeaseHolder: s.settings.NodeName, FencingToken: status.Term,
-				})
-			}
-			done <- ended{command.ID, answered}
+			outcomes <- commandOutcome{command.ID, s.sendRoleCommand(ctx, shard, status.Term, command)}
 		})
 	}
 	for range commands {
-		command := <-done
-		planner.CommandFinished(command.id, commandResult(command.status))
-		s.metrics.countRoleCommand(command.status)
-		s.logger.Info("stage ordered", zap.String("worker", command.id), zap.Int("status", command.status))
+		outcome := <-outcomes
+		planner.CommandFinished(outcome.worker, commandResult(outcome.status))
+		s.metrics.countRoleCommand(outcome.status)
+		s.logger.Info("role command finished", zap.String("worker", outcome.worker), zap.Int("status", outcome.status))
 	}
 }
 
-// commandResult tells what a worker's answer to an order means.
+// sendRoleCommand sends one command and returns the HTTP status of the answer. It sends nothing, and returns 0, if this
+// replica is no longer the current leader of the term, which is the fencing token.
+func (s *Server) sendRoleCommand(ctx context.Context, shard *shard, term uint64, command roleplanner.Command) int {
+	ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
+	defer cancel()
+	if status := shard.group.Status(); !status.IsLeader() || status.Term != term || !isCurrent(status) {
+		return 0
+	}
+	return s.environment.Workers.SendRoleCommand(ctx, RoleCommand{
+		Instance: command.ID, Address: command.Address, Role: command.Stage, LeaseHolder: s.settings.NodeName, FencingToken: term,
+	})
+}
+
+// commandResult classifies a worker's answer to a role command.
 func commandResult(status int) roleplanner.Result {
 	switch status {
 	case statusOK, statusAccepted:
@@ -177,14 +188,15 @@
 	}
 }
 
-// recordRoleState keeps how a service stands for the figures, and logs a new decision.
+// recordRoleState records the planner's status of a service for the metrics. It logs each new decision, and every roleLogInterval
+// the status of a service with demand.
 func (s *Server) recordRoleState(service string, state roleplanner.Status) {
 	before := s.metrics.setRoleState(service, state)
 	if before.TargetPrefill == state.TargetPrefill && (state.Demand == (roleplanner.Demand{}) || s.uptime()%roleLogInterval >= rolePlanInterval) {
 		return
 	}
-	s.logger.Info("stages", zap.String("service", service), zap.Int("wanted", state.TargetPrefill),
-		zap.Int("readers", state.PrefillWorkers), zap.Int("writers", state.DecodeWorkers), zap.Int("turning", state.Transitioning),
-		zap.Float64("read", state.Demand.Prefill), zap.Float64("readDone", state.Demand.PrefillDone), zap.Float64("slots", state.Demand.Slots),
-		zap.Float64("memory", state.Demand.Memory), zap.Float64("moves", state.Demand.Transfers))
+	s.logger.Info("role plan", zap.String("service", service), zap.Int("targetPrefill", state.TargetPrefill),
+		zap.Int("prefillWorkers", state.PrefillWorkers), zap.Int("decodeWorkers", state.DecodeWorkers), zap.Int("transitioning", state.Transitioning),
+		zap.Float64("prefillDemand", state.Demand.Prefill), zap.Float64("prefillDone", state.Demand.PrefillDone), zap.Float64("slots", state.Demand.Slots),
+		zap.Float64("memory", state.Demand.Memory), zap.Float64("transfers", state.Demand.Transfers))
 }
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -18,13 +18,13 @@
 
 const stagedService = "llm"
 
-// scriptedWorkerClient are the workers that a keeper calls.
+// scriptedWorkerClient plays the workers that a server calls.
 type scriptedWorkerClient struct {
 	mutex  sync.Mutex
 	orders []RoleCommand
 	status int
 	before func(order RoleCommand)
-	stages map[string]string // by ID, as workers tell when asked
+	stages map[string]string // by ID, as polled
 	asked  int
 }
 
@@ -51,20 +51,20 @@
 	return append([]RoleCommand(nil), w.orders...)
 }
 
-// rolePlannerFixture is a keeper that owns the shard of a service with two readers and seven writers.
+// rolePlannerFixture is a server that owns the shard of a service with two prefill and seven decode workers.
 type rolePlannerFixture struct {
 	*testing.T
-	keeper  *Server
+	server  *Server
 	group   *scriptedGroup
 	workers *scriptedWorkerClient
 	id      shards.ID
-	held    shardRoles
+	roles   shardRoles
 	now     time.Time // of the scene's clock
 }
 
 func newRolePlannerFixture(t *testing.T) *rolePlannerFixture {
 	s, groups, _ := newScriptedServer(t)
-	scene := &rolePlannerFixture{T: t, keeper: s, id: shards.ForService(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
+	scene := &rolePlannerFixture{T: t, server: s, id: shards.ForService(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
 	s.environment.Now = func() time.Time { return scene.now }
 	scene.group = groups[scene.id]
 	s.environment.Workers = scene.workers
@@ -89,12 +89,12 @@
 	return scene
 }
 
-// becomeOwner makes the keeper the owner in a term.
+// becomeOwner makes the server the owner in a term.
 func (s *rolePlannerFixture) becomeOwner(term uint64) {
 	status := leaderStatus()
 	status.Term = term
 	s.group.set(status)
-	machine := s.keeper.registryMachine(s.id)
+	machine := s.server.registryMachine(s.id)
 	machine.setLeaderTerm(term)
 	machine.ownershipGained(s.now, term)
 }
@@ -107,18 +107,18 @@
 		if err != nil {
 			s.Fatal(err)
 		}
-		s.keeper.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, report)
-		for id, sums := range s.keeper.demands.byShard(s.keeper.uptime()) {
+		s.server.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, report)
+		for id, sums := range s.server.demands.byShard(s.server.uptime()) {
 			body, _ := roleplanner.EncodeReport(sums)
-			s.keeper.execute(s.Context(), shardRequest{Kind: callDemand, Shard: id, ID: "self", Body: body})
+			s.server.execute(s.Context(), shardRequest{Kind: callDemand, Shard: id, ID: "self", Body: body})
 		}
-		s.keeper.planShardRoles(s.Context(), s.keeper.shards[s.id], &s.held)
+		s.server.planShardRoles(s.Context(), s.server.shards[s.id], &s.roles)
 	}
 }
 
 func TestServer_PlanShardRoles_newOwnerWaitsOutEarlierLease(t *testing.T) {
 	s := newRolePlannerFixture(t)
-	lease := bootconfig.Millis(s.keeper.settings.Bounds.LeaseMs)
+	lease := bootconfig.Millis(s.server.settings.Bounds.LeaseMs)
 	s.run(lease)
 	if orders := s.workers.commands(); len(orders) != 0 {
 		s.Fatalf("%+v", orders)
@@ -129,7 +129,7 @@
 		s.Fatal("no order")
 	}
 	for _, order := range orders {
-		if order.FencingToken != 3 || order.LeaseHolder != s.keeper.settings.NodeName || order.Role != roleplanner.Prefill || order.Address == "" {
+		if order.FencingToken != 3 || order.LeaseHolder != s.server.settings.NodeName || order.Role != roleplanner.Prefill || order.Address == "" {
 			s.Fatalf("%+v", order)
 		}
 	}
@@ -157,9 +157,9 @@
 	s.run(5 * time.Second)
 	before := len(s.workers.commands())
 	s.group.set(followerStatus("b"))
-	s.keeper.registryMachine(s.id).setLeaderTerm(0)
+	s.server.registryMachine(s.id).setLeaderTerm(0)
 	s.run(20 * time.Second)
-	if after := len(s.workers.commands()); after != before || s.held.term != 0 {
+	if after := len(s.workers.commands()); after != before || s.roles.term != 0 {
 		s.Fatalf("%d orders", after-before)
 	}
 }
@@ -168,7 +168,7 @@
 	s := newRolePlannerFixture(t)
 	early := 0
 	s.workers.before = func(order RoleCommand) {
-		if s.keeper.registryMachine(s.id).store.Instance(order.Instance).Assigned != order.Role {
+		if s.server.registryMachine(s.id).store.Instance(order.Instance).Assigned != order.Role {
 			early++
 		}
 	}
@@ -190,7 +190,7 @@
 	}
 	s.run(time.Second)
 	for id := range s.workers.stages {
-		if stage := s.keeper.registryMachine(s.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
+		if stage := s.server.registryMachine(s.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
 			s.Fatalf("%s is recorded as %s", id, stage)
 		}
 	}
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -93,7 +93,7 @@
 	return encodeShardResponse(reply)
 }
 
-// newScriptedServer returns a keeper whose groups and network a test plays.
+// newScriptedServer returns a server whose groups and network a test scripts.
 func newScriptedServer(t *testing.T) (*Server, [shards.ShardCount]*scriptedGroup, *scriptedNetwork) {
 	t.Helper()
 	config := bootconfig.Defaults()
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -114,10 +114,10 @@
 	return newRegistryMachine(heartbeatInterval, environment)
 }
 
-// Self returns this keeper as a member of its groups.
+// Self returns this server as a member of its groups.
 func (s *Server) Self() consensus.Member { return s.self }
 
-// Inspect returns the state of all groups without its age. It asks no clock.
+// Inspect returns the status of all groups without the ages in it: it reads no clock, so a simulation may call it at any time.
 func (s *Server) Inspect() []replica.Status {
 	var all []replica.Status
 	for _, shard := range s.shards {
@@ -128,5 +128,5 @@
 	return all
 }
 
-// uptime is the time that the process has run, on its monotonic clock.
+// uptime returns how long the server has run, by its monotonic clock.
 func (s *Server) uptime() time.Duration { return s.environment.Now().Sub(s.startedAt) }
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -10,11 +10,10 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// livenessReports are the heartbeats that this keeper has acknowledged by itself and the owners of their shards have not been
-// told of.
+// livenessReports holds the heartbeats that this server has acknowledged by itself and not yet reported to the shards' owners.
 type livenessReports struct {
 	mutex           sync.Mutex
-	highestSequence [shards.ShardCount]map[string]uint64 // the highest sequence, by instance
+	highestSequence [shards.ShardCount]map[string]uint64 // by instance ID
 	added           chan struct{}
 }
 
@@ -30,7 +29,7 @@
 	p.highestSequence[shard][id] = max(p.highestSequence[shard][id], sequence)
 }
 
-// drain returns what was noted of a shard since the last call.
+// drain returns what was recorded for a shard since the last call.
 func (p *livenessReports) drain(shard shards.ID) []sessionHeartbeat {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,8 +41,8 @@
 	return taken
 }
 
-// acknowledgeLocally tells whether a heartbeat may be acknowledged without its shard's owner: this replica is current and
-// has just what the heartbeat says. The owner is told within presenceInterval that the instance was heard.
+// acknowledgeLocally reports whether a heartbeat may be acknowledged without its shard's owner: this replica is current and has
+// exactly what the heartbeat says. The owner learns of it within livenessReportInterval.
 func (s *Server) acknowledgeLocally(shard shards.ID, heartbeat registry.Heartbeat) bool {
 	machine := s.registryMachine(shard)
 	status := s.shards[shard].group.Status()
@@ -60,7 +59,7 @@
 	return true
 }
 
-// runLivenessReports tells the owners of shards who was heard, until ctx ends. It sleeps while nobody is.
+// runLivenessReports reports locally acknowledged heartbeats to the shards' owners until ctx ends. It sleeps while there is none.
 func (s *Server) runLivenessReports(ctx context.Context) {
 	timer := time.NewTimer(livenessReportInterval)
 	defer timer.Stop()
@@ -82,7 +81,7 @@
 	}
 }
 
-// reportLiveness tells the owner of one shard. What it cannot be told is dropped: the instances send again.
+// reportLiveness sends one shard's report to its owner, once: a lost report is made up for by the instances' next heartbeats.
 func (s *Server) reportLiveness(ctx context.Context, id shards.ID) {
 	heartbeats := s.liveness.drain(id)
 	if len(heartbeats) == 0 {
@@ -95,7 +94,7 @@
 	s.forwardInBackground(ctx, shardRequest{Kind: callSessionLiveness, Shard: id, Body: body}, smallCallTimeout)
 }
 
-// executeSessionLiveness notes as the owner of a shard whom another keeper has heard.
+// executeSessionLiveness records, as the owner of a shard, the heartbeats that another server has acknowledged.
 func (s *Server) executeSessionLiveness(request shardRequest) shardResponse {
 	var heartbeats []sessionHeartbeat
 	machine := s.registryMachine(request.Shard)
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -13,7 +13,7 @@
 	presentService = "s"
 )
 
-// newServerWithInstance returns a keeper that follows the shard of an instance and has its record.
+// newServerWithInstance returns a server that follows the shard of an instance and has its record.
 func newServerWithInstance(t *testing.T) (*Server, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
@@ -40,7 +40,7 @@
 		t.Fatal(drained)
 	}
 	if drained := s.liveness.drain(id); len(drained) != 0 {
-		t.Fatal("told twice", drained)
+		t.Fatal("reported twice", drained)
 	}
 }
 
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -11,7 +11,7 @@
 	"ospreybend/coord/shards"
 )
 
-// replicaGroup is what a keeper uses of a replica.Group.
+// replicaGroup is the part of replica.Group that the server uses.
 type replicaGroup interface {
 	Step(message consensus.Message)
 	Propose(ctx context.Context, data []byte) (result any, index uint64, err error)
@@ -22,12 +22,12 @@
 	Status() replica.Status
 }
 
-// leadershipTransferrer is what a group offers that can hand leadership to a chosen voter.
+// leadershipTransferrer is a group that can transfer leadership to a chosen voter. The scripted groups of most tests cannot.
 type leadershipTransferrer interface {
 	TransferLeadershipTo(ctx context.Context, to consensus.MemberID) error
 }
 
-// stateMachine is the part of a shard's state machine that does not depend on what it holds.
+// stateMachine is a shard's state machine, independent of what it replicates.
 type stateMachine interface {
 	replica.StateMachine
 	changesSince(index uint64) ([]feed.Change, *feed.Snapshot)
@@ -37,31 +37,32 @@
 	expiryCommands(now time.Time) [][]byte
 }
 
-// shard is a keeper's replica of one shard.
+// shard is this server's replica of one shard. id, group and stateMachine are fixed once the group is open.
 type shard struct {
 	id           shards.ID
 	group        replicaGroup
 	stateMachine stateMachine
 
-	preferredReadySince time.Time // of maintain alone: since when the preferred owner could take over
+	preferredReadySince time.Time // since when the preferred owner can take over; maintenance loop only
 
 	mutex               sync.Mutex                       // guards all fields below
 	leadingSince        time.Time                        // zero: not leading
-	reconciling         bool                             // changes of members are under way
-	leavingNotices      map[consensus.MemberID]time.Time // members that are about to end, and when they said so
-	learnerReadiness    map[consensus.MemberID]readiness // learners that could be voters
-	leader              consensus.Member                 // as the group's last status said
-	leaderContext       context.Context                  // ends when that is no longer the leader
+	reconciling         bool                             // a reconcile runs
+	leavingNotices      map[consensus.MemberID]time.Time // when members announced their shutdown
+	learnerReadiness    map[consensus.MemberID]readiness // since when learners are promotable
+	leader              consensus.Member                 // by the group's last status
+	leaderContext       context.Context                  // ends when the leader changes
 	cancelLeaderContext context.CancelFunc
 }
 
-// readiness is the span in which a learner was seen able to be a voter.
+// readiness is the span in which a learner was promotable without a gap longer than readinessGap.
 type readiness struct{ since, lastSeen time.Time }
 
-// isCurrent tells whether the replica is known not to be behind the shard's owner.
+// isCurrent reports whether a replica's contact with a majority was confirmed within currentMaxAge: it is then not known to be behind
+// the shard's owner.
 func isCurrent(status replica.Status) bool { return status.ConfirmedAge <= currentMaxAge }
 
-// isVoter tells whether a member has a vote by the membership that this replica knows.
+// isVoter reports whether a member has a vote in the membership that this replica knows.
 func isVoter(status replica.Status, id consensus.MemberID) bool {
 	for _, member := range status.Members {
 		if member.ID == id {
@@ -71,12 +72,12 @@
 	return false
 }
 
-// configurationMachine returns the state machine of shard 0.
+// configurationMachine returns the state machine of the configuration shard.
 func (s *Server) configurationMachine() *configurationMachine {
 	return s.shards[shards.ConfigurationShard].stateMachine.(*configurationMachine)
 }
 
-// registryMachine returns the state machine of a shard of instances, or nil for shard 0.
+// registryMachine returns the state machine of a registry shard, or nil for the configuration shard.
 func (s *Server) registryMachine(id shards.ID) *registryMachine {
 	machine, _ := s.shards[id].stateMachine.(*registryMachine)
 	return machine
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -12,10 +12,10 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// emptyObject is the body of an acknowledgement that tells nothing more.
+// emptyObject is the body of an acknowledgement without content.
 var emptyObject = []byte("{}")
 
-// execute carries out a call as the owner of its shard, or says who the owner is.
+// execute executes a request as the owner of its shard, or responds who the owner is.
 func (s *Server) execute(ctx context.Context, request shardRequest) shardResponse {
 	switch request.Kind {
 	case callReplace:
@@ -38,7 +38,7 @@
 	return errorResponse(InternalFault)
 }
 
-// proposalErrorResponse turns the error of a group's call into an answer.
+// proposalErrorResponse maps the error of a group's call to a response.
 func proposalErrorResponse(err error) shardResponse {
 	var other replica.NotLeaderError
 	switch {
@@ -90,7 +90,7 @@
 	return s.decideHeartbeat(ctx, request, heartbeat)
 }
 
-// decideHeartbeat has the shard's owner decide on a heartbeat and carries the decision out.
+// decideHeartbeat has the shard's owner decide on a heartbeat and applies the decision.
 func (s *Server) decideHeartbeat(ctx context.Context, request shardRequest, heartbeat registry.Heartbeat) shardResponse {
 	machine := s.registryMachine(request.Shard)
 	if machine == nil {
@@ -108,8 +108,8 @@
 	}
 }
 
-// awaitOwnership waits while this replica leads the shard and does not own it yet. Where it does not
-// lead, waiting is false and the answer says so.
+// awaitOwnership waits while this replica leads the shard and does not own it yet. If it does not lead, or ctx ends, waiting is
+// false and the response says so.
 func (s *Server) awaitOwnership(ctx context.Context, request shardRequest, changed <-chan struct{}) (reply shardResponse, waiting bool) {
 	status := s.shards[request.Shard].group.Status()
 	if !status.IsLeader() {
@@ -121,8 +121,8 @@
 	return shardResponse{}, true
 }
 
-// applyDecision does what the owner of a shard has decided. What costs no entry is acknowledged only
-// while this replica is known to lead.
+// applyDecision carries out the decision of a shard's owner. A heartbeat that needs no log entry is acknowledged only while this
+// replica is known to lead.
 func (s *Server) applyDecision(ctx context.Context, request shardRequest, decision registry.Decision) shardResponse {
 	switch decision.Action {
 	case registry.Reject:
@@ -151,19 +151,19 @@
 	return okResponse(emptyObject)
 }
 
-// registryErrorResponse turns the registry's refusal into an answer.
+// registryErrorResponse maps a rejection of the registry to a response.
 func registryErrorResponse(err error) shardResponse {
-	var refusal *registry.Rejection
-	if !errors.As(err, &refusal) || refusal == nil {
+	var rejection *registry.Rejection
+	if !errors.As(err, &rejection) || rejection == nil {
 		return errorResponse(InternalFault)
 	}
-	if refusal.Code == registry.NotOwner {
+	if rejection.Code == registry.NotOwner {
 		return notOwnerResponse("")
 	}
-	return shardResponse{Status: refusal.HTTPStatus, Code: int(refusal.Code), Text: refusal.Text}
+	return shardResponse{Status: rejection.HTTPStatus, Code: int(rejection.Code), Text: rejection.Text}
 }
 
-// executeDeregister removes an instance. One that is not known is acknowledged once the group remembers that it is gone.
+// executeDeregister removes an instance. An unknown one is acknowledged once the group has recorded that it is gone.
 func (s *Server) executeDeregister(ctx context.Context, request shardRequest) shardResponse {
 	machine := s.registryMachine(request.Shard)
 	if machine == nil {
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -15,11 +15,11 @@
 	"ospreybend/coord/replica"
 )
 
-// Reports of /-/status.
+// The reports of /-/status. Operators read the JSON members, so they stay; heardMs is the age of what was last received.
 type (
 	statusReport struct {
 		Address string        `json:"address"`
-		Member  string        `json:"member"` // hexadecimal
+		Member  string        `json:"member"` // member ID, hexadecimal
 		UptimeS int64         `json:"uptimeS"`
 		Leaving bool          `json:"leaving"`
 		Shards  []shardReport `json:"shards"`
--- a/internal/controlplane/server/vote_release.go
+++ b/internal/controlplane/server/vote_release.go
@@ -13,8 +13,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// receiveLeave notes as the leader of groups that a voter is about to end, and returns once its place is taken or nobody is
-// there to take it. The reply names the groups that this keeper does not lead.
+// receiveLeave records, as the leader of groups, that a voter is shutting down. It returns once the vote was released or there is no
+// successor for it. The reply lists the groups that this server does not lead.
 func (s *Server) receiveLeave(ctx context.Context, peer peertransport.Hello, body []byte) ([]byte, error) {
 	var states []groupState
 	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
@@ -39,7 +39,7 @@
 	return codec.Marshal(groupsSchema, notLed)
 }
 
-// awaitRelease waits until no change of members is under way or to be made, and no successor may still catch up.
+// awaitRelease waits until no membership change is in progress or due, and no successor may still catch up.
 func (s *Server) awaitRelease(ctx context.Context, shard *shard, leaving consensus.MemberID) {
 	for {
 		status := shard.group.Status()
@@ -59,13 +59,14 @@
 	}
 }
 
-// isReconciling tells whether a change of members may be made that is not committed yet.
+// isReconciling reports whether a membership change may be in progress that is not committed yet.
 func (s *Server) isReconciling(shard *shard) bool {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	return shard.reconciling
 }
 
+// recordLeaving records that a member is shutting down.
 func (s *Server) recordLeaving(shard *shard, member consensus.MemberID) {
 	now := s.environment.Now()
 	shard.mutex.Lock()
@@ -76,7 +77,7 @@
 	shard.leavingNotices[member] = now
 }
 
-// leavingMembers returns the members that said not long ago that they are about to end.
+// leavingMembers returns the members that announced a shutdown within leavingNoticeMaxAge, sorted.
 func (s *Server) leavingMembers(shard *shard, now time.Time) []consensus.MemberID {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -92,8 +93,8 @@
 	return found
 }
 
-// forgetReturnedMembers forgets that members are leaving whose process is back under the same ID: they only restarted, and their
-// place is not to be given away.
+// forgetReturnedMembers drops the notices of members whose process runs again under the same ID: they only restarted, and keep
+// their votes.
 func (s *Server) forgetReturnedMembers(shard *shard, status replica.Status, leaving []consensus.MemberID) {
 	for _, member := range status.Members {
 		if !slices.Contains(leaving, member.ID) {
@@ -108,8 +109,8 @@
 	}
 }
 
-// successors returns the learners whose process began so short a time ago that they were started to take the place of a
-// voter that is leaving. A stand-by that has been there for long proves nothing of the kind: the voter may only restart.
+// successors returns the learners that were started at most successorMaxUptime ago, and so to replace a voter that leaves. A spare
+// that has run for longer proves no such plan: the voter may only restart.
 func (s *Server) successors(status replica.Status) []consensus.MemberID {
 	var found []consensus.MemberID
 	for _, member := range status.Members {
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A voter that said that it leaves and is back under its ID only restarted: the successor that was started meanwhile is
+// A voter that announced its shutdown and is back under its ID only restarted: the successor that was started meanwhile is
 // for another one.
 func TestServer_Reconcile_returnedVoterKeepsItsVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/controlplane/server/worker_client.go
+++ b/internal/controlplane/server/worker_client.go
@@ -11,13 +11,13 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// Statuses of a worker's answer to an order.
+// HTTP statuses of a worker's answer to a role command.
 const (
-	statusOK                 = http.StatusOK                 // it holds already
-	statusAccepted           = http.StatusAccepted           // it is being done
-	statusBadRequest         = http.StatusBadRequest         // no such order
-	statusPreconditionFailed = http.StatusPreconditionFailed // a higher fence was seen
-	statusMisdirected        = http.StatusMisdirectedRequest // another worker has the address
+	statusOK                 = http.StatusOK                 // the worker has the role already
+	statusAccepted           = http.StatusAccepted           // the transition has begun
+	statusBadRequest         = http.StatusBadRequest         // unknown command
+	statusPreconditionFailed = http.StatusPreconditionFailed // a higher fencing token was seen
+	statusMisdirected        = http.StatusMisdirectedRequest // another worker runs at the address
 )
 
 const (
@@ -27,7 +27,7 @@
 	operationSetRole = "stage"
 )
 
-// roleCommandBody is the body of an order.
+// roleCommandBody is the JSON body of a role command.
 type roleCommandBody struct {
 	Operation    string `json:"op"`
 	Role         string `json:"stage"`
@@ -35,10 +35,10 @@
 	FencingToken uint64 `json:"fenceToken"`
 }
 
-// workerReport is what is read of a worker's report.
+// workerReport is the part of a worker's report that the planner needs.
 type workerReport struct {
 	Role string `json:"stage"`
-	Busy bool   `json:"utilization"` // an order is under way
+	Busy bool   `json:"utilization"` // a command is being executed
 }
 
 // httpWorkerClient calls workers over HTTP. It sends each call once, on a connection of its own.
@@ -56,17 +56,19 @@
 	return &httpWorkerClient{client: http1}, err
 }
 
-// SendRoleCommand implements WorkerCaller.
-func (h *httpWorkerClient) SendRoleCommand(ctx context.Context, order RoleCommand) int {
-	body, err := json.Marshal(roleCommandBody{Operation: operationSetRole, Role: order.Role, LeaseHolder: order.LeaseHolder, FencingToken: order.FencingToken})
+// SendRoleCommand implements WorkerClient.
+func (h *httpWorkerClient) SendRoleCommand(ctx context.Context, command RoleCommand) int {
+	body, err := json.Marshal(roleCommandBody{
+		Operation: operationSetRole, Role: command.Role, LeaseHolder: command.LeaseHolder, FencingToken: command.FencingToken,
+	})
 	if err != nil {
 		return 0
 	}
-	status, _ := h.call(ctx, http.MethodPost, order.Instance, order.Address, commandPath, body)
+	status, _ := h.call(ctx, http.MethodPost, command.Instance, command.Address, commandPath, body)
 	return status
 }
 
-// ReportedRole implements WorkerCaller.
+// ReportedRole implements WorkerClient.
 func (h *httpWorkerClient) ReportedRole(ctx context.Context, instance, address string) string {
 	var report workerReport
 	status, body := h.call(ctx, http.MethodGet, instance, address, reportPath, nil)
@@ -76,7 +78,7 @@
 	return report.Role
 }
 
-// call makes one call and returns the status and the body of its answer, 0 if there is none.
+// call makes one call and returns the status and the body of the answer, 0 if there is none.
 func (h *httpWorkerClient) call(ctx context.Context, method, instance, address, path string, body []byte) (int, []byte) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
--- a/internal/controlplane/server/worker_client_test.go
+++ b/internal/controlplane/server/worker_client_test.go
@@ -89,7 +89,7 @@
 func TestHTTPWorkerClient_ReportedRole_validReportsOnly(t *testing.T) {
 	for body, expected := range map[string]string{
 		`{"stage":"decode","utilization":false,"sequence":2}`: "decode",
-		`{"stage":"prefill","utilization":true}`:              "", // it changes it just now
+		`{"stage":"prefill","utilization":true}`:              "", // in transition
 		`{"stage":`:                                           "",
 		`{}`:                                                  "",
 	} {
