--- a/coord/consensus/catchup_test.go
+++ b/coord/consensus/catchup_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// catchUpLoad is what a group's leader takes without a pause while a learner catches up over a slow way.
+// catchUpLoad is the steady load of a group's leader while a learner catches up over a slow link.
 type catchUpLoad struct {
 	interval      time.Duration // between two changes
 	entryBytes    int           // bytes of a change
 	snapshotBytes int           // bytes of a snapshot
-	bandwidth     int           // of the slow way, bytes a second
+	bandwidth     int           // of the link to the learner, bytes a second
 }
 
-// Loads of the tests: 30 changes a second that each replace a document of 450 routes, and 20 smaller ones a second to
-// a document of some 12,000 routes. The way hardly passes more than the changes take.
+// Loads of the tests: 30 changes a second that each replace a document of 450 routes, and 20 smaller ones a
+// second to a document of some 12,000 routes. The link has little more bandwidth than the changes need.
 var (
 	replacingLoad = catchUpLoad{interval: time.Second / 30, entryBytes: 150 << 10, snapshotBytes: 250 << 10, bandwidth: 5 << 20}
 	largeLoad     = catchUpLoad{interval: time.Second / 20, entryBytes: 90 << 10, snapshotBytes: 4 << 20, bandwidth: 5 << 19}
 )
 
 const (
-	compactionBytes = 4 << 20 // of the log between two snapshots
+	compactionBytes = 4 << 20 // bytes of the log between two snapshots
 	linkLatency     = 200 * time.Millisecond
 	catchUpLimit    = 60 * time.Second
 	catchUpStep     = 5 * time.Millisecond
-	caughtUpLag     = 3 // changes that may be on their way
+	caughtUpLag     = 3 // changes that may be in flight
 	largeEntryBytes = 150 << 10
 )
 
-// slowLink delivers messages in order, after the time that their bytes and the way take.
+// slowLink delivers messages in order, after the time that their bytes and the latency take.
 type slowLink struct {
 	bandwidth int
-	idleAt    time.Duration // when the line has passed what it was given
+	idleAt    time.Duration // when it has sent everything that was queued
 	inFlight  []delayedMessage
 }
 
@@ -62,16 +62,16 @@
 	return due
 }
 
-// catchUpGroup is a leader, a voter beside it and a learner behind slow lines.
+// catchUpGroup is a leader, a second voter and a learner behind slow links.
 type catchUpGroup struct {
 	t                                      *testing.T
 	load                                   catchUpLoad
 	now                                    time.Duration
 	nodes                                  map[MemberID]*Node
-	toLearner, fromLearner                 slowLink // to the learner and from it
-	snapshots                              int      // sent to the learner
-	compactedIndex                         uint64   // index
-	bytesSinceCompaction, maxRetainedBytes int      // bytes
+	toLearner, fromLearner                 slowLink
+	snapshots                              int    // sent to the learner
+	compactedIndex                         uint64 // of the latest snapshot
+	bytesSinceCompaction, maxRetainedBytes int
 	snapshotData                           []byte
 }
 
@@ -93,7 +93,7 @@
 	return g
 }
 
-// step lets a short time pass.
+// step advances the time by catchUpStep.
 func (g *catchUpGroup) step() {
 	g.now += catchUpStep
 	for _, message := range append(g.toLearner.receive(g.now), g.fromLearner.receive(g.now)...) {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// change proposes one change and compacts the log as a replica does.
+// change proposes one change, and compacts the log as a replica does.
 func (g *catchUpGroup) change() {
 	leader := g.leader()
 	if leader == nil {
@@ -156,7 +156,7 @@
 	g.maxRetainedBytes = max(g.maxRetainedBytes, len(leader.log.entries)*g.load.entryBytes)
 }
 
-// catchUp returns how long the learner took until it lacked next to nothing, and false after catchUpLimit.
+// catchUp returns how long the learner took to have nearly all entries, and false after catchUpLimit.
 func (g *catchUpGroup) catchUp() (time.Duration, bool) {
 	for g.leader() == nil {
 		g.step()
@@ -176,8 +176,8 @@
 	return catchUpLimit, false
 }
 
-// TestNode_Compact_learnerCatchesUpUnderLoad has a learner catch up although the log is compacted several times while
-// it does: the leader keeps what the learner asks for next, so that one snapshot is enough.
+// TestNode_Compact_learnerCatchesUpUnderLoad has a learner catch up although the log is compacted several
+// times meanwhile: the leader retains what the learner needs next, so that one snapshot is enough.
 func TestNode_Compact_learnerCatchesUpUnderLoad(t *testing.T) {
 	for _, load := range []catchUpLoad{replacingLoad, largeLoad} {
 		group := newCatchUpGroup(t, load)
@@ -185,23 +185,25 @@
 		if !caught || group.snapshots != 1 {
 			t.Fatalf("%+v: caught up: %t, in %v, after %d snapshots", load, caught, took, group.snapshots)
 		}
-		t.Logf("%+v: caught up in %v; the leader kept %d KiB at most", load, took, group.maxRetainedBytes>>10)
+		t.Logf("%+v: caught up in %v; the leader retained %d KiB at most", load, took, group.maxRetainedBytes>>10)
 		if most := maxCatchUpBytes + compactionBytes + 2*load.entryBytes; group.maxRetainedBytes > most {
-			t.Errorf("%d bytes were kept", group.maxRetainedBytes)
+			t.Errorf("%d bytes were retained", group.maxRetainedBytes)
 		}
 	}
 }
 
-// TestNode_Compact_learnerFallsBehindWithoutRetention leaves out that the leader keeps what a learner asks for next.
+// TestNode_Compact_learnerFallsBehindWithoutRetention disables the rule that the leader retains what a
+// learner needs next.
 func TestNode_Compact_learnerFallsBehindWithoutRetention(t *testing.T) {
 	group := newCatchUpGroup(t, largeLoad, RuleCatchUpRetention)
 	if took, caught := group.catchUp(); caught {
-		t.Errorf("caught up in %v all the same", took)
+		t.Errorf("caught up in %v without the rule", took)
 	}
 	t.Logf("%d snapshots in %v", group.snapshots, catchUpLimit)
 }
 
-// TestNode_Compact_catchUpRetentionIsBounded has a learner that answers heartbeats and takes nothing: what is kept for it ends.
+// TestNode_Compact_catchUpRetentionIsBounded has a learner that answers heartbeats and acknowledges no
+// entries: what is retained for it is bounded.
 func TestNode_Compact_catchUpRetentionIsBounded(t *testing.T) {
 	n := newRuleNode(t, persistedLog())
 	n.config.TrailingEntries = -1
@@ -221,11 +223,11 @@
 		n.ackAppend(2, index)
 		n.persistAll()
 		n.Compact(index, nil, nil)
-		if kept := len(n.log.entries) * largeEntryBytes; kept > maxCatchUpBytes {
-			t.Fatalf("%d bytes are kept after entry %d", kept, index)
+		if retained := len(n.log.entries) * largeEntryBytes; retained > maxCatchUpBytes {
+			t.Fatalf("%d bytes are retained after entry %d", retained, index)
 		}
 	}
 	if len(n.log.entries) == 0 {
-		t.Fatal("nothing is kept for a member in touch")
+		t.Fatal("nothing is retained for an active member")
 	}
 }
--- a/coord/consensus/group_test.go
+++ b/coord/consensus/group_test.go
@@ -55,7 +55,7 @@
 	g.add(9, PersistedState{})
 	g.run(testElection)
 	if status := g.members[9].node.Status(); status.Term != 0 || status.Role != RoleFollower {
-		t.Fatalf("empty member acts: %+v", status)
+		t.Fatalf("a member with an empty disk is active: %+v", status)
 	}
 	added := Member{ID: 9, Address: "10.0.0.9:1"}
 	g.change(MembershipChange{Add: &added})
@@ -126,7 +126,7 @@
 	}
 	g.run(4 * testElection)
 	if g.leader() == first {
-		t.Fatal("a member that cannot write leads again")
+		t.Fatal("a member whose disk takes no writes leads again")
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 	for _, id := range g.order {
 		if id != g.leader() && g.members[id].node.NextTick() < g.now+testElection/2 {
-			t.Fatal("a follower wakes up too soon")
+			t.Fatal("a follower has a tick too early")
 		}
 	}
 }
@@ -154,10 +154,10 @@
 			t.Errorf("member %d: confirmed %v ago", id, age)
 		}
 	}
-	cut := g.others(g.leader())[0]
-	g.members[cut].stopped = true
+	partitioned := g.others(g.leader())[0]
+	g.members[partitioned].stopped = true
 	g.run(2 * time.Second)
-	if age := g.now - g.members[cut].node.Status().ConfirmedAt; age < 2*time.Second {
-		t.Errorf("cut member: confirmed %v ago", age)
+	if age := g.now - g.members[partitioned].node.Status().ConfirmedAt; age < 2*time.Second {
+		t.Errorf("partitioned member: confirmed %v ago", age)
 	}
 }
--- a/coord/consensus/harness_test.go
+++ b/coord/consensus/harness_test.go
@@ -32,19 +32,19 @@
 	}
 }
 
-// testMember is a node with its disk and what its state machine was given.
+// testMember is a node with its storage and what its state machine was given.
 type testMember struct {
 	node          *Node
 	storage       testStorage
-	pendingWrites []*PersistRequest // not durable while stalled
+	pendingWrites []*PersistRequest // not durable while its disk is stalled
 	stalled       bool
 	stopped       bool
 	applied       []string
 	reads         []ReadResult
-	restoredState string // of the last snapshot
+	restoredState string // of the last restored snapshot
 }
 
-// testGroup plays a group with a network that delivers at once.
+// testGroup is a group of members with a network that delivers at once.
 type testGroup struct {
 	t           *testing.T
 	now         time.Duration
@@ -82,21 +82,21 @@
 	return g
 }
 
-func (g *testGroup) add(id MemberID, stored PersistedState) *testMember {
+func (g *testGroup) add(id MemberID, stored PersistedState) {
 	member := &testMember{storage: testStorage{stored: stored}}
 	member.node = New(testConfig(id), stored, g.now)
 	g.members[id] = member
 	g.order = append(g.order, id)
-	return member
 }
 
-// restart starts a member again with what its disk holds.
+// restart starts a member from what its storage has.
 func (g *testGroup) restart(id MemberID) {
 	member := g.members[id]
 	member.pendingWrites, member.applied, member.stopped = nil, nil, false
 	member.node = New(testConfig(id), member.storage.stored, g.now)
 }
 
+// processReady does what a member asks for.
 func (g *testGroup) processReady(id MemberID) {
 	member := g.members[id]
 	if member.stopped {
@@ -122,7 +122,7 @@
 	}
 }
 
-// sync makes durable what a member has handed out.
+// sync makes a member's pending writes durable.
 func (g *testGroup) sync(id MemberID) {
 	member := g.members[id]
 	for _, persist := range member.pendingWrites {
@@ -132,7 +132,7 @@
 	member.pendingWrites = nil
 }
 
-// deliverAll delivers all messages until none is left.
+// deliverAll delivers messages until no member sends any more.
 func (g *testGroup) deliverAll() {
 	for quiet := 0; quiet < 2; {
 		for _, id := range g.order {
@@ -159,6 +159,7 @@
 	}
 }
 
+// run advances the time and ticks the members that are due.
 func (g *testGroup) run(span time.Duration) {
 	for end := g.now + span; g.now < end; {
 		g.now += testStep
@@ -185,6 +186,7 @@
 	return leader
 }
 
+// elect runs the group until it must have a leader, and returns its node.
 func (g *testGroup) elect() *Node {
 	g.t.Helper()
 	g.run(4 * testElection)
@@ -195,6 +197,7 @@
 	return g.members[id].node
 }
 
+// propose proposes a command at the leader and delivers all messages.
 func (g *testGroup) propose(data string) {
 	g.t.Helper()
 	if _, _, err := g.members[g.leader()].node.Propose(g.now, []byte(data)); err != nil {
@@ -203,6 +206,7 @@
 	g.deliverAll()
 }
 
+// change proposes a membership change at the leader and delivers all messages.
 func (g *testGroup) change(change MembershipChange) {
 	g.t.Helper()
 	if err := g.members[g.leader()].node.ChangeMembers(g.now, change); err != nil {
@@ -211,6 +215,7 @@
 	g.deliverAll()
 }
 
+// wantApplied fails the test unless a member has applied these commands.
 func (g *testGroup) wantApplied(id MemberID, want ...string) {
 	g.t.Helper()
 	if got := g.members[id].applied; !slices.Equal(got, want) {
--- a/coord/consensus/membership_test.go
+++ b/coord/consensus/membership_test.go
@@ -16,21 +16,21 @@
 		t.Fatalf("members %v", members)
 	}
 	if err := leader.ChangeMembers(g.now, MembershipChange{Add: &Member{ID: replaced}}); !errors.Is(err, ErrMembershipChange) {
-		t.Fatalf("it comes back: %v", err)
+		t.Fatalf("the retired member is added again: %v", err)
 	}
 	if err := leader.ChangeMembers(g.now, MembershipChange{Add: &Member{ID: 9, Retired: true}}); !errors.Is(err, ErrMembershipChange) {
-		t.Fatalf("a mark as a member: %v", err)
+		t.Fatalf("a tombstone is added as a member: %v", err)
 	}
-	mark := Member{ID: replaced, Retired: true}
+	tombstone := Member{ID: replaced, Retired: true}
 	for _, id := range []MemberID{g.leader(), g.others(g.leader())[1]} {
 		status := g.members[id].node.Status()
 		snapshot, known := g.members[id].node.SnapshotAt(status.AppliedIndex, nil)
-		if !known || !slices.Contains(snapshot.Members, mark) {
-			t.Fatalf("member %d does not remember: %v", id, snapshot.Members)
+		if !known || !slices.Contains(snapshot.Members, tombstone) {
+			t.Fatalf("the snapshot of member %d has no tombstone: %v", id, snapshot.Members)
 		}
 		restarted := New(testConfig(id), PersistedState{HardState: HardState{Term: status.Term}, Snapshot: snapshot}, g.now)
-		if !slices.Contains(restarted.recorded(), mark) || len(restarted.Status().Members) != 2 {
-			t.Fatalf("member %d has forgotten: %v", id, restarted.recorded())
+		if !slices.Contains(restarted.recorded(), tombstone) || len(restarted.Status().Members) != 2 {
+			t.Fatalf("member %d lost the tombstone in a restart: %v", id, restarted.recorded())
 		}
 	}
 }
@@ -67,27 +67,27 @@
 	n.ackHeartbeat(2)
 	promotion := MembershipChange{Add: &Member{ID: 4, Voter: true}}
 	if n.CanPromote(4) || n.ChangeMembers(n.now, promotion) == nil {
-		t.Fatal("promoted without an answer")
+		t.Fatal("promoted before it answered a heartbeat")
 	}
 	n.ackHeartbeat(4)
 	if n.CanPromote(4) {
-		t.Fatal("promoted without an acknowledgement")
+		t.Fatal("promoted before it acknowledged entries")
 	}
 	n.ackAppend(4, 2)
 	if !n.CanPromote(4) || n.CanPromote(9) {
-		t.Fatal("not promoted, or an unknown one is")
+		t.Fatal("cannot be promoted, or an unknown member can")
 	}
 	n.now += testElection - testHeartbeat
-	n.ackHeartbeat(2) // member 2 goes on answering, member 4 falls silent
+	n.ackHeartbeat(2) // member 2 keeps answering, member 4 does not
 	n.Tick(n.now)
 	n.persistAll()
 	n.ackHeartbeat(2)
 	n.now += 2 * testHeartbeat
 	n.Tick(n.now)
 	if n.Status().Role != RoleLeader || n.CanPromote(4) {
-		t.Fatal("promoted although it is silent, or leads no more")
+		t.Fatal("promoted without recent contact, or not the leader")
 	}
 	if err := n.ChangeMembers(n.now, promotion); !errors.Is(err, ErrMembershipChange) {
-		t.Fatalf("promotion of a silent learner: %v", err)
+		t.Fatalf("promotion of a learner without contact: %v", err)
 	}
 }
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -45,16 +45,16 @@
 		forced bool
 		want   bool
 	}{
-		"heard":          {pause: testElection / 2},
-		"silent":         {pause: testElection, want: true},
-		"planned change": {pause: testElection / 2, forced: true, want: true},
+		"lease valid":      {pause: testElection / 2},
+		"lease expired":    {pause: testElection, want: true},
+		"planned transfer": {pause: testElection / 2, forced: true, want: true},
 	} {
 		n := newRuleNode(t, persistedLog())
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 3})
 		n.persistAll()
 		n.now = test.pause
 		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 4, LogIndex: 9, LogTerm: 3, LeadershipTransfer: test.forced})
-		if got := containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3, false); got != test.want {
+		if got := containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3); got != test.want {
 			t.Errorf("%s: voted %v", name, got)
 		}
 	}
@@ -72,7 +72,7 @@
 	if ready.Persist != nil || n.Status().Term != 2 {
 		t.Fatalf("persist %+v, term %d", ready.Persist, n.Status().Term)
 	}
-	if !containsMessage(ready.Messages, MessagePreVoteReply, 2, false) || !containsMessage(ready.Messages, MessagePreVoteReply, 3, false) {
+	if !containsMessage(ready.Messages, MessagePreVoteReply, 2) || !containsMessage(ready.Messages, MessagePreVoteReply, 3) {
 		t.Fatalf("messages %+v", ready.Messages)
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	g.run(testElection + 2*testHeartbeat)
 	if leader.Status().Role == RoleLeader {
-		t.Fatal("leads without a majority")
+		t.Fatal("still leads without a majority")
 	}
 	if reads := g.members[first].reads; len(reads) != 1 || reads[0].OK {
 		t.Fatalf("reads %v", reads)
@@ -118,8 +118,8 @@
 	for _, id := range g.order {
 		g.wantApplied(id, "a", "b")
 	}
-	if held := len(g.members[first].pendingWrites); held < 2 {
-		t.Fatalf("%d writes under way", held)
+	if pending := len(g.members[first].pendingWrites); pending < 2 {
+		t.Fatalf("%d pending writes", pending)
 	}
 	last := g.members[first].pendingWrites[len(g.members[first].pendingWrites)-1]
 	leader := g.members[first].node
@@ -138,7 +138,7 @@
 	second := n.Ready()
 	n.Persisted(0, first.Persist.Sequence)
 	if got := n.ackableIndex(); got > 1 {
-		t.Fatalf("acknowledges %d by the old batch", got)
+		t.Fatalf("acknowledges %d by the write before the truncation", got)
 	}
 	n.Persisted(0, second.Persist.Sequence)
 	if got := n.ackableIndex(); got != 3 {
@@ -153,10 +153,10 @@
 	g.run(testElection)
 	g.change(MembershipChange{Remove: first})
 	if leader.Status().Role == RoleLeader || leader.NextTick() != NoTick {
-		t.Fatalf("removed leader goes on: %+v", leader.Status())
+		t.Fatalf("the removed leader is still active: %+v", leader.Status())
 	}
 	if g.leader() == 0 {
-		t.Fatal("no successor")
+		t.Fatal("no new leader")
 	}
 	g.propose("a")
 	for _, id := range g.others(first) {
@@ -175,7 +175,7 @@
 	}
 	g.run(4 * testElection)
 	if status := g.members[removed].node.Status(); status.Role != RoleFollower {
-		t.Fatalf("removed member campaigns: %+v", status)
+		t.Fatalf("the removed member starts an election: %+v", status)
 	}
 }
 
@@ -184,12 +184,12 @@
 	stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(2, 3)
 	n := newRuleNode(t, stored)
 	if n.NextTick() == NoTick {
-		t.Fatal("never campaigns")
+		t.Fatal("never starts an election")
 	}
 	n.now = n.NextTick()
 	n.Tick(n.now)
-	if !containsMessage(n.Ready().Messages, MessagePreVote, 2, false) {
-		t.Fatal("asks for no votes")
+	if !containsMessage(n.Ready().Messages, MessagePreVote, 2) {
+		t.Fatal("sends no pre-vote")
 	}
 }
 
@@ -290,11 +290,11 @@
 	for seed := range uint64(200) {
 		node := New(Config{ID: 1, ElectionTimeout: timeout, HeartbeatInterval: timeout / 4, Seed: seed}, Bootstrap(members, nil), 0)
 		if due := node.NextTick(); due < timeout/initialElectionDivisor || due > timeout/initialElectionDivisor+timeout/2 {
-			t.Fatalf("seed %d: the first campaign is due at %s", seed, due)
+			t.Fatalf("seed %d: the first election is due at %s", seed, due)
 		}
 		node.Step(time.Millisecond, Message{Kind: MessageHeartbeat, From: 2, To: 1, Term: 1})
 		if due := node.NextTick(); due < timeout {
-			t.Fatalf("seed %d: a member that heard the leader campaigns at %s", seed, due)
+			t.Fatalf("seed %d: after a heartbeat, the election is due at %s", seed, due)
 		}
 	}
 }
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// ruleNode is a member that is played by hand.
+// ruleNode is a single member, with ID 1, whose messages a test plays by hand.
 type ruleNode struct {
 	*Node
 	t   *testing.T
 	now time.Duration
 }
 
-// persistedLog is the state of a founder of members 1 to 3 whose log goes on with commands of the given terms.
+// persistedLog returns the state of a member of a group of members 1 to 3 whose log continues with commands
+// of the given terms.
 func persistedLog(terms ...uint64) PersistedState {
 	stored := Bootstrap(testVoters(1, 2, 3), nil)
 	for at, term := range terms {
@@ -22,13 +23,15 @@
 	return stored
 }
 
-func newRuleNode(t *testing.T, stored PersistedState, omit ...Rule) *ruleNode {
+// newRuleNode starts the member with some rules disabled.
+func newRuleNode(t *testing.T, stored PersistedState, disabled ...Rule) *ruleNode {
 	config := testConfig(1)
-	config.DisabledRules = omit
+	config.DisabledRules = disabled
 	return &ruleNode{Node: New(config, stored, 0), t: t}
 }
 
-// persistAll takes all that is to be done and reports it durable.
+// persistAll processes what is ready, reports it durable and returns it with the messages that are released
+// by that.
 func (n *ruleNode) persistAll() Ready {
 	ready := n.Ready()
 	if ready.Persist != nil {
@@ -41,6 +44,7 @@
 	return ready
 }
 
+// step passes a message to the member.
 func (n *ruleNode) step(message Message) {
 	message.To = 1
 	n.Step(n.now, message)
@@ -64,59 +68,69 @@
 	n.step(Message{Kind: MessageAppendEntriesReply, From: peer, Term: n.Status().Term, LogIndex: index, HintIndex: index})
 }
 
-// ackHeartbeat has a peer answer the last round of heartbeats.
+// ackHeartbeat has a peer answer the latest round of heartbeats.
 func (n *ruleNode) ackHeartbeat(peer MemberID) {
 	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, HeartbeatRound: n.leader.lastRound})
 }
 
-func containsMessage(messages []Message, kind MessageKind, to MemberID, reject bool) bool {
+// readIndex starts a read.
+func (n *ruleNode) readIndex(id uint64) {
+	n.t.Helper()
+	if err := n.ReadIndex(n.now, id); err != nil {
+		n.t.Fatal(err)
+	}
+}
+
+// containsMessage reports whether a message of a kind goes to a member that is no rejection.
+func containsMessage(messages []Message, kind MessageKind, to MemberID) bool {
 	for _, message := range messages {
-		if message.Kind == kind && message.To == to && message.Reject == reject {
+		if message.Kind == kind && message.To == to && !message.Reject {
 			return true
 		}
 	}
 	return false
 }
 
-// ruleScenarios tell for each rule a course of events that does harm without it.
-var ruleScenarios = map[Rule]func(t *testing.T, omit ...Rule) (harm bool){
-	RuleVoteOnce: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+// ruleScenarios are, by rule, sequences of events that do harm if the rule is disabled. They report whether
+// harm was done.
+var ruleScenarios = map[Rule]func(t *testing.T, disabled ...Rule) (harm bool){
+	RuleVoteOnce: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
 		n.persistAll()
 		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 5, LogIndex: 9, LogTerm: 4})
-		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3, false)
+		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3)
 	},
-	RuleVoteUpToDateLog: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), omit...)
+	RuleVoteUpToDateLog: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), disabled...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 1})
-		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2, false)
+		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2)
 	},
-	RuleVoteDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleVoteDurable: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		return containsMessage(n.Ready().Messages, MessageRequestVoteReply, 2, false)
+		return containsMessage(n.Ready().Messages, MessageRequestVoteReply, 2)
 	},
-	RuleCandidateTermDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleCandidateTermDurable: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.now = n.NextTick()
 		n.Tick(n.now)
 		n.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
-		return containsMessage(n.Ready().Messages, MessageRequestVote, 2, false)
+		return containsMessage(n.Ready().Messages, MessageRequestVote, 2)
 	},
-	RuleAppendCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(4), omit...)
+	RuleAppendCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(4), disabled...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 3, LogIndex: 1, LogTerm: 1,
 			Entries: []Entry{{Term: 3, Index: 2}, {Term: 3, Index: 3}}})
 		return n.Status().LastIndex == 3
 	},
-	RuleAppendLogMatching: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(4), omit...)
+	RuleAppendLogMatching: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(4), disabled...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 2, LogTerm: 5, Entries: []Entry{{Term: 5, Index: 3}}})
 		return n.Status().LastIndex == 3
 	},
-	RuleAppendDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleAppendDurable: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		for _, message := range n.Ready().Messages {
 			if message.Kind == MessageAppendEntriesReply && message.LogIndex >= 2 {
@@ -125,49 +139,49 @@
 		}
 		return false
 	},
-	RuleLeaderEntriesDurable: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleLeaderEntriesDurable: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.becomeLeader()
 		n.Ready()
 		n.ackAppend(2, 2)
 		return n.Status().CommitIndex == 2
 	},
-	RuleCommitMajority: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleCommitMajority: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.becomeLeader()
 		n.persistAll()
 		return n.Status().CommitIndex == 2
 	},
-	RuleCommitCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), omit...)
+	RuleCommitCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), disabled...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
 		return n.Status().CommitIndex == 2
 	},
-	RuleCommitVerified: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), omit...)
+	RuleCommitVerified: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), disabled...)
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 2})
 		return n.Status().CommitIndex == 2
 	},
-	RuleReadQuorumConfirmed: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleReadQuorumConfirmed: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
-		n.ReadIndex(n.now, 7)
+		n.readIndex(7)
 		return len(n.Ready().Reads) > 0
 	},
-	RuleReadCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), omit...)
+	RuleReadCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), disabled...)
 		n.becomeLeader()
-		n.ReadIndex(n.now, 7)
+		n.readIndex(7)
 		n.persistAll()
 		n.ackHeartbeat(2)
 		return len(n.Ready().Reads) > 0
 	},
-	RuleMembershipSingleChange: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleMembershipSingleChange: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
@@ -177,26 +191,26 @@
 		}
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 5}}) == nil
 	},
-	RuleMembershipCurrentTerm: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), omit...)
+	RuleMembershipCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), disabled...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackHeartbeat(2)
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
-	RuleMembershipRollback: func(t *testing.T, omit ...Rule) bool {
+	RuleMembershipRollback: func(t *testing.T, disabled ...Rule) bool {
 		stored := persistedLog(2)
 		stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(1, 2, 3, 4)
-		n := newRuleNode(t, stored, omit...)
+		n := newRuleNode(t, stored, disabled...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		return len(n.Status().Members) == 4
 	},
-	RuleLearnerNoQuorum: func(t *testing.T, omit ...Rule) bool {
+	RuleLearnerNoQuorum: func(t *testing.T, disabled ...Rule) bool {
 		stored := persistedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4}, Member{ID: 5})
 		n := newRuleNode(t, stored)
 		n.becomeLeader()
-		for _, rule := range omit {
+		for _, rule := range disabled {
 			n.disabledRules[rule] = true
 		}
 		n.persistAll()
@@ -204,24 +218,24 @@
 		n.ackAppend(5, 2)
 		return n.Status().CommitIndex == 2
 	},
-	RuleRetiredNeverReturns: func(t *testing.T, omit ...Rule) bool {
+	RuleRetiredNeverReturns: func(t *testing.T, disabled ...Rule) bool {
 		stored := persistedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4, Retired: true})
-		n := newRuleNode(t, stored, omit...)
+		n := newRuleNode(t, stored, disabled...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
 		n.ackHeartbeat(2)
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
-	RuleConfirmedUpToDate: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleConfirmedUpToDate: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.now = time.Second
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 9, HeartbeatRound: 1})
 		return n.Status().ConfirmedAt > 0
 	},
-	RuleCatchUpRetention: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), omit...)
+	RuleCatchUpRetention: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), disabled...)
 		n.config.TrailingEntries = -1
 		n.becomeLeader()
 		n.persistAll()
@@ -232,7 +246,7 @@
 		n.ackHeartbeat(3)
 		n.step(Message{Kind: MessageAppendEntriesReply, From: 3, Term: n.Status().Term, Reject: true, LogIndex: 1})
 		n.ackHeartbeat(3)
-		if !containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3, false) {
+		if !containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3) {
 			t.Fatal("no snapshot is sent")
 		}
 		if _, index, err := n.Propose(n.now, []byte("x")); err != nil || index != 3 {
@@ -243,12 +257,12 @@
 		n.persistAll()
 		n.Compact(3, nil, nil)
 		n.ackAppend(3, 2)
-		return containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3, false)
+		return containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3)
 	},
-	RuleEmptyDiskNoVote: func(t *testing.T, omit ...Rule) bool {
-		n := newRuleNode(t, PersistedState{}, omit...)
+	RuleEmptyDiskNoVote: func(t *testing.T, disabled ...Rule) bool {
+		n := newRuleNode(t, PersistedState{}, disabled...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
-		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2, false)
+		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2)
 	},
 }
 
--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -6,19 +6,19 @@
 	"ospreybend/coord/consensus"
 )
 
-// initialStateHash stands for the state at a group's formation.
+// initialStateHash is the hash of the bootstrap state.
 const initialStateHash = 1
 
-// firstIndex is the index of the founding snapshot.
+// firstIndex is the index of the bootstrap snapshot.
 const firstIndex = 1
 
-// committedEntry is an entry as the first state machine took it.
+// committedEntry is an entry as the first state machine applied it.
 type committedEntry struct {
 	term      uint64
-	stateHash uint64 // of the state after it
+	stateHash uint64 // of the state after the entry
 }
 
-// checks holds what a history has shown so far.
+// checks is what a history has shown so far, and the violations found in it.
 type checks struct {
 	seed         uint64
 	violations   []Violation
@@ -27,6 +27,7 @@
 	acknowledged []uint64                      // indexes
 }
 
+// newChecks returns the checks of a history that starts from the bootstrap state.
 func newChecks(seed uint64) checks {
 	return checks{
 		seed:      seed,
@@ -35,16 +36,17 @@
 	}
 }
 
+// fail records a violation.
 func (c *checks) fail(check Check, text string) {
 	c.violations = append(c.violations, Violation{Seed: c.seed, Check: check, Text: text})
 }
 
-// lastCommitted returns the highest index that any state machine has taken.
+// lastCommitted returns the highest index that any state machine has applied.
 func (c *checks) lastCommitted() uint64 {
 	return firstIndex + uint64(len(c.committed)) - 1
 }
 
-// nextStateHash returns a number that stands for the state after an entry (FNV-1a over its parts).
+// nextStateHash returns the hash of the state after an entry (FNV-1a over the entry's parts).
 func nextStateHash(hash uint64, entry consensus.Entry) uint64 {
 	const prime = 1099511628211
 	hash = (hash ^ entry.Index) * prime
@@ -58,7 +60,7 @@
 	return hash
 }
 
-// leaderMessage checks a message that only the leader of its term may send.
+// leaderMessage checks the sender of a message that only the leader of its term may send.
 func (c *checks) leaderMessage(message consensus.Message) {
 	switch message.Kind {
 	case consensus.MessageAppendEntries, consensus.MessageHeartbeat, consensus.MessageInstallSnapshot:
@@ -66,6 +68,7 @@
 	}
 }
 
+// recordLeader checks that a term has one leader.
 func (c *checks) recordLeader(term uint64, id consensus.MemberID) {
 	known, found := c.leaders[term]
 	if found && known != id {
@@ -74,7 +77,8 @@
 	c.leaders[term] = id
 }
 
-// leaderElected checks that a new leader holds all that was acknowledged.
+// leaderElected checks that a new leader's log has everything acknowledged in former terms (paper: leader
+// completeness).
 func (c *checks) leaderElected(h *host, term uint64, log consensus.PersistedState) {
 	c.recordLeader(term, h.id)
 	for _, index := range c.acknowledged {
@@ -96,7 +100,7 @@
 	return at < uint64(len(log.Entries)) && log.Entries[at].Term == term
 }
 
-// applied checks an entry that a state machine takes.
+// applied checks an entry that a state machine applies.
 func (c *checks) applied(h *host, entry consensus.Entry) {
 	if entry.Index != h.applied+1 {
 		c.fail(CheckApplyOrder, fmt.Sprintf("member %d takes entry %d after %d", h.id, entry.Index, h.applied))
@@ -114,7 +118,7 @@
 	}
 }
 
-// restored checks a snapshot that a state machine takes.
+// restored checks a snapshot that a state machine restores.
 func (c *checks) restored(h *host, snapshot consensus.Snapshot) {
 	if snapshot.Index > c.lastCommitted() {
 		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes a snapshot at %d, applied is %d", h.id, snapshot.Index, c.lastCommitted()))
@@ -125,14 +129,14 @@
 	}
 }
 
-// read checks an index that confirms a read.
+// read checks the index of a confirmed read.
 func (c *checks) read(h *host, floor, index uint64) {
 	if index < floor {
 		c.fail(CheckLinearizableRead, fmt.Sprintf("member %d reads at %d, entry %d was applied before", h.id, index, floor))
 	}
 }
 
-// termOf returns the term of an entry that a state machine has taken.
+// termOf returns the term of an entry that a state machine has applied.
 func (c *checks) termOf(index uint64) (uint64, bool) {
 	if index < firstIndex || index > c.lastCommitted() {
 		return 0, false
--- a/coord/consensus/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -7,11 +7,12 @@
 	"ospreybend/coord/consensus"
 )
 
-// minRecoveryPause is the mean pause between two calls of the client once the faults are over, so that members far behind
-// catch up whatever the schedule's flow of messages is.
+// minRecoveryPause is the least mean pause between two calls of the client after the faults, so that
+// members far behind can catch up with any limit of messages in flight.
 const minRecoveryPause = 100 * time.Millisecond
 
-// runClient proposes a command or reads at a member that takes itself for the leader.
+// runClient proposes a command or reads at one of the members that believe they lead, and schedules the
+// next call.
 func (c *cluster) runClient() {
 	pause := c.profile.clientPause
 	if c.faultsOver {
@@ -30,7 +31,7 @@
 	target.whenRunning(target.propose)
 }
 
-// leaders returns the machines whose process takes itself for the leader.
+// leaders returns the hosts whose member believes that it leads.
 func (c *cluster) leaders() []*host {
 	var leaders []*host
 	for _, host := range c.hosts {
@@ -41,9 +42,10 @@
 	return leaders
 }
 
-// maxUncommitted is how many entries may wait for a majority before the client holds back.
+// maxUncommitted is the number of uncommitted entries beyond which the client waits.
 const maxUncommitted = 50
 
+// propose proposes a new command.
 func (h *host) propose() {
 	if status := h.node.Status(); status.LastIndex > status.CommitIndex+maxUncommitted {
 		return
@@ -56,7 +58,8 @@
 	}
 }
 
-// acknowledged notes a command that its proposer saw committed. Some schedules cut the power at that moment.
+// acknowledged records a command that its proposer saw committed. Some schedules cut all power at that
+// moment.
 func (c *cluster) acknowledged(entry consensus.Entry) {
 	c.counters.Acknowledged++
 	c.checks.acknowledged = append(c.checks.acknowledged, entry.Index)
@@ -65,6 +68,7 @@
 	}
 }
 
+// read starts a read, which must cover everything applied anywhere so far.
 func (h *host) read() {
 	h.cluster.lastReadID++
 	id := h.cluster.lastReadID
@@ -73,6 +77,7 @@
 	}
 }
 
+// finishReads checks the answered reads.
 func (h *host) finishReads(results []consensus.ReadResult) {
 	for _, result := range results {
 		floor := h.readFloors[result.ID]
@@ -84,10 +89,10 @@
 	}
 }
 
-// operatorInterval is the pause between two looks at the members.
+// operatorInterval is the longest pause between two checks of the membership by the operator.
 const operatorInterval = 100 * time.Millisecond
 
-// runOperator brings machines that lost their disk back into the group.
+// runOperator brings hosts that lost their disk back into the group, as the control plane's server does.
 func (c *cluster) runOperator() {
 	c.schedule(c.randomDuration(operatorInterval/2, operatorInterval), c.runOperator)
 	if c.competition != nil && !c.competition.finished && !c.faultsOver {
@@ -98,7 +103,7 @@
 	}
 }
 
-// repairMembership makes the first change that the members need.
+// repairMembership proposes the first change that the membership needs.
 func (h *host) repairMembership() {
 	members := h.node.Status().Members
 	for _, machine := range h.cluster.hosts {
@@ -113,7 +118,7 @@
 	}
 }
 
-// neededChange returns the next change by which a machine comes back under its present ID.
+// neededChange returns the next change by which a host becomes a voter under its present ID alone.
 func (h *host) neededChange(members []consensus.Member, removeFirst bool) (consensus.MembershipChange, bool) {
 	var own, old *consensus.Member
 	for at := range members {
--- a/coord/consensus/simulation/cluster.go
+++ b/coord/consensus/simulation/cluster.go
@@ -11,53 +11,59 @@
 
 // Times of a schedule.
 const (
-	heartbeatsPerElectionTimeout = 5                // heartbeats in an election timeout
-	recoveryLimit                = 20 * time.Second // after the faults
+	heartbeatsPerElectionTimeout = 5
+	recoveryLimit                = 20 * time.Second // for the group to work again after the faults
 )
 
-// cluster is all machines, what is between them and what happens to them in one schedule.
+// cluster is the simulated hosts, the network between them and the faults of one schedule.
 type cluster struct {
-	options          Options
-	random           *rand.Rand
-	profile          profile
-	now              time.Duration
-	events           eventQueue
-	lastSequence     uint64
-	hosts            []*host
-	partitionedUntil [][]time.Duration // until when nothing passes, by sender and receiver
+	options  Options
+	profile  profile
+	random   *rand.Rand
+	hosts    []*host
+	checks   checks
+	counters Counters
+
+	now          time.Duration // simulated time
+	events       eventQueue
+	lastSequence uint64
+
+	// Faults of the network and of membership changes.
+	faultsOver       bool
+	partitionedUntil [][]time.Duration // until when no message passes, by sender and receiver
 	entriesLostUntil [][]time.Duration // until when no entries of the sender's own term pass
-	competition      *competingChanges // the last one, nil: none yet
-	checks           checks
-	counters         Counters
-	faultsOver       bool // the faults are over
+	competition      *competingChanges // the latest one; nil: none yet
 
+	// Losses of voters, which together may exceed what the group tolerates.
 	lastDiskLoss  time.Duration
 	lastRemoval   time.Duration
-	mayLoseQuorum bool // more was lost at a time than the group stands
+	mayLoseQuorum bool
 
+	// The client's latest command and read.
 	lastCommandID uint64
 	lastReadID    uint64
 }
 
+// newCluster returns a group of options.Members voters on new disks.
 func newCluster(seed uint64, options Options) *cluster {
 	c := &cluster{options: options, random: rand.New(rand.NewPCG(seed, seed^seedStep))}
 	c.checks = newChecks(seed)
 	c.profile = drawProfile(c.random)
-	var founders []consensus.Member
+	var voters []consensus.Member
 	for index := range options.Members {
 		host := newHost(c, index)
 		c.hosts = append(c.hosts, host)
 		c.partitionedUntil = append(c.partitionedUntil, make([]time.Duration, options.Members))
 		c.entriesLostUntil = append(c.entriesLostUntil, make([]time.Duration, options.Members))
-		founders = append(founders, consensus.Member{ID: host.id, Address: host.address(), Voter: true})
+		voters = append(voters, consensus.Member{ID: host.id, Address: host.address(), Voter: true})
 	}
 	for _, host := range c.hosts {
-		host.disk.durable = consensus.Bootstrap(founders, encodeStateHash(initialStateHash))
+		host.disk.durable = consensus.Bootstrap(voters, encodeStateHash(initialStateHash))
 	}
 	return c
 }
 
-// play runs the schedule: faults strike for a while, then the group must recover.
+// play runs the schedule: faults occur for a while, then the group must recover.
 func (c *cluster) play() {
 	defer c.recordPanic()
 	for _, host := range c.hosts {
@@ -80,14 +86,14 @@
 	}
 }
 
-// recordPanic records that the core found an impossible state.
+// recordPanic records a panic of the core as a violation.
 func (c *cluster) recordPanic() {
 	if cause := recover(); cause != nil {
 		c.checks.fail(CheckPanic, fmt.Sprint(cause))
 	}
 }
 
-// runUntil plays events until a time, or until done says so. It returns false after a violation.
+// runUntil runs events up to a time, or until done returns true. It returns false after a violation.
 func (c *cluster) runUntil(end time.Duration, done func() bool) bool {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		if len(c.checks.violations) > 0 {
@@ -104,26 +110,28 @@
 	return len(c.checks.violations) == 0
 }
 
-// schedule has something happen after a pause.
-func (c *cluster) schedule(pause time.Duration, action func()) {
+// schedule runs an action after a delay.
+func (c *cluster) schedule(delay time.Duration, action func()) {
 	c.lastSequence++
-	heap.Push(&c.events, event{at: c.now + pause, sequence: c.lastSequence, action: action})
+	heap.Push(&c.events, event{at: c.now + delay, sequence: c.lastSequence, action: action})
 }
 
-// randomDuration returns a time from least up to most.
+// randomDuration returns a uniform duration from shortest to longest.
 func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
 }
 
+// chance returns true with a probability.
 func (c *cluster) chance(probability float64) bool {
 	return c.random.Float64() < probability
 }
 
+// randomHost returns any host.
 func (c *cluster) randomHost() *host {
 	return c.hosts[c.random.IntN(len(c.hosts))]
 }
 
-// send delivers a message after a delay, several times or never.
+// send sends a message, which arrives after a delay: once, twice or not at all.
 func (c *cluster) send(message consensus.Message) {
 	c.counters.Messages++
 	if message.Kind == consensus.MessageInstallSnapshot {
@@ -139,6 +147,7 @@
 	}
 }
 
+// deliverLater delivers one copy of a message after a delay, unless it is lost.
 func (c *cluster) deliverLater(message consensus.Message) {
 	from, to := hostOf(message.From), hostOf(message.To)
 	if to < 0 || to >= len(c.hosts) {
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -7,27 +7,28 @@
 	"ospreybend/coord/consensus"
 )
 
-// record is the smallest part of a write that a loss of power leaves whole or takes away.
+// record is the smallest part of a write that a loss of power leaves or takes.
 type record struct {
-	snapshot  *consensus.Snapshot // received: replaces the log
-	compact   *consensus.Snapshot // taken here: replaces the entries up to it
+	snapshot  *consensus.Snapshot // received from the leader: replaces the log
+	compact   *consensus.Snapshot // taken by this member: replaces the entries up to it
 	entry     *consensus.Entry    // replaces all entries from its index on
 	hardState *consensus.HardState
 }
 
-// writeOperation is a write that is reported durable as a whole.
+// writeOperation is a write that is reported durable once all its records are.
 type writeOperation struct {
 	records []record
 	done    func()
 }
 
-// disk holds what is durable and what is on its way there.
+// disk is the durable state of a host, and the writes that are not durable yet.
 type disk struct {
 	durable consensus.PersistedState
 	queue   []writeOperation
 	syncing bool
 }
 
+// newWriteOperation returns the write of a PersistRequest.
 func newWriteOperation(persist *consensus.PersistRequest, done func()) writeOperation {
 	written := writeOperation{done: done}
 	if persist.Snapshot != nil {
@@ -42,7 +43,7 @@
 	return written
 }
 
-// applyRecord applies a record to stored state.
+// applyRecord applies a record to persisted state.
 func applyRecord(stored *consensus.PersistedState, written record) error {
 	switch {
 	case written.snapshot != nil:
@@ -58,6 +59,7 @@
 	return nil
 }
 
+// applyCompaction replaces the entries up to a snapshot by it.
 func applyCompaction(stored *consensus.PersistedState, snapshot consensus.Snapshot) {
 	if snapshot.Index <= stored.Snapshot.Index {
 		return
@@ -70,6 +72,8 @@
 	stored.Snapshot = snapshot
 }
 
+// applyEntry writes an entry in place of all entries from its index on. It returns an error if entries
+// before it are missing.
 func applyEntry(stored *consensus.PersistedState, entry consensus.Entry) error {
 	base := stored.Snapshot.Index
 	if entry.Index <= base {
@@ -83,7 +87,7 @@
 	return nil
 }
 
-// crash ends all writes under way: of their records, in order, only the first kept ones are there.
+// crash ends all pending writes: of their records, in order, only the first ones survive.
 func (d *disk) crash(survivingRecords int) {
 	for _, operation := range d.queue {
 		for _, written := range operation.records {
@@ -91,13 +95,13 @@
 				break
 			}
 			survivingRecords--
-			applyRecord(&d.durable, written)
+			_ = applyRecord(&d.durable, written) // cannot leave a gap: the records before it were applied
 		}
 	}
 	d.queue, d.syncing = nil, false
 }
 
-// pendingRecords counts the records that are not durable.
+// pendingRecords returns the number of records that are not durable.
 func (d *disk) pendingRecords() int {
 	count := 0
 	for _, operation := range d.queue {
@@ -106,13 +110,13 @@
 	return count
 }
 
-// stateAfterWrites returns the state as it will be when all writes are durable.
+// stateAfterWrites returns the state as it will be once all pending writes are durable.
 func (d *disk) stateAfterWrites() consensus.PersistedState {
 	seen := d.durable
 	seen.Entries = slices.Clone(seen.Entries)
 	for _, operation := range d.queue {
 		for _, written := range operation.records {
-			applyRecord(&seen, written)
+			_ = applyRecord(&seen, written) // a gap is reported once the write is applied
 		}
 	}
 	return seen
--- a/coord/consensus/simulation/events.go
+++ b/coord/consensus/simulation/events.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is an action at a simulated time.
 type event struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // orders events of the same time as they were scheduled
 	action   func()
 }
 
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// injectFault has one fault strike, by the schedule's weights.
+// injectFault injects one fault, drawn by the profile's weights, and schedules the next.
 func (c *cluster) injectFault() {
 	if c.faultsOver {
 		return
@@ -19,17 +19,17 @@
 	if total == 0 {
 		return
 	}
-	left := c.random.IntN(total)
-	for at, weight := range c.profile.faultWeights {
-		if left < weight {
-			faults[at](c)
+	remaining := c.random.IntN(total)
+	for kind, weight := range c.profile.faultWeights {
+		if remaining < weight {
+			faults[kind](c)
 			return
 		}
-		left -= weight
+		remaining -= weight
 	}
 }
 
-// isolateHost cuts a machine off from all others, in one direction or both.
+// isolateHost partitions a host from all others, in one direction or both.
 func (c *cluster) isolateHost() {
 	c.counters.Partitions++
 	target, until := c.randomHost().index, c.now+c.randomDuration(100*time.Millisecond, 2500*time.Millisecond)
@@ -44,15 +44,15 @@
 	}
 }
 
-// isolateLeaderButOne leaves a leader the way to one other member alone, so that entries and changes of members reach a
-// minority, and has it propose.
+// isolateLeaderButOne leaves a leader the way to one other member alone, so that entries and membership
+// changes reach a minority, and has it propose one.
 func (c *cluster) isolateLeaderButOne() {
 	c.counters.Partitions++
 	for _, leader := range c.leaders() {
-		left := c.randomHost().index
+		reachable := c.randomHost().index
 		until := c.now + c.randomDuration(100*time.Millisecond, 4*c.profile.electionTimeout)
 		for other := range c.hosts {
-			if other != left {
+			if other != reachable {
 				c.partitionedUntil[leader.index][other] = until
 			}
 		}
@@ -67,25 +67,27 @@
 	}
 }
 
-// partitionOneWay cuts one direction between two machines.
+// partitionOneWay cuts one direction between two hosts.
 func (c *cluster) partitionOneWay() {
 	c.counters.Partitions++
 	from, to := c.randomHost().index, c.randomHost().index
 	c.partitionedUntil[from][to] = c.now + c.randomDuration(100*time.Millisecond, 3*time.Second)
 }
 
+// freezeProcess suspends a process. Its events wait until it goes on.
 func (c *cluster) freezeProcess() {
 	c.counters.ProcessFreezes++
 	target := c.randomHost()
 	target.frozenUntil = max(target.frozenUntil, c.now+c.randomDuration(50*time.Millisecond, 3*time.Second))
 }
 
-// killProcess ends a process. Mostly the writes under way are kept.
+// killProcess kills a process, which starts again later.
 func (c *cluster) killProcess() {
 	c.counters.ProcessKills++
 	c.killProcessOf(c.randomHost())
 }
 
+// killProcessOf kills a host's process. Pending writes mostly survive in the operating system.
 func (c *cluster) killProcessOf(target *host) {
 	survivingRecords := target.disk.pendingRecords()
 	if c.chance(0.3) {
@@ -95,12 +97,13 @@
 	c.restartLater(target, c.randomDuration(0, time.Second))
 }
 
-// losePower ends a machine. Writes under way are lost, or torn at any place.
+// losePower cuts the power of a host, which starts again later.
 func (c *cluster) losePower() {
 	c.counters.PowerLosses++
 	c.losePowerOf(c.randomHost())
 }
 
+// losePowerOf cuts the power of a host. Pending writes are lost, or torn after any record.
 func (c *cluster) losePowerOf(target *host) {
 	survivingRecords := 0
 	if c.chance(0.5) {
@@ -110,6 +113,7 @@
 	c.restartLater(target, c.randomDuration(0, 2*time.Second))
 }
 
+// restartLater starts a host's process after a pause, unless it was started meanwhile.
 func (c *cluster) restartLater(target *host, pause time.Duration) {
 	process := target.processID
 	c.schedule(pause, func() {
@@ -119,6 +123,7 @@
 	})
 }
 
+// killAllProcesses kills the processes of all hosts.
 func (c *cluster) killAllProcesses() {
 	c.counters.GroupOutages++
 	for _, host := range c.hosts {
@@ -126,6 +131,7 @@
 	}
 }
 
+// loseAllPower cuts the power of all hosts.
 func (c *cluster) loseAllPower() {
 	c.counters.GroupOutages++
 	for _, host := range c.hosts {
@@ -133,7 +139,7 @@
 	}
 }
 
-// loseDisk takes a machine's disk, unless as many as the group stands are already without.
+// loseDisk empties a host's disk, unless as many as the group tolerates are already lost.
 func (c *cluster) loseDisk() {
 	target := c.randomHost()
 	lost := c.lostHosts()
@@ -150,8 +156,8 @@
 	c.restartLater(target, c.randomDuration(0, 500*time.Millisecond))
 }
 
-// lostHosts returns the machines that lost their disk and are not back, as a majority of disks knows it: the voters
-// under their addresses are not just the present ID.
+// lostHosts returns the hosts that lost their disk and have not returned as voters, as far as any member
+// knows, and those that are stopped.
 func (c *cluster) lostHosts() map[int]bool {
 	lost := make(map[int]bool)
 	for _, host := range c.hosts {
@@ -172,12 +178,13 @@
 	return lost
 }
 
+// restoredIn reports whether a host is a voter of a membership under its present ID, and under no other.
 func (h *host) restoredIn(members []consensus.Member) bool {
 	_, needed := h.neededChange(members, false)
 	return !needed
 }
 
-// stallDisk has a disk hang, or refuse writes. Mostly the process notices.
+// stallDisk has a disk stall for a while. Mostly the process notices, and tells its member.
 func (c *cluster) stallDisk() {
 	c.counters.DiskStalls++
 	target := c.randomHost()
@@ -191,11 +198,12 @@
 	c.schedule(span+c.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { target.setWritable(process, true) })
 }
 
+// setWritable tells the member of a process whether its disk takes writes.
 func (h *host) setWritable(process int, writable bool) {
 	h.whenProcessRunning(process, func() { h.node.SetWritable(h.clock(), writable) })
 }
 
-// transferLeadership has a leader hand over, to anyone or to the most current voter.
+// transferLeadership has the leaders transfer leadership to any member, or to the best one.
 func (c *cluster) transferLeadership() {
 	c.counters.Transfers++
 	to := consensus.MemberID(0)
@@ -203,15 +211,18 @@
 		to = c.randomHost().id
 	}
 	for _, leader := range c.leaders() {
-		leader.whenRunning(func() { leader.node.TransferLeadership(leader.clock(), to) })
+		leader.whenRunning(func() {
+			_ = leader.node.TransferLeadership(leader.clock(), to) // may be rejected, as by a target that is no voter
+		})
 	}
 }
 
-// changeInFlightTime is how long a message of a change may still be on its way.
+// changeInFlightTime is how long the messages of a membership change may still be on their way.
 const changeInFlightTime = 6 * time.Second
 
-// recordVoterLoss notes that a voter is lost, by its disk or by removal. If the other kind of loss struck shortly before,
-// the group may be left with fewer voters than it needs: it need not recover then, but must stay safe.
+// recordVoterLoss records that a voter is lost, by its disk or by its removal. If a loss of the other kind
+// occurred shortly before, the group may be left without a quorum: it need not recover then, but must stay
+// safe.
 func (c *cluster) recordVoterLoss(at *time.Duration, other time.Duration) {
 	*at = c.now
 	if other > 0 && c.now-other < changeInFlightTime {
@@ -219,7 +230,8 @@
 	}
 }
 
-// removeVoter has leaders remove a voter. It is taken in again later, as one that lost its disk is.
+// removeVoter has the leaders remove a voter. The operator adds it again later, like one that lost its
+// disk.
 func (c *cluster) removeVoter() {
 	for _, leader := range c.leaders() {
 		leader.removeRandomVoter()
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -8,52 +8,59 @@
 	"ospreybend/coord/consensus"
 )
 
-// idsPerHost is how many IDs a machine has.
+// idsPerHost is the number of member IDs of a host, one for each incarnation of its disk.
 const idsPerHost = 1000
 
 // host is one machine with its disk and its process.
 type host struct {
-	cluster     *cluster
-	index       int
-	incarnation int
-	id          consensus.MemberID
-	disk        disk
-	clockOffset time.Duration // of its monotonic clock
+	cluster          *cluster
+	index            int
+	incarnation      int // of the disk
+	id               consensus.MemberID
+	disk             disk
+	diskStalledUntil time.Duration
+	clockOffset      time.Duration // of its monotonic clock
 
-	processID              int // counts the starts; what belongs to an earlier one is void
-	up                     bool
-	node                   *consensus.Node
-	frozenUntil            time.Duration // until when
-	diskStalledUntil       time.Duration // until when its disk is
-	tickAt                 time.Duration // when the next Tick is planned, 0: none
-	readyScheduled         bool          // a Take is planned
-	lastLedTerm            uint64        // last term in which it was seen as leader
+	// The process. Events that belong to an earlier one are void.
+	processID      int // number of the starts
+	up             bool
+	frozenUntil    time.Duration
+	node           *consensus.Node
+	tickAt         time.Duration     // when the next Tick is scheduled, 0: none
+	readyScheduled bool              // a call of Ready is scheduled
+	lastLedTerm    uint64            // last term in which it was seen as leader
+	proposedTerms  map[uint64]uint64 // of its own pending proposals: the term, by index
+	readFloors     map[uint64]uint64 // of its pending reads: the index to be covered, by ID
+
+	// The replicated state machine.
 	applied                uint64
 	stateHash              uint64
-	appliedSinceCompaction int // entries applied since the last snapshot
-
-	proposedTerms map[uint64]uint64 // term by index of the own proposals that wait
-	readFloors    map[uint64]uint64 // by read: what it must cover
+	appliedSinceCompaction int // entries
 }
 
+// newHost returns a host with an empty disk.
 func newHost(c *cluster, index int) *host {
 	h := &host{cluster: c, index: index, clockOffset: c.randomDuration(0, time.Hour)}
 	h.nextMemberID()
 	return h
 }
 
+// hostOf returns the index of the host that a member ID belongs to.
 func hostOf(id consensus.MemberID) int { return int(id/idsPerHost) - 1 }
 
+// nextMemberID gives the host the ID of its next incarnation.
 func (h *host) nextMemberID() {
 	h.incarnation++
 	h.id = consensus.MemberID((h.index+1)*idsPerHost + h.incarnation)
 }
 
+// address returns the host's address, which stays the same.
 func (h *host) address() string { return fmt.Sprintf("10.0.0.%d:1", h.index+1) }
 
+// clock returns the host's monotonic time.
 func (h *host) clock() time.Duration { return h.cluster.now + h.clockOffset }
 
-// start starts the process with what the disk holds.
+// start starts the process with what the disk has.
 func (h *host) start() {
 	h.processID++
 	h.up = true
@@ -66,6 +73,7 @@
 	h.processReady()
 }
 
+// config returns the configuration of the host's member.
 func (h *host) config() consensus.Config {
 	return consensus.Config{
 		ID:                h.id,
@@ -79,14 +87,15 @@
 	}
 }
 
-// stop ends the process. Of the writes under way some first records are kept.
+// stop ends the process. Of the records of pending writes, in order, only the first ones survive.
 func (h *host) stop(survivingRecords int) {
 	h.up = false
 	h.processID++
 	h.disk.crash(survivingRecords)
 }
 
-// whenRunning lets the process do something, after a freeze if it is frozen, unless it has ended.
+// whenRunning runs an action of the process: now, when it is no longer frozen, or never if it has ended by
+// then.
 func (h *host) whenRunning(action func()) {
 	if !h.up {
 		return
@@ -101,18 +110,19 @@
 	h.scheduleReady()
 }
 
-// whenProcessRunning is act for a process that may have ended since.
+// whenProcessRunning is whenRunning for a process that may have ended.
 func (h *host) whenProcessRunning(process int, action func()) {
 	if h.processID == process {
 		h.whenRunning(action)
 	}
 }
 
+// receive passes a message to the member.
 func (h *host) receive(message consensus.Message) {
 	h.whenRunning(func() { h.node.Step(h.clock(), message) })
 }
 
-// scheduleReady calls Take now, or a little later so that several calls fall together.
+// scheduleReady calls Ready now, or a little later so that several events share the call.
 func (h *host) scheduleReady() {
 	if !h.cluster.chance(h.cluster.profile.batchRate) {
 		h.processReady()
@@ -132,7 +142,7 @@
 	})
 }
 
-// processReady carries out what the node wants done.
+// processReady does what the member asks for.
 func (h *host) processReady() {
 	ready := h.node.Ready()
 	if ready.Persist != nil {
@@ -154,7 +164,7 @@
 	h.scheduleTick()
 }
 
-// scheduleTick plans the next Tick, a little late.
+// scheduleTick schedules the next Tick, a little late.
 func (h *host) scheduleTick() {
 	next := h.node.NextTick()
 	if next == consensus.NoTick {
@@ -175,6 +185,7 @@
 	})
 }
 
+// restore replaces the state machine's state.
 func (h *host) restore(snapshot consensus.Snapshot) {
 	h.applied = snapshot.Index
 	h.stateHash = binary.LittleEndian.Uint64(snapshot.Data)
@@ -182,6 +193,8 @@
 	h.cluster.checks.restored(h, snapshot)
 }
 
+// apply applies a committed entry to the state machine, and acknowledges it if it is the host's own
+// proposal.
 func (h *host) apply(entry consensus.Entry) {
 	h.cluster.checks.applied(h, entry)
 	h.applied = entry.Index
@@ -197,7 +210,8 @@
 	}
 }
 
-// checkNewLeader checks a new leader's log.
+// checkNewLeader checks the log of a member that has become leader. Some schedules cut its power soon
+// after.
 func (h *host) checkNewLeader() {
 	status := h.node.Status()
 	if status.Role != consensus.RoleLeader || status.Term == h.lastLedTerm {
@@ -219,7 +233,7 @@
 	}
 }
 
-// compactLog takes a snapshot after a number of entries.
+// compactLog takes a snapshot after a number of applied entries.
 func (h *host) compactLog() {
 	if h.appliedSinceCompaction < h.cluster.profile.compactionInterval {
 		return
@@ -236,12 +250,13 @@
 	})
 }
 
-// write queues a write. One sync takes all that is queued when it starts.
+// write queues a write. One sync covers everything that is queued when it starts.
 func (h *host) write(written writeOperation) {
 	h.disk.queue = append(h.disk.queue, written)
 	h.startSync()
 }
 
+// startSync starts a sync of the queued writes, unless one is in progress.
 func (h *host) startSync() {
 	if h.disk.syncing || len(h.disk.queue) == 0 {
 		return
@@ -252,6 +267,7 @@
 	h.cluster.schedule(pause, func() { h.finishSync(process, count) })
 }
 
+// finishSync makes the first count writes durable and reports them, once the disk no longer stalls.
 func (h *host) finishSync(process, count int) {
 	if h.processID != process {
 		return
@@ -270,6 +286,7 @@
 	h.startSync()
 }
 
+// applyWrite makes a write durable.
 func (h *host) applyWrite(operation writeOperation) {
 	for _, written := range operation.records {
 		if err := applyRecord(&h.disk.durable, written); err != nil {
@@ -278,12 +295,14 @@
 	}
 }
 
+// reportDurable tells the process that writes are durable.
 func (h *host) reportDurable(finished []writeOperation) {
 	for _, operation := range finished {
 		operation.done()
 	}
 }
 
+// encodeStateHash returns the data of a snapshot.
 func encodeStateHash(hash uint64) []byte {
 	return binary.LittleEndian.AppendUint64(nil, hash)
 }
--- a/coord/consensus/simulation/manyschedules_test.go
+++ b/coord/consensus/simulation/manyschedules_test.go
@@ -8,15 +8,15 @@
 	"ospreybend/coord/consensus"
 )
 
-// Flags of TestManySchedules.
+// Flags of TestRun_manySchedules.
 var (
-	manySchedules     = flag.Int("schedules", 0, "schedules that TestManySchedules plays; 0: it is skipped")
+	manySchedules     = flag.Int("schedules", 0, "schedules that TestRun_manySchedules plays; 0: it is skipped")
 	manyMembers       = flag.Int("members", 3, "members of a schedule")
 	manySeed          = flag.Uint64("seed", testSeed, "seed of the schedules")
 	manyWorkers       = flag.Int("workers", 1, "schedules played at a time")
-	manyFaultDuration = flag.Duration("trouble", testFaultDuration, "how long faults strike in a schedule")
-	manyDisabledRule  = flag.String("omit", "", "a rule that is left out; the run ends at the first schedule that notices it")
-	manyReuseMemberID = flag.Bool("old-identity", false, "a machine that lost its disk comes back under its old ID")
+	manyFaultDuration = flag.Duration("fault-duration", testFaultDuration, "how long faults occur in a schedule")
+	manyDisabledRule  = flag.String("disable-rule", "", "a rule that is disabled; the run ends at the first schedule that detects it")
+	manyReuseMemberID = flag.Bool("reuse-member-id", false, "a host that lost its disk returns under its old member ID")
 )
 
 // TestRun_manySchedules plays any number of schedules:
@@ -44,7 +44,7 @@
 		t.Log(violation)
 	}
 	if *manyDisabledRule != "" {
-		t.Logf("%s left out: noticed after %d schedules", *manyDisabledRule, report.FirstViolation())
+		t.Logf("%s disabled: detected after %d schedules", *manyDisabledRule, report.FirstViolation())
 		return
 	}
 	if len(report.Violations) > 0 {
--- a/coord/consensus/simulation/profile.go
+++ b/coord/consensus/simulation/profile.go
@@ -5,52 +5,87 @@
 	"time"
 )
 
-// profile is what a schedule is like.
+// profile is what one schedule is like: how fast the hosts, disks and network are, how the core is
+// configured and how often each fault occurs.
 type profile struct {
-	lossRate, duplicateRate, lateRate float64       // of messages
-	maxDelay                          time.Duration // the most that a message usually takes
-	maxSync                           time.Duration // the most that a sync usually takes
-	batchRate                         float64       // how often a Take waits for more
-	clientPause                       time.Duration // mean pause between two calls of the client
-	faultPause                        time.Duration // mean pause between two faults
-	powerLossAtAckRate                float64       // how often the power goes after an acknowledgement
-	powerLossAtElectionRate           float64       // how often a new leader's power goes soon
-	electionTimeout                   time.Duration // election timeout
-	compactionInterval                int           // entries between two snapshots
-	trailingEntries                   int
-	maxInflight                       int
-	maxAppendBytes                    int
-	removeFirst                       bool // a lost member is removed before its successor votes
-	faultWeights                      [faultCount]int
-}
+	// The network.
+	lossRate, duplicateRate, lateRate float64       // parts of the messages
+	maxDelay                          time.Duration // of a message that is not late
+
+	// The hosts.
+	maxSync   time.Duration // of a disk that does not stall
+	batchRate float64       // how often a call of Ready waits for further events
+
+	// The core.
+	electionTimeout    time.Duration
+	compactionInterval int // entries applied between two snapshots
+	trailingEntries    int
+	maxInflight        int
+	maxAppendBytes     int
+
+	// The client and the operator.
+	clientPause time.Duration // mean, between two calls of the client
+	removeFirst bool          // a lost member is removed before its successor becomes a voter
 
-// fault is something that strikes in a schedule.
-type fault func(*cluster)
+	// The faults.
+	faultPause              time.Duration // mean, between two faults
+	faultWeights            [faultKindCount]int
+	powerLossAtAckRate      float64 // how often all power is lost when a command is acknowledged
+	powerLossAtElectionRate float64 // how often a new leader soon loses its power
+}
 
-// faultCount is how many faults there are.
-const faultCount = 15
+// faultKind numbers a fault. The order enters into the schedules that a seed gives.
+type faultKind int
 
-// Places of the faults that strike all machines, and are rare.
+// The faults.
 const (
-	faultKillAllProcesses    = 5
-	faultLoseAllPower        = 6
-	faultStopAllDuringChange = 14
+	faultIsolateHost faultKind = iota
+	faultPartitionOneWay
+	faultFreezeProcess
+	faultKillProcess
+	faultLosePower
+	faultKillAllProcesses
+	faultLoseAllPower
+	faultLoseDisk
+	faultStallDisk
+	faultTransferLeadership
+	faultRemoveVoter
+	faultIsolateLeaderButOne
+	faultLoseCurrentTermEntries
+	faultCompetingChanges
+	faultStopAllDuringChange
+	faultKindCount
 )
 
-// scenarioFaults are the places of the faults that play a whole course of events. In a third of the schedules one of
-// them prevails.
-var scenarioFaults = []int{12, 13}
+// faults are the functions that inject each fault.
+var faults = [faultKindCount]func(*cluster){
+	faultIsolateHost:            (*cluster).isolateHost,
+	faultPartitionOneWay:        (*cluster).partitionOneWay,
+	faultFreezeProcess:          (*cluster).freezeProcess,
+	faultKillProcess:            (*cluster).killProcess,
+	faultLosePower:              (*cluster).losePower,
+	faultKillAllProcesses:       (*cluster).killAllProcesses,
+	faultLoseAllPower:           (*cluster).loseAllPower,
+	faultLoseDisk:               (*cluster).loseDisk,
+	faultStallDisk:              (*cluster).stallDisk,
+	faultTransferLeadership:     (*cluster).transferLeadership,
+	faultRemoveVoter:            (*cluster).removeVoter,
+	faultIsolateLeaderButOne:    (*cluster).isolateLeaderButOne,
+	faultLoseCurrentTermEntries: (*cluster).loseCurrentTermEntries,
+	faultCompetingChanges:       (*cluster).startCompetingChanges,
+	faultStopAllDuringChange:    (*cluster).stopAllDuringChange,
+}
+
+// scenarioFaults are the faults that play a whole scenario. In a third of the schedules one of them
+// has the weight scenarioWeight.
+var scenarioFaults = []faultKind{faultLoseCurrentTermEntries, faultCompetingChanges}
 
-// scenarioWeight is the weight of a course that prevails.
 const scenarioWeight = 40
 
-// faults are all that may strike.
-var faults = [faultCount]fault{
-	(*cluster).isolateHost, (*cluster).partitionOneWay, (*cluster).freezeProcess, (*cluster).killProcess, (*cluster).losePower,
-	(*cluster).killAllProcesses, (*cluster).loseAllPower, (*cluster).loseDisk, (*cluster).stallDisk, (*cluster).transferLeadership,
-	(*cluster).removeVoter, (*cluster).isolateLeaderButOne, (*cluster).loseCurrentTermEntries, (*cluster).startCompetingChanges, (*cluster).stopAllDuringChange,
-}
+// rareFaults are the faults that stop all hosts.
+var rareFaults = []faultKind{faultKillAllProcesses, faultLoseAllPower, faultStopAllDuringChange}
 
+// drawProfile draws a schedule's profile.
 func drawProfile(random *rand.Rand) profile {
 	pick := func(values ...float64) float64 { return values[random.IntN(len(values))] }
 	millis := func(values ...float64) time.Duration {
@@ -75,13 +110,13 @@
 		removeFirst:             random.IntN(2) == 0,
 	}
 	drawn.electionTimeout = max(drawn.electionTimeout, 4*drawn.maxDelay+2*drawn.maxSync)
-	for at := range drawn.faultWeights {
-		drawn.faultWeights[at] = int(pick(0, 2, 6))
+	for kind := range drawn.faultWeights {
+		drawn.faultWeights[kind] = int(pick(0, 2, 6))
 	}
 	if random.IntN(3) == 0 {
 		drawn.faultWeights[scenarioFaults[random.IntN(len(scenarioFaults))]] = scenarioWeight
 	}
-	for _, rare := range []int{faultKillAllProcesses, faultLoseAllPower, faultStopAllDuringChange} {
+	for _, rare := range rareFaults {
 		drawn.faultWeights[rare] = int(pick(0, 0, 1))
 	}
 	return drawn
--- a/coord/consensus/simulation/recovery.go
+++ b/coord/consensus/simulation/recovery.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// endFaults ends all faults.
+// endFaults ends all faults and starts all hosts.
 func (c *cluster) endFaults() {
 	c.faultsOver = true
 	for _, host := range c.hosts {
@@ -16,10 +16,11 @@
 	}
 }
 
-// maxConvergenceLag is how many entries a member may lack while commands go on.
+// maxConvergenceLag is the number of entries that a member may lack while the client goes on.
 const maxConvergenceLag = 100
 
-// converged reports whether all members are back and have applied an entry of a common term after the faults.
+// converged reports whether one member leads, its term has committed entries, and all hosts are voters that
+// have applied nearly as much.
 func (c *cluster) converged() bool {
 	leaders := c.leaders()
 	if len(leaders) != 1 {
@@ -39,8 +40,8 @@
 	return true
 }
 
-// checkRecovery checks that the group works again. It need not where lost disks come back under old IDs: such
-// members are refused what they lost.
+// checkRecovery checks that the group works again. It need not where voters were lost beyond what it
+// tolerates, or where lost disks returned under their old IDs: the leader rejects what such members lack.
 func (c *cluster) checkRecovery() {
 	if c.mayLoseQuorum || c.options.ReuseMemberID || c.converged() {
 		return
--- a/coord/consensus/simulation/scenarios.go
+++ b/coord/consensus/simulation/scenarios.go
@@ -6,13 +6,13 @@
 	"ospreybend/coord/consensus"
 )
 
-// The faults of this file lead schedules towards courses of events that are known to do harm to a group without
-// certain rules, and that faults drawn one by one hardly ever make up.
+// The faults of this file play scenarios: sequences of events that are known to harm a group without certain
+// rules, and that single random faults hardly ever produce.
 
-// loseCurrentTermEntries loses, for a while, all messages that carry entries of their sender's own term, while entries of
-// former terms, votes and heartbeats pass. Leaders are cut off in turn, so that entries of several terms stand in
-// one place of different logs and a former leader leads again: the course of events in which counting the copies
-// of a former term's entry does harm.
+// loseCurrentTermEntries loses, for a while, all messages with entries of their sender's own term, while
+// entries of former terms, votes and heartbeats pass. Leaders are isolated in turn, so that logs have
+// entries of different terms at the same index and a former leader leads again: the sequence of events in
+// which counting replicas of a former term's entry does harm (paper, figure 8).
 func (c *cluster) loseCurrentTermEntries() {
 	c.counters.EntryLosses++
 	until := c.now + c.randomDuration(2*c.profile.electionTimeout, 16*c.profile.electionTimeout)
@@ -22,7 +22,7 @@
 	c.isolateLeadersRepeatedly(until)
 }
 
-// isolateLeadersRepeatedly cuts off whoever leads, again and again until a time.
+// isolateLeadersRepeatedly isolates whoever leads, again and again up to a time.
 func (c *cluster) isolateLeadersRepeatedly(until time.Duration) {
 	if c.faultsOver || c.now >= until {
 		return
@@ -33,7 +33,8 @@
 	c.schedule(c.randomDuration(c.profile.electionTimeout/2, 2*c.profile.electionTimeout), func() { c.isolateLeadersRepeatedly(until) })
 }
 
-// loseEntries loses a machine's messages with entries of its own term to some others until a time.
+// loseEntries loses a host's messages with entries of its own term, to the hosts that to returns true for,
+// up to a time.
 func (c *cluster) loseEntries(from int, until time.Duration, to func(*host) bool) {
 	for _, other := range c.hosts {
 		if to(other) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// losesEntries reports whether a message is one that muting loses.
+// losesEntries reports whether loseEntries loses a message.
 func (c *cluster) losesEntries(message consensus.Message, from, to int) bool {
 	if c.now >= c.entriesLostUntil[from][to] {
 		return false
@@ -55,7 +56,7 @@
 	return false
 }
 
-// partition cuts some machines off from the rest, in both directions, until a time.
+// partition separates some hosts from the others, in both directions, up to a time.
 func (c *cluster) partition(some func(*host) bool, until time.Duration) {
 	for _, one := range c.hosts {
 		for _, other := range c.hosts {
@@ -66,7 +67,7 @@
 	}
 }
 
-// heal ends all cuts and mutes.
+// heal ends all partitions and losses of entries.
 func (c *cluster) heal() {
 	for from := range c.hosts {
 		clear(c.partitionedUntil[from])
@@ -74,20 +75,20 @@
 	}
 }
 
-// competingChanges is a course of events with two leaders, one after the other, that each have a change of members which
-// only a part of the group gets; then the first one's part meets those that got neither. A group with an even
-// number of voters is harmed by it unless a change waits for an entry of the own term, and unless a truncated
-// change is undone.
+// competingChanges is a scenario of two leaders, one after the other, that each make a membership change
+// which only their side of the group receives. Then the first leader's side joins the hosts that received
+// neither change. It harms a group with an even number of voters, unless a change waits for a commit of the
+// current term, and unless a truncated change is undone.
 type competingChanges struct {
 	cluster       *cluster
 	firstLeader   *host
-	sides         []partitionSide // by machine
-	truncateFirst bool            // the first leader's change is truncated before the second one makes its own
-	secondLeader  *host           // the second leader, nil: not elected yet
+	sides         []partitionSide // by host
+	truncateFirst bool            // the first leader's change is truncated before the second leader makes its own
+	secondLeader  *host           // nil: not elected yet
 	finished      bool
 }
 
-// partitionSide tells whose change a machine may get.
+// partitionSide is the side of a host: whose change it may receive.
 type partitionSide int
 
 const (
@@ -96,7 +97,8 @@
 	sideSecond
 )
 
-// startCompetingChanges starts a rivalry, unless one is under way. Meanwhile the operator makes no changes.
+// startCompetingChanges starts the scenario, unless it is in progress. Meanwhile the operator makes no
+// changes. An odd group loses a voter first.
 func (c *cluster) startCompetingChanges() {
 	leaders := c.leaders()
 	if len(leaders) == 0 || (c.competition != nil && !c.competition.finished) {
@@ -114,6 +116,7 @@
 	c.schedule(c.randomDuration(0, c.profile.electionTimeout), r.splitGroup)
 }
 
+// countVoters returns the number of voters.
 func countVoters(members []consensus.Member) int {
 	voters := 0
 	for _, member := range members {
@@ -124,7 +127,7 @@
 	return voters
 }
 
-// splitGroup draws the parts and has the first leader change the members in its own part alone.
+// splitGroup draws the sides and has the first leader make its change, which only its side receives.
 func (r *competingChanges) splitGroup() {
 	if r.finished || !r.firstLeader.up {
 		return
@@ -147,17 +150,20 @@
 	r.firstLeader.removeRandomVoter()
 }
 
+// onSide returns a function that reports whether a host is on a side.
 func (r *competingChanges) onSide(side partitionSide) func(*host) bool {
-	return func(one *host) bool { return r.sides[one.index] == side }
+	return func(candidate *host) bool { return r.sides[candidate.index] == side }
 }
 
+// confineEntriesToSecondSide loses the entries of new terms that leave the second leader's side.
 func (r *competingChanges) confineEntriesToSecondSide(until time.Duration) {
 	for from := range r.cluster.hosts {
 		r.cluster.loseEntries(from, until, func(to *host) bool { return !r.onSide(sideSecond)(to) })
 	}
 }
 
-// leaderElected takes note of a new leader: the second one, if it is not of the first one's part.
+// leaderElected is called with each new leader. The first one outside the first leader's side is the second
+// leader.
 func (r *competingChanges) leaderElected(leader *host) {
 	if r.finished || r.secondLeader != nil || r.sides == nil || r.onSide(sideFirst)(leader) {
 		return
@@ -179,7 +185,7 @@
 	c.schedule(c.randomDuration(c.profile.electionTimeout, 3*c.profile.electionTimeout), r.joinOtherSides)
 }
 
-// changeUntilJoined has the second leader try to change the members until the parts meet.
+// changeUntilJoined has the second leader try its change until the sides join.
 func (r *competingChanges) changeUntilJoined() {
 	if r.finished || r.secondLeader == nil || !r.secondLeader.up || r.secondLeader.node.Status().Role != consensus.RoleLeader {
 		return
@@ -188,7 +194,7 @@
 	r.cluster.schedule(r.cluster.randomDuration(0, r.cluster.profile.electionTimeout/2), r.changeUntilJoined)
 }
 
-// joinOtherSides cuts the second part off and lets the others meet.
+// joinOtherSides isolates the second side and lets the others communicate.
 func (r *competingChanges) joinOtherSides() {
 	if r.finished {
 		return
@@ -199,10 +205,11 @@
 	r.finished = true
 }
 
+// finish ends the scenario, after which the operator works again.
 func (r *competingChanges) finish() { r.finished = true }
 
-// stopAllDuringChange ends all machines while a change of members is on its way: by a kill, or by a loss of power
-// that takes from each what it had not synced.
+// stopAllDuringChange stops all hosts while a membership change is on its way: by kills, or by a loss of
+// power that takes from each what it had not synced.
 func (c *cluster) stopAllDuringChange() {
 	for _, leader := range c.leaders() {
 		c.counters.OutagesDuringChange++
--- a/coord/consensus/simulation/simulation.go
+++ b/coord/consensus/simulation/simulation.go
@@ -1,6 +1,9 @@
-// Package simulation plays the members of a replica group, with the real code of package agreement, on
-// machines, disks and a network of its own, by schedules drawn from a seed. It checks what must
-// hold on each history whatever fails.
+// Package simulation plays the members of a replica group, with the real code of package consensus, on
+// simulated machines, disks and a simulated network. Schedules of faults are drawn from a seed: process
+// kills, power losses, disk losses and stalls, partitions, lost and delayed messages, membership changes.
+// It checks what must hold on each history whatever fails, and that the group works again after the faults.
+//
+// The same seed gives the same history. The package belongs to the tests of the core; no program uses it.
 package simulation
 
 import (
@@ -11,51 +14,58 @@
 	"ospreybend/coord/consensus"
 )
 
-// Options says what is played.
+// Options sets what is played.
 type Options struct {
-	Members              int              // voters, one on each machine
-	Schedules            int              // how many are drawn
+	Members              int              // voters, one on each host
+	Schedules            int              // how many are played
 	Workers              int              // schedules played at a time; 0: one
-	DisabledRules        []consensus.Rule // checks of the core that are left out
-	ReuseMemberID        bool             // a machine that lost its disk comes back under its old ID: a fault that must be noticed
+	DisabledRules        []consensus.Rule // rules of the core that are disabled
+	ReuseMemberID        bool             // a host that lost its disk returns under its old ID: a fault that must be detected
 	StopAtFirstViolation bool             // play no more schedules after the first violation
-	FaultDuration        time.Duration    // how long faults strike in a schedule; 0: defaultTrouble
+	FaultDuration        time.Duration    // how long faults occur in a schedule; 0: defaultFaultDuration
 }
 
-// defaultFaultDuration is how long faults strike in a schedule.
+// defaultFaultDuration is how long faults occur in a schedule.
 const defaultFaultDuration = 8 * time.Second
 
-// Check names what a history must fulfil.
+// Check names a property that each history must have.
 type Check string
 
-// The checks of a history.
+// The checks. Safety is checked during the whole schedule, the last two after the faults.
 const (
-	CheckElectionSafety      Check = "one-leader"  // one leader a term
-	CheckStateMachineSafety  Check = "agreement"   // all state machines take the same entries
+	CheckElectionSafety      Check = "one-leader"  // at most one leader is elected in a term
+	CheckStateMachineSafety  Check = "agreement"   // all state machines apply the same entries
 	CheckApplyOrder          Check = "order"       // entries are handed out in order, each once
-	CheckAcknowledgedDurable Check = "kept"        // an acknowledged command is in every later leader's log
-	CheckLinearizableRead    Check = "read"        // a read covers what was applied anywhere before it began
+	CheckAcknowledgedDurable Check = "kept"        // an acknowledged command is in the log of every later leader
+	CheckLinearizableRead    Check = "read"        // a read covers everything applied anywhere before it started
 	CheckStorage             Check = "storage"     // what is to be made durable has no gap
-	CheckPanic               Check = "panic"       // the core found a state that must never be
-	CheckLeaderAfterFaults   Check = "recovers"    // with all faults over, commands are committed again
-	CheckConvergence         Check = "all-current" // with all faults over, all members apply all entries
+	CheckPanic               Check = "panic"       // the core found a state that must not occur
+	CheckLeaderAfterFaults   Check = "recovers"    // after the faults, a leader commits commands again
+	CheckConvergence         Check = "all-current" // after the faults, all members apply all entries
 )
 
-// Violation is a check that a history broke.
+// Violation is a check that a history did not pass.
 type Violation struct {
 	Schedule int    // 0 for the first one
-	Seed     uint64 // with it the schedule can be played again
+	Seed     uint64 // Play replays the schedule with it
 	Check    Check
 	Text     string
 }
 
-// Counters is what happened in the schedules.
+// Counters counts what happened in schedules.
 type Counters struct {
-	Leaders, Acknowledged, Reads, Messages                          int
-	ProcessKills, PowerLosses, GroupOutages, DiskLosses, DiskStalls int
-	ProcessFreezes, Partitions, Transfers, Compactions              int
-	Snapshots, MembershipChanges                                    int
-	EntryLosses, CompetingChanges, OutagesDuringChange              int
+	// Work of the group.
+	Leaders, Acknowledged, Reads, Messages               int
+	Transfers, Compactions, Snapshots, MembershipChanges int
+
+	// Faults.
+	ProcessKills, ProcessFreezes, PowerLosses int
+	GroupOutages                              int // all hosts at once
+	DiskLosses, DiskStalls                    int
+	Partitions                                int
+
+	// Scenarios of several faults (scenarios.go).
+	EntryLosses, CompetingChanges, OutagesDuringChange int
 }
 
 // Report is the result of a run.
@@ -65,7 +75,7 @@
 	Counters   Counters
 }
 
-// FirstViolation returns after how many schedules the first violation was seen, 0 if there was none.
+// FirstViolation returns the number of schedules played up to the first violation, or 0 if there was none.
 func (r *Report) FirstViolation() int {
 	first := 0
 	for _, violation := range r.Violations {
@@ -76,7 +86,8 @@
 	return first
 }
 
-// Run plays schedules drawn from a seed. The same seed and options give the same histories.
+// Run plays options.Schedules schedules whose seeds derive from seed. The same seed and options give the
+// same histories, in any number of workers.
 func Run(seed uint64, options Options) Report {
 	run := &run{seed: seed, options: options}
 	var group sync.WaitGroup
@@ -87,16 +98,17 @@
 	return run.report
 }
 
-// run hands out the schedules to its workers.
+// run hands out the schedules to its workers and collects their results.
 type run struct {
 	seed    uint64
 	options Options
 
-	mutex  sync.Mutex
+	mutex  sync.Mutex // guards the fields below
 	next   int
 	report Report
 }
 
+// work plays schedules until none is left.
 func (r *run) work() {
 	for {
 		schedule, left := r.nextSchedule()
@@ -112,6 +124,7 @@
 	}
 }
 
+// nextSchedule returns the next schedule's number, and false if none is left.
 func (r *run) nextSchedule() (schedule int, left bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -123,6 +136,7 @@
 	return r.next - 1, true
 }
 
+// add adds a schedule's results to the report.
 func (r *run) add(count Counters, violations []Violation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -131,20 +145,22 @@
 	r.report.Violations = append(r.report.Violations, violations...)
 }
 
-// seedStep spreads the seeds of schedules (the odd constant of the golden ratio).
+// seedStep spreads the seeds of schedules. It is the odd constant of the golden ratio.
 const seedStep = 0x9e3779b97f4a7c15
 
+// scheduleSeed returns the seed of a schedule of a run.
 func scheduleSeed(seed uint64, schedule int) uint64 {
 	return seed + seedStep*uint64(schedule+1)
 }
 
-// Play plays one schedule and returns the first violations of each check.
+// Play plays one schedule. It ends at the first violation.
 func Play(seed uint64, options Options) (Counters, []Violation) {
 	world := newCluster(seed, options)
 	world.play()
 	return world.counters, world.checks.violations
 }
 
+// add adds the counters of another schedule.
 func (c *Counters) add(other Counters) {
 	c.Leaders += other.Leaders
 	c.Acknowledged += other.Acknowledged
@@ -166,7 +182,7 @@
 	c.OutagesDuringChange += other.OutagesDuringChange
 }
 
-// String tells a violation in one line.
+// String returns the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("schedule %d (seed %d): %s: %s", v.Schedule, v.Seed, v.Check, v.Text)
 }
--- a/coord/consensus/simulation/simulation_test.go
+++ b/coord/consensus/simulation/simulation_test.go
@@ -12,10 +12,10 @@
 	"ospreybend/coord/consensus"
 )
 
-// testSeed draws the schedules of all tests.
+// testSeed is the seed of all tests' schedules.
 const testSeed = 7
 
-// testFaultDuration is how long faults strike in a test's schedule.
+// testFaultDuration is how long faults occur in a test's schedule.
 const testFaultDuration = 4 * time.Second
 
 func TestPlay_randomSchedulesPassAllChecks(t *testing.T) {
@@ -37,11 +37,12 @@
 	}
 }
 
-// maxSchedules bounds the search for a rule's absence.
+// maxSchedules bounds the search for a schedule that detects a disabled rule.
 const maxSchedules = 2000
 
-// TestRun_detectsDisabledRules leaves out those rules whose absence shows within few schedules of three members. The
-// rest shows rarely (docs/design/agreement.md); all have a scenario of their own in package agreement.
+// TestRun_detectsDisabledRules disables the rules whose absence shows within few schedules of three
+// members. The others show rarely (docs/design/agreement.md); each has a scenario in the tests of package
+// consensus.
 func TestRun_detectsDisabledRules(t *testing.T) {
 	for _, rule := range []consensus.Rule{
 		consensus.RuleVoteOnce, consensus.RuleVoteUpToDateLog, consensus.RuleVoteDurable,
@@ -51,15 +52,15 @@
 	} {
 		requireDetected(t, string(rule), Options{Members: 3, DisabledRules: []consensus.Rule{rule}})
 	}
-	requireDetected(t, "empty-silent, old ID", Options{
+	requireDetected(t, "empty-silent, reused member ID", Options{
 		Members:       3,
 		DisabledRules: []consensus.Rule{consensus.RuleEmptyDiskNoVote},
 		ReuseMemberID: true,
 	})
 }
 
-// TestRun_detectsDisabledRulesOfScenarios leaves out the rules that only a course of several leaders shows
-// (courses.go). Those of changes of members do harm where the number of voters is even at some time.
+// TestRun_detectsDisabledRulesOfScenarios disables the rules that only a sequence of several leaders shows
+// (scenarios.go). Those of membership changes do harm if the number of voters is even at some time.
 func TestRun_detectsDisabledRulesOfScenarios(t *testing.T) {
 	for rule, members := range map[consensus.Rule]int{
 		consensus.RuleCommitCurrentTerm:     5,
@@ -70,6 +71,7 @@
 	}
 }
 
+// requireDetected fails the test unless some schedule detects what the options disable.
 func requireDetected(t *testing.T, name string, options Options) {
 	t.Helper()
 	if options.Schedules == 0 {
@@ -79,10 +81,10 @@
 	options.FaultDuration = testFaultDuration
 	report := Run(testSeed, options)
 	if report.FirstViolation() == 0 {
-		t.Errorf("%s: %d members: not noticed in %d schedules", name, options.Members, report.Played)
+		t.Errorf("%s: %d members: not detected in %d schedules", name, options.Members, report.Played)
 		return
 	}
-	t.Logf("%s: %d members: noticed after %d schedules: %s", name, options.Members, report.FirstViolation(), report.Violations[0].Check)
+	t.Logf("%s: %d members: detected after %d schedules: %s", name, options.Members, report.FirstViolation(), report.Violations[0].Check)
 }
 
 func TestRun_sameSeedGivesSameHistories(t *testing.T) {
@@ -96,10 +98,10 @@
 func TestRun_schedulesContainAllFaults(t *testing.T) {
 	count := Run(testSeed, Options{Members: 5, Schedules: 30, FaultDuration: testFaultDuration}).Counters
 	for name, times := range map[string]int{
-		"kills": count.ProcessKills, "power losses": count.PowerLosses, "all down": count.GroupOutages, "wipes": count.DiskLosses,
-		"stalls": count.DiskStalls, "freezes": count.ProcessFreezes, "cuts": count.Partitions, "transfers": count.Transfers,
+		"kills": count.ProcessKills, "power losses": count.PowerLosses, "group outages": count.GroupOutages, "disk losses": count.DiskLosses,
+		"disk stalls": count.DiskStalls, "freezes": count.ProcessFreezes, "partitions": count.Partitions, "transfers": count.Transfers,
 		"compactions": count.Compactions, "snapshots": count.Snapshots, "changes": count.MembershipChanges,
-		"reads": count.Reads, "mutes": count.EntryLosses, "rivalries": count.CompetingChanges, "strikes amid changes": count.OutagesDuringChange,
+		"reads": count.Reads, "entry losses": count.EntryLosses, "competing changes": count.CompetingChanges, "outages during changes": count.OutagesDuringChange,
 	} {
 		if times == 0 {
 			t.Errorf("no %s", name)
