--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -61,29 +61,29 @@
 }
 
 // readMore waits for further bytes of the request by its deadline.
-func (a *requestReader) readMore() (*http1.StatusError, error) {
-	a.setDeadline()
-	return a.mapTimeout(a.conn.readMore())
+func (r *requestReader) readMore() (*http1.StatusError, error) {
+	r.setDeadline()
+	return r.mapTimeout(r.conn.readMore())
 }
 
 // setDeadline sets the deadline of the whole request, when it has not come at once: a first time for the head, and once more for the
 // body, since the head tells how long the request may be held.
-func (a *requestReader) setDeadline() {
-	if a.deadlineSet {
+func (r *requestReader) setDeadline() {
+	if r.deadlineSet {
 		return
 	}
-	a.deadlineSet = true
-	c := a.conn
-	timeout := a.limits.HeaderTimeout
-	if requestTimeout := c.server.options.RequestTimeout; requestTimeout != nil && a.headRead {
-		timeout = min(timeout, positiveOr(requestTimeout(a.request), timeout))
+	r.deadlineSet = true
+	c := r.conn
+	timeout := r.limits.HeaderTimeout
+	if requestTimeout := c.server.options.RequestTimeout; requestTimeout != nil && r.headRead {
+		timeout = min(timeout, positiveOr(requestTimeout(r.request), timeout))
 	}
 	c.server.mu.Lock()
-	c.setReadDeadline(timeout - time.Since(a.startedAt))
+	c.setReadDeadline(timeout - time.Since(r.startedAt))
 	c.server.mu.Unlock()
 }
 
-func (a *requestReader) mapTimeout(err error) (*http1.StatusError, error) {
+func (r *requestReader) mapTimeout(err error) (*http1.StatusError, error) {
 	if err != nil && isTimeout(err) {
 		return &errRequestTimeout, nil
 	}
@@ -110,20 +110,20 @@
 }
 
 // copyHead copies what the request needs of the head.
-func (a *requestReader) copyHead() {
-	request := a.request
-	request.Method = string(a.head.Method)
-	request.Target = string(a.head.Target)
-	path, _, _ := bytes.Cut(a.head.Target, []byte{'?'})
+func (r *requestReader) copyHead() {
+	request := r.request
+	request.Method = string(r.head.Method)
+	request.Target = string(r.head.Target)
+	path, _, _ := bytes.Cut(r.head.Target, []byte{'?'})
 	request.Path = request.Target[:len(path)]
-	header := a.head.Header()
+	header := r.head.Header()
 	request.Host = header.Get("Host")
 	request.Header = http1.HopByHopOf(header).Strip(header)
-	expects := a.head.ExpectsContinue()
-	a.headRead, a.deadlineSet = true, false
-	a.head.Method, a.head.Target, a.head.RawHeader = nil, nil, nil // the buffer goes on to be used
+	expects := r.head.ExpectsContinue()
+	r.headRead, r.deadlineSet = true, false
+	r.head.Method, r.head.Target, r.head.RawHeader = nil, nil, nil // the buffer goes on to be used
 	if expects {
-		a.head.RawHeader = []http1.RawHeaderField{expectField}
+		r.head.RawHeader = []http1.RawHeaderField{expectField}
 	}
 }
 
@@ -147,20 +147,20 @@
 }
 
 // sendContinue tells a client that waits for it to send its body.
-func (a *requestReader) sendContinue() error {
-	if !a.head.ExpectsContinue() || a.head.HTTP10 || a.conn.input.Len() > 0 {
+func (r *requestReader) sendContinue() error {
+	if !r.head.ExpectsContinue() || r.head.HTTP10 || r.conn.input.Len() > 0 {
 		return nil
 	}
-	_ = a.conn.socket.SetWriteDeadline(time.Now().Add(a.conn.server.writeTimeout))
-	_, err := a.conn.socket.Write([]byte(http1.ContinueLine))
+	_ = r.conn.socket.SetWriteDeadline(time.Now().Add(r.conn.server.writeTimeout))
+	_, err := r.conn.socket.Write([]byte(http1.ContinueLine))
 	return err
 }
 
 // readFixedBody reads a body of a known length. Memory is made as it comes: a length alone costs the client nothing.
-func (a *requestReader) readFixedBody(length int) (*http1.StatusError, error) {
-	c, request := a.conn, a.request
+func (r *requestReader) readFixedBody(length int) (*http1.StatusError, error) {
+	c, request := r.conn, r.request
 	for len(request.Body) < length {
-		if !a.growBody(length) {
+		if !r.growBody(length) {
 			return &errOverloaded, nil
 		}
 		space := request.Body[len(request.Body):min(length, cap(request.Body))]
@@ -170,24 +170,24 @@
 			request.Body = request.Body[:len(request.Body)+n]
 			continue
 		}
-		a.setDeadline()
+		r.setDeadline()
 		n, err := c.read(space)
 		request.Body = request.Body[:len(request.Body)+n]
 		if err != nil {
-			return a.mapTimeout(err)
+			return r.mapTimeout(err)
 		}
 	}
 	return nil, nil
 }
 
 // growBody makes room for more of the body. It returns false where the server holds as much as it may.
-func (a *requestReader) growBody(length int) bool {
-	request := a.request
+func (r *requestReader) growBody(length int) bool {
+	request := r.request
 	if len(request.Body) < cap(request.Body) {
 		return true
 	}
 	size := min(length, max(2*cap(request.Body), initialBodyBytes))
-	s := a.conn.server
+	s := r.conn.server
 	buffered := s.bodyBytes.Add(int64(size - cap(request.Body)))
 	if maxBuffered := s.options.MaxBufferedBodyBytes; maxBuffered > 0 && buffered > maxBuffered {
 		s.bodyBytes.Add(-int64(size - cap(request.Body)))
@@ -200,18 +200,18 @@
 }
 
 // readChunkedBody reads a body in chunks.
-func (a *requestReader) readChunkedBody(body *http1.BodyReader) (*http1.StatusError, error) {
-	c, request := a.conn, a.request
+func (r *requestReader) readChunkedBody(body *http1.BodyReader) (*http1.StatusError, error) {
+	c, request := r.conn, r.request
 	framing := 0
 	for !body.Done {
 		data, used, statusErr := body.Next(c.input.Bytes())
 		switch {
 		case statusErr != nil:
 			return statusErr, nil
-		case len(request.Body)+len(data) > a.limits.MaxBodyBytes:
+		case len(request.Body)+len(data) > r.limits.MaxBodyBytes:
 			return &errBodyTooLarge, nil
 		}
-		if statusErr := a.appendBody(data); statusErr != nil {
+		if statusErr := r.appendBody(data); statusErr != nil {
 			return statusErr, nil
 		}
 		c.input.Discard(used)
@@ -221,17 +221,17 @@
 		if used > 0 {
 			continue
 		}
-		if statusErr, err := a.readMore(); statusErr != nil || err != nil {
+		if statusErr, err := r.readMore(); statusErr != nil || err != nil {
 			return statusErr, err
 		}
 	}
 	return nil, nil
 }
 
-func (a *requestReader) appendBody(data []byte) *http1.StatusError {
-	request := a.request
+func (r *requestReader) appendBody(data []byte) *http1.StatusError {
+	request := r.request
 	for len(data) > 0 {
-		if !a.growBody(a.limits.MaxBodyBytes) {
+		if !r.growBody(r.limits.MaxBodyBytes) {
 			return &errOverloaded
 		}
 		n := min(len(data), cap(request.Body)-len(request.Body))
