--- a/internal/util/http1/body.go
+++ b/internal/util/http1/body.go
@@ -2,25 +2,28 @@
 
 import (
 	"bytes"
+	"net/http"
 	"strconv"
 )
 
-// BodyState is where a body's reading stands, to be carried to another process.
+const chunkEndBytes = len("\r\n")
+
+// BodyState is the progress of reading a body. It is a value of its own so that a hot restart can hand it over to another process.
 type BodyState struct {
-	Remaining  int  // bytes that are to come of a body of known length, or of a chunk
-	Chunked    bool // the body comes in chunks
-	UntilClose bool // the body goes on to the connection's end
-	Done       bool // the body has ended, the trailer included
-	AtChunkEnd bool // the end of a chunk's data is to come
+	Remaining  int  // bytes left of a body of known length, or of the current chunk
+	Chunked    bool // the body has the chunked transfer coding
+	UntilClose bool // the body ends with the connection; the caller sets Done then
+	Done       bool // the body is complete, with its trailer
+	AtChunkEnd bool // the line end behind a chunk's data comes next
 }
 
-// BodyReader takes a body in piece by piece, as it comes.
+// BodyReader decodes the framing of a body incrementally.
 type BodyReader struct {
 	BodyState
 	Rules *ParseRules
 }
 
-// NewRequestBodyReader starts on the body of a request whose head has been read.
+// NewRequestBodyReader returns a reader for the body of a request with the given head.
 func NewRequestBodyReader(head *Head, rules *ParseRules) BodyReader {
 	if head.ContentLength == LengthNone || head.ContentLength == 0 {
 		return BodyReader{BodyState{Done: true}, rules}
@@ -28,10 +31,10 @@
 	return newFramedBodyReader(head, rules)
 }
 
-// NewResponseBodyReader starts on the body of a response whose head has been read. Interim responses (1xx) have none: they are to be passed
-// over before.
+// NewResponseBodyReader returns a reader for the body of a response with the given head, to any request but HEAD. Interim
+// responses (1xx) have no body: callers skip them before.
 func NewResponseBodyReader(head *Head, rules *ParseRules) BodyReader {
-	if head.Status == 204 || head.Status == 304 || head.ContentLength == 0 {
+	if head.Status == http.StatusNoContent || head.Status == http.StatusNotModified || head.ContentLength == 0 {
 		return BodyReader{BodyState{Done: true}, rules}
 	}
 	return newFramedBodyReader(head, rules)
@@ -47,8 +50,8 @@
 	return BodyReader{BodyState{Remaining: head.ContentLength}, rules}
 }
 
-// Next returns the next piece, a slice of in. used is 0 where more bytes are needed or the body is over; a piece may be empty
-// though bytes were used.
+// Next returns the next part of the body, as a slice of in, and the number of bytes of in that were consumed. used is 0 if more
+// bytes are needed or the body is complete. data may be empty though bytes were consumed, for framing.
 func (b *BodyReader) Next(in []byte) (data []byte, used int, statusErr *StatusError) {
 	if b.Done || len(in) == 0 {
 		return nil, 0, nil
@@ -66,8 +69,8 @@
 	return in[:used], used, nil
 }
 
-// readChunkBoundary reads what stands between two chunks. What is in a chunk counts as it comes: its sender may break off behind a
-// whole line.
+// readChunkBoundary reads the framing between the data of two chunks. The data of a chunk is handed on before the chunk is
+// complete, since its sender may stop at any byte.
 func (b *BodyReader) readChunkBoundary(in []byte) (used int, statusErr *StatusError) {
 	if b.AtChunkEnd {
 		return b.readChunkEnd(in)
@@ -83,17 +86,18 @@
 }
 
 func (b *BodyReader) readChunkEnd(in []byte) (used int, statusErr *StatusError) {
-	if len(in) < 2 {
+	if len(in) < chunkEndBytes {
 		return 0, nil
 	}
 	if in[0] != '\r' || in[1] != '\n' {
 		return 0, BadMessage("a chunk has no end")
 	}
 	b.AtChunkEnd = false
-	return 2, nil
+	return chunkEndBytes, nil
 }
 
-// parseChunkSize reads the line before a chunk. used is 0 where more bytes are needed.
+// parseChunkSize parses the line before a chunk: its size in hexadecimal, and extensions, which are ignored. used is 0 if more
+// bytes are needed.
 func parseChunkSize(in []byte, rules *ParseRules) (size, used int, statusErr *StatusError) {
 	line, used, statusErr := cutLine(in, rules)
 	if statusErr != nil {
@@ -116,13 +120,13 @@
 	case err != nil:
 		return 0, 0, BadMessage("a chunk's size is malformed")
 	case int(n) > rules.MaxBodyBytes && rules.MaxBodyBytes > 0:
-		return 0, 0, &StatusError{413, "a chunk is too long"}
+		return 0, 0, &StatusError{http.StatusRequestEntityTooLarge, "a chunk is too long"}
 	}
 	return int(n), used, nil
 }
 
-// skipTrailer passes over the lines after the last chunk, from at on. over tells that the body has ended with them, and end where;
-// end is 0 where more bytes are needed.
+// skipTrailer skips the trailer that follows the last chunk, from offset on. done reports whether the body is complete, and end is
+// the offset behind it; end is 0 if more bytes are needed.
 func skipTrailer(in []byte, offset int, rules *ParseRules) (end int, done bool, statusErr *StatusError) {
 	for {
 		line, length, statusErr := cutLine(in[offset:], rules)
@@ -130,7 +134,7 @@
 		case statusErr != nil:
 			return 0, false, statusErr
 		case length == 0 && len(in)-offset > rules.MaxHeadBytes || length > 0 && rules.Strict && offset > rules.MaxHeadBytes:
-			return 0, false, &StatusError{431, "the trailer is too long"}
+			return 0, false, &StatusError{http.StatusRequestHeaderFieldsTooLarge, "the trailer is too long"}
 		case length == 0:
 			return 0, false, nil
 		}
--- a/internal/util/http1/head.go
+++ b/internal/util/http1/head.go
@@ -3,51 +3,59 @@
 import (
 	"bytes"
 	"fmt"
+	"net/http"
 	"strconv"
 )
 
-// Values of Head.Length that are no length.
+// Values of Head.ContentLength that are not a length.
 const (
-	LengthChunked = -1 // the body comes in chunks
-	LengthNone    = -2 // neither length nor chunks: a request has no body, a response one up to the connection's end
+	// LengthChunked stands for a body with "Transfer-Encoding: chunked".
+	LengthChunked = -1
+	// LengthNone stands for a message with neither a length nor chunks: a request has no body then, and the body of a response
+	// is delimited by the end of the connection (RFC 9112, section 6.3).
+	LengthNone = -2
 )
 
-const maxLengthDigits = 18 // of a Content-Length that still fits
+// maxLengthDigits is the most digits of a Content-Length that is answered as too large, and not as malformed.
+const maxLengthDigits = 18
 
-// ParseRules bound a message and say how strictly it is read.
+const errorHeaderTooLong = "the header is too long"
+
+// ParseRules are the limits of a message and how strictly it is parsed.
 type ParseRules struct {
-	MaxHeadBytes int // most bytes of the start line and the header, line ends included
-	MaxBodyBytes int // most bytes of a body and of one chunk
-	// Strict refuses what another reader may take otherwise: line ends without CR, white space within chunk sizes,
-	// requests without exactly one Host, any transfer coding but chunked.
+	MaxHeadBytes int // of the start line and the header, line ends included
+	MaxBodyBytes int // of a chunk; 0 stands for no limit. Limits on whole bodies are the caller's
+	// Strict rejects what another parser might read differently: line ends without CR, white space within chunk sizes,
+	// requests without exactly one Host, and any transfer coding but chunked.
 	Strict bool
 }
 
-// StatusError is why a message cannot be read, with the status that says so.
+// StatusError is the reason why a message cannot be read, with the status code that a server answers it with.
 type StatusError struct {
 	Status int
 	Reason string
 }
 
-func (f *StatusError) Error() string { return fmt.Sprintf("%d %s", f.Status, f.Reason) }
+// Error returns the status and the reason.
+func (e *StatusError) Error() string { return fmt.Sprintf("%d %s", e.Status, e.Reason) }
 
-// BadMessage is a fault with status 400.
-func BadMessage(text string) *StatusError { return &StatusError{400, text} }
+// BadMessage returns a StatusError with status 400.
+func BadMessage(reason string) *StatusError { return &StatusError{http.StatusBadRequest, reason} }
 
-// RawHeaderField is a header field within the buffer that was read.
+// RawHeaderField is a header field whose name and value are slices of the buffer that was parsed.
 type RawHeaderField struct{ Name, Value []byte }
 
-// Head is a start line with its header. Its slices are those of the buffer that was read.
+// Head is the start line and the header of a message. Its slices refer to the buffer that was parsed.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
 	RawHeader      []RawHeaderField
-	ContentLength  int  // of the body, or LengthChunked, or LengthNone
-	Close          bool // no message follows on the connection
-	HTTP10         bool // HTTP/1.0
+	ContentLength  int  // bytes of the body, or LengthChunked, or LengthNone
+	Close          bool // the sender closes the connection after this message
+	HTTP10         bool // the message is HTTP/1.0
 }
 
-// MessageKind tells requests from responses.
+// MessageKind distinguishes requests from responses.
 type MessageKind uint8
 
 // Kinds of messages.
@@ -56,7 +64,7 @@
 	Response
 )
 
-// Get returns the first value of a header field, or nil.
+// Get returns the value of the first header field with the given name, or nil.
 func (h *Head) Get(name string) []byte {
 	for i := range h.RawHeader {
 		if EqualFold(h.RawHeader[i].Name, name) {
@@ -66,10 +74,10 @@
 	return nil
 }
 
-// ExpectsContinue tells whether a client waits for word before it sends the body.
+// ExpectsContinue reports whether the client waits for an interim response before it sends the body.
 func (h *Head) ExpectsContinue() bool { return EqualFold(h.Get("Expect"), "100-continue") }
 
-// Header copies the header fields.
+// Header returns a copy of the header fields that does not refer to the buffer.
 func (h *Head) Header() Header {
 	fields := make(Header, len(h.RawHeader))
 	for i, f := range h.RawHeader {
@@ -78,7 +86,8 @@
 	return fields
 }
 
-// ParseHead reads a start line and header fields from the beginning of in. used is 0 where they are not all there.
+// ParseHead parses a start line and a header from the beginning of in into head. used is the number of bytes of the head with its
+// blank line, or 0 if more bytes are needed.
 func ParseHead(kind MessageKind, in []byte, rules *ParseRules, head *Head) (used int, statusErr *StatusError) {
 	offset := 0
 	for lines := 0; ; lines++ {
@@ -88,7 +97,7 @@
 		}
 		offset += length
 		if offset > rules.MaxHeadBytes || length == 0 && len(in) > rules.MaxHeadBytes {
-			return 0, &StatusError{431, "the header is too long"}
+			return 0, &StatusError{http.StatusRequestHeaderFieldsTooLarge, errorHeaderTooLong}
 		}
 		switch {
 		case length == 0:
@@ -109,7 +118,7 @@
 	}
 }
 
-// cutLine returns the first line of in without its end; used is 0 where it is not all there.
+// cutLine returns the first line of in without its line end. used is the line's length with it, or 0 if more bytes are needed.
 func cutLine(in []byte, rules *ParseRules) (line []byte, used int, statusErr *StatusError) {
 	end := bytes.IndexByte(in, '\n')
 	if end < 0 {
@@ -132,7 +141,7 @@
 
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
-// IsToken tells whether b may be a field's name or a method.
+// IsToken reports whether b is a token, that is, may be a method or the name of a header field (RFC 9110, section 5.6.2).
 func IsToken[T ~string | ~[]byte](b T) bool {
 	for i := range len(b) {
 		c := b[i]
@@ -187,21 +196,21 @@
 	return head.parseVersion(version)
 }
 
-func (h *Head) parseVersion(v []byte) *StatusError {
+func (h *Head) parseVersion(version []byte) *StatusError {
 	switch {
-	case string(v) == "HTTP/1.1":
-	case string(v) == "HTTP/1.0":
+	case string(version) == "HTTP/1.1":
+	case string(version) == "HTTP/1.0":
 		h.HTTP10 = true
-	case bytes.HasPrefix(v, []byte("HTTP/")):
-		return &StatusError{505, "only HTTP/1.1 is spoken"}
+	case bytes.HasPrefix(version, []byte("HTTP/")):
+		return &StatusError{http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is supported"}
 	default:
 		return BadMessage("the version is malformed")
 	}
 	return nil
 }
 
-// parseFraming finds out how the body is delimited. Where two fields disagree, the message is refused: what one side
-// takes for a body another may take for the next message.
+// parseFraming determines how the body is delimited, and whether the connection is closed after the message. A message whose
+// fields disagree is rejected: what one side takes for a body another may take for the next message.
 func (h *Head) parseFraming(kind MessageKind, rules *ParseRules) *StatusError {
 	h.ContentLength, h.Close = LengthNone, h.HTTP10
 	for i := range h.RawHeader {
@@ -232,7 +241,7 @@
 		h.ContentLength = int(n)
 		return nil
 	case err != nil && rules.Strict && isAllDigits(value) && len(value) <= maxLengthDigits:
-		return &StatusError{413, "the body is too long"}
+		return &StatusError{http.StatusRequestEntityTooLarge, "the body is too long"}
 	}
 	return BadMessage("the length is malformed")
 }
@@ -251,7 +260,7 @@
 		if rules.Strict {
 			return BadMessage("the transfer coding is unknown")
 		}
-		return &StatusError{501, "the transfer coding is unknown"}
+		return &StatusError{http.StatusNotImplemented, "the transfer coding is unknown"}
 	}
 	if h.ContentLength != LengthNone || h.HTTP10 {
 		return BadMessage("the body is framed twice")
@@ -271,7 +280,7 @@
 	}
 }
 
-// checkHost checks that there is one Host and that it may be one.
+// checkHost checks that there is exactly one Host field, with a well-formed value.
 func (h *Head) checkHost() *StatusError {
 	count := 0
 	for i := range h.RawHeader {
--- a/internal/util/http1/header.go
+++ b/internal/util/http1/header.go
@@ -1,12 +1,13 @@
 package http1
 
-// HeaderField is one header field, name and value as they came.
+// HeaderField is one header field, with the name and value as received.
 type HeaderField struct{ Name, Value string }
 
-// Header are header fields in the order in which they came.
+// Header is a list of header fields in the order received. Unlike net/http.Header it keeps the order and the spelling of names,
+// so that a message can be forwarded unchanged. Names are compared without regard to case.
 type Header []HeaderField
 
-// Get returns the first value of a field, compared without regard to case, and "" where there is none.
+// Get returns the value of the first field with the given name, or "" if there is none.
 func (f Header) Get(name string) string {
 	for i := range f {
 		if EqualFold(f[i].Name, name) {
@@ -16,10 +17,10 @@
 	return ""
 }
 
-// Has tells whether a field is there.
+// Has reports whether there is a field with the given name.
 func (f Header) Has(name string) bool { return f.Count(name) > 0 }
 
-// Count returns how many fields have a name.
+// Count returns the number of fields with the given name.
 func (f Header) Count(name string) int {
 	count := 0
 	for i := range f {
@@ -30,13 +31,12 @@
 	return count
 }
 
-// With returns the fields without those of a name, and with one of that name and value at the end.
-// The fields themselves stay as they are.
+// With returns a copy in which the fields of the given name are replaced by one, at the end.
 func (f Header) With(name, value string) Header {
 	return append(f.Without(name), HeaderField{name, value})
 }
 
-// Without returns the fields that have another name, in an array of their own.
+// Without returns a copy without the fields of the given name. It has room for one more field.
 func (f Header) Without(name string) Header {
 	remaining := make(Header, 0, len(f)+1)
 	for _, field := range f {
@@ -47,7 +47,7 @@
 	return remaining
 }
 
-// EqualFold compares field names without regard to case, in ASCII alone.
+// EqualFold reports whether two field names are equal under ASCII case folding.
 func EqualFold[A, B ~string | ~[]byte](a A, b B) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/util/http1/headreader.go
+++ b/internal/util/http1/headreader.go
@@ -1,28 +1,33 @@
 package http1
 
-import "bytes"
+import (
+	"bytes"
+	"net/http"
+)
 
-// HeadReader reads one head as it comes in. Each time it is given all that has come of the message, and goes on from where it
-// stopped, so that nobody can have the same bytes read over and over. The zero value with Kind and Rules set is ready.
+// HeadReader parses one message head incrementally. Each call of Read is given all bytes received so far and continues where the
+// last one stopped, so that a peer that sends byte by byte does not cause the same bytes to be scanned again and again. The zero
+// value with Kind and Rules set is ready for use.
 type HeadReader struct {
 	Kind  MessageKind
 	Rules ParseRules
 
-	scanned       int  // how far the lines have been read
-	lineStart     int  // where the start line begins, empty lines passed over
-	startLineRead bool // the start line has been read
+	scanned       int  // offset up to which whole lines have been read
+	lineStart     int  // offset of the start line, behind empty lines
+	startLineRead bool // the start line was read and is well-formed
 }
 
-// Start returns where the start line begins.
+// Start returns the offset of the start line.
 func (r *HeadReader) Start() int { return r.lineStart }
 
-// Scanned returns how far the head has been read.
+// Scanned returns the offset up to which the head has been read.
 func (r *HeadReader) Scanned() int { return r.scanned }
 
-// Started tells whether a byte other than an empty line's has come.
+// Started reports whether in has a byte behind the empty lines that may precede a message.
 func (r *HeadReader) Started(in []byte) bool { return len(in) > r.lineStart }
 
-// Read goes on with what has come. used is 0 where more bytes are needed. A start line that makes no sense shows at once.
+// Read parses the head from in, which holds all bytes of the message received so far. used is 0 if more bytes are needed. A
+// malformed start line is reported as soon as it is complete, before the header has come.
 func (r *HeadReader) Read(in []byte, head *Head) (used int, statusErr *StatusError) {
 	ready, statusErr := r.skipEmptyLines(in)
 	if statusErr != nil || !ready {
@@ -34,7 +39,7 @@
 		case statusErr != nil:
 			return 0, statusErr
 		case r.scanned+length > r.Rules.MaxHeadBytes || length == 0 && len(in) > r.Rules.MaxHeadBytes:
-			return 0, &StatusError{431, "the header is too long"}
+			return 0, &StatusError{http.StatusRequestHeaderFieldsTooLarge, errorHeaderTooLong}
 		case length == 0:
 			return 0, nil
 		}
@@ -56,7 +61,7 @@
 	return r.lineStart + length, nil
 }
 
-// skipEmptyLines passes over empty lines before the start line. ready is false where more bytes are needed first.
+// skipEmptyLines skips empty lines before the start line (RFC 9112, section 2.2). ready is false if more bytes are needed first.
 func (r *HeadReader) skipEmptyLines(in []byte) (ready bool, statusErr *StatusError) {
 	if r.startLineRead {
 		return true, nil
@@ -76,7 +81,7 @@
 	switch {
 	case len(rest) == 0 || len(rest) == 1 && rest[0] == '\r':
 		if len(in) > r.Rules.MaxHeadBytes {
-			return false, &StatusError{431, "the header is too long"}
+			return false, &StatusError{http.StatusRequestHeaderFieldsTooLarge, errorHeaderTooLong}
 		}
 		return false, nil
 	case rest[0] == '\r' || rest[0] == '\n':
--- a/internal/util/http1/hopbyhop.go
+++ b/internal/util/http1/hopbyhop.go
@@ -2,10 +2,14 @@
 
 import "strings"
 
-// hopByHopFields concern one connection only and are never passed on; so do all that begin with "Proxy-".
+const proxyPrefix = "Proxy-"
+
+// hopByHopFields concern one connection only and are never forwarded (RFC 9110, section 7.6.1). Neither are fields whose names
+// begin with "Proxy-".
 var hopByHopFields = [...]string{"Connection", "Keep-Alive", "Transfer-Encoding", "TE", "Trailer", "Upgrade"}
 
-// endToEndFields are fields that a message needs at its far end. A Connection field that names one is in error, and does not remove it.
+// endToEndFields are fields that the recipient of a message needs. A Connection field that lists one is in error and does not
+// remove it.
 var endToEndFields = [...]string{"Host", "Content-Type", "Content-Encoding", "X-Request-Id", "X-Request-Deadline", "X-Model", "X-Token-Count",
 	"X-Prompt-Prefix", "X-Response-Signature", "X-Not-Executed", "Last-Event-Id", "Retry-After"}
 
@@ -18,10 +22,10 @@
 	return false
 }
 
-// HopByHop finds out which fields of a message concern one connection only.
+// HopByHop determines which fields of a message concern one connection only. The zero value knows the standard fields.
 type HopByHop struct{ listed []string }
 
-// HopByHopOf reads the Connection fields of a message.
+// HopByHopOf returns the hop-by-hop fields of a message: the standard ones, and those that its Connection fields list.
 func HopByHopOf(header Header) HopByHop {
 	var hopByHop HopByHop
 	for i := range header {
@@ -37,7 +41,7 @@
 	return hopByHop
 }
 
-// Strip returns the fields that concern more than one connection, in an array of their own.
+// Strip returns a copy of the header without its hop-by-hop fields.
 func (h HopByHop) Strip(header Header) Header {
 	endToEndHeader := make(Header, 0, len(header))
 	for i := range header {
@@ -48,9 +52,9 @@
 	return endToEndHeader
 }
 
-// Contains tells whether a field concerns one connection only.
+// Contains reports whether the field of the given name concerns one connection only.
 func (h HopByHop) Contains(name string) bool {
-	if len(name) > len("Proxy-") && EqualFold(name[:len("Proxy-")], "Proxy-") {
+	if len(name) > len(proxyPrefix) && EqualFold(name[:len(proxyPrefix)], proxyPrefix) {
 		return true
 	}
 	for _, known := range hopByHopFields {
--- a/internal/util/http1/readbuffer.go
+++ b/internal/util/http1/readbuffer.go
@@ -1,20 +1,20 @@
 package http1
 
 const (
-	initialReadBytes = 4 << 10  // bytes of an input's array at first
-	maxRetainedBytes = 16 << 10 // an empty input's array is given back above it
+	initialReadBytes = 4 << 10  // capacity of the first array
+	maxRetainedBytes = 16 << 10 // an empty buffer releases a larger array
 )
 
-// ReadBuffer holds what has come on a connection and is not used yet.
+// ReadBuffer holds the bytes received on a connection that have not been consumed. The zero value is an empty buffer.
 type ReadBuffer struct{ bytes []byte }
 
-// Bytes returns what is there. It is valid until the next call of Space or Drop.
+// Bytes returns the unconsumed bytes. The slice is valid until the next call of Free or Discard.
 func (i *ReadBuffer) Bytes() []byte { return i.bytes }
 
-// Len returns how many bytes are there.
+// Len returns the number of unconsumed bytes.
 func (i *ReadBuffer) Len() int { return len(i.bytes) }
 
-// Free returns room to read into, behind what is there; never empty.
+// Free returns space to read into, behind the unconsumed bytes. It is never empty; the array grows when it is full.
 func (i *ReadBuffer) Free() []byte {
 	if len(i.bytes) == cap(i.bytes) {
 		grown := make([]byte, len(i.bytes), max(2*cap(i.bytes), initialReadBytes))
@@ -24,10 +24,10 @@
 	return i.bytes[len(i.bytes):cap(i.bytes)]
 }
 
-// Extend says that n bytes were read into Space.
+// Extend adds the n bytes that were read into the slice returned by Free.
 func (i *ReadBuffer) Extend(n int) { i.bytes = i.bytes[:len(i.bytes)+n] }
 
-// Discard removes the first n bytes.
+// Discard consumes the first n bytes.
 func (i *ReadBuffer) Discard(n int) {
 	rest := copy(i.bytes, i.bytes[n:])
 	i.bytes = i.bytes[:rest]
--- a/internal/util/http1/write.go
+++ b/internal/util/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// StatusText returns the reason phrase of a status, and "" for one that is not known.
+// StatusText returns the reason phrase of a status code, or "" if the code is unknown.
 func StatusText(status int) string { return statusText[status] }
 
 var statusText = map[int]string{200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 206: "Partial Content",
@@ -13,7 +13,7 @@
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// AppendStatusLine appends a response's first line.
+// AppendStatusLine appends the status line of a response.
 func AppendStatusLine(out []byte, status int) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
@@ -30,7 +30,7 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendIntField appends one header line with a whole number.
+// AppendIntField appends one header line whose value is an integer.
 func AppendIntField(out []byte, name string, value int) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
@@ -38,7 +38,7 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendChunk appends one chunk; nothing where there are no data, as an empty chunk would be the last.
+// AppendChunk appends one chunk. It appends nothing if data is empty, since an empty chunk ends the body.
 func AppendChunk(out, data []byte) []byte {
 	if len(data) == 0 {
 		return out
@@ -49,13 +49,13 @@
 	return append(out, "\r\n"...)
 }
 
-// LastChunk ends a body in chunks.
+// LastChunk is the end of a body in chunks, without a trailer.
 const LastChunk = "0\r\n\r\n"
 
-// ContinueLine tells a client to send its body.
+// ContinueLine is the interim response that asks a client to send its body.
 const ContinueLine = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// IsFieldValue tells whether a text may be a field's value as it is.
+// IsFieldValue reports whether value may be sent as the value of a header field. Control characters could end the line early.
 func IsFieldValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
