--- a/internal/dataplane/upstream/api.go
+++ b/internal/dataplane/upstream/api.go
@@ -1,5 +1,3 @@
-// Package upstream is the client side of HTTP/1.1 towards workers: it keeps connections by address,
-// sends a request on one of them, and says to the byte what was sent and what came back.
 package upstream
 
 import (
@@ -12,67 +10,67 @@
 type Request struct {
 	Address string // "ip:port"
 	Method  string
-	Target  string // path and query, sent as they are
-	// Header are the header fields, Host with them. Those that concern one connection only are left out when they
-	// are sent, as are Accept-Encoding, Expect and Content-Length, which the exchange sets itself.
+	Target  string // path and query, sent unchanged
+	// Header is sent without its hop-by-hop fields and without Accept-Encoding, Expect and Content-Length, which the client sets
+	// itself or never sends. It must have a Host field.
 	Header http1.Header
 	Body   []byte
-	// StreamEvents tells that an answer that is an event stream with a 2xx status is to be read event by event. Any other is read whole.
+	// StreamEvents asks for an event stream with a 2xx status to be returned as Response.Stream. Any other body is read completely.
 	StreamEvents bool
-	// MaxBodyBytes is the most bytes of an answer that is read whole; 0 stands for DefaultBodyLimit.
+	// MaxBodyBytes is the limit of a body that is read completely; 0 stands for DefaultMaxBodyBytes.
 	MaxBodyBytes int
-	// ForceNewConn asks for a new connection.
+	// ForceNewConn asks for a new connection instead of an idle one.
 	ForceNewConn bool
 }
 
-// Response is an answer.
+// Response is the response to a request.
 type Response struct {
 	Result Result // NotExecuted, Misdirected or Answered
 	Status int
-	// Header are the header fields without those that concern one connection only and without Content-Length.
+	// Header is without hop-by-hop fields and without Content-Length.
 	Header http1.Header
-	Body   []byte  // whole; nil with Stream, and where a NotExecuted or Misdirected answer was cut
-	Stream *Stream // not nil: the body is to be read by Stream.Next until its error, or Stream.Close called
-	Load   *Load   // of X-Server-Load; nil where there is none
-	// Close tells that the answer had "Connection: close".
+	Body   []byte  // complete; nil with Stream, and if a NotExecuted or Misdirected response was truncated
+	Stream *Stream // if not nil, the body: the caller reads it to its error with Stream.Next, or calls Stream.Close
+	Load   *Load   // of the X-Server-Load field; nil if there is none
+	// Close reports whether the response had "Connection: close": the worker shuts down or limits its connections.
 	Close bool
-	// UntilClose tells that the body has neither length nor chunks and ends with the connection. It is whole if the worker ended the
-	// connection in order; one that is reset, or otherwise breaks, is a Failure.
+	// UntilClose reports whether the body is delimited by the end of the connection. It is complete only if the worker closed the
+	// connection in order; if the connection was reset the round trip fails.
 	UntilClose bool
-	Reused     bool // on a kept connection
+	Reused     bool // the connection had been used before
 
-	HeadReceivedAt time.Time // when the answer's head had come
+	HeadReceivedAt time.Time
 }
 
-// Load is a worker's X-Server-Load.
+// Load is the load that a worker reports in its X-Server-Load field: requests running and waiting, and its slots.
 type Load struct{ Running, Waiting, Slots int }
 
-// Event is one event of a stream.
+// Event is one event of an event stream.
 type Event struct {
-	Raw          []byte // its bytes, the blank line with them
-	ID           string // of its "id:" line; "" where there is none
+	Raw          []byte // its bytes, with the blank line
+	ID           string // of its "id:" line; "" if there is none
 	HasID        bool
-	Versions     int64 // of its "versions:" line; -1 where there is none
-	Unterminated bool  // no blank line ended it: only as the last of a whole body
+	Versions     int64 // of its "versions:" line; -1 if there is none
+	Unterminated bool  // the event ended with the body and not with a blank line
 }
 
-// Batch is what came of a stream: one event, or several that were there together.
+// Batch is what one call of Stream.Next returns: one event, or several that were received together.
 type Batch struct {
-	Raw    []byte // the bytes of all its events, unchanged; valid until the next call of Next
+	Raw    []byte // the bytes of all events, unchanged; valid until the next call of Next
 	Events []Event
-	Last   bool // the body ended whole behind them; Events may be empty
+	Last   bool // the body is complete; Events may be empty then
 	ReadAt time.Time
 }
 
-// Counts tells what a pool has done since its start.
+// Counts are a pool's counters since its start, and two gauges.
 type Counts struct {
-	Dials               int64
+	Dials               int64 // connections opened, with those that failed
 	DialsFailed         int64
-	Reused              int64
-	Stale               int64 // kept connections found closed before use
+	Reused              int64 // requests sent on an idle connection
+	Stale               int64 // idle connections that the worker had closed
 	Unsolicited         int64 // connections closed for bytes that belong to no request
-	MismatchedResponses int64 // answers of other requests
-	Expired             int64 // kept connections closed before the worker would
+	MismatchedResponses int64 // responses with the ID of another request
+	Expired             int64 // idle connections closed before the worker would close them
 	Open                int64 // connections now
-	Idle                int64
+	Idle                int64 // idle connections now
 }
--- a/internal/dataplane/upstream/failure.go
+++ b/internal/dataplane/upstream/failure.go
@@ -1,63 +1,68 @@
 package upstream
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Result is what is known of a call after it.
+// Result is what is known of a request after its round trip, and thereby whether it may be sent again.
 type Result uint8
 
 const (
-	// NotSent: less than the request's head was written. It has not run and will not.
+	// NotSent means that less than the request's head was written. It has not been executed and will not be.
 	NotSent Result = iota + 1
-	// NotExecuted: the worker answered with X-Not-Executed. It has not run and will not, also where the answer's body was cut.
+	// NotExecuted means that the worker rejected the request with X-Not-Executed. It has not been executed and will not be, even
+	// if the response's body was truncated.
 	NotExecuted
-	// Misdirected: the worker answered 421. It has not run and will not, also where the answer's body was cut.
+	// Misdirected means that the worker answered 421: the request was meant for another instance. It has not been executed and
+	// will not be, even if the response's body was truncated.
 	Misdirected
-	// Answered: any other answer. The request counts as run.
+	// Answered means any other complete response. The request counts as executed.
 	Answered
-	// Broken: the head was written and no whole answer came. The request may have run.
+	// Broken means that the request's head was written and no complete response came. The request may have been executed.
 	Broken
 )
 
 var resultNames = [...]string{"none", "not sent", "not executed", "misdirected", "answered", "broken"}
 
+// String returns the result in lower case, for logs.
 func (r Result) String() string { return resultNames[r] }
 
-// Reason is why a call failed.
+// Reason is why a round trip failed.
 type Reason uint8
 
+// Reasons of failures.
 const (
-	DialFailed    Reason = iota + 1 // refused, reset or unreachable
-	DialTimeout                     // no connection within Options.DialTimeout
-	PoolExhausted                   // the address has its most connections, all in use
-	PoolClosed
-	Canceled           // the call's context has ended
-	WriteError         // with Result NotSent: less than the head was written
-	ReadError          // reset or an error of the connection
-	ConnClosed         // the connection ended before a whole answer
-	Malformed          // bytes that are no answer, or one over a limit
-	MismatchedResponse // the answer carries another request's id
+	DialFailed         Reason = iota + 1 // refused, reset or unreachable
+	DialTimeout                          // no connection within Options.DialTimeout
+	PoolExhausted                        // all connections that the address may have are in use
+	PoolClosed                           // Pool.Close was called
+	Canceled                             // the request's context has ended
+	WriteError                           // with Result NotSent: less than the head was written
+	ReadError                            // the connection was reset or failed otherwise
+	ConnClosed                           // the worker closed the connection before a complete response
+	Malformed                            // the bytes are not a response, or one beyond a limit
+	MismatchedResponse                   // the response carries the ID of another request
 )
 
-var reasonNames = [...]string{"none", "dial failed", "dial timeout", "full", "pool closed", "cancelled", "write error",
-	"read error", "ended", "malformed", "foreign"}
+var reasonNames = [...]string{"none", "dial failed", "dial time-out", "pool exhausted", "pool closed", "canceled", "write error",
+	"read error", "connection closed", "malformed response", "mismatched response"}
 
+// String returns the reason in lower case, for logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Failure is the error of a call that has no whole answer.
+// Failure is the error of a round trip without a complete response.
 type Failure struct {
 	Result  Result // NotSent or Broken
 	Reason  Reason
-	Reused  bool   // on a kept connection
-	Written int    // bytes written of Total
-	Total   int    // bytes of the request; 0 where none was composed
-	Partial []byte // of a stream: what came of an event that was not ended; never to be passed on as whole
+	Reused  bool   // the connection had been used before
+	Written int    // bytes written, of Total
+	Total   int    // bytes of the request; 0 if no connection was obtained
+	Partial []byte // of a stream: the bytes of an event that has not ended; never to be forwarded as an event
 	Err     error  // the cause; may be nil
 }
 
+// Error returns the result, the reason and the cause.
 func (f *Failure) Error() string {
-	return fmt.Sprintf("exchange: %v: %v (%d of %d bytes written): %v", f.Result, f.Reason, f.Written, f.Total, f.Err)
+	return fmt.Sprintf("upstream: %v: %v (%d of %d bytes written): %v", f.Result, f.Reason, f.Written, f.Total, f.Err)
 }
 
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -3,13 +3,17 @@
 import (
 	"bytes"
 	"io"
+	"net/http"
 	"strconv"
 	"strings"
 
 	"ospreybend/internal/util/http1"
 )
 
-// readResponse reads the answer, and passes over those that belong to other requests.
+// statusDigits is the length of a status code.
+const statusDigits = 3
+
+// readResponse reads the response, and skips those that belong to other requests.
 func (rt *roundTrip) readResponse() (*Response, *Failure) {
 	for mismatched := 0; ; mismatched++ {
 		if err := rt.readHead(); err != nil {
@@ -33,65 +37,73 @@
 	}
 }
 
-// readHead reads the next head that is not of an interim answer.
+// readHead reads the head of the final response; it skips interim responses (1xx).
 func (rt *roundTrip) readHead() error {
 	c := rt.conn
 	for {
-		reader := http1.HeadReader{Kind: http1.Response, Rules: rt.rules}
-		rt.head = http1.Head{RawHeader: rt.head.RawHeader[:0]}
-		used := 0
-		for used == 0 {
-			var statusErr *http1.StatusError
-			if used, statusErr = reader.Read(c.input.Bytes(), &rt.head); statusErr != nil {
-				return statusErr
-			}
-			if used > 0 && containsStatusLine(c.input.Bytes()[reader.Start():used]) {
-				return errNestedStatusLine
-			}
-			if used > 0 {
-				break
-			}
-			if err := c.readMore(); err != nil {
-				return err
-			}
+		used, err := rt.readAnyHead()
+		if err != nil {
+			return err
 		}
 		switch {
-		case rt.head.Status >= 200:
+		case rt.head.Status >= http.StatusOK:
 			rt.headReceivedAt = c.pool.now()
-			rt.header = rt.head.Header() // the input goes on to be used
+			rt.header = rt.head.Header() // a copy: the head refers to the input buffer
 			c.input.Discard(used)
 			return nil
-		case rt.head.Status == 101:
+		case rt.head.Status == http.StatusSwitchingProtocols:
 			return errProtocolSwitch
 		}
 		c.input.Discard(used)
 	}
 }
 
-// containsStatusLine tells whether another answer begins within a head: a late one was cut there, and what follows may be the
-// answer to this request, under the other one's status.
+// readAnyHead reads the next head, interim or final, and returns its length in the input buffer.
+func (rt *roundTrip) readAnyHead() (used int, err error) {
+	c := rt.conn
+	reader := http1.HeadReader{Kind: http1.Response, Rules: rt.rules}
+	rt.head = http1.Head{RawHeader: rt.head.RawHeader[:0]}
+	for {
+		used, statusErr := reader.Read(c.input.Bytes(), &rt.head)
+		switch {
+		case statusErr != nil:
+			return 0, statusErr
+		case used > 0 && containsStatusLine(c.input.Bytes()[reader.Start():used]):
+			return 0, errNestedStatusLine
+		case used > 0:
+			return used, nil
+		}
+		if err := c.readMore(); err != nil {
+			return 0, err
+		}
+	}
+}
+
+// containsStatusLine reports whether another response begins within a head. That happens if a late response to an earlier request
+// was truncated in its head: the bytes behind it may be the response to this request, under the other one's status.
 func containsStatusLine(head []byte) bool {
 	const version = "HTTP/1."
-	for at := 1; at < len(head); {
-		found := bytes.Index(head[at:], []byte(version))
+	for offset := 1; offset < len(head); {
+		found := bytes.Index(head[offset:], []byte(version))
 		if found < 0 {
 			return false
 		}
-		at += found + len(version)
-		if isStatusLineTail(head[at:]) {
+		offset += found + len(version)
+		if isStatusLineTail(head[offset:]) {
 			return true
 		}
 	}
 	return false
 }
 
-// isStatusLineTail tells whether a text begins as a status line does behind "HTTP/1.": with a digit and a status.
+// isStatusLineTail reports whether text begins like a status line does behind "HTTP/1.": with a digit and a status code.
 func isStatusLineTail(text []byte) bool {
-	const end = len("1 200")
+	const statusStart = len("1 ")
+	const end = statusStart + statusDigits
 	if len(text) <= end || text[1] != ' ' || text[end] != ' ' && text[end] != '\r' {
 		return false
 	}
-	return isNumber(text[:1]) && isNumber(text[2:end])
+	return isNumber(text[:1]) && isNumber(text[statusStart:end])
 }
 
 func isNumber(text []byte) bool {
@@ -103,7 +115,8 @@
 	return true
 }
 
-// isMatching tells whether the answer carries the id of the request, or as the request none. One with two ids is nobody's.
+// isMatching reports whether the response carries the ID of the request, or none if the request has none. A response with two IDs
+// matches no request.
 func (rt *roundTrip) isMatching() bool {
 	return rt.header.Count(requestID) <= 1 && rt.header.Get(requestID) == rt.request.Header.Get(requestID)
 }
@@ -115,13 +128,13 @@
 	return http1.NewResponseBodyReader(&rt.head, &rt.rules)
 }
 
-// discardBody reads a body that nobody is to have.
+// discardBody reads a body to its end and drops it.
 func (rt *roundTrip) discardBody(body *http1.BodyReader) error {
 	_, err := rt.readBody(body, nil)
 	return err
 }
 
-// readBody appends a body to what is given.
+// readBody appends the whole body to received.
 func (rt *roundTrip) readBody(body *http1.BodyReader, received []byte) ([]byte, error) {
 	c := rt.conn
 	limit := rt.request.MaxBodyBytes
@@ -153,16 +166,16 @@
 	return received, nil
 }
 
-// endedCleanly tells whether an end that was read is the worker's own. A write takes the error of a reset from the read, which then
-// finds an end: only behind a request that was written whole can the two be told apart.
+// endedCleanly reports whether an end of the connection that was read is the worker's own. If a reset is reported to the write, the
+// read finds an orderly end: the two can be told apart only if the request was written completely.
 func (rt *roundTrip) endedCleanly() bool { return rt.write.waitComplete() }
 
-// finishResponse reads the answer's body, or hands it on to be read event by event.
+// finishResponse reads the response's body, or returns it as a Stream.
 func (rt *roundTrip) finishResponse() (*Response, *Failure) {
 	response := rt.newResponse()
 	body := rt.bodyReader()
 	response.UntilClose = body.UntilClose
-	if rt.request.StreamEvents && response.Status < 300 && isEventStream(response.Header.Get("Content-Type")) {
+	if rt.request.StreamEvents && response.Status < http.StatusMultipleChoices && isEventStream(response.Header.Get("Content-Type")) {
 		response.Stream = &Stream{roundTrip: rt, body: body}
 		return response, nil
 	}
@@ -170,7 +183,7 @@
 	switch {
 	case err == nil:
 		rt.releaseConn(body.UntilClose)
-	case response.Result != Answered: // the head alone says that the request has not run; nobody is to have the body
+	case response.Result != Answered: // the head suffices: the request was not executed, and its body is not forwarded
 		rt.abort()
 		received = nil
 	default:
@@ -186,7 +199,7 @@
 	response.Header = http1.HopByHopOf(rt.header).Strip(rt.header).Without("Content-Length")
 	response.Load = parseLoad(response.Header.Get(headerServerLoad))
 	switch {
-	case response.Status == statusMisdirected:
+	case response.Status == http.StatusMisdirectedRequest:
 		response.Result = Misdirected
 	case response.Header.Has(headerNotExecuted):
 		response.Result = NotExecuted
@@ -199,6 +212,7 @@
 	return http1.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 }
 
+// parseLoad parses "running,waiting,slots", or returns nil if the value is malformed.
 func parseLoad(value string) *Load {
 	parts := strings.Split(value, ",")
 	if len(parts) != 3 {
--- a/internal/dataplane/upstream/roundtrip.go
+++ b/internal/dataplane/upstream/roundtrip.go
@@ -15,38 +15,43 @@
 	requestID         = "X-Request-Id"
 	headerNotExecuted = "X-Not-Executed"
 	headerServerLoad  = "X-Server-Load"
-	statusMisdirected = 421
 
-	maxMismatchedResponses = 2 // answers of other requests that are passed over on one connection
+	// maxMismatchedResponses is how many responses to other requests are skipped on one connection.
+	maxMismatchedResponses = 2
 
-	idleMarginShare = 5 // a kept connection is closed this part of the worker's time before its end
-	minIdleMargin   = 300 * time.Millisecond
+	// An idle connection is closed before the worker would close it, so that no request crosses with its closing: a fifth of the
+	// worker's keep-alive time before, and at least minIdleMargin.
+	idleMarginDivisor = 5
+	minIdleMargin     = 300 * time.Millisecond
+	maxIdleTimeout    = time.Hour // a longer keep-alive time is ignored
 )
 
 var (
-	errMismatchedResponse = errors.New("exchange: the answer carries another request's id")
-	errProtocolSwitch     = errors.New("exchange: the worker changes the protocol")
-	errTooLong            = errors.New("exchange: the answer is too long")
-	errNestedStatusLine   = errors.New("exchange: an answer begins within the head of another")
+	errMismatchedResponse = errors.New("the response carries the ID of another request")
+	errProtocolSwitch     = errors.New("the worker switches protocols")
+	errTooLong            = errors.New("the response is too long")
+	errNestedStatusLine   = errors.New("a response begins within the head of another")
 )
 
-// roundTrip is a call on a connection.
+// roundTrip is one request on one connection, and the reading of its response. Only requestWrite is shared with a second goroutine.
 type roundTrip struct {
 	conn           *conn
 	request        *Request
 	ctx            context.Context
-	stopWatch      func() bool // ends the watch on the context
+	stopWatch      func() bool // ends the watch that closes the connection with ctx; false if ctx has ended
 	write          requestWrite
-	poisoned       bool         // the connection is not to be kept
-	head           http1.Head   // of the answer, without its fields
-	header         http1.Header // of the answer, all of them
+	poisoned       bool         // the connection must not be reused
+	head           http1.Head   // of the response, without its header fields
+	header         http1.Header // of the response, with hop-by-hop fields
 	rules          http1.ParseRules
 	headReceivedAt time.Time
 }
 
-// RoundTrip sends a call and returns its answer, or how it failed. The end of the context closes the connection, also while a Stream is
-// read. A request whose head was written whole is not sent a second time. Nothing reads the call's body once RoundTrip has returned, or
-// its Stream has ended.
+// RoundTrip sends a request and returns its response, or how it failed.
+//
+// A request whose head was written completely is never sent again. One that failed before that on a reused connection, which the
+// worker had closed meanwhile, is sent again on another. The end of ctx closes the connection, also while the Stream of a response
+// is read. Nothing reads the request's body after RoundTrip has returned, or after its Stream has ended.
 func (p *Pool) RoundTrip(ctx context.Context, request *Request) (*Response, *Failure) {
 	for {
 		c, failure := p.getConn(ctx, request)
@@ -66,14 +71,14 @@
 	}
 }
 
-// newFailure says what is known after an error. The connection must have been given up.
+// newFailure returns the failure for an error. The connection must have been closed, so that the write has ended.
 func (rt *roundTrip) newFailure(reason Reason, err error) *Failure {
-	s := &rt.write
-	failure := &Failure{Result: Broken, Reason: reason, Reused: rt.conn.reused, Written: s.writtenBytes, Total: s.totalBytes, Err: err}
-	if s.writtenBytes < s.headBytes { // no worker can know what is asked of it
+	write := &rt.write
+	failure := &Failure{Result: Broken, Reason: reason, Reused: rt.conn.reused, Written: write.writtenBytes, Total: write.totalBytes, Err: err}
+	if write.writtenBytes < write.headBytes { // the worker cannot know the request
 		failure.Result, failure.Reason = NotSent, WriteError
-		if s.err != nil {
-			failure.Err = s.err
+		if write.err != nil {
+			failure.Err = write.err
 		}
 	}
 	if rt.ctx.Err() != nil {
@@ -82,7 +87,7 @@
 	return failure
 }
 
-// fail gives the connection up.
+// fail closes the connection and returns the failure for an error of reading.
 func (rt *roundTrip) fail(err error) *Failure {
 	rt.abort()
 	var statusErr *http1.StatusError
@@ -97,14 +102,15 @@
 	return rt.newFailure(ReadError, err)
 }
 
+// abort closes the connection and waits until nothing is written any more.
 func (rt *roundTrip) abort() {
 	rt.stopWatch()
 	rt.conn.close()
 	rt.write.await()
 }
 
-// releaseConn ends the call after a whole answer. The connection is kept where it may be: never while a byte of the request's body is
-// due, as the worker would take another request's bytes for it.
+// releaseConn ends the round trip after a complete response and returns the connection to the pool if it can be reused. It cannot
+// while a byte of the request's body is still to be written: the worker would take the next request for the rest of that body.
 func (rt *roundTrip) releaseConn(untilClose bool) {
 	c := rt.conn
 	notCanceled := rt.stopWatch()
@@ -122,7 +128,7 @@
 	c.pool.putIdle(c, rt.idleTimeout())
 }
 
-// idleTimeout returns for how long the connection may be kept: less than the worker says.
+// idleTimeout returns how long the connection may be idle: less than the worker's keep-alive time.
 func (rt *roundTrip) idleTimeout() time.Duration {
 	for part := range strings.SplitSeq(rt.header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -130,11 +136,11 @@
 			continue
 		}
 		seconds, err := strconv.Atoi(value)
-		if err != nil || seconds < 0 || seconds > int(time.Hour/time.Second) {
+		if err != nil || seconds < 0 || seconds > int(maxIdleTimeout/time.Second) {
 			break
 		}
 		announced := time.Duration(seconds) * time.Second
-		return announced - max(announced/idleMarginShare, minIdleMargin)
+		return announced - max(announced/idleMarginDivisor, minIdleMargin)
 	}
 	return rt.conn.pool.options.IdleTimeout
 }
