--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -11,23 +11,23 @@
 	"ospreybend/internal/util/http1"
 )
 
-const maxUnansweredProbes = 2 // after which a connection counts as gone
+const maxUnansweredProbes = 2 // keep-alive probes after which the system closes a connection
 
-// conn is one connection to a worker.
+// conn is one connection to a worker. At any time it is in the pool, idle, or owned by one round trip.
 type conn struct {
 	pool       *Pool
 	endpoint   *endpointPool
 	socket     net.Conn
 	input      http1.ReadBuffer
 	reused     bool
-	generation int // of the address, when it was made
+	generation int // of the endpoint, when the connection was opened
 
-	// under Pool.mu
+	// guarded by Pool.mu
 	idleUntil time.Time
 	released  bool
 }
 
-// dialTCP opens a connection that gives up bytes nobody acknowledges.
+// dialTCP opens a connection that fails if bytes sent are not acknowledged within Options.UserTimeout.
 func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAlive: -1, Control: p.setSocketOptions}
 	if p.options.KeepAliveInterval > 0 {
@@ -36,7 +36,8 @@
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// setSocketOptions sets what must be set before the connection is made. Where it is refused the system's times hold.
+// setSocketOptions sets the options that must be set before the connection is opened. If the system rejects one its own time-out
+// applies.
 func (p *Pool) setSocketOptions(_, _ string, raw syscall.RawConn) error {
 	timeout := int(p.options.UserTimeout / time.Millisecond)
 	return raw.Control(func(fd uintptr) {
@@ -44,7 +45,7 @@
 	})
 }
 
-// isReusable tells whether a kept connection is open and nothing has come on it. Anything that has belongs to no request.
+// isReusable reports whether an idle connection is open and has received nothing. Bytes received on it would belong to no request.
 func (c *conn) isReusable() bool {
 	quiet, unsolicited := readWithoutWaiting(c.socket)
 	if quiet {
@@ -60,7 +61,8 @@
 	return false
 }
 
-// readWithoutWaiting reads without waiting. Of connections that are no sockets nothing is known.
+// readWithoutWaiting tries to read one byte without waiting. quiet reports that there is none and the connection is open,
+// unsolicited that there was one. Connections that are not sockets count as quiet.
 func readWithoutWaiting(socket net.Conn) (quiet, unsolicited bool) {
 	system, ok := socket.(syscall.Conn)
 	if !ok {
@@ -84,7 +86,7 @@
 	return err == nil && cause == syscall.EAGAIN, n > 0
 }
 
-// close closes the connection. It may be called more than once, and from any goroutine.
+// close closes the connection and releases its slot. It may be called more than once, and from any goroutine.
 func (c *conn) close() {
 	_ = c.socket.Close()
 	c.pool.mu.Lock()
@@ -92,7 +94,7 @@
 	c.pool.mu.Unlock()
 }
 
-// readMore takes in what comes next.
+// readMore reads once into the input buffer.
 func (c *conn) readMore() error {
 	n, err := c.socket.Read(c.input.Free())
 	c.input.Extend(n)
--- a/internal/dataplane/upstream/eventsplitter.go
+++ b/internal/dataplane/upstream/eventsplitter.go
@@ -5,44 +5,44 @@
 	"strconv"
 )
 
-// eventSplitter cuts the bytes of an event stream into events. An event ends with a blank line; lines end with LF or CRLF.
+// eventSplitter splits the bytes of an event stream into events. An event ends with a blank line; lines end with LF or CRLF.
 type eventSplitter struct {
 	data       []byte
-	scanned    int           // up to here lines have been looked for
-	lineStart  int           // where the line begins that has not ended
-	eventStart int           // where the event begins that has not ended
-	current    eventBounds   // what is known of that event
-	complete   []eventBounds // the events that have ended
-	events     []Event       // made from them
+	scanned    int           // offset up to which line ends have been searched
+	lineStart  int           // offset of the line that has not ended
+	eventStart int           // offset of the event that has not ended
+	current    eventBounds   // of the event that has not ended
+	complete   []eventBounds // of the events that have ended
+	events     []Event       // returned by takeEvents; reused
 }
 
-// eventBounds is an event by its end.
+// eventBounds is the end of an event, and its fields.
 type eventBounds struct {
-	end      int
+	end      int // offset
 	id       string
 	hasID    bool
 	versions int64
 }
 
-const noVersion = -1
+const noVersion = -1 // of an event without a "versions:" line
 
-// append takes in further bytes.
+// append adds bytes and splits them.
 func (s *eventSplitter) append(data []byte) {
 	if len(s.data) == 0 {
 		s.current.versions = noVersion
 	}
 	s.data = append(s.data, data...)
 	for {
-		at := bytes.IndexByte(s.data[s.scanned:], '\n')
-		if at < 0 {
+		length := bytes.IndexByte(s.data[s.scanned:], '\n')
+		if length < 0 {
 			s.scanned = len(s.data)
 			return
 		}
-		s.endLine(s.scanned + at)
+		s.endLine(s.scanned + length)
 	}
 }
 
-// endLine notes the line that ends at the given line feed.
+// endLine handles the line that ends with the line feed at the given offset.
 func (s *eventSplitter) endLine(end int) {
 	line := bytes.TrimSuffix(s.data[s.lineStart:end], []byte{'\r'})
 	s.lineStart, s.scanned = end+1, end+1
@@ -56,7 +56,8 @@
 	s.eventStart = end + 1
 }
 
-// parseLine takes what a line says of its event.
+// parseLine reads the fields of an event that the dispatcher needs: "id", to resume a stream, and "versions". Others are only
+// forwarded.
 func (bounds *eventBounds) parseLine(line []byte) {
 	name, value, ok := bytes.Cut(line, []byte{':'})
 	if !ok {
@@ -73,13 +74,13 @@
 	}
 }
 
-// takeEvents returns the events that have ended; valid until the next call of drop.
+// takeEvents returns the events that have ended; valid until the next call of discardComplete.
 func (s *eventSplitter) takeEvents() (raw []byte, events []Event) {
 	s.events = s.events[:0]
 	offset := 0
-	for _, m := range s.complete {
-		s.events = append(s.events, m.event(s.data[offset:m.end]))
-		offset = m.end
+	for _, bounds := range s.complete {
+		s.events = append(s.events, bounds.event(s.data[offset:bounds.end]))
+		offset = bounds.end
 	}
 	return s.data[:offset:offset], s.events
 }
@@ -91,7 +92,7 @@
 // unfinished returns the bytes of the event that has not ended.
 func (s *eventSplitter) unfinished() []byte { return s.data[s.eventStart:] }
 
-// endUnfinished makes an event of what has not ended. It returns false where there is nothing.
+// endUnfinished ends the event that has not ended, at the end of the body. It reports whether there was one.
 func (s *eventSplitter) endUnfinished() bool {
 	if len(s.unfinished()) == 0 {
 		return false
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Defaults of options and calls.
+// Defaults of options and requests.
 const (
 	DefaultDialTimeout  = 400 * time.Millisecond
 	DefaultIdleTimeout  = 2 * time.Second
@@ -18,23 +18,22 @@
 )
 
 const (
-	maxHeadBytes     = 32 << 10               // bytes of an answer's head
-	minSweepInterval = 100 * time.Millisecond // between two looks for kept connections whose time is over
+	maxHeadBytes     = 32 << 10               // of a response's head
+	minSweepInterval = 100 * time.Millisecond // between two searches for expired idle connections
 )
 
-// Options of a pool; all may be left out.
+// Options are the options of a pool. The zero value is valid.
 type Options struct {
-	// MaxConnections returns the most connections to an address, idle ones with them; nil or a figure of 0
-	// stands for no bound. Above it a call fails at once with NotSent and Full.
+	// MaxConnections returns the limit of connections to an address, idle ones included; nil or a limit of 0 stands for none. A
+	// request beyond it fails at once with NotSent and PoolExhausted.
 	MaxConnections func(address string) int
-	// MaxTotal is the most connections to all addresses; 0 stands for no bound.
+	// MaxTotal is the limit of connections to all addresses; 0 stands for none.
 	MaxTotal    int
 	DialTimeout time.Duration // 0 stands for DefaultDialTimeout
-	IdleTimeout time.Duration // of kept connections whose worker told none; 0 stands for DefaultIdleTimeout
-	// UserTimeout is how long bytes sent may stay without acknowledgement; 0 stands for DefaultUserTimeout.
+	IdleTimeout time.Duration // for workers without a Keep-Alive field; 0 stands for DefaultIdleTimeout
+	// UserTimeout is how long bytes sent may stay unacknowledged (TCP_USER_TIMEOUT); 0 stands for DefaultUserTimeout.
 	UserTimeout time.Duration
-	// KeepAliveInterval is the time of silence after which the system asks whether the other side is there still; 0 stands for
-	// never.
+	// KeepAliveInterval is the time without traffic after which the system sends keep-alive probes; 0 stands for never.
 	KeepAliveInterval time.Duration
 	// Now is the clock; nil stands for time.Now.
 	Now func() time.Time
@@ -42,29 +41,29 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool keeps connections to workers. Its methods may be called from several goroutines.
+// Pool pools connections to workers by address. Its methods may be called from several goroutines; no lock is held over I/O.
 type Pool struct {
 	options Options
 	now     func() time.Time
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards all below, and the endpoints
 	endpoints  map[string]*endpointPool
-	total      int
-	idle       int
+	total      int // connections to all addresses
+	idle       int // of these, idle ones
 	closed     bool
-	sweepTimer *time.Timer // nil: none is due
+	sweepTimer *time.Timer // closes expired connections; nil if none is idle
 	counts     Counts
 }
 
-// endpointPool is one address.
+// endpointPool is the connections to one address.
 type endpointPool struct {
 	address    string
-	open       int     // connections, those being made with them
-	idle       []*conn // kept, the one used last at the end
-	generation int     // changes with Forget
+	open       int     // connections, those being opened included
+	idle       []*conn // the one used last at the end
+	generation int     // raised by CloseEndpoint: connections of an earlier one are not reused
 }
 
-// New makes a pool.
+// New returns a pool without connections.
 func New(options Options) *Pool {
 	p := &Pool{options: options, now: options.Now, endpoints: map[string]*endpointPool{}}
 	if p.now == nil {
@@ -85,7 +84,7 @@
 	}
 }
 
-// getConn returns a connection for a call: a kept one that is found open, or a new one.
+// getConn returns a connection for a request: an idle one that is still open, or a new one.
 func (p *Pool) getConn(ctx context.Context, request *Request) (*conn, *Failure) {
 	if ctx.Err() != nil {
 		return nil, &Failure{Result: NotSent, Reason: Canceled, Err: ctx.Err()}
@@ -105,13 +104,13 @@
 	return p.dial(ctx, request.Address)
 }
 
-func (p *Pool) increment(n *int64) {
+func (p *Pool) increment(counter *int64) {
 	p.mu.Lock()
-	*n++
+	*counter++
 	p.mu.Unlock()
 }
 
-// popIdle takes the kept connection that was used last.
+// popIdle takes the idle connection that was used last, or returns nil. It closes those that have expired.
 func (p *Pool) popIdle(address string) *conn {
 	now := p.now()
 	p.mu.Lock()
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// removeIdle takes a kept connection out of its place. The caller holds the lock.
+// removeIdle removes the idle connection at the given position. The caller holds the lock.
 func (p *Pool) removeIdle(endpoint *endpointPool, position int) {
 	copy(endpoint.idle[position:], endpoint.idle[position+1:])
 	endpoint.idle[len(endpoint.idle)-1] = nil
@@ -138,7 +137,7 @@
 	p.idle--
 }
 
-// dial makes a new connection.
+// dial opens a new connection.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, *Failure) {
 	c, failure := p.reserveSlot(address)
 	if failure != nil {
@@ -169,7 +168,7 @@
 	return DialFailed
 }
 
-// reserveSlot counts a connection to an address that is going to be made. Kept ones are closed for it where it would be one too many.
+// reserveSlot reserves a slot for a connection that is to be opened. At a limit it closes idle connections for it.
 func (p *Pool) reserveSlot(address string) (*conn, *Failure) {
 	maxConns := 0
 	if p.options.MaxConnections != nil {
@@ -191,14 +190,15 @@
 	if maxConns > 0 && endpoint.open >= maxConns || p.options.MaxTotal > 0 && p.total >= p.options.MaxTotal {
 		return nil, &Failure{Result: NotSent, Reason: PoolExhausted}
 	}
-	p.endpoints[address] = endpoint // also where the last of its connections was closed just now
+	p.endpoints[address] = endpoint // also if its last connection was closed just now
 	endpoint.open++
 	p.total++
 	p.counts.Dials++
 	return &conn{pool: p, endpoint: endpoint, generation: endpoint.generation}, nil
 }
 
-// closeNextToExpire closes the kept connection to an address whose time is over first; nil: of all addresses. The caller holds the lock.
+// closeNextToExpire closes the idle connection that expires first, of one address or, if only is nil, of all. It reports whether
+// there was one. The caller holds the lock.
 func (p *Pool) closeNextToExpire(only *endpointPool) bool {
 	var oldest *conn
 	position := 0
@@ -221,7 +221,7 @@
 	return true
 }
 
-// releaseSlot gives the place of a connection back. The caller holds the lock.
+// releaseSlot releases the slot of a connection, once. The caller holds the lock.
 func (p *Pool) releaseSlot(c *conn) {
 	if c.released {
 		return
@@ -234,7 +234,7 @@
 	}
 }
 
-// putIdle takes a connection back after a whole answer.
+// putIdle takes a connection back after a complete response, for the given time.
 func (p *Pool) putIdle(c *conn, idleTime time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -251,7 +251,7 @@
 	}
 }
 
-// closeExpired closes the kept connections whose time is over, and comes back when the next one's is.
+// closeExpired closes the expired idle connections and sets the timer for the next.
 func (p *Pool) closeExpired() {
 	now := p.now()
 	p.mu.Lock()
@@ -278,7 +278,7 @@
 	}
 }
 
-// CloseEndpoint closes the idle connections to an address, and those in use once they are done.
+// CloseEndpoint closes the idle connections to an address, and those in use after their round trips.
 func (p *Pool) CloseEndpoint(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -288,7 +288,7 @@
 	}
 }
 
-// closeIdle closes all kept connections to an address. The caller holds the lock.
+// closeIdle closes all idle connections to an address. The caller holds the lock.
 func (p *Pool) closeIdle(endpoint *endpointPool) {
 	for len(endpoint.idle) > 0 {
 		c := endpoint.idle[0]
@@ -298,7 +298,7 @@
 	}
 }
 
-// Close closes the kept connections, and those in use once they are done. Calls fail from then on.
+// Close closes the idle connections, and those in use after their round trips. Further requests fail with PoolClosed.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -312,7 +312,7 @@
 	}
 }
 
-// Counts returns what the pool has done.
+// Counts returns the counters and gauges.
 func (p *Pool) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dataplane/upstream/requestwrite.go
+++ b/internal/dataplane/upstream/requestwrite.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -9,33 +10,34 @@
 )
 
 const (
-	maxCoalescedBody = 64 << 10 // bytes of a body that are copied behind the head
-	maxPooledBuffer  = 72 << 10 // bytes of a buffer that is kept for the next request
-	// maxSynchronousWrite is how long a request may be to be written before its answer is looked for: no system holds a write up that is
-	// so short, whether the worker reads or not.
+	initialBufferBytes = 2 << 10
+	maxCoalescedBody   = 64 << 10 // a body up to this size is copied behind the head, for one write
+	maxPooledBuffer    = 72 << 10 // a larger buffer is not reused
+	// maxSynchronousWrite is the size up to which a request is written before its response is read. So little fits into the socket's
+	// buffer, whether the worker reads or not.
 	maxSynchronousWrite = 8 << 10
-	// writeCompletionWait is for how long a whole answer waits to learn that the request was written: a worker that has read it to its end
-	// has also made its write return.
+	// writeCompletionWait is how long a complete response waits for the request's write to return. If the worker has read the
+	// request to its end, the write returns at once.
 	writeCompletionWait = 20 * time.Millisecond
 )
 
-// requestWrite is how far a request has been written. The other fields may be read once over is closed.
+// requestWrite is the progress of writing a request. The goroutine that writes owns writtenBytes and err until finished is closed.
 type requestWrite struct {
-	finished     chan struct{} // closed once nothing more is written; nil: the request was written at once
+	finished     chan struct{} // closed when the write has ended; nil if the request was written synchronously
 	headBytes    int           // bytes of the request's head
 	totalBytes   int           // bytes of the request
 	writtenBytes int
 	err          error
 }
 
-// await waits until nothing more is written. The connection must have been closed, or the writing ends only as the worker reads on.
+// await waits until the write has ended. The connection must have been closed: otherwise the write may wait for the worker.
 func (s *requestWrite) await() {
 	if s.finished != nil {
 		<-s.finished
 	}
 }
 
-// waitComplete tells whether the whole request has been written, and waits a little to learn it.
+// waitComplete reports whether the request was written completely. It waits for the write for up to writeCompletionWait.
 func (s *requestWrite) waitComplete() bool {
 	if s.finished != nil {
 		timer := time.NewTimer(writeCompletionWait)
@@ -51,7 +53,7 @@
 	return s.writtenBytes == s.totalBytes
 }
 
-// isFinished tells whether nothing more is written. After a pause of the whole process both the slack and the writing may be over.
+// isFinished reports whether the write has ended. After the process was suspended, the timer and the write may both have ended.
 func (s *requestWrite) isFinished() bool {
 	select {
 	case <-s.finished:
@@ -61,10 +63,10 @@
 	}
 }
 
-var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 2<<10); return &b }}
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, initialBufferBytes); return &b }}
 
-// startWrite writes the request, a long one while its answer is awaited: a worker may answer before it has read the body, and read on
-// late or never.
+// startWrite writes the request; a long one in a goroutine, while the response is read: a worker may respond before it has read the
+// body, and read the rest late or never.
 func (rt *roundTrip) startWrite() {
 	buffer := bufferPool.Get().(*[]byte)
 	out := rt.appendHead((*buffer)[:0])
@@ -81,30 +83,31 @@
 	}()
 }
 
-// writeRequest writes the head and the body, in one write where they are short, and gives the head's buffer back.
+// writeRequest writes the head and the body, in one write if the body is short, and returns the head's buffer to the pool.
 func (rt *roundTrip) writeRequest(buffer *[]byte, out []byte) {
-	s, body := &rt.write, rt.request.Body
+	write, body := &rt.write, rt.request.Body
 	if len(body) <= maxCoalescedBody {
 		out = append(out, body...)
-		s.writtenBytes, s.err = rt.conn.socket.Write(out)
+		write.writtenBytes, write.err = rt.conn.socket.Write(out)
 	} else {
 		var n int64
 		parts := net.Buffers{out, body}
-		n, s.err = parts.WriteTo(rt.conn.socket)
-		s.writtenBytes = int(n)
+		n, write.err = parts.WriteTo(rt.conn.socket)
+		write.writtenBytes = int(n)
 	}
 	if cap(out) <= maxPooledBuffer {
 		*buffer = out[:0]
 		bufferPool.Put(buffer)
 	}
-	if s.writtenBytes < s.headBytes { // no answer is to come
+	if write.writtenBytes < write.headBytes { // there will be no response: end the read
 		rt.conn.close()
 	}
 }
 
-// managedFields are fields that the exchange sets itself or never asks for.
+// managedFields are header fields that the client sets itself, or never sends.
 var managedFields = [...]string{"Content-Length", "Accept-Encoding", "Expect"}
 
+// appendHead appends the request line and the header, without fields that could split the message.
 func (rt *roundTrip) appendHead(out []byte) []byte {
 	request := rt.request
 	out = append(out, request.Method...)
@@ -119,12 +122,17 @@
 		}
 		out = http1.AppendField(out, f.Name, f.Value)
 	}
-	if len(request.Body) > 0 || request.Method == "POST" || request.Method == "PUT" || request.Method == "PATCH" {
+	if len(request.Body) > 0 || hasBodySemantics(request.Method) {
 		out = http1.AppendIntField(out, "Content-Length", len(request.Body))
 	}
 	return append(out, "\r\n"...)
 }
 
+// hasBodySemantics reports whether a request of the method has a Content-Length even if its body is empty (RFC 9110, section 8.6).
+func hasBodySemantics(method string) bool {
+	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
+}
+
 func isManagedField(name string) bool {
 	for _, managed := range managedFields {
 		if http1.EqualFold(name, managed) {
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -11,26 +11,26 @@
 	"ospreybend/internal/util/http1"
 )
 
-const maxEventBytes = 1 << 20 // bytes of an event that has not ended
+const maxEventBytes = 1 << 20 // of an event that has not ended
 
-// ErrDeadline is returned by Stream.Next when the deadline passes first. The stream can be read on.
-var ErrDeadline = errors.New("exchange: no event by the deadline")
+// ErrDeadline is returned by Stream.Next if the deadline passes first. The stream can be read further.
+var ErrDeadline = errors.New("upstream: no event by the deadline")
 
-// Stream is the body of an event stream. Next is called by one goroutine at a time.
+// Stream is the body of an event stream. Next is called by one goroutine at a time; Close and SetDeadline by any.
 type Stream struct {
 	roundTrip *roundTrip
 	body      http1.BodyReader
 	splitter  eventSplitter
 	batch     Batch
-	finalErr  error // of all further calls of Next
+	finalErr  error // returned by all further calls of Next
 
-	mu          sync.Mutex
-	ended       bool // the connection is given back or closed
-	deadlineSet bool // a deadline was set
+	mu          sync.Mutex // guards all below
+	ended       bool       // the connection was released or closed
+	deadlineSet bool       // the connection has a read deadline to be removed
 }
 
-// Next waits for the next events. After a batch with Last it returns io.EOF, and after a stream cut short a
-// *Failure.
+// Next waits for the next events. It returns io.EOF after a batch with Last, a *Failure if the stream was truncated, and ErrDeadline
+// if the deadline has passed.
 func (s *Stream) Next() (*Batch, error) {
 	if s.finalErr != nil {
 		return nil, s.finalErr
@@ -56,7 +56,7 @@
 	}
 }
 
-// splitInput takes all events from what has come.
+// splitInput decodes the bytes received and splits them into events.
 func (s *Stream) splitInput() error {
 	c := s.roundTrip.conn
 	for {
@@ -75,7 +75,8 @@
 	}
 }
 
-// deferWhileEvents lets the whole events before an error be handed on first: the error is met again with the same input.
+// deferWhileEvents returns nil while there are complete events to return before the error. The next call meets the error again, as
+// the input stays.
 func (s *Stream) deferWhileEvents(err error) error {
 	if len(s.splitter.complete) > 0 {
 		return nil
@@ -83,7 +84,7 @@
 	return err
 }
 
-// nextBatch returns the events that are whole.
+// nextBatch returns the complete events.
 func (s *Stream) nextBatch() *Batch {
 	unterminated := s.body.Done && s.splitter.endUnfinished()
 	raw, events := s.splitter.takeEvents()
@@ -98,7 +99,7 @@
 	return &s.batch
 }
 
-// releaseConn ends the use of the connection after a whole body.
+// releaseConn ends the use of the connection after a complete body.
 func (s *Stream) releaseConn() {
 	if s.deadlineSet {
 		_ = s.roundTrip.conn.socket.SetReadDeadline(time.Time{})
@@ -106,7 +107,7 @@
 	s.roundTrip.releaseConn(s.body.UntilClose)
 }
 
-// endOnce ends the use of the connection, once.
+// endOnce calls end if the use of the connection has not ended.
 func (s *Stream) endOnce(end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,6 +117,7 @@
 	}
 }
 
+// fail closes the connection and makes the failure the result of all further calls of Next.
 func (s *Stream) fail(err error) error {
 	failure := s.roundTrip.fail(err)
 	failure.Partial = bytes.Clone(s.splitter.unfinished())
@@ -124,7 +126,8 @@
 	return failure
 }
 
-// SetDeadline bounds the waiting of Next by real time; a zero time stands for no bound. It may be called while Next waits.
+// SetDeadline sets the time at which a waiting Next returns ErrDeadline; the zero time stands for none. It may be called while Next
+// waits.
 func (s *Stream) SetDeadline(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,5 +137,5 @@
 	}
 }
 
-// Close gives the stream up: its connection is closed unless the body has ended. It may be called at any time, from any goroutine.
+// Close ends the stream. Its connection is closed unless the body is complete. It may be called at any time, from any goroutine.
 func (s *Stream) Close() { s.endOnce(s.roundTrip.abort) }
