--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -11,8 +11,6 @@
 	"ospreybend/internal/util/http1"
 )
 
-const maxUnansweredProbes = 2 // keep-alive probes after which the system closes a connection
-
 // conn is one connection to a worker. At any time it is in the pool, idle, or owned by one round trip.
 type conn struct {
 	pool       *Pool
@@ -27,12 +25,12 @@
 	released  bool
 }
 
+// keepAliveDisabled turns keep-alive probes off: Options.UserTimeout and the deadlines of requests end what is broken.
+const keepAliveDisabled = -1
+
 // dialTCP opens a connection that fails if bytes sent are not acknowledged within Options.UserTimeout.
 func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{KeepAlive: -1, Control: p.setSocketOptions}
-	if p.options.KeepAliveInterval > 0 {
-		dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: p.options.KeepAliveInterval, Interval: p.options.KeepAliveInterval, Count: maxUnansweredProbes}
-	}
+	dialer := net.Dialer{KeepAlive: keepAliveDisabled, Control: p.setSocketOptions}
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -33,8 +33,7 @@
 	IdleTimeout time.Duration // for workers without a Keep-Alive field; 0 stands for DefaultIdleTimeout
 	// UserTimeout is how long bytes sent may stay unacknowledged (TCP_USER_TIMEOUT); 0 stands for DefaultUserTimeout.
 	UserTimeout time.Duration
-	// KeepAliveInterval is the time without traffic after which the system sends keep-alive probes; 0 stands for never.
-	KeepAliveInterval time.Duration
+
 	// Now is the clock; nil stands for time.Now.
 	Now func() time.Time
 	// Dial opens a connection; nil stands for TCP.
--- a/internal/dataplane/upstream/upstreamtest/cases.go
+++ b/internal/dataplane/upstream/upstreamtest/cases.go
@@ -2,42 +2,45 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
-// Outcome is what an answer, or its absence, says of the request.
+// Outcome is what a response, or its absence, implies for a request whose head was written completely.
 type Outcome uint8
 
-// Meanings of what comes back behind a request whose head was written whole.
+// Outcomes.
 const (
-	NotExecuted      Outcome = iota + 1 // it has not run and will not
-	Indeterminate                       // it may have run, and nothing whole came
-	Unusable                            // it counts as run, and what came may not be passed on
-	MisleadingStatus                    // it counts as run, and the status would promise that it has not
-	Failed                              // it counts as run; the worker's own failure
-	Denied                              // it counts as run; the worker's own 4xx
-	Success                             // it has run
+	NotExecuted      Outcome = iota + 1 // the request was not executed and will not be
+	Indeterminate                       // it may have been executed, and no complete response came
+	Unusable                            // it counts as executed, and the response must not be forwarded
+	MisleadingStatus                    // it counts as executed, with a status that a client would take for a rejection
+	Failed                              // it counts as executed; the worker's own 5xx
+	Denied                              // it counts as executed; the worker's own 4xx
+	Success                             // it was executed
 )
 
+// outcomeNames are the words of the table in docs/design/exchange.md.
 var outcomeNames = [...]string{"", "has not run", "may have run", "has run, unusable", "has run, a promise", "has run, failed",
 	"has run, denied", "success"}
 
-func (m Outcome) String() string { return outcomeNames[m] }
+// String returns the outcome in the words of the design page.
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// ResponseCase is one way in which a worker answers.
+// ResponseCase is one way in which a worker responds.
 type ResponseCase struct {
 	Name       string
-	Response   string // {id} stands for the request's id, {earlier} for one that the connection carried before
+	Response   string // {id} stands for the request's ID, {earlier} for that of an earlier request on the connection
 	End        ConnEnd
 	Outcome    Outcome
 	Reusable   bool // the connection may carry the next request
-	UntilClose bool // whole only as the connection ends in order
-	Events     int  // whole events before the end, where Stream
-	Stream     bool // the answer is a stream of events
+	UntilClose bool // the response is complete only if the connection is closed in order
+	Events     int  // complete events before the end, if Stream
+	Stream     bool // the response is an event stream
 }
 
-// OutcomeOf is what the row says behind a request that was written so. A connection that takes no more of a request does not end
-// in order.
+// OutcomeOf returns the outcome for a request that was written in the given mode. A connection that accepts only a part of a request
+// is not closed in order.
 func (c *ResponseCase) OutcomeOf(mode WriteMode) Outcome {
 	if c.UntilClose && mode != WriteAll {
 		return Indeterminate
@@ -45,10 +48,10 @@
 	return c.Outcome
 }
 
-// IsSigned tells whether the answer bears a worker's signature.
+// IsSigned reports whether the response carries a worker's signature.
 func (c *ResponseCase) IsSigned() bool { return strings.Contains(c.Response, "X-Response-Signature") }
 
-// Status returns the status of the last answer; 0 where there is none.
+// Status returns the status of the last response, or 0 if there is none.
 func (c *ResponseCase) Status() int {
 	status := 0
 	if at := strings.LastIndex(c.Response, "HTTP/1.1 "); at >= 0 {
@@ -57,17 +60,17 @@
 	return status
 }
 
-// Text is the answer to a request.
+// Text returns the bytes of the response to a request.
 func (c *ResponseCase) Text(request Request) string {
 	return strings.NewReplacer("{id}", request.ID, "{earlier}", "earlier").Replace(c.Response)
 }
 
-// Exchange plays the row for a request that is written in a given way.
+// Exchange returns the exchange of the case for a request that is written in the given mode.
 func (c *ResponseCase) Exchange(mode WriteMode) Exchange {
 	return Exchange{Write: mode, Respond: c.Text, End: c.End}
 }
 
-// Body is that of a plain success.
+// Body is the body of a successful response.
 const Body = "whole"
 
 const (
@@ -82,10 +85,10 @@
 	chunked   = "Transfer-Encoding: chunked\r\n\r\n"
 )
 
-// Event is the text of a numbered event.
+// Event returns the bytes of a numbered event.
 func Event(number int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", number) }
 
-// Events are the events of two numbers and those between them.
+// Events returns the bytes of the events from one number to another, both included.
 func Events(from, to int) string {
 	all := ""
 	for number := from; number <= to; number++ {
@@ -94,16 +97,19 @@
 	return all
 }
 
-// LastEvent is the last event of a whole stream.
+// LastEvent is the number of the last event of a complete stream.
 const LastEvent = 3
 
-// Chunk is one chunk of a body.
+// Chunk returns the bytes of one chunk of a body.
 func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// ResponseCases are the ways in which workers answer.
-func ResponseCases() []ResponseCase { return append(plainCases(), streamCases()...) }
+// ResponseCases returns the ways in which workers respond.
+func ResponseCases() []ResponseCase {
+	return slices.Concat(invalidCases(), successCases(), rejectionCases(), streamCases())
+}
 
-func plainCases() []ResponseCase {
+// invalidCases are those without a valid response to the request.
+func invalidCases() []ResponseCase {
 	return []ResponseCase{
 		{Name: "FIN", End: FIN, Outcome: Indeterminate},
 		{Name: "RST", End: Reset, Outcome: Indeterminate},
@@ -123,6 +129,12 @@
 		{Name: "another request's answer without length", Response: strings.Replace(another, "Content-Length: 5\r\n", "", 1), End: FIN, Outcome: Indeterminate},
 		{Name: "an answer without id", Response: "HTTP/1.1 200 OK\r\n" + signature + "Content-Length: 5\r\n\r\n" + Body, Outcome: Indeterminate},
 		{Name: "an answer with two ids, FIN", Response: strings.Replace(plain, ids, ids+"X-Request-Id: x\r\n", 1), End: FIN, Outcome: Indeterminate},
+	}
+}
+
+// successCases are those with a status of 200, also if truncated or without a signature.
+func successCases() []ResponseCase {
+	return []ResponseCase{
 		{Name: "a success", Response: plain, Outcome: Success, Reusable: true},
 		{Name: "a success in chunks", Response: head + chunked + Chunk("who") + Chunk("le") + "0\r\n\r\n", Outcome: Success, Reusable: true},
 		{Name: "a success, a second answer", Response: plain + plain, Outcome: Success},
@@ -136,6 +148,12 @@
 		{Name: "a chunk error", Response: head + chunked + Chunk(Body) + "zz\r\n", Outcome: Indeterminate},
 		{Name: "a success without signature", Response: strings.Replace(plain, signature, "", 1), Outcome: Unusable, Reusable: true},
 		{Name: "a success with an encoding", Response: strings.Replace(plain, ids, ids+"Content-Encoding: gzip\r\n", 1), Outcome: Unusable, Reusable: true},
+	}
+}
+
+// rejectionCases are those with a 4xx or 5xx status.
+func rejectionCases() []ResponseCase {
+	return []ResponseCase{
 		{Name: "421", Response: "HTTP/1.1 421 No\r\n" + ids + "Content-Length: 4\r\n\r\nelse", Outcome: NotExecuted, Reusable: true},
 		{Name: "421 cut, FIN", Response: "HTTP/1.1 421 No\r\n" + ids + "Content-Length: 4\r\n\r\nel", End: FIN, Outcome: NotExecuted},
 		{Name: "503 with X-Not-Executed", Response: "HTTP/1.1 503 Full\r\n" + rejection + "full", Outcome: NotExecuted, Reusable: true},
@@ -158,6 +176,7 @@
 	}
 }
 
+// streamCases are those with an event stream.
 func streamCases() []ResponseCase {
 	two := Events(1, 2)
 	cases := []ResponseCase{
@@ -186,7 +205,8 @@
 	return cases
 }
 
-// HealthyExchange is the turn of a worker that is well: it answers with a stream where the request asks for one, behind Last-Event-Id.
+// HealthyExchange returns the exchange of a worker without faults. Its response is an event stream if streams is set, resumed behind
+// the Last-Event-Id of the request.
 func HealthyExchange(streams bool) Exchange {
 	responseCase := ResponseCase{Response: plain}
 	return Exchange{Respond: func(request Request) string {
@@ -200,6 +220,7 @@
 	}}
 }
 
+// remainingEvents returns the chunk of the events from a number to the last; nothing behind the last.
 func remainingEvents(from int) string {
 	if from > LastEvent {
 		return ""
--- a/internal/dataplane/upstream/upstreamtest/conn.go
+++ b/internal/dataplane/upstream/upstreamtest/conn.go
@@ -1,5 +1,6 @@
-// Package upstreamtest plays workers for tests, byte by byte and without sockets: how much of a request a connection takes, what
-// comes back, and how the connection ends. It works within a synctest bubble.
+// Package upstreamtest provides scripted workers for tests, byte by byte and without sockets: how much of a request a connection
+// accepts, what the worker responds, and how the connection ends. It works within a synctest bubble. The tests of the packages
+// upstream and dispatch use it; ResponseCases are the cases that both must handle alike.
 package upstreamtest
 
 import (
@@ -13,37 +14,39 @@
 	"time"
 )
 
-// WriteMode is how much of a request a connection takes.
+// WriteMode is how much of a request a connection accepts.
 type WriteMode uint8
 
-// Ways in which the writing of a request goes.
+// Write modes.
 const (
 	WriteAll        WriteMode = iota // all of it
 	WriteNothing                     // the first write fails
 	WritePartOfHead                  // the write fails within the head
 	WritePartOfBody                  // the write fails within the body
-	WriteBlocked                     // the answer comes while the write waits within the body, until the connection is closed
+	WriteBlocked                     // the response comes while the write waits within the body, until the connection is closed
 )
 
-var writeModeNames = [...]string{"whole", "nothing written", "head in part", "body in part", "body waiting"}
+var writeModeNames = [...]string{"all written", "nothing written", "part of the head written", "part of the body written", "write blocked"}
 
-func (s WriteMode) String() string { return writeModeNames[s] }
+// String returns the mode in words, for the names of subtests.
+func (m WriteMode) String() string { return writeModeNames[m] }
 
-// ConnEnd is what becomes of a connection behind an answer.
+// ConnEnd is how a connection ends after a response.
 type ConnEnd uint8
 
 // Ends of connections.
 const (
-	KeepOpen ConnEnd = iota // nothing more comes
-	FIN                     // it ends in order
+	KeepOpen ConnEnd = iota // it stays open, without further bytes
+	FIN                     // it is closed in order
 	Reset                   // it is reset
 )
 
-var connEndNames = [...]string{"nothing more", "FIN", "RST"}
+var connEndNames = [...]string{"kept open", "FIN", "RST"}
 
+// String returns the end in words, for the names of subtests.
 func (e ConnEnd) String() string { return connEndNames[e] }
 
-// Request is one that came on a connection, whole or in part.
+// Request is a request that a connection received, completely or in part.
 type Request struct {
 	ID        string
 	LastEvent string // Last-Event-Id
@@ -58,14 +61,14 @@
 	Write     WriteMode
 	Respond   func(Request) string
 	End       ConnEnd
-	ReadSizes []int // bytes of the next reads; behind them a read takes all that is there
+	ReadSizes []int // bytes that the next reads return; further reads return all that is there
 }
 
 // Conn is a connection to a scripted worker. It implements net.Conn.
 type Conn struct {
 	mu        sync.Mutex
 	exchanges []Exchange
-	input     []byte // of the request that is being taken
+	input     []byte // of the request that is being received
 	requests  []Request
 	output    []byte
 	readSizes []int
@@ -76,12 +79,12 @@
 	closeOnce sync.Once
 }
 
-// NewConn makes a connection that plays one turn for each request; it takes none beyond them.
+// NewConn returns a connection that plays one exchange for each request, and accepts no further one.
 func NewConn(exchanges ...Exchange) *Conn {
 	return &Conn{exchanges: exchanges, changed: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// Requests returns those that have come, also in part.
+// Requests returns the requests received, the last perhaps in part.
 func (c *Conn) Requests() []Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +96,7 @@
 	return all
 }
 
-// Closed tells whether the caller has closed the connection.
+// Closed reports whether the client has closed the connection.
 func (c *Conn) Closed() bool {
 	select {
 	case <-c.closed:
@@ -103,7 +106,7 @@
 	}
 }
 
-// SendUnsolicited lets bytes come that no request asked for, unless the connection has ended.
+// SendUnsolicited sends bytes that belong to no request, unless the connection has ended.
 func (c *Conn) SendUnsolicited(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +115,7 @@
 	}
 }
 
-// put lets bytes come, and then an end.
+// put sends bytes and then ends the connection as told. The caller holds the lock.
 func (c *Conn) put(text string, end ConnEnd) {
 	c.output = append(c.output, text...)
 	c.end = end
@@ -120,7 +123,7 @@
 	c.changed = make(chan struct{})
 }
 
-// Write takes a request in as its turn says.
+// Write accepts a request as its exchange says.
 func (c *Conn) Write(data []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +141,7 @@
 	return len(data), nil
 }
 
-// acceptedBytes returns how many bytes of a write are taken behind those taken before.
+// acceptedBytes returns how many bytes of a write are accepted, behind the given number accepted before.
 func acceptedBytes(mode WriteMode, before int, data []byte) int {
 	head := bytes.Index(data, []byte("\r\n\r\n")) + len("\r\n\r\n")
 	switch {
@@ -155,7 +158,7 @@
 	}
 }
 
-// failWrite ends a write before its last byte. The caller holds the lock.
+// failWrite fails a write of which only a part was accepted. The caller holds the lock.
 func (c *Conn) failWrite(exchange Exchange, taken int) (int, error) {
 	c.broken = true
 	request, _ := parseRequest(c.input)
@@ -174,7 +177,7 @@
 	return taken, net.ErrClosed
 }
 
-// answerRequest answers the next whole request that has come. The caller holds the lock.
+// answerRequest responds to the next complete request. The caller holds the lock.
 func (c *Conn) answerRequest() bool {
 	request, used := parseRequest(c.input)
 	if !request.Complete || len(c.exchanges) == 0 {
@@ -189,7 +192,7 @@
 	return true
 }
 
-// parseRequest reads a request as far as it is there.
+// parseRequest parses a request as far as it was received.
 func parseRequest(input []byte) (request Request, used int) {
 	head, body, found := strings.Cut(string(input), "\r\n\r\n")
 	if !found {
@@ -216,7 +219,7 @@
 	return request, len(head) + len("\r\n\r\n") + received
 }
 
-// Read returns what has come, and then the end.
+// Read returns the bytes that the worker has sent, and then the end.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	for {
 		c.mu.Lock()
@@ -245,7 +248,7 @@
 	}
 }
 
-// nextReadSize returns how many bytes the next read takes. The caller holds the lock.
+// nextReadSize returns how many bytes the next read returns. The caller holds the lock.
 func (c *Conn) nextReadSize() int {
 	if len(c.readSizes) == 0 {
 		return len(c.output)
@@ -255,16 +258,16 @@
 	return min(max(next, 1), len(c.output))
 }
 
-// Close ends the connection from the caller's side.
+// Close closes the connection from the client's side.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return nil
 }
 
-// LocalAddr returns an address without a meaning.
+// LocalAddr returns an empty address.
 func (c *Conn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr returns an address without a meaning.
+// RemoteAddr returns an empty address.
 func (c *Conn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
 // SetDeadline does nothing.
--- a/internal/dataplane/upstream/upstreamtest/workers.go
+++ b/internal/dataplane/upstream/upstreamtest/workers.go
@@ -14,19 +14,19 @@
 	conns   map[string][]*Conn
 }
 
-// NewWorkers makes workers of which none is there yet.
+// NewWorkers returns a set of workers without any.
 func NewWorkers() *Workers {
 	return &Workers{scripts: map[string]func(int) []Exchange{}, conns: map[string][]*Conn{}}
 }
 
-// Script lets a worker play: script returns the turns of its n-th connection, from 0 on; none refuses it.
+// Script adds a worker: script returns the exchanges of its n-th connection, counted from 0, or nil to refuse the connection.
 func (w *Workers) Script(address string, script func(number int) []Exchange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.scripts[address] = script
 }
 
-// Dial connects to a worker; exchange.Options takes it.
+// Dial connects to a worker, for upstream.Options.
 func (w *Workers) Dial(_ context.Context, address string) (net.Conn, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
