--- a/internal/dataplane/httpserver/api.go
+++ b/internal/dataplane/httpserver/api.go
@@ -1,5 +1,3 @@
-// Package httpserver is the server side of HTTP/1.1 towards clients: it reads whole requests, hands each to
-// a handler, and writes exactly one answer for it.
 package httpserver
 
 import (
@@ -11,71 +9,73 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Errors of a ResponseWriter. Errors of the connection are returned as they came.
+// Errors of a ResponseWriter. Errors of the connection are returned unchanged.
 var (
-	ErrAlreadyAnswered = errors.New("front: the request has its answer already")
-	ErrNotStarted      = errors.New("front: no answer was begun")
-	ErrClientGone      = errors.New("front: the client's connection is closed")
+	// ErrAlreadyAnswered means that bytes of a response to the request were already written.
+	ErrAlreadyAnswered = errors.New("httpserver: the request already has a response")
+	// ErrNotStarted means that WriteHeader was not called.
+	ErrNotStarted = errors.New("httpserver: the response was not started")
+	// ErrClientGone means that the client's connection is closed.
+	ErrClientGone = errors.New("httpserver: the client's connection is closed")
 )
 
-// Handler serves one request. When it returns, the request is finished: one without an answer is
-// answered 500, an answer begun and not finished is broken off. The request and the writer must not be
-// used after that.
+// Handler serves one request. When it returns, the request is finished: if there is no response it is answered 500, and a response
+// that was started and not finished is aborted. The request and the writer must not be used after that.
 type Handler func(w *ResponseWriter, r *Request)
 
-// Request is one request, read whole.
+// Request is one complete request.
 type Request struct {
-	Context context.Context // ends when the client's connection ends or the request is finished
+	Context context.Context // canceled when the client's connection ends or the request is finished
 
 	Method string
-	Target string // path and query as they came
+	Target string // path and query as received
 	Path   string // the target without its query
-	Host   string // as it came; one only, never empty
+	Host   string // as received; never empty
 	Header http1.Header
-	Body   []byte // the handler's own; nil where there is none
+	Body   []byte // owned by the handler; nil if there is none
 
 	FirstByteAt time.Time
 	ReadAt      time.Time // when its last byte was read
 }
 
-// Options of a server. Handler and Limits are required.
+// Options are the options of a server. Handler and Limits are required.
 type Options struct {
 	Handler Handler
-	// Limits returns the limits in force; it is called several times for each request. A figure of zero or below stands for its default.
+	// Limits returns the limits in force. It is called several times for each request. A limit of zero or below stands for its default.
 	Limits func() configuration.Limits
-	// RequestTimeout tells for how long a request with that head may be held, from its first byte on; its body has not come. A figure of zero
-	// or below stands for no bound. It may be left out.
+	// RequestTimeout returns how long a request may take from its first byte on, by its head: the body has not been read. Zero or below
+	// stands for no limit but that of the configuration. It may be nil.
 	RequestTimeout func(r *Request) time.Duration
-	// LimitsConfirmed tells whether the limits are known to be those in force. Where they are not, a request beyond them is answered 503 and
-	// may come again. It may be left out: the limits count as those in force then.
+	// LimitsConfirmed reports whether the limits are known to be those in force. If they are not, a request beyond them is answered 503,
+	// so that the client may retry it. It may be nil: the limits count as confirmed then.
 	LimitsConfirmed func() bool
-	// MaxConnections is the most connections held at once; 0 stands for DefaultMaxConnections.
+	// MaxConnections is the limit of open connections; 0 stands for DefaultMaxConnections.
 	MaxConnections int
-	// MaxBufferedBodyBytes is the most bytes of request bodies held at once, over all connections; 0 stands for no
-	// bound. Above it requests are answered 503.
+	// MaxBufferedBodyBytes is the limit of the bytes of all request bodies in memory; 0 stands for none. Requests beyond it are
+	// answered 503.
 	MaxBufferedBodyBytes int64
 	// WriteTimeout is how long one write to a client may take; 0 stands for DefaultWriteTimeout.
 	WriteTimeout time.Duration
-	// RetryAfter is what refused connections are told; 0 stands for DefaultRetryAfter.
+	// RetryAfter is the Retry-After of rejected connections; 0 stands for DefaultRetryAfter.
 	RetryAfter time.Duration
 	// Now is the clock; nil stands for time.Now.
 	Now func() time.Time
-	// Log takes a line on what should not happen, such as a handler that panics; nil stands for none.
+	// Log is called with a line for each error that no client causes, such as a handler that panics; it may be nil.
 	Log func(line string)
 }
 
-// Counts tells what a server has seen since its start.
+// Counts are a server's counters since its start, and two gauges.
 type Counts struct {
 	Accepted           int64 // connections
-	Rejected           int64 // connections turned away as all places were taken
-	Evicted            int64 // idle connections closed in favour of new ones
-	Requests           int64 // read whole and handed to the handler
-	Malformed          int64 // requests that could not be read, with those over a limit
-	TimedOut           int64 // requests that did not come in whole within the time
-	ClientsGone        int64 // clients that left while their request was in work
-	DuplicateResponses int64 // answers refused as the request had one
-	MissingResponses   int64 // handlers that returned without an answer
-	AbortedResponses   int64 // answers broken off
+	Rejected           int64 // connections and requests answered 503 for lack of capacity or of confirmed limits
+	Evicted            int64 // idle connections closed in favor of new ones
+	Requests           int64 // handed to the handler
+	Malformed          int64 // requests that could not be read, those beyond a limit included
+	TimedOut           int64 // requests not received completely in time
+	ClientsGone        int64 // clients that closed their connection during a request
+	DuplicateResponses int64 // responses not written since the request already had one
+	MissingResponses   int64 // handlers that returned without a response
+	AbortedResponses   int64 // responses not completed
 	Open               int64 // connections now
-	InFlight           int64 // requests now
+	InFlight           int64 // requests in handlers now
 }
--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/http"
 	"os"
 	"syscall"
 	"time"
@@ -13,42 +14,45 @@
 )
 
 const (
-	maxPipelinedBytes = 16 << 10 // bytes kept of what a client sends while its request is in work
-	// hangupPollInterval is the time between two looks for the end of a client whose further bytes are not read.
+	maxPipelinedBytes = 16 << 10 // read ahead of a client while its request is handled
+	// hangupPollInterval is the time between two checks whether a client has hung up, when no more is read ahead.
 	hangupPollInterval = 100 * time.Millisecond
-	finalReadWindow    = 10 * time.Millisecond // for a last read at a deadline: after a standstill of the process bytes may be there
+	// finalReadWindow is the time of a last read after a read deadline has passed. If the process was suspended, a request may have
+	// been received in time.
+	finalReadWindow = 10 * time.Millisecond
 )
 
+// connState is the state of a connection.
 type connState uint8
 
 const (
-	idle      connState = iota // nothing of a request has come
-	reading                    // a part of a request has come
-	handling                   // a request is in work
-	lingering                  // the last answer was written
+	idle      connState = iota // no byte of a request has been received
+	reading                    // a part of a request has been received
+	handling                   // a handler runs
+	lingering                  // the last response was written; waiting for the client to close
 )
 
-// conn is one client's connection. Its own goroutine reads, also while a handler is at work on a request in another.
+// conn is one client's connection. Its own goroutine reads, also while a handler runs in another.
 type conn struct {
 	server         *Server
 	socket         net.Conn
-	input          http1.ReadBuffer // what has come and is not used yet
-	finalReadTaken bool             // the last look at a deadline was taken
-	rawConn        syscall.RawConn  // nil where the connection is no socket
+	input          http1.ReadBuffer
+	finalReadTaken bool            // the last read after a deadline was taken
+	rawConn        syscall.RawConn // nil if the connection is not a socket
 
-	// under Server.mu
+	// guarded by Server.mu
 	state          connState
-	stateSince     time.Time // it is in the state
-	readDeadline   time.Time // of reading; zero: none
-	pipelinedBytes int       // bytes of in while a request is in work
-	woken          bool      // the deadline is there to wake the goroutine that reads
+	stateSince     time.Time
+	readDeadline   time.Time // zero: none
+	pipelinedBytes int       // length of input while a handler runs
+	woken          bool      // the read deadline only wakes the goroutine that reads
 }
 
 func newConn(s *Server, socket net.Conn) *conn {
 	return &conn{server: s, socket: socket, rawConn: rawConnOf(socket), stateSince: s.now()}
 }
 
-// serve reads and serves one request after the other.
+// serve reads and handles one request after the other.
 func (c *conn) serve() {
 	defer c.close()
 	c.startIdle()
@@ -67,7 +71,7 @@
 	}
 }
 
-// startIdle starts the time that the connection may be idle.
+// startIdle starts the idle time-out of a new connection.
 func (c *conn) startIdle() {
 	limits := c.server.limits()
 	c.server.mu.Lock()
@@ -85,20 +89,21 @@
 	c.setReadDeadline(idleTime)
 }
 
-// setReadDeadline bounds reading. The caller holds the server's lock.
+// setReadDeadline sets the deadline of reading. The caller holds the server's lock.
 func (c *conn) setReadDeadline(timeout time.Duration) {
 	c.woken = false
 	c.readDeadline = time.Now().Add(timeout)
 	_ = c.socket.SetReadDeadline(c.readDeadline)
 }
 
+// close closes the connection and removes it from the server.
 func (c *conn) close() {
 	c.setState(idle)
 	c.server.remove(c)
 	_ = c.socket.Close()
 }
 
-// setState changes the state, and with it what Server.Wait waits for.
+// setState changes the state, and the number that Server.Wait waits for.
 func (c *conn) setState(state connState) {
 	c.server.mu.Lock()
 	c.enter(state)
@@ -118,9 +123,10 @@
 	c.stateSince = c.server.now()
 }
 
+// isBusy reports whether Server.Wait waits for a connection in the state.
 func (s connState) isBusy() bool { return s == handling || s == lingering }
 
-// handleRequest has a request served while it listens whether the client leaves. It returns whether another request may follow.
+// handleRequest runs the handler in a goroutine and watches the client meanwhile. It reports whether another request may follow.
 func (c *conn) handleRequest(reader *requestReader) bool {
 	r := reader.request
 	s := c.server
@@ -156,21 +162,21 @@
 	return alive
 }
 
-// runHandler calls the handler and sees to it that there is one answer.
+// runHandler calls the handler and ensures that there is exactly one response.
 func (c *conn) runHandler(w *ResponseWriter, r *Request) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			c.server.log(fmt.Sprintf("front: a handler failed: %v", cause))
+			c.server.log(fmt.Sprintf("handler panicked: %v", cause))
 		}
 		w.finishHandler()
 	}()
 	c.server.options.Handler(w, r)
 }
 
-// afterResponse sets the state after an answer, and the time for what may follow. The goroutine that reads is woken where it must go
-// on.
+// afterResponse sets the state and the deadline after a response. It wakes the goroutine that reads if a next request has been
+// received in part.
 func (c *conn) afterResponse(writer *ResponseWriter) {
-	wasAborted, closing := writer.connState()
+	wasAborted, closing := writer.outcome()
 	limits := c.server.limits()
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -192,7 +198,7 @@
 	}
 }
 
-// watchClient reads while a request is in work, and on to the first bytes of the next. It returns false when no request may
+// watchClient reads ahead while a handler runs, and on to the first bytes of the next request. It reports whether a request may
 // follow.
 func (c *conn) watchClient(writer *ResponseWriter, done <-chan struct{}) bool {
 	for {
@@ -208,7 +214,7 @@
 			discardInput(c.socket)
 			return false
 		case state != handling && c.input.Len() > 0:
-			wasAborted, _ := writer.connState()
+			wasAborted, _ := writer.outcome()
 			return !wasAborted
 		}
 		err := c.readMore()
@@ -223,7 +229,8 @@
 	}
 }
 
-// awaitHandler waits for a handler without reading: as much as may be kept has come. It returns false once the client has left.
+// awaitHandler waits for a handler without reading, as maxPipelinedBytes have been read ahead. It returns false if the client hangs
+// up first.
 func (c *conn) awaitHandler(done <-chan struct{}) bool {
 	ticker := time.NewTicker(hangupPollInterval)
 	defer ticker.Stop()
@@ -239,7 +246,7 @@
 	}
 }
 
-// recordPipelined notes how much has come, and returns the state.
+// recordPipelined records how much was read ahead, and returns the state.
 func (c *conn) recordPipelined() connState {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -247,7 +254,7 @@
 	return c.state
 }
 
-// clientGone notes that the client's side has ended. What is still written to it is refused.
+// clientGone closes the connection after the client has hung up. Further writes fail with ErrClientGone.
 func (c *conn) clientGone(writer *ResponseWriter) {
 	c.server.mu.Lock()
 	inFlight := c.state == handling
@@ -258,14 +265,14 @@
 	}
 }
 
-// readMore takes in what comes next.
+// readMore reads once into the input buffer.
 func (c *conn) readMore() error {
 	n, err := c.read(c.input.Free())
 	c.input.Extend(n)
 	return err
 }
 
-// read reads once. It returns a timeout only where the deadline in force has passed.
+// read reads once. It returns a time-out only if the deadline in force has passed.
 func (c *conn) read(buffer []byte) (int, error) {
 	for {
 		n, err := c.socket.Read(buffer)
@@ -282,7 +289,8 @@
 	}
 }
 
-// shouldRetryRead tells whether a read that ran into a deadline is to be tried again: the deadline may be of the time before.
+// shouldRetryRead reports whether to read again after a time-out: the deadline may be that of an earlier state, and a passed one is
+// followed by a last read.
 func (c *conn) shouldRetryRead() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -305,15 +313,15 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// reject answers a request that cannot be read, and ends the connection.
+// reject answers a request that cannot be read, and closes the connection after the client.
 func (c *conn) reject(statusErr *http1.StatusError) {
 	if isLimitExceeded(statusErr) && !c.server.limitsConfirmed() {
 		statusErr = &errLimitsUnconfirmed
 	}
 	switch statusErr.Status {
-	case statusRequestTimeout:
+	case http.StatusRequestTimeout:
 		c.server.counts.timedOut.Add(1)
-	case statusUnavailable:
+	case http.StatusServiceUnavailable:
 		c.server.counts.rejected.Add(1)
 	default:
 		c.server.counts.malformed.Add(1)
@@ -325,7 +333,7 @@
 	}
 }
 
-// isLimitExceeded tells whether a request is refused for a limit that a configuration sets.
+// isLimitExceeded reports whether a request is beyond a limit that the configuration sets.
 func isLimitExceeded(statusErr *http1.StatusError) bool {
-	return statusErr.Status == statusContentTooLarge || statusErr.Status == statusHeaderTooLarge
+	return statusErr.Status == http.StatusRequestEntityTooLarge || statusErr.Status == http.StatusRequestHeaderFieldsTooLarge
 }
--- a/internal/dataplane/httpserver/hangup.go
+++ b/internal/dataplane/httpserver/hangup.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConnOf returns the socket below a connection, or nil where there is none.
+// rawConnOf returns the socket below a connection, or nil if there is none.
 func rawConnOf(connection net.Conn) syscall.RawConn {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
@@ -20,9 +20,9 @@
 	return raw
 }
 
-// hasHungUp tells whether the client has ended its side or the whole connection, without reading: what was sent before the end may
-// wait unread. A client that has ended its side alone counts as gone: on the wire it cannot be told from one that has closed
-// the connection, until an answer is written to it.
+// hasHungUp reports whether the client has closed its side or the whole connection. It does not read: bytes sent before may still be
+// unread. A client that has closed its side alone counts as gone: on the wire it cannot be told from one that has closed the
+// connection, until a response is written to it.
 func (c *conn) hasHungUp() bool {
 	if c.rawConn == nil {
 		return false
--- a/internal/dataplane/httpserver/listen.go
+++ b/internal/dataplane/httpserver/listen.go
@@ -6,12 +6,15 @@
 	"syscall"
 )
 
-const listenBacklog = 4096 // new connections that may wait to be accepted
+const (
+	listenBacklog     = 4096 // connections that may wait to be accepted
+	keepAliveDisabled = -1
+)
 
-// Listen opens a listener ("ip:port") with a long queue of new connections. Accepted connections send small pieces at once and
-// have no probes: deadlines end those whose client has gone.
+// Listen opens a listener on an address ("ip:port") with a long backlog of connections to be accepted. Accepted connections have no
+// keep-alive probes: deadlines end those whose client has gone.
 func Listen(address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1}
+	config := net.ListenConfig{KeepAlive: keepAliveDisabled}
 	config.SetMultipathTCP(false)
 	listener, err := config.Listen(context.Background(), "tcp4", address)
 	if err != nil {
@@ -21,7 +24,7 @@
 	return listener, nil
 }
 
-// extendBacklog asks for a longer queue than the system's default. Where that is refused the default stays.
+// extendBacklog asks for a longer backlog than the system's default. If the system rejects it the default stays.
 func extendBacklog(listener net.Listener) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"net/http"
 	"time"
 
 	"ospreybend/internal/controlplane/configuration"
@@ -9,37 +10,33 @@
 )
 
 const (
-	statusRequestTimeout  = 408
-	statusContentTooLarge = 413
-	statusHeaderTooLarge  = 431
-	statusUnavailable     = 503
-
-	initialBodyBytes = 64 << 10 // bytes made for a body at first; more as they come
-	// maxChunkFraming is how many bytes of framing a body in chunks may have beyond its own length.
+	initialBodyBytes = 64 << 10 // allocated for a body at first; more as its bytes are received
+	// maxChunkFraming is how many bytes of framing a body in chunks may have beyond its own length. A client that sends tiny chunks
+	// with long extensions would cost time without limit otherwise.
 	maxChunkFraming = 64 << 10
 )
 
 var (
-	errOverloaded     = http1.StatusError{Status: statusUnavailable, Reason: "there is no place for the request"}
-	errRequestTimeout = http1.StatusError{Status: statusRequestTimeout, Reason: "the request did not come in time"}
-	// errLimitsUnconfirmed stands in for faults over a limit that may not be in force any more.
-	errLimitsUnconfirmed = http1.StatusError{Status: statusUnavailable, Reason: "the limits in force are not known"}
-	errBodyTooLarge      = http1.StatusError{Status: statusContentTooLarge, Reason: "the body is too long"}
+	errOverloaded     = http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the server is overloaded"}
+	errRequestTimeout = http1.StatusError{Status: http.StatusRequestTimeout, Reason: "the request was not received in time"}
+	// errLimitsUnconfirmed replaces an error about a limit that may not be in force any more.
+	errLimitsUnconfirmed = http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the limits in force are not known"}
+	errBodyTooLarge      = http1.StatusError{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
 )
 
-// requestReader is one request as far as it has come in.
+// requestReader reads one request.
 type requestReader struct {
 	conn        *conn
 	limits      configuration.Limits
 	rules       http1.ParseRules
-	startedAt   time.Time // the first byte, on the clock of the deadlines
-	deadlineSet bool      // the deadline is set
-	headRead    bool      // the head has come whole
+	startedAt   time.Time // when the first byte was read, on the clock of the deadlines
+	deadlineSet bool
+	headRead    bool
 	request     *Request
 	head        http1.Head
 }
 
-// readRequest reads the next request. err is of the connection, and nobody is to be answered then.
+// readRequest reads the next request. statusErr is answered to the client; err is an error of the connection, which is not.
 func (c *conn) readRequest() (reader *requestReader, statusErr *http1.StatusError, err error) {
 	for c.input.Len() == 0 {
 		if err := c.readMore(); err != nil {
@@ -60,14 +57,14 @@
 	return reader, nil, nil
 }
 
-// readMore waits for further bytes of the request by its deadline.
+// readMore reads further bytes of the request, until its deadline.
 func (r *requestReader) readMore() (*http1.StatusError, error) {
 	r.setDeadline()
 	return r.mapTimeout(r.conn.readMore())
 }
 
-// setDeadline sets the deadline of the whole request, when it has not come at once: a first time for the head, and once more for the
-// body, since the head tells how long the request may be held.
+// setDeadline sets the deadline of the complete request, if it was not received at once: first for the head, and again for the body,
+// since the head determines how long the request may take.
 func (r *requestReader) setDeadline() {
 	if r.deadlineSet {
 		return
@@ -83,6 +80,7 @@
 	c.server.mu.Unlock()
 }
 
+// mapTimeout turns a time-out into the error that is answered to the client.
 func (r *requestReader) mapTimeout(err error) (*http1.StatusError, error) {
 	if err != nil && isTimeout(err) {
 		return &errRequestTimeout, nil
@@ -109,7 +107,7 @@
 	}
 }
 
-// copyHead copies what the request needs of the head.
+// copyHead copies the head into the request: its slices refer to the input buffer, which is used further.
 func (r *requestReader) copyHead() {
 	request := r.request
 	request.Method = string(r.head.Method)
@@ -121,7 +119,7 @@
 	request.Header = http1.HopByHopOf(header).Strip(header)
 	expects := r.head.ExpectsContinue()
 	r.headRead, r.deadlineSet = true, false
-	r.head.Method, r.head.Target, r.head.RawHeader = nil, nil, nil // the buffer goes on to be used
+	r.head.Method, r.head.Target, r.head.RawHeader = nil, nil, nil
 	if expects {
 		r.head.RawHeader = []http1.RawHeaderField{expectField}
 	}
@@ -146,7 +144,7 @@
 	return a.readFixedBody(a.head.ContentLength)
 }
 
-// sendContinue tells a client that waits for it to send its body.
+// sendContinue asks a client that waits for it to send its body.
 func (r *requestReader) sendContinue() error {
 	if !r.head.ExpectsContinue() || r.head.HTTP10 || r.conn.input.Len() > 0 {
 		return nil
@@ -156,7 +154,8 @@
 	return err
 }
 
-// readFixedBody reads a body of a known length. Memory is made as it comes: a length alone costs the client nothing.
+// readFixedBody reads a body of a known length. Memory is allocated as bytes are received, since a Content-Length costs the client
+// nothing.
 func (r *requestReader) readFixedBody(length int) (*http1.StatusError, error) {
 	c, request := r.conn, r.request
 	for len(request.Body) < length {
@@ -180,7 +179,7 @@
 	return nil, nil
 }
 
-// growBody makes room for more of the body. It returns false where the server holds as much as it may.
+// growBody makes room for more of the body. It returns false at the limit Options.MaxBufferedBodyBytes.
 func (r *requestReader) growBody(length int) bool {
 	request := r.request
 	if len(request.Body) < cap(request.Body) {
@@ -228,6 +227,7 @@
 	return nil, nil
 }
 
+// appendBody appends the data of a chunk.
 func (r *requestReader) appendBody(data []byte) *http1.StatusError {
 	request := r.request
 	for len(data) > 0 {
--- a/internal/dataplane/httpserver/responsewriter.go
+++ b/internal/dataplane/httpserver/responsewriter.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -9,41 +10,44 @@
 )
 
 const (
-	maxCoalescedBody   = 64 << 10 // bytes of a body that are copied behind the head
-	initialBufferBytes = 1 << 10  // bytes of a new buffer
-	maxPooledBuffer    = 72 << 10 // bytes of a buffer that is kept for the next answer
+	maxCoalescedBody   = 64 << 10 // a body up to this size is copied behind the head, for one write
+	initialBufferBytes = 1 << 10
+	maxPooledBuffer    = 72 << 10 // a larger buffer is not reused
 
-	minWriteTime = 250 * time.Millisecond // of a write at or after the end of the request's time
+	minWriteTime = 250 * time.Millisecond // of a write at or after the end of SetWriteTimeout
 )
 
+// responseState is the progress of a response.
 type responseState uint8
 
 const (
-	notStarted    responseState = iota // no byte was written and no answer begun
-	headerPending                      // the head of an answer in pieces waits for the first piece
-	streaming                          // the head of an answer in pieces was written
-	complete                           // the answer is complete
-	aborted                            // the connection was closed before the answer was complete
+	notStarted    responseState = iota // nothing was written and WriteHeader was not called
+	headerPending                      // WriteHeader was called; the head waits for the first chunk
+	streaming                          // the head was written, and chunks may follow
+	complete                           // the response is complete
+	aborted                            // the connection was closed before the response was complete
 )
 
-// ResponseWriter takes the one answer to a request. Its methods may be called from several goroutines.
+// ResponseWriter writes the one response to a request: with WriteResponse, or as a stream with WriteHeader, WriteChunk and Finish. Its
+// methods may be called from several goroutines.
 type ResponseWriter struct {
 	conn           *conn
 	method         string
 	mu             sync.Mutex
 	state          responseState
-	closing        bool // the answer is the last of its connection
-	bodyless       bool // the answer has no body: HEAD, 204, 304
-	wroteBytes     bool // a write was begun
-	closeDelimited bool // the pieces go without chunks, to the connection's end: HTTP/1.0
+	closing        bool // the response is the last on its connection
+	bodyless       bool // the response has no body: HEAD, 204, 304
+	wroteBytes     bool // a write was started
+	closeDelimited bool // the body is not chunked and ends with the connection: HTTP/1.0
 	http10         bool // the client speaks HTTP/1.0
 	pendingHead    []byte
-	writeDeadline  time.Time // deadline of writing that is set
-	finalDeadline  time.Time // of all writing; zero: none
+	writeDeadline  time.Time // the socket's
+	finalDeadline  time.Time // of the whole response, by SetWriteTimeout; zero: none
 }
 
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, initialBufferBytes); return &b }}
 
+// putBuffer returns a buffer to the pool with the array that it has grown to.
 func putBuffer(buffer *[]byte, used []byte) {
 	if cap(used) > maxPooledBuffer {
 		return
@@ -52,9 +56,9 @@
 	bufferPool.Put(buffer)
 }
 
-// WriteResponse sends a whole answer in one write. It is refused with ErrAnswered where a byte of an answer has been written;
-// an answer begun of which nothing was written is replaced.
-// Content-Length, Connection, Keep-Alive and Transfer-Encoding are set by the server and left out of the fields given.
+// WriteResponse sends a complete response in one write. It returns ErrAlreadyAnswered if bytes of a response were written; a response
+// that was started without that is replaced. The server sets Content-Length, Connection, Keep-Alive and Transfer-Encoding itself and
+// ignores them in fields.
 func (w *ResponseWriter) WriteResponse(status int, fields http1.Header, body []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,7 +68,7 @@
 	w.state, w.pendingHead = complete, nil
 	buffer := bufferPool.Get().(*[]byte)
 	out := w.appendHead((*buffer)[:0], status, fields)
-	if status != 204 && status != 304 {
+	if mayHaveBody(status) {
 		out = http1.AppendIntField(out, "Content-Length", len(body))
 	}
 	out = append(out, "\r\n"...)
@@ -82,7 +86,8 @@
 	return err
 }
 
-// checkState checks that the answer is in one of the states given. Anything after the answer's end counts as a second answer.
+// checkState returns nil if the response is in one of the allowed states, or the error that a caller of the writer gets. Any call
+// after the end of the response counts as a duplicate response.
 func (w *ResponseWriter) checkState(allowed ...responseState) error {
 	for _, state := range allowed {
 		if w.state == state {
@@ -99,7 +104,7 @@
 	return ErrAlreadyAnswered
 }
 
-// WriteHeader starts an answer that comes in pieces. Its head is written together with the first piece, or by Flush.
+// WriteHeader starts a response as a stream. The head is written together with the first chunk, or by Flush.
 func (w *ResponseWriter) WriteHeader(status int, fields http1.Header) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -110,14 +115,14 @@
 	w.closeDelimited = w.http10
 	w.closing = w.closing || w.closeDelimited
 	head := w.appendHead(nil, status, fields)
-	if !w.closeDelimited && status != 204 && status != 304 {
+	if !w.closeDelimited && mayHaveBody(status) {
 		head = append(head, "Transfer-Encoding: chunked\r\n"...)
 	}
 	w.pendingHead = append(head, "\r\n"...)
 	return nil
 }
 
-// Flush writes the head of an answer begun, if it was not written yet.
+// Flush writes the head of a started response, if it was not written yet.
 func (w *ResponseWriter) Flush() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +132,7 @@
 	return w.writeChunk(nil, false)
 }
 
-// WriteChunk writes one piece at once, in one write.
+// WriteChunk sends one chunk, in one write.
 func (w *ResponseWriter) WriteChunk(chunk []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,7 +142,7 @@
 	return w.writeChunk(chunk, false)
 }
 
-// Finish ends the answer as complete, with a last piece that may be empty, in one write.
+// Finish completes the response with a last chunk, which may be empty, in one write.
 func (w *ResponseWriter) Finish(last []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,7 +152,7 @@
 	return w.writeChunk(last, true)
 }
 
-// writeChunk writes the head, if it is still to be written, a piece and the end.
+// writeChunk writes the head if it is pending, a chunk, and the end if it is the last.
 func (w *ResponseWriter) writeChunk(chunk []byte, last bool) error {
 	buffer := bufferPool.Get().(*[]byte)
 	out := append((*buffer)[:0], w.pendingHead...)
@@ -174,7 +179,7 @@
 	return err
 }
 
-// Abort closes the connection so that the client sees that the answer is not complete.
+// Abort closes the connection so that the client notices that the response is not complete.
 func (w *ResponseWriter) Abort() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -185,7 +190,7 @@
 	w.closeConn()
 }
 
-// closeConn closes the connection. One whose answer would look complete by that is reset.
+// closeConn closes the connection; by a reset if the end of the connection would make the response look complete.
 func (w *ResponseWriter) closeConn() {
 	w.state = aborted
 	if tcp, ok := w.conn.socket.(*net.TCPConn); ok && w.closeDelimited {
@@ -194,7 +199,7 @@
 	_ = w.conn.socket.Close()
 }
 
-// abandon notes that the client has left. It returns false where the answer is complete.
+// abandon aborts the response as the client has hung up. It returns false if the response is complete.
 func (w *ResponseWriter) abandon() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,14 +210,14 @@
 	return true
 }
 
-// Written tells whether a byte of the answer was given to the connection.
+// Written reports whether a byte of the response may have been written.
 func (w *ResponseWriter) Written() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.wroteBytes
 }
 
-// finishHandler finishes the request after its handler.
+// finishHandler ends the response after the handler has returned.
 func (w *ResponseWriter) finishHandler() {
 	w.mu.Lock()
 	state := w.state
@@ -220,24 +225,29 @@
 	switch state {
 	case notStarted:
 		w.conn.server.counts.missingResponses.Add(1)
-		_ = w.WriteResponse(500, nil, nil)
+		_ = w.WriteResponse(http.StatusInternalServerError, nil, nil)
 	case headerPending, streaming:
 		w.Abort()
 	}
 }
 
-// connState tells how the answer ended: whether the connection was closed with it, and whether it is to be.
-func (w *ResponseWriter) connState() (wasAborted, closing bool) {
+// outcome reports how the response ended: whether the connection was closed, and whether it is to be closed.
+func (w *ResponseWriter) outcome() (wasAborted, closing bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state == aborted, w.closing
 }
 
-// appendHead appends the status line and the fields, without the blank line.
+// mayHaveBody reports whether a final response with the status may have a body (RFC 9110, section 6.4.1).
+func mayHaveBody(status int) bool {
+	return status != http.StatusNoContent && status != http.StatusNotModified
+}
+
+// appendHead appends the status line and the header, without the blank line.
 func (w *ResponseWriter) appendHead(out []byte, status int, fields http1.Header) []byte {
 	s := w.conn.server
 	w.closing = w.closing || s.draining.Load()
-	w.bodyless = w.method == "HEAD" || status == 204 || status == 304
+	w.bodyless = w.method == http.MethodHead || !mayHaveBody(status)
 	out = http1.AppendStatusLine(out, status)
 	var hopByHop http1.HopByHop
 	for i := range fields {
@@ -255,7 +265,7 @@
 	return w.appendKeepAlive(out)
 }
 
-// appendKeepAlive tells for how long the connection may rest, in whole seconds.
+// appendKeepAlive appends how long the connection may be idle, in whole seconds.
 func (w *ResponseWriter) appendKeepAlive(out []byte) []byte {
 	if w.http10 {
 		out = append(out, "Connection: keep-alive\r\n"...)
@@ -280,6 +290,7 @@
 	return err
 }
 
+// writeBuffers writes a head and a body without copying the body. An error closes the connection.
 func (w *ResponseWriter) writeBuffers(head, body []byte) error {
 	w.wroteBytes = true
 	w.extendWriteDeadline()
@@ -291,8 +302,8 @@
 	return err
 }
 
-// SetWriteTimeout bounds writing to a client that does not read: a write fails that is not done by then. One that begins later has
-// leastWriteTime: an answer may be due just then.
+// SetWriteTimeout limits the time of all writes to a client that does not read, from now on. A write that starts near the end or
+// later still has minWriteTime, since a response may be due just then.
 func (w *ResponseWriter) SetWriteTimeout(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -300,7 +311,7 @@
 	w.writeDeadline = time.Time{}
 }
 
-// extendWriteDeadline sets the deadline of writing, where less than half of its time is left.
+// extendWriteDeadline sets the socket's write deadline if less than half of the write timeout is left, to save system calls.
 func (w *ResponseWriter) extendWriteDeadline() {
 	limit := w.conn.server.writeTimeout
 	now := time.Now()
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	idleMargin              = 500 * time.Millisecond // kept open beyond the idle timeout
-	lingerTimeout           = time.Second            // for a client to read its last answer and end its side
-	maxLingerBytes          = 256 << 10              // read and dropped meanwhile, at most
-	acceptRetryDelay        = 20 * time.Millisecond  // after an error of accepting that may pass
-	maxConcurrentRejections = 32                     // connections told 503 at the same time as there is no place
+	idleMargin              = 500 * time.Millisecond // beyond the idle time-out that clients are told
+	lingerTimeout           = time.Second            // for a client to read its last response and close its side
+	maxLingerBytes          = 256 << 10              // read and discarded meanwhile
+	acceptRetryDelay        = 20 * time.Millisecond  // after a temporary error of accepting
+	maxConcurrentRejections = 32                     // connections that are answered 503 at the same time
 	rejectWriteTimeout      = 200 * time.Millisecond
 	minIdleBeforeEviction   = 100 * time.Millisecond // a connection idle for less may have a request on its way
 )
@@ -40,14 +40,14 @@
 	mu         sync.Mutex
 	listeners  map[net.Listener]struct{}
 	conns      map[*conn]struct{}
-	drainGrace time.Duration // the grace; valid while draining
+	drainGrace time.Duration // of idle connections; valid while draining
 	closed     bool
 	rejecting  int
-	busy       int           // requests in work and connections that linger
-	idleNotify chan struct{} // closed when busy is 0; nil: nobody waits
+	busy       int           // connections that handle a request or linger
+	idleNotify chan struct{} // closed when busy is 0; nil if no one waits
 
 	draining     atomic.Bool
-	bodyBytes    atomic.Int64 // of the request bodies held
+	bodyBytes    atomic.Int64 // of the request bodies in memory
 	now          func() time.Time
 	maxConns     int
 	writeTimeout time.Duration
@@ -58,7 +58,7 @@
 	accepted, rejected, evicted, requests, malformed, timedOut, clientsGone, duplicateResponses, missingResponses, abortedResponses, inFlight atomic.Int64
 }
 
-// New makes a server.
+// New returns a server. It serves nothing until Serve is called.
 func New(options Options) *Server {
 	s := &Server{options: options, listeners: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
 	s.now = options.Now
@@ -78,7 +78,7 @@
 	return otherwise
 }
 
-// limits returns the limits in force, with defaults in place of what is not given.
+// limits returns the limits in force, with defaults in place of those that are not set.
 func (s *Server) limits() configuration.Limits {
 	limits := s.options.Limits()
 	limits.MaxHeaderBytes = positiveOr(limits.MaxHeaderBytes, DefaultHeaderBytes)
@@ -88,12 +88,13 @@
 	return limits
 }
 
-// limitsConfirmed tells whether the limits are known to be those in force.
+// limitsConfirmed reports whether the limits are known to be those in force.
 func (s *Server) limitsConfirmed() bool {
 	return s.options.LimitsConfirmed == nil || s.options.LimitsConfirmed()
 }
 
-// Serve accepts connections until Close, and returns nil then. An error of the listener that does not pass is returned.
+// Serve accepts connections on a listener until Close, and returns nil then. It returns an error if the listener was closed by
+// another. It may be called for several listeners.
 func (s *Server) Serve(listener net.Listener) error {
 	if !s.track(listener) {
 		return listener.Close()
@@ -110,7 +111,7 @@
 		default:
 			s.log("accept: " + err.Error())
 			s.evictIdle()
-			time.Sleep(acceptRetryDelay) // mostly no descriptors are left: one is freed meanwhile
+			time.Sleep(acceptRetryDelay) // most likely no file descriptor is left: one is released meanwhile
 		}
 	}
 }
@@ -137,7 +138,7 @@
 	}
 }
 
-// accept takes a connection in, in the place of the longest idle one where all are taken.
+// accept serves a connection. At the limit of connections it closes the one that has been idle the longest.
 func (s *Server) accept(socket net.Conn) {
 	s.counts.accepted.Add(1)
 	c := newConn(s, socket)
@@ -164,8 +165,8 @@
 	s.mu.Unlock()
 }
 
-// evictIdle closes the connection that has been idle, or that a client has kept after its last answer, for longest, if one has been
-// for long enough.
+// evictIdle closes the connection that has been idle or lingering the longest, and reports whether there was one. A connection that
+// was idle only for a moment is left alone: a request may be on its way.
 func (s *Server) evictIdle() bool {
 	now := s.now()
 	s.mu.Lock()
@@ -190,7 +191,7 @@
 	return true
 }
 
-// reject tells a client that there is no place.
+// reject answers a connection beyond the limit with 503.
 func (s *Server) reject(socket net.Conn) {
 	s.counts.rejected.Add(1)
 	s.mu.Lock()
@@ -219,8 +220,8 @@
 	}
 }
 
-// Drain makes every further answer the last of its connection. The server goes on accepting and serving. Connections
-// that rest are closed once they have rested for the grace.
+// Drain makes every further response the last on its connection. The server continues to accept and serve. Idle connections are
+// closed after the grace.
 func (s *Server) Drain(grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +234,7 @@
 	}
 }
 
-// Wait returns nil when no request is in work and no client is still reading its last answer, or the context's error.
+// Wait returns nil when no handler runs and no connection lingers, or the context's error.
 func (s *Server) Wait(ctx context.Context) error {
 	for {
 		s.mu.Lock()
@@ -254,7 +255,7 @@
 	}
 }
 
-// addBusy counts what Wait waits for. The caller holds the lock.
+// addBusy changes the number of connections that Wait waits for. The caller holds the lock.
 func (s *Server) addBusy(delta int) {
 	s.busy += delta
 	if s.busy == 0 && s.idleNotify != nil {
@@ -263,7 +264,7 @@
 	}
 }
 
-// Close closes the listeners and all connections. Requests in work are cut.
+// Close closes the listeners and all connections, also those with a request in flight. It returns the first error of a listener.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +282,7 @@
 	return first
 }
 
-// Counts returns what the server has seen.
+// Counts returns the counters and gauges.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	open := len(s.conns)
