--- a/internal/dataplane/proxy/connlimits.go
+++ b/internal/dataplane/proxy/connlimits.go
@@ -4,8 +4,6 @@
 	"maps"
 	"sync/atomic"
 
-	"go.uber.org/zap"
-
 	"ospreybend/internal/dataplane/fleetview"
 )
 
@@ -62,16 +60,3 @@
 	}
 	return max(minConnsPerWorker, service.MaxConnections/(max(view.EdgeNodeCount, 1)+1))
 }
-
-// publishView puts a view in force. Idle connections to workers that are not in it are closed.
-func (p *proxy) publishView(view *fleetview.View) {
-	first := p.dispatcher.View() == nil
-	removed := p.connLimits.update(view)
-	p.dispatcher.SetView(view)
-	for _, address := range removed {
-		p.pool.CloseEndpoint(address)
-	}
-	if first {
-		p.log.Info("first view", zap.Uint64("generation", view.Generation))
-	}
-}
--- a/internal/dataplane/proxy/viewpublisher.go
+++ b/internal/dataplane/proxy/viewpublisher.go
@@ -68,3 +68,16 @@
 	p.dirty = false
 	p.publish(p.builder.View())
 }
+
+// publishView puts a view in force. Idle connections to workers that are not in it are closed.
+func (p *proxy) publishView(view *fleetview.View) {
+	first := p.dispatcher.View() == nil
+	removed := p.connLimits.update(view)
+	p.dispatcher.SetView(view)
+	for _, address := range removed {
+		p.pool.CloseEndpoint(address)
+	}
+	if first {
+		p.log.Info("first view", zap.Uint64("generation", view.Generation))
+	}
+}
