--- a/internal/dataplane/fleetview/builder.go
+++ b/internal/dataplane/fleetview/builder.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	minEdgeNodes = 1 // this one
+	minEdgeNodes = 1 // this node
 	decimal      = 10
 	uintBits     = 64
 )
 
-// shardState is what is held of one shard.
+// shardState is the builder's copy of one shard.
 type shardState struct {
-	index  uint64
+	index  uint64            // of the last snapshot or change
 	values map[string][]byte // by key
 }
 
-// Builder makes views of what the feed tells. It is not safe for concurrent use; the views are.
+// Builder builds views from the feed. It is not safe for concurrent use; the views are.
 type Builder struct {
 	shards      map[shards.ID]*shardState
 	generation  uint64
@@ -34,11 +34,11 @@
 	limits      configuration.Limits
 	workers     map[string]map[string]*Worker // by service and ID, draining ones included
 	view        *View
-	undecodable uint64 // items that were passed over
+	undecodable uint64 // items that were skipped
 	dirty       dirtyParts
 }
 
-// dirtyParts tells which parts of the view are to be made anew.
+// dirtyParts are the parts of the view that have changed since it was built.
 type dirtyParts struct {
 	routes   bool
 	services bool
@@ -46,11 +46,11 @@
 	workers  map[string]bool // by service
 }
 
-func (t dirtyParts) any() bool {
-	return t.routes || t.services || t.other || len(t.workers) > 0
+func (d dirtyParts) any() bool {
+	return d.routes || d.services || d.other || len(d.workers) > 0
 }
 
-// NewBuilder returns a builder whose view is empty.
+// NewBuilder returns a builder with an empty view.
 func NewBuilder() *Builder {
 	builder := &Builder{
 		shards:   map[shards.ID]*shardState{},
@@ -70,7 +70,7 @@
 	return builder
 }
 
-// shardState returns what is held of a shard.
+// shardState returns the copy of a shard, which is empty at first.
 func (b *Builder) shardState(shard shards.ID) *shardState {
 	state := b.shards[shard]
 	if state == nil {
@@ -80,8 +80,8 @@
 	return state
 }
 
-// ApplySnapshot replaces a shard's items and tells whether the view changed. A snapshot that is not
-// newer than what is held is ignored.
+// ApplySnapshot replaces the items of a shard and reports whether the view has changed. A snapshot whose index is not above the
+// shard's is ignored.
 func (b *Builder) ApplySnapshot(shard shards.ID, snapshot feed.Snapshot) bool {
 	state := b.shardState(shard)
 	if snapshot.Index <= state.index {
@@ -103,8 +103,8 @@
 	return b.buildView()
 }
 
-// ApplyChange follows a change and tells whether the view changed. An index that is not above the
-// one held is ignored.
+// ApplyChange applies a change to a shard and reports whether the view has changed. A change whose index is not above the shard's is
+// ignored.
 func (b *Builder) ApplyChange(shard shards.ID, change feed.Change) bool {
 	state := b.shardState(shard)
 	if change.Index <= state.index {
@@ -120,7 +120,7 @@
 	return b.buildView()
 }
 
-// put takes one item, unless it is the same as before.
+// put sets one item, unless its value is the same.
 func (b *Builder) put(shard shards.ID, state *shardState, item feed.Item) {
 	value, found := state.values[item.Key]
 	if found && bytes.Equal(value, item.Value) {
@@ -134,7 +134,7 @@
 	state.values[item.Key] = item.Value
 }
 
-// delete drops one item.
+// delete deletes one item.
 func (b *Builder) delete(shard shards.ID, state *shardState, key string) {
 	value, found := state.values[key]
 	if !found {
@@ -148,7 +148,7 @@
 	b.deleteConfiguration(key)
 }
 
-// putInstance replaces the worker of an instance. One whose record cannot be read is not sent to.
+// putInstance replaces the worker of an instance. An instance whose record cannot be decoded gets no requests.
 func (b *Builder) putInstance(state *shardState, item feed.Item) {
 	if before, found := state.values[item.Key]; found {
 		b.deleteInstance(item.Key, before)
@@ -165,19 +165,19 @@
 	b.dirty.workers[instance.Service] = true
 }
 
-// deleteInstance drops the worker that value told of.
+// deleteInstance deletes the worker of an instance by its last record.
 func (b *Builder) deleteInstance(id string, value []byte) {
 	instance, err := registry.DecodeItem(value)
 	if err != nil {
-		return // it was passed over as it came
+		return // the record was skipped
 	}
 	delete(b.workers[instance.Service], id)
 	b.dirty.workers[instance.Service] = true
 }
 
-// putConfiguration takes an item of the configuration's shard.
+// putConfiguration sets an item of the configuration's shard.
 func (b *Builder) putConfiguration(item feed.Item) {
-	err := error(nil)
+	var err error
 	if name, found := strings.CutPrefix(item.Key, configuration.KeyRoutePrefix); found {
 		err = b.putRoute(name, item.Value)
 	} else if name, found := strings.CutPrefix(item.Key, configuration.KeyServicePrefix); found {
@@ -210,24 +210,26 @@
 	return err
 }
 
-// putGenerationOrLimits takes the generation or the limits; other keys are passed over.
+// putGenerationOrLimits sets the generation or the limits. Other keys are ignored: a newer control plane may have more.
 func (b *Builder) putGenerationOrLimits(item feed.Item) error {
-	err := error(nil)
 	switch item.Key {
 	case configuration.KeyGeneration:
 		b.dirty.other = true
-		b.generation, err = strconv.ParseUint(string(item.Value), decimal, uintBits)
+		generation, err := strconv.ParseUint(string(item.Value), decimal, uintBits)
+		b.generation = generation
+		return err
 	case configuration.KeyLimits:
 		b.dirty.other = true
-		limits, failed := configuration.ParseLimits(item.Value)
-		if err = failed; err == nil {
-			b.limits = limits
+		limits, err := configuration.ParseLimits(item.Value)
+		if err != nil {
+			return err
 		}
+		b.limits = limits
 	}
-	return err
+	return nil
 }
 
-// deleteConfiguration drops an item of the configuration's shard.
+// deleteConfiguration deletes an item of the configuration's shard.
 func (b *Builder) deleteConfiguration(key string) {
 	if name, found := strings.CutPrefix(key, configuration.KeyRoutePrefix); found {
 		delete(b.routes, name)
@@ -249,7 +251,7 @@
 	}
 }
 
-// buildView makes a new view of all that was touched since the last one.
+// buildView builds the next view if something has changed, and reports whether it did. Unchanged parts are shared with the last view.
 func (b *Builder) buildView() bool {
 	if !b.dirty.any() {
 		return false
@@ -274,7 +276,7 @@
 	return true
 }
 
-// buildWorkers makes the list of one service anew; NodesService is only counted.
+// buildWorkers builds the list of one service's workers. The instances of registry.NodesService are the edge nodes.
 func (b *Builder) buildWorkers(next *View, service string) {
 	list := b.readyWorkers(service, b.view.Workers[service])
 	if len(b.workers[service]) == 0 {
@@ -291,8 +293,8 @@
 	next.Workers[service] = list
 }
 
-// readyWorkers merges those of before that are still the same with the ready ones that are new, in the
-// order of their IDs.
+// readyWorkers returns the ready workers of a service in the order of their IDs. Those of the previous list that are unchanged are in
+// order already: only new ones are sorted, and all of them only if that puts one out of order.
 func (b *Builder) readyWorkers(service string, previous []*Worker) []*Worker {
 	current := b.workers[service]
 	list := make([]*Worker, 0, len(current))
@@ -318,10 +320,10 @@
 
 func compareByID(left, right *Worker) int { return strings.Compare(left.ID, right.ID) }
 
-// View returns the state now. It never changes.
+// View returns the newest view.
 func (b *Builder) View() *View { return b.view }
 
-// Indexes returns the index that is held of each shard.
+// Indexes returns the index of each shard up to which the builder has followed the feed.
 func (b *Builder) Indexes() map[shards.ID]uint64 {
 	indexes := make(map[shards.ID]uint64, len(b.shards))
 	for shard, state := range b.shards {
@@ -330,8 +332,8 @@
 	return indexes
 }
 
-// HasConfiguration tells whether a configuration has come.
+// HasConfiguration reports whether a configuration was received.
 func (b *Builder) HasConfiguration() bool { return b.generation > 0 }
 
-// Undecodable returns how many items were passed over because they could not be read.
+// Undecodable returns the number of items that were skipped because they could not be decoded.
 func (b *Builder) Undecodable() uint64 { return b.undecodable }
--- a/internal/dataplane/fleetview/routetable.go
+++ b/internal/dataplane/fleetview/routetable.go
@@ -6,7 +6,7 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// routeTable finds a route by host and path.
+// routeTable finds routes by host and path. It is immutable.
 type routeTable struct {
 	byHost map[string]hostRoutes
 }
@@ -14,10 +14,10 @@
 // hostRoutes are the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]*configuration.Route
-	longest  int // bytes of the longest prefix
+	longest  int // length of the longest prefix in bytes
 }
 
-// newRouteTable returns the table of routes; nobody may change them afterwards.
+// newRouteTable returns the table of the routes, which must not be changed afterwards.
 func newRouteTable(routes map[string]*configuration.Route) routeTable {
 	table := routeTable{byHost: map[string]hostRoutes{}}
 	for _, route := range routes {
@@ -32,14 +32,14 @@
 	return table
 }
 
-// MatchRoute returns the route of a request, or nil. The host is in lower case and has no port; the path
+// MatchRoute returns the route of a request by its longest matching prefix, or nil. The host is in lower case and has no port; the path
 // has no query.
 func (v *View) MatchRoute(host, path string) *configuration.Route {
 	ofHost, found := v.routes.byHost[host]
 	if !found {
 		return nil
 	}
-	// Each prefix ends with a slash: only what ends so can be one.
+	// Each prefix ends with a slash: only parts of the path that end with one are candidates.
 	candidate := path[:min(len(path), ofHost.longest)]
 	for {
 		slash := strings.LastIndexByte(candidate, '/')
--- a/internal/dataplane/proxy/confirmation.go
+++ b/internal/dataplane/proxy/confirmation.go
@@ -8,18 +8,18 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// confirmationTTL is how long a word of the agent counts that its configuration is the newest: the agent says it at every
-// feedlink.LoopbackStatusInterval, and a little later under load.
+// confirmationTTL is how long a status of the agent confirms its configuration. The agent sends one each
+// feedtransport.LoopbackStatusInterval, and a little later under load.
 const confirmationTTL = feedtransport.LoopbackStatusInterval + time.Second
 
-// configConfirmation tells whether the configuration in force is known to be the newest but for moments. Without it the proxy serves
-// what it knows and says of nothing that it does not exist. Its instants are of the steady clock, which goes on
-// while the process stands still.
+// configConfirmation records whether the configuration in force is known to be the newest, up to the delay of the feed. Without a
+// confirmation the proxy still serves the routes that it knows, but answers unknown ones with 503 instead of 404. Its instants are of
+// the monotonic clock, which continues while the process is suspended.
 type configConfirmation struct {
-	confirmedAt atomic.Pointer[time.Time] // of the last status that said so; nil: the last one did not, or there is none
+	confirmedAt atomic.Pointer[time.Time] // when the last status came; nil if it did not confirm, or there is none
 }
 
-// update takes in a status of the agent, which follows all that the agent had before.
+// update records a status of the agent. It follows all changes that the agent had before it.
 func (c *configConfirmation) update(now time.Time, status feedtransport.Status) {
 	for _, shard := range status.Shards {
 		if shard.Shard == shards.ConfigurationShard && shard.Current {
@@ -30,10 +30,10 @@
 	c.confirmedAt.Store(nil)
 }
 
-// clear notes that the agent cannot be heard.
+// clear removes the confirmation, as the agent is lost.
 func (c *configConfirmation) clear() { c.confirmedAt.Store(nil) }
 
-// isValid tells whether the configuration is confirmed.
+// isValid reports whether the configuration is confirmed.
 func (c *configConfirmation) isValid(now time.Time) bool {
 	confirmedAt := c.confirmedAt.Load()
 	return confirmedAt != nil && now.Sub(*confirmedAt) <= confirmationTTL
--- a/internal/dataplane/proxy/connlimits.go
+++ b/internal/dataplane/proxy/connlimits.go
@@ -7,15 +7,15 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// minConnsPerWorker is the least number of connections that a node may have to one worker.
+// minConnsPerWorker is the least limit of a node's connections to one worker.
 const minConnsPerWorker = 2
 
-// connLimits tells how many connections this node may have to each worker's address.
+// connLimits are the limits of this node's connections to each worker, by address. The pool reads them at each new connection.
 type connLimits struct {
 	byAddress atomic.Pointer[map[string]int]
 }
 
-// limit returns the most connections to an address; 0: no bound is known.
+// limit returns the limit of connections to an address, or 0 if there is none.
 func (p *connLimits) limit(address string) int {
 	byAddress := p.byAddress.Load()
 	if byAddress == nil {
@@ -24,7 +24,7 @@
 	return (*byAddress)[address]
 }
 
-// update takes the addresses of a view, and returns those that no worker of it has any more.
+// update sets the limits by a view, and returns the addresses that no worker has any more.
 func (p *connLimits) update(view *fleetview.View) []string {
 	next := connLimitsOf(view)
 	previous := p.byAddress.Swap(&next)
@@ -40,6 +40,7 @@
 	return removed
 }
 
+// connLimitsOf returns the limit of each worker's address.
 func connLimitsOf(view *fleetview.View) map[string]int {
 	byAddress := map[string]int{}
 	for name, workers := range view.Workers {
@@ -51,8 +52,8 @@
 	return byAddress
 }
 
-// connLimitPerNode is this node's part of the connections that a worker of a service accepts. One part
-// is left free for nodes that are not known yet.
+// connLimitPerNode returns this node's share of the connections that a worker of a service accepts. One more share is left for nodes
+// that have just started and are not in the view.
 func connLimitPerNode(view *fleetview.View, name string) int {
 	service := view.Services[name]
 	if service == nil || service.MaxConnections <= 0 {
--- a/internal/dataplane/proxy/demand.go
+++ b/internal/dataplane/proxy/demand.go
@@ -11,15 +11,15 @@
 // demandInterval is the time between two reports of demand.
 const demandInterval = 500 * time.Millisecond
 
-// demandReporter turns the demand since the start into rates. It is used by one goroutine.
+// demandReporter turns totals of demand into rates per second. It is used by one goroutine.
 type demandReporter struct {
-	previous         map[string]roleplanner.Demand
+	previous         map[string]roleplanner.Demand // totals of the last report, by service
 	reportedAt       time.Time
-	reportedNonEmpty bool // the report before was not empty
+	reportedNonEmpty bool // the last report had a rate
 }
 
-// report returns the rates since the call before, and whether they are to be told: one empty report follows the last one
-// that was not.
+// report returns the rates since the last call, and whether to send them. One empty report follows the last non-empty one, so that
+// the control plane learns that there is no demand any more.
 func (r *demandReporter) report(now time.Time, totals map[string]roleplanner.Demand) ([]roleplanner.ServiceDemand, bool) {
 	span := now.Sub(r.reportedAt).Seconds()
 	if r.reportedAt.IsZero() || span <= 0 {
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// platformNoticeTime is how long the platform may take to send no more connections: it asks each second,
-	// and two answers must be missed.
+	// platformNoticeTime is how long the platform may take to stop sending connections: it checks the readiness each second, and two
+	// checks must fail.
 	platformNoticeTime = 2500 * time.Millisecond
-	// quietPeriod is how long no new connection may have come before the process ends.
+	// quietPeriod is how long there must have been no new connection before the process ends.
 	quietPeriod = 500 * time.Millisecond
-	// shutdownMargin is left of the platform's grace for ending.
+	// shutdownMargin is the part of the platform's grace that is left for ending the process.
 	shutdownMargin    = 700 * time.Millisecond
 	drainPollInterval = 100 * time.Millisecond
-	// shutdownRetryAfter is what a client is told that is refused then, in seconds.
+	// shutdownRetryAfter is the Retry-After of requests rejected during the shutdown, in seconds: another node takes them at once.
 	shutdownRetryAfter = "0.01"
-	// handleReleaseTimeout is how long calls that free handles may take at the end; it is part of endMargin.
+	// handleReleaseTimeout is how long calls that release KV handles may take at the end. It is part of shutdownMargin.
 	handleReleaseTimeout = 200 * time.Millisecond
 )
 
-// drain tells the platform to send no more clients, and returns once nothing is in work and nothing new
-// comes, or the grace is nearly over.
+// drain is the graceful shutdown. It makes the process not ready, and returns when no request is in flight and no new connection
+// comes, or when the grace is nearly over. Meanwhile accepts decides on new requests.
 func (p *proxy) drain() {
 	signaledAt := time.Now()
 	grace := max(bootconfig.Seconds(p.settings.Load().Bounds.GraceS)-shutdownMargin, 0)
 	p.shutdown.Store(&shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(grace)})
-	p.log.Info("draining", zap.Duration("at most", grace))
+	p.log.Info("draining", zap.Duration("grace", grace))
 	p.clientServer.Drain(min(platformNoticeTime, grace))
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	quiet := waitUntilQuiet(ctx, p.clientServer.Counts)
-	p.rejectAll.Store(true) // a request that comes on a connection which is still open is refused, and not cut
+	p.rejectAll.Store(true) // a request on a connection that is still open is rejected rather than aborted
 	releaseCtx, stop := context.WithTimeout(context.Background(), handleReleaseTimeout)
 	defer stop()
 	p.dispatcher.Shutdown(releaseCtx)
 	if quiet {
 		_ = p.clientServer.Wait(ctx)
 	}
-	p.log.Info("ending", zap.Int64("cut", p.clientServer.Counts().InFlight))
+	p.log.Info("shut down", zap.Int64("aborted", p.clientServer.Counts().InFlight))
 }
 
-// accepts tells whether a request is served, and not refused since the process is about to end.
+// accepts reports whether a request is served. Outside a shutdown all are.
 func (p *proxy) accepts(r *httpserver.Request) bool {
 	shutdown := p.shutdown.Load()
 	if shutdown == nil {
@@ -57,7 +57,7 @@
 	return !p.rejectAll.Load() && shutdown.accepts(time.Now(), r.FirstByteAt, p.dispatcher.TimeLimit(r))
 }
 
-// serveRequest serves a request, or refuses it if the process is about to end.
+// serveRequest serves a request, or answers 503 if the shutdown does not accept it.
 func (p *proxy) serveRequest(w *httpserver.ResponseWriter, r *httpserver.Request) {
 	if p.accepts(r) {
 		p.dispatcher.Serve(w, r)
@@ -70,7 +70,8 @@
 	_ = w.WriteResponse(http.StatusServiceUnavailable, fields, nil)
 }
 
-// waitUntilQuiet returns true once clients come no more and no request is in work, and false once ctx has ended.
+// waitUntilQuiet returns true when the platform has noticed the drain, no new connection comes and no request is in flight, and false
+// when ctx ends first.
 func waitUntilQuiet(ctx context.Context, readCounts func() httpserver.Counts) bool {
 	started := time.Now()
 	lastAcceptedAt := started
@@ -90,7 +91,7 @@
 	return false
 }
 
-// sleep waits, and returns false once ctx has ended.
+// sleep waits for the duration, and returns false if ctx ends first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/dataplane/proxy/limits.go
+++ b/internal/dataplane/proxy/limits.go
@@ -9,20 +9,19 @@
 const (
 	megabyte = 1 << 20
 
-	// heapGrowthPercent is how much the heap may grow between two collections, in percent. It takes memory to
-	// save processor time.
+	// heapGrowthPercent is how much the heap may grow between two garbage collections (GOGC). It trades memory for CPU time.
 	heapGrowthPercent = 200
-	// memoryLimitPercent is the part of the machine's memory from which on the collector works harder, in percent.
+	// memoryLimitPercent is the share of the machine's memory above which the garbage collector runs more often.
 	memoryLimitPercent = 60
-	// bodyBudgetPercent is the part of the machine's memory that bodies of requests may take, in percent.
+	// bodyBudgetPercent is the share of the machine's memory that request bodies may take.
 	bodyBudgetPercent = 20
 	percent           = 100
 
-	reservedDescriptors  = 200  // for files outside the data directory
-	maxClientConnections = 2048 // connections of clients
+	reservedDescriptors  = 200 // file descriptors for files and for connections inside the machine
+	maxClientConnections = 2048
 )
 
-// applyMemoryLimit sets the garbage collector up for the machine.
+// applyMemoryLimit configures the garbage collector for the machine.
 func applyMemoryLimit(limits bootconfig.Limits) {
 	debug.SetGCPercent(heapGrowthPercent)
 	if limits.MemoryMb > 0 {
@@ -30,13 +29,14 @@
 	}
 }
 
-// clientConnectionLimit is how many of the descriptors clients may take; the rest is for workers.
+// clientConnectionLimit returns how many connections clients may open: half of the free file descriptors. The others are for
+// connections to workers.
 func clientConnectionLimit(limits bootconfig.Limits) int {
 	free := limits.MaxFds - reservedDescriptors
 	return min(maxClientConnections, max(free/2, 1))
 }
 
-// bodyBudget is how many bytes the bodies of requests may take together.
+// bodyBudget returns the limit of the bytes of all request bodies in memory.
 func bodyBudget(limits bootconfig.Limits) int64 {
 	return int64(limits.MemoryMb) * megabyte * bodyBudgetPercent / percent
 }
--- a/internal/dataplane/proxy/loadsharer.go
+++ b/internal/dataplane/proxy/loadsharer.go
@@ -14,25 +14,30 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// loadSharer tells the other proxies what this one has under way, and hears what they have.
+// loadSharer sends the load that this proxy has outstanding to the other proxies, and receives theirs, over UDP. Each worker's load
+// reports come with its responses alone; without its peers' load a proxy would choose by what is older.
 type loadSharer struct {
-	ownIP        string // this machine's address
-	port         uint16
-	socket       *net.UDPConn
-	dispatcher   *dispatch.Dispatcher
-	changed      chan struct{} // holds one
-	done         chan struct{}
-	node         uint64
+	ownIP      string
+	port       uint16
+	socket     *net.UDPConn // nil if it could not be opened
+	dispatcher *dispatch.Dispatcher
+	changed    chan struct{} // of capacity 1: a change is pending
+	done       chan struct{} // closed by close
+	started    time.Time
+
+	// owned by the goroutine that sends
+	node         uint64 // a random ID of this process
 	sequence     uint64
 	pace         loadshare.RateLimiter
-	order        loadshare.SequenceFilter
-	started      time.Time
-	sentNonEmpty bool // the last state sent was not empty
+	sentNonEmpty bool // the last state sent was not empty, or one is pending
 	peers        []netip.AddrPort
-	peersView    *fleetview.View
+	peersView    *fleetview.View // of which peers were read
+
+	// owned by the goroutine that receives
+	order loadshare.SequenceFilter
 }
 
-// newLoadSharer opens the socket. Without one the proxy works by what answers tell alone.
+// newLoadSharer opens the socket. Without one the proxy works by the load in workers' responses alone.
 func newLoadSharer(loaded *bootconfig.Settings, log *zap.Logger) *loadSharer {
 	s := &loadSharer{ownIP: loaded.IP, changed: make(chan struct{}, 1), done: make(chan struct{}), node: rand.Uint64(), started: time.Now()}
 	address, err := netip.ParseAddrPort(loaded.LoadAddressOf(loaded.IP))
@@ -48,7 +53,7 @@
 	return s
 }
 
-// start begins to send and to hear.
+// start starts the goroutines that send and receive. They end with close.
 func (s *loadSharer) start(dispatcher *dispatch.Dispatcher) {
 	s.dispatcher = dispatcher
 	if s.socket == nil {
@@ -58,7 +63,7 @@
 	go s.receive()
 }
 
-// notifyChanged says that what is under way has changed.
+// notifyChanged notifies the sender that the outstanding load has changed. It never waits.
 func (s *loadSharer) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
@@ -66,7 +71,7 @@
 	}
 }
 
-// close ends both goroutines.
+// close ends both goroutines and closes the socket.
 func (s *loadSharer) close() {
 	close(s.done)
 	if s.socket != nil {
@@ -74,7 +79,8 @@
 	}
 }
 
-// send sends the state when it has changed, as often as the pace allows, and now and then while it is not empty.
+// send sends the state after each change, as often as the pace allows, and repeats it while it is not empty, since datagrams can be
+// lost.
 func (s *loadSharer) send() {
 	repeat := time.NewTimer(loadshare.ResendInterval)
 	defer repeat.Stop()
@@ -90,7 +96,7 @@
 		}
 		peers := s.peerAddresses()
 		if wait := s.pace.Reserve(time.Since(s.started), len(peers)); wait > 0 {
-			s.sentNonEmpty = true // what is held back is sent then
+			s.sentNonEmpty = true // the timer sends the delayed state
 			repeat.Reset(wait)
 			continue
 		}
@@ -115,7 +121,7 @@
 	}
 }
 
-// peerAddresses are the addresses of the other proxies by the view in force.
+// peerAddresses returns the addresses of the other proxies by the view in force.
 func (s *loadSharer) peerAddresses() []netip.AddrPort {
 	view := s.dispatcher.View()
 	if view == nil || view == s.peersView {
@@ -136,7 +142,7 @@
 	return s.peers
 }
 
-// receive takes in what other proxies tell.
+// receive passes the load of other proxies to the dispatcher.
 func (s *loadSharer) receive() {
 	buffer := make([]byte, loadshare.MaxDatagramBytes)
 	for {
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 
 	"ospreybend/internal/dataplane/dispatch"
@@ -26,7 +27,7 @@
 	appendMetrics(&text, serverMetrics(p.clientServer.Counts()))
 	appendMetrics(&text, upstreamMetrics(p.pool.Counts()))
 	fields := http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
-	_ = w.WriteResponse(statusOK, fields, []byte(text.String()))
+	_ = w.WriteResponse(http.StatusOK, fields, []byte(text.String()))
 }
 
 // appendMetrics writes metrics, one on each line.
@@ -36,7 +37,7 @@
 	}
 }
 
-// viewMetrics are those of the view in force; none before the first view.
+// viewMetrics returns the metrics of the view in force; none before the first view.
 func viewMetrics(view *fleetview.View) []metric {
 	if view == nil {
 		return nil
@@ -52,6 +53,7 @@
 	}
 }
 
+// dispatchMetrics returns the metrics of the dispatcher.
 func dispatchMetrics(counts dispatch.Counts) []metric {
 	return []metric{
 		{"dispatch_requests", counts.Requests},
@@ -69,7 +71,7 @@
 	}
 }
 
-// serverMetrics are those of the server towards clients.
+// serverMetrics returns the metrics of the server towards clients.
 func serverMetrics(counts httpserver.Counts) []metric {
 	return []metric{
 		{"front_accepted", counts.Accepted},
@@ -87,7 +89,7 @@
 	}
 }
 
-// upstreamMetrics are those of the connections to workers.
+// upstreamMetrics returns the metrics of the connections to workers.
 func upstreamMetrics(counts upstream.Counts) []metric {
 	return []metric{
 		{"workers_dials", counts.Dials},
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"net"
 	"strconv"
 	"sync/atomic"
 	"time"
 
-	"github.com/rotisserie/eris"
 	"go.uber.org/zap"
 
 	"ospreybend/internal/controlplane/configuration"
@@ -21,8 +21,8 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// Run serves until ctx ends, and then until what is in work is done. It returns an error only where
-// the process cannot do its work.
+// Run serves until ctx ends, and then drains. It returns an error only if the process cannot serve: an address is in use, the settings
+// are invalid, or a listener has failed.
 func Run(ctx context.Context, loaded bootconfig.Settings, log *zap.Logger) error {
 	p, err := start(loaded, log)
 	if err != nil {
@@ -40,38 +40,49 @@
 	return nil
 }
 
-// proxy is a running process.
+// listenerCount is the number of goroutines that may report a failed listener.
+const listenerCount = 2
+
+// proxy is a running process. Its parts have their own locks; its own state is in atomics.
 type proxy struct {
-	settings        atomic.Pointer[bootconfig.Settings]
-	log             *zap.Logger
-	pool            *upstream.Pool
-	connLimits      *connLimits
-	dispatcher      *dispatch.Dispatcher
+	settings atomic.Pointer[bootconfig.Settings]
+	log      *zap.Logger
+
+	// towards workers
+	pool       *upstream.Pool
+	connLimits *connLimits
+	dispatcher *dispatch.Dispatcher
+	loadSharer *loadSharer
+
+	// towards clients and the platform
 	clientServer    *httpserver.Server
 	readinessServer *httpserver.Server
-	loadSharer      *loadSharer
+	failed          chan error // of listeners
+
+	// the feed of the agent
 	configConfirmed configConfirmation
-	shutdown        atomic.Pointer[shutdown] // nil: the process was not told to end
-	rejectAll       atomic.Bool              // nothing is taken any more
 	stopFeed        context.CancelFunc
-	failed          chan error
+
+	// the graceful shutdown
+	shutdown  atomic.Pointer[shutdown] // nil before the signal
+	rejectAll atomic.Bool              // set at the end: no request is accepted
 }
 
-// start opens the listeners and begins to serve.
+// start opens the listeners and starts to serve.
 func start(loaded bootconfig.Settings, log *zap.Logger) (*proxy, error) {
 	clientListener, err := httpserver.Listen(loaded.Listen.Front)
 	if err != nil {
-		return nil, eris.Wrap(err, "proxy: listen for clients")
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
 	readinessListener, err := httpserver.Listen(loaded.Listen.Readiness)
 	if err != nil {
 		_ = clientListener.Close()
-		return nil, eris.Wrap(err, "proxy: listen for the readiness check")
+		return nil, fmt.Errorf("listen for readiness checks: %w", err)
 	}
 	return startOnListeners(loaded, log, clientListener, readinessListener)
 }
 
-// startOnListeners begins to serve on listeners that are open.
+// startOnListeners starts to serve on open listeners.
 func startOnListeners(loaded bootconfig.Settings, log *zap.Logger, clientListener, readinessListener net.Listener) (*proxy, error) {
 	port, err := agentFeedPort(&loaded)
 	if err != nil {
@@ -83,12 +94,12 @@
 	p.serveInBackground(p.readinessServer, readinessListener)
 	p.followFeed(port)
 	log.Info("serving",
-		zap.Stringer("front", clientListener.Addr()), zap.Stringer("readiness", readinessListener.Addr()))
+		zap.Stringer("clients", clientListener.Addr()), zap.Stringer("readiness", readinessListener.Addr()))
 	return p, nil
 }
 
 func newProxy(loaded bootconfig.Settings, log *zap.Logger) *proxy {
-	p := &proxy{log: log, connLimits: new(connLimits), failed: make(chan error, 2), stopFeed: func() {}}
+	p := &proxy{log: log, connLimits: new(connLimits), failed: make(chan error, listenerCount), stopFeed: func() {}}
 	p.settings.Store(&loaded)
 	p.pool = upstream.New(upstream.Options{MaxConnections: p.connLimits.limit})
 	started := time.Now()
@@ -120,7 +131,7 @@
 	}
 }
 
-// newClientServer makes the server towards clients.
+// newClientServer returns the server towards clients.
 func (p *proxy) newClientServer(limits bootconfig.Limits) *httpserver.Server {
 	return httpserver.New(httpserver.Options{
 		Handler:              p.serveRequest,
@@ -129,14 +140,14 @@
 		LimitsConfirmed:      p.isConfigConfirmed,
 		MaxConnections:       clientConnectionLimit(limits),
 		MaxBufferedBodyBytes: bodyBudget(limits),
-		Log:                  func(line string) { p.log.Warn("front", zap.String("what", line)) },
+		Log:                  func(line string) { p.log.Warn("client server error", zap.String("error", line)) },
 	})
 }
 
-// isConfigConfirmed tells whether the configuration in force is known to be the newest.
+// isConfigConfirmed reports whether the configuration in force is known to be the newest.
 func (p *proxy) isConfigConfirmed() bool { return p.configConfirmed.isValid(time.Now()) }
 
-// clientLimits are the limits of the configuration in force.
+// clientLimits returns the limits of the configuration in force.
 func (p *proxy) clientLimits() configuration.Limits {
 	view := p.dispatcher.View()
 	if view == nil {
@@ -145,16 +156,17 @@
 	return view.Limits
 }
 
-// serveInBackground accepts connections in a goroutine. An error that lasts ends the process.
+// serveInBackground accepts connections in a goroutine, which ends when the server is closed. An error of the listener ends the
+// process.
 func (p *proxy) serveInBackground(server *httpserver.Server, listener net.Listener) {
 	go func() {
 		if err := server.Serve(listener); err != nil {
-			p.failed <- eris.Wrap(err, "proxy: accept")
+			p.failed <- fmt.Errorf("accept connections: %w", err)
 		}
 	}()
 }
 
-// followFeed reads the feed of the machine's agent in a goroutine.
+// followFeed starts the goroutines that read the feed of the machine's agent and report demand to it. They end with stopFeed.
 func (p *proxy) followFeed(port int) {
 	loaded := p.settings.Load()
 	hello := feedtransport.Hello{
@@ -167,7 +179,7 @@
 	go p.reportDemand(ctx, client)
 }
 
-// close ends all that is still open.
+// close ends the feed and the load sharer, and closes all listeners and connections.
 func (p *proxy) close() {
 	p.stopFeed()
 	p.loadSharer.close()
@@ -176,12 +188,15 @@
 	p.pool.Close()
 }
 
-// agentFeedPort is where the machine's agent serves the feed on loopback.
+// agentFeedPort returns the port on loopback at which the machine's agent serves the feed.
 func agentFeedPort(loaded *bootconfig.Settings) (int, error) {
 	_, port, err := net.SplitHostPort(loaded.FeedAddress())
 	if err != nil {
-		return 0, eris.Wrap(err, "proxy: address of the feed")
+		return 0, fmt.Errorf("split the feed's address: %w", err)
 	}
 	number, err := strconv.Atoi(port)
-	return number, eris.Wrap(err, "proxy: port of the feed")
+	if err != nil {
+		return 0, fmt.Errorf("parse the feed's port: %w", err)
+	}
+	return number, nil
 }
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -6,18 +6,16 @@
 )
 
 const (
-	pathMetrics = "/-/metrics"
-	statusOK    = 200
-
+	metricsPath             = "/-/metrics"
 	maxReadinessConnections = 64
 )
 
-// newReadinessServer makes the server that the platform asks whether to send clients here.
+// newReadinessServer returns the server that the platform asks whether to send clients to this process. It also has the metrics page.
 func (p *proxy) newReadinessServer() *httpserver.Server {
 	check := httpserver.ReadinessHandler(p.isReady)
 	return httpserver.New(httpserver.Options{
 		Handler: func(w *httpserver.ResponseWriter, r *httpserver.Request) {
-			if r.Path == pathMetrics {
+			if r.Path == metricsPath {
 				p.writeMetrics(w)
 				return
 			}
@@ -28,7 +26,7 @@
 	})
 }
 
-// isReady tells whether clients may be sent here: a configuration has come, and the process is not to end.
+// isReady reports whether the platform may send clients to this process: it has a configuration and is not shutting down.
 func (p *proxy) isReady() bool {
 	view := p.dispatcher.View()
 	return view != nil && view.Generation > 0 && p.shutdown.Load() == nil
--- a/internal/dataplane/proxy/settings.go
+++ b/internal/dataplane/proxy/settings.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// watchSettings reads the settings file again at each SIGHUP, until the function that it returns is
-// called. Connections and requests stay as they are.
+// watchSettings reloads the settings file at each SIGHUP, in a goroutine that ends when the returned function is called. Connections
+// and requests are not affected.
 func (p *proxy) watchSettings() func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -27,17 +27,17 @@
 		}
 	}()
 	return func() {
-		signal.Ignore(syscall.SIGHUP) // a signal that nobody catches would end the process before its time
+		signal.Ignore(syscall.SIGHUP) // the default action would end the process
 		close(stopped)
 	}
 }
 
-// reload takes over what may change while the process runs: the memory limit and the grace. A file
-// that cannot be read, also not a moment later, changes nothing.
+// reload applies the settings that may change while the process runs: the memory limit and the grace. A file that cannot be read,
+// also not a moment later, changes nothing.
 func (p *proxy) reload(path string) {
 	loaded, err := bootconfig.LoadWithRetry(path)
 	if err != nil {
-		p.log.Warn("settings not reloaded", zap.Error(err))
+		p.log.Warn("settings reload failed", zap.Error(err))
 		return
 	}
 	p.settings.Store(&loaded)
--- a/internal/dataplane/proxy/viewpublisher.go
+++ b/internal/dataplane/proxy/viewpublisher.go
@@ -11,54 +11,55 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// viewPublisher makes views of what the feed tells, and publishes them. One goroutine calls it.
+// viewPublisher builds views from the feed's snapshots and changes, and publishes them. One goroutine calls it: that of the feed's
+// client.
 type viewPublisher struct {
 	builder      *fleetview.Builder
 	publish      func(*fleetview.View)
 	confirmation *configConfirmation
 	log          *zap.Logger
-	dirty        bool // the newest view is not published
-	synced       bool // each shard has come as far as the server had it
+	dirty        bool // the newest view was not published
+	synced       bool // every shard was received up to the agent's index
 }
 
 func newViewPublisher(publish func(*fleetview.View), confirmation *configConfirmation, log *zap.Logger) *viewPublisher {
 	return &viewPublisher{builder: fleetview.NewBuilder(), publish: publish, confirmation: confirmation, log: log}
 }
 
-// Snapshot implements feedlink.Handler.
+// Snapshot implements feedtransport.Handler.
 func (p *viewPublisher) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	if p.builder.ApplySnapshot(shard, snapshot) {
 		p.dirty = true
 	}
 }
 
-// Change implements feedlink.Handler.
+// Change implements feedtransport.Handler.
 func (p *viewPublisher) Change(shard shards.ID, change feed.Change) {
 	if p.builder.ApplyChange(shard, change) {
 		p.dirty = true
 	}
 }
 
-// BatchDone implements feedlink.BatchHandler.
+// BatchDone implements feedtransport.BatchHandler: changes received together make one view.
 func (p *viewPublisher) BatchDone() { p.publishChanged() }
 
-// Status implements feedlink.Handler. The first one follows all that the server had of every shard:
-// no view is published before, since it would have routes and no workers.
+// Status implements feedtransport.Handler. The first status follows all items of every shard. No view is published before it: it
+// could have routes and no workers.
 func (p *viewPublisher) Status(status feedtransport.Status) {
 	p.synced = true
 	p.publishChanged()
 	p.confirmation.update(time.Now(), status)
 }
 
-// Connected implements feedlink.Handler.
+// Connected implements feedtransport.Handler.
 func (p *viewPublisher) Connected(address string) {
 	p.log.Info("feed connected", zap.String("from", address))
 }
 
-// Disconnected implements feedlink.Handler.
+// Disconnected implements feedtransport.Handler.
 func (p *viewPublisher) Disconnected(err error) {
 	p.confirmation.clear()
-	p.log.Info("feed lost", zap.Error(err))
+	p.log.Info("feed disconnected", zap.Error(err))
 }
 
 func (p *viewPublisher) publishChanged() {
@@ -69,7 +70,8 @@
 	p.publish(p.builder.View())
 }
 
-// publishView puts a view in force. Idle connections to workers that are not in it are closed.
+// publishView puts a view in force: requests that start from now on are handled by it. It closes the connections to workers that are
+// not in it.
 func (p *proxy) publishView(view *fleetview.View) {
 	first := p.dispatcher.View() == nil
 	removed := p.connLimits.update(view)
@@ -78,6 +80,6 @@
 		p.pool.CloseEndpoint(address)
 	}
 	if first {
-		p.log.Info("first view", zap.Uint64("generation", view.Generation))
+		p.log.Info("initial snapshot applied", zap.Uint64("generation", view.Generation))
 	}
 }
