--- a/internal/dataplane/httpserver/responsewriter.go
+++ b/internal/dataplane/httpserver/responsewriter.go
@@ -59,7 +59,7 @@
 // WriteResponse sends a complete response in one write. It returns ErrAlreadyAnswered if bytes of a response were written; a response
 // that was started without that is replaced. The server sets Content-Length, Connection, Keep-Alive and Transfer-Encoding itself and
 // ignores them in fields.
-func (w *ResponseWriter) WriteResponse(status int, fields http1.Header, body []byte) error {
+func (w *ResponseWriter) WriteResponse(status int, header http1.Header, body []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.checkState(notStarted, headerPending); err != nil {
@@ -67,7 +67,7 @@
 	}
 	w.state, w.pendingHead = complete, nil
 	buffer := bufferPool.Get().(*[]byte)
-	out := w.appendHead((*buffer)[:0], status, fields)
+	out := w.appendHead((*buffer)[:0], status, header)
 	if mayHaveBody(status) {
 		out = http1.AppendIntField(out, "Content-Length", len(body))
 	}
@@ -105,7 +105,7 @@
 }
 
 // WriteHeader starts a response as a stream. The head is written together with the first chunk, or by Flush.
-func (w *ResponseWriter) WriteHeader(status int, fields http1.Header) error {
+func (w *ResponseWriter) WriteHeader(status int, header http1.Header) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.checkState(notStarted, headerPending); err != nil {
@@ -114,7 +114,7 @@
 	w.state = headerPending
 	w.closeDelimited = w.http10
 	w.closing = w.closing || w.closeDelimited
-	head := w.appendHead(nil, status, fields)
+	head := w.appendHead(nil, status, header)
 	if !w.closeDelimited && mayHaveBody(status) {
 		head = append(head, "Transfer-Encoding: chunked\r\n"...)
 	}
@@ -244,19 +244,19 @@
 }
 
 // appendHead appends the status line and the header, without the blank line.
-func (w *ResponseWriter) appendHead(out []byte, status int, fields http1.Header) []byte {
+func (w *ResponseWriter) appendHead(out []byte, status int, header http1.Header) []byte {
 	s := w.conn.server
 	w.closing = w.closing || s.draining.Load()
 	w.bodyless = w.method == http.MethodHead || !mayHaveBody(status)
 	out = http1.AppendStatusLine(out, status)
 	var hopByHop http1.HopByHop
-	for i := range fields {
-		f := &fields[i]
-		if hopByHop.Contains(f.Name) || http1.EqualFold(f.Name, "Content-Length") {
+	for i := range header {
+		field := &header[i]
+		if hopByHop.Contains(field.Name) || http1.EqualFold(field.Name, "Content-Length") {
 			continue
 		}
-		if http1.IsToken(f.Name) && http1.IsFieldValue(f.Value) {
-			out = http1.AppendField(out, f.Name, f.Value)
+		if http1.IsToken(field.Name) && http1.IsFieldValue(field.Value) {
+			out = http1.AppendField(out, field.Name, field.Value)
 		}
 	}
 	if w.closing {
--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -63,11 +63,11 @@
 		p.dispatcher.Serve(w, r)
 		return
 	}
-	fields := http1.Header{{Name: "Retry-After", Value: shutdownRetryAfter}}
+	header := http1.Header{{Name: "Retry-After", Value: shutdownRetryAfter}}
 	if id := r.Header.Get("X-Request-Id"); id != "" {
-		fields = append(fields, http1.HeaderField{Name: "X-Request-Id", Value: id})
+		header = append(header, http1.HeaderField{Name: "X-Request-Id", Value: id})
 	}
-	_ = w.WriteResponse(http.StatusServiceUnavailable, fields, nil)
+	_ = w.WriteResponse(http.StatusServiceUnavailable, header, nil)
 }
 
 // waitUntilQuiet returns true when the platform has noticed the drain, no new connection comes and no request is in flight, and false
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -26,8 +26,8 @@
 	appendMetrics(&text, dispatchMetrics(p.dispatcher.Counts()))
 	appendMetrics(&text, serverMetrics(p.clientServer.Counts()))
 	appendMetrics(&text, upstreamMetrics(p.pool.Counts()))
-	fields := http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
-	_ = w.WriteResponse(http.StatusOK, fields, []byte(text.String()))
+	header := http1.Header{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}
+	_ = w.WriteResponse(http.StatusOK, header, []byte(text.String()))
 }
 
 // appendMetrics writes metrics, one on each line.
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -40,7 +40,8 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool pools connections to workers by address. Its methods may be called from several goroutines; no lock is held over I/O.
+// Pool pools connections to workers by address. Its methods may be called from several goroutines; no lock is held while a connection
+// is dialed, read or written.
 type Pool struct {
 	options Options
 	now     func() time.Time
--- a/internal/dataplane/upstream/requestwrite.go
+++ b/internal/dataplane/upstream/requestwrite.go
@@ -116,11 +116,11 @@
 	out = append(out, " HTTP/1.1\r\n"...)
 	hopByHop := http1.HopByHopOf(request.Header)
 	for i := range request.Header {
-		f := &request.Header[i]
-		if hopByHop.Contains(f.Name) || isManagedField(f.Name) || !http1.IsToken(f.Name) || !http1.IsFieldValue(f.Value) {
+		field := &request.Header[i]
+		if hopByHop.Contains(field.Name) || isManagedField(field.Name) || !http1.IsToken(field.Name) || !http1.IsFieldValue(field.Value) {
 			continue
 		}
-		out = http1.AppendField(out, f.Name, f.Value)
+		out = http1.AppendField(out, field.Name, field.Value)
 	}
 	if len(request.Body) > 0 || hasBodySemantics(request.Method) {
 		out = http1.AppendIntField(out, "Content-Length", len(request.Body))
--- a/internal/dataplane/upstream/upstreamtest/conn.go
+++ b/internal/dataplane/upstream/upstreamtest/conn.go
@@ -159,22 +159,22 @@
 }
 
 // failWrite fails a write of which only a part was accepted. The caller holds the lock.
-func (c *Conn) failWrite(exchange Exchange, taken int) (int, error) {
+func (c *Conn) failWrite(exchange Exchange, accepted int) (int, error) {
 	c.broken = true
 	request, _ := parseRequest(c.input)
 	if request.Head == "" { // the worker cannot know who asks
 		c.put("", Reset)
-		return taken, syscall.ECONNRESET
+		return accepted, syscall.ECONNRESET
 	}
 	if exchange.Write != WriteBlocked {
 		c.put(exchange.Respond(request), max(exchange.End, FIN)) // a connection that takes no more has ended
-		return taken, syscall.ECONNRESET
+		return accepted, syscall.ECONNRESET
 	}
 	c.put(exchange.Respond(request), exchange.End)
 	c.mu.Unlock()
 	<-c.closed
 	c.mu.Lock()
-	return taken, net.ErrClosed
+	return accepted, net.ErrClosed
 }
 
 // answerRequest responds to the next complete request. The caller holds the lock.
--- a/internal/util/http1/head.go
+++ b/internal/util/http1/head.go
@@ -79,11 +79,11 @@
 
 // Header returns a copy of the header fields that does not refer to the buffer.
 func (h *Head) Header() Header {
-	fields := make(Header, len(h.RawHeader))
-	for i, f := range h.RawHeader {
-		fields[i] = HeaderField{string(f.Name), string(f.Value)}
+	header := make(Header, len(h.RawHeader))
+	for i, field := range h.RawHeader {
+		header[i] = HeaderField{string(field.Name), string(field.Value)}
 	}
-	return fields
+	return header
 }
 
 // ParseHead parses a start line and a header from the beginning of in into head. used is the number of bytes of the head with its
@@ -214,15 +214,15 @@
 func (h *Head) parseFraming(kind MessageKind, rules *ParseRules) *StatusError {
 	h.ContentLength, h.Close = LengthNone, h.HTTP10
 	for i := range h.RawHeader {
-		f := &h.RawHeader[i]
+		field := &h.RawHeader[i]
 		var statusErr *StatusError
 		switch {
-		case EqualFold(f.Name, "Content-Length"):
-			statusErr = h.parseContentLength(f.Value, rules)
-		case EqualFold(f.Name, "Transfer-Encoding"):
-			statusErr = h.parseTransferEncoding(f.Value, rules)
-		case EqualFold(f.Name, "Connection"):
-			h.parseConnection(f.Value)
+		case EqualFold(field.Name, "Content-Length"):
+			statusErr = h.parseContentLength(field.Value, rules)
+		case EqualFold(field.Name, "Transfer-Encoding"):
+			statusErr = h.parseTransferEncoding(field.Value, rules)
+		case EqualFold(field.Name, "Connection"):
+			h.parseConnection(field.Value)
 		}
 		if statusErr != nil {
 			return statusErr
--- a/internal/util/http1/header.go
+++ b/internal/util/http1/header.go
@@ -8,38 +8,38 @@
 type Header []HeaderField
 
 // Get returns the value of the first field with the given name, or "" if there is none.
-func (f Header) Get(name string) string {
-	for i := range f {
-		if EqualFold(f[i].Name, name) {
-			return f[i].Value
+func (h Header) Get(name string) string {
+	for i := range h {
+		if EqualFold(h[i].Name, name) {
+			return h[i].Value
 		}
 	}
 	return ""
 }
 
 // Has reports whether there is a field with the given name.
-func (f Header) Has(name string) bool { return f.Count(name) > 0 }
+func (h Header) Has(name string) bool { return h.Count(name) > 0 }
 
 // Count returns the number of fields with the given name.
-func (f Header) Count(name string) int {
-	count := 0
-	for i := range f {
-		if EqualFold(f[i].Name, name) {
-			count++
+func (h Header) Count(name string) int {
+	matches := 0
+	for i := range h {
+		if EqualFold(h[i].Name, name) {
+			matches++
 		}
 	}
-	return count
+	return matches
 }
 
 // With returns a copy in which the fields of the given name are replaced by one, at the end.
-func (f Header) With(name, value string) Header {
-	return append(f.Without(name), HeaderField{name, value})
+func (h Header) With(name, value string) Header {
+	return append(h.Without(name), HeaderField{name, value})
 }
 
 // Without returns a copy without the fields of the given name. It has room for one more field.
-func (f Header) Without(name string) Header {
-	remaining := make(Header, 0, len(f)+1)
-	for _, field := range f {
+func (h Header) Without(name string) Header {
+	remaining := make(Header, 0, len(h)+1)
+	for _, field := range h {
 		if !EqualFold(field.Name, name) {
 			remaining = append(remaining, field)
 		}
