--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -60,10 +60,10 @@
 func TestShutdown_accepts_onlyWhatEndsInTime(t *testing.T) {
 	const grace = 7300 * time.Millisecond
 	signaledAt := time.Now()
-	span := shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(grace)}
+	s := shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(grace)}
 	for _, c := range []struct {
 		since, wait time.Duration
-		takes       bool
+		accepted    bool
 	}{
 		{0, time.Hour, true},
 		{2700 * time.Millisecond, 10 * time.Second, true},
@@ -74,7 +74,7 @@
 		{grace, time.Millisecond, false},
 	} {
 		at := signaledAt.Add(c.since)
-		if got := span.accepts(at, at, c.wait); got != c.takes {
+		if got := s.accepts(at, at, c.wait); got != c.accepted {
 			t.Errorf("%v after SIGTERM, a client that waits %v: accepted %v", c.since, c.wait, got)
 		}
 	}
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -261,6 +261,31 @@
 	}
 }
 
+// heldResponse is the body of the response to a request by requestHeld.
+const heldResponse = "POST /a/held " + requestBody
+
+// requestHeld sends a request that the worker holds until its channel release is closed, and returns when the worker has it. The
+// channel receives the body of the response.
+func (s *testSystem) requestHeld() <-chan string {
+	answered := make(chan string, 1)
+	go func() {
+		_, body, _ := s.request("/a/held")
+		answered <- body
+	}()
+	<-s.worker.arrived
+	return answered
+}
+
+// startDrain starts the graceful shutdown. The channel is closed at its end.
+func (s *testSystem) startDrain() <-chan struct{} {
+	drained := make(chan struct{})
+	go func() {
+		s.proxy.drain()
+		close(drained)
+	}()
+	return drained
+}
+
 func TestProxy_forwardsOnceConfigured(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
@@ -297,26 +322,17 @@
 func TestProxy_drain_finishesRequestsInFlight(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
-	answered := make(chan string, 1)
-	go func() {
-		_, body, _ := s.request("/a/held")
-		answered <- body
-	}()
-	<-s.worker.arrived
-	drained := make(chan struct{})
-	go func() {
-		s.proxy.drain()
-		close(drained)
-	}()
+	answered := s.requestHeld()
+	drained := s.startDrain()
 	s.waitFor("not ready", func() bool { return s.readinessStatus() == http.StatusServiceUnavailable })
 	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
 	close(s.worker.release)
-	if body := <-answered; body != "POST /a/held "+requestBody {
+	if body := <-answered; body != heldResponse {
 		t.Fatalf("the request in flight got %q", body)
 	}
 	<-drained
-	if cut := s.proxy.clientServer.Counts().InFlight; cut != 0 {
-		t.Fatalf("%d requests in flight at the end", cut)
+	if inFlight := s.proxy.clientServer.Counts().InFlight; inFlight != 0 {
+		t.Fatalf("%d requests in flight at the end", inFlight)
 	}
 }
 
@@ -324,26 +340,17 @@
 func TestProxy_drain_rejectsInFinalWindow(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
-	answered := make(chan string, 1)
-	go func() {
-		_, body, _ := s.request("/a/held")
-		answered <- body
-	}()
-	<-s.worker.arrived
+	answered := s.requestHeld()
 	loaded := *s.proxy.settings.Load()
 	loaded.Bounds.GraceS = (shutdownMargin + finalWindow).Seconds()
 	s.proxy.settings.Store(&loaded)
-	drained := make(chan struct{})
-	go func() {
-		s.proxy.drain()
-		close(drained)
-	}()
-	s.waitFor("told to end", func() bool { return s.proxy.shutdown.Load() != nil })
+	drained := s.startDrain()
+	s.waitFor("shutdown", func() bool { return s.proxy.shutdown.Load() != nil })
 	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
 		t.Fatal(status, err)
 	}
 	close(s.worker.release)
-	if body := <-answered; body != "POST /a/held "+requestBody {
+	if body := <-answered; body != heldResponse {
 		t.Fatalf("the request in flight got %q", body)
 	}
 	<-drained
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -35,8 +35,8 @@
 // TestShutdown_accepts_graceShorterThanNotice checks a process with less grace than the notice takes.
 func TestShutdown_accepts_graceShorterThanNotice(t *testing.T) {
 	signaledAt := time.Now()
-	c := shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(time.Second)}
-	if c.accepts(signaledAt, signaledAt, 10*time.Second) || !c.accepts(signaledAt, signaledAt, 900*time.Millisecond) {
+	s := shutdown{signaledAt: signaledAt, deadline: signaledAt.Add(time.Second)}
+	if s.accepts(signaledAt, signaledAt, 10*time.Second) || !s.accepts(signaledAt, signaledAt, 900*time.Millisecond) {
 		t.Fatal("accepted a request that cannot end in time, or rejected one that can")
 	}
 }
@@ -64,17 +64,8 @@
 func TestProxy_drain_notReadyAfterSignal(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
-	answered := make(chan string, 1)
-	go func() {
-		_, body, _ := s.request("/a/held")
-		answered <- body
-	}()
-	<-s.worker.arrived
-	drained := make(chan struct{})
-	go func() {
-		s.proxy.drain()
-		close(drained)
-	}()
+	answered := s.requestHeld()
+	drained := s.startDrain()
 	s.waitFor("shutdown", func() bool { return s.proxy.shutdown.Load() != nil })
 	for range 4 {
 		if status := s.readinessStatus(); status != http.StatusServiceUnavailable {
