--- a/internal/dataplane/httpserver/api.go
+++ b/internal/dataplane/httpserver/api.go
@@ -49,15 +49,13 @@
 	// LimitsConfirmed reports whether the limits are known to be those in force. If they are not, a request beyond them is answered 503,
 	// so that the client may retry it. It may be nil: the limits count as confirmed then.
 	LimitsConfirmed func() bool
-	// MaxConnections is the limit of open connections; 0 stands for DefaultMaxConnections.
+	// MaxConnections is the limit of open connections; 0 stands for 1024.
 	MaxConnections int
 	// MaxBufferedBodyBytes is the limit of the bytes of all request bodies in memory; 0 stands for none. Requests beyond it are
 	// answered 503.
 	MaxBufferedBodyBytes int64
-	// WriteTimeout is how long one write to a client may take; 0 stands for DefaultWriteTimeout.
+	// WriteTimeout is how long one write to a client may take; 0 stands for 5 s.
 	WriteTimeout time.Duration
-	// RetryAfter is the Retry-After of rejected connections; 0 stands for DefaultRetryAfter.
-	RetryAfter time.Duration
 	// Now is the clock; nil stands for time.Now.
 	Now func() time.Time
 	// Log is called with a line for each error that no client causes, such as a handler that panics; it may be nil.
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -11,15 +11,16 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// Defaults of options and limits.
 const (
-	DefaultMaxConnections = 1024
-	DefaultWriteTimeout   = 5 * time.Second
-	DefaultRetryAfter     = 200 * time.Millisecond
-	DefaultHeaderBytes    = 16 << 10
-	DefaultBodyBytes      = 4 << 20
-	DefaultHeaderTimeout  = 3 * time.Second
-	DefaultIdleTimeout    = 15 * time.Second
+	retryAfterRejection = 200 * time.Millisecond // the Retry-After of rejected connections and requests
+
+	// defaults of options and of limits that the configuration does not set
+	defaultMaxConnections = 1024
+	defaultWriteTimeout   = 5 * time.Second
+	defaultHeaderBytes    = 16 << 10
+	defaultBodyBytes      = 4 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
 )
 
 const (
@@ -65,9 +66,9 @@
 	if s.now == nil {
 		s.now = time.Now
 	}
-	s.maxConns = positiveOr(options.MaxConnections, DefaultMaxConnections)
-	s.writeTimeout = positiveOr(options.WriteTimeout, DefaultWriteTimeout)
-	s.retryAfter = RetryAfter(positiveOr(options.RetryAfter, DefaultRetryAfter))
+	s.maxConns = positiveOr(options.MaxConnections, defaultMaxConnections)
+	s.writeTimeout = positiveOr(options.WriteTimeout, defaultWriteTimeout)
+	s.retryAfter = RetryAfter(retryAfterRejection)
 	return s
 }
 
@@ -81,10 +82,10 @@
 // limits returns the limits in force, with defaults in place of those that are not set.
 func (s *Server) limits() configuration.Limits {
 	limits := s.options.Limits()
-	limits.MaxHeaderBytes = positiveOr(limits.MaxHeaderBytes, DefaultHeaderBytes)
-	limits.MaxBodyBytes = positiveOr(limits.MaxBodyBytes, DefaultBodyBytes)
-	limits.HeaderTimeout = positiveOr(limits.HeaderTimeout, DefaultHeaderTimeout)
-	limits.IdleTimeout = positiveOr(limits.IdleTimeout, DefaultIdleTimeout)
+	limits.MaxHeaderBytes = positiveOr(limits.MaxHeaderBytes, defaultHeaderBytes)
+	limits.MaxBodyBytes = positiveOr(limits.MaxBodyBytes, defaultBodyBytes)
+	limits.HeaderTimeout = positiveOr(limits.HeaderTimeout, defaultHeaderTimeout)
+	limits.IdleTimeout = positiveOr(limits.IdleTimeout, defaultIdleTimeout)
 	return limits
 }
 
--- a/internal/dataplane/upstream/api.go
+++ b/internal/dataplane/upstream/api.go
@@ -17,7 +17,7 @@
 	Body   []byte
 	// StreamEvents asks for an event stream with a 2xx status to be returned as Response.Stream. Any other body is read completely.
 	StreamEvents bool
-	// MaxBodyBytes is the limit of a body that is read completely; 0 stands for DefaultMaxBodyBytes.
+	// MaxBodyBytes is the limit of a body that is read completely; 0 stands for 8 MiB.
 	MaxBodyBytes int
 	// ForceNewConn asks for a new connection instead of an idle one.
 	ForceNewConn bool
--- a/internal/dataplane/upstream/conn.go
+++ b/internal/dataplane/upstream/conn.go
@@ -25,19 +25,19 @@
 	released  bool
 }
 
-// keepAliveDisabled turns keep-alive probes off: Options.UserTimeout and the deadlines of requests end what is broken.
+// keepAliveDisabled turns keep-alive probes off: userTimeout and the deadlines of requests end what is broken.
 const keepAliveDisabled = -1
 
-// dialTCP opens a connection that fails if bytes sent are not acknowledged within Options.UserTimeout.
-func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{KeepAlive: keepAliveDisabled, Control: p.setSocketOptions}
+// dialTCP opens a connection that fails if bytes sent are not acknowledged within userTimeout.
+func dialTCP(ctx context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAlive: keepAliveDisabled, Control: setSocketOptions}
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
 // setSocketOptions sets the options that must be set before the connection is opened. If the system rejects one its own time-out
 // applies.
-func (p *Pool) setSocketOptions(_, _ string, raw syscall.RawConn) error {
-	timeout := int(p.options.UserTimeout / time.Millisecond)
+func setSocketOptions(_, _ string, raw syscall.RawConn) error {
+	timeout := int(userTimeout / time.Millisecond)
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, timeout)
 	})
--- a/internal/dataplane/upstream/pool.go
+++ b/internal/dataplane/upstream/pool.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Defaults of options and requests.
 const (
-	DefaultDialTimeout  = 400 * time.Millisecond
-	DefaultIdleTimeout  = 2 * time.Second
-	DefaultUserTimeout  = 2 * time.Second
-	DefaultMaxBodyBytes = 8 << 20
+	defaultDialTimeout  = 400 * time.Millisecond
+	defaultIdleTimeout  = 2 * time.Second // of connections to workers without a Keep-Alive field
+	defaultMaxBodyBytes = 8 << 20
+	// userTimeout is how long bytes sent may stay unacknowledged (TCP_USER_TIMEOUT).
+	userTimeout = 2 * time.Second
 )
 
 const (
@@ -29,10 +29,7 @@
 	MaxConnections func(address string) int
 	// MaxTotal is the limit of connections to all addresses; 0 stands for none.
 	MaxTotal    int
-	DialTimeout time.Duration // 0 stands for DefaultDialTimeout
-	IdleTimeout time.Duration // for workers without a Keep-Alive field; 0 stands for DefaultIdleTimeout
-	// UserTimeout is how long bytes sent may stay unacknowledged (TCP_USER_TIMEOUT); 0 stands for DefaultUserTimeout.
-	UserTimeout time.Duration
+	DialTimeout time.Duration // 0 stands for 400 ms
 
 	// Now is the clock; nil stands for time.Now.
 	Now func() time.Time
@@ -69,21 +66,15 @@
 	if p.now == nil {
 		p.now = time.Now
 	}
-	setDefault(&p.options.DialTimeout, DefaultDialTimeout)
-	setDefault(&p.options.IdleTimeout, DefaultIdleTimeout)
-	setDefault(&p.options.UserTimeout, DefaultUserTimeout)
+	if p.options.DialTimeout <= 0 {
+		p.options.DialTimeout = defaultDialTimeout
+	}
 	if p.options.Dial == nil {
-		p.options.Dial = p.dialTCP
+		p.options.Dial = dialTCP
 	}
 	return p
 }
 
-func setDefault(value *time.Duration, otherwise time.Duration) {
-	if *value <= 0 {
-		*value = otherwise
-	}
-}
-
 // getConn returns a connection for a request: an idle one that is still open, or a new one.
 func (p *Pool) getConn(ctx context.Context, request *Request) (*conn, *Failure) {
 	if ctx.Err() != nil {
--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -114,7 +114,7 @@
 
 func TestPool_idleTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for field, rest := range map[string]time.Duration{"Keep-Alive: timeout=10, max=5\r\n": 8 * time.Second, "": DefaultIdleTimeout,
+	for field, rest := range map[string]time.Duration{"Keep-Alive: timeout=10, max=5\r\n": 8 * time.Second, "": defaultIdleTimeout,
 		"Keep-Alive: timeout=1\r\n": 700 * time.Millisecond, "Keep-Alive: timeout=0\r\n": 0, "Connection: close\r\n": 0} {
 		w := startWorker(t, respondAlways(strings.Replace(plainResponse, "Content", field+"Content", 1)))
 		var clock atomic.Pointer[time.Time]
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -139,7 +139,7 @@
 	c := rt.conn
 	limit := rt.request.MaxBodyBytes
 	if limit <= 0 {
-		limit = DefaultMaxBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	for !body.Done {
 		data, used, statusErr := body.Next(c.input.Bytes())
--- a/internal/dataplane/upstream/roundtrip.go
+++ b/internal/dataplane/upstream/roundtrip.go
@@ -142,5 +142,5 @@
 		announced := time.Duration(seconds) * time.Second
 		return announced - max(announced/idleMarginDivisor, minIdleMargin)
 	}
-	return rt.conn.pool.options.IdleTimeout
+	return defaultIdleTimeout
 }
--- a/internal/util/http1/write.go
+++ b/internal/util/http1/write.go
@@ -2,9 +2,7 @@
 
 import "strconv"
 
-// StatusText returns the reason phrase of a status code, or "" if the code is unknown.
-func StatusText(status int) string { return statusText[status] }
-
+// statusText has the reason phrases of status lines; unknown codes have none.
 var statusText = map[int]string{200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 206: "Partial Content",
 	301: "Moved Permanently", 302: "Found", 303: "See Other", 304: "Not Modified", 307: "Temporary Redirect",
 	400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
