--- a/internal/dataplane/proxy/drain.go
+++ b/internal/dataplane/proxy/drain.go
@@ -12,6 +12,8 @@
 	"ospreybend/internal/util/http1"
 )
 
+const headerRequestID = "X-Request-Id"
+
 const (
 	// platformNoticeTime is how long the platform may take to stop sending connections: it checks the readiness each second, and two
 	// checks must fail.
@@ -50,11 +52,11 @@
 
 // accepts reports whether a request is served. Outside a shutdown all are.
 func (p *proxy) accepts(r *httpserver.Request) bool {
-	shutdown := p.shutdown.Load()
-	if shutdown == nil {
+	state := p.shutdown.Load()
+	if state == nil {
 		return true
 	}
-	return !p.rejectAll.Load() && shutdown.accepts(time.Now(), r.FirstByteAt, p.dispatcher.TimeLimit(r))
+	return !p.rejectAll.Load() && state.accepts(time.Now(), r.FirstByteAt, p.dispatcher.TimeLimit(r))
 }
 
 // serveRequest serves a request, or answers 503 if the shutdown does not accept it.
@@ -64,8 +66,8 @@
 		return
 	}
 	header := http1.Header{{Name: "Retry-After", Value: shutdownRetryAfter}}
-	if id := r.Header.Get("X-Request-Id"); id != "" {
-		header = append(header, http1.HeaderField{Name: "X-Request-Id", Value: id})
+	if id := r.Header.Get(headerRequestID); id != "" {
+		header = append(header, http1.HeaderField{Name: headerRequestID, Value: id})
 	}
 	_ = w.WriteResponse(http.StatusServiceUnavailable, header, nil)
 }
--- a/internal/dataplane/proxy/loadsharer.go
+++ b/internal/dataplane/proxy/loadsharer.go
@@ -14,8 +14,8 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// loadSharer sends the load that this proxy has outstanding to the other proxies, and receives theirs, over UDP. Each worker's load
-// reports come with its responses alone; without its peers' load a proxy would choose by what is older.
+// loadSharer sends the load that this proxy has outstanding to the other proxies, and receives theirs, over UDP. A worker reports its
+// load only in its responses: between them a proxy would not know what its peers have sent there.
 type loadSharer struct {
 	ownIP      string
 	port       uint16
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -98,6 +98,7 @@
 	return p, nil
 }
 
+// newProxy creates the parts of the process and connects them. Nothing listens or follows the feed yet; only the load sharer runs.
 func newProxy(loaded bootconfig.Settings, log *zap.Logger) *proxy {
 	p := &proxy{log: log, connLimits: new(connLimits), failed: make(chan error, listenerCount), stopFeed: func() {}}
 	p.settings.Store(&loaded)
@@ -123,6 +124,7 @@
 	return p
 }
 
+// retryBudgetRules returns the rules of the retry budgets by the settings.
 func retryBudgetRules(bounds bootconfig.Bounds) retrybudget.Rules {
 	return retrybudget.Rules{
 		Ratio:  bounds.RetryBudgetRatio,
--- a/internal/dataplane/proxy/viewpublisher.go
+++ b/internal/dataplane/proxy/viewpublisher.go
@@ -53,7 +53,7 @@
 
 // Connected implements feedtransport.Handler.
 func (p *viewPublisher) Connected(address string) {
-	p.log.Info("feed connected", zap.String("from", address))
+	p.log.Info("feed connected", zap.String("address", address))
 }
 
 // Disconnected implements feedtransport.Handler.
@@ -62,6 +62,7 @@
 	p.log.Info("feed disconnected", zap.Error(err))
 }
 
+// publishChanged publishes the newest view if it was not published.
 func (p *viewPublisher) publishChanged() {
 	if !p.dirty || !p.synced {
 		return
