--- a/internal/dataplane/proxy/confirmation_test.go
+++ b/internal/dataplane/proxy/confirmation_test.go
@@ -1,16 +1,12 @@
 package proxy
 
 import (
-	"errors"
 	"net/http"
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"ospreybend/coord/shards"
 	"ospreybend/internal/controlplane/feedtransport"
-	"ospreybend/internal/dataplane/fleetview"
 )
 
 func statusOf(current bool) feedtransport.Status {
@@ -67,21 +63,3 @@
 	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
 	s.requireResponse("/none/", 503, "")
 }
-
-// TestViewPublisher_Status_confirmsConfiguration follows an agent that confirms its configuration and is lost then.
-func TestViewPublisher_Status_confirmsConfiguration(t *testing.T) {
-	var c configConfirmation
-	f := newViewPublisher(func(*fleetview.View) {}, &c, zap.NewNop())
-	f.Connected("127.0.0.1:1")
-	if c.isValid(time.Now()) {
-		t.Fatal("confirmed by a connection")
-	}
-	f.Status(statusOf(true))
-	if !c.isValid(time.Now()) {
-		t.Fatal("not confirmed by a status")
-	}
-	f.Disconnected(errors.New("as the test wants"))
-	if c.isValid(time.Now()) {
-		t.Fatal("confirmed without an agent")
-	}
-}
--- a/internal/dataplane/proxy/limits_test.go
+++ b/internal/dataplane/proxy/limits_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"ospreybend/internal/util/bootconfig"
 )
 
 // requestHead sends the head of a request on a connection of its own and returns the response's status.
@@ -50,3 +52,11 @@
 	s.waitUntilReady()
 	s.waitFor("denied", func() bool { return s.requestHead("/a/x", long) == http.StatusRequestEntityTooLarge })
 }
+
+func TestClientConnectionLimit(t *testing.T) {
+	for fds, want := range map[int]int{4100: 1950, 100: 1, 100000: maxClientConnections} {
+		if got := clientConnectionLimit(bootconfig.Limits{MaxFds: fds}); got != want {
+			t.Errorf("%d: %d", fds, got)
+		}
+	}
+}
--- a/internal/dataplane/proxy/run_test.go
+++ b/internal/dataplane/proxy/run_test.go
@@ -89,3 +89,10 @@
 		t.Fatalf("the request in flight got %d", status)
 	}
 }
+
+func TestAgentFeedPort(t *testing.T) {
+	port, err := agentFeedPort(&bootconfig.Settings{PortRange: [2]int{7660, 7675}})
+	if err != nil || port != 7661 {
+		t.Fatal(port, err)
+	}
+}
