--- a/internal/dataplane/httpserver/client_gone_test.go
+++ b/internal/dataplane/httpserver/client_gone_test.go
@@ -78,7 +78,7 @@
 				t.Fatal(err)
 			}
 			defer listener.Close()
-			s := New(Options{
+			server := New(Options{
 				Handler: func(*ResponseWriter, *Request) { t.Error("served") },
 				Limits:  func() configuration.Limits { return configuration.Limits{} },
 			})
@@ -89,14 +89,14 @@
 			}
 			client.send(getRequest)
 			end(client)
-			conn := newConn(s, accepted)
+			conn := newConn(server, accepted)
 			for until := time.Now().Add(testTimeout); !conn.hasHungUp(); runtime.Gosched() {
 				if time.Now().After(until) {
 					t.Fatal("the end was not received")
 				}
 			}
 			conn.serve()
-			if counts := s.Counts(); counts.Requests != 0 {
+			if counts := server.Counts(); counts.Requests != 0 {
 				t.Errorf("%+v", counts)
 			}
 		})
--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -48,8 +48,8 @@
 	woken          bool      // the read deadline only wakes the goroutine that reads
 }
 
-func newConn(s *Server, socket net.Conn) *conn {
-	return &conn{server: s, socket: socket, rawConn: rawConnOf(socket), stateSince: s.now()}
+func newConn(server *Server, socket net.Conn) *conn {
+	return &conn{server: server, socket: socket, rawConn: rawConnOf(socket), stateSince: server.now()}
 }
 
 // serve reads and handles one request after the other.
@@ -129,29 +129,29 @@
 // handleRequest runs the handler in a goroutine and watches the client meanwhile. It reports whether another request may follow.
 func (c *conn) handleRequest(reader *requestReader) bool {
 	r := reader.request
-	s := c.server
+	server := c.server
 	if c.hasHungUp() {
-		s.bodyBytes.Add(-int64(cap(r.Body)))
-		s.counts.clientsGone.Add(1)
+		server.bodyBytes.Add(-int64(cap(r.Body)))
+		server.counts.clientsGone.Add(1)
 		return false
 	}
-	s.counts.requests.Add(1)
-	s.counts.inFlight.Add(1)
+	server.counts.requests.Add(1)
+	server.counts.inFlight.Add(1)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.Context = ctx
 	w := &ResponseWriter{conn: c, method: r.Method, closing: reader.head.Close, http10: reader.head.HTTP10}
-	s.mu.Lock()
+	server.mu.Lock()
 	c.enter(handling)
 	c.pipelinedBytes = c.input.Len()
-	s.mu.Unlock()
+	server.mu.Unlock()
 	bodyBytes := int64(cap(r.Body))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		c.runHandler(w, r)
 		cancel()
-		s.bodyBytes.Add(-bodyBytes)
-		s.counts.inFlight.Add(-1)
+		server.bodyBytes.Add(-bodyBytes)
+		server.counts.inFlight.Add(-1)
 		c.afterResponse(w)
 	}()
 	alive := c.watchClient(w, done)
--- a/internal/dataplane/httpserver/helpers_test.go
+++ b/internal/dataplane/httpserver/helpers_test.go
@@ -44,37 +44,37 @@
 }
 
 // await waits until the condition holds for the numbers of connections by state.
-func (w *testServer) await(holds func(map[connState]int) bool) {
-	w.t.Helper()
+func (s *testServer) await(holds func(map[connState]int) bool) {
+	s.t.Helper()
 	until := time.Now().Add(testTimeout)
 	for time.Now().Before(until) {
 		states := map[connState]int{}
-		w.Server.mu.Lock()
-		for conn := range w.Server.conns {
+		s.mu.Lock()
+		for conn := range s.conns {
 			states[conn.state]++
 		}
-		w.Server.mu.Unlock()
+		s.mu.Unlock()
 		if holds(states) {
 			return
 		}
 		runtime.Gosched()
 	}
-	w.t.Fatal("the connections are not in the states that the test waits for")
+	s.t.Fatal("the connections are not in the states that the test waits for")
 }
 
 func echo(w *ResponseWriter, r *Request) {
 	_ = w.WriteResponse(200, nil, fmt.Appendf(nil, "%s %s %s", r.Method, r.Target, r.Body))
 }
 
-func (w *testServer) dial() *testClient {
-	w.t.Helper()
-	socket, err := net.Dial("tcp4", w.address)
+func (s *testServer) dial() *testClient {
+	s.t.Helper()
+	socket, err := net.Dial("tcp4", s.address)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { socket.Close() })
+	s.t.Cleanup(func() { socket.Close() })
 	_ = socket.SetDeadline(time.Now().Add(testTimeout))
-	return &testClient{w.t, socket.(*net.TCPConn), bufio.NewReader(socket)}
+	return &testClient{s.t, socket.(*net.TCPConn), bufio.NewReader(socket)}
 }
 
 // testClient is a client that a test scripts.
--- a/internal/dataplane/httpserver/lifecycle_test.go
+++ b/internal/dataplane/httpserver/lifecycle_test.go
@@ -232,12 +232,12 @@
 
 // After a process was suspended past a deadline it reads once more: a request received meanwhile is served.
 func TestServer_requestBehindExpiredDeadline(t *testing.T) {
-	s := New(Options{Handler: echo, Limits: func() configuration.Limits { return configuration.Limits{} }})
-	s.Drain(0)
+	server := New(Options{Handler: echo, Limits: func() configuration.Limits { return configuration.Limits{} }})
+	server.Drain(0)
 	near, far := net.Pipe()
 	_ = far.SetDeadline(time.Now().Add(testTimeout))
 	// The pipe is read without regard to the deadline that has passed.
-	go newConn(s, &lateConn{Conn: noDeadlineConn{near}}).serve()
+	go newConn(server, &lateConn{Conn: noDeadlineConn{near}}).serve()
 	if _, err := far.Write([]byte(getRequest)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -186,10 +186,10 @@
 		return true
 	}
 	size := min(length, max(2*cap(request.Body), initialBodyBytes))
-	s := r.conn.server
-	buffered := s.bodyBytes.Add(int64(size - cap(request.Body)))
-	if maxBuffered := s.options.MaxBufferedBodyBytes; maxBuffered > 0 && buffered > maxBuffered {
-		s.bodyBytes.Add(-int64(size - cap(request.Body)))
+	server := r.conn.server
+	buffered := server.bodyBytes.Add(int64(size - cap(request.Body)))
+	if maxBuffered := server.options.MaxBufferedBodyBytes; maxBuffered > 0 && buffered > maxBuffered {
+		server.bodyBytes.Add(-int64(size - cap(request.Body)))
 		return false
 	}
 	grown := make([]byte, len(request.Body), size)
--- a/internal/dataplane/httpserver/responsewriter.go
+++ b/internal/dataplane/httpserver/responsewriter.go
@@ -245,8 +245,8 @@
 
 // appendHead appends the status line and the header, without the blank line.
 func (w *ResponseWriter) appendHead(out []byte, status int, header http1.Header) []byte {
-	s := w.conn.server
-	w.closing = w.closing || s.draining.Load()
+	server := w.conn.server
+	w.closing = w.closing || server.draining.Load()
 	w.bodyless = w.method == http.MethodHead || !mayHaveBody(status)
 	out = http1.AppendStatusLine(out, status)
 	var hopByHop http1.HopByHop
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -61,15 +61,15 @@
 
 // New returns a server. It serves nothing until Serve is called.
 func New(options Options) *Server {
-	s := &Server{options: options, listeners: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
-	s.now = options.Now
-	if s.now == nil {
-		s.now = time.Now
+	server := &Server{options: options, listeners: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
+	server.now = options.Now
+	if server.now == nil {
+		server.now = time.Now
 	}
-	s.maxConns = positiveOr(options.MaxConnections, defaultMaxConnections)
-	s.writeTimeout = positiveOr(options.WriteTimeout, defaultWriteTimeout)
-	s.retryAfter = RetryAfter(retryAfterRejection)
-	return s
+	server.maxConns = positiveOr(options.MaxConnections, defaultMaxConnections)
+	server.writeTimeout = positiveOr(options.WriteTimeout, defaultWriteTimeout)
+	server.retryAfter = RetryAfter(retryAfterRejection)
+	return server
 }
 
 func positiveOr[T int | time.Duration](value, otherwise T) T {
@@ -288,8 +288,8 @@
 	s.mu.Lock()
 	open := len(s.conns)
 	s.mu.Unlock()
-	n := &s.counts
-	return Counts{Accepted: n.accepted.Load(), Rejected: n.rejected.Load(), Evicted: n.evicted.Load(), Requests: n.requests.Load(),
-		Malformed: n.malformed.Load(), TimedOut: n.timedOut.Load(), ClientsGone: n.clientsGone.Load(), DuplicateResponses: n.duplicateResponses.Load(),
-		MissingResponses: n.missingResponses.Load(), AbortedResponses: n.abortedResponses.Load(), Open: int64(open), InFlight: n.inFlight.Load()}
+	counters := &s.counts
+	return Counts{Accepted: counters.accepted.Load(), Rejected: counters.rejected.Load(), Evicted: counters.evicted.Load(), Requests: counters.requests.Load(),
+		Malformed: counters.malformed.Load(), TimedOut: counters.timedOut.Load(), ClientsGone: counters.clientsGone.Load(), DuplicateResponses: counters.duplicateResponses.Load(),
+		MissingResponses: counters.missingResponses.Load(), AbortedResponses: counters.abortedResponses.Load(), Open: int64(open), InFlight: counters.inFlight.Load()}
 }
