--- a/coord/replica/errors.go
+++ b/coord/replica/errors.go
@@ -28,7 +28,7 @@
 	// ErrClosed means that the group is closed. What was proposed before may still be committed by other members.
 	ErrClosed = errors.New("replica: the group is closed")
 	// ErrDiskStalled means that the disk has not completed a write, so that the group's files are still open.
-	ErrDiskStalled = errors.New("replica: the disk has not ended a write")
+	ErrDiskStalled = errors.New("replica: the disk has not completed a write")
 	// ErrTransferFailed means that no other member took over leadership in time.
 	ErrTransferFailed = errors.New("replica: no other member took over leadership in time")
 )
--- a/coord/seglog/corruption_test.go
+++ b/coord/seglog/corruption_test.go
@@ -17,20 +17,20 @@
 
 // populatedDisk is a disk with a history of calls, and its files.
 type populatedDisk struct {
-	disk   *seglogtest.MemoryDisk
-	record *history
-	files  map[string][]byte
+	disk     *seglogtest.MemoryDisk
+	expected *history
+	files    map[string][]byte
 }
 
 func populateDisk(t *testing.T, seed uint64, calls int) populatedDisk {
 	t.Helper()
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
-	record := newHistory(stored)
-	if err := runUntilFailure(log, workload{random: newRandom(seed)}, record, calls); err != nil {
+	expected := newHistory(stored)
+	if err := runUntilFailure(log, workload{random: newRandom(seed)}, expected, calls); err != nil {
 		t.Fatal(err)
 	}
-	return populatedDisk{disk: disk, record: record, files: contents(t, disk)}
+	return populatedDisk{disk: disk, expected: expected, files: contents(t, disk)}
 }
 
 func contents(t *testing.T, disk *seglogtest.MemoryDisk) map[string][]byte {
@@ -75,7 +75,7 @@
 func TestOpen_truncatedSegment(t *testing.T) {
 	for seed := range uint64(3) {
 		written := populateDisk(t, seed, 8)
-		written.record.acknowledged = 0
+		written.expected.acknowledged = 0
 		for _, name := range written.segments() {
 			for length := range written.files[name] {
 				checkAlteredSegment(t, written, name, written.files[name][:length])
@@ -88,7 +88,7 @@
 func TestOpen_corruptSegment(t *testing.T) {
 	for seed := range uint64(3) {
 		written := populateDisk(t, seed, 8)
-		written.record.acknowledged = 0
+		written.expected.acknowledged = 0
 		for _, name := range written.segments() {
 			for position := range written.files[name] {
 				data := bytes.Clone(written.files[name])
@@ -135,15 +135,15 @@
 	t.Helper()
 	disk := written.with(name, data)
 	log, stored := mustOpen(t, disk)
-	if err := written.record.check(stored); err != nil {
+	if err := written.expected.check(stored); err != nil {
 		t.Fatalf("%s with %d bytes: %v", name, len(data), err)
 	}
-	record := newHistory(stored)
-	if err := runUntilFailure(log, workload{random: newRandom(uint64(len(data)))}, record, 2); err != nil {
+	expected := newHistory(stored)
+	if err := runUntilFailure(log, workload{random: newRandom(uint64(len(data)))}, expected, 2); err != nil {
 		t.Fatal(err)
 	}
 	_, again := mustOpen(t, disk)
-	if err := record.check(again); err != nil {
+	if err := expected.check(again); err != nil {
 		t.Fatalf("%s with %d bytes, after more calls: %v", name, len(data), err)
 	}
 }
@@ -152,35 +152,35 @@
 func TestOpen_truncatedLastBatch(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
-	record := newHistory(stored)
-	saveEntries(t, log, record, 1, 2)
+	expected := newHistory(stored)
+	saveEntries(t, log, expected, 1, 2)
 	name := seglogtest.SingleFile(disk, directory)
 	synced, _ := disk.ReadFile(name)
-	saveEntries(t, log, record, 3, 3)
+	saveEntries(t, log, expected, 3, 3)
 	complete, _ := disk.ReadFile(name)
-	record.acknowledged = 2 // states: empty disk, entry 1, entry 2
+	expected.acknowledged = 2 // states: empty disk, entry 1, entry 2
 	for length := len(synced); length < len(complete); length++ {
 		torn := disk.Clone()
 		torn.WriteFile(name, complete[:length])
 		_, recovered := mustOpen(t, torn)
-		if err := record.check(recovered); err != nil {
+		if err := expected.check(recovered); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func saveEntries(t *testing.T, log *seglog.Log, record *history, first, last uint64) {
+func saveEntries(t *testing.T, log *seglog.Log, expected *history, first, last uint64) {
 	t.Helper()
 	persist := &consensus.PersistRequest{}
 	for index := first; index <= last; index++ {
 		persist.Entries = append(persist.Entries, consensus.Entry{Term: 1, Index: index, Data: []byte("command")})
 	}
 	save := operation{batch: []*consensus.PersistRequest{persist}}
-	record.attempt(save)
+	expected.attempt(save)
 	if err := runOperation(log, save); err != nil {
 		t.Fatal(err)
 	}
-	record.acknowledge()
+	expected.acknowledge()
 }
 
 // TestOpen_corruptSnapshot truncates and changes the snapshot at each byte: Open must return ErrCorrupt.
@@ -206,7 +206,7 @@
 	for length := range snapshot {
 		disk := written.with("snapshot.temporary", snapshot[:length])
 		_, stored := mustOpen(t, disk)
-		if err := written.record.check(stored); err != nil {
+		if err := written.expected.check(stored); err != nil {
 			t.Fatal(err)
 		}
 		if _, left := contents(t, disk)["snapshot.temporary"]; left {
@@ -232,22 +232,22 @@
 	for seed := range uint64(6) {
 		disk := seglogtest.NewMemoryDisk()
 		log, stored := mustOpen(t, disk)
-		record := newHistory(stored)
+		expected := newHistory(stored)
 		seen := map[string][]byte{}
 		calls := workload{random: newRandom(seed)}
 		for range 25 {
-			if err := runUntilFailure(log, calls, record, 1); err != nil {
+			if err := runUntilFailure(log, calls, expected, 1); err != nil {
 				t.Fatal(err)
 			}
 			for name, data := range contents(t, disk) {
 				seen[name] = data
 			}
 		}
-		checkReappearedFiles(t, disk, record, seen, seed)
+		checkReappearedFiles(t, disk, expected, seen, seed)
 	}
 }
 
-func checkReappearedFiles(t *testing.T, disk *seglogtest.MemoryDisk, record *history, seen map[string][]byte, seed uint64) {
+func checkReappearedFiles(t *testing.T, disk *seglogtest.MemoryDisk, expected *history, seen map[string][]byte, seed uint64) {
 	t.Helper()
 	random := newRandom(seed)
 	present := contents(t, disk)
@@ -259,7 +259,7 @@
 			}
 		}
 		_, stored := mustOpen(t, restored)
-		if err := record.check(stored); err != nil {
+		if err := expected.check(stored); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/coord/seglog/exhaustive_test.go
+++ b/coord/seglog/exhaustive_test.go
@@ -74,21 +74,21 @@
 // runCalls makes the calls until one fails, and calls passed, if not nil, after each.
 func runCalls(disk *seglogtest.MemoryDisk, calls string, passed func(), omit ...seglog.Guard) (*history, error) {
 	log, stored, err := tinyLog(disk, omit...)
-	record := newHistory(stored)
+	expected := newHistory(stored)
 	for _, call := range calls {
 		if err != nil {
-			return record, err
+			return expected, err
 		}
-		operation := operationFor(call, record.last())
-		record.attempt(operation)
+		operation := operationFor(call, expected.last())
+		expected.attempt(operation)
 		if err = runOperation(log, operation); err == nil {
-			record.acknowledge()
+			expected.acknowledge()
 		}
 		if passed != nil {
 			passed()
 		}
 	}
-	return record, err
+	return expected, err
 }
 
 // powerLossCheck counts what was checked.
@@ -100,16 +100,16 @@
 	for operations := int64(0); ; operations++ {
 		disk := seglogtest.NewMemoryDisk()
 		disk.RemainingOperations = operations
-		record, failure := runCalls(disk, calls, nil, omit...)
+		expected, failure := runCalls(disk, calls, nil, omit...)
 		l.moments++
 		err := disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error {
 			l.outcomes++
-			return checkTwoRecoveries(lost, record, omit...)
+			return checkTwoRecoveries(lost, expected, omit...)
 		})
 		if err == nil {
 			killed := disk.Clone()
 			killed.Restart()
-			err = checkTwoRecoveries(killed, record, omit...)
+			err = checkTwoRecoveries(killed, expected, omit...)
 		}
 		if err != nil {
 			return fmt.Errorf("calls %s, power lost after %d operations: %w", calls, operations, err)
@@ -120,12 +120,12 @@
 	}
 }
 
-func checkTwoRecoveries(disk *seglogtest.MemoryDisk, record *history, omit ...seglog.Guard) error {
+func checkTwoRecoveries(disk *seglogtest.MemoryDisk, expected *history, omit ...seglog.Guard) error {
 	_, first, err := tinyLog(disk, omit...)
 	if err != nil {
 		return errors.Join(errNotRecovered, err)
 	}
-	if err := record.check(first); err != nil {
+	if err := expected.check(first); err != nil {
 		return err
 	}
 	return disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error {
@@ -169,11 +169,11 @@
 		if err != nil {
 			return err
 		}
-		record := newHistory(stored)
+		expected := newHistory(stored)
 		disk.FailOperation = position
 		for _, call := range calls + "av" {
-			operation := operationFor(call, record.last())
-			record.attempt(operation)
+			operation := operationFor(call, expected.last())
+			expected.attempt(operation)
 			err := runOperation(log, operation)
 			if err != nil {
 				err = runOperation(log, operation)
@@ -181,8 +181,8 @@
 			if err != nil {
 				return fmt.Errorf("calls %s, operation %d fails: %w", calls, position, err)
 			}
-			record.acknowledge()
-			err = disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error { return checkTwoRecoveries(lost, record, omit...) })
+			expected.acknowledge()
+			err = disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error { return checkTwoRecoveries(lost, expected, omit...) })
 			if err != nil {
 				return fmt.Errorf("calls %s, operation %d fails: %w", calls, position, err)
 			}
@@ -204,7 +204,7 @@
 	t.Helper()
 	disk := seglogtest.NewMemoryDisk()
 	var folders []map[string][]byte
-	record, err := runCalls(disk, calls, func() { folders = append(folders, contents(t, disk)) })
+	expected, err := runCalls(disk, calls, func() { folders = append(folders, contents(t, disk)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 		}
 		moments = append(moments, diskMoment{files: folder, state: state.last()})
 	}
-	if stateText(record.last()) != stateText(moments[len(moments)-1].state) {
+	if stateText(expected.last()) != stateText(moments[len(moments)-1].state) {
 		t.Fatal("the same calls give other states")
 	}
 	return moments
--- a/coord/seglog/fault_test.go
+++ b/coord/seglog/fault_test.go
@@ -14,42 +14,42 @@
 
 // faultInjectionRun makes calls on a disk that fails once.
 type faultInjectionRun struct {
-	t       *testing.T
-	log     *seglog.Log
-	disk    *seglogtest.MemoryDisk
-	calls   workload
-	record  *history
-	abandon bool // a failed Compact is not retried
-	failed  bool
+	t        *testing.T
+	log      *seglog.Log
+	disk     *seglogtest.MemoryDisk
+	calls    workload
+	expected *history
+	abandon  bool // a failed Compact is not retried
+	failed   bool
 }
 
 // runCall makes a random call. If it fails, it ends the fault and retries the call.
 func (r *faultInjectionRun) runCall() {
 	r.t.Helper()
-	call := r.calls.next(r.record.last())
-	before := len(r.record.states)
-	r.record.attempt(call)
+	call := r.calls.next(r.expected.last())
+	before := len(r.expected.states)
+	r.expected.attempt(call)
 	if err := runOperation(r.log, call); err != nil {
 		r.failed = true
 		r.checkAfterLoss()
 		r.disk.FreeBytes, r.disk.FailAll = seglogtest.Unlimited, false
 		if call.compact != nil && r.abandon {
-			r.record.states, r.record.stateTexts = r.record.states[:before], nil
+			r.expected.states, r.expected.stateTexts = r.expected.states[:before], nil
 			r.calls.committedIndex = call.compact.Index
-			r.record.abandoned = append(r.record.abandoned, *call.compact)
+			r.expected.abandoned = append(r.expected.abandoned, *call.compact)
 			return
 		}
 		r.retryCall(call)
 	}
-	r.record.acknowledge()
+	r.expected.acknowledge()
 }
 
 // retryCall retries the call with more states after those that failed.
 func (r *faultInjectionRun) retryCall(call operation) {
 	r.t.Helper()
 	if call.compact == nil {
-		more := operation{batch: []*consensus.PersistRequest{r.calls.persist(r.record.last())}}
-		r.record.attempt(more)
+		more := operation{batch: []*consensus.PersistRequest{r.calls.persist(r.expected.last())}}
+		r.expected.attempt(more)
 		call.batch = append(call.batch, more.batch...)
 	}
 	if err := runOperation(r.log, call); err != nil {
@@ -64,7 +64,7 @@
 		lost := r.disk.Clone()
 		lost.LosePower(newRandom(outcome))
 		_, stored := mustOpen(r.t, lost)
-		if err := r.record.check(stored); err != nil {
+		if err := r.expected.check(stored); err != nil {
 			r.t.Fatal(err)
 		}
 	}
@@ -75,12 +75,12 @@
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
 	return &faultInjectionRun{
-		t:       t,
-		log:     log,
-		disk:    disk,
-		calls:   workload{random: newRandom(seed)},
-		record:  newHistory(stored),
-		abandon: seed%2 == 1,
+		t:        t,
+		log:      log,
+		disk:     disk,
+		calls:    workload{random: newRandom(seed)},
+		expected: newHistory(stored),
+		abandon:  seed%2 == 1,
 	}
 }
 
@@ -103,7 +103,7 @@
 // checkNothingLeft compacts once more: then the disk contains the required files and no others.
 func (r *faultInjectionRun) checkNothingLeft() {
 	r.t.Helper()
-	state := r.record.last()
+	state := r.expected.last()
 	if len(state.Entries) == 0 {
 		return
 	}
@@ -154,11 +154,11 @@
 func TestLog_Save_whileDiskFails(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
-	record := newHistory(stored)
-	saveEntries(t, log, record, 1, 3)
+	expected := newHistory(stored)
+	saveEntries(t, log, expected, 1, 3)
 	persist := &consensus.PersistRequest{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
 	save := operation{batch: []*consensus.PersistRequest{persist}}
-	record.attempt(save)
+	expected.attempt(save)
 	disk.FailAll = true
 	for range 3 {
 		if err := runOperation(log, save); !errors.Is(err, seglogtest.ErrInjected) {
@@ -169,10 +169,10 @@
 	if err := runOperation(log, save); err != nil {
 		t.Fatal(err)
 	}
-	record.acknowledge()
+	expected.acknowledge()
 	disk.LosePower(newRandom(1))
 	_, recovered := mustOpen(t, disk)
-	if err := record.check(recovered); err != nil {
+	if err := expected.check(recovered); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -181,7 +181,7 @@
 func TestOpen_succeedsAfterFailedOpen(t *testing.T) {
 	for position := int64(1); position < 12; position++ {
 		disk := seglogtest.NewMemoryDisk()
-		record, failure := runOnDisk(disk, 3)
+		expected, failure := runOnDisk(disk, 3)
 		if failure != nil {
 			t.Fatal(failure)
 		}
@@ -193,7 +193,7 @@
 		}
 		disk.FailOperation = 0
 		_, stored := mustOpen(t, disk)
-		if err := record.check(stored); err != nil {
+		if err := expected.check(stored); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/coord/seglog/full_disk_test.go
+++ b/coord/seglog/full_disk_test.go
@@ -21,19 +21,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			record := newHistory(stored)
+			expected := newHistory(stored)
 			for at, call := range calls {
-				operation := operationFor(call, record.last())
-				record.attempt(operation)
+				operation := operationFor(call, expected.last())
+				expected.attempt(operation)
 				if at == filled {
-					checkCallFailsOnFullDisk(t, disk, log, operation, record)
+					checkCallFailsOnFullDisk(t, disk, log, operation, expected)
 				}
 				if err := runOperation(log, operation); err != nil {
 					t.Fatalf("calls %s, full at call %d, call %d: %v", calls, filled, at, err)
 				}
-				record.acknowledge()
+				expected.acknowledge()
 			}
-			if err := checkTwoRecoveries(disk.Clone(), record); err != nil {
+			if err := checkTwoRecoveries(disk.Clone(), expected); err != nil {
 				t.Fatalf("calls %s, full at call %d: %v", calls, filled, err)
 			}
 		}
@@ -41,7 +41,7 @@
 }
 
 // checkCallFailsOnFullDisk makes a call repeatedly on a full disk.
-func checkCallFailsOnFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, log *seglog.Log, call operation, record *history) {
+func checkCallFailsOnFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, log *seglog.Log, call operation, expected *history) {
 	t.Helper()
 	disk.Full = true
 	before := disk.UsedBytes()
@@ -53,7 +53,7 @@
 	if disk.UsedBytes() > before {
 		t.Fatalf("the disk has grown from %d to %d bytes", before, disk.UsedBytes())
 	}
-	err := disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error { return checkTwoRecoveries(lost, record) })
+	err := disk.ForEachPowerLoss(func(lost *seglogtest.MemoryDisk) error { return checkTwoRecoveries(lost, expected) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 func TestOpen_onFullDisk(t *testing.T) {
 	for _, calls := range sequences(sequenceSize) {
 		disk := seglogtest.NewMemoryDisk()
-		record, err := runCalls(disk, calls, nil)
+		expected, err := runCalls(disk, calls, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatalf("calls %s: %v", calls, err)
 		}
-		if err := record.check(stored); err != nil {
+		if err := expected.check(stored); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/coord/seglog/log.go
+++ b/coord/seglog/log.go
@@ -44,7 +44,7 @@
 var (
 	// ErrCorrupt means that a durable file cannot be read. The member's state is lost: it must rejoin the group under a new
 	// member ID with an empty directory.
-	ErrCorrupt = errors.New("seglog: a durable file is damaged")
+	ErrCorrupt = errors.New("seglog: a durable file is corrupt")
 	// ErrClosed means that the log is closed.
 	ErrClosed = errors.New("seglog: the log is closed")
 )
--- a/coord/seglog/log_test.go
+++ b/coord/seglog/log_test.go
@@ -19,10 +19,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	record := newHistory(emptyDisk)
-	saveEntries(t, log, record, 1, 1)
+	expected := newHistory(emptyDisk)
+	saveEntries(t, log, expected, 1, 1)
 	before := disk.SyncCount
-	saveEntries(t, log, record, 2, 50)
+	saveEntries(t, log, expected, 2, 50)
 	if disk.SyncCount != before+1 {
 		t.Fatalf("%d syncs", disk.SyncCount-before)
 	}
@@ -32,15 +32,15 @@
 func TestLog_Compact_boundsDiskUsage(t *testing.T) {
 	disk := seglogtest.NewMemoryDisk()
 	log, stored := mustOpen(t, disk)
-	record := newHistory(stored)
+	expected := newHistory(stored)
 	maxBytes := int64(0)
 	for first := uint64(1); first < 5000; first += 10 {
-		saveEntries(t, log, record, first, first+9)
+		saveEntries(t, log, expected, first, first+9)
 		snapshot := consensus.Snapshot{Index: first + 9, Term: 1, Data: []byte("state")}
 		if err := log.Compact(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		record = newHistory(compacted(record.last(), snapshot))
+		expected = newHistory(compacted(expected.last(), snapshot))
 		maxBytes = max(maxBytes, log.DiskBytes())
 	}
 	if limit := int64(4 * smallSegmentBytes); maxBytes > limit {
@@ -54,7 +54,7 @@
 		t.Fatalf("%d bytes on disk, %d reported", onDisk, log.DiskBytes())
 	}
 	_, recovered := mustOpen(t, disk)
-	if err := record.check(recovered); err != nil {
+	if err := expected.check(recovered); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -99,17 +99,17 @@
 func TestOpen_onOperatingSystemFiles(t *testing.T) {
 	options := seglog.Options{Directory: filepath.Join(t.TempDir(), "one", "two"), SegmentBytes: smallSegmentBytes}
 	random := newRandom(7)
-	record := newHistory(emptyDisk)
+	expected := newHistory(emptyDisk)
 	for range 5 {
 		log, stored, err := seglog.Open(options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := record.check(stored); err != nil {
+		if err := expected.check(stored); err != nil {
 			t.Fatal(err)
 		}
-		record = newHistory(stored)
-		if err := runUntilFailure(log, workload{random: random}, record, workloadCalls); err != nil {
+		expected = newHistory(stored)
+		if err := runUntilFailure(log, workload{random: random}, expected, workloadCalls); err != nil {
 			t.Fatal(err)
 		}
 		if err := log.Close(); err != nil {
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -256,14 +256,14 @@
 }
 
 // runUntilFailure makes random calls until one fails or count calls are done.
-func runUntilFailure(log *seglog.Log, calls workload, record *history, count int) error {
+func runUntilFailure(log *seglog.Log, calls workload, expected *history, count int) error {
 	for range count {
-		call := calls.next(record.last())
-		record.attempt(call)
+		call := calls.next(expected.last())
+		expected.attempt(call)
 		if err := runOperation(log, call); err != nil {
 			return err
 		}
-		record.acknowledge()
+		expected.acknowledge()
 	}
 	return nil
 }
--- a/coord/seglog/power_loss_test.go
+++ b/coord/seglog/power_loss_test.go
@@ -45,17 +45,17 @@
 func checkPowerLossAfter(seed uint64, operations int64) (finished bool, err error) {
 	disk := seglogtest.NewMemoryDisk()
 	disk.RemainingOperations = operations
-	record, failure := runOnDisk(disk, seed)
+	expected, failure := runOnDisk(disk, seed)
 	for outcome := range uint64(powerLossesPerMoment) {
 		lost := disk.Clone()
 		lost.LosePower(newRandom(outcome))
-		if err := recoverTwice(lost, record, outcome); err != nil {
+		if err := recoverTwice(lost, expected, outcome); err != nil {
 			return false, fmt.Errorf("outcome %d: %w", outcome, err)
 		}
 	}
 	killed := disk.Clone()
 	killed.Restart()
-	if err := recoverTwice(killed, record, seed); err != nil {
+	if err := recoverTwice(killed, expected, seed); err != nil {
 		return false, fmt.Errorf("killed: %w", err)
 	}
 	return failure == nil, nil
@@ -63,20 +63,20 @@
 
 func runOnDisk(disk *seglogtest.MemoryDisk, seed uint64) (*history, error) {
 	log, stored, err := open(disk)
-	record := newHistory(stored)
+	expected := newHistory(stored)
 	if err != nil {
-		return record, err
+		return expected, err
 	}
-	return record, runUntilFailure(log, workload{random: newRandom(seed)}, record, workloadCalls)
+	return expected, runUntilFailure(log, workload{random: newRandom(seed)}, expected, workloadCalls)
 }
 
 // recoverTwice opens the disk, and again after a power loss: what the first recovery returned must be recovered again.
-func recoverTwice(disk *seglogtest.MemoryDisk, record *history, outcome uint64) error {
+func recoverTwice(disk *seglogtest.MemoryDisk, expected *history, outcome uint64) error {
 	_, first, err := open(disk)
 	if err != nil {
 		return errors.Join(errNotRecovered, err)
 	}
-	if err := record.check(first); err != nil {
+	if err := expected.check(first); err != nil {
 		return err
 	}
 	disk.LosePower(newRandom(outcome + 100))
@@ -96,24 +96,24 @@
 		for operations := int64(5); operations < 60; operations += 4 {
 			disk := seglogtest.NewMemoryDisk()
 			disk.RemainingOperations = operations
-			record, failure := runOnDisk(disk, seed)
+			expected, failure := runOnDisk(disk, seed)
 			if failure == nil {
 				break
 			}
 			disk.LosePower(newRandom(seed))
-			checkRecoveryStops(t, disk, record)
+			checkRecoveryStops(t, disk, expected)
 		}
 	}
 }
 
-func checkRecoveryStops(t *testing.T, disk *seglogtest.MemoryDisk, record *history) {
+func checkRecoveryStops(t *testing.T, disk *seglogtest.MemoryDisk, expected *history) {
 	t.Helper()
 	for operations := int64(0); ; operations++ {
 		stopped := disk.Clone()
 		stopped.RemainingOperations = operations
 		_, _, failure := open(stopped)
 		stopped.LosePower(newRandom(uint64(operations)))
-		if err := recoverTwice(stopped, record, uint64(operations)); err != nil {
+		if err := recoverTwice(stopped, expected, uint64(operations)); err != nil {
 			t.Fatalf("recovery stopped after %d operations: %v", operations, err)
 		}
 		if failure == nil {
@@ -146,19 +146,19 @@
 func runHistory(seed uint64, stops []int64) error {
 	disk := seglogtest.NewMemoryDisk()
 	random := newRandom(seed)
-	record := newHistory(emptyDisk)
+	expected := newHistory(emptyDisk)
 	for _, stop := range stops {
 		log, stored, err := open(disk)
 		if err != nil {
 			return errors.Join(errNotRecovered, err)
 		}
-		if err := record.check(stored); err != nil {
+		if err := expected.check(stored); err != nil {
 			return err
 		}
-		record = newHistory(stored)
+		expected = newHistory(stored)
 		disk.RemainingOperations = stop
-		_ = runUntilFailure(log, workload{random: random}, record, workloadCalls)
+		_ = runUntilFailure(log, workload{random: random}, expected, workloadCalls)
 		disk.LosePower(random)
 	}
-	return recoverTwice(disk, record, seed)
+	return recoverTwice(disk, expected, seed)
 }
--- a/internal/controlplane/configuration/snapshot.go
+++ b/internal/controlplane/configuration/snapshot.go
@@ -10,12 +10,12 @@
 )
 
 // ErrSnapshot is wrapped by the errors that Store.Restore returns for a snapshot that cannot be decoded.
-var ErrSnapshot = errors.New("configuration: the snapshot cannot be read")
+var ErrSnapshot = errors.New("configuration: the snapshot cannot be decoded")
 
 // Reasons that ErrSnapshot is wrapped with.
 var (
 	errEmptySnapshot = errors.New("it is empty")
-	errDigestCount   = errors.New("digests are cut short")
+	errDigestCount   = errors.New("the numbers of digests and bases differ")
 )
 
 const (
