--- a/internal/controlplane/agent/store_test.go
+++ b/internal/controlplane/agent/store_test.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// TestStore_Status_currencyExpires reads a store whose server has sent nothing for a while: the process may have stalled, and has not
-// noticed yet that the connection is lost.
+// The server of the store has sent nothing for a while: the process may have stalled, and has not noticed yet that the
+// connection is lost.
 func TestStore_Status_currencyExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
--- a/internal/controlplane/feedtransport/server_selector.go
+++ b/internal/controlplane/feedtransport/server_selector.go
@@ -97,107 +97,107 @@
 
 // Next selects the server of the next attempt and returns its address and the backoff before the attempt. The address is
 // empty if no server is known.
-func (c *ServerSelector) Next(now time.Time) (address string, wait time.Duration) {
-	c.server = c.candidates.best(now)
-	if c.server == nil {
+func (s *ServerSelector) Next(now time.Time) (address string, wait time.Duration) {
+	s.server = s.candidates.best(now)
+	if s.server == nil {
 		return "", maxRetryBackoff
 	}
-	c.server.attemptedAt = now
-	return c.server.address, c.retryBackoff()
+	s.server.attemptedAt = now
+	return s.server.address, s.retryBackoff()
 }
 
 // retryBackoff draws the wait before an attempt from a range whose upper end doubles with each failure.
-func (c *ServerSelector) retryBackoff() time.Duration {
-	if c.failures == 0 {
+func (s *ServerSelector) retryBackoff() time.Duration {
+	if s.failures == 0 {
 		return 0
 	}
 	maximum := minRetryBackoff
-	for i := 0; i < c.failures && maximum < maxRetryBackoff; i++ {
+	for i := 0; i < s.failures && maximum < maxRetryBackoff; i++ {
 		maximum *= 2
 	}
 	maximum = min(maximum, maxRetryBackoff)
-	return minRetryBackoff + time.Duration(c.random()*float64(maximum-minRetryBackoff))
+	return minRetryBackoff + time.Duration(s.random()*float64(maximum-minRetryBackoff))
 }
 
-// AttemptTimeout returns how long the attempt may take to connect, at most DialTimeout. The first attempts are short, since a machine that is down
-// does not answer at all and the next one may be up.
-func (c *ServerSelector) AttemptTimeout() time.Duration {
+// AttemptTimeout returns how long the attempt may take to connect, at most DialTimeout. The first attempts are short, since
+// a machine that is down does not answer at all and the next one may be up.
+func (s *ServerSelector) AttemptTimeout() time.Duration {
 	limit := minDialTimeout
-	for i := 0; i < c.failures && limit < DialTimeout; i++ {
+	for i := 0; i < s.failures && limit < DialTimeout; i++ {
 		limit *= 2
 	}
 	return min(limit, DialTimeout)
 }
 
 // Connected records that the attempt's connection is open.
-func (c *ServerSelector) Connected(now time.Time) {
-	c.connectedAt = now
-	c.receivedAt = now
-	c.staleSince = now
-	c.statusReceived, c.current = false, false
-	c.rebalanceJitter = 1 + c.random()
+func (s *ServerSelector) Connected(now time.Time) {
+	s.connectedAt = now
+	s.receivedAt = now
+	s.staleSince = now
+	s.statusReceived, s.current = false, false
+	s.rebalanceJitter = 1 + s.random()
 }
 
 // Received records that bytes have arrived.
-func (c *ServerSelector) Received(now time.Time) { c.receivedAt = now }
+func (s *ServerSelector) Received(now time.Time) { s.receivedAt = now }
 
 // ObserveStatus records a status of the server: whether it is current, and which servers there are.
-func (c *ServerSelector) ObserveStatus(now time.Time, status Status) {
-	c.candidates.update(status.Servers)
-	wasCurrent := c.current
-	c.statusReceived, c.current = true, status.Current()
+func (s *ServerSelector) ObserveStatus(now time.Time, status Status) {
+	s.candidates.update(status.Servers)
+	wasCurrent := s.current
+	s.statusReceived, s.current = true, status.Current()
 	switch {
-	case c.current:
-		c.failures, c.staleSwitches = 0, 0
-		c.server.failures = 0
-		c.server.avoidUntil = time.Time{}
+	case s.current:
+		s.failures, s.staleSwitches = 0, 0
+		s.server.failures = 0
+		s.server.avoidUntil = time.Time{}
 	case wasCurrent:
-		c.staleSince = now
+		s.staleSince = now
 	}
 }
 
 // Deadline returns the instant at which Check has to be called at the latest if nothing arrives before.
-func (c *ServerSelector) Deadline() time.Time {
-	deadline := c.receiveDeadline()
-	if c.staleMatters() && c.staleDeadline().Before(deadline) {
-		deadline = c.staleDeadline()
+func (s *ServerSelector) Deadline() time.Time {
+	deadline := s.receiveDeadline()
+	if s.staleMatters() && s.staleDeadline().Before(deadline) {
+		deadline = s.staleDeadline()
 	}
 	return deadline
 }
 
 // Check returns the reason for which the client is to leave the server now, or nil. Where the call is so late that this
 // process itself must have stalled, the server is given stallGrace first.
-func (c *ServerSelector) Check(now time.Time) error {
+func (s *ServerSelector) Check(now time.Time) error {
 	switch {
-	case !now.Before(c.receiveDeadline()):
-		if now.Sub(c.receiveDeadline()) > stallSlack {
-			c.receivedAt = now.Add(stallGrace - c.options.ReceiveTimeout)
+	case !now.Before(s.receiveDeadline()):
+		if now.Sub(s.receiveDeadline()) > stallSlack {
+			s.receivedAt = now.Add(stallGrace - s.options.ReceiveTimeout)
 			return nil
 		}
 		return ErrReceiveTimeout
-	case c.staleMatters() && !now.Before(c.staleDeadline()):
-		if now.Sub(c.staleDeadline()) > stallSlack {
-			c.staleSince = now.Add(stallGrace - c.staleTimeout())
+	case s.staleMatters() && !now.Before(s.staleDeadline()):
+		if now.Sub(s.staleDeadline()) > stallSlack {
+			s.staleSince = now.Add(stallGrace - s.staleTimeout())
 			return nil
 		}
 		return ErrNotCurrent
-	case c.current && c.prefersOther(now):
+	case s.current && s.prefersOther(now):
 		return ErrOtherPreferred
 	}
 	return nil
 }
 
 // AttemptEnded records why the attempt failed or its connection ended.
-func (c *ServerSelector) AttemptEnded(now time.Time, reason error) {
-	used := c.server
-	c.server = nil
+func (s *ServerSelector) AttemptEnded(now time.Time, reason error) {
+	used := s.server
+	s.server = nil
 	if used == nil || errors.Is(reason, ErrOtherPreferred) {
 		return
 	}
 	if errors.Is(reason, ErrNotCurrent) {
-		c.staleSwitches++
+		s.staleSwitches++
 	}
-	c.failures++
+	s.failures++
 	used.failures++
 	used.avoidUntil = now.Add(avoidanceAfter(used.failures))
 }
@@ -211,37 +211,37 @@
 	return min(wait, maxAvoidance)
 }
 
-func (c *ServerSelector) receiveDeadline() time.Time {
-	return c.receivedAt.Add(c.options.ReceiveTimeout)
+func (s *ServerSelector) receiveDeadline() time.Time {
+	return s.receivedAt.Add(s.options.ReceiveTimeout)
 }
 
-func (c *ServerSelector) staleDeadline() time.Time { return c.staleSince.Add(c.staleTimeout()) }
+func (s *ServerSelector) staleDeadline() time.Time { return s.staleSince.Add(s.staleTimeout()) }
 
 // staleTimeout returns how long the present server may not be current; see StaleTimeout.
-func (c *ServerSelector) staleTimeout() time.Duration {
+func (s *ServerSelector) staleTimeout() time.Duration {
 	switch {
-	case c.staleSwitches == 0:
-		return c.options.StaleTimeout
-	case c.staleSwitches < c.candidates.len() && c.statusReceived:
-		return min(scanStaleTimeout, c.options.StaleTimeout)
-	case c.staleSwitches < c.candidates.len():
-		return min(scanSilentTimeout, c.options.StaleTimeout)
+	case s.staleSwitches == 0:
+		return s.options.StaleTimeout
+	case s.staleSwitches < s.candidates.len() && s.statusReceived:
+		return min(scanStaleTimeout, s.options.StaleTimeout)
+	case s.staleSwitches < s.candidates.len():
+		return min(scanSilentTimeout, s.options.StaleTimeout)
 	}
-	return 2 * c.options.StaleTimeout
+	return 2 * s.options.StaleTimeout
 }
 
 // staleMatters reports whether the server is not current although there are others.
-func (c *ServerSelector) staleMatters() bool { return !c.current && c.candidates.len() > 1 }
+func (s *ServerSelector) staleMatters() bool { return !s.current && s.candidates.len() > 1 }
 
 // prefersOther reports whether a better server is available and the connection is old enough to be replaced.
-func (c *ServerSelector) prefersOther(now time.Time) bool {
-	best := c.candidates.best(now)
-	if best == nil || best == c.server || best.avoided(now) {
+func (s *ServerSelector) prefersOther(now time.Time) bool {
+	best := s.candidates.best(now)
+	if best == nil || best == s.server || best.avoided(now) {
 		return false
 	}
-	connectedFor := float64(now.Sub(c.connectedAt))
-	if best.distance < c.server.distance {
-		return connectedFor >= c.rebalanceJitter*float64(preferNearerAfter)
+	connectedFor := float64(now.Sub(s.connectedAt))
+	if best.distance < s.server.distance {
+		return connectedFor >= s.rebalanceJitter*float64(preferNearerAfter)
 	}
-	return connectedFor >= c.rebalanceJitter*float64(rebalanceAfter)
+	return connectedFor >= s.rebalanceJitter*float64(rebalanceAfter)
 }
--- a/internal/controlplane/peertransport/transport.go
+++ b/internal/controlplane/peertransport/transport.go
@@ -95,18 +95,18 @@
 	if address == "" || address == t.options.Self.Address {
 		return
 	}
-	if link := t.outbound(address); link != nil {
-		link.send(shard, message)
+	if peer := t.outbound(address); peer != nil {
+		peer.send(shard, message)
 	}
 }
 
 // Call calls a peer and returns its reply. The error is, or wraps, ErrNotSent, ErrOutcomeUnknown or a RemoteError.
 func (t *Transport) Call(ctx context.Context, address string, kind CallKind, body []byte) ([]byte, error) {
-	link := t.outbound(address)
-	if link == nil {
+	peer := t.outbound(address)
+	if peer == nil {
 		return nil, ErrNotSent
 	}
-	return link.call(ctx, kind, body)
+	return peer.call(ctx, kind, body)
 }
 
 // outbound returns the sending side to an address and creates it if there is none. It returns nil after Close.
@@ -163,12 +163,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	peers := make([]PeerStatus, 0, len(t.outbounds))
-	for address, link := range t.outbounds {
-		status := link.status()
+	for address, peer := range t.outbounds {
+		status := peer.status()
 		status.Accepted = t.accepted[address] > 0
 		status.SinceReceived = -1
-		if heard, ok := t.lastReceived[address]; ok {
-			status.SinceReceived = now.Sub(heard)
+		if received, ok := t.lastReceived[address]; ok {
+			status.SinceReceived = now.Sub(received)
 		}
 		peers = append(peers, status)
 	}
--- a/internal/controlplane/registry/command.go
+++ b/internal/controlplane/registry/command.go
@@ -77,7 +77,8 @@
 var (
 	itemSchema = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `,
 	{"name":"assigned","type":"string"}]}`)
-	itemSchemaV1  = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `]}`) // in snapshots of format 1
+	// itemSchemaV1 is the schema of instances in snapshots of format 1.
+	itemSchemaV1  = avro.MustParse(`{"type":"record","name":"instance","fields":[` + instanceFields + `]}`)
 	commandSchema = avro.MustParse(`{"type":"record","name":"registry_command","fields":[
 	{"name":"format","type":"int"},
 	{"name":"operation","type":"int"},
