--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// Snapshot implements feedlink.Handler.
+// Snapshot implements feedtransport.Handler.
 func (f *follower) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	before := f.builder.Indexes()[shard]
 	f.builder.ApplySnapshot(shard, snapshot)
@@ -105,7 +105,7 @@
 	f.put(shard, snapshot.Items)
 }
 
-// Change implements feedlink.Handler.
+// Change implements feedtransport.Handler.
 func (f *follower) Change(shard shards.ID, change feed.Change) {
 	before := f.builder.Indexes()[shard]
 	f.builder.ApplyChange(shard, change)
@@ -138,19 +138,19 @@
 	return history.Ready
 }
 
-// BatchDone implements feedlink.BatchHandler.
+// BatchDone implements feedtransport.BatchHandler.
 func (f *follower) BatchDone() { f.publish() }
 
-// Status implements feedlink.Handler: no view is published before the first one.
+// Status implements feedtransport.Handler: no view is published before the first one.
 func (f *follower) Status(feedtransport.Status) {
 	f.whole = true
 	f.publish()
 }
 
-// Connected implements feedlink.Handler.
+// Connected implements feedtransport.Handler.
 func (f *follower) Connected(string) {}
 
-// Disconnected implements feedlink.Handler.
+// Disconnected implements feedtransport.Handler.
 func (f *follower) Disconnected(error) {}
 
 // publish records what the view shows now, if that is news.
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -88,12 +88,12 @@
 	return countedConnection{Conn: connection, traffic: o.traffic}, nil
 }
 
-// Snapshot implements feedlink.Handler.
+// Snapshot implements feedtransport.Handler.
 func (a *hollowAgent) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	a.take(shard, snapshot.Index, snapshot.Items)
 }
 
-// Change implements feedlink.Handler.
+// Change implements feedtransport.Handler.
 func (a *hollowAgent) Change(shard shards.ID, change feed.Change) {
 	a.take(shard, change.Index, change.Put)
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// Status implements feedlink.Handler.
+// Status implements feedtransport.Handler.
 func (a *hollowAgent) Status(status feedtransport.Status) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -131,14 +131,14 @@
 	}
 }
 
-// Connected implements feedlink.Handler.
+// Connected implements feedtransport.Handler.
 func (a *hollowAgent) Connected(address string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.keeper = address
 }
 
-// Disconnected implements feedlink.Handler.
+// Disconnected implements feedtransport.Handler.
 func (a *hollowAgent) Disconnected(error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
