--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	demoKeepers  = 3
+	demoServers  = 3
 	demoEdges    = 2
 	demoWorkers  = 4
 	demoTimeout  = 30 * time.Second
@@ -37,8 +37,8 @@
 	Keep     bool `arg:"--keep" help:"keep the directory with settings, data and logs"`
 }
 
-// demonstration is one run of the command.
-type demonstration struct {
+// demoRun is one run of the command.
+type demoRun struct {
 	out     io.Writer
 	fleet   *localfleet.Fleet
 	pool    *upstream.Pool
@@ -63,7 +63,7 @@
 		fmt.Fprintln(errors, err)
 		return exitFault
 	}
-	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: directory, Keepers: demoKeepers, Edges: demoEdges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: directory, Keepers: demoServers, Edges: demoEdges})
 	if err != nil {
 		fmt.Fprintln(errors, err)
 		return exitFault
@@ -71,46 +71,46 @@
 	defer fleet.StopAll()
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	demo := demonstration{out: out, fleet: fleet, pool: upstream.New(upstream.Options{})}
-	if err := demo.play(ctx, c.Requests); err != nil {
+	demo := demoRun{out: out, fleet: fleet, pool: upstream.New(upstream.Options{})}
+	if err := demo.execute(ctx, c.Requests); err != nil {
 		fmt.Fprintln(errors, "demo:", err)
 		return exitFault
 	}
 	return exitOK
 }
 
-// play does the steps of the demonstration.
-func (d *demonstration) play(ctx context.Context, requests int) error {
+// execute does the steps of the demonstration.
+func (d *demoRun) execute(ctx context.Context, requests int) error {
 	started := time.Now()
 	if err := d.fleet.StartAll(); err != nil {
 		return err
 	}
-	fmt.Fprintf(d.out, "%d keepers, %d agents and %d proxies started\n", demoKeepers, demoEdges, demoEdges)
+	fmt.Fprintf(d.out, "%d keepers, %d agents and %d proxies started\n", demoServers, demoEdges, demoEdges)
 	if err := d.startWorkers(ctx); err != nil {
 		return err
 	}
 	if err := localfleet.Await(ctx, demoPoll, func() bool { return d.configure(ctx) }); err != nil {
 		return fmt.Errorf("the configuration was not accepted: %w", err)
 	}
-	fmt.Fprintf(d.out, "configuration accepted after %s\n", since(started))
+	fmt.Fprintf(d.out, "configuration accepted after %s\n", elapsed(started))
 	for edge := range demoEdges {
-		if err := localfleet.Await(ctx, demoPoll, func() bool { return d.ready(ctx, edge) }); err != nil {
+		if err := localfleet.Await(ctx, demoPoll, func() bool { return d.proxyReady(ctx, edge) }); err != nil {
 			return fmt.Errorf("a proxy is not ready: %w", err)
 		}
 	}
-	if err := localfleet.Await(ctx, demoPoll, func() bool { return d.serves(ctx) }); err != nil {
+	if err := localfleet.Await(ctx, demoPoll, func() bool { return d.allRoutesServed(ctx) }); err != nil {
 		return fmt.Errorf("no worker became known: %w", err)
 	}
-	fmt.Fprintf(d.out, "all proxies ready and workers known after %s\n", since(started))
+	fmt.Fprintf(d.out, "all proxies ready and workers known after %s\n", elapsed(started))
 	for number := range requests {
-		d.ask(ctx, number)
+		d.sendAndReport(ctx, number)
 	}
-	d.summary()
+	d.printSummary()
 	return nil
 }
 
 // startWorkers starts two workers that read prompts, two that make tokens and one plain one.
-func (d *demonstration) startWorkers(ctx context.Context) error {
+func (d *demoRun) startWorkers(ctx context.Context) error {
 	for i := range demoWorkers + 1 {
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
 			Stage: []string{"prefill", "decode"}[i%2], Address: d.fleet.Worker(i), Slots: demoSlots, Control: d.fleet.Control(),
@@ -128,7 +128,7 @@
 }
 
 // configure sends the configuration to one keeper and tells whether it was accepted.
-func (d *demonstration) configure(ctx context.Context) bool {
+func (d *demoRun) configure(ctx context.Context) bool {
 	control := d.fleet.Control()[0]
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: control, Method: "POST", Target: "/-/Config.Replace",
 		Header: http1.Header{{Name: "Host", Value: control}, {Name: "X-Base-Version", Value: "0"},
@@ -136,19 +136,19 @@
 	return failure == nil && response.Status == 200
 }
 
-// ready asks a proxy for its readiness.
-func (d *demonstration) ready(ctx context.Context, edge int) bool {
+// proxyReady asks a proxy for its readiness.
+func (d *demoRun) proxyReady(ctx context.Context, edge int) bool {
 	address := d.fleet.Readiness(edge)
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: address, Method: "GET", Target: "/-/ready",
 		Header: http1.Header{{Name: "Host", Value: address}}})
 	return failure == nil && response.Status == 200
 }
 
-// serves tells whether each proxy answers on both routes.
-func (d *demonstration) serves(ctx context.Context) bool {
+// allRoutesServed tells whether each proxy answers on both routes.
+func (d *demoRun) allRoutesServed(ctx context.Context) bool {
 	for edge := range demoEdges {
 		for kind := range 2 {
-			if status, _ := d.send(ctx, edge, kind, "probe"); status != 200 {
+			if status, _ := d.sendRequest(ctx, edge, kind, "probe"); status != 200 {
 				return false
 			}
 		}
@@ -156,20 +156,20 @@
 	return true
 }
 
-// ask sends one request and prints what became of it.
-func (d *demonstration) ask(ctx context.Context, number int) {
+// sendAndReport sends one request and prints what became of it.
+func (d *demoRun) sendAndReport(ctx context.Context, number int) {
 	edge, kind := number%demoEdges, number%3/2
 	started := time.Now()
-	status, events := d.send(ctx, edge, kind, fmt.Sprintf("demo-%d", number))
+	status, events := d.sendRequest(ctx, edge, kind, fmt.Sprintf("demo-%d", number))
 	what := "file"
 	if kind == 0 {
 		what = fmt.Sprintf("chat, %d events", events)
 	}
-	fmt.Fprintf(d.out, "request %2d by proxy %d: %d in %s (%s)\n", number+1, edge+1, status, since(started), what)
+	fmt.Fprintf(d.out, "request %2d by proxy %d: %d in %s (%s)\n", number+1, edge+1, status, elapsed(started), what)
 }
 
-// send sends one request and returns its status and how many events came; status 0 stands for a broken answer.
-func (d *demonstration) send(ctx context.Context, edge, kind int, id string) (status, events int) {
+// sendRequest sends one request and returns its status and how many events came; status 0 stands for a broken answer.
+func (d *demoRun) sendRequest(ctx context.Context, edge, kind int, id string) (status, events int) {
 	call := &upstream.Request{Address: d.fleet.Front(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[kind],
 		Header: http1.Header{{Name: "Host", Value: "demo.example"}, {Name: "X-Request-Id", Value: fmt.Sprintf("%s-%d-%d", id, edge, kind)},
 			{Name: "X-Request-Deadline", Value: fmt.Sprint(demoDeadline)}}, Body: []byte("{}"), StreamEvents: true}
@@ -197,8 +197,8 @@
 	}
 }
 
-// summary prints what the workers did.
-func (d *demonstration) summary() {
+// printSummary prints what the workers did.
+func (d *demoRun) printSummary() {
 	for i, worker := range d.workers {
 		counts := worker.Counts()
 		fmt.Fprintf(d.out, "worker %d: %d prompts read, %d runs, %d turned away\n", i+1, counts.Prefills, counts.Runs, counts.Rejected)
@@ -206,4 +206,4 @@
 	fmt.Fprintf(d.out, "handles left over: %d\n", d.handles.Open())
 }
 
-func since(started time.Time) time.Duration { return time.Since(started).Round(time.Millisecond) }
+func elapsed(started time.Time) time.Duration { return time.Since(started).Round(time.Millisecond) }
--- a/cmd/inference-router/main.go
+++ b/cmd/inference-router/main.go
@@ -29,12 +29,12 @@
 
 // arguments is the command line.
 type arguments struct {
-	Proxy   *roleCommand    `arg:"subcommand:proxy" help:"take clients' requests and forward them to workers"`
-	Agent   *roleCommand    `arg:"subcommand:agent" help:"keep the link to the control plane for the proxy beside it"`
-	Keeper  *roleCommand    `arg:"subcommand:keeper" help:"hold the control plane's state and serve its API"`
-	Check   *checkCommand   `arg:"subcommand:check" help:"check a settings file or a configuration and exit"`
-	Measure *measureCommand `arg:"subcommand:measure" help:"measure the fleet on this machine"`
-	Demo    *demoCommand    `arg:"subcommand:demo" help:"run a whole fleet with stand-in workers on loopback and send requests through it"`
+	Proxy        *roleCommand    `arg:"subcommand:proxy" help:"take clients' requests and forward them to workers"`
+	Agent        *roleCommand    `arg:"subcommand:agent" help:"keep the link to the control plane for the proxy beside it"`
+	ControlPlane *roleCommand    `arg:"subcommand:keeper" help:"hold the control plane's state and serve its API"`
+	Check        *checkCommand   `arg:"subcommand:check" help:"check a settings file or a configuration and exit"`
+	Measure      *measureCommand `arg:"subcommand:measure" help:"measure the fleet on this machine"`
+	Demo         *demoCommand    `arg:"subcommand:demo" help:"run a whole fleet with stand-in workers on loopback and send requests through it"`
 }
 
 // roleCommand are the flags of a process.
@@ -48,8 +48,8 @@
 	return "inference-router runs one process of the router fleet, or checks its files."
 }
 
-// runner is the entry point of a role.
-type runner func(context.Context, bootconfig.Settings, *zap.Logger) error
+// roleRunner is the entry point of a role.
+type roleRunner func(context.Context, bootconfig.Settings, *zap.Logger) error
 
 func main() {
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -76,8 +76,8 @@
 		return runRole("proxy", parsed.Proxy, proxy.Run, errors)
 	case parsed.Agent != nil:
 		return runRole("agent", parsed.Agent, agent.Run, errors)
-	case parsed.Keeper != nil:
-		return runRole("keeper", parsed.Keeper, server.Run, errors)
+	case parsed.ControlPlane != nil:
+		return runRole("keeper", parsed.ControlPlane, server.Run, errors)
 	case parsed.Check != nil:
 		return parsed.Check.run(out, errors)
 	case parsed.Demo != nil:
@@ -96,7 +96,7 @@
 }
 
 // runRole runs one process until it is told to end by SIGTERM or SIGINT.
-func runRole(role string, command *roleCommand, run runner, errors io.Writer) int {
+func runRole(role string, command *roleCommand, run roleRunner, errors io.Writer) int {
 	loaded, err := bootconfig.LoadWithRetry(command.Settings)
 	if err != nil {
 		fmt.Fprintln(errors, err)
--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -14,16 +14,16 @@
 	"ospreybend/internal/controlplane/server"
 )
 
-// call runs the command line and returns its exit code and what it wrote.
-func call(line ...string) (code int, out, errors string) {
+// runCommand runs the command line and returns its exit code and what it wrote.
+func runCommand(line ...string) (code int, out, errors string) {
 	var written, faults bytes.Buffer
 	code = run(line, &written, &faults)
 	return code, written.String(), faults.String()
 }
 
-func TestHelpOfEachCommand(t *testing.T) {
+func TestRun_helpOfEachCommand(t *testing.T) {
 	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"keeper"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
-		code, out, faults := call(append(words, "--help")...)
+		code, out, faults := runCommand(append(words, "--help")...)
 		usage := strings.Join(append([]string{"Usage: inference-router"}, words...), " ")
 		if code != exitOK || !strings.Contains(out, usage) || faults != "" {
 			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, out, faults)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestUsageErrorsSayWhatIsWrong(t *testing.T) {
+func TestRun_usageErrorsNameTheFault(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	if err := os.WriteFile(bad, []byte(`{"nodeName":"a","ip":"nonsense"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -56,18 +56,18 @@
 		{[]string{"measure", "simulate", "--schedules", "0"}, "must be positive"},
 	}
 	for _, one := range cases {
-		code, _, faults := call(one.line...)
+		code, _, faults := runCommand(one.line...)
 		if code != exitUsage || !strings.Contains(faults, one.says) {
 			t.Errorf("%v: exit %d, no %q in %q", one.line, code, one.says, faults)
 		}
 	}
 }
 
-// settingsExample are valid settings of a keeper.
-const settingsExample = `{"nodeName":"core-a-1","role":"keeper","ip":"127.0.0.1","zone":"a","listen":{"control":"127.0.0.1:8146"},
+// validSettings are valid settings of a keeper.
+const validSettings = `{"nodeName":"core-a-1","role":"keeper","ip":"127.0.0.1","zone":"a","listen":{"control":"127.0.0.1:8146"},
 "portRange":[7660,7675],"seeds":["127.0.0.1:8146"],"dataDir":"data","limits":{"memoryMb":280,"maxFds":4096}}`
 
-func TestCheck(t *testing.T) {
+func TestCheckCommand(t *testing.T) {
 	directory := t.TempDir()
 	file := func(name, content string) string {
 		path := filepath.Join(directory, name)
@@ -76,7 +76,7 @@
 		}
 		return path
 	}
-	valid := file("settings.json", settingsExample)
+	valid := file("settings.json", validSettings)
 	whole := file("configuration.json", demoConfiguration)
 	cases := []struct {
 		name string
@@ -86,25 +86,25 @@
 	}{
 		{"both valid", []string{"--settings", valid, "--configuration", whole}, exitOK, "settings: valid\nconfiguration: valid\n"},
 		{"no settings", []string{"--settings", filepath.Join(directory, "none")}, exitFault, "no such file"},
-		{"bad settings", []string{"--settings", file("bad.json", strings.Replace(settingsExample, "127.0.0.1\"", "x\"", 1))}, exitFault, "ip:"},
+		{"bad settings", []string{"--settings", file("bad.json", strings.Replace(validSettings, "127.0.0.1\"", "x\"", 1))}, exitFault, "ip:"},
 		{"no configuration", []string{"--configuration", filepath.Join(directory, "none")}, exitFault, "no such file"},
 		{"unknown service", []string{"--configuration", file("unknown.json", strings.Replace(demoConfiguration, `"service":"store"`, `"service":"other"`, 1))},
 			exitFault, "1026 "},
 		{"no JSON", []string{"--configuration", file("none.json", "{")}, exitFault, "1020 "},
 	}
 	for _, one := range cases {
-		code, out, faults := call(append([]string{"check"}, one.line...)...)
+		code, out, faults := runCommand(append([]string{"check"}, one.line...)...)
 		if code != one.code || !strings.Contains(out+faults, one.says) {
 			t.Errorf("%s: exit %d, no %q in %q", one.name, code, one.says, out+faults)
 		}
 	}
 }
 
-// numbered is a line of a table of codes.
-var numbered = regexp.MustCompile(`^\| \d{4} \|`)
+// codeTableRow is a line of a table of codes.
+var codeTableRow = regexp.MustCompile(`^\| \d{4} \|`)
 
-// TestErrorsPageListsEveryCode holds the page against the tables of codes, both ways.
-func TestErrorsPageListsEveryCode(t *testing.T) {
+// TestCodes_errorsPageListsEveryCode holds the page against the tables of codes, both ways.
+func TestCodes_errorsPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ERRORS.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	}
 	listed := map[string]bool{}
 	for line := range strings.Lines(string(page)) {
-		if numbered.MatchString(line) {
+		if codeTableRow.MatchString(line) {
 			listed[strings.TrimSpace(line)] = true
 		}
 	}
--- a/cmd/inference-router/measure.go
+++ b/cmd/inference-router/measure.go
@@ -31,11 +31,11 @@
 type scaleCommand struct {
 	Sizes    string        `arg:"--sizes" default:"30x60,100x200,360x600,30x600,360x60" help:"NODESxWORKERS joined by commas; sizes in other proportions tell what a node costs from what a worker costs"`
 	Target   string        `arg:"--target" default:"360x600" help:"size that the figures are carried to"`
-	Keepers  int           `arg:"--keepers" default:"3" help:"control machines, each a process"`
+	Servers  int           `arg:"--keepers" default:"3" help:"control machines, each a process"`
 	Tolerate int           `arg:"--tolerate" default:"0" help:"keepers that may be lost at once, which sets the members of each group; 0: as many as leave a majority"`
 	Edges    int           `arg:"--edges" default:"1" help:"nodes with a real agent and proxy, each a process; the others are hollow"`
 	Routes   int           `arg:"--routes" default:"3700" help:"routes of the configuration, as many as tenants"`
-	Settle   time.Duration `arg:"--settle" default:"20s" help:"after the start of a size, before it is measured"`
+	WarmUp   time.Duration `arg:"--settle" default:"20s" help:"after the start of a size, before it is measured"`
 	Window   time.Duration `arg:"--window" default:"10s" help:"of a measurement at rest"`
 	Windows  int           `arg:"--windows" default:"3" help:"measurements at rest for each size"`
 	Changes  int           `arg:"--changes" default:"12" help:"changes of the configuration for each size"`
@@ -58,12 +58,12 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	result, err := scalerun.Play(ctx, plan)
-	result.Command, result.Build = c.text(), revision()
+	result.Command, result.Build = c.commandLine(), buildRevision()
 	result.WriteText(out)
 	if err != nil {
 		fmt.Fprintln(errors, "measure scale:", err)
 	}
-	if failure := c.write(result); failure != nil {
+	if failure := c.writeFiles(result); failure != nil {
 		fmt.Fprintln(errors, "measure scale:", failure)
 		return exitFault
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return scalerun.Plan{}, err
 	}
-	if c.Keepers < 1 || c.Edges < 0 || c.Routes < 1 || c.Window <= 0 || c.Windows < 1 || c.FarLoss < 0 || c.FarLoss >= 1 {
+	if c.Servers < 1 || c.Edges < 0 || c.Routes < 1 || c.Window <= 0 || c.Windows < 1 || c.FarLoss < 0 || c.FarLoss >= 1 {
 		return scalerun.Plan{}, fmt.Errorf("keepers, routes, window and windows must be positive, edges not negative, far-loss from 0 to under 1")
 	}
 	binary, err := os.Executable()
@@ -94,20 +94,20 @@
 	if err != nil {
 		return scalerun.Plan{}, err
 	}
-	return scalerun.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Keepers: c.Keepers, Tolerance: c.Tolerate, Edges: c.Edges,
-		Routes: c.Routes, Settle: c.Settle, Window: c.Window, Windows: c.Windows, Changes: c.Changes, FarEvery: c.FarEvery,
+	return scalerun.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Keepers: c.Servers, Tolerance: c.Tolerate, Edges: c.Edges,
+		Routes: c.Routes, Settle: c.WarmUp, Window: c.Window, Windows: c.Windows, Changes: c.Changes, FarEvery: c.FarEvery,
 		Far: localfleet.Link{Delay: c.FarDelay, Loss: c.FarLoss}, Heartbeat: scaleHeartbeat, Limit: c.Limit, Progress: out}, nil
 }
 
-// text is the command line that was played, with all defaults.
-func (c *scaleCommand) text() string {
-	words := []string{"inference-router measure scale --sizes", c.Sizes, "--keepers", fmt.Sprint(c.Keepers), "--tolerate", fmt.Sprint(c.Tolerate), "--edges", fmt.Sprint(c.Edges),
+// commandLine is the command line that was played, with all defaults.
+func (c *scaleCommand) commandLine() string {
+	words := []string{"inference-router measure scale --sizes", c.Sizes, "--keepers", fmt.Sprint(c.Servers), "--tolerate", fmt.Sprint(c.Tolerate), "--edges", fmt.Sprint(c.Edges),
 		"--routes", fmt.Sprint(c.Routes), "--window", c.Window.String(), "--windows", fmt.Sprint(c.Windows), "--changes", fmt.Sprint(c.Changes)}
 	return strings.Join(words, " ")
 }
 
-// revision names the sources of this program as the build noted them.
-func revision() string {
+// buildRevision names the sources of this program as the build noted them.
+func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
@@ -125,8 +125,8 @@
 	return named["vcs.revision"]
 }
 
-// write writes the files that are asked for.
-func (c *scaleCommand) write(result scalereport.Result) error {
+// writeFiles writes the files that are asked for.
+func (c *scaleCommand) writeFiles(result scalereport.Result) error {
 	files := []struct {
 		path  string
 		write func(io.Writer) error
--- a/cmd/inference-router/measure_catchup.go
+++ b/cmd/inference-router/measure_catchup.go
@@ -15,7 +15,7 @@
 
 // catchupCommand are the flags of measure catchup.
 type catchupCommand struct {
-	Away         string        `arg:"--away" default:"100ms,300ms,1s,3s,10s,30s,60s" help:"spans joined by commas that a member is away; the changes of that time are made as fast as the group takes them"`
+	Absences     string        `arg:"--away" default:"100ms,300ms,1s,3s,10s,30s,60s" help:"spans joined by commas that a member is away; the changes of that time are made as fast as the group takes them"`
 	Routes       int           `arg:"--routes" default:"450" help:"routes of the configuration"`
 	Rate         int           `arg:"--rate" default:"30" help:"changes a second, which go on while a member catches up"`
 	ReplaceEvery int           `arg:"--replace-every" default:"10" help:"each so-manieth change replaces the whole configuration, the others one route"`
@@ -26,7 +26,7 @@
 
 // run measures all returns and shows what they took.
 func (c *catchupCommand) run(out, errors io.Writer) int {
-	away, err := parseSpans(c.Away)
+	absences, err := parseDurations(c.Absences)
 	if err != nil || c.Routes < 1 || c.Rate < 1 || c.ReplaceEvery < 1 || c.Limit <= 0 {
 		fmt.Fprintln(errors, "measure catchup: away must be spans joined by commas; routes, rate, replace-every and limit must be positive")
 		return exitUsage
@@ -39,15 +39,15 @@
 	defer os.RemoveAll(directory)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := catchupbench.Result{Build: revision(), Command: fmt.Sprintf("inference-router measure catchup --away %s --routes %d --rate %d --replace-every %d",
-		c.Away, c.Routes, c.Rate, c.ReplaceEvery)}
+	result := catchupbench.Result{Build: buildRevision(), Command: fmt.Sprintf("inference-router measure catchup --away %s --routes %d --rate %d --replace-every %d",
+		c.Absences, c.Routes, c.Rate, c.ReplaceEvery)}
 	result.Steps, err = catchupbench.Play(ctx, catchupbench.Plan{Directory: directory, Routes: c.Routes, Rate: c.Rate, ReplaceEvery: c.ReplaceEvery,
-		Away: away, Limit: c.Limit, Progress: out})
+		Away: absences, Limit: c.Limit, Progress: out})
 	if err != nil {
 		fmt.Fprintln(errors, "measure catchup:", err)
 	}
 	fmt.Fprintf(out, "%d returns, the slowest took %v\n", len(result.Steps), result.Slowest().Round(time.Millisecond))
-	if failure := c.write(result); failure != nil {
+	if failure := c.writeFiles(result); failure != nil {
 		fmt.Fprintln(errors, "measure catchup:", failure)
 		return exitFault
 	}
@@ -57,8 +57,8 @@
 	return exitOK
 }
 
-// write writes the files that are asked for.
-func (c *catchupCommand) write(result catchupbench.Result) error {
+// writeFiles writes the files that are asked for.
+func (c *catchupCommand) writeFiles(result catchupbench.Result) error {
 	if c.JSON != "" {
 		if err := writeFile(c.JSON, result.WriteJSON); err != nil {
 			return err
@@ -70,15 +70,15 @@
 	return writeFile(c.Plot, result.WriteSVG)
 }
 
-// parseSpans reads spans joined by commas.
-func parseSpans(text string) ([]time.Duration, error) {
-	var spans []time.Duration
+// parseDurations reads spans joined by commas.
+func parseDurations(text string) ([]time.Duration, error) {
+	var durations []time.Duration
 	for _, one := range strings.Split(text, ",") {
-		span, err := time.ParseDuration(strings.TrimSpace(one))
-		if err != nil || span < 0 {
+		duration, err := time.ParseDuration(strings.TrimSpace(one))
+		if err != nil || duration < 0 {
 			return nil, fmt.Errorf("measure catchup: %q is no span", one)
 		}
-		spans = append(spans, span)
+		durations = append(durations, duration)
 	}
-	return spans, nil
+	return durations, nil
 }
--- a/cmd/inference-router/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -19,22 +19,22 @@
 
 // simulateCommand are the flags of measure simulate.
 type simulateCommand struct {
-	Keepers   string        `arg:"--keepers" default:"3,5,9" help:"counts of keepers joined by commas, one part of the campaign each"`
-	Tolerate  int           `arg:"--tolerate" default:"0" help:"keepers that may be lost at once; 0: as many as leave a majority"`
-	Schedules int           `arg:"--schedules" default:"200" help:"for each count of keepers, and at most for each guard that is left out"`
-	Seed      uint64        `arg:"--seed" default:"1" help:"of the first schedule; the others follow"`
-	Length    time.Duration `arg:"--length" default:"45s" help:"simulated time in which faults and orders come"`
-	Agents    int           `arg:"--agents" default:"4"`
-	Operators int           `arg:"--operators" default:"2"`
-	Workers   int           `arg:"--workers" default:"6"`
-	SlowDisks bool          `arg:"--slow-disks" help:"all disks are slow now and then, and all keepers lose power amid it"`
-	Omit      []string      `arg:"--omit,separate" help:"guard to leave out, played until its absence is found; may be given again, each is a part of its own"`
-	Schedule  string        `arg:"--schedule" help:"file with one schedule, which alone is played"`
-	Processes int           `arg:"--processes" default:"0" help:"that play at once, each on one core; 0: half as many as there are cores"`
-	Limit     time.Duration `arg:"--limit" default:"2m" help:"real time for one schedule"`
-	Shrink    time.Duration `arg:"--shrink" default:"2m" help:"real time for shrinking each failure; 0: none is shrunk"`
-	MostFound int           `arg:"--most-found" default:"5" help:"violations after which a part is ended; 0: all schedules are played"`
-	JSON      string        `arg:"--json" help:"file for the whole result"`
+	Servers       string        `arg:"--keepers" default:"3,5,9" help:"counts of keepers joined by commas, one part of the campaign each"`
+	Tolerate      int           `arg:"--tolerate" default:"0" help:"keepers that may be lost at once; 0: as many as leave a majority"`
+	Schedules     int           `arg:"--schedules" default:"200" help:"for each count of keepers, and at most for each guard that is left out"`
+	Seed          uint64        `arg:"--seed" default:"1" help:"of the first schedule; the others follow"`
+	Length        time.Duration `arg:"--length" default:"45s" help:"simulated time in which faults and orders come"`
+	Agents        int           `arg:"--agents" default:"4"`
+	Operators     int           `arg:"--operators" default:"2"`
+	Workers       int           `arg:"--workers" default:"6"`
+	SlowDisks     bool          `arg:"--slow-disks" help:"all disks are slow now and then, and all keepers lose power amid it"`
+	Omit          []string      `arg:"--omit,separate" help:"guard to leave out, played until its absence is found; may be given again, each is a part of its own"`
+	Schedule      string        `arg:"--schedule" help:"file with one schedule, which alone is played"`
+	Processes     int           `arg:"--processes" default:"0" help:"that play at once, each on one core; 0: half as many as there are cores"`
+	Limit         time.Duration `arg:"--limit" default:"2m" help:"real time for one schedule"`
+	Shrink        time.Duration `arg:"--shrink" default:"2m" help:"real time for shrinking each failure; 0: none is shrunk"`
+	MaxViolations int           `arg:"--most-found" default:"5" help:"violations after which a part is ended; 0: all schedules are played"`
+	JSON          string        `arg:"--json" help:"file for the whole result"`
 }
 
 // run plays schedules of the simulated control plane and shows what they broke.
@@ -46,7 +46,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := campaign.Result{Command: c.text(), Build: revision(), Load: fmt.Sprint(scalerun.LoadAverage())}
+	result := campaign.Result{Command: c.commandLine(), Build: buildRevision(), Load: fmt.Sprint(scalerun.LoadAverage())}
 	result.Parts, err = c.play(ctx, shapes, out)
 	result.WriteText(out)
 	if err != nil {
@@ -89,7 +89,7 @@
 		return []campaign.Part{part}, err
 	}
 	return campaign.Play(ctx, campaign.Plan{Player: player, Shapes: shapes, First: c.Seed, Schedules: c.Schedules, Processes: c.processes(),
-		Shrink: c.Shrink, MostFound: c.MostFound, Progress: out})
+		Shrink: c.Shrink, MostFound: c.MaxViolations, Progress: out})
 }
 
 // shapes are the parts that the flags ask for: each count of keepers, without each guard that is left out.
@@ -98,12 +98,12 @@
 		return nil, fmt.Errorf("schedules, length, agents, operators and limit must be positive, the other counts not negative")
 	}
 	var shapes []schedule.Shape
-	for _, word := range strings.Split(c.Keepers, ",") {
-		keepers, err := strconv.Atoi(word)
-		if err != nil || keepers < 1 {
-			return nil, fmt.Errorf("keepers must be positive numbers joined by commas, not %q", c.Keepers)
+	for _, word := range strings.Split(c.Servers, ",") {
+		servers, err := strconv.Atoi(word)
+		if err != nil || servers < 1 {
+			return nil, fmt.Errorf("keepers must be positive numbers joined by commas, not %q", c.Servers)
 		}
-		shape := schedule.Shape{Keepers: keepers, Tolerance: c.tolerance(keepers), Agents: c.Agents, Operators: c.Operators, Workers: c.Workers, Length: c.Length,
+		shape := schedule.Shape{Keepers: servers, Tolerance: c.tolerance(servers), Agents: c.Agents, Operators: c.Operators, Workers: c.Workers, Length: c.Length,
 			SlowDisks: c.SlowDisks}
 		if len(c.Omit) == 0 {
 			shapes = append(shapes, shape)
@@ -117,11 +117,11 @@
 }
 
 // tolerance is how many of the keepers may be lost at once.
-func (c *simulateCommand) tolerance(keepers int) int {
+func (c *simulateCommand) tolerance(servers int) int {
 	if c.Tolerate > 0 {
 		return c.Tolerate
 	}
-	return (keepers - 1) / 2
+	return (servers - 1) / 2
 }
 
 // processes is how many play at once.
@@ -132,13 +132,13 @@
 	return max(1, runtime.NumCPU()/2)
 }
 
-// text is the command line that was played, with the defaults that decide what is drawn.
-func (c *simulateCommand) text() string {
+// commandLine is the command line that was played, with the defaults that decide what is drawn.
+func (c *simulateCommand) commandLine() string {
 	if c.Schedule != "" {
 		return "inference-router measure simulate --schedule " + c.Schedule
 	}
 	text := fmt.Sprintf("inference-router measure simulate --keepers %s --tolerate %d --schedules %d --seed %d --length %v --agents %d --operators %d --workers %d --processes %d",
-		c.Keepers, c.Tolerate, c.Schedules, c.Seed, c.Length, c.Agents, c.Operators, c.Workers, c.processes())
+		c.Servers, c.Tolerate, c.Schedules, c.Seed, c.Length, c.Agents, c.Operators, c.Workers, c.processes())
 	if c.SlowDisks {
 		text += " --slow-disks"
 	}
--- a/cmd/inference-router/measure_traffic.go
+++ b/cmd/inference-router/measure_traffic.go
@@ -47,7 +47,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	result := scalereport.TrafficResult{Build: revision(), Target: target[0], Machine: fmt.Sprintf("%d processors", runtime.NumCPU()), Load: scalerun.LoadAverage(),
+	result := scalereport.TrafficResult{Build: buildRevision(), Target: target[0], Machine: fmt.Sprintf("%d processors", runtime.NumCPU()), Load: scalerun.LoadAverage(),
 		Command: fmt.Sprintf("inference-router measure traffic --rates %s --workers %d --token-time %v", c.Rates, c.Workers, c.TokenTime)}
 	result.Steps, err = scalerun.PlayTraffic(ctx, scalerun.TrafficPlan{Binary: binary, Directory: directory, Rates: rates, Workers: c.Workers,
 		TokenTime: c.TokenTime, Window: c.Window, Windows: c.Windows, Limit: c.Limit, Progress: out})
