--- a/cmd/inference-router/main.go
+++ b/cmd/inference-router/main.go
@@ -31,7 +31,7 @@
 type arguments struct {
 	Proxy        *roleCommand    `arg:"subcommand:proxy" help:"take clients' requests and forward them to workers"`
 	Agent        *roleCommand    `arg:"subcommand:agent" help:"keep the link to the control plane for the proxy beside it"`
-	ControlPlane *roleCommand    `arg:"subcommand:keeper" help:"hold the control plane's state and serve its API"`
+	ControlPlane *roleCommand    `arg:"subcommand:control-plane" help:"hold the control plane's state and serve its API"`
 	Check        *checkCommand   `arg:"subcommand:check" help:"check a settings file or a configuration and exit"`
 	Measure      *measureCommand `arg:"subcommand:measure" help:"measure the fleet on this machine"`
 	Demo         *demoCommand    `arg:"subcommand:demo" help:"run a whole fleet with stand-in workers on loopback and send requests through it"`
@@ -77,7 +77,7 @@
 	case parsed.Agent != nil:
 		return runRole("agent", parsed.Agent, agent.Run, errors)
 	case parsed.ControlPlane != nil:
-		return runRole("keeper", parsed.ControlPlane, server.Run, errors)
+		return runRole("controlplane", parsed.ControlPlane, server.Run, errors)
 	case parsed.Check != nil:
 		return parsed.Check.run(out, errors)
 	case parsed.Demo != nil:
@@ -112,7 +112,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := run(ctx, loaded, logger); err != nil {
-		logger.Error("ended", zap.Error(err))
+		logger.Error("process failed", zap.Error(err))
 		return exitFault
 	}
 	return exitOK
--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestRun_helpOfEachCommand(t *testing.T) {
-	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"keeper"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
+	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"control-plane"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
 		code, out, faults := runCommand(append(words, "--help")...)
 		usage := strings.Join(append([]string{"Usage: inference-router"}, words...), " ")
 		if code != exitOK || !strings.Contains(out, usage) || faults != "" {
@@ -43,8 +43,8 @@
 		{[]string{}, "Usage: inference-router"},
 		{[]string{"measure"}, "Usage: inference-router measure"},
 		{[]string{"nonsense"}, "nonsense"},
-		{[]string{"keeper", "--nonsense"}, "--nonsense"},
-		{[]string{"keeper", "--settings", filepath.Join(t.TempDir(), "none.json")}, "no such file"},
+		{[]string{"control-plane", "--nonsense"}, "--nonsense"},
+		{[]string{"control-plane", "--settings", filepath.Join(t.TempDir(), "none.json")}, "no such file"},
 		{[]string{"proxy", "--settings", bad}, "ip:"},
 		{[]string{"check"}, "--settings or --configuration"},
 		{[]string{"measure", "scale", "--sizes", "many"}, "NODESxWORKERS"},
@@ -63,8 +63,8 @@
 	}
 }
 
-// validSettings are valid settings of a keeper.
-const validSettings = `{"nodeName":"core-a-1","role":"keeper","ip":"127.0.0.1","zone":"a","listen":{"control":"127.0.0.1:8146"},
+// validSettings are valid settings of a control plane server.
+const validSettings = `{"nodeName":"core-a-1","role":"controlplane","ip":"127.0.0.1","zone":"a","listen":{"control":"127.0.0.1:8146"},
 "portRange":[7660,7675],"seeds":["127.0.0.1:8146"],"dataDir":"data","limits":{"memoryMb":280,"maxFds":4096}}`
 
 func TestCheckCommand(t *testing.T) {
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -124,7 +124,7 @@
 
 // StartKeeper starts the i-th keeper. bootstrap is true at the fleet's first start only.
 func (f *Fleet) StartKeeper(i int, bootstrap bool) (*Process, error) {
-	s := f.base(networkKeepers, i, "keeper", bootstrap)
+	s := f.base(networkKeepers, i, roleControlPlane, bootstrap)
 	s.Listen.Control = fmt.Sprintf("%s:%d", s.IP, portControl)
 	s.MachineClass, s.CountsForQuorum = "core", true
 	s.DataDir = f.data(i)
@@ -202,6 +202,17 @@
 	return s
 }
 
+// roleControlPlane is the role of control plane servers in the settings.
+const roleControlPlane = "controlplane"
+
+// subcommand returns the sub-command of inference-router that runs a role.
+func subcommand(role string) string {
+	if role == roleControlPlane {
+		return "control-plane"
+	}
+	return role
+}
+
 // start writes a process's settings and starts it.
 func (f *Fleet) start(s bootconfig.Settings) (*Process, error) {
 	directory := filepath.Join(f.layout.Directory, s.NodeName)
@@ -221,7 +232,7 @@
 		return nil, eris.Wrap(err, "log")
 	}
 	defer log.Close()
-	command := exec.Command(f.layout.Binary, s.Role, "--settings", path)
+	command := exec.Command(f.layout.Binary, subcommand(s.Role), "--settings", path)
 	if f.layout.LogLevel != "" {
 		command.Args = append(command.Args, "--log-level", f.layout.LogLevel)
 	}
--- a/internal/testkit/localfleet/process.go
+++ b/internal/testkit/localfleet/process.go
@@ -51,7 +51,7 @@
 }
 
 // Keeper returns the process of the i-th keeper that was started last, or nil.
-func (f *Fleet) Keeper(i int) *Process { return f.process("keeper", networkKeepers, i) }
+func (f *Fleet) Keeper(i int) *Process { return f.process(roleControlPlane, networkKeepers, i) }
 
 // Agent returns the agent of the i-th edge that was started last, or nil.
 func (f *Fleet) Agent(i int) *Process { return f.process("agent", networkEdges, i) }
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -115,13 +115,13 @@
 }
 
 var figures = []figure{
-	{"all keepers: processor at rest", "% of a core", "keeper", PhaseRest, true, func(u Use) float64 { return u.Processor }},
-	{"keeper: memory at rest", "MB", "keeper", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
-	{"all keepers: written at rest", "kB/s", "keeper", PhaseRest, true, func(u Use) float64 { return u.WrittenKB }},
-	{"all keepers: read at rest", "kB/s", "keeper", PhaseRest, true, func(u Use) float64 { return u.ReadKB }},
-	{"all keepers: writes at rest", "calls/s", "keeper", PhaseRest, true, func(u Use) float64 { return u.Writes }},
-	{"all keepers: waits at rest", "1/s", "keeper", PhaseRest, true, func(u Use) float64 { return u.Switches }},
-	{"keeper: peak memory with restarts", "MB", "keeper", PhaseRestart, false, func(u Use) float64 { return u.PeakMB }},
+	{"all keepers: processor at rest", "% of a core", "controlplane", PhaseRest, true, func(u Use) float64 { return u.Processor }},
+	{"keeper: memory at rest", "MB", "controlplane", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
+	{"all keepers: written at rest", "kB/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.WrittenKB }},
+	{"all keepers: read at rest", "kB/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.ReadKB }},
+	{"all keepers: writes at rest", "calls/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.Writes }},
+	{"all keepers: waits at rest", "1/s", "controlplane", PhaseRest, true, func(u Use) float64 { return u.Switches }},
+	{"keeper: peak memory with restarts", "MB", "controlplane", PhaseRestart, false, func(u Use) float64 { return u.PeakMB }},
 	{"agent: processor at rest", "% of a core", "agent", PhaseRest, false, func(u Use) float64 { return u.Processor }},
 	{"agent: memory at rest", "MB", "agent", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
 	{"agent: read at rest", "kB/s", "agent", PhaseRest, false, func(u Use) float64 { return u.ReadKB }},
--- a/internal/testkit/scalerun/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -67,7 +67,7 @@
 
 // sayRest shows the means of the roles at rest.
 func (s *stepRun) sayRest() {
-	for _, role := range []string{"keeper", "agent", "proxy"} {
+	for _, role := range []string{"controlplane", "agent", "proxy"} {
 		var sum scalereport.Use
 		count := 0.0
 		for _, process := range s.step.Processes {
--- a/internal/testkit/scalerun/trial_test.go
+++ b/internal/testkit/scalerun/trial_test.go
@@ -86,7 +86,7 @@
 			roles[process.Role]++
 		}
 	}
-	if roles["keeper"] != 6 || roles["agent"] != 2 || roles["proxy"] != 2 {
+	if roles["controlplane"] != 6 || roles["agent"] != 2 || roles["proxy"] != 2 {
 		t.Errorf("%d nodes: processes at rest %v", step.Size.Nodes, roles)
 	}
 }
