--- a/internal/dataplane/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	lowLoadSlotShare    = 0.5  // part of the slots under which nothing is refused
-	lowLoadQueueLength  = 1.   // requests waiting at each worker under which nothing is refused
-	maxSlackShare       = 0.75 // part of its slack that the most urgent request may wait
-	minSlackShare       = 0.5  // the same for the least urgent
-	rejectAllRatio      = 1.4  // times the bound at which all are refused; fewer below, down to none at the bound
-	maxRejectShare      = 0.95 // part that is refused at most: with no answers, nothing would be learned
-	deadlineShare       = 0.9  // part of the time to its deadline that a request's first event must be predicted in
-	lateWaitShare       = 0.1  // part of its objective that a request may wait once it is late anyway
+	lowLoadSlotShare    = 0.5  // share of the slots in use below which every request is admitted
+	lowLoadQueueLength  = 1.   // requests waiting at each worker below which every request is admitted
+	maxSlackShare       = 0.75 // share of its slack that a request of the highest priority may wait
+	minSlackShare       = 0.5  // the same for the lowest priority
+	rejectAllRatio      = 1.4  // multiple of the longest wait at which all are rejected; rising from none at 1
+	maxRejectShare      = 0.95 // share that is rejected at most: without any answers nothing would be learned
+	deadlineShare       = 0.9  // share of the time to the deadline within which the first event must be predicted
+	lateWaitShare       = 0.1  // share of its latency target that a request may wait once it misses it anyway
 	minRetryAfter       = 100 * time.Millisecond
 	maxRetryAfter       = 1500 * time.Millisecond
-	priorityTTL         = 30 * time.Second // for which a priority counts after its last request
+	priorityTTL         = 30 * time.Second // for which a priority counts as in use after its last request
 	priorityLevels      = 16
-	unloadedTimeSamples = 64. // requests over which a route's mean is taken
+	unloadedTimeSamples = 64. // requests of a route after which its mean forgets
 )
 
-// serviceLoad is how busy a service is.
+// serviceLoad is the load of a service, summed over the workers that a request may be sent to.
 type serviceLoad struct{ inUse, slots, waiting, workers float64 }
 
 func (l *serviceLoad) add(of workerClass, load workerLoad, slots float64) {
@@ -36,32 +36,34 @@
 	l.waiting += load.waiting
 }
 
-// low tells whether a refusal could help nobody.
+// low reports whether rejecting a request could not help any other.
 func (l *serviceLoad) low() bool {
 	return l.inUse < lowLoadSlotShare*l.slots && l.waiting < lowLoadQueueLength*l.workers
 }
 
-// admission is what refusing depends on besides the load.
+// admission is what load shedding depends on besides the load.
 type admission struct {
-	unloadedByRoute map[string]*stats.Mean        // by route: first event of its requests if none waits, in seconds
-	lastSeen        [priorityLevels]time.Duration // last request of a priority, plus 1; 0: none
+	unloadedByRoute map[string]*stats.Mean        // seconds to the first event of a route's requests without a queue
+	lastSeen        [priorityLevels]time.Duration // instant of the last request of a priority, plus 1; 0: none
 }
 
-// observe takes in a request and returns what its route's first events take if none waits.
+// observe records a request and returns the seconds to the first event that are typical of its route
+// without a queue.
 func (a *admission) observe(now time.Duration, request *Request, unloaded float64) float64 {
 	if a.unloadedByRoute == nil {
 		a.unloadedByRoute = map[string]*stats.Mean{}
 	}
 	a.lastSeen[priorityLevel(request.Priority)] = now + 1
 	mean := stats.Of(a.unloadedByRoute, request.Route)
-	typical := mean.Or(unloaded, 0) // without its own size, which must not decide
+	typical := mean.Or(unloaded, 0) // before its own size is added, which must not decide
 	mean.Add(min(unloaded, typical*maxOutlierRatio), unloadedTimeSamples)
 	return typical
 }
 
 func priorityLevel(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
-// slackShare is the part of its slack that a request may wait: less urgent ones are refused first.
+// slackShare returns the share of its slack that a request may wait. It falls with the priority's rank
+// among those in use, so that lower priorities are rejected first.
 func (a *admission) slackShare(now time.Duration, priority int) float64 {
 	moreUrgent, others := 0., -1.
 	for level, seen := range a.lastSeen {
@@ -79,8 +81,9 @@
 	return maxSlackShare - (maxSlackShare-minSlackShare)*moreUrgent/others
 }
 
-// admit decides whether a request is sent. What counts is its wait, and not its size: the largest
-// requests of a route are refused no sooner than the others.
+// admit decides whether a request is sent. It compares the predicted queue wait with the longest one
+// that is acceptable; the request's own size does not count, so that the largest requests of a route are
+// rejected no sooner than the others.
 func (s *service) admit(now time.Duration, info *requestInfo, best placement, load serviceLoad) Verdict {
 	request := info.request
 	typical := s.admission.observe(now, request, best.firstEvent-best.queueWait)
@@ -98,8 +101,8 @@
 	return Verdict{RetryAfter: retryAfter(best.queueWait - maxWait)}
 }
 
-// maxWait is the wait with which a usual request of the route still meets its objective, in seconds;
-// once that cannot be met, a little.
+// maxWait returns the seconds of queue wait with which a typical request of the route still meets its
+// latency target; once that is impossible, a small share of the target.
 func (s *service) maxWait(now time.Duration, request *Request, typical float64) float64 {
 	target := request.Objective
 	if target == 0 {
@@ -111,7 +114,7 @@
 	return max((target-now).Seconds()-typical, lateWaitShare*(target-request.Arrived).Seconds())
 }
 
-// retryAfter is when a wait will have gone down by so many seconds, if nothing is added.
+// retryAfter returns when a queue wait will have fallen by that many seconds, if nothing is added.
 func retryAfter(excess float64) time.Duration {
 	return min(max(seconds(excess), minRetryAfter), maxRetryAfter)
 }
--- a/internal/dataplane/selection/affinity.go
+++ b/internal/dataplane/selection/affinity.go
@@ -8,29 +8,34 @@
 	"ospreybend/internal/util/stats"
 )
 
-// A part that requests share is read at its homes: all nodes order the workers of a class alike for it
-// and take the first, as many as its share of the requests needs. What overflows goes on in that order.
+// Requests that share a prompt segment are sent to the same few workers, its affinity targets, so that
+// its KV cache is computed only there. Every node orders the workers of a class by rendezvous hashing of
+// the segment's ID, so that all agree on the targets without talking to each other: the first workers in
+// that order, as many as the segment's share of the requests needs. What the targets cannot take goes to
+// the workers that follow.
 
 const (
-	segmentSamples       = 2048. // parts after which their counts are halved
-	segmentPriorSamples  = 16.   // parts of others taken for granted
-	affinityTargetFactor = 1.5   // homes for each that a part's share needs: they are not all free at once
-	cacheRetention       = 20.   // seconds for which a worker keeps a part that is not used
-	affinityDecay        = 3.    // how fast the chance that a part is kept falls beyond its homes
-	assumedUses          = 1.    // uses of a part at its home that are taken for granted
-	requestRateSamples   = 32.   // requests over which the node's own rate is taken
-	maxRequestGap        = 5.    // seconds between two requests at most, as counted
+	segmentSamples       = 2048. // segments after which their counts are halved
+	segmentPriorSamples  = 16.   // other segments that are assumed before any is seen
+	affinityTargetFactor = 1.5   // targets for each worker that a segment's share needs: not all are free at once
+	cacheRetention       = 20.   // seconds for which a worker caches a segment that is not used
+	affinityDecay        = 3.    // how fast the probability of a cached segment falls beyond its targets
+	assumedUses          = 1.    // uses of a segment at its targets that are assumed before any is seen
+	requestRateSamples   = 32.   // requests after which the node's request rate forgets
+	maxRequestGap        = 5.    // seconds; longer gaps between requests count as this
+	minRequestGap        = 0.001 // seconds; shorter mean gaps count as this
 )
 
-// segmentPopularity counts how often shared parts come.
+// segmentPopularity counts how often shared segments are requested on this node.
 type segmentPopularity struct {
 	keyShares, ancestorShares stats.Shares
-	requestGap                stats.Mean // seconds between this node's requests
+	requestGap                stats.Mean // seconds between requests
 	lastRequest               time.Duration
 	started                   bool
 }
 
-// record takes in a request: the share of the requests that its last shared part has, and of the one before.
+// record counts a request, and sets its shares: that of its affinity key among the requests, and those
+// of the segments before it.
 func (p *segmentPopularity) record(now time.Duration, info *requestInfo) {
 	if p.started {
 		p.requestGap.Add(min((now-p.lastRequest).Seconds(), maxRequestGap), requestRateSamples)
@@ -44,10 +49,12 @@
 	}
 }
 
-// rate is the number of requests a second on this node.
-func (p *segmentPopularity) rate() float64 { return 1 / max(0.001, p.requestGap.Or(1, 1)) }
+// rate returns the requests per second on this node.
+func (p *segmentPopularity) rate() float64 {
+	return 1 / max(minRequestGap, p.requestGap.Or(1, 1))
+}
 
-// affinityReach is how far down a key's order its homes go, in workers of a class.
+// affinityReach returns the rank in the key's rendezvous order up to which workers are affinity targets.
 func affinityReach(info *requestInfo, workers []*worker) float64 {
 	nearest := math.Inf(1)
 	for _, w := range workers {
@@ -56,8 +63,8 @@
 	return nearest + info.keyShare*affinityTargetFactor*float64(len(workers))
 }
 
-// cachedTokens estimates the tokens of a job's prompt that a worker keeps: what this node has had it read, or
-// what other nodes are likely to have, which agree with it on homes.
+// cachedTokens estimates how many tokens of a prompt are in a worker's prefix cache: what this node has
+// sent there, or what the other nodes, which agree on the affinity targets, are likely to have sent.
 func (s *service) cachedTokens(info *requestInfo, w *worker, reach float64, workers int) float64 {
 	own := w.cache.cachedTokens(info.prompt)
 	if info.affinityKey == 0 || len(info.sharedSegments) == 0 {
@@ -72,12 +79,14 @@
 	return min(max(own, total), info.promptTokens)
 }
 
-// cachedProbability is the chance that a worker keeps a shared part, by what all nodes send.
+// cachedProbability returns the probability that a worker has the shared segment of that index cached,
+// given that all nodes together send span requests while it retains one.
 func (s *service) cachedProbability(info *requestInfo, worker *worker, index int, reach float64, workers int, span float64) float64 {
 	beyond := max(0, estimate.RendezvousRank(info.affinityKey, worker.hash, workers)-reach)
 	uses := assumedUses + info.keyShare*span
 	probability := uses / (1 + uses) * math.Exp(-affinityDecay*beyond)
-	if index < len(info.ancestorShares) && index < len(info.sharedSegments)-1 { // spread over the homes of the parts that follow it
+	if index < len(info.ancestorShares) && index < len(info.sharedSegments)-1 {
+		// An earlier segment is spread over the targets of all the segments that follow it.
 		uses = info.ancestorShares[index] * span / float64(max(1, workers))
 		probability = max(probability, uses/(1+uses))
 	}
--- a/internal/dataplane/selection/affinity_test.go
+++ b/internal/dataplane/selection/affinity_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestAffinityTargets_properties(t *testing.T) {
-	p := newProperties(t)
+	p := newProperties()
 	p.Property("nodes agree", prop.ForAll(func(key uint64) bool {
 		one, _ := newTestSelector(4, 5, 1)
 		other, _ := newTestSelector(4, 5, 77)
--- a/internal/dataplane/selection/calls.go
+++ b/internal/dataplane/selection/calls.go
@@ -4,26 +4,27 @@
 	"time"
 )
 
-// Call is one call to a worker that has not ended. It ends by exactly one of Done, Rejected, Failed and
-// Abandoned; whatever comes after that is ignored.
+// Call is one call to a worker that is in flight. It ends by the first of Done, Rejected, Failed and
+// Abandoned; later ones have no effect.
 type Call struct {
-	service            *service
-	worker             *worker
-	source             *worker     // of the hand-over; nil: none
-	workerClass        workerClass // that the worker had
-	forecast           forecast
-	prompt             []PromptSegment
-	reservedTokens     float64
-	outputTokens       float64 // tokens that may be made
-	sentAt             time.Duration
+	service        *service
+	worker         *worker
+	source         *worker     // prefill worker that the KV cache is transferred from; nil: none
+	workerClass    workerClass // of the worker when the call was sent
+	forecast       forecast
+	prompt         []PromptSegment
+	reservedTokens float64 // of the worker's KV cache
+	outputTokens   float64 // upper bound
+	sentAt         time.Duration
+
 	firstEventAt       time.Duration
-	othersAtFirstEvent callCounts // this node's other calls there when the answer began
-	started            bool
+	othersAtFirstEvent callCounts // this node's other calls at the worker when the answer began
+	started            bool       // the answer has begun
 	ended              bool
 }
 
-// Sent opens a call that is being sent: to c.Prefill (CallPrefill) or c.Run. Its worker must be of the
-// view; otherwise the call counts for nothing.
+// Sent opens a call that is being sent to choice.Prefill (CallPrefill) or to choice.Run. If that worker
+// is not in the view, the returned call has ended and counts for nothing.
 func (s *Selector) Sent(now time.Duration, request *Request, kind CallKind, choice Choice) *Call {
 	call := &Call{sentAt: now, prompt: request.Prompt}
 	target, svc := choice.Run, s.services[request.Service]
@@ -43,7 +44,7 @@
 	return call
 }
 
-// predictCall fills in what a call is predicted to take.
+// predictCall sets a call's forecast and the KV cache that it reserves.
 func (s *service) predictCall(now time.Duration, info *requestInfo, call *Call) {
 	w := call.worker
 	call.workerClass, call.outputTokens = w.class, float64(info.request.OutputTokens)
@@ -64,7 +65,7 @@
 	call.forecast = s.predict(now, w, t, s.estimateLoad(now, w))
 }
 
-// FirstEvent takes in that the first event of an answer has come.
+// FirstEvent records that the first event of an answer has arrived.
 func (s *Selector) FirstEvent(now time.Duration, call *Call) {
 	if call.ended || call.started {
 		return
@@ -72,16 +73,7 @@
 	call.start(now)
 }
 
-// Told takes in the load that the head of an answer told, ahead of the answer's end. Done may be given
-// the same again.
-func (s *Selector) Told(now time.Duration, call *Call, load Load) {
-	if call.ended {
-		return
-	}
-	call.service.recordLoad(now, call.worker, &load, call.worker.ownCallsExcept(call))
-}
-
-// start learns from an answer's beginning.
+// start learns from the beginning of an answer.
 func (c *Call) start(now time.Duration) {
 	s, w := c.service, c.worker
 	s.learn(now, c, (now - c.sentAt).Seconds())
@@ -97,7 +89,7 @@
 	}
 }
 
-// Done ends a call that has its whole answer; load is what the answer told, nil if nothing.
+// Done ends a call whose answer is complete. Load is what the head of the answer reported; nil: nothing.
 func (s *Selector) Done(now time.Duration, call *Call, load *Load) {
 	if call.ended {
 		return
@@ -120,7 +112,7 @@
 	call.close()
 }
 
-// learnDecodePace learns from the time after the first event.
+// learnDecodePace learns from the time between the first event and the end of the answer.
 func (c *Call) learnDecodePace(now time.Duration) {
 	if c.workerClass != classDecode || c.worker.class != c.workerClass || c.outputTokens < 1 {
 		return
@@ -130,8 +122,8 @@
 	c.worker.delays[classDecode].AddProcess(now, interTokenBucket, c.forecast.load.running, ratio)
 }
 
-// Rejected ends a call that the worker did not run. Its round trip is no processing, and the worker
-// counts as full for a while.
+// Rejected ends a call that the worker did not execute. Its round trip has no processing time in it, and
+// the worker counts as full for fullAfterRejection.
 func (s *Selector) Rejected(now time.Duration, call *Call, load *Load) {
 	if call.ended {
 		return
@@ -146,7 +138,7 @@
 	call.close()
 }
 
-// Failed ends a call that yielded nothing. It feeds no window.
+// Failed ends a call without a usable answer. No prediction learns from it.
 func (s *Selector) Failed(now time.Duration, call *Call, cause Failure) {
 	if call.ended {
 		return
@@ -158,14 +150,14 @@
 	call.close()
 }
 
-// Abandoned ends a call that the client left. It feeds no window.
-func (s *Selector) Abandoned(now time.Duration, call *Call) {
+// Abandoned ends a call whose client has left. No prediction learns from it.
+func (s *Selector) Abandoned(_ time.Duration, call *Call) {
 	if !call.ended {
 		call.close()
 	}
 }
 
-// close takes the call from its worker's counts.
+// close removes the call from its worker's calls in flight.
 func (c *Call) close() {
 	c.ended = true
 	c.worker.removeCall(c)
--- a/internal/dataplane/selection/calls_test.go
+++ b/internal/dataplane/selection/calls_test.go
@@ -43,7 +43,7 @@
 		Objective: now + 500*time.Millisecond, Deadline: now + 4*time.Second}
 }
 
-func newProperties(t *testing.T) *gopter.Properties {
+func newProperties() *gopter.Properties {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 60
 	return gopter.NewProperties(parameters)
@@ -98,7 +98,7 @@
 }
 
 func TestSelector_Calls_properties(t *testing.T) {
-	p := newProperties(t)
+	p := newProperties()
 	steps := gen.SliceOfN(300, gen.IntRange(0, 100000))
 	p.Property("counts return to zero", prop.ForAll(func(steps []int) bool {
 		s, view := newTestSelector(3, 4, 1)
@@ -147,7 +147,7 @@
 }
 
 func TestSelector_Choose_skipsExcludedWorkers(t *testing.T) {
-	p := newProperties(t)
+	p := newProperties()
 	p.Property("", prop.ForAll(func(mask int, key uint64) bool {
 		s, view := newTestSelector(3, 4, 1)
 		var excluded []string
@@ -180,7 +180,6 @@
 	s.SetView(0, &fleetview.View{Services: view.Services, Workers: map[string][]*fleetview.Worker{}})
 	call := s.Sent(0, r, CallRun, c)
 	s.FirstEvent(1, call)
-	s.Told(1, call, Load{})
 	s.Done(2, call, nil)
 	if _, v := s.Choose(3, r, nil); v.Admit || v.RetryAfter <= 0 {
 		t.Errorf("without workers: %+v", v)
--- a/internal/dataplane/selection/demand.go
+++ b/internal/dataplane/selection/demand.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// batchSlowdown is by how much a decode worker takes longer for a token when all its slots are taken, against one that
-	// runs a single request. What it can make at most is what it makes then.
+	// batchSlowdown is by how much longer a decode worker takes for a token when all its slots are in use, against a
+	// single request. Its capacity is what it decodes then.
 	batchSlowdown = 1.
-	// maxSampleSpan bounds the time that one look at the running streams stands for.
+	// maxSampleSpan bounds the time for which one look at the running streams counts.
 	maxSampleSpan = 2 * time.Second
 )
 
-// Demands returns the demand of each service whose workers have stages, since the start. Running streams count for the time
-// since the call before, so it is to be called several times a second.
+// Demands returns the demand since the start of each service whose workers have stages; the planner of
+// prefill and decode roles works from it. Running streams count for the time since the previous call, so
+// it is to be called several times a second.
 func (s *Selector) Demands(now time.Duration) map[string]roleplanner.Demand {
 	demands := make(map[string]roleplanner.Demand, len(s.services))
 	for name, service := range s.services {
@@ -27,14 +28,15 @@
 	return demands
 }
 
-// countStreams adds the time for which this node's streams have held slots and memory of decode workers.
+// countStreams adds the time for which this node's streams have occupied slots and KV cache of decode
+// workers.
 func (s *service) countStreams(now time.Duration) {
 	span := min(now-s.streamsCountedAt, maxSampleSpan).Seconds()
 	s.streamsCountedAt = now
 	for _, w := range s.workers {
 		for _, call := range w.calls {
 			if call.workerClass != classDecode || !call.started && call.source == nil {
-				continue // it is still reading
+				continue // it is still in prefill
 			}
 			busy := min(1, call.forecast.load.running/s.slotsOf(w))
 			s.demand.Slots += span * (1 + batchSlowdown) / (1 + batchSlowdown*busy) / s.slotsOf(w)
@@ -43,7 +45,7 @@
 	}
 }
 
-// recordOffered adds what a request asks for, by the best way to serve it.
+// recordOffered adds a request to the demand, as the best placement would serve it.
 func (s *service) recordOffered(info *requestInfo, best placement) {
 	reader := best.prefill
 	if reader == nil {
@@ -54,7 +56,7 @@
 	s.demand.Transfers += s.configuredTransfer(best.run.uncachedTokens)
 }
 
-// recordPrefill adds a prompt that a prefill worker has read.
+// recordPrefill adds a prefill that is done.
 func (s *service) recordPrefill(call *Call, seconds float64) {
 	s.demand.PrefillDone += call.forecast.unloaded
 	s.demand.PrefillTime += max(0, seconds-call.forecast.network)
--- a/internal/dataplane/selection/ejection.go
+++ b/internal/dataplane/selection/ejection.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Nodes tell each other which workers fail them, so that each need not find out by requests of its own. What several have
-// found counts for all.
+// Nodes report to each other which workers fail, so that each need not find out by requests of its own.
+// A worker that enough nodes report is ejected at all of them.
 
 const (
-	minReporters        = 2    // nodes that must have found that a worker fails
-	minReporterShare    = 0.03 // and at least this part of the nodes
-	maxFailingShare     = 0.5  // a node to which more than this part of a service's workers fail is at fault itself
-	maxPeerEjectedShare = 0.2  // part of a class's workers that are set aside by what others have found
+	minReporters        = 2    // nodes that must report a worker
+	minReporterShare    = 0.03 // and at least this share of the nodes
+	maxFailingShare     = 0.5  // a node that reports more than this share of a service's workers is at fault itself
+	maxPeerEjectedShare = 0.2  // share of a class's workers that are ejected because of reports
 	minPeerEjection     = 500 * time.Millisecond
-	maxPeerEjection     = 3 * time.Second // drawn, so that not all nodes try a worker again at one moment
+	maxPeerEjection     = 3 * time.Second // drawn, so that not all nodes probe a worker at once
 )
 
-// applyFailureReports sets workers aside that, with what a node has just told, enough nodes have found to fail.
+// applyFailureReports ejects the workers that, with what a node has just reported, enough nodes report.
 func (s *Selector) applyFailureReports(now time.Duration, list []Outstanding) {
 	for _, service := range s.services {
 		var failing []*worker
@@ -35,26 +35,27 @@
 	}
 }
 
-// ejectByReports sends a worker nothing for a while if enough nodes claim that it fails, and not too many workers are set aside.
+// ejectByReports ejects a worker for a while if enough nodes report it, and not too many workers of its
+// class are ejected because of reports.
 func (s *service) ejectByReports(now time.Duration, worker *worker) {
 	needed := max(minReporters, int(math.Ceil(minReporterShare*float64(s.selector.nodes))))
 	if now < worker.health.ejectedUntil || s.selector.failureReporters(now, worker) < needed {
 		return
 	}
-	ejected, peers := 1, s.byClass[worker.class]
-	for _, other := range peers {
+	ejected, sameClass := 1, s.byClass[worker.class]
+	for _, other := range sameClass {
 		if other != worker && now < other.health.ejectedUntil && !other.health.ejectedLocally {
 			ejected++
 		}
 	}
-	if float64(ejected) > max(1, maxPeerEjectedShare*float64(len(peers))) {
+	if float64(ejected) > max(1, maxPeerEjectedShare*float64(len(sameClass))) {
 		return
 	}
 	span := minPeerEjection + time.Duration(s.selector.random.Float64()*float64(maxPeerEjection-minPeerEjection))
 	worker.health.eject(now + span)
 }
 
-// failureReporters counts the nodes that lately told that a worker fails.
+// failureReporters counts the nodes whose latest state reports that a worker fails.
 func (s *Selector) failureReporters(now time.Duration, w *worker) int {
 	count := 0
 	for _, peer := range s.peers {
--- a/internal/dataplane/selection/kvmemory.go
+++ b/internal/dataplane/selection/kvmemory.go
@@ -1,22 +1,23 @@
 package selection
 
 const (
-	memoryHighWatermark       = 0.85  // part of a worker's memory up to which running requests may fill it
-	memoryPenaltySeconds      = 4.    // seconds that the whole memory beyond this counts as
-	requestTokensPriorSamples = 4.    // samples that a usual request's tokens count as
-	defaultRequestTokens      = 3000. // tokens of a running request, until shown
+	memoryHighWatermark       = 0.85  // share of a worker's KV cache up to which running requests may fill it
+	memoryPenaltySeconds      = 4.    // cost of exceeding the watermark by the capacity of the KV cache
+	requestTokensPriorSamples = 4.    // samples that defaultRequestTokens counts as
+	defaultRequestTokens      = 3000. // tokens of a running request before any is seen
 )
 
-// occupiedTokens estimates the tokens that the running requests of a worker hold: this node's are known, those
-// of other nodes are of the usual size.
-func (s *service) occupiedTokens(w *worker, l workerLoad) float64 {
+// occupiedTokens estimates the tokens of KV cache that the running requests of a worker occupy. Those of
+// this node's calls are known; requests of other nodes count with the mean size.
+func (s *service) occupiedTokens(w *worker, load workerLoad) float64 {
 	own := w.ownCalls()
-	others := max(0, l.running+l.waiting-own.running-own.waiting)
+	others := max(0, load.running+load.waiting-own.running-own.waiting)
 	return w.reservedTokens + others*s.pools[classDecode].requestTokens.Or(defaultRequestTokens, requestTokensPriorSamples)
 }
 
-// memoryPenalty is what a request adds to a worker's estimate as its memory runs out, in seconds.
-func (s *service) memoryPenalty(w *worker, l workerLoad, tokens float64) float64 {
-	over := s.occupiedTokens(w, l) + tokens - memoryHighWatermark*s.kvCapacity()
+// memoryPenalty returns the seconds that a request of that many tokens adds to a worker's score as its
+// KV cache fills up.
+func (s *service) memoryPenalty(w *worker, load workerLoad, tokens float64) float64 {
+	over := s.occupiedTokens(w, load) + tokens - memoryHighWatermark*s.kvCapacity()
 	return max(0, over/s.kvCapacity()) * memoryPenaltySeconds
 }
--- a/internal/dataplane/selection/kvtransfer.go
+++ b/internal/dataplane/selection/kvtransfer.go
@@ -8,69 +8,80 @@
 	"ospreybend/internal/util/stats"
 )
 
+// After a prefill, the decode worker fetches the KV cache of the prompt from the prefill worker. This
+// file predicts how long such a transfer takes, prices it, and counts those that fail.
+
 const (
-	windowLength               = estimate.WindowLength
-	transferSetup              = 0.003           // seconds that a hand-over takes besides moving
-	defaultLinkBits            = 1e11            // bits a second of a worker's link, where nobody tells
-	defaultKVTokenBytes        = 160e3           // bytes of a token's memory, where nobody tells
-	crossZoneTransferFactor    = 2.              // times as long between zones
+	windowLength             = estimate.WindowLength
+	transferSetup            = 0.003 // seconds of a transfer of no tokens
+	defaultLinkBits          = 1e11  // bits per second of a worker's link, where none are configured
+	defaultKVTokenBytes      = 160e3 // bytes of KV cache per token, where none are configured
+	crossZoneTransferFactor  = 2.    // time of a transfer between zones, against one within a zone
+	configuredTransferWeight = 0.05  // seconds of transfers that the configured pace counts as
+	maxTransferSlowdown      = 100.  // bound on a sample, as a multiple of the configured time
+
+	transferPricePerGB   = 0.006 // seconds that a gigabyte costs within a zone
+	crossZonePriceFactor = 3.    // price between zones, against within a zone
+	crossZoneSendPrice   = 1e-6  // seconds that a token of the prompt costs when sent to another zone
+
 	pairFailureDecay           = 4 * time.Second // in which a pair's failures fall by e
-	pairFailurePenalty         = 0.25            // seconds that each failure of a pair counts as
-	maxTrackedPairs            = 4096            // pairs whose failures are remembered
-	transferFailureDecay       = 5 * time.Second // in which the outcomes of hand-overs fall by e
-	transferFailurePrior       = 0.01            // of a failure, until shown
-	transferFailurePriorWeight = 4.              // outcomes that this counts as
-	maxTransferFailure         = 0.95            // that a hand-over is taken to fail with
-	configuredTransferWeight   = 0.05            // seconds of moving that the configuration's word counts as
-	maxTransferSlowdown        = 100.            // times longer than told that a hand-over counts as taking at most
-	transferPricePerGB         = 0.006           // seconds that moving a gigabyte within a zone counts as
-	crossZonePriceFactor       = 3.              // times as dear between zones
-	crossZoneSendPrice         = 1e-6            // seconds that sending a token to another zone counts as
+	pairFailurePenalty         = 0.25            // seconds that each failure of a pair costs
+	maxTrackedPairs            = 4096            // pairs with failures; beyond it all are forgotten
+	transferFailureDecay       = 5 * time.Second // in which the outcomes of all transfers fall by e
+	transferFailurePrior       = 0.01            // probability of a failure before any outcome
+	transferFailurePriorWeight = 4.              // outcomes that transferFailurePrior counts as
+	maxTransferFailure         = 0.95            // bound on the probability, as it divides by its complement
 )
 
-// workerPair names a pair of workers.
+// workerPair is a pair of workers by the hashes of their IDs.
 type workerPair struct{ prefill, decode uint64 }
 
-// decayingCount are failures that fall by e in a life.
+// decayingCount is a count that falls by e in a time constant.
 type decayingCount struct {
 	value float64
 	at    time.Duration
 }
 
-func (s decayingCount) valueAt(now, life time.Duration) float64 {
-	return s.value * math.Exp(-max(0, now-s.at).Seconds()/life.Seconds())
+// valueAt returns what is left of the count at an instant.
+func (c decayingCount) valueAt(now, timeConstant time.Duration) float64 {
+	return c.value * math.Exp(-max(0, now-c.at).Seconds()/timeConstant.Seconds())
 }
 
-// transferOutcomes is what became of hand-overs.
+// transferOutcomes counts KV cache transfers that succeeded and that failed.
 type transferOutcomes struct {
 	overall        stats.FailureRate
 	failuresByPair map[workerPair]decayingCount
 }
 
-// transferPerToken is the seconds that moving a token takes by the configuration.
+// kvBytesPerToken returns the bytes of KV cache per token.
+func (s *service) kvBytesPerToken() float64 {
+	if s.engine == nil || s.engine.KVBytesPerToken <= 0 {
+		return defaultKVTokenBytes
+	}
+	return s.engine.KVBytesPerToken
+}
+
+// transferPerToken returns the seconds that transferring a token takes by the configuration.
 func (s *service) transferPerToken() float64 {
-	bits, bytes := defaultLinkBits, defaultKVTokenBytes
+	bits := defaultLinkBits
 	if s.engine != nil && s.engine.LinkMbps > 0 {
 		bits = s.engine.LinkMbps * 1e6
 	}
-	if s.engine != nil && s.engine.KVBytesPerToken > 0 {
-		bytes = s.engine.KVBytesPerToken
-	}
-	return bytes * 8 / bits
+	return s.kvBytesPerToken() * 8 / bits
 }
 
-// configuredTransfer is what moving takes by the configuration, in seconds.
+// configuredTransfer returns the seconds that a transfer takes by the configuration.
 func (s *service) configuredTransfer(size float64) float64 {
 	return transferSetup + size*s.transferPerToken()
 }
 
-// transferSlowdown is how many times longer hand-overs take than that, over all workers.
+// transferSlowdown returns how many times longer transfers take than that, over all workers.
 func (s *service) transferSlowdown(now time.Duration) float64 {
 	all := s.transferTimes.Fit(now, sampleTTL, 0)
 	return (all.SumY + configuredTransferWeight) / (all.SumX + configuredTransferWeight)
 }
 
-// transferSize is the tokens to be moved between two workers, weighed by distance.
+// transferSize returns the tokens to be transferred between two workers, weighed by distance.
 func transferSize(prefill, decode *worker, tokens float64) float64 {
 	if prefill.zone != decode.zone {
 		return tokens * crossZoneTransferFactor
@@ -78,14 +89,19 @@
 	return tokens
 }
 
-// transferTimeAt predicts what a worker's part of a hand-over takes, in seconds.
+// transferTime predicts the seconds of a transfer between two workers: the slower end determines it.
+func (s *service) transferTime(now time.Duration, prefill, decode *worker, size float64) float64 {
+	return max(s.transferTimeAt(now, prefill, size), s.transferTimeAt(now, decode, size))
+}
+
+// transferTimeAt predicts the seconds of a transfer that is bounded by one worker.
 func (s *service) transferTimeAt(now time.Duration, w *worker, size float64) float64 {
 	line := w.transferTimes.Fit(now, sampleTTL, 1)
 	prior := s.configuredTransfer(size) * s.transferSlowdown(now)
 	return estimate.Blend(line.At(size), line.N, prior, estimate.PriorSamples)
 }
 
-// learnTransferTime takes in how long a hand-over took, at both of its ends.
+// learnTransferTime records how many seconds the transfer of a call took, for both of its workers.
 func (s *service) learnTransferTime(now time.Duration, call *Call, seconds float64) {
 	configured := s.configuredTransfer(call.forecast.size)
 	s.transferTimes.Add(now, configured, min(seconds, configured*maxTransferSlowdown), windowLength)
@@ -94,54 +110,51 @@
 	}
 }
 
-// recordTransfer takes in whether a hand-over worked.
+// recordTransfer counts the outcome of a call's transfer.
 func (s *service) recordTransfer(now time.Duration, call *Call, failed bool) {
-	s.transferOutcomes.overall.Add(now, transferFailureDecay, failed)
+	outcomes := &s.transferOutcomes
+	outcomes.overall.Add(now, transferFailureDecay, failed)
 	if !failed {
 		return
 	}
-	if s.transferOutcomes.failuresByPair == nil || len(s.transferOutcomes.failuresByPair) >= maxTrackedPairs {
-		s.transferOutcomes.failuresByPair = map[workerPair]decayingCount{}
+	if outcomes.failuresByPair == nil || len(outcomes.failuresByPair) >= maxTrackedPairs {
+		outcomes.failuresByPair = map[workerPair]decayingCount{}
 	}
-	key := workerPair{call.source.hash, call.worker.hash}
-	s.transferOutcomes.failuresByPair[key] = decayingCount{s.transferOutcomes.failuresByPair[key].valueAt(now, pairFailureDecay) + 1, now}
+	pair := workerPair{call.source.hash, call.worker.hash}
+	failures := outcomes.failuresByPair[pair].valueAt(now, pairFailureDecay)
+	outcomes.failuresByPair[pair] = decayingCount{failures + 1, now}
 }
 
-// pairPenalty is what a pair's failures add to its estimate, in seconds.
+// pairPenalty returns the seconds that recent failures between two workers add to their score.
 func (s *service) pairPenalty(now time.Duration, prefill, decode *worker) float64 {
-	if len(s.transferOutcomes.failuresByPair) == 0 {
+	failures := s.transferOutcomes.failuresByPair
+	if len(failures) == 0 {
 		return 0
 	}
-	return pairFailurePenalty * s.transferOutcomes.failuresByPair[workerPair{prefill.hash, decode.hash}].valueAt(now, pairFailureDecay)
+	return pairFailurePenalty * failures[workerPair{prefill.hash, decode.hash}].valueAt(now, pairFailureDecay)
 }
 
-// transferFailureProbability is the chance that a hand-over fails.
+// transferFailureProbability returns the probability that a transfer fails.
 func (s *service) transferFailureProbability(now time.Duration) float64 {
-	return min(maxTransferFailure, s.transferOutcomes.overall.Probability(now, transferFailureDecay, transferFailurePrior, transferFailurePriorWeight))
+	outcomes := &s.transferOutcomes.overall
+	return min(maxTransferFailure,
+		outcomes.Probability(now, transferFailureDecay, transferFailurePrior, transferFailurePriorWeight))
 }
 
-// transferPrice is what moving memory counts as, in seconds, by its amount and distance.
+// transferPrice returns the price of a transfer in seconds, by its bytes and distance. It keeps traffic
+// between zones low where the predicted times hardly differ.
 func (s *service) transferPrice(prefill, decode *worker, tokens float64) float64 {
-	bytes := defaultKVTokenBytes
-	if s.engine != nil && s.engine.KVBytesPerToken > 0 {
-		bytes = s.engine.KVBytesPerToken
-	}
-	price := tokens * bytes / 1e9 * transferPricePerGB
+	price := tokens * s.kvBytesPerToken() / 1e9 * transferPricePerGB
 	if prefill.zone != decode.zone {
 		price *= crossZonePriceFactor
 	}
 	return price
 }
 
-// sendPrice is what sending a prompt counts as, in seconds.
+// sendPrice returns the price in seconds of sending a prompt to a worker.
 func sendPrice(w *worker, tokens float64) float64 {
 	if w.sameZone {
 		return 0
 	}
 	return tokens * crossZoneSendPrice
 }
-
-// transferTime predicts a hand-over by the slower of its two ends, in seconds.
-func (s *service) transferTime(now time.Duration, prefill, decode *worker, size float64) float64 {
-	return max(s.transferTimeAt(now, prefill, size), s.transferTimeAt(now, decode, size))
-}
--- a/internal/dataplane/selection/load.go
+++ b/internal/dataplane/selection/load.go
@@ -6,29 +6,32 @@
 )
 
 const (
-	reportDecay        = 1500 * time.Millisecond // in which what a worker told of others falls by e towards the mean
-	meanLoadSamples    = 64.                     // answers over which the mean load by others forgets
-	meanLoadDecay      = 3 * time.Second         // in which the mean load falls by e once no answer tells of any
-	fullAfterRejection = 400 * time.Millisecond  // for which a worker that turned a call away counts as full
-	overdueFactor      = 3.                      // a call this many times overdue means that its worker stands still
-	overdueSlack       = 0.05                    // seconds that any call may be late
-	minRemainingShare  = 0.15                    // part of a call's work that remains until it is answered
+	reportDecay        = 1500 * time.Millisecond // in which a worker's report falls by e towards the mean of its class
+	meanLoadSamples    = 64.                     // answers after which the mean load forgets
+	meanLoadDecay      = 3 * time.Second         // in which the mean load falls by e while no answer reports any
+	fullAfterRejection = 400 * time.Millisecond  // for which a worker that rejected a call counts as full
+	overdueFactor      = 3.                      // multiple of its predicted time after which a call is overdue
+	overdueSlack       = 0.05                    // seconds added to that
+	minRemainingShare  = 0.15                    // share of a call's work that remains until it is answered
 )
 
-// callCounts is a number of requests by what the worker does with them.
+// callCounts is a number of calls by their state at the worker.
 type callCounts struct{ waiting, running float64 }
 
-// loadReport is the load at a worker that is not this node's, by the worker's latest answer.
+// loadReport is what a worker's latest answer said of the load that is not this node's.
 type loadReport struct {
 	at               time.Duration
 	running, waiting float64
-	slots            float64 // 0: not told
+	slots            float64 // 0: unknown
 	known            bool
-	fullUntil        time.Duration
+	fullUntil        time.Duration // after a rejection
 }
 
-// recordLoad takes in the load that an answer told, at the instant when it was told.
-// Whether an answer counts its own request is seen from the answers: none that does tells of none.
+// recordLoad records the load that an answer reported, at the instant when it was reported. Own are this
+// node's other calls at that instant, which the report includes.
+//
+// Workers differ in whether a report includes the request that it answers. It is inferred for each class:
+// if it did, no report would say that there is no request.
 func (s *service) recordLoad(at time.Duration, worker *worker, load *Load, own callCounts) {
 	if load == nil || load.Running < 0 || load.Waiting < 0 {
 		return
@@ -42,12 +45,13 @@
 	}
 	report.running = float64(load.Running) - own.running
 	report.waiting = float64(load.Waiting) - own.waiting
-	if report.running < 0 || report.waiting < 0 || worker.class == classPrefill { // one that it calls waiting may run here
+	if report.running < 0 || report.waiting < 0 || worker.class == classPrefill {
+		// What the worker counts as waiting may be running by this node's count, and the reverse.
 		total := max(0, report.running+report.waiting)
 		report.waiting = min(max(0, report.waiting), total)
 		report.running = total - report.waiting
 	}
-	if worker.class == classPrefill { // its requests run as soon as they are being read
+	if worker.class == classPrefill { // a call is unanswered for as long as its prefill takes
 		report.running, report.waiting = 0, report.running+report.waiting
 	}
 	if load.Slots > 0 {
@@ -59,8 +63,8 @@
 	pool.lastReport = at
 }
 
-// foreignLoad estimates the load at a worker that is not this node's: what it told, the less the older, and
-// the mean over workers for the rest.
+// foreignLoad estimates the load at a worker that is not this node's: its report, weighed less the older
+// it is, the mean over its class for the rest, and in place of both what other nodes say.
 func (s *service) foreignLoad(now time.Duration, w *worker) (waiting, running float64) {
 	pool := &s.pools[w.class]
 	recent := math.Exp(-max(0, now-pool.lastReport).Seconds() / meanLoadDecay.Seconds())
@@ -77,14 +81,14 @@
 	return waiting, running
 }
 
-// workerLoad is the state of a worker as a choice sees it.
+// workerLoad is the estimated load of a worker.
 type workerLoad struct {
-	waiting float64 // usual requests' worth of work that is not begun or not yet answered
+	waiting float64 // unanswered work, in typical requests of the worker's class
 	running float64 // requests that are being answered
-	stall   float64 // seconds that the most overdue call is late beyond doubt
+	stall   float64 // seconds by which the most overdue call is late
 }
 
-// estimateLoad estimates a worker's load from this node's own calls and what answers told of others.
+// estimateLoad estimates a worker's load from this node's own calls and the foreign load.
 func (s *service) estimateLoad(now time.Duration, worker *worker) workerLoad {
 	waiting, running := s.foreignLoad(now, worker)
 	estimate := workerLoad{waiting: waiting, running: running}
@@ -106,7 +110,7 @@
 	return estimate
 }
 
-// forClass is the load that processing time is fitted against.
+// forClass returns the load that the processing time of a class is fitted against.
 func (l workerLoad) forClass(class workerClass) float64 {
 	if class == classPlain {
 		return l.running + l.waiting
@@ -114,5 +118,5 @@
 	return l.waiting
 }
 
-// total is the number of slots in use.
+// total returns the number of slots in use.
 func (l workerLoad) total() float64 { return l.running + l.waiting }
--- a/internal/dataplane/selection/load_test.go
+++ b/internal/dataplane/selection/load_test.go
@@ -14,7 +14,7 @@
 	own := s.Sent(0, r, CallRun, Choice{Run: w.entry})
 	answered := s.Sent(0, r, CallRun, Choice{Run: w.entry})
 	s.FirstEvent(ms, answered)
-	s.Told(ms, answered, Load{Running: 9, Waiting: 4, Slots: 64})
+	svc.recordLoad(ms, w, &Load{Running: 9, Waiting: 4, Slots: 64}, w.ownCallsExcept(answered))
 	waiting, running := svc.foreignLoad(ms, w)
 	if math.Abs(waiting-3) > 0.1 || math.Abs(running-8) > 0.1 {
 		t.Errorf("others: %v wait, %v run; want 3 and 8", waiting, running)
--- a/internal/dataplane/selection/peers.go
+++ b/internal/dataplane/selection/peers.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	peerStateTTL       = 900 * time.Millisecond // for which what another node told of its calls counts
-	minOutstandingWork = 0.0005                 // seconds of work below which a call is not worth telling of
+	peerStateTTL       = 900 * time.Millisecond // for which the state of another node counts
+	minOutstandingWork = 0.0005                 // seconds that an unanswered call counts as at least
 )
 
-// Outstanding is what one node has under way at one worker.
+// Outstanding is what one node has in flight at one worker.
 type Outstanding struct {
 	WorkerHash uint64  // hash of the worker's ID, the same on all nodes
-	Waiting    float64 // seconds of work that is not answered yet
-	Running    float64 // requests that are being answered
-	Memory     float64 // tokens that they hold
-	Failing    bool    // calls of this node have failed there: it sends nothing new for a while
+	Waiting    float64 // seconds of work of the calls that are not answered yet
+	Running    float64 // calls that are being answered
+	Memory     float64 // tokens of KV cache that they reserve
+	Failing    bool    // the worker is ejected for failures of this node's own calls
 }
 
-// peerState is what another node told last.
+// peerState is the latest state of another node.
 type peerState struct {
 	at       time.Duration
 	byWorker map[uint64]Outstanding
 }
 
-// Outstanding returns what this node has under way, by worker.
+// Outstanding returns what this node has in flight, an entry for each worker with calls or with an
+// ejection to report.
 func (s *Selector) Outstanding(now time.Duration) []Outstanding {
 	var list []Outstanding
 	for _, service := range s.services {
 		for _, w := range service.workers {
-			if len(w.calls) > 0 || w.health.failing(now) {
-				list = append(list, service.outstanding(now, w))
+			if len(w.calls) > 0 || w.health.ejectedByOwnCalls(now) {
+				list = append(list, outstandingAt(now, w))
 			}
 		}
 	}
 	return list
 }
 
-// outstanding sums up this node's calls at a worker.
-func (s *service) outstanding(now time.Duration, w *worker) Outstanding {
-	sum := Outstanding{WorkerHash: w.hash, Memory: w.reservedTokens, Failing: w.health.failing(now)}
+// outstandingAt sums up this node's calls at a worker.
+func outstandingAt(now time.Duration, w *worker) Outstanding {
+	sum := Outstanding{WorkerHash: w.hash, Memory: w.reservedTokens, Failing: w.health.ejectedByOwnCalls(now)}
 	for _, call := range w.calls {
 		if call.started || w.class == classPlain {
 			sum.Running++
@@ -52,13 +53,13 @@
 	return sum
 }
 
-// remainingWork is the work of a call that is not answered yet, in seconds.
+// remainingWork returns the seconds of work that remain of a call that is not answered yet.
 func (c *Call) remainingWork(now time.Duration) float64 {
 	elapsed, expected := (now - c.sentAt).Seconds(), c.forecast.total()
 	return c.forecast.run * min(1, max(minRemainingShare, 1-elapsed/max(expected, minSeconds)))
 }
 
-// SetPeerLoad takes in what another node has under way. It replaces what that node told before.
+// SetPeerLoad replaces the state of another node by what it has in flight now.
 func (s *Selector) SetPeerLoad(now time.Duration, node uint64, list []Outstanding) {
 	if s.peers == nil {
 		s.peers = map[uint64]peerState{}
@@ -76,7 +77,7 @@
 	}
 }
 
-// peerCoverage is the part of the other nodes that have told of their calls lately.
+// peerCoverage returns the share of the other nodes whose state is known.
 func (s *Selector) peerCoverage(now time.Duration) float64 {
 	if s.nodes <= 1 {
 		return 0
@@ -90,13 +91,13 @@
 	return min(1, fresh/float64(s.nodes-1))
 }
 
-// peerLoad sums up what other nodes have under way at a worker. Work that they told of is done meanwhile.
+// peerLoad sums up what other nodes have in flight at a worker. Their work shrinks as time passes.
 func (s *Selector) peerLoad(now time.Duration, w *worker) Outstanding {
 	sum := Outstanding{WorkerHash: w.hash}
 	for _, state := range s.peers {
-		entry, has := state.byWorker[w.hash]
+		entry, found := state.byWorker[w.hash]
 		age := now - state.at
-		if !has || age > peerStateTTL {
+		if !found || age > peerStateTTL {
 			continue
 		}
 		sum.Waiting += max(0, entry.Waiting-age.Seconds())
@@ -106,8 +107,9 @@
 	return sum
 }
 
-// blendPeerLoad replaces an estimate of the load by others as far as other nodes have told of theirs.
-func (s *service) blendPeerLoad(now time.Duration, w *worker, waiting, running float64) (float64, float64) {
+// blendPeerLoad replaces an estimate of the foreign load by the states of the other nodes, by the share
+// of the nodes whose state is known.
+func (s *service) blendPeerLoad(now time.Duration, w *worker, waiting, running float64) (blendedWaiting, blendedRunning float64) {
 	coverage := s.selector.peerCoverage(now)
 	if coverage == 0 {
 		return waiting, running
--- a/internal/dataplane/selection/placement.go
+++ b/internal/dataplane/selection/placement.go
@@ -7,26 +7,22 @@
 )
 
 const (
-	shortlistSize           = 6     // workers of each side that are combined, besides the best of each zone
-	unfinishedPrefillWeight = 0.3   // part of its processing time that each unfinished request at a reader counts as
-	decodeTimeWeight        = 0.05  // a second of making tokens against one before the first event
-	streamDisturbanceWeight = 0.3   // what reading counts as for each stream that it holds up
-	targetTokenGap          = 0.15  // seconds between events from which a decode worker is avoided
-	tokenGapPenalty         = 2.    // seconds for each second beyond it
-	rereadDelayPerToken     = 3e-5  // seconds that reading a shared token again counts as, for what it holds up
-	rereadPricePerToken     = 6e-5  // the same for its price, if it was used within the span that is priced
-	tieSeconds              = 0.001 // totals as near as this are ties
-	tieShare                = 0.02  // and as near as this part of the least
-	noWorkerRetryAfter      = 500 * time.Millisecond
+	shortlistSize      = 6     // candidates of each stage that are paired, besides the best of each zone
+	maxShortlistZones  = 64    // zones beyond this number share an entry
+	tieSeconds         = 0.001 // scores that are within this of the lowest are ties
+	tieShare           = 0.02  // and those within this share of it
+	noWorkerRetryAfter = 500 * time.Millisecond
 )
 
-// placement is a way to serve a request.
+// placement is a way to serve a request: a prefill/decode pair, or one worker alone.
 type placement struct {
-	prefill, run                 *candidate // from is nil if run reads by itself
-	score, firstEvent, queueWait float64
+	prefill, run *candidate // prefill is nil if run computes the prompt itself
+	score        float64    // seconds; the placement with the lowest score is chosen
+	firstEvent   float64    // predicted seconds to the first event
+	queueWait    float64    // the part of firstEvent that is spent in queues
 }
 
-// scratchSpace is reused from choice to choice.
+// scratchSpace is reused from choice to choice, so that choosing does not allocate.
 type scratchSpace struct {
 	workers          []*worker
 	prefill, run     []candidate
@@ -35,7 +31,8 @@
 	placements       []placement
 }
 
-// Choose returns where to send a request, or its refusal. Workers whose IDs are excluded are not chosen.
+// Choose returns where to send a request, and whether it is admitted. Workers whose IDs are excluded are
+// not chosen. Choice is empty if no worker is eligible.
 func (s *Selector) Choose(now time.Duration, request *Request, excluded []string) (Choice, Verdict) {
 	svc := s.services[request.Service]
 	if svc == nil {
@@ -50,17 +47,25 @@
 	if firstChoice && best.run.worker.class != classPlain {
 		svc.recordOffered(info, best)
 	}
-	choice := Choice{Run: best.run.worker.entry, TimeToFirstEvent: seconds(best.firstEvent), Urgency: urgencyOf(best.run.forecast.run)}
-	if best.prefill != nil {
-		choice.Prefill = best.prefill.worker.entry
-		choice.Urgency = urgencyOf(best.prefill.forecast.run)
+	return best.choice(), svc.admit(now, info, best, load)
+}
+
+// choice returns the placement as the caller sees it.
+func (p placement) choice() Choice {
+	reader := p.run
+	choice := Choice{Run: p.run.worker.entry, TimeToFirstEvent: seconds(p.firstEvent)}
+	if p.prefill != nil {
+		reader = p.prefill
+		choice.Prefill = p.prefill.worker.entry
 	}
-	return choice, svc.admit(now, info, best, load)
+	choice.Urgency = urgencyOf(reader.forecast.run)
+	return choice
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// bestPlacement weighs all ways to serve a request.
+// bestPlacement returns the placement with the lowest score, and the load of the workers considered. It
+// returns false if no worker is eligible.
 func (s *service) bestPlacement(now time.Duration, info *requestInfo, excluded []string) (placement, serviceLoad, bool) {
 	var load serviceLoad
 	runClass := classPlain
@@ -75,22 +80,26 @@
 	}
 	scratch.placements = scratch.placements[:0]
 	for i := range scratch.run {
-		candidate := &scratch.run[i]
-		scratch.placements = append(scratch.placements, placement{nil, candidate, candidate.score, candidate.forecast.total(), candidate.forecast.wait})
+		scratch.placements = append(scratch.placements, placeAlone(&scratch.run[i]))
 	}
-	s.appendPairs(now, info)
+	s.appendPairs(now)
 	best, found := s.selector.lowestScore(scratch.placements)
 	return best, load, found
 }
 
-// appendPairs adds the pairs of the best workers of each side to the options.
-func (s *service) appendPairs(now time.Duration, info *requestInfo) {
+// placeAlone returns the placement of a worker that serves the request without a prefill worker.
+func placeAlone(run *candidate) placement {
+	return placement{run: run, score: run.score, firstEvent: run.forecast.total(), queueWait: run.forecast.wait}
+}
+
+// appendPairs adds the pairs of the shortlisted prefill and decode workers to the placements.
+func (s *service) appendPairs(now time.Duration) {
 	scratch := &s.scratch
 	if len(scratch.prefill) == 0 || len(scratch.run) == 0 {
 		return
 	}
-	scratch.prefillShortlist = s.shortlist(scratch.prefill, scratch.prefillShortlist[:0], func(at *candidate) float64 { return at.score })
-	scratch.runShortlist = s.shortlist(scratch.run, scratch.runShortlist[:0], func(at *candidate) float64 { return at.kvScore })
+	scratch.prefillShortlist = shortlist(scratch.prefill, scratch.prefillShortlist[:0], func(c *candidate) float64 { return c.score })
+	scratch.runShortlist = shortlist(scratch.run, scratch.runShortlist[:0], func(c *candidate) float64 { return c.kvScore })
 	failure := s.transferFailureProbability(now)
 	for _, prefill := range scratch.prefillShortlist {
 		for _, run := range scratch.runShortlist {
@@ -99,8 +108,9 @@
 	}
 }
 
-// shortlist picks the best few of a side, and the best of each zone.
-func (s *service) shortlist(candidates []candidate, selected []*candidate, score func(*candidate) float64) []*candidate {
+// shortlist appends the shortlistSize candidates with the lowest scores to selected, and the best one of
+// each zone, so that a transfer within a zone stays possible.
+func shortlist(candidates []candidate, selected []*candidate, score func(*candidate) float64) []*candidate {
 	for i := range candidates {
 		position := len(selected)
 		for position > 0 && score(selected[position-1]) > score(&candidates[i]) {
@@ -111,7 +121,7 @@
 			selected = selected[:min(len(selected), shortlistSize)]
 		}
 	}
-	var zoneBest [64]*candidate
+	var zoneBest [maxShortlistZones]*candidate
 	for i := range candidates {
 		index := candidates[i].worker.zone % len(zoneBest)
 		if zoneBest[index] == nil || score(&candidates[i]) < score(zoneBest[index]) {
@@ -126,18 +136,21 @@
 	return selected
 }
 
-// scorePair weighs a hand-over between two workers.
+// scorePair scores a prefill on one worker and a run on another that the KV cache is transferred to.
+// Failure is the probability that the transfer fails.
 func (s *service) scorePair(now time.Duration, prefill, run *candidate, failure float64) placement {
 	size := transferSize(prefill.worker, run.worker, run.uncachedTokens)
 	transfer := s.transferTime(now, prefill.worker, run.worker, size)
 	firstEvent := prefill.forecast.total() + run.kvForecast.total() + transfer
 	score := prefill.score + run.kvScore + transfer
 	score += s.transferPrice(prefill.worker, run.worker, run.uncachedTokens) + s.pairPenalty(now, prefill.worker, run.worker)
-	score += firstEvent * failure / (1 - failure) // a hand-over that fails is done again
-	return placement{prefill, run, score, firstEvent, prefill.forecast.wait + run.kvForecast.wait}
+	score += firstEvent * failure / (1 - failure) // expected repetitions of a transfer that fails
+	return placement{prefill: prefill, run: run, score: score, firstEvent: firstEvent,
+		queueWait: prefill.forecast.wait + run.kvForecast.wait}
 }
 
-// lowestScore picks the option with the least sum, and among ties one at random.
+// lowestScore returns the placement with the lowest score, and among ties one at random. It returns
+// false if there is none.
 func (s *Selector) lowestScore(placements []placement) (placement, bool) {
 	if len(placements) == 0 {
 		return placement{}, false
@@ -151,7 +164,7 @@
 		if placements[i].score > bound {
 			continue
 		}
-		if ties++; s.random.IntN(ties) == 0 {
+		if ties++; s.random.IntN(ties) == 0 { // reservoir sampling
 			chosen = i
 		}
 	}
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -6,82 +6,88 @@
 	"ospreybend/internal/util/stats"
 )
 
-// Facts of the engines that the interface describes, as priors; all are in seconds, or seconds a token.
+// Properties of the engines, as priors until answers show others. All are in seconds, or seconds per
+// token.
 const (
-	prefillPerToken       = 1. / 40000     // a prefill worker's time to read a token
-	decodePrefillPerToken = 2. * 2 / 40000 // a decode worker's: half the pace, between the tokens of others
-	attentionPerTokenPair = 0.5e-9         // reading a token, for each token before it
-	prefillBase           = 0.006          // answering a call that reads nothing
-	firstEventTime        = 0.015          // a first event
-	plainRequestTime      = 0.05           // answering a request of a service without stages
-	decodePerToken        = 0.007          // making one token
-	sameZoneRoundTrip     = 0.002          // within a zone
-	crossZoneRoundTrip    = 0.004          // between zones
-	sendPerToken          = 2e-8           // sending a token of the prompt
-	defaultPromptTokens   = 1500           // tokens, where a request tells none
+	prefillPerToken       = 1. / 40000     // of a prefill worker
+	decodePrefillPerToken = 2. * 2 / 40000 // prefill on a decode worker: half the pace, between the tokens of its streams
+	attentionPerTokenPair = 0.5e-9         // added for each pair of a computed token and one before it
+	prefillBase           = 0.006          // a prefill call without uncached tokens
+	firstEventTime        = 0.015          // of a decode worker, without prefill
+	plainRequestTime      = 0.05           // a request of a service without stages
+	decodePerToken        = 0.007
+	sameZoneRoundTrip     = 0.002
+	crossZoneRoundTrip    = 0.004
+	sendPerToken          = 2e-8 // sending the prompt
+	defaultPromptTokens   = 1500 // tokens of a request that names none
 )
 
 const (
-	slowdownPriorSamples = 2.0  // the pooled ratio counts as this many samples of a worker's own
-	poolSamples          = 256. // samples after which what is pooled forgets
-	poolPriorSamples     = 8.   // samples that a constant counts as against what is pooled
-	waitPriorSamples     = 200. // the same for the wait
-	maxOutlierRatio      = 4.   // a call this many times slower or faster than usual counts as just that
+	slowdownPriorSamples = 2.0  // samples of a worker's own that the pooled slowdown counts as
+	poolSamples          = 256. // samples after which pooled values forget
+	poolPriorSamples     = 8.   // pooled samples that a constant counts as
+	waitPriorSamples     = 200. // the same for the queue wait
+	maxOutlierRatio      = 4.   // a call that is this many times slower or faster than typical counts as just that
 	minSeconds           = 1e-4
-	bucketBase           = 4. // size buckets grow by this factor, so that few of them starve
+	bucketBase           = 4. // factor between prompt size buckets; coarse, so that few of them lack samples
 	bucketTokens         = 64.
-	transferWaitShare    = 0.3 // part of the wait of one that reads
-	interTokenBucket     = -1  // the window of the time between tokens
-	transferBucket       = 0   // the window of first events of what another worker has read
+	transferWaitShare    = 0.3 // queue wait of a run after a KV cache transfer, against one with its own prefill
+	interTokenBucket     = -1  // bucket of the time between tokens
+	transferBucket       = 0   // bucket of first events after a KV cache transfer
 )
 
-// pool is what the workers of one class have shown together.
+// pool is what the workers of one class have shown together. It is the prior for each of them.
 type pool struct {
-	slowdown           stats.Mean   // running time for each second that it should take
-	transferSlowdown   stats.Mean   // the same for first events of what another worker has read
-	wait               stats.Pooled // queue wait against the load, with its sign turned
-	sameZoneTrip       stats.Mean   // transfer of calls to the own zone, beyond what moving takes
-	crossZoneTrip      stats.Mean
-	unloadedTime       stats.Mean    // time that a call should take by itself
-	running, waiting   stats.Mean    // load at a worker by others
-	requestTokens      stats.Mean    // tokens that a running request holds
-	lastReport         time.Duration // when an answer last told of load
-	excludesOwnRequest bool          // an answer does not count its own request
+	slowdown         stats.Mean   // processing time for each second on an unloaded worker of nominal speed
+	transferSlowdown stats.Mean   // the same for first events after a KV cache transfer
+	wait             stats.Pooled // queue wait against the negated load, as the fit allows falling lines alone
+	sameZoneTrip     stats.Mean   // network time of calls within the node's zone, without the prompt's size
+	crossZoneTrip    stats.Mean
+	unloadedTime     stats.Mean // of the calls
+	requestTokens    stats.Mean // KV cache that a running request reserves
+
+	running, waiting   stats.Mean    // foreign load of a worker
+	lastReport         time.Duration // when an answer last reported load
+	excludesOwnRequest bool          // reports do not count the request that they answer
 }
 
-// typicalUnloadedTime is the time that a usual call takes by itself.
-func (p *pool) typicalUnloadedTime(c workerClass) float64 {
+// typicalUnloadedTime returns the seconds that a typical call takes on an unloaded worker.
+func (p *pool) typicalUnloadedTime(class workerClass) float64 {
 	prior := plainRequestTime
-	if c != classPlain {
+	if class != classPlain {
 		prior = prefillBase + defaultPromptTokens*prefillPerToken
 	}
 	return max(minSeconds, p.unloadedTime.Or(prior, poolPriorSamples))
 }
 
-// task is one call as a prediction sees it.
+// task is what is predicted for a call, independent of the worker's load.
 type task struct {
-	bucket       int
-	unloaded     float64 // seconds that it should take by itself
-	size         float64 // tokens sent, or tokens to be moved weighed by distance
-	transfersKV  bool    // its transfer includes a hand-over
-	transferTime float64 // seconds that this is predicted to take
+	bucket       int     // of the processing times that are fitted together
+	unloaded     float64 // seconds of processing on an unloaded worker of nominal speed
+	size         float64 // tokens sent, or tokens to be transferred weighed by distance
+	transfersKV  bool    // the network time includes a KV cache transfer
+	transferTime float64 // predicted seconds of the KV cache transfer
 }
 
-// forecast is a prediction for one call, in seconds up to its answer's beginning.
+// forecast is the prediction for one call in seconds up to the beginning of its answer: the terms of
+// Eq. 3, whose sum is total.
 type forecast struct {
 	task
-	load               workerLoad
-	network, run, wait float64
+	load    workerLoad
+	network float64 // round trip, sending the prompt, KV cache transfer
+	run     float64 // processing
+	wait    float64 // in the worker's queue
 }
 
 func (f forecast) total() float64 { return f.network + f.run + f.wait }
 
-// bucketOf gives the size bucket of so many tokens to be read.
+// bucketOf returns the bucket of prompts with that many uncached tokens.
 func bucketOf(uncached float64) int {
 	return 1 + stats.Bucket(max(0, uncached)/bucketTokens, bucketBase)
 }
 
-// unloadedTime is the time that reading takes by itself, where so many tokens before are kept.
+// unloadedTime returns the seconds that an unloaded worker of nominal speed takes to compute uncached
+// tokens that follow cached ones.
 func unloadedTime(class workerClass, uncached, cached float64) float64 {
 	switch class {
 	case classPrefill:
@@ -92,7 +98,7 @@
 	return plainRequestTime
 }
 
-// roundTrip predicts the transfer of a call that moves nothing.
+// roundTrip predicts the network time of a call without its prompt and without a KV cache transfer.
 func (p *pool) roundTrip(worker *worker) float64 {
 	if worker.sameZone {
 		return p.sameZoneTrip.Or(sameZoneRoundTrip, poolPriorSamples)
@@ -100,7 +106,7 @@
 	return p.crossZoneTrip.Or(crossZoneRoundTrip, poolPriorSamples)
 }
 
-// slowdownOf is a worker's running time for each second that a call should take.
+// slowdownOf returns a worker's processing time for each second on an unloaded worker of nominal speed.
 func (p *pool) slowdownOf(now time.Duration, w *worker) float64 {
 	prior := p.slowdown.Or(1, poolPriorSamples)
 	own := w.slowdown[w.class].Fit(now, sampleTTL, 0)
@@ -108,7 +114,7 @@
 	return (own.SumY + prior*weight) / (own.SumX + weight)
 }
 
-// queueWait predicts the queue wait at a load.
+// queueWait predicts the queue wait at a load. The prior is the time that the queued requests take.
 func (s *service) queueWait(w *worker, load workerLoad) float64 {
 	pool, queued := &s.pools[w.class], load.forClass(w.class)
 	prior := queued * pool.typicalUnloadedTime(w.class)
@@ -120,12 +126,14 @@
 	return (line.At(-queued)*line.N + prior*waitPriorSamples) / (line.N + waitPriorSamples)
 }
 
-// predict forecasts a call to a worker at its load.
+// predict returns the forecast of a task on a worker at its load (Eq. 3). Processing and queue wait are
+// first predicted apart, from pooled values; their sum is then scaled to what the worker's own fit for
+// the task's bucket says.
 func (s *service) predict(now time.Duration, w *worker, task task, load workerLoad) forecast {
 	f := forecast{task: task, load: load}
 	pool := &s.pools[w.class]
 	run, wait := pool.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
-	if task.transfersKV { // its first token goes with a step that may read for others too
+	if task.transfersKV { // its first token joins the next step of the batch
 		run, wait = pool.transferSlowdown.Or(1, poolPriorSamples)*task.unloaded, wait*transferWaitShare
 	}
 	process := w.delays[w.class].Process(now, task.bucket, load.forClass(w.class), (run+wait)/task.unloaded) * task.unloaded
@@ -135,7 +143,7 @@
 	return f
 }
 
-// networkTime predicts the transfer of a task to a worker.
+// networkTime predicts the network time of a task on a worker.
 func (s *service) networkTime(now time.Duration, w *worker, task task) float64 {
 	pooled := s.pools[w.class].roundTrip(w)
 	if task.transfersKV {
@@ -144,12 +152,13 @@
 	return w.delays[w.class].Transfer(now, task.size, pooled+task.size*sendPerToken)
 }
 
-// learn takes in the time that a call took up to its answer's beginning. Only the sum is seen: it is
-// shared out as the parts were predicted, and the lines in size and in load tell them apart.
+// learn records the seconds that a call took up to the beginning of its answer. Only their sum is
+// observed: it is divided as its terms were predicted, and the fits against size and load separate them
+// in the course of time.
 func (s *service) learn(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
 	if w.class != call.workerClass || seconds <= 0 {
-		return // the worker's stage has changed since
+		return // the worker has changed its role since
 	}
 	scale := seconds / max(f.total(), minSeconds)
 	network, run, wait := f.network*scale, f.run*scale, f.wait*scale
@@ -167,12 +176,12 @@
 	pool.wait.AddWeighted(-f.load.forClass(w.class), wait, 1, poolSamples)
 }
 
-// clampRatio bounds an odd ratio by the usual one.
-func clampRatio(ratio, usual float64) float64 {
-	return min(max(ratio, usual/maxOutlierRatio), usual*maxOutlierRatio)
+// clampRatio bounds a ratio to within maxOutlierRatio of the typical one.
+func clampRatio(ratio, typical float64) float64 {
+	return min(max(ratio, typical/maxOutlierRatio), typical*maxOutlierRatio)
 }
 
-// learnNetworkTime takes in a transfer delay.
+// learnNetworkTime records the network time of a call.
 func (s *service) learnNetworkTime(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
 	pool := &s.pools[w.class]
@@ -190,7 +199,7 @@
 	}
 }
 
-// secondsPerToken predicts the seconds for each token that a decode worker makes.
+// secondsPerToken predicts the time between the tokens of a stream on a decode worker.
 func (w *worker) secondsPerToken(now time.Duration, load workerLoad) float64 {
 	return w.delays[classDecode].Process(now, interTokenBucket, load.running, 1) * decodePerToken
 }
--- a/internal/dataplane/selection/prefixcache.go
+++ b/internal/dataplane/selection/prefixcache.go
@@ -2,35 +2,36 @@
 
 import "container/list"
 
-// blockTokens is the unit in which memory goes.
+// blockTokens is the unit in which engines allocate KV cache; only complete blocks are reused.
 const blockTokens = 16
 
-// prefixCache models what parts of prompts a worker keeps: those unused longest give way. What other nodes
-// send there is covered by the weight of parts that are a request's own.
+// prefixCache models which prompt segments a worker has cached, with eviction of the least recently
+// used. It knows the calls of this node alone; those of the other nodes are covered by the weight of
+// segments that are a request's own.
 type prefixCache struct {
-	capacity    float64 // tokens
-	used        float64
-	byID        map[uint64]*list.Element
-	leastRecent list.List // of keptPart; the longest unused is last
+	capacity float64 // tokens
+	used     float64 // tokens
+	byID     map[uint64]*list.Element
+	recency  list.List // of *cachedSegment; the least recently used is last
 }
 
 type cachedSegment struct {
 	id     uint64
-	weight float64 // tokens that it takes from the capacity
+	weight float64 // tokens of the capacity
 }
 
-// has tells whether a part is kept.
-func (k *prefixCache) has(id uint64) bool {
-	_, is := k.byID[id]
-	return is
+// has reports whether a segment is cached.
+func (c *prefixCache) has(id uint64) bool {
+	_, cached := c.byID[id]
+	return cached
 }
 
-// cachedTokens is the number of tokens of a prompt that need no reading: whole blocks of the parts before
-// the first that is not kept.
-func (k *prefixCache) cachedTokens(prompt []PromptSegment) float64 {
+// cachedTokens returns how many tokens of a prompt need no prefill: the complete blocks of the segments
+// before the first one that is not cached.
+func (c *prefixCache) cachedTokens(prompt []PromptSegment) float64 {
 	tokens := 0
 	for _, segment := range prompt {
-		if !k.has(segment.ID) {
+		if !c.has(segment.ID) {
 			break
 		}
 		tokens += segment.Tokens
@@ -38,41 +39,41 @@
 	return float64(tokens - tokens%blockTokens)
 }
 
-// add takes in that a worker has read or fetched a prompt; others is how many nodes send it parts of
-// their own as this one does.
-func (k *prefixCache) add(prompt []PromptSegment, nodes int, occupied float64) {
-	if k.byID == nil {
-		k.byID = map[uint64]*list.Element{}
+// add records that a worker has computed or fetched the KV cache of a prompt. Nodes is how many nodes
+// send it segments of their own as this one does, occupied the tokens that running requests occupy.
+func (c *prefixCache) add(prompt []PromptSegment, nodes int, occupied float64) {
+	if c.byID == nil {
+		c.byID = map[uint64]*list.Element{}
 	}
-	for i := len(prompt) - 1; i >= 0; i-- { // the first parts are used last: they give way last
+	for i := len(prompt) - 1; i >= 0; i-- { // the first segments are touched last, so that they are evicted last
 		weight := float64(prompt[i].Tokens)
 		if i == len(prompt)-1 {
 			weight *= float64(max(1, nodes))
 		}
-		k.touch(prompt[i].ID, weight)
+		c.touch(prompt[i].ID, weight)
 	}
-	k.evict(k.capacity - occupied)
+	c.evict(c.capacity - occupied)
 }
 
-// touch puts a part first.
-func (k *prefixCache) touch(id uint64, weight float64) {
-	if element, is := k.byID[id]; is {
+// touch makes a segment the most recently used.
+func (c *prefixCache) touch(id uint64, weight float64) {
+	if element, cached := c.byID[id]; cached {
 		segment := element.Value.(*cachedSegment)
-		k.used += weight - segment.weight
+		c.used += weight - segment.weight
 		segment.weight = weight
-		k.leastRecent.MoveToFront(element)
+		c.recency.MoveToFront(element)
 		return
 	}
-	k.byID[id] = k.leastRecent.PushFront(&cachedSegment{id, weight})
-	k.used += weight
+	c.byID[id] = c.recency.PushFront(&cachedSegment{id, weight})
+	c.used += weight
 }
 
-// evict lets the parts unused longest give way.
-func (k *prefixCache) evict(capacity float64) {
-	for k.used > max(0, capacity) && k.leastRecent.Len() > 0 {
-		last := k.leastRecent.Back()
-		segment := k.leastRecent.Remove(last).(*cachedSegment)
-		delete(k.byID, segment.id)
-		k.used -= segment.weight
+// evict removes the least recently used segments until the rest fits the capacity.
+func (c *prefixCache) evict(capacity float64) {
+	for c.used > max(0, capacity) && c.recency.Len() > 0 {
+		last := c.recency.Back()
+		segment := c.recency.Remove(last).(*cachedSegment)
+		delete(c.byID, segment.id)
+		c.used -= segment.weight
 	}
 }
--- a/internal/dataplane/selection/requestinfo.go
+++ b/internal/dataplane/selection/requestinfo.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-const maxAncestors = 3 // shared parts before the last whose shares are counted
+// maxAncestors is the number of segments before the affinity key whose shares are counted.
+const maxAncestors = 3
 
-// requestInfo is a request as the choice sees it.
+// requestInfo is what the choice derives from a request, once.
 type requestInfo struct {
 	request        *Request
 	prompt         []PromptSegment
-	sharedSegments []PromptSegment // the parts that other requests carry too
-	affinityKey    uint64          // the part whose homes it goes to; 0: none
-	promptTokens   float64
-	keyShare       float64               // of the requests that have the key
-	ancestorShares [maxAncestors]float64 // of those that have a part before it
+	sharedSegments []PromptSegment       // those that other requests have too
+	affinityKey    uint64                // ID of the segment whose affinity targets the request goes to; 0: none
+	promptTokens   float64               // an assumed number where the request names none
+	keyShare       float64               // share of the requests that have the affinity key
+	ancestorShares [maxAncestors]float64 // shares of the requests that have a segment before it
 }
 
-// infoFor returns what a choice needs to know of a request, worked out and counted once.
+// infoFor returns a request's info. The first call derives it and counts the request's segments.
 func (s *service) infoFor(now time.Duration, request *Request) *requestInfo {
 	if request.info == nil || request.info.request != request {
 		info := s.newRequestInfo(request)
@@ -25,7 +26,6 @@
 	return request.info
 }
 
-// newRequestInfo works out what a choice needs to know of a request.
 func (s *service) newRequestInfo(request *Request) requestInfo {
 	info := requestInfo{request: request, prompt: request.Prompt, promptTokens: float64(request.PromptTokens)}
 	if request.PromptTokens <= 0 {
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -10,11 +10,11 @@
 	"ospreybend/internal/util/stats"
 )
 
-// Options fixes what a Selector does not learn.
+// Options of a Selector.
 type Options struct {
-	Zone       string        // the node's own
-	Seed       uint64        // of the draws among ties and at the edge of admission
-	RereadSpan time.Duration // span in which reading the same part again is priced; 0: usualAgain
+	Zone       string        // the node's own zone
+	Seed       uint64        // of the random choices among ties and in admission control
+	RereadSpan time.Duration // span in which computing a shared segment again is priced; 0: defaultRereadSpan
 }
 
 const defaultRereadSpan = 8 * time.Second
@@ -23,30 +23,34 @@
 type Selector struct {
 	options  Options
 	random   *rand.Rand
-	nodes    int // edge nodes that send to the same workers
+	nodes    int // that send requests to the same workers, this one included
 	services map[string]*service
-	peers    map[uint64]peerState // by node: what it told of its calls
+	peers    map[uint64]peerState // by node
 }
 
-// service is what is known of the workers of one service.
+// service is what a node knows of one service and its workers.
 type service struct {
-	selector         *Selector
-	engine           *configuration.Engine // nil: plain HTTP workers
-	workers          map[string]*worker
-	byHash           map[uint64]*worker
-	byClass          [classCount][]*worker // in the order of their IDs
-	zones            map[string]int
+	selector *Selector
+	engine   *configuration.Engine // nil: plain HTTP workers
+
+	workers map[string]*worker // by ID
+	byHash  map[uint64]*worker
+	byClass [classCount][]*worker // those that may be sent to, in the order of their IDs
+	zones   map[string]int        // numbers of the zones
+
 	pools            [classCount]pool
 	popularity       segmentPopularity
 	transferOutcomes transferOutcomes
-	transferTimes    stats.Window // hand-overs of all pairs: what they took against what they should, in seconds
+	transferTimes    stats.Window // KV cache transfers of all pairs: observed against configured seconds
 	admission        admission
+
 	demand           roleplanner.Demand // since the start
-	streamsCountedAt time.Duration      // when running streams were counted last
-	scratch          scratchSpace
+	streamsCountedAt time.Duration
+
+	scratch scratchSpace
 }
 
-// New returns a Selector without a view: it refuses all until SetView.
+// New returns a Selector without a view. It rejects all requests until SetView is called.
 func New(options Options) *Selector {
 	if options.RereadSpan == 0 {
 		options.RereadSpan = defaultRereadSpan
@@ -59,9 +63,9 @@
 	}
 }
 
-// SetView takes in a new view. Workers that stay keep their state; one whose stage changed puts the
-// windows of its old stage away.
-func (s *Selector) SetView(now time.Duration, view *fleetview.View) {
+// SetView applies a new view of the fleet. Workers that are in both views keep their state; samples of a
+// worker whose role changed are kept apart by class.
+func (s *Selector) SetView(_ time.Duration, view *fleetview.View) {
 	s.nodes = max(1, view.EdgeNodeCount)
 	for name := range s.services {
 		if len(view.Workers[name]) == 0 && view.Services[name] == nil {
@@ -69,16 +73,16 @@
 		}
 	}
 	for name, workers := range view.Workers {
-		s.serviceOf(name).update(now, view.Services[name], workers)
+		s.serviceOf(name).update(view.Services[name], workers)
 	}
-	for name, description := range view.Services {
+	for name, configured := range view.Services {
 		if len(view.Workers[name]) == 0 {
-			s.serviceOf(name).update(now, description, nil)
+			s.serviceOf(name).update(configured, nil)
 		}
 	}
 }
 
-// serviceOf returns a service's state, made anew where there is none.
+// serviceOf returns the state of a service, which it creates if there is none.
 func (s *Selector) serviceOf(name string) *service {
 	svc := s.services[name]
 	if svc == nil {
@@ -88,11 +92,12 @@
 	return svc
 }
 
-// update brings the service's workers in line with a view.
-func (s *service) update(now time.Duration, description *configuration.Service, listed []*fleetview.Worker) {
+// update makes the service's workers those of a view. Configured is nil if the service is not in the
+// configuration.
+func (s *service) update(configured *configuration.Service, listed []*fleetview.Worker) {
 	s.engine = nil
-	if description != nil {
-		s.engine = description.Engine
+	if configured != nil {
+		s.engine = configured.Engine
 	}
 	known := s.workers
 	s.workers = make(map[string]*worker, len(listed))
@@ -115,7 +120,7 @@
 	}
 }
 
-// zoneOf numbers a zone.
+// zoneOf returns the number of a zone.
 func (s *service) zoneOf(name string) int {
 	number, known := s.zones[name]
 	if !known {
@@ -125,7 +130,7 @@
 	return number
 }
 
-// kvCapacity is a worker's memory in tokens.
+// kvCapacity returns the tokens that a worker's KV cache has room for.
 func (s *service) kvCapacity() float64 {
 	if s.engine == nil || s.engine.KVCapacityTokens <= 0 {
 		return defaultKVCapacity
@@ -133,7 +138,8 @@
 	return float64(s.engine.KVCapacityTokens)
 }
 
-// slotsOf is the number of requests that a worker works on at once.
+// slotsOf returns the number of requests that a worker serves at once: what it last reported, else what
+// it registered, else what is configured.
 func (s *service) slotsOf(w *worker) float64 {
 	if w.report.slots > 0 {
 		return w.report.slots
--- a/internal/dataplane/selection/types.go
+++ b/internal/dataplane/selection/types.go
@@ -6,7 +6,8 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// PromptSegment is one piece of a prompt, shared among requests that carry the same ID in the same place.
+// PromptSegment is one segment of a prompt. Requests whose prompts have the same ID at the same index
+// share that segment.
 type PromptSegment struct {
 	ID     uint64
 	Tokens int
@@ -17,51 +18,53 @@
 	Service      string
 	Route        string
 	Model        string
-	Priority     int             // 0 is highest
-	Prompt       []PromptSegment // in order; the last belongs to the request or its session
-	PromptTokens int             // 0: not told
-	OutputTokens int             // most out
+	Priority     int             // 0 is the highest
+	Prompt       []PromptSegment // in order; the last one is the request's or its session's own
+	PromptTokens int             // 0: unknown
+	OutputTokens int             // upper bound
 	Streaming    bool
 	Arrived      time.Duration
-	Objective    time.Duration // instant by which the first event (or the whole answer) earns its full worth
-	Deadline     time.Duration // instant after which the client waits no more
+	Objective    time.Duration // instant by which the first event, or the complete answer, meets the route's latency target
+	Deadline     time.Duration // instant after which the client no longer waits
 
-	info *requestInfo // what the first Choose worked out; Prompt must not change after it
+	info *requestInfo // computed by the first Choose; Prompt must not change after it
 }
 
-// Choice is where a request goes.
+// Choice is where a request is sent.
 type Choice struct {
-	Prefill          *fleetview.Worker // reads the prompt; nil: Run does it alone, or the service has no stages
-	Run              *fleetview.Worker // makes the tokens, or the whole answer
-	TimeToFirstEvent time.Duration     // predicted time from now to the first event, or to the whole answer
-	Urgency          int               // of the call that reads the prompt, 0 (first) to 9; once it is read, 0 holds
+	Prefill          *fleetview.Worker // nil: Run computes the prompt itself, or the service has no stages
+	Run              *fleetview.Worker // the decode worker, or the one that gives the complete answer
+	TimeToFirstEvent time.Duration     // predicted from now to the first event, or to the complete answer
+	Urgency          int               // of the prefill call, 0 (first) to 9; a run after the prefill has 0
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the result of admission control.
 type Verdict struct {
 	Admit      bool
-	RetryAfter time.Duration // of a refusal: when to come back
+	RetryAfter time.Duration // of a rejected request: when the client should come back
 }
 
-// CallKind tells what a call to a worker is for.
+// CallKind is the purpose of a call to a worker.
 type CallKind uint8
 
+// The kinds of calls.
 const (
-	CallPrefill CallKind = iota // the prompt is read, a handle comes back
-	CallRun                     // tokens are made, from a handle or from the prompt
+	CallPrefill CallKind = iota // computes the prompt's KV cache and returns a handle to it
+	CallRun                     // decodes, from a handle or from the prompt
 )
 
-// Load is what a worker told in its answer.
+// Load is the load that a worker reported in its answer, in requests.
 type Load struct{ Running, Waiting, Slots int }
 
-// Failure tells why a call yielded nothing.
+// Failure is the reason why a call had no usable answer.
 type Failure uint8
 
+// The reasons of failed calls.
 const (
 	FailureConnect   Failure = iota // no connection: nothing was sent
-	FailureBroken                   // reset, cut short or garbage after the request was sent
+	FailureBroken                   // reset, truncated or malformed after the request was sent
 	FailureTimeout                  // no answer in time
-	FailureStatus                   // an error status of a worker that ran the request
-	FailureTransfer                 // the handle was gone or its memory could not be fetched
+	FailureStatus                   // an error status of a worker that executed the request
+	FailureTransfer                 // the handle was gone or its KV cache could not be transferred
 	FailureMisrouted                // 421: another worker has the address, or the stage was wrong
 )
--- a/internal/dataplane/selection/urgency.go
+++ b/internal/dataplane/selection/urgency.go
@@ -2,16 +2,17 @@
 
 import "math"
 
-// Workers let in the more urgent requests ahead of the rest, and keep the order of arrival within one
-// urgency. Short readings before long ones make the waits of all least; the steps are coarse, so that a
-// request is overtaken only by much shorter ones.
+// Workers admit more urgent calls first, and calls of equal urgency in order of arrival. Short prefills
+// before long ones minimize the mean wait; the steps are coarse, so that a call is overtaken only by
+// much shorter ones.
 const (
-	highestUrgency = 1    // 0 is left to requests whose prompt has been read
-	lowestUrgency  = 7    // the longest readings are not put behind all others for good
-	shortPrefill   = 0.01 // seconds of reading up to which a request is most urgent
+	highestUrgency = 1    // 0 is reserved for runs whose prompt has been prefilled
+	lowestUrgency  = 7    // bounded, so that the longest prefills are not starved
+	shortPrefill   = 0.01 // seconds of prefill up to which a call is most urgent
 )
 
-// urgencyOf gives the urgency of a reading that takes so many seconds by itself; 0 comes first.
+// urgencyOf returns the urgency of a prefill that takes that many seconds on an unloaded worker. It
+// rises by one each time that the duration doubles; lower values are served first.
 func urgencyOf(seconds float64) int {
 	if seconds <= shortPrefill {
 		return highestUrgency
--- a/internal/dataplane/selection/worker.go
+++ b/internal/dataplane/selection/worker.go
@@ -9,28 +9,34 @@
 	"ospreybend/internal/util/stats"
 )
 
-// workerClass is the part that a worker plays; the windows of each are apart.
+// workerClass is the role of a worker as the predictions see it. Samples are kept apart by class.
 type workerClass int
 
 const (
-	classPlain   workerClass = iota // answers whole requests; the service has no stages
-	classPrefill                    // reads prompts
-	classDecode                     // makes tokens, and reads prompts by itself at a slower pace
+	classPlain   workerClass = iota // answers complete requests; the service has no stages
+	classPrefill                    // computes the KV cache of prompts
+	classDecode                     // decodes, and prefills at a slower pace where no prefill worker did
 	classCount
 )
 
 const (
-	sampleTTL         = 15 * time.Second // of a sample in a window
-	defaultKVCapacity = 300000.          // tokens, where the configuration tells none
-	defaultSlots      = 8.               // requests at once, where nobody tells
+	sampleTTL         = 15 * time.Second // of the samples in windows
+	defaultKVCapacity = 300000.          // tokens, where none are configured
+	defaultSlots      = 8.               // requests at once, where neither worker nor configuration says
 )
 
-// classOf reads a stage as registered.
+// Stages of workers as they register them.
+const (
+	stagePrefill = "prefill"
+	stageDecode  = "decode"
+)
+
+// classOf returns the class of a registered stage.
 func classOf(stage string) workerClass {
 	switch stage {
-	case "prefill":
+	case stagePrefill:
 		return classPrefill
-	case "decode":
+	case stageDecode:
 		return classDecode
 	}
 	return classPlain
@@ -38,16 +44,18 @@
 
 // worker is what this node knows of one incarnation of a worker.
 type worker struct {
-	entry          *fleetview.Worker
-	hash           uint64 // hash of its ID, the same on all nodes
-	class          workerClass
-	zone           int
-	sameZone       bool                        // in the node's own zone
-	delays         [classCount]estimate.Delays // those of a class that it no longer has are kept aside
-	slowdown       [classCount]stats.Window    // running time against the time it should take, over all sizes
-	transferTimes  stats.Window                // hand-overs from it or to it: delay against tokens weighed by distance
-	calls          []*Call                     // that have not ended
-	reservedTokens float64                     // tokens that its running calls hold, by this node's count
+	entry    *fleetview.Worker
+	hash     uint64 // of the ID, the same on all nodes
+	class    workerClass
+	zone     int
+	sameZone bool // in the node's own zone
+
+	delays        [classCount]estimate.Delays // by class, as a worker may return to an earlier one
+	slowdown      [classCount]stats.Window    // processing time against unloaded time, over all sizes
+	transferTimes stats.Window                // KV cache transfers from it or to it: seconds against tokens weighed by distance
+
+	calls          []*Call // in flight
+	reservedTokens float64 // KV cache of the calls in flight
 	report         loadReport
 	health         health
 	cache          prefixCache
@@ -63,37 +71,37 @@
 	return w
 }
 
-// ownCalls counts this node's requests that the worker has not begun to answer, and those it is answering.
+// ownCalls counts this node's calls that the worker has not begun to answer, and those it is answering.
 func (w *worker) ownCalls() callCounts {
-	var c callCounts
+	var counts callCounts
 	for _, call := range w.calls {
 		if call.started {
-			c.running++
+			counts.running++
 		} else {
-			c.waiting++
+			counts.waiting++
 		}
 	}
-	return c
+	return counts
 }
 
-// ownCallsExcept counts this node's requests at the worker but one.
+// ownCallsExcept counts this node's calls at the worker other than one.
 func (w *worker) ownCallsExcept(call *Call) callCounts {
-	c := w.ownCalls()
+	counts := w.ownCalls()
 	if call.started {
-		c.running--
+		counts.running--
 	} else {
-		c.waiting--
+		counts.waiting--
 	}
-	return c
+	return counts
 }
 
-// addCall takes in a call.
+// addCall adds a call in flight.
 func (w *worker) addCall(call *Call) {
 	w.calls = append(w.calls, call)
 	w.reservedTokens += call.reservedTokens
 }
 
-// removeCall takes out a call.
+// removeCall removes a call in flight.
 func (w *worker) removeCall(call *Call) {
 	for i, other := range w.calls {
 		if other == call {
@@ -103,6 +111,6 @@
 		}
 	}
 	if len(w.calls) == 0 {
-		w.reservedTokens = 0
+		w.reservedTokens = 0 // without the rounding errors of the sum
 	}
 }
