--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -1,6 +1,12 @@
-// Package commands is what the fleet has agreed on: how much of its work each zone takes,
-// and what a person has said. It is the machine that the agreed log drives, the same in
-// every voter, and has no clock: times in it are spans, or a person's wall time.
+// Package commands defines the replicated state of the zones and the commands that change it.
+//
+// The state is a Table: the phase and traffic share of each zone, the admitted fraction of each
+// request class, and the operators' manual overrides. StateMachine applies the commands of the
+// replicated log (package replicatedlog) and is identical at every voter. Package failover computes
+// the changes, package replica proposes them, package follower obeys the resulting table.
+//
+// The package has no clock and does no I/O. Durations are plain spans; an override ends at a wall
+// clock time that the caller compares.
 package commands
 
 import (
@@ -13,21 +19,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Phase is where a zone stands.
+// Phase is the state of a zone in the failover state machine.
 type Phase uint8
 
-// The phases. docs/design/fleet-as-one.md has every transition.
+// The phases. docs/design/fleet-as-one.md lists every transition. The numbers are stored and sent.
 const (
-	PhaseActive    Phase = iota // takes its whole share
-	PhaseReduced                // slow: takes a part
-	PhaseEvacuated              // takes nothing
-	PhaseProbing                // a few processes try it
-	PhaseSlowStart              // takes a part that grows by steps
+	PhaseActive    Phase = iota // takes its full share
+	PhaseReduced                // slow: takes a reduced share
+	PhaseEvacuated              // takes no work
+	PhaseProbing                // a few processes send it trial requests
+	PhaseSlowStart              // takes a share that doubles step by step
 )
 
 var phaseNames = [...]string{"in", "eased", "left", "trying", "rising"}
 
-// String names the phase.
+// String returns the phase's name as operators see it.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -35,19 +41,19 @@
 	return "phase " + strconv.Itoa(int(p))
 }
 
-// ZoneState is the order on one zone.
+// ZoneState is the committed state of one zone.
 type ZoneState struct {
 	Phase           Phase    `cbor:"1,keyasint" json:"Phase"`
-	Share           float64  `cbor:"2,keyasint"`                         // of what it would take; while Trying, of those chosen
-	ProbeFraction   float64  `cbor:"3,keyasint,omitempty" json:"Chosen"` // part of the processes that try
-	Step            int      `cbor:"4,keyasint,omitempty"`               // of the rise
-	Failures        int      `cbor:"5,keyasint,omitempty"`               // in a row; each doubles the rest
-	UnreachableFrom []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes do not reach it: they send nothing there
+	Share           float64  `cbor:"2,keyasint"`                         // of its normal traffic, 0 to 1; while probing, of the selected processes' traffic
+	ProbeFraction   float64  `cbor:"3,keyasint,omitempty" json:"Chosen"` // fraction of the processes that send probe requests
+	Step            int      `cbor:"4,keyasint,omitempty"`               // of the slow start, from 1
+	Failures        int      `cbor:"5,keyasint,omitempty"`               // consecutive; each doubles the probe backoff
+	UnreachableFrom []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes cannot reach it and send nothing there
 	Reason          string   `cbor:"7,keyasint,omitempty"`
-	SinceEpoch      uint64   `cbor:"8,keyasint,omitempty" json:"Since"` // the epoch that set it
+	SinceEpoch      uint64   `cbor:"8,keyasint,omitempty" json:"Since"` // the epoch that set this state
 }
 
-// The words that a person may say on a zone.
+// The actions of a manual override. The texts are part of the operators' interface.
 const (
 	OverrideEvacuate = "leave"
 	OverrideRestore  = "return"
@@ -55,8 +61,8 @@
 	OverrideClear    = "clear"
 )
 
-// Override is what a person has said on a zone. It goes before the program's own orders
-// until its end.
+// Override is an operator's manual override of one zone. It takes precedence over the automatic
+// decisions until it expires.
 type Override struct {
 	Zone   string `cbor:"1,keyasint"`
 	Action string `cbor:"2,keyasint" json:"Do"`
@@ -64,15 +70,15 @@
 	Until  int64  `cbor:"4,keyasint" json:"Until"` // Unix microseconds
 }
 
-// Table is all that holds now.
+// Table is the replicated state at one epoch.
 type Table struct {
 	Epoch     uint64               `cbor:"1,keyasint"`
 	Zones     map[string]ZoneState `cbor:"2,keyasint"`
-	Admission map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // part of each class that is let in; who is not named is let in whole
+	Admission map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // admitted fraction by class; a class that is absent is fully admitted
 	Overrides map[string]Override  `cbor:"4,keyasint,omitempty" json:"Words"`
 }
 
-// Zone is the order on a zone; one that nothing was said of is in.
+// Zone returns the state of a zone; a zone without an entry is active with its full share.
 func (t *Table) Zone(zone string) ZoneState {
 	if z, ok := t.Zones[zone]; ok {
 		return z
@@ -80,7 +86,7 @@
 	return ZoneState{Phase: PhaseActive, Share: 1}
 }
 
-// Clone copies the table.
+// Clone returns a deep copy of the table.
 func (t *Table) Clone() Table {
 	out := Table{Epoch: t.Epoch, Zones: maps.Clone(t.Zones), Admission: maps.Clone(t.Admission), Overrides: maps.Clone(t.Overrides)}
 	for name, zone := range out.Zones {
@@ -90,53 +96,55 @@
 	return out
 }
 
-// Change is a new order. It is void unless the epoch that it was made for still holds,
-// so that a leader that was outvoted, or answers late, changes nothing.
+// Change is a compare-and-set update of the table. It applies only while the table is at
+// ExpectedEpoch, so that a deposed or delayed leader changes nothing.
 type Change struct {
 	ExpectedEpoch uint64               `cbor:"1,keyasint"`
-	Zones         map[string]ZoneState `cbor:"2,keyasint,omitempty"`              // these alone change
-	Admission     map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // in place of the last, where Admits
+	Zones         map[string]ZoneState `cbor:"2,keyasint,omitempty"`              // the zones that change
+	Admission     map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // replaces the table's where SetsAdmission
 	SetsAdmission bool                 `cbor:"4,keyasint,omitempty"`
 }
 
-// VoterStart is a voter's, told before it votes for anything but its start.
+// VoterStart registers a start of a voter's process, so that a store restored from an old copy is
+// detected.
 type VoterStart struct {
 	Voter uint64 `cbor:"1,keyasint"`
 	Store string `cbor:"2,keyasint"`
 	Runs  uint64 `cbor:"3,keyasint"`
 }
 
-// Command is one entry of the log: one of its parts is set.
+// Command is one entry of the replicated log. Exactly one of Change, Override and Start is set.
 type Command struct {
-	ID       string      `cbor:"1,keyasint"` // unique, so that who put it knows it again; a doubled one is void
+	ID       string      `cbor:"1,keyasint"` // unique; identifies the command to its proposer and rejects duplicates
 	Change   *Change     `cbor:"2,keyasint,omitempty"`
 	Override *Override   `cbor:"3,keyasint,omitempty"`
 	Start    *VoterStart `cbor:"4,keyasint,omitempty"`
 }
 
-// ErrStale says that an order was made for an epoch that is over.
+// ErrStale is returned for a change computed for an earlier epoch.
 var ErrStale = errors.New("the order was made for an epoch that is over")
 
-// ErrStoreRolledBack says that a voter's store was put back from an older copy.
-var ErrStoreRolledBack = errors.New("the voter's store is an older copy than the fleet has heard of")
+// ErrStoreRolledBack is returned for a voter whose store was restored from an older copy.
+var ErrStoreRolledBack = errors.New("the voter's store was restored from an older copy")
 
-// StateMachine applies orders. Applied is told of each.
+// StateMachine applies the commands of the replicated log in order. It is not safe for concurrent
+// use; its replica's goroutine owns it.
 type StateMachine struct {
 	state         state
-	OnApplied     func(o Command, err error)
-	DisabledCheck string // a check left out, for the tests that show what it is for
+	OnApplied     func(command Command, err error) // called after each command; err is nil where it took effect
+	DisabledCheck string                           // a check to skip, for tests that show why it is needed
 }
 
 type state struct {
 	Table      Table                 `cbor:"1,keyasint"`
 	Starts     map[uint64]VoterStart `cbor:"2,keyasint"`
-	Recent     []string              `cbor:"3,keyasint"` // IDs of the last orders
-	RolledBack map[uint64]string     `cbor:"4,keyasint"` // voters whose store is an older copy, by its ID
+	Recent     []string              `cbor:"3,keyasint"` // IDs of the last commands, oldest first
+	RolledBack map[uint64]string     `cbor:"4,keyasint"` // ID of the rolled-back store by voter
 }
 
-const maxRecentIDs = 256 // orders remembered by their IDs
+const maxRecentIDs = 256 // commands remembered to reject duplicates
 
-// NewStateMachine makes an empty one.
+// NewStateMachine returns a state machine with an empty table at epoch 0.
 func NewStateMachine() *StateMachine {
 	m := &StateMachine{}
 	m.state = emptyState()
@@ -148,10 +156,10 @@
 		Starts: map[uint64]VoterStart{}, RolledBack: map[uint64]string{}}
 }
 
-// Table returns what holds now; it is not to be changed.
+// Table returns the current table. The caller must not modify it.
 func (m *StateMachine) Table() *Table { return &m.state.Table }
 
-// StoreRolledBack tells whether a voter's store was found to be an older copy.
+// StoreRolledBack reports whether a voter's store was found to be restored from an older copy.
 func (m *StateMachine) StoreRolledBack(voter uint64, store string) bool {
 	return m.state.RolledBack[voter] == store
 }
@@ -164,18 +172,19 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options above are wrong
+		panic(err) // the options above are constants
 	}
 	return v
 }
 
-// Encode writes a value as it goes into the log and over links.
+// Encode returns the deterministic CBOR encoding used in the log, in snapshots and between processes.
 func Encode(v any) ([]byte, error) { return encoder.Marshal(v) }
 
-// Decode reads one.
+// Decode decodes what Encode returned.
 func Decode(data []byte, into any) error { return decoder.Unmarshal(data, into) }
 
-// Apply takes in the next entry. What cannot be read is void at every voter alike.
+// Apply applies the next log entry. An entry that cannot be decoded or is invalid has no effect, at
+// every voter alike.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var command Command
 	err := Decode(data, &command)
@@ -237,7 +246,8 @@
 	return nil
 }
 
-// Validate tells what is wrong with a word before it goes into the log.
+// Validate returns an error that names the first invalid field. It is called before the override is
+// proposed and again when it is applied.
 func (w Override) Validate() error {
 	switch {
 	case w.Zone == "":
@@ -268,8 +278,8 @@
 	return nil
 }
 
-// applyVoterStart notes a voter's start. A file whose count of starts falls was put back from an
-// older copy: what it had promised since is not in it.
+// applyVoterStart records a voter's start. A store whose start count does not grow was restored from
+// an older copy and lacks the votes and entries acknowledged since; the voter must not go on.
 func (m *StateMachine) applyVoterStart(s VoterStart) error {
 	if last, ok := m.state.Starts[s.Voter]; ok && last.Store == s.Store && s.Runs <= last.Runs {
 		m.state.RolledBack[s.Voter] = s.Store
@@ -279,10 +289,10 @@
 	return nil
 }
 
-// Snapshot writes the state.
+// Snapshot encodes the state.
 func (m *StateMachine) Snapshot() ([]byte, error) { return Encode(m.state) }
 
-// Restore takes a state; none stands for an empty one.
+// Restore replaces the state by a snapshot's. Empty data stands for the empty state.
 func (m *StateMachine) Restore(data []byte) error {
 	s := emptyState()
 	if len(data) > 0 {
--- a/internal/node/zones/failover/decider.go
+++ b/internal/node/zones/failover/decider.go
@@ -1,9 +1,13 @@
-// Package failover decides for the whole fleet which zones take work and how much: it leaves
-// one that fails, eases one that is slow, and returns to one by steps. It runs where the
-// agreed log is led, on evidence of many processes, and has no clock and no I/O. What it
-// decides holds once the log has taken it.
+// Package failover decides which zones take traffic and how much.
 //
-// docs/design/fleet-as-one.md has the machine with every transition.
+// It evacuates a zone that fails, reduces the share of one that is slower than the others, probes an
+// evacuated zone after a backoff, and returns traffic by a slow start. While capacity is missing it
+// limits the admitted fraction of each request class. The decisions rest on the merged observations
+// of many processes (package health); one zone's opinion alone never evacuates another.
+//
+// The Decider runs at the leader (package replica). Its changes take effect when the replicated log
+// has committed them. The package has no clock and does no I/O. docs/design/fleet-as-one.md lists
+// every transition.
 package failover
 
 import (
@@ -16,72 +20,99 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-// Settings are the figures that the decisions go by.
+const (
+	failedRatio         = 0.5  // failure ratio from which probes and slow start steps count as failed
+	maxBackoffDoublings = 16   // keeps the shift of the backoff in range; MaxBackoff ends it earlier
+	shareTolerance      = 1e-9 // rounding error of shares
+)
+
+// Settings are the thresholds and times of the decisions.
 type Settings struct {
-	Majority             float64       // of a zone's processes that must see another fail
-	MinObserverZones     int           // that must see it
-	FailureConfirmTime   time.Duration // for so long
-	PartitionConfirmTime time.Duration // and for so long where others reach it
-	MaxFailedCapacity    float64       // part of all capacity that may be left
-	OverloadSuccessRatio float64       // part of the steps that go well in a zone that is only crowded
-	SlowMargin           float64       // part of the steps, over the usual, that is late in a slow one
-	SlowConfirmTime      time.Duration // and for so long: a burst makes some late, too
-	MaxUtilization       float64       // part of the rest's capacity that may be filled
-	OverloadGraceTime    time.Duration // for so long more is asked for, before any is refused for it
-	InitialBackoff       time.Duration // before the first try; doubles with each failure
+	Majority             float64       // fraction of a zone's processes that must see another zone fail
+	MinObserverZones     int           // zones that must see it
+	FailureConfirmTime   time.Duration // how long a zone must look failed before it is evacuated
+	PartitionConfirmTime time.Duration // how long it must be unreachable from some zones alone
+	MaxFailedCapacity    float64       // fraction of all slots that may be evacuated; beyond it no further zone is
+	OverloadSuccessRatio float64       // fraction of steps that succeed in a zone that is only overloaded
+	SlowMargin           float64       // late ratio above the median from which a zone counts as slow
+	SlowConfirmTime      time.Duration // how long it must be slow: a burst makes steps late, too
+	MaxUtilization       float64       // fraction of the available capacity that admission fills
+	OverloadGraceTime    time.Duration // how long demand must exceed capacity before requests are rejected
+	InitialBackoff       time.Duration // before the first probe; doubles with each failure
 	MaxBackoff           time.Duration
-	ProbeProcesses       float64       // processes that try
-	InitialShare         float64       // share of the first step; doubles
-	ProbeTimeout         time.Duration // after which more try, if too little was seen
-	PropagationTime      time.Duration // until an order has reached all in contact and shows
-	MinStepTime          time.Duration // a step lasts at least
-	MinFailureSteps      float64       // steps that must have ended for a zone to see another fail: the nodes send little to whom they doubt themselves
-	MinSteps             float64       // steps that must have ended to judge a return by
-	MaxFailureRatio      float64       // part that may go wrong in a step that is earned
-	StableTime           time.Duration // in without a failure, after which failures are forgotten
-	MinAdmissionChange   float64       // change in what is let in that is worth an order
+	ProbeProcesses       float64       // processes that probe an evacuated zone
+	InitialShare         float64       // share of the first slow start step; doubles with each
+	ProbeTimeout         time.Duration // after which more processes probe, if too few steps were seen
+	PropagationTime      time.Duration // until a change has reached all connected processes and shows in the observations
+	MinStepTime          time.Duration // shortest duration of a slow start step
+	MinFailureSteps      float64       // completed steps for a zone to see another fail: processes send little to a zone that they doubt
+	MinSteps             float64       // completed steps to judge a probe or a slow start step by
+	MaxFailureRatio      float64       // failure ratio up to which a step counts as successful
+	StableTime           time.Duration // active without a failure, after which the failure count is reset
+	MinAdmissionChange   float64       // smallest change of an admitted fraction that is committed
 }
 
-// DefaultSettings are the figures that the program uses.
+// DefaultSettings returns the settings that the program uses.
 func DefaultSettings() Settings {
-	return Settings{Majority: 0.5, MinObserverZones: 2, FailureConfirmTime: 200 * time.Millisecond, PartitionConfirmTime: 600 * time.Millisecond, MaxFailedCapacity: 0.5, OverloadSuccessRatio: 0.25, SlowMargin: 0.3, SlowConfirmTime: 3 * time.Second,
-		MaxUtilization: 0.95, OverloadGraceTime: 4 * time.Second,
-		InitialBackoff: 2 * time.Second, MaxBackoff: time.Minute, ProbeProcesses: 3, InitialShare: 1. / 16, ProbeTimeout: 2 * time.Second, PropagationTime: time.Second, MinStepTime: 1500 * time.Millisecond,
-		MinFailureSteps: 3, MinSteps: 4, MaxFailureRatio: 0.2, StableTime: 30 * time.Second, MinAdmissionChange: 0.1}
+	return Settings{
+		Majority:             0.5,
+		MinObserverZones:     2,
+		FailureConfirmTime:   200 * time.Millisecond,
+		PartitionConfirmTime: 600 * time.Millisecond,
+		MaxFailedCapacity:    0.5,
+		OverloadSuccessRatio: 0.25,
+		SlowMargin:           0.3,
+		SlowConfirmTime:      3 * time.Second,
+		MaxUtilization:       0.95,
+		OverloadGraceTime:    4 * time.Second,
+		InitialBackoff:       2 * time.Second,
+		MaxBackoff:           time.Minute,
+		ProbeProcesses:       3,
+		InitialShare:         1. / 16,
+		ProbeTimeout:         2 * time.Second,
+		PropagationTime:      time.Second,
+		MinStepTime:          1500 * time.Millisecond,
+		MinFailureSteps:      3,
+		MinSteps:             4,
+		MaxFailureRatio:      0.2,
+		StableTime:           30 * time.Second,
+		MinAdmissionChange:   0.1,
+	}
 }
 
-// Class is what the decisions must know of a class of operations.
+// Class describes a class of requests.
 type Class struct {
 	Name          string
-	Value         float64 // of a slot-second
-	NonIdempotent bool    // must not run twice: a booking
+	Value         float64 // per slot-second
+	NonIdempotent bool    // must not run twice, as a booking
 }
 
-// zoneHistory is what the decider remembers of a zone's present order.
+// zoneHistory is since when a zone's state and condition have been as they are.
 type zoneHistory struct {
-	sinceEpoch uint64
-	stateSince time.Duration // when it first met that order
-	condition  Condition
-	kindSince  time.Duration // since when the verdict has been that kind
+	sinceEpoch     uint64
+	stateSince     time.Duration // when this decider first saw the state
+	condition      Condition
+	conditionSince time.Duration // since when the condition has been the same
 }
 
-// Decider decides. A new leader makes a new one: what it has not seen itself counts anew
-// from the moment it leads, so that a step of a rise is rather held too long.
+// Decider computes the next changes of the table. A new leader creates a new one: times count from the
+// moment it leads, so that a slow start step lasts rather too long than too short. It belongs to the
+// replica's goroutine.
 type Decider struct {
 	settings           Settings
 	classes            []Class
 	history            map[string]*zoneHistory
 	admissionChangedAt time.Duration
-	overloadedSince    time.Duration // since when more is asked for than there is room; 0: it is not
+	overloadedSince    time.Duration // since when demand has exceeded capacity; 0: it does not
 }
 
-// New makes a decider.
+// New returns a decider without history.
 func New(settings Settings, classes []Class) *Decider {
 	return &Decider{settings: settings, classes: classes, history: map[string]*zoneHistory{}}
 }
 
-// Decide decides on the evidence and what holds. wall is the time of day, for what persons
-// have said: Unix microseconds. The order is nil where all stays as it is.
+// Decide returns the change that the observations call for, nil where there is none, and the assessments
+// of all zones. wall is the time of day in Unix microseconds, by which overrides expire.
 func (d *Decider) Decide(now time.Duration, wall int64, digest health.Digest, table *commands.Table) (*commands.Change, map[string]Assessment) {
 	assessments := d.settings.assessZones(digest, table)
 	processes := 0.0
@@ -92,9 +123,9 @@
 	d.withholdMassFailure(assessments, table)
 	change := &commands.Change{ExpectedEpoch: table.Epoch, Zones: map[string]commands.ZoneState{}}
 	for _, name := range d.zoneNames(assessments, table) {
-		at := table.Zone(name)
-		next := d.nextState(now, wall, name, at, assessments[name], table, processes)
-		if !sameState(at, next) {
+		in := d.zoneInput(now, wall, name, assessments[name], table)
+		in.processes = processes
+		if next := d.nextState(in); !sameState(in.state, next) {
 			change.Zones[name] = next
 		}
 	}
@@ -109,6 +140,25 @@
 	return change, assessments
 }
 
+// zoneInput is what the next state of one zone depends on.
+type zoneInput struct {
+	state        commands.ZoneState
+	assessment   Assessment
+	override     commands.Override
+	overridden   bool          // the override has not expired
+	stateAge     time.Duration // since this decider first saw the state
+	conditionAge time.Duration // since the assessed condition last changed
+	processes    float64       // that report, over all zones
+}
+
+func (d *Decider) zoneInput(now time.Duration, wall int64, name string, assessment Assessment, table *commands.Table) zoneInput {
+	history := d.history[name]
+	override, ok := table.Overrides[name]
+	return zoneInput{state: table.Zone(name), assessment: assessment, override: override, overridden: ok && wall < override.Until,
+		stateAge: now - history.stateSince, conditionAge: now - history.conditionSince}
+}
+
+// zoneNames returns all zones that are assessed or in the table, sorted.
 func (d *Decider) zoneNames(assessments map[string]Assessment, table *commands.Table) []string {
 	names := slices.Collect(maps.Keys(assessments))
 	names = slices.AppendSeq(names, maps.Keys(table.Zones))
@@ -117,103 +167,131 @@
 	return slices.Compact(names)
 }
 
+// sameState reports whether two states differ in nothing but reason and epoch.
 func sameState(a, b commands.ZoneState) bool {
 	return a.Phase == b.Phase && a.Share == b.Share && a.ProbeFraction == b.ProbeFraction && a.Step == b.Step && a.Failures == b.Failures &&
 		slices.Equal(a.UnreachableFrom, b.UnreachableFrom)
 }
 
-// updateHistory keeps since when each zone's order and verdict have stood.
+// updateHistory records since when each zone's state and condition have been as they are.
 func (d *Decider) updateHistory(now time.Duration, assessments map[string]Assessment, table *commands.Table) {
 	for _, name := range d.zoneNames(assessments, table) {
 		since, kind := table.Zone(name).SinceEpoch, assessments[name].Condition
 		history := d.history[name]
 		if history == nil {
-			history = &zoneHistory{sinceEpoch: since, stateSince: now, condition: kind, kindSince: now}
+			history = &zoneHistory{sinceEpoch: since, stateSince: now, condition: kind, conditionSince: now}
 			d.history[name] = history
 		}
 		if history.sinceEpoch != since {
 			history.sinceEpoch, history.stateSince = since, now
 		}
 		if history.condition != kind {
-			history.condition, history.kindSince = kind, now
+			history.condition, history.conditionSince = kind, now
 		}
 	}
 }
 
-// withholdMassFailure takes back verdicts where leaving would leave too little: what is out already
-// counts, and the zones that look worst by their order among the names come first.
+// withholdMassFailure makes all failures inconclusive where evacuating them would take more than
+// MaxFailedCapacity out of service, together with the zones evacuated already: so many failures at once
+// are more likely a fault of the observers.
 func (d *Decider) withholdMassFailure(assessments map[string]Assessment, table *commands.Table) {
 	total, unavailable := 0.0, 0.0
-	for name, v := range assessments {
-		total += v.Total.Slots
-		if p := table.Zone(name).Phase; v.Condition == Failed || p == commands.PhaseEvacuated || p == commands.PhaseProbing {
-			unavailable += v.Total.Slots
+	for name, assessment := range assessments {
+		total += assessment.Total.Slots
+		phase := table.Zone(name).Phase
+		if assessment.Condition == Failed || phase == commands.PhaseEvacuated || phase == commands.PhaseProbing {
+			unavailable += assessment.Total.Slots
 		}
 	}
 	if unavailable <= d.settings.MaxFailedCapacity*total {
 		return
 	}
-	for name, v := range assessments {
-		if v.Condition == Failed {
-			v.Condition = Inconclusive
-			assessments[name] = v
+	for name, assessment := range assessments {
+		if assessment.Condition == Failed {
+			assessment.Condition = Inconclusive
+			assessments[name] = assessment
 		}
 	}
 }
 
-// nextState is the order that a zone is to have.
-func (d *Decider) nextState(now time.Duration, wall int64, name string, state commands.ZoneState, assessment Assessment, table *commands.Table, processes float64) commands.ZoneState {
-	history := d.history[name]
-	override, overridden := table.Overrides[name]
-	overridden = overridden && wall < override.Until
-	if overridden {
-		switch override.Action {
-		case commands.OverrideFreeze:
+// nextState returns the state that a zone is to have: an operator's override first, else the state machine's next.
+func (d *Decider) nextState(in zoneInput) commands.ZoneState {
+	if in.overridden {
+		state, decided := d.overriddenState(in)
+		if decided {
 			return state
-		case commands.OverrideEvacuate:
-			if state.Phase != commands.PhaseEvacuated || state.Share != 0 {
-				return commands.ZoneState{Phase: commands.PhaseEvacuated, Failures: state.Failures, Reason: "by hand: " + override.Reason}
-			}
-			return state
-		case commands.OverrideRestore:
-			if state.Phase == commands.PhaseEvacuated || state.Phase == commands.PhaseProbing {
-				return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1, Failures: state.Failures, Reason: "by hand: " + override.Reason}
-			}
-			if assessment.Condition == Failed {
-				assessment.Condition = Unknown // a person has said that it is to come back
-			}
+		}
+		if in.override.Action == commands.OverrideRestore && in.assessment.Condition == Failed {
+			in.assessment.Condition = Unknown // the operator decided that the zone returns
 		}
 	}
-	stateAge, conditionAge := now-history.stateSince, now-history.kindSince
-	switch state.Phase {
+	switch in.state.Phase {
 	case commands.PhaseActive, commands.PhaseReduced:
-		return d.nextWhileServing(state, assessment, stateAge, conditionAge, processes)
+		return d.nextWhileServing(in)
 	case commands.PhaseEvacuated:
-		if stateAge >= d.probeBackoff(state.Failures) {
-			fraction := probeFraction(d.settings.ProbeProcesses, processes)
-			return commands.ZoneState{Phase: commands.PhaseProbing, Share: min(1, d.settings.InitialShare/fraction), ProbeFraction: fraction, Failures: state.Failures, Reason: "rested"}
-		}
+		return d.nextWhileEvacuated(in)
 	case commands.PhaseProbing:
-		if stateAge >= d.settings.ProbeTimeout && !d.hasEnoughSteps(assessment) && state.ProbeFraction < 1 {
-			// Those chosen have had nothing to send there: more are.
-			state.ProbeFraction = min(1, 2*state.ProbeFraction)
-			state.Share, state.Reason = min(1, d.settings.InitialShare/state.ProbeFraction), "too little was tried"
-			return state
+		return d.nextWhileProbing(in)
+	case commands.PhaseSlowStart:
+		return d.nextWhileSlowStart(in)
+	}
+	return in.state
+}
+
+// overriddenState returns the state that an override demands, and false where it leaves the zone to the state machine.
+func (d *Decider) overriddenState(in zoneInput) (commands.ZoneState, bool) {
+	reason := "by hand: " + in.override.Reason
+	switch in.override.Action {
+	case commands.OverrideFreeze:
+		return in.state, true
+	case commands.OverrideEvacuate:
+		if in.state.Phase == commands.PhaseEvacuated && in.state.Share == 0 {
+			return in.state, true
 		}
-		if stateAge >= d.settings.PropagationTime && d.hasEnoughSteps(assessment) {
-			if acceptable(assessment, d.settings) {
-				return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1, Failures: state.Failures, Reason: "the tries went well"}
-			}
-			if assessment.Total.StepCounts.FailureRatio() >= 0.5 {
-				return d.evacuate(state, "the tries went wrong")
-			}
+		return commands.ZoneState{Phase: commands.PhaseEvacuated, Failures: in.state.Failures, Reason: reason}, true
+	case commands.OverrideRestore:
+		if in.state.Phase == commands.PhaseEvacuated || in.state.Phase == commands.PhaseProbing {
+			return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1,
+				Failures: in.state.Failures, Reason: reason}, true
 		}
-	case commands.PhaseSlowStart:
-		return d.nextWhileSlowStart(state, assessment, stateAge)
+	}
+	return commands.ZoneState{}, false
+}
+
+// nextWhileEvacuated lets a few processes probe the zone once its backoff is over.
+func (d *Decider) nextWhileEvacuated(in zoneInput) commands.ZoneState {
+	if in.stateAge < d.probeBackoff(in.state.Failures) {
+		return in.state
+	}
+	fraction := probeFraction(d.settings.ProbeProcesses, in.processes)
+	return commands.ZoneState{Phase: commands.PhaseProbing, Share: min(1, d.settings.InitialShare/fraction), ProbeFraction: fraction,
+		Failures: in.state.Failures, Reason: "rested"}
+}
+
+// nextWhileProbing begins the slow start when the probes succeeded, evacuates the zone again when they failed, and
+// selects more processes when too few steps were seen.
+func (d *Decider) nextWhileProbing(in zoneInput) commands.ZoneState {
+	state := in.state
+	if in.stateAge >= d.settings.ProbeTimeout && !d.hasEnoughSteps(in.assessment) && state.ProbeFraction < 1 {
+		// The selected processes had nothing to send there: select more.
+		state.ProbeFraction = min(1, 2*state.ProbeFraction)
+		state.Share, state.Reason = min(1, d.settings.InitialShare/state.ProbeFraction), "too little was tried"
+		return state
+	}
+	if in.stateAge < d.settings.PropagationTime || !d.hasEnoughSteps(in.assessment) {
+		return state
+	}
+	if acceptable(in.assessment, d.settings) {
+		return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1, Failures: state.Failures,
+			Reason: "the tries went well"}
+	}
+	if in.assessment.Total.FailureRatio() >= failedRatio {
+		return evacuate(state, "the tries went wrong")
 	}
 	return state
 }
 
+// probeFraction returns the fraction of all processes that makes the wanted number of probing ones.
 func probeFraction(tries, processes float64) float64 {
 	if processes <= tries {
 		return 1
@@ -221,95 +299,110 @@
 	return tries / processes
 }
 
+// probeBackoff returns the time from an evacuation to the first probes.
 func (d *Decider) probeBackoff(failures int) time.Duration {
-	return min(d.settings.MaxBackoff, d.settings.InitialBackoff<<min(max(failures-1, 0), 16))
+	return min(d.settings.MaxBackoff, d.settings.InitialBackoff<<min(max(failures-1, 0), maxBackoffDoublings))
 }
 
-// hasEnoughSteps tells whether enough has been seen since the order.
+// hasEnoughSteps reports whether enough steps completed to judge by.
 func (d *Decider) hasEnoughSteps(assessment Assessment) bool {
 	return assessment.Total.Completed() >= d.settings.MinSteps
 }
 
-// acceptable tells whether a step is earned: what was tried has gone well. What was served late
-// by cold prep workers is bounded by their part of the share.
+// acceptable reports whether a probe or slow start step succeeded. Late steps count as successes: the
+// load on workers that warm up is bounded by the share.
 func acceptable(assessment Assessment, settings Settings) bool {
-	return assessment.Total.StepCounts.FailureRatio() <= settings.MaxFailureRatio
+	return assessment.Total.FailureRatio() <= settings.MaxFailureRatio
 }
 
-func (d *Decider) evacuate(state commands.ZoneState, reason string) commands.ZoneState {
+// evacuate returns the state of a zone that failed once more.
+func evacuate(state commands.ZoneState, reason string) commands.ZoneState {
 	return commands.ZoneState{Phase: commands.PhaseEvacuated, Failures: state.Failures + 1, Reason: reason}
 }
 
-// nextWhileServing is for a zone that takes work.
-func (d *Decider) nextWhileServing(state commands.ZoneState, assessment Assessment, stateAge, conditionAge time.Duration, processes float64) commands.ZoneState {
-	confirmed := conditionAge >= d.settings.FailureConfirmTime
+// nextWhileServing decides on a zone that takes its full or a reduced share.
+func (d *Decider) nextWhileServing(in zoneInput) commands.ZoneState {
+	state, assessment := in.state, in.assessment
+	confirmed := in.conditionAge >= d.settings.FailureConfirmTime
 	switch {
 	case assessment.Condition == Failed && confirmed:
-		return d.evacuate(state, "it fails, seen from "+strings.Join(assessment.Observers, ", "))
-	case assessment.Condition == PartiallyUnreachable && conditionAge >= d.settings.PartitionConfirmTime && !isSubset(assessment.Observers, state.UnreachableFrom):
-		state.UnreachableFrom, state.ProbeFraction, state.Reason = union(state.UnreachableFrom, assessment.Observers), probeFraction(d.settings.ProbeProcesses, processes), "cut from "+strings.Join(assessment.Observers, ", ")
-		return state
-	case len(state.UnreachableFrom) > 0 && stateAge >= d.settings.PropagationTime && intersect(state.UnreachableFrom, assessment.ReachedFrom):
-		state.UnreachableFrom = slices.DeleteFunc(slices.Clone(state.UnreachableFrom), func(from string) bool { return slices.Contains(assessment.ReachedFrom, from) })
-		if state.Reason = "reached again"; len(state.UnreachableFrom) == 0 {
-			state.UnreachableFrom, state.ProbeFraction = nil, 0
-		}
-		return state
-	case assessment.Condition == Slow && conditionAge >= d.settings.SlowConfirmTime && stateAge >= d.settings.PropagationTime:
+		return evacuate(state, "it fails, seen from "+strings.Join(assessment.Observers, ", "))
+	case assessment.Condition == PartiallyUnreachable && in.conditionAge >= d.settings.PartitionConfirmTime &&
+		!isSubset(assessment.Observers, state.UnreachableFrom):
+		state.UnreachableFrom = union(state.UnreachableFrom, assessment.Observers)
+		state.ProbeFraction = probeFraction(d.settings.ProbeProcesses, in.processes)
+		state.Reason = "cut from " + strings.Join(assessment.Observers, ", ")
+	case len(state.UnreachableFrom) > 0 && in.stateAge >= d.settings.PropagationTime && intersect(state.UnreachableFrom, assessment.ReachedFrom):
+		state = withReached(state, assessment.ReachedFrom)
+	case assessment.Condition == Slow && in.conditionAge >= d.settings.SlowConfirmTime && in.stateAge >= d.settings.PropagationTime:
 		if share := roundDownToStep(assessment.SustainableFraction*state.Share, d.settings.InitialShare); share < state.Share {
 			state.Phase, state.Share, state.Reason = commands.PhaseReduced, share, "slower than the others"
 		}
-		return state
-	case assessment.Condition == Healthy && confirmed && state.Phase == commands.PhaseReduced && stateAge >= d.settings.MinStepTime && d.hasEnoughSteps(assessment):
+	case assessment.Condition == Healthy && confirmed && state.Phase == commands.PhaseReduced && in.stateAge >= d.settings.MinStepTime &&
+		d.hasEnoughSteps(assessment):
 		state.Share, state.Reason = min(1, 2*state.Share), "as quick as the others"
 		if state.Share == 1 {
 			state.Phase = commands.PhaseActive
 		}
-		return state
-	case state.Phase == commands.PhaseActive && state.Failures > 0 && stateAge >= d.settings.StableTime && assessment.Condition != Failed:
+	case state.Phase == commands.PhaseActive && state.Failures > 0 && in.stateAge >= d.settings.StableTime && assessment.Condition != Failed:
 		state.Failures, state.Reason = 0, "steady"
 	}
 	return state
 }
 
-func isSubset(a, b []string) bool {
-	return !slices.ContainsFunc(a, func(v string) bool { return !slices.Contains(b, v) })
+// withReached returns the state without the zones that reach the zone again.
+func withReached(state commands.ZoneState, reachedFrom []string) commands.ZoneState {
+	state.UnreachableFrom = slices.DeleteFunc(slices.Clone(state.UnreachableFrom), func(from string) bool { return slices.Contains(reachedFrom, from) })
+	state.Reason = "reached again"
+	if len(state.UnreachableFrom) == 0 {
+		state.UnreachableFrom, state.ProbeFraction = nil, 0
+	}
+	return state
+}
+
+// isSubset reports whether all of subset are in set.
+func isSubset(subset, set []string) bool {
+	return !slices.ContainsFunc(subset, func(name string) bool { return !slices.Contains(set, name) })
 }
 
+// intersect reports whether a and b have an element in common.
 func intersect(a, b []string) bool {
-	return slices.ContainsFunc(a, func(v string) bool { return slices.Contains(b, v) })
+	return slices.ContainsFunc(a, func(name string) bool { return slices.Contains(b, name) })
 }
 
+// union returns the elements of both, sorted.
 func union(a, b []string) []string {
 	out := append(slices.Clone(a), b...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// roundDownToStep rounds a share down to one that doubling the first gives.
-func roundDownToStep(share, first float64) float64 {
-	s := first
-	for 2*s <= share+1e-9 {
-		s *= 2
+// roundDownToStep rounds a share down to a slow start step: the initial share times a power of two.
+func roundDownToStep(share, initial float64) float64 {
+	step := initial
+	for 2*step <= share+shareTolerance {
+		step *= 2
 	}
-	return min(s, 1)
+	return min(step, 1)
 }
 
-// nextWhileSlowStart is for a zone that comes back by steps. Each is earned by what was seen in it, and
-// is no larger than what its prep workers, still cold, bear together.
-func (d *Decider) nextWhileSlowStart(state commands.ZoneState, assessment Assessment, stateAge time.Duration) commands.ZoneState {
-	if stateAge < d.settings.PropagationTime || !d.hasEnoughSteps(assessment) {
+// nextWhileSlowStart doubles the share of a zone whose present step succeeded. A step never exceeds the warm part
+// of the zone's capacity; a step that failed halves the share, or evacuates the zone again.
+func (d *Decider) nextWhileSlowStart(in zoneInput) commands.ZoneState {
+	state, assessment := in.state, in.assessment
+	if in.stateAge < d.settings.PropagationTime || !d.hasEnoughSteps(assessment) {
 		return state
 	}
-	if assessment.Condition == Failed || assessment.Total.StepCounts.FailureRatio() >= 0.5 {
+	if assessment.Condition == Failed || assessment.Total.FailureRatio() >= failedRatio {
 		if state.Share /= 2; state.Share < d.settings.InitialShare {
-			return d.evacuate(state, "it failed again")
+			return evacuate(state, "it failed again")
 		}
 		state.Step, state.Reason = state.Step-1, "bad news"
 		return state
 	}
 	next := min(1, 2*state.Share)
-	if stateAge < d.settings.MinStepTime || !acceptable(assessment, d.settings) || next > max(d.settings.InitialShare, 1-assessment.Total.WarmupDeficit)+1e-9 {
+	warm := max(d.settings.InitialShare, 1-assessment.Total.WarmupDeficit)
+	if in.stateAge < d.settings.MinStepTime || !acceptable(assessment, d.settings) || next > warm+shareTolerance {
 		return state
 	}
 	state.Share, state.Step, state.Reason = next, state.Step+1, "earned"
--- a/internal/node/zones/follower/follower.go
+++ b/internal/node/zones/follower/follower.go
@@ -1,6 +1,9 @@
-// Package follower is what each process of the fleet does with the orders: what share of
-// its work it gives each zone while it hears the voters, and what it does by itself while
-// it hears nobody. It has no clock and no I/O.
+// Package follower applies the committed zone table in each process.
+//
+// While a process holds a lease from the voters it obeys the table; without one it adjusts the zones'
+// shares by its own observations. A lease counts from the moment the report was sent, so that the
+// voters know when it has ended. Package agent drives a Follower on a node's event loop and carries
+// its reports. The package has no clock and does no I/O.
 package follower
 
 import (
@@ -13,53 +16,63 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-// Settings are the figures that a process goes by.
+// Settings are the times and thresholds of a follower.
 type Settings struct {
-	ReportInterval  time.Duration // from one report to the next, on average
-	Jitter          float64       // part by which that differs at random
-	StartupWait     time.Duration // a new process waits for its first orders for so long
-	InitialShare    float64       // share of a zone that a process begins with by itself
-	ResponseTimeout time.Duration // without an answer, after which it looks after itself
-	AdjustInterval  time.Duration // by itself, it raises a zone's share no more often, and lowers it twice as often
-	RetryDelay      time.Duration // by itself, it sends nothing for so long to a zone that it has left
-	MinSteps        float64       // steps that must have ended to judge by
-	MaxFailureRatio float64       // part of them that may go wrong where the share is to grow
-	MinShare        float64       // share at which a zone that keeps failing is left
+	ReportInterval  time.Duration // mean time between reports
+	Jitter          float64       // fraction by which times vary at random
+	StartupWait     time.Duration // how long a new process waits for its first table
+	InitialShare    float64       // share that a process without a table begins with in each zone
+	ResponseTimeout time.Duration // without a response, after which the process adjusts shares by itself
+	AdjustInterval  time.Duration // shortest time between raises of a share without a lease; lowering takes half of it
+	RetryDelay      time.Duration // without a lease: how long nothing is sent to a zone whose share fell to 0
+	MinSteps        float64       // completed steps to adjust a share by
+	MaxFailureRatio float64       // failure ratio up to which a share grows
+	MinShare        float64       // share below which that of a failing zone becomes 0
 }
 
-// DefaultSettings are the figures that the program uses.
+// DefaultSettings returns the settings that the program uses.
 func DefaultSettings() Settings {
-	return Settings{ReportInterval: 200 * time.Millisecond, Jitter: 0.25, StartupWait: 2 * time.Second, ResponseTimeout: 600 * time.Millisecond, InitialShare: 1. / 16, AdjustInterval: time.Second,
-		RetryDelay: 4 * time.Second, MinSteps: 4, MaxFailureRatio: 0.2, MinShare: 1. / 64}
+	return Settings{
+		ReportInterval:  200 * time.Millisecond,
+		Jitter:          0.25,
+		StartupWait:     2 * time.Second,
+		ResponseTimeout: 600 * time.Millisecond,
+		InitialShare:    1. / 16,
+		AdjustInterval:  time.Second,
+		RetryDelay:      4 * time.Second,
+		MinSteps:        4,
+		MaxFailureRatio: 0.2,
+		MinShare:        1. / 64,
+	}
 }
 
-// Report is what a process tells a voter.
+// Report is the heartbeat that a process sends to a voter.
 type Report struct {
 	Fleet        string              `cbor:"1,keyasint"`
 	Name         string              `cbor:"2,keyasint"`
 	Zone         string              `cbor:"3,keyasint"`
 	Incarnation  uint64              `cbor:"4,keyasint"`
 	Sequence     uint64              `cbor:"5,keyasint"`
-	Epoch        uint64              `cbor:"6,keyasint"` // of the orders that it holds
+	Epoch        uint64              `cbor:"6,keyasint"` // of the table that the process holds
 	Observations health.Observations `cbor:"7,keyasint,omitempty"`
 }
 
-// Response is what the voter answers.
+// Response is a voter's response to a report.
 type Response struct {
-	Incarnation uint64          `cbor:"1,keyasint"`           // that the voter knows of; above the process's own: it must take a higher one
-	Epoch       uint64          `cbor:"2,keyasint"`           // that holds, as far as the voter knows
-	Table       *commands.Table `cbor:"3,keyasint,omitempty"` // where the process's is older
-	Lease       time.Duration   `cbor:"4,keyasint"`           // for which the orders hold, from the report's sending on; 0: the voter has no leader
+	Incarnation uint64          `cbor:"1,keyasint"`           // known to the voter; if above the process's own, the process must take a higher one
+	Epoch       uint64          `cbor:"2,keyasint"`           // of the voter's table
+	Table       *commands.Table `cbor:"3,keyasint,omitempty"` // set where the process's epoch differs
+	Lease       time.Duration   `cbor:"4,keyasint"`           // how long the table may be obeyed, from the sending of the report; 0: the voter is not up to date with a leader
 }
 
-// autonomousShare is what a process makes of a zone by itself.
+// autonomousShare is the share that a process without a lease gives a zone.
 type autonomousShare struct {
 	share      float64
-	changedAt  time.Duration // of the last change
-	retryAfter time.Duration // drawn when the zone was left
+	changedAt  time.Duration // when share last changed
+	retryAfter time.Duration // drawn at random when share became 0
 }
 
-// Follower is one process's part.
+// Follower holds the table and lease of one process. It belongs to one goroutine.
 type Follower struct {
 	settings       Settings
 	fleet          string
@@ -70,27 +83,28 @@
 	startedAt      time.Duration
 	table          commands.Table
 	hasTable       bool
-	leaseUntil     time.Duration // until when the orders hold
-	leaseGrantedAt time.Duration // the last answer that granted one
+	leaseUntil     time.Duration // end of the lease
+	leaseGrantedAt time.Duration // time of the last response that granted a lease
 	autonomous     bool
 	shares         map[string]*autonomousShare
 	monitor        *health.Monitor
 	classes        int
-	staleResponses uint64 // answers with orders older than the ones held
-	DisabledCheck  string // a check left out, for the tests that show what it is for
+	staleResponses uint64 // responses with a table older than the one held
+	DisabledCheck  string // a check to skip, for tests that show why it is needed
 }
 
-// New makes a process's part. incarnation has to be above that of its last start; the
-// time of day in microseconds will do, and the voters raise it where a clock went back.
+// New returns the follower of a process started at now. incarnation must be above that of the
+// process's last start; the time of day in microseconds will do, as the voters raise it where a clock
+// went back. classes is the number of request classes.
 func New(now time.Duration, settings Settings, fleet, name, zone string, incarnation uint64, classes int, rng *rand.Rand) *Follower {
 	return &Follower{settings: settings, fleet: fleet, name: name, zone: zone, rng: rng, incarnation: incarnation, startedAt: now,
 		classes: classes, shares: map[string]*autonomousShare{}, monitor: health.New(now, classes)}
 }
 
-// Monitor is where the process notes what it sees.
+// Monitor returns the monitor that records the ends of the process's steps.
 func (f *Follower) Monitor() *health.Monitor { return f.monitor }
 
-// Report makes the next report, and tells when to make the one after.
+// Report returns the next report, and the time until the one after.
 func (f *Follower) Report(now time.Duration) (r Report, next time.Duration) {
 	f.sequence++
 	wait := float64(f.settings.ReportInterval) * (1 + f.settings.Jitter*(2*f.rng.Float64()-1))
@@ -98,8 +112,9 @@
 		Observations: f.monitor.Observations(now)}, time.Duration(wait)
 }
 
-// HandleResponse takes in a voter's answer to the report sent at a time. Orders older than those
-// held are refused, and with them the lease. It tells whether anything has changed.
+// HandleResponse applies a voter's response to the report that was sent at the given time, and reports
+// whether it granted a lease. A response with an epoch older than the table's is rejected together
+// with its lease, so that the table never goes back.
 func (f *Follower) HandleResponse(now, sent time.Duration, response Response) bool {
 	if response.Incarnation > f.incarnation {
 		f.incarnation, f.sequence = response.Incarnation+1, 0
@@ -114,7 +129,7 @@
 	if response.Table != nil && response.Table.Epoch != f.table.Epoch {
 		f.applyTable(now, response.Table.Clone())
 	} else if response.Epoch > f.table.Epoch {
-		return false // it knows of newer orders and has not sent them: nothing to hold to
+		return false // the voter has a newer table but did not send it: a lease for the old one is void
 	}
 	until := sent + response.Lease
 	if until <= now {
@@ -124,8 +139,8 @@
 	return true
 }
 
-// applyTable takes up new orders. What was seen of a zone under another share says nothing of the
-// new one; where the share here stays, it does.
+// applyTable replaces the table. Observations of a zone whose share changes are reset: they were made
+// under another load.
 func (f *Follower) applyTable(now time.Duration, t commands.Table) {
 	before := map[string]float64{}
 	for zone := range t.Zones {
@@ -139,29 +154,29 @@
 	}
 }
 
-// ResetAfterStall forgets all that was seen: a process that was frozen saw nothing end, and knows
-// nothing of what has become of the others meanwhile.
+// ResetAfterStall discards all observations after the process was paused: it saw no step end, and its
+// time-outs say nothing about the zones.
 func (f *Follower) ResetAfterStall(now time.Duration) { f.monitor = health.New(now, f.classes) }
 
-// Ready tells whether the process may take work: it knows what holds, or has waited for
-// that long enough.
+// Ready reports whether the process may accept requests: it has a table, or has waited StartupWait for
+// one.
 func (f *Follower) Ready(now time.Duration) bool {
 	return f.hasTable || now-f.startedAt >= f.settings.StartupWait
 }
 
-// HasLease tells whether the orders hold; else the process goes by itself.
+// HasLease reports whether the lease has not ended.
 func (f *Follower) HasLease(now time.Duration) bool { return f.hasTable && now < f.leaseUntil }
 
-// Epoch is that of the orders held.
+// Epoch returns the epoch of the table held.
 func (f *Follower) Epoch() uint64 { return f.table.Epoch }
 
-// Table is the orders held; it is not to be changed.
+// Table returns the table held. The caller must not modify it.
 func (f *Follower) Table() *commands.Table { return &f.table }
 
-// StaleResponses counts answers with older orders.
+// StaleResponses returns the number of responses rejected for an older epoch.
 func (f *Follower) StaleResponses() uint64 { return f.staleResponses }
 
-// AdmittedFraction is the part of a class that is let in. A process by itself lets all in.
+// AdmittedFraction returns the fraction of a class to admit; 1 without a lease.
 func (f *Follower) AdmittedFraction(now time.Duration, class string) float64 {
 	if v, ok := f.table.Admission[class]; ok && f.HasLease(now) {
 		return v
@@ -169,8 +184,8 @@
 	return 1
 }
 
-// Shares gives each zone's part, by the zones' names: 1 for at least one of them, so that
-// where all are doubted alike none is.
+// Shares returns the share of each zone, scaled so that the largest is 1: where all zones are doubted
+// alike, none is.
 func (f *Follower) Shares(now time.Duration, zones []string) map[string]float64 {
 	out := make(map[string]float64, len(zones))
 	leased, silent := f.HasLease(now), !f.hasTable || now-f.leaseGrantedAt > f.settings.ResponseTimeout
@@ -182,7 +197,7 @@
 		case !leased:
 			out[zone] = f.shares[zone].share
 		case silent:
-			// The orders still hold, but it may be this process that is cut off.
+			// The lease has not ended, but this process may be the one that is partitioned.
 			out[zone] = min(f.assignedShare(zone), f.shares[zone].share)
 		default:
 			out[zone] = f.assignedShare(zone)
@@ -202,7 +217,7 @@
 	return out
 }
 
-// assignedShare is a zone's share by the orders.
+// assignedShare returns the share that the table assigns this process in a zone.
 func (f *Follower) assignedShare(zone string) float64 {
 	z := f.table.Zone(zone)
 	if slices.Contains(z.UnreachableFrom, f.zone) {
@@ -222,8 +237,8 @@
 	return z.Share
 }
 
-// selectedToProbe tells whether this process is one of the few that try a zone: each can tell by
-// itself, and at each order others are.
+// selectedToProbe reports whether this process is one of the few that probe a zone. Each process
+// decides alone by a hash of its name; each new state of the zone selects others.
 func (f *Follower) selectedToProbe(zone string, z commands.ZoneState) bool {
 	h := fnv.New64a()
 	for _, s := range []string{f.name, "\x00", zone, "\x00"} {
@@ -233,7 +248,7 @@
 	return float64(x>>11)/(1<<53) < z.ProbeFraction
 }
 
-// splitmix64 is the finalizer of splitmix64.
+// splitmix64 is the finalizer of the splitmix64 generator.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -241,10 +256,9 @@
 	return x ^ x>>31
 }
 
-// adjustAutonomously is the rule for a process that hears nobody: it goes on from the shares that
-// it last had, cuts that of a zone where most goes wrong to a quarter, doubles that of one where it
-// goes well, and tries one that it has left after a rest. Never does a share grow more
-// than twofold at a time, whatever the zone's order was.
+// adjustAutonomously adjusts the shares without the voters. It starts from the assigned shares, cuts
+// that of a failing zone to a quarter, doubles that of a healthy one, and probes a zone at 0 after
+// RetryDelay. A share never grows more than twofold at a time.
 func (f *Follower) adjustAutonomously(now time.Duration, zones []string) {
 	began := !f.autonomous
 	f.autonomous = true
@@ -268,6 +282,7 @@
 	}
 }
 
+// adjustShare adjusts one zone's share by the steps completed since its last change.
 func (f *Follower) adjustShare(now time.Duration, zone string, share *autonomousShare) {
 	if share.share == 0 {
 		if now-share.changedAt >= share.retryAfter {
@@ -294,7 +309,7 @@
 	f.monitor.Reset(now, zone)
 }
 
-// jitter varies a span at random, so that processes do not act in step.
+// jitter varies a duration at random, so that processes do not act in step.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + f.settings.Jitter*(2*f.rng.Float64()-1)))
 }
--- a/internal/node/zones/health/health.go
+++ b/internal/node/zones/health/health.go
@@ -1,5 +1,10 @@
-// Package health is what processes see of each zone: counts that merge by adding, of
-// a size that does not grow with the number of processes. It has no clock and no I/O.
+// Package health records how route steps to each zone end, and merges the records of many
+// processes.
+//
+// A process feeds a Monitor; the Monitor's Observations travel in its reports (package follower).
+// A voter merges the reports of its processes into a Digest, and the leader merges the voters'
+// digests and assesses the zones (package failover). Merging adds counts, so that a digest's size
+// depends on the number of zones alone. The package has no clock and does no I/O.
 package health
 
 import (
@@ -8,30 +13,29 @@
 )
 
 const (
-	bucketCount  = 12                     // of a window
-	bucketLength = 250 * time.Millisecond // so that a window shows the last three seconds
-	// A process judges a zone by its last steps there, the recent ones if there are any; else
-	// by older ones, as long as it has seen nothing newer: who doubts a zone sends little
-	// there, and must not forget why.
+	bucketCount  = 12                     // buckets of a window
+	bucketLength = 250 * time.Millisecond // a window covers the last three seconds
+	// A process assesses a zone by its last steps there: the fresh ones if there are any, else
+	// older ones. A process that doubts a zone sends little there and must not forget why.
 	recentStepCount = 5
 	freshStepAge    = 2 * time.Second
 	maxStepAge      = 10 * time.Second
-	failingRatio    = 0.6 // of them that broke or stayed silent: the zone fails, seen from here
+	failingRatio    = 0.6 // failed or timed out fraction from which the zone counts as failing here
 )
 
-// Window is the time that a process's evidence covers.
+// Window is the time span that a process's counts cover.
 const Window = bucketCount * bucketLength
 
-// StepCounts is what became of route steps to one zone.
+// StepCounts counts route steps to one zone by how they ended. Fractional counts are allowed.
 type StepCounts struct {
-	Sent      float64 `cbor:"1,keyasint,omitempty"` // steps begun
-	Succeeded float64 `cbor:"2,keyasint,omitempty"` // served, or turned away by a prep worker that lives
-	Late      float64 `cbor:"3,keyasint,omitempty"` // served or begun too late for its aim
-	Failed    float64 `cbor:"4,keyasint,omitempty"` // not connected, or reset
-	TimedOut  float64 `cbor:"5,keyasint,omitempty"` // no sign of a start in the time for one
+	Sent      float64 `cbor:"1,keyasint,omitempty"` // steps sent
+	Succeeded float64 `cbor:"2,keyasint,omitempty"` // served, or rejected by a live prep worker
+	Late      float64 `cbor:"3,keyasint,omitempty"` // succeeded, but past the latency target
+	Failed    float64 `cbor:"4,keyasint,omitempty"` // connection refused or reset
+	TimedOut  float64 `cbor:"5,keyasint,omitempty"` // not started within the start time-out
 }
 
-// Add merges.
+// Add adds other's counts.
 func (c *StepCounts) Add(o StepCounts) {
 	c.Sent += o.Sent
 	c.Succeeded += o.Succeeded
@@ -40,10 +44,10 @@
 	c.TimedOut += o.TimedOut
 }
 
-// Completed is how many steps say something.
+// Completed returns the number of steps with a known end.
 func (c StepCounts) Completed() float64 { return c.Succeeded + c.Failed + c.TimedOut }
 
-// FailureRatio is the part of them that broke or stayed silent.
+// FailureRatio returns the fraction of completed steps that failed or timed out; 0 if none completed.
 func (c StepCounts) FailureRatio() float64 {
 	if c.Completed() == 0 {
 		return 0
@@ -51,7 +55,7 @@
 	return (c.Failed + c.TimedOut) / c.Completed()
 }
 
-// LateRatio is the part of the steps that went well, but too late.
+// LateRatio returns the fraction of succeeded steps that were late; 0 if none succeeded.
 func (c StepCounts) LateRatio() float64 {
 	if c.Succeeded == 0 {
 		return 0
@@ -59,18 +63,18 @@
 	return min(1, c.Late/c.Succeeded)
 }
 
-// Observation is what one or more processes see of a zone.
+// Observation is what one or more processes observed of a zone.
 type Observation struct {
 	StepCounts
-	Observers        float64   `cbor:"7,keyasint,omitempty"`  // processes that can tell
-	FailingObservers float64   `cbor:"8,keyasint,omitempty"`  // those of them to which the zone fails
-	RecentSteps      float64   `cbor:"12,keyasint,omitempty"` // the steps that they judge by
-	Slots            float64   `cbor:"9,keyasint,omitempty"`  // of the zone's ready prep workers, the most that one process knows of
-	WarmupDeficit    float64   `cbor:"10,keyasint,omitempty"` // part of their capacity that its prep workers lack as they are cold, the most that one process knows of
-	WorkRate         []float64 `cbor:"11,keyasint,omitempty"` // slot-seconds a second sent there, by class
+	Observers        float64   `cbor:"7,keyasint,omitempty"`  // processes with enough steps to judge
+	FailingObservers float64   `cbor:"8,keyasint,omitempty"`  // those of them that see the zone failing
+	RecentSteps      float64   `cbor:"12,keyasint,omitempty"` // the steps that the observers judge by
+	Slots            float64   `cbor:"9,keyasint,omitempty"`  // of the zone's ready prep workers; the largest value that one process knows
+	WarmupDeficit    float64   `cbor:"10,keyasint,omitempty"` // capacity fraction lacking as prep workers warm up; the largest value that one process knows
+	WorkRate         []float64 `cbor:"11,keyasint,omitempty"` // slot-seconds per second sent there, by class
 }
 
-// Add merges what others see.
+// Add merges another observation of the same zone.
 func (s *Observation) Add(o Observation) {
 	s.StepCounts.Add(o.StepCounts)
 	s.Observers += o.Observers
@@ -86,10 +90,10 @@
 	}
 }
 
-// Observations is what is seen of the zones, by their names.
+// Observations are observations by zone name.
 type Observations map[string]Observation
 
-// Add merges.
+// Add merges other observations.
 func (s Observations) Add(o Observations) {
 	for zone, of := range o {
 		at := s[zone]
@@ -99,23 +103,23 @@
 	}
 }
 
-// Digest is the sights of many processes by the zone that they see from.
+// Digest is the merged observations of many processes, by the zone that the processes run in.
 type Digest map[string]ZoneReport
 
-// ZoneReport is what the processes of one zone see.
+// ZoneReport is the merged observations of the processes of one zone.
 type ZoneReport struct {
-	Processes    float64      `cbor:"1,keyasint"` // that are heard of
+	Processes    float64      `cbor:"1,keyasint"` // that report
 	Observations Observations `cbor:"2,keyasint"`
 }
 
-// Add merges.
+// Add merges another digest.
 func (d Digest) Add(o Digest) {
 	for zone, from := range o {
 		d.add(zone, from.Processes, from.Observations)
 	}
 }
 
-// AddProcess adds one process's sights.
+// AddProcess merges the observations of one process that runs in a zone.
 func (d Digest) AddProcess(zone string, s Observations) { d.add(zone, 1, s) }
 
 func (d Digest) add(zone string, processes float64, s Observations) {
@@ -128,30 +132,30 @@
 	d[zone] = at
 }
 
-// bucket is what became of the steps in a part of the window.
+// bucket holds the counts of one bucketLength of the window.
 type bucket struct {
 	number int64
 	counts StepCounts
 	work   []float64
 }
 
-// zoneWindow is what one process has seen of one zone lately.
+// zoneWindow is one process's sliding window over one zone.
 type zoneWindow struct {
 	buckets          [bucketCount]bucket
-	ignoreSentBefore time.Duration // steps sent earlier say nothing
+	ignoreSentBefore time.Duration // steps sent earlier are not counted
 	recent           [recentStepCount]completedStep
 	next             int
 	slots            float64
 	warmupDeficit    float64
 }
 
-// completedStep is one that has ended.
+// completedStep is the end of one step.
 type completedStep struct {
-	at     time.Duration // 0: none
+	at     time.Duration // 0: the entry is unused
 	failed bool
 }
 
-// assess tells how many steps it judges by, and whether the zone is well or fails by them.
+// assess returns the number of recent steps judged by, and whether they show the zone healthy or failing.
 func (s *zoneWindow) assess(now time.Duration) (n float64, good, bad bool) {
 	for _, span := range [...]time.Duration{freshStepAge, maxStepAge} {
 		failed := 0.0
@@ -165,23 +169,23 @@
 		}
 		if n > 0 {
 			bad = failed >= failingRatio*n
-			// That it went well a while ago says nothing of now; that it did not may be why
-			// nothing has been sent since.
+			// Old successes prove nothing about now; old failures may be the reason that nothing
+			// has been sent since.
 			return n, !bad && span == freshStepAge, bad
 		}
 	}
 	return 0, false, false
 }
 
-// Monitor is what one process has seen of all zones lately. The zero value is not ready:
-// see New.
+// Monitor records what one process observes of all zones. Use New; the zero value is not ready. It
+// belongs to one goroutine.
 type Monitor struct {
 	classes   int
 	startedAt time.Duration
 	zones     map[string]*zoneWindow
 }
 
-// New makes the eyes of a process that has started at a time, with so many classes.
+// New returns a monitor of a process started at now that serves the given number of classes.
 func New(now time.Duration, classes int) *Monitor {
 	return &Monitor{classes: classes, startedAt: now, zones: map[string]*zoneWindow{}}
 }
@@ -205,7 +209,7 @@
 	return at
 }
 
-// RecordSent notes a step begun, and the slot-seconds that it will take.
+// RecordSent records a step sent, and the slot-seconds that it will take.
 func (e *Monitor) RecordSent(now time.Duration, zone string, class int, work float64) {
 	at := e.bucketAt(now, zone)
 	at.counts.Sent++
@@ -214,14 +218,15 @@
 	}
 }
 
-// RecordWork adds slot-seconds of work done in a zone, where they are known only at its end.
+// RecordWork adds slot-seconds of work that are known only when a step has ended.
 func (e *Monitor) RecordWork(now time.Duration, zone string, class int, work float64) {
 	if at := e.bucketAt(now, zone); class >= 0 && class < len(at.work) {
 		at.work[class] += work
 	}
 }
 
-// RecordOutcome adds to what became of a step to a zone, sent at a time.
+// RecordOutcome records the end of a step that was sent to a zone at the given time. It is ignored if
+// the zone was reset after the step was sent.
 func (e *Monitor) RecordOutcome(now, sent time.Duration, zone string, c StepCounts) {
 	at := e.bucketAt(now, zone)
 	s := e.zones[zone]
@@ -235,8 +240,8 @@
 	}
 }
 
-// Reset has nothing count that became or becomes of steps sent so far to a zone. How
-// much is sent there stays known.
+// Reset discards the outcomes of all steps sent to a zone so far, also those that end later. The work
+// sent there is kept.
 func (e *Monitor) Reset(now time.Duration, zone string) {
 	if s := e.zones[zone]; s != nil {
 		s.ignoreSentBefore, s.recent = now, [recentStepCount]completedStep{}
@@ -246,15 +251,15 @@
 	}
 }
 
-// SetCapacity sets what is known of a zone's prep workers: their slots, and the part of their
-// capacity that they lack as they are cold.
+// SetCapacity records the slots of a zone's ready prep workers, and the capacity fraction lacking as
+// they warm up.
 func (e *Monitor) SetCapacity(now time.Duration, zone string, slots, warmupDeficit float64) {
 	e.bucketAt(now, zone)
 	s := e.zones[zone]
 	s.slots, s.warmupDeficit = slots, warmupDeficit
 }
 
-// Observe sums up what is seen of a zone.
+// Observe returns the observation of a zone over the window.
 func (e *Monitor) Observe(now time.Duration, zone string) Observation {
 	var out Observation
 	s := e.zones[zone]
@@ -288,7 +293,7 @@
 	return out
 }
 
-// Observations sums up what is seen of all zones.
+// Observations returns the observations of all zones over the window.
 func (e *Monitor) Observations(now time.Duration) Observations {
 	out := make(Observations, len(e.zones))
 	for zone := range e.zones {
--- a/internal/node/zones/members/members.go
+++ b/internal/node/zones/members/members.go
@@ -1,7 +1,8 @@
-// Package members is who lives among the fleet's processes: a table of those that one
-// voter hears of. A process is known by its name and an incarnation that each of its
-// starts raises, so that a word of a process that is gone is never taken for a living
-// one's. It has no clock and no I/O.
+// Package members tracks which processes report to a voter.
+//
+// A process is identified by its name and an incarnation that grows with each of its starts, so that
+// a delayed heartbeat of an earlier start is never taken for the current one's. Package replica feeds
+// the Table and expires it. The package has no clock and does no I/O.
 package members
 
 import (
@@ -16,32 +17,33 @@
 	Zone          string
 	Incarnation   uint64
 	LastHeartbeat time.Duration
-	Sequence      uint64 // of its last word
+	Sequence      uint64 // of its last accepted heartbeat
 }
 
-// Table is all of them.
+// Table is the membership table of one voter. It belongs to the replica's goroutine.
 type Table struct {
 	timeout time.Duration
 	live    map[string]*Member
-	expired map[string]uint64 // incarnations of those that fell silent, so that they stay void
+	expired map[string]uint64 // last incarnation of each expired process, so that earlier ones stay rejected
 }
 
-// New makes a table of processes that count as alive for some time after a word.
+// New returns a table in which a process is live until timeout after its last heartbeat.
 func New(timeout time.Duration) *Table {
 	return &Table{timeout: timeout, live: map[string]*Member{}, expired: map[string]uint64{}}
 }
 
-// HeartbeatResult is what becomes of a word.
+// HeartbeatResult is how the table took a heartbeat.
 type HeartbeatResult uint8
 
-// The verdicts.
+// The results of a heartbeat.
 const (
 	Accepted   HeartbeatResult = iota
-	OutOfOrder                 // a word overtaken by a later one of the same process: nothing changes
-	Superseded                 // of an incarnation that a later start has outdone: nothing changes
+	OutOfOrder                 // overtaken by a later heartbeat of the same incarnation; nothing changes
+	Superseded                 // of an earlier incarnation; nothing changes
 )
 
-// Heartbeat takes in a word. Words of one incarnation are numbered from 1 by Sequence.
+// Heartbeat records a heartbeat and returns its result and the incarnation known for the name.
+// Heartbeats of one incarnation are numbered from 1 by sequence.
 func (t *Table) Heartbeat(now time.Duration, name, zone string, incarnation, sequence uint64) (HeartbeatResult, uint64) {
 	member := t.live[name]
 	if member == nil {
@@ -64,7 +66,8 @@
 	return Accepted, incarnation
 }
 
-// Expire forgets who has been silent for too long, and returns their names.
+// Expire removes the processes whose last heartbeat is older than the timeout and returns their names,
+// sorted.
 func (t *Table) Expire(now time.Duration) (names []string) {
 	for name, member := range t.live {
 		if now-member.LastHeartbeat > t.timeout {
@@ -77,7 +80,7 @@
 	return names
 }
 
-// Live are those that have been heard of, by name.
+// Live returns the live processes, sorted by name.
 func (t *Table) Live() []Member {
 	out := make([]Member, 0, len(t.live))
 	for _, name := range slices.Sorted(maps.Keys(t.live)) {
@@ -86,5 +89,5 @@
 	return out
 }
 
-// Len is their number.
+// Len returns the number of live processes.
 func (t *Table) Len() int { return len(t.live) }
--- a/internal/node/zones/replica/messages.go
+++ b/internal/node/zones/replica/messages.go
@@ -9,27 +9,27 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// Message is what one voter sends another.
+// Message is what one voter sends another. The numbers are its encoding.
 type Message struct {
 	Fleet       string             `cbor:"1,keyasint"`
 	From        uint64             `cbor:"2,keyasint"`
-	Store       string             `cbor:"3,keyasint"` // of the sender
+	Store       string             `cbor:"3,keyasint"` // ID of the sender's store
 	Log         [][]byte           `cbor:"4,keyasint,omitempty"`
-	LeaderTerm  uint64             `cbor:"7,keyasint,omitempty"` // the sender's term, where it leads and is settled
-	CommitIndex uint64             `cbor:"8,keyasint,omitempty"` // and how far the log is agreed on
-	Stamp       Timestamp          `cbor:"9,keyasint"`           // when it was written
-	Echo        Timestamp          `cbor:"10,keyasint"`          // the addressee's last that the sender has had
-	Digest      health.Digest      `cbor:"5,keyasint,omitempty"` // what the processes see that report to the sender
-	Commands    []commands.Command `cbor:"6,keyasint,omitempty"` // for the leader to put
+	LeaderTerm  uint64             `cbor:"7,keyasint,omitempty"` // the sender's term, where it leads and has applied its own first entry
+	CommitIndex uint64             `cbor:"8,keyasint,omitempty"` // the leader's commit index
+	Stamp       Timestamp          `cbor:"9,keyasint"`           // when the message was made
+	Echo        Timestamp          `cbor:"10,keyasint"`          // the stamp of the last message that the sender received from the addressee
+	Digest      health.Digest      `cbor:"5,keyasint,omitempty"` // observations of the processes that report to the sender
+	Commands    []commands.Command `cbor:"6,keyasint,omitempty"` // for the leader to propose
 }
 
-// Timestamp is a time by a voter's own clock, which begins anew with each of its starts.
+// Timestamp is a time by a voter's own clock, which restarts with each incarnation.
 type Timestamp struct {
 	Incarnation uint64        `cbor:"1,keyasint"`
 	At          time.Duration `cbor:"2,keyasint"`
 }
 
-// Merge puts a later letter to the same voter into this one.
+// Merge returns this message and a later one to the same voter as one.
 func (m Message) Merge(later Message) Message {
 	later.Log = append(m.Log[:len(m.Log):len(m.Log)], later.Log...)
 	later.Commands = append(m.Commands[:len(m.Commands):len(m.Commands)], later.Commands...)
@@ -39,23 +39,23 @@
 	return later
 }
 
-// Envelope is a letter and to whom it goes.
+// Envelope is a message and its addressee.
 type Envelope struct {
 	To      uint64
 	Message Message
 }
 
-// leaderCommit is what a leader has said of the log, and when.
+// leaderCommit is a leader's commit index and the own clock time by which it was read.
 type leaderCommit struct {
 	term, index uint64
 	at          time.Duration
 }
 
-// Receive takes in another voter's letter.
+// Receive handles another voter's message. After an error of the log the replica must stop; see Err.
 func (r *Replica) Receive(now time.Duration, message Message) error {
 	if message.Fleet != r.config.Fleet {
 		r.counts.Foreign++
-		return fmt.Errorf("fleet: this is %q, not %q", r.config.Fleet, message.Fleet)
+		return r.foreignFleetError(message.Fleet)
 	}
 	if r.machine.StoreRolledBack(message.From, message.Store) {
 		r.counts.Rejected++
@@ -67,7 +67,7 @@
 			return fmt.Errorf("log.%d: %w", i, err)
 		}
 		if uint64(logMessage.From) != message.From || uint64(logMessage.To) != r.config.ID {
-			return fmt.Errorf("log.%d: from %d to %d, in a letter of %d to %d", i, logMessage.From, logMessage.To, message.From, r.config.ID)
+			return fmt.Errorf("log.%d: from %d to %d, in a message of %d to %d", i, logMessage.From, logMessage.To, message.From, r.config.ID)
 		}
 		if err := r.log.Step(logMessage); err != nil {
 			r.err = err
@@ -75,7 +75,7 @@
 		}
 	}
 	r.now = now
-	if e := r.lastStamps[message.From]; e.Incarnation != message.Stamp.Incarnation || e.At < message.Stamp.At {
+	if last := r.lastStamps[message.From]; last.Incarnation != message.Stamp.Incarnation || last.At < message.Stamp.At {
 		r.lastStamps[message.From] = message.Stamp
 	}
 	switch {
@@ -89,16 +89,20 @@
 	}
 	for _, command := range message.Commands {
 		if data, err := commands.Encode(command); err == nil {
-			_ = r.log.Propose(data) // who put it asks again
+			_ = r.log.Propose(data) // its proposer sends it again until it is committed
 		}
 	}
 	return nil
 }
 
-// mayGrantLease tells whether what this voter has applied is what was agreed on a moment ago. One
-// that has just been started, or lags, may have a leader and old orders all the same; and
-// what a leader says may have been long on its way, or its answer to nothing: the age of
-// its word counts from when this voter wrote what the leader had read then.
+func (r *Replica) foreignFleetError(fleet string) error {
+	return fmt.Errorf("fleet: this is %q, not %q", r.config.Fleet, fleet)
+}
+
+// mayGrantLease reports whether the table applied here was the committed one at most an election timeout
+// ago. A voter that lags or has just started may know a leader and still have an old table, and a
+// leader's message may be long delayed. So the age of a commit index counts from the time at which this
+// voter sent the message that the leader echoed.
 func (r *Replica) mayGrantLease(now time.Duration) bool {
 	if r.log.IsLeader() {
 		return r.log.LeaderCaughtUp()
@@ -106,31 +110,31 @@
 	return r.caughtUpAt > 0 && now-r.caughtUpAt <= time.Duration(r.config.Settings.ElectionTicks)*r.config.Settings.Tick
 }
 
-// recordLeaderCommit notes a leader's word on how far the log is agreed on, and looks whether this
-// voter is as far.
-func (r *Replica) recordLeaderCommit(w leaderCommit) {
-	if w.term > 0 && (w.term > r.leaderCommit.term || w.term == r.leaderCommit.term && w.at >= r.leaderCommit.at) {
-		r.leaderCommit = w
+// recordLeaderCommit records a leader's commit index, and whether this voter has applied that much.
+func (r *Replica) recordLeaderCommit(read leaderCommit) {
+	if read.term > 0 && (read.term > r.leaderCommit.term || read.term == r.leaderCommit.term && read.at >= r.leaderCommit.at) {
+		r.leaderCommit = read
 	}
 	if r.leaderCommit.term > 0 && r.leaderCommit.term >= r.log.Term() && r.log.Applied() >= r.leaderCommit.index {
 		r.caughtUpAt = max(r.caughtUpAt, r.leaderCommit.at)
 	}
 }
 
+// send queues a message, stamped, to another voter.
 func (r *Replica) send(to uint64, message Message) {
 	if to == r.config.ID {
 		return
 	}
 	message.Fleet, message.From, message.Store = r.config.Fleet, r.config.ID, r.config.Store
 	message.Stamp, message.Echo = Timestamp{r.config.Starts, r.now}, r.lastStamps[to]
-	// A new leader may not know yet how far the log was agreed on before it led.
+	// A new leader does not know the commit index of its predecessors before it has applied its own first entry.
 	if r.log.LeaderCaughtUp() || r.config.DisabledCheck == "settled" && r.log.IsLeader() {
 		message.LeaderTerm, message.CommitIndex = r.log.Term(), r.log.Committed()
 	}
 	r.outgoing = append(r.outgoing, Envelope{to, message})
 }
 
-// TakeOutgoing returns the letters that are to go out, and forgets them. A voter that must not go on says nothing.
+// TakeOutgoing returns the queued messages and clears the queue. A replica that must stop sends nothing.
 func (r *Replica) TakeOutgoing() []Envelope {
 	r.advance()
 	if r.err != nil {
--- a/internal/node/zones/replica/pending.go
+++ b/internal/node/zones/replica/pending.go
@@ -11,7 +11,10 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// pendingCommand is an order put through this voter that is not agreed on yet.
+// neverSent is an age past which a command is due to be sent at once.
+const neverSent = time.Second
+
+// pendingCommand is a command proposed through this voter that is not known to be committed.
 type pendingCommand struct {
 	command  commands.Command
 	deadline time.Duration
@@ -19,7 +22,8 @@
 	done     func(error)
 }
 
-// ProposeOverride puts what a person has said. done is told once what became of it.
+// ProposeOverride proposes an operator's override. done is called once with the outcome. The last zone
+// that takes work cannot be evacuated.
 func (r *Replica) ProposeOverride(now time.Duration, override commands.Override, done func(error)) {
 	if err := override.Validate(); err != nil {
 		done(err)
@@ -32,7 +36,7 @@
 	r.submit(now, commands.Command{Override: &override}, now+r.config.Settings.CommitTimeout, done)
 }
 
-// otherZoneServes tells whether a zone other than this one takes work.
+// otherZoneServes reports whether a zone other than this one takes work.
 func (r *Replica) otherZoneServes(zone string) bool {
 	zones := map[string]bool{}
 	for name, report := range r.localDigest() {
@@ -53,18 +57,18 @@
 	return false
 }
 
-// submit has an order agreed on, by the leader wherever it is. It is sent again until it is
-// applied or its time is over; the order's ID keeps it from counting twice.
+// submit has a command committed through whichever voter leads. It is sent again until it is applied or
+// its deadline has passed; its ID keeps it from being applied twice. done is called once.
 func (r *Replica) submit(now time.Duration, command commands.Command, deadline time.Duration, done func(error)) {
 	r.lastCommandNumber++
 	command.ID = strconv.FormatUint(r.config.ID, 10) + "-" + r.config.Store + "-" + strconv.FormatUint(r.config.Starts, 10) + "-" +
 		strconv.FormatUint(r.lastCommandNumber, 10)
-	r.pending[command.ID] = &pendingCommand{command: command, deadline: deadline, sentAt: now - time.Second, done: done}
+	r.pending[command.ID] = &pendingCommand{command: command, deadline: deadline, sentAt: now - neverSent, done: done}
 	r.counts.Commands++
 	r.resendPending(now)
 }
 
-// resendPending sends on what waits to be agreed on.
+// resendPending proposes the pending commands, or forwards them to the leader, and fails those past their deadline.
 func (r *Replica) resendPending(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
 		p := r.pending[id]
@@ -84,7 +88,7 @@
 	}
 }
 
-// onApplied hears of each order as it is applied.
+// onApplied reports the outcome of an applied command to its proposer.
 func (r *Replica) onApplied(command commands.Command, err error) {
 	if errors.Is(err, commands.ErrStale) {
 		r.counts.Stale++
--- a/internal/node/zones/replicatedlog/codec.go
+++ b/internal/node/zones/replicatedlog/codec.go
@@ -9,10 +9,11 @@
 	"ospreybend/coord/consensus"
 )
 
-// ErrEncoding says that bytes are no message, entry, snapshot or hard state.
-var ErrEncoding = errors.New("agreed: the bytes cannot be read")
+// ErrEncoding is returned for bytes that are no valid message, entry, snapshot or hard state.
+var ErrEncoding = errors.New("replicated log: the bytes cannot be read")
 
-// The forms below are what voters send and store. A change of a stored one changes form in package keep.
+// The records below are the CBOR encoding of what voters send and store. A change of a stored one needs a new
+// formatVersion in package store.
 
 type memberRecord struct {
 	ID      consensus.MemberID `cbor:"1,keyasint"`
@@ -59,7 +60,7 @@
 	Acknowledged uint64                `cbor:"15,keyasint,omitempty"`
 }
 
-// Bounds of what is decoded.
+// Limits of what is decoded.
 const (
 	maxNested   = 16
 	maxElements = 1 << 16
@@ -78,7 +79,7 @@
 	return value
 }
 
-func encode(record any) []byte { return must(encoder.Marshal(record)) } // forms are plain values
+func encode(record any) []byte { return must(encoder.Marshal(record)) } // records are plain values
 
 func decode(data []byte, record any) error {
 	if err := decoder.Unmarshal(data, record); err != nil {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// convertAll converts each of some values.
+// convertAll converts each value; nil stays nil.
 func convertAll[From, To any](values []From, convert func(From) To) []To {
 	if values == nil {
 		return nil
@@ -99,7 +100,7 @@
 	return out
 }
 
-// toMemberRecord leaves out the mark of a retired ID: this log never retires one.
+// toMemberRecord omits the core's mark of a retired ID: this log never retires one.
 func toMemberRecord(m consensus.Member) memberRecord {
 	return memberRecord{ID: m.ID, Address: m.Address, Voter: m.Voter}
 }
@@ -124,37 +125,37 @@
 	return consensus.Snapshot{Index: s.Index, Term: s.Term, Members: convertAll(s.Members, fromMemberRecord), Data: s.Data}
 }
 
-// EncodeHardState returns a hard state's bytes.
+// EncodeHardState encodes a hard state.
 func EncodeHardState(h consensus.HardState) []byte { return encode(hardStateRecord(h)) }
 
-// DecodeHardState reads them.
+// DecodeHardState decodes what EncodeHardState returned.
 func DecodeHardState(data []byte) (consensus.HardState, error) {
 	var record hardStateRecord
 	err := decode(data, &record)
 	return consensus.HardState(record), err
 }
 
-// EncodeEntry returns an entry's bytes.
+// EncodeEntry encodes an entry.
 func EncodeEntry(e consensus.Entry) []byte { return encode(toEntryRecord(e)) }
 
-// DecodeEntry reads them.
+// DecodeEntry decodes what EncodeEntry returned.
 func DecodeEntry(data []byte) (consensus.Entry, error) {
 	var record entryRecord
 	err := decode(data, &record)
 	return fromEntryRecord(record), err
 }
 
-// EncodeSnapshot returns a snapshot's bytes.
+// EncodeSnapshot encodes a snapshot.
 func EncodeSnapshot(s consensus.Snapshot) []byte { return encode(toSnapshotRecord(s)) }
 
-// DecodeSnapshot reads them.
+// DecodeSnapshot decodes what EncodeSnapshot returned.
 func DecodeSnapshot(data []byte) (consensus.Snapshot, error) {
 	var record snapshotRecord
 	err := decode(data, &record)
 	return fromSnapshotRecord(record), err
 }
 
-// EncodeMessage returns a message's bytes.
+// EncodeMessage encodes a message.
 func EncodeMessage(m Message) []byte {
 	record := messageRecord{Kind: m.Kind, From: m.From, To: m.To, Term: m.Term, LogIndex: m.LogIndex, LogTerm: m.LogTerm, Commit: m.Commit,
 		Entries: convertAll(m.Entries, toEntryRecord), Reject: m.Reject, HintIndex: m.HintIndex, HintTerm: m.HintTerm, Context: m.HeartbeatRound,
@@ -166,7 +167,7 @@
 	return encode(record)
 }
 
-// DecodeMessage reads them, and checks that entries follow each other as the core expects it.
+// DecodeMessage decodes a message and checks that its entries are consecutive, as the core expects them.
 func DecodeMessage(data []byte) (Message, error) {
 	var record messageRecord
 	if err := decode(data, &record); err != nil {
--- a/internal/node/zones/replicatedlog/log.go
+++ b/internal/node/zones/replicatedlog/log.go
@@ -1,8 +1,10 @@
-// Package replicatedlog is the replicated log of the fleet's voters: an order in it holds for all.
-// The consensus is package coord/consensus; this package adds the orders' state machine,
-// snapshots and the stored form. It has no clock, no files and no sockets. Its caller ticks a
-// Log, passes it the other voters' messages, sends what Advance returns, makes durable what
-// Next returns and then calls Persisted.
+// Package replicatedlog is the replicated log of the zones' voters.
+//
+// The consensus core is package coord/consensus; this package adds the state machine's snapshots, the
+// promotion of new voters, and the encoding of stored records and messages (codec.go, stored.go). It
+// has no clock, files or sockets. Its caller (package replica) ticks a Log, passes it the other
+// voters' messages, sends what Advance returns, makes durable what NextPersist returns and then calls
+// Persisted.
 package replicatedlog
 
 import (
@@ -17,56 +19,58 @@
 )
 
 const (
-	maxAppendBytes  = 256 << 10 // of entries, in one message to another voter
-	maxInflight     = 64        // unanswered messages of entries to a voter
-	trailingEntries = 64        // kept before a snapshot, for voters a little behind
+	maxAppendBytes  = 256 << 10 // entry bytes in one message
+	maxInflight     = 64        // unacknowledged append messages to a voter
+	trailingEntries = 64        // entries kept before a snapshot, for voters that lag a little
 
-	// tick is the core's time for one tick. The core draws election timeouts in units of time.Duration, so that with
-	// this unit they are whole ticks.
+	// tick is the core's time for one tick. The core draws election timeouts in units of time.Duration, which makes
+	// them multiples of a tick.
 	tick = time.Duration(1)
 )
 
 // Errors of proposals.
 var (
 	ErrNotLeader     = errors.New("this voter does not lead")
-	ErrBusy          = errors.New("the log takes nothing more just now") // too many orders wait for a majority, or a change of voters is under way
+	ErrBusy          = errors.New("the log accepts no command now") // too many uncommitted entries, or a change of voters is in progress
 	ErrInvalidChange = errors.New("one voter is added or removed at a time")
 )
 
-// ErrAcknowledgedLost says that a voter's log is shorter than what it has acknowledged.
+// ErrAcknowledgedLost is returned when a voter's log is shorter than what it has acknowledged, as after its store was
+// restored from an old copy.
 var ErrAcknowledgedLost = errors.New("entries that were acknowledged are missing")
 
-// ConsistencyError is the error of a log that contradicts what was agreed on, as after a store was put
-// back from an old copy. The voter must not go on.
+// ConsistencyError is returned when the log contradicts committed entries, as after a store was restored from an old
+// copy. The voter must stop.
 type ConsistencyError struct{ Err error }
 
-// Error tells what is wrong.
-func (b *ConsistencyError) Error() string { return "the agreed log is broken: " + b.Err.Error() }
+// Error implements error.
+func (b *ConsistencyError) Error() string {
+	return "the replicated log is inconsistent: " + b.Err.Error()
+}
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (b *ConsistencyError) Unwrap() error { return b.Err }
 
-// StateMachine is the state machine. Each voter has its own, and all apply the same orders in the
-// same sequence.
+// StateMachine is what the log replicates. Each voter has its own; all apply the same commands in the same order.
 type StateMachine interface {
 	Apply(index uint64, command []byte)
 	Snapshot() ([]byte, error)
 	Restore(state []byte) error
 }
 
-// Message is what one voter's log says to another's.
+// Message is a consensus message with what the receiver needs to detect a lost store.
 type Message struct {
 	consensus.Message
-	// Acknowledged is the last entry that the addressee has acknowledged to this leader, 0 where the sender does not lead. A log
-	// that ends before it has lost entries.
+	// Acknowledged is the index of the last entry that the addressee has acknowledged to this leader, 0 where the
+	// sender does not lead. A log that ends before it has lost entries.
 	Acknowledged uint64
 }
 
-// Config sets up a Log. Times are in ticks.
+// Config configures a Log. Times are in ticks.
 type Config struct {
 	ID               uint64
-	ElectionTicks    int // silence of the leader before a campaign; drawn up to twice this
-	HeartbeatTicks   int // pause between a leader's heartbeats
+	ElectionTicks    int // without a leader's message before an election; drawn from this to twice this
+	HeartbeatTicks   int // between a leader's heartbeats
 	SnapshotInterval int // entries applied from one snapshot to the next
 	Rand             *rand.Rand
 	Logger           *slog.Logger
@@ -74,28 +78,29 @@
 
 func (c *Config) check() error {
 	if c.ID == 0 || c.HeartbeatTicks < 1 || c.ElectionTicks <= c.HeartbeatTicks || c.SnapshotInterval < 1 || c.Rand == nil {
-		return fmt.Errorf("agreed: voter %d, election after %d ticks, heartbeat each %d, snapshot each %d entries", c.ID, c.ElectionTicks, c.HeartbeatTicks,
+		return fmt.Errorf("replicated log: voter %d, election after %d ticks, heartbeat every %d, snapshot every %d entries", c.ID, c.ElectionTicks, c.HeartbeatTicks,
 			c.SnapshotInterval)
 	}
 	return nil
 }
 
-// Log is one voter's part in the agreement. It belongs to one goroutine.
+// Log is one voter's replicated log. It belongs to one goroutine.
 type Log struct {
 	config           Config
 	node             *consensus.Node
 	machine          StateMachine
 	now              time.Duration
-	ticksSinceLeader int // ticks without word of a leader
+	ticksSinceLeader int // since the last message of a leader
 	applied          uint64
 	appliedTerm      uint64 // of the entry at applied
 	snapshotIndex    uint64 // index of the last snapshot
 	pending          Persist
-	persisting       bool // a Persist is handed out and not durable yet
+	persisting       bool // a Persist was handed out and is not durable yet
 	compacting       bool // a snapshot made here is not durable yet
 }
 
-// New goes on from what has been stored.
+// New returns a log that continues from stored state. The state machine is restored from the stored snapshot and the
+// entries known to be committed.
 func New(config Config, stored StoredState, machine StateMachine) (*Log, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -111,14 +116,14 @@
 		HeartbeatInterval: time.Duration(config.HeartbeatTicks) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
 		Seed: config.Rand.Uint64(), TrailingEntries: trailingEntries}, state, 0)
 	l := &Log{config: config, node: node, machine: machine}
-	// The state machine takes the stored snapshot and what is known to be agreed on. There is nothing to send yet.
+	// Restores the state machine. There is nothing to send yet.
 	if _, err := l.Advance(); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// Tick lets one tick pass.
+// Tick advances the clock by one tick.
 func (l *Log) Tick() {
 	l.now += tick
 	l.ticksSinceLeader++
@@ -129,17 +134,17 @@
 	}
 }
 
-// promoteLearners makes voters of those that were added and hold nearly all of the log by now.
+// promoteLearners proposes to make voters of the members that were added. The core rejects it for one whose log lags.
 func (l *Log) promoteLearners() {
 	for _, member := range l.node.Status().Members {
 		if !member.Voter {
 			member.Voter = true
-			_ = l.node.ChangeMembers(l.now, consensus.MembershipChange{Add: &member}) // refused until it holds enough: tried again with the next tick
+			_ = l.node.ChangeMembers(l.now, consensus.MembershipChange{Add: &member}) // retried with the next tick
 		}
 	}
 }
 
-// Step takes another voter's message. After a *Broken this voter must not go on.
+// Step handles another voter's message. After a *ConsistencyError this voter must stop.
 func (l *Log) Step(message Message) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -155,14 +160,14 @@
 	if message.Term >= before && status.Role != consensus.RoleLeader {
 		l.ticksSinceLeader = 0
 	}
-	// A later leader may have cut off what was acknowledged to an earlier one.
+	// The terms must match: a later leader may have truncated what was acknowledged to an earlier one.
 	if message.Term == status.Term && message.Acknowledged > status.LastIndex {
 		return &ConsistencyError{fmt.Errorf("%w: the log ends at %d, %d were acknowledged", ErrAcknowledgedLost, status.LastIndex, message.Acknowledged)}
 	}
 	return nil
 }
 
-// consistencyError makes an error of what the core panics with where a leader contradicts what was agreed on.
+// consistencyError converts the core's panic on a conflict with committed entries to an error; it passes on any other.
 func consistencyError(panicked any) error {
 	if err, ok := panicked.(error); ok && errors.Is(err, consensus.ErrCommittedConflict) {
 		return &ConsistencyError{err}
@@ -175,16 +180,16 @@
 	return kind == consensus.MessageAppendEntries || kind == consensus.MessageHeartbeat || kind == consensus.MessageInstallSnapshot
 }
 
-// Propose puts an order to the voters. Whether it is agreed on shows when it is applied.
+// Propose appends a command to the log. It is committed when the state machine applies it.
 // Errors: ErrNotLeader, ErrBusy.
 func (l *Log) Propose(command []byte) error {
 	_, _, err := l.node.Propose(l.now, command)
 	return proposalError(err)
 }
 
-// ChangeVoters adds a voter or removes one. One change at a time: the next is taken when this one is
-// agreed on. A new voter votes once it holds nearly all of the log.
-// Errors: ErrChange, ErrNotLeader, ErrBusy.
+// ChangeVoters adds a voter or removes one; 0 stands for none. The next change is accepted when this one is committed.
+// A new voter votes once it has nearly the whole log.
+// Errors: ErrInvalidChange, ErrNotLeader, ErrBusy.
 func (l *Log) ChangeVoters(add, remove uint64) error {
 	if (add == 0) == (remove == 0) {
 		return ErrInvalidChange
@@ -199,6 +204,7 @@
 	return proposalError(l.node.ChangeMembers(l.now, change))
 }
 
+// proposalError converts the core's error.
 func proposalError(err error) error {
 	switch {
 	case err == nil:
@@ -210,8 +216,8 @@
 	}
 }
 
-// Advance applies what is agreed on by now and returns the messages that may be sent. It is
-// called after all other calls, also while a write is under way.
+// Advance applies committed entries and returns the messages that may be sent. It is called after all other calls,
+// also while a write is in progress.
 func (l *Log) Advance() ([]Message, error) {
 	ready := l.node.Ready()
 	l.pending.merge(ready.Persist)
@@ -258,11 +264,11 @@
 	case consensus.EntryCommand:
 		l.machine.Apply(entry.Index, entry.Data)
 	case consensus.EntryMembership:
-		l.config.Logger.Info("the voters have changed", "voters", votersOf(entry.Members))
+		l.config.Logger.Info("voters changed", "voters", votersOf(entry.Members))
 	}
 }
 
-// maybeSnapshot makes a snapshot when enough has been applied since the last.
+// maybeSnapshot makes a snapshot when SnapshotInterval entries were applied since the last.
 func (l *Log) maybeSnapshot() error {
 	if l.compacting || l.applied < l.snapshotIndex+uint64(l.config.SnapshotInterval) {
 		return nil
@@ -281,7 +287,7 @@
 	return nil
 }
 
-// NextPersist returns what has to be made durable next. Nothing more comes before Persisted.
+// NextPersist returns what must be made durable next. It returns nothing more before Persisted is called.
 func (l *Log) NextPersist() (Persist, bool) {
 	if l.persisting || l.pending.Empty() {
 		return Persist{}, false
@@ -291,7 +297,7 @@
 	return next, true
 }
 
-// Persisted reports that what Next returned is durable.
+// Persisted records that what NextPersist returned is durable.
 func (l *Log) Persisted(p Persist) {
 	l.persisting = false
 	l.node.Persisted(l.now, p.sequence)
@@ -301,10 +307,10 @@
 	}
 }
 
-// IsLeader tells whether this voter leads, as far as it knows.
+// IsLeader reports whether this voter leads, as far as it knows.
 func (l *Log) IsLeader() bool { return l.node.Status().Role == consensus.RoleLeader }
 
-// Leader is the voter that leads, as far as this one knows; 0: none has been heard for an election timeout.
+// Leader returns the leader, as far as this voter knows; 0 if none was heard for an election timeout.
 func (l *Log) Leader() uint64 {
 	if l.ticksSinceLeader >= l.config.ElectionTicks {
 		return 0
@@ -312,23 +318,23 @@
 	return uint64(l.node.Status().Leader)
 }
 
-// Term is the number of elections, as far as this voter knows.
+// Term returns the current term.
 func (l *Log) Term() uint64 { return l.node.Status().Term }
 
-// Applied is the index of the last entry applied here.
+// Applied returns the index of the last entry applied here.
 func (l *Log) Applied() uint64 { return l.applied }
 
-// Committed is the last index that is agreed on, as far as this voter knows.
+// Committed returns the commit index, as far as this voter knows.
 func (l *Log) Committed() uint64 { return l.node.Status().CommitIndex }
 
-// LeaderCaughtUp tells whether a leader has applied all that was agreed on before it led: its
-// own first entry shows it.
+// LeaderCaughtUp reports whether this voter leads and has applied an entry of its own term, and with it all entries
+// committed before (Raft paper, section 8).
 func (l *Log) LeaderCaughtUp() bool {
 	status := l.node.Status()
 	return status.Role == consensus.RoleLeader && l.appliedTerm == status.Term
 }
 
-// Voters are those that vote now.
+// Voters returns the IDs of the members that vote.
 func (l *Log) Voters() []uint64 { return votersOf(l.node.Status().Members) }
 
 func votersOf(members []consensus.Member) (ids []uint64) {
--- a/internal/node/zones/replicatedlog/stored.go
+++ b/internal/node/zones/replicatedlog/stored.go
@@ -7,18 +7,17 @@
 	"ospreybend/coord/consensus"
 )
 
-// ErrInvalidStoredState says that what a store holds cannot be used.
-var ErrInvalidStoredState = errors.New("agreed: stored state cannot be used")
+// ErrInvalidStoredState is returned for stored records that contradict each other.
+var ErrInvalidStoredState = errors.New("replicated log: invalid stored state")
 
 // StoredState is what a voter has made durable.
 type StoredState struct {
 	HardState *consensus.HardState // nil: none yet
 	Snapshot  *consensus.Snapshot  // nil: none yet
-	Entries   []consensus.Entry    // without a gap after the snapshot; some that it holds may still be among them
+	Entries   []consensus.Entry    // consecutive; may begin before the snapshot's index
 }
 
-// Bootstrap is what every voter of a new fleet begins with: an empty state that names
-// the voters.
+// Bootstrap returns the state with which every voter of a new group starts: empty, with the given voters.
 func Bootstrap(ids []uint64) StoredState {
 	members := make([]consensus.Member, len(ids))
 	for i, id := range ids {
@@ -28,7 +27,7 @@
 	return StoredState{Snapshot: &state.Snapshot}
 }
 
-// toConsensus returns it as the core takes it.
+// toConsensus returns the state in the core's form. Without a hard state the snapshot's index counts as committed.
 func (s StoredState) toConsensus() (consensus.PersistedState, error) {
 	var state consensus.PersistedState
 	if s.Snapshot != nil {
@@ -49,28 +48,28 @@
 	state.HardState = *s.HardState
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	if state.HardState.Commit > last {
-		return state, fmt.Errorf("%w: agreed up to %d, but entries end at %d", ErrInvalidStoredState, state.HardState.Commit, last)
+		return state, fmt.Errorf("%w: committed up to %d, but entries end at %d", ErrInvalidStoredState, state.HardState.Commit, last)
 	}
 	return state, nil
 }
 
-// Persist is what has to be made durable, whole or not at all.
+// Persist is what must be made durable in one atomic write.
 type Persist struct {
 	HardState   *consensus.HardState // nil: unchanged
-	Entries     []consensus.Entry    // these and none after them
-	Snapshot    *consensus.Snapshot  // nil: none; entries before First are not needed any more
-	Replaces    bool                 // the snapshot came from another voter: all entries stored before are void
-	First       uint64               // the first entry that is still needed, with a Snapshot
-	sequence    uint64               // of the last that the core handed out
-	ownSnapshot bool                 // the snapshot was made here
+	Entries     []consensus.Entry    // replace all stored entries from the first one's index on
+	Snapshot    *consensus.Snapshot  // nil: none; stored entries before First may be deleted
+	Replaces    bool                 // the snapshot came from another voter: all stored entries must be deleted
+	First       uint64               // the first entry still needed; set with a Snapshot
+	sequence    uint64               // of the core's last Persist in this one
+	ownSnapshot bool                 // the snapshot was made by this voter
 }
 
-// Empty tells whether there is nothing to write.
+// Empty reports whether there is nothing to write.
 func (p *Persist) Empty() bool {
 	return p.HardState == nil && len(p.Entries) == 0 && p.Snapshot == nil
 }
 
-// merge takes in what the core wants durable after all that is in already.
+// merge adds what the core wants durable after what is here already.
 func (p *Persist) merge(later *consensus.PersistRequest) {
 	if later == nil {
 		return
@@ -87,7 +86,7 @@
 	}
 }
 
-// truncateAndAppend appends entries in place of those from their first index on. The core may share both.
+// truncateAndAppend replaces the entries from the first later one's index on. It copies, as the core may share both.
 func truncateAndAppend(entries, later []consensus.Entry) []consensus.Entry {
 	end := len(entries)
 	for end > 0 && entries[end-1].Index >= later[0].Index {
@@ -96,7 +95,7 @@
 	return append(entries[:end:end], later...)
 }
 
-// addSnapshot takes in a snapshot made here.
+// addSnapshot adds a snapshot made by this voter.
 func (p *Persist) addSnapshot(s consensus.Snapshot, first uint64) {
 	p.Snapshot, p.First, p.ownSnapshot = &s, first, true
 }
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -1,6 +1,8 @@
-// Package server runs one voter as a process: its loop, its store, its links. One goroutine
-// owns the voter; the store is written beside it, one write at a time, and calls come in
-// over a channel.
+// Package server runs one voter: it connects a replica.Replica to its store, its clock and the network.
+//
+// One goroutine, the loop in Run, owns the replica. The store is written by a second goroutine, one
+// write at a time; calls from the network reach the loop through a channel. The command in
+// cmd/ospreybend opens a Server and runs it.
 package server
 
 import (
@@ -22,49 +24,52 @@
 )
 
 const (
-	readHeaderTimeout = time.Second // for a call's header to come
+	readHeaderTimeout = time.Second
 	shutdownTimeout   = 500 * time.Millisecond
 )
 
-// Config is what a seat is told.
+// Config configures a voter.
 type Config struct {
 	Fleet         string
 	ID            uint64
 	Listen        string
-	StorePath     string            // the file
-	Voters        map[uint64]string // addresses by number, its own included
-	InitialVoters []uint64          // the voters that a new fleet begins with; empty: it joins one
+	StorePath     string            // path of the store's file
+	Voters        map[uint64]string // addresses by ID, the own included
+	InitialVoters []uint64          // of a new group; empty: the voter joins an existing group
 	Classes       []failover.Class
 	Settings      replica.Settings
-	DisabledCheck string // a check left out, for trials
+	DisabledCheck string // a check to skip, for trials that show why it is needed
 }
 
-// durableStore is where a voter writes through.
+// durableStore is what the server needs of store.Store.
 type durableStore interface {
 	Write(replicatedlog.Persist) error
 	Close() error
 	Starts() uint64
 }
 
-// Server is a voter at work.
+// Server is a running voter.
 type Server struct {
 	config     Config
-	store      durableStore
-	replica    *replica.Replica
+	startedAt  time.Time // the replica's clock counts from here
 	client     *transport.Client
-	outboxes   map[uint64]*transport.Outbox
-	startedAt  time.Time
-	calls      chan func(now time.Duration)
-	written    chan error
-	writing    replicatedlog.Persist
-	isWriting  bool
-	cancel     context.CancelFunc
-	done       <-chan struct{}
+	outboxes   map[uint64]*transport.Outbox // by voter
 	httpServer *http.Server
 	listener   net.Listener
+	cancel     context.CancelFunc
+	done       <-chan struct{} // closed when Run ends
+
+	// Owned by the loop.
+	replica   *replica.Replica
+	store     durableStore
+	writing   replicatedlog.Persist // the write in progress, where isWriting
+	isWriting bool
+
+	calls   chan func(now time.Duration) // to run on the loop
+	written chan error                   // ends of writes
 }
 
-// Open opens the store and listens. Run does the rest.
+// Open opens the store, restores the replica and listens. Run must be called next.
 func Open(config Config) (*Server, error) {
 	file, stored, err := store.Open(config.StorePath, store.Owner{Fleet: config.Fleet, Voter: config.ID, Voters: config.InitialVoters})
 	if err != nil {
@@ -72,9 +77,17 @@
 	}
 	s := &Server{config: config, store: file, client: transport.NewClient(), outboxes: map[uint64]*transport.Outbox{}, startedAt: time.Now(),
 		calls: make(chan func(time.Duration)), written: make(chan error, 1)}
-	s.replica, err = replica.New(0, replica.Config{Fleet: config.Fleet, ID: config.ID, Store: file.ID(), Starts: file.Starts(), Settings: config.Settings,
-		Classes: config.Classes, Rand: rand.New(rand.NewPCG(rand.Uint64(), config.ID)), WallClock: func() int64 { return time.Now().UnixMicro() },
-		DisabledCheck: config.DisabledCheck}, stored)
+	s.replica, err = replica.New(0, replica.Config{
+		Fleet:         config.Fleet,
+		ID:            config.ID,
+		Store:         file.ID(),
+		Starts:        file.Starts(),
+		Settings:      config.Settings,
+		Classes:       config.Classes,
+		Rand:          rand.New(rand.NewPCG(rand.Uint64(), config.ID)),
+		WallClock:     func() int64 { return time.Now().UnixMicro() },
+		DisabledCheck: config.DisabledCheck,
+	}, stored)
 	if err == nil {
 		s.listener, err = net.Listen("tcp", config.Listen)
 	}
@@ -84,10 +97,10 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run votes until ctx ends, or until the voter must not go on.
+// Run serves until ctx ends, which is no error, or until the replica must stop. It closes the store.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(ctx)
 	defer s.cancel()
@@ -100,14 +113,14 @@
 	s.httpServer = &http.Server{Handler: transport.NewHandler(s), ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
 	go func() { served <- s.httpServer.Serve(s.listener) }()
-	slog.Info("voter", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(), "store", s.config.StorePath, "starts", s.store.Starts())
+	slog.Info("voter started", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(), "store", s.config.StorePath, "starts", s.store.Starts())
 	err := s.loop(ctx, served)
 	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	s.cancel()
 	_ = s.httpServer.Shutdown(shutdown)
 	if s.isWriting {
-		<-s.written // the file is closed only when nothing is written
+		<-s.written // the store may be closed only when no write is in progress
 	}
 	s.client.Close()
 	return errors.Join(err, s.store.Close())
@@ -115,6 +128,7 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
+// loop is the goroutine that owns the replica.
 func (s *Server) loop(ctx context.Context, served <-chan error) error {
 	tick := time.NewTicker(s.config.Settings.Tick)
 	defer tick.Stop()
@@ -131,7 +145,7 @@
 		case err := <-s.written:
 			s.isWriting = false
 			if err != nil {
-				// What the file holds is not known: it is read anew at the next start.
+				// What the store holds is unknown until the next start reads it.
 				return err
 			}
 			s.replica.Persisted(s.writing)
@@ -143,7 +157,7 @@
 	}
 }
 
-// flush has the next work written, and sends what may go out.
+// flush starts the next write unless one is in progress, and hands the outgoing messages to the outboxes.
 func (s *Server) flush() {
 	if !s.isWriting {
 		if persist, ok := s.replica.NextPersist(); ok {
@@ -151,16 +165,16 @@
 			go func() { s.written <- s.store.Write(persist) }()
 		}
 	}
-	for _, persist := range s.replica.TakeOutgoing() {
-		if outbox := s.outboxes[persist.To]; outbox != nil {
-			outbox.Enqueue(persist.Message)
+	for _, envelope := range s.replica.TakeOutgoing() {
+		if outbox := s.outboxes[envelope.To]; outbox != nil {
+			outbox.Enqueue(envelope.Message)
 		}
 	}
 }
 
-var errShuttingDown = errors.New("this voter leaves")
+var errShuttingDown = errors.New("this voter is shutting down")
 
-// post has f called on the loop.
+// post has call run on the loop.
 func (s *Server) post(ctx context.Context, call func(now time.Duration)) error {
 	select {
 	case s.calls <- call:
@@ -172,12 +186,13 @@
 	}
 }
 
+// callResult is the response of a call.
 type callResult[T any] struct {
 	value T
 	err   error
 }
 
-// call has f answer on the loop, then or later.
+// call runs method on the loop and waits until it calls answer, then or later. Further answers are ignored.
 func call[T any](ctx context.Context, server *Server, method func(now time.Duration, answer func(T, error))) (T, error) {
 	replies := make(chan callResult[T], 1)
 	answer := func(value T, err error) {
@@ -200,14 +215,14 @@
 	}
 }
 
-// Report takes in a process's report.
+// Report implements transport.Handler.
 func (s *Server) Report(ctx context.Context, report follower.Report) (follower.Response, error) {
 	return call(ctx, s, func(now time.Duration, answer func(follower.Response, error)) {
 		answer(s.replica.HandleReport(now, report))
 	})
 }
 
-// Deliver takes in a letter.
+// Deliver implements transport.Handler.
 func (s *Server) Deliver(ctx context.Context, message replica.Message) error {
 	_, err := call(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
 		answer(struct{}{}, s.replica.Receive(now, message))
@@ -215,7 +230,7 @@
 	return err
 }
 
-// ApplyOverride puts what a person has said, and returns once it is agreed on.
+// ApplyOverride implements transport.Handler. It returns when the override is committed or its outcome is unknown.
 func (s *Server) ApplyOverride(ctx context.Context, override commands.Override) error {
 	_, err := call(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
 		s.replica.ProposeOverride(now, override, func(err error) { answer(struct{}{}, err) })
@@ -223,18 +238,31 @@
 	return err
 }
 
-// Status tells how things stand.
+// Status implements transport.Handler.
 func (s *Server) Status(ctx context.Context) (transport.Status, error) {
 	return call(ctx, s, func(now time.Duration, answer func(transport.Status, error)) {
-		replica, log := s.replica, s.replica.Log()
-		status := transport.Status{Voter: s.config.ID, Leader: log.Leader(), Term: log.Term(), Applied: log.Applied(), Voters: log.Voters(),
-			Table: replica.Table().Clone(), Counts: replica.Counts(), Verdicts: map[string]string{}}
-		for _, member := range replica.Members() {
-			status.Members = append(status.Members, transport.MemberStatus{Name: member.Name, Zone: member.Zone, Incarnation: member.Incarnation, SinceHeartbeat: now - member.LastHeartbeat})
-		}
-		for name, verdict := range replica.Verdicts() {
-			status.Verdicts[name] = verdict.String()
-		}
-		answer(status, nil)
+		answer(s.status(now), nil)
 	})
 }
+
+func (s *Server) status(now time.Duration) transport.Status {
+	log := s.replica.Log()
+	status := transport.Status{
+		Voter:    s.config.ID,
+		Leader:   log.Leader(),
+		Term:     log.Term(),
+		Applied:  log.Applied(),
+		Voters:   log.Voters(),
+		Table:    s.replica.Table().Clone(),
+		Counts:   s.replica.Counts(),
+		Verdicts: map[string]string{},
+	}
+	for _, member := range s.replica.Members() {
+		status.Members = append(status.Members, transport.MemberStatus{Name: member.Name, Zone: member.Zone, Incarnation: member.Incarnation,
+			SinceHeartbeat: now - member.LastHeartbeat})
+	}
+	for name, assessment := range s.replica.Assessments() {
+		status.Verdicts[name] = assessment.String()
+	}
+	return status
+}
--- a/internal/node/zones/store/store.go
+++ b/internal/node/zones/store/store.go
@@ -1,6 +1,8 @@
-// Package store is a voter's store: what the agreed log has to have written through,
-// in one file. Every value carries a checksum. A file that is torn, foreign, of a newer
-// form, or another voter's is an error at the start that names the file.
+// Package store is a voter's durable store: hard state, snapshot and log entries in one bbolt file.
+//
+// Every value carries a checksum. Opening a file that is truncated, damaged, of another format version
+// or another voter's returns an *Error that names the file. Package server writes what
+// replicatedlog.Log.NextPersist returns, in one transaction each.
 package store
 
 import (
@@ -22,13 +24,13 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// formatVersion is the number of the file's form. A program reads its own form alone. Form 1 held the records of another
-// consensus library.
+// formatVersion is the version of the file's format. A program reads its own version alone. Version 1 held the records
+// of another consensus library.
 const formatVersion = 2
 
-const lockTimeout = 200 * time.Millisecond // for another process to let go of the file
+const lockTimeout = 200 * time.Millisecond // for another process to release the file
 
-// maxFileBytes bounds a file; 0: nothing does but the disk. Tests have one fill.
+// maxFileBytes limits a file's size; 0: no limit. Tests set it to simulate a full disk.
 var maxFileBytes = 0
 
 var (
@@ -45,15 +47,14 @@
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Owner is whose store it is.
+// Owner identifies the voter that a store belongs to.
 type Owner struct {
-	Fleet  string   // the fleet's name
-	Voter  uint64   // its number, not 0
-	Voters []uint64 // that a new fleet begins with; empty: this voter joins a fleet that is there
+	Fleet  string   // name of the group's fleet
+	Voter  uint64   // ID of the voter, not 0
+	Voters []uint64 // of a new group; empty: this voter joins an existing group
 }
 
-// Store is an open file. Its methods may wait for the disk: they are called beside the
-// loop, one at a time.
+// Store is an open store. Its methods wait for the disk and must not be called concurrently.
 type Store struct {
 	db     *bbolt.DB
 	path   string
@@ -61,20 +62,20 @@
 	starts uint64
 }
 
-// Error is what is wrong with a store. It names the file.
+// Error is an error of a store. It names the file.
 type Error struct {
 	Path string
 	Err  error
 }
 
-// Error names the file and what is wrong with it.
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("store %s: %v", e.Path, e.Err) }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Open opens a voter's store, makes it where there is none, and counts the start, all
-// written through before it returns.
+// Open opens a voter's store, creates it if there is none, and returns what it holds. It counts the
+// start; the count is durable when Open returns.
 func Open(path string, owner Owner) (s *Store, stored replicatedlog.StoredState, err error) {
 	defer func() {
 		if err != nil {
@@ -114,7 +115,7 @@
 	return s, stored, err
 }
 
-// openFile maps the file. Where it is cut short the library meets pages that are not there.
+// openFile opens the file. The library panics on a truncated one: see recoverPanic.
 func (s *Store) openFile() error {
 	info, err := os.Stat(s.path)
 	if err == nil && info.Size() == 0 {
@@ -132,7 +133,7 @@
 	})
 }
 
-// checkSize tells whether all pages that the file speaks of are there.
+// checkSize returns an error if the file is shorter than its own page count.
 func (s *Store) checkSize(tx *bbolt.Tx) error {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// recoverPanic makes an error of what reading a damaged file panics with.
+// recoverPanic calls read and converts a panic or memory fault, as from a damaged mapped file, to an error.
 func recoverPanic(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -155,7 +156,7 @@
 	return read()
 }
 
-// initialize writes an empty store.
+// initialize creates an empty store of its owner.
 func initialize(tx *bbolt.Tx, owner Owner) error {
 	about, err := tx.CreateBucket(bucketAbout)
 	if err != nil {
@@ -184,7 +185,7 @@
 	return putChecked(state, keySnapshot, replicatedlog.EncodeSnapshot(*replicatedlog.Bootstrap(owner.Voters).Snapshot))
 }
 
-// verifyAndCountStart holds the store against who opens it, and counts the start.
+// verifyAndCountStart returns an error unless the store has this format and owner, and counts the start.
 func (s *Store) verifyAndCountStart(tx *bbolt.Tx, owner Owner) error {
 	about := tx.Bucket(bucketAbout)
 	if tx.Bucket(bucketState) == nil || tx.Bucket(bucketEntries) == nil {
@@ -213,6 +214,7 @@
 	return putChecked(about, keyStarts, encodeUint64(s.starts))
 }
 
+// load reads the stored state and verifies every checksum.
 func load(tx *bbolt.Tx) (stored replicatedlog.StoredState, err error) {
 	state := tx.Bucket(bucketState)
 	if stored.HardState, err = readRecord(state, keyHard, replicatedlog.DecodeHardState); err != nil {
@@ -238,7 +240,7 @@
 	})
 }
 
-// readRecord reads one record; nil: none is there.
+// readRecord reads and decodes one record; nil if there is none.
 func readRecord[T any](bucket *bbolt.Bucket, key []byte, decode func([]byte) (T, error)) (*T, error) {
 	data, err := getChecked(bucket, key)
 	if err != nil || data == nil {
@@ -251,12 +253,14 @@
 	return &value, nil
 }
 
-// ID names this file; a store made anew has another. Starts is how often it was opened.
-func (s *Store) ID() string     { return s.id }
+// ID returns the store's random ID. A store that was created anew has another one.
+func (s *Store) ID() string { return s.id }
+
+// Starts returns how often the store was opened, this time included.
 func (s *Store) Starts() uint64 { return s.starts }
 
-// Write writes through. After an error nothing of it counts as written, and
-// nothing more is to be written in this run: what the file holds is known at the next.
+// Write makes persist durable, all or nothing. After an error the store must be closed: only opening it
+// again shows what it holds.
 func (s *Store) Write(persist replicatedlog.Persist) error {
 	if persist.Empty() {
 		return nil
@@ -285,7 +289,7 @@
 	return writeEntries(entries, persist.Entries)
 }
 
-// writeEntries writes entries in place of all from the first one's index on.
+// writeEntries replaces the entries from the first one's index on.
 func writeEntries(bucket *bbolt.Bucket, entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -301,10 +305,10 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
 
-// deleteEntries removes the entries that f picks. They are few: snapshots see to that.
+// deleteEntries deletes the entries that match. It visits all entries, of which snapshots leave few.
 func deleteEntries(entries *bbolt.Bucket, match func(index uint64) bool) error {
 	var keys [][]byte
 	if err := entries.ForEach(func(k, _ []byte) error {
@@ -325,6 +329,7 @@
 
 func encodeUint64(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
 
+// decodeUint64 returns 0 for data that is no number.
 func decodeUint64(data []byte) uint64 {
 	if len(data) != 8 {
 		return 0
@@ -332,12 +337,12 @@
 	return binary.BigEndian.Uint64(data)
 }
 
-// putChecked writes a value behind the checksum of key and value.
+// putChecked stores a value prefixed with the checksum of key and value.
 func putChecked(bucket *bbolt.Bucket, key, value []byte) error {
 	return bucket.Put(key, append(binary.BigEndian.AppendUint32(nil, checksum(key, value)), value...))
 }
 
-// getChecked reads a value; nil: none is there.
+// getChecked returns a value; nil if there is none.
 func getChecked(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
 	stored := bucket.Get(key)
 	if stored == nil {
@@ -350,6 +355,7 @@
 	return data, nil
 }
 
+// verifyChecksum returns the value without its checksum.
 func verifyChecksum(key, stored []byte) ([]byte, error) {
 	if len(stored) < 4 || binary.BigEndian.Uint32(stored) != checksum(key, stored[4:]) {
 		return nil, errors.New("the checksum does not fit")
@@ -357,6 +363,7 @@
 	return bytes.Clone(stored[4:]), nil
 }
 
+// checksum is the CRC-32C of key and value.
 func checksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
--- a/internal/node/zones/store/store_test.go
+++ b/internal/node/zones/store/store_test.go
@@ -121,12 +121,12 @@
 		}),
 			"it has the form 1, this program reads form 2", owner},
 		{spoil("strange entry", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketEntries), encodeUint64(2), []byte{1}) }),
-			"entry 2: agreed: the bytes cannot be read", owner},
+			"entry 2: replicated log: the bytes cannot be read", owner},
 		{spoil("misplaced entry", text, func(tx *bbolt.Tx) error {
 			return putChecked(tx.Bucket(bucketEntries), encodeUint64(3), replicatedlog.EncodeEntry(entry(2, "a")))
 		}), "entry 2 stands in the place of entry 3", owner},
 		{spoil("strange snapshot", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketState), keySnapshot, []byte("s")) }),
-			"snapshot: agreed: the bytes cannot be read", owner},
+			"snapshot: replicated log: the bytes cannot be read", owner},
 		{spoil("bare", text, func(tx *bbolt.Tx) error { return tx.DeleteBucket(bucketState) }), "no store", owner},
 		{good, "voter 2", Owner{Fleet: "f", Voter: 3}},
 		{good, "fleet", Owner{Fleet: "g", Voter: 2}},
--- a/internal/node/zones/transport/transport.go
+++ b/internal/node/zones/transport/transport.go
@@ -1,7 +1,9 @@
-// Package transport carries what the fleet's processes say to each other: calls by Connect
-// over HTTP/1.1, in CBOR. A voter has a queue of bounded length for each other voter; each
-// call has a deadline, and after a failure the next waits, longer each time and at random.
-// Nothing here is waited for on an event loop.
+// Package transport carries reports, voter messages, overrides and status calls between processes.
+//
+// The calls are Connect unary RPCs over HTTP/1.1, encoded in CBOR. Client calls voters, NewHandler
+// serves a voter's side, and an Outbox delivers a voter's messages to one other voter in order: its
+// queue is bounded, each call has a deadline, and failures are followed by a jittered exponential
+// backoff. Calls block and must not be made on an event loop.
 package transport
 
 import (
@@ -21,35 +23,35 @@
 )
 
 const (
-	service = "/ospreybend.fleet.v1.Fleet/"
-	// A call that takes longer says nothing more: the next report is due.
+	service = "/ospreybend.fleet.v1.Fleet/" // on the wire
+	// Past these the call is useless: the next report or message is due.
 	reportTimeout     = 500 * time.Millisecond
 	messageTimeout    = 500 * time.Millisecond
 	overrideTimeout   = 5 * time.Second
-	maxMessageBytes   = 4 << 20 // of a message
-	maxQueuedMessages = 64      // letters to a voter that wait; the oldest gives way
+	maxMessageBytes   = 4 << 20
+	maxQueuedMessages = 64 // per voter; the oldest is dropped
 	initialBackoff    = 20 * time.Millisecond
 	maxBackoff        = 500 * time.Millisecond
 	idleConnTimeout   = time.Minute
 )
 
-// codec writes messages as they go into the agreed log.
+// codec encodes messages like the replicated log's commands.
 type codec struct{}
 
 func (codec) Name() string                          { return "cbor" }
 func (codec) Marshal(v any) ([]byte, error)         { return commands.Encode(v) }
 func (codec) Unmarshal(data []byte, into any) error { return commands.Decode(data, into) }
 
-// Ack answers a letter.
+// Ack is the empty response to a message or an override.
 type Ack struct{}
 
-// StatusRequest asks a voter how things stand.
+// StatusRequest requests a voter's Status.
 type StatusRequest struct{}
 
-// Status is how things stand, as one voter sees it.
+// Status is the state of the group as one voter sees it. The names are part of the operators' interface.
 type Status struct {
 	Voter    uint64            `cbor:"1,keyasint" json:"voter"`
-	Leader   uint64            `cbor:"2,keyasint" json:"leader"` // 0: none is known
+	Leader   uint64            `cbor:"2,keyasint" json:"leader"` // 0: unknown
 	Term     uint64            `cbor:"3,keyasint" json:"term"`
 	Applied  uint64            `cbor:"4,keyasint" json:"applied"`
 	Voters   []uint64          `cbor:"5,keyasint" json:"voters"`
@@ -59,7 +61,7 @@
 	Counts   replica.Counts    `cbor:"9,keyasint" json:"counts"`
 }
 
-// MemberStatus is a process that reports to a voter.
+// MemberStatus is a process that reports to the voter.
 type MemberStatus struct {
 	Name           string        `cbor:"1,keyasint" json:"name"`
 	Zone           string        `cbor:"2,keyasint" json:"zone"`
@@ -67,15 +69,15 @@
 	SinceHeartbeat time.Duration `cbor:"4,keyasint" json:"silentNs"`
 }
 
-// Handler is a voter, as its links see it. Calls come from many goroutines.
+// Handler is the voter that the calls reach. Its methods are called from many goroutines.
 type Handler interface {
-	Report(ctx context.Context, r follower.Report) (follower.Response, error)
-	Deliver(ctx context.Context, l replica.Message) error
-	ApplyOverride(ctx context.Context, w commands.Override) error
+	Report(ctx context.Context, report follower.Report) (follower.Response, error)
+	Deliver(ctx context.Context, message replica.Message) error
+	ApplyOverride(ctx context.Context, override commands.Override) error
 	Status(ctx context.Context) (Status, error)
 }
 
-// NewHandler makes the HTTP side of a voter.
+// NewHandler returns the HTTP handler of a voter's calls.
 func NewHandler(handler Handler) http.Handler {
 	mux := http.NewServeMux()
 	options := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessageBytes)}
@@ -90,6 +92,7 @@
 	return mux
 }
 
+// handle registers one method. An error that is no Connect error is sent as a failed precondition.
 func handle[In, Out any](mux *http.ServeMux, name string, options []connect.HandlerOption, method func(context.Context, In) (Out, error)) {
 	mux.Handle(service+name, connect.NewUnaryHandler(service+name, func(ctx context.Context, in *connect.Request[In]) (*connect.Response[Out], error) {
 		out, err := method(ctx, *in.Msg)
@@ -104,16 +107,16 @@
 	}, options...))
 }
 
-// Client calls voters. It may be used by many goroutines.
+// Client calls voters. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient makes one that keeps few connections to each voter.
+// NewClient returns a client that keeps at most four connections to each voter.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, MaxConnsPerHost: 4, IdleConnTimeout: idleConnTimeout,
 		DialContext: (&net.Dialer{Timeout: reportTimeout}).DialContext}}}
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 func call[In, Out any](ctx context.Context, c *Client, address, name string, timeout time.Duration, in In) (Out, error) {
@@ -128,44 +131,44 @@
 	return *out.Msg, nil
 }
 
-// Report reports to a voter.
+// Report sends a process's report to a voter.
 func (c *Client) Report(ctx context.Context, address string, report follower.Report) (follower.Response, error) {
 	return call[follower.Report, follower.Response](ctx, c, address, "Report", reportTimeout, report)
 }
 
-// Deliver sends a letter to a voter.
+// Deliver sends a message to a voter.
 func (c *Client) Deliver(ctx context.Context, address string, message replica.Message) error {
 	_, err := call[replica.Message, Ack](ctx, c, address, "Deliver", messageTimeout, message)
 	return err
 }
 
-// ApplyOverride has a voter put what a person has said.
+// ApplyOverride has a voter commit an operator's override, and returns when it is committed.
 func (c *Client) ApplyOverride(ctx context.Context, address string, override commands.Override) error {
 	_, err := call[commands.Override, Ack](ctx, c, address, "Say", overrideTimeout, override)
 	return err
 }
 
-// Status asks a voter how things stand.
+// Status returns a voter's status.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	return call[StatusRequest, Status](ctx, c, address, "Status", reportTimeout, StatusRequest{})
 }
 
-// Outbox carries letters to one voter, in order, as long as it answers.
+// Outbox delivers messages to one voter in order. Its goroutine ends with the context given to NewOutbox.
 type Outbox struct {
 	client  *Client
 	address string
 	queue   chan replica.Message
 }
 
-// NewOutbox starts to carry until ctx ends.
+// NewOutbox starts delivering to the voter at address until ctx ends.
 func NewOutbox(ctx context.Context, c *Client, address string) *Outbox {
 	o := &Outbox{client: c, address: address, queue: make(chan replica.Message, maxQueuedMessages)}
 	go o.run(ctx)
 	return o
 }
 
-// Enqueue has a letter carried. Where the queue is full the oldest gives way: what it said of
-// the log is said again. It is called by one goroutine alone.
+// Enqueue queues a message. Where the queue is full the oldest message is dropped: the consensus core
+// sends its content again. Only one goroutine may call it.
 func (o *Outbox) Enqueue(message replica.Message) {
 	for {
 		select {
@@ -180,6 +183,7 @@
 	}
 }
 
+// run delivers until ctx ends, with a backoff after each failure.
 func (o *Outbox) run(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = initialBackoff, maxBackoff
@@ -188,16 +192,7 @@
 		case <-ctx.Done():
 			return
 		case message := <-o.queue:
-			// What has come meanwhile goes along: on a slow link one call after the other would
-			// tell ever older things.
-			for more := true; more && len(message.Log) < maxQueuedMessages; {
-				select {
-				case next := <-o.queue:
-					message = message.Merge(next)
-				default:
-					more = false
-				}
-			}
+			message = o.mergeQueued(message)
 			if o.client.Deliver(ctx, o.address, message) == nil {
 				retry.Reset()
 				continue
@@ -210,3 +205,17 @@
 		}
 	}
 }
+
+// mergeQueued merges the messages queued meanwhile into one: on a slow link one call for each would deliver ever
+// older messages.
+func (o *Outbox) mergeQueued(message replica.Message) replica.Message {
+	for len(message.Log) < maxQueuedMessages {
+		select {
+		case next := <-o.queue:
+			message = message.Merge(next)
+		default:
+			return message
+		}
+	}
+	return message
+}
