--- a/internal/node/zones/quota/child.go
+++ b/internal/node/zones/quota/child.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Child is a site's part of one tenant's quota.
+// Child admits one tenant's jobs at a site, from its guaranteed amount and its lease. It belongs to one goroutine.
 type Child struct {
 	settings      Settings
 	tenant        string
@@ -14,23 +14,23 @@
 	incarnation   uint64
 	guaranteed    Amount
 	leased        Amount
-	leaseUntil    time.Duration // the lease's end, by this clock; 0: none
-	requestNumber uint64        // of the last ask
-	currentGrant  uint64        // of the grant gone by
+	leaseUntil    time.Duration // end of the lease by this clock; 0: none
+	requestNumber uint64        // of the last request
+	currentGrant  uint64        // number of the grant in use
 	requestedAt   time.Duration
 	requesting    bool
 	used          float64
-	tokens        float64 // slot-seconds that may be begun
+	tokens        float64 // slot-seconds that may be started
 	tokensAt      time.Duration
-	peak          float64       // most slots used since the last ask
-	slotTime      float64       // slots times the time that they may be held for, of all jobs that came since then
+	peak          float64       // most slots used or wanted at once since the last request
+	slotTime      float64       // slots times longest run time, of all jobs that came since then
 	work          float64       // slot-seconds of them
-	sublet        Amount        // what the sites want that this one lends to
-	since         time.Duration // and since when
+	sublet        Amount        // what the sites below want, where this one leases further
+	since         time.Duration // time of the last request
 }
 
-// NewChild starts a site with its safe share alone and nothing saved up. incarnation has to
-// be above that of its last start.
+// NewChild returns a child with its guaranteed amount and no saved tokens. incarnation must be above that
+// of the site's last start.
 func NewChild(now time.Duration, settings Settings, tenant, name string, incarnation uint64, guaranteed Amount) (*Child, error) {
 	if settings.Lease <= 0 || settings.ClockDrift < 0 || settings.ClockDrift >= 0.5 || !guaranteed.valid() || name == "" {
 		return nil, fmt.Errorf("quota: site %q with a safe share of %v, a lease of %v, a margin of %v", name, guaranteed, settings.Lease, settings.ClockDrift)
@@ -38,8 +38,8 @@
 	return &Child{settings: settings, tenant: tenant, name: name, incarnation: incarnation, guaranteed: guaranteed, tokensAt: now, since: now}, nil
 }
 
-// Available is what the site may use now, for a job that holds its slots for at most so long. A
-// job that may outlast the lease counts under the safe share.
+// Available returns the amount that a job may be admitted from that occupies its slots for at most hold. A
+// job that may outlast the lease is admitted from the guaranteed amount.
 func (c *Child) Available(now, hold time.Duration) Amount {
 	if c.leaseUntil > 0 && now+hold <= c.leaseUntil {
 		return c.leased
@@ -47,7 +47,7 @@
 	return c.guaranteed
 }
 
-// refill books the slot-seconds earned since the last look, at the rate that held.
+// refill adds the tokens earned since the last call, at the rates that were in effect.
 func (c *Child) refill(now time.Duration) {
 	if c.leaseUntil > 0 && c.tokensAt < c.leaseUntil {
 		c.addTokens(min(now, c.leaseUntil), c.leased.Rate)
@@ -57,13 +57,14 @@
 	}
 }
 
+// addTokens adds the tokens earned up to now at a rate, up to the burst limit.
 func (c *Child) addTokens(now time.Duration, rate float64) {
 	c.tokens = min(c.tokens+rate*(now-c.tokensAt).Seconds(), max(c.tokens, rate*burstFraction*c.settings.Lease.Seconds()))
 	c.tokensAt = now
 }
 
-// Admit lets a job in that takes so many slots, for at most hold, and so many slot-seconds.
-// Where it is not let in it tells when to come back; nothing is ever held.
+// Admit admits a job that takes the given slots for at most hold, and work slot-seconds. A rejected job gets
+// the time after which a retry may succeed; jobs are never queued.
 func (c *Child) Admit(now time.Duration, slots, work float64, hold time.Duration) (after time.Duration, ok bool) {
 	c.refill(now)
 	c.work += work
@@ -74,7 +75,7 @@
 	case c.used+slots > available.Slots+epsilon:
 		return c.untilNextRequest(now), false
 	case c.tokens < 0 || c.tokens < work && c.tokens < available.Rate*burstFraction*c.settings.Lease.Seconds()-epsilon:
-		// A job larger than all that may be saved up begins with the savings full, and is paid off.
+		// A job larger than the burst limit starts with the tokens at the limit and overdraws them.
 		if available.Rate <= 0 {
 			return c.untilNextRequest(now), false
 		}
@@ -86,26 +87,26 @@
 	return 0, true
 }
 
-// Done gives a job's slots back, and settles what it has really taken.
+// Done releases a job's slots and corrects the tokens by the work that it took.
 func (c *Child) Done(now time.Duration, slots, work, took float64) {
 	c.refill(now)
 	c.used = max(0, c.used-slots)
 	c.tokens += work - took
 }
 
-// SetSublet tells what a site that lends its slice further has out at most, and what the sites
-// below it want.
+// SetSublet records, for a site that leases further, its total exposure and the demand of the sites below.
 func (c *Child) SetSublet(out, want Amount) { c.used, c.sublet = out.Slots, want }
 
-// untilNextRequest is when the slice may grow at the earliest.
+// untilNextRequest returns the time until the lease may grow.
 func (c *Child) untilNextRequest(now time.Duration) time.Duration {
 	return max(c.requestedAt+c.requestInterval()-now, time.Millisecond)
 }
 
+// requestInterval leaves time for three further requests before a lease ends.
 func (c *Child) requestInterval() time.Duration { return c.settings.Lease / 4 }
 
-// NextRequest makes the next ask when it is time: long before the lease is over, one at a time. An
-// ask that has had no answer for that long is given up, and its answer is void.
+// NextRequest returns the next request once requestInterval has passed since the last. A request without a
+// response by then is abandoned, and its grant is ignored.
 func (c *Child) NextRequest(now time.Duration) (LeaseRequest, bool) {
 	if c.requestNumber > 0 && now-c.requestedAt < c.requestInterval() {
 		return LeaseRequest{}, false
@@ -123,7 +124,7 @@
 		Want: want.maximum(c.guaranteed)}, true
 }
 
-// ApplyGrant takes in a grant, if it answers the ask that is out.
+// ApplyGrant applies a grant and reports whether it did: it must answer the last request and not have expired.
 func (c *Child) ApplyGrant(now time.Duration, grant Grant) bool {
 	if grant.Tenant != c.tenant || grant.Child != c.name || grant.Incarnation != c.incarnation && c.settings.DisabledCheck != "incarnation" {
 		return false
@@ -148,5 +149,5 @@
 	return true
 }
 
-// Leased is what is lent, and until when; for who lends it further.
+// Leased returns the leased amount and the lease's end, for a site that leases further.
 func (c *Child) Leased() (Amount, time.Duration) { return c.leased, c.leaseUntil }
--- a/internal/node/zones/quota/quota.go
+++ b/internal/node/zones/quota/quota.go
@@ -1,11 +1,13 @@
-// Package quota delegates a tenant's quota down a tree of sites. A parent lends its
-// children slices as leases; a child admits from its slice alone, without a message, and
-// may lend parts of it further. It has no clock and no I/O: who holds a Ledger or a Child
-// tells it the time, monotonic, and carries the asks and grants, which may be late, lost,
-// doubled or out of order.
+// Package quota delegates a tenant's quota down a tree of sites by leases.
 //
-// Slots at once are never over the quota, by all sites together. docs/design/fleet-as-one.md
-// says why.
+// A Parent leases parts of its quota to its children. A Child admits jobs from its lease alone,
+// without a message, and may lease parts of it further through a Parent of its own. The caller passes
+// monotonic times and carries requests and grants, which may be delayed, lost, duplicated or
+// reordered. The package has no clock and does no I/O. No program uses it yet; it is the tested
+// design of docs/design/fleet-as-one.md.
+//
+// Invariant: the slots in use at all sites together never exceed the quota. The parent counts each
+// child with the largest amount that it may still believe to hold.
 package quota
 
 import (
@@ -19,8 +21,8 @@
 
 // Amount is a quota or a part of one.
 type Amount struct {
-	Slots float64 `cbor:"1,keyasint"` // at once
-	Rate  float64 `cbor:"2,keyasint"` // slot-seconds a second
+	Slots float64 `cbor:"1,keyasint"` // in use at once
+	Rate  float64 `cbor:"2,keyasint"` // slot-seconds per second
 }
 
 func (a Amount) add(b Amount) Amount      { return Amount{a.Slots + b.Slots, a.Rate + b.Rate} }
@@ -33,47 +35,47 @@
 }
 
 const (
-	epsilon       = 1e-9
-	burstFraction = 0.25 // of what a lease's time earns may be saved up: half of what the bound on windows allows
-	headroom      = 1.25 // a child asks for so much more than it has used
+	epsilon       = 1e-9 // rounding error of amounts
+	burstFraction = 0.25 // of the tokens that a lease's time earns may be saved: half of what the bound on windows allows
+	headroom      = 1.25 // a child requests this multiple of what it used
 )
 
-// Settings are the figures that all sites go by. A lease has to be longer than twice the
-// longest time for which a job may hold its slots: what it has admitted has ended with it.
+// Settings are shared by all sites. A lease must be longer than twice the longest time for which a job may
+// occupy its slots, so that what was admitted under a lease ends with it.
 type Settings struct {
 	Lease         time.Duration
-	ClockDrift    float64 // part by which clocks may run apart: the child's lease is shorter by it, the parent's longer
-	DisabledCheck string  // a check left out, for the tests that show what it is for
+	ClockDrift    float64 // fraction by which clocks may differ in rate: the child's lease is shorter by it, the parent's longer
+	DisabledCheck string  // a check to skip, for tests that show why it is needed
 }
 
-// LeaseRequest is a child's.
+// LeaseRequest is a child's request for a new lease.
 type LeaseRequest struct {
 	Tenant       string  `cbor:"1,keyasint"`
 	Child        string  `cbor:"2,keyasint"`
-	Incarnation  uint64  `cbor:"3,keyasint"` // raised by each start of the child
-	Number       uint64  `cbor:"4,keyasint"` // of the ask, from 1
-	CurrentGrant uint64  `cbor:"5,keyasint"` // the number of the grant that the child goes by; 0: none
+	Incarnation  uint64  `cbor:"3,keyasint"` // grows with each start of the child
+	Number       uint64  `cbor:"4,keyasint"` // of the request, from 1
+	CurrentGrant uint64  `cbor:"5,keyasint"` // number of the grant that the child uses; 0: none
 	Used         float64 `cbor:"Used"`
 	Want         Amount  `cbor:"6,keyasint"`
 }
 
-// Grant answers one ask. It is void for any other.
+// Grant is the response to one request. The child ignores it for any other.
 type Grant struct {
 	Tenant      string        `cbor:"1,keyasint"`
 	Child       string        `cbor:"2,keyasint"`
 	Incarnation uint64        `cbor:"3,keyasint"`
 	Number      uint64        `cbor:"4,keyasint"`
 	Amount      Amount        `cbor:"5,keyasint"`
-	Lease       time.Duration `cbor:"6,keyasint"` // from the ask's sending on
+	Lease       time.Duration `cbor:"6,keyasint"` // from the sending of the request
 }
 
-// ChildConfig is what a parent is told of a child.
+// ChildConfig configures a child at its parent.
 type ChildConfig struct {
-	Guaranteed Amount  `cbor:"Safe"` // what the child may use without a lease, set aside for ever
+	Guaranteed Amount  `cbor:"Safe"` // what the child may use without a lease; always reserved
 	Weight     float64 `cbor:"Weight"`
 }
 
-// outstandingLease is a slice that a child may be going by.
+// outstandingLease is a lease that a child may be using.
 type outstandingLease struct {
 	Incarnation uint64        `cbor:"Incarnation"`
 	Number      uint64        `cbor:"Number"`
@@ -81,26 +83,26 @@
 	ExpiresAt   time.Duration `cbor:"Until"`
 }
 
-// childAccount is what a parent knows of a child.
+// childAccount is a parent's state of one child.
 type childAccount struct {
 	ChildConfig
 	Incarnation uint64             `cbor:"Incarnation"`
-	Number      uint64             `cbor:"Number"` // the last ask answered
+	Number      uint64             `cbor:"Number"` // of the last request granted
 	Leases      []outstandingLease `cbor:"Lent"`
 	Want        Amount             `cbor:"Want"`
 	wantedAt    time.Duration
 }
 
-// Parent is a parent's, for one tenant.
+// Parent leases one tenant's quota to its children. It belongs to one goroutine.
 type Parent struct {
 	settings   Settings
 	tenant     string
 	quota      Amount
-	leaseUntil time.Duration // the end of what the parent itself holds; 0: it is the root
+	leaseUntil time.Duration // end of the parent's own lease; 0: it is the root
 	children   map[string]*childAccount
 }
 
-// NewParent makes one with nothing lent.
+// NewParent returns a parent without leases. The guaranteed amounts must fit into the quota.
 func NewParent(settings Settings, tenant string, quota Amount, sites map[string]ChildConfig) (*Parent, error) {
 	parent := &Parent{settings: settings, tenant: tenant, quota: quota, children: map[string]*childAccount{}}
 	if settings.Lease <= 0 || settings.ClockDrift < 0 || settings.ClockDrift >= 0.5 {
@@ -122,7 +124,7 @@
 	return parent, nil
 }
 
-// guaranteedTotal is all safe shares together.
+// guaranteedTotal returns the sum of the guaranteed amounts.
 func (p *Parent) guaranteedTotal() (sum Amount) {
 	for _, c := range p.children {
 		sum = sum.add(c.Guaranteed)
@@ -130,12 +132,14 @@
 	return sum
 }
 
-// SetQuota changes what there is to lend, and until when the parent itself holds it; 0: for
-// ever. What is lent beyond it comes back within a lease.
-func (p *Parent) SetQuota(quota Amount, until time.Duration) { p.quota, p.leaseUntil = quota, until }
+// SetQuota changes the quota and the end of the parent's own lease; 0: it does not end. What is leased
+// beyond a lowered quota returns within one lease time.
+func (p *Parent) SetQuota(quota Amount, leaseUntil time.Duration) {
+	p.quota, p.leaseUntil = quota, leaseUntil
+}
 
-// exposure is the most that a child may be using: its safe share, or any slice that it may
-// still go by. One that it has never confirmed counts like one that it has.
+// exposure returns the largest amount that a child may be using: its guaranteed amount, or any lease that
+// has not expired, whether the child confirmed it or not.
 func (p *Parent) exposure(now time.Duration, child *childAccount) Amount {
 	sum := child.Guaranteed
 	child.Leases = slices.DeleteFunc(child.Leases, func(e outstandingLease) bool { return e.ExpiresAt <= now })
@@ -151,7 +155,7 @@
 	return sum
 }
 
-// TotalExposure is the most that all children together may be using.
+// TotalExposure returns the largest amount that all children together may be using.
 func (p *Parent) TotalExposure(now time.Duration) (sum Amount) {
 	for _, c := range p.children {
 		sum = sum.add(p.exposure(now, c))
@@ -159,7 +163,8 @@
 	return sum
 }
 
-// Demand is what all children want, of those heard of within a lease's time.
+// Demand returns what all children want. A child that sent no request within a lease time wants its
+// guaranteed amount.
 func (p *Parent) Demand(now time.Duration) (sum Amount) {
 	for _, c := range p.children {
 		want := c.Guaranteed
@@ -173,50 +178,50 @@
 
 var errUnknownChild = errors.New("quota: no such site of this tenant")
 
-// Grant answers a child. An ask that a later one has overtaken, or of an earlier start of the
-// child, gets none.
+// Grant responds to a child's request. It returns an error for an unknown child, a request of an earlier
+// incarnation, and one overtaken by a later request.
 func (p *Parent) Grant(now time.Duration, request LeaseRequest) (Grant, error) {
-	c := p.children[request.Child]
-	if c == nil || request.Tenant != p.tenant {
+	child := p.children[request.Child]
+	if child == nil || request.Tenant != p.tenant {
 		return Grant{}, errUnknownChild
 	}
 	if !request.Want.valid() || !(request.Used >= 0) {
 		return Grant{}, fmt.Errorf("quota: site %s wants %v and uses %v", request.Child, request.Want, request.Used)
 	}
-	if p.settings.DisabledCheck != "incarnation" && request.Incarnation < c.Incarnation {
+	if p.settings.DisabledCheck != "incarnation" && request.Incarnation < child.Incarnation {
 		return Grant{}, fmt.Errorf("quota: site %s has been started anew since", request.Child)
 	}
-	if request.Incarnation > c.Incarnation {
-		c.Incarnation, c.Number = request.Incarnation, 0
+	if request.Incarnation > child.Incarnation {
+		child.Incarnation, child.Number = request.Incarnation, 0
 	}
-	if request.Number <= c.Number && p.settings.DisabledCheck != "order" {
+	if request.Number <= child.Number && p.settings.DisabledCheck != "order" {
 		return Grant{}, fmt.Errorf("quota: site %s has asked again since", request.Child)
 	}
-	c.Number, c.Want, c.wantedAt = request.Number, request.Want, now
-	p.releaseConfirmed(c, request)
-	others := p.TotalExposure(now).subtract(p.exposure(now, c))
+	child.Number, child.Want, child.wantedAt = request.Number, request.Want, now
+	p.releaseConfirmed(child, request)
+	others := p.TotalExposure(now).subtract(p.exposure(now, child))
 	available := p.quota.subtract(others)
-	amount := p.fairShare(now, request.Child).minimum(available).maximum(c.Guaranteed)
+	amount := p.fairShare(now, request.Child).minimum(available).maximum(child.Guaranteed)
 	lease := p.settings.Lease
 	if p.leaseUntil > 0 {
 		lease = min(lease, time.Duration(float64(p.leaseUntil-now)/(1+p.settings.ClockDrift)))
 	}
 	if lease <= 0 || !amount.within(available) {
-		amount, lease = c.Guaranteed, 0 // nothing but what it has without a lease
+		amount, lease = child.Guaranteed, 0 // nothing beyond the guaranteed amount
 	}
 	if lease > 0 {
 		expiresIn := time.Duration(float64(lease) * (1 + p.settings.ClockDrift))
 		if p.settings.DisabledCheck == "margin" {
 			expiresIn = time.Duration(float64(lease) * (1 - p.settings.ClockDrift))
 		}
-		c.Leases = append(c.Leases, outstandingLease{request.Incarnation, request.Number, amount, now + expiresIn})
+		child.Leases = append(child.Leases, outstandingLease{request.Incarnation, request.Number, amount, now + expiresIn})
 	}
 	return Grant{Tenant: request.Tenant, Child: request.Child, Incarnation: request.Incarnation, Number: request.Number, Amount: amount, Lease: lease}, nil
 }
 
-// releaseConfirmed drops what the child's ask shows that it does not go by any more. It takes none
-// but the grant for its last ask, so that all others of this start are void once it asks
-// anew; of a slice that it has given up it may still use as much as it says.
+// releaseConfirmed removes the leases that the request shows the child does not use. A child accepts only
+// the grant for its last request, so its next request voids all others of this incarnation. Of a lease
+// that it gave up it may still use as much as the request says.
 func (p *Parent) releaseConfirmed(child *childAccount, request LeaseRequest) {
 	slotsInUse := child.Guaranteed.Slots
 	for _, e := range child.Leases {
@@ -227,11 +232,11 @@
 	child.Leases = slices.DeleteFunc(child.Leases, func(e outstandingLease) bool {
 		switch {
 		case e.Incarnation != request.Incarnation:
-			return false // what an earlier start admitted may still run
+			return false // jobs of an earlier incarnation may still run
 		case e.Number == request.CurrentGrant:
 			return false
 		case e.Number > request.CurrentGrant:
-			return true // never taken, and void now
+			return true // never accepted, and void now
 		}
 		return request.Used <= slotsInUse+epsilon
 	})
@@ -242,62 +247,76 @@
 	}
 }
 
-// fairShare is a child's part by weighted max-min over what all want. Who has not asked for a
-// lease's time wants its safe share.
+// fairShare returns a child's weighted max-min fair share of the quota. A child that sent no request within a
+// lease time wants its guaranteed amount.
 func (p *Parent) fairShare(now time.Duration, child string) Amount {
+	slots := p.fairPart(now, child, func(a Amount) float64 { return a.Slots })
+	rate := p.fairPart(now, child, func(a Amount) float64 { return a.Rate })
+	return Amount{math.Floor(slots + epsilon), rate}
+}
+
+// fairPart returns the fair share in one dimension of the amounts.
+func (p *Parent) fairPart(now time.Duration, child string, dimension func(Amount) float64) float64 {
 	names := slices.Sorted(maps.Keys(p.children))
-	share := func(of func(Amount) float64) float64 {
-		left, weights := of(p.quota), 0.0
-		want := make([]float64, len(names))
-		open := make([]bool, len(names))
-		for i, name := range names {
-			c := p.children[name]
-			if p.settings.DisabledCheck != "reserve" || len(c.Leases) > 0 || name == child {
-				left -= of(c.Guaranteed)
-			}
-			if now-c.wantedAt <= p.settings.Lease && c.Number > 0 {
-				want[i] = max(0, of(c.Want)-of(c.Guaranteed))
-			}
-			if open[i] = want[i] > 0; open[i] {
-				weights += c.Weight
-			}
+	left := dimension(p.quota)
+	want, weights := make([]float64, len(names)), make([]float64, len(names))
+	for i, name := range names {
+		account := p.children[name]
+		if p.settings.DisabledCheck != "reserve" || len(account.Leases) > 0 || name == child {
+			left -= dimension(account.Guaranteed)
 		}
-		got := make([]float64, len(names))
-		for again := true; again && left > epsilon && weights > epsilon; {
-			again = false
-			each := left / weights
-			for i, name := range names {
-				if w := p.children[name].Weight; open[i] && want[i]-got[i] <= each*w+epsilon {
-					left -= want[i] - got[i]
-					weights -= w
-					got[i], open[i], again = want[i], false, true
-				}
-			}
-			if !again {
-				for i, name := range names {
-					if open[i] {
-						got[i] += each * p.children[name].Weight
-					}
-				}
+		if now-account.wantedAt <= p.settings.Lease && account.Number > 0 {
+			want[i] = max(0, dimension(account.Want)-dimension(account.Guaranteed))
+		}
+		weights[i] = account.Weight
+	}
+	got := maxMinShares(left, want, weights)
+	for i, name := range names {
+		if name == child {
+			return got[i] + dimension(p.children[name].Guaranteed)
+		}
+	}
+	return 0
+}
+
+// maxMinShares divides an amount by weighted max-min fairness: each round satisfies those that want at most
+// their weighted part of what is left; when none does, the rest is divided by weight.
+func maxMinShares(left float64, want, weights []float64) []float64 {
+	got, open, openWeight := make([]float64, len(want)), make([]bool, len(want)), 0.0
+	for i := range want {
+		if open[i] = want[i] > 0; open[i] {
+			openWeight += weights[i]
+		}
+	}
+	for again := true; again && left > epsilon && openWeight > epsilon; {
+		again = false
+		each := left / openWeight
+		for i, weight := range weights {
+			if open[i] && want[i]-got[i] <= each*weight+epsilon {
+				left -= want[i] - got[i]
+				openWeight -= weight
+				got[i], open[i], again = want[i], false, true
 			}
 		}
-		for i, name := range names {
-			if name == child {
-				return got[i] + of(p.children[name].Guaranteed)
+		if again {
+			continue
+		}
+		for i, weight := range weights {
+			if open[i] {
+				got[i] += each * weight
 			}
 		}
-		return 0
 	}
-	return Amount{math.Floor(share(func(a Amount) float64 { return a.Slots }) + epsilon), share(func(a Amount) float64 { return a.Rate })}
+	return got
 }
 
-// State is a ledger's, as the agreed log keeps it.
+// State is a parent's state in a form that can be stored.
 type State struct {
 	Quota    Amount                  `cbor:"1,keyasint"`
 	Children map[string]childAccount `cbor:"2,keyasint"`
 }
 
-// Export copies the state.
+// Export returns a copy of the state.
 func (p *Parent) Export() State {
 	state := State{Quota: p.quota, Children: map[string]childAccount{}}
 	for name, c := range p.children {
@@ -308,8 +327,8 @@
 	return state
 }
 
-// Import takes up a state that another process had. Its clock is not known: what was lent
-// counts for a whole lease from now.
+// Import replaces the state by one exported by another process. As that process's clock is unknown, every
+// lease counts for a full lease time from now.
 func (p *Parent) Import(now time.Duration, state State) {
 	p.quota = state.Quota
 	for name, account := range state.Children {
