--- a/internal/node/zones/simulation/network.go
+++ b/internal/node/zones/simulation/network.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// network carries messages between processes: late, lost, twice, out of order, and not at
-// all over a link that is cut. Links are one way, between zones and at single processes.
+// network delivers messages between processes: delayed, lost, duplicated, reordered, and not at all over a
+// blocked link. Links are one way, between zones or at single processes.
 type network struct {
 	simulation *simulation
 	blocked    map[[2]string]bool // from and to, zones or processes
@@ -17,8 +17,8 @@
 	return n.blocked[[2]string{from.zone, to.zone}] || n.blocked[[2]string{from.name, "*"}] || n.blocked[[2]string{"*", to.name}]
 }
 
-// send has something happen at another process, if it arrives. A process that has been
-// restarted meanwhile is another one: what was on its way to the old one is lost.
+// send calls deliver at another process when the message arrives. A message to a process that restarted
+// meanwhile is lost.
 func (n *network) send(from, to *process, deliver func()) {
 	scenario := n.simulation.scenario
 	copies := 1
@@ -53,13 +53,13 @@
 	}
 }
 
-// block cuts a link one way.
+// block blocks a link one way. "*" stands for every process.
 func (n *network) block(from, to string) { n.blocked[[2]string{from, to}] = true }
 
-// unblock mends it.
+// unblock ends what block began.
 func (n *network) unblock(from, to string) { delete(n.blocked, [2]string{from, to}) }
 
-// isolate cuts all links between a zone and the others, and mend mends them.
+// isolate blocks all links between a zone and the others.
 func (n *network) isolate(zone string) {
 	for _, z := range n.simulation.zones {
 		if z != zone {
@@ -69,6 +69,7 @@
 	}
 }
 
+// reconnect ends what isolate began.
 func (n *network) reconnect(zone string) {
 	for _, z := range n.simulation.zones {
 		n.unblock(zone, z)
@@ -76,5 +77,5 @@
 	}
 }
 
-// Range is drawn evenly.
+// Range is a range of durations, drawn from evenly.
 type Range struct{ Min, Max time.Duration }
--- a/internal/node/zones/simulation/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -11,29 +11,30 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// process is one of the fleet's, with a clock of its own.
+// process is a voter or node with a clock of its own.
 type process struct {
 	simulation  *simulation
 	name        string
 	zone        string
 	down        bool
 	paused      bool
-	deferred    []func() // what came while it was frozen
-	incarnation int      // raised by each start
-	clockRate   float64  // of its clock
+	deferred    []func() // what became due while it was paused
+	incarnation int      // grows with each start and crash
+	clockRate   float64  // against the simulation's clock
 	voter       *voterProcess
 	node        *nodeProcess
 }
 
-// now is the time on the process's own clock.
+// now returns the time on the process's own clock.
 func (p *process) now() time.Duration { return time.Duration(float64(p.simulation.now) * p.clockRate) }
 
-// after has the process do something after a time on its own clock, unless it has ended.
+// after runs f at the process after a duration on its own clock, unless it crashed by then.
 func (p *process) after(d time.Duration, f func()) {
 	incarnation := p.incarnation
 	p.simulation.after(time.Duration(float64(d)/p.clockRate), func() { p.do(incarnation, f) })
 }
 
+// do runs f unless the process crashed since the incarnation; a paused process runs it when it resumes.
 func (p *process) do(incarnation int, f func()) {
 	switch {
 	case p.down || p.incarnation != incarnation:
@@ -44,7 +45,7 @@
 	}
 }
 
-// crash ends it without a word.
+// crash ends the process without notice.
 func (p *process) crash() {
 	p.down = true
 	p.incarnation++
@@ -78,7 +79,7 @@
 	}
 }
 
-// disk is what a voter has written through.
+// disk is a voter's durable state.
 type disk struct {
 	stored replicatedlog.StoredState
 	starts uint64
@@ -108,7 +109,7 @@
 	d.stored.Entries = entries
 }
 
-// reopen is what a start finds.
+// reopen returns what a start finds, and counts it.
 func (d *disk) reopen() replicatedlog.StoredState {
 	d.starts++
 	return d.stored
@@ -121,8 +122,8 @@
 	disk      disk
 	replica   *replica.Replica
 	writing   bool
-	checked   uint64        // the last entry applied that the orders were held against
-	startedAt time.Duration // the voter's clock begins with each start
+	checked   uint64        // log index of the last table checked
+	startedAt time.Duration // the replica's clock counts from each start
 }
 
 func (v *voterProcess) now() time.Duration { return v.process.now() - v.startedAt }
@@ -151,7 +152,7 @@
 	v.process.after(v.process.simulation.scenario.Replica.Tick, v.tick)
 }
 
-// flush writes through what is next, and sends what may go out.
+// flush starts the next write unless one is in progress, and sends the outgoing messages.
 func (v *voterProcess) flush() {
 	w := v.process.simulation
 	if err := v.replica.Err(); err != nil {
@@ -170,7 +171,7 @@
 				v.flush()
 			}
 			if w.scenario.DisabledCheck == "write" {
-				// Said before it is written through: a crash takes it back.
+				// Acknowledged before it is durable: a crash loses it.
 				v.replica.Persisted(persist)
 				w.checkLog(v)
 				v.process.after(w.scenario.DiskLatency.draw(w.rng), func() { v.disk.write(persist); v.writing = false; v.flush() })
@@ -192,12 +193,12 @@
 	}
 }
 
-// nodeProcess is a node that sends work to zones.
+// nodeProcess is a node that sends steps to zones.
 type nodeProcess struct {
 	process       *process
 	number        int
 	follower      *follower.Follower
-	failedReports int // voters asked in vain
+	failedReports int // reports without a lease, each to be followed by another voter
 	credit        float64
 	epoch         uint64
 	startedAt     time.Duration
@@ -217,7 +218,7 @@
 	n.work()
 }
 
-// report tells a voter what is seen, the near one first.
+// report sends the next report, at first to the voter of the node's number.
 func (n *nodeProcess) report() {
 	w := n.process.simulation
 	r, next := n.follower.Report(n.process.now())
@@ -250,7 +251,7 @@
 	})
 }
 
-// checkTable checks the orders that have been taken up.
+// checkTable checks the table that was applied.
 func (n *nodeProcess) checkTable() {
 	w := n.process.simulation
 	at := n.follower.Epoch()
@@ -259,17 +260,17 @@
 	}
 	n.epoch = at
 	if known, ok := w.tablesByEpoch[at]; ok && at > 0 && known != w.encodeTable(n.follower.Table()) {
-		w.violate("%s holds other orders of epoch %d than were agreed on", n.process.name, at)
+		w.violate("%s holds another table of epoch %d than was committed", n.process.name, at)
 	}
 }
 
-// work sends for a tenth of a second.
+// work sends the steps of a tenth of a second.
 func (n *nodeProcess) work() {
 	w, d := n.process.simulation, n.process.simulation.scenario
-	const span = 100 * time.Millisecond
+	const span = tenth
 	now := n.process.now()
 	if !d.Standalone && d.DisabledCheck != "ready" && !n.follower.Ready(now) {
-		n.process.after(span, n.work) // no client is let in yet
+		n.process.after(span, n.work) // no request is admitted yet
 		return
 	}
 	shares := n.follower.Shares(now, w.zones)
@@ -304,7 +305,7 @@
 	n.process.after(span, n.work)
 }
 
-// sendStep sends one step, and sees what becomes of it.
+// sendStep sends one step and records its outcome when it shows.
 func (n *nodeProcess) sendStep(zone string, class int) {
 	w := n.process.simulation
 	sent, incarnation := n.process.now(), n.process.incarnation
--- a/internal/node/zones/simulation/scenario.go
+++ b/internal/node/zones/simulation/scenario.go
@@ -1,11 +1,13 @@
-// Package simulation plays the fleet's agreement in simulated time: many instances of all of
-// the real decision code and of the agreed log on one clock, with messages that are late,
-// lost, doubled, overtaken or cut off one way, processes that crash and lose what they
-// had not written through, and clocks that drift. The same day plays the same. After
-// every event it holds the fleet against what must always be so.
+// Package simulation runs the zones' voters and followers in simulated time.
 //
-// Route steps are modelled as a flow with outcomes, not one by one through package
-// balance; internal/testkit/nodesim does that.
+// It drives the real code (packages replica and follower) on one clock, with messages that are
+// delayed, lost, duplicated, reordered or partitioned, processes that crash and lose what was not
+// durable, and clocks that drift. It is deterministic: the same Scenario gives the same Result. After
+// every event it checks the invariants: voters never differ, and no process obeys an outdated table
+// for longer than its lease allows.
+//
+// Route steps are modelled as outcomes by zone, not one by one through package balance;
+// internal/testkit/nodesim does that. Only tests use the package.
 package simulation
 
 import (
@@ -17,6 +19,7 @@
 	"ospreybend/internal/node/zones/replica"
 )
 
+// draw returns a duration drawn evenly from the range.
 func (s Range) draw(r *rand.Rand) time.Duration {
 	if s.Max <= s.Min {
 		return s.Min
@@ -24,65 +27,65 @@
 	return s.Min + time.Duration(r.Int64N(int64(s.Max-s.Min)))
 }
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds.
+// The kinds of fault.
 const (
-	ZoneCrash       FaultKind = "zone dies"   // its prep workers answer nothing, its processes are gone
-	ZoneErrors      FaultKind = "zone breaks" // its prep workers break every step; its processes live
+	ZoneCrash       FaultKind = "zone dies"   // its workers do not respond and its processes crash
+	ZoneErrors      FaultKind = "zone breaks" // its workers fail every step; its processes run
 	ZoneSlow        FaultKind = "zone slow"   // half of its steps are late
-	ZoneFlaps       FaultKind = "zone flaps"  // breaks, mends, breaks again
-	SomeWorkersFail FaultKind = "some bad"    // a fifth of its prep workers break their steps
+	ZoneFlaps       FaultKind = "zone flaps"  // fails, recovers, fails again
+	SomeWorkersFail FaultKind = "some bad"    // a fifth of its steps fail
 	LinkPartition   FaultKind = "link cut"    // between two zones, both ways
 	OneWayPartition FaultKind = "one way"     // between two zones, one way
-	ProcessIsolated FaultKind = "one cut"     // one process hears and reaches nobody, prep workers included
-	ZoneIsolated    FaultKind = "zone cut"    // a zone hears and reaches no other; it serves its own
-	LoadBurst       FaultKind = "crowd"       // twice the work everywhere
+	ProcessIsolated FaultKind = "one cut"     // one process is cut off from all, workers included
+	ZoneIsolated    FaultKind = "zone cut"    // a zone is cut off from all others; it serves its own
+	LoadBurst       FaultKind = "crowd"       // more than twice the load everywhere
 	ProcessCrash    FaultKind = "crash"       // a process, restarted after a while
-	LeaderCrash     FaultKind = "leader dies" // whichever leads then
+	LeaderCrash     FaultKind = "leader dies" // of whichever voter leads then
 	AllRestart      FaultKind = "all restart" // every process within a second
-	ProcessPause    FaultKind = "frozen"      // a process stands still and goes on later
+	ProcessPause    FaultKind = "frozen"      // a process pauses and resumes
 )
 
-// Fault is one of a day's.
+// Fault is one fault of a scenario.
 type Fault struct {
 	Kind              FaultKind
 	At, Duration      time.Duration
-	Zone              string // or
-	Other             string // the far zone of a link
+	Zone              string // the zone concerned, or the first of a link
+	Other             string // the second zone of a link
 	Process           string
-	WarmsUp           bool    // its prep workers come back cold
-	DuringSlowStartOf string  // it begins when this zone rises, from At on,
+	WarmsUp           bool    // its workers come back at InitialCapacity
+	DuringSlowStartOf string  // it begins when this zone is in slow start, at At or later,
 	MinShare          float64 // with at least this share
 }
 
-// Scenario describes one.
+// Scenario describes a simulation.
 type Scenario struct {
 	Seed                 uint64
 	Zones                int
 	Voters               int
 	Nodes                int
 	Length               time.Duration
-	Rate                 float64 // operations a second at a node
-	Load                 float64 // offered, as a part of what all zones can do
-	MessageDelay         Range   // of a message
+	Rate                 float64 // operations per second at a node
+	Load                 float64 // offered, as a fraction of all zones' capacity
+	MessageDelay         Range
 	LossProbability      float64
 	DuplicateProbability float64
-	ReorderProbability   float64       // part of the messages that are overtaken by far
-	VoterLag             time.Duration // by which all that voter 3 hears of the others comes late, from the fifth second on; they do not hear it
-	ClockDrift           float64       // clocks run apart by up to this part
-	DiskLatency          Range         // to write through
+	ReorderProbability   float64       // of a message being delayed far past later ones
+	VoterLag             time.Duration // from the fifth second on: delay of messages to voter 3, whose own are lost
+	ClockDrift           float64       // largest fraction by which clock rates differ
+	DiskLatency          Range         // of a durable write
 	WarmupTime           time.Duration
 	InitialCapacity      float64
 	Faults               []Fault
-	Standalone           bool   // every process for itself: no voters
-	DisabledCheck        string // a check left out
+	Standalone           bool   // no voters: every process adjusts by itself
+	DisabledCheck        string // a check to skip
 	Replica              replica.Settings
 	Follower             follower.Settings
 }
 
-// Baseline is a day without trouble.
+// Baseline returns a scenario without faults.
 func Baseline(seed uint64) Scenario {
 	return Scenario{Seed: seed, Zones: 3, Voters: 3, Nodes: 9, Length: 30 * time.Second, Rate: 25, Load: 0.5,
 		MessageDelay: Range{200 * time.Microsecond, 4 * time.Millisecond}, LossProbability: 0.01, DuplicateProbability: 0.01, ReorderProbability: 0.01, ClockDrift: 0.0005,
@@ -102,10 +105,10 @@
 	return nil
 }
 
-// ZoneName names a zone by its number.
+// ZoneName returns the name of a zone by its number.
 func ZoneName(i int) string { return string(rune('a' + i)) }
 
-// RandomFaults draws some troubles of all kinds, over each other.
+// RandomFaults returns a scenario with one to four random, possibly overlapping faults.
 func RandomFaults(seed uint64) Scenario {
 	d := Baseline(seed)
 	r := rand.New(rand.NewPCG(seed, 77))
@@ -121,7 +124,7 @@
 	return d
 }
 
-// HarmlessFault draws a trouble for which no zone is to be left.
+// HarmlessFault returns a scenario with a random fault for which no zone may be evacuated.
 func HarmlessFault(seed uint64) Scenario {
 	d := Baseline(seed)
 	r := rand.New(rand.NewPCG(seed, 78))
@@ -130,8 +133,8 @@
 	return d
 }
 
-// RepeatedRestarts is a day with slow disks on which all processes are restarted again and again
-// while a zone flaps.
+// RepeatedRestarts returns a scenario with slow disks in which all processes restart repeatedly while a
+// zone flaps.
 func RepeatedRestarts(seed uint64) Scenario {
 	d := Baseline(seed)
 	d.DiskLatency = Range{20 * time.Millisecond, 150 * time.Millisecond}
@@ -142,7 +145,7 @@
 	return d
 }
 
-// RandomFault draws when, where and for how long.
+// RandomFault draws the time, place and duration of a fault.
 func (d Scenario) RandomFault(r *rand.Rand, kind FaultKind) Fault {
 	t := Fault{Kind: kind, At: 4*time.Second + time.Duration(r.Int64N(int64(6*time.Second))),
 		Duration: 3*time.Second + time.Duration(r.Int64N(int64(8*time.Second))), WarmsUp: true}
--- a/internal/node/zones/simulation/simulation.go
+++ b/internal/node/zones/simulation/simulation.go
@@ -12,24 +12,27 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// startTime is the clock at the start of a day.
-const startTime = time.Hour
+const (
+	startTime      = time.Hour        // the clock at the start of a scenario, so that clocks can be slow
+	faultAftermath = 10 * time.Second // after the last fault, still counted as during faults
+	tenth          = 100 * time.Millisecond
+)
 
-// Result is what became of a day.
+// Result is the outcome of a scenario. Values are sums of the classes' values.
 type Result struct {
 	Violations           []string      `json:"violations"`
-	Offered              float64       `json:"asked"` // worth
+	Offered              float64       `json:"asked"`
 	Served               float64       `json:"served"`
 	Rejected             float64       `json:"refused"`
-	OfferedDuringFaults  float64       `json:"trouble"` // worth asked for from the first trouble to ten seconds past the last
+	OfferedDuringFaults  float64       `json:"trouble"` // offered from the first fault to faultAftermath past the last
 	ServedDuringFaults   float64       `json:"troubleServed"`
 	Overloads            int           `json:"felled"`
-	Evacuations          int           `json:"left"`     // times that a zone was left
-	EvacuatedAfter       time.Duration `json:"leftAt"`   // from the first trouble to the first order that leaves
-	EvacuationSpread     time.Duration `json:"allLeft"`  // from that order until the last process in contact held it; 0: never
-	RecoveryTime         time.Duration `json:"returned"` // from the trouble's end until the zone took its whole share
+	Evacuations          int           `json:"left"`     // times that a zone was evacuated
+	EvacuatedAfter       time.Duration `json:"leftAt"`   // from the first fault to the first evacuation's commit
+	EvacuationSpread     time.Duration `json:"allLeft"`  // from that commit until the last connected process had it; 0: never
+	RecoveryTime         time.Duration `json:"returned"` // from a fault's end until the zone was active again
 	Epochs               uint64        `json:"epochs"`
-	FaultDuringSlowStart bool          `json:"rising"` // a trouble has begun amid a rise; see Trouble.Amid
+	FaultDuringSlowStart bool          `json:"rising"` // a fault began during a slow start; see Fault.DuringSlowStartOf
 	Messages             int           `json:"messages"`
 	Events               int           `json:"events"`
 }
@@ -45,16 +48,16 @@
 	nodes         []*process
 	zoneStates    map[string]*zoneState
 	loadFactor    float64
-	tablesByIndex map[uint64]string // what was applied at each index, as the first voter had it
+	tablesByIndex map[uint64]string // the table after each log index, as the first voter had it
 	tablesByEpoch map[uint64]string // by epoch
 	committedAt   map[uint64]time.Duration
 	result        Result
-	firstFaultAt  time.Duration // of the troubles
+	firstFaultAt  time.Duration // start time of the first fault; 0: none yet
 	lastFaultEnd  time.Duration
-	faultEndedAt  map[string]time.Duration // when a zone's trouble ended
+	faultEndedAt  map[string]time.Duration // by zone
 }
 
-// Run plays a day.
+// Run simulates a scenario. The error is that of an invalid scenario; violated invariants are in the result.
 func Run(scenario Scenario) (Result, error) {
 	if err := scenario.validate(); err != nil {
 		return Result{}, err
@@ -62,13 +65,31 @@
 	w := &simulation{scenario: scenario, rng: rand.New(rand.NewPCG(scenario.Seed, 1)), now: startTime, zoneStates: map[string]*zoneState{}, loadFactor: 1,
 		tablesByIndex: map[uint64]string{}, tablesByEpoch: map[uint64]string{}, committedAt: map[uint64]time.Duration{}, faultEndedAt: map[string]time.Duration{}}
 	w.network = &network{simulation: w, blocked: map[[2]string]bool{}}
+	w.createZones()
+	w.createProcesses()
+	w.startProcesses()
+	for _, fault := range scenario.Faults {
+		w.scheduleWhenDue(fault)
+	}
+	w.runTimers(startTime + scenario.Length)
+	w.result.Messages = w.network.delivered
+	w.checkLeader()
+	return w.result, nil
+}
+
+func (w *simulation) createZones() {
+	scenario := w.scenario
 	for i := range scenario.Zones {
 		w.zones = append(w.zones, ZoneName(i))
 	}
 	perZone := scenario.Rate * float64(scenario.Nodes) * workPerStep / float64(scenario.Zones)
 	for _, z := range w.zones {
-		w.zoneStates[z] = &zoneState{simulation: w, slots: perZone / scenario.Load, lastTenth: int64(startTime / (100 * time.Millisecond))}
+		w.zoneStates[z] = &zoneState{simulation: w, slots: perZone / scenario.Load, lastTenth: int64(startTime / tenth)}
 	}
+}
+
+func (w *simulation) createProcesses() {
+	scenario := w.scenario
 	ids := make([]uint64, scenario.Voters)
 	for i := range ids {
 		ids[i] = uint64(i + 1)
@@ -83,7 +104,11 @@
 		p.node = &nodeProcess{process: p, number: i}
 		w.nodes = append(w.nodes, p)
 	}
-	if !scenario.Standalone {
+}
+
+// startProcesses schedules the starts of all processes, spread at random.
+func (w *simulation) startProcesses() {
+	if !w.scenario.Standalone {
 		for _, p := range w.voters {
 			p.down = true
 			w.after(time.Duration(w.rng.Int64N(int64(50*time.Millisecond))), p.start)
@@ -93,27 +118,31 @@
 		p.down = true
 		w.after(time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), p.start)
 	}
-	for _, t := range scenario.Faults {
-		w.scheduleWhenDue(t)
-	}
-	end := startTime + scenario.Length
+}
+
+// runTimers runs all events up to end, or up to the first violation.
+func (w *simulation) runTimers(end time.Duration) {
 	for at, ok := w.timers.Next(); ok && at <= end && len(w.result.Violations) == 0; at, ok = w.timers.Next() {
 		w.now = at
-		asked, served := w.result.Offered, w.result.Served
+		offered, served := w.result.Offered, w.result.Served
 		w.timers.Run(at)
 		w.result.Events++
-		if w.firstFaultAt > 0 && at >= w.firstFaultAt && at <= w.lastFaultEnd+10*time.Second {
-			w.result.OfferedDuringFaults += w.result.Offered - asked
+		if w.firstFaultAt > 0 && at >= w.firstFaultAt && at <= w.lastFaultEnd+faultAftermath {
+			w.result.OfferedDuringFaults += w.result.Offered - offered
 			w.result.ServedDuringFaults += w.result.Served - served
 		}
 	}
-	w.result.Messages = w.network.delivered
-	if p := w.leader(); p != nil && p.voter.replica.Log().LeaderCaughtUp() && len(w.result.Violations) == 0 {
-		if at := p.voter.replica.Table().Epoch; at < w.result.Epochs {
-			w.violate("%s leads with epoch %d, and epoch %d was agreed on", p.name, at, w.result.Epochs)
-		}
+}
+
+// checkLeader reports a violation if the last leader lacks a committed epoch.
+func (w *simulation) checkLeader() {
+	p := w.leader()
+	if p == nil || !p.voter.replica.Log().LeaderCaughtUp() || len(w.result.Violations) > 0 {
+		return
+	}
+	if epoch := p.voter.replica.Table().Epoch; epoch < w.result.Epochs {
+		w.violate("%s leads with epoch %d, and epoch %d was committed", p.name, epoch, w.result.Epochs)
 	}
-	return w.result, nil
 }
 
 func (w *simulation) clockRate() float64 { return 1 + w.scenario.ClockDrift*(2*w.rng.Float64()-1) }
@@ -134,7 +163,7 @@
 	return string(text)
 }
 
-// checkLog holds what a voter has applied against what others have, and notes new orders.
+// checkLog compares a voter's table with the other voters' at the same index and epoch, and records new epochs.
 func (w *simulation) checkLog(voter *voterProcess) {
 	if voter.replica == nil {
 		return
@@ -146,12 +175,12 @@
 	voter.checked = at
 	text := w.encodeTable(table)
 	if known, ok := w.tablesByIndex[at]; ok && known != text {
-		w.violate("voter %s has other orders at entry %d than another voter", voter.process.name, at)
+		w.violate("voter %s has another table at entry %d than another voter", voter.process.name, at)
 	}
 	w.tablesByIndex[at] = text
 	known, ok := w.tablesByEpoch[table.Epoch]
 	if ok && known != text {
-		w.violate("voter %s has other orders of epoch %d than another voter", voter.process.name, table.Epoch)
+		w.violate("voter %s has another table of epoch %d than another voter", voter.process.name, table.Epoch)
 	}
 	if ok {
 		return
@@ -176,7 +205,7 @@
 	}
 }
 
-// measureSpread measures how long an order takes to reach all nodes that are in contact.
+// measureSpread measures how long a table takes to reach all connected nodes.
 func (w *simulation) measureSpread(epoch uint64) {
 	began := w.now
 	var look func()
@@ -192,15 +221,14 @@
 	look()
 }
 
-// maxStaleness is how long a process may hold orders that are not the last: its lease, the
-// time in which a voter that has lost the leader may still grant one, and a little for
-// messages and clocks.
+// maxStaleness is how long a process may obey an outdated table: its lease, the time for which a voter that
+// has lost the leader may still grant one, and a margin for messages and clocks.
 func (w *simulation) maxStaleness() time.Duration {
 	r := w.scenario.Replica
 	return r.Lease + time.Duration(r.ElectionTicks+2)*r.Tick + 500*time.Millisecond
 }
 
-// checkShares holds what a node does against the orders.
+// checkShares compares a node's shares with the committed table.
 func (w *simulation) checkShares(node *nodeProcess, shares map[string]float64) {
 	if w.scenario.Standalone {
 		return
@@ -211,20 +239,20 @@
 	}
 	epoch := node.follower.Epoch()
 	if at, ok := w.committedAt[epoch+1]; ok && w.now-at > w.maxStaleness() {
-		w.violate("%s goes by epoch %d, %v after the next was agreed on", node.process.name, epoch, w.now-at)
+		w.violate("%s goes by epoch %d, %v after the next was committed", node.process.name, epoch, w.now-at)
 	}
 	table := node.follower.Table()
 	for _, zone := range w.zones {
 		if z := table.Zone(zone); z.Phase == commands.PhaseEvacuated && shares[zone] > 0 {
-			w.violate("%s gives %v to zone %s, which is left", node.process.name, shares[zone], zone)
+			w.violate("%s gives %v to zone %s, which is evacuated", node.process.name, shares[zone], zone)
 		} else if z.Phase == commands.PhaseSlowStart && shares[zone] > z.Share+1e-9 && !w.noneActive(table) {
 			w.violate("%s gives %v to zone %s, which rises at %v", node.process.name, shares[zone], zone, z.Share)
 		}
 	}
 }
 
-// checkStarting holds a process that has not heard any orders yet: within its time for hearing them
-// it is not to give a zone that rises its whole share.
+// checkStarting checks a process without a table: while it waits for its first one it must not give a zone
+// in slow start more than the zone's share.
 func (w *simulation) checkStarting(node *nodeProcess, shares map[string]float64) {
 	if p := w.leader(); p != nil && node.follower.Epoch() == 0 && node.process.now()-node.startedAt < w.scenario.Follower.StartupWait {
 		for _, zone := range w.zones {
@@ -235,7 +263,7 @@
 	}
 }
 
-// noneActive tells whether no zone takes its whole share: then the shares are relative.
+// noneActive reports whether no zone takes its full share: then shares are scaled.
 func (w *simulation) noneActive(t *commands.Table) bool {
 	return !slices.ContainsFunc(w.zones, func(zone string) bool {
 		z := t.Zone(zone)
@@ -249,7 +277,7 @@
 	}
 }
 
-// participates tells whether a process takes part in this day.
+// participates reports whether a process takes part in this scenario.
 func (w *simulation) participates(p *process) bool {
 	return p != nil && (p.voter == nil || !w.scenario.Standalone)
 }
@@ -284,7 +312,7 @@
 	return out
 }
 
-// leader is the voter that leads, of the latest term.
+// leader returns the leader of the latest term; nil if there is none.
 func (w *simulation) leader() (out *process) {
 	term := uint64(0)
 	for _, p := range w.voters {
--- a/internal/node/zones/simulation/zone_state.go
+++ b/internal/node/zones/simulation/zone_state.go
@@ -6,9 +6,9 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-const workPerStep = 0.25 // slot-seconds of a step
+const workPerStep = 0.25 // slot-seconds
 
-// zoneState is how a zone fares.
+// zoneState is the state of a zone's workers.
 type zoneState struct {
 	simulation      *simulation
 	slots           float64
@@ -16,14 +16,14 @@
 	erroring        bool
 	isSlow          bool
 	failingFraction float64
-	warmingSince    time.Duration // since when its prep workers come up; 0: warm
-	// Steps taken lately, by tenth of a second.
+	warmingSince    time.Duration // since when its workers warm up; 0: they are warm
+	// Work taken in the last three seconds, by tenth of a second.
 	recentWork [30]float64
 	lastTenth  int64
 	overloaded bool
 }
 
-// warmCapacity is the part of their capacity that its prep workers have.
+// warmCapacity returns the fraction of their capacity that the zone's workers have.
 func (z *zoneState) warmCapacity() float64 {
 	d := z.simulation.scenario
 	if age := z.simulation.now - z.warmingSince; z.warmingSince > 0 && age < d.WarmupTime {
@@ -32,9 +32,9 @@
 	return 1
 }
 
-// addStep books a step and tells the load of the last second as a part of capacity.
+// addStep adds a step and returns the load of the last second as a fraction of capacity.
 func (z *zoneState) addStep() float64 {
-	n := int64(z.simulation.now / (100 * time.Millisecond))
+	n := int64(z.simulation.now / tenth)
 	for ; z.lastTenth < n; z.lastTenth++ {
 		z.recentWork[(z.lastTenth+1)%30] = 0
 	}
@@ -46,8 +46,7 @@
 			second += z.recentWork[((n-i)%30+30)%30]
 		}
 	}
-	// The rule on cold prep workers, with the figures of the workshop's site: work of three
-	// seconds over four times what they can do fells them.
+	// Workers that warm up fail under work of three seconds over four times their capacity.
 	if warm := z.warmCapacity(); warm < 1 && all > 4*warm*z.slots*3 && !z.overloaded {
 		z.overloaded = true
 		z.simulation.result.Overloads++
@@ -55,7 +54,7 @@
 	return second / (z.slots * z.warmCapacity())
 }
 
-// stepOutcome is what becomes of a step to a zone, and when that shows.
+// stepOutcome returns the outcome of a step to a zone, and after what time it shows.
 func (w *simulation) stepOutcome(node *nodeProcess, zone string) (health.StepCounts, time.Duration) {
 	z := w.zoneStates[zone]
 	quick := time.Duration(50+w.rng.IntN(200)) * time.Millisecond
@@ -77,7 +76,7 @@
 	load := z.addStep()
 	switch {
 	case load > 1 && w.rng.Float64() > 1/load:
-		// Past its capacity a part waits in vain, another is late.
+		// Past its capacity some steps time out, others are late.
 		if w.rng.IntN(2) == 0 {
 			return silent, time.Second
 		}
