--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -1,6 +1,9 @@
-// Package agent is the fleet's part in a node: it sees how the node's route steps fare by
-// zone, tells a voter, and has the node go by the orders that come back. All of it runs on
-// the node's loop but the calls, of which there is one at a time.
+// Package agent connects a node to the zones' voters.
+//
+// It records how the node's route steps end by zone, reports that to a voter, and applies the zone
+// shares of the returned table to the node's dispatcher (package balance). Between reports package
+// follower decides on leases and on shares without voters. Everything runs on the node's event loop
+// except the calls to voters, of which at most one is in progress. cmd/ospreybend creates the agent.
 package agent
 
 import (
@@ -21,22 +24,22 @@
 
 const (
 	refreshInterval = 100 * time.Millisecond
-	// A start is told within a multiple of the usual wait for one and this, or the step
-	// counts as silent.
+	// A step whose start is not reported within the base plus a multiple of the mean wait counts as
+	// timed out.
 	startTimeoutBase   = 400 * time.Millisecond
 	startTimeoutFactor = 4
-	startWaitSamples   = 16.0
-	stallThreshold     = time.Second // a look that comes so much too late: the process has stood still
-	retryAfter         = time.Second // for who is not let in while the fleet lacks capacity
+	startWaitSamples   = 16.0        // weight of the history in the mean wait
+	stallThreshold     = time.Second // a refresh that is so late shows that the process was paused
+	retryAfter         = time.Second // mean retry advice to rejected requests
 )
 
-// Dispatcher is the node's, as the agent needs it.
+// Dispatcher is what the agent needs of the node's dispatcher.
 type Dispatcher interface {
 	ZoneShares(balance.ZoneShares)
 	Zones() []balance.ZoneView
 }
 
-// Reporter reports to voters.
+// Reporter sends reports to voters; see transport.Client.
 type Reporter interface {
 	Report(ctx context.Context, address string, r follower.Report) (follower.Response, error)
 }
@@ -47,14 +50,14 @@
 	Post(func())
 }
 
-// Voter is where a voter is.
+// Voter is a voter's zone and address.
 type Voter struct{ Zone, Address string }
 
-// Config is what the agent is told.
+// Config configures an agent.
 type Config struct {
 	Fleet, Name, Zone string
 	Voters            []Voter
-	Zones             []string // by their numbers in listings
+	Zones             []string // names by number in worker listings
 	Classes           []balance.Class
 	ClassNames        []string
 	ReportsStart      bool
@@ -62,22 +65,21 @@
 	Incarnation       uint64
 	Rand              *rand.Rand
 	ZoneOf            func(balance.WorkerID) (string, bool)
-	// Apart from the deadlines of the loop nothing here needs a clock of its own.
-	Timers        *timerqueue.Queue
-	DisabledCheck string // a check left out, for trials
+	Timers            *timerqueue.Queue
+	DisabledCheck     string // a check to skip, for trials that show why it is needed
 }
 
-// pendingStep is a route step that is out.
+// pendingStep is a route step in flight.
 type pendingStep struct {
 	zone     string
 	class    int
 	slots    float64
 	sentAt   time.Duration
 	started  time.Duration // 0: not yet
-	timedOut bool          // has been counted as such
+	timedOut bool          // counted as timed out
 }
 
-// Agent is the fleet's part in a node.
+// Agent connects one node to the voters. It belongs to the node's event loop.
 type Agent struct {
 	config        Config
 	loop          Loop
@@ -85,12 +87,12 @@
 	reporter      Reporter
 	follower      *follower.Follower
 	rng           *rand.Rand
-	voters        []Voter // the near ones first
-	failedReports int     // voters asked in vain
+	voters        []Voter // those of the own zone first
+	failedReports int     // reports without a lease, each to be followed by another voter
 	reporting     bool
 	reportedAt    time.Duration
 	steps         map[slottable.Handle]*pendingStep
-	meanStartWait float64 // usual seconds from a send to its start
+	meanStartWait float64 // seconds from a send to its start, moving average
 	shares        []float64
 	failed        []int
 	leased        bool
@@ -100,19 +102,20 @@
 	cancel        context.CancelFunc
 }
 
-// New makes an agent; Start sets it going. It belongs to the loop.
+// New returns an agent. Start must be called next, on the loop.
 func New(config Config, loop Loop, dispatcher Dispatcher, reporter Reporter) *Agent {
 	a := &Agent{config: config, loop: loop, dispatcher: dispatcher, reporter: reporter, rng: config.Rand, steps: map[slottable.Handle]*pendingStep{},
 		follower: follower.New(loop.Now(), config.Settings, config.Fleet, config.Name, config.Zone, config.Incarnation, len(config.Classes), config.Rand)}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.voters = slices.Clone(config.Voters)
-	// Those of the own zone first; among the others each process has an order of its own,
-	// so that who is left without a voter does not run to the same next one.
+	// The voters of the own zone come first. The others are in random order, so that processes that
+	// lose their voter spread over the remaining ones.
 	a.rng.Shuffle(len(a.voters), func(i, j int) { a.voters[i], a.voters[j] = a.voters[j], a.voters[i] })
 	slices.SortStableFunc(a.voters, func(x, y Voter) int { return distance(x, config.Zone) - distance(y, config.Zone) })
 	return a
 }
 
+// distance is 0 within a zone, else 1.
 func distance(v Voter, zone string) int {
 	if v.Zone == zone {
 		return 0
@@ -120,26 +123,25 @@
 	return 1
 }
 
-// Start begins to report and to go by the orders.
+// Start begins reporting and applying shares.
 func (a *Agent) Start() {
 	a.report()
 	a.refresh()
 }
 
-// Stop ends it: the node leaves.
+// Stop ends reporting, as the node shuts down. A call in progress is cancelled.
 func (a *Agent) Stop() {
 	a.stopped = true
 	a.cancel()
 }
 
-// Ready tells whether the node may take work: it knows what the orders are, or has waited
-// for them long enough.
+// Ready reports whether the node may accept requests: it has a table, or has waited long enough for one.
 func (a *Agent) Ready() bool { return a.follower.Ready(a.loop.Now()) }
 
-// Follower is what the agent goes by.
+// Follower returns the follower that holds the table and the lease.
 func (a *Agent) Follower() *follower.Follower { return a.follower }
 
-// report tells the voter whose turn it is. A call that is still out is left to end: its
+// report sends the next report and schedules the one after. It is skipped while a call is in progress, whose
 // deadline is short.
 func (a *Agent) report() {
 	if a.stopped {
@@ -159,6 +161,7 @@
 	}()
 }
 
+// handleResponse applies a response, or moves on to the next voter where it grants no lease.
 func (a *Agent) handleResponse(sent time.Duration, response follower.Response, err error) {
 	a.reporting = false
 	if a.stopped {
@@ -170,11 +173,12 @@
 	}
 	before := a.follower.Epoch()
 	if a.follower.HandleResponse(a.loop.Now(), sent, response) && a.follower.Epoch() != before {
-		slog.Info("fleet orders", "epoch", a.follower.Epoch(), "zones", unusualZones(a.follower.Table()))
+		slog.Info("zone table applied", "epoch", a.follower.Epoch(), "zones", unusualZones(a.follower.Table()))
 	}
 	a.applyShares()
 }
 
+// unusualZones describes the zones that are not fully active.
 func unusualZones(table *commands.Table) (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(table.Zones)) {
 		if z := table.Zones[name]; z.Phase != commands.PhaseActive || len(z.UnreachableFrom) > 0 {
@@ -184,7 +188,7 @@
 	return out
 }
 
-// refresh keeps the evidence and the shares up to date.
+// refresh records time-outs and capacities, and applies the shares, every refreshInterval.
 func (a *Agent) refresh() {
 	if a.stopped {
 		return
@@ -192,8 +196,8 @@
 	now := a.loop.Now()
 	a.config.Timers.Add(now+refreshInterval, a.refresh)
 	if a.refreshedAt > 0 && now-a.refreshedAt > refreshInterval+stallThreshold {
-		// What is out has waited for this process, not for the prep workers.
-		slog.Warn("fleet: this process has stood still", "for", now-a.refreshedAt)
+		// Steps in flight waited for this process, not for the workers.
+		slog.Warn("process was paused", "duration", now-a.refreshedAt)
 		a.follower.ResetAfterStall(now)
 		clear(a.steps)
 	}
@@ -211,12 +215,13 @@
 	a.applyShares()
 }
 
-// startTimeout is how long a step may give no sign. Where starts are not told, its end has to
-// come within that.
+// startTimeout returns how long a step may wait for its start. Where starts are not reported its end must
+// come within that time.
 func (a *Agent) startTimeout() time.Duration {
 	return startTimeoutBase + time.Duration(startTimeoutFactor*a.meanStartWait*float64(time.Second))
 }
 
+// zoneName returns a zone's name, "?" for an unknown number.
 func (a *Agent) zoneName(zone int) string {
 	if zone >= 0 && zone < len(a.config.Zones) {
 		return a.config.Zones[zone]
@@ -224,12 +229,12 @@
 	return "?"
 }
 
-// applyShares hands the module the zones' shares, where they have changed.
+// applyShares passes the zones' shares to the dispatcher if they changed.
 func (a *Agent) applyShares() {
 	now := a.loop.Now()
 	if leased := a.follower.HasLease(now); leased != a.leased {
 		a.leased = leased
-		slog.Info("fleet", "led", leased, "epoch", a.follower.Epoch())
+		slog.Info("voter lease changed", "leased", leased, "epoch", a.follower.Epoch())
 	}
 	byZone := a.follower.Shares(now, a.config.Zones)
 	shares, unrestricted := make([]float64, len(a.config.Zones)), true
@@ -251,17 +256,18 @@
 	a.dispatcher.ZoneShares(balance.ZoneShares{Shares: shares, Failed: failed})
 }
 
-// Admit tells whether an operation is let in.
+// Admit reports whether an operation of a class is admitted; one that is not should be retried after the
+// returned time.
 func (a *Agent) Admit(class int) (time.Duration, bool) {
 	if class < 0 || class >= len(a.config.ClassNames) {
 		return 0, true
 	}
 	fraction := a.follower.AdmittedFraction(a.loop.Now(), a.config.ClassNames[class])
-	// Come back when the next step of a return may have been earned, not all at once.
+	// Spread at random, about the time in which a slow start step may be earned.
 	return retryAfter/2 + time.Duration(a.rng.Float64()*float64(retryAfter)), fraction >= 1 || a.rng.Float64() < fraction
 }
 
-// StepSent notes a route step.
+// StepSent records that a route step was sent.
 func (a *Agent) StepSent(ref slottable.Handle, to balance.WorkerID, class int, slots float64) {
 	zone, ok := a.config.ZoneOf(to)
 	if !ok {
@@ -272,7 +278,7 @@
 	a.follower.Monitor().RecordSent(now, zone, class, 0)
 }
 
-// StepStarted notes that it has begun to run.
+// StepStarted records that a step started to run.
 func (a *Agent) StepStarted(ref slottable.Handle) {
 	s := a.steps[ref]
 	if s == nil || s.started > 0 {
@@ -282,12 +288,13 @@
 	a.learnStartWait(s.started - s.sentAt)
 }
 
+// learnStartWait adds a wait to the moving average.
 func (a *Agent) learnStartWait(wait time.Duration) {
-	w := min(wait, 4*startTimeoutBase).Seconds() // one odd wait does not make the node patient
+	w := min(wait, 4*startTimeoutBase).Seconds() // one long wait must not raise the time-out much
 	a.meanStartWait += (w - a.meanStartWait) / startWaitSamples
 }
 
-// StepEnded notes how it ended.
+// StepEnded records the outcome of a step.
 func (a *Agent) StepEnded(ref slottable.Handle, outcome balance.Outcome) {
 	s := a.steps[ref]
 	if s == nil {
@@ -313,7 +320,7 @@
 		monitor.RecordWork(now, s.zone, s.class, (now-startedAt).Seconds()*s.slots)
 		monitor.RecordOutcome(now, s.sentAt, s.zone, counts)
 	case balance.Full:
-		monitor.RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{Succeeded: 1}) // it lives, and says so
+		monitor.RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{Succeeded: 1}) // a rejection shows that the worker is alive
 	case balance.Errored, balance.ConnectFailed, balance.Reset:
 		monitor.RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{Failed: 1})
 	case balance.TimedOut:
