--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -122,11 +122,21 @@
 }
 
 // ErrStale is returned for a change computed for an earlier epoch.
-var ErrStale = errors.New("the order was made for an epoch that is over")
+var ErrStale = errors.New("the change was computed for an earlier epoch")
 
 // ErrStoreRolledBack is returned for a voter whose store was restored from an older copy.
 var ErrStoreRolledBack = errors.New("the voter's store was restored from an older copy")
 
+// Errors of invalid commands. Those of overrides are shown to operators.
+var (
+	errDuplicateID    = errors.New("command without an ID of its own")
+	errEmptyCommand   = errors.New("command without content")
+	errZoneMissing    = errors.New("zone: missing")
+	errReasonMissing  = errors.New("reason: missing")
+	errUntilMissing   = errors.New("until: missing")
+	errSnapshotFields = errors.New("snapshot lacks zones, overrides or starts")
+)
+
 // StateMachine applies the commands of the replicated log in order. It is not safe for concurrent
 // use; its replica's goroutine owns it.
 type StateMachine struct {
@@ -198,7 +208,7 @@
 
 func (m *StateMachine) applyCommand(command Command) error {
 	if command.ID == "" || slices.Contains(m.state.Recent, command.ID) {
-		return errors.New("an order without an ID of its own")
+		return errDuplicateID
 	}
 	m.state.Recent = append(m.state.Recent, command.ID)
 	if extra := len(m.state.Recent) - maxRecentIDs; extra > 0 {
@@ -212,7 +222,7 @@
 	case command.Start != nil:
 		return m.applyVoterStart(*command.Start)
 	}
-	return errors.New("an order that says nothing")
+	return errEmptyCommand
 }
 
 func (m *StateMachine) applyChange(change *Change) error {
@@ -251,15 +261,15 @@
 func (w Override) Validate() error {
 	switch {
 	case w.Zone == "":
-		return errors.New("zone: missing")
+		return errZoneMissing
 	case w.Action == OverrideClear:
 		return nil
 	case w.Action != OverrideEvacuate && w.Action != OverrideRestore && w.Action != OverrideFreeze:
 		return fmt.Errorf("do: %q is none of leave, return, hold and clear", w.Action)
 	case w.Reason == "":
-		return errors.New("reason: missing")
+		return errReasonMissing
 	case w.Until <= 0:
-		return errors.New("until: missing")
+		return errUntilMissing
 	}
 	return nil
 }
@@ -297,11 +307,11 @@
 	s := emptyState()
 	if len(data) > 0 {
 		if err := Decode(data, &s); err != nil {
-			return fmt.Errorf("the orders cannot be read: %w", err)
+			return fmt.Errorf("decode snapshot: %w", err)
 		}
 	}
 	if s.Table.Zones == nil || s.Table.Overrides == nil || s.Starts == nil {
-		return errors.New("the orders lack a part")
+		return errSnapshotFields
 	}
 	if s.RolledBack == nil {
 		s.RolledBack = map[uint64]string{}
--- a/internal/node/zones/replica/replica.go
+++ b/internal/node/zones/replica/replica.go
@@ -136,7 +136,9 @@
 
 // ErrOutcomeUnknown is returned for a command that was not seen committed within CommitTimeout. It may
 // still be committed.
-var ErrOutcomeUnknown = errors.New("no word on the order in time: it may have been taken or not")
+var ErrOutcomeUnknown = errors.New("no word on the order in time: it may have been taken or not") // shown to operators
+
+var errUnnamedProcess = errors.New("name and zone: a report has both")
 
 // New returns a replica that continues from its stored state and registers its start in the log.
 func New(now time.Duration, config Config, stored replicatedlog.StoredState) (*Replica, error) {
@@ -277,7 +279,7 @@
 	}
 	if report.Name == "" || report.Zone == "" {
 		r.counts.Foreign++
-		return follower.Response{}, errors.New("name and zone: a report has both")
+		return follower.Response{}, errUnnamedProcess
 	}
 	r.counts.Reports++
 	table := r.machine.Table()
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -172,7 +172,7 @@
 	}
 }
 
-var errShuttingDown = errors.New("this voter is shutting down")
+var errShuttingDown = errors.New("this voter leaves") // shown to operators
 
 // post has call run on the loop.
 func (s *Server) post(ctx context.Context, call func(now time.Duration)) error {
--- a/internal/node/zones/store/store.go
+++ b/internal/node/zones/store/store.go
@@ -74,6 +74,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
+// Causes of an Error. They complete "store PATH: ...".
+var (
+	errEmptyFile    = errors.New("it is empty: it was cut, or is not a store; a new store begins without a file")
+	errLocked       = errors.New("another process has it open")
+	errNoVoterStore = errors.New("it is no store of a voter")
+	errChecksum     = errors.New("the checksum does not fit")
+)
+
 // Open opens a voter's store, creates it if there is none, and returns what it holds. It counts the
 // start; the count is durable when Open returns.
 func Open(path string, owner Owner) (s *Store, stored replicatedlog.StoredState, err error) {
@@ -119,13 +127,13 @@
 func (s *Store) openFile() error {
 	info, err := os.Stat(s.path)
 	if err == nil && info.Size() == 0 {
-		return errors.New("it is empty: it was cut, or is not a store; a new store begins without a file")
+		return errEmptyFile
 	}
 	return recoverPanic(func() (err error) {
 		s.db, err = bbolt.Open(s.path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistArrayType, MaxSize: maxFileBytes})
 		switch {
 		case errors.Is(err, bbolterrors.ErrTimeout):
-			return errors.New("another process has it open")
+			return errLocked
 		case err != nil:
 			return fmt.Errorf("it cannot be opened: %w", err)
 		}
@@ -189,7 +197,7 @@
 func (s *Store) verifyAndCountStart(tx *bbolt.Tx, owner Owner) error {
 	about := tx.Bucket(bucketAbout)
 	if tx.Bucket(bucketState) == nil || tx.Bucket(bucketEntries) == nil {
-		return errors.New("it is no store of a voter")
+		return errNoVoterStore
 	}
 	readUint64 := func(key []byte) uint64 { v, _ := getChecked(about, key); return decodeUint64(v) }
 	if at := readUint64(keyFormat); at != formatVersion {
@@ -358,7 +366,7 @@
 // verifyChecksum returns the value without its checksum.
 func verifyChecksum(key, stored []byte) ([]byte, error) {
 	if len(stored) < 4 || binary.BigEndian.Uint32(stored) != checksum(key, stored[4:]) {
-		return nil, errors.New("the checksum does not fit")
+		return nil, errChecksum
 	}
 	return bytes.Clone(stored[4:]), nil
 }
