--- a/internal/node/zones/commands/commands_test.go
+++ b/internal/node/zones/commands/commands_test.go
@@ -20,7 +20,7 @@
 	return &Change{ExpectedEpoch: expect, Zones: map[string]ZoneState{"b": {Phase: PhaseEvacuated, Failures: 1}}}
 }
 
-// An order made for an epoch that is over is void, and so is one that comes twice.
+// A change for an earlier epoch is rejected, and so is a duplicate.
 func TestStateMachine_Apply_rejectsStaleAndDuplicate(t *testing.T) {
 	m := NewStateMachine()
 	if err := applyTo(t, m, Command{ID: "1", Change: evacuation(0)}); err != nil || m.Table().Epoch != 1 || m.Table().Zone("b").SinceEpoch != 1 {
@@ -28,18 +28,18 @@
 	}
 	back := &Change{ExpectedEpoch: 0, Zones: map[string]ZoneState{"b": {Phase: PhaseActive, Share: 1}}}
 	if err := applyTo(t, m, Command{ID: "2", Change: back}); !errors.Is(err, ErrStale) || m.Table().Zone("b").Phase != PhaseEvacuated {
-		t.Errorf("a stale order: %v, %+v", err, m.Table())
+		t.Errorf("a stale change: %v, %+v", err, m.Table())
 	}
 	if err := applyTo(t, m, Command{ID: "1", Change: evacuation(1)}); err == nil || m.Table().Epoch != 1 {
-		t.Errorf("a doubled order: %v, epoch %d", err, m.Table().Epoch)
+		t.Errorf("a duplicate: %v, epoch %d", err, m.Table().Epoch)
 	}
 	m.DisabledCheck = "expect"
-	if applyTo(t, m, Command{ID: "3", Change: back}); m.Table().Zone("b").Phase != PhaseActive {
-		t.Error("without the check nothing is otherwise")
+	if err := applyTo(t, m, Command{ID: "3", Change: back}); err != nil || m.Table().Zone("b").Phase != PhaseActive {
+		t.Error("without the check a stale change is still rejected")
 	}
 }
 
-// What cannot be is turned away by name, and changes nothing.
+// Invalid commands are rejected and change nothing.
 func TestStateMachine_Apply_rejectsInvalid(t *testing.T) {
 	m := NewStateMachine()
 	for name, o := range map[string]Command{
@@ -59,14 +59,14 @@
 	var got error
 	m.OnApplied = func(_ Command, err error) { got = err }
 	if m.Apply(1, []byte("no order")); got == nil {
-		t.Error("garbage is taken")
+		t.Error("an undecodable command is accepted")
 	}
 	if err := m.Restore([]byte{1, 2}); err == nil {
-		t.Error("a snapshot of garbage is taken")
+		t.Error("an undecodable snapshot is accepted")
 	}
 }
 
-// A store whose count of starts falls was put back from an older copy; one made anew was not.
+// A store whose start count falls was restored from an older copy; a new store with another ID was not.
 func TestStateMachine_Apply_detectsRolledBackStore(t *testing.T) {
 	m := NewStateMachine()
 	for i, s := range []VoterStart{{2, "x", 1}, {2, "x", 2}, {2, "y", 1}} {
@@ -77,7 +77,7 @@
 	if err := applyTo(t, m, Command{ID: "z", Start: &VoterStart{2, "y", 1}}); !errors.Is(err, ErrStoreRolledBack) || !m.StoreRolledBack(2, "y") || m.StoreRolledBack(2, "x") {
 		t.Errorf("%v", err)
 	}
-	// The state goes through a snapshot whole.
+	// The state survives a snapshot.
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/zones/failover/decider_test.go
+++ b/internal/node/zones/failover/decider_test.go
@@ -9,10 +9,9 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-var some = []Class{{Name: "check", Value: 2}, {Name: "preview", Value: 1}, {Name: "book", Value: 4, NonIdempotent: true}}
+var testClasses = []Class{{Name: "check", Value: 2}, {Name: "preview", Value: 1}, {Name: "book", Value: 4, NonIdempotent: true}}
 
-// observation is what each of n processes sees of a zone: good and bad steps, and a load of
-// work on its slots.
+// observation returns the merged observation of n processes that each saw good and bad steps, with a load of work.
 func observation(n int, good, bad float64) health.Observation {
 	s := health.Observation{Slots: 10, WorkRate: []float64{1, 1, 1}}
 	for range n {
@@ -25,9 +24,9 @@
 	return s
 }
 
-var fine3, bad3 = observation(3, 10, 0), observation(3, 0, 10)
+var healthyBy3, failingBy3 = observation(3, 10, 0), observation(3, 0, 10)
 
-// shownBy is a fleet of zones a, b and c of three processes, all well, but for what differs.
+// shownBy returns the digest of zones a, b and c of three processes each, all healthy but for what differs.
 func shownBy(differs map[[2]string]health.Observation) health.Digest {
 	d := health.Digest{}
 	for _, from := range []string{"a", "b", "c"} {
@@ -35,7 +34,7 @@
 		for _, to := range []string{"a", "b", "c"} {
 			s, ok := differs[[2]string{from, to}]
 			if !ok {
-				s = fine3
+				s = healthyBy3
 			}
 			at.Observations[to] = s
 		}
@@ -51,7 +50,7 @@
 	crowded.WorkRate = []float64{4, 4, 4}
 	one := observation(2, 10, 0)
 	one.Add(observation(1, 0, 10))
-	gone := shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3, {"c", "b"}: bad3})
+	gone := shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"c", "b"}: failingBy3})
 	delete(gone, "b")
 	for _, c := range []struct {
 		name string
@@ -59,12 +58,12 @@
 		want Condition
 	}{
 		{"all well", shownBy(nil), Healthy},
-		{"nobody gets anything done there", shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3, {"b", "b"}: bad3, {"c", "b"}: bad3}), Failed},
+		{"nobody gets anything done there", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"b", "b"}: failingBy3, {"c", "b"}: failingBy3}), Failed},
 		{"and its processes are gone, too", gone, Failed},
-		{"its own processes reach it", shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3, {"c", "b"}: bad3}), PartiallyUnreachable},
-		{"one zone does not reach it", shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3}), PartiallyUnreachable},
-		{"one zone alone speaks", health.Digest{"a": {Processes: 3, Observations: health.Observations{"a": fine3, "b": bad3}}}, Unknown},
-		{"who says so reaches nobody", shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3, {"a", "c"}: bad3}), Healthy},
+		{"its own processes reach it", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"c", "b"}: failingBy3}), PartiallyUnreachable},
+		{"one zone does not reach it", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3}), PartiallyUnreachable},
+		{"one zone alone speaks", health.Digest{"a": {Processes: 3, Observations: health.Observations{"a": healthyBy3, "b": failingBy3}}}, Unknown},
+		{"who says so reaches nobody", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"a", "c"}: failingBy3}), Healthy},
 		{"one process is cut off", shownBy(map[[2]string]health.Observation{{"a", "b"}: one, {"c", "b"}: one, {"b", "b"}: one}), Healthy},
 		{"too few steps to tell", shownBy(map[[2]string]health.Observation{{"a", "b"}: observation(2, 0, 1), {"b", "b"}: observation(2, 0, 1), {"c", "b"}: observation(2, 0, 1)}), Unknown},
 		{"it only has too much to do", shownBy(map[[2]string]health.Observation{{"a", "b"}: crowded, {"b", "b"}: crowded, {"c", "b"}: crowded}), Overloaded},
@@ -78,7 +77,7 @@
 	}
 }
 
-// simulatedFleet plays a decider on a table by hand.
+// simulatedFleet applies a decider's changes to a table at once.
 type simulatedFleet struct {
 	t     *testing.T
 	d     *Decider
@@ -88,12 +87,12 @@
 }
 
 func newSimulatedFleet(t *testing.T) *simulatedFleet {
-	return &simulatedFleet{t: t, d: New(DefaultSettings(), some), now: time.Hour,
+	return &simulatedFleet{t: t, d: New(DefaultSettings(), testClasses), now: time.Hour,
 		table: commands.Table{Zones: map[string]commands.ZoneState{}, Overrides: map[string]commands.Override{}}}
 }
 
-// look shows the same for a time, and returns what zone b has come to.
-func (s *simulatedFleet) look(span time.Duration, v health.Digest) commands.ZoneState {
+// observe presents the same observations for a while and returns the state of zone b.
+func (s *simulatedFleet) observe(span time.Duration, v health.Digest) commands.ZoneState {
 	for end := s.now + span; s.now < end; s.now += 200 * time.Millisecond {
 		change, _ := s.d.Decide(s.now, s.wall, v, &s.table)
 		if change == nil {
@@ -111,37 +110,37 @@
 	return s.table.Zone("b")
 }
 
-var failing = shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3, {"b", "b"}: bad3, {"c", "b"}: bad3})
+var failing = shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"b", "b"}: failingBy3, {"c", "b"}: failingBy3})
 
-// Left, tried after a rest that each failure doubles, back by steps, each no larger than
-// what is cold there bears; bad news halve the share.
+// A failed zone is evacuated, probed after a backoff that doubles with each failure, and returns by slow start steps
+// no larger than its warm capacity; failures during a step halve the share.
 func TestDecider_evacuatesAndReturns(t *testing.T) {
 	s := newSimulatedFleet(t)
-	if z := s.look(time.Second, failing); z.Phase != commands.PhaseEvacuated || z.Share != 0 || z.Failures != 1 {
-		t.Fatalf("failing: %+v", z)
+	if z := s.observe(time.Second, failing); z.Phase != commands.PhaseEvacuated || z.Share != 0 || z.Failures != 1 {
+		t.Fatalf("after the failure: %+v", z)
 	}
-	if z := s.look(2*time.Second, failing); z.Phase != commands.PhaseProbing || z.ProbeFraction*z.Share > DefaultSettings().InitialShare+1e-9 {
-		t.Fatalf("after its rest: %+v", z)
+	if z := s.observe(2*time.Second, failing); z.Phase != commands.PhaseProbing || z.ProbeFraction*z.Share > DefaultSettings().InitialShare+1e-9 {
+		t.Fatalf("after the backoff: %+v", z)
 	}
-	if z := s.look(1500*time.Millisecond, failing); z.Phase != commands.PhaseEvacuated || z.Failures != 2 {
-		t.Fatalf("the tries fail: %+v", z)
+	if z := s.observe(1500*time.Millisecond, failing); z.Phase != commands.PhaseEvacuated || z.Failures != 2 {
+		t.Fatalf("after failed probes: %+v", z)
 	}
-	if z := s.look(3*time.Second, failing); z.Phase != commands.PhaseEvacuated {
-		t.Fatalf("the second rest is twice as long: %+v", z)
+	if z := s.observe(3*time.Second, failing); z.Phase != commands.PhaseEvacuated {
+		t.Fatalf("before the doubled backoff ended: %+v", z)
 	}
-	s.look(1200*time.Millisecond, failing)
-	cold := observation(3, 10, 0)
-	cold.WarmupDeficit = 0.7
-	coming := shownBy(map[[2]string]health.Observation{{"a", "b"}: cold, {"b", "b"}: cold, {"c", "b"}: cold})
-	if z := s.look(12*time.Second, coming); z.Phase != commands.PhaseSlowStart || z.Share != 0.25 {
-		t.Fatalf("with three tenths of its capacity: %+v", z)
+	s.observe(1200*time.Millisecond, failing)
+	warmupDeficit := observation(3, 10, 0)
+	warmupDeficit.WarmupDeficit = 0.7
+	coming := shownBy(map[[2]string]health.Observation{{"a", "b"}: warmupDeficit, {"b", "b"}: warmupDeficit, {"c", "b"}: warmupDeficit})
+	if z := s.observe(12*time.Second, coming); z.Phase != commands.PhaseSlowStart || z.Share != 0.25 {
+		t.Fatalf("at three tenths of the capacity: %+v", z)
 	}
-	if z := s.look(400*time.Millisecond, failing); z.Phase != commands.PhaseSlowStart || z.Share != 0.125 {
-		t.Fatalf("bad news: %+v", z)
+	if z := s.observe(400*time.Millisecond, failing); z.Phase != commands.PhaseSlowStart || z.Share != 0.125 {
+		t.Fatalf("after failures in a step: %+v", z)
 	}
 	last := 0.0
 	for range 40 {
-		z := s.look(200*time.Millisecond, shownBy(nil))
+		z := s.observe(200*time.Millisecond, shownBy(nil))
 		if z.Share > 2*last && last > 0 {
 			t.Fatalf("from %v to %v at once", last, z.Share)
 		}
@@ -149,36 +148,36 @@
 	}
 	z := s.table.Zone("b")
 	if z.Phase != commands.PhaseActive || z.Share != 1 || z.Failures != 2 {
-		t.Fatalf("well again: %+v", z)
+		t.Fatalf("after the slow start: %+v", z)
 	}
-	if z := s.look(31*time.Second, shownBy(nil)); z.Failures != 0 {
-		t.Errorf("failures are not forgotten: %+v", z)
+	if z := s.observe(31*time.Second, shownBy(nil)); z.Failures != 0 {
+		t.Errorf("the failure count is not reset: %+v", z)
 	}
 }
 
-// A new leader holds a step for its whole time anew, and goes on from the share.
+// A new leader starts the time of a step anew and continues from the share.
 func TestDecider_slowStartSurvivesLeaderChange(t *testing.T) {
 	s := newSimulatedFleet(t)
 	s.table = commands.Table{Epoch: 7, Zones: map[string]commands.ZoneState{"b": {Phase: commands.PhaseSlowStart, Share: 0.25, Step: 3, Failures: 1, SinceEpoch: 7}}}
-	if z := s.look(time.Second, shownBy(nil)); z.Share != 0.25 {
+	if z := s.observe(time.Second, shownBy(nil)); z.Share != 0.25 {
 		t.Errorf("at once: %+v", z)
 	}
-	if z := s.look(800*time.Millisecond, shownBy(nil)); z.Share != 0.5 {
+	if z := s.observe(800*time.Millisecond, shownBy(nil)); z.Share != 0.5 {
 		t.Errorf("after its time: %+v", z)
 	}
 }
 
-// With more than half of the capacity in doubt nobody leaves.
+// No zone is evacuated when more than half of the capacity looks failed.
 func TestDecider_keepsZonesOnMassFailure(t *testing.T) {
 	s := newSimulatedFleet(t)
 	big := observation(3, 0, 10)
 	big.Slots = 50
-	if z := s.look(2*time.Second, shownBy(map[[2]string]health.Observation{{"a", "b"}: big, {"b", "b"}: big, {"c", "b"}: big})); z.Phase != commands.PhaseActive {
+	if z := s.observe(2*time.Second, shownBy(map[[2]string]health.Observation{{"a", "b"}: big, {"b", "b"}: big, {"c", "b"}: big})); z.Phase != commands.PhaseActive {
 		t.Errorf("%+v", z)
 	}
 }
 
-// Where the rest cannot take all, what is worth least is refused, and bookings are not.
+// When capacity is short, the class of the lowest value is rejected first, a non-idempotent one last.
 func TestDecider_rejectsLowestValueFirst(t *testing.T) {
 	s := newSimulatedFleet(t)
 	busy := func(z health.Observation) health.Observation { z.WorkRate = []float64{2.5, 2.5, 1}; return z }
@@ -186,66 +185,66 @@
 	for _, from := range v {
 		for to, z := range from.Observations {
 			if to == "b" {
-				z = bad3
+				z = failingBy3
 			}
 			from.Observations[to] = busy(z)
 		}
 	}
-	if s.look(3*time.Second, v); len(s.table.Admission) > 0 {
-		t.Errorf("a burst is refused: %v", s.table.Admission)
+	if s.observe(3*time.Second, v); len(s.table.Admission) > 0 {
+		t.Errorf("a burst is rejected: %v", s.table.Admission)
 	}
-	s.look(3*time.Second, v)
+	s.observe(3*time.Second, v)
 	a := s.table.Admission
 	if admittedFraction(a, "book") != 1 || admittedFraction(a, "check") >= 1 || admittedFraction(a, "preview") > admittedFraction(a, "check") {
-		t.Errorf("let in: %v", a)
+		t.Errorf("admission: %v", a)
 	}
 	for range 20 {
-		s.look(time.Second, shownBy(nil))
+		s.observe(time.Second, shownBy(nil))
 	}
 	if len(s.table.Admission) != 0 {
-		t.Errorf("all is well, and let in are %v", s.table.Admission)
+		t.Errorf("all zones are healthy, admission is %v", s.table.Admission)
 	}
 }
 
-// A slow zone keeps a part, and a link that is cut concerns those beyond it alone.
+// A slow zone keeps a reduced share; a partition concerns only the zones beyond it.
 func TestDecider_slowAndPartiallyUnreachable(t *testing.T) {
 	s := newSimulatedFleet(t)
 	late := observation(3, 10, 0)
 	late.Late = 18
 	slow := shownBy(map[[2]string]health.Observation{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late})
-	if z := s.look(3300*time.Millisecond, slow); z.Phase != commands.PhaseReduced || z.Share != 0.25 {
+	if z := s.observe(3300*time.Millisecond, slow); z.Phase != commands.PhaseReduced || z.Share != 0.25 {
 		t.Errorf("slow: %+v", z)
 	}
 	s = newSimulatedFleet(t)
-	if z := s.look(2*time.Second, shownBy(map[[2]string]health.Observation{{"a", "b"}: bad3})); z.Phase != commands.PhaseActive || len(z.UnreachableFrom) != 1 || z.UnreachableFrom[0] != "a" {
-		t.Errorf("cut: %+v", z)
+	if z := s.observe(2*time.Second, shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3})); z.Phase != commands.PhaseActive || len(z.UnreachableFrom) != 1 || z.UnreachableFrom[0] != "a" {
+		t.Errorf("partitioned: %+v", z)
 	}
-	if z := s.look(2*time.Second, shownBy(nil)); len(z.UnreachableFrom) != 0 {
+	if z := s.observe(2*time.Second, shownBy(nil)); len(z.UnreachableFrom) != 0 {
 		t.Errorf("reached again: %+v", z)
 	}
 }
 
-// A person's word goes before, until its end.
+// An override takes precedence until it expires.
 func TestDecider_overrides(t *testing.T) {
 	s := newSimulatedFleet(t)
 	say := func(do string) {
 		s.table.Overrides["b"] = commands.Override{Zone: "b", Action: do, Reason: "works", Until: 10}
 	}
 	say(commands.OverrideEvacuate)
-	if z := s.look(20*time.Second, shownBy(nil)); z.Phase != commands.PhaseEvacuated {
-		t.Errorf("left by hand: %+v", z)
+	if z := s.observe(20*time.Second, shownBy(nil)); z.Phase != commands.PhaseEvacuated {
+		t.Errorf("evacuated by override: %+v", z)
 	}
 	say(commands.OverrideRestore)
-	if z := s.look(time.Second, failing); z.Phase != commands.PhaseSlowStart || math.Abs(z.Share-DefaultSettings().InitialShare) > 1e-9 {
-		t.Errorf("returned by hand: %+v", z)
+	if z := s.observe(time.Second, failing); z.Phase != commands.PhaseSlowStart || math.Abs(z.Share-DefaultSettings().InitialShare) > 1e-9 {
+		t.Errorf("restored by override: %+v", z)
 	}
 	s = newSimulatedFleet(t)
 	say(commands.OverrideFreeze)
-	if z := s.look(3*time.Second, failing); z.Phase != commands.PhaseActive {
-		t.Errorf("held by hand: %+v", z)
+	if z := s.observe(3*time.Second, failing); z.Phase != commands.PhaseActive {
+		t.Errorf("frozen by override: %+v", z)
 	}
 	s.wall = 11
-	if z := s.look(time.Second, failing); z.Phase != commands.PhaseEvacuated {
-		t.Errorf("past the word's end: %+v", z)
+	if z := s.observe(time.Second, failing); z.Phase != commands.PhaseEvacuated {
+		t.Errorf("after the override expired: %+v", z)
 	}
 }
--- a/internal/node/zones/follower/follower.go
+++ b/internal/node/zones/follower/follower.go
@@ -291,16 +291,16 @@
 		}
 		return
 	}
-	s := f.monitor.Observe(now, zone)
-	if now-share.changedAt < f.settings.AdjustInterval/2 || s.Completed() < f.settings.MinSteps {
+	observed := f.monitor.Observe(now, zone)
+	if now-share.changedAt < f.settings.AdjustInterval/2 || observed.Completed() < f.settings.MinSteps {
 		return
 	}
-	switch bad := s.StepCounts.FailureRatio(); {
-	case s.FailingObservers > 0:
+	switch failureRatio := observed.FailureRatio(); {
+	case observed.FailingObservers > 0:
 		if share.share /= 4; share.share < f.settings.MinShare {
 			share.share, share.retryAfter = 0, f.jitter(f.settings.RetryDelay)
 		}
-	case bad <= f.settings.MaxFailureRatio && share.share < 1 && now-share.changedAt >= f.settings.AdjustInterval:
+	case failureRatio <= f.settings.MaxFailureRatio && share.share < 1 && now-share.changedAt >= f.settings.AdjustInterval:
 		share.share = min(1, 2*share.share)
 	default:
 		return
--- a/internal/node/zones/follower/follower_test.go
+++ b/internal/node/zones/follower/follower_test.go
@@ -26,33 +26,33 @@
 	return Response{Incarnation: 5, Epoch: t.Epoch, Table: t, Lease: 2 * time.Second}
 }
 
-// Orders hold for their lease, counted from the report's sending; older ones are refused.
+// A table is obeyed during its lease, which counts from the sending of the report; older tables are rejected.
 func TestFollower_HandleResponse_orderAndLease(t *testing.T) {
 	f := newFollower("n")
 	if f.Ready(start) || !f.Ready(start+2*time.Second) {
-		t.Error("a new process does not wait for its first orders, or for ever")
+		t.Error("a new process is ready before its first table, or never")
 	}
 	if !f.HandleResponse(start+time.Second, start, responseWith(tableWithZone(3, commands.ZoneState{Phase: commands.PhaseSlowStart, Share: 0.25}))) || !f.Ready(start+time.Second) {
-		t.Fatal("not heard")
+		t.Fatal("the response grants no lease")
 	}
 	if got := f.Shares(start+1100*time.Millisecond, zones); got["a"] != 1 || got["b"] != 0.25 {
 		t.Errorf("%v", got)
 	}
 	if f.HandleResponse(start+1100*time.Millisecond, start+time.Second, responseWith(tableWithZone(2, commands.ZoneState{Phase: commands.PhaseActive, Share: 1}))) || f.Epoch() != 3 || f.StaleResponses() != 1 {
-		t.Error("older orders are taken up")
+		t.Error("an older table is applied")
 	}
 	if f.HasLease(start + 2*time.Second) {
-		t.Error("the lease counts from the answer")
+		t.Error("the lease counts from the response")
 	}
 	if f.HandleResponse(start+9*time.Second, start+time.Second, responseWith(tableWithZone(4, commands.ZoneState{Phase: commands.PhaseActive, Share: 1}))); f.HasLease(start + 9*time.Second) {
-		t.Error("an answer that took longer than the lease leads")
+		t.Error("a response that took longer than the lease grants one")
 	}
 	if f.HandleResponse(start+9*time.Second, start+9*time.Second, Response{Epoch: 9}); f.HasLease(start + 9*time.Second) {
-		t.Error("a voter without a leader leads")
+		t.Error("a voter without a leader grants a lease")
 	}
 }
 
-// A process that hears nobody goes on from the share that it had, never to the whole at once.
+// A process without voters continues from its last share and never jumps to the full share.
 func TestFollower_Shares_autonomous(t *testing.T) {
 	f := newFollower("n")
 	f.HandleResponse(start, start, responseWith(tableWithZone(3, commands.ZoneState{Phase: commands.PhaseSlowStart, Share: 0.125})))
@@ -69,16 +69,16 @@
 		last = got
 	}
 	if last != 1 {
-		t.Errorf("in ten good seconds it comes to %v", last)
+		t.Errorf("after ten healthy seconds the share is %v", last)
 	}
 	for now := start + 12*time.Second; now < start+16*time.Second; now += 100 * time.Millisecond {
 		f.Monitor().RecordOutcome(now, now, "b", health.StepCounts{Failed: 1})
 		last = f.Shares(now, zones)["b"]
 	}
 	if last != 0 {
-		t.Errorf("in four bad seconds it comes to %v", last)
+		t.Errorf("after four failing seconds the share is %v", last)
 	}
-	// Where all fail alike none is left: shares are relative.
+	// Where all zones fail alike none is at 0: shares are scaled.
 	f = newFollower("m")
 	for now := start; now < start+10*time.Second; now += 100 * time.Millisecond {
 		for _, z := range zones {
@@ -89,12 +89,12 @@
 			largest = max(largest, v)
 		}
 		if largest != 1 {
-			t.Fatalf("nothing goes anywhere: %v", f.Shares(now, zones))
+			t.Fatalf("all shares are 0: %v", f.Shares(now, zones))
 		}
 	}
 }
 
-// Of many processes about the chosen part tries, others at each order; the rest sends nothing.
+// About the probe fraction of many processes probes, others at each new state; the rest sends nothing.
 func TestFollower_Shares_fewProbe(t *testing.T) {
 	count := func(epoch uint64) (n int, names string) {
 		for i := range 300 {
@@ -109,11 +109,11 @@
 	}
 	n, names := count(3)
 	if m, others := count(4); n < 5 || n > 30 || m < 5 || m > 30 || names == others {
-		t.Errorf("%d and %d of 300 try", n, m)
+		t.Errorf("%d and %d of 300 probe", n, m)
 	}
 }
 
-// A voter that knows a later start of the process has it take a higher incarnation.
+// A voter that knows a later incarnation makes the process take a higher one.
 func TestFollower_HandleResponse_raisesIncarnation(t *testing.T) {
 	f := newFollower("n")
 	f.HandleResponse(start, start, Response{Incarnation: 9})
@@ -122,12 +122,12 @@
 	}
 }
 
-// What a step sent before an order says of a zone does not count under it.
+// The outcome of a step that was sent before a new share is not counted.
 func TestFollower_HandleResponse_resetsObservationsOnChange(t *testing.T) {
 	f := newFollower("n")
 	f.Monitor().RecordOutcome(start, start, "b", health.StepCounts{Failed: 1})
 	f.HandleResponse(start+time.Second, start+time.Second, responseWith(tableWithZone(3, commands.ZoneState{Phase: commands.PhaseProbing, Share: 0.5, ProbeFraction: 1})))
-	// An order that leaves the share here as it is takes no evidence away.
+	// A table that leaves the share as it is keeps the observations.
 	f.HandleResponse(start+time.Second, start+time.Second, responseWith(tableWithZone(4, commands.ZoneState{Phase: commands.PhaseSlowStart, Share: 0.5})))
 	f.Monitor().RecordOutcome(start+2*time.Second, start, "b", health.StepCounts{Failed: 1})
 	f.Monitor().RecordOutcome(start+2*time.Second, start+1500*time.Millisecond, "b", health.StepCounts{Succeeded: 1})
--- a/internal/node/zones/quota/model_test.go
+++ b/internal/node/zones/quota/model_test.go
@@ -9,11 +9,10 @@
 	"time"
 )
 
-// The search goes through all interleavings of two children and a parent that lends two
-// slots, within bounds on time, crashes and messages. Asks and grants of the one child are
-// delivered late, twice, out of order or never; the other's are exchanged at once, or the
-// answer is lost: what one holds too long shows in what the other is given. The real code
-// is searched.
+// The search visits all interleavings of two children and a parent that leases two slots, within bounds on time,
+// crashes and messages. Requests and grants of one child are delayed, duplicated, reordered or lost; those of the
+// other are exchanged at once, or the grant is lost: what the one uses too long shows in what the other is granted.
+// The search runs the real code.
 
 const (
 	leaseFor = 2 * time.Second
@@ -22,7 +21,7 @@
 	tooMany  = 250_000
 )
 
-// message is on its way; it may arrive twice.
+// message is in transit and may arrive twice.
 type message struct {
 	ask   *LeaseRequest
 	grant *Grant
@@ -30,7 +29,7 @@
 }
 
 type state struct {
-	ledger   *Parent
+	parent   *Parent
 	children [2]*Child
 	net      []message
 	tick     int
@@ -40,14 +39,14 @@
 
 func (s *state) clone() *state {
 	out := *s
-	l := *s.ledger
+	l := *s.parent
 	l.children = map[string]*childAccount{}
-	for name, c := range s.ledger.children {
+	for name, c := range s.parent.children {
 		of := *c
 		of.Leases = slices.Clone(c.Leases)
 		l.children[name] = &of
 	}
-	out.ledger = &l
+	out.parent = &l
 	for i, c := range s.children {
 		of := *c
 		out.children[i] = &of
@@ -56,12 +55,12 @@
 	return &out
 }
 
-// key tells states apart by all that matters from here on.
+// key identifies a state by all that matters for what follows.
 func (s *state) key() string {
 	var b strings.Builder
 	fmt.Fprint(&b, s.tick, s.starts, s.crashes)
-	for _, name := range slices.Sorted(maps.Keys(s.ledger.children)) {
-		c := s.ledger.children[name]
+	for _, name := range slices.Sorted(maps.Keys(s.parent.children)) {
+		c := s.parent.children[name]
 		fmt.Fprint(&b, "|", c.Incarnation, c.Number, c.Leases, c.Want, c.wantedAt)
 	}
 	for _, c := range s.children {
@@ -80,7 +79,7 @@
 	return b.String()
 }
 
-// model is one choice of what the search goes through.
+// model is the configuration of one search.
 type model struct {
 	rules Settings
 	rates [2]float64 // of the children's clocks
@@ -88,7 +87,7 @@
 	quota Amount
 	wants []float64
 	ticks int
-	crash int // times that any process may crash
+	crash int // crashes allowed
 	seen  map[string]bool
 	found string
 }
@@ -112,11 +111,11 @@
 	if err != nil {
 		panic(err)
 	}
-	s.ledger = l
+	s.parent = l
 	return s
 }
 
-// check is what must always be so: both together may use no more than there is.
+// check returns a violation of the invariant: both children together may use no more than the quota.
 func (m *model) check(s *state, how []string) {
 	sum := Amount{}
 	for i, c := range s.children {
@@ -162,7 +161,7 @@
 					n.net = append(n.net, message{ask: &a, left: 1})
 					return ok && len(n.net) <= inFlight
 				}
-				if g, err := n.ledger.Grant(m.parentNow(n), a); err == nil {
+				if g, err := n.parent.Grant(m.parentNow(n), a); err == nil {
 					c.ApplyGrant(m.childNow(n, i), g)
 				}
 				return true
@@ -180,9 +179,9 @@
 	if s.crashes < m.crash {
 		try("the parent restarts", func(n *state) bool {
 			n.crashes++
-			kept := n.ledger.Export()
-			n.ledger = m.start().ledger
-			n.ledger.Import(m.parentNow(n), kept)
+			retained := n.parent.Export()
+			n.parent = m.start().parent
+			n.parent.Import(m.parentNow(n), retained)
 			return true
 		})
 	}
@@ -194,7 +193,7 @@
 				n.net = slices.Delete(n.net, i, i+1)
 			}
 			if msg.ask != nil {
-				g, err := n.ledger.Grant(m.parentNow(n), *msg.ask)
+				g, err := n.parent.Grant(m.parentNow(n), *msg.ask)
 				if err != nil {
 					return true
 				}
@@ -226,7 +225,7 @@
 	}
 }
 
-// No interleaving has the children use more than there is.
+// In no interleaving do the children use more than the quota.
 func TestModel_noInterleavingExceedsQuota(t *testing.T) {
 	for i, m := range models("") {
 		t.Run(fmt.Sprint("model ", i), func(t *testing.T) {
@@ -235,13 +234,13 @@
 				t.Error(found)
 			}
 			if t.Logf("%d states", len(m.seen)); len(m.seen) > tooMany {
-				t.Error("it was not searched whole")
+				t.Error("the search was cut off")
 			}
 		})
 	}
 }
 
-// Each check of the protocol is needed: without it some interleaving is over the quota.
+// Each check of the protocol is needed: without it some interleaving exceeds the quota.
 func TestModel_eachCheckIsNeeded(t *testing.T) {
 	for _, check := range []string{"margin", "sent", "number", "confirm", "reserve", "restore"} {
 		t.Run(check, func(t *testing.T) {
@@ -253,7 +252,7 @@
 				}
 			}
 			if t.Log(found); found == "" {
-				t.Error("no interleaving shows what it is for")
+				t.Error("no interleaving needs the check")
 			}
 		})
 	}
--- a/internal/node/zones/quota/quota_test.go
+++ b/internal/node/zones/quota/quota_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestBadInput(t *testing.T) {
+func TestNewParent_rejectsInvalid(t *testing.T) {
 	rules := Settings{Lease: time.Second, ClockDrift: 0.1}
 	site := map[string]ChildConfig{"a": {Guaranteed: Amount{2, 1}, Weight: 1}}
 	for name, f := range map[string]func() error{
@@ -34,30 +34,30 @@
 		},
 	} {
 		if f() == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
 
-// world is a tree of three levels on one clock: a root, two middle sites that lend what they
-// are lent, and two leaves under each that admit jobs.
+// world is a tree of three levels on one clock: a root, two middle sites that lease further, and two leaves under each
+// that admit jobs.
 type world struct {
-	rng    *rand.Rand
-	rules  Settings
-	quota  Amount
-	now    time.Duration
-	queue  events
-	made   int
-	loss   float64
-	root   *Parent
-	middle []*middle
-	leaves []*leaf
-	bad    string
-	used   float64
-	admits int
-	sent   int
-	begun  []spent // slot-seconds by time
-	came   []time.Duration
+	rng       *rand.Rand
+	rules     Settings
+	quota     Amount
+	now       time.Duration
+	queue     events
+	made      int
+	loss      float64
+	root      *Parent
+	middle    []*middle
+	leafSites []*leaf
+	bad       string
+	used      float64
+	admits    int
+	sent      int
+	begun     []spent // slot-seconds by time
+	came      []time.Duration
 }
 
 type spent struct {
@@ -66,20 +66,20 @@
 }
 
 type middle struct {
-	name  string
-	child *Child
-	below *Parent
-	rate  float64
-	life  int
+	name        string
+	child       *Child
+	below       *Parent
+	rate        float64
+	incarnation int
 }
 
 type leaf struct {
-	name  string
-	above *middle
-	child *Child
-	rate  float64 // of its clock
-	life  int
-	cut   bool
+	name        string
+	above       *middle
+	child       *Child
+	rate        float64 // of its clock
+	incarnation int
+	cut         bool
 }
 
 type event struct {
@@ -103,7 +103,7 @@
 	heap.Push(&w.queue, event{w.now + d, w.made, f})
 }
 
-// carry brings something over a link: late, lost or twice.
+// carry delivers a message: delayed, lost or twice.
 func (w *world) carry(f func()) {
 	w.sent++
 	for n := w.rng.IntN(10); n >= 0; n -= 9 {
@@ -134,42 +134,42 @@
 		m := &middle{name: fmt.Sprint("m", i), rate: 1 + 0.01*(2*w.rng.Float64()-1)}
 		w.middle = append(w.middle, m)
 		for j := range 2 {
-			w.leaves = append(w.leaves, &leaf{name: fmt.Sprint("l", j), above: m, rate: 1 + 0.01*(2*w.rng.Float64()-1)})
+			w.leafSites = append(w.leafSites, &leaf{name: fmt.Sprint("l", j), above: m, rate: 1 + 0.01*(2*w.rng.Float64()-1)})
 		}
 		w.startMiddle(m, safe, leafSafe)
 	}
-	for _, l := range w.leaves {
+	for _, l := range w.leafSites {
 		w.startLeaf(l, leafSafe)
 	}
 	return w
 }
 
 func (w *world) startMiddle(m *middle, safe, leafSafe Amount) {
-	m.life++
-	incarnation, now := m.life, clock(w.now, m.rate)
-	m.child, _ = NewChild(now, w.rules, "t", m.name, uint64(m.life), safe)
+	m.incarnation++
+	incarnation, now := m.incarnation, clock(w.now, m.rate)
+	m.child, _ = NewChild(now, w.rules, "t", m.name, uint64(m.incarnation), safe)
 	below, err := NewParent(w.rules, "t", safe, map[string]ChildConfig{"l0": {leafSafe, 1}, "l1": {leafSafe, 1}})
 	if err != nil {
 		panic(err)
 	}
 	if m.below != nil {
-		below.Import(now, m.below.Export()) // its ledger is written through
+		below.Import(now, m.below.Export()) // its state is durable
 	}
 	m.below = below
 	var step func()
 	step = func() {
-		if m.life != incarnation {
+		if m.incarnation != incarnation {
 			return
 		}
 		now := clock(w.now, m.rate)
-		// What is below it decides what it asks for.
+		// The demand below decides what it requests.
 		m.child.SetSublet(m.below.TotalExposure(now), m.below.Demand(now))
 		m.lend(now, safe)
 		if a, ok := m.child.NextRequest(now); ok {
 			w.carry(func() {
 				if g, err := w.root.Grant(w.now, a); err == nil {
 					w.carry(func() {
-						if m.life == incarnation {
+						if m.incarnation == incarnation {
 							m.child.ApplyGrant(clock(w.now, m.rate), g)
 							m.lend(clock(w.now, m.rate), safe)
 						}
@@ -182,7 +182,7 @@
 	step()
 }
 
-// lend has the ledger below lend what the site holds, for as long as it holds it.
+// lend passes the site's lease to the parent below.
 func (m *middle) lend(now time.Duration, safe Amount) {
 	if slice, until := m.child.Leased(); until > now {
 		m.below.SetQuota(slice, until)
@@ -192,19 +192,19 @@
 }
 
 func (w *world) startLeaf(l *leaf, safe Amount) {
-	l.life++
-	incarnation := l.life
-	l.child, _ = NewChild(clock(w.now, l.rate), w.rules, "t", l.name, uint64(l.life), safe)
+	l.incarnation++
+	incarnation := l.incarnation
+	l.child, _ = NewChild(clock(w.now, l.rate), w.rules, "t", l.name, uint64(l.incarnation), safe)
 	var step func()
 	step = func() {
-		if l.life != incarnation {
+		if l.incarnation != incarnation {
 			return
 		}
 		if a, ok := l.child.NextRequest(clock(w.now, l.rate)); ok && !l.cut {
 			w.carry(func() {
 				if g, err := l.above.below.Grant(clock(w.now, l.above.rate), a); err == nil && !l.cut {
 					w.carry(func() {
-						if l.life == incarnation && !l.cut {
+						if l.incarnation == incarnation && !l.cut {
 							l.child.ApplyGrant(clock(w.now, l.rate), g)
 						}
 					})
@@ -216,7 +216,7 @@
 	step()
 }
 
-// jobs come at a leaf for a while.
+// jobs sends jobs to a leaf for a while.
 func (w *world) jobs(l *leaf, rate float64, until time.Duration) {
 	var next func()
 	next = func() {
@@ -224,17 +224,17 @@
 			return
 		}
 		w.came = append(w.came, w.now)
-		incarnation, child := l.life, l.child
+		incarnation, child := l.incarnation, l.child
 		if _, ok := child.Admit(clock(w.now, l.rate), 1, jobWork, jobHold); ok {
 			w.admits++
 			if w.used++; w.used > w.quota.Slots+epsilon && w.bad == "" {
 				w.bad = fmt.Sprintf("%v: %v slots of %v", w.now, w.used, w.quota.Slots)
 			}
 			w.begun = append(w.begun, spent{w.now, jobWork})
-			// A crash of the site does not end what runs at the prep workers.
+			// A crash of the site does not end the jobs at the workers.
 			w.after(time.Duration(float64(jobHold)*0.9), func() {
 				w.used--
-				if l.life == incarnation {
+				if l.incarnation == incarnation {
 					child.Done(clock(w.now, l.rate), 1, jobWork, jobWork)
 				}
 			})
@@ -253,7 +253,7 @@
 	w.now = until
 }
 
-// most is the most slot-seconds begun in any window of ten leases, as a part of the quota's.
+// most returns the most slot-seconds started in any window of ten leases, as a fraction of the quota's.
 func (w *world) most() (worst float64) {
 	span := 10 * w.rules.Lease
 	for i, sum, from := 0, 0.0, 0; i < len(w.begun); i++ {
@@ -267,7 +267,7 @@
 	return worst
 }
 
-// central is how many of the jobs one perfect count for all sites would let in.
+// central returns how many of the jobs one exact count for all sites would admit.
 func (w *world) central() (n int) {
 	var ends []time.Duration
 	tokens, at := 0.0, time.Duration(0)
@@ -286,13 +286,12 @@
 	return n
 }
 
-// Over three levels, with a third of the messages lost, sites cut off for half a minute,
-// restarted, and clocks that drift: never more slots at once than the quota, and at most a
-// twentieth over its slot-seconds in any window of ten leases.
+// Over three levels, with a third of the messages lost, sites partitioned for half a minute, restarts and clock drift:
+// never more slots at once than the quota, and at most a twentieth over its slot-seconds in any window of ten leases.
 func TestTree_staysWithinQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.Float64Range(0, 0.34).Draw(t, "loss"))
-		for _, l := range w.leaves {
+		for _, l := range w.leafSites {
 			w.jobs(l, rapid.Float64Range(0.5, 80).Draw(t, "rate"), 90*time.Second)
 		}
 		for range rapid.IntRange(0, 5).Draw(t, "troubles") {
@@ -300,17 +299,17 @@
 			i := rapid.IntRange(0, 3).Draw(t, "who")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				w.after(at, func() { w.leaves[i].cut = true })
-				w.after(at+30*time.Second, func() { w.leaves[i].cut = false })
+				w.after(at, func() { w.leafSites[i].cut = true })
+				w.after(at+30*time.Second, func() { w.leafSites[i].cut = false })
 			case 1:
-				w.after(at, func() { w.startLeaf(w.leaves[i], Amount{2, 2}) })
+				w.after(at, func() { w.startLeaf(w.leafSites[i], Amount{2, 2}) })
 			case 2:
 				w.after(at, func() { w.startMiddle(w.middle[i/2], Amount{4, 4}, Amount{2, 2}) })
-			default: // the root goes, and comes back with the ledger of its log
+			default: // the root restarts with its stored state
 				w.after(at, func() {
-					kept := w.root.Export()
+					retained := w.root.Export()
 					w.root, _ = NewParent(w.rules, "t", w.quota, map[string]ChildConfig{"m0": {Amount{4, 4}, 1}, "m1": {Amount{4, 4}, 2}})
-					w.root.Import(w.now, kept)
+					w.root.Import(w.now, retained)
 				})
 			}
 		}
@@ -324,16 +323,15 @@
 	})
 }
 
-// With nothing lost, the sites together admit nearly what a perfect central count would,
-// from the first second on, at half of the quota by one site alone. At four fifths the safe
-// shares set aside for the others show: 0.87.
+// Without loss the sites together admit nearly what an exact central count would, from the first second on, at half of
+// the quota by one site alone. At four fifths the guaranteed amounts reserved for the others show: 0.87.
 func TestTree_leasesFollowUse(t *testing.T) {
 	for _, c := range []struct{ rate, least float64 }{{40, 0.95}, {60, 0.85}} {
 		admitted, could := 0.0, 0.0
 		for seed := range uint64(10) {
 			w := newWorld(seed, 0)
-			w.jobs(w.leaves[0], c.rate, 120*time.Second) // one busy, the others nearly idle
-			w.jobs(w.leaves[3], 4, 120*time.Second)
+			w.jobs(w.leafSites[0], c.rate, 120*time.Second) // one busy, the others nearly idle
+			w.jobs(w.leafSites[3], 4, 120*time.Second)
 			w.play(120 * time.Second)
 			admitted += float64(w.admits)
 			could += float64(w.central())
@@ -345,31 +343,31 @@
 	}
 }
 
-// A quota lowered under what is out is reached within one lease.
+// A quota lowered below what is leased is reached within one lease.
 func TestParent_SetQuota_loweredWithinOneLease(t *testing.T) {
 	w := newWorld(1, 0)
-	for _, l := range w.leaves {
+	for _, l := range w.leafSites {
 		w.jobs(l, 60, 60*time.Second)
 	}
 	w.play(20 * time.Second)
 	w.root.SetQuota(Amount{12, 12}, 0)
 	w.play(20*time.Second + time.Duration(float64(w.rules.Lease)*(1+w.rules.ClockDrift)) + jobHold)
 	if out := w.root.TotalExposure(w.now); out.Slots > 12+epsilon || w.used > 12 {
-		t.Errorf("%v lent and %v used of 12", out, w.used)
+		t.Errorf("%v leased and %v used of 12", out, w.used)
 	}
 }
 
-// A child that stood still past its lease and goes on uses its safe share alone.
+// A child that was paused past its lease uses its guaranteed amount alone.
 func TestChild_frozenPastItsLease(t *testing.T) {
 	w := newWorld(2, 0)
-	w.jobs(w.leaves[0], 60, 10*time.Second)
+	w.jobs(w.leafSites[0], 60, 10*time.Second)
 	w.play(10 * time.Second)
-	l := w.leaves[0]
+	l := w.leafSites[0]
 	if has := l.child.Available(clock(w.now, l.rate), jobHold); has.Slots <= 2 {
-		t.Fatalf("it had %v", has)
+		t.Fatalf("available before: %v", has)
 	}
 	if has := l.child.Available(clock(w.now+w.rules.Lease, l.rate), 0); has.Slots != 2 {
-		t.Errorf("past its lease it has %v", has)
+		t.Errorf("available past the lease: %v", has)
 	}
 }
 
--- a/internal/node/zones/replica/replica_test.go
+++ b/internal/node/zones/replica/replica_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// singleReplica is a fleet of one voter, whose store is always at once.
+// singleReplica is a group of one voter whose writes are durable at once.
 type singleReplica struct {
 	t       *testing.T
 	replica *Replica
@@ -44,13 +44,21 @@
 	}
 }
 
+// handle passes a valid report to the replica.
+func (a *singleReplica) handle(report follower.Report) {
+	a.t.Helper()
+	if _, err := a.replica.HandleReport(a.now, report); err != nil {
+		a.t.Fatal(err)
+	}
+}
+
 func report(name, zone string, sequence uint64) follower.Report {
 	good := health.Observation{StepCounts: health.StepCounts{Sent: 9, Succeeded: 9}, Observers: 1, RecentSteps: 5, Slots: 8}
 	return follower.Report{Fleet: "f", Name: name, Zone: zone, Incarnation: 1, Sequence: sequence,
 		Observations: health.Observations{"a": good, "b": good}}
 }
 
-// Before a voter has a leader it grants no lease; strangers and reports without a name get none.
+// A voter without a leader grants no lease; other fleets' and unnamed reports are rejected.
 func TestReplica_HandleReport_leaseNeedsLeader(t *testing.T) {
 	a := newSingleReplica(t)
 	if got, err := a.replica.HandleReport(0, report("n", "a", 1)); err != nil || got.Lease != 0 {
@@ -64,78 +72,78 @@
 	stranger.Fleet = "g"
 	for _, r := range []follower.Report{stranger, nameless} {
 		if _, err := a.replica.HandleReport(a.now, r); err == nil {
-			t.Errorf("%+v is taken", r)
+			t.Errorf("%+v is accepted", r)
 		}
 	}
 	if err := a.replica.Receive(a.now, Message{Fleet: "g"}); err == nil {
-		t.Error("a letter of another fleet is taken")
+		t.Error("a message of another fleet is accepted")
 	}
 	if err := a.replica.Receive(a.now, Message{Fleet: "f", From: 2, Log: [][]byte{{1, 2, 3}}}); err == nil {
-		t.Error("a letter of garbage is taken")
+		t.Error("an undecodable message is accepted")
 	}
 }
 
-// An earlier start of a process says nothing any more, also if its report comes late.
+// A report of an earlier incarnation is ignored, also if it arrives late.
 func TestReplica_HandleReport_ignoresEarlierIncarnation(t *testing.T) {
 	a := newSingleReplica(t)
 	a.play(time.Second)
 	later := report("n", "a", 1)
 	later.Incarnation = 5
-	a.replica.HandleReport(a.now, later)
+	a.handle(later)
 	old := report("n", "a", 9)
 	old.Observations = health.Observations{"a": {StepCounts: health.StepCounts{Failed: 99}, Observers: 1, FailingObservers: 1, RecentSteps: 5}}
 	if got, _ := a.replica.HandleReport(a.now, old); got.Lease != 0 || got.Incarnation != 5 {
 		t.Errorf("%+v", got)
 	}
 	if s := a.replica.localDigest()["a"].Observations["a"]; s.Failed != 0 {
-		t.Errorf("its evidence counts: %+v", s.StepCounts)
+		t.Errorf("its observations count: %+v", s.StepCounts)
 	}
 	a.replica.config.DisabledCheck = "incarnation"
-	if a.replica.HandleReport(a.now, old); a.replica.localDigest()["a"].Observations["a"].Failed == 0 {
-		t.Error("without the check nothing is otherwise")
+	if a.handle(old); a.replica.localDigest()["a"].Observations["a"].Failed == 0 {
+		t.Error("without the check it is still ignored")
 	}
 }
 
-// A word is agreed on, holds until its end and is then cleared; the last zone is not left.
+// An override is committed, applies until its end and is then cleared; the last serving zone cannot be evacuated.
 func TestReplica_ProposeOverride_appliesUntilItsEnd(t *testing.T) {
 	a := newSingleReplica(t)
 	a.play(time.Second)
 	n := uint64(0)
-	tell := func() {
+	reportAll := func() {
 		n++
-		a.replica.HandleReport(a.now, report("n", "a", n))
-		a.replica.HandleReport(a.now, report("m", "b", n))
+		a.handle(report("n", "a", n))
+		a.handle(report("m", "b", n))
 	}
 	propose := func(w commands.Override) error {
-		err := errors.New("not agreed on")
+		err := errors.New("not committed")
 		a.replica.ProposeOverride(a.now, w, func(e error) { err = e })
 		for range 5 {
-			tell()
+			reportAll()
 			a.play(300 * time.Millisecond)
 		}
 		return err
 	}
-	tell()
+	reportAll()
 	if err := propose(commands.Override{Zone: "b", Action: commands.OverrideEvacuate, Reason: "works", Until: 100}); err != nil || a.replica.Table().Zone("b").Phase != commands.PhaseEvacuated {
 		t.Fatalf("%v, %+v", err, a.replica.Table())
 	}
 	if err := propose(commands.Override{Zone: "a", Action: commands.OverrideEvacuate, Reason: "works", Until: 100}); err == nil {
-		t.Error("the last zone is left")
+		t.Error("the last zone is evacuated")
 	}
 	if err := propose(commands.Override{Zone: "a", Action: "burn"}); err == nil {
-		t.Error("nonsense is agreed on")
+		t.Error("an invalid override is committed")
 	}
 	a.wall = 101
 	for range 5 {
-		tell()
+		reportAll()
 		a.play(300 * time.Millisecond)
 	}
 	if len(a.replica.Table().Overrides) != 0 {
-		t.Errorf("past its end: %+v", a.replica.Table().Overrides)
+		t.Errorf("after its end: %+v", a.replica.Table().Overrides)
 	}
 }
 
-// A clock that has stood still does not make the others look silent.
+// A pause of the process does not count as silence of the leader.
 func TestReplica_Tick_stallIsNotLeaderTimeout(t *testing.T) {
 	a := newSingleReplica(t)
 	a.play(time.Second)
--- a/internal/node/zones/replicatedlog/log_test.go
+++ b/internal/node/zones/replicatedlog/log_test.go
@@ -12,27 +12,29 @@
 	"ospreybend/coord/consensus"
 )
 
-// listMachine is a machine that keeps its orders.
-type listMachine struct{ orders []string }
+// listMachine is a state machine that records its commands.
+type listMachine struct{ commands []string }
 
-func (l *listMachine) Apply(_ uint64, command []byte) { l.orders = append(l.orders, string(command)) }
-func (l *listMachine) Snapshot() ([]byte, error)      { return []byte(strings.Join(l.orders, ",")), nil }
+func (l *listMachine) Apply(_ uint64, command []byte) {
+	l.commands = append(l.commands, string(command))
+}
+func (l *listMachine) Snapshot() ([]byte, error) { return []byte(strings.Join(l.commands, ",")), nil }
 func (l *listMachine) Restore(state []byte) error {
-	l.orders = nil
+	l.commands = nil
 	if len(state) > 0 {
-		l.orders = strings.Split(string(state), ",")
+		l.commands = strings.Split(string(state), ",")
 	}
 	return nil
 }
 
-// cluster are some logs whose messages arrive at once, but for those that are cut off.
+// cluster is a group of logs whose messages arrive at once, except at partitioned voters.
 type cluster struct {
 	t      *testing.T
 	logs   map[uint64]*Log
 	of     map[uint64]*listMachine
 	stored map[uint64]*StoredState
 	cut    map[uint64]bool
-	ends   map[uint64]error // what a voter has ended with
+	ends   map[uint64]error // errors by voter
 }
 
 func newCluster(t *testing.T, ids ...uint64) *cluster {
@@ -63,13 +65,13 @@
 	return ids
 }
 
-// runUntilIdle writes, sends and applies until nothing is left.
+// runUntilIdle writes, sends and applies until nothing is left to do.
 func (v *cluster) runUntilIdle() {
 	rounds := 0
 	for again := true; again; {
 		again = false
 		if rounds++; rounds > 10000 {
-			v.t.Fatal("the voters never rest")
+			v.t.Fatal("the voters never become idle")
 		}
 		for _, id := range v.ids() {
 			again = v.advance(id) || again
@@ -77,7 +79,7 @@
 	}
 }
 
-// advance sends and writes what a voter wants done, and reports whether there was anything.
+// advance sends and writes what a voter returns, and reports whether there was anything.
 func (v *cluster) advance(id uint64) bool {
 	if v.ends[id] != nil {
 		return false
@@ -97,7 +99,7 @@
 	return ok || len(messages) > 0
 }
 
-// send delivers a message in the form in which voters send it.
+// send delivers a message by its encoding.
 func (v *cluster) send(from uint64, m Message) {
 	id := uint64(m.To)
 	to := v.logs[id]
@@ -106,7 +108,7 @@
 	}
 	read, err := DecodeMessage(EncodeMessage(m))
 	if err != nil || !reflect.DeepEqual(read, m) {
-		v.t.Fatalf("%+v is read as %+v, %v", m, read, err)
+		v.t.Fatalf("%+v is decoded as %+v, %v", m, read, err)
 	}
 	v.ends[id] = to.Step(read)
 }
@@ -141,7 +143,7 @@
 			return id
 		}
 	}
-	v.t.Fatal("nobody leads")
+	v.t.Fatal("no voter leads")
 	return 0
 }
 
@@ -153,7 +155,7 @@
 	v.runUntilIdle()
 }
 
-// An order holds at all voters, a minority orders nothing, and what it missed it learns.
+// A command is applied by all voters; a minority commits nothing and catches up later.
 func TestLog_Propose_needsMajority(t *testing.T) {
 	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
@@ -165,53 +167,53 @@
 	}
 	v.tick(30)
 	if v.logs[old].IsLeader() {
-		t.Error("who is cut off still leads")
+		t.Error("a partitioned voter still leads")
 	}
 	if err := v.logs[old].Propose([]byte("alone")); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("a minority takes an order: %v", err)
+		t.Errorf("a minority accepts a command: %v", err)
 	}
 	v.propose("two")
 	v.cut[old] = false
 	v.tick(10)
 	for id, of := range v.of {
-		if !slices.Equal(of.orders, []string{"one", "two"}) {
-			t.Errorf("voter %d has %v", id, of.orders)
+		if !slices.Equal(of.commands, []string{"one", "two"}) {
+			t.Errorf("voter %d has %v", id, of.commands)
 		}
 	}
 }
 
-// A voter that was away for long gets a snapshot; one that starts anew goes on from what
-// it has written; and voters are replaced one at a time.
+// A voter that lags far gets a snapshot, a restarted one continues from its stored state, and voters are replaced one
+// at a time.
 func TestLog_snapshotRestartAndVoterChange(t *testing.T) {
 	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
-	away := v.leader()%3 + 1
-	v.cut[away] = true
+	lagging := v.leader()%3 + 1
+	v.cut[lagging] = true
 	var want []string
 	for i := range 400 {
 		want = append(want, fmt.Sprint(i))
 		v.propose(fmt.Sprint(i))
 	}
 	if first := v.stored[v.leader()].Entries[0].Index; first < 200 {
-		t.Errorf("entries from %d on are kept", first)
+		t.Errorf("entries from %d on are retained", first)
 	}
-	v.cut[away] = false
+	v.cut[lagging] = false
 	v.tick(10)
-	if !slices.Equal(v.of[away].orders, want) {
-		t.Errorf("who was away has %d orders of %d", len(v.of[away].orders), len(want))
+	if !slices.Equal(v.of[lagging].commands, want) {
+		t.Errorf("the lagging voter has %d commands of %d", len(v.of[lagging].commands), len(want))
 	}
 	for _, id := range v.ids() {
 		v.start(id)
 	}
 	v.tick(30)
 	for _, id := range v.ids() {
-		if !slices.Equal(v.of[id].orders, want) {
-			t.Errorf("voter %d starts with %d orders of %d", id, len(v.of[id].orders), len(want))
+		if !slices.Equal(v.of[id].commands, want) {
+			t.Errorf("voter %d starts with %d commands of %d", id, len(v.of[id].commands), len(want))
 		}
 	}
 	leader := v.logs[v.leader()]
 	if err := leader.ChangeVoters(4, 1); err == nil {
-		t.Error("two changes at once")
+		t.Error("two changes are accepted at once")
 	}
 	if err := leader.ChangeVoters(4, 0); err != nil {
 		t.Fatal(err)
@@ -219,8 +221,8 @@
 	v.stored[4] = &StoredState{}
 	v.start(4)
 	v.tick(10)
-	if !slices.Equal(v.of[4].orders, want) || len(leader.Voters()) != 4 {
-		t.Errorf("the new voter has %d orders of %d; the voters are %v", len(v.of[4].orders), len(want), leader.Voters())
+	if !slices.Equal(v.of[4].commands, want) || len(leader.Voters()) != 4 {
+		t.Errorf("the new voter has %d commands of %d; the voters are %v", len(v.of[4].commands), len(want), leader.Voters())
 	}
 	gone := v.leader()%3 + 1
 	if err := leader.ChangeVoters(0, gone); err != nil {
@@ -230,8 +232,8 @@
 	delete(v.logs, gone)
 	v.tick(30)
 	v.propose("last")
-	if of := v.of[4]; of.orders[len(of.orders)-1] != "last" || len(v.logs[4].Voters()) != 3 {
-		t.Errorf("the new voter ends with %q; the voters are %v", of.orders[len(of.orders)-1], v.logs[4].Voters())
+	if of := v.of[4]; of.commands[len(of.commands)-1] != "last" || len(v.logs[4].Voters()) != 3 {
+		t.Errorf("the new voter ends with %q; the voters are %v", of.commands[len(of.commands)-1], v.logs[4].Voters())
 	}
 }
 
@@ -240,15 +242,14 @@
 	hole.Entries = []consensus.Entry{{Index: 3, Term: 1}}
 	ahead := Bootstrap([]uint64{1})
 	ahead.HardState = &consensus.HardState{Term: 2, Commit: 9}
-	for name, k := range map[string]StoredState{"a hole": hole, "agreed beyond the log": ahead} {
+	for name, k := range map[string]StoredState{"a hole": hole, "committed beyond the log": ahead} {
 		if _, err := New(Config{ID: 1, ElectionTicks: 8, HeartbeatTicks: 2, SnapshotInterval: 9, Rand: rand.New(rand.NewPCG(1, 1))}, k, &listMachine{}); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
 
-// A voter whose store was put back from an older copy does not go on: the leader counts on
-// entries that it has acknowledged.
+// A voter whose store was restored from an older copy stops: the leader relies on entries that it acknowledged.
 func TestLog_Step_detectsLostAcknowledgedEntries(t *testing.T) {
 	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
@@ -262,7 +263,7 @@
 	v.tick(10)
 	var broken *ConsistencyError
 	if err := v.ends[id]; !errors.As(err, &broken) || !errors.Is(err, ErrAcknowledgedLost) {
-		t.Errorf("it goes on, with %v", err)
+		t.Errorf("it continues, with %v", err)
 	}
 	for other, err := range v.ends {
 		if other != id && err != nil {
@@ -271,8 +272,8 @@
 	}
 }
 
-// While the leader's own write is under way its messages go out, the others agree without it, and what comes meanwhile
-// is written in one piece afterwards.
+// While the leader's write is in progress its messages go out, the others commit without it, and what arrives
+// meanwhile is written at once afterwards.
 func TestLog_NextPersist_oneAtATime(t *testing.T) {
 	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
@@ -294,14 +295,14 @@
 	}
 	v.tick(2)
 	for of, machine := range v.of {
-		if !slices.Equal(machine.orders, []string{"one"}) {
-			t.Errorf("voter %d has %v", of, machine.orders)
+		if !slices.Equal(machine.commands, []string{"one"}) {
+			t.Errorf("voter %d has %v", of, machine.commands)
 		}
 	}
 	v.propose("two")
 	v.propose("three")
 	if _, ok := leader.NextPersist(); ok {
-		t.Error("two writes at once")
+		t.Error("two writes in progress")
 	}
 	v.write(id, first)
 	leader.Persisted(first)
@@ -313,12 +314,12 @@
 	leader.Persisted(rest)
 	v.start(id)
 	v.tick(30)
-	if want := []string{"one", "two", "three"}; !slices.Equal(v.of[id].orders, want) {
-		t.Errorf("started anew it has %v", v.of[id].orders)
+	if want := []string{"one", "two", "three"}; !slices.Equal(v.of[id].commands, want) {
+		t.Errorf("after the restart it has %v", v.of[id].commands)
 	}
 }
 
-// A leader that is not heard for an election timeout is named no more.
+// A leader that was not heard for an election timeout is no longer returned.
 func TestLog_Leader_forgottenAfterTimeout(t *testing.T) {
 	v := newCluster(t, 1, 2, 3)
 	v.tick(20)
--- a/internal/node/zones/replicatedlog/stored_test.go
+++ b/internal/node/zones/replicatedlog/stored_test.go
@@ -15,11 +15,11 @@
 	return out
 }
 
-// What the core hands out while a write is under way becomes one write: what is later replaces what it cuts off.
+// What the core returns during a write becomes one write, in which later entries replace those that they truncate.
 func TestPersist_merge(t *testing.T) {
 	var p Persist
 	if !p.Empty() {
-		t.Error("nothing is something")
+		t.Error("an empty Persist is not empty")
 	}
 	p.merge(nil)
 	shared := entries(1, 2, 3, 4, 5)
@@ -29,11 +29,11 @@
 		t.Errorf("%+v", p)
 	}
 	if !reflect.DeepEqual(shared, entries(1, 2, 3, 4, 5)) {
-		t.Errorf("the core's entries have changed: %v", shared)
+		t.Errorf("the core's entries changed: %v", shared)
 	}
 	p.addSnapshot(consensus.Snapshot{Index: 3, Term: 1}, 2)
 	if p.Snapshot.Index != 3 || p.First != 2 || p.Replaces || !p.ownSnapshot || len(p.Entries) != 3 {
-		t.Errorf("with a snapshot made here: %+v", p)
+		t.Errorf("with an own snapshot: %+v", p)
 	}
 	p.merge(&consensus.PersistRequest{Sequence: 3, Snapshot: &consensus.Snapshot{Index: 9, Term: 3}, Entries: entries(3, 10)})
 	if p.Snapshot.Index != 9 || p.First != 10 || !p.Replaces || !reflect.DeepEqual(p.Entries, entries(3, 10)) || p.HardState.Term != 2 {
@@ -41,11 +41,11 @@
 	}
 	p.addSnapshot(consensus.Snapshot{Index: 10, Term: 3}, 9)
 	if p.Snapshot.Index != 10 || p.First != 9 || !p.Replaces || len(p.Entries) != 1 {
-		t.Errorf("with one made here after it: %+v", p)
+		t.Errorf("with an own one after it: %+v", p)
 	}
 }
 
-// Messages whose entries do not follow each other are refused: the core takes them as they are.
+// Messages whose entries are not consecutive are rejected, as the core relies on it.
 func TestDecodeMessage_rejectsInvalid(t *testing.T) {
 	of := func(e []consensus.Entry) []byte {
 		return EncodeMessage(Message{Message: consensus.Message{Kind: consensus.MessageAppendEntries, From: 1, To: 2, Term: 4, LogIndex: 7, LogTerm: 2, Entries: e}})
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -120,7 +120,10 @@
 	s.cancel()
 	_ = s.httpServer.Shutdown(shutdown)
 	if s.isWriting {
-		<-s.written // the store may be closed only when no write is in progress
+		// The store may be closed only when no write is in progress. Nothing of this one was acknowledged.
+		if writeErr := <-s.written; writeErr != nil {
+			slog.Warn("write failed during shutdown", "store", s.config.StorePath, "error", writeErr)
+		}
 	}
 	s.client.Close()
 	return errors.Join(err, s.store.Close())
--- a/internal/node/zones/server/server_test.go
+++ b/internal/node/zones/server/server_test.go
@@ -20,7 +20,7 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// fillingStore is a store that may fill.
+// fillingStore is a store that can be made to fail as on a full disk.
 type fillingStore struct {
 	durableStore
 	full *atomic.Bool
@@ -34,7 +34,7 @@
 	return f.durableStore.Write(p)
 }
 
-// threeServers are voters over loopback, in this process.
+// threeServers is a group of voters over loopback in this process.
 type threeServers struct {
 	at     map[uint64]string
 	full   map[uint64]*atomic.Bool
@@ -66,14 +66,16 @@
 	t.Cleanup(func() {
 		cancel()
 		for _, ended := range v.ended {
-			<-ended
+			if err := <-ended; err != nil {
+				t.Log(err)
+			}
 		}
 		v.client.Close()
 	})
 	return v
 }
 
-// leader waits until one leads that is not the given one.
+// leader waits until a voter other than the given one leads.
 func (v *threeServers) leader(t *testing.T, not uint64) (leader uint64) {
 	t.Helper()
 	if err := fakeplatform.Until(t.Context(), 10*time.Second, func() bool {
@@ -93,8 +95,8 @@
 	return leader
 }
 
-// The leader's disk is full: it ends with an error that names its file, another leads and orders
-// go on, with all that was agreed on before; and what the full one wrote is whole.
+// The leader's disk is full: it stops with an error that names its file, another voter leads with all that was
+// committed before, and the store of the stopped one is intact.
 func TestServer_fullDiskAtLeader(t *testing.T) {
 	v := newThreeServers(t)
 	first := v.leader(t, 0)
@@ -111,21 +113,21 @@
 	}
 	v.full[first].Store(true)
 	word.Zone, word.Reason = "b", "after"
-	_ = v.client.ApplyOverride(t.Context(), v.at[first], word) // it may have been taken or not
+	_ = v.client.ApplyOverride(t.Context(), v.at[first], word) // its outcome is unknown
 	err := <-v.ended[first]
 	v.ended[first] <- nil
 	var f *store.Error
 	if !errors.As(err, &f) || !strings.Contains(err.Error(), "store"+string(rune('0'+first))) || !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("it stops with %v", err)
 	}
 	second := v.leader(t, first)
 	word.Zone = "c"
 	if err := v.client.ApplyOverride(t.Context(), v.at[second], word); err != nil {
-		t.Errorf("nobody orders any more: %v", err)
+		t.Errorf("no override is accepted any more: %v", err)
 	}
 	s, err := v.client.Status(t.Context(), v.at[second])
 	if err != nil || s.Table.Overrides["a"].Reason != "before" || s.Table.Overrides["c"].Reason != "after" {
-		t.Errorf("what was agreed on: %+v, %v", s.Table, err)
+		t.Errorf("committed state: %+v, %v", s.Table, err)
 	}
 	again, _, err := store.Open(f.Path, store.Owner{Fleet: "f", Voter: first})
 	if err != nil {
@@ -134,19 +136,18 @@
 	again.Close()
 }
 
-// The leader goes, and orders go on within a few seconds, whoever is asked; strangers are turned
-// away by name.
+// After the leader stops, overrides are accepted again within a few seconds at any voter; foreign fleets are rejected.
 func TestServer_callsOverTransport(t *testing.T) {
 	v := newThreeServers(t)
 	leader := v.leader(t, 0)
 	other := leader%3 + 1
 	if err := v.client.ApplyOverride(t.Context(), v.at[other], commands.Override{Zone: "a", Action: commands.OverrideFreeze, Reason: "r", Until: 1 << 60}); err != nil {
-		t.Errorf("a voter that does not lead passes nothing on: %v", err)
+		t.Errorf("a follower forwards nothing: %v", err)
 	}
 	if err := v.client.ApplyOverride(t.Context(), v.at[other], commands.Override{Zone: "a", Action: "burn"}); err == nil || !strings.Contains(err.Error(), "burn") {
-		t.Errorf("nonsense: %v", err)
+		t.Errorf("invalid override: %v", err)
 	}
 	if _, err := v.client.Report(t.Context(), v.at[other], follower.Report{Fleet: "g", Name: "n", Zone: "a"}); err == nil || !strings.Contains(err.Error(), `not "g"`) {
-		t.Errorf("a stranger: %v", err)
+		t.Errorf("foreign fleet: %v", err)
 	}
 }
--- a/internal/node/zones/simulation/failures_test.go
+++ b/internal/node/zones/simulation/failures_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Each day causes one of the hard cases on purpose; the drawn days may or may not.
+// Each scenario causes one hard case on purpose; random scenarios may or may not.
 
-// hard plays a day on several seeds, and holds what must always be so besides.
-func hard(t *testing.T, day func(seed uint64) Scenario, check func(Result) string) {
+// checkScenario runs a scenario on several seeds and checks the invariants besides.
+func checkScenario(t *testing.T, day func(seed uint64) Scenario, check func(Result) string) {
 	t.Helper()
 	for seed := range uint64(5) {
-		r := play(t, day(seed+1))
+		r := run(t, day(seed+1))
 		if len(r.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed+1, r.Violations)
 		} else if what := check(r); what != "" {
@@ -20,14 +20,14 @@
 	}
 }
 
-func leftInTime(within, held time.Duration) func(Result) string {
+func leftInTime(within, spreadLimit time.Duration) func(Result) string {
 	return func(r Result) string {
 		switch {
 		case r.Evacuations == 0:
 			return "never left"
 		case r.EvacuatedAfter > within:
 			return "left late"
-		case r.EvacuationSpread == 0 || r.EvacuationSpread > held:
+		case r.EvacuationSpread == 0 || r.EvacuationSpread > spreadLimit:
 			return "not held by all in time"
 		case r.Overloads > 0:
 			return "felled on return"
@@ -36,37 +36,37 @@
 	}
 }
 
-// The leader dies while a zone fails, about when the order is made and spread: another makes
-// or spreads it. Who does not hold it within a second waits for an election: the leader has died amid the spread.
+// The leader crashes while a zone fails, about when the change is committed and spread: another voter commits or
+// spreads it. Where that takes over a second, the leader crashed during the spread and an election was needed.
 func TestRun_leaderCrashBetweenCommitAndSpread(t *testing.T) {
 	const election = 500 * time.Millisecond
 	days, slow := 0, 0
 	for after := 1200 * time.Millisecond; after < 3*time.Second; after += 100 * time.Millisecond {
-		hard(t, func(seed uint64) Scenario {
+		checkScenario(t, func(seed uint64) Scenario {
 			d := Baseline(seed)
 			d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 8 * time.Second, Zone: "b", WarmsUp: true},
 				{Kind: LeaderCrash, At: 5*time.Second + after, Duration: 3 * time.Second}}
 			return d
 		}, func(r Result) string {
 			days++
-			held := time.Second
-			if r.EvacuationSpread > held {
+			spreadLimit := time.Second
+			if r.EvacuationSpread > spreadLimit {
 				slow++
 			}
 			if r.EvacuatedAfter <= after && after < r.EvacuatedAfter+r.EvacuationSpread {
-				held += election
+				spreadLimit += election
 			}
-			return leftInTime(5*time.Second, held)(r)
+			return leftInTime(5*time.Second, spreadLimit)(r)
 		})
 	}
 	if slow*20 > days {
-		t.Errorf("in %d of %d days the order is not held by all within a second", slow, days)
+		t.Errorf("in %d of %d runs not all processes have the table within a second", slow, days)
 	}
 }
 
-// The zone that fails holds two of five voters, the leader being one of them as often as not.
+// The zone that fails runs two of five voters, often the leader.
 func TestRun_failingZoneWithTwoOfFiveVoters(t *testing.T) {
-	hard(t, func(seed uint64) Scenario {
+	checkScenario(t, func(seed uint64) Scenario {
 		d := Baseline(seed)
 		d.Voters = 5 // of three zones: a and b have two each
 		d.Faults = []Fault{{Kind: ZoneCrash, At: 5 * time.Second, Duration: 8 * time.Second, Zone: "a", WarmsUp: true}}
@@ -74,9 +74,9 @@
 	}, leftInTime(5*time.Second, time.Second))
 }
 
-// A minority keeps serving and orders nothing: of three voters two are gone, and a zone fails.
+// A minority commits nothing, and the processes keep serving: two of three voters are down, and a zone fails.
 func TestRun_minorityCommitsNothing(t *testing.T) {
-	hard(t, func(seed uint64) Scenario {
+	checkScenario(t, func(seed uint64) Scenario {
 		d := Baseline(seed)
 		d.Faults = []Fault{{Kind: ProcessCrash, At: 4 * time.Second, Duration: 20 * time.Second, Process: "v1"},
 			{Kind: ProcessCrash, At: 4 * time.Second, Duration: 20 * time.Second, Process: "v2"},
@@ -93,8 +93,7 @@
 	})
 }
 
-// Two of five zones fail within two seconds: both are left. Three would be more than half: the
-// third is not.
+// Two of five zones fail within two seconds and are evacuated. A third would be more than half and is not.
 func TestRun_twoZonesFailWithinSeconds(t *testing.T) {
 	two := func(seed uint64) Scenario {
 		d := Baseline(seed)
@@ -103,13 +102,13 @@
 			{Kind: ZoneErrors, At: 7 * time.Second, Duration: 7 * time.Second, Zone: "d"}}
 		return d
 	}
-	hard(t, two, func(r Result) string {
+	checkScenario(t, two, func(r Result) string {
 		if r.Evacuations != 2 {
 			return "not both were left"
 		}
 		return ""
 	})
-	hard(t, func(seed uint64) Scenario {
+	checkScenario(t, func(seed uint64) Scenario {
 		d := two(seed)
 		d.Faults = append(d.Faults, Fault{Kind: ZoneErrors, At: 9 * time.Second, Duration: 5 * time.Second, Zone: "e"})
 		return d
@@ -121,9 +120,9 @@
 	})
 }
 
-// A zone fails again while it is re-entered: it is left again, and rests longer.
+// A zone fails again during its slow start: it is evacuated again, with a longer backoff.
 func TestRun_failureDuringSlowStart(t *testing.T) {
-	hard(t, func(seed uint64) Scenario {
+	checkScenario(t, func(seed uint64) Scenario {
 		d := Baseline(seed)
 		d.Length = 50 * time.Second
 		d.Faults = []Fault{{Kind: ZoneErrors, At: 5 * time.Second, Duration: 4 * time.Second, Zone: "b", WarmsUp: true},
@@ -137,11 +136,11 @@
 	})
 }
 
-// A node restarted, and all processes restarted, amid a ramp: it goes on from its step, and no
-// process sends more there than the step allows (held after every event). The restart waits for a step of the ramp.
+// A node, or all processes, restart during a slow start: it continues from its step, and no process sends more than
+// the step allows (checked after every event).
 func TestRun_restartsDuringSlowStart(t *testing.T) {
 	for _, again := range []Fault{{Kind: ProcessCrash, Duration: 300 * time.Millisecond, Process: "n4"}, {Kind: AllRestart}} {
-		hard(t, func(seed uint64) Scenario {
+		checkScenario(t, func(seed uint64) Scenario {
 			d := Baseline(seed)
 			d.Length = 45 * time.Second
 			again.At, again.DuringSlowStartOf = 10*time.Second, "b"
--- a/internal/node/zones/store/store_test.go
+++ b/internal/node/zones/store/store_test.go
@@ -48,8 +48,8 @@
 	return b.String()
 }
 
-// What is written is there at the next start, later entries replace those they follow, and
-// a snapshot takes the place of what it holds.
+// What was written is read at the next start; later entries replace those from their index on, and a snapshot replaces
+// the entries that it covers.
 func TestStore_Write_survivesReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, stored := opened(t, path)
@@ -79,7 +79,7 @@
 	s.Close()
 }
 
-// A start says what is wrong with a file, by its name.
+// Open returns an error that names the file and what is wrong with it.
 func TestOpen_rejectsBadFiles(t *testing.T) {
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good")
@@ -139,13 +139,13 @@
 			t.Errorf("%s: %v", c.path, err)
 		}
 	}
-	// Cut short anywhere it is an error, or what was stored; never a crash, never less.
+	// A truncated file gives an error or all that was stored; never a crash, never less.
 	for cut := 0; cut < len(text); cut += 509 {
 		path := spoil("cut", text[:cut], nil)
 		s, stored, err := Open(path, owner)
 		if err == nil {
 			if len(texts(stored)) != 9000 {
-				t.Errorf("cut at %d: less is kept, without a word", cut)
+				t.Errorf("cut at %d: less is read, without an error", cut)
 			}
 			s.Close()
 		}
@@ -158,8 +158,8 @@
 	one.Close()
 }
 
-// A write that is cut at any byte, as by a loss of power, leaves what was there before it,
-// or all of it: the library writes the new pages first and the page that names them last.
+// A write that is cut off at any byte, as by a loss of power, leaves the state before it or all of it: the library
+// writes the new pages first and the meta page last.
 func TestStore_Write_cutAnywhere(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, _ := opened(t, path)
@@ -220,11 +220,11 @@
 		}
 	}
 	if got := check(len(after)); got != "beforeafter" {
-		t.Errorf("whole: %q", got)
+		t.Errorf("complete: %q", got)
 	}
 }
 
-// A store that is full says so by its file's name, and loses nothing that it has taken.
+// A full store returns an error that names its file and loses nothing that was written.
 func TestStore_Write_fullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	maxFileBytes = 1 << 20
@@ -246,6 +246,6 @@
 	s, stored := opened(t, path)
 	defer s.Close()
 	if n := len(stored.Entries); uint64(n) != taken-1 || stored.Entries[n-1].Index != taken {
-		t.Errorf("%d entries are kept of those up to %d", n, taken)
+		t.Errorf("%d entries are stored of those up to %d", n, taken)
 	}
 }
