--- a/balance/api.go
+++ b/balance/api.go
@@ -25,9 +25,9 @@
 
 // The effects a class can have.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped by the workers of a group, for a while
-	Unsafe               // must never run twice
+	Idempotent    Effect = iota // may be repeated freely
+	Deduplicated                // repeats are dropped by the workers of a group, for a while
+	NonIdempotent               // must never run twice
 )
 
 // Group is the set of workers that drop each other's repeats of a keyed request.
@@ -40,22 +40,22 @@
 	GroupCell
 )
 
-// Order is the way a worker serves its queue.
-type Order uint8
+// QueueOrder is the way a worker serves its queue.
+type QueueOrder uint8
 
 // The queue orders.
 const (
-	FIFO Order = iota
+	FIFO QueueOrder = iota
 	Backfill
 	Priority
 )
 
-// Field is one value of a load report.
-type Field uint8
+// ReportField is one value of a load report.
+type ReportField uint8
 
 // The values a load report can hold. FieldOther stands for one not known.
 const (
-	FieldOther Field = iota
+	FieldOther ReportField = iota
 	FieldOutstanding
 	FieldBacklog
 	FieldUtilization
@@ -68,17 +68,17 @@
 
 // Class is what the settings say of one class of requests.
 type Class struct {
-	Aim       time.Duration // an answer inside it earns full worth
-	Stretch   float64       // extra time on the aim, as a multiple of the job's work
-	GiveUp    time.Duration
-	Worth     float64
-	LateWorth float64 // share of the worth after the aim
-	Effect    Effect
-	Group     Group         // for Keyed
-	Window    time.Duration // for Keyed, from the first attempt that may have run
-	Stream    bool
-	Kind      int // the worker kind it needs, or -1
-	Priority  int
+	LatencyTarget time.Duration // an answer inside it earns full worth
+	TargetStretch float64       // extra time on the aim, as a multiple of the job's work
+	Timeout       time.Duration
+	Value         float64
+	LateValue     float64 // share of the worth after the aim
+	Effect        Effect
+	Group         Group         // for Keyed
+	Window        time.Duration // for Keyed, from the first attempt that may have run
+	Stream        bool
+	Kind          int // the worker kind it needs, or -1
+	Priority      int
 }
 
 // Tenant is what the settings say of one tenant.
@@ -90,7 +90,7 @@
 // Limits is what the deployment permits.
 type Limits struct {
 	Cancel         bool
-	SecondCopies   bool
+	HedgedRequests bool
 	Probes         bool
 	Messages       bool
 	RetryAfter     bool
@@ -103,13 +103,13 @@
 
 // Rules holds the figures of the rules each dispatcher keeps alone.
 type Rules struct {
-	AnswerSlack  time.Duration
-	AskWithin    time.Duration
-	DrainGrace   time.Duration
-	ColdFrom     float64 // a worker starts at this part of its capacity or more
-	ColdTime     time.Duration
-	FallMultiple float64 // work past this multiple of present capacity, for OverloadFor, fells it
-	OverloadFor  time.Duration
+	AnswerSlack      time.Duration
+	SubscribeWithin  time.Duration
+	DrainGrace       time.Duration
+	InitialCapacity  float64 // a worker starts at this part of its capacity or more
+	WarmupTime       time.Duration
+	OverloadMultiple float64 // work past this multiple of present capacity, for OverloadFor, fells it
+	OverloadTime     time.Duration
 }
 
 // Costs are the prices the deployment puts on what a dispatcher does.
@@ -131,21 +131,21 @@
 	Classes    []Class
 	Tenants    []Tenant
 
-	AskDiscovery bool // the worker list must be subscribed to
-	ByWork       bool // worth counts for each unit of work
-	TellsStart   bool // workers say when a job starts
-	QueueOrder   Order
-	Report       []Field
-	ReportProbes bool // reports come only with probe results
+	SubscribeDiscovery bool // the worker list must be subscribed to
+	ValueByWork        bool // worth counts for each unit of work
+	ReportsStart       bool // workers say when a job starts
+	QueueOrder         QueueOrder
+	Report             []ReportField
+	ReportProbes       bool // reports come only with probe results
 
-	OverShareWorth float64
+	OverShareValue float64
 	Limits         Limits
 	Rules          Rules
 	Costs          Costs
 }
 
-// check names the first setting that no deployment can have.
-func (s *Settings) check() error {
+// validate names the first setting that no deployment can have.
+func (s *Settings) validate() error {
 	switch {
 	case s.Balancers < 1 || s.Ordinal < 0 || s.Ordinal >= s.Balancers:
 		return fmt.Errorf("settings: dispatcher %d of %d", s.Ordinal, s.Balancers)
@@ -153,23 +153,23 @@
 		return errors.New("settings: no class of requests")
 	case s.Limits.MaxAttempts < 1:
 		return fmt.Errorf("settings: at most %d attempts", s.Limits.MaxAttempts)
-	case s.Rules.ColdFrom < 0 || s.Rules.ColdFrom > 1 || s.Rules.FallMultiple < 0:
-		return fmt.Errorf("settings: cold share %v, fall multiple %v", s.Rules.ColdFrom, s.Rules.FallMultiple)
-	case s.Resolution < 0 || s.Rules.ColdTime < 0 || s.Rules.OverloadFor < 0:
+	case s.Rules.InitialCapacity < 0 || s.Rules.InitialCapacity > 1 || s.Rules.OverloadMultiple < 0:
+		return fmt.Errorf("settings: cold share %v, fall multiple %v", s.Rules.InitialCapacity, s.Rules.OverloadMultiple)
+	case s.Resolution < 0 || s.Rules.WarmupTime < 0 || s.Rules.OverloadTime < 0:
 		return errors.New("settings: a negative time")
 	}
 	for i, c := range s.Classes {
-		if c.Aim < 0 || c.GiveUp <= 0 || c.Worth < 0 || c.Stretch < 0 {
+		if c.LatencyTarget < 0 || c.Timeout <= 0 || c.Value < 0 || c.TargetStretch < 0 {
 			return fmt.Errorf("settings: class %d: aim %v, give-up %v, worth %v, stretch %v",
-				i, c.Aim, c.GiveUp, c.Worth, c.Stretch)
+				i, c.LatencyTarget, c.Timeout, c.Value, c.TargetStretch)
 		}
 	}
 	return nil
 }
 
-// read names a load report's values; those that it lacks are left out.
-func (s *Settings) read(report []float32) map[Field]float64 {
-	seen := map[Field]float64{}
+// parseReport names a load report's values; those that it lacks are left out.
+func (s *Settings) parseReport(report []float32) map[ReportField]float64 {
+	seen := map[ReportField]float64{}
 	for i, field := range s.Report {
 		if i < len(report) && !math.IsNaN(float64(report[i])) {
 			seen[field] = float64(report[i])
@@ -202,8 +202,8 @@
 	Gone
 )
 
-// Listing is one worker in a list update.
-type Listing struct {
+// WorkerListing is one worker in a list update.
+type WorkerListing struct {
 	Worker  WorkerID
 	Zone    int
 	Kind    int
@@ -217,7 +217,7 @@
 type ListUpdate struct {
 	Kind    ListKind
 	Version uint64
-	Workers []Listing
+	Workers []WorkerListing
 }
 
 // Request is a client's request to be answered.
@@ -264,8 +264,8 @@
 	Report  []float32 // ordered as Settings.Report; nil: none
 }
 
-// AttemptNews is news of a running attempt.
-type AttemptNews struct {
+// AttemptProgress is news of a running attempt.
+type AttemptProgress struct {
 	Request  RequestID
 	Attempt  int
 	Worker   WorkerID
@@ -281,17 +281,17 @@
 	Elapsed time.Duration
 }
 
-// RequestGone says that a request is over without this dispatcher's doing.
-type RequestGone struct{ Request RequestID }
+// RequestEnded says that a request is over without this dispatcher's doing.
+type RequestEnded struct{ Request RequestID }
 
-// Shortened says that a request is to be answered earlier than it was to be.
-type Shortened struct {
+// DeadlineShortened says that a request is to be answered earlier than it was to be.
+type DeadlineShortened struct {
 	Request  RequestID
 	Deadline time.Duration // clock time
 }
 
-// Try is an attempt as another process of this dispatcher made it.
-type Try struct {
+// PriorAttempt is an attempt as another process of this dispatcher made it.
+type PriorAttempt struct {
 	Worker  WorkerID
 	SentAt  time.Duration
 	Started time.Duration // when its start was told; 0: not yet
@@ -303,8 +303,8 @@
 // its attempts so far, in order.
 type Adopted struct {
 	Request
-	Arrived time.Duration
-	Tries   []Try
+	Arrived  time.Duration
+	Attempts []PriorAttempt
 }
 
 // TimerFired is a timer come due.
@@ -332,18 +332,18 @@
 	Payload []byte
 }
 
-func (ListUpdate) event()    {}
-func (Request) event()       {}
-func (AttemptDone) event()   {}
-func (AttemptNews) event()   {}
-func (StreamStarted) event() {}
-func (RequestGone) event()   {}
-func (Adopted) event()       {}
-func (Shortened) event()     {}
-func (TimerFired) event()    {}
-func (ProbeDone) event()     {}
-func (ZoneShares) event()    {}
-func (PeerMessage) event()   {}
+func (ListUpdate) event()        {}
+func (Request) event()           {}
+func (AttemptDone) event()       {}
+func (AttemptProgress) event()   {}
+func (StreamStarted) event()     {}
+func (RequestEnded) event()      {}
+func (Adopted) event()           {}
+func (DeadlineShortened) event() {}
+func (TimerFired) event()        {}
+func (ProbeDone) event()         {}
+func (ZoneShares) event()        {}
+func (PeerMessage) event()       {}
 
 // Action is something a dispatcher is to do.
 type Action interface{ action() }
@@ -355,8 +355,8 @@
 	Until   time.Duration // clock time to give the attempt up; 0: the request's deadline
 }
 
-// Refuse is a final answer that tells the client a retry is harmless.
-type Refuse struct {
+// Reject is a final answer that tells the client a retry is harmless.
+type Reject struct {
 	Request    RequestID
 	RetryAfter time.Duration // 0: no advice
 }
@@ -379,8 +379,8 @@
 // Probe asks a worker for a report.
 type Probe struct{ Worker WorkerID }
 
-// Tell sends a message to a peer, or to all with To < 0.
-type Tell struct {
+// SendToPeers sends a message to a peer, or to all with To < 0.
+type SendToPeers struct {
 	To      int
 	Payload []byte
 }
@@ -397,18 +397,18 @@
 // FetchList asks for the whole worker list once.
 type FetchList struct{}
 
-// Fault declares the decisions broken.
-type Fault struct{ Text string }
-
-func (Send) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (Tell) action()      {}
-func (CloseIdle) action() {}
-func (Log) action()       {}
-func (Subscribe) action() {}
-func (FetchList) action() {}
-func (Fault) action()     {}
+// InternalError declares the decisions broken.
+type InternalError struct{ Text string }
+
+func (Send) action()          {}
+func (Reject) action()        {}
+func (Fail) action()          {}
+func (Cancel) action()        {}
+func (SetTimer) action()      {}
+func (Probe) action()         {}
+func (SendToPeers) action()   {}
+func (CloseIdle) action()     {}
+func (Log) action()           {}
+func (Subscribe) action()     {}
+func (FetchList) action()     {}
+func (InternalError) action() {}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -44,11 +44,11 @@
 )
 
 func newTier(n int, mean time.Duration, hints bool, seed uint64) *tier {
-	s := Settings{Balancers: n, Resolution: 2 * time.Millisecond, TellsStart: true, Report: []Field{FieldFreeSlots, FieldBacklog},
-		Classes: []Class{{Aim: mean / 2, Stretch: 2, GiveUp: 20 * time.Second, Worth: 1, Kind: -1}},
-		Limits:  Limits{MaxAttempts: 4, Cancel: true, SecondCopies: true},
-		Rules: Rules{AnswerSlack: 8 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdFrom: 0.2, ColdTime: 20 * time.Second,
-			FallMultiple: 4, OverloadFor: 3 * time.Second}}
+	s := Settings{Balancers: n, Resolution: 2 * time.Millisecond, ReportsStart: true, Report: []ReportField{FieldFreeSlots, FieldBacklog},
+		Classes: []Class{{LatencyTarget: mean / 2, TargetStretch: 2, Timeout: 20 * time.Second, Value: 1, Kind: -1}},
+		Limits:  Limits{MaxAttempts: 4, Cancel: true, HedgedRequests: true},
+		Rules: Rules{AnswerSlack: 8 * time.Millisecond, DrainGrace: 300 * time.Millisecond, InitialCapacity: 0.2, WarmupTime: 20 * time.Second,
+			OverloadMultiple: 4, OverloadTime: 3 * time.Second}}
 	return &tier{s: s, rng: rand.New(rand.NewPCG(seed, 7)), seeds: seed << 20, mean: mean, hints: hints, all: make([]*Balancer, n)}
 }
 
@@ -74,9 +74,9 @@
 }
 
 func (w *tier) list(cold bool) ListUpdate {
-	up := ListUpdate{Kind: ListFull, Workers: []Listing{{Worker: warmOne, State: Ready}}}
+	up := ListUpdate{Kind: ListFull, Workers: []WorkerListing{{Worker: warmOne, State: Ready}}}
 	if cold {
-		up.Workers = append(up.Workers, Listing{Worker: coldOneID, Kind: 1, State: Ready, Started: coldSince})
+		up.Workers = append(up.Workers, WorkerListing{Worker: coldOneID, Kind: 1, State: Ready, Started: coldSince})
 	}
 	return up
 }
@@ -105,7 +105,7 @@
 	} else {
 		wait, report = 2*time.Second, []float32{0, 6}
 	}
-	w.after(wait, func() { w.give(b, AttemptNews{Request: a.Request, Attempt: at, Worker: a.Worker, Started: true}) })
+	w.after(wait, func() { w.give(b, AttemptProgress{Request: a.Request, Attempt: at, Worker: a.Worker, Started: true}) })
 	w.after(wait+work, func() {
 		w.give(b, AttemptDone{Request: a.Request, Attempt: at, Worker: a.Worker, Outcome: Served, Elapsed: wait + work, Over: true, Report: report})
 	})
@@ -113,7 +113,7 @@
 
 func (w *tier) request(i int) {
 	w.requests++
-	r := Request{ID: w.requests, Slots: 1, Deadline: w.now + w.s.Classes[0].GiveUp}
+	r := Request{ID: w.requests, Slots: 1, Deadline: w.now + w.s.Classes[0].Timeout}
 	if w.hints {
 		r.Cost, r.HasCost = time.Duration(w.rng.ExpFloat64()*float64(w.mean))+time.Millisecond, true
 	}
@@ -142,20 +142,20 @@
 func (w *tier) most() (most, use float64) {
 	r := w.s.Rules
 	budget := func(at time.Duration) float64 {
-		part := r.ColdFrom + (1-r.ColdFrom)*(at-coldSince).Seconds()/r.ColdTime.Seconds()
-		return r.FallMultiple * part * tierSlots * r.OverloadFor.Seconds() / w.mean.Seconds()
+		part := r.InitialCapacity + (1-r.InitialCapacity)*(at-coldSince).Seconds()/r.WarmupTime.Seconds()
+		return r.OverloadMultiple * part * tierSlots * r.OverloadTime.Seconds() / w.mean.Seconds()
 	}
 	for i, first := range w.sent {
 		sum := 0.0
 		for _, s := range w.sent[i:] {
-			if s.at > first.at+r.OverloadFor {
+			if s.at > first.at+r.OverloadTime {
 				break
 			}
 			sum += s.work / w.mean.Seconds()
 		}
 		n := budget(first.at)
 		most = max(most, sum/(n+2*math.Sqrt(n)+2))
-		use += first.work / w.mean.Seconds() / (budget(first.at) / r.OverloadFor.Seconds()) / (coldUntil - coldSince).Seconds()
+		use += first.work / w.mean.Seconds() / (budget(first.at) / r.OverloadTime.Seconds()) / (coldUntil - coldSince).Seconds()
 	}
 	return most, use
 }
@@ -202,7 +202,7 @@
 	return func(w *tier) {
 		w.after(at, func() {
 			for i, b := range w.all {
-				w.give(b, ListUpdate{Kind: ListChanges, Workers: []Listing{{Worker: warmOne, State: Draining}}})
+				w.give(b, ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: warmOne, State: Draining}}})
 				w.request(i)
 			}
 		})
@@ -228,7 +228,7 @@
 
 // What many dispatchers together send a cold worker stays under what fells it beyond chance, in any window, on
 // days made for them to be over it together. With a budget ten times as large it does not.
-func TestColdOneUnderManyDispatchers(t *testing.T) {
+func TestBalancer_warmupBudgetUnderManyDispatchers(t *testing.T) {
 	for _, n := range []int{1, 20, 30, 300} {
 		for _, work := range []time.Duration{600 * time.Millisecond, 2 * time.Second} {
 			t.Run(fmt.Sprintf("%d, %v", n, work), func(t *testing.T) {
@@ -246,9 +246,9 @@
 						}
 					}
 					w := newTier(n, work, false, 1)
-					w.s.Rules.FallMultiple *= 10
+					w.s.Rules.OverloadMultiple *= 10
 					w.play(coldDays[name], 0)
-					w.s.Rules.FallMultiple /= 10
+					w.s.Rules.OverloadMultiple /= 10
 					most, _ := w.most()
 					over = max(over, most)
 				}
--- a/balance/compatibility_test.go
+++ b/balance/compatibility_test.go
@@ -17,15 +17,15 @@
 // newCompatible returns a dispatcher over two workers.
 func newCompatible(t *testing.T) *balance.Balancer {
 	t.Helper()
-	class := balance.Class{Aim: time.Second, GiveUp: 4 * time.Second, Worth: 1, Kind: -1}
+	class := balance.Class{LatencyTarget: time.Second, Timeout: 4 * time.Second, Value: 1, Kind: -1}
 	b, err := balance.New(balance.Settings{
-		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class}, Report: []balance.Field{balance.FieldFreeSlots},
+		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class}, Report: []balance.ReportField{balance.FieldFreeSlots},
 		Limits: balance.Limits{MaxAttempts: 2},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	workers := []balance.Listing{{Worker: 1}, {Worker: 3, Kind: 1}}
+	workers := []balance.WorkerListing{{Worker: 1}, {Worker: 3, Kind: 1}}
 	b.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull, Version: 1, Workers: workers})
 	return b
 }
@@ -46,10 +46,10 @@
 // The order of a row's tables is that of maps, so the words are compared without it.
 func TestRecall_readsVersion8782861(t *testing.T) {
 	row, taken := readRow(t), newCompatible(t)
-	if err := taken.Recall(2*time.Hour, slices.Clone(row)); err != nil {
+	if err := taken.ImportState(2*time.Hour, slices.Clone(row)); err != nil {
 		t.Fatal(err)
 	}
-	if again := taken.Learned(); !slices.Equal(slices.Sorted(slices.Values(again)), slices.Sorted(slices.Values(row))) {
+	if again := taken.ExportState(); !slices.Equal(slices.Sorted(slices.Values(again)), slices.Sorted(slices.Values(row))) {
 		t.Errorf("what was recalled is %v, the fixture %v", again, row)
 	}
 }
--- a/balance/copy_test.go
+++ b/balance/copy_test.go
@@ -9,14 +9,14 @@
 // while. It returns what it did, and itself.
 func waiting(t *testing.T, effect Effect) (*stream, []Send) {
 	s := ruleSettings(0)
-	s.Balancers, s.Limits.SecondCopies, s.Limits.Messages = 1, true, false
+	s.Balancers, s.Limits.HedgedRequests, s.Limits.Messages = 1, true, false
 	s.Classes = s.Classes[:1]
 	s.Classes[0].Effect = effect
 	st := &stream{b: balancer(t, s, 1), c: newChecker(s), now: time.Hour}
 	st.give(listOf(ListFull, 3))
 	st.give(Request{ID: 1, HasCost: true, Cost: 200 * time.Millisecond, Slots: 1, Deadline: st.now + 4*time.Second})
 	began := st.now
-	for ; st.now < began+2*startSoon; st.now += 5 * time.Millisecond {
+	for ; st.now < began+2*hedgeDelay; st.now += 5 * time.Millisecond {
 		st.fire()
 	}
 	var sends []Send
@@ -30,13 +30,13 @@
 
 // What has not been told to start soon waits in a queue: where it may run twice, a copy goes elsewhere,
 // and the one that starts first has the other called off.
-func TestCopiesWhatWaits(t *testing.T) {
-	st, sends := waiting(t, Safe)
+func TestBalancer_hedge_whatWaitsInQueue(t *testing.T) {
+	st, sends := waiting(t, Idempotent)
 	if len(sends) != 2 || sends[0].Worker == sends[1].Worker {
 		t.Fatalf("%+v", sends)
 	}
 	before := len(st.trace)
-	st.give(AttemptNews{Request: 1, Attempt: 1, Worker: sends[1].Worker, Started: true})
+	st.give(AttemptProgress{Request: 1, Attempt: 1, Worker: sends[1].Worker, Started: true})
 	called := false
 	for _, a := range st.trace[before:] {
 		if c, ok := a.(Cancel); ok && c.Attempt == 0 {
@@ -48,20 +48,20 @@
 	if !called {
 		t.Error("what waits was not called off")
 	}
-	if _, sends := waiting(t, Unsafe); len(sends) != 1 {
+	if _, sends := waiting(t, NonIdempotent); len(sends) != 1 {
 		t.Errorf("a job that must not run twice was sent %d times", len(sends))
 	}
 }
 
 // Free slots beside a queue that is served in order are kept for its head.
-func TestQueueInOrderLeavesNoRoom(t *testing.T) {
-	for _, order := range []Order{FIFO, Backfill} {
+func TestFleet_queuedSlots_fifoHasNoRoom(t *testing.T) {
+	for _, order := range []QueueOrder{FIFO, Backfill} {
 		s := ruleSettings(0)
 		s.QueueOrder = order
 		b := balancer(t, s, 1)
 		b.Handle(0, listOf(ListFull, 1))
-		w := b.fleet.list[0]
-		b.fleet.report(0, w, []float32{3, 1.01}) // free slots, waiting
+		w := b.fleet.workers[0]
+		b.fleet.recordReport(0, w, []float32{3, 1.01}) // free slots, waiting
 		if room := b.fleet.freeSlots(0, w, 1) > 0; room == (order == FIFO) {
 			t.Errorf("order %d: %.1f slots free", order, b.fleet.freeSlots(0, w, 1))
 		}
@@ -69,13 +69,13 @@
 }
 
 // A wait costs most where it makes the job late.
-func TestChanceOfBeingLate(t *testing.T) {
+func TestBalancer_forecast_lateProbability(t *testing.T) {
 	b := balancer(t, ruleSettings(0), 1)
 	b.Handle(0, listOf(ListFull, 1))
-	b.fleet.report(0, b.fleet.list[0], []float32{0, 2})
-	b.fleet.list[0].heardAt = 1
+	b.fleet.recordReport(0, b.fleet.workers[0], []float32{0, 2})
+	b.fleet.workers[0].lastSeenAt = 1
 	r := &request{class: &b.settings.Classes[0], job: job{size: 1, slots: 1}, Request: Request{Slots: 1}}
-	total := func(left float64) float64 { return b.forecast(0, r, b.fleet.list[0], 1, 5, left).total }
+	total := func(left float64) float64 { return b.forecast(0, r, b.fleet.workers[0], 1, 5, left).total }
 	if never, maybe, surely := total(1e6), total(1.5), total(0.1); never >= maybe || maybe >= surely || surely-never < 4.9 {
 		t.Errorf("totals %.2f, %.2f and %.2f with ever less time left", never, maybe, surely)
 	}
--- a/balance/estimate_test.go
+++ b/balance/estimate_test.go
@@ -18,28 +18,28 @@
 }
 
 func fresh() *profile {
-	p := &profile{life: life}
-	p.forget()
+	p := &profile{sampleLifetime: life}
+	p.reset()
 	return p
 }
 
-func TestEmptyWindowTakesTheOthers(t *testing.T) {
+func TestEstimator_emptyWindowUsesPooled(t *testing.T) {
 	e := newEstimator(1)
 	j := job{size: 0.1, bucket: 1, slots: 1}
 	slow, unseen := fresh(), fresh()
 	for range 40 {
 		e.learnProcess(0, slow, 3, j, 2, 4, 0, 0.2)
 		slow.transfer.Add(0, e.sizeOf(j), 0.01, windowLen)
-		stats.Of(e.transfer, 1).Add(0.01, poolSamples)
+		stats.Of(e.transfer, 1).Add(0.01, pooledSamples)
 	}
 	near(t, "processing of its kind", e.processAt(0, unseen, 3, j, 2, 4), 0.2, 0.02)
 	near(t, "transfer of its zone", e.transferTo(0, unseen, 1, j), 0.01, 1e-9)
-	e.wait = map[int]*stats.Pooled{} // nobody has waited yet
+	e.queueWait = map[int]*stats.Pooled{} // nobody has waited yet
 	near(t, "wait for the slots that lack", e.waitAt(j, -3, 4), 4*e.run.Or(0, 0)/4, 0.01)
 	near(t, "wait where slots are free", e.waitAt(j, 5, 4), 0, 0.01)
 }
 
-func TestTransferFollowsSize(t *testing.T) {
+func TestEstimator_transferTo_followsSize(t *testing.T) {
 	e, p := newEstimator(1), fresh()
 	for i := 1; i <= 6; i++ {
 		size := float64(i) / 10
@@ -48,7 +48,7 @@
 	near(t, "transfer at 0.35", e.transferTo(0, p, 0, job{size: 0.35}), 0.0045, 1e-6)
 }
 
-func TestProcessingFallsWithFreeSlots(t *testing.T) {
+func TestEstimator_processAt_fallsWithFreeSlots(t *testing.T) {
 	e, p := newEstimator(1), fresh()
 	j := job{size: 0.1, bucket: 1, slots: 1}
 	for i := range 20 {
@@ -60,7 +60,7 @@
 	near(t, "idle", idle, 0.1, 0.03)
 }
 
-func TestSizeWithoutHintIsTheClassMean(t *testing.T) {
+func TestEstimator_sizeOf_classMeanWithoutHint(t *testing.T) {
 	e, p := newEstimator(2), fresh()
 	for range 50 {
 		e.learnProcess(0, p, 0, job{class: 1, slots: 1}, 4, 4, 0, 0.4)
@@ -68,7 +68,7 @@
 	near(t, "predicted", e.processAt(0, p, 0, job{class: 1, slots: 1}, 4, 4), 0.4, 0.08)
 }
 
-func TestBucketsFollowTheHint(t *testing.T) {
+func TestBucketOf_followsHint(t *testing.T) {
 	if bucketOf(time.Second, false) != 0 || bucketOf(0, true) != 0 {
 		t.Error("no hint wants the one bucket 0")
 	}
@@ -80,7 +80,7 @@
 
 // Without hints a job's size and a worker's pace are known only as a product;
 // they once drifted apart, which tightened every aim and refused good jobs.
-func TestSizeDoesNotDriftWithoutHints(t *testing.T) {
+func TestEstimator_sizeOf_noDriftWithoutHints(t *testing.T) {
 	e := newEstimator(1)
 	fast, slow := fresh(), fresh()
 	j := job{slots: 1}
@@ -97,7 +97,7 @@
 
 // A first job of no measurable time once made every prediction NaN, and the
 // dispatcher held all its requests to their deadlines.
-func TestJobOfNoTime(t *testing.T) {
+func TestEstimator_learnProcess_zeroRunTime(t *testing.T) {
 	e, p := newEstimator(1), fresh()
 	j := job{slots: 1}
 	e.learnProcess(0, p, 0, j, 4, 4, 0, 0)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -12,8 +12,8 @@
 	settings := balance.Settings{
 		Balancers:  1,
 		Resolution: time.Millisecond,
-		Classes: []balance.Class{{Aim: 200 * time.Millisecond, GiveUp: time.Second, Worth: 1,
-			Effect: balance.Unsafe, Kind: -1}},
+		Classes: []balance.Class{{LatencyTarget: 200 * time.Millisecond, Timeout: time.Second, Value: 1,
+			Effect: balance.NonIdempotent, Kind: -1}},
 		Limits: balance.Limits{MaxAttempts: 1},
 	}
 	b, err := balance.New(settings, 1)
@@ -22,7 +22,7 @@
 		return
 	}
 	events := []balance.Event{
-		balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.Listing{{Worker: 7}}},
+		balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.WorkerListing{{Worker: 7}}},
 		balance.Request{ID: 1, Slots: 1, Deadline: time.Second},
 		balance.AttemptDone{Request: 1, Worker: 7, Outcome: balance.Full, Elapsed: 2 * time.Millisecond},
 	}
@@ -34,5 +34,5 @@
 	// Output:
 	// balance.SetTimer{After:996ms Token:1}
 	// balance.Send{Request:1 Worker:7 Until:0s}
-	// balance.Refuse{Request:1 RetryAfter:0s}
+	// balance.Reject{Request:1 RetryAfter:0s}
 }
--- a/balance/homes_test.go
+++ b/balance/homes_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// keyed sends requests of a key, one after the other, through dispatchers that share nothing, and returns how many each
+// keyedRequest sends requests of a key, one after the other, through dispatchers that share nothing, and returns how many each
 // worker got. After each, served tells whether it has ended by the next.
-func keyed(t *testing.T, dispatchers, requests int, key func(i int) uint64, served bool) map[WorkerID]int {
+func keyedRequest(t *testing.T, dispatchers, requests int, key func(i int) uint64, served bool) map[WorkerID]int {
 	t.Helper()
 	s := ruleSettings(0)
 	s.Limits.Probes = false
@@ -27,7 +27,7 @@
 			if send, ok := a.(Send); ok {
 				got[send.Worker]++
 				if served {
-					st.give(AttemptNews{Request: id, Worker: send.Worker, Started: true})
+					st.give(AttemptProgress{Request: id, Worker: send.Worker, Started: true})
 					st.now += 100 * time.Millisecond
 					st.give(AttemptDone{Request: id, Worker: send.Worker, Outcome: Served, Elapsed: 100 * time.Millisecond, Over: true})
 				}
@@ -39,10 +39,10 @@
 
 // Dispatchers that never speak send a key's requests to the same few workers, and other keys' to others. Without
 // that each worker would fetch every key's data from the store which all share.
-func TestRequestsOfAKeyGoTogether(t *testing.T) {
+func TestHomes_requestsOfOneKeyGoTogether(t *testing.T) {
 	homes := map[WorkerID]bool{}
 	for key := range uint64(30) {
-		got, most := keyed(t, 40, 40, func(int) uint64 { return key + 1 }, true), 0
+		got, most := keyedRequest(t, 40, 40, func(int) uint64 { return key + 1 }, true), 0
 		for id, n := range got {
 			if n > most {
 				most, homes[id] = n, true
@@ -58,8 +58,8 @@
 }
 
 // A key that most requests have gets as many homes as that share needs; one worker would have all of them in its queue.
-func TestAHotKeyHasManyHomes(t *testing.T) {
-	hot := keyed(t, 1, 600, func(i int) uint64 {
+func TestHomes_hotKeyHasManyHomes(t *testing.T) {
+	hot := keyedRequest(t, 1, 600, func(i int) uint64 {
 		if i%2 == 0 {
 			return 1
 		}
@@ -77,16 +77,16 @@
 
 // What overflows goes on along the key's own order, the same for all: the next home is busy with it too, but
 // keeps its data.
-func TestOverflowIsTheSameForAll(t *testing.T) {
-	got := keyed(t, 10, 60, func(int) uint64 { return 9 }, false)
+func TestHomes_overflowOrderIsShared(t *testing.T) {
+	got := keyedRequest(t, 10, 60, func(int) uint64 { return 9 }, false)
 	if len(got) < 2 || len(got) > 8 {
 		t.Errorf("six of each of ten dispatchers, none ended, went to %d workers: %v", len(got), got)
 	}
 }
 
 // Without keys nothing is drawn to anywhere.
-func TestNoKeyNoHome(t *testing.T) {
-	if got := keyed(t, 40, 40, func(int) uint64 { return 0 }, true); len(got) < 12 {
+func TestHomes_noneWithoutKey(t *testing.T) {
+	if got := keyedRequest(t, 40, 40, func(int) uint64 { return 0 }, true); len(got) < 12 {
 		t.Errorf("40 requests without a key went to %d workers", len(got))
 	}
 }
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -11,34 +11,34 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// lesson is a dispatcher over workers that a test has jobs done by.
-type lesson struct {
+// stateFixture is a dispatcher over workers that a test has jobs done by.
+type stateFixture struct {
 	*Balancer
 	now time.Duration
 	id  RequestID
 }
 
-func learn(t testing.TB, workers ...Listing) *lesson {
+func learn(t testing.TB, workers ...WorkerListing) *stateFixture {
 	t.Helper()
-	c := Class{Aim: time.Second, GiveUp: 4 * time.Second, Worth: 1, Kind: -1}
+	c := Class{LatencyTarget: time.Second, Timeout: 4 * time.Second, Value: 1, Kind: -1}
 	once := c
-	once.Effect = Unsafe
+	once.Effect = NonIdempotent
 	b, err := New(Settings{Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []Class{c, once},
-		Report: []Field{FieldFreeSlots}, Limits: Limits{MaxAttempts: 2}}, 1)
+		Report: []ReportField{FieldFreeSlots}, Limits: Limits{MaxAttempts: 2}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &lesson{Balancer: b, now: time.Hour}
+	l := &stateFixture{Balancer: b, now: time.Hour}
 	l.list(workers...)
 	return l
 }
 
-func (l *lesson) list(workers ...Listing) {
+func (l *stateFixture) list(workers ...WorkerListing) {
 	l.Handle(l.now, ListUpdate{Kind: ListFull, Version: 1, Workers: workers})
 }
 
 // ask sends one request and returns where it went. took, where given, ends it too.
-func (l *lesson) ask(took func(WorkerID) time.Duration) (to WorkerID) {
+func (l *stateFixture) ask(took func(WorkerID) time.Duration) (to WorkerID) {
 	l.id++
 	cost := time.Duration(1+l.id%7) * 10 * time.Millisecond
 	for _, a := range l.Handle(l.now, Request{ID: l.id, Cost: cost, HasCost: true, Deadline: l.now + 4*time.Second}) {
@@ -53,16 +53,16 @@
 	return to
 }
 
-func uneven(to WorkerID) time.Duration { return time.Duration(to) * 20 * time.Millisecond }
+func unevenWorkers(to WorkerID) time.Duration { return time.Duration(to) * 20 * time.Millisecond }
 
 // A worker that has been restarted gets a job soon, though the others are known
 // and idle, and is not preferred any more before it has been heard of.
-func TestRestartedWorkerGetsAFirstJob(t *testing.T) {
-	l := learn(t, Listing{Worker: 1}, Listing{Worker: 2}, Listing{Worker: 9})
+func TestBalancer_restartedWorkerGetsFirstJob(t *testing.T) {
+	l := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 2}, WorkerListing{Worker: 9})
 	for range 200 {
-		l.ask(uneven)
+		l.ask(unevenWorkers)
 	}
-	l.list(Listing{Worker: 1}, Listing{Worker: 2}, Listing{Worker: 9, Started: l.now})
+	l.list(WorkerListing{Worker: 1}, WorkerListing{Worker: 2}, WorkerListing{Worker: 9, Started: l.now})
 	if to := l.ask(nil); to != 9 {
 		t.Errorf("the first job after the restart went to %d", to)
 	}
@@ -75,24 +75,24 @@
 
 // A dispatcher that takes up what another has learned predicts as that one does. A
 // row that is cut or changed is refused whole, or read; it breaks nothing.
-func TestRecall(t *testing.T) {
-	old := learn(t, Listing{Worker: 1}, Listing{Worker: 3, Kind: 1})
+func TestBalancer_ImportState(t *testing.T) {
+	old := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 3, Kind: 1})
 	for range 200 {
-		old.ask(uneven)
+		old.ask(unevenWorkers)
 	}
-	next := learn(t, Listing{Worker: 1}, Listing{Worker: 3, Kind: 1})
+	next := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 3, Kind: 1})
 	differ := func() bool {
 		r := &request{Request: Request{Slots: 1}, class: &old.settings.Classes[0], job: job{bucket: 3, size: 0.05, slots: 1}}
 		far := 0.0
 		for id := range old.fleet.byID {
-			a := old.forecast(old.now, r, old.fleet.byID[id], old.est.run.Or(0, 0), 1, 1)
-			b := next.forecast(old.now, r, next.fleet.byID[id], next.est.run.Or(0, 0), 1, 1)
+			a := old.forecast(old.now, r, old.fleet.byID[id], old.estimator.run.Or(0, 0), 1, 1)
+			b := next.forecast(old.now, r, next.fleet.byID[id], next.estimator.run.Or(0, 0), 1, 1)
 			far += math.Abs(a.total-b.total) + math.Abs(a.delay-b.delay) + math.Abs(a.full-b.full)
 		}
 		return far > 1e-9
 	}
-	row, before := old.Learned(), differ()
-	if err := next.Recall(old.now, row); err != nil || !before || differ() {
+	row, before := old.ExportState(), differ()
+	if err := next.ImportState(old.now, row); err != nil || !before || differ() {
 		t.Errorf("%v; other predictions before %v, after %v", err, before, differ())
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,9 +103,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Handle(old.now, ListUpdate{Kind: ListFull, Workers: []Listing{{Worker: 1}}})
-		err = next.Recall(old.now, spoilt)
-		if (err != nil || len(spoilt) < len(row)) && next.est.run.N != 0 {
+		next.Handle(old.now, ListUpdate{Kind: ListFull, Workers: []WorkerListing{{Worker: 1}}})
+		err = next.ImportState(old.now, spoilt)
+		if (err != nil || len(spoilt) < len(row)) && next.estimator.run.N != 0 {
 			t.Fatalf("taken up in part: %v", err)
 		}
 		next.Handle(old.now, Request{ID: 1, Deadline: old.now + time.Second})
@@ -115,22 +115,22 @@
 // A request taken over keeps its attempts: what may have run and must not run twice
 // is not sent again, and its worker is not free; one at a worker that is not listed
 // ends as it ends.
-func TestAdopted(t *testing.T) {
-	l := learn(t, Listing{Worker: 1}, Listing{Worker: 2})
-	take := func(id RequestID, tries ...Try) {
-		l.Handle(l.now, Adopted{Request: Request{ID: id, Class: 1, Deadline: l.now + 4*time.Second}, Tries: tries})
+func TestBalancer_Handle_adopted(t *testing.T) {
+	l := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 2})
+	take := func(id RequestID, tries ...PriorAttempt) {
+		l.Handle(l.now, Adopted{Request: Request{ID: id, Class: 1, Deadline: l.now + 4*time.Second}, Attempts: tries})
 	}
-	take(9, Try{Worker: 1}, Try{Worker: 2, Out: true, MayHave: true})
-	if w := l.fleet.byID[2]; w.unfinished != 1 || l.out != 1 {
-		t.Errorf("%v slots out at the worker, %d in all", w.unfinished, l.out)
+	take(9, PriorAttempt{Worker: 1}, PriorAttempt{Worker: 2, Out: true, MayHave: true})
+	if w := l.fleet.byID[2]; w.inFlightSlots != 1 || l.inFlight != 1 {
+		t.Errorf("%v slots out at the worker, %d in all", w.inFlightSlots, l.inFlight)
 	}
 	acts := l.Handle(l.now, AttemptDone{Request: 9, Attempt: 1, Worker: 2, Outcome: Reset})
 	if len(acts) != 1 || acts[0] != (Fail{Request: 9}) {
 		t.Errorf("after it may have run: %v", acts)
 	}
-	take(10, Try{Worker: 77, Out: true, MayHave: true})
+	take(10, PriorAttempt{Worker: 77, Out: true, MayHave: true})
 	l.Handle(l.now, AttemptDone{Request: 10, Worker: 77, Outcome: Served, Over: true})
-	if l.out != 0 || len(l.requests) != 0 {
-		t.Errorf("%d out, %d requests left", l.out, len(l.requests))
+	if l.inFlight != 0 || len(l.requests) != 0 {
+		t.Errorf("%d out, %d requests left", l.inFlight, len(l.requests))
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -14,17 +14,17 @@
 // ruleSettings is a deployment with a class of each effect and group.
 func ruleSettings(ordinal int) Settings {
 	class := func(e Effect, g Group) Class {
-		return Class{Aim: 300 * time.Millisecond, Stretch: 2, GiveUp: 4 * time.Second, Worth: 1, Effect: e, Group: g,
+		return Class{LatencyTarget: 300 * time.Millisecond, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Group: g,
 			Window: 2 * time.Second, Kind: -1}
 	}
-	return Settings{Balancers: 4, Ordinal: ordinal, Resolution: 5 * time.Millisecond, TellsStart: true,
-		Classes: []Class{class(Safe, GroupAll), class(Keyed, GroupAll), class(Keyed, GroupZone),
-			class(Keyed, GroupCell), class(Unsafe, GroupAll)},
-		Report: []Field{FieldFreeSlots, FieldBacklog},
+	return Settings{Balancers: 4, Ordinal: ordinal, Resolution: 5 * time.Millisecond, ReportsStart: true,
+		Classes: []Class{class(Idempotent, GroupAll), class(Deduplicated, GroupAll), class(Deduplicated, GroupZone),
+			class(Deduplicated, GroupCell), class(NonIdempotent, GroupAll)},
+		Report: []ReportField{FieldFreeSlots, FieldBacklog},
 		Limits: Limits{MaxAttempts: 4, Cancel: true, Messages: true},
-		Rules: Rules{AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second,
-			DrainGrace: 250 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, FallMultiple: 3,
-			OverloadFor: 2 * time.Second}}
+		Rules: Rules{AnswerSlack: 20 * time.Millisecond, SubscribeWithin: 10 * time.Second,
+			DrainGrace: 250 * time.Millisecond, InitialCapacity: 0.3, WarmupTime: 8 * time.Second, OverloadMultiple: 3,
+			OverloadTime: 2 * time.Second}}
 }
 
 func balancer(t *testing.T, s Settings, seed uint64) *Balancer {
@@ -36,8 +36,8 @@
 	return b
 }
 
-func listing(id WorkerID) Listing {
-	return Listing{Worker: id, Zone: int(id % 2), Cell: int(id % 4), State: Ready, Scale: 4}
+func listing(id WorkerID) WorkerListing {
+	return WorkerListing{Worker: id, Zone: int(id % 2), Cell: int(id % 4), State: Ready, Scale: 4}
 }
 
 func listOf(kind ListKind, n int) ListUpdate {
@@ -68,12 +68,12 @@
 type checker struct {
 	s        Settings
 	requests map[RequestID]*watched
-	listed   map[WorkerID]Listing
+	listed   map[WorkerID]WorkerListing
 	bad      []string
 }
 
 func newChecker(s Settings) *checker {
-	return &checker{s: s, requests: map[RequestID]*watched{}, listed: map[WorkerID]Listing{}}
+	return &checker{s: s, requests: map[RequestID]*watched{}, listed: map[WorkerID]WorkerListing{}}
 }
 
 func (c *checker) fault(format string, args ...any) {
@@ -97,7 +97,7 @@
 		a.out, a.outcome = false, ev.Outcome
 		a.proved = ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
 		w.over = w.over || ev.Over
-	case RequestGone:
+	case RequestEnded:
 		c.requests[ev.Request].over = true
 	}
 }
@@ -106,10 +106,10 @@
 	switch a := a.(type) {
 	case Send:
 		c.send(now, a)
-	case Refuse:
+	case Reject:
 		w := c.requests[a.Request]
 		cl := c.s.Classes[w.req.Class]
-		if cl.Effect == Unsafe || cl.Effect == Keyed && cl.Group != GroupAll {
+		if cl.Effect == NonIdempotent || cl.Effect == Deduplicated && cl.Group != GroupAll {
 			for _, at := range w.attempts {
 				if !at.proved {
 					c.fault("rule 2: request %d refused though it may have run", a.Request)
@@ -143,7 +143,7 @@
 	}
 	cl := c.s.Classes[w.req.Class]
 	for _, at := range w.attempts {
-		if at.out && !c.s.Limits.SecondCopies {
+		if at.out && !c.s.Limits.HedgedRequests {
 			c.fault("rule 2: request %d out twice", a.Request)
 		}
 		if at.proved {
@@ -151,12 +151,12 @@
 		}
 		first := listing(at.worker)
 		switch {
-		case cl.Effect == Unsafe:
+		case cl.Effect == NonIdempotent:
 			c.fault("rule 2: unsafe request %d sent again", a.Request)
-		case cl.Effect == Keyed && now > at.sentAt+cl.Window:
+		case cl.Effect == Deduplicated && now > at.sentAt+cl.Window:
 			c.fault("rule 2: keyed request %d sent past its window", a.Request)
-		case cl.Effect == Keyed && cl.Group == GroupZone && l.Zone != first.Zone,
-			cl.Effect == Keyed && cl.Group == GroupCell && l.Cell != first.Cell:
+		case cl.Effect == Deduplicated && cl.Group == GroupZone && l.Zone != first.Zone,
+			cl.Effect == Deduplicated && cl.Group == GroupCell && l.Cell != first.Cell:
 			c.fault("rule 2: keyed request %d left its group", a.Request)
 		}
 		break
@@ -233,7 +233,7 @@
 		s.give(listOf(ListFull, 6+s.rng.IntN(7)))
 		return
 	}
-	s.give(ListUpdate{Kind: ListChanges, Workers: []Listing{l}})
+	s.give(ListUpdate{Kind: ListChanges, Workers: []WorkerListing{l}})
 }
 
 func (s *stream) step() {
@@ -254,8 +254,8 @@
 			}
 		}
 		if !w.over && s.rng.IntN(2000) == 0 {
-			s.give(RequestGone{id})
-			s.give(RequestGone{id})
+			s.give(RequestEnded{id})
+			s.give(RequestEnded{id})
 		}
 	}
 	if s.rng.IntN(50) == 0 {
@@ -279,7 +279,7 @@
 	return st
 }
 
-func TestRulesOnRandomStreams(t *testing.T) {
+func TestBalancer_rulesHoldOnRandomStreams(t *testing.T) {
 	for seed := range uint64(20) {
 		st := play(t, seed)
 		for _, fault := range st.c.bad {
@@ -300,16 +300,16 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestBalancer_sameEventsSameActions(t *testing.T) {
 	if !reflect.DeepEqual(play(t, 5).trace, play(t, 5).trace) {
 		t.Error("the same events and seed gave other actions")
 	}
 }
 
-// TestCheckerSeesBrokenGates forges the actions that a broken gate would give.
-func TestCheckerSeesBrokenGates(t *testing.T) {
+// TestChecker_detectsBrokenRules forges the actions that a broken gate would give.
+func TestChecker_detectsBrokenRules(t *testing.T) {
 	done := func(o Outcome) Event { return AttemptDone{Request: 1, Worker: 1, Outcome: o} }
-	gone := ListUpdate{Kind: ListChanges, Workers: []Listing{{Worker: 2, State: Draining}}}
+	gone := ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 2, State: Draining}}}
 	to := func(w WorkerID) Action { return Send{Request: 1, Worker: w} }
 	cases := map[string]struct {
 		class int
@@ -322,13 +322,13 @@
 		"safe again":               {0, []any{to(1), done(Errored), to(2)}, false},
 		"unsafe again":             {4, []any{to(1), done(Errored), to(2)}, true},
 		"unsafe after full":        {4, []any{to(1), done(Full), to(2)}, false},
-		"unsafe refused":           {4, []any{to(1), done(TimedOut), Refuse{Request: 1}}, true},
+		"unsafe refused":           {4, []any{to(1), done(TimedOut), Reject{Request: 1}}, true},
 		"zone left":                {2, []any{to(1), done(Reset), to(2)}, true},
 		"zone kept":                {2, []any{to(1), done(Reset), to(3)}, false},
 		"cell left":                {3, []any{to(1), done(Reset), to(3)}, true},
 		"keyed past its window":    {1, []any{to(1), done(Reset), 3 * time.Second, to(3)}, true},
-		"keyed for all refused":    {1, []any{to(1), done(Reset), Refuse{Request: 1}}, false},
-		"keyed for a zone refused": {2, []any{to(1), done(Reset), Refuse{Request: 1}}, true},
+		"keyed for all refused":    {1, []any{to(1), done(Reset), Reject{Request: 1}}, false},
+		"keyed for a zone refused": {2, []any{to(1), done(Reset), Reject{Request: 1}}, true},
 		"sent to a draining one":   {0, []any{gone, to(2)}, true},
 		"never answered":           {0, []any{5 * time.Second}, true},
 	}
@@ -353,9 +353,9 @@
 	}
 }
 
-// TestColdBudgetOfAll holds the work that many dispatchers together send a cold
+// TestBalancer_warmupBudgetOfAllDispatchers holds the work that many dispatchers together send a cold
 // worker within any window against the budget that fells it.
-func TestColdBudgetOfAll(t *testing.T) {
+func TestBalancer_warmupBudgetOfAllDispatchers(t *testing.T) {
 	t.Run("two workers", func(t *testing.T) { coldBudgetOfAll(t, 2) })
 	t.Run("asked by probes", func(t *testing.T) { coldBudgetOfAll(t, 12) })
 }
@@ -380,7 +380,7 @@
 			if now == 2*time.Second {
 				cold := listing(2)
 				cold.Started = now
-				st.give(ListUpdate{Kind: ListChanges, Workers: []Listing{cold}})
+				st.give(ListUpdate{Kind: ListChanges, Workers: []WorkerListing{cold}})
 			}
 			if st.rng.IntN(40) == 0 {
 				st.next++
@@ -409,18 +409,18 @@
 	}
 	during := 0
 	for i, from := range sent {
-		part := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*(from.At-2*time.Second).Seconds()/s.Rules.ColdTime.Seconds()
+		part := s.Rules.InitialCapacity + (1-s.Rules.InitialCapacity)*(from.At-2*time.Second).Seconds()/s.Rules.WarmupTime.Seconds()
 		if part >= 1 {
 			break
 		}
 		during++
 		total := 0.0
 		for _, x := range sent[i:] {
-			if x.At < from.At+s.Rules.OverloadFor {
+			if x.At < from.At+s.Rules.OverloadTime {
 				total += x.X
 			}
 		}
-		if budget := s.Rules.FallMultiple * part * 4 * s.Rules.OverloadFor.Seconds(); total > 0.8*budget {
+		if budget := s.Rules.OverloadMultiple * part * 4 * s.Rules.OverloadTime.Seconds(); total > 0.8*budget {
 			t.Fatalf("at %v: %.2f slot-seconds sent within the window, the budget is %.2f", from.At, total, budget)
 		}
 	}
@@ -429,15 +429,15 @@
 	}
 }
 
-func TestImpossibleSettings(t *testing.T) {
+func TestNew_rejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no dispatcher":   func(s *Settings) { s.Balancers = 0 },
 		"ordinal too big": func(s *Settings) { s.Ordinal = 4 },
 		"no class":        func(s *Settings) { s.Classes = nil },
 		"no attempt":      func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"cold share":      func(s *Settings) { s.Rules.ColdFrom = 1.5 },
+		"cold share":      func(s *Settings) { s.Rules.InitialCapacity = 1.5 },
 		"negative time":   func(s *Settings) { s.Resolution = -1 },
-		"no give-up":      func(s *Settings) { s.Classes[0].GiveUp = 0 },
+		"no give-up":      func(s *Settings) { s.Classes[0].Timeout = 0 },
 	} {
 		s := ruleSettings(0)
 		spoil(&s)
@@ -468,21 +468,21 @@
 
 // A dispatcher whose estimates say that all is hopeless must still try one, or
 // it never learns better.
-func TestSendsWithNothingOut(t *testing.T) {
+func TestBalancer_sendsWithNothingInFlight(t *testing.T) {
 	b := balancer(t, ruleSettings(0), 1)
 	b.Handle(0, listOf(ListFull, 4))
-	stats.Of(b.est.wait, 0).AddWeighted(0, 1000, 1, poolSamples)
+	stats.Of(b.estimator.queueWait, 0).AddWeighted(0, 1000, 1, pooledSamples)
 	req := Request{ID: 1, Cost: time.Second, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
 	if got := b.Handle(0, req); countOf[Send](got) != 1 {
 		t.Errorf("with nothing out: %v", got)
 	}
 	req.ID = 2
 	got := b.Handle(0, req)
-	if countOf[Refuse](got) != 1 {
+	if countOf[Reject](got) != 1 {
 		t.Fatalf("with one out, a hopeless request: %v", got)
 	}
 	for _, a := range got {
-		if r, ok := a.(Refuse); ok && r.RetryAfter <= 0 {
+		if r, ok := a.(Reject); ok && r.RetryAfter <= 0 {
 			t.Error("the refusal does not tell when to come back")
 		}
 	}
@@ -491,11 +491,11 @@
 // One worker's own pace, learned from a few cold or odd jobs, must not have a
 // request refused: on a calm day it had four of five refused, and as nothing
 // was sent then, the pace stayed as it was.
-func TestOneSlowPaceRefusesNothing(t *testing.T) {
+func TestBalancer_oneSlowSampleRejectsNothing(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
-	for _, w := range b.fleet.list {
+	for _, w := range b.fleet.workers {
 		for range 8 {
-			w.profile.pace.Add(0, 1, 5, windowLen)
+			w.profile.slowdown.Add(0, 1, 5, windowLen)
 		}
 	}
 	req := Request{ID: 2, Cost: time.Second, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
@@ -506,9 +506,9 @@
 
 // With no worker to take it, a request is refused once its aim is out of reach,
 // with advice, and not held back until near its deadline.
-func TestHeldPastUseIsRefused(t *testing.T) {
+func TestBalancer_queuedPastDeadlineIsRejected(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
-	b.est.run.Add(0.1, poolSamples)
+	b.estimator.run.Add(0.1, pooledSamples)
 	drained := listOf(ListFull, 4)
 	for i := range drained.Workers {
 		drained.Workers[i].State = Draining
@@ -521,7 +521,7 @@
 			switch a := a.(type) {
 			case SetTimer:
 				timers[a.Token] = now + a.After
-			case Refuse:
+			case Reject:
 				refused = a.Request == 2 && a.RetryAfter > 0
 			}
 		}
@@ -544,74 +544,74 @@
 }
 
 // A long queue wait holds a job back though its own aim would bear it.
-func TestHoldsRatherThanBuries(t *testing.T) {
+func TestBalancer_queuesRatherThanOverloads(t *testing.T) {
 	s := ruleSettings(0)
 	s.Limits.Messages = false
-	s.Classes[4].Worth, s.Classes[4].Aim = 5, 50*time.Millisecond
-	s.Classes[0].Aim = 2 * time.Second
+	s.Classes[4].Value, s.Classes[4].LatencyTarget = 5, 50*time.Millisecond
+	s.Classes[0].LatencyTarget = 2 * time.Second
 	b := busyBalancer(t, s)
-	b.est.size[4].Add(0.01, poolSamples)
+	b.estimator.size[4].Add(0.01, pooledSamples)
 	for range 50 {
-		stats.Of(b.est.wait, 0).AddWeighted(0, 0.7, 1, poolSamples)
+		stats.Of(b.estimator.queueWait, 0).AddWeighted(0, 0.7, 1, pooledSamples)
 	}
 	req := Request{ID: 2, Cost: 100 * time.Millisecond, HasCost: true, Slots: 1, Deadline: 4 * time.Second}
-	if got := b.Handle(0, req); countOf[Send](got)+countOf[Refuse](got) != 0 || len(b.held) != 1 {
-		t.Errorf("want it held: %v, %d held", got, len(b.held))
+	if got := b.Handle(0, req); countOf[Send](got)+countOf[Reject](got) != 0 || len(b.queue) != 1 {
+		t.Errorf("want it held: %v, %d held", got, len(b.queue))
 	}
 }
 
 // A worker that fails fast looks idle and would draw all jobs.
-func TestFailingWorkerIsShunned(t *testing.T) {
+func TestBalancer_avoidsFailingWorker(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
-	w := b.fleet.list[0]
+	w := b.fleet.workers[0]
 	for range 100 {
-		b.fleet.judge(0, b.fleet.list[1], 0, false)
+		b.fleet.recordHealth(0, b.fleet.workers[1], 0, false)
 	}
-	before := b.fleet.failChance(0, w, 0)
-	b.fleet.judge(0, w, 0, true)
-	after := b.fleet.failChance(0, w, 0)
+	before := b.fleet.failureProbability(0, w, 0)
+	b.fleet.recordHealth(0, w, 0, true)
+	after := b.fleet.failureProbability(0, w, 0)
 	if after < 10*before {
 		t.Errorf("chance of failure %v after a failure, %v before", after, before)
 	}
-	if later := b.fleet.failChance(time.Minute, w, 0); later > after/2 {
+	if later := b.fleet.failureProbability(time.Minute, w, 0); later > after/2 {
 		t.Errorf("chance of failure still %v after a minute", later)
 	}
 }
 
 // When most workers fail, none must look much worse than the rest.
-func TestWholeFleetTroubleShunsNobody(t *testing.T) {
+func TestBalancer_fleetWideFailureAvoidsNobody(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
 	for range 20 {
-		for _, w := range b.fleet.list {
-			b.fleet.judge(0, w, 0, true)
+		for _, w := range b.fleet.workers {
+			b.fleet.recordHealth(0, w, 0, true)
 		}
 	}
 	spared := &worker{health: make([]stats.FailureRate, len(b.fleet.health))}
-	if tried, other := b.fleet.failChance(0, b.fleet.list[0], 0), b.fleet.failChance(0, spared, 0); tried > 1.5*other {
+	if tried, other := b.fleet.failureProbability(0, b.fleet.workers[0], 0), b.fleet.failureProbability(0, spared, 0); tried > 1.5*other {
 		t.Errorf("chance of failure %v at a tried worker, %v at an untried one", tried, other)
 	}
 }
 
 // A 'full' from a worker that seemed free is a failure: it drew 85 times the mean.
-func TestUnexpectedFullIsJudged(t *testing.T) {
+func TestBalancer_unexpectedFullIsRecorded(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
 	a := &b.requests[1].attempts[0]
-	a.free = 4
-	before := b.fleet.failChance(0, a.worker, 0)
+	a.freeSlots = 4
+	before := b.fleet.failureProbability(0, a.worker, 0)
 	b.Handle(time.Millisecond, AttemptDone{Request: 1, Worker: a.worker.id, Outcome: Full})
-	if after := b.fleet.failChance(time.Millisecond, a.worker, 0); after < 10*before {
+	if after := b.fleet.failureProbability(time.Millisecond, a.worker, 0); after < 10*before {
 		t.Errorf("chance of failure %v, was %v", after, before)
 	}
 }
 
 // A worker not seen lately takes its kind's mean load, not the fleet's.
-func TestReportsAgeToTheKind(t *testing.T) {
+func TestFleet_freeSlots_ageTowardsKindMean(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
-	busy, idle := b.fleet.list[0], b.fleet.list[1]
+	busy, idle := b.fleet.workers[0], b.fleet.workers[1]
 	busy.kind, idle.kind = 1, 2
 	for range 50 {
-		b.fleet.report(0, busy, []float32{0, 3})
-		b.fleet.report(0, idle, []float32{4, 0})
+		b.fleet.recordReport(0, busy, []float32{0, 3})
+		b.fleet.recordReport(0, idle, []float32{4, 0})
 	}
 	unseen := &worker{kind: 1}
 	if got := b.fleet.freeSlots(0, unseen, 0.1); got > -1 {
@@ -619,26 +619,26 @@
 	}
 }
 
-func TestPeersTellWhatIsOut(t *testing.T) {
+func TestFleet_peerLoadCounts(t *testing.T) {
 	s := ruleSettings(0)
 	s.Balancers = 2
 	teller, hearer := busyBalancer(t, s), balancer(t, s, 2)
 	hearer.Handle(0, listOf(ListFull, 4))
 	at := teller.requests[1].attempts[0].worker.id
-	hearer.Handle(0, PeerMessage{From: 1, Payload: teller.fleet.tell()})
-	hearer.Handle(0, PeerMessage{From: 1, Payload: append(teller.fleet.tell(), 9)})
-	if got := hearer.fleet.byID[at].others; got != 1 {
+	hearer.Handle(0, PeerMessage{From: 1, Payload: teller.fleet.encodeLoad()})
+	hearer.Handle(0, PeerMessage{From: 1, Payload: append(teller.fleet.encodeLoad(), 9)})
+	if got := hearer.fleet.byID[at].peerSlots; got != 1 {
 		t.Errorf("%v slots heard of, want 1", got)
 	}
-	hearer.fleet.dropSilent(time.Minute)
-	if got := hearer.fleet.byID[at].others; got != 0 || hearer.fleet.fresh != 0 {
-		t.Errorf("a silent peer still counts: %v slots, %d peers", got, hearer.fleet.fresh)
+	hearer.fleet.dropSilentPeers(time.Minute)
+	if got := hearer.fleet.byID[at].peerSlots; got != 0 || hearer.fleet.freshPeers != 0 {
+		t.Errorf("a silent peer still counts: %v slots, %d peers", got, hearer.fleet.freshPeers)
 	}
 }
 
-// TestTellingIsWorthItsPrice sums over a fleet what its telling all peers costs for each
+// TestFleet_messageInterval_followsPrice sums over a fleet what its telling all peers costs for each
 // request, at the thin traffic of a large one and at that of a small one.
-func TestTellingIsWorthItsPrice(t *testing.T) {
+func TestFleet_messageInterval_followsPrice(t *testing.T) {
 	for _, of := range []struct{ nodes, perSecond int }{{300, 1}, {60, 1}, {3, 30}} {
 		s := ruleSettings(0)
 		s.Balancers, s.Costs.Message = of.nodes, 0.0099
@@ -655,12 +655,12 @@
 				}
 			}
 			for _, a := range st.trace {
-				if a, ok := a.(Tell); ok {
-					price += s.Costs.Message * float64(len(a.Payload)+messageOver) / messageBytes * float64(of.nodes-1)
+				if a, ok := a.(SendToPeers); ok {
+					price += s.Costs.Message * float64(len(a.Payload)+messageOverhead) / messageBytes * float64(of.nodes-1)
 				}
 			}
 		}
-		if share := price / float64(requests); share > 2*tellShare {
+		if share := price / float64(requests); share > 2*messageCostFraction {
 			t.Errorf("%d dispatchers: messages cost %.3f for each request", of.nodes, share)
 		} else if of.nodes == 3 && share == 0 {
 			t.Error("three dispatchers that could afford it told each other nothing")
@@ -669,20 +669,20 @@
 }
 
 // Held jobs on a large fleet once took all the CPU.
-func TestHeldJobsAreLookedAtEverMoreRarely(t *testing.T) {
+func TestBalancer_queuePollsBackOff(t *testing.T) {
 	b := busyBalancer(t, ruleSettings(0))
 	r := &request{}
-	b.hold(0, r)
-	first := r.lookAt
-	b.hold(0, r)
-	if r.lookAt < 2*first {
-		t.Errorf("looks after %v, then %v", first, r.lookAt)
+	b.enqueue(0, r)
+	first := r.retryAt
+	b.enqueue(0, r)
+	if r.retryAt < 2*first {
+		t.Errorf("looks after %v, then %v", first, r.retryAt)
 	}
 }
 
-func TestSubscribesAgainAndAgain(t *testing.T) {
+func TestBalancer_resubscribes(t *testing.T) {
 	s := ruleSettings(0)
-	s.AskDiscovery = true
+	s.SubscribeDiscovery = true
 	st := &stream{b: balancer(t, s, 3), c: newChecker(s), rng: rand.New(rand.NewPCG(1, 1))}
 	st.give(listOf(ListCached, 4))
 	var asks []time.Duration
@@ -695,7 +695,7 @@
 			st.give(ListUpdate{Kind: ListFailed})
 		}
 	}
-	if len(asks) < 4 || asks[0] > s.Rules.AskWithin {
+	if len(asks) < 4 || asks[0] > s.Rules.SubscribeWithin {
 		t.Fatalf("asked at %v", asks)
 	}
 	for i := range asks[1:] {
@@ -706,13 +706,13 @@
 }
 
 // A request whose every attempt was turned away is refused with advice too.
-func TestRefusalAfterLastAttemptAdvises(t *testing.T) {
+func TestBalancer_rejectAfterLastAttemptHasRetryAfter(t *testing.T) {
 	s := ruleSettings(0)
 	s.Limits.MaxAttempts = 1
 	b := busyBalancer(t, s)
-	b.est.run.Add(0.1, poolSamples)
+	b.estimator.run.Add(0.1, pooledSamples)
 	for _, a := range b.Handle(0, AttemptDone{Request: 1, Worker: b.requests[1].attempts[0].worker.id, Outcome: Full}) {
-		if r, ok := a.(Refuse); ok && r.RetryAfter > 0 {
+		if r, ok := a.(Reject); ok && r.RetryAfter > 0 {
 			return
 		}
 	}
@@ -722,7 +722,7 @@
 // A worker that takes a job and says nothing may hang. It is blamed, its kept
 // connections are closed, and what may be repeated is also sent elsewhere; what
 // may not is left alone, and so is a job that has started.
-func TestOverdueStartIsLookedAt(t *testing.T) {
+func TestBalancer_checkStart_overdue(t *testing.T) {
 	for name, c := range map[string]struct {
 		class, blamed, copies int
 		started               bool
@@ -732,7 +732,7 @@
 		"started": {class: 0, started: true},
 	} {
 		s := ruleSettings(0)
-		s.Limits.SecondCopies = true
+		s.Limits.HedgedRequests = true
 		b := balancer(t, s, 1)
 		now := time.Hour
 		b.Handle(now, listOf(ListFull, 3))
@@ -741,7 +741,7 @@
 			t.Fatalf("%s: not sent", name)
 		}
 		if c.started {
-			b.Handle(now, AttemptNews{Request: 1, Attempt: 0, Started: true})
+			b.Handle(now, AttemptProgress{Request: 1, Attempt: 0, Started: true})
 		}
 		var then []Action
 		for _, a := range first {
@@ -756,8 +756,8 @@
 			t.Errorf("%s: %d copies sent", name, got)
 		}
 		chance := 0.
-		for _, w := range b.fleet.list {
-			chance = max(chance, b.fleet.failChance(now+time.Second, w, c.class))
+		for _, w := range b.fleet.workers {
+			chance = max(chance, b.fleet.failureProbability(now+time.Second, w, c.class))
 		}
 		if (chance > 0.1) != (c.blamed > 0) {
 			t.Errorf("%s: a worker is expected to fail with chance %.2f", name, chance)
@@ -767,20 +767,20 @@
 
 // A worker that fails one class alone is shunned for it, though it serves the
 // others, and stays as good as any for those.
-func TestHealthIsByClass(t *testing.T) {
+func TestFleet_healthIsByClass(t *testing.T) {
 	b := balancer(t, ruleSettings(0), 1)
 	b.Handle(0, listOf(ListFull, 3))
-	sick, well := b.fleet.list[0], b.fleet.list[1]
+	sick, well := b.fleet.workers[0], b.fleet.workers[1]
 	for range 8 {
-		b.fleet.judge(0, sick, 0, false)
-		b.fleet.judge(0, well, 0, false)
-		b.fleet.judge(0, well, 4, false)
+		b.fleet.recordHealth(0, sick, 0, false)
+		b.fleet.recordHealth(0, well, 0, false)
+		b.fleet.recordHealth(0, well, 4, false)
 	}
-	b.fleet.judge(0, sick, 4, true)
-	if got, other := b.fleet.failChance(0, sick, 4), b.fleet.failChance(0, well, 4); got < 0.2 || got < 10*other {
+	b.fleet.recordHealth(0, sick, 4, true)
+	if got, other := b.fleet.failureProbability(0, sick, 4), b.fleet.failureProbability(0, well, 4); got < 0.2 || got < 10*other {
 		t.Errorf("chance %.3f at the one that fails the class, %.3f at another", got, other)
 	}
-	if got := b.fleet.failChance(0, sick, 0); got > 0.15 {
+	if got := b.fleet.failureProbability(0, sick, 0); got > 0.15 {
 		t.Errorf("chance %.3f for a class that it serves", got)
 	}
 }
--- a/balance/scout_test.go
+++ b/balance/scout_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// scouting is a dispatcher of 300 with 160 workers that it has not heard of, one in eight cold
+// probingBalancer is a dispatcher of 300 with 160 workers that it has not heard of, one in eight cold
 // with budget left, and one request. Its probes are answered as reported; it returns who was
 // asked, and what became of the request, and when. Without a report a worker wants nothing new.
-func scouting(t *testing.T, seed uint64, reported func(asked int) []float32, with ...func(*Balancer)) ([]WorkerID, Action, time.Duration) {
-	return scoutingOf(t, seed, 0, reported, with...)
+func probingBalancer(t *testing.T, seed uint64, reported func(asked int) []float32, with ...func(*Balancer)) ([]WorkerID, Action, time.Duration) {
+	return probingBalancerWith(t, seed, 0, reported, with...)
 }
 
-// scoutingOf is the same with a key.
-func scoutingOf(t *testing.T, seed, key uint64, reported func(asked int) []float32, with ...func(*Balancer)) (asked []WorkerID, end Action, at time.Duration) {
+// probingBalancerWith is the same with a key.
+func probingBalancerWith(t *testing.T, seed, key uint64, reported func(asked int) []float32, with ...func(*Balancer)) (asked []WorkerID, end Action, at time.Duration) {
 	s := ruleSettings(0)
 	s.Balancers, s.Limits.Probes = 300, true
 	st := &stream{b: balancer(t, s, seed), c: newChecker(s), rng: rand.New(rand.NewPCG(seed, 4)), now: 12 * time.Second}
@@ -27,10 +27,10 @@
 	for _, f := range with {
 		f(st.b)
 	}
-	for _, w := range st.b.fleet.list {
-		w.tokens, w.tokensAt = 1, st.now
+	for _, w := range st.b.fleet.workers {
+		w.warmupTokens, w.warmupTokensAt = 1, st.now
 	}
-	st.b.out = 1 // with nothing out it would send in any case
+	st.b.inFlight = 1 // with nothing out it would send in any case
 	st.give(Request{ID: 1, Key: key, HasCost: true, Cost: 100 * time.Millisecond, Slots: 1, Deadline: st.now + 4*time.Second})
 	for seen := 0; st.now < 20*time.Second; st.now += time.Millisecond {
 		st.fire()
@@ -43,7 +43,7 @@
 					done.Outcome = Served
 				}
 				st.give(done)
-			case Send, Refuse, Fail:
+			case Send, Reject, Fail:
 				return asked, a, st.now
 			}
 		}
@@ -51,16 +51,16 @@
 	return asked, nil, st.now
 }
 
-func TestAsksAndTakesTheFree(t *testing.T) {
+func TestBalancer_probe_takesFreeWorker(t *testing.T) {
 	cold := 0
 	for seed := range uint64(20) {
-		asked, end, _ := scouting(t, seed, func(asked int) []float32 {
+		asked, end, _ := probingBalancer(t, seed, func(asked int) []float32 {
 			if asked == 2 {
 				return []float32{4, 0} // free slots, waiting
 			}
 			return []float32{0, 3}
 		})
-		if send, ok := end.(Send); !ok || len(asked) != scoutWide || send.Worker != asked[1] {
+		if send, ok := end.(Send); !ok || len(asked) != probesPerRound || send.Worker != asked[1] {
 			t.Errorf("seed %d: %+v, asked were %v", seed, end, asked)
 		}
 		for _, id := range asked {
@@ -76,22 +76,22 @@
 
 // The few that were asked say nothing of all the others: the request asks those later, and is
 // refused when its aim can no longer be met.
-func TestNobodyHasRoom(t *testing.T) {
-	asked, end, at := scouting(t, 1, func(int) []float32 { return []float32{0, 40} })
-	if _, ok := end.(Refuse); !ok || len(asked) <= scoutMost || at <= 12*time.Second || at > 12500*time.Millisecond {
+func TestBalancer_probe_nobodyHasRoom(t *testing.T) {
+	asked, end, at := probingBalancer(t, 1, func(int) []float32 { return []float32{0, 40} })
+	if _, ok := end.(Reject); !ok || len(asked) <= maxProbes || at <= 12*time.Second || at > 12500*time.Millisecond {
 		t.Errorf("%+v at %v, %d asked", end, at, len(asked))
 	}
 }
 
 // A job of a class that is worth less goes where it waits a little; one of the class worth most looks
 // for a free slot.
-func TestWorthLessYields(t *testing.T) {
+func TestBalancer_probe_lowerValueYields(t *testing.T) {
 	for _, c := range []struct {
 		worth float64
 		more  bool
 	}{{1, true}, {4, false}} {
-		asked, _, _ := scouting(t, 3, func(int) []float32 { return []float32{0.4, 0} }, func(b *Balancer) { b.topWorth = c.worth })
-		if more := len(asked) > scoutWide; more != c.more {
+		asked, _, _ := probingBalancer(t, 3, func(int) []float32 { return []float32{0.4, 0} }, func(b *Balancer) { b.maxValue = c.worth })
+		if more := len(asked) > probesPerRound; more != c.more {
 			t.Errorf("worth 1 of %v: %d asked", c.worth, len(asked))
 		}
 	}
@@ -99,10 +99,10 @@
 
 // Workers that are asked say that they want nothing new, though the list has them as ready: they drain, and the list is
 // late by seconds. Nothing is sent there, however good they looked.
-func TestWantsNothingNew(t *testing.T) {
+func TestBalancer_probe_refusingWorkerIsSkipped(t *testing.T) {
 	for seed := range uint64(20) {
-		asked, end, _ := scouting(t, seed, func(int) []float32 { return nil })
-		if send, ok := end.(Send); !ok || len(asked) < scoutMost || slices.Contains(asked, send.Worker) {
+		asked, end, _ := probingBalancer(t, seed, func(int) []float32 { return nil })
+		if send, ok := end.(Send); !ok || len(asked) < maxProbes || slices.Contains(asked, send.Worker) {
 			t.Errorf("seed %d: %+v, asked were %v", seed, end, asked)
 		}
 	}
@@ -110,9 +110,9 @@
 
 // A list that has not been vouched for in a while may have workers as ready that drain. They are asked first, be there
 // ever so few; and asked again later, as a word of theirs does not hold for ever.
-func TestAsksWorkersOfAnOldList(t *testing.T) {
+func TestBalancer_probe_workersOfStaleList(t *testing.T) {
 	s := ruleSettings(0)
-	s.AskDiscovery, s.Limits.Probes = true, true
+	s.SubscribeDiscovery, s.Limits.Probes = true, true
 	st := &stream{b: balancer(t, s, 1), c: newChecker(s), rng: rand.New(rand.NewPCG(1, 4)), now: 12 * time.Second}
 	id := RequestID(0)
 	request := func() (seen []Action) {
@@ -153,28 +153,28 @@
 		t.Errorf("%+v", st.trace[from:])
 	}
 	st.give(listOf(ListFull, 2)) // the list is there again, and has it as ready; its own word holds a while
-	if f := st.b.fleet; f.stale(st.now+time.Hour) || f.mayTake(f.byID[drains]) {
+	if f := st.b.fleet; f.listStale(st.now+time.Hour) || f.isReady(f.byID[drains]) {
 		t.Error("the list is there, or its word is forgotten")
 	}
-	for end := st.now + shutFor; st.now <= end; st.now += time.Millisecond {
+	for end := st.now + fullBackoff; st.now <= end; st.now += time.Millisecond {
 		st.fire()
 	}
-	if f := st.b.fleet; !f.mayTake(f.byID[drains]) {
+	if f := st.b.fleet; !f.isReady(f.byID[drains]) {
 		t.Error("a word holds for ever")
 	}
 }
 
 // A key's home is busy, and another of those asked has room: the request goes there. Behind a price for being away from
 // home its total is more than that of the wait, so that the request would ask on and wait at home.
-func TestBusyHome(t *testing.T) {
+func TestBalancer_probe_busyHome(t *testing.T) {
 	for seed := range uint64(10) {
-		asked, end, _ := scoutingOf(t, seed, 7, func(asked int) []float32 {
+		asked, end, _ := probingBalancerWith(t, seed, 7, func(asked int) []float32 {
 			if asked == 1 {
 				return []float32{0, 1}
 			}
 			return []float32{4, 0}
 		})
-		if send, ok := end.(Send); !ok || len(asked) != scoutWide || send.Worker == asked[0] {
+		if send, ok := end.(Send); !ok || len(asked) != probesPerRound || send.Worker == asked[0] {
 			t.Errorf("seed %d: %+v, asked were %v", seed, end, asked)
 		}
 	}
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	moveWithin = time.Second // copies of what a failed zone has go out spread over it
-	movePart   = 0.1         // such copies for each request, and at most so many at once: all
-	moveMost   = 10.0        // dispatchers move out together, to workers that have work of their own
+	evacuationSpread     = time.Second // copies of what a failed zone has go out spread over it
+	evacuationPerRequest = 0.1         // such copies for each request, and at most so many at once: all
+	maxEvacuationBudget  = 10.0        // dispatchers move out together, to workers that have work of their own
 )
 
-// inShare tells whether a request may go to a zone. It may or may not for as long as the share stands:
+// withinZoneShare tells whether a request may go to a zone. It may or may not for as long as the share stands:
 // looking again does not get round it.
-func (f *fleet) inShare(id RequestID, zone int) bool {
-	share := f.shareOf(zone)
+func (f *fleet) withinZoneShare(id RequestID, zone int) bool {
+	share := f.zoneShare(zone)
 	return share >= 1 || stats.Draw(uint64(id), uint64(zone)) < share
 }
 
-// shareOf gives what a zone takes.
-func (f *fleet) shareOf(zone int) float64 {
+// zoneShare gives what a zone takes.
+func (f *fleet) zoneShare(zone int) float64 {
 	if zone < len(f.shares) {
 		return f.shares[zone]
 	}
@@ -33,25 +33,25 @@
 func (b *Balancer) zoneShares(now time.Duration, ev ZoneShares) {
 	before := b.fleet.shares
 	b.fleet.shares = slices.Clone(ev.Shares)
-	newly := func(zone int) bool {
+	newlyFailed := func(zone int) bool {
 		return slices.Contains(ev.Failed, zone) && (zone >= len(before) || before[zone] > 0)
 	}
-	for _, w := range b.fleet.list {
-		if w.zone < len(before) && before[w.zone] == 0 && b.fleet.shareOf(w.zone) > 0 {
+	for _, w := range b.fleet.workers {
+		if w.zone < len(before) && before[w.zone] == 0 && b.fleet.zoneShare(w.zone) > 0 {
 			clear(w.health) // what was held against it the fleet has weighed: it is to be tried
-			w.heardAt = 0
+			w.lastSeenAt = 0
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		r := b.requests[id]
-		for at, a := range r.attempts {
-			if !a.out || !newly(a.worker.zone) || b.moves < 1 {
+		for index, a := range r.attempts {
+			if !a.inFlight || !newlyFailed(a.worker.zone) || b.evacuationBudget < 1 {
 				continue
 			}
 			if maySend, _ := b.permit(now, r); maySend {
-				b.moves--
-				wait := time.Duration(b.rng.Float64() * float64(moveWithin))
-				b.after(wait, func(now time.Duration) { b.copyOut(now, r, at, true) })
+				b.evacuationBudget--
+				wait := time.Duration(b.rng.Float64() * float64(evacuationSpread))
+				b.schedule(wait, func(now time.Duration) { b.hedge(now, r, index, true) })
 			}
 		}
 	}
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// zoned is a dispatcher with two workers in each of two zones, all with free slots.
-func zoned(t testing.TB, classes ...Class) *Balancer {
-	b, err := New(Settings{Balancers: 1, Classes: classes, Report: []Field{FieldBacklog, FieldFreeSlots},
-		Limits: Limits{Cancel: true, SecondCopies: true, MaxAttempts: 4}, TellsStart: true}, 7)
+// zonedBalancer is a dispatcher with two workers in each of two zones, all with free slots.
+func zonedBalancer(t testing.TB, classes ...Class) *Balancer {
+	b, err := New(Settings{Balancers: 1, Classes: classes, Report: []ReportField{FieldBacklog, FieldFreeSlots},
+		Limits: Limits{Cancel: true, HedgedRequests: true, MaxAttempts: 4}, ReportsStart: true}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	up := ListUpdate{Kind: ListFull}
 	for i := range 4 {
-		up.Workers = append(up.Workers, Listing{Worker: WorkerID(i + 1), Zone: i % 2, State: Ready})
+		up.Workers = append(up.Workers, WorkerListing{Worker: WorkerID(i + 1), Zone: i % 2, State: Ready})
 	}
 	b.Handle(0, up)
 	for i := range 4 {
@@ -25,8 +25,8 @@
 }
 
 var (
-	repeatable = Class{Aim: 5 * time.Second, GiveUp: 10 * time.Second, Worth: 1, Kind: -1, Effect: Safe}
-	once       = Class{Aim: 5 * time.Second, GiveUp: 10 * time.Second, Worth: 1, Kind: -1, Effect: Unsafe}
+	repeatable = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: Idempotent}
+	once       = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: NonIdempotent}
 )
 
 // sends are the workers that a list of actions sends to.
@@ -40,11 +40,11 @@
 }
 
 // A zone takes its share of the requests, and none where that is nothing.
-func TestZoneTakesItsShare(t *testing.T) {
+func TestBalancer_zoneTakesItsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.25, 1} {
-		b := zoned(t, repeatable)
+		b := zonedBalancer(t, repeatable)
 		// Nobody else takes anything: who may not go there goes nowhere.
-		b.Handle(0, ListUpdate{Kind: ListChanges, Workers: []Listing{{Worker: 1, State: Draining}, {Worker: 3, State: Draining}}})
+		b.Handle(0, ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 1, State: Draining}, {Worker: 3, State: Draining}}})
 		b.Handle(0, ZoneShares{Shares: []float64{1, share}})
 		n := 0.0
 		const all = 2000
@@ -63,12 +63,12 @@
 
 // What is out in a zone that has failed is tried elsewhere: at once only as much as the
 // budget allows, spread over a while, and nothing that must not run twice.
-func TestMovesOutOfAFailedZone(t *testing.T) {
+func TestBalancer_evacuatesFailedZone(t *testing.T) {
 	for _, c := range []struct {
 		class Class
 		want  int
-	}{{repeatable, int(moveMost)}, {once, 0}} {
-		b := zoned(t, c.class)
+	}{{repeatable, int(maxEvacuationBudget)}, {once, 0}} {
+		b := zonedBalancer(t, c.class)
 		timers := map[uint32]time.Duration{}
 		take := func(now time.Duration, actions []Action) []WorkerID {
 			for _, a := range actions {
@@ -83,12 +83,12 @@
 		for i := range 200 {
 			id := RequestID(i + 1)
 			for _, to := range take(t0, b.Handle(t0, Request{ID: id, Slots: 1, Deadline: 10 * time.Second})) {
-				take(t0, b.Handle(t0, AttemptNews{Request: id, Worker: to, Started: true}))
+				take(t0, b.Handle(t0, AttemptProgress{Request: id, Worker: to, Started: true}))
 			}
 		}
 		take(t0, b.Handle(t0, ZoneShares{Shares: []float64{1, 0}, Failed: []int{1}}))
 		n, last := 0, time.Duration(0)
-		for now := t0; now < t0+2*moveWithin; now += 10 * time.Millisecond {
+		for now := t0; now < t0+2*evacuationSpread; now += 10 * time.Millisecond {
 			for token, at := range timers {
 				if at > now {
 					continue
@@ -102,7 +102,7 @@
 				}
 			}
 		}
-		if n != c.want || n > 0 && (last < moveWithin/4 || last > moveWithin+10*time.Millisecond) {
+		if n != c.want || n > 0 && (last < evacuationSpread/4 || last > evacuationSpread+10*time.Millisecond) {
 			t.Errorf("effect %d: %d copies, the last at %v", c.class.Effect, n, last)
 		}
 	}
@@ -115,10 +115,10 @@
 		shares []float64
 	}{{"off", nil}, {"orders", []float64{1, 0.5, 1, 1, 1}}} {
 		b.Run(c.name, func(b *testing.B) {
-			d := zoned(b, repeatable)
+			d := zonedBalancer(b, repeatable)
 			up := ListUpdate{Kind: ListFull}
 			for i := range 200 {
-				up.Workers = append(up.Workers, Listing{Worker: WorkerID(i + 1), Zone: i % 5, State: Ready})
+				up.Workers = append(up.Workers, WorkerListing{Worker: WorkerID(i + 1), Zone: i % 5, State: Ready})
 			}
 			d.Handle(0, up)
 			d.Handle(0, ZoneShares{Shares: c.shares})
@@ -136,12 +136,12 @@
 // However long discovery is down and however long a time for asking the settings give, each of 300 dispatchers
 // asks again within 1.5 s of a failed call: with a call that is lost on the way (2.4 s) and one that is answered
 // only at the service's own limit (2 s), a change is known 6 s after it can be. They do not ask in step.
-func TestAsksInTimeHoweverLongDiscoveryIsDown(t *testing.T) {
+func TestFleet_subscribeDelay_afterLongOutage(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
 		var asked [20]int // in each tenth of the span in which a call may come, over all dispatchers
 		for i := range 300 {
-			b, err := New(Settings{Balancers: 300, Ordinal: i, Classes: []Class{once}, AskDiscovery: true, Limits: Limits{MaxAttempts: 1},
-				Rules: Rules{AskWithin: within}}, 3)
+			b, err := New(Settings{Balancers: 300, Ordinal: i, Classes: []Class{once}, SubscribeDiscovery: true, Limits: Limits{MaxAttempts: 1},
+				Rules: Rules{SubscribeWithin: within}}, 3)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -198,8 +198,8 @@
 		ConnectTimeout: s.Limits.ConnectTimeout, ConnIdle: s.Limits.ConnIdle, Report: cfg.ReportFields}, n.loop, core)
 	n.to = to
 	n.pool = protocol.NewDiscovery(protocol.DiscoveryConfig{Address: cfg.Discovery, Zones: cfg.Zones, Kinds: cfg.Kinds,
-		ConnectTimeout: discoveryConnect, Known: cfg.Known, ByHand: n.words, ColdTime: s.Rules.ColdTime,
-		Draw: rand.New(rand.NewPCG(cfg.Seed, watchStream)).Float64, Pushed: !s.AskDiscovery}, n.loop, core, to)
+		ConnectTimeout: discoveryConnect, Known: cfg.Known, ByHand: n.words, ColdTime: s.Rules.WarmupTime,
+		Draw: rand.New(rand.NewPCG(cfg.Seed, watchStream)).Float64, Pushed: !s.SubscribeDiscovery}, n.loop, core, to)
 	peers, err := protocol.NewPeers(protocol.PeersConfig{Listen: cfg.PeerListen, Peers: cfg.Peers, All: cfg.PeersAll,
 		Ordinal: s.Ordinal}, n.loop, core)
 	if err != nil {
@@ -212,7 +212,7 @@
 	n.agentBy, n.readyBy = n.loop.Now()+agentWithin, n.loop.Now()+readyWithin
 	giveUp := make([]time.Duration, len(s.Classes))
 	for i, c := range s.Classes {
-		giveUp[i] = c.GiveUp
+		giveUp[i] = c.Timeout
 	}
 	n.front = protocol.NewFront(protocol.FrontConfig{Listen: cfg.Listen, Sockets: cfg.FrontSockets, Memory: cfg.FrontMemory,
 		Classes: cfg.Classes,
@@ -267,7 +267,7 @@
 // nobody who is ready is not held up for longer than a start may take, however long the pool
 // config is down: what comes then is refused at once, which is harmless.
 func (n *node) able() bool {
-	if !n.cfg.Settings.AskDiscovery && !n.pool.Asked() && n.loop.Now() < n.agentBy {
+	if !n.cfg.Settings.SubscribeDiscovery && !n.pool.Asked() && n.loop.Now() < n.agentBy {
 		return false
 	}
 	return n.core.Able() || !n.pool.Asked() && n.loop.Now() >= n.readyBy
@@ -337,7 +337,7 @@
 	defer n.exit()
 	longest := time.Duration(0)
 	for _, c := range n.cfg.Settings.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.Timeout)
 	}
 	killed := began.Add(min(longest, longestSpared) + spareTime)
 	next := n.following()
--- a/cmd/ospreybend/upgrade_test.go
+++ b/cmd/ospreybend/upgrade_test.go
@@ -267,4 +267,4 @@
 	s.until("no longer ready", func() bool { return ready() == 503 })
 }
 
-var oneReady = balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.Listing{{Worker: 1}}}
+var oneReady = balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.WorkerListing{{Worker: 1}}}
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -77,7 +77,7 @@
 func classesOf(n *nodeconfig.Node) (out []failover.Class) {
 	for i, name := range n.ClassNames {
 		c := n.Settings.Classes[i]
-		out = append(out, failover.Class{Name: name, Value: c.Worth, NonIdempotent: c.Effect == balance.Unsafe})
+		out = append(out, failover.Class{Name: name, Value: c.Value, NonIdempotent: c.Effect == balance.NonIdempotent})
 	}
 	return out
 }
@@ -151,7 +151,7 @@
 	cfg := n.cfg
 	n.calls = transport.NewClient()
 	a := agent.Config{Fleet: f.Fleet, Name: cfg.Name, Zone: f.Zone, Zones: cfg.Zones, Classes: cfg.Settings.Classes,
-		ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.TellsStart, Settings: follower.DefaultSettings(), Timers: &n.loop.Timers,
+		ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.ReportsStart, Settings: follower.DefaultSettings(), Timers: &n.loop.Timers,
 		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())), ZoneOf: n.pool.ZoneOf}
 	for _, v := range f.Voters {
 		a.Voters = append(a.Voters, agent.Voter{Zone: v.Zone, Address: v.Address})
--- a/internal/node/batch/httpapi/world_test.go
+++ b/internal/node/batch/httpapi/world_test.go
@@ -53,12 +53,12 @@
 	unfinished, arrays, err := record.Unfinished(ctx)
 	must(t, err)
 	class := func(e balance.Effect) balance.Class {
-		return balance.Class{Aim: 2 * time.Second, Stretch: 2, GiveUp: 4 * time.Second, Worth: 1, Effect: e, Kind: -1}
+		return balance.Class{LatencyTarget: 2 * time.Second, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Kind: -1}
 	}
-	s := balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond, TellsStart: true,
-		Classes: []balance.Class{class(balance.Safe), class(balance.Unsafe)},
+	s := balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond, ReportsStart: true,
+		Classes: []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)},
 		Limits: balance.Limits{Cancel: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			ConnIdle: time.Minute}, Rules: balance.Rules{ColdFrom: 1}}
+			ConnIdle: time.Minute}, Rules: balance.Rules{InitialCapacity: 1}}
 	batch, admin, workers := scriptedpeer.Free(t), scriptedpeer.Free(t), w.StandIn("workers")
 	w.Serve("batch", batch)
 	w.batchAt = batch
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -110,7 +110,7 @@
 	m.window = window.New(window.Config{Most: config.MostSlots, Target: config.Target})
 	for name, number := range config.Classes {
 		m.classes[name] = drmaa.Class{Number: number,
-			Once: config.Settings.Classes[number].Effect == balance.Unsafe}
+			Once: config.Settings.Classes[number].Effect == balance.NonIdempotent}
 	}
 	m.inserts = pen[*entry]{manager: m, most: 256, write: m.insert, done: m.inserted}
 	m.marks = pen[*change]{manager: m, most: 1024, write: m.writeMarks, done: m.marked}
--- a/internal/node/batch/jobs/rig_test.go
+++ b/internal/node/batch/jobs/rig_test.go
@@ -99,8 +99,8 @@
 
 func newRig(t failer) *rig {
 	r := &rig{t: t, now: 1000 * time.Hour, store: newMemory(), quota: 20_000, classes: map[string]int{safe: 0, once: 1}}
-	r.settings = balance.Settings{Classes: []balance.Class{{GiveUp: 10 * time.Second, Effect: balance.Safe},
-		{GiveUp: 10 * time.Second, Effect: balance.Unsafe}}, Report: []balance.Field{balance.FieldBacklog, balance.FieldFreeSlots}}
+	r.settings = balance.Settings{Classes: []balance.Class{{Timeout: 10 * time.Second, Effect: balance.Idempotent},
+		{Timeout: 10 * time.Second, Effect: balance.NonIdempotent}}, Report: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots}}
 	r.store.tenants = []Tenant{{Name: "anna", TokenHash: "a", Quota: r.quota}, {Name: "ben", TokenHash: "b", Quota: 2}}
 	r.store.sessions = map[[2]string]string{{"anna", "s"}: SessionOpen, {"ben", "s"}: SessionOpen}
 	r.start()
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -129,7 +129,7 @@
 	t := j.Template
 	class := m.classes[t.RemoteCommand].Number
 	op := routing.Operation{Class: class, Slots: j.slots(),
-		Deadline: min(deadline, now+m.config.Settings.Classes[class].GiveUp), Cost: time.Duration(t.CostHint*1e6) * time.Microsecond,
+		Deadline: min(deadline, now+m.config.Settings.Classes[class].Timeout), Cost: time.Duration(t.CostHint*1e6) * time.Microsecond,
 		HasCost: t.CostHint > 0, Repeat: j.tries > 1, Owner: m,
 		Work: routing.Work{ID: j.ID + "-" + strconv.Itoa(j.tries), Target: t.Target(indexText(&j.Record)),
 			Body: []byte(t.Body(indexText(&j.Record)))}}
--- a/internal/node/batch/store/bench_test.go
+++ b/internal/node/batch/store/bench_test.go
@@ -37,7 +37,7 @@
 	}
 	results := make(chan func(), 4096)
 	keeper := NewKeeper(s, func(f func()) { results <- f })
-	m := jobs.New(jobs.Config{Classes: map[string]int{"c": 0}, Settings: balance.Settings{Classes: []balance.Class{{GiveUp: time.Second}}},
+	m := jobs.New(jobs.Config{Classes: map[string]int{"c": 0}, Settings: balance.Settings{Classes: []balance.Class{{Timeout: time.Second}}},
 		MostSlots: 1, Target: jobs.DefaultTarget, LongestWait: time.Hour, Events: 1024, Kept: 10}, idleCore{}, keeper, idleCore{}, &timerqueue.Queue{})
 	m.Load([]jobs.Tenant{{Name: "anna", TokenHash: "h", Quota: 1 << 30}}, []jobs.SessionRecord{{Tenant: "anna", Name: "s", State: jobs.SessionOpen}}, nil, nil)
 	t := &drmaa.JobTemplate{RemoteCommand: "c", SubmitAsHold: true, Input: strings.Repeat("x", 300)}
--- a/internal/node/nodeconfig/batch.go
+++ b/internal/node/nodeconfig/batch.go
@@ -135,7 +135,7 @@
 	n.BatchClasses = map[string]int{}
 	for _, name := range n.ClassNames {
 		c := n.Settings.Classes[n.Classes[name]]
-		c.Aim, c.Worth, c.LateWorth = c.GiveUp, 0, 0
+		c.LatencyTarget, c.Value, c.LateValue = c.Timeout, 0, 0
 		n.BatchClasses[name] = len(n.Settings.Classes)
 		n.Settings.Classes = append(n.Settings.Classes, c)
 	}
--- a/internal/node/nodeconfig/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -258,7 +258,7 @@
 		return errors.New("settings: grades: no class of requests")
 	}
 	for i, c := range s.Classes {
-		if c.GiveUp <= 0 {
+		if c.Timeout <= 0 {
 			return fmt.Errorf("settings: grades.%d.giveUpUs: not above 0", i)
 		}
 	}
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -72,7 +72,7 @@
 // restarted meanwhile. Where the list has that start, later than the word that took
 // it out, it holds; where it does not yet, the prep worker counts as started with
 // the call back, since the start that is listed is its old process's.
-func (w Overrides) Apply(name string, l balance.Listing) balance.Listing {
+func (w Overrides) Apply(name string, l balance.WorkerListing) balance.WorkerListing {
 	latest, ok := w[name]
 	if !ok || l.State == balance.Gone {
 		return l
--- a/internal/node/override/override_test.go
+++ b/internal/node/override/override_test.go
@@ -48,7 +48,7 @@
 		started := time.Duration(rapid.IntRange(0, int(now/time.Second)).Draw(t, "started")) * time.Second
 		state := rapid.SampledFrom([]balance.State{balance.Ready, balance.Draining, balance.Gone}).Draw(t, "state")
 		for name, m := range model {
-			want := balance.Listing{State: state, Started: started}
+			want := balance.WorkerListing{State: state, Started: started}
 			if m.out && state == balance.Ready {
 				want.State = balance.Draining
 			}
@@ -56,7 +56,7 @@
 				want.Started = max(started, m.back)
 			}
 			for i := range two {
-				if got := two[i].Apply(name, balance.Listing{State: state, Started: started}); got != want {
+				if got := two[i].Apply(name, balance.WorkerListing{State: state, Started: started}); got != want {
 					t.Fatalf("%s in process %d: %+v, want %+v", name, i, got, want)
 				}
 			}
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -151,7 +151,7 @@
 		}
 	}
 	w.call(t, "PUT /-/prep-workers/s-1/enable", " 200 ")
-	var laid balance.Listing
+	var laid balance.WorkerListing
 	var now time.Duration
 	w.Loop.Call(func() { laid, now = w.pool.lay(s1, w.pool.listed[s1]), w.Loop.Now() })
 	if !ready() || now-laid.Started > time.Second {
--- a/internal/node/protocol/compatibility_test.go
+++ b/internal/node/protocol/compatibility_test.go
@@ -24,7 +24,7 @@
 					Deadline: time.Hour,
 				},
 				Arrived: time.Minute,
-				Tries: []balance.Try{
+				Tries: []balance.PriorAttempt{
 					{Worker: 4, SentAt: 5, Started: 6, MayHave: true},
 					{Worker: 1 << 31, SentAt: 8, Started: 9, Out: true, MayHave: true},
 				},
@@ -62,7 +62,7 @@
 func memberNames() [][]byte {
 	var names [][]byte
 	for _, value := range []any{
-		Parcel{}, CallPart{}, StepPart{}, routing.Carried{}, routing.Operation{}, routing.Work{}, balance.Try{},
+		Parcel{}, CallPart{}, StepPart{}, routing.Carried{}, routing.Operation{}, routing.Work{}, balance.PriorAttempt{},
 	} {
 		fields := reflect.VisibleFields(reflect.TypeOf(value))
 		for _, field := range fields {
--- a/internal/node/protocol/crowd_test.go
+++ b/internal/node/protocol/crowd_test.go
@@ -132,9 +132,9 @@
 		began := now()
 		stage.Loop.Call(func() {
 			for i := range pools {
-				core, err := routing.New(balance.Settings{Balancers: nodes, Ordinal: i, AskDiscovery: true,
-					Resolution: 2 * time.Millisecond, Classes: []balance.Class{{GiveUp: time.Second}},
-					Limits: balance.Limits{MaxAttempts: 1}, Rules: balance.Rules{ColdFrom: 1, AskWithin: 10 * time.Second}},
+				core, err := routing.New(balance.Settings{Balancers: nodes, Ordinal: i, SubscribeDiscovery: true,
+					Resolution: 2 * time.Millisecond, Classes: []balance.Class{{Timeout: time.Second}},
+					Limits: balance.Limits{MaxAttempts: 1}, Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}},
 					seed*nodes+uint64(i), stage.Loop, &stage.Loop.Timers)
 				if err != nil {
 					t.Error(err)
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -69,10 +69,10 @@
 	to      *Destinations
 	version uint64
 	names   map[balance.WorkerID]string
-	listed  map[balance.WorkerID]balance.Listing // as the list has them
-	asked   bool                                 // the pool config has answered since the start
-	spare   bool                                 // cold destinations are for another process of this node
-	watch   *call                                // the watch; nil: none
+	listed  map[balance.WorkerID]balance.WorkerListing // as the list has them
+	asked   bool                                       // the pool config has answered since the start
+	spare   bool                                       // cold destinations are for another process of this node
+	watch   *call                                      // the watch; nil: none
 	fetch   *call
 	wanted  bool // the module has asked for a watch, and not ended it
 	first   bool // the watch in work is the one that answers the module's wish
@@ -88,7 +88,7 @@
 // NewDiscovery makes the adapter.
 func NewDiscovery(config DiscoveryConfig, loop *eventloop.Loop, core *routing.Core, to *Destinations) *Discovery {
 	return &Discovery{config: config, loop: loop, core: core, to: to, version: config.Known.Version,
-		names: map[balance.WorkerID]string{}, listed: map[balance.WorkerID]balance.Listing{}}
+		names: map[balance.WorkerID]string{}, listed: map[balance.WorkerID]balance.WorkerListing{}}
 }
 
 // Asked tells whether the list is as the pool config had it since this start.
@@ -123,7 +123,7 @@
 func (d *Discovery) Relay(id balance.WorkerID) {
 	if l, ok := d.listed[id]; ok {
 		d.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges, Version: d.version,
-			Workers: []balance.Listing{d.lay(id, l)}})
+			Workers: []balance.WorkerListing{d.lay(id, l)}})
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // lay gives a destination's entry as the core is to see it.
-func (d *Discovery) lay(id balance.WorkerID, l balance.Listing) balance.Listing {
+func (d *Discovery) lay(id balance.WorkerID, l balance.WorkerListing) balance.WorkerListing {
 	l = d.config.ByHand.Apply(d.names[id], l)
 	if d.spare && l.State == balance.Ready && d.loop.Now()-l.Started < d.config.ColdTime {
 		l.State = balance.Draining
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -20,7 +20,7 @@
 // up and asked anew well before what it misses counts as told, 6 s after it fell silent.
 func TestSilentAtAnyMomentOfTheHold(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
-		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 		w.Words["same"] = answered(sameList)
 		w.Play(fmt.Sprintf(`
 			wait 100ms
@@ -54,7 +54,7 @@
 	text := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	for at := 1; at < len(whole); at += 3 {
-		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 		w.Words["one"], w.Words["two"] = whole[:at], whole[at:]
 		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
 		if at+3 >= len(whole) && w.ready("s-1") {
@@ -75,7 +75,7 @@
 // The version goes backwards, as where another service answers or one has begun anew. Changes since
 // then do not fit the list here: all of it is asked for at once, and the watch goes on from there.
 func TestVersionGoesBackwards(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = answered(sameList)
 	w.Words["older"] = answered(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
 	w.Words["all"] = answered(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
@@ -92,7 +92,7 @@
 // A call cut in the middle of its answer is one that failed: it is asked anew at once, and
 // nothing of it counts.
 func TestListCutInTheMiddle(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = answered(sameList)
 	w.Play(`
 		wait 100ms
@@ -120,7 +120,7 @@
 		"never ends": `{stream}1\r\n{\r\n`} {
 		for _, down := range []time.Duration{1700 * time.Millisecond, 8 * time.Second, 60 * time.Second} {
 			w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) {
-				s.AskDiscovery, s.Rules.AskWithin, s.Balancers = true, 20*time.Second, 300
+				s.SubscribeDiscovery, s.Rules.SubscribeWithin, s.Balancers = true, 20*time.Second, 300
 			})
 			w.Words["same"] = answered(sameList)
 			w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
@@ -204,7 +204,7 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["spoilt"] = answered(`{"index":9,"snapshot":true,"endpoints":[` +
 		`{"name":"s-1","address":"somewhere","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:9","status":"Ready"},` +
--- a/internal/node/protocol/ending_test.go
+++ b/internal/node/protocol/ending_test.go
@@ -45,7 +45,7 @@
 func (w *world) lone() {
 	w.Loop.Call(func() {
 		w.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges,
-			Workers: []balance.Listing{{Worker: numberOf("s-2"), State: balance.Gone}}})
+			Workers: []balance.WorkerListing{{Worker: numberOf("s-2"), State: balance.Gone}}})
 	})
 }
 
@@ -169,7 +169,7 @@
 func TestRepeatWhoseConnectionComesLate(t *testing.T) {
 	for late, want := range map[time.Duration]balance.Outcome{0: balance.Served, 980 * time.Millisecond: balance.ConnectFailed} {
 		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) {
-			s.Classes[1].Effect, s.Classes[1].Window = balance.Keyed, time.Second
+			s.Classes[1].Effect, s.Classes[1].Window = balance.Deduplicated, time.Second
 		})
 		w.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
 		w.Loop.Call(func() {
--- a/internal/node/protocol/list.go
+++ b/internal/node/protocol/list.go
@@ -41,8 +41,8 @@
 }
 
 // listing is an entry as the core sees it.
-func (d *Discovery) listing(e Listed) balance.Listing {
-	l := balance.Listing{Worker: d.identity(e.Name), Zone: place(d.config.Zones, e.Zone), Kind: place(d.config.Kinds, e.Kind),
+func (d *Discovery) listing(e Listed) balance.WorkerListing {
+	l := balance.WorkerListing{Worker: d.identity(e.Name), Zone: place(d.config.Zones, e.Zone), Kind: place(d.config.Kinds, e.Kind),
 		Cell: e.Cell, Scale: e.Weight, Started: time.Duration(e.SinceMS*1000) * time.Microsecond}
 	switch e.State {
 	case "Ready":
@@ -70,7 +70,7 @@
 
 // tell hands a list on, the addresses first.
 func (d *Discovery) tell(kind balance.ListKind, list List) {
-	up := balance.ListUpdate{Kind: kind, Version: list.Version, Workers: make([]balance.Listing, 0, len(list.Entries))}
+	up := balance.ListUpdate{Kind: kind, Version: list.Version, Workers: make([]balance.WorkerListing, 0, len(list.Entries))}
 	listed, met := map[balance.WorkerID]bool{}, map[string]bool{}
 	for i, e := range list.Entries {
 		err := e.fault(d.loop.Now())
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -267,7 +267,7 @@
 		up := balance.ListUpdate{Kind: balance.ListChanges}
 		for id, to := range w.to.byID {
 			if to.name == "s-2" {
-				up.Workers = append(up.Workers, balance.Listing{Worker: id, State: balance.Draining, Scale: 1})
+				up.Workers = append(up.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
 			}
 		}
 		w.core.PoolChanged(up)
@@ -336,7 +336,7 @@
 	w.Loop.Call(func() {
 		up := balance.ListUpdate{Kind: balance.ListChanges}
 		for id := range w.to.byID {
-			up.Workers = append(up.Workers, balance.Listing{Worker: id, State: balance.Draining, Scale: 1})
+			up.Workers = append(up.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
 		}
 		m, _, fault := ParseRequest([]byte("POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3\r\n\r\n"))
 		if fault != nil {
@@ -371,7 +371,7 @@
 // The pool config's list is watched without a gap; a call that fails is told to
 // the module, which asks again.
 func TestDiscovery(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 	w.Words["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
 	w.Words["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
@@ -406,7 +406,7 @@
 // A watch that falls silent is given up, and asked anew, before what it had to
 // tell counts as told: 2 s past the hold.
 func TestSilentDiscoveryIsNoticedInTime(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(`
 		wait 100ms
@@ -425,7 +425,7 @@
 // on with its list and version there, and the end of the old watch is no failure:
 // the module would wait a while before it asked again.
 func TestDiscoveryMoves(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.AskDiscovery = true })
+	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Words["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
--- a/internal/node/protocol/stage_test.go
+++ b/internal/node/protocol/stage_test.go
@@ -27,14 +27,14 @@
 	t.Helper()
 	w := &world{Stage: scriptedpeer.New(t)}
 	class := func(e balance.Effect) balance.Class {
-		return balance.Class{Aim: 2 * time.Second, Stretch: 2, GiveUp: 4 * time.Second, Worth: 1, Effect: e, Kind: -1}
+		return balance.Class{LatencyTarget: 2 * time.Second, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Kind: -1}
 	}
-	s := balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond, TellsStart: true,
-		Classes: []balance.Class{class(balance.Safe), class(balance.Unsafe)},
-		Report:  []balance.Field{balance.FieldBacklog, balance.FieldFreeSlots},
+	s := balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond, ReportsStart: true,
+		Classes: []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)},
+		Report:  []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots},
 		Limits: balance.Limits{Cancel: true, Probes: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute},
-		Rules: balance.Rules{ColdFrom: 1, AskWithin: 10 * time.Second}}
+		Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}}
 	f := FrontConfig{Listen: scriptedpeer.Free(t), Sockets: 40, Memory: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
 		GiveUp: []time.Duration{4 * time.Second, 4 * time.Second}, Retry: true}
 	if change != nil {
--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -21,8 +21,8 @@
 // operation is one operation and its route steps.
 type operation struct {
 	Operation
-	steps    []slottable.Handle // by number; a Ref goes stale when its step ends
-	tries    []balance.Try      // the same, as another process would have to know them
+	steps    []slottable.Handle     // by number; a Ref goes stale when its step ends
+	tries    []balance.PriorAttempt // the same, as another process would have to know them
 	arrived  time.Duration
 	out      int
 	gated    int  // of those that are out: before the gate
@@ -105,7 +105,7 @@
 // chance that the module gives a failure there.
 func (c *Core) Listed(f func(id balance.WorkerID, state balance.State, doubt float64)) {
 	for id, state := range c.state {
-		f(id, state, c.decide.Doubt(c.clock.Now(), id))
+		f(id, state, c.decide.FailureProbability(c.clock.Now(), id))
 	}
 }
 
@@ -134,7 +134,7 @@
 	if c.ending != nil && in.Owner == c.ending {
 		in.Deadline = min(in.Deadline, c.endBy)
 	}
-	in.Work.Once = in.Class < len(c.settings.Classes) && c.settings.Classes[in.Class].Effect == balance.Unsafe
+	in.Work.Once = in.Class < len(c.settings.Classes) && c.settings.Classes[in.Class].Effect == balance.NonIdempotent
 	op := &operation{Operation: in, arrived: c.clock.Now()}
 	ref := c.ops.Add(op)
 	c.open++
@@ -164,7 +164,7 @@
 		op.Deadline = at
 		c.timers.Cancel(op.deadline)
 		op.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(ref) })
-		c.dispatch(balance.Shortened{Request: balance.RequestID(ref), Deadline: at})
+		c.dispatch(balance.DeadlineShortened{Request: balance.RequestID(ref), Deadline: at})
 	}
 }
 
@@ -203,7 +203,7 @@
 func (c *Core) MayHaveRun(ref slottable.Handle) bool {
 	op := c.ops.Get(ref)
 	return op != nil && (op.out > op.gated ||
-		slices.ContainsFunc(op.tries, func(t balance.Try) bool { return t.MayHave && !t.Out }))
+		slices.ContainsFunc(op.tries, func(t balance.PriorAttempt) bool { return t.MayHave && !t.Out }))
 }
 
 // Withdraw tells that nobody waits for the operation any more. It gets no
@@ -216,7 +216,7 @@
 	c.counts.Gone++
 	c.traceOperation("operation withdrawn", op)
 	c.finish(op)
-	c.dispatch(balance.RequestGone{Request: balance.RequestID(ref)})
+	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
 	c.forget(ref, op)
 }
 
@@ -227,7 +227,7 @@
 	}
 	slog.Warn("operation overdue", "id", op.Work.ID, "steps", len(op.steps))
 	c.answer(ref, op, Answer{Verdict: Failed})
-	c.dispatch(balance.RequestGone{Request: balance.RequestID(ref)})
+	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
 	c.forget(ref, op)
 }
 
@@ -341,7 +341,7 @@
 	switch a := a.(type) {
 	case balance.Send:
 		c.send(slottable.Handle(a.Request), a)
-	case balance.Refuse:
+	case balance.Reject:
 		c.conclude(slottable.Handle(a.Request), Answer{Verdict: Refused, RetryAfter: c.advice(a.RetryAfter)})
 	case balance.Fail:
 		c.conclude(slottable.Handle(a.Request), Answer{Verdict: Failed})
@@ -355,7 +355,7 @@
 		}
 	case balance.CloseIdle:
 		c.to.CloseIdle(a.Worker)
-	case balance.Tell:
+	case balance.SendToPeers:
 		if c.settings.Limits.Messages {
 			c.peers.Tell(a.To, a.Payload)
 		}
@@ -365,7 +365,7 @@
 		c.pool.Fetch()
 	case balance.Log:
 		slog.Info("module", "says", a.Text)
-	case balance.Fault:
+	case balance.InternalError:
 		slog.Error("module fault", "says", a.Text)
 	}
 }
--- a/internal/node/routing/core_test.go
+++ b/internal/node/routing/core_test.go
@@ -43,13 +43,13 @@
 	t.Helper()
 	f := &far{now: time.Hour}
 	c, err := New(balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond,
-		Classes: []balance.Class{{Aim: time.Second, GiveUp: time.Second, Worth: 1, Effect: balance.Unsafe, Kind: -1}},
-		Limits:  balance.Limits{MaxAttempts: 2, Cancel: true}, Rules: balance.Rules{ColdFrom: 1}}, 1, f, &f.line)
+		Classes: []balance.Class{{LatencyTarget: time.Second, Timeout: time.Second, Value: 1, Effect: balance.NonIdempotent, Kind: -1}},
+		Limits:  balance.Limits{MaxAttempts: 2, Cancel: true}, Rules: balance.Rules{InitialCapacity: 1}}, 1, f, &f.line)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Connect(f, f, f)
-	c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.Listing{{Worker: 7, Scale: 1}}})
+	c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.WorkerListing{{Worker: 7, Scale: 1}}})
 	op := c.Take(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
 	c.Route(op)
 	if len(f.sent) != 1 {
@@ -103,7 +103,7 @@
 	if !c.MayStart(f.sent[0]) {
 		t.Error("a step to a ready destination may not start")
 	}
-	c.PoolChanged(balance.ListUpdate{Workers: []balance.Listing{{Worker: 7, Scale: 1, State: balance.Draining}}})
+	c.PoolChanged(balance.ListUpdate{Workers: []balance.WorkerListing{{Worker: 7, Scale: 1, State: balance.Draining}}})
 	if c.MayStart(f.sent[0]) {
 		t.Error("a step to a draining destination may start")
 	}
@@ -157,7 +157,7 @@
 	for name, meanwhile := range map[string]func(c *Core, g *gated, op slottable.Handle){
 		"withdrawn": func(c *Core, _ *gated, op slottable.Handle) { c.Withdraw(op) },
 		"draining": func(c *Core, _ *gated, _ slottable.Handle) {
-			c.PoolChanged(balance.ListUpdate{Workers: []balance.Listing{{Worker: 7, Scale: 1, State: balance.Draining}}})
+			c.PoolChanged(balance.ListUpdate{Workers: []balance.WorkerListing{{Worker: 7, Scale: 1, State: balance.Draining}}})
 		},
 		"gone":     func(c *Core, _ *gated, _ slottable.Handle) { c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull}) },
 		"deadline": func(_ *Core, g *gated, _ slottable.Handle) { g.run(g.now + 3*time.Second) },
--- a/internal/node/routing/handover.go
+++ b/internal/node/routing/handover.go
@@ -12,15 +12,15 @@
 type Carried struct {
 	Operation Operation // without its owner
 	Arrived   time.Duration
-	Tries     []balance.Try
+	Tries     []balance.PriorAttempt
 	Until     []time.Duration // by try, where it is out
 }
 
 // Learned returns what the module has learned, for another process.
-func (c *Core) Learned() []uint64 { return c.decide.Learned() }
+func (c *Core) Learned() []uint64 { return c.decide.ExportState() }
 
 // Recall has the module take up what it has learned in another process.
-func (c *Core) Recall(row []uint64) error { return c.decide.Recall(c.clock.Now(), row) }
+func (c *Core) Recall(row []uint64) error { return c.decide.ImportState(c.clock.Now(), row) }
 
 // Out returns the route steps of an operation that are out at destinations, by the
 // number of the try; the zero Ref stands for one that is not.
@@ -62,7 +62,7 @@
 	c.counts.Moved++
 	c.finish(op)
 	c.ops.Remove(ref)
-	c.dispatch(balance.RequestGone{Request: balance.RequestID(ref)})
+	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
 	return carried
 }
 
@@ -90,6 +90,6 @@
 // Resume puts an adopted operation to the module.
 func (c *Core) Resume(ref slottable.Handle) {
 	if op := c.ops.Get(ref); op != nil {
-		c.dispatch(balance.Adopted{Request: c.request(ref, op), Arrived: op.arrived, Tries: op.tries})
+		c.dispatch(balance.Adopted{Request: c.request(ref, op), Arrived: op.arrived, Attempts: op.tries})
 	}
 }
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -39,7 +39,7 @@
 // connection may have come up long after the module's decision, and its bytes are on their way yet.
 func (c *Core) inWindow(s *step) bool {
 	op := c.ops.Get(s.op)
-	if op.Class >= len(c.settings.Classes) || c.settings.Classes[op.Class].Effect != balance.Keyed {
+	if op.Class >= len(c.settings.Classes) || c.settings.Classes[op.Class].Effect != balance.Deduplicated {
 		return true
 	}
 	for i, t := range op.tries {
@@ -77,13 +77,13 @@
 			c.witness.Waited(op.Owner, c.clock.Now()-s.sentAt)
 		}
 	}
-	c.dispatch(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
+	c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
 }
 
 // StepProgress tells how far the destination is.
 func (c *Core) StepProgress(ref slottable.Handle, share float64) {
 	if s := c.steps.Get(ref); s != nil {
-		c.dispatch(balance.AttemptNews{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
+		c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
 			Progress: share})
 	}
 }
@@ -141,7 +141,7 @@
 	s := &step{op: ref, number: len(op.steps), to: a.Worker, sentAt: now, until: until}
 	at := c.steps.Add(s)
 	op.steps = append(op.steps, at)
-	op.tries = append(op.tries, balance.Try{Worker: a.Worker, SentAt: now, Out: true, MayHave: true})
+	op.tries = append(op.tries, balance.PriorAttempt{Worker: a.Worker, SentAt: now, Out: true, MayHave: true})
 	op.out++
 	state, listed := c.state[a.Worker]
 	if !c.awaited(ref) || !listed || state != balance.Ready || len(op.steps) > c.settings.Limits.MaxAttempts || !c.inWindow(s) {
--- a/internal/node/simwire/frame.go
+++ b/internal/node/simwire/frame.go
@@ -200,7 +200,7 @@
 	case 5:
 		return d.attemptDone()
 	case 6:
-		return balance.RequestGone{Request: d.id()}, nil
+		return balance.RequestEnded{Request: d.id()}, nil
 	case 7:
 		return balance.TimerFired{Token: d.u32()}, nil
 	case 8:
@@ -240,7 +240,7 @@
 		d.short = true
 		return ev, nil
 	}
-	ev.Workers = make([]balance.Listing, 0, n)
+	ev.Workers = make([]balance.WorkerListing, 0, n)
 	for range n {
 		w, err := d.listing()
 		if err != nil {
@@ -251,8 +251,8 @@
 	return ev, nil
 }
 
-func (d *decoder) listing() (balance.Listing, error) {
-	w := balance.Listing{Worker: d.worker(), Zone: int(d.u8()), Kind: int(d.u8()), Cell: int(d.u16())}
+func (d *decoder) listing() (balance.WorkerListing, error) {
+	w := balance.WorkerListing{Worker: d.worker(), Zone: int(d.u8()), Kind: int(d.u8()), Cell: int(d.u16())}
 	state := d.u8()
 	w.Scale = float64(d.f32())
 	w.Started = micros(d.u64())
@@ -302,7 +302,7 @@
 }
 
 func (d *decoder) news() (any, error) {
-	ev := balance.AttemptNews{Request: d.id(), Attempt: int(d.u16()), Worker: d.worker()}
+	ev := balance.AttemptProgress{Request: d.id(), Attempt: int(d.u16()), Worker: d.worker()}
 	topic := d.u8()
 	ev.Started, ev.Progress = topic == 1, float64(d.f32())
 	if topic != 1 && topic != 2 {
--- a/internal/node/simwire/reply.go
+++ b/internal/node/simwire/reply.go
@@ -38,7 +38,7 @@
 		r.u64(uint64(a.Request))
 		r.worker(a.Worker)
 		r.u64(uint64(max(a.Until, 0) / time.Microsecond))
-	case balance.Refuse:
+	case balance.Reject:
 		r.head(2, instance)
 		r.u64(uint64(a.Request))
 		r.span(a.RetryAfter)
@@ -59,14 +59,14 @@
 	case balance.CloseIdle:
 		r.head(7, instance)
 		r.worker(a.Worker)
-	case balance.Tell:
+	case balance.SendToPeers:
 		r.head(8, instance)
 		r.u32(uint32(int32(max(a.To, -1))))
 		r.text(string(a.Payload))
 	case balance.Log:
 		r.head(9, instance)
 		r.text(a.Text)
-	case balance.Fault:
+	case balance.InternalError:
 		r.head(10, instance)
 		r.text(a.Text)
 	case balance.Subscribe:
--- a/internal/node/simwire/settings.go
+++ b/internal/node/simwire/settings.go
@@ -13,13 +13,13 @@
 // maxItems bounds the lists of objects in the settings.
 const maxItems = 4096
 
-var fieldNames = map[string]balance.Field{
+var fieldNames = map[string]balance.ReportField{
 	"outstanding": balance.FieldOutstanding, "backlog": balance.FieldBacklog,
 	"utilization": balance.FieldUtilization, "recent_ms": balance.FieldServiceMS,
 	"throughput": balance.FieldThroughput, "errors_per_s": balance.FieldErrors,
 }
 
-var extraNames = map[string]balance.Field{
+var extraNames = map[string]balance.ReportField{
 	"free_slots": balance.FieldFreeSlots, "free_memory": balance.FieldFreeMemory,
 }
 
@@ -149,17 +149,17 @@
 
 func (p *pairs) settings() balance.Settings {
 	s := balance.Settings{
-		Balancers:      p.whole("balancers", 1),
-		Ordinal:        p.whole("ordinal", 0),
-		Zone:           p.whole("zone", 0),
-		Resolution:     p.span("resolutionUs"),
-		AskDiscovery:   p.choice("discovery", "push", "ask") == 1,
-		ByWork:         p.choice("countedBy", "request", "work") == 1,
-		TellsStart:     p.flag("domain.tellsStart"),
-		QueueOrder:     balance.Order(p.choice("domain.queueOrder", "fifo", "backfill", "priority")),
-		OverShareWorth: p.number("overShareWorth", 0),
-		Limits:         p.limits(),
-		Rules:          p.rules(),
+		Balancers:          p.whole("balancers", 1),
+		Ordinal:            p.whole("ordinal", 0),
+		Zone:               p.whole("zone", 0),
+		Resolution:         p.span("resolutionUs"),
+		SubscribeDiscovery: p.choice("discovery", "push", "ask") == 1,
+		ValueByWork:        p.choice("countedBy", "request", "work") == 1,
+		ReportsStart:       p.flag("domain.tellsStart"),
+		QueueOrder:         balance.QueueOrder(p.choice("domain.queueOrder", "fifo", "backfill", "priority")),
+		OverShareValue:     p.number("overShareWorth", 0),
+		Limits:             p.limits(),
+		Rules:              p.rules(),
 		Costs: balance.Costs{
 			CrossZone: p.number("costs.crossZone", 0),
 			LateFail:  p.number("costs.lateFail", 0),
@@ -188,7 +188,7 @@
 func (p *pairs) limits() balance.Limits {
 	return balance.Limits{
 		Cancel:         p.flag("bounds.cancelling"),
-		SecondCopies:   p.flag("bounds.secondCopies"),
+		HedgedRequests: p.flag("bounds.secondCopies"),
 		Probes:         p.flag("bounds.probes"),
 		Messages:       p.flag("bounds.mayTell"),
 		RetryAfter:     p.flag("bounds.retryAfter"),
@@ -202,19 +202,19 @@
 
 func (p *pairs) rules() balance.Rules {
 	return balance.Rules{
-		AnswerSlack:  p.span("rules.answerSlackUs"),
-		AskWithin:    p.span("rules.askWithinUs"),
-		DrainGrace:   p.span("rules.drainGraceUs"),
-		ColdFrom:     p.number("rules.coldFrom", 1),
-		ColdTime:     p.span("rules.coldUs"),
-		FallMultiple: p.number("rules.fallMultiple", 0),
-		OverloadFor:  p.span("rules.overloadForUs"),
+		AnswerSlack:      p.span("rules.answerSlackUs"),
+		SubscribeWithin:  p.span("rules.askWithinUs"),
+		DrainGrace:       p.span("rules.drainGraceUs"),
+		InitialCapacity:  p.number("rules.coldFrom", 1),
+		WarmupTime:       p.span("rules.coldUs"),
+		OverloadMultiple: p.number("rules.fallMultiple", 0),
+		OverloadTime:     p.span("rules.overloadForUs"),
 	}
 }
 
-func (p *pairs) report() []balance.Field {
+func (p *pairs) report() []balance.ReportField {
 	names := p.list("report.fields")
-	fields := make([]balance.Field, len(names))
+	fields := make([]balance.ReportField, len(names))
 	for i, name := range names {
 		fields[i] = fieldNames[name]
 		switch name {
@@ -234,11 +234,11 @@
 func (p *pairs) class(i int) balance.Class {
 	at := fmt.Sprintf("grades.%d.", i)
 	return balance.Class{
-		Aim:       p.span(at + "targetUs"),
-		Stretch:   p.nth("domain.classStretch", i, p.number(at+"aimStretch", 0)),
-		GiveUp:    p.span(at + "giveUpUs"),
-		Worth:     p.number(at+"points", 1),
-		LateWorth: p.number(at+"lateWorth", 0),
+		LatencyTarget: p.span(at + "targetUs"),
+		TargetStretch: p.nth("domain.classStretch", i, p.number(at+"aimStretch", 0)),
+		Timeout:       p.span(at + "giveUpUs"),
+		Value:         p.number(at+"points", 1),
+		LateValue:     p.number(at+"lateWorth", 0),
 		Effect: balance.Effect(p.choice(at+"repeat", "read_like", "idempotency_key",
 			"non_idempotent")),
 		Group:    balance.Group(p.choice(at+"group", "all", "zone", "cell")),
--- a/internal/node/simwire/wire_test.go
+++ b/internal/node/simwire/wire_test.go
@@ -48,7 +48,7 @@
 			Attach{Seed: 99, Options: string(options)}},
 		"Fleet": {le(uint8(2), uint32(3), uint64(41), uint8(4), uint32(1),
 			addr, uint8(1), uint8(2), uint16(5), uint8(3), float32(1.5), uint64(1000)),
-			balance.ListUpdate{Kind: balance.ListFull, Version: 41, Workers: []balance.Listing{{Worker: addrID,
+			balance.ListUpdate{Kind: balance.ListFull, Version: 41, Workers: []balance.WorkerListing{{Worker: addrID,
 				Zone: 1, Kind: 2, Cell: 5, State: balance.Draining, Scale: 1.5, Started: time.Millisecond}}}},
 		"Ask": {le(uint8(3), uint32(3), uint64(12), uint32(1), uint8(3), float32(0.5), uint32(2000), uint64(77),
 			uint64(9000), uint8(2), float32(4)),
@@ -60,7 +60,7 @@
 			uint8(2), float32(1), float32(2)),
 			balance.AttemptDone{Request: 12, Attempt: 1, Worker: addrID, Outcome: balance.Full,
 				Elapsed: 500 * time.Microsecond, Over: true, Note: 6, Report: []float32{1, 2}}},
-		"Dropped":     {le(uint8(6), uint32(3), uint64(12)), balance.RequestGone{Request: 12}},
+		"Dropped":     {le(uint8(6), uint32(3), uint64(12)), balance.RequestEnded{Request: 12}},
 		"DeadlineHit": {le(uint8(7), uint32(3), uint32(8)), balance.TimerFired{Token: 8}},
 		"StatusBack": {le(uint8(8), uint32(3), addr, uint16(50), uint32(250), uint8(0)),
 			balance.ProbeDone{Worker: addrID, Outcome: balance.ConnectFailed, Elapsed: 250 * time.Microsecond}},
@@ -68,7 +68,7 @@
 			balance.PeerMessage{From: 2, Payload: []byte{1, 2, 3}}},
 		"Shutdown": {le(uint8(10), uint32(3)), Shutdown{}},
 		"Signal": {le(uint8(11), uint32(3), uint64(12), uint16(1), addr, uint8(2), float32(0.5)),
-			balance.AttemptNews{Request: 12, Attempt: 1, Worker: addrID, Progress: 0.5}},
+			balance.AttemptProgress{Request: 12, Attempt: 1, Worker: addrID, Progress: 0.5}},
 	}
 }
 
@@ -144,16 +144,16 @@
 	}{
 		{balance.Send{Request: 12, Worker: addrID, Until: time.Millisecond},
 			le(uint8(1), uint32(3), uint64(12), addr, uint64(1000))},
-		{balance.Refuse{Request: 12, RetryAfter: time.Second}, le(uint8(2), uint32(3), uint64(12), uint32(1e6))},
+		{balance.Reject{Request: 12, RetryAfter: time.Second}, le(uint8(2), uint32(3), uint64(12), uint32(1e6))},
 		{balance.Fail{Request: 12}, le(uint8(3), uint32(3), uint64(12))},
 		{balance.Cancel{Request: 12, Attempt: 2}, le(uint8(4), uint32(3), uint64(12), uint16(2))},
 		{balance.SetTimer{After: time.Millisecond, Token: 5}, le(uint8(5), uint32(3), uint32(1000), uint32(5))},
 		{balance.SetTimer{After: 100 * time.Hour, Token: 5}, le(uint8(5), uint32(3), uint32(1<<32-1), uint32(5))},
 		{balance.Probe{Worker: addrID}, le(uint8(6), uint32(3), addr)},
 		{balance.CloseIdle{Worker: addrID}, le(uint8(7), uint32(3), addr)},
-		{balance.Tell{To: -1, Payload: []byte("hi")}, le(uint8(8), uint32(3), ^uint32(0), uint16(2), []byte("hi"))},
+		{balance.SendToPeers{To: -1, Payload: []byte("hi")}, le(uint8(8), uint32(3), ^uint32(0), uint16(2), []byte("hi"))},
 		{balance.Log{Text: "hi"}, le(uint8(9), uint32(3), uint16(2), []byte("hi"))},
-		{balance.Fault{Text: "hi"}, le(uint8(10), uint32(3), uint16(2), []byte("hi"))},
+		{balance.InternalError{Text: "hi"}, le(uint8(10), uint32(3), uint16(2), []byte("hi"))},
 		{balance.Subscribe{On: true}, le(uint8(11), uint32(3), uint8(1))},
 		{balance.FetchList{}, le(uint8(12), uint32(3))},
 	}
@@ -206,13 +206,13 @@
 		t.Fatal(err)
 	}
 	want := balance.Settings{Balancers: 3, Ordinal: 2, Zone: 1, Resolution: 5 * time.Millisecond,
-		AskDiscovery: true, ByWork: true, TellsStart: true, QueueOrder: balance.Backfill,
-		Report: []balance.Field{balance.FieldOutstanding, balance.FieldFreeSlots, balance.FieldOther},
-		Classes: []balance.Class{{Aim: 200 * time.Millisecond, Stretch: 1.5, GiveUp: 5 * time.Second, Worth: 2.5,
-			Effect: balance.Keyed, Group: balance.GroupCell, Window: 7 * time.Millisecond, Kind: -1}},
+		SubscribeDiscovery: true, ValueByWork: true, ReportsStart: true, QueueOrder: balance.Backfill,
+		Report: []balance.ReportField{balance.FieldOutstanding, balance.FieldFreeSlots, balance.FieldOther},
+		Classes: []balance.Class{{LatencyTarget: 200 * time.Millisecond, TargetStretch: 1.5, Timeout: 5 * time.Second, Value: 2.5,
+			Effect: balance.Deduplicated, Group: balance.GroupCell, Window: 7 * time.Millisecond, Kind: -1}},
 		Tenants: []balance.Tenant{{QuotaPerSecond: 10.5, Share: 0.4}},
-		Limits:  balance.Limits{MaxAttempts: 6, SecondCopies: true, StreamsPerConn: 1},
-		Rules:   balance.Rules{ColdFrom: 0.35, ColdTime: 9 * time.Second}}
+		Limits:  balance.Limits{MaxAttempts: 6, HedgedRequests: true, StreamsPerConn: 1},
+		Rules:   balance.Rules{InitialCapacity: 0.35, WarmupTime: 9 * time.Second}}
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("got  %+v\nwant %+v", s, want)
 	}
--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -210,7 +210,7 @@
 		}
 	}
 	for _, z := range a.dispatcher.Zones() {
-		a.follower.Monitor().SetCapacity(now, a.zoneName(z.Zone), z.Slots, z.Cold)
+		a.follower.Monitor().SetCapacity(now, a.zoneName(z.Zone), z.Slots, z.WarmupDeficit)
 	}
 	a.applyShares()
 }
@@ -311,7 +311,7 @@
 	case balance.Served:
 		counts := health.StepCounts{Succeeded: 1}
 		class := a.config.Classes[s.class]
-		if run := now - startedAt; now-s.sentAt-time.Duration(class.Stretch*float64(run)) > class.Aim {
+		if run := now - startedAt; now-s.sentAt-time.Duration(class.TargetStretch*float64(run)) > class.LatencyTarget {
 			counts.Late = 1
 		}
 		if s.started == 0 && !a.config.ReportsStart {
--- a/internal/testkit/nodesim/emulator_test.go
+++ b/internal/testkit/nodesim/emulator_test.go
@@ -98,7 +98,7 @@
 		for name, d := range map[string]Day{"overload": over, "returned": Workshop(60, 40, 1+seed).Returned()} {
 			for class, times := range []float64{0.45, 0.18} { // the two that may be repeated, in turn
 				d.Settings.Classes = slices.Clone(Workshop(1, 1, 1).Settings.Classes)
-				d.Settings.Classes[class].Worth *= times
+				d.Settings.Classes[class].Value *= times
 				r := play(t, d)
 				worth, part, whole := r.ClassWorth[class]/r.Worth, r.ClassServed[class]/r.ClassWorth[class], r.Served/r.Worth
 				if part < whole/2 || worth < 0.03 || worth > 0.08 {
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -79,7 +79,7 @@
 		switch a := a.(type) {
 		case balance.Send:
 			n.send(a)
-		case balance.Refuse:
+		case balance.Reject:
 			n.answer(a.Request, refused, a.RetryAfter)
 		case balance.Fail:
 			n.answer(a.Request, failed, 0)
@@ -103,7 +103,7 @@
 			})
 		case balance.Probe:
 			n.probe(a.Worker)
-		case balance.Tell:
+		case balance.SendToPeers:
 			n.say(a)
 		}
 	}
@@ -145,7 +145,7 @@
 	})
 }
 
-func (n *node) say(a balance.Tell) {
+func (n *node) say(a balance.SendToPeers) {
 	w := n.w
 	for _, to := range w.nodes {
 		if to == n || a.To >= 0 && a.To != to.number {
--- a/internal/testkit/nodesim/sites.go
+++ b/internal/testkit/nodesim/sites.go
@@ -10,8 +10,8 @@
 // order and cold starts, and three classes of which one must not run twice.
 func Workshop(nodes, workers int, seed uint64) Day {
 	class := func(aim, giveUp int, worth, stretch float64, effect balance.Effect) balance.Class {
-		return balance.Class{Aim: time.Duration(aim) * time.Millisecond, GiveUp: time.Duration(giveUp) * time.Second,
-			Worth: worth, Stretch: stretch, Effect: effect, Kind: -1}
+		return balance.Class{LatencyTarget: time.Duration(aim) * time.Millisecond, Timeout: time.Duration(giveUp) * time.Second,
+			Value: worth, TargetStretch: stretch, Effect: effect, Kind: -1}
 	}
 	kind := func(share float64, speed, queue, from Span) Kind {
 		return Kind{Share: share, Cores: 4, Speed: speed, SlotsPerCore: Span{1, 1.3}, QueuePerCore: queue, ColdFrom: from,
@@ -19,16 +19,16 @@
 	}
 	return Day{Seed: seed, Nodes: nodes, Workers: workers, Length: 23, Load: 0.62, Uneven: 0.6, Heaviest: 0.5, ColdWork: 0.6,
 		Goal: Goal{Whole: 0.75, WorstWindow: 0.05, WorstClass: 0.2}, ShakePrice: 0.32,
-		Settings: balance.Settings{Resolution: 2 * time.Millisecond, ByWork: true, TellsStart: true,
-			Classes: []balance.Class{class(400, 5, 5, 1.75, balance.Safe), class(1000, 20, 2, 2.5, balance.Safe),
-				class(800, 25, 8, 2, balance.Unsafe)},
-			Report: []balance.Field{balance.FieldBacklog, balance.FieldFreeSlots},
-			Limits: balance.Limits{Cancel: true, SecondCopies: true, Probes: true, Messages: true, RetryAfter: true,
+		Settings: balance.Settings{Resolution: 2 * time.Millisecond, ValueByWork: true, ReportsStart: true,
+			Classes: []balance.Class{class(400, 5, 5, 1.75, balance.Idempotent), class(1000, 20, 2, 2.5, balance.Idempotent),
+				class(800, 25, 8, 2, balance.NonIdempotent)},
+			Report: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots},
+			Limits: balance.Limits{Cancel: true, HedgedRequests: true, Probes: true, Messages: true, RetryAfter: true,
 				MaxRetryAfter: 2 * time.Second, MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond,
 				ConnIdle: time.Minute, StreamsPerConn: 1},
-			Rules: balance.Rules{AnswerSlack: 8 * time.Millisecond, AskWithin: 10 * time.Second,
-				DrainGrace: 300 * time.Millisecond, ColdFrom: 0.14, ColdTime: 24 * time.Second, FallMultiple: 4,
-				OverloadFor: 3 * time.Second},
+			Rules: balance.Rules{AnswerSlack: 8 * time.Millisecond, SubscribeWithin: 10 * time.Second,
+				DrainGrace: 300 * time.Millisecond, InitialCapacity: 0.14, WarmupTime: 24 * time.Second, OverloadMultiple: 4,
+				OverloadTime: 3 * time.Second},
 			Costs: balance.Costs{LateFail: 0.032, Waste: 0.036, Probe: 0.0013, Message: 0.0099, Handshake: 0.02}},
 		Kinds: []Kind{kind(0.52, Span{0.8, 1.15}, Span{5.9, 8.6}, Span{0.14, 0.29}),
 			kind(0.48, Span{0.48, 0.72}, Span{7.7, 16}, Span{0.18, 0.3})},
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -124,7 +124,7 @@
 		s.began = k.w.now
 		if !k.silent {
 			k.w.reach(s.node, s.life, func() {
-				s.node.tell(balance.AttemptNews{Request: s.op.id, Attempt: s.number, Worker: k.id, Started: true})
+				s.node.tell(balance.AttemptProgress{Request: s.op.id, Attempt: s.number, Worker: k.id, Started: true})
 			})
 		}
 	}
@@ -177,11 +177,11 @@
 func (k *worker) count(s *step) {
 	r := k.w.day.Settings.Rules
 	warm := k.warm()
-	if warm >= 1 || r.FallMultiple == 0 {
+	if warm >= 1 || r.OverloadMultiple == 0 {
 		return
 	}
 	k.sent = append(k.sent, coldSend{k.w.now, s.op.work * s.op.slots / k.speed, s.node.told[k.id] == k.started})
-	for len(k.sent) > 0 && k.sent[0].at < k.w.now-r.OverloadFor {
+	for len(k.sent) > 0 && k.sent[0].at < k.w.now-r.OverloadTime {
 		k.sent = k.sent[1:]
 	}
 	sum, told := 0.0, 0.0
@@ -192,7 +192,7 @@
 		}
 	}
 	mean := k.w.day.meanWork() / k.speed
-	allowed := r.FallMultiple * warm * k.cores * r.OverloadFor.Seconds() / mean
+	allowed := r.OverloadMultiple * warm * k.cores * r.OverloadTime.Seconds() / mean
 	most := mean * (allowed + 2*math.Sqrt(allowed) + 2)
 	if told*3 > sum*2 {
 		k.w.result.ColdMost = max(k.w.result.ColdMost, sum/most)
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -93,7 +93,7 @@
 	w.arrivals()
 	longest := time.Duration(0)
 	for _, c := range d.Settings.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.Timeout)
 	}
 	w.play(begins + seconds(d.Length+1) + longest)
 	return w.result, nil
@@ -162,7 +162,7 @@
 func (w *world) arrive() {
 	d := w.day
 	class := pick(w.traffic, len(d.Classes), func(i int) float64 { return d.Classes[i].Share })
-	c, giveUp := d.Classes[class], d.Settings.Classes[class].GiveUp
+	c, giveUp := d.Classes[class], d.Settings.Classes[class].Timeout
 	slots := float64(int(1) << pick(w.traffic, len(c.Slots), func(i int) float64 { return c.Slots[i] }))
 	op := &operation{class: class, slots: slots, work: min(c.Work*lognormal(w.traffic, c.CV), d.Heaviest*giveUp.Seconds()),
 		arrived: w.now, deadline: w.now + giveUp}
@@ -170,8 +170,8 @@
 	if d.HintNoise >= 0 {
 		op.hint = seconds(op.work * lognormal(w.traffic, d.HintNoise))
 	}
-	op.worth = d.Settings.Classes[class].Worth
-	if d.Settings.ByWork {
+	op.worth = d.Settings.Classes[class].Value
+	if d.Settings.ValueByWork {
 		op.worth *= op.work * slots
 	}
 	w.result.Worth += op.worth
@@ -220,7 +220,7 @@
 	}
 	r, class := &w.result, d.Settings.Classes[op.class]
 	took := (w.now - first.arrived).Seconds()
-	switch aim := class.Aim.Seconds() + class.Stretch*op.work; {
+	switch aim := class.LatencyTarget.Seconds() + class.TargetStretch*op.work; {
 	case verdict == refused:
 		r.Refused++
 		r.RefusedWorth += op.worth
@@ -336,12 +336,12 @@
 		w.after(seconds(late*(1+0.05*w.rng.Float64())), func() {
 			if !n.down && n.life == life {
 				n.told[l.Worker] = l.Started
-				n.tell(balance.ListUpdate{Kind: balance.ListChanges, Workers: []balance.Listing{l}})
+				n.tell(balance.ListUpdate{Kind: balance.ListChanges, Workers: []balance.WorkerListing{l}})
 			}
 		})
 	}
 }
 
-func (k *worker) listing() balance.Listing {
-	return balance.Listing{Worker: k.id, Kind: k.kind, State: k.state, Scale: k.cores, Started: k.started}
+func (k *worker) listing() balance.WorkerListing {
+	return balance.WorkerListing{Worker: k.id, Kind: k.kind, State: k.state, Scale: k.cores, Started: k.started}
 }
