--- a/balance/api.go
+++ b/balance/api.go
@@ -1,10 +1,19 @@
-// Package balance makes the decisions of a dispatcher that pushes jobs to
-// workers: where each request goes, when it is tried again, refused or failed.
+// Package balance decides for a dispatcher that pushes requests to workers: which worker gets a request, when
+// it is queued, retried, hedged, rejected or failed.
 //
-// This file is the interface alone: settings, events, actions. The decisions
-// are in balance.go (a request's life), place.go (which worker), attempts.go (sends and
-// what becomes of them), scout.go (probes), homes.go (keys), zones.go (the fleet's orders), estimate.go
-// (predictions), fleet.go and peers.go (workers).
+// A Balancer is a deterministic state machine: its caller passes events with the time and carries out the
+// returned actions. It has no clock, no goroutines and no I/O. Package internal/node/routing drives it in the
+// node, internal/node/simwire in the simulator.
+//
+// Four rules hold always: a request gets one final answer (rejectOrFail); nothing runs twice that must not
+// (permit); only workers listed as ready get requests (isReady); a warming-up worker gets no more than its
+// budget (withinWarmupBudget).
+//
+// This file is the interface: settings, events and actions. The decisions are in balance.go (requests),
+// placement.go (which worker), attempts.go (sends and their outcomes), probing.go, homes.go (key affinity),
+// zones.go (zone shares), estimate.go (predictions), fleet.go (workers) and peers.go (other dispatchers).
+// load_message.go and state.go encode what goes to peers and to a successor process. In all of them r is a
+// request, w a worker and f a forecast.
 package balance
 
 import (
@@ -14,33 +23,33 @@
 	"time"
 )
 
-// WorkerID names a worker. It is opaque, and stays the same over a restart.
+// WorkerID identifies a worker. It is opaque and survives the worker's restart.
 type WorkerID uint64
 
-// RequestID names a request. It is opaque and never comes twice.
+// RequestID identifies a request. It is opaque and never reused.
 type RequestID uint64
 
-// Effect says what a repeat of a request does.
+// Effect is what repeating a request does.
 type Effect uint8
 
-// The effects a class can have.
+// The effects.
 const (
-	Idempotent    Effect = iota // may be repeated freely
-	Deduplicated                // repeats are dropped by the workers of a group, for a while
-	NonIdempotent               // must never run twice
+	Idempotent    Effect = iota // may run any number of times
+	Deduplicated                // the workers of a group drop repeats within a window
+	NonIdempotent               // must not run twice
 )
 
-// Group is the set of workers that drop each other's repeats of a keyed request.
+// Group is the set of workers that drop each other's repeats of a Deduplicated request.
 type Group uint8
 
-// The groups of a keyed class.
+// The groups.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// QueueOrder is the way a worker serves its queue.
+// QueueOrder is the order in which workers serve their queues.
 type QueueOrder uint8
 
 // The queue orders.
@@ -50,10 +59,10 @@
 	Priority
 )
 
-// ReportField is one value of a load report.
+// ReportField identifies a value of a load report.
 type ReportField uint8
 
-// The values a load report can hold. FieldOther stands for one not known.
+// The values of a load report. FieldOther stands for an unknown one.
 const (
 	FieldOther ReportField = iota
 	FieldOutstanding
@@ -66,28 +75,28 @@
 	FieldFreeMemory
 )
 
-// Class is what the settings say of one class of requests.
+// Class configures one class of requests.
 type Class struct {
-	LatencyTarget time.Duration // an answer inside it earns full worth
-	TargetStretch float64       // extra time on the aim, as a multiple of the job's work
+	LatencyTarget time.Duration // an answer within it earns full value
+	TargetStretch float64       // added to the target, as a multiple of the job's work
 	Timeout       time.Duration
 	Value         float64
-	LateValue     float64 // share of the worth after the aim
+	LateValue     float64 // fraction of the value that a late answer earns
 	Effect        Effect
-	Group         Group         // for Keyed
-	Window        time.Duration // for Keyed, from the first attempt that may have run
+	Group         Group         // for Deduplicated
+	Window        time.Duration // for Deduplicated, from the first attempt that may have run
 	Stream        bool
 	Kind          int // the worker kind it needs, or -1
 	Priority      int
 }
 
-// Tenant is what the settings say of one tenant.
+// Tenant configures one tenant.
 type Tenant struct {
 	QuotaPerSecond float64
 	Share          float64
 }
 
-// Limits is what the deployment permits.
+// Limits are what the deployment permits.
 type Limits struct {
 	Cancel         bool
 	HedgedRequests bool
@@ -101,18 +110,18 @@
 	StreamsPerConn int
 }
 
-// Rules holds the figures of the rules each dispatcher keeps alone.
+// Rules are the parameters of the rules that each dispatcher keeps alone.
 type Rules struct {
 	AnswerSlack      time.Duration
 	SubscribeWithin  time.Duration
 	DrainGrace       time.Duration
-	InitialCapacity  float64 // a worker starts at this part of its capacity or more
+	InitialCapacity  float64 // least fraction of its capacity with which a worker starts
 	WarmupTime       time.Duration
-	OverloadMultiple float64 // work past this multiple of present capacity, for OverloadFor, fells it
+	OverloadMultiple float64 // work past this multiple of its present capacity for OverloadTime fails a worker
 	OverloadTime     time.Duration
 }
 
-// Costs are the prices the deployment puts on what a dispatcher does.
+// Costs are the deployment's prices.
 type Costs struct {
 	CrossZone float64
 	LateFail  float64
@@ -122,21 +131,21 @@
 	Handshake float64
 }
 
-// Settings is all a dispatcher is told at its start.
+// Settings configure a dispatcher.
 type Settings struct {
-	Balancers  int // dispatchers at work, this one included
-	Ordinal    int // this dispatcher's number among them
+	Balancers  int // number of dispatchers, this one included
+	Ordinal    int // this dispatcher's number, from 0
 	Zone       int
-	Resolution time.Duration // events come at most this often
+	Resolution time.Duration // least time between events
 	Classes    []Class
 	Tenants    []Tenant
 
-	SubscribeDiscovery bool // the worker list must be subscribed to
-	ValueByWork        bool // worth counts for each unit of work
-	ReportsStart       bool // workers say when a job starts
+	SubscribeDiscovery bool // the worker list comes by subscription
+	ValueByWork        bool // the value counts per unit of work
+	ReportsStart       bool // workers report the start of a job
 	QueueOrder         QueueOrder
 	Report             []ReportField
-	ReportProbes       bool // reports come only with probe results
+	ReportProbes       bool // reports come with probe results only
 
 	OverShareValue float64
 	Limits         Limits
@@ -144,30 +153,36 @@
 	Costs          Costs
 }
 
-// validate names the first setting that no deployment can have.
+var (
+	errNoClass      = errors.New("settings: no class of requests")
+	errNegativeTime = errors.New("settings: a negative time")
+)
+
+// validate returns an error that names the first invalid setting.
 func (s *Settings) validate() error {
 	switch {
 	case s.Balancers < 1 || s.Ordinal < 0 || s.Ordinal >= s.Balancers:
 		return fmt.Errorf("settings: dispatcher %d of %d", s.Ordinal, s.Balancers)
 	case len(s.Classes) == 0:
-		return errors.New("settings: no class of requests")
+		return errNoClass
 	case s.Limits.MaxAttempts < 1:
 		return fmt.Errorf("settings: at most %d attempts", s.Limits.MaxAttempts)
 	case s.Rules.InitialCapacity < 0 || s.Rules.InitialCapacity > 1 || s.Rules.OverloadMultiple < 0:
-		return fmt.Errorf("settings: cold share %v, fall multiple %v", s.Rules.InitialCapacity, s.Rules.OverloadMultiple)
+		return fmt.Errorf("settings: initial capacity %v, overload multiple %v", s.Rules.InitialCapacity,
+			s.Rules.OverloadMultiple)
 	case s.Resolution < 0 || s.Rules.WarmupTime < 0 || s.Rules.OverloadTime < 0:
-		return errors.New("settings: a negative time")
+		return errNegativeTime
 	}
 	for i, c := range s.Classes {
 		if c.LatencyTarget < 0 || c.Timeout <= 0 || c.Value < 0 || c.TargetStretch < 0 {
-			return fmt.Errorf("settings: class %d: aim %v, give-up %v, worth %v, stretch %v",
+			return fmt.Errorf("settings: class %d: target %v, time-out %v, value %v, stretch %v",
 				i, c.LatencyTarget, c.Timeout, c.Value, c.TargetStretch)
 		}
 	}
 	return nil
 }
 
-// parseReport names a load report's values; those that it lacks are left out.
+// parseReport returns the values of a load report by field; missing ones are absent.
 func (s *Settings) parseReport(report []float32) map[ReportField]float64 {
 	seen := map[ReportField]float64{}
 	for i, field := range s.Report {
@@ -178,24 +193,24 @@
 	return seen
 }
 
-// Event is something a dispatcher is told.
+// Event is an input of a dispatcher.
 type Event interface{ event() }
 
-// ListKind says how a list update is to be read.
+// ListKind is the kind of a list update.
 type ListKind uint8
 
 // The kinds of list update.
 const (
 	ListChanges ListKind = iota // only changed entries
-	ListFull                    // all; who is absent is gone
-	ListCached                  // all as once known, maybe old
-	ListFailed                  // a call failed; the old list stands
+	ListFull                    // all workers; absent ones are gone
+	ListCached                  // all workers as once known, possibly outdated
+	ListFailed                  // a call failed; the list is unchanged
 )
 
-// State is a worker's state as listed.
+// State is a worker's listed state.
 type State uint8
 
-// The states of a listed worker.
+// The states.
 const (
 	Ready State = iota
 	Draining
@@ -213,14 +228,14 @@
 	Started time.Duration // clock time of its last start; 0: long ago
 }
 
-// ListUpdate is news of the workers.
+// ListUpdate is an update of the worker list.
 type ListUpdate struct {
 	Kind    ListKind
 	Version uint64
 	Workers []WorkerListing
 }
 
-// Request is a client's request to be answered.
+// Request is a client's request.
 type Request struct {
 	ID       RequestID
 	Class    int
@@ -228,7 +243,7 @@
 	Key      uint64 // 0: none
 	Cost     time.Duration
 	HasCost  bool
-	Repeat   bool // marked by the client as its repeat
+	Repeat   bool // marked by the client as a retry
 	Slots    float64
 	Memory   float64
 	Deadline time.Duration // clock time
@@ -249,7 +264,7 @@
 	NotSent
 )
 
-// NeverRan tells whether the outcome proves that the attempt did not run.
+// NeverRan reports whether the outcome proves that the attempt did not run.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
 // AttemptDone is the end of an attempt.
@@ -259,12 +274,12 @@
 	Worker  WorkerID
 	Outcome Outcome
 	Elapsed time.Duration
-	Over    bool // the request has its answer
+	Over    bool // the request has its final answer
 	Note    uint32
 	Report  []float32 // ordered as Settings.Report; nil: none
 }
 
-// AttemptProgress is news of a running attempt.
+// AttemptProgress is a report of a running attempt.
 type AttemptProgress struct {
 	Request  RequestID
 	Attempt  int
@@ -273,7 +288,7 @@
 	Progress float64
 }
 
-// StreamStarted says that a streamed answer has begun.
+// StreamStarted is the begin of a streamed answer.
 type StreamStarted struct {
 	Request RequestID
 	Attempt int
@@ -281,36 +296,35 @@
 	Elapsed time.Duration
 }
 
-// RequestEnded says that a request is over without this dispatcher's doing.
+// RequestEnded is the end of a request by another cause, as when its client disconnects.
 type RequestEnded struct{ Request RequestID }
 
-// DeadlineShortened says that a request is to be answered earlier than it was to be.
+// DeadlineShortened moves a request's deadline forward.
 type DeadlineShortened struct {
 	Request  RequestID
 	Deadline time.Duration // clock time
 }
 
-// PriorAttempt is an attempt as another process of this dispatcher made it.
+// PriorAttempt is an attempt made by a previous process of this dispatcher. It is handed over by field name.
 type PriorAttempt struct {
 	Worker  WorkerID
 	SentAt  time.Duration
-	Started time.Duration // when its start was told; 0: not yet
-	Out     bool
-	MayHave bool // it may have run
+	Started time.Duration // when its start was reported; 0: not yet
+	Out     bool          // in flight
+	MayHave bool          // it may have run
 }
 
-// Adopted is a request taken over from another process of this dispatcher, with
-// its attempts so far, in order.
+// Adopted is a request taken over from a previous process of this dispatcher, with its attempts in order.
 type Adopted struct {
 	Request
 	Arrived  time.Duration
 	Attempts []PriorAttempt
 }
 
-// TimerFired is a timer come due.
+// TimerFired is the expiry of a timer.
 type TimerFired struct{ Token uint32 }
 
-// ProbeDone answers a probe.
+// ProbeDone is the end of a probe.
 type ProbeDone struct {
 	Worker  WorkerID
 	Outcome Outcome
@@ -318,15 +332,14 @@
 	Report  []float32
 }
 
-// ZoneShares is what the fleet has decided on the zones: what part of the requests each
-// may take, from 0 to 1, by its number. A zone past the end takes all. In those of Failed
-// nothing gets done: what is out there is tried elsewhere where it may be repeated.
+// ZoneShares sets the fraction of requests, 0 to 1, that each zone may take, by zone number. A zone past the
+// end takes all. Requests in flight in a Failed zone are hedged elsewhere where they may be repeated.
 type ZoneShares struct {
 	Shares []float64
 	Failed []int
 }
 
-// PeerMessage is a message of another dispatcher.
+// PeerMessage is a message from another dispatcher.
 type PeerMessage struct {
 	From    int
 	Payload []byte
@@ -345,41 +358,41 @@
 func (ZoneShares) event()        {}
 func (PeerMessage) event()       {}
 
-// Action is something a dispatcher is to do.
+// Action is an output of a dispatcher.
 type Action interface{ action() }
 
 // Send starts the request's next attempt; attempts are numbered from 0.
 type Send struct {
 	Request RequestID
 	Worker  WorkerID
-	Until   time.Duration // clock time to give the attempt up; 0: the request's deadline
+	Until   time.Duration // clock time at which the attempt times out; 0: the request's deadline
 }
 
-// Reject is a final answer that tells the client a retry is harmless.
+// Reject is the final answer that the request did not run and may be retried.
 type Reject struct {
 	Request    RequestID
 	RetryAfter time.Duration // 0: no advice
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is the final answer that the request may have run.
 type Fail struct{ Request RequestID }
 
-// Cancel calls an attempt off.
+// Cancel cancels an attempt.
 type Cancel struct {
 	Request RequestID
 	Attempt int
 }
 
-// SetTimer asks for a TimerFired.
+// SetTimer starts a timer, which ends with a TimerFired.
 type SetTimer struct {
 	After time.Duration
 	Token uint32
 }
 
-// Probe asks a worker for a report.
+// Probe requests a load report from a worker.
 type Probe struct{ Worker WorkerID }
 
-// SendToPeers sends a message to a peer, or to all with To < 0.
+// SendToPeers sends a message to a peer, or to all if To < 0.
 type SendToPeers struct {
 	To      int
 	Payload []byte
@@ -388,16 +401,16 @@
 // CloseIdle closes the idle connections to a worker.
 type CloseIdle struct{ Worker WorkerID }
 
-// Log writes a line for the operators.
+// Log writes a log line.
 type Log struct{ Text string }
 
 // Subscribe opens the standing subscription to the worker list, or closes it.
 type Subscribe struct{ On bool }
 
-// FetchList asks for the whole worker list once.
+// FetchList requests the full worker list once.
 type FetchList struct{}
 
-// InternalError declares the decisions broken.
+// InternalError reports a defect of the dispatcher.
 type InternalError struct{ Text string }
 
 func (Send) action()          {}
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	startOverdue = 400 * time.Millisecond // a start is overdue after this, a mean run and two waits
-	hedgeDelay   = 100 * time.Millisecond // a start is told within it, unless the job has to wait
-	transitTime  = 30 * time.Millisecond  // that a send takes to where repeats are dropped for a while
+	startOverdue = 400 * time.Millisecond // overdue after this, a mean run time and two predicted waits
+	hedgeDelay   = 100 * time.Millisecond // a start is reported within it unless the job is queued
+	transitTime  = 30 * time.Millisecond  // from a send to the worker's deduplication
 )
 
-// firstPossiblyRun returns the earliest attempt that may have had effect.
+// firstPossiblyRun returns the earliest attempt that may have run.
 func (r *request) firstPossiblyRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun }); i >= 0 {
 		return &r.attempts[i]
@@ -21,31 +21,33 @@
 	return nil
 }
 
-// deduplicates tells whether a worker drops the repeats of what ran at the first.
+// deduplicates reports whether a worker drops repeats of what ran at the first worker.
 func deduplicates(c *Class, first, w *worker) bool {
 	return c.Effect != Deduplicated || c.Group == GroupAll ||
 		c.Group == GroupZone && first.zone == w.zone || c.Group == GroupCell && first.cell == w.cell
 }
 
-// permit is the one gate of rule 2: whether a request may be sent again or refused after its attempts.
-func (b *Balancer) permit(now time.Duration, r *request) (send, refuse bool) {
-	first, effect := r.firstPossiblyRun(), r.class.Effect
-	send = len(r.attempts) < b.settings.Limits.MaxAttempts && (r.inFlight == 0 || b.settings.Limits.HedgedRequests)
+// permit enforces rule 2: whether a request may be sent (again), and whether it may be rejected as not run.
+func (b *Balancer) permit(now time.Duration, r *request) (send, reject bool) {
+	first, effect, limits := r.firstPossiblyRun(), r.class.Effect, &b.settings.Limits
+	send = len(r.attempts) < limits.MaxAttempts && (r.inFlight == 0 || limits.HedgedRequests)
 	if first == nil {
 		return send, true
 	}
-	send = send && effect != NonIdempotent && (effect != Deduplicated || now <= first.sentAt+r.class.Window-transitTime)
+	inWindow := now <= first.sentAt+r.class.Window-transitTime
+	send = send && effect != NonIdempotent && (effect != Deduplicated || inWindow)
 	return send, effect == Idempotent || effect == Deduplicated && r.class.Group == GroupAll
 }
 
+// send starts the request's next attempt and schedules the checks on its start.
 func (b *Balancer) send(now time.Duration, r *request, f forecast) {
 	if maySend, _ := b.permit(now, r); r.over || now >= r.Deadline || !maySend {
 		return
 	}
 	w := f.worker
 	b.fleet.spendWarmupBudget(now, w, f.cost)
-	r.attempts = append(r.attempts, attempt{worker: w, workerStarted: w.startedAt, sentAt: now, inFlight: true, mayHaveRun: true,
-		freeSlots: f.free})
+	r.attempts = append(r.attempts, attempt{worker: w, workerStarted: w.startedAt, sentAt: now, inFlight: true,
+		mayHaveRun: true, freeSlots: f.free})
 	r.inFlight++
 	b.inFlight++
 	w.inFlightSlots += r.Slots
@@ -60,11 +62,12 @@
 	}
 }
 
-// hedge sends a copy of what still waits in a queue, or runs where nothing ends, to where a slot is
-// free, if that may be repeated. The one that starts first has a waiting one called off: it cost nothing.
+// hedge sends a second attempt to a worker with a free slot while the first is still queued, or runs in a
+// failed zone. When one of them starts, the other is cancelled if it is still queued.
 func (b *Balancer) hedge(now time.Duration, r *request, index int, evenRunning bool) {
 	maySend, _ := b.permit(now, r)
-	if a := &r.attempts[index]; r.over || r.inFlight != 1 || !a.inFlight || a.startedAt > 0 && !evenRunning || !maySend {
+	a := &r.attempts[index]
+	if r.over || r.inFlight != 1 || !a.inFlight || a.startedAt > 0 && !evenRunning || !maySend {
 		return
 	}
 	r.probingDone, r.probed = false, nil
@@ -74,8 +77,8 @@
 	}
 }
 
-// checkStart checks on an attempt whose start is overdue. A worker silent for so long may hang: it is
-// blamed, next reached anew, and what may be repeated is also sent where a slot is free.
+// checkStart handles an overdue start. The worker may hang: that counts as a failure, its connections are
+// closed, and the request is hedged.
 func (b *Balancer) checkStart(now time.Duration, r *request, index int, startTimeout time.Duration) {
 	a := r.attempts[index]
 	if r.over || !a.inFlight || a.startedAt > 0 {
@@ -125,17 +128,17 @@
 	b.release(r)
 	r.probingDone = false
 	if ev.Outcome == Full && len(r.attempts) > 1 {
-		b.enqueue(now, r) // a second 'full' tells that the knowledge of who is free is poor: wait for better
+		b.enqueue(now, r) // two rejections: the knowledge of free slots is poor
 		return
 	}
 	b.place(now, r)
 }
 
-// recordOutcome books what an outcome says of the worker. Only 'served' and 'full' feed windows.
+// recordOutcome records what an outcome shows of the worker. Only Served and Full give samples of delays.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, ev AttemptDone) {
 	w := a.worker
 	if w.startedAt != a.workerStarted || b.fleet.byID[w.id] != w {
-		return // another process answers by that name now
+		return // the worker restarted since
 	}
 	if ev.Outcome == Served || ev.Outcome == Full {
 		w.lastSeenAt = now
@@ -150,7 +153,7 @@
 	case Full:
 		b.estimator.full.AddWeighted(a.freeSlots-r.Slots, 1, 1, pooledSamples)
 		if a.freeSlots >= r.Slots {
-			// Something else is wrong with it, and with nothing in work it would draw ever more.
+			// It rejects with free slots, so something is wrong; idle, it would attract ever more requests.
 			b.fleet.recordHealth(now, w, r.Class, true)
 		}
 		b.fleet.recordFull(now, w, b.estimator.run.Or(defaultRunTime, 1))
@@ -163,6 +166,7 @@
 	}
 }
 
+// recordServed splits the time of a served attempt into transfer, queue wait and run time.
 func (b *Balancer) recordServed(now time.Duration, r *request, a *attempt, elapsed float64) {
 	w := a.worker
 	process := max(0, elapsed-b.estimator.transferTo(now, &w.profile, w.zone, r.job))
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,5 +1,3 @@
-// The decisions on a request. The interface is in api.go.
-
 package balance
 
 import (
@@ -10,19 +8,19 @@
 )
 
 const (
-	answerMarginTicks = 3    // event rounds kept between the final answer and the deadline
-	minValue          = 1e-9 // of the class worth most, where none is worth anything
+	answerMarginTicks = 3    // event rounds between the final answer and the deadline
+	minValue          = 1e-9 // of the class of the highest value, if all are 0
 )
 
-// attempt is one send of a request.
+// attempt is one send of a request to a worker.
 type attempt struct {
 	worker              *worker
-	workerStarted       time.Duration // start time of the worker's process at the send
+	workerStarted       time.Duration // start of the worker's process, as of the send
 	sentAt              time.Duration
-	startedAt           time.Duration // when its start was noted; 0: not yet
+	startedAt           time.Duration // when its start was reported; 0: not yet
 	freeSlots           float64       // free slots estimated at the send
 	inFlight, cancelled bool
-	mayHaveRun          bool // it may have run
+	mayHaveRun          bool
 }
 
 // request is a client's request and its attempts.
@@ -34,13 +32,13 @@
 	attempts     []attempt
 	inFlight     int
 	over, queued bool
-	queueRounds  int           // times it was held
-	retryAt      time.Duration // when to look for a worker again
+	queueRounds  int           // times it was queued
+	retryAt      time.Duration // when to place it again
 	probedAt     time.Duration // when probes were first sent for it
-	probed       []*worker     // by those
+	probed       []*worker     // workers probed for it
 	candidates   []*worker     // the only ones to choose from; nil: all
-	unanswered   int           // of those asked: not answered yet
-	probingDone  bool          // that is over
+	unanswered   int           // probes without an answer
+	probingDone  bool          // no further probes for this attempt
 	homeRange    float64       // how far down its key's order the homes go
 }
 
@@ -55,20 +53,20 @@
 	lastToken                   uint32
 	actions                     []Action
 	ties                        []forecast
-	inFlight                    int        // attempts out, of all requests
-	queue, probing              []*request // waiting for a worker or for probes' answers, oldest first
-	wakeScheduled, broadcasting bool       // the timers for held requests and for messages to peers are set
+	inFlight                    int        // attempts of all requests
+	queue, probing              []*request // waiting for a worker or for probes, oldest first
+	wakeScheduled, broadcasting bool       // their timers are set
 	newRequests                 float64    // requests since the last message
 	broadcastAt                 time.Duration
-	requestRate                 stats.Mean // requests a second
-	randomCandidate             *worker    // a worker at random of those that the last choice was from
-	maxValue                    float64    // of a class
-	sparseReports               bool       // too few workers are known to choose by; since the last choice
+	requestRate                 stats.Mean // per second
+	randomCandidate             *worker    // of the last choice's workers
+	maxValue                    float64    // of all classes
+	sparseReports               bool       // too few fresh reports at the last choice
 	keyShares                   stats.Shares
-	evacuationBudget            float64 // copies that the budget for moving out of failed zones allows now
+	evacuationBudget            float64 // hedges out of failed zones allowed now
 }
 
-// New starts a dispatcher. The same seed and events give the same actions.
+// New returns a dispatcher, or the settings' error. The same seed and events give the same actions.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -83,7 +81,7 @@
 	return b, nil
 }
 
-// Handle takes in one event and returns what is to be done, in order; valid until the next call.
+// Handle handles one event and returns the actions, in order; they are valid until the next call.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.actions = b.actions[:0]
 	switch ev := ev.(type) {
@@ -104,7 +102,7 @@
 		b.attemptProgress(now, ev)
 	case StreamStarted:
 		if r := b.requests[ev.Request]; r != nil {
-			r.over = true // the attempt belongs to the client now
+			r.over = true // the answer goes to the client now
 		}
 	case RequestEnded:
 		if r := b.requests[ev.Request]; r != nil {
@@ -133,7 +131,7 @@
 	b.emit(SetTimer{After: max(span, 0), Token: b.lastToken})
 }
 
-// broadcastLoad says what is out to all peers, as often as its price allows.
+// broadcastLoad sends the own load to all peers, as often as the message price allows.
 func (b *Balancer) broadcastLoad(now time.Duration) {
 	b.fleet.dropSilentPeers(now)
 	if span := now - b.broadcastAt; span > 0 {
@@ -186,13 +184,13 @@
 	return r
 }
 
-// scheduleDeadline has the request given up shortly before its deadline.
+// scheduleDeadline schedules the final answer shortly before the request's deadline.
 func (b *Balancer) scheduleDeadline(now time.Duration, r *request) {
 	last := r.Deadline - answerMarginTicks*b.settings.Resolution
 	b.schedule(last-now, func(now time.Duration) { b.rejectOrFail(now, r, 0) })
 }
 
-// rejectOrFail is the one gate of rule 1: the final answer, once, with the seconds after which to return.
+// rejectOrFail enforces rule 1: one final answer, a rejection with retry advice (seconds) or a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, r *request, wait float64) {
 	if r.over {
 		return
@@ -205,14 +203,14 @@
 	b.finish(r)
 }
 
-// finish marks a request over and calls off what is still out.
+// finish marks a request over and cancels its attempts.
 func (b *Balancer) finish(r *request) {
 	r.over = true
 	b.cancelAttempts(r, true)
 	b.release(r)
 }
 
-// cancelAttempts calls off what is out, all of it or what has not started.
+// cancelAttempts cancels the attempts in flight, all or those that have not started.
 func (b *Balancer) cancelAttempts(r *request, includeStarted bool) {
 	b.endProbing(r)
 	for i := range r.attempts {
@@ -224,7 +222,7 @@
 	}
 }
 
-// release drops a request that is over with nothing out.
+// release drops a request that is over and has nothing in flight.
 func (b *Balancer) release(r *request) {
 	if r.over && r.inFlight == 0 {
 		delete(b.requests, r.ID)
--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -10,18 +10,18 @@
 
 const (
 	windowLen            = estimate.WindowLength
-	slowdownPriorSamples = 2.0  // the kind's pace counts as this many samples of a worker's own
-	pooledSamples        = 256. // samples after which a pooled mean forgets
-	outlierRatio         = 4.   // a job this many times slower or faster than usual counts as just that
-	minRunTime           = 1e-4 // seconds; below it a running time is a rounding of the clock
-	hintPriorSamples     = 10.  // samples that taking hints at their word counts for
-	defaultRunTime       = 0.1  // seconds that a job is held to run for until one has
-	waitPriorSamples     = 16.  // samples that the queue wait to be expected without any counts for
-	idleWeight           = 0.2  // weight, in each sample, of knowing that an idle worker has no queue
-	bucketBase           = 4.0  // size buckets grow by this factor, so that few of them starve
+	slowdownPriorSamples = 2.0  // weight of the kind's slowdown against a worker's own samples
+	pooledSamples        = 256. // memory of a pooled mean, in samples
+	outlierRatio         = 4.   // slower or faster jobs than this count as this much
+	minRunTime           = 1e-4 // seconds; a shorter run time is a rounding of the clock
+	hintPriorSamples     = 10.  // weight, in samples, of taking cost hints as exact
+	defaultRunTime       = 0.1  // seconds assumed before any job has run
+	waitPriorSamples     = 16.  // weight, in samples, of the queue wait assumed before any
+	idleWeight           = 0.2  // weight, per sample, of an idle worker having no queue
+	bucketBase           = 4.0  // growth of the size buckets: few, so that most get samples
 )
 
-// bucketOf gives the size bucket of a cost hint; one bucket where there is none.
+// bucketOf returns the size bucket of a cost hint; 0 without one.
 func bucketOf(cost time.Duration, has bool) int {
 	if !has || cost <= 0 {
 		return 0
@@ -29,34 +29,34 @@
 	return 1 + stats.Bucket(float64(cost/time.Microsecond), bucketBase)
 }
 
-// windowKey names a processing window of a worker.
+// windowKey identifies a processing window of a worker.
 type windowKey struct{ class, bucket int }
 
-// profile is what is known of one worker's delays.
+// profile holds the samples of one worker's delays.
 type profile struct {
-	transfer       stats.Window // round trip against size
+	transfer       stats.Window // round trip by size
 	process        map[windowKey]*stats.Window
-	slowdown       stats.Window // running time for each second of size
+	slowdown       stats.Window // run time for each second of size
 	sampleLifetime time.Duration
 }
 
-// reset restores the worker afresh, as when it restarts.
+// reset drops all samples, as when the worker restarts.
 func (p *profile) reset() {
 	p.transfer, p.slowdown = stats.Window{}, stats.Window{}
 	p.process = map[windowKey]*stats.Window{}
 }
 
-// estimator predicts delays from the profiles of workers and what they pool.
+// estimator predicts delays from a worker's own samples and pooled ones.
 type estimator struct {
-	size          []stats.Mean              // by class: running time of a job without a hint
-	kindSlowdown  map[int]*stats.Mean       // by worker kind: running time for each second of size
-	hintRatio     map[windowKey]*stats.Mean // running time at pace 1 for each second of hint
+	size          []stats.Mean              // by class: run time of a job without a hint
+	kindSlowdown  map[int]*stats.Mean       // by worker kind: run time per second of size
+	hintRatio     map[windowKey]*stats.Mean // run time at slowdown 1 per second of hint
 	allSlowdown   stats.Mean                // over all workers
-	full          stats.Pooled              // share of attempts turned away, against the same
-	queueWait     map[int]*stats.Pooled     // by queue priority: queue wait against free slots beyond the job's need
-	run           stats.Mean                // running time over all jobs
-	transfer      map[int]*stats.Mean       // by worker zone: round trips of full answers
-	minStartDelay map[int]float64           // by worker zone: least time seen from a send to its start note
+	full          stats.Pooled              // fraction of attempts rejected, by slots free beyond need
+	queueWait     map[int]*stats.Pooled     // by queue priority: queue wait, by the same
+	run           stats.Mean                // run time of all jobs
+	transfer      map[int]*stats.Mean       // by worker zone: round trips of rejections
+	minStartDelay map[int]float64           // by worker zone: least time from a send to its start report
 }
 
 func newEstimator(classes int) estimator {
@@ -65,17 +65,17 @@
 		kindSlowdown: map[int]*stats.Mean{}, transfer: map[int]*stats.Mean{}, minStartDelay: map[int]float64{}}
 }
 
-// job is what the estimator needs to know of a request.
+// job is what the estimator needs of a request.
 type job struct {
 	class      int
 	bucket     int
-	size       float64 // seconds of work by the hint; 0 without one
-	priority   int     // its queue priority, where workers serve by priority
+	size       float64 // seconds of work by the hint; 0: no hint
+	priority   int     // where workers serve their queues by priority
 	slots      float64
-	cachedSize float64 // its size as estimated once for all workers; 0: not yet
+	cachedSize float64 // its estimate during one choice; 0: none
 }
 
-// sizeOf gives the job's size in seconds: the hint by what such hints were worth, or its class's mean.
+// sizeOf estimates the job's size in seconds: the corrected hint, or its class's mean.
 func (e *estimator) sizeOf(j job) float64 {
 	if j.cachedSize > 0 {
 		return j.cachedSize
@@ -89,22 +89,24 @@
 	return e.run.Or(defaultRunTime, 1)
 }
 
+// slowdownOf estimates a worker's run time per second of size.
 func (e *estimator) slowdownOf(now time.Duration, p *profile, kind int) float64 {
 	prior := stats.Of(e.kindSlowdown, kind).Or(e.allSlowdown.Or(1, 1), slowdownPriorSamples)
-	// Each summed: the ratio of one small job, whose hint or clock is rough, says little.
+	// A ratio of sums: that of one small job, with a rough hint or clock, says little.
 	own := p.slowdown.Fit(now, p.sampleLifetime, 0)
 	k := slowdownPriorSamples * e.run.Or(defaultRunTime, 1)
 	return (own.SumY + prior*k) / (own.SumX + k)
 }
 
-// waitAt predicts the queue wait at so many free slots of all. Until jobs have shown it, that is the
-// time in which the slots come free that lack, softened as reports are about one slot off.
+// waitAt predicts the queue wait at the given free slots of all. The prior is the time until the missing
+// slots come free, smoothed as reports are about one slot off.
 func (e *estimator) waitAt(j job, free, slots float64) float64 {
-	pooled, prior := stats.Of(e.queueWait, j.priority), math.Log1p(math.Exp(j.slots-free))*e.run.Or(defaultRunTime, 1)/slots
+	pooled := stats.Of(e.queueWait, j.priority)
+	prior := math.Log1p(math.Exp(j.slots-free)) * e.run.Or(defaultRunTime, 1) / slots
 	return (pooled.At(free-j.slots)*pooled.N + prior*waitPriorSamples) / (pooled.N + waitPriorSamples)
 }
 
-// transferTo predicts the transfer delay, until sampled by the zone's mean, else its quickest start.
+// transferTo predicts the transfer delay: by own samples, else the zone's mean, else its least start delay.
 func (e *estimator) transferTo(now time.Duration, p *profile, zone int, j job) float64 {
 	if l := p.transfer.Fit(now, p.sampleLifetime, 1); l.N > 0 {
 		return l.At(e.sizeOf(j))
@@ -115,8 +117,8 @@
 	return e.minStartDelay[zone]
 }
 
-// processAt predicts the processing time, queue wait included, at so many free slots. The worker's own
-// line counts by its samples against the pooled prediction: on a large fleet most are nearly empty.
+// processAt predicts the processing time, queue wait included, at the given free slots. The worker's own fit
+// is weighted by its samples against the pooled prediction: in a large fleet most have few.
 func (e *estimator) processAt(now time.Duration, p *profile, kind int, j job, free, slots float64) float64 {
 	size := e.sizeOf(j)
 	pooled := e.slowdownOf(now, p, kind)*size + e.waitAt(j, free, slots)
@@ -124,26 +126,27 @@
 	return estimate.Blend(own.At(free)*size, own.N, pooled, estimate.PriorSamples)
 }
 
-// learnProcess takes in a finished job: wait and run in seconds.
+// learnProcess records a finished job: wait and run in seconds, free slots at the send and when idle.
 func (e *estimator) learnProcess(now time.Duration, profile *profile, kind int, j job,
 	free, idle, wait, run float64) {
-	// A job of no time would make a size of 0, and every prediction after it NaN.
+	// A run time of 0 would make a size of 0, and every later prediction NaN.
 	run = max(run, minRunTime)
 	if j.size == 0 {
-		// Only their product is known here: the mean pace is held at 1, or both would drift.
+		// Only the product of size and slowdown is known: the mean slowdown counts as 1, or both would drift.
 		slowdown := e.slowdownOf(now, profile, kind) / e.allSlowdown.Or(1, 1)
-		// The few heaviest jobs would draw every aim and delay far from the usual job's.
+		// Limited: a few very large jobs would distort every target and delay.
 		m := &e.size[j.class]
 		m.Add(min(run/slowdown, outlierRatio*m.Or(run/slowdown, 0)), pooledSamples)
 	}
 	if j.size > 0 {
-		// Rough hints are too low among the small and too high among the large.
+		// Rough hints are too low for small jobs and too high for large ones.
 		hintRatio := run / e.slowdownOf(now, profile, kind) / j.size
-		stats.Of(e.hintRatio, windowKey{j.class, j.bucket}).Add(min(max(hintRatio, 1/outlierRatio), outlierRatio), pooledSamples)
+		hintRatio = min(max(hintRatio, 1/outlierRatio), outlierRatio)
+		stats.Of(e.hintRatio, windowKey{j.class, j.bucket}).Add(hintRatio, pooledSamples)
 		e.size[j.class].Add(e.sizeOf(j), pooledSamples)
 	}
 	size := e.sizeOf(j)
-	// One odd job, above all a first one, must not set the pace of all workers.
+	// One outlier, above all a first job, must not set the slowdown of all workers.
 	usual := e.allSlowdown.Or(1, 1)
 	ratio := min(max(run/size, usual/outlierRatio), usual*outlierRatio)
 	profile.slowdown.Add(now, size, ratio*size, windowLen)
@@ -154,7 +157,7 @@
 	line := stats.Of(e.queueWait, j.priority)
 	line.AddWeighted(free-j.slots, wait, 1, pooledSamples)
 	e.full.AddWeighted(free-j.slots, 0, 1, pooledSamples)
-	// When all are busy the line would otherwise be read flat up to idle.
+	// While all workers are busy the fit would otherwise be flat up to idle.
 	line.AddWeighted(idle-j.slots, 0, idleWeight, pooledSamples)
 	stats.Of(profile.process, windowKey{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	sampleLifetime        = 15 * time.Second // samples expire after it; troubles seen last about as long
-	jitterFraction        = 0.25             // part by which lifetimes differ, so that resets do not crowd
-	healthDecay           = 10 * time.Second // time constant with which past failures are forgiven
-	healthPrior           = 3.0              // outcomes that the fleet's failure rate counts for at a worker
-	minFailureRate        = 0.002            // failure rate taken for granted anywhere
-	reportSamples         = 64.0             // reports after which the mean free slots forget
-	warmupBudgetFraction  = 0.4              // part of the fall multiple that all dispatchers together aim at
-	maxJobBudgetFraction  = 0.2              // largest part of a window's budget that one job may take
-	subscribeSpread       = 4                // first subscriptions spread over AskWithin divided by this
-	fullSpreadDispatchers = 50               // dispatchers that need the whole of that spread
-	resubscribeDelay      = time.Second      // mean wait after a failed subscription
-	staleAfter            = 3 * time.Second  // without the list; it had been silent for up to 2.6 s before, of 6 s
-	halfSlot              = 0.5              // slots or jobs by which a report, which is noisy, may be off
+	sampleLifetime        = 15 * time.Second // of delay samples: about as long as faults last
+	jitterFraction        = 0.25             // so that expiries and messages do not coincide
+	healthDecay           = 10 * time.Second // time constant of the decay of past failures
+	healthPrior           = 3.0              // weight, in outcomes, of the fleet's failure rate at a worker
+	minFailureRate        = 0.002            // failure rate assumed anywhere
+	reportSamples         = 64.0             // memory of the mean free slots, in reports
+	warmupBudgetFraction  = 0.4              // of the overload multiple, for all dispatchers together
+	maxJobBudgetFraction  = 0.2              // of a window's budget, for one job
+	subscribeSpread       = 4                // first subscriptions spread over SubscribeWithin over this
+	fullSpreadDispatchers = 50               // dispatchers that need the full spread
+	resubscribeDelay      = time.Second      // mean delay after a failed subscription
+	staleAfter            = 3 * time.Second  // without the list, which may be 2.6 s old by then; 6 s are allowed
+	halfSlot              = 0.5              // error of a report, in slots or jobs
 )
 
 // worker is one listed worker as this dispatcher knows it.
@@ -31,42 +31,42 @@
 	id               WorkerID
 	zone, kind, cell int
 	state            State
-	refusing         bool // it wants nothing new, by its own word
+	refusing         bool // it rejected a probe
 	startedAt        time.Duration
 	profile          profile
 
-	// The last report, with this dispatcher's own jobs taken out.
+	// The last report, without this dispatcher's own jobs.
 	reported     bool
 	reportedAt   time.Duration
 	reportedFree float64
 	maxFree      float64 // most free slots ever reported
 
-	inFlightSlots  float64             // slots of own jobs out
-	health         []stats.FailureRate // over all classes, then of each
-	lastSeenAt     time.Duration       // when it last started or answered an own job; 0: not since its start
-	peerSlots      float64             // slots that peers say their jobs hold here
-	warmupTokens   float64             // cold budget left, slot-seconds; negative: overdrawn
+	inFlightSlots  float64             // slots of own jobs in flight
+	health         []stats.FailureRate // over all classes, then by class
+	lastSeenAt     time.Duration       // when it last started or answered an own job; 0: never
+	peerSlots      float64             // slots of peers' jobs here, by their messages
+	warmupTokens   float64             // warm-up budget left, slot-seconds; may be overdrawn
 	warmupTokensAt time.Duration
 }
 
-// fleet is the worker list and what is known of each worker.
+// fleet is the worker list and the state of each worker.
 type fleet struct {
 	settings   *Settings
 	rng        *rand.Rand
 	workers    []*worker
 	byID       map[WorkerID]*worker
 	kindFree   map[int]float64     // by kind: most free slots ever reported
-	meanFree   map[int]*stats.Mean // by kind: free slots in reports, less those that the queue waits for
-	jobSlots   stats.Mean          // slots a job takes
+	meanFree   map[int]*stats.Mean // by kind: reported free slots less those that queues want
+	jobSlots   stats.Mean          // slots of a job
 	peers      map[int]*peerLoad
-	freshPeers int // peers heard of lately
+	freshPeers int // peers with a recent message
 	byTag      map[uint16]*worker
-	health     []stats.FailureRate // the same over the fleet
-	shares     []float64           // what each zone takes, by its number; none: all
+	health     []stats.FailureRate // over the fleet: as in worker
+	shares     []float64           // by zone number; a zone without one has all
 
 	subscribed, subscribing bool
 	subscribeAttempts       int
-	listedAt                time.Duration // when the list was last known to be the service's
+	listedAt                time.Duration // when the list was last confirmed
 }
 
 func newFleet(s *Settings, rng *rand.Rand) fleet {
@@ -75,7 +75,7 @@
 		peers: map[int]*peerLoad{}}
 }
 
-// applyUpdate takes in news of the list.
+// applyUpdate applies a list update.
 func (f *fleet) applyUpdate(now time.Duration, up ListUpdate) {
 	if f.subscribed || up.Kind != ListFailed {
 		f.listedAt = now
@@ -89,7 +89,7 @@
 	}
 	if up.Kind != ListChanges {
 		for _, w := range f.workers {
-			w.state = Gone // unless the list names it
+			w.state = Gone // unless it is listed below
 		}
 	}
 	for _, l := range up.Workers {
@@ -110,13 +110,13 @@
 		f.byID[l.Worker] = w
 		f.workers = append(f.workers, w)
 	} else if w.startedAt != l.Started {
-		w.profile.reset() // a restart under the same name is cold, and its old fits are void
+		w.profile.reset() // it restarted: its samples are void
 		w.reported, w.warmupTokens, w.lastSeenAt, w.refusing = false, 0, 0, false
 		clear(w.health)
 	}
 	w.zone, w.kind, w.cell, w.state, w.startedAt = l.Zone, l.Kind, l.Cell, l.State, l.Started
 	if w.warmupTokens == 0 {
-		// All learn of a start together: a random overdraft keeps their first jobs apart.
+		// All dispatchers learn of a start together: a random overdraft spreads their first jobs.
 		w.warmupTokens, w.warmupTokensAt = -f.rng.Float64(), now
 	}
 }
@@ -128,35 +128,35 @@
 	return w
 }
 
-// jitter varies a span at random, so that instances do not act in step.
+// jitter varies a duration at random, so that dispatchers do not act in step.
 func (f *fleet) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + jitterFraction*(2*f.rng.Float64()-1)))
 }
 
-// subscribeDelay tells when to subscribe next, from now.
+// subscribeDelay returns the time until the next subscription.
 func (f *fleet) subscribeDelay() time.Duration {
-	// A change counts as told 6 s after the service can be reached, however often calls have failed: one that
-	// is lost takes 2.4 s, the next follows within 1.5 s, and the service may take 2 s to answer that.
-	crowd := min(1, float64(f.settings.Balancers)/fullSpreadDispatchers)
+	// A change must be known 6 s after the service is reachable again, however often calls failed: a lost call
+	// takes 2.4 s, the next follows within 1.5 s, and its answer may take 2 s.
+	spread := min(1, float64(f.settings.Balancers)/fullSpreadDispatchers)
 	switch f.subscribeAttempts {
 	case 0:
 		most := min(f.settings.Rules.SubscribeWithin/subscribeSpread, 3*resubscribeDelay)
-		return time.Duration(f.rng.Float64() * crowd * float64(most))
+		return time.Duration(f.rng.Float64() * spread * float64(most))
 	case 1: // the first that failed
-		return time.Duration(f.rng.Float64() * crowd * float64(resubscribeDelay*3/2))
+		return time.Duration(f.rng.Float64() * spread * float64(resubscribeDelay*3/2))
 	}
 	return time.Duration((halfSlot + f.rng.Float64()) * float64(resubscribeDelay))
 }
 
-// isReady is the one gate of rule 3: only workers that the list holds ready.
+// isReady enforces rule 3: only workers listed as ready get requests.
 func (f *fleet) isReady(w *worker) bool { return w.state == Ready && !w.refusing }
 
-// listStale tells whether the list cannot be vouched for: what a worker says of itself is newer.
+// listStale reports whether the list is unconfirmed, so that a probe's answer is newer.
 func (f *fleet) listStale(now time.Duration) bool {
 	return f.settings.SubscribeDiscovery && !f.subscribed && now-f.listedAt > staleAfter
 }
 
-// warmCapacity gives the part of its capacity that the worker has at least.
+// warmCapacity returns the fraction of its capacity that a worker has at least.
 func (f *fleet) warmCapacity(now time.Duration, w *worker) float64 {
 	rules := f.settings.Rules
 	age := now - w.startedAt
@@ -166,7 +166,7 @@
 	return rules.InitialCapacity + (1-rules.InitialCapacity)*max(0, float64(age))/float64(rules.WarmupTime)
 }
 
-// withinWarmupBudget is the one gate of rule 4: what goes to a cold worker is within this dispatcher's share.
+// withinWarmupBudget enforces rule 4: a warming-up worker gets no more than this dispatcher's budget.
 func (f *fleet) withinWarmupBudget(now time.Duration, w *worker, cost float64) bool {
 	rules, part := f.settings.Rules, f.warmCapacity(now, w)
 	if part >= 1 {
@@ -177,7 +177,7 @@
 	return w.warmupTokens > 0 && cost <= maxJobBudgetFraction*budget
 }
 
-// refill earns a cold worker's budget for the time since the last look.
+// refill adds a warming-up worker's budget for the time since the last call.
 func (f *fleet) refill(now time.Duration, w *worker, part float64) {
 	rules := f.settings.Rules
 	rate := warmupBudgetFraction * rules.OverloadMultiple * part * f.slotsOf(w) / float64(f.settings.Balancers)
@@ -185,7 +185,7 @@
 	w.warmupTokensAt = now
 }
 
-// spendWarmupBudget books a send; refusals by the worker count too, so nothing is given back.
+// spendWarmupBudget charges a send. Rejected sends count, too.
 func (f *fleet) spendWarmupBudget(now time.Duration, w *worker, cost float64) {
 	if part := f.warmCapacity(now, w); part < 1 {
 		f.refill(now, w, part)
@@ -193,12 +193,12 @@
 	}
 }
 
-// slotsOf gives the slots a worker has, as far as reports have shown.
+// slotsOf returns a worker's slots, as far as reports have shown.
 func (f *fleet) slotsOf(w *worker) float64 {
 	return max(1, w.maxFree, f.kindFree[w.kind])
 }
 
-// recordReport takes in a worker's load report.
+// recordReport records a worker's load report.
 func (f *fleet) recordReport(now time.Duration, w *worker, values []float32) {
 	seen := f.settings.parseReport(values)
 	free, ok := seen[FieldFreeSlots]
@@ -216,21 +216,21 @@
 	w.reported, w.reportedAt, w.reportedFree = true, now, free
 }
 
-// queuedSlots gives the slots that a worker's waiting jobs want, as reported free slots end at none.
+// queuedSlots returns the slots that a worker's queued jobs want: reported free slots are never negative.
 func (f *fleet) queuedSlots(w *worker, free float64, seen map[ReportField]float64) float64 {
 	each := f.jobSlots.Or(1, 1)
 	if waiting, ok := seen[FieldBacklog]; ok {
 		if waiting > halfSlot && f.settings.QueueOrder == FIFO {
-			return max(0, free) + waiting*each // none is free to who comes now: the head waits for more
+			return max(0, free) + waiting*each // the queue's head waits for more than what is free
 		}
 		return waiting * each
 	}
-	return max(0, seen[FieldOutstanding]*each-(f.slotsOf(w)-free)) // none where that is not told
+	return max(0, seen[FieldOutstanding]*each-(f.slotsOf(w)-free)) // 0 without that field
 }
 
-// freeSlots estimates the slots free now: the report ages towards the mean of its kind in the
-// time a job runs. Where peers tell what they have out, that is fresher than any report.
-func (f *fleet) freeSlots(now time.Duration, w *worker, turnover float64) float64 {
+// freeSlots estimates the slots free now: a report decays towards the mean of the worker's kind within the
+// mean run time. Messages of most peers are fresher than any report.
+func (f *fleet) freeSlots(now time.Duration, w *worker, meanRun float64) float64 {
 	if peers := f.settings.Balancers - 1; f.freshPeers*2 > peers && peers > 0 {
 		return f.slotsOf(w) - w.inFlightSlots - w.peerSlots*float64(peers)/float64(f.freshPeers)
 	}
@@ -238,17 +238,17 @@
 	if !w.reported {
 		return mean - w.inFlightSlots
 	}
-	weight := math.Exp(-(now - w.reportedAt).Seconds() / max(turnover, 0.001))
+	weight := math.Exp(-(now - w.reportedAt).Seconds() / max(meanRun, 0.001))
 	return mean + (w.reportedFree-mean)*weight - w.inFlightSlots
 }
 
-// recordFull takes in that a worker turned a job away: whatever it last reported, no slot is free.
-func (f *fleet) recordFull(now time.Duration, w *worker, turnover float64) {
-	free := min(0, f.freeSlots(now, w, turnover))
+// recordFull records a rejection: whatever the worker last reported, no slot is free.
+func (f *fleet) recordFull(now time.Duration, w *worker, meanRun float64) {
+	free := min(0, f.freeSlots(now, w, meanRun))
 	w.reported, w.reportedAt, w.reportedFree = true, now, free+w.inFlightSlots
 }
 
-// recordHealth books an outcome on a worker's health, over all and for the class: some hit one alone.
+// recordHealth records an outcome, over all classes and for its own: some faults hit one class alone.
 func (f *fleet) recordHealth(now time.Duration, w *worker, class int, failed bool) {
 	for _, of := range [][]stats.FailureRate{w.health, f.health} {
 		of[0].Add(now, healthDecay, failed)
@@ -256,7 +256,7 @@
 	}
 }
 
-// failureProbability estimates the chance of a failure at a worker. A trouble of the whole fleet shuns nobody.
+// failureProbability estimates the probability of a failure at a worker, relative to the fleet's.
 func (f *fleet) failureProbability(now time.Duration, w *worker, class int) (chance float64) {
 	for _, at := range [2]int{0, 1 + class} {
 		prior := max(minFailureRate, f.health[at].Probability(f.health[at].At, healthDecay, 0, healthPrior))
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	keySamples    = 2048. // requests with a key after which their counts are halved
-	keyPrior      = 16.   // requests of other keys taken for granted
-	homeHeadroom  = 1.5   // homes for each that a key's share of the requests needs: they are not all free at once
-	fetchCostRuns = 4.    // mean jobs that a fetch costs, with what it displaces and takes of the store
+	keySamples    = 2048. // requests with a key after which the counts are halved
+	keyPrior      = 16.   // requests of other keys assumed
+	homeHeadroom  = 1.5   // homes per home that a key's request share needs: not all are free at once
+	fetchCostRuns = 4.    // cost of a fetch in mean run times, evictions and load on the store included
 )
 
-// A worker keeps the data of a few keys, and fetches that of others from a store which all share. So the
-// requests of a key go together: all dispatchers have the same order of workers for it, without a word, and
-// as many of the first are its homes as its share of the requests needs. What overflows goes on along it.
+// A worker caches the data of a few keys and fetches that of others from a shared store. So a key has
+// affinity to its homes: all dispatchers compute the same order of workers for a key (rendezvous hashing),
+// and as many of the first are homes as its share of the requests needs. Overflow goes to the next ones.
 
-// nearness tells how far down a key's order a worker is, in workers: the least of all is its first home.
+// nearness returns a worker's expected position in a key's order; the least is the first home.
 func (f *fleet) nearness(key uint64, w *worker) float64 {
 	return estimate.RendezvousRank(key, uint64(w.id), len(f.workers))
 }
 
-// assignHomes takes in a request's key: how far down its order its homes go. Without a key all are homes.
+// assignHomes sets how far down its key's order a request's homes go. Without a key all workers are homes.
 func (b *Balancer) assignHomes(r *request) {
 	if r.homeRange = math.Inf(1); r.Key == 0 {
 		return
@@ -35,7 +35,7 @@
 	r.homeRange += b.keyShares.Add(r.Key, keySamples, keyPrior) * homeHeadroom * float64(len(b.fleet.workers))
 }
 
-// fetchCost is what sending the request to a worker costs, in seconds, as its key's data may not be there.
+// fetchCost returns the expected cost, in seconds, of a cache miss of the request's key at a worker.
 func (b *Balancer) fetchCost(r *request, w *worker) float64 {
 	chance := 1 - 1/(1+max(0, b.fleet.nearness(r.Key, w)-r.homeRange))
 	return chance * fetchCostRuns * b.estimator.run.Or(b.estimator.sizeOf(r.job), 1)
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -2,49 +2,32 @@
 
 import (
 	"encoding/binary"
-	"math"
 	"time"
-
-	"ospreybend/internal/util/stats"
 )
 
 const (
-	messageBytes        = 256             // most that a message holds, and the unit of its price
-	messageOverhead     = 16              // bytes charged for a message besides what it holds
-	messageCostFraction = 0.003           // part of the result that messages may cost
-	maxMessageRate      = 20.0            // messages a second that are worth sending at most
-	peerTimeout         = 2 * time.Second // a peer not heard for longer is left out
+	messageBytes        = 256             // size limit of a message, and the unit of its price
+	messageOverhead     = 16              // bytes charged per message
+	messageCostFraction = 0.003           // fraction of the result that messages may cost
+	maxMessageRate      = 20.0            // messages per second
+	peerTimeout         = 2 * time.Second // a peer silent for longer is dropped
 )
 
-// peerLoad is what one peer last said that it has out.
+// peerLoad is what one peer last reported as in flight.
 type peerLoad struct {
 	receivedAt time.Duration
 	slots      map[*worker]float64
 }
 
-// workerTag names a worker in messages, short enough for a message to name many.
-func workerTag(id WorkerID) uint16 { return uint16(stats.Mix(uint64(id))) }
-
-// encodeLoad writes what this dispatcher has out, by worker.
-func (f *fleet) encodeLoad() []byte {
-	var message []byte
-	for _, w := range f.workers {
-		if slots := math.Round(w.inFlightSlots); slots >= 1 && len(message)+3 <= messageBytes {
-			message = binary.LittleEndian.AppendUint16(message, workerTag(w.id))
-			message = append(message, byte(min(slots, 255)))
-		}
-	}
-	return message
-}
-
-// messageInterval is the span between messages at a fair price, and whether they then come often enough to count.
+// messageInterval returns the interval between messages at a fair price, and whether they are then worth it.
 func (f *fleet) messageInterval(bytes int, perSecond float64) (time.Duration, bool) {
 	bytesToAll, minRate := float64((bytes+messageOverhead)*(f.settings.Balancers-1)), 2/peerTimeout.Seconds()
-	rate := min(maxMessageRate, messageCostFraction*max(perSecond, 1)/max(f.settings.Costs.Message*bytesToAll/messageBytes, 1e-9))
+	price := max(f.settings.Costs.Message*bytesToAll/messageBytes, 1e-9)
+	rate := min(maxMessageRate, messageCostFraction*max(perSecond, 1)/price)
 	return time.Duration(float64(time.Second) / max(rate, minRate)), rate >= minRate
 }
 
-// applyPeerLoad takes in a peer's message in place of its last, less tags not listed here and a half entry.
+// applyPeerLoad replaces a peer's load by its new message; unknown tags and a partial entry are ignored.
 func (f *fleet) applyPeerLoad(now time.Duration, from int, message []byte) {
 	peer := f.peers[from]
 	if peer == nil {
@@ -63,7 +46,7 @@
 	}
 }
 
-// withdraw takes back what the peer said.
+// withdraw removes the peer's load from the workers.
 func (p *peerLoad) withdraw() {
 	for w, slots := range p.slots {
 		w.peerSlots -= slots
@@ -71,7 +54,7 @@
 	clear(p.slots)
 }
 
-// dropSilentPeers leaves out peers not heard for long, as when they died.
+// dropSilentPeers drops peers without a message for peerTimeout.
 func (f *fleet) dropSilentPeers(now time.Duration) {
 	for from, p := range f.peers {
 		if now-p.receivedAt > peerTimeout {
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	sparseFraction = 0.125                 // part of the workers known to have room that is enough to choose from
-	probeTimeout   = 10 * time.Millisecond // a probe is answered well within it, a new connection included
-	probesPerRound = 3                     // workers asked at a time: more would all see the same one free
-	maxProbes      = 8                     // workers asked for a request
-	fullBackoff    = 2 * time.Second       // that a worker which wants nothing new is passed over
+	sparseFraction = 0.125                 // of the workers known to have free slots: enough to choose from
+	probeTimeout   = 10 * time.Millisecond // a probe is answered within it, with a new connection
+	probesPerRound = 3                     // more dispatchers would find the same worker free
+	maxProbes      = 8                     // workers probed for a request
+	fullBackoff    = 2 * time.Second       // for which a worker that rejected a probe is avoided
 )
 
-// On a large fleet a dispatcher hears of each worker too seldom to know who is free. There it asks a few
-// by probes, the best forecast and one at random in turn, and takes the least total of these. At random
-// is a cold one if any: no other dispatcher may use up this one's share of its budget.
+// In a large fleet a dispatcher gets reports of each worker too seldom to know which are free. It then probes
+// a few, in turn the best by forecast and one at random, and takes the least total of these. The random one
+// is a warming-up worker if any: its warm-up budget is divided among the dispatchers.
 
-// probe asks for reports where the dispatcher cannot know better; else the request goes by what is known.
+// probe sends probes for a request and reports whether it did: only where the known reports are too few.
 func (b *Balancer) probe(now time.Duration, r *request, f forecast) bool {
-	if !b.settings.Limits.Probes || r.probingDone || len(r.probed) == 0 && !b.sparseReports && !b.fleet.listStale(now) {
+	needless := len(r.probed) == 0 && !b.sparseReports && !b.fleet.listStale(now)
+	if !b.settings.Limits.Probes || r.probingDone || needless {
 		return false
 	}
 	if len(r.probed) == 0 {
@@ -44,12 +45,12 @@
 	return true
 }
 
-// probesAnswered decides by the answers that have come. Where none tells of room, others are asked.
+// probesAnswered places the request by the answers. If none shows a free slot, further workers are probed.
 func (b *Balancer) probesAnswered(now time.Duration, r *request) {
 	if r.probingDone || r.over {
 		return
 	}
-	// Who is worth less takes a place where it waits a little. Beside a key's busy homes a free one will do.
+	// A class of lower value accepts a short wait. For a key with busy homes any free worker will do.
 	probed, needed := r.probed, r.Slots-halfSlot-(1-r.class.Value/b.maxValue)
 	r.probed, r.candidates = nil, slices.DeleteFunc(slices.Clone(probed), func(w *worker) bool {
 		free := b.fleet.freeSlots(now, w, b.estimator.run.Or(defaultRunTime, 1))
@@ -74,7 +75,7 @@
 	b.probing = slices.DeleteFunc(b.probing, func(one *request) bool { return one == r })
 }
 
-// probeDone takes in a probe's answer, which is fresher than any report before it.
+// probeDone records a probe's answer, which replaces any earlier report.
 func (b *Balancer) probeDone(now time.Duration, ev ProbeDone) {
 	w := b.fleet.byID[ev.Worker]
 	if w == nil {
--- a/balance/state.go
+++ b/balance/state.go
@@ -9,11 +9,10 @@
 	"ospreybend/internal/util/stats"
 )
 
-// What a dispatcher has learned and has in work goes to another process of the same
-// dispatcher as a row of numbers and as requests with their attempts. It decides
-// nothing: the other one goes on as this one would have.
+// A hot restart hands a dispatcher's state to its successor process: the estimates and the workers' state as a
+// sequence of 64-bit values (ExportState, ImportState), the requests in progress as Adopted events.
 
-// adopt goes on with a request where another process of this dispatcher stopped.
+// adopt continues a request of the previous process.
 func (b *Balancer) adopt(now time.Duration, in Adopted) {
 	r := b.accept(now, in.Request)
 	if r == nil {
@@ -23,7 +22,7 @@
 	for _, t := range in.Attempts {
 		w := b.fleet.byID[t.Worker]
 		if w == nil {
-			w = b.fleet.newWorker(now, t.Worker) // not listed any more: what is out there ends as it ends
+			w = b.fleet.newWorker(now, t.Worker) // not listed any more: its attempts end by their own events
 		}
 		a := attempt{worker: w, workerStarted: w.startedAt, sentAt: t.SentAt, inFlight: t.Out, mayHaveRun: t.MayHave}
 		a.freeSlots = b.fleet.freeSlots(now, w, b.estimator.run.Or(0, 0))
@@ -40,75 +39,81 @@
 	b.place(now, r)
 }
 
-const stateVersion = 2 // of the row; another form is not read
+const stateVersion = 2 // the first value; a state of another version is rejected
 
-// stateCodec carries numbers out of a dispatcher or into one. Both ways pass the same
-// places in the same order, so that what is written is what is read.
+// Errors of ImportState.
+var (
+	errStateVersion = errors.New("the state of the previous process has another version")
+	errStateInvalid = errors.New("the state of the previous process cannot be read")
+)
+
+// stateCodec writes values or, if reading, reads them. Both directions run the same functions in the same order,
+// so that what is written is what is read.
 type stateCodec struct {
 	reading bool
 	values  []uint64
 	invalid bool
 }
 
-func (t *stateCodec) word(v *uint64) {
+func (c *stateCodec) unsigned(v *uint64) {
 	switch {
-	case !t.reading:
-		t.values = append(t.values, *v)
-	case len(t.values) == 0:
-		t.invalid = true
+	case !c.reading:
+		c.values = append(c.values, *v)
+	case len(c.values) == 0:
+		c.invalid = true
 	default:
-		*v, t.values = t.values[0], t.values[1:]
+		*v, c.values = c.values[0], c.values[1:]
 	}
 }
 
-func (t *stateCodec) number(v *float64) {
+func (c *stateCodec) float(v *float64) {
 	w := math.Float64bits(*v)
-	t.word(&w)
+	c.unsigned(&w)
 	*v = math.Float64frombits(w)
-	t.invalid = t.invalid || t.reading && (math.IsNaN(*v) || math.IsInf(*v, 0))
+	c.invalid = c.invalid || c.reading && (math.IsNaN(*v) || math.IsInf(*v, 0))
 }
 
-func (t *stateCodec) numbers(vs ...*float64) {
+func (c *stateCodec) floats(vs ...*float64) {
 	for _, v := range vs {
-		t.number(v)
+		c.float(v)
 	}
 }
 
-func (t *stateCodec) integer(v *int) {
+func (c *stateCodec) integer(v *int) {
 	w := uint64(*v)
-	t.word(&w)
+	c.unsigned(&w)
 	*v = int(w)
 }
 
-func (t *stateCodec) span(v *time.Duration) {
+func (c *stateCodec) duration(v *time.Duration) {
 	w := uint64(*v)
-	t.word(&w)
+	c.unsigned(&w)
 	*v = time.Duration(w)
 }
 
-func (t *stateCodec) flag(v *bool) {
+func (c *stateCodec) boolean(v *bool) {
 	w := uint64(0)
 	if *v {
 		w = 1
 	}
-	t.word(&w)
+	c.unsigned(&w)
 	*v = w != 0
 }
 
-// length passes the number of what follows, each at least one number.
-func (t *stateCodec) length(n int) int {
-	t.integer(&n)
-	if t.invalid || t.reading && (n < 0 || n > len(t.values)) {
-		t.invalid = true
+// length codes the number of elements that follow, each of at least one value.
+func (c *stateCodec) length(n int) int {
+	c.integer(&n)
+	if c.invalid || c.reading && (n < 0 || n > len(c.values)) {
+		c.invalid = true
 		return 0
 	}
 	return n
 }
 
-// list passes a list whose length is its owner's own.
-func list[T any](t *stateCodec, of []T, each func(*T)) {
-	if t.length(len(of)) != len(of) {
-		t.invalid = true
+// codeSlice codes a slice whose length both sides know.
+func codeSlice[T any](c *stateCodec, of []T, each func(*T)) {
+	if c.length(len(of)) != len(of) {
+		c.invalid = true
 		return
 	}
 	for i := range of {
@@ -116,10 +121,10 @@
 	}
 }
 
-// table passes a map, which is replaced by what is read.
-func table[K comparable, V any](t *stateCodec, m map[K]V, key func(*K), value func(*V)) {
-	if !t.reading {
-		t.length(len(m))
+// codeMap codes a map; reading replaces its content.
+func codeMap[K comparable, V any](c *stateCodec, m map[K]V, key func(*K), value func(*V)) {
+	if !c.reading {
+		c.length(len(m))
 		for k, v := range m {
 			key(&k)
 			value(&v)
@@ -127,7 +132,7 @@
 		return
 	}
 	clear(m)
-	for range t.length(0) {
+	for range c.length(0) {
 		var k K
 		var v V
 		key(&k)
@@ -136,125 +141,124 @@
 	}
 }
 
-func (t *stateCodec) mean(m *stats.Mean) { t.numbers(&m.N, &m.Sum) }
+func (c *stateCodec) mean(m *stats.Mean) { c.floats(&m.N, &m.Sum) }
 
-func (t *stateCodec) meanAt(m **stats.Mean) {
+func (c *stateCodec) meanPointer(m **stats.Mean) {
 	if *m == nil {
 		*m = &stats.Mean{}
 	}
-	t.mean(*m)
+	c.mean(*m)
 }
 
-func (t *stateCodec) line(p *stats.Pooled) { t.numbers(&p.N, &p.SX, &p.SY, &p.SXX, &p.SXY) }
+func (c *stateCodec) pooled(p *stats.Pooled) { c.floats(&p.N, &p.SX, &p.SY, &p.SXX, &p.SXY) }
 
-func (t *stateCodec) lineAt(p **stats.Pooled) {
+func (c *stateCodec) pooledPointer(p **stats.Pooled) {
 	if *p == nil {
 		*p = &stats.Pooled{}
 	}
-	t.line(*p)
+	c.pooled(*p)
 }
 
-func (t *stateCodec) health(h *stats.FailureRate) {
-	t.numbers(&h.Failures, &h.Outcomes)
-	t.span(&h.At)
+func (c *stateCodec) odds(h *stats.FailureRate) {
+	c.floats(&h.Failures, &h.Outcomes)
+	c.duration(&h.At)
 }
 
-func (t *stateCodec) window(w *stats.Window) {
-	n := t.length(len(w.Samples))
-	if t.reading {
+func (c *stateCodec) window(w *stats.Window) {
+	n := c.length(len(w.Samples))
+	if c.reading {
 		*w = stats.Window{Samples: make([]stats.Sample, min(n, windowLen))}
-		t.invalid = t.invalid || n > windowLen
+		c.invalid = c.invalid || n > windowLen
 	}
 	for i := range w.Samples {
 		s := &w.Samples[i]
-		t.span(&s.At)
-		t.numbers(&s.X, &s.Y)
+		c.duration(&s.At)
+		c.floats(&s.X, &s.Y)
 	}
 }
 
-func (t *stateCodec) windowAt(w **stats.Window) {
+func (c *stateCodec) windowPointer(w **stats.Window) {
 	if *w == nil {
 		*w = &stats.Window{}
 	}
-	t.window(*w)
+	c.window(*w)
 }
 
-func (t *stateCodec) key(k *windowKey) {
-	t.integer(&k.class)
-	t.integer(&k.bucket)
+func (c *stateCodec) windowKey(k *windowKey) {
+	c.integer(&k.class)
+	c.integer(&k.bucket)
 }
 
-func (t *stateCodec) estimator(e *estimator) {
-	list(t, e.size, t.mean)
-	table(t, e.kindSlowdown, t.integer, t.meanAt)
-	table(t, e.hintRatio, t.key, t.meanAt)
-	table(t, e.queueWait, t.integer, t.lineAt)
-	table(t, e.transfer, t.integer, t.meanAt)
-	table(t, e.minStartDelay, t.integer, t.number)
-	t.line(&e.full)
+func (c *stateCodec) estimator(e *estimator) {
+	codeSlice(c, e.size, c.mean)
+	codeMap(c, e.kindSlowdown, c.integer, c.meanPointer)
+	codeMap(c, e.hintRatio, c.windowKey, c.meanPointer)
+	codeMap(c, e.queueWait, c.integer, c.pooledPointer)
+	codeMap(c, e.transfer, c.integer, c.meanPointer)
+	codeMap(c, e.minStartDelay, c.integer, c.float)
+	c.pooled(&e.full)
 	for _, m := range []*stats.Mean{&e.allSlowdown, &e.run} {
-		t.mean(m)
+		c.mean(m)
 	}
 }
 
-func (t *stateCodec) worker(w *worker) {
-	t.span(&w.startedAt)
-	t.window(&w.profile.transfer)
-	t.window(&w.profile.slowdown)
-	table(t, w.profile.process, t.key, t.windowAt)
-	t.flag(&w.reported)
-	t.span(&w.reportedAt)
-	t.numbers(&w.reportedFree, &w.maxFree, &w.warmupTokens)
-	t.span(&w.warmupTokensAt)
-	list(t, w.health, t.health)
-	t.span(&w.lastSeenAt)
+func (c *stateCodec) worker(w *worker) {
+	c.duration(&w.startedAt)
+	c.window(&w.profile.transfer)
+	c.window(&w.profile.slowdown)
+	codeMap(c, w.profile.process, c.windowKey, c.windowPointer)
+	c.boolean(&w.reported)
+	c.duration(&w.reportedAt)
+	c.floats(&w.reportedFree, &w.maxFree, &w.warmupTokens)
+	c.duration(&w.warmupTokensAt)
+	codeSlice(c, w.health, c.odds)
+	c.duration(&w.lastSeenAt)
 }
 
-// ExportState returns what the dispatcher has learned of jobs and workers.
+// ExportState returns the estimates and the workers' state.
 func (b *Balancer) ExportState() []uint64 {
-	t := &stateCodec{values: []uint64{stateVersion}}
-	t.estimator(&b.estimator)
+	c := &stateCodec{values: []uint64{stateVersion}}
+	c.estimator(&b.estimator)
 	f := &b.fleet
-	table(t, f.kindFree, t.integer, t.number)
-	table(t, f.meanFree, t.integer, t.meanAt)
-	t.mean(&f.jobSlots)
-	list(t, f.health, t.health)
-	t.length(len(f.workers))
+	codeMap(c, f.kindFree, c.integer, c.float)
+	codeMap(c, f.meanFree, c.integer, c.meanPointer)
+	c.mean(&f.jobSlots)
+	codeSlice(c, f.health, c.odds)
+	c.length(len(f.workers))
 	for _, w := range f.workers {
 		id := uint64(w.id)
-		t.word(&id)
-		t.worker(w)
+		c.unsigned(&id)
+		c.worker(w)
 	}
-	return t.values
+	return c.values
 }
 
-// ImportState takes up what another process of this dispatcher has learned. A worker
-// that has started anew since is left as it is. A row that does not fit changes
-// nothing.
+// ImportState applies the state of the previous process. A worker that restarted since is left as it is. After
+// an error, by another version or a state that does not fit, nothing has changed.
 func (b *Balancer) ImportState(now time.Duration, state []uint64) error {
 	version := uint64(0)
-	t := &stateCodec{reading: true, values: slices.Clone(state)}
-	t.word(&version)
+	c := &stateCodec{reading: true, values: slices.Clone(state)}
+	c.unsigned(&version)
 	if version != stateVersion {
-		return errors.New("what another process has learned has another form")
+		return errStateVersion
 	}
 	est := newEstimator(len(b.settings.Classes))
-	t.estimator(&est)
+	c.estimator(&est)
 	f := newFleet(&b.settings, b.rng)
-	table(t, f.kindFree, t.integer, t.number)
-	table(t, f.meanFree, t.integer, t.meanAt)
-	t.mean(&f.jobSlots)
-	list(t, f.health, t.health)
+	codeMap(c, f.kindFree, c.integer, c.float)
+	codeMap(c, f.meanFree, c.integer, c.meanPointer)
+	c.mean(&f.jobSlots)
+	codeSlice(c, f.health, c.odds)
 	known := make([]*worker, 0, len(b.fleet.workers))
-	for range t.length(0) {
+	for range c.length(0) {
 		var id uint64
-		t.word(&id)
+		c.unsigned(&id)
 		w := f.newWorker(now, WorkerID(id))
-		t.worker(w)
+		c.worker(w)
 		known = append(known, w)
 	}
-	if t.invalid || len(t.values) > 0 {
-		return errors.New("what another process has learned cannot be read")
+	if c.invalid || len(c.values) > 0 {
+		return errStateInvalid
 	}
 	b.estimator, b.fleet.kindFree, b.fleet.meanFree, b.fleet.jobSlots, b.fleet.health = est, f.kindFree, f.meanFree, f.jobSlots, f.health
 	for _, old := range known {
--- a/balance/view.go
+++ b/balance/view.go
@@ -7,8 +7,8 @@
 	"ospreybend/internal/util/stats"
 )
 
-// FailureProbability is the chance that an operation of any kind fails at a worker, as this
-// dispatcher sees it now: for those who look on. It decides nothing.
+// FailureProbability returns the estimated probability that a request of the worst affected class fails at a
+// worker; 0 for an unknown worker. It is for observers and changes nothing.
 func (b *Balancer) FailureProbability(now time.Duration, id WorkerID) float64 {
 	w := b.fleet.byID[id]
 	if w == nil {
@@ -21,14 +21,14 @@
 	return worst
 }
 
-// ZoneView is what a dispatcher knows of a zone's ready workers.
+// ZoneView is the capacity of a zone's ready workers, as known to a dispatcher.
 type ZoneView struct {
 	Zone          int
 	Slots         float64
-	WarmupDeficit float64 // part of their capacity that they lack as they are cold
+	WarmupDeficit float64 // capacity fraction lacking as workers warm up
 }
 
-// Zones tells what is known of the zones, for those who look on. It decides nothing.
+// Zones returns the capacity of all zones, by zone number. It is for observers and changes nothing.
 func (b *Balancer) Zones(now time.Duration) []ZoneView {
 	by := map[int]*ZoneView{}
 	var out []ZoneView
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	evacuationSpread     = time.Second // copies of what a failed zone has go out spread over it
-	evacuationPerRequest = 0.1         // such copies for each request, and at most so many at once: all
-	maxEvacuationBudget  = 10.0        // dispatchers move out together, to workers that have work of their own
+	evacuationSpread     = time.Second // hedges of requests in a failed zone are spread over it
+	evacuationPerRequest = 0.1         // such hedges allowed for each request accepted;
+	maxEvacuationBudget  = 10.0        // at most so many at once, as all dispatchers evacuate together
 )
 
-// withinZoneShare tells whether a request may go to a zone. It may or may not for as long as the share stands:
-// looking again does not get round it.
+// withinZoneShare reports whether a request may go to a zone. The answer is drawn from the request's ID, so
+// that it stays the same while the share does.
 func (f *fleet) withinZoneShare(id RequestID, zone int) bool {
 	share := f.zoneShare(zone)
 	return share >= 1 || stats.Draw(uint64(id), uint64(zone)) < share
 }
 
-// zoneShare gives what a zone takes.
+// zoneShare returns the share of a zone, 0 to 1.
 func (f *fleet) zoneShare(zone int) float64 {
 	if zone < len(f.shares) {
 		return f.shares[zone]
@@ -29,7 +29,7 @@
 	return 1
 }
 
-// zoneShares takes up what the fleet has decided.
+// zoneShares applies the zones' shares, and hedges the requests in zones that newly failed.
 func (b *Balancer) zoneShares(now time.Duration, ev ZoneShares) {
 	before := b.fleet.shares
 	b.fleet.shares = slices.Clone(ev.Shares)
@@ -38,7 +38,7 @@
 	}
 	for _, w := range b.fleet.workers {
 		if w.zone < len(before) && before[w.zone] == 0 && b.fleet.zoneShare(w.zone) > 0 {
-			clear(w.health) // what was held against it the fleet has weighed: it is to be tried
+			clear(w.health) // the voters decided that it is tried again
 			w.lastSeenAt = 0
 		}
 	}
