--- a/cmd/ospreybend/kill_test.go
+++ b/cmd/ospreybend/kill_test.go
@@ -71,7 +71,9 @@
 			t.Fatal(err)
 		}
 		stop()
-		<-answered
+		if err := <-answered; err != nil {
+			t.Log("the bulk call amid the kill: ", err)
+		}
 		if err := n.start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/ospreybend/leave_test.go
+++ b/cmd/ospreybend/leave_test.go
@@ -184,7 +184,9 @@
 		t.Fatal("it does not say that it is not ready: ", err)
 	}
 	stop()
-	<-started
+	if err := <-started; err != nil {
+		t.Log("the cancelled start: ", err)
+	}
 	began := time.Now()
 	if err := n.leave(); err != nil {
 		t.Errorf("the process ended with %v", err)
--- a/drmaa/filter.go
+++ b/drmaa/filter.go
@@ -155,7 +155,7 @@
 		(len(f.States) == 0 || slices.ContainsFunc(f.States, func(s State) bool { return !s.Final() }))
 }
 
-// Ended: see Unfinished.
+// Ended reports whether jobs in a final state may match; see Unfinished.
 func (f *Filter) Ended() bool {
 	return len(f.States) == 0 || slices.ContainsFunc(f.States, State.Final)
 }
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -94,7 +94,7 @@
 	e := read(c.Call, &in)
 	switch {
 	case e != nil:
-	case in.For != "terminated" && in.For != "started" && !(whole && in.For == "allTerminated"):
+	case in.For != "terminated" && in.For != "started" && (!whole || in.For != "allTerminated"):
 		e = drmaa.Bad("for", "%q is nothing to wait for here", in.For)
 	case !(in.Timeout >= 0) || in.Timeout > longestWait.Seconds():
 		e = drmaa.Bad("timeout", "not from 0 to %v seconds", longestWait.Seconds())
--- a/internal/node/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -118,7 +118,9 @@
 	if e := r.act(j, Hold); e != nil || len(r.core.ops) != 0 {
 		t.Fatal("not drawn back", e)
 	}
-	r.act(j, Release)
+	if e := r.act(j, Release); e != nil {
+		t.Fatal("not released: ", e)
+	}
 	r.core.sent(j, 0)
 	if e := r.act(j, Hold); e == nil || e.Name != drmaa.InvalidState {
 		t.Errorf("held while a step is out: %v", e)
@@ -135,7 +137,9 @@
 	if len(r.core.ops) != 0 {
 		t.Error("a held job came back")
 	}
-	r.act(j, Release)
+	if e := r.act(j, Release); e != nil {
+		t.Fatal("not released: ", e)
+	}
 	r.state(j, drmaa.Requeued)
 	r.core.serve(j)
 	r.state(j, drmaa.Done)
@@ -151,7 +155,9 @@
 	if r.state(j, drmaa.Queued); got != Broken {
 		t.Errorf("answered %v", got)
 	}
-	r.act(j, Hold)
+	if e := r.act(j, Hold); e != nil {
+		t.Fatal("not held: ", e)
+	}
 	r.m.Act(j, Release, func(e *drmaa.Error) { got = e })
 	r.settleOne(refuses)
 	if r.state(j, drmaa.QueuedHeld); got != Broken {
@@ -282,7 +288,9 @@
 	j := r.submit(tpl(once))
 	ended := 0
 	r.m.DestroySession(r.anna(), "s", func(*drmaa.Error) { ended++ })
-	r.m.Terminate(j) // its end and the session's cross
+	if e := r.m.Terminate(j); e != nil { // its end and the session's cross
+		t.Fatal("not terminated: ", e)
+	}
 	r.settle()
 	r.m.SetSession(r.anna(), "s", SessionOpen, "create", note)
 	r.settle()
@@ -603,7 +611,9 @@
 	one := tpl(safe)
 	a := r.bulk(drmaa.Bulk{Template: &one, Begin: 1, End: 10_000, Step: 1})
 	for _, index := range []int{1, 5000} {
-		r.act(a.open[index], Hold)
+		if e := r.act(a.open[index], Hold); e != nil {
+			t.Fatal("not held: ", e)
+		}
 	}
 	r.start()
 	if r.m.line.Len()+len(r.m.jobs)-10_000 != 9996 || // two are on their way already
--- a/internal/node/eventloop/listen.go
+++ b/internal/node/eventloop/listen.go
@@ -79,7 +79,7 @@
 func (in *Listener) serve() {
 	for {
 		in.slots <- struct{}{}
-		raw, err := in.Listener.Accept()
+		raw, err := in.Accept()
 		if err != nil {
 			<-in.slots
 			if isClosed(err) {
--- a/internal/node/eventloop/nodelay_test.go
+++ b/internal/node/eventloop/nodelay_test.go
@@ -21,7 +21,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Stop()
+	t.Cleanup(func() {
+		if err := l.Stop(); err != nil {
+			t.Error("stop the loop: ", err)
+		}
+	})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -156,7 +156,7 @@
 	slog.Info("by hand", "prep_worker", name, "out", out)
 	if out {
 		a.words.Set(name, true, a.loop.Now())
-		a.apply(name, id)
+		a.apply(id)
 	}
 	answered := false
 	reply := func(status int, text string) {
@@ -168,7 +168,7 @@
 	if a.config.Record == nil {
 		if !out {
 			a.words.Set(name, false, a.loop.Now())
-			a.apply(name, id)
+			a.apply(id)
 		}
 		reply(200, "done")
 		return
@@ -190,13 +190,13 @@
 func (a *Admin) Merge(words override.Overrides) {
 	for _, name := range a.words.Merge(words) {
 		slog.Info("by hand", "prep_worker", name, "out", a.words.Out(name), "recorded", true)
-		a.apply(name, numberOf(name))
+		a.apply(numberOf(name))
 	}
 }
 
 // apply has a changed word take effect. Connections from before are not used any
 // more: the prep worker is restarted while it is out.
-func (a *Admin) apply(name string, id balance.WorkerID) {
+func (a *Admin) apply(id balance.WorkerID) {
 	a.to.Renew(id)
 	a.pool.Relay(id)
 }
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -203,10 +203,11 @@
 		kind = balance.ListFull
 	}
 	quiet := false
-	if c == d.fetch {
+	switch c {
+	case d.fetch:
 		d.fetch = nil
 		c.close()
-	} else if c == d.watch {
+	case d.watch:
 		quiet = !d.first && !list.Snapshot && len(list.Entries) == 0
 		d.first = false
 		switch {
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -144,9 +144,10 @@
 				if says != "" {
 					w.Play(name + " send " + says)
 				}
-				if how == "breaks off" {
+				switch how {
+				case "breaks off":
 					w.Play(name + " close")
-				} else if how == "refuses" {
+				case "refuses":
 					w.Play(name + " closed")
 				}
 			}
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -240,11 +240,11 @@
 	return false
 }
 
-// Started, Stepped and StepDone concern other fronts: a client here hears of
-// nothing but the final answer.
+// Started does nothing, as Stepped and StepDone: a client here gets nothing but the
+// final answer.
 func (f *Front) Started(slottable.Handle, balance.WorkerID) {}
 
-// Stepped is of no concern here either.
+// Stepped does nothing; see Started.
 func (f *Front) Stepped(slottable.Handle, balance.WorkerID) {}
 
 // StepDone is of no concern here either.
--- a/internal/node/simwire/wire_test.go
+++ b/internal/node/simwire/wire_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -91,7 +92,7 @@
 func TestEveryEventCutShort(t *testing.T) {
 	for name, c := range events() {
 		for n := range len(c.frame) {
-			if _, err := read(frame(c.frame[:n])); err == nil || err == io.EOF {
+			if _, err := read(frame(c.frame[:n])); err == nil || errors.Is(err, io.EOF) {
 				t.Errorf("%s cut to %d bytes: error %v", name, n, err)
 			}
 		}
@@ -107,7 +108,7 @@
 	if b, err := read(frame()); err != nil || len(b.Records) != 0 {
 		t.Errorf("empty batch: %v, %v", b, err)
 	}
-	if _, err := read(nil); err != io.EOF {
+	if _, err := read(nil); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input: %v, want io.EOF", err)
 	}
 }
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -47,7 +47,7 @@
 			t.fail("%s: %s", done.State, done.SubState)
 		}
 		if done.ExitStatus == nil || *done.ExitStatus != 0 || done.Result == nil || !done.MayHaveRun || len(done.Machines) != 1 ||
-			!(done.Submitted <= done.Dispatched && done.Dispatched <= done.Finished) || done.Steps[len(done.Steps)-1].Outcome != "served" {
+			done.Submitted > done.Dispatched || done.Dispatched > done.Finished || done.Steps[len(done.Steps)-1].Outcome != "served" {
 			t.fail("%+v", done)
 		}
 		if again := t.state(j.ID, drmaa.Done); *again.Result != *done.Result {
@@ -149,7 +149,8 @@
 		}
 		t.refused(t.call("POST", t.path("/arrays"), `{"beginIndex":1,"endIndex":2}`), 400, drmaa.InvalidArgument, "jobTemplate")
 		t.refused(t.call("POST", t.path("/arrays"), in(`,"beginIndex":1,"endIndex":3,"what":1`)), 422, drmaa.UnsupportedAttribute, "what")
-		for range t.session.Jobs(t.ctx, drmaa.Filter{}) {
+		for _, err := range t.session.Jobs(t.ctx, drmaa.Filter{}) {
+			t.must(err)
 			t.fail("a job of a refused bulk is there")
 		}
 	}},
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -121,9 +121,9 @@
 	o.only = only
 }
 
-// send resends an order unchanged until it has a clear answer, and tells whether it was taken.
-func (o *operator) send(ctx context.Context, sent order) bool {
-	return o.sendFirst(ctx, sent, o.pick())
+// send resends an order unchanged until it has a clear answer.
+func (o *operator) send(ctx context.Context, sent order) {
+	o.sendFirst(ctx, sent, o.pick())
 }
 
 // sendFirst is send with the keeper of the first attempt.
--- a/internal/testkit/controlplanesim/play.go
+++ b/internal/testkit/controlplanesim/play.go
@@ -79,8 +79,8 @@
 func figuresOf(h history.History) Figures {
 	figures := Figures{Virtual: h.End, Views: len(h.Views)}
 	for _, operation := range h.Operations {
-		switch {
-		case operation.Kind == history.Read:
+		switch operation.Kind {
+		case history.Read:
 			figures.Reads++
 		default:
 			figures.Attempts++
--- a/internal/testkit/endtoend/process.go
+++ b/internal/testkit/endtoend/process.go
@@ -62,7 +62,7 @@
 	_ = ready.SetReadDeadline(time.Now().Add(readyWithin))
 	if line, err := bufio.NewReader(ready).ReadString('\n'); err != nil || line != "ready\n" {
 		_ = p.Kill()
-		return fmt.Errorf("%s is not ready (%v); it says: %s", p.Name, err, p.tail())
+		return fmt.Errorf("%s is not ready; it wrote %q: %w", p.Name, p.tail(), err)
 	}
 	return nil
 }
--- a/internal/testkit/loadgen/load.go
+++ b/internal/testkit/loadgen/load.go
@@ -108,16 +108,16 @@
 			if c.Each != nil {
 				c.Each(s.at, s.class, s.id, status, took)
 			}
-			switch {
-			case status == 200:
+			switch status {
+			case http.StatusOK:
 				out.Served++
 				if took <= s.class.Target {
 					out.InTime++
 				}
 				_ = out.Latency.RecordValue(took.Microseconds())
-			case status == 503 || status == 429:
+			case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 				out.Refused++
-			case status == 0:
+			case 0: // no response
 				out.Broken++
 			default:
 				out.Failed++
--- a/internal/testkit/localfleet/mixed_versions_test.go
+++ b/internal/testkit/localfleet/mixed_versions_test.go
@@ -164,7 +164,7 @@
 	if err := m.fleet.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	m.replace(0, whole(1, "first"))
+	m.replaceFirst(firstConfiguration("first"))
 	m.generation = 1
 	m.worker(1, "store", time.Millisecond)
 	m.check("one earlier server beside two")
--- a/internal/testkit/localfleet/whole_program_test.go
+++ b/internal/testkit/localfleet/whole_program_test.go
@@ -99,14 +99,14 @@
 	return worker
 }
 
-// whole is a configuration with a plain route for each name and one streaming route.
-func whole(generation int, names ...string) []byte {
+// firstConfiguration is a complete configuration of generation 1 with a plain route for each name and one streaming route.
+func firstConfiguration(names ...string) []byte {
 	routes := []string{fmt.Sprintf(`{"name":"stream","hostname":%q,"pathPrefix":"/stream/","routeType":"streaming","timeoutMs":8000,"service":"model","maxAttempts":1}`, hostOfTests)}
 	for _, name := range names {
 		routes = append(routes, plainRoute(name))
 	}
-	return fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"services":[{"name":"store","healthPath":"/health","maxConnections":50},
-		{"name":"model","healthPath":"/health","maxConnections":50}],"limits":{}}`, generation, strings.Join(routes, ","))
+	return fmt.Appendf(nil, `{"generation":1,"routes":[%s],"services":[{"name":"store","healthPath":"/health","maxConnections":50},
+		{"name":"model","healthPath":"/health","maxConnections":50}],"limits":{}}`, strings.Join(routes, ","))
 }
 
 func plainRoute(name string) string {
@@ -119,10 +119,11 @@
 	return fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s]}}`, generation, plainRoute(name))
 }
 
-func (r *rig) replace(base uint64, body []byte) {
+// replaceFirst sends the first configuration, which has no base.
+func (r *rig) replaceFirst(body []byte) {
 	r.Helper()
-	if err := r.operator.Replace(r.ctx, base, body); err != nil {
-		r.Fatalf("replace on %d: %v", base, err)
+	if err := r.operator.Replace(r.ctx, 0, body); err != nil {
+		r.Fatalf("replace on no configuration: %v", err)
 	}
 }
 
@@ -220,7 +221,7 @@
 	t.Parallel()
 	r := newRig(t)
 	r.worker(0, "store", 0)
-	r.replace(0, whole(1, "first"))
+	r.replaceFirst(firstConfiguration("first"))
 	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
 
 	r.fleet.Keeper(0).Kill()
@@ -274,7 +275,7 @@
 	t.Parallel()
 	r := newRig(t)
 	r.worker(0, "store", 0)
-	r.replace(0, whole(1, "first"))
+	r.replaceFirst(firstConfiguration("first"))
 	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
 	for edge := range edges {
 		r.fleet.Agent(edge).Kill()
@@ -300,7 +301,7 @@
 	t.Parallel()
 	r := newRig(t)
 	r.worker(0, "model", 60*time.Millisecond)
-	r.replace(0, whole(1))
+	r.replaceFirst(firstConfiguration())
 	r.await("the streaming route at all proxies", r.answers("/stream/x", http.StatusOK))
 
 	response, err := r.request(0, "/stream/x")
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -200,8 +200,8 @@
 	case "closed":
 		return c.expectEnd()
 	case "ended":
-		if err := c.more(); err != io.EOF {
-			return fmt.Errorf("no end but %v; came: %q", err, c.unread)
+		if err := c.more(); !errors.Is(err, io.EOF) {
+			return fmt.Errorf("the connection has not ended, %q came: %w", c.unread, err)
 		}
 		return nil
 	case "close":
