--- a/internal/controlplane/configuration/doc.go
+++ b/internal/controlplane/configuration/doc.go
@@ -7,13 +7,16 @@
 //
 // # Path of a change, and where it becomes durable
 //
-//  1. The server reads the operator's call into a Command, and ValidateCommand rejects what is invalid in any state.
-//  2. EncodeCommand makes the log entry, and replica.Group.Propose appends it to the leader's log.
-//  3. Each replica writes the entry with seglog.Log.Save, which returns only after a sync of the disk. The change is
-//     durable once a majority of the voters has done so: consensus.Node then counts the entry as committed.
+//  1. The server that receives the operator's call makes a Command of it (server.handleConfigurationChange). ValidateCommand
+//     rejects what is invalid in any state; everything else is forwarded to the owner of the configuration shard.
+//  2. The owner encodes the command (EncodeCommand) and proposes it with replica.Group.Propose
+//     (server.changeConfiguration), which appends it to the log of the group's leader.
+//  3. Each replica's log writer writes the entry with seglog.Log.Save, which returns only after the disk was synced, and
+//     reports that to its consensus node (consensus.Node.Persisted). The change is DURABLE once a majority of the voters has
+//     done so; only then does the leader commit the entry (advanceCommit in package consensus).
 //  4. Every replica applies the committed entry with Store.Apply. There the change is compared with the generation in
 //     force (compare-and-set) and accepted or rejected, on all replicas alike.
-//  5. The proposing replica returns the Outcome to the operator. CodeAccepted is never answered before steps 3 and 4.
+//  5. The owner answers the operator with the Outcome. CodeAccepted is never answered before steps 3 and 4.
 //  6. The changed items go to the agents through the feed, as the feed.Change that Store.Apply returns.
 //
 // # Compare-and-set
