--- a/internal/controlplane/configuration/bench_test.go
+++ b/internal/controlplane/configuration/bench_test.go
@@ -23,6 +23,7 @@
 	return configurationOf(generation, list, []string{exampleService, examplePlainService})
 }
 
+// benchmarkReplace replaces a small configuration by one with many routes, each with fill bytes in an unknown member.
 func benchmarkReplace(b *testing.B, fill int) {
 	store := NewStore()
 	mustAccept(b, store, replaceCommand(0, exampleConfiguration(1)))
@@ -42,11 +43,13 @@
 	}
 }
 
+// BenchmarkReplaceManyRoutes measures a replacement by 400 routes.
 func BenchmarkReplaceManyRoutes(b *testing.B) { benchmarkReplace(b, 0) }
 
+// BenchmarkReplaceFourMegabytes measures a replacement by 400 routes of 4 MiB in total.
 func BenchmarkReplaceFourMegabytes(b *testing.B) { benchmarkReplace(b, largeDocumentBytes/manyRoutes) }
 
-// BenchmarkUpdateAddsRoutes applies one update that adds many routes to many.
+// BenchmarkUpdateAddsRoutes measures one update that adds 350 routes to 400.
 func BenchmarkUpdateAddsRoutes(b *testing.B) {
 	body := configurationWithRoutes(1, manyRoutes, 0)
 	added := strings.NewReplacer(`"r`, `"q`, "/p", "/q").Replace(configurationWithRoutes(2, addedRoutes, 0))
@@ -67,6 +70,7 @@
 	}
 }
 
+// BenchmarkUpdateOfOneRoute measures an update of one of 400 routes.
 func BenchmarkUpdateOfOneRoute(b *testing.B) {
 	store := NewStore()
 	mustAccept(b, store, replaceCommand(0, configurationWithRoutes(1, manyRoutes, 0)))
--- a/internal/controlplane/configuration/command_sequences_test.go
+++ b/internal/controlplane/configuration/command_sequences_test.go
@@ -29,6 +29,9 @@
 	}
 }
 
+// errRestartDiffers reports that a snapshot does not contain the whole state.
+var errRestartDiffers = errors.New("a store differs after a restart")
+
 // sequenceSearch runs all sequences of its commands.
 type sequenceSearch struct {
 	commands  []Command
@@ -47,7 +50,7 @@
 			return err
 		}
 		if !sameState(store, next) {
-			return errors.New("a store differs after a restart")
+			return errRestartDiffers
 		}
 		e.played++
 		seen := history.clone()
