--- a/internal/dataplane/httpserver/client_gone_test.go
+++ b/internal/dataplane/httpserver/client_gone_test.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"runtime"
@@ -44,7 +45,7 @@
 				end(client)
 				select {
 				case err := <-ended:
-					if err != ErrClientGone {
+					if !errors.Is(err, ErrClientGone) {
 						t.Errorf("the response ends with %v", err)
 					}
 				case <-time.After(testTimeout):
--- a/internal/dataplane/httpserver/lifecycle_test.go
+++ b/internal/dataplane/httpserver/lifecycle_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -30,7 +31,10 @@
 		}
 		client.socket.Close()
 		select {
-		case <-ended:
+		case err := <-ended:
+			if !errors.Is(err, ErrClientGone) {
+				t.Errorf("the response ends with %v", err)
+			}
 		case <-time.After(testTimeout):
 			t.Fatal("the handler's context does not end")
 		}
@@ -118,7 +122,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := server.Wait(ctx); err != context.Canceled {
+	if err := server.Wait(ctx); !errors.Is(err, context.Canceled) {
 		t.Errorf("Wait: %v", err)
 	}
 	close(hold)
@@ -156,7 +160,10 @@
 	other.send(getRequest)
 	other.expect(200, "")
 	select {
-	case <-failed:
+	case err := <-failed:
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("the write ends with %v", err)
+		}
 	case <-time.After(testTimeout):
 		t.Fatal("the write does not end")
 	}
--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -88,20 +88,20 @@
 	return nil, err
 }
 
-func (a *requestReader) readHead() (*http1.StatusError, error) {
-	c := a.conn
-	reader := http1.HeadReader{Kind: http1.Request, Rules: a.rules}
+func (r *requestReader) readHead() (*http1.StatusError, error) {
+	c := r.conn
+	reader := http1.HeadReader{Kind: http1.Request, Rules: r.rules}
 	for {
-		used, statusErr := reader.Read(c.input.Bytes(), &a.head)
+		used, statusErr := reader.Read(c.input.Bytes(), &r.head)
 		switch {
 		case statusErr != nil:
 			return statusErr, nil
 		case used > 0:
-			a.copyHead()
+			r.copyHead()
 			c.input.Discard(used)
 			return nil, nil
 		}
-		if statusErr, err := a.readMore(); statusErr != nil || err != nil {
+		if statusErr, err := r.readMore(); statusErr != nil || err != nil {
 			return statusErr, err
 		}
 	}
@@ -127,21 +127,21 @@
 
 var expectField = http1.RawHeaderField{Name: []byte("Expect"), Value: []byte("100-continue")}
 
-func (a *requestReader) readBody() (*http1.StatusError, error) {
-	if a.head.ContentLength > a.limits.MaxBodyBytes {
+func (r *requestReader) readBody() (*http1.StatusError, error) {
+	if r.head.ContentLength > r.limits.MaxBodyBytes {
 		return &errBodyTooLarge, nil
 	}
-	body := http1.NewRequestBodyReader(&a.head, &a.rules)
+	body := http1.NewRequestBodyReader(&r.head, &r.rules)
 	if body.Done {
 		return nil, nil
 	}
-	if err := a.sendContinue(); err != nil {
+	if err := r.sendContinue(); err != nil {
 		return nil, err
 	}
 	if body.Chunked {
-		return a.readChunkedBody(&body)
+		return r.readChunkedBody(&body)
 	}
-	return a.readFixedBody(a.head.ContentLength)
+	return r.readFixedBody(r.head.ContentLength)
 }
 
 // sendContinue asks a client that waits for it to send its body.
--- a/internal/dataplane/httpserver/server_test.go
+++ b/internal/dataplane/httpserver/server_test.go
@@ -1,6 +1,7 @@
 package httpserver
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strings"
@@ -172,7 +173,7 @@
 		if err := w.Finish([]byte("last")); err != nil {
 			t.Error(err)
 		}
-		if err := w.WriteResponse(200, nil, nil); err != ErrAlreadyAnswered {
+		if err := w.WriteResponse(200, nil, nil); !errors.Is(err, ErrAlreadyAnswered) {
 			t.Errorf("a second response: %v", err)
 		}
 	}})
@@ -204,7 +205,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rest, err := io.ReadAll(response.Body); string(rest) != "one" || err != io.ErrUnexpectedEOF {
+	if rest, err := io.ReadAll(response.Body); string(rest) != "one" || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("%q, %v", rest, err)
 	}
 	if counts := server.Counts(); counts.DuplicateResponses != 1 || counts.AbortedResponses != 1 {
--- a/internal/dataplane/proxy/drain_test.go
+++ b/internal/dataplane/proxy/drain_test.go
@@ -9,10 +9,13 @@
 	"ospreybend/internal/dataplane/httpserver"
 )
 
+// drainLimit is the time that a drain may take in the tests.
+const drainLimit = 7 * time.Second
+
 // runDrain waits on the fake clock until a server is quiet; counts returns the server's counters by the time since the start.
-func runDrain(t *testing.T, limit time.Duration, counts func(time.Duration) httpserver.Counts) (quiet bool, took time.Duration) {
+func runDrain(t *testing.T, counts func(time.Duration) httpserver.Counts) (quiet bool, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), limit)
+		ctx, cancel := context.WithTimeout(t.Context(), drainLimit)
 		defer cancel()
 		started := time.Now()
 		quiet = waitUntilQuiet(ctx, func() httpserver.Counts { return counts(time.Since(started)) })
@@ -22,14 +25,14 @@
 }
 
 func TestWaitUntilQuiet_platformNoticeTime(t *testing.T) {
-	quiet, took := runDrain(t, 7*time.Second, func(time.Duration) httpserver.Counts { return httpserver.Counts{} })
+	quiet, took := runDrain(t, func(time.Duration) httpserver.Counts { return httpserver.Counts{} })
 	if !quiet || took != platformNoticeTime {
 		t.Fatalf("%v after %v", quiet, took)
 	}
 }
 
 func TestWaitUntilQuiet_requestsInFlight(t *testing.T) {
-	quiet, took := runDrain(t, 7*time.Second, func(at time.Duration) httpserver.Counts {
+	quiet, took := runDrain(t, func(at time.Duration) httpserver.Counts {
 		if at < 4*time.Second {
 			return httpserver.Counts{InFlight: 1}
 		}
@@ -41,7 +44,7 @@
 }
 
 func TestWaitUntilQuiet_newConnections(t *testing.T) {
-	quiet, took := runDrain(t, 7*time.Second, func(at time.Duration) httpserver.Counts {
+	quiet, took := runDrain(t, func(at time.Duration) httpserver.Counts {
 		return httpserver.Counts{Accepted: int64(min(at, 3*time.Second) / (200 * time.Millisecond))}
 	})
 	if !quiet || took != 3500*time.Millisecond {
@@ -50,8 +53,8 @@
 }
 
 func TestWaitUntilQuiet_contextEnds(t *testing.T) {
-	quiet, took := runDrain(t, 7*time.Second, func(time.Duration) httpserver.Counts { return httpserver.Counts{InFlight: 1} })
-	if quiet || took != 7*time.Second {
+	quiet, took := runDrain(t, func(time.Duration) httpserver.Counts { return httpserver.Counts{InFlight: 1} })
+	if quiet || took != drainLimit {
 		t.Fatalf("%v after %v", quiet, took)
 	}
 }
--- a/internal/dataplane/upstream/fuzz_test.go
+++ b/internal/dataplane/upstream/fuzz_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand"
@@ -305,9 +306,9 @@
 	switch {
 	case got != "" && !strings.HasSuffix(got, "\n\n"):
 		t.Errorf("request %s got a part of an event: %q", id, got)
-	case err == io.EOF && !slices.Contains(w.complete[id], got):
+	case errors.Is(err, io.EOF) && !slices.Contains(w.complete[id], got):
 		t.Errorf("request %s got the stream %q, not of %q", id, got, w.complete[id])
-	case err != io.EOF && !slices.ContainsFunc(w.partial[id], part):
+	case !errors.Is(err, io.EOF) && !slices.ContainsFunc(w.partial[id], part):
 		t.Errorf("request %s got the events %q, not of %q", id, got, w.partial[id])
 	}
 }
--- a/internal/dataplane/upstream/outcome_test.go
+++ b/internal/dataplane/upstream/outcome_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"testing"
@@ -188,7 +189,7 @@
 	for {
 		batch, err := response.Stream.Next()
 		switch {
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			return response.Result, body
 		case err != nil:
 			return upstream.Broken, body
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -155,7 +156,7 @@
 			continue
 		}
 		err := c.readMore()
-		if err == io.EOF && body.UntilClose && rt.endedCleanly() {
+		if errors.Is(err, io.EOF) && body.UntilClose && rt.endedCleanly() {
 			body.Done = true
 			return received, nil
 		}
--- a/internal/dataplane/upstream/stream.go
+++ b/internal/dataplane/upstream/stream.go
@@ -46,7 +46,7 @@
 		err := s.roundTrip.conn.readMore()
 		switch {
 		case err == nil:
-		case err == io.EOF && s.body.UntilClose && len(s.splitter.unfinished()) == 0 && s.roundTrip.endedCleanly():
+		case errors.Is(err, io.EOF) && s.body.UntilClose && len(s.splitter.unfinished()) == 0 && s.roundTrip.endedCleanly():
 			s.body.Done = true
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, ErrDeadline
--- a/internal/dataplane/upstream/stream_test.go
+++ b/internal/dataplane/upstream/stream_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	for range 2 {
-		if _, err := stream.Next(); err != io.EOF {
+		if _, err := stream.Next(); !errors.Is(err, io.EOF) {
 			t.Error(err)
 		}
 	}
@@ -157,7 +157,7 @@
 				open = open || len(batch.Events) > 0 && batch.Events[len(batch.Events)-1].Unterminated
 			}
 		}
-		if (err != io.EOF) != c.broken || open != c.open || !strings.HasPrefix(raw, "id: 1\n\n") || c.broken && raw != "id: 1\n\n" {
+		if !errors.Is(err, io.EOF) != c.broken || open != c.open || !strings.HasPrefix(raw, "id: 1\n\n") || c.broken && raw != "id: 1\n\n" {
 			t.Errorf("%s: %q, %v, %v", name, raw, open, err)
 		}
 	}
@@ -199,7 +199,7 @@
 	pool := newTestPool(t, Options{})
 	stream := openStream(t, pool, worker)
 	stream.SetDeadline(time.Now().Add(time.Millisecond))
-	if _, err := stream.Next(); err != ErrDeadline {
+	if _, err := stream.Next(); !errors.Is(err, ErrDeadline) {
 		t.Error(err)
 	}
 	stream.SetDeadline(time.Time{})
@@ -213,7 +213,7 @@
 		got <- err
 	}()
 	stream.Close()
-	if err := <-got; err == nil || err == io.EOF {
+	if err := <-got; err == nil || errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 	<-ended
