--- a/coord/consensus/catchup_test.go
+++ b/coord/consensus/catchup_test.go
@@ -83,7 +83,7 @@
 	founders := []Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: learnerID}}
 	for _, id := range []MemberID{1, 2, learnerID} {
 		config := Config{ID: id, ElectionTimeout: 500 * time.Millisecond, HeartbeatInterval: 120 * time.Millisecond,
-			MaxAppendBytes: 256 << 10, MaxInflight: 16, Seed: uint64(id), DisabledRules: omit}
+			MaxAppendBytes: 256 << 10, MaxInflight: 16, Seed: uint64(id), OmitRules: omit}
 		stored := PersistedState{}
 		if id != learnerID {
 			stored = Bootstrap(founders, g.snapshotData)
--- a/coord/consensus/config.go
+++ b/coord/consensus/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config configures a member. All but Seed and DisabledRules should be the same on all members of a group.
+// Config configures a member. All but ID, Seed and OmitRules should be the same on all members of a group.
 type Config struct {
 	ID                MemberID
 	ElectionTimeout   time.Duration // shortest time without a leader before an election; the time is drawn from there up to twice this
@@ -14,7 +14,7 @@
 	MaxInflight       int           // bound of the unanswered AppendEntries to one member
 	Seed              uint64        // of the random election timeouts
 	TrailingEntries   int           // entries retained before a snapshot for members a little behind; 0: defaultTrailingEntries, negative: none
-	DisabledRules     []Rule        // set by tests alone, to show that each rule is needed
+	OmitRules         []Rule        // rules that are not enforced; only tests set it
 }
 
 // PersistedState is what a member finds on its disk. The zero value is an empty disk: such a member
--- a/coord/consensus/node.go
+++ b/coord/consensus/node.go
@@ -12,11 +12,11 @@
 // Node is one member of a replica group. It is not safe for concurrent use: its caller owns it with one
 // goroutine.
 type Node struct {
-	config        Config
-	disabledRules map[Rule]bool
-	random        *rand.Rand
-	now           time.Duration // of the latest call; never decreases
-	diskWritable  bool          // SetWritable
+	config       Config
+	omittedRules map[Rule]bool
+	random       *rand.Rand
+	now          time.Duration // of the latest call; never decreases
+	diskWritable bool          // SetWritable
 
 	role     Role
 	term     uint64
@@ -49,16 +49,16 @@
 		panic(err)
 	}
 	n := &Node{
-		config:        config,
-		disabledRules: make(map[Rule]bool, len(config.DisabledRules)),
-		random:        rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
-		now:           now,
-		diskWritable:  true,
-		votedFor:      stored.HardState.Vote,
-		snapshot:      stored.Snapshot,
+		config:       config,
+		omittedRules: make(map[Rule]bool, len(config.OmitRules)),
+		random:       rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
+		now:          now,
+		diskWritable: true,
+		votedFor:     stored.HardState.Vote,
+		snapshot:     stored.Snapshot,
 	}
-	for _, rule := range config.DisabledRules {
-		n.disabledRules[rule] = true
+	for _, rule := range config.OmitRules {
+		n.omittedRules[rule] = true
 	}
 	n.restoreLog(stored)
 	n.restoreTerm(stored.HardState)
--- a/coord/consensus/rules.go
+++ b/coord/consensus/rules.go
@@ -1,11 +1,11 @@
 package consensus
 
-// Rule is a safety check of the core. Tests disable rules to show that the scenarios and the simulation
-// notice their absence; a running system disables none. The texts name the rules in test reports and design
-// notes, and do not change.
+// Rule names one safety rule of the core. Tests omit rules one by one to show that the scenarios and the
+// simulation detect a violation then; a running system enforces all of them. The texts name the rules on
+// command lines and in design notes, and stay as they are.
 type Rule string
 
-// The rules.
+// The rules that tests can omit.
 const (
 	RuleVoteOnce               Rule = "vote-once"           // a member votes once a term
 	RuleVoteUpToDateLog        Rule = "vote-log"            // no vote for a candidate whose log is less up to date
@@ -30,8 +30,8 @@
 	RuleCatchUpRetention       Rule = "catch-up-kept"       // a leader retains the entries that an active peer needs next
 )
 
-// Rules returns the rules that the simulation can disable. RuleConfirmedUpToDate and RuleCatchUpRetention
-// protect no committed entry; they have tests of their own.
+// Rules returns the rules that the simulation can omit. RuleConfirmedUpToDate and RuleCatchUpRetention
+// protect no committed entry and are not among them; the scenarios of the tests cover them.
 func Rules() []Rule {
 	return []Rule{
 		RuleVoteOnce, RuleVoteUpToDateLog, RuleVoteDurable, RuleCandidateTermDurable,
@@ -45,5 +45,5 @@
 
 // enforces reports whether a rule is enforced: always, outside of tests.
 func (n *Node) enforces(rule Rule) bool {
-	return !n.disabledRules[rule]
+	return !n.omittedRules[rule]
 }
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -23,10 +23,10 @@
 	return stored
 }
 
-// newRuleNode starts the member with some rules disabled.
-func newRuleNode(t *testing.T, stored PersistedState, disabled ...Rule) *ruleNode {
+// newRuleNode starts the member without some rules.
+func newRuleNode(t *testing.T, stored PersistedState, omitted ...Rule) *ruleNode {
 	config := testConfig(1)
-	config.DisabledRules = disabled
+	config.OmitRules = omitted
 	return &ruleNode{Node: New(config, stored, 0), t: t}
 }
 
@@ -91,46 +91,46 @@
 	return false
 }
 
-// ruleScenarios are, by rule, sequences of events that do harm if the rule is disabled. They report whether
+// ruleScenarios are, by rule, sequences of events that do harm if the rule is omitted. They report whether
 // harm was done.
-var ruleScenarios = map[Rule]func(t *testing.T, disabled ...Rule) (harm bool){
-	RuleVoteOnce: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+var ruleScenarios = map[Rule]func(t *testing.T, omitted ...Rule) (harm bool){
+	RuleVoteOnce: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
 		n.persistAll()
 		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 5, LogIndex: 9, LogTerm: 4})
 		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3)
 	},
-	RuleVoteUpToDateLog: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), disabled...)
+	RuleVoteUpToDateLog: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), omitted...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 1})
 		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2)
 	},
-	RuleVoteDurable: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleVoteDurable: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
 		return containsMessage(n.Ready().Messages, MessageRequestVoteReply, 2)
 	},
-	RuleCandidateTermDurable: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleCandidateTermDurable: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.now = n.NextTick()
 		n.Tick(n.now)
 		n.step(Message{Kind: MessagePreVoteReply, From: 2, Term: 2})
 		return containsMessage(n.Ready().Messages, MessageRequestVote, 2)
 	},
-	RuleAppendCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(4), disabled...)
+	RuleAppendCurrentTerm: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(4), omitted...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 3, LogIndex: 1, LogTerm: 1,
 			Entries: []Entry{{Term: 3, Index: 2}, {Term: 3, Index: 3}}})
 		return n.Status().LastIndex == 3
 	},
-	RuleAppendLogMatching: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(4), disabled...)
+	RuleAppendLogMatching: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(4), omitted...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 2, LogTerm: 5, Entries: []Entry{{Term: 5, Index: 3}}})
 		return n.Status().LastIndex == 3
 	},
-	RuleAppendDurable: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleAppendDurable: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		for _, message := range n.Ready().Messages {
 			if message.Kind == MessageAppendEntriesReply && message.LogIndex >= 2 {
@@ -139,49 +139,49 @@
 		}
 		return false
 	},
-	RuleLeaderEntriesDurable: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleLeaderEntriesDurable: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.becomeLeader()
 		n.Ready()
 		n.ackAppend(2, 2)
 		return n.Status().CommitIndex == 2
 	},
-	RuleCommitMajority: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleCommitMajority: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.becomeLeader()
 		n.persistAll()
 		return n.Status().CommitIndex == 2
 	},
-	RuleCommitCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), disabled...)
+	RuleCommitCurrentTerm: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), omitted...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
 		return n.Status().CommitIndex == 2
 	},
-	RuleCommitVerified: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), disabled...)
+	RuleCommitVerified: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), omitted...)
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 2})
 		return n.Status().CommitIndex == 2
 	},
-	RuleReadQuorumConfirmed: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleReadQuorumConfirmed: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
 		n.readIndex(7)
 		return len(n.Ready().Reads) > 0
 	},
-	RuleReadCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), disabled...)
+	RuleReadCurrentTerm: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), omitted...)
 		n.becomeLeader()
 		n.readIndex(7)
 		n.persistAll()
 		n.ackHeartbeat(2)
 		return len(n.Ready().Reads) > 0
 	},
-	RuleMembershipSingleChange: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleMembershipSingleChange: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
@@ -191,51 +191,51 @@
 		}
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 5}}) == nil
 	},
-	RuleMembershipCurrentTerm: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(2), disabled...)
+	RuleMembershipCurrentTerm: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(2), omitted...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackHeartbeat(2)
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
-	RuleMembershipRollback: func(t *testing.T, disabled ...Rule) bool {
+	RuleMembershipRollback: func(t *testing.T, omitted ...Rule) bool {
 		stored := persistedLog(2)
 		stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(1, 2, 3, 4)
-		n := newRuleNode(t, stored, disabled...)
+		n := newRuleNode(t, stored, omitted...)
 		n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
 		return len(n.Status().Members) == 4
 	},
-	RuleLearnerNoQuorum: func(t *testing.T, disabled ...Rule) bool {
+	RuleLearnerNoQuorum: func(t *testing.T, omitted ...Rule) bool {
 		stored := persistedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4}, Member{ID: 5})
 		n := newRuleNode(t, stored)
 		n.becomeLeader()
-		for _, rule := range disabled {
-			n.disabledRules[rule] = true
+		for _, rule := range omitted {
+			n.omittedRules[rule] = true
 		}
 		n.persistAll()
 		n.ackAppend(4, 2)
 		n.ackAppend(5, 2)
 		return n.Status().CommitIndex == 2
 	},
-	RuleRetiredNeverReturns: func(t *testing.T, disabled ...Rule) bool {
+	RuleRetiredNeverReturns: func(t *testing.T, omitted ...Rule) bool {
 		stored := persistedLog()
 		stored.Snapshot.Members = append(stored.Snapshot.Members, Member{ID: 4, Retired: true})
-		n := newRuleNode(t, stored, disabled...)
+		n := newRuleNode(t, stored, omitted...)
 		n.becomeLeader()
 		n.persistAll()
 		n.ackAppend(2, 2)
 		n.ackHeartbeat(2)
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}) == nil
 	},
-	RuleConfirmedUpToDate: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleConfirmedUpToDate: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.now = time.Second
 		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 5, Commit: 9, HeartbeatRound: 1})
 		return n.Status().ConfirmedAt > 0
 	},
-	RuleCatchUpRetention: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, persistedLog(), disabled...)
+	RuleCatchUpRetention: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, persistedLog(), omitted...)
 		n.config.TrailingEntries = -1
 		n.becomeLeader()
 		n.persistAll()
@@ -259,8 +259,8 @@
 		n.ackAppend(3, 2)
 		return containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3)
 	},
-	RuleEmptyDiskNoVote: func(t *testing.T, disabled ...Rule) bool {
-		n := newRuleNode(t, PersistedState{}, disabled...)
+	RuleEmptyDiskNoVote: func(t *testing.T, omitted ...Rule) bool {
+		n := newRuleNode(t, PersistedState{}, omitted...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
 		return containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 2)
 	},
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -83,7 +83,7 @@
 		MaxInflight:       h.cluster.profile.maxInflight,
 		Seed:              h.cluster.random.Uint64(),
 		TrailingEntries:   h.cluster.profile.trailingEntries,
-		DisabledRules:     h.cluster.options.DisabledRules,
+		OmitRules:         h.cluster.options.OmitRules,
 	}
 }
 
--- a/coord/consensus/simulation/manyschedules_test.go
+++ b/coord/consensus/simulation/manyschedules_test.go
@@ -15,7 +15,7 @@
 	manySeed          = flag.Uint64("seed", testSeed, "seed of the schedules")
 	manyWorkers       = flag.Int("workers", 1, "schedules played at a time")
 	manyFaultDuration = flag.Duration("fault-duration", testFaultDuration, "how long faults occur in a schedule")
-	manyDisabledRule  = flag.String("disable-rule", "", "a rule that is disabled; the run ends at the first schedule that detects it")
+	manyOmittedRule   = flag.String("omit", "", "a rule that is omitted; the run ends at the first schedule that detects it")
 	manyReuseMemberID = flag.Bool("reuse-member-id", false, "a host that lost its disk returns under its old member ID")
 )
 
@@ -33,8 +33,8 @@
 		FaultDuration: *manyFaultDuration,
 		ReuseMemberID: *manyReuseMemberID,
 	}
-	if *manyDisabledRule != "" {
-		options.DisabledRules = []consensus.Rule{consensus.Rule(*manyDisabledRule)}
+	if *manyOmittedRule != "" {
+		options.OmitRules = []consensus.Rule{consensus.Rule(*manyOmittedRule)}
 		options.StopAtFirstViolation = true
 	}
 	began := time.Now()
@@ -43,8 +43,8 @@
 	for _, violation := range report.Violations {
 		t.Log(violation)
 	}
-	if *manyDisabledRule != "" {
-		t.Logf("%s disabled: detected after %d schedules", *manyDisabledRule, report.FirstViolation())
+	if *manyOmittedRule != "" {
+		t.Logf("%s omitted: detected after %d schedules", *manyOmittedRule, report.FirstViolation())
 		return
 	}
 	if len(report.Violations) > 0 {
--- a/coord/consensus/simulation/simulation.go
+++ b/coord/consensus/simulation/simulation.go
@@ -19,7 +19,7 @@
 	Members              int              // voters, one on each host
 	Schedules            int              // how many are played
 	Workers              int              // schedules played at a time; 0: one
-	DisabledRules        []consensus.Rule // rules of the core that are disabled
+	OmitRules            []consensus.Rule // rules of the core that are not enforced
 	ReuseMemberID        bool             // a host that lost its disk returns under its old ID: a fault that must be detected
 	StopAtFirstViolation bool             // play no more schedules after the first violation
 	FaultDuration        time.Duration    // how long faults occur in a schedule; 0: defaultFaultDuration
--- a/coord/consensus/simulation/simulation_test.go
+++ b/coord/consensus/simulation/simulation_test.go
@@ -37,41 +37,41 @@
 	}
 }
 
-// maxSchedules bounds the search for a schedule that detects a disabled rule.
+// maxSchedules bounds the search for a schedule that detects an omitted rule.
 const maxSchedules = 2000
 
-// TestRun_detectsDisabledRules disables the rules whose absence shows within few schedules of three
+// TestRun_detectsOmittedRules omits the rules whose absence shows within few schedules of three
 // members. The others show rarely (docs/design/agreement.md); each has a scenario in the tests of package
 // consensus.
-func TestRun_detectsDisabledRules(t *testing.T) {
+func TestRun_detectsOmittedRules(t *testing.T) {
 	for _, rule := range []consensus.Rule{
 		consensus.RuleVoteOnce, consensus.RuleVoteUpToDateLog, consensus.RuleVoteDurable,
 		consensus.RuleAppendLogMatching, consensus.RuleAppendDurable, consensus.RuleLeaderEntriesDurable,
 		consensus.RuleCommitMajority, consensus.RuleCommitVerified,
 		consensus.RuleReadQuorumConfirmed, consensus.RuleReadCurrentTerm, consensus.RuleLearnerNoQuorum,
 	} {
-		requireDetected(t, string(rule), Options{Members: 3, DisabledRules: []consensus.Rule{rule}})
+		requireDetected(t, string(rule), Options{Members: 3, OmitRules: []consensus.Rule{rule}})
 	}
 	requireDetected(t, "empty-silent, reused member ID", Options{
 		Members:       3,
-		DisabledRules: []consensus.Rule{consensus.RuleEmptyDiskNoVote},
+		OmitRules:     []consensus.Rule{consensus.RuleEmptyDiskNoVote},
 		ReuseMemberID: true,
 	})
 }
 
-// TestRun_detectsDisabledRulesOfScenarios disables the rules that only a sequence of several leaders shows
+// TestRun_detectsOmittedRulesOfScenarios omits the rules that only a sequence of several leaders shows
 // (scenarios.go). Those of membership changes do harm if the number of voters is even at some time.
-func TestRun_detectsDisabledRulesOfScenarios(t *testing.T) {
+func TestRun_detectsOmittedRulesOfScenarios(t *testing.T) {
 	for rule, members := range map[consensus.Rule]int{
 		consensus.RuleCommitCurrentTerm:     5,
 		consensus.RuleMembershipCurrentTerm: 4,
 		consensus.RuleMembershipRollback:    4,
 	} {
-		requireDetected(t, string(rule), Options{Members: members, DisabledRules: []consensus.Rule{rule}})
+		requireDetected(t, string(rule), Options{Members: members, OmitRules: []consensus.Rule{rule}})
 	}
 }
 
-// requireDetected fails the test unless some schedule detects what the options disable.
+// requireDetected fails the test unless some schedule detects what the options omit.
 func requireDetected(t *testing.T, name string, options Options) {
 	t.Helper()
 	if options.Schedules == 0 {
--- a/coord/feed/buffer.go
+++ b/coord/feed/buffer.go
@@ -12,52 +12,55 @@
 
 const (
 	itemTreeDegree = 32
-	changeOverhead = 64 // bytes counted for a change beside its keys and values
-	itemOverhead   = 32 // bytes counted for an item or a deleted key beside its text
+	changeOverhead = 64 // bytes counted for a change besides its items
+	itemOverhead   = 32 // bytes counted for an item or a deleted key besides its key and value
 
-	// maxSharedSnapshotLag is how much of changes may follow a snapshot that is handed to a further reader.
+	// maxSharedSnapshotLag bounds the changes, in bytes, after a snapshot that is shared with another reader.
 	maxSharedSnapshotLag = 32 << 10
 )
 
-// Guard names one check of a buffer. Tests leave guards out to show that their absence is noticed. A running system
-// leaves out none.
+// Guard names one safety check of a buffer. Tests omit guards one by one to show that a violation is then
+// detected; a running system enforces all of them.
 type Guard string
 
-// The guards that can be left out.
+// The guards that tests can omit.
 const (
-	GuardBacklogFloor   Guard = "backlog-floor" // a reader that lags behind the backlog gets a snapshot
-	GuardIndexIncreases Guard = "index-rises"   // a change that is not above the last one is refused
+	// GuardBacklogFloor requires that a reader whose offset lies before the backlog gets a snapshot.
+	GuardBacklogFloor Guard = "backlog-floor"
+	// GuardIndexIncreases requires that a change whose index is not above the last one is rejected.
+	GuardIndexIncreases Guard = "index-rises"
 )
 
-// Buffer holds the items of one shard and the latest changes to them. Values that are handed in
-// and out are shared: nobody may write to them. It is not safe for concurrent use.
+// Buffer keeps the items of one shard and the latest changes to them. Values passed in and out are shared:
+// nobody may modify them. It is not safe for concurrent use.
 type Buffer struct {
 	index           uint64 // of the last change or of the snapshot
-	backlogFloor    uint64 // the changes above it are all in the backlog
+	backlogFloor    uint64 // all changes above it are in the backlog
 	items           *btree.BTreeG[Item]
 	backlog         []Change
 	backlogBytes    int
 	maxBacklogBytes int
-	disabledGuards  map[Guard]bool
-	sharedSnapshot  *Snapshot // handed out last by From; nil: none
+	omittedGuards   map[Guard]bool
+	sharedSnapshot  *Snapshot // the latest one that From returned; nil: none
 }
 
-// NewBuffer returns an empty buffer at index 0, which keeps at most maxBacklogBytes of changes. Tests alone leave
-// guards out.
+// NewBuffer returns an empty buffer at index 0, with a backlog of at most maxBacklogBytes. Only tests omit
+// guards.
 func NewBuffer(maxBacklogBytes int, omit ...Guard) *Buffer {
-	buffer := &Buffer{maxBacklogBytes: maxBacklogBytes, disabledGuards: make(map[Guard]bool, len(omit))}
+	buffer := &Buffer{maxBacklogBytes: maxBacklogBytes, omittedGuards: make(map[Guard]bool, len(omit))}
 	for _, guard := range omit {
-		buffer.disabledGuards[guard] = true
+		buffer.omittedGuards[guard] = true
 	}
 	buffer.items = newItemTree()
 	return buffer
 }
 
+// newItemTree returns an empty tree of items in the order of their keys.
 func newItemTree() *btree.BTreeG[Item] {
 	return btree.NewG(itemTreeDegree, func(left, right Item) bool { return left.Key < right.Key })
 }
 
-// Reset replaces all that is held by a snapshot. The backlog is empty afterwards.
+// Reset replaces the items by a snapshot. The backlog is empty afterwards.
 func (b *Buffer) Reset(snapshot Snapshot) {
 	b.index = snapshot.Index
 	b.backlogFloor = snapshot.Index
@@ -70,11 +73,11 @@
 	}
 }
 
-// Append takes a change whose index is above the last one; indices may be left out. A change
-// without items is kept as well: the offsets of readers follow the log. Within a change, deleted
-// keys go before those that are put.
+// Append applies a change, whose index must be above the last one: otherwise it returns
+// ErrIndexNotIncreasing and changes nothing. Indexes may be skipped. A change without items is appended as
+// well, so that the offsets of readers follow the log.
 func (b *Buffer) Append(change Change) error {
-	if change.Index <= b.index && !b.disabledGuards[GuardIndexIncreases] {
+	if change.Index <= b.index && !b.omittedGuards[GuardIndexIncreases] {
 		return ErrIndexNotIncreasing
 	}
 	for _, key := range change.Delete {
@@ -115,19 +118,20 @@
 	return total
 }
 
-// Since returns the changes above index in their order. It is false where some of them are no
-// longer held, so that the reader needs a snapshot. A reader that is ahead gets nothing.
+// Since returns the changes above index in order. It returns false if some of them are no longer in the
+// backlog: the reader needs a snapshot. A reader at or beyond the last change gets none.
 func (b *Buffer) Since(index uint64) (changes []Change, ok bool) {
-	if index < b.backlogFloor && !b.disabledGuards[GuardBacklogFloor] {
+	if index < b.backlogFloor && !b.omittedGuards[GuardBacklogFloor] {
 		return nil, false
 	}
 	first := sort.Search(len(b.backlog), func(i int) bool { return b.backlog[i].Index > index })
 	return append([]Change(nil), b.backlog[first:]...), true
 }
 
-// From returns what takes a reader on from index: the changes above it, or a snapshot and the changes above that. Both
-// are nil if there is nothing above index. A reader that has nothing gets a snapshot, since changes tell of items that
-// are gone. Readers that come one after the other get the same snapshot, so that it is made and encoded once.
+// From returns what brings a reader from index up to date: the changes above it, or a snapshot and the
+// changes above that. Both are nil if there is nothing above index. A reader at index 0 always gets a
+// snapshot, since changes may delete items that it never had. Consecutive readers get the same snapshot, so
+// that it is made and encoded once.
 func (b *Buffer) From(index uint64) (changes []Change, snapshot *Snapshot) {
 	if index >= b.index {
 		return nil, nil
@@ -147,6 +151,7 @@
 	return nil, b.sharedSnapshot
 }
 
+// totalChangeBytes returns the bytes that changes count in the backlog.
 func totalChangeBytes(changes []Change) int {
 	total := 0
 	for _, change := range changes {
--- a/coord/feed/buffer_test.go
+++ b/coord/feed/buffer_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if got := string(buffer.Snapshot().Items[0].Value); got != "1" {
-		t.Fatalf("a refused change was taken: %s", got)
+		t.Fatalf("a rejected change was applied: %s", got)
 	}
 }
 
@@ -69,7 +69,7 @@
 		mustAppend(t, buffer, put(index, "key", "0123456789"))
 	}
 	if _, ok := buffer.Since(0); ok {
-		t.Fatal("a reader at 0 was not told that changes are gone")
+		t.Fatal("a reader at 0 gets changes although some are dropped")
 	}
 	changes, ok := buffer.Since(95)
 	if !ok || len(changes) != 5 {
@@ -77,10 +77,10 @@
 	}
 	mustAppend(t, buffer, put(101, "large", string(make([]byte, 2000))))
 	if _, ok := buffer.Since(100); ok {
-		t.Fatal("a change above the bound is held")
+		t.Fatal("a change larger than the bound is in the backlog")
 	}
 	if changes, ok := buffer.Since(101); !ok || len(changes) != 0 {
-		t.Fatal("a current reader needs nothing")
+		t.Fatal("a reader at the last change needs changes")
 	}
 }
 
@@ -89,10 +89,10 @@
 	mustAppend(t, buffer, put(3, "a", "1"))
 	buffer.Reset(feed.Snapshot{Index: 8, Items: []feed.Item{{Key: "z"}, {Key: "b"}}})
 	if _, ok := buffer.Since(7); ok {
-		t.Fatal("changes before the snapshot are not held")
+		t.Fatal("changes before the snapshot are returned")
 	}
 	if _, ok := buffer.Since(8); !ok || buffer.Index() != 8 {
-		t.Fatal("a reader at the snapshot is current")
+		t.Fatal("a reader at the snapshot needs changes")
 	}
 	items := buffer.Snapshot().Items
 	if len(items) != 2 || items[0].Key != "b" || items[1].Key != "z" {
@@ -100,7 +100,7 @@
 	}
 }
 
-// randomChange turns a drawn number into a change.
+// randomChange turns a random number into a change.
 func randomChange(index uint64, number uint32) feed.Change {
 	change := feed.Change{Index: index}
 	key := fmt.Sprintf("key%d", number%randomKeys)
@@ -117,7 +117,7 @@
 	return change
 }
 
-// applyChange applies changes to items by the plainest means.
+// applyChange applies a change to a plain map.
 func applyChange(state map[string]string, change feed.Change) {
 	for _, key := range change.Delete {
 		delete(state, key)
@@ -135,7 +135,7 @@
 
 func TestBuffer_Since_fromAnyOffsetGivesSameState(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed))
-	properties.Property("a reader from any moment ends in the same state", prop.ForAll(
+	properties.Property("a reader from any offset ends in the same state", prop.ForAll(
 		func(numbers []uint32, backlog int) bool {
 			buffer := feed.NewBuffer(backlog)
 			expected := map[string]string{}
@@ -168,20 +168,20 @@
 	properties.TestingRun(t)
 }
 
-// applyFrom applies what From returned to what a reader holds.
-func applyFrom(held map[string]string, changes []feed.Change, snapshot *feed.Snapshot) {
+// applyFrom applies what Buffer.From returned to a reader's items.
+func applyFrom(items map[string]string, changes []feed.Change, snapshot *feed.Snapshot) {
 	if snapshot != nil {
-		clear(held)
+		clear(items)
 		for _, item := range snapshot.Items {
-			held[item.Key] = string(item.Value)
+			items[item.Key] = string(item.Value)
 		}
 	}
 	for _, change := range changes {
 		for _, key := range change.Delete {
-			delete(held, key)
+			delete(items, key)
 		}
 		for _, item := range change.Put {
-			held[item.Key] = string(item.Value)
+			items[item.Key] = string(item.Value)
 		}
 	}
 }
@@ -208,17 +208,17 @@
 	}
 	for position, index := range indexes {
 		changes, snapshot := buffer.From(index)
-		held := states[position]
-		applyFrom(held, changes, snapshot)
-		if want := itemsOf(buffer); !reflect.DeepEqual(held, want) {
-			t.Fatalf("a reader at %d has %v, not %v", index, held, want)
+		state := states[position]
+		applyFrom(state, changes, snapshot)
+		if want := itemsOf(buffer); !reflect.DeepEqual(state, want) {
+			t.Fatalf("a reader at %d has %v, not %v", index, state, want)
 		}
 		if snapshot != nil && len(changes) > 0 && changes[0].Index <= snapshot.Index {
 			t.Fatalf("a reader at %d gets change %d after a snapshot at %d", index, changes[0].Index, snapshot.Index)
 		}
 	}
 	if changes, snapshot := buffer.From(400); changes != nil || snapshot != nil {
-		t.Fatal("a reader that has all gets something")
+		t.Fatal("a reader at the last change gets something")
 	}
 }
 
@@ -239,6 +239,6 @@
 	}
 	buffer.Reset(feed.Snapshot{Index: 200, Items: []feed.Item{{Key: "a"}}})
 	if _, fourth := buffer.From(0); fourth == nil || fourth.Index != 200 {
-		t.Fatal("after a reset a reader gets what was before")
+		t.Fatal("after a reset a reader gets the old snapshot")
 	}
 }
--- a/coord/feed/guards_test.go
+++ b/coord/feed/guards_test.go
@@ -8,10 +8,10 @@
 	"ospreybend/coord/feed"
 )
 
-// lagLength is how many changes the sequences of the tests have.
+// lagLength is the number of changes in the tests' sequences.
 const lagLength = 5
 
-// lagBacklogs are bounds of the backlog: none, one or two changes, all.
+// lagBacklogs are bounds of the backlog: for no change, one or two changes, all.
 var lagBacklogs = []int{0, 120, 240, 2000}
 
 // lagChange is one of four changes of two keys.
@@ -28,8 +28,8 @@
 	return feed.Change{Index: index}
 }
 
-// checkAllSequences plays all sequences of changes, with readers that stopped after each of them and read on at the end, and
-// returns what differs first.
+// checkAllSequences plays all sequences of changes, with readers that stop after each change and resume at
+// the end. It returns the first difference.
 func checkAllSequences(omit ...feed.Guard) error {
 	sequences := 1
 	for range lagLength {
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// checkSequence plays one sequence, whose digits to the base of 4 are the kinds of its changes.
 func checkSequence(backlog, sequence int, omit ...feed.Guard) error {
 	buffer := feed.NewBuffer(backlog, omit...)
 	want := map[string]string{}
@@ -81,20 +82,22 @@
 	return nil
 }
 
-// TestBuffer_From_readerBehindBacklogHasNoGap shows that a reader that stopped at any index has the whole state afterwards and
-// never goes back, and that it would not without the snapshot for those behind the backlog.
+// TestBuffer_From_readerBehindBacklogHasNoGap shows that a reader that stopped at any index ends with the
+// complete state and never goes back, and that it would not without the snapshot for readers behind the
+// backlog.
 func TestBuffer_From_readerBehindBacklogHasNoGap(t *testing.T) {
 	if err := checkAllSequences(); err != nil {
 		t.Fatal(err)
 	}
 	without := checkAllSequences(feed.GuardBacklogFloor)
 	if without == nil {
-		t.Fatal("backlog-floor left out: not noticed")
+		t.Fatal("backlog-floor omitted: not detected")
 	}
 	t.Log(without)
 }
 
-// TestBuffer_Append_guardPreventsStaleChange shows the same for changes whose index does not rise.
+// TestBuffer_Append_guardPreventsStaleChange shows that a change whose index does not increase would
+// overwrite a newer one.
 func TestBuffer_Append_guardPreventsStaleChange(t *testing.T) {
 	harm := func(omit ...feed.Guard) bool {
 		buffer := feed.NewBuffer(largeBacklog, omit...)
--- a/coord/feed/types.go
+++ b/coord/feed/types.go
@@ -1,5 +1,10 @@
-// Package feed holds a shard's state as keyed items together with a bounded backlog of its
-// changes, so that a reader starts from a snapshot and goes on from an offset. It has no I/O.
+// Package feed keeps the state of one shard as keyed items, together with a bounded backlog of its latest
+// changes. A reader starts from a snapshot and continues from an offset, the index of the last change it
+// has.
+//
+// It has no I/O and no goroutine. The state machines of the control plane fill a Buffer from committed
+// entries; package feedtransport sends its snapshots and changes to agents and proxies, which apply them in
+// the same form.
 package feed
 
 // Item is one keyed record.
@@ -8,14 +13,14 @@
 	Value []byte
 }
 
-// Change is what one committed entry did to the items. All of it takes hold at one moment.
+// Change is what one committed entry did to the items. It takes effect as a whole.
 type Change struct {
-	Index  uint64 // of the entry in the shard's log: the offset
-	Put    []Item
-	Delete []string
+	Index  uint64   // the offset: the index of the entry in the shard's log
+	Put    []Item   // added or replaced, after Delete
+	Delete []string // keys
 }
 
-// Snapshot is the whole state at an offset.
+// Snapshot is the complete state at an offset.
 type Snapshot struct {
 	Index uint64
 	Items []Item
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -100,22 +100,23 @@
 	}
 	for _, bad := range [][]byte{nil, {1}, make([]byte, PacketBytes), make([]byte, PacketBytes+1)} {
 		if _, err := DecodePacket(bad); err == nil {
-			t.Errorf("%v was taken", bad)
+			t.Errorf("%v was decoded", bad)
 		}
 	}
 }
 
-// network carries packets between probers on a clock of its own; each packet takes latency.
+// network delivers packets between probers, on a simulated clock; each packet takes latency.
 type network struct {
 	now         time.Time
 	probers     map[netip.AddrPort]*Prober
 	down        map[netip.AddrPort]bool
 	partitioned map[[2]netip.AddrPort]bool
 	inFlight    []delayedPacket
-	findings    map[string][]Finding // by the node that found
+	findings    map[string][]Finding // by the node that reported them
 	sent        int
 }
 
+// delayedPacket is a packet that arrives at a time.
 type delayedPacket struct {
 	at       time.Time
 	from, to netip.AddrPort
@@ -157,7 +158,7 @@
 	for end := n.now.Add(span); n.now.Before(end); n.now = n.now.Add(step) {
 		n.deliver()
 		for from, prober := range n.probers {
-			if at, ok := prober.NextAt(); ok && !n.down[from] && !n.now.Before(at) {
+			if at, ok := prober.NextTick(); ok && !n.down[from] && !n.now.Before(at) {
 				n.apply(from, prober, prober.Tick(n.now))
 			}
 		}
@@ -167,19 +168,19 @@
 func (n *network) deliver() {
 	due := n.inFlight
 	n.inFlight = nil
-	for _, f := range due {
+	for _, packet := range due {
 		switch {
-		case n.now.Before(f.at):
-			n.inFlight = append(n.inFlight, f)
-		case n.down[f.to] || n.down[f.from] || n.partitioned[[2]netip.AddrPort{f.from, f.to}]:
+		case n.now.Before(packet.at):
+			n.inFlight = append(n.inFlight, packet)
+		case n.down[packet.to] || n.down[packet.from] || n.partitioned[[2]netip.AddrPort{packet.from, packet.to}]:
 		default:
-			n.apply(f.to, n.probers[f.to], n.probers[f.to].Receive(n.now, f.from, f.packet))
+			n.apply(packet.to, n.probers[packet.to], n.probers[packet.to].Receive(n.now, packet.from, packet.packet))
 		}
 	}
 }
 
 func (n *network) apply(from netip.AddrPort, prober *Prober, actions Actions) {
-	for _, out := range actions.Send {
+	for _, out := range actions.Packets {
 		n.sent++
 		n.inFlight = append(n.inFlight, delayedPacket{at: n.now.Add(latency), from: from, to: out.To, packet: out.Packet})
 	}
@@ -203,7 +204,7 @@
 	n.run(20 * time.Second)
 	for name, findings := range n.findings {
 		if len(findings) > 0 {
-			t.Errorf("%s found %v", name, findings)
+			t.Errorf("%s reports %v", name, findings)
 		}
 	}
 	if perSecond := float64(n.sent) / 10 / 20; perSecond > 2.2 {
@@ -258,7 +259,7 @@
 	}
 	n.run(20 * time.Second)
 	if len(n.findings["edge-000"]) > 0 {
-		t.Errorf("it found %v", n.findings["edge-000"])
+		t.Errorf("it reports %v", n.findings["edge-000"])
 	}
 	if n.suspicions("edge-000") == 0 {
 		t.Error("the others do not suspect it")
@@ -269,11 +270,11 @@
 	n := newNetwork(3)
 	prober := n.probers[address(0)]
 	actions := prober.Tick(n.now)
-	if len(actions.Send) != 1 || actions.Send[0].Packet.Kind != Ping {
+	if len(actions.Packets) != 1 || actions.Packets[0].Packet.Kind != Ping {
 		t.Fatalf("first tick: %+v", actions)
 	}
 	actions = prober.Tick(n.now.Add(10 * time.Second))
-	if len(actions.Send) != 1 || actions.Send[0].Packet.Kind != Ping {
+	if len(actions.Packets) != 1 || actions.Packets[0].Packet.Kind != Ping {
 		t.Errorf("after the stall: %+v", actions)
 	}
 }
@@ -283,7 +284,7 @@
 	prober := n.probers[address(0)]
 	prober.Tick(n.now)
 	prober.SetNodes(nil)
-	if at, ok := prober.NextAt(); ok {
-		t.Errorf("it waits until %v", at)
+	if at, ok := prober.NextTick(); ok {
+		t.Errorf("the next tick is at %v", at)
 	}
 }
--- a/coord/membership/packet.go
+++ b/coord/membership/packet.go
@@ -6,31 +6,31 @@
 	"net/netip"
 )
 
-// PacketKind tells what a packet asks or answers.
+// PacketKind is the kind of a packet. Its numbers are sent.
 type PacketKind uint8
 
-// Kinds of packets.
+// The kinds of packets.
 const (
 	Ping        PacketKind = 1 // asks for an Ack
-	Ack         PacketKind = 2 // the node asked about answers, by itself or through a peer
+	Ack         PacketKind = 2 // the pinged node answers, by itself or through a peer
 	PingRequest PacketKind = 3 // asks a peer to ping Target
-	NoAck       PacketKind = 4 // the answer of that peer where Target did not answer it
+	NoAck       PacketKind = 4 // that peer got no Ack from Target in time
 )
 
 // Packet is one datagram between two nodes.
 type Packet struct {
 	Kind     PacketKind
-	Sequence uint64         // an answer repeats that of its question
+	Sequence uint64         // an answer repeats that of its request
 	Target   netip.AddrPort // of PingRequest, IPv4
 }
 
 // PacketBytes is the length of an encoded packet.
 const PacketBytes = 15
 
-// ErrBadPacket is returned for bytes that are no packet.
+// ErrBadPacket is returned for bytes that are not a packet.
 var ErrBadPacket = errors.New("membership: not a packet")
 
-// Encode appends the packet's bytes to buffer.
+// Encode appends the encoded packet to buffer: kind, sequence, IPv4 address and port, big endian.
 func (p Packet) Encode(buffer []byte) []byte {
 	buffer = append(buffer, byte(p.Kind))
 	buffer = binary.BigEndian.AppendUint64(buffer, p.Sequence)
@@ -42,7 +42,7 @@
 	return binary.BigEndian.AppendUint16(buffer, p.Target.Port())
 }
 
-// DecodePacket reads a packet.
+// DecodePacket decodes a packet. It returns ErrBadPacket for another length or an unknown kind.
 func DecodePacket(data []byte) (Packet, error) {
 	if len(data) != PacketBytes {
 		return Packet{}, ErrBadPacket
--- a/coord/membership/probe.go
+++ b/coord/membership/probe.go
@@ -7,14 +7,14 @@
 
 // startProbe pings the next target.
 func (p *Prober) startProbe(now time.Time, actions *Actions) {
-	p.turn++
-	target := p.targets[p.turn%len(p.targets)]
+	p.probeCount++
+	target := p.targets[p.probeCount%len(p.targets)]
 	p.probe = &probe{target: target, sequence: p.nextSequence(), deadline: now.Add(p.options.AckTimeout)}
-	actions.send(target.Address, Packet{Kind: Ping, Sequence: p.probe.sequence})
+	actions.sendPacket(target.Address, Packet{Kind: Ping, Sequence: p.probe.sequence})
 }
 
-// handleProbeTimeout asks peers about a target that did not answer, and gives up where they did not
-// all confirm it in time.
+// handleProbeTimeout asks peers to ping a target that did not answer, and drops a probe whose peers did not
+// all answer in time.
 func (p *Prober) handleProbeTimeout(now time.Time, actions *Actions) {
 	if p.probe.indirectRequested > 0 {
 		p.probe = nil
@@ -28,13 +28,13 @@
 	p.probe.indirectRequested = len(peers)
 	p.probe.deadline = now.Add(p.options.IndirectTimeout)
 	for _, peer := range peers {
-		actions.send(peer.Address, Packet{
+		actions.sendPacket(peer.Address, Packet{
 			Kind: PingRequest, Sequence: p.probe.sequence, Target: p.probe.target.Address,
 		})
 	}
 }
 
-// randomPeers draws the nodes that are asked about a target.
+// randomPeers draws the nodes that are asked to ping a target: neither this node nor suspected ones.
 func (p *Prober) randomPeers(target Node) []Node {
 	others := make([]Node, 0, len(p.nodes))
 	for _, node := range p.nodes {
@@ -43,18 +43,18 @@
 		}
 	}
 	count := min(indirectProbes, len(others))
-	for i := range count {
+	for i := range count { // the first steps of a Fisher-Yates shuffle
 		other := i + int(p.random()%uint64(len(others)-i))
 		others[i], others[other] = others[other], others[i]
 	}
 	return others[:count]
 }
 
-// handleAck ends the probe or the relay that the sequence belongs to.
+// handleAck ends the probe or relay that the sequence belongs to.
 func (p *Prober) handleAck(sequence uint64, actions *Actions) {
 	if relay, ok := p.relays[sequence]; ok {
 		delete(p.relays, sequence)
-		actions.send(relay.requester, Packet{Kind: Ack, Sequence: relay.sequence})
+		actions.sendPacket(relay.requester, Packet{Kind: Ack, Sequence: relay.sequence})
 		return
 	}
 	if p.probe == nil || p.probe.sequence != sequence {
@@ -68,7 +68,7 @@
 	}
 }
 
-// handleNoAck counts a peer that had no answer either.
+// handleNoAck counts a peer that got no Ack, and suspects the target after the last of them.
 func (p *Prober) handleNoAck(sequence uint64, actions *Actions) {
 	if p.probe == nil || p.probe.sequence != sequence || p.probe.indirectRequested == 0 {
 		return
@@ -83,7 +83,7 @@
 	actions.Findings = append(actions.Findings, Finding{Node: target, Suspected: true})
 }
 
-// startRelay pings a node for another one.
+// startRelay pings a node on behalf of another.
 func (p *Prober) startRelay(now time.Time, from netip.AddrPort, request Packet, actions *Actions) {
 	if len(p.relays) >= maxRelays {
 		return
@@ -92,16 +92,16 @@
 	p.relays[sequence] = relay{
 		requester: from, sequence: request.Sequence, deadline: now.Add(p.options.AckTimeout),
 	}
-	actions.send(request.Target, Packet{Kind: Ping, Sequence: sequence})
+	actions.sendPacket(request.Target, Packet{Kind: Ping, Sequence: sequence})
 }
 
-// expireRelays tells those that asked that there was no answer.
+// expireRelays answers NoAck for the relayed pings that timed out.
 func (p *Prober) expireRelays(now time.Time, actions *Actions) {
 	for sequence, relay := range p.relays {
 		if now.Before(relay.deadline) {
 			continue
 		}
 		delete(p.relays, sequence)
-		actions.send(relay.requester, Packet{Kind: NoAck, Sequence: relay.sequence})
+		actions.sendPacket(relay.requester, Packet{Kind: NoAck, Sequence: relay.sequence})
 	}
 }
--- a/coord/membership/prober.go
+++ b/coord/membership/prober.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Options are a prober's intervals; zero values stand for the defaults.
+// Options are a prober's intervals. Zero values stand for the defaults.
 type Options struct {
-	ProbeInterval   time.Duration // between two pings; each goes to the next target
-	AckTimeout      time.Duration // for the answer to a ping
-	IndirectTimeout time.Duration // for the answers of the peers that are asked then
-	Rings           int
+	ProbeInterval   time.Duration // between two probes; each goes to the next target
+	AckTimeout      time.Duration // for the Ack of a ping
+	IndirectTimeout time.Duration // for the answers of the peers that are asked to ping the target
+	Rings           int           // targets of each node
 }
 
 const (
@@ -18,11 +18,12 @@
 	defaultAckTimeout      = 400 * time.Millisecond
 	defaultIndirectTimeout = 900 * time.Millisecond
 
-	// indirectProbes is how many peers must have had no answer either before a node is suspected.
+	// indirectProbes is the number of peers that are asked, all of which must get no Ack before a node is suspected.
 	indirectProbes = 2
-	// maxRelays bounds the pings that are out for others.
+	// maxRelays bounds the outstanding pings on behalf of other nodes.
 	maxRelays = 64
-	// maxTickDelay is how late a call may come before the process counts as having stood still.
+	// maxTickDelay is how late Tick may be called before the process counts as stalled: what it has missed then says
+	// nothing about other nodes.
 	maxTickDelay = 250 * time.Millisecond
 )
 
@@ -38,53 +39,53 @@
 	Packet Packet
 }
 
-// Finding is what a round of probing found out about a node.
+// Finding is what a probe found out about a node.
 type Finding struct {
 	Node      Node
-	Suspected bool // false: a node that was suspected answers again
+	Suspected bool // false: a suspected node answers again
 }
 
-// Actions are what the caller has to carry out.
+// Actions are what the caller has to do: send packets and report findings.
 type Actions struct {
-	Send     []Outgoing
+	Packets  []Outgoing
 	Findings []Finding
 }
 
-// probe is the question that is out to a target.
+// probe is the outstanding probe of a target.
 type probe struct {
 	target            Node
 	sequence          uint64
 	deadline          time.Time
-	indirectRequested int // 0: the target itself was asked
-	noAcks            int
+	indirectRequested int // peers asked to ping the target; 0: the target itself was pinged
+	noAcks            int // of them
 }
 
-// relay is a ping that is out for another node.
+// relay is an outstanding ping on behalf of another node.
 type relay struct {
 	requester netip.AddrPort
-	sequence  uint64 // of the requester
+	sequence  uint64 // of the requester's packet
 	deadline  time.Time
 }
 
-// Prober pings this node's targets one after the other, and asks peers about one that does not
-// answer. A node is suspected once peers have confirmed that it does not answer them either; a
-// node that is cut off itself suspects nobody. It is used by one goroutine.
+// Prober pings this node's targets in turn, and asks peers to ping one that does not answer. A node is
+// suspected once all peers that were asked report that it does not answer them either; a node that is
+// itself cut off gets no such reports, and so suspects nobody. A Prober is used by one goroutine.
 type Prober struct {
 	self    string
 	options Options
 	random  func() uint64
 
-	nodes     []Node
-	targets   []Node
-	turn      int
-	sequence  uint64
-	nextPing  time.Time
-	probe     *probe
-	relays    map[uint64]relay
-	suspected map[string]bool
+	nodes      []Node
+	targets    []Node
+	probeCount int // probes started; selects the next target
+	sequence   uint64
+	nextPing   time.Time
+	probe      *probe
+	relays     map[uint64]relay
+	suspected  map[string]bool
 }
 
-// NewProber prepares the prober of the node named self. Random returns uniform numbers.
+// NewProber returns a prober of the node named self. Random returns uniform numbers.
 func NewProber(self string, options Options, random func() uint64) *Prober {
 	return &Prober{
 		self:      self,
@@ -96,6 +97,7 @@
 	}
 }
 
+// withDefaults returns the options with defaults for zero values.
 func (o Options) withDefaults() Options {
 	if o.ProbeInterval == 0 {
 		o.ProbeInterval = defaultProbeInterval
@@ -112,7 +114,8 @@
 	return o
 }
 
-// SetNodes replaces the fleet's nodes. A probe of a node that is gone is given up.
+// SetNodes replaces the list of nodes. A probe of a node that is no longer in it, or has another address,
+// is dropped.
 func (p *Prober) SetNodes(nodes []Node) {
 	byName := make(map[string]Node, len(nodes))
 	names := make([]string, 0, len(nodes))
@@ -135,8 +138,8 @@
 	}
 }
 
-// NextAt says when Tick has to be called. It is false if nothing is to be waited for.
-func (p *Prober) NextAt() (at time.Time, ok bool) {
+// NextTick returns when Tick has to be called. It returns false if nothing is outstanding.
+func (p *Prober) NextTick() (at time.Time, ok bool) {
 	if len(p.targets) > 0 {
 		at, ok = p.nextPing, true
 	}
@@ -151,10 +154,10 @@
 	return at, ok
 }
 
-// Tick does what is due at a time.
+// Tick acts on the time-outs that have passed and starts the next probe.
 func (p *Prober) Tick(now time.Time) Actions {
 	var actions Actions
-	if at, ok := p.NextAt(); ok && !at.IsZero() && now.Sub(at) > maxTickDelay {
+	if at, ok := p.NextTick(); ok && !at.IsZero() && now.Sub(at) > maxTickDelay {
 		p.probe = nil
 		clear(p.relays)
 	}
@@ -171,12 +174,12 @@
 	return actions
 }
 
-// Receive takes a packet.
+// Receive handles a packet.
 func (p *Prober) Receive(now time.Time, from netip.AddrPort, packet Packet) Actions {
 	var actions Actions
 	switch packet.Kind {
 	case Ping:
-		actions.send(from, Packet{Kind: Ack, Sequence: packet.Sequence})
+		actions.sendPacket(from, Packet{Kind: Ack, Sequence: packet.Sequence})
 	case Ack:
 		p.handleAck(packet.Sequence, &actions)
 	case NoAck:
@@ -187,10 +190,12 @@
 	return actions
 }
 
-func (a *Actions) send(to netip.AddrPort, packet Packet) {
-	a.Send = append(a.Send, Outgoing{To: to, Packet: packet})
+// sendPacket adds a packet to be sent.
+func (a *Actions) sendPacket(to netip.AddrPort, packet Packet) {
+	a.Packets = append(a.Packets, Outgoing{To: to, Packet: packet})
 }
 
+// nextSequence returns a sequence that no outstanding ping has.
 func (p *Prober) nextSequence() uint64 {
 	p.sequence++
 	return p.sequence
--- a/coord/membership/targets.go
+++ b/coord/membership/targets.go
@@ -1,26 +1,29 @@
 package membership
 
-import "hash/fnv"
+import (
+	"hash/fnv"
+	"slices"
+)
 
-// Rings is how many peers each node probes, and by how many each is probed.
+// Rings is the default number of nodes that each node probes, and of those that probe it.
 const Rings = 3
 
-// Targets returns which of the nodes named self probes. For each ring all nodes are ordered by a hash
-// of the ring's number with their name, and each probes the one after it. So every node is
-// probed by one other per ring (rarely twice by the same), and a node that comes or goes changes
-// one target per ring. The order of names does not matter; self need not be among them.
+// Targets returns the nodes that the node named self probes. For each ring, all nodes are ordered by a hash
+// of the ring's number and their name, and each probes its successor. So each node is probed by one other
+// per ring (rarely by the same in two), and a node that joins or leaves changes one target per ring. The
+// order of names does not matter; self need not be among them.
 func Targets(self string, names []string, rings int) []string {
 	var targets []string
 	for ring := range rings {
 		next, ok := successor(ring, self, names)
-		if ok && !contains(targets, next) {
+		if ok && !slices.Contains(targets, next) {
 			targets = append(targets, next)
 		}
 	}
 	return targets
 }
 
-// successor returns the name after self on a ring. It is false if there is no other name.
+// successor returns the name after self on a ring. It returns false if there is no other name.
 func successor(ring int, self string, names []string) (next string, ok bool) {
 	origin := ringPosition(ring, self)
 	var nearest uint64
@@ -36,7 +39,7 @@
 	return next, ok
 }
 
-// ringPosition hashes a name to its place on a ring.
+// ringPosition hashes a name to its position on a ring.
 func ringPosition(ring int, name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte{byte(ring)})
@@ -52,12 +55,3 @@
 	value *= 0xc4ceb9fe1a85ec53
 	return value ^ value>>33
 }
-
-func contains(names []string, wanted string) bool {
-	for _, name := range names {
-		if name == wanted {
-			return true
-		}
-	}
-	return false
-}
--- a/coord/replica/consensus_node.go
+++ b/coord/replica/consensus_node.go
@@ -49,7 +49,7 @@
 		MaxAppendBytes:    maxAppendBytes,
 		MaxInflight:       maxInflightMessages,
 		Seed:              uint64(options.Self.ID) + uint64(options.Shard),
-		DisabledRules:     options.OmitRules,
+		OmitRules:         options.OmitRules,
 	}
 	return consensus.New(config, stored, now)
 }
--- a/coord/shards/shards.go
+++ b/coord/shards/shards.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ForService returns the shard that holds the instances of a service, one of 1 to ServiceShards.
+// ForService returns the shard that owns the instances of a service, one of 1 to ServiceShardCount. Stored
+// data depends on the hash.
 func ForService(serviceName string) ID {
 	return ID(1 + xxhash.Sum64String(serviceName)%ServiceShardCount)
 }
@@ -18,9 +19,10 @@
 	weight  uint64
 }
 
-// ReplicaGroup returns the addresses of the members that hold the shard, the heaviest first: the size ones
-// with the greatest rendezvous weights, or all if there are no more. The order of members and
-// repeats in it change nothing, and one member more or less moves only the places that it takes or leaves.
+// ReplicaGroup returns the addresses of the members that replicate a shard, in order of preference: the
+// size ones with the highest weights by rendezvous hashing (Thaler and Ravishankar, 1998), or all if there
+// are fewer. The order of members and duplicates do not matter. One member more or less changes at most one
+// place in each group.
 func ReplicaGroup(shard ID, members []string, size int) []string {
 	candidates := withWeights(shard, members)
 	slices.SortFunc(candidates, heavierFirst)
@@ -33,6 +35,7 @@
 	return chosen
 }
 
+// withWeights returns the members with their weights for a shard.
 func withWeights(shard ID, members []string) []weightedMember {
 	candidates := make([]weightedMember, len(members))
 	for i, address := range members {
@@ -41,7 +44,8 @@
 	return candidates
 }
 
-// rendezvousWeight hashes the shard's number, four bytes with the least first, followed by the address.
+// rendezvousWeight hashes the shard's number, as four bytes in little-endian order, followed by the
+// address.
 func rendezvousWeight(shard ID, address string) uint64 {
 	key := make([]byte, 0, 4+len(address))
 	key = append(key, byte(shard), byte(shard>>8), byte(shard>>16), byte(shard>>24))
@@ -49,10 +53,11 @@
 	return xxhash.Sum64(key)
 }
 
-// heavierFirst orders by weight, then by address so that equal weights give one order everywhere.
-func heavierFirst(a, b weightedMember) int {
-	if order := cmp.Compare(b.weight, a.weight); order != 0 {
+// heavierFirst orders by weight, and by address for equal weights, so that the order is the same
+// everywhere.
+func heavierFirst(left, right weightedMember) int {
+	if order := cmp.Compare(right.weight, left.weight); order != 0 {
 		return order
 	}
-	return cmp.Compare(a.address, b.address)
+	return cmp.Compare(left.address, right.address)
 }
--- a/coord/shards/shards_test.go
+++ b/coord/shards/shards_test.go
@@ -14,7 +14,7 @@
 	return all
 }
 
-// TestForService_spreadsEvenly expects each shard to get its part of many names, within a tenth.
+// TestForService_spreadsEvenly expects each shard to get its share of many names, within a tenth.
 func TestForService_spreadsEvenly(t *testing.T) {
 	const names = 40000
 	counts := map[ID]int{}
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestForService_isStable holds values that stored data rests on.
+// TestForService_isStable checks values that stored data depends on.
 func TestForService_isStable(t *testing.T) {
 	for name, want := range map[string]ID{"@nodes": 1, "chat": 1, "": 2} {
 		if got := ForService(name); got != want {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestReplicaGroup_spreadsEvenly expects each member to be in its part of many groups, within a fifth.
+// TestReplicaGroup_spreadsEvenly expects each member to be in its share of many groups, within a fifth.
 func TestReplicaGroup_spreadsEvenly(t *testing.T) {
 	const groups, size, count = 6000, 3, 9
 	counts := map[string]int{}
@@ -76,12 +76,12 @@
 	}
 	for _, address := range addresses(count) {
 		if share := groups * size / count; counts[address] < share*4/5 || counts[address] > share*6/5 {
-			t.Errorf("%s is in %d groups, its part is %d", address, counts[address], share)
+			t.Errorf("%s is in %d groups, its share is %d", address, counts[address], share)
 		}
 	}
 }
 
-// TestReplicaGroup_changesFewMembers adds and removes each member: only its own places change.
+// TestReplicaGroup_changesFewMembers removes each member in turn: no other member's place changes.
 func TestReplicaGroup_changesFewMembers(t *testing.T) {
 	members := addresses(8)
 	for shard := range ID(200) {
@@ -93,11 +93,11 @@
 	}
 }
 
-// requireSameOrder expects after to have all of before but the removed one, in the same order.
+// requireSameOrder fails the test unless after starts with before without the removed member.
 func requireSameOrder(t *testing.T, before, after []string, removed string) {
 	t.Helper()
-	kept := slices.DeleteFunc(slices.Clone(before), func(address string) bool { return address == removed })
-	if !slices.Equal(after[:len(kept)], kept) {
+	remaining := slices.DeleteFunc(slices.Clone(before), func(address string) bool { return address == removed })
+	if !slices.Equal(after[:len(remaining)], remaining) {
 		t.Fatalf("without %s: %v became %v", removed, before, after)
 	}
 }
--- a/coord/shards/types.go
+++ b/coord/shards/types.go
@@ -1,12 +1,14 @@
-// Package shards maps keys to shards and shards to replica groups. All of it is a pure function of
-// the key and of the list of machines, so that every process agrees without a word.
+// Package shards maps services to shards, and shards to the replica groups that own them. Every function is
+// a pure function of its arguments, so that all processes with the same list of servers agree without a
+// message. The control plane's servers, agents and proxies use it.
 package shards
 
-// ID numbers a shard.
+// ID is the number of a shard. It is stored and sent.
 type ID uint32
 
+// The shards of a fleet.
 const (
-	ConfigurationShard ID = 0 // the shard of the operator's configuration
-	ServiceShardCount     = 4 // shards 1 to ServiceShards hold the instances of services
-	ShardCount            = ServiceShardCount + 1
+	ConfigurationShard ID = 0                     // owns the operator's configuration
+	ServiceShardCount     = 4                     // shards 1 to ServiceShardCount own the instances of services
+	ShardCount            = ServiceShardCount + 1 // all shards
 )
--- a/internal/controlplane/agent/probing.go
+++ b/internal/controlplane/agent/probing.go
@@ -88,7 +88,7 @@
 			time.Sleep(readRetryAfter)
 		}
 		p.refreshNodes(now)
-		if at, ok := p.prober.NextAt(); ok && !now.Before(at) {
+		if at, ok := p.prober.NextTick(); ok && !now.Before(at) {
 			p.execute(p.prober.Tick(now))
 		}
 	}
@@ -97,7 +97,7 @@
 // nextAt returns when something is due next.
 func (p *probing) nextAt() time.Time {
 	refreshAt := time.Now().Add(nodesInterval)
-	if at, ok := p.prober.NextAt(); ok && at.Before(refreshAt) {
+	if at, ok := p.prober.NextTick(); ok && at.Before(refreshAt) {
 		return at
 	}
 	return refreshAt
@@ -115,7 +115,7 @@
 
 // execute sends the prober's packets and reports its findings.
 func (p *probing) execute(actions membership.Actions) {
-	for _, out := range actions.Send {
+	for _, out := range actions.Packets {
 		p.sendBuffer = out.Packet.Encode(p.sendBuffer[:0])
 		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // the prober handles lost packets
 	}
--- a/internal/testkit/scalerun/monitor.go
+++ b/internal/testkit/scalerun/monitor.go
@@ -48,7 +48,7 @@
 func (m *monitor) run() {
 	var buffer [packetBuffer]byte
 	for {
-		at, ok := m.prober.NextAt()
+		at, ok := m.prober.NextTick()
 		if !ok {
 			at = time.Now().Add(idleWait)
 		}
@@ -78,7 +78,7 @@
 }
 
 func (m *monitor) send(actions membership.Actions) {
-	for _, out := range actions.Send {
+	for _, out := range actions.Packets {
 		m.buffer = out.Packet.Encode(m.buffer[:0])
 		m.counts.datagrams.Add(1)
 		m.counts.bytes.Add(int64(len(m.buffer)))
