--- a/internal/controlplane/agent/proxy_server.go
+++ b/internal/controlplane/agent/proxy_server.go
@@ -114,6 +114,7 @@
 	return true
 }
 
+// remove drops a session that has ended.
 func (s *proxyServer) remove(session *feedtransport.Session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,6 +124,7 @@
 	}
 }
 
+// isClosed reports whether close was called.
 func (s *proxyServer) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +176,6 @@
 func (s proxySource) Shards() []shards.ID { return s.store.Shards() }
 
 // Since implements feedtransport.Source.
-
 func (s proxySource) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	return s.store.Since(shard, index)
 }
@@ -183,7 +184,6 @@
 func (s proxySource) Status() feedtransport.Status { return s.store.Status() }
 
 // Subscribe implements feedtransport.Source.
-
 func (s proxySource) Subscribe(wake chan<- struct{}) func() { return s.store.Subscribe(wake) }
 
 // OnReport implements feedtransport.Source.
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -32,6 +32,7 @@
 	readyOnce sync.Once
 }
 
+// newStore returns a store without items, which is not ready.
 func newStore() *store {
 	return &store{
 		buffers: make(map[shards.ID]*feed.Buffer),
@@ -48,7 +49,6 @@
 func (s *store) setReportHandler(handle func(report feedtransport.Report)) { s.reportHandler = handle }
 
 // reset replaces all items of a shard.
-
 func (s *store) reset(shard shards.ID, snapshot feed.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/feedtransport/candidates.go
+++ b/internal/controlplane/feedtransport/candidates.go
@@ -28,6 +28,7 @@
 	attemptedAt time.Time
 }
 
+// avoided reports whether the server failed lately.
 func (c *candidate) avoided(now time.Time) bool { return now.Before(c.avoidUntil) }
 
 // candidateList holds the seeds and the servers that a status has listed.
@@ -36,6 +37,7 @@
 	candidates []*candidate
 }
 
+// newCandidateList returns the list of the seeds, or of the fixed server alone.
 func newCandidateList(options SelectorOptions) candidateList {
 	list := candidateList{options: options}
 	if options.FixedServer != "" {
@@ -82,6 +84,7 @@
 	return append(list, &candidate{address: feedAddress, distance: proximity, rank: rank})
 }
 
+// distanceTo returns the distance of a listed server from the client.
 func (l *candidateList) distanceTo(server ServerEndpoint) distance {
 	switch {
 	case server.Zone != "" && server.Zone == l.options.Zone:
--- a/internal/controlplane/feedtransport/client.go
+++ b/internal/controlplane/feedtransport/client.go
@@ -181,6 +181,7 @@
 	}
 }
 
+// appendReports appends reports as frames.
 func appendReports(frames []byte, reports []Report) ([]byte, error) {
 	for _, report := range reports {
 		var err error
--- a/internal/controlplane/feedtransport/client_receive.go
+++ b/internal/controlplane/feedtransport/client_receive.go
@@ -96,6 +96,7 @@
 	return nil
 }
 
+// handleSnapshotPart adds a part, and passes the snapshot to the handler once it is complete.
 func (c *Client) handleSnapshotPart(body []byte) error {
 	part, err := DecodeSnapshotPart(body)
 	if err != nil {
@@ -110,6 +111,7 @@
 	return nil
 }
 
+// handleChanges passes the changes that are above the offset to the handler.
 func (c *Client) handleChanges(body []byte) error {
 	changes, err := DecodeChanges(body)
 	if err != nil {
@@ -128,6 +130,7 @@
 	return nil
 }
 
+// handleStatus passes a status, completed by the servers of an earlier one, to the selector and the handler.
 func (c *Client) handleStatus(body []byte) error {
 	status, err := DecodeStatus(body)
 	if err != nil {
@@ -143,6 +146,7 @@
 	return c.selector.Check(now)
 }
 
+// handleReport passes a report to the handler if it takes any.
 func (c *Client) handleReport(body []byte) error {
 	report, err := DecodeReport(body)
 	if err != nil {
@@ -154,6 +158,7 @@
 	return nil
 }
 
+// batchDone notifies a BatchHandler.
 func (c *Client) batchDone() {
 	if handler, ok := c.handler.(BatchHandler); ok {
 		handler.BatchDone()
--- a/internal/controlplane/feedtransport/codec.go
+++ b/internal/controlplane/feedtransport/codec.go
@@ -90,6 +90,7 @@
 
 var errInvalidLength = errors.New("feedtransport: invalid length")
 
+// appendMessage encodes a message and appends it to buffer as a frame.
 func appendMessage(buffer []byte, kind Kind, schema avro.Schema, message any) ([]byte, error) {
 	body, err := codec.Marshal(schema, message)
 	if err != nil {
--- a/internal/controlplane/feedtransport/feed_writer.go
+++ b/internal/controlplane/feedtransport/feed_writer.go
@@ -32,6 +32,7 @@
 	statusAt   time.Time // zero: none yet
 }
 
+// newFeedWriter returns a writer for a reader with these offsets.
 func newFeedWriter(connection net.Conn, offsets []Offset, writeTimeout time.Duration) *feedWriter {
 	writer := &feedWriter{connection: connection, writeTimeout: writeTimeout, sent: make(map[shards.ID]uint64)}
 	for _, offset := range offsets {
@@ -61,6 +62,7 @@
 	return nil
 }
 
+// writeSnapshot appends the frames of a snapshot, compressed if there is an encoder.
 func (w *feedWriter) writeSnapshot(shard shards.ID, snapshot feed.Snapshot) error {
 	if w.encoder != nil {
 		return w.appendFrames(w.encoder.snapshot(shard, snapshot))
@@ -73,6 +75,7 @@
 	return nil
 }
 
+// writeChanges appends the frames of changes, compressed if there is an encoder.
 func (w *feedWriter) writeChanges(shard shards.ID, changes []feed.Change) error {
 	if w.encoder != nil {
 		return w.appendFrames(w.encoder.changes(shard, w.sent[shard], changes))
@@ -136,6 +139,7 @@
 	return w.appendFrame(AppendStatus(w.buffer, status))
 }
 
+// writeReport appends a report.
 func (w *feedWriter) writeReport(report Report) error {
 	return w.appendFrame(AppendReport(w.buffer, report))
 }
@@ -187,8 +191,10 @@
 	return len(elements)
 }
 
+// itemBytes returns the size of an item.
 func itemBytes(item feed.Item) int { return len(item.Key) + len(item.Value) }
 
+// changeBytes returns the size of a change.
 func changeBytes(change feed.Change) int {
 	total := 0
 	for _, item := range change.Put {
--- a/internal/controlplane/feedtransport/receiver.go
+++ b/internal/controlplane/feedtransport/receiver.go
@@ -32,6 +32,7 @@
 	omitted map[Guard]bool
 }
 
+// newReceiver returns a receiver that has these offsets already.
 func newReceiver(offsets []Offset, omit ...Guard) *receiver {
 	known := make(map[shards.ID]uint64)
 	for _, offset := range offsets {
--- a/internal/controlplane/feedtransport/server_selector.go
+++ b/internal/controlplane/feedtransport/server_selector.go
@@ -211,10 +211,12 @@
 	return min(wait, maxAvoidance)
 }
 
+// receiveDeadline returns when the server is left unless it sends something.
 func (s *ServerSelector) receiveDeadline() time.Time {
 	return s.receivedAt.Add(s.options.ReceiveTimeout)
 }
 
+// staleDeadline returns when the server is left unless it becomes current.
 func (s *ServerSelector) staleDeadline() time.Time { return s.staleSince.Add(s.staleTimeout()) }
 
 // staleTimeout returns how long the present server may not be current; see StaleTimeout.
--- a/internal/controlplane/peertransport/codec.go
+++ b/internal/controlplane/peertransport/codec.go
@@ -60,6 +60,7 @@
 	body []byte
 }
 
+// encode encodes a message as a frame.
 func encode(kind feedtransport.Kind, schema avro.Schema, message any) (frame, error) {
 	body, err := codec.Marshal(schema, message)
 	if err != nil {
@@ -71,6 +72,7 @@
 	return frame{kind: kind, body: body}, nil
 }
 
+// decode decodes the body of a frame, which must fit its schema exactly.
 func decode(kind feedtransport.Kind, schema avro.Schema, body []byte, into any) error {
 	if err := strictavro.Unmarshal(codec, schema, body, into); err != nil {
 		return fmt.Errorf("peertransport: decode a frame of kind %d: %w", kind, err)
@@ -112,12 +114,14 @@
 	return messages, nil
 }
 
+// encodeCall encodes a call. timeout is the time that the caller waits for the reply.
 func encodeCall(id uint64, kind CallKind, timeout time.Duration, body []byte) (frame, error) {
 	return encode(kindCall, callSchema, wireCall{
 		ID: int64(id), Kind: int(kind), BudgetMs: int(timeout / time.Millisecond), Body: body,
 	})
 }
 
+// encodeReply encodes the reply to a call: its body, or why it failed.
 func encodeReply(id int64, body []byte, failure error) (frame, error) {
 	reply := wireReply{ID: id, Body: body}
 	if failure != nil {
--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -121,6 +121,7 @@
 	t.lastReceived[in.peer.Address] = now
 }
 
+// unregister removes a connection that has ended.
 func (t *Transport) unregister(in *inbound) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/controlplane/peertransport/messages.go
+++ b/internal/controlplane/peertransport/messages.go
@@ -67,6 +67,7 @@
 	return size
 }
 
+// toWire converts a message to its wire form.
 func toWire(group GroupMessage) wireMessage {
 	message := group.Message
 	wire := wireMessage{
@@ -92,6 +93,7 @@
 	return wire
 }
 
+// fromWire converts a message from its wire form.
 func fromWire(wire wireMessage) GroupMessage {
 	message := consensus.Message{
 		Kind: consensus.MessageKind(wire.Kind),
@@ -128,6 +130,7 @@
 	return wire
 }
 
+// membersFromWire converts members back; see membersToWire.
 func membersFromWire(wire []wireMember) []consensus.Member {
 	if len(wire) == 0 {
 		return nil
--- a/internal/controlplane/peertransport/outbound.go
+++ b/internal/controlplane/peertransport/outbound.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -31,7 +30,6 @@
 }
 
 // callResult is the reply to a call, or why there is none.
-
 type callResult struct {
 	body []byte
 	err  error
@@ -53,10 +51,12 @@
 	unreachable bool     // the last attempt to connect failed
 }
 
+// newOutbound returns the sending side to a peer. The caller starts its runLoop.
 func newOutbound(transport *Transport, address string) *outbound {
 	return &outbound{transport: transport, address: address, wake: make(chan struct{}, 1), calls: make(map[uint64]*pendingCall)}
 }
 
+// notify wakes the goroutine of runLoop.
 func (o *outbound) notify() {
 	select {
 	case o.wake <- struct{}{}:
@@ -86,6 +86,8 @@
 	}
 }
 
+// enqueue queues a call with the time that ctx leaves, and returns its ID. It fails with ErrNotSent while the peer is
+// unreachable, so that the caller can call another server at once.
 func (o *outbound) enqueue(ctx context.Context, kind CallKind, body []byte) (uint64, *pendingCall, error) {
 	timeout := maxCallTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -99,7 +101,7 @@
 	o.lastCallID++
 	encoded, err := encodeCall(o.lastCallID, kind, timeout, body)
 	if err != nil {
-		return 0, nil, errors.Join(ErrNotSent, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	pending := &pendingCall{frame: encoded, done: make(chan callResult, 1)}
 	o.calls[o.lastCallID] = pending
@@ -173,6 +175,7 @@
 	}
 }
 
+// sleep waits for a delay. It returns false if the transport closes before.
 func (o *outbound) sleep(delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -184,6 +187,7 @@
 	}
 }
 
+// connect dials the peer once.
 func (o *outbound) connect() (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(o.transport.ctx, dialTimeout)
 	defer cancel()
@@ -231,6 +235,7 @@
 	}
 }
 
+// outcomeOf returns the error of a call that gets no reply.
 func outcomeOf(pending *pendingCall) error {
 	if pending.sent {
 		return ErrOutcomeUnknown
@@ -238,6 +243,7 @@
 	return ErrNotSent
 }
 
+// status returns what the sending side knows of the peer.
 func (o *outbound) status() PeerStatus {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/controlplane/peertransport/outbound_connection.go
+++ b/internal/controlplane/peertransport/outbound_connection.go
@@ -38,6 +38,7 @@
 	o.failSent()
 }
 
+// setConnection records the open connection; nil: none.
 func (o *outbound) setConnection(connection net.Conn) {
 	o.mutex.Lock()
 	o.connection = connection
@@ -129,6 +130,7 @@
 	}
 }
 
+// resultOf returns the result that a reply has for the caller.
 func resultOf(reply wireReply) callResult {
 	if reply.Failed {
 		return callResult{err: RemoteError{Text: reply.Text}}
--- a/internal/controlplane/peertransport/socket.go
+++ b/internal/controlplane/peertransport/socket.go
@@ -21,7 +21,6 @@
 )
 
 // keepAlive detects a peer that is gone on a connection without data.
-
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
 // Dial opens a connection to a peer, with the socket options that detect a peer that is gone.
--- a/internal/controlplane/peertransport/transport.go
+++ b/internal/controlplane/peertransport/transport.go
@@ -126,6 +126,7 @@
 	return made
 }
 
+// addressByMember returns the address of the peer that last connected with an ID, or an empty string.
 func (t *Transport) addressByMember(id consensus.MemberID) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/controlplane/registry/command.go
+++ b/internal/controlplane/registry/command.go
@@ -115,6 +115,7 @@
 	reason    Reason
 }
 
+// recordOf returns the encoded form of an instance.
 func recordOf(instance Instance) instanceRecord {
 	return instanceRecord{
 		ID:         instance.ID,
@@ -130,6 +131,7 @@
 	}
 }
 
+// instance returns the instance that a record encodes.
 func (r instanceRecord) instance() Instance {
 	return Instance{
 		ID:         r.ID,
@@ -184,6 +186,7 @@
 	})
 }
 
+// decodeCommand decodes a log entry. Its rejections have the code InvalidCommand.
 func decodeCommand(encoded []byte) (command, *Rejection) {
 	if len(encoded) == 0 {
 		return command{}, reject(InvalidCommand, "it is empty")
@@ -213,6 +216,7 @@
 // DecodeItem decodes what EncodeItem returned. The error is a *Rejection with InvalidCommand.
 func DecodeItem(value []byte) (Instance, error) { return decodeItem(itemSchema, value) }
 
+// decodeItem decodes an instance with the schema of its format.
 func decodeItem(schema avro.Schema, value []byte) (Instance, error) {
 	if len(value) == 0 {
 		return Instance{}, reject(InvalidCommand, "the item is empty")
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -64,6 +64,7 @@
 	return reject(Malformed, err.Error())
 }
 
+// readMember reads one member of the body into heartbeat.
 func readMember(decoder *jx.Decoder, key string, heartbeat *Heartbeat) error {
 	switch key {
 	case "service":
@@ -137,6 +138,7 @@
 	return int64(value), nil
 }
 
+// readInt reads a number as an int.
 func readInt(decoder *jx.Decoder, key string, into *int) error {
 	value, err := readNumber(decoder, key)
 	*into = int(value)
@@ -182,6 +184,7 @@
 	return nil
 }
 
+// readModels reads at most maxModels models; null counts as none.
 func readModels(decoder *jx.Decoder, key string, into *[]Model) error {
 	*into = nil
 	if jsonfield.IsNull(decoder) {
@@ -200,6 +203,7 @@
 	})
 }
 
+// readModel reads one model of a list; unknown members are ignored.
 func readModel(decoder *jx.Decoder, list string) (Model, error) {
 	model := Model{}
 	if decoder.Next() != jx.Object {
@@ -220,6 +224,7 @@
 	return model, err
 }
 
+// readAdapters reads at most maxAdapters names; null counts as none.
 func readAdapters(decoder *jx.Decoder, key string, into *[]string) error {
 	*into = nil
 	if jsonfield.IsNull(decoder) {
--- a/internal/controlplane/registry/store.go
+++ b/internal/controlplane/registry/store.go
@@ -77,6 +77,7 @@
 	}
 }
 
+// outcome returns the outcome with a code.
 func outcome(code Code) Outcome {
 	entry := codes.Entry(code)
 	return Outcome{Status: entry.HTTPStatus, Code: code, Text: entry.Text}
@@ -213,6 +214,7 @@
 	return Gone
 }
 
+// insertRecord adds a record and its address.
 func (s *Store) insertRecord(entry *record) {
 	s.records[entry.instance.ID] = entry
 	if entry.instance.Address != "" {
@@ -220,6 +222,7 @@
 	}
 }
 
+// deleteRecord removes the record of an instance, and its address unless another instance has it.
 func (s *Store) deleteRecord(id string) {
 	address := s.records[id].instance.Address
 	delete(s.records, id)
@@ -294,6 +297,7 @@
 	return items
 }
 
+// sortedIDs returns the IDs of all instances in ascending order.
 func (s *Store) sortedIDs() []string {
 	ids := make([]string, 0, len(s.records))
 	for id := range s.records {
--- a/internal/controlplane/roleplanner/demand_table.go
+++ b/internal/controlplane/roleplanner/demand_table.go
@@ -9,6 +9,7 @@
 	sources map[string]sourceReport
 }
 
+// sourceReport is the latest report of one source.
 type sourceReport struct {
 	at     time.Duration
 	demand map[string]Demand // by service
