--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		if err != nil {
-			t.delayAccept()
+			t.sleep(minBackoff) // for lack of file descriptors, for instance
 			continue
 		}
 		t.running.Add(1)
@@ -63,16 +63,6 @@
 	}
 }
 
-// delayAccept waits minBackoff after a failed accept, such as for lack of file descriptors.
-func (t *Transport) delayAccept() {
-	timer := time.NewTimer(minBackoff)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-t.ctx.Done():
-	}
-}
-
 // identify reads the first frame of a connection and serves the protocol of its kind.
 func (t *Transport) identify(connection net.Conn) {
 	stop := context.AfterFunc(t.ctx, func() { _ = connection.Close() })
--- a/internal/controlplane/peertransport/outbound.go
+++ b/internal/controlplane/peertransport/outbound.go
@@ -144,7 +144,7 @@
 		if err != nil {
 			o.transport.options.Logger.Debug("peer not reached", zap.String("peer", o.address), zap.Error(err))
 			o.markUnreachable()
-			if !o.sleep(o.transport.jitter(backoff)) {
+			if !o.transport.sleep(o.transport.jitter(backoff)) {
 				return
 			}
 			backoff = min(2*backoff, maxBackoff)
@@ -175,18 +175,6 @@
 	}
 }
 
-// sleep waits for a delay. It returns false if the transport closes before.
-func (o *outbound) sleep(delay time.Duration) bool {
-	timer := time.NewTimer(delay)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-o.transport.ctx.Done():
-		return false
-	}
-}
-
 // connect dials the peer once.
 func (o *outbound) connect() (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(o.transport.ctx, dialTimeout)
--- a/internal/controlplane/peertransport/transport.go
+++ b/internal/controlplane/peertransport/transport.go
@@ -181,3 +181,15 @@
 	half := maximum / 2
 	return half + time.Duration(t.options.Random()%uint64(half+1))
 }
+
+// sleep waits for a delay. It returns false if the transport closes before.
+func (t *Transport) sleep(delay time.Duration) bool {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-t.ctx.Done():
+		return false
+	}
+}
