--- a/internal/controlplane/feedtransport/socket.go
+++ b/internal/controlplane/feedtransport/socket.go
@@ -5,10 +5,9 @@
 	"net"
 	"net/netip"
 	"strconv"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"ospreybend/internal/util/tcpsocket"
 )
 
 // Limits of the feed's connections.
@@ -25,34 +24,21 @@
 	keepAliveDisabled = -1
 )
 
-// Dial opens a connection to address, "ip:port", with DialTimeout and the feed's socket options.
+// Dial opens a connection to address, "ip:port", with DialTimeout and the feed's socket options. Both ends have TCP_NODELAY,
+// which package net sets by itself.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: DialTimeout, KeepAlive: keepAliveDisabled, Control: setUserTimeout}
+	dialer := net.Dialer{Timeout: DialTimeout, KeepAlive: keepAliveDisabled, Control: tcpsocket.UserTimeout(WriteTimeout)}
 	dialer.SetMultipathTCP(false)
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
 // Listen opens a listener on address, "ip:port", whose connections have the feed's socket options.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: keepAliveDisabled, Control: setUserTimeout}
+	config := net.ListenConfig{KeepAlive: keepAliveDisabled, Control: tcpsocket.UserTimeout(WriteTimeout)}
 	config.SetMultipathTCP(false)
 	return config.Listen(ctx, "tcp4", address)
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT before the connection opens; accepted connections inherit it from their listener. Both
-// ends have TCP_NODELAY, which package net sets by itself.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failure error
-	set := func(descriptor uintptr) {
-		milliseconds := int(WriteTimeout / time.Millisecond)
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, milliseconds)
-	}
-	if err := raw.Control(set); err != nil {
-		return err
-	}
-	return failure
-}
-
 // FeedAddress returns the address at which the machine of another address, "ip:port", serves the feed. It returns false if
 // that address is invalid.
 func FeedAddress(address string, feedPort int) (string, bool) {
--- a/internal/controlplane/peertransport/socket.go
+++ b/internal/controlplane/peertransport/socket.go
@@ -3,10 +3,9 @@
 import (
 	"context"
 	"net"
-	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"ospreybend/internal/util/tcpsocket"
 )
 
 // Time-outs of the connections.
@@ -25,24 +24,12 @@
 
 // Dial opens a connection to a peer, with the socket options that detect a peer that is gone.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: tcpsocket.UserTimeout(userTimeout)}
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
 // Listen opens the listener for peers and readers of the feed, with the same socket options.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
+	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: tcpsocket.UserTimeout(userTimeout)}
 	return config.Listen(ctx, "tcp4", address)
 }
-
-// setUserTimeout sets TCP_USER_TIMEOUT to userTimeout; accepted connections inherit it from the listener.
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failure error
-	err := raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
-	})
-	if err != nil {
-		return err
-	}
-	return failure
-}
