--- a/internal/dataplane/dispatch/clientrequest.go
+++ b/internal/dataplane/dispatch/clientrequest.go
@@ -8,7 +8,6 @@
 	"ospreybend/internal/dataplane/fleetview"
 	"ospreybend/internal/dataplane/httpserver"
 	"ospreybend/internal/dataplane/selection"
-	"ospreybend/internal/util/http1"
 )
 
 const (
@@ -172,11 +171,6 @@
 	_ = r.responder.WriteResponse(answer.Status, fieldsForClient(answer.Header), answer.Body)
 }
 
-// fieldsForClient are the fields of a worker's answer that the client gets.
-func fieldsForClient(fields http1.Header) http1.Header {
-	return withoutFields(fields, internalFields, 0)
-}
-
 // timeLeft is the time for which something may be done for the request.
 func (r *clientRequest) timeLeft() time.Duration { return r.deadline - r.dispatcher.now() }
 
@@ -186,18 +180,6 @@
 // canContinue tells whether a call may still be of use.
 func (r *clientRequest) canContinue() bool { return r.ctx.Err() == nil && r.timeLeft() >= minTimeLeft }
 
-// retryAllowed tells whether the request may run more than once.
-func (r *clientRequest) retryAllowed() bool {
-	switch r.route.Type {
-	case configuration.Idempotent:
-		return true
-	case configuration.Streaming:
-		return r.route.Resumable && r.progress.resumable()
-	default:
-		return false
-	}
-}
-
 // acceptsCalls tells whether a worker may still be sent to by the newest list; a draining or ended one, or one that is about to
 // change its stage, may not.
 func (r *clientRequest) acceptsCalls(worker *fleetview.Worker) bool {
@@ -211,8 +193,3 @@
 }
 
 func (r *clientRequest) exclude(worker *fleetview.Worker) { r.excluded = append(r.excluded, worker.ID) }
-
-// spendBudget takes a call beyond the first out of the node's budget.
-func (r *clientRequest) spendBudget() bool {
-	return r.dispatcher.shared.spendBudget(r.service.Name, r.dispatcher.view.Load().EdgeNodeCount)
-}
--- a/internal/dataplane/dispatch/kvhandle.go
+++ b/internal/dataplane/dispatch/kvhandle.go
@@ -2,8 +2,12 @@
 
 import (
 	"context"
+	"strconv"
 	"time"
 
+	"github.com/go-faster/jx"
+
+	"ospreybend/internal/dataplane/fleetview"
 	"ospreybend/internal/dataplane/upstream"
 	"ospreybend/internal/util/http1"
 )
@@ -85,3 +89,49 @@
 		answer.Events.Close()
 	}
 }
+
+// kvHandle names the memory of a prompt at the worker that read it.
+type kvHandle struct {
+	id      string
+	worker  *fleetview.Worker
+	version string // of the weights that read the prompt; empty: not told
+}
+
+// parseHandle reads {"prefillHandle":ID,"generation":N,...} and tells whether there is an ID.
+func parseHandle(body []byte) (kvHandle, bool) {
+	var handle kvHandle
+	err := jx.DecodeBytes(body).Obj(func(decoder *jx.Decoder, key string) error {
+		var err error
+		switch {
+		case key == "prefillHandle":
+			handle.id, err = decoder.Str()
+		case key == "generation" && decoder.Next() == jx.Number:
+			var version jx.Num
+			version, err = decoder.Num()
+			handle.version = integerText(version.String())
+		default:
+			err = decoder.Skip()
+		}
+		return err
+	})
+	return handle, err == nil && validHandleID(handle.id)
+}
+
+// integerText returns a text that is a whole number as it is, and nothing for any other.
+func integerText(text string) string {
+	if _, err := strconv.ParseUint(text, 10, 63); err != nil {
+		return ""
+	}
+	return text
+}
+
+// validHandleID tells whether an ID can be part of a header field and of a path.
+func validHandleID(id string) bool {
+	for i := range len(id) {
+		c := id[i]
+		if c <= ' ' || c >= 0x7f || c == '/' || c == '?' || c == '#' {
+			return false
+		}
+	}
+	return id != ""
+}
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -1,11 +1,8 @@
 package dispatch
 
 import (
-	"strconv"
 	"time"
 
-	"github.com/go-faster/jx"
-
 	"ospreybend/internal/dataplane/fleetview"
 	"ospreybend/internal/dataplane/selection"
 	"ospreybend/internal/dataplane/upstream"
@@ -30,13 +27,6 @@
 	prefillExecuted                        // the worker ran the request, and the client has its answer
 )
 
-// kvHandle names the memory of a prompt at the worker that read it.
-type kvHandle struct {
-	id      string
-	worker  *fleetview.Worker
-	version string // of the weights that read the prompt; empty: not told
-}
-
 // reservePrefill tells whether a call to read the prompt may be made before the run. The first that is
 // taken up is not counted, but it may be rejected and count then.
 func (r *clientRequest) reservePrefill() bool {
@@ -62,17 +52,6 @@
 	return r.prefillAnswered(call, watcher, choice, answer)
 }
 
-// mayRetryPrefill returns what tells whether a silent call to read the prompt is given up for another one, and pays
-// for it: only a call that a worker took up is free, and one that is silent still waits. It may be called from
-// another goroutine.
-func (r *clientRequest) mayRetryPrefill() func() bool {
-	service := r.service.Name
-	minTime := r.route.TargetLatency / 2
-	return func() bool {
-		return r.timeLeft() >= minTime && r.dispatcher.shared.spendBudget(service, r.dispatcher.view.Load().EdgeNodeCount)
-	}
-}
-
 func (r *clientRequest) prefillTimeout(choice selection.Choice) time.Duration {
 	return max(prefillTimeoutFactor*choice.TimeToFirstEvent, r.route.TargetLatency) + prefillTimeoutMargin
 }
@@ -158,42 +137,3 @@
 		ForceNewConn: r.recordCall(worker.Address),
 	}
 }
-
-// parseHandle reads {"prefillHandle":ID,"generation":N,...} and tells whether there is an ID.
-func parseHandle(body []byte) (kvHandle, bool) {
-	var handle kvHandle
-	err := jx.DecodeBytes(body).Obj(func(decoder *jx.Decoder, key string) error {
-		var err error
-		switch {
-		case key == "prefillHandle":
-			handle.id, err = decoder.Str()
-		case key == "generation" && decoder.Next() == jx.Number:
-			var version jx.Num
-			version, err = decoder.Num()
-			handle.version = integerText(version.String())
-		default:
-			err = decoder.Skip()
-		}
-		return err
-	})
-	return handle, err == nil && validHandleID(handle.id)
-}
-
-// integerText returns a text that is a whole number as it is, and nothing for any other.
-func integerText(text string) string {
-	if _, err := strconv.ParseUint(text, 10, 63); err != nil {
-		return ""
-	}
-	return text
-}
-
-// validHandleID tells whether an ID can be part of a header field and of a path.
-func validHandleID(id string) bool {
-	for i := range len(id) {
-		c := id[i]
-		if c <= ' ' || c >= 0x7f || c == '/' || c == '?' || c == '#' {
-			return false
-		}
-	}
-	return id != ""
-}
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -77,20 +77,6 @@
 	}
 }
 
-// afterFailedRun follows a run that may have taken place and yielded nothing whole.
-func (r *clientRequest) afterFailedRun(watcher *idleWatcher) bool {
-	r.mayHaveRun = true
-	if watcher.timedOut() && watcher.retryPaid.Load() {
-		r.attempts.reserved++
-	}
-	r.freeHandle()
-	if r.retryAllowed() {
-		return true
-	}
-	r.finish()
-	return false
-}
-
 // runAnswered follows an answer.
 func (r *clientRequest) runAnswered(call *trackedCall, watcher *idleWatcher, answer *Answer) bool {
 	r.trace.recordLoad(answer, true)
@@ -126,15 +112,6 @@
 	return true
 }
 
-// hasOtherVersion tells whether a worker refused a handle because its weights are not those that read the prompt.
-func (r *clientRequest) hasOtherVersion(answer *Answer) bool {
-	if r.handle == nil || r.handle.version == "" {
-		return false
-	}
-	version := integerText(answer.Header.Get(fieldVersions))
-	return version != "" && version != r.handle.version
-}
-
 // runRejected follows an answer that says that the request has not run.
 func (r *clientRequest) runRejected(call *trackedCall, answer *Answer) bool {
 	closeEvents(answer)
@@ -150,11 +127,6 @@
 	return true
 }
 
-// hasCapacity tells whether a worker's load says that it did not reject for want of a place.
-func hasCapacity(load *selection.Load) bool {
-	return load != nil && load.Running+load.Waiting < load.Slots
-}
-
 // runCompleted follows an answer whose body was read whole.
 func (r *clientRequest) runCompleted(call *trackedCall, watcher *idleWatcher, answer *Answer) bool {
 	switch {
@@ -176,34 +148,6 @@
 	}
 }
 
-// promisesNotExecuted tells whether a status promises a client that its request has not run.
-func promisesNotExecuted(status int) bool {
-	switch status {
-	case statusRequestTimeout, statusMisdirected, statusTooManyRequests, statusUnavailable:
-		return true
-	default:
-		return false
-	}
-}
-
-// validAnswer tells whether an answer can be passed on: a success needs the worker's signature and no encoding. That its body is
-// whole the exchange has seen, and for a stream will see at its end.
-func (r *clientRequest) validAnswer(answer *Answer) bool {
-	if answer.Header.Has(fieldEncoding) || !r.matchesRequestID(answer) {
-		return false
-	}
-	success := answer.Status >= 200 && answer.Status < 300
-	if !success {
-		return true
-	}
-	return answer.Header.Get(fieldSignature) != ""
-}
-
-// matchesRequestID tells whether an answer carries the request's own ID.
-func (r *clientRequest) matchesRequestID(answer *Answer) bool {
-	return answer.Header.Get(fieldRequestID) == r.request.Header.Get(fieldRequestID)
-}
-
 func (r *clientRequest) runCall(worker *fleetview.Worker) *upstream.Request {
 	fields := r.workerFields(worker, 3)
 	if r.handle != nil {
@@ -262,34 +206,8 @@
 	return max(timeout, minIdleTimeout)
 }
 
-// mayRetryRun returns what tells whether a silent run is given up for another one, and pays for
-// that. It may be called from another goroutine.
-func (r *clientRequest) mayRetryRun() func() bool {
-	attemptsLeft := r.attempts.used+2 <= r.attempts.maxAttempts
-	excluded := len(r.excluded)
-	service := r.service.Name
-	minTime := r.route.TargetLatency / 2
-	return func() bool {
-		if !attemptsLeft || r.timeLeft() < minTime {
-			return false
-		}
-		view := r.dispatcher.view.Load()
-		return len(view.Workers[service]) > excluded && r.dispatcher.shared.spendBudget(service, view.EdgeNodeCount)
-	}
-}
-
 func (r *clientRequest) recordRetryAfter(answer *Answer) {
 	if retryAfter := parseRetryAfter(answer.Header.Get(fieldRetryAfter)); retryAfter > 0 {
 		r.retryAfter = retryAfter
 	}
 }
-
-// reportedLoad is what a worker's answer told of its load; nil: nothing.
-func reportedLoad(answer *Answer) *selection.Load {
-	if answer.Load == nil {
-		return nil
-	}
-	return &selection.Load{
-		Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots,
-	}
-}
