--- a/internal/dataplane/dispatch/answer.go
+++ b/internal/dataplane/dispatch/answer.go
@@ -5,7 +5,26 @@
 	"ospreybend/internal/util/http1"
 )
 
-// hasOtherVersion tells whether a worker refused a handle because its weights are not those that read the prompt.
+// validAnswer reports whether an answer can be forwarded: it must be the request's own and not encoded,
+// and a success must have the worker's signature. Package upstream checks that its body is complete.
+func (r *clientRequest) validAnswer(answer *Answer) bool {
+	if answer.Header.Has(fieldEncoding) || !r.matchesRequestID(answer) {
+		return false
+	}
+	success := answer.Status >= 200 && answer.Status < 300
+	if !success {
+		return true
+	}
+	return answer.Header.Get(fieldSignature) != ""
+}
+
+// matchesRequestID reports whether an answer has the request's own ID.
+func (r *clientRequest) matchesRequestID(answer *Answer) bool {
+	return answer.Header.Get(fieldRequestID) == r.request.Header.Get(fieldRequestID)
+}
+
+// hasOtherVersion reports whether a worker rejected a handle because its weights are not those that
+// computed the KV cache.
 func (r *clientRequest) hasOtherVersion(answer *Answer) bool {
 	if r.handle == nil || r.handle.version == "" {
 		return false
@@ -14,12 +33,7 @@
 	return version != "" && version != r.handle.version
 }
 
-// hasCapacity tells whether a worker's load says that it did not reject for want of a place.
-func hasCapacity(load *selection.Load) bool {
-	return load != nil && load.Running+load.Waiting < load.Slots
-}
-
-// promisesNotExecuted tells whether a status promises a client that its request has not run.
+// promisesNotExecuted reports whether a status promises a client that its request was not executed.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case statusRequestTimeout, statusMisdirected, statusTooManyRequests, statusUnavailable:
@@ -29,25 +43,7 @@
 	}
 }
 
-// validAnswer tells whether an answer can be passed on: a success needs the worker's signature and no encoding. That its body is
-// whole the exchange has seen, and for a stream will see at its end.
-func (r *clientRequest) validAnswer(answer *Answer) bool {
-	if answer.Header.Has(fieldEncoding) || !r.matchesRequestID(answer) {
-		return false
-	}
-	success := answer.Status >= 200 && answer.Status < 300
-	if !success {
-		return true
-	}
-	return answer.Header.Get(fieldSignature) != ""
-}
-
-// matchesRequestID tells whether an answer carries the request's own ID.
-func (r *clientRequest) matchesRequestID(answer *Answer) bool {
-	return answer.Header.Get(fieldRequestID) == r.request.Header.Get(fieldRequestID)
-}
-
-// reportedLoad is what a worker's answer told of its load; nil: nothing.
+// reportedLoad returns the load that a worker reported in its answer; nil: none.
 func reportedLoad(answer *Answer) *selection.Load {
 	if answer.Load == nil {
 		return nil
@@ -57,7 +53,12 @@
 	}
 }
 
-// fieldsForClient are the fields of a worker's answer that the client gets.
+// hasCapacity reports whether a worker with that load did not reject a call because it is full.
+func hasCapacity(load *selection.Load) bool {
+	return load != nil && load.Running+load.Waiting < load.Slots
+}
+
+// fieldsForClient returns the fields of a worker's answer that the client gets.
 func fieldsForClient(fields http1.Header) http1.Header {
 	return withoutFields(fields, internalFields, 0)
 }
--- a/internal/dataplane/dispatch/attempts.go
+++ b/internal/dataplane/dispatch/attempts.go
@@ -1,19 +1,20 @@
 package dispatch
 
-// attemptQuota counts the calls of one try against the route's attempts and the node's budget.
+// attemptQuota bounds the calls that are made for one client request by the route's maxAttempts and by
+// the service's retry budget.
 //
-// Counted are runs, calls to read a prompt that were rejected, and those taken up after the first
-// taken up. The first counted call of a try needs no budget.
+// The calls that count are runs, prefills that were rejected, and prefills that a worker accepted after
+// the first accepted one. The first counted call needs no budget.
 type attemptQuota struct {
-	maxAttempts   int // attempts that the route allows
-	used          int // counted calls that reached a worker
-	reserved      int // counted calls that may be made without asking the budget again
-	firstReserved bool
+	maxAttempts   int  // that the route allows
+	used          int  // counted calls that reached a worker
+	reserved      int  // counted calls that may be made without asking the budget again
+	firstReserved bool // the call that needs no budget is reserved
 	spendBudget   func() bool
 }
 
-// reserve makes sure that a number of counted calls may follow, and tells whether they may. What is
-// paid and not used stays for later calls of the try.
+// reserve makes sure that so many counted calls may be made, and reports whether they may. Calls that are
+// reserved and not made stay reserved for later ones of the request.
 func (q *attemptQuota) reserve(calls int) bool {
 	if q.used+calls > q.maxAttempts {
 		return false
@@ -35,13 +36,13 @@
 	return q.spendBudget()
 }
 
-// countAttempt notes that a counted call reached a worker that took it up or rejected it.
+// countAttempt counts a call that reached a worker, which accepted or rejected it.
 func (q *attemptQuota) countAttempt() {
 	q.used++
 	q.release()
 }
 
-// release notes a counted call that is no attempt, such as one to a worker that was not the one meant.
+// release uses up a reserved call that is no attempt, such as one to a worker that was not the one meant.
 func (q *attemptQuota) release() {
 	if q.reserved > 0 {
 		q.reserved--
--- a/internal/dataplane/dispatch/clientrequest.go
+++ b/internal/dataplane/dispatch/clientrequest.go
@@ -11,56 +11,65 @@
 )
 
 const (
-	// defaultRetryAfter is told where nothing better is known.
+	// defaultRetryAfter is the Retry-After of a rejection without a better estimate.
 	defaultRetryAfter = 250 * time.Millisecond
 	maxRetryAfter     = 10 * time.Second
-	// maxSteps bounds the choices made for one try, also those that led to no run.
+	// maxSteps bounds the choices made for one request, also those that led to no run.
 	maxSteps = 8
-	// minTimeLeft is the least time for which a call is still made.
+	// minTimeLeft is the shortest time to the deadline for which a call is still made.
 	minTimeLeft = time.Millisecond
 )
 
-// clientRequest is the state of one request of a client.
+// stepResult is what follows a step.
+type stepResult uint8
+
+const (
+	requestFinished stepResult = iota // the client has its answer, or its connection is closed
+	nextStep                          // workers are chosen once more
+)
+
+// clientRequest is the state of one client request while it is served. It belongs to the goroutine that
+// serves it.
 type clientRequest struct {
 	dispatcher *Dispatcher
 	responder  Responder
 	request    *httpserver.Request
-	view       *fleetview.View // in force when the request came
 	route      *configuration.Route
 	service    *configuration.Service
-	criteria   selection.Request
-	deadline   time.Duration // instant after which nothing is done for the request
-	ctx        context.Context
+	criteria   selection.Request // what the choice of workers depends on
+	deadline   time.Duration     // instant after which nothing is done for the request
+	ctx        context.Context   // ends at the deadline or when the client leaves
 
 	attempts        attemptQuota
-	excluded        []string // workers not to be chosen again
-	calledAddresses []string // addresses of the calls made
+	excluded        []string // IDs of workers that are not chosen again
+	calledAddresses []string
 	steps           int
 
-	prefillAccepted bool // a worker has, or may have, taken up a call that reads the prompt
-	handle          *kvHandle
-	mayHaveRun      bool
+	prefillAccepted bool      // a worker has, or may have, accepted a prefill
+	handle          *kvHandle // of the KV cache that the next run starts from; nil: none
+	mayHaveRun      bool      // a worker may have executed the request
 	runs            int
-	errorAnswer     *Answer // a worker's own error answer, passed on unless another run yields better
-	retryAfter      time.Duration
-	progress        streamProgress
-	status          int // of the answer; 0: none, or broken off
-	trace           trace
+
+	errorAnswer *Answer // of a worker, forwarded unless another run has a better one
+	retryAfter  time.Duration
+	progress    streamProgress
+	status      int // of the answer; 0: none, or aborted
+	trace       trace
 }
 
-func newClientRequest(dispatcher *Dispatcher, responder Responder, request *httpserver.Request, view *fleetview.View,
+func newClientRequest(dispatcher *Dispatcher, responder Responder, request *httpserver.Request,
 	route *configuration.Route, service *configuration.Service) *clientRequest {
 	arrived := dispatcher.now() - receiveTime(request)
 	limit := arrived + timeLimit(request.Header, route.Timeout)
 	r := &clientRequest{
-		dispatcher: dispatcher, responder: responder, request: request, view: view, route: route, service: service, deadline: limit,
+		dispatcher: dispatcher, responder: responder, request: request, route: route, service: service, deadline: limit,
 	}
 	r.criteria = newCriteria(request, route, service.Name, arrived, limit)
 	r.attempts = attemptQuota{maxAttempts: max(route.MaxAttempts, 1), spendBudget: r.spendBudget}
 	return r
 }
 
-// newCriteria is what the choice of workers depends on.
+// newCriteria returns what the choice of workers depends on.
 func newCriteria(request *httpserver.Request, route *configuration.Route, service string, arrived, limit time.Duration) selection.Request {
 	in, out := parseTokenCount(request.Header.Get(fieldTokenCount))
 	return selection.Request{
@@ -78,34 +87,31 @@
 	}
 }
 
-// serve answers the request.
+// serve takes steps until the request is answered.
 func (r *clientRequest) serve() {
 	ctx, cancel := context.WithTimeout(r.request.Context, r.timeLeft())
 	defer cancel()
 	r.ctx = ctx
 	r.responder.SetWriteTimeout(r.timeLeft())
 	defer r.freeHandle()
-	for r.step() {
+	for r.step() == nextStep {
 		r.steps++
 	}
 }
 
-// step makes one choice and the calls that follow from it. It tells whether another step is to follow;
-// otherwise the request is answered.
-func (r *clientRequest) step() bool {
+// step makes one choice of workers and the calls that follow from it.
+func (r *clientRequest) step() stepResult {
 	if r.steps >= maxSteps || !r.canContinue() || r.mayHaveRun && !r.retryAllowed() {
-		r.finish()
-		return false
+		return r.finish()
 	}
 	choice, verdict := r.dispatcher.shared.choose(&r.criteria, r.excluded)
 	if !verdict.Admit || choice.Run == nil {
 		r.retryAfter = verdict.RetryAfter
-		r.finish()
-		return false
+		return r.finish()
 	}
 	if !r.acceptsCalls(choice.Run) {
 		r.exclude(choice.Run)
-		return true
+		return nextStep
 	}
 	r.trace.choice = choice
 	if choice.Prefill != nil && r.handle == nil && r.canSplitPrefill() && r.reservePrefill() {
@@ -114,34 +120,34 @@
 	return r.run(choice)
 }
 
-// canSplitPrefill tells whether the prompt can be read apart from the run. A worker runs a request that names no tokens at
-// once and in full, whatever stage it is asked for.
+// canSplitPrefill reports whether the prompt can be prefilled apart from the run. A worker executes a request that names no
+// token counts in full, whatever stage it is asked for.
 func (r *clientRequest) canSplitPrefill() bool { return r.criteria.PromptTokens > 0 }
 
-// prefillThenRun has the prompt read, and runs the request if that worked.
-func (r *clientRequest) prefillThenRun(choice selection.Choice) bool {
+// prefillThenRun makes the prefill and, if it succeeds, the run of a choice.
+func (r *clientRequest) prefillThenRun(choice selection.Choice) stepResult {
 	if !r.acceptsCalls(choice.Prefill) {
 		r.exclude(choice.Prefill)
-		return true
+		return nextStep
 	}
 	switch outcome := r.prefill(choice); {
 	case outcome == prefillExecuted:
-		return false
+		return requestFinished
 	case outcome == prefillNoHandle || !r.canContinue():
-		return true
+		return nextStep
 	}
 	if !r.acceptsCalls(choice.Run) {
 		r.exclude(choice.Run)
-		return true
+		return nextStep
 	}
 	return r.run(choice)
 }
 
-// finish answers a request for which nothing more will be sent.
-func (r *clientRequest) finish() {
+// finish answers a request for which no further call is made. It always returns requestFinished.
+func (r *clientRequest) finish() stepResult {
 	switch {
 	case r.clientLeft():
-		r.dispatcher.counts.cancelled.Add(1)
+		r.dispatcher.counts.canceled.Add(1)
 		r.responder.Abort()
 	case r.progress.started:
 		r.dispatcher.counts.aborted.Add(1)
@@ -156,32 +162,33 @@
 	default:
 		r.answerError(statusBadGateway)
 	}
+	return requestFinished
 }
 
-// answerError answers a request that may have run.
+// answerError answers a request that may have been executed.
 func (r *clientRequest) answerError(status int) {
 	r.status = status
 	r.dispatcher.counts.failed.Add(1)
 	_ = r.responder.WriteResponse(status, ownAnswerFields(r.request), nil)
 }
 
-// forward answers with a worker's whole answer.
+// forward answers with a worker's complete answer.
 func (r *clientRequest) forward(answer *Answer) {
 	r.status = answer.Status
 	_ = r.responder.WriteResponse(answer.Status, fieldsForClient(answer.Header), answer.Body)
 }
 
-// timeLeft is the time for which something may be done for the request.
+// timeLeft returns the time to the request's deadline.
 func (r *clientRequest) timeLeft() time.Duration { return r.deadline - r.dispatcher.now() }
 
-// clientLeft tells whether the client's connection has ended.
+// clientLeft reports whether the client's connection has ended.
 func (r *clientRequest) clientLeft() bool { return r.request.Context.Err() != nil }
 
-// canContinue tells whether a call may still be of use.
+// canContinue reports whether there is a client and time for another call.
 func (r *clientRequest) canContinue() bool { return r.ctx.Err() == nil && r.timeLeft() >= minTimeLeft }
 
-// acceptsCalls tells whether a worker may still be sent to by the newest list; a draining or ended one, or one that is about to
-// change its stage, may not.
+// acceptsCalls reports whether a worker may still be sent to by the newest view. One that is draining, that
+// has ended or that is changing its role may not.
 func (r *clientRequest) acceptsCalls(worker *fleetview.Worker) bool {
 	view := r.dispatcher.view.Load()
 	for _, other := range view.Workers[r.service.Name] {
--- a/internal/dataplane/dispatch/counters.go
+++ b/internal/dataplane/dispatch/counters.go
@@ -2,11 +2,11 @@
 
 import "sync/atomic"
 
-// counters are the figures behind Counts.
+// counters are the counters that Counts is read from.
 type counters struct {
-	requests, unrouted, rejected, failed, aborted, cancelled atomic.Int64
-	prefills, runs, retries, resumed                         atomic.Int64
-	handlesFreed, handlesDropped                             atomic.Int64
+	requests, unrouted, rejected, failed, aborted, canceled atomic.Int64
+	prefills, runs, retries, resumed                        atomic.Int64
+	handlesFreed, handlesDropped                            atomic.Int64
 }
 
 func (c *counters) read() Counts {
@@ -16,7 +16,7 @@
 		Rejected:       c.rejected.Load(),
 		Failed:         c.failed.Load(),
 		Aborted:        c.aborted.Load(),
-		Cancelled:      c.cancelled.Load(),
+		Canceled:       c.canceled.Load(),
 		Prefills:       c.prefills.Load(),
 		Runs:           c.runs.Load(),
 		Retries:        c.retries.Load(),
--- a/internal/dataplane/dispatch/deadline.go
+++ b/internal/dataplane/dispatch/deadline.go
@@ -9,8 +9,8 @@
 	"ospreybend/internal/util/http1"
 )
 
-// timeLimit is how long a request may be held from its first byte on: for the route's time, and no longer than the client
-// waits. Where the client names several times the shortest counts; one that cannot be meant counts for nothing.
+// timeLimit returns the time in which a request must be answered from its first byte on: the route's time-out, or less if
+// the client says that it waits for less. Of several such values the shortest counts; invalid ones are ignored.
 func timeLimit(fields http1.Header, routeTimeout time.Duration) time.Duration {
 	limit := routeTimeout
 	for i := range fields {
@@ -24,7 +24,8 @@
 	return limit
 }
 
-// parseDeadlineField reads how long a client waits, in milliseconds; otherwise stands for what cannot be read, is negative or longer.
+// parseDeadlineField parses how long a client waits, in milliseconds. It returns fallback if the value is invalid, negative
+// or longer than that.
 func parseDeadlineField(value string, fallback time.Duration) time.Duration {
 	millis, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || !(millis >= 0 && millis < fallback.Seconds()*1000) {
@@ -33,7 +34,7 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// receiveTime is how long a request took to come in. The client's time and the route's run from its first byte.
+// receiveTime returns how long it took to receive a request. The time limits count from its first byte.
 func receiveTime(request *httpserver.Request) time.Duration {
 	if request.FirstByteAt.IsZero() {
 		return 0
@@ -41,8 +42,8 @@
 	return max(request.ReadAt.Sub(request.FirstByteAt), 0)
 }
 
-// TimeLimit tells for how long a request may be held from its first byte on. It is 0 where the request is answered at once, since
-// no route takes it.
+// TimeLimit returns the time in which a request will be answered from its first byte on. It is 0 for a request without a
+// route, which is answered at once.
 func (d *Dispatcher) TimeLimit(request *httpserver.Request) time.Duration {
 	route := d.routeOf(d.view.Load(), request)
 	if route == nil {
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -15,16 +15,7 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Status codes of the dispatcher's own answers.
-const (
-	statusBadRequest     = 400
-	statusNotFound       = 404
-	statusBadGateway     = 502
-	statusUnavailable    = 503
-	statusGatewayTimeout = 504
-)
-
-// Options of a dispatcher. All but Log, Confirmed and Changed are required.
+// Options of a Dispatcher. All but Log, Confirmed and Changed are required.
 type Options struct {
 	Workers Workers
 	Chooser Chooser
@@ -32,44 +23,44 @@
 	Now     func() time.Duration // monotonic
 	Random  func() float64       // uniform in [0, 1); called from several goroutines
 	Log     *zap.Logger
-	// Confirmed tells whether the view in force is known to be the newest but for moments. It is asked for requests without a
-	// route, and may be left out: every view counts as the newest then.
+	// Confirmed reports whether the current view was confirmed as the newest one a moment ago. It is asked for requests
+	// without a route. If it is nil, every view counts as confirmed.
 	Confirmed func() bool
-	// Changed is called when what this node has under way has changed; it must not block. It may be left out.
+	// Changed is called when this node's calls in flight have changed; it must not block.
 	Changed func()
 }
 
-// Counts tells what a dispatcher has done since its start.
+// Counts are a Dispatcher's counters since its start.
 type Counts struct {
-	Requests       int64 // on a route
+	Requests       int64 // with a route
 	Unrouted       int64 // answered 404
 	Rejected       int64 // answered 503
 	Failed         int64 // answered 502 or 504
-	Aborted        int64 // answers broken off
-	Cancelled      int64 // clients that left
-	Prefills       int64 // calls that read a prompt alone
-	Runs           int64 // calls that run a request
-	Retries        int64 // runs beyond the first of a try
-	Resumed        int64 // streams taken up at another worker
-	HandlesFreed   int64 // handles freed that no worker took
-	HandlesDropped int64 // handles left to lapse as too many calls to free them were under way
+	Aborted        int64 // answers that were closed before their end
+	Canceled       int64 // requests whose client left
+	Prefills       int64
+	Runs           int64
+	Retries        int64 // runs beyond the first of a request
+	Resumed        int64 // streams continued at another worker
+	HandlesFreed   int64 // handles that no run used
+	HandlesDropped int64 // handles left to expire, as too many were being freed
 }
 
-// Dispatcher serves requests. Its methods may be called from several goroutines.
+// Dispatcher serves client requests. It is safe for concurrent use.
 type Dispatcher struct {
-	workers Workers
-	shared  *sharedState
-	view    atomic.Pointer[fleetview.View]
-	now     func() time.Duration
-	random  func() float64
-	log     *zap.Logger
-	frees   chan struct{} // one element for each call under way that frees a handle
-	counts  counters
-	// confirmed tells whether the view in force is known to be the newest but for moments
+	workers   Workers
+	now       func() time.Duration
+	random    func() float64
 	confirmed func() bool
+	log       *zap.Logger
+
+	shared *sharedState
+	view   atomic.Pointer[fleetview.View] // nil: none yet
+	frees  chan struct{}                  // semaphore with an element for each call in flight that frees a handle
+	counts counters
 }
 
-// New makes a dispatcher. It answers 503 until it has a view with a configuration.
+// New returns a Dispatcher. It answers 503 until SetView is given a view with a configuration.
 func New(options Options) *Dispatcher {
 	log := options.Log
 	if log == nil {
@@ -84,45 +75,45 @@
 		confirmed = func() bool { return true }
 	}
 	return &Dispatcher{
-		confirmed: confirmed,
 		workers:   options.Workers,
+		now:       options.Now,
+		random:    options.Random,
+		confirmed: confirmed,
+		log:       log,
 		shared: &sharedState{
 			now:      options.Now,
 			chooser:  options.Chooser,
 			budgets:  retrybudget.NewBudgets(options.Budget, options.Now()),
 			onChange: changed,
 		},
-		now:    options.Now,
-		random: options.Random,
-		log:    log,
-		frees:  make(chan struct{}, maxConcurrentFrees),
+		frees: make(chan struct{}, maxConcurrentFrees),
 	}
 }
 
-// SetView puts a view in force for the requests that come after it.
+// SetView sets the view that later requests and choices use.
 func (d *Dispatcher) SetView(view *fleetview.View) {
 	d.shared.setView(view)
 	d.view.Store(view)
 }
 
-// View returns the view in force; nil: none has come.
+// View returns the current view; nil: none has been set.
 func (d *Dispatcher) View() *fleetview.View { return d.view.Load() }
 
-// Outstanding returns what this node has under way at workers.
+// Outstanding returns this node's calls in flight, by worker.
 func (d *Dispatcher) Outstanding() []selection.Outstanding { return d.shared.outstanding() }
 
-// SetPeerLoad takes in what another node has under way. It replaces what that node told before.
+// SetPeerLoad replaces what another node has in flight.
 func (d *Dispatcher) SetPeerLoad(node uint64, list []selection.Outstanding) {
 	d.shared.setPeerLoad(node, list)
 }
 
-// Demands returns the work that requests have brought since the start, by service whose workers have stages.
+// Demands returns the demand since the start of each service whose workers have stages.
 func (d *Dispatcher) Demands() map[string]roleplanner.Demand { return d.shared.demands() }
 
-// Counts returns what the dispatcher has done.
+// Counts returns the counters.
 func (d *Dispatcher) Counts() Counts { return d.counts.read() }
 
-// Serve answers one request. It returns when the answer has been written or broken off.
+// Serve answers one request. It returns when the answer has been written or aborted.
 func (d *Dispatcher) Serve(responder Responder, request *httpserver.Request) {
 	view := d.view.Load()
 	route := d.routeOf(view, request)
@@ -137,7 +128,7 @@
 	d.serveRoute(responder, request, view, route)
 }
 
-// routeOf returns the route of a request by a view, or nil.
+// routeOf returns the route of a request in a view; nil: none.
 func (d *Dispatcher) routeOf(view *fleetview.View, request *httpserver.Request) *configuration.Route {
 	if view == nil || view.Generation == 0 {
 		return nil
@@ -145,8 +136,8 @@
 	return view.MatchRoute(normalizeHost(request.Host), request.Path)
 }
 
-// serveUnrouted answers a request without a route. A client that gets 404 does not ask again: that there is no route is
-// said only by a configuration that is known to be the newest.
+// serveUnrouted answers a request without a route. A client does not retry after a 404, so only a configuration that is
+// confirmed as the newest gives it; otherwise the answer is 503.
 func (d *Dispatcher) serveUnrouted(responder Responder, request *httpserver.Request, view *fleetview.View) {
 	if view == nil || view.Generation == 0 || !d.confirmed() {
 		d.reject(responder, request, defaultRetryAfter)
@@ -156,6 +147,7 @@
 	_ = responder.WriteResponse(statusNotFound, nil, nil)
 }
 
+// serveRoute answers a request with a route.
 func (d *Dispatcher) serveRoute(responder Responder, request *httpserver.Request, view *fleetview.View,
 	route *configuration.Route) {
 	service := d.pickService(view, route)
@@ -165,12 +157,12 @@
 	}
 	d.counts.requests.Add(1)
 	d.shared.recordRequest(service.Name)
-	r := newClientRequest(d, responder, request, view, route, service)
+	r := newClientRequest(d, responder, request, route, service)
 	r.serve()
 	r.logResult()
 }
 
-// pickService draws the service of a request by the route's weights.
+// pickService draws the service of a request by the weights of the route's targets; nil: there is none.
 func (d *Dispatcher) pickService(view *fleetview.View, route *configuration.Route) *configuration.Service {
 	if len(route.Targets) == 0 {
 		return nil
@@ -181,7 +173,8 @@
 	return view.Services[pickTarget(route.Targets, d.random())]
 }
 
-// pickTarget picks a target by a number in [0, 1). One of weight 0 is never picked while another weighs more.
+// pickTarget returns the service at a point in [0, 1) of the targets' cumulative weights. A target of weight
+// 0 is never picked.
 func pickTarget(targets []configuration.Target, point float64) string {
 	total := 0.0
 	for _, target := range targets {
@@ -202,7 +195,7 @@
 	return picked
 }
 
-// reject promises that a request has not run and never will.
+// reject answers 503, which promises that the request was not executed and will not be.
 func (d *Dispatcher) reject(responder Responder, request *httpserver.Request, retryAfter time.Duration) {
 	d.counts.rejected.Add(1)
 	if retryAfter <= 0 {
@@ -214,7 +207,7 @@
 	_ = responder.WriteResponse(statusUnavailable, fields, nil)
 }
 
-// ownAnswerFields are the fields of an answer that no worker gave.
+// ownAnswerFields returns the fields of an answer that no worker gave.
 func ownAnswerFields(request *httpserver.Request) http1.Header {
 	id := request.Header.Get(fieldRequestID)
 	if id == "" {
--- a/internal/dataplane/dispatch/doc.go
+++ b/internal/dataplane/dispatch/doc.go
@@ -1,15 +1,26 @@
-// Package dispatch handles one request of a client from its route to the last byte of its answer: it
-// asks for a choice of workers, calls them, hands a prompt's memory over from the worker that read it
-// to the one that makes the tokens, and passes the answer on.
+// Package dispatch serves one client request from its route to the last byte of its answer: it asks for
+// a choice of workers, calls them, lets the decode worker fetch the KV cache from the prefill worker, and
+// forwards the answer.
 //
-// Terms. A try is one request of a client, with an X-Request-Id of its own. A run is a call that a
-// worker began to work on. A call that reads a prompt alone is not a run. A handle names the memory of
-// a prompt that was read. Instants are durations on the caller's monotonic clock.
+// It does not choose workers (package selection), speak HTTP (packages httpserver and upstream) or count
+// the retry budget (package retrybudget). Package proxy creates the one Dispatcher of a process.
 //
-// Which answer a try ends with:
+// Terms:
 //
-//   - an answer of a worker, unchanged, where one came whole;
-//   - 503 with Retry-After where no run happened or will happen;
-//   - 502, or 504 once the time is up, where a run may have happened;
-//   - a connection closed before the end where part of the answer had been passed on.
+//   - A client request (clientRequest) has an X-Request-Id of its own. A client that retries sends another.
+//   - A run is a call that asks a worker for the answer. A prefill is a call that computes the prompt's KV
+//     cache alone; it is no run.
+//   - An attempt is a call that counts against the route's maxAttempts, see attemptQuota.
+//   - A handle names the KV cache of a prompt at the worker that computed it.
+//   - A step is one choice of workers and the calls that follow from it; see clientRequest.step.
+//
+// How a client request ends:
+//
+//   - with the answer of a worker, unchanged, if a complete one came;
+//   - with 503 and Retry-After if no run was executed, nor will be;
+//   - with 502, or 504 once the time is up, if a run may have been executed;
+//   - with a connection closed before the end if part of the answer had been forwarded.
+//
+// docs/design/exchange.md has the outcome of every fault of a worker. retry.go says where a retry is
+// allowed. Instants are durations on the caller's monotonic clock.
 package dispatch
--- a/internal/dataplane/dispatch/idlewatcher.go
+++ b/internal/dataplane/dispatch/idlewatcher.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// errIdleTimeout is why a call ended whose worker said nothing for too long.
-var errIdleTimeout = errors.New("dispatch: the worker is silent")
+// errIdleTimeout is the cause of a context that an idleWatcher canceled.
+var errIdleTimeout = errors.New("dispatch: the worker is idle for too long")
 
-// idleWatcher is the context of one call, ended when the worker is silent for too long.
+// idleWatcher holds the context of one call, and cancels it when the worker sends nothing for too long and
+// a retry may follow.
 type idleWatcher struct {
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
-	timer     *time.Timer // nil: silence does not end the call
-	retryPaid atomic.Bool // the repeat that follows the end is paid
+	timer     *time.Timer // nil: the call is never canceled
+	retryPaid atomic.Bool // the call was canceled and its retry is paid for
 }
 
-// newIdleWatcher starts a call's context. After a silence, allow is asked whether the call ends; a silence
-// of 0 stands for no end.
+// newIdleWatcher returns a watcher whose timer runs. When it fires, mayRetry decides whether the call is
+// canceled; it is called from the timer's goroutine. Without a positive timeout the call is never canceled.
 func newIdleWatcher(parent context.Context, timeout time.Duration, mayRetry func() bool) *idleWatcher {
 	ctx, cancel := context.WithCancelCause(parent)
 	w := &idleWatcher{ctx: ctx, cancel: cancel}
@@ -36,24 +37,24 @@
 	return w
 }
 
-// pause stops the time from running, as while the client is written to.
+// pause stops the timer, as while the client is written to.
 func (w *idleWatcher) pause() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 }
 
-// resume starts the time anew.
+// resume restarts the timer.
 func (w *idleWatcher) resume(timeout time.Duration) {
 	if w.timer != nil {
 		w.timer.Reset(timeout)
 	}
 }
 
-// timedOut tells whether silence ended the call.
+// timedOut reports whether the watcher canceled the call.
 func (w *idleWatcher) timedOut() bool { return errors.Is(context.Cause(w.ctx), errIdleTimeout) }
 
-// stop ends the context; it must be called once the call is over.
+// stop cancels the context; it must be called when the call has ended.
 func (w *idleWatcher) stop() {
 	w.pause()
 	w.cancel(nil)
--- a/internal/dataplane/dispatch/kvhandle.go
+++ b/internal/dataplane/dispatch/kvhandle.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxConcurrentFrees is the most calls under way at once that free handles. Beyond it handles lapse by themselves.
+	// maxConcurrentFrees bounds the calls in flight that free handles. Beyond it handles are left to expire.
 	maxConcurrentFrees = 64
 	freeTimeout        = time.Second
 
@@ -22,7 +22,7 @@
 	fieldHost    = "Host"
 )
 
-// transferFields hand the memory over to the worker that is to run the request, and only to one with the same weights.
+// transferFields returns the fields by which a decode worker fetches the KV cache, if it has the same weights.
 func (h *kvHandle) transferFields() http1.Header {
 	fields := http1.Header{{Name: fieldKVFrom, Value: h.worker.Address + "/" + h.id}}
 	if h.version != "" {
@@ -31,7 +31,7 @@
 	return fields
 }
 
-// freeHandle frees the memory of a handle that no worker took. It does not wait for the answer.
+// freeHandle frees the KV cache of a handle that no run used. It does not wait for the answer.
 func (r *clientRequest) freeHandle() {
 	handle := r.handle
 	if handle == nil {
@@ -41,6 +41,7 @@
 	r.dispatcher.freeAsync(handle)
 }
 
+// freeAsync frees a KV cache in a goroutine that ends within freeTimeout and that Shutdown waits for.
 func (d *Dispatcher) freeAsync(handle *kvHandle) {
 	select {
 	case d.frees <- struct{}{}:
@@ -58,7 +59,7 @@
 	}()
 }
 
-// Shutdown waits until no call that frees a handle is under way, or ctx has ended. No handle can be freed after it.
+// Shutdown waits until no call that frees a handle is in flight, or ctx has ended. Handles are not freed after it.
 func (d *Dispatcher) Shutdown(ctx context.Context) {
 	for range cap(d.frees) {
 		select {
@@ -69,7 +70,7 @@
 	}
 }
 
-// freeCall makes the call that frees a handle. It carries no X-Request-Id: a worker takes a call with one for the
+// freeCall returns the call that frees a handle. It has no X-Request-Id: a worker takes a call with one for the
 // request itself and answers 421.
 func freeCall(handle *kvHandle) *upstream.Request {
 	return &upstream.Request{
@@ -83,21 +84,21 @@
 	}
 }
 
-// closeEvents gives up the events of an answer that is not wanted.
+// closeEvents closes the event stream of an answer that is not used.
 func closeEvents(answer *Answer) {
 	if answer != nil && answer.Events != nil {
 		answer.Events.Close()
 	}
 }
 
-// kvHandle names the memory of a prompt at the worker that read it.
+// kvHandle names the KV cache of a prompt at the prefill worker that computed it.
 type kvHandle struct {
 	id      string
 	worker  *fleetview.Worker
-	version string // of the weights that read the prompt; empty: not told
+	version string // of the model's weights; empty: unknown
 }
 
-// parseHandle reads {"prefillHandle":ID,"generation":N,...} and tells whether there is an ID.
+// parseHandle parses {"prefillHandle":ID,"generation":N,...}, and reports whether there is a valid ID.
 func parseHandle(body []byte) (kvHandle, bool) {
 	var handle kvHandle
 	err := jx.DecodeBytes(body).Obj(func(decoder *jx.Decoder, key string) error {
@@ -117,7 +118,7 @@
 	return handle, err == nil && validHandleID(handle.id)
 }
 
-// integerText returns a text that is a whole number as it is, and nothing for any other.
+// integerText returns a text that is a decimal integer, and an empty one for any other.
 func integerText(text string) string {
 	if _, err := strconv.ParseUint(text, 10, 63); err != nil {
 		return ""
@@ -125,7 +126,7 @@
 	return text
 }
 
-// validHandleID tells whether an ID can be part of a header field and of a path.
+// validHandleID reports whether an ID can be part of a header field and of a path.
 func validHandleID(id string) bool {
 	for i := range len(id) {
 		c := id[i]
--- a/internal/dataplane/dispatch/ports.go
+++ b/internal/dataplane/dispatch/ports.go
@@ -11,17 +11,17 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Responder takes the one answer to a request; *front.ResponseWriter is one.
+// Responder writes the one answer to a request; *httpserver.ResponseWriter implements it.
 type Responder interface {
-	// SetWriteTimeout bounds writing to a client that does not read: a write fails that is not done by then, or a moment later.
+	// SetWriteTimeout bounds writes to a client that does not read: one that is not done by then, or a moment later, fails.
 	SetWriteTimeout(after time.Duration)
-	// WriteResponse sends a whole answer.
+	// WriteResponse writes a complete answer.
 	WriteResponse(status int, fields http1.Header, body []byte) error
-	// WriteHeader starts an answer that comes in pieces; its head is written with the first of them.
+	// WriteHeader begins an answer in chunks; its head is written with the first of them.
 	WriteHeader(status int, fields http1.Header) error
-	// WriteChunk writes one piece at once.
-	WriteChunk(piece []byte) error
-	// Finish ends the answer as complete, with a last piece that may be empty.
+	// WriteChunk writes one chunk at once.
+	WriteChunk(chunk []byte) error
+	// Finish ends the answer as complete, with a last chunk that may be empty.
 	Finish(last []byte) error
 	// Abort closes the connection so that the client sees that the answer is not complete.
 	Abort()
@@ -29,7 +29,7 @@
 
 // Workers makes calls to workers.
 type Workers interface {
-	// Do makes a call and returns its answer. It sends nothing a second time. The end of the context ends
+	// Do makes a call and returns its answer. It never sends a call twice. The end of the context cancels
 	// the call, also while Events are read.
 	Do(ctx context.Context, call *upstream.Request) (*Answer, *upstream.Failure)
 }
@@ -37,19 +37,19 @@
 // Answer is a worker's answer.
 type Answer struct {
 	*upstream.Response
-	Events Events // the body of an event stream; nil: the body is whole
+	Events Events // the body of an event stream; nil: the body is complete
 }
 
 // Events is the body of an event stream.
 type Events interface {
 	// Next waits for the next events. It returns io.EOF after a batch with Last.
 	Next() (*upstream.Batch, error)
-	// Close gives the stream up.
+	// Close cancels the stream unless it has been read to its end.
 	Close()
 }
 
-// Chooser decides where requests go; *selection.Selector is one. The dispatcher calls it from one
-// goroutine at a time.
+// Chooser chooses the workers of requests and learns from their calls; *selection.Selector implements it.
+// The dispatcher makes one call to it at a time.
 type Chooser interface {
 	SetView(now time.Duration, view *fleetview.View)
 	Choose(now time.Duration, request *selection.Request, excluded []string) (selection.Choice, selection.Verdict)
@@ -64,12 +64,13 @@
 	Demands(now time.Duration) map[string]roleplanner.Demand
 }
 
-// pooledWorkers makes calls over a pool of connections.
+// pooledWorkers makes calls over the connections of a pool.
 type pooledWorkers struct{ pool *upstream.Pool }
 
-// OverPool returns the workers that a pool reaches.
+// OverPool returns Workers whose calls use the connections of a pool.
 func OverPool(pool *upstream.Pool) Workers { return pooledWorkers{pool} }
 
+// Do implements Workers.
 func (w pooledWorkers) Do(ctx context.Context, call *upstream.Request) (*Answer, *upstream.Failure) {
 	response, failure := w.pool.RoundTrip(ctx, call)
 	if failure != nil {
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -10,25 +10,23 @@
 )
 
 const (
-	// A worker that reads a prompt is given up after prefillTimeoutFactor times the predicted time to the
-	// first event, or the route's objective if that is longer, and prefillSlack more.
+	// A prefill is canceled after prefillTimeoutFactor times the predicted time to the first event, or the
+	// route's latency target if that is longer, and prefillTimeoutMargin more.
 	prefillTimeoutFactor = 3
 	prefillTimeoutMargin = 200 * time.Millisecond
-
-	statusOK = 200
 )
 
-// prefillOutcome is what a call to read a prompt led to.
+// prefillOutcome is the result of a prefill call.
 type prefillOutcome uint8
 
 const (
-	prefillNoHandle  prefillOutcome = iota // no handle; another step is to follow
-	prefillHasHandle                       // there is a handle
-	prefillExecuted                        // the worker ran the request, and the client has its answer
+	prefillNoHandle  prefillOutcome = iota // no handle; another step follows
+	prefillHasHandle                       // clientRequest.handle is set
+	prefillExecuted                        // the worker executed the request, and the client has its answer
 )
 
-// reservePrefill tells whether a call to read the prompt may be made before the run. The first that is
-// taken up is not counted, but it may be rejected and count then.
+// reservePrefill reports whether a prefill may be made before the run. The first one that a worker accepts
+// is not counted, but it may be rejected, and count then.
 func (r *clientRequest) reservePrefill() bool {
 	if r.prefillAccepted {
 		return r.attempts.reserve(2)
@@ -36,7 +34,7 @@
 	return r.attempts.reserve(1)
 }
 
-// prefill has the prompt read. Without a handle the worker is not chosen again.
+// prefill calls the chosen prefill worker. If no handle comes back, that worker is not chosen again.
 func (r *clientRequest) prefill(choice selection.Choice) prefillOutcome {
 	watcher := newIdleWatcher(r.ctx, r.prefillTimeout(choice), r.mayRetryPrefill())
 	defer watcher.stop()
@@ -52,10 +50,12 @@
 	return r.prefillAnswered(call, watcher, choice, answer)
 }
 
+// prefillTimeout returns how long a prefill may take before it is canceled, if mayRetryPrefill grants it.
 func (r *clientRequest) prefillTimeout(choice selection.Choice) time.Duration {
 	return max(prefillTimeoutFactor*choice.TimeToFirstEvent, r.route.TargetLatency) + prefillTimeoutMargin
 }
 
+// prefillFailed follows a prefill without an answer.
 func (r *clientRequest) prefillFailed(call *trackedCall, choice selection.Choice, failure *upstream.Failure) {
 	r.exclude(choice.Prefill)
 	if failure.Result != upstream.NotSent {
@@ -64,7 +64,7 @@
 	r.reportFailure(call, failure)
 }
 
-// countPrefill notes a call that a worker has, or may have, taken up.
+// countPrefill records a prefill that a worker has, or may have, accepted.
 func (r *clientRequest) countPrefill() {
 	if r.prefillAccepted {
 		r.attempts.countAttempt()
@@ -72,6 +72,7 @@
 	r.prefillAccepted = true
 }
 
+// prefillAnswered follows a prefill with an answer: a handle, a rejection, or the answer of a run.
 func (r *clientRequest) prefillAnswered(call *trackedCall, watcher *idleWatcher, choice selection.Choice, answer *Answer) prefillOutcome {
 	closeEvents(answer)
 	if answer.Result != upstream.Answered {
@@ -95,7 +96,7 @@
 	return prefillHasHandle
 }
 
-// prefillRejected follows an answer that says that the worker did not take the call up.
+// prefillRejected follows an answer that says that the worker did not accept the call.
 func (r *clientRequest) prefillRejected(call *trackedCall, choice selection.Choice, answer *Answer) {
 	r.exclude(choice.Prefill)
 	if answer.Result == upstream.Misdirected {
@@ -108,23 +109,24 @@
 	call.rejected(reportedLoad(answer))
 }
 
-// prefillWasExecuted follows a signed answer, or a success without a handle: the worker ran the request
-// instead of reading its prompt.
+// prefillWasExecuted follows a signed answer, or a success without a handle: the worker executed the
+// request in full.
 func (r *clientRequest) prefillWasExecuted(call *trackedCall, watcher *idleWatcher, answer *Answer) prefillOutcome {
 	r.attempts.countAttempt()
-	retry := false
+	var result stepResult
 	if r.validAnswer(answer) {
-		retry = r.runCompleted(call, watcher, answer)
+		result = r.runCompleted(call, watcher, answer)
 	} else {
 		call.failed(selection.FailureBroken)
-		retry = r.afterFailedRun(watcher)
+		result = r.afterFailedRun(watcher)
 	}
-	if retry {
+	if result == nextStep {
 		return prefillNoHandle
 	}
 	return prefillExecuted
 }
 
+// prefillCall returns the call that computes the prompt's KV cache alone.
 func (r *clientRequest) prefillCall(worker *fleetview.Worker) *upstream.Request {
 	fields := r.workerFields(worker, 1)
 	fields = append(fields, http1.HeaderField{Name: fieldStage, Value: stagePrefill})
--- a/internal/dataplane/dispatch/prefill_test.go
+++ b/internal/dataplane/dispatch/prefill_test.go
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestDispatcher_Serve_hungPrefillIsCancelled(t *testing.T) {
+func TestDispatcher_Serve_hungPrefillIsCanceled(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, r *testDispatcher) {
 		r.chooser.offers("p1>d1", "p2>d1")
 		r.script("p1", hangs())
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -13,25 +13,20 @@
 )
 
 const (
-	statusRequestTimeout  = 408
-	statusMisdirected     = 421
-	statusTooManyRequests = 429
-	statusServerError     = 500
-
-	// A worker that is silent before its first event is given up, where the request may be repeated,
-	// after runTimeoutFactor times the predicted time and objectivePatience times the route's objective.
+	// Where a retry is allowed, a run without its first event is canceled after runTimeoutFactor times the
+	// predicted time and targetLatencyFactor times the route's latency target.
 	runTimeoutFactor    = 3
 	targetLatencyFactor = 2
-	// gapTimeoutFactor times the longest pause in time is how long a begun stream may be silent.
+	// A stream is canceled after gapTimeoutFactor times the route's target between its events.
 	gapTimeoutFactor = 5
-	minIdleTimeout   = 600 * time.Millisecond
+	// minIdleTimeout bounds both time-outs from below.
+	minIdleTimeout = 600 * time.Millisecond
 )
 
-// run calls the chosen worker for the answer. It tells whether another step is to follow.
-func (r *clientRequest) run(choice selection.Choice) bool {
+// run calls the chosen worker for the answer, and forwards it.
+func (r *clientRequest) run(choice selection.Choice) stepResult {
 	if !r.attempts.reserve(1) {
-		r.finish()
-		return false
+		return r.finish()
 	}
 	r.exclude(choice.Run)
 	r.runs++
@@ -51,17 +46,17 @@
 	return r.runAnswered(call, watcher, answer)
 }
 
-// runFailed follows a call without a whole answer.
-func (r *clientRequest) runFailed(call *trackedCall, watcher *idleWatcher, failure *upstream.Failure) bool {
+// runFailed follows a run without a complete answer.
+func (r *clientRequest) runFailed(call *trackedCall, watcher *idleWatcher, failure *upstream.Failure) stepResult {
 	r.reportFailure(call, failure)
 	if failure.Result == upstream.NotSent {
-		return true
+		return nextStep
 	}
 	r.attempts.countAttempt()
 	return r.afterFailedRun(watcher)
 }
 
-// reportFailure tells the chooser how a call ended that has no whole answer.
+// reportFailure ends a call without a complete answer towards the chooser.
 func (r *clientRequest) reportFailure(call *trackedCall, failure *upstream.Failure) {
 	switch {
 	case r.clientLeft():
@@ -77,9 +72,9 @@
 	}
 }
 
-// runAnswered follows an answer.
-func (r *clientRequest) runAnswered(call *trackedCall, watcher *idleWatcher, answer *Answer) bool {
-	r.trace.recordLoad(answer, true)
+// runAnswered follows a run with an answer.
+func (r *clientRequest) runAnswered(call *trackedCall, watcher *idleWatcher, answer *Answer) stepResult {
+	r.trace.recordLoad(answer)
 	switch answer.Result {
 	case upstream.NotExecuted:
 		return r.runRejected(call, answer)
@@ -99,21 +94,23 @@
 	return r.runCompleted(call, watcher, answer)
 }
 
-// runMisdirected follows an answer that says that the call was not meant for the worker.
-func (r *clientRequest) runMisdirected(call *trackedCall, answer *Answer) bool {
+// runMisdirected follows a 421: the call was not meant for this worker, or its handle is of other weights.
+// The request was not executed.
+func (r *clientRequest) runMisdirected(call *trackedCall, answer *Answer) stepResult {
 	closeEvents(answer)
 	r.attempts.release()
 	if r.hasOtherVersion(answer) {
 		call.failed(selection.FailureTransfer)
 		r.freeHandle()
-		return true
+		return nextStep
 	}
 	call.failed(selection.FailureMisrouted)
-	return true
+	return nextStep
 }
 
-// runRejected follows an answer that says that the request has not run.
-func (r *clientRequest) runRejected(call *trackedCall, answer *Answer) bool {
+// runRejected follows an answer that says that the request was not executed. A worker with capacity that
+// rejects a handle no longer has its KV cache; if it is full, the handle is kept for the next worker.
+func (r *clientRequest) runRejected(call *trackedCall, answer *Answer) stepResult {
 	closeEvents(answer)
 	r.attempts.countAttempt()
 	r.recordRetryAfter(answer)
@@ -121,14 +118,14 @@
 	if r.handle != nil && hasCapacity(load) {
 		call.failed(selection.FailureTransfer)
 		r.freeHandle()
-		return true
+		return nextStep
 	}
 	call.rejected(load)
-	return true
+	return nextStep
 }
 
-// runCompleted follows an answer whose body was read whole.
-func (r *clientRequest) runCompleted(call *trackedCall, watcher *idleWatcher, answer *Answer) bool {
+// runCompleted follows a valid answer whose body is complete.
+func (r *clientRequest) runCompleted(call *trackedCall, watcher *idleWatcher, answer *Answer) stepResult {
 	switch {
 	case answer.Status >= statusServerError || promisesNotExecuted(answer.Status):
 		call.failed(selection.FailureStatus)
@@ -144,10 +141,12 @@
 		r.trace.recordFirstEvent(r.dispatcher.now())
 		call.done(reportedLoad(answer))
 		r.forward(answer)
-		return false
+		return requestFinished
 	}
 }
 
+// runCall returns the call that asks a worker for the answer: from the handle if there is one, and after
+// the last event sent if a stream is resumed.
 func (r *clientRequest) runCall(worker *fleetview.Worker) *upstream.Request {
 	fields := r.workerFields(worker, 3)
 	if r.handle != nil {
@@ -168,15 +167,15 @@
 	}
 }
 
-// recordCall notes a call to an address, and tells whether it is a further one for the request. A late second answer to an earlier
-// call bears the same ID, so that only another connection tells them apart.
+// recordCall records a call to an address, and reports whether it is a repeated one of the request. A late answer to the
+// earlier call has the same ID, so that only a fresh connection keeps them apart.
 func (r *clientRequest) recordCall(address string) bool {
 	repeated := slices.Contains(r.calledAddresses, address)
 	r.calledAddresses = append(r.calledAddresses, address)
 	return repeated
 }
 
-// workerFields are the fields that every call for the request has, with room for more.
+// workerFields returns the fields that every call of the request has, with capacity for extra more.
 func (r *clientRequest) workerFields(worker *fleetview.Worker, extra int) http1.Header {
 	fields := withoutFields(r.request.Header, systemFields, 3+extra)
 	fields = append(fields,
@@ -189,7 +188,7 @@
 	return fields
 }
 
-// urgency is the value of the field Priority in a call: a request whose prompt has been read comes first.
+// urgency returns the value of the field Priority: a run whose prompt has been prefilled is served first.
 func (r *clientRequest) urgency() int {
 	if r.handle != nil {
 		return 0
@@ -197,7 +196,8 @@
 	return r.trace.choice.Urgency
 }
 
-// runTimeout is how long a worker may be silent before its first event or its whole answer; 0: until the limit.
+// runTimeout returns how long a run may take to its first event, or its complete answer, before it is
+// canceled; 0: until the request's deadline.
 func (r *clientRequest) runTimeout(choice selection.Choice) time.Duration {
 	if !r.retryAllowed() {
 		return 0
@@ -206,6 +206,7 @@
 	return max(timeout, minIdleTimeout)
 }
 
+// recordRetryAfter remembers the Retry-After of a rejection, for the client if nothing else succeeds.
 func (r *clientRequest) recordRetryAfter(answer *Answer) {
 	if retryAfter := parseRetryAfter(answer.Header.Get(fieldRetryAfter)); retryAfter > 0 {
 		r.retryAfter = retryAfter
--- a/internal/dataplane/dispatch/sharedstate.go
+++ b/internal/dataplane/dispatch/sharedstate.go
@@ -10,68 +10,72 @@
 	"ospreybend/internal/dataplane/selection"
 )
 
-// sharedState lets the requests' goroutines use the chooser and the budgets, one at a time.
+// sharedState is what the goroutines of all requests share. No call to a worker or client is made while
+// its mutex is held.
 type sharedState struct {
 	now      func() time.Duration
-	mutex    sync.Mutex
-	chooser  Chooser
-	budgets  *retrybudget.Budgets
-	onChange func() // called when calls have begun, been answered or ended; must not block
+	onChange func() // called when calls have been sent, answered or ended; must not block
+
+	mutex   sync.Mutex // guards chooser and budgets
+	chooser Chooser
+	budgets *retrybudget.Budgets
 }
 
-func (g *sharedState) setView(view *fleetview.View) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	now := g.now()
-	g.chooser.SetView(now, view)
-	g.budgets.Retain(now, func(service string) bool { return view.Services[service] != nil })
+// setView applies a view to the chooser, and drops the retry budgets of services that are gone.
+func (s *sharedState) setView(view *fleetview.View) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	now := s.now()
+	s.chooser.SetView(now, view)
+	s.budgets.Retain(now, func(service string) bool { return view.Services[service] != nil })
 }
 
 // recordRequest counts a client's request for a service.
-func (g *sharedState) recordRequest(service string) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.budgets.RecordRequest(g.now(), service)
+func (s *sharedState) recordRequest(service string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.budgets.RecordRequest(s.now(), service)
 }
 
-// spendBudget takes one call beyond the first of a request out of the budget.
-func (g *sharedState) spendBudget(service string, nodes int) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.budgets.TrySpend(g.now(), service, nodes)
+// spendBudget takes one call from the retry budget of a service, and reports whether it was there.
+func (s *sharedState) spendBudget(service string, nodes int) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.budgets.TrySpend(s.now(), service, nodes)
 }
 
-func (g *sharedState) choose(request *selection.Request, excluded []string) (selection.Choice, selection.Verdict) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.chooser.Choose(g.now(), request, excluded)
+// choose returns the workers of a request and whether it is admitted.
+func (s *sharedState) choose(request *selection.Request, excluded []string) (selection.Choice, selection.Verdict) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.chooser.Choose(s.now(), request, excluded)
 }
 
-// sent notes a call that is made now.
-func (g *sharedState) sent(request *selection.Request, kind selection.CallKind, choice selection.Choice) *trackedCall {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	defer g.onChange()
-	return &trackedCall{shared: g, call: g.chooser.Sent(g.now(), request, kind, choice)}
+// sent records a call that is being sent.
+func (s *sharedState) sent(request *selection.Request, kind selection.CallKind, choice selection.Choice) *trackedCall {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	defer s.onChange()
+	return &trackedCall{shared: s, call: s.chooser.Sent(s.now(), request, kind, choice)}
 }
 
-// outstanding returns what this node has under way at workers.
-func (g *sharedState) outstanding() []selection.Outstanding {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.chooser.Outstanding(g.now())
+// outstanding returns this node's calls in flight, by worker.
+func (s *sharedState) outstanding() []selection.Outstanding {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.chooser.Outstanding(s.now())
 }
 
-// setPeerLoad takes in what another node has under way.
-func (g *sharedState) setPeerLoad(node uint64, list []selection.Outstanding) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.chooser.SetPeerLoad(g.now(), node, list)
+// setPeerLoad replaces what another node has in flight.
+func (s *sharedState) setPeerLoad(node uint64, list []selection.Outstanding) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.chooser.SetPeerLoad(s.now(), node, list)
 }
 
-// demands returns what requests have brought to each service whose workers have stages.
-func (g *sharedState) demands() map[string]roleplanner.Demand {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.chooser.Demands(g.now())
+// demands returns the demand of each service whose workers have stages.
+func (s *sharedState) demands() map[string]roleplanner.Demand {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.chooser.Demands(s.now())
 }
--- a/internal/dataplane/dispatch/stream.go
+++ b/internal/dataplane/dispatch/stream.go
@@ -10,27 +10,28 @@
 	"ospreybend/internal/dataplane/upstream"
 )
 
-// maxLoadAge is how old the load that a stream's head told may be when the stream ends.
+// maxLoadAge is how old the load in a stream's head may be at the stream's end to count as the worker's load.
 const maxLoadAge = 500 * time.Millisecond
 
-// errUnorderedEvent is why a stream is cut that goes on with an event of which nobody can tell whether it was passed on.
-var errUnorderedEvent = errors.New("dispatch: an event of a resumed stream has no place")
+// errUnorderedEvent ends a resumed stream with an event that cannot be ordered among those already sent.
+var errUnorderedEvent = errors.New("dispatch: an event of a resumed stream cannot be ordered")
 
-// streamProgress is how far a stream has been passed on.
+// streamProgress is how much of a stream has been sent to the client. Another worker may resume it after
+// the last event if all events are numbered.
 type streamProgress struct {
-	started         bool   // a part of the answer was written to the client
-	numbered        bool   // an event with an ID was passed on
-	lastEventID     string // of the last event passed on
+	started         bool   // a part of the answer was sent
+	numbered        bool   // an event with a number as its ID was sent
+	lastEventID     string // of the last one
 	lastEventNumber int64
-	unnumbered      bool // an event was passed on whose ID is missing or no number
-	resumed         bool // another worker than the first goes on
-	skipping        bool // the events that come were passed on already
+	unnumbered      bool // an event was sent whose ID is missing or no number
+	resumed         bool // the stream comes from another worker than the first
+	skipping        bool // the events received were already sent
 }
 
-// resumable tells whether another worker can go on behind the last event passed on.
+// resumable reports whether another worker can continue after the last event sent.
 func (p *streamProgress) resumable() bool { return !p.started || (p.numbered && !p.unnumbered) }
 
-// record takes an event that is passed on.
+// record records an event that is being sent.
 func (p *streamProgress) record(event *upstream.Event) {
 	number, err := strconv.ParseInt(event.ID, 10, 64)
 	if !event.HasID || err != nil {
@@ -42,17 +43,17 @@
 	p.lastEventNumber = number
 }
 
-// isComment tells whether an event carries nothing.
+// isComment reports whether an event is a comment, which has no data.
 func isComment(event *upstream.Event) bool { return len(event.Raw) > 0 && event.Raw[0] == ':' }
 
-// beginResume prepares for the events of another worker.
+// beginResume prepares for the events of another run.
 func (p *streamProgress) beginResume() {
 	p.resumed = p.started
 	p.skipping = true
 }
 
-// alreadySent tells whether an event of a later worker was passed on already. One without an ID belongs to
-// the event before it.
+// alreadySent reports whether an event of a resumed stream was sent by an earlier run. An event without an
+// ID belongs to the one before it.
 func (p *streamProgress) alreadySent(event *upstream.Event) bool {
 	if !event.HasID {
 		return p.skipping
@@ -61,8 +62,8 @@
 	return err == nil && number <= p.lastEventNumber
 }
 
-// ordered tells whether each event of a batch has a place among those passed on: one of a later worker whose ID is no number
-// has none.
+// ordered reports whether each event of a batch can be ordered among those already sent: in a resumed
+// stream one whose ID is no number cannot.
 func (p *streamProgress) ordered(batch *upstream.Batch) bool {
 	if !p.resumed || !p.numbered {
 		return true
@@ -76,7 +77,7 @@
 	return true
 }
 
-// unsent returns the bytes of a batch that are to be passed on, and notes its events.
+// unsent returns the bytes of a batch that are to be sent, and records its events.
 func (p *streamProgress) unsent(batch *upstream.Batch) []byte {
 	if !p.resumed || !p.numbered {
 		for i := range batch.Events {
@@ -97,8 +98,8 @@
 	return unsent
 }
 
-// relayEvents passes a stream on. It tells whether another step is to follow.
-func (r *clientRequest) relayEvents(call *trackedCall, watcher *idleWatcher, answer *Answer) bool {
+// relayEvents forwards the events of a stream until it ends.
+func (r *clientRequest) relayEvents(call *trackedCall, watcher *idleWatcher, answer *Answer) stepResult {
 	defer answer.Events.Close()
 	if r.progress.started {
 		r.dispatcher.counts.resumed.Add(1)
@@ -125,18 +126,18 @@
 		}
 		if !r.forwardBatch(answer, batch) {
 			call.abandoned()
-			r.dispatcher.counts.cancelled.Add(1)
+			r.dispatcher.counts.canceled.Add(1)
 			r.responder.Abort()
-			return false
+			return requestFinished
 		}
 		if batch.Last {
 			call.done(r.streamLoad(answer))
-			return false
+			return requestFinished
 		}
 	}
 }
 
-// forwardBatch writes what is new of a batch, and tells whether the client took it.
+// forwardBatch writes what is unsent of a batch, and reports whether the client could be written to.
 func (r *clientRequest) forwardBatch(answer *Answer, batch *upstream.Batch) bool {
 	chunk := r.progress.unsent(batch)
 	if len(chunk) == 0 && !batch.Last {
@@ -155,8 +156,8 @@
 	return r.responder.WriteChunk(chunk) == nil
 }
 
-// streamFailed follows a stream that ended before its last piece.
-func (r *clientRequest) streamFailed(call *trackedCall, watcher *idleWatcher, err error) bool {
+// streamFailed follows a stream that ended before its last event.
+func (r *clientRequest) streamFailed(call *trackedCall, watcher *idleWatcher, err error) stepResult {
 	var failure *upstream.Failure
 	if !errors.As(err, &failure) {
 		failure = &upstream.Failure{Result: upstream.Broken, Reason: upstream.ReadError, Err: err}
@@ -168,7 +169,7 @@
 	return r.afterFailedRun(watcher)
 }
 
-// eventTimeout is how long a worker may be silent before its next event.
+// eventTimeout returns how long a stream may take to its next event before it is canceled.
 func (r *clientRequest) eventTimeout(first bool) time.Duration {
 	if first {
 		return max(targetLatencyFactor*r.route.TargetLatency, minIdleTimeout)
@@ -176,7 +177,7 @@
 	return max(gapTimeoutFactor*r.route.InterTokenTarget, minIdleTimeout)
 }
 
-// streamLoad is the load that the stream's head told, unless that was long ago.
+// streamLoad returns the load that the stream's head reported, unless it is older than maxLoadAge.
 func (r *clientRequest) streamLoad(answer *Answer) *selection.Load {
 	if time.Since(answer.HeadReceivedAt) > maxLoadAge {
 		return nil
--- a/internal/dataplane/dispatch/trace.go
+++ b/internal/dataplane/dispatch/trace.go
@@ -9,53 +9,61 @@
 	"ospreybend/internal/dataplane/selection"
 )
 
-// trace is what the log tells of a request's last way through the workers.
+// trace is what the debug log says of a request's last choice and run.
 type trace struct {
 	choice          selection.Choice
-	prefillTime     time.Duration // that the last call to read the prompt took
-	runSentAt       time.Duration // when the last run was sent; 0: none
-	firstEventAt    time.Duration // when its first event, or its whole answer, had come; 0: none
-	reportedRunning int           // load that the last answer's head told
+	prefillTime     time.Duration // of the last prefill
+	runSentAt       time.Duration // of the last run; 0: none
+	firstEventAt    time.Duration // of its first event, or its complete answer; 0: none
+	reportedRunning int           // load that the last run's worker reported
 	reportedWaiting int
-	reportedByRun   bool // that answer was the run's
+	loadReported    bool
 }
 
-// recordLoad takes in the load of an answer's head.
-func (t *trace) recordLoad(answer *Answer, ofRun bool) {
+// recordLoad records the load that the worker of a run reported.
+func (t *trace) recordLoad(answer *Answer) {
 	if answer.Load != nil {
-		t.reportedRunning, t.reportedWaiting, t.reportedByRun = answer.Load.Running, answer.Load.Waiting, ofRun
+		t.reportedRunning, t.reportedWaiting, t.loadReported = answer.Load.Running, answer.Load.Waiting, true
 	}
 }
 
-// recordFirstEvent takes in that the first event of a run has come.
+// recordFirstEvent records that the first event of a run has arrived.
 func (t *trace) recordFirstEvent(now time.Duration) {
 	if t.firstEventAt == 0 {
 		t.firstEventAt = now
 	}
 }
 
+// logResult writes the debug log line of a request that is finished.
 func (r *clientRequest) logResult() {
-	entry := r.dispatcher.log.Check(zapcore.DebugLevel, "request")
+	entry := r.dispatcher.log.Check(zapcore.DebugLevel, "request finished")
 	if entry == nil {
 		return
 	}
 	fields := []zap.Field{
-		zap.String("id", r.request.Header.Get(fieldRequestID)),
+		zap.String("requestId", r.request.Header.Get(fieldRequestID)),
 		zap.String("route", r.route.Name),
 		zap.Int("status", r.status),
 		zap.Int("runs", r.runs),
-		zap.Int("prompt", r.criteria.PromptTokens),
-		zap.Duration("took", r.dispatcher.now()-r.criteria.Arrived),
+		zap.Int("promptTokens", r.criteria.PromptTokens),
+		zap.Duration("duration", r.dispatcher.now()-r.criteria.Arrived),
 	}
 	if r.trace.choice.Prefill != nil {
-		fields = append(fields, zap.String("prefill", r.trace.choice.Prefill.ID), zap.Duration("read", r.trace.prefillTime))
+		fields = append(fields,
+			zap.String("prefillWorker", r.trace.choice.Prefill.ID),
+			zap.Duration("prefillTime", r.trace.prefillTime))
 	}
 	if r.trace.choice.Run != nil {
-		fields = append(fields, zap.String("run", r.trace.choice.Run.ID), zap.Duration("predicted", r.trace.choice.TimeToFirstEvent))
+		fields = append(fields,
+			zap.String("runWorker", r.trace.choice.Run.ID),
+			zap.Duration("predictedFirstEvent", r.trace.choice.TimeToFirstEvent))
 	}
 	if r.trace.firstEventAt > 0 {
-		fields = append(fields, zap.Duration("first", r.trace.firstEventAt-r.trace.runSentAt),
-			zap.Int("running", r.trace.reportedRunning), zap.Int("waiting", r.trace.reportedWaiting), zap.Bool("run's load", r.trace.reportedByRun))
+		fields = append(fields,
+			zap.Duration("firstEvent", r.trace.firstEventAt-r.trace.runSentAt),
+			zap.Int("workerRunning", r.trace.reportedRunning),
+			zap.Int("workerWaiting", r.trace.reportedWaiting),
+			zap.Bool("loadReported", r.trace.loadReported))
 	}
 	entry.Write(fields...)
 }
--- a/internal/dataplane/dispatch/trackedcall.go
+++ b/internal/dataplane/dispatch/trackedcall.go
@@ -6,14 +6,15 @@
 	"ospreybend/internal/dataplane/selection"
 )
 
-// trackedCall is a call that the chooser knows of. The first of done, rejected, failed and
-// abandoned counts; what comes after it has no effect.
+// trackedCall is a call in flight that the chooser knows of. It ends by the first of done, rejected, failed
+// and abandoned; later ones have no effect.
 type trackedCall struct {
 	shared *sharedState
 	call   *selection.Call
 	closed bool
 }
 
+// firstEvent reports that the first event of the answer has arrived.
 func (t *trackedCall) firstEvent() {
 	t.shared.mutex.Lock()
 	defer t.shared.mutex.Unlock()
@@ -21,18 +22,22 @@
 	t.shared.onChange()
 }
 
+// done ends a call with a usable answer. Load is what it reported; nil: nothing.
 func (t *trackedCall) done(load *selection.Load) {
 	t.end(func(now time.Duration) { t.shared.chooser.Done(now, t.call, load) })
 }
 
+// rejected ends a call that the worker did not execute.
 func (t *trackedCall) rejected(load *selection.Load) {
 	t.end(func(now time.Duration) { t.shared.chooser.Rejected(now, t.call, load) })
 }
 
+// failed ends a call without a usable answer.
 func (t *trackedCall) failed(cause selection.Failure) {
 	t.end(func(now time.Duration) { t.shared.chooser.Failed(now, t.call, cause) })
 }
 
+// abandoned ends a call whose client has left.
 func (t *trackedCall) abandoned() {
 	t.end(func(now time.Duration) { t.shared.chooser.Abandoned(now, t.call) })
 }
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -61,7 +61,7 @@
 		{"dispatch_refused", counts.Rejected},
 		{"dispatch_failed", counts.Failed},
 		{"dispatch_broken", counts.Aborted},
-		{"dispatch_left", counts.Cancelled},
+		{"dispatch_left", counts.Canceled},
 		{"dispatch_prefills", counts.Prefills},
 		{"dispatch_runs", counts.Runs},
 		{"dispatch_repeats", counts.Retries},
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -54,7 +54,7 @@
 	var text strings.Builder
 	appendMetrics(&text, viewMetrics(nil))
 	appendMetrics(&text, viewMetrics(view))
-	appendMetrics(&text, dispatchMetrics(dispatch.Counts{Requests: 1, Unrouted: 2, Rejected: 3, Failed: 4, Aborted: 5, Cancelled: 6,
+	appendMetrics(&text, dispatchMetrics(dispatch.Counts{Requests: 1, Unrouted: 2, Rejected: 3, Failed: 4, Aborted: 5, Canceled: 6,
 		Prefills: 7, Runs: 8, Retries: 9, Resumed: 10, HandlesFreed: 11, HandlesDropped: 12}))
 	appendMetrics(&text, serverMetrics(httpserver.Counts{Accepted: 13, Rejected: 14, Evicted: 15, Requests: 16, Malformed: 17,
 		TimedOut: 18, ClientsGone: 19, DuplicateResponses: 20, MissingResponses: 21, AbortedResponses: 22, Open: 23, InFlight: 24}))
