--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -57,12 +57,12 @@
 	defer c.close()
 	c.startIdle()
 	for {
-		reader, statusErr, err := c.readRequest()
-		switch {
-		case err != nil:
-			return
-		case statusErr != nil:
-			c.reject(statusErr)
+		reader, err := c.readRequest()
+		if err != nil {
+			var statusErr *http1.StatusError
+			if errors.As(err, &statusErr) {
+				c.reject(statusErr)
+			}
 			return
 		}
 		if !c.handleRequest(reader) {
@@ -316,7 +316,7 @@
 // reject answers a request that cannot be read, and closes the connection after the client.
 func (c *conn) reject(statusErr *http1.StatusError) {
 	if isLimitExceeded(statusErr) && !c.server.limitsConfirmed() {
-		statusErr = &errLimitsUnconfirmed
+		statusErr = errLimitsUnconfirmed
 	}
 	switch statusErr.Status {
 	case http.StatusRequestTimeout:
--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -17,11 +17,11 @@
 )
 
 var (
-	errOverloaded     = http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the server is overloaded"}
-	errRequestTimeout = http1.StatusError{Status: http.StatusRequestTimeout, Reason: "the request was not received in time"}
+	errOverloaded     = &http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the server is overloaded"}
+	errRequestTimeout = &http1.StatusError{Status: http.StatusRequestTimeout, Reason: "the request was not received in time"}
 	// errLimitsUnconfirmed replaces an error about a limit that may not be in force any more.
-	errLimitsUnconfirmed = http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the limits in force are not known"}
-	errBodyTooLarge      = http1.StatusError{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	errLimitsUnconfirmed = &http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the limits in force are not known"}
+	errBodyTooLarge      = &http1.StatusError{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
 )
 
 // requestReader reads one request.
@@ -34,31 +34,35 @@
 	headRead    bool
 	request     *Request
 	head        http1.Head
+
+	expectsContinue bool // the client waits for an interim response before it sends the body
 }
 
-// readRequest reads the next request. statusErr is answered to the client; err is an error of the connection, which is not.
-func (c *conn) readRequest() (reader *requestReader, statusErr *http1.StatusError, err error) {
+// readRequest reads the next request. It returns a *http1.StatusError that is to be answered to the client, or an error of the
+// connection.
+func (c *conn) readRequest() (*requestReader, error) {
 	for c.input.Len() == 0 {
 		if err := c.readMore(); err != nil {
-			return nil, nil, err
+			return nil, err
 		}
 	}
 	c.setState(reading)
-	reader = &requestReader{conn: c, limits: c.server.limits(), startedAt: time.Now(), request: &Request{FirstByteAt: c.server.now()}}
+	reader := &requestReader{conn: c, limits: c.server.limits(), startedAt: time.Now(), request: &Request{FirstByteAt: c.server.now()}}
 	reader.rules = http1.ParseRules{MaxHeadBytes: reader.limits.MaxHeaderBytes, MaxBodyBytes: reader.limits.MaxBodyBytes, Strict: true}
-	if statusErr, err = reader.readHead(); statusErr == nil && err == nil {
-		statusErr, err = reader.readBody()
+	err := reader.readHead()
+	if err == nil {
+		err = reader.readBody()
 	}
-	if statusErr != nil || err != nil {
+	if err != nil {
 		c.server.bodyBytes.Add(-int64(cap(reader.request.Body)))
-		return nil, statusErr, err
+		return nil, err
 	}
 	reader.request.ReadAt = c.server.now()
-	return reader, nil, nil
+	return reader, nil
 }
 
 // readMore reads further bytes of the request, until its deadline.
-func (r *requestReader) readMore() (*http1.StatusError, error) {
+func (r *requestReader) readMore() error {
 	r.setDeadline()
 	return r.mapTimeout(r.conn.readMore())
 }
@@ -81,28 +85,29 @@
 }
 
 // mapTimeout turns a time-out into the error that is answered to the client.
-func (r *requestReader) mapTimeout(err error) (*http1.StatusError, error) {
+func (r *requestReader) mapTimeout(err error) error {
 	if err != nil && isTimeout(err) {
-		return &errRequestTimeout, nil
+		return errRequestTimeout
 	}
-	return nil, err
+	return err
 }
 
-func (r *requestReader) readHead() (*http1.StatusError, error) {
+// readHead reads the head and copies it into the request.
+func (r *requestReader) readHead() error {
 	c := r.conn
 	reader := http1.HeadReader{Kind: http1.Request, Rules: r.rules}
 	for {
 		used, statusErr := reader.Read(c.input.Bytes(), &r.head)
 		switch {
 		case statusErr != nil:
-			return statusErr, nil
+			return statusErr
 		case used > 0:
 			r.copyHead()
 			c.input.Discard(used)
-			return nil, nil
+			return nil
 		}
-		if statusErr, err := r.readMore(); statusErr != nil || err != nil {
-			return statusErr, err
+		if err := r.readMore(); err != nil {
+			return err
 		}
 	}
 }
@@ -117,26 +122,22 @@
 	header := r.head.Header()
 	request.Host = header.Get("Host")
 	request.Header = http1.HopByHopOf(header).Strip(header)
-	expects := r.head.ExpectsContinue()
+	r.expectsContinue = r.head.ExpectsContinue()
 	r.headRead, r.deadlineSet = true, false
 	r.head.Method, r.head.Target, r.head.RawHeader = nil, nil, nil
-	if expects {
-		r.head.RawHeader = []http1.RawHeaderField{expectField}
-	}
 }
 
-var expectField = http1.RawHeaderField{Name: []byte("Expect"), Value: []byte("100-continue")}
-
-func (r *requestReader) readBody() (*http1.StatusError, error) {
+// readBody reads the body, if there is one.
+func (r *requestReader) readBody() error {
 	if r.head.ContentLength > r.limits.MaxBodyBytes {
-		return &errBodyTooLarge, nil
+		return errBodyTooLarge
 	}
 	body := http1.NewRequestBodyReader(&r.head, &r.rules)
 	if body.Done {
-		return nil, nil
+		return nil
 	}
 	if err := r.sendContinue(); err != nil {
-		return nil, err
+		return err
 	}
 	if body.Chunked {
 		return r.readChunkedBody(&body)
@@ -146,7 +147,7 @@
 
 // sendContinue asks a client that waits for it to send its body.
 func (r *requestReader) sendContinue() error {
-	if !r.head.ExpectsContinue() || r.head.HTTP10 || r.conn.input.Len() > 0 {
+	if !r.expectsContinue || r.head.HTTP10 || r.conn.input.Len() > 0 {
 		return nil
 	}
 	_ = r.conn.socket.SetWriteDeadline(time.Now().Add(r.conn.server.writeTimeout))
@@ -156,11 +157,11 @@
 
 // readFixedBody reads a body of a known length. Memory is allocated as bytes are received, since a Content-Length costs the client
 // nothing.
-func (r *requestReader) readFixedBody(length int) (*http1.StatusError, error) {
+func (r *requestReader) readFixedBody(length int) error {
 	c, request := r.conn, r.request
 	for len(request.Body) < length {
 		if !r.growBody(length) {
-			return &errOverloaded, nil
+			return errOverloaded
 		}
 		space := request.Body[len(request.Body):min(length, cap(request.Body))]
 		if c.input.Len() > 0 {
@@ -176,7 +177,7 @@
 			return r.mapTimeout(err)
 		}
 	}
-	return nil, nil
+	return nil
 }
 
 // growBody makes room for more of the body. It returns false at the limit Options.MaxBufferedBodyBytes.
@@ -199,40 +200,40 @@
 }
 
 // readChunkedBody reads a body in chunks.
-func (r *requestReader) readChunkedBody(body *http1.BodyReader) (*http1.StatusError, error) {
+func (r *requestReader) readChunkedBody(body *http1.BodyReader) error {
 	c, request := r.conn, r.request
 	framing := 0
 	for !body.Done {
 		data, used, statusErr := body.Next(c.input.Bytes())
 		switch {
 		case statusErr != nil:
-			return statusErr, nil
+			return statusErr
 		case len(request.Body)+len(data) > r.limits.MaxBodyBytes:
-			return &errBodyTooLarge, nil
+			return errBodyTooLarge
 		}
-		if statusErr := r.appendBody(data); statusErr != nil {
-			return statusErr, nil
+		if err := r.appendBody(data); err != nil {
+			return err
 		}
 		c.input.Discard(used)
 		if framing += used - len(data); framing > maxChunkFraming+len(request.Body) {
-			return &errBodyTooLarge, nil
+			return errBodyTooLarge
 		}
 		if used > 0 {
 			continue
 		}
-		if statusErr, err := r.readMore(); statusErr != nil || err != nil {
-			return statusErr, err
+		if err := r.readMore(); err != nil {
+			return err
 		}
 	}
-	return nil, nil
+	return nil
 }
 
 // appendBody appends the data of a chunk.
-func (r *requestReader) appendBody(data []byte) *http1.StatusError {
+func (r *requestReader) appendBody(data []byte) error {
 	request := r.request
 	for len(data) > 0 {
 		if !r.growBody(r.limits.MaxBodyBytes) {
-			return &errOverloaded
+			return errOverloaded
 		}
 		n := min(len(data), cap(request.Body)-len(request.Body))
 		request.Body = append(request.Body, data[:n]...)
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -38,7 +38,7 @@
 	options Options
 	counts  counters
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards all up to idleNotify, and the states and deadlines of connections
 	listeners  map[net.Listener]struct{}
 	conns      map[*conn]struct{}
 	drainGrace time.Duration // of idle connections; valid while draining
@@ -216,7 +216,7 @@
 		s.mu.Unlock()
 	}()
 	_ = socket.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
-	if _, err := socket.Write(s.appendErrorResponse(nil, &errOverloaded)); err == nil {
+	if _, err := socket.Write(s.appendErrorResponse(nil, errOverloaded)); err == nil {
 		closeAfterLinger(socket)
 	}
 }
