--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -35,28 +35,33 @@
 
 // Server serves HTTP/1.1 on one or more listeners.
 type Server struct {
-	options Options
-	counts  counters
+	// immutable
+	options      Options
+	now          func() time.Time
+	maxConns     int
+	writeTimeout time.Duration
+	retryAfter   string // of rejections
+
+	counts    counters
+	draining  atomic.Bool
+	bodyBytes atomic.Int64 // of the request bodies in memory
 
-	mu         sync.Mutex // guards all up to idleNotify, and the states and deadlines of connections
+	mu         sync.Mutex // guards all below, and the states and deadlines of connections
 	listeners  map[net.Listener]struct{}
 	conns      map[*conn]struct{}
 	drainGrace time.Duration // of idle connections; valid while draining
 	closed     bool
-	rejecting  int
+	rejecting  int           // connections that are being answered 503
 	busy       int           // connections that handle a request or linger
 	idleNotify chan struct{} // closed when busy is 0; nil if no one waits
-
-	draining     atomic.Bool
-	bodyBytes    atomic.Int64 // of the request bodies in memory
-	now          func() time.Time
-	maxConns     int
-	writeTimeout time.Duration
-	retryAfter   string
 }
 
+// counters are the live values of Counts.
 type counters struct {
-	accepted, rejected, evicted, requests, malformed, timedOut, clientsGone, duplicateResponses, missingResponses, abortedResponses, inFlight atomic.Int64
+	accepted, rejected, evicted                            atomic.Int64 // connections
+	requests, malformed, timedOut, inFlight                atomic.Int64 // requests
+	clientsGone                                            atomic.Int64
+	duplicateResponses, missingResponses, abortedResponses atomic.Int64
 }
 
 // New returns a server. It serves nothing until Serve is called.
@@ -72,6 +77,7 @@
 	return server
 }
 
+// positiveOr returns value if it is above zero, and otherwise the other.
 func positiveOr[T int | time.Duration](value, otherwise T) T {
 	if value > 0 {
 		return value
@@ -117,6 +123,7 @@
 	}
 }
 
+// track records a listener, and returns false if the server is closed.
 func (s *Server) track(listener net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,6 +157,7 @@
 	s.reject(socket)
 }
 
+// add records a connection, and returns false at the limit of connections or if the server is closed.
 func (s *Server) add(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,6 +216,7 @@
 	go s.rejectOverloaded(socket)
 }
 
+// rejectOverloaded writes the 503 to a connection and closes it.
 func (s *Server) rejectOverloaded(socket net.Conn) {
 	defer func() {
 		_ = socket.Close()
