--- a/balance/estimate_test.go
+++ b/balance/estimate_test.go
@@ -8,7 +8,7 @@
 	"ospreybend/internal/util/stats"
 )
 
-const life = 10 * time.Second
+const lifetime = 10 * time.Second
 
 func near(t *testing.T, what string, got, want, within float64) {
 	t.Helper()
@@ -18,7 +18,7 @@
 }
 
 func fresh() *profile {
-	p := &profile{sampleLifetime: life}
+	p := &profile{sampleLifetime: lifetime}
 	p.reset()
 	return p
 }
--- a/balance/probing_test.go
+++ b/balance/probing_test.go
@@ -86,12 +86,12 @@
 // A job of a class of lower value accepts a short wait; one of the class of the highest value looks for a free slot.
 func TestBalancer_probe_lowerValueYields(t *testing.T) {
 	for _, c := range []struct {
-		worth float64
-		more  bool
+		maxValue float64
+		more     bool
 	}{{1, true}, {4, false}} {
-		asked, _, _ := probingBalancer(t, 3, func(int) []float32 { return []float32{0.4, 0} }, func(b *Balancer) { b.maxValue = c.worth })
+		asked, _, _ := probingBalancer(t, 3, func(int) []float32 { return []float32{0.4, 0} }, func(b *Balancer) { b.maxValue = c.maxValue })
 		if more := len(asked) > probesPerRound; more != c.more {
-			t.Errorf("value 1 of %v: %d probed", c.worth, len(asked))
+			t.Errorf("value 1 of %v: %d probed", c.maxValue, len(asked))
 		}
 	}
 }
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -25,7 +25,7 @@
 }
 
 var (
-	repeatable = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: Idempotent}
+	idempotent = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: Idempotent}
 	once       = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: NonIdempotent}
 )
 
@@ -42,7 +42,7 @@
 // A zone takes its share of the requests, none at share 0.
 func TestBalancer_zoneTakesItsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.25, 1} {
-		b := zonedBalancer(t, repeatable)
+		b := zonedBalancer(t, idempotent)
 		// Nobody else takes anything: who may not go there goes nowhere.
 		b.Handle(0, ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 1, State: Draining}, {Worker: 3, State: Draining}}})
 		b.Handle(0, ZoneShares{Shares: []float64{1, share}})
@@ -67,7 +67,7 @@
 	for _, c := range []struct {
 		class Class
 		want  int
-	}{{repeatable, int(maxEvacuationBudget)}, {once, 0}} {
+	}{{idempotent, int(maxEvacuationBudget)}, {once, 0}} {
 		b := zonedBalancer(t, c.class)
 		timers := map[uint32]time.Duration{}
 		take := func(now time.Duration, actions []Action) []WorkerID {
@@ -115,7 +115,7 @@
 		shares []float64
 	}{{"off", nil}, {"orders", []float64{1, 0.5, 1, 1, 1}}} {
 		b.Run(c.name, func(b *testing.B) {
-			d := zonedBalancer(b, repeatable)
+			d := zonedBalancer(b, idempotent)
 			up := ListUpdate{Kind: ListFull}
 			for i := range 200 {
 				up.Workers = append(up.Workers, WorkerListing{Worker: WorkerID(i + 1), Zone: i % 5, State: Ready})
--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -33,6 +33,9 @@
 	retryAfter         = time.Second // mean retry advice to rejected requests
 )
 
+// checkShares names a check for Config.DisabledCheck: the shares are applied to the dispatcher.
+const checkShares = "share"
+
 // Dispatcher is what the agent needs of the node's dispatcher.
 type Dispatcher interface {
 	ZoneShares(balance.ZoneShares)
@@ -246,7 +249,7 @@
 			failed = append(failed, i)
 		}
 	}
-	if unrestricted || a.config.DisabledCheck == "share" {
+	if unrestricted || a.config.DisabledCheck == checkShares {
 		shares, failed = nil, nil
 	}
 	if slices.Equal(shares, a.shares) && slices.Equal(failed, a.failed) {
--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -137,6 +137,9 @@
 	errSnapshotFields = errors.New("snapshot lacks zones, overrides or starts")
 )
 
+// checkExpectedEpoch names a check for StateMachine.DisabledCheck: a change for another epoch is rejected.
+const checkExpectedEpoch = "expect"
+
 // StateMachine applies the commands of the replicated log in order. It is not safe for concurrent
 // use; its replica's goroutine owns it.
 type StateMachine struct {
@@ -227,7 +230,7 @@
 
 func (m *StateMachine) applyChange(change *Change) error {
 	table := &m.state.Table
-	if change.ExpectedEpoch != table.Epoch && m.DisabledCheck != "expect" {
+	if change.ExpectedEpoch != table.Epoch && m.DisabledCheck != checkExpectedEpoch {
 		return ErrStale
 	}
 	for name, zone := range change.Zones {
--- a/internal/node/zones/failover/assessment.go
+++ b/internal/node/zones/failover/assessment.go
@@ -120,8 +120,8 @@
 	return reachUnknown
 }
 
-// assessZone assesses one zone by what the reliable zones observe of it. unreachableFrom are the zones that were told
-// to send it nothing: until they reach it again they count as failing to.
+// assessZone assesses one zone by what the reliable zones observe of it. unreachableFrom are the zones that must
+// send it nothing: until they reach it again they count as failing to.
 func (s Settings) assessZone(zone string, unreachableFrom []string, views views, digest health.Digest) Assessment {
 	assessment := Assessment{Condition: Unknown}
 	var failedFrom, reachedFrom []string
--- a/internal/node/zones/follower/follower.go
+++ b/internal/node/zones/follower/follower.go
@@ -46,6 +46,9 @@
 	}
 }
 
+// checkEpoch names a check for Follower.DisabledCheck: a response with an older epoch is rejected.
+const checkEpoch = "epoch"
+
 // Report is the heartbeat that a process sends to a voter.
 type Report struct {
 	Fleet        string              `cbor:"1,keyasint"`
@@ -89,7 +92,7 @@
 	shares         map[string]*autonomousShare
 	monitor        *health.Monitor
 	classes        int
-	staleResponses uint64 // responses with a table older than the one held
+	staleResponses uint64 // responses with a table older than the present one
 	DisabledCheck  string // a check to skip, for tests that show why it is needed
 }
 
@@ -119,7 +122,7 @@
 	if response.Incarnation > f.incarnation {
 		f.incarnation, f.sequence = response.Incarnation+1, 0
 	}
-	if response.Epoch < f.table.Epoch && f.DisabledCheck != "epoch" {
+	if response.Epoch < f.table.Epoch && f.DisabledCheck != checkEpoch {
 		f.staleResponses++
 		return false
 	}
@@ -167,10 +170,10 @@
 // HasLease reports whether the lease has not ended.
 func (f *Follower) HasLease(now time.Duration) bool { return f.hasTable && now < f.leaseUntil }
 
-// Epoch returns the epoch of the table held.
+// Epoch returns the epoch of the present table.
 func (f *Follower) Epoch() uint64 { return f.table.Epoch }
 
-// Table returns the table held. The caller must not modify it.
+// Table returns the present table. The caller must not modify it.
 func (f *Follower) Table() *commands.Table { return &f.table }
 
 // StaleResponses returns the number of responses rejected for an older epoch.
--- a/internal/node/zones/quota/child.go
+++ b/internal/node/zones/quota/child.go
@@ -32,8 +32,8 @@
 // NewChild returns a child with its guaranteed amount and no saved tokens. incarnation must be above that
 // of the site's last start.
 func NewChild(now time.Duration, settings Settings, tenant, name string, incarnation uint64, guaranteed Amount) (*Child, error) {
-	if settings.Lease <= 0 || settings.ClockDrift < 0 || settings.ClockDrift >= 0.5 || !guaranteed.valid() || name == "" {
-		return nil, fmt.Errorf("quota: site %q with a safe share of %v, a lease of %v, a margin of %v", name, guaranteed, settings.Lease, settings.ClockDrift)
+	if !settings.valid() || !guaranteed.valid() || name == "" {
+		return nil, fmt.Errorf("quota: site %q with a guaranteed amount of %v, a lease of %v, a clock drift of %v", name, guaranteed, settings.Lease, settings.ClockDrift)
 	}
 	return &Child{settings: settings, tenant: tenant, name: name, incarnation: incarnation, guaranteed: guaranteed, tokensAt: now, since: now}, nil
 }
@@ -126,18 +126,18 @@
 
 // ApplyGrant applies a grant and reports whether it did: it must answer the last request and not have expired.
 func (c *Child) ApplyGrant(now time.Duration, grant Grant) bool {
-	if grant.Tenant != c.tenant || grant.Child != c.name || grant.Incarnation != c.incarnation && c.settings.DisabledCheck != "incarnation" {
+	if grant.Tenant != c.tenant || grant.Child != c.name || grant.Incarnation != c.incarnation && c.settings.DisabledCheck != checkIncarnation {
 		return false
 	}
-	if (!c.requesting || grant.Number != c.requestNumber) && c.settings.DisabledCheck != "number" {
+	if (!c.requesting || grant.Number != c.requestNumber) && c.settings.DisabledCheck != checkGrantNumber {
 		return false
 	}
 	lease := time.Duration(float64(grant.Lease) * (1 - c.settings.ClockDrift))
-	if c.settings.DisabledCheck == "margin" {
+	if c.settings.DisabledCheck == checkClockDrift {
 		lease = time.Duration(float64(grant.Lease) * (1 + c.settings.ClockDrift))
 	}
 	sent := c.requestedAt
-	if c.settings.DisabledCheck == "sent" {
+	if c.settings.DisabledCheck == checkLeaseStart {
 		sent = now
 	}
 	c.requesting = false
--- a/internal/node/zones/quota/quota.go
+++ b/internal/node/zones/quota/quota.go
@@ -48,6 +48,21 @@
 	DisabledCheck string  // a check to skip, for tests that show why it is needed
 }
 
+// valid reports whether leases can be granted and used by the settings.
+func (s Settings) valid() bool { return s.Lease > 0 && s.ClockDrift >= 0 && s.ClockDrift < 0.5 }
+
+// The checks that Settings.DisabledCheck can skip.
+const (
+	checkUnconfirmed  = "confirm"     // all leases that may be in use count, not the last alone
+	checkReserve      = "reserve"     // guaranteed amounts are reserved, also of children without a lease
+	checkIncarnation  = "incarnation" // requests and grants of an earlier incarnation are rejected
+	checkRequestOrder = "order"       // a request overtaken by a later one is rejected
+	checkClockDrift   = "margin"      // leases allow for clocks of different rates
+	checkRestore      = "restore"     // imported leases count for a full lease time
+	checkGrantNumber  = "number"      // a grant must answer the last request
+	checkLeaseStart   = "sent"        // a lease counts from the sending of its request
+)
+
 // LeaseRequest is a child's request for a new lease.
 type LeaseRequest struct {
 	Tenant       string  `cbor:"1,keyasint"`
@@ -105,8 +120,8 @@
 // NewParent returns a parent without leases. The guaranteed amounts must fit into the quota.
 func NewParent(settings Settings, tenant string, quota Amount, sites map[string]ChildConfig) (*Parent, error) {
 	parent := &Parent{settings: settings, tenant: tenant, quota: quota, children: map[string]*childAccount{}}
-	if settings.Lease <= 0 || settings.ClockDrift < 0 || settings.ClockDrift >= 0.5 {
-		return nil, fmt.Errorf("quota: a lease of %v with a margin of %v", settings.Lease, settings.ClockDrift)
+	if !settings.valid() {
+		return nil, fmt.Errorf("quota: a lease of %v with a clock drift of %v", settings.Lease, settings.ClockDrift)
 	}
 	if !quota.valid() {
 		return nil, fmt.Errorf("quota of %s: %v", tenant, quota)
@@ -114,12 +129,12 @@
 	for _, name := range slices.Sorted(maps.Keys(sites)) {
 		child := sites[name]
 		if !child.Guaranteed.valid() || !(child.Weight > 0) || math.IsInf(child.Weight, 0) {
-			return nil, fmt.Errorf("site %s: a safe share of %v, a weight of %v", name, child.Guaranteed, child.Weight)
+			return nil, fmt.Errorf("site %s: a guaranteed amount of %v, a weight of %v", name, child.Guaranteed, child.Weight)
 		}
 		parent.children[name] = &childAccount{ChildConfig: child}
 	}
 	if guaranteed := parent.guaranteedTotal(); !guaranteed.within(quota) {
-		return nil, fmt.Errorf("quota of %s: the safe shares of its sites are %v in all, the quota is %v", tenant, guaranteed, quota)
+		return nil, fmt.Errorf("quota of %s: the guaranteed amounts of its sites are %v in all, the quota is %v", tenant, guaranteed, quota)
 	}
 	return parent, nil
 }
@@ -144,12 +159,12 @@
 	sum := child.Guaranteed
 	child.Leases = slices.DeleteFunc(child.Leases, func(e outstandingLease) bool { return e.ExpiresAt <= now })
 	for i, e := range child.Leases {
-		if p.settings.DisabledCheck == "confirm" && i < len(child.Leases)-1 {
+		if p.settings.DisabledCheck == checkUnconfirmed && i < len(child.Leases)-1 {
 			continue
 		}
 		sum = sum.maximum(e.Amount)
 	}
-	if p.settings.DisabledCheck == "reserve" && len(child.Leases) == 0 {
+	if p.settings.DisabledCheck == checkReserve && len(child.Leases) == 0 {
 		return Amount{}
 	}
 	return sum
@@ -188,14 +203,14 @@
 	if !request.Want.valid() || !(request.Used >= 0) {
 		return Grant{}, fmt.Errorf("quota: site %s wants %v and uses %v", request.Child, request.Want, request.Used)
 	}
-	if p.settings.DisabledCheck != "incarnation" && request.Incarnation < child.Incarnation {
-		return Grant{}, fmt.Errorf("quota: site %s has been started anew since", request.Child)
+	if p.settings.DisabledCheck != checkIncarnation && request.Incarnation < child.Incarnation {
+		return Grant{}, fmt.Errorf("quota: site %s has restarted since", request.Child)
 	}
 	if request.Incarnation > child.Incarnation {
 		child.Incarnation, child.Number = request.Incarnation, 0
 	}
-	if request.Number <= child.Number && p.settings.DisabledCheck != "order" {
-		return Grant{}, fmt.Errorf("quota: site %s has asked again since", request.Child)
+	if request.Number <= child.Number && p.settings.DisabledCheck != checkRequestOrder {
+		return Grant{}, fmt.Errorf("quota: site %s has sent a later request", request.Child)
 	}
 	child.Number, child.Want, child.wantedAt = request.Number, request.Want, now
 	p.releaseConfirmed(child, request)
@@ -211,7 +226,7 @@
 	}
 	if lease > 0 {
 		expiresIn := time.Duration(float64(lease) * (1 + p.settings.ClockDrift))
-		if p.settings.DisabledCheck == "margin" {
+		if p.settings.DisabledCheck == checkClockDrift {
 			expiresIn = time.Duration(float64(lease) * (1 - p.settings.ClockDrift))
 		}
 		child.Leases = append(child.Leases, outstandingLease{request.Incarnation, request.Number, amount, now + expiresIn})
@@ -262,7 +277,7 @@
 	want, weights := make([]float64, len(names)), make([]float64, len(names))
 	for i, name := range names {
 		account := p.children[name]
-		if p.settings.DisabledCheck != "reserve" || len(account.Leases) > 0 || name == child {
+		if p.settings.DisabledCheck != checkReserve || len(account.Leases) > 0 || name == child {
 			left -= dimension(account.Guaranteed)
 		}
 		if now-account.wantedAt <= p.settings.Lease && account.Number > 0 {
@@ -339,7 +354,7 @@
 		c.Incarnation, c.Number, c.Want, c.wantedAt = account.Incarnation, account.Number, account.Want, now
 		c.Leases = slices.Clone(account.Leases)
 		for i := range c.Leases {
-			if p.settings.DisabledCheck == "restore" {
+			if p.settings.DisabledCheck == checkRestore {
 				c.Leases = nil
 				break
 			}
--- a/internal/node/zones/replica/messages.go
+++ b/internal/node/zones/replica/messages.go
@@ -79,9 +79,9 @@
 		r.lastStamps[message.From] = message.Stamp
 	}
 	switch {
-	case r.config.DisabledCheck == "echo":
+	case r.config.DisabledCheck == checkEchoAge:
 		r.recordLeaderCommit(leaderCommit{message.LeaderTerm, message.CommitIndex, now})
-	case message.Echo.Incarnation == r.config.Starts || r.config.DisabledCheck == "start":
+	case message.Echo.Incarnation == r.config.Starts || r.config.DisabledCheck == checkEchoIncarnation:
 		r.recordLeaderCommit(leaderCommit{message.LeaderTerm, message.CommitIndex, message.Echo.At})
 	}
 	if len(message.Digest) > 0 {
@@ -128,7 +128,7 @@
 	message.Fleet, message.From, message.Store = r.config.Fleet, r.config.ID, r.config.Store
 	message.Stamp, message.Echo = Timestamp{r.config.Starts, r.now}, r.lastStamps[to]
 	// A new leader does not know the commit index of its predecessors before it has applied its own first entry.
-	if r.log.LeaderCaughtUp() || r.config.DisabledCheck == "settled" && r.log.IsLeader() {
+	if r.log.LeaderCaughtUp() || r.config.DisabledCheck == checkLeaderCaughtUp && r.log.IsLeader() {
 		message.LeaderTerm, message.CommitIndex = r.log.Term(), r.log.Committed()
 	}
 	r.outgoing = append(r.outgoing, Envelope{to, message})
--- a/internal/node/zones/replica/replica.go
+++ b/internal/node/zones/replica/replica.go
@@ -46,6 +46,15 @@
 	Failover         failover.Settings
 }
 
+// The checks that Config.DisabledCheck can skip.
+const (
+	checkIncarnation     = "incarnation" // reports of an earlier incarnation are ignored
+	checkLeaderContact   = "contact"     // a lease needs an up-to-date table
+	checkEchoAge         = "echo"        // a leader's commit index is as old as the message that it echoes
+	checkEchoIncarnation = "start"       // an echo counts only for a message of this incarnation
+	checkLeaderCaughtUp  = "settled"     // a leader's commit index counts once it has applied an entry of its own term
+)
+
 // DefaultSettings returns the settings that the program uses.
 func DefaultSettings() Settings {
 	return Settings{
@@ -289,7 +298,7 @@
 	case members.Superseded:
 		r.counts.Superseded++
 		out.Incarnation = incarnation
-		if r.config.DisabledCheck != "incarnation" {
+		if r.config.DisabledCheck != checkIncarnation {
 			return out, nil
 		}
 		r.reports[report.Name] = processReport{report.Zone, report.Observations}
@@ -302,7 +311,7 @@
 		table := table.Clone()
 		out.Table = &table
 	}
-	if r.mayGrantLease(now) || r.config.DisabledCheck == "contact" {
+	if r.mayGrantLease(now) || r.config.DisabledCheck == checkLeaderContact {
 		out.Lease = r.config.Settings.Lease
 	}
 	return out, nil
--- a/internal/node/zones/simulation/faults.go
+++ b/internal/node/zones/simulation/faults.go
@@ -61,7 +61,7 @@
 	case ProcessCrash, ProcessPause, LeaderCrash, AllRestart:
 		w.scheduleProcessFault(fault, at, until)
 	default:
-		w.violate("no such trouble: %s", fault.Kind)
+		w.violate("unknown kind of fault: %s", fault.Kind)
 	}
 }
 
--- a/internal/node/zones/simulation/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -11,6 +11,12 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
+// The simulation's own checks for Scenario.DisabledCheck; the others are those of replica, commands and follower.
+const (
+	checkDurable = "write" // a write is acknowledged when it is durable
+	checkReady   = "ready" // a new node waits for its first table
+)
+
 // process is a voter or node with a clock of its own.
 type process struct {
 	simulation  *simulation
@@ -170,7 +176,7 @@
 				w.checkLog(v)
 				v.flush()
 			}
-			if w.scenario.DisabledCheck == "write" {
+			if w.scenario.DisabledCheck == checkDurable {
 				// Acknowledged before it is durable: a crash loses it.
 				v.replica.Persisted(persist)
 				w.checkLog(v)
@@ -269,7 +275,7 @@
 	w, d := n.process.simulation, n.process.simulation.scenario
 	const span = tenth
 	now := n.process.now()
-	if !d.Standalone && d.DisabledCheck != "ready" && !n.follower.Ready(now) {
+	if !d.Standalone && d.DisabledCheck != checkReady && !n.follower.Ready(now) {
 		n.process.after(span, n.work) // no request is admitted yet
 		return
 	}
