--- a/coord/replica/consensus_node.go
+++ b/coord/replica/consensus_node.go
@@ -26,8 +26,8 @@
 
 var _ consensusNode = (*consensus.Node)(nil)
 
-// Change is a change of the group's membership: it adds, alters or removes one member.
-type Change = consensus.MembershipChange
+// MembershipChange is a change of the group's membership: it adds, alters or removes one member.
+type MembershipChange = consensus.MembershipChange
 
 // Bounds of the append messages that a leader has in flight to one member.
 const (
--- a/coord/replica/group.go
+++ b/coord/replica/group.go
@@ -158,7 +158,7 @@
 
 // ChangeMembers changes the membership and returns once the change is committed and applied here. Errors: those of Propose,
 // and consensus.ErrMembershipChange if the change is not possible now.
-func (g *Group) ChangeMembers(ctx context.Context, change Change) error {
+func (g *Group) ChangeMembers(ctx context.Context, change MembershipChange) error {
 	done := newOutcomeChannel()
 	return g.call(ctx, changeEvent{change: change, done: done}, done, ErrUnknownOutcome)
 }
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -101,7 +101,7 @@
 }
 
 // applyMembershipChange proposes a change to the group and reports whether it was committed in time.
-func (s *Server) applyMembershipChange(shard *shard, change replica.Change) bool {
+func (s *Server) applyMembershipChange(shard *shard, change replica.MembershipChange) bool {
 	ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
 	defer cancel()
 	err := shard.group.ChangeMembers(ctx, change)
@@ -184,7 +184,7 @@
 	return max(tolerated.Machines, tolerated.Zones, tolerated.Regions)
 }
 
-func (s *Server) logMembershipChange(shard *shard, change replica.Change, err error) {
+func (s *Server) logMembershipChange(shard *shard, change replica.MembershipChange, err error) {
 	fields := []zap.Field{zap.Uint32("shard", uint32(shard.id)), zap.Error(err)}
 	if change.Add != nil {
 		fields = append(fields, zap.String("add", change.Add.Address), zap.Bool("voter", change.Add.Voter))
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -16,18 +16,18 @@
 type changingGroup struct {
 	scriptedGroup
 	promotable []consensus.MemberID
-	changes    chan replica.Change
+	changes    chan replica.MembershipChange
 }
 
 func newChangingGroup(members ...consensus.Member) *changingGroup {
-	group := &changingGroup{changes: make(chan replica.Change, 20)}
+	group := &changingGroup{changes: make(chan replica.MembershipChange, 20)}
 	group.status = replica.Status{Role: consensus.RoleLeader, Term: 3, Members: members}
 	return group
 }
 
 func (g *changingGroup) PromotableLearners() []consensus.MemberID { return g.promotable }
 
-func (g *changingGroup) ChangeMembers(_ context.Context, change replica.Change) error {
+func (g *changingGroup) ChangeMembers(_ context.Context, change replica.MembershipChange) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	w := &simulatedGroup{members: g.status.Members}
@@ -54,7 +54,7 @@
 	return g.changingGroup.PromotableLearners()
 }
 
-func (g *laggingGroup) ChangeMembers(ctx context.Context, change replica.Change) error {
+func (g *laggingGroup) ChangeMembers(ctx context.Context, change replica.MembershipChange) error {
 	g.asked = 0
 	return g.changingGroup.ChangeMembers(ctx, change)
 }
@@ -117,7 +117,7 @@
 	s.shards[id].group = group
 	sendJoinRequest(t, s, id, living, "k3")
 	waitForReconcile(t, s, s.shards[id])
-	for _, want := range []replica.Change{{Remove: former, Retire: true}, {Add: &consensus.Member{ID: living, Address: "k3"}}} {
+	for _, want := range []replica.MembershipChange{{Remove: former, Retire: true}, {Add: &consensus.Member{ID: living, Address: "k3"}}} {
 		if got := <-group.changes; !sameChange(got, want) {
 			t.Fatalf("got %s, want %s", changeText(got), changeText(want))
 		}
@@ -164,7 +164,7 @@
 		if took := time.Since(began); took > vacancyFillTimeout {
 			t.Fatalf("taken after %s", took)
 		}
-		for _, want := range []replica.Change{
+		for _, want := range []replica.MembershipChange{
 			{Remove: 3, Retire: true}, {Add: &consensus.Member{ID: 31, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}},
 		} {
 			if len(group.changes) == 0 {
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -213,7 +213,7 @@
 }
 
 // apply makes a change if the core's leader would, and returns the violation if there is one.
-func (m model) apply(s *modelState, change replica.Change) (wrong string) {
+func (m model) apply(s *modelState, change replica.MembershipChange) (wrong string) {
 	before := *s
 	if change.Add == nil {
 		wrong = m.remove(s, change)
@@ -228,7 +228,7 @@
 	return wrong
 }
 
-func (m model) remove(s *modelState, change replica.Change) (wrong string) {
+func (m model) remove(s *modelState, change replica.MembershipChange) (wrong string) {
 	machine, disk := machineAndDiskOf(change.Remove)
 	wasVoter := s.roles[machine][disk] == roleVoter
 	diskLost := int(s.machines[machine].disk) != disk
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -27,7 +27,7 @@
 
 // membershipChange is one change of a group's members and its precondition.
 type membershipChange struct {
-	Change replica.Change
+	Change replica.MembershipChange
 	// Confirm is the join request that must be confirmed before the change is made. ID 0: none.
 	Confirm joinRequest
 }
@@ -62,7 +62,7 @@
 		for _, member := range observed.Members {
 			if member.Address == request.Address && member.ID != request.ID && member.ID != observed.Self {
 				retire := observed.guardEnabled(GuardReplacedRetired)
-				return observed.requireConfirmation(replica.Change{Remove: member.ID, Retire: retire}, request), true
+				return observed.requireConfirmation(replica.MembershipChange{Remove: member.ID, Retire: retire}, request), true
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 		return released, true
 	}
 	gone, found := observed.longestUnresponsiveVoter(voterTimeout)
-	return membershipChange{Change: replica.Change{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
+	return membershipChange{Change: replica.MembershipChange{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
 }
 
 // demoteLeavingVoter turns a voter that is shutting down into a learner. It goes before its successor comes: with both as voters, the
@@ -86,7 +86,7 @@
 	for _, member := range o.Members {
 		if member.Voter && member.ID != o.Self && slices.Contains(o.Leaving, member.ID) {
 			member.Voter = false
-			return membershipChange{Change: replica.Change{Add: &member}}, true
+			return membershipChange{Change: replica.MembershipChange{Add: &member}}, true
 		}
 	}
 	return membershipChange{}, false
@@ -98,13 +98,13 @@
 		promoted.Voter = true
 		free, even := observed.voterCount() < observed.DesiredVoters, observed.voterCount()%2 == 0
 		if free && even {
-			return membershipChange{Change: replica.Change{Add: &promoted}}, true
+			return membershipChange{Change: replica.MembershipChange{Add: &promoted}}, true
 		}
 		if gone, found := observed.longestUnresponsiveVoter(voterTimeout); found {
-			return membershipChange{Change: replica.Change{Remove: gone}}, true
+			return membershipChange{Change: replica.MembershipChange{Remove: gone}}, true
 		}
 		if free && observed.canAddVoter() {
-			return membershipChange{Change: replica.Change{Add: &promoted}}, true
+			return membershipChange{Change: replica.MembershipChange{Add: &promoted}}, true
 		}
 		if released, found := observed.demoteLeavingVoter(); found && slices.Contains(observed.Successors, learner.ID) {
 			return released, true
@@ -167,7 +167,7 @@
 	}
 	for _, request := range observed.JoinRequests {
 		if _, found := observed.member(request.ID); !found && !slices.Contains(observed.Retired, request.ID) {
-			return observed.requireConfirmation(replica.Change{Add: &consensus.Member{ID: request.ID, Address: request.Address}}, request), true
+			return observed.requireConfirmation(replica.MembershipChange{Add: &consensus.Member{ID: request.ID, Address: request.Address}}, request), true
 		}
 	}
 	return membershipChange{}, false
@@ -176,14 +176,14 @@
 func removeUnresponsiveLearner(observed observedState) (membershipChange, bool) {
 	for _, member := range observed.Members {
 		if !member.Voter && !observed.hasJoinRequest(member.ID) && observed.SinceHeard[member.ID] >= learnerTimeout {
-			return membershipChange{Change: replica.Change{Remove: member.ID}}, true
+			return membershipChange{Change: replica.MembershipChange{Remove: member.ID}}, true
 		}
 	}
 	return membershipChange{}, false
 }
 
 // requireConfirmation returns a change that is made only if the requesting server confirms its identity.
-func (o observedState) requireConfirmation(change replica.Change, request joinRequest) membershipChange {
+func (o observedState) requireConfirmation(change replica.MembershipChange, request joinRequest) membershipChange {
 	if !o.guardEnabled(GuardIdentityAsked) {
 		return membershipChange{Change: change}
 	}
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -32,7 +32,7 @@
 func memberIDs(listed ...consensus.MemberID) []consensus.MemberID { return listed }
 
 func TestNextMembershipChange(t *testing.T) {
-	added := func(member consensus.Member) replica.Change { return replica.Change{Add: &member} }
+	added := func(member consensus.Member) replica.MembershipChange { return replica.MembershipChange{Add: &member} }
 	renewed := joinRequest{ID: 9, Address: "k3"}
 	sinceHeard := func(id consensus.MemberID, span time.Duration) map[consensus.MemberID]time.Duration {
 		return map[consensus.MemberID]time.Duration{id: span}
@@ -43,7 +43,7 @@
 	cases := []struct {
 		name    string
 		given   observedState
-		want    replica.Change // zero: none
+		want    replica.MembershipChange // zero: none
 		confirm consensus.MemberID
 	}{
 		{name: "nothing asked", given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2}},
@@ -73,14 +73,14 @@
 				SinceHeard: sinceHeard(3, missedHeartbeatsAge)}},
 		{name: "a wiped disk: the old member goes first, for good, if the new one lives",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{renewed}},
-			want:  replica.Change{Remove: 3, Retire: true}, confirm: 9},
+			want:  replica.MembershipChange{Remove: 3, Retire: true}, confirm: 9},
 		{name: "a replaced member is not taken in",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2)}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "but if it lives, the member that had its place does not",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "k3", Voter: true}}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}},
-			want: replica.Change{Remove: 9, Retire: true}, confirm: 3},
+			want: replica.MembershipChange{Remove: 9, Retire: true}, confirm: 3},
 		{name: "the leader is not removed for one that claims its address",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{{ID: 9, Address: "k1"}}}},
 		{name: "a voter that asks because it was cut off changes nothing",
@@ -101,7 +101,7 @@
 		{name: "a silent voter makes room for a learner that holds nearly all",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4),
 				SinceHeard: map[consensus.MemberID]time.Duration{2: voterTimeout, 3: 2 * voterTimeout}},
-			want: replica.Change{Remove: 3}},
+			want: replica.MembershipChange{Remove: 3}},
 		{name: "but not for one that only asks",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)}},
 		{name: "not silent for long enough",
@@ -110,12 +110,12 @@
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3), joinRequestFrom(4)}}},
 		{name: "a surplus voter goes when it is silent",
 			given: observedState{Members: four, DesiredVoters: 3, SinceHeard: sinceHeard(4, voterTimeout)},
-			want:  replica.Change{Remove: 4}},
+			want:  replica.MembershipChange{Remove: 4}},
 		{name: "a surplus voter that is there stays",
 			given: observedState{Members: four, DesiredVoters: 3}},
 		{name: "a learner that asks no more goes",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, SinceHeard: sinceHeard(4, learnerTimeout)},
-			want:  replica.Change{Remove: 4}},
+			want:  replica.MembershipChange{Remove: 4}},
 		{name: "a leaving voter becomes a learner if its successor can take the place",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want:  added(learner(3))},
@@ -139,7 +139,7 @@
 		t.Run(one.name, func(t *testing.T) {
 			one.given.Self = 1
 			got, found := nextMembershipChange(one.given)
-			if found != (one.want != replica.Change{}) || !sameChange(got.Change, one.want) || got.Confirm.ID != one.confirm {
+			if found != (one.want != replica.MembershipChange{}) || !sameChange(got.Change, one.want) || got.Confirm.ID != one.confirm {
 				t.Fatalf("got %s confirmed by %d, want %s by %d",
 					changeText(got.Change), got.Confirm.ID, changeText(one.want), one.confirm)
 			}
@@ -165,14 +165,14 @@
 	}
 }
 
-func sameChange(a, b replica.Change) bool {
+func sameChange(a, b replica.MembershipChange) bool {
 	if (a.Add == nil) != (b.Add == nil) || a.Remove != b.Remove || a.Retire != b.Retire {
 		return false
 	}
 	return a.Add == nil || *a.Add == *b.Add
 }
 
-func changeText(change replica.Change) string {
+func changeText(change replica.MembershipChange) string {
 	if change.Add != nil {
 		return fmt.Sprintf("add %+v", *change.Add)
 	}
@@ -207,7 +207,7 @@
 }
 
 // apply makes a change as a group does; it returns false for one that a group would reject.
-func (w *simulatedGroup) apply(change replica.Change) bool {
+func (w *simulatedGroup) apply(change replica.MembershipChange) bool {
 	if change.Add == nil {
 		remaining := []consensus.Member{}
 		for _, member := range w.members {
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func (g *scriptedGroup) ChangeMembers(context.Context, replica.Change) error { return nil }
+func (g *scriptedGroup) ChangeMembers(context.Context, replica.MembershipChange) error { return nil }
 
 func (g *scriptedGroup) PromotableLearners() []consensus.MemberID { return nil }
 
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -16,7 +16,7 @@
 	Step(message consensus.Message)
 	Propose(ctx context.Context, data []byte) (result any, index uint64, err error)
 	ReadBarrier(ctx context.Context) error
-	ChangeMembers(ctx context.Context, change replica.Change) error
+	ChangeMembers(ctx context.Context, change replica.MembershipChange) error
 	PromotableLearners() []consensus.MemberID
 	TransferLeadership(ctx context.Context) error
 	Status() replica.Status
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -20,10 +20,10 @@
 	for _, one := range []struct {
 		name      string
 		successor identityReply
-		want      []replica.Change
+		want      []replica.MembershipChange
 	}{
 		{"a successor that was just started", identityReply{ID: 4, Age: successorMaxUptime},
-			[]replica.Change{{Add: &consensus.Member{ID: 3, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}}}},
+			[]replica.MembershipChange{{Add: &consensus.Member{ID: 3, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}}}},
 		{"a stand-by that was there before", identityReply{ID: 4, Age: successorMaxUptime + time.Millisecond}, nil},
 		{"a successor that is about to end", identityReply{ID: 4, ShuttingDown: true}, nil},
 		{"another member at the successor's address", identityReply{ID: 5}, nil},
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -282,7 +282,7 @@
 		return err
 	}
 	if step.Manner != Restarted {
-		err = errors.Join(f.alter(ctx, replica.Change{Remove: gone.self.ID}), f.alter(ctx, replica.Change{Add: &self}))
+		err = errors.Join(f.alter(ctx, replica.MembershipChange{Remove: gone.self.ID}), f.alter(ctx, replica.MembershipChange{Add: &self}))
 	}
 	if err != nil {
 		return err
@@ -298,13 +298,13 @@
 		return nil
 	}
 	self.Voter = true
-	err = f.alter(ctx, replica.Change{Add: &self})
+	err = f.alter(ctx, replica.MembershipChange{Add: &self})
 	step.Voting = time.Since(began)
 	return err
 }
 
 // alter makes a change of members, and tries again while the group refuses it.
-func (f *fleet) alter(ctx context.Context, change replica.Change) error {
+func (f *fleet) alter(ctx context.Context, change replica.MembershipChange) error {
 	limit := time.Now().Add(f.plan.Limit)
 	for {
 		leader, err := f.leader(ctx)
