--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -48,18 +48,18 @@
 	f := &batchFront{cfg: cfg, keeper: store.NewKeeper(record, n.loop.Post)}
 	n.loop.Call(func() {
 		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, Name: n.to.Name,
-			MostSlots: n.batchSlots(cfg), Target: time.Duration(cfg.Target) * time.Millisecond,
-			LongestWait: time.Duration(cfg.LongestWait) * time.Second, Events: cfg.Events, Kept: jobs.DefaultKept}, n.core, f.keeper, n.loop, &n.loop.Timers)
-		n.core.Show(f.jobs)
+			MostSlots: n.batchSlots(cfg), Target: time.Duration(cfg.TargetMS) * time.Millisecond,
+			LongestWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, Events: cfg.MaxEvents, Kept: jobs.DefaultKept}, n.core, f.keeper, n.loop, &n.loop.Timers)
+		n.core.SetLoadObserver(f.jobs)
 		f.jobs.Load(tenants, sessions, unfinished, arrays)
 		front := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
-		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.Sockets, n.cfg.FrontMemory, front.Serve))
+		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.MaxSockets, n.cfg.FrontMaxBufferedBytes, front.Serve))
 		if cfg.AdminListen != "" {
-			f.admin = httpapi.NewAdmin(front, f.jobs.Keeper(), cfg.AdminToken)
-			f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminSockets, n.cfg.FrontMemory, f.admin.Serve))
+			f.admin = httpapi.NewAdmin(front, f.jobs.Keeper(), cfg.AdminTokenSHA256)
+			f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminMaxSockets, n.cfg.FrontMaxBufferedBytes, f.admin.Serve))
 		}
 		for _, s := range f.servers {
-			s.Complain = httpapi.Complain
+			s.FormatError = httpapi.Complain
 			if err = s.Start(); err != nil {
 				return
 			}
@@ -75,7 +75,7 @@
 // batchSlots is how much of the batch front's work may be in the core at once:
 // the descriptors left are the platform's.
 func (n *node) batchSlots(cfg nodeconfig.Batch) float64 {
-	most := n.cfg.DestinationsSockets / 2
+	most := n.cfg.MaxDestinationConns / 2
 	if cfg.Slots > 0 {
 		most = min(most, cfg.Slots)
 	}
@@ -97,14 +97,14 @@
 		return
 	}
 	n.loop.Call(func() {
-		f.jobs.Reconfigure(n.batchSlots(cfg), time.Duration(cfg.Target)*time.Millisecond,
-			time.Duration(cfg.LongestWait)*time.Second, cfg.Events)
-		if f.admin != nil && cfg.AdminToken != "" {
-			f.admin.SetToken(cfg.AdminToken)
+		f.jobs.Reconfigure(n.batchSlots(cfg), time.Duration(cfg.TargetMS)*time.Millisecond,
+			time.Duration(cfg.MaxWaitSeconds)*time.Second, cfg.MaxEvents)
+		if f.admin != nil && cfg.AdminTokenSHA256 != "" {
+			f.admin.SetToken(cfg.AdminTokenSHA256)
 		}
 	})
-	slog.Info("reload: batch front", "slots", n.batchSlots(cfg), "target_ms", cfg.Target, "longest_wait_s", cfg.LongestWait,
-		"events", cfg.Events)
+	slog.Info("reload: batch front", "slots", n.batchSlots(cfg), "target_ms", cfg.TargetMS, "longest_wait_s", cfg.MaxWaitSeconds,
+		"events", cfg.MaxEvents)
 }
 
 // stop ends the batch front once what its jobs have in work is answered, or by
--- a/cmd/ospreybend/cli.go
+++ b/cmd/ospreybend/cli.go
@@ -152,7 +152,7 @@
 	if env("BALANCER_CONFIG") != "" {
 		node, err := nodeconfig.Load(env)
 		if err == nil {
-			err = errors.Join(node.Reserve(batch), node.ReserveFleet(fleet))
+			err = errors.Join(node.ReserveBatch(batch), node.ReserveFleet(fleet))
 		}
 		if err != nil {
 			faults = append(faults, err)
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -77,7 +77,7 @@
 	if change != nil {
 		change(&b)
 	}
-	if err := cfg.Reserve(b); err != nil {
+	if err := cfg.ReserveBatch(b); err != nil {
 		return nil, err
 	}
 	n, err := start(cfg)
@@ -112,7 +112,7 @@
 func (r *rig) ready(ctx context.Context) error {
 	return fakeplatform.Until(ctx, demoReady, func() bool {
 		able := false
-		r.node.loop.Call(func() { able = r.node.core.Able() })
+		r.node.loop.Call(func() { able = r.node.core.AnyReady() })
 		return able
 	})
 }
--- a/cmd/ospreybend/front_test.go
+++ b/cmd/ospreybend/front_test.go
@@ -207,11 +207,11 @@
 	if size() != 1 || admits() {
 		t.Errorf("window %v, the old token holds: %v", size(), admits())
 	}
-	write("slots = -1\nadmin_token_sha256 = \"" + r.batch.AdminToken + "\"\n")
+	write("slots = -1\nadmin_token_sha256 = \"" + r.batch.AdminTokenSHA256 + "\"\n")
 	if size() != 1 || admits() {
 		t.Error("a file with a fault took effect")
 	}
-	write("slots = 9\nadmin_token_sha256 = \"" + r.batch.AdminToken + "\"\n")
+	write("slots = 9\nadmin_token_sha256 = \"" + r.batch.AdminTokenSHA256 + "\"\n")
 	if !admits() {
 		t.Error("the token does not hold again")
 	}
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	if err := cfg.Reserve(batch); err != nil {
+	if err := cfg.ReserveBatch(batch); err != nil {
 		return err
 	}
 	fleet, err := nodeconfig.LoadFleet(os.Getenv)
@@ -150,16 +150,16 @@
 	deaf      func()        // ends the taking over from a process before this one; nil: none
 	leaving   bool
 
-	told    bool               // what the module has learned is among them, or gone
-	parcels []*protocol.Parcel // on their way to the next process, with their sockets
+	told    bool                 // what the module has learned is among them, or gone
+	parcels []*protocol.Handover // on their way to the next process, with their sockets
 	sockets [][]*os.File
 }
 
 func start(cfg *nodeconfig.Node) (*node, error) {
 	n := &node{cfg: cfg, words: override.Overrides{}, stop: make(chan struct{})}
 	var err error
-	if cfg.Inherited != "" {
-		if n.inherited, err = eventloop.Inherit(cfg.Inherited); err != nil {
+	if cfg.InheritedListener != "" {
+		if n.inherited, err = eventloop.InheritListener(cfg.InheritedListener); err != nil {
 			return nil, fmt.Errorf("BALANCER_INHERITED_FD: %w", err)
 		}
 	}
@@ -182,7 +182,7 @@
 		go n.room.Watch(lookAround, n.stop, n.noticed)
 	}
 	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "classes", len(cfg.ClassNames),
-		"known", len(cfg.Known.Entries), "fronts", cfg.FrontSockets, "destinations", cfg.DestinationsSockets)
+		"known", len(cfg.CachedList.Entries), "fronts", cfg.FrontMaxSockets, "destinations", cfg.MaxDestinationConns)
 	return n, nil
 }
 
@@ -194,29 +194,29 @@
 		return err
 	}
 	n.core = core
-	to := protocol.NewDestinations(protocol.DestinationConfig{Host: "app.svc", Sockets: cfg.DestinationsSockets,
-		ConnectTimeout: s.Limits.ConnectTimeout, ConnIdle: s.Limits.ConnIdle, Report: cfg.ReportFields}, n.loop, core)
+	to := protocol.NewDestinations(protocol.DestinationConfig{Host: "app.svc", MaxConnections: cfg.MaxDestinationConns,
+		ConnectTimeout: s.Limits.ConnectTimeout, IdleTimeout: s.Limits.ConnIdle, ReportFields: cfg.ReportFields}, n.loop, core)
 	n.to = to
 	n.pool = protocol.NewDiscovery(protocol.DiscoveryConfig{Address: cfg.Discovery, Zones: cfg.Zones, Kinds: cfg.Kinds,
-		ConnectTimeout: discoveryConnect, Known: cfg.Known, ByHand: n.words, ColdTime: s.Rules.WarmupTime,
-		Draw: rand.New(rand.NewPCG(cfg.Seed, watchStream)).Float64, Pushed: !s.SubscribeDiscovery}, n.loop, core, to)
-	peers, err := protocol.NewPeers(protocol.PeersConfig{Listen: cfg.PeerListen, Peers: cfg.Peers, All: cfg.PeersAll,
+		ConnectTimeout: discoveryConnect, CachedList: cfg.CachedList, Overrides: n.words, WarmupTime: s.Rules.WarmupTime,
+		Jitter: rand.New(rand.NewPCG(cfg.Seed, watchStream)).Float64, Pushed: !s.SubscribeDiscovery}, n.loop, core, to)
+	peers, err := protocol.NewPeers(protocol.PeersConfig{Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersAll,
 		Ordinal: s.Ordinal}, n.loop, core)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	n.peers = peers
 	core.Connect(to, n.pool, peers)
-	core.Name(n.pool.NameOf)
+	core.SetWorkerNames(n.pool.NameOf)
 	n.pool.Start()
 	n.agentBy, n.readyBy = n.loop.Now()+agentWithin, n.loop.Now()+readyWithin
 	giveUp := make([]time.Duration, len(s.Classes))
 	for i, c := range s.Classes {
 		giveUp[i] = c.Timeout
 	}
-	n.front = protocol.NewFront(protocol.FrontConfig{Listen: cfg.Listen, Sockets: cfg.FrontSockets, Memory: cfg.FrontMemory,
+	n.front = protocol.NewFront(protocol.FrontConfig{Listen: cfg.Listen, MaxSockets: cfg.FrontMaxSockets, MaxBufferedBytes: cfg.FrontMaxBufferedBytes,
 		Classes: cfg.Classes,
-		Tenants: cfg.Tenants, GiveUp: giveUp, Retry: s.Limits.RetryAfter, Able: n.able}, n.loop, core)
+		Tenants: cfg.Tenants, DefaultTimeouts: giveUp, RetryAdvice: s.Limits.RetryAfter, Healthy: n.able}, n.loop, core)
 	n.openAdmin()
 	if cfg.Admin != "" {
 		if err := n.admin.Start(); err != nil {
@@ -267,17 +267,17 @@
 // nobody who is ready is not held up for longer than a start may take, however long the pool
 // config is down: what comes then is refused at once, which is harmless.
 func (n *node) able() bool {
-	if !n.cfg.Settings.SubscribeDiscovery && !n.pool.Asked() && n.loop.Now() < n.agentBy {
+	if !n.cfg.Settings.SubscribeDiscovery && !n.pool.Answered() && n.loop.Now() < n.agentBy {
 		return false
 	}
-	return n.core.Able() || !n.pool.Asked() && n.loop.Now() >= n.readyBy
+	return n.core.AnyReady() || !n.pool.Answered() && n.loop.Now() >= n.readyBy
 }
 
 // count writes the totals to the log, now and then.
 func (n *node) count() {
 	c, f, p := n.core.Counts(), n.front.Counts(), n.pool.Counts()
 	slog.Info("counts", "operations", c.Operations, "served", c.Served, "refused", c.Refused, "failed", c.Failed,
-		"rejected", c.Rejected, "gone", c.Gone, "moved", c.Moved, "open", n.core.Open(), "steps", c.Steps, "outcomes", fmt.Sprint(c.Outcomes),
+		"rejected", c.Rejected, "gone", c.Gone, "moved", c.Moved, "open", n.core.OpenOperations(), "steps", c.Steps, "outcomes", fmt.Sprint(c.Outcomes),
 		"turned_away", f.Rejected, "silent", f.Silent, "shed", f.Shed, "full", f.Full,
 		"list_asked", p.Asked, "list_answered", p.Answered, "list_refused", p.Refused, "list_silent", p.Silent)
 	if n.batch != nil {
@@ -302,7 +302,7 @@
 	if keys := n.cfg.NeedRestart(cfg); len(keys) > 0 {
 		slog.Warn("reload: some keys take effect at the next start", "keys", keys)
 	}
-	n.loop.Post(func() { n.pool.Move(cfg.Discovery) })
+	n.loop.Post(func() { n.pool.SetAddress(cfg.Discovery) })
 	if n.batch != nil {
 		n.batch.reload(n, env)
 	}
@@ -321,15 +321,15 @@
 	}
 	n.loop.Call(func() {
 		n.leaving = true
-		n.front.Leave()
+		n.front.BeginShutdown()
 		if n.agent != nil {
 			n.agent.Stop()
 		}
 		if n.inherited != nil {
-			n.pool.SpareCold()
+			n.pool.ExcludeWarmingUp()
 			n.peers.Close()
 		}
-		n.peers.Hush()
+		n.peers.Mute()
 		if n.batch != nil {
 			n.batch.jobs.Stop()
 		}
@@ -353,7 +353,7 @@
 		if n.inherited != nil {
 			n.endBy(killed)
 		}
-		slog.Info("leaving: no new connections", "open", n.core.Open())
+		slog.Info("leaving: no new connections", "open", n.core.OpenOperations())
 		n.front.Stop(kept, func() {
 			select {
 			case <-drained:
--- a/cmd/ospreybend/main_test.go
+++ b/cmd/ospreybend/main_test.go
@@ -114,11 +114,11 @@
 
 func TestStartWithBatchFront(t *testing.T) {
 	sum := sha256.Sum256([]byte("chief"))
-	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.Free(t), Sockets: 64, Store: "sqlite",
-		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.Free(t), AdminSockets: 32,
-		AdminToken: hex.EncodeToString(sum[:])}
+	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.Free(t), MaxSockets: 64, Store: "sqlite",
+		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.Free(t), AdminMaxSockets: 32,
+		AdminTokenSHA256: hex.EncodeToString(sum[:])}
 	cfg := exampleConfig(t)
-	if err := cfg.Reserve(b); err != nil {
+	if err := cfg.ReserveBatch(b); err != nil {
 		t.Fatal(err)
 	}
 	n, err := start(cfg)
--- a/cmd/ospreybend/upgrade.go
+++ b/cmd/ospreybend/upgrade.go
@@ -25,7 +25,7 @@
 		slog.Warn("words by hand cannot be read", "fault", err)
 	}
 	n.words.Merge(words)
-	return room.Others()
+	return room.OtherProcesses()
 }
 
 // noticed takes in, from beside the loop, what has changed in the room.
@@ -42,8 +42,8 @@
 	parts := others + 1
 	cfg := n.cfg
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryShare * (1 << 20) / float64(parts)))
-	n.front.Limit(cfg.FrontSockets/parts, cfg.FrontMemory/parts)
-	n.to.Limit(cfg.DestinationsSockets / parts)
+	n.front.SetLimits(cfg.FrontMaxSockets/parts, cfg.FrontMaxBufferedBytes/parts)
+	n.to.SetMaxConnections(cfg.MaxDestinationConns / parts)
 	slog.Info("budgets", "processes", parts)
 }
 
@@ -53,7 +53,7 @@
 	if n.leaving {
 		return
 	}
-	if n.pool.Asked() && n.core.Able() || n.loop.Now() >= by {
+	if n.pool.Answered() && n.core.AnyReady() || n.loop.Now() >= by {
 		n.front.StartOn(n.inherited)
 		return
 	}
@@ -63,10 +63,10 @@
 // openAdmin makes the operators' address.
 func (n *node) openAdmin() {
 	cfg := n.cfg
-	a := protocol.AdminConfig{Listen: cfg.Admin, Sockets: cfg.AdminSockets, Memory: cfg.AdminMemory, Classes: cfg.ClassNames,
-		Ready: func() bool { return n.front.Accepting() && !n.leaving && n.core.Able() }}
+	a := protocol.AdminConfig{Listen: cfg.Admin, MaxSockets: cfg.AdminMaxSockets, MaxBufferedBytes: cfg.AdminMaxBufferedBytes, Classes: cfg.ClassNames,
+		Ready: func() bool { return n.front.Accepting() && !n.leaving && n.core.AnyReady() }}
 	if n.room != nil {
-		a.Record = func(name string, out bool, done func(override.Overrides, error)) {
+		a.RecordOverride = func(name string, out bool, done func(override.Overrides, error)) {
 			at := n.loop.Now()
 			go func() {
 				now, err := n.room.Change(func(w override.Overrides) { w.Set(name, out, at) })
@@ -75,7 +75,7 @@
 		}
 	}
 	if cfg.Fleet.Enabled {
-		a.Zone, a.Fleet = n.sayZone, n.fleetText
+		a.ZoneCommand, a.FleetStatus = n.sayZone, n.fleetText
 	}
 	n.admin = protocol.NewAdmin(a, n.loop, n.core, n.pool, n.to, n.words)
 }
@@ -100,7 +100,7 @@
 
 // adopt takes over one client's connection with what is in work on it.
 func (n *node) adopt(parcel hotrestart.Message) {
-	p, err := protocol.DecodeParcel(parcel.Text, len(parcel.Sockets))
+	p, err := protocol.DecodeHandover(parcel.Text, len(parcel.Sockets))
 	if err != nil {
 		slog.Error("a client's connection is lost", "fault", err)
 		parcel.Close()
@@ -108,34 +108,34 @@
 	}
 	if len(p.Learned) > 0 {
 		n.loop.Post(func() {
-			if err := n.core.Recall(p.Learned); err != nil {
+			if err := n.core.ImportLearned(p.Learned); err != nil {
 				slog.Warn("the module begins anew", "fault", err)
 			}
 		})
 		return
 	}
-	conns := n.loop.Adopt(parcel.Sockets, p.Rests())
+	conns := n.loop.Adopt(parcel.Sockets, p.Unread())
 	n.loop.Post(func() { n.front.Adopt(n.to, p, conns) })
 }
 
 // following finds the process that takes over what this one has in work.
-func (n *node) following() *hotrestart.Next {
+func (n *node) following() *hotrestart.Successor {
 	if n.inherited == nil || n.room == nil {
 		return nil
 	}
-	return n.room.Next()
+	return n.room.Successor()
 }
 
 // collect takes what can be handed over out of this process, on the loop.
-func (n *node) collect(next *hotrestart.Next) {
+func (n *node) collect(next *hotrestart.Successor) {
 	if next == nil {
 		return
 	}
 	if !n.told {
 		n.told = true
-		n.parcels, n.sockets = append(n.parcels, &protocol.Parcel{Learned: n.core.Learned()}), append(n.sockets, nil)
+		n.parcels, n.sockets = append(n.parcels, &protocol.Handover{Learned: n.core.ExportLearned()}), append(n.sockets, nil)
 	}
-	n.front.HandOver(n.to, func(p *protocol.Parcel, sockets []*os.File) {
+	n.front.HandOver(n.to, func(p *protocol.Handover, sockets []*os.File) {
 		n.parcels, n.sockets = append(n.parcels, p), append(n.sockets, sockets)
 	})
 }
@@ -143,11 +143,11 @@
 // handOver gives the next process what has been collected, and what may be moved
 // only later, until nothing is left here. What the next process does not take goes
 // on in this one.
-func (n *node) handOver(next *hotrestart.Next, drained <-chan struct{}, by time.Time) {
+func (n *node) handOver(next *hotrestart.Successor, drained <-chan struct{}, by time.Time) {
 	defer next.Close()
 	moved := 0
 	for time.Now().Before(by) {
-		var parcels []*protocol.Parcel
+		var parcels []*protocol.Handover
 		var sockets [][]*os.File
 		n.loop.Call(func() {
 			n.collect(next)
@@ -171,7 +171,7 @@
 }
 
 // give hands one parcel over, or takes it back where that fails.
-func (n *node) give(next *hotrestart.Next, p *protocol.Parcel, sockets []*os.File) bool {
+func (n *node) give(next *hotrestart.Successor, p *protocol.Handover, sockets []*os.File) bool {
 	text, err := p.Encode()
 	parcel := hotrestart.Message{Text: text, Sockets: sockets}
 	if err == nil && next != nil {
@@ -188,7 +188,7 @@
 
 // endBy has all that clients wait for answered by a time.
 func (n *node) endBy(at time.Time) {
-	n.core.EndBy(n.front, n.loop.Now()+time.Until(at))
+	n.core.LimitDeadlines(n.front, n.loop.Now()+time.Until(at))
 }
 
 // serveOn lets clients in for as long as they still come, and after that until
@@ -198,7 +198,7 @@
 func (n *node) serveOn(began, killed time.Time) {
 	time.Sleep(time.Until(began.Add(serveOn)))
 	for alone := true; time.Now().Before(killed.Add(-lastComers)); time.Sleep(lookAround) {
-		n.loop.Call(func() { alone = !n.core.HeardWithin(peerAlive) })
+		n.loop.Call(func() { alone = !n.core.PeersHeardWithin(peerAlive) })
 		if !alone || n.cfg.PeerListen == "" || len(n.cfg.Peers) < 2 || len(n.cfg.Peers) > crowd {
 			return
 		}
--- a/cmd/ospreybend/upgrade_test.go
+++ b/cmd/ospreybend/upgrade_test.go
@@ -237,7 +237,7 @@
 func TestInheritedStart(t *testing.T) {
 	cfg := exampleConfig(t)
 	for _, fd := range []string{"x", "-1", "0", "99", "4096"} {
-		cfg.Inherited = fd
+		cfg.InheritedListener = fd
 		if _, err := start(cfg); err == nil || !strings.Contains(err.Error(), "BALANCER_INHERITED_FD") {
 			t.Errorf("descriptor %s: %v", fd, err)
 		}
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -53,7 +53,7 @@
 		c.Settings.Failover.Majority, c.Settings.Failover.MinObserverZones = 0, 1
 	}
 	if !f.Voter.Joins {
-		c.InitialVoters = f.Numbers()
+		c.InitialVoters = f.VoterIDs()
 	}
 	s, err := server.Open(c)
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	tellReady(ctx, func() bool {
 		serves := false
-		n.loop.Call(func() { serves = n.front.Accepting() && n.core.Able() })
+		n.loop.Call(func() { serves = n.front.Accepting() && n.core.AnyReady() })
 		if !serves || n.inherited == nil && !answers(client, n.cfg.Listen) {
 			return false
 		}
@@ -159,8 +159,8 @@
 	n.voters = f.Voters
 	a.DisabledCheck = os.Getenv("OSPREYBEND_WITHOUT")
 	n.agent = agent.New(a, n.loop, n.core, n.calls)
-	n.core.Observe(n.agent)
-	n.core.Keep(n.agent)
+	n.core.SetStepObserver(n.agent)
+	n.core.SetAdmission(n.agent)
 	n.agent.Start()
 	slog.Info("fleet", "name", f.Fleet, "zone", f.Zone, "voters", len(f.Voters))
 }
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -85,13 +85,13 @@
 	}
 	r.beat = f.clock.Now() + r.timeout
 	r.leave = f.jobs.Follow(r.call.tenant, func() { r.at(f.clock.Now()) })
-	r.call.Gone(r.stop)
+	r.call.OnClientGone(r.stop)
 	if !r.stream {
 		r.cursor = first.Cursor // from now on, where there was none
 		r.at(r.beat)
 		return
 	}
-	if !r.call.Begin(200, ndjsonLines) {
+	if !r.call.BeginStream(200, ndjsonLines) {
 		r.stop()
 		refuse(r.call, &drmaa.Error{Status: 400, Name: drmaa.InvalidArgument, Attribute: "stream", Message: "stream: wants HTTP/1.1"})
 		return
@@ -137,7 +137,7 @@
 		r.at(r.beat)
 	case ended:
 		r.stop()
-		r.call.End()
+		r.call.EndStream()
 	case !r.call.Flushed():
 		r.at(now + lookAgain)
 	case len(got.Events) > 0 || got.Missed != 0 || now >= r.beat:
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -121,7 +121,7 @@
 			refuse(c, e)
 			return
 		}
-		c.Gone(f.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, f.show(c, 200)))
+		c.OnClientGone(f.jobs.Wait([]*jobs.Job{j}, in.For == "started", timeout, f.show(c, 200)))
 	})
 }
 
@@ -143,7 +143,7 @@
 				refuse(c, e)
 				return
 			}
-			c.Gone(f.jobs.Wait(all, started, timeout, f.show(c, 200)))
+			c.OnClientGone(f.jobs.Wait(all, started, timeout, f.show(c, 200)))
 		})
 	case in.Array != "":
 		f.jobs.FindArray(c.tenant, c.path[1], in.Array, func(a *jobs.Array, e *drmaa.Error) {
@@ -151,10 +151,10 @@
 				refuse(c, e)
 				return
 			}
-			c.Gone(f.jobs.WaitArray(a, started, false, timeout, f.show(c, 200)))
+			c.OnClientGone(f.jobs.WaitArray(a, started, false, timeout, f.show(c, 200)))
 		})
 	default:
-		c.Gone(f.jobs.WaitSession(s, started, timeout, f.show(c, 200)))
+		c.OnClientGone(f.jobs.WaitSession(s, started, timeout, f.show(c, 200)))
 	}
 }
 
@@ -171,7 +171,7 @@
 			refuse(c, e)
 			return
 		}
-		c.Gone(f.jobs.WaitArray(a, in.For == "started", whole, timeout, func(j *jobs.Job, e *drmaa.Error) {
+		c.OnClientGone(f.jobs.WaitArray(a, in.For == "started", whole, timeout, func(j *jobs.Job, e *drmaa.Error) {
 			if e == nil && whole {
 				reply(c, 200, f.jobs.ViewArray(a))
 				return
--- a/internal/node/batch/httpapi/world_test.go
+++ b/internal/node/batch/httpapi/world_test.go
@@ -71,9 +71,9 @@
 	w.Loop.Call(func() {
 		w.core, err = routing.New(s, 1, w.Loop, &w.Loop.Timers)
 		must(t, err)
-		w.to = protocol.NewDestinations(protocol.DestinationConfig{Sockets: 8, ConnectTimeout: 10 * time.Second,
-			ConnIdle: time.Minute}, w.Loop, w.core)
-		pool := protocol.NewDiscovery(protocol.DiscoveryConfig{Known: protocol.List{Version: 1, Entries: []protocol.Listed{
+		w.to = protocol.NewDestinations(protocol.DestinationConfig{MaxConnections: 8, ConnectTimeout: 10 * time.Second,
+			IdleTimeout: time.Minute}, w.Loop, w.core)
+		pool := protocol.NewDiscovery(protocol.DiscoveryConfig{CachedList: protocol.EndpointList{Version: 1, Entries: []protocol.Endpoint{
 			{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
 			{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}}, w.Loop, w.core, w.to)
 		w.core.Connect(w.to, pool, nil)
@@ -81,7 +81,7 @@
 		w.service = jobs.New(jobs.Config{Machine: "n0", Classes: map[string]int{"pruefen": 0, "buchen": 1}, Settings: s, Name: w.to.Name,
 			MostSlots: 100, Target: jobs.DefaultTarget, LongestWait: jobs.DefaultLongestWait, Events: 2000, Kept: kept},
 			w.core, w.keeper, w.Loop, &w.Loop.Timers)
-		w.core.Show(w.service)
+		w.core.SetLoadObserver(w.service)
 		w.service.Load(tenants, sessions, unfinished, arrays)
 		front := New(w.service, w.Loop, &w.Loop.Timers, "test")
 		must(t, protocol.NewServer(w.Loop, batch, 40, 1<<20, front.Serve).Start())
--- a/internal/node/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -639,7 +639,7 @@
 	hold := tpl(safe)
 	hold.SubmitAsHold = true
 	r.submit(hold)
-	r.m.Reported(1, []float32{3, 2.5})
+	r.m.LoadReported(1, []float32{3, 2.5})
 	got := r.m.Machines(r.anna())
 	if len(got) != 2 || got[0].Name != "a" || got[0].Available || got[1].Batch != 1 || *got[1].FreeSlots != 2.5 || got[1].Doubt != 0.25 {
 		t.Errorf("%+v", got)
--- a/internal/node/batch/jobs/model.go
+++ b/internal/node/batch/jobs/model.go
@@ -156,12 +156,12 @@
 
 // Core is what the manager needs of package routing's core.
 type Core interface {
-	Take(routing.Operation) slottable.Handle
+	Accept(routing.Operation) slottable.Handle
 	Route(slottable.Handle)
 	Withdraw(slottable.Handle)
 	MayHaveRun(slottable.Handle) bool
-	Able() bool
-	Listed(func(balance.WorkerID, balance.State, float64))
+	AnyReady() bool
+	EachWorker(func(balance.WorkerID, balance.State, float64))
 }
 
 // Config is what the manager is told.
--- a/internal/node/batch/jobs/monitor.go
+++ b/internal/node/batch/jobs/monitor.go
@@ -21,8 +21,8 @@
 	at   time.Duration
 }
 
-// Reported is the core's word of a destination's load report.
-func (m *Manager) Reported(to balance.WorkerID, report []float32) {
+// LoadReported is the core's word of a destination's load report.
+func (m *Manager) LoadReported(to balance.WorkerID, report []float32) {
 	if m.freeAt < 0 || m.freeAt >= len(report) || report[m.freeAt] != report[m.freeAt] {
 		return
 	}
@@ -53,7 +53,7 @@
 	}
 	out := []drmaa.Machine{}
 	listed := map[balance.WorkerID]bool{}
-	m.core.Listed(func(id balance.WorkerID, state balance.State, doubt float64) {
+	m.core.EachWorker(func(id balance.WorkerID, state balance.State, doubt float64) {
 		listed[id] = true
 		v := drmaa.Machine{Name: m.config.Name(id), Available: state == balance.Ready, Doubt: doubt}
 		if v.State = "Ready"; state != balance.Ready {
--- a/internal/node/batch/jobs/rig_test.go
+++ b/internal/node/batch/jobs/rig_test.go
@@ -195,19 +195,19 @@
 	begun bool
 }
 
-func (c *fakeCore) Take(op routing.Operation) slottable.Handle {
+func (c *fakeCore) Accept(op routing.Operation) slottable.Handle {
 	c.last++
 	c.ops[c.last] = &fakeOp{Operation: op}
 	return c.last
 }
 func (c *fakeCore) Route(slottable.Handle)        {}
 func (c *fakeCore) Withdraw(ref slottable.Handle) { delete(c.ops, ref) }
-func (c *fakeCore) Able() bool                    { return c.able }
+func (c *fakeCore) AnyReady() bool                { return c.able }
 func (c *fakeCore) MayHaveRun(ref slottable.Handle) bool {
 	op := c.ops[ref]
 	return op != nil && (op.ran || op.out > 0)
 }
-func (c *fakeCore) Listed(f func(balance.WorkerID, balance.State, float64)) {
+func (c *fakeCore) EachWorker(f func(balance.WorkerID, balance.State, float64)) {
 	f(1, balance.Ready, 0.25)
 	f(0, balance.Draining, 0)
 }
@@ -221,14 +221,14 @@
 func (c *fakeCore) stepThen(j *Job, to balance.WorkerID, out func()) {
 	ref, op := j.op, c.of(j)
 	op.gated++
-	c.rig.m.Stepped(ref, to)
-	c.rig.m.Gate(ref, func(ok bool) {
+	c.rig.m.StepSent(ref, to)
+	c.rig.m.BeforeSend(ref, func(ok bool) {
 		if c.ops[ref] != op {
 			return // the step has ended meanwhile
 		}
 		op.gated--
 		if !ok {
-			c.rig.m.StepDone(ref, to, balance.NotSent)
+			c.rig.m.StepEnded(ref, to, balance.NotSent)
 			return
 		}
 		op.out++
@@ -245,14 +245,14 @@
 func (c *fakeCore) begin(j *Job, at balance.WorkerID) {
 	c.of(j).begun = true
 	c.rig.m.Started(j.op, at)
-	c.rig.m.Waited(c.rig.m, 0)
+	c.rig.m.StartDelay(c.rig.m, 0)
 }
 
 func (c *fakeCore) stepDone(j *Job, at balance.WorkerID, how balance.Outcome) {
 	op := c.of(j)
 	op.out--
 	op.ran = op.ran || !how.NeverRan()
-	c.rig.m.StepDone(j.op, at, how)
+	c.rig.m.StepEnded(j.op, at, how)
 }
 
 func (c *fakeCore) answer(j *Job, a routing.Answer) {
@@ -260,7 +260,7 @@
 	a.MayHaveRun = c.MayHaveRun(ref)
 	delete(c.ops, ref)
 	c.rig.m.Answered(ref, a)
-	c.rig.m.Concluded(c.rig.m, a.Verdict)
+	c.rig.m.OperationConcluded(c.rig.m, a.Verdict)
 }
 
 // serve has a job run to its end at a worker.
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -29,7 +29,7 @@
 	defer func() { m.pumping = false }()
 	now := m.clock.Now()
 	again, shut := m.window.Shut(now)
-	if !shut && !m.core.Able() {
+	if !shut && !m.core.AnyReady() {
 		again, shut = now+ableAgain, true
 	}
 	if shut {
@@ -50,9 +50,9 @@
 	}
 }
 
-// Gate has a job's first step wait until the store knows that it may be sent:
+// BeforeSend has a job's first step wait until the store knows that it may be sent:
 // after a restart only what the store does not have so never ran for certain.
-func (m *Manager) Gate(op slottable.Handle, open func(bool)) {
+func (m *Manager) BeforeSend(op slottable.Handle, open func(bool)) {
 	j := m.byOp[op]
 	switch {
 	case j == nil || j.ending:
@@ -133,7 +133,7 @@
 		HasCost: t.CostHint > 0, Repeat: j.tries > 1, Owner: m,
 		Work: routing.Work{ID: j.ID + "-" + strconv.Itoa(j.tries), Target: t.Target(indexText(&j.Record)),
 			Body: []byte(t.Body(indexText(&j.Record)))}}
-	j.op = m.core.Take(op)
+	j.op = m.core.Accept(op)
 	m.byOp[j.op] = j
 	m.core.Route(j.op)
 }
@@ -150,8 +150,8 @@
 	}
 }
 
-// Stepped is the core's word that a route step goes out.
-func (m *Manager) Stepped(op slottable.Handle, to balance.WorkerID) {
+// StepSent is the core's word that a route step goes out.
+func (m *Manager) StepSent(op slottable.Handle, to balance.WorkerID) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -196,8 +196,8 @@
 	m.fire(j)
 }
 
-// StepDone is the core's word of how a route step ended.
-func (m *Manager) StepDone(op slottable.Handle, to balance.WorkerID, how balance.Outcome) {
+// StepEnded is the core's word of how a route step ended.
+func (m *Manager) StepEnded(op slottable.Handle, to balance.WorkerID, how balance.Outcome) {
 	j := m.byOp[op]
 	if j == nil {
 		return
@@ -382,15 +382,15 @@
 	}
 }
 
-// Waited is the core's word of how long an operation of either front waited for
+// StartDelay is the core's word of how long an operation of either front waited for
 // its start.
-func (m *Manager) Waited(owner routing.Owner, wait time.Duration) {
+func (m *Manager) StartDelay(owner routing.Owner, wait time.Duration) {
 	m.window.Started(m.clock.Now(), wait, owner == routing.Owner(m))
 	m.pump()
 }
 
-// Concluded is the core's word of a final answer to either front.
-func (m *Manager) Concluded(_ routing.Owner, v routing.Verdict) {
+// OperationConcluded is the core's word of a final answer to either front.
+func (m *Manager) OperationConcluded(_ routing.Owner, v routing.Verdict) {
 	if v == routing.Refused || v == routing.Failed {
 		m.window.Lost(m.clock.Now())
 	}
--- a/internal/node/batch/store/bench_test.go
+++ b/internal/node/batch/store/bench_test.go
@@ -18,13 +18,13 @@
 // idleCore is a core that nothing is sent to.
 type idleCore struct{}
 
-func (idleCore) Take(routing.Operation) slottable.Handle               { return 0 }
-func (idleCore) Route(slottable.Handle)                                {}
-func (idleCore) Withdraw(slottable.Handle)                             {}
-func (idleCore) MayHaveRun(slottable.Handle) bool                      { return false }
-func (idleCore) Able() bool                                            { return false }
-func (idleCore) Listed(func(balance.WorkerID, balance.State, float64)) {}
-func (idleCore) Now() time.Duration                                    { return time.Duration(time.Now().UnixMicro()) * time.Microsecond }
+func (idleCore) Accept(routing.Operation) slottable.Handle                 { return 0 }
+func (idleCore) Route(slottable.Handle)                                    {}
+func (idleCore) Withdraw(slottable.Handle)                                 {}
+func (idleCore) MayHaveRun(slottable.Handle) bool                          { return false }
+func (idleCore) AnyReady() bool                                            { return false }
+func (idleCore) EachWorker(func(balance.WorkerID, balance.State, float64)) {}
+func (idleCore) Now() time.Duration                                        { return time.Duration(time.Now().UnixMicro()) * time.Microsecond }
 
 // BenchmarkSubmit has a manager on SQLite take jobs as many clients would hand
 // them in, without HTTP, and sets its rate beside that of a bare loop of commits
--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -35,13 +35,13 @@
 type Conn struct {
 	loop      *Loop
 	raw       gnet.Conn
-	ref       slottable.Handle
+	handle    slottable.Handle
 	handler   Handler
-	opened    func()
+	onOpen    func()
 	onClose   func()
-	ended     func() // told when a lingering connection is closed
-	in        []byte
-	from      int // where the unused bytes start
+	onEnded   func() // told when a lingering connection is closed
+	buffer    []byte
+	consumed  int // where the unused bytes start
 	pumping   bool
 	closed    bool
 	unsent    bool
@@ -60,31 +60,31 @@
 	return gnet.None
 }
 
-func (c *Conn) take(data []byte) {
+func (c *Conn) receive(data []byte) {
 	if c.closed || c.lingering {
 		return
 	}
-	if c.from > 0 && len(c.in)+len(data) > cap(c.in) {
-		c.in = c.in[:copy(c.in, c.in[c.from:])]
-		c.from = 0
+	if c.consumed > 0 && len(c.buffer)+len(data) > cap(c.buffer) {
+		c.buffer = c.buffer[:copy(c.buffer, c.buffer[c.consumed:])]
+		c.consumed = 0
 	}
-	c.in = append(c.in, data...)
+	c.buffer = append(c.buffer, data...)
 	c.Pump()
 }
 
 // Pump offers the bytes in the buffer to the handler once more, as when it has
 // become ready for the next of pipelined messages.
 func (c *Conn) Pump() {
-	if c.pumping || c.closed || c.lingering || c.from == len(c.in) {
+	if c.pumping || c.closed || c.lingering || c.consumed == len(c.buffer) {
 		return
 	}
 	c.pumping = true
-	c.from += c.handler.Data(c, c.in[c.from:])
+	c.consumed += c.handler.Data(c, c.buffer[c.consumed:])
 	c.pumping = false
-	if c.from == len(c.in) {
-		c.in, c.from = c.in[:0], 0
-		if cap(c.in) > maxRetainedBuffer {
-			c.in = nil
+	if c.consumed == len(c.buffer) {
+		c.buffer, c.consumed = c.buffer[:0], 0
+		if cap(c.buffer) > maxRetainedBuffer {
+			c.buffer = nil
 		}
 	}
 }
@@ -104,16 +104,16 @@
 	return err == nil && !c.closed
 }
 
-// Sent tells whether the system has taken all that was given to Send.
-func (c *Conn) Sent() bool {
+// Flushed tells whether the system has taken all that was given to Send.
+func (c *Conn) Flushed() bool {
 	if c.closed {
 		return !c.unsent
 	}
 	return c.raw.OutboundBuffered() == 0
 }
 
-// Unsent returns the bytes given to Send that the system has not taken.
-func (c *Conn) Unsent() int {
+// UnsentBytes returns the bytes given to Send that the system has not taken.
+func (c *Conn) UnsentBytes() int {
 	if c.closed {
 		return 0
 	}
@@ -127,19 +127,19 @@
 // other side to end the connection.
 func (c *Conn) Lingering() bool { return c.lingering && !c.closed }
 
-// Ended looks whether the other side or the network has ended the connection, though
+// PeerClosed looks whether the other side or the network has ended the connection, though
 // the loop may not have read as far as that: what has come before it is read first, and
 // a busy loop reads late.
-func (c *Conn) Ended() bool {
-	return c.closed || c.look()&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+func (c *Conn) PeerClosed() bool {
+	return c.closed || c.pollEvents()&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Quiet looks whether nothing has come in that the loop has not read, the other side's
+// NothingUnread looks whether nothing has come in that the loop has not read, the other side's
 // end included.
-func (c *Conn) Quiet() bool { return !c.closed && c.look() == 0 }
+func (c *Conn) NothingUnread() bool { return !c.closed && c.pollEvents() == 0 }
 
-// look asks the system for what it holds ready on the connection.
-func (c *Conn) look() int16 {
+// pollEvents asks the system for what it holds ready on the connection.
+func (c *Conn) pollEvents() int16 {
 	ready := []unix.PollFd{{Fd: int32(c.raw.Fd()), Events: unix.POLLIN | unix.POLLRDHUP}}
 	for {
 		if _, err := unix.Poll(ready, 0); err != unix.EINTR {
@@ -155,7 +155,7 @@
 	}
 	c.closed = true
 	if c.raw != nil && c.loop.current != c {
-		_ = c.loop.self.Close(c.raw)
+		_ = c.loop.engineLoop.Close(c.raw)
 	}
 }
 
@@ -168,36 +168,36 @@
 		ended()
 		return
 	}
-	c.lingering, c.ended = true, ended
-	c.in, c.from = nil, 0
+	c.lingering, c.onEnded = true, ended
+	c.buffer, c.consumed = nil, 0
 	now := c.loop.now
 	c.flush(c.raw.OutboundBuffered(), now+lingerTimeout, now+maxLinger)
 }
 
 // flush waits for the rest of what was sent for as long as the other side takes some of it.
-func (c *Conn) flush(left int, until, latest time.Duration) {
+func (c *Conn) flush(remaining int, until, latest time.Duration) {
 	if c.closed {
 		return
 	}
 	now, pending := c.loop.now, c.raw.OutboundBuffered()
-	if pending < left {
-		left, until = pending, now+lingerTimeout
+	if pending < remaining {
+		remaining, until = pending, now+lingerTimeout
 	}
 	switch {
 	case pending == 0:
 		_ = syscall.Shutdown(c.raw.Fd(), syscall.SHUT_WR)
-		c.loop.Timers.Add(now+lingerTimeout, func() { c.endQuietly(latest) })
+		c.loop.Timers.Add(now+lingerTimeout, func() { c.closeBetweenReads(latest) })
 	case now >= min(until, latest):
 		c.Close()
 	default:
-		c.loop.Timers.Add(now+lingerPollInterval, func() { c.flush(left, until, latest) })
+		c.loop.Timers.Add(now+lingerPollInterval, func() { c.flush(remaining, until, latest) })
 	}
 }
 
-// endQuietly closes what lingers, between two reads: not over what has just come.
-func (c *Conn) endQuietly(latest time.Duration) {
-	if !c.closed && c.loop.now < latest && !c.Quiet() {
-		c.loop.Timers.Add(c.loop.now+readDelayBound, func() { c.endQuietly(latest) })
+// closeBetweenReads closes what lingers, between two reads: not over what has just come.
+func (c *Conn) closeBetweenReads(latest time.Duration) {
+	if !c.closed && c.loop.now < latest && !c.NothingUnread() {
+		c.loop.Timers.Add(c.loop.now+readDelayBound, func() { c.closeBetweenReads(latest) })
 		return
 	}
 	c.Close()
--- a/internal/node/eventloop/listen.go
+++ b/internal/node/eventloop/listen.go
@@ -16,23 +16,23 @@
 // Listener takes in connections until it is closed.
 type Listener struct {
 	net.Listener
-	slots  chan struct{}
-	take   func(net.Conn) // an accepted connection, which has its place in room
-	open   atomic.Int32
-	coming atomic.Int32 // accepted, and not shown to the loop yet
+	slots   chan struct{}
+	handOff func(net.Conn) // an accepted connection, which has its place in room
+	open    atomic.Int32
+	pending atomic.Int32 // accepted, and not shown to the loop yet
 }
 
 // Open returns the number of connections open, those just being taken over by
 // the loop included.
 func (in *Listener) Open() int { return int(in.open.Load()) }
 
-// Coming returns the number of connections that are accepted and not yet shown
+// Pending returns the number of connections that are accepted and not yet shown
 // to the loop.
-func (in *Listener) Coming() int { return int(in.coming.Load()) }
+func (in *Listener) Pending() int { return int(in.pending.Load()) }
 
-// Inherit takes over a listening socket that this process was started with. Other
+// InheritListener takes over a listening socket that this process was started with. Other
 // processes hold the same socket: it may be closed here, but never shut down.
-func Inherit(descriptor string) (net.Listener, error) {
+func InheritListener(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 3 {
 		return nil, fmt.Errorf("%q is no descriptor's number", descriptor)
@@ -63,17 +63,17 @@
 // Accept accepts connections on a listening socket, at most most of them open at
 // once; further ones wait in the system's queue. accept is called on the loop with
 // each, and ended once the listener has been closed and the last one been shown.
-func (l *Loop) Accept(ln net.Listener, most int, accept func(*Conn) Handler, ended func()) *Listener {
-	in := &Listener{Listener: ln, slots: make(chan struct{}, most)}
-	in.take = func(raw net.Conn) { in.enroll(l, raw, accept) }
+func (l *Loop) Accept(ln net.Listener, maxOpen int, accept func(*Conn) Handler, ended func()) *Listener {
+	listener := &Listener{Listener: ln, slots: make(chan struct{}, maxOpen)}
+	listener.handOff = func(raw net.Conn) { listener.register(l, raw, accept) }
 	go func() {
-		in.serve()
-		for in.Coming() > 0 {
+		listener.serve()
+		for listener.Pending() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		l.Post(ended)
 	}()
-	return in
+	return listener
 }
 
 func (in *Listener) serve() {
@@ -88,42 +88,42 @@
 			time.Sleep(acceptBackoff) // out of descriptors, perhaps: they come back
 			continue
 		}
-		in.take(raw)
+		in.handOff(raw)
 	}
 }
 
-// enroll hands an accepted connection to the loop. It has its place in room.
-func (in *Listener) enroll(l *Loop, raw net.Conn, accept func(*Conn) Handler) {
+// register hands an accepted connection to the loop. It has its place in room.
+func (in *Listener) register(loop *Loop, raw net.Conn, accept func(*Conn) Handler) {
 	in.open.Add(1)
-	in.coming.Add(1)
+	in.pending.Add(1)
 	leave := func() {
 		in.open.Add(-1)
 		<-in.slots
 	}
-	c := &Conn{loop: l, onClose: leave}
-	c.opened = func() {
+	c := &Conn{loop: loop, onClose: leave}
+	c.onOpen = func() {
 		c.handler = accept(c)
-		in.coming.Add(-1)
+		in.pending.Add(-1)
 	}
-	if _, err := l.client.EnrollContext(raw, c); err != nil {
-		in.coming.Add(-1)
+	if _, err := loop.client.EnrollContext(raw, c); err != nil {
+		in.pending.Add(-1)
 		leave()
 	}
 }
 
-// Finish closes the listener once what the system has accepted by now is taken in: a close
+// CloseAfterBacklog closes the listener once what the system has accepted by now is taken in: a close
 // resets what still waits there, with the requests on it. What waits on a shared socket is
 // left to the others. It does not hold up the loop.
-func (in *Listener) Finish() {
+func (in *Listener) CloseAfterBacklog() {
 	go func() {
-		for in.takeWaiting() {
+		for in.acceptWaiting() {
 		}
 		_ = in.Close()
 	}()
 }
 
-// takeWaiting takes in one connection that waits, and tells whether there was one and room for it.
-func (in *Listener) takeWaiting() bool {
+// acceptWaiting takes in one connection that waits, and tells whether there was one and room for it.
+func (in *Listener) acceptWaiting() bool {
 	ln, ok := in.Listener.(*net.TCPListener)
 	if !ok {
 		return false
@@ -152,6 +152,6 @@
 		<-in.slots
 		return true
 	}
-	in.take(raw)
+	in.handOff(raw)
 	return true
 }
--- a/internal/node/eventloop/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -34,29 +34,31 @@
 
 	Timers timerqueue.Queue // fired by the loop, on its clock
 
-	client  *gnet.Client
-	self    gnet.EventLoop
-	conns   slottable.Table[*Conn]
-	current *Conn // whose callback is running
-	base    time.Duration
-	start   time.Time
-	clock   Clock // nil: the system's
-	now     time.Duration
-	depth   int // turns within turns: a close within a callback is told at once
-	timer   *time.Timer
-	armed   time.Duration // what the timer is set to; 0: not set
+	client     *gnet.Client
+	engineLoop gnet.EventLoop
+	conns      slottable.Table[*Conn]
+	current    *Conn // whose callback is running
+	epoch      time.Duration
+	start      time.Time
+	clock      Clock // nil: the system's
+	now        time.Duration
+	turnDepth  int // turns within turns: a close within a callback is told at once
+	timer      *time.Timer
+	timerAt    time.Duration // what the timer is set to; 0: not set
 }
 
-// log passes gnet's complaints on to the node's log, and nothing else.
-type log struct{}
+// engineLogger passes gnet's complaints on to the node's log, and nothing else.
+type engineLogger struct{}
 
-func (log) Debugf(string, ...any)         {}
-func (log) Infof(string, ...any)          {}
-func (log) Warnf(format string, v ...any) { slog.Warn("event loop", "says", fmt.Sprintf(format, v...)) }
-func (log) Errorf(format string, v ...any) {
+func (engineLogger) Debugf(string, ...any) {}
+func (engineLogger) Infof(string, ...any)  {}
+func (engineLogger) Warnf(format string, v ...any) {
+	slog.Warn("event loop", "says", fmt.Sprintf(format, v...))
+}
+func (engineLogger) Errorf(format string, v ...any) {
 	slog.Error("event loop", "says", fmt.Sprintf(format, v...))
 }
-func (log) Fatalf(format string, v ...any) {
+func (engineLogger) Fatalf(format string, v ...any) {
 	slog.Error("event loop", "says", fmt.Sprintf(format, v...))
 }
 
@@ -68,11 +70,11 @@
 // bring. With a nil clock it keeps the system's time.
 func NewLoop(clock Clock) (*Loop, error) {
 	start := time.Now()
-	l := &Loop{start: start, clock: clock, base: time.Duration(start.UnixMicro()) * time.Microsecond}
-	l.timer = time.AfterFunc(time.Hour, func() { l.Post(l.fire) })
+	l := &Loop{start: start, clock: clock, epoch: time.Duration(start.UnixMicro()) * time.Microsecond}
+	l.timer = time.AfterFunc(time.Hour, func() { l.Post(l.runTimers) })
 	l.timer.Stop()
 	client, err := gnet.NewClient(l, gnet.WithNumEventLoop(1), gnet.WithReadBufferCap(readChunk),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(log{}))
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(engineLogger{}))
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
@@ -80,16 +82,16 @@
 	if err := client.Start(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	if err := l.findSelf(); err != nil {
+	if err := l.findEngineLoop(); err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	return l, nil
 }
 
-// findSelf gets hold of gnet's loop, which it hands out by a connection alone: a
+// findEngineLoop gets hold of gnet's loop, which it hands out by a connection alone: a
 // datagram socket that nobody knows of is enrolled for that, and closed again. Not a
 // Unix one: where those are refused the node would not start.
-func (l *Loop) findSelf() error {
+func (l *Loop) findEngineLoop() error {
 	conn, err := net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discardPort})
 	if err != nil {
 		return err
@@ -98,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	l.self = c.EventLoop()
+	l.engineLoop = c.EventLoop()
 	return c.Close()
 }
 
@@ -106,34 +108,34 @@
 // started at the Unix time, so that times that other machines tell map to it.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// begin and end stand round each turn.
-func (l *Loop) begin() {
-	l.depth++
-	if l.depth > 1 {
+// beginTurn and end stand round each turn.
+func (l *Loop) beginTurn() {
+	l.turnDepth++
+	if l.turnDepth > 1 {
 		return
 	}
 	if l.clock != nil {
 		l.now = l.clock()
 		return
 	}
-	l.now = l.base + time.Since(l.start).Truncate(time.Microsecond)
+	l.now = l.epoch + time.Since(l.start).Truncate(time.Microsecond)
 }
 
-func (l *Loop) end() {
-	l.depth--
-	if l.depth > 0 {
+func (l *Loop) endTurn() {
+	l.turnDepth--
+	if l.turnDepth > 0 {
 		return
 	}
 	at, ok := l.Timers.Next()
-	if !ok || l.clock != nil || l.armed != 0 && l.armed <= at {
+	if !ok || l.clock != nil || l.timerAt != 0 && l.timerAt <= at {
 		return
 	}
-	l.armed = at
+	l.timerAt = at
 	l.timer.Reset(max(at-l.now, 0))
 }
 
-func (l *Loop) fire() {
-	l.armed = 0
+func (l *Loop) runTimers() {
+	l.timerAt = 0
 	l.Timers.Run(l.now)
 }
 
@@ -144,10 +146,10 @@
 // Post runs f on the loop. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
 	// The one error is that of a loop that has stopped; f has no place then.
-	_ = l.self.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		l.begin()
+	_ = l.engineLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		l.beginTurn()
 		f()
-		l.end()
+		l.endTurn()
 		return nil
 	}))
 }
@@ -166,15 +168,15 @@
 // connection or the error, on the loop, unless cancel was called before: what
 // comes up after that is closed. Where no connection comes of it, freed is
 // called before done, or in its place, once the dial holds no descriptor any more.
-func (l *Loop) Dial(address string, timeout time.Duration, h Handler, done func(*Conn, error), freed func()) (cancel func()) {
+func (l *Loop) Dial(address string, timeout time.Duration, handler Handler, done func(*Conn, error), released func()) (cancel func()) {
 	ctx, stop := context.WithTimeout(context.Background(), timeout)
 	cancelled := false
-	c := &Conn{loop: l, handler: h}
-	c.opened = func() {
+	c := &Conn{loop: l, handler: handler}
+	c.onOpen = func() {
 		stop()
 		if cancelled {
 			c.Close()
-			freed()
+			released()
 			return
 		}
 		done(c, nil)
@@ -188,7 +190,7 @@
 		if err != nil {
 			l.Post(func() {
 				stop()
-				freed()
+				released()
 				if !cancelled {
 					done(nil, err)
 				}
@@ -247,11 +249,11 @@
 	if !ok {
 		return nil, gnet.None // the loop's own, see findSelf
 	}
-	l.begin()
-	defer l.end()
+	l.beginTurn()
+	defer l.endTurn()
 	c.raw = raw
-	c.ref = l.conns.Add(c)
-	return nil, c.run(c.opened)
+	c.handle = l.conns.Add(c)
+	return nil, c.run(c.onOpen)
 }
 
 // OnTraffic is gnet's word of bytes come in.
@@ -260,10 +262,10 @@
 	if !ok {
 		return gnet.None
 	}
-	l.begin()
-	defer l.end()
+	l.beginTurn()
+	defer l.endTurn()
 	data, _ := raw.Next(-1)
-	return c.run(func() { c.take(data) })
+	return c.run(func() { c.receive(data) })
 }
 
 // OnClose is gnet's word of a connection that has ended.
@@ -272,9 +274,9 @@
 	if !ok {
 		return gnet.None
 	}
-	l.begin()
-	defer l.end()
-	l.conns.Remove(c.ref)
+	l.beginTurn()
+	defer l.endTurn()
+	l.conns.Remove(c.handle)
 	if c.onClose != nil {
 		c.onClose()
 	}
@@ -285,8 +287,8 @@
 			c.handler.Closed(c)
 		}
 	}
-	if c.ended != nil {
-		c.ended()
+	if c.onEnded != nil {
+		c.onEnded()
 	}
 	return gnet.None
 }
--- a/internal/node/hotrestart/directory.go
+++ b/internal/node/hotrestart/directory.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	version           = 1
+	fileVersion       = 1
 	overridesName     = "by-hand.json"
-	lockFile          = "lock"
-	alive             = "alive-"
+	changeLockName    = "lock"
+	lockPrefix        = "alive-"
 	maxOverridesBytes = 1 << 20 // bytes of a file that is worth reading
 	maxLockAttempts   = 20      // for a file of one's own that another process takes for a dead one's
 )
 
 // Directory is the folder.
 type Directory struct {
-	dir  string
-	name string // this process's own, among all that were ever here
-	self string
-	own  *os.File // locked for as long as the process lives
+	path     string
+	process  string // this process's own, among all that were ever here
+	lockPath string
+	lock     *os.File // locked for as long as the process lives
 }
 
 // overridesFile is the file's form.
@@ -47,35 +47,35 @@
 	if tmp == "" {
 		return nil, errors.New("TMPDIR: not set")
 	}
-	dir := filepath.Join(tmp, "ospreybend-"+strings.Map(func(r rune) rune {
-		if r == filepath.Separator || r == 0 {
+	dir := filepath.Join(tmp, "ospreybend-"+strings.Map(func(d rune) rune {
+		if d == filepath.Separator || d == 0 {
 			return '_'
 		}
-		return r
+		return d
 	}, node))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("TMPDIR: %w", err)
 	}
 	// By the number alone two processes might be one, where each has numbers of its own.
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
-	r := &Directory{dir: dir, name: name, self: filepath.Join(dir, alive+name)}
+	d := &Directory{path: dir, process: name, lockPath: filepath.Join(dir, lockPrefix+name)}
 	for range maxLockAttempts {
-		f, err := os.OpenFile(r.self, os.O_CREATE|os.O_RDWR, 0o600)
+		file, err := os.OpenFile(d.lockPath, os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return nil, fmt.Errorf("TMPDIR: %w", err)
 		}
-		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil && same(f, r.self) {
-			r.own = f
-			return r, nil
+		if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil && samePath(file, d.lockPath) {
+			d.lock = file
+			return d, nil
 		}
-		f.Close() // another process has just looked whether it is a dead one's
+		file.Close() // another process has just looked whether it is a dead one's
 		time.Sleep(time.Millisecond)
 	}
-	return nil, fmt.Errorf("TMPDIR: %s is locked by another process", r.self)
+	return nil, fmt.Errorf("TMPDIR: %s is locked by another process", d.lockPath)
 }
 
-// same tells whether a path still leads to an open file.
-func same(f *os.File, path string) bool {
+// samePath tells whether a path still leads to an open file.
+func samePath(f *os.File, path string) bool {
 	a, err := f.Stat()
 	if err != nil {
 		return false
@@ -85,42 +85,42 @@
 }
 
 // Close leaves the room.
-func (r *Directory) Close() {
-	_ = os.Remove(r.self)
-	_ = r.own.Close()
+func (d *Directory) Close() {
+	_ = os.Remove(d.lockPath)
+	_ = d.lock.Close()
 }
 
-// Others counts the other processes in the room. What dead ones have left is
+// OtherProcesses counts the other processes in the room. What dead ones have left is
 // removed.
-func (r *Directory) Others() int {
-	entries, err := os.ReadDir(r.dir)
+func (d *Directory) OtherProcesses() int {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return 0
 	}
-	n := 0
-	for _, e := range entries {
-		path := filepath.Join(r.dir, e.Name())
-		if !strings.HasPrefix(e.Name(), alive) || path == r.self {
+	count := 0
+	for _, entry := range entries {
+		path := filepath.Join(d.path, entry.Name())
+		if !strings.HasPrefix(entry.Name(), lockPrefix) || path == d.lockPath {
 			continue
 		}
-		f, err := os.OpenFile(path, os.O_RDWR, 0)
+		file, err := os.OpenFile(path, os.O_RDWR, 0)
 		if err != nil {
 			continue
 		}
-		if syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
+		if syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
 			_ = os.Remove(path)
 		} else {
-			n++
+			count++
 		}
-		f.Close()
+		file.Close()
 	}
-	return n
+	return count
 }
 
 // Overrides reads the words on prep workers. A file that is missing, torn or of
 // another version gives none, and an error that says so unless it is missing.
-func (r *Directory) Overrides() (override.Overrides, error) {
-	path := filepath.Join(r.dir, overridesName)
+func (d *Directory) Overrides() (override.Overrides, error) {
+	path := filepath.Join(d.path, overridesName)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return override.Overrides{}, nil
@@ -135,23 +135,23 @@
 	if err != nil {
 		return override.Overrides{}, fmt.Errorf("%s: %w", path, err)
 	}
-	var w overridesFile
-	if err := json.Unmarshal(text, &w); err != nil {
+	var file overridesFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return override.Overrides{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if w.Version != version {
-		return override.Overrides{}, fmt.Errorf("%s: version %d, known is %d", path, w.Version, version)
+	if file.Version != fileVersion {
+		return override.Overrides{}, fmt.Errorf("%s: version %d, known is %d", path, file.Version, fileVersion)
 	}
-	if w.Overrides == nil {
-		w.Overrides = override.Overrides{}
+	if file.Overrides == nil {
+		file.Overrides = override.Overrides{}
 	}
-	return w.Overrides, nil
+	return file.Overrides, nil
 }
 
 // Change has the words changed and written whole, one process at a time, and
 // returns what holds now. What cannot be read is begun anew.
-func (r *Directory) Change(change func(override.Overrides)) (override.Overrides, error) {
-	lock, err := os.OpenFile(filepath.Join(r.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
+func (d *Directory) Change(change func(override.Overrides)) (override.Overrides, error) {
+	lock, err := os.OpenFile(filepath.Join(d.path, changeLockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -159,54 +159,54 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return nil, fmt.Errorf("%s: %w", lock.Name(), err)
 	}
-	now, err := r.Overrides()
+	overrides, err := d.Overrides()
 	if err != nil {
 		slog.Warn("words by hand begun anew", "fault", err)
 	}
-	change(now)
-	text, err := json.Marshal(overridesFile{version, now})
+	change(overrides)
+	text, err := json.Marshal(overridesFile{fileVersion, overrides})
 	if err != nil {
 		return nil, err
 	}
-	temporary, err := os.CreateTemp(r.dir, "new-")
+	temporary, err := os.CreateTemp(d.path, "new-")
 	if err != nil {
 		return nil, err
 	}
 	_, err = temporary.Write(text)
 	err = errors.Join(err, temporary.Close())
 	if err == nil {
-		err = os.Rename(temporary.Name(), filepath.Join(r.dir, overridesName))
+		err = os.Rename(temporary.Name(), filepath.Join(d.path, overridesName))
 	}
 	if err != nil {
 		_ = os.Remove(temporary.Name())
 		return nil, err
 	}
-	return now, nil
+	return overrides, nil
 }
 
 // Watch looks into the room in steps and tells when the words or the number of
 // other processes have changed, until stop is closed.
-func (r *Directory) Watch(every time.Duration, stop <-chan struct{}, notify func(w override.Overrides, others int)) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+func (d *Directory) Watch(every time.Duration, stop <-chan struct{}, notify func(overrides override.Overrides, others int)) {
+	ticker := time.NewTicker(every)
+	defer ticker.Stop()
 	var last fs.FileInfo
 	others := -1
 	for {
-		info, _ := os.Stat(filepath.Join(r.dir, overridesName))
+		info, _ := os.Stat(filepath.Join(d.path, overridesName))
 		fresh := info != nil && (last == nil || !os.SameFile(info, last) || !info.ModTime().Equal(last.ModTime()))
-		n := r.Others()
-		if fresh || n != others {
-			w, err := r.Overrides()
+		processes := d.OtherProcesses()
+		if fresh || processes != others {
+			overrides, err := d.Overrides()
 			if err != nil {
 				slog.Warn("words by hand cannot be read", "fault", err)
 			}
-			notify(w, n)
+			notify(overrides, processes)
 		}
-		last, others = info, n
+		last, others = info, processes
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
--- a/internal/node/hotrestart/directory_test.go
+++ b/internal/node/hotrestart/directory_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/node/override"
 )
 
-func enter(t *testing.T, tmp string) *Directory {
+func openDirectory(t *testing.T, tmp string) *Directory {
 	t.Helper()
 	r, err := Open(tmp, "n1")
 	if err != nil {
@@ -20,19 +20,19 @@
 	return r
 }
 
-func out(name string) func(override.Overrides) {
+func takeOut(name string) func(override.Overrides) {
 	return func(w override.Overrides) { w.Set(name, true, time.Hour) }
 }
 
 // What one process records the next one finds. A file that cannot be read gives no
 // words and an error, and the next change writes it anew. What a dead process has
 // left counts as nobody.
-func TestWords(t *testing.T) {
+func TestDirectory_Overrides_unreadableFileIsReset(t *testing.T) {
 	for spoilt, text := range map[string]string{"torn": `{"version":1,"words":{"a":{"out":tr`, "empty": "",
 		"version": `{"version":7,"words":{"a":{"out":true}}}`, "long": strings.Repeat(" ", maxOverridesBytes+1)} {
 		tmp := t.TempDir()
-		a, b := enter(t, tmp), enter(t, tmp)
-		path := filepath.Join(a.dir, overridesName)
+		a, b := openDirectory(t, tmp), openDirectory(t, tmp)
+		path := filepath.Join(a.path, overridesName)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -40,35 +40,35 @@
 			t.Errorf("%s: %+v, %v", spoilt, w, err)
 		}
 		for i, r := range []*Directory{a, b} {
-			if _, err := r.Change(out([]string{"x", "y"}[i])); err != nil {
+			if _, err := r.Change(takeOut([]string{"x", "y"}[i])); err != nil {
 				t.Errorf("%s: %v", spoilt, err)
 			}
 		}
 		if w, err := a.Overrides(); err != nil || !w.Out("x") || !w.Out("y") || len(w) != 2 {
 			t.Errorf("%s, then: %+v, %v", spoilt, w, err)
 		}
-		_ = os.WriteFile(filepath.Join(a.dir, alive+"1"), nil, 0o600)
-		if a.Others() != 1 || b.Others() != 1 {
-			t.Errorf("%d and %d others", a.Others(), b.Others())
+		_ = os.WriteFile(filepath.Join(a.path, lockPrefix+"1"), nil, 0o600)
+		if a.OtherProcesses() != 1 || b.OtherProcesses() != 1 {
+			t.Errorf("%d and %d others", a.OtherProcesses(), b.OtherProcesses())
 		}
 		b.Close()
-		if n := a.Others(); n != 0 {
+		if n := a.OtherProcesses(); n != 0 {
 			t.Errorf("%d others after one has left", n)
 		}
 	}
 }
 
 // Parcels arrive whole, with their sockets, also where the folder's name is long.
-func TestParcels(t *testing.T) {
+func TestSuccessor_Send_largeMessageWithSockets(t *testing.T) {
 	tmp := filepath.Join(t.TempDir(), strings.Repeat("long", 30))
-	a, b := enter(t, tmp), enter(t, tmp)
+	a, b := openDirectory(t, tmp), openDirectory(t, tmp)
 	got := make(chan Message, 1)
 	stop, err := b.Receive(func(p Message) { got <- p })
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := a.Next()
-	if next == nil || b.Next() != nil {
+	next := a.Successor()
+	if next == nil || b.Successor() != nil {
 		t.Fatal("the process that follows is not found, or follows itself")
 	}
 	defer next.Close()
@@ -89,7 +89,7 @@
 	if err := next.Send(Message{Text: make([]byte, maxMessageBytes+1)}); err == nil {
 		t.Error("a parcel that is too long was sent")
 	}
-	if stop(); a.Next() != nil {
+	if stop(); a.Successor() != nil {
 		t.Error("found a process that takes nothing more")
 	}
 }
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	socketName           = "next-2-" // with the version of what is said there
+	socketPrefix         = "next-2-" // with the version of what is said there
 	maxMessageBytes      = 512 << 10
 	maxSocketsPerMessage = 32 // beside one parcel
 	bufferSize           = 1 << 20
@@ -25,17 +25,17 @@
 }
 
 // Close closes the sockets.
-func (p Message) Close() {
-	for _, s := range p.Sockets {
+func (m Message) Close() {
+	for _, s := range m.Sockets {
 		s.Close()
 	}
 }
 
 // Receive opens the place where the process before this one hands over what it has
 // in work, and calls got with each parcel, from a goroutine of its own.
-func (r *Directory) Receive(got func(Message)) (stop func(), err error) {
-	name := filepath.Join(r.dir, socketName+r.name)
-	at, free, err := r.address(name)
+func (d *Directory) Receive(got func(Message)) (stop func(), err error) {
+	name := filepath.Join(d.path, socketPrefix+d.process)
+	at, free, err := d.socketAddress(name)
 	if err != nil {
 		return nil, err
 	}
@@ -57,8 +57,8 @@
 	return func() { _ = ln.Close(); _ = os.Remove(name) }, nil
 }
 
-// address names a socket's file within the length that the system allows.
-func (r *Directory) address(path string) (*net.UnixAddr, func(), error) {
+// socketAddress names a socket's file within the length that the system allows.
+func (d *Directory) socketAddress(path string) (*net.UnixAddr, func(), error) {
 	if len(path) < 100 {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
 	}
@@ -70,21 +70,21 @@
 	return &net.UnixAddr{Name: short, Net: "unixpacket"}, func() { dir.Close() }, nil
 }
 
-func receive(c *net.UnixConn, got func(Message)) {
-	defer c.Close()
+func receive(conn *net.UnixConn, got func(Message)) {
+	defer conn.Close()
 	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4*maxSocketsPerMessage))
 	for {
-		n, rn, flags, _, err := c.ReadMsgUnix(text, rights)
+		n, rn, flags, _, err := conn.ReadMsgUnix(text, rights)
 		if err != nil || n == 0 {
 			return
 		}
-		p := Message{Text: append([]byte(nil), text[:n]...), Sockets: sockets(rights[:rn])}
+		message := Message{Text: append([]byte(nil), text[:n]...), Sockets: sockets(rights[:rn])}
 		if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-			slog.Error("a parcel of another process is too long", "bytes", n, "sockets", len(p.Sockets))
-			p.Close()
+			slog.Error("a parcel of another process is too long", "bytes", n, "sockets", len(message.Sockets))
+			message.Close()
 			continue
 		}
-		got(p)
+		got(message)
 	}
 }
 
@@ -106,26 +106,26 @@
 	return out
 }
 
-// Next is the process that follows this one.
-type Next struct{ conn *net.UnixConn }
+// Successor is the process that follows this one.
+type Successor struct{ conn *net.UnixConn }
 
-// Next finds the process that follows this one. nil: there is none that speaks as
+// Successor finds the process that follows this one. nil: there is none that speaks as
 // this one does.
-func (r *Directory) Next() *Next {
-	entries, err := os.ReadDir(r.dir)
+func (d *Directory) Successor() *Successor {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil
 	}
 	for _, e := range entries {
-		name := filepath.Join(r.dir, e.Name())
-		if !strings.HasPrefix(e.Name(), socketName) || e.Name() == socketName+r.name {
+		name := filepath.Join(d.path, e.Name())
+		if !strings.HasPrefix(e.Name(), socketPrefix) || e.Name() == socketPrefix+d.process {
 			continue
 		}
-		at, free, err := r.address(name)
+		at, free, err := d.socketAddress(name)
 		if err != nil {
 			return nil
 		}
-		c, err := net.DialUnix("unixpacket", nil, at)
+		conn, err := net.DialUnix("unixpacket", nil, at)
 		free()
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
@@ -133,27 +133,27 @@
 			}
 			continue
 		}
-		_ = c.SetWriteBuffer(bufferSize)
-		return &Next{c}
+		_ = conn.SetWriteBuffer(bufferSize)
+		return &Successor{conn}
 	}
 	return nil
 }
 
 // Send hands a parcel over. After an error the sockets are still the caller's.
-func (n *Next) Send(p Message) error {
-	if len(p.Text) > maxMessageBytes || len(p.Sockets) > maxSocketsPerMessage {
-		return fmt.Errorf("a parcel of %d bytes and %d sockets is too long", len(p.Text), len(p.Sockets))
+func (n *Successor) Send(message Message) error {
+	if len(message.Text) > maxMessageBytes || len(message.Sockets) > maxSocketsPerMessage {
+		return fmt.Errorf("a parcel of %d bytes and %d sockets is too long", len(message.Text), len(message.Sockets))
 	}
-	fds := make([]int, len(p.Sockets))
-	for i, s := range p.Sockets {
+	fds := make([]int, len(message.Sockets))
+	for i, s := range message.Sockets {
 		fds[i] = int(s.Fd())
 	}
-	if _, _, err := n.conn.WriteMsgUnix(p.Text, syscall.UnixRights(fds...), nil); err != nil {
+	if _, _, err := n.conn.WriteMsgUnix(message.Text, syscall.UnixRights(fds...), nil); err != nil {
 		return err
 	}
-	p.Close()
+	message.Close()
 	return nil
 }
 
 // Close ends the handing over.
-func (n *Next) Close() { _ = n.conn.Close() }
+func (n *Successor) Close() { _ = n.conn.Close() }
--- a/internal/node/nodeconfig/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -23,55 +23,55 @@
 // the loop's own, the pool config's, UDP, and a second one for each connection
 // just being taken over by the loop. A node of few has fewer of the last kind.
 const (
-	ownSockets   = 64
-	fewOwn       = 24
-	ownShare     = 16 // past the few, one in so many
-	adminShare   = 12 // part of all that is set aside for operators, one in so many
-	leastSockets = 128
+	maxReservedSockets    = 64
+	baseReservedSockets   = 24
+	reservedSocketDivisor = 16 // past the few, one in so many
+	adminSocketDivisor    = 12 // part of all that is set aside for operators, one in so many
+	minSockets            = 128
 )
 
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	operatorSockets = 24 // most of the operators' address, set aside
-	operatorMemory  = 256 << 10
-	leastMemoryMB   = 32
-	inputShare      = 8 // the part of the memory limit that a front's input may take is one in so many
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	maxAdminSockets       = 24 // most of the operators' address, set aside
+	adminMaxBufferedBytes = 256 << 10
+	minMemoryMB           = 32
+	bufferedInputDivisor  = 8 // the part of the memory limit that a front's input may take is one in so many
 )
 
 // Node is all that the node is told.
 type Node struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // the operators' address; empty: none
-	Inherited string // the descriptor of the clients' listening socket; empty: this process listens itself
-	TmpDir    string // where the processes of one node meet; empty: nowhere
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
+	Name              string
+	Listen            string
+	Discovery         string
+	Admin             string // the operators' address; empty: none
+	InheritedListener string // the descriptor of the clients' listening socket; empty: this process listens itself
+	TmpDir            string // where the processes of one node meet; empty: nowhere
+	Seed              uint64
+	MemoryMB          int
+	Sockets           int
 
 	PeerListen string
 	Peers      []string
 	PeersAll   string
 
-	Known    protocol.List
-	Settings balance.Settings
+	CachedList protocol.EndpointList
+	Settings   balance.Settings
 
-	Classes, Tenants    map[string]int // numbers by name
-	ClassNames          []string
-	BatchClasses        map[string]int // the batch front's, by name; see Reserve
-	Zones, Kinds        []string
-	ReportFields        []string
-	FrontSockets        int
-	FrontMemory         int // bytes of input that a front holds at most
-	AdminSockets        int
-	AdminMemory         int
-	DestinationsSockets int
+	Classes, Tenants      map[string]int // numbers by name
+	ClassNames            []string
+	BatchClasses          map[string]int // the batch front's, by name; see Reserve
+	Zones, Kinds          []string
+	ReportFields          []string
+	FrontMaxSockets       int
+	FrontMaxBufferedBytes int // bytes of input that a front holds at most
+	AdminMaxSockets       int
+	AdminMaxBufferedBytes int
+	MaxDestinationConns   int
 
 	Fleet Fleet // that the node belongs to; see ReserveFleet
 
-	tree map[string]string // the settings, flat
+	flatSettings map[string]string // the settings, flat
 }
 
 type file struct {
@@ -84,11 +84,11 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Known      protocol.List   `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen string                `json:"peer_listen"`
+	Peers      []string              `json:"peers"`
+	PeersAll   string                `json:"peers_all"`
+	Known      protocol.EndpointList `json:"known"`
+	Settings   json.RawMessage       `json:"settings"`
 }
 
 // Load reads the configuration that the environment names. Single variables
@@ -115,14 +115,14 @@
 		}
 		return nil, fmt.Errorf("the configuration is no JSON object: %w", err)
 	}
-	n := &Node{Name: or(f.Name, env("BALANCER_NAME")), Listen: or(f.Listen, env("BALANCER_LISTEN")),
-		Discovery: or(f.Discovery, env("BALANCER_DISCOVERY")), MemoryMB: int(f.Limits.MemoryMB),
-		Admin: or(f.Admin, env("BALANCER_ADMIN")), Inherited: env("BALANCER_INHERITED_FD"), TmpDir: env("TMPDIR"),
-		Sockets: f.Limits.Sockets, PeerListen: f.PeerListen, Peers: f.Peers, PeersAll: f.PeersAll, Known: f.Known}
-	if err := n.check(f.Seed); err != nil {
+	n := &Node{Name: firstNonEmpty(f.Name, env("BALANCER_NAME")), Listen: firstNonEmpty(f.Listen, env("BALANCER_LISTEN")),
+		Discovery: firstNonEmpty(f.Discovery, env("BALANCER_DISCOVERY")), MemoryMB: int(f.Limits.MemoryMB),
+		Admin: firstNonEmpty(f.Admin, env("BALANCER_ADMIN")), InheritedListener: env("BALANCER_INHERITED_FD"), TmpDir: env("TMPDIR"),
+		Sockets: f.Limits.Sockets, PeerListen: f.PeerListen, Peers: f.Peers, PeersAll: f.PeersAll, CachedList: f.Known}
+	if err := n.validate(f.Seed); err != nil {
 		return nil, err
 	}
-	if err := n.settings(f.Settings); err != nil {
+	if err := n.parseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	return n, nil
@@ -143,7 +143,7 @@
 		{"peer_listen", n.PeerListen, other.PeerListen},
 		{"peers", n.Peers, other.Peers},
 		{"peers_all", n.PeersAll, other.PeersAll},
-		{"settings", n.tree, other.tree},
+		{"settings", n.flatSettings, other.flatSettings},
 	} {
 		if !reflect.DeepEqual(c.old, c.read) {
 			keys = append(keys, c.key)
@@ -152,40 +152,40 @@
 	return keys
 }
 
-func or(a, b string) string {
-	if a != "" {
-		return a
+func firstNonEmpty(first, second string) string {
+	if first != "" {
+		return first
 	}
-	return b
+	return second
 }
 
-func (n *Node) check(seed string) error {
+func (n *Node) validate(seed string) error {
 	for _, a := range []struct{ key, value string }{{"listen", n.Listen}, {"discovery", n.Discovery}} {
-		if err := address(a.key, a.value); err != nil {
+		if err := checkAddress(a.key, a.value); err != nil {
 			return err
 		}
 	}
 	if n.Admin != "" {
-		if err := address("admin", n.Admin); err != nil {
+		if err := checkAddress("admin", n.Admin); err != nil {
 			return err
 		}
 		if n.Admin == n.Listen {
 			return fmt.Errorf("admin: %q is the clients' address", n.Admin)
 		}
-		n.AdminMemory = operatorMemory
+		n.AdminMaxBufferedBytes = adminMaxBufferedBytes
 	}
 	if n.PeerListen != "" {
-		if err := address("peer_listen", n.PeerListen); err != nil {
+		if err := checkAddress("peer_listen", n.PeerListen); err != nil {
 			return err
 		}
 	}
 	if n.PeersAll != "" {
-		if err := address("peers_all", n.PeersAll); err != nil {
+		if err := checkAddress("peers_all", n.PeersAll); err != nil {
 			return err
 		}
 	}
 	for i, p := range n.Peers {
-		if err := address(fmt.Sprintf("peers.%d", i), p); err != nil {
+		if err := checkAddress(fmt.Sprintf("peers.%d", i), p); err != nil {
 			return err
 		}
 	}
@@ -199,35 +199,35 @@
 	if n.MemoryMB == 0 {
 		n.MemoryMB = defaultMemoryMB
 	}
-	if n.MemoryMB < leastMemoryMB {
-		return fmt.Errorf("limits.memory_mb: %d, at least %d are needed", n.MemoryMB, leastMemoryMB)
+	if n.MemoryMB < minMemoryMB {
+		return fmt.Errorf("limits.memory_mb: %d, at least %d are needed", n.MemoryMB, minMemoryMB)
 	}
-	n.FrontMemory = n.MemoryMB << 20 / inputShare
+	n.FrontMaxBufferedBytes = n.MemoryMB << 20 / bufferedInputDivisor
 	if n.Sockets == 0 {
 		n.Sockets = defaultSockets
 	}
-	if n.Sockets < leastSockets {
-		return fmt.Errorf("limits.sockets: %d, at least %d are needed", n.Sockets, leastSockets)
+	if n.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d, at least %d are needed", n.Sockets, minSockets)
 	}
 	// Clients keep their connections, one for each request in work; so do the
 	// destinations' sides. Neither needs more than the other for long.
 	if n.Admin != "" {
-		n.AdminSockets = min(operatorSockets, n.Sockets/adminShare)
+		n.AdminMaxSockets = min(maxAdminSockets, n.Sockets/adminSocketDivisor)
 	}
-	rest := n.Sockets - min(ownSockets, fewOwn+n.Sockets/ownShare) - n.AdminSockets
-	n.FrontSockets = rest / 2
-	n.DestinationsSockets = rest - n.FrontSockets
+	rest := n.Sockets - min(maxReservedSockets, baseReservedSockets+n.Sockets/reservedSocketDivisor) - n.AdminMaxSockets
+	n.FrontMaxSockets = rest / 2
+	n.MaxDestinationConns = rest - n.FrontMaxSockets
 	return nil
 }
 
-func address(key, value string) error {
+func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return fmt.Errorf("%s: %q is no address and port", key, value)
 	}
 	return nil
 }
 
-func (n *Node) settings(text json.RawMessage) error {
+func (n *Node) parseSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return errors.New("settings: missing")
 	}
@@ -242,17 +242,17 @@
 		return errors.New("settings: no object")
 	}
 	flatten(values, "", tree)
-	n.tree = values
+	n.flatSettings = values
 	s, err := simwire.SettingsOf(values)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	n.Settings = s
-	n.Classes, n.ClassNames = names(values, "grades", len(s.Classes))
-	n.Tenants, _ = names(values, "tenants", len(s.Tenants))
-	n.Zones, n.Kinds = list(values["failureDomains"]), list(values["machineTypes"])
+	n.Classes, n.ClassNames = numbersByName(values, "grades", len(s.Classes))
+	n.Tenants, _ = numbersByName(values, "tenants", len(s.Tenants))
+	n.Zones, n.Kinds = splitList(values["failureDomains"]), splitList(values["machineTypes"])
 	if len(s.Report) > 0 {
-		n.ReportFields = list(values["report.fields"])
+		n.ReportFields = splitList(values["report.fields"])
 	}
 	if len(s.Classes) == 0 {
 		return errors.New("settings: grades: no class of requests")
@@ -270,38 +270,38 @@
 
 // flatten names the leaves of nested settings as the simulator's wire does: keys
 // joined by dots, lists of words joined by commas, lists of objects by number.
-func flatten(values map[string]string, at string, v any) {
+func flatten(values map[string]string, prefix string, value any) {
 	join := func(key string) string {
-		if at == "" {
+		if prefix == "" {
 			return key
 		}
-		return at + "." + key
+		return prefix + "." + key
 	}
-	switch v := v.(type) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, inner := range v {
+		for k, inner := range value {
 			flatten(values, join(k), inner)
 		}
 	case []any:
-		words := make([]string, 0, len(v))
-		for i, inner := range v {
+		words := make([]string, 0, len(value))
+		for i, inner := range value {
 			switch inner.(type) {
 			case map[string]any, []any:
 				flatten(values, join(strconv.Itoa(i)), inner)
 			default:
-				words = append(words, word(inner))
+				words = append(words, scalarText(inner))
 			}
 		}
-		if len(words) == len(v) {
-			values[at] = strings.Join(words, ",")
+		if len(words) == len(value) {
+			values[prefix] = strings.Join(words, ",")
 		}
-		values[join("count")] = strconv.Itoa(len(v))
+		values[join("count")] = strconv.Itoa(len(value))
 	default:
-		values[at] = word(v)
+		values[prefix] = scalarText(value)
 	}
 }
 
-func word(v any) string {
+func scalarText(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
@@ -315,15 +315,15 @@
 	return fmt.Sprint(v)
 }
 
-func list(v string) []string {
+func splitList(v string) []string {
 	if v == "" {
 		return nil
 	}
 	return strings.Split(v, ",")
 }
 
-// names numbers the entries of a list of objects by their names.
-func names(values map[string]string, key string, count int) (map[string]int, []string) {
+// numbersByName numbers the entries of a list of objects by their names.
+func numbersByName(values map[string]string, key string, count int) (map[string]int, []string) {
 	numbers, order := map[string]int{}, make([]string, count)
 	for i := range count {
 		name := values[fmt.Sprintf("%s.%d.name", key, i)]
--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -47,8 +47,8 @@
 				t.Errorf("%d descriptors: %v", sockets, err)
 				continue
 			}
-			left := sockets - n.FrontSockets - n.DestinationsSockets - n.AdminSockets
-			if left < 24 || n.FrontSockets < sockets/4 || (n.AdminSockets >= 10) != (admin != "") {
+			left := sockets - n.FrontMaxSockets - n.MaxDestinationConns - n.AdminMaxSockets
+			if left < 24 || n.FrontMaxSockets < sockets/4 || (n.AdminMaxSockets >= 10) != (admin != "") {
 				t.Errorf("%d descriptors, admin %q: %+v", sockets, admin, n)
 			}
 		}
--- a/internal/node/nodeconfig/fleet.go
+++ b/internal/node/nodeconfig/fleet.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	fleetFile    = "deploy/fleet.toml"
-	mostVoters   = 7
-	fleetSockets = 8 // a node's calls to the voters
+	fleetFile  = "deploy/fleet.toml"
+	maxVoters  = 7
+	fleetConns = 8 // a node's calls to the voters
 )
 
 // Fleet is what a process is told of the fleet that it belongs to. Where Enabled is
@@ -38,8 +38,8 @@
 	Address string `toml:"address"`
 }
 
-// Numbers are those of the voters.
-func (f Fleet) Numbers() (ids []uint64) {
+// VoterIDs are those of the voters.
+func (f Fleet) VoterIDs() (ids []uint64) {
 	for _, v := range f.Voters {
 		ids = append(ids, v.ID)
 	}
@@ -49,7 +49,7 @@
 // LoadFleet reads the fleet's file: the one that OSPREYBEND_FLEET names, else
 // deploy/fleet.toml. Without a file the process is on its own.
 func LoadFleet(env func(string) string) (Fleet, error) {
-	path := or(env("OSPREYBEND_FLEET"), fleetFile)
+	path := firstNonEmpty(env("OSPREYBEND_FLEET"), fleetFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && env("OSPREYBEND_FLEET") == "" {
 		return Fleet{}, nil
@@ -82,8 +82,8 @@
 		return Fleet{}, errors.New("fleet: missing")
 	case f.Zone == "":
 		return Fleet{}, errors.New("zone: missing")
-	case len(f.Voters) == 0 || len(f.Voters) > mostVoters || len(f.Voters)%2 == 0:
-		return Fleet{}, fmt.Errorf("voters: %d, an odd number of at most %d is wanted", len(f.Voters), mostVoters)
+	case len(f.Voters) == 0 || len(f.Voters) > maxVoters || len(f.Voters)%2 == 0:
+		return Fleet{}, fmt.Errorf("voters: %d, an odd number of at most %d is wanted", len(f.Voters), maxVoters)
 	}
 	var own *FleetVoter
 	ids, addresses := map[uint64]bool{}, map[string]bool{}
@@ -99,7 +99,7 @@
 		case addresses[v.Address]:
 			return Fleet{}, fmt.Errorf("%s.address: %q comes twice", at, v.Address)
 		}
-		if err := address(at+".address", v.Address); err != nil {
+		if err := checkAddress(at+".address", v.Address); err != nil {
 			return Fleet{}, err
 		}
 		ids[v.ID], addresses[v.Address] = true, true
@@ -119,8 +119,8 @@
 	if own.Zone != f.Zone {
 		return Fleet{}, fmt.Errorf("zone: %q, but voter %d is in %q", f.Zone, own.ID, own.Zone)
 	}
-	f.Voter.Listen = or(f.Voter.Listen, own.Address)
-	if err := address("voter.listen", f.Voter.Listen); err != nil {
+	f.Voter.Listen = firstNonEmpty(f.Voter.Listen, own.Address)
+	if err := checkAddress("voter.listen", f.Voter.Listen); err != nil {
 		return Fleet{}, err
 	}
 	if strings.TrimSpace(f.Voter.Store) == "" {
@@ -135,9 +135,9 @@
 		return nil
 	}
 	n.Fleet = f
-	n.DestinationsSockets -= fleetSockets
-	if n.DestinationsSockets < adminSockets {
-		return fmt.Errorf("limits.sockets: %d are too few with the fleet's %d", n.Sockets, fleetSockets)
+	n.MaxDestinationConns -= fleetConns
+	if n.MaxDestinationConns < batchAdminSockets {
+		return fmt.Errorf("limits.sockets: %d are too few with the fleet's %d", n.Sockets, fleetConns)
 	}
 	return nil
 }
--- a/internal/node/nodeconfig/log.go
+++ b/internal/node/nodeconfig/log.go
@@ -22,7 +22,7 @@
 // LoadLog reads the log's file: the one that OSPREYBEND_LOG names, else
 // deploy/log.toml. Without a file it is text at info.
 func LoadLog(env func(string) string) (Log, error) {
-	path := or(env("OSPREYBEND_LOG"), logFile)
+	path := firstNonEmpty(env("OSPREYBEND_LOG"), logFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && env("OSPREYBEND_LOG") == "" {
 		return ParseLog("")
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -22,12 +22,12 @@
 type Overrides map[string]Override
 
 // Out tells whether a prep worker is out by hand.
-func (w Overrides) Out(name string) bool { return w[name].Out }
+func (o Overrides) Out(name string) bool { return o[name].Out }
 
 // Set notes a call. One back undoes any number out; back for one that is not out
 // changes nothing but the time of the last word.
-func (w Overrides) Set(name string, out bool, now time.Duration) {
-	old := w[name]
+func (o Overrides) Set(name string, out bool, now time.Duration) {
+	old := o[name]
 	next := Override{Out: out, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
 	switch {
 	case old.Out && !out:
@@ -35,20 +35,20 @@
 	case out && !old.Out:
 		next.Since = next.At
 	}
-	w[name] = next
+	o[name] = next
 }
 
 // Merge takes in the words that another process of this node knows. Of two words
 // on one prep worker the later holds; the order of merging does not matter. It
 // returns the names for which something else holds now.
-func (w Overrides) Merge(other Overrides) (changed []string) {
-	for name, theirs := range other {
-		old := w[name]
-		next := later(old, theirs)
+func (o Overrides) Merge(other Overrides) (changed []string) {
+	for name, received := range other {
+		old := o[name]
+		next := later(old, received)
 		if next == old {
 			continue
 		}
-		w[name] = next
+		o[name] = next
 		if next.Out != old.Out || next.Back != old.Back {
 			changed = append(changed, name)
 		}
@@ -72,16 +72,16 @@
 // restarted meanwhile. Where the list has that start, later than the word that took
 // it out, it holds; where it does not yet, the prep worker counts as started with
 // the call back, since the start that is listed is its old process's.
-func (w Overrides) Apply(name string, l balance.WorkerListing) balance.WorkerListing {
-	latest, ok := w[name]
-	if !ok || l.State == balance.Gone {
-		return l
+func (o Overrides) Apply(name string, listing balance.WorkerListing) balance.WorkerListing {
+	latest, ok := o[name]
+	if !ok || listing.State == balance.Gone {
+		return listing
 	}
-	if latest.Out && l.State == balance.Ready {
-		l.State = balance.Draining
+	if latest.Out && listing.State == balance.Ready {
+		listing.State = balance.Draining
 	}
-	if l.Started <= latest.Since {
-		l.Started = max(l.Started, latest.Back)
+	if listing.Started <= latest.Since {
+		listing.Started = max(listing.Started, latest.Back)
 	}
-	return l
+	return listing
 }
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -17,9 +17,9 @@
 	t.Helper()
 	at := scriptedpeer.Free(t)
 	w.Loop.Call(func() {
-		w.pool.config.ByHand = override.Overrides{}
-		a = NewAdmin(AdminConfig{Listen: at, Sockets: 12, Memory: 64 << 10, Classes: []string{"pruefen", "buchen"},
-			Ready: w.core.Able, Record: record}, w.Loop, w.core, w.pool, w.to, w.pool.config.ByHand)
+		w.discovery.config.Overrides = override.Overrides{}
+		a = NewAdmin(AdminConfig{Listen: at, MaxSockets: 12, MaxBufferedBytes: 64 << 10, Classes: []string{"pruefen", "buchen"},
+			Ready: w.core.AnyReady, RecordOverride: record}, w.Loop, w.core, w.discovery, w.destinations, w.discovery.config.Overrides)
 		if err := a.Start(); err != nil {
 			t.Error(err)
 		}
@@ -55,7 +55,7 @@
 		if i%2 == 0 {
 			w.Play(name + ` send GET /-/re`)
 		}
-		w.Until(func() bool { return a.listener.Coming() == 0 })
+		w.Until(func() bool { return a.listener.Pending() == 0 })
 		w.Advance(300 * time.Millisecond)
 	}
 	for _, c := range [][2]string{{"GET /-/ready", " 200 "}, {"PUT /-/ready", " 405 "}, {"PUT /-/metrics", "Allow: GET\r\n"},
@@ -73,9 +73,9 @@
 	a := w.withAdmin(t, nil)
 	w.call(t, "GET /-/fleet", " 404 ")
 	w.Loop.Call(func() {
-		a.config.Fleet = func() []byte { return []byte("epoch 7\n") }
-		a.config.Zone = func(zone, do, reason string, span time.Duration, done func(error)) {
-			if zone != "b 1" || do != "leave" || reason != "works" || span != 30*time.Minute && span != wordFor {
+		a.config.FleetStatus = func() []byte { return []byte("epoch 7\n") }
+		a.config.ZoneCommand = func(zone, do, reason string, span time.Duration, done func(error)) {
+			if zone != "b 1" || do != "leave" || reason != "works" || span != 30*time.Minute && span != defaultZoneCommandTime {
 				done(errors.New("said " + zone + do + reason))
 				return
 			}
@@ -124,10 +124,10 @@
 func TestOutAndBackByHand(t *testing.T) {
 	w := newWorld(t, nil)
 	w.withAdmin(t, nil)
-	s1 := numberOf("s-1")
+	s1 := workerIDOf("s-1")
 	ready := func() (is bool) {
 		w.Loop.Call(func() {
-			w.core.Listed(func(id balance.WorkerID, s balance.State, _ float64) { is = is || id == s1 && s == balance.Ready })
+			w.core.EachWorker(func(id balance.WorkerID, s balance.State, _ float64) { is = is || id == s1 && s == balance.Ready })
 		})
 		return is
 	}
@@ -136,8 +136,8 @@
 		w.call(t, "PUT /-/prep-workers/"+name+"/disable", " 200 ")
 	}
 	for i, state := range []string{"Terminating", "Gone", "Ready", "Ready"} {
-		list := List{Version: uint64(8 + i), Entries: []Listed{{Name: "s-1", Address: w.to.byID[numberOf("s-2")].address, State: state, Weight: 1}}}
-		w.Loop.Call(func() { w.pool.tell(balance.ListKind(i/3), list) }) // the last is a whole list
+		list := EndpointList{Version: uint64(8 + i), Entries: []Endpoint{{Name: "s-1", Address: w.destinations.byID[workerIDOf("s-2")].address, State: state, Weight: 1}}}
+		w.Loop.Call(func() { w.discovery.publish(balance.ListKind(i/3), list) }) // the last is a whole list
 		if ready() {
 			t.Errorf("listed %s: ready though out by hand", state)
 		}
@@ -153,13 +153,13 @@
 	w.call(t, "PUT /-/prep-workers/s-1/enable", " 200 ")
 	var laid balance.WorkerListing
 	var now time.Duration
-	w.Loop.Call(func() { laid, now = w.pool.lay(s1, w.pool.listed[s1]), w.Loop.Now() })
+	w.Loop.Call(func() { laid, now = w.discovery.effective(s1, w.discovery.listed[s1]), w.Loop.Now() })
 	if !ready() || now-laid.Started > time.Second {
 		t.Errorf("called back: ready %v, counts as started %v ago", ready(), now-laid.Started)
 	}
 	w.Play("s send {stream}{done}\nc expect fine\ns closed\nc send {ask}\nr accept workers\nr expect hi")
 	// Beside a process that has the cold ones' budget this one sends them nothing.
-	w.Loop.Call(func() { w.pool.config.ColdTime = time.Minute; w.pool.SpareCold() })
+	w.Loop.Call(func() { w.discovery.config.WarmupTime = time.Minute; w.discovery.ExcludeWarmingUp() })
 	if ready() {
 		t.Error("a cold one is ready beside the process that is to warm it")
 	}
@@ -176,11 +176,11 @@
 		a := w.withAdmin(t, record)
 		for _, verb := range []string{"disable", "enable"} {
 			w.Play(`o dial admin` + "\n" + `o send PUT /-/prep-workers/s-1/` + verb + ` HTTP/1.1\r\n\r\n`)
-			w.Until(func() bool { return a.words.Out("s-1") && a.sockets.Len() == 1 || len(a.lingering) > 0 })
+			w.Until(func() bool { return a.overrides.Out("s-1") && a.sockets.Len() == 1 || len(a.lingering) > 0 })
 			w.Play("wait 800ms\no expect HTTP/1.1 50\no closed")
 		}
 		w.Loop.Call(func() {
-			if !a.words.Out("s-1") {
+			if !a.overrides.Out("s-1") {
 				t.Error("it is back, though the caller was told no")
 			}
 		})
--- a/internal/node/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -8,144 +8,144 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// frontSocket is the client's side of a connection.
-type frontSocket struct {
-	server  *Server
-	conn    *eventloop.Conn
-	ref     slottable.Handle
-	call    *Call             // whose answer is owed; nil: none
-	reader  requestReader     // of the request that is coming
-	began   time.Duration     // when it began to come, or the connection
-	limit   *timerqueue.Timer // by which it must be whole
-	heard   time.Duration     // when the last of it came
-	pieces  bool              // it has come in more than one
-	held    int               // bytes of input held for it
-	asked   bool              // has brought a whole request
-	since   time.Duration     // the last answer
-	told100 bool
+// clientConn is the client's side of a connection.
+type clientConn struct {
+	server        *Server
+	conn          *eventloop.Conn
+	handle        slottable.Handle
+	call          *Call             // whose answer is owed; nil: none
+	reader        requestReader     // of the request that is coming
+	requestBegan  time.Duration     // when it began to come, or the connection
+	requestTimer  *timerqueue.Timer // by which it must be whole
+	lastReadAt    time.Duration     // when the last of it came
+	fragmented    bool              // it has come in more than one
+	bufferedBytes int               // bytes of input held for it
+	hasRequested  bool              // has brought a whole request
+	lastReplyAt   time.Duration     // the last answer
+	sentContinue  bool
 }
 
-// await sets the time limit for the request that is to come or is coming.
-func (f *frontSocket) await() {
-	if f.limit == nil {
-		f.began = f.server.loop.Now()
-		f.limit = f.server.loop.Timers.Add(f.began+requestWithin, f.late)
+// startRequestTimer sets the time limit for the request that is to come or is coming.
+func (f *clientConn) startRequestTimer() {
+	if f.requestTimer == nil {
+		f.requestBegan = f.server.loop.Now()
+		f.requestTimer = f.server.loop.Timers.Add(f.requestBegan+requestTimeout, f.requestTimedOut)
 	}
 }
 
-// late ends a connection whose request has not come whole in time.
-func (f *frontSocket) late() {
-	f.limit = nil
-	if !f.conn.Quiet() {
-		f.limit = f.server.loop.Timers.Add(f.server.loop.Now()+readSoon, f.late) // it is to be read first
+// requestTimedOut ends a connection whose request has not come whole in time.
+func (f *clientConn) requestTimedOut() {
+	f.requestTimer = nil
+	if !f.conn.NothingUnread() {
+		f.requestTimer = f.server.loop.Timers.Add(f.server.loop.Now()+readDelayBound, f.requestTimedOut) // it is to be read first
 		return
 	}
-	if f.held == 0 {
+	if f.bufferedBytes == 0 {
 		f.server.counts.Silent++
 		f.close()
 		return
 	}
-	f.refuse(&Fault{Status: 408, Reason: "the request did not come in time"})
+	f.rejectUnreadable(&Fault{Status: 408, Reason: "the request did not come in time"})
 }
 
-func (f *frontSocket) close() {
+func (f *clientConn) close() {
 	f.conn.Close()
-	f.forget()
+	f.remove()
 }
 
-// forget drops the socket and tells whoever works on its call.
-func (f *frontSocket) forget() {
-	if !f.server.sockets.Remove(f.ref) {
+// remove drops the socket and tells whoever works on its call.
+func (f *clientConn) remove() {
+	if !f.server.sockets.Remove(f.handle) {
 		return
 	}
-	f.release()
+	f.releaseInput()
 	if c := f.call; c != nil {
 		f.call = nil
-		f.server.held -= c.size
-		if c.gone != nil {
-			c.gone()
+		f.server.bufferedBytes -= c.bodySize
+		if c.clientGone != nil {
+			c.clientGone()
 		}
 	}
-	f.server.check()
+	f.server.checkDrained()
 }
 
-// release gives back what the request that was coming took up.
-func (f *frontSocket) release() {
-	f.server.loop.Timers.Cancel(f.limit)
-	f.limit = nil
-	f.server.held -= f.held
-	f.held = 0
+// releaseInput gives back what the request that was coming took up.
+func (f *clientConn) releaseInput() {
+	f.server.loop.Timers.Cancel(f.requestTimer)
+	f.requestTimer = nil
+	f.server.bufferedBytes -= f.bufferedBytes
+	f.bufferedBytes = 0
 }
 
 // Closed is the client's going away.
-func (f *frontSocket) Closed(*eventloop.Conn) { f.forget() }
+func (f *clientConn) Closed(*eventloop.Conn) { f.remove() }
 
 // Data takes in what a client sends: one request at a time.
-func (f *frontSocket) Data(conn *eventloop.Conn, in []byte) int {
-	f.heard, f.pieces = f.server.loop.Now(), f.held > 0
+func (f *clientConn) Data(conn *eventloop.Conn, in []byte) int {
+	f.lastReadAt, f.fragmented = f.server.loop.Now(), f.bufferedBytes > 0
 	used := 0
 	for f.call == nil && conn.Open() && used < len(in) {
-		if conn.Unsent() > mostUnread {
+		if conn.UnsentBytes() > maxUnreadReplyBytes {
 			f.server.counts.Shed++
-			f.finish() // it has what it reads of the answers until then
+			f.closeAfterLastReply() // it has what it reads of the answers until then
 			break
 		}
 		m, n, err := f.reader.read(in[used:])
 		if err != nil {
-			f.refuse(err)
+			f.rejectUnreadable(err)
 			break
 		}
 		if n == 0 {
-			if f.reader.expects && !f.told100 {
-				f.told100 = true
+			if f.reader.expectsContinue && !f.sentContinue {
+				f.sentContinue = true
 				conn.Send([]byte(continueLine))
 			}
 			break
 		}
 		used += n
-		f.take(m)
+		f.serve(m)
 	}
 	switch {
 	case !conn.Open():
 		return len(in)
-	case f.call != nil && (f.call.last || len(in)-used > mostAhead):
+	case f.call != nil && (f.call.closeAfter || len(in)-used > maxPipelinedBytes):
 		// Nobody sends so far ahead in good faith. What is in work is answered,
 		// and the connection ends with that.
-		f.call.last = true
+		f.call.closeAfter = true
 		used = len(in)
 	case f.call == nil && used < len(in):
-		f.await()
+		f.startRequestTimer()
 	}
-	f.hold(len(in) - used)
+	f.setBuffered(len(in) - used)
 	return used
 }
 
-// take has a whole request served.
-func (f *frontSocket) take(m Message) {
+// serve has a whole request served.
+func (f *clientConn) serve(m Message) {
 	s := f.server
-	f.release()
-	f.reader, f.told100, f.asked = requestReader{}, false, true
-	if s.held+len(m.Body) > s.memory {
+	f.releaseInput()
+	f.reader, f.sentContinue, f.hasRequested = requestReader{}, false, true
+	if s.bufferedBytes+len(m.Body) > s.maxBufferedBytes {
 		s.counts.Shed++
-		f.complain(503, noRoom, nil)
+		f.replyError(503, atCapacityText, nil)
 		return
 	}
-	f.call = &Call{Message: m, socket: f, last: m.Close || s.stopping, size: len(m.Body)}
-	s.held += f.call.size
+	f.call = &Call{Message: m, conn: f, closeAfter: m.Close || s.stopping, bodySize: len(m.Body)}
+	s.bufferedBytes += f.call.bodySize
 	s.serve(f.call)
 }
 
-// refuse answers what cannot be read, and ends the connection.
-func (f *frontSocket) refuse(why *Fault) {
-	f.server.rejected(why.Reason)
-	f.complain(why.Status, why.Reason, []byte(why.Reason+"\n"))
+// rejectUnreadable answers what cannot be read, and ends the connection.
+func (f *clientConn) rejectUnreadable(why *Fault) {
+	f.server.countRejected(why.Reason)
+	f.replyError(why.Status, why.Reason, []byte(why.Reason+"\n"))
 }
 
-// complain answers what never becomes a call, and ends the connection.
-func (f *frontSocket) complain(status int, text string, plain []byte) {
+// replyError answers what never becomes a call, and ends the connection.
+func (f *clientConn) replyError(status int, text string, plain []byte) {
 	extra := ""
-	if f.server.Complain != nil {
-		extra, plain = f.server.Complain(status, text)
+	if f.server.FormatError != nil {
+		extra, plain = f.server.FormatError(status, text)
 	}
 	if status == 503 {
 		extra += RetryAfter(time.Second)
@@ -154,21 +154,21 @@
 }
 
 // reply answers on the connection.
-func (f *frontSocket) reply(status int, extra string, body []byte, last bool) {
-	f.since = f.server.loop.Now()
+func (f *clientConn) reply(status int, extra string, body []byte, last bool) {
+	f.lastReplyAt = f.server.loop.Now()
 	if !f.conn.Send(AppendResponse(nil, status, extra, body, last)) {
-		f.forget()
+		f.remove()
 		return
 	}
 	if last {
-		f.finish()
+		f.closeAfterLastReply()
 	}
 }
 
-// finish ends a connection that has had its last answer.
-func (f *frontSocket) finish() {
-	f.release()
-	f.server.sockets.Remove(f.ref)
+// closeAfterLastReply ends a connection that has had its last answer.
+func (f *clientConn) closeAfterLastReply() {
+	f.releaseInput()
+	f.server.sockets.Remove(f.handle)
 	f.server.linger(f.conn)
-	f.server.check()
+	f.server.checkDrained()
 }
--- a/internal/node/protocol/compatibility_test.go
+++ b/internal/node/protocol/compatibility_test.go
@@ -12,12 +12,12 @@
 )
 
 // compatibilityParcel has every field set, and two sockets.
-func compatibilityParcel() *Parcel {
-	return &Parcel{
+func compatibilityParcel() *Handover {
+	return &Handover{
 		Rest: []byte("GET"), Asked: true, Began: time.Second, Since: 2 * time.Second, Size: 77,
-		Call: &CallPart{
+		Call: &CallState{
 			Last: true, Old: true,
-			Carried: routing.Carried{
+			Carried: routing.OperationState{
 				Operation: routing.Operation{
 					Work:  routing.Work{ID: "id-1", Target: "/prepare?x=1", Idempotent: "key-1", Body: []byte("body"), Once: true},
 					Class: 1, Tenant: 2, Key: 1 << 63, Cost: 3 * time.Second, HasCost: true, Repeat: true, Slots: 1.5, Memory: 2.5,
@@ -30,21 +30,21 @@
 				},
 				Until: []time.Duration{0, 11},
 			},
-			Steps: []StepPart{{
+			Steps: []StepState{{
 				Try: 1, Name: "worker-1", Address: "192.0.2.20:8000", Rest: []byte("HTTP"), Head: true, Status: 200, Declined: true,
 				Load: []byte("load"), Line: []byte("line"), Last: true, Kept: true, Left: 12, Chunked: true, ToEnd: true, Over: true,
 			}},
 		},
-		rests: [][]byte{[]byte("GET"), []byte("HTTP")},
+		unread: [][]byte{[]byte("GET"), []byte("HTTP")},
 	}
 }
 
 // parcelRow is a row of a parcel. The bytes begin with the names of the types, which a reader leaves alone, so the
 // meaning is compared.
-func parcelRow(name string, parcel *Parcel) golden.Row {
+func parcelRow(name string, parcel *Handover) golden.Row {
 	return golden.Row{
 		Name: name, Value: parcel, SameMeaning: true, Encode: parcel.Encode,
-		Decode: func(encoded []byte) (any, error) { return DecodeParcel(encoded, len(parcel.rests)) },
+		Decode: func(encoded []byte) (any, error) { return DecodeHandover(encoded, len(parcel.unread)) },
 	}
 }
 
@@ -52,7 +52,7 @@
 func compatibilityRows() []golden.Row {
 	return []golden.Row{
 		parcelRow("connection", compatibilityParcel()),
-		parcelRow("learned", &Parcel{Learned: []uint64{2, 1 << 63, 0, 7}}),
+		parcelRow("learned", &Handover{Learned: []uint64{2, 1 << 63, 0, 7}}),
 	}
 }
 
@@ -62,7 +62,7 @@
 func memberNames() [][]byte {
 	var names [][]byte
 	for _, value := range []any{
-		Parcel{}, CallPart{}, StepPart{}, routing.Carried{}, routing.Operation{}, routing.Work{}, balance.PriorAttempt{},
+		Handover{}, CallState{}, StepState{}, routing.OperationState{}, routing.Operation{}, routing.Work{}, balance.PriorAttempt{},
 	} {
 		fields := reflect.VisibleFields(reflect.TypeOf(value))
 		for _, field := range fields {
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -36,8 +36,8 @@
 }
 
 // sockets returns the clients' connections, on the loop.
-func (w *world) sockets() (all []*frontSocket) {
-	w.front.sockets.All(func(_ slottable.Handle, f *frontSocket) { all = append(all, f) })
+func (w *world) sockets() (all []*clientConn) {
+	w.front.sockets.All(func(_ slottable.Handle, f *clientConn) { all = append(all, f) })
 	return all
 }
 
@@ -45,7 +45,7 @@
 func (w *world) lone() {
 	w.Loop.Call(func() {
 		w.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges,
-			Workers: []balance.WorkerListing{{Worker: numberOf("s-2"), State: balance.Gone}}})
+			Workers: []balance.WorkerListing{{Worker: workerIDOf("s-2"), State: balance.Gone}}})
 	})
 }
 
@@ -75,7 +75,9 @@
 	w := newWorld(t, nil)
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\nc send {book}\nc arrives")
 	w.busy("s send {stream}{done}\ns arrives\nc leaves", nil)
-	w.Until(func() bool { return w.core.Open() == 0 && len(w.front.calls) == 0 && w.front.sockets.Len() == 0 })
+	w.Until(func() bool {
+		return w.core.OpenOperations() == 0 && len(w.front.calls) == 0 && w.front.sockets.Len() == 0
+	})
 	if n := w.steps(); n != 1 {
 		t.Errorf("%d attempts, of which one was for a client that was there", n)
 	}
@@ -98,7 +100,7 @@
 // called off, not a byte goes out all the same; so too where the loop has not read its leave.
 func TestClientGoneWhileConnecting(t *testing.T) {
 	for name, leave := range map[string]func(*world, *Call){
-		"told":   func(_ *world, c *Call) { c.socket.close() },
+		"told":   func(_ *world, c *Call) { c.conn.close() },
 		"unread": func(w *world, _ *Call) { w.Play("c leaves") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +113,7 @@
 					t.Error(fault)
 					return
 				}
-				f.take(m) // dials, and the dial ends in a later turn
+				f.serve(m) // dials, and the dial ends in a later turn
 				leave(w, f.call)
 			})
 			w.Play("s accept workers")
@@ -173,7 +175,7 @@
 		})
 		w.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
 		w.Loop.Call(func() {
-			for _, step := range slices.Collect(maps.Keys(w.to.trips)) { // the first attempt may have run
+			for _, step := range slices.Collect(maps.Keys(w.destinations.exchanges)) { // the first attempt may have run
 				w.core.StepEnded(step, routing.StepEnd{Outcome: balance.Reset})
 			}
 			w.Late(late)
@@ -203,7 +205,7 @@
 				t.Error(fault)
 				return
 			}
-			f.take(m) // dials
+			f.serve(m) // dials
 			w.Late(late)
 		})
 		w.Play(lines("s accept workers", "s expect Req-Deadline: "+want, "s send {stream}{done}", "c expect HTTP/1.1 200"))
@@ -227,7 +229,7 @@
 	// The first is being handed to the loop, which stands; the second waits behind it.
 	// The third asks nothing: the node does not wait for it as long as for a usual client.
 	w.busy("a dial front\na send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc dial front\nc send {ask}\nc arrives\nmute dial front", func() { w.front.Stop(0, func() {}) })
-	w.Until(func() bool { return w.front.ended })
+	w.Until(func() bool { return w.front.listenerEnded })
 	w.Play("wait 30ms\nmute ended\na expect HTTP/1.1 200\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect Connection: close\nc expect fine\nc ended")
 	w.balanced(t)
 }
@@ -240,7 +242,7 @@
 	drained := false
 	w.Until(func() bool {
 		all := w.sockets()
-		return len(all) == 1 && all[0].asked
+		return len(all) == 1 && all[0].hasRequested
 	})
 	w.Loop.Call(func() { w.front.Stop(0, func() { drained = true }) })
 	w.Play("c send {ask}\nc arrives\nc expect HTTP/1.1 200\nc ended")
@@ -262,11 +264,11 @@
 	w := newWorld(t, nil)
 	w.Play("c dial front")
 	w.Until(func() bool { return w.front.sockets.Len() == 1 })
-	w.Advance(requestWithin - 5*time.Millisecond)
+	w.Advance(requestTimeout - 5*time.Millisecond)
 	w.busy("c send {ask}\nc arrives", func() {
 		f := w.sockets()[0]
-		w.Loop.Timers.Cancel(f.limit)
-		f.late()
+		w.Loop.Timers.Cancel(f.requestTimer)
+		f.requestTimedOut()
 	})
 	w.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect fine")
 	w.balanced(t)
@@ -312,11 +314,11 @@
 	kept := 0
 	w.Until(func() bool {
 		for _, f := range w.sockets() {
-			kept = max(kept, f.conn.Unsent())
+			kept = max(kept, f.conn.UnsentBytes())
 		}
-		return kept > 2*mostUnread || w.front.Counts().Shed == 1 && w.front.sockets.Len() == 0
+		return kept > 2*maxUnreadReplyBytes || w.front.Counts().Shed == 1 && w.front.sockets.Len() == 0
 	})
-	if kept > 2*mostUnread {
+	if kept > 2*maxUnreadReplyBytes {
 		t.Errorf("%d bytes of answers are kept", kept)
 	}
 }
@@ -324,10 +326,10 @@
 // At the limit of connections one that rests goes, so that the next client finds room; not one
 // whose request has come and is not read yet.
 func TestEvictedAsItsRequestComes(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Sockets = socketSpare + 1 })
+	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 1 })
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200\nwait 1s")
 	w.busy("c send {ask}\nc arrives", func() {
-		if w.front.shed() {
+		if w.front.shedOne() {
 			t.Error("the one connection has a request")
 		}
 	})
--- a/internal/node/protocol/destination_response.go
+++ b/internal/node/protocol/destination_response.go
@@ -13,50 +13,50 @@
 
 // Closed is the destination's or the network's end of the connection.
 func (c *destinationConn) Closed(conn *eventloop.Conn) {
-	c.lost()
-	t := c.trip
-	if t == nil {
+	c.forget()
+	ex := c.exchange
+	if ex == nil {
 		return
 	}
-	c.trip = nil
-	c.owner.settle(t, c)
-	if c.head && c.body.UntilClose && !c.told && c.status != 200 {
-		c.conclude(t) // the body ended with the connection
+	c.exchange = nil
+	c.owner.countIfFlushed(ex, c)
+	if c.headRead && c.body.UntilClose && !c.outcomeKnown && c.status != 200 {
+		c.concludeFromStatus(ex) // the body ended with the connection
 		return
 	}
-	if c.kept && !c.head {
-		c.owner.mistrust()
+	if c.reused && !c.headRead {
+		c.owner.distrustIdle()
 	}
 	outcome := balance.Reset // the last byte was written: it may have run
-	if !conn.Sent() {
+	if !conn.Flushed() {
 		outcome = balance.ConnectFailed
 	}
-	c.owner.end(t, routing.StepEnd{Outcome: outcome})
+	c.owner.conclude(ex, routing.StepEnd{Outcome: outcome})
 }
 
 // Data takes in what a destination answers. An outcome is told last, so that
 // what follows from it finds the connection idle where the answer has ended.
 func (c *destinationConn) Data(conn *eventloop.Conn, in []byte) int {
 	used := c.read(conn, in)
-	if t := c.done; t != nil {
-		c.done = nil
-		c.owner.end(t, c.outcome)
+	if ex := c.unreported; ex != nil {
+		c.unreported = nil
+		c.owner.conclude(ex, c.outcome)
 	}
 	return used
 }
 
 func (c *destinationConn) read(conn *eventloop.Conn, in []byte) int {
-	if c.trip == nil && !c.told {
+	if c.exchange == nil && !c.outcomeKnown {
 		c.close() // nothing was asked
 		return len(in)
 	}
 	used := 0
 	for conn.Open() {
-		if !c.head {
+		if !c.headRead {
 			var m Message
 			n, err := parseResponse(in[used:], &m)
 			if err != nil {
-				return c.broken(in, err)
+				return c.failUnreadable(in, err)
 			}
 			if n == 0 {
 				return used
@@ -65,19 +65,19 @@
 			if m.Status < 200 {
 				continue // an interim answer
 			}
-			c.begin(&m)
+			c.beginResponse(&m)
 		}
 		data, n, err := c.body.Next(in[used:])
 		if err != nil {
-			return c.broken(in, err)
+			return c.failUnreadable(in, err)
 		}
 		used += n
-		c.lines(data)
+		c.readLines(data)
 		if !conn.Open() {
 			return len(in)
 		}
 		if c.body.Done {
-			c.finish()
+			c.endOfResponse()
 			return len(in)
 		}
 		if n == 0 {
@@ -87,15 +87,15 @@
 	return len(in)
 }
 
-// broken ends an exchange whose answer cannot be read. The request went out
+// failUnreadable ends an exchange whose answer cannot be read. The request went out
 // whole, so that it may have run.
-func (c *destinationConn) broken(in []byte, why *Fault) int {
-	c.owner.unreadableAnswer(c.to.name, why.Reason)
-	t := c.trip
-	c.trip = nil
+func (c *destinationConn) failUnreadable(in []byte, why *Fault) int {
+	c.owner.unreadableAnswer(c.destination.name, why.Reason)
+	ex := c.exchange
+	c.exchange = nil
 	c.close()
-	if t != nil {
-		c.owner.end(t, routing.StepEnd{Outcome: balance.Reset})
+	if ex != nil {
+		c.owner.conclude(ex, routing.StepEnd{Outcome: balance.Reset})
 	}
 	return len(in)
 }
@@ -103,22 +103,22 @@
 // unreadableAnswer counts an answer that cannot be read. One line in a while tells of all since the last.
 func (d *Destinations) unreadableAnswer(from, reason string) {
 	d.unreadable++
-	if now := d.loop.Now(); d.unreadable == 1 || now >= d.tellAt {
+	if now := d.loop.Now(); d.unreadable == 1 || now >= d.nextLogAt {
 		slog.Warn("unreadable answer", "destination", from, "reason", reason, "in_all", d.unreadable)
-		d.tellAt = now + tellEvery
+		d.nextLogAt = now + logInterval
 	}
 }
 
-func (c *destinationConn) begin(m *Message) {
-	c.head, c.status, c.last = true, m.Status, m.Close
-	c.declined = string(m.Header("Srv-Declined")) == "1"
-	c.load = append(c.load[:0], m.Header("Srv-Load")...)
-	c.body = newBody(m)
-	c.last = c.last || c.body.UntilClose
+func (c *destinationConn) beginResponse(message *Message) {
+	c.headRead, c.status, c.closeAfter = true, message.Status, message.Close
+	c.declined = string(message.Header("Srv-Declined")) == "1"
+	c.loadHeader = append(c.loadHeader[:0], message.Header("Srv-Load")...)
+	c.body = newBodyReader(message)
+	c.closeAfter = c.closeAfter || c.body.UntilClose
 }
 
-// news is one line of an answer.
-type news struct {
+// progressUpdate is one line of an answer.
+type progressUpdate struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
 	Share  float64         `json:"share"`
@@ -126,67 +126,67 @@
 	Load   json.RawMessage `json:"load"`
 }
 
-// lines takes in a piece of the body, line by line.
-func (c *destinationConn) lines(data []byte) {
-	if c.trip == nil || c.trip.step == 0 || c.status != 200 {
-		if c.trip != nil && c.trip.step == 0 && len(c.line)+len(data) <= maxLine {
-			c.line = append(c.line, data...) // a probe's answer is one object
+// readLines takes in a piece of the body, line by line.
+func (c *destinationConn) readLines(data []byte) {
+	if c.exchange == nil || c.exchange.step == 0 || c.status != 200 {
+		if c.exchange != nil && c.exchange.step == 0 && len(c.partialLine)+len(data) <= maxLineBytes {
+			c.partialLine = append(c.partialLine, data...) // a probe's answer is one object
 		}
 		return
 	}
-	for len(data) > 0 && c.trip != nil {
+	for len(data) > 0 && c.exchange != nil {
 		end := slices.Index(data, '\n')
 		if end < 0 {
-			if len(c.line)+len(data) > maxLine {
-				c.broken(nil, bad("a line is too long"))
+			if len(c.partialLine)+len(data) > maxLineBytes {
+				c.failUnreadable(nil, malformed("a line is too long"))
 				return
 			}
-			c.line = append(c.line, data...)
+			c.partialLine = append(c.partialLine, data...)
 			return
 		}
-		c.line = append(c.line, data[:end]...)
+		c.partialLine = append(c.partialLine, data[:end]...)
 		data = data[end+1:]
-		if len(c.line) > maxLine {
-			c.broken(nil, bad("a line is too long"))
+		if len(c.partialLine) > maxLineBytes {
+			c.failUnreadable(nil, malformed("a line is too long"))
 			return
 		}
-		c.news(c.line)
-		c.line = c.line[:0]
+		c.handleUpdate(c.partialLine)
+		c.partialLine = c.partialLine[:0]
 	}
 }
 
-func (c *destinationConn) news(line []byte) {
-	var n news
+func (c *destinationConn) handleUpdate(line []byte) {
+	var update progressUpdate
 	if len(line) == 0 {
 		return
 	}
-	if err := json.Unmarshal(line, &n); err != nil {
-		c.broken(nil, bad("a line is no object"))
+	if err := json.Unmarshal(line, &update); err != nil {
+		c.failUnreadable(nil, malformed("a line is no object"))
 		return
 	}
-	if n.ID != "" && n.ID != c.trip.id {
-		c.broken(nil, bad("a line is of another request"))
+	if update.ID != "" && update.ID != c.exchange.id {
+		c.failUnreadable(nil, malformed("a line is of another request"))
 		return
 	}
-	step := c.trip.step
-	switch n.State {
+	step := c.exchange.step
+	switch update.State {
 	case "started":
 		c.owner.core.StepStarted(step)
 	case "running":
-		c.owner.core.StepProgress(step, n.Share)
+		c.owner.core.StepProgress(step, update.Share)
 	case "done":
-		c.tell(routing.StepEnd{Outcome: balance.Served, Result: result(n.Result), Report: c.report(n.Load)})
+		c.recordOutcome(routing.StepEnd{Outcome: balance.Served, Result: resultBytes(update.Result), Report: c.report(update.Load)})
 	case "failed":
-		c.tell(routing.StepEnd{Outcome: balance.Errored, Report: c.report(n.Load)})
+		c.recordOutcome(routing.StepEnd{Outcome: balance.Errored, Report: c.report(update.Load)})
 	case "returned":
-		c.tell(routing.StepEnd{Outcome: balance.Full, Report: c.report(n.Load)})
+		c.recordOutcome(routing.StepEnd{Outcome: balance.Full, Report: c.report(update.Load)})
 	case "lost":
-		c.tell(routing.StepEnd{Outcome: balance.Reset, Report: c.report(n.Load)})
+		c.recordOutcome(routing.StepEnd{Outcome: balance.Reset, Report: c.report(update.Load)})
 	}
 }
 
-// result gives a result's bytes: a string's text, and else the JSON itself.
-func result(raw json.RawMessage) []byte {
+// resultBytes gives a result's bytes: a string's text, and else the JSON itself.
+func resultBytes(raw json.RawMessage) []byte {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return []byte(text)
@@ -194,82 +194,82 @@
 	return raw
 }
 
-// tell notes the trip's outcome; the connection goes on to the end of the answer, for a while: an answer
+// recordOutcome notes the trip's outcome; the connection goes on to the end of the answer, for a while: an answer
 // that never ends would keep its descriptor.
-func (c *destinationConn) tell(e routing.StepEnd) {
-	c.done, c.outcome = c.trip, e
-	c.trip.conn = nil
-	c.trip, c.told = nil, true
+func (c *destinationConn) recordOutcome(end routing.StepEnd) {
+	c.unreported, c.outcome = c.exchange, end
+	c.exchange.conn = nil
+	c.exchange, c.outcomeKnown = nil, true
 	loop := c.owner.loop
-	c.deadline = loop.Timers.Add(loop.Now()+restWithin, c.close)
+	c.deadline = loop.Timers.Add(loop.Now()+responseEndTimeout, c.close)
 }
 
-// finish stands at the end of an answer.
-func (c *destinationConn) finish() {
-	if t := c.trip; t != nil && t.step != 0 && c.status == 200 && len(c.line) > 0 {
-		c.news(c.line) // the last line may have no end
+// endOfResponse stands at the end of an answer.
+func (c *destinationConn) endOfResponse() {
+	if ex := c.exchange; ex != nil && ex.step != 0 && c.status == 200 && len(c.partialLine) > 0 {
+		c.handleUpdate(c.partialLine) // the last line may have no end
 		if !c.conn.Open() {
 			return
 		}
 	}
-	t := c.trip
-	c.trip, c.told = nil, false
+	ex := c.exchange
+	c.exchange, c.outcomeKnown = nil, false
 	c.owner.loop.Timers.Cancel(c.deadline)
 	// First the connection, so that what follows from the outcome can use it.
-	if c.last {
+	if c.closeAfter {
 		c.close()
 	} else {
-		c.rest()
+		c.makeIdle()
 	}
-	if t != nil {
-		t.conn = nil
-		c.conclude(t)
+	if ex != nil {
+		ex.conn = nil
+		c.concludeFromStatus(ex)
 	}
 }
 
-// conclude tells what an answer without a last line means.
-func (c *destinationConn) conclude(t *trip) {
-	e := routing.StepEnd{Outcome: balance.Errored, Report: c.report(nil)}
+// concludeFromStatus tells what an answer without a last line means.
+func (c *destinationConn) concludeFromStatus(ex *exchange) {
+	end := routing.StepEnd{Outcome: balance.Errored, Report: c.report(nil)}
 	switch {
-	case t.step == 0:
+	case ex.step == 0:
 		switch c.status {
 		case 200:
-			e.Outcome = balance.Served
+			end.Outcome = balance.Served
 		case 503:
-			e.Outcome = balance.Full // it runs, and wants nothing new: it drains, if the list does not say so yet
+			end.Outcome = balance.Full // it runs, and wants nothing new: it drains, if the list does not say so yet
 		}
-		if len(c.line) > 0 {
-			e.Report = c.report(c.line)
+		if len(c.partialLine) > 0 {
+			end.Report = c.report(c.partialLine)
 		}
 	case c.status >= 400 && c.status < 500:
-		e.Rejected = true
+		end.Rejected = true
 	case c.status == 200:
-		e.Outcome = balance.Reset // it took the job and never said how it ended
+		end.Outcome = balance.Reset // it took the job and never said how it ended
 	case (c.status == 503 || c.status == 504) && c.declined:
-		e.Outcome = balance.Full
+		end.Outcome = balance.Full
 	}
-	c.owner.end(t, e)
+	c.owner.conclude(ex, end)
 }
 
 // report reads a load report, of an object or else of the answer's header.
 func (c *destinationConn) report(raw []byte) []float32 {
 	if len(raw) == 0 {
-		raw = c.load
+		raw = c.loadHeader
 	}
-	if len(raw) == 0 || len(c.owner.config.Report) == 0 {
+	if len(raw) == 0 || len(c.owner.config.ReportFields) == 0 {
 		return nil
 	}
 	var values map[string]float64
 	if json.Unmarshal(raw, &values) != nil {
 		return nil
 	}
-	out := make([]float32, len(c.owner.config.Report))
+	out := make([]float32, len(c.owner.config.ReportFields))
 	for i := range out {
 		out[i] = float32(math.NaN())
 	}
 	known := false
 	for name, v := range values {
-		if i, ok := c.owner.load[name]; ok {
+		if i, ok := c.owner.reportIndex[name]; ok {
 			out[i], known = float32(v), true
 		}
 	}
--- a/internal/node/protocol/destinations.go
+++ b/internal/node/protocol/destinations.go
@@ -14,142 +14,142 @@
 )
 
 const (
-	idleMargin   = time.Second            // a connection closes this long before the destination would
-	probeTimeout = 500 * time.Millisecond // a probe that takes longer says nothing more
-	maxLine      = maxBody + 4<<10        // most bytes of one line of an answer
-	waryFor      = time.Minute            // how long kept connections are mistrusted after one has failed
-	settleFor    = 25 * time.Millisecond  // a second answer, if one comes, comes within it
-	restWithin   = 250 * time.Millisecond // the end of an answer, behind its last line
+	idleCloseMargin    = time.Second            // a connection closes this long before the destination would
+	probeTimeout       = 500 * time.Millisecond // a probe that takes longer says nothing more
+	maxLineBytes       = maxBodyBytes + 4<<10   // most bytes of one line of an answer
+	distrustIdleTime   = time.Minute            // how long kept connections are mistrusted after one has failed
+	minIdleBeforeReuse = 25 * time.Millisecond  // a second answer, if one comes, comes within it
+	responseEndTimeout = 250 * time.Millisecond // the end of an answer, behind its last line
 )
 
 // DestinationConfig is what the destinations' side is told.
 type DestinationConfig struct {
 	Host           string
-	Sockets        int // connections at most, those being made included
+	MaxConnections int // connections at most, those being made included
 	ConnectTimeout time.Duration
-	ConnIdle       time.Duration
-	Report         []string // the fields' names, in the order of the settings
+	IdleTimeout    time.Duration
+	ReportFields   []string // the fields' names, in the order of the settings
 }
 
 // Destinations carries route steps to destinations over pooled connections.
 type Destinations struct {
-	config DestinationConfig
-	loop   *eventloop.Loop
-	core   *routing.Core
-	byID   map[balance.WorkerID]*destination
-	trips  map[slottable.Handle]*trip // by route step
-	open   int                        // connections, those being made included
-	wary   time.Duration              // until when kept connections are mistrusted
-	load   map[string]int             // a report field's place, by each name it may have
+	config            DestinationConfig
+	loop              *eventloop.Loop
+	core              *routing.Core
+	byID              map[balance.WorkerID]*destination
+	exchanges         map[slottable.Handle]*exchange // by route step
+	openConns         int                            // connections, those being made included
+	distrustIdleUntil time.Duration                  // until when kept connections are mistrusted
+	reportIndex       map[string]int                 // a report field's place, by each name it may have
 
 	unreadable uint64        // answers
-	tellAt     time.Duration // when to log of them again
+	nextLogAt  time.Duration // when to log of them again
 
-	attempts uint64                     // route steps whose last byte has been written
-	partly   map[*trip]*destinationConn // those whose last byte the system has not taken yet
+	attempts  uint64                         // route steps whose last byte has been written
+	unflushed map[*exchange]*destinationConn // those whose last byte the system has not taken yet
 }
 
 // destination is one prep worker.
 type destination struct {
-	id      balance.WorkerID
-	name    string
-	address string
-	idle    []*destinationConn // oldest first
-	process int                // counts what has been called back by hand: connections from before are void
+	id         balance.WorkerID
+	name       string
+	address    string
+	idle       []*destinationConn // oldest first
+	generation int                // counts what has been called back by hand: connections from before are void
 }
 
-// trip is one exchange with a destination: a route step or a probe.
-type trip struct {
-	step    slottable.Handle // 0: a probe
-	id      string           // of the request
-	once    bool             // must not run twice
-	to      *destination
-	request []byte        // of a probe
-	work    *routing.Work // of a route step: its request is made as it is written, since it tells the time left
-	until   time.Duration
-	conn    *destinationConn // nil: still being made
-	abandon func()           // gives up the making of the connection
-	sentAt  time.Duration
-	timeout *timerqueue.Timer // of a probe
-	over    bool
+// exchange is one exchange with a destination: a route step or a probe.
+type exchange struct {
+	step          slottable.Handle // 0: a probe
+	id            string           // of the request
+	nonIdempotent bool             // must not run twice
+	destination   *destination
+	request       []byte        // of a probe
+	work          *routing.Work // of a route step: its request is made as it is written, since it tells the time left
+	until         time.Duration
+	conn          *destinationConn // nil: still being made
+	abandon       func()           // gives up the making of the connection
+	sentAt        time.Duration
+	timeout       *timerqueue.Timer // of a probe
+	ended         bool
 }
 
 // NewDestinations makes the adapter.
 func NewDestinations(config DestinationConfig, loop *eventloop.Loop, core *routing.Core) *Destinations {
 	d := &Destinations{config: config, loop: loop, core: core, byID: map[balance.WorkerID]*destination{},
-		trips: map[slottable.Handle]*trip{}, load: map[string]int{}, partly: map[*trip]*destinationConn{}}
-	for i, name := range config.Report {
-		d.load[name] = i
+		exchanges: map[slottable.Handle]*exchange{}, reportIndex: map[string]int{}, unflushed: map[*exchange]*destinationConn{}}
+	for i, name := range config.ReportFields {
+		d.reportIndex[name] = i
 		// The settings name the fields as the simulator's wire does; on the
 		// sockets some have the names that the protocol page shows.
-		if other, ok := socketNames[name]; ok {
-			d.load[other] = i
+		if other, ok := reportFieldAliases[name]; ok {
+			d.reportIndex[other] = i
 		}
 	}
 	return d
 }
 
-var socketNames = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
+var reportFieldAliases = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
 	"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 
-// Place tells where a destination is. Names are its identity; the address of
+// SetAddress tells where a destination is. Names are its identity; the address of
 // one may change, and with it all its idle connections are void.
-func (d *Destinations) Place(id balance.WorkerID, name, address string) {
-	to := d.byID[id]
-	if to == nil {
+func (d *Destinations) SetAddress(id balance.WorkerID, name, address string) {
+	target := d.byID[id]
+	if target == nil {
 		d.byID[id] = &destination{id: id, name: name, address: address}
 		return
 	}
-	if to.address != address {
-		to.address = address
+	if target.address != address {
+		target.address = address
 		d.CloseIdle(id)
 	}
 }
 
-// Renew has nothing more go over the connections made so far to a destination:
+// InvalidateConnections has nothing more go over the connections made so far to a destination:
 // another process is to answer there. What is in work on them ends as it ends.
-func (d *Destinations) Renew(id balance.WorkerID) {
-	if to := d.byID[id]; to != nil {
-		to.process++
+func (d *Destinations) InvalidateConnections(id balance.WorkerID) {
+	if target := d.byID[id]; target != nil {
+		target.generation++
 		d.CloseIdle(id)
 	}
 }
 
-// Limit changes how many connections there may be. Idle ones over it are closed.
-func (d *Destinations) Limit(sockets int) {
-	d.config.Sockets = sockets
-	for d.open > sockets && d.closeIdlest() {
+// SetMaxConnections changes how many connections there may be. Idle ones over it are closed.
+func (d *Destinations) SetMaxConnections(sockets int) {
+	d.config.MaxConnections = sockets
+	for d.openConns > sockets && d.closeLongestIdle() {
 	}
 }
 
 // Attempts counts the route steps that have been written whole. One whose last
 // bytes wait for the system is looked at anew.
 func (d *Destinations) Attempts() uint64 {
-	for t, c := range d.partly {
-		if c.conn.Sent() {
-			delete(d.partly, t)
+	for ex, c := range d.unflushed {
+		if c.conn.Flushed() {
+			delete(d.unflushed, ex)
 			d.attempts++
 		}
 	}
 	return d.attempts
 }
 
-// written notes that a trip's request has been given to the system, or waits for it.
-func (d *Destinations) written(t *trip, c *destinationConn) {
+// countWritten notes that a trip's request has been given to the system, or waits for it.
+func (d *Destinations) countWritten(ex *exchange, c *destinationConn) {
 	switch {
-	case t.step == 0:
-	case c.conn.Sent():
+	case ex.step == 0:
+	case c.conn.Flushed():
 		d.attempts++
 	default:
-		d.partly[t] = c
+		d.unflushed[ex] = c
 	}
 }
 
-// settle decides on a request that waited for the system, as its connection ends.
-func (d *Destinations) settle(t *trip, c *destinationConn) {
-	if _, waits := d.partly[t]; waits {
-		delete(d.partly, t)
-		if c.conn.Sent() {
+// countIfFlushed decides on a request that waited for the system, as its connection ends.
+func (d *Destinations) countIfFlushed(ex *exchange, c *destinationConn) {
+	if _, waits := d.unflushed[ex]; waits {
+		delete(d.unflushed, ex)
+		if c.conn.Flushed() {
 			d.attempts++
 		}
 	}
@@ -157,8 +157,8 @@
 
 // Name returns a destination's name; empty where it is not listed any more.
 func (d *Destinations) Name(id balance.WorkerID) string {
-	if to := d.byID[id]; to != nil {
-		return to.name
+	if target := d.byID[id]; target != nil {
+		return target.name
 	}
 	return ""
 }
@@ -169,8 +169,8 @@
 	delete(d.byID, id)
 }
 
-// Keep removes all destinations but those listed.
-func (d *Destinations) Keep(listed map[balance.WorkerID]bool) {
+// Retain removes all destinations but those listed.
+func (d *Destinations) Retain(listed map[balance.WorkerID]bool) {
 	for id := range d.byID {
 		if !listed[id] {
 			d.Remove(id)
@@ -180,121 +180,121 @@
 
 // CloseIdle closes the idle connections to a destination.
 func (d *Destinations) CloseIdle(id balance.WorkerID) {
-	to := d.byID[id]
-	if to == nil {
+	target := d.byID[id]
+	if target == nil {
 		return
 	}
-	for _, c := range slices.Clone(to.idle) {
+	for _, c := range slices.Clone(target.idle) {
 		c.close()
 	}
 }
 
-// mistrust notes that a kept connection has failed its next request. What broke
+// distrustIdle notes that a kept connection has failed its next request. What broke
 // it may have broken others.
-func (d *Destinations) mistrust() { d.wary = d.loop.Now() + waryFor }
+func (d *Destinations) distrustIdle() { d.distrustIdleUntil = d.loop.Now() + distrustIdleTime }
 
 // Send starts a route step.
-func (d *Destinations) Send(step slottable.Handle, id balance.WorkerID, w *routing.Work, until time.Duration) {
-	to := d.byID[id]
-	if to == nil {
+func (d *Destinations) Send(step slottable.Handle, id balance.WorkerID, work *routing.Work, until time.Duration) {
+	target := d.byID[id]
+	if target == nil {
 		d.core.StepEnded(step, routing.StepEnd{Outcome: balance.NotSent})
 		return
 	}
-	t := &trip{step: step, id: w.ID, once: w.Once, to: to, work: w, until: until, sentAt: d.loop.Now()}
-	d.trips[step] = t
-	d.start(t)
+	ex := &exchange{step: step, id: work.ID, nonIdempotent: work.Once, destination: target, work: work, until: until, sentAt: d.loop.Now()}
+	d.exchanges[step] = ex
+	d.start(ex)
 }
 
-func (d *Destinations) request(w *routing.Work, until time.Duration) []byte {
-	b := make([]byte, 0, 192+len(w.Target)+len(w.Body))
-	b = append(b, "POST "...)
-	b = append(b, w.Target...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, d.config.Host...)
-	b = append(b, "\r\nReq-Id: "...)
-	b = append(b, w.ID...)
-	if w.Idempotent != "" {
-		b = append(b, "\r\n"+idempotencyKey+": "...)
-		b = append(b, w.Idempotent...)
+func (d *Destinations) requestBytes(work *routing.Work, until time.Duration) []byte {
+	buffer := make([]byte, 0, 192+len(work.Target)+len(work.Body))
+	buffer = append(buffer, "POST "...)
+	buffer = append(buffer, work.Target...)
+	buffer = append(buffer, " HTTP/1.1\r\nHost: "...)
+	buffer = append(buffer, d.config.Host...)
+	buffer = append(buffer, "\r\nReq-Id: "...)
+	buffer = append(buffer, work.ID...)
+	if work.Idempotent != "" {
+		buffer = append(buffer, "\r\n"+idempotencyKey+": "...)
+		buffer = append(buffer, work.Idempotent...)
 	}
-	b = append(b, "\r\nReq-Deadline: "...)
-	b = strconv.AppendFloat(b, (until - d.loop.Now()).Seconds(), 'f', 3, 64)
-	b = append(b, "\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(w.Body)), 10)
-	b = append(b, "\r\n\r\n"...)
-	return append(b, w.Body...)
+	buffer = append(buffer, "\r\nReq-Deadline: "...)
+	buffer = strconv.AppendFloat(buffer, (until - d.loop.Now()).Seconds(), 'f', 3, 64)
+	buffer = append(buffer, "\r\nContent-Length: "...)
+	buffer = strconv.AppendInt(buffer, int64(len(work.Body)), 10)
+	buffer = append(buffer, "\r\n\r\n"...)
+	return append(buffer, work.Body...)
 }
 
 // Probe asks a destination for its load.
 func (d *Destinations) Probe(id balance.WorkerID) {
-	to := d.byID[id]
-	if to == nil {
+	target := d.byID[id]
+	if target == nil {
 		d.core.ProbeEnded(balance.ProbeDone{Worker: id, Outcome: balance.ConnectFailed})
 		return
 	}
-	t := &trip{to: to, sentAt: d.loop.Now(),
+	ex := &exchange{destination: target, sentAt: d.loop.Now(),
 		request: []byte("GET /load HTTP/1.1\r\nHost: " + d.config.Host + "\r\n\r\n")}
-	t.timeout = d.loop.Timers.Add(t.sentAt+probeTimeout, func() {
-		d.drop(t)
-		d.end(t, routing.StepEnd{Outcome: balance.TimedOut})
+	ex.timeout = d.loop.Timers.Add(ex.sentAt+probeTimeout, func() {
+		d.detach(ex)
+		d.conclude(ex, routing.StepEnd{Outcome: balance.TimedOut})
 	})
-	d.start(t)
+	d.start(ex)
 }
 
 // start puts a trip on an idle connection, or on a new one. While kept
 // connections are mistrusted, what must not run twice gets a new one: where that
 // does not come up the request never ran, but a kept one that turns out dead
 // when the request is out leaves that open.
-func (d *Destinations) start(t *trip) {
-	if c := d.kept(t); c != nil {
-		d.put(t, c)
+func (d *Destinations) start(ex *exchange) {
+	if c := d.takeIdle(ex); c != nil {
+		d.write(ex, c)
 		return
 	}
-	if d.open >= d.config.Sockets && !d.closeIdlest() {
-		slog.Warn("no descriptor for a destination", "open", d.open, "most", d.config.Sockets)
-		d.end(t, routing.StepEnd{Outcome: balance.ConnectFailed})
+	if d.openConns >= d.config.MaxConnections && !d.closeLongestIdle() {
+		slog.Warn("no descriptor for a destination", "open", d.openConns, "most", d.config.MaxConnections)
+		d.conclude(ex, routing.StepEnd{Outcome: balance.ConnectFailed})
 		return
 	}
-	d.dial(t)
+	d.dial(ex)
 }
 
 // Abort gives a route step up: its connection closes, or never comes up.
 func (d *Destinations) Abort(step slottable.Handle) {
-	if t := d.trips[step]; t != nil {
-		delete(d.trips, step)
-		d.drop(t)
+	if ex := d.exchanges[step]; ex != nil {
+		delete(d.exchanges, step)
+		d.detach(ex)
 	}
 }
 
-// drop ends a trip's part on the network without a word to the core.
-func (d *Destinations) drop(t *trip) {
-	if t.abandon != nil {
-		t.abandon() // it counts as open until its socket is closed
-		t.abandon = nil
+// detach ends a trip's part on the network without a word to the core.
+func (d *Destinations) detach(ex *exchange) {
+	if ex.abandon != nil {
+		ex.abandon() // it counts as open until its socket is closed
+		ex.abandon = nil
 	}
-	if c := t.conn; c != nil && c.trip == t {
-		d.settle(t, c)
-		c.trip = nil
+	if c := ex.conn; c != nil && c.exchange == ex {
+		d.countIfFlushed(ex, c)
+		c.exchange = nil
 		c.close()
 	}
 }
 
-// end tells the outcome of a trip, once.
-func (d *Destinations) end(t *trip, e routing.StepEnd) {
-	if t.over {
+// conclude tells the outcome of a trip, once.
+func (d *Destinations) conclude(ex *exchange, end routing.StepEnd) {
+	if ex.ended {
 		return
 	}
-	t.over = true
-	if c := d.partly[t]; c != nil {
+	ex.ended = true
+	if c := d.unflushed[ex]; c != nil {
 		// It answers, so that it has all; or it could not read the rest.
-		d.settle(t, c)
+		d.countIfFlushed(ex, c)
 	}
-	d.loop.Timers.Cancel(t.timeout)
-	if t.step == 0 {
-		d.core.ProbeEnded(balance.ProbeDone{Worker: t.to.id, Outcome: e.Outcome,
-			Elapsed: d.loop.Now() - t.sentAt, Report: e.Report})
+	d.loop.Timers.Cancel(ex.timeout)
+	if ex.step == 0 {
+		d.core.ProbeEnded(balance.ProbeDone{Worker: ex.destination.id, Outcome: end.Outcome,
+			Elapsed: d.loop.Now() - ex.sentAt, Report: end.Report})
 		return
 	}
-	delete(d.trips, t.step)
-	d.core.StepEnded(t.step, e)
+	delete(d.exchanges, ex.step)
+	d.core.StepEnded(ex.step, end)
 }
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -13,59 +13,59 @@
 	"ospreybend/internal/util/http1"
 )
 
-// call is one exchange with the pool config on a connection of its own, which a
+// discoveryCall is one exchange with the pool config on a connection of its own, which a
 // watch keeps for the next.
-type call struct {
-	owner   *Discovery
-	conn    *eventloop.Conn
-	abandon func()
-	timeout *timerqueue.Timer
-	target  string
-	hold    time.Duration // how long it may wait for news
-	again   bool          // asked a second time, after the first failed
-	asked   bool          // an answer is owed
-	head    bool
-	status  int
-	last    bool
-	body    http1.BodyReader
-	text    []byte
+type discoveryCall struct {
+	owner      *Discovery
+	conn       *eventloop.Conn
+	abandon    func()
+	timeout    *timerqueue.Timer
+	target     string
+	hold       time.Duration // how long it may wait for news
+	retried    bool          // asked a second time, after the first failed
+	pending    bool          // an answer is owed
+	headRead   bool
+	status     int
+	closeAfter bool
+	body       http1.BodyReader
+	response   []byte
 }
 
-func (d *Discovery) ask(c *call, target string) {
+func (d *Discovery) send(call *discoveryCall, target string) {
 	request := []byte("GET " + target + " HTTP/1.1\r\nHost: " + d.config.Address + "\r\n\r\n")
-	c.target, c.asked, c.head, c.text = target, true, false, nil
+	call.target, call.pending, call.headRead, call.response = target, true, false, nil
 	slog.Debug("pool config asked", "target", target)
 	d.counts.Asked++
-	c.timeout = d.loop.Timers.Add(d.loop.Now()+c.hold+d.patience(c), func() {
+	call.timeout = d.loop.Timers.Add(d.loop.Now()+call.hold+d.answerTimeout(call), func() {
 		// Silence is no sign of a crowd, in which a call is refused: what broke the connection is
 		// over, or it is not, and what is owed is owed soon.
-		c.again = c.again && d.config.Pushed
+		call.retried = call.retried && d.config.Pushed
 		d.counts.Silent++
-		c.fail("no answer in time")
+		call.fail("no answer in time")
 	})
-	if c.conn != nil {
-		if !c.conn.Send(request) {
-			c.conn = nil
-			c.fail("connection lost")
+	if call.conn != nil {
+		if !call.conn.Send(request) {
+			call.conn = nil
+			call.fail("connection lost")
 		}
 		return
 	}
-	c.abandon = d.loop.Dial(d.config.Address, d.config.ConnectTimeout, c, func(conn *eventloop.Conn, err error) {
-		c.abandon = nil
+	call.abandon = d.loop.Dial(d.config.Address, d.config.ConnectTimeout, call, func(conn *eventloop.Conn, err error) {
+		call.abandon = nil
 		if err != nil {
-			c.fail(err.Error())
+			call.fail(err.Error())
 			return
 		}
-		c.conn = conn
+		call.conn = conn
 		if !conn.Send(request) {
-			c.conn = nil
-			c.fail("connection lost")
+			call.conn = nil
+			call.fail("connection lost")
 		}
 	}, func() {})
 }
 
 // close ends the call's part on the network.
-func (c *call) close() {
+func (c *discoveryCall) close() {
 	c.owner.loop.Timers.Cancel(c.timeout)
 	if c.abandon != nil {
 		c.abandon()
@@ -81,17 +81,17 @@
 // silence, on a new connection and without a hold: the service may have closed the old one or
 // come up anew, and what it had to tell meanwhile is owed soon. After that the
 // module asks anew when it sees fit.
-func (c *call) fail(why string) {
+func (c *discoveryCall) fail(why string) {
 	d := c.owner
 	c.close()
-	if !c.again && (c == d.watch || c == d.fetch) {
+	if !c.retried && (c == d.watch || c == d.fetch) {
 		slog.Info("pool config asked again", "reason", why)
-		c.again = true
+		c.retried = true
 		if c == d.watch {
-			d.first = true
-			d.watchOn()
+			d.firstPoll = true
+			d.pollWatch()
 		} else {
-			d.ask(c, c.target)
+			d.send(c, c.target)
 		}
 		return
 	}
@@ -104,44 +104,44 @@
 		return
 	}
 	if d.config.Pushed {
-		d.askAgent(why)
+		d.retryAgent(why)
 		return
 	}
 	slog.Warn("pool config call failed", "reason", why)
 	d.core.PoolChanged(balance.ListUpdate{Kind: balance.ListFailed, Version: d.version})
 }
 
-// askAgent has the agent asked again soon: it answers nothing while the service is down.
-func (d *Discovery) askAgent(why string) {
-	if !d.silent {
+// retryAgent has the agent asked again soon: it answers nothing while the service is down.
+func (d *Discovery) retryAgent(why string) {
+	if !d.agentSilent {
 		slog.Warn("the agent does not answer", "reason", why)
-		d.silent = true
+		d.agentSilent = true
 	}
-	wait := pushedAgain/2 + time.Duration(rand.Int64N(int64(pushedAgain)))
+	wait := pushedRetryDelay/2 + time.Duration(rand.Int64N(int64(pushedRetryDelay)))
 	d.loop.Timers.Add(d.loop.Now()+wait, func() {
-		if d.wanted && d.watch == nil {
+		if d.watchWanted && d.watch == nil {
 			d.Watch(true)
 		}
 	})
 }
 
 // Closed is the pool config's end of the connection.
-func (c *call) Closed(*eventloop.Conn) {
+func (c *discoveryCall) Closed(*eventloop.Conn) {
 	c.conn = nil
-	if c.head && c.body.UntilClose && c.asked {
+	if c.headRead && c.body.UntilClose && c.pending {
 		c.finish()
 		return
 	}
-	if c.asked {
+	if c.pending {
 		c.fail("connection lost")
 	}
 }
 
 // Data takes in an answer.
-func (c *call) Data(conn *eventloop.Conn, in []byte) int {
+func (c *discoveryCall) Data(conn *eventloop.Conn, in []byte) int {
 	used := 0
 	for conn.Open() {
-		if !c.head {
+		if !c.headRead {
 			var m Message
 			n, err := parseResponse(in[used:], &m)
 			if err != nil {
@@ -152,7 +152,7 @@
 				return used
 			}
 			used += n
-			c.head, c.status, c.last, c.body = true, m.Status, m.Close, newBody(&m)
+			c.headRead, c.status, c.closeAfter, c.body = true, m.Status, m.Close, newBodyReader(&m)
 		}
 		data, n, err := c.body.Next(in[used:])
 		if err != nil {
@@ -160,7 +160,7 @@
 			return len(in)
 		}
 		used += n
-		if c.text = append(c.text, data...); len(c.text) > mostList {
+		if c.response = append(c.response, data...); len(c.response) > maxListBytes {
 			c.fail("the list is too long")
 			return len(in)
 		}
@@ -177,25 +177,25 @@
 
 // finish takes in a whole answer, and has the next watch on its way at once: a
 // later one would count as a new watch.
-func (c *call) finish() {
+func (c *discoveryCall) finish() {
 	d := c.owner
 	d.loop.Timers.Cancel(c.timeout)
-	c.asked = false
+	c.pending = false
 	if c.status != 200 {
 		d.counts.Refused++
-		c.again = true // a service that is down or behind is not to be asked twice
+		c.retried = true // a service that is down or behind is not to be asked twice
 		c.fail("status " + strconv.Itoa(c.status))
 		return
 	}
-	var list List
-	if err := json.Unmarshal(c.text, &list); err != nil {
+	var list EndpointList
+	if err := json.Unmarshal(c.response, &list); err != nil {
 		c.fail("the list cannot be read")
 		return
 	}
 	slog.Debug("pool config answered", "version", list.Version, "entries", len(list.Entries))
 	d.counts.Answered++
-	c.again, d.silent = false, false
-	if c.last {
+	c.retried, d.agentSilent = false, false
+	if c.closeAfter {
 		c.close()
 	}
 	kind := balance.ListChanges
@@ -208,8 +208,8 @@
 		d.fetch = nil
 		c.close()
 	case d.watch:
-		quiet = !d.first && !list.Snapshot && len(list.Entries) == 0
-		d.first = false
+		quiet = !d.firstPoll && !list.Snapshot && len(list.Entries) == 0
+		d.firstPoll = false
 		switch {
 		case list.Snapshot || list.Version >= d.version:
 			d.version = list.Version
@@ -217,11 +217,11 @@
 			// Another service answers, or one that has begun anew: changes since then say
 			// nothing of what is listed here. All of it is asked for, at once.
 			slog.Warn("pool config: the version goes backwards", "from", d.version, "to", list.Version)
-			d.version, d.first, quiet = 0, true, true
+			d.version, d.firstPoll, quiet = 0, true, true
 		}
-		d.watchOn()
+		d.pollWatch()
 	}
 	if !quiet {
-		d.tell(kind, list)
+		d.publish(kind, list)
 	}
 }
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -142,8 +142,8 @@
 				}
 				to := NewDestinations(DestinationConfig{}, stage.Loop, core)
 				pools[i] = NewDiscovery(DiscoveryConfig{Address: l.Addr().String(), ConnectTimeout: time.Minute,
-					Draw:  rand.New(rand.NewPCG(seed, uint64(i))).Float64,
-					Known: List{Version: 7}}, stage.Loop, core, to)
+					Jitter:     rand.New(rand.NewPCG(seed, uint64(i))).Float64,
+					CachedList: EndpointList{Version: 7}}, stage.Loop, core, to)
 				peers, _ := NewPeers(PeersConfig{}, stage.Loop, core)
 				core.Connect(to, pools[i], peers)
 				pools[i].Start()
@@ -186,6 +186,6 @@
 		allKnow("news", 100*time.Millisecond)
 		service.version, service.mute, knowing, began = 10, true, 0, now()
 		// From half of the longest hold on the service has calls to answer, so many one after the other.
-		allKnow("silence", min(known, watchHold/2+watchSlack+nodes*service.each+watchSlack))
+		allKnow("silence", min(known, maxWatchHold/2+watchAnswerGrace+nodes*service.each+watchAnswerGrace))
 	}
 }
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -65,8 +65,8 @@
 
 func (w *world) ready(name string) (is bool) {
 	w.Loop.Call(func() {
-		w.core.Listed(func(id balance.WorkerID, state balance.State, _ float64) {
-			is = is || w.pool.NameOf(id) == name && state == balance.Ready
+		w.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
+			is = is || w.discovery.NameOf(id) == name && state == balance.Ready
 		})
 	})
 	return is
@@ -165,8 +165,8 @@
 	w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
 	w.Words["back"] = answered(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
 	w.Loop.Call(func() {
-		w.pool.config.Pushed = true
-		w.pool.Start()
+		w.discovery.config.Pushed = true
+		w.discovery.Start()
 	})
 	w.Play(`
 		p accept pool
@@ -225,8 +225,8 @@
 	var names []string
 	var spoilt uint64
 	w.Loop.Call(func() {
-		w.core.Listed(func(id balance.WorkerID, _ balance.State, _ float64) { names = append(names, w.pool.NameOf(id)) })
-		spoilt = w.pool.Spoilt()
+		w.core.EachWorker(func(id balance.WorkerID, _ balance.State, _ float64) { names = append(names, w.discovery.NameOf(id)) })
+		spoilt = w.discovery.RejectedEntries()
 	})
 	if len(names) != 3 || !w.ready("s-1") || !w.ready("s-2") || !w.ready("s-6") || spoilt != 6 {
 		t.Errorf("listed %v, %d entries passed over", names, spoilt)
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -14,10 +14,10 @@
 // config.
 type world struct {
 	*scriptedpeer.Stage
-	core  *routing.Core
-	front *Front
-	to    *Destinations
-	pool  *Discovery
+	core         *routing.Core
+	front        *Front
+	destinations *Destinations
+	discovery    *Discovery
 }
 
 // newWorld sets up a node of two destinations, both played by the stand-in
@@ -35,8 +35,8 @@
 		Limits: balance.Limits{Cancel: true, Probes: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute},
 		Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}}
-	f := FrontConfig{Listen: scriptedpeer.Free(t), Sockets: 40, Memory: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
-		GiveUp: []time.Duration{4 * time.Second, 4 * time.Second}, Retry: true}
+	f := FrontConfig{Listen: scriptedpeer.Free(t), MaxSockets: 40, MaxBufferedBytes: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
+		DefaultTimeouts: []time.Duration{4 * time.Second, 4 * time.Second}, RetryAdvice: true}
 	if change != nil {
 		change(&s, &f)
 	}
@@ -47,7 +47,7 @@
 	w.Words["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
 	w.Words["done"] = scriptedpeer.Chunk(`{"id":"a1","state":"done","result":"fine","load":{"queue":1,"x0":2}}`) + `0\r\n\r\n`
 	w.Words["booked"] = strings.ReplaceAll(w.Words["done"], "a1", "b1")
-	known := List{Version: 7, Entries: []Listed{{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
+	known := EndpointList{Version: 7, Entries: []Endpoint{{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
 		{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}
 	w.Loop.Call(func() {
 		core, err := routing.New(s, 1, w.Loop, &w.Loop.Timers)
@@ -56,12 +56,12 @@
 			return
 		}
 		w.core = core
-		w.to = NewDestinations(DestinationConfig{Host: "app.svc", Sockets: 8, ConnectTimeout: 10 * time.Second,
-			ConnIdle: s.Limits.ConnIdle, Report: []string{"backlog", "x0"}}, w.Loop, core)
-		w.pool = NewDiscovery(DiscoveryConfig{Address: pool, ConnectTimeout: 10 * time.Second, Known: known}, w.Loop, core, w.to)
+		w.destinations = NewDestinations(DestinationConfig{Host: "app.svc", MaxConnections: 8, ConnectTimeout: 10 * time.Second,
+			IdleTimeout: s.Limits.ConnIdle, ReportFields: []string{"backlog", "x0"}}, w.Loop, core)
+		w.discovery = NewDiscovery(DiscoveryConfig{Address: pool, ConnectTimeout: 10 * time.Second, CachedList: known}, w.Loop, core, w.destinations)
 		peers, _ := NewPeers(PeersConfig{}, w.Loop, core)
-		core.Connect(w.to, w.pool, peers)
-		w.pool.Start()
+		core.Connect(w.destinations, w.discovery, peers)
+		w.discovery.Start()
 		w.front = NewFront(f, w.Loop, core)
 		if err := w.front.Start(); err != nil {
 			t.Error(err)
@@ -80,8 +80,8 @@
 	t.Helper()
 	w.Loop.Call(func() {
 		c := w.core.Counts()
-		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Gone+c.Moved+uint64(w.core.Open()) {
-			t.Errorf("operations and final answers do not add up: %+v, %d open", c, w.core.Open())
+		if c.Operations != c.Served+c.Refused+c.Failed+c.Rejected+c.Gone+c.Moved+uint64(w.core.OpenOperations()) {
+			t.Errorf("operations and final answers do not add up: %+v, %d open", c, w.core.OpenOperations())
 		}
 	})
 }
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -66,11 +66,11 @@
 	w := newWorld(t, nil)
 	w.Words["blank"] = " "
 	w.withAdmin(t, nil)
-	w.Loop.Call(w.pool.Fetch)
+	w.Loop.Call(w.discovery.Fetch)
 	w.Play("p accept pool\np expect GET /v1/servers")
-	list := `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + w.to.byID[numberOf("s-1")].address + `","status":"Ready","weight":1}]}`
+	list := `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + w.destinations.byID[workerIDOf("s-1")].address + `","status":"Ready","weight":1}]}`
 	w.drip("p", fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(list), list))
-	w.Until(func() bool { return len(w.to.byID) == 1 })
+	w.Until(func() bool { return len(w.destinations.byID) == 1 })
 	w.Play("c dial front")
 	w.drip("c", w.Words["ask"])
 	w.Play("s accept workers\ns expect \\r\\n\\r\\nhi")
@@ -126,7 +126,7 @@
 	w := newWorld(t, nil)
 	w.Words["endless"] = strings.TrimSuffix(w.Words["done"], `0\r\n\r\n`)
 	w.Play("c dial front")
-	for range w.to.config.Sockets + 2 {
+	for range w.destinations.config.MaxConnections + 2 {
 		w.Play(`
 			c send {ask}
 			s accept workers
--- a/internal/node/protocol/handover.go
+++ b/internal/node/protocol/handover.go
@@ -14,33 +14,33 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Parcel is what one process of a node hands to the next in one piece: a client's
+// Handover is what one process of a node hands to the next in one piece: a client's
 // connection, with the request in work on it, if any, and the connections to the
 // prep workers that are at it. The sockets go beside it: the client's first, then
 // one for each step that is out.
-type Parcel struct {
+type Handover struct {
 	Learned []uint64 // by the module; with it goes no connection
 
 	Rest  []byte // what the client has sent and nobody has read
 	Asked bool
 	Began time.Duration
 	Since time.Duration
-	Call  *CallPart // nil: none in work
-	Size  int       // of the body, in work
+	Call  *CallState // nil: none in work
+	Size  int        // of the body, in work
 
-	rests [][]byte // of all sockets, in order
+	unread [][]byte // of all sockets, in order
 }
 
-// CallPart is a request in work.
-type CallPart struct {
+// CallState is a request in work.
+type CallState struct {
 	Last    bool
 	Old     bool
-	Carried routing.Carried
-	Steps   []StepPart // those that are out
+	Carried routing.OperationState
+	Steps   []StepState // those that are out
 }
 
-// StepPart is a destination's connection at work on a step.
-type StepPart struct {
+// StepState is a destination's connection at work on a step.
+type StepState struct {
 	Try      int
 	Name     string // of the destination
 	Address  string
@@ -59,139 +59,139 @@
 }
 
 // Encode writes the parcel.
-func (p *Parcel) Encode() ([]byte, error) {
+func (h *Handover) Encode() ([]byte, error) {
 	var b bytes.Buffer
-	err := gob.NewEncoder(&b).Encode(p)
+	err := gob.NewEncoder(&b).Encode(h)
 	return b.Bytes(), err
 }
 
-// DecodeParcel reads a parcel and checks that it has the sockets that it names.
-func DecodeParcel(text []byte, sockets int) (*Parcel, error) {
-	p := &Parcel{}
-	if err := gob.NewDecoder(bytes.NewReader(text)).Decode(p); err != nil {
+// DecodeHandover reads a parcel and checks that it has the sockets that it names.
+func DecodeHandover(encoded []byte, sockets int) (*Handover, error) {
+	handover := &Handover{}
+	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(handover); err != nil {
 		return nil, fmt.Errorf("a parcel of another process: %w", err)
 	}
-	if len(p.Learned) > 0 {
-		if sockets > 0 || p.Call != nil {
+	if len(handover.Learned) > 0 {
+		if sockets > 0 || handover.Call != nil {
 			return nil, fmt.Errorf("a parcel of another process: what was learned, with %d sockets", sockets)
 		}
-		return p, nil
+		return handover, nil
 	}
-	p.rests = [][]byte{p.Rest}
-	if c := p.Call; c != nil {
-		if len(c.Carried.Until) != len(c.Carried.Tries) {
-			return nil, fmt.Errorf("a parcel of another process: %d tries with %d ends", len(c.Carried.Tries), len(c.Carried.Until))
+	handover.unread = [][]byte{handover.Rest}
+	if call := handover.Call; call != nil {
+		if len(call.Carried.Until) != len(call.Carried.Tries) {
+			return nil, fmt.Errorf("a parcel of another process: %d tries with %d ends", len(call.Carried.Tries), len(call.Carried.Until))
 		}
-		for _, s := range c.Steps {
-			if s.Try < 0 || s.Try >= len(c.Carried.Tries) || !c.Carried.Tries[s.Try].Out {
+		for _, s := range call.Steps {
+			if s.Try < 0 || s.Try >= len(call.Carried.Tries) || !call.Carried.Tries[s.Try].Out {
 				return nil, fmt.Errorf("a parcel of another process: step %d is not out", s.Try)
 			}
-			p.rests = append(p.rests, s.Rest)
+			handover.unread = append(handover.unread, s.Rest)
 		}
 	}
-	if len(p.rests) != sockets {
-		return nil, fmt.Errorf("a parcel of another process: %d sockets for %d connections", sockets, len(p.rests))
+	if len(handover.unread) != sockets {
+		return nil, fmt.Errorf("a parcel of another process: %d sockets for %d connections", sockets, len(handover.unread))
 	}
-	return p, nil
+	return handover, nil
 }
 
-// Rests returns, by socket, what had come in on it and nobody has read.
-func (p *Parcel) Rests() [][]byte { return p.rests }
+// Unread returns, by socket, what had come in on it and nobody has read.
+func (h *Handover) Unread() [][]byte { return h.unread }
 
 // HandOver calls give with each client's connection that another process can take
 // over, and forgets it. What cannot be moved now, as its last bytes wait for the
 // system, stays.
-func (f *Front) HandOver(to *Destinations, give func(p *Parcel, sockets []*os.File)) {
+func (f *Front) HandOver(destinations *Destinations, give func(handover *Handover, sockets []*os.File)) {
 	byCall := make(map[*Call]slottable.Handle, len(f.calls))
 	for ref, c := range f.calls {
 		byCall[c] = ref
 	}
-	f.sockets.All(func(_ slottable.Handle, s *frontSocket) {
-		if !s.conn.CanHandOver() {
+	f.sockets.All(func(_ slottable.Handle, conn *clientConn) {
+		if !conn.conn.CanHandOver() {
 			return
 		}
-		p := &Parcel{Asked: s.asked, Began: s.began, Since: s.since}
-		var work slottable.Handle
-		if s.call != nil {
-			ref, ok := byCall[s.call]
-			if !ok || !to.movable(f.core.Out(ref)) {
+		handover := &Handover{Asked: conn.hasRequested, Began: conn.requestBegan, Since: conn.lastReplyAt}
+		var operation slottable.Handle
+		if conn.call != nil {
+			ref, ok := byCall[conn.call]
+			if !ok || !destinations.movable(f.core.StepsInFlight(ref)) {
 				return
 			}
-			p.Size = s.call.size
-			work = ref
+			handover.Size = conn.call.bodySize
+			operation = ref
 		}
-		socket, rest, ok := s.conn.HandOver()
+		socket, unread, ok := conn.conn.HandOver()
 		if !ok {
 			return // no descriptor for it just now: nothing has changed
 		}
-		p.Rest = rest
+		handover.Rest = unread
 		sockets := []*os.File{socket}
-		if s.call != nil {
-			p.Call, sockets = f.release(to, work, s.call, sockets)
+		if conn.call != nil {
+			handover.Call, sockets = f.releaseCall(destinations, operation, conn.call, sockets)
 		}
-		s.forget()
-		give(p, sockets)
+		conn.remove()
+		give(handover, sockets)
 	})
 }
 
-// release takes a request in work out of the core and the destinations.
-func (f *Front) release(to *Destinations, ref slottable.Handle, c *Call, sockets []*os.File) (*CallPart, []*os.File) {
-	part := &CallPart{Last: c.last, Old: c.HTTP10}
-	part.Carried = f.core.Release(ref, func(try int, step slottable.Handle) (moved, begun bool) {
-		s, socket, begun := to.release(step)
+// releaseCall takes a request in work out of the core and the destinations.
+func (f *Front) releaseCall(destinations *Destinations, ref slottable.Handle, call *Call, sockets []*os.File) (*CallState, []*os.File) {
+	state := &CallState{Last: call.closeAfter, Old: call.HTTP10}
+	state.Carried = f.core.Release(ref, func(try int, step slottable.Handle) (moved, begun bool) {
+		s, socket, begun := destinations.release(step)
 		if socket != nil {
 			s.Try = try
-			part.Steps = append(part.Steps, s)
+			state.Steps = append(state.Steps, s)
 			sockets = append(sockets, socket)
 		}
 		return socket != nil, begun
 	})
 	delete(f.calls, ref)
-	delete(f.open, c.id)
-	c.gone = nil
-	return part, sockets
+	delete(f.openIDs, call.id)
+	call.clientGone = nil
+	return state, sockets
 }
 
 // Adopt takes over a client's connection, on the loop. conns are its own and those
 // of the steps, as the parcel names them.
-func (f *Front) Adopt(to *Destinations, p *Parcel, conns []*eventloop.Conn) {
-	s := &frontSocket{server: f.Server, conn: conns[0], asked: p.Asked, began: p.Began, since: p.Since}
-	s.ref = f.sockets.Add(s)
+func (f *Front) Adopt(destinations *Destinations, handover *Handover, conns []*eventloop.Conn) {
+	conn := &clientConn{server: f.Server, conn: conns[0], hasRequested: handover.Asked, requestBegan: handover.Began, lastReplyAt: handover.Since}
+	conn.handle = f.sockets.Add(conn)
 	if f.listener != nil {
-		s.conn.OnClose(f.listener.Admit())
+		conn.conn.OnClose(f.listener.Count())
 	}
 	switch {
-	case p.Call != nil:
-		f.resume(to, s, p, conns[1:])
-	case !p.Asked:
-		s.limit = f.loop.Timers.Add(p.Began+requestWithin, s.late) // it may stand idle only once it has asked
+	case handover.Call != nil:
+		f.resume(destinations, conn, handover, conns[1:])
+	case !handover.Asked:
+		conn.requestTimer = f.loop.Timers.Add(handover.Began+requestTimeout, conn.requestTimedOut) // it may stand idle only once it has asked
 	}
-	s.conn.SetHandler(s)
-	f.makeRoom()
+	conn.conn.SetHandler(conn)
+	f.shedExcess()
 }
 
-func (f *Front) resume(to *Destinations, s *frontSocket, p *Parcel, conns []*eventloop.Conn) {
-	part := p.Call
-	c := &Call{socket: s, last: part.Last || f.stopping, id: part.Carried.Operation.Work.ID, size: p.Size}
-	c.HTTP10 = part.Old
-	s.call = c
-	f.held += c.size
-	ref, steps := f.core.Adopt(part.Carried, f)
-	f.register(ref, c)
-	handlers := make([]*destinationConn, len(part.Steps))
-	for i, at := range part.Steps {
-		handlers[i] = to.adopt(steps[at.Try], part.Carried.Tries[at.Try].Worker, at, &part.Carried.Operation.Work, conns[i])
+func (f *Front) resume(destinations *Destinations, conn *clientConn, handover *Handover, conns []*eventloop.Conn) {
+	state := handover.Call
+	call := &Call{conn: conn, closeAfter: state.Last || f.stopping, id: state.Carried.Operation.Work.ID, bodySize: handover.Size}
+	call.HTTP10 = state.Old
+	conn.call = call
+	f.bufferedBytes += call.bodySize
+	ref, steps := f.core.Adopt(state.Carried, f)
+	f.register(ref, call)
+	destinationConns := make([]*destinationConn, len(state.Steps))
+	for i, at := range state.Steps {
+		destinationConns[i] = destinations.adopt(steps[at.Try], state.Carried.Tries[at.Try].Worker, at, &state.Carried.Operation.Work, conns[i])
 	}
 	f.core.Resume(ref)
-	for i, c := range handlers {
-		conns[i].SetHandler(c) // last, as an answer may be among what has come in
+	for i, call := range destinationConns {
+		conns[i].SetHandler(call) // last, as an answer may be among what has come in
 	}
 }
 
 // movable tells whether all connections at work on some steps can be handed over.
 func (d *Destinations) movable(steps []slottable.Handle) bool {
-	for _, at := range steps {
-		if t := d.trips[at]; t != nil && t.conn != nil && !t.conn.conn.CanHandOver() {
+	for _, step := range steps {
+		if ex := d.exchanges[step]; ex != nil && ex.conn != nil && !ex.conn.conn.CanHandOver() {
 			return false
 		}
 	}
@@ -200,38 +200,38 @@
 
 // release gives up the connection at work on a step, and tells whether a byte of
 // the step may have gone out. No socket: it cannot be moved.
-func (d *Destinations) release(step slottable.Handle) (part StepPart, socket *os.File, begun bool) {
-	t := d.trips[step]
-	if t == nil || t.conn == nil {
-		return part, nil, false
+func (d *Destinations) release(step slottable.Handle) (state StepState, socket *os.File, begun bool) {
+	ex := d.exchanges[step]
+	if ex == nil || ex.conn == nil {
+		return state, nil, false
 	}
-	c := t.conn
-	d.settle(t, c)
-	socket, rest, ok := c.conn.HandOver()
+	call := ex.conn
+	d.countIfFlushed(ex, call)
+	socket, rest, ok := call.conn.HandOver()
 	if !ok {
-		return part, nil, true
+		return state, nil, true
 	}
-	c.lost()
-	delete(d.trips, step)
-	return StepPart{Name: t.to.name, Address: t.to.address, Rest: rest, Head: c.head, Status: c.status, Declined: c.declined,
-		Load: c.load, Line: c.line, Last: c.last, Kept: c.kept, Left: c.body.Remaining, Chunked: c.body.Chunked, ToEnd: c.body.UntilClose,
-		Over: c.body.Done}, socket, true
+	call.forget()
+	delete(d.exchanges, step)
+	return StepState{Name: ex.destination.name, Address: ex.destination.address, Rest: rest, Head: call.headRead, Status: call.status, Declined: call.declined,
+		Load: call.loadHeader, Line: call.partialLine, Last: call.closeAfter, Kept: call.reused, Left: call.body.Remaining, Chunked: call.body.Chunked, ToEnd: call.body.UntilClose,
+		Over: call.body.Done}, socket, true
 }
 
 // adopt takes over a connection at work on a step.
-func (d *Destinations) adopt(step slottable.Handle, id balance.WorkerID, p StepPart, w *routing.Work,
+func (d *Destinations) adopt(step slottable.Handle, id balance.WorkerID, state StepState, work *routing.Work,
 	conn *eventloop.Conn) *destinationConn {
-	to := d.byID[id]
-	if to == nil {
+	target := d.byID[id]
+	if target == nil {
 		// It has left the list meanwhile. What it has in work ends as it ends.
-		to = &destination{id: id, name: p.Name, address: p.Address}
+		target = &destination{id: id, name: state.Name, address: state.Address}
 	}
-	c := &destinationConn{owner: d, to: to, conn: conn, process: to.process, head: p.Head, status: p.Status, declined: p.Declined,
-		load: p.Load, line: p.Line, last: p.Last, kept: p.Kept,
-		body: http1.BodyReader{Rules: &rules, BodyState: http1.BodyState{Remaining: p.Left, Chunked: p.Chunked, UntilClose: p.ToEnd, Done: p.Over}}}
-	t := &trip{step: step, id: w.ID, once: w.Once, to: to, conn: c, sentAt: d.loop.Now()}
-	c.trip = t
-	d.trips[step] = t
-	d.open++
+	c := &destinationConn{owner: d, destination: target, conn: conn, generation: target.generation, headRead: state.Head, status: state.Status, declined: state.Declined,
+		loadHeader: state.Load, partialLine: state.Line, closeAfter: state.Last, reused: state.Kept,
+		body: http1.BodyReader{Rules: &parseRules, BodyState: http1.BodyState{Remaining: state.Left, Chunked: state.Chunked, UntilClose: state.ToEnd, Done: state.Over}}}
+	t := &exchange{step: step, id: work.ID, nonIdempotent: work.Once, destination: target, conn: c, sentAt: d.loop.Now()}
+	c.exchange = t
+	d.exchanges[step] = t
+	d.openConns++
 	return c
 }
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	var sockets [][]*os.File
 	w.Loop.Call(func() {
-		w.front.HandOver(w.to, func(p *Parcel, with []*os.File) {
+		w.front.HandOver(w.destinations, func(p *Handover, with []*os.File) {
 			text, err := p.Encode()
 			if err != nil {
 				t.Error(err)
@@ -24,12 +24,12 @@
 		})
 	})
 	for i, text := range texts {
-		p, err := DecodeParcel(text, len(sockets[i]))
+		p, err := DecodeHandover(text, len(sockets[i]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		conns := to.Loop.Adopt(sockets[i], p.Rests())
-		to.Loop.Call(func() { to.front.Adopt(to.to, p, conns) })
+		conns := to.Loop.Adopt(sockets[i], p.Unread())
+		to.Loop.Call(func() { to.front.Adopt(to.destinations, p, conns) })
 	}
 	w.balanced(t)
 	return texts
@@ -51,16 +51,16 @@
 		s expect hi
 		s send {stream}` + started[:20])
 	old.Until(func() bool {
-		for _, at := range old.to.trips {
-			return at.conn != nil && at.conn.head
+		for _, at := range old.destinations.exchanges {
+			return at.conn != nil && at.conn.headRead
 		}
 		return false
 	})
 	texts := old.move(t, next)
-	next.Advance(requestWithin * 2 / 3)
+	next.Advance(requestTimeout * 2 / 3)
 	old.Play("s send " + started[20:] + "{done}\nc expect HTTP/1.1 200\nc expect fine\nc send {ask}")
-	next.Until(func() bool { return next.core.Counts().Served == 1 && next.core.Open() == 1 })
-	next.Advance(requestWithin)
+	next.Until(func() bool { return next.core.Counts().Served == 1 && next.core.OpenOperations() == 1 })
+	next.Advance(requestTimeout)
 	old.Play("idle send GET /healthz HTTP/1.1\\r\\n\\r\\n\nidle expect HTTP/1.1 200")
 	next.balanced(t)
 	if n := old.front.sockets.Len(); n != 0 {
@@ -70,7 +70,7 @@
 		spoilt := append([]byte(nil), rapid.SampledFrom(texts).Draw(t, "parcel")...)
 		spoilt[rapid.IntRange(0, len(spoilt)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		n := rapid.IntRange(0, 3).Draw(t, "sockets")
-		if p, err := DecodeParcel(spoilt, n); err == nil && len(p.Rests()) != n && len(p.Learned) == 0 {
+		if p, err := DecodeHandover(spoilt, n); err == nil && len(p.Unread()) != n && len(p.Learned) == 0 {
 			t.Fatal("sockets for another number of connections")
 		}
 	})
@@ -93,7 +93,7 @@
 			next.core.Resume(at)
 		})
 	})
-	next.Until(func() bool { return next.core.Open() == 0 && next.core.Counts().Operations == 1 })
+	next.Until(func() bool { return next.core.OpenOperations() == 0 && next.core.Counts().Operations == 1 })
 	if c := next.core.Counts(); c.Failed != 1 || c.Steps != 0 {
 		t.Errorf("failed %d, sent %d", c.Failed, c.Steps)
 	}
--- a/internal/node/protocol/http.go
+++ b/internal/node/protocol/http.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	maxHead = 16 << 10 // most bytes of a start line and its header
-	maxBody = 64 << 10 // most bytes of a body, as the protocol has it
+	maxHeadBytes = 16 << 10 // most bytes of a start line and its header
+	maxBodyBytes = 64 << 10 // most bytes of a body, as the protocol has it
 
-	mostChunked = 2*maxBody + maxHead // most bytes of a chunked body with its framing
+	maxChunkedBytes = 2*maxBodyBytes + maxHeadBytes // most bytes of a chunked body with its framing
 )
 
-// rules are those of every message.
-var rules = http1.ParseRules{MaxHeadBytes: maxHead}
+// parseRules are those of every message.
+var parseRules = http1.ParseRules{MaxHeadBytes: maxHeadBytes}
 
 // Fault is why a message cannot be read, with the status that says so.
 type Fault = http1.StatusError
 
-func bad(text string) *Fault { return http1.BadMessage(text) }
+func malformed(text string) *Fault { return http1.BadMessage(text) }
 
 // Message is a request or a response as far as it has come in. Its slices are
 // those of the connection's buffer, valid until the handler returns.
@@ -34,9 +34,9 @@
 // Header returns the first value of a header field, or nil.
 func (m *Message) Header(name string) []byte { return m.Get(name) }
 
-// doubled returns the name of a header field with a prefix that comes more than
+// duplicated returns the name of a header field with a prefix that comes more than
 // once. Which of the two holds, one side may see otherwise than the next.
-func (m *Message) doubled(prefix string) string {
+func (m *Message) duplicated(prefix string) string {
 	for i, f := range m.RawHeader {
 		if len(f.Name) < len(prefix) || !http1.EqualFold(f.Name[:len(prefix)], prefix) {
 			continue
@@ -54,13 +54,13 @@
 // has come of the request, and goes on from where it stopped, so that no client
 // can have the same bytes read over and over.
 type requestReader struct {
-	at      int // how far the request has been read
-	lines   http1.HeadReader
-	head    int // where the head ends; 0: not all there yet
-	framing http1.BodyReader
-	length  int  // of the body; httpwire.LengthChunked: in chunks
-	expects bool // the client waits for word before it sends the body
-	body    []byte
+	position        int // how far the request has been read
+	headReader      http1.HeadReader
+	headEnd         int // where the head ends; 0: not all there yet
+	bodyReader      http1.BodyReader
+	bodyLength      int  // of the body; httpwire.LengthChunked: in chunks
+	expectsContinue bool // the client waits for word before it sends the body
+	body            []byte
 }
 
 // ParseRequest reads a request. used is 0 where more bytes are needed.
@@ -71,22 +71,22 @@
 
 // read goes on with what has come. used is 0 where more bytes are needed.
 func (r *requestReader) read(in []byte) (m Message, used int, err *Fault) {
-	if r.head == 0 {
-		if err := r.readHead(in); err != nil || r.head == 0 {
+	if r.headEnd == 0 {
+		if err := r.readHead(in); err != nil || r.headEnd == 0 {
 			return m, 0, err
 		}
 	}
-	if r.length >= 0 {
-		used = r.head + r.length
+	if r.bodyLength >= 0 {
+		used = r.headEnd + r.bodyLength
 		if len(in) < used {
 			return m, 0, nil
 		}
-		r.body = in[r.head:used]
+		r.body = in[r.headEnd:used]
 	} else if used, err = r.readChunks(in); err != nil || used == 0 {
 		return m, 0, err
 	}
 	// Slices of the head would have gone stale since it was first read.
-	if _, err := http1.ParseHead(http1.Request, in[r.lines.Start():], &rules, &m.Head); err != nil {
+	if _, err := http1.ParseHead(http1.Request, in[r.headReader.Start():], &parseRules, &m.Head); err != nil {
 		return m, 0, err
 	}
 	m.Body = r.body
@@ -96,44 +96,44 @@
 // readHead looks for the end of the head, and reads it then.
 func (r *requestReader) readHead(in []byte) *Fault {
 	var h http1.Head
-	r.lines.Rules = rules
-	end, err := r.lines.Read(in, &h)
-	r.at = r.lines.Scanned()
+	r.headReader.Rules = parseRules
+	end, err := r.headReader.Read(in, &h)
+	r.position = r.headReader.Scanned()
 	switch {
 	case err != nil || end == 0:
 		return err
-	case h.ContentLength > maxBody:
+	case h.ContentLength > maxBodyBytes:
 		return &Fault{Status: 413, Reason: "the body is over 64 KiB"}
 	}
-	r.head, r.length, r.expects = end, h.ContentLength, h.ExpectsContinue()
+	r.headEnd, r.bodyLength, r.expectsContinue = end, h.ContentLength, h.ExpectsContinue()
 	if h.ContentLength == http1.LengthNone {
-		r.length = 0 // a request without framing has no body
+		r.bodyLength = 0 // a request without framing has no body
 	}
-	r.framing = http1.NewRequestBodyReader(&h, &rules)
+	r.bodyReader = http1.NewRequestBodyReader(&h, &parseRules)
 	return nil
 }
 
 // readChunks goes on with a chunked body, and returns where it ends.
 func (r *requestReader) readChunks(in []byte) (int, *Fault) {
 	for {
-		data, n, err := r.framing.Next(in[r.at:])
+		data, n, err := r.bodyReader.Next(in[r.position:])
 		if err != nil {
 			return 0, err
 		}
-		r.at += n
+		r.position += n
 		r.body = append(r.body, data...)
 		// Chunks may hold more framing than body.
-		seen := r.at
+		seen := r.position
 		if n == 0 {
 			seen = len(in)
 		}
 		switch {
-		case r.framing.Remaining > maxBody:
+		case r.bodyReader.Remaining > maxBodyBytes:
 			return 0, &Fault{Status: 413, Reason: "a chunk is over 64 KiB"}
-		case len(r.body) > maxBody || seen-r.head > mostChunked:
+		case len(r.body) > maxBodyBytes || seen-r.headEnd > maxChunkedBytes:
 			return 0, &Fault{Status: 413, Reason: "the body is over 64 KiB"}
-		case r.framing.Done:
-			return r.at, nil
+		case r.bodyReader.Done:
+			return r.position, nil
 		case n == 0:
 			return 0, nil
 		}
@@ -142,11 +142,13 @@
 
 // parseResponse reads the head of a response. It returns 0 where it is not all there.
 func parseResponse(in []byte, m *Message) (int, *Fault) {
-	return http1.ParseHead(http1.Response, in, &rules, &m.Head)
+	return http1.ParseHead(http1.Response, in, &parseRules, &m.Head)
 }
 
-// newBody starts on the body of a response whose head has been read.
-func newBody(m *Message) http1.BodyReader { return http1.NewResponseBodyReader(&m.Head, &rules) }
+// newBodyReader starts on the body of a response whose head has been read.
+func newBodyReader(m *Message) http1.BodyReader {
+	return http1.NewResponseBodyReader(&m.Head, &parseRules)
+}
 
 // AppendResponse writes a response. extra holds further header lines, each with
 // its end.
--- a/internal/node/protocol/http_fuzz_test.go
+++ b/internal/node/protocol/http_fuzz_test.go
@@ -16,7 +16,7 @@
 		if used < 0 || used > len(in) || err != nil && (used != 0 || err.Status < 400) {
 			t.Errorf("used %d of %d, %v", used, len(in), err)
 		}
-		if len(m.Body) > maxBody {
+		if len(m.Body) > maxBodyBytes {
 			t.Errorf("a body of %d bytes", len(m.Body))
 		}
 	})
@@ -31,17 +31,17 @@
 	}
 	const now = 1000 * time.Hour
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var list List
+		var list EndpointList
 		if json.Unmarshal(text, &list) != nil {
 			return // a call that failed
 		}
 		d := NewDiscovery(DiscoveryConfig{Zones: []string{"a"}}, nil, nil, nil)
 		for _, e := range list.Entries {
-			if e.fault(now) != nil {
+			if e.validate(now) != nil {
 				continue
 			}
-			l := d.listing(e)
-			if l.Worker == 0 || l.Started < 0 || l.Started > now+ahead || !(l.Scale >= 0) || math.IsInf(l.Scale, 0) {
+			l := d.workerListing(e)
+			if l.Worker == 0 || l.Started < 0 || l.Started > now+maxClockSkew || !(l.Scale >= 0) || math.IsInf(l.Scale, 0) {
 				t.Errorf("%+v is taken in as %+v", e, l)
 			}
 		}
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -50,7 +50,7 @@
 	`)
 	w.balanced(t)
 	for name, key := range map[string]string{"comes twice": `Idempotency-Key: a\r\nidempotency-key: a\r\n`,
-		"is too long": `Idempotency-Key: ` + strings.Repeat("a", maxID+1) + `\r\n`} {
+		"is too long": `Idempotency-Key: ` + strings.Repeat("a", maxIDBytes+1) + `\r\n`} {
 		w.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\n`+key+`\r\n`, "c expect HTTP/1.1 400",
 			"c expect "+name, "c closed"))
 	}
@@ -98,7 +98,7 @@
 		"chunk":           {head + `Transfer-Encoding: chunked\r\n\r\nxyz\r\n`, "400"},
 		"oversized":       {head + `Content-Length: 65537\r\n\r\n`, "413"},
 		"oversized chunk": {head + `Transfer-Encoding: chunked\r\n\r\n10001\r\n`, "413"},
-		"long header":     {head + `X: ` + strings.Repeat("x", maxHead), "431"},
+		"long header":     {head + `X: ` + strings.Repeat("x", maxHeadBytes), "431"},
 		"NUL":             {head + "X: a\x00b" + `\r\n\r\n`, "400"},
 	} {
 		t.Log(name)
@@ -181,7 +181,7 @@
 // A body of just 64 KiB is in order.
 func TestLargestBody(t *testing.T) {
 	w := newWorld(t, nil)
-	body := strings.Repeat("x", maxBody-3) + "end"
+	body := strings.Repeat("x", maxBodyBytes-3) + "end"
 	w.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 65536\r\n\r\n`+body,
 		"s accept workers", "s expect xend", "s send {stream}{done}", "c expect fine"))
 }
@@ -265,7 +265,7 @@
 	w := newWorld(t, nil)
 	w.Loop.Call(func() { // one destination, so that it is clear which connection is meant
 		up := balance.ListUpdate{Kind: balance.ListChanges}
-		for id, to := range w.to.byID {
+		for id, to := range w.destinations.byID {
 			if to.name == "s-2" {
 				up.Workers = append(up.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
 			}
@@ -289,8 +289,8 @@
 	w := newWorld(t, nil)
 	none := scriptedpeer.Free(t)
 	w.Loop.Call(func() {
-		for id, to := range w.to.byID {
-			w.to.Place(id, to.name, none)
+		for id, to := range w.destinations.byID {
+			w.destinations.SetAddress(id, to.name, none)
 		}
 	})
 	w.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503"))
@@ -323,9 +323,9 @@
 	})
 	t.Run("by hand", func(t *testing.T) {
 		drainWhileConnecting(t, func(w *world, up balance.ListUpdate) {
-			w.pool.config.ByHand = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
+			w.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
 			for _, l := range up.Workers {
-				w.pool.Relay(l.Worker)
+				w.discovery.Republish(l.Worker)
 			}
 		})
 	})
@@ -335,7 +335,7 @@
 	w := newWorld(t, nil)
 	w.Loop.Call(func() {
 		up := balance.ListUpdate{Kind: balance.ListChanges}
-		for id := range w.to.byID {
+		for id := range w.destinations.byID {
 			up.Workers = append(up.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
 		}
 		m, _, fault := ParseRequest([]byte("POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3\r\n\r\n"))
@@ -343,9 +343,9 @@
 			t.Error(fault)
 			return
 		}
-		op, _ := w.front.operation(&m, 1)
+		op, _ := w.front.parseOperation(&m, 1)
 		op.Owner = w.front
-		w.core.Route(w.core.Take(op)) // dials, and the dial ends in a later turn
+		w.core.Route(w.core.Accept(op)) // dials, and the dial ends in a later turn
 		drain(w, up)
 	})
 	w.Play("s accept workers")
@@ -362,8 +362,8 @@
 	w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi", "s send {stream}{done}",
 		"c expect fine", "wait 59500ms", "s closed"))
 	w.Loop.Call(func() {
-		if w.to.open != 0 {
-			t.Errorf("%d connections are counted as open", w.to.open)
+		if w.destinations.openConns != 0 {
+			t.Errorf("%d connections are counted as open", w.destinations.openConns)
 		}
 	})
 }
@@ -431,7 +431,7 @@
 	w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
 	for _, name := range []string{"next", "last"} {
 		address := w.StandIn(name)
-		w.Loop.Call(func() { w.pool.Move(address) })
+		w.Loop.Call(func() { w.discovery.SetAddress(address) })
 	}
 	w.Play(`
 		p closed
@@ -448,7 +448,7 @@
 	// Nor does it wait for the module where the last call had failed.
 	w.Play(lines(`n send HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, "n closed"))
 	address := w.StandIn("third")
-	w.Loop.Call(func() { w.pool.Move(address) })
+	w.Loop.Call(func() { w.discovery.SetAddress(address) })
 	w.Play(lines("o accept third", "o expect from=9&hold_ms=1"))
 }
 
@@ -465,7 +465,7 @@
 		idle send GET /healthz HTTP/1.1\r\n\r\n
 		idle expect HTTP/1.1 200
 	`)
-	w.Loop.Call(w.front.Leave)
+	w.Loop.Call(w.front.BeginShutdown)
 	w.Play(`
 		late dial front
 		late send GET /healthz HTTP/1.1\r\n\r\n
@@ -533,8 +533,8 @@
 		c expect 200
 	`)
 	w.Loop.Call(func() {
-		if w.front.held != 0 || w.front.counts.Silent != 1 {
-			t.Errorf("%d bytes held, %+v", w.front.held, w.front.counts)
+		if w.front.bufferedBytes != 0 || w.front.counts.Silent != 1 {
+			t.Errorf("%d bytes held, %+v", w.front.bufferedBytes, w.front.counts)
 		}
 	})
 }
@@ -542,11 +542,11 @@
 // Near the limit those that have brought nothing go first, then what stands still
 // for long; a usual client's idle connection is opened anew, half a job is not.
 func TestSilentAreShedFirst(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Sockets = socketSpare + 3 })
+	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
 		"half dial front", `half send POST /pruefen HTTP/1.1\r\n`))
-	w.Until(func() bool { return w.front.sockets.Len() == 3 && w.front.held > 0 })
+	w.Until(func() bool { return w.front.sockets.Len() == 3 && w.front.bufferedBytes > 0 })
 	// The half request is one of few, and may yet come: the idle connection goes.
 	w.Play(lines("wait 300ms", "b dial front", "b "+health, "b expect 200", "silent closed", "c dial front", "c "+health,
 		"c expect 200", "a closed"))
@@ -557,12 +557,12 @@
 // A request that comes over more than two seconds is served, also while many others
 // stand half written or idle.
 func TestSlowRequestInACrowd(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Sockets = socketSpare + 8 })
+	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
 	w.Words["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
 	w.Play("slow dial front")
-	var slow *frontSocket
+	var slow *clientConn
 	w.Until(func() bool {
-		w.front.sockets.All(func(_ slottable.Handle, f *frontSocket) { slow = f })
+		w.front.sockets.All(func(_ slottable.Handle, f *clientConn) { slow = f })
 		return slow != nil
 	})
 	come := 0
@@ -570,7 +570,7 @@
 		`\r\nh`, `i`} {
 		w.Play("slow send " + part)
 		come += len(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(part))
-		w.Until(func() bool { return slow.held == come || slow.call != nil || !slow.conn.Open() })
+		w.Until(func() bool { return slow.bufferedBytes == come || slow.call != nil || !slow.conn.Open() })
 		for j := range 6 {
 			name := fmt.Sprintf("x%d%d", i, j)
 			w.Play(name + " dial front")
@@ -579,7 +579,7 @@
 			} else {
 				w.Play(name + ` send POST /pruefen HT`)
 			}
-			w.Until(func() bool { return w.front.listener.Coming() == 0 })
+			w.Until(func() bool { return w.front.listener.Pending() == 0 })
 			w.Advance(60 * time.Millisecond)
 		}
 		w.Advance(70 * time.Millisecond)
@@ -595,7 +595,7 @@
 // Silent connections come by hundreds at once; a usual client that comes right
 // behind them finds room.
 func TestUsualClientBehindABurst(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Sockets = socketSpare + 3 })
+	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	for i := range 11 {
 		w.Play(fmt.Sprintf("silent%d dial front", i))
 	}
@@ -606,7 +606,7 @@
 // Where every socket has a request in work who comes is told so at once, in
 // place of waiting unheard in the system's queue.
 func TestAllSocketsAtWork(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, f *FrontConfig) { f.Sockets, s.Limits.MaxAttempts = socketLast+1, 1 })
+	w := newWorld(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = lastSockets+1, 1 })
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -623,12 +623,12 @@
 
 // Unfinished requests share one budget of memory; past it the largest goes.
 func TestInputBudget(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Memory = 100 << 10 })
+	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
 	part := func(name string, bytes int) string {
 		return lines(name+" dial front", name+` send POST /pruefen HTTP/1.1\r\nReq-Id: `+name+`\r\nContent-Length: 65536\r\n\r\n`+
 			strings.Repeat("x", bytes))
 	}
-	held := func(bytes int) func() bool { return func() bool { return w.front.held > bytes } }
+	held := func(bytes int) func() bool { return func() bool { return w.front.bufferedBytes > bytes } }
 	w.Play(part("one", 30<<10))
 	w.Until(held(30 << 10))
 	w.Play(part("two", 60<<10))
@@ -664,10 +664,10 @@
 		var r requestReader
 		at := 0
 		for n := 1; n < len(text); n++ {
-			if _, used, err := r.read([]byte(text[:n])); used != 0 || err != nil || r.at < at {
-				t.Fatalf("%q: used %d, read to %d after %d, %v", text[:n], used, r.at, at, err)
+			if _, used, err := r.read([]byte(text[:n])); used != 0 || err != nil || r.position < at {
+				t.Fatalf("%q: used %d, read to %d after %d, %v", text[:n], used, r.position, at, err)
 			}
-			at = r.at
+			at = r.position
 		}
 		m, used, err := r.read([]byte(text))
 		if used != len(text) || err != nil || string(m.Body) != "hi" || string(m.Target) != "/a" {
@@ -685,7 +685,7 @@
 
 // At the limit of front sockets the one idle longest makes room.
 func TestFrontSocketsAtTheLimit(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.Sockets = socketSpare + 2 })
+	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "b dial front", "b "+health, "b expect 200",
 		"wait 1s", "c dial front", "c "+health, "c expect 200", "a closed", "b "+health, "b expect 200"))
@@ -697,30 +697,30 @@
 	w := newWorld(t, nil)
 	step := slottable.Handle(99)
 	w.Loop.Call(func() {
-		for id := range w.to.byID {
-			w.to.Send(step, id, &routing.Work{ID: "a1", Target: "/pruefen"}, w.Loop.Now()+time.Second)
+		for id := range w.destinations.byID {
+			w.destinations.Send(step, id, &routing.Work{ID: "a1", Target: "/pruefen"}, w.Loop.Now()+time.Second)
 			break
 		}
-		w.to.Abort(step)
-		if w.to.open != 1 {
-			t.Errorf("%d connections count while one is still being given up", w.to.open)
+		w.destinations.Abort(step)
+		if w.destinations.openConns != 1 {
+			t.Errorf("%d connections count while one is still being given up", w.destinations.openConns)
 		}
 	})
-	w.Until(func() bool { return w.to.open == 0 })
+	w.Until(func() bool { return w.destinations.openConns == 0 })
 }
 
 // At the limit of connections to destinations a step fails as not connected,
 // which never ran, and the node goes on.
 func TestDestinationsAtTheLimit(t *testing.T) {
 	w := newWorld(t, nil)
-	w.Loop.Call(func() { w.to.config.Sockets = 0 })
+	w.Loop.Call(func() { w.destinations.config.MaxConnections = 0 })
 	w.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503",
 		`c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
 func TestLoadReports(t *testing.T) {
 	w := newWorld(t, nil)
-	c := &destinationConn{owner: w.to}
+	c := &destinationConn{owner: w.destinations}
 	for text, want := range map[string][2]float32{
 		`{"queue":7,"x0":2}`:   {7, 2},
 		`{"backlog":7,"x0":2}`: {7, 2},
@@ -750,7 +750,7 @@
 		r accept workers
 		r expect b1
 	`)
-	w.Loop.Call(func() { w.core.EndBy(w.front, w.Loop.Now()+time.Second) })
+	w.Loop.Call(func() { w.core.LimitDeadlines(w.front, w.Loop.Now()+time.Second) })
 	w.Play(`
 		e dial front
 		e send POST /buchen HTTP/1.1\r\nReq-Id: b2\r\nReq-Deadline: 3.0\r\n\r\n
@@ -773,11 +773,11 @@
 	w := newWorld(t, nil)
 	w.Words["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
 	w.lone()
-	w.Loop.Call(func() { w.to.Probe(numberOf("s-1")) })
+	w.Loop.Call(func() { w.destinations.Probe(workerIDOf("s-1")) })
 	w.Play(lines("p accept workers", "p expect GET /load", "p send {no}"))
-	w.Until(func() bool { return len(w.to.byID[numberOf("s-1")].idle) == 1 }) // it is read; its connection rests
+	w.Until(func() bool { return len(w.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // it is read; its connection rests
 	w.Play(lines("c dial front", "c send {ask}", "c arrives"))
-	w.Until(func() bool { return w.core.Open() == 1 })
+	w.Until(func() bool { return w.core.OpenOperations() == 1 })
 	w.Play("wait 1s")
 	if n := w.steps(); n != 0 {
 		t.Errorf("%d attempts", n)
--- a/internal/node/protocol/server.go
+++ b/internal/node/protocol/server.go
@@ -10,47 +10,47 @@
 )
 
 const (
-	socketSpare   = 8                       // front sockets kept free: past that, some are shed
-	socketLast    = 2                       // the last of these turn who comes away at once
-	requestWithin = 2800 * time.Millisecond // from the connection's start, or a later request's first byte, to its last
-	freshFor      = 25 * time.Millisecond   // a connection younger than this may yet bring a usual client's request
-	slowFor       = 250 * time.Millisecond  // and one that has brought a part of it, the next
-	stalledFor    = 2 * time.Second         // one that has brought no more for so long will not
-	restedFor     = 500 * time.Millisecond  // an idle connection that a usual client hardly misses
-	readSoon      = 2 * time.Millisecond    // what has come is read by the loop within it
-	slowShare     = 2                       // unfinished requests may fill one front socket in so many before they go first
-	mostAhead     = maxHead                 // most bytes kept of what a client sends while its call is in work
-	mostUnread    = maxBody + maxHead       // and of answers that it does not read while it asks on
-	tellEvery     = 10 * time.Second
-	noRoom        = "there is no room for the request just now"
-	continueLine  = "HTTP/1.1 100 Continue\r\n\r\n"
+	spareSockets        = 8                           // front sockets kept free: past that, some are shed
+	lastSockets         = 2                           // the last of these turn who comes away at once
+	requestTimeout      = 2800 * time.Millisecond     // from the connection's start, or a later request's first byte, to its last
+	freshConnAge        = 25 * time.Millisecond       // a connection younger than this may yet bring a usual client's request
+	slowRequestAge      = 250 * time.Millisecond      // and one that has brought a part of it, the next
+	stalledRequestAge   = 2 * time.Second             // one that has brought no more for so long will not
+	shortIdleAge        = 500 * time.Millisecond      // an idle connection that a usual client hardly misses
+	readDelayBound      = 2 * time.Millisecond        // what has come is read by the loop within it
+	unfinishedShare     = 2                           // unfinished requests may fill one front socket in so many before they go first
+	maxPipelinedBytes   = maxHeadBytes                // most bytes kept of what a client sends while its call is in work
+	maxUnreadReplyBytes = maxBodyBytes + maxHeadBytes // and of answers that it does not read while it asks on
+	logInterval         = 10 * time.Second
+	atCapacityText      = "there is no room for the request just now"
+	continueLine        = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
 // Server is the side towards clients of a front: HTTP/1.1 requests in, one
 // answer to each out, in order. It bounds what a client can take up without
 // bringing a request: time, sockets and memory.
 type Server struct {
-	loop   *eventloop.Loop
-	listen string
-	most   int // front sockets, at this time
-	all    int // and at most
-	memory int // bytes of input held at most
-	serve  func(*Call)
-
-	// Complain writes what a client is told of a request that cannot be read, or
+	loop             *eventloop.Loop
+	listen           string
+	maxSockets       int // front sockets, at this time
+	socketLimit      int // and at most
+	maxBufferedBytes int // bytes of input held at most
+	serve            func(*Call)
+
+	// FormatError writes what a client is told of a request that cannot be read, or
 	// for which there is no room. nil: the text as it is.
-	Complain func(status int, text string) (extra string, body []byte)
-
-	listener  *eventloop.Listener
-	sockets   slottable.Table[*frontSocket]
-	lingering []*eventloop.Conn // answered for the last time, oldest first
-	parting   int               // of these, not closed yet
-	held      int               // bytes of input held
-	stopping  bool
-	ended     bool // nothing more is accepted
-	drained   func()
-	counts    ServerCounts
-	tellAt    time.Duration // when to log of rejected requests again
+	FormatError func(status int, text string) (extra string, body []byte)
+
+	listener      *eventloop.Listener
+	sockets       slottable.Table[*clientConn]
+	lingering     []*eventloop.Conn // answered for the last time, oldest first
+	openLingering int               // of these, not closed yet
+	bufferedBytes int               // bytes of input held
+	stopping      bool
+	listenerEnded bool // nothing more is accepted
+	drained       func()
+	counts        ServerCounts
+	nextLogAt     time.Duration // when to log of rejected requests again
 }
 
 // ServerCounts are a server's totals since its start.
@@ -65,7 +65,7 @@
 // and holds at most memory bytes of what has come in on them. serve must see to
 // it that each call is answered once, then or later.
 func NewServer(loop *eventloop.Loop, listen string, most, memory int, serve func(*Call)) *Server {
-	return &Server{loop: loop, listen: listen, most: most, all: most, memory: memory, serve: serve}
+	return &Server{loop: loop, listen: listen, maxSockets: most, socketLimit: most, maxBufferedBytes: memory, serve: serve}
 }
 
 // Start listens.
@@ -80,9 +80,9 @@
 
 // StartOn accepts clients on a socket that listens already.
 func (s *Server) StartOn(ln net.Listener) {
-	s.listener = s.loop.Accept(ln, s.all, s.accept, func() {
-		s.ended = true
-		s.check()
+	s.listener = s.loop.Accept(ln, s.socketLimit, s.accept, func() {
+		s.listenerEnded = true
+		s.checkDrained()
 	})
 }
 
@@ -100,13 +100,13 @@
 	}
 	s.stopping, s.drained = true, drained
 	if s.listener != nil {
-		s.listener.Finish()
+		s.listener.CloseAfterBacklog()
 	} else {
-		s.ended = true
+		s.listenerEnded = true
 	}
-	s.sockets.All(func(_ slottable.Handle, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Handle, f *clientConn) {
 		if f.call != nil {
-			f.call.last = true
+			f.call.closeAfter = true
 		}
 	})
 	if after > 0 {
@@ -114,7 +114,7 @@
 	} else {
 		s.closeIdle()
 	}
-	s.check()
+	s.checkDrained()
 }
 
 // closeIdle ends the front sockets that have brought nothing that is unanswered. A
@@ -122,22 +122,22 @@
 // end of the sending could not be answered, and goes no further.
 func (s *Server) closeIdle() {
 	again := false
-	s.sockets.All(func(_ slottable.Handle, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Handle, f *clientConn) {
 		switch {
-		case f.call != nil || f.held > 0:
-		case f.conn.Quiet():
-			f.finish()
+		case f.call != nil || f.bufferedBytes > 0:
+		case f.conn.NothingUnread():
+			f.closeAfterLastReply()
 		default:
 			again = true
 		}
 	})
 	if again {
-		s.loop.Timers.Add(s.loop.Now()+readSoon, s.closeIdle)
+		s.loop.Timers.Add(s.loop.Now()+readDelayBound, s.closeIdle)
 	}
 }
 
-func (s *Server) check() {
-	if s.stopping && s.ended && s.drained != nil && s.sockets.Len() == 0 && s.parting == 0 {
+func (s *Server) checkDrained() {
+	if s.stopping && s.listenerEnded && s.drained != nil && s.sockets.Len() == 0 && s.openLingering == 0 {
 		drained := s.drained
 		s.drained = nil
 		drained()
@@ -147,45 +147,45 @@
 // Counts returns the totals.
 func (s *Server) Counts() ServerCounts { return s.counts }
 
-func (s *Server) accept(c *eventloop.Conn) eventloop.Handler {
-	f := &frontSocket{server: s, conn: c}
-	f.ref = s.sockets.Add(f)
-	f.await()
+func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
+	client := &clientConn{server: s, conn: conn}
+	client.handle = s.sockets.Add(client)
+	client.startRequestTimer()
 	if s.stopping { // it waited in the backlog; a usual client's request is there, or comes at once
-		s.loop.Timers.Add(s.loop.Now()+freshFor, s.closeIdle)
+		s.loop.Timers.Add(s.loop.Now()+freshConnAge, s.closeIdle)
 	}
-	s.makeRoom()
-	if s.listener.Open() > s.most-socketLast {
+	s.shedExcess()
+	if s.listener.Open() > s.maxSockets-lastSockets {
 		// All have a request in work. Who waits in the system's queue would wait
 		// without a word; this way each is told.
 		s.counts.Full++
-		f.complain(503, noRoom, nil)
+		client.replyError(503, atCapacityText, nil)
 	}
-	return f
+	return client
 }
 
-// rejected counts a request turned away. One line in a while tells of all since
+// countRejected counts a request turned away. One line in a while tells of all since
 // the last: bad clients come by thousands.
-func (s *Server) rejected(reason string) {
+func (s *Server) countRejected(reason string) {
 	s.counts.Rejected++
 	now := s.loop.Now()
-	if s.counts.Rejected > 1 && now < s.tellAt {
+	if s.counts.Rejected > 1 && now < s.nextLogAt {
 		return
 	}
 	slog.Info("requests rejected", "listen", s.listen, "in_all", s.counts.Rejected, "last", reason)
-	s.tellAt = now + tellEvery
+	s.nextLogAt = now + logInterval
 }
 
 // linger ends a connection after its last answer, and remembers it for as long
 // as it stays open.
-func (s *Server) linger(c *eventloop.Conn) {
+func (s *Server) linger(conn *eventloop.Conn) {
 	for len(s.lingering) > 0 && !s.lingering[0].Lingering() {
 		s.lingering = s.lingering[1:]
 	}
-	s.lingering = append(s.lingering, c)
-	s.parting++
-	c.Linger(func() {
-		s.parting--
-		s.check()
+	s.lingering = append(s.lingering, conn)
+	s.openLingering++
+	conn.Linger(func() {
+		s.openLingering--
+		s.checkDrained()
 	})
 }
