--- a/internal/node/protocol/server_shedding.go
+++ b/internal/node/protocol/server_shedding.go
@@ -7,19 +7,19 @@
 	"ospreybend/internal/node/slottable"
 )
 
-// Limit changes how many front sockets are kept and how many bytes of input held,
+// SetLimits changes how many front sockets are kept and how many bytes of input held,
 // up to what the server was made with. What is over makes room where it may.
-func (s *Server) Limit(most, memory int) {
-	s.most, s.memory = min(most, s.all), memory
-	s.makeRoom()
+func (s *Server) SetLimits(most, memory int) {
+	s.maxSockets, s.maxBufferedBytes = min(most, s.socketLimit), memory
+	s.shedExcess()
 }
 
-func (s *Server) makeRoom() {
-	for s.listener != nil && s.listener.Open() > s.most-socketSpare && s.shed() {
+func (s *Server) shedExcess() {
+	for s.listener != nil && s.listener.Open() > s.maxSockets-spareSockets && s.shedOne() {
 	}
 }
 
-// shed closes one connection to make room for those to come: first one that has
+// shedOne closes one connection to make room for those to come: first one that has
 // brought nothing in a time that a usual client does not need, then one whose
 // request has stood still for long, then one that has had its last answer, then one
 // that has stood idle. A request that comes piece by piece is judged by its last
@@ -28,24 +28,24 @@
 // is only opened anew. A connection with a request in work is never chosen, nor is a
 // fresh one, which may have a request on its way. The times are short, as such
 // connections come by hundreds.
-func (s *Server) shed() bool {
+func (s *Server) shedOne() bool {
 	now := s.loop.Now()
-	var silent, unfinished, idle *frontSocket
+	var silent, unfinished, idle *clientConn
 	slow := 0
-	s.sockets.All(func(_ slottable.Handle, f *frontSocket) {
+	s.sockets.All(func(_ slottable.Handle, f *clientConn) {
 		switch {
 		case f.call != nil || !f.conn.Open():
-		case f.asked && f.held == 0:
-			if idle == nil || f.since < idle.since {
+		case f.hasRequested && f.bufferedBytes == 0:
+			if idle == nil || f.lastReplyAt < idle.lastReplyAt {
 				idle = f
 			}
-		case f.held == 0:
-			if now-f.began >= freshFor && (silent == nil || f.began < silent.began) {
+		case f.bufferedBytes == 0:
+			if now-f.requestBegan >= freshConnAge && (silent == nil || f.requestBegan < silent.requestBegan) {
 				silent = f
 			}
 		default:
 			slow++
-			if now-f.heard >= slowFor && (unfinished == nil || f.stiller(unfinished)) {
+			if now-f.lastReadAt >= slowRequestAge && (unfinished == nil || f.lessLikelyToComplete(unfinished)) {
 				unfinished = f
 			}
 		}
@@ -53,17 +53,17 @@
 	// What the other side has closed since is out of the way already.
 	s.lingering = slices.DeleteFunc(s.lingering, func(c *eventloop.Conn) bool { return !c.Lingering() })
 	switch {
-	case silent.quiet():
+	case silent.nothingUnread():
 		silent.close()
-	case unfinished.quiet() && (now-unfinished.heard >= stalledFor || slow > s.most/slowShare):
+	case unfinished.nothingUnread() && (now-unfinished.lastReadAt >= stalledRequestAge || slow > s.maxSockets/unfinishedShare):
 		unfinished.close()
 	case len(s.lingering) > 0:
 		s.lingering[0].Close()
-	case idle.quiet() && now-idle.since >= restedFor:
+	case idle.nothingUnread() && now-idle.lastReplyAt >= shortIdleAge:
 		idle.close()
-	case unfinished.quiet():
+	case unfinished.nothingUnread():
 		unfinished.close()
-	case idle.quiet():
+	case idle.nothingUnread():
 		idle.close()
 	default:
 		return false
@@ -72,30 +72,30 @@
 	return true
 }
 
-// quiet tells whether the socket, if there is one, has brought nothing that is not read
+// nothingUnread tells whether the socket, if there is one, has brought nothing that is not read
 // yet: its request may have come whole by now.
-func (f *frontSocket) quiet() bool { return f != nil && f.conn.Quiet() }
+func (f *clientConn) nothingUnread() bool { return f != nil && f.conn.NothingUnread() }
 
-// stiller tells whether of two unfinished requests this one is less likely to come
+// lessLikelyToComplete tells whether of two unfinished requests this one is less likely to come
 // whole: one that has come in pieces will go on, one that has brought all it ever
 // brought at once hardly will.
-func (f *frontSocket) stiller(than *frontSocket) bool {
-	if f.pieces != than.pieces {
-		return !f.pieces
+func (f *clientConn) lessLikelyToComplete(than *clientConn) bool {
+	if f.fragmented != than.fragmented {
+		return !f.fragmented
 	}
-	return f.heard < than.heard
+	return f.lastReadAt < than.lastReadAt
 }
 
-// hold notes how much input the socket holds. Past the server's budget the
+// setBuffered notes how much input the socket holds. Past the server's budget the
 // unfinished request that holds most is given up.
-func (f *frontSocket) hold(bytes int) {
+func (f *clientConn) setBuffered(bytes int) {
 	s := f.server
-	s.held += bytes - f.held
-	f.held = bytes
-	for s.held > s.memory {
-		var largest *frontSocket
-		s.sockets.All(func(_ slottable.Handle, g *frontSocket) {
-			if g.call == nil && g.held > 0 && (largest == nil || g.held > largest.held) {
+	s.bufferedBytes += bytes - f.bufferedBytes
+	f.bufferedBytes = bytes
+	for s.bufferedBytes > s.maxBufferedBytes {
+		var largest *clientConn
+		s.sockets.All(func(_ slottable.Handle, g *clientConn) {
+			if g.call == nil && g.bufferedBytes > 0 && (largest == nil || g.bufferedBytes > largest.bufferedBytes) {
 				largest = g
 			}
 		})
@@ -103,6 +103,6 @@
 			return
 		}
 		s.counts.Shed++
-		largest.complain(503, noRoom, nil)
+		largest.replyError(503, atCapacityText, nil)
 	}
 }
--- a/internal/node/routing/core_test.go
+++ b/internal/node/routing/core_test.go
@@ -22,16 +22,16 @@
 func (f *far) Send(step slottable.Handle, _ balance.WorkerID, _ *Work, _ time.Duration) {
 	f.sent = append(f.sent, step)
 }
-func (f *far) Abort(step slottable.Handle)                                  { f.aborted = append(f.aborted, step) }
-func (f *far) Probe(balance.WorkerID)                                       {}
-func (f *far) CloseIdle(balance.WorkerID)                                   {}
-func (f *far) Watch(bool)                                                   {}
-func (f *far) Fetch()                                                       {}
-func (f *far) Tell(int, []byte)                                             {}
-func (f *far) Answered(_ slottable.Handle, a Answer)                        { f.answers = append(f.answers, a) }
-func (f *far) Started(slottable.Handle, balance.WorkerID)                   {}
-func (f *far) Stepped(slottable.Handle, balance.WorkerID)                   {}
-func (f *far) StepDone(slottable.Handle, balance.WorkerID, balance.Outcome) {}
+func (f *far) Abort(step slottable.Handle)                                   { f.aborted = append(f.aborted, step) }
+func (f *far) Probe(balance.WorkerID)                                        {}
+func (f *far) CloseIdle(balance.WorkerID)                                    {}
+func (f *far) Watch(bool)                                                    {}
+func (f *far) Fetch()                                                        {}
+func (f *far) SendMessage(int, []byte)                                       {}
+func (f *far) Answered(_ slottable.Handle, a Answer)                         { f.answers = append(f.answers, a) }
+func (f *far) Started(slottable.Handle, balance.WorkerID)                    {}
+func (f *far) StepSent(slottable.Handle, balance.WorkerID)                   {}
+func (f *far) StepEnded(slottable.Handle, balance.WorkerID, balance.Outcome) {}
 func (f *far) run(until time.Duration) {
 	for ; f.now < until; f.now += time.Millisecond {
 		f.line.Run(f.now)
@@ -50,7 +50,7 @@
 	}
 	c.Connect(f, f, f)
 	c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.WorkerListing{{Worker: 7, Scale: 1}}})
-	op := c.Take(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
+	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
 	c.Route(op)
 	if len(f.sent) != 1 {
 		t.Fatalf("%d steps sent", len(f.sent))
@@ -66,8 +66,8 @@
 	c.StepStarted(f.sent[0])
 	c.Withdraw(op)
 	f.run(f.now + 2*time.Second)
-	if len(f.answers) != 1 || f.answers[0].Verdict != Served || c.Open() != 0 || c.ops.Len() != 0 {
-		t.Errorf("answers %v, %d open", f.answers, c.Open())
+	if len(f.answers) != 1 || f.answers[0].Verdict != Served || c.OpenOperations() != 0 || c.operations.Len() != 0 {
+		t.Errorf("answers %v, %d open", f.answers, c.OpenOperations())
 	}
 }
 
@@ -79,7 +79,7 @@
 	if len(f.answers) != 1 || f.answers[0].Verdict != Failed || !f.answers[0].MayHaveRun || len(f.aborted) != 1 {
 		t.Errorf("answers %v, %d steps called off", f.answers, len(f.aborted))
 	}
-	if c.ops.Len()+c.steps.Len() != 0 {
+	if c.operations.Len()+c.steps.Len() != 0 {
 		t.Error("slots are left in use")
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	c.Withdraw(op)
 	f.run(f.now + 2*time.Second)
-	if len(f.answers) != 0 || len(f.aborted) != 1 || c.Open() != 0 {
+	if len(f.answers) != 0 || len(f.aborted) != 1 || c.OpenOperations() != 0 {
 		t.Errorf("answers %v, %d steps called off", f.answers, len(f.aborted))
 	}
 }
@@ -107,7 +107,7 @@
 	if c.MayStart(f.sent[0]) {
 		t.Error("a step to a draining destination may start")
 	}
-	op := c.Take(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
+	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
 	c.send(op, balance.Send{Request: balance.RequestID(op), Worker: 7})
 	if len(f.sent) != 1 {
 		t.Error("a step was sent to a draining destination")
@@ -120,7 +120,7 @@
 	open []func(bool)
 }
 
-func (g *gated) Gate(_ slottable.Handle, open func(bool)) { g.open = append(g.open, open) }
+func (g *gated) BeforeSend(_ slottable.Handle, open func(bool)) { g.open = append(g.open, open) }
 
 // newGated has one ready worker and one operation whose step is before its gate.
 func newGated(t *testing.T) (*Core, *gated, slottable.Handle) {
@@ -130,7 +130,7 @@
 	c.forget(first, &operation{})
 	f.sent, f.answers = nil, nil
 	g := &gated{far: f}
-	op := c.Take(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: g})
+	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: g})
 	c.Route(op)
 	if len(g.open) != 1 || len(f.sent) != 0 || c.MayHaveRun(op) {
 		t.Fatalf("%d gates, %d steps sent, may have run %v", len(g.open), len(f.sent), c.MayHaveRun(op))
@@ -146,7 +146,7 @@
 		t.Fatalf("%d steps sent, may have run %v", len(g.sent), c.MayHaveRun(op))
 	}
 	c.StepEnded(g.sent[0], StepEnd{Outcome: balance.Served})
-	if len(g.answers) != 1 || g.answers[0].Verdict != Served || c.ops.Len() != 0 {
+	if len(g.answers) != 1 || g.answers[0].Verdict != Served || c.operations.Len() != 0 {
 		t.Errorf("%v", g.answers)
 	}
 }
@@ -177,7 +177,7 @@
 		if len(g.answers) != want || want == 1 && (g.answers[0].MayHaveRun || g.answers[0].Verdict == Served) {
 			t.Errorf("%s: answers %+v", name, g.answers)
 		}
-		if c.ops.Len()+c.steps.Len() != 0 {
+		if c.operations.Len()+c.steps.Len() != 0 {
 			t.Errorf("%s: slots are left in use", name)
 		}
 	}
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -61,26 +61,26 @@
 	Answered(op slottable.Handle, a Answer)
 	// Started tells that a destination has begun to run the operation.
 	Started(op slottable.Handle, at balance.WorkerID)
-	// Stepped tells that a route step goes out, before its first byte does.
-	Stepped(op slottable.Handle, to balance.WorkerID)
-	// StepDone tells how a route step ended, while the operation has no final
+	// StepSent tells that a route step goes out, before its first byte does.
+	StepSent(op slottable.Handle, to balance.WorkerID)
+	// StepEnded tells how a route step ended, while the operation has no final
 	// answer yet.
-	StepDone(op slottable.Handle, at balance.WorkerID, how balance.Outcome)
+	StepEnded(op slottable.Handle, at balance.WorkerID, how balance.Outcome)
 }
 
-// Witness hears of the operations of all fronts, to learn how busy the
+// LoadObserver hears of the operations of all fronts, to learn how busy the
 // destinations are.
-type Witness interface {
-	// Waited tells of a route step's start, and how long after its sending it came.
-	Waited(owner Owner, wait time.Duration)
-	// Concluded tells of an operation's final answer.
-	Concluded(owner Owner, v Verdict)
-	// Reported tells of a destination's load report, ordered as Settings.Report.
-	Reported(from balance.WorkerID, report []float32)
+type LoadObserver interface {
+	// StartDelay tells of a route step's start, and how long after its sending it came.
+	StartDelay(owner Owner, wait time.Duration)
+	// OperationConcluded tells of an operation's final answer.
+	OperationConcluded(owner Owner, v Verdict)
+	// LoadReported tells of a destination's load report, ordered as Settings.Report.
+	LoadReported(from balance.WorkerID, report []float32)
 }
 
-// Observer hears of all route steps that go out, to learn how the zones fare.
-type Observer interface {
+// StepObserver hears of all route steps that go out, to learn how the zones fare.
+type StepObserver interface {
 	StepSent(step slottable.Handle, to balance.WorkerID, class int, slots float64)
 	StepStarted(step slottable.Handle)
 	// StepEnded tells how a step ended, also one that was never sent.
@@ -100,14 +100,14 @@
 // deadline, the destination's state and the final answer. Until then the step has
 // never run, however it ends.
 type Gate interface {
-	Gate(op slottable.Handle, open func(ok bool))
+	BeforeSend(op slottable.Handle, open func(ok bool))
 }
 
 // Waiter is an owner that can look whether anybody still waits for an operation, though
 // it may not have been told otherwise yet. The core asks before each attempt's first
 // byte. An owner that finds nobody withdraws the operation before it says no.
 type Waiter interface {
-	Waits(op slottable.Handle) bool
+	ClientWaits(op slottable.Handle) bool
 }
 
 // StepEnd is how a route step ended.
@@ -135,5 +135,5 @@
 
 // Peers sends messages to the other nodes.
 type Peers interface {
-	Tell(to int, payload []byte)
+	SendMessage(to int, payload []byte)
 }
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -31,18 +31,18 @@
 	if s == nil {
 		return false
 	}
-	state, listed := c.state[s.to]
-	return listed && state == balance.Ready && c.clock.Now() < s.until && c.awaited(s.op) && c.inWindow(s)
+	state, listed := c.workerStates[s.to]
+	return listed && state == balance.Ready && c.clock.Now() < s.until && c.clientWaits(s.op) && c.inDedupWindow(s)
 }
 
-// inWindow tells whether a repeat of what destinations drop repeats of for a while may still begin: its
+// inDedupWindow tells whether a repeat of what destinations drop repeats of for a while may still begin: its
 // connection may have come up long after the module's decision, and its bytes are on their way yet.
-func (c *Core) inWindow(s *step) bool {
-	op := c.ops.Get(s.op)
+func (c *Core) inDedupWindow(s *step) bool {
+	op := c.operations.Get(s.op)
 	if op.Class >= len(c.settings.Classes) || c.settings.Classes[op.Class].Effect != balance.Deduplicated {
 		return true
 	}
-	for i, t := range op.tries {
+	for i, t := range op.attempts {
 		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[op.Class].Window-networkAllowance {
 			return false
 		}
@@ -50,14 +50,14 @@
 	return true
 }
 
-// awaited tells whether anybody waits for an operation's answer. It may withdraw it.
-func (c *Core) awaited(ref slottable.Handle) bool {
-	op := c.ops.Get(ref)
-	if op == nil || op.over {
+// clientWaits tells whether anybody waits for an operation's answer. It may withdraw it.
+func (c *Core) clientWaits(ref slottable.Handle) bool {
+	op := c.operations.Get(ref)
+	if op == nil || op.concluded {
 		return false
 	}
 	w, ok := op.Owner.(Waiter)
-	return !ok || w.Waits(ref)
+	return !ok || w.ClientWaits(ref)
 }
 
 // StepStarted tells that the destination has begun to run the step.
@@ -67,14 +67,14 @@
 		return
 	}
 	c.traceStep("step started", s)
-	if c.observer != nil {
-		c.observer.StepStarted(ref)
+	if c.stepObserver != nil {
+		c.stepObserver.StepStarted(ref)
 	}
-	if op := c.ops.Get(s.op); op != nil && !op.over {
-		op.tries[s.number].Started = c.clock.Now()
+	if op := c.operations.Get(s.op); op != nil && !op.concluded {
+		op.attempts[s.number].Started = c.clock.Now()
 		op.Owner.Started(s.op, s.to)
-		if c.witness != nil {
-			c.witness.Waited(op.Owner, c.clock.Now()-s.sentAt)
+		if c.loadObserver != nil {
+			c.loadObserver.StartDelay(op.Owner, c.clock.Now()-s.sentAt)
 		}
 	}
 	c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
@@ -104,75 +104,75 @@
 	}
 	c.counts.Outcomes[end.Outcome]++
 	c.traceStep("step ended", s, "outcome", end.Outcome, "report", end.Report)
-	op := c.ops.Get(s.op)
-	if c.observer != nil {
-		c.observer.StepEnded(ref, end.Outcome)
+	op := c.operations.Get(s.op)
+	if c.stepObserver != nil {
+		c.stepObserver.StepEnded(ref, end.Outcome)
 	}
-	op.out--
-	op.tries[s.number].Out, op.tries[s.number].MayHave = false, !end.Outcome.NeverRan()
-	if c.witness != nil && end.Report != nil {
-		c.witness.Reported(s.to, end.Report)
+	op.inFlight--
+	op.attempts[s.number].Out, op.attempts[s.number].MayHave = false, !end.Outcome.NeverRan()
+	if c.loadObserver != nil && end.Report != nil {
+		c.loadObserver.LoadReported(s.to, end.Report)
 	}
-	if !op.over {
-		op.Owner.StepDone(s.op, s.to, end.Outcome)
+	if !op.concluded {
+		op.Owner.StepEnded(s.op, s.to, end.Outcome)
 	}
 	switch {
 	case end.Rejected:
-		c.answer(s.op, op, Answer{Verdict: Rejected})
+		c.giveAnswer(s.op, op, Answer{Verdict: Rejected})
 	case end.Outcome == balance.Served:
-		c.answer(s.op, op, Answer{Verdict: Served, Result: end.Result})
+		c.giveAnswer(s.op, op, Answer{Verdict: Served, Result: end.Result})
 	}
 	c.dispatch(balance.AttemptDone{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
-		Outcome: end.Outcome, Elapsed: c.clock.Now() - s.sentAt, Over: op.over, Report: end.Report})
+		Outcome: end.Outcome, Elapsed: c.clock.Now() - s.sentAt, Over: op.concluded, Report: end.Report})
 	c.forget(s.op, op)
 }
 
 // send starts a route step. What the rules forbid outright ends as not sent,
 // whatever the module thinks.
-func (c *Core) send(ref slottable.Handle, a balance.Send) {
-	op, now := c.ops.Get(ref), c.clock.Now()
-	if op == nil {
+func (c *Core) send(ref slottable.Handle, send balance.Send) {
+	operation, now := c.operations.Get(ref), c.clock.Now()
+	if operation == nil {
 		return
 	}
-	until := op.Deadline
-	if a.Until > 0 {
-		until = min(until, a.Until)
+	until := operation.Deadline
+	if send.Until > 0 {
+		until = min(until, send.Until)
 	}
-	s := &step{op: ref, number: len(op.steps), to: a.Worker, sentAt: now, until: until}
+	s := &step{op: ref, number: len(operation.steps), to: send.Worker, sentAt: now, until: until}
 	at := c.steps.Add(s)
-	op.steps = append(op.steps, at)
-	op.tries = append(op.tries, balance.PriorAttempt{Worker: a.Worker, SentAt: now, Out: true, MayHave: true})
-	op.out++
-	state, listed := c.state[a.Worker]
-	if !c.awaited(ref) || !listed || state != balance.Ready || len(op.steps) > c.settings.Limits.MaxAttempts || !c.inWindow(s) {
+	operation.steps = append(operation.steps, at)
+	operation.attempts = append(operation.attempts, balance.PriorAttempt{Worker: send.Worker, SentAt: now, Out: true, MayHave: true})
+	operation.inFlight++
+	state, listed := c.workerStates[send.Worker]
+	if !c.clientWaits(ref) || !listed || state != balance.Ready || len(operation.steps) > c.settings.Limits.MaxAttempts || !c.inDedupWindow(s) {
 		c.StepEnded(at, StepEnd{Outcome: balance.NotSent})
 		return
 	}
 	c.counts.Steps++
 	c.traceStep("step sent", s)
-	if c.observer != nil {
-		c.observer.StepSent(at, a.Worker, op.Class, op.Slots)
+	if c.stepObserver != nil {
+		c.stepObserver.StepSent(at, send.Worker, operation.Class, operation.Slots)
 	}
-	s.deadline = c.timers.Add(until, func() { c.stop(at, balance.TimedOut) })
-	op.Owner.Stepped(ref, a.Worker)
-	gate, ok := op.Owner.(Gate)
+	s.deadline = c.timers.Add(until, func() { c.endStep(at, balance.TimedOut) })
+	operation.Owner.StepSent(ref, send.Worker)
+	gate, ok := operation.Owner.(Gate)
 	if !ok {
-		c.to.Send(at, a.Worker, &op.Work, until)
+		c.destinations.Send(at, send.Worker, &operation.Work, until)
 		return
 	}
 	s.gated = true
-	op.gated++
-	gate.Gate(ref, func(ok bool) { c.pass(at, ok) })
+	operation.gated++
+	gate.BeforeSend(ref, func(ok bool) { c.openGate(at, ok) })
 }
 
-// pass lets a step through its gate, or ends it there. What is now over, late or
+// openGate lets a step through its gate, or ends it there. What is now over, late or
 // at a destination that has been told to drain does not go out any more.
-func (c *Core) pass(at slottable.Handle, ok bool) {
+func (c *Core) openGate(at slottable.Handle, ok bool) {
 	s := c.steps.Get(at)
 	if s == nil || !s.gated {
 		return
 	}
-	op := c.ops.Get(s.op)
+	op := c.operations.Get(s.op)
 	s.gated = false
 	op.gated--
 	if !ok || !c.MayStart(at) {
@@ -180,25 +180,25 @@
 		return
 	}
 	faultinjection.Hit(faultinjection.GateOpen)
-	c.to.Send(at, s.to, &op.Work, s.until)
+	c.destinations.Send(at, s.to, &op.Work, s.until)
 }
 
 func (c *Core) cancel(ref slottable.Handle, number int) {
-	if op := c.ops.Get(ref); op != nil && number >= 0 && number < len(op.steps) {
-		c.stop(op.steps[number], balance.Cancelled)
+	if op := c.operations.Get(ref); op != nil && number >= 0 && number < len(op.steps) {
+		c.endStep(op.steps[number], balance.Cancelled)
 	}
 }
 
-// stop gives a step up. Its connection is closed with it.
-func (c *Core) stop(ref slottable.Handle, as balance.Outcome) {
+// endStep gives a step up. Its connection is closed with it.
+func (c *Core) endStep(ref slottable.Handle, as balance.Outcome) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
 	}
 	if s.gated {
-		c.pass(ref, false) // whatever the reason, it never ran
+		c.openGate(ref, false) // whatever the reason, it never ran
 		return
 	}
-	c.to.Abort(ref)
+	c.destinations.Abort(ref)
 	c.StepEnded(ref, StepEnd{Outcome: as})
 }
--- a/internal/node/routing/trace.go
+++ b/internal/node/routing/trace.go
@@ -15,20 +15,20 @@
 // traceOperation logs what became of an operation, by the id that it has at
 // every node and destination.
 func (c *Core) traceOperation(what string, op *operation, more ...any) {
-	if c.traced {
+	if c.tracing {
 		slog.Debug(what, append([]any{"id", op.Work.ID, "after_us", since(c, op.arrived)}, more...)...)
 	}
 }
 
 // traceStep logs what became of a route step.
 func (c *Core) traceStep(what string, s *step, more ...any) {
-	if op := c.ops.Get(s.op); c.traced && op != nil {
-		slog.Debug(what, append([]any{"id", op.Work.ID, "step", s.number, "destination", c.named(s.to),
+	if op := c.operations.Get(s.op); c.tracing && op != nil {
+		slog.Debug(what, append([]any{"id", op.Work.ID, "step", s.number, "destination", c.workerName(s.to),
 			"after_us", since(c, s.sentAt)}, more...)...)
 	}
 }
 
 func since(c *Core, at time.Duration) int64 { return (c.clock.Now() - at).Microseconds() }
 
-// Name sets how destinations are called in the log.
-func (c *Core) Name(named func(balance.WorkerID) string) { c.named = named }
+// SetWorkerNames sets how destinations are called in the log.
+func (c *Core) SetWorkerNames(named func(balance.WorkerID) string) { c.workerName = named }
--- a/internal/node/simwire/frame.go
+++ b/internal/node/simwire/frame.go
@@ -47,30 +47,30 @@
 
 // ReadBatch reads one frame. It returns io.EOF only where the input ends
 // between frames.
-func ReadBatch(r *bufio.Reader) (Batch, error) {
-	var h [batchHeader]byte
-	if _, err := io.ReadFull(r, h[:]); err != nil {
+func ReadBatch(reader *bufio.Reader) (Batch, error) {
+	var header [batchHeader]byte
+	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return Batch{}, errors.New("batch header: input ends in its middle")
 		}
 		return Batch{}, err
 	}
-	b := Batch{Number: binary.LittleEndian.Uint32(h[:])}
-	now := binary.LittleEndian.Uint64(h[4:])
-	size, count := binary.LittleEndian.Uint32(h[12:]), binary.LittleEndian.Uint32(h[16:])
+	batch := Batch{Number: binary.LittleEndian.Uint32(header[:])}
+	now := binary.LittleEndian.Uint64(header[4:])
+	size, count := binary.LittleEndian.Uint32(header[12:]), binary.LittleEndian.Uint32(header[16:])
 	if now > math.MaxInt64/1000 {
-		return b, fmt.Errorf("batch %d: clock %d out of range", b.Number, now)
+		return batch, fmt.Errorf("batch %d: clock %d out of range", batch.Number, now)
 	}
-	b.Now = micros(now)
-	body, err := readBody(r, int64(size))
+	batch.Now = micros(now)
+	body, err := readBody(reader, int64(size))
 	if err != nil {
-		return b, fmt.Errorf("batch %d: body of %d bytes: %w", b.Number, size, err)
+		return batch, fmt.Errorf("batch %d: body of %d bytes: %w", batch.Number, size, err)
 	}
-	b.Records, err = decodeRecords(body, count)
+	batch.Records, err = decodeRecords(body, count)
 	if err != nil {
-		return b, fmt.Errorf("batch %d: %w", b.Number, err)
+		return batch, fmt.Errorf("batch %d: %w", batch.Number, err)
 	}
-	return b, nil
+	return batch, nil
 }
 
 // readBody reads size bytes without trusting the size before they arrive.
@@ -213,7 +213,7 @@
 	case 10:
 		return Shutdown{}, nil
 	case 11:
-		return d.news()
+		return d.progress()
 	}
 	return nil, fmt.Errorf("unknown event code %d", code)
 }
@@ -274,10 +274,10 @@
 
 func (d *decoder) request() (any, error) {
 	ev := balance.Request{ID: d.id(), Tenant: int(d.u32())}
-	marks := d.u8()
+	flags := d.u8()
 	ev.Memory = float64(d.f32())
 	ev.Cost = micros(uint64(d.u32()))
-	ev.HasCost, ev.Repeat = marks&1 != 0, marks&2 != 0
+	ev.HasCost, ev.Repeat = flags&1 != 0, flags&2 != 0
 	ev.Key = d.u64()
 	ev.Deadline = micros(d.u64())
 	ev.Class = int(d.u8())
@@ -301,7 +301,7 @@
 	return ev, err
 }
 
-func (d *decoder) news() (any, error) {
+func (d *decoder) progress() (any, error) {
 	ev := balance.AttemptProgress{Request: d.id(), Attempt: int(d.u16()), Worker: d.worker()}
 	topic := d.u8()
 	ev.Started, ev.Progress = topic == 1, float64(d.f32())
--- a/internal/node/simwire/reply.go
+++ b/internal/node/simwire/reply.go
@@ -30,52 +30,52 @@
 }
 
 // Add writes one action of an instance.
-func (r *Reply) Add(instance uint32, a balance.Action) error {
+func (r *Reply) Add(instance uint32, action balance.Action) error {
 	r.count++
-	switch a := a.(type) {
+	switch action := action.(type) {
 	case balance.Send:
 		r.head(1, instance)
-		r.u64(uint64(a.Request))
-		r.worker(a.Worker)
-		r.u64(uint64(max(a.Until, 0) / time.Microsecond))
+		r.u64(uint64(action.Request))
+		r.worker(action.Worker)
+		r.u64(uint64(max(action.Until, 0) / time.Microsecond))
 	case balance.Reject:
 		r.head(2, instance)
-		r.u64(uint64(a.Request))
-		r.span(a.RetryAfter)
+		r.u64(uint64(action.Request))
+		r.duration(action.RetryAfter)
 	case balance.Fail:
 		r.head(3, instance)
-		r.u64(uint64(a.Request))
+		r.u64(uint64(action.Request))
 	case balance.Cancel:
 		r.head(4, instance)
-		r.u64(uint64(a.Request))
-		r.u16(uint16(a.Attempt))
+		r.u64(uint64(action.Request))
+		r.u16(uint16(action.Attempt))
 	case balance.SetTimer:
 		r.head(5, instance)
-		r.span(a.After)
-		r.u32(a.Token)
+		r.duration(action.After)
+		r.u32(action.Token)
 	case balance.Probe:
 		r.head(6, instance)
-		r.worker(a.Worker)
+		r.worker(action.Worker)
 	case balance.CloseIdle:
 		r.head(7, instance)
-		r.worker(a.Worker)
+		r.worker(action.Worker)
 	case balance.SendToPeers:
 		r.head(8, instance)
-		r.u32(uint32(int32(max(a.To, -1))))
-		r.text(string(a.Payload))
+		r.u32(uint32(int32(max(action.To, -1))))
+		r.text(string(action.Payload))
 	case balance.Log:
 		r.head(9, instance)
-		r.text(a.Text)
+		r.text(action.Text)
 	case balance.InternalError:
 		r.head(10, instance)
-		r.text(a.Text)
+		r.text(action.Text)
 	case balance.Subscribe:
 		r.head(11, instance)
-		r.buf = append(r.buf, boolByte(a.On))
+		r.buf = append(r.buf, boolByte(action.On))
 	case balance.FetchList:
 		r.head(12, instance)
 	default:
-		return fmt.Errorf("action %T has no place on the wire", a)
+		return fmt.Errorf("action %T has no place on the wire", action)
 	}
 	return nil
 }
@@ -94,8 +94,8 @@
 	r.u16(uint16(id >> 32))
 }
 
-// span writes a time from now, cut to what its field holds.
-func (r *Reply) span(d time.Duration) {
+// duration writes a time from now, cut to what its field holds.
+func (r *Reply) duration(d time.Duration) {
 	r.u32(uint32(min(max(d, 0)/time.Microsecond, math.MaxUint32)))
 }
 
--- a/internal/node/simwire/settings.go
+++ b/internal/node/simwire/settings.go
@@ -26,7 +26,7 @@
 // ParseSettings reads the options of an Attach. Unknown keys are skipped,
 // absent ones take the value that asks least of the deployment.
 func ParseSettings(options string) (balance.Settings, error) {
-	p := pairs{values: map[string]string{}}
+	p := settingsReader{values: map[string]string{}}
 	for i, line := range strings.Split(options, "\n") {
 		line = strings.TrimRight(line, "\r")
 		if line == "" {
@@ -43,24 +43,24 @@
 
 // SettingsOf reads settings by their full names, as 'bounds.maxAttempts'.
 func SettingsOf(values map[string]string) (balance.Settings, error) {
-	p := pairs{values: values}
+	p := settingsReader{values: values}
 	s := p.settings()
 	return s, p.err
 }
 
-// pairs reads typed values by key; the first bad one sticks.
-type pairs struct {
+// settingsReader reads typed values by key; the first bad one sticks.
+type settingsReader struct {
 	values map[string]string
 	err    error
 }
 
-func (p *pairs) fail(key, value string) {
+func (p *settingsReader) fail(key, value string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("setting %s: cannot read %q", key, value)
 	}
 }
 
-func (p *pairs) number(key string, absent float64) float64 {
+func (p *settingsReader) number(key string, absent float64) float64 {
 	v, ok := p.values[key]
 	if !ok || v == "" {
 		return absent
@@ -73,7 +73,7 @@
 	return f
 }
 
-func (p *pairs) whole(key string, absent int) int {
+func (p *settingsReader) integer(key string, absent int) int {
 	f := p.number(key, float64(absent))
 	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
 		p.fail(key, p.values[key])
@@ -82,7 +82,7 @@
 	return int(f)
 }
 
-func (p *pairs) flag(key string) bool {
+func (p *settingsReader) flag(key string) bool {
 	switch v := p.values[key]; v {
 	case "true":
 		return true
@@ -94,7 +94,7 @@
 	}
 }
 
-func (p *pairs) span(key string) time.Duration {
+func (p *settingsReader) duration(key string) time.Duration {
 	f := p.number(key, 0)
 	if f < 0 || f > float64(math.MaxInt64/1000) {
 		p.fail(key, p.values[key])
@@ -103,15 +103,15 @@
 	return time.Duration(f) * time.Microsecond
 }
 
-func (p *pairs) list(key string) []string {
+func (p *settingsReader) list(key string) []string {
 	if p.values[key] == "" {
 		return nil
 	}
 	return strings.Split(p.values[key], ",")
 }
 
-// nth reads one number of a plain list; a short list leaves the absent value.
-func (p *pairs) nth(key string, i int, absent float64) float64 {
+// listNumber reads one number of a plain list; a short list leaves the absent value.
+func (p *settingsReader) listNumber(key string, i int, absent float64) float64 {
 	items := p.list(key)
 	if i >= len(items) {
 		return absent
@@ -124,7 +124,7 @@
 	return f
 }
 
-func (p *pairs) choice(key string, words ...string) int {
+func (p *settingsReader) choice(key string, words ...string) int {
 	v, ok := p.values[key]
 	if !ok || v == "" {
 		return 0
@@ -138,8 +138,8 @@
 	return 0
 }
 
-func (p *pairs) count(key string) int {
-	n := p.whole(key, 0)
+func (p *settingsReader) count(key string) int {
+	n := p.integer(key, 0)
 	if n < 0 || n > maxItems {
 		p.fail(key, p.values[key])
 		return 0
@@ -147,12 +147,12 @@
 	return n
 }
 
-func (p *pairs) settings() balance.Settings {
+func (p *settingsReader) settings() balance.Settings {
 	s := balance.Settings{
-		Balancers:          p.whole("balancers", 1),
-		Ordinal:            p.whole("ordinal", 0),
-		Zone:               p.whole("zone", 0),
-		Resolution:         p.span("resolutionUs"),
+		Balancers:          p.integer("balancers", 1),
+		Ordinal:            p.integer("ordinal", 0),
+		Zone:               p.integer("zone", 0),
+		Resolution:         p.duration("resolutionUs"),
 		SubscribeDiscovery: p.choice("discovery", "push", "ask") == 1,
 		ValueByWork:        p.choice("countedBy", "request", "work") == 1,
 		ReportsStart:       p.flag("domain.tellsStart"),
@@ -169,9 +169,9 @@
 			Handshake: p.number("costs.handshake", 0),
 		},
 	}
-	how := p.choice("report.how", "inline", "on_probe", "off")
-	s.ReportProbes = how == 1
-	if how < 2 {
+	reportMode := p.choice("report.how", "inline", "on_probe", "off")
+	s.ReportProbes = reportMode == 1
+	if reportMode < 2 {
 		s.Report = p.report()
 	}
 	for i := range p.count("grades.count") {
@@ -185,66 +185,66 @@
 	return s
 }
 
-func (p *pairs) limits() balance.Limits {
+func (p *settingsReader) limits() balance.Limits {
 	return balance.Limits{
 		Cancel:         p.flag("bounds.cancelling"),
 		HedgedRequests: p.flag("bounds.secondCopies"),
 		Probes:         p.flag("bounds.probes"),
 		Messages:       p.flag("bounds.mayTell"),
 		RetryAfter:     p.flag("bounds.retryAfter"),
-		MaxRetryAfter:  p.span("bounds.maxRetryAfterUs"),
-		MaxAttempts:    p.whole("bounds.maxAttempts", 1),
-		ConnectTimeout: p.span("bounds.connectTimeoutUs"),
-		ConnIdle:       p.span("bounds.connIdleUs"),
-		StreamsPerConn: p.whole("bounds.streamsPerConn", 1),
+		MaxRetryAfter:  p.duration("bounds.maxRetryAfterUs"),
+		MaxAttempts:    p.integer("bounds.maxAttempts", 1),
+		ConnectTimeout: p.duration("bounds.connectTimeoutUs"),
+		ConnIdle:       p.duration("bounds.connIdleUs"),
+		StreamsPerConn: p.integer("bounds.streamsPerConn", 1),
 	}
 }
 
-func (p *pairs) rules() balance.Rules {
+func (p *settingsReader) rules() balance.Rules {
 	return balance.Rules{
-		AnswerSlack:      p.span("rules.answerSlackUs"),
-		SubscribeWithin:  p.span("rules.askWithinUs"),
-		DrainGrace:       p.span("rules.drainGraceUs"),
+		AnswerSlack:      p.duration("rules.answerSlackUs"),
+		SubscribeWithin:  p.duration("rules.askWithinUs"),
+		DrainGrace:       p.duration("rules.drainGraceUs"),
 		InitialCapacity:  p.number("rules.coldFrom", 1),
-		WarmupTime:       p.span("rules.coldUs"),
+		WarmupTime:       p.duration("rules.coldUs"),
 		OverloadMultiple: p.number("rules.fallMultiple", 0),
-		OverloadTime:     p.span("rules.overloadForUs"),
+		OverloadTime:     p.duration("rules.overloadForUs"),
 	}
 }
 
-func (p *pairs) report() []balance.ReportField {
+func (p *settingsReader) report() []balance.ReportField {
 	names := p.list("report.fields")
 	fields := make([]balance.ReportField, len(names))
 	for i, name := range names {
 		fields[i] = fieldNames[name]
 		switch name {
 		case "x0":
-			fields[i] = extraNames[plain(p.values["domain.reportX0"])]
+			fields[i] = extraNames[wireWord(p.values["domain.reportX0"])]
 		case "x1":
-			fields[i] = extraNames[plain(p.values["domain.reportX1"])]
+			fields[i] = extraNames[wireWord(p.values["domain.reportX1"])]
 		}
 	}
 	return fields
 }
 
-// plain writes a word as the simulator's wire does. A real node's settings are JSON,
+// wireWord writes a word as the simulator's wire does. A real node's settings are JSON,
 // and have the blanks that the wire has no room for.
-func plain(word string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(word) }
+func wireWord(word string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(word) }
 
-func (p *pairs) class(i int) balance.Class {
-	at := fmt.Sprintf("grades.%d.", i)
+func (p *settingsReader) class(index int) balance.Class {
+	at := fmt.Sprintf("grades.%d.", index)
 	return balance.Class{
-		LatencyTarget: p.span(at + "targetUs"),
-		TargetStretch: p.nth("domain.classStretch", i, p.number(at+"aimStretch", 0)),
-		Timeout:       p.span(at + "giveUpUs"),
+		LatencyTarget: p.duration(at + "targetUs"),
+		TargetStretch: p.listNumber("domain.classStretch", index, p.number(at+"aimStretch", 0)),
+		Timeout:       p.duration(at + "giveUpUs"),
 		Value:         p.number(at+"points", 1),
 		LateValue:     p.number(at+"lateWorth", 0),
 		Effect: balance.Effect(p.choice(at+"repeat", "read_like", "idempotency_key",
 			"non_idempotent")),
 		Group:    balance.Group(p.choice(at+"group", "all", "zone", "cell")),
-		Window:   p.span(at + "windowUs"),
+		Window:   p.duration(at + "windowUs"),
 		Stream:   p.flag(at + "stream"),
-		Kind:     int(p.nth("domain.classKind", i, -1)),
-		Priority: int(p.nth("domain.classPriority", i, 0)),
+		Kind:     int(p.listNumber("domain.classKind", index, -1)),
+		Priority: int(p.listNumber("domain.classPriority", index, 0)),
 	}
 }
