--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -5,6 +5,7 @@
 
 import (
 	"errors"
+	"slices"
 
 	"github.com/hamba/avro/v2"
 
@@ -46,6 +47,7 @@
 }
 
 var schema = avro.MustParse(`{"type":"record","name":"load","fields":[
+
 {"name":"node","type":"long"},{"name":"sequence","type":"long"},
 {"name":"list","type":{"type":"array","items":{"type":"record","name":"entry","fields":[
 {"name":"worker","type":"long"},{"name":"waiting","type":"int"},
@@ -78,3 +80,26 @@
 	}
 	return message, nil
 }
+
+// mostLoaded are the entries of failing workers, and those with most work, as many as a message holds.
+func mostLoaded(list []selection.Outstanding) []selection.Outstanding {
+	if len(list) <= maxEntries {
+		return list
+	}
+	list = slices.Clone(list)
+	slices.SortFunc(list, func(a, b selection.Outstanding) int {
+		switch {
+		case a.Failing != b.Failing:
+			if a.Failing {
+				return -1
+			}
+			return 1
+		case a.Waiting > b.Waiting:
+			return -1
+		case a.Waiting < b.Waiting:
+			return 1
+		}
+		return 0
+	})
+	return list[:maxEntries]
+}
--- a/internal/dataplane/loadshare/ratelimit.go
+++ b/internal/dataplane/loadshare/ratelimit.go
@@ -1,11 +1,6 @@
 package loadshare
 
-import (
-	"slices"
-	"time"
-
-	"ospreybend/internal/dataplane/selection"
-)
+import "time"
 
 const (
 	smallFleetRate  = 400. // datagrams a second that a node of a fleet may send
@@ -17,29 +12,6 @@
 	ResendInterval = 300 * time.Millisecond
 )
 
-// mostLoaded are the entries of failing workers, and those with most work, as many as a message holds.
-func mostLoaded(list []selection.Outstanding) []selection.Outstanding {
-	if len(list) <= maxEntries {
-		return list
-	}
-	list = slices.Clone(list)
-	slices.SortFunc(list, func(a, b selection.Outstanding) int {
-		switch {
-		case a.Failing != b.Failing:
-			if a.Failing {
-				return -1
-			}
-			return 1
-		case a.Waiting > b.Waiting:
-			return -1
-		case a.Waiting < b.Waiting:
-			return 1
-		}
-		return 0
-	})
-	return list[:maxEntries]
-}
-
 // RateLimiter bounds how many datagrams a node sends, so that the cost at a node does not grow with the fleet.
 type RateLimiter struct {
 	tokens    float64
@@ -68,20 +40,3 @@
 	}
 	return time.Duration(missing / rate * float64(time.Second))
 }
-
-// SequenceFilter drops messages that are older than what their sender told last.
-type SequenceFilter struct{ newestByNode map[uint64]uint64 }
-
-const maxNodes = 4096
-
-// Accept tells whether a message is newer than all before from its sender.
-func (f *SequenceFilter) Accept(message Message) bool {
-	if f.newestByNode == nil || len(f.newestByNode) > maxNodes {
-		f.newestByNode = map[uint64]uint64{}
-	}
-	if message.Sequence <= f.newestByNode[message.Node] {
-		return false
-	}
-	f.newestByNode[message.Node] = message.Sequence
-	return true
-}
