--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -1,6 +1,9 @@
-// Package loadshare is how the proxies of a fleet tell each other what they have under way at workers:
-// whole states in datagrams, so that a lost or late one does no lasting harm. It paces the sending and
-// drops what is old or foreign; it has no socket and no clock.
+// Package loadshare encodes and paces the messages by which the proxies of a fleet tell each other what
+// they have in flight at workers. A message is a complete state in one datagram, so that a lost or late
+// one is made good by the next. The package rejects malformed and old messages.
+//
+// It has no socket and no clock: package proxy sends and receives the datagrams, and gives their entries
+// to package selection.
 package loadshare
 
 import (
@@ -13,34 +16,35 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// MaxDatagramBytes is the largest datagram that is sent or read.
+// MaxDatagramBytes bounds datagrams, so that they fit one Ethernet frame.
 const MaxDatagramBytes = 1400
 
 const (
-	maxEntries            = 60  // of a message: the workers with most work go first
-	microsecondsPerSecond = 1e6 // in a second
+	maxEntries            = 60 // of a message, so that it fits a datagram
+	microsecondsPerSecond = 1e6
 )
 
-// ErrInvalidMessage is a datagram that is no message.
+// ErrInvalidMessage is returned for a datagram that is not a valid message.
 var ErrInvalidMessage = errors.New("loadshare: not a message")
 
 // Message is the state of one node.
 type Message struct {
-	Node     uint64 // of one life of a process
-	Sequence uint64 // rises with every message
+	Node     uint64 // random, of one incarnation of a process
+	Sequence uint64 // increases with every message of the node
 	Entries  []selection.Outstanding
 }
 
-// wireMessage is a message as it is encoded.
+// wireMessage is the avro encoding of a Message.
 type wireMessage struct {
 	Node     int64       `avro:"node"`
 	Sequence int64       `avro:"sequence"`
 	List     []wireEntry `avro:"list"`
 }
 
+// wireEntry is the avro encoding of a selection.Outstanding.
 type wireEntry struct {
 	Worker  int64 `avro:"worker"`
-	Waiting int   `avro:"waiting"` // microseconds
+	Waiting int   `avro:"waiting"` // microseconds of work
 	Running int   `avro:"running"`
 	Memory  int   `avro:"memory"`
 	Failing bool  `avro:"failing"`
@@ -53,7 +57,7 @@
 {"name":"worker","type":"long"},{"name":"waiting","type":"int"},
 {"name":"running","type":"int"},{"name":"memory","type":"int"},{"name":"failing","type":"boolean"}]}}}]}`)
 
-// Encode returns a message's bytes.
+// Encode returns the datagram of a message. Entries beyond maxEntries are left out, see mostLoaded.
 func Encode(message Message) ([]byte, error) {
 	encoded := wireMessage{Node: int64(message.Node), Sequence: int64(message.Sequence)}
 	for _, entry := range mostLoaded(message.Entries) {
@@ -63,7 +67,8 @@
 	return avro.Marshal(schema, encoded)
 }
 
-// Decode reads a message.
+// Decode parses a datagram. It returns ErrInvalidMessage for one that is malformed, has trailing bytes or
+// values out of range.
 func Decode(datagram []byte) (Message, error) {
 	var decoded wireMessage
 	if strictavro.Unmarshal(avro.DefaultConfig, schema, datagram, &decoded) != nil || len(decoded.List) > maxEntries {
@@ -81,7 +86,8 @@
 	return message, nil
 }
 
-// mostLoaded are the entries of failing workers, and those with most work, as many as a message holds.
+// mostLoaded returns at most maxEntries entries: those of failing workers first, then those with the most
+// waiting work. It does not change list.
 func mostLoaded(list []selection.Outstanding) []selection.Outstanding {
 	if len(list) <= maxEntries {
 		return list
--- a/internal/dataplane/retrybudget/requestcounts.go
+++ b/internal/dataplane/retrybudget/requestcounts.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// requestCounts counts requests in pieces of a window. A count leaves out a piece that
-// is not wholly within the window, so that it is never too high.
+// requestCounts counts requests in a ring of slots of time. A slot that is not entirely within the window
+// is left out, so that the count is never too high.
 type requestCounts struct {
 	slotLength time.Duration
 	counts     [windowSlots + 1]int
-	slots      [windowSlots + 1]int64 // which piece of time an entry holds
+	slots      [windowSlots + 1]int64 // number of the slot that an entry counts; -1: none
 }
 
 func newRequestCounts(window time.Duration) requestCounts {
@@ -18,6 +18,7 @@
 	return counts
 }
 
+// add counts a request.
 func (c *requestCounts) add(now time.Duration) {
 	slot := int64(now / c.slotLength)
 	entry := int(slot % int64(len(c.counts)))
@@ -28,7 +29,7 @@
 	c.counts[entry]++
 }
 
-// inWindow returns the requests of the window that ends now.
+// inWindow returns the number of requests of the window that ends now.
 func (c *requestCounts) inWindow(now time.Duration) int {
 	newest := int64(now / c.slotLength)
 	oldest := newest - windowSlots + 1
--- a/internal/util/estimate/estimate.go
+++ b/internal/util/estimate/estimate.go
@@ -1,6 +1,8 @@
-// Package estimate holds what the deciding parts of the programs share of their predictions: windows
-// of delays for each worker, blending of a worker's own line with the pooled prediction, and the
-// order in which workers are homes of a key. Delays are in seconds; time is an argument.
+// Package estimate predicts the delays of workers: it keeps windows of samples for each worker, fits them
+// against size or load, and blends a worker's own fit with a pooled prediction. It also orders workers for
+// a key by rendezvous hashing. Packages selection and balance decide by it; it decides nothing itself.
+//
+// Delays are in seconds. The package has no clock: instants are arguments.
 package estimate
 
 import (
@@ -10,43 +12,46 @@
 )
 
 const (
-	// WindowLength is the number of samples that a window keeps: a fit over more changes too slowly.
+	// WindowLength is the number of samples in a window. A fit over more adapts too slowly.
 	WindowLength = 24
-	// PriorSamples is the number of samples with which a window weighs as much as the pooled prediction.
+	// PriorSamples is the number of samples at which a worker's own fit weighs as much as the pooled prediction.
 	PriorSamples = 6.0
 )
 
-// Blend weighs a worker's own prediction by its samples against the pooled one, which counts as prior
-// samples: on a large fleet most windows are nearly empty.
+// Blend returns the mean of a worker's own prediction, weighed by its samples, and the pooled one, which
+// counts as prior samples. Pooling is needed since on a large fleet most windows are nearly empty.
 func Blend(own, samples, pooled, prior float64) float64 {
 	return (own*samples + pooled*prior) / (samples + prior)
 }
 
-// RendezvousRank tells how far down a key's order a worker is, in workers: the least of all is its first home.
-// Whoever has the same workers has the same order.
+// RendezvousRank returns the expected rank of a worker in the rendezvous order (highest random weight
+// hashing) of a key, from 0 for the first to workers for the last. All nodes that know the same workers
+// agree on the order.
 func RendezvousRank(key, worker uint64, workers int) float64 {
 	return stats.Draw(key, worker) * float64(workers)
 }
 
-// Delays is what is known of one worker's delays in one class.
+// Delays predicts the delays of one worker in one class of calls. SampleTTL must be set; the rest of the
+// zero value is ready for use.
 type Delays struct {
-	SampleTTL time.Duration // a sample's lifetime
-	transfer  stats.Window  // delay against tokens sent or moved
+	SampleTTL time.Duration
+	transfer  stats.Window // seconds against tokens sent or transferred
 	process   map[int]*stats.Window
 }
 
-// AddTransfer takes in a transfer delay in seconds at a size.
+// AddTransfer adds a sample: the seconds that a transfer of that size took.
 func (d *Delays) AddTransfer(now time.Duration, size, seconds float64) {
 	d.transfer.Add(now, size, seconds, WindowLength)
 }
 
-// Transfer predicts the transfer delay at a size; pooled is the prediction without samples.
+// Transfer predicts the seconds of a transfer of that size. Pooled is the prediction without samples.
 func (d *Delays) Transfer(now time.Duration, size, pooled float64) float64 {
 	line := d.transfer.Fit(now, d.SampleTTL, 1)
 	return Blend(line.At(size), line.N, pooled, PriorSamples)
 }
 
-// AddProcess takes in a processing time at a load, as a multiple of what the job needs by itself.
+// AddProcess adds a sample to a bucket: the processing time at a load, as a multiple of the time on an
+// unloaded worker.
 func (d *Delays) AddProcess(now time.Duration, bucket int, load, ratio float64) {
 	if d.process == nil {
 		d.process = map[int]*stats.Window{}
@@ -54,7 +59,8 @@
 	stats.Of(d.process, bucket).Add(now, load, ratio, WindowLength)
 }
 
-// Process predicts the processing time at a load as such a multiple; pooled is the prediction without samples.
+// Process predicts the processing time at a load, as such a multiple. Pooled is the prediction without
+// samples in the bucket.
 func (d *Delays) Process(now time.Duration, bucket int, load, pooled float64) float64 {
 	window := d.process[bucket]
 	if window == nil {
--- a/internal/util/stats/failurerate.go
+++ b/internal/util/stats/failurerate.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// FailureRate counts failures among outcomes, and forgets both over time.
+// FailureRate estimates the probability of a failure from outcomes that count exponentially less the older
+// they are. The zero value has seen none.
 type FailureRate struct {
-	Failures, Outcomes float64
-	At                 time.Duration
+	Failures, Outcomes float64       // as of At
+	At                 time.Duration // instant of the last outcome
 }
 
-// decay is the part of what was counted that stands at a time, where it falls by e in a life.
-func (o *FailureRate) decay(now, timeConstant time.Duration) float64 {
-	return math.Exp(-(now - o.At).Seconds() / timeConstant.Seconds())
+// decay returns the factor by which the counts have fallen at an instant: they fall by e in a time constant.
+func (r *FailureRate) decay(now, timeConstant time.Duration) float64 {
+	return math.Exp(-(now - r.At).Seconds() / timeConstant.Seconds())
 }
 
-// Add takes in an outcome.
-func (o *FailureRate) Add(now, timeConstant time.Duration, failed bool) {
-	decay := o.decay(now, timeConstant)
-	o.Failures, o.Outcomes, o.At = o.Failures*decay, o.Outcomes*decay+1, now
+// Add adds an outcome.
+func (r *FailureRate) Add(now, timeConstant time.Duration, failed bool) {
+	decay := r.decay(now, timeConstant)
+	r.Failures, r.Outcomes, r.At = r.Failures*decay, r.Outcomes*decay+1, now
 	if failed {
-		o.Failures++
+		r.Failures++
 	}
 }
 
-// Probability estimates the chance of a failure, shrunk to a prior that counts as weight outcomes.
-func (o *FailureRate) Probability(now, timeConstant time.Duration, prior, weight float64) float64 {
-	decay := o.decay(now, timeConstant)
-	return (o.Failures*decay + prior*weight) / (o.Outcomes*decay + weight)
+// Probability returns the estimate, shrunk towards a prior that counts as weight outcomes.
+func (r *FailureRate) Probability(now, timeConstant time.Duration, prior, weight float64) float64 {
+	decay := r.decay(now, timeConstant)
+	return (r.Failures*decay + prior*weight) / (r.Outcomes*decay + weight)
 }
--- a/internal/util/stats/stat_test.go
+++ b/internal/util/stats/stats_test.go
@@ -29,16 +29,16 @@
 }
 
 func TestFitLine_degenerateSamples(t *testing.T) {
-	one := FitLine([]Sample{{0, 4, 2}}, -1)
+	one := fitLine([]Sample{{0, 4, 2}}, -1)
 	assertNear(t, "one sample", one.At(100), 2, 0)
-	same := FitLine([]Sample{{0, 4, 1}, {0, 4, 2}, {0, 4, 3}}, -1)
+	same := fitLine([]Sample{{0, 4, 1}, {0, 4, 2}, {0, 4, 3}}, -1)
 	assertNear(t, "equal loads", same.At(0), 2, 1e-9)
-	wrong := FitLine([]Sample{{0, 0, 1}, {0, 1, 2}, {0, 2, 3}}, -1)
+	wrong := fitLine([]Sample{{0, 0, 1}, {0, 1, 2}, {0, 2, 3}}, -1)
 	assertNear(t, "slope against its sign", wrong.B, 0, 0)
-	steep := FitLine([]Sample{{0, 0, 4}, {0, 1, 2}, {0, 2, 1}}, -1)
+	steep := fitLine([]Sample{{0, 0, 4}, {0, 1, 2}, {0, 2, 1}}, -1)
 	assertNear(t, "far below", steep.At(1000), 0.5, 1e-9)
 	assertNear(t, "far above", steep.At(-1000), 8, 1e-9)
-	if none := FitLine(nil, 1); none.N != 0 {
+	if none := fitLine(nil, 1); none.N != 0 {
 		t.Errorf("no samples: n is %v", none.N)
 	}
 }
