--- a/coord/seglog/doc.go
+++ b/coord/seglog/doc.go
@@ -1,5 +1,6 @@
-// Package seglog stores the log, the hard state and the snapshot of one replica group on disk, and recovers them after a
-// restart or a power loss. It does not interpret what it stores; package replica calls it through its log writer.
+// Package seglog is the write-ahead log of one replica group: it stores the log, the hard state and the snapshot in segment and
+// snapshot files, and recovers them after a restart or a power loss. It does not interpret what it stores; package replica
+// calls it through its log writer.
 //
 // Where something becomes durable: Log.Save returns only after Log.writeDurably has synced the segment's file and, for a new
 // segment, the directory. Nothing may be acknowledged before Save has returned.
