--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -11,8 +11,10 @@
 	"ospreybend/internal/util/http1"
 )
 
-// statusDigits is the length of a status code.
-const statusDigits = 3
+const (
+	statusDigits = 3 // of a status code
+	loadNumbers  = 3 // of an X-Server-Load field
+)
 
 // readResponse reads the response, and skips those that belong to other requests.
 func (rt *roundTrip) readResponse() (*Response, *Failure) {
@@ -215,11 +217,11 @@
 
 // parseLoad parses "running,waiting,slots", or returns nil if the value is malformed.
 func parseLoad(value string) *Load {
+	var numbers [loadNumbers]int
 	parts := strings.Split(value, ",")
-	if len(parts) != 3 {
+	if len(parts) != loadNumbers {
 		return nil
 	}
-	var numbers [3]int
 	for i, part := range parts {
 		n, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || n < 0 {
@@ -227,5 +229,5 @@
 		}
 		numbers[i] = n
 	}
-	return &Load{numbers[0], numbers[1], numbers[2]}
+	return &Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}
 }
--- a/internal/util/http1/body.go
+++ b/internal/util/http1/body.go
@@ -115,7 +115,7 @@
 	} else if bytes.ContainsFunc(extension, isControl) {
 		return 0, 0, BadMessage("a chunk's extension is malformed")
 	}
-	n, err := strconv.ParseUint(string(text), 16, 31)
+	n, err := strconv.ParseUint(string(text), hexadecimal, lengthBits)
 	switch {
 	case err != nil:
 		return 0, 0, BadMessage("a chunk's size is malformed")
--- a/internal/util/http1/head.go
+++ b/internal/util/http1/head.go
@@ -16,10 +16,18 @@
 	LengthNone = -2
 )
 
-// maxLengthDigits is the most digits of a Content-Length that is answered as too large, and not as malformed.
-const maxLengthDigits = 18
+const (
+	decimal     = 10
+	hexadecimal = 16
+	lengthBits  = 31 // of the length of a body or a chunk: it must fit into an int of 32 bits
+	// maxLengthDigits is the most digits of a Content-Length that is answered as too large, and not as malformed.
+	maxLengthDigits = 18
+)
 
-const errorHeaderTooLong = "the header is too long"
+const (
+	statusDigits       = 3
+	errorHeaderTooLong = "the header is too long"
+)
 
 // ParseRules are the limits of a message and how strictly it is parsed.
 type ParseRules struct {
@@ -189,7 +197,7 @@
 	version, rest, _ := bytes.Cut(line, []byte{' '})
 	code, _, _ := bytes.Cut(rest, []byte{' '})
 	status, err := strconv.Atoi(string(code))
-	if err != nil || len(code) != 3 || status < 100 {
+	if err != nil || len(code) != statusDigits || status < http.StatusContinue {
 		return BadMessage("the status line is malformed")
 	}
 	head.Status = status
@@ -235,7 +243,7 @@
 }
 
 func (h *Head) parseContentLength(value []byte, rules *ParseRules) *StatusError {
-	n, err := strconv.ParseUint(string(value), 10, 31)
+	n, err := strconv.ParseUint(string(value), decimal, lengthBits)
 	switch {
 	case err == nil && h.ContentLength == LengthNone:
 		h.ContentLength = int(n)
--- a/internal/util/http1/write.go
+++ b/internal/util/http1/write.go
@@ -14,7 +14,7 @@
 // AppendStatusLine appends the status line of a response.
 func AppendStatusLine(out []byte, status int) []byte {
 	out = append(out, "HTTP/1.1 "...)
-	out = strconv.AppendInt(out, int64(status), 10)
+	out = strconv.AppendInt(out, int64(status), decimal)
 	out = append(out, ' ')
 	out = append(out, statusText[status]...)
 	return append(out, "\r\n"...)
@@ -32,7 +32,7 @@
 func AppendIntField(out []byte, name string, value int) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
-	out = strconv.AppendInt(out, int64(value), 10)
+	out = strconv.AppendInt(out, int64(value), decimal)
 	return append(out, "\r\n"...)
 }
 
@@ -41,7 +41,7 @@
 	if len(data) == 0 {
 		return out
 	}
-	out = strconv.AppendInt(out, int64(len(data)), 16)
+	out = strconv.AppendInt(out, int64(len(data)), hexadecimal)
 	out = append(out, "\r\n"...)
 	out = append(out, data...)
 	return append(out, "\r\n"...)
