--- /dev/null
+++ b/internal/dataplane/fleetview/items.go
@@ -0,0 +1,143 @@
+package fleetview
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+
+	"ospreybend/coord/feed"
+	"ospreybend/coord/shards"
+	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/controlplane/registry"
+)
+
+// put sets one item, unless its value is the same.
+func (b *Builder) put(shard shards.ID, state *shardState, item feed.Item) {
+	value, found := state.values[item.Key]
+	if found && bytes.Equal(value, item.Value) {
+		return
+	}
+	if shard != shards.ConfigurationShard {
+		b.putInstance(state, item)
+	} else {
+		b.putConfiguration(item)
+	}
+	state.values[item.Key] = item.Value
+}
+
+// delete deletes one item.
+func (b *Builder) delete(shard shards.ID, state *shardState, key string) {
+	value, found := state.values[key]
+	if !found {
+		return
+	}
+	delete(state.values, key)
+	if shard != shards.ConfigurationShard {
+		b.deleteInstance(key, value)
+		return
+	}
+	b.deleteConfiguration(key)
+}
+
+// putInstance replaces the worker of an instance. An instance whose record cannot be decoded gets no requests.
+func (b *Builder) putInstance(state *shardState, item feed.Item) {
+	if before, found := state.values[item.Key]; found {
+		b.deleteInstance(item.Key, before)
+	}
+	instance, err := registry.DecodeItem(item.Value)
+	if err != nil {
+		b.undecodable++
+		return
+	}
+	if b.workers[instance.Service] == nil {
+		b.workers[instance.Service] = map[string]*Worker{}
+	}
+	b.workers[instance.Service][instance.ID] = &Worker{Instance: instance}
+	b.dirty.workers[instance.Service] = true
+}
+
+// deleteInstance deletes the worker of an instance by its last record.
+func (b *Builder) deleteInstance(id string, value []byte) {
+	instance, err := registry.DecodeItem(value)
+	if err != nil {
+		return // the record was skipped
+	}
+	delete(b.workers[instance.Service], id)
+	b.dirty.workers[instance.Service] = true
+}
+
+// putConfiguration sets an item of the configuration's shard.
+func (b *Builder) putConfiguration(item feed.Item) {
+	var err error
+	if name, found := strings.CutPrefix(item.Key, configuration.KeyRoutePrefix); found {
+		err = b.putRoute(name, item.Value)
+	} else if name, found := strings.CutPrefix(item.Key, configuration.KeyServicePrefix); found {
+		err = b.putService(name, item.Value)
+	} else {
+		err = b.putGenerationOrLimits(item)
+	}
+	if err != nil {
+		b.undecodable++
+	}
+}
+
+func (b *Builder) putRoute(name string, raw []byte) error {
+	b.dirty.routes = true
+	delete(b.routes, name)
+	route, err := configuration.ParseRoute(raw)
+	if err == nil {
+		b.routes[name] = &route
+	}
+	return err
+}
+
+func (b *Builder) putService(name string, raw []byte) error {
+	b.dirty.services = true
+	delete(b.services, name)
+	service, err := configuration.ParseService(raw)
+	if err == nil {
+		b.services[name] = &service
+	}
+	return err
+}
+
+// putGenerationOrLimits sets the generation or the limits. Other keys are ignored: a newer control plane may have more.
+func (b *Builder) putGenerationOrLimits(item feed.Item) error {
+	switch item.Key {
+	case configuration.KeyGeneration:
+		b.dirty.other = true
+		generation, err := strconv.ParseUint(string(item.Value), decimal, uintBits)
+		b.generation = generation
+		return err
+	case configuration.KeyLimits:
+		b.dirty.other = true
+		limits, err := configuration.ParseLimits(item.Value)
+		if err != nil {
+			return err
+		}
+		b.limits = limits
+	}
+	return nil
+}
+
+// deleteConfiguration deletes an item of the configuration's shard.
+func (b *Builder) deleteConfiguration(key string) {
+	if name, found := strings.CutPrefix(key, configuration.KeyRoutePrefix); found {
+		delete(b.routes, name)
+		b.dirty.routes = true
+		return
+	}
+	if name, found := strings.CutPrefix(key, configuration.KeyServicePrefix); found {
+		delete(b.services, name)
+		b.dirty.services = true
+		return
+	}
+	switch key {
+	case configuration.KeyGeneration:
+		b.generation = 0
+		b.dirty.other = true
+	case configuration.KeyLimits:
+		b.limits = configuration.DefaultLimits()
+		b.dirty.other = true
+	}
+}
