--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -108,9 +108,9 @@
 // VoterStart registers a start of a voter's process, so that a store restored from an old copy is
 // detected.
 type VoterStart struct {
-	Voter uint64 `cbor:"1,keyasint"`
-	Store string `cbor:"2,keyasint"`
-	Runs  uint64 `cbor:"3,keyasint"`
+	Voter  uint64 `cbor:"1,keyasint"`
+	Store  string `cbor:"2,keyasint"`
+	Starts uint64 `cbor:"3,keyasint"`
 }
 
 // Command is one entry of the replicated log. Exactly one of Change, Override and Start is set.
@@ -151,7 +151,7 @@
 type state struct {
 	Table      Table                 `cbor:"1,keyasint"`
 	Starts     map[uint64]VoterStart `cbor:"2,keyasint"`
-	Recent     []string              `cbor:"3,keyasint"` // IDs of the last commands, oldest first
+	RecentIDs  []string              `cbor:"3,keyasint"` // IDs of the last commands, oldest first
 	RolledBack map[uint64]string     `cbor:"4,keyasint"` // ID of the rolled-back store by voter
 }
 
@@ -210,12 +210,12 @@
 }
 
 func (m *StateMachine) applyCommand(command Command) error {
-	if command.ID == "" || slices.Contains(m.state.Recent, command.ID) {
+	if command.ID == "" || slices.Contains(m.state.RecentIDs, command.ID) {
 		return errDuplicateID
 	}
-	m.state.Recent = append(m.state.Recent, command.ID)
-	if extra := len(m.state.Recent) - maxRecentIDs; extra > 0 {
-		m.state.Recent = slices.Delete(m.state.Recent, 0, extra)
+	m.state.RecentIDs = append(m.state.RecentIDs, command.ID)
+	if extra := len(m.state.RecentIDs) - maxRecentIDs; extra > 0 {
+		m.state.RecentIDs = slices.Delete(m.state.RecentIDs, 0, extra)
 	}
 	switch {
 	case command.Change != nil:
@@ -294,7 +294,7 @@
 // applyVoterStart records a voter's start. A store whose start count does not grow was restored from
 // an older copy and lacks the votes and entries acknowledged since; the voter must not go on.
 func (m *StateMachine) applyVoterStart(s VoterStart) error {
-	if last, ok := m.state.Starts[s.Voter]; ok && last.Store == s.Store && s.Runs <= last.Runs {
+	if last, ok := m.state.Starts[s.Voter]; ok && last.Store == s.Store && s.Starts <= last.Starts {
 		m.state.RolledBack[s.Voter] = s.Store
 		return ErrStoreRolledBack
 	}
--- a/internal/node/zones/commands/compatibility_test.go
+++ b/internal/node/zones/commands/compatibility_test.go
@@ -26,10 +26,10 @@
 		"south": {Phase: PhaseEvacuated, Reason: "silent"},
 	}
 	return []golden.Row{
-		valueRow("start", Command{ID: "order-1", Start: &VoterStart{Voter: 2, Store: "store-a", Runs: 5}}),
+		valueRow("start", Command{ID: "order-1", Start: &VoterStart{Voter: 2, Store: "store-a", Starts: 5}}),
 		valueRow("change", Command{ID: "order-2", Change: &Change{Zones: zones, Admission: map[string]float64{"batch": 0.5}, SetsAdmission: true}}),
 		valueRow("word", Command{ID: "order-3", Override: &Override{Zone: "north", Action: OverrideFreeze, Reason: "maintenance", Until: 1790000000000000}}),
-		valueRow("restart", Command{ID: "order-4", Start: &VoterStart{Voter: 2, Store: "store-a", Runs: 5}}),
+		valueRow("restart", Command{ID: "order-4", Start: &VoterStart{Voter: 2, Store: "store-a", Starts: 5}}),
 	}
 }
 
--- a/internal/node/zones/replica/replica.go
+++ b/internal/node/zones/replica/replica.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	start := commands.VoterStart{Voter: config.ID, Store: config.Store, Runs: config.Starts}
+	start := commands.VoterStart{Voter: config.ID, Store: config.Store, Starts: config.Starts}
 	r.submit(now, commands.Command{Start: &start}, now+startRegistrationTime, func(err error) {
 		if errors.Is(err, commands.ErrStoreRolledBack) {
 			r.err = err
--- a/internal/node/zones/store/store_test.go
+++ b/internal/node/zones/store/store_test.go
@@ -20,11 +20,11 @@
 	return consensus.Entry{Index: index, Term: 1, Data: []byte(text)}
 }
 
-func hard(commit uint64) *consensus.HardState {
+func hardState(commit uint64) *consensus.HardState {
 	return &consensus.HardState{Term: 1, Vote: 1, Commit: commit}
 }
 
-func opened(t *testing.T, path string) (*Store, replicatedlog.StoredState) {
+func openStore(t *testing.T, path string) (*Store, replicatedlog.StoredState) {
 	t.Helper()
 	s, stored, err := Open(path, owner)
 	if err != nil {
@@ -33,14 +33,14 @@
 	return s, stored
 }
 
-func write(t *testing.T, s *Store, p replicatedlog.Persist) {
+func writeTo(t *testing.T, s *Store, p replicatedlog.Persist) {
 	t.Helper()
 	if err := s.Write(p); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func texts(k replicatedlog.StoredState) string {
+func entryData(k replicatedlog.StoredState) string {
 	var b strings.Builder
 	for _, e := range k.Entries {
 		b.Write(e.Data)
@@ -52,29 +52,29 @@
 // the entries that it covers.
 func TestStore_Write_survivesReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
-	s, stored := opened(t, path)
+	s, stored := openStore(t, path)
 	if len(stored.Snapshot.Members) != 3 || s.Starts() != 1 {
 		t.Fatalf("a new store holds %v after start %d", stored, s.Starts())
 	}
 	id := s.ID()
-	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, "a"), entry(3, "b"), entry(4, "c")}})
-	write(t, s, replicatedlog.Persist{Entries: []consensus.Entry{entry(3, "d")}})
+	writeTo(t, s, replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(2, "a"), entry(3, "b"), entry(4, "c")}})
+	writeTo(t, s, replicatedlog.Persist{Entries: []consensus.Entry{entry(3, "d")}})
 	s.Close()
-	s, stored = opened(t, path)
-	if texts(stored) != "ad" || stored.HardState.Vote != 1 || s.ID() != id || s.Starts() != 2 {
-		t.Errorf("entries %q, %v, store %s after start %d", texts(stored), stored.HardState, s.ID(), s.Starts())
+	s, stored = openStore(t, path)
+	if entryData(stored) != "ad" || stored.HardState.Vote != 1 || s.ID() != id || s.Starts() != 2 {
+		t.Errorf("entries %q, %v, store %s after start %d", entryData(stored), stored.HardState, s.ID(), s.Starts())
 	}
 	shot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Bootstrap(owner.Voters).Snapshot.Members}
-	write(t, s, replicatedlog.Persist{Snapshot: shot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
+	writeTo(t, s, replicatedlog.Persist{Snapshot: shot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
 	s.Close()
-	s, stored = opened(t, path)
-	if texts(stored) != "de" || string(stored.Snapshot.Data) != "s" {
-		t.Errorf("entries %q behind the snapshot %q", texts(stored), stored.Snapshot.Data)
+	s, stored = openStore(t, path)
+	if entryData(stored) != "de" || string(stored.Snapshot.Data) != "s" {
+		t.Errorf("entries %q behind the snapshot %q", entryData(stored), stored.Snapshot.Data)
 	}
-	write(t, s, replicatedlog.Persist{Snapshot: shot, Replaces: true, First: 4})
+	writeTo(t, s, replicatedlog.Persist{Snapshot: shot, Replaces: true, First: 4})
 	s.Close()
-	if s, stored = opened(t, path); texts(stored) != "" {
-		t.Errorf("entries %q behind another's snapshot", texts(stored))
+	if s, stored = openStore(t, path); entryData(stored) != "" {
+		t.Errorf("entries %q behind another's snapshot", entryData(stored))
 	}
 	s.Close()
 }
@@ -83,8 +83,8 @@
 func TestOpen_rejectsBadFiles(t *testing.T) {
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good")
-	s, _ := opened(t, good)
-	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, strings.Repeat("a", 9000))}})
+	s, _ := openStore(t, good)
+	writeTo(t, s, replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(2, strings.Repeat("a", 9000))}})
 	s.Close()
 	text, err := os.ReadFile(good)
 	if err != nil {
@@ -144,14 +144,14 @@
 		path := spoil("cut", text[:cut], nil)
 		s, stored, err := Open(path, owner)
 		if err == nil {
-			if len(texts(stored)) != 9000 {
+			if len(entryData(stored)) != 9000 {
 				t.Errorf("cut at %d: less is read, without an error", cut)
 			}
 			s.Close()
 		}
 		os.Remove(path)
 	}
-	one, _ := opened(t, good)
+	one, _ := openStore(t, good)
 	if _, _, err := Open(good, owner); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("opened twice: %v", err)
 	}
@@ -162,13 +162,13 @@
 // writes the new pages first and the meta page last.
 func TestStore_Write_cutAnywhere(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
-	s, _ := opened(t, path)
-	write(t, s, replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(2, "before")}})
+	s, _ := openStore(t, path)
+	writeTo(t, s, replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(2, "before")}})
 	before, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, s, replicatedlog.Persist{HardState: hard(2), Entries: []consensus.Entry{entry(3, "after")}})
+	writeTo(t, s, replicatedlog.Persist{HardState: hardState(2), Entries: []consensus.Entry{entry(3, "after")}})
 	after, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 			t.Fatalf("cut at byte %d: %v", at, err)
 		}
 		s.Close()
-		return texts(stored)
+		return entryData(stored)
 	}
 	for n, i := range data {
 		torn[i] = after[i]
@@ -229,11 +229,11 @@
 	path := filepath.Join(t.TempDir(), "store")
 	maxFileBytes = 1 << 20
 	defer func() { maxFileBytes = 0 }()
-	s, _ := opened(t, path)
+	s, _ := openStore(t, path)
 	taken := uint64(0)
 	var err error
 	for index := uint64(2); index < 10_000 && err == nil; index++ {
-		if err = s.Write(replicatedlog.Persist{HardState: hard(1), Entries: []consensus.Entry{entry(index, strings.Repeat("x", 2000))}}); err == nil {
+		if err = s.Write(replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(index, strings.Repeat("x", 2000))}}); err == nil {
 			taken = index
 		}
 	}
@@ -243,7 +243,7 @@
 	}
 	s.Close()
 	maxFileBytes = 0
-	s, stored := opened(t, path)
+	s, stored := openStore(t, path)
 	defer s.Close()
 	if n := len(stored.Entries); uint64(n) != taken-1 || stored.Entries[n-1].Index != taken {
 		t.Errorf("%d entries are stored of those up to %d", n, taken)
