--- a/balance/warmup_test.go
+++ b/balance/warmup_test.go
@@ -9,6 +9,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"ospreybend/internal/util/stats"
 )
 
 // tier is many dispatchers on one clock, a warm worker with a long queue, and one that has just started and is free:
@@ -260,3 +262,78 @@
 		}
 	}
 }
+
+// The work that many dispatchers together send a warming-up worker within any window stays below what overloads it.
+func TestBalancer_warmupBudgetOfAllDispatchers(t *testing.T) {
+	t.Run("two workers", func(t *testing.T) { runWarmupBudget(t, 2) })
+	t.Run("asked by probes", func(t *testing.T) { runWarmupBudget(t, 12) })
+}
+
+func runWarmupBudget(t *testing.T, workers int) {
+	const n = 60
+	s := ruleSettings(0)
+	s.Balancers, s.Limits.Messages, s.Limits.Probes = n, false, true
+	var all []*stream
+	for i := range n {
+		s.Ordinal = i
+		st := &stream{b: balancer(t, s, uint64(i)), c: newChecker(s), rng: rand.New(rand.NewPCG(uint64(i), 2))}
+		st.handle(listOf(ListCached, workers))
+		all = append(all, st)
+	}
+	var sent []stats.Sample // at, x: work in slot-seconds
+	const work = 100 * time.Millisecond
+	for now := time.Duration(0); now < 12*time.Second; now += 5 * time.Millisecond {
+		for _, st := range all {
+			st.now = now
+			st.fire()
+			if now == 2*time.Second {
+				warmingUp := listing(2)
+				warmingUp.Started = now
+				st.handle(ListUpdate{Kind: ListChanges, Workers: []WorkerListing{warmingUp}})
+			}
+			if st.rng.IntN(40) == 0 {
+				st.next++
+				st.handle(Request{ID: st.next, Cost: work, HasCost: true, Slots: 1, Deadline: now + 4*time.Second})
+			}
+			for id := max(1, st.next-20); id <= st.next; id++ {
+				for i, at := range st.c.requests[id].attempts {
+					if at.out && now-at.sentAt >= work {
+						st.handle(AttemptDone{Request: id, Attempt: i, Worker: at.worker, Outcome: Served, Elapsed: work,
+							Over: true, Report: []float32{4, 0}})
+					}
+				}
+			}
+			for i := 0; i < len(st.trace); i++ { // an answer adds to it
+				if a, ok := st.trace[i].(Probe); ok {
+					st.handle(ProbeDone{Worker: a.Worker, Outcome: Served, Report: []float32{4, 0}})
+				}
+			}
+			for _, a := range st.trace {
+				if a, ok := a.(Send); ok && a.Worker == 2 && now >= 2*time.Second {
+					sent = append(sent, stats.Sample{At: now, X: work.Seconds()})
+				}
+			}
+			st.trace = nil
+		}
+	}
+	during := 0
+	for i, from := range sent {
+		part := s.Rules.InitialCapacity + (1-s.Rules.InitialCapacity)*(from.At-2*time.Second).Seconds()/s.Rules.WarmupTime.Seconds()
+		if part >= 1 {
+			break
+		}
+		during++
+		total := 0.0
+		for _, x := range sent[i:] {
+			if x.At < from.At+s.Rules.OverloadTime {
+				total += x.X
+			}
+		}
+		if budget := s.Rules.OverloadMultiple * part * 4 * s.Rules.OverloadTime.Seconds(); total > 0.8*budget {
+			t.Fatalf("at %v: %.2f slot-seconds sent within the window, the budget is %.2f", from.At, total, budget)
+		}
+	}
+	if during == 0 {
+		t.Error("a warming-up worker got nothing at all")
+	}
+}
