--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -298,7 +298,18 @@
 	open := len(s.conns)
 	s.mu.Unlock()
 	counters := &s.counts
-	return Counts{Accepted: counters.accepted.Load(), Rejected: counters.rejected.Load(), Evicted: counters.evicted.Load(), Requests: counters.requests.Load(),
-		Malformed: counters.malformed.Load(), TimedOut: counters.timedOut.Load(), ClientsGone: counters.clientsGone.Load(), DuplicateResponses: counters.duplicateResponses.Load(),
-		MissingResponses: counters.missingResponses.Load(), AbortedResponses: counters.abortedResponses.Load(), Open: int64(open), InFlight: counters.inFlight.Load()}
+	return Counts{
+		Accepted:           counters.accepted.Load(),
+		Rejected:           counters.rejected.Load(),
+		Evicted:            counters.evicted.Load(),
+		Requests:           counters.requests.Load(),
+		Malformed:          counters.malformed.Load(),
+		TimedOut:           counters.timedOut.Load(),
+		ClientsGone:        counters.clientsGone.Load(),
+		DuplicateResponses: counters.duplicateResponses.Load(),
+		MissingResponses:   counters.missingResponses.Load(),
+		AbortedResponses:   counters.abortedResponses.Load(),
+		Open:               int64(open),
+		InFlight:           counters.inFlight.Load(),
+	}
 }
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -27,7 +27,7 @@
 		}
 		rt.conn.pool.increment(&rt.conn.pool.counts.MismatchedResponses)
 		rt.poisoned = true
-		if mismatched == maxMismatchedResponses || rt.head.Close || rt.header.Get(requestID) == "" {
+		if mismatched == maxMismatchedResponses || rt.head.Close || rt.header.Get(headerRequestID) == "" {
 			return nil, rt.fail(errMismatchedResponse)
 		}
 		body := rt.bodyReader()
@@ -121,9 +121,10 @@
 // isMatching reports whether the response carries the ID of the request, or none if the request has none. A response with two IDs
 // matches no request.
 func (rt *roundTrip) isMatching() bool {
-	return rt.header.Count(requestID) <= 1 && rt.header.Get(requestID) == rt.request.Header.Get(requestID)
+	return rt.header.Count(headerRequestID) <= 1 && rt.header.Get(headerRequestID) == rt.request.Header.Get(headerRequestID)
 }
 
+// bodyReader returns a reader for the body that follows the head; a response to HEAD has none.
 func (rt *roundTrip) bodyReader() http1.BodyReader {
 	if rt.request.Method == "HEAD" {
 		return http1.BodyReader{BodyState: http1.BodyState{Done: true}}
@@ -133,12 +134,13 @@
 
 // discardBody reads a body to its end and drops it.
 func (rt *roundTrip) discardBody(body *http1.BodyReader) error {
-	_, err := rt.readBody(body, nil)
+	_, err := rt.readBody(body)
 	return err
 }
 
-// readBody appends the whole body to received.
-func (rt *roundTrip) readBody(body *http1.BodyReader, received []byte) ([]byte, error) {
+// readBody reads a body to its end. It fails beyond the request's limit.
+func (rt *roundTrip) readBody(body *http1.BodyReader) ([]byte, error) {
+	var received []byte
 	c := rt.conn
 	limit := rt.request.MaxBodyBytes
 	if limit <= 0 {
@@ -182,7 +184,7 @@
 		response.Stream = &Stream{roundTrip: rt, body: body}
 		return response, nil
 	}
-	received, err := rt.readBody(&body, nil)
+	received, err := rt.readBody(&body)
 	switch {
 	case err == nil:
 		rt.releaseConn(body.UntilClose)
@@ -196,6 +198,7 @@
 	return response, nil
 }
 
+// newResponse returns the response without its body, by the head.
 func (rt *roundTrip) newResponse() *Response {
 	response := &Response{Result: Answered, Status: rt.head.Status, Close: rt.head.Close && !rt.head.HTTP10, Reused: rt.conn.reused,
 		HeadReceivedAt: rt.headReceivedAt}
--- a/internal/dataplane/upstream/roundtrip.go
+++ b/internal/dataplane/upstream/roundtrip.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	requestID         = "X-Request-Id"
+	headerRequestID   = "X-Request-Id"
 	headerNotExecuted = "X-Not-Executed"
 	headerServerLoad  = "X-Server-Load"
 
--- a/internal/util/http1/hopbyhop.go
+++ b/internal/util/http1/hopbyhop.go
@@ -10,8 +10,11 @@
 
 // endToEndFields are fields that the recipient of a message needs. A Connection field that lists one is in error and does not
 // remove it.
-var endToEndFields = [...]string{"Host", "Content-Type", "Content-Encoding", "X-Request-Id", "X-Request-Deadline", "X-Model", "X-Token-Count",
-	"X-Prompt-Prefix", "X-Response-Signature", "X-Not-Executed", "Last-Event-Id", "Retry-After"}
+var endToEndFields = [...]string{
+	"Host", "Content-Type", "Content-Encoding", "X-Request-Id",
+	"X-Request-Deadline", "X-Model", "X-Token-Count", "X-Prompt-Prefix",
+	"X-Response-Signature", "X-Not-Executed", "Last-Event-Id", "Retry-After",
+}
 
 func isEndToEnd(name string) bool {
 	for _, known := range endToEndFields {
