--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -31,13 +32,13 @@
 {"name":"store","healthPath":"/health","maxConnections":100}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 
-// demoCommand are the flags of demo.
+// demoCommand holds the flags of demo.
 type demoCommand struct {
 	Requests int  `arg:"--requests" default:"12" help:"requests to send"`
 	Keep     bool `arg:"--keep" help:"keep the directory with settings, data and logs"`
 }
 
-// demoRun is one run of the command.
+// demoRun is one run of the demonstration: a fleet of processes, fake workers in this process and a client.
 type demoRun struct {
 	out     io.Writer
 	fleet   *localfleet.Fleet
@@ -46,46 +47,46 @@
 	handles fakemodelworker.Handles
 }
 
-// run starts a whole fleet on loopback, sends requests through it and shows what became of each.
-func (c *demoCommand) run(out, errors io.Writer) int {
+// run starts a whole fleet on loopback, sends requests through it and prints the outcome of each.
+func (c *demoCommand) run(stdout, stderr io.Writer) int {
 	directory, err := os.MkdirTemp("", "inference-router-demo-")
 	if err != nil {
-		fmt.Fprintln(errors, err)
+		fmt.Fprintln(stderr, err)
 		return exitFault
 	}
 	if c.Keep {
-		fmt.Fprintln(out, "settings, data and logs:", directory)
+		fmt.Fprintln(stdout, "settings, data and logs:", directory)
 	} else {
 		defer os.RemoveAll(directory)
 	}
 	binary, err := os.Executable()
 	if err != nil {
-		fmt.Fprintln(errors, err)
+		fmt.Fprintln(stderr, err)
 		return exitFault
 	}
 	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: directory, Keepers: demoServers, Edges: demoEdges})
 	if err != nil {
-		fmt.Fprintln(errors, err)
+		fmt.Fprintln(stderr, err)
 		return exitFault
 	}
 	defer fleet.StopAll()
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	demo := demoRun{out: out, fleet: fleet, pool: upstream.New(upstream.Options{})}
+	demo := demoRun{out: stdout, fleet: fleet, pool: upstream.New(upstream.Options{})}
 	if err := demo.execute(ctx, c.Requests); err != nil {
-		fmt.Fprintln(errors, "demo:", err)
+		fmt.Fprintln(stderr, "demo:", err)
 		return exitFault
 	}
 	return exitOK
 }
 
-// execute does the steps of the demonstration.
+// execute runs the steps of the demonstration.
 func (d *demoRun) execute(ctx context.Context, requests int) error {
 	started := time.Now()
 	if err := d.fleet.StartAll(); err != nil {
 		return err
 	}
-	fmt.Fprintf(d.out, "%d keepers, %d agents and %d proxies started\n", demoServers, demoEdges, demoEdges)
+	fmt.Fprintf(d.out, "%d control plane servers, %d agents and %d proxies started\n", demoServers, demoEdges, demoEdges)
 	if err := d.startWorkers(ctx); err != nil {
 		return err
 	}
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// startWorkers starts two workers that read prompts, two that make tokens and one plain one.
+// startWorkers starts two prefill workers, two decode workers and one worker of the plain service.
 func (d *demoRun) startWorkers(ctx context.Context) error {
 	for i := range demoWorkers + 1 {
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: "model",
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// configure sends the configuration to one keeper and tells whether it was accepted.
+// configure sends the configuration to one control plane server and reports whether it was accepted.
 func (d *demoRun) configure(ctx context.Context) bool {
 	control := d.fleet.Control()[0]
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: control, Method: "POST", Target: "/-/Config.Replace",
@@ -136,7 +137,7 @@
 	return failure == nil && response.Status == 200
 }
 
-// proxyReady asks a proxy for its readiness.
+// proxyReady reports whether a proxy says that it is ready.
 func (d *demoRun) proxyReady(ctx context.Context, edge int) bool {
 	address := d.fleet.Readiness(edge)
 	response, failure := d.pool.RoundTrip(ctx, &upstream.Request{Address: address, Method: "GET", Target: "/-/ready",
@@ -144,7 +145,7 @@
 	return failure == nil && response.Status == 200
 }
 
-// allRoutesServed tells whether each proxy answers on both routes.
+// allRoutesServed reports whether each proxy answers on both routes.
 func (d *demoRun) allRoutesServed(ctx context.Context) bool {
 	for edge := range demoEdges {
 		for kind := range 2 {
@@ -156,7 +157,7 @@
 	return true
 }
 
-// sendAndReport sends one request and prints what became of it.
+// sendAndReport sends one request and prints its outcome.
 func (d *demoRun) sendAndReport(ctx context.Context, number int) {
 	edge, kind := number%demoEdges, number%3/2
 	started := time.Now()
@@ -168,7 +169,7 @@
 	fmt.Fprintf(d.out, "request %2d by proxy %d: %d in %s (%s)\n", number+1, edge+1, status, elapsed(started), what)
 }
 
-// sendRequest sends one request and returns its status and how many events came; status 0 stands for a broken answer.
+// sendRequest sends one request and returns its status and the number of events received; status 0 stands for a failed response.
 func (d *demoRun) sendRequest(ctx context.Context, edge, kind int, id string) (status, events int) {
 	call := &upstream.Request{Address: d.fleet.Front(edge), Method: "POST", Target: []string{"/chat/talk", "/files/one"}[kind],
 		Header: http1.Header{{Name: "Host", Value: "demo.example"}, {Name: "X-Request-Id", Value: fmt.Sprintf("%s-%d-%d", id, edge, kind)},
@@ -187,7 +188,7 @@
 	}
 	for {
 		batch, err := response.Stream.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return response.Status, events
 		}
 		if err != nil {
@@ -197,7 +198,7 @@
 	}
 }
 
-// printSummary prints what the workers did.
+// printSummary prints what the workers have done.
 func (d *demoRun) printSummary() {
 	for i, worker := range d.workers {
 		counts := worker.Counts()
--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -15,7 +15,7 @@
 )
 
 // runCommand runs the command line and returns its exit code and what it wrote.
-func runCommand(line ...string) (code int, out, errors string) {
+func runCommand(line ...string) (code int, stdout, stderr string) {
 	var written, faults bytes.Buffer
 	code = run(line, &written, &faults)
 	return code, written.String(), faults.String()
@@ -23,10 +23,10 @@
 
 func TestRun_helpOfEachCommand(t *testing.T) {
 	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"control-plane"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
-		code, out, faults := runCommand(append(words, "--help")...)
+		code, stdout, faults := runCommand(append(words, "--help")...)
 		usage := strings.Join(append([]string{"Usage: inference-router"}, words...), " ")
-		if code != exitOK || !strings.Contains(out, usage) || faults != "" {
-			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, out, faults)
+		if code != exitOK || !strings.Contains(stdout, usage) || faults != "" {
+			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, stdout, faults)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 		{[]string{"measure", "traffic", "--rates", "many"}, "REQUESTSxTOKENS"},
 		{[]string{"measure", "traffic", "--windows", "0"}, "windows must be positive"},
 		{[]string{"measure", "scale", "--far-loss", "1"}, "far-loss"},
-		{[]string{"measure", "simulate", "--keepers", "three"}, "joined by commas"},
+		{[]string{"measure", "simulate", "--servers", "three"}, "joined by commas"},
 		{[]string{"measure", "simulate", "--schedules", "0"}, "must be positive"},
 	}
 	for _, one := range cases {
@@ -93,9 +93,9 @@
 		{"no JSON", []string{"--configuration", file("none.json", "{")}, exitFault, "1020 "},
 	}
 	for _, one := range cases {
-		code, out, faults := runCommand(append([]string{"check"}, one.line...)...)
-		if code != one.code || !strings.Contains(out+faults, one.says) {
-			t.Errorf("%s: exit %d, no %q in %q", one.name, code, one.says, out+faults)
+		code, stdout, faults := runCommand(append([]string{"check"}, one.line...)...)
+		if code != one.code || !strings.Contains(stdout+faults, one.says) {
+			t.Errorf("%s: exit %d, no %q in %q", one.name, code, one.says, stdout+faults)
 		}
 	}
 }
--- a/cmd/inference-router/measure.go
+++ b/cmd/inference-router/measure.go
@@ -17,9 +17,10 @@
 	"ospreybend/internal/testkit/scalerun"
 )
 
+// scaleHeartbeat is the heartbeat interval of the simulated workers; the servers' settings have the same.
 const scaleHeartbeat = time.Second // of the hollow workers; the keepers' settings have the same
 
-// measureCommand are the measurements.
+// measureCommand holds the measurements, one sub-command each.
 type measureCommand struct {
 	Catchup  *catchupCommand  `arg:"subcommand:catchup" help:"have members of a replica group be away and come back amid changes, and measure how long each takes to be current and what it is sent"`
 	Traffic  *trafficCommand  `arg:"subcommand:traffic" help:"give one proxy rates of requests and measure what each request and each event takes"`
@@ -27,12 +28,12 @@
 	Scale    *scaleCommand    `arg:"subcommand:scale" help:"play whole fleets of several sizes on loopback, most nodes and all workers hollow, and measure the control plane"`
 }
 
-// scaleCommand are the flags of measure scale.
+// scaleCommand holds the flags of measure scale.
 type scaleCommand struct {
 	Sizes    string        `arg:"--sizes" default:"30x60,100x200,360x600,30x600,360x60" help:"NODESxWORKERS joined by commas; sizes in other proportions tell what a node costs from what a worker costs"`
 	Target   string        `arg:"--target" default:"360x600" help:"size that the figures are carried to"`
-	Servers  int           `arg:"--keepers" default:"3" help:"control machines, each a process"`
-	Tolerate int           `arg:"--tolerate" default:"0" help:"keepers that may be lost at once, which sets the members of each group; 0: as many as leave a majority"`
+	Servers  int           `arg:"--servers" default:"3" help:"control plane servers, each a process"`
+	Tolerate int           `arg:"--tolerate" default:"0" help:"servers that may be lost at once, which sets the members of each group; 0: as many as leave a majority"`
 	Edges    int           `arg:"--edges" default:"1" help:"nodes with a real agent and proxy, each a process; the others are hollow"`
 	Routes   int           `arg:"--routes" default:"3700" help:"routes of the configuration, as many as tenants"`
 	WarmUp   time.Duration `arg:"--settle" default:"20s" help:"after the start of a size, before it is measured"`
@@ -47,11 +48,11 @@
 	Plot     string        `arg:"--plot" help:"file for the plot (SVG)"`
 }
 
-// run plays the sizes and shows what they took.
-func (c *scaleCommand) run(out, errors io.Writer) int {
-	plan, err := c.plan(out)
+// run measures each size and prints the results.
+func (c *scaleCommand) run(stdout, stderr io.Writer) int {
+	plan, err := c.plan(stdout)
 	if err != nil {
-		fmt.Fprintln(errors, "measure scale:", err)
+		fmt.Fprintln(stderr, "measure scale:", err)
 		return exitUsage
 	}
 	defer os.RemoveAll(plan.Directory)
@@ -59,12 +60,12 @@
 	defer stop()
 	result, err := scalerun.Play(ctx, plan)
 	result.Command, result.Build = c.commandLine(), buildRevision()
-	result.WriteText(out)
+	result.WriteText(stdout)
 	if err != nil {
-		fmt.Fprintln(errors, "measure scale:", err)
+		fmt.Fprintln(stderr, "measure scale:", err)
 	}
 	if failure := c.writeFiles(result); failure != nil {
-		fmt.Fprintln(errors, "measure scale:", failure)
+		fmt.Fprintln(stderr, "measure scale:", failure)
 		return exitFault
 	}
 	if err != nil {
@@ -73,8 +74,8 @@
 	return exitOK
 }
 
-// plan checks the flags and prepares a directory.
-func (c *scaleCommand) plan(out io.Writer) (scalerun.Plan, error) {
+// plan validates the flags and creates the working directory.
+func (c *scaleCommand) plan(stdout io.Writer) (scalerun.Plan, error) {
 	sizes, err := scalereport.ParseSizes(c.Sizes)
 	if err != nil {
 		return scalerun.Plan{}, err
@@ -84,7 +85,7 @@
 		return scalerun.Plan{}, err
 	}
 	if c.Servers < 1 || c.Edges < 0 || c.Routes < 1 || c.Window <= 0 || c.Windows < 1 || c.FarLoss < 0 || c.FarLoss >= 1 {
-		return scalerun.Plan{}, fmt.Errorf("keepers, routes, window and windows must be positive, edges not negative, far-loss from 0 to under 1")
+		return scalerun.Plan{}, fmt.Errorf("servers, routes, window and windows must be positive, edges not negative, far-loss from 0 to under 1")
 	}
 	binary, err := os.Executable()
 	if err != nil {
@@ -96,17 +97,17 @@
 	}
 	return scalerun.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Keepers: c.Servers, Tolerance: c.Tolerate, Edges: c.Edges,
 		Routes: c.Routes, Settle: c.WarmUp, Window: c.Window, Windows: c.Windows, Changes: c.Changes, FarEvery: c.FarEvery,
-		Far: localfleet.Link{Delay: c.FarDelay, Loss: c.FarLoss}, Heartbeat: scaleHeartbeat, Limit: c.Limit, Progress: out}, nil
+		Far: localfleet.Link{Delay: c.FarDelay, Loss: c.FarLoss}, Heartbeat: scaleHeartbeat, Limit: c.Limit, Progress: stdout}, nil
 }
 
-// commandLine is the command line that was played, with all defaults.
+// commandLine returns the command line with the defaults filled in, for the report.
 func (c *scaleCommand) commandLine() string {
-	words := []string{"inference-router measure scale --sizes", c.Sizes, "--keepers", fmt.Sprint(c.Servers), "--tolerate", fmt.Sprint(c.Tolerate), "--edges", fmt.Sprint(c.Edges),
+	words := []string{"inference-router measure scale --sizes", c.Sizes, "--servers", fmt.Sprint(c.Servers), "--tolerate", fmt.Sprint(c.Tolerate), "--edges", fmt.Sprint(c.Edges),
 		"--routes", fmt.Sprint(c.Routes), "--window", c.Window.String(), "--windows", fmt.Sprint(c.Windows), "--changes", fmt.Sprint(c.Changes)}
 	return strings.Join(words, " ")
 }
 
-// buildRevision names the sources of this program as the build noted them.
+// buildRevision returns the source revision that the build recorded, "unknown" without one.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -125,7 +126,7 @@
 	return named["vcs.revision"]
 }
 
-// writeFiles writes the files that are asked for.
+// writeFiles writes the files that the flags ask for.
 func (c *scaleCommand) writeFiles(result scalereport.Result) error {
 	files := []struct {
 		path  string
--- a/cmd/inference-router/measure_catchup.go
+++ b/cmd/inference-router/measure_catchup.go
@@ -13,7 +13,7 @@
 	"ospreybend/internal/testkit/catchupbench"
 )
 
-// catchupCommand are the flags of measure catchup.
+// catchupCommand holds the flags of measure catchup.
 type catchupCommand struct {
 	Absences     string        `arg:"--away" default:"100ms,300ms,1s,3s,10s,30s,60s" help:"spans joined by commas that a member is away; the changes of that time are made as fast as the group takes them"`
 	Routes       int           `arg:"--routes" default:"450" help:"routes of the configuration"`
@@ -24,16 +24,16 @@
 	Plot         string        `arg:"--plot" help:"file for the plot (SVG)"`
 }
 
-// run measures all returns and shows what they took.
-func (c *catchupCommand) run(out, errors io.Writer) int {
+// run measures each absence and prints the results.
+func (c *catchupCommand) run(stdout, stderr io.Writer) int {
 	absences, err := parseDurations(c.Absences)
 	if err != nil || c.Routes < 1 || c.Rate < 1 || c.ReplaceEvery < 1 || c.Limit <= 0 {
-		fmt.Fprintln(errors, "measure catchup: away must be spans joined by commas; routes, rate, replace-every and limit must be positive")
+		fmt.Fprintln(stderr, "measure catchup: away must be spans joined by commas; routes, rate, replace-every and limit must be positive")
 		return exitUsage
 	}
 	directory, err := os.MkdirTemp("", "inference-router-catchup-")
 	if err != nil {
-		fmt.Fprintln(errors, "measure catchup:", err)
+		fmt.Fprintln(stderr, "measure catchup:", err)
 		return exitFault
 	}
 	defer os.RemoveAll(directory)
@@ -42,13 +42,13 @@
 	result := catchupbench.Result{Build: buildRevision(), Command: fmt.Sprintf("inference-router measure catchup --away %s --routes %d --rate %d --replace-every %d",
 		c.Absences, c.Routes, c.Rate, c.ReplaceEvery)}
 	result.Steps, err = catchupbench.Play(ctx, catchupbench.Plan{Directory: directory, Routes: c.Routes, Rate: c.Rate, ReplaceEvery: c.ReplaceEvery,
-		Away: absences, Limit: c.Limit, Progress: out})
+		Away: absences, Limit: c.Limit, Progress: stdout})
 	if err != nil {
-		fmt.Fprintln(errors, "measure catchup:", err)
+		fmt.Fprintln(stderr, "measure catchup:", err)
 	}
-	fmt.Fprintf(out, "%d returns, the slowest took %v\n", len(result.Steps), result.Slowest().Round(time.Millisecond))
+	fmt.Fprintf(stdout, "%d returns, the slowest took %v\n", len(result.Steps), result.Slowest().Round(time.Millisecond))
 	if failure := c.writeFiles(result); failure != nil {
-		fmt.Fprintln(errors, "measure catchup:", failure)
+		fmt.Fprintln(stderr, "measure catchup:", failure)
 		return exitFault
 	}
 	if err != nil {
@@ -57,7 +57,7 @@
 	return exitOK
 }
 
-// writeFiles writes the files that are asked for.
+// writeFiles writes the files that the flags ask for.
 func (c *catchupCommand) writeFiles(result catchupbench.Result) error {
 	if c.JSON != "" {
 		if err := writeFile(c.JSON, result.WriteJSON); err != nil {
@@ -70,7 +70,7 @@
 	return writeFile(c.Plot, result.WriteSVG)
 }
 
-// parseDurations reads spans joined by commas.
+// parseDurations parses durations separated by commas.
 func parseDurations(text string) ([]time.Duration, error) {
 	var durations []time.Duration
 	for _, one := range strings.Split(text, ",") {
--- a/cmd/inference-router/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -17,17 +17,17 @@
 	"ospreybend/internal/testkit/scalerun"
 )
 
-// simulateCommand are the flags of measure simulate.
+// simulateCommand holds the flags of measure simulate.
 type simulateCommand struct {
-	Servers       string        `arg:"--keepers" default:"3,5,9" help:"counts of keepers joined by commas, one part of the campaign each"`
-	Tolerate      int           `arg:"--tolerate" default:"0" help:"keepers that may be lost at once; 0: as many as leave a majority"`
-	Schedules     int           `arg:"--schedules" default:"200" help:"for each count of keepers, and at most for each guard that is left out"`
+	Servers       string        `arg:"--servers" default:"3,5,9" help:"counts of servers joined by commas, one part of the campaign each"`
+	Tolerate      int           `arg:"--tolerate" default:"0" help:"servers that may be lost at once; 0: as many as leave a majority"`
+	Schedules     int           `arg:"--schedules" default:"200" help:"for each count of servers, and at most for each guard that is left out"`
 	Seed          uint64        `arg:"--seed" default:"1" help:"of the first schedule; the others follow"`
 	Length        time.Duration `arg:"--length" default:"45s" help:"simulated time in which faults and orders come"`
 	Agents        int           `arg:"--agents" default:"4"`
 	Operators     int           `arg:"--operators" default:"2"`
 	Workers       int           `arg:"--workers" default:"6"`
-	SlowDisks     bool          `arg:"--slow-disks" help:"all disks are slow now and then, and all keepers lose power amid it"`
+	SlowDisks     bool          `arg:"--slow-disks" help:"all disks are slow now and then, and all servers lose power amid it"`
 	Omit          []string      `arg:"--omit,separate" help:"guard to leave out, played until its absence is found; may be given again, each is a part of its own"`
 	Schedule      string        `arg:"--schedule" help:"file with one schedule, which alone is played"`
 	Processes     int           `arg:"--processes" default:"0" help:"that play at once, each on one core; 0: half as many as there are cores"`
@@ -37,24 +37,24 @@
 	JSON          string        `arg:"--json" help:"file for the whole result"`
 }
 
-// run plays schedules of the simulated control plane and shows what they broke.
-func (c *simulateCommand) run(out, errors io.Writer) int {
+// run plays the schedules and prints the violations. The exit code is exitFault if there is any, or if an omitted guard was not missed.
+func (c *simulateCommand) run(stdout, stderr io.Writer) int {
 	shapes, err := c.shapes()
 	if err != nil {
-		fmt.Fprintln(errors, "measure simulate:", err)
+		fmt.Fprintln(stderr, "measure simulate:", err)
 		return exitUsage
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	result := campaign.Result{Command: c.commandLine(), Build: buildRevision(), Load: fmt.Sprint(scalerun.LoadAverage())}
-	result.Parts, err = c.play(ctx, shapes, out)
-	result.WriteText(out)
+	result.Parts, err = c.play(ctx, shapes, stdout)
+	result.WriteText(stdout)
 	if err != nil {
-		fmt.Fprintln(errors, "measure simulate:", err)
+		fmt.Fprintln(stderr, "measure simulate:", err)
 	}
 	if c.JSON != "" {
 		if failure := writeFile(c.JSON, result.WriteJSON); failure != nil {
-			fmt.Fprintln(errors, "measure simulate:", failure)
+			fmt.Fprintln(stderr, "measure simulate:", failure)
 			return exitFault
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 // play builds the simulation and plays the campaign, or the one schedule of a file.
-func (c *simulateCommand) play(ctx context.Context, shapes []schedule.Shape, out io.Writer) ([]campaign.Part, error) {
+func (c *simulateCommand) play(ctx context.Context, shapes []schedule.Shape, stdout io.Writer) ([]campaign.Part, error) {
 	var text []byte
 	if c.Schedule != "" {
 		var err error
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(directory)
-	fmt.Fprintln(out, "building the simulation")
+	fmt.Fprintln(stdout, "building the simulation")
 	binary, err := campaign.Build(ctx, directory)
 	if err != nil {
 		return nil, err
@@ -89,10 +89,10 @@
 		return []campaign.Part{part}, err
 	}
 	return campaign.Play(ctx, campaign.Plan{Player: player, Shapes: shapes, First: c.Seed, Schedules: c.Schedules, Processes: c.processes(),
-		Shrink: c.Shrink, MostFound: c.MaxViolations, Progress: out})
+		Shrink: c.Shrink, MostFound: c.MaxViolations, Progress: stdout})
 }
 
-// shapes are the parts that the flags ask for: each count of keepers, without each guard that is left out.
+// shapes returns the parts of the campaign: each number of servers, without each of the omitted guards.
 func (c *simulateCommand) shapes() ([]schedule.Shape, error) {
 	if c.Tolerate < 0 || c.Schedules < 1 || c.Length <= 0 || c.Agents < 1 || c.Operators < 1 || c.Workers < 0 || c.Processes < 0 || c.Limit <= 0 {
 		return nil, fmt.Errorf("schedules, length, agents, operators and limit must be positive, the other counts not negative")
@@ -101,7 +101,7 @@
 	for _, word := range strings.Split(c.Servers, ",") {
 		servers, err := strconv.Atoi(word)
 		if err != nil || servers < 1 {
-			return nil, fmt.Errorf("keepers must be positive numbers joined by commas, not %q", c.Servers)
+			return nil, fmt.Errorf("servers must be positive numbers joined by commas, not %q", c.Servers)
 		}
 		shape := schedule.Shape{Keepers: servers, Tolerance: c.tolerance(servers), Agents: c.Agents, Operators: c.Operators, Workers: c.Workers, Length: c.Length,
 			SlowDisks: c.SlowDisks}
@@ -116,7 +116,7 @@
 	return shapes, nil
 }
 
-// tolerance is how many of the keepers may be lost at once.
+// tolerance returns how many of the servers may be lost at once.
 func (c *simulateCommand) tolerance(servers int) int {
 	if c.Tolerate > 0 {
 		return c.Tolerate
@@ -124,7 +124,7 @@
 	return (servers - 1) / 2
 }
 
-// processes is how many play at once.
+// processes returns how many schedules play at once.
 func (c *simulateCommand) processes() int {
 	if c.Processes > 0 {
 		return c.Processes
@@ -132,12 +132,12 @@
 	return max(1, runtime.NumCPU()/2)
 }
 
-// commandLine is the command line that was played, with the defaults that decide what is drawn.
+// commandLine returns the command line with the defaults that determine the schedules, for the report.
 func (c *simulateCommand) commandLine() string {
 	if c.Schedule != "" {
 		return "inference-router measure simulate --schedule " + c.Schedule
 	}
-	text := fmt.Sprintf("inference-router measure simulate --keepers %s --tolerate %d --schedules %d --seed %d --length %v --agents %d --operators %d --workers %d --processes %d",
+	text := fmt.Sprintf("inference-router measure simulate --servers %s --tolerate %d --schedules %d --seed %d --length %v --agents %d --operators %d --workers %d --processes %d",
 		c.Servers, c.Tolerate, c.Schedules, c.Seed, c.Length, c.Agents, c.Operators, c.Workers, c.processes())
 	if c.SlowDisks {
 		text += " --slow-disks"
--- a/cmd/inference-router/measure_traffic.go
+++ b/cmd/inference-router/measure_traffic.go
@@ -14,7 +14,7 @@
 	"ospreybend/internal/testkit/scalerun"
 )
 
-// trafficCommand are the flags of measure traffic.
+// trafficCommand holds the flags of measure traffic.
 type trafficCommand struct {
 	Rates     string        `arg:"--rates" default:"3x20,6x200,12x200,12x20,24x100" help:"REQUESTSxTOKENS joined by commas: requests a second and the tokens of each, an event a token"`
 	Target    string        `arg:"--target" default:"12x207" help:"rate that the processor is carried to"`
@@ -26,23 +26,23 @@
 	JSON      string        `arg:"--json" help:"file for the whole result"`
 }
 
-// run gives one proxy rates of requests and shows what they took.
-func (c *trafficCommand) run(out, errors io.Writer) int {
+// run measures each rate and prints the results.
+func (c *trafficCommand) run(stdout, stderr io.Writer) int {
 	rates, err := scalereport.ParseRates(c.Rates)
 	target, failure := scalereport.ParseRates(c.Target)
 	if err != nil || failure != nil || c.Workers < 1 || c.Windows < 1 || c.Window <= 0 || c.TokenTime <= 0 {
-		fmt.Fprintln(errors, "measure traffic: workers, token-time, window and windows must be positive;", scalereport.ErrRates)
+		fmt.Fprintln(stderr, "measure traffic: workers, token-time, window and windows must be positive;", scalereport.ErrRates)
 		return exitUsage
 	}
 	directory, err := os.MkdirTemp("", "inference-router-traffic-")
 	if err != nil {
-		fmt.Fprintln(errors, "measure traffic:", err)
+		fmt.Fprintln(stderr, "measure traffic:", err)
 		return exitFault
 	}
 	defer os.RemoveAll(directory)
 	binary, err := os.Executable()
 	if err != nil {
-		fmt.Fprintln(errors, "measure traffic:", err)
+		fmt.Fprintln(stderr, "measure traffic:", err)
 		return exitFault
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -50,17 +50,17 @@
 	result := scalereport.TrafficResult{Build: buildRevision(), Target: target[0], Machine: fmt.Sprintf("%d processors", runtime.NumCPU()), Load: scalerun.LoadAverage(),
 		Command: fmt.Sprintf("inference-router measure traffic --rates %s --workers %d --token-time %v", c.Rates, c.Workers, c.TokenTime)}
 	result.Steps, err = scalerun.PlayTraffic(ctx, scalerun.TrafficPlan{Binary: binary, Directory: directory, Rates: rates, Workers: c.Workers,
-		TokenTime: c.TokenTime, Window: c.Window, Windows: c.Windows, Limit: c.Limit, Progress: out})
+		TokenTime: c.TokenTime, Window: c.Window, Windows: c.Windows, Limit: c.Limit, Progress: stdout})
 	if err != nil {
-		fmt.Fprintln(errors, "measure traffic:", err)
+		fmt.Fprintln(stderr, "measure traffic:", err)
 		return exitFault
 	}
 	if result.Conclude() {
-		result.WriteText(out)
+		result.WriteText(stdout)
 	}
 	if c.JSON != "" {
 		if err := writeFile(c.JSON, result.WriteJSON); err != nil {
-			fmt.Fprintln(errors, "measure traffic:", err)
+			fmt.Fprintln(stderr, "measure traffic:", err)
 			return exitFault
 		}
 	}
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -34,9 +34,9 @@
 	return s, lost
 }
 
-// deregister deregisters an instance and returns the status.
-func deregister(t *testing.T, s *Server, id string) int {
-	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: id}).Status
+// deregister deregisters the present instance and returns the status.
+func deregister(t *testing.T, s *Server) int {
+	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: presentID}).Status
 }
 
 // TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard deregisters an instance that is not known, while one shard accepts nothing.
@@ -46,12 +46,12 @@
 	home := shards.ForService(presentService)
 	lost[home] = true
 	for range 2 {
-		if status := deregister(t, s, presentID); status == http.StatusOK {
+		if status := deregister(t, s); status == http.StatusOK {
 			t.Fatal("acknowledged though its service's shard does not remember it")
 		}
 	}
 	lost[home] = false
-	if status := deregister(t, s, presentID); status != http.StatusOK {
+	if status := deregister(t, s); status != http.StatusOK {
 		t.Fatal(status)
 	}
 	late := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 9))})
@@ -69,7 +69,7 @@
 		lost[id] = id != home
 	}
 	for range 2 {
-		if status := deregister(t, s, presentID); status != http.StatusOK {
+		if status := deregister(t, s); status != http.StatusOK {
 			t.Fatal(status)
 		}
 	}
@@ -86,7 +86,7 @@
 		call := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", sequence))}
 		return s.Handle(timeoutContext(t), call).Status
 	}
-	if tell(1) != http.StatusOK || deregister(t, s, presentID) != http.StatusOK {
+	if tell(1) != http.StatusOK || deregister(t, s) != http.StatusOK {
 		t.Fatal("it was not registered, or not removed")
 	}
 	lost[home] = true // an entry would come to nothing
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -8,14 +8,20 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// sendJoinRequest plays a request to join one shard's group.
-func sendJoinRequest(t *testing.T, s *Server, shard shards.ID, id consensus.MemberID, address string) {
+// The join requests of the tests concern one shard and come from one address.
+const (
+	joinedShard    = shards.ID(1)
+	joiningAddress = "k3"
+)
+
+// sendJoinRequest has a server receive the join request of a member.
+func sendJoinRequest(t *testing.T, s *Server, id consensus.MemberID) {
 	t.Helper()
-	body, err := codec.Marshal(groupsSchema, []groupState{{Shard: int(shard), Current: true, Writable: true}})
+	body, err := codec.Marshal(groupsSchema, []groupState{{Shard: int(joinedShard), Current: true, Writable: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.receiveJoin(peertransport.Hello{Address: address, Member: id}, body); err != nil {
+	if _, err := s.receiveJoin(peertransport.Hello{Address: joiningAddress, Member: id}, body); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -8,7 +8,6 @@
 
 	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
-	"ospreybend/coord/shards"
 	"ospreybend/internal/controlplane/peertransport"
 )
 
@@ -90,14 +89,14 @@
 }
 
 func TestServer_ReceiveJoin_lateRequestOfFormerMemberRemovesNobody(t *testing.T) {
-	const id, former, living = shards.ID(1), consensus.MemberID(30), consensus.MemberID(31)
+	const id, former, living = joinedShard, consensus.MemberID(30), consensus.MemberID(31)
 	for _, omit := range [][]Guard{nil, {GuardIdentityAsked}} {
 		s, _, _ := newScriptedServer(t)
 		s.environment.OmitGuards = omit
 		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
 		group := newChangingGroup(voter(1), voter(2), consensus.Member{ID: living, Address: "k3", Voter: true})
 		s.shards[id].group = group
-		sendJoinRequest(t, s, id, former, "k3")
+		sendJoinRequest(t, s, former)
 		waitForReconcile(t, s, s.shards[id])
 		removed := len(group.changes) > 0
 		if removed != (omit != nil) {
@@ -110,19 +109,19 @@
 }
 
 func TestServer_ReceiveJoin_memberWithLostDiskIsReplacedAndRetired(t *testing.T) {
-	const id, former, living = shards.ID(1), consensus.MemberID(3), consensus.MemberID(31)
+	const id, former, living = joinedShard, consensus.MemberID(3), consensus.MemberID(31)
 	s, _, _ := newScriptedServer(t)
 	s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
 	group := newChangingGroup(voter(1), voter(2), voter(former))
 	s.shards[id].group = group
-	sendJoinRequest(t, s, id, living, "k3")
+	sendJoinRequest(t, s, living)
 	waitForReconcile(t, s, s.shards[id])
 	for _, want := range []replica.MembershipChange{{Remove: former, Retire: true}, {Add: &consensus.Member{ID: living, Address: "k3"}}} {
 		if got := <-group.changes; !sameChange(got, want) {
 			t.Fatalf("got %s, want %s", changeText(got), changeText(want))
 		}
 	}
-	sendJoinRequest(t, s, id, former, "k3") // late
+	sendJoinRequest(t, s, former) // late
 	waitForReconcile(t, s, s.shards[id])
 	if len(group.changes) > 0 {
 		t.Fatalf("a retired member came back: %s", changeText(<-group.changes))
@@ -130,19 +129,19 @@
 }
 
 func TestServer_ReceiveJoin_serverShuttingDownIsNotAdded(t *testing.T) {
-	const id = shards.ID(1)
+	const id = joinedShard
 	s, _, _ := newScriptedServer(t)
 	network := &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, ShuttingDown: true}}}
 	s.peers.network = network
 	group := newChangingGroup(voter(1), voter(2))
 	s.shards[id].group = group
-	sendJoinRequest(t, s, id, 3, "k3")
+	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if len(group.changes) > 0 {
 		t.Fatalf("it is taken in: %s", changeText(<-group.changes))
 	}
 	network.identities["k3"] = identityReply{ID: 3}
-	sendJoinRequest(t, s, id, 3, "k3")
+	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if got := <-group.changes; got.Add == nil || got.Add.ID != 3 || got.Add.Voter {
 		t.Fatalf("got %s", changeText(got))
@@ -151,7 +150,7 @@
 
 func TestServer_Reconcile_vacancyOfLostVoterIsFilledAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const id = shards.ID(1)
+		const id = joinedShard
 		s, _, _ := newScriptedServer(t)
 		s.settings.FaultTolerance.Machines = 1
 		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 31}}}
@@ -159,7 +158,7 @@
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
 		began := time.Now()
-		sendJoinRequest(t, s, id, 31, "k3") // member 3 has lost its disk
+		sendJoinRequest(t, s, 31) // member 3 has lost its disk
 		waitForReconcile(t, s, s.shards[id])
 		if took := time.Since(began); took > vacancyFillTimeout {
 			t.Fatalf("taken after %s", took)
