--- a/internal/controlplane/server/broadcast.go
+++ b/internal/controlplane/server/broadcast.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// broadcast wakes goroutines at the next change of something. A waiter takes the channel of changed first, then looks at the
+// broadcast wakes goroutines at the next change of something. A waiter takes the channel of next first, then looks at the
 // state, then waits: no change between the look and the wait is missed.
 type broadcast struct {
-	mutex sync.Mutex
-	next  chan struct{}
+	mutex   sync.Mutex
+	pending chan struct{} // closed by the next notifyAll; nil: nobody waits
 }
 
-// changed returns a channel that the next notifyAll closes.
-func (b *broadcast) changed() <-chan struct{} {
+// next returns a channel that the next notifyAll closes.
+func (b *broadcast) next() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.next == nil {
-		b.next = make(chan struct{})
+	if b.pending == nil {
+		b.pending = make(chan struct{})
 	}
-	return b.next
+	return b.pending
 }
 
 // notifyAll wakes all current waiters.
 func (b *broadcast) notifyAll() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.next != nil {
-		close(b.next)
-		b.next = nil
+	if b.pending != nil {
+		close(b.pending)
+		b.pending = nil
 	}
 }
 
--- a/internal/controlplane/server/configuration_machine.go
+++ b/internal/controlplane/server/configuration_machine.go
@@ -7,15 +7,15 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// configurationMachine is the state machine of the configuration shard. It has no state of an owner: any replica that has
-// applied an entry can serve it.
+// configurationMachine is the state machine of the configuration shard. Unlike a registryMachine it has no state of an owner.
 type configurationMachine struct {
 	feedState
 	store *configuration.Store
 }
 
 func newConfigurationMachine(environment Environment) *configurationMachine {
-	return &configurationMachine{feedState: newFeedState(), store: configuration.NewStore(environment.OmitStore...)}
+	store := configuration.NewStore(environment.OmitStore...)
+	return &configurationMachine{feedState: newFeedState(store), store: store}
 }
 
 // Apply applies a committed change of the configuration; its result is a configuration.Outcome.
@@ -27,24 +27,6 @@
 	return outcome
 }
 
-// Snapshot returns the encoded state.
-func (m *configurationMachine) Snapshot() []byte {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.store.Snapshot()
-}
-
-// Restore replaces the state by a snapshot's. It returns an error if the snapshot cannot be decoded.
-func (m *configurationMachine) Restore(index uint64, data []byte) error {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	if err := m.store.Restore(data); err != nil {
-		return err
-	}
-	m.reset(index, m.store.Items())
-	return nil
-}
-
 // document returns the configuration in force as JSON.
 func (m *configurationMachine) document() []byte {
 	m.mutex.Lock()
--- a/internal/controlplane/server/feed_state.go
+++ b/internal/controlplane/server/feed_state.go
@@ -6,14 +6,42 @@
 	"ospreybend/coord/feed"
 )
 
-// feedState is the feed of one shard. Its mutex also guards the store that feeds it, so that both are always at the same
-// log index.
+// feedStore is the replicated store whose changes the feed shows.
+type feedStore interface {
+	Snapshot() []byte
+	Restore(data []byte) error
+	Items() []feed.Item
+}
+
+// feedState is what the state machines have in common: a shard's feed and the store behind it. One mutex guards both, so that
+// they are always at the same log index.
 type feedState struct {
-	mutex  sync.Mutex
-	buffer *feed.Buffer
+	mutex     sync.Mutex
+	buffer    *feed.Buffer
+	feedStore feedStore
+}
+
+func newFeedState(store feedStore) feedState {
+	return feedState{buffer: feed.NewBuffer(feedBacklogBytes), feedStore: store}
 }
 
-func newFeedState() feedState { return feedState{buffer: feed.NewBuffer(feedBacklogBytes)} }
+// Snapshot returns the encoded state.
+func (f *feedState) Snapshot() []byte {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.feedStore.Snapshot()
+}
+
+// Restore replaces the state by a snapshot's, and resets the feed to it. It returns an error if the snapshot cannot be decoded.
+func (f *feedState) Restore(index uint64, data []byte) error {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if err := f.feedStore.Restore(data); err != nil {
+		return err
+	}
+	f.buffer.Reset(feed.Snapshot{Index: index, Items: f.feedStore.Items()})
+	return nil
+}
 
 // changesSince returns the changes above an index, or a snapshot if they are no longer buffered; both are nil if there is none.
 func (f *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
@@ -22,6 +50,7 @@
 	return f.buffer.From(index)
 }
 
+// index returns the log index that the feed has reached.
 func (f *feedState) index() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -31,7 +60,3 @@
 // append adds the change of a log entry. The caller holds the mutex. Entries are applied in the order of their indexes, so the
 // buffer cannot reject one.
 func (f *feedState) append(change feed.Change) { _ = f.buffer.Append(change) }
-
-func (f *feedState) reset(index uint64, items []feed.Item) {
-	f.buffer.Reset(feed.Snapshot{Index: index, Items: items})
-}
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -30,12 +30,13 @@
 // has changed or cannot be reached, it waits and attempts again, until ctx ends. A request may therefore be executed more than
 // once: every request is idempotent by its base version or its sequence number.
 func (s *Server) forward(ctx context.Context, request shardRequest) shardResponse {
-	hint, avoid, asked, hints := "", "", false, 0
+	hint, avoid := "", ""
+	mayHaveExecuted, hintsFollowed := false, 0
 	for attempt := 0; ; attempt++ {
 		if hint != "" {
-			hints++
+			hintsFollowed++
 		}
-		if hints > maxOwnerHints {
+		if hintsFollowed > maxOwnerHints {
 			hint = ""
 		}
 		to, err := s.awaitOwner(ctx, request.Shard, hint, avoid, attempt)
@@ -48,12 +49,12 @@
 			return reply
 		}
 		if err != nil {
-			asked = asked || !errors.Is(err, peertransport.ErrNotSent)
+			mayHaveExecuted = mayHaveExecuted || !errors.Is(err, peertransport.ErrNotSent)
 			avoid = to.address
 		}
 		hint = reply.Leader
 	}
-	if asked {
+	if mayHaveExecuted {
 		return errorResponse(OutcomeUnknown)
 	}
 	return errorResponse(NoOwner)
@@ -73,7 +74,7 @@
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(s.leaderContext(s.shards[request.Shard]), cancel)()
+		defer context.AfterFunc(s.shards[request.Shard].untilLeaderChanges(), cancel)()
 	}
 	reply, err := s.peers.network.Call(ctx, to.address, request.Kind, body)
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 	startedAt := s.environment.Now()
 	for pauses := 0; ; pauses++ {
-		changed := s.ownersChanged.changed()
+		changed := s.ownersChanged.next()
 		if pauses > maxAvoidPauses {
 			avoid = ""
 		}
@@ -129,9 +130,9 @@
 }
 
 // forwardInBackground forwards a request with a timeout and discards the response.
-func (s *Server) forwardInBackground(ctx context.Context, request shardRequest, within time.Duration) {
+func (s *Server) forwardInBackground(ctx context.Context, request shardRequest, timeout time.Duration) {
 	s.lifecycle.background.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, within)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		s.forward(ctx, request)
 	})
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -61,8 +61,8 @@
 	for len(remaining) > 0 {
 		var waitGroup sync.WaitGroup
 		var mutex sync.Mutex
-		votes, notLed := s.votesByLeader(ctx, remaining)
-		for address, votes := range votes {
+		votesByLeader, notLed := s.votesByLeader(ctx, remaining)
+		for address, votes := range votesByLeader {
 			waitGroup.Go(func() {
 				rejected := s.requestRelease(ctx, address, votes)
 				mutex.Lock()
--- a/internal/controlplane/server/maintenance.go
+++ b/internal/controlplane/server/maintenance.go
@@ -51,7 +51,7 @@
 		return
 	}
 	s.lifecycle.background.Go(func() {
-		ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
+		ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, proposalTimeout)
 		defer cancel()
 		var group errgroup.Group
 		group.SetLimit(maxConcurrentProposals)
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -1,9 +1,7 @@
 package server
 
 import (
-	"cmp"
 	"context"
-	"slices"
 	"time"
 
 	"go.uber.org/zap"
@@ -14,21 +12,11 @@
 
 // startReconcile starts to reconcile a group's members with the desired ones, unless that is in progress or the server shuts down.
 func (s *Server) startReconcile(shard *shard) {
-	shard.mutex.Lock()
-	busy := shard.reconciling || s.lifecycle.shuttingDown.Load()
-	if !busy {
-		shard.reconciling = true
-	}
-	shard.mutex.Unlock()
-	if busy {
+	if s.lifecycle.shuttingDown.Load() || !shard.beginReconcile() {
 		return
 	}
 	s.lifecycle.background.Go(func() {
-		defer func() {
-			shard.mutex.Lock()
-			shard.reconciling = false
-			shard.mutex.Unlock()
-		}()
+		defer shard.endReconcile()
 		s.reconcile(shard)
 	})
 }
@@ -102,7 +90,7 @@
 
 // applyMembershipChange proposes a change to the group and reports whether it was committed in time.
 func (s *Server) applyMembershipChange(shard *shard, change replica.MembershipChange) bool {
-	ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, membershipChangeTimeout)
+	ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, proposalTimeout)
 	defer cancel()
 	err := shard.group.ChangeMembers(ctx, change)
 	s.logMembershipChange(shard, change, err)
@@ -122,50 +110,17 @@
 	if observed.voterCount() < len(observed.Members) {
 		observed.PromotableLearners = shard.group.PromotableLearners()
 	}
-	s.forgetReturnedMembers(shard, status, s.leavingMembers(shard, now))
-	observed.Stable = s.trackReadiness(shard, observed.PromotableLearners, now)
-	if observed.Leaving = s.leavingMembers(shard, now); len(observed.Leaving) > 0 {
+	s.forgetReturnedMembers(shard, status, shard.leavingMembers(now))
+	observed.Stable = shard.trackReadiness(observed.PromotableLearners, now)
+	if observed.Leaving = shard.leavingMembers(now); len(observed.Leaving) > 0 {
 		observed.Successors = s.successors(status)
 	}
 	return observed
 }
 
-// trackReadiness records since when learners have been promotable, and returns those that have been for stableAfter, the longest
-// first. After each membership change learners are not promotable for a moment, until they have acknowledged it: gaps of up to
-// readinessGap do not count.
-func (s *Server) trackReadiness(shard *shard, ready []consensus.MemberID, now time.Time) (steady []consensus.MemberID) {
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	if shard.learnerReadiness == nil {
-		shard.learnerReadiness = make(map[consensus.MemberID]readiness)
-	}
-	for _, id := range ready {
-		span, known := shard.learnerReadiness[id]
-		if !known {
-			span.since = now
-		}
-		span.lastSeen = now
-		shard.learnerReadiness[id] = span
-	}
-	for id, span := range shard.learnerReadiness {
-		switch {
-		case now.Sub(span.lastSeen) > readinessGap:
-			delete(shard.learnerReadiness, id)
-		case now.Sub(span.since) >= stableAfter:
-			steady = append(steady, id)
-		}
-	}
-	slices.SortFunc(steady, func(a, b consensus.MemberID) int {
-		return cmp.Or(shard.learnerReadiness[a].since.Compare(shard.learnerReadiness[b].since), cmp.Compare(a, b))
-	})
-	return steady
-}
-
 // sinceHeard returns, for each member, how long nothing was received from its address.
 func (s *Server) sinceHeard(shard *shard, members []consensus.Member, now time.Time) map[consensus.MemberID]time.Duration {
-	shard.mutex.Lock()
-	leadingSince := shard.leadingSince
-	shard.mutex.Unlock()
+	leadingSince := shard.leadershipStart()
 	sinceHeard := make(map[consensus.MemberID]time.Duration, len(members))
 	for _, member := range members {
 		sinceHeard[member.ID] = timeSinceHeard(now, s.peers.network.LastReceived(member.Address), leadingSince)
@@ -184,6 +139,7 @@
 	return max(tolerated.Machines, tolerated.Zones, tolerated.Regions)
 }
 
+// logMembershipChange logs a membership change and, if it failed, why.
 func (s *Server) logMembershipChange(shard *shard, change replica.MembershipChange, err error) {
 	fields := []zap.Field{zap.Uint32("shard", uint32(shard.id)), zap.Error(err)}
 	if change.Add != nil {
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -297,14 +297,14 @@
 	return false
 }
 
-// TestServer_TrackReadiness_longestReadyFirst fixes the order in which learners become voters: one whose disk hung is
+// TestShard_TrackReadiness_longestReadyFirst fixes the order in which learners become voters: one whose disk hung is
 // ready anew, and after the others.
-func TestServer_TrackReadiness_longestReadyFirst(t *testing.T) {
+func TestShard_TrackReadiness_longestReadyFirst(t *testing.T) {
 	s, _, _ := newScriptedServer(t)
 	shard := s.shards[1]
 	start := time.Now()
 	at := func(after time.Duration, ready ...consensus.MemberID) []consensus.MemberID {
-		return s.trackReadiness(shard, ready, start.Add(after))
+		return shard.trackReadiness(ready, start.Add(after))
 	}
 	at(0, 4, 5)
 	later := readinessGap + time.Millisecond
--- a/internal/controlplane/server/peer_handler.go
+++ b/internal/controlplane/server/peer_handler.go
@@ -35,9 +35,9 @@
 	case callGroupStates:
 		return codec.Marshal(groupsSchema, s.groupStates())
 	}
-	c, err := decodeShardRequest(body)
+	request, err := decodeShardRequest(body)
 	if err != nil {
 		return nil, err
 	}
-	return encodeShardResponse(s.execute(ctx, c))
+	return encodeShardResponse(s.execute(ctx, request))
 }
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -21,8 +21,9 @@
 }
 
 func newRegistryMachine(heartbeatInterval time.Duration, environment Environment) *registryMachine {
+	store := registry.NewStore()
 	return &registryMachine{
-		feedState: newFeedState(), store: registry.NewStore(),
+		feedState: newFeedState(store), store: store,
 		owner: registry.NewLivenessTracker(heartbeatInterval, registry.LivenessOptions{}), now: environment.Now, guardEnabled: environment.guardEnabled,
 	}
 }
@@ -38,24 +39,6 @@
 	return outcome
 }
 
-// Snapshot returns the encoded state.
-func (m *registryMachine) Snapshot() []byte {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.store.Snapshot()
-}
-
-// Restore replaces the state by a snapshot's. It returns an error if the snapshot cannot be decoded.
-func (m *registryMachine) Restore(index uint64, data []byte) error {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	if err := m.store.Restore(data); err != nil {
-		return err
-	}
-	m.reset(index, m.store.Items())
-	return nil
-}
-
 // setLeaderTerm records the term in which this replica leads, 0 if it does not. The ownership ends when the term changes.
 func (m *registryMachine) setLeaderTerm(term uint64) {
 	m.mutex.Lock()
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -1,7 +1,9 @@
 package server
 
 import (
+	"cmp"
 	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -58,6 +60,140 @@
 // readiness is the span in which a learner was promotable without a gap longer than readinessGap.
 type readiness struct{ since, lastSeen time.Time }
 
+// setLeader records the leader of the shard. When it changes, the calls to the earlier one are canceled.
+func (s *shard) setLeader(leader consensus.Member) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.leader == leader && s.leaderContext != nil {
+		return
+	}
+	if s.cancelLeaderContext != nil {
+		s.cancelLeaderContext()
+	}
+	s.leader = leader
+	s.leaderContext, s.cancelLeaderContext = context.WithCancel(context.Background())
+}
+
+// untilLeaderChanges returns a context that ends when the shard has another leader.
+func (s *shard) untilLeaderChanges() context.Context {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.leaderContext == nil {
+		return context.Background()
+	}
+	return s.leaderContext
+}
+
+// setLeading records whether this replica leads the shard, and reports whether it has just become the leader.
+func (s *shard) setLeading(leads bool, now time.Time) (begun bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	begun = leads && s.leadingSince.IsZero()
+	switch {
+	case begun:
+		s.leadingSince = now
+	case !leads:
+		s.leadingSince = time.Time{}
+	}
+	return begun
+}
+
+// leadershipStart returns since when this replica leads the shard, zero if it does not.
+func (s *shard) leadershipStart() time.Time {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.leadingSince
+}
+
+// beginReconcile reports whether a reconcile may start: only one runs at a time.
+func (s *shard) beginReconcile() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.reconciling {
+		return false
+	}
+	s.reconciling = true
+	return true
+}
+
+// endReconcile ends what beginReconcile has begun.
+func (s *shard) endReconcile() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.reconciling = false
+}
+
+// isReconciling reports whether a membership change may be in progress that is not committed yet.
+func (s *shard) isReconciling() bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.reconciling
+}
+
+// recordLeaving records that a member is shutting down.
+func (s *shard) recordLeaving(member consensus.MemberID, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.leavingNotices == nil {
+		s.leavingNotices = make(map[consensus.MemberID]time.Time)
+	}
+	s.leavingNotices[member] = now
+}
+
+// forgetLeaving drops a member's notice.
+func (s *shard) forgetLeaving(member consensus.MemberID) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.leavingNotices, member)
+}
+
+// leavingMembers returns the members that announced a shutdown within leavingNoticeMaxAge, sorted.
+func (s *shard) leavingMembers(now time.Time) []consensus.MemberID {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	var found []consensus.MemberID
+	for member, at := range s.leavingNotices {
+		if now.Sub(at) > leavingNoticeMaxAge {
+			delete(s.leavingNotices, member)
+			continue
+		}
+		found = append(found, member)
+	}
+	slices.Sort(found)
+	return found
+}
+
+// trackReadiness records since when learners have been promotable, and returns those that have been for stableAfter, the longest
+// first. After each membership change learners are not promotable for a moment, until they have acknowledged it: gaps of up to
+// readinessGap do not count.
+func (s *shard) trackReadiness(promotable []consensus.MemberID, now time.Time) (stable []consensus.MemberID) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.learnerReadiness == nil {
+		s.learnerReadiness = make(map[consensus.MemberID]readiness)
+	}
+	for _, id := range promotable {
+		span, known := s.learnerReadiness[id]
+		if !known {
+			span.since = now
+		}
+		span.lastSeen = now
+		s.learnerReadiness[id] = span
+	}
+	for id, span := range s.learnerReadiness {
+		switch {
+		case now.Sub(span.lastSeen) > readinessGap:
+			delete(s.learnerReadiness, id)
+		case now.Sub(span.since) >= stableAfter:
+			stable = append(stable, id)
+		}
+	}
+	slices.SortFunc(stable, func(a, b consensus.MemberID) int {
+		return cmp.Or(s.learnerReadiness[a].since.Compare(s.learnerReadiness[b].since), cmp.Compare(a, b))
+	})
+	return stable
+}
+
 // isCurrent reports whether a replica's contact with a majority was confirmed within currentMaxAge: it is then not known to be behind
 // the shard's owner.
 func isCurrent(status replica.Status) bool { return status.ConfirmedAge <= currentMaxAge }
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -97,7 +97,7 @@
 		return errorResponse(InternalFault)
 	}
 	for {
-		changed := s.ownersChanged.changed()
+		changed := s.ownersChanged.next()
 		decision, owned := machine.decideHeartbeat(s.environment.Now(), heartbeat)
 		if owned {
 			return s.applyDecision(ctx, request, decision)
@@ -170,7 +170,7 @@
 		return errorResponse(InternalFault)
 	}
 	for {
-		changed := s.ownersChanged.changed()
+		changed := s.ownersChanged.next()
 		decision, known, owned := machine.decideDeregister(s.environment.Now(), request.ID)
 		if owned {
 			reply := s.applyDecision(ctx, request, decision)
--- a/internal/controlplane/server/timing.go
+++ b/internal/controlplane/server/timing.go
@@ -43,7 +43,7 @@
 	maxEagerJoinRequests      = 40                     // sent at joinInterval, later ones at joinIdleInterval
 	currentMaxAge             = 800 * time.Millisecond // of the last contact with a majority of a current replica
 	contactLostAfter          = 1500 * time.Millisecond
-	membershipChangeTimeout   = 2 * time.Second        // of one membership change
+	proposalTimeout           = 2 * time.Second        // of one membership change, round of expiry or ownership barrier
 	joinRequestMaxAge         = 2 * time.Second        // a server that wants to join asks every joinInterval
 	voterTimeout              = 2 * time.Second        // a voter unresponsive for so long is replaced
 	missedHeartbeatsAge       = 300 * time.Millisecond // a voter unresponsive for longer has missed two heartbeats
--- a/internal/controlplane/server/vote_release.go
+++ b/internal/controlplane/server/vote_release.go
@@ -4,7 +4,6 @@
 	"context"
 	"slices"
 	"sync"
-	"time"
 
 	"ospreybend/coord/consensus"
 	"ospreybend/coord/replica"
@@ -27,7 +26,7 @@
 			continue
 		}
 		shard := s.shards[state.Shard]
-		s.recordLeaving(shard, peer.Member)
+		shard.recordLeaving(peer.Member, s.environment.Now())
 		waitGroup.Go(func() { s.awaitRelease(ctx, shard, peer.Member) })
 	}
 	waitGroup.Wait()
@@ -49,7 +48,7 @@
 		observed := s.observeGroup(shard, status)
 		_, found := nextMembershipChange(observed)
 		catchingUp := len(observed.Successors) > 0 && (isVoter(status, leaving) || observed.hasFillableVacancy())
-		if !found && !catchingUp && !s.isReconciling(shard) {
+		if !found && !catchingUp && !shard.isReconciling() {
 			return
 		}
 		s.startReconcile(shard)
@@ -59,40 +58,6 @@
 	}
 }
 
-// isReconciling reports whether a membership change may be in progress that is not committed yet.
-func (s *Server) isReconciling(shard *shard) bool {
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	return shard.reconciling
-}
-
-// recordLeaving records that a member is shutting down.
-func (s *Server) recordLeaving(shard *shard, member consensus.MemberID) {
-	now := s.environment.Now()
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	if shard.leavingNotices == nil {
-		shard.leavingNotices = make(map[consensus.MemberID]time.Time)
-	}
-	shard.leavingNotices[member] = now
-}
-
-// leavingMembers returns the members that announced a shutdown within leavingNoticeMaxAge, sorted.
-func (s *Server) leavingMembers(shard *shard, now time.Time) []consensus.MemberID {
-	shard.mutex.Lock()
-	defer shard.mutex.Unlock()
-	var found []consensus.MemberID
-	for member, at := range shard.leavingNotices {
-		if now.Sub(at) > leavingNoticeMaxAge {
-			delete(shard.leavingNotices, member)
-			continue
-		}
-		found = append(found, member)
-	}
-	slices.Sort(found)
-	return found
-}
-
 // forgetReturnedMembers drops the notices of members whose process runs again under the same ID: they only restarted, and keep
 // their votes.
 func (s *Server) forgetReturnedMembers(shard *shard, status replica.Status, leaving []consensus.MemberID) {
@@ -100,12 +65,10 @@
 		if !slices.Contains(leaving, member.ID) {
 			continue
 		}
-		if identity, err := s.queryIdentity(s.lifecycle.backgroundContext, member.Address); err != nil || identity.ID != member.ID || identity.ShuttingDown {
-			continue
+		identity, err := s.queryIdentity(s.lifecycle.backgroundContext, member.Address)
+		if err == nil && identity.ID == member.ID && !identity.ShuttingDown {
+			shard.forgetLeaving(member.ID)
 		}
-		shard.mutex.Lock()
-		delete(shard.leavingNotices, member.ID)
-		shard.mutex.Unlock()
 	}
 }
 
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -60,7 +60,7 @@
 		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
-		s.recordLeaving(s.shards[id], 3)
+		s.shards[id].recordLeaving(3, s.environment.Now())
 		s.startReconcile(s.shards[id])
 		waitForReconcile(t, s, s.shards[id])
 		if len(group.changes) > 0 {
