--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -20,7 +20,7 @@
 	cfg     nodeconfig.Batch
 	jobs    *jobs.Manager
 	admin   *httpapi.Admin // nil: none
-	keeper  *store.Keeper
+	keeper  *store.Executor
 	servers []*protocol.Server
 }
 
@@ -45,21 +45,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	f := &batchFront{cfg: cfg, keeper: store.NewKeeper(record, n.loop.Post)}
+	f := &batchFront{cfg: cfg, keeper: store.NewExecutor(record, n.loop.Post)}
 	n.loop.Call(func() {
-		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, Name: n.to.Name,
-			MostSlots: n.batchSlots(cfg), Target: time.Duration(cfg.TargetMS) * time.Millisecond,
-			LongestWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, Events: cfg.MaxEvents, Kept: jobs.DefaultKept}, n.core, f.keeper, n.loop, &n.loop.Timers)
+		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, WorkerName: n.to.Name,
+			MaxSlots: n.batchSlots(cfg), DelayTarget: time.Duration(cfg.TargetMS) * time.Millisecond,
+			MaxWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, MaxEvents: cfg.MaxEvents, MaxEndedJobs: jobs.DefaultMaxEndedJobs}, n.core, f.keeper, n.loop, &n.loop.Timers)
 		n.core.SetLoadObserver(f.jobs)
 		f.jobs.Load(tenants, sessions, unfinished, arrays)
 		front := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
 		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.MaxSockets, n.cfg.FrontMaxBufferedBytes, front.Serve))
 		if cfg.AdminListen != "" {
-			f.admin = httpapi.NewAdmin(front, f.jobs.Keeper(), cfg.AdminTokenSHA256)
+			f.admin = httpapi.NewAdmin(front, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
 			f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminMaxSockets, n.cfg.FrontMaxBufferedBytes, f.admin.Serve))
 		}
 		for _, s := range f.servers {
-			s.FormatError = httpapi.Complain
+			s.FormatError = httpapi.FormatError
 			if err = s.Start(); err != nil {
 				return
 			}
@@ -100,7 +100,7 @@
 		f.jobs.Reconfigure(n.batchSlots(cfg), time.Duration(cfg.TargetMS)*time.Millisecond,
 			time.Duration(cfg.MaxWaitSeconds)*time.Second, cfg.MaxEvents)
 		if f.admin != nil && cfg.AdminTokenSHA256 != "" {
-			f.admin.SetToken(cfg.AdminTokenSHA256)
+			f.admin.SetTokenHash(cfg.AdminTokenSHA256)
 		}
 	})
 	slog.Info("reload: batch front", "slots", n.batchSlots(cfg), "target_ms", cfg.TargetMS, "longest_wait_s", cfg.MaxWaitSeconds,
@@ -111,19 +111,19 @@
 // the given time. What is then unfinished the store has.
 func (f *batchFront) stop(n *node, by time.Time) {
 	busy := func() (count int) {
-		n.loop.Call(func() { count = f.jobs.Busy() })
+		n.loop.Call(func() { count = f.jobs.Pending() })
 		return count
 	}
 	for time.Now().Before(by) && busy() > 0 {
 		time.Sleep(flushFor)
 	}
-	n.loop.Call(f.jobs.Farewell)
+	n.loop.Call(f.jobs.EndWaits)
 	time.Sleep(flushFor)
 	n.loop.Call(func() {
 		for _, s := range f.servers {
 			s.Stop(0, func() {})
 		}
-		f.keeper.Shut()
+		f.keeper.Shutdown()
 	})
 	if err := f.keeper.Wait(); err != nil {
 		slog.Error("store of record", "error", err)
--- a/cmd/ospreybend/child.go
+++ b/cmd/ospreybend/child.go
@@ -47,7 +47,7 @@
 	batch := fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n%s",
 		at[1], filepath.Join(dir, "batch.db"), at[2], hex.EncodeToString(sum[:]), extra)
 	c := &child{dir: dir, platform: "http://" + at[0], batch: "http://" + at[1]}
-	if c.admin, err = client.NewAdmin("http://"+at[2], demoAdmin, client.WithTries(1)); err != nil {
+	if c.admin, err = client.NewAdmin("http://"+at[2], demoAdmin, client.WithMaxAttempts(1)); err != nil {
 		return nil, err
 	}
 	return c, errors.Join(os.WriteFile(filepath.Join(dir, "node.json"), text, 0o600),
--- a/cmd/ospreybend/faults_test.go
+++ b/cmd/ospreybend/faults_test.go
@@ -112,7 +112,7 @@
 // on where the record has it.
 func TestWaitWhileTheNodeLeaves(t *testing.T) {
 	r := newTestRig(t, fakeplatform.For(time.Millisecond))
-	s := session(t, r, client.WithTries(1))
+	s := session(t, r, client.WithMaxAttempts(1))
 	j, err := s.Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -282,9 +282,9 @@
 		"list_asked", p.Asked, "list_answered", p.Answered, "list_refused", p.Refused, "list_silent", p.Silent)
 	if n.batch != nil {
 		b := n.batch.jobs.Counts()
-		slog.Info("batch counts", "unfinished", b.Unfinished, "queued", b.Lined, "in_core", b.InCore, "waits", b.Waits,
+		slog.Info("batch counts", "unfinished", b.Unfinished, "queued", b.Queued, "in_core", b.InCore, "waits", b.Waits,
 			"window", b.Window.Size, "used", b.Window.Used, "queueing_s", b.Window.Delay, "halvings", b.Window.Halvings,
-			"store", b.Store, "turned_away", b.Turned)
+			"store", b.Store, "turned_away", b.Rejected)
 	}
 	n.loop.Timers.Add(n.loop.Now()+countsEvery, n.count)
 }
--- a/drmaa/bulk.go
+++ b/drmaa/bulk.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// MostBulk is the most jobs of one bulk.
-const MostBulk = 10_000
+// MaxBulkJobs is the most jobs of one bulk.
+const MaxBulkJobs = 10_000
 
 // Bulk is the range of runBulkJobs, GFD.194 clause 7.2.
 type Bulk struct {
@@ -17,25 +17,25 @@
 	MaxParallel int          `json:"maxParallel,omitempty"` // that run at once; 0: no limit
 }
 
-// Check tells what is wrong with the range, or nil. It fills in the step.
-func (b *Bulk) Check() *Error {
+// Validate tells what is wrong with the range, or nil. It fills in the step.
+func (b *Bulk) Validate() *Error {
 	if b.Step == 0 {
 		b.Step = 1
 	}
 	const far = 1 << 30
 	switch {
 	case b.Template == nil:
-		return Bad("jobTemplate", "missing")
+		return InvalidArgumentError("jobTemplate", "missing")
 	case b.Begin < 1 || b.Begin > far:
-		return Bad("beginIndex", "not from 1 to %d", far)
+		return InvalidArgumentError("beginIndex", "not from 1 to %d", far)
 	case b.End < b.Begin || b.End > far:
-		return Bad("endIndex", "not from beginIndex to %d", far)
+		return InvalidArgumentError("endIndex", "not from beginIndex to %d", far)
 	case b.Step < 1:
-		return Bad("step", "under 1")
+		return InvalidArgumentError("step", "under 1")
 	case b.MaxParallel < 0:
-		return Bad("maxParallel", "under 0")
-	case b.Count() > MostBulk:
-		return Bad("endIndex", "%d jobs, over %d", b.Count(), MostBulk)
+		return InvalidArgumentError("maxParallel", "under 0")
+	case b.Count() > MaxBulkJobs:
+		return InvalidArgumentError("endIndex", "%d jobs, over %d", b.Count(), MaxBulkJobs)
 	}
 	return nil
 }
--- a/drmaa/client/admin.go
+++ b/drmaa/client/admin.go
@@ -30,31 +30,31 @@
 // Tenants lists all tenants.
 func (a *Admin) Tenants(ctx context.Context) ([]Tenant, error) {
 	var out struct{ Tenants []Tenant }
-	return out.Tenants, a.client.do(ctx, get(tenants, &out))
+	return out.Tenants, a.client.do(ctx, getCall(tenants, &out))
 }
 
 // Create makes a tenant, and its token.
 func (a *Admin) Create(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, ask{method: "POST", path: tenants, in: map[string]any{"name": name, "maxUnfinishedJobs": quota}, out: &t})
+	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants, in: map[string]any{"name": name, "maxUnfinishedJobs": quota}, out: &t})
 }
 
 // SetQuota changes how many unfinished jobs a tenant may have.
 func (a *Admin) SetQuota(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, ask{method: "PUT", path: tenants + "/" + url.PathEscape(name),
-		in: map[string]int{"maxUnfinishedJobs": quota}, out: &t, again: true})
+	return &t, a.client.do(ctx, apiCall{method: "PUT", path: tenants + "/" + url.PathEscape(name),
+		in: map[string]int{"maxUnfinishedJobs": quota}, out: &t, retryable: true})
 }
 
 // Rotate gives a tenant a new token; the old one is void.
 func (a *Admin) Rotate(ctx context.Context, name string) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, ask{method: "POST", path: tenants + "/" + url.PathEscape(name) + "/token", out: &t})
+	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants + "/" + url.PathEscape(name) + "/token", out: &t})
 }
 
 // Remove locks a tenant out. What it has submitted runs to its end.
 func (a *Admin) Remove(ctx context.Context, name string) error {
-	return a.client.do(ctx, ask{method: "DELETE", path: tenants + "/" + url.PathEscape(name), again: true})
+	return a.client.do(ctx, apiCall{method: "DELETE", path: tenants + "/" + url.PathEscape(name), retryable: true})
 }
 
 // Queue is the batch front as it stands.
@@ -64,7 +64,7 @@
 	InCore     int    `json:"inCore"`
 	Waits      int    `json:"waits"`
 	Store      string `json:"store"` // well, stalled, failing
-	Turned     uint64 `json:"turnedAway"`
+	Rejected   uint64 `json:"turnedAway"`
 	Window     struct {
 		Slots         float64 `json:"slots"`
 		Used          float64 `json:"used"`
@@ -76,7 +76,7 @@
 // Queue returns how the batch front stands.
 func (a *Admin) Queue(ctx context.Context) (*Queue, error) {
 	var q Queue
-	return &q, a.client.do(ctx, get("/admin/v1/queue", &q))
+	return &q, a.client.do(ctx, getCall("/admin/v1/queue", &q))
 }
 
 // Undecided lists the bookings that have FAILED, may have run, and that nobody has
@@ -87,6 +87,6 @@
 
 // Settle records what was found out of an undecided booking, once.
 func (a *Admin) Settle(ctx context.Context, id string, ran bool, reason string) error {
-	return a.client.do(ctx, ask{method: "POST", path: "/admin/v1/jobs/" + url.PathEscape(id) + "/settle",
+	return a.client.do(ctx, apiCall{method: "POST", path: "/admin/v1/jobs/" + url.PathEscape(id) + "/settle",
 		in: map[string]any{"ran": ran, "reason": reason}})
 }
--- a/drmaa/client/client.go
+++ b/drmaa/client/client.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	firstPause  = 50 * time.Millisecond
-	longPause   = 5 * time.Second
-	waitAtATime = 30 * time.Second // the longest that one call waits at the server
-	mostAnswer  = 64 << 20
+	initialBackoff   = 50 * time.Millisecond
+	maxBackoff       = 5 * time.Second
+	maxServerWait    = 30 * time.Second // the longest that one call waits at the server
+	maxResponseBytes = 64 << 20
 )
 
 // Client is one tenant's way to a batch front.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
-	tries int
+	base        string
+	token       string
+	http        *http.Client
+	maxAttempts int
 }
 
 // Option changes a client from its defaults.
@@ -44,9 +44,9 @@
 // be none or over half a minute, as waits take as long.
 func WithHTTP(h *http.Client) Option { return func(c *Client) { c.http = h } }
 
-// WithTries sets how often a call is made at most, where it is safe to make it
+// WithMaxAttempts sets how often a call is made at most, where it is safe to make it
 // again; 1: once. Without it a call goes on until its context ends.
-func WithTries(n int) Option { return func(c *Client) { c.tries = n } }
+func WithMaxAttempts(n int) Option { return func(c *Client) { c.maxAttempts = n } }
 
 // New makes a client. base is the server's address, as http://127.0.0.1:8090.
 func New(base, token string, options ...Option) (*Client, error) {
@@ -61,19 +61,19 @@
 	return c, nil
 }
 
-// ask is one call.
-type ask struct {
+// apiCall is one call.
+type apiCall struct {
 	method, path string
 	in, out      any
-	again        bool // safe to make again after a failure that leaves open what it did
+	retryable    bool // safe to make again after a failure that leaves open what it did
 }
 
 // do makes a call until it has an answer that stands.
-func (c *Client) do(ctx context.Context, a ask) error {
+func (c *Client) do(ctx context.Context, call apiCall) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstPause, longPause
-	for try := 1; ; try++ {
-		err := c.once(ctx, a)
+	pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
+	for attempt := 1; ; attempt++ {
+		err := c.doOnce(ctx, call)
 		if err == nil {
 			return nil
 		}
@@ -82,17 +82,17 @@
 		switch {
 		case ctx.Err() != nil:
 			return errors.Join(ctx.Err(), err)
-		case c.tries > 0 && try >= c.tries:
+		case c.maxAttempts > 0 && attempt >= c.maxAttempts:
 			return err
 		case answered && e.Name == drmaa.TryLater:
 			// It was not taken: to come again is harmless.
-		case !answered && a.again:
+		case !answered && call.retryable:
 		default:
 			return err
 		}
 		wait := pause.NextBackOff()
-		if answered && e.Return > 0 {
-			wait = e.Return + wait/4 // not all who were told the same at once
+		if answered && e.RetryAfter > 0 {
+			wait = e.RetryAfter + wait/4 // not all who were told the same at once
 		}
 		select {
 		case <-ctx.Done():
@@ -122,30 +122,30 @@
 	return c.http.Do(r)
 }
 
-func (c *Client) once(ctx context.Context, a ask) error {
-	answer, err := c.request(ctx, a.method, a.path, a.in)
+func (c *Client) doOnce(ctx context.Context, call apiCall) error {
+	answer, err := c.request(ctx, call.method, call.path, call.in)
 	if err != nil {
 		return err
 	}
 	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, mostAnswer))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("the answer broke off: %w", err)
 	}
 	if answer.StatusCode >= 300 {
-		return fault(answer, text)
+		return responseError(answer, text)
 	}
-	if a.out == nil || len(text) == 0 {
+	if call.out == nil || len(text) == 0 {
 		return nil
 	}
-	if err := json.Unmarshal(text, a.out); err != nil {
+	if err := json.Unmarshal(text, call.out); err != nil {
 		return fmt.Errorf("the answer cannot be read: %w", err)
 	}
 	return nil
 }
 
-// fault reads an answer that is an error.
-func fault(answer *http.Response, text []byte) error {
+// responseError reads an answer that is an error.
+func responseError(answer *http.Response, text []byte) error {
 	e := &drmaa.Error{Status: answer.StatusCode}
 	if json.Unmarshal(text, e) != nil || e.Name == "" {
 		if answer.StatusCode != http.StatusServiceUnavailable {
@@ -155,19 +155,21 @@
 		e.Name, e.Message = drmaa.TryLater, "the server has no room" // before the binding is reached
 	}
 	if s, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		e.Return = time.Duration(s * float64(time.Second))
+		e.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	return e
 }
 
 const root = "/drmaa/v2"
 
-func get(path string, out any) ask { return ask{method: "GET", path: path, out: out, again: true} }
+func getCall(path string, out any) apiCall {
+	return apiCall{method: "GET", path: path, out: out, retryable: true}
+}
 
 // Manager returns the session manager's attributes, supports() among them.
 func (c *Client) Manager(ctx context.Context) (*drmaa.Manager, error) {
 	var m drmaa.Manager
-	return &m, c.do(ctx, get(root, &m))
+	return &m, c.do(ctx, getCall(root, &m))
 }
 
 // Sessions lists the tenant's job sessions.
@@ -175,7 +177,7 @@
 	var out struct {
 		Sessions []drmaa.Session `json:"x_sessions"`
 	}
-	return out.Sessions, c.do(ctx, get(root+"/sessions", &out))
+	return out.Sessions, c.do(ctx, getCall(root+"/sessions", &out))
 }
 
 // CreateSession is createJobSession: it must not be there yet.
@@ -195,7 +197,7 @@
 
 func (c *Client) session(ctx context.Context, name, mode string) (*Session, error) {
 	in := map[string]string{"name": name, "mode": mode}
-	err := c.do(ctx, ask{method: "POST", path: root + "/sessions", in: in, again: mode != "create"})
+	err := c.do(ctx, apiCall{method: "POST", path: root + "/sessions", in: in, retryable: mode != "create"})
 	return c.Session(name), err
 }
 
@@ -207,14 +209,14 @@
 // Queues lists the classes that jobs may be of.
 func (c *Client) Queues(ctx context.Context) ([]drmaa.Queue, error) {
 	var out struct{ Queues []drmaa.Queue }
-	return out.Queues, c.do(ctx, get(root+"/monitoring/queues", &out))
+	return out.Queues, c.do(ctx, getCall(root+"/monitoring/queues", &out))
 }
 
 // Machines lists the prep workers.
 func (c *Client) Machines(ctx context.Context) ([]drmaa.Machine, error) {
 	var out struct{ Machines []drmaa.Machine }
-	return out.Machines, c.do(ctx, get(root+"/monitoring/machines", &out))
+	return out.Machines, c.do(ctx, getCall(root+"/monitoring/machines", &out))
 }
 
-// newKey makes a client key, so that a submission can be made again.
-func newKey() string { return "auto-" + rand.Text() }
+// newClientKey makes a client key, so that a submission can be made again.
+func newClientKey() string { return "auto-" + rand.Text() }
--- a/drmaa/client/client_test.go
+++ b/drmaa/client/client_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestRetryAfterIsHeeded(t *testing.T) {
+func TestClient_honoursRetryAfter(t *testing.T) {
 	s := newServer(t, later("0.200"), answers(202, drmaa.Job{ID: "j"}))
 	j, err := s.client(t).Session("s").Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "c"})
 	if err != nil || j.ID != "j" {
@@ -99,7 +99,7 @@
 }
 
 // A submission whose answer is lost is made again under the same client key.
-func TestSubmissionIsMadeAgainUnderItsKey(t *testing.T) {
+func TestSession_Run_retriesUnderItsKey(t *testing.T) {
 	s := newServer(t, breaks, answers(202, drmaa.Job{ID: "j"}))
 	if _, err := s.client(t).Session("s").Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "c"}); err != nil {
 		t.Fatal(err)
@@ -119,14 +119,14 @@
 }
 
 // What may have had effect and has no key is not made again.
-func TestActionsAreNotRepeated(t *testing.T) {
+func TestSession_Act_isNotRetried(t *testing.T) {
 	s := newServer(t, breaks, answers(202, drmaa.Job{}))
 	if err := s.client(t).Session("s").Act(t.Context(), "j", "terminate"); err == nil || len(s.seen()) != 1 {
 		t.Errorf("%v after %d calls", err, len(s.seen()))
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestClient_errors(t *testing.T) {
 	s := newServer(t, answers(409, drmaa.Error{Name: drmaa.InvalidState, Message: "m", Attribute: "a"}))
 	_, err := s.client(t).Session("s").Job(t.Context(), "j")
 	var e *drmaa.Error
@@ -138,7 +138,7 @@
 		t.Errorf("%v", err)
 	}
 	s = newServer(t, later("0.01"))
-	if _, err := s.client(t, WithTries(3)).Sessions(t.Context()); !errors.Is(err, &drmaa.Error{Name: drmaa.TryLater}) || len(s.seen()) != 3 {
+	if _, err := s.client(t, WithMaxAttempts(3)).Sessions(t.Context()); !errors.Is(err, &drmaa.Error{Name: drmaa.TryLater}) || len(s.seen()) != 3 {
 		t.Errorf("%v after %d calls", err, len(s.seen()))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -155,7 +155,7 @@
 }
 
 // A long wait is many short ones.
-func TestWaitGoesOn(t *testing.T) {
+func TestSession_Wait_repeatsUntilTheEnd(t *testing.T) {
 	timeout := answers(504, drmaa.Error{Name: drmaa.Timeout, Message: "m"})
 	s := newServer(t, timeout, timeout, answers(200, drmaa.Job{State: drmaa.Done}))
 	j, err := s.client(t).Session("s").Wait(t.Context(), "j", Terminated)
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestPages(t *testing.T) {
+func TestSession_Jobs_pages(t *testing.T) {
 	s := newServer(t, answers(200, drmaa.Page{Jobs: []*drmaa.Job{{ID: "a"}, {ID: "b"}}, Next: "x-b"}), answers(200, drmaa.Page{Jobs: []*drmaa.Job{{ID: "c"}}}))
 	var ids []string
 	for j, err := range s.client(t).Session("s").Jobs(t.Context(), drmaa.Filter{States: []drmaa.State{drmaa.Done}, Name: "n"}) {
@@ -185,7 +185,7 @@
 }
 
 // A stream that breaks is resumed at the last cursor.
-func TestEventsResume(t *testing.T) {
+func TestSession_Events_resume(t *testing.T) {
 	lines := func(v ...drmaa.Events) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			for _, e := range v {
--- a/drmaa/client/session.go
+++ b/drmaa/client/session.go
@@ -24,7 +24,7 @@
 }
 
 func (s *Session) control(ctx context.Context, action string) error {
-	return s.client.do(ctx, ask{method: "POST", path: s.path + "/control", in: map[string]string{"action": action}, again: action != "destroy"})
+	return s.client.do(ctx, apiCall{method: "POST", path: s.path + "/control", in: map[string]string{"action": action}, retryable: action != "destroy"})
 }
 
 // Close is closeJobSession. The jobs go on.
@@ -37,28 +37,28 @@
 // submission can be made again when its answer is lost, and yet be one job.
 func (s *Session) Run(ctx context.Context, t drmaa.JobTemplate) (*drmaa.Job, error) {
 	if t.ClientKey == "" {
-		t.ClientKey = newKey()
+		t.ClientKey = newClientKey()
 	}
 	var j drmaa.Job
-	return &j, s.client.do(ctx, ask{method: "POST", path: s.path + "/jobs", in: t, out: &j, again: true})
+	return &j, s.client.do(ctx, apiCall{method: "POST", path: s.path + "/jobs", in: t, out: &j, retryable: true})
 }
 
 // RunOnce is Run without a second try: where it is turned away the caller learns it
 // at once.
 func (s *Session) RunOnce(ctx context.Context, t drmaa.JobTemplate) (*drmaa.Job, error) {
 	var j drmaa.Job
-	return &j, s.client.once(ctx, ask{method: "POST", path: s.path + "/jobs", in: t, out: &j})
+	return &j, s.client.doOnce(ctx, apiCall{method: "POST", path: s.path + "/jobs", in: t, out: &j})
 }
 
 // RunBulk is runBulkJobs, with a client key as for Run.
 func (s *Session) RunBulk(ctx context.Context, b drmaa.Bulk) (*drmaa.Array, error) {
 	if b.Template != nil && b.Template.ClientKey == "" {
 		t := *b.Template
-		t.ClientKey = newKey()
+		t.ClientKey = newClientKey()
 		b.Template = &t
 	}
 	var a drmaa.Array
-	return &a, s.client.do(ctx, ask{method: "POST", path: s.path + "/arrays", in: b, out: &a, again: true})
+	return &a, s.client.do(ctx, apiCall{method: "POST", path: s.path + "/arrays", in: b, out: &a, retryable: true})
 }
 
 func (s *Session) job(id string) string   { return s.path + "/jobs/" + url.PathEscape(id) }
@@ -67,13 +67,13 @@
 // Job returns a job as it is now.
 func (s *Session) Job(ctx context.Context, id string) (*drmaa.Job, error) {
 	var j drmaa.Job
-	return &j, s.client.do(ctx, get(s.job(id), &j))
+	return &j, s.client.do(ctx, getCall(s.job(id), &j))
 }
 
 // Array returns a job array as it is now.
 func (s *Session) Array(ctx context.Context, id string) (*drmaa.Array, error) {
 	var a drmaa.Array
-	return &a, s.client.do(ctx, get(s.array(id), &a))
+	return &a, s.client.do(ctx, getCall(s.array(id), &a))
 }
 
 // Jobs is getJobs: all that match, newest first, fetched page by page. It stops
@@ -87,12 +87,12 @@
 	return c.pages(ctx, root+"/monitoring/jobs", f)
 }
 
-func (c *Client) pages(ctx context.Context, path string, f drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
+func (c *Client) pages(ctx context.Context, path string, filter drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
 	return func(yield func(*drmaa.Job, error) bool) {
-		query := f.Query()
+		query := filter.Query()
 		for {
 			var page drmaa.Page
-			if err := c.do(ctx, get(path+"?"+query, &page)); err != nil {
+			if err := c.do(ctx, getCall(path+"?"+query, &page)); err != nil {
 				yield(nil, err)
 				return
 			}
@@ -104,7 +104,7 @@
 			if page.Next == "" {
 				return
 			}
-			next := f
+			next := filter
 			next.Before = drmaa.Cursor{}
 			query = next.Query() + "&next=" + url.QueryEscape(page.Next)
 		}
@@ -113,13 +113,13 @@
 
 // Act does an action on a job: hold, release, terminate or reap.
 func (s *Session) Act(ctx context.Context, id, action string) error {
-	return s.client.do(ctx, ask{method: "POST", path: s.job(id) + "/control", in: map[string]string{"action": action}})
+	return s.client.do(ctx, apiCall{method: "POST", path: s.job(id) + "/control", in: map[string]string{"action": action}})
 }
 
 // ActOnArray does an action on all jobs of an array that are in a state for it.
 func (s *Session) ActOnArray(ctx context.Context, id, action string) (*drmaa.Affected, error) {
 	var n drmaa.Affected
-	return &n, s.client.do(ctx, ask{method: "POST", path: s.array(id) + "/control", in: map[string]string{"action": action}, out: &n})
+	return &n, s.client.do(ctx, apiCall{method: "POST", path: s.array(id) + "/control", in: map[string]string{"action": action}, out: &n})
 }
 
 // What a wait is for.
@@ -139,12 +139,12 @@
 // wait waits at the server again and again, until the context ends.
 func (s *Session) wait(ctx context.Context, path string, b waitBody, out any) error {
 	for {
-		span := waitAtATime
+		span := maxServerWait
 		if end, ok := ctx.Deadline(); ok {
 			span = min(span, max(time.Until(end)-100*time.Millisecond, 0))
 		}
 		b.Timeout = span.Seconds()
-		err := s.client.do(ctx, ask{method: "POST", path: path, in: b, out: out, again: true})
+		err := s.client.do(ctx, apiCall{method: "POST", path: path, in: b, out: out, retryable: true})
 		if !errors.Is(err, &drmaa.Error{Name: drmaa.Timeout}) {
 			return err
 		}
@@ -183,7 +183,7 @@
 func (s *Session) Events(ctx context.Context, cursor string) iter.Seq2[*drmaa.Events, error] {
 	return func(yield func(*drmaa.Events, error) bool) {
 		pause := backoff.NewExponentialBackOff()
-		pause.InitialInterval, pause.MaxInterval = firstPause, longPause
+		pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
 		for {
 			more, err := s.follow(ctx, &cursor, func(e *drmaa.Events) bool {
 				pause.Reset()
@@ -214,8 +214,8 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != 200 {
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, mostAnswer))
-		return true, fault(answer, text)
+		text, _ := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes))
+		return true, responseError(answer, text)
 	}
 	lines := bufio.NewScanner(answer.Body)
 	lines.Buffer(nil, 1<<20)
--- a/drmaa/drmaa_test.go
+++ b/drmaa/drmaa_test.go
@@ -20,7 +20,7 @@
 	now     = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-func TestTemplateFaultsNameTheAttribute(t *testing.T) {
+func TestReadTemplate_errorsNameTheAttribute(t *testing.T) {
 	for _, c := range []struct {
 		body, attribute string
 		status          int
@@ -46,7 +46,7 @@
 		{`{"remoteCommand":"buchen","deadline":1e9}`, "deadline", 400},
 		{`{"remoteCommand":"buchen","x_costHint":-1}`, "x_costHint", 400},
 		{`{"remoteCommand":"buchen","x_clientKey":"a\nb"}`, "x_clientKey", 400},
-		{`{"remoteCommand":"buchen","jobName":"` + strings.Repeat("n", MostName+1) + `"}`, "jobName", 400},
+		{`{"remoteCommand":"buchen","jobName":"` + strings.Repeat("n", MaxNameBytes+1) + `"}`, "jobName", 400},
 		{`{"remoteCommand":"buchen","args":["a",".."]}`, "args", 400},
 		{`{"remoteCommand":"buchen","args":[]} 5`, "", 400},
 		{`[]`, "", 400},
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestTemplate(t *testing.T) {
+func TestJobTemplate(t *testing.T) {
 	in, e := ReadTemplate([]byte(`{"jobCategory":"pruefen","args":["a b","p-$DRMAA_INDEX$"],"input":"x$DRMAA_INDEX$","rerunnable":true,
 		"startTime":"2026-12-01T14:00:00+01:00","deadlineTime":"2026-12-01T14:00:00Z"}`), classes, now)
 	if e != nil {
@@ -82,7 +82,7 @@
 
 // Whatever comes as a template is read or refused, and what is read stands a
 // second reading.
-func FuzzTemplate(f *testing.F) {
+func FuzzReadTemplate(f *testing.F) {
 	f.Add([]byte(`{"remoteCommand":"buchen","args":["a"],"minSlots":2}`))
 	f.Add([]byte(`{"remoteCommand":"pruefen","startTime":"2026-12-01T14:00:00Z","x_costHint":1e3}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestBulk(t *testing.T) {
+func TestBulk_Validate(t *testing.T) {
 	template := &JobTemplate{RemoteCommand: "buchen"}
 	for _, c := range []struct {
 		b         Bulk
@@ -115,7 +115,7 @@
 		{Bulk{Begin: 1, End: 1 << 40, Template: template}, "endIndex", 0}, {Bulk{Begin: 0, End: 1, Template: template}, "beginIndex", 0},
 		{Bulk{Begin: 2, End: 1, Template: template}, "endIndex", 0}, {Bulk{Begin: 1, End: 1, Step: -1, Template: template}, "step", 0},
 		{Bulk{Begin: 1, End: 1, MaxParallel: -1, Template: template}, "maxParallel", 0}, {Bulk{Begin: 1, End: 1}, "jobTemplate", 0}} {
-		e := c.b.Check()
+		e := c.b.Validate()
 		if c.attribute == "" && (e != nil || c.b.Count() != c.n) || c.attribute != "" && (e == nil || e.Attribute != c.attribute) {
 			t.Errorf("%+v: %v", c.b, e)
 		}
@@ -129,13 +129,13 @@
 }
 
 // A filter comes through its query as it was.
-func TestFilterAndQuery(t *testing.T) {
+func TestReadFilter_readsQuery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stamp := func(name string) int64 { return rapid.Int64Range(0, 4e15).Draw(t, name) }
 		text := rapid.StringN(0, 20, -1)
 		f := Filter{Category: text.Draw(t, "category"), Name: text.Draw(t, "name"), AccountingID: text.Draw(t, "account"), Array: text.Draw(t, "array"),
 			SubmittedFrom: stamp("sf"), SubmittedTo: stamp("st"), FinishedFrom: stamp("ff"), FinishedTo: stamp("ft"),
-			Limit: rapid.IntRange(1, MostListed).Draw(t, "limit"), States: rapid.SliceOfN(rapid.SampledFrom(States()), 0, 4).Draw(t, "states")}
+			Limit: rapid.IntRange(1, MaxListed).Draw(t, "limit"), States: rapid.SliceOfN(rapid.SampledFrom(States()), 0, 4).Draw(t, "states")}
 		if rapid.Bool().Draw(t, "paged") {
 			f.Before = Cursor{rapid.Int64Range(1, 1<<60).Draw(t, "seq"), rapid.StringMatching(`[a-f0-9]{24}(\.[1-9][0-9]?)?`).Draw(t, "id")}
 		}
@@ -150,14 +150,14 @@
 }
 
 // Final states are left by no transition, and each held state has its way back.
-func TestStates(t *testing.T) {
+func TestState_transitions(t *testing.T) {
 	for _, from := range States() {
 		for _, to := range States() {
-			if from.Final() && from.May(to) {
+			if from.Final() && from.MayBecome(to) {
 				t.Errorf("%s may become %s", from, to)
 			}
 		}
-		if from.Waiting() && (from.Hold().Release() != from.Release() || !from.May(Failed)) {
+		if from.Waiting() && (from.Hold().Release() != from.Release() || !from.MayBecome(Failed)) {
 			t.Errorf("%s: hold %s, release %s", from, from.Hold(), from.Release())
 		}
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-func TestErrorsMatchByName(t *testing.T) {
-	err := error(WrongState("the job is %s", Done))
+func TestError_Is_matchesByName(t *testing.T) {
+	err := error(InvalidStateError("the job is %s", Done))
 	if !errors.Is(err, &Error{Name: InvalidState}) || errors.Is(err, &Error{Name: Timeout}) || err.Error() != "InvalidStateException: the job is DONE" {
 		t.Error(err)
 	}
--- a/drmaa/errors.go
+++ b/drmaa/errors.go
@@ -30,8 +30,8 @@
 	Message   string `json:"message"`
 	Attribute string `json:"attribute,omitempty"` // the faulty attribute, or parameter
 
-	Return time.Duration `json:"-"` // a time after which a return may do better; 0: not told
-	Job    *Job          `json:"job,omitempty"`
+	RetryAfter time.Duration `json:"-"` // a time after which a return may do better; 0: not told
+	Job        *Job          `json:"job,omitempty"`
 }
 
 func (e *Error) Error() string { return string(e.Name) + ": " + e.Message }
@@ -42,28 +42,28 @@
 	return ok && t.Name == e.Name
 }
 
-// Bad is an argument that makes no sense (400).
-func Bad(attribute, format string, a ...any) *Error {
+// InvalidArgumentError is an argument that makes no sense (400).
+func InvalidArgumentError(attribute, format string, args ...any) *Error {
 	return &Error{Status: 400, Name: InvalidArgument, Attribute: attribute,
-		Message: attribute + ": " + fmt.Sprintf(format, a...)}
+		Message: attribute + ": " + fmt.Sprintf(format, args...)}
 }
 
-// Lacking is an attribute that the service does not have (422).
-func Lacking(attribute, why string) *Error {
+// UnsupportedAttributeError is an attribute that the service does not have (422).
+func UnsupportedAttributeError(attribute, why string) *Error {
 	return &Error{Status: 422, Name: UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + why}
 }
 
-// Unsupported is an operation that the service does not have (422).
-func Unsupported(why string) *Error {
+// UnsupportedOperationError is an operation that the service does not have (422).
+func UnsupportedOperationError(why string) *Error {
 	return &Error{Status: 422, Name: UnsupportedOperation, Message: why}
 }
 
-// Later turns a call away for now (503).
-func Later(after time.Duration, why string) *Error {
-	return &Error{Status: 503, Name: TryLater, Message: why, Return: after}
+// TryLaterError turns a call away for now (503).
+func TryLaterError(after time.Duration, why string) *Error {
+	return &Error{Status: 503, Name: TryLater, Message: why, RetryAfter: after}
 }
 
-// WrongState is an operation that the job's state rules out (409).
-func WrongState(format string, a ...any) *Error {
-	return &Error{Status: 409, Name: InvalidState, Message: fmt.Sprintf(format, a...)}
+// InvalidStateError is an operation that the job's state rules out (409).
+func InvalidStateError(format string, args ...any) *Error {
+	return &Error{Status: 409, Name: InvalidState, Message: fmt.Sprintf(format, args...)}
 }
--- a/drmaa/filter.go
+++ b/drmaa/filter.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// MostListed is the most jobs of one page, and the usual number.
-const MostListed = 200
+// MaxListed is the most jobs of one page, and the usual number.
+const MaxListed = 200
 
 // Filter selects jobs: the attributes of JobInfo that GFD.194 clause 7.2 has
 // getJobs match. Zero fields match all.
@@ -51,65 +51,65 @@
 
 // ReadFilter reads a filter from a call's query.
 func ReadFilter(query string) (Filter, *Error) {
-	f := Filter{Limit: MostListed}
+	filter := Filter{Limit: MaxListed}
 	values, err := url.ParseQuery(query)
 	if err != nil {
-		return f, Bad("query", "%v", err)
+		return filter, InvalidArgumentError("query", "%v", err)
 	}
 	for _, name := range sortedKeys(values) {
-		v := values.Get(name)
+		value := values.Get(name)
 		if len(values[name]) > 1 {
-			return f, Bad(name, "given twice")
+			return filter, InvalidArgumentError(name, "given twice")
 		}
-		var at *int64
+		var timestamp *int64
 		switch name {
 		case "state":
-			for s := range strings.SplitSeq(v, ",") {
+			for s := range strings.SplitSeq(value, ",") {
 				if !State(s).Known() {
-					return f, Bad(name, "no state %q", s)
+					return filter, InvalidArgumentError(name, "no state %q", s)
 				}
-				f.States = append(f.States, State(s))
+				filter.States = append(filter.States, State(s))
 			}
 		case "category":
-			f.Category = v
+			filter.Category = value
 		case "name":
-			f.Name = v
+			filter.Name = value
 		case "accountingId":
-			f.AccountingID = v
+			filter.AccountingID = value
 		case "array":
-			f.Array = v
+			filter.Array = value
 		case "submittedFrom":
-			at = &f.SubmittedFrom
+			timestamp = &filter.SubmittedFrom
 		case "submittedTo":
-			at = &f.SubmittedTo
+			timestamp = &filter.SubmittedTo
 		case "finishedFrom":
-			at = &f.FinishedFrom
+			timestamp = &filter.FinishedFrom
 		case "finishedTo":
-			at = &f.FinishedTo
+			timestamp = &filter.FinishedTo
 		case "limit":
-			n, err := strconv.Atoi(v)
-			if err != nil || n < 1 || n > MostListed {
-				return f, Bad(name, "not from 1 to %d", MostListed)
+			n, err := strconv.Atoi(value)
+			if err != nil || n < 1 || n > MaxListed {
+				return filter, InvalidArgumentError(name, "not from 1 to %d", MaxListed)
 			}
-			f.Limit = n
+			filter.Limit = n
 		case "next":
-			c, ok := readCursor(v)
+			c, ok := readCursor(value)
 			if !ok {
-				return f, Bad(name, "%q is no cursor of this list", v)
+				return filter, InvalidArgumentError(name, "%q is no cursor of this list", value)
 			}
-			f.Before = c
+			filter.Before = c
 		default:
-			return f, Bad(name, "no such filter")
+			return filter, InvalidArgumentError(name, "no such filter")
 		}
-		if at != nil {
-			t, err := time.Parse(time.RFC3339Nano, v)
+		if timestamp != nil {
+			t, err := time.Parse(time.RFC3339Nano, value)
 			if err != nil {
-				return f, Bad(name, "%q is no time after RFC 3339", v)
+				return filter, InvalidArgumentError(name, "%q is no time after RFC 3339", value)
 			}
-			*at = t.UnixMicro()
+			*timestamp = t.UnixMicro()
 		}
 	}
-	return f, nil
+	return filter, nil
 }
 
 // Query writes the filter as a call's query.
--- a/drmaa/info.go
+++ b/drmaa/info.go
@@ -64,7 +64,7 @@
 	Submitted   string        `json:"submissionTime"`
 	Jobs        int           `json:"jobs"`
 	States      map[State]int `json:"x_states"`
-	Over        bool          `json:"x_over"` // all have ended
+	AllEnded    bool          `json:"x_over"` // all have ended
 }
 
 // Page is one page of a list. Next asks for the following one; empty: the end.
@@ -83,8 +83,8 @@
 // Affected is how many jobs of an array or session an operation applied to, and
 // how many were in a state that ruled it out.
 type Affected struct {
-	Applied int `json:"applied"`
-	Ruled   int `json:"x_ruledOut"`
+	Applied  int `json:"applied"`
+	RuledOut int `json:"x_ruledOut"`
 }
 
 // Event kinds, GFD.194 clause 8.7 (DrmaaEvent).
@@ -116,33 +116,33 @@
 
 // Machine is a prep worker, GFD.194 clause 8.6 (MachineInfo).
 type Machine struct {
-	Name      string   `json:"name"`
-	Available bool     `json:"available"`
-	State     string   `json:"x_state"` // Ready, Draining
-	Doubt     float64  `json:"x_doubt"` // the chance that a job fails there, as the node sees it
-	FreeSlots *float64 `json:"x_freeSlots,omitempty"`
-	Batch     float64  `json:"x_batchSlots"` // that this front's jobs take there
+	Name               string   `json:"name"`
+	Available          bool     `json:"available"`
+	State              string   `json:"x_state"` // Ready, Draining
+	FailureProbability float64  `json:"x_doubt"` // the chance that a job fails there, as the node sees it
+	FreeSlots          *float64 `json:"x_freeSlots,omitempty"`
+	BatchSlots         float64  `json:"x_batchSlots"` // that this front's jobs take there
 }
 
 // Queue is a class, GFD.194 clause 8.6 (QueueInfo).
 type Queue struct {
-	Name    string `json:"name"`
-	Once    bool   `json:"x_once"` // its jobs never run twice
-	Waiting int    `json:"x_waiting"`
-	Held    int    `json:"x_held"`
-	Running int    `json:"x_running"`
+	Name          string `json:"name"`
+	NonIdempotent bool   `json:"x_once"` // its jobs never run twice
+	Waiting       int    `json:"x_waiting"`
+	Held          int    `json:"x_held"`
+	Running       int    `json:"x_running"`
 }
 
 // Manager is the session manager's attributes, GFD.194 clause 7.1.
 type Manager struct {
-	DrmsName     string            `json:"drmsName"`
-	DrmsVersion  string            `json:"drmsVersion"`
-	DrmaaName    string            `json:"drmaaName"`
-	DrmaaVersion string            `json:"drmaaVersion"`
-	Categories   []string          `json:"jobCategories"`
-	Supports     map[string]bool   `json:"supports"`
-	Refused      map[string]string `json:"x_refusedAttributes"`
-	MostBulk     int               `json:"x_mostBulkJobs"`
+	DrmsName              string            `json:"drmsName"`
+	DrmsVersion           string            `json:"drmsVersion"`
+	DrmaaName             string            `json:"drmaaName"`
+	DrmaaVersion          string            `json:"drmaaVersion"`
+	Categories            []string          `json:"jobCategories"`
+	Supports              map[string]bool   `json:"supports"`
+	UnsupportedAttributes map[string]string `json:"x_refusedAttributes"`
+	MaxBulkJobs           int               `json:"x_mostBulkJobs"`
 }
 
 // Supports answers supports() for each capability of GFD.194 clause 7.1.
--- a/drmaa/state.go
+++ b/drmaa/state.go
@@ -44,9 +44,9 @@
 // Waiting tells whether the job waits for its turn, held or not.
 func (s State) Waiting() bool { return s == Queued || s == Requeued || s.Held() }
 
-// next is the transitions that the model of GFD.194 clause 8.1 allows, less the
+// transitions is the transitions that the model of GFD.194 clause 8.1 allows, less the
 // suspended ones.
-var next = map[State][]State{
+var transitions = map[State][]State{
 	Queued:       {QueuedHeld, Running, Requeued, Done, Failed},
 	QueuedHeld:   {Queued, Failed},
 	Running:      {Requeued, RequeuedHeld, Done, Failed},
@@ -54,10 +54,12 @@
 	RequeuedHeld: {Requeued, Failed},
 }
 
-// May tells whether a job of state s may come to be in state to. A start that
+// MayBecome tells whether a job of state s may come to be in state to. A start that
 // is told late, together with the end, may be passed over, and a step that was
 // refused before it ran makes a queued job a requeued one.
-func (s State) May(to State) bool { return s == to && !s.Final() || slices.Contains(next[s], to) }
+func (s State) MayBecome(to State) bool {
+	return s == to && !s.Final() || slices.Contains(transitions[s], to)
+}
 
 // Hold returns the held state that goes with a waiting one.
 func (s State) Hold() State {
--- a/drmaa/template.go
+++ b/drmaa/template.go
@@ -18,13 +18,13 @@
 
 // Bounds of a job template.
 const (
-	MostInput    = 60 << 10 // bytes
-	MostName     = 200      // bytes of a name, a key or an argument
-	MostSlots    = 64
-	MostArgs     = 32
-	MostPriority = 1000 // either way
-	LongestSpan  = 24 * time.Hour
-	FarthestTime = 366 * 24 * time.Hour // a start or a deadline lies no further ahead
+	MaxInputBytes = 60 << 10 // bytes
+	MaxNameBytes  = 200      // bytes of a name, a key or an argument
+	MaxSlots      = 64
+	MaxArgs       = 32
+	MaxPriority   = 1000 // either way
+	MaxDeadline   = 24 * time.Hour
+	MaxTimeAhead  = 366 * 24 * time.Hour // a start or a deadline lies no further ahead
 )
 
 // IndexPlaceholder stands for a bulk job's index in args and input: the
@@ -55,8 +55,8 @@
 	ClientKey     string            `json:"x_clientKey,omitempty"`
 }
 
-// Refused has each attribute of the standard that the binding refuses, and why.
-var Refused = map[string]string{
+// UnsupportedAttributes has each attribute of the standard that the binding refuses, and why.
+var UnsupportedAttributes = map[string]string{
 	"workingDirectory":  "prep workers have no directories of their clients'",
 	"email":             "the service sends no mail",
 	"emailOnStarted":    "the service sends no mail",
@@ -78,8 +78,8 @@
 
 // Class is what a template may say of a class of jobs.
 type Class struct {
-	Number int
-	Once   bool // must not run twice
+	Number        int
+	NonIdempotent bool // must not run twice
 }
 
 // ReadTemplate reads and checks a job template.
@@ -88,7 +88,7 @@
 	if e := Decode(body, &t, "the job template"); e != nil {
 		return nil, e
 	}
-	return &t, t.Check(classes, now)
+	return &t, t.Validate(classes, now)
 }
 
 // Decode reads one JSON object and names what it finds wrong.
@@ -98,7 +98,7 @@
 	if err := d.Decode(into); err != nil {
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &kind) && kind.Field != "" {
-			return Bad(kind.Field, "a %s makes no sense here", kind.Value)
+			return InvalidArgumentError(kind.Field, "a %s makes no sense here", kind.Value)
 		}
 		if errors.As(err, &kind) {
 			return &Error{Status: 400, Name: InvalidArgument, Message: what + " is no JSON object: it is a " + kind.Value}
@@ -108,11 +108,11 @@
 			if err != nil {
 				name = quoted
 			}
-			why, known := Refused[name]
+			why, known := UnsupportedAttributes[name]
 			if !known {
 				why = "no such attribute"
 			}
-			return Lacking(name, why)
+			return UnsupportedAttributeError(name, why)
 		}
 		return &Error{Status: 400, Name: InvalidArgument, Message: what + " cannot be read: " + err.Error()}
 	}
@@ -122,11 +122,11 @@
 	return nil
 }
 
-// Check tells what is wrong with a template, or nil. It fills in the class that
+// Validate tells what is wrong with a template, or nil. It fills in the class that
 // jobCategory or queueName name.
-func (t *JobTemplate) Check(classes map[string]Class, now time.Time) *Error {
+func (t *JobTemplate) Validate(classes map[string]Class, now time.Time) *Error {
 	if len(t.Environment) > 0 {
-		return Lacking("jobEnvironment", Refused["jobEnvironment"])
+		return UnsupportedAttributeError("jobEnvironment", UnsupportedAttributes["jobEnvironment"])
 	}
 	for _, other := range []struct{ attribute, value string }{{"jobCategory", t.JobCategory}, {"queueName", t.QueueName}} {
 		switch {
@@ -134,52 +134,52 @@
 		case t.RemoteCommand == "":
 			t.RemoteCommand = other.value
 		case t.RemoteCommand != other.value:
-			return Bad(other.attribute, "%q is not the class %q that is named already", other.value, t.RemoteCommand)
+			return InvalidArgumentError(other.attribute, "%q is not the class %q that is named already", other.value, t.RemoteCommand)
 		}
 	}
 	if t.RemoteCommand == "" {
-		return Bad("remoteCommand", "missing; it names the class")
+		return InvalidArgumentError("remoteCommand", "missing; it names the class")
 	}
 	class, ok := classes[t.RemoteCommand]
 	if !ok {
-		return Bad("remoteCommand", "no class %q", t.RemoteCommand)
+		return InvalidArgumentError("remoteCommand", "no class %q", t.RemoteCommand)
 	}
-	if t.Rerunnable != nil && *t.Rerunnable && class.Once {
-		return Lacking("rerunnable", "jobs of class "+t.RemoteCommand+" never run twice")
+	if t.Rerunnable != nil && *t.Rerunnable && class.NonIdempotent {
+		return UnsupportedAttributeError("rerunnable", "jobs of class "+t.RemoteCommand+" never run twice")
 	}
 	for _, text := range []struct {
 		attribute, value string
 		most             int
-	}{{"input", t.Input, MostInput}, {"jobName", t.JobName, MostName}, {"accountingId", t.AccountingID, MostName},
-		{"x_clientKey", t.ClientKey, MostName}} {
+	}{{"input", t.Input, MaxInputBytes}, {"jobName", t.JobName, MaxNameBytes}, {"accountingId", t.AccountingID, MaxNameBytes},
+		{"x_clientKey", t.ClientKey, MaxNameBytes}} {
 		switch {
 		case len(text.value) > text.most:
-			return Bad(text.attribute, "over %d bytes", text.most)
+			return InvalidArgumentError(text.attribute, "over %d bytes", text.most)
 		case text.attribute != "input" && (strings.ContainsFunc(text.value, unicode.IsControl) || !utf8.ValidString(text.value)):
-			return Bad(text.attribute, "holds a control character")
+			return InvalidArgumentError(text.attribute, "holds a control character")
 		}
 	}
 	switch {
-	case !(t.MinSlots >= 0) || t.MinSlots > MostSlots:
-		return Bad("minSlots", "not from 0 to %d", MostSlots)
-	case !(t.MaxSlots >= 0) || t.MaxSlots > MostSlots:
-		return Bad("maxSlots", "not from 0 to %d", MostSlots)
+	case !(t.MinSlots >= 0) || t.MinSlots > MaxSlots:
+		return InvalidArgumentError("minSlots", "not from 0 to %d", MaxSlots)
+	case !(t.MaxSlots >= 0) || t.MaxSlots > MaxSlots:
+		return InvalidArgumentError("maxSlots", "not from 0 to %d", MaxSlots)
 	case t.MaxSlots > 0 && t.MaxSlots < t.Slots():
-		return Bad("maxSlots", "under minSlots")
-	case t.Priority < -MostPriority || t.Priority > MostPriority:
-		return Bad("priority", "not from %d to %d", -MostPriority, MostPriority)
-	case !(t.Deadline >= 0) || t.Deadline > LongestSpan.Seconds():
-		return Bad("deadline", "not from 0 to %v seconds", LongestSpan.Seconds())
+		return InvalidArgumentError("maxSlots", "under minSlots")
+	case t.Priority < -MaxPriority || t.Priority > MaxPriority:
+		return InvalidArgumentError("priority", "not from %d to %d", -MaxPriority, MaxPriority)
+	case !(t.Deadline >= 0) || t.Deadline > MaxDeadline.Seconds():
+		return InvalidArgumentError("deadline", "not from 0 to %v seconds", MaxDeadline.Seconds())
 	case t.Deadline > 0 && t.DeadlineTime != "":
-		return Bad("deadlineTime", "deadline is given too")
+		return InvalidArgumentError("deadlineTime", "deadline is given too")
 	case !(t.CostHint >= 0) || t.CostHint*1e6 > math.MaxUint32:
-		return Bad("x_costHint", "out of range")
-	case len(t.Args) > MostArgs:
-		return Bad("args", "over %d", MostArgs)
+		return InvalidArgumentError("x_costHint", "out of range")
+	case len(t.Args) > MaxArgs:
+		return InvalidArgumentError("args", "over %d", MaxArgs)
 	}
 	for _, a := range t.Args {
-		if a == "" || len(a) > MostName || a == "." || a == ".." {
-			return Bad("args", "%q is no part of a path", a)
+		if a == "" || len(a) > MaxNameBytes || a == "." || a == ".." {
+			return InvalidArgumentError("args", "%q is no part of a path", a)
 		}
 	}
 	return t.checkTimes(now)
@@ -197,19 +197,19 @@
 		v, err := time.Parse(time.RFC3339Nano, at.text)
 		switch {
 		case err != nil:
-			return Bad(at.attribute, "%q is no time after RFC 3339", at.text)
-		case v.After(now.Add(FarthestTime)):
-			return Bad(at.attribute, "over a year ahead")
+			return InvalidArgumentError(at.attribute, "%q is no time after RFC 3339", at.text)
+		case v.After(now.Add(MaxTimeAhead)):
+			return InvalidArgumentError(at.attribute, "over a year ahead")
 		}
 		*at.into = v
 	}
 	switch {
 	case !end.IsZero() && !end.After(now):
-		return Bad("deadlineTime", "has passed")
+		return InvalidArgumentError("deadlineTime", "has passed")
 	case !end.IsZero() && start.After(end):
-		return Bad("deadlineTime", "before startTime")
+		return InvalidArgumentError("deadlineTime", "before startTime")
 	case t.Deadline > 0 && start.After(now.Add(seconds(t.Deadline))):
-		return Bad("deadline", "ends before startTime")
+		return InvalidArgumentError("deadline", "ends before startTime")
 	}
 	return nil
 }
@@ -225,7 +225,7 @@
 }
 
 // Start is the time before which the job does not run, in Unix microseconds; 0: none.
-func (t *JobTemplate) Start() int64 { return micros(t.StartTime) }
+func (t *JobTemplate) Start() int64 { return unixMicros(t.StartTime) }
 
 // End is the job's deadline in Unix microseconds, for a job submitted at the
 // given one; 0: none.
@@ -233,10 +233,10 @@
 	if t.Deadline > 0 {
 		return submitted + seconds(t.Deadline).Microseconds()
 	}
-	return micros(t.DeadlineTime)
+	return unixMicros(t.DeadlineTime)
 }
 
-func micros(text string) int64 {
+func unixMicros(text string) int64 {
 	if at, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return at.UnixMicro()
 	}
@@ -249,15 +249,15 @@
 	var b strings.Builder
 	b.WriteString("/" + url.PathEscape(t.RemoteCommand))
 	for _, a := range t.Args {
-		b.WriteString("/" + url.PathEscape(fill(a, index)))
+		b.WriteString("/" + url.PathEscape(replaceIndex(a, index)))
 	}
 	return b.String()
 }
 
 // Body is the job's input, with the index in the placeholder's place.
-func (t *JobTemplate) Body(index string) string { return fill(t.Input, index) }
+func (t *JobTemplate) Body(index string) string { return replaceIndex(t.Input, index) }
 
-func fill(text, index string) string {
+func replaceIndex(text, index string) string {
 	if index == "" {
 		return text
 	}
--- a/internal/node/batch/circuitbreaker/circuit.go
+++ b/internal/node/batch/circuitbreaker/circuit.go
@@ -14,8 +14,8 @@
 
 // Config is what a circuit is told.
 type Config struct {
-	Slow  time.Duration // without progress for longer the store is stalled
-	Again time.Duration // between two tries of a failing one
+	StallTime     time.Duration // without progress for longer the store is stalled
+	RetryInterval time.Duration // between two tries of a failing one
 }
 
 // State is a circuit's state, as it is shown.
@@ -23,73 +23,73 @@
 
 // The states.
 const (
-	Well    State = "well"
+	Healthy State = "well"
 	Stalled State = "stalled" // calls wait and none ends
 	Failing State = "failing" // the last call failed
 )
 
 // Circuit is for one goroutine.
 type Circuit struct {
-	config   Config
-	out      int           // calls not ended
-	progress time.Duration // the last call's end, or the first one's beginning after none was out
-	failing  bool
-	triedAt  time.Duration
-	turned   uint64
+	config       Config
+	inFlight     int           // calls not ended
+	lastProgress time.Duration // the last call's end, or the first one's beginning after none was out
+	failing      bool
+	lastTrial    time.Duration
+	rejected     uint64
 }
 
 // New makes a closed circuit.
 func New(c Config) *Circuit { return &Circuit{config: c} }
 
-// Began tells of a call handed to the store.
-func (c *Circuit) Began(now time.Duration) {
-	if c.out == 0 {
-		c.progress = now
+// CallBegan tells of a call handed to the store.
+func (c *Circuit) CallBegan(now time.Duration) {
+	if c.inFlight == 0 {
+		c.lastProgress = now
 	}
-	c.out++
+	c.inFlight++
 }
 
-// Ended tells of a call's end.
-func (c *Circuit) Ended(now time.Duration, failed bool) {
-	c.out--
-	c.progress = now
+// CallEnded tells of a call's end.
+func (c *Circuit) CallEnded(now time.Duration, failed bool) {
+	c.inFlight--
+	c.lastProgress = now
 	c.failing = failed
 	if failed {
-		c.triedAt = now
+		c.lastTrial = now
 	}
 }
 
 // State returns the state.
 func (c *Circuit) State(now time.Duration) State {
 	switch {
-	case c.out > 0 && now-c.progress > c.config.Slow:
+	case c.inFlight > 0 && now-c.lastProgress > c.config.StallTime:
 		return Stalled
 	case c.failing:
 		return Failing
 	}
-	return Well
+	return Healthy
 }
 
 // Admit tells whether new work may be taken, and where not when to return.
 func (c *Circuit) Admit(now time.Duration) (after time.Duration, ok bool) {
 	switch c.State(now) {
-	case Well:
+	case Healthy:
 		return 0, true
 	case Failing:
-		if c.out == 0 && now-c.triedAt >= c.config.Again {
-			c.triedAt = now // this one tries it
+		if c.inFlight == 0 && now-c.lastTrial >= c.config.RetryInterval {
+			c.lastTrial = now // this one tries it
 			return 0, true
 		}
 	}
-	c.turned++
-	return c.config.Again, false
+	c.rejected++
+	return c.config.RetryInterval, false
 }
 
-// Turn counts work that had been admitted and was turned away after all.
-func (c *Circuit) Turn() { c.turned++ }
+// CountRejected counts work that had been admitted and was turned away after all.
+func (c *Circuit) CountRejected() { c.rejected++ }
 
-// Out returns the number of calls that have not ended.
-func (c *Circuit) Out() int { return c.out }
+// InFlight returns the number of calls that have not ended.
+func (c *Circuit) InFlight() int { return c.inFlight }
 
-// Turned returns how much work was turned away.
-func (c *Circuit) Turned() uint64 { return c.turned }
+// Rejected returns how much work was turned away.
+func (c *Circuit) Rejected() uint64 { return c.rejected }
--- a/internal/node/batch/cli/cli.go
+++ b/internal/node/batch/cli/cli.go
@@ -101,16 +101,16 @@
 	TokenFile string `help:"A file with the token; else OSPREYBEND_TOKEN has it." type:"path" env:"OSPREYBEND_TOKEN_FILE"`
 }
 
-func (s *Server) client(e *Env) (*client.Client, error) {
-	token, err := e.Token(s.TokenFile, "OSPREYBEND_TOKEN")
+func (s *Server) client(env *Env) (*client.Client, error) {
+	token, err := env.Token(s.TokenFile, "OSPREYBEND_TOKEN")
 	if err != nil {
 		return nil, err
 	}
-	return client.New(s.URL, token, client.WithTries(5))
+	return client.New(s.URL, token, client.WithMaxAttempts(5))
 }
 
-// short cuts a time to what a person reads.
-func short(stamp string) string {
+// shortTime cuts a time to what a person reads.
+func shortTime(stamp string) string {
 	if at, err := time.Parse(time.RFC3339Nano, stamp); err == nil {
 		return at.Local().Format("01-02 15:04:05")
 	}
--- a/internal/node/batch/cli/job.go
+++ b/internal/node/batch/cli/job.go
@@ -17,8 +17,8 @@
 	Session string `help:"The job session." short:"s" default:"default" env:"OSPREYBEND_SESSION"`
 }
 
-func (f *InSession) open(e *Env) (*client.Session, error) {
-	c, err := f.client(e)
+func (f *InSession) open(env *Env) (*client.Session, error) {
+	c, err := f.client(env)
 	if err != nil {
 		return nil, err
 	}
@@ -27,17 +27,17 @@
 
 // Job is the commands on jobs.
 type Job struct {
-	Submit    Submit `cmd:"" help:"Submit a job."`
-	Bulk      Bulk   `cmd:"" help:"Submit a job array."`
-	List      List   `cmd:"" help:"List jobs, newest first."`
-	Info      Info   `cmd:"" help:"Show a job or an array."`
-	Wait      Wait   `cmd:"" help:"Wait for the start or the end of a job, or the end of an array."`
-	Hold      Hold   `cmd:"" help:"Keep a waiting job, or an array's, from being sent."`
-	Release   Free   `cmd:"" help:"Let held jobs go on."`
-	Terminate End    `cmd:"" help:"End jobs."`
-	Reap      Reap   `cmd:"" help:"Forget ended jobs."`
-	Events    Events `cmd:"" help:"Follow the session's events."`
-	Queues    Queues `cmd:"" help:"List the classes and the prep workers."`
+	Submit    Submit    `cmd:"" help:"Submit a job."`
+	Bulk      Bulk      `cmd:"" help:"Submit a job array."`
+	List      List      `cmd:"" help:"List jobs, newest first."`
+	Info      Info      `cmd:"" help:"Show a job or an array."`
+	Wait      Wait      `cmd:"" help:"Wait for the start or the end of a job, or the end of an array."`
+	Hold      Hold      `cmd:"" help:"Keep a waiting job, or an array's, from being sent."`
+	Release   Release   `cmd:"" help:"Let held jobs go on."`
+	Terminate Terminate `cmd:"" help:"End jobs."`
+	Reap      Reap      `cmd:"" help:"Forget ended jobs."`
+	Events    Events    `cmd:"" help:"Follow the session's events."`
+	Queues    Queues    `cmd:"" help:"List the classes and the prep workers."`
 }
 
 // Template is the flags that make a job template.
@@ -66,7 +66,7 @@
 	switch t.Input {
 	case "":
 	case "-":
-		text, err = io.ReadAll(io.LimitReader(os.Stdin, drmaa.MostInput+1))
+		text, err = io.ReadAll(io.LimitReader(os.Stdin, drmaa.MaxInputBytes+1))
 	default:
 		text, err = os.ReadFile(t.Input)
 	}
@@ -82,8 +82,8 @@
 }
 
 // Run runs the command.
-func (c *Submit) Run(e *Env) error {
-	s, err := c.open(e)
+func (c *Submit) Run(env *Env) error {
+	s, err := c.open(env)
 	if err != nil {
 		return err
 	}
@@ -91,22 +91,22 @@
 	if err != nil {
 		return err
 	}
-	j, err := s.Run(e.Ctx, t)
+	j, err := s.Run(env.Ctx, t)
 	if err != nil {
 		return err
 	}
 	if !c.Wait {
-		return e.Show(j, func(w io.Writer) { fmt.Fprintln(w, j.ID) })
+		return env.Show(j, func(w io.Writer) { fmt.Fprintln(w, j.ID) })
 	}
-	return waitFor(e, s, j.ID, client.Terminated)
+	return waitFor(env, s, j.ID, client.Terminated)
 }
 
-func waitFor(e *Env, s *client.Session, id, what string) error {
-	j, err := s.Wait(e.Ctx, id, what)
+func waitFor(env *Env, s *client.Session, id, what string) error {
+	j, err := s.Wait(env.Ctx, id, what)
 	if err != nil {
 		return err
 	}
-	if err := e.showJob(j); err != nil {
+	if err := env.showJob(j); err != nil {
 		return err
 	}
 	if j.State == drmaa.Failed {
@@ -127,8 +127,8 @@
 }
 
 // Run runs the command.
-func (c *Bulk) Run(e *Env) error {
-	s, err := c.open(e)
+func (c *Bulk) Run(env *Env) error {
+	s, err := c.open(env)
 	if err != nil {
 		return err
 	}
@@ -136,17 +136,17 @@
 	if err != nil {
 		return err
 	}
-	a, err := s.RunBulk(e.Ctx, drmaa.Bulk{Template: &t, Begin: c.Begin, End: c.End, Step: c.Step, MaxParallel: c.MaxParallel})
+	a, err := s.RunBulk(env.Ctx, drmaa.Bulk{Template: &t, Begin: c.Begin, End: c.End, Step: c.Step, MaxParallel: c.MaxParallel})
 	if err != nil {
 		return err
 	}
 	if !c.Wait {
-		return e.Show(a, func(w io.Writer) { fmt.Fprintln(w, a.ID) })
+		return env.Show(a, func(w io.Writer) { fmt.Fprintln(w, a.ID) })
 	}
-	if a, err = s.WaitArray(e.Ctx, a.ID); err != nil {
+	if a, err = s.WaitArray(env.Ctx, a.ID); err != nil {
 		return err
 	}
-	return e.showArray(a)
+	return env.showArray(a)
 }
 
 // List lists jobs.
@@ -160,14 +160,14 @@
 }
 
 // Run runs the command.
-func (c *List) Run(e *Env) error {
-	s, err := c.open(e)
+func (c *List) Run(env *Env) error {
+	s, err := c.open(env)
 	if err != nil {
 		return err
 	}
 	f := drmaa.Filter{States: c.State, Category: c.Category, Name: c.Name, Array: c.Array}
 	all := []*drmaa.Job{}
-	for j, err := range s.Jobs(e.Ctx, f) {
+	for j, err := range s.Jobs(env.Ctx, f) {
 		if err != nil {
 			return err
 		}
@@ -175,10 +175,10 @@
 			break
 		}
 	}
-	return e.Show(all, func(w io.Writer) {
+	return env.Show(all, func(w io.Writer) {
 		fmt.Fprintln(w, "ID\tSTATE\tCLASS\tNAME\tSUBMITTED\tFINISHED\tREASON")
 		for _, j := range all {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.State, j.Queue, j.Name, short(j.Submitted), short(j.Finished), j.SubState)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.State, j.Queue, j.Name, shortTime(j.Submitted), shortTime(j.Finished), j.SubState)
 		}
 	})
 }
@@ -196,23 +196,23 @@
 }
 
 // Run runs the command.
-func (c *Info) Run(e *Env) error {
-	s, err := c.open(e)
+func (c *Info) Run(env *Env) error {
+	s, err := c.open(env)
 	if err != nil {
 		return err
 	}
 	if c.Array {
-		a, err := s.Array(e.Ctx, c.ID)
+		a, err := s.Array(env.Ctx, c.ID)
 		if err != nil {
 			return err
 		}
-		return e.showArray(a)
+		return env.showArray(a)
 	}
-	j, err := s.Job(e.Ctx, c.ID)
+	j, err := s.Job(env.Ctx, c.ID)
 	if err != nil {
 		return err
 	}
-	return e.showJob(j)
+	return env.showJob(j)
 }
 
 func (e *Env) showArray(a *drmaa.Array) error {
@@ -226,23 +226,23 @@
 	})
 }
 
-func (e *Env) showJob(j *drmaa.Job) error {
-	return e.Show(j, func(w io.Writer) {
-		fmt.Fprintf(w, "job\t%s\nstate\t%s\n", j.ID, j.State)
-		for _, row := range [][2]string{{"reason", j.SubState}, {"name", j.Name}, {"class", j.Queue}, {"submitted", j.Submitted},
-			{"dispatched", j.Dispatched}, {"finished", j.Finished}} {
+func (e *Env) showJob(job *drmaa.Job) error {
+	return e.Show(job, func(w io.Writer) {
+		fmt.Fprintf(w, "job\t%s\nstate\t%s\n", job.ID, job.State)
+		for _, row := range [][2]string{{"reason", job.SubState}, {"name", job.Name}, {"class", job.Queue}, {"submitted", job.Submitted},
+			{"dispatched", job.Dispatched}, {"finished", job.Finished}} {
 			if row[1] != "" {
 				fmt.Fprintf(w, "%s\t%s\n", row[0], row[1])
 			}
 		}
-		if j.State == drmaa.Failed {
-			fmt.Fprintf(w, "may have run\t%v\n", j.MayHaveRun)
+		if job.State == drmaa.Failed {
+			fmt.Fprintf(w, "may have run\t%v\n", job.MayHaveRun)
 		}
-		for _, s := range j.Steps {
+		for _, s := range job.Steps {
 			fmt.Fprintf(w, "went to\t%s: %s\n", s.Machine, s.Outcome)
 		}
-		if j.Result != nil {
-			fmt.Fprintf(w, "result\t%s\n", *j.Result)
+		if job.Result != nil {
+			fmt.Fprintf(w, "result\t%s\n", *job.Result)
 		}
 	})
 }
@@ -256,25 +256,25 @@
 }
 
 // Run runs the command.
-func (c *Wait) Run(e *Env) error {
-	s, err := c.open(e)
+func (c *Wait) Run(env *Env) error {
+	s, err := c.open(env)
 	if err != nil {
 		return err
 	}
 	if c.Timeout > 0 {
-		ctx, cancel := context.WithTimeout(e.Ctx, c.Timeout)
+		ctx, cancel := context.WithTimeout(env.Ctx, c.Timeout)
 		defer cancel()
-		e.Ctx = ctx
+		env.Ctx = ctx
 	}
 	switch {
 	case c.Array:
-		a, err := s.WaitArray(e.Ctx, c.ID)
+		a, err := s.WaitArray(env.Ctx, c.ID)
 		if err != nil {
 			return err
 		}
-		return e.showArray(a)
+		return env.showArray(a)
 	case c.Started:
-		return waitFor(e, s, c.ID, client.Started)
+		return waitFor(env, s, c.ID, client.Started)
 	}
-	return waitFor(e, s, c.ID, client.Terminated)
+	return waitFor(env, s, c.ID, client.Terminated)
 }
--- a/internal/node/batch/cli/job_actions.go
+++ b/internal/node/batch/cli/job_actions.go
@@ -7,23 +7,23 @@
 	"ospreybend/drmaa"
 )
 
-func act(e *Env, f *InSession, o *OneJob, action string) error {
-	s, err := f.open(e)
+func runAction(env *Env, flags *InSession, target *OneJob, action string) error {
+	s, err := flags.open(env)
 	if err != nil {
 		return err
 	}
-	if !o.Array {
-		if err := s.Act(e.Ctx, o.ID, action); err != nil {
+	if !target.Array {
+		if err := s.Act(env.Ctx, target.ID, action); err != nil {
 			return err
 		}
-		return e.Show(drmaa.Affected{Applied: 1}, func(w io.Writer) { fmt.Fprintf(w, "%s: %s\n", o.ID, action) })
+		return env.Show(drmaa.Affected{Applied: 1}, func(w io.Writer) { fmt.Fprintf(w, "%s: %s\n", target.ID, action) })
 	}
-	n, err := s.ActOnArray(e.Ctx, o.ID, action)
+	n, err := s.ActOnArray(env.Ctx, target.ID, action)
 	if err != nil {
 		return err
 	}
-	return e.Show(n, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: %s on %d jobs, ruled out on %d\n", o.ID, action, n.Applied, n.Ruled)
+	return env.Show(n, func(w io.Writer) {
+		fmt.Fprintf(w, "%s: %s on %d jobs, ruled out on %d\n", target.ID, action, n.Applied, n.RuledOut)
 	})
 }
 
@@ -34,25 +34,25 @@
 }
 
 // Run runs the command.
-func (c *Hold) Run(e *Env) error { return act(e, &c.InSession, &c.OneJob, "hold") }
+func (c *Hold) Run(env *Env) error { return runAction(env, &c.InSession, &c.OneJob, "hold") }
 
-// Free releases jobs.
-type Free struct {
+// Release releases jobs.
+type Release struct {
 	InSession `embed:""`
 	OneJob    `embed:""`
 }
 
 // Run runs the command.
-func (c *Free) Run(e *Env) error { return act(e, &c.InSession, &c.OneJob, "release") }
+func (c *Release) Run(env *Env) error { return runAction(env, &c.InSession, &c.OneJob, "release") }
 
-// End terminates jobs.
-type End struct {
+// Terminate terminates jobs.
+type Terminate struct {
 	InSession `embed:""`
 	OneJob    `embed:""`
 }
 
 // Run runs the command.
-func (c *End) Run(e *Env) error { return act(e, &c.InSession, &c.OneJob, "terminate") }
+func (c *Terminate) Run(env *Env) error { return runAction(env, &c.InSession, &c.OneJob, "terminate") }
 
 // Reap reaps jobs.
 type Reap struct {
@@ -61,4 +61,4 @@
 }
 
 // Run runs the command.
-func (c *Reap) Run(e *Env) error { return act(e, &c.InSession, &c.OneJob, "reap") }
+func (c *Reap) Run(env *Env) error { return runAction(env, &c.InSession, &c.OneJob, "reap") }
--- a/internal/node/batch/cli/manage.go
+++ b/internal/node/batch/cli/manage.go
@@ -23,16 +23,16 @@
 }
 
 // Run runs the command.
-func (c *SessionList) Run(e *Env) error {
-	cl, err := c.client(e)
+func (c *SessionList) Run(env *Env) error {
+	cl, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	all, err := cl.Sessions(e.Ctx)
+	all, err := cl.Sessions(env.Ctx)
 	if err != nil {
 		return err
 	}
-	return e.Show(all, func(w io.Writer) {
+	return env.Show(all, func(w io.Writer) {
 		fmt.Fprintln(w, "SESSION\tSTATE\tUNFINISHED")
 		for _, s := range all {
 			fmt.Fprintf(w, "%s\t%s\t%d\n", s.Name, s.State, s.Unfinished)
@@ -46,15 +46,15 @@
 	Name   string `arg:"" help:"The session's name."`
 }
 
-func (c *Named) do(e *Env, done string, f func(cl *client.Client) error) error {
-	cl, err := c.client(e)
+func (c *Named) run(env *Env, done string, call func(cl *client.Client) error) error {
+	cl, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	if err := f(cl); err != nil {
+	if err := call(cl); err != nil {
 		return err
 	}
-	return e.Show(drmaa.Session{Name: c.Name, State: done}, func(w io.Writer) { fmt.Fprintf(w, "%s: %s\n", c.Name, done) })
+	return env.Show(drmaa.Session{Name: c.Name, State: done}, func(w io.Writer) { fmt.Fprintf(w, "%s: %s\n", c.Name, done) })
 }
 
 // SessionCreate creates a session.
@@ -63,8 +63,8 @@
 }
 
 // Run runs the command.
-func (c *SessionCreate) Run(e *Env) error {
-	return c.do(e, "open", func(cl *client.Client) error { _, err := cl.CreateSession(e.Ctx, c.Name); return err })
+func (c *SessionCreate) Run(env *Env) error {
+	return c.run(env, "open", func(cl *client.Client) error { _, err := cl.CreateSession(env.Ctx, c.Name); return err })
 }
 
 // SessionOpen opens a session.
@@ -73,8 +73,8 @@
 }
 
 // Run runs the command.
-func (c *SessionOpen) Run(e *Env) error {
-	return c.do(e, "open", func(cl *client.Client) error { _, err := cl.OpenSession(e.Ctx, c.Name); return err })
+func (c *SessionOpen) Run(env *Env) error {
+	return c.run(env, "open", func(cl *client.Client) error { _, err := cl.OpenSession(env.Ctx, c.Name); return err })
 }
 
 // SessionClose closes a session.
@@ -83,8 +83,8 @@
 }
 
 // Run runs the command.
-func (c *SessionClose) Run(e *Env) error {
-	return c.do(e, "closed", func(cl *client.Client) error { return cl.Session(c.Name).Close(e.Ctx) })
+func (c *SessionClose) Run(env *Env) error {
+	return c.run(env, "closed", func(cl *client.Client) error { return cl.Session(c.Name).Close(env.Ctx) })
 }
 
 // SessionDestroy destroys a session.
@@ -93,8 +93,8 @@
 }
 
 // Run runs the command.
-func (c *SessionDestroy) Run(e *Env) error {
-	return c.do(e, "destroyed", func(cl *client.Client) error { return cl.Session(c.Name).Destroy(e.Ctx) })
+func (c *SessionDestroy) Run(env *Env) error {
+	return c.run(env, "destroyed", func(cl *client.Client) error { return cl.Session(c.Name).Destroy(env.Ctx) })
 }
 
 // Tenant is the commands of the administration.
@@ -113,24 +113,24 @@
 	AdminTokenFile string `help:"A file with its token; else OSPREYBEND_ADMIN_TOKEN has it." type:"path" env:"OSPREYBEND_ADMIN_TOKEN_FILE"`
 }
 
-func (s *AdminServer) admin(e *Env) (*client.Admin, error) {
-	token, err := e.Token(s.AdminTokenFile, "OSPREYBEND_ADMIN_TOKEN")
+func (s *AdminServer) admin(env *Env) (*client.Admin, error) {
+	token, err := env.Token(s.AdminTokenFile, "OSPREYBEND_ADMIN_TOKEN")
 	if err != nil {
 		return nil, err
 	}
-	return client.NewAdmin(s.AdminURL, token, client.WithTries(5))
+	return client.NewAdmin(s.AdminURL, token, client.WithMaxAttempts(5))
 }
 
-func (s *AdminServer) show(e *Env, f func(a *client.Admin) ([]client.Tenant, error)) error {
-	a, err := s.admin(e)
+func (s *AdminServer) show(env *Env, call func(a *client.Admin) ([]client.Tenant, error)) error {
+	a, err := s.admin(env)
 	if err != nil {
 		return err
 	}
-	all, err := f(a)
+	all, err := call(a)
 	if err != nil {
 		return err
 	}
-	return e.Show(all, func(w io.Writer) {
+	return env.Show(all, func(w io.Writer) {
 		fmt.Fprintln(w, "TENANT\tQUOTA\tUNFINISHED\tTOKEN")
 		for _, t := range all {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", t.Name, t.Quota, t.Unfinished, t.Token)
@@ -138,7 +138,7 @@
 	})
 }
 
-func one(t *client.Tenant, err error) ([]client.Tenant, error) {
+func single(t *client.Tenant, err error) ([]client.Tenant, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -151,8 +151,8 @@
 }
 
 // Run runs the command.
-func (c *TenantList) Run(e *Env) error {
-	return c.show(e, func(a *client.Admin) ([]client.Tenant, error) { return a.Tenants(e.Ctx) })
+func (c *TenantList) Run(env *Env) error {
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return a.Tenants(env.Ctx) })
 }
 
 // TenantCreate makes a tenant.
@@ -163,8 +163,8 @@
 }
 
 // Run runs the command.
-func (c *TenantCreate) Run(e *Env) error {
-	return c.show(e, func(a *client.Admin) ([]client.Tenant, error) { return one(a.Create(e.Ctx, c.Name, c.Quota)) })
+func (c *TenantCreate) Run(env *Env) error {
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Create(env.Ctx, c.Name, c.Quota)) })
 }
 
 // TenantQuota changes a quota.
@@ -175,8 +175,8 @@
 }
 
 // Run runs the command.
-func (c *TenantQuota) Run(e *Env) error {
-	return c.show(e, func(a *client.Admin) ([]client.Tenant, error) { return one(a.SetQuota(e.Ctx, c.Name, c.Quota)) })
+func (c *TenantQuota) Run(env *Env) error {
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.SetQuota(env.Ctx, c.Name, c.Quota)) })
 }
 
 // TenantRotate gives a new token.
@@ -186,8 +186,8 @@
 }
 
 // Run runs the command.
-func (c *TenantRotate) Run(e *Env) error {
-	return c.show(e, func(a *client.Admin) ([]client.Tenant, error) { return one(a.Rotate(e.Ctx, c.Name)) })
+func (c *TenantRotate) Run(env *Env) error {
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) { return single(a.Rotate(env.Ctx, c.Name)) })
 }
 
 // TenantRemove removes a tenant.
@@ -197,9 +197,9 @@
 }
 
 // Run runs the command.
-func (c *TenantRemove) Run(e *Env) error {
-	return c.show(e, func(a *client.Admin) ([]client.Tenant, error) {
-		return []client.Tenant{{Name: c.Name}}, a.Remove(e.Ctx, c.Name)
+func (c *TenantRemove) Run(env *Env) error {
+	return c.show(env, func(a *client.Admin) ([]client.Tenant, error) {
+		return []client.Tenant{{Name: c.Name}}, a.Remove(env.Ctx, c.Name)
 	})
 }
 
@@ -209,17 +209,17 @@
 }
 
 // Run runs the command.
-func (c *TenantQueue) Run(e *Env) error {
-	a, err := c.admin(e)
+func (c *TenantQueue) Run(env *Env) error {
+	a, err := c.admin(env)
 	if err != nil {
 		return err
 	}
-	q, err := a.Queue(e.Ctx)
+	q, err := a.Queue(env.Ctx)
 	if err != nil {
 		return err
 	}
-	return e.Show(q, func(w io.Writer) {
+	return env.Show(q, func(w io.Writer) {
 		fmt.Fprintf(w, "unfinished\t%d\nqueued\t%d\nin the core\t%d\nwaits\t%d\nstore\t%s, %d submissions turned away\nwindow\t%.1f slots, %.1f used\nqueueing delay\t%.1f ms\nhalvings\t%d\n",
-			q.Unfinished, q.Queued, q.InCore, q.Waits, q.Store, q.Turned, q.Window.Slots, q.Window.Used, q.Window.QueueingDelay*1000, q.Window.Halvings)
+			q.Unfinished, q.Queued, q.InCore, q.Waits, q.Store, q.Rejected, q.Window.Slots, q.Window.Used, q.Window.QueueingDelay*1000, q.Window.Halvings)
 	})
 }
--- a/internal/node/batch/cli/monitoring.go
+++ b/internal/node/batch/cli/monitoring.go
@@ -12,21 +12,21 @@
 }
 
 // Run runs the command.
-func (c *Events) Run(e *Env) error {
-	s, err := c.open(e)
+func (c *Events) Run(env *Env) error {
+	s, err := c.open(env)
 	if err != nil {
 		return err
 	}
-	for got, err := range s.Events(e.Ctx, c.Cursor) {
+	for got, err := range s.Events(env.Ctx, c.Cursor) {
 		if err != nil {
 			return err
 		}
-		if err := e.Show(got, func(w io.Writer) {
+		if err := env.Show(got, func(w io.Writer) {
 			if got.Missed != 0 {
 				fmt.Fprintf(w, "missed %d events\n", got.Missed)
 			}
 			for _, v := range got.Events {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s%s\n", short(v.Time), v.Event, v.Job, v.State, v.SubState, v.Machine)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s%s\n", shortTime(v.Time), v.Event, v.Job, v.State, v.SubState, v.Machine)
 			}
 		}); err != nil {
 			return err
@@ -41,23 +41,23 @@
 }
 
 // Run runs the command.
-func (c *Queues) Run(e *Env) error {
-	cl, err := c.client(e)
+func (c *Queues) Run(env *Env) error {
+	cl, err := c.client(env)
 	if err != nil {
 		return err
 	}
-	queues, err := cl.Queues(e.Ctx)
+	queues, err := cl.Queues(env.Ctx)
 	if err != nil {
 		return err
 	}
-	machines, err := cl.Machines(e.Ctx)
+	machines, err := cl.Machines(env.Ctx)
 	if err != nil {
 		return err
 	}
-	return e.Show(map[string]any{"queues": queues, "machines": machines}, func(w io.Writer) {
+	return env.Show(map[string]any{"queues": queues, "machines": machines}, func(w io.Writer) {
 		fmt.Fprintln(w, "CLASS\tRUNS ONCE\tWAITING\tHELD\tRUNNING")
 		for _, q := range queues {
-			fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\n", q.Name, q.Once, q.Waiting, q.Held, q.Running)
+			fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\n", q.Name, q.NonIdempotent, q.Waiting, q.Held, q.Running)
 		}
 		fmt.Fprintln(w, "\nPREP WORKER\tSTATE\tFREE SLOTS\tDOUBT\tYOUR SLOTS")
 		for _, m := range machines {
@@ -65,7 +65,7 @@
 			if m.FreeSlots != nil {
 				free = fmt.Sprintf("%.1f", *m.FreeSlots)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%v\n", m.Name, m.State, free, m.Doubt, m.Batch)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%v\n", m.Name, m.State, free, m.FailureProbability, m.BatchSlots)
 		}
 	})
 }
--- a/internal/node/batch/cli/store.go
+++ b/internal/node/batch/cli/store.go
@@ -19,26 +19,26 @@
 }
 
 // Run runs the command.
-func (c *StoreUndecided) Run(e *Env) error {
-	a, err := c.admin(e)
+func (c *StoreUndecided) Run(env *Env) error {
+	a, err := c.admin(env)
 	if err != nil {
 		return err
 	}
 	all := []*drmaa.Job{}
-	for j, err := range a.Undecided(e.Ctx) {
+	for j, err := range a.Undecided(env.Ctx) {
 		if err != nil {
 			return err
 		}
 		all = append(all, j)
 	}
-	return e.Show(all, func(w io.Writer) {
+	return env.Show(all, func(w io.Writer) {
 		fmt.Fprintln(w, "ID\tTENANT\tCLASS\tNAME\tSUBMITTED\tWENT TO\tREASON")
 		for _, j := range all {
 			to := "-"
 			if n := len(j.Steps); n > 0 {
 				to = j.Steps[n-1].Machine
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.Owner, j.Queue, j.Name, short(j.Submitted), to, j.SubState)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", j.ID, j.Owner, j.Queue, j.Name, shortTime(j.Submitted), to, j.SubState)
 		}
 	})
 }
@@ -52,15 +52,15 @@
 }
 
 // Run runs the command.
-func (c *StoreSettle) Run(e *Env) error {
-	a, err := c.admin(e)
+func (c *StoreSettle) Run(env *Env) error {
+	a, err := c.admin(env)
 	if err != nil {
 		return err
 	}
-	if err := a.Settle(e.Ctx, c.ID, c.Ran, c.Reason); err != nil {
+	if err := a.Settle(env.Ctx, c.ID, c.Ran, c.Reason); err != nil {
 		return err
 	}
-	return e.Show(drmaa.Settlement{Ran: c.Ran, Reason: c.Reason}, func(w io.Writer) {
+	return env.Show(drmaa.Settlement{Ran: c.Ran, Reason: c.Reason}, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: %s\n", c.ID, map[bool]string{true: "ran", false: "never ran"}[c.Ran])
 	})
 }
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	root        = "/drmaa/v2"
-	longestWait = 10 * time.Minute
-	jsonType    = "Content-Type: application/json\r\n"
+	root     = "/drmaa/v2"
+	maxWait  = 10 * time.Minute
+	jsonType = "Content-Type: application/json\r\n"
 )
 
 var (
@@ -35,17 +35,17 @@
 type Front struct {
 	jobs    *jobs.Manager
 	clock   routing.Clock
-	due     *timerqueue.Queue
+	timers  *timerqueue.Queue
 	version string
 }
 
 // New makes a front. version is the program's.
-func New(m *jobs.Manager, clock routing.Clock, line *timerqueue.Queue, version string) *Front {
-	return &Front{jobs: m, clock: clock, due: line, version: version}
+func New(manager *jobs.Manager, clock routing.Clock, timers *timerqueue.Queue, version string) *Front {
+	return &Front{jobs: manager, clock: clock, timers: timers, version: version}
 }
 
-// call is one call with what was read of it.
-type call struct {
+// apiCall is one call with what was read of it.
+type apiCall struct {
 	*protocol.Call
 	tenant *jobs.TenantState
 	hash   string // of its token
@@ -56,38 +56,38 @@
 
 // Serve answers one call of the binding.
 func (f *Front) Serve(in *protocol.Call) {
-	c := &call{Call: in, method: string(in.Method)}
+	call := &apiCall{Call: in, method: string(in.Method)}
 	// Tokens are compared by their hashes alone, so that timing tells nothing of one.
 	if token, ok := bearer(in); ok {
-		c.hash = HashOf(token)
-		c.tenant = f.jobs.ByToken(c.hash)
+		call.hash = TokenHash(token)
+		call.tenant = f.jobs.ByToken(call.hash)
 	}
-	if c.tenant == nil {
-		refuse(c, denied)
+	if call.tenant == nil {
+		replyError(call, denied)
 		return
 	}
 	ok := false
-	if c.path, c.query, ok = pathOf(in, root); !ok {
-		refuse(c, unknownPath)
+	if call.path, call.query, ok = pathOf(in, root); !ok {
+		replyError(call, unknownPath)
 		return
 	}
-	serve := f.route(c)
+	serve := f.route(call)
 	if serve == nil {
-		refuse(c, unknownPath)
+		replyError(call, unknownPath)
 		return
 	}
-	serve(c)
+	serve(call)
 }
 
 // route finds what answers a call. A '*' stands for one part of the path.
-func (f *Front) route(c *call) func(*call) {
-	shape := slices.Clone(c.path)
+func (f *Front) route(call *apiCall) func(*apiCall) {
+	shape := slices.Clone(call.path)
 	for _, at := range []int{1, 3} {
 		if at < len(shape) && shape[0] == "sessions" {
 			shape[at] = "*"
 		}
 	}
-	switch c.method + " " + strings.Join(shape, "/") {
+	switch call.method + " " + strings.Join(shape, "/") {
 	case "GET ":
 		return f.manager
 	case "GET sessions":
@@ -97,7 +97,7 @@
 	case "GET sessions/*":
 		return f.session
 	case "DELETE sessions/*":
-		return func(c *call) { f.setSession(c, jobs.SessionClosed) }
+		return func(call *apiCall) { f.setSession(call, jobs.SessionClosed) }
 	case "POST sessions/*/control":
 		return f.controlSession
 	case "POST sessions/*/wait":
@@ -105,7 +105,7 @@
 	case "GET sessions/*/events":
 		return f.events
 	case "GET sessions/*/jobs":
-		return f.list
+		return f.listJobs
 	case "POST sessions/*/jobs":
 		return f.submit
 	case "GET sessions/*/jobs/*":
@@ -123,31 +123,33 @@
 	case "POST sessions/*/arrays/*/control":
 		return f.controlArray
 	case "GET monitoring/jobs":
-		return f.list
+		return f.listJobs
 	case "GET monitoring/queues":
-		return func(c *call) { reply(c, 200, map[string]any{"queues": f.jobs.Queues(c.tenant)}) }
+		return func(call *apiCall) { reply(call, 200, map[string]any{"queues": f.jobs.Queues(call.tenant)}) }
 	case "GET monitoring/machines":
-		return func(c *call) { reply(c, 200, map[string]any{"machines": f.jobs.Machines(c.tenant)}) }
+		return func(call *apiCall) { reply(call, 200, map[string]any{"machines": f.jobs.Machines(call.tenant)}) }
 	case "GET monitoring/reservations", "GET reservations", "POST reservations":
-		return func(c *call) { refuse(c, drmaa.Unsupported("there are no advance reservations")) }
+		return func(call *apiCall) {
+			replyError(call, drmaa.UnsupportedOperationError("there are no advance reservations"))
+		}
 	}
 	return nil
 }
 
-// HashOf is how tokens are stored.
-func HashOf(token string) string {
+// TokenHash is how tokens are stored.
+func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-func bearer(c *protocol.Call) (string, bool) {
-	kind, token, _ := strings.Cut(string(c.Header("Authorization")), " ")
+func bearer(call *protocol.Call) (string, bool) {
+	kind, token, _ := strings.Cut(string(call.Header("Authorization")), " ")
 	return token, strings.EqualFold(kind, "Bearer") && token != ""
 }
 
 // pathOf splits what follows the root of a call's path.
-func pathOf(c *protocol.Call, root string) (parts []string, query string, ok bool) {
-	path, query, _ := strings.Cut(string(c.Target), "?")
+func pathOf(call *protocol.Call, root string) (parts []string, query string, ok bool) {
+	path, query, _ := strings.Cut(string(call.Target), "?")
 	if path == root {
 		return nil, query, true
 	}
@@ -171,37 +173,37 @@
 	Reply(status int, extra string, body []byte)
 }
 
-func reply(c answerer, status int, v any) {
+func reply(call answerer, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // all that is answered is made of plain fields
 	}
-	c.Reply(status, jsonType, append(body, '\n'))
+	call.Reply(status, jsonType, append(body, '\n'))
 }
 
-func refuse(c answerer, e *drmaa.Error) {
+func replyError(call answerer, e *drmaa.Error) {
 	extra := jsonType
-	if e.Return > 0 {
-		extra += protocol.RetryAfter(e.Return)
+	if e.RetryAfter > 0 {
+		extra += protocol.RetryAfter(e.RetryAfter)
 	}
 	body, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
 	}
-	c.Reply(e.Status, extra, append(body, '\n'))
+	call.Reply(e.Status, extra, append(body, '\n'))
 }
 
-// read reads the JSON object of a call's body, which may be absent.
-func read(c *protocol.Call, into any) *drmaa.Error {
-	if len(c.Body) == 0 {
+// decodeBody reads the JSON object of a call's body, which may be absent.
+func decodeBody(call *protocol.Call, into any) *drmaa.Error {
+	if len(call.Body) == 0 {
 		return nil
 	}
-	return drmaa.Decode(c.Body, into, "the body")
+	return drmaa.Decode(call.Body, into, "the body")
 }
 
-// Complain writes the answer to a request that cannot be read as an error of the
+// FormatError writes the answer to a request that cannot be read as an error of the
 // binding's, for a server's use.
-func Complain(status int, text string) (extra string, body []byte) {
+func FormatError(status int, text string) (extra string, body []byte) {
 	e := &drmaa.Error{Name: drmaa.InvalidArgument, Message: text}
 	if status == 503 {
 		e.Name = drmaa.TryLater
@@ -213,108 +215,108 @@
 	return jsonType, append(body, '\n')
 }
 
-func nameProblem(name string) *drmaa.Error {
+func checkName(name string) *drmaa.Error {
 	if name == "" || len(name) > 64 || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") != "" ||
 		name == "." || name == ".." {
-		return drmaa.Bad("name", "wants 1 to 64 of letters, digits, '-', '_' and '.'")
+		return drmaa.InvalidArgumentError("name", "wants 1 to 64 of letters, digits, '-', '_' and '.'")
 	}
 	return nil
 }
 
 // manager answers for the session manager's attributes and its supports().
-func (f *Front) manager(c *call) {
-	reply(c, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: f.version, DrmaaName: "ospreybend HTTP binding",
-		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(f.jobs.Classes())), Supports: drmaa.Supports(), Refused: drmaa.Refused,
-		MostBulk: drmaa.MostBulk})
+func (f *Front) manager(call *apiCall) {
+	reply(call, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: f.version, DrmaaName: "ospreybend HTTP binding",
+		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(f.jobs.Classes())), Supports: drmaa.Supports(), UnsupportedAttributes: drmaa.UnsupportedAttributes,
+		MaxBulkJobs: drmaa.MaxBulkJobs})
 }
 
-func (f *Front) sessions(c *call) {
-	all := f.jobs.Sessions(c.tenant)
+func (f *Front) sessions(call *apiCall) {
+	all := f.jobs.Sessions(call.tenant)
 	names := make([]string, len(all))
 	for i, s := range all {
 		names[i] = s.Name
 	}
-	reply(c, 200, map[string]any{"sessions": names, "x_sessions": all})
+	reply(call, 200, map[string]any{"sessions": names, "x_sessions": all})
 }
 
 // newSession is createJobSession and openJobSession. Without a mode it makes the
 // session or opens it, whichever is needed.
-func (f *Front) newSession(c *call) {
+func (f *Front) newSession(call *apiCall) {
 	var in struct {
 		Name string `json:"name"`
 		Mode string `json:"mode"`
 	}
-	e := read(c.Call, &in)
+	e := decodeBody(call.Call, &in)
 	if e == nil {
-		e = nameProblem(in.Name)
+		e = checkName(in.Name)
 	}
 	must, ok := map[string]string{"": "", "create": "create", "open": "exist"}[in.Mode]
 	if e == nil && !ok {
-		e = drmaa.Bad("mode", "neither create nor open")
+		e = drmaa.InvalidArgumentError("mode", "neither create nor open")
 	}
 	if e != nil {
-		refuse(c, e)
+		replyError(call, e)
 		return
 	}
-	f.jobs.SetSession(c.tenant, in.Name, jobs.SessionOpen, must, f.showSession(c, 201))
+	f.jobs.SetSession(call.tenant, in.Name, jobs.SessionOpen, must, f.showSession(call, 201))
 }
 
-func (f *Front) showSession(c *call, status int) func(*jobs.Session, *drmaa.Error) {
+func (f *Front) showSession(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
 	return func(s *jobs.Session, e *drmaa.Error) {
 		switch {
 		case e != nil:
-			refuse(c, e)
+			replyError(call, e)
 		case status == 204:
-			c.Reply(204, "", nil)
+			call.Reply(204, "", nil)
 		default:
-			reply(c, status, s.View())
+			reply(call, status, s.View())
 		}
 	}
 }
 
-func (f *Front) session(c *call) {
-	for _, s := range f.jobs.Sessions(c.tenant) {
-		if s.Name == c.path[1] {
-			reply(c, 200, s)
+func (f *Front) session(call *apiCall) {
+	for _, s := range f.jobs.Sessions(call.tenant) {
+		if s.Name == call.path[1] {
+			reply(call, 200, s)
 			return
 		}
 	}
-	refuse(c, jobs.UnknownSession)
+	replyError(call, jobs.UnknownSession)
 }
 
-func (f *Front) setSession(c *call, state string) {
-	f.jobs.SetSession(c.tenant, c.path[1], state, "exist", f.showSession(c, 204))
+func (f *Front) setSession(call *apiCall, state string) {
+	f.jobs.SetSession(call.tenant, call.path[1], state, "exist", f.showSession(call, 204))
 }
 
-func (f *Front) controlSession(c *call) {
-	action, e := readAction(c)
+func (f *Front) controlSession(call *apiCall) {
+	action, e := readAction(call)
 	switch {
 	case e != nil:
-		refuse(c, e)
+		replyError(call, e)
 	case action == "open":
-		f.jobs.SetSession(c.tenant, c.path[1], jobs.SessionOpen, "exist", f.showSession(c, 200))
+		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionOpen, "exist", f.showSession(call, 200))
 	case action == "close":
-		f.jobs.SetSession(c.tenant, c.path[1], jobs.SessionClosed, "exist", f.showSession(c, 200))
+		f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.showSession(call, 200))
 	case action == "destroy":
-		f.jobs.DestroySession(c.tenant, c.path[1], func(e *drmaa.Error) {
+		f.jobs.DestroySession(call.tenant, call.path[1], func(e *drmaa.Error) {
 			if e != nil {
-				refuse(c, e)
+				replyError(call, e)
 				return
 			}
-			c.Reply(204, "", nil)
+			call.Reply(204, "", nil)
 		})
 	default:
-		refuse(c, drmaa.Bad("action", "%q is unknown", action))
+		replyError(call, drmaa.InvalidArgumentError("action", "%q is unknown", action))
 	}
 }
 
-func readAction(c *call) (string, *drmaa.Error) {
+func readAction(call *apiCall) (string, *drmaa.Error) {
 	var in struct {
 		Action string `json:"action"`
 	}
-	e := read(c.Call, &in)
+	e := decodeBody(call.Call, &in)
 	if e == nil && in.Action == "" {
-		e = drmaa.Bad("action", "missing")
+		e = drmaa.InvalidArgumentError("action", "missing")
 	}
 	return in.Action, e
 }
--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -34,8 +34,8 @@
 var sendBooking = join("c dial batch", "c "+submit("anna", booking), "c expect HTTP/1.1 202",
 	`c keep id "jobId":"`, "w accept workers", `w expect POST /buchen/teil%201 HTTP/1.1\r\n`, `w expect \r\n\r\norder`)
 
-func TestFromSubmitToResult(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_submitToResult(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking,
 		"c "+status, `c expect "jobState":"QUEUED"`, `c expect "x_mayHaveRun":true`,
 		"c "+begun, "w send {stream}{started}", `c expect "jobState":"RUNNING"`,
@@ -45,8 +45,8 @@
 
 // A booking submitted twice under one client key runs once, and both callers
 // see the same job; other content under that key is an error.
-func TestSubmittedTwice(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_submitTwiceUnderOneKey(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join("a dial batch", "b dial batch", "a "+submit("anna", booking), "b "+submit("anna", booking),
 		`a keep id "jobId":"`, `b expect "jobId":"{id}"`,
 		"w accept workers", "w expect order", "w send {stream}{done}",
@@ -62,8 +62,8 @@
 }
 
 // A key stays taken when its job is no longer at hand.
-func TestSubmittedTwiceLongAfter(t *testing.T) {
-	w := worldOf(t, "", 2, 0)
+func TestFront_submitAgainAfterTheEnd(t *testing.T) {
+	w := newFixtureWith(t, "", 2, 0)
 	w.Play(join(sendBooking, "w send {stream}{done}", "c "+ended, `c expect "jobState":"DONE"`))
 	w.Play(join("c "+submit("anna", booking), `c expect "jobId":"{id}"`, `c expect "result":"fine"`,
 		"c "+submit("anna", strings.Replace(booking, "order", "other", 1)), "c expect HTTP/1.1 409",
@@ -75,8 +75,8 @@
 
 // Cancel while the job starts: the start, and even the result, come after it.
 // There is one final outcome, and it does not change.
-func TestTerminateWhileStarting(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_terminateWhileStarting(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+terminate, "c expect HTTP/1.1 202", "w send {stream}{started}{done}",
 		"c "+ended, `c expect "jobState":"FAILED"`, `c expect "jobSubState":"terminated"`, `c expect "x_mayHaveRun":true`,
 		"w closed", "c "+terminate, "c expect HTTP/1.1 409", "c expect InvalidStateException",
@@ -88,8 +88,8 @@
 }
 
 // Terminated before it was sent: it never runs.
-func TestTerminateBeforeRecorded(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_terminateBeforeRecorded(t *testing.T) {
+	w := newFixture(t, "")
 	w.Loop.Call(func() {
 		m := w.service
 		template, _ := drmaa.ReadTemplate([]byte(booking), m.Classes(), m.Now())
@@ -113,8 +113,8 @@
 
 // The worker vanishes: while nothing is known of it the job is as it last was,
 // then it has failed and may have run, and a booking is not run again.
-func TestWorkerVanishes(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_workerVanishes(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+begun, "w send {stream}{started}", "c expect RUNNING", "wait 1s",
 		"c "+status, "c expect RUNNING", "c "+ended, "w close",
 		`c expect "jobState":"FAILED"`, "c expect not run again", `c expect "x_mayHaveRun":true`,
@@ -129,14 +129,14 @@
 }
 
 // A worker that is silent to the end: the job's deadline ends it.
-func TestDeadline(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_deadline(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+ended, "wait 4s", "c expect FAILED", `c expect "x_mayHaveRun":true`, "w closed"))
 }
 
 // The wait's own timeout is not the job's deadline.
-func TestWaitTimesOut(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_waitTimesOut(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+request("anna", "POST", jobsPath+"/{id}/wait", `{"timeout":0.5}`)))
 	w.Until(func() bool { return w.service.Counts().Waits > 0 })
 	w.Play(join("wait 500ms", "c expect HTTP/1.1 504", `c expect "error":"TimeoutException"`, `c expect "jobState":"QUEUED"`,
@@ -145,8 +145,8 @@
 
 // No prep worker takes the job: it is refused in the core and returns when told
 // to, until its deadline. It never ran.
-func TestRefusedReturnsUntilDeadline(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_rejectedIsRetriedUntilDeadline(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join("c dial batch", "c "+submit("anna", strings.Replace(booking, "{", `{"deadline":6,`, 1)), `c keep id "jobId":"`))
 	for i := range 2 {
 		name := []string{"w", "v"}[i]
@@ -159,8 +159,8 @@
 		`c expect "jobState":"FAILED"`, "c expect it never ran"))
 }
 
-func TestWhatIsNotTaken(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_rejectedCalls(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play("c dial batch")
 	for _, c := range [][3]string{
 		{submit("nobody", booking), "401", "DeniedByDrmsException"},
@@ -189,13 +189,13 @@
 
 // After a restart what may have run and must not run twice has failed; what may
 // be repeated, and what was never sent, runs.
-func TestRestart(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_restart(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+submit("anna", `{"remoteCommand":"pruefen","deadline":60,"x_clientKey":"k2"}`), `c keep id2 "jobId":"`))
 	ctx := context.Background()
 	var now int64
 	w.Loop.Call(func() { now = w.service.Now().UnixMicro() })
-	w.die()
+	w.stopStore()
 	store := openStore(t, w.file)
 	unsent := &jobs.Record{ID: "never-sent", Tenant: "ben", Session: "s", State: drmaa.Queued, Seq: 1,
 		Template: &drmaa.JobTemplate{RemoteCommand: "buchen"}, DeadlineAt: now + 60e6}
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	must(t, store.Close())
-	again := newWorld(t, w.file)
+	again := newFixture(t, w.file)
 	again.Words["id"], again.Words["id2"] = w.Words["id"], w.Words["id2"]
 	again.Play(join("c dial batch", "c "+ended, "c expect FAILED", "c expect not run again", `c expect "x_mayHaveRun":true`,
 		"a accept workers", "b accept workers", `a expect \r\n\r\n`, `b expect \r\n\r\n`, "a send {stream}{done}", "b send {stream}{done}",
@@ -215,8 +215,8 @@
 	}
 }
 
-func TestAdministration(t *testing.T) {
-	w := newWorld(t, "")
+func TestAdmin_tenants(t *testing.T) {
+	w := newFixture(t, "")
 	admin := func(method, path, body string) string {
 		return "a " + request(adminToken, method, "/admin/v1/"+path, body)
 	}
@@ -239,7 +239,7 @@
 		"c "+submit(w.Words["new"], booking), "c expect HTTP/1.1 401",
 		admin("GET", "tenants/nobody/jobs", ""), "a expect HTTP/1.1 404"))
 	// Tokens are stored as hashes alone.
-	w.die()
+	w.stopStore()
 	store := openStore(t, w.file)
 	defer store.Close()
 	tenants, err := store.Tenants(context.Background())
@@ -258,8 +258,8 @@
 
 // The same bulk sent at once over two connections is one array, and each of its
 // jobs runs once.
-func TestSameBulkTwiceAtOnce(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_sameBulkTwiceAtOnce(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join("a dial batch", "b dial batch", "a "+request("anna", "POST", arraysPath, bulk), "b "+request("anna", "POST", arraysPath, bulk),
 		"a expect HTTP/1.1 202", `a keep id "jobArrayId":"`, "b expect HTTP/1.1 202", `b expect "jobArrayId":"{id}"`,
 		"w accept workers", "v accept workers", "w expect POST /buchen/teil-", "v expect POST /buchen/teil-", `w expect \r\n\r\n`, `v expect \r\n\r\n`,
@@ -273,8 +273,8 @@
 
 // A client that vanishes in a wait leaves nothing behind, and finds the job when
 // it is back.
-func TestVanishesInAWait(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_clientVanishesInAWait(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join(sendBooking, "d dial batch", "d "+ended))
 	w.Until(func() bool { return w.service.Counts().Waits == 1 })
 	w.Play("d close")
@@ -284,8 +284,8 @@
 
 // A booking that is lost is listed for the administration, settled once, and its
 // owner sees that.
-func TestUndecidedIsSettled(t *testing.T) {
-	w := newWorld(t, "")
+func TestAdmin_settleUndecided(t *testing.T) {
+	w := newFixture(t, "")
 	admin := func(method, path, body string) string {
 		return "a " + request(adminToken, method, "/admin/v1/"+path, body)
 	}
@@ -299,8 +299,8 @@
 }
 
 // A held job's whole way over the wire, with its events on a stream.
-func TestHeldAndStreamed(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_holdAndEventStream(t *testing.T) {
+	w := newFixture(t, "")
 	control := func(action string) string {
 		return "c " + request("anna", "POST", jobsPath+"/{id}/control", `{"action":"`+action+`"}`)
 	}
@@ -318,9 +318,9 @@
 // full nothing more is written to it, what it has not fetched is dropped from the
 // bounded stream, and when it reads again it is told how many events it missed.
 // Each event has come or is counted.
-func TestSlowReaderIsTold(t *testing.T) {
-	w := worldOf(t, "", 1_000_000, 10)
-	conn, err := net.Dial("tcp", w.batchAt)
+func TestFront_events_slowReaderSeesMissedCount(t *testing.T) {
+	w := newFixtureWith(t, "", 1_000_000, 10)
+	conn, err := net.Dial("tcp", w.batchAddress)
 	must(t, err)
 	defer conn.Close()
 	_, err = fmt.Fprint(conn, "GET /drmaa/v2/sessions/s/events?stream=1 HTTP/1.1\r\nAuthorization: Bearer anna\r\n\r\n")
@@ -366,19 +366,19 @@
 }
 
 // A stream ends when the tenant's token does.
-func TestStreamEndsWithTheToken(t *testing.T) {
-	w := newWorld(t, "")
+func TestFront_events_streamEndsWithTheToken(t *testing.T) {
+	w := newFixture(t, "")
 	w.Play(join("e dial batch", "e "+request("anna", "GET", "/drmaa/v2/sessions/s/events?stream=1", ""), `e expect "events":[]`,
 		"a dial admin", "a "+request(adminToken, "DELETE", "/admin/v1/tenants/anna", ""), "a expect HTTP/1.1 204",
 		"wait 11s", `e expect 0\r\n\r\n`))
 }
 
 // What the documentation says of each attribute and method is there.
-func TestDocumented(t *testing.T) {
+func TestFront_answersAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../../docs/BATCH.md")
 	must(t, err)
 	var names []string
-	for name := range drmaa.Refused {
+	for name := range drmaa.UnsupportedAttributes {
 		names = append(names, name)
 	}
 	for name := range drmaa.Supports() {
--- a/internal/node/batch/httpapi/fixture_test.go
+++ b/internal/node/batch/httpapi/fixture_test.go
@@ -15,35 +15,37 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// world is a node with the batch front on a stage. The stand-in "workers" plays
+// fixture is a node with the batch front on a stage. The stand-in "workers" plays
 // its prep workers; scenarios play the batch clients.
-type world struct {
+type fixture struct {
 	*scriptedpeer.Stage
-	t       *testing.T
-	core    *routing.Core
-	to      *protocol.Destinations
-	service *jobs.Manager
-	keeper  *store.Keeper
-	file    string
-	batchAt string
+	t            *testing.T
+	core         *routing.Core
+	destinations *protocol.Destinations
+	service      *jobs.Manager
+	executor     *store.Executor
+	file         string
+	batchAddress string
 }
 
 const adminToken = "chief"
 
-// newWorld sets a node up on a store in a file; an empty one has the tenants
+// newFixture sets a node up on a store in a file; an empty one has the tenants
 // 'anna' and 'ben', each with a session 's' and a token of its name.
-func newWorld(t *testing.T, file string) *world { return worldOf(t, file, 2, jobs.DefaultKept) }
+func newFixture(t *testing.T, file string) *fixture {
+	return newFixtureWith(t, file, 2, jobs.DefaultMaxEndedJobs)
+}
 
-func worldOf(t *testing.T, file string, quota, kept int) *world {
+func newFixtureWith(t *testing.T, file string, quota, kept int) *fixture {
 	t.Helper()
 	if file == "" {
 		file = filepath.Join(t.TempDir(), "batch.db")
 	}
-	w := &world{Stage: scriptedpeer.New(t), t: t, file: file}
+	w := &fixture{Stage: scriptedpeer.New(t), t: t, file: file}
 	ctx := context.Background()
 	record := openStore(t, file)
 	for _, name := range []string{"anna", "ben"} {
-		must(t, record.PutTenant(ctx, jobs.Tenant{Name: name, TokenHash: HashOf(name), Quota: quota}))
+		must(t, record.PutTenant(ctx, jobs.Tenant{Name: name, TokenHash: TokenHash(name), Quota: quota}))
 		must(t, record.PutSession(ctx, jobs.SessionRecord{Tenant: name, Name: "s", State: jobs.SessionOpen}))
 	}
 	tenants, err := record.Tenants(ctx)
@@ -61,44 +63,44 @@
 			ConnIdle: time.Minute}, Rules: balance.Rules{InitialCapacity: 1}}
 	batch, admin, workers := scriptedpeer.Free(t), scriptedpeer.Free(t), w.StandIn("workers")
 	w.Serve("batch", batch)
-	w.batchAt = batch
+	w.batchAddress = batch
 	w.Serve("admin", admin)
 	w.Words["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
 	w.Words["started"] = scriptedpeer.Chunk(`{"state":"started"}`)
 	w.Words["done"] = scriptedpeer.Chunk(`{"state":"done","result":"fine"}`) + `0\r\n\r\n`
 	w.Words["returned"] = scriptedpeer.Chunk(`{"state":"returned"}`) + `0\r\n\r\n`
-	w.keeper = store.NewKeeper(record, w.Loop.Post)
+	w.executor = store.NewExecutor(record, w.Loop.Post)
 	w.Loop.Call(func() {
 		w.core, err = routing.New(s, 1, w.Loop, &w.Loop.Timers)
 		must(t, err)
-		w.to = protocol.NewDestinations(protocol.DestinationConfig{MaxConnections: 8, ConnectTimeout: 10 * time.Second,
+		w.destinations = protocol.NewDestinations(protocol.DestinationConfig{MaxConnections: 8, ConnectTimeout: 10 * time.Second,
 			IdleTimeout: time.Minute}, w.Loop, w.core)
 		pool := protocol.NewDiscovery(protocol.DiscoveryConfig{CachedList: protocol.EndpointList{Version: 1, Entries: []protocol.Endpoint{
 			{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
-			{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}}, w.Loop, w.core, w.to)
-		w.core.Connect(w.to, pool, nil)
+			{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}}, w.Loop, w.core, w.destinations)
+		w.core.Connect(w.destinations, pool, nil)
 		pool.Start()
-		w.service = jobs.New(jobs.Config{Machine: "n0", Classes: map[string]int{"pruefen": 0, "buchen": 1}, Settings: s, Name: w.to.Name,
-			MostSlots: 100, Target: jobs.DefaultTarget, LongestWait: jobs.DefaultLongestWait, Events: 2000, Kept: kept},
-			w.core, w.keeper, w.Loop, &w.Loop.Timers)
+		w.service = jobs.New(jobs.Config{Machine: "n0", Classes: map[string]int{"pruefen": 0, "buchen": 1}, Settings: s, WorkerName: w.destinations.Name,
+			MaxSlots: 100, DelayTarget: jobs.DefaultDelayTarget, MaxWait: jobs.DefaultMaxWait, MaxEvents: 2000, MaxEndedJobs: kept},
+			w.core, w.executor, w.Loop, &w.Loop.Timers)
 		w.core.SetLoadObserver(w.service)
 		w.service.Load(tenants, sessions, unfinished, arrays)
 		front := New(w.service, w.Loop, &w.Loop.Timers, "test")
 		must(t, protocol.NewServer(w.Loop, batch, 40, 1<<20, front.Serve).Start())
-		must(t, protocol.NewServer(w.Loop, admin, 40, 1<<20, NewAdmin(front, w.keeper, HashOf(adminToken)).Serve).Start())
+		must(t, protocol.NewServer(w.Loop, admin, 40, 1<<20, NewAdmin(front, w.executor, TokenHash(adminToken)).Serve).Start())
 	})
-	t.Cleanup(w.die)
+	t.Cleanup(w.stopStore)
 	return w
 }
 
-// die stops the store's side, as the end of the process would.
-func (w *world) die() {
-	if w.keeper == nil {
+// stopStore stops the store's side, as the end of the process would.
+func (w *fixture) stopStore() {
+	if w.executor == nil {
 		return
 	}
-	w.Loop.Call(w.keeper.Shut)
-	must(w.t, w.keeper.Wait())
-	w.keeper = nil
+	w.Loop.Call(w.executor.Shutdown)
+	must(w.t, w.executor.Wait())
+	w.executor = nil
 }
 
 func openStore(t *testing.T, file string) *store.Store {
@@ -125,7 +127,7 @@
 
 func submit(token, body string) string { return request(token, "POST", jobsPath, body) }
 
-func (w *world) steps() (n uint64) {
+func (w *fixture) steps() (n uint64) {
 	w.Loop.Call(func() { n = w.core.Counts().Steps })
 	return n
 }
--- a/internal/node/batch/jobs/control.go
+++ b/internal/node/batch/jobs/control.go
@@ -19,147 +19,147 @@
 
 // Act does an action on a job. done is called once what it did is on record,
 // or with why it cannot be; the end that a termination brings follows.
-func (m *Manager) Act(j *Job, action string, done func(*drmaa.Error)) {
+func (m *Manager) Act(job *Job, action string, done func(*drmaa.Error)) {
 	switch action {
 	case Hold:
-		m.holdJob(j, done)
+		m.holdJob(job, done)
 	case Release:
-		m.releaseJob(j, done)
+		m.releaseJob(job, done)
 	case Terminate:
-		done(m.Terminate(j))
+		done(m.Terminate(job))
 	case Reap:
-		m.reap(Reaping{Tenant: j.Tenant, Session: j.Session, IDs: []string{j.ID}}, []*Job{j}, func(_ int, e *drmaa.Error) { done(e) })
+		m.reap(ReapSelector{Tenant: job.Tenant, Session: job.Session, IDs: []string{job.ID}}, []*Job{job}, func(_ int, e *drmaa.Error) { done(e) })
 	case "suspend", "resume":
-		done(drmaa.Unsupported("prep workers cannot " + action))
+		done(drmaa.UnsupportedOperationError("prep workers cannot " + action))
 	default:
-		done(drmaa.Bad("action", "%q is unknown", action))
+		done(drmaa.InvalidArgumentError("action", "%q is unknown", action))
 	}
 }
 
-var hasEnded = drmaa.WrongState("the job has ended")
+var jobHasEnded = drmaa.InvalidStateError("the job has ended")
 
 // holdJob keeps a waiting job from being sent. One that is in the core is drawn
 // back from there, unless some step of it may have had effect.
-func (m *Manager) holdJob(j *Job, done func(*drmaa.Error)) {
+func (m *Manager) holdJob(job *Job, done func(*drmaa.Error)) {
 	switch {
-	case j.ending || j.State.Final():
-		done(hasEnded)
+	case job.ending || job.State.Final():
+		done(jobHasEnded)
 		return
-	case !j.State.Waiting() || j.State.Held():
-		done(drmaa.WrongState("the job is %s", j.State))
+	case !job.State.Waiting() || job.State.Held():
+		done(drmaa.InvalidStateError("the job is %s", job.State))
 		return
-	case j.stage == inCore && m.core.MayHaveRun(j.op):
-		done(drmaa.WrongState("the job has gone to a prep worker"))
+	case job.stage == inCore && m.core.MayHaveRun(job.operation):
+		done(drmaa.InvalidStateError("the job has gone to a prep worker"))
 		return
 	}
-	if j.stage == inCore {
-		op := j.op
-		m.leave(j)
+	if job.stage == inCore {
+		op := job.operation
+		m.leaveCore(job)
 		m.core.Withdraw(op)
 	}
-	m.leave(j)
-	if !j.MayHaveRun {
-		j.Sent, j.marked = false, false
+	m.leaveCore(job)
+	if !job.MayHaveRun {
+		job.Sent, job.sendRecorded = false, false
 	}
-	j.Held = true
-	m.turn(j, j.State.Hold())
-	m.settle(j)
-	m.marks.add(&change{Mark: Mark{ID: j.ID, Sent: j.Sent, Held: true}, job: j, done: func(err error) {
+	job.Held = true
+	m.transition(job, job.State.Hold())
+	m.schedule(job)
+	m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: job.Sent, Held: true}, job: job, done: func(err error) {
 		if err == nil {
 			done(nil)
 			return
 		}
-		if !j.ending && j.State.Held() {
-			j.Held = false
-			m.turn(j, j.State.Release())
-			m.settle(j)
+		if !job.ending && job.State.Held() {
+			job.Held = false
+			m.transition(job, job.State.Release())
+			m.schedule(job)
 		}
-		done(Broken)
+		done(StoreFailed)
 	}})
-	m.pump()
+	m.launchQueued()
 }
 
 // releaseJob lets a held job go on, once the store has it so.
-func (m *Manager) releaseJob(j *Job, done func(*drmaa.Error)) {
+func (m *Manager) releaseJob(job *Job, done func(*drmaa.Error)) {
 	switch {
-	case j.ending || j.State.Final():
-		done(hasEnded)
+	case job.ending || job.State.Final():
+		done(jobHasEnded)
 		return
-	case !j.State.Held():
-		done(drmaa.WrongState("the job is %s, not held", j.State))
+	case !job.State.Held():
+		done(drmaa.InvalidStateError("the job is %s, not held", job.State))
 		return
 	}
-	m.marks.add(&change{Mark: Mark{ID: j.ID, Sent: j.Sent}, job: j, done: func(err error) {
+	m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: job.Sent}, job: job, done: func(err error) {
 		switch {
 		case err != nil:
-			done(Broken)
+			done(StoreFailed)
 			return
-		case !j.ending && j.State.Held():
-			j.Held = false
-			m.turn(j, j.State.Release())
-			m.settle(j)
+		case !job.ending && job.State.Held():
+			job.Held = false
+			m.transition(job, job.State.Release())
+			m.schedule(job)
 		}
 		done(nil)
 	}})
 }
 
 // Terminate ends a job at its owner's wish.
-func (m *Manager) Terminate(j *Job) *drmaa.Error {
+func (m *Manager) Terminate(job *Job) *drmaa.Error {
 	switch {
-	case j.ending || j.State.Final():
-		return hasEnded
-	case !j.recorded:
-		j.terminate = true
+	case job.ending || job.State.Final():
+		return jobHasEnded
+	case !job.recorded:
+		job.terminateOnRecord = true
 		return nil
 	}
-	ran := j.MayHaveRun
-	if j.op != 0 {
-		op := j.op
+	ran := job.MayHaveRun
+	if job.operation != 0 {
+		op := job.operation
 		ran = ran || m.core.MayHaveRun(op)
-		m.leave(j)
+		m.leaveCore(job)
 		m.core.Withdraw(op)
 	}
-	m.end(j, drmaa.Failed, "terminated", ran)
-	m.pump()
+	m.endJob(job, drmaa.Failed, "terminated", ran)
+	m.launchQueued()
 	return nil
 }
 
 // TerminateID ends a job at hand for the administration.
 func (m *Manager) TerminateID(id string) (*Job, *drmaa.Error) {
-	j := m.jobs[id]
-	if j == nil {
+	job := m.jobs[id]
+	if job == nil {
 		return nil, UnknownJob
 	}
-	return j, m.Terminate(j)
+	return job, m.Terminate(job)
 }
 
 // ActOnArray does an action on all jobs of an array that are in a state for it.
 // Where there is none, it is an error as for a single job.
-func (m *Manager) ActOnArray(a *Array, action string, done func(*drmaa.Affected, *drmaa.Error)) {
+func (m *Manager) ActOnArray(array *Array, action string, done func(*drmaa.Affected, *drmaa.Error)) {
 	if action == Reap {
-		if a.unfinished > 0 {
-			done(nil, drmaa.WrongState("%d jobs of the array have not ended", a.unfinished))
+		if array.unfinished > 0 {
+			done(nil, drmaa.InvalidStateError("%d jobs of the array have not ended", array.unfinished))
 			return
 		}
 		var at []*Job
-		for _, j := range m.jobs {
-			if j.array == a {
-				at = append(at, j)
+		for _, job := range m.jobs {
+			if job.array == array {
+				at = append(at, job)
 			}
 		}
-		m.reap(Reaping{Tenant: a.Tenant, Session: a.Session, Array: a.ID}, at, func(n int, e *drmaa.Error) {
+		m.reap(ReapSelector{Tenant: array.Tenant, Session: array.Session, Array: array.ID}, at, func(n int, e *drmaa.Error) {
 			if e != nil {
 				done(nil, e)
 				return
 			}
-			m.dropArray(a)
+			m.forgetArray(array)
 			done(&drmaa.Affected{Applied: n}, nil)
 		})
 		return
 	}
-	all := make([]*Job, 0, len(a.open))
-	for _, index := range slices.Sorted(maps.Keys(a.open)) {
-		all = append(all, a.open[index])
+	all := make([]*Job, 0, len(array.unfinishedJobs))
+	for _, index := range slices.Sorted(maps.Keys(array.unfinishedJobs)) {
+		all = append(all, array.unfinishedJobs[index])
 	}
 	m.actOnAll(all, action, done)
 }
@@ -167,19 +167,19 @@
 // actOnAll does an action on some jobs and tells on how many it worked.
 func (m *Manager) actOnAll(all []*Job, action string, done func(*drmaa.Affected, *drmaa.Error)) {
 	if len(all) == 0 {
-		done(nil, hasEnded)
+		done(nil, jobHasEnded)
 		return
 	}
 	var out drmaa.Affected
 	var fault *drmaa.Error
 	left := len(all)
-	for _, j := range all {
-		m.Act(j, action, func(e *drmaa.Error) {
+	for _, job := range all {
+		m.Act(job, action, func(e *drmaa.Error) {
 			switch {
 			case e == nil:
 				out.Applied++
 			case e.Name == drmaa.InvalidState:
-				out.Ruled++
+				out.RuledOut++
 			}
 			if e != nil && (fault == nil || e.Name != drmaa.InvalidState) {
 				fault = e
@@ -197,28 +197,28 @@
 }
 
 // reap hides ended jobs from their owner.
-func (m *Manager) reap(what Reaping, at []*Job, done func(int, *drmaa.Error)) {
-	for _, j := range at {
-		if !j.State.Final() {
-			done(0, drmaa.WrongState("the job is %s; only one that has ended is reaped", j.State))
+func (m *Manager) reap(what ReapSelector, at []*Job, done func(int, *drmaa.Error)) {
+	for _, job := range at {
+		if !job.State.Final() {
+			done(0, drmaa.InvalidStateError("the job is %s; only one that has ended is reaped", job.State))
 			return
 		}
 	}
 	n := 0
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
 		n, err = store.Reap(ctx, what)
 		return err
 	}, func(err error) {
 		if err != nil {
-			done(0, Broken)
+			done(0, StoreFailed)
 			return
 		}
-		for _, j := range at {
-			m.drop(j)
+		for _, job := range at {
+			m.forget(job)
 		}
 		done(n, nil)
 	}) {
-		done(0, Behind)
+		done(0, StoreBehind)
 	}
 }
 
--- a/internal/node/batch/jobs/events.go
+++ b/internal/node/batch/jobs/events.go
@@ -27,25 +27,25 @@
 	return s
 }
 
-// tell puts an event into the stream of the job's owner.
-func (m *Manager) tell(j *Job, what, machine string) {
-	if !j.recorded {
+// publish puts an event into the stream of the job's owner.
+func (m *Manager) publish(job *Job, what, machine string) {
+	if !job.recorded {
 		return // its owner does not know of it yet
 	}
-	s := m.stream(j.Tenant)
-	if most := m.config.Events; len(s.events) >= most {
-		n := max(most/4, 1) // a good part at once, so that each event costs little
-		kept := make([]drmaa.Event, len(s.events)-n, most)
-		copy(kept, s.events[n:])
-		s.events, s.first = kept, s.first+uint64(n)
+	stream := m.stream(job.Tenant)
+	if maxEvents := m.config.MaxEvents; len(stream.events) >= maxEvents {
+		n := max(maxEvents/4, 1) // a good part at once, so that each event costs little
+		retained := make([]drmaa.Event, len(stream.events)-n, maxEvents)
+		copy(retained, stream.events[n:])
+		stream.events, stream.first = retained, stream.first+uint64(n)
 	}
-	e := drmaa.Event{Seq: s.first + uint64(len(s.events)), Time: drmaa.Stamp(m.unixNow()), Event: what, Session: j.Session,
-		Job: j.ID, State: j.State, Machine: machine}
-	if j.State.Final() {
-		e.SubState = j.Reason
+	event := drmaa.Event{Seq: stream.first + uint64(len(stream.events)), Time: drmaa.Stamp(m.unixNow()), Event: what, Session: job.Session,
+		Job: job.ID, State: job.State, Machine: machine}
+	if job.State.Final() {
+		event.SubState = job.Reason
 	}
-	s.events = append(s.events, e)
-	for f := range s.followers {
+	stream.events = append(stream.events, event)
+	for f := range stream.followers {
 		f.wake()
 	}
 }
@@ -63,13 +63,13 @@
 	case cursor == "oldest":
 		from = s.first
 	case !ok:
-		return nil, drmaa.Bad("cursor", "%q is no cursor of this stream", cursor)
-	case epoch != m.epoch:
+		return nil, drmaa.InvalidArgumentError("cursor", "%q is no cursor of this stream", cursor)
+	case epoch != m.streamEpoch:
 		from, out.Missed = s.first, -1
 	default:
 		n, err := strconv.ParseUint(digits, 36, 64)
 		if err != nil || n > next {
-			return nil, drmaa.Bad("cursor", "%q is no cursor of this stream", cursor)
+			return nil, drmaa.InvalidArgumentError("cursor", "%q is no cursor of this stream", cursor)
 		}
 		from = max(n, s.first)
 		out.Missed = int64(from - n)
@@ -79,7 +79,7 @@
 			out.Events = append(out.Events, e)
 		}
 	}
-	out.Cursor = m.epoch + "-" + strconv.FormatUint(from, 36)
+	out.Cursor = m.streamEpoch + "-" + strconv.FormatUint(from, 36)
 	return out, nil
 }
 
--- a/internal/node/batch/jobs/fixture_test.go
+++ b/internal/node/batch/jobs/fixture_test.go
@@ -14,24 +14,24 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// rig is a manager between a scripted core and a store in memory whose calls
+// fixture is a manager between a scripted core and a store in memory whose calls
 // happen when the test says so.
-type rig struct {
-	t     failer
-	now   time.Duration
-	due   timerqueue.Queue
-	core  *fakeCore
-	store *memory
-	m     *Manager
-	calls []call
-	quota int
+type fixture struct {
+	t       testingT
+	now     time.Duration
+	timers  timerqueue.Queue
+	core    *fakeCore
+	store   *memoryStore
+	manager *Manager
+	calls   []call
+	quota   int
 
 	classes  map[string]int
 	settings balance.Settings
 }
 
-// failer is a test, or a drawn case of one.
-type failer interface {
+// testingT is a test, or a drawn case of one.
+type testingT interface {
 	Helper()
 	Fatal(...any)
 	Fatalf(string, ...any)
@@ -42,63 +42,63 @@
 	then func(error)
 }
 
-// fail is how a call of the store fails.
-type fail uint8
+// callResult is how a call of the store fails.
+type callResult uint8
 
 const (
-	works    fail = iota
-	refuses       // nothing is done
-	loseWord      // all is done, and the answer is lost
+	callSucceeds           callResult = iota
+	callFails                         // nothing is done
+	callSucceedsAnswerLost            // all is done, and the answer is lost
 )
 
 var errStore = errors.New("the store is away")
 
-func (r *rig) Now() time.Duration { return r.now }
+func (r *fixture) Now() time.Duration { return r.now }
 
 // Call is the keeper's.
-func (r *rig) Call(do func(context.Context, Store) error, then func(error)) bool {
+func (r *fixture) Call(do func(context.Context, Store) error, then func(error)) bool {
 	r.calls = append(r.calls, call{do, then})
 	return true
 }
 
-// settleOne has one call of the store done.
-func (r *rig) settleOne(how fail) bool {
+// runStoreCall has one call of the store done.
+func (r *fixture) runStoreCall(how callResult) bool {
 	if len(r.calls) == 0 {
 		return false
 	}
 	c := r.calls[0]
 	r.calls = r.calls[1:]
 	err := errStore
-	if how != refuses {
+	if how != callFails {
 		err = c.do(context.Background(), r.store)
 	}
-	if how == loseWord {
+	if how == callSucceedsAnswerLost {
 		err = errStore
 	}
 	c.then(err)
 	return true
 }
 
-func (r *rig) settle() {
-	for r.settleOne(works) {
+func (r *fixture) runStoreCalls() {
+	for r.runStoreCall(callSucceeds) {
 	}
 }
 
-func (r *rig) advance(span time.Duration) {
+func (r *fixture) advance(span time.Duration) {
 	for end := r.now + span; r.now < end; {
-		at, ok := r.due.Next()
+		at, ok := r.timers.Next()
 		if !ok || at > end {
 			at = end
 		}
 		r.now = max(r.now, at)
-		r.due.Run(r.now)
+		r.timers.Run(r.now)
 	}
 }
 
 const safe, once = "pruefen", "buchen"
 
-func newRig(t failer) *rig {
-	r := &rig{t: t, now: 1000 * time.Hour, store: newMemory(), quota: 20_000, classes: map[string]int{safe: 0, once: 1}}
+func newFixture(t testingT) *fixture {
+	r := &fixture{t: t, now: 1000 * time.Hour, store: newMemoryStore(), quota: 20_000, classes: map[string]int{safe: 0, once: 1}}
 	r.settings = balance.Settings{Classes: []balance.Class{{Timeout: 10 * time.Second, Effect: balance.Idempotent},
 		{Timeout: 10 * time.Second, Effect: balance.NonIdempotent}}, Report: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots}}
 	r.store.tenants = []Tenant{{Name: "anna", TokenHash: "a", Quota: r.quota}, {Name: "ben", TokenHash: "b", Quota: 2}}
@@ -109,12 +109,12 @@
 
 // start starts the program; after another one it is a restart, of which the
 // store alone knows the past.
-func (r *rig) start() {
-	r.calls, r.due = nil, timerqueue.Queue{}
-	r.core = &fakeCore{rig: r, able: true, ops: map[slottable.Handle]*fakeOp{}}
-	r.m = New(Config{Machine: "n", Classes: r.classes, Settings: r.settings, MostSlots: 64, Target: DefaultTarget,
-		LongestWait: time.Hour, Events: 64, Kept: 8, Name: func(w balance.WorkerID) string { return string(rune('a' + w)) }},
-		r.core, r, r, &r.due)
+func (r *fixture) start() {
+	r.calls, r.timers = nil, timerqueue.Queue{}
+	r.core = &fakeCore{fixture: r, ready: true, ops: map[slottable.Handle]*fakeOp{}}
+	r.manager = New(Config{Machine: "n", Classes: r.classes, Settings: r.settings, MaxSlots: 64, DelayTarget: DefaultDelayTarget,
+		MaxWait: time.Hour, MaxEvents: 64, MaxEndedJobs: 8, WorkerName: func(w balance.WorkerID) string { return string(rune('a' + w)) }},
+		r.core, r, r, &r.timers)
 	var sessions []SessionRecord
 	for key, state := range r.store.sessions {
 		sessions = append(sessions, SessionRecord{key[0], key[1], state})
@@ -123,68 +123,68 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.m.Load(r.store.tenants, sessions, records, arrays)
-	r.due.Run(r.now)
+	r.manager.Load(r.store.tenants, sessions, records, arrays)
+	r.timers.Run(r.now)
 }
 
-func (r *rig) anna() *TenantState { return r.m.tenants["anna"] }
+func (r *fixture) anna() *TenantState { return r.manager.tenants["anna"] }
 
 // submit submits a job and has it recorded.
-func (r *rig) submit(t drmaa.JobTemplate) *Job {
+func (r *fixture) submit(t drmaa.JobTemplate) *Job {
 	r.t.Helper()
 	var got *Job
-	r.m.Submit(r.anna(), "s", &t, func(j *Job, e *drmaa.Error) {
+	r.manager.Submit(r.anna(), "s", &t, func(job *Job, e *drmaa.Error) {
 		if e != nil {
 			r.t.Fatal(e)
 		}
-		got = j
+		got = job
 	})
-	r.settle()
+	r.runStoreCalls()
 	return got
 }
 
-func (r *rig) bulk(b drmaa.Bulk) *Array {
+func (r *fixture) bulk(b drmaa.Bulk) *Array {
 	r.t.Helper()
-	if e := b.Check(); e != nil {
+	if e := b.Validate(); e != nil {
 		r.t.Fatal(e)
 	}
 	var got *Array
-	r.m.SubmitBulk(r.anna(), "s", &b, func(a *Array, e *drmaa.Error) {
+	r.manager.SubmitBulk(r.anna(), "s", &b, func(a *Array, e *drmaa.Error) {
 		if e != nil {
 			r.t.Fatal(e)
 		}
 		got = a
 	})
-	r.settle()
+	r.runStoreCalls()
 	return got
 }
 
 // act does an action and returns what came of it.
-func (r *rig) act(j *Job, action string) *drmaa.Error {
+func (r *fixture) act(job *Job, action string) *drmaa.Error {
 	r.t.Helper()
 	var out *drmaa.Error
 	called := 0
-	r.m.Act(j, action, func(e *drmaa.Error) { out = e; called++ })
-	r.settle()
+	r.manager.Act(job, action, func(e *drmaa.Error) { out = e; called++ })
+	r.runStoreCalls()
 	if called != 1 {
 		r.t.Fatalf("%s answered %d times", action, called)
 	}
 	return out
 }
 
-func (r *rig) state(j *Job, want drmaa.State) {
+func (r *fixture) state(job *Job, want drmaa.State) {
 	r.t.Helper()
-	if j.State != want {
-		r.t.Fatalf("job %s is %s (%s), not %s", j.ID, j.State, j.Reason, want)
+	if job.State != want {
+		r.t.Fatalf("job %s is %s (%s), not %s", job.ID, job.State, job.Reason, want)
 	}
 }
 
 // fakeCore is a core whose operations end as the test says.
 type fakeCore struct {
-	rig  *rig
-	ops  map[slottable.Handle]*fakeOp
-	last slottable.Handle
-	able bool
+	fixture *fixture
+	ops     map[slottable.Handle]*fakeOp
+	last    slottable.Handle
+	ready   bool
 }
 
 type fakeOp struct {
@@ -202,7 +202,7 @@
 }
 func (c *fakeCore) Route(slottable.Handle)        {}
 func (c *fakeCore) Withdraw(ref slottable.Handle) { delete(c.ops, ref) }
-func (c *fakeCore) AnyReady() bool                { return c.able }
+func (c *fakeCore) AnyReady() bool                { return c.ready }
 func (c *fakeCore) MayHaveRun(ref slottable.Handle) bool {
 	op := c.ops[ref]
 	return op != nil && (op.ran || op.out > 0)
@@ -213,22 +213,22 @@
 }
 
 // of finds a job's operation.
-func (c *fakeCore) of(j *Job) *fakeOp { return c.ops[j.op] }
+func (c *fakeCore) of(job *Job) *fakeOp { return c.ops[job.operation] }
 
 // step has a step go out; it does once the store has it.
-func (c *fakeCore) step(j *Job, to balance.WorkerID) { c.stepThen(j, to, func() {}) }
+func (c *fakeCore) step(job *Job, to balance.WorkerID) { c.stepThen(job, to, func() {}) }
 
-func (c *fakeCore) stepThen(j *Job, to balance.WorkerID, out func()) {
-	ref, op := j.op, c.of(j)
+func (c *fakeCore) stepThen(job *Job, to balance.WorkerID, out func()) {
+	ref, op := job.operation, c.of(job)
 	op.gated++
-	c.rig.m.StepSent(ref, to)
-	c.rig.m.BeforeSend(ref, func(ok bool) {
+	c.fixture.manager.StepSent(ref, to)
+	c.fixture.manager.BeforeSend(ref, func(ok bool) {
 		if c.ops[ref] != op {
 			return // the step has ended meanwhile
 		}
 		op.gated--
 		if !ok {
-			c.rig.m.StepEnded(ref, to, balance.NotSent)
+			c.fixture.manager.StepEnded(ref, to, balance.NotSent)
 			return
 		}
 		op.out++
@@ -237,43 +237,43 @@
 }
 
 // sent has a step go out at once.
-func (c *fakeCore) sent(j *Job, to balance.WorkerID) {
-	c.step(j, to)
-	c.rig.settle()
+func (c *fakeCore) sent(job *Job, to balance.WorkerID) {
+	c.step(job, to)
+	c.fixture.runStoreCalls()
 }
 
-func (c *fakeCore) begin(j *Job, at balance.WorkerID) {
-	c.of(j).begun = true
-	c.rig.m.Started(j.op, at)
-	c.rig.m.StartDelay(c.rig.m, 0)
+func (c *fakeCore) begin(job *Job, at balance.WorkerID) {
+	c.of(job).begun = true
+	c.fixture.manager.Started(job.operation, at)
+	c.fixture.manager.StartDelay(c.fixture.manager, 0)
 }
 
-func (c *fakeCore) stepDone(j *Job, at balance.WorkerID, how balance.Outcome) {
-	op := c.of(j)
+func (c *fakeCore) stepDone(job *Job, at balance.WorkerID, how balance.Outcome) {
+	op := c.of(job)
 	op.out--
 	op.ran = op.ran || !how.NeverRan()
-	c.rig.m.StepEnded(j.op, at, how)
+	c.fixture.manager.StepEnded(job.operation, at, how)
 }
 
-func (c *fakeCore) answer(j *Job, a routing.Answer) {
-	ref := j.op
+func (c *fakeCore) answer(job *Job, a routing.Answer) {
+	ref := job.operation
 	a.MayHaveRun = c.MayHaveRun(ref)
 	delete(c.ops, ref)
-	c.rig.m.Answered(ref, a)
-	c.rig.m.OperationConcluded(c.rig.m, a.Verdict)
+	c.fixture.manager.Answered(ref, a)
+	c.fixture.manager.OperationConcluded(c.fixture.manager, a.Verdict)
 }
 
 // serve has a job run to its end at a worker.
-func (c *fakeCore) serve(j *Job) {
-	c.sent(j, 0)
-	c.begin(j, 0)
-	c.stepDone(j, 0, balance.Served)
-	c.answer(j, routing.Answer{Verdict: routing.Served, Result: []byte("fine")})
-	c.rig.settle()
+func (c *fakeCore) serve(job *Job) {
+	c.sent(job, 0)
+	c.begin(job, 0)
+	c.stepDone(job, 0, balance.Served)
+	c.answer(job, routing.Answer{Verdict: routing.Served, Result: []byte("fine")})
+	c.fixture.runStoreCalls()
 }
 
-// memory is a store of record in memory.
-type memory struct {
+// memoryStore is a store of record in memory.
+type memoryStore struct {
 	tenants  []Tenant
 	sessions map[[2]string]string
 	jobs     map[string]*Record
@@ -282,21 +282,21 @@
 	finals   int
 }
 
-func newMemory() *memory {
-	return &memory{jobs: map[string]*Record{}, arrays: map[string]*ArrayRecord{}, reaped: map[string]bool{}}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{jobs: map[string]*Record{}, arrays: map[string]*ArrayRecord{}, reaped: map[string]bool{}}
 }
 
-func (s *memory) Tenants(context.Context) ([]Tenant, error)         { return s.tenants, nil }
-func (s *memory) PutTenant(context.Context, Tenant) error           { return nil }
-func (s *memory) Sessions(context.Context) ([]SessionRecord, error) { return nil, nil }
-func (s *memory) Close() error                                      { return nil }
+func (s *memoryStore) Tenants(context.Context) ([]Tenant, error)         { return s.tenants, nil }
+func (s *memoryStore) PutTenant(context.Context, Tenant) error           { return nil }
+func (s *memoryStore) Sessions(context.Context) ([]SessionRecord, error) { return nil, nil }
+func (s *memoryStore) Close() error                                      { return nil }
 
-func (s *memory) PutSession(_ context.Context, r SessionRecord) error {
+func (s *memoryStore) PutSession(_ context.Context, r SessionRecord) error {
 	s.sessions[[2]string{r.Tenant, r.Name}] = r.State
 	return nil
 }
 
-func (s *memory) DropSession(_ context.Context, tenant, name string) error {
+func (s *memoryStore) DropSession(_ context.Context, tenant, name string) error {
 	delete(s.sessions, [2]string{tenant, name})
 	for id, r := range s.jobs {
 		if r.Tenant == tenant && r.Session == name {
@@ -306,8 +306,8 @@
 	return nil
 }
 
-func (s *memory) Insert(_ context.Context, subs []*Submission) ([]Stored, error) {
-	out := make([]Stored, len(subs))
+func (s *memoryStore) Insert(_ context.Context, subs []*Submission) ([]ExistingSubmission, error) {
+	out := make([]ExistingSubmission, len(subs))
 next:
 	for i, sub := range subs {
 		key, tenant := sub.Jobs[0].ClientKey, sub.Jobs[0].Tenant
@@ -338,7 +338,7 @@
 	return out, nil
 }
 
-func (s *memory) Mark(_ context.Context, marks []Mark) error {
+func (s *memoryStore) Update(_ context.Context, marks []RecordUpdate) error {
 	for _, k := range marks {
 		if r := s.jobs[k.ID]; r.EndedAt == 0 {
 			r.Sent, r.Held = k.Sent, k.Held
@@ -347,7 +347,7 @@
 	return nil
 }
 
-func (s *memory) Finish(_ context.Context, records []*Record) error {
+func (s *memoryStore) Finish(_ context.Context, records []*Record) error {
 	for _, in := range records {
 		if r := s.jobs[in.ID]; r.EndedAt == 0 {
 			held, sent := r.Held, r.Sent
@@ -359,7 +359,7 @@
 	return nil
 }
 
-func (s *memory) Reap(_ context.Context, what Reaping) (n int, err error) {
+func (s *memoryStore) Reap(_ context.Context, what ReapSelector) (n int, err error) {
 	for id, r := range s.jobs {
 		if r.EndedAt > 0 && !s.reaped[id] && (what.Array != "" && r.Array == what.Array || slices.Contains(what.IDs, id)) {
 			s.reaped[id] = true
@@ -369,14 +369,14 @@
 	return n, nil
 }
 
-func (s *memory) Job(_ context.Context, tenant, id string) (*Record, error) {
+func (s *memoryStore) Job(_ context.Context, tenant, id string) (*Record, error) {
 	if r := s.jobs[id]; r != nil && r.Tenant == tenant && !s.reaped[id] {
 		return r, nil
 	}
 	return nil, nil
 }
 
-func (s *memory) Array(_ context.Context, tenant, id string) (*ArrayRecord, error) {
+func (s *memoryStore) Array(_ context.Context, tenant, id string) (*ArrayRecord, error) {
 	a := s.arrays[id]
 	if a == nil || a.Tenant != tenant {
 		return nil, nil
@@ -391,7 +391,7 @@
 	return &out, nil
 }
 
-func (s *memory) all(f func(*Record) bool) (out []*Record) {
+func (s *memoryStore) all(f func(*Record) bool) (out []*Record) {
 	for id, r := range s.jobs {
 		if !s.reaped[id] && f(r) {
 			out = append(out, r)
@@ -401,7 +401,7 @@
 	return out
 }
 
-func (s *memory) Jobs(_ context.Context, tenant, session string, f drmaa.Filter, most int) ([]*Record, error) {
+func (s *memoryStore) Jobs(_ context.Context, tenant, session string, f drmaa.Filter, most int) ([]*Record, error) {
 	all := s.all(func(r *Record) bool {
 		older := f.Before == drmaa.Cursor{} || r.Seq < f.Before.Seq || r.Seq == f.Before.Seq && r.ID > f.Before.ID
 		return r.Tenant == tenant && (session == "" || r.Session == session) && older
@@ -409,7 +409,7 @@
 	return all[:min(len(all), most)], nil
 }
 
-func (s *memory) AnyEnded(_ context.Context, tenant, session, array string) (*Record, error) {
+func (s *memoryStore) AnyEnded(_ context.Context, tenant, session, array string) (*Record, error) {
 	all := s.all(func(r *Record) bool {
 		return r.Tenant == tenant && r.Session == session && r.EndedAt > 0 && (array == "" || r.Array == array)
 	})
@@ -419,7 +419,7 @@
 	return all[0], nil
 }
 
-func (s *memory) Undecided(_ context.Context, classes []string, after drmaa.Cursor, most int) ([]*Record, error) {
+func (s *memoryStore) Undecided(_ context.Context, classes []string, after drmaa.Cursor, most int) ([]*Record, error) {
 	all := s.all(func(r *Record) bool {
 		return r.State == drmaa.Failed && r.MayHaveRun && r.Settled.At == 0 && r.ExitStatus < 0 && slices.Contains(classes, r.Template.RemoteCommand) &&
 			(r.Seq > after.Seq || r.Seq == after.Seq && r.ID > after.ID)
@@ -428,7 +428,7 @@
 	return all[:min(len(all), most)], nil
 }
 
-func (s *memory) Settle(_ context.Context, id string, v Settlement) (bool, error) {
+func (s *memoryStore) Settle(_ context.Context, id string, v Settlement) (bool, error) {
 	r := s.jobs[id]
 	if r == nil || r.State != drmaa.Failed || !r.MayHaveRun || r.Settled.At > 0 {
 		return false, nil
@@ -437,7 +437,7 @@
 	return true, nil
 }
 
-func (s *memory) Unfinished(ctx context.Context) ([]*Record, []*ArrayRecord, error) {
+func (s *memoryStore) Unfinished(ctx context.Context) ([]*Record, []*ArrayRecord, error) {
 	all := s.all(func(r *Record) bool { return r.EndedAt == 0 })
 	slices.Reverse(all)
 	var arrays []*ArrayRecord
--- a/internal/node/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -16,92 +16,92 @@
 type stage uint8
 
 const (
-	parked stage = iota // held, or not to start yet, or behind its array's limit
-	lined               // in the queue
+	unscheduled stage = iota // held, or not to start yet, or behind its array's limit
+	queued                   // in the queue
 	inCore
-	over
+	ended
 )
 
 // Job is a job at hand.
 type Job struct {
 	Record
-	owner       *TenantState
-	session     *Session
-	array       *Array
-	stage       stage
-	recorded    bool // in the store
-	marked      bool // the store has it as sent, or is about to
-	ending      bool // its final state is decided, and being recorded
-	terminate   bool // asked for before it was recorded
-	counted     bool // among its array's active jobs
-	op          slottable.Handle
-	tries       int // operations made of it
-	refusals    int // in a row
-	failures    int // operations in which prep workers ran it and it failed
-	failedNow   bool
-	failedSteps int // of this operation
-	notBefore   time.Duration
-	wake        *timerqueue.Timer // when it may be put in the queue
-	deadline    *timerqueue.Timer
-	after       time.Duration // the last refusal's advice
-	entry       *entry        // while it is being recorded
-	waiters     waiters
-	next        *Record // the final state, until it is recorded
+	owner             *TenantState
+	session           *Session
+	array             *Array
+	stage             stage
+	recorded          bool // in the store
+	sendRecorded      bool // the store has it as sent, or is about to
+	ending            bool // its final state is decided, and being recorded
+	terminateOnRecord bool // asked for before it was recorded
+	countedActive     bool // among its array's active jobs
+	operation         slottable.Handle
+	attempts          int // operations made of it
+	refusals          int // in a row
+	failures          int // operations in which prep workers ran it and it failed
+	stepFailed        bool
+	failedSteps       int // of this operation
+	notBefore         time.Duration
+	wake              *timerqueue.Timer // when it may be put in the queue
+	deadline          *timerqueue.Timer
+	retryAfter        time.Duration      // the last refusal's advice
+	pending           *pendingSubmission // while it is being recorded
+	waiters           waiters
+	final             *Record // the final state, until it is recorded
 }
 
-func (j *Job) slots() float64 { return j.Template.Slots() }
+func (job *Job) slots() float64 { return job.Template.Slots() }
 
-func (j *Job) place() queue.Place {
-	start := j.Template.Start()
+func (job *Job) queueKey() queue.Key {
+	start := job.Template.Start()
 	if start == 0 {
-		start = j.SubmittedAt
+		start = job.SubmittedAt
 	}
-	return queue.Place{Priority: j.Template.Priority, Start: start, Seq: j.Seq, ID: j.ID}
+	return queue.Key{Priority: job.Template.Priority, Start: start, Seq: job.Seq, ID: job.ID}
 }
 
 // Array is a job array at hand.
 type Array struct {
 	ArrayRecord
-	session  *Session
-	recorded bool
-	entry    *entry
-	open     map[int]*Job // unfinished jobs by index
-	states   map[drmaa.State]int
-	active   int                // jobs in the queue or beyond it
-	waiting  *queue.Queue[*Job] // those behind the limit
+	session        *Session
+	recorded       bool
+	pending        *pendingSubmission
+	unfinishedJobs map[int]*Job // unfinished jobs by index
+	states         map[drmaa.State]int
+	active         int                // jobs in the queue or beyond it
+	waiting        *queue.Queue[*Job] // those behind the limit
 
-	unfinished int
-	waiters    waiters // any of its jobs
-	finishers  waiters // all of them
+	unfinished      int
+	anyWaiters      waiters // any of its jobs
+	allEndedWaiters waiters // all of them
 }
 
 func newArray(r ArrayRecord, recorded bool) *Array {
-	return &Array{ArrayRecord: r, recorded: recorded, open: map[int]*Job{}, states: map[drmaa.State]int{},
+	return &Array{ArrayRecord: r, recorded: recorded, unfinishedJobs: map[int]*Job{}, states: map[drmaa.State]int{},
 		waiting: queue.New[*Job]()}
 }
 
-func indexText(j *Record) string {
-	if j.Array == "" {
+func indexText(job *Record) string {
+	if job.Array == "" {
 		return ""
 	}
-	return strconv.Itoa(j.Index)
+	return strconv.Itoa(job.Index)
 }
 
-// hold keeps an unfinished job at hand.
-func (m *Manager) hold(j *Job) {
-	m.jobs[j.ID] = j
-	j.owner.unfinished++
-	j.session.jobs[j] = true
-	m.keep(keyed{job: j}, j.Tenant, j.ClientKey)
-	if a := j.array; a != nil {
-		a.session = j.session
-		a.open[j.Index] = j
+// track keeps an unfinished job at hand.
+func (m *Manager) track(job *Job) {
+	m.jobs[job.ID] = job
+	job.owner.unfinished++
+	job.session.jobs[job] = true
+	m.rememberKey(submissionRef{job: job}, job.Tenant, job.ClientKey)
+	if a := job.array; a != nil {
+		a.session = job.session
+		a.unfinishedJobs[job.Index] = job
 		a.unfinished++
-		a.states[j.State]++
+		a.states[job.State]++
 	}
 }
 
-func (m *Manager) keep(k keyed, tenant, key string) {
+func (m *Manager) rememberKey(k submissionRef, tenant, key string) {
 	if key != "" {
 		m.byKey[keyOf(tenant, key)] = k
 	}
@@ -109,30 +109,30 @@
 
 func keyOf(tenant, clientKey string) string { return tenant + "\x00" + clientKey }
 
-// release undoes hold, for a job that has ended or was never recorded.
-func (m *Manager) release(j *Job) {
-	j.owner.unfinished--
-	delete(j.session.jobs, j)
-	if a := j.array; a != nil {
-		delete(a.open, j.Index)
+// untrack undoes hold, for a job that has ended or was never recorded.
+func (m *Manager) untrack(job *Job) {
+	job.owner.unfinished--
+	delete(job.session.jobs, job)
+	if a := job.array; a != nil {
+		delete(a.unfinishedJobs, job.Index)
 		a.unfinished--
 	}
-	if j.session.State == SessionDestroying && len(j.session.jobs) == 0 {
-		m.destroyed(j.session)
+	if job.session.State == SessionDestroying && len(job.session.jobs) == 0 {
+		m.removeSession(job.session)
 	}
 }
 
-// drop forgets a job. The store has it, or never got it.
-func (m *Manager) drop(j *Job) {
-	if m.jobs[j.ID] == j {
-		delete(m.jobs, j.ID)
+// forget forgets a job. The store has it, or never got it.
+func (m *Manager) forget(job *Job) {
+	if m.jobs[job.ID] == job {
+		delete(m.jobs, job.ID)
 	}
-	if key := keyOf(j.Tenant, j.ClientKey); m.byKey[key].job == j {
+	if key := keyOf(job.Tenant, job.ClientKey); m.byKey[key].job == job {
 		delete(m.byKey, key)
 	}
 }
 
-func (m *Manager) dropArray(a *Array) {
+func (m *Manager) forgetArray(a *Array) {
 	if m.arrays[a.ID] == a {
 		delete(m.arrays, a.ID)
 	}
@@ -141,116 +141,116 @@
 	}
 }
 
-// turn gives a job a new state and tells of it. A change that the standard's
+// transition gives a job a new state and tells of it. A change that the standard's
 // model does not have is a fault of the program's.
-func (m *Manager) turn(j *Job, to drmaa.State) {
-	if j.State == to {
+func (m *Manager) transition(job *Job, to drmaa.State) {
+	if job.State == to {
 		return
 	}
-	if !j.State.May(to) {
-		m.faults++
-		slog.Error("a job's state changes against the model", "id", j.ID, "from", j.State, "to", to)
+	if !job.State.MayBecome(to) {
+		m.modelViolations++
+		slog.Error("a job's state changes against the model", "id", job.ID, "from", job.State, "to", to)
 	}
-	if j.array != nil {
-		j.array.states[j.State]--
-		j.array.states[to]++
+	if job.array != nil {
+		job.array.states[job.State]--
+		job.array.states[to]++
 	}
-	j.State = to
-	m.tell(j, drmaa.NewState, "")
+	job.State = to
+	m.publish(job, drmaa.NewState, "")
 }
 
-// watch has the job end when its deadline passes while it waits. In the core it
+// startDeadline has the job end when its deadline passes while it waits. In the core it
 // is the core that watches.
-func (m *Manager) watch(j *Job) {
-	j.deadline = m.due.Add(time.Duration(j.DeadlineAt)*time.Microsecond, func() {
-		j.deadline = nil
-		if j.stage != inCore { // there the core watches, and it settles again
-			m.end(j, drmaa.Failed, m.lateReason(j), j.MayHaveRun)
+func (m *Manager) startDeadline(job *Job) {
+	job.deadline = m.timers.Add(time.Duration(job.DeadlineAt)*time.Microsecond, func() {
+		job.deadline = nil
+		if job.stage != inCore { // there the core watches, and it settles again
+			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun)
 		}
 	})
 }
 
-func (m *Manager) lateReason(j *Job) string {
+func (m *Manager) deadlineReason(job *Job) string {
 	switch {
-	case j.MayHaveRun:
+	case job.MayHaveRun:
 		return "its deadline passed"
-	case j.after > 0:
-		return "refused until its deadline; it never ran; a new one may be taken after " + j.after.String()
+	case job.retryAfter > 0:
+		return "refused until its deadline; it never ran; a new one may be taken after " + job.retryAfter.String()
 	}
 	return "its deadline passed while it waited; it never ran"
 }
 
-// settle puts a waiting job where it belongs now: to wait for its release or its
+// schedule puts a waiting job where it belongs now: to wait for its release or its
 // time, behind its array's limit, or in the queue.
-func (m *Manager) settle(j *Job) {
-	if !j.recorded || j.ending || j.stage == inCore {
+func (m *Manager) schedule(job *Job) {
+	if !job.recorded || job.ending || job.stage == inCore {
 		return
 	}
-	m.park(j)
+	m.unschedule(job)
 	now := m.clock.Now()
-	if j.DeadlineAt > 0 && j.deadline == nil {
-		if now >= time.Duration(j.DeadlineAt)*time.Microsecond {
-			m.end(j, drmaa.Failed, m.lateReason(j), j.MayHaveRun) // it passed while the job was on its way
+	if job.DeadlineAt > 0 && job.deadline == nil {
+		if now >= time.Duration(job.DeadlineAt)*time.Microsecond {
+			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun) // it passed while the job was on its way
 			return
 		}
-		m.watch(j)
+		m.startDeadline(job)
 	}
-	at := max(time.Duration(j.Template.Start())*time.Microsecond, j.notBefore)
+	at := max(time.Duration(job.Template.Start())*time.Microsecond, job.notBefore)
 	switch {
-	case j.State.Held():
+	case job.State.Held():
 	case now < at:
-		j.wake = m.due.Add(at, func() {
-			j.wake = nil
-			m.settle(j)
+		job.wake = m.timers.Add(at, func() {
+			job.wake = nil
+			m.schedule(job)
 		})
-	case j.array != nil && j.array.MaxParallel > 0 && j.array.active >= j.array.MaxParallel:
-		j.array.waiting.Put(j.place(), j)
+	case job.array != nil && job.array.MaxParallel > 0 && job.array.active >= job.array.MaxParallel:
+		job.array.waiting.Put(job.queueKey(), job)
 	default:
-		if j.array != nil {
-			j.array.active++
-			j.counted = true
+		if job.array != nil {
+			job.array.active++
+			job.countedActive = true
 		}
-		j.stage = lined
-		m.line.Put(j.place(), j)
-		m.pump()
+		job.stage = queued
+		m.queue.Put(job.queueKey(), job)
+		m.launchQueued()
 	}
 }
 
-// park takes a job out of wherever it waits. Its place among its array's active
+// unschedule takes a job out of wherever it waits. Its place among its array's active
 // jobs goes to the next.
-func (m *Manager) park(j *Job) {
-	m.due.Cancel(j.wake)
-	j.wake = nil
-	if j.stage == lined {
-		m.line.Drop(j.place())
+func (m *Manager) unschedule(job *Job) {
+	m.timers.Cancel(job.wake)
+	job.wake = nil
+	if job.stage == queued {
+		m.queue.Remove(job.queueKey())
 	}
-	if j.stage != over {
-		j.stage = parked
+	if job.stage != ended {
+		job.stage = unscheduled
 	}
-	a := j.array
+	a := job.array
 	if a == nil {
 		return
 	}
-	a.waiting.Drop(j.place())
-	if !j.counted {
+	a.waiting.Remove(job.queueKey())
+	if !job.countedActive {
 		return
 	}
-	j.counted = false
+	job.countedActive = false
 	a.active--
 	if next, ok := a.waiting.First(); ok {
-		a.waiting.Drop(next.place())
-		m.settle(next)
+		a.waiting.Remove(next.queueKey())
+		m.schedule(next)
 	}
 }
 
 // View is the job as its client sees it now.
-func (m *Manager) View(j *Job) *drmaa.Job {
-	v := j.view()
+func (m *Manager) View(job *Job) *drmaa.Job {
+	v := job.view()
 	v.SubmissionMachine = m.config.Machine
-	if !j.State.Final() {
-		v.MayHaveRun = v.MayHaveRun || j.op != 0 && m.core.MayHaveRun(j.op)
-		if j.State.Started() {
-			v.WallclockTime = float64(m.unixNow()-j.StartedAt) / 1e6
+	if !job.State.Final() {
+		v.MayHaveRun = v.MayHaveRun || job.operation != 0 && m.core.MayHaveRun(job.operation)
+		if job.State.Started() {
+			v.WallclockTime = float64(m.unixNow()-job.StartedAt) / 1e6
 		}
 	}
 	return v
@@ -303,6 +303,6 @@
 			v.Jobs += n
 		}
 	}
-	v.Over = v.States[drmaa.Done]+v.States[drmaa.Failed] == v.Jobs
+	v.AllEnded = v.States[drmaa.Done]+v.States[drmaa.Failed] == v.Jobs
 	return v
 }
--- a/internal/node/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -10,10 +10,10 @@
 	"ospreybend/internal/node/routing"
 )
 
-func tpl(command string) drmaa.JobTemplate { return drmaa.JobTemplate{RemoteCommand: command} }
+func template(command string) drmaa.JobTemplate { return drmaa.JobTemplate{RemoteCommand: command} }
 
 // order returns the jobs in the core, as they came there.
-func (r *rig) order() (out []string) {
+func (r *fixture) order() (out []string) {
 	for ref := range r.core.last {
 		if op := r.core.ops[ref+1]; op != nil {
 			out = append(out, op.Work.Target)
@@ -23,57 +23,57 @@
 }
 
 // fill has the window full, so that what comes next waits in the queue.
-func (r *rig) fill() (all []*Job) {
-	for r.m.line.Len() == 0 {
-		all = append(all, r.submit(tpl(safe)))
+func (r *fixture) fill() (all []*Job) {
+	for r.manager.queue.Len() == 0 {
+		all = append(all, r.submit(template(safe)))
 	}
 	return all
 }
 
-func TestOrderOfTheQueue(t *testing.T) {
-	r := newRig(t)
+func TestManager_queueOrder(t *testing.T) {
+	r := newFixture(t)
 	first := r.fill()
 	var queued []*Job
 	for _, priority := range []int{0, 5, -5, 5} {
-		j := tpl(once)
-		j.Priority, j.Args = priority, []string{fmt.Sprint(len(queued))}
-		queued = append(queued, r.submit(j))
+		job := template(once)
+		job.Priority, job.Args = priority, []string{fmt.Sprint(len(queued))}
+		queued = append(queued, r.submit(job))
 	}
-	for _, j := range first {
-		r.core.serve(j)
+	for _, job := range first {
+		r.core.serve(job)
 	}
 	for _, want := range []int{1, 3, 0, 2} {
-		j := queued[want]
-		if j.stage != inCore {
+		job := queued[want]
+		if job.stage != inCore {
 			t.Fatalf("job %d is not next: %v", want, r.order())
 		}
-		r.core.serve(j)
-		r.state(j, drmaa.Done)
+		r.core.serve(job)
+		r.state(job, drmaa.Done)
 	}
 }
 
-func TestStartTimeAndDeadlineInTheQueue(t *testing.T) {
-	r := newRig(t)
-	later := tpl(once)
-	later.StartTime = drmaa.Stamp(r.m.unixNow() + 30e6)
-	j := r.submit(later)
-	if r.state(j, drmaa.Queued); len(r.core.ops) != 0 {
+func TestManager_startTimeAndDeadlineInTheQueue(t *testing.T) {
+	r := newFixture(t)
+	later := template(once)
+	later.StartTime = drmaa.Stamp(r.manager.unixNow() + 30e6)
+	job := r.submit(later)
+	if r.state(job, drmaa.Queued); len(r.core.ops) != 0 {
 		t.Fatal("begun before its start time")
 	}
 	r.advance(31 * time.Second)
-	r.settle()
-	if j.stage != inCore {
+	r.runStoreCalls()
+	if job.stage != inCore {
 		t.Fatal("not begun after its start time")
 	}
-	r.core.serve(j)
-	r.core.able = false
-	short := tpl(once)
+	r.core.serve(job)
+	r.core.ready = false
+	short := template(once)
 	short.Deadline = 5
 	late := r.submit(short)
 	r.advance(4 * time.Second)
 	r.state(late, drmaa.Queued)
 	r.advance(2 * time.Second)
-	r.settle()
+	r.runStoreCalls()
 	if r.state(late, drmaa.Failed); late.MayHaveRun || late.Sent {
 		t.Error("a job that only waited may have run")
 	}
@@ -81,25 +81,25 @@
 
 // A hold that comes while the job is being recorded as sent wins: nothing goes
 // out, and the record says so.
-func TestHoldRacesTheLaunch(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(once))
-	r.core.step(j, 0) // the mark is on its way
-	if len(r.calls) != 1 || r.core.of(j).out != 0 {
+func TestManager_Act_holdRacesTheLaunch(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(once))
+	r.core.step(job, 0) // the mark is on its way
+	if len(r.calls) != 1 || r.core.of(job).out != 0 {
 		t.Fatal("not at the gate")
 	}
-	if e := r.act(j, Hold); e != nil {
+	if e := r.act(job, Hold); e != nil {
 		t.Fatal(e)
 	}
-	if r.state(j, drmaa.QueuedHeld); len(r.core.ops) != 0 || r.m.window.State().Used != 0 {
+	if r.state(job, drmaa.QueuedHeld); len(r.core.ops) != 0 || r.manager.window.State().Used != 0 {
 		t.Fatal("a held job is in the core")
 	}
-	if rec := r.store.jobs[j.ID]; rec.Sent || !rec.Held {
+	if rec := r.store.jobs[job.ID]; rec.Sent || !rec.Held {
 		t.Errorf("recorded as sent %v, held %v", rec.Sent, rec.Held)
 	}
 	r.start() // and held it comes back
-	again := r.m.jobs[j.ID]
-	r.settle()
+	again := r.manager.jobs[job.ID]
+	r.runStoreCalls()
 	r.state(again, drmaa.QueuedHeld)
 	if e := r.act(again, Hold); e == nil || e.Name != drmaa.InvalidState {
 		t.Errorf("held twice: %v", e)
@@ -112,62 +112,62 @@
 }
 
 // In the core, a job can be held until a step of it may have had effect.
-func TestHoldInTheCore(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(once))
-	if e := r.act(j, Hold); e != nil || len(r.core.ops) != 0 {
+func TestManager_Act_holdInTheCore(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(once))
+	if e := r.act(job, Hold); e != nil || len(r.core.ops) != 0 {
 		t.Fatal("not drawn back", e)
 	}
-	if e := r.act(j, Release); e != nil {
+	if e := r.act(job, Release); e != nil {
 		t.Fatal("not released: ", e)
 	}
-	r.core.sent(j, 0)
-	if e := r.act(j, Hold); e == nil || e.Name != drmaa.InvalidState {
+	r.core.sent(job, 0)
+	if e := r.act(job, Hold); e == nil || e.Name != drmaa.InvalidState {
 		t.Errorf("held while a step is out: %v", e)
 	}
-	r.core.stepDone(j, 0, balance.Full)
-	r.core.answer(j, routing.Answer{Verdict: routing.Refused, RetryAfter: time.Second})
-	r.state(j, drmaa.Requeued)
-	if e := r.act(j, Hold); e != nil {
+	r.core.stepDone(job, 0, balance.Full)
+	r.core.answer(job, routing.Answer{Verdict: routing.Refused, RetryAfter: time.Second})
+	r.state(job, drmaa.Requeued)
+	if e := r.act(job, Hold); e != nil {
 		t.Fatal(e)
 	}
-	r.state(j, drmaa.RequeuedHeld)
+	r.state(job, drmaa.RequeuedHeld)
 	r.advance(10 * time.Second)
-	r.settle()
+	r.runStoreCalls()
 	if len(r.core.ops) != 0 {
 		t.Error("a held job came back")
 	}
-	if e := r.act(j, Release); e != nil {
+	if e := r.act(job, Release); e != nil {
 		t.Fatal("not released: ", e)
 	}
-	r.state(j, drmaa.Requeued)
-	r.core.serve(j)
-	r.state(j, drmaa.Done)
+	r.state(job, drmaa.Requeued)
+	r.core.serve(job)
+	r.state(job, drmaa.Done)
 }
 
-func TestStoreFailsAHoldAndARelease(t *testing.T) {
-	r := newRig(t)
-	r.core.able = false
-	j := r.submit(tpl(once))
+func TestManager_Act_storeFailsHoldAndRelease(t *testing.T) {
+	r := newFixture(t)
+	r.core.ready = false
+	job := r.submit(template(once))
 	var got *drmaa.Error
-	r.m.Act(j, Hold, func(e *drmaa.Error) { got = e })
-	r.settleOne(refuses)
-	if r.state(j, drmaa.Queued); got != Broken {
+	r.manager.Act(job, Hold, func(e *drmaa.Error) { got = e })
+	r.runStoreCall(callFails)
+	if r.state(job, drmaa.Queued); got != StoreFailed {
 		t.Errorf("answered %v", got)
 	}
-	if e := r.act(j, Hold); e != nil {
+	if e := r.act(job, Hold); e != nil {
 		t.Fatal("not held: ", e)
 	}
-	r.m.Act(j, Release, func(e *drmaa.Error) { got = e })
-	r.settleOne(refuses)
-	if r.state(j, drmaa.QueuedHeld); got != Broken {
+	r.manager.Act(job, Release, func(e *drmaa.Error) { got = e })
+	r.runStoreCall(callFails)
+	if r.state(job, drmaa.QueuedHeld); got != StoreFailed {
 		t.Errorf("answered %v", got)
 	}
 }
 
-func TestArray(t *testing.T) {
-	r := newRig(t)
-	one := tpl(once)
+func TestManager_SubmitBulk_maxParallel(t *testing.T) {
+	r := newFixture(t)
+	one := template(once)
 	one.Args = []string{"teil-" + drmaa.IndexPlaceholder}
 	one.ClientKey = "k"
 	b := drmaa.Bulk{Template: &one, Begin: 2, End: 10, Step: 2, MaxParallel: 2}
@@ -178,30 +178,30 @@
 	if again := r.bulk(b); again != a {
 		t.Error("the same bulk made another array")
 	}
-	r.core.serve(a.open[2])
+	r.core.serve(a.unfinishedJobs[2])
 	if got := r.order(); len(got) != 2 || got[1] != "/buchen/teil-6" {
 		t.Fatalf("in the core: %v", got)
 	}
 	// Terminated half started: what runs is drawn back, what waits never runs.
 	ends := 0
-	r.m.WaitArray(a, false, true, time.Hour, func(*Job, *drmaa.Error) { ends++ })
-	r.core.sent(a.open[4], 0)
-	r.core.begin(a.open[4], 0)
-	four, six := a.open[4], a.open[6]
+	r.manager.WaitArray(a, false, true, time.Hour, func(*Job, *drmaa.Error) { ends++ })
+	r.core.sent(a.unfinishedJobs[4], 0)
+	r.core.begin(a.unfinishedJobs[4], 0)
+	four, six := a.unfinishedJobs[4], a.unfinishedJobs[6]
 	var n *drmaa.Affected
-	r.m.ActOnArray(a, Terminate, func(got *drmaa.Affected, e *drmaa.Error) { n = got })
-	r.settle()
+	r.manager.ActOnArray(a, Terminate, func(got *drmaa.Affected, e *drmaa.Error) { n = got })
+	r.runStoreCalls()
 	if n == nil || n.Applied != 4 || ends != 1 || len(r.core.ops) != 0 {
 		t.Fatalf("%+v, %d ends, %d in the core", n, ends, len(r.core.ops))
 	}
 	if !four.MayHaveRun || six.MayHaveRun {
 		t.Error("who may have run is told wrongly")
 	}
-	v := r.m.ViewArray(a)
-	if !v.Over || v.States[drmaa.Done] != 1 || v.States[drmaa.Failed] != 4 || v.Jobs != 5 {
+	v := r.manager.ViewArray(a)
+	if !v.AllEnded || v.States[drmaa.Done] != 1 || v.States[drmaa.Failed] != 4 || v.Jobs != 5 {
 		t.Errorf("%+v", v)
 	}
-	r.m.ActOnArray(a, Hold, func(_ *drmaa.Affected, e *drmaa.Error) {
+	r.manager.ActOnArray(a, Hold, func(_ *drmaa.Affected, e *drmaa.Error) {
 		if e == nil || e.Name != drmaa.InvalidState {
 			t.Errorf("an ended array is held: %v", e)
 		}
@@ -211,142 +211,142 @@
 	}
 }
 
-func TestBulkIsWholeOrNothing(t *testing.T) {
-	r := newRig(t)
-	one := tpl(once)
+func TestManager_SubmitBulk_allOrNothing(t *testing.T) {
+	r := newFixture(t)
+	one := template(once)
 	var got *drmaa.Error
-	r.m.SubmitBulk(r.m.tenants["ben"], "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) { got = e })
+	r.manager.SubmitBulk(r.manager.tenants["ben"], "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) { got = e })
 	if got == nil || got.Status != 429 {
 		t.Fatalf("over the quota: %v", got)
 	}
-	r.m.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) { got = e })
-	r.settleOne(refuses)
-	if got != Broken || len(r.m.jobs) != 0 || len(r.m.arrays) != 0 || r.anna().unfinished != 0 || len(r.core.ops) != 0 {
-		t.Fatalf("%v; %d jobs left", got, len(r.m.jobs))
+	r.manager.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) { got = e })
+	r.runStoreCall(callFails)
+	if got != StoreFailed || len(r.manager.jobs) != 0 || len(r.manager.arrays) != 0 || r.anna().unfinished != 0 || len(r.core.ops) != 0 {
+		t.Fatalf("%v; %d jobs left", got, len(r.manager.jobs))
 	}
 	r.advance(2 * time.Second) // while the store is failing new work is turned away
 	// Killed after the store has it and before it said so: all of it is there.
-	r.m.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) {})
+	r.manager.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) {})
 	_ = r.calls[0].do(t.Context(), r.store)
 	r.start()
-	if len(r.m.jobs) != 3 || len(r.m.arrays) != 1 {
-		t.Fatalf("%d jobs after the restart", len(r.m.jobs))
+	if len(r.manager.jobs) != 3 || len(r.manager.arrays) != 1 {
+		t.Fatalf("%d jobs after the restart", len(r.manager.jobs))
 	}
 }
 
-func TestDestroySession(t *testing.T) {
-	r := newRig(t)
-	running, waiting := r.submit(tpl(once)), tpl(once)
+func TestManager_DestroySession(t *testing.T) {
+	r := newFixture(t)
+	running, waiting := r.submit(template(once)), template(once)
 	waiting.SubmitAsHold = true
 	held := r.submit(waiting)
 	r.core.sent(running, 0)
 	r.core.begin(running, 0)
 	ends, waits := 0, 0
-	r.m.WaitSession(r.anna().sessions["s"], false, time.Hour, func(*Job, *drmaa.Error) { waits++ })
-	tp := tpl(once)
+	r.manager.WaitSession(r.anna().sessions["s"], false, time.Hour, func(*Job, *drmaa.Error) { waits++ })
+	tp := template(once)
 	var late *drmaa.Error
-	r.m.Submit(r.anna(), "s", &tp, func(_ *Job, e *drmaa.Error) { late = e }) // crosses the end of the session
+	r.manager.Submit(r.anna(), "s", &tp, func(_ *Job, e *drmaa.Error) { late = e }) // crosses the end of the session
 	for range 2 {
-		r.m.DestroySession(r.anna(), "s", func(e *drmaa.Error) {
+		r.manager.DestroySession(r.anna(), "s", func(e *drmaa.Error) {
 			if e == nil {
 				ends++
 			}
 		})
 	}
-	r.settle()
-	if ends != 2 || waits != 1 || len(r.core.ops) != 0 || len(r.m.jobs) != 0 || late != nil {
-		t.Fatalf("%d ends, %d waits, %d jobs, late %v", ends, waits, len(r.m.jobs), late)
+	r.runStoreCalls()
+	if ends != 2 || waits != 1 || len(r.core.ops) != 0 || len(r.manager.jobs) != 0 || late != nil {
+		t.Fatalf("%d ends, %d waits, %d jobs, late %v", ends, waits, len(r.manager.jobs), late)
 	}
-	for _, j := range []*Job{running, held} {
-		if r.state(j, drmaa.Failed); r.store.jobs[j.ID].State != drmaa.Failed {
+	for _, job := range []*Job{running, held} {
+		if r.state(job, drmaa.Failed); r.store.jobs[job.ID].State != drmaa.Failed {
 			t.Error("its end is not on record")
 		}
 	}
-	if _, e := r.m.Session(r.anna(), "s"); e != UnknownSession {
+	if _, e := r.manager.Session(r.anna(), "s"); e != UnknownSession {
 		t.Error("the session is still there")
 	}
 }
 
 // Of two creations at once the second fails; one that the store fails leaves
 // nothing; a session made anew while the old one of its name goes stays.
-func TestSessionsAtOnce(t *testing.T) {
-	r := newRig(t)
+func TestManager_SetSession_concurrentCreates(t *testing.T) {
+	r := newFixture(t)
 	var got []*drmaa.Error
 	note := func(_ *Session, e *drmaa.Error) { got = append(got, e) }
-	r.m.SetSession(r.anna(), "x", SessionOpen, "create", note)
-	r.m.SetSession(r.anna(), "x", SessionOpen, "create", note)
-	r.settle()
-	if len(got) != 2 || got[0] != sessionThere || got[1] != nil {
+	r.manager.SetSession(r.anna(), "x", SessionOpen, "create", note)
+	r.manager.SetSession(r.anna(), "x", SessionOpen, "create", note)
+	r.runStoreCalls()
+	if len(got) != 2 || got[0] != sessionExists || got[1] != nil {
 		t.Errorf("%v", got)
 	}
-	r.m.SetSession(r.anna(), "y", SessionOpen, "create", note)
-	r.settleOne(refuses)
-	if r.anna().sessions["y"] != nil || got[2] != Broken {
+	r.manager.SetSession(r.anna(), "y", SessionOpen, "create", note)
+	r.runStoreCall(callFails)
+	if r.anna().sessions["y"] != nil || got[2] != StoreFailed {
 		t.Errorf("%v", got[2])
 	}
 	r.advance(2 * time.Second) // while the store is failing new work is turned away
-	j := r.submit(tpl(once))
+	job := r.submit(template(once))
 	ended := 0
-	r.m.DestroySession(r.anna(), "s", func(*drmaa.Error) { ended++ })
-	if e := r.m.Terminate(j); e != nil { // its end and the session's cross
+	r.manager.DestroySession(r.anna(), "s", func(*drmaa.Error) { ended++ })
+	if e := r.manager.Terminate(job); e != nil { // its end and the session's cross
 		t.Fatal("not terminated: ", e)
 	}
-	r.settle()
-	r.m.SetSession(r.anna(), "s", SessionOpen, "create", note)
-	r.settle()
+	r.runStoreCalls()
+	r.manager.SetSession(r.anna(), "s", SessionOpen, "create", note)
+	r.runStoreCalls()
 	r.advance(3 * time.Second)
-	r.settle()
+	r.runStoreCalls()
 	if ended != 1 || got[3] != nil || r.store.sessions[[2]string{"anna", "s"}] != SessionOpen || r.anna().sessions["s"] == nil {
 		t.Errorf("%d ends, %v, %v", ended, got[3], r.store.sessions)
 	}
 }
 
 // Killed while a session is being destroyed: the restart goes on with it.
-func TestDestroyGoesOnAfterARestart(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(safe))
-	r.m.DestroySession(r.anna(), "s", func(*drmaa.Error) {})
-	r.settleOne(works)
+func TestManager_DestroySession_continuesAfterRestart(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(safe))
+	r.manager.DestroySession(r.anna(), "s", func(*drmaa.Error) {})
+	r.runStoreCall(callSucceeds)
 	r.start()
-	r.settle()
-	if r.store.jobs[j.ID].State != drmaa.Failed || !r.store.reaped[j.ID] || len(r.store.sessions) != 1 {
-		t.Errorf("%+v, sessions %v", r.store.jobs[j.ID], r.store.sessions)
+	r.runStoreCalls()
+	if r.store.jobs[job.ID].State != drmaa.Failed || !r.store.reaped[job.ID] || len(r.store.sessions) != 1 {
+		t.Errorf("%+v, sessions %v", r.store.jobs[job.ID], r.store.sessions)
 	}
 }
 
-func TestWaitAny(t *testing.T) {
-	r := newRig(t)
-	a, b := r.submit(tpl(once)), r.submit(tpl(once))
+func TestManager_Wait_any(t *testing.T) {
+	r := newFixture(t)
+	a, b := r.submit(template(once)), r.submit(template(once))
 	var got []string
 	note := func(name string) func(*Job, *drmaa.Error) {
-		return func(j *Job, e *drmaa.Error) {
+		return func(job *Job, e *drmaa.Error) {
 			if e != nil {
 				got = append(got, name+" "+string(e.Name))
 				return
 			}
-			got = append(got, name+" "+map[*Job]string{a: "a", b: "b"}[j])
+			got = append(got, name+" "+map[*Job]string{a: "a", b: "b"}[job])
 		}
 	}
 	s := r.anna().sessions["s"]
-	r.m.Wait([]*Job{a, b}, true, time.Second, note("started"))
-	r.m.Wait([]*Job{a, b}, false, time.Hour, note("ended"))
-	r.m.WaitSession(s, false, 2*time.Second, note("session"))
-	gone := r.m.Wait([]*Job{a}, false, time.Hour, note("gone"))
+	r.manager.Wait([]*Job{a, b}, true, time.Second, note("started"))
+	r.manager.Wait([]*Job{a, b}, false, time.Hour, note("ended"))
+	r.manager.WaitSession(s, false, 2*time.Second, note("session"))
+	gone := r.manager.Wait([]*Job{a}, false, time.Hour, note("gone"))
 	gone()
-	r.settle()
+	r.runStoreCalls()
 	r.core.sent(b, 1)
 	r.core.begin(b, 1)
 	r.advance(3 * time.Second)
 	r.core.stepDone(b, 1, balance.Served)
 	r.core.answer(b, routing.Answer{Verdict: routing.Served})
-	r.settle()
+	r.runStoreCalls()
 	want := "[started b session TimeoutException ended b]"
-	if fmt.Sprint(got) != want || r.m.Counts().Waits != 0 {
-		t.Errorf("%v, want %s; %d waits", got, want, r.m.Counts().Waits)
+	if fmt.Sprint(got) != want || r.manager.Counts().Waits != 0 {
+		t.Errorf("%v, want %s; %d waits", got, want, r.manager.Counts().Waits)
 	}
 	// One that ended before the wait satisfies it, until it is reaped.
-	r.m.WaitSession(s, false, time.Second, note("after"))
-	r.settle()
+	r.manager.WaitSession(s, false, time.Second, note("after"))
+	r.runStoreCalls()
 	if got[len(got)-1] != "after b" {
 		t.Errorf("%v", got)
 	}
@@ -356,13 +356,13 @@
 	if e := r.act(b, Reap); e != nil {
 		t.Fatal(e)
 	}
-	r.m.Find(r.anna(), "s", b.ID, func(_ *Job, e *drmaa.Error) {
+	r.manager.Find(r.anna(), "s", b.ID, func(_ *Job, e *drmaa.Error) {
 		if e != UnknownJob {
 			t.Errorf("a reaped job is found: %v", e)
 		}
 	})
-	r.m.WaitSession(s, false, time.Second, note("reaped"))
-	r.settle()
+	r.manager.WaitSession(s, false, time.Second, note("reaped"))
+	r.runStoreCalls()
 	r.advance(2 * time.Second)
 	if got[len(got)-1] != "reaped TimeoutException" {
 		t.Errorf("%v", got)
@@ -371,57 +371,57 @@
 
 // What fails wherever it runs has failed; a rerunnable job is tried a few times
 // more. Refusals for want of room are another matter.
-func TestFailsEverywhere(t *testing.T) {
-	r := newRig(t)
+func TestManager_StepEnded_failsAtEveryWorker(t *testing.T) {
+	r := newFixture(t)
 	yes := true
-	again := tpl(safe)
+	again := template(safe)
 	again.Rerunnable = &yes
 	for _, c := range []struct {
 		t    drmaa.JobTemplate
 		runs int
-	}{{tpl(safe), 1}, {again, 3}} {
-		j := r.submit(c.t)
+	}{{template(safe), 1}, {again, 3}} {
+		job := r.submit(c.t)
 		runs := 0
-		for ; !j.State.Final() && runs < 10; runs++ {
-			r.core.sent(j, 0)
-			r.core.begin(j, 0)
-			r.core.stepDone(j, 0, balance.Errored)
-			r.core.answer(j, routing.Answer{Verdict: routing.Refused})
+		for ; !job.State.Final() && runs < 10; runs++ {
+			r.core.sent(job, 0)
+			r.core.begin(job, 0)
+			r.core.stepDone(job, 0, balance.Errored)
+			r.core.answer(job, routing.Answer{Verdict: routing.Refused})
 			r.advance(11 * time.Second)
-			r.settle()
+			r.runStoreCalls()
 		}
-		if v := r.m.View(j); runs != c.runs || v.State != drmaa.Failed || v.ExitStatus == nil || *v.ExitStatus != 1 {
+		if v := r.manager.View(job); runs != c.runs || v.State != drmaa.Failed || v.ExitStatus == nil || *v.ExitStatus != 1 {
 			t.Errorf("%d runs, %+v", runs, v)
 		}
 	}
 	// While the core goes on trying, the third failure ends a job, the first one
 	// that is not to be run again.
 	no := false
-	single := tpl(safe)
+	single := template(safe)
 	single.Rerunnable = &no
 	for _, c := range []struct {
 		t    drmaa.JobTemplate
 		runs int
-	}{{tpl(safe), 3}, {single, 1}} {
-		j := r.submit(c.t)
+	}{{template(safe), 3}, {single, 1}} {
+		job := r.submit(c.t)
 		runs := 0
-		for ; !j.State.Final() && runs < 10; runs++ {
-			r.core.sent(j, balance.WorkerID(runs))
-			r.core.begin(j, balance.WorkerID(runs))
-			r.core.stepDone(j, balance.WorkerID(runs), balance.Errored)
-			r.due.Run(r.now)
-			r.settle()
+		for ; !job.State.Final() && runs < 10; runs++ {
+			r.core.sent(job, balance.WorkerID(runs))
+			r.core.begin(job, balance.WorkerID(runs))
+			r.core.stepDone(job, balance.WorkerID(runs), balance.Errored)
+			r.timers.Run(r.now)
+			r.runStoreCalls()
 		}
-		if v := r.m.View(j); runs != c.runs || v.State != drmaa.Failed || *v.ExitStatus != 1 || len(r.core.ops) != 0 {
+		if v := r.manager.View(job); runs != c.runs || v.State != drmaa.Failed || *v.ExitStatus != 1 || len(r.core.ops) != 0 {
 			t.Errorf("%d runs, %+v", runs, v)
 		}
 	}
-	j := r.submit(tpl(safe))
+	job := r.submit(template(safe))
 	for range 20 {
-		r.core.answer(j, routing.Answer{Verdict: routing.Refused})
+		r.core.answer(job, routing.Answer{Verdict: routing.Refused})
 		r.advance(11 * time.Second)
-		r.settle()
-		if j.State.Final() {
+		r.runStoreCalls()
+		if job.State.Final() {
 			t.Fatal("given up for want of room")
 		}
 	}
@@ -430,56 +430,56 @@
 // The store stalls before a job's gate until the core gives up on it: nothing has
 // run, so the job waits anew, and its record is as it was. A mark that was written
 // meanwhile is taken back.
-func TestStoreStallsAtTheGate(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(once))
-	r.core.step(j, 0)
-	r.core.answer(j, routing.Answer{Verdict: routing.Failed})
-	r.state(j, drmaa.Requeued)
-	r.settle() // the mark is written at last, to no purpose
-	if rec := r.store.jobs[j.ID]; len(r.core.ops) != 0 && r.core.of(j).out > 0 || j.MayHaveRun || rec.EndedAt != 0 || rec.Sent {
+func TestManager_BeforeSend_storeStalls(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(once))
+	r.core.step(job, 0)
+	r.core.answer(job, routing.Answer{Verdict: routing.Failed})
+	r.state(job, drmaa.Requeued)
+	r.runStoreCalls() // the mark is written at last, to no purpose
+	if rec := r.store.jobs[job.ID]; len(r.core.ops) != 0 && r.core.of(job).out > 0 || job.MayHaveRun || rec.EndedAt != 0 || rec.Sent {
 		t.Fatalf("%+v", rec)
 	}
 	r.advance(10 * time.Second)
-	r.settle()
-	if j.stage != inCore {
+	r.runStoreCalls()
+	if job.stage != inCore {
 		t.Fatal("it does not come back")
 	}
 	// Refused by a store that fails: the same.
-	r.core.step(j, 0)
-	r.settleOne(refuses)
-	if r.core.of(j).out != 0 || j.Sent {
+	r.core.step(job, 0)
+	r.runStoreCall(callFails)
+	if r.core.of(job).out != 0 || job.Sent {
 		t.Fatal("a step went out without its record")
 	}
-	r.core.serve(j)
-	r.state(j, drmaa.Done)
+	r.core.serve(job)
+	r.state(job, drmaa.Done)
 }
 
 // Bookings that may have run are listed until a person settles them, once.
-func TestUndecided(t *testing.T) {
-	r := newRig(t)
+func TestManager_Undecided(t *testing.T) {
+	r := newFixture(t)
 	var lost []*Job
 	for _, class := range []string{once, once, safe, once} {
-		j := r.submit(tpl(class))
-		r.core.sent(j, 0)
-		r.core.begin(j, 0)
-		r.core.stepDone(j, 0, balance.Reset)
-		r.core.answer(j, routing.Answer{Verdict: routing.Failed})
-		r.settle()
-		lost = append(lost, j)
+		job := r.submit(template(class))
+		r.core.sent(job, 0)
+		r.core.begin(job, 0)
+		r.core.stepDone(job, 0, balance.Reset)
+		r.core.answer(job, routing.Answer{Verdict: routing.Failed})
+		r.runStoreCalls()
+		lost = append(lost, job)
 	}
 	list := func(after drmaa.Cursor) (page *drmaa.Page) {
-		r.m.Undecided(after, 2, func(p *drmaa.Page, e *drmaa.Error) { page = p })
-		r.settle()
+		r.manager.Undecided(after, 2, func(p *drmaa.Page, e *drmaa.Error) { page = p })
+		r.runStoreCalls()
 		return page
 	}
 	first := list(drmaa.Cursor{})
 	if len(first.Jobs) != 2 || first.Jobs[0].ID != lost[0].ID || first.Next == "" {
 		t.Fatalf("%+v", first)
 	}
-	settle := func(j *Job) (e *drmaa.Error) {
-		r.m.Settle(j.ID, true, "asked the worker", func(got *drmaa.Error) { e = got })
-		r.settle()
+	settle := func(job *Job) (e *drmaa.Error) {
+		r.manager.Settle(job.ID, true, "asked the worker", func(got *drmaa.Error) { e = got })
+		r.runStoreCalls()
 		return e
 	}
 	if e := settle(lost[0]); e != nil {
@@ -488,7 +488,7 @@
 	if e := settle(lost[0]); e == nil || e.Name != drmaa.InvalidState {
 		t.Errorf("settled twice: %v", e)
 	}
-	if v := r.m.View(lost[0]); v.Settled == nil || !v.Settled.Ran || v.Settled.Reason != "asked the worker" || v.State != drmaa.Failed {
+	if v := r.manager.View(lost[0]); v.Settled == nil || !v.Settled.Ran || v.Settled.Reason != "asked the worker" || v.State != drmaa.Failed {
 		t.Errorf("%+v", v)
 	}
 	if left := list(drmaa.Cursor{}); len(left.Jobs) != 2 || left.Jobs[1].ID != lost[3].ID || left.Next != "" {
@@ -497,29 +497,29 @@
 }
 
 // The steps of a job, its times and what its view makes of them.
-func TestInfo(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(safe))
-	r.core.sent(j, 0)
-	r.core.begin(j, 0)
+func TestManager_View(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(safe))
+	r.core.sent(job, 0)
+	r.core.begin(job, 0)
 	r.advance(time.Second)
-	r.core.stepDone(j, 0, balance.Reset)
-	r.core.sent(j, 1)
-	r.state(j, drmaa.Requeued)
-	r.core.begin(j, 1)
+	r.core.stepDone(job, 0, balance.Reset)
+	r.core.sent(job, 1)
+	r.state(job, drmaa.Requeued)
+	r.core.begin(job, 1)
 	r.advance(2 * time.Second)
-	if v := r.m.View(j); v.State != drmaa.Running || v.WallclockTime != 2 || v.Finished != "" {
+	if v := r.manager.View(job); v.State != drmaa.Running || v.WallclockTime != 2 || v.Finished != "" {
 		t.Errorf("%+v", v)
 	}
-	r.core.stepDone(j, 1, balance.Served)
-	r.core.answer(j, routing.Answer{Verdict: routing.Served, Result: []byte("x")})
-	r.settle()
-	v := r.m.View(j)
+	r.core.stepDone(job, 1, balance.Served)
+	r.core.answer(job, routing.Answer{Verdict: routing.Served, Result: []byte("x")})
+	r.runStoreCalls()
+	v := r.manager.View(job)
 	if v.ExitStatus == nil || *v.ExitStatus != 0 || v.Machines[0].Machine != "b" || v.WallclockTime != 2 || len(v.Steps) != 2 ||
 		v.Steps[0].Outcome != "lost" || v.Steps[1].Outcome != "served" || v.Dispatched == "" || *v.Result != "x" {
 		t.Errorf("%+v", v)
 	}
-	events, _ := r.m.Events(r.anna(), "s", "oldest", 100)
+	events, _ := r.manager.Events(r.anna(), "s", "oldest", 100)
 	var kinds []string
 	for _, e := range events.Events {
 		kinds = append(kinds, e.Event+" "+string(e.State)+e.Machine)
@@ -530,54 +530,54 @@
 	}
 }
 
-func TestEventsAreBoundedAndMissedOnesTold(t *testing.T) {
-	r := newRig(t)
-	first, _ := r.m.Events(r.anna(), "s", "", 10)
+func TestManager_Events_boundedAndMissedCounted(t *testing.T) {
+	r := newFixture(t)
+	first, _ := r.manager.Events(r.anna(), "s", "", 10)
 	woken := 0
-	leave := r.m.Follow(r.anna(), func() { woken++ })
-	r.core.able = false
+	leave := r.manager.Follow(r.anna(), func() { woken++ })
+	r.core.ready = false
 	for range 200 {
-		r.submit(tpl(safe))
+		r.submit(template(safe))
 	}
-	if n := len(r.m.streams["anna"].events); n > 64 || woken != 200 {
+	if n := len(r.manager.streams["anna"].events); n > 64 || woken != 200 {
 		t.Errorf("%d events kept, woken %d times", n, woken)
 	}
 	leave()
-	got, e := r.m.Events(r.anna(), "s", first.Cursor, 1000)
+	got, e := r.manager.Events(r.anna(), "s", first.Cursor, 1000)
 	if e != nil || got.Missed+int64(len(got.Events)) != 200 || got.Missed == 0 {
 		t.Fatalf("%d missed, %d come, %v", got.Missed, len(got.Events), e)
 	}
-	if more, _ := r.m.Events(r.anna(), "s", got.Cursor, 10); len(more.Events) != 0 || more.Missed != 0 {
+	if more, _ := r.manager.Events(r.anna(), "s", got.Cursor, 10); len(more.Events) != 0 || more.Missed != 0 {
 		t.Errorf("%+v", more)
 	}
-	if _, e := r.m.Events(r.anna(), "s", "nonsense", 10); e == nil || e.Attribute != "cursor" {
+	if _, e := r.manager.Events(r.anna(), "s", "nonsense", 10); e == nil || e.Attribute != "cursor" {
 		t.Errorf("%v", e)
 	}
 	r.start()
-	if after, _ := r.m.Events(r.anna(), "s", got.Cursor, 10); after.Missed != -1 {
+	if after, _ := r.manager.Events(r.anna(), "s", got.Cursor, 10); after.Missed != -1 {
 		t.Errorf("after a restart %+v", after)
 	}
 }
 
 // Pages neither repeat nor leave out, while jobs come and end between them.
-func TestPages(t *testing.T) {
-	r := newRig(t)
-	r.core.able = false
-	hold := tpl(safe)
+func TestManager_List_pages(t *testing.T) {
+	r := newFixture(t)
+	r.core.ready = false
+	hold := template(safe)
 	hold.SubmitAsHold = true
 	for i := range 30 {
 		if i%3 == 0 {
 			r.submit(hold)
 		} else {
-			r.submit(tpl(safe))
+			r.submit(template(safe))
 		}
 	}
 	seen := map[string]int{}
 	f := drmaa.Filter{Limit: 7, States: []drmaa.State{drmaa.QueuedHeld}}
 	for pages := 0; ; pages++ {
 		var page *drmaa.Page
-		r.m.List("anna", "s", f, func(p *drmaa.Page, e *drmaa.Error) { page = p })
-		r.settle()
+		r.manager.List("anna", "s", f, func(p *drmaa.Page, e *drmaa.Error) { page = p })
+		r.runStoreCalls()
 		for _, v := range page.Jobs {
 			if seen[v.ID]++; v.State != drmaa.QueuedHeld {
 				t.Errorf("%s listed", v.State)
@@ -605,123 +605,123 @@
 
 // Ten thousand waiting jobs come back in their order after a restart, held ones
 // held.
-func TestRestartWithManyWaiting(t *testing.T) {
-	r := newRig(t)
-	r.core.able = false
-	one := tpl(safe)
+func TestManager_Load_manyWaiting(t *testing.T) {
+	r := newFixture(t)
+	r.core.ready = false
+	one := template(safe)
 	a := r.bulk(drmaa.Bulk{Template: &one, Begin: 1, End: 10_000, Step: 1})
 	for _, index := range []int{1, 5000} {
-		if e := r.act(a.open[index], Hold); e != nil {
+		if e := r.act(a.unfinishedJobs[index], Hold); e != nil {
 			t.Fatal("not held: ", e)
 		}
 	}
 	r.start()
-	if r.m.line.Len()+len(r.m.jobs)-10_000 != 9996 || // two are on their way already
+	if r.manager.queue.Len()+len(r.manager.jobs)-10_000 != 9996 || // two are on their way already
 		r.anna().unfinished != 10_000 {
-		t.Fatalf("%d in the queue, %d unfinished", r.m.line.Len(), r.anna().unfinished)
+		t.Fatalf("%d in the queue, %d unfinished", r.manager.queue.Len(), r.anna().unfinished)
 	}
 	last := 0
-	r.m.line.All(func(j *Job) bool {
-		if j.Index <= last || j.Index == 5000 {
-			t.Errorf("%d after %d", j.Index, last)
+	r.manager.queue.All(func(job *Job) bool {
+		if job.Index <= last || job.Index == 5000 {
+			t.Errorf("%d after %d", job.Index, last)
 			return false
 		}
-		last = j.Index
+		last = job.Index
 		return true
 	})
 }
 
-func TestMonitoring(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(once))
-	r.core.sent(j, 1)
-	r.core.begin(j, 1)
-	hold := tpl(safe)
+func TestManager_MachinesAndQueues(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(once))
+	r.core.sent(job, 1)
+	r.core.begin(job, 1)
+	hold := template(safe)
 	hold.SubmitAsHold = true
 	r.submit(hold)
-	r.m.LoadReported(1, []float32{3, 2.5})
-	got := r.m.Machines(r.anna())
-	if len(got) != 2 || got[0].Name != "a" || got[0].Available || got[1].Batch != 1 || *got[1].FreeSlots != 2.5 || got[1].Doubt != 0.25 {
+	r.manager.LoadReported(1, []float32{3, 2.5})
+	got := r.manager.Machines(r.anna())
+	if len(got) != 2 || got[0].Name != "a" || got[0].Available || got[1].BatchSlots != 1 || *got[1].FreeSlots != 2.5 || got[1].FailureProbability != 0.25 {
 		t.Errorf("%+v", got)
 	}
-	if q := r.m.Queues(r.anna()); len(q) != 2 || q[0].Running != 1 || !q[0].Once || q[1].Held != 1 {
+	if q := r.manager.Queues(r.anna()); len(q) != 2 || q[0].Running != 1 || !q[0].NonIdempotent || q[1].Held != 1 {
 		t.Errorf("%+v", q)
 	}
-	if q := r.m.Queues(r.m.tenants["ben"]); q[0].Running+q[1].Held != 0 {
+	if q := r.manager.Queues(r.manager.tenants["ben"]); q[0].Running+q[1].Held != 0 {
 		t.Errorf("another tenant's jobs show: %+v", q)
 	}
 }
 
 // While the store stalls or fails, new work is turned away at once and told when
 // to come back; what is in work ends, and its end shows once the store is back.
-func TestNewWorkWhileTheStoreStalls(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(once))
-	r.core.sent(j, 0)
-	r.core.begin(j, 0)
+func TestManager_Submit_whileTheStoreStalls(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(once))
+	r.core.sent(job, 0)
+	r.core.begin(job, 0)
 	turned := func() (got *drmaa.Error) {
-		tp := tpl(once)
-		r.m.Submit(r.anna(), "s", &tp, func(_ *Job, e *drmaa.Error) { got = e })
+		tp := template(once)
+		r.manager.Submit(r.anna(), "s", &tp, func(_ *Job, e *drmaa.Error) { got = e })
 		return got
 	}
-	r.core.stepDone(j, 0, balance.Served)
-	r.core.answer(j, routing.Answer{Verdict: routing.Served})
+	r.core.stepDone(job, 0, balance.Served)
+	r.core.answer(job, routing.Answer{Verdict: routing.Served})
 	if e := turned(); e != nil {
 		t.Fatal("turned away before anything is known:", e)
 	}
 	for range 50 {
 		r.advance(100 * time.Millisecond)
-		if e := turned(); r.now > 1000*time.Hour+storeSlow && (e == nil || e.Name != drmaa.TryLater || e.Return == 0) {
+		if e := turned(); r.now > 1000*time.Hour+storeStallTime && (e == nil || e.Name != drmaa.TryLater || e.RetryAfter == 0) {
 			t.Fatalf("after %v of silence: %v", r.now-1000*time.Hour, e)
 		}
 	}
-	if c := r.m.Counts(); c.Store != "stalled" || c.Turned < 40 {
+	if c := r.manager.Counts(); c.Store != "stalled" || c.Rejected < 40 {
 		t.Errorf("%+v", c)
 	}
-	r.settle()
-	r.state(j, drmaa.Done)
-	if e := turned(); e != nil || r.m.Counts().Store != "well" {
+	r.runStoreCalls()
+	r.state(job, drmaa.Done)
+	if e := turned(); e != nil || r.manager.Counts().Store != "well" {
 		t.Errorf("once it is back: %v", e)
 	}
-	r.settleOne(refuses)
-	if e := turned(); e == nil || e.Return == 0 || r.m.Counts().Store != "failing" {
+	r.runStoreCall(callFails)
+	if e := turned(); e == nil || e.RetryAfter == 0 || r.manager.Counts().Store != "failing" {
 		t.Errorf("after a failure: %v", e)
 	}
 }
 
 // Submissions that a stalled store has not begun are turned away too, nothing of
 // them comes on record, and their client keys are free. One that it has begun waits.
-func TestCaughtInAStall(t *testing.T) {
-	r := newRig(t)
+func TestManager_Submit_caughtInAStall(t *testing.T) {
+	r := newFixture(t)
 	answers := map[string]*drmaa.Error{}
 	submit := func(name string) {
-		tp := tpl(once)
+		tp := template(once)
 		tp.ClientKey = name
-		r.m.Submit(r.anna(), "s", &tp, func(_ *Job, e *drmaa.Error) { answers[name] = e })
+		r.manager.Submit(r.anna(), "s", &tp, func(_ *Job, e *drmaa.Error) { answers[name] = e })
 	}
 	submit("a")
 	submit("b") // behind a's call
-	one := tpl(once)
-	r.m.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) { answers["bulk"] = e })
-	r.m.DestroySession(r.m.tenants["ben"], "s", func(*drmaa.Error) {}) // another call that waits
-	for e := range r.m.entries {
+	one := template(once)
+	r.manager.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) { answers["bulk"] = e })
+	r.manager.DestroySession(r.manager.tenants["ben"], "s", func(*drmaa.Error) {}) // another call that waits
+	for e := range r.manager.pendingSubmissions {
 		if e.jobs[0].ClientKey == "a" {
-			e.fate.Store(begun) // as the keeper's goroutine would
+			e.progress.Store(insertBegun) // as the keeper's goroutine would
 		}
 	}
 	r.advance(2 * time.Second)
-	if len(answers) != 2 || answers["b"] == nil || answers["b"].Return == 0 || answers["bulk"] == nil || len(r.m.jobs) != 1 || r.anna().unfinished != 1 {
-		t.Fatalf("%v, %d jobs", answers, len(r.m.jobs))
+	if len(answers) != 2 || answers["b"] == nil || answers["b"].RetryAfter == 0 || answers["bulk"] == nil || len(r.manager.jobs) != 1 || r.anna().unfinished != 1 {
+		t.Fatalf("%v, %d jobs", answers, len(r.manager.jobs))
 	}
-	for e := range r.m.entries {
-		e.fate.Store(waits)
+	for e := range r.manager.pendingSubmissions {
+		e.progress.Store(awaitingInsert)
 	}
-	r.settle()
+	r.runStoreCalls()
 	if e, ok := answers["a"]; !ok || e != nil || len(r.store.jobs) != 1 || len(r.store.arrays) != 0 {
 		t.Fatalf("a: %v; %d jobs on record", e, len(r.store.jobs))
 	}
 	submit("b")
-	r.settle()
+	r.runStoreCalls()
 	if answers["b"] != nil || len(r.store.jobs) != 2 {
 		t.Errorf("b again: %v", answers["b"])
 	}
@@ -729,28 +729,28 @@
 
 // The store stalls while a thousand clients wait: each gets its answer once it
 // is back, none before the end is on record.
-func TestStoreStallsWhileManyWait(t *testing.T) {
-	r := newRig(t)
-	j := r.submit(tpl(once))
+func TestManager_Submit_storeStallsWhileManyWait(t *testing.T) {
+	r := newFixture(t)
+	job := r.submit(template(once))
 	answers := 0
 	for range 1000 {
-		r.m.Wait([]*Job{j}, false, time.Hour, func(got *Job, e *drmaa.Error) {
+		r.manager.Wait([]*Job{job}, false, time.Hour, func(got *Job, e *drmaa.Error) {
 			if e == nil && got.State == drmaa.Done {
 				answers++
 			}
 		})
 	}
-	r.core.sent(j, 0)
-	r.core.begin(j, 0)
-	r.core.stepDone(j, 0, balance.Served)
-	r.core.answer(j, routing.Answer{Verdict: routing.Served, Result: []byte("fine")})
-	r.settleOne(refuses)
+	r.core.sent(job, 0)
+	r.core.begin(job, 0)
+	r.core.stepDone(job, 0, balance.Served)
+	r.core.answer(job, routing.Answer{Verdict: routing.Served, Result: []byte("fine")})
+	r.runStoreCall(callFails)
 	r.advance(5 * time.Second)
-	if r.state(j, drmaa.Running); answers != 0 {
+	if r.state(job, drmaa.Running); answers != 0 {
 		t.Fatalf("%d told of an end that is not on record", answers)
 	}
-	r.settle()
-	if r.state(j, drmaa.Done); answers != 1000 {
+	r.runStoreCalls()
+	if r.state(job, drmaa.Done); answers != 1000 {
 		t.Errorf("%d answers", answers)
 	}
 }
--- a/internal/node/batch/jobs/lookup.go
+++ b/internal/node/batch/jobs/lookup.go
@@ -6,7 +6,7 @@
 	"ospreybend/drmaa"
 )
 
-const mostScans = 16 // reads of the store for one page
+const maxScans = 16 // reads of the store for one page
 
 // Session returns a tenant's session that is open.
 func (m *Manager) Session(t *TenantState, name string) (*Session, *drmaa.Error) {
@@ -23,33 +23,33 @@
 		got(nil, e)
 		return
 	}
-	check := func(j *Job) {
-		if j == nil || j.Tenant != t.Name || j.Session != session || !j.recorded {
+	check := func(job *Job) {
+		if job == nil || job.Tenant != t.Name || job.Session != session || !job.recorded {
 			got(nil, UnknownJob)
 			return
 		}
-		got(j, nil)
+		got(job, nil)
 	}
-	if j := m.jobs[id]; j != nil {
-		check(j)
+	if job := m.jobs[id]; job != nil {
+		check(job)
 		return
 	}
 	var r *Record
 	name := t.Name
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
 		r, err = store.Job(ctx, name, id)
 		return err
 	}, func(err error) {
 		switch {
 		case err != nil:
-			got(nil, Broken)
+			got(nil, StoreFailed)
 		case r == nil:
 			check(nil)
 		default:
-			check(m.looseJob(r))
+			check(m.detachedJob(r))
 		}
 	}) {
-		got(nil, Behind)
+		got(nil, StoreBehind)
 	}
 }
 
@@ -59,8 +59,8 @@
 	left := len(ids)
 	var fault *drmaa.Error
 	for i, id := range ids {
-		m.Find(t, session, id, func(j *Job, e *drmaa.Error) {
-			out[i] = j
+		m.Find(t, session, id, func(job *Job, e *drmaa.Error) {
+			out[i] = job
 			if e != nil && fault == nil {
 				fault = e
 			}
@@ -90,20 +90,20 @@
 	}
 	var r *ArrayRecord
 	name := t.Name
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
 		r, err = store.Array(ctx, name, id)
 		return err
 	}, func(err error) {
 		switch {
 		case err != nil:
-			got(nil, Broken)
+			got(nil, StoreFailed)
 		case r == nil:
 			check(nil)
 		default:
-			check(m.looseArray(r))
+			check(m.detachedArray(r))
 		}
 	}) {
-		got(nil, Behind)
+		got(nil, StoreBehind)
 	}
 }
 
@@ -112,32 +112,32 @@
 // change, and the states as they are now are looked at here.
 func (m *Manager) List(tenant, session string, f drmaa.Filter, got func(*drmaa.Page, *drmaa.Error)) {
 	page := &drmaa.Page{Jobs: []*drmaa.Job{}}
-	m.scan(tenant, session, f, page, mostScans, got)
+	m.scan(tenant, session, f, page, maxScans, got)
 }
 
-func (m *Manager) scan(tenant, session string, f drmaa.Filter, page *drmaa.Page, scans int, got func(*drmaa.Page, *drmaa.Error)) {
-	most := drmaa.MostListed + 1
+func (m *Manager) scan(tenant, session string, filter drmaa.Filter, page *drmaa.Page, scans int, got func(*drmaa.Page, *drmaa.Error)) {
+	most := drmaa.MaxListed + 1
 	var rows []*Record
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
-		rows, err = store.Jobs(ctx, tenant, session, f, most)
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
+		rows, err = store.Jobs(ctx, tenant, session, filter, most)
 		return err
 	}, func(err error) {
 		if err != nil {
-			got(nil, Broken)
+			got(nil, StoreFailed)
 			return
 		}
 		for _, r := range rows {
-			if len(page.Jobs) == f.Limit {
-				page.Next = f.Before.String()
+			if len(page.Jobs) == filter.Limit {
+				page.Next = filter.Before.String()
 				got(page, nil)
 				return
 			}
-			f.Before = drmaa.Cursor{Seq: r.Seq, ID: r.ID}
+			filter.Before = drmaa.Cursor{Seq: r.Seq, ID: r.ID}
 			v := r.view()
-			if j := m.jobs[r.ID]; j != nil {
-				v = m.View(j)
+			if job := m.jobs[r.ID]; job != nil {
+				v = m.View(job)
 			}
-			if f.Matches(v.State) {
+			if filter.Matches(v.State) {
 				page.Jobs = append(page.Jobs, v)
 			}
 		}
@@ -145,12 +145,12 @@
 		case len(rows) < most:
 			got(page, nil)
 		case scans <= 1:
-			page.Next = f.Before.String() // a short page, with more to come
+			page.Next = filter.Before.String() // a short page, with more to come
 			got(page, nil)
 		default:
-			m.scan(tenant, session, f, page, scans-1, got)
+			m.scan(tenant, session, filter, page, scans-1, got)
 		}
 	}) {
-		got(nil, Behind)
+		got(nil, StoreBehind)
 	}
 }
