--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	keptArrays  = 200                    // ended arrays, likewise
-	storeAgain  = time.Second            // a failed write is tried again after this
-	storeSlow   = 500 * time.Millisecond // without progress for longer the store is stalled
-	busyReturn  = time.Second            // advice where nothing better is known
-	leastReturn = 100 * time.Millisecond // a refused job returns to the core no sooner
-	mostReturn  = 10 * time.Second       // and, by this front's own waits, no later
-	ableAgain   = 100 * time.Millisecond // without a ready destination, looked at again after this
+	maxEndedArrays    = 200                    // ended arrays, likewise
+	storeRetryDelay   = time.Second            // a failed write is tried again after this
+	storeStallTime    = 500 * time.Millisecond // without progress for longer the store is stalled
+	defaultRetryAfter = time.Second            // advice where nothing better is known
+	minRequeueDelay   = 100 * time.Millisecond // a refused job returns to the core no sooner
+	maxRequeueDelay   = 10 * time.Second       // and, by this front's own waits, no later
+	readyPollInterval = 100 * time.Millisecond // without a ready destination, looked at again after this
 )
 
 // Manager is the jobs, arrays, sessions and tenants of the batch front.
@@ -35,41 +35,41 @@
 	config  Config
 	classes map[string]drmaa.Class
 	core    Core
-	keeper  Keeper
+	store   StoreExecutor
 	circuit *circuitbreaker.Circuit
 	clock   routing.Clock
-	due     *timerqueue.Queue
-
-	tenants map[string]*TenantState // by name
-	byToken map[string]*TenantState // by the token's hash
-	jobs    map[string]*Job
-	arrays  map[string]*Array
-	byKey   map[string]keyed // by tenant and client key
-	byOp    map[slottable.Handle]*Job
-	ended   []string // jobs at hand that have ended, oldest first
-	past    []string // arrays at hand that have ended, oldest first
-	lastSeq int64
-
-	line     *queue.Queue[*Job]
-	window   *window.Window
-	inserts  pen[*entry]
-	marks    pen[*change]
-	finals   pen[*Job]
-	waits    int
-	faults   int             // of the program's own
-	entries  map[*entry]bool // submissions that are being recorded
-	watching bool            // the store, for a stall
-	unshown  int             // final states that the store failed to write, and gets again
-	looking  bool            // at the queue again at a time that is set
-	pumping  bool
-	stopping bool
-	epoch    string
-	streams  map[string]*stream // by tenant
-	machines map[balance.WorkerID]*machine
-	freeAt   int // where reports have the free slots; below 0: nowhere
+	timers  *timerqueue.Queue
+
+	tenants     map[string]*TenantState // by name
+	byToken     map[string]*TenantState // by the token's hash
+	jobs        map[string]*Job
+	arrays      map[string]*Array
+	byKey       map[string]submissionRef // by tenant and client key
+	byOperation map[slottable.Handle]*Job
+	endedJobs   []string // jobs at hand that have ended, oldest first
+	endedArrays []string // arrays at hand that have ended, oldest first
+	lastSeq     int64
+
+	queue               *queue.Queue[*Job]
+	window              *window.Window
+	inserts             batchWriter[*pendingSubmission]
+	updates             batchWriter[*change]
+	finals              batchWriter[*Job]
+	openWaits           int
+	modelViolations     int                         // of the program's own
+	pendingSubmissions  map[*pendingSubmission]bool // submissions that are being recorded
+	stallCheckScheduled bool                        // the store, for a stall
+	finalsToRetry       int                         // final states that the store failed to write, and gets again
+	pumpScheduled       bool                        // at the queue again at a time that is set
+	pumping             bool
+	stopping            bool
+	streamEpoch         string
+	streams             map[string]*stream // by tenant
+	loadReports         map[balance.WorkerID]*loadReport
+	freeSlotsField      int // where reports have the free slots; below 0: nowhere
 }
 
-type keyed struct {
+type submissionRef struct {
 	job   *Job
 	array *Array
 }
@@ -87,43 +87,43 @@
 // Session is a job session.
 type Session struct {
 	SessionRecord
-	jobs    map[*Job]bool // unfinished ones
-	waiters waiters
-	closing []func(*drmaa.Error) // that wait for its end
+	jobs             map[*Job]bool // unfinished ones
+	waiters          waiters
+	destroyCallbacks []func(*drmaa.Error) // that wait for its end
 
-	onRecord bool
-	dropping bool // its removal is on its way to the store
+	recorded bool
+	removing bool // its removal is on its way to the store
 }
 
 // New makes a manager. Load must follow.
-func New(config Config, core Core, keeper Keeper, clock routing.Clock, line *timerqueue.Queue) *Manager {
-	m := &Manager{config: config, classes: map[string]drmaa.Class{}, core: core, keeper: keeper, clock: clock, due: line,
+func New(config Config, core Core, keeper StoreExecutor, clock routing.Clock, line *timerqueue.Queue) *Manager {
+	m := &Manager{config: config, classes: map[string]drmaa.Class{}, core: core, store: keeper, clock: clock, timers: line,
 		tenants: map[string]*TenantState{}, byToken: map[string]*TenantState{}, jobs: map[string]*Job{},
-		arrays: map[string]*Array{}, byKey: map[string]keyed{}, byOp: map[slottable.Handle]*Job{}, line: queue.New[*Job](),
-		epoch: newID()[:8], streams: map[string]*stream{}, machines: map[balance.WorkerID]*machine{}, entries: map[*entry]bool{},
-		freeAt: slices.Index(config.Settings.Report, balance.FieldFreeSlots)}
-	m.circuit = circuitbreaker.New(circuitbreaker.Config{Slow: storeSlow, Again: storeAgain})
-	m.keeper = &watched{keeper, m}
-	if config.Name == nil {
-		m.config.Name = func(balance.WorkerID) string { return "" }
+		arrays: map[string]*Array{}, byKey: map[string]submissionRef{}, byOperation: map[slottable.Handle]*Job{}, queue: queue.New[*Job](),
+		streamEpoch: newID()[:8], streams: map[string]*stream{}, loadReports: map[balance.WorkerID]*loadReport{}, pendingSubmissions: map[*pendingSubmission]bool{},
+		freeSlotsField: slices.Index(config.Settings.Report, balance.FieldFreeSlots)}
+	m.circuit = circuitbreaker.New(circuitbreaker.Config{StallTime: storeStallTime, RetryInterval: storeRetryDelay})
+	m.store = &monitoredStore{keeper, m}
+	if config.WorkerName == nil {
+		m.config.WorkerName = func(balance.WorkerID) string { return "" }
 	}
-	m.window = window.New(window.Config{Most: config.MostSlots, Target: config.Target})
+	m.window = window.New(window.Config{MaxSlots: config.MaxSlots, DelayTarget: config.DelayTarget})
 	for name, number := range config.Classes {
 		m.classes[name] = drmaa.Class{Number: number,
-			Once: config.Settings.Classes[number].Effect == balance.NonIdempotent}
+			NonIdempotent: config.Settings.Classes[number].Effect == balance.NonIdempotent}
 	}
-	m.inserts = pen[*entry]{manager: m, most: 256, write: m.insert, done: m.inserted}
-	m.marks = pen[*change]{manager: m, most: 1024, write: m.writeMarks, done: m.marked}
-	m.finals = pen[*Job]{manager: m, most: 1024, write: m.writeFinals, done: m.finished}
+	m.inserts = batchWriter[*pendingSubmission]{manager: m, maxBatch: 256, write: m.insert, done: m.insertsWritten}
+	m.updates = batchWriter[*change]{manager: m, maxBatch: 1024, write: m.writeUpdates, done: m.updatesWritten}
+	m.finals = batchWriter[*Job]{manager: m, maxBatch: 1024, write: m.writeFinals, done: m.finalsWritten}
 	return m
 }
 
 // Reconfigure changes what may change while the front runs: the window's bounds,
 // the longest wait of jobs to come, the events kept.
 func (m *Manager) Reconfigure(slots float64, target, longest time.Duration, events int) {
-	m.config.MostSlots, m.config.Target, m.config.LongestWait, m.config.Events = slots, target, longest, events
-	m.window.Reconfigure(window.Config{Most: slots, Target: target})
-	m.pump()
+	m.config.MaxSlots, m.config.DelayTarget, m.config.MaxWait, m.config.MaxEvents = slots, target, longest, events
+	m.window.Reconfigure(window.Config{MaxSlots: slots, DelayTarget: target})
+	m.launchQueued()
 }
 
 // Classes returns the classes that jobs may be of.
@@ -154,7 +154,7 @@
 			continue
 		}
 		s := t.session(r.Name)
-		s.State, s.onRecord = r.State, true
+		s.State, s.recorded = r.State, true
 		if s.State == SessionDestroying {
 			destroying = append(destroying, s)
 		}
@@ -167,7 +167,7 @@
 			}
 		}
 		m.arrays[a.ID] = a
-		m.keep(keyed{array: a}, a.Tenant, a.ClientKey)
+		m.rememberKey(submissionRef{array: a}, a.Tenant, a.ClientKey)
 	}
 	for _, r := range records {
 		owner := m.tenants[r.Tenant]
@@ -175,25 +175,25 @@
 			slog.Error("batch job of no tenant", "id", r.ID, "tenant", r.Tenant)
 			continue
 		}
-		j := &Job{Record: *r, owner: owner, session: owner.session(r.Session), array: m.arrays[r.Array], recorded: true,
-			marked: r.Sent}
+		job := &Job{Record: *r, owner: owner, session: owner.session(r.Session), array: m.arrays[r.Array], recorded: true,
+			sendRecorded: r.Sent}
 		m.lastSeq = max(m.lastSeq, r.Seq)
-		j.State = drmaa.Queued
+		job.State = drmaa.Queued
 		if r.Sent {
-			j.State = drmaa.Requeued
+			job.State = drmaa.Requeued
 		}
 		if r.Held {
-			j.State = j.State.Hold()
+			job.State = job.State.Hold()
 		}
-		m.hold(j)
+		m.track(job)
 		class, known := m.classes[r.Template.RemoteCommand]
 		switch {
 		case !known:
-			m.end(j, drmaa.Failed, "the class is gone", r.Sent)
-		case r.Sent && class.Once:
-			m.end(j, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
+			m.endJob(job, drmaa.Failed, "the class is gone", r.Sent)
+		case r.Sent && class.NonIdempotent:
+			m.endJob(job, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
 		default:
-			m.settle(j)
+			m.schedule(job)
 		}
 	}
 	for _, s := range destroying {
@@ -247,21 +247,21 @@
 // Stopping tells whether Stop was called.
 func (m *Manager) Stopping() bool { return m.stopping }
 
-// Farewell ends all waits: their clients may wait again elsewhere, or later.
-func (m *Manager) Farewell() {
+// EndWaits ends all waits: their clients may wait again elsewhere, or later.
+func (m *Manager) EndWaits() {
 	m.stopping = true
-	e := drmaa.Later(busyReturn, "the node is stopping")
+	e := drmaa.TryLaterError(defaultRetryAfter, "the node is stopping")
 	end := func(set waiters) {
 		for w := range set {
-			m.finish(w, nil, e)
+			m.endWait(w, nil, e)
 		}
 	}
-	for _, j := range m.jobs {
-		end(j.waiters)
+	for _, job := range m.jobs {
+		end(job.waiters)
 	}
 	for _, a := range m.arrays {
-		end(a.waiters)
-		end(a.finishers)
+		end(a.anyWaiters)
+		end(a.allEndedWaiters)
 	}
 	for _, t := range m.tenants {
 		for _, s := range t.sessions {
@@ -275,17 +275,17 @@
 	}
 }
 
-// Busy returns the number of operations and writes still on their way.
-func (m *Manager) Busy() int {
-	return len(m.byOp) + m.inserts.pending() + m.marks.pending() + m.finals.pending() + m.unshown
+// Pending returns the number of operations and writes still on their way.
+func (m *Manager) Pending() int {
+	return len(m.byOperation) + m.inserts.pending() + m.updates.pending() + m.finals.pending() + m.finalsToRetry
 }
 
 // IDs returns the ids of the jobs at hand, the newest submission's last.
 func (m *Manager) IDs() []string {
 	all := slices.SortedFunc(maps.Values(m.jobs), func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
 	out := make([]string, len(all))
-	for i, j := range all {
-		out[i] = j.ID
+	for i, job := range all {
+		out[i] = job.ID
 	}
 	return out
 }
@@ -293,104 +293,104 @@
 // Counts is the batch front as it stands.
 type Counts struct {
 	Unfinished int                  `json:"unfinished"` // jobs
-	Lined      int                  `json:"queued"`     // whose turn has not come
+	Queued     int                  `json:"queued"`     // whose turn has not come
 	InCore     int                  `json:"inCore"`
 	Store      circuitbreaker.State `json:"store"`
-	Turned     uint64               `json:"turnedAway"` // as the store did not answer
+	Rejected   uint64               `json:"turnedAway"` // as the store did not answer
 	Waits      int                  `json:"waits"`      // of clients
 	Window     window.State         `json:"window"`
 }
 
 // Counts returns how the batch front stands.
 func (m *Manager) Counts() Counts {
-	c := Counts{Store: m.circuit.State(m.clock.Now()), Turned: m.circuit.Turned(), Lined: m.line.Len(), InCore: len(m.byOp), Waits: m.waits, Window: m.window.State()}
+	c := Counts{Store: m.circuit.State(m.clock.Now()), Rejected: m.circuit.Rejected(), Queued: m.queue.Len(), InCore: len(m.byOperation), Waits: m.openWaits, Window: m.window.State()}
 	for _, t := range m.tenants {
 		c.Unfinished += t.unfinished
 	}
 	return c
 }
 
-// watched is the keeper with the circuit that watches it.
-type watched struct {
-	Keeper
-	m *Manager
+// monitoredStore is the keeper with the circuit that watches it.
+type monitoredStore struct {
+	StoreExecutor
+	manager *Manager
 }
 
-func (w *watched) Call(do func(context.Context, Store) error, then func(error)) bool {
-	m := w.m
-	taken := w.Keeper.Call(do, func(err error) {
+func (w *monitoredStore) Call(do func(context.Context, Store) error, then func(error)) bool {
+	m := w.manager
+	taken := w.StoreExecutor.Call(do, func(err error) {
 		before := m.circuit.State(m.clock.Now())
-		m.circuit.Ended(m.clock.Now(), err != nil)
+		m.circuit.CallEnded(m.clock.Now(), err != nil)
 		if after := m.circuit.State(m.clock.Now()); after != before {
-			slog.Warn("store of record", "state", after, "was", before, "turned_away", m.circuit.Turned())
+			slog.Warn("store of record", "state", after, "was", before, "turned_away", m.circuit.Rejected())
 		}
 		then(err)
 	})
 	if taken {
-		m.circuit.Began(m.clock.Now())
-		m.watchStore()
+		m.circuit.CallBegan(m.clock.Now())
+		m.checkStall()
 	}
 	return taken
 }
 
-// watchStore looks at the store as long as it has calls to serve.
-func (m *Manager) watchStore() {
-	if m.watching || m.circuit.Out() == 0 {
+// checkStall looks at the store as long as it has calls to serve.
+func (m *Manager) checkStall() {
+	if m.stallCheckScheduled || m.circuit.InFlight() == 0 {
 		return
 	}
-	m.watching = true
-	m.due.Add(m.within(storeSlow/2), func() {
-		m.watching = false
+	m.stallCheckScheduled = true
+	m.timers.Add(m.fromNow(storeStallTime/2), func() {
+		m.stallCheckScheduled = false
 		if m.circuit.State(m.clock.Now()) == circuitbreaker.Stalled {
-			m.turnAway()
+			m.rejectPending()
 		}
-		m.watchStore()
+		m.checkStall()
 	})
 }
 
-// Keeper returns the way to the store, for calls of the administration.
-func (m *Manager) Keeper() Keeper { return m.keeper }
+// StoreExecutor returns the way to the store, for calls of the administration.
+func (m *Manager) StoreExecutor() StoreExecutor { return m.store }
 
-// pen gathers the writes of one kind: while one call of the store is under way,
+// batchWriter gathers the writes of one kind: while one call of the store is under way,
 // what comes goes with the next. Its items are handed to write off the loop, so
 // that what write reads of them must not change.
-type pen[T any] struct {
-	manager *Manager
-	most    int // items of one call
-	write   func(context.Context, Store, []T) error
-	done    func([]T, error)
-	waiting []T
-	out     int
-	paused  bool
+type batchWriter[T any] struct {
+	manager  *Manager
+	maxBatch int // items of one call
+	write    func(context.Context, Store, []T) error
+	done     func([]T, error)
+	waiting  []T
+	inFlight int
+	paused   bool
 }
 
-func (p *pen[T]) pending() int { return len(p.waiting) + p.out }
+func (p *batchWriter[T]) pending() int { return len(p.waiting) + p.inFlight }
 
-func (p *pen[T]) add(items ...T) {
+func (p *batchWriter[T]) add(items ...T) {
 	p.waiting = append(p.waiting, items...)
 	p.flush()
 }
 
-func (p *pen[T]) flush() {
-	if p.out > 0 || p.paused || len(p.waiting) == 0 {
+func (p *batchWriter[T]) flush() {
+	if p.inFlight > 0 || p.paused || len(p.waiting) == 0 {
 		return
 	}
-	n := min(len(p.waiting), p.most)
+	n := min(len(p.waiting), p.maxBatch)
 	batch := slices.Clone(p.waiting[:n])
-	if !p.manager.keeper.Call(func(ctx context.Context, store Store) error { return p.write(ctx, store, batch) },
+	if !p.manager.store.Call(func(ctx context.Context, store Store) error { return p.write(ctx, store, batch) },
 		func(err error) {
-			p.out = 0
+			p.inFlight = 0
 			p.done(batch, err)
 			p.flush()
 		}) {
 		p.paused = true
-		p.manager.due.Add(p.manager.clock.Now()+storeAgain, func() {
+		p.manager.timers.Add(p.manager.clock.Now()+storeRetryDelay, func() {
 			p.paused = false
 			p.flush()
 		})
 		return
 	}
-	p.out = n
+	p.inFlight = n
 	if p.waiting = p.waiting[n:]; len(p.waiting) == 0 {
 		p.waiting = nil
 	}
--- a/internal/node/batch/jobs/model.go
+++ b/internal/node/batch/jobs/model.go
@@ -53,7 +53,7 @@
 	SentAt, StartedAt, EndedAt int64
 	Outcome                    string
 
-	to balance.WorkerID
+	worker balance.WorkerID
 }
 
 // ArrayRecord is a job array as the store of record has it.
@@ -74,15 +74,15 @@
 	Jobs  []*Record
 }
 
-// Stored is what the store says of a submission: which job or array has its
+// ExistingSubmission is what the store says of a submission: which job or array has its
 // client key already. Both nil: it is recorded now.
-type Stored struct {
+type ExistingSubmission struct {
 	Job   *Record
 	Array *ArrayRecord
 }
 
-// Mark is a change of what an unfinished job's record says of it.
-type Mark struct {
+// RecordUpdate is a change of what an unfinished job's record says of it.
+type RecordUpdate struct {
 	ID         string
 	Sent, Held bool
 }
@@ -104,9 +104,9 @@
 	Quota     int    `json:"maxUnfinishedJobs"` // 0: none may be submitted
 }
 
-// Reaping is which ended jobs are reaped: those with the ids, else all of the
+// ReapSelector is which ended jobs are reaped: those with the ids, else all of the
 // array, else all of the session.
-type Reaping struct {
+type ReapSelector struct {
 	Tenant, Session, Array string
 	IDs                    []string
 }
@@ -122,12 +122,12 @@
 	DropSession(ctx context.Context, tenant, name string) error
 
 	// Insert records submissions, each whole or not at all.
-	Insert(context.Context, []*Submission) ([]Stored, error)
-	Mark(context.Context, []Mark) error
+	Insert(context.Context, []*Submission) ([]ExistingSubmission, error)
+	Update(context.Context, []RecordUpdate) error
 	// Finish records final states. A job's first one stands.
 	Finish(context.Context, []*Record) error
 	// Reap hides ended jobs from their owner, and returns how many.
-	Reap(context.Context, Reaping) (int, error)
+	Reap(context.Context, ReapSelector) (int, error)
 
 	// Job returns a job, or nil.
 	Job(ctx context.Context, tenant, id string) (*Record, error)
@@ -148,9 +148,9 @@
 	Close() error
 }
 
-// Keeper calls the store off the loop, one call after the other, and then brings
+// StoreExecutor calls the store off the loop, one call after the other, and then brings
 // its result to the loop. Call returns false, at once, where too many wait.
-type Keeper interface {
+type StoreExecutor interface {
 	Call(do func(context.Context, Store) error, then func(error)) bool
 }
 
@@ -166,21 +166,21 @@
 
 // Config is what the manager is told.
 type Config struct {
-	Machine     string // this node's name
-	Classes     map[string]int
-	Settings    balance.Settings
-	Name        func(balance.WorkerID) string // of a destination
-	MostSlots   float64                       // in the core at once
-	Target      time.Duration                 // queueing delay that the window aims at
-	LongestWait time.Duration                 // of a job that names no deadline
-	Events      int                           // kept for each tenant
-	Kept        int                           // ended jobs kept at hand; older ones are looked up
+	Machine      string // this node's name
+	Classes      map[string]int
+	Settings     balance.Settings
+	WorkerName   func(balance.WorkerID) string // of a destination
+	MaxSlots     float64                       // in the core at once
+	DelayTarget  time.Duration                 // queueing delay that the window aims at
+	MaxWait      time.Duration                 // of a job that names no deadline
+	MaxEvents    int                           // kept for each tenant
+	MaxEndedJobs int                           // ended jobs kept at hand; older ones are looked up
 }
 
 // Defaults of Config.
 const (
-	DefaultTarget      = 5 * time.Millisecond
-	DefaultLongestWait = 7 * 24 * time.Hour
-	DefaultEvents      = 16384
-	DefaultKept        = 1000
+	DefaultDelayTarget  = 5 * time.Millisecond
+	DefaultMaxWait      = 7 * 24 * time.Hour
+	DefaultMaxEvents    = 16384
+	DefaultMaxEndedJobs = 1000
 )
--- a/internal/node/batch/jobs/monitor.go
+++ b/internal/node/batch/jobs/monitor.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	reportOld    = 10 * time.Second // a load report is shown no longer
-	mostMachines = 20_000           // whose last report is kept
+	maxReportAge = 10 * time.Second // a load report is shown no longer
+	maxMachines  = 20_000           // whose last report is kept
 )
 
-// machine is the last that a destination said of itself.
-type machine struct {
-	free float64
-	at   time.Duration
+// loadReport is the last that a destination said of itself.
+type loadReport struct {
+	freeSlots float64
+	at        time.Duration
 }
 
 // LoadReported is the core's word of a destination's load report.
 func (m *Manager) LoadReported(to balance.WorkerID, report []float32) {
-	if m.freeAt < 0 || m.freeAt >= len(report) || report[m.freeAt] != report[m.freeAt] {
+	if m.freeSlotsField < 0 || m.freeSlotsField >= len(report) || report[m.freeSlotsField] != report[m.freeSlotsField] {
 		return
 	}
-	k := m.machines[to]
+	k := m.loadReports[to]
 	if k == nil {
-		if len(m.machines) >= mostMachines {
-			clear(m.machines) // most have left; those here report again
+		if len(m.loadReports) >= maxMachines {
+			clear(m.loadReports) // most have left; those here report again
 		}
-		k = &machine{}
-		m.machines[to] = k
+		k = &loadReport{}
+		m.loadReports[to] = k
 	}
-	k.free, k.at = float64(report[m.freeAt]), m.clock.Now()
+	k.freeSlots, k.at = float64(report[m.freeSlotsField]), m.clock.Now()
 }
 
 // Machines lists the destinations, with the slots that the tenant's jobs take up
 // there.
 func (m *Manager) Machines(t *TenantState) []drmaa.Machine {
 	taken := map[string]float64{}
-	for _, j := range m.byOp {
-		if j.owner != t {
+	for _, job := range m.byOperation {
+		if job.owner != t {
 			continue
 		}
-		for _, s := range j.Steps {
+		for _, s := range job.Steps {
 			if s.EndedAt == 0 {
-				taken[s.Machine] += j.slots()
+				taken[s.Machine] += job.slots()
 			}
 		}
 	}
@@ -55,18 +55,18 @@
 	listed := map[balance.WorkerID]bool{}
 	m.core.EachWorker(func(id balance.WorkerID, state balance.State, doubt float64) {
 		listed[id] = true
-		v := drmaa.Machine{Name: m.config.Name(id), Available: state == balance.Ready, Doubt: doubt}
+		v := drmaa.Machine{Name: m.config.WorkerName(id), Available: state == balance.Ready, FailureProbability: doubt}
 		if v.State = "Ready"; state != balance.Ready {
 			v.State = "Draining"
 		}
-		if k := m.machines[id]; k != nil && m.clock.Now()-k.at < reportOld {
-			free := k.free
+		if k := m.loadReports[id]; k != nil && m.clock.Now()-k.at < maxReportAge {
+			free := k.freeSlots
 			v.FreeSlots = &free
 		}
-		v.Batch = taken[v.Name]
+		v.BatchSlots = taken[v.Name]
 		out = append(out, v)
 	})
-	maps.DeleteFunc(m.machines, func(id balance.WorkerID, _ *machine) bool { return !listed[id] })
+	maps.DeleteFunc(m.loadReports, func(id balance.WorkerID, _ *loadReport) bool { return !listed[id] })
 	slices.SortFunc(out, func(a, b drmaa.Machine) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
@@ -75,16 +75,16 @@
 func (m *Manager) Queues(t *TenantState) []drmaa.Queue {
 	by := map[string]*drmaa.Queue{}
 	for name, class := range m.classes {
-		by[name] = &drmaa.Queue{Name: name, Once: class.Once}
+		by[name] = &drmaa.Queue{Name: name, NonIdempotent: class.NonIdempotent}
 	}
 	for _, s := range t.sessions {
-		for j := range s.jobs {
-			q := by[j.Template.RemoteCommand]
+		for job := range s.jobs {
+			q := by[job.Template.RemoteCommand]
 			switch {
 			case q == nil:
-			case j.State.Held():
+			case job.State.Held():
 				q.Held++
-			case j.State.Waiting():
+			case job.State.Waiting():
 				q.Waiting++
 			default:
 				q.Running++
--- a/internal/node/batch/jobs/property_test.go
+++ b/internal/node/batch/jobs/property_test.go
@@ -17,11 +17,11 @@
 // The cases drawn are the same in each run; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// world drives a manager with random calls and faults, and holds what it shows
+// randomTest drives a manager with random calls and faults, and holds what it shows
 // against a model: one final state for each job, never changed; no booking begun
 // twice; nothing held in the core; every wait answered once.
-type world struct {
-	*rig
+type randomTest struct {
+	*fixture
 	t     *rapid.T
 	taken map[string]bool        // jobs whose submission was acknowledged
 	seen  map[string]drmaa.State // the last state shown
@@ -33,25 +33,25 @@
 	faulted bool // the store has failed a call, so that its record may lag behind
 }
 
-func (w *world) jobs() (all []*Job) {
-	for _, id := range w.m.IDs() {
-		if j := w.m.jobs[id]; j.recorded {
-			all = append(all, j)
+func (w *randomTest) jobs() (all []*Job) {
+	for _, id := range w.manager.IDs() {
+		if job := w.manager.jobs[id]; job.recorded {
+			all = append(all, job)
 		}
 	}
 	return all
 }
 
 // pick draws one of the jobs that are fit, or nil.
-func (w *world) pick(fit func(*Job) bool) *Job {
-	all := slices.DeleteFunc(w.jobs(), func(j *Job) bool { return !fit(j) })
+func (w *randomTest) pick(fit func(*Job) bool) *Job {
+	all := slices.DeleteFunc(w.jobs(), func(job *Job) bool { return !fit(job) })
 	if len(all) == 0 {
 		return nil
 	}
 	return rapid.SampledFrom(all).Draw(w.t, "job")
 }
 
-func (w *world) template() *drmaa.JobTemplate {
+func (w *randomTest) template() *drmaa.JobTemplate {
 	t := &drmaa.JobTemplate{RemoteCommand: rapid.SampledFrom([]string{safe, once}).Draw(w.t, "class")}
 	t.SubmitAsHold = rapid.IntRange(0, 4).Draw(w.t, "held") == 0
 	t.Priority = rapid.IntRange(-1, 1).Draw(w.t, "priority")
@@ -60,7 +60,7 @@
 		t.Deadline = 3
 	}
 	if rapid.IntRange(0, 5).Draw(w.t, "later") == 0 {
-		t.StartTime = drmaa.Stamp(w.m.unixNow() + 2e6)
+		t.StartTime = drmaa.Stamp(w.manager.unixNow() + 2e6)
 	}
 	if rapid.IntRange(0, 2).Draw(w.t, "keyed") == 0 {
 		t.ClientKey = strconv.Itoa(rapid.IntRange(0, w.keys).Draw(w.t, "key"))
@@ -69,19 +69,19 @@
 	return t
 }
 
-func (w *world) call(what int) {
-	inWork := func(j *Job) bool { return j.stage == inCore }
+func (w *randomTest) call(what int) {
+	inWork := func(job *Job) bool { return job.stage == inCore }
 	switch what {
 	case 0, 1:
-		w.m.Submit(w.anna(), "s", w.template(), func(j *Job, e *drmaa.Error) {
+		w.manager.Submit(w.anna(), "s", w.template(), func(job *Job, e *drmaa.Error) {
 			if e == nil {
-				w.taken[j.ID] = true
+				w.taken[job.ID] = true
 			}
 		})
 	case 2:
 		b := &drmaa.Bulk{Template: w.template(), Begin: 1, End: rapid.IntRange(1, 4).Draw(w.t, "end"), Step: 1,
 			MaxParallel: rapid.IntRange(0, 2).Draw(w.t, "parallel")}
-		w.m.SubmitBulk(w.anna(), "s", b, func(a *Array, e *drmaa.Error) {
+		w.manager.SubmitBulk(w.anna(), "s", b, func(a *Array, e *drmaa.Error) {
 			if e == nil {
 				for i := a.Begin; i <= a.End; i++ {
 					w.taken[drmaa.JobID(a.ID, i)] = true
@@ -89,54 +89,56 @@
 			}
 		})
 	case 3:
-		if j := w.pick(func(*Job) bool { return true }); j != nil {
+		if job := w.pick(func(*Job) bool { return true }); job != nil {
 			action := rapid.SampledFrom([]string{Hold, Release, Terminate, Hold, Release, Reap}).Draw(w.t, "action")
-			w.m.Act(j, action, func(*drmaa.Error) {})
+			w.manager.Act(job, action, func(*drmaa.Error) {})
 		}
 	case 4:
-		if j := w.pick(func(*Job) bool { return true }); j != nil {
+		if job := w.pick(func(*Job) bool { return true }); job != nil {
 			w.asked++
-			w.m.Wait([]*Job{j}, rapid.Bool().Draw(w.t, "started"), 5*time.Second, func(*Job, *drmaa.Error) { w.waits++ })
+			w.manager.Wait([]*Job{job}, rapid.Bool().Draw(w.t, "started"), 5*time.Second, func(*Job, *drmaa.Error) { w.waits++ })
 		}
 	case 5, 6, 7:
-		w.settleOne(works)
+		w.runStoreCall(callSucceeds)
 	case 8:
 		// Inserts whose answer is lost are the next issue's; the client is told 500.
 		w.faulted = true
-		w.settleOne(refuses)
+		w.runStoreCall(callFails)
 	case 9:
-		if len(w.calls) > 0 && w.m.inserts.out == 0 {
+		if len(w.calls) > 0 && w.manager.inserts.inFlight == 0 {
 			w.faulted = true
-			w.settleOne(loseWord)
+			w.runStoreCall(callSucceedsAnswerLost)
 		}
 	case 10:
-		if j := w.pick(inWork); j != nil && w.core.of(j).out+w.core.of(j).gated == 0 {
-			w.step(j, balance.WorkerID(rapid.IntRange(0, 2).Draw(w.t, "worker")))
+		if job := w.pick(inWork); job != nil && w.core.of(job).out+w.core.of(job).gated == 0 {
+			w.step(job, balance.WorkerID(rapid.IntRange(0, 2).Draw(w.t, "worker")))
 		}
 	case 11, 12:
-		if j := w.pick(func(j *Job) bool { return inWork(j) && w.core.of(j).out > 0 }); j != nil {
-			at := j.Steps[len(j.Steps)-1].to
-			if !w.core.of(j).begun {
-				w.core.begin(j, at)
+		if job := w.pick(func(job *Job) bool { return inWork(job) && w.core.of(job).out > 0 }); job != nil {
+			at := job.Steps[len(job.Steps)-1].worker
+			if !w.core.of(job).begun {
+				w.core.begin(job, at)
 			}
 		}
 	case 13, 14:
-		if j := w.pick(func(j *Job) bool { return inWork(j) && w.core.of(j).out > 0 }); j != nil {
-			w.stepEnds(j)
+		if job := w.pick(func(job *Job) bool { return inWork(job) && w.core.of(job).out > 0 }); job != nil {
+			w.stepEnds(job)
 		}
 	case 15:
-		if j := w.pick(func(j *Job) bool { return inWork(j) && w.core.of(j).out+w.core.of(j).gated == 0 && !w.core.of(j).ran }); j != nil {
-			w.core.answer(j, routing.Answer{Verdict: routing.Refused, RetryAfter: 300 * time.Millisecond})
+		if job := w.pick(func(job *Job) bool {
+			return inWork(job) && w.core.of(job).out+w.core.of(job).gated == 0 && !w.core.of(job).ran
+		}); job != nil {
+			w.core.answer(job, routing.Answer{Verdict: routing.Refused, RetryAfter: 300 * time.Millisecond})
 		}
 	case 16, 17:
 		w.advance(time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "ms")) * time.Millisecond)
 		for ref, op := range w.core.ops { // the core keeps its deadlines
-			if j := w.m.byOp[ref]; j != nil && w.now > op.Deadline {
-				w.core.answer(j, routing.Answer{Verdict: routing.Failed})
+			if job := w.manager.byOperation[ref]; job != nil && w.now > op.Deadline {
+				w.core.answer(job, routing.Answer{Verdict: routing.Failed})
 			}
 		}
 	case 18:
-		w.core.able = !w.core.able
+		w.core.ready = !w.core.ready
 	case 19:
 		if rapid.IntRange(0, 3).Draw(w.t, "kill") == 0 {
 			w.waits, w.asked = 0, 0
@@ -147,76 +149,76 @@
 
 // step sends a job's step, which goes out once its gate opens. From then on the
 // worker may begin it, whatever the node learns of that.
-func (w *world) step(j *Job, to balance.WorkerID) {
-	w.core.stepThen(j, to, func() {
-		w.went[j.ID]++
-		if r := w.store.jobs[j.ID]; !r.Sent {
-			w.t.Fatalf("%s goes out and is not on record as sent", j.ID)
+func (w *randomTest) step(job *Job, to balance.WorkerID) {
+	w.core.stepThen(job, to, func() {
+		w.went[job.ID]++
+		if r := w.store.jobs[job.ID]; !r.Sent {
+			w.t.Fatalf("%s goes out and is not on record as sent", job.ID)
 		}
 	})
 }
 
 // stepEnds ends a job's step, and the operation as the core's rules have it.
-func (w *world) stepEnds(j *Job) {
-	op, at := w.core.of(j), j.Steps[len(j.Steps)-1].to
+func (w *randomTest) stepEnds(job *Job) {
+	op, at := w.core.of(job), job.Steps[len(job.Steps)-1].worker
 	outcomes := []balance.Outcome{balance.Served, balance.Errored, balance.Reset}
 	if !op.begun {
 		outcomes = []balance.Outcome{balance.Full, balance.ConnectFailed, balance.Reset}
 	}
 	how := rapid.SampledFrom(outcomes).Draw(w.t, "outcome")
 	if how.NeverRan() {
-		w.went[j.ID]--
+		w.went[job.ID]--
 	}
-	w.core.stepDone(j, at, how)
+	w.core.stepDone(job, at, how)
 	switch {
 	case how == balance.Served:
-		w.core.answer(j, routing.Answer{Verdict: routing.Served, Result: []byte("r")})
+		w.core.answer(job, routing.Answer{Verdict: routing.Served, Result: []byte("r")})
 	case how.NeverRan():
 		// Stays: another step or a refusal follows.
-	case j.Template.RemoteCommand == once:
-		w.core.answer(j, routing.Answer{Verdict: routing.Failed})
+	case job.Template.RemoteCommand == once:
+		w.core.answer(job, routing.Answer{Verdict: routing.Failed})
 	default:
 		op.begun = false // it may be repeated
 	}
 }
 
-func (w *world) check() {
+func (w *randomTest) check() {
 	used := 0.0
-	for _, j := range w.jobs() {
-		if j.stage == inCore {
-			used += j.slots()
-			if j.State.Held() {
-				w.t.Fatalf("%s is held and on its way", j.ID)
+	for _, job := range w.jobs() {
+		if job.stage == inCore {
+			used += job.slots()
+			if job.State.Held() {
+				w.t.Fatalf("%s is held and on its way", job.ID)
 			}
 		}
-		if was, ok := w.seen[j.ID]; ok && was != j.State && was.Final() {
-			w.t.Fatalf("%s was %s and is %s", j.ID, was, j.State)
+		if was, ok := w.seen[job.ID]; ok && was != job.State && was.Final() {
+			w.t.Fatalf("%s was %s and is %s", job.ID, was, job.State)
 		}
-		w.seen[j.ID] = j.State
-		if !j.ending && j.stage != inCore && w.m.unixNow() > j.DeadlineAt {
-			w.t.Fatalf("%s waits past its deadline", j.ID)
+		w.seen[job.ID] = job.State
+		if !job.ending && job.stage != inCore && w.manager.unixNow() > job.DeadlineAt {
+			w.t.Fatalf("%s waits past its deadline", job.ID)
 		}
-		if j.State.Final() {
-			if rec := w.store.jobs[j.ID]; rec.State != j.State || rec.EndedAt == 0 {
-				w.t.Fatalf("%s shows %s, on record is %s", j.ID, j.State, rec.State)
+		if job.State.Final() {
+			if rec := w.store.jobs[job.ID]; rec.State != job.State || rec.EndedAt == 0 {
+				w.t.Fatalf("%s shows %s, on record is %s", job.ID, job.State, rec.State)
 			}
 		}
 	}
-	if got := w.m.window.State().Used; got-used > 1e-6 || used-got > 1e-6 {
+	if got := w.manager.window.State().Used; got-used > 1e-6 || used-got > 1e-6 {
 		w.t.Fatalf("the window has %v slots used, jobs take %v", got, used)
 	}
-	for _, a := range w.m.arrays {
+	for _, a := range w.manager.arrays {
 		if a.MaxParallel > 0 && a.active > a.MaxParallel {
 			w.t.Fatalf("%d of an array's jobs at once, %d at most", a.active, a.MaxParallel)
 		}
 		n := 0
-		for _, j := range a.open {
-			if j.counted {
+		for _, job := range a.unfinishedJobs {
+			if job.countedActive {
 				n++
 			}
 		}
-		if n != a.active || len(a.open) != a.unfinished {
-			w.t.Fatalf("an array counts %d active and %d unfinished, has %d and %d", a.active, a.unfinished, n, len(a.open))
+		if n != a.active || len(a.unfinishedJobs) != a.unfinished {
+			w.t.Fatalf("an array counts %d active and %d unfinished, has %d and %d", a.active, a.unfinished, n, len(a.unfinishedJobs))
 		}
 	}
 	for id, n := range w.went {
@@ -225,14 +227,14 @@
 		}
 	}
 	if !w.faulted && len(w.calls) == 0 {
-		for _, j := range w.jobs() {
-			if r := w.store.jobs[j.ID]; !j.ending && r.EndedAt == 0 && r.Sent != j.Sent {
-				w.t.Fatalf("%s is on record as sent %v, and is %v", j.ID, r.Sent, j.Sent)
+		for _, job := range w.jobs() {
+			if r := w.store.jobs[job.ID]; !job.ending && r.EndedAt == 0 && r.Sent != job.Sent {
+				w.t.Fatalf("%s is on record as sent %v, and is %v", job.ID, r.Sent, job.Sent)
 			}
 		}
 	}
-	if w.m.faults > 0 {
-		w.t.Fatalf("%d changes of state against the model", w.m.faults)
+	if w.manager.modelViolations > 0 {
+		w.t.Fatalf("%d changes of state against the model", w.manager.modelViolations)
 	}
 	if w.waits > w.asked {
 		w.t.Fatalf("%d waits answered, %d asked", w.waits, w.asked)
@@ -240,48 +242,48 @@
 }
 
 // finish plays without faults until all has ended.
-func (w *world) finish() {
-	w.core.able = true
+func (w *randomTest) finish() {
+	w.core.ready = true
 	for range 3000 {
-		w.settle()
+		w.runStoreCalls()
 		open := 0
-		for _, j := range w.jobs() {
-			if j.State.Held() {
-				w.m.Act(j, Release, func(*drmaa.Error) {})
+		for _, job := range w.jobs() {
+			if job.State.Held() {
+				w.manager.Act(job, Release, func(*drmaa.Error) {})
 			}
-			if !j.State.Final() {
+			if !job.State.Final() {
 				open++
 			}
 		}
 		if open == 0 && len(w.calls) == 0 {
 			break
 		}
-		for _, j := range w.jobs() {
-			if j.stage != inCore {
+		for _, job := range w.jobs() {
+			if job.stage != inCore {
 				continue
 			}
-			op := w.core.of(j)
+			op := w.core.of(job)
 			if op.out+op.gated == 0 {
-				w.step(j, 0)
-				w.settle()
+				w.step(job, 0)
+				w.runStoreCalls()
 			}
-			if op.out == 0 || j.op == 0 || w.core.of(j) != op {
+			if op.out == 0 || job.operation == 0 || w.core.of(job) != op {
 				continue
 			}
 			if !op.begun {
-				w.core.begin(j, j.Steps[len(j.Steps)-1].to)
+				w.core.begin(job, job.Steps[len(job.Steps)-1].worker)
 			}
-			w.core.stepDone(j, j.Steps[len(j.Steps)-1].to, balance.Served)
-			w.core.answer(j, routing.Answer{Verdict: routing.Served})
+			w.core.stepDone(job, job.Steps[len(job.Steps)-1].worker, balance.Served)
+			w.core.answer(job, routing.Answer{Verdict: routing.Served})
 		}
 		w.advance(500 * time.Millisecond)
 	}
 	w.advance(10 * time.Second)
 }
 
-func TestRandomCallsAndFaults(t *testing.T) {
+func TestManager_randomCallsAndFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{rig: newRig(t), t: t, taken: map[string]bool{},
+		w := &randomTest{fixture: newFixture(t), t: t, taken: map[string]bool{},
 			seen: map[string]drmaa.State{}, went: map[string]int{}}
 		for range rapid.IntRange(5, 120).Draw(t, "calls") {
 			w.call(rapid.IntRange(0, 19).Draw(t, "call"))
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -16,166 +16,166 @@
 )
 
 const (
-	keptSteps    = 16 // of one job; the oldest go first
-	mostFailures = 3  // runs that failed of a job; of a rerunnable one, operations in which all did
+	maxRecordedSteps = 16 // of one job; the oldest go first
+	maxFailures      = 3  // runs that failed of a job; of a rerunnable one, operations in which all did
 )
 
-// pump sends on whose turn it is, as far as the window reaches.
-func (m *Manager) pump() {
-	if m.stopping || m.line.Len() == 0 || m.looking || m.pumping {
+// launchQueued sends on whose turn it is, as far as the window reaches.
+func (m *Manager) launchQueued() {
+	if m.stopping || m.queue.Len() == 0 || m.pumpScheduled || m.pumping {
 		return
 	}
 	m.pumping = true
 	defer func() { m.pumping = false }()
 	now := m.clock.Now()
-	again, shut := m.window.Shut(now)
-	if !shut && !m.core.AnyReady() {
-		again, shut = now+ableAgain, true
-	}
-	if shut {
-		m.looking = true
-		m.due.Add(again, func() {
-			m.looking = false
-			m.pump()
+	retryAt, paused := m.window.Paused(now)
+	if !paused && !m.core.AnyReady() {
+		retryAt, paused = now+readyPollInterval, true
+	}
+	if paused {
+		m.pumpScheduled = true
+		m.timers.Add(retryAt, func() {
+			m.pumpScheduled = false
+			m.launchQueued()
 		})
 		return
 	}
 	for {
-		j, ok := m.line.First()
-		if !ok || !m.window.Take(now, j.slots()) {
+		job, ok := m.queue.First()
+		if !ok || !m.window.Acquire(now, job.slots()) {
 			return
 		}
-		m.line.Drop(j.place())
-		m.launch(j)
+		m.queue.Remove(job.queueKey())
+		m.launch(job)
 	}
 }
 
 // BeforeSend has a job's first step wait until the store knows that it may be sent:
 // after a restart only what the store does not have so never ran for certain.
 func (m *Manager) BeforeSend(op slottable.Handle, open func(bool)) {
-	j := m.byOp[op]
+	job := m.byOperation[op]
 	switch {
-	case j == nil || j.ending:
+	case job == nil || job.ending:
 		open(false)
-	case j.Sent:
+	case job.Sent:
 		open(true)
 	case m.stopping:
 		open(false) // the next run of the program may send it
 	default:
-		j.marked = true
-		m.marks.add(&change{Mark: Mark{ID: j.ID, Sent: true}, job: j, done: func(err error) {
-			j.Sent = j.Sent || err == nil && j.op == op
+		job.sendRecorded = true
+		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: true}, job: job, done: func(err error) {
+			job.Sent = job.Sent || err == nil && job.operation == op
 			open(err == nil)
 		}})
 	}
 }
 
-// unsend takes the mark back from a job that is in no prep worker's hands and has
+// clearSent takes the mark back from a job that is in no prep worker's hands and has
 // been in none's.
-func (m *Manager) unsend(j *Job) {
-	if j.marked && !j.MayHaveRun {
-		j.Sent, j.marked = false, false
-		m.marks.add(&change{Mark: Mark{ID: j.ID, Held: j.Held}, job: j})
+func (m *Manager) clearSent(job *Job) {
+	if job.sendRecorded && !job.MayHaveRun {
+		job.Sent, job.sendRecorded = false, false
+		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Held: job.Held}, job: job})
 	}
 }
 
 // change is a change to a job's record on its way to the store.
 type change struct {
-	Mark
+	RecordUpdate
 	job  *Job
 	done func(error) // nil: nobody waits for it
 }
 
-func (m *Manager) writeMarks(ctx context.Context, store Store, marks []*change) error {
-	rows := make([]Mark, len(marks))
-	for i, k := range marks {
-		rows[i] = k.Mark
+func (m *Manager) writeUpdates(ctx context.Context, store Store, updates []*change) error {
+	rows := make([]RecordUpdate, len(updates))
+	for i, update := range updates {
+		rows[i] = update.RecordUpdate
 	}
-	return store.Mark(ctx, rows)
+	return store.Update(ctx, rows)
 }
 
-func (m *Manager) marked(marks []*change, err error) {
-	for _, k := range marks {
+func (m *Manager) updatesWritten(updates []*change, err error) {
+	for _, update := range updates {
 		switch {
-		case k.done != nil:
-			k.done(err)
+		case update.done != nil:
+			update.done(err)
 		case err != nil:
 			// The record says more than is so, which does no harm but after a crash.
-			m.due.Add(m.within(storeAgain), func() { m.remark(k.job) })
+			m.timers.Add(m.fromNow(storeRetryDelay), func() { m.rewriteStatus(update.job) })
 		}
 	}
-	m.pump()
+	m.launchQueued()
 }
 
-// remark writes what an unfinished job is now.
-func (m *Manager) remark(j *Job) {
-	if !j.ending {
-		m.marks.add(&change{Mark: Mark{ID: j.ID, Sent: j.Sent || j.stage == inCore, Held: j.Held}, job: j})
+// rewriteStatus writes what an unfinished job is now.
+func (m *Manager) rewriteStatus(job *Job) {
+	if !job.ending {
+		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: job.Sent || job.stage == inCore, Held: job.Held}, job: job})
 	}
 }
 
 // launch makes an operation of a job whose turn it is.
-func (m *Manager) launch(j *Job) {
+func (m *Manager) launch(job *Job) {
 	now := m.clock.Now()
-	deadline := time.Duration(j.DeadlineAt) * time.Microsecond
+	deadline := time.Duration(job.DeadlineAt) * time.Microsecond
 	if now >= deadline {
-		m.window.Give(now, j.slots())
-		m.end(j, drmaa.Failed, m.lateReason(j), j.MayHaveRun)
+		m.window.Release(now, job.slots())
+		m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun)
 		return
 	}
-	j.tries++
-	j.failedNow, j.failedSteps = false, 0
-	j.stage = inCore
-	t := j.Template
-	class := m.classes[t.RemoteCommand].Number
-	op := routing.Operation{Class: class, Slots: j.slots(),
-		Deadline: min(deadline, now+m.config.Settings.Classes[class].Timeout), Cost: time.Duration(t.CostHint*1e6) * time.Microsecond,
-		HasCost: t.CostHint > 0, Repeat: j.tries > 1, Owner: m,
-		Work: routing.Work{ID: j.ID + "-" + strconv.Itoa(j.tries), Target: t.Target(indexText(&j.Record)),
-			Body: []byte(t.Body(indexText(&j.Record)))}}
-	j.op = m.core.Accept(op)
-	m.byOp[j.op] = j
-	m.core.Route(j.op)
+	job.attempts++
+	job.stepFailed, job.failedSteps = false, 0
+	job.stage = inCore
+	template := job.Template
+	class := m.classes[template.RemoteCommand].Number
+	operation := routing.Operation{Class: class, Slots: job.slots(),
+		Deadline: min(deadline, now+m.config.Settings.Classes[class].Timeout), Cost: time.Duration(template.CostHint*1e6) * time.Microsecond,
+		HasCost: template.CostHint > 0, Repeat: job.attempts > 1, Owner: m,
+		Work: routing.Work{ID: job.ID + "-" + strconv.Itoa(job.attempts), Target: template.Target(indexText(&job.Record)),
+			Body: []byte(template.Body(indexText(&job.Record)))}}
+	job.operation = m.core.Accept(operation)
+	m.byOperation[job.operation] = job
+	m.core.Route(job.operation)
 }
 
-// leave takes a job out of the window, where it is in it.
-func (m *Manager) leave(j *Job) {
-	if j.stage == inCore {
-		m.window.Give(m.clock.Now(), j.slots())
-		j.stage = parked
+// leaveCore takes a job out of the window, where it is in it.
+func (m *Manager) leaveCore(job *Job) {
+	if job.stage == inCore {
+		m.window.Release(m.clock.Now(), job.slots())
+		job.stage = unscheduled
 	}
-	if j.op != 0 {
-		delete(m.byOp, j.op)
-		j.op = 0
+	if job.operation != 0 {
+		delete(m.byOperation, job.operation)
+		job.operation = 0
 	}
 }
 
 // StepSent is the core's word that a route step goes out.
 func (m *Manager) StepSent(op slottable.Handle, to balance.WorkerID) {
-	j := m.byOp[op]
-	if j == nil {
+	job := m.byOperation[op]
+	if job == nil {
 		return
 	}
-	name := m.config.Name(to)
-	if n := len(j.Steps); n > 0 && j.Steps[n-1].Machine != name {
-		m.tell(j, drmaa.Migrated, name)
+	name := m.config.WorkerName(to)
+	if n := len(job.Steps); n > 0 && job.Steps[n-1].Machine != name {
+		m.publish(job, drmaa.Migrated, name)
 	}
-	if j.State == drmaa.Running && !slices.ContainsFunc(j.Steps, func(s Step) bool { return s.StartedAt > 0 && s.EndedAt == 0 }) {
-		m.turn(j, drmaa.Requeued) // the destination that ran it is lost
+	if job.State == drmaa.Running && !slices.ContainsFunc(job.Steps, func(s Step) bool { return s.StartedAt > 0 && s.EndedAt == 0 }) {
+		m.transition(job, drmaa.Requeued) // the destination that ran it is lost
 	}
-	if len(j.Steps) >= keptSteps {
-		j.Steps = slices.Delete(j.Steps, 0, 1)
+	if len(job.Steps) >= maxRecordedSteps {
+		job.Steps = slices.Delete(job.Steps, 0, 1)
 	}
-	j.Steps = append(j.Steps, Step{Machine: name, SentAt: m.unixNow(), to: to})
-	if j.DispatchedAt == 0 {
-		j.DispatchedAt = m.unixNow()
+	job.Steps = append(job.Steps, Step{Machine: name, SentAt: m.unixNow(), worker: to})
+	if job.DispatchedAt == 0 {
+		job.DispatchedAt = m.unixNow()
 	}
 }
 
-// out finds the step that is out at a destination, or nil.
-func (m *Manager) out(j *Job, to balance.WorkerID) *Step {
-	for i := len(j.Steps) - 1; i >= 0; i-- {
-		if s := &j.Steps[i]; s.to == to && s.EndedAt == 0 {
+// stepInFlight finds the step that is out at a destination, or nil.
+func (m *Manager) stepInFlight(job *Job, to balance.WorkerID) *Step {
+	for i := len(job.Steps) - 1; i >= 0; i-- {
+		if s := &job.Steps[i]; s.worker == to && s.EndedAt == 0 {
 			return s
 		}
 	}
@@ -184,214 +184,214 @@
 
 // Started is the core's word that a prep worker has begun to run the job.
 func (m *Manager) Started(op slottable.Handle, to balance.WorkerID) {
-	j := m.byOp[op]
-	if j == nil {
+	job := m.byOperation[op]
+	if job == nil {
 		return
 	}
-	j.StartedAt = m.unixNow()
-	if s := m.out(j, to); s != nil {
-		s.StartedAt = j.StartedAt
+	job.StartedAt = m.unixNow()
+	if s := m.stepInFlight(job, to); s != nil {
+		s.StartedAt = job.StartedAt
 	}
-	m.turn(j, drmaa.Running)
-	m.fire(j)
+	m.transition(job, drmaa.Running)
+	m.notifyWaiters(job)
 }
 
 // StepEnded is the core's word of how a route step ended.
 func (m *Manager) StepEnded(op slottable.Handle, to balance.WorkerID, how balance.Outcome) {
-	j := m.byOp[op]
-	if j == nil {
+	job := m.byOperation[op]
+	if job == nil {
 		return
 	}
-	if s := m.out(j, to); s != nil {
-		s.EndedAt, s.Outcome = m.unixNow(), outcomes[how]
+	if s := m.stepInFlight(job, to); s != nil {
+		s.EndedAt, s.Outcome = m.unixNow(), outcomeNames[how]
 	}
 	if how != balance.Errored {
 		return
 	}
-	j.failedNow = true
-	j.failedSteps++
-	if j.failedSteps < j.mostFailedSteps() {
+	job.stepFailed = true
+	job.failedSteps++
+	if job.failedSteps < job.maxFailedSteps() {
 		return
 	}
 	// After the core's turn, which has more to tell of the step.
-	m.due.Add(m.clock.Now(), func() {
-		if j.op == op && !j.ending {
-			m.leave(j)
+	m.timers.Add(m.clock.Now(), func() {
+		if job.operation == op && !job.ending {
+			m.leaveCore(job)
 			m.core.Withdraw(op)
-			j.ExitStatus = 1
-			m.end(j, drmaa.Failed, "the job failed at "+strconv.Itoa(j.failedSteps)+" prep workers that ran it", true)
-			m.pump()
+			job.ExitStatus = 1
+			m.endJob(job, drmaa.Failed, "the job failed at "+strconv.Itoa(job.failedSteps)+" prep workers that ran it", true)
+			m.launchQueued()
 		}
 	})
 }
 
-// mostFailedSteps is how often prep workers may run the job and say that it
+// maxFailedSteps is how often prep workers may run the job and say that it
 // failed, while the core tries it anew, before it has FAILED.
-func (j *Job) mostFailedSteps() int {
-	switch again := j.Template.Rerunnable; {
+func (job *Job) maxFailedSteps() int {
+	switch again := job.Template.Rerunnable; {
 	case again == nil:
-		return mostFailures
+		return maxFailures
 	case *again:
 		return math.MaxInt
 	}
 	return 1
 }
 
-// outcomes is the steps' outcomes in words for clients.
-var outcomes = [...]string{balance.Served: "served", balance.Errored: "failed", balance.Full: "returned",
+// outcomeNames is the steps' outcomes in words for clients.
+var outcomeNames = [...]string{balance.Served: "served", balance.Errored: "failed", balance.Full: "returned",
 	balance.TimedOut: "timed out", balance.ConnectFailed: "not connected", balance.Reset: "lost",
 	balance.Cancelled: "cancelled", balance.NotSent: "not sent"}
 
 // Answered is the core's final answer on an operation.
-func (m *Manager) Answered(op slottable.Handle, a routing.Answer) {
-	j := m.byOp[op]
-	if j == nil {
+func (m *Manager) Answered(op slottable.Handle, answer routing.Answer) {
+	job := m.byOperation[op]
+	if job == nil {
 		return
 	}
-	m.leave(j)
-	j.MayHaveRun = j.MayHaveRun || a.MayHaveRun
-	defer m.pump()
+	m.leaveCore(job)
+	job.MayHaveRun = job.MayHaveRun || answer.MayHaveRun
+	defer m.launchQueued()
 	faultinjection.Hit(faultinjection.OutcomeHeard)
 	switch {
-	case a.Verdict == routing.Served:
-		j.Result, j.ExitStatus = a.Result, 0
-		m.end(j, drmaa.Done, "", true)
-	case a.Verdict == routing.Refused, a.Verdict == routing.Failed && !j.MayHaveRun:
+	case answer.Verdict == routing.Served:
+		job.Result, job.ExitStatus = answer.Result, 0
+		m.endJob(job, drmaa.Done, "", true)
+	case answer.Verdict == routing.Refused, answer.Verdict == routing.Failed && !job.MayHaveRun:
 		// Where nothing has run a failure is as harmless: the core ran out of the
 		// class's time, as it does when the store stalls before a gate.
-		m.refused(j, a.RetryAfter)
-	case a.Verdict == routing.Rejected:
-		m.end(j, drmaa.Failed, "the prep workers can make nothing of the job", j.MayHaveRun)
+		m.requeue(job, answer.RetryAfter)
+	case answer.Verdict == routing.Rejected:
+		m.endJob(job, drmaa.Failed, "the prep workers can make nothing of the job", job.MayHaveRun)
 	default:
 		reason := "the job failed"
-		if n := len(j.Steps); n > 0 && j.Steps[n-1].Outcome == outcomes[balance.Errored] {
-			j.ExitStatus = 1
-		} else if a.MayHaveRun {
+		if n := len(job.Steps); n > 0 && job.Steps[n-1].Outcome == outcomeNames[balance.Errored] {
+			job.ExitStatus = 1
+		} else if answer.MayHaveRun {
 			reason = "the job failed or its prep worker was lost; it may have run and is not run again"
 		}
-		m.end(j, drmaa.Failed, reason, j.MayHaveRun)
+		m.endJob(job, drmaa.Failed, reason, job.MayHaveRun)
 	}
 }
 
-// refused has a job wait anew. To try again is harmless, and a batch job has
+// requeue has a job wait anew. To try again is harmless, and a batch job has
 // until its deadline; where the time to come back lies past that, it has ended.
-func (m *Manager) refused(j *Job, advice time.Duration) {
-	if j.failedNow {
+func (m *Manager) requeue(job *Job, advice time.Duration) {
+	if job.stepFailed {
 		// Not for want of room: prep workers ran it and it failed there.
-		j.failures++
-		if again := j.Template.Rerunnable != nil && *j.Template.Rerunnable; !again || j.failures >= mostFailures {
-			j.ExitStatus = 1
-			m.end(j, drmaa.Failed, "the job failed at every prep worker that ran it", true)
+		job.failures++
+		if again := job.Template.Rerunnable != nil && *job.Template.Rerunnable; !again || job.failures >= maxFailures {
+			job.ExitStatus = 1
+			m.endJob(job, drmaa.Failed, "the job failed at every prep worker that ran it", true)
 			return
 		}
 	}
-	m.window.Refused(m.clock.Now(), advice)
-	own := min(leastReturn<<min(j.refusals, 10), mostReturn)
-	j.refusals++
-	j.after = max(advice, own)
-	j.notBefore = m.within(j.after)
-	if j.notBefore >= time.Duration(j.DeadlineAt)*time.Microsecond {
-		m.end(j, drmaa.Failed, m.lateReason(j), j.MayHaveRun)
+	m.window.ObserveRejection(m.clock.Now(), advice)
+	own := min(minRequeueDelay<<min(job.refusals, 10), maxRequeueDelay)
+	job.refusals++
+	job.retryAfter = max(advice, own)
+	job.notBefore = m.fromNow(job.retryAfter)
+	if job.notBefore >= time.Duration(job.DeadlineAt)*time.Microsecond {
+		m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun)
 		return
 	}
-	m.turn(j, drmaa.Requeued)
-	m.unsend(j)
-	m.settle(j)
+	m.transition(job, drmaa.Requeued)
+	m.clearSent(job)
+	m.schedule(job)
 }
 
-// end decides a job's final state, once. It shows only when the store has it:
+// endJob decides a job's final state, once. It shows only when the store has it:
 // what a client has seen must stand after a restart too.
-func (m *Manager) end(j *Job, state drmaa.State, reason string, ran bool) {
-	if j.ending {
+func (m *Manager) endJob(job *Job, state drmaa.State, reason string, mayHaveRun bool) {
+	if job.ending {
 		return
 	}
-	m.leave(j)
-	m.park(j)
-	j.ending, j.stage = true, over
-	m.due.Cancel(j.deadline)
-	j.deadline = nil
-	final := j.Record
-	final.State, final.Reason, final.MayHaveRun, final.EndedAt = state, reason, ran, m.unixNow()
-	final.Steps = slices.Clone(j.Steps)
+	m.leaveCore(job)
+	m.unschedule(job)
+	job.ending, job.stage = true, ended
+	m.timers.Cancel(job.deadline)
+	job.deadline = nil
+	final := job.Record
+	final.State, final.Reason, final.MayHaveRun, final.EndedAt = state, reason, mayHaveRun, m.unixNow()
+	final.Steps = slices.Clone(job.Steps)
 	for i := range final.Steps {
 		if s := &final.Steps[i]; s.EndedAt == 0 {
-			s.EndedAt, s.Outcome = final.EndedAt, outcomes[balance.Cancelled]
+			s.EndedAt, s.Outcome = final.EndedAt, outcomeNames[balance.Cancelled]
 		}
 	}
-	j.next = &final
-	m.finals.add(j)
+	job.final = &final
+	m.finals.add(job)
 }
 
 func (m *Manager) writeFinals(ctx context.Context, store Store, jobs []*Job) error {
 	records := make([]*Record, len(jobs))
-	for i, j := range jobs {
-		records[i] = j.next
+	for i, job := range jobs {
+		records[i] = job.final
 	}
 	return store.Finish(ctx, records)
 }
 
-// finished shows final states. Those that the store failed to write are written
+// finalsWritten shows final states. Those that the store failed to write are written
 // again: they must not be lost.
-func (m *Manager) finished(jobs []*Job, err error) {
+func (m *Manager) finalsWritten(jobs []*Job, err error) {
 	if err != nil {
-		m.unshown += len(jobs)
-		m.due.Add(m.within(storeAgain), func() {
-			m.unshown -= len(jobs)
+		m.finalsToRetry += len(jobs)
+		m.timers.Add(m.fromNow(storeRetryDelay), func() {
+			m.finalsToRetry -= len(jobs)
 			m.finals.add(jobs...)
 		})
 		return
 	}
-	for _, j := range jobs {
-		m.show(j)
+	for _, job := range jobs {
+		m.publishEnd(job)
 	}
 }
 
-func (m *Manager) show(j *Job) {
+func (m *Manager) publishEnd(job *Job) {
 	faultinjection.Hit(faultinjection.ShownBefore)
-	was := j.State
-	state := j.next.State
-	j.Record, j.next = *j.next, nil
-	j.State = was
-	m.turn(j, state)
+	was := job.State
+	state := job.final.State
+	job.Record, job.final = *job.final, nil
+	job.State = was
+	m.transition(job, state)
 	level := slog.LevelDebug
 	if state == drmaa.Failed {
 		level = slog.LevelInfo
 	}
-	slog.Log(context.Background(), level, "batch job ended", "id", j.ID, "tenant", j.Tenant, "state", j.State, "reason", j.Reason,
-		"may_have_run", j.MayHaveRun)
-	m.release(j)
-	m.fire(j)
-	m.ended = append(m.ended, j.ID)
-	if len(m.ended) > m.config.Kept {
-		if old := m.jobs[m.ended[0]]; old != nil {
-			m.drop(old)
+	slog.Log(context.Background(), level, "batch job ended", "id", job.ID, "tenant", job.Tenant, "state", job.State, "reason", job.Reason,
+		"may_have_run", job.MayHaveRun)
+	m.untrack(job)
+	m.notifyWaiters(job)
+	m.endedJobs = append(m.endedJobs, job.ID)
+	if len(m.endedJobs) > m.config.MaxEndedJobs {
+		if old := m.jobs[m.endedJobs[0]]; old != nil {
+			m.forget(old)
 		}
-		m.ended = m.ended[1:]
+		m.endedJobs = m.endedJobs[1:]
 	}
-	a := j.array
+	a := job.array
 	if a == nil || a.unfinished > 0 {
 		return
 	}
-	m.satisfyAll(a.finishers, j)
-	m.past = append(m.past, a.ID)
-	if len(m.past) > keptArrays {
-		if old := m.arrays[m.past[0]]; old != nil {
-			m.dropArray(old)
+	m.satisfyAll(a.allEndedWaiters, job)
+	m.endedArrays = append(m.endedArrays, a.ID)
+	if len(m.endedArrays) > maxEndedArrays {
+		if old := m.arrays[m.endedArrays[0]]; old != nil {
+			m.forgetArray(old)
 		}
-		m.past = m.past[1:]
+		m.endedArrays = m.endedArrays[1:]
 	}
 }
 
 // StartDelay is the core's word of how long an operation of either front waited for
 // its start.
 func (m *Manager) StartDelay(owner routing.Owner, wait time.Duration) {
-	m.window.Started(m.clock.Now(), wait, owner == routing.Owner(m))
-	m.pump()
+	m.window.ObserveStart(m.clock.Now(), wait, owner == routing.Owner(m))
+	m.launchQueued()
 }
 
 // OperationConcluded is the core's word of a final answer to either front.
 func (m *Manager) OperationConcluded(_ routing.Owner, v routing.Verdict) {
 	if v == routing.Refused || v == routing.Failed {
-		m.window.Lost(m.clock.Now())
+		m.window.ObserveLoss(m.clock.Now())
 	}
 }
--- a/internal/node/batch/jobs/session.go
+++ b/internal/node/batch/jobs/session.go
@@ -8,7 +8,7 @@
 	"ospreybend/drmaa"
 )
 
-var sessionThere = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session is there already"}
+var sessionExists = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session is there already"}
 
 // Sessions returns a tenant's sessions by name.
 func (m *Manager) Sessions(t *TenantState) []drmaa.Session {
@@ -33,7 +33,7 @@
 		done(nil, UnknownSession)
 		return
 	case s != nil && must == "create":
-		done(nil, sessionThere)
+		done(nil, sessionExists)
 		return
 	case s == nil && must == "exist":
 		done(nil, UnknownSession)
@@ -45,28 +45,28 @@
 	}
 	made := s
 	record := SessionRecord{t.Name, name, state}
-	if !m.keeper.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
+	if !m.store.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
 		func(err error) {
 			s := t.sessions[name]
 			switch {
 			case err != nil:
-				m.unmake(t, made)
-				done(nil, Broken)
+				m.undoCreate(t, made)
+				done(nil, StoreFailed)
 			case s != made || s.State == SessionDestroying:
 				done(nil, UnknownSession)
 			default:
-				s.State, s.onRecord = state, true
+				s.State, s.recorded = state, true
 				done(s, nil)
 			}
 		}) {
-		m.unmake(t, made)
-		done(nil, Behind)
+		m.undoCreate(t, made)
+		done(nil, StoreBehind)
 	}
 }
 
-// unmake takes back a session that the store never got.
-func (m *Manager) unmake(t *TenantState, s *Session) {
-	if t.sessions[s.Name] == s && !s.onRecord && len(s.jobs) == 0 {
+// undoCreate takes back a session that the store never got.
+func (m *Manager) undoCreate(t *TenantState, s *Session) {
+	if t.sessions[s.Name] == s && !s.recorded && len(s.jobs) == 0 {
 		delete(t.sessions, s.Name)
 	}
 }
@@ -80,30 +80,30 @@
 		return
 	}
 	if s.State == SessionDestroying {
-		s.closing = append(s.closing, done)
+		s.destroyCallbacks = append(s.destroyCallbacks, done)
 		return
 	}
 	was := s.State
 	s.State = SessionDestroying // nothing new comes in from here on
-	s.closing = append(s.closing, done)
+	s.destroyCallbacks = append(s.destroyCallbacks, done)
 	record := s.SessionRecord
-	if !m.keeper.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
+	if !m.store.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
 		func(err error) {
 			if err != nil {
 				s.State = was
-				s.closed(Broken)
+				s.notifyDestroyed(StoreFailed)
 				return
 			}
 			m.destroy(s)
 		}) {
 		s.State = was
-		s.closed(Behind)
+		s.notifyDestroyed(StoreBehind)
 	}
 }
 
-func (s *Session) closed(e *drmaa.Error) {
-	all := s.closing
-	s.closing = nil
+func (s *Session) notifyDestroyed(e *drmaa.Error) {
+	all := s.destroyCallbacks
+	s.destroyCallbacks = nil
 	for _, done := range all {
 		done(e)
 	}
@@ -112,48 +112,50 @@
 // destroy terminates what is left in a session.
 func (m *Manager) destroy(s *Session) {
 	if len(s.jobs) == 0 {
-		m.destroyed(s)
+		m.removeSession(s)
 		return
 	}
-	for _, j := range byAge(s.jobs) {
-		_ = m.Terminate(j) // what has ended in this moment needs no termination
+	for _, job := range byAge(s.jobs) {
+		_ = m.Terminate(job) // what has ended in this moment needs no termination
 	}
 }
 
-// destroyed removes a session whose last job has ended.
-func (m *Manager) destroyed(s *Session) {
-	if s.dropping {
+// removeSession removes a session whose last job has ended.
+func (m *Manager) removeSession(session *Session) {
+	if session.removing {
 		return // a session of the same name may be there before a second call
 	}
-	s.dropping = true
+	session.removing = true
 	again := func() {
-		s.dropping = false
-		m.due.Add(m.within(storeAgain), func() { m.destroyed(s) })
+		session.removing = false
+		m.timers.Add(m.fromNow(storeRetryDelay), func() { m.removeSession(session) })
 	}
-	if !m.keeper.Call(func(ctx context.Context, store Store) error { return store.DropSession(ctx, s.Tenant, s.Name) },
+	if !m.store.Call(func(ctx context.Context, store Store) error {
+		return store.DropSession(ctx, session.Tenant, session.Name)
+	},
 		func(err error) {
 			if err != nil {
 				again()
 				return
 			}
-			t := m.tenants[s.Tenant]
-			if t.sessions[s.Name] == s {
-				delete(t.sessions, s.Name)
+			t := m.tenants[session.Tenant]
+			if t.sessions[session.Name] == session {
+				delete(t.sessions, session.Name)
 			}
-			for _, j := range m.jobs {
-				if j.session == s {
-					m.drop(j)
+			for _, job := range m.jobs {
+				if job.session == session {
+					m.forget(job)
 				}
 			}
 			for _, a := range m.arrays {
-				if a.session == s {
-					m.dropArray(a)
+				if a.session == session {
+					m.forgetArray(a)
 				}
 			}
-			for w := range s.waiters {
-				m.finish(w, nil, UnknownSession)
+			for w := range session.waiters {
+				m.endWait(w, nil, UnknownSession)
 			}
-			s.closed(nil)
+			session.notifyDestroyed(nil)
 		}) {
 		again()
 	}
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -10,44 +10,44 @@
 	"ospreybend/internal/node/faultinjection"
 )
 
-const mostInserts = 1024 // submissions that wait for the store at most
+const maxPendingInserts = 1024 // submissions that wait for the store at most
 
 // Errors that more than one call gives.
 var (
 	UnknownJob     = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job"}
 	UnknownArray   = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job array"}
 	UnknownSession = &drmaa.Error{Status: 404, Name: drmaa.InvalidSession, Message: "no such session, or it is closed"}
-	Broken         = &drmaa.Error{Status: 500, Name: drmaa.Internal, Message: "the store of record failed"}
-	Behind         = drmaa.Later(busyReturn, "the store of record is behind")
+	StoreFailed    = &drmaa.Error{Status: 500, Name: drmaa.Internal, Message: "the store of record failed"}
+	StoreBehind    = drmaa.TryLaterError(defaultRetryAfter, "the store of record is behind")
 
 	keyReused = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "x_clientKey",
 		Message: "the client key stands for a submission of different content"}
 )
 
-// entry is a submission that is being recorded.
-type entry struct {
-	sub    *Submission
-	jobs   []*Job
-	array  *Array
-	askers []func(keyed, *drmaa.Error)
-	stored Stored
-	fate   atomic.Int32 // waits, begun or withdrawn: the keeper's and the loop's
+// pendingSubmission is a submission that is being recorded.
+type pendingSubmission struct {
+	submission *Submission
+	jobs       []*Job
+	array      *Array
+	callbacks  []func(submissionRef, *drmaa.Error)
+	existing   ExistingSubmission
+	progress   atomic.Int32 // waits, begun or withdrawn: the keeper's and the loop's
 }
 
 const (
-	waits     = iota // neither the store has begun it nor the loop taken it back
-	begun            // the store may have it
-	withdrawn        // its clients have been turned away
+	awaitingInsert = iota // neither the store has begun it nor the loop taken it back
+	insertBegun           // the store may have it
+	withdrawn             // its clients have been turned away
 )
 
-func (e *entry) kept() keyed {
+func (e *pendingSubmission) ref() submissionRef {
 	if e.array != nil {
-		return keyed{array: e.array}
+		return submissionRef{array: e.array}
 	}
-	return keyed{job: e.jobs[0]}
+	return submissionRef{job: e.jobs[0]}
 }
 
-func (k keyed) digest() string {
+func (k submissionRef) digest() string {
 	if k.array != nil {
 		return k.array.Digest
 	}
@@ -57,7 +57,7 @@
 // Submit takes a job in. answer is called once the job is recorded.
 func (m *Manager) Submit(t *TenantState, session string, template *drmaa.JobTemplate, answer func(*Job, *drmaa.Error)) {
 	digest := template.Digest("")
-	tell := func(k keyed, e *drmaa.Error) {
+	tell := func(k submissionRef, e *drmaa.Error) {
 		switch {
 		case e != nil:
 			answer(nil, e)
@@ -71,14 +71,14 @@
 	if !ok {
 		return
 	}
-	j := m.newJob(s, t, template, newID(), 0)
-	j.ClientKey, j.Digest = template.ClientKey, digest
-	record := j.Record // the keeper must not read what the loop changes
-	e := &entry{sub: &Submission{Jobs: []*Record{&record}}, jobs: []*Job{j}}
-	e.askers = append(e.askers, tell)
-	j.entry = e
-	m.hold(j)
-	m.entries[e] = true
+	job := m.newJob(s, t, template, newID(), 0)
+	job.ClientKey, job.Digest = template.ClientKey, digest
+	record := job.Record // the keeper must not read what the loop changes
+	e := &pendingSubmission{submission: &Submission{Jobs: []*Record{&record}}, jobs: []*Job{job}}
+	e.callbacks = append(e.callbacks, tell)
+	job.pending = e
+	m.track(job)
+	m.pendingSubmissions[e] = true
 	m.inserts.add(e)
 }
 
@@ -86,7 +86,7 @@
 // it is recorded. The client key covers the whole array.
 func (m *Manager) SubmitBulk(t *TenantState, session string, b *drmaa.Bulk, answer func(*Array, *drmaa.Error)) {
 	digest := b.Digest()
-	tell := func(k keyed, e *drmaa.Error) {
+	tell := func(k submissionRef, e *drmaa.Error) {
 		switch {
 		case e != nil:
 			answer(nil, e)
@@ -105,94 +105,94 @@
 		Digest: digest, Template: b.Template, Begin: b.Begin, End: b.End, Step: b.Step, MaxParallel: b.MaxParallel,
 		SubmittedAt: m.unixNow()}, false)
 	record := a.ArrayRecord
-	e := &entry{sub: &Submission{Array: &record, Jobs: make([]*Record, 0, n)}, array: a, jobs: make([]*Job, 0, n)}
-	e.askers = append(e.askers, tell)
-	a.entry, a.session = e, s
+	e := &pendingSubmission{submission: &Submission{Array: &record, Jobs: make([]*Record, 0, n)}, array: a, jobs: make([]*Job, 0, n)}
+	e.callbacks = append(e.callbacks, tell)
+	a.pending, a.session = e, s
 	records := make([]Record, n)
 	for i := range n {
 		index := b.Begin + i*b.Step
-		j := m.newJob(s, t, b.Template, drmaa.JobID(a.ID, index), index)
-		j.Array, j.array, j.entry = a.ID, a, e
-		records[i] = j.Record
-		e.sub.Jobs = append(e.sub.Jobs, &records[i])
-		e.jobs = append(e.jobs, j)
-		m.hold(j)
+		job := m.newJob(s, t, b.Template, drmaa.JobID(a.ID, index), index)
+		job.Array, job.array, job.pending = a.ID, a, e
+		records[i] = job.Record
+		e.submission.Jobs = append(e.submission.Jobs, &records[i])
+		e.jobs = append(e.jobs, job)
+		m.track(job)
 	}
 	m.arrays[a.ID] = a
-	m.keep(keyed{array: a}, a.Tenant, a.ClientKey)
-	m.entries[e] = true
+	m.rememberKey(submissionRef{array: a}, a.Tenant, a.ClientKey)
+	m.pendingSubmissions[e] = true
 	m.inserts.add(e)
 }
 
 // admit checks whether n jobs may be taken in, and answers where not or where
 // the client key stands for a submission already.
-func (m *Manager) admit(t *TenantState, name, key, digest string, n int, tell func(keyed, *drmaa.Error)) (*Session, bool) {
+func (m *Manager) admit(t *TenantState, name, key, digest string, count int, tell func(submissionRef, *drmaa.Error)) (*Session, bool) {
 	s := t.sessions[name]
 	if s == nil || s.State != SessionOpen {
-		tell(keyed{}, UnknownSession)
+		tell(submissionRef{}, UnknownSession)
 		return nil, false
 	}
 	if key != "" {
 		if k, ok := m.byKey[keyOf(t.Name, key)]; ok {
-			m.join(k, digest, tell)
+			m.attach(k, digest, tell)
 			return nil, false
 		}
 	}
 	after, ok := m.circuit.Admit(m.clock.Now())
 	switch {
 	case !ok:
-		tell(keyed{}, drmaa.Later(after, "the store of record does not answer"))
+		tell(submissionRef{}, drmaa.TryLaterError(after, "the store of record does not answer"))
 	case m.stopping:
-		tell(keyed{}, drmaa.Later(busyReturn, "the node is stopping"))
-	case t.unfinished+n > t.Quota:
-		tell(keyed{}, &drmaa.Error{Status: 429, Name: drmaa.TryLater, Return: busyReturn,
+		tell(submissionRef{}, drmaa.TryLaterError(defaultRetryAfter, "the node is stopping"))
+	case t.unfinished+count > t.Quota:
+		tell(submissionRef{}, &drmaa.Error{Status: 429, Name: drmaa.TryLater, RetryAfter: defaultRetryAfter,
 			Message: "the tenant has " + strconv.Itoa(t.unfinished) + " unfinished jobs, its quota is " + strconv.Itoa(t.Quota)})
-	case m.inserts.pending() >= mostInserts:
-		tell(keyed{}, Behind)
+	case m.inserts.pending() >= maxPendingInserts:
+		tell(submissionRef{}, StoreBehind)
 	default:
 		return s, true
 	}
 	return nil, false
 }
 
-// join answers a submission whose client key stands for one already.
-func (m *Manager) join(k keyed, digest string, tell func(keyed, *drmaa.Error)) {
-	var e *entry
-	if k.array != nil {
-		e = k.array.entry
+// attach answers a submission whose client key stands for one already.
+func (m *Manager) attach(ref submissionRef, digest string, tell func(submissionRef, *drmaa.Error)) {
+	var e *pendingSubmission
+	if ref.array != nil {
+		e = ref.array.pending
 	} else {
-		e = k.job.entry
+		e = ref.job.pending
 	}
 	switch {
-	case k.digest() != digest:
-		tell(keyed{}, keyReused)
+	case ref.digest() != digest:
+		tell(submissionRef{}, keyReused)
 	case e != nil:
-		e.askers = append(e.askers, tell)
+		e.callbacks = append(e.callbacks, tell)
 	default:
-		tell(k, nil)
+		tell(ref, nil)
 	}
 }
 
 func (m *Manager) newJob(s *Session, t *TenantState, template *drmaa.JobTemplate, id string, index int) *Job {
 	now := m.unixNow()
 	m.lastSeq = max(m.lastSeq+1, now)
-	j := &Job{owner: t, session: s, Record: Record{ID: id, Tenant: t.Name, Session: s.Name, Index: index, Seq: m.lastSeq,
+	job := &Job{owner: t, session: s, Record: Record{ID: id, Tenant: t.Name, Session: s.Name, Index: index, Seq: m.lastSeq,
 		Template: template, SubmittedAt: now, DeadlineAt: template.End(now), State: drmaa.Queued, ExitStatus: -1}}
-	if j.DeadlineAt == 0 {
-		j.DeadlineAt = max(now, template.Start()) + m.config.LongestWait.Microseconds()
+	if job.DeadlineAt == 0 {
+		job.DeadlineAt = max(now, template.Start()) + m.config.MaxWait.Microseconds()
 	}
 	if template.SubmitAsHold {
-		j.Held, j.State = true, drmaa.QueuedHeld
+		job.Held, job.State = true, drmaa.QueuedHeld
 	}
-	return j
+	return job
 }
 
-func (m *Manager) insert(ctx context.Context, store Store, entries []*entry) error {
+func (m *Manager) insert(ctx context.Context, store Store, entries []*pendingSubmission) error {
 	var subs []*Submission
-	var whose []*entry
+	var whose []*pendingSubmission
 	for _, e := range entries {
-		if e.fate.CompareAndSwap(waits, begun) {
-			subs, whose = append(subs, e.sub), append(whose, e)
+		if e.progress.CompareAndSwap(awaitingInsert, insertBegun) {
+			subs, whose = append(subs, e.submission), append(whose, e)
 		}
 	}
 	if len(subs) == 0 {
@@ -203,106 +203,106 @@
 		return err
 	}
 	for i, e := range whose {
-		e.stored = stored[i]
+		e.existing = stored[i]
 	}
 	return nil
 }
 
-// turnAway answers the submissions that the store has not begun, while it stalls:
+// rejectPending answers the submissions that the store has not begun, while it stalls:
 // nothing of them is on record, nor will be.
-func (m *Manager) turnAway() {
-	for e := range m.entries {
-		if e.fate.CompareAndSwap(waits, withdrawn) {
-			m.circuit.Turn()
-			m.undo(e)
-			e.answer(keyed{}, drmaa.Later(storeAgain, "the store of record does not answer"))
+func (m *Manager) rejectPending() {
+	for e := range m.pendingSubmissions {
+		if e.progress.CompareAndSwap(awaitingInsert, withdrawn) {
+			m.circuit.CountRejected()
+			m.discard(e)
+			e.answer(submissionRef{}, drmaa.TryLaterError(storeRetryDelay, "the store of record does not answer"))
 		}
 	}
 }
 
-// undo forgets a submission that is not on record.
-func (m *Manager) undo(e *entry) {
-	delete(m.entries, e)
-	for _, j := range e.jobs {
-		j.stage = over
-		m.drop(j)
-		m.release(j)
+// discard forgets a submission that is not on record.
+func (m *Manager) discard(e *pendingSubmission) {
+	delete(m.pendingSubmissions, e)
+	for _, job := range e.jobs {
+		job.stage = ended
+		m.forget(job)
+		m.untrack(job)
 	}
 	if e.array != nil {
-		m.dropArray(e.array)
+		m.forgetArray(e.array)
 	}
 }
 
-func (e *entry) answer(k keyed, p *drmaa.Error) {
-	askers := e.askers
-	e.askers = nil
+func (e *pendingSubmission) answer(k submissionRef, p *drmaa.Error) {
+	askers := e.callbacks
+	e.callbacks = nil
 	for _, answer := range askers {
 		answer(k, p)
 	}
 }
 
-// inserted takes up submissions that the store has, or has refused.
-func (m *Manager) inserted(entries []*entry, err error) {
+// insertsWritten takes up submissions that the store has, or has refused.
+func (m *Manager) insertsWritten(entries []*pendingSubmission, err error) {
 	for _, e := range entries {
-		m.taken(e, err)
+		m.submissionWritten(e, err)
 	}
 }
 
-func (m *Manager) taken(e *entry, err error) {
-	if e.fate.Load() == withdrawn {
+func (m *Manager) submissionWritten(pending *pendingSubmission, err error) {
+	if pending.progress.Load() == withdrawn {
 		return
 	}
-	delete(m.entries, e)
-	e.sub = nil
-	if err != nil || e.stored != (Stored{}) {
-		m.undo(e)
+	delete(m.pendingSubmissions, pending)
+	pending.submission = nil
+	if err != nil || pending.existing != (ExistingSubmission{}) {
+		m.discard(pending)
 		if err != nil {
-			e.answer(keyed{}, Broken)
+			pending.answer(submissionRef{}, StoreFailed)
 			return
 		}
 		// The key was taken by something that is no longer at hand.
-		k := m.loose(e.stored)
-		if k.digest() != e.kept().digest() {
-			e.answer(keyed{}, keyReused)
+		ref := m.detached(pending.existing)
+		if ref.digest() != pending.ref().digest() {
+			pending.answer(submissionRef{}, keyReused)
 			return
 		}
-		e.answer(k, nil)
+		pending.answer(ref, nil)
 		return
 	}
-	if e.array != nil {
-		e.array.recorded, e.array.entry = true, nil
+	if pending.array != nil {
+		pending.array.recorded, pending.array.pending = true, nil
 	}
-	for _, j := range e.jobs {
-		j.recorded, j.entry = true, nil
-		m.tell(j, drmaa.NewState, "")
+	for _, job := range pending.jobs {
+		job.recorded, job.pending = true, nil
+		m.publish(job, drmaa.NewState, "")
 	}
 	faultinjection.Hit(faultinjection.AnswerBefore)
-	e.answer(e.kept(), nil)
-	for _, j := range e.jobs {
-		if j.terminate {
-			m.end(j, drmaa.Failed, "terminated before it was sent", false)
+	pending.answer(pending.ref(), nil)
+	for _, job := range pending.jobs {
+		if job.terminateOnRecord {
+			m.endJob(job, drmaa.Failed, "terminated before it was sent", false)
 			continue
 		}
-		m.settle(j)
+		m.schedule(job)
 	}
 }
 
-// loose makes what the store returned fit for one call.
-func (m *Manager) loose(s Stored) keyed {
+// detached makes what the store returned fit for one call.
+func (m *Manager) detached(s ExistingSubmission) submissionRef {
 	if s.Array != nil {
-		return keyed{array: m.looseArray(s.Array)}
+		return submissionRef{array: m.detachedArray(s.Array)}
 	}
-	return keyed{job: m.looseJob(s.Job)}
+	return submissionRef{job: m.detachedJob(s.Job)}
 }
 
-func (m *Manager) looseJob(r *Record) *Job {
-	if j := m.jobs[r.ID]; j != nil {
-		return j
+func (m *Manager) detachedJob(r *Record) *Job {
+	if job := m.jobs[r.ID]; job != nil {
+		return job
 	}
-	return &Job{Record: *r, owner: m.tenants[r.Tenant], recorded: true, ending: true, stage: over}
+	return &Job{Record: *r, owner: m.tenants[r.Tenant], recorded: true, ending: true, stage: ended}
 }
 
-func (m *Manager) looseArray(r *ArrayRecord) *Array {
+func (m *Manager) detachedArray(r *ArrayRecord) *Array {
 	if a := m.arrays[r.ID]; a != nil {
 		return a
 	}
@@ -313,5 +313,5 @@
 	return a
 }
 
-// within is a span from now on, on the clock.
-func (m *Manager) within(span time.Duration) time.Duration { return m.clock.Now() + span }
+// fromNow is a span from now on, on the clock.
+func (m *Manager) fromNow(span time.Duration) time.Duration { return m.clock.Now() + span }
--- a/internal/node/batch/jobs/undecided.go
+++ b/internal/node/batch/jobs/undecided.go
@@ -9,10 +9,10 @@
 	"ospreybend/drmaa"
 )
 
-// once returns the names of the classes whose jobs must not run twice.
-func (m *Manager) once() (names []string) {
+// nonIdempotentClasses returns the names of the classes whose jobs must not run twice.
+func (m *Manager) nonIdempotentClasses() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(m.classes)) {
-		if m.classes[name].Once {
+		if m.classes[name].NonIdempotent {
 			names = append(names, name)
 		}
 	}
@@ -23,13 +23,13 @@
 // twice, and of which no prep worker said how they ended: the oldest first.
 func (m *Manager) Undecided(after drmaa.Cursor, limit int, got func(*drmaa.Page, *drmaa.Error)) {
 	var rows []*Record
-	classes := m.once()
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
+	classes := m.nonIdempotentClasses()
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
 		rows, err = store.Undecided(ctx, classes, after, limit+1)
 		return err
 	}, func(err error) {
 		if err != nil {
-			got(nil, Broken)
+			got(nil, StoreFailed)
 			return
 		}
 		page := &drmaa.Page{Jobs: []*drmaa.Job{}}
@@ -42,33 +42,33 @@
 		}
 		got(page, nil)
 	}) {
-		got(nil, Behind)
+		got(nil, StoreBehind)
 	}
 }
 
-var nothingToSettle = drmaa.WrongState("the job is not undecided, or has been settled")
+var notUndecided = drmaa.InvalidStateError("the job is not undecided, or has been settled")
 
 // Settle records what a person has found out of an undecided job, once.
 func (m *Manager) Settle(id string, ran bool, reason string, done func(*drmaa.Error)) {
 	s := Settlement{At: m.unixNow(), Ran: ran, Reason: reason}
 	settled := false
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
 		settled, err = store.Settle(ctx, id, s)
 		return err
 	}, func(err error) {
 		switch {
 		case err != nil:
-			done(Broken)
+			done(StoreFailed)
 		case !settled:
-			done(nothingToSettle)
+			done(notUndecided)
 		default:
-			if j := m.jobs[id]; j != nil {
-				j.Settled = s
+			if job := m.jobs[id]; job != nil {
+				job.Settled = s
 			}
 			slog.Info("batch job settled", "id", id, "ran", ran, "reason", reason)
 			done(nil)
 		}
 	}) {
-		done(Behind)
+		done(StoreBehind)
 	}
 }
--- a/internal/node/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -11,9 +11,9 @@
 // waiter is a client that waits for one of some jobs.
 type waiter struct {
 	started bool // the start is enough
-	in      []waiters
+	sets    []waiters
 	timeout *timerqueue.Timer
-	over    bool
+	ended   bool
 	done    func(*Job, *drmaa.Error)
 }
 
@@ -25,76 +25,76 @@
 		*set = waiters{}
 	}
 	(*set)[w] = true
-	w.in = append(w.in, *set)
+	w.sets = append(w.sets, *set)
 }
 
-// finish ends a wait, once.
-func (m *Manager) finish(w *waiter, j *Job, e *drmaa.Error) {
-	if m.giveUp(w) {
-		w.done(j, e)
+// endWait ends a wait, once.
+func (m *Manager) endWait(w *waiter, job *Job, e *drmaa.Error) {
+	if m.cancelWait(w) {
+		w.done(job, e)
 	}
 }
 
-func (m *Manager) giveUp(w *waiter) bool {
-	if w.over {
+func (m *Manager) cancelWait(w *waiter) bool {
+	if w.ended {
 		return false
 	}
-	w.over = true
-	m.waits--
-	m.due.Cancel(w.timeout)
-	for _, set := range w.in {
+	w.ended = true
+	m.openWaits--
+	m.timers.Cancel(w.timeout)
+	for _, set := range w.sets {
 		delete(set, w)
 	}
 	return true
 }
 
-// fire tells those who wait that a job has started or ended.
-func (m *Manager) fire(j *Job) {
-	sets := []waiters{j.waiters}
-	if j.array != nil {
-		sets = append(sets, j.array.waiters)
+// notifyWaiters tells those who wait that a job has started or ended.
+func (m *Manager) notifyWaiters(job *Job) {
+	sets := []waiters{job.waiters}
+	if job.array != nil {
+		sets = append(sets, job.array.anyWaiters)
 	}
-	if j.session != nil {
-		sets = append(sets, j.session.waiters)
+	if job.session != nil {
+		sets = append(sets, job.session.waiters)
 	}
 	for _, set := range sets {
 		for w := range set {
-			if w.started || j.State.Final() {
-				m.finish(w, j, nil)
+			if w.started || job.State.Final() {
+				m.endWait(w, job, nil)
 			}
 		}
 	}
 }
 
-func (m *Manager) satisfyAll(set waiters, j *Job) {
+func (m *Manager) satisfyAll(set waiters, job *Job) {
 	for w := range set {
-		m.finish(w, j, nil)
+		m.endWait(w, job, nil)
 	}
 }
 
 func (m *Manager) newWaiter(started bool, timeout time.Duration, done func(*Job, *drmaa.Error), about *Job) *waiter {
 	w := &waiter{started: started, done: done}
-	m.waits++
-	w.timeout = m.due.Add(m.within(timeout), func() {
+	m.openWaits++
+	w.timeout = m.timers.Add(m.fromNow(timeout), func() {
 		e := &drmaa.Error{Status: 504, Name: drmaa.Timeout, Message: "the wait's own timeout has passed"}
 		if about != nil {
 			e.Job = m.View(about)
 		}
-		m.finish(w, nil, e)
+		m.endWait(w, nil, e)
 	})
 	return w
 }
 
-func nothing() {}
+func doNothing() {}
 
 // Wait calls done when one of the jobs has ended, or has started where that is
 // enough, or with an error after the timeout. The returned function gives the
 // wait up.
 func (m *Manager) Wait(all []*Job, started bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
-	for _, j := range all {
-		if j.State.Final() || started && j.State.Started() {
-			done(j, nil)
-			return nothing
+	for _, job := range all {
+		if job.State.Final() || started && job.State.Started() {
+			done(job, nil)
+			return doNothing
 		}
 	}
 	var about *Job
@@ -102,72 +102,72 @@
 		about = all[0]
 	}
 	w := m.newWaiter(started, timeout, done, about)
-	for _, j := range all {
-		w.join(&j.waiters)
+	for _, job := range all {
+		w.join(&job.waiters)
 	}
-	return func() { m.giveUp(w) }
+	return func() { m.cancelWait(w) }
 }
 
 // WaitArray is Wait over the jobs of an array; with whole it is for the end of
 // all of them.
-func (m *Manager) WaitArray(a *Array, started, whole bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
+func (m *Manager) WaitArray(array *Array, started, all bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	switch {
-	case whole && a.unfinished == 0:
+	case all && array.unfinished == 0:
 		done(nil, nil)
-		return nothing
-	case whole:
+		return doNothing
+	case all:
 		w := m.newWaiter(false, timeout, done, nil)
-		w.join(&a.finishers)
-		return func() { m.giveUp(w) }
+		w.join(&array.allEndedWaiters)
+		return func() { m.cancelWait(w) }
 	}
 	if started {
-		for _, j := range a.open {
-			if j.State.Started() {
-				done(j, nil)
-				return nothing
+		for _, job := range array.unfinishedJobs {
+			if job.State.Started() {
+				done(job, nil)
+				return doNothing
 			}
 		}
 	}
 	w := m.newWaiter(started, timeout, done, nil)
-	w.join(&a.waiters)
-	if a.states[drmaa.Done]+a.states[drmaa.Failed] > 0 {
-		m.satisfyFromStore(w, a.Tenant, a.Session, a.ID)
+	w.join(&array.anyWaiters)
+	if array.states[drmaa.Done]+array.states[drmaa.Failed] > 0 {
+		m.satisfyFromStore(w, array.Tenant, array.Session, array.ID)
 	}
-	return func() { m.giveUp(w) }
+	return func() { m.cancelWait(w) }
 }
 
 // WaitSession is Wait over all jobs of a session, ended ones that are not reaped
 // included.
 func (m *Manager) WaitSession(s *Session, started bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	if started {
-		for j := range s.jobs {
-			if j.State.Started() {
-				done(j, nil)
-				return nothing
+		for job := range s.jobs {
+			if job.State.Started() {
+				done(job, nil)
+				return doNothing
 			}
 		}
 	}
 	w := m.newWaiter(started, timeout, done, nil)
 	w.join(&s.waiters)
 	m.satisfyFromStore(w, s.Tenant, s.Name, "")
-	return func() { m.giveUp(w) }
+	return func() { m.cancelWait(w) }
 }
 
 // satisfyFromStore looks for a job that has ended already. The waiter listens
 // meanwhile, so that none slips through between.
-func (m *Manager) satisfyFromStore(w *waiter, tenant, session, array string) {
+func (m *Manager) satisfyFromStore(waiter *waiter, tenant, session, array string) {
 	var r *Record
-	if !m.keeper.Call(func(ctx context.Context, store Store) (err error) {
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
 		r, err = store.AnyEnded(ctx, tenant, session, array)
 		return err
 	}, func(err error) {
 		switch {
 		case err != nil:
-			m.finish(w, nil, Broken)
+			m.endWait(waiter, nil, StoreFailed)
 		case r != nil:
-			m.finish(w, m.looseJob(r), nil)
+			m.endWait(waiter, m.detachedJob(r), nil)
 		}
 	}) {
-		m.finish(w, nil, Behind)
+		m.endWait(waiter, nil, StoreBehind)
 	}
 }
--- a/internal/node/batch/queue/queue.go
+++ b/internal/node/batch/queue/queue.go
@@ -5,15 +5,15 @@
 
 import "github.com/tidwall/btree"
 
-// Place is a job's place in the order. Places of different jobs differ in ID.
-type Place struct {
+// Key is a job's place in the order. Places of different jobs differ in ID.
+type Key struct {
 	Priority int   // higher goes first
 	Start    int64 // start time, Unix microseconds; what was submitted without one has its submission's
 	Seq      int64 // age: lower goes first
 	ID       string
 }
 
-func before(a, b Place) bool {
+func before(a, b Key) bool {
 	switch {
 	case a.Priority != b.Priority:
 		return a.Priority > b.Priority
@@ -25,27 +25,27 @@
 	return a.ID < b.ID
 }
 
-type entry[T any] struct {
-	Place
+type item[T any] struct {
+	Key
 	value T
 }
 
 // Queue is the jobs in order. Putting, taking and removing cost the logarithm
 // of their number.
-type Queue[T any] struct{ tree *btree.BTreeG[entry[T]] }
+type Queue[T any] struct{ tree *btree.BTreeG[item[T]] }
 
 // New makes an empty queue.
 func New[T any]() *Queue[T] {
-	return &Queue[T]{btree.NewBTreeGOptions(func(a, b entry[T]) bool { return before(a.Place, b.Place) },
+	return &Queue[T]{btree.NewBTreeGOptions(func(a, b item[T]) bool { return before(a.Key, b.Key) },
 		btree.Options{NoLocks: true})}
 }
 
 // Put puts a job in. One that has the place already is replaced.
-func (q *Queue[T]) Put(at Place, value T) { q.tree.Set(entry[T]{at, value}) }
+func (q *Queue[T]) Put(key Key, value T) { q.tree.Set(item[T]{key, value}) }
 
-// Drop takes a job out, and tells whether it was in.
-func (q *Queue[T]) Drop(at Place) bool {
-	_, ok := q.tree.Delete(entry[T]{Place: at})
+// Remove takes a job out, and tells whether it was in.
+func (q *Queue[T]) Remove(key Key) bool {
+	_, ok := q.tree.Delete(item[T]{Key: key})
 	return ok
 }
 
@@ -59,6 +59,6 @@
 func (q *Queue[T]) Len() int { return q.tree.Len() }
 
 // All calls f for each job in order, until it returns false.
-func (q *Queue[T]) All(f func(T) bool) {
-	q.tree.Scan(func(e entry[T]) bool { return f(e.value) })
+func (q *Queue[T]) All(visit func(T) bool) {
+	q.tree.Scan(func(e item[T]) bool { return visit(e.value) })
 }
--- a/internal/node/batch/store/executor.go
+++ b/internal/node/batch/store/executor.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	keeperRoom  = 1024             // calls that wait for the store at most
-	storeWithin = 10 * time.Second // a call that takes longer has failed
+	maxQueuedCalls = 1024             // calls that wait for the store at most
+	callTimeout    = 10 * time.Second // a call that takes longer has failed
 )
 
 // task is one call of the store. then runs on the loop afterwards.
@@ -19,26 +19,26 @@
 	then func(error)
 }
 
-// Keeper calls the store of record, one call after the other, off the loop.
-type Keeper struct {
-	store jobs.Store
-	post  func(func())
-	tasks chan task
-	done  chan struct{}
-	shut  bool // the loop's: no more calls
+// Executor calls the store of record, one call after the other, off the loop.
+type Executor struct {
+	store    jobs.Store
+	post     func(func())
+	tasks    chan task
+	done     chan struct{}
+	shutDown bool // the loop's: no more calls
 }
 
-// NewKeeper starts a keeper. post brings results to the loop.
-func NewKeeper(store jobs.Store, post func(func())) *Keeper {
-	k := &Keeper{store: store, post: post, tasks: make(chan task, keeperRoom), done: make(chan struct{})}
+// NewExecutor starts a keeper. post brings results to the loop.
+func NewExecutor(store jobs.Store, post func(func())) *Executor {
+	k := &Executor{store: store, post: post, tasks: make(chan task, maxQueuedCalls), done: make(chan struct{})}
 	go k.run()
 	return k
 }
 
-func (k *Keeper) run() {
+func (k *Executor) run() {
 	defer close(k.done)
 	for t := range k.tasks {
-		ctx, cancel := context.WithTimeout(context.Background(), storeWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		err := t.do(ctx, k.store)
 		cancel()
 		if err != nil {
@@ -50,8 +50,8 @@
 
 // Call hands a call over, from the loop. It returns false, at once, where too
 // many wait.
-func (k *Keeper) Call(do func(context.Context, jobs.Store) error, then func(error)) bool {
-	if k.shut {
+func (k *Executor) Call(do func(context.Context, jobs.Store) error, then func(error)) bool {
+	if k.shutDown {
 		return false
 	}
 	select {
@@ -62,17 +62,17 @@
 	}
 }
 
-// Shut ends the taking of calls, from the loop.
-func (k *Keeper) Shut() {
-	if !k.shut {
-		k.shut = true
+// Shutdown ends the taking of calls, from the loop.
+func (k *Executor) Shutdown() {
+	if !k.shutDown {
+		k.shutDown = true
 		close(k.tasks)
 	}
 }
 
 // Wait waits, off the loop and after Shut, for the calls handed over, and
 // closes the store.
-func (k *Keeper) Wait() error {
+func (k *Executor) Wait() error {
 	<-k.done
 	return k.store.Close()
 }
--- a/internal/node/batch/store/job_rows.go
+++ b/internal/node/batch/store/job_rows.go
@@ -11,7 +11,7 @@
 	"ospreybend/internal/node/batch/jobs"
 )
 
-const columns = `j.id, j.tenant, j.session, COALESCE(j.client_key, ''), j.digest, j.template, j.submitted_at, j.deadline_at,
+const jobColumns = `j.id, j.tenant, j.session, COALESCE(j.client_key, ''), j.digest, j.template, j.submitted_at, j.deadline_at,
 	j.sent, j.state, j.reason, j.result, j.may_have_run, j.ended_at, j.array_id, j.array_index, j.seq, j.held, j.exit_status,
 	j.dispatched_at, j.started_at, j.steps, j.settled, j.settled_reason, j.settled_at`
 
@@ -23,16 +23,16 @@
 	QueryContext(ctx context.Context, query string, args ...any) (*sql.Rows, error)
 }
 
-func (s *Store) one(ctx context.Context, q queryer, query string, args ...any) (*jobs.Record, error) {
-	all, err := s.many(ctx, q, query, args...)
+func (s *Store) queryOne(ctx context.Context, database queryer, query string, args ...any) (*jobs.Record, error) {
+	all, err := s.queryJobs(ctx, database, query, args...)
 	if err != nil || len(all) == 0 {
 		return nil, err
 	}
 	return all[0], nil
 }
 
-func (s *Store) many(ctx context.Context, q queryer, query string, args ...any) ([]*jobs.Record, error) {
-	out, err := s.read(ctx, q, query, args...)
+func (s *Store) queryJobs(ctx context.Context, database queryer, query string, args ...any) ([]*jobs.Record, error) {
+	out, err := s.scanJobs(ctx, database, query, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -43,7 +43,7 @@
 			continue
 		}
 		if templates[r.Array] == nil {
-			a, err := s.plainArray(ctx, q, `id = ?`, r.Array)
+			a, err := s.scanArray(ctx, database, `id = ?`, r.Array)
 			if err != nil {
 				return nil, err
 			}
@@ -57,56 +57,56 @@
 	return out, nil
 }
 
-func (s *Store) read(ctx context.Context, q queryer, query string, args ...any) (out []*jobs.Record, err error) {
-	rows, err := q.QueryContext(ctx, s.words(query), args...)
+func (s *Store) scanJobs(ctx context.Context, database queryer, query string, args ...any) (out []*jobs.Record, err error) {
+	rows, err := database.QueryContext(ctx, s.rebind(query), args...)
 	if err != nil {
 		return nil, err
 	}
 	defer rows.Close()
 	for rows.Next() {
-		var r jobs.Record
+		var record jobs.Record
 		var template, state, result, steps, settled string
 		var sent, ran, held int
-		if err := rows.Scan(&r.ID, &r.Tenant, &r.Session, &r.ClientKey, &r.Digest, &template, &r.SubmittedAt,
-			&r.DeadlineAt, &sent, &state, &r.Reason, &result, &ran, &r.EndedAt, &r.Array, &r.Index, &r.Seq, &held,
-			&r.ExitStatus, &r.DispatchedAt, &r.StartedAt, &steps, &settled, &r.Settled.Reason, &r.Settled.At); err != nil {
+		if err := rows.Scan(&record.ID, &record.Tenant, &record.Session, &record.ClientKey, &record.Digest, &template, &record.SubmittedAt,
+			&record.DeadlineAt, &sent, &state, &record.Reason, &result, &ran, &record.EndedAt, &record.Array, &record.Index, &record.Seq, &held,
+			&record.ExitStatus, &record.DispatchedAt, &record.StartedAt, &steps, &settled, &record.Settled.Reason, &record.Settled.At); err != nil {
 			return nil, err
 		}
-		if r.Array == "" {
-			if err := json.Unmarshal([]byte(template), &r.Template); err != nil {
-				return nil, fmt.Errorf("job %s: template: %w", r.ID, err)
+		if record.Array == "" {
+			if err := json.Unmarshal([]byte(template), &record.Template); err != nil {
+				return nil, fmt.Errorf("job %s: template: %w", record.ID, err)
 			}
 		}
 		if result != "" {
 			var text string
 			if err := json.Unmarshal([]byte(result), &text); err != nil {
-				return nil, fmt.Errorf("job %s: result: %w", r.ID, err)
+				return nil, fmt.Errorf("job %s: result: %w", record.ID, err)
 			}
-			r.Result = []byte(text)
+			record.Result = []byte(text)
 		}
 		if steps != "" {
-			if err := json.Unmarshal([]byte(steps), &r.Steps); err != nil {
-				return nil, fmt.Errorf("job %s: steps: %w", r.ID, err)
+			if err := json.Unmarshal([]byte(steps), &record.Steps); err != nil {
+				return nil, fmt.Errorf("job %s: steps: %w", record.ID, err)
 			}
 		}
-		r.Settled.Ran = settled == settledRan
-		r.Sent, r.MayHaveRun, r.Held, r.State = sent != 0, ran != 0, held != 0, drmaa.State(state)
-		if r.Held {
-			r.State = r.State.Hold()
+		record.Settled.Ran = settled == settledRan
+		record.Sent, record.MayHaveRun, record.Held, record.State = sent != 0, ran != 0, held != 0, drmaa.State(state)
+		if record.Held {
+			record.State = record.State.Hold()
 		}
-		out = append(out, &r)
+		out = append(out, &record)
 	}
 	return out, rows.Err()
 }
 
-// array reads an array and counts its jobs by state.
-func (s *Store) array(ctx context.Context, q queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
-	a, err := s.plainArray(ctx, q, where, args...)
+// queryArray reads an array and counts its jobs by state.
+func (s *Store) queryArray(ctx context.Context, database queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
+	a, err := s.scanArray(ctx, database, where, args...)
 	if err != nil || a == nil {
 		return nil, err
 	}
 	a.States = map[drmaa.State]int{}
-	rows, err := q.QueryContext(ctx, s.words(`SELECT state, held, COUNT(*) FROM jobs WHERE array_id = ? GROUP BY state, held`), a.ID)
+	rows, err := database.QueryContext(ctx, s.rebind(`SELECT state, held, COUNT(*) FROM jobs WHERE array_id = ? GROUP BY state, held`), a.ID)
 	if err != nil {
 		return nil, err
 	}
@@ -126,8 +126,8 @@
 	return a, rows.Err()
 }
 
-func (s *Store) plainArray(ctx context.Context, q queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
-	rows, err := q.QueryContext(ctx, s.words(`SELECT `+arrayColumns+` FROM arrays WHERE `+where), args...)
+func (s *Store) scanArray(ctx context.Context, database queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
+	rows, err := database.QueryContext(ctx, s.rebind(`SELECT `+arrayColumns+` FROM arrays WHERE `+where), args...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/batch/store/jobs.go
+++ b/internal/node/batch/store/jobs.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/node/faultinjection"
 )
 
-func number(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -33,25 +33,25 @@
 		submitted_at, deadline_at, sent, state, reason, result, may_have_run, ended_at, array_id, array_index, seq, held,
 		category, job_name, accounting_id)
 		VALUES (?, ?, ?, ?, ?, ?, ?, ?, 0, ?, '', '', 0, 0, ?, ?, ?, ?, ?, ?, ?)`
-	keyTaken = `SELECT EXISTS (SELECT 1 FROM jobs WHERE tenant = ? AND client_key = ?)
+	keyExists = `SELECT EXISTS (SELECT 1 FROM jobs WHERE tenant = ? AND client_key = ?)
 		OR EXISTS (SELECT 1 FROM arrays WHERE tenant = ? AND client_key = ?)`
-	markJob   = `UPDATE jobs SET sent = ?, held = ? WHERE id = ? AND ended_at = 0`
+	updateJob = `UPDATE jobs SET sent = ?, held = ? WHERE id = ? AND ended_at = 0`
 	finishJob = `UPDATE jobs SET state = ?, reason = ?, result = ?, may_have_run = ?, ended_at = ?,
 		exit_status = ?, dispatched_at = ?, started_at = ?, steps = ? WHERE id = ? AND ended_at = 0`
 )
 
 // Insert records submissions, each whole or not at all. One whose client key is
 // taken is left out, and what has the key is returned in its place.
-func (s *Store) Insert(ctx context.Context, subs []*jobs.Submission) ([]jobs.Stored, error) {
-	out := make([]jobs.Stored, len(subs))
-	err := s.togetherAt(ctx, faultinjection.InsertBefore, faultinjection.InsertAfter, func(tx *sql.Tx) error {
+func (s *Store) Insert(ctx context.Context, subs []*jobs.Submission) ([]jobs.ExistingSubmission, error) {
+	out := make([]jobs.ExistingSubmission, len(subs))
+	err := s.inTransactionBetween(ctx, faultinjection.InsertBefore, faultinjection.InsertAfter, func(tx *sql.Tx) error {
 		job := tx.StmtContext(ctx, s.insertJob)
 		for i, sub := range subs {
 			var err error
-			if out[i], err = s.taken(ctx, tx, sub); err != nil {
+			if out[i], err = s.findExisting(ctx, tx, sub); err != nil {
 				return err
 			}
-			if out[i] != (jobs.Stored{}) {
+			if out[i] != (jobs.ExistingSubmission{}) {
 				continue
 			}
 			if err := s.insert(ctx, tx, job, sub); err != nil {
@@ -63,8 +63,8 @@
 	return out, err
 }
 
-// taken finds what has a submission's client key.
-func (s *Store) taken(ctx context.Context, tx *sql.Tx, sub *jobs.Submission) (out jobs.Stored, err error) {
+// findExisting finds what has a submission's client key.
+func (s *Store) findExisting(ctx context.Context, tx *sql.Tx, sub *jobs.Submission) (out jobs.ExistingSubmission, err error) {
 	tenant, key := sub.Jobs[0].Tenant, sub.Jobs[0].ClientKey
 	if sub.Array != nil {
 		key = sub.Array.ClientKey
@@ -73,32 +73,32 @@
 		return out, nil
 	}
 	var there bool
-	if err := tx.StmtContext(ctx, s.keyTaken).QueryRowContext(ctx, tenant, key, tenant, key).Scan(&there); err != nil || !there {
+	if err := tx.StmtContext(ctx, s.keyExists).QueryRowContext(ctx, tenant, key, tenant, key).Scan(&there); err != nil || !there {
 		return out, err
 	}
-	if out.Job, err = s.one(ctx, tx, `SELECT `+columns+` FROM jobs j WHERE j.tenant = ? AND j.client_key = ?`, tenant, key); err != nil {
+	if out.Job, err = s.queryOne(ctx, tx, `SELECT `+jobColumns+` FROM jobs j WHERE j.tenant = ? AND j.client_key = ?`, tenant, key); err != nil {
 		return out, err
 	}
 	if out.Job == nil {
-		out.Array, err = s.array(ctx, tx, `tenant = ? AND client_key = ?`, tenant, key)
+		out.Array, err = s.queryArray(ctx, tx, `tenant = ? AND client_key = ?`, tenant, key)
 	}
 	return out, err
 }
 
-func (s *Store) insert(ctx context.Context, tx *sql.Tx, job *sql.Stmt, sub *jobs.Submission) error {
+func (s *Store) insert(ctx context.Context, tx *sql.Tx, job *sql.Stmt, submission *jobs.Submission) error {
 	text := ""
-	if a := sub.Array; a != nil {
+	if a := submission.Array; a != nil {
 		template, err := json.Marshal(a.Template)
 		if err != nil {
 			return err
 		}
-		if _, err := tx.ExecContext(ctx, s.words(`INSERT INTO arrays (id, tenant, session, client_key, digest, template, begin_index,
+		if _, err := tx.ExecContext(ctx, s.rebind(`INSERT INTO arrays (id, tenant, session, client_key, digest, template, begin_index,
 			end_index, step, max_parallel, submitted_at, reaped) VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, 0)`), a.ID, a.Tenant, a.Session,
 			nullable(a.ClientKey), a.Digest, string(template), a.Begin, a.End, a.Step, a.MaxParallel, a.SubmittedAt); err != nil {
 			return err
 		}
 	}
-	for _, r := range sub.Jobs {
+	for _, r := range submission.Jobs {
 		if r.Array == "" {
 			template, err := json.Marshal(r.Template)
 			if err != nil {
@@ -108,19 +108,19 @@
 		}
 		t := r.Template
 		if _, err := job.ExecContext(ctx, r.ID, r.Tenant, r.Session, nullable(r.ClientKey), r.Digest, text, r.SubmittedAt, r.DeadlineAt,
-			string(drmaa.Queued), r.Array, r.Index, r.Seq, number(r.Held), t.RemoteCommand, t.JobName, t.AccountingID); err != nil {
+			string(drmaa.Queued), r.Array, r.Index, r.Seq, boolToInt(r.Held), t.RemoteCommand, t.JobName, t.AccountingID); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Mark changes what unfinished jobs' records say of them.
-func (s *Store) Mark(ctx context.Context, marks []jobs.Mark) error {
-	return s.togetherAt(ctx, faultinjection.MarkBefore, faultinjection.MarkAfter, func(tx *sql.Tx) error {
-		row := tx.StmtContext(ctx, s.mark)
-		for _, m := range marks {
-			if _, err := row.ExecContext(ctx, number(m.Sent), number(m.Held), m.ID); err != nil {
+// Update changes what unfinished jobs' records say of them.
+func (s *Store) Update(ctx context.Context, updates []jobs.RecordUpdate) error {
+	return s.inTransactionBetween(ctx, faultinjection.MarkBefore, faultinjection.MarkAfter, func(tx *sql.Tx) error {
+		row := tx.StmtContext(ctx, s.updateJob)
+		for _, update := range updates {
+			if _, err := row.ExecContext(ctx, boolToInt(update.Sent), boolToInt(update.Held), update.ID); err != nil {
 				return err
 			}
 		}
@@ -130,8 +130,8 @@
 
 // Finish records final states. A job's first one stands.
 func (s *Store) Finish(ctx context.Context, records []*jobs.Record) error {
-	return s.togetherAt(ctx, faultinjection.FinishBefore, faultinjection.FinishAfter, func(tx *sql.Tx) error {
-		row := tx.StmtContext(ctx, s.finish)
+	return s.inTransactionBetween(ctx, faultinjection.FinishBefore, faultinjection.FinishAfter, func(tx *sql.Tx) error {
+		row := tx.StmtContext(ctx, s.finishJob)
 		for _, r := range records {
 			// As JSON, since PostgreSQL's text holds no NUL.
 			result, err := json.Marshal(string(r.Result))
@@ -142,7 +142,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := row.ExecContext(ctx, string(r.State), r.Reason, string(result), number(r.MayHaveRun), r.EndedAt, r.ExitStatus,
+			if _, err := row.ExecContext(ctx, string(r.State), r.Reason, string(result), boolToInt(r.MayHaveRun), r.EndedAt, r.ExitStatus,
 				r.DispatchedAt, r.StartedAt, string(steps), r.ID); err != nil {
 				return err
 			}
@@ -152,11 +152,11 @@
 }
 
 // Reap hides ended jobs from their owner.
-func (s *Store) Reap(ctx context.Context, what jobs.Reaping) (n int, err error) {
-	err = s.together(ctx, func(tx *sql.Tx) error {
+func (s *Store) Reap(ctx context.Context, what jobs.ReapSelector) (n int, err error) {
+	err = s.inTransaction(ctx, func(tx *sql.Tx) error {
 		const reap = `UPDATE jobs SET reaped = 1 WHERE tenant = ? AND session = ? AND ended_at > 0 AND reaped = 0`
 		count := func(statement string, args ...any) error {
-			done, err := tx.ExecContext(ctx, s.words(statement), args...)
+			done, err := tx.ExecContext(ctx, s.rebind(statement), args...)
 			if err != nil {
 				return err
 			}
@@ -165,7 +165,7 @@
 			return err
 		}
 		if what.Array != "" {
-			if _, err := tx.ExecContext(ctx, s.words(`UPDATE arrays SET reaped = 1 WHERE tenant = ? AND id = ?`), what.Tenant, what.Array); err != nil {
+			if _, err := tx.ExecContext(ctx, s.rebind(`UPDATE arrays SET reaped = 1 WHERE tenant = ? AND id = ?`), what.Tenant, what.Array); err != nil {
 				return err
 			}
 			return count(reap+` AND array_id = ?`, what.Tenant, what.Session, what.Array)
@@ -182,16 +182,16 @@
 
 // Job returns a job that is not reaped, or nil.
 func (s *Store) Job(ctx context.Context, tenant, id string) (*jobs.Record, error) {
-	return s.one(ctx, s.db, `SELECT `+columns+` FROM jobs j WHERE j.tenant = ? AND j.id = ? AND j.reaped = 0`, tenant, id)
+	return s.queryOne(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.tenant = ? AND j.id = ? AND j.reaped = 0`, tenant, id)
 }
 
 // Array returns an array that is not reaped, or nil.
 func (s *Store) Array(ctx context.Context, tenant, id string) (*jobs.ArrayRecord, error) {
-	return s.array(ctx, s.db, `tenant = ? AND id = ? AND reaped = 0`, tenant, id)
+	return s.queryArray(ctx, s.db, `tenant = ? AND id = ? AND reaped = 0`, tenant, id)
 }
 
 // Jobs lists jobs that are not reaped, newest first.
-func (s *Store) Jobs(ctx context.Context, tenant, session string, f drmaa.Filter, most int) ([]*jobs.Record, error) {
+func (s *Store) Jobs(ctx context.Context, tenant, session string, filter drmaa.Filter, limit int) ([]*jobs.Record, error) {
 	where, args := []string{"j.reaped = 0"}, []any{}
 	add := func(given bool, condition string, values ...any) {
 		if given {
@@ -200,21 +200,21 @@
 	}
 	add(tenant != "", "j.tenant = ?", tenant)
 	add(session != "", "j.session = ?", session)
-	add(f.Category != "", "j.category = ?", f.Category)
-	add(f.Name != "", "j.job_name = ?", f.Name)
-	add(f.AccountingID != "", "j.accounting_id = ?", f.AccountingID)
-	add(f.Array != "", "j.array_id = ?", f.Array)
-	add(f.SubmittedFrom > 0, "j.submitted_at >= ?", f.SubmittedFrom)
-	add(f.SubmittedTo > 0, "j.submitted_at < ?", f.SubmittedTo)
-	add(f.FinishedFrom > 0, "j.ended_at >= ?", f.FinishedFrom)
-	add(f.FinishedTo > 0, "j.ended_at < ?", f.FinishedTo)
-	add(!f.Unfinished(), "j.ended_at > 0")
-	add(!f.Unfinished() && len(f.States) == 1, "j.state = ?", firstState(f))
-	add(!f.Ended(), "j.ended_at = 0")
-	before := f.Before
+	add(filter.Category != "", "j.category = ?", filter.Category)
+	add(filter.Name != "", "j.job_name = ?", filter.Name)
+	add(filter.AccountingID != "", "j.accounting_id = ?", filter.AccountingID)
+	add(filter.Array != "", "j.array_id = ?", filter.Array)
+	add(filter.SubmittedFrom > 0, "j.submitted_at >= ?", filter.SubmittedFrom)
+	add(filter.SubmittedTo > 0, "j.submitted_at < ?", filter.SubmittedTo)
+	add(filter.FinishedFrom > 0, "j.ended_at >= ?", filter.FinishedFrom)
+	add(filter.FinishedTo > 0, "j.ended_at < ?", filter.FinishedTo)
+	add(!filter.Unfinished(), "j.ended_at > 0")
+	add(!filter.Unfinished() && len(filter.States) == 1, "j.state = ?", firstState(filter))
+	add(!filter.Ended(), "j.ended_at = 0")
+	before := filter.Before
 	add(before != drmaa.Cursor{}, "(j.seq < ? OR j.seq = ? AND j.id > ?)", before.Seq, before.Seq, before.ID)
-	args = append(args, most)
-	return s.many(ctx, s.db, `SELECT `+columns+` FROM jobs j WHERE `+strings.Join(where, " AND ")+` ORDER BY j.seq DESC, j.id LIMIT ?`, args...)
+	args = append(args, limit)
+	return s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+strings.Join(where, " AND ")+` ORDER BY j.seq DESC, j.id LIMIT ?`, args...)
 }
 
 func firstState(f drmaa.Filter) string {
@@ -231,13 +231,13 @@
 	if array != "" {
 		where, args = where+` AND j.array_id = ?`, append(args, array)
 	}
-	return s.one(ctx, s.db, `SELECT `+columns+` FROM jobs j WHERE `+where+` ORDER BY j.ended_at DESC LIMIT 1`, args...)
+	return s.queryOne(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+where+` ORDER BY j.ended_at DESC LIMIT 1`, args...)
 }
 
 // Unfinished returns the jobs that have not ended, in the order of their
 // submission, and the arrays that they are of.
 func (s *Store) Unfinished(ctx context.Context) ([]*jobs.Record, []*jobs.ArrayRecord, error) {
-	records, err := s.many(ctx, s.db, `SELECT `+columns+` FROM jobs j WHERE j.ended_at = 0 ORDER BY j.seq, j.id`)
+	records, err := s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.ended_at = 0 ORDER BY j.seq, j.id`)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -248,7 +248,7 @@
 			continue
 		}
 		seen[r.Array] = true
-		a, err := s.array(ctx, s.db, `id = ?`, r.Array)
+		a, err := s.queryArray(ctx, s.db, `id = ?`, r.Array)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -261,9 +261,9 @@
 }
 
 const (
-	settledRan   = "ran"
-	settledNever = "never ran"
-	undecided    = `state = 'FAILED' AND may_have_run = 1 AND settled = '' AND exit_status < 0`
+	settledRan         = "ran"
+	settledNever       = "never ran"
+	undecidedCondition = `state = 'FAILED' AND may_have_run = 1 AND settled = '' AND exit_status < 0`
 )
 
 // Undecided lists undecided jobs that nobody has settled, the oldest first.
@@ -275,7 +275,7 @@
 	for _, c := range classes {
 		args = append(args, c)
 	}
-	return s.many(ctx, s.db, `SELECT `+columns+` FROM jobs j WHERE `+undecided+` AND (j.seq > ? OR j.seq = ? AND j.id > ?)
+	return s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+undecidedCondition+` AND (j.seq > ? OR j.seq = ? AND j.id > ?)
 		AND j.category IN (?`+strings.Repeat(", ?", len(classes)-1)+`) ORDER BY j.seq, j.id LIMIT ?`, append(args, most)...)
 }
 
@@ -285,7 +285,7 @@
 	if v.Ran {
 		as = settledRan
 	}
-	done, err := s.db.ExecContext(ctx, s.words(`UPDATE jobs SET settled = ?, settled_reason = ?, settled_at = ? WHERE id = ? AND `+undecided),
+	done, err := s.db.ExecContext(ctx, s.rebind(`UPDATE jobs SET settled = ?, settled_reason = ?, settled_at = ? WHERE id = ? AND `+undecidedCondition),
 		as, v.Reason, v.At, id)
 	if err != nil {
 		return false, err
--- a/internal/node/batch/store/lock.go
+++ b/internal/node/batch/store/lock.go
@@ -8,13 +8,13 @@
 	"syscall"
 )
 
-// errTaken is a store that another node has open.
-var errTaken = errors.New("another node has it open")
+// errOpenElsewhere is a store that another node has open.
+var errOpenElsewhere = errors.New("another node has it open")
 
-// lock takes a SQLite file for this process alone, by a lock on a file beside it:
+// lockFile takes a SQLite file for this process alone, by a lock on a file beside it:
 // two nodes on one file would each run its jobs. The system gives it back when the
 // process ends, however it does. A database in memory needs none.
-func lock(path string) (*os.File, error) {
+func lockFile(path string) (*os.File, error) {
 	path = strings.TrimPrefix(path, "file:")
 	if path == "" || strings.Contains(path, ":memory:") {
 		return nil, nil
@@ -25,7 +25,7 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = errTaken
+			err = errOpenElsewhere
 		}
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), f.Close())
 	}
--- a/internal/node/batch/store/store.go
+++ b/internal/node/batch/store/store.go
@@ -26,11 +26,11 @@
 
 // Store is the store of record in a database.
 type Store struct {
-	db       *sql.DB
-	lock     *os.File // nil: none is needed
-	numbered bool     // placeholders are $1, $2, not ?
+	db                   *sql.DB
+	lock                 *os.File // nil: none is needed
+	numberedPlaceholders bool     // placeholders are $1, $2, not ?
 
-	insertJob, keyTaken, mark, finish *sql.Stmt // what is done by the thousand
+	insertJob, keyExists, updateJob, finishJob *sql.Stmt // what is done by the thousand
 }
 
 var _ jobs.Store = (*Store)(nil)
@@ -41,14 +41,14 @@
 func Open(ctx context.Context, kind, source string) (*Store, error) {
 	var driver string
 	var dialect goose.Dialect
-	var held *os.File
+	var lock *os.File
 	switch kind {
 	case "sqlite":
 		// Written through before an acknowledgement, and readable meanwhile.
 		driver, dialect = "sqlite", goose.DialectSQLite3
 		path, query, _ := strings.Cut(source, "?")
 		var err error
-		if held, err = lock(path); err != nil {
+		if lock, err = lockFile(path); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
 		}
 		if !strings.HasPrefix(path, "file:") {
@@ -69,7 +69,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	db.SetMaxOpenConns(1) // the keeper is the only user
-	s := &Store{db: db, lock: held, numbered: kind == "postgres"}
+	s := &Store{db: db, lock: lock, numberedPlaceholders: kind == "postgres"}
 	if err := migrate(ctx, db, dialect); err != nil {
 		return nil, errors.Join(fmt.Errorf("store: %w", err), s.Close())
 	}
@@ -79,8 +79,8 @@
 	for _, p := range []struct {
 		into *(*sql.Stmt)
 		text string
-	}{{&s.insertJob, insertJob}, {&s.keyTaken, keyTaken}, {&s.mark, markJob}, {&s.finish, finishJob}} {
-		if *p.into, err = db.PrepareContext(ctx, s.words(p.text)); err != nil {
+	}{{&s.insertJob, insertJob}, {&s.keyExists, keyExists}, {&s.updateJob, updateJob}, {&s.finishJob, finishJob}} {
+		if *p.into, err = db.PrepareContext(ctx, s.rebind(p.text)); err != nil {
 			return nil, errors.Join(fmt.Errorf("store: %w", err), s.Close())
 		}
 	}
@@ -112,14 +112,14 @@
 // their templates. It goes by small steps, so that a kill within it loses nothing.
 func (s *Store) backfill(ctx context.Context) error {
 	for {
-		rows, err := s.many(ctx, s.db, `SELECT `+columns+` FROM jobs j WHERE j.category = '' AND j.array_id = '' LIMIT 500`)
+		rows, err := s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.category = '' AND j.array_id = '' LIMIT 500`)
 		if err != nil || len(rows) == 0 {
 			return err
 		}
-		if err := s.together(ctx, func(tx *sql.Tx) error {
+		if err := s.inTransaction(ctx, func(tx *sql.Tx) error {
 			for _, r := range rows {
 				t := r.Template
-				if _, err := tx.ExecContext(ctx, s.words(`UPDATE jobs SET category = ?, job_name = ?, accounting_id = ? WHERE id = ?`),
+				if _, err := tx.ExecContext(ctx, s.rebind(`UPDATE jobs SET category = ?, job_name = ?, accounting_id = ? WHERE id = ?`),
 					t.RemoteCommand, t.JobName, t.AccountingID, r.ID); err != nil {
 					return err
 				}
@@ -144,9 +144,9 @@
 	return err
 }
 
-// words writes a statement's placeholders as the database wants them.
-func (s *Store) words(statement string) string {
-	if !s.numbered {
+// rebind writes a statement's placeholders as the database wants them.
+func (s *Store) rebind(statement string) string {
+	if !s.numberedPlaceholders {
 		return statement
 	}
 	var b strings.Builder
@@ -163,22 +163,22 @@
 }
 
 func (s *Store) exec(ctx context.Context, statement string, args ...any) error {
-	_, err := s.db.ExecContext(ctx, s.words(statement), args...)
+	_, err := s.db.ExecContext(ctx, s.rebind(statement), args...)
 	return err
 }
 
-// together does all of f or nothing.
-func (s *Store) together(ctx context.Context, f func(tx *sql.Tx) error) error {
-	return s.togetherAt(ctx, "", "", f)
+// inTransaction does all of f or nothing.
+func (s *Store) inTransaction(ctx context.Context, body func(tx *sql.Tx) error) error {
+	return s.inTransactionBetween(ctx, "", "", body)
 }
 
-// togetherAt is together between two fault points.
-func (s *Store) togetherAt(ctx context.Context, before, after string, f func(tx *sql.Tx) error) error {
+// inTransactionBetween is together between two fault points.
+func (s *Store) inTransactionBetween(ctx context.Context, before, after string, body func(tx *sql.Tx) error) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
 		return err
 	}
-	if err := f(tx); err != nil {
+	if err := body(tx); err != nil {
 		return errors.Join(err, tx.Rollback())
 	}
 	faultinjection.Hit(before)
@@ -187,15 +187,15 @@
 	return err
 }
 
-// rows calls f for each row of a query.
-func (s *Store) rows(ctx context.Context, f func(*sql.Rows) error, query string, args ...any) error {
-	rows, err := s.db.QueryContext(ctx, s.words(query), args...)
+// forEachRow calls f for each row of a query.
+func (s *Store) forEachRow(ctx context.Context, visit func(*sql.Rows) error, query string, args ...any) error {
+	rows, err := s.db.QueryContext(ctx, s.rebind(query), args...)
 	if err != nil {
 		return err
 	}
 	defer rows.Close()
 	for rows.Next() {
-		if err := f(rows); err != nil {
+		if err := visit(rows); err != nil {
 			return err
 		}
 	}
@@ -204,7 +204,7 @@
 
 // Tenants returns all tenants.
 func (s *Store) Tenants(ctx context.Context) (out []jobs.Tenant, err error) {
-	err = s.rows(ctx, func(r *sql.Rows) error {
+	err = s.forEachRow(ctx, func(r *sql.Rows) error {
 		var t jobs.Tenant
 		err := r.Scan(&t.Name, &t.TokenHash, &t.Quota)
 		out = append(out, t)
@@ -222,7 +222,7 @@
 
 // Sessions returns all sessions.
 func (s *Store) Sessions(ctx context.Context) (out []jobs.SessionRecord, err error) {
-	err = s.rows(ctx, func(r *sql.Rows) error {
+	err = s.forEachRow(ctx, func(r *sql.Rows) error {
 		var v jobs.SessionRecord
 		err := r.Scan(&v.Tenant, &v.Name, &v.State)
 		out = append(out, v)
@@ -239,11 +239,11 @@
 
 // DropSession removes a session and hides its jobs from their owner.
 func (s *Store) DropSession(ctx context.Context, tenant, name string) error {
-	return s.together(ctx, func(tx *sql.Tx) error {
+	return s.inTransaction(ctx, func(tx *sql.Tx) error {
 		for _, statement := range []string{`DELETE FROM sessions WHERE tenant = ? AND name = ?`,
 			`UPDATE jobs SET reaped = 1 WHERE tenant = ? AND session = ?`,
 			`UPDATE arrays SET reaped = 1 WHERE tenant = ? AND session = ?`} {
-			if _, err := tx.ExecContext(ctx, s.words(statement), tenant, name); err != nil {
+			if _, err := tx.ExecContext(ctx, s.rebind(statement), tenant, name); err != nil {
 				return err
 			}
 		}
--- a/internal/node/batch/store/store_test.go
+++ b/internal/node/batch/store/store_test.go
@@ -36,11 +36,11 @@
 func one(r *jobs.Record) []*jobs.Submission { return []*jobs.Submission{{Jobs: []*jobs.Record{r}}} }
 
 // The first final state stands, whatever comes later.
-func TestKeepsTheFirstFinalState(t *testing.T) {
+func TestStore_Finish_firstFinalStateStands(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x?y#.db")), context.Background()
 	first := job("1", 1)
 	first.ClientKey = "k"
-	if got, err := s.Insert(ctx, one(first)); err != nil || got[0] != (jobs.Stored{}) {
+	if got, err := s.Insert(ctx, one(first)); err != nil || got[0] != (jobs.ExistingSubmission{}) {
 		t.Fatal(got, err)
 	}
 	second := job("2", 2)
@@ -48,11 +48,11 @@
 	if got, err := s.Insert(ctx, one(second)); err != nil || got[0].Job == nil || got[0].Job.ID != "1" {
 		t.Fatal(got, err)
 	}
-	must(t, s.Mark(ctx, []jobs.Mark{{ID: "1", Sent: true}}))
+	must(t, s.Update(ctx, []jobs.RecordUpdate{{ID: "1", Sent: true}}))
 	must(t, s.Finish(ctx, []*jobs.Record{{ID: "1", State: drmaa.Done, Result: []byte("a\x00b"), EndedAt: 5,
 		Steps: []jobs.Step{{Machine: "m", SentAt: 3, Outcome: "served"}}}}))
 	must(t, s.Finish(ctx, []*jobs.Record{{ID: "1", State: drmaa.Failed, EndedAt: 6}}))
-	must(t, s.Mark(ctx, []jobs.Mark{{ID: "1", Held: true}}))
+	must(t, s.Update(ctx, []jobs.RecordUpdate{{ID: "1", Held: true}}))
 	got, err := s.Job(ctx, "anna", "1")
 	if err != nil || got.State != drmaa.Done || string(got.Result) != "a\x00b" || !got.Sent || got.EndedAt != 5 || got.Steps[0].Machine != "m" {
 		t.Errorf("%+v, %v", got, err)
@@ -77,7 +77,7 @@
 	return sub
 }
 
-func TestArrays(t *testing.T) {
+func TestStore_arrays(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x.db")), context.Background()
 	bulk := bulkOf("A", "k", 5)
 	clash := bulkOf("B", "", 2)
@@ -100,7 +100,7 @@
 	if got, err := s.Insert(ctx, one(single)); err != nil || got[0].Array == nil {
 		t.Errorf("a job under an array's key: %+v, %v", got, err)
 	}
-	must(t, s.Mark(ctx, []jobs.Mark{{ID: "A.2", Held: true}}))
+	must(t, s.Update(ctx, []jobs.RecordUpdate{{ID: "A.2", Held: true}}))
 	must(t, s.Finish(ctx, []*jobs.Record{{ID: "A.1", State: drmaa.Done, EndedAt: 9}}))
 	a, err := s.Array(ctx, "anna", "A")
 	if err != nil || a.States[drmaa.Queued] != 3 || a.States[drmaa.QueuedHeld] != 1 || a.States[drmaa.Done] != 1 {
@@ -113,7 +113,7 @@
 	if r, err := s.AnyEnded(ctx, "anna", "s", "A"); err != nil || r.ID != "A.1" {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if n, err := s.Reap(ctx, jobs.Reaping{Tenant: "anna", Session: "s", Array: "A"}); err != nil || n != 1 {
+	if n, err := s.Reap(ctx, jobs.ReapSelector{Tenant: "anna", Session: "s", Array: "A"}); err != nil || n != 1 {
 		t.Errorf("%d reaped, %v", n, err)
 	}
 	must(t, s.DropSession(ctx, "anna", "s"))
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestFilters(t *testing.T) {
+func TestStore_Jobs_filters(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x.db")), context.Background()
 	for i := range 20 {
 		r := job(fmt.Sprintf("%02d", i), int64(100+i/2))
@@ -163,7 +163,7 @@
 }
 
 // A store that the first version of the program made comes up without loss.
-func TestFromTheFirstTables(t *testing.T) {
+func TestOpen_migratesTheFirstTables(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "old.db")
 	db, err := sql.Open("sqlite", file)
 	must(t, err)
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestUndecided(t *testing.T) {
+func TestStore_Undecided(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x.db")), context.Background()
 	for i := range 6 {
 		_, err := s.Insert(ctx, one(job(fmt.Sprint(i), int64(i+1))))
@@ -240,11 +240,11 @@
 }
 
 // A second node is refused a SQLite file that a first has open.
-func TestOneNodeOnAFile(t *testing.T) {
+func TestOpen_oneNodePerFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.db")
 	first, err := Open(t.Context(), "sqlite", file)
 	must(t, err)
-	if _, err := Open(t.Context(), "sqlite", file); !errors.Is(err, errTaken) || !strings.Contains(err.Error(), file) {
+	if _, err := Open(t.Context(), "sqlite", file); !errors.Is(err, errOpenElsewhere) || !strings.Contains(err.Error(), file) {
 		t.Errorf("a second node: %v", err)
 	}
 	must(t, first.Close())
@@ -256,9 +256,9 @@
 	}
 }
 
-func TestPlaceholders(t *testing.T) {
-	postgres := &Store{numbered: true}
-	if got := postgres.words("a = ? AND b = ?"); got != "a = $1 AND b = $2" {
+func TestStore_rebind(t *testing.T) {
+	postgres := &Store{numberedPlaceholders: true}
+	if got := postgres.rebind("a = ? AND b = ?"); got != "a = $1 AND b = $2" {
 		t.Error(got)
 	}
 	if _, err := Open(t.Context(), "mysql", "x"); err == nil {
--- a/internal/node/batch/window/window_test.go
+++ b/internal/node/batch/window/window_test.go
@@ -14,15 +14,15 @@
 
 func at(ms int) time.Duration { return time.Hour + time.Duration(ms)*time.Millisecond }
 
-func TestGrowsWhileNothingWaits(t *testing.T) {
-	w := New(Config{Most: 32, Target: 20 * time.Millisecond})
+func TestWindow_ObserveStart_growsWithoutDelay(t *testing.T) {
+	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	ms := 0
 	for range 200 {
 		ms += 10
-		for w.Take(at(ms), 1) {
+		for w.Acquire(at(ms), 1) {
 		}
-		w.Started(at(ms), time.Millisecond, true)
-		w.Give(at(ms), 1)
+		w.ObserveStart(at(ms), time.Millisecond, true)
+		w.Release(at(ms), 1)
 	}
 	if got := w.State().Size; got != 32 {
 		t.Errorf("window %v after 200 starts without a wait", got)
@@ -30,44 +30,44 @@
 }
 
 // Without a backlog the window does not grow, whatever the waits.
-func TestUnusedDoesNotGrow(t *testing.T) {
-	w := New(Config{Most: 32, Target: 20 * time.Millisecond})
+func TestWindow_ObserveStart_unusedDoesNotGrow(t *testing.T) {
+	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	for ms := range 500 {
-		w.Take(at(ms), 1)
-		w.Started(at(ms), time.Millisecond, true)
-		w.Started(at(ms), time.Millisecond, false)
-		w.Give(at(ms), 1)
+		w.Acquire(at(ms), 1)
+		w.ObserveStart(at(ms), time.Millisecond, true)
+		w.ObserveStart(at(ms), time.Millisecond, false)
+		w.Release(at(ms), 1)
 	}
-	if got := w.State().Size; got != initial {
+	if got := w.State().Size; got != initialSlots {
 		t.Errorf("window %v", got)
 	}
 }
 
-func TestGivesWayToTheOtherFront(t *testing.T) {
-	w := New(Config{Most: 32, Target: 20 * time.Millisecond})
-	w.size, w.opening = 32, false
-	w.Started(at(0), time.Millisecond, false)
+func TestWindow_ObserveStart_yieldsToTheOtherFront(t *testing.T) {
+	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
+	w.size, w.slowStart = 32, false
+	w.ObserveStart(at(0), time.Millisecond, false)
 	for ms := range 1000 {
-		w.Started(at(ms), 100*time.Millisecond, false)
+		w.ObserveStart(at(ms), 100*time.Millisecond, false)
 	}
-	if got := w.State().Size; got != least {
+	if got := w.State().Size; got != minSlots {
 		t.Errorf("window %v while the other front waits", got)
 	}
-	if !w.Take(at(1000), 8) || w.Take(at(1000), 0.5) {
+	if !w.Acquire(at(1000), 8) || w.Acquire(at(1000), 0.5) {
 		t.Error("the least window lets not exactly one job through")
 	}
 }
 
-func TestHalvesOnceForLossesTogether(t *testing.T) {
-	w := New(Config{Most: 32, Target: 20 * time.Millisecond})
+func TestWindow_ObserveLoss_halvesOnce(t *testing.T) {
+	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	w.size = 32
 	for range 50 {
-		w.Lost(at(0))
+		w.ObserveLoss(at(0))
 	}
 	if got := w.State(); got.Size != 16 || got.Halvings != 1 {
 		t.Errorf("%+v", got)
 	}
-	w.Lost(at(600))
+	w.ObserveLoss(at(600))
 	if got := w.State().Size; got != 8 {
 		t.Errorf("window %v", got)
 	}
@@ -75,56 +75,56 @@
 
 // A refusal shuts the window for the whole backlog, longer with each, until
 // something of ours starts.
-func TestRefusalsShutIt(t *testing.T) {
-	w := New(Config{Most: 32, Target: 20 * time.Millisecond})
+func TestWindow_ObserveRejection_pauses(t *testing.T) {
+	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	now := time.Hour
 	tries := 0
 	for end := now + time.Minute; now < end; now += time.Millisecond {
-		if w.Take(now, 1) {
+		if w.Acquire(now, 1) {
 			tries++
-			w.Give(now, 1)
-			w.Refused(now, 0)
+			w.Release(now, 1)
+			w.ObserveRejection(now, 0)
 		}
 	}
 	if tries > 45 {
 		t.Errorf("%d tries in a minute of refusals", tries)
 	}
-	now += mostShut
-	w.Take(now, 1)
-	w.Started(now, time.Millisecond, true)
-	w.Refused(now, 0)
-	if until, shut := w.Shut(now); !shut || until > now+leastShut {
+	now += maxPause
+	w.Acquire(now, 1)
+	w.ObserveStart(now, time.Millisecond, true)
+	w.ObserveRejection(now, 0)
+	if until, shut := w.Paused(now); !shut || until > now+minPause {
 		t.Errorf("shut until %v from %v", until, now)
 	}
-	w.Refused(now, 300*time.Millisecond)
-	if until, _ := w.Shut(now); until != now+300*time.Millisecond {
+	w.ObserveRejection(now, 300*time.Millisecond)
+	if until, _ := w.Paused(now); until != now+300*time.Millisecond {
 		t.Errorf("the advice is not heeded: %v", until-now)
 	}
 }
 
 // A base delay that has risen for good is taken for the base after the minutes
 // that it is kept.
-func TestBaseIsForgotten(t *testing.T) {
-	w := New(Config{Most: 32, Target: 20 * time.Millisecond})
-	w.Started(time.Hour, time.Millisecond, false)
+func TestWindow_baseDelay_oldMinimaExpire(t *testing.T) {
+	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
+	w.ObserveStart(time.Hour, time.Millisecond, false)
 	for m := range 12 {
-		w.Started(time.Hour+time.Duration(m)*time.Minute, 50*time.Millisecond, false)
+		w.ObserveStart(time.Hour+time.Duration(m)*time.Minute, 50*time.Millisecond, false)
 	}
-	if base := w.lowest(time.Hour+12*time.Minute, 50*time.Millisecond); base != 50*time.Millisecond {
+	if base := w.baseDelay(time.Hour+12*time.Minute, 50*time.Millisecond); base != 50*time.Millisecond {
 		t.Errorf("base %v", base)
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestWindow_bounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := New(Config{Most: float64(rapid.IntRange(0, 40).Draw(t, "most")), Target: 20 * time.Millisecond})
+		w := New(Config{MaxSlots: float64(rapid.IntRange(0, 40).Draw(t, "most")), DelayTarget: 20 * time.Millisecond})
 		now, used := time.Hour, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			slots := float64(rapid.IntRange(1, 4).Draw(t, "slots"))
 			switch rapid.IntRange(0, 3).Draw(t, "call") {
 			case 0:
-				if w.Take(now, slots) {
+				if w.Acquire(now, slots) {
 					if used > 0 && used+slots > w.State().Size {
 						t.Fatal("let through what does not fit")
 					}
@@ -132,27 +132,27 @@
 				}
 			case 1:
 				if used >= slots {
-					w.Give(now, slots)
+					w.Release(now, slots)
 					used -= slots
 				}
 			case 2:
-				w.Started(now, time.Duration(rapid.IntRange(0, 500).Draw(t, "wait"))*time.Millisecond, rapid.Bool().Draw(t, "ours"))
+				w.ObserveStart(now, time.Duration(rapid.IntRange(0, 500).Draw(t, "wait"))*time.Millisecond, rapid.Bool().Draw(t, "ours"))
 			default:
-				w.Lost(now)
+				w.ObserveLoss(now)
 			}
-			if s := w.State(); s.Size < least || s.Size > max(w.config.Most, least) || s.Used != used {
+			if s := w.State(); s.Size < minSlots || s.Size > max(w.config.MaxSlots, minSlots) || s.Used != used {
 				t.Fatalf("%+v, %v used", s, used)
 			}
 		}
 	})
 }
 
-// farm is a first-come farm of workers, for trying the law out: jobs of the
+// serverFarm is a first-come farm of workers, for trying the law out: jobs of the
 // batch front behind a window, and the other front's straight in.
-type farm struct {
+type serverFarm struct {
 	free int
 	line []*work
-	ends ends
+	ends endHeap
 }
 
 type work struct {
@@ -162,26 +162,26 @@
 	end  time.Duration
 }
 
-type ends []*work
+type endHeap []*work
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].end < e[j].end }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(*work)) }
-func (e *ends) Pop() any {
+func (e endHeap) Len() int           { return len(e) }
+func (e endHeap) Less(i, j int) bool { return e[i].end < e[j].end }
+func (e endHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endHeap) Push(x any)        { *e = append(*e, x.(*work)) }
+func (e *endHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// play runs a farm of 8 slots for a minute with the other front at a load, with
+// simulate runs a farm of 8 slots for a minute with the other front at a load, with
 // or without an endless backlog, and returns the other front's mean wait and the
 // share of slot time that was in use.
-func play(load float64, backlog bool) (wait time.Duration, busy float64) {
+func simulate(load float64, backlog bool) (wait time.Duration, busy float64) {
 	const slots, run, span = 8, 100 * time.Millisecond, time.Minute
-	w := New(Config{Most: 64, Target: 20 * time.Millisecond})
-	f := farm{free: slots}
+	w := New(Config{MaxSlots: 64, DelayTarget: 20 * time.Millisecond})
+	f := serverFarm{free: slots}
 	seed := uint64(1)
 	random := func() float64 { // a plain generator, so that the outcome is the same for ever
 		seed = seed*6364136223846793005 + 1442695040888963407
@@ -191,7 +191,7 @@
 	var n int
 	now, next := time.Duration(0), time.Duration(0)
 	for now < span {
-		for backlog && w.Take(now, 1) {
+		for backlog && w.Acquire(now, 1) {
 			f.line = append(f.line, &work{ours: true, came: now, run: time.Duration((0.5 + random()) * float64(run))})
 		}
 		for f.free > 0 && len(f.line) > 0 {
@@ -199,7 +199,7 @@
 			f.line, f.free = f.line[1:], f.free-1
 			j.end = now + j.run
 			heap.Push(&f.ends, j)
-			w.Started(now, now-j.came+time.Millisecond, j.ours)
+			w.ObserveStart(now, now-j.came+time.Millisecond, j.ours)
 			if !j.ours {
 				waits, n = waits+now-j.came, n+1
 			}
@@ -210,7 +210,7 @@
 			now = j.end
 			f.free++
 			if j.ours {
-				w.Give(now, 1)
+				w.Release(now, 1)
 			}
 			continue
 		}
@@ -223,10 +223,10 @@
 
 // The law on a model farm: a backlog fills what is left over, and what the other
 // front waits stays near the target.
-func TestFillsWhatIsLeftOver(t *testing.T) {
+func TestWindow_usesSpareCapacity(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
-		alone, idle := play(load, false)
-		with, busy := play(load, true)
+		alone, idle := simulate(load, false)
+		with, busy := simulate(load, true)
 		t.Logf("load %.1f: the other front waits %v alone, %v beside a backlog; slots in use %.2f, %.2f", load, alone, with, idle, busy)
 		if with > alone+25*time.Millisecond {
 			t.Errorf("load %.1f: the other front waits %v, alone %v", load, with, alone)
--- a/internal/node/eventloop/nodelay_test.go
+++ b/internal/node/eventloop/nodelay_test.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-type mute struct{}
+type silentHandler struct{}
 
-func (mute) Data(_ *Conn, in []byte) int { return len(in) }
-func (mute) Closed(*Conn)                {}
+func (silentHandler) Data(_ *Conn, in []byte) int { return len(in) }
+func (silentHandler) Closed(*Conn)                {}
 
 // What is written leaves at once, on accepted, dialled and adopted connections alike: small writes that the
 // system holds back go with a connection that is reset.
-func TestNoDelay(t *testing.T) {
+func TestConn_noDelay(t *testing.T) {
 	l, err := NewLoop(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -31,10 +31,10 @@
 		t.Fatal(err)
 	}
 	accepted, dialled := make(chan *Conn, 1), make(chan *Conn, 1)
-	in := l.Accept(ln, 4, func(c *Conn) Handler { accepted <- c; return mute{} }, func() {})
+	in := l.Accept(ln, 4, func(c *Conn) Handler { accepted <- c; return silentHandler{} }, func() {})
 	defer in.Close()
 	l.Call(func() {
-		l.Dial(ln.Addr().String(), 5*time.Second, mute{}, func(c *Conn, err error) {
+		l.Dial(ln.Addr().String(), 5*time.Second, silentHandler{}, func(c *Conn, err error) {
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/balance"
 )
 
-func none(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
 func example(t *testing.T) string {
 	t.Helper()
@@ -22,8 +22,8 @@
 }
 
 // The example names the report's fields with blanks, as a real node's settings do.
-func TestExample(t *testing.T) {
-	n, err := Parse([]byte(example(t)), none)
+func TestLoad_example(t *testing.T) {
+	n, err := Parse([]byte(example(t)), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 
 // The node starts within the smallest limits there are, and gives out no more
 // descriptors than it has; the operators' are set aside.
-func TestDescriptorsAreDividedUp(t *testing.T) {
+func TestParse_dividesDescriptors(t *testing.T) {
 	for _, sockets := range []int{128, 192, 256, 384, 512, 1024} {
 		limits := strings.Replace(strings.Replace(example(t), `"admin": "127.0.0.1:9901",`, "", 1), `"sockets": 1024`, `"sockets": `+strconv.Itoa(sockets), 1)
 		limits = strings.Replace(limits, `"memory_mb": 192`, `"memory_mb": 32`, 1)
@@ -56,7 +56,7 @@
 }
 
 // Each message names the key at fault.
-func TestFaultyKeysAreNamed(t *testing.T) {
+func TestParse_errorsNameTheKey(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"127.0.0.1:8080"`, `"here"`, "listen"},
 		{`"127.0.0.1:9901"`, `"here"`, "admin"},
@@ -71,7 +71,7 @@
 		{`"non_idempotent"`, `"never"`, "grades.2.repeat"},
 	} {
 		text := strings.Replace(example(t), c[0], c[1], 1)
-		if _, err := Parse([]byte(text), none); err == nil || !strings.Contains(err.Error(), c[2]) {
+		if _, err := Parse([]byte(text), emptyEnv); err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s: %v, want it to name %s", c[1], err, c[2])
 		}
 	}
@@ -79,8 +79,8 @@
 
 // What a new configuration changes beside discovery takes effect at a start
 // alone; the seed and the known list are new at each start.
-func TestNeedRestart(t *testing.T) {
-	old, err := Parse([]byte(example(t)), none)
+func TestNode_NeedRestart(t *testing.T) {
+	old, err := Parse([]byte(example(t)), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 		{`"sockets": 1024`, `"sockets": 512`, "limits.sockets"},
 		{`"maxAttempts": 4`, `"maxAttempts": 5`, "settings"},
 	} {
-		n, err := Parse([]byte(strings.Replace(example(t), c[0], c[1], 1)), none)
+		n, err := Parse([]byte(strings.Replace(example(t), c[0], c[1], 1)), emptyEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,17 +102,17 @@
 }
 
 // On the platform the batch front is off, and nothing of it opens.
-func TestBatchFrontIsOff(t *testing.T) {
+func TestLoadBatch_offByDefault(t *testing.T) {
 	b, err := LoadBatch(func(string) string { return "../../../deploy/batch.toml" })
 	if err != nil || b != (Batch{}) {
 		t.Errorf("%+v, %v", b, err)
 	}
-	if b, err := LoadBatch(none); err != nil || b.Enabled {
+	if b, err := LoadBatch(emptyEnv); err != nil || b.Enabled {
 		t.Errorf("without a file: %+v, %v", b, err)
 	}
 }
 
-func TestBatchKeys(t *testing.T) {
+func TestParseBatch(t *testing.T) {
 	on := "enabled = true\nlisten = \"127.0.0.1:1\"\nstore = \"sqlite\"\nsource = \"x\"\n"
 	if b, err := ParseBatch(on); err != nil || !b.Enabled {
 		t.Errorf("%+v, %v", b, err)
--- a/internal/node/nodeconfig/fleet_test.go
+++ b/internal/node/nodeconfig/fleet_test.go
@@ -27,7 +27,7 @@
 `
 
 // Each fault is named by its key, and a file that is off asks for nothing.
-func TestFleetFile(t *testing.T) {
+func TestParseFleet(t *testing.T) {
 	f, err := ParseFleet(goodFleet)
 	if err != nil || f.Voter.Listen != "127.0.0.1:7301" || len(f.VoterIDs()) != 3 {
 		t.Fatalf("%+v, %v", f, err)
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -13,7 +13,7 @@
 )
 
 // withAdmin opens the operators' address of a world. record may be nil.
-func (w *world) withAdmin(t *testing.T, record func(string, bool, func(override.Overrides, error))) (a *Admin) {
+func (w *fixture) withAdmin(t *testing.T, record func(string, bool, func(override.Overrides, error))) (a *Admin) {
 	t.Helper()
 	at := scriptedpeer.Free(t)
 	w.Loop.Call(func() {
@@ -29,7 +29,7 @@
 }
 
 // call makes one call, and looks for a text in the answer.
-func (w *world) call(t *testing.T, line, want string) {
+func (w *fixture) call(t *testing.T, line, want string) {
 	t.Helper()
 	w.Play(lines("o dial admin", "o send "+line+` HTTP/1.1\r\nHost: x\r\n\r\n`, "o closed"))
 	if got := w.Unread("o"); !strings.Contains(got, want) {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (w *world) figures(t *testing.T, want ...string) {
+func (w *fixture) figures(t *testing.T, want ...string) {
 	t.Helper()
 	for _, line := range want {
 		w.call(t, "GET /-/metrics", "\nbalancer."+line+"\n")
@@ -46,8 +46,8 @@
 
 // All calls and their faults. Callers that say nothing, or half a call, keep nobody
 // waiting, however many there are.
-func TestAdminCalls(t *testing.T) {
-	w := newWorld(t, nil)
+func TestAdmin_calls(t *testing.T) {
+	w := newFixture(t, nil)
 	a := w.withAdmin(t, nil)
 	for i := range 30 {
 		name := fmt.Sprint("silent", i)
@@ -68,8 +68,8 @@
 }
 
 // Calls that concern the fleet are there only where the node belongs to one.
-func TestFleetCalls(t *testing.T) {
-	w := newWorld(t, nil)
+func TestAdmin_fleetCalls(t *testing.T) {
+	w := newFixture(t, nil)
 	a := w.withAdmin(t, nil)
 	w.call(t, "GET /-/fleet", " 404 ")
 	w.Loop.Call(func() {
@@ -92,8 +92,8 @@
 
 // The figures are what the peers have seen: a job at work, served, turned away by a
 // prep worker, left by its client.
-func TestFigures(t *testing.T) {
-	w := newWorld(t, nil)
+func TestAdmin_Metrics(t *testing.T) {
+	w := newFixture(t, nil)
 	w.withAdmin(t, nil)
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi")
 	w.figures(t, "attempts:1|c", "in_flight:1|g", "prep_workers_known:2|g", "prep_workers_excluded:0|g")
@@ -121,8 +121,8 @@
 
 // A prep worker that is out gets nothing new, whatever the list says. Back, its start
 // is the call, and connections from before are not used again.
-func TestOutAndBackByHand(t *testing.T) {
-	w := newWorld(t, nil)
+func TestAdmin_overrideOutAndBack(t *testing.T) {
+	w := newFixture(t, nil)
 	w.withAdmin(t, nil)
 	s1 := workerIDOf("s-1")
 	ready := func() (is bool) {
@@ -167,12 +167,12 @@
 
 // What cannot be recorded gets a no within the second. Out holds all the same; back
 // does not.
-func TestUnrecorded(t *testing.T) {
+func TestAdmin_overrideNotRecorded(t *testing.T) {
 	for _, record := range []func(string, bool, func(override.Overrides, error)){
 		func(_ string, _ bool, done func(override.Overrides, error)) { done(nil, errors.New("no room left")) },
 		func(string, bool, func(override.Overrides, error)) {}, // it hangs
 	} {
-		w := newWorld(t, nil)
+		w := newFixture(t, nil)
 		a := w.withAdmin(t, record)
 		for _, verb := range []string{"disable", "enable"} {
 			w.Play(`o dial admin` + "\n" + `o send PUT /-/prep-workers/s-1/` + verb + ` HTTP/1.1\r\n\r\n`)
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -21,7 +21,7 @@
 // the table of these moments.
 
 // busy plays steps while the node's loop is held up, and then has it do what else there is.
-func (w *world) busy(text string, then func()) {
+func (w *fixture) busy(text string, then func()) {
 	w.Loop.Call(func() {
 		w.Play(text)
 		if then != nil {
@@ -30,35 +30,35 @@
 	})
 }
 
-func (w *world) steps() (n uint64) {
+func (w *fixture) steps() (n uint64) {
 	w.Loop.Call(func() { n = w.core.Counts().Steps })
 	return n
 }
 
 // sockets returns the clients' connections, on the loop.
-func (w *world) sockets() (all []*clientConn) {
+func (w *fixture) sockets() (all []*clientConn) {
 	w.front.sockets.All(func(_ slottable.Handle, f *clientConn) { all = append(all, f) })
 	return all
 }
 
 // lone leaves one prep worker, so that a connection that rests is the next request's.
-func (w *world) lone() {
+func (w *fixture) lone() {
 	w.Loop.Call(func() {
 		w.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges,
 			Workers: []balance.WorkerListing{{Worker: workerIDOf("s-2"), State: balance.Gone}}})
 	})
 }
 
-func (w *world) gone(n uint64) {
+func (w *fixture) gone(n uint64) {
 	w.Until(func() bool { return w.core.Counts().Gone == n })
 }
 
 // A client sends its request and is gone before the loop, busy until then, has read a byte of it:
 // nothing is begun for it, whichever way it went.
-func TestClientGoneBeforeItIsRead(t *testing.T) {
+func TestFront_clientGoneBeforeItIsRead(t *testing.T) {
 	for _, leaves := range []string{"leaves", "close", "resets"} {
 		t.Run(leaves, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newFixture(t, nil)
 			w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
 			w.busy("c send {ask}\nc arrives\nc "+leaves, nil)
 			w.gone(1)
@@ -71,8 +71,8 @@
 }
 
 // The second of two requests in one piece is not begun either where the client has left behind them.
-func TestClientGoneBehindTwoRequests(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_clientGoneBehindTwoRequests(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\nc send {book}\nc arrives")
 	w.busy("s send {stream}{done}\ns arrives\nc leaves", nil)
 	w.Until(func() bool {
@@ -85,8 +85,8 @@
 }
 
 // An attempt comes back as never run, and behind it the client's leave: there is no further one.
-func TestClientGoneBeforeTheNextAttempt(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_clientGoneBeforeTheNextAttempt(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
 	w.busy(`s send HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n`+"\ns arrives\nc leaves", nil)
 	w.gone(1)
@@ -98,13 +98,13 @@
 
 // A client leaves while the connection for its attempt is made. Where the settings let nothing be
 // called off, not a byte goes out all the same; so too where the loop has not read its leave.
-func TestClientGoneWhileConnecting(t *testing.T) {
-	for name, leave := range map[string]func(*world, *Call){
-		"told":   func(_ *world, c *Call) { c.conn.close() },
-		"unread": func(w *world, _ *Call) { w.Play("c leaves") },
+func TestFront_clientGoneWhileConnecting(t *testing.T) {
+	for name, leave := range map[string]func(*fixture, *Call){
+		"told":   func(_ *fixture, c *Call) { c.conn.close() },
+		"unread": func(w *fixture, _ *Call) { w.Play("c leaves") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.Cancel = false })
+			w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.Cancel = false })
 			w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
 			w.Loop.Call(func() {
 				f := w.sockets()[0]
@@ -128,8 +128,8 @@
 
 // A prep worker closes a resting connection in the moment in which a booking is to go over it: it
 // goes over a new one. Nothing has run, and the client sees nothing of it.
-func TestRestingConnectionEndsAtTheSend(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_idleConnectionEndsAtTheSend(t *testing.T) {
+	w := newFixture(t, nil)
 	w.lone()
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect fine\nwait 1s")
 	w.busy("c send {book}\nc arrives\ns leaves", nil)
@@ -142,8 +142,8 @@
 
 // A second answer comes after the last line, before the connection's next request is written or
 // after: it is nobody's answer, and no client gets it.
-func TestSecondAnswer(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_secondResponse(t *testing.T) {
+	w := newFixture(t, nil)
 	w.lone()
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect fine\nwait 1s")
 	w.busy("c send {book}\nc arrives\ns send {stream}{done}\ns arrives", nil)
@@ -157,8 +157,8 @@
 
 // A second answer may be some milliseconds late, and say that it never ran: what must not run
 // twice does not go over a connection that has only just become free.
-func TestOnceShunsWhatHasJustRested(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_nonIdempotentAvoidsJustIdleConnections(t *testing.T) {
+	w := newFixture(t, nil)
 	w.lone()
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect fine\nc send {book}")
 	w.Play("r accept workers\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200")
@@ -168,9 +168,9 @@
 
 // Prep workers drop repeats of a request for a second. The connection for a repeat comes up only when
 // that second is over: not a byte goes out, as they would run it once more.
-func TestRepeatWhoseConnectionComesLate(t *testing.T) {
+func TestFront_repeatWhoseConnectionComesLate(t *testing.T) {
 	for late, want := range map[time.Duration]balance.Outcome{0: balance.Served, 980 * time.Millisecond: balance.ConnectFailed} {
-		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) {
+		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
 			s.Classes[1].Effect, s.Classes[1].Window = balance.Deduplicated, time.Second
 		})
 		w.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
@@ -194,9 +194,9 @@
 }
 
 // The connection for an attempt comes up late. The time that the prep worker is told is what is left by then.
-func TestTimeLeftWhenTheConnectionComesLate(t *testing.T) {
+func TestDestinations_remainingTimeAfterALateConnect(t *testing.T) {
 	for late, want := range map[time.Duration]string{0: "3.000", 200 * time.Millisecond: "2.800", 2500 * time.Millisecond: "0.500"} {
-		w := newWorld(t, nil)
+		w := newFixture(t, nil)
 		w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
 		w.Loop.Call(func() {
 			f := w.sockets()[0]
@@ -214,8 +214,8 @@
 
 // The node leaves, and in that moment a request comes on a connection that rests: it is answered,
 // as the last there, and not cut off unread.
-func TestRequestAsTheNodeLeaves(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_Stop_requestArrives(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
 	w.busy("c send {ask}\nc arrives", func() { w.front.Stop(0, func() {}) })
 	w.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect Connection: close\nc expect fine\nc ended")
@@ -224,8 +224,8 @@
 
 // The node stops listening while a client that the system has let in waits to be accepted: its
 // request is answered, not reset.
-func TestClientInTheBacklogAsTheNodeLeaves(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_Stop_clientInTheBacklog(t *testing.T) {
+	w := newFixture(t, nil)
 	// The first is being handed to the loop, which stands; the second waits behind it.
 	// The third asks nothing: the node does not wait for it as long as for a usual client.
 	w.busy("a dial front\na send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc dial front\nc send {ask}\nc arrives\nmute dial front", func() { w.front.Stop(0, func() {}) })
@@ -236,8 +236,8 @@
 
 // A request that is read after the node has ended its sending is not sent on, and what the client
 // has had before is not taken from it by a reset. The node is not done before the client is.
-func TestRequestAfterTheNodeHasLeft(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_Stop_requestAfterwards(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n")
 	drained := false
 	w.Until(func() bool {
@@ -260,8 +260,8 @@
 }
 
 // A connection on which nothing came in time is ended; not where its request comes just then.
-func TestRequestAtTheEndOfItsTime(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_requestAtItsTimeout(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play("c dial front")
 	w.Until(func() bool { return w.front.sockets.Len() == 1 })
 	w.Advance(requestTimeout - 5*time.Millisecond)
@@ -275,12 +275,12 @@
 }
 
 // A prep worker that answers nonsense all the time is told of once in a while, with all counted.
-func TestNonsenseIsLoggedNowAndThen(t *testing.T) {
+func TestServer_malformedRequestsAreLoggedSparsely(t *testing.T) {
 	var log bytes.Buffer
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.lone()
 	w.Play("c dial front")
 	for range 3 {
@@ -296,8 +296,8 @@
 
 // A client asks on and on and reads no answer: the node keeps no more of them than an answer may be
 // long, and ends the connection.
-func TestAnswersNeverRead(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_clientNeverReadsAnswers(t *testing.T) {
+	w := newFixture(t, nil)
 	c, err := net.Dial("tcp", w.front.config.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -325,8 +325,8 @@
 
 // At the limit of connections one that rests goes, so that the next client finds room; not one
 // whose request has come and is not read yet.
-func TestEvictedAsItsRequestComes(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 1 })
+func TestServer_evictedAsItsRequestComes(t *testing.T) {
+	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 1 })
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200\nwait 1s")
 	w.busy("c send {ask}\nc arrives", func() {
 		if w.front.shedOne() {
@@ -341,9 +341,9 @@
 
 // A prep worker hangs in the middle of its answer's body, or breaks the connection long after it has begun. A booking has
 // failed, at the end of its time or at once, and is sent nowhere else; what may be repeated is, and its client served by that.
-func TestEndsLongAfterItsStart(t *testing.T) {
+func TestServer_connectionEndsLongAfterItsStart(t *testing.T) {
 	half := scriptedpeer.Chunk(`{"id":"b1","state":"started"}`) + `40\r\n{"id":"b1","state":"do`
-	w := newWorld(t, nil)
+	w := newFixture(t, nil)
 	w.Words["half"] = half
 	w.Play(lines("c dial front", "c send {book}", "s accept workers", "s expect Req-Id: b1", "s send {stream}{half}",
 		"wait 3s", "c expect HTTP/1.1 502", "s closed"))
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -116,7 +116,7 @@
 // the 6 s after which it counts as told, as far as it can answer so many by then. Then a change ends all watches in one
 // instant, so that they are opened anew together, and all fall silent. They do not end together: the service has calls to
 // answer as early as half of the longest hold later.
-func TestCrowdAtAServiceThatAnswersInTurn(t *testing.T) {
+func TestDiscovery_manyClientsAtASerialService(t *testing.T) {
 	const nodes, known = 16, 6 * time.Second
 	for seed := range uint64(5) {
 		stage := scriptedpeer.New(t)
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -18,9 +18,9 @@
 
 // A watch may fall silent at any moment of its hold, with its connection open. It is given
 // up and asked anew well before what it misses counts as told, 6 s after it fell silent.
-func TestSilentAtAnyMomentOfTheHold(t *testing.T) {
+func TestDiscovery_silentAtAnyMomentOfTheWatch(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
-		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 		w.Words["same"] = answered(sameList)
 		w.Play(fmt.Sprintf(`
 			wait 100ms
@@ -50,11 +50,11 @@
 }
 
 // An answer may come split at any byte, and indented.
-func TestListSplitAndIndented(t *testing.T) {
+func TestDiscovery_listSplitAndIndented(t *testing.T) {
 	text := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	for at := 1; at < len(whole); at += 3 {
-		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 		w.Words["one"], w.Words["two"] = whole[:at], whole[at:]
 		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
 		if at+3 >= len(whole) && w.ready("s-1") {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (w *world) ready(name string) (is bool) {
+func (w *fixture) ready(name string) (is bool) {
 	w.Loop.Call(func() {
 		w.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
 			is = is || w.discovery.NameOf(id) == name && state == balance.Ready
@@ -74,8 +74,8 @@
 
 // The version goes backwards, as where another service answers or one has begun anew. Changes since
 // then do not fit the list here: all of it is asked for at once, and the watch goes on from there.
-func TestVersionGoesBackwards(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+func TestDiscovery_versionGoesBackwards(t *testing.T) {
+	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = answered(sameList)
 	w.Words["older"] = answered(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
 	w.Words["all"] = answered(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
@@ -91,8 +91,8 @@
 
 // A call cut in the middle of its answer is one that failed: it is asked anew at once, and
 // nothing of it counts.
-func TestListCutInTheMiddle(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+func TestDiscovery_listCutInTheMiddle(t *testing.T) {
+	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = answered(sameList)
 	w.Play(`
 		wait 100ms
@@ -114,12 +114,12 @@
 // refuses, says nothing, breaks off, or answers without an end. It may return right behind any call,
 // which is lost too, and take 2 s to answer the next: no two lie further apart than 4 s, so that the
 // change is known within 6 s of the return, whatever time for asking the settings give.
-func TestDownWhileAChangeCountsAsTold(t *testing.T) {
+func TestDiscovery_serviceDownDuringAChange(t *testing.T) {
 	const known, turn = 6 * time.Second, 2 * time.Second
 	for how, says := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
 		"never ends": `{stream}1\r\n{\r\n`} {
 		for _, down := range []time.Duration{1700 * time.Millisecond, 8 * time.Second, 60 * time.Second} {
-			w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) {
+			w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
 				s.SubscribeDiscovery, s.Rules.SubscribeWithin, s.Balancers = true, 20*time.Second, 300
 			})
 			w.Words["same"] = answered(sameList)
@@ -160,8 +160,8 @@
 
 // Where lists are pushed the agent is asked from the start on, soon again while it is silent,
 // and clients are to come once it has been asked.
-func TestPushedList(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDiscovery_pushedList(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
 	w.Words["back"] = answered(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
 	w.Loop.Call(func() {
@@ -200,12 +200,12 @@
 
 // What is wrong with an entry is logged by the entry and the field, and counted; the
 // destination stays as it was last told, and the others are taken in.
-func TestSpoiltEntries(t *testing.T) {
+func TestDiscovery_invalidEntries(t *testing.T) {
 	var log bytes.Buffer
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["spoilt"] = answered(`{"index":9,"snapshot":true,"endpoints":[` +
 		`{"name":"s-1","address":"somewhere","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:9","status":"Ready"},` +
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -10,9 +10,9 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// world is a node on a stage, with stand-ins for its destinations and its pool
+// fixture is a node on a stage, with stand-ins for its destinations and its pool
 // config.
-type world struct {
+type fixture struct {
 	*scriptedpeer.Stage
 	core         *routing.Core
 	front        *Front
@@ -20,12 +20,12 @@
 	discovery    *Discovery
 }
 
-// newWorld sets up a node of two destinations, both played by the stand-in
+// newFixture sets up a node of two destinations, both played by the stand-in
 // "workers", with two classes: 'pruefen' may be repeated, 'buchen' must never
 // run twice.
-func newWorld(t *testing.T, change func(*balance.Settings, *FrontConfig)) *world {
+func newFixture(t *testing.T, change func(*balance.Settings, *FrontConfig)) *fixture {
 	t.Helper()
-	w := &world{Stage: scriptedpeer.New(t)}
+	w := &fixture{Stage: scriptedpeer.New(t)}
 	class := func(e balance.Effect) balance.Class {
 		return balance.Class{LatencyTarget: 2 * time.Second, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Kind: -1}
 	}
@@ -71,12 +71,12 @@
 }
 
 // outcomes returns how often each outcome came, as told to the module.
-func (w *world) outcomes() (n [balance.NotSent + 1]uint64) {
+func (w *fixture) outcomes() (n [balance.NotSent + 1]uint64) {
 	w.Loop.Call(func() { n = w.core.Counts().Outcomes })
 	return n
 }
 
-func (w *world) balanced(t *testing.T) {
+func (w *fixture) balanced(t *testing.T) {
 	t.Helper()
 	w.Loop.Call(func() {
 		c := w.core.Counts()
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -16,7 +16,7 @@
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
 // A request that comes in pieces, cut at any byte, is what it is in one piece.
-func TestRequestsCutAnywhere(t *testing.T) {
+func TestServer_requestsSplitAnywhere(t *testing.T) {
 	head := "POST /a HTTP/1.1\r\n"
 	chunked := head + "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"
 	requests := []string{head + "Req-Id: a\r\nContent-Length: 5\r\n\r\nhello", "\r\n\r\nPOST /a?x=y HTTP/1.1\nReq-Id: a\n\n",
@@ -46,7 +46,7 @@
 }
 
 // drip sends a text byte by byte, and has the loop turn after each.
-func (w *world) drip(name, text string) {
+func (w *fixture) drip(name, text string) {
 	for i := 0; i < len(text); i++ {
 		part := text[i : i+1]
 		switch part {
@@ -62,8 +62,8 @@
 }
 
 // Clients, prep workers, the pool config and operators may all send byte by byte.
-func TestEverythingByteByByte(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_everythingByteByByte(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Words["blank"] = " "
 	w.withAdmin(t, nil)
 	w.Loop.Call(w.discovery.Fetch)
@@ -87,7 +87,7 @@
 
 // A prep worker's answer ends at any byte, with the connection. Only a whole last line is a result, its chunk whole or not, and only
 // a whole answer that declines proves that nothing ran: else a booking has failed, and is not sent again.
-func TestAnswersCutAnywhere(t *testing.T) {
+func TestDestinations_responsesCutAnywhere(t *testing.T) {
 	type answer struct {
 		text string
 		from int // bytes that are a result, or prove that nothing ran
@@ -103,7 +103,7 @@
 	full := "HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno"
 	for name, a := range map[string]answer{"done": {done, len(done) - 2, "c expect HTTP/1.1 200"}, "returned": {back, len(back) - 2, ""},
 		"declined": {full, len(full), ""}} {
-		w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.MaxAttempts = 1 })
+		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.MaxAttempts = 1 })
 		w.Play("c dial front")
 		for end := range len(a.text) + 1 {
 			w.Words["cut"] = a.text[:end]
@@ -122,8 +122,8 @@
 
 // An answer whose last line has come and whose end never does: its client is served, and its connection is not kept for
 // ever. There would be no descriptor for the next ones.
-func TestAnswersWithoutAnEnd(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_responsesWithoutAnEnd(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Words["endless"] = strings.TrimSuffix(w.Words["done"], `0\r\n\r\n`)
 	w.Play("c dial front")
 	for range w.destinations.config.MaxConnections + 2 {
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -11,7 +11,7 @@
 )
 
 // move hands over all that a world holds to another one, parcels written and read.
-func (w *world) move(t *testing.T, to *world) (texts [][]byte) {
+func (w *fixture) move(t *testing.T, to *fixture) (texts [][]byte) {
 	t.Helper()
 	var sockets [][]*os.File
 	w.Loop.Call(func() {
@@ -38,8 +38,8 @@
 // A job at work moves with half a line of its answer read, and goes on where it was;
 // a connection that has asked before may stand idle after the move too. A parcel that
 // is spoilt, or came with other sockets, is refused.
-func TestMoved(t *testing.T) {
-	old, next := newWorld(t, nil), newWorld(t, nil)
+func TestFront_HandOver(t *testing.T) {
+	old, next := newFixture(t, nil), newFixture(t, nil)
 	started := scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)
 	old.Play(`
 		idle dial front
@@ -78,8 +78,8 @@
 
 // A booking that was written and whose connection cannot be moved may have run: it
 // fails in the next process and is not sent again.
-func TestWrittenAndNotMoved(t *testing.T) {
-	old, next := newWorld(t, nil), newWorld(t, nil)
+func TestFront_HandOver_unflushedStays(t *testing.T) {
+	old, next := newFixture(t, nil), newFixture(t, nil)
 	old.Play("c dial front\nc send {book}\ns accept workers\ns expect b1")
 	next.Loop.Call(func() {}) // both are up
 	var ref slottable.Handle
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -14,8 +14,8 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-func TestServedOverOneWarmConnection(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_servedOverOneIdleConnection(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -37,8 +37,8 @@
 
 // A client's own key passes on as it came: by it prep workers drop repeats, and one that a node made
 // up, left out or changed is none that a client sent.
-func TestKeyPassesOn(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_idempotencyKeyIsForwarded(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nidempotency-key:  5c0f 6E1a, 2b \r\nContent-Length: 2\r\n\r\nhi
@@ -57,8 +57,8 @@
 }
 
 // Requests come split anywhere, and several at once.
-func TestSplitAndPipelined(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_splitAndPipelined(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send POST /pruefen HTTP/1.1\r\nReq-
@@ -78,8 +78,8 @@
 }
 
 // What cannot be read gets a 4xx or 5xx and the end of the connection.
-func TestMalformedRequests(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_malformedRequests(t *testing.T) {
+	w := newFixture(t, nil)
 	head := `POST /pruefen HTTP/1.1\r\nReq-Id: a\r\n`
 	for name, c := range map[string][2]string{
 		"no request":      {`what\r\n\r\n`, "400"},
@@ -130,8 +130,8 @@
 
 // The id of a request in work may not come a second time: as a second copy it
 // could end the first, which is another client's. Afterwards it may.
-func TestSecondRequestOfAnOpenID(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_secondRequestOfAnOpenID(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -163,8 +163,8 @@
 
 // What a destination can make nothing of is the client's fault: it is not tried
 // elsewhere, and the module does not hold it against the destination.
-func TestDestinationRejects(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_destinationRejects(t *testing.T) {
+	w := newFixture(t, nil)
 	for range 3 {
 		w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi",
 			`s send HTTP/1.1 400 X\r\nConnection: close\r\nContent-Length: 2\r\n\r\nno`, "c expect HTTP/1.1 400", "c closed"))
@@ -179,8 +179,8 @@
 }
 
 // A body of just 64 KiB is in order.
-func TestLargestBody(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_largestBody(t *testing.T) {
+	w := newFixture(t, nil)
 	body := strings.Repeat("x", maxBodyBytes-3) + "end"
 	w.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 65536\r\n\r\n`+body,
 		"s accept workers", "s expect xend", "s send {stream}{done}", "c expect fine"))
@@ -188,8 +188,8 @@
 
 // A client that goes away is owed nothing: its step is called off, which closes
 // the step's connection.
-func TestClientGone(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_clientGone(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -206,7 +206,7 @@
 
 // PROTOCOL's table of outcomes. Each answer ends a booking's first step. What
 // never ran is sent again, or refused; what may have run never is.
-func TestOutcomeTable(t *testing.T) {
+func TestDestinations_outcomes(t *testing.T) {
 	line := func(state string) string {
 		return `{stream}` + scriptedpeer.Chunk(`{"id":"b1","state":"`+state+`"}`) + `0\r\n\r\n`
 	}
@@ -230,7 +230,7 @@
 		"interim, then served": {`HTTP/1.1 100 Continue\r\n\r\n{stream}{booked}`, balance.Served},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newFixture(t, nil)
 			w.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send "+c.answer))
 			switch {
 			case c.want == balance.Served:
@@ -250,8 +250,8 @@
 
 // A break after the last byte may have run: a booking is not sent again, and
 // not refused, as a refusal would invite the client to repeat it.
-func TestBreakAfterTheLastByte(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_connectionBreaksAfterTheLastByte(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s close", "c expect HTTP/1.1 502"))
 	if n := w.outcomes(); n[balance.Reset] != 1 {
 		t.Errorf("outcomes %v", n)
@@ -261,8 +261,8 @@
 // A kept connection that breaks at its next request leaves open whether that
 // ran. Once one has, a booking gets a new connection, for a while; what may be
 // repeated still takes what is there.
-func TestBookingsShunKeptConnectionsAfterOneBroke(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_nonIdempotentAvoidsIdleConnectionsAfterOneBroke(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Loop.Call(func() { // one destination, so that it is clear which connection is meant
 		up := balance.ListUpdate{Kind: balance.ListChanges}
 		for id, to := range w.destinations.byID {
@@ -285,8 +285,8 @@
 
 // A refused connection proves that nothing ran: after the last attempt the
 // booking is refused, which is harmless.
-func TestConnectRefused(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_connectRefused(t *testing.T) {
+	w := newFixture(t, nil)
 	none := scriptedpeer.Free(t)
 	w.Loop.Call(func() {
 		for id, to := range w.destinations.byID {
@@ -301,8 +301,8 @@
 
 // What the module does not answer in time is answered shortly before the
 // deadline, and the step's connection closes with it.
-func TestDeadline(t *testing.T) {
-	w := newWorld(t, nil)
+func TestFront_deadline(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send {book}
@@ -317,12 +317,12 @@
 
 // The destination is told to drain, or taken out by hand, while the connection to it
 // is made: not a byte may go out, since the limit counts from a send's first byte.
-func TestDrainWhileConnecting(t *testing.T) {
+func TestDestinations_drainWhileConnecting(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
-		drainWhileConnecting(t, func(w *world, up balance.ListUpdate) { w.core.PoolChanged(up) })
+		drainWhileConnecting(t, func(w *fixture, up balance.ListUpdate) { w.core.PoolChanged(up) })
 	})
 	t.Run("by hand", func(t *testing.T) {
-		drainWhileConnecting(t, func(w *world, up balance.ListUpdate) {
+		drainWhileConnecting(t, func(w *fixture, up balance.ListUpdate) {
 			w.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
 			for _, l := range up.Workers {
 				w.discovery.Republish(l.Worker)
@@ -331,8 +331,8 @@
 	})
 }
 
-func drainWhileConnecting(t *testing.T, drain func(*world, balance.ListUpdate)) {
-	w := newWorld(t, nil)
+func drainWhileConnecting(t *testing.T, drain func(*fixture, balance.ListUpdate)) {
+	w := newFixture(t, nil)
 	w.Loop.Call(func() {
 		up := balance.ListUpdate{Kind: balance.ListChanges}
 		for id := range w.destinations.byID {
@@ -357,8 +357,8 @@
 
 // A connection is closed before the destination would close it: a request that
 // crosses that closing ends as a reset, and may have run.
-func TestIdleConnectionClosesFirst(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_idleConnectionClosesFirst(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi", "s send {stream}{done}",
 		"c expect fine", "wait 59500ms", "s closed"))
 	w.Loop.Call(func() {
@@ -370,8 +370,8 @@
 
 // The pool config's list is watched without a gap; a call that fails is told to
 // the module, which asks again.
-func TestDiscovery(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+func TestDiscovery_watchAndFetch(t *testing.T) {
+	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 	w.Words["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
 	w.Words["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
@@ -405,8 +405,8 @@
 
 // A watch that falls silent is given up, and asked anew, before what it had to
 // tell counts as told: 2 s past the hold.
-func TestSilentDiscoveryIsNoticedInTime(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+func TestDiscovery_silenceIsNoticedInTime(t *testing.T) {
+	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(`
 		wait 100ms
@@ -424,8 +424,8 @@
 // A new configuration moves the watch to another address at once. The node goes
 // on with its list and version there, and the end of the old watch is no failure:
 // the module would wait a while before it asked again.
-func TestDiscoveryMoves(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+func TestDiscovery_SetAddress(t *testing.T) {
+	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Words["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
@@ -454,8 +454,8 @@
 
 // After SIGTERM the node serves on, says at /healthz that it leaves, and closes
 // each connection with its last answer.
-func TestLeaving(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_Stop(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -500,8 +500,8 @@
 
 // Who brings no whole request within 2.8 seconds is told so, or closed where
 // nothing has come; a request that comes piece by piece has as long, no more.
-func TestUnfinishedRequests(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_unfinishedRequests(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play("silent dial front")
 	w.Until(func() bool { return w.front.sockets.Len() == 1 })
 	w.Play(`
@@ -541,8 +541,8 @@
 
 // Near the limit those that have brought nothing go first, then what stands still
 // for long; a usual client's idle connection is opened anew, half a job is not.
-func TestSilentAreShedFirst(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
+func TestServer_shedsSilentConnectionsFirst(t *testing.T) {
+	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
 		"half dial front", `half send POST /pruefen HTTP/1.1\r\n`))
@@ -556,8 +556,8 @@
 
 // A request that comes over more than two seconds is served, also while many others
 // stand half written or idle.
-func TestSlowRequestInACrowd(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
+func TestServer_slowRequestAmongMany(t *testing.T) {
+	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
 	w.Words["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
 	w.Play("slow dial front")
 	var slow *clientConn
@@ -594,8 +594,8 @@
 
 // Silent connections come by hundreds at once; a usual client that comes right
 // behind them finds room.
-func TestUsualClientBehindABurst(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
+func TestServer_regularClientBehindABurst(t *testing.T) {
+	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	for i := range 11 {
 		w.Play(fmt.Sprintf("silent%d dial front", i))
 	}
@@ -605,8 +605,8 @@
 
 // Where every socket has a request in work who comes is told so at once, in
 // place of waiting unheard in the system's queue.
-func TestAllSocketsAtWork(t *testing.T) {
-	w := newWorld(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = lastSockets+1, 1 })
+func TestServer_allSocketsBusy(t *testing.T) {
+	w := newFixture(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = lastSockets+1, 1 })
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -622,8 +622,8 @@
 }
 
 // Unfinished requests share one budget of memory; past it the largest goes.
-func TestInputBudget(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
+func TestServer_inputBudget(t *testing.T) {
+	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
 	part := func(name string, bytes int) string {
 		return lines(name+" dial front", name+` send POST /pruefen HTTP/1.1\r\nReq-Id: `+name+`\r\nContent-Length: 65536\r\n\r\n`+
 			strings.Repeat("x", bytes))
@@ -640,8 +640,8 @@
 
 // A client that writes on at full speed still gets the error, and its
 // descriptor comes back.
-func TestErrorArrivesAtFullSpeed(t *testing.T) {
-	w := newWorld(t, nil)
+func TestServer_errorArrivesAtFullSpeed(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 60000000\r\n\r\n
@@ -656,7 +656,7 @@
 
 // Whatever the cuts, a request is read as if it had come at once, and a line
 // once gone over is not read again.
-func TestReaderGoesOn(t *testing.T) {
+func TestRequestReader_resumes(t *testing.T) {
 	for _, text := range []string{
 		"\r\nPOST /a HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 2\r\n\r\nhi",
 		"POST /a HTTP/1.1\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\nh\r\n1\r\ni\r\n0\r\nT: x\r\n\r\n",
@@ -684,8 +684,8 @@
 }
 
 // At the limit of front sockets the one idle longest makes room.
-func TestFrontSocketsAtTheLimit(t *testing.T) {
-	w := newWorld(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
+func TestServer_socketsAtTheLimit(t *testing.T) {
+	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "b dial front", "b "+health, "b expect 200",
 		"wait 1s", "c dial front", "c "+health, "c expect 200", "a closed", "b "+health, "b expect 200"))
@@ -693,8 +693,8 @@
 
 // A connection given up while it is being made counts until its socket is
 // closed: descriptors would else be given out twice.
-func TestGivenUpDialKeepsItsPlace(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_abandonedDialCountsUntilClosed(t *testing.T) {
+	w := newFixture(t, nil)
 	step := slottable.Handle(99)
 	w.Loop.Call(func() {
 		for id := range w.destinations.byID {
@@ -711,15 +711,15 @@
 
 // At the limit of connections to destinations a step fails as not connected,
 // which never ran, and the node goes on.
-func TestDestinationsAtTheLimit(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_connectionsAtTheLimit(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Loop.Call(func() { w.destinations.config.MaxConnections = 0 })
 	w.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503",
 		`c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
-func TestLoadReports(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_loadReports(t *testing.T) {
+	w := newFixture(t, nil)
 	c := &destinationConn{owner: w.destinations}
 	for text, want := range map[string][2]float32{
 		`{"queue":7,"x0":2}`:   {7, 2},
@@ -738,8 +738,8 @@
 
 // A process that may be killed soon answers all before: what may run twice is
 // refused, what must not has failed, and what comes later has no longer either.
-func TestAnsweredBeforeTheEnd(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_outcomeBeforeTheEndOfTheResponse(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Play(`
 		c dial front
 		c send {ask}
@@ -769,8 +769,8 @@
 
 // A destination says by its answer to a probe that it wants nothing new. Nothing goes there for a while,
 // though the list has it as ready.
-func TestProbeRefused(t *testing.T) {
-	w := newWorld(t, nil)
+func TestDestinations_probeRejected(t *testing.T) {
+	w := newFixture(t, nil)
 	w.Words["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
 	w.lone()
 	w.Loop.Call(func() { w.destinations.Probe(workerIDOf("s-1")) })
--- a/internal/node/routing/core_test.go
+++ b/internal/node/routing/core_test.go
@@ -9,8 +9,8 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// far is all that stands round a core in a test.
-type far struct {
+// fakeAdapters is all that stands round a core in a test.
+type fakeAdapters struct {
 	now     time.Duration
 	line    timerqueue.Queue
 	sent    []slottable.Handle
@@ -18,30 +18,30 @@
 	answers []Answer
 }
 
-func (f *far) Now() time.Duration { return f.now }
-func (f *far) Send(step slottable.Handle, _ balance.WorkerID, _ *Work, _ time.Duration) {
+func (f *fakeAdapters) Now() time.Duration { return f.now }
+func (f *fakeAdapters) Send(step slottable.Handle, _ balance.WorkerID, _ *Work, _ time.Duration) {
 	f.sent = append(f.sent, step)
 }
-func (f *far) Abort(step slottable.Handle)                                   { f.aborted = append(f.aborted, step) }
-func (f *far) Probe(balance.WorkerID)                                        {}
-func (f *far) CloseIdle(balance.WorkerID)                                    {}
-func (f *far) Watch(bool)                                                    {}
-func (f *far) Fetch()                                                        {}
-func (f *far) SendMessage(int, []byte)                                       {}
-func (f *far) Answered(_ slottable.Handle, a Answer)                         { f.answers = append(f.answers, a) }
-func (f *far) Started(slottable.Handle, balance.WorkerID)                    {}
-func (f *far) StepSent(slottable.Handle, balance.WorkerID)                   {}
-func (f *far) StepEnded(slottable.Handle, balance.WorkerID, balance.Outcome) {}
-func (f *far) run(until time.Duration) {
+func (f *fakeAdapters) Abort(step slottable.Handle)                                   { f.aborted = append(f.aborted, step) }
+func (f *fakeAdapters) Probe(balance.WorkerID)                                        {}
+func (f *fakeAdapters) CloseIdle(balance.WorkerID)                                    {}
+func (f *fakeAdapters) Watch(bool)                                                    {}
+func (f *fakeAdapters) Fetch()                                                        {}
+func (f *fakeAdapters) SendMessage(int, []byte)                                       {}
+func (f *fakeAdapters) Answered(_ slottable.Handle, a Answer)                         { f.answers = append(f.answers, a) }
+func (f *fakeAdapters) Started(slottable.Handle, balance.WorkerID)                    {}
+func (f *fakeAdapters) StepSent(slottable.Handle, balance.WorkerID)                   {}
+func (f *fakeAdapters) StepEnded(slottable.Handle, balance.WorkerID, balance.Outcome) {}
+func (f *fakeAdapters) run(until time.Duration) {
 	for ; f.now < until; f.now += time.Millisecond {
 		f.line.Run(f.now)
 	}
 }
 
 // newCore has one ready worker, number 7, and one operation with a step out.
-func newCore(t *testing.T) (*Core, *far, slottable.Handle) {
+func newCore(t *testing.T) (*Core, *fakeAdapters, slottable.Handle) {
 	t.Helper()
-	f := &far{now: time.Hour}
+	f := &fakeAdapters{now: time.Hour}
 	c, err := New(balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond,
 		Classes: []balance.Class{{LatencyTarget: time.Second, Timeout: time.Second, Value: 1, Effect: balance.NonIdempotent, Kind: -1}},
 		Limits:  balance.Limits{MaxAttempts: 2, Cancel: true}, Rules: balance.Rules{InitialCapacity: 1}}, 1, f, &f.line)
@@ -59,7 +59,7 @@
 }
 
 // Whatever comes twice or late, an operation gets one answer.
-func TestOneFinalAnswer(t *testing.T) {
+func TestCore_oneFinalAnswer(t *testing.T) {
 	c, f, op := newCore(t)
 	c.StepEnded(f.sent[0], StepEnd{Outcome: balance.Served, Result: []byte("x")})
 	c.StepEnded(f.sent[0], StepEnd{Outcome: balance.Reset})
@@ -73,7 +73,7 @@
 
 // With nothing heard the answer comes before the client gives up, the step is
 // called off, and the booking may have run: it is failed, not refused.
-func TestSilenceUntilTheDeadline(t *testing.T) {
+func TestCore_silenceUntilTheDeadline(t *testing.T) {
 	c, f, _ := newCore(t)
 	f.run(f.now + time.Second)
 	if len(f.answers) != 1 || f.answers[0].Verdict != Failed || !f.answers[0].MayHaveRun || len(f.aborted) != 1 {
@@ -85,7 +85,7 @@
 }
 
 // Withdrawn operations get no answer, and their steps are called off.
-func TestWithdraw(t *testing.T) {
+func TestCore_Withdraw(t *testing.T) {
 	c, f, op := newCore(t)
 	if !c.MayHaveRun(op) {
 		t.Error("a step is out, and nothing may have run")
@@ -98,7 +98,7 @@
 }
 
 // A destination told to drain gets nothing new, whatever the module thinks.
-func TestNothingNewToADrainingDestination(t *testing.T) {
+func TestCore_nothingNewToADrainingDestination(t *testing.T) {
 	c, f, _ := newCore(t)
 	if !c.MayStart(f.sent[0]) {
 		t.Error("a step to a ready destination may not start")
@@ -114,22 +114,22 @@
 	}
 }
 
-// gated is an owner whose steps wait for it.
-type gated struct {
-	*far
+// gatedOwner is an owner whose steps wait for it.
+type gatedOwner struct {
+	*fakeAdapters
 	open []func(bool)
 }
 
-func (g *gated) BeforeSend(_ slottable.Handle, open func(bool)) { g.open = append(g.open, open) }
+func (g *gatedOwner) BeforeSend(_ slottable.Handle, open func(bool)) { g.open = append(g.open, open) }
 
 // newGated has one ready worker and one operation whose step is before its gate.
-func newGated(t *testing.T) (*Core, *gated, slottable.Handle) {
+func newGated(t *testing.T) (*Core, *gatedOwner, slottable.Handle) {
 	t.Helper()
 	c, f, first := newCore(t)
 	c.StepEnded(f.sent[0], StepEnd{Outcome: balance.Served})
 	c.forget(first, &operation{})
 	f.sent, f.answers = nil, nil
-	g := &gated{far: f}
+	g := &gatedOwner{fakeAdapters: f}
 	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: g})
 	c.Route(op)
 	if len(g.open) != 1 || len(f.sent) != 0 || c.MayHaveRun(op) {
@@ -138,7 +138,7 @@
 	return c, g, op
 }
 
-func TestGateOpens(t *testing.T) {
+func TestCore_gateOpens(t *testing.T) {
 	c, g, op := newGated(t)
 	g.open[0](true)
 	g.open[0](true) // a second word changes nothing
@@ -153,15 +153,17 @@
 
 // What is over, late, or at a destination that drains or is gone does not go out
 // when its gate opens at last, and has never run.
-func TestGateOpensTooLate(t *testing.T) {
-	for name, meanwhile := range map[string]func(c *Core, g *gated, op slottable.Handle){
-		"withdrawn": func(c *Core, _ *gated, op slottable.Handle) { c.Withdraw(op) },
-		"draining": func(c *Core, _ *gated, _ slottable.Handle) {
+func TestCore_gateOpensTooLate(t *testing.T) {
+	for name, meanwhile := range map[string]func(c *Core, g *gatedOwner, op slottable.Handle){
+		"withdrawn": func(c *Core, _ *gatedOwner, op slottable.Handle) { c.Withdraw(op) },
+		"draining": func(c *Core, _ *gatedOwner, _ slottable.Handle) {
 			c.PoolChanged(balance.ListUpdate{Workers: []balance.WorkerListing{{Worker: 7, Scale: 1, State: balance.Draining}}})
 		},
-		"gone":     func(c *Core, _ *gated, _ slottable.Handle) { c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull}) },
-		"deadline": func(_ *Core, g *gated, _ slottable.Handle) { g.run(g.now + 3*time.Second) },
-		"refused":  func(_ *Core, g *gated, _ slottable.Handle) { g.open[0](false) },
+		"gone": func(c *Core, _ *gatedOwner, _ slottable.Handle) {
+			c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull})
+		},
+		"deadline": func(_ *Core, g *gatedOwner, _ slottable.Handle) { g.run(g.now + 3*time.Second) },
+		"refused":  func(_ *Core, g *gatedOwner, _ slottable.Handle) { g.open[0](false) },
 	} {
 		c, g, op := newGated(t)
 		meanwhile(c, g, op)
--- a/internal/node/simwire/wire_test.go
+++ b/internal/node/simwire/wire_test.go
@@ -75,7 +75,7 @@
 
 func read(b []byte) (Batch, error) { return ReadBatch(bufio.NewReader(bytes.NewReader(b))) }
 
-func TestEveryEvent(t *testing.T) {
+func TestReadBatch_everyEvent(t *testing.T) {
 	for name, c := range events() {
 		got, err := read(frame(c.frame))
 		if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestEveryEventCutShort(t *testing.T) {
+func TestReadBatch_everyEventCutShort(t *testing.T) {
 	for name, c := range events() {
 		for n := range len(c.frame) {
 			if _, err := read(frame(c.frame[:n])); err == nil || errors.Is(err, io.EOF) {
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestFrames(t *testing.T) {
+func TestReadBatch_frames(t *testing.T) {
 	gone := le(uint8(6), uint32(3), uint64(12))
 	two, err := read(frame(gone, gone))
 	if err != nil || len(two.Records) != 2 {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestReadBatch_malformed(t *testing.T) {
 	gone := le(uint8(6), uint32(3), uint64(12))
 	cases := map[string]struct {
 		input []byte
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestEveryAction(t *testing.T) {
+func TestReply_Add_everyAction(t *testing.T) {
 	cases := []struct {
 		action balance.Action
 		want   []byte
@@ -201,7 +201,7 @@
 some.new.key=whatever
 `
 
-func TestSettings(t *testing.T) {
+func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings(settingsText)
 	if err != nil {
 		t.Fatal(err)
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestSettingsMalformed(t *testing.T) {
+func TestParseSettings_malformed(t *testing.T) {
 	for _, c := range []string{"balancers=two", "balancers=1.5", "zone", "discovery=shout",
 		"grades.count=-1", "grades.count=999999999", "bounds.probes=perhaps", "rules.coldFrom=NaN",
 		"resolutionUs=-5", "rules.coldUs=1e300"} {
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -16,7 +16,7 @@
 
 func cases() []kase {
 	all := slices.Concat(managerCases, sessionCases, templateCases, jobCases, arrayCases, waitCases, listCases, eventCases, monitoringCases)
-	for _, name := range slices.Sorted(maps.Keys(drmaa.Refused)) {
+	for _, name := range slices.Sorted(maps.Keys(drmaa.UnsupportedAttributes)) {
 		value := `"x"`
 		if name == "jobEnvironment" {
 			value = `{"A":"b"}`
@@ -123,7 +123,7 @@
 	{"array.bulk", "GFD.194 7.2", "runBulkJobs makes one job for each index from begin to end by step", func(t *trial) {
 		a, err := t.session.RunBulk(t.ctx, drmaa.Bulk{Template: &drmaa.JobTemplate{RemoteCommand: t.class, SubmitAsHold: true}, Begin: 3, End: 12, Step: 4})
 		t.must(err)
-		if a.Jobs != 3 || a.States[drmaa.QueuedHeld] != 3 || a.Over {
+		if a.Jobs != 3 || a.States[drmaa.QueuedHeld] != 3 || a.AllEnded {
 			t.fail("%+v", a)
 		}
 		var indexes []int
@@ -180,7 +180,7 @@
 		t.must(err)
 		over, err := t.session.WaitArray(t.ctx, a.ID)
 		t.must(err)
-		if !over.Over || over.States[drmaa.Done]+over.States[drmaa.Failed] != 6 {
+		if !over.AllEnded || over.States[drmaa.Done]+over.States[drmaa.Failed] != 6 {
 			t.fail("%+v", over)
 		}
 		_, err = t.session.ActOnArray(t.ctx, a.ID, "hold")
--- a/internal/testkit/conformance/conform.go
+++ b/internal/testkit/conformance/conform.go
@@ -77,7 +77,7 @@
 	if c.Within == 0 {
 		c.Within = 30 * time.Second
 	}
-	cl, err := client.New(c.URL, c.Token, client.WithTries(3))
+	cl, err := client.New(c.URL, c.Token, client.WithMaxAttempts(3))
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	for _, q := range queues {
-		if q.Once {
+		if q.NonIdempotent {
 			first.once = q.Name
 		} else {
 			first.class = q.Name
--- a/internal/testkit/conformance/session_cases.go
+++ b/internal/testkit/conformance/session_cases.go
@@ -13,7 +13,7 @@
 	{"manager.attributes", "GFD.194 7.1", "the session manager tells its names and versions", func(t *trial) {
 		m, err := t.client.Manager(t.ctx)
 		t.must(err)
-		if m.DrmsName == "" || m.DrmsVersion == "" || m.DrmaaName == "" || m.DrmaaVersion == "" || m.MostBulk < 1 {
+		if m.DrmsName == "" || m.DrmsVersion == "" || m.DrmaaName == "" || m.DrmaaVersion == "" || m.MaxBulkJobs < 1 {
 			t.fail("%+v", m)
 		}
 	}},
@@ -25,7 +25,7 @@
 				t.fail("nothing is said of %s", name)
 			}
 		}
-		if m.Supports["JT_EMAIL"] != (m.Refused["email"] == "") || m.Supports["JT_STAGING"] != (m.Refused["stageInFiles"] == "") {
+		if m.Supports["JT_EMAIL"] != (m.UnsupportedAttributes["email"] == "") || m.Supports["JT_STAGING"] != (m.UnsupportedAttributes["stageInFiles"] == "") {
 			t.fail("supports and the refused attributes disagree")
 		}
 	}},
@@ -109,7 +109,7 @@
 		for _, c := range [][2]string{{"minSlots", "-1"}, {"minSlots", "1e9"}, {"maxSlots", "-1"}, {"maxSlots", "0.5"}, {"priority", "5000"},
 			{"priority", `"high"`}, {"deadline", "-1"}, {"deadlineTime", `"soon"`}, {"deadlineTime", `"2001-01-01T00:00:00Z"`},
 			{"startTime", `"9999-01-01T00:00:00Z"`}, {"startTime", "5"}, {"x_costHint", "-1"}, {"args", `[".."]`}, {"args", `[""]`},
-			{"jobName", `"\u0007"`}, {"jobCategory", `"no such class"`}, {"input", `"` + strings.Repeat("x", drmaa.MostInput+1) + `"`}} {
+			{"jobName", `"\u0007"`}, {"jobCategory", `"no such class"`}, {"input", `"` + strings.Repeat("x", drmaa.MaxInputBytes+1) + `"`}} {
 			t.refused(t.call("POST", t.path("/jobs"), t.template(c[0], c[1])), 400, drmaa.InvalidArgument, c[0])
 		}
 	}},
