--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -107,8 +107,10 @@
 
 // New returns an agent. Start must be called next, on the loop.
 func New(config Config, loop Loop, dispatcher Dispatcher, reporter Reporter) *Agent {
-	a := &Agent{config: config, loop: loop, dispatcher: dispatcher, reporter: reporter, rng: config.Rand, steps: map[slottable.Handle]*pendingStep{},
-		follower: follower.New(loop.Now(), config.Settings, config.Fleet, config.Name, config.Zone, config.Incarnation, len(config.Classes), config.Rand)}
+	a := &Agent{config: config, loop: loop, dispatcher: dispatcher, reporter: reporter, rng: config.Rand,
+		steps: map[slottable.Handle]*pendingStep{}}
+	a.follower = follower.New(loop.Now(), config.Settings, config.Fleet, config.Name, config.Zone, config.Incarnation,
+		len(config.Classes), config.Rand)
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.voters = slices.Clone(config.Voters)
 	// The voters of the own zone come first. The others are in random order, so that processes that
--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -41,6 +41,9 @@
 	return "phase " + strconv.Itoa(int(p))
 }
 
+// Serves reports whether a zone in this phase takes regular traffic; evacuated and probing zones do not.
+func (p Phase) Serves() bool { return p != PhaseEvacuated && p != PhaseProbing }
+
 // ZoneState is the committed state of one zone.
 type ZoneState struct {
 	Phase           Phase    `cbor:"1,keyasint" json:"Phase"`
--- a/internal/node/zones/failover/admission.go
+++ b/internal/node/zones/failover/admission.go
@@ -14,7 +14,9 @@
 
 // decideAdmission returns the fraction of each class to admit while zones are out of service, and whether that
 // differs enough from the table to be committed. Classes absent from the result are fully admitted.
-func (d *Decider) decideAdmission(now time.Duration, assessments map[string]Assessment, table, after *commands.Table) (map[string]float64, bool) {
+func (d *Decider) decideAdmission(
+	now time.Duration, assessments map[string]Assessment, table, after *commands.Table,
+) (map[string]float64, bool) {
 	capacity, degraded := availableCapacity(assessments, after)
 	wanted := map[string]float64{}
 	if degraded && capacity > 0 {
@@ -42,10 +44,10 @@
 func availableCapacity(assessments map[string]Assessment, after *commands.Table) (capacity float64, degraded bool) {
 	for name, assessment := range assessments {
 		state := after.Zone(name)
-		switch state.Phase {
-		case commands.PhaseEvacuated, commands.PhaseProbing:
+		switch {
+		case !state.Phase.Serves():
 			degraded = true
-		case commands.PhaseActive:
+		case state.Phase == commands.PhaseActive:
 			capacity += assessment.Total.Slots
 		default:
 			degraded = true
--- a/internal/node/zones/failover/assessment.go
+++ b/internal/node/zones/failover/assessment.go
@@ -51,7 +51,8 @@
 // String describes the condition and its reasons for operators.
 func (a Assessment) String() string {
 	total := &a.Total
-	return fmt.Sprintf("%v, by %s, reached by %s: %.0f of %.0f processes see it fail; of %.0f steps ended %.0f broken, %.0f silent, %.0f late; %.1f of %.1f slots at work",
+	return fmt.Sprintf("%v, by %s, reached by %s: %.0f of %.0f processes see it fail; "+
+		"of %.0f steps ended %.0f broken, %.0f silent, %.0f late; %.1f of %.1f slots at work",
 		a.Condition, strings.Join(a.Observers, " "), strings.Join(a.ReachedFrom, " "), total.FailingObservers, total.Observers,
 		total.Completed(), total.Failed, total.TimedOut, total.Late, a.OfferedWork, total.Slots)
 }
--- a/internal/node/zones/failover/decider.go
+++ b/internal/node/zones/failover/decider.go
@@ -45,7 +45,9 @@
 
 // Decide returns the change that the observations call for, nil where there is none, and the assessments
 // of all zones. wall is the time of day in Unix microseconds, by which overrides expire.
-func (d *Decider) Decide(now time.Duration, wall int64, digest health.Digest, table *commands.Table) (*commands.Change, map[string]Assessment) {
+func (d *Decider) Decide(
+	now time.Duration, wall int64, digest health.Digest, table *commands.Table,
+) (*commands.Change, map[string]Assessment) {
 	assessments := d.settings.assessZones(digest, table)
 	processes := 0.0
 	for _, from := range digest {
@@ -130,8 +132,7 @@
 	total, unavailable := 0.0, 0.0
 	for name, assessment := range assessments {
 		total += assessment.Total.Slots
-		phase := table.Zone(name).Phase
-		if assessment.Condition == Failed || phase == commands.PhaseEvacuated || phase == commands.PhaseProbing {
+		if assessment.Condition == Failed || !table.Zone(name).Phase.Serves() {
 			unavailable += assessment.Total.Slots
 		}
 	}
--- a/internal/node/zones/failover/transitions.go
+++ b/internal/node/zones/failover/transitions.go
@@ -126,7 +126,8 @@
 		state.UnreachableFrom = union(state.UnreachableFrom, assessment.Observers)
 		state.ProbeFraction = probeFraction(d.settings.ProbeProcesses, in.processes)
 		state.Reason = "cut from " + strings.Join(assessment.Observers, ", ")
-	case len(state.UnreachableFrom) > 0 && in.stateAge >= d.settings.PropagationTime && intersect(state.UnreachableFrom, assessment.ReachedFrom):
+	case len(state.UnreachableFrom) > 0 && in.stateAge >= d.settings.PropagationTime &&
+		intersect(state.UnreachableFrom, assessment.ReachedFrom):
 		state = withReached(state, assessment.ReachedFrom)
 	case assessment.Condition == Slow && in.conditionAge >= d.settings.SlowConfirmTime && in.stateAge >= d.settings.PropagationTime:
 		if share := roundDownToStep(assessment.SustainableFraction*state.Share, d.settings.InitialShare); share < state.Share {
@@ -146,7 +147,9 @@
 
 // withReached returns the state without the zones that reach the zone again.
 func withReached(state commands.ZoneState, reachedFrom []string) commands.ZoneState {
-	state.UnreachableFrom = slices.DeleteFunc(slices.Clone(state.UnreachableFrom), func(from string) bool { return slices.Contains(reachedFrom, from) })
+	state.UnreachableFrom = slices.DeleteFunc(slices.Clone(state.UnreachableFrom), func(from string) bool {
+		return slices.Contains(reachedFrom, from)
+	})
 	state.Reason = "reached again"
 	if len(state.UnreachableFrom) == 0 {
 		state.UnreachableFrom, state.ProbeFraction = nil, 0
--- a/internal/node/zones/quota/child.go
+++ b/internal/node/zones/quota/child.go
@@ -33,9 +33,11 @@
 // of the site's last start.
 func NewChild(now time.Duration, settings Settings, tenant, name string, incarnation uint64, guaranteed Amount) (*Child, error) {
 	if !settings.valid() || !guaranteed.valid() || name == "" {
-		return nil, fmt.Errorf("quota: site %q with a guaranteed amount of %v, a lease of %v, a clock drift of %v", name, guaranteed, settings.Lease, settings.ClockDrift)
+		return nil, fmt.Errorf("quota: site %q with a guaranteed amount of %v, a lease of %v, a clock drift of %v",
+			name, guaranteed, settings.Lease, settings.ClockDrift)
 	}
-	return &Child{settings: settings, tenant: tenant, name: name, incarnation: incarnation, guaranteed: guaranteed, tokensAt: now, since: now}, nil
+	return &Child{settings: settings, tenant: tenant, name: name, incarnation: incarnation, guaranteed: guaranteed,
+		tokensAt: now, since: now}, nil
 }
 
 // Available returns the amount that a job may be admitted from that occupies its slots for at most hold. A
@@ -120,13 +122,14 @@
 	want = want.maximum(c.sublet)
 	want.Slots, want.Rate = math.Ceil(headroom*want.Slots), headroom*want.Rate
 	c.peak, c.slotTime, c.work, c.since = c.used, 0, 0, now
-	return LeaseRequest{Tenant: c.tenant, Child: c.name, Incarnation: c.incarnation, Number: c.requestNumber, CurrentGrant: c.currentGrant, Used: c.used,
-		Want: want.maximum(c.guaranteed)}, true
+	return LeaseRequest{Tenant: c.tenant, Child: c.name, Incarnation: c.incarnation, Number: c.requestNumber,
+		CurrentGrant: c.currentGrant, Used: c.used, Want: want.maximum(c.guaranteed)}, true
 }
 
 // ApplyGrant applies a grant and reports whether it did: it must answer the last request and not have expired.
 func (c *Child) ApplyGrant(now time.Duration, grant Grant) bool {
-	if grant.Tenant != c.tenant || grant.Child != c.name || grant.Incarnation != c.incarnation && c.settings.DisabledCheck != checkIncarnation {
+	earlier := grant.Incarnation != c.incarnation && c.settings.DisabledCheck != checkIncarnation
+	if grant.Tenant != c.tenant || grant.Child != c.name || earlier {
 		return false
 	}
 	if (!c.requesting || grant.Number != c.requestNumber) && c.settings.DisabledCheck != checkGrantNumber {
--- a/internal/node/zones/quota/quota.go
+++ b/internal/node/zones/quota/quota.go
@@ -231,7 +231,8 @@
 		}
 		child.Leases = append(child.Leases, outstandingLease{request.Incarnation, request.Number, amount, now + expiresIn})
 	}
-	return Grant{Tenant: request.Tenant, Child: request.Child, Incarnation: request.Incarnation, Number: request.Number, Amount: amount, Lease: lease}, nil
+	return Grant{Tenant: request.Tenant, Child: request.Child, Incarnation: request.Incarnation, Number: request.Number,
+		Amount: amount, Lease: lease}, nil
 }
 
 // releaseConfirmed removes the leases that the request shows the child does not use. A child accepts only
--- a/internal/node/zones/replica/pending.go
+++ b/internal/node/zones/replica/pending.go
@@ -50,7 +50,7 @@
 		zones[name] = true
 	}
 	for name := range zones {
-		if phase := table.Zone(name).Phase; name != zone && (phase == commands.PhaseActive || phase == commands.PhaseReduced || phase == commands.PhaseSlowStart) {
+		if name != zone && table.Zone(name).Phase.Serves() {
 			return true
 		}
 	}
--- a/internal/node/zones/replicatedlog/log.go
+++ b/internal/node/zones/replicatedlog/log.go
@@ -78,8 +78,8 @@
 
 func (c *Config) check() error {
 	if c.ID == 0 || c.HeartbeatTicks < 1 || c.ElectionTicks <= c.HeartbeatTicks || c.SnapshotInterval < 1 || c.Rand == nil {
-		return fmt.Errorf("replicated log: voter %d, election after %d ticks, heartbeat every %d, snapshot every %d entries", c.ID, c.ElectionTicks, c.HeartbeatTicks,
-			c.SnapshotInterval)
+		return fmt.Errorf("replicated log: voter %d, election after %d ticks, heartbeat every %d, snapshot every %d entries",
+			c.ID, c.ElectionTicks, c.HeartbeatTicks, c.SnapshotInterval)
 	}
 	return nil
 }
@@ -162,7 +162,8 @@
 	}
 	// The terms must match: a later leader may have truncated what was acknowledged to an earlier one.
 	if message.Term == status.Term && message.Acknowledged > status.LastIndex {
-		return &ConsistencyError{fmt.Errorf("%w: the log ends at %d, %d were acknowledged", ErrAcknowledgedLost, status.LastIndex, message.Acknowledged)}
+		return &ConsistencyError{fmt.Errorf("%w: the log ends at %d, %d were acknowledged",
+			ErrAcknowledgedLost, status.LastIndex, message.Acknowledged)}
 	}
 	return nil
 }
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -113,7 +113,8 @@
 	s.httpServer = &http.Server{Handler: transport.NewHandler(s), ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
 	go func() { served <- s.httpServer.Serve(s.listener) }()
-	slog.Info("voter started", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(), "store", s.config.StorePath, "starts", s.store.Starts())
+	slog.Info("voter started", "id", s.config.ID, "fleet", s.config.Fleet, "listen", s.Address(),
+		"store", s.config.StorePath, "starts", s.store.Starts())
 	err := s.loop(ctx, served)
 	shutdown, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
