--- a/cmd/inference-router/measure.go
+++ b/cmd/inference-router/measure.go
@@ -95,8 +95,8 @@
 	if err != nil {
 		return scalerun.Plan{}, err
 	}
-	return scalerun.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Keepers: c.Servers, Tolerance: c.Tolerate, Edges: c.Edges,
-		Routes: c.Routes, Settle: c.WarmUp, Window: c.Window, Windows: c.Windows, Changes: c.Changes, FarEvery: c.FarEvery,
+	return scalerun.Plan{Binary: binary, Directory: directory, Sizes: sizes, Target: target[0], Servers: c.Servers, Tolerance: c.Tolerate, Edges: c.Edges,
+		Routes: c.Routes, WarmUp: c.WarmUp, Window: c.Window, Windows: c.Windows, Changes: c.Changes, FarEvery: c.FarEvery,
 		Far: localfleet.Link{Delay: c.FarDelay, Loss: c.FarLoss}, Heartbeat: scaleHeartbeat, Limit: c.Limit, Progress: stdout}, nil
 }
 
--- a/cmd/ospreybend/crowded_test.go
+++ b/cmd/ospreybend/crowded_test.go
@@ -76,7 +76,7 @@
 			t.Fatalf("%d calls for the list while it is down: %v", fleet.Discovery.Refused(), err)
 		}
 	}
-	fleet.Discovery.Away(true)
+	fleet.Discovery.SetUnavailable(true)
 	refused(1) // the watch is gone, and with it its connection
 	for range idlers {
 		c, err := net.DialTimeout("tcp", address, known)
@@ -98,7 +98,7 @@
 	}
 	refused(fleet.Discovery.Refused() + 2) // among the idle ones it finds a descriptor for its calls
 	fleet.Drain(fleet.Workers[0], true)
-	fleet.Discovery.Away(false)
+	fleet.Discovery.SetUnavailable(false)
 	back, other := time.Now(), 0
 	for other < 30 {
 		status, worker := comes()
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -213,7 +213,7 @@
 	names := map[string]string{}
 	booking := run(drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", JobName: "booking", SubmitAsHold: true})
 	failing := run(drmaa.JobTemplate{RemoteCommand: "modell-pruefen", JobName: "failing", Args: []string{"fails"}, SubmitAsHold: true})
-	held := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "held", SubmitAsHold: true})
+	heldJob := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "held", SubmitAsHold: true})
 	doomed := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "doomed", SubmitAsHold: true})
 	if err != nil {
 		return err
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	for _, j := range []*drmaa.Job{booking, failing, held, doomed} {
+	for _, j := range []*drmaa.Job{booking, failing, heldJob, doomed} {
 		names[j.ID] = j.Name
 	}
 	arrayID := array.ID
@@ -263,10 +263,10 @@
 	if array, err = s.WaitArray(ctx, array.ID); err != nil {
 		return err
 	}
-	if err := s.Act(ctx, held.ID, "release"); err != nil {
+	if err := s.Act(ctx, heldJob.ID, "release"); err != nil {
 		return err
 	}
-	for _, j := range []*drmaa.Job{booking, failing, held, doomed} {
+	for _, j := range []*drmaa.Job{booking, failing, heldJob, doomed} {
 		if _, err := s.Wait(ctx, j.ID, client.Terminated); err != nil {
 			return err
 		}
--- a/cmd/ospreybend/fleet.go
+++ b/cmd/ospreybend/fleet.go
@@ -23,22 +23,22 @@
 
 // fleetRow is the mean of a kind of days.
 type fleetRow struct {
-	Kind     string  `json:"kind"`
-	G        float64 `json:"g"`
-	Error    float64 `json:"error"` // of the mean
-	Served   float64 `json:"served"`
-	Refused  float64 `json:"refused"`
-	Run      float64 `json:"lateByRun"`
-	Queue    float64 `json:"lateByQueue"`
-	Held     float64 `json:"lateByHold"`
-	Turned   float64 `json:"refusedWorth"`
-	Failed   float64 `json:"failedWorth"` // or lost
-	Probes   float64 `json:"probesARequest"`
-	Shakes   float64 `json:"handshakesARequest"`
-	Messages float64 `json:"messagesARequest"`
-	Felled   int     `json:"felled"`       // the rule is broken
-	Untold   int     `json:"felledUntold"` // fallen by nodes that had not been told of the start
-	ColdMost float64 `json:"coldMost"`     // the most that a cold one got, as a part of what the rules allow
+	Kind              string  `json:"kind"`
+	G                 float64 `json:"g"`
+	Error             float64 `json:"error"` // of the mean
+	Served            float64 `json:"served"`
+	Refused           float64 `json:"refused"`
+	Run               float64 `json:"lateByRun"`
+	Queue             float64 `json:"lateByQueue"`
+	PendingLate       float64 `json:"lateByHold"`
+	RejectedValue     float64 `json:"refusedWorth"`
+	Failed            float64 `json:"failedWorth"` // or lost
+	Probes            float64 `json:"probesARequest"`
+	Shakes            float64 `json:"handshakesARequest"`
+	Messages          float64 `json:"messagesARequest"`
+	Overloaded        int     `json:"felled"`       // the rule is broken
+	OverloadedUnknown int     `json:"felledUntold"` // fallen by nodes that had not been told of the start
+	MaxWarmUpLoad     float64 `json:"coldMost"`     // the most that a cold one got, as a part of what the rules allow
 }
 
 // Run plays.
@@ -75,19 +75,19 @@
 			v := r.G(days[j])
 			sum, squares = sum+v, squares+v*v
 			asked := r.Asked()
-			row.Served += r.Served / r.Worth / n
-			row.Refused += float64(r.Refused) / asked / n
-			row.Run += r.RunLate / r.Worth / n
-			row.Queue += r.QueueLate / r.Worth / n
-			row.Held += r.HeldLate / r.Worth / n
-			row.Turned += r.RefusedWorth / r.Worth / n
-			row.Failed += r.FailedWorth / r.Worth / n
+			row.Served += r.Served / r.Value / n
+			row.Refused += float64(r.Rejected) / asked / n
+			row.Run += r.RunLate / r.Value / n
+			row.Queue += r.QueueLate / r.Value / n
+			row.PendingLate += r.PendingLate / r.Value / n
+			row.RejectedValue += r.RejectedValue / r.Value / n
+			row.Failed += r.FailedValue / r.Value / n
 			row.Probes += float64(r.Probes) / asked / n
 			row.Shakes += float64(r.Handshakes) / asked / n
 			row.Messages += r.Messages / asked / n
-			row.Felled += r.Felled
-			row.Untold += r.FelledUntold
-			row.ColdMost = max(row.ColdMost, r.ColdMost)
+			row.Overloaded += r.Overloaded
+			row.OverloadedUnknown += r.OverloadedUnknown
+			row.MaxWarmUpLoad = max(row.MaxWarmUpLoad, r.MaxWarmUpLoad)
 		}
 		row.G = sum / n
 		row.Error = math.Sqrt(max(0, squares/n-row.G*row.G) / n)
@@ -97,7 +97,7 @@
 		fmt.Fprintln(w, "DAYS\tG\t+-\tSERVED\tREFUSED\tLATE: RUN\tQUEUE\tHELD\tLOST: REFUSED\tFAILED\tPROBES\tHANDSHAKES\tMESSAGES\tFELLED\tUNTOLD\tCOLD MOST")
 		for _, r := range rows {
 			fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.2f\t%.2f\t%.3f\t%d\t%d\t%.2f\n", r.Kind, r.G, r.Error,
-				r.Served, r.Refused, r.Run, r.Queue, r.Held, r.Turned, r.Failed, r.Probes, r.Shakes, r.Messages, r.Felled, r.Untold, r.ColdMost)
+				r.Served, r.Refused, r.Run, r.Queue, r.PendingLate, r.RejectedValue, r.Failed, r.Probes, r.Shakes, r.Messages, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
 		}
 	})
 }
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -144,7 +144,7 @@
 	voters  []nodeconfig.FleetVoter
 
 	inherited net.Listener          // the clients' socket, where the platform holds it; nil: the front opens its own
-	room      *hotrestart.Directory // nil: no folder to meet other processes of this node in
+	directory *hotrestart.Directory // nil: no folder to meet other processes of this node in
 	words     override.Overrides
 	stop      chan struct{} // closed when the node leaves
 	deaf      func()        // ends the taking over from a process before this one; nil: none
@@ -175,11 +175,11 @@
 	if err != nil {
 		return nil, errors.Join(err, n.loop.Stop())
 	}
-	if n.inherited != nil && n.room != nil {
+	if n.inherited != nil && n.directory != nil {
 		n.receive()
 	}
-	if n.room != nil {
-		go n.room.Watch(lookAround, n.stop, n.noticed)
+	if n.directory != nil {
+		go n.directory.Watch(lookAround, n.stop, n.noticed)
 	}
 	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "classes", len(cfg.ClassNames),
 		"known", len(cfg.CachedList.Entries), "fronts", cfg.FrontMaxSockets, "destinations", cfg.MaxDestinationConns)
@@ -341,11 +341,11 @@
 	}
 	killed := began.Add(min(longest, longestSpared) + spareTime)
 	next := n.following()
-	kept := serveOn
+	remaining := serveOn
 	if n.inherited == nil {
 		n.loop.Call(func() { n.endBy(killed) })
 		n.serveOn(began, killed)
-		kept = 0
+		remaining = 0
 	}
 	drained := make(chan struct{})
 	n.loop.Call(func() {
@@ -354,7 +354,7 @@
 			n.endBy(killed)
 		}
 		slog.Info("leaving: no new connections", "open", n.core.OpenOperations())
-		n.front.Stop(kept, func() {
+		n.front.Stop(remaining, func() {
 			select {
 			case <-drained:
 			default:
--- a/cmd/ospreybend/trial.go
+++ b/cmd/ospreybend/trial.go
@@ -53,7 +53,7 @@
 		return fmt.Errorf("%w: %w", errTrial, err)
 	}
 	r, err := endtoend.Zone(e.Ctx, endtoend.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Seed: c.Seed,
-		Alone: c.Alone, Without: c.Without, Calm: c.Calm, Trouble: c.Trouble, After: c.After, Rate: c.Rate, Dir: dir})
+		Alone: c.Alone, Without: c.Without, QuietBefore: c.Calm, Faulty: c.Trouble, After: c.After, Rate: c.Rate, Dir: dir})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errTrial, err)
 	}
--- a/cmd/ospreybend/trial_test.go
+++ b/cmd/ospreybend/trial_test.go
@@ -27,7 +27,7 @@
 			for plays := 1; ; plays++ {
 				late := lateness()
 				r, err := endtoend.Zone(t.Context(), endtoend.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull},
-					Seed: c.seed, Alone: c.alone, Without: c.without, Calm: 2 * time.Second, Trouble: 6 * time.Second, After: 2 * time.Second,
+					Seed: c.seed, Alone: c.alone, Without: c.without, QuietBefore: 2 * time.Second, Faulty: 6 * time.Second, After: 2 * time.Second,
 					Rate: 40, Dir: t.TempDir()})
 				most := late()
 				if err != nil {
--- a/cmd/ospreybend/upgrade.go
+++ b/cmd/ospreybend/upgrade.go
@@ -14,18 +14,18 @@
 // enter meets the other processes of this node, and returns how many there are.
 // Without a folder for that the node serves on its own.
 func (n *node) enter() (others int) {
-	room, err := hotrestart.Open(n.cfg.TmpDir, n.cfg.Name)
+	directory, err := hotrestart.Open(n.cfg.TmpDir, n.cfg.Name)
 	if err != nil {
 		slog.Warn("words by hand are kept in memory alone", "fault", err)
 		return 0
 	}
-	n.room = room
-	words, err := room.Overrides()
+	n.directory = directory
+	words, err := directory.Overrides()
 	if err != nil {
 		slog.Warn("words by hand cannot be read", "fault", err)
 	}
 	n.words.Merge(words)
-	return room.OtherProcesses()
+	return directory.OtherProcesses()
 }
 
 // noticed takes in, from beside the loop, what has changed in the room.
@@ -65,11 +65,11 @@
 	cfg := n.cfg
 	a := protocol.AdminConfig{Listen: cfg.Admin, MaxSockets: cfg.AdminMaxSockets, MaxBufferedBytes: cfg.AdminMaxBufferedBytes, Classes: cfg.ClassNames,
 		Ready: func() bool { return n.front.Accepting() && !n.leaving && n.core.AnyReady() }}
-	if n.room != nil {
+	if n.directory != nil {
 		a.RecordOverride = func(name string, out bool, done func(override.Overrides, error)) {
 			at := n.loop.Now()
 			go func() {
-				now, err := n.room.Change(func(w override.Overrides) { w.Set(name, out, at) })
+				now, err := n.directory.Change(func(w override.Overrides) { w.Set(name, out, at) })
 				n.loop.Post(func() { done(now, err) })
 			}()
 		}
@@ -83,14 +83,14 @@
 // exit leaves the room, and with it its part of the budgets.
 func (n *node) exit() {
 	close(n.stop)
-	if n.room != nil {
-		n.room.Close()
+	if n.directory != nil {
+		n.directory.Close()
 	}
 }
 
 // receive lets the process before this one hand over what it has in work.
 func (n *node) receive() {
-	stop, err := n.room.Receive(n.adopt)
+	stop, err := n.directory.Receive(n.adopt)
 	if err != nil {
 		slog.Warn("the process before this one cannot hand over what it has in work", "fault", err)
 		return
@@ -120,10 +120,10 @@
 
 // following finds the process that takes over what this one has in work.
 func (n *node) following() *hotrestart.Successor {
-	if n.inherited == nil || n.room == nil {
+	if n.inherited == nil || n.directory == nil {
 		return nil
 	}
-	return n.room.Successor()
+	return n.directory.Successor()
 }
 
 // collect takes what can be handed over out of this process, on the loop.
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	sayWithin  = 3 * time.Second
-	readyTries = 5 * time.Millisecond
-	readyCall  = time.Second
+	sayWithin      = 3 * time.Second
+	maxReadyChecks = 5 * time.Millisecond
+	readyCall      = time.Second
 )
 
 // voterCmd serves as one of the fleet's voters.
@@ -100,7 +100,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(readyTries):
+		case <-time.After(maxReadyChecks):
 		}
 	}
 	if _, err := f.WriteString("ready\n"); err != nil {
--- a/deploy/days/families.go
+++ b/deploy/days/families.go
@@ -134,12 +134,12 @@
 		fmt.Sprintf(`at = 2.5, kind = "config_storm", for_s = %.1f, gap_s = %.2f`, length-4, between(random, 0.06, 0.15)),
 	}
 	for at := between(random, 4, 7); at < length-6; at += between(random, 4, 9) {
-		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, pick(random, faultsAmidStorm)))
+		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, pick(random, faultsAmidBurst)))
 	}
 	return plan, faults
 }
 
-var faultsAmidStorm = []string{
+var faultsAmidBurst = []string{
 	`kind = "after_ack_wipe", for_s = 2.0`,
 	`kind = "after_ack_wipe", for_s = 4.0, how = "oldest"`,
 	`kind = "node_kill", on = "core", count = 1, for_s = 5.0, how = "power"`,
--- a/internal/testkit/catchupbench/catchup_test.go
+++ b/internal/testkit/catchupbench/catchup_test.go
@@ -13,7 +13,7 @@
 func TestMembersAreCurrentWithinTheBound(t *testing.T) {
 	steps, err := Play(t.Context(), Plan{
 		Directory: t.TempDir(), Routes: 450, Rate: 30, ReplaceEvery: 10, Limit: 20 * time.Second,
-		Away: []time.Duration{100 * time.Millisecond, time.Second},
+		Offline: []time.Duration{100 * time.Millisecond, time.Second},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -35,7 +35,7 @@
 	Routes       int
 	Rate         int // changes a second, which go on
 	ReplaceEvery int // each so-manieth change replaces the whole document
-	Away         []time.Duration
+	Offline      []time.Duration
 	Limit        time.Duration // until a member must be current
 	Progress     io.Writer     // nil: none
 }
@@ -43,7 +43,7 @@
 // Step is one return.
 type Step struct {
 	Manner  Manner
-	Away    time.Duration
+	Offline time.Duration
 	Lacked  int           // changes made meanwhile
 	Took    time.Duration // from its start until it had applied what the leader had
 	Voting  time.Duration // until it had a vote again
@@ -105,11 +105,11 @@
 		return nil, err
 	}
 	var steps []Step
-	for _, away := range plan.Away {
+	for _, offline := range plan.Offline {
 		for _, manner := range Manners() {
-			step, err := f.measure(ctx, manner, away)
+			step, err := f.measure(ctx, manner, offline)
 			if err != nil {
-				return steps, fmt.Errorf("%s after %v: %w", manner, away, err)
+				return steps, fmt.Errorf("%s after %v: %w", manner, offline, err)
 			}
 			steps = append(steps, step)
 			if plan.Progress != nil {
@@ -222,7 +222,7 @@
 }
 
 // measure has a follower go, makes the changes of the time that it is away, and has it come back.
-func (f *fleet) measure(ctx context.Context, manner Manner, away time.Duration) (Step, error) {
+func (f *fleet) measure(ctx context.Context, manner Manner, offline time.Duration) (Step, error) {
 	if err := f.change(ctx); err != nil {
 		return Step{}, err
 	}
@@ -236,13 +236,13 @@
 	if err := gone.stop(); err != nil {
 		return Step{}, err
 	}
-	lacked := max(1, int(away.Seconds()*float64(f.plan.Rate)))
+	lacked := max(1, int(offline.Seconds()*float64(f.plan.Rate)))
 	for range lacked {
 		if err := f.change(ctx); err != nil {
 			return Step{}, err
 		}
 	}
-	step := Step{Manner: manner, Away: away, Lacked: lacked}
+	step := Step{Manner: manner, Offline: offline, Lacked: lacked}
 	going, endChanges := context.WithCancel(ctx)
 	changes := make(chan error, 1)
 	go func() { changes <- f.goOn(going) }()
--- a/internal/testkit/catchupbench/result.go
+++ b/internal/testkit/catchupbench/result.go
@@ -20,7 +20,7 @@
 // String tells a step in one line.
 func (s Step) String() string {
 	return fmt.Sprintf("%-9s away %6v, %4d changes lacked: current after %4d ms, voting after %4d ms, %6d KiB sent, on disk %5d KiB, the leader's %5d KiB",
-		s.Manner, s.Away, s.Lacked, s.Took.Milliseconds(), s.Voting.Milliseconds(), s.Bytes>>10, s.OnDisk>>10, s.Leading>>10)
+		s.Manner, s.Offline, s.Lacked, s.Took.Milliseconds(), s.Voting.Milliseconds(), s.Bytes>>10, s.OnDisk>>10, s.Leading>>10)
 }
 
 // Slowest returns the longest time that a member took to be current.
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -30,7 +30,7 @@
 
 var jobCases = []kase{
 	{"job.hold-release", "GFD.194 7.3", "submitAsHold waits in QUEUED_HELD; release lets it go on to its end", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		t.state(j.ID, drmaa.QueuedHeld)
 		t.must(t.session.Act(t.ctx, j.ID, "release"))
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
@@ -55,7 +55,7 @@
 		}
 	}},
 	{"job.hold.state", "GFD.194 7.3", "hold of a held job and release of one that is not are InvalidStateException", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		t.ruledOut(t.session.Act(t.ctx, j.ID, "hold"), drmaa.InvalidState)
 		later := t.run(drmaa.JobTemplate{StartTime: drmaa.Stamp(time.Now().Add(time.Hour).UnixMicro())})
 		t.ruledOut(t.session.Act(t.ctx, later.ID, "release"), drmaa.InvalidState)
@@ -65,7 +65,7 @@
 		t.state(later.ID, drmaa.Queued)
 	}},
 	{"job.terminate", "GFD.194 7.3", "terminate ends a job as FAILED, once; one that never went out has not run", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
@@ -77,7 +77,7 @@
 		}
 	}},
 	{"job.suspend", "GFD.194 7.3", "suspend and resume are UnsupportedOperationException", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		for _, action := range []string{"suspend", "resume"} {
 			t.ruledOut(t.session.Act(t.ctx, j.ID, action), drmaa.UnsupportedOperation)
 		}
@@ -85,7 +85,7 @@
 		t.refused(t.call("POST", t.path("/jobs/"+j.ID+"/control"), `{}`), 400, drmaa.InvalidArgument, "action")
 	}},
 	{"job.reap", "GFD.194 7.3", "reap forgets an ended job, and no other", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		t.ruledOut(t.session.Act(t.ctx, j.ID, "reap"), drmaa.InvalidState)
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		_, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
--- a/internal/testkit/conformance/conform.go
+++ b/internal/testkit/conformance/conform.go
@@ -203,8 +203,8 @@
 // path is of the case's session.
 func (t *trial) path(rest string) string { return "/sessions/" + t.session.Name + rest }
 
-// held submits a job that waits for its release.
-func (t *trial) held() *drmaa.Job { return t.run(drmaa.JobTemplate{SubmitAsHold: true}) }
+// createHeld submits a job that waits for its release.
+func (t *trial) createHeld() *drmaa.Job { return t.run(drmaa.JobTemplate{SubmitAsHold: true}) }
 
 func (t *trial) run(template drmaa.JobTemplate) *drmaa.Job {
 	if template.RemoteCommand == "" {
--- a/internal/testkit/conformance/monitoring_cases.go
+++ b/internal/testkit/conformance/monitoring_cases.go
@@ -10,7 +10,7 @@
 
 var waitCases = []kase{
 	{"wait.timeout", "GFD.194 7.3", "a wait that times out is TimeoutException, and the job goes on", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		for _, span := range []string{"0", "0.2"} {
 			a := t.call("POST", t.path("/jobs/"+j.ID+"/wait"), `{"timeout":`+span+`}`)
 			t.refused(a, 504, drmaa.Timeout, "")
@@ -20,7 +20,7 @@
 		}
 	}},
 	{"wait.bad", "binding, Waits", "a wait for nothing sensible is refused by attribute", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		for _, c := range [][2]string{{`{"timeout":-1}`, "timeout"}, {`{"timeout":1e9}`, "timeout"}, {`{"for":"rain"}`, "for"}} {
 			t.refused(t.call("POST", t.path("/jobs/"+j.ID+"/wait"), c[0]), 400, drmaa.InvalidArgument, c[1])
 		}
@@ -35,7 +35,7 @@
 		}
 	}},
 	{"wait.any", "GFD.194 7.2", "waitAnyTerminated returns a job of the list that has ended", func(t *trial) {
-		a, b := t.held(), t.held()
+		a, b := t.createHeld(), t.createHeld()
 		t.must(t.session.Act(t.ctx, b.ID, "terminate"))
 		j, err := t.session.WaitAny(t.ctx, client.Terminated, "", a.ID, b.ID)
 		t.must(err)
@@ -44,8 +44,8 @@
 		}
 	}},
 	{"wait.any.session", "GFD.194 7.2", "waitAnyTerminated over the session returns what has ended before and is not reaped", func(t *trial) {
-		t.held()
-		b := t.held()
+		t.createHeld()
+		b := t.createHeld()
 		t.must(t.session.Act(t.ctx, b.ID, "terminate"))
 		_, err := t.session.Wait(t.ctx, b.ID, client.Terminated)
 		t.must(err)
@@ -87,7 +87,7 @@
 			if next = page.Next; next == "" {
 				break
 			}
-			t.held() // newer than the pages to come
+			t.createHeld() // newer than the pages to come
 		}
 		if len(seen) != 11 {
 			t.fail("%d jobs of 11", len(seen))
@@ -125,7 +125,7 @@
 	{"events.cursor", "GFD.194 8.7", "a cursor resumes the stream: each change of state comes once, in order", func(t *trial) {
 		var at drmaa.Events
 		t.read(t.call("GET", t.path("/events"), ""), &at)
-		j := t.held()
+		j := t.createHeld()
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		var states []drmaa.State
 		for range 10 {
@@ -152,7 +152,7 @@
 	{"events.stream", "binding, Events", "a stream brings events as they come, and its cursors resume it", func(t *trial) {
 		var at drmaa.Events
 		t.read(t.call("GET", t.path("/events"), ""), &at)
-		j := t.held()
+		j := t.createHeld()
 		seen := 0
 		for range 2 {
 			for got, err := range t.session.Events(t.ctx, at.Cursor) {
@@ -178,7 +178,7 @@
 
 var monitoringCases = []kase{
 	{"monitoring.queues", "GFD.194 7.5", "getAllQueues lists the classes with what waits in them", func(t *trial) {
-		t.held()
+		t.createHeld()
 		all, err := t.client.Queues(t.ctx)
 		t.must(err)
 		at := slices.IndexFunc(all, func(q drmaa.Queue) bool { return q.Name == t.class })
@@ -196,7 +196,7 @@
 		}
 	}},
 	{"monitoring.jobs", "GFD.194 7.5", "getAllJobs lists the jobs of all sessions", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		for got, err := range t.client.Jobs(t.ctx, drmaa.Filter{States: []drmaa.State{drmaa.QueuedHeld}}) {
 			t.must(err)
 			if got.ID == j.ID {
--- a/internal/testkit/conformance/session_cases.go
+++ b/internal/testkit/conformance/session_cases.go
@@ -60,7 +60,7 @@
 		t.ruledOut(err, drmaa.InvalidSession)
 	}},
 	{"session.close", "GFD.194 7.1", "a closed session takes no calls, and its jobs are there once it is open again", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		t.must(t.session.Close(t.ctx))
 		_, err := t.session.Job(t.ctx, j.ID)
 		t.ruledOut(err, drmaa.InvalidSession)
@@ -78,7 +78,7 @@
 		}
 	}},
 	{"session.destroy", "GFD.194 7.1", "destroyJobSession ends all that is in it, and its name is free", func(t *trial) {
-		j := t.held()
+		j := t.createHeld()
 		t.bulk(5, 0)
 		t.must(t.session.Destroy(t.ctx))
 		_, err := t.session.Job(t.ctx, j.ID)
--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return Part{}, err
 	}
-	tally := newTally(schedule.Shape{Keepers: parsed.Keepers, Tolerance: parsed.Tolerance, Omit: parsed.Omit}, parsed.Seed, 0, io.Discard)
+	tally := newTally(schedule.Shape{Keepers: parsed.Servers, Tolerance: parsed.Tolerance, Omit: parsed.Omit}, parsed.Seed, 0, io.Discard)
 	err = player.Play(ctx, Request{Text: parsed.Format(), Count: 1}, tally.take)
 	part := tally.part()
 	for i := range part.Failures {
--- a/internal/testkit/controlplanesim/campaign/player.go
+++ b/internal/testkit/controlplanesim/campaign/player.go
@@ -24,9 +24,9 @@
 var ErrPlayedNothing = errors.New("the simulation played nothing")
 
 const (
-	longestLine = 4 << 20
-	keptOutput  = 40               // lines of a process that died
-	waitDelay   = 10 * time.Second // for the output of a process that was killed
+	longestLine       = 4 << 20
+	maxRetainedOutput = 40               // lines of a process that died
+	waitDelay         = 10 * time.Second // for the output of a process that was killed
 )
 
 // Player plays requests with the simulation's test binary.
@@ -148,7 +148,7 @@
 
 // keep keeps the first lines of a process, among which is why it died, and goes without the rest.
 func (o *outcome) keep(line string) {
-	if len(o.tail) < keptOutput {
+	if len(o.tail) < maxRetainedOutput {
 		o.tail = append(o.tail, line)
 	}
 }
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -69,16 +69,16 @@
 func cutScenarios() []cutScenario {
 	var all []cutScenario
 	for _, follower := range []bool{false, true} {
-		for _, variant := range []schedule.Variant{schedule.CutKeepers, schedule.CutSide, schedule.CutInward, schedule.CutOutward, ""} {
+		for _, variant := range []schedule.Variant{schedule.CutServers, schedule.CutSide, schedule.CutInward, schedule.CutOutward, ""} {
 			all = append(all, cutScenario{variant: variant, follower: follower})
 		}
 		all = append(all,
 			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0, 1}},
-			cutScenario{variant: schedule.CutKeepers, follower: follower, restart: true},
+			cutScenario{variant: schedule.CutServers, follower: follower, restart: true},
 			cutScenario{variant: schedule.CutSide, follower: follower, agents: []int{0}, restart: true},
-			cutScenario{variant: schedule.CutKeepers, follower: follower, restart: true, wiped: true},
-			cutScenario{variant: schedule.CutKeepers, follower: follower, early: true},
-			cutScenario{variant: schedule.CutKeepers, follower: follower, others: true},
+			cutScenario{variant: schedule.CutServers, follower: follower, restart: true, wiped: true},
+			cutScenario{variant: schedule.CutServers, follower: follower, early: true},
+			cutScenario{variant: schedule.CutServers, follower: follower, others: true},
 		)
 	}
 	return all
@@ -88,7 +88,7 @@
 func playCutScenario(t *testing.T, seed uint64, c cutScenario, omit ...string) (Report, []string) {
 	t.Helper()
 	s := schedule.Schedule{
-		Seed: seed, Keepers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 4, Length: cutLength, Omit: omit,
+		Seed: seed, Servers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 4, Length: cutLength, Omit: omit,
 	}
 	var wrong []string
 	report := playScript(t, s, zap.NewNop(), func(w *world, ctx context.Context) {
@@ -130,7 +130,7 @@
 func (w *world) cutOff(ctx context.Context, c cutScenario, victim int) (began, ended time.Duration) {
 	began = w.record.now()
 	event := schedule.Event{
-		At: began, Kind: schedule.Cut, Variant: c.variant, Keepers: []int{victim}, Agents: c.agents, For: cutFor, Restart: c.restart,
+		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutFor, Restart: c.restart,
 		Operators: []int{insideOperator}, Workers: []int{steadyWorker, drainWorker, leaveWorker},
 	}
 	amid, stop := context.WithTimeout(ctx, cutFor)
@@ -148,7 +148,7 @@
 	}
 	if c.variant == "" {
 		event.Kind = schedule.Freeze
-		w.confine(event, w.places(event.Keepers))
+		w.confine(event, w.places(event.Servers))
 		w.playFreeze(ctx, event)
 		w.confine(event, nil)
 	} else {
@@ -172,7 +172,7 @@
 
 // restartOthers restarts the processes of all but one keeper at once, and has orders come as soon as they can be taken.
 func (w *world) restartOthers(ctx context.Context, victim int) {
-	over := w.record.trouble(history.Trouble{What: "all others are killed", Core: true, Lost: w.allPlaces()})
+	over := w.record.recordFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allPlaces()})
 	var others []*machine
 	for _, m := range w.everyPlace() {
 		if m.place != victim {
@@ -200,7 +200,7 @@
 	for ctx.Err() == nil {
 		sent := o.makeOrder(w.newestBase([]int{outsideOperator, insideOperator}))
 		if ends, taken := clear(o.attempt(sent, to, 1)); ends {
-			o.settle(ctx, sent, taken)
+			o.recordOutcome(ctx, sent, taken)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	seen, _ := w.record.history()
 	var wrong []string
 	for _, one := range seen.Operations {
-		if one.Keeper == victim && one.Call >= from && one.Return < to && one.Outcome != history.Unknown {
+		if one.Server == victim && one.Call >= from && one.Return < to && one.Outcome != history.Unknown {
 			wrong = append(wrong, "behind the cut: "+one.String())
 		}
 	}
@@ -233,7 +233,7 @@
 			return instance == fmt.Sprintf("w%d-1", worker)
 		})
 	}
-	for _, one := range seen.Beats {
+	for _, one := range seen.Heartbeats {
 		if inside(one.Instance) && one.At >= from && one.At < to {
 			wrong = append(wrong, fmt.Sprintf("behind the cut, %s is acknowledged a heartbeat at %v", one.Instance, one.At))
 		}
@@ -266,14 +266,14 @@
 	scenario cutScenario
 	seed     uint64 // from which on one of twenty shows it
 }{
-	{"keeper.read-confirmed", cutScenario{variant: schedule.CutKeepers, others: true}, 1},
-	{"agreement.read-confirmed", cutScenario{variant: schedule.CutKeepers, others: true}, 20},
-	{"keeper.feed-current", cutScenario{variant: schedule.CutKeepers}, 1},
-	{"keeper.beat-current", cutScenario{variant: schedule.CutKeepers, follower: true}, 1},
-	{"keeper.beat-recorded", cutScenario{variant: schedule.CutKeepers, follower: true, early: true}, 1},
-	{"keeper.founding-once", cutScenario{variant: schedule.CutKeepers, restart: true, wiped: true}, 1},
-	{"agreement.commit-majority", cutScenario{variant: schedule.CutKeepers}, 1},
-	{GuardLeaveStale, cutScenario{variant: schedule.CutKeepers}, 1},
+	{"keeper.read-confirmed", cutScenario{variant: schedule.CutServers, others: true}, 1},
+	{"agreement.read-confirmed", cutScenario{variant: schedule.CutServers, others: true}, 20},
+	{"keeper.feed-current", cutScenario{variant: schedule.CutServers}, 1},
+	{"keeper.beat-current", cutScenario{variant: schedule.CutServers, follower: true}, 1},
+	{"keeper.beat-recorded", cutScenario{variant: schedule.CutServers, follower: true, early: true}, 1},
+	{"keeper.founding-once", cutScenario{variant: schedule.CutServers, restart: true, wiped: true}, 1},
+	{"agreement.commit-majority", cutScenario{variant: schedule.CutServers}, 1},
+	{GuardLeaveStale, cutScenario{variant: schedule.CutServers}, 1},
 }
 
 func TestEachGuardAgainstCutsIsNeeded(t *testing.T) {
--- a/internal/testkit/controlplanesim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -18,21 +18,21 @@
 
 // machineDisk is the disk of a machine, whatever process uses it.
 type machineDisk struct {
-	mutex   sync.Mutex // held while an operation is carried out, never while one waits
-	content *seglogtest.MemoryDisk
-	trouble schedule.Variant // empty: none
-	over    chan struct{}    // closed when the trouble is over
+	mutex       sync.Mutex // held while an operation is carried out, never while one waits
+	content     *seglogtest.MemoryDisk
+	recordFault schedule.Variant // empty: none
+	over        chan struct{}    // closed when the trouble is over
 }
 
 func newMachineDisk() *machineDisk { return &machineDisk{content: seglogtest.NewMemoryDisk()} }
 
 // disturb brings trouble to the disk until it is calmed.
-func (d *machineDisk) disturb(trouble schedule.Variant) (calm func()) {
+func (d *machineDisk) disturb(fault schedule.Variant) (calm func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	over := make(chan struct{})
-	d.trouble, d.over = trouble, over
-	if trouble == schedule.DiskFull {
+	d.recordFault, d.over = fault, over
+	if fault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
 	return func() {
@@ -40,7 +40,7 @@
 		defer d.mutex.Unlock()
 		close(over)
 		if d.over == over {
-			d.trouble, d.over = "", nil
+			d.recordFault, d.over = "", nil
 			d.content.FreeBytes = seglogtest.Unlimited
 		}
 	}
@@ -73,7 +73,7 @@
 
 // resume brings the trouble back that a restart of the content has lifted.
 func (d *machineDisk) resume() {
-	if d.trouble == schedule.DiskFull {
+	if d.recordFault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
 }
@@ -102,9 +102,9 @@
 // await waits until the operation is done. It is false if the process ends before.
 func (d processDisk) await(takes time.Duration) bool {
 	d.disk.mutex.Lock()
-	trouble, over := d.disk.trouble, d.disk.over
+	fault, over := d.disk.recordFault, d.disk.over
 	d.disk.mutex.Unlock()
-	switch trouble {
+	switch fault {
 	case schedule.DiskHang:
 		select {
 		case <-over:
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -160,7 +160,7 @@
 	}
 	record := f.edge.world.record
 	view := f.builder.View()
-	now := history.View{Agent: f.edge.index, Life: 1, At: record.now(), Generation: view.Generation}
+	now := history.View{Agent: f.edge.index, Incarnation: 1, At: record.now(), Generation: view.Generation}
 	if mark := view.Services[markService]; mark != nil {
 		now.Order = strings.TrimPrefix(mark.HealthPath, "/")
 	}
@@ -191,5 +191,5 @@
 }
 
 func (f *follower) tell(at time.Duration, id string, state history.State) {
-	f.edge.world.record.presence(history.Presence{Agent: f.edge.index, Life: 1, At: at, Instance: id, State: state})
+	f.edge.world.record.presence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
 }
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -58,22 +58,22 @@
 		schedule.Roll:        w.playRoll,
 		schedule.LoseReplies: w.playLoseReplies,
 		schedule.Race:        w.playRace,
-		schedule.Storm:       w.playStorm,
+		schedule.Burst:       w.playBurst,
 		schedule.Bad:         w.playBad,
 		schedule.Worker:      w.playWorkers,
 	}
 }
 
-// trouble notes a trouble of the core.
-func (w *world) trouble(event schedule.Event, lost []int) (over func()) {
-	return w.record.trouble(history.Trouble{What: event.String(), Core: true, Lost: lost})
+// recordFault notes a trouble of the core.
+func (w *world) recordFault(event schedule.Event, lost []int) (over func()) {
+	return w.record.recordFault(history.Fault{What: event.String(), Core: true, Lost: lost})
 }
 
 // playDown takes machines down in a way, and starts them again.
 func (w *world) playDown(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.trouble(event, event.Keepers)
-		struck := w.places(event.Keepers)
+		over := w.recordFault(event, event.Servers)
+		struck := w.places(event.Servers)
 		for _, m := range struck {
 			down(m)
 		}
@@ -95,13 +95,13 @@
 // playAllDown takes the whole core down; the event's keepers lose their disks too.
 func (w *world) playAllDown(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.record.trouble(history.Trouble{What: event.String(), Core: true, Lasting: true, Lost: w.allPlaces()})
+		over := w.record.recordFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: w.allPlaces()})
 		all := w.everyPlace()
 		var going sync.WaitGroup
 		for _, m := range all {
 			going.Go(func() {
 				down(m)
-				if slices.Contains(event.Keepers, m.place) {
+				if slices.Contains(event.Servers, m.place) {
 					m.wipe()
 				}
 			})
@@ -114,7 +114,7 @@
 }
 
 func (w *world) allPlaces() []int {
-	all := make([]int, w.schedule.Keepers)
+	all := make([]int, w.schedule.Servers)
 	for place := range all {
 		all[place] = place
 	}
@@ -122,11 +122,11 @@
 }
 
 func (w *world) playFreeze(_ context.Context, event schedule.Event) {
-	over := w.record.trouble(history.Trouble{
-		What: event.String(), Core: len(event.Keepers) > 0, Agents: event.Agents, Lost: event.Keepers,
+	over := w.record.recordFault(history.Fault{
+		What: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
 	})
 	var thaw []func()
-	for _, m := range w.places(event.Keepers) {
+	for _, m := range w.places(event.Servers) {
 		thaw = append(thaw, m.freeze())
 	}
 	for _, i := range event.Agents {
@@ -144,8 +144,8 @@
 
 // playCut cuts machines off; the operators and workers that it names reach these alone. With Restart their processes are restarted amid it, and know only each other.
 func (w *world) playCut(_ context.Context, event schedule.Event) {
-	over := w.record.trouble(history.Trouble{What: event.String(), Core: true, Agents: event.Agents, Lost: event.Keepers})
-	struck := w.places(event.Keepers)
+	over := w.record.recordFault(history.Fault{What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers})
+	struck := w.places(event.Servers)
 	heal := w.network.Cut(w.cutOf(event, struck))
 	w.confine(event, struck)
 	if event.Restart {
@@ -203,8 +203,8 @@
 	}
 	crosses := func(p simnet.Path) bool { return inside[p.From] != inside[p.To] }
 	switch event.Variant {
-	case schedule.CutKeepers:
-		return func(p simnet.Path) bool { return crosses(p) && isKeeper(p.From) && isKeeper(p.To) }
+	case schedule.CutServers:
+		return func(p simnet.Path) bool { return crosses(p) && isServer(p.From) && isServer(p.To) }
 	case schedule.CutInward:
 		return func(p simnet.Path) bool { return crosses(p) && inside[p.To] && isMachine(p.From) }
 	case schedule.CutOutward:
@@ -217,9 +217,9 @@
 
 // playReplace has an empty machine at another address take a machine's place.
 func (w *world) playReplace(_ context.Context, event schedule.Event) {
-	over := w.trouble(event, event.Keepers)
+	over := w.recordFault(event, event.Servers)
 	var going sync.WaitGroup
-	for _, place := range event.Keepers {
+	for _, place := range event.Servers {
 		going.Go(func() {
 			if event.Variant == schedule.Planned {
 				w.replacePlanned(place)
@@ -253,9 +253,9 @@
 }
 
 func (w *world) playDisk(_ context.Context, event schedule.Event) {
-	over := w.record.trouble(history.Trouble{What: event.String(), Core: true, Lasting: true, Lost: event.Keepers})
+	over := w.record.recordFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
 	var calm []func()
-	for _, m := range w.places(event.Keepers) {
+	for _, m := range w.places(event.Servers) {
 		calm = append(calm, m.disk.disturb(event.Variant))
 	}
 	time.Sleep(event.For)
@@ -266,10 +266,10 @@
 }
 
 func (w *world) playLink(_ context.Context, event schedule.Event) {
-	core := len(event.Keepers) > 0
-	over := w.record.trouble(history.Trouble{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Keepers})
+	core := len(event.Servers) > 0
+	over := w.record.recordFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
 	hosts := make(map[string]bool)
-	for _, m := range w.places(event.Keepers) {
+	for _, m := range w.places(event.Servers) {
 		hosts[m.ip] = true
 	}
 	for _, i := range event.Agents {
@@ -298,9 +298,9 @@
 
 // playRoll ends and starts machines one after the other.
 func (w *world) playRoll(_ context.Context, event schedule.Event) {
-	for _, place := range event.Keepers {
+	for _, place := range event.Servers {
 		began := time.Now()
-		over := w.trouble(event, []int{place})
+		over := w.recordFault(event, []int{place})
 		m := w.at(place)
 		m.terminate()
 		w.startAll([]*machine{m})
@@ -309,7 +309,7 @@
 	}
 }
 
-func isKeeper(ip string) bool { return kindOf(ip) == '0' }
+func isServer(ip string) bool { return kindOf(ip) == '0' }
 
 // isMachine tells whether an IP is one of the system's own machines.
 func isMachine(ip string) bool { return kindOf(ip) == '0' || kindOf(ip) == '1' }
--- a/internal/testkit/controlplanesim/guards.go
+++ b/internal/testkit/controlplanesim/guards.go
@@ -12,7 +12,7 @@
 
 // Prefixes of the names of guards, by what they guard.
 const (
-	keeperPrefix        = "keeper."
+	serverPrefix        = "keeper."
 	agreementPrefix     = "agreement."
 	configurationPrefix = "configuration."
 )
@@ -24,7 +24,7 @@
 func Guards() []string {
 	var names []string
 	for _, guard := range server.Guards() {
-		names = append(names, keeperPrefix+string(guard))
+		names = append(names, serverPrefix+string(guard))
 	}
 	for _, rule := range consensus.Rules() {
 		names = append(names, agreementPrefix+string(rule))
@@ -52,8 +52,8 @@
 		switch {
 		case name == GuardLeaveStale:
 			out.leaveStale = true
-		case strings.HasPrefix(name, keeperPrefix):
-			out.keeper = append(out.keeper, server.Guard(strings.TrimPrefix(name, keeperPrefix)))
+		case strings.HasPrefix(name, serverPrefix):
+			out.keeper = append(out.keeper, server.Guard(strings.TrimPrefix(name, serverPrefix)))
 		case strings.HasPrefix(name, agreementPrefix):
 			out.agreement = append(out.agreement, consensus.Rule(strings.TrimPrefix(name, agreementPrefix)))
 		default:
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -141,25 +141,25 @@
 	wantOnly(t, late, history.CheckFreshViews)
 
 	cut := h
-	cut.Troubles = []history.Trouble{{What: "cut", From: 15 * second, To: 60 * second, Agents: []int{1}}}
+	cut.Faults = []history.Fault{{What: "cut", From: 15 * second, To: 60 * second, Agents: []int{1}}}
 	wantOnly(t, cut, "")
 
 	unstable := h
-	unstable.Troubles = []history.Trouble{{What: "slow", From: 15 * second, To: 60 * second, Core: true, Lasting: true}}
+	unstable.Faults = []history.Fault{{What: "slow", From: 15 * second, To: 60 * second, Core: true, Lasting: true}}
 	wantOnly(t, unstable, "")
 
 	stableAgain := h
-	stableAgain.Troubles = []history.Trouble{{What: "kill", From: 15 * second, To: 21 * second, Core: true}}
+	stableAgain.Faults = []history.Fault{{What: "kill", From: 15 * second, To: 21 * second, Core: true}}
 	wantOnly(t, stableAgain, history.CheckFreshViews)
 }
 
 func TestViewsDoNotGoBackWithinALife(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged))
-	h.Troubles = []history.Trouble{{What: "cut", From: 4 * second, To: 60 * second, Agents: []int{0}}}
+	h.Faults = []history.Fault{{What: "cut", From: 4 * second, To: 60 * second, Agents: []int{0}}}
 	back := history.View{Agent: 0, At: 30 * second, Generation: 1, Order: "a"}
 	h.Views = append(h.Views, back)
 	wantOnly(t, h, history.CheckForwardViews)
-	h.Views[len(h.Views)-1].Life = 1
+	h.Views[len(h.Views)-1].Incarnation = 1
 	wantOnly(t, h, "")
 }
 
@@ -183,14 +183,14 @@
 	wantOnly(t, late, "")
 
 	again := h
-	again.Troubles = []history.Trouble{{What: "cut", From: 5 * second, To: 60 * second, Agents: []int{0, 1}}}
+	again.Faults = []history.Fault{{What: "cut", From: 5 * second, To: 60 * second, Agents: []int{0, 1}}}
 	again.Presences = append(append([]history.Presence(nil), h.Presences...), ready(0, 30*second, history.Ready))
 	wantOnly(t, again, history.CheckDepartures)
 }
 
 func TestRegistrationsAreSeen(t *testing.T) {
 	h := base()
-	h.Beats = []history.Beat{{Instance: "i-1", At: 10 * second}, {Instance: "i-1", At: 11 * second}}
+	h.Heartbeats = []history.Heartbeat{{Instance: "i-1", At: 10 * second}, {Instance: "i-1", At: 11 * second}}
 	wantOnly(t, h, history.CheckRegistration)
 
 	h.Presences = []history.Presence{{Agent: 0, At: 10 * second, Instance: "i-1", State: history.Ready}, {Agent: 1, At: 12 * second, Instance: "i-1", State: history.Ready}}
@@ -205,13 +205,13 @@
 	wantOnly(t, left, "")
 
 	away := dropped
-	away.Troubles = []history.Trouble{{What: "cut", From: 11500 * time.Millisecond, To: 13 * second, Agents: []int{0}}}
+	away.Faults = []history.Fault{{What: "cut", From: 11500 * time.Millisecond, To: 13 * second, Agents: []int{0}}}
 	wantOnly(t, away, "")
 }
 
 func TestServesAgainAfterADisruption(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 21*second, history.Unknown), order("b", 1, 2, 30*second, history.Acknowledged))
-	h.Troubles = []history.Trouble{{What: "kill", From: 20 * second, To: 20500 * time.Millisecond, Core: true}}
+	h.Faults = []history.Fault{{What: "kill", From: 20 * second, To: 20500 * time.Millisecond, Core: true}}
 	wantOnly(t, h, history.CheckServeAgain)
 
 	served := h
@@ -219,18 +219,18 @@
 	wantOnly(t, served, "")
 
 	struck := h
-	struck.Troubles = append(struck.Troubles, history.Trouble{What: "freeze", From: 24 * second, To: 25 * second, Core: true}, history.Trouble{What: "kill", From: 26 * second, To: 29 * second, Core: true})
+	struck.Faults = append(struck.Faults, history.Fault{What: "freeze", From: 24 * second, To: 25 * second, Core: true}, history.Fault{What: "kill", From: 26 * second, To: 29 * second, Core: true})
 	wantOnly(t, struck, "")
 
 	silent := operations(order("a", 0, 1, 1*second, history.Acknowledged))
-	silent.Troubles = h.Troubles
+	silent.Faults = h.Faults
 	wantOnly(t, silent, "")
 }
 
 func TestAMajoritySurvivesFurtherLosses(t *testing.T) {
 	voter := func(id uint64, place int) history.Voter { return history.Voter{ID: id, Place: place, Durable: 10} }
 	whole := []history.Voter{voter(1, 0), voter(2, 1), voter(3, 2)}
-	lost := history.Trouble{What: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
+	lost := history.Fault{What: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
 	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Place: 2, Gone: true}}
 	repaired := []history.Voter{voter(1, 0), voter(2, 1), voter(4, 2)}
 	standing := func(at time.Duration, voters []history.Voter) history.Standing {
@@ -250,14 +250,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := base()
-			h.Troubles = []history.Trouble{lost}
+			h.Faults = []history.Fault{lost}
 			h.Standings = one.standings
 			wantOnly(t, h, one.want)
 		})
 	}
 	t.Run("everything is down", func(t *testing.T) {
 		h := base()
-		h.Troubles = []history.Trouble{{What: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
+		h.Faults = []history.Fault{{What: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
 		h.Standings = []history.Standing{standing(0, whole), standing(20*second, wiped), standing(24*second, repaired)}
 		wantOnly(t, h, "")
 	})
--- a/internal/testkit/controlplanesim/history/majority.go
+++ b/internal/testkit/controlplanesim/history/majority.go
@@ -9,16 +9,16 @@
 
 // checkMajority finds instants at which one more loss within the tolerance would leave a group without a majority of
 // its voters, or without any voter that holds what was told.
-func checkMajority(h History) []Violation {
+func checkMajority(history History) []Violation {
 	var found []Violation
-	for group, standings := range h.byGroup() {
+	for group, standings := range history.byGroup() {
 		for i, standing := range standings {
-			until := h.End
+			until := history.End
 			if i+1 < len(standings) {
 				until = standings[i+1].At
 			}
-			for _, at := range h.lossChanges(standing.At, until) {
-				if text := h.weakness(standing, at); text != "" {
+			for _, at := range history.lossChanges(standing.At, until) {
+				if text := history.weakness(standing, at); text != "" {
 					found = append(found, Violation{Check: CheckMajority, At: at, Text: fmt.Sprintf("group %d: %s", group, text)})
 				}
 			}
@@ -39,9 +39,9 @@
 // lossChanges are the first instant and those up to the second at which a place ends to count as lost.
 func (h History) lossChanges(from, until time.Duration) []time.Duration {
 	instants := []time.Duration{from}
-	for _, trouble := range h.Troubles {
-		if len(trouble.Lost) > 0 && from < trouble.Until && trouble.Until < until {
-			instants = append(instants, trouble.Until)
+	for _, fault := range h.Faults {
+		if len(fault.Lost) > 0 && from < fault.Until && fault.Until < until {
+			instants = append(instants, fault.Until)
 		}
 	}
 	return instants
@@ -50,9 +50,9 @@
 // lostAt are the places that count as lost at the instant.
 func (h History) lostAt(at time.Duration) map[int]bool {
 	lost := map[int]bool{}
-	for _, trouble := range h.Troubles {
-		if trouble.From <= at && at < trouble.Until {
-			for _, place := range trouble.Lost {
+	for _, fault := range h.Faults {
+		if fault.From <= at && at < fault.Until {
+			for _, place := range fault.Lost {
 				lost[place] = true
 			}
 		}
--- a/internal/testkit/controlplanesim/history/orders.go
+++ b/internal/testkit/controlplanesim/history/orders.go
@@ -31,11 +31,11 @@
 }
 
 // checkOrders finds orders that were both taken and refused, and taken ones that are invalid or were never sent.
-func checkOrders(h History) []Violation {
+func checkOrders(history History) []Violation {
 	var found []Violation
-	taken := h.taken()
+	taken := history.taken()
 	sent := map[string]bool{}
-	for _, operation := range h.Operations {
+	for _, operation := range history.Operations {
 		if operation.Kind == Read {
 			continue
 		}
@@ -57,7 +57,7 @@
 }
 
 // checkOneBody finds generations under which two orders were confirmed or shown.
-func checkOneBody(h History) []Violation {
+func checkOneBody(history History) []Violation {
 	var found []Violation
 	first := map[uint64]string{}
 	note := func(generation uint64, order string, at time.Duration) {
@@ -73,12 +73,12 @@
 			found = append(found, Violation{Check: CheckOneBody, At: at, Text: fmt.Sprintf("generation %d has the orders %q and %q", generation, other, order)})
 		}
 	}
-	for _, operation := range h.Operations {
+	for _, operation := range history.Operations {
 		if operation.Outcome == Acknowledged {
 			note(operation.Generation, operation.Order, operation.Return)
 		}
 	}
-	for _, view := range h.Views {
+	for _, view := range history.Views {
 		note(view.Generation, view.Order, view.At)
 	}
 	return found
--- a/internal/testkit/controlplanesim/history/recovery.go
+++ b/internal/testkit/controlplanesim/history/recovery.go
@@ -8,16 +8,16 @@
 
 // checkServeAgain finds disruptions of the core after which nothing is answered within ServeAgain, though no other
 // disruption falls into that time and somebody asked.
-func checkServeAgain(h History) []Violation {
+func checkServeAgain(history History) []Violation {
 	var found []Violation
-	for _, at := range h.disruptions() {
-		until := at + h.Bounds.ServeAgain
-		if until > h.End || !h.calm(at, until) {
+	for _, at := range history.disruptions() {
+		until := at + history.Bounds.ServeAgain
+		if until > history.End || !history.calm(at, until) {
 			continue
 		}
 		asked, answered := false, false
-		for _, operation := range h.Operations {
-			asked = asked || operation.Call >= at && operation.Call <= until-h.Bounds.Contact
+		for _, operation := range history.Operations {
+			asked = asked || operation.Call >= at && operation.Call <= until-history.Bounds.Contact
 			answered = answered || operation.Outcome == Acknowledged && operation.Call >= at && operation.Return <= until
 		}
 		if asked && !answered {
@@ -30,9 +30,9 @@
 // disruptions are the instants at which something was done to the core, in order.
 func (h History) disruptions() []time.Duration {
 	var instants []time.Duration
-	for _, trouble := range h.Troubles {
-		if trouble.Core {
-			instants = append(instants, trouble.From, trouble.To)
+	for _, fault := range h.Faults {
+		if fault.Core {
+			instants = append(instants, fault.From, fault.To)
 		}
 	}
 	slices.Sort(instants)
@@ -41,14 +41,14 @@
 
 // calm reports whether nothing is done to the core after the first instant up to the second, and no trouble lasts.
 func (h History) calm(from, to time.Duration) bool {
-	for _, trouble := range h.Troubles {
-		if !trouble.Core {
+	for _, fault := range h.Faults {
+		if !fault.Core {
 			continue
 		}
-		if from < trouble.From && trouble.From <= to || from < trouble.To && trouble.To <= to {
+		if from < fault.From && fault.From <= to || from < fault.To && fault.To <= to {
 			return false
 		}
-		if trouble.Lasting && trouble.From <= from && from < trouble.To {
+		if fault.Lasting && fault.From <= from && from < fault.To {
 			return false
 		}
 	}
--- a/internal/testkit/controlplanesim/history/touch.go
+++ b/internal/testkit/controlplanesim/history/touch.go
@@ -12,25 +12,25 @@
 // InTouch are the spans in which the agent is in touch: for Contact before, nothing was done to it and the core was stable.
 func (h History) InTouch(agent int) []Span {
 	var out []Span
-	for _, trouble := range h.Troubles {
-		if slices.Contains(trouble.Agents, agent) {
-			out = append(out, Span{From: trouble.From, To: trouble.To + h.Bounds.Contact})
+	for _, fault := range h.Faults {
+		if slices.Contains(fault.Agents, agent) {
+			out = append(out, Span{From: fault.From, To: fault.To + h.Bounds.Contact})
 		}
-		out = append(out, h.unstable(trouble)...)
+		out = append(out, h.unstable(fault)...)
 	}
 	out = append(out, Span{To: h.Bounds.Contact})
 	return complement(out, h.End)
 }
 
 // unstable are the spans in which the trouble keeps the core from being stable.
-func (h History) unstable(trouble Trouble) []Span {
+func (h History) unstable(fault Fault) []Span {
 	switch {
-	case !trouble.Core:
+	case !fault.Core:
 		return nil
-	case trouble.Lasting:
-		return []Span{{From: trouble.From, To: trouble.To + h.Bounds.Contact}}
+	case fault.Lasting:
+		return []Span{{From: fault.From, To: fault.To + h.Bounds.Contact}}
 	}
-	return []Span{{From: trouble.From, To: trouble.From + h.Bounds.Contact}, {From: trouble.To, To: trouble.To + h.Bounds.Contact}}
+	return []Span{{From: fault.From, To: fault.From + h.Bounds.Contact}, {From: fault.To, To: fault.To + h.Bounds.Contact}}
 }
 
 // complement are the spans up to end that none of those given covers.
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -14,10 +14,10 @@
 	End           time.Duration
 	Operations    []Operation
 	Views         []View
-	Beats         []Beat
+	Heartbeats    []Heartbeat
 	Departures    []Departure
 	Presences     []Presence
-	Troubles      []Trouble
+	Faults        []Fault
 	Standings     []Standing
 	PresenceUntil time.Duration // until which Presences are complete; 0: End
 }
@@ -54,7 +54,7 @@
 // Operation is one call of an operator: an attempt of an order, or a read.
 type Operation struct {
 	Client     int
-	Keeper     int // that was asked
+	Server     int // that was asked
 	Call       time.Duration
 	Return     time.Duration // without meaning where the outcome is Unknown
 	Kind       Kind
@@ -68,20 +68,20 @@
 
 // String describes the operation for a violation's text.
 func (o Operation) String() string {
-	return fmt.Sprintf("%s %q %d on %d by client %d at keeper %d from %v to %v: %s (%d)", o.Kind, o.Order, o.Generation, o.Base, o.Client, o.Keeper, o.Call, o.Return, o.Outcome, o.Status)
+	return fmt.Sprintf("%s %q %d on %d by client %d at keeper %d from %v to %v: %s (%d)", o.Kind, o.Order, o.Generation, o.Base, o.Client, o.Server, o.Call, o.Return, o.Outcome, o.Status)
 }
 
 // View is the configuration that an agent's proxy took.
 type View struct {
-	Agent      int
-	Life       int // counts the agent's starts
-	At         time.Duration
-	Generation uint64
-	Order      string
+	Agent       int
+	Incarnation int // counts the agent's starts
+	At          time.Duration
+	Generation  uint64
+	Order       string
 }
 
-// Beat is an acknowledged heartbeat of a worker.
-type Beat struct {
+// Heartbeat is an acknowledged heartbeat of a worker.
+type Heartbeat struct {
 	Instance string
 	At       time.Duration // of the acknowledgement
 	Draining bool
@@ -106,15 +106,15 @@
 
 // Presence is a change of what an agent's view shows of a worker.
 type Presence struct {
-	Agent    int
-	Life     int
-	At       time.Duration
-	Instance string
-	State    State
+	Agent       int
+	Incarnation int
+	At          time.Duration
+	Instance    string
+	State       State
 }
 
-// Trouble is something that was done to the core or to agents.
-type Trouble struct {
+// Fault is something that was done to the core or to agents.
+type Fault struct {
 	What    string
 	From    time.Duration
 	To      time.Duration
--- a/internal/testkit/controlplanesim/history/views.go
+++ b/internal/testkit/controlplanesim/history/views.go
@@ -25,16 +25,16 @@
 }
 
 // checkFreshViews finds agents in touch whose view is older than what was acknowledged ConfigApply ago.
-func checkFreshViews(h History) []Violation {
+func checkFreshViews(history History) []Violation {
 	var found []Violation
-	for agent, views := range h.byAgent() {
-		spans := h.InTouch(agent)
-		for _, order := range h.Operations {
+	for agent, views := range history.byAgent() {
+		spans := history.InTouch(agent)
+		for _, order := range history.Operations {
 			if order.Kind == Read || order.Outcome != Acknowledged {
 				continue
 			}
 			for _, span := range spans {
-				at := max(span.From, order.Return+h.Bounds.ConfigApply)
+				at := max(span.From, order.Return+history.Bounds.ConfigApply)
 				if at >= span.To {
 					continue
 				}
@@ -54,9 +54,9 @@
 	for agent, views := range h.byAgent() {
 		for i := 1; i < len(views); i++ {
 			before, after := views[i-1], views[i]
-			if before.Life == after.Life && after.Generation < before.Generation {
+			if before.Incarnation == after.Incarnation && after.Generation < before.Generation {
 				found = append(found, Violation{Check: CheckForwardViews, At: after.At,
-					Text: fmt.Sprintf("agent %d went from generation %d (%v) back to %d in its life %d", agent, before.Generation, before.At, after.Generation, after.Life)})
+					Text: fmt.Sprintf("agent %d went from generation %d (%v) back to %d in its life %d", agent, before.Generation, before.At, after.Generation, after.Incarnation)})
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/history/workers.go
+++ b/internal/testkit/controlplanesim/history/workers.go
@@ -34,15 +34,15 @@
 
 // checkDepartures finds workers that are shown as ready though their drain or departure was acknowledged Drain ago and
 // the agent is in touch, and those that become ready again within a life after they were draining.
-func checkDepartures(h History) []Violation {
+func checkDepartures(history History) []Violation {
 	var found []Violation
-	for agent, presences := range h.presencesByAgent() {
-		spans := h.InTouch(agent)
-		for _, departure := range h.Departures {
+	for agent, presences := range history.presencesByAgent() {
+		spans := history.InTouch(agent)
+		for _, departure := range history.Departures {
 			if departure.Acknowledged == 0 {
 				continue
 			}
-			if at, forgotten := presences.readyAfter(departure.Instance, spans, departure.Acknowledged+h.Bounds.Drain); forgotten {
+			if at, forgotten := presences.readyAfter(departure.Instance, spans, departure.Acknowledged+history.Bounds.Drain); forgotten {
 				found = append(found, Violation{Check: CheckDepartures, At: at,
 					Text: fmt.Sprintf("agent %d shows %s as ready; its departure was acknowledged at %v", agent, departure.Instance, departure.Acknowledged)})
 			}
@@ -78,9 +78,9 @@
 		drained := map[int]bool{}
 		for _, change := range changes {
 			if change.State == Draining {
-				drained[change.Life] = true
+				drained[change.Incarnation] = true
 			}
-			if change.State == Ready && drained[change.Life] {
+			if change.State == Ready && drained[change.Incarnation] {
 				found = append(found, Violation{Check: CheckDepartures, At: change.At, Text: fmt.Sprintf("agent %d shows %s as ready after it was draining", agent, instance)})
 			}
 		}
@@ -90,20 +90,20 @@
 
 // checkRegistrations finds agents that were in touch since a worker's heartbeat was acknowledged and do not show the
 // worker Registration later, though it has not begun to leave.
-func checkRegistrations(h History) []Violation {
+func checkRegistrations(history History) []Violation {
 	leaving := map[string]time.Duration{}
-	for _, departure := range h.Departures {
+	for _, departure := range history.Departures {
 		leaving[departure.Instance] = departure.From
 	}
-	until := h.End
-	if h.PresenceUntil > 0 {
-		until = h.PresenceUntil
+	until := history.End
+	if history.PresenceUntil > 0 {
+		until = history.PresenceUntil
 	}
 	var found []Violation
-	for agent, presences := range h.presencesByAgent() {
-		spans := h.InTouch(agent)
-		for _, beat := range h.Beats {
-			at := beat.At + h.Bounds.Registration
+	for agent, presences := range history.presencesByAgent() {
+		spans := history.InTouch(agent)
+		for _, beat := range history.Heartbeats {
+			at := beat.At + history.Bounds.Registration
 			from, left := leaving[beat.Instance]
 			if left && from <= at || at >= until || !covers(spans, beat.At, at) {
 				continue
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -23,14 +23,14 @@
 	disk  *machineDisk
 
 	mutex   sync.Mutex
-	running *keeperProcess // nil: none was started, or it is down
+	running *serverProcess // nil: none was started, or it is down
 	starts  int
 	member  consensus.MemberID // of this disk, as the last keeper had it
 	retired bool               // another machine has its place
 }
 
-// keeperProcess is one life of a machine's keeper.
-type keeperProcess struct {
+// serverProcess is one life of a machine's keeper.
+type serverProcess struct {
 	process *simnet.Process
 	stop    context.CancelFunc // as SIGTERM does
 	ended   chan struct{}      // closed once nothing of it runs any more
@@ -47,7 +47,7 @@
 	config.Listen.Control = controlAddress(m.ip)
 	config.Seeds, config.Bootstrap = seeds, bootstrap
 	config.DataDir = "/data"
-	config.HeartbeatMs = int(beatInterval / time.Millisecond)
+	config.HeartbeatMs = int(heartbeatInterval / time.Millisecond)
 	config.FaultTolerance.Machines = m.world.schedule.Tolerance
 	return config
 }
@@ -62,46 +62,46 @@
 	m.starts++
 	m.world.network.SetPower(m.ip, true)
 	ctx, cancel := context.WithCancel(context.Background())
-	life := &keeperProcess{process: m.world.network.NewProcess(m.ip), stop: cancel, ended: make(chan struct{})}
-	m.running = life
-	outside := m.environment(life, m.starts)
+	incarnation := &serverProcess{process: m.world.network.NewProcess(m.ip), stop: cancel, ended: make(chan struct{})}
+	m.running = incarnation
+	outside := m.environment(incarnation, m.starts)
 	config := m.settings(seeds, bootstrap)
 	m.world.running.Go(func() {
-		defer close(life.ended)
+		defer close(incarnation.ended)
 		defer cancel()
-		m.run(ctx, life, config, outside)
+		m.run(ctx, incarnation, config, outside)
 	})
 }
 
-func (m *machine) environment(life *keeperProcess, start int) server.Environment {
+func (m *machine) environment(incarnation *serverProcess, start int) server.Environment {
 	w := m.world
 	return server.Environment{
-		FileSystem:    processDisk{disk: m.disk, process: life.process},
-		Now:           life.process.Now,
+		FileSystem:    processDisk{disk: m.disk, process: incarnation.process},
+		Now:           incarnation.process.Now,
 		Random:        w.sharedRandom("keeper "+m.ip, start),
-		Dial:          life.process.Dial,
-		Listen:        life.process.Listen,
+		Dial:          incarnation.process.Dial,
+		Listen:        incarnation.process.Listen,
 		OnGroupStatus: func(status replica.Status) { w.record.observe(m, status) },
 		OmitGuards:    w.omit.keeper, OmitRules: w.omit.agreement, OmitStore: w.omit.configuration,
 	}
 }
 
 // run is one life of the keeper.
-func (m *machine) run(ctx context.Context, life *keeperProcess, config bootconfig.Settings, outside server.Environment) {
+func (m *machine) run(ctx context.Context, incarnation *serverProcess, config bootconfig.Settings, outside server.Environment) {
 	opened, err := server.Open(ctx, config, outside, m.world.log.With(zap.String("machine", m.ip)))
 	if err == nil {
 		m.mutex.Lock()
-		life.keeper, m.member = opened, opened.Self().ID
+		incarnation.keeper, m.member = opened, opened.Self().ID
 		m.mutex.Unlock()
 		m.world.record.knowMember(opened.Self().ID, m)
-		err = opened.Serve(ctx, &apiServer{machine: m, life: life, stop: make(chan struct{})})
+		err = opened.Serve(ctx, &apiServer{machine: m, incarnation: incarnation, stop: make(chan struct{})})
 		opened.Close()
 	}
-	if !life.process.Dead() && ctx.Err() == nil {
+	if !incarnation.process.Dead() && ctx.Err() == nil {
 		m.world.record.fault("the keeper of " + m.ip + " ended by itself: " + errorText(err))
 	}
-	life.process.Kill()
-	m.forget(life)
+	incarnation.process.Kill()
+	m.forget(incarnation)
 }
 
 func errorText(err error) string {
@@ -112,32 +112,32 @@
 }
 
 // forget notes that a life has ended.
-func (m *machine) forget(life *keeperProcess) {
+func (m *machine) forget(incarnation *serverProcess) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.running == life {
+	if m.running == incarnation {
 		m.running = nil
 	}
 }
 
 // take takes the running keeper away, so that another may be started, or returns nil.
-func (m *machine) take() *keeperProcess {
+func (m *machine) take() *serverProcess {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	life := m.running
+	incarnation := m.running
 	m.running = nil
-	if life != nil {
-		life.serving = false
+	if incarnation != nil {
+		incarnation.serving = false
 	}
-	return life
+	return incarnation
 }
 
 // kill ends the process; its disk stays.
 func (m *machine) kill() {
-	if life := m.take(); life != nil {
-		life.process.Kill()
+	if incarnation := m.take(); incarnation != nil {
+		incarnation.process.Kill()
 		m.disk.kill()
-		life.stop()
+		incarnation.stop()
 	}
 }
 
@@ -146,14 +146,14 @@
 	m.mutex.Lock()
 	draws := m.world.random("power "+m.ip, m.starts)
 	m.mutex.Unlock()
-	life := m.take()
+	incarnation := m.take()
 	m.world.network.SetPower(m.ip, false)
-	if life != nil {
-		life.process.LosePower()
+	if incarnation != nil {
+		incarnation.process.LosePower()
 	}
 	m.disk.losePower(draws.Uint64())
-	if life != nil {
-		life.stop()
+	if incarnation != nil {
+		incarnation.stop()
 	}
 }
 
@@ -170,16 +170,16 @@
 // terminate ends the process as SIGTERM does, and after the time of grace as SIGKILL does.
 func (m *machine) terminate() {
 	m.mutex.Lock()
-	life := m.running
+	incarnation := m.running
 	m.mutex.Unlock()
-	if life == nil {
+	if incarnation == nil {
 		return
 	}
-	life.stop()
+	incarnation.stop()
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
 	select {
-	case <-life.ended:
+	case <-incarnation.ended:
 	case <-timer.C:
 		m.kill()
 	}
@@ -223,9 +223,9 @@
 
 // apiServer stands for the HTTP server of a keeper.
 type apiServer struct {
-	machine *machine
-	life    *keeperProcess
-	stop    chan struct{}
+	machine     *machine
+	incarnation *serverProcess
+	stop        chan struct{}
 }
 
 // Run takes calls until Shutdown.
@@ -245,7 +245,7 @@
 func (s *apiServer) set(serving bool) {
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
-	s.life.serving = serving && s.machine.running == s.life
+	s.incarnation.serving = serving && s.machine.running == s.incarnation
 }
 
 // retire notes that another machine has the place.
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -132,7 +132,7 @@
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		status := o.attempt(sent, to, attempt)
 		if ends, taken := clear(status); ends || attempt >= lastChance && isRefusal(status) {
-			o.settle(ctx, sent, taken)
+			o.recordOutcome(ctx, sent, taken)
 			return taken
 		}
 		if !sleep(ctx, retry/2+o.share(retry/2)) {
@@ -168,7 +168,7 @@
 		outcome = history.Refused
 	}
 	record.operation(history.Operation{
-		Client: o.index, Keeper: to.place, Call: called, Return: record.now(), Kind: sent.kind, Base: sent.base,
+		Client: o.index, Server: to.place, Call: called, Return: record.now(), Kind: sent.kind, Base: sent.base,
 		Generation: sent.generation, Order: sent.name, Invalid: sent.invalid, Outcome: outcome, Status: response.Status,
 	})
 	if outcome == history.Acknowledged {
@@ -177,8 +177,8 @@
 	return response.Status
 }
 
-// settle takes note of the answer to an order. After a refusal the operator reads what is in force.
-func (o *operator) settle(ctx context.Context, sent order, taken bool) {
+// recordOutcome takes note of the answer to an order. After a refusal the operator reads what is in force.
+func (o *operator) recordOutcome(ctx context.Context, sent order, taken bool) {
 	if !taken {
 		if !sent.invalid {
 			o.read(ctx, o.pick())
@@ -199,7 +199,7 @@
 	called := record.now()
 	response := o.world.call(o.host, from, server.APIRequest{Call: server.APIRead})
 	done := history.Operation{
-		Client: o.index, Keeper: from.place, Call: called, Return: record.now(), Kind: history.Read,
+		Client: o.index, Server: from.place, Call: called, Return: record.now(), Kind: history.Read,
 		Outcome: history.Unknown, Status: response.Status,
 	}
 	if _, taken := clear(response.Status); taken {
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -64,10 +64,10 @@
 	r.seen.Views = append(r.seen.Views, one)
 }
 
-func (r *recorder) beat(one history.Beat) {
+func (r *recorder) sendHeartbeat(one history.Heartbeat) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.seen.Beats = append(r.seen.Beats, one)
+	r.seen.Heartbeats = append(r.seen.Heartbeats, one)
 }
 
 func (r *recorder) presence(one history.Presence) {
@@ -105,19 +105,19 @@
 	}
 }
 
-// trouble notes the beginning of a trouble; over notes its end.
-func (r *recorder) trouble(one history.Trouble) (over func()) {
+// recordFault notes the beginning of a trouble; over notes its end.
+func (r *recorder) recordFault(one history.Fault) (over func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	one.From = r.now()
 	one.To, one.Until = time.Hour, time.Hour
-	index := len(r.seen.Troubles)
-	r.seen.Troubles = append(r.seen.Troubles, one)
+	index := len(r.seen.Faults)
+	r.seen.Faults = append(r.seen.Faults, one)
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.seen.Troubles[index].To = r.now()
-		r.seen.Troubles[index].Until = r.now() + schedule.CatchUp
+		r.seen.Faults[index].To = r.now()
+		r.seen.Faults[index].Until = r.now() + schedule.CatchUp
 	}
 }
 
@@ -258,8 +258,8 @@
 	s := r.world.schedule
 	r.seen.End, r.seen.Bounds = r.now(), bounds
 	r.seen.Tolerance, r.seen.Agents = s.Tolerance, s.Agents
-	r.seen.Troubles = append(r.seen.Troubles, history.Trouble{
+	r.seen.Faults = append(r.seen.Faults, history.Fault{
 		What: "formation", To: formation, Core: true, Lasting: true, Lost: r.world.allPlaces(), Until: formation,
 	})
-	r.seen.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Keepers)
+	r.seen.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
--- a/internal/testkit/controlplanesim/schedule/draw.go
+++ b/internal/testkit/controlplanesim/schedule/draw.go
@@ -57,7 +57,7 @@
 		d.slowDisks()
 	}
 	slices.SortStableFunc(d.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return Schedule{Seed: seed, Keepers: shape.Keepers, Tolerance: shape.Tolerance, Agents: shape.Agents, Operators: shape.Operators,
+	return Schedule{Seed: seed, Servers: shape.Keepers, Tolerance: shape.Tolerance, Agents: shape.Agents, Operators: shape.Operators,
 		Workers: shape.Workers, Length: shape.Length, Omit: slices.Clone(shape.Omit), Events: d.events}
 }
 
@@ -93,9 +93,9 @@
 	if count == 0 || limit == 0 {
 		return nil
 	}
-	places := d.random.Perm(count)[:1+d.random.IntN(min(count, limit))]
-	slices.Sort(places)
-	return places
+	indexes := d.random.Perm(count)[:1+d.random.IntN(min(count, limit))]
+	slices.Sort(indexes)
+	return indexes
 }
 
 // add adds the event.
@@ -104,10 +104,10 @@
 // strike adds an event that costs the group its keepers, unless more than the tolerance would be lost at once.
 func (d *drawer) strike(event Event) bool {
 	until := event.End() + CatchUp
-	if len(event.Keepers) == 0 || !d.within(event.Keepers, event.At, until) {
+	if len(event.Servers) == 0 || !d.within(event.Servers, event.At, until) {
 		return false
 	}
-	for _, place := range event.Keepers {
+	for _, place := range event.Servers {
 		d.losses = append(d.losses, loss{place: place, from: event.At, to: until})
 	}
 	d.add(event)
@@ -115,9 +115,9 @@
 }
 
 // within reports whether the places may be lost from one time to the other beside those that are lost by then.
-func (d *drawer) within(places []int, from, to time.Duration) bool {
+func (d *drawer) within(indexes []int, from, to time.Duration) bool {
 	lost := map[int]bool{}
-	for _, place := range places {
+	for _, place := range indexes {
 		lost[place] = true
 	}
 	for _, other := range d.losses {
--- a/internal/testkit/controlplanesim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -67,12 +67,12 @@
 		case schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Cut, schedule.Replace, schedule.Disk, schedule.Link,
 			schedule.KillAll, schedule.PowerAll:
 			if event.At <= at && at < event.End()+schedule.CatchUp {
-				for _, place := range event.Keepers {
+				for _, place := range event.Servers {
 					lost[place] = true
 				}
 			}
 		case schedule.Roll:
-			for i, place := range event.Keepers {
+			for i, place := range event.Servers {
 				if from := event.At + time.Duration(i)*event.For; from <= at && at < from+event.For {
 					lost[place] = true
 				}
@@ -92,7 +92,7 @@
 		}
 		added := 0
 		for _, event := range more.Events {
-			if event.Kind == schedule.Disk && len(event.Keepers) == shapes[0].Keepers {
+			if event.Kind == schedule.Disk && len(event.Servers) == shapes[0].Keepers {
 				added += 2 // with the loss of power amid it
 			}
 		}
@@ -110,7 +110,7 @@
 		}
 	}
 	for _, kind := range []schedule.Kind{schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Cut, schedule.Replace, schedule.Disk,
-		schedule.Link, schedule.KillAll, schedule.PowerAll, schedule.RestartAll, schedule.Roll, schedule.LoseReplies, schedule.Race, schedule.Storm,
+		schedule.Link, schedule.KillAll, schedule.PowerAll, schedule.RestartAll, schedule.Roll, schedule.LoseReplies, schedule.Race, schedule.Burst,
 		schedule.Bad, schedule.Worker} {
 		if seen[kind] < 10 {
 			t.Errorf("%s is drawn %d times in 300 schedules", kind, seen[kind])
@@ -144,8 +144,8 @@
 func TestShrinkKeepsOnlyWhatTheFailureNeeds(t *testing.T) {
 	drawn := schedule.Draw(7, shapes[1])
 	needed := []schedule.Event{
-		{At: 20 * time.Second, Kind: schedule.Wipe, Keepers: []int{1, 3}, For: 800 * time.Millisecond},
-		{At: 26 * time.Second, Kind: schedule.Storm, Operators: []int{0, 1}, Count: 60},
+		{At: 20 * time.Second, Kind: schedule.Wipe, Servers: []int{1, 3}, For: 800 * time.Millisecond},
+		{At: 26 * time.Second, Kind: schedule.Burst, Operators: []int{0, 1}, Count: 60},
 	}
 	drawn.Events = insert(drawn.Events, needed...)
 	calls := 0
@@ -160,7 +160,7 @@
 	if storm := small.Events[len(small.Events)-1]; storm.Count != 7 || len(storm.Operators) != 1 {
 		t.Errorf("the storm was not made smaller: %v", storm)
 	}
-	if wipe := small.Events[0]; len(wipe.Keepers) != 1 || wipe.For >= 20*time.Millisecond {
+	if wipe := small.Events[0]; len(wipe.Servers) != 1 || wipe.For >= 20*time.Millisecond {
 		t.Errorf("the wipe was not made smaller: %v", wipe)
 	}
 	if small.Agents != 1 || small.Workers != 1 {
@@ -203,7 +203,7 @@
 
 func hasWipeOf(s schedule.Schedule, place int) bool {
 	for _, event := range s.Events {
-		for _, struck := range event.Keepers {
+		for _, struck := range event.Servers {
 			if event.Kind == schedule.Wipe && struck == place && event.At == 20*time.Second {
 				return true
 			}
@@ -214,7 +214,7 @@
 
 func hasStormOf(s schedule.Schedule, count int) bool {
 	for _, event := range s.Events {
-		if event.Kind == schedule.Storm && event.Count >= count {
+		if event.Kind == schedule.Burst && event.Count >= count {
 			return true
 		}
 	}
--- a/internal/testkit/controlplanesim/schedule/shrink.go
+++ b/internal/testkit/controlplanesim/schedule/shrink.go
@@ -42,55 +42,55 @@
 }
 
 // lessenEvents makes each event smaller, as far as the schedule still fails.
-func lessenEvents(s Schedule, fails func(Schedule) bool) Schedule {
-	for i := range s.Events {
+func lessenEvents(schedule Schedule, fails func(Schedule) bool) Schedule {
+	for i := range schedule.Events {
 		for improved := true; improved; {
 			improved = false
-			for _, lesser := range lesserEvents(s.Events[i]) {
-				candidate := s
-				candidate.Events = slices.Clone(s.Events)
+			for _, lesser := range lesserEvents(schedule.Events[i]) {
+				candidate := schedule
+				candidate.Events = slices.Clone(schedule.Events)
 				candidate.Events[i] = lesser
 				if fails(candidate) {
-					s, improved = candidate, true
+					schedule, improved = candidate, true
 					break
 				}
 			}
 		}
 	}
-	return s
+	return schedule
 }
 
 // lesserEvents are the events that are one step smaller.
-func lesserEvents(e Event) []Event {
+func lesserEvents(event Event) []Event {
 	var lesser []Event
 	add := func(change func(*Event)) {
-		smaller := e
+		smaller := event
 		change(&smaller)
 		lesser = append(lesser, smaller)
 	}
-	if e.Count > 1 {
-		add(func(s *Event) { s.Count = e.Count / 2 })
-		add(func(s *Event) { s.Count = e.Count - 1 })
+	if event.Count > 1 {
+		add(func(s *Event) { s.Count = event.Count / 2 })
+		add(func(s *Event) { s.Count = event.Count - 1 })
 	}
-	if e.For >= 2*smallestSpan {
-		add(func(s *Event) { s.For = (e.For / 2).Round(smallestSpan) })
+	if event.For >= 2*smallestSpan {
+		add(func(s *Event) { s.For = (event.For / 2).Round(smallestSpan) })
 	}
-	if e.Delay > 0 {
+	if event.Delay > 0 {
 		add(func(s *Event) { s.Delay = 0 })
 	}
-	if e.Restart {
+	if event.Restart {
 		add(func(s *Event) { s.Restart = false })
 	}
-	for _, places := range []func(*Event) *[]int{
-		func(s *Event) *[]int { return &s.Keepers },
+	for _, indexes := range []func(*Event) *[]int{
+		func(s *Event) *[]int { return &s.Servers },
 		func(s *Event) *[]int { return &s.Agents },
 		func(s *Event) *[]int { return &s.Operators },
 		func(s *Event) *[]int { return &s.Workers },
 	} {
-		all := *places(&e)
+		all := *indexes(&event)
 		for i := range all {
 			if len(all) > 1 {
-				add(func(s *Event) { *places(s) = slices.Delete(slices.Clone(all), i, i+1) })
+				add(func(s *Event) { *indexes(s) = slices.Delete(slices.Clone(all), i, i+1) })
 			}
 		}
 	}
@@ -111,25 +111,25 @@
 	return s
 }
 
-func lesserWorlds(s Schedule) []Schedule {
+func lesserWorlds(schedule Schedule) []Schedule {
 	var lesser []Schedule
 	for _, count := range []func(*Schedule) *int{
 		func(c *Schedule) *int { return &c.Agents },
 		func(c *Schedule) *int { return &c.Operators },
 		func(c *Schedule) *int { return &c.Workers },
 	} {
-		if *count(&s) > 1 {
-			smaller := s
+		if *count(&schedule) > 1 {
+			smaller := schedule
 			*count(&smaller)--
 			lesser = append(lesser, smaller)
 		}
 	}
 	last := time.Duration(0)
-	if len(s.Events) > 0 {
-		last = s.Events[len(s.Events)-1].At
+	if len(schedule.Events) > 0 {
+		last = schedule.Events[len(schedule.Events)-1].At
 	}
-	if s.Length > last+time.Second {
-		smaller := s
+	if schedule.Length > last+time.Second {
+		smaller := schedule
 		smaller.Length = last + time.Second
 		lesser = append(lesser, smaller)
 	}
--- a/internal/testkit/controlplanesim/schedule/text.go
+++ b/internal/testkit/controlplanesim/schedule/text.go
@@ -19,7 +19,7 @@
 func (s Schedule) Format() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s seed=%d keepers=%d tolerance=%d agents=%d operators=%d workers=%d length=%v",
-		header, s.Seed, s.Keepers, s.Tolerance, s.Agents, s.Operators, s.Workers, s.Length)
+		header, s.Seed, s.Servers, s.Tolerance, s.Agents, s.Operators, s.Workers, s.Length)
 	if len(s.Omit) > 0 {
 		text.WriteString(" omit=" + strings.Join(s.Omit, ","))
 	}
@@ -42,10 +42,10 @@
 	add("variant", string(e.Variant))
 	add("on", string(e.On))
 	add("delay", formatSpan(e.Delay))
-	add("keepers", formatPlaces(e.Keepers))
-	add("agents", formatPlaces(e.Agents))
-	add("operators", formatPlaces(e.Operators))
-	add("workers", formatPlaces(e.Workers))
+	add("keepers", formatIndexes(e.Servers))
+	add("agents", formatIndexes(e.Agents))
+	add("operators", formatIndexes(e.Operators))
+	add("workers", formatIndexes(e.Workers))
 	add("for", formatSpan(e.For))
 	if e.Count != 0 {
 		add("count", strconv.Itoa(e.Count))
@@ -63,9 +63,9 @@
 	return span.String()
 }
 
-func formatPlaces(places []int) string {
-	words := make([]string, len(places))
-	for i, place := range places {
+func formatIndexes(indexes []int) string {
+	words := make([]string, len(indexes))
+	for i, place := range indexes {
 		words[i] = strconv.Itoa(place)
 	}
 	return strings.Join(words, ",")
@@ -116,7 +116,7 @@
 	case "seed":
 		s.Seed, err = strconv.ParseUint(value, 10, 64)
 	case "keepers":
-		s.Keepers, err = strconv.Atoi(value)
+		s.Servers, err = strconv.Atoi(value)
 	case "tolerance":
 		s.Tolerance, err = strconv.Atoi(value)
 	case "agents":
@@ -164,13 +164,13 @@
 	case "delay":
 		e.Delay, err = time.ParseDuration(value)
 	case "keepers":
-		e.Keepers, err = parsePlaces(value)
+		e.Servers, err = parseIndexes(value)
 	case "agents":
-		e.Agents, err = parsePlaces(value)
+		e.Agents, err = parseIndexes(value)
 	case "operators":
-		e.Operators, err = parsePlaces(value)
+		e.Operators, err = parseIndexes(value)
 	case "workers":
-		e.Workers, err = parsePlaces(value)
+		e.Workers, err = parseIndexes(value)
 	case "for":
 		e.For, err = time.ParseDuration(value)
 	case "count":
@@ -183,21 +183,21 @@
 	return err
 }
 
-func parsePlaces(text string) ([]int, error) {
-	var places []int
+func parseIndexes(text string) ([]int, error) {
+	var indexes []int
 	for _, word := range strings.Split(text, ",") {
 		place, err := strconv.Atoi(word)
 		if err != nil {
 			return nil, err
 		}
-		places = append(places, place)
+		indexes = append(indexes, place)
 	}
-	return places, nil
+	return indexes, nil
 }
 
 // Check reports what makes the schedule unplayable: an unknown word, a place that does not exist, events out of order.
 func (s Schedule) Check() error {
-	if s.Keepers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 {
+	if s.Servers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 {
 		return fmt.Errorf("%w: keepers must be positive, the other counts not negative", ErrText)
 	}
 	for i, event := range s.Events {
@@ -227,7 +227,7 @@
 	for _, group := range []struct {
 		places []int
 		count  int
-	}{{event.Keepers, s.Keepers}, {event.Agents, s.Agents}, {event.Operators, s.Operators}, {event.Workers, s.Workers}} {
+	}{{event.Servers, s.Servers}, {event.Agents, s.Agents}, {event.Operators, s.Operators}, {event.Workers, s.Workers}} {
 		for _, place := range group.places {
 			if place < 0 || place >= group.count {
 				return fmt.Errorf("no place %d", place)
--- a/internal/testkit/controlplanesim/schedule/types.go
+++ b/internal/testkit/controlplanesim/schedule/types.go
@@ -12,7 +12,7 @@
 // machine's successor takes over its place at another address.
 type Schedule struct {
 	Seed      uint64        // of the network, the disks and all that is scripted
-	Keepers   int           // machines of the core at the start
+	Servers   int           // machines of the core at the start
 	Tolerance int           // machines that may be lost at once; 2*Tolerance+1 voters are wanted
 	Agents    int           // agents, each with the views that its proxy takes
 	Operators int           // operators that send orders, each one after the other
@@ -29,7 +29,7 @@
 	Delay     time.Duration // between the trigger and the event
 	Kind      Kind
 	Variant   Variant
-	Keepers   []int         // places that are struck
+	Servers   []int         // places that are struck
 	Agents    []int         // agents that are struck, or that share the keepers' side of a cut
 	Operators []int         // operators that are concerned
 	Workers   []int         // workers that are concerned
@@ -57,7 +57,7 @@
 	Roll        Kind = "roll"         // Keepers get SIGTERM one after the other, For apart, and start again
 	LoseReplies Kind = "lose-replies" // answers to Operators are lost for For
 	Race        Kind = "race"         // Operators send at once on top of one version
-	Storm       Kind = "storm"        // Operators send Count changes one upon the other without a pause
+	Burst       Kind = "storm"        // Operators send Count changes one upon the other without a pause
 	Bad         Kind = "bad"          // Operators send a configuration that must be refused
 	Worker      Kind = "worker"       // Workers leave, crash or are late
 )
@@ -68,7 +68,7 @@
 // Variants of Cut. All are between Keepers and the other keepers; all but the first also concern agents. Operators and
 // Workers that are named reach Keepers alone while it lasts.
 const (
-	CutKeepers Variant = "keepers"  // from the other keepers alone: every agent, operator and worker still reaches them
+	CutServers Variant = "keepers"  // from the other keepers alone: every agent, operator and worker still reaches them
 	CutSide    Variant = "side"     // from all but the Agents that are named, and from operators and workers as DEPLOY allows: either side may be reached
 	CutInward  Variant = "inward"   // what others send to Keepers is lost; what they send arrives
 	CutOutward Variant = "outward"  // what Keepers send is lost; what others send arrives
@@ -135,7 +135,7 @@
 
 // variants lists what each kind may have; the kinds that are missing have none.
 var variants = map[Kind][]Variant{
-	Cut:     {CutKeepers, CutSide, CutInward, CutOutward, CutAll},
+	Cut:     {CutServers, CutSide, CutInward, CutOutward, CutAll},
 	Replace: {Planned, Unplanned},
 	Disk:    {DiskHang, DiskSlow, DiskFull},
 	Link:    {LinkReset, LinkHold, LinkSlow},
@@ -145,7 +145,7 @@
 }
 
 // kinds lists every kind.
-var kinds = []Kind{Kill, Power, Wipe, Freeze, Cut, Replace, Disk, Link, KillAll, PowerAll, RestartAll, Roll, LoseReplies, Race, Storm, Bad, Worker}
+var kinds = []Kind{Kill, Power, Wipe, Freeze, Cut, Replace, Disk, Link, KillAll, PowerAll, RestartAll, Roll, LoseReplies, Race, Burst, Bad, Worker}
 
 // triggers lists every trigger.
 var triggers = []Trigger{Acknowledgement, Sent, Election, Drain}
@@ -156,8 +156,8 @@
 	if e.On != "" {
 		end += TriggerWindow
 	}
-	if e.Kind == Roll && len(e.Keepers) > 1 {
-		end += e.For * time.Duration(len(e.Keepers)-1)
+	if e.Kind == Roll && len(e.Servers) > 1 {
+		end += e.For * time.Duration(len(e.Servers)-1)
 	}
 	return end
 }
--- a/internal/testkit/controlplanesim/scripts.go
+++ b/internal/testkit/controlplanesim/scripts.go
@@ -74,8 +74,8 @@
 	return base
 }
 
-// playStorm has operators send many changes one upon the other.
-func (w *world) playStorm(ctx context.Context, event schedule.Event) {
+// playBurst has operators send many changes one upon the other.
+func (w *world) playBurst(ctx context.Context, event schedule.Event) {
 	var storming sync.WaitGroup
 	for _, i := range event.Operators {
 		o := w.operators[i]
--- a/internal/testkit/controlplanesim/simnet/connection.go
+++ b/internal/testkit/controlplanesim/simnet/connection.go
@@ -23,10 +23,10 @@
 
 // segment is something under way to an end.
 type segment struct {
-	data   []byte
-	at     time.Time // when it arrives
-	held   bool      // by a cut
-	finish error     // io.EOF or a reset: what comes after data
+	data    []byte
+	at      time.Time // when it arrives
+	delayed bool      // by a cut
+	finish  error     // io.EOF or a reset: what comes after data
 }
 
 // end is one end of a connection. The network's mutex guards it.
@@ -114,7 +114,7 @@
 	case !e.deadline.IsZero() && !now.Before(e.deadline):
 		return 0, 0, os.ErrDeadlineExceeded
 	}
-	if len(e.inbox) == 0 || e.inbox[0].held || e.inbox[0].at.After(now) {
+	if len(e.inbox) == 0 || e.inbox[0].delayed || e.inbox[0].at.After(now) {
 		return 0, e.wait(now), nil
 	}
 	first := &e.inbox[0]
@@ -135,7 +135,7 @@
 	if !e.deadline.IsZero() {
 		wait = e.deadline.Sub(now)
 	}
-	if len(e.inbox) > 0 && !e.inbox[0].held {
+	if len(e.inbox) > 0 && !e.inbox[0].delayed {
 		if next := e.inbox[0].at.Sub(now); wait == 0 || next < wait {
 			wait = next
 		}
@@ -178,7 +178,7 @@
 		}
 		return
 	}
-	one.held = blocked
+	one.delayed = blocked
 	one.at = now.Add(e.network.delay(e.path, e.stream, e.sent))
 	e.peer.arrive(one)
 	if e.cut {
@@ -196,7 +196,7 @@
 		if !one.at.After(before.at) {
 			one.at = before.at.Add(1)
 		}
-		one.held = one.held || before.held
+		one.delayed = one.delayed || before.delayed
 	}
 	e.inbox = append(e.inbox, one)
 	if len(e.inbox) == 1 {
@@ -234,9 +234,9 @@
 		one := &e.inbox[i]
 		switch {
 		case blocked && one.at.After(now):
-			one.held = true
-		case !blocked && one.held:
-			one.held = false
+			one.delayed = true
+		case !blocked && one.delayed:
+			one.delayed = false
 			one.at = now.Add(e.network.delay(e.path.back(), e.stream, uint64(i)) + time.Duration(i))
 		}
 	}
@@ -267,7 +267,7 @@
 		e.fail(errTimeout)
 	case e.cut:
 		e.watch(max(userTimeout-cutFor, 0) + time.Millisecond*50)
-	case e.peer.closed != nil && !e.told():
+	case e.peer.closed != nil && !e.notified():
 		e.fail(errReset)
 	}
 }
@@ -278,21 +278,21 @@
 		return true
 	}
 	for _, one := range e.peer.inbox {
-		if one.held {
+		if one.delayed {
 			return true
 		}
 	}
 	return e.network.blocked(e.path.back()) && e.sent > 0
 }
 
-// told tells whether the peer's end is on its way to this end.
-func (e *end) told() bool {
+// notified tells whether the peer's end is on its way to this end.
+func (e *end) notified() bool {
 	return len(e.inbox) > 0 && e.inbox[len(e.inbox)-1].finish != nil
 }
 
 // fail ends the connection at this end, and resets the peer if that can be reached.
 func (e *end) fail(reason error) {
-	e.dropHeld()
+	e.dropDelayed()
 	e.forget(reason)
 	if e.peer.closed != nil {
 		return
@@ -304,10 +304,10 @@
 	e.peer.resetLater(e.network.delay(e.path, e.stream, e.sent))
 }
 
-// dropHeld loses what a cut holds up of what this end has sent.
-func (e *end) dropHeld() {
+// dropDelayed loses what a cut holds up of what this end has sent.
+func (e *end) dropDelayed() {
 	for i, one := range e.peer.inbox {
-		if one.held {
+		if one.delayed {
 			e.peer.inbox = e.peer.inbox[:i]
 			return
 		}
@@ -344,7 +344,7 @@
 	}
 	e.sent++
 	e.peer.arrive(segment{
-		at: time.Now().Add(e.network.delay(e.path, e.stream, e.sent)), held: e.network.blocked(e.path), finish: finish,
+		at: time.Now().Add(e.network.delay(e.path, e.stream, e.sent)), delayed: e.network.blocked(e.path), finish: finish,
 	})
 	if e.cut {
 		e.dropLater()
@@ -359,7 +359,7 @@
 		e.network.mutex.Lock()
 		defer e.network.mutex.Unlock()
 		if e.peer.closed == nil && e.peer.cut && !e.peer.since.After(since) {
-			e.dropHeld()
+			e.dropDelayed()
 		}
 	})
 }
@@ -369,7 +369,7 @@
 	if e.closed != nil {
 		return
 	}
-	e.dropHeld()
+	e.dropDelayed()
 	e.forget(errVanished)
 	if e.peer.closed == nil {
 		e.peer.watch(probeTime)
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -14,7 +14,7 @@
 	frozen    chan struct{} // nil: it runs; closed by Thaw
 	ended     chan struct{} // closed by the end
 	dead      bool
-	held      []func() // what it has sent while it stands still
+	delayed   []func() // what it has sent while it stands still
 	ends      map[*end]struct{}
 	listeners map[*listener]struct{}
 }
@@ -43,8 +43,8 @@
 		close(p.frozen)
 		p.frozen = nil
 	}
-	held := p.held
-	p.held = nil
+	held := p.delayed
+	p.delayed = nil
 	p.mutex.Unlock()
 	for _, send := range held {
 		send()
@@ -101,7 +101,7 @@
 		return
 	}
 	if p.frozen != nil {
-		p.held = append(p.held, function)
+		p.delayed = append(p.delayed, function)
 		p.mutex.Unlock()
 		return
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	p.dead = true
-	p.held = nil
+	p.delayed = nil
 	close(p.ended)
 	p.mutex.Unlock()
 	p.network.release(p, silent)
--- a/internal/testkit/controlplanesim/worker.go
+++ b/internal/testkit/controlplanesim/worker.go
@@ -15,12 +15,12 @@
 
 // How workers go about.
 const (
-	beatInterval  = 500 * time.Millisecond
-	drainTime     = 2 * time.Second        // drainMs
-	drainPatience = 5 * time.Second        // for the acknowledgement of a drain
-	drainSlack    = 300 * time.Millisecond // that it serves on beyond drainTime
-	nextNode      = 20 * time.Millisecond  // before the next node is called
-	services      = 6
+	heartbeatInterval = 500 * time.Millisecond
+	drainTime         = 2 * time.Second        // drainMs
+	drainPatience     = 5 * time.Second        // for the acknowledgement of a drain
+	drainSlack        = 300 * time.Millisecond // that it serves on beyond drainTime
+	nextNode          = 20 * time.Millisecond  // before the next node is called
+	services          = 6
 )
 
 // worker is an address at which one incarnation of a worker after the other runs.
@@ -97,15 +97,15 @@
 // run sends heartbeats until ctx ends.
 func (i *incarnation) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		i.beat(ctx)
-		if !sleep(ctx, beatInterval*9/10+i.worker.draw(beatInterval/5)) {
+		i.sendHeartbeat(ctx)
+		if !sleep(ctx, heartbeatInterval*9/10+i.worker.draw(heartbeatInterval/5)) {
 			return
 		}
 	}
 }
 
-// beat sends one heartbeat to one node after the other until it is acknowledged.
-func (i *incarnation) beat(ctx context.Context) bool {
+// sendHeartbeat sends one heartbeat to one node after the other until it is acknowledged.
+func (i *incarnation) sendHeartbeat(ctx context.Context) bool {
 	body, late, draining := i.next()
 	for ctx.Err() == nil {
 		to := i.worker.pick()
@@ -114,7 +114,7 @@
 			return false
 		}
 		if i.call(to, server.APIHeartbeat, body) {
-			i.worker.world.record.beat(history.Beat{Instance: i.id, At: i.worker.world.record.now(), Draining: draining})
+			i.worker.world.record.sendHeartbeat(history.Heartbeat{Instance: i.id, At: i.worker.world.record.now(), Draining: draining})
 			return true
 		}
 		sleep(ctx, nextNode)
@@ -163,7 +163,7 @@
 	departure := i.worker.world.record.departure(i.id)
 	patience, cancel := context.WithTimeout(ctx, drainPatience)
 	defer cancel()
-	for patience.Err() == nil && !i.beat(patience) {
+	for patience.Err() == nil && !i.sendHeartbeat(patience) {
 	}
 	if patience.Err() == nil {
 		departure.acknowledged()
--- a/internal/testkit/controlplanesim/world.go
+++ b/internal/testkit/controlplanesim/world.go
@@ -75,7 +75,7 @@
 		triggers: make(map[schedule.Trigger]chan struct{}),
 	}
 	w.record = newRecorder(w)
-	for place := range s.Keepers {
+	for place := range s.Servers {
 		m := w.newMachine(place)
 		w.current = append(w.current, m)
 		w.posts = append(w.posts, post{machine: m, from: time.Now().Add(-listLag)})
@@ -140,9 +140,9 @@
 	return w.current[place]
 }
 
-func (w *world) places(places []int) []*machine {
+func (w *world) places(machines []int) []*machine {
 	var found []*machine
-	for _, place := range places {
+	for _, place := range machines {
 		found = append(found, w.at(place))
 	}
 	return found
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -14,9 +14,9 @@
 
 // Link is how bytes fare from one end to the other.
 type Link struct {
-	Held  bool          // nothing arrives, and nothing is lost: it is as if the network were gone
-	Delay time.Duration // of each piece
-	Cut   bool          // connections are reset, new ones are closed at once
+	Delayed bool          // nothing arrives, and nothing is lost: it is as if the network were gone
+	Delay   time.Duration // of each piece
+	Cut     bool          // connections are reset, new ones are closed at once
 }
 
 // Proxy stands between one process and another. Its address is what the first is told.
@@ -147,9 +147,9 @@
 
 // read reads what comes on a connection until its end.
 func (p *Proxy) read(from net.Conn) <-chan []byte {
-	pieces := make(chan []byte, pending)
+	fragments := make(chan []byte, pending)
 	go func() {
-		defer close(pieces)
+		defer close(fragments)
 		for {
 			buffer := make([]byte, 4<<10)
 			n, err := from.Read(buffer)
@@ -159,14 +159,14 @@
 					p.passed = append(p.passed, time.Now())
 				}
 				p.mu.Unlock()
-				pieces <- buffer[:n]
+				fragments <- buffer[:n]
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	return pieces
+	return fragments
 }
 
 func (p *Proxy) drop(c net.Conn) {
@@ -188,14 +188,14 @@
 		if ended {
 			return false
 		}
-		if !l.Held {
+		if !l.Delayed {
 			return true
 		}
 		<-changed
 	}
 }
 
-func (p *Proxy) pump(to net.Conn, head []byte, pieces <-chan []byte, out bool) {
+func (p *Proxy) pump(to net.Conn, head []byte, fragments <-chan []byte, out bool) {
 	of := func() Link {
 		if out {
 			return p.out
@@ -218,7 +218,7 @@
 	if len(head) > 0 && !carry(head) {
 		return
 	}
-	for piece := range pieces {
+	for piece := range fragments {
 		if !carry(piece) {
 			return
 		}
--- a/internal/testkit/endtoend/stage.go
+++ b/internal/testkit/endtoend/stage.go
@@ -20,16 +20,16 @@
 
 // Plan is a trial.
 type Plan struct {
-	Program string   // the built program
-	Env     []string // of its processes, besides their own
-	Seed    uint64
-	Alone   bool   // the same faults, with each process for itself
-	Without string // a check of the protocol left out
-	Calm    time.Duration
-	Trouble time.Duration
-	After   time.Duration
-	Rate    float64 // requests a second at each node
-	Dir     string  // for files; the caller's to remove
+	Program     string   // the built program
+	Env         []string // of its processes, besides their own
+	Seed        uint64
+	Alone       bool   // the same faults, with each process for itself
+	Without     string // a check of the protocol left out
+	QuietBefore time.Duration
+	Faulty      time.Duration
+	After       time.Duration
+	Rate        float64 // requests a second at each node
+	Dir         string  // for files; the caller's to remove
 }
 
 // Report is what a trial has found.
@@ -89,8 +89,8 @@
 	story []string
 }
 
-func newStage(p Plan) (*stage, error) {
-	s := &stage{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 11)), at: map[string]string{}, workers: map[string][]*fakeplatform.Worker{},
+func newStage(plan Plan) (*stage, error) {
+	s := &stage{plan: plan, rng: rand.New(rand.NewPCG(plan.Seed, 11)), at: map[string]string{}, workers: map[string][]*fakeplatform.Worker{},
 		calls: transport.NewClient()}
 	for _, z := range zones {
 		for i := range workersPerZone {
@@ -101,13 +101,13 @@
 			s.workers[z] = append(s.workers[z], w)
 		}
 	}
-	if !p.Alone {
+	if !plan.Alone {
 		for i, z := range zones {
 			at, err := fakeplatform.FreeAddress()
 			if err != nil {
 				return s, err
 			}
-			v := &Process{Name: "v" + strconv.Itoa(i+1), Zone: z, dir: p.Dir, program: p.Program, args: []string{"voter"}}
+			v := &Process{Name: "v" + strconv.Itoa(i+1), Zone: z, dir: plan.Dir, program: plan.Program, args: []string{"voter"}}
 			s.at[v.Name] = at
 			s.voters = append(s.voters, v)
 		}
@@ -117,7 +117,7 @@
 		if err != nil {
 			return s, err
 		}
-		n := &Process{Name: "n" + strconv.Itoa(i+1), Zone: zones[i%len(zones)], dir: p.Dir, program: p.Program, args: []string{"serve"}}
+		n := &Process{Name: "n" + strconv.Itoa(i+1), Zone: zones[i%len(zones)], dir: plan.Dir, program: plan.Program, args: []string{"serve"}}
 		s.at[n.Name] = at
 		s.nodes = append(s.nodes, n)
 	}
@@ -145,40 +145,40 @@
 }
 
 // prepare writes a process's files. What it is told of others are proxies of its own.
-func (s *stage) prepare(p *Process, voter uint64) error {
+func (s *stage) prepare(plan *Process, voter uint64) error {
 	var f strings.Builder
-	fmt.Fprintf(&f, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, p.Zone)
+	fmt.Fprintf(&f, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, plan.Zone)
 	for i, v := range s.voters {
 		at := s.at[v.Name]
-		if v != p {
+		if v != plan {
 			var err error
-			if at, err = s.between(p.Name, v.Name, at); err != nil {
+			if at, err = s.between(plan.Name, v.Name, at); err != nil {
 				return err
 			}
 		}
 		fmt.Fprintf(&f, "[[voters]]\nid = %d\nzone = %q\naddress = %q\n", i+1, v.Zone, at)
 	}
 	if voter > 0 {
-		fmt.Fprintf(&f, "[voter]\nid = %d\nstore = %q\n", voter, filepath.Join(s.plan.Dir, p.Name+".db"))
+		fmt.Fprintf(&f, "[voter]\nid = %d\nstore = %q\n", voter, filepath.Join(s.plan.Dir, plan.Name+".db"))
 	}
 	if s.plan.Alone {
 		f.Reset()
 		f.WriteString("enabled = false\n")
 	}
-	listen, discovery := s.at[p.Name], "127.0.0.1:9"
+	listen, discovery := s.at[plan.Name], "127.0.0.1:9"
 	if voter == 0 {
-		list, err := s.list(p)
+		list, err := s.list(plan)
 		if err != nil {
 			return err
 		}
 		discovery = list
 	}
-	node, err := s.config(p, listen, discovery)
+	node, err := s.config(plan, listen, discovery)
 	if err != nil {
 		return err
 	}
-	path := func(kind string) string { return filepath.Join(s.plan.Dir, p.Name+"."+kind) }
-	p.env = append(append([]string{}, s.plan.Env...), "BALANCER_CONFIG="+path("json"), "OSPREYBEND_FLEET="+path("toml"),
+	path := func(kind string) string { return filepath.Join(s.plan.Dir, plan.Name+"."+kind) }
+	plan.env = append(append([]string{}, s.plan.Env...), "BALANCER_CONFIG="+path("json"), "OSPREYBEND_FLEET="+path("toml"),
 		"OSPREYBEND_WITHOUT="+s.plan.Without, "TMPDIR="+s.plan.Dir)
 	return errors.Join(os.WriteFile(path("json"), node, 0o600), os.WriteFile(path("toml"), []byte(f.String()), 0o600))
 }
--- a/internal/testkit/endtoend/zone.go
+++ b/internal/testkit/endtoend/zone.go
@@ -30,9 +30,9 @@
 }
 
 // Zone plays a zone that fails and comes back, with faults at processes and links beside it.
-func Zone(ctx context.Context, p Plan) (Report, error) {
-	r := Report{Kind: "zone", Seed: p.Seed, Figures: map[string]float64{}}
-	s, err := newStage(p)
+func Zone(ctx context.Context, plan Plan) (Report, error) {
+	r := Report{Kind: "zone", Seed: plan.Seed, Figures: map[string]float64{}}
+	s, err := newStage(plan)
 	defer s.stop()
 	if err != nil {
 		return r, err
@@ -42,7 +42,7 @@
 	}
 	r.Processes = len(s.nodes) + len(s.voters)
 	s.began = time.Now()
-	span := p.Calm + p.Trouble + p.After
+	span := plan.QuietBefore + plan.Faulty + plan.After
 	ctx, cancel := context.WithTimeout(ctx, span+10*time.Second)
 	defer cancel()
 	polled := make(chan []seen)
@@ -81,22 +81,22 @@
 			p.Count()
 		}
 	}
-	if !at(s.plan.Calm) {
+	if !at(s.plan.QuietBefore) {
 		return bad, spared
 	}
 	switch how {
 	case 0:
 		s.note("zone %s: its prep workers are cut off, without a word", bad)
-		s.links(Link{Held: true}, Link{Held: true}, toWorkers)
+		s.links(Link{Delayed: true}, Link{Delayed: true}, toWorkers)
 	case 1:
 		s.note("zone %s: its prep workers reset all", bad)
 		s.links(Link{Cut: true}, Link{Cut: true}, toWorkers)
 	default:
 		s.note("zone %s: what its prep workers answer does not come back", bad)
-		s.links(Link{}, Link{Held: true}, toWorkers)
+		s.links(Link{}, Link{Delayed: true}, toWorkers)
 	}
 	undo := s.beside(beside, s.nodes[whose], bad, spared)
-	if !at(s.plan.Calm + s.plan.Trouble) {
+	if !at(s.plan.QuietBefore + s.plan.Faulty) {
 		return bad, spared
 	}
 	s.note("zone %s: its links are mended", bad)
@@ -129,7 +129,7 @@
 		}
 		s.note("%s alone does not reach the prep workers of zone %s, which is well", node.Name, other)
 		match := func(from, to string) bool { return from == node.Name && strings.HasPrefix(to, "w-"+other) }
-		s.links(Link{Held: true}, Link{Held: true}, match)
+		s.links(Link{Delayed: true}, Link{Delayed: true}, match)
 		return func() { s.links(Link{}, Link{}, match) }
 	}
 	if len(s.voters) == 0 {
@@ -156,7 +156,7 @@
 		}
 		match := func(from, to string) bool { return from == own && strings.HasPrefix(to, "v") }
 		late := func(from, to string) bool { return to == own && strings.HasPrefix(from, "v") }
-		s.links(Link{Held: true}, Link{}, match)
+		s.links(Link{Delayed: true}, Link{}, match)
 		s.links(Link{Delay: 100 * time.Millisecond}, Link{Delay: 100 * time.Millisecond}, late)
 		return func() {
 			s.links(Link{}, Link{}, match)
@@ -216,8 +216,10 @@
 }
 
 // audit holds the trial against what must be so.
-func (s *stage) audit(r *Report, looks []seen, bad string, spared map[string]bool) {
-	violate := func(format string, a ...any) { r.Violations = append(r.Violations, fmt.Sprintf(format, a...)) }
+func (s *stage) audit(report *Report, looks []seen, bad string, spared map[string]bool) {
+	violate := func(format string, a ...any) {
+		report.Violations = append(report.Violations, fmt.Sprintf(format, a...))
+	}
 	for _, q := range s.asked {
 		if q.status == 0 && !spared[q.node] {
 			violate("request %s to %s has no answer", q.id, q.node)
@@ -242,14 +244,14 @@
 		}
 	}
 	if len(s.voters) > 0 {
-		s.auditOrders(r, looks, bad, spared, violate)
+		s.auditOrders(report, looks, bad, spared, violate)
 	}
-	end := s.plan.Calm + s.plan.Trouble + 8*time.Second
-	asked, served := s.worth(s.plan.Calm, end, spared)
-	r.Figures["worth_lost"] = 1 - served/max(asked, 1)
-	all, ok := s.worth(0, s.plan.Calm+s.plan.Trouble+s.plan.After, spared)
-	r.Figures["worth_lost_all_day"] = 1 - ok/max(all, 1)
-	r.Figures["requests"] = float64(len(s.asked))
+	end := s.plan.QuietBefore + s.plan.Faulty + 8*time.Second
+	asked, served := s.worth(s.plan.QuietBefore, end, spared)
+	report.Figures["worth_lost"] = 1 - served/max(asked, 1)
+	all, ok := s.worth(0, s.plan.QuietBefore+s.plan.Faulty+s.plan.After, spared)
+	report.Figures["worth_lost_all_day"] = 1 - ok/max(all, 1)
+	report.Figures["requests"] = float64(len(s.asked))
 }
 
 // sends counts what went to a zone's prep workers in a time, but for what came from processes
@@ -289,13 +291,13 @@
 			left = l.at
 		case left > 0 && tried == 0 && z.Phase != commands.PhaseEvacuated && l.leads:
 			tried = l.at
-		case tried > 0 && l.at > s.plan.Calm+s.plan.Trouble && back == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && l.leads:
+		case tried > 0 && l.at > s.plan.QuietBefore+s.plan.Faulty && back == 0 && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && l.leads:
 			back = l.at
 		}
 	}
 	if left == 0 {
 		// Where the nodes themselves soon send next to nothing there, too little is seen to leave it.
-		late := s.sends(bad, spared, s.plan.Calm+s.plan.Trouble/2, s.plan.Calm+s.plan.Trouble)
+		late := s.sends(bad, spared, s.plan.QuietBefore+s.plan.Faulty/2, s.plan.QuietBefore+s.plan.Faulty)
 		if r.Figures["sends_unled"] = float64(late); float64(late) > shunned*float64(len(s.asked)) {
 			violate("zone %s was never left, and %d sends went there in the second half of its failure", bad, late)
 		}
@@ -304,14 +306,14 @@
 	if tried == 0 {
 		tried = s.since()
 	}
-	r.Figures["left_after"] = (left - s.plan.Calm).Seconds()
+	r.Figures["left_after"] = (left - s.plan.QuietBefore).Seconds()
 	// The look that shows the end of the rest comes after it.
 	sends := s.sends(bad, spared, left+leftWithin, tried-lookSlack)
 	r.Figures["sends_to_left"] = float64(sends)
 	if sends > 0 {
 		violate("%d sends to zone %s, which was left", sends, bad)
 	}
-	mended := s.plan.Calm + s.plan.Trouble
+	mended := s.plan.QuietBefore + s.plan.Faulty
 	if back > 0 {
 		r.Figures["back_after"] = (back - mended).Seconds()
 	} else if s.plan.After >= backWithin {
--- a/internal/testkit/fakemodelworker/register.go
+++ b/internal/testkit/fakemodelworker/register.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	beatTimeout = time.Second            // then the next control address is called
-	retryPause  = 200 * time.Millisecond // after a call that failed
+	heartbeatTimeout = time.Second            // then the next control address is called
+	retryPause       = 200 * time.Millisecond // after a call that failed
 )
 
-// beat is the body of a heartbeat.
-type beat struct {
-	Service    string  `json:"service"`
-	Address    string  `json:"address"`
-	Zone       string  `json:"zone"`
-	Generation string  `json:"generation"`
-	Slots      int     `json:"slots"`
-	State      string  `json:"state"`
-	Cold       int     `json:"coldRemainingMs"`
-	Stage      string  `json:"stage,omitempty"`
-	Models     []model `json:"models,omitempty"`
-	Sequence   int     `json:"sequence"`
+// heartbeatBody is the body of a heartbeat.
+type heartbeatBody struct {
+	Service           string  `json:"service"`
+	Address           string  `json:"address"`
+	Zone              string  `json:"zone"`
+	Generation        string  `json:"generation"`
+	Slots             int     `json:"slots"`
+	State             string  `json:"state"`
+	WarmUpRemainingMs int     `json:"coldRemainingMs"`
+	Stage             string  `json:"stage,omitempty"`
+	Models            []model `json:"models,omitempty"`
+	Sequence          int     `json:"sequence"`
 }
 
 type model struct {
@@ -43,14 +43,14 @@
 
 // register sends heartbeats until the context ends, then announces the end.
 func (w *Worker) register(ctx context.Context, heard func(err error)) {
-	caller, err := client.NewClient(client.WithDialTimeout(beatTimeout))
+	caller, err := client.NewClient(client.WithDialTimeout(heartbeatTimeout))
 	if err != nil {
 		return
 	}
 	at := 0
 	for sequence := 1; ctx.Err() == nil; sequence++ {
 		wait := w.options.Heartbeat
-		err := w.call(ctx, caller, w.options.Control[at], "/-/Instances.Heartbeat/", w.beat(sequence))
+		err := w.call(ctx, caller, w.options.Control[at], "/-/Instances.Heartbeat/", w.sendHeartbeat(sequence))
 		heard(err)
 		if err != nil {
 			at = (at + 1) % len(w.options.Control)
@@ -63,9 +63,9 @@
 	_ = w.call(leaving, caller, w.options.Control[at], "/-/Instances.Deregister/", nil)
 }
 
-// beat is the body of the heartbeat with a sequence number.
-func (w *Worker) beat(sequence int) []byte {
-	body := beat{Service: w.options.Service, Address: w.options.Address, Zone: w.options.Zone, Generation: "v1",
+// sendHeartbeat is the body of the heartbeat with a sequence number.
+func (w *Worker) sendHeartbeat(sequence int) []byte {
+	body := heartbeatBody{Service: w.options.Service, Address: w.options.Address, Zone: w.options.Zone, Generation: "v1",
 		Slots: w.options.Slots, State: "ready", Stage: w.options.Stage, Sequence: sequence}
 	if w.options.Stage != "" {
 		body.Models = []model{{Name: "m", Generation: 1, Adapters: []string{}}}
@@ -83,7 +83,7 @@
 	request.SetRequestURI("http://" + control + path + w.options.ID)
 	request.Header.SetContentTypeBytes([]byte("application/json"))
 	request.SetBody(body)
-	if err := caller.DoTimeout(ctx, request, response, beatTimeout); err != nil {
+	if err := caller.DoTimeout(ctx, request, response, heartbeatTimeout); err != nil {
 		return err
 	}
 	if response.StatusCode()/100 != 2 {
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -43,18 +43,18 @@
 
 // Options describe a worker.
 type Options struct {
-	ID        string
-	Service   string
-	Zone      string
-	Stage     string // "prefill", "decode", or empty for a plain service
-	Address   string // "ip:port" to listen on
-	Slots     int
-	Control   []string // control addresses of the fleet, tried in turn
-	Heartbeat time.Duration
-	ReadPace  float64       // prompt tokens read in a millisecond
-	TokenTime time.Duration // time between two tokens
-	PlainTime time.Duration // time of a plain request
-	Handles   *Handles      // shared by workers that hand prompts over to each other
+	ID          string
+	Service     string
+	Zone        string
+	Stage       string // "prefill", "decode", or empty for a plain service
+	Address     string // "ip:port" to listen on
+	Slots       int
+	Control     []string // control addresses of the fleet, tried in turn
+	Heartbeat   time.Duration
+	PrefillRate float64       // prompt tokens read in a millisecond
+	TokenTime   time.Duration // time between two tokens
+	PlainTime   time.Duration // time of a plain request
+	Handles     *Handles      // shared by workers that hand prompts over to each other
 }
 
 // Counts tell what a worker has done.
@@ -139,13 +139,13 @@
 	}
 	if target := request.Header.Get(fieldTarget); target != "" && target != w.options.ID {
 		w.strays.Add(1)
-		w.turnAway(answer, request, statusMisrouted)
+		w.reject(answer, request, statusMisrouted)
 		return
 	}
 	if w.running.Add(1) > int64(w.options.Slots) {
 		w.running.Add(-1)
 		w.rejected.Add(1)
-		w.turnAway(answer, request, statusFull)
+		w.reject(answer, request, statusFull)
 		return
 	}
 	defer w.running.Add(-1)
@@ -159,8 +159,8 @@
 	}
 }
 
-// turnAway answers that the request was not run.
-func (w *Worker) turnAway(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
+// reject answers that the request was not run.
+func (w *Worker) reject(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: fieldNotRun, Value: "1"})
 	_ = answer.WriteResponse(status, fields, nil)
@@ -203,13 +203,13 @@
 	in, out := tokens(request)
 	if w.options.Stage != stageDecode {
 		w.strays.Add(1)
-		w.turnAway(answer, request, statusMisrouted)
+		w.reject(answer, request, statusMisrouted)
 		return
 	}
 	handle := request.Header.Get(fieldHandle)
 	if handle != "" && !w.options.Handles.take(handle) {
 		w.rejected.Add(1)
-		w.turnAway(answer, request, statusFull)
+		w.reject(answer, request, statusFull)
 		return
 	}
 	if handle == "" && !pause(request.Context, w.readTime(in, 2)) {
@@ -251,10 +251,10 @@
 
 // readTime is how long a prompt takes to read, at a part of the pace.
 func (w *Worker) readTime(tokens, slower int) time.Duration {
-	if w.options.ReadPace <= 0 {
+	if w.options.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens*slower) / w.options.ReadPace * float64(time.Millisecond))
+	return time.Duration(float64(tokens*slower) / w.options.PrefillRate * float64(time.Millisecond))
 }
 
 // tokens reads how many tokens a request's prompt has and how many it asks for at most.
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -25,14 +25,14 @@
 
 // Discovery is the pool config: a list that nodes ask for and watch.
 type Discovery struct {
-	mu      sync.Mutex
-	list    []Endpoint
-	index   uint64
-	changed chan struct{}
-	away    bool
-	refused int
-	server  *http.Server
-	address string
+	mu          sync.Mutex
+	list        []Endpoint
+	index       uint64
+	changed     chan struct{}
+	unavailable bool
+	refused     int
+	server      *http.Server
+	address     string
 }
 
 // NewDiscovery starts discovery with an empty list.
@@ -60,11 +60,11 @@
 	d.changed = make(chan struct{})
 }
 
-// Away has discovery answer nothing but 503 from now on, open watches included, or as usual again.
-func (d *Discovery) Away(away bool) {
+// SetUnavailable has discovery answer nothing but 503 from now on, open watches included, or as usual again.
+func (d *Discovery) SetUnavailable(unavailable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.away = away
+	d.unavailable = unavailable
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -79,9 +79,9 @@
 	from, _ := strconv.ParseUint(in.FormValue("from"), 10, 64)
 	hold, _ := strconv.Atoi(in.FormValue("hold_ms"))
 	d.mu.Lock()
-	index, changed, away := d.index, d.changed, d.away
+	index, changed, unavailable := d.index, d.changed, d.unavailable
 	d.mu.Unlock()
-	if !away && from == index && hold > 0 {
+	if !unavailable && from == index && hold > 0 {
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(hold) * time.Millisecond):
@@ -91,7 +91,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.away {
+	if d.unavailable {
 		d.refused++
 		http.Error(out, "away", http.StatusServiceUnavailable)
 		return
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -64,22 +64,22 @@
 	Name  string
 	Slots int
 
-	mu      sync.Mutex
-	script  Script
-	server  *http.Server
-	address string
-	room    *semaphore.Weighted
-	waiting int
-	used    float64
-	begun   map[string]int // starts by Req-Id, the try's number cut off
-	came    int
-	served  int
-	busy    time.Duration // slot time
+	mu            sync.Mutex
+	script        Script
+	server        *http.Server
+	address       string
+	queueCapacity *semaphore.Weighted
+	waiting       int
+	used          float64
+	begun         map[string]int // starts by Req-Id, the try's number cut off
+	came          int
+	served        int
+	busy          time.Duration // slot time
 }
 
 // NewWorker makes a worker; Start opens it.
 func NewWorker(name string, slots int, script Script) *Worker {
-	return &Worker{Name: name, Slots: slots, script: script, room: semaphore.NewWeighted(int64(slots)), begun: map[string]int{}}
+	return &Worker{Name: name, Slots: slots, script: script, queueCapacity: semaphore.NewWeighted(int64(slots)), begun: map[string]int{}}
 }
 
 // Start opens the worker, at its old address where it had one.
@@ -219,7 +219,7 @@
 	w.mu.Lock()
 	w.waiting++
 	w.mu.Unlock()
-	err := w.room.Acquire(ctx, int64(slots+0.999))
+	err := w.queueCapacity.Acquire(ctx, int64(slots+0.999))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting--
@@ -231,7 +231,7 @@
 }
 
 func (w *Worker) leave(slots float64, since time.Time) {
-	w.room.Release(int64(slots + 0.999))
+	w.queueCapacity.Release(int64(slots + 0.999))
 	w.mu.Lock()
 	w.used -= slots
 	w.busy += time.Duration(slots * float64(time.Since(since)))
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -26,18 +26,18 @@
 
 // Networks (third byte of the address) by class of machine.
 const (
-	networkKeepers = 1
+	networkServers = 1
 	networkEdges   = 2
 	networkWorkers = 3   // and those above
 	networkHollow  = 100 // and those above: nodes that this process plays itself
 )
 
 const (
-	zonesMost   = 3
-	hostsMost   = 250
-	keepersMost = 16
-	edgesMost   = 16
-	seedsMost   = 3 // of the keepers' addresses in the settings
+	zonesMost  = 3
+	hostsMost  = 250
+	maxServers = 16
+	edgesMost  = 16
+	seedsMost  = 3 // of the keepers' addresses in the settings
 )
 
 // Layout says how large a fleet is and how it is run.
@@ -63,8 +63,8 @@
 
 // New prepares a fleet; nothing runs yet. StopAll gives back what it has reserved.
 func New(layout Layout) (*Fleet, error) {
-	if layout.Keepers < 1 || layout.Keepers > keepersMost || layout.Edges < 0 || layout.Edges > edgesMost {
-		return nil, eris.Errorf("a local fleet has 1 to %d keepers and at most %d edges", keepersMost, edgesMost)
+	if layout.Keepers < 1 || layout.Keepers > maxServers || layout.Edges < 0 || layout.Edges > edgesMost {
+		return nil, eris.Errorf("a local fleet has 1 to %d keepers and at most %d edges", maxServers, edgesMost)
 	}
 	reserved, err := reserve()
 	if err != nil {
@@ -84,7 +84,7 @@
 func (f *Fleet) Control() []string {
 	addresses := make([]string, f.layout.Keepers)
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkKeepers, i), portControl)
+		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), portControl)
 	}
 	return addresses
 }
@@ -117,28 +117,28 @@
 func (f *Fleet) Peers() []string {
 	addresses := make([]string, f.layout.Keepers)
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkKeepers, i), f.place.ports(0)[0])
+		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), f.place.ports(0)[0])
 	}
 	return addresses
 }
 
-// StartKeeper starts the i-th keeper. bootstrap is true at the fleet's first start only.
-func (f *Fleet) StartKeeper(i int, bootstrap bool) (*Process, error) {
-	s := f.base(networkKeepers, i, roleControlPlane, bootstrap)
+// StartServer starts the i-th keeper. bootstrap is true at the fleet's first start only.
+func (f *Fleet) StartServer(i int, bootstrap bool) (*Process, error) {
+	s := f.base(networkServers, i, roleControlPlane, bootstrap)
 	s.Listen.Control = fmt.Sprintf("%s:%d", s.IP, portControl)
 	s.MachineClass, s.CountsForQuorum = "core", true
 	s.DataDir = f.data(i)
 	return f.start(s)
 }
 
-// WipeKeeper removes what the i-th keeper, which must have ended, has on its disk.
-func (f *Fleet) WipeKeeper(i int) error {
+// WipeServer removes what the i-th keeper, which must have ended, has on its disk.
+func (f *Fleet) WipeServer(i int) error {
 	return eris.Wrap(os.RemoveAll(f.data(i)), "wipe")
 }
 
 // data is where the i-th keeper has its disk.
 func (f *Fleet) data(i int) string {
-	return filepath.Join(f.layout.Directory, nodeName(networkKeepers, i), "data")
+	return filepath.Join(f.layout.Directory, nodeName(networkServers, i), "data")
 }
 
 // StartAgent starts the agent of the i-th edge.
@@ -162,7 +162,7 @@
 // StartAll starts all processes of a new fleet.
 func (f *Fleet) StartAll() error {
 	for i := range f.layout.Keepers {
-		if _, err := f.StartKeeper(i, true); err != nil {
+		if _, err := f.StartServer(i, true); err != nil {
 			return err
 		}
 	}
--- a/internal/testkit/localfleet/mixed_versions_test.go
+++ b/internal/testkit/localfleet/mixed_versions_test.go
@@ -83,7 +83,7 @@
 
 // runsAssigned reports whether a server's process runs the program that it was assigned.
 func (m *mixedFleet) runsAssigned(server int) bool {
-	program, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", m.fleet.Keeper(server).PID()))
+	program, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", m.fleet.Server(server).PID()))
 	return err == nil && program == m.programs[serverMachine(server)]
 }
 
@@ -138,11 +138,11 @@
 // change stops a server and starts it with another program on the same disk.
 func (m *mixedFleet) change(server int, program string) {
 	m.Helper()
-	if err := m.fleet.Keeper(server).Stop(); err != nil {
+	if err := m.fleet.Server(server).Stop(); err != nil {
 		m.Fatalf("stop server %d: %v", server, err)
 	}
 	m.assign(serverMachine(server), program)
-	if _, err := m.fleet.StartKeeper(server, false); err != nil {
+	if _, err := m.fleet.StartServer(server, false); err != nil {
 		m.Fatal(err)
 	}
 }
--- a/internal/testkit/localfleet/place.go
+++ b/internal/testkit/localfleet/place.go
@@ -10,7 +10,7 @@
 // All edges of a local fleet share 127.0.0.1, on which each agent serves its proxy. Each edge therefore
 // has ports of its own there, and a fleet a block of ports of its own.
 const (
-	placesMost   = 40 // fleets side by side on one machine
+	maxAddresses = 40 // fleets side by side on one machine
 	firstNetwork = 77 // second byte of the addresses of the first place
 	firstPort    = 21160
 	edgePorts    = 4                           // of one edge
@@ -25,7 +25,7 @@
 
 // reserve takes the first place that no other fleet of this machine has.
 func reserve() (*place, error) {
-	for index := range placesMost {
+	for index := range maxAddresses {
 		p := &place{index: index}
 		last := p.ports(edgesMost)[1]
 		claim, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", last))
@@ -34,7 +34,7 @@
 			return p, nil
 		}
 	}
-	return nil, eris.Errorf("all %d places for local fleets are taken", placesMost)
+	return nil, eris.Errorf("all %d places for local fleets are taken", maxAddresses)
 }
 
 func (p *place) release() { _ = p.claim.Close() }
--- a/internal/testkit/localfleet/process.go
+++ b/internal/testkit/localfleet/process.go
@@ -50,8 +50,8 @@
 	return all
 }
 
-// Keeper returns the process of the i-th keeper that was started last, or nil.
-func (f *Fleet) Keeper(i int) *Process { return f.process(roleControlPlane, networkKeepers, i) }
+// Server returns the process of the i-th keeper that was started last, or nil.
+func (f *Fleet) Server(i int) *Process { return f.process(roleControlPlane, networkServers, i) }
 
 // Agent returns the agent of the i-th edge that was started last, or nil.
 func (f *Fleet) Agent(i int) *Process { return f.process("agent", networkEdges, i) }
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	for keeper, target := range f.Peers() {
-		opened, err := newRelay(fmt.Sprintf("%s:%d", f.address(networkKeepers, keeper), port), target, Link{})
+		opened, err := newRelay(fmt.Sprintf("%s:%d", f.address(networkServers, keeper), port), target, Link{})
 		if err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 	defer f.mutex.Unlock()
 	addresses := map[string]string{}
 	for keeper, target := range f.Peers() {
-		opened, err := newRelay(f.address(networkKeepers, keeper)+":0", target, link)
+		opened, err := newRelay(f.address(networkServers, keeper)+":0", target, link)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testkit/localfleet/whole_program_test.go
+++ b/internal/testkit/localfleet/whole_program_test.go
@@ -224,7 +224,7 @@
 	r.replaceFirst(firstConfiguration("first"))
 	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
 
-	r.fleet.Keeper(0).Kill()
+	r.fleet.Server(0).Kill()
 	r.update(1, addRoute(2, "second"))
 	r.await("a change taken without one keeper", r.answers("/second/x", http.StatusOK))
 
@@ -233,7 +233,7 @@
 		t.Fatalf("read back after all keepers were killed: generation %d, want 2", got)
 	}
 	r.replaceDisk(1)
-	r.fleet.Keeper(2).Kill() // what is acknowledged now needs the keeper with the new disk
+	r.fleet.Server(2).Kill() // what is acknowledged now needs the keeper with the new disk
 	r.update(2, addRoute(3, "third"))
 	r.await("a change taken with the new disk's vote", r.answers("/third/x", http.StatusOK))
 	if got := r.generation(); got != 3 {
@@ -245,10 +245,10 @@
 func (r *rig) restartAllKeepers() {
 	r.Helper()
 	for i := range keepers {
-		r.fleet.Keeper(i).Kill()
+		r.fleet.Server(i).Kill()
 	}
 	for i := range keepers {
-		if _, err := r.fleet.StartKeeper(i, false); err != nil {
+		if _, err := r.fleet.StartServer(i, false); err != nil {
 			r.Fatal(err)
 		}
 	}
@@ -258,11 +258,11 @@
 func (r *rig) replaceDisk(keeper int) {
 	r.Helper()
 	before, _ := r.status(keeper)
-	r.fleet.Keeper(keeper).Kill()
-	if err := r.fleet.WipeKeeper(keeper); err != nil {
+	r.fleet.Server(keeper).Kill()
+	if err := r.fleet.WipeServer(keeper); err != nil {
 		r.Fatal(err)
 	}
-	if _, err := r.fleet.StartKeeper(keeper, false); err != nil {
+	if _, err := r.fleet.StartServer(keeper, false); err != nil {
 		r.Fatal(err)
 	}
 	r.await("a keeper with an empty disk to be a voter again", func() bool { return r.votes(keeper) })
--- a/internal/testkit/nodesim/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -31,8 +31,8 @@
 	Speed        Span    // of a core; each worker's own is drawn
 	SlotsPerCore Span    // with more slots than cores, jobs share the cores
 	QueuePerCore Span    // jobs that wait at most
-	ColdFrom     Span    // part of its capacity that a cold one has
-	ColdTime     Span    // seconds in which it is warm at the latest
+	WarmUpFloor  Span    // part of its capacity that a cold one has
+	WarmUpTime   Span    // seconds in which it is warm at the latest
 	Errors       float64 // part of its jobs that fail on any day
 }
 
@@ -45,7 +45,7 @@
 }
 
 // Goal is what a day's figure is made of.
-type Goal struct{ Whole, WorstWindow, WorstClass float64 }
+type Goal struct{ Day, WorstWindow, WorstClass float64 }
 
 // Replace is a release: a part of the workers drains in steps, successors start cold.
 type Replace struct {
@@ -79,7 +79,7 @@
 	ReportEvery  Span    // seconds from one load report to the next
 	ReportDelay  Span    // seconds until it can be read
 	ReportNoise  float64 // slots or jobs
-	ColdWork     float64 // part of the longest warming that a worker kept busy needs
+	WarmUpWork   float64 // part of the longest warming that a worker kept busy needs
 	OneWay       Span    // seconds on the network
 	ListLate     Span    // seconds until news of the list reaches a node
 	PeerDelay    Span
--- a/internal/testkit/nodesim/emulator_test.go
+++ b/internal/testkit/nodesim/emulator_test.go
@@ -35,9 +35,9 @@
 	for name, d := range map[string]Day{"released": Workshop(20, 15, 1).Released(), "returned": Workshop(20, 15, 1).Returned(),
 		"killed": Workshop(20, 15, 1).Killed()} {
 		r := play(t, d)
-		lost := r.Served + r.RunLate + r.QueueLate + r.HeldLate + r.RefusedWorth + r.FailedWorth
-		if r.Asked() < 100 || r.Worth-lost > 1e-6*r.Worth || lost-r.Worth > 1e-6*r.Worth {
-			t.Errorf("%s: %.0f asked for; worth %.3f, booked %.3f", name, r.Asked(), r.Worth, lost)
+		lost := r.Served + r.RunLate + r.QueueLate + r.PendingLate + r.RejectedValue + r.FailedValue
+		if r.Asked() < 100 || r.Value-lost > 1e-6*r.Value || lost-r.Value > 1e-6*r.Value {
+			t.Errorf("%s: %.0f asked for; worth %.3f, booked %.3f", name, r.Asked(), r.Value, lost)
 		}
 	}
 }
@@ -66,8 +66,8 @@
 		if seed > 1 {
 			d.ListLate = Span{6, 6}
 		}
-		if r := play(t, d); r.Felled > 0 || r.ColdMost == 0 {
-			t.Errorf("seed %d: %d felled, one got %.2f of what it bears", d.Seed, r.Felled, r.ColdMost)
+		if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 {
+			t.Errorf("seed %d: %d felled, one got %.2f of what it bears", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
 		}
 	}
 }
@@ -82,8 +82,8 @@
 		many := Workshop(80, 60, 1+seed).Returned()
 		many.ListLate = Span{1, 6}
 		for name, d := range map[string]Day{"one": one, "many": many} {
-			if r := play(t, d); r.Felled > 0 || r.ColdMost == 0 || r.ColdMost > 0.4 {
-				t.Errorf("%s, seed %d: %d felled, %d by who had not been told; one got %.2f of what fells it", name, d.Seed, r.Felled, r.FelledUntold, r.ColdMost)
+			if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 || r.MaxWarmUpLoad > 0.4 {
+				t.Errorf("%s, seed %d: %d felled, %d by who had not been told; one got %.2f of what fells it", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 				d.Settings.Classes = slices.Clone(Workshop(1, 1, 1).Settings.Classes)
 				d.Settings.Classes[class].Value *= times
 				r := play(t, d)
-				worth, part, whole := r.ClassWorth[class]/r.Worth, r.ClassServed[class]/r.ClassWorth[class], r.Served/r.Worth
+				worth, part, whole := r.ClassValue[class]/r.Value, r.ClassServed[class]/r.ClassValue[class], r.Served/r.Value
 				if part < whole/2 || worth < 0.03 || worth > 0.08 {
 					t.Errorf("%s, seed %d: class %d, %.3f of the worth, is served %.3f, the whole %.3f", name, d.Seed, class, worth, part, whole)
 				}
@@ -114,8 +114,8 @@
 func TestWorkerServesInOrder(t *testing.T) {
 	d := Workshop(1, 1, 1)
 	d.Kinds = []Kind{{Share: 1, Cores: 4, Speed: Span{1, 1}, SlotsPerCore: Span{1, 1}, QueuePerCore: Span{8, 8},
-		ColdFrom: Span{0.25, 0.25}, ColdTime: Span{20, 20}}}
-	d.AttemptNoise, d.ColdWork = 0, 0.05
+		WarmUpFloor: Span{0.25, 0.25}, WarmUpTime: Span{20, 20}}}
+	d.AttemptNoise, d.WarmUpWork = 0, 0.05
 	w := newWorld(d)
 	k := w.addWorker(0)
 	n := &node{w: w}
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -25,18 +25,18 @@
 func (n *node) start() error {
 	s := n.w.day.Settings
 	s.Balancers, s.Ordinal = n.w.day.Nodes, n.number
-	b, err := balance.New(s, rand.New(rand.NewPCG(n.w.day.Seed, uint64(n.number)<<16|uint64(n.life))).Uint64())
+	b, err := balance.New(s, rand.New(rand.NewPCG(n.w.day.Seed, uint64(n.number)<<16|uint64(n.incarnation))).Uint64())
 	if err != nil {
 		return err
 	}
 	n.b, n.down = b, false
-	n.life++
+	n.incarnation++
 	n.ops, n.known = map[balance.RequestID]*operation{}, map[balance.WorkerID]bool{}
-	n.told = map[balance.WorkerID]time.Duration{}
+	n.listedStart = map[balance.WorkerID]time.Duration{}
 	up := balance.ListUpdate{Kind: balance.ListCached}
 	for _, k := range n.w.workers {
 		if k.state != balance.Gone {
-			n.told[k.id] = k.started
+			n.listedStart[k.id] = k.started
 			up.Workers = append(up.Workers, k.listing())
 		}
 	}
@@ -86,18 +86,18 @@
 		case balance.Cancel:
 			s := n.ops[a.Request].steps[a.Attempt]
 			w.after(w.day.OneWay.seconds(w.rng), func() { s.worker.cancel(s) })
-			life := n.life
+			incarnation := n.incarnation
 			w.after(0, func() {
-				if !n.down && n.life == life && !s.done {
+				if !n.down && n.incarnation == incarnation && !s.done {
 					s.done = true
 					n.tell(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: balance.Cancelled,
 						Elapsed: w.now - s.sentAt, Over: s.op.ended})
 				}
 			})
 		case balance.SetTimer:
-			life := n.life
+			incarnation := n.incarnation
 			w.after(a.After, func() {
-				if !n.down && n.life == life {
+				if !n.down && n.incarnation == incarnation {
 					n.tell(balance.TimerFired{Token: a.Token})
 				}
 			})
@@ -121,7 +121,7 @@
 
 func (n *node) send(a balance.Send) {
 	w, op, k := n.w, n.ops[a.Request], n.w.byID[a.Worker]
-	s := &step{op: op, number: len(op.steps), node: n, life: n.life, worker: k, sentAt: w.now,
+	s := &step{op: op, number: len(op.steps), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
 		remains: op.work * lognormal(w.rng, w.day.AttemptNoise)}
 	op.steps = append(op.steps, s)
 	w.after(n.connect(a.Worker)+w.day.OneWay.seconds(w.rng), func() { k.arrive(s) })
@@ -130,7 +130,7 @@
 func (n *node) probe(id balance.WorkerID) {
 	w, k := n.w, n.w.byID[id]
 	w.result.Probes++
-	life, began := n.life, w.now
+	incarnation, began := n.incarnation, w.now
 	w.after(n.connect(id)+w.day.OneWay.seconds(w.rng), func() {
 		if k.silent {
 			return
@@ -139,7 +139,7 @@
 		if k.state == balance.Gone {
 			report, outcome = nil, balance.ConnectFailed
 		}
-		w.reach(n, life, func() {
+		w.reach(n, incarnation, func() {
 			n.tell(balance.ProbeDone{Worker: id, Outcome: outcome, Elapsed: w.now - began, Report: report})
 		})
 	})
--- a/internal/testkit/nodesim/sites.go
+++ b/internal/testkit/nodesim/sites.go
@@ -9,16 +9,16 @@
 // Workshop is a site of two kinds of prep workers with four cores, a queue served in
 // order and cold starts, and three classes of which one must not run twice.
 func Workshop(nodes, workers int, seed uint64) Day {
-	class := func(aim, giveUp int, worth, stretch float64, effect balance.Effect) balance.Class {
-		return balance.Class{LatencyTarget: time.Duration(aim) * time.Millisecond, Timeout: time.Duration(giveUp) * time.Second,
+	class := func(latencyTarget, giveUp int, worth, stretch float64, effect balance.Effect) balance.Class {
+		return balance.Class{LatencyTarget: time.Duration(latencyTarget) * time.Millisecond, Timeout: time.Duration(giveUp) * time.Second,
 			Value: worth, TargetStretch: stretch, Effect: effect, Kind: -1}
 	}
 	kind := func(share float64, speed, queue, from Span) Kind {
-		return Kind{Share: share, Cores: 4, Speed: speed, SlotsPerCore: Span{1, 1.3}, QueuePerCore: queue, ColdFrom: from,
-			ColdTime: Span{12, 23}, Errors: 0.001}
+		return Kind{Share: share, Cores: 4, Speed: speed, SlotsPerCore: Span{1, 1.3}, QueuePerCore: queue, WarmUpFloor: from,
+			WarmUpTime: Span{12, 23}, Errors: 0.001}
 	}
-	return Day{Seed: seed, Nodes: nodes, Workers: workers, Length: 23, Load: 0.62, Uneven: 0.6, Heaviest: 0.5, ColdWork: 0.6,
-		Goal: Goal{Whole: 0.75, WorstWindow: 0.05, WorstClass: 0.2}, ShakePrice: 0.32,
+	return Day{Seed: seed, Nodes: nodes, Workers: workers, Length: 23, Load: 0.62, Uneven: 0.6, Heaviest: 0.5, WarmUpWork: 0.6,
+		Goal: Goal{Day: 0.75, WorstWindow: 0.05, WorstClass: 0.2}, ShakePrice: 0.32,
 		Settings: balance.Settings{Resolution: 2 * time.Millisecond, ValueByWork: true, ReportsStart: true,
 			Classes: []balance.Class{class(400, 5, 5, 1.75, balance.Idempotent), class(1000, 20, 2, 2.5, balance.Idempotent),
 				class(800, 25, 8, 2, balance.NonIdempotent)},
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -11,34 +11,34 @@
 
 // step is one attempt at an operation, at a worker.
 type step struct {
-	op      *operation
-	number  int
-	node    *node
-	life    int // the node's, when it sent this
-	worker  *worker
-	sentAt  time.Duration
-	began   time.Duration // 0: not yet
-	remains float64       // seconds of work at speed 1
-	done    bool
+	op          *operation
+	number      int
+	node        *node
+	incarnation int // the node's, when it sent this
+	worker      *worker
+	sentAt      time.Duration
+	began       time.Duration // 0: not yet
+	remains     float64       // seconds of work at speed 1
+	done        bool
 }
 
 // worker models a prep worker: slots, cores, a queue served in order, a cold start.
 type worker struct {
-	w        *world
-	id       balance.WorkerID
-	kind     int
-	speed    float64
-	slots    float64
-	cores    float64
-	room     int
-	coldFrom float64
-	coldTime time.Duration
-	started  time.Duration // 0: long ago
-	warmth   float64       // slot-seconds done since the start
-	state    balance.State
-	slow     float64 // factor
-	silent   bool    // cut off: nothing in, nothing out
-	lost     []*step // at it meanwhile: reset when it is back
+	w             *world
+	id            balance.WorkerID
+	kind          int
+	speed         float64
+	slots         float64
+	cores         float64
+	queueCapacity int
+	warmUpFloor   float64
+	warmUpTime    time.Duration
+	started       time.Duration // 0: long ago
+	warmth        float64       // slot-seconds done since the start
+	state         balance.State
+	slow          float64 // factor
+	silent        bool    // cut off: nothing in, nothing out
+	lost          []*step // at it meanwhile: reset when it is back
 
 	running []*step
 	queue   []*step
@@ -47,24 +47,24 @@
 	next    *timerqueue.Timer
 	shown   []float32 // the report that can be read
 
-	sent   []coldSend // while cold, for the rule on felling
-	felled bool
+	sent       []warmUpSend // while cold, for the rule on felling
+	overloaded bool
 }
 
-type coldSend struct {
-	at   time.Duration
-	cost float64
-	told bool // its node had been told of the start
+type warmUpSend struct {
+	at         time.Duration
+	cost       float64
+	startKnown bool // its node had been told of the start
 }
 
 // warm is the part of its capacity that the worker has now.
 func (k *worker) warm() float64 {
 	age := k.w.now - k.started
-	if k.started == 0 || age >= k.coldTime {
+	if k.started == 0 || age >= k.warmUpTime {
 		return 1
 	}
-	p := max(float64(age)/float64(k.coldTime), k.warmth/(k.cores*k.coldTime.Seconds()*k.w.day.ColdWork))
-	return k.coldFrom + (1-k.coldFrom)*min(1, p)
+	p := max(float64(age)/float64(k.warmUpTime), k.warmth/(k.cores*k.warmUpTime.Seconds()*k.w.day.WarmUpWork))
+	return k.warmUpFloor + (1-k.warmUpFloor)*min(1, p)
 }
 
 // rate is the work that each running job gets done in a second.
@@ -72,8 +72,8 @@
 	return k.speed * k.warm() / k.slow * min(1, k.cores/max(k.used, 1))
 }
 
-// book books the work done since the last look, and plans the next.
-func (k *worker) book() {
+// advance books the work done since the last look, and plans the next.
+func (k *worker) advance() {
 	span := (k.w.now - k.at).Seconds()
 	rate := k.rate()
 	k.at = k.w.now
@@ -98,7 +98,7 @@
 }
 
 func (k *worker) plan() {
-	k.w.line.Cancel(k.next)
+	k.w.timers.Cancel(k.next)
 	k.next = nil
 	if len(k.running) == 0 {
 		return
@@ -111,7 +111,7 @@
 	if k.warm() < 1 {
 		wait = min(wait, 200*time.Millisecond)
 	}
-	k.next = k.w.line.Add(k.w.now+wait, k.book)
+	k.next = k.w.timers.Add(k.w.now+wait, k.advance)
 }
 
 // begin starts waiting jobs in order: the head waits until it fits.
@@ -123,7 +123,7 @@
 		k.running = append(k.running, s)
 		s.began = k.w.now
 		if !k.silent {
-			k.w.reach(s.node, s.life, func() {
+			k.w.reach(s.node, s.incarnation, func() {
 				s.node.tell(balance.AttemptProgress{Request: s.op.id, Attempt: s.number, Worker: k.id, Started: true})
 			})
 		}
@@ -147,12 +147,12 @@
 	}
 	s.done = true
 	report := slices.Clone(k.shown)
-	k.w.reach(s.node, s.life, func() { s.node.ended(s, outcome, report) })
+	k.w.reach(s.node, s.incarnation, func() { s.node.ended(s, outcome, report) })
 }
 
 // arrive takes in a step.
 func (k *worker) arrive(s *step) {
-	k.book()
+	k.advance()
 	switch {
 	case s.done:
 		return
@@ -160,7 +160,7 @@
 		k.lost = append(k.lost, s)
 	case k.state == balance.Gone:
 		k.answer(s, balance.ConnectFailed)
-	case k.state == balance.Draining || len(k.queue) >= k.room || s.op.slots > k.slots:
+	case k.state == balance.Draining || len(k.queue) >= k.queueCapacity || s.op.slots > k.slots:
 		k.answer(s, balance.Full)
 	default:
 		k.count(s)
@@ -180,29 +180,29 @@
 	if warm >= 1 || r.OverloadMultiple == 0 {
 		return
 	}
-	k.sent = append(k.sent, coldSend{k.w.now, s.op.work * s.op.slots / k.speed, s.node.told[k.id] == k.started})
+	k.sent = append(k.sent, warmUpSend{k.w.now, s.op.work * s.op.slots / k.speed, s.node.listedStart[k.id] == k.started})
 	for len(k.sent) > 0 && k.sent[0].at < k.w.now-r.OverloadTime {
 		k.sent = k.sent[1:]
 	}
-	sum, told := 0.0, 0.0
+	sum, startKnown := 0.0, 0.0
 	for _, c := range k.sent {
 		sum += c.cost
-		if c.told {
-			told += c.cost
+		if c.startKnown {
+			startKnown += c.cost
 		}
 	}
 	mean := k.w.day.meanWork() / k.speed
 	allowed := r.OverloadMultiple * warm * k.cores * r.OverloadTime.Seconds() / mean
 	most := mean * (allowed + 2*math.Sqrt(allowed) + 2)
-	if told*3 > sum*2 {
-		k.w.result.ColdMost = max(k.w.result.ColdMost, sum/most)
+	if startKnown*3 > sum*2 {
+		k.w.result.MaxWarmUpLoad = max(k.w.result.MaxWarmUpLoad, sum/most)
 	}
-	if sum > most && !k.felled {
-		k.felled = true
-		if told*3 > sum*2 {
-			k.w.result.Felled++
+	if sum > most && !k.overloaded {
+		k.overloaded = true
+		if startKnown*3 > sum*2 {
+			k.w.result.Overloaded++
 		} else {
-			k.w.result.FelledUntold++
+			k.w.result.OverloadedUnknown++
 		}
 	}
 }
@@ -212,16 +212,16 @@
 	if k.silent {
 		return
 	}
-	k.book()
+	k.advance()
 	if s.began == 0 {
 		k.leave(s)
-		k.book()
+		k.advance()
 	}
 }
 
 // kill ends the process, and with it what still runs.
 func (k *worker) kill() {
-	k.book()
+	k.advance()
 	for _, s := range slices.Clone(k.running) {
 		k.leave(s)
 		k.answer(s, balance.Reset)
@@ -240,7 +240,7 @@
 
 // publish refreshes the load report, again and again.
 func (k *worker) publish() {
-	k.book()
+	k.advance()
 	d := k.w.day
 	noise := func(v float64) float32 { return float32(max(0, v+d.ReportNoise*k.w.rng.NormFloat64())) }
 	values := make([]float32, len(d.Settings.Report))
@@ -269,7 +269,7 @@
 
 // vanish has the worker fall silent, and forget all that is there.
 func (k *worker) vanish() {
-	k.book()
+	k.advance()
 	k.lost = append(append(k.lost, k.running...), k.queue...)
 	k.running, k.queue, k.used, k.silent = nil, nil, 0, true
 	k.plan()
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -22,8 +22,8 @@
 	hint     time.Duration
 	arrived  time.Duration
 	deadline time.Duration
-	worth    float64
-	tries    int
+	value    float64
+	attempts int
 	steps    []*step
 	by       *step // that served it
 	ended    bool
@@ -32,22 +32,22 @@
 // node is an instance of the real decisions, with the part of its process that the
 // decisions ask of it.
 type node struct {
-	w      *world
-	number int
-	weight float64
-	b      *balance.Balancer
-	down   bool
-	life   int
-	ops    map[balance.RequestID]*operation
-	known  map[balance.WorkerID]bool          // has a connection to it
-	told   map[balance.WorkerID]time.Duration // its last start, as the list has told it here
+	w           *world
+	number      int
+	weight      float64
+	b           *balance.Balancer
+	down        bool
+	incarnation int
+	ops         map[balance.RequestID]*operation
+	known       map[balance.WorkerID]bool          // has a connection to it
+	listedStart map[balance.WorkerID]time.Duration // its last start, as the list has told it here
 }
 
 type world struct {
 	day     Day
 	rng     *rand.Rand
 	traffic *rand.Rand // of its own: two versions of the decisions meet the same operations
-	line    timerqueue.Queue
+	timers  timerqueue.Queue
 	now     time.Duration
 	nodes   []*node
 	workers []*worker
@@ -58,19 +58,19 @@
 
 // Result is what became of a day.
 type Result struct {
-	Worth, Served             float64 // asked for, and answered in time
-	ClassWorth, ClassServed   []float64
-	WindowWorth, WindowServed []float64 // by second
-	InTime, Late, Refused     int
-	Failed, Lost              int
-	Handshakes, Probes        int
-	Messages                  float64 // of full length
-	Felled                    int     // cold workers that fell, most of it by nodes that had been told: the rule is broken
-	FelledUntold              int     // and those that fell by nodes that had not
-	ColdMost                  float64 // the most that one got, as a part of what fells it, most of it by nodes that had been told
-	RunLate, QueueLate        float64 // worth of what was late, by what made it so
-	HeldLate, RefusedWorth    float64
-	FailedWorth               float64
+	Value, Served              float64 // asked for, and answered in time
+	ClassValue, ClassServed    []float64
+	WindowValue, WindowServed  []float64 // by second
+	InTime, Late, Rejected     int
+	Failed, Lost               int
+	Handshakes, Probes         int
+	Messages                   float64 // of full length
+	Overloaded                 int     // cold workers that fell, most of it by nodes that had been told: the rule is broken
+	OverloadedUnknown          int     // and those that fell by nodes that had not
+	MaxWarmUpLoad              float64 // the most that one got, as a part of what fells it, most of it by nodes that had been told
+	RunLate, QueueLate         float64 // worth of what was late, by what made it so
+	PendingLate, RejectedValue float64
+	FailedValue                float64
 }
 
 // Play plays a day.
@@ -103,25 +103,25 @@
 	n, span := len(d.Classes), int(d.Length)+1
 	return &world{day: d, rng: rand.New(rand.NewPCG(d.Seed, 1)), traffic: rand.New(rand.NewPCG(d.Seed, 2)), now: begins,
 		byID: map[balance.WorkerID]*worker{},
-		result: Result{ClassWorth: make([]float64, n), ClassServed: make([]float64, n),
-			WindowWorth: make([]float64, span), WindowServed: make([]float64, span)}}
+		result: Result{ClassValue: make([]float64, n), ClassServed: make([]float64, n),
+			WindowValue: make([]float64, span), WindowServed: make([]float64, span)}}
 }
 
 // play goes on until a time.
 func (w *world) play(until time.Duration) {
-	for at, ok := w.line.Next(); ok && at <= until; at, ok = w.line.Next() {
+	for at, ok := w.timers.Next(); ok && at <= until; at, ok = w.timers.Next() {
 		w.now = at
-		w.line.Run(at)
+		w.timers.Run(at)
 	}
 	w.now = until
 }
 
-func (w *world) after(span time.Duration, f func()) { w.line.Add(w.now+max(span, 0), f) }
+func (w *world) after(span time.Duration, f func()) { w.timers.Add(w.now+max(span, 0), f) }
 
 // reach has something come to a node over the network, if it is the one that asked.
-func (w *world) reach(n *node, life int, f func()) {
+func (w *world) reach(n *node, incarnation int, f func()) {
 	w.after(w.day.OneWay.seconds(w.rng), func() {
-		if !n.down && n.life == life {
+		if !n.down && n.incarnation == incarnation {
 			f()
 		}
 	})
@@ -132,8 +132,8 @@
 	kind := pick(w.rng, len(d.Kinds), func(i int) float64 { return d.Kinds[i].Share })
 	c := d.Kinds[kind]
 	k := &worker{w: w, id: balance.WorkerID(w.rng.Uint64() | 1), kind: kind, speed: c.Speed.draw(w.rng), cores: c.Cores,
-		slots: float64(int(c.Cores * c.SlotsPerCore.draw(w.rng))), room: int(c.Cores * c.QueuePerCore.draw(w.rng)),
-		coldFrom: c.ColdFrom.draw(w.rng), coldTime: c.ColdTime.seconds(w.rng), started: started, slow: 1, at: w.now}
+		slots: float64(int(c.Cores * c.SlotsPerCore.draw(w.rng))), queueCapacity: int(c.Cores * c.QueuePerCore.draw(w.rng)),
+		warmUpFloor: c.WarmUpFloor.draw(w.rng), warmUpTime: c.WarmUpTime.seconds(w.rng), started: started, slow: 1, at: w.now}
 	w.workers = append(w.workers, k)
 	w.byID[k.id] = k
 	w.after(seconds(d.ReportEvery.Least*w.rng.Float64()), k.publish)
@@ -170,13 +170,13 @@
 	if d.HintNoise >= 0 {
 		op.hint = seconds(op.work * lognormal(w.traffic, d.HintNoise))
 	}
-	op.worth = d.Settings.Classes[class].Value
+	op.value = d.Settings.Classes[class].Value
 	if d.Settings.ValueByWork {
-		op.worth *= op.work * slots
+		op.value *= op.work * slots
 	}
-	w.result.Worth += op.worth
-	w.result.ClassWorth[class] += op.worth
-	w.result.WindowWorth[int((w.now - begins).Seconds())] += op.worth
+	w.result.Value += op.value
+	w.result.ClassValue[class] += op.value
+	w.result.WindowValue[int((w.now - begins).Seconds())] += op.value
 	w.hand(op)
 }
 
@@ -209,10 +209,10 @@
 	op.ended = true
 	d, first := w.day, op.first
 	left := first.deadline - w.now
-	if verdict != served && first.tries < d.Retries {
-		first.tries++
-		if pause := max(wait, d.Backoff.seconds(w.rng)<<first.tries); pause < left {
-			again := &operation{first: first, class: op.class, slots: op.slots, work: op.work, hint: op.hint, worth: op.worth,
+	if verdict != served && first.attempts < d.Retries {
+		first.attempts++
+		if pause := max(wait, d.Backoff.seconds(w.rng)<<first.attempts); pause < left {
+			again := &operation{first: first, class: op.class, slots: op.slots, work: op.work, hint: op.hint, value: op.value,
 				deadline: first.deadline}
 			w.after(pause, func() { again.arrived = w.now; w.hand(again) })
 			return
@@ -220,54 +220,54 @@
 	}
 	r, class := &w.result, d.Settings.Classes[op.class]
 	took := (w.now - first.arrived).Seconds()
-	switch aim := class.LatencyTarget.Seconds() + class.TargetStretch*op.work; {
+	switch latencyTarget := class.LatencyTarget.Seconds() + class.TargetStretch*op.work; {
 	case verdict == refused:
-		r.Refused++
-		r.RefusedWorth += op.worth
+		r.Rejected++
+		r.RejectedValue += op.value
 	case verdict == failed:
 		r.Failed++
-		r.FailedWorth += op.worth
+		r.FailedValue += op.value
 	case verdict != served:
 		r.Lost++
-		r.FailedWorth += op.worth
-	case took <= aim:
+		r.FailedValue += op.value
+	case took <= latencyTarget:
 		r.InTime++
-		r.Served += op.worth
-		r.ClassServed[op.class] += op.worth
-		r.WindowServed[int((first.arrived - begins).Seconds())] += op.worth
+		r.Served += op.value
+		r.ClassServed[op.class] += op.value
+		r.WindowServed[int((first.arrived - begins).Seconds())] += op.value
 	default:
 		r.Late++
 		queued := (op.by.began - op.by.sentAt).Seconds()
-		switch held := (op.by.sentAt - first.arrived).Seconds(); {
-		case took-held <= aim && held > queued:
-			r.HeldLate += op.worth
-		case took-queued-held <= aim:
-			r.QueueLate += op.worth
+		switch pending := (op.by.sentAt - first.arrived).Seconds(); {
+		case took-pending <= latencyTarget && pending > queued:
+			r.PendingLate += op.value
+		case took-queued-pending <= latencyTarget:
+			r.QueueLate += op.value
 		default:
-			r.RunLate += op.worth
+			r.RunLate += op.value
 		}
 	}
 }
 
 // Asked is the number of operations that clients asked for, their retries left out.
-func (r Result) Asked() float64 { return float64(r.InTime + r.Late + r.Refused + r.Failed + r.Lost) }
+func (r Result) Asked() float64 { return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost) }
 
 // G is the day's figure: the whole, its worst 10 s and worst class, less the prices.
 func (r Result) G(d Day) float64 {
-	if r.Worth == 0 {
+	if r.Value == 0 {
 		return 0
 	}
 	worst := 1.0
-	for c, all := range r.ClassWorth {
+	for c, all := range r.ClassValue {
 		if all > 0 {
 			worst = min(worst, r.ClassServed[c]/all)
 		}
 	}
 	window := 1.0
-	for i := 0; i+10 <= len(r.WindowWorth)-1; i++ {
+	for i := 0; i+10 <= len(r.WindowValue)-1; i++ {
 		all, got := 0.0, 0.0
 		for j := i; j < i+10; j++ {
-			all, got = all+r.WindowWorth[j], got+r.WindowServed[j]
+			all, got = all+r.WindowValue[j], got+r.WindowServed[j]
 		}
 		if all > 0 {
 			window = min(window, got/all)
@@ -275,13 +275,13 @@
 	}
 	c := d.Settings.Costs
 	price := c.Handshake*d.ShakePrice*float64(r.Handshakes) + c.Probe*float64(r.Probes) + c.Message*r.Messages
-	return d.Goal.Whole*r.Served/r.Worth + d.Goal.WorstWindow*window + d.Goal.WorstClass*worst - price/r.Asked()
+	return d.Goal.Day*r.Served/r.Value + d.Goal.WorstWindow*window + d.Goal.WorstClass*worst - price/r.Asked()
 }
 
 // troubles plans what goes wrong.
 func (w *world) troubles() {
 	d := w.day
-	at := func(s float64, f func()) { w.line.Add(begins+seconds(s), f) }
+	at := func(s float64, f func()) { w.timers.Add(begins+seconds(s), f) }
 	some := func(share float64) []*worker {
 		all := slices.Clone(w.workers)
 		w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -314,7 +314,7 @@
 
 // replace drains a worker and brings up its successor.
 func (w *world) replace(k *worker, drain float64) {
-	k.book()
+	k.advance()
 	k.state = balance.Draining
 	k.handBack()
 	w.list(k)
@@ -332,10 +332,10 @@
 	l := k.listing()
 	late := w.day.ListLate.draw(w.rng)
 	for _, n := range w.nodes {
-		life := n.life
+		incarnation := n.incarnation
 		w.after(seconds(late*(1+0.05*w.rng.Float64())), func() {
-			if !n.down && n.life == life {
-				n.told[l.Worker] = l.Started
+			if !n.down && n.incarnation == incarnation {
+				n.listedStart[l.Worker] = l.Started
 				n.tell(balance.ListUpdate{Kind: balance.ListChanges, Workers: []balance.WorkerListing{l}})
 			}
 		})
--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -33,8 +33,8 @@
 )
 
 // NeedOf estimates what a fleet takes.
-func NeedOf(size Size, keepers, edges, routes int) Need {
-	processes := keepers + 2*edges
+func NeedOf(size Size, servers, edges, routes int) Need {
+	processes := servers + 2*edges
 	return Need{
 		Memory: memoryBase + int64(size.Nodes+size.Workers)*memoryPerHollow +
 			int64(processes)*(memoryPerProcess+int64(routes)*memoryPerRoute),
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -27,13 +27,13 @@
 
 // Hollow is what the hollow agents and workers saw at rest.
 type Hollow struct {
-	FeedInKB     float64 `json:"feedInKBs"`  // a second and agent
-	FeedOutKB    float64 `json:"feedOutKBs"` // a second and agent
-	FeedMessages float64 `json:"feedMessages"`
-	MonitorKB    float64 `json:"monitorKBs"` // datagrams' payload, both ways
-	Datagrams    float64 `json:"datagrams"`  // a second and agent, both ways
-	BeatsTaken   float64 `json:"beatsTaken"` // heartbeats acknowledged a second, of all workers
-	BeatsFailed  int64   `json:"beatsFailed"`
+	FeedInKB               float64 `json:"feedInKBs"`  // a second and agent
+	FeedOutKB              float64 `json:"feedOutKBs"` // a second and agent
+	FeedMessages           float64 `json:"feedMessages"`
+	MonitorKB              float64 `json:"monitorKBs"` // datagrams' payload, both ways
+	Datagrams              float64 `json:"datagrams"`  // a second and agent, both ways
+	HeartbeatsAcknowledged float64 `json:"beatsTaken"` // heartbeats acknowledged a second, of all workers
+	HeartbeatsFailed       int64   `json:"beatsFailed"`
 	// AgentsOf counts the hollow agents that read from each keeper at the end of rest, by its address.
 	AgentsOf map[string]int `json:"agentsOf"`
 	// Failures counts the heartbeats that failed since the step's start by their errors.
@@ -44,22 +44,22 @@
 
 // Step is what was measured at one size.
 type Step struct {
-	Size       Size         `json:"size"`
-	Keepers    int          `json:"keepers"`
-	Edges      int          `json:"edges"`  // real ones among the nodes
-	Routes     int          `json:"routes"` // of the configuration
-	Processes  []ProcessUse `json:"processes"`
-	Hollow     Hollow       `json:"hollow"`
-	Known      Percentiles  `json:"restartMs"`       // until an agent has all shards again
-	InForce    Percentiles  `json:"changeMs"`        // from the call to the agent's receipt, near agents
-	InForceFar Percentiles  `json:"changeFarMs"`     // the same over the slowed links
-	AtProxies  Percentiles  `json:"changeAtProxyMs"` // the same at the real proxies, by their figures
-	Acked      Percentiles  `json:"ackMs"`           // of the changes
-	Whole      float64      `json:"wholeMs"`         // of the first configuration, until all agents have it
-	Moved      Percentiles  `json:"lossMs"`          // after the kill of a keeper: until an agent is current elsewhere
-	AckedAfter float64      `json:"ackAfterLossMs"`  // until a change that was sent with the kill is acknowledged
-	AllAfter   float64      `json:"changeAfterLossMs"`
-	CaughtUp   float64      `json:"caughtUpMs"` // from the start of the killed keeper until it is current in all shards
+	Size               Size         `json:"size"`
+	Servers            int          `json:"keepers"`
+	Edges              int          `json:"edges"`  // real ones among the nodes
+	Routes             int          `json:"routes"` // of the configuration
+	Processes          []ProcessUse `json:"processes"`
+	Hollow             Hollow       `json:"hollow"`
+	Known              Percentiles  `json:"restartMs"`       // until an agent has all shards again
+	InForce            Percentiles  `json:"changeMs"`        // from the call to the agent's receipt, near agents
+	InForceFar         Percentiles  `json:"changeFarMs"`     // the same over the slowed links
+	AtProxies          Percentiles  `json:"changeAtProxyMs"` // the same at the real proxies, by their figures
+	Acked              Percentiles  `json:"ackMs"`           // of the changes
+	FirstConfiguration float64      `json:"wholeMs"`         // of the first configuration, until all agents have it
+	Moved              Percentiles  `json:"lossMs"`          // after the kill of a keeper: until an agent is current elsewhere
+	AckedAfter         float64      `json:"ackAfterLossMs"`  // until a change that was sent with the kill is acknowledged
+	AllAfter           float64      `json:"changeAfterLossMs"`
+	CaughtUp           float64      `json:"caughtUpMs"` // from the start of the killed keeper until it is current in all shards
 
 	Blackout        Percentiles `json:"blackoutMs"`            // after all were killed, from their start until an agent has all shards
 	BlackoutAcked   float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
--- a/internal/testkit/scalereport/scale_test.go
+++ b/internal/testkit/scalereport/scale_test.go
@@ -138,7 +138,7 @@
 	target := Size{360, 600}
 	var steps []Step
 	for _, size := range []Size{{30, 60}, {100, 200}} {
-		step := Step{Size: size, Keepers: 3, InForce: Percentiles{Count: 30, P50: 20, P95: 25, P99: 30, Max: 40}}
+		step := Step{Size: size, Servers: 3, InForce: Percentiles{Count: 30, P50: 20, P95: 25, P99: 30, Max: 40}}
 		for window := range 2 {
 			for _, role := range []string{"controlplane", "controlplane", "agent", "proxy"} {
 				use := Use{Processor: float64(size.Nodes) / 100, MemoryMB: 20, WrittenKB: float64(size.Nodes)}
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -49,11 +49,11 @@
 	client *feedtransport.Client
 
 	mutex        sync.Mutex
-	held         map[shards.ID]uint64
+	received     map[shards.ID]uint64
 	generation   uint64
 	generationAt time.Time
-	keeper       string    // address of the feed that is read; empty: none
-	wholeAt      time.Time // since when all shards are there and current; zero: they are not
+	server       string    // address of the feed that is read; empty: none
+	completeAt   time.Time // since when all shards are there and current; zero: they are not
 }
 
 // agentOptions say who a hollow agent is.
@@ -66,7 +66,7 @@
 }
 
 func newHollowAgent(options agentOptions) *hollowAgent {
-	agent := &hollowAgent{held: map[shards.ID]uint64{}}
+	agent := &hollowAgent{received: map[shards.ID]uint64{}}
 	agent.client = feedtransport.NewClient(feedtransport.ClientOptions{
 		Hello: feedtransport.Hello{Node: options.node, Zone: options.zone, Region: "local", IP: options.ip,
 			Role: feedtransport.RoleAgent, Incarnation: rand.Uint64(), Compressed: true},
@@ -101,7 +101,7 @@
 func (a *hollowAgent) take(shard shards.ID, index uint64, items []feed.Item) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.held[shard] = index
+	a.received[shard] = index
 	if shard != shards.ConfigurationShard {
 		return
 	}
@@ -119,15 +119,15 @@
 func (a *hollowAgent) Status(status feedtransport.Status) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	whole := status.Current()
+	complete := status.Current()
 	for _, shard := range status.Shards {
-		whole = whole && a.held[shard.Shard] >= shard.Index
+		complete = complete && a.received[shard.Shard] >= shard.Index
 	}
 	switch {
-	case !whole:
-		a.wholeAt = time.Time{}
-	case a.wholeAt.IsZero():
-		a.wholeAt = time.Now()
+	case !complete:
+		a.completeAt = time.Time{}
+	case a.completeAt.IsZero():
+		a.completeAt = time.Now()
 	}
 }
 
@@ -135,31 +135,31 @@
 func (a *hollowAgent) Connected(address string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.keeper = address
+	a.server = address
 }
 
 // Disconnected implements feedtransport.Handler.
 func (a *hollowAgent) Disconnected(error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.keeper, a.wholeAt = "", time.Time{}
+	a.server, a.completeAt = "", time.Time{}
 }
 
 // agentState is what a hollow agent has noted.
 type agentState struct {
-	generation            uint64
-	generationAt, wholeAt time.Time
-	keeper                string
+	generation               uint64
+	generationAt, completeAt time.Time
+	server                   string
 }
 
 func (a *hollowAgent) state() agentState {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return agentState{a.generation, a.generationAt, a.wholeAt, a.keeper}
+	return agentState{a.generation, a.generationAt, a.completeAt, a.server}
 }
 
-// crowd is all hollow agents of a fleet.
-type crowd struct {
+// hollowAgents is all hollow agents of a fleet.
+type hollowAgents struct {
 	options []agentOptions
 	traffic *traffic
 	agents  []*hollowAgent
@@ -168,7 +168,7 @@
 }
 
 // start runs all agents anew.
-func (c *crowd) start(ctx context.Context) {
+func (c *hollowAgents) start(ctx context.Context) {
 	ctx, c.cancel = context.WithCancel(ctx)
 	c.agents = make([]*hollowAgent, len(c.options))
 	for i, options := range c.options {
@@ -179,7 +179,7 @@
 }
 
 // stop ends all agents.
-func (c *crowd) stop() {
+func (c *hollowAgents) stop() {
 	if c.cancel != nil {
 		c.cancel()
 	}
@@ -187,7 +187,7 @@
 }
 
 // all tells whether a condition holds for each agent.
-func (c *crowd) all(check func(agentState) bool) bool {
+func (c *hollowAgents) all(check func(agentState) bool) bool {
 	for _, agent := range c.agents {
 		if !check(agent.state()) {
 			return false
@@ -196,22 +196,22 @@
 	return true
 }
 
-// whole tells whether all agents have all shards from a current keeper.
-func (c *crowd) whole() bool {
-	return c.all(func(state agentState) bool { return !state.wholeAt.IsZero() })
+// complete tells whether all agents have all shards from a current keeper.
+func (c *hollowAgents) complete() bool {
+	return c.all(func(state agentState) bool { return !state.completeAt.IsZero() })
 }
 
-// keepers counts the agents that read from each keeper.
-func (c *crowd) keepers() map[string]int {
+// servers counts the agents that read from each keeper.
+func (c *hollowAgents) servers() map[string]int {
 	counts := map[string]int{}
 	for _, agent := range c.agents {
-		counts[agent.state().keeper]++
+		counts[agent.state().server]++
 	}
 	return counts
 }
 
 // since returns, in milliseconds, when each agent that is chosen got what at picks.
-func (c *crowd) since(start time.Time, choose func(i int) bool, at func(agentState) time.Time) []float64 {
+func (c *hollowAgents) since(start time.Time, choose func(i int) bool, at func(agentState) time.Time) []float64 {
 	var times []float64
 	for i, agent := range c.agents {
 		if choose(i) {
--- a/internal/testkit/scalerun/blackout.go
+++ b/internal/testkit/scalerun/blackout.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	before := s.read()
-	s.crowd.start(ctx)
+	s.hollow.start(ctx)
 	s.generation++
 	acked, err := s.change(ctx)
 	if err != nil {
@@ -28,13 +28,13 @@
 		return err
 	}
 	s.step.BlackoutProxies = milliseconds(time.Since(started))
-	if err := s.await(ctx, "agents not whole after all were killed", s.crowd.whole); err != nil {
+	if err := s.await(ctx, "agents not whole after all were killed", s.hollow.complete); err != nil {
 		return err
 	}
 	s.note(scalereport.PhaseBlackout, 0, before)
-	s.step.Blackout = scalereport.PercentilesOf(s.crowd.since(started, everyone, becameWhole))
+	s.step.Blackout = scalereport.PercentilesOf(s.hollow.since(started, everyone, becameComplete))
 	s.plan.say("  all processes killed and started again: %d hollow agents whole p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
-		len(s.crowd.agents), s.step.Blackout.P50, s.step.Blackout.P99, s.step.Blackout.Max, s.step.BlackoutAcked, s.step.BlackoutProxies)
+		len(s.hollow.agents), s.step.Blackout.P50, s.step.Blackout.P99, s.step.Blackout.Max, s.step.BlackoutAcked, s.step.BlackoutProxies)
 	return nil
 }
 
@@ -42,21 +42,21 @@
 func (s *stepRun) killEverything() {
 	var killing sync.WaitGroup
 	kill := func(process *localfleet.Process) { killing.Go(process.Kill) }
-	for i := range s.plan.Keepers {
-		kill(s.fleet.Keeper(i))
+	for i := range s.plan.Servers {
+		kill(s.fleet.Server(i))
 	}
 	for i := range s.plan.Edges {
 		kill(s.fleet.Agent(i))
 		kill(s.fleet.Proxy(i))
 	}
-	s.crowd.stop()
+	s.hollow.stop()
 	killing.Wait()
 }
 
 // startEverything starts what killEverything has ended, but for the hollow agents.
 func (s *stepRun) startEverything() error {
-	for i := range s.plan.Keepers {
-		if _, err := s.fleet.StartKeeper(i, false); err != nil {
+	for i := range s.plan.Servers {
+		if _, err := s.fleet.StartServer(i, false); err != nil {
 			return err
 		}
 	}
--- a/internal/testkit/scalerun/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -32,19 +32,19 @@
 func (s *stepRun) note(phase string, window int, before reading) {
 	after := s.read()
 	for process, counters := range after.processes {
-		held, ok := before.processes[process]
+		received, ok := before.processes[process]
 		if !ok {
 			continue
 		}
 		s.step.Processes = append(s.step.Processes, scalereport.ProcessUse{Role: process.Role, Node: process.Node, Phase: phase,
-			Window: window, Use: scalereport.UseBetween(held, counters, after.at.Sub(before.at))})
+			Window: window, Use: scalereport.UseBetween(received, counters, after.at.Sub(before.at))})
 	}
 }
 
 // rest measures while nothing changes.
 func (s *stepRun) rest(ctx context.Context) error {
 	started := time.Now()
-	in, out, reads := s.crowd.traffic.in.Load(), s.crowd.traffic.out.Load(), s.crowd.traffic.reads.Load()
+	in, out, reads := s.hollow.traffic.in.Load(), s.hollow.traffic.out.Load(), s.hollow.traffic.reads.Load()
 	taken, datagrams, bytes := s.taken.Load(), s.monitoring.datagrams.Load(), s.monitoring.bytes.Load()
 	for window := range s.plan.Windows {
 		before := s.read()
@@ -52,15 +52,15 @@
 		s.note(scalereport.PhaseRest, window, before)
 	}
 	seconds := time.Since(started).Seconds()
-	agents := float64(max(len(s.crowd.agents), 1))
+	agents := float64(max(len(s.hollow.agents), 1))
 	a := &s.step.Hollow
-	a.FeedInKB = round(float64(s.crowd.traffic.in.Load()-in) / 1000 / seconds / agents)
-	a.FeedOutKB = round(float64(s.crowd.traffic.out.Load()-out) / 1000 / seconds / agents)
-	a.FeedMessages = round(float64(s.crowd.traffic.reads.Load()-reads) / seconds / agents)
+	a.FeedInKB = round(float64(s.hollow.traffic.in.Load()-in) / 1000 / seconds / agents)
+	a.FeedOutKB = round(float64(s.hollow.traffic.out.Load()-out) / 1000 / seconds / agents)
+	a.FeedMessages = round(float64(s.hollow.traffic.reads.Load()-reads) / seconds / agents)
 	a.MonitorKB = round(float64(s.monitoring.bytes.Load()-bytes) / 1000 / seconds / agents)
 	a.Datagrams = round(float64(s.monitoring.datagrams.Load()-datagrams) / seconds / agents)
-	a.BeatsTaken, a.BeatsFailed = round(float64(s.taken.Load()-taken)/seconds), s.refused.Load()
-	a.Failures, a.AgentsOf = s.failuresSoFar(), s.crowd.keepers()
+	a.HeartbeatsAcknowledged, a.HeartbeatsFailed = round(float64(s.taken.Load()-taken)/seconds), s.refused.Load()
+	a.Failures, a.AgentsOf = s.failuresSoFar(), s.hollow.servers()
 	s.sayRest()
 	return ctx.Err()
 }
@@ -87,7 +87,7 @@
 	}
 	a := s.step.Hollow
 	s.plan.say("  at rest, each hollow agent: %.2f kB/s in %.1f messages/s, monitoring %.2f kB/s in %.1f datagrams/s; %.0f heartbeats/s taken, %d failed so far",
-		a.FeedInKB, a.FeedMessages, a.MonitorKB, a.Datagrams, a.BeatsTaken, a.BeatsFailed)
+		a.FeedInKB, a.FeedMessages, a.MonitorKB, a.Datagrams, a.HeartbeatsAcknowledged, a.HeartbeatsFailed)
 	s.plan.say("  hollow agents by keeper: %v", a.AgentsOf)
 	if len(a.Failures) > 0 {
 		s.plan.say("  heartbeats failed by: %v", a.Failures)
@@ -115,8 +115,8 @@
 		if err := s.awaitGeneration(ctx); err != nil {
 			return err
 		}
-		near = append(near, s.crowd.since(sent, s.near, gotGeneration)...)
-		far = append(far, s.crowd.since(sent, s.far, gotGeneration)...)
+		near = append(near, s.hollow.since(sent, s.near, gotGeneration)...)
+		far = append(far, s.hollow.since(sent, s.far, gotGeneration)...)
 	}
 	s.note(scalereport.PhaseChange, 0, before)
 	s.step.Acked, s.step.AtProxies = scalereport.PercentilesOf(acks), scalereport.PercentilesOf(proxies)
@@ -136,28 +136,28 @@
 
 // restart ends all hollow agents and starts them again at once, without anything of before.
 func (s *stepRun) restart(ctx context.Context) error {
-	s.crowd.stop()
-	in := s.crowd.traffic.in.Load()
+	s.hollow.stop()
+	in := s.hollow.traffic.in.Load()
 	before, started := s.read(), time.Now()
-	s.crowd.start(ctx)
-	if err := s.await(ctx, "agents not whole after their restart", s.crowd.whole); err != nil {
+	s.hollow.start(ctx)
+	if err := s.await(ctx, "agents not whole after their restart", s.hollow.complete); err != nil {
 		return err
 	}
 	s.note(scalereport.PhaseRestart, 0, before)
-	s.step.Known = scalereport.PercentilesOf(s.crowd.since(started, everyone, becameWhole))
-	s.step.Hollow.SnapshotKB = round(float64(s.crowd.traffic.in.Load()-in) / 1000 / float64(max(len(s.crowd.agents), 1)))
+	s.step.Known = scalereport.PercentilesOf(s.hollow.since(started, everyone, becameComplete))
+	s.step.Hollow.SnapshotKB = round(float64(s.hollow.traffic.in.Load()-in) / 1000 / float64(max(len(s.hollow.agents), 1)))
 	s.plan.say("  all %d hollow agents restarted: whole again p50 %.0f, p99 %.0f, max %.0f ms; %.0f kB each",
-		len(s.crowd.agents), s.step.Known.P50, s.step.Known.P99, s.step.Known.Max, s.step.Hollow.SnapshotKB)
+		len(s.hollow.agents), s.step.Known.P50, s.step.Known.P99, s.step.Known.Max, s.step.Hollow.SnapshotKB)
 	return nil
 }
 
-func becameWhole(state agentState) time.Time { return state.wholeAt }
+func becameComplete(state agentState) time.Time { return state.completeAt }
 
 var errNoOwner = errors.New("no keeper leads the configuration's shard")
 
 // loss kills the owner of the configuration and sends a change at the same moment.
 func (s *stepRun) loss(ctx context.Context) error {
-	if s.plan.Keepers < 3 {
+	if s.plan.Servers < 3 {
 		return nil
 	}
 	owner := s.owner(ctx)
@@ -165,13 +165,13 @@
 		return errNoOwner
 	}
 	host, _, _ := net.SplitHostPort(s.fleet.Control()[owner])
-	lost := make([]bool, len(s.crowd.agents))
-	for i, agent := range s.crowd.agents {
-		lost[i] = s.readsFrom(agent.state().keeper, host)
+	lost := make([]bool, len(s.hollow.agents))
+	for i, agent := range s.hollow.agents {
+		lost[i] = s.readsFrom(agent.state().server, host)
 	}
 	before := s.read()
 	killed := time.Now()
-	s.fleet.Keeper(owner).Kill()
+	s.fleet.Server(owner).Kill()
 	s.generation++
 	acked, err := s.change(ctx)
 	if err != nil {
@@ -181,28 +181,28 @@
 		return err
 	}
 	s.step.AckedAfter = milliseconds(acked.Sub(killed))
-	all := s.crowd.since(killed, everyone, gotGeneration)
+	all := s.hollow.since(killed, everyone, gotGeneration)
 	s.step.AllAfter = scalereport.PercentilesOf(all).Max
-	if err := s.await(ctx, "agents not current after the loss of a keeper", s.crowd.whole); err != nil {
+	if err := s.await(ctx, "agents not current after the loss of a keeper", s.hollow.complete); err != nil {
 		return err
 	}
 	s.note(scalereport.PhaseLoss, 0, before)
 	if err := s.rejoin(ctx, owner); err != nil {
 		return err
 	}
-	s.step.Moved = scalereport.PercentilesOf(s.crowd.since(killed, func(i int) bool { return lost[i] }, becameWhole))
+	s.step.Moved = scalereport.PercentilesOf(s.hollow.since(killed, func(i int) bool { return lost[i] }, becameComplete))
 	s.plan.say("  keeper killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current elsewhere p50 %.0f, max %.0f ms; started again, current after %.0f ms",
 		s.step.AckedAfter, s.step.AllAfter, s.step.Moved.Count, s.step.Moved.P50, s.step.Moved.Max, s.step.CaughtUp)
 	return nil
 }
 
 // rejoin starts a keeper again, with its disk, and waits until it is current in all shards.
-func (s *stepRun) rejoin(ctx context.Context, keeper int) error {
+func (s *stepRun) rejoin(ctx context.Context, server int) error {
 	started := time.Now()
-	if _, err := s.fleet.StartKeeper(keeper, false); err != nil {
+	if _, err := s.fleet.StartServer(server, false); err != nil {
 		return err
 	}
-	err := s.await(ctx, "a keeper that was started again is not current", func() bool { return s.current(ctx, keeper) })
+	err := s.await(ctx, "a keeper that was started again is not current", func() bool { return s.current(ctx, server) })
 	s.step.CaughtUp = milliseconds(time.Since(started))
 	return err
 }
@@ -210,16 +210,16 @@
 // readsFrom tells whether an agent reads from a keeper, perhaps over a slow link: its relay has the same IP.
 func (s *stepRun) readsFrom(address, host string) bool { return strings.HasPrefix(address, host+":") }
 
-// keeperStatus is what is read of a keeper's report.
-type keeperStatus struct {
+// serverStatus is what is read of a keeper's report.
+type serverStatus struct {
 	Shards []struct {
 		Role    string
 		Current bool
 	}
 }
 
-func (s *stepRun) status(ctx context.Context, keeper int) (status keeperStatus, ok bool) {
-	response, err := s.operator.Ask(ctx, s.fleet.Control()[keeper], "GET", "/-/status", 0, nil)
+func (s *stepRun) status(ctx context.Context, server int) (status serverStatus, ok bool) {
+	response, err := s.operator.Ask(ctx, s.fleet.Control()[server], "GET", "/-/status", 0, nil)
 	if err != nil {
 		return status, false
 	}
@@ -228,7 +228,7 @@
 
 // owner returns the keeper that leads the configuration's shard, or -1.
 func (s *stepRun) owner(ctx context.Context) int {
-	for i := range s.plan.Keepers {
+	for i := range s.plan.Servers {
 		if status, ok := s.status(ctx, i); ok && status.Shards[0].Role == "leader" {
 			return i
 		}
@@ -237,8 +237,8 @@
 }
 
 // current tells whether a keeper is current in all shards.
-func (s *stepRun) current(ctx context.Context, keeper int) bool {
-	status, ok := s.status(ctx, keeper)
+func (s *stepRun) current(ctx context.Context, server int) bool {
+	status, ok := s.status(ctx, server)
 	for _, shard := range status.Shards {
 		ok = ok && shard.Current
 	}
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -19,11 +19,11 @@
 	Directory string // settings, data and logs go below it
 	Sizes     []scalereport.Size
 	Target    scalereport.Size
-	Keepers   int
+	Servers   int
 	Tolerance int // keepers that may be lost at once; 0: as many as leave a majority
 	Edges     int // real ones among the nodes
 	Routes    int
-	Settle    time.Duration // after the start, before anything is measured
+	WarmUp    time.Duration // after the start, before anything is measured
 	Window    time.Duration // of a measurement at rest
 	Windows   int
 	Changes   int
@@ -48,7 +48,7 @@
 		return result, err
 	}
 	for i, size := range plan.Sizes {
-		if why := bounds.Check(scalereport.NeedOf(size, plan.Keepers, plan.Edges, plan.Routes)); why != nil {
+		if why := bounds.Check(scalereport.NeedOf(size, plan.Servers, plan.Edges, plan.Routes)); why != nil {
 			result.Cuts = append(result.Cuts, scalereport.Cut{Size: size, Why: why.Error()})
 			plan.say("%d nodes, %d workers: not played: %v", size.Nodes, size.Workers, why)
 			continue
@@ -82,7 +82,7 @@
 		return scalereport.Step{}, err
 	}
 	defer os.RemoveAll(directory)
-	fleet, err := localfleet.New(localfleet.Layout{Binary: p.Binary, Directory: directory, Keepers: p.Keepers,
+	fleet, err := localfleet.New(localfleet.Layout{Binary: p.Binary, Directory: directory, Keepers: p.Servers,
 		Edges: p.Edges, Tolerance: p.Tolerance, LogLevel: "warn", Cores: coresOfProcess, MemoryMb: memoryOfProcess})
 	if err != nil {
 		return scalereport.Step{}, err
@@ -90,7 +90,7 @@
 	s := newStepRun(p, size, fleet, bounds)
 	defer s.close()
 	started := time.Now()
-	p.say("%d nodes, %d workers, %d keepers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Keepers, p.Routes, LoadAverage())
+	p.say("%d nodes, %d workers, %d keepers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
 	err = s.play(ctx)
 	s.step.TookS = time.Since(started).Seconds()
 	return s.step, err
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -36,7 +36,7 @@
 	operator   *localfleet.Operator
 	bounds     scalereport.Bounds
 	step       scalereport.Step
-	crowd      crowd
+	hollow     hollowAgents
 	monitoring monitoring
 	taken      atomic.Int64 // heartbeats acknowledged
 	refused    atomic.Int64
@@ -50,15 +50,15 @@
 
 func newStepRun(plan Plan, size scalereport.Size, fleet *localfleet.Fleet, bounds scalereport.Bounds) *stepRun {
 	return &stepRun{plan: plan, fleet: fleet, bounds: bounds, operator: localfleet.NewOperator(fleet.Control()),
-		step:  scalereport.Step{Size: size, Keepers: plan.Keepers, Edges: plan.Edges, Routes: plan.Routes},
-		crowd: crowd{traffic: new(traffic)}, failures: map[string]int{}, stopAll: func() {}}
+		step:   scalereport.Step{Size: size, Servers: plan.Servers, Edges: plan.Edges, Routes: plan.Routes},
+		hollow: hollowAgents{traffic: new(traffic)}, failures: map[string]int{}, stopAll: func() {}}
 }
 
 // close ends all that the step has started.
 func (s *stepRun) close() {
 	s.stopAll()
 	s.fleet.KillAll()
-	s.crowd.stop()
+	s.hollow.stop()
 	s.workers.Wait()
 	s.operator.Close()
 }
@@ -90,7 +90,7 @@
 	if err := s.startNodes(inner); err != nil {
 		return err
 	}
-	if err := s.await(ctx, "agents without a keeper", s.crowd.whole); err != nil {
+	if err := s.await(ctx, "agents without a keeper", s.hollow.complete); err != nil {
 		return err
 	}
 	if err := s.firstConfiguration(ctx); err != nil {
@@ -100,8 +100,8 @@
 	if err := s.await(ctx, "workers are not known", func() bool { return int(s.known.Load()) == s.step.Size.Workers }); err != nil {
 		return err
 	}
-	s.plan.say("  whole configuration of %d kB at all agents after %.0f ms; all workers known", s.step.Hollow.DocumentBytes/1000, s.step.Whole)
-	rest(ctx, s.plan.Settle)
+	s.plan.say("  whole configuration of %d kB at all agents after %.0f ms; all workers known", s.step.Hollow.DocumentBytes/1000, s.step.FirstConfiguration)
+	rest(ctx, s.plan.WarmUp)
 	return s.checkMemory()
 }
 
@@ -117,7 +117,7 @@
 	if err := s.awaitGeneration(ctx); err != nil {
 		return err
 	}
-	s.step.Whole = slices.Max(append(s.crowd.since(sent, everyone, gotGeneration), 0))
+	s.step.FirstConfiguration = slices.Max(append(s.hollow.since(sent, everyone, gotGeneration), 0))
 	return s.await(ctx, "a proxy without the configuration", func() bool { return s.proxyHas(ctx) })
 }
 
@@ -127,7 +127,7 @@
 
 func (s *stepRun) awaitGeneration(ctx context.Context) error {
 	return s.await(ctx, "agents without a change", func() bool {
-		return s.crowd.all(func(state agentState) bool { return state.generation >= s.generation })
+		return s.hollow.all(func(state agentState) bool { return state.generation >= s.generation })
 	})
 }
 
@@ -152,13 +152,13 @@
 	}
 	for i := range max(hollow, 0) {
 		options := agentOptions{node: fmt.Sprintf("hollow-%d", i+1), zone: localfleet.Zone(i), ip: s.fleet.HollowIP(i),
-			seeds: s.fleet.Control()[:min(3, s.plan.Keepers)], feedPort: ports[0], traffic: s.crowd.traffic}
+			seeds: s.fleet.Control()[:min(3, s.plan.Servers)], feedPort: ports[0], traffic: s.hollow.traffic}
 		if s.far(i) {
 			options.slow = slow
 		}
-		s.crowd.options = append(s.crowd.options, options)
+		s.hollow.options = append(s.hollow.options, options)
 	}
-	s.crowd.start(ctx)
+	s.hollow.start(ctx)
 	return s.startMonitors(ctx, ports[0]+monitorPlace)
 }
 
@@ -178,13 +178,13 @@
 // startMonitors has the hollow nodes and the first edge monitor each other.
 func (s *stepRun) startMonitors(ctx context.Context, port int) error {
 	var nodes []membership.Node
-	for _, options := range s.crowd.options {
+	for _, options := range s.hollow.options {
 		nodes = append(nodes, monitored(options.ip, port))
 	}
 	if s.plan.Edges > 0 {
 		nodes = append(nodes, monitored(s.fleet.EdgeIP(0), port))
 	}
-	for i := range s.crowd.options {
+	for i := range s.hollow.options {
 		if err := startMonitor(ctx, nodes[i].Address.Addr(), port, nodes, &s.monitoring); err != nil {
 			return err
 		}
@@ -199,7 +199,7 @@
 // startWorkers registers all workers.
 func (s *stepRun) startWorkers(ctx context.Context) {
 	for i := range s.step.Size.Workers {
-		at := i % s.plan.Keepers
+		at := i % s.plan.Servers
 		control := append(slices.Clone(s.fleet.Control()[at:]), s.fleet.Control()[:at]...)
 		options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i+1), Zone: localfleet.Zone(i), Service: modelService(i),
 			Stage: stageOf(i), Address: s.fleet.Worker(i), Slots: workerSlots, Control: control, Heartbeat: s.plan.Heartbeat}
--- a/internal/testkit/scalerun/trial_test.go
+++ b/internal/testkit/scalerun/trial_test.go
@@ -47,7 +47,7 @@
 	sizes := []scalereport.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
 	var progress strings.Builder
 	result, err := Play(t.Context(), Plan{Binary: binary, Directory: t.TempDir(), Sizes: sizes, Target: scalereport.Size{Nodes: 360, Workers: 600},
-		Keepers: 3, Edges: 1, Routes: 20, Window: testWindow, Windows: 2, Changes: testChanges, FarEvery: 3,
+		Servers: 3, Edges: 1, Routes: 20, Window: testWindow, Windows: 2, Changes: testChanges, FarEvery: 3,
 		Far: localfleet.Link{Delay: 20 * time.Millisecond}, Heartbeat: 100 * time.Millisecond, Limit: testLimit, Progress: &progress})
 	if err != nil || len(result.Steps) != len(sizes) {
 		t.Fatalf("%d steps, %v\n%s", len(result.Steps), err, progress.String())
@@ -77,7 +77,7 @@
 	if step.Blackout.Count != hollow || step.Blackout.Max <= 0 || step.BlackoutAcked <= 0 || step.BlackoutProxies <= 0 {
 		t.Errorf("%d nodes: after all were killed %+v, %v and %v", step.Size.Nodes, step.Blackout, step.BlackoutAcked, step.BlackoutProxies)
 	}
-	if step.Hollow.FeedInKB <= 0 || step.Hollow.BeatsTaken <= 0 || step.Hollow.SnapshotKB <= 0 {
+	if step.Hollow.FeedInKB <= 0 || step.Hollow.HeartbeatsAcknowledged <= 0 || step.Hollow.SnapshotKB <= 0 {
 		t.Errorf("%d nodes: hollow %+v", step.Size.Nodes, step.Hollow)
 	}
 	roles := map[string]int{}
@@ -106,7 +106,7 @@
 }
 
 func TestSizesBeyondTheMachineAreCut(t *testing.T) {
-	result, err := Play(t.Context(), Plan{Sizes: []scalereport.Size{{Nodes: 1 << 24, Workers: 1}}, Keepers: 3, Progress: io.Discard})
+	result, err := Play(t.Context(), Plan{Sizes: []scalereport.Size{{Nodes: 1 << 24, Workers: 1}}, Servers: 3, Progress: io.Discard})
 	if err != nil || len(result.Steps) != 0 || len(result.Cuts) != 1 || result.Cuts[0].Why == "" {
 		t.Errorf("%+v, %v", result, err)
 	}
@@ -115,7 +115,7 @@
 func TestAnEndedContextEndsTheStep(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := Play(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scalereport.Size{{Nodes: 2, Workers: 1}}, Keepers: 3,
+	_, err := Play(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scalereport.Size{{Nodes: 2, Workers: 1}}, Servers: 3,
 		Edges: 1, Routes: 1, Windows: 1, Limit: testLimit, Progress: io.Discard})
 	if err == nil {
 		t.Error("no error")
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -309,15 +309,15 @@
 	for end := time.Now().Add(hang); time.Now().Before(end); runtime.Gosched() {
 		q, state := 0, uint8(0)
 		var err error
-		if told := raw.Control(func(fd uintptr) {
+		if received := raw.Control(func(fd uintptr) {
 			var info *unix.TCPInfo
 			if q, err = unix.IoctlGetInt(int(fd), unix.TIOCOUTQ); err == nil {
 				if info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 					state = info.State
 				}
 			}
-		}); told != nil || err != nil {
-			return errors.Join(told, err)
+		}); received != nil || err != nil {
+			return errors.Join(received, err)
 		}
 		if met(q, state) {
 			return nil
