--- a/internal/dataplane/proxy/loadsharer.go
+++ b/internal/dataplane/proxy/loadsharer.go
@@ -28,13 +28,13 @@
 	// owned by the goroutine that sends
 	node         uint64 // a random ID of this process
 	sequence     uint64
-	pace         loadshare.RateLimiter
+	rateLimiter  loadshare.RateLimiter
 	sentNonEmpty bool // the last state sent was not empty, or one is pending
 	peers        []netip.AddrPort
 	peersView    *fleetview.View // of which peers were read
 
 	// owned by the goroutine that receives
-	order loadshare.SequenceFilter
+	sequenceFilter loadshare.SequenceFilter
 }
 
 // newLoadSharer opens the socket. Without one the proxy works by the load in workers' responses alone.
@@ -79,7 +79,7 @@
 	}
 }
 
-// send sends the state after each change, as often as the pace allows, and repeats it while it is not empty, since datagrams can be
+// send sends the state after each change, as often as the rate limiter allows, and repeats it while it is not empty, since datagrams can be
 // lost.
 func (s *loadSharer) send() {
 	repeat := time.NewTimer(loadshare.ResendInterval)
@@ -95,7 +95,7 @@
 			}
 		}
 		peers := s.peerAddresses()
-		if wait := s.pace.Reserve(time.Since(s.started), len(peers)); wait > 0 {
+		if wait := s.rateLimiter.Reserve(time.Since(s.started), len(peers)); wait > 0 {
 			s.sentNonEmpty = true // the timer sends the delayed state
 			repeat.Reset(wait)
 			continue
@@ -156,7 +156,7 @@
 			}
 		}
 		message, err := loadshare.Decode(buffer[:length])
-		if err == nil && s.order.Accept(message) {
+		if err == nil && s.sequenceFilter.Accept(message) {
 			s.dispatcher.SetPeerLoad(message.Node, message.Entries)
 		}
 	}
--- a/internal/dataplane/proxy/viewpublisher.go
+++ b/internal/dataplane/proxy/viewpublisher.go
@@ -22,6 +22,9 @@
 	synced       bool // every shard was received up to the agent's index
 }
 
+// The client finds BatchDone by a type assertion.
+var _ feedtransport.BatchHandler = (*viewPublisher)(nil)
+
 func newViewPublisher(publish func(*fleetview.View), confirmation *configConfirmation, log *zap.Logger) *viewPublisher {
 	return &viewPublisher{builder: fleetview.NewBuilder(), publish: publish, confirmation: confirmation, log: log}
 }
