--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -48,6 +48,7 @@
 	woken          bool      // the read deadline only wakes the goroutine that reads
 }
 
+// newConn returns a connection that is idle and not yet served.
 func newConn(server *Server, socket net.Conn) *conn {
 	return &conn{server: server, socket: socket, rawConn: rawConnOf(socket), stateSince: server.now()}
 }
@@ -204,16 +205,16 @@
 	for {
 		state := c.recordPipelined()
 		switch {
-		case state == handling && c.input.Len() >= maxPipelinedBytes:
+		case state == handling && c.input.Len() >= maxPipelinedBytes: // read no further: only watch for a hang-up
 			if !c.awaitHandler(done) {
 				c.clientGone(writer)
 				return false
 			}
 			continue
-		case state == lingering:
+		case state == lingering: // the last response was written
 			discardInput(c.socket)
 			return false
-		case state != handling && c.input.Len() > 0:
+		case state != handling && c.input.Len() > 0: // the response was written and the next request has started
 			wasAborted, _ := writer.outcome()
 			return !wasAborted
 		}
@@ -223,7 +224,7 @@
 		case !isTimeout(err):
 			c.clientGone(writer)
 			return false
-		case c.recordPipelined() == idle && c.input.Len() == 0:
+		case c.recordPipelined() == idle && c.input.Len() == 0: // the idle time-out has passed
 			return false
 		}
 	}
@@ -295,13 +296,13 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	switch {
-	case c.state == handling:
+	case c.state == handling: // the deadline of reading the request: while its handler runs there is none
 		c.readDeadline = time.Time{}
 		_ = c.socket.SetReadDeadline(c.readDeadline)
 		return true
 	case c.woken:
 		return false
-	case time.Now().Before(c.readDeadline):
+	case time.Now().Before(c.readDeadline): // the deadline was extended meanwhile
 		return true
 	case c.finalReadTaken || c.state == lingering:
 		return false
