--- a/coord/seglog/member_id.go
+++ b/coord/seglog/member_id.go
@@ -13,7 +13,9 @@
 const (
 	memberFileName      = "member"
 	memberTemporaryName = "member.temporary"
-	memberFileBytes     = preambleBytes + 8 + 4 // preamble, ID, checksum
+	// Content: preamble, ID, checksum.
+	memberChecksumOffset = preambleBytes + numberBytes
+	memberFileBytes      = memberChecksumOffset + checksumBytes
 )
 
 // LoadOrCreateMemberID reads the member ID of this disk from the directory. If there is none, it makes the result of newID
@@ -117,7 +119,7 @@
 	if !ok || len(data) != memberFileBytes {
 		return 0, fmt.Errorf("%w: %s", ErrCorrupt, memberFileName)
 	}
-	if binary.LittleEndian.Uint32(data[memberFileBytes-4:]) != checksum(0, data[:memberFileBytes-4]) {
+	if binary.LittleEndian.Uint32(data[memberChecksumOffset:]) != checksum(0, data[:memberChecksumOffset]) {
 		return 0, fmt.Errorf("%w: %s", ErrCorrupt, memberFileName)
 	}
 	return consensus.MemberID(binary.LittleEndian.Uint64(data[preambleBytes:])), nil
--- a/coord/seglog/record.go
+++ b/coord/seglog/record.go
@@ -18,14 +18,33 @@
 	memberMagic   = "OBSM"
 )
 
-// Sizes in bytes.
+// Sizes and offsets in bytes. All integers are little-endian.
 const (
-	magicBytes          = 4
-	preambleBytes       = magicBytes + 4 + 4            // magic number, format version, checksum
-	segmentHeaderBytes  = preambleBytes + 8 + 8 + 4 + 4 // of a segment: preamble, sequence number, first index, checksums of the previous segment and of the header
-	recordPrefixBytes   = 4 + 4                         // length of kind and body, checksum
-	snapshotHeaderBytes = preambleBytes + 8 + 4         // preamble, length of the body, checksum
-	maxRecordBytes      = 1 << 30                       // bound of the length of kind and body
+	magicBytes        = 4
+	versionBytes      = 4
+	checksumBytes     = 4 // CRC-32C
+	numberBytes       = 8 // sequence number, index, length of a snapshot or member ID
+	recordLengthBytes = 4
+
+	// Preamble of each file: magic number, format version, checksum of both.
+	preambleChecksumOffset = magicBytes + versionBytes
+	preambleBytes          = preambleChecksumOffset + checksumBytes
+
+	// Header of a segment: preamble, sequence number, index after the last entry when the segment was started, checksum of the
+	// last record of the previous segment, checksum of the header.
+	firstIndexOffset       = preambleBytes + numberBytes
+	previousChecksumOffset = firstIndexOffset + numberBytes
+	headerChecksumOffset   = previousChecksumOffset + checksumBytes
+	segmentHeaderBytes     = headerChecksumOffset + checksumBytes
+
+	// Prefix of a record: length of kind and body, checksum. Kind and body follow.
+	recordChecksumOffset = recordLengthBytes
+	recordPrefixBytes    = recordChecksumOffset + checksumBytes
+	maxRecordBytes       = 1 << 30 // bound of the length of kind and body
+
+	// Header of a snapshot: preamble, length of the body, checksum. The body follows.
+	snapshotChecksumOffset = preambleBytes + numberBytes
+	snapshotHeaderBytes    = snapshotChecksumOffset + checksumBytes
 )
 
 // recordKind determines what the body of a record contains. Its values are stored.
@@ -56,8 +75,8 @@
 	if len(data) < preambleBytes || string(data[:magicBytes]) != magic {
 		return false, nil
 	}
-	check := binary.LittleEndian.Uint32(data[preambleBytes-4:])
-	if check != checksum(0, data[:preambleBytes-4]) {
+	check := binary.LittleEndian.Uint32(data[preambleChecksumOffset:])
+	if check != checksum(0, data[:preambleChecksumOffset]) {
 		return false, nil
 	}
 	if found := binary.LittleEndian.Uint32(data[magicBytes:]); found != FormatVersion {
@@ -113,12 +132,12 @@
 	w.data = append(w.data, byte(kind))
 	w.data = append(w.data, body...)
 	w.lastChecksum = recordChecksum(w.lastChecksum, w.data[start:])
-	binary.LittleEndian.PutUint32(w.data[start+4:], w.lastChecksum)
+	binary.LittleEndian.PutUint32(w.data[start+recordChecksumOffset:], w.lastChecksum)
 }
 
 // recordChecksum computes a record's checksum from that of the previous one and the record's length, kind and body.
 func recordChecksum(sum uint32, record []byte) uint32 {
-	return checksum(checksum(sum, record[:4]), record[recordPrefixBytes:])
+	return checksum(checksum(sum, record[:recordLengthBytes]), record[recordPrefixBytes:])
 }
 
 // recordReader iterates over the records of a segment.
@@ -135,15 +154,15 @@
 	if len(data) < segmentHeaderBytes {
 		return nil, false
 	}
-	sum := checksum(0, data[:segmentHeaderBytes-4])
-	if sum != binary.LittleEndian.Uint32(data[segmentHeaderBytes-4:]) {
+	sum := checksum(0, data[:headerChecksumOffset])
+	if sum != binary.LittleEndian.Uint32(data[headerChecksumOffset:]) {
 		return nil, false
 	}
 	if binary.LittleEndian.Uint64(data[preambleBytes:]) != sequence {
 		return nil, false
 	}
-	previous := binary.LittleEndian.Uint32(data[segmentHeaderBytes-8:])
-	first := binary.LittleEndian.Uint64(data[preambleBytes+8:])
+	previous := binary.LittleEndian.Uint32(data[previousChecksumOffset:])
+	first := binary.LittleEndian.Uint64(data[firstIndexOffset:])
 	return &recordReader{data: data, offset: segmentHeaderBytes, lastChecksum: sum, previousChecksum: previous, firstIndex: first}, true
 }
 
@@ -159,7 +178,7 @@
 		return 0, nil, false
 	}
 	record := rest[:recordPrefixBytes+length]
-	if recordChecksum(r.lastChecksum, record) != binary.LittleEndian.Uint32(record[4:]) {
+	if recordChecksum(r.lastChecksum, record) != binary.LittleEndian.Uint32(record[recordChecksumOffset:]) {
 		return 0, nil, false
 	}
 	return recordKind(record[recordPrefixBytes]), record[recordPrefixBytes+1:], true
@@ -168,6 +187,6 @@
 // accept advances past the record that next returned.
 func (r *recordReader) accept() {
 	length := int(binary.LittleEndian.Uint32(r.data[r.offset:]))
-	r.lastChecksum = binary.LittleEndian.Uint32(r.data[r.offset+4:])
+	r.lastChecksum = binary.LittleEndian.Uint32(r.data[r.offset+recordChecksumOffset:])
 	r.offset += recordPrefixBytes + length
 }
--- a/coord/seglog/snapshot.go
+++ b/coord/seglog/snapshot.go
@@ -147,7 +147,7 @@
 
 // snapshotChecksum computes the checksum of the length in the header and of the body.
 func snapshotChecksum(header, body []byte) uint32 {
-	return checksum(checksum(0, header[preambleBytes:preambleBytes+8]), body)
+	return checksum(checksum(0, header[preambleBytes:snapshotChecksumOffset]), body)
 }
 
 // decodeSnapshot decodes a snapshot file. Errors: FormatError and ErrCorrupt.
@@ -162,7 +162,7 @@
 	}
 	body := data[snapshotHeaderBytes:]
 	length := binary.LittleEndian.Uint64(data[preambleBytes:])
-	check := binary.LittleEndian.Uint32(data[snapshotHeaderBytes-4:])
+	check := binary.LittleEndian.Uint32(data[snapshotChecksumOffset:])
 	if length != uint64(len(body)) || check != snapshotChecksum(data, body) {
 		return recoveredSnapshot{}, corrupt
 	}
