--- a/internal/controlplane/configuration/command.go
+++ b/internal/controlplane/configuration/command.go
@@ -25,6 +25,7 @@
 	Body []byte // JSON, byte for byte as received
 }
 
+// Bounds and formats of a stored command.
 const (
 	commandFormat = 1
 	maxBodyBytes  = 256 << 20 // bound of a field that is read from the log or a snapshot
@@ -33,12 +34,14 @@
 // avroCodec encodes and decodes stored records. The library's default bound of a byte field, 1 MiB, is too small for a body.
 var avroCodec = avro.Config{MaxByteSliceSize: maxBodyBytes}.Freeze()
 
+// commandSchema is the schema of a log entry.
 var commandSchema = avro.MustParse(`{"type":"record","name":"configuration_command","fields":[
 	{"name":"format","type":"int"},
 	{"name":"kind","type":"int"},
 	{"name":"base","type":"long"},
 	{"name":"body","type":"bytes"}]}`)
 
+// commandRecord is the stored form of a Command.
 type commandRecord struct {
 	Format int    `avro:"format"`
 	Kind   int    `avro:"kind"`
--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -172,13 +172,16 @@
 	return &item{name: name, raw: raw}, rejection
 }
 
+// generationBits is the size of a generation: it is stored as a signed 64-bit integer.
+const generationBits = 63
+
 // readGeneration parses the generation: a positive integer, also in a notation such as 7.0 or 1e3.
 func readGeneration(source *member) (uint64, *Rejection) {
 	if source == nil || source.isItemList {
 		return 0, reject(CodeGenerationUnreadable, "")
 	}
 	text := string(source.raw)
-	if integer, err := strconv.ParseUint(text, 10, 63); err == nil && integer > 0 {
+	if integer, err := strconv.ParseUint(text, decimalBase, generationBits); err == nil && integer > 0 {
 		return integer, nil
 	}
 	number, err := strconv.ParseFloat(text, 64)
--- a/internal/controlplane/configuration/snapshot.go
+++ b/internal/controlplane/configuration/snapshot.go
@@ -18,11 +18,13 @@
 	errDigestCount   = errors.New("the numbers of digests and bases differ")
 )
 
+// Formats of a snapshot.
 const (
-	snapshotFormat      = 2
-	firstSnapshotFormat = 1 // without the bases of the accepted changes; read but no longer written
+	snapshotFormat  = 2 // the one that is written
+	snapshotFormat1 = 1 // without the bases of the accepted changes; read but no longer written
 )
 
+// Schemas of a snapshot. Each begins with the format, so that formatSchema reads it from a snapshot of either.
 var (
 	formatSchema = avro.MustParse(`"int"`)
 
@@ -34,13 +36,14 @@
 		{"name":"bases","type":{"type":"array","items":"long"}},
 		{"name":"forgotten","type":"long"}]}`)
 
-	firstSnapshotSchema = avro.MustParse(`{"type":"record","name":"configuration_snapshot","fields":[
+	snapshotSchema1 = avro.MustParse(`{"type":"record","name":"configuration_snapshot","fields":[
 		{"name":"format","type":"int"},
 		{"name":"generation","type":"long"},
 		{"name":"document","type":"bytes"},
 		{"name":"accepted","type":"bytes"}]}`)
 )
 
+// snapshotRecord is the stored form of a Store.
 type snapshotRecord struct {
 	Format     int     `avro:"format"`
 	Generation int64   `avro:"generation"`
@@ -107,8 +110,8 @@
 	switch format {
 	case snapshotFormat:
 		err = strictavro.Unmarshal(avroCodec, snapshotSchema, snapshot, &record)
-	case firstSnapshotFormat:
-		err = strictavro.Unmarshal(avroCodec, firstSnapshotSchema, snapshot, &record)
+	case snapshotFormat1:
+		err = strictavro.Unmarshal(avroCodec, snapshotSchema1, snapshot, &record)
 		record.Bases = unknownBases(record)
 	default:
 		err = fmt.Errorf("format %d", format)
