--- a/internal/dataplane/dispatch/clientrequest.go
+++ b/internal/dataplane/dispatch/clientrequest.go
@@ -80,7 +80,6 @@
 		Prompt:       parsePrefix(request.Header.Get(fieldPrefix)),
 		PromptTokens: in,
 		OutputTokens: out,
-		Streaming:    route.Type == configuration.Streaming,
 		Arrived:      arrived,
 		Objective:    arrived + route.TargetLatency,
 		Deadline:     limit,
--- a/internal/dataplane/selection/simulation_test.go
+++ b/internal/dataplane/selection/simulation_test.go
@@ -101,7 +101,7 @@
 		{f.random.Uint64(), own},
 	}
 	return &Request{Service: "m", Route: kind.name, Model: "m", Priority: kind.priority, Prompt: prompt,
-		PromptTokens: rootTokens + thingTokens + own, OutputTokens: kind.output, Streaming: true,
+		PromptTokens: rootTokens + thingTokens + own, OutputTokens: kind.output,
 		Arrived: f.clock.now, Objective: f.clock.now + kind.objective, Deadline: f.clock.now + kind.deadline}
 }
 
--- a/internal/dataplane/selection/types.go
+++ b/internal/dataplane/selection/types.go
@@ -17,12 +17,11 @@
 type Request struct {
 	Service      string
 	Route        string
-	Model        string
+	Model        string          // as the client names it; the choice does not depend on it
 	Priority     int             // 0 is the highest
 	Prompt       []PromptSegment // in order; the last one is the request's or its session's own
 	PromptTokens int             // 0: unknown
 	OutputTokens int             // upper bound
-	Streaming    bool
 	Arrived      time.Duration
 	Objective    time.Duration // instant by which the first event, or the complete answer, meets the route's latency target
 	Deadline     time.Duration // instant after which the client no longer waits
