--- a/balance/balance.go
+++ b/balance/balance.go
@@ -44,26 +44,32 @@
 
 // Balancer makes one dispatcher's decisions. It is not safe for concurrent use, and shares nothing.
 type Balancer struct {
-	settings                    Settings
-	rng                         *rand.Rand
-	fleet                       fleet
-	estimator                   estimator
-	requests                    map[RequestID]*request
-	timers                      map[uint32]func(now time.Duration)
-	lastToken                   uint32
-	actions                     []Action
-	ties                        []forecast
-	inFlight                    int        // attempts of all requests
-	queue, probing              []*request // waiting for a worker or for probes, oldest first
-	wakeScheduled, broadcasting bool       // their timers are set
-	newRequests                 float64    // requests since the last message
-	broadcastAt                 time.Duration
-	requestRate                 stats.Mean // per second
-	randomCandidate             *worker    // of the last choice's workers
-	maxValue                    float64    // of all classes
-	sparseReports               bool       // too few fresh reports at the last choice
-	keyShares                   stats.Shares
-	evacuationBudget            float64 // hedges out of failed zones allowed now
+	settings  Settings
+	rng       *rand.Rand
+	fleet     fleet
+	estimator estimator
+	actions   []Action // of the event being handled
+	timers    map[uint32]func(now time.Duration)
+	lastToken uint32
+
+	requests         map[RequestID]*request
+	inFlight         int        // attempts of all requests
+	queue, probing   []*request // waiting for a worker or for probes, oldest first
+	wakeScheduled    bool       // the queue's timer is set
+	maxValue         float64    // of all classes
+	keyShares        stats.Shares
+	evacuationBudget float64 // hedges out of failed zones allowed now
+
+	// The last choice of a worker.
+	ties            []forecast
+	randomCandidate *worker
+	sparseReports   bool // too few fresh reports
+
+	// Messages to peers.
+	broadcasting bool // their timer is set
+	broadcastAt  time.Duration
+	newRequests  float64    // requests since the last message
+	requestRate  stats.Mean // per second
 }
 
 // New returns a dispatcher, or the settings' error. The same seed and events give the same actions.
--- a/internal/node/zones/simulation/faults.go
+++ b/internal/node/zones/simulation/faults.go
@@ -11,28 +11,28 @@
 const slowStartPollInterval = 10 * time.Millisecond
 
 // scheduleWhenDue schedules a fault at its time, or during the slow start that it waits for.
-func (w *simulation) scheduleWhenDue(fault Fault) {
+func (s *simulation) scheduleWhenDue(fault Fault) {
 	if fault.DuringSlowStartOf == "" {
-		w.schedule(fault)
+		s.schedule(fault)
 		return
 	}
-	w.timers.Add(startTime+fault.At, func() { w.awaitSlowStart(fault) })
+	s.timers.Add(startTime+fault.At, func() { s.awaitSlowStart(fault) })
 }
 
 // awaitSlowStart polls until the slow start that the fault waits for.
-func (w *simulation) awaitSlowStart(fault Fault) {
-	if !w.isInSlowStart(fault.DuringSlowStartOf, fault.MinShare) {
-		w.after(slowStartPollInterval, func() { w.awaitSlowStart(fault) })
+func (s *simulation) awaitSlowStart(fault Fault) {
+	if !s.isInSlowStart(fault.DuringSlowStartOf, fault.MinShare) {
+		s.after(slowStartPollInterval, func() { s.awaitSlowStart(fault) })
 		return
 	}
-	w.result.FaultDuringSlowStart = true
-	fault.At = w.now - startTime
-	w.schedule(fault)
+	s.result.FaultDuringSlowStart = true
+	fault.At = s.now - startTime
+	s.schedule(fault)
 }
 
 // isInSlowStart reports whether the leader's table has a zone in slow start with at least the given share.
-func (w *simulation) isInSlowStart(zone string, share float64) bool {
-	p := w.leader()
+func (s *simulation) isInSlowStart(zone string, share float64) bool {
+	p := s.leader()
 	if p == nil {
 		return false
 	}
@@ -47,93 +47,93 @@
 )
 
 // schedule adds a fault's begin and end to the timers.
-func (w *simulation) schedule(fault Fault) {
+func (s *simulation) schedule(fault Fault) {
 	at, until := startTime+fault.At, startTime+fault.At+fault.Duration
-	if w.firstFaultAt == 0 || at < w.firstFaultAt {
-		w.firstFaultAt = at
+	if s.firstFaultAt == 0 || at < s.firstFaultAt {
+		s.firstFaultAt = at
 	}
-	w.lastFaultEnd = max(w.lastFaultEnd, until)
+	s.lastFaultEnd = max(s.lastFaultEnd, until)
 	switch fault.Kind {
 	case ZoneCrash, ZoneErrors, ZoneSlow, ZoneFlaps, SomeWorkersFail, LoadBurst:
-		w.scheduleZoneFault(fault, at, until)
+		s.scheduleZoneFault(fault, at, until)
 	case LinkPartition, OneWayPartition, ZoneIsolated, ProcessIsolated:
-		w.schedulePartition(fault, at, until)
+		s.schedulePartition(fault, at, until)
 	case ProcessCrash, ProcessPause, LeaderCrash, AllRestart:
-		w.scheduleProcessFault(fault, at, until)
+		s.scheduleProcessFault(fault, at, until)
 	default:
-		w.violate("unknown kind of fault: %s", fault.Kind)
+		s.violate("unknown kind of fault: %s", fault.Kind)
 	}
 }
 
 // between schedules the begin and the end of a fault.
-func (w *simulation) between(at, until time.Duration, begin, end func()) {
-	w.timers.Add(at, begin)
-	w.timers.Add(until, end)
+func (s *simulation) between(at, until time.Duration, begin, end func()) {
+	s.timers.Add(at, begin)
+	s.timers.Add(until, end)
 }
 
 // scheduleZoneFault schedules a fault of a zone's workers, or of the load on all zones.
-func (w *simulation) scheduleZoneFault(fault Fault, at, until time.Duration) {
-	zone := w.zoneStates[fault.Zone]
+func (s *simulation) scheduleZoneFault(fault Fault, at, until time.Duration) {
+	zone := s.zoneStates[fault.Zone]
 	recovered := func() {
 		if fault.WarmsUp {
-			zone.warmingSince, zone.overloaded = w.now, false
+			zone.warmingSince, zone.overloaded = s.now, false
 		}
-		w.faultEndedAt[fault.Zone] = w.now
+		s.faultEndedAt[fault.Zone] = s.now
 	}
 	switch fault.Kind {
 	case ZoneCrash:
-		processes := w.processesIn(fault.Zone)
-		w.between(at, until, func() {
+		processes := s.processesIn(fault.Zone)
+		s.between(at, until, func() {
 			zone.crashed = true
-			each(processes, w.crashProcess)
+			each(processes, s.crashProcess)
 		}, func() {
 			zone.crashed = false
 			recovered()
-			each(processes, w.startProcess)
+			each(processes, s.startProcess)
 		})
 	case ZoneErrors:
-		w.between(at, until, func() { zone.erroring = true }, func() { zone.erroring = false; recovered() })
+		s.between(at, until, func() { zone.erroring = true }, func() { zone.erroring = false; recovered() })
 	case ZoneSlow:
-		w.between(at, until, func() { zone.isSlow = true }, func() { zone.isSlow = false; w.faultEndedAt[fault.Zone] = w.now })
+		s.between(at, until, func() { zone.isSlow = true }, func() { zone.isSlow = false; s.faultEndedAt[fault.Zone] = s.now })
 	case ZoneFlaps:
 		for i := time.Duration(0); i < flapPhases; i++ {
-			w.timers.Add(at+i*fault.Duration/flapPhases, func() { zone.erroring = i%2 == 0 })
+			s.timers.Add(at+i*fault.Duration/flapPhases, func() { zone.erroring = i%2 == 0 })
 		}
-		w.timers.Add(until, func() { zone.erroring = false; recovered() })
+		s.timers.Add(until, func() { zone.erroring = false; recovered() })
 	case SomeWorkersFail:
-		w.between(at, until, func() { zone.failingFraction = someWorkersFailing }, func() { zone.failingFraction = 0 })
+		s.between(at, until, func() { zone.failingFraction = someWorkersFailing }, func() { zone.failingFraction = 0 })
 	case LoadBurst:
-		w.between(at, until, func() { w.loadFactor = burstLoadFactor }, func() { w.loadFactor = 1 })
+		s.between(at, until, func() { s.loadFactor = burstLoadFactor }, func() { s.loadFactor = 1 })
 	}
 }
 
 // schedulePartition schedules a fault of the network.
-func (w *simulation) schedulePartition(fault Fault, at, until time.Duration) {
-	network := w.network
+func (s *simulation) schedulePartition(fault Fault, at, until time.Duration) {
+	network := s.network
 	switch fault.Kind {
 	case LinkPartition:
-		w.between(at, until, func() { network.block(fault.Zone, fault.Other); network.block(fault.Other, fault.Zone) },
+		s.between(at, until, func() { network.block(fault.Zone, fault.Other); network.block(fault.Other, fault.Zone) },
 			func() { network.unblock(fault.Zone, fault.Other); network.unblock(fault.Other, fault.Zone) })
 	case OneWayPartition:
-		w.between(at, until, func() { network.block(fault.Zone, fault.Other) }, func() { network.unblock(fault.Zone, fault.Other) })
+		s.between(at, until, func() { network.block(fault.Zone, fault.Other) }, func() { network.unblock(fault.Zone, fault.Other) })
 	case ZoneIsolated:
-		w.between(at, until, func() { network.isolate(fault.Zone) },
-			func() { network.reconnect(fault.Zone); w.faultEndedAt[fault.Zone] = w.now })
+		s.between(at, until, func() { network.isolate(fault.Zone) },
+			func() { network.reconnect(fault.Zone); s.faultEndedAt[fault.Zone] = s.now })
 	case ProcessIsolated:
-		w.between(at, until, func() { network.block(fault.Process, "*"); network.block("*", fault.Process) },
+		s.between(at, until, func() { network.block(fault.Process, "*"); network.block("*", fault.Process) },
 			func() { network.unblock(fault.Process, "*"); network.unblock("*", fault.Process) })
 	}
 }
 
 // scheduleProcessFault schedules a crash or pause of processes.
-func (w *simulation) scheduleProcessFault(fault Fault, at, until time.Duration) {
+func (s *simulation) scheduleProcessFault(fault Fault, at, until time.Duration) {
 	switch fault.Kind {
 	case ProcessCrash:
-		p := w.processNamed(fault.Process)
-		w.between(at, until, func() { w.crashProcess(p) }, func() { w.startProcess(p) })
+		p := s.processNamed(fault.Process)
+		s.between(at, until, func() { s.crashProcess(p) }, func() { s.startProcess(p) })
 	case ProcessPause:
-		p := w.processNamed(fault.Process)
-		w.between(at, until, func() {
+		p := s.processNamed(fault.Process)
+		s.between(at, until, func() {
 			if !p.down {
 				p.pause()
 			}
@@ -143,17 +143,17 @@
 			}
 		})
 	case LeaderCrash:
-		w.timers.Add(at, func() {
-			if p := w.leader(); p != nil {
+		s.timers.Add(at, func() {
+			if p := s.leader(); p != nil {
 				p.crash()
-				w.timers.Add(until, func() { w.startProcess(p) })
+				s.timers.Add(until, func() { s.startProcess(p) })
 			}
 		})
 	case AllRestart:
-		for _, p := range append(slices.Clone(w.voters), w.nodes...) {
-			down := at + time.Duration(w.rng.Int64N(int64(time.Second)))
-			w.timers.Add(down, func() { w.crashProcess(p) })
-			w.timers.Add(down+time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.startProcess(p) })
+		for _, p := range append(slices.Clone(s.voters), s.nodes...) {
+			down := at + time.Duration(s.rng.Int64N(int64(time.Second)))
+			s.timers.Add(down, func() { s.crashProcess(p) })
+			s.timers.Add(down+time.Duration(100+s.rng.IntN(900))*time.Millisecond, func() { s.startProcess(p) })
 		}
 	}
 }
--- a/internal/node/zones/simulation/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -160,9 +160,9 @@
 
 // flush starts the next write unless one is in progress, and sends the outgoing messages.
 func (v *voterProcess) flush() {
-	w := v.process.simulation
+	s := v.process.simulation
 	if err := v.replica.Err(); err != nil {
-		w.violate("voter %s: %v", v.process.name, err)
+		s.violate("voter %s: %v", v.process.name, err)
 		v.process.crash()
 		return
 	}
@@ -173,24 +173,24 @@
 				v.disk.write(persist)
 				v.replica.Persisted(persist)
 				v.writing = false
-				w.checkLog(v)
+				s.checkLog(v)
 				v.flush()
 			}
-			if w.scenario.DisabledCheck == checkDurable {
+			if s.scenario.DisabledCheck == checkDurable {
 				// Acknowledged before it is durable: a crash loses it.
 				v.replica.Persisted(persist)
-				w.checkLog(v)
-				v.process.after(w.scenario.DiskLatency.draw(w.rng), func() { v.disk.write(persist); v.writing = false; v.flush() })
+				s.checkLog(v)
+				v.process.after(s.scenario.DiskLatency.draw(s.rng), func() { v.disk.write(persist); v.writing = false; v.flush() })
 			} else {
-				v.process.after(w.scenario.DiskLatency.draw(w.rng), written)
+				v.process.after(s.scenario.DiskLatency.draw(s.rng), written)
 			}
 		}
 	}
 	posts := v.replica.TakeOutgoing()
-	w.checkLog(v)
+	s.checkLog(v)
 	for _, post := range posts {
-		to := w.voters[post.To-1]
-		w.network.send(v.process, to, func() {
+		to := s.voters[post.To-1]
+		s.network.send(v.process, to, func() {
 			to.do(to.incarnation, func() {
 				_ = to.voter.replica.Receive(to.voter.now(), post.Message)
 				to.voter.flush()
@@ -226,20 +226,20 @@
 
 // report sends the next report, at first to the voter of the node's number.
 func (n *nodeProcess) report() {
-	w := n.process.simulation
+	s := n.process.simulation
 	r, next := n.follower.Report(n.process.now())
 	sent := n.process.now()
-	voters := len(w.voters)
-	to := w.voters[(n.number+n.failedReports)%voters]
+	voters := len(s.voters)
+	to := s.voters[(n.number+n.failedReports)%voters]
 	answered := false
-	w.network.send(n.process, to, func() {
+	s.network.send(n.process, to, func() {
 		to.do(to.incarnation, func() {
 			a, err := to.voter.replica.HandleReport(to.voter.now(), r)
 			to.voter.flush()
 			if err != nil {
 				return
 			}
-			w.network.send(to, n.process, func() {
+			s.network.send(to, n.process, func() {
 				n.process.do(n.process.incarnation, func() {
 					answered = answered || a.Lease > 0
 					if n.follower.HandleResponse(n.process.now(), sent, a) {
@@ -259,44 +259,44 @@
 
 // checkTable checks the table that was applied.
 func (n *nodeProcess) checkTable() {
-	w := n.process.simulation
+	s := n.process.simulation
 	at := n.follower.Epoch()
 	if at < n.epoch {
-		w.violate("%s went back from epoch %d to %d", n.process.name, n.epoch, at)
+		s.violate("%s went back from epoch %d to %d", n.process.name, n.epoch, at)
 	}
 	n.epoch = at
-	if known, ok := w.tablesByEpoch[at]; ok && at > 0 && known != w.encodeTable(n.follower.Table()) {
-		w.violate("%s holds another table of epoch %d than was committed", n.process.name, at)
+	if known, ok := s.tablesByEpoch[at]; ok && at > 0 && known != s.encodeTable(n.follower.Table()) {
+		s.violate("%s holds another table of epoch %d than was committed", n.process.name, at)
 	}
 }
 
 // work sends the steps of a tenth of a second.
 func (n *nodeProcess) work() {
-	w, d := n.process.simulation, n.process.simulation.scenario
+	s, d := n.process.simulation, n.process.simulation.scenario
 	const span = tenth
 	now := n.process.now()
 	if !d.Standalone && d.DisabledCheck != checkReady && !n.follower.Ready(now) {
 		n.process.after(span, n.work) // no request is admitted yet
 		return
 	}
-	shares := n.follower.Shares(now, w.zones)
-	w.checkShares(n, shares)
+	shares := n.follower.Shares(now, s.zones)
+	s.checkShares(n, shares)
 	total := 0.0
-	for _, z := range w.zones {
+	for _, z := range s.zones {
 		total += shares[z]
 	}
-	rate := d.Rate * w.loadFactor * span.Seconds()
+	rate := d.Rate * s.loadFactor * span.Seconds()
 	n.credit += rate
 	for ; n.credit >= 1; n.credit-- {
-		class := w.rng.IntN(len(classes))
-		w.result.Offered += classes[class].Value
-		if w.rng.Float64() >= n.follower.AdmittedFraction(now, classes[class].Name) {
-			w.result.Rejected += classes[class].Value
+		class := s.rng.IntN(len(classes))
+		s.result.Offered += classes[class].Value
+		if s.rng.Float64() >= n.follower.AdmittedFraction(now, classes[class].Name) {
+			s.result.Rejected += classes[class].Value
 			continue
 		}
-		at := w.rng.Float64() * total
-		zone := w.zones[len(w.zones)-1]
-		for _, z := range w.zones {
+		at := s.rng.Float64() * total
+		zone := s.zones[len(s.zones)-1]
+		for _, z := range s.zones {
 			if at < shares[z] {
 				zone = z
 				break
@@ -305,19 +305,19 @@
 		}
 		n.sendStep(zone, class)
 	}
-	for _, z := range w.zones {
-		n.follower.Monitor().SetCapacity(now, z, w.zoneStates[z].slots, 1-w.zoneStates[z].warmCapacity())
+	for _, z := range s.zones {
+		n.follower.Monitor().SetCapacity(now, z, s.zoneStates[z].slots, 1-s.zoneStates[z].warmCapacity())
 	}
 	n.process.after(span, n.work)
 }
 
 // sendStep sends one step and records its outcome when it shows.
 func (n *nodeProcess) sendStep(zone string, class int) {
-	w := n.process.simulation
+	s := n.process.simulation
 	sent, incarnation := n.process.now(), n.process.incarnation
 	monitor := n.follower.Monitor()
 	monitor.RecordSent(sent, zone, class, workPerStep)
-	outcome, after := w.stepOutcome(n, zone)
+	outcome, after := s.stepOutcome(n, zone)
 	n.process.after(after, func() {
 		if n.process.incarnation != incarnation {
 			return
@@ -325,6 +325,6 @@
 		monitor.RecordOutcome(n.process.now(), sent, zone, outcome)
 	})
 	if outcome.Succeeded > 0 && outcome.Late == 0 {
-		w.result.Served += classes[class].Value
+		s.result.Served += classes[class].Value
 	}
 }
--- a/internal/node/zones/simulation/zone_state.go
+++ b/internal/node/zones/simulation/zone_state.go
@@ -55,33 +55,33 @@
 }
 
 // stepOutcome returns the outcome of a step to a zone, and after what time it shows.
-func (w *simulation) stepOutcome(node *nodeProcess, zone string) (health.StepCounts, time.Duration) {
-	z := w.zoneStates[zone]
-	quick := time.Duration(50+w.rng.IntN(200)) * time.Millisecond
+func (s *simulation) stepOutcome(node *nodeProcess, zone string) (health.StepCounts, time.Duration) {
+	z := s.zoneStates[zone]
+	quick := time.Duration(50+s.rng.IntN(200)) * time.Millisecond
 	silent := health.StepCounts{TimedOut: 1}
 	workers := &process{zone: zone, name: "prep"}
 	switch {
-	case w.network.isBlocked(node.process, workers) || w.network.isBlocked(workers, node.process):
+	case s.network.isBlocked(node.process, workers) || s.network.isBlocked(workers, node.process):
 		return silent, time.Second
 	case z.crashed:
 		return silent, time.Second
 	case z.erroring:
-		if w.rng.IntN(2) == 0 {
+		if s.rng.IntN(2) == 0 {
 			return health.StepCounts{Failed: 1}, 5 * time.Millisecond
 		}
 		return silent, time.Second
-	case w.rng.Float64() < z.failingFraction:
+	case s.rng.Float64() < z.failingFraction:
 		return health.StepCounts{Failed: 1}, 5 * time.Millisecond
 	}
 	load := z.addStep()
 	switch {
-	case load > 1 && w.rng.Float64() > 1/load:
+	case load > 1 && s.rng.Float64() > 1/load:
 		// Past its capacity some steps time out, others are late.
-		if w.rng.IntN(2) == 0 {
+		if s.rng.IntN(2) == 0 {
 			return silent, time.Second
 		}
 		return health.StepCounts{Succeeded: 1, Late: 1}, time.Second
-	case z.isSlow && w.rng.IntN(2) == 0:
+	case z.isSlow && s.rng.IntN(2) == 0:
 		return health.StepCounts{Succeeded: 1, Late: 1}, 4 * quick
 	}
 	return health.StepCounts{Succeeded: 1}, quick
