--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -64,19 +64,19 @@
 func (m *metrics) roleLines() []string {
 	var lines []string
 	for status, count := range m.roleCommands {
-		lines = append(lines, fmt.Sprintf("keeper_orders_total{status=\"%d\"} %d", status, count))
+		lines = append(lines, fmt.Sprintf("controlplane_role_commands_total{status=\"%d\"} %d", status, count))
 	}
 	for service, state := range m.roleStates {
 		label := fmt.Sprintf("{service=%q}", service)
 		lines = append(lines,
-			fmt.Sprintf("keeper_stage_readers%s %d", label, state.PrefillWorkers),
-			fmt.Sprintf("keeper_stage_writers%s %d", label, state.DecodeWorkers),
-			fmt.Sprintf("keeper_stage_turning%s %d", label, state.Transitioning),
-			fmt.Sprintf("keeper_stage_readers_wanted%s %d", label, state.TargetPrefill),
-			fmt.Sprintf("keeper_demand_read_workers%s %.3f", label, state.Demand.Prefill),
-			fmt.Sprintf("keeper_demand_slots_workers%s %.3f", label, state.Demand.Slots),
-			fmt.Sprintf("keeper_demand_memory_workers%s %.3f", label, state.Demand.Memory),
-			fmt.Sprintf("keeper_demand_moves_workers%s %.3f", label, state.Demand.Transfers))
+			fmt.Sprintf("controlplane_prefill_workers%s %d", label, state.PrefillWorkers),
+			fmt.Sprintf("controlplane_decode_workers%s %d", label, state.DecodeWorkers),
+			fmt.Sprintf("controlplane_transitioning_workers%s %d", label, state.Transitioning),
+			fmt.Sprintf("controlplane_target_prefill_workers%s %d", label, state.TargetPrefill),
+			fmt.Sprintf("controlplane_demand_prefill_workers%s %.3f", label, state.Demand.Prefill),
+			fmt.Sprintf("controlplane_demand_slots_workers%s %.3f", label, state.Demand.Slots),
+			fmt.Sprintf("controlplane_demand_memory_workers%s %.3f", label, state.Demand.Memory),
+			fmt.Sprintf("controlplane_demand_transfer_workers%s %.3f", label, state.Demand.Transfers))
 	}
 	return lines
 }
@@ -87,7 +87,7 @@
 	defer m.mutex.Unlock()
 	lines := make([]string, 0, len(m.calls))
 	for series, count := range m.calls {
-		lines = append(lines, fmt.Sprintf("keeper_calls_total{method=%q,status=\"%d\"} %d", series.method, series.status, count))
+		lines = append(lines, fmt.Sprintf("controlplane_calls_total{method=%q,status=\"%d\"} %d", series.method, series.status, count))
 	}
 	lines = append(lines, m.roleLines()...)
 	slices.Sort(lines)
@@ -96,14 +96,14 @@
 
 func (s *Server) serveMetrics(_ context.Context, c *app.RequestContext) {
 	lines := s.metrics.lines()
-	lines = append(lines, fmt.Sprintf("keeper_feed_sessions %d", s.metrics.feedSessions.Load()))
+	lines = append(lines, fmt.Sprintf("controlplane_feed_sessions %d", s.metrics.feedSessions.Load()))
 	for _, shard := range s.shards {
 		lines = append(lines, shardLines(shard.group.Status())...)
 	}
 	for _, peer := range s.peers.network.Peers() {
 		lines = append(lines,
-			fmt.Sprintf("keeper_peer_connected{peer=%q} %d", peer.Address, boolToInt(peer.Connected)),
-			fmt.Sprintf("keeper_peer_dropped_total{peer=%q} %d", peer.Address, peer.Dropped))
+			fmt.Sprintf("controlplane_peer_connected{peer=%q} %d", peer.Address, boolToInt(peer.Connected)),
+			fmt.Sprintf("controlplane_peer_dropped_total{peer=%q} %d", peer.Address, peer.Dropped))
 	}
 	c.Data(http.StatusOK, contentTypeText, []byte(strings.Join(lines, "\n")+"\n"))
 }
@@ -111,11 +111,11 @@
 func shardLines(status replica.Status) []string {
 	label := fmt.Sprintf("{shard=\"%d\"}", status.Shard)
 	return []string{
-		fmt.Sprintf("keeper_shard_leads%s %d", label, boolToInt(status.IsLeader())),
-		fmt.Sprintf("keeper_shard_current%s %d", label, boolToInt(isCurrent(status))),
-		fmt.Sprintf("keeper_shard_term%s %d", label, status.Term),
-		fmt.Sprintf("keeper_shard_applied%s %d", label, status.AppliedIndex),
-		fmt.Sprintf("keeper_shard_disk_bytes%s %d", label, status.DiskBytes),
+		fmt.Sprintf("controlplane_shard_leads%s %d", label, boolToInt(status.IsLeader())),
+		fmt.Sprintf("controlplane_shard_current%s %d", label, boolToInt(isCurrent(status))),
+		fmt.Sprintf("controlplane_shard_term%s %d", label, status.Term),
+		fmt.Sprintf("controlplane_shard_applied%s %d", label, status.AppliedIndex),
+		fmt.Sprintf("controlplane_shard_disk_bytes%s %d", label, status.DiskBytes),
 	}
 }
 
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -58,48 +58,48 @@
 	return []metric{
 		{"dispatch_requests", counts.Requests},
 		{"dispatch_unrouted", counts.Unrouted},
-		{"dispatch_refused", counts.Rejected},
+		{"dispatch_rejected", counts.Rejected},
 		{"dispatch_failed", counts.Failed},
-		{"dispatch_broken", counts.Aborted},
-		{"dispatch_left", counts.Canceled},
+		{"dispatch_aborted", counts.Aborted},
+		{"dispatch_canceled", counts.Canceled},
 		{"dispatch_prefills", counts.Prefills},
 		{"dispatch_runs", counts.Runs},
-		{"dispatch_repeats", counts.Retries},
+		{"dispatch_retries", counts.Retries},
 		{"dispatch_resumed", counts.Resumed},
-		{"dispatch_handlesfreed", counts.HandlesFreed},
-		{"dispatch_handlesdropped", counts.HandlesDropped},
+		{"dispatch_handles_freed", counts.HandlesFreed},
+		{"dispatch_handles_dropped", counts.HandlesDropped},
 	}
 }
 
 // serverMetrics returns the metrics of the server towards clients.
 func serverMetrics(counts httpserver.Counts) []metric {
 	return []metric{
-		{"front_accepted", counts.Accepted},
-		{"front_refused", counts.Rejected},
-		{"front_evicted", counts.Evicted},
-		{"front_requests", counts.Requests},
-		{"front_malformed", counts.Malformed},
-		{"front_timedout", counts.TimedOut},
-		{"front_left", counts.ClientsGone},
-		{"front_secondanswers", counts.DuplicateResponses},
-		{"front_unanswered", counts.MissingResponses},
-		{"front_broken", counts.AbortedResponses},
-		{"front_open", counts.Open},
-		{"front_inwork", counts.InFlight},
+		{"http_server_accepted", counts.Accepted},
+		{"http_server_rejected", counts.Rejected},
+		{"http_server_evicted", counts.Evicted},
+		{"http_server_requests", counts.Requests},
+		{"http_server_malformed", counts.Malformed},
+		{"http_server_timed_out", counts.TimedOut},
+		{"http_server_clients_gone", counts.ClientsGone},
+		{"http_server_duplicate_responses", counts.DuplicateResponses},
+		{"http_server_missing_responses", counts.MissingResponses},
+		{"http_server_aborted_responses", counts.AbortedResponses},
+		{"http_server_open", counts.Open},
+		{"http_server_in_flight", counts.InFlight},
 	}
 }
 
 // upstreamMetrics returns the metrics of the connections to workers.
 func upstreamMetrics(counts upstream.Counts) []metric {
 	return []metric{
-		{"workers_dials", counts.Dials},
-		{"workers_dialsfailed", counts.DialsFailed},
-		{"workers_reused", counts.Reused},
-		{"workers_stale", counts.Stale},
-		{"workers_surplus", counts.Unsolicited},
-		{"workers_foreign", counts.MismatchedResponses},
-		{"workers_expired", counts.Expired},
-		{"workers_open", counts.Open},
-		{"workers_idle", counts.Idle},
+		{"upstream_dials", counts.Dials},
+		{"upstream_dials_failed", counts.DialsFailed},
+		{"upstream_reused", counts.Reused},
+		{"upstream_stale", counts.Stale},
+		{"upstream_unsolicited", counts.Unsolicited},
+		{"upstream_mismatched_responses", counts.MismatchedResponses},
+		{"upstream_expired", counts.Expired},
+		{"upstream_open", counts.Open},
+		{"upstream_idle", counts.Idle},
 	}
 }
