--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -13,21 +13,21 @@
 	"ospreybend/internal/node/protocol"
 )
 
-const loadWithin = 30 * time.Second
+const storeLoadTimeout = 30 * time.Second
 
 // batchFront is the parts of the batch front, wired.
 type batchFront struct {
-	cfg     nodeconfig.Batch
-	jobs    *jobs.Manager
-	admin   *httpapi.Admin // nil: none
-	keeper  *store.Executor
-	servers []*protocol.Server
+	cfg      nodeconfig.Batch
+	jobs     *jobs.Manager
+	admin    *httpapi.Admin // nil: none
+	executor *store.Executor
+	servers  []*protocol.Server
 }
 
 // startBatch opens the batch front beside the platform's, on the same core. The
 // node's configuration has made room for it (Reserve).
 func (n *node) startBatch(cfg nodeconfig.Batch) (*batchFront, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), loadWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), storeLoadTimeout)
 	defer cancel()
 	record, err := store.Open(ctx, cfg.Store, cfg.Source)
 	if err != nil {
@@ -45,11 +45,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	f := &batchFront{cfg: cfg, keeper: store.NewExecutor(record, n.loop.Post)}
+	f := &batchFront{cfg: cfg, executor: store.NewExecutor(record, n.loop.Post)}
 	n.loop.Call(func() {
-		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, WorkerName: n.to.Name,
+		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, WorkerName: n.destinations.Name,
 			MaxSlots: n.batchSlots(cfg), DelayTarget: time.Duration(cfg.TargetMS) * time.Millisecond,
-			MaxWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, MaxEvents: cfg.MaxEvents, MaxEndedJobs: jobs.DefaultMaxEndedJobs}, n.core, f.keeper, n.loop, &n.loop.Timers)
+			MaxWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, MaxEvents: cfg.MaxEvents, MaxEndedJobs: jobs.DefaultMaxEndedJobs}, n.core, f.executor, n.loop, &n.loop.Timers)
 		n.core.SetLoadObserver(f.jobs)
 		f.jobs.Load(tenants, sessions, unfinished, arrays)
 		front := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
@@ -107,25 +107,25 @@
 		"events", cfg.MaxEvents)
 }
 
-// stop ends the batch front once what its jobs have in work is answered, or by
+// shutdown ends the batch front once what its jobs have in work is answered, or by
 // the given time. What is then unfinished the store has.
-func (f *batchFront) stop(n *node, by time.Time) {
+func (f *batchFront) shutdown(n *node, by time.Time) {
 	busy := func() (count int) {
 		n.loop.Call(func() { count = f.jobs.Pending() })
 		return count
 	}
 	for time.Now().Before(by) && busy() > 0 {
-		time.Sleep(flushFor)
+		time.Sleep(flushTime)
 	}
 	n.loop.Call(f.jobs.EndWaits)
-	time.Sleep(flushFor)
+	time.Sleep(flushTime)
 	n.loop.Call(func() {
 		for _, s := range f.servers {
 			s.Stop(0, func() {})
 		}
-		f.keeper.Shutdown()
+		f.executor.Shutdown()
 	})
-	if err := f.keeper.Wait(); err != nil {
+	if err := f.executor.Wait(); err != nil {
 		slog.Error("store of record", "error", err)
 	}
 }
--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-func session(t *testing.T, r *rig, options ...client.Option) *client.Session {
+func newSession(t *testing.T, r *localNode, options ...client.Option) *client.Session {
 	t.Helper()
 	made, err := r.admin.Create(t.Context(), "anna", 10_000)
 	if err != nil {
@@ -31,16 +31,16 @@
 
 // Prep workers that die at each byte of their last word: every booking begins
 // once and has one final state, and is DONE only where the whole word came.
-func TestWorkersDieBetweenTwoBytes(t *testing.T) {
+func TestBatch_workerDiesBetweenTwoBytes(t *testing.T) {
 	const whole = len("20\r\n" + `{"state":"done","result":"cut"}` + "\n") // up to the line's end
-	r := newTestRig(t, func(j fakeplatform.Job) fakeplatform.Act {
+	r := newTestNode(t, func(j fakeplatform.Job) fakeplatform.Act {
 		n, err := strconv.Atoi(j.Path[strings.LastIndexByte(j.Path, '/')+1:])
 		if err != nil {
 			return fakeplatform.Act{Kind: fakeplatform.Reject}
 		}
 		return fakeplatform.Act{Kind: fakeplatform.Cut, Bytes: n - 1, Run: time.Millisecond}
 	})
-	s := session(t, r)
+	s := newSession(t, r)
 	a, err := s.RunBulk(t.Context(), drmaa.Bulk{Begin: 1, End: whole + 10, MaxParallel: 4,
 		Template: &drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", Args: []string{drmaa.IndexPlaceholder}}})
 	if err != nil {
@@ -67,9 +67,9 @@
 
 // A prep worker vanishes with bookings and checks in work, and comes back: the
 // checks run elsewhere, no booking begins twice, all have an end.
-func TestWorkerVanishesAndReturns(t *testing.T) {
-	r := newTestRig(t, fakeplatform.For(50*time.Millisecond))
-	s := session(t, r)
+func TestBatch_workerVanishesAndReturns(t *testing.T) {
+	r := newTestNode(t, fakeplatform.For(50*time.Millisecond))
+	s := newSession(t, r)
 	var arrays []*drmaa.Array
 	for _, class := range []string{"auftrag-buchen", "vorschau"} {
 		a, err := s.RunBulk(t.Context(), drmaa.Bulk{Begin: 1, End: 40, Template: &drmaa.JobTemplate{RemoteCommand: class}})
@@ -110,22 +110,22 @@
 
 // A wait that is open while the node leaves is told to come again; the job goes
 // on where the record has it.
-func TestWaitWhileTheNodeLeaves(t *testing.T) {
-	r := newTestRig(t, fakeplatform.For(time.Millisecond))
-	s := session(t, r, client.WithMaxAttempts(1))
+func TestBatch_waitDuringShutdown(t *testing.T) {
+	r := newTestNode(t, fakeplatform.For(time.Millisecond))
+	s := newSession(t, r, client.WithMaxAttempts(1))
 	j, err := s.Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := make(chan error, 1)
 	go func() { _, err := s.Wait(t.Context(), j.ID, client.Terminated); got <- err }()
-	if err := fakeplatform.Until(t.Context(), demoReady, func() bool {
+	if err := fakeplatform.Until(t.Context(), demoReadyTimeout, func() bool {
 		q, err := r.admin.Queue(t.Context())
 		return err == nil && q.Waits == 1
 	}); err != nil {
 		t.Fatal(err)
 	}
-	r.leave()
+	r.shutdown()
 	if err := <-got; !errors.Is(err, &drmaa.Error{Name: drmaa.TryLater}) {
 		t.Errorf("the wait was answered %v", err)
 	}
--- a/cmd/ospreybend/child_process.go
+++ b/cmd/ospreybend/child_process.go
@@ -21,17 +21,17 @@
 
 // child is a node in a process of its own, for measurements and kills.
 type child struct {
-	cmd      *exec.Cmd
-	dir      string
-	platform string
-	batch    string
-	admin    *client.Admin
-	alone    bool // its batch front is off
+	cmd           *exec.Cmd
+	dir           string
+	platform      string
+	batch         string
+	admin         *client.Admin
+	batchDisabled bool // its batch front is off
 }
 
 // files writes a node's files into dir. extra is further lines of the batch
 // front's.
-func childFiles(dir, discovery, extra string) (*child, error) {
+func newChild(dir, discovery, extra string) (*child, error) {
 	var at [3]string
 	for i := range at {
 		var err error
@@ -39,15 +39,15 @@
 			return nil, err
 		}
 	}
-	text, err := demoText(at[0], discovery)
+	text, err := demoConfig(at[0], discovery)
 	if err != nil {
 		return nil, err
 	}
-	sum := sha256.Sum256([]byte(demoAdmin))
+	sum := sha256.Sum256([]byte(demoAdminToken))
 	batch := fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n%s",
 		at[1], filepath.Join(dir, "batch.db"), at[2], hex.EncodeToString(sum[:]), extra)
 	c := &child{dir: dir, platform: "http://" + at[0], batch: "http://" + at[1]}
-	if c.admin, err = client.NewAdmin("http://"+at[2], demoAdmin, client.WithMaxAttempts(1)); err != nil {
+	if c.admin, err = client.NewAdmin("http://"+at[2], demoAdminToken, client.WithMaxAttempts(1)); err != nil {
 		return nil, err
 	}
 	return c, errors.Join(os.WriteFile(filepath.Join(dir, "node.json"), text, 0o600),
@@ -55,16 +55,16 @@
 }
 
 // start starts the process and waits until it serves.
-func (c *child) start(ctx context.Context) error { return c.startWith(ctx) }
+func (c *child) start(ctx context.Context) error { return c.startWithEnv(ctx) }
 
-// startWith starts it with further variables in its environment.
-func (c *child) startWith(ctx context.Context, env ...string) error {
+// startWithEnv starts it with further variables in its environment.
+func (c *child) startWithEnv(ctx context.Context, env ...string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	c.cmd = exec.Command(self, "serve")
-	c.cmd.Env = append(os.Environ(), childMark+"=1", "BALANCER_CONFIG="+filepath.Join(c.dir, "node.json"),
+	c.cmd.Env = append(os.Environ(), childEnv+"=1", "BALANCER_CONFIG="+filepath.Join(c.dir, "node.json"),
 		"OSPREYBEND_BATCH="+filepath.Join(c.dir, "batch.toml"))
 	c.cmd.Env = append(c.cmd.Env, env...)
 	log, err := os.OpenFile(filepath.Join(c.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -77,7 +77,7 @@
 		return err
 	}
 	// The batch front's administration opens last.
-	return fakeplatform.Until(ctx, demoReady, func() bool {
+	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool {
 		answer, err := http.Get(c.platform + "/healthz")
 		if err != nil {
 			return false
@@ -86,7 +86,7 @@
 		if answer.StatusCode != http.StatusOK {
 			return false
 		}
-		if c.alone {
+		if c.batchDisabled {
 			return true
 		}
 		_, err = c.admin.Queue(ctx)
@@ -94,8 +94,8 @@
 	})
 }
 
-// childMark tells a test binary that it is to be the program.
-const childMark = "OSPREYBEND_CHILD"
+// childEnv tells a test binary that it is to be the program.
+const childEnv = "OSPREYBEND_CHILD"
 
 // kill ends the process without a word.
 func (c *child) kill() error {
@@ -108,16 +108,16 @@
 	return err
 }
 
-// died waits until the process has ended by itself.
-func (c *child) died() {
+// waitExit waits until the process has ended by itself.
+func (c *child) waitExit() {
 	if c.cmd != nil {
 		_ = c.cmd.Wait()
 		c.cmd = nil
 	}
 }
 
-// leave ends the process in good order.
-func (c *child) leave() error {
+// shutdown ends the process in good order.
+func (c *child) shutdown() error {
 	if c.cmd == nil {
 		return nil
 	}
@@ -129,10 +129,10 @@
 	return err
 }
 
-const ticks = 100 // of /proc's clock in a second, on all of Linux's architectures that Go has
+const clockTicksPerSecond = 100 // of /proc's clock in a second, on all of Linux's architectures that Go has
 
-// cpu is the processor time that the process has used.
-func (c *child) cpu() time.Duration {
+// cpuTime is the processor time that the process has used.
+func (c *child) cpuTime() time.Duration {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/stat")
 	if err != nil {
 		return 0
@@ -140,11 +140,11 @@
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * time.Second / ticks
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
 // memory is the most memory that the process has had, in KiB, since its start.
-func (c *child) memory() (now, most int) {
+func (c *child) memory() (current, peak int) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/status")
 	if err != nil {
 		return 0, 0
@@ -153,12 +153,12 @@
 		f := strings.Fields(line)
 		switch f[0] {
 		case "VmHWM:":
-			most, _ = strconv.Atoi(f[1])
+			peak, _ = strconv.Atoi(f[1])
 		case "VmRSS:":
-			now, _ = strconv.Atoi(f[1])
+			current, _ = strconv.Atoi(f[1])
 		}
 	}
-	return now, most
+	return current, peak
 }
 
 // tenant makes a tenant with a session.
--- a/cmd/ospreybend/cli.go
+++ b/cmd/ospreybend/cli.go
@@ -17,8 +17,8 @@
 	"ospreybend/internal/node/nodeconfig"
 )
 
-// exitNoTrial is the exit code of a trial that could not run; one with a violation has 1.
-const exitNoTrial = 2
+// exitTrialNotRun is the exit code of a trial that could not run; one with a violation has 1.
+const exitTrialNotRun = 2
 
 // commandLine is the command line. Without a command it serves, as the platform's
 // run line wants.
@@ -38,18 +38,18 @@
 	Version versionCmd  `cmd:"" help:"Show the version."`
 }
 
-// command runs one call of the program and returns its exit code.
-func command(caught signals, args []string, out, complain io.Writer) int {
+// runCommand runs one call of the program and returns its exit code.
+func runCommand(caught signals, args []string, stdout, stderr io.Writer) int {
 	log, err := nodeconfig.LoadLog(os.Getenv)
 	if err != nil {
-		fmt.Fprintln(complain, "ospreybend:", err)
+		fmt.Fprintln(stderr, "ospreybend:", err)
 		return cli.ExitError
 	}
-	slog.SetDefault(slog.New(log.Handler(complain)))
+	slog.SetDefault(slog.New(log.Handler(stderr)))
 	var c commandLine
 	exited := -1
 	parser, err := kong.New(&c, kong.Name("ospreybend"), kong.Description("A load balancer for job preparation, with a batch front after DRMAA."),
-		kong.UsageOnError(), kong.Writers(out, complain), kong.Exit(func(code int) { exited = code }))
+		kong.UsageOnError(), kong.Writers(stdout, stderr), kong.Exit(func(code int) { exited = code }))
 	if err != nil {
 		panic(err) // the structure above is wrong
 	}
@@ -58,24 +58,24 @@
 		return exited // --help
 	}
 	if err != nil {
-		fmt.Fprintln(complain, "ospreybend:", err)
+		fmt.Fprintln(stderr, "ospreybend:", err)
 		return cli.ExitUsage
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if c := parsed.Command(); c != "serve" && c != "voter" {
 		go func() {
-			<-caught.leave
+			<-caught.shutdown
 			cancel()
 		}()
 	}
-	env := &cli.Env{Ctx: ctx, Out: out, Getenv: os.Getenv, JSON: c.JSON}
+	env := &cli.Env{Ctx: ctx, Out: stdout, Getenv: os.Getenv, JSON: c.JSON}
 	err = parsed.Run(env, caught)
 	if err != nil {
-		fmt.Fprintln(complain, "ospreybend:", err)
+		fmt.Fprintln(stderr, "ospreybend:", err)
 	}
-	if errors.Is(err, errTrial) {
-		return exitNoTrial
+	if errors.Is(err, errTrialNotRun) {
+		return exitTrialNotRun
 	}
 	return cli.ExitCode(err)
 }
@@ -110,9 +110,9 @@
 type versionCmd struct{}
 
 // Run shows the version.
-func (versionCmd) Run(e *cli.Env) error {
+func (versionCmd) Run(env *cli.Env) error {
 	v := map[string]string{"version": version, "go": runtime.Version()}
-	return e.Show(v, func(w io.Writer) { fmt.Fprintf(w, "ospreybend %s, %s\n", version, runtime.Version()) })
+	return env.Show(v, func(w io.Writer) { fmt.Fprintf(w, "ospreybend %s, %s\n", version, runtime.Version()) })
 }
 
 type configCmd struct {
@@ -128,29 +128,29 @@
 }
 
 // Run checks.
-func (c *configCheck) Run(e *cli.Env) error {
-	env := func(key string) string {
+func (c *configCheck) Run(env *cli.Env) error {
+	getenv := func(key string) string {
 		if v := map[string]string{"BALANCER_CONFIG": c.Node, "OSPREYBEND_BATCH": c.Batch, "OSPREYBEND_LOG": c.Log,
 			"OSPREYBEND_FLEET": c.Fleet}[key]; v != "" {
 			return v
 		}
-		return e.Getenv(key)
+		return env.Getenv(key)
 	}
 	var faults []error
-	if _, err := nodeconfig.LoadLog(env); err != nil {
+	if _, err := nodeconfig.LoadLog(getenv); err != nil {
 		faults = append(faults, err)
 	}
-	batch, err := nodeconfig.LoadBatch(env)
+	batch, err := nodeconfig.LoadBatch(getenv)
 	if err != nil {
 		faults = append(faults, err)
 	}
-	fleet, err := nodeconfig.LoadFleet(env)
+	fleet, err := nodeconfig.LoadFleet(getenv)
 	if err != nil {
 		faults = append(faults, err)
 	}
 	checked := []string{"log", "batch", "fleet"}
-	if env("BALANCER_CONFIG") != "" {
-		node, err := nodeconfig.Load(env)
+	if getenv("BALANCER_CONFIG") != "" {
+		node, err := nodeconfig.Load(getenv)
 		if err == nil {
 			err = errors.Join(node.ReserveBatch(batch), node.ReserveFleet(fleet))
 		}
@@ -162,7 +162,7 @@
 	if len(faults) > 0 {
 		return errors.Join(faults...)
 	}
-	return e.Show(map[string]any{"checked": checked, "batch": batch.Enabled}, func(w io.Writer) {
+	return env.Show(map[string]any{"checked": checked, "batch": batch.Enabled}, func(w io.Writer) {
 		fmt.Fprintf(w, "well: %v; the batch front is %s\n", checked, map[bool]string{true: "on", false: "off"}[batch.Enabled])
 	})
 }
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -17,19 +17,19 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// newTestRig is a node with the batch front among stand-ins that serve at once.
-func newTestRig(t *testing.T, script fakeplatform.Script) *rig {
+// newTestNode is a node with the batch front among stand-ins that serve at once.
+func newTestNode(t *testing.T, script fakeplatform.Script) *localNode {
 	t.Helper()
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 4, script)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Stop)
-	r, err := newRig(t.TempDir(), fleet, nil)
+	r, err := newLocalNode(t.TempDir(), fleet, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.leave)
+	t.Cleanup(r.shutdown)
 	if err := r.ready(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +37,8 @@
 }
 
 // The program's own server meets every clause of the conformance suite.
-func TestConforms(t *testing.T) {
-	r := newTestRig(t, fakeplatform.For(5*time.Millisecond))
+func TestBatch_conforms(t *testing.T) {
+	r := newTestNode(t, fakeplatform.For(5*time.Millisecond))
 	tenant, err := r.admin.Create(t.Context(), "conform", 30_000)
 	if err != nil {
 		t.Fatal(err)
@@ -62,26 +62,26 @@
 	// The node of the test logs to the same place from its own goroutines.
 	old := slog.Default()
 	defer slog.SetDefault(old)
-	var o, c shared
-	code = command(signals{leave: make(chan os.Signal)}, args, &o, &c)
+	var o, c syncBuffer
+	code = runCommand(signals{shutdown: make(chan os.Signal)}, args, &o, &c)
 	return code, o.text(), c.text()
 }
 
-// shared is a buffer that several goroutines write to.
-type shared struct {
+// syncBuffer is a buffer that several goroutines write to.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *shared) Write(b []byte) (int, error) {
+func (s *syncBuffer) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(b)
 }
-func (s *shared) text() string { s.mu.Lock(); defer s.mu.Unlock(); return s.buf.String() }
+func (s *syncBuffer) text() string { s.mu.Lock(); defer s.mu.Unlock(); return s.buf.String() }
 
-func TestCommandLine(t *testing.T) {
-	r := newTestRig(t, func(j fakeplatform.Job) fakeplatform.Act {
+func TestCommandLine_exitCodes(t *testing.T) {
+	r := newTestNode(t, func(j fakeplatform.Job) fakeplatform.Act {
 		if strings.HasSuffix(j.Path, "/bad") {
 			return fakeplatform.Act{Kind: fakeplatform.Reject}
 		}
@@ -89,7 +89,7 @@
 	})
 	token := filepath.Join(t.TempDir(), "token")
 	env := map[string]string{"OSPREYBEND_URL": "http://" + r.batch.Listen, "OSPREYBEND_ADMIN_URL": "http://" + r.batch.AdminListen,
-		"OSPREYBEND_ADMIN_TOKEN": demoAdmin, "OSPREYBEND_TOKEN_FILE": token}
+		"OSPREYBEND_ADMIN_TOKEN": demoAdminToken, "OSPREYBEND_TOKEN_FILE": token}
 	do := func(want int, args ...string) string {
 		t.Helper()
 		code, out, complaint := call(t, env, args...)
@@ -184,8 +184,8 @@
 
 // SIGHUP has the batch front's file read anew: the window, the administration's
 // token. A file with a fault changes nothing.
-func TestReloadOfTheBatchFront(t *testing.T) {
-	r := newTestRig(t, fakeplatform.For(time.Millisecond))
+func TestBatchFront_reload(t *testing.T) {
+	r := newTestNode(t, fakeplatform.For(time.Millisecond))
 	path := filepath.Join(t.TempDir(), "batch.toml")
 	env := func(key string) string { return map[string]string{"OSPREYBEND_BATCH": path}[key] }
 	write := func(rest string) {
--- a/cmd/ospreybend/conform.go
+++ b/cmd/ospreybend/conform.go
@@ -17,28 +17,28 @@
 }
 
 // Run runs the suite.
-func (c *conformCmd) Run(e *cli.Env) error {
-	token, err := e.Token(c.TokenFile, "OSPREYBEND_TOKEN")
+func (c *conformCmd) Run(env *cli.Env) error {
+	token, err := env.Token(c.TokenFile, "OSPREYBEND_TOKEN")
 	if err != nil {
 		return err
 	}
-	report, err := conformance.Run(e.Ctx, conformance.Config{URL: c.URL, Token: token, Only: c.Only, Within: c.Within}, func(r conformance.Result) {
-		if e.JSON {
+	report, err := conformance.Run(env.Ctx, conformance.Config{URL: c.URL, Token: token, Only: c.Only, Within: c.Within}, func(r conformance.Result) {
+		if env.JSON {
 			return
 		}
 		mark := "passed"
 		if !r.Passed {
 			mark = "FAILED"
 		}
-		fmt.Fprintf(e.Out, "%s  %-32s %8.1f ms  %s (%s)\n", mark, r.Name, r.Millis, r.Demand, r.Source)
+		fmt.Fprintf(env.Out, "%s  %-32s %8.1f ms  %s (%s)\n", mark, r.Name, r.Millis, r.Demand, r.Source)
 		if !r.Passed {
-			fmt.Fprintf(e.Out, "        %s\n", r.Fault)
+			fmt.Fprintf(env.Out, "        %s\n", r.Fault)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if err := e.Show(report, func(w io.Writer) {
+	if err := env.Show(report, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: %d passed, %d failed\n", report.Server, report.Passed, report.Failed)
 	}); err != nil {
 		return err
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -25,13 +25,13 @@
 
 const (
 	demoZone, demoKind = "demo", "demo"
-	demoAdmin          = "demo-admin"
-	demoReady          = 10 * time.Second
-	demoWithin         = time.Minute
+	demoAdminToken     = "demo-admin"
+	demoReadyTimeout   = 10 * time.Second
+	demoTimeout        = time.Minute
 )
 
-// demoText is a node's configuration for demonstrations and measurements.
-func demoText(listen, discovery string) ([]byte, error) {
+// demoConfig is a node's configuration for demonstrations and measurements.
+func demoConfig(listen, discovery string) ([]byte, error) {
 	return fakeplatform.Node{Name: "demo", Listen: listen, Discovery: discovery, Seed: "8c1f30d27a5be964", MemoryMB: 512,
 		Zones: []string{demoZone}, Kind: demoKind, Grades: []fakeplatform.Grade{
 			{Name: "modell-pruefen", Target: 400 * time.Millisecond, GiveUp: 5 * time.Second, Points: 5, Repeat: "read_like"},
@@ -39,20 +39,20 @@
 			{Name: "auftrag-buchen", Target: 800 * time.Millisecond, GiveUp: 25 * time.Second, Points: 8, Repeat: "non_idempotent"}}}.Config()
 }
 
-// rig is a node with a batch front, among stand-ins, in this process.
-type rig struct {
-	fleet *fakeplatform.Fleet
-	node  *node
-	batch nodeconfig.Batch
-	admin *client.Admin
-	left  sync.Once
+// localNode is a node with a batch front, among stand-ins, in this process.
+type localNode struct {
+	fleet        *fakeplatform.Fleet
+	node         *node
+	batch        nodeconfig.Batch
+	admin        *client.Admin
+	shutdownOnce sync.Once
 }
 
-// leave has the node leave, once.
-func (r *rig) leave() { r.left.Do(r.node.leave) }
+// shutdown has the node leave, once.
+func (r *localNode) shutdown() { r.shutdownOnce.Do(r.node.shutdown) }
 
-// newRig starts one. Its store is in dir.
-func newRig(dir string, fleet *fakeplatform.Fleet, change func(*nodeconfig.Batch)) (*rig, error) {
+// newLocalNode starts one. Its store is in dir.
+func newLocalNode(dir string, fleet *fakeplatform.Fleet, change func(*nodeconfig.Batch)) (*localNode, error) {
 	var at [3]string
 	for i := range at {
 		var err error
@@ -60,7 +60,7 @@
 			return nil, err
 		}
 	}
-	text, err := demoText(at[0], fleet.Discovery.Address())
+	text, err := demoConfig(at[0], fleet.Discovery.Address())
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sum := sha256.Sum256([]byte(demoAdmin))
+	sum := sha256.Sum256([]byte(demoAdminToken))
 	b, err := nodeconfig.ParseBatch(fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n",
 		at[1], filepath.Join(dir, "batch.db"), at[2], hex.EncodeToString(sum[:])))
 	if err != nil {
@@ -87,15 +87,15 @@
 	if n.batch, err = n.startBatch(b); err != nil {
 		return nil, errors.Join(err, n.loop.Stop())
 	}
-	r := &rig{fleet: fleet, node: n, batch: b}
-	if r.admin, err = client.NewAdmin("http://"+b.AdminListen, demoAdmin); err != nil {
+	r := &localNode{fleet: fleet, node: n, batch: b}
+	if r.admin, err = client.NewAdmin("http://"+b.AdminListen, demoAdminToken); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
 // tenant makes a tenant with a session.
-func (r *rig) tenant(ctx context.Context, name string, quota int) (*client.Client, *client.Session, error) {
+func (r *localNode) tenant(ctx context.Context, name string, quota int) (*client.Client, *client.Session, error) {
 	t, err := r.admin.Create(ctx, name, quota)
 	if err != nil {
 		return nil, nil, err
@@ -109,8 +109,8 @@
 }
 
 // ready waits until the node knows its workers.
-func (r *rig) ready(ctx context.Context) error {
-	return fakeplatform.Until(ctx, demoReady, func() bool {
+func (r *localNode) ready(ctx context.Context) error {
+	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool {
 		able := false
 		r.node.loop.Call(func() { able = r.node.core.AnyReady() })
 		return able
@@ -123,14 +123,14 @@
 }
 
 // Run runs the demonstration.
-func (c *demoCmd) Run(e *cli.Env) (err error) {
-	say := func(format string, a ...any) { fmt.Fprintf(e.Out, format+"\n", a...) }
+func (c *demoCmd) Run(env *cli.Env) (err error) {
+	say := func(format string, a ...any) { fmt.Fprintf(env.Out, format+"\n", a...) }
 	if !c.Log {
 		old := slog.Default()
 		slog.SetDefault(slog.New(slog.DiscardHandler))
 		defer slog.SetDefault(old)
 	}
-	ctx, cancel := context.WithTimeout(e.Ctx, demoWithin)
+	ctx, cancel := context.WithTimeout(env.Ctx, demoTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "ospreybend-demo-")
 	if err != nil {
@@ -147,11 +147,11 @@
 		return err
 	}
 	defer fleet.Stop()
-	r, err := newRig(dir, fleet, nil)
+	r, err := newLocalNode(dir, fleet, nil)
 	if err != nil {
 		return err
 	}
-	defer func() { r.leave(); say("\nThe node has left; all that it took is answered.") }()
+	defer func() { r.shutdown(); say("\nThe node has left; all that it took is answered.") }()
 	if err := r.ready(ctx); err != nil {
 		return err
 	}
@@ -162,11 +162,11 @@
 	if err := demoPlatform(ctx, r, say); err != nil {
 		return err
 	}
-	return demoBatch(ctx, r, e, say)
+	return demoBatch(ctx, r, env, say)
 }
 
 // demoPlatform sends a few requests as the platform's clients do.
-func demoPlatform(ctx context.Context, r *rig, say func(string, ...any)) error {
+func demoPlatform(ctx context.Context, r *localNode, say func(string, ...any)) error {
 	say("Through the platform front, three requests:")
 	for i, class := range []string{"modell-pruefen", "vorschau", "auftrag-buchen"} {
 		in, err := http.NewRequestWithContext(ctx, "POST", "http://"+r.node.cfg.Listen+"/"+class+"/"+strconv.Itoa(i+1), strings.NewReader("model"))
@@ -191,7 +191,7 @@
 }
 
 // demoBatch hands in jobs as a batch client does, and tells of each.
-func demoBatch(ctx context.Context, r *rig, e *cli.Env, say func(string, ...any)) error {
+func demoBatch(ctx context.Context, r *localNode, env *cli.Env, say func(string, ...any)) error {
 	_, s, err := r.tenant(ctx, "workshop", 100)
 	if err != nil {
 		return err
@@ -213,8 +213,8 @@
 	names := map[string]string{}
 	booking := run(drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", JobName: "booking", SubmitAsHold: true})
 	failing := run(drmaa.JobTemplate{RemoteCommand: "modell-pruefen", JobName: "failing", Args: []string{"fails"}, SubmitAsHold: true})
-	heldJob := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "held", SubmitAsHold: true})
-	doomed := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "doomed", SubmitAsHold: true})
+	onHold := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "held", SubmitAsHold: true})
+	toTerminate := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "doomed", SubmitAsHold: true})
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	for _, j := range []*drmaa.Job{booking, failing, heldJob, doomed} {
+	for _, j := range []*drmaa.Job{booking, failing, onHold, toTerminate} {
 		names[j.ID] = j.Name
 	}
 	arrayID := array.ID
@@ -254,7 +254,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	for _, step := range []error{s.Act(ctx, booking.ID, "release"), s.Act(ctx, failing.ID, "release"), s.Act(ctx, doomed.ID, "terminate"),
+	for _, step := range []error{s.Act(ctx, booking.ID, "release"), s.Act(ctx, failing.ID, "release"), s.Act(ctx, toTerminate.ID, "terminate"),
 		func() error { _, err := s.ActOnArray(ctx, array.ID, "release"); return err }()} {
 		if step != nil {
 			return step
@@ -263,10 +263,10 @@
 	if array, err = s.WaitArray(ctx, array.ID); err != nil {
 		return err
 	}
-	if err := s.Act(ctx, heldJob.ID, "release"); err != nil {
+	if err := s.Act(ctx, onHold.ID, "release"); err != nil {
 		return err
 	}
-	for _, j := range []*drmaa.Job{booking, failing, heldJob, doomed} {
+	for _, j := range []*drmaa.Job{booking, failing, onHold, toTerminate} {
 		if _, err := s.Wait(ctx, j.ID, client.Terminated); err != nil {
 			return err
 		}
@@ -296,7 +296,7 @@
 		}
 		rows = append(rows, v)
 	}
-	if err := e.Show(rows, func(w io.Writer) {
+	if err := env.Show(rows, func(w io.Writer) {
 		for _, v := range rows {
 			fmt.Fprintf(w, "  %s\t%s\t%s\t%s\t%s\n", v.Name, v.ID, v.State, v.Machine, v.Told)
 		}
--- a/cmd/ospreybend/descriptors_test.go
+++ b/cmd/ospreybend/descriptors_test.go
@@ -19,7 +19,7 @@
 
 // Idle clients fill the descriptors of a node of few while discovery is down. A new client is still
 // served, and what discovery has to tell at its return is known in time: both need descriptors.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestNode_idleClientsDuringDiscoveryOutage(t *testing.T) {
 	const sockets, idlers, known = 128, 200, 6 * time.Second
 	fleet, n := startChild(t, 2, 8, time.Millisecond)
 	if err := n.kill(); err != nil { // it is started anew with few descriptors, and on its own
@@ -37,7 +37,7 @@
 	if err := os.WriteFile(filepath.Join(n.dir, "batch.toml"), []byte("enabled = false\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	n.alone = true
+	n.batchDisabled = true
 	if err := n.start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -18,23 +18,23 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// stage is a site of a test's.
-type stage struct {
+// restartTest is a site of a test's.
+type restartTest struct {
 	*testing.T
-	*site
+	*restartSite
 }
 
-func newStage(t *testing.T, sockets int, script fakeplatform.Script) stage {
+func newRestartTest(t *testing.T, sockets int, script fakeplatform.Script) restartTest {
 	t.Helper()
-	s, err := newSite(4, 16, sockets, script)
+	s, err := newRestartSite(4, 16, sockets, script)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.close)
-	return stage{t, s}
+	return restartTest{t, s}
 }
 
-func (s stage) next() *process {
+func (s restartTest) startNext() *serverProcess {
 	s.Helper()
 	p, err := s.start(s.Context())
 	if err != nil {
@@ -44,28 +44,28 @@
 	return p
 }
 
-func (s stage) until(what string, f func() bool) {
+func (s restartTest) until(what string, f func() bool) {
 	s.Helper()
 	if err := fakeplatform.Until(s.Context(), 10*time.Second, f); err != nil {
 		s.Fatalf("%s: %v", what, err)
 	}
 }
 
-func (s stage) hand(p *process, verb, worker string) {
+func (s restartTest) override(p *serverProcess, verb, worker string) {
 	s.Helper()
 	if status, text := p.call("PUT", "/-/prep-workers/"+worker+"/"+verb); status != 200 {
 		s.Errorf("%s %s: %d %s", verb, worker, status, text)
 	}
 }
 
-func (s stage) left(p *process) {
+func (s restartTest) stopped(p *serverProcess) {
 	s.Helper()
-	if err := p.leave(); err != nil {
+	if err := p.shutdown(); err != nil {
 		s.Errorf("left with %v", err)
 	}
 }
 
-func (s stage) dial(name string) net.Conn {
+func (s restartTest) dial(name string) net.Conn {
 	s.Helper()
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return c
 }
 
-func (p *process) descriptors() int {
+func (p *serverProcess) descriptors() int {
 	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(entries)
 }
@@ -84,32 +84,32 @@
 // once. Who is out by hand stays out over SIGHUP and in the next process, a word to
 // either binds both, and one called back gets work. What both share, as the address
 // for peers, goes over.
-func TestUpgradeUnderLoad(t *testing.T) {
-	s := newStage(t, 1024, fakeplatform.For(20*time.Millisecond))
+func TestHotRestart_underLoad(t *testing.T) {
+	s := newRestartTest(t, 1024, fakeplatform.For(20*time.Millisecond))
 	begun := func() int { return len(s.fleet.Workers[0].Begun()) }
 	result := make(chan *loadgen.Result, 1)
-	run := func(prefix string, span time.Duration) { result <- loadgen.Run(t.Context(), s.mix(prefix, 150, span)) }
+	run := func(prefix string, span time.Duration) { result <- loadgen.Run(t.Context(), s.load(prefix, 150, span)) }
 	served := func() {
 		if r := <-result; r.Sent < 100 || r.Served != r.Sent {
 			t.Errorf("%d sent, %d served, %d refused, %d failed, %d broken", r.Sent, r.Served, r.Refused, r.Failed, r.Broken)
 		}
 	}
-	a := s.next()
+	a := s.startNext()
 	go run("u", 4*time.Second)
 	s.until("a load", func() bool { return begun() > 0 && len(s.fleet.Begun()) > 50 })
-	s.hand(a, "disable", "w-1")
+	s.override(a, "disable", "w-1")
 	time.Sleep(150 * time.Millisecond) // what was on its way has arrived
 	was := begun()
 	if err := a.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	b := s.next()
-	s.hand(b, "disable", "w-2")
-	s.until("a word to the other process", func() bool { return a.shows("prep_workers_excluded:2|g") })
-	s.left(a)
-	c := s.next()
-	s.left(b)
-	if !c.shows("prep_workers_excluded:2|g") {
+	b := s.startNext()
+	s.override(b, "disable", "w-2")
+	s.until("a word to the other process", func() bool { return a.hasMetric("prep_workers_excluded:2|g") })
+	s.stopped(a)
+	c := s.startNext()
+	s.stopped(b)
+	if !c.hasMetric("prep_workers_excluded:2|g") {
 		t.Error("not out any more after two upgrades")
 	}
 	served()
@@ -117,33 +117,33 @@
 		t.Errorf("%d jobs went to a prep worker that is out", now-was)
 	}
 	go run("v", 2*time.Second)
-	s.hand(c, "enable", "w-1")
+	s.override(c, "enable", "w-1")
 	s.until("work for the one called back", func() bool { return begun() > was })
 	served()
-	if n := s.twice(); n > 0 {
+	if n := s.begunTwice(); n > 0 {
 		t.Errorf("%d jobs were begun twice", n)
 	}
 	s.until("the peers' address taken over", func() bool {
-		ln, err := net.ListenPacket("udp", s.peersAt)
+		ln, err := net.ListenPacket("udp", s.peerAddress)
 		if err == nil {
 			ln.Close()
 		}
 		return err != nil
 	})
-	s.left(c)
+	s.stopped(c)
 }
 
 // What an old process has in work, and every client's connection, goes on in the
 // next one: a job that runs for longer than the old one may live, one that was sent
 // ahead, half a request, an idle connection, a client that walks away later.
-func TestHandedOver(t *testing.T) {
-	s := newStage(t, 1024, func(j fakeplatform.Job) fakeplatform.Act {
+func TestHotRestart_handsOverConnections(t *testing.T) {
+	s := newRestartTest(t, 1024, func(j fakeplatform.Job) fakeplatform.Act {
 		if j.Class == "vorschau" {
 			return fakeplatform.Act{Run: 2500 * time.Millisecond}
 		}
 		return fakeplatform.Act{Run: 20 * time.Millisecond}
 	})
-	a := s.next()
+	a := s.startNext()
 	clients := map[string]net.Conn{}
 	send := func(name, text string) {
 		if clients[name] == nil {
@@ -177,11 +177,11 @@
 	send("gone", request("vorschau", "gone"))
 	send("ahead", request("vorschau", "first")+request("auftrag-buchen", "second"))
 	s.until("jobs at work", func() bool { return len(s.fleet.Begun()) == 4 })
-	b, began := s.next(), time.Now()
-	if s.left(a); time.Since(began) > 1500*time.Millisecond {
+	b, began := s.startNext(), time.Now()
+	if s.stopped(a); time.Since(began) > 1500*time.Millisecond {
 		t.Errorf("the old process took %v to leave", time.Since(began))
 	}
-	if !b.shows("in_flight:3|g") {
+	if !b.hasMetric("in_flight:3|g") {
 		t.Error("the next process does not count what it took over")
 	}
 	clients["gone"].Close()
@@ -190,30 +190,30 @@
 	for name, answers := range map[string]int{"half": 1, "idle": 1, "long": 1, "ahead": 2} {
 		served(name, answers)
 	}
-	if n := s.twice(); n > 0 {
+	if n := s.begunTwice(); n > 0 {
 		t.Errorf("%d jobs were begun twice", n)
 	}
-	s.until("the end of a job whose client walked away", func() bool { return b.shows("in_flight:0|g") })
-	if !b.shows("served.auftrag-buchen:3|c") {
+	s.until("the end of a job whose client walked away", func() bool { return b.hasMetric("in_flight:0|g") })
+	if !b.hasMetric("served.auftrag-buchen:3|c") {
 		t.Error("figures of the next process")
 	}
-	s.left(b)
+	s.stopped(b)
 }
 
 // In a crowd of idle connections two processes together hold no more descriptors
 // than one node may, and the operators of both are answered.
-func TestTwoProcessesShareTheLimits(t *testing.T) {
+func TestHotRestart_processesShareLimits(t *testing.T) {
 	const limit = 192
-	s := newStage(t, limit, fakeplatform.For(time.Millisecond))
+	s := newRestartTest(t, limit, fakeplatform.For(time.Millisecond))
 	crowd := func() {
 		for range 150 {
 			_, _ = io.WriteString(s.dial("crowd"), "GET /healthz HTTP/1.1\r\n\r\n")
 		}
 	}
-	a := s.next()
+	a := s.startNext()
 	crowd()
 	s.until("a crowd", func() bool { return a.descriptors() > limit/3 })
-	b := s.next()
+	b := s.startNext()
 	crowd()
 	s.until("room made", func() bool { return a.descriptors() <= limit/3 && b.descriptors() > limit/6 })
 	for range 20 {
@@ -222,19 +222,19 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	for _, p := range []*process{a, b} {
+	for _, p := range []*serverProcess{a, b} {
 		if status, text := p.call("GET", "/-/ready"); status != 200 {
 			t.Errorf("not answered in the crowd: %d %s", status, text)
 		}
 	}
-	s.left(a)
-	s.left(b)
+	s.stopped(a)
+	s.stopped(b)
 }
 
 // A number that names no listening socket is a start error that says so; a folder
 // that cannot be used is not. Without a prep worker in its list a process is not
 // ready, and lets nobody in before it has asked; one that leaves is not ready.
-func TestInheritedStart(t *testing.T) {
+func TestStart_inheritedListener(t *testing.T) {
 	cfg := exampleConfig(t)
 	for _, fd := range []string{"x", "-1", "0", "99", "4096"} {
 		cfg.InheritedListener = fd
@@ -242,13 +242,13 @@
 			t.Errorf("descriptor %s: %v", fd, err)
 		}
 	}
-	s := newStage(t, 1024, fakeplatform.For(time.Millisecond))
+	s := newRestartTest(t, 1024, fakeplatform.For(time.Millisecond))
 	if err := os.WriteFile(filepath.Join(s.dir, "tmp"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := s.next()
-	s.hand(p, "disable", "w-1")
-	s.left(p)
+	p := s.startNext()
+	s.override(p, "disable", "w-1")
+	s.stopped(p)
 
 	n, err := start(exampleConfig(t))
 	if err != nil {
@@ -263,7 +263,7 @@
 	if status := ready(); status != 200 {
 		t.Errorf("ready says %d with a prep worker", status)
 	}
-	go n.leave()
+	go n.shutdown()
 	s.until("no longer ready", func() bool { return ready() == 503 })
 }
 
--- a/cmd/ospreybend/measure_fleet.go
+++ b/cmd/ospreybend/measure_fleet.go
@@ -21,20 +21,20 @@
 	Load    float64 `help:"Asked for, as a part of what warm prep workers can do." default:"0.62"`
 }
 
-// fleetRow is the mean of a kind of days.
-type fleetRow struct {
+// daysRow is the mean of a kind of days.
+type daysRow struct {
 	Kind              string  `json:"kind"`
 	G                 float64 `json:"g"`
 	Error             float64 `json:"error"` // of the mean
 	Served            float64 `json:"served"`
 	Refused           float64 `json:"refused"`
-	Run               float64 `json:"lateByRun"`
-	Queue             float64 `json:"lateByQueue"`
+	RunLate           float64 `json:"lateByRun"`
+	QueueLate         float64 `json:"lateByQueue"`
 	PendingLate       float64 `json:"lateByHold"`
 	RejectedValue     float64 `json:"refusedWorth"`
 	Failed            float64 `json:"failedWorth"` // or lost
 	Probes            float64 `json:"probesARequest"`
-	Shakes            float64 `json:"handshakesARequest"`
+	Handshakes        float64 `json:"handshakesARequest"`
 	Messages          float64 `json:"messagesARequest"`
 	Overloaded        int     `json:"felled"`       // the rule is broken
 	OverloadedUnknown int     `json:"felledUntold"` // fallen by nodes that had not been told of the start
@@ -42,7 +42,7 @@
 }
 
 // Run plays.
-func (c *measureFleet) Run(e *cli.Env) error {
+func (c *measureFleet) Run(env *cli.Env) error {
 	if c.Days < 1 {
 		return fmt.Errorf("--days: %d, at least one is wanted", c.Days)
 	}
@@ -53,7 +53,7 @@
 		{"calm", func(d nodesim.Day) nodesim.Day { return d }},
 		{"released", nodesim.Day.Released}, {"returned", nodesim.Day.Returned}, {"killed", nodesim.Day.Killed},
 	}
-	rows := make([]fleetRow, len(kinds))
+	rows := make([]daysRow, len(kinds))
 	for i, k := range kinds {
 		days, results := make([]nodesim.Day, c.Days), make([]nodesim.Result, c.Days)
 		var g errgroup.Group
@@ -69,7 +69,7 @@
 		if err := g.Wait(); err != nil {
 			return err
 		}
-		row := fleetRow{Kind: k.name}
+		row := daysRow{Kind: k.name}
 		sum, squares, n := 0.0, 0.0, float64(c.Days)
 		for j, r := range results {
 			v := r.G(days[j])
@@ -77,13 +77,13 @@
 			asked := r.Asked()
 			row.Served += r.Served / r.Value / n
 			row.Refused += float64(r.Rejected) / asked / n
-			row.Run += r.RunLate / r.Value / n
-			row.Queue += r.QueueLate / r.Value / n
+			row.RunLate += r.RunLate / r.Value / n
+			row.QueueLate += r.QueueLate / r.Value / n
 			row.PendingLate += r.PendingLate / r.Value / n
 			row.RejectedValue += r.RejectedValue / r.Value / n
 			row.Failed += r.FailedValue / r.Value / n
 			row.Probes += float64(r.Probes) / asked / n
-			row.Shakes += float64(r.Handshakes) / asked / n
+			row.Handshakes += float64(r.Handshakes) / asked / n
 			row.Messages += r.Messages / asked / n
 			row.Overloaded += r.Overloaded
 			row.OverloadedUnknown += r.OverloadedUnknown
@@ -93,11 +93,11 @@
 		row.Error = math.Sqrt(max(0, squares/n-row.G*row.G) / n)
 		rows[i] = row
 	}
-	return e.Show(rows, func(w io.Writer) {
+	return env.Show(rows, func(w io.Writer) {
 		fmt.Fprintln(w, "DAYS\tG\t+-\tSERVED\tREFUSED\tLATE: RUN\tQUEUE\tHELD\tLOST: REFUSED\tFAILED\tPROBES\tHANDSHAKES\tMESSAGES\tFELLED\tUNTOLD\tCOLD MOST")
 		for _, r := range rows {
 			fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%.2f\t%.2f\t%.3f\t%d\t%d\t%.2f\n", r.Kind, r.G, r.Error,
-				r.Served, r.Refused, r.Run, r.Queue, r.PendingLate, r.RejectedValue, r.Failed, r.Probes, r.Shakes, r.Messages, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
+				r.Served, r.Refused, r.RunLate, r.QueueLate, r.PendingLate, r.RejectedValue, r.Failed, r.Probes, r.Handshakes, r.Messages, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
 		}
 	})
 }
--- a/cmd/ospreybend/measure_kill.go
+++ b/cmd/ospreybend/measure_kill.go
@@ -26,8 +26,8 @@
 	Points  bool          `help:"Have the node kill itself at each fault point in turn, instead of at a time."`
 }
 
-// audit is what became of the bookings of one round.
-type audit struct {
+// bookingAudit is what became of the bookings of one round.
+type bookingAudit struct {
 	Point        string `json:"point,omitempty"`
 	Passing      int    `json:"passing,omitempty"`
 	Acknowledged int    `json:"acknowledged"`
@@ -41,22 +41,22 @@
 }
 
 // Run measures.
-func (c *measureKill) Run(e *cli.Env) error {
-	var all []audit
+func (c *measureKill) Run(env *cli.Env) error {
+	var all []bookingAudit
 	points := []string{""}
 	if c.Points {
 		points = faultinjection.Points()
 	}
 	for i := range c.Rounds {
 		for _, point := range points {
-			a, err := c.round(e.Ctx, point, 1+7*i)
+			a, err := c.runRound(env.Ctx, point, 1+7*i)
 			if err != nil {
 				return fmt.Errorf("%s:%d: %w", point, 1+7*i, err)
 			}
 			all = append(all, a)
 		}
 	}
-	if err := e.Show(all, func(w io.Writer) {
+	if err := env.Show(all, func(w io.Writer) {
 		fmt.Fprintln(w, "POINT\tACKNOWLEDGED\tBEGUN BEFORE\tDONE\tUNDECIDED\tOF THESE NEVER BEGUN\tBEGUN TWICE\tFORGOTTEN\tOTHERWISE FAILED")
 		for _, a := range all {
 			fmt.Fprintf(w, "%s:%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", a.Point, a.Passing, a.Acknowledged, a.Begun, a.Done, a.Undecided, a.NeverBegun, a.Twice, a.Forgotten, a.OtherFailed)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (c *measureKill) round(ctx context.Context, point string, passing int) (out audit, err error) {
+func (c *measureKill) runRound(ctx context.Context, point string, passing int) (out bookingAudit, err error) {
 	out.Point, out.Passing = point, passing
 	dir, err := os.MkdirTemp("", "ospreybend-kill-")
 	if err != nil {
@@ -84,7 +84,7 @@
 		return out, err
 	}
 	defer fleet.Stop()
-	n, err := childFiles(dir, fleet.Discovery.Address(), "sockets = 128\n")
+	n, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
 	if err != nil {
 		return out, err
 	}
@@ -92,7 +92,7 @@
 	if point != "" {
 		env = append(env, "OSPREYBEND_FAULT="+point+":"+strconv.Itoa(passing))
 	}
-	if err := n.startWith(ctx, env...); err != nil {
+	if err := n.startWithEnv(ctx, env...); err != nil {
 		return out, err
 	}
 	defer func() { _ = n.kill() }()
@@ -100,7 +100,7 @@
 	if err != nil {
 		return out, err
 	}
-	taken, err := c.book(ctx, n, s, point != "")
+	taken, err := c.killDuringBookings(ctx, n, s, point != "")
 	if err != nil {
 		return out, err
 	}
@@ -136,9 +136,9 @@
 	return out, nil
 }
 
-// book books from several clients, kills the node and returns the jobs that were
+// killDuringBookings books from several clients, kills the node and returns the jobs that were
 // acknowledged.
-func (c *measureKill) book(ctx context.Context, n *child, s *client.Session, itself bool) (taken []string, err error) {
+func (c *measureKill) killDuringBookings(ctx context.Context, n *child, s *client.Session, itself bool) (acknowledged []string, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var mu sync.Mutex
@@ -153,18 +153,18 @@
 					return // the node is gone
 				}
 				mu.Lock()
-				taken = append(taken, j.ID)
+				acknowledged = append(acknowledged, j.ID)
 				mu.Unlock()
 			}
 		}()
 	}
 	if itself {
-		n.died()
+		n.waitExit()
 	} else {
 		time.Sleep(c.For)
 		err = n.kill()
 	}
 	stop()
 	all.Wait()
-	return taken, err
+	return acknowledged, err
 }
--- a/cmd/ospreybend/measure_kill_test.go
+++ b/cmd/ospreybend/measure_kill_test.go
@@ -14,11 +14,11 @@
 
 // TestMain makes the test binary the program itself, for tests that kill one.
 func TestMain(m *testing.M) {
-	if os.Getenv(childMark) != "" {
-		if os.Getenv(refusedMark) != "" {
-			refuse()
+	if os.Getenv(childEnv) != "" {
+		if os.Getenv(refuseEnv) != "" {
+			refuseSystemCalls()
 		}
-		os.Exit(command(catch(), os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(runCommand(catchSignals(), os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Stop)
-	n, err := childFiles(t.TempDir(), fleet.Discovery.Address(), "")
+	n, err := newChild(t.TempDir(), fleet.Discovery.Address(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 
 // A node killed in the middle of a bulk has all of it on record or nothing, and
 // the same submission, made again, is one array whose bookings begin once.
-func TestKilledInABulk(t *testing.T) {
+func TestNode_killedDuringBulkSubmission(t *testing.T) {
 	fleet, n := startChild(t, 2, 16, time.Millisecond)
 	made, err := n.admin.Create(t.Context(), "anna", 100_000)
 	if err != nil {
@@ -117,9 +117,9 @@
 
 // A node killed amid bookings: after its restart none is forgotten, none begins
 // twice, and few are undecided: those that were on their way to a prep worker.
-func TestKilledAmidBookings(t *testing.T) {
+func TestMeasureKill_duringBookings(t *testing.T) {
 	c := measureKill{Clients: 8, For: 300 * time.Millisecond, JobRun: 20 * time.Millisecond}
-	a, err := c.round(t.Context(), "", 0)
+	a, err := c.runRound(t.Context(), "", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,10 +131,10 @@
 
 // A node that dies between any two steps of a booking's way: none is forgotten or
 // begins twice, and undecided are only such as had passed the gate.
-func TestKilledAtEachPoint(t *testing.T) {
+func TestMeasureKill_atEachFaultPoint(t *testing.T) {
 	c := measureKill{Clients: 4, JobRun: 10 * time.Millisecond}
 	for _, point := range faultinjection.Points() {
-		a, err := c.round(t.Context(), point, 9)
+		a, err := c.runRound(t.Context(), point, 9)
 		if err != nil {
 			t.Fatal(point, err)
 		}
--- a/cmd/ospreybend/measure_stall.go
+++ b/cmd/ospreybend/measure_stall.go
@@ -27,45 +27,45 @@
 
 // stallPhase is what one phase showed.
 type stallPhase struct {
-	Stalled   bool    `json:"stalled"`
-	Sent      int     `json:"sent"`
-	Service   float64 `json:"service"`
-	Refused   int     `json:"refused"`
-	P99       float64 `json:"p99ms"`
-	Booked    int     `json:"bookingsAcknowledged"`
-	Turned    int     `json:"bookingsTurnedAway"`
-	Longest   float64 `json:"longestAnswerMs"` // that a booking client waited for
-	Done      int     `json:"done"`
-	Undecided int     `json:"undecided"`
-	Wrong     int     `json:"begunTwiceOrForgotten"`
+	Stalled          bool    `json:"stalled"`
+	Sent             int     `json:"sent"`
+	Service          float64 `json:"service"`
+	Refused          int     `json:"refused"`
+	P99              float64 `json:"p99ms"`
+	Booked           int     `json:"bookingsAcknowledged"`
+	Rejected         int     `json:"bookingsTurnedAway"`
+	MaxAnswerTime    float64 `json:"longestAnswerMs"` // that a booking client waited for
+	Done             int     `json:"done"`
+	Undecided        int     `json:"undecided"`
+	BegunTwiceOrLost int     `json:"begunTwiceOrForgotten"`
 }
 
 // Run measures.
-func (c *measureStall) Run(e *cli.Env) error {
+func (c *measureStall) Run(env *cli.Env) error {
 	var all []stallPhase
 	for _, stalled := range []bool{false, true} {
-		p, err := c.phase(e.Ctx, stalled)
+		p, err := c.runPhase(env.Ctx, stalled)
 		if err != nil {
 			return err
 		}
 		all = append(all, p)
 	}
-	if err := e.Show(all, func(w io.Writer) {
+	if err := env.Show(all, func(w io.Writer) {
 		fmt.Fprintln(w, "STALL\tSENT\tSERVICE\tREFUSED\tP99\tBOOKED\tTURNED AWAY\tLONGEST ANSWER ms\tDONE\tUNDECIDED\tTWICE OR FORGOTTEN")
 		for _, p := range all {
-			fmt.Fprintf(w, "%v\t%d\t%.4f\t%d\t%.1f\t%d\t%d\t%.0f\t%d\t%d\t%d\n", p.Stalled, p.Sent, p.Service, p.Refused, p.P99, p.Booked, p.Turned,
-				p.Longest, p.Done, p.Undecided, p.Wrong)
+			fmt.Fprintf(w, "%v\t%d\t%.4f\t%d\t%.1f\t%d\t%d\t%.0f\t%d\t%d\t%d\n", p.Stalled, p.Sent, p.Service, p.Refused, p.P99, p.Booked, p.Rejected,
+				p.MaxAnswerTime, p.Done, p.Undecided, p.BegunTwiceOrLost)
 		}
 	}); err != nil {
 		return err
 	}
-	if all[0].Wrong+all[1].Wrong > 0 {
+	if all[0].BegunTwiceOrLost+all[1].BegunTwiceOrLost > 0 {
 		return errors.New("a booking was begun twice or forgotten")
 	}
 	return nil
 }
 
-func (c *measureStall) phase(ctx context.Context, stalled bool) (out stallPhase, err error) {
+func (c *measureStall) runPhase(ctx context.Context, stalled bool) (out stallPhase, err error) {
 	out.Stalled = stalled
 	dir, err := os.MkdirTemp("", "ospreybend-stall-")
 	if err != nil {
@@ -77,7 +77,7 @@
 		return out, err
 	}
 	defer fleet.Stop()
-	n, err := childFiles(dir, fleet.Discovery.Address(), "sockets = 128\n")
+	n, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
 	if err != nil {
 		return out, err
 	}
@@ -85,7 +85,7 @@
 	if stalled {
 		env = append(env, "OSPREYBEND_FAULT=mark-before:100:"+c.Stall.String())
 	}
-	if err := n.startWith(ctx, env...); err != nil {
+	if err := n.startWithEnv(ctx, env...); err != nil {
 		return out, err
 	}
 	defer func() { _ = n.kill() }()
@@ -109,18 +109,18 @@
 	taken = c.book(ctx, s, &out)
 	both.Wait()
 	if c.Kill && stalled {
-		n.died()
+		n.waitExit()
 		if err := n.start(ctx); err != nil {
 			return out, err
 		}
 	}
-	out.Sent, out.Service, out.Refused, out.P99 = platform.Sent, platform.Service(), platform.Refused, ms(platform.Percentile(99))
+	out.Sent, out.Service, out.Refused, out.P99 = platform.Sent, platform.Service(), platform.Refused, milliseconds(platform.Percentile(99))
 	for _, id := range taken {
 		j, err := s.Wait(ctx, id, client.Terminated)
 		begun := fleet.Begun()[id]
 		switch {
 		case errors.Is(err, &drmaa.Error{Name: drmaa.InvalidArgument}) || begun > 1:
-			out.Wrong++
+			out.BegunTwiceOrLost++
 		case err != nil:
 			return out, err
 		case j.State == drmaa.Done:
@@ -134,7 +134,7 @@
 
 // book books from several clients, ten times a second each at most, and returns
 // the jobs that were acknowledged.
-func (c *measureStall) book(ctx context.Context, s *client.Session, out *stallPhase) (taken []string) {
+func (c *measureStall) book(ctx context.Context, s *client.Session, out *stallPhase) (acknowledged []string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	began := time.Now()
@@ -148,18 +148,18 @@
 				j, err := s.RunOnce(ctx, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen"})
 				cancel()
 				mu.Lock()
-				out.Longest = max(out.Longest, ms(time.Since(at)))
+				out.MaxAnswerTime = max(out.MaxAnswerTime, milliseconds(time.Since(at)))
 				switch {
 				case err == nil:
-					taken = append(taken, j.ID)
+					acknowledged = append(acknowledged, j.ID)
 					out.Booked++
 				case errors.Is(err, &drmaa.Error{Name: drmaa.TryLater}):
-					out.Turned++
+					out.Rejected++
 				}
 				mu.Unlock()
 			}
 		}()
 	}
 	all.Wait()
-	return taken
+	return acknowledged
 }
--- a/cmd/ospreybend/measure_trial.go
+++ b/cmd/ospreybend/measure_trial.go
@@ -25,39 +25,39 @@
 	Keep    string        `help:"Keep the processes' files and logs in this folder." type:"path"`
 }
 
-// errViolated is a trial in which something was not as it must be.
-var errViolated = errors.New("the trial has found violations")
+// errTrialViolations is a trial in which something was not as it must be.
+var errTrialViolations = errors.New("the trial has found violations")
 
-// errTrial is a trial that could not run.
-var errTrial = errors.New("the trial could not run")
+// errTrialNotRun is a trial that could not run.
+var errTrialNotRun = errors.New("the trial could not run")
 
 // Run plays, and shows what was found.
-func (c *measureTrial) Run(e *cli.Env) error {
+func (c *measureTrial) Run(env *cli.Env) error {
 	if c.Without != "" && !slices.Contains([]string{"share", "majority"}, c.Without) {
-		return fmt.Errorf("%w: --without: %q is no check of the trial's", errTrial, c.Without)
+		return fmt.Errorf("%w: --without: %q is no check of the trial's", errTrialNotRun, c.Without)
 	}
 	if c.Calm <= 0 || c.Trouble <= 0 || c.After <= 0 || !(c.Rate > 0) {
-		return fmt.Errorf("%w: --calm, --trouble, --after and --rate have to be above 0", errTrial)
+		return fmt.Errorf("%w: --calm, --trouble, --after and --rate have to be above 0", errTrialNotRun)
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("%w: %w", errTrial, err)
+		return fmt.Errorf("%w: %w", errTrialNotRun, err)
 	}
 	dir := c.Keep
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "ospreybend-trial-"); err != nil {
-			return fmt.Errorf("%w: %w", errTrial, err)
+			return fmt.Errorf("%w: %w", errTrialNotRun, err)
 		}
 		defer os.RemoveAll(dir)
 	} else if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("%w: %w", errTrial, err)
+		return fmt.Errorf("%w: %w", errTrialNotRun, err)
 	}
-	r, err := endtoend.Zone(e.Ctx, endtoend.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Seed: c.Seed,
+	r, err := endtoend.Zone(env.Ctx, endtoend.Plan{Program: program, Env: []string{childEnv + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Seed: c.Seed,
 		Alone: c.Alone, Without: c.Without, QuietBefore: c.Calm, Faulty: c.Trouble, After: c.After, Rate: c.Rate, Dir: dir})
 	if err != nil {
-		return fmt.Errorf("%w: %w", errTrial, err)
+		return fmt.Errorf("%w: %w", errTrialNotRun, err)
 	}
-	if err := e.Show(r, func(w io.Writer) {
+	if err := env.Show(r, func(w io.Writer) {
 		for _, line := range r.Story {
 			fmt.Fprintln(w, line)
 		}
@@ -76,7 +76,7 @@
 		return err
 	}
 	if len(r.Violations) > 0 {
-		return errViolated
+		return errTrialViolations
 	}
 	return nil
 }
--- a/cmd/ospreybend/measure_trial_test.go
+++ b/cmd/ospreybend/measure_trial_test.go
@@ -11,7 +11,7 @@
 // A zone fails under nine processes of the program, with a fault beside it. All hold the
 // order within its time, nothing more goes there, no booking runs twice; each for itself
 // breaks nothing either; and with the shares left out the trial says so.
-func TestTrialOfAZone(t *testing.T) {
+func TestMeasureTrial_zoneFailure(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for plays := 1; ; plays++ {
 				late := lateness()
-				r, err := endtoend.Zone(t.Context(), endtoend.Plan{Program: program, Env: []string{childMark + "=1", "OSPREYBEND_BATCH=" + os.DevNull},
+				r, err := endtoend.Zone(t.Context(), endtoend.Plan{Program: program, Env: []string{childEnv + "=1", "OSPREYBEND_BATCH=" + os.DevNull},
 					Seed: c.seed, Alone: c.alone, Without: c.without, QuietBefore: 2 * time.Second, Faulty: 6 * time.Second, After: 2 * time.Second,
 					Rate: 40, Dir: t.TempDir()})
 				most := late()
--- a/cmd/ospreybend/measure_upgrade.go
+++ b/cmd/ospreybend/measure_upgrade.go
@@ -18,18 +18,18 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// site is a fleet, the clients' socket, held as the platform does, and a node's
+// restartSite is a fleet, the clients' socket, held as the platform does, and a node's
 // files: where processes of one node follow each other.
-type site struct {
-	fleet                 *fakeplatform.Fleet
-	listener              net.Listener
-	socket                *os.File // the same, for the processes
-	dir, address, peersAt string
+type restartSite struct {
+	fleet                     *fakeplatform.Fleet
+	listener                  net.Listener
+	socket                    *os.File // the same, for the processes
+	dir, address, peerAddress string
 }
 
-// newSite sets one up. sockets is the node's limit on descriptors.
-func newSite(workers, slots, sockets int, script fakeplatform.Script) (s *site, err error) {
-	s = &site{}
+// newRestartSite sets one up. sockets is the node's limit on descriptors.
+func newRestartSite(workers, slots, sockets int, script fakeplatform.Script) (s *restartSite, err error) {
+	s = &restartSite{}
 	defer func() {
 		if err != nil {
 			s.close()
@@ -44,7 +44,7 @@
 	if s.address, err = fakeplatform.FreeAddress(); err != nil {
 		return s, err
 	}
-	if s.peersAt, err = fakeplatform.FreeAddress(); err != nil {
+	if s.peerAddress, err = fakeplatform.FreeAddress(); err != nil {
 		return s, err
 	}
 	if s.listener, err = net.Listen("tcp", s.address); err != nil {
@@ -53,16 +53,16 @@
 	if s.socket, err = s.listener.(*net.TCPListener).File(); err != nil {
 		return s, err
 	}
-	text, err := demoText(s.address, s.fleet.Discovery.Address())
+	text, err := demoConfig(s.address, s.fleet.Discovery.Address())
 	if err != nil {
 		return s, err
 	}
 	text = []byte(strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets),
-		`"name":"demo"`, fmt.Sprintf(`"name":"demo","peer_listen":%q`, s.peersAt)).Replace(string(text)))
+		`"name":"demo"`, fmt.Sprintf(`"name":"demo","peer_listen":%q`, s.peerAddress)).Replace(string(text)))
 	return s, os.WriteFile(filepath.Join(s.dir, "node.json"), text, 0o600)
 }
 
-func (s *site) close() {
+func (s *restartSite) close() {
 	if s.fleet != nil {
 		s.fleet.Stop()
 	}
@@ -75,20 +75,20 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// process is the program, started on the clients' socket.
-type process struct {
+// serverProcess is the program, started on the clients' socket.
+type serverProcess struct {
 	child
-	admin string
-	ready time.Duration // how long it took to say that it is
+	admin     string
+	readyTime time.Duration // how long it took to say that it is
 }
 
 // start starts one more process, and waits until it says that it is ready.
-func (s *site) start(ctx context.Context) (*process, error) {
+func (s *restartSite) start(ctx context.Context) (*serverProcess, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	p := &process{}
+	p := &serverProcess{}
 	if p.admin, err = fakeplatform.FreeAddress(); err != nil {
 		return nil, err
 	}
@@ -99,14 +99,14 @@
 	defer log.Close()
 	p.cmd = exec.Command(self, "serve")
 	p.cmd.ExtraFiles, p.cmd.Stderr = []*os.File{s.socket}, log
-	p.cmd.Env = append(os.Environ(), childMark+"=1", "BALANCER_CONFIG="+filepath.Join(s.dir, "node.json"), "OSPREYBEND_BATCH=",
+	p.cmd.Env = append(os.Environ(), childEnv+"=1", "BALANCER_CONFIG="+filepath.Join(s.dir, "node.json"), "OSPREYBEND_BATCH=",
 		"BALANCER_ADMIN="+p.admin, "BALANCER_INHERITED_FD=3", "TMPDIR="+filepath.Join(s.dir, "tmp"))
 	began := time.Now()
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	err = fakeplatform.Until(ctx, demoReady, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
-	p.ready = time.Since(began)
+	err = fakeplatform.Until(ctx, demoReadyTimeout, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
+	p.readyTime = time.Since(began)
 	if err != nil {
 		said, _ := os.ReadFile(filepath.Join(s.dir, "log"))
 		return nil, errors.Join(fmt.Errorf("never ready: %w; it says %s", err, said), p.kill())
@@ -115,7 +115,7 @@
 }
 
 // call makes an operators' call; status 0: no answer.
-func (p *process) call(method, path string) (status int, text string) {
+func (p *serverProcess) call(method, path string) (status int, text string) {
 	in, err := http.NewRequest(method, "http://"+p.admin+path, nil)
 	if err != nil {
 		return 0, err.Error()
@@ -130,14 +130,14 @@
 	return answer.StatusCode, string(body)
 }
 
-// shows tells whether a figure is among those of the process.
-func (p *process) shows(figure string) bool {
+// hasMetric tells whether a figure is among those of the process.
+func (p *serverProcess) hasMetric(figure string) bool {
 	_, text := p.call("GET", "/-/metrics")
 	return strings.Contains(text, "balancer."+figure+"\n")
 }
 
-// mix is a load on the site's clients' address.
-func (s *site) mix(prefix string, rate float64, span time.Duration) loadgen.Config {
+// load is a load on the site's clients' address.
+func (s *restartSite) load(prefix string, rate float64, span time.Duration) loadgen.Config {
 	class := func(name string) loadgen.Class {
 		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Within: 3 * time.Second}
 	}
@@ -145,8 +145,8 @@
 		Classes: []loadgen.Class{class("modell-pruefen"), class("auftrag-buchen")}}
 }
 
-// twice counts the jobs that were begun more than once.
-func (s *site) twice() (n int) {
+// begunTwice counts the jobs that were begun more than once.
+func (s *restartSite) begunTwice() (n int) {
 	for _, times := range s.fleet.Begun() {
 		if times > 1 {
 			n++
@@ -163,55 +163,55 @@
 	Every    time.Duration `help:"From one upgrade to the next." default:"1s"`
 }
 
-// succession is what became of the jobs, and how long the processes took.
-type succession struct {
-	Sent    int       `json:"sent"`
-	Served  int       `json:"served"`
-	Refused int       `json:"refused"`
-	Lost    int       `json:"failedOrBroken"`
-	Twice   int       `json:"begunTwice"`
-	Ready   []float64 `json:"readyMs"`
-	Left    []float64 `json:"leftMs"` // from SIGTERM
+// upgradeResult is what became of the jobs, and how long the processes took.
+type upgradeResult struct {
+	Sent         int       `json:"sent"`
+	Served       int       `json:"served"`
+	Refused      int       `json:"refused"`
+	Lost         int       `json:"failedOrBroken"`
+	Twice        int       `json:"begunTwice"`
+	ReadyTime    []float64 `json:"readyMs"`
+	ShutdownTime []float64 `json:"leftMs"` // from SIGTERM
 }
 
 // Run measures.
-func (c *measureUpgrade) Run(e *cli.Env) error {
-	s, err := newSite(4, 16, 1024, fakeplatform.For(c.JobRun))
+func (c *measureUpgrade) Run(env *cli.Env) error {
+	s, err := newRestartSite(4, 16, 1024, fakeplatform.For(c.JobRun))
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	now, err := s.start(e.Ctx)
+	now, err := s.start(env.Ctx)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = now.kill() }()
 	result := make(chan *loadgen.Result, 1)
-	go func() { result <- loadgen.Run(e.Ctx, s.mix("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
-	out := succession{}
+	go func() { result <- loadgen.Run(env.Ctx, s.load("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
+	out := upgradeResult{}
 	for range c.Upgrades {
 		select {
-		case <-e.Ctx.Done():
-			return e.Ctx.Err()
+		case <-env.Ctx.Done():
+			return env.Ctx.Err()
 		case <-time.After(c.Every):
 		}
-		next, err := s.start(e.Ctx)
+		next, err := s.start(env.Ctx)
 		if err != nil {
 			return err
 		}
 		began, old := time.Now(), now
 		now = next
-		if err := old.leave(); err != nil {
+		if err := old.shutdown(); err != nil {
 			return err
 		}
-		out.Ready = append(out.Ready, float64(next.ready.Microseconds())/1000)
-		out.Left = append(out.Left, float64(time.Since(began).Microseconds())/1000)
+		out.ReadyTime = append(out.ReadyTime, float64(next.readyTime.Microseconds())/1000)
+		out.ShutdownTime = append(out.ShutdownTime, float64(time.Since(began).Microseconds())/1000)
 	}
 	r := <-result
-	out.Sent, out.Served, out.Refused, out.Lost, out.Twice = r.Sent, r.Served, r.Refused, r.Failed+r.Broken, s.twice()
-	if err := e.Show(out, func(w io.Writer) {
+	out.Sent, out.Served, out.Refused, out.Lost, out.Twice = r.Sent, r.Served, r.Refused, r.Failed+r.Broken, s.begunTwice()
+	if err := env.Show(out, func(w io.Writer) {
 		fmt.Fprintln(w, "SENT\tSERVED\tREFUSED\tLOST\tBEGUN TWICE\tREADY MS\tLEFT MS")
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\n", out.Sent, out.Served, out.Refused, out.Lost, out.Twice, out.Ready, out.Left)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\n", out.Sent, out.Served, out.Refused, out.Lost, out.Twice, out.ReadyTime, out.ShutdownTime)
 	}); err != nil {
 		return err
 	}
--- a/cmd/ospreybend/node_test.go
+++ b/cmd/ospreybend/node_test.go
@@ -34,7 +34,7 @@
 // The program starts on its example, says that it cannot serve while no
 // destination is known, but is not held up by that for longer than a start may
 // take, and leaves in good order.
-func TestStartAndLeave(t *testing.T) {
+func TestNode_startAndShutdown(t *testing.T) {
 	n, err := start(exampleConfig(t))
 	if err != nil {
 		t.Fatal(err)
@@ -50,11 +50,11 @@
 	if status := health(); status != http.StatusServiceUnavailable {
 		t.Errorf("health %d without a destination", status)
 	}
-	n.loop.Call(func() { n.readyBy = n.loop.Now() }) // the pool config has not answered for so long
+	n.loop.Call(func() { n.startDeadline = n.loop.Now() }) // the pool config has not answered for so long
 	if status := health(); status != http.StatusOK {
 		t.Errorf("health %d when the start is over", status)
 	}
-	n.leave()
+	n.shutdown()
 	if c, err := net.Dial("tcp", n.cfg.Listen); err == nil {
 		c.Close()
 		t.Error("still listening")
@@ -63,8 +63,8 @@
 
 // SIGHUP ends a program that does not catch it. The file is read anew with each;
 // one with a fault changes nothing.
-func TestReload(t *testing.T) {
-	caught := catch()
+func TestNode_reload(t *testing.T) {
+	caught := catchSignals()
 	for range 3 {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.leave()
+	defer n.shutdown()
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(key string) string { return map[string]string{"BALANCER_CONFIG": path}[key] }
 	write := func(old, now string) {
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	n.loop.Call(func() { n.pool.Watch(true) })
+	n.loop.Call(func() { n.discovery.Watch(true) })
 	write("127.0.0.1:8500", next.Addr().String())
 	write("127.0.0.1:8500", "nowhere") // stays at the address before
 	if err := next.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -106,13 +106,13 @@
 	}
 	watch.Close()
 	var address string
-	n.loop.Call(func() { address = n.pool.Address() })
+	n.loop.Call(func() { address = n.discovery.Address() })
 	if address != next.Addr().String() {
 		t.Errorf("discovery at %s, want %s", address, next.Addr())
 	}
 }
 
-func TestStartWithBatchFront(t *testing.T) {
+func TestNode_startWithBatchFront(t *testing.T) {
 	sum := sha256.Sum256([]byte("chief"))
 	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.Free(t), MaxSockets: 64, Store: "sqlite",
 		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.Free(t), AdminMaxSockets: 32,
@@ -141,5 +141,5 @@
 	if response.StatusCode != http.StatusOK {
 		t.Errorf("the administration answers %d", response.StatusCode)
 	}
-	n.leave()
+	n.shutdown()
 }
--- a/cmd/ospreybend/refused_calls_test.go
+++ b/cmd/ospreybend/refused_calls_test.go
@@ -17,12 +17,12 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// refusedMark tells a test binary that is the program that the platform refuses calls.
-const refusedMark = "OSPREYBEND_REFUSED"
+// refuseEnv tells a test binary that is the program that the platform refuses calls.
+const refuseEnv = "OSPREYBEND_REFUSED"
 
-// refuse has the system refuse, from now on and for all threads, what the platform's page says
+// refuseSystemCalls has the system refuse, from now on and for all threads, what the platform's page says
 // that it may: other programs, Unix sockets, io_uring, splice and sendfile.
-func refuse() {
+func refuseSystemCalls() {
 	type call struct {
 		number uint32
 		first  int // its first argument; below 0: any
@@ -65,17 +65,17 @@
 
 // A node starts, serves, rereads its file and leaves in good order where the platform refuses
 // other programs, Unix sockets and the rarer ways to move bytes.
-func TestRefusedCalls(t *testing.T) {
-	s := newStage(t, 1024, fakeplatform.For(5*time.Millisecond))
-	t.Setenv(refusedMark, "1")
-	p := s.next()
+func TestNode_refusedSystemCalls(t *testing.T) {
+	s := newRestartTest(t, 1024, fakeplatform.For(5*time.Millisecond))
+	t.Setenv(refuseEnv, "1")
+	p := s.startNext()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	if r := loadgen.Run(t.Context(), s.mix("r", 100, time.Second)); r.Sent < 50 || r.Served != r.Sent {
+	if r := loadgen.Run(t.Context(), s.load("r", 100, time.Second)); r.Sent < 50 || r.Served != r.Sent {
 		t.Errorf("%d sent, %d served, %d refused, %d failed, %d broken", r.Sent, r.Served, r.Refused, r.Failed, r.Broken)
 	}
-	s.left(p)
+	s.stopped(p)
 	if said, _ := os.ReadFile(filepath.Join(s.dir, "log")); !strings.Contains(string(said), "msg=reload ") {
 		t.Errorf("the file was not read anew; it says %s", said)
 	}
--- a/cmd/ospreybend/shutdown_test.go
+++ b/cmd/ospreybend/shutdown_test.go
@@ -19,18 +19,18 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// ending is what became of one request of a client that never stops sending.
-type ending int
+// outcome is what became of one request of a client that never stops sending.
+type outcome int
 
 const (
-	wholly  ending = iota // a whole answer came
-	crossed               // the connection ended at once, without a byte: the request was not read
-	broken                // anything else
+	answered outcome = iota // a whole answer came
+	unread                  // the connection ended at once, without a byte: the request was not read
+	broken                  // anything else
 )
 
-// hammer sends on one connection after the other, as fast as answers come, until nobody
+// sendUntilClosed sends on one connection after the other, as fast as answers come, until nobody
 // listens any more. It uses each connection until the node ends it.
-func hammer(address string, client int, count func(ending, string)) {
+func sendUntilClosed(address string, client int, count func(outcome, string)) {
 	for n := 0; ; {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -41,7 +41,7 @@
 			id := fmt.Sprintf("h%dx%d", client, n)
 			n++
 			if _, err := fmt.Fprintf(c, "POST /modell-pruefen HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Deadline: 3\r\nContent-Length: 2\r\n\r\nhi", id); err != nil {
-				count(crossed, id)
+				count(unread, id)
 				break
 			}
 			_ = c.SetReadDeadline(time.Now().Add(8 * time.Second))
@@ -50,7 +50,7 @@
 				if errors.As(err, &late) && late.Timeout() {
 					count(broken, id+": no answer, and the connection stays open")
 				} else {
-					count(crossed, id)
+					count(unread, id)
 				}
 				break
 			}
@@ -62,7 +62,7 @@
 				count(broken, id+": "+err.Error())
 				break
 			}
-			count(wholly, id)
+			count(answered, id)
 			if answer.Close {
 				break
 			}
@@ -74,14 +74,14 @@
 // After SIGTERM a hundred clients go on sending on every connection that stays open. Every
 // request that the node has read gets its whole answer; what is not read crosses the end of
 // its connection, once for each; and the process is gone in time, with exit code 0.
-func TestLeavesUnderClientsThatNeverStop(t *testing.T) {
-	t.Run("all well", func(t *testing.T) { leavesUnderClients(t, false) })
-	t.Run("a quarter hangs", func(t *testing.T) { leavesUnderClients(t, true) })
+func TestShutdown_underConstantLoad(t *testing.T) {
+	t.Run("all well", func(t *testing.T) { shutdownUnderLoad(t, false) })
+	t.Run("a quarter hangs", func(t *testing.T) { shutdownUnderLoad(t, true) })
 }
 
 // With hang, one of the four prep workers says that it has started and nothing more, from just
 // before the signal on.
-func leavesUnderClients(t *testing.T, hang bool) {
+func shutdownUnderLoad(t *testing.T, hang bool) {
 	fleet, n := startChild(t, 4, 64, 40*time.Millisecond)
 	const clients = 100
 	var mu sync.Mutex
@@ -91,13 +91,13 @@
 	warm := make(chan struct{})
 	for i := range clients {
 		all.Go(func() {
-			hammer(strings.TrimPrefix(n.platform, "http://"), i, func(e ending, what string) {
+			sendUntilClosed(strings.TrimPrefix(n.platform, "http://"), i, func(e outcome, what string) {
 				switch e {
-				case wholly:
+				case answered:
 					if served.Add(1) == 5*clients {
 						close(warm)
 					}
-				case crossed:
+				case unread:
 					mu.Lock()
 					crossings++
 					mu.Unlock()
@@ -114,7 +114,7 @@
 		fleet.Workers[0].Follow(func(fakeplatform.Job) fakeplatform.Act { return fakeplatform.Act{Kind: fakeplatform.Hang} })
 	}
 	before, began := served.Load(), time.Now()
-	err := n.leave()
+	err := n.shutdown()
 	took := time.Since(began)
 	all.Wait()
 	if err != nil {
@@ -134,7 +134,7 @@
 
 // A signal amid another: a request is in work when the node is told to leave, to read its
 // configuration anew and to leave once more. The request is answered, and the process ends well.
-func TestSignalsWhileLeaving(t *testing.T) {
+func TestShutdown_furtherSignals(t *testing.T) {
 	fleet, n := startChild(t, 1, 4, 300*time.Millisecond)
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.platform, "http://"))
 	if err != nil {
@@ -164,8 +164,8 @@
 }
 
 // A process that is told to leave before it was ever ready ends well, and soon.
-func TestLeavesBeforeItIsReady(t *testing.T) {
-	n, err := childFiles(t.TempDir(), scriptedpeer.Free(t), "")
+func TestShutdown_beforeReady(t *testing.T) {
+	n, err := newChild(t.TempDir(), scriptedpeer.Free(t), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 		t.Log("the cancelled start: ", err)
 	}
 	began := time.Now()
-	if err := n.leave(); err != nil {
+	if err := n.shutdown(); err != nil {
 		t.Errorf("the process ended with %v", err)
 	}
 	if took := time.Since(began); took > 4*time.Second {
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	sayWithin      = 3 * time.Second
-	maxReadyChecks = 5 * time.Millisecond
-	readyCall      = time.Second
+	overrideTimeout    = 3 * time.Second
+	readyCheckInterval = 5 * time.Millisecond
+	readyCheckTimeout  = time.Second
 )
 
 // voterCmd serves as one of the fleet's voters.
@@ -62,13 +62,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		<-caught.leave
+		<-caught.shutdown
 		cancel()
 	}()
 	go func() {
 		client := transport.NewClient()
 		defer client.Close()
-		tellReady(ctx, func() bool { _, err := client.Status(ctx, s.Address()); return err == nil })
+		signalReady(ctx, func() bool { _, err := client.Status(ctx, s.Address()); return err == nil })
 	}()
 	return s.Run(ctx)
 }
@@ -82,9 +82,9 @@
 	return out
 }
 
-// tellReady writes a line to the descriptor that OSPREYBEND_READY_FD names once all that
+// signalReady writes a line to the descriptor that OSPREYBEND_READY_FD names once all that
 // the process listens on answers, and closes it.
-func tellReady(ctx context.Context, answers func() bool) {
+func signalReady(ctx context.Context, answers func() bool) {
 	text := os.Getenv("OSPREYBEND_READY_FD")
 	if text == "" {
 		return
@@ -100,7 +100,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(maxReadyChecks):
+		case <-time.After(readyCheckInterval):
 		}
 	}
 	if _, err := f.WriteString("ready\n"); err != nil {
@@ -108,8 +108,8 @@
 	}
 }
 
-// answers tells whether something that speaks HTTP answers at an address.
-func answers(client *http.Client, address string) bool {
+// answersHealthCheck tells whether something that speaks HTTP answers at an address.
+func answersHealthCheck(client *http.Client, address string) bool {
 	r, err := client.Get("http://" + address + "/healthz")
 	if err != nil {
 		return false
@@ -117,10 +117,10 @@
 	return r.Body.Close() == nil
 }
 
-// ready signals the readiness of a node: its clients' address says that it serves, and all
+// signalNodeReady signals the readiness of a node: its clients' address says that it serves, and all
 // others answer.
-func (n *node) ready(ctx context.Context) {
-	client := &http.Client{Timeout: readyCall, Transport: &http.Transport{DisableKeepAlives: true}}
+func (n *node) signalNodeReady(ctx context.Context) {
+	client := &http.Client{Timeout: readyCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	others := []string{}
 	if n.cfg.Admin != "" {
 		others = append(others, n.cfg.Admin)
@@ -131,14 +131,14 @@
 			others = append(others, at)
 		}
 	}
-	tellReady(ctx, func() bool {
+	signalReady(ctx, func() bool {
 		serves := false
 		n.loop.Call(func() { serves = n.front.Accepting() && n.core.AnyReady() })
-		if !serves || n.inherited == nil && !answers(client, n.cfg.Listen) {
+		if !serves || n.inherited == nil && !answersHealthCheck(client, n.cfg.Listen) {
 			return false
 		}
 		for _, at := range others {
-			if !answers(client, at) {
+			if !answersHealthCheck(client, at) {
 				return false
 			}
 		}
@@ -149,33 +149,33 @@
 // joinFleet has the node tell the voters what it sees, and go by the fleet's orders.
 func (n *node) joinFleet(f nodeconfig.Fleet) {
 	cfg := n.cfg
-	n.calls = transport.NewClient()
+	n.voterClient = transport.NewClient()
 	a := agent.Config{Fleet: f.Fleet, Name: cfg.Name, Zone: f.Zone, Zones: cfg.Zones, Classes: cfg.Settings.Classes,
 		ClassNames: cfg.ClassNames, ReportsStart: cfg.Settings.ReportsStart, Settings: follower.DefaultSettings(), Timers: &n.loop.Timers,
-		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())), ZoneOf: n.pool.ZoneOf}
+		Incarnation: uint64(time.Now().UnixMicro()), Rand: rand.New(rand.NewPCG(cfg.Seed, rand.Uint64())), ZoneOf: n.discovery.ZoneOf}
 	for _, v := range f.Voters {
 		a.Voters = append(a.Voters, agent.Voter{Zone: v.Zone, Address: v.Address})
 	}
 	n.voters = f.Voters
 	a.DisabledCheck = os.Getenv("OSPREYBEND_WITHOUT")
-	n.agent = agent.New(a, n.loop, n.core, n.calls)
+	n.agent = agent.New(a, n.loop, n.core, n.voterClient)
 	n.core.SetStepObserver(n.agent)
 	n.core.SetAdmission(n.agent)
 	n.agent.Start()
 	slog.Info("fleet", "name", f.Fleet, "zone", f.Zone, "voters", len(f.Voters))
 }
 
-// sayZone puts a person's word on a zone to the voters, one after the other until one has it
+// overrideZone puts a person's word on a zone to the voters, one after the other until one has it
 // agreed on. done is called on the loop.
-func (n *node) sayZone(zone, do, reason string, span time.Duration, done func(error)) {
+func (n *node) overrideZone(zone, do, reason string, span time.Duration, done func(error)) {
 	w := commands.Override{Zone: zone, Action: do, Reason: reason, Until: time.Now().Add(span).UnixMicro()}
 	voters := n.voters
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), sayWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), overrideTimeout)
 		defer cancel()
 		var faults []error
 		for _, v := range voters {
-			err := n.calls.ApplyOverride(ctx, v.Address, w)
+			err := n.voterClient.ApplyOverride(ctx, v.Address, w)
 			if err == nil {
 				n.loop.Post(func() { done(nil) })
 				return
@@ -186,8 +186,8 @@
 	}()
 }
 
-// fleetText is what the operators' address tells of the fleet.
-func (n *node) fleetText() []byte {
+// fleetStatus is what the operators' address tells of the fleet.
+func (n *node) fleetStatus() []byte {
 	f := n.agent.Follower()
 	text := fmt.Appendf(nil, "epoch %d, led %v, older orders refused %d\n", f.Epoch(), f.HasLease(n.loop.Now()), f.StaleResponses())
 	shares := f.Shares(n.loop.Now(), n.cfg.Zones)
