--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -19,8 +19,8 @@
 	randomRuns        = 300
 	faultsPerRun      = 150
 	fullDiskFreeBytes = 200 // bytes, exclusive
-	faultKinds        = 12
-	faultOdds         = 3 // a chosen member becomes faulty one time in this many, and healthy otherwise
+	actionWeights     = 12  // the named actions have weight 1, a proposal the rest
+	faultOdds         = 3   // a chosen member becomes faulty one time in this many, and healthy otherwise
 )
 
 // attempt is one proposal or read of a random run.
@@ -76,23 +76,34 @@
 	return run.checkCommands()
 }
 
-// injectFault makes one fault or call at a random member.
+// Actions of a random run. Any other number is a proposal.
+const (
+	actionPartition = iota
+	actionStall
+	actionRestart
+	actionFillDisk
+	actionFreeDisk
+	actionTransfer
+	actionRead
+)
+
+// injectFault makes one random fault or call at a random member.
 func (r *randomFaultRun) injectFault(number int) {
 	replica := r.replicas[r.random.IntN(len(r.replicas))]
-	switch r.random.IntN(faultKinds) {
-	case 0:
+	switch r.random.IntN(actionWeights) {
+	case actionPartition:
 		replica.partitioned = r.random.IntN(faultOdds) == 0
-	case 1:
+	case actionStall:
 		replica.stalled = r.random.IntN(faultOdds) == 0
-	case 2:
+	case actionRestart:
 		r.restart(replica, r.random.IntN(2) == 0, r.random.Uint64())
-	case 3:
+	case actionFillDisk:
 		replica.disk.FreeBytes = int64(r.random.IntN(fullDiskFreeBytes))
-	case 4:
+	case actionFreeDisk:
 		replica.disk.FreeBytes = seglogtest.Unlimited
-	case 5:
+	case actionTransfer:
 		replica.group.queue.push(transferEvent{done: newOutcomeChannel()})
-	case 6:
+	case actionRead:
 		r.read(replica)
 	default:
 		r.proposeAt(replica, fmt.Sprint("command ", number))
--- a/internal/controlplane/configuration/cluster_test.go
+++ b/internal/controlplane/configuration/cluster_test.go
@@ -91,9 +91,12 @@
 	return store
 }
 
+// stepWeights is the sum of the weights of the steps. The weight of a step is how many cases it has.
+const stepWeights = 20
+
 // step makes one random step.
 func (c *cluster) step() error {
-	switch c.random.IntN(20) {
+	switch c.random.IntN(stepWeights) {
 	case 0, 1, 2:
 		return c.createCommand(c.operators[c.random.IntN(len(c.operators))])
 	case 3, 4, 5, 6:
