--- a/coord/replica/loaded_cluster_test.go
+++ b/coord/replica/loaded_cluster_test.go
@@ -109,19 +109,26 @@
 	replica.partitioned, replica.stopped = false, false
 }
 
-// returnModes are the ways in which a member returns.
-var returnModes = []string{"restarted", "wiped", "replaced"}
+// returnMode is the way in which a stopped member returns.
+type returnMode string
+
+// The ways in which a member returns.
+const (
+	returnRestarted returnMode = "restarted" // with its disk
+	returnWiped     returnMode = "wiped"     // with an empty disk and a new ID, at the same address
+	returnReplaced  returnMode = "replaced"  // with an empty disk and a new ID, at another address
+)
 
 // returnMember brings the member back in the given mode and returns the replica that takes its place.
-func (s *loadedCluster) returnMember(replica *testReplica, mode string, number int) *testReplica {
-	if mode == "restarted" {
+func (s *loadedCluster) returnMember(replica *testReplica, mode returnMode, number int) *testReplica {
+	if mode == returnRestarted {
 		replica.disk.Restart()
 		s.open(replica, nil)
 		return replica
 	}
 	old := replica.member
 	member := testMember(number, false)
-	if mode == "wiped" {
+	if mode == returnWiped {
 		member.Address = old.Address
 	}
 	s.remove(replica)
--- a/coord/replica/staleness_test.go
+++ b/coord/replica/staleness_test.go
@@ -46,24 +46,24 @@
 func checkReturningMembers(t *testing.T, omit ...consensus.Rule) string {
 	s := newLoadedCluster(t, omit...)
 	var history []progress
-	problem := ""
-	note := func() bool {
+	violation := ""
+	recordProgress := func() bool {
 		highest := uint64(0)
 		for _, replica := range s.replicas {
 			highest = max(highest, replica.group.Status().CommitIndex)
 		}
 		history = append(history, progress{at: s.clock.now, commit: highest})
-		if problem == "" {
-			problem = s.staleMember(history)
+		if violation == "" {
+			violation = s.staleMember(history)
 		}
-		return problem != ""
+		return violation != ""
 	}
 	for round := range 9 {
 		chosen := s.replicas[round%len(s.replicas)]
 		switch round % 3 {
 		case 0:
 			s.stopFor(chosen, 4*time.Second)
-			s.returnMember(chosen, "restarted", 0)
+			s.returnMember(chosen, returnRestarted, 0)
 		case 1:
 			chosen.partitioned = true
 			s.runFor(4 * time.Second)
@@ -74,16 +74,16 @@
 			chosen.stalled = false
 		}
 		until := s.clock.now + 2*time.Second
-		s.runUntil("time", testTimeout, func() bool { return note() || s.clock.now >= until })
+		s.runUntil("time", testTimeout, func() bool { return recordProgress() || s.clock.now >= until })
 	}
-	return problem
+	return violation
 }
 
 // TestGroup_staleMemberIsNotCurrent has members return that lack hundreds of changes: they do not count as current until they
 // have what the leader has committed. Without that rule they would.
 func TestGroup_staleMemberIsNotCurrent(t *testing.T) {
-	if problem := checkReturningMembers(t); problem != "" {
-		t.Error(problem)
+	if violation := checkReturningMembers(t); violation != "" {
+		t.Error(violation)
 	}
 	without := checkReturningMembers(t, consensus.RuleConfirmedUpToDate)
 	if without == "" {
--- a/coord/replica/sustained_load_test.go
+++ b/coord/replica/sustained_load_test.go
@@ -16,7 +16,7 @@
 	s := newLoadedCluster(t)
 	number := 3
 	for _, span := range []time.Duration{100 * time.Millisecond, time.Second, 4 * time.Second, 15 * time.Second, 60 * time.Second} {
-		for _, mode := range returnModes {
+		for _, mode := range []returnMode{returnRestarted, returnWiped, returnReplaced} {
 			number++
 			chosen := s.replicas[number%len(s.replicas)]
 			previous := s.proposedChanges
@@ -30,7 +30,7 @@
 				t.Errorf("%s after %v: up to date after %v", mode, span, took)
 			}
 			t.Logf("%-9s after %5v, %4d changes: up to date after %v", mode, span, lacked, took)
-			if mode != "restarted" {
+			if mode != returnRestarted {
 				voter := back.member
 				voter.Voter = true
 				s.changeMembers(consensus.MembershipChange{Add: &voter})
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -121,13 +121,13 @@
 func (w workload) persist(state consensus.PersistedState) *consensus.PersistRequest {
 	persist := &consensus.PersistRequest{}
 	switch w.random.IntN(10) {
-	case 0:
+	case 0: // a snapshot received from the leader
 		persist.Snapshot = w.receivedSnapshot(state)
 		state.Snapshot, state.Entries = *persist.Snapshot, nil
-	case 1, 2:
+	case 1, 2: // entries of a new leader, which replace others
 		persist.Entries = w.entries(w.replacedFrom(state), lastTerm(state)+1)
-	case 3:
-	default:
+	case 3: // a hard state alone
+	default: // entries of the same leader
 		persist.Entries = w.entries(lastIndex(state)+1, max(lastTerm(state), 1))
 	}
 	if persist.Entries == nil || w.random.IntN(3) == 0 {
