--- a/internal/dataplane/httpserver/server_test.go
+++ b/internal/dataplane/httpserver/server_test.go
@@ -50,6 +50,50 @@
 	client.expect(200, "POST /c hi!")
 }
 
+const postHead = "POST /a HTTP/1.1\r\nHost: h\r\n"
+
+// rejectedRequests are requests that are rejected, by name, with the status of the response.
+var rejectedRequests = map[string]struct {
+	text   string
+	status int
+}{
+	"garbage":            {"\x16\x03\x01\x02\r\n", 400},
+	"no version":         {"GET /a\r\nHost: h\r\n\r\n", 400},
+	"two spaces":         {"GET  /a HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+	"other version":      {"GET /a HTTP/2.0\r\nHost: h\r\n\r\n", 505},
+	"no path":            {"CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+	"no host":            {"GET /a HTTP/1.1\r\n\r\n", 400},
+	"two hosts":          {postHead + "Host: g\r\n\r\n", 400},
+	"odd host":           {"GET /a HTTP/1.1\r\nHost: a b\r\n\r\n", 400},
+	"bare LF":            {"GET /a HTTP/1.1\nHost: h\n\n", 400},
+	"LF in header":       {postHead + "A: b\nContent-Length: 3\r\n\r\n", 400},
+	"bare CR":            {postHead + "A: b\rC: d\r\n\r\n", 400},
+	"NUL":                {postHead + "A: b\x00\r\n\r\n", 400},
+	"folded":             {postHead + "A: b\r\n c\r\n\r\n", 400},
+	"space before colon": {postHead + "Content-Length : 5\r\n\r\n", 400},
+	"no colon":           {postHead + "Content-Length\r\n\r\n", 400},
+	"two lengths":        {postHead + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n", 400},
+	"list of lengths":    {postHead + "Content-Length: 5, 5\r\n\r\n", 400},
+	"signed length":      {postHead + "Content-Length: +5\r\n\r\n", 400},
+	"length and chunks":  {postHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+	"chunks and length":  {postHead + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n", 400},
+	"other coding":       {postHead + "Transfer-Encoding: xchunked\r\n\r\n", 400},
+	"two codings":        {postHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 400},
+	"coding with tab":    {postHead + "Transfer-Encoding: chunked\x0b\r\n\r\n", 400},
+	"old and chunked":    {"POST /a HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+	"chunk size":         {postHead + "Transfer-Encoding: chunked\r\n\r\n0x2\r\nhi\r\n0\r\n\r\n", 400},
+	"chunk size space":   {postHead + "Transfer-Encoding: chunked\r\n\r\n2 \r\nhi\r\n0\r\n\r\n", 400},
+	"chunk size LF":      {postHead + "Transfer-Encoding: chunked\r\n\r\n2\nhi\r\n0\r\n\r\n", 400},
+	"chunk end":          {postHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi!\r\n0\r\n\r\n", 400},
+	"trailer":            {postHead + "Transfer-Encoding: chunked\r\n\r\n0\r\nno trailer\r\n\r\n", 400},
+	"long header":        {postHead + "A: " + strings.Repeat("a", 512) + "\r\n\r\n", 431},
+	"long line":          {"GET /" + strings.Repeat("a", 512), 431},
+	"long body":          {postHead + "Content-Length: 17\r\n\r\n", 413},
+	"huge body":          {postHead + "Content-Length: 99999999999\r\n\r\n", 413},
+	"long chunk":         {postHead + "Transfer-Encoding: chunked\r\n\r\n11\r\n", 413},
+	"long chunks":        {postHead + "Transfer-Encoding: chunked\r\n\r\n10\r\n" + strings.Repeat("a", 16) + "\r\n1\r\na\r\n", 413},
+}
+
 func TestServer_rejectedRequests(t *testing.T) {
 	ran := make(chan string, 100)
 	limits := func() configuration.Limits {
@@ -59,49 +103,8 @@
 		ran <- r.Target
 		_ = w.WriteResponse(200, nil, nil)
 	}})
-	const head = "POST /a HTTP/1.1\r\nHost: h\r\n"
 	const behind = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
-	cases := map[string]struct {
-		text   string
-		status int
-	}{
-		"garbage":            {"\x16\x03\x01\x02\r\n", 400},
-		"no version":         {"GET /a\r\nHost: h\r\n\r\n", 400},
-		"two spaces":         {"GET  /a HTTP/1.1\r\nHost: h\r\n\r\n", 400},
-		"other version":      {"GET /a HTTP/2.0\r\nHost: h\r\n\r\n", 505},
-		"no path":            {"CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
-		"no host":            {"GET /a HTTP/1.1\r\n\r\n", 400},
-		"two hosts":          {head + "Host: g\r\n\r\n", 400},
-		"odd host":           {"GET /a HTTP/1.1\r\nHost: a b\r\n\r\n", 400},
-		"bare LF":            {"GET /a HTTP/1.1\nHost: h\n\n", 400},
-		"LF in header":       {head + "A: b\nContent-Length: 3\r\n\r\n", 400},
-		"bare CR":            {head + "A: b\rC: d\r\n\r\n", 400},
-		"NUL":                {head + "A: b\x00\r\n\r\n", 400},
-		"folded":             {head + "A: b\r\n c\r\n\r\n", 400},
-		"space before colon": {head + "Content-Length : 5\r\n\r\n", 400},
-		"no colon":           {head + "Content-Length\r\n\r\n", 400},
-		"two lengths":        {head + "Content-Length: 5\r\nContent-Length: 5\r\n\r\n", 400},
-		"list of lengths":    {head + "Content-Length: 5, 5\r\n\r\n", 400},
-		"signed length":      {head + "Content-Length: +5\r\n\r\n", 400},
-		"length and chunks":  {head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
-		"chunks and length":  {head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n", 400},
-		"other coding":       {head + "Transfer-Encoding: xchunked\r\n\r\n", 400},
-		"two codings":        {head + "Transfer-Encoding: gzip, chunked\r\n\r\n", 400},
-		"coding with tab":    {head + "Transfer-Encoding: chunked\x0b\r\n\r\n", 400},
-		"old and chunked":    {"POST /a HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
-		"chunk size":         {head + "Transfer-Encoding: chunked\r\n\r\n0x2\r\nhi\r\n0\r\n\r\n", 400},
-		"chunk size space":   {head + "Transfer-Encoding: chunked\r\n\r\n2 \r\nhi\r\n0\r\n\r\n", 400},
-		"chunk size LF":      {head + "Transfer-Encoding: chunked\r\n\r\n2\nhi\r\n0\r\n\r\n", 400},
-		"chunk end":          {head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi!\r\n0\r\n\r\n", 400},
-		"trailer":            {head + "Transfer-Encoding: chunked\r\n\r\n0\r\nno trailer\r\n\r\n", 400},
-		"long header":        {head + "A: " + strings.Repeat("a", 512) + "\r\n\r\n", 431},
-		"long line":          {"GET /" + strings.Repeat("a", 512), 431},
-		"long body":          {head + "Content-Length: 17\r\n\r\n", 413},
-		"huge body":          {head + "Content-Length: 99999999999\r\n\r\n", 413},
-		"long chunk":         {head + "Transfer-Encoding: chunked\r\n\r\n11\r\n", 413},
-		"long chunks":        {head + "Transfer-Encoding: chunked\r\n\r\n10\r\n" + strings.Repeat("a", 16) + "\r\n1\r\na\r\n", 413},
-	}
-	for name, c := range cases {
+	for name, c := range rejectedRequests {
 		client := server.dial()
 		client.send(c.text + behind)
 		response, body := client.readResponse()
@@ -115,8 +118,8 @@
 	if len(ran) > 0 {
 		t.Errorf("served: %s", <-ran)
 	}
-	if n := server.Counts().Malformed; n != int64(len(cases)) {
-		t.Errorf("%d malformed of %d", n, len(cases))
+	if n := server.Counts().Malformed; n != int64(len(rejectedRequests)) {
+		t.Errorf("%d malformed of %d", n, len(rejectedRequests))
 	}
 }
 
@@ -157,11 +160,12 @@
 	}
 }
 
-func TestResponseWriter_stream(t *testing.T) {
-	next := make(chan string)
-	server := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
+// streamHandler returns a handler that sends each value of the channel as a chunk, and at its end finishes the response, or aborts it
+// on the path "/break".
+func streamHandler(t *testing.T, next *chan string) Handler {
+	return func(w *ResponseWriter, r *Request) {
 		_ = w.WriteHeader(200, nil)
-		for chunk := range next {
+		for chunk := range *next {
 			if err := w.WriteChunk([]byte(chunk)); err != nil {
 				t.Error(err)
 			}
@@ -176,7 +180,12 @@
 		if err := w.WriteResponse(200, nil, nil); !errors.Is(err, ErrAlreadyAnswered) {
 			t.Errorf("a second response: %v", err)
 		}
-	}})
+	}
+}
+
+func TestResponseWriter_stream(t *testing.T) {
+	next := make(chan string)
+	server := startServer(t, Options{Handler: streamHandler(t, &next)})
 	client := server.dial()
 	client.send(getRequest)
 	next <- "one"
--- a/internal/dataplane/httpserver/timeout_test.go
+++ b/internal/dataplane/httpserver/timeout_test.go
@@ -9,12 +9,12 @@
 
 // A body that is sent slowly ends with the request timeout, not with the longer header timeout.
 func TestServer_bodyAfterRequestTimeout(t *testing.T) {
-	held := make(chan string, 8)
+	requested := make(chan string, 8)
 	server := startServer(t, Options{
 		Handler: func(*ResponseWriter, *Request) { t.Error("served") },
 		Limits:  func() configuration.Limits { return configuration.Limits{HeaderTimeout: time.Hour} },
 		RequestTimeout: func(r *Request) time.Duration {
-			held <- r.Host + r.Path + r.Header.Get("A")
+			requested <- r.Host + r.Path + r.Header.Get("A")
 			return 50 * time.Millisecond
 		},
 	})
@@ -31,7 +31,7 @@
 		}
 		client.send("x")
 		client.expect(408, "")
-		if asked := <-held; asked != "h/ac" {
+		if asked := <-requested; asked != "h/ac" {
 			t.Errorf("asked for %q", asked)
 		}
 	}
--- a/internal/dataplane/proxy/helpers_test.go
+++ b/internal/dataplane/proxy/helpers_test.go
@@ -96,7 +96,7 @@
 
 // fakeWorker is a worker that echoes requests, or streams events.
 type fakeWorker struct {
-	release chan struct{} // closed to answer the requests to /a/held
+	release chan struct{} // closed to answer the requests to /a/pending
 	arrived chan struct{} // receives one value for each of them
 }
 
@@ -107,7 +107,7 @@
 	}
 	writer.Header().Set("X-Request-Id", request.Header.Get("X-Request-Id"))
 	writer.Header().Set("X-Response-Signature", "3e1b")
-	if request.URL.Path == "/a/held" {
+	if request.URL.Path == "/a/pending" {
 		w.arrived <- struct{}{}
 		<-w.release
 	}
@@ -261,15 +261,15 @@
 	}
 }
 
-// heldResponse is the body of the response to a request by requestHeld.
-const heldResponse = "POST /a/held " + requestBody
+// pendingResponse is the body of the response to a request by requestHeld.
+const pendingResponse = "POST /a/pending " + requestBody
 
-// requestHeld sends a request that the worker holds until its channel release is closed, and returns when the worker has it. The
+// startPendingRequest sends a request that the worker holds until its channel release is closed, and returns when the worker has it. The
 // channel receives the body of the response.
-func (s *testSystem) requestHeld() <-chan string {
+func (s *testSystem) startPendingRequest() <-chan string {
 	answered := make(chan string, 1)
 	go func() {
-		_, body, _ := s.request("/a/held")
+		_, body, _ := s.request("/a/pending")
 		answered <- body
 	}()
 	<-s.worker.arrived
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -43,12 +43,12 @@
 func TestProxy_drain_finishesRequestsInFlight(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
-	answered := s.requestHeld()
+	answered := s.startPendingRequest()
 	drained := s.startDrain()
 	s.waitFor("not ready", func() bool { return s.readinessStatus() == http.StatusServiceUnavailable })
 	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
 	close(s.worker.release)
-	if body := <-answered; body != heldResponse {
+	if body := <-answered; body != pendingResponse {
 		t.Fatalf("the request in flight got %q", body)
 	}
 	<-drained
@@ -61,7 +61,7 @@
 func TestProxy_drain_rejectsInFinalWindow(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
-	answered := s.requestHeld()
+	answered := s.startPendingRequest()
 	loaded := *s.proxy.settings.Load()
 	loaded.Bounds.GraceS = (shutdownMargin + finalWindow).Seconds()
 	s.proxy.settings.Store(&loaded)
@@ -71,7 +71,7 @@
 		t.Fatal(status, err)
 	}
 	close(s.worker.release)
-	if body := <-answered; body != heldResponse {
+	if body := <-answered; body != pendingResponse {
 		t.Fatalf("the request in flight got %q", body)
 	}
 	<-drained
--- a/internal/dataplane/proxy/run_test.go
+++ b/internal/dataplane/proxy/run_test.go
@@ -76,7 +76,7 @@
 	t.Setenv(bootconfig.PathVariable, writeSettings(t, changed))
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _ := s.request("/a/held")
+		status, _, _ := s.request("/a/pending")
 		answered <- status
 	}()
 	<-s.worker.arrived
--- a/internal/dataplane/proxy/shutdown_test.go
+++ b/internal/dataplane/proxy/shutdown_test.go
@@ -64,7 +64,7 @@
 func TestProxy_drain_notReadyAfterSignal(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
-	answered := s.requestHeld()
+	answered := s.startPendingRequest()
 	drained := s.startDrain()
 	s.waitFor("shutdown", func() bool { return s.proxy.shutdown.Load() != nil })
 	for range 4 {
