--- a/internal/dataplane/dispatch/deadline_test.go
+++ b/internal/dataplane/dispatch/deadline_test.go
@@ -41,7 +41,7 @@
 		r.script("d1", after(4*time.Second, nil))
 		r.scripts["d1"][0] = neverConnects
 		c := r.ask(nil)
-		c.mustPromise(t)
+		c.mustReject(t)
 		if c.took > 3010*time.Millisecond {
 			t.Fatalf("took %v", c.took)
 		}
@@ -98,7 +98,7 @@
 		r.script("d1", hangs())
 		c := &recordingClient{r: r, cancelAfter: 300 * time.Millisecond}
 		r.askAs(c, nil)
-		if !c.broken || c.answers != 0 || c.took != 300*time.Millisecond {
+		if !c.aborted || c.answers != 0 || c.took != 300*time.Millisecond {
 			t.Fatalf("%+v", c)
 		}
 		r.chooser.mustEnd(t, "abandoned")
--- a/internal/dataplane/dispatch/departedclient_test.go
+++ b/internal/dataplane/dispatch/departedclient_test.go
@@ -36,7 +36,7 @@
 				r.defaultScript = func(string, *upstream.Request) script { return answers(200, "there", signed) }
 				asked := &recordingClient{r: r, cancelAfter: leavesIn}
 				r.askAs(asked, nil)
-				if asked.took != leavesIn || !asked.broken || asked.finished {
+				if asked.took != leavesIn || !asked.aborted || asked.finished {
 					t.Errorf("%+v", asked)
 				}
 				if r.workersCalled() != c.calls || len(r.deletes) != c.deletes {
@@ -59,7 +59,7 @@
 		})
 		r.defaultScript = func(string, *upstream.Request) script { return answers(200, "there", signed) }
 		asked := r.ask(func(request *httpserver.Request) { request.Context = ctx })
-		if !asked.broken || asked.answers != 0 || r.workersCalled() != "p1 " {
+		if !asked.aborted || asked.answers != 0 || r.workersCalled() != "p1 " {
 			t.Fatalf("%+v, called: %s", asked, r.workersCalled())
 		}
 		if len(r.deletes) != 1 || r.deletes[0].call.Target != kvHandlePath+"3fa0" {
@@ -79,7 +79,7 @@
 				r.chooser.offers("d1", "d2")
 				r.script("d1", func(ctx context.Context, call *upstream.Request) (*Answer, *upstream.Failure) {
 					leave()
-					return breaks()(ctx, call)
+					return breaksConnection()(ctx, call)
 				})
 				r.defaultScript = func(string, *upstream.Request) script { return answers(200, "there", signed) }
 				r.ask(func(request *httpserver.Request) { request.Context = ctx })
@@ -99,7 +99,7 @@
 		r.chooser.offers("p1>d1", "d2")
 		r.defaultScript = func(string, *upstream.Request) script { return answers(200, "there", signed) }
 		asked := r.ask(func(request *httpserver.Request) { request.Context = ctx })
-		if !asked.broken || len(r.calls) != 0 {
+		if !asked.aborted || len(r.calls) != 0 {
 			t.Fatalf("%+v, called: %s", asked, r.workersCalled())
 		}
 	})
--- a/internal/dataplane/dispatch/departedworker_test.go
+++ b/internal/dataplane/dispatch/departedworker_test.go
@@ -112,7 +112,7 @@
 					return c.then(ctx, call)
 				})
 				asked := r.ask(nil)
-				if asked.status != c.status || asked.body != c.body || !asked.finished || asked.broken {
+				if asked.status != c.status || asked.body != c.body || !asked.finished || asked.aborted {
 					t.Errorf("%+v", asked)
 				}
 				if len(r.calls) != 1 {
--- a/internal/dataplane/dispatch/faultyworkers_test.go
+++ b/internal/dataplane/dispatch/faultyworkers_test.go
@@ -140,7 +140,7 @@
 		return answers(421, "", nil)
 	case 3:
 		c.noteRead()
-		return breaks()
+		return breaksConnection()
 	case 4:
 		c.noteRead()
 		return hangs()
@@ -208,7 +208,7 @@
 func (c *faultyWorkers) begunScript(call *upstream.Request) script {
 	switch c.random.Intn(9) {
 	case 0:
-		return breaks()
+		return breaksConnection()
 	case 1:
 		return hangs()
 	case 2:
@@ -252,9 +252,9 @@
 		return "a status that promises no execution, yet it was executed"
 	case c.attempts > route.MaxAttempts:
 		return fmt.Sprintf("%d attempts of %d", c.attempts, route.MaxAttempts)
-	case seen.answers > 1 || seen.answers == 0 && !seen.broken:
+	case seen.answers > 1 || seen.answers == 0 && !seen.aborted:
 		return fmt.Sprintf("%d answers", seen.answers)
-	case seen.finished && seen.broken:
+	case seen.finished && seen.aborted:
 		return "complete and aborted"
 	case seen.took > max(0, c.clientWait.means-c.receiveDelay)+20*time.Millisecond:
 		return "answered too late: " + seen.took.String()
--- a/internal/dataplane/dispatch/harness_test.go
+++ b/internal/dataplane/dispatch/harness_test.go
@@ -73,6 +73,7 @@
 }
 
 func newTestHarness(t *testing.T) *testHarness {
+	t.Helper()
 	r := &testHarness{t: t, started: time.Now(), scripts: map[string][]script{}}
 	r.route = testRoute()
 	r.chooser = &scriptedChooser{ended: map[*selection.Call][]string{}}
@@ -189,7 +190,7 @@
 	}
 }
 
-func breaks() script { return fails(upstream.Broken, upstream.ReadError) }
+func breaksConnection() script { return fails(upstream.Broken, upstream.ReadError) }
 
 // hangs does not answer until the call is canceled.
 func hangs() script {
@@ -294,7 +295,7 @@
 	body        string
 	answers     int
 	finished    bool
-	broken      bool
+	aborted     bool
 	gone        bool          // cannot be written to
 	sentAt      time.Duration // when it sent its request
 	took        time.Duration
@@ -329,7 +330,7 @@
 	return nil
 }
 
-func (c *recordingClient) Abort() { c.broken = true }
+func (c *recordingClient) Abort() { c.aborted = true }
 
 func (c *recordingClient) SetWriteTimeout(after time.Duration) { c.endBy = c.r.now() + after }
 
--- a/internal/dataplane/dispatch/outcome_test.go
+++ b/internal/dataplane/dispatch/outcome_test.go
@@ -48,7 +48,7 @@
 type clientView struct {
 	statuses []int
 	body     string
-	broken   bool
+	aborted  bool
 }
 
 func answered(status int, body string) clientView {
@@ -117,7 +117,7 @@
 	case o.row.OutcomeOf(o.sent) == upstreamtest.Failed:
 		return answered(o.row.Status(), o.ownBody())
 	case o.row.Events > 0:
-		return clientView{statuses: []int{200}, body: upstreamtest.Events(1, o.row.Events), broken: true}
+		return clientView{statuses: []int{200}, body: upstreamtest.Events(1, o.row.Events), aborted: true}
 	default:
 		return mayHaveRunResult
 	}
@@ -241,10 +241,10 @@
 		return fmt.Sprintf("may have been executed %d times", ran)
 	case seen.status == 200 && seen.fields.Get(fieldSignature) == "":
 		return "a success without signature"
-	case seen.finished && seen.broken || seen.answers > 1:
+	case seen.finished && seen.aborted || seen.answers > 1:
 		return "answered twice"
-	case !slices.Contains(want.statuses, seen.status) || seen.body != want.body || seen.broken != want.broken:
-		return fmt.Sprintf("%d %q, broken %v, not %+v", seen.status, seen.body, seen.broken, want)
+	case !slices.Contains(want.statuses, seen.status) || seen.body != want.body || seen.aborted != want.aborted:
+		return fmt.Sprintf("%d %q, aborted %v, not %+v", seen.status, seen.body, seen.aborted, want)
 	}
 	return o.handleFault(conns)
 }
--- a/internal/dataplane/dispatch/ports.go
+++ b/internal/dataplane/dispatch/ports.go
@@ -11,7 +11,8 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Responder writes the one answer to a request; *httpserver.ResponseWriter implements it.
+// Responder writes the one answer to a request; *httpserver.ResponseWriter implements it. An error of a
+// write means that the client cannot be reached any more.
 type Responder interface {
 	// SetWriteTimeout bounds writes to a client that does not read: one that is not done by then, or a moment later, fails.
 	SetWriteTimeout(after time.Duration)
@@ -51,16 +52,22 @@
 // Chooser chooses the workers of requests and learns from their calls; *selection.Selector implements it.
 // The dispatcher makes one call to it at a time.
 type Chooser interface {
+	// SetView applies a new view of the fleet.
 	SetView(now time.Duration, view *fleetview.View)
+	// Choose returns the workers of a request, without those whose IDs are excluded, and whether it is admitted.
 	Choose(now time.Duration, request *selection.Request, excluded []string) (selection.Choice, selection.Verdict)
+	// Sent opens a call that is being sent. It ends by the first of Done, Rejected, Failed and Abandoned.
 	Sent(now time.Duration, request *selection.Request, kind selection.CallKind, choice selection.Choice) *selection.Call
 	FirstEvent(now time.Duration, call *selection.Call)
 	Done(now time.Duration, call *selection.Call, load *selection.Load)
 	Rejected(now time.Duration, call *selection.Call, load *selection.Load)
 	Failed(now time.Duration, call *selection.Call, cause selection.Failure)
 	Abandoned(now time.Duration, call *selection.Call)
+	// Outstanding returns this node's calls in flight, by worker.
 	Outstanding(now time.Duration) []selection.Outstanding
+	// SetPeerLoad replaces what another node has in flight.
 	SetPeerLoad(now time.Duration, node uint64, list []selection.Outstanding)
+	// Demands returns the demand since the start, by service.
 	Demands(now time.Duration) map[string]roleplanner.Demand
 }
 
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -128,7 +128,7 @@
 
 // prefillCall returns the call that computes the prompt's KV cache alone.
 func (r *clientRequest) prefillCall(worker *fleetview.Worker) *upstream.Request {
-	fields := r.workerFields(worker, 1)
+	fields := r.workerFields(worker, prefillFieldCount)
 	fields = append(fields, http1.HeaderField{Name: fieldStage, Value: stagePrefill})
 	return &upstream.Request{
 		Address:      worker.Address,
--- a/internal/dataplane/dispatch/prefill_test.go
+++ b/internal/dataplane/dispatch/prefill_test.go
@@ -60,7 +60,7 @@
 		r.setRoute()
 		r.chooser.offers("p1>d1", "d1")
 		r.script("p1", rejects())
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 		if r.workersCalled() != "p1 " {
 			t.Fatal(r.workersCalled())
 		}
@@ -85,7 +85,7 @@
 		r.route.MaxAttempts = 1
 		r.setRoute()
 		r.chooser.offers("p1>d1", "p2>d1")
-		r.script("p1", breaks())
+		r.script("p1", breaksConnection())
 		r.script("d1", streams(1, 1, nil))
 		r.ask(nil).mustBe(t, 200, texts(1, 1))
 		if r.workersCalled() != "p1 d1 " || r.calls[1].field(fieldKVFrom) != "" {
@@ -100,12 +100,12 @@
 		r.route.MaxAttempts = 2
 		r.setRoute()
 		r.chooser.offers("p1>d1", "p2>d1")
-		r.script("p1", breaks())
+		r.script("p1", breaksConnection())
 		r.script("p2", givesHandle("h2"))
 		r.script("d1", rejects())
 		r.script("d2", streams(1, 1, nil))
 		r.chooser.offers("d2")
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 		if r.workersCalled() != "p1 p2 d1 " {
 			t.Fatal(r.workersCalled())
 		}
@@ -166,7 +166,7 @@
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		r.chooser.offers("p1>d1", "d1")
 		r.script("p1", givesHandle("h1"))
-		r.script("d1", breaks())
+		r.script("d1", breaksConnection())
 		r.ask(func(request *httpserver.Request) { request.Header = request.Header.With(fieldRequestID, "another") })
 		if r.workersCalled() != "p1 d1 " || r.calls[1].field(fieldKVFrom) != "" {
 			t.Fatal(r.workersCalled())
@@ -221,7 +221,7 @@
 		r.chooser.offers("p1>d1")
 		r.script("p1", givesHandle("h1"))
 		r.script("d1", rejects())
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 		r.mustFree(t, "h1")
 	})
 }
@@ -230,7 +230,7 @@
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		r.chooser.offers("p1>d1")
 		r.script("p1", givesHandle("h1"))
-		r.script("d1", breaks())
+		r.script("d1", breaksConnection())
 		r.ask(nil).mustBe(t, 502, "")
 		r.mustFree(t, "h1")
 	})
@@ -325,7 +325,7 @@
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		r.chooser.offers("p1>d1")
 		r.script("p1", givesHandle("h1"))
-		r.script("d1", breaks())
+		r.script("d1", breaksConnection())
 		r.deleteDelay = 300 * time.Millisecond
 		r.ask(nil)
 		before := r.now()
@@ -345,7 +345,7 @@
 		}
 		r.chooser.offers("p1>d1")
 		r.script("p1", givesHandle("h1"))
-		r.script("d1", breaks())
+		r.script("d1", breaksConnection())
 		c := r.ask(nil)
 		c.mustBe(t, 502, "")
 		if counts := r.dispatcher.Counts(); c.took != 0 || counts.HandlesDropped != 1 || counts.HandlesFreed != 0 {
--- a/internal/dataplane/dispatch/resume_test.go
+++ b/internal/dataplane/dispatch/resume_test.go
@@ -107,8 +107,8 @@
 		return "ended as complete after " + seen.body
 	case seen.status == 200 && seen.fields.Count(fieldSignature) != 1:
 		return "the head is not a worker's"
-	case seen.answers > 1 || seen.finished && seen.broken || !seen.finished && !seen.broken:
-		return fmt.Sprintf("%d answers, finished %v, broken %v", seen.answers, seen.finished, seen.broken)
+	case seen.answers > 1 || seen.finished && seen.aborted || !seen.finished && !seen.aborted:
+		return fmt.Sprintf("%d answers, finished %v, aborted %v", seen.answers, seen.finished, seen.aborted)
 	}
 	return ""
 }
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -21,6 +21,11 @@
 	gapTimeoutFactor = 5
 	// minIdleTimeout bounds both time-outs from below.
 	minIdleTimeout = 600 * time.Millisecond
+
+	// Fields that calls add to the client's, so that their header is allocated once.
+	commonFieldCount  = 3 // deadline, target, priority
+	runFieldCount     = 3 // handle, version, last event
+	prefillFieldCount = 1 // stage
 )
 
 // run calls the chosen worker for the answer, and forwards it.
@@ -148,7 +153,7 @@
 // runCall returns the call that asks a worker for the answer: from the handle if there is one, and after
 // the last event sent if a stream is resumed.
 func (r *clientRequest) runCall(worker *fleetview.Worker) *upstream.Request {
-	fields := r.workerFields(worker, 3)
+	fields := r.workerFields(worker, runFieldCount)
 	if r.handle != nil {
 		fields = append(fields, r.handle.transferFields()...)
 	}
@@ -177,7 +182,7 @@
 
 // workerFields returns the fields that every call of the request has, with capacity for extra more.
 func (r *clientRequest) workerFields(worker *fleetview.Worker, extra int) http1.Header {
-	fields := withoutFields(r.request.Header, systemFields, 3+extra)
+	fields := withoutFields(r.request.Header, systemFields, commonFieldCount+extra)
 	fields = append(fields,
 		http1.HeaderField{Name: fieldDeadline, Value: formatMillis(max(r.timeLeft(), minTimeLeft))},
 		http1.HeaderField{Name: fieldTarget, Value: worker.ID})
--- a/internal/dataplane/dispatch/run_test.go
+++ b/internal/dataplane/dispatch/run_test.go
@@ -13,19 +13,20 @@
 	"ospreybend/internal/util/http1"
 )
 
+// mustBe checks the status and the body of an answer.
 func (c *recordingClient) mustBe(t *testing.T, status int, body string) {
 	t.Helper()
 	if c.status != status || c.body != body || c.answers > 1 {
-		t.Fatalf("answer %d %q (%d answers, finished %v, broken %v), want %d %q",
-			c.status, c.body, c.answers, c.finished, c.broken, status, body)
+		t.Fatalf("answer %d %q (%d answers, finished %v, aborted %v), want %d %q",
+			c.status, c.body, c.answers, c.finished, c.aborted, status, body)
 	}
 	if c.fields.Has(fieldNotExecuted) {
 		t.Fatal("X-Not-Executed forwarded")
 	}
 }
 
-// mustPromise checks a 503: it must have Retry-After and no signature.
-func (c *recordingClient) mustPromise(t *testing.T) {
+// mustReject checks a 503: it must have Retry-After and no signature.
+func (c *recordingClient) mustReject(t *testing.T) {
 	t.Helper()
 	c.mustBe(t, http.StatusServiceUnavailable, "")
 	if c.fields.Get(fieldRetryAfter) == "" || c.fields.Has(fieldSignature) {
@@ -33,10 +34,11 @@
 	}
 }
 
-func (c *recordingClient) mustBreak(t *testing.T, body string) {
+// mustAbort checks that an answer was aborted after a part of its body.
+func (c *recordingClient) mustAbort(t *testing.T, body string) {
 	t.Helper()
-	if !c.broken || c.finished || c.body != body {
-		t.Fatalf("broken %v, finished %v, body %q", c.broken, c.finished, c.body)
+	if !c.aborted || c.finished || c.body != body {
+		t.Fatalf("aborted %v, finished %v, body %q", c.aborted, c.finished, c.body)
 	}
 }
 
@@ -55,7 +57,7 @@
 func TestDispatcher_Serve_noConfigurationIs503(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		r.dispatcher.view.Store(nil)
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 	})
 }
 
@@ -63,7 +65,7 @@
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		r.chooser.retryAfter = 1250 * time.Millisecond
 		c := r.ask(nil)
-		c.mustPromise(t)
+		c.mustReject(t)
 		if c.fields.Get(fieldRetryAfter) != "1.250" || c.took != 0 {
 			t.Fatalf("fields %v after %v", c.fields, c.took)
 		}
@@ -226,7 +228,7 @@
 func TestDispatcher_Serve_executedRunIsNotRetried(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		r.chooser.offers("d1", "d2")
-		r.script("d1", breaks())
+		r.script("d1", breaksConnection())
 		r.script("d2", answers(200, "again", signed))
 		r.ask(nil).mustBe(t, 502, "")
 		if r.workersCalled() != "d1 " {
@@ -272,7 +274,7 @@
 		r.chooser.offers("d1", "d2")
 		r.script("d1", rejects())
 		r.script("d2", rejects())
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 	})
 }
 
@@ -284,7 +286,7 @@
 		r.script("d1", rejects())
 		r.script("d2", rejects())
 		r.script("d3", answers(200, "", signed))
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 		if len(r.calls) != 2 {
 			t.Fatal(r.workersCalled())
 		}
@@ -297,7 +299,7 @@
 		}
 		r.chooser.offers("d1", "d2")
 		r.script("d1", rejects())
-		r.ask(nil).mustPromise(t)
+		r.ask(nil).mustReject(t)
 		if len(r.calls) != 1 {
 			t.Fatal(r.workersCalled())
 		}
@@ -306,7 +308,7 @@
 
 func TestDispatcher_Serve_idempotentIsRetriedAfterAnyFailure(t *testing.T) {
 	for name, first := range map[string]script{
-		"broken": breaks(), "own error": answers(500, "mine", signed), "unsigned": answers(200, "", nil),
+		"broken": breaksConnection(), "own error": answers(500, "mine", signed), "unsigned": answers(200, "", nil),
 		"unclear promise": answers(503, "busy", nil),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -338,7 +340,7 @@
 		r.route.Type = configuration.Idempotent
 		r.setRoute()
 		r.chooser.offers("d1", "d2")
-		r.script("d1", breaks())
+		r.script("d1", breaksConnection())
 		r.script("d2", rejects())
 		r.ask(nil).mustBe(t, 502, "")
 	})
--- a/internal/dataplane/dispatch/stream_test.go
+++ b/internal/dataplane/dispatch/stream_test.go
@@ -33,7 +33,7 @@
 		r.chooser.offers("d1", "d2")
 		r.script("d1", streams(1, 2, cut))
 		r.script("d2", streams(3, 4, nil))
-		r.ask(nil).mustBreak(t, texts(1, 2))
+		r.ask(nil).mustAbort(t, texts(1, 2))
 		if r.workersCalled() != "d1 " {
 			t.Fatal(r.workersCalled())
 		}
@@ -110,7 +110,7 @@
 		r.script("d1", streams(1, 3, cut))
 		r.script("d2", rejects())
 		c := r.ask(nil)
-		c.mustBreak(t, texts(1, 3))
+		c.mustAbort(t, texts(1, 3))
 		if c.answers != 1 {
 			t.Fatalf("%d answers", c.answers)
 		}
@@ -123,7 +123,7 @@
 		r.chooser.offers("d1", "d2")
 		r.script("d1", streams(1, 3, cut))
 		r.script("d2", answers(500, "mine", signed))
-		r.ask(nil).mustBreak(t, texts(1, 3))
+		r.ask(nil).mustAbort(t, texts(1, 3))
 	})
 }
 
@@ -152,7 +152,7 @@
 			s.events[1] = upstream.Event{Raw: []byte("data: x\n\n")}
 		}))
 		r.script("d2", streams(3, 4, nil))
-		r.ask(nil).mustBreak(t, eventText(1)+"data: x\n\n")
+		r.ask(nil).mustAbort(t, eventText(1)+"data: x\n\n")
 	})
 }
 
@@ -173,7 +173,7 @@
 				r.ask(nil).mustBe(t, 200, texts(1, 6))
 				return
 			}
-			r.ask(nil).mustBreak(t, texts(1, 4))
+			r.ask(nil).mustAbort(t, texts(1, 4))
 		})
 	}
 }
@@ -197,7 +197,7 @@
 		r.chooser.offers("d1", "d2")
 		r.script("d1", streams(1, 3, hang))
 		c := r.ask(nil)
-		c.mustBreak(t, texts(1, 3))
+		c.mustAbort(t, texts(1, 3))
 		if c.took < 3*time.Second || c.took > 3010*time.Millisecond {
 			t.Fatalf("took %v", c.took)
 		}
@@ -210,7 +210,7 @@
 		r.script("d1", streams(1, 50, nil))
 		c := &recordingClient{r: r, gone: true}
 		r.askAs(c, nil)
-		if !c.broken || c.took > 20*time.Millisecond {
+		if !c.aborted || c.took > 20*time.Millisecond {
 			t.Fatalf("%+v", c)
 		}
 		r.chooser.mustEnd(t, "abandoned")
--- a/internal/dataplane/dispatch/timeout_test.go
+++ b/internal/dataplane/dispatch/timeout_test.go
@@ -42,7 +42,7 @@
 				if asked.endBy-asked.sentAt != routesTime {
 					t.Errorf("the write time-out is %v", asked.endBy-asked.sentAt)
 				}
-				if c.status == 0 && !asked.broken || c.status > 0 && asked.status != c.status {
+				if c.status == 0 && !asked.aborted || c.status > 0 && asked.status != c.status {
 					t.Errorf("%+v", asked)
 				}
 			})
@@ -71,7 +71,7 @@
 		r.route.Resumable, r.route.MaxAttempts = true, 4
 		r.setRoute()
 		r.chooser.offers("p1>d1", "p2>d1", "d2")
-		r.script("p1", after(100*time.Millisecond, breaks()))
+		r.script("p1", after(100*time.Millisecond, breaksConnection()))
 		r.script("p2", after(100*time.Millisecond, givesHandle("3fa0")))
 		r.script("d1", after(100*time.Millisecond, streams(1, 3, cut)))
 		r.script("d2", streams(4, 6, nil))
--- a/internal/dataplane/dispatch/unrouted_test.go
+++ b/internal/dataplane/dispatch/unrouted_test.go
@@ -12,7 +12,7 @@
 		confirmed := false
 		r.dispatcher.confirmed = func() bool { return confirmed }
 		elsewhere := func(request *httpserver.Request) { request.Path = "/none/" }
-		r.ask(elsewhere).mustPromise(t)
+		r.ask(elsewhere).mustReject(t)
 		confirmed = true
 		r.ask(elsewhere).mustBe(t, 404, "")
 	})
--- a/internal/dataplane/selection/bench_test.go
+++ b/internal/dataplane/selection/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func BenchmarkChoose90(b *testing.B) {
+func BenchmarkSelector_Choose(b *testing.B) {
 	f := newModelFleet(90, 90, 5, 1, selectorPolicy)
 	for _, k := range trafficKinds {
 		f.traffic(k, 6)
--- a/internal/dataplane/selection/kvtransfer.go
+++ b/internal/dataplane/selection/kvtransfer.go
@@ -12,7 +12,6 @@
 // file predicts how long such a transfer takes, prices it, and counts those that fail.
 
 const (
-	windowLength             = estimate.WindowLength
 	transferSetup            = 0.003 // seconds of a transfer of no tokens
 	defaultLinkBits          = 1e11  // bits per second of a worker's link, where none are configured
 	defaultKVTokenBytes      = 160e3 // bytes of KV cache per token, where none are configured
@@ -104,9 +103,9 @@
 // learnTransferTime records how many seconds the transfer of a call took, for both of its workers.
 func (s *service) learnTransferTime(now time.Duration, call *Call, seconds float64) {
 	configured := s.configuredTransfer(call.forecast.size)
-	s.transferTimes.Add(now, configured, min(seconds, configured*maxTransferSlowdown), windowLength)
+	s.transferTimes.Add(now, configured, min(seconds, configured*maxTransferSlowdown), estimate.WindowLength)
 	for _, w := range []*worker{call.worker, call.source} {
-		w.transferTimes.Add(now, call.forecast.size, seconds, windowLength)
+		w.transferTimes.Add(now, call.forecast.size, seconds, estimate.WindowLength)
 	}
 }
 
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"ospreybend/internal/util/estimate"
 	"ospreybend/internal/util/stats"
 )
 
@@ -170,7 +171,7 @@
 		return
 	}
 	ratio := clampRatio(run/f.unloaded, pool.slowdown.Or(1, poolPriorSamples))
-	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, windowLength)
+	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, estimate.WindowLength)
 	pool.slowdown.AddWeighted(ratio, min(1, f.unloaded/pool.typicalUnloadedTime(w.class)), poolSamples)
 	pool.unloadedTime.Add(f.unloaded, poolSamples)
 	pool.wait.AddWeighted(-f.load.forClass(w.class), wait, 1, poolSamples)
--- a/internal/util/stats/map.go
+++ b/internal/util/stats/map.go
@@ -1,9 +1,9 @@
 package stats
 
 // Of returns the map's value for a key, which it creates if there is none.
-func Of[K comparable, V any](m map[K]*V, k K) *V {
-	if m[k] == nil {
-		m[k] = new(V)
+func Of[K comparable, V any](m map[K]*V, key K) *V {
+	if m[key] == nil {
+		m[key] = new(V)
 	}
-	return m[k]
+	return m[key]
 }
