--- a/coord/consensus/node.go
+++ b/coord/consensus/node.go
@@ -91,7 +91,7 @@
 	if n.log.lastTerm() > n.term {
 		n.term, n.votedFor = n.log.lastTerm(), 0
 	}
-	n.persistence.handedOut = hardState
+	n.persistence.lastRequested = hardState
 	n.persistence.durable = HardState{Term: hardState.Term, Vote: hardState.Vote}
 }
 
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestNode_Step_repeatedRejectionsCauseNoResendStorm(t *testing.T) {
+func TestNode_Step_repeatedRejectionsCauseOneResend(t *testing.T) {
 	n := newRuleNode(t, persistedLog())
 	n.becomeLeader()
 	n.persistAll()
--- a/coord/consensus/persistence.go
+++ b/coord/consensus/persistence.go
@@ -3,12 +3,12 @@
 // persistenceTracker tracks which part of a member's state is durable. Writes are asynchronous: each
 // PersistRequest is a pending write until Persisted reports its sequence.
 type persistenceTracker struct {
-	firstUnsaved uint64         // first entry that no PersistRequest has contained yet
-	stableIndex  uint64         // last entry that is durable and still in the log
-	handedOut    HardState      // as last put into a PersistRequest
-	durable      HardState      // Term and Vote as last reported durable
-	sequence     uint64         // of the latest PersistRequest
-	pending      []pendingWrite // handed out and not yet reported durable, oldest first
+	firstUnsaved  uint64         // first entry that no PersistRequest has contained yet
+	stableIndex   uint64         // last entry that is durable and still in the log
+	lastRequested HardState      // as last put into a PersistRequest
+	durable       HardState      // Term and Vote as last reported durable
+	sequence      uint64         // of the latest PersistRequest
+	pending       []pendingWrite // handed out and not yet reported durable, oldest first
 }
 
 // pendingWrite is what one PersistRequest contained.
--- a/coord/consensus/ready.go
+++ b/coord/consensus/ready.go
@@ -51,8 +51,8 @@
 // write of its own: after a restart it is learnt again from the leader.
 func (n *Node) nextPersistRequest() *PersistRequest {
 	hardState := HardState{Term: n.term, Vote: n.votedFor, Commit: n.commitIndex}
-	handedOut := n.persistence.handedOut
-	termOrVoteChanged := hardState.Term != handedOut.Term || hardState.Vote != handedOut.Vote
+	lastRequested := n.persistence.lastRequested
+	termOrVoteChanged := hardState.Term != lastRequested.Term || hardState.Vote != lastRequested.Vote
 	entries := n.log.span(n.persistence.firstUnsaved, n.log.lastIndex())
 	if !termOrVoteChanged && len(entries) == 0 && n.unpersistedSnapshot == nil {
 		return nil
@@ -63,10 +63,10 @@
 	if len(entries) > 0 || n.unpersistedSnapshot != nil {
 		write.lastIndex = n.log.lastIndex()
 	}
-	if hardState != handedOut {
+	if hardState != lastRequested {
 		request.HardState, write.hardState = &hardState, &hardState
 	}
-	n.persistence.handedOut = hardState
+	n.persistence.lastRequested = hardState
 	n.persistence.firstUnsaved = n.log.lastIndex() + 1
 	n.persistence.pending = append(n.persistence.pending, write)
 	n.unpersistedSnapshot = nil
--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -101,12 +101,12 @@
 }
 
 // applied checks an entry that a state machine applies.
-func (c *checks) applied(h *host, entry consensus.Entry) {
-	if entry.Index != h.applied+1 {
-		c.fail(CheckApplyOrder, fmt.Sprintf("member %d takes entry %d after %d", h.id, entry.Index, h.applied))
+func (c *checks) applied(member *host, entry consensus.Entry) {
+	if entry.Index != member.applied+1 {
+		c.fail(CheckApplyOrder, fmt.Sprintf("member %d takes entry %d after %d", member.id, entry.Index, member.applied))
 		return
 	}
-	stateHash := nextStateHash(h.stateHash, entry)
+	stateHash := nextStateHash(member.stateHash, entry)
 	if entry.Index > c.lastCommitted() {
 		c.committed = append(c.committed, committedEntry{term: entry.Term, stateHash: stateHash})
 		return
@@ -114,7 +114,7 @@
 	known := c.committed[entry.Index-firstIndex]
 	if known.stateHash != stateHash {
 		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes entry %d of term %d, another took one of term %d",
-			h.id, entry.Index, entry.Term, known.term))
+			member.id, entry.Index, entry.Term, known.term))
 	}
 }
 
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -79,11 +79,11 @@
 	if entry.Index <= base {
 		return nil
 	}
-	kept := entry.Index - base - 1
-	if kept > uint64(len(stored.Entries)) {
+	entriesBefore := entry.Index - base - 1
+	if entriesBefore > uint64(len(stored.Entries)) {
 		return fmt.Errorf("entry %d is written after entry %d", entry.Index, base+uint64(len(stored.Entries)))
 	}
-	stored.Entries = append(stored.Entries[:kept:kept], entry)
+	stored.Entries = append(stored.Entries[:entriesBefore:entriesBefore], entry)
 	return nil
 }
 
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestPacket_Encode_roundTrip(t *testing.T) {
+func TestDecodePacket_decodesEncodedPackets(t *testing.T) {
 	packets := []Packet{
 		{Kind: Ping, Sequence: 1},
 		{Kind: Ack, Sequence: 1<<64 - 1},
