--- a/coord/seglog/compatibility_test.go
+++ b/coord/seglog/compatibility_test.go
@@ -48,13 +48,13 @@
 	defer log.Close()
 	bootstrap := consensus.Bootstrap(compatibilityMembers()[:1], []byte("founding state"))
 	entries := compatibilityEntries()
-	for _, persist := range []*consensus.PersistRequest{
+	for _, request := range []*consensus.PersistRequest{
 		{Sequence: 1, HardState: &bootstrap.HardState, Snapshot: &bootstrap.Snapshot},
 		{Sequence: 2, HardState: &consensus.HardState{Term: 2, Vote: 1 << 63, Commit: 1}, Entries: entries[:4]},
 		{Sequence: 3, HardState: &consensus.HardState{Term: 3, Vote: 12, Commit: 4}, Entries: entries[4:]},
 		{Sequence: 4, HardState: &consensus.HardState{Term: 3, Vote: 12, Commit: 12}},
 	} {
-		if err := log.Save([]*consensus.PersistRequest{persist}); err != nil {
+		if err := log.Save([]*consensus.PersistRequest{request}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/coord/seglog/corruption_test.go
+++ b/coord/seglog/corruption_test.go
@@ -171,11 +171,11 @@
 
 func saveEntries(t *testing.T, log *seglog.Log, expected *history, first, last uint64) {
 	t.Helper()
-	persist := &consensus.PersistRequest{}
+	request := &consensus.PersistRequest{}
 	for index := first; index <= last; index++ {
-		persist.Entries = append(persist.Entries, consensus.Entry{Term: 1, Index: index, Data: []byte("command")})
+		request.Entries = append(request.Entries, consensus.Entry{Term: 1, Index: index, Data: []byte("command")})
 	}
-	save := operation{batch: []*consensus.PersistRequest{persist}}
+	save := operation{batch: []*consensus.PersistRequest{request}}
 	expected.attempt(save)
 	if err := runOperation(log, save); err != nil {
 		t.Fatal(err)
--- a/coord/seglog/fault_test.go
+++ b/coord/seglog/fault_test.go
@@ -156,8 +156,8 @@
 	log, stored := mustOpen(t, disk)
 	expected := newHistory(stored)
 	saveEntries(t, log, expected, 1, 3)
-	persist := &consensus.PersistRequest{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
-	save := operation{batch: []*consensus.PersistRequest{persist}}
+	request := &consensus.PersistRequest{Entries: []consensus.Entry{{Term: 1, Index: 4, Data: []byte("later")}}}
+	save := operation{batch: []*consensus.PersistRequest{request}}
 	expected.attempt(save)
 	disk.FailAll = true
 	for range 3 {
--- a/coord/seglog/log.go
+++ b/coord/seglog/log.go
@@ -39,7 +39,7 @@
 	lastIndex uint64 // of the last entry, or of the snapshot
 }
 
-// Errors of a log. All others are those of the file system: the call may then be retried with the same states or with more
+// Errors of a log. All others are those of the file system: the call may then be retried with the same requests or with more
 // appended, and nothing of it counts as durable until a call succeeds.
 var (
 	// ErrCorrupt means that a durable file cannot be read. The member's state is lost: it must rejoin the group under a new
@@ -60,9 +60,9 @@
 	return fmt.Sprintf("seglog: %s has format %d, this program reads format %d", e.File, e.Found, e.Supported)
 }
 
-// Save makes the states of the batch durable, in their order. It syncs once if the batch contains no snapshot and starts no
-// segment. After an error any prefix of the batch may be on disk; the caller must save the same states again, first in the
-// next batch.
+// Save makes what the batch requests durable, in order. It syncs once if the batch contains no snapshot and starts no segment.
+// After an error any prefix of the batch may be on disk; the caller must save the same requests again, first in the next
+// batch.
 func (l *Log) Save(batch []*consensus.PersistRequest) error {
 	if l.closed {
 		return ErrClosed
@@ -81,16 +81,16 @@
 }
 
 // saveSnapshot stores the last snapshot of the batch, if there is one, with the hard state that is in force after it, and
-// returns the states that follow the snapshot.
+// returns the requests that follow the snapshot.
 func (l *Log) saveSnapshot(batch []*consensus.PersistRequest) ([]*consensus.PersistRequest, error) {
 	position := lastSnapshot(batch)
 	if position < 0 {
 		return batch, nil
 	}
 	hardState := l.hardState
-	for _, persist := range batch[:position+1] {
-		if persist.HardState != nil {
-			hardState = *persist.HardState
+	for _, request := range batch[:position+1] {
+		if request.HardState != nil {
+			hardState = *request.HardState
 		}
 	}
 	received := batch[position]
@@ -101,7 +101,7 @@
 	return append([]*consensus.PersistRequest{after}, batch[position+1:]...), nil
 }
 
-// lastSnapshot returns the position of the last state with a snapshot, or -1.
+// lastSnapshot returns the position of the last request with a snapshot, or -1.
 func lastSnapshot(batch []*consensus.PersistRequest) int {
 	for i := len(batch) - 1; i >= 0; i-- {
 		if batch[i].Snapshot != nil {
@@ -113,8 +113,8 @@
 
 // hasRecords reports whether the batch contains anything to write to a segment.
 func hasRecords(batch []*consensus.PersistRequest) bool {
-	for _, persist := range batch {
-		if persist.HardState != nil || len(persist.Entries) > 0 {
+	for _, request := range batch {
+		if request.HardState != nil || len(request.Entries) > 0 {
 			return true
 		}
 	}
--- a/coord/seglog/model_test.go
+++ b/coord/seglog/model_test.go
@@ -30,8 +30,8 @@
 	}
 	var states []consensus.PersistedState
 	current := before
-	for _, persist := range call.batch {
-		for _, next := range statesAfterPersist(current, persist) {
+	for _, request := range call.batch {
+		for _, next := range statesAfterPersist(current, request) {
 			states = append(states, next)
 			current = next
 		}
@@ -39,24 +39,24 @@
 	return states
 }
 
-func statesAfterPersist(before consensus.PersistedState, persist *consensus.PersistRequest) []consensus.PersistedState {
+func statesAfterPersist(before consensus.PersistedState, request *consensus.PersistRequest) []consensus.PersistedState {
 	var states []consensus.PersistedState
 	current := before
-	if persist.Snapshot != nil {
-		current.Snapshot = *persist.Snapshot
+	if request.Snapshot != nil {
+		current.Snapshot = *request.Snapshot
 		current.Entries = nil
-		if persist.HardState != nil {
-			current.HardState = *persist.HardState
+		if request.HardState != nil {
+			current.HardState = *request.HardState
 		}
 		states = append(states, current)
 	}
-	for _, entry := range persist.Entries {
+	for _, entry := range request.Entries {
 		position := entry.Index - current.Snapshot.Index - 1
 		current.Entries = append(slices.Clone(current.Entries[:position]), entry)
 		states = append(states, current)
 	}
-	if persist.HardState != nil {
-		current.HardState = *persist.HardState
+	if request.HardState != nil {
+		current.HardState = *request.HardState
 		states = append(states, current)
 	}
 	return states
@@ -105,10 +105,10 @@
 	var batch []*consensus.PersistRequest
 	current := state
 	for range 1 + w.random.IntN(3) {
-		persist := w.persist(current)
-		states := statesAfterPersist(current, persist)
+		request := w.persist(current)
+		states := statesAfterPersist(current, request)
 		current = states[len(states)-1]
-		batch = append(batch, persist)
+		batch = append(batch, request)
 	}
 	return operation{batch: batch}
 }
@@ -119,21 +119,21 @@
 }
 
 func (w workload) persist(state consensus.PersistedState) *consensus.PersistRequest {
-	persist := &consensus.PersistRequest{}
+	request := &consensus.PersistRequest{}
 	switch w.random.IntN(10) {
 	case 0: // a snapshot received from the leader
-		persist.Snapshot = w.receivedSnapshot(state)
-		state.Snapshot, state.Entries = *persist.Snapshot, nil
+		request.Snapshot = w.receivedSnapshot(state)
+		state.Snapshot, state.Entries = *request.Snapshot, nil
 	case 1, 2: // entries of a new leader, which replace others
-		persist.Entries = w.entries(w.replacedFrom(state), lastTerm(state)+1)
+		request.Entries = w.entries(w.replacedFrom(state), lastTerm(state)+1)
 	case 3: // a hard state alone
 	default: // entries of the same leader
-		persist.Entries = w.entries(lastIndex(state)+1, max(lastTerm(state), 1))
+		request.Entries = w.entries(lastIndex(state)+1, max(lastTerm(state), 1))
 	}
-	if persist.Entries == nil || w.random.IntN(3) == 0 {
-		persist.HardState = w.hardState(state)
+	if request.Entries == nil || w.random.IntN(3) == 0 {
+		request.HardState = w.hardState(state)
 	}
-	return persist
+	return request
 }
 
 // replacedFrom returns a random index from which a new leader replaces entries.
--- a/coord/seglog/segment.go
+++ b/coord/seglog/segment.go
@@ -109,8 +109,8 @@
 		writer.writeHeader(l.active.sequence, l.lastIndex+1, l.active.previousChecksum)
 	}
 	state := batchState{hardState: l.hardState, lastIndex: l.lastIndex, maxIndex: l.active.maxIndex}
-	for _, persist := range batch {
-		state.add(&writer, persist)
+	for _, request := range batch {
+		state.add(&writer, request)
 	}
 	if writer.err != nil {
 		return writer.err
@@ -133,16 +133,16 @@
 	maxIndex  uint64
 }
 
-// add encodes the records of one state.
-func (s *batchState) add(writer *recordWriter, persist *consensus.PersistRequest) {
-	for i := range persist.Entries {
-		writer.writeEntry(&persist.Entries[i])
-		s.lastIndex = persist.Entries[i].Index
+// add encodes the records of one request.
+func (s *batchState) add(writer *recordWriter, request *consensus.PersistRequest) {
+	for i := range request.Entries {
+		writer.writeEntry(&request.Entries[i])
+		s.lastIndex = request.Entries[i].Index
 		s.maxIndex = max(s.maxIndex, s.lastIndex)
 	}
-	if persist.HardState != nil {
-		writer.writeHardState(*persist.HardState)
-		s.hardState = *persist.HardState
+	if request.HardState != nil {
+		writer.writeHardState(*request.HardState)
+		s.hardState = *request.HardState
 	}
 }
 
