--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -30,7 +30,7 @@
 	startTimeoutFactor = 4
 	startWaitSamples   = 16.0        // weight of the history in the mean wait
 	stallThreshold     = time.Second // a refresh that is so late shows that the process was paused
-	retryAfter         = time.Second // mean retry advice to rejected requests
+	meanRetryAfter     = time.Second // mean retry advice to rejected requests
 )
 
 // checkShares names a check for Config.DisabledCheck: the shares are applied to the dispatcher.
@@ -261,15 +261,16 @@
 	a.dispatcher.ZoneShares(balance.ZoneShares{Shares: shares, Failed: failed})
 }
 
-// Admit reports whether an operation of a class is admitted; one that is not should be retried after the
-// returned time.
-func (a *Agent) Admit(class int) (time.Duration, bool) {
+// Admit reports whether an operation of a class is admitted; one that is not should be retried after
+// retryAfter.
+func (a *Agent) Admit(class int) (retryAfter time.Duration, admitted bool) {
 	if class < 0 || class >= len(a.config.ClassNames) {
 		return 0, true
 	}
 	fraction := a.follower.AdmittedFraction(a.loop.Now(), a.config.ClassNames[class])
 	// Spread at random, about the time in which a slow start step may be earned.
-	return retryAfter/2 + time.Duration(a.rng.Float64()*float64(retryAfter)), fraction >= 1 || a.rng.Float64() < fraction
+	retryAfter = meanRetryAfter/2 + time.Duration(a.rng.Float64()*float64(meanRetryAfter))
+	return retryAfter, fraction >= 1 || a.rng.Float64() < fraction
 }
 
 // StepSent records that a route step was sent.
--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -16,7 +16,7 @@
 	"slices"
 	"strconv"
 
-	"github.com/fxamacker/cbor/v2"
+	"ospreybend/internal/node/zones/encoding"
 )
 
 // Phase is the state of a zone in the failover state machine.
@@ -180,30 +180,11 @@
 	return m.state.RolledBack[voter] == store
 }
 
-var (
-	encoder = must(cbor.CoreDetEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 16, MaxArrayElements: 1 << 16,
-		MaxMapPairs: 1 << 16, IndefLength: cbor.IndefLengthForbidden}.DecMode())
-)
-
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // the options above are constants
-	}
-	return v
-}
-
-// Encode returns the deterministic CBOR encoding used in the log, in snapshots and between processes.
-func Encode(v any) ([]byte, error) { return encoder.Marshal(v) }
-
-// Decode decodes what Encode returned.
-func Decode(data []byte, into any) error { return decoder.Unmarshal(data, into) }
-
 // Apply applies the next log entry. An entry that cannot be decoded or is invalid has no effect, at
 // every voter alike.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var command Command
-	err := Decode(data, &command)
+	err := encoding.Unmarshal(data, &command)
 	if err == nil {
 		err = m.applyCommand(command)
 	}
@@ -306,13 +287,13 @@
 }
 
 // Snapshot encodes the state.
-func (m *StateMachine) Snapshot() ([]byte, error) { return Encode(m.state) }
+func (m *StateMachine) Snapshot() ([]byte, error) { return encoding.Marshal(m.state) }
 
 // Restore replaces the state by a snapshot's. Empty data stands for the empty state.
 func (m *StateMachine) Restore(data []byte) error {
 	s := emptyState()
 	if len(data) > 0 {
-		if err := Decode(data, &s); err != nil {
+		if err := encoding.Unmarshal(data, &s); err != nil {
 			return fmt.Errorf("decode snapshot: %w", err)
 		}
 	}
--- a/internal/node/zones/commands/commands_test.go
+++ b/internal/node/zones/commands/commands_test.go
@@ -3,11 +3,13 @@
 import (
 	"errors"
 	"testing"
+
+	"ospreybend/internal/node/zones/encoding"
 )
 
 func applyTo(t *testing.T, m *StateMachine, o Command) (got error) {
 	t.Helper()
-	data, err := Encode(o)
+	data, err := encoding.Marshal(o)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/zones/commands/compatibility_test.go
+++ b/internal/node/zones/commands/compatibility_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"ospreybend/internal/node/zones/encoding"
 	"ospreybend/internal/testkit/golden"
 )
 
@@ -10,10 +11,10 @@
 func valueRow[T any](name string, value T) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
-		Encode: func() ([]byte, error) { return Encode(value) },
+		Encode: func() ([]byte, error) { return encoding.Marshal(value) },
 		Decode: func(encoded []byte) (any, error) {
 			var read T
-			err := Decode(encoded, &read)
+			err := encoding.Unmarshal(encoded, &read)
 			return read, err
 		},
 	}
--- a/internal/node/zones/replica/messages.go
+++ b/internal/node/zones/replica/messages.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/encoding"
 	"ospreybend/internal/node/zones/health"
 	"ospreybend/internal/node/zones/replicatedlog"
 )
@@ -88,7 +89,7 @@
 		r.digests[message.From] = timedDigest{message.Digest, now}
 	}
 	for _, command := range message.Commands {
-		if data, err := commands.Encode(command); err == nil {
+		if data, err := encoding.Marshal(command); err == nil {
 			_ = r.log.Propose(data) // its proposer sends it again until it is committed
 		}
 	}
--- a/internal/node/zones/replica/pending.go
+++ b/internal/node/zones/replica/pending.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/encoding"
 )
 
 // neverSent is an age past which a command is due to be sent at once.
@@ -78,7 +79,7 @@
 			p.done(ErrOutcomeUnknown)
 		case now-p.sentAt < 2*r.config.Settings.RoundInterval:
 		case r.log.IsLeader():
-			if data, err := commands.Encode(p.command); err == nil && r.log.Propose(data) == nil {
+			if data, err := encoding.Marshal(p.command); err == nil && r.log.Propose(data) == nil {
 				p.sentAt = now
 			}
 		case r.log.Leader() != 0:
--- a/internal/node/zones/replicatedlog/codec.go
+++ b/internal/node/zones/replicatedlog/codec.go
@@ -4,9 +4,8 @@
 	"errors"
 	"fmt"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"ospreybend/coord/consensus"
+	"ospreybend/internal/node/zones/encoding"
 )
 
 // ErrEncoding is returned for bytes that are no valid message, entry, snapshot or hard state.
@@ -60,29 +59,17 @@
 	Acknowledged uint64                `cbor:"15,keyasint,omitempty"`
 }
 
-// Limits of what is decoded.
-const (
-	maxNested   = 16
-	maxElements = 1 << 16
-)
-
-var (
-	encoder = must(cbor.CoreDetEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: maxNested, MaxArrayElements: maxElements,
-		MaxMapPairs: maxElements, IndefLength: cbor.IndefLengthForbidden}.DecMode())
-)
-
-func must[T any](value T, err error) T {
+// encode panics on an error: records are plain values, which can always be encoded.
+func encode(record any) []byte {
+	data, err := encoding.Marshal(record)
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err)
 	}
-	return value
+	return data
 }
 
-func encode(record any) []byte { return must(encoder.Marshal(record)) } // records are plain values
-
 func decode(data []byte, record any) error {
-	if err := decoder.Unmarshal(data, record); err != nil {
+	if err := encoding.Unmarshal(data, record); err != nil {
 		return fmt.Errorf("%w: %w", ErrEncoding, err)
 	}
 	return nil
--- a/internal/node/zones/simulation/simulation.go
+++ b/internal/node/zones/simulation/simulation.go
@@ -9,6 +9,7 @@
 
 	"ospreybend/internal/node/timerqueue"
 	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/encoding"
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
@@ -156,7 +157,7 @@
 }
 
 func (s *simulation) encodeTable(t *commands.Table) string {
-	text, err := commands.Encode(t)
+	text, err := encoding.Marshal(t)
 	if err != nil {
 		panic(err) // tables are plain values
 	}
--- a/internal/node/zones/transport/transport.go
+++ b/internal/node/zones/transport/transport.go
@@ -18,6 +18,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"ospreybend/internal/node/zones/commands"
+	"ospreybend/internal/node/zones/encoding"
 	"ospreybend/internal/node/zones/follower"
 	"ospreybend/internal/node/zones/replica"
 )
@@ -39,8 +40,8 @@
 type codec struct{}
 
 func (codec) Name() string                          { return "cbor" }
-func (codec) Marshal(v any) ([]byte, error)         { return commands.Encode(v) }
-func (codec) Unmarshal(data []byte, into any) error { return commands.Decode(data, into) }
+func (codec) Marshal(v any) ([]byte, error)         { return encoding.Marshal(v) }
+func (codec) Unmarshal(data []byte, into any) error { return encoding.Unmarshal(data, into) }
 
 // Ack is the empty response to a message or an override.
 type Ack struct{}
