--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -77,14 +77,14 @@
 		return path
 	}
 	valid := file("settings.json", validSettings)
-	whole := file("configuration.json", demoConfiguration)
+	document := file("configuration.json", demoConfiguration)
 	cases := []struct {
 		name string
 		line []string
 		code int
 		says string
 	}{
-		{"both valid", []string{"--settings", valid, "--configuration", whole}, exitOK, "settings: valid\nconfiguration: valid\n"},
+		{"both valid", []string{"--settings", valid, "--configuration", document}, exitOK, "settings: valid\nconfiguration: valid\n"},
 		{"no settings", []string{"--settings", filepath.Join(directory, "none")}, exitFault, "no such file"},
 		{"bad settings", []string{"--settings", file("bad.json", strings.Replace(validSettings, "127.0.0.1\"", "x\"", 1))}, exitFault, "ip:"},
 		{"no configuration", []string{"--configuration", filepath.Join(directory, "none")}, exitFault, "no such file"},
--- a/internal/controlplane/server/cluster_test.go
+++ b/internal/controlplane/server/cluster_test.go
@@ -104,19 +104,43 @@
 	go func() { p.ended <- Run(ctx, p.config, zap.NewNop()) }()
 }
 
+// bootstrap starts the first servers and waits until they have formed the cluster.
+func (f *testCluster) bootstrap(count int) {
+	f.t.Helper()
+	var servers []int
+	for i := range count {
+		f.start(i)
+		servers = append(servers, i)
+	}
+	f.awaitConverged("formation", servers...)
+}
+
+// awaitConverged waits until each of the servers sees all shards with just these servers as voters, current.
+func (f *testCluster) awaitConverged(what string, servers ...int) {
+	f.t.Helper()
+	f.await(what, func() bool {
+		for _, i := range servers {
+			if !f.isConverged(i, len(servers)) {
+				return false
+			}
+		}
+		return true
+	})
+}
+
 // terminate stops a server as a SIGTERM does and returns how long it took.
-func (f *testCluster) terminate(i int) time.Duration {
+func (f *testCluster) terminate(index int) time.Duration {
 	f.t.Helper()
-	p := f.processes[i]
+	p := f.processes[index]
 	began := time.Now()
 	p.stop()
 	select {
 	case err := <-p.ended:
 		if err != nil {
-			f.t.Fatalf("server %d: %v", i, err)
+			f.t.Fatalf("server %d: %v", index, err)
 		}
 	case <-time.After(clusterTimeout):
-		f.t.Fatalf("server %d does not end", i)
+		f.t.Fatalf("server %d does not end", index)
 	}
 	p.stop = nil
 	return time.Since(began)
@@ -175,8 +199,8 @@
 }
 
 // isConverged reports whether a server sees every shard with the given voters, current.
-func (f *testCluster) isConverged(i, voters int) bool {
-	report, ok := f.status(i)
+func (f *testCluster) isConverged(index, voters int) bool {
+	report, ok := f.status(index)
 	if !ok {
 		return false
 	}
@@ -216,13 +240,8 @@
 
 func TestCluster_threeServersBootstrapServeAndRepair(t *testing.T) {
 	f := newTestCluster(t, 3)
-	for i := range 3 {
-		f.start(i)
-	}
 	began := time.Now()
-	for i := range 3 {
-		f.await("formation", func() bool { return f.isConverged(i, 3) })
-	}
+	f.bootstrap(3)
 	t.Logf("formed in %s", time.Since(began))
 
 	replace, read := "/-/Config.Replace", "/-/Config.Read"
@@ -270,10 +289,7 @@
 
 func TestCluster_anyServerAcceptsInstanceCalls(t *testing.T) {
 	f := newTestCluster(t, 3)
-	for i := range 3 {
-		f.start(i)
-	}
-	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.bootstrap(3)
 	for i := range 3 {
 		status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1+i))
 		f.requireStatus(http.StatusOK, status, content)
--- a/internal/controlplane/server/concurrent_changes_test.go
+++ b/internal/controlplane/server/concurrent_changes_test.go
@@ -17,52 +17,52 @@
 }
 
 // sendConcurrently sends changes to servers concurrently, each to all of them, and returns the definitive statuses of each.
-func (f *testCluster) sendConcurrently(servers []int, orders ...configurationChange) [][]int {
+func (f *testCluster) sendConcurrently(servers []int, changes ...configurationChange) [][]int {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
 	defer cancel()
-	answers := make([][]int, len(orders))
+	statuses := make([][]int, len(changes))
 	var waitGroup sync.WaitGroup
-	for number, order := range orders {
-		answers[number] = make([]int, len(servers))
+	for number, change := range changes {
+		statuses[number] = make([]int, len(servers))
 		for index, server := range servers {
 			waitGroup.Go(func() {
 				_ = localfleet.Await(ctx, pollInterval, func() bool {
-					status, _ := f.do(server, http.MethodPost, "/-/Config.Replace", order.base, order.body)
-					answers[number][index] = status
+					status, _ := f.do(server, http.MethodPost, "/-/Config.Replace", change.base, change.body)
+					statuses[number][index] = status
 					return status != 0 && status < http.StatusInternalServerError
 				})
 			})
 		}
 	}
 	waitGroup.Wait()
-	return answers
+	return statuses
 }
 
 // requireOneWinner requires one change to be acknowledged by all servers and the others to be rejected by all; it returns the one.
-func (f *testCluster) requireOneWinner(orders []configurationChange, answers [][]int) configurationChange {
+func (f *testCluster) requireOneWinner(changes []configurationChange, all [][]int) configurationChange {
 	f.t.Helper()
 	won := -1
-	for number, statuses := range answers {
+	for index, statuses := range all {
 		for _, status := range statuses {
 			switch {
 			case status != statuses[0]:
 				f.t.Fatalf("one change has the statuses %v", statuses)
 			case status != http.StatusOK && status != http.StatusPreconditionFailed:
-				f.t.Fatalf("answers %v", answers)
+				f.t.Fatalf("statuses %v", all)
 			}
 		}
 		if statuses[0] == http.StatusOK {
 			if won >= 0 {
-				f.t.Fatalf("two changes on one base are acknowledged: %v", answers)
+				f.t.Fatalf("two changes on one base are acknowledged: %v", all)
 			}
-			won = number
+			won = index
 		}
 	}
 	if won < 0 {
-		f.t.Fatalf("none is acknowledged: %v", answers)
+		f.t.Fatalf("none is acknowledged: %v", all)
 	}
-	return orders[won]
+	return changes[won]
 }
 
 // TestCluster_concurrentAndRepeatedChangesAtAllServers has operators send competing changes to all servers at once, and repeats of what
@@ -70,35 +70,32 @@
 func TestCluster_concurrentAndRepeatedChangesAtAllServers(t *testing.T) {
 	f := newTestCluster(t, 3)
 	all := []int{0, 1, 2}
-	for _, i := range all {
-		f.start(i)
-	}
-	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.bootstrap(len(all))
 	var won []configurationChange
 	lost := map[configurationChange]bool{}
 	race := func(servers ...int) {
 		base := len(won)
-		orders := []configurationChange{
+		changes := []configurationChange{
 			{uint64(base), configurationJSON(base + 1)},
 			{uint64(base), configurationJSON(base+1) + " "},
 			{uint64(base), fmt.Sprintf(`{"generation":%d,"routes":[],"services":[]}`, base+1)},
 		}
-		for _, order := range orders {
-			lost[order] = true
+		for _, change := range changes {
+			lost[change] = true
 		}
-		winner := f.requireOneWinner(orders, f.sendConcurrently(servers, orders...))
+		winner := f.requireOneWinner(changes, f.sendConcurrently(servers, changes...))
 		delete(lost, winner)
 		won = append(won, winner)
 	}
 	repeat := func(servers ...int) {
-		for _, order := range won {
+		for _, change := range won {
 			for _, i := range servers {
-				status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Config.Replace", order.base, order.body)
+				status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Config.Replace", change.base, change.body)
 				f.requireStatus(http.StatusOK, status, content)
 			}
 		}
-		for order := range lost {
-			status, content := f.doUntilDefinitive(servers[0], http.MethodPost, "/-/Config.Replace", order.base, order.body)
+		for change := range lost {
+			status, content := f.doUntilDefinitive(servers[0], http.MethodPost, "/-/Config.Replace", change.base, change.body)
 			f.requireStatus(http.StatusPreconditionFailed, status, content)
 		}
 	}
@@ -113,7 +110,7 @@
 	f.processes[0].config.DataDir = t.TempDir() // it comes back without its disk
 	f.processes[0].config.Bootstrap = false
 	f.start(0)
-	f.await("repair", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.awaitConverged("repair", 0, 1, 2)
 	repeat(0)
 	race(all...)
 
@@ -124,6 +121,6 @@
 		f.processes[i].config.Bootstrap = false
 		f.start(i)
 	}
-	f.await("return", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.awaitConverged("return", 0, 1, 2)
 	repeat(all...)
 }
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -67,10 +67,10 @@
 }
 
 // applyInitialState gives a server's replicas the state of the tables below.
-func applyInitialState(t *testing.T, s *Server) {
+func applyInitialState(t *testing.T, server *Server) {
 	t.Helper()
 	apply := func(shard shards.ID, index uint64, data []byte) {
-		s.shards[shard].stateMachine.Apply(consensus.Entry{Index: index, Data: data})
+		server.shards[shard].stateMachine.Apply(consensus.Entry{Index: index, Data: data})
 	}
 	for index, change := range []configuration.Command{
 		{Kind: configuration.CommandReplace, Base: 0, Body: []byte(configurationJSON(3))},
--- a/internal/controlplane/server/feed_source_test.go
+++ b/internal/controlplane/server/feed_source_test.go
@@ -68,8 +68,8 @@
 func (v *recordingFeedHandler) hasItem(shard shards.ID, key, value string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	held, found := v.items[shard][key]
-	return found && (value == "" || held == value)
+	stored, found := v.items[shard][key]
+	return found && (value == "" || stored == value)
 }
 
 func (v *recordingFeedHandler) observed() (current bool, servers, connections int) {
@@ -137,10 +137,7 @@
 
 func TestCluster_stateSurvivesRestartOfAllServers(t *testing.T) {
 	f := newTestCluster(t, 3)
-	for i := range 3 {
-		f.start(i)
-	}
-	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.bootstrap(3)
 	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
 	f.requireStatus(http.StatusOK, status, content)
 	status, content = f.doUntilDefinitive(0, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1))
@@ -163,15 +160,12 @@
 func TestCluster_replacementAtAnotherAddressBecomesVoter(t *testing.T) {
 	f := newTestCluster(t, 4)
 	f.processes[3].config.Bootstrap = false
-	for i := range 3 {
-		f.start(i)
-	}
-	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.bootstrap(3)
 	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
 	f.requireStatus(http.StatusOK, status, content)
 	f.terminate(1)
 	f.start(3)
-	f.await("replacement", func() bool { return f.isConverged(0, 3) && f.isConverged(2, 3) && f.isConverged(3, 3) })
+	f.awaitConverged("replacement", 0, 2, 3)
 	f.terminate(0) // the new member counts
 	status, content = f.doUntilDefinitive(3, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
 	f.requireStatus(http.StatusOK, status, content)
--- a/internal/controlplane/server/forward_test.go
+++ b/internal/controlplane/server/forward_test.go
@@ -14,7 +14,7 @@
 	s, groups, network := newScriptedServer(t)
 	groups[0].set(followerStatus("b"))
 	network.reply = func(string, int) (shardResponse, error) { return okResponse([]byte(`{"generation":1}`)), nil }
-	reply := s.forward(timeoutContext(t), change)
+	reply := s.forward(timeoutContext(t), replaceRequest)
 	if reply.Status != http.StatusOK || string(reply.Body) != `{"generation":1}` || network.asked[0] != "b" {
 		t.Fatal(reply, network.asked)
 	}
@@ -29,7 +29,7 @@
 		}
 		return okResponse(nil), nil
 	}
-	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
+	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
 		t.Fatal(reply, network.asked)
 	}
 }
@@ -45,7 +45,7 @@
 		}
 		return okResponse(nil), nil
 	}
-	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
+	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
 		t.Fatal(reply, network.asked)
 	}
 }
@@ -57,7 +57,7 @@
 	groups[0].set(followerStatus("b"))
 	s.onGroupStatus(s.shards[0], followerStatus("b"))
 	replies := make(chan shardResponse, 1)
-	go func() { replies <- s.forward(timeoutContext(t), change) }()
+	go func() { replies <- s.forward(timeoutContext(t), replaceRequest) }()
 	<-network.hanging
 	groups[0].set(followerStatus("c"))
 	s.onGroupStatus(s.shards[0], followerStatus("c"))
@@ -73,7 +73,7 @@
 	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, errors.New("not to be asked") }
 	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := s.forward(ctx, change); reply.Status != http.StatusServiceUnavailable || reply.Code != int(NoOwner) {
+	if reply := s.forward(ctx, replaceRequest); reply.Status != http.StatusServiceUnavailable || reply.Code != int(NoOwner) {
 		t.Fatal(reply)
 	}
 }
@@ -84,7 +84,7 @@
 	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, peertransport.ErrOutcomeUnknown }
 	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := s.forward(ctx, change); reply.Status != http.StatusServiceUnavailable || reply.Code != int(OutcomeUnknown) {
+	if reply := s.forward(ctx, replaceRequest); reply.Status != http.StatusServiceUnavailable || reply.Code != int(OutcomeUnknown) {
 		t.Fatal(reply)
 	}
 }
@@ -98,7 +98,7 @@
 		}
 		return okResponse(nil), nil
 	}
-	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "xy" {
+	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "xy" {
 		t.Fatal(reply, network.asked)
 	}
 }
@@ -118,7 +118,7 @@
 		s.ownersChanged.notifyAll()
 		return notOwnerResponse(""), nil
 	}
-	if reply := s.forward(timeoutContext(t), change); reply.Status != http.StatusOK {
+	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK {
 		t.Fatal(reply, network.asked)
 	}
 }
@@ -130,7 +130,7 @@
 	network.reply = func(address string, _ int) (shardResponse, error) { return notOwnerResponse(other[address]), nil }
 	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := s.forward(ctx, change); reply.Code != int(NoOwner) {
+	if reply := s.forward(ctx, replaceRequest); reply.Code != int(NoOwner) {
 		t.Fatal(reply)
 	}
 	if len(network.asked) > 1+maxOwnerHints+3 {
--- a/internal/controlplane/server/graceful_shutdown_test.go
+++ b/internal/controlplane/server/graceful_shutdown_test.go
@@ -13,14 +13,14 @@
 // leaveRecordingNetwork accepts and records leave calls.
 type leaveRecordingNetwork struct {
 	scriptedNetwork
-	asked []string
+	called []string
 }
 
 func (n *leaveRecordingNetwork) Call(_ context.Context, address string, kind peertransport.CallKind, _ []byte) ([]byte, error) {
 	if kind != callLeave {
 		return nil, peertransport.ErrNotSent
 	}
-	n.asked = append(n.asked, address)
+	n.called = append(n.called, address)
 	return codec.Marshal(groupsSchema, []groupState{})
 }
 
@@ -38,8 +38,8 @@
 		defer cancel()
 		began := time.Now()
 		s.releaseVotes(ctx)
-		if len(network.asked) != 1 || network.asked[0] != "b" || time.Since(began) > elected+10*releasePollInterval {
-			t.Fatalf("asked %v within %s", network.asked, time.Since(began))
+		if len(network.called) != 1 || network.called[0] != "b" || time.Since(began) > elected+10*releasePollInterval {
+			t.Fatalf("asked %v within %s", network.called, time.Since(began))
 		}
 	})
 }
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -165,13 +165,13 @@
 }
 
 // serveAPI runs the API of a scripted server.
-func serveAPI(t *testing.T, s *Server) string {
+func serveAPI(t *testing.T, server *Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	api := newAPIServer(s, listener)
+	api := newAPIServer(server, listener)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -49,11 +49,6 @@
 	diskLost    bool // replicas without a member ID were found and removed
 }
 
-// resolveIdentity returns this disk's member, and the founding members if this server bootstraps the groups.
-func resolveIdentity(settings bootconfig.Settings, address string, environment Environment) (consensus.Member, []consensus.Member, error) {
-	return (&identityResolver{settings: settings, address: address, environment: environment}).resolve()
-}
-
 // resolveWithRetry retries until ctx ends while the disk refuses, as a full one does. A disk with files of another format is a
 // permanent error.
 func (r *identityResolver) resolveWithRetry(ctx context.Context, logger *zap.Logger) (consensus.Member, []consensus.Member, error) {
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -22,23 +22,29 @@
 	return id
 }
 
+// resolveIdentity returns a disk's member, and the founders if this server bootstraps the groups.
+func resolveIdentity(settings bootconfig.Settings, address string) (consensus.Member, []consensus.Member, error) {
+	resolver := identityResolver{settings: settings, address: address, environment: Environment{}.withDefaults()}
+	return resolver.resolve()
+}
+
 func TestOpen_damagedMemberIDBootstrapsNothing(t *testing.T) {
 	config := bootconfig.Defaults()
 	config.Bootstrap, config.DataDir = true, t.TempDir()
 	config.PortRange = [2]int{7000, 7015}
 	config.Seeds = []string{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}
 	address := seedPeerAddresses(config)[0]
-	before, founders, err := resolveIdentity(config, address, Environment{}.withDefaults())
+	before, founders, err := resolveIdentity(config, address)
 	if err != nil || len(founders) != 3 {
 		t.Fatal(before, founders, err)
 	}
-	if again, founders, err := resolveIdentity(config, address, Environment{}.withDefaults()); err != nil || again != before || len(founders) != 3 {
+	if again, founders, err := resolveIdentity(config, address); err != nil || again != before || len(founders) != 3 {
 		t.Fatal(again, founders, err)
 	}
 	if err := os.WriteFile(filepath.Join(config.DataDir, "member"), []byte("?"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	after, founders, err := resolveIdentity(config, address, Environment{}.withDefaults())
+	after, founders, err := resolveIdentity(config, address)
 	if err != nil || after.ID == before.ID || founders != nil {
 		t.Fatalf("member %d after %d, founders %v, %v", after.ID, before.ID, founders, err)
 	}
@@ -46,10 +52,7 @@
 
 func TestOpen_damagedReplicaCountsAsLostDisk(t *testing.T) {
 	f := newTestCluster(t, 3)
-	for i := range 3 {
-		f.start(i)
-	}
-	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.bootstrap(3)
 	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
 	f.requireStatus(http.StatusOK, status, content)
 	f.terminate(2)
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -43,12 +43,12 @@
 // awaitMembershipChange returns the next change, if this server leads the group. After a change it waits up to vacancyFillTimeout for a
 // learner to acknowledge that change, too, while a vacancy can be filled: the vacancy of a lost voter is then filled at once and
 // not at the next occasion.
-func (s *Server) awaitMembershipChange(shard *shard, changed bool) (membershipChange, bool) {
+func (s *Server) awaitMembershipChange(shard *shard, changed bool) (plannedChange, bool) {
 	deadline := s.environment.Now().Add(vacancyFillTimeout)
 	for {
 		status := shard.group.Status()
 		if !status.IsLeader() {
-			return membershipChange{}, false
+			return plannedChange{}, false
 		}
 		observed := s.observeGroup(shard, status)
 		next, found := nextMembershipChange(observed)
@@ -56,7 +56,7 @@
 			return next, found
 		}
 		if !waitForChange(s.lifecycle.backgroundContext, nil, releasePollInterval) {
-			return membershipChange{}, false
+			return plannedChange{}, false
 		}
 	}
 }
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -42,19 +42,19 @@
 // laggingGroup is a changingGroup whose learner holds a change only after some questions.
 type laggingGroup struct {
 	*changingGroup
-	asked, lag int
+	queries, lag int
 }
 
 func (g *laggingGroup) PromotableLearners() []consensus.MemberID {
-	g.asked++
-	if g.asked <= g.lag {
+	g.queries++
+	if g.queries <= g.lag {
 		return nil
 	}
 	return g.changingGroup.PromotableLearners()
 }
 
 func (g *laggingGroup) ChangeMembers(ctx context.Context, change replica.MembershipChange) error {
-	g.asked = 0
+	g.queries = 0
 	return g.changingGroup.ChangeMembers(ctx, change)
 }
 
--- a/internal/controlplane/server/membership_model_steps_test.go
+++ b/internal/controlplane/server/membership_model_steps_test.go
@@ -18,21 +18,21 @@
 }
 
 // faultFreeSteps returns what happens without faults or late requests: the next election, change or catching up.
-func (m model) faultFreeSteps(s modelState) (next []modelStep) {
-	if !s.led() {
-		return s.elections()
+func (m model) faultFreeSteps(state modelState) (next []modelStep) {
+	if !state.led() {
+		return state.elections()
 	}
-	if made, found := m.decide(s, 0); found {
+	if made, found := m.decide(state, 0); found {
 		next = append(next, made)
 	}
-	s.each(func(machine, disk int, role modelRole) {
-		if role == roleLearner && s.isRunning(machine, disk) && !s.durable[machine][disk] {
-			after := s
+	state.each(func(machine, disk int, role modelRole) {
+		if role == roleLearner && state.isRunning(machine, disk) && !state.durable[machine][disk] {
+			after := state
 			after.durable[machine][disk] = true
 			next = append(next, modelStep{name: fmt.Sprintf("%d catches up", modelID(machine, disk)), after: after})
 		}
-		if s.canPromote(machine, disk) && !s.machines[machine].stable {
-			after := s
+		if state.canPromote(machine, disk) && !state.machines[machine].stable {
+			after := state
 			after.machines[machine].stable = true
 			next = append(next, modelStep{name: fmt.Sprintf("%d has been ready for some time", modelID(machine, disk)), after: after})
 		}
@@ -56,34 +56,34 @@
 }
 
 // steps returns all that may happen in a state.
-func (m model) steps(s modelState) []modelStep {
-	next := m.faultFreeSteps(s)
+func (m model) steps(state modelState) []modelStep {
+	next := m.faultFreeSteps(state)
 	vacancyFilled := len(next) == 0
-	if s.led() {
-		for _, late := range s.lateRequests() {
-			if made, found := m.decide(s, late); found {
+	if state.led() {
+		for _, late := range state.lateRequests() {
+			if made, found := m.decide(state, late); found {
 				made.name = fmt.Sprintf("late request of %d, %s", late, made.name)
 				next = append(next, made)
 			}
 		}
 	}
 	for machine := range m.founders + m.spares {
-		next = append(next, m.machineEvents(s, machine, vacancyFilled)...)
+		next = append(next, m.machineEvents(state, machine, vacancyFilled)...)
 	}
 	return next
 }
 
 // machineEvents returns the events that may happen to one machine.
-func (m model) machineEvents(s modelState, machine int, vacancyFilled bool) (next []modelStep) {
+func (m model) machineEvents(state modelState, machine int, vacancyFilled bool) (next []modelStep) {
 	befall := func(name string, change func(one *modelMachine, after *modelState)) {
-		after := s
+		after := state
 		change(&after.machines[machine], &after)
 		next = append(next, modelStep{name: fmt.Sprintf("machine %d %s", machine, name), after: after})
 	}
-	one := s.machines[machine]
+	one := state.machines[machine]
 	if !one.exists {
 		befall("is added", func(one *modelMachine, _ *modelState) {
-			one.exists, one.up, one.fresh = true, true, s.lostMachines() > 0
+			one.exists, one.up, one.fresh = true, true, state.lostMachines() > 0
 		})
 		return next
 	}
@@ -96,17 +96,17 @@
 	if one.up && one.leaving {
 		befall("ends", func(one *modelMachine, _ *modelState) { one.up, one.leaving, one.stable = false, false, false })
 	}
-	if one.lost && vacancyFilled && m.recovered(&s, machine) {
+	if one.lost && vacancyFilled && m.recovered(&state, machine) {
 		befall("counts as lost no more", func(one *modelMachine, after *modelState) {
 			one.lost = false
 			after.clearFresh()
 		})
 	}
-	if m.oldDisks && !one.up && !one.gone && one.disk > 0 && s.retiredOrNone(machine) {
+	if m.oldDisks && !one.up && !one.gone && one.disk > 0 && state.retiredOrNone(machine) {
 		befall("gets an old disk back", func(one *modelMachine, _ *modelState) { one.disk--; one.up, one.silent = true, false })
 	}
-	if s.faults > 0 && (one.lost || s.lostMachines() < m.toleratedLosses()) {
-		next = append(next, m.faultsAt(s, machine)...)
+	if state.faults > 0 && (one.lost || state.lostMachines() < m.toleratedLosses()) {
+		next = append(next, m.faultsAt(state, machine)...)
 	}
 	return next
 }
@@ -151,16 +151,16 @@
 }
 
 // faultsAt returns the faults that may strike a machine.
-func (m model) faultsAt(s modelState, machine int) (next []modelStep) {
+func (m model) faultsAt(state modelState, machine int) (next []modelStep) {
 	strike := func(name string, change func(one *modelMachine)) {
-		after := s
+		after := state
 		after.faults--
 		one := &after.machines[machine]
 		one.lost, one.stable = true, false
 		change(one)
 		next = append(next, modelStep{name: fmt.Sprintf("machine %d %s", machine, name), after: after})
 	}
-	one := s.machines[machine]
+	one := state.machines[machine]
 	if one.up {
 		strike("is down", func(one *modelMachine) { one.up, one.leaving = false, false })
 	}
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -145,35 +145,35 @@
 
 // observe is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
 // member in place of the one from its address.
-func (m model) observe(s *modelState, late consensus.MemberID) observedState {
+func (m model) observe(state *modelState, late consensus.MemberID) observedState {
 	observed := observedState{
-		Self: modelID(int(s.leader), int(s.machines[s.leader].disk)), DesiredVoters: m.desiredVoters(), SpareLearners: max(minSpareLearners, m.tolerated),
+		Self: modelID(int(state.leader), int(state.machines[state.leader].disk)), DesiredVoters: m.desiredVoters(), SpareLearners: max(minSpareLearners, m.tolerated),
 		SinceHeard: map[consensus.MemberID]time.Duration{}, OmitGuards: m.omit,
 	}
-	s.each(func(machine, disk int, role modelRole) {
+	state.each(func(machine, disk int, role modelRole) {
 		id := modelID(machine, disk)
 		observed.Members = append(observed.Members, consensus.Member{ID: id, Address: modelAddress(machine), Voter: role == roleVoter})
 		switch {
-		case s.machines[machine].silent:
+		case state.machines[machine].silent:
 			observed.SinceHeard[id] = learnerTimeout
-		case !s.machines[machine].up:
+		case !state.machines[machine].up:
 			observed.SinceHeard[id] = missedHeartbeatsAge
 		}
-		if s.canPromote(machine, disk) {
+		if state.canPromote(machine, disk) {
 			observed.PromotableLearners = append(observed.PromotableLearners, id)
-			if s.machines[machine].stable {
+			if state.machines[machine].stable {
 				observed.Stable = append(observed.Stable, id)
 			}
 		}
 	})
-	for machine, one := range s.machines {
+	for machine, one := range state.machines {
 		id := modelID(machine, int(one.disk))
-		for disk, retired := range s.retired[machine] {
+		for disk, retired := range state.retired[machine] {
 			if retired {
 				observed.Retired = append(observed.Retired, modelID(machine, disk))
 			}
 		}
-		asks := one.up && !one.leaving && s.roles[machine][one.disk] != roleVoter
+		asks := one.up && !one.leaving && state.roles[machine][one.disk] != roleVoter
 		if from, _ := machineAndDiskOf(max(late, 1)); late != 0 && from == machine {
 			id, asks = late, true
 		}
@@ -196,72 +196,72 @@
 }
 
 // decide has the leader make its next change, after a request that came late if there is one.
-func (m model) decide(s modelState, late consensus.MemberID) (modelStep, bool) {
-	next, found := nextMembershipChange(m.observe(&s, late))
+func (m model) decide(state modelState, late consensus.MemberID) (modelStep, bool) {
+	next, found := nextMembershipChange(m.observe(&state, late))
 	if !found {
 		return modelStep{}, false
 	}
 	if next.Confirm.ID != 0 {
 		machine, disk := machineAndDiskOf(next.Confirm.ID)
-		if !s.isRunning(machine, disk) || s.machines[machine].leaving {
+		if !state.isRunning(machine, disk) || state.machines[machine].leaving {
 			return modelStep{}, false
 		}
 	}
-	made := modelStep{name: "change: " + changeText(next.Change), after: s}
+	made := modelStep{name: "change: " + changeText(next.Change), after: state}
 	made.wrong = m.apply(&made.after, next.Change)
-	return made, made.after != s || made.wrong != ""
+	return made, made.after != state || made.wrong != ""
 }
 
 // apply makes a change if the core's leader would, and returns the violation if there is one.
-func (m model) apply(s *modelState, change replica.MembershipChange) (wrong string) {
-	before := *s
+func (m model) apply(state *modelState, change replica.MembershipChange) (wrong string) {
+	before := *state
 	if change.Add == nil {
-		wrong = m.remove(s, change)
+		wrong = m.remove(state, change)
 	} else {
-		wrong = m.add(s, *change.Add)
+		wrong = m.add(state, *change.Add)
 	}
-	voters, living, _ := s.count()
+	voters, living, _ := state.count()
 	if living <= voters/2 {
-		*s = before // a majority of the new voters must answer
+		*state = before // a majority of the new voters must answer
 		return ""
 	}
 	return wrong
 }
 
-func (m model) remove(s *modelState, change replica.MembershipChange) (wrong string) {
+func (m model) remove(state *modelState, change replica.MembershipChange) (wrong string) {
 	machine, disk := machineAndDiskOf(change.Remove)
-	wasVoter := s.roles[machine][disk] == roleVoter
-	diskLost := int(s.machines[machine].disk) != disk
-	s.roles[machine][disk] = roleNone
-	s.durable[machine][disk] = false
-	s.retired[machine][disk] = change.Retire
-	s.replaced[machine][disk] = diskLost && s.machines[machine].up
+	wasVoter := state.roles[machine][disk] == roleVoter
+	diskLost := int(state.machines[machine].disk) != disk
+	state.roles[machine][disk] = roleNone
+	state.durable[machine][disk] = false
+	state.retired[machine][disk] = change.Retire
+	state.replaced[machine][disk] = diskLost && state.machines[machine].up
 	switch {
-	case s.isRunning(machine, disk):
+	case state.isRunning(machine, disk):
 		return fmt.Sprintf("member %d is removed although it lives", change.Remove)
-	case wasVoter && !diskLost && !m.hasPromotionCandidate(s):
+	case wasVoter && !diskLost && !m.hasPromotionCandidate(state):
 		return fmt.Sprintf("voter %d gives its place to nobody", change.Remove)
 	}
 	return ""
 }
 
-func (m model) add(s *modelState, added consensus.Member) (wrong string) {
+func (m model) add(state *modelState, added consensus.Member) (wrong string) {
 	machine, disk := machineAndDiskOf(added.ID)
-	role := s.roles[machine][disk]
+	role := state.roles[machine][disk]
 	switch {
-	case s.retired[machine][disk] && !m.omitRetired:
+	case state.retired[machine][disk] && !m.omitRetired:
 		return "" // rejected
-	case added.Voter && role == roleLearner && s.canPromote(machine, disk):
-		s.roles[machine][disk] = roleVoter
+	case added.Voter && role == roleLearner && state.canPromote(machine, disk):
+		state.roles[machine][disk] = roleVoter
 	case !added.Voter && role == roleVoter:
-		s.roles[machine][disk] = roleLearner
-		if !m.hasPromotionCandidate(s) {
+		state.roles[machine][disk] = roleLearner
+		if !m.hasPromotionCandidate(state) {
 			return fmt.Sprintf("voter %d gives its place to nobody", added.ID)
 		}
 	case !added.Voter && role == roleNone:
-		s.roles[machine][disk] = roleLearner
+		state.roles[machine][disk] = roleLearner
 	}
-	if s.replaced[machine][disk] && s.roles[machine][disk] != roleNone {
+	if state.replaced[machine][disk] && state.roles[machine][disk] != roleNone {
 		return fmt.Sprintf("member %d is back although it was replaced", added.ID)
 	}
 	return ""
@@ -278,9 +278,9 @@
 }
 
 // weakness returns what is wrong with a state; empty if nothing is.
-func (m model) weakness(s modelState) string {
-	voters, _, standing := s.count()
-	further := m.toleratedLosses() - s.lostMachines()
+func (m model) weakness(state modelState) string {
+	voters, _, standing := state.count()
+	further := m.toleratedLosses() - state.lostMachines()
 	if standing-further <= voters/2 {
 		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", standing, voters, further)
 	}
@@ -288,19 +288,19 @@
 }
 
 // unfinished returns what a group still lacks when nothing more happens by itself; empty if nothing.
-func (m model) unfinished(s modelState) string {
+func (m model) unfinished(state modelState) string {
 	available, silent := 0, true
-	for machine, one := range s.machines {
+	for machine, one := range state.machines {
 		if one.up && one.leaving {
 			return "" // its shutdown comes first
 		}
 		silent = silent && (!one.exists || one.up || one.silent)
-		if one.up && !s.retired[machine][one.disk] {
+		if one.up && !state.retired[machine][one.disk] {
 			available++
 		}
 	}
-	voters, living, _ := s.count()
-	if !s.led() || !silent {
+	voters, living, _ := state.count()
+	if !state.led() || !silent {
 		return ""
 	}
 	if living < m.reachable(available) || (available >= m.desiredVoters() && voters != living) {
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -25,8 +25,8 @@
 	OmitGuards []Guard // set by tests only
 }
 
-// membershipChange is one change of a group's members and its precondition.
-type membershipChange struct {
+// plannedChange is one change of a group's members and its precondition.
+type plannedChange struct {
 	Change replica.MembershipChange
 	// Confirm is the join request that must be confirmed before the change is made. ID 0: none.
 	Confirm joinRequest
@@ -46,18 +46,18 @@
 //  4. addLearner: a server with a join request becomes a learner: one for each vacancy or timed-out voter, and some spares, so that
 //     replacing a lost voter takes one change and no transfer of the state.
 //  5. removeUnresponsiveLearner: a learner that sends no join request and has been unresponsive for learnerTimeout is removed.
-func nextMembershipChange(observed observedState) (membershipChange, bool) {
-	for _, rule := range []func(observedState) (membershipChange, bool){
+func nextMembershipChange(observed observedState) (plannedChange, bool) {
+	for _, rule := range []func(observedState) (plannedChange, bool){
 		removeSuperseded, releaseSurplusVoter, promoteLearner, addLearner, removeUnresponsiveLearner,
 	} {
 		if next, found := rule(observed); found {
 			return next, true
 		}
 	}
-	return membershipChange{}, false
+	return plannedChange{}, false
 }
 
-func removeSuperseded(observed observedState) (membershipChange, bool) {
+func removeSuperseded(observed observedState) (plannedChange, bool) {
 	for _, request := range observed.JoinRequests {
 		for _, member := range observed.Members {
 			if member.Address == request.Address && member.ID != request.ID && member.ID != observed.Self {
@@ -66,51 +66,51 @@
 			}
 		}
 	}
-	return membershipChange{}, false
+	return plannedChange{}, false
 }
 
-func releaseSurplusVoter(observed observedState) (membershipChange, bool) {
+func releaseSurplusVoter(observed observedState) (plannedChange, bool) {
 	if observed.voterCount() <= observed.DesiredVoters && observed.guardEnabled(GuardSuccessorReady) {
-		return membershipChange{}, false
+		return plannedChange{}, false
 	}
 	if released, found := observed.demoteLeavingVoter(); found {
 		return released, true
 	}
 	gone, found := observed.longestUnresponsiveVoter(voterTimeout)
-	return membershipChange{Change: replica.MembershipChange{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
+	return plannedChange{Change: replica.MembershipChange{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
 }
 
 // demoteLeavingVoter turns a voter that is shutting down into a learner. It goes before its successor comes: with both as voters, the
 // loss of the one machine would cost two votes.
-func (o observedState) demoteLeavingVoter() (membershipChange, bool) {
+func (o observedState) demoteLeavingVoter() (plannedChange, bool) {
 	for _, member := range o.Members {
 		if member.Voter && member.ID != o.Self && slices.Contains(o.Leaving, member.ID) {
 			member.Voter = false
-			return membershipChange{Change: replica.MembershipChange{Add: &member}}, true
+			return plannedChange{Change: replica.MembershipChange{Add: &member}}, true
 		}
 	}
-	return membershipChange{}, false
+	return plannedChange{}, false
 }
 
-func promoteLearner(observed observedState) (membershipChange, bool) {
+func promoteLearner(observed observedState) (plannedChange, bool) {
 	for _, learner := range observed.promotionCandidates() {
 		promoted := learner
 		promoted.Voter = true
 		free, even := observed.voterCount() < observed.DesiredVoters, observed.voterCount()%2 == 0
 		if free && even {
-			return membershipChange{Change: replica.MembershipChange{Add: &promoted}}, true
+			return plannedChange{Change: replica.MembershipChange{Add: &promoted}}, true
 		}
 		if gone, found := observed.longestUnresponsiveVoter(voterTimeout); found {
-			return membershipChange{Change: replica.MembershipChange{Remove: gone}}, true
+			return plannedChange{Change: replica.MembershipChange{Remove: gone}}, true
 		}
 		if free && observed.canAddVoter() {
-			return membershipChange{Change: replica.MembershipChange{Add: &promoted}}, true
+			return plannedChange{Change: replica.MembershipChange{Add: &promoted}}, true
 		}
 		if released, found := observed.demoteLeavingVoter(); found && slices.Contains(observed.Successors, learner.ID) {
 			return released, true
 		}
 	}
-	return membershipChange{}, false
+	return plannedChange{}, false
 }
 
 // promotionCandidates returns the learners that could become voters at once, by their stability rank.
@@ -160,34 +160,34 @@
 	return slices.Contains(o.PromotableLearners, id) || (!o.guardEnabled(GuardPromotedDurable) && o.hasJoinRequest(id))
 }
 
-func addLearner(observed observedState) (membershipChange, bool) {
+func addLearner(observed observedState) (plannedChange, bool) {
 	vacancies := max(0, observed.DesiredVoters-observed.voterCount()+observed.unresponsiveVoters(voterTimeout))
 	if observed.responsiveLearners(voterTimeout) >= vacancies+observed.SpareLearners {
-		return membershipChange{}, false
+		return plannedChange{}, false
 	}
 	for _, request := range observed.JoinRequests {
 		if _, found := observed.member(request.ID); !found && !slices.Contains(observed.Retired, request.ID) {
 			return observed.requireConfirmation(replica.MembershipChange{Add: &consensus.Member{ID: request.ID, Address: request.Address}}, request), true
 		}
 	}
-	return membershipChange{}, false
+	return plannedChange{}, false
 }
 
-func removeUnresponsiveLearner(observed observedState) (membershipChange, bool) {
+func removeUnresponsiveLearner(observed observedState) (plannedChange, bool) {
 	for _, member := range observed.Members {
 		if !member.Voter && !observed.hasJoinRequest(member.ID) && observed.SinceHeard[member.ID] >= learnerTimeout {
-			return membershipChange{Change: replica.MembershipChange{Remove: member.ID}}, true
+			return plannedChange{Change: replica.MembershipChange{Remove: member.ID}}, true
 		}
 	}
-	return membershipChange{}, false
+	return plannedChange{}, false
 }
 
 // requireConfirmation returns a change that is made only if the requesting server confirms its identity.
-func (o observedState) requireConfirmation(change replica.MembershipChange, request joinRequest) membershipChange {
+func (o observedState) requireConfirmation(change replica.MembershipChange, request joinRequest) plannedChange {
 	if !o.guardEnabled(GuardIdentityAsked) {
-		return membershipChange{Change: change}
+		return plannedChange{Change: change}
 	}
-	return membershipChange{Change: change, Confirm: request}
+	return plannedChange{Change: change, Confirm: request}
 }
 
 // timeSinceHeard returns how long a member that was last heard at a time counts as unresponsive. Before a server leads, members have
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -187,23 +187,23 @@
 }
 
 func (w *simulatedGroup) observe() observedState {
-	s := observedState{Self: 1, Members: w.members, DesiredVoters: w.wanted, SpareLearners: 1, SinceHeard: map[consensus.MemberID]time.Duration{}}
+	state := observedState{Self: 1, Members: w.members, DesiredVoters: w.wanted, SpareLearners: 1, SinceHeard: map[consensus.MemberID]time.Duration{}}
 	for address, id := range w.running {
-		member, found := s.member(id)
+		member, found := state.member(id)
 		if !found || !member.Voter {
-			s.JoinRequests = append(s.JoinRequests, joinRequest{ID: id, Address: address})
+			state.JoinRequests = append(state.JoinRequests, joinRequest{ID: id, Address: address})
 		}
 		if found && !member.Voter {
-			s.PromotableLearners = append(s.PromotableLearners, id)
-			s.Stable = append(s.Stable, id)
+			state.PromotableLearners = append(state.PromotableLearners, id)
+			state.Stable = append(state.Stable, id)
 		}
 	}
 	for _, member := range w.members {
 		if _, runs := w.running[member.Address]; !runs {
-			s.SinceHeard[member.ID] = learnerTimeout
+			state.SinceHeard[member.ID] = learnerTimeout
 		}
 	}
-	return s
+	return state
 }
 
 // apply makes a change as a group does; it returns false for one that a group would reject.
@@ -259,38 +259,38 @@
 }
 
 // addFate adds one more machine, as a member, wiped, gone, or new.
-func addFate(w *simulatedGroup, id consensus.MemberID, fate int) {
+func addFate(group *simulatedGroup, id consensus.MemberID, fate int) {
 	address := fmt.Sprintf("k%d", id)
-	_, voters := w.runningVoters()
-	place := voters < w.wanted
+	_, voters := group.runningVoters()
+	place := voters < group.wanted
 	switch {
 	case fate == 0 && place: // a voter that runs
-		w.members = append(w.members, voter(id))
-		w.running[address] = id
+		group.members = append(group.members, voter(id))
+		group.running[address] = id
 	case fate == 1 && place: // a voter that lost its disk and came back
-		w.members = append(w.members, voter(id))
-		w.running[address] = id + 100
+		group.members = append(group.members, voter(id))
+		group.running[address] = id + 100
 	case fate == 2 && place: // a voter that is gone
-		w.members = append(w.members, voter(id))
+		group.members = append(group.members, voter(id))
 	case fate == 3: // a machine without state
-		w.running[address] = id
+		group.running[address] = id
 	}
 }
 
-func converges(w *simulatedGroup) bool {
+func converges(group *simulatedGroup) bool {
 	const mostChanges = 50
 	for range mostChanges {
-		before, voters := w.runningVoters()
-		next, found := nextMembershipChange(w.observe())
+		before, voters := group.runningVoters()
+		next, found := nextMembershipChange(group.observe())
 		if !found {
-			most := min(w.wanted, len(w.running))
+			most := min(group.wanted, len(group.running))
 			least := most - 1 + most%2 // an even number of voters bears no more losses than the odd one below it
-			return before >= least && before <= most && (voters == before || before == len(w.running) || before < w.wanted)
+			return before >= least && before <= most && (voters == before || before == len(group.running) || before < group.wanted)
 		}
-		if !w.apply(next.Change) {
+		if !group.apply(next.Change) {
 			return false
 		}
-		if after, _ := w.runningVoters(); after < before {
+		if after, _ := group.runningVoters(); after < before {
 			return false // a running voter was removed
 		}
 	}
--- a/internal/controlplane/server/planned_replacement_test.go
+++ b/internal/controlplane/server/planned_replacement_test.go
@@ -36,10 +36,7 @@
 // taken before that process has ended, unless it had to end before.
 func TestCluster_plannedReplacementKeepsVoters(t *testing.T) {
 	f := newTestCluster(t, 4)
-	for i := range 3 {
-		f.start(i)
-	}
-	f.await("formation", func() bool { return f.isConverged(0, 3) && f.isConverged(1, 3) && f.isConverged(2, 3) })
+	f.bootstrap(3)
 	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
 	f.requireStatus(http.StatusOK, status, content)
 
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -21,34 +21,34 @@
 // scriptedWorkerClient plays the workers that a server calls.
 type scriptedWorkerClient struct {
 	mutex  sync.Mutex
-	orders []RoleCommand
+	sent   []RoleCommand
 	status int
 	before func(order RoleCommand)
-	stages map[string]string // by ID, as polled
-	asked  int
+	roles  map[string]string // by ID, as polled
+	polls  int
 }
 
-func (w *scriptedWorkerClient) SendRoleCommand(_ context.Context, order RoleCommand) int {
+func (w *scriptedWorkerClient) SendRoleCommand(_ context.Context, command RoleCommand) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.before != nil {
-		w.before(order)
+		w.before(command)
 	}
-	w.orders = append(w.orders, order)
+	w.sent = append(w.sent, command)
 	return w.status
 }
 
 func (w *scriptedWorkerClient) ReportedRole(_ context.Context, instance, _ string) string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.asked++
-	return w.stages[instance]
+	w.polls++
+	return w.roles[instance]
 }
 
 func (w *scriptedWorkerClient) commands() []RoleCommand {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]RoleCommand(nil), w.orders...)
+	return append([]RoleCommand(nil), w.sent...)
 }
 
 // rolePlannerFixture is a server that owns the shard of a service with two prefill and seven decode workers.
@@ -59,20 +59,20 @@
 	workers *scriptedWorkerClient
 	id      shards.ID
 	roles   shardRoles
-	now     time.Time // of the scene's clock
+	now     time.Time // of the fixture's clock
 }
 
 func newRolePlannerFixture(t *testing.T) *rolePlannerFixture {
 	s, groups, _ := newScriptedServer(t)
-	scene := &rolePlannerFixture{T: t, server: s, id: shards.ForService(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
-	s.environment.Now = func() time.Time { return scene.now }
-	scene.group = groups[scene.id]
-	s.environment.Workers = scene.workers
+	fixture := &rolePlannerFixture{T: t, server: s, id: shards.ForService(stagedService), workers: &scriptedWorkerClient{status: http.StatusAccepted}, now: s.startedAt}
+	s.environment.Now = func() time.Time { return fixture.now }
+	fixture.group = groups[fixture.id]
+	s.environment.Workers = fixture.workers
 	index := uint64(0)
-	machine := s.registryMachine(scene.id)
-	scene.group.submit = func(_ context.Context, data []byte) (any, error) {
-		scene.workers.mutex.Lock()
-		defer scene.workers.mutex.Unlock()
+	machine := s.registryMachine(fixture.id)
+	fixture.group.submit = func(_ context.Context, data []byte) (any, error) {
+		fixture.workers.mutex.Lock()
+		defer fixture.workers.mutex.Unlock()
 		index++
 		return machine.Apply(consensus.Entry{Index: index, Data: data}), nil
 	}
@@ -85,113 +85,113 @@
 		index++
 		machine.Apply(consensus.Entry{Index: index, Data: registry.EncodePut(instance, 1)})
 	}
-	scene.becomeOwner(3)
-	return scene
+	fixture.becomeOwner(3)
+	return fixture
 }
 
 // becomeOwner makes the server the owner in a term.
-func (s *rolePlannerFixture) becomeOwner(term uint64) {
+func (f *rolePlannerFixture) becomeOwner(term uint64) {
 	status := leaderStatus()
 	status.Term = term
-	s.group.set(status)
-	machine := s.server.registryMachine(s.id)
+	f.group.set(status)
+	machine := f.server.registryMachine(f.id)
 	machine.setLeaderTerm(term)
-	machine.ownershipGained(s.now, term)
+	machine.ownershipGained(f.now, term)
 }
 
-// run plays a time in the loop's steps, while proxies report a demand that needs more readers.
-func (s *rolePlannerFixture) run(span time.Duration) {
-	for end := s.now.Add(span); s.now.Before(end); s.now = s.now.Add(rolePlanInterval) {
+// run plays a duration in the steps of the loop, while proxies report a demand that needs more prefill workers.
+func (f *rolePlannerFixture) run(duration time.Duration) {
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(rolePlanInterval) {
 		report, err := roleplanner.EncodeReport([]roleplanner.ServiceDemand{{Service: stagedService, Demand: roleplanner.Demand{
 			Offered: 30, Started: 30, Prefill: 3, PrefillDone: 1.9, PrefillTime: 10, Slots: 0.4}}})
 		if err != nil {
-			s.Fatal(err)
+			f.Fatal(err)
 		}
-		s.server.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, report)
-		for id, sums := range s.server.demands.byShard(s.server.uptime()) {
+		f.server.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, report)
+		for id, sums := range f.server.demands.byShard(f.server.uptime()) {
 			body, _ := roleplanner.EncodeReport(sums)
-			s.server.execute(s.Context(), shardRequest{Kind: callDemand, Shard: id, ID: "self", Body: body})
+			f.server.execute(f.Context(), shardRequest{Kind: callDemand, Shard: id, ID: "self", Body: body})
 		}
-		s.server.planShardRoles(s.Context(), s.server.shards[s.id], &s.roles)
+		f.server.planShardRoles(f.Context(), f.server.shards[f.id], &f.roles)
 	}
 }
 
 func TestServer_PlanShardRoles_newOwnerWaitsOutEarlierLease(t *testing.T) {
-	s := newRolePlannerFixture(t)
-	lease := bootconfig.Millis(s.server.settings.Bounds.LeaseMs)
-	s.run(lease)
-	if orders := s.workers.commands(); len(orders) != 0 {
-		s.Fatalf("%+v", orders)
-	}
-	s.run(4 * time.Second)
-	orders := s.workers.commands()
-	if len(orders) == 0 {
-		s.Fatal("no order")
-	}
-	for _, order := range orders {
-		if order.FencingToken != 3 || order.LeaseHolder != s.server.settings.NodeName || order.Role != roleplanner.Prefill || order.Address == "" {
-			s.Fatalf("%+v", order)
+	fixture := newRolePlannerFixture(t)
+	lease := bootconfig.Millis(fixture.server.settings.Bounds.LeaseMs)
+	fixture.run(lease)
+	if commands := fixture.workers.commands(); len(commands) != 0 {
+		fixture.Fatalf("%+v", commands)
+	}
+	fixture.run(4 * time.Second)
+	commands := fixture.workers.commands()
+	if len(commands) == 0 {
+		fixture.Fatal("no command")
+	}
+	for _, command := range commands {
+		if command.FencingToken != 3 || command.LeaseHolder != fixture.server.settings.NodeName || command.Role != roleplanner.Prefill || command.Address == "" {
+			fixture.Fatalf("%+v", command)
 		}
 	}
-	s.becomeOwner(7)
-	before := len(orders)
-	s.run(lease)
-	if after := s.workers.commands(); len(after) != before {
-		s.Fatalf("%d orders within the lease of the term before", len(after)-before)
+	fixture.becomeOwner(7)
+	before := len(commands)
+	fixture.run(lease)
+	if after := fixture.workers.commands(); len(after) != before {
+		fixture.Fatalf("%d commands within the lease of the earlier term", len(after)-before)
 	}
 }
 
 func TestServer_PlanShardRoles_ownerWithoutQuorumContactSendsNothing(t *testing.T) {
-	s := newRolePlannerFixture(t)
+	fixture := newRolePlannerFixture(t)
 	status := leaderStatus()
 	status.ConfirmedAge = 2 * currentMaxAge
-	s.group.set(status)
-	s.run(20 * time.Second)
-	if orders := s.workers.commands(); len(orders) != 0 {
-		s.Fatalf("%+v", orders)
+	fixture.group.set(status)
+	fixture.run(20 * time.Second)
+	if commands := fixture.workers.commands(); len(commands) != 0 {
+		fixture.Fatalf("%+v", commands)
 	}
 }
 
 func TestServer_PlanShardRoles_nonOwnerSendsNothing(t *testing.T) {
-	s := newRolePlannerFixture(t)
-	s.run(5 * time.Second)
-	before := len(s.workers.commands())
-	s.group.set(followerStatus("b"))
-	s.server.registryMachine(s.id).setLeaderTerm(0)
-	s.run(20 * time.Second)
-	if after := len(s.workers.commands()); after != before || s.roles.term != 0 {
-		s.Fatalf("%d orders", after-before)
+	fixture := newRolePlannerFixture(t)
+	fixture.run(5 * time.Second)
+	before := len(fixture.workers.commands())
+	fixture.group.set(followerStatus("b"))
+	fixture.server.registryMachine(fixture.id).setLeaderTerm(0)
+	fixture.run(20 * time.Second)
+	if after := len(fixture.workers.commands()); after != before || fixture.roles.term != 0 {
+		fixture.Fatalf("%d commands", after-before)
 	}
 }
 
 func TestServer_PlanShardRoles_assignmentIsRecordedBeforeCommand(t *testing.T) {
-	s := newRolePlannerFixture(t)
+	fixture := newRolePlannerFixture(t)
 	early := 0
-	s.workers.before = func(order RoleCommand) {
-		if s.server.registryMachine(s.id).store.Instance(order.Instance).Assigned != order.Role {
+	fixture.workers.before = func(command RoleCommand) {
+		if fixture.server.registryMachine(fixture.id).store.Instance(command.Instance).Assigned != command.Role {
 			early++
 		}
 	}
-	s.run(6 * time.Second)
-	if len(s.workers.commands()) == 0 || early > 0 {
-		s.Fatalf("%d of %d orders came before their record", early, len(s.workers.commands()))
+	fixture.run(6 * time.Second)
+	if len(fixture.workers.commands()) == 0 || early > 0 {
+		fixture.Fatalf("%d of %d commands came before their record", early, len(fixture.workers.commands()))
 	}
 }
 
 func TestServer_PlanShardRoles_completedTransitionIsRecordedWithoutHeartbeat(t *testing.T) {
-	s := newRolePlannerFixture(t)
-	s.run(6 * time.Second)
-	if s.workers.asked == 0 {
-		s.Fatal("no worker was asked")
-	}
-	s.workers.stages = map[string]string{}
-	for _, order := range s.workers.commands() {
-		s.workers.stages[order.Instance] = roleplanner.Prefill
-	}
-	s.run(time.Second)
-	for id := range s.workers.stages {
-		if stage := s.server.registryMachine(s.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
-			s.Fatalf("%s is recorded as %s", id, stage)
+	fixture := newRolePlannerFixture(t)
+	fixture.run(6 * time.Second)
+	if fixture.workers.polls == 0 {
+		fixture.Fatal("no worker was polled")
+	}
+	fixture.workers.roles = map[string]string{}
+	for _, command := range fixture.workers.commands() {
+		fixture.workers.roles[command.Instance] = roleplanner.Prefill
+	}
+	fixture.run(time.Second)
+	for id := range fixture.workers.roles {
+		if stage := fixture.server.registryMachine(fixture.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
+			fixture.Fatalf("%s is recorded as %s", id, stage)
 		}
 	}
 }
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -127,4 +127,5 @@
 	return ctx
 }
 
-var change = shardRequest{Kind: callReplace, Shard: shards.ConfigurationShard, Body: []byte("{}")}
+// replaceRequest is any request to the configuration shard.
+var replaceRequest = shardRequest{Kind: callReplace, Shard: shards.ConfigurationShard, Body: []byte("{}")}
--- a/internal/controlplane/server/shard_owner_test.go
+++ b/internal/controlplane/server/shard_owner_test.go
@@ -35,7 +35,7 @@
 		t.Run(one.name, func(t *testing.T) {
 			s, groups, _ := newScriptedServer(t)
 			groups[0].propose = func() (any, error) { return one.result, one.err }
-			reply := s.execute(timeoutContext(t), change)
+			reply := s.execute(timeoutContext(t), replaceRequest)
 			if reply.Status != one.status || reply.NotOwner != (one.status == 0) || reply.Leader != one.leader {
 				t.Fatalf("%+v", reply)
 			}
--- a/internal/controlplane/server/worker_client_test.go
+++ b/internal/controlplane/server/worker_client_test.go
@@ -28,11 +28,11 @@
 
 func newTestWorkerClient(t *testing.T) *httpWorkerClient {
 	t.Helper()
-	caller, err := newHTTPWorkerClient()
+	client, err := newHTTPWorkerClient()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return caller
+	return client
 }
 
 func commandContext(t *testing.T, limit time.Duration) context.Context {
@@ -42,30 +42,30 @@
 }
 
 func TestHTTPWorkerClient_SendRoleCommand_namesHolderAndTarget(t *testing.T) {
-	var told roleCommandBody
+	var received roleCommandBody
 	var path, instance string
 	address, calls := startFakeWorker(t, func(w http.ResponseWriter, r *http.Request) {
 		path, instance = r.Method+" "+r.URL.Path, r.Header.Get(headerInstance)
 		body, _ := io.ReadAll(r.Body)
-		if err := json.Unmarshal(body, &told); err != nil {
+		if err := json.Unmarshal(body, &received); err != nil {
 			t.Error(err)
 		}
 		w.WriteHeader(http.StatusAccepted)
 	})
-	order := RoleCommand{Instance: "i-1", Address: address, Role: roleplanner.Prefill, LeaseHolder: "core-1", FencingToken: 41}
-	if status := newTestWorkerClient(t).SendRoleCommand(commandContext(t, workerCommandTimeout), order); status != http.StatusAccepted {
+	command := RoleCommand{Instance: "i-1", Address: address, Role: roleplanner.Prefill, LeaseHolder: "core-1", FencingToken: 41}
+	if status := newTestWorkerClient(t).SendRoleCommand(commandContext(t, workerCommandTimeout), command); status != http.StatusAccepted {
 		t.Fatal(status)
 	}
 	expected := roleCommandBody{Operation: "stage", Role: "prefill", LeaseHolder: "core-1", FencingToken: 41}
-	if path != "POST /-/order" || instance != "i-1" || told != expected || calls.Load() != 1 {
-		t.Fatalf("%s to %s: %+v, %d calls", path, instance, told, calls.Load())
+	if path != "POST /-/order" || instance != "i-1" || received != expected || calls.Load() != 1 {
+		t.Fatalf("%s to %s: %+v, %d calls", path, instance, received, calls.Load())
 	}
 }
 
 func TestHTTPWorkerClient_SendRoleCommand_unansweredIsSentOnce(t *testing.T) {
 	release := make(chan struct{})
-	silent, asked := startFakeWorker(t, func(http.ResponseWriter, *http.Request) { <-release })
-	cut, broken := startFakeWorker(t, func(w http.ResponseWriter, _ *http.Request) {
+	unresponsive, unresponsiveCalls := startFakeWorker(t, func(http.ResponseWriter, *http.Request) { <-release })
+	aborting, abortedCalls := startFakeWorker(t, func(w http.ResponseWriter, _ *http.Request) {
 		connection, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			t.Error(err)
@@ -74,15 +74,15 @@
 		_ = connection.Close()
 	})
 	defer close(release)
-	caller := newTestWorkerClient(t)
-	for _, address := range []string{silent, cut} {
-		order := RoleCommand{Instance: "i-1", Address: address, Role: roleplanner.Decode}
-		if status := caller.SendRoleCommand(commandContext(t, 100*time.Millisecond), order); status != 0 {
+	client := newTestWorkerClient(t)
+	for _, address := range []string{unresponsive, aborting} {
+		command := RoleCommand{Instance: "i-1", Address: address, Role: roleplanner.Decode}
+		if status := client.SendRoleCommand(commandContext(t, 100*time.Millisecond), command); status != 0 {
 			t.Errorf("status %d of no answer", status)
 		}
 	}
-	if asked.Load() != 1 || broken.Load() != 1 {
-		t.Fatalf("sent %d and %d times", asked.Load(), broken.Load())
+	if unresponsiveCalls.Load() != 1 || abortedCalls.Load() != 1 {
+		t.Fatalf("sent %d and %d times", unresponsiveCalls.Load(), abortedCalls.Load())
 	}
 }
 
