--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -217,9 +217,9 @@
 // size returns the approximate number of bytes of the rendered document.
 func (d *document) size() int {
 	total := 0
-	for _, part := range d.members {
-		total += len(part.name) + len(part.raw)
-		for _, entry := range part.items {
+	for _, member := range d.members {
+		total += len(member.name) + len(member.raw)
+		for _, entry := range member.items {
 			total += len(entry.raw)
 		}
 	}
@@ -230,22 +230,22 @@
 func (d *document) render() []byte {
 	var encoder jx.Encoder
 	encoder.Obj(func(encoder *jx.Encoder) {
-		for _, part := range d.members {
-			encoder.FieldStart(part.name)
-			renderMember(encoder, part)
+		for _, member := range d.members {
+			encoder.FieldStart(member.name)
+			renderMember(encoder, member)
 		}
 	})
 	return encoder.Bytes()
 }
 
 // renderMember writes the value of one member.
-func renderMember(encoder *jx.Encoder, part member) {
-	if !part.isItemList {
-		encoder.Raw(part.raw)
+func renderMember(encoder *jx.Encoder, source member) {
+	if !source.isItemList {
+		encoder.Raw(source.raw)
 		return
 	}
 	encoder.Arr(func(encoder *jx.Encoder) {
-		for _, entry := range part.items {
+		for _, entry := range source.items {
 			encoder.Raw(entry.raw)
 		}
 	})
--- a/internal/controlplane/configuration/document_update.go
+++ b/internal/controlplane/configuration/document_update.go
@@ -112,8 +112,8 @@
 	for _, deleted := range u.removals {
 		after.remove(deleted)
 	}
-	for _, part := range u.upserts {
-		if rejection := after.upsert(part); rejection != nil {
+	for _, upserted := range u.upserts {
+		if rejection := after.upsert(upserted); rejection != nil {
 			return nil, rejection
 		}
 	}
@@ -148,20 +148,20 @@
 }
 
 // upsert merges a list of named items into the document's list, and replaces any other member.
-func (d *document) upsert(part member) *Rejection {
-	existing := findMember(d.members, part.name)
+func (d *document) upsert(upserted member) *Rejection {
+	existing := findMember(d.members, upserted.name)
 	if existing == nil {
-		d.members = append(d.members, part)
+		d.members = append(d.members, upserted)
 		return nil
 	}
-	if existing.isItemList && len(existing.items) > 0 && !part.isItemList && jx.Raw(part.raw).Type() == jx.Array {
-		return reject(CodeMissingField, "name of an item of "+part.name)
+	if existing.isItemList && len(existing.items) > 0 && !upserted.isItemList && jx.Raw(upserted.raw).Type() == jx.Array {
+		return reject(CodeMissingField, "name of an item of "+upserted.name)
 	}
-	if !existing.isItemList || !part.isItemList {
-		*existing = part
+	if !existing.isItemList || !upserted.isItemList {
+		*existing = upserted
 		return nil
 	}
-	existing.items = merge(existing.items, part.items)
+	existing.items = merge(existing.items, upserted.items)
 	return nil
 }
 
