--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -186,8 +186,8 @@
 // unusualZones describes the zones that are not fully active.
 func unusualZones(table *commands.Table) (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(table.Zones)) {
-		if z := table.Zones[name]; z.Phase != commands.PhaseActive || len(z.UnreachableFrom) > 0 {
-			out = append(out, name+" "+z.Phase.String())
+		if state := table.Zones[name]; state.Phase != commands.PhaseActive || len(state.UnreachableFrom) > 0 {
+			out = append(out, name+" "+state.Phase.String())
 		}
 	}
 	return out
@@ -208,14 +208,14 @@
 	}
 	a.refreshedAt = now
 	startTimeout := a.startTimeout()
-	for _, s := range a.steps {
-		if s.started == 0 && !s.timedOut && now-s.sentAt > startTimeout {
-			s.timedOut = true
-			a.follower.Monitor().RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{TimedOut: 1})
+	for _, step := range a.steps {
+		if step.started == 0 && !step.timedOut && now-step.sentAt > startTimeout {
+			step.timedOut = true
+			a.follower.Monitor().RecordOutcome(now, step.sentAt, step.zone, health.StepCounts{TimedOut: 1})
 		}
 	}
-	for _, z := range a.dispatcher.Zones() {
-		a.follower.Monitor().SetCapacity(now, a.zoneName(z.Zone), z.Slots, z.WarmupDeficit)
+	for _, zone := range a.dispatcher.Zones() {
+		a.follower.Monitor().SetCapacity(now, a.zoneName(zone.Zone), zone.Slots, zone.WarmupDeficit)
 	}
 	a.applyShares()
 }
@@ -247,7 +247,7 @@
 	for i, zone := range a.config.Zones {
 		shares[i] = byZone[zone]
 		unrestricted = unrestricted && shares[i] == 1
-		if z := a.follower.Table().Zone(zone); a.leased && z.Phase == commands.PhaseEvacuated && z.Failures > 0 {
+		if state := a.follower.Table().Zone(zone); a.leased && state.Phase == commands.PhaseEvacuated && state.Failures > 0 {
 			failed = append(failed, i)
 		}
 	}
@@ -286,52 +286,52 @@
 
 // StepStarted records that a step started to run.
 func (a *Agent) StepStarted(ref slottable.Handle) {
-	s := a.steps[ref]
-	if s == nil || s.started > 0 {
+	step := a.steps[ref]
+	if step == nil || step.started > 0 {
 		return
 	}
-	s.started = a.loop.Now()
-	a.learnStartWait(s.started - s.sentAt)
+	step.started = a.loop.Now()
+	a.learnStartWait(step.started - step.sentAt)
 }
 
 // learnStartWait adds a wait to the moving average.
 func (a *Agent) learnStartWait(wait time.Duration) {
-	w := min(wait, 4*startTimeoutBase).Seconds() // one long wait must not raise the time-out much
-	a.meanStartWait += (w - a.meanStartWait) / startWaitSamples
+	seconds := min(wait, 4*startTimeoutBase).Seconds() // one long wait must not raise the time-out much
+	a.meanStartWait += (seconds - a.meanStartWait) / startWaitSamples
 }
 
 // StepEnded records the outcome of a step.
 func (a *Agent) StepEnded(ref slottable.Handle, outcome balance.Outcome) {
-	s := a.steps[ref]
-	if s == nil {
+	step := a.steps[ref]
+	if step == nil {
 		return
 	}
 	delete(a.steps, ref)
 	now := a.loop.Now()
 	monitor := a.follower.Monitor()
-	startedAt := s.started
+	startedAt := step.started
 	if startedAt == 0 {
-		startedAt = s.sentAt
+		startedAt = step.sentAt
 	}
 	switch outcome {
 	case balance.Served:
 		counts := health.StepCounts{Succeeded: 1}
-		class := a.config.Classes[s.class]
-		if run := now - startedAt; now-s.sentAt-time.Duration(class.TargetStretch*float64(run)) > class.LatencyTarget {
+		class := a.config.Classes[step.class]
+		if run := now - startedAt; now-step.sentAt-time.Duration(class.TargetStretch*float64(run)) > class.LatencyTarget {
 			counts.Late = 1
 		}
-		if s.started == 0 && !a.config.ReportsStart {
-			a.learnStartWait(now - s.sentAt)
+		if step.started == 0 && !a.config.ReportsStart {
+			a.learnStartWait(now - step.sentAt)
 		}
-		monitor.RecordWork(now, s.zone, s.class, (now-startedAt).Seconds()*s.slots)
-		monitor.RecordOutcome(now, s.sentAt, s.zone, counts)
+		monitor.RecordWork(now, step.zone, step.class, (now-startedAt).Seconds()*step.slots)
+		monitor.RecordOutcome(now, step.sentAt, step.zone, counts)
 	case balance.Full:
-		monitor.RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{Succeeded: 1}) // a rejection shows that the worker is alive
+		monitor.RecordOutcome(now, step.sentAt, step.zone, health.StepCounts{Succeeded: 1}) // a rejection shows that the worker is alive
 	case balance.Errored, balance.ConnectFailed, balance.Reset:
-		monitor.RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{Failed: 1})
+		monitor.RecordOutcome(now, step.sentAt, step.zone, health.StepCounts{Failed: 1})
 	case balance.TimedOut:
-		if s.started == 0 && !s.timedOut {
-			monitor.RecordOutcome(now, s.sentAt, s.zone, health.StepCounts{TimedOut: 1})
+		if step.started == 0 && !step.timedOut {
+			monitor.RecordOutcome(now, step.sentAt, step.zone, health.StepCounts{TimedOut: 1})
 		}
 	}
 }
--- a/internal/node/zones/follower/follower.go
+++ b/internal/node/zones/follower/follower.go
@@ -144,14 +144,14 @@
 
 // applyTable replaces the table. Observations of a zone whose share changes are reset: they were made
 // under another load.
-func (f *Follower) applyTable(now time.Duration, t commands.Table) {
-	before := map[string]float64{}
-	for zone := range t.Zones {
-		before[zone] = f.assignedShare(zone)
+func (f *Follower) applyTable(now time.Duration, table commands.Table) {
+	shares := map[string]float64{}
+	for zone := range table.Zones {
+		shares[zone] = f.assignedShare(zone)
 	}
-	f.table = t
-	for zone, was := range before {
-		if f.assignedShare(zone) != was {
+	f.table = table
+	for zone, shareBefore := range shares {
+		if f.assignedShare(zone) != shareBefore {
 			f.monitor.Reset(now, zone)
 		}
 	}
@@ -207,12 +207,12 @@
 		}
 	}
 	largest := 0.0
-	for _, v := range out {
-		largest = max(largest, v)
+	for _, share := range out {
+		largest = max(largest, share)
 	}
-	for zone, v := range out {
+	for zone, share := range out {
 		if largest > 0 {
-			out[zone] = v / largest
+			out[zone] = share / largest
 		} else {
 			out[zone] = 1
 		}
@@ -222,33 +222,33 @@
 
 // assignedShare returns the share that the table assigns this process in a zone.
 func (f *Follower) assignedShare(zone string) float64 {
-	z := f.table.Zone(zone)
-	if slices.Contains(z.UnreachableFrom, f.zone) {
-		if f.selectedToProbe(zone, z) {
+	state := f.table.Zone(zone)
+	if slices.Contains(state.UnreachableFrom, f.zone) {
+		if f.selectedToProbe(zone, state) {
 			return f.settings.InitialShare
 		}
 		return 0
 	}
-	switch z.Phase {
+	switch state.Phase {
 	case commands.PhaseEvacuated:
 		return 0
 	case commands.PhaseProbing:
-		if !f.selectedToProbe(zone, z) {
+		if !f.selectedToProbe(zone, state) {
 			return 0
 		}
 	}
-	return z.Share
+	return state.Share
 }
 
 // selectedToProbe reports whether this process is one of the few that probe a zone. Each process
 // decides alone by a hash of its name; each new state of the zone selects others.
-func (f *Follower) selectedToProbe(zone string, z commands.ZoneState) bool {
-	h := fnv.New64a()
-	for _, s := range []string{f.name, "\x00", zone, "\x00"} {
-		_, _ = h.Write([]byte(s))
+func (f *Follower) selectedToProbe(zone string, state commands.ZoneState) bool {
+	hash := fnv.New64a()
+	for _, part := range []string{f.name, "\x00", zone, "\x00"} {
+		_, _ = hash.Write([]byte(part))
 	}
-	x := splitmix64(h.Sum64() ^ splitmix64(z.SinceEpoch))
-	return float64(x>>11)/(1<<53) < z.ProbeFraction
+	x := splitmix64(hash.Sum64() ^ splitmix64(state.SinceEpoch))
+	return float64(x>>11)/(1<<53) < state.ProbeFraction
 }
 
 // splitmix64 is the finalizer of the splitmix64 generator.
--- a/internal/node/zones/health/health.go
+++ b/internal/node/zones/health/health.go
@@ -36,12 +36,12 @@
 }
 
 // Add adds other's counts.
-func (c *StepCounts) Add(o StepCounts) {
-	c.Sent += o.Sent
-	c.Succeeded += o.Succeeded
-	c.Late += o.Late
-	c.Failed += o.Failed
-	c.TimedOut += o.TimedOut
+func (c *StepCounts) Add(other StepCounts) {
+	c.Sent += other.Sent
+	c.Succeeded += other.Succeeded
+	c.Late += other.Late
+	c.Failed += other.Failed
+	c.TimedOut += other.TimedOut
 }
 
 // Completed returns the number of steps with a known end.
@@ -75,18 +75,18 @@
 }
 
 // Add merges another observation of the same zone.
-func (s *Observation) Add(o Observation) {
-	s.StepCounts.Add(o.StepCounts)
-	s.Observers += o.Observers
-	s.FailingObservers += o.FailingObservers
-	s.RecentSteps += o.RecentSteps
-	s.Slots = max(s.Slots, o.Slots)
-	s.WarmupDeficit = max(s.WarmupDeficit, o.WarmupDeficit)
-	for len(s.WorkRate) < len(o.WorkRate) {
+func (s *Observation) Add(other Observation) {
+	s.StepCounts.Add(other.StepCounts)
+	s.Observers += other.Observers
+	s.FailingObservers += other.FailingObservers
+	s.RecentSteps += other.RecentSteps
+	s.Slots = max(s.Slots, other.Slots)
+	s.WarmupDeficit = max(s.WarmupDeficit, other.WarmupDeficit)
+	for len(s.WorkRate) < len(other.WorkRate) {
 		s.WorkRate = append(s.WorkRate, 0)
 	}
-	for i, w := range o.WorkRate {
-		s.WorkRate[i] += w
+	for i, rate := range other.WorkRate {
+		s.WorkRate[i] += rate
 	}
 }
 
@@ -94,12 +94,12 @@
 type Observations map[string]Observation
 
 // Add merges other observations.
-func (s Observations) Add(o Observations) {
-	for zone, of := range o {
-		at := s[zone]
-		at.WorkRate = slices.Clone(at.WorkRate)
-		at.Add(of)
-		s[zone] = at
+func (s Observations) Add(other Observations) {
+	for zone, observed := range other {
+		merged := s[zone]
+		merged.WorkRate = slices.Clone(merged.WorkRate)
+		merged.Add(observed)
+		s[zone] = merged
 	}
 }
 
@@ -113,23 +113,23 @@
 }
 
 // Add merges another digest.
-func (d Digest) Add(o Digest) {
-	for zone, from := range o {
+func (d Digest) Add(other Digest) {
+	for zone, from := range other {
 		d.add(zone, from.Processes, from.Observations)
 	}
 }
 
 // AddProcess merges the observations of one process that runs in a zone.
-func (d Digest) AddProcess(zone string, s Observations) { d.add(zone, 1, s) }
+func (d Digest) AddProcess(zone string, observations Observations) { d.add(zone, 1, observations) }
 
-func (d Digest) add(zone string, processes float64, s Observations) {
-	at := d[zone]
-	if at.Observations == nil {
-		at.Observations = Observations{}
+func (d Digest) add(zone string, processes float64, observations Observations) {
+	merged := d[zone]
+	if merged.Observations == nil {
+		merged.Observations = Observations{}
 	}
-	at.Processes += processes
-	at.Observations.Add(s)
-	d[zone] = at
+	merged.Processes += processes
+	merged.Observations.Add(observations)
+	d[zone] = merged
 }
 
 // bucket holds the counts of one bucketLength of the window.
@@ -156,22 +156,22 @@
 }
 
 // assess returns the number of recent steps judged by, and whether they show the zone healthy or failing.
-func (s *zoneWindow) assess(now time.Duration) (n float64, good, bad bool) {
+func (w *zoneWindow) assess(now time.Duration) (steps float64, healthy, failing bool) {
 	for _, span := range [...]time.Duration{freshStepAge, maxStepAge} {
 		failed := 0.0
-		for _, l := range s.recent {
-			if l.at > 0 && now-l.at <= span {
-				n++
-				if l.failed {
+		for _, ended := range w.recent {
+			if ended.at > 0 && now-ended.at <= span {
+				steps++
+				if ended.failed {
 					failed++
 				}
 			}
 		}
-		if n > 0 {
-			bad = failed >= failingRatio*n
+		if steps > 0 {
+			failing = failed >= failingRatio*steps
 			// Old successes prove nothing about now; old failures may be the reason that nothing
 			// has been sent since.
-			return n, !bad && span == freshStepAge, bad
+			return steps, !failing && span == freshStepAge, failing
 		}
 	}
 	return 0, false, false
@@ -190,114 +190,114 @@
 	return &Monitor{classes: classes, startedAt: now, zones: map[string]*zoneWindow{}}
 }
 
-func (e *Monitor) bucketAt(now time.Duration, zone string) *bucket {
-	s := e.zones[zone]
-	if s == nil {
-		s = &zoneWindow{}
-		e.zones[zone] = s
+func (m *Monitor) bucketAt(now time.Duration, zone string) *bucket {
+	window := m.zones[zone]
+	if window == nil {
+		window = &zoneWindow{}
+		m.zones[zone] = window
 	}
-	n := int64(now / bucketLength)
-	at := &s.buckets[n%bucketCount]
-	if at.number != n || at.work == nil {
-		work := at.work
+	number := int64(now / bucketLength)
+	current := &window.buckets[number%bucketCount]
+	if current.number != number || current.work == nil {
+		work := current.work
 		if work == nil {
-			work = make([]float64, e.classes)
+			work = make([]float64, m.classes)
 		}
 		clear(work)
-		*at = bucket{number: n, work: work}
+		*current = bucket{number: number, work: work}
 	}
-	return at
+	return current
 }
 
 // RecordSent records a step sent, and the slot-seconds that it will take.
-func (e *Monitor) RecordSent(now time.Duration, zone string, class int, work float64) {
-	at := e.bucketAt(now, zone)
-	at.counts.Sent++
-	if class >= 0 && class < len(at.work) {
-		at.work[class] += work
+func (m *Monitor) RecordSent(now time.Duration, zone string, class int, work float64) {
+	current := m.bucketAt(now, zone)
+	current.counts.Sent++
+	if class >= 0 && class < len(current.work) {
+		current.work[class] += work
 	}
 }
 
 // RecordWork adds slot-seconds of work that are known only when a step has ended.
-func (e *Monitor) RecordWork(now time.Duration, zone string, class int, work float64) {
-	if at := e.bucketAt(now, zone); class >= 0 && class < len(at.work) {
-		at.work[class] += work
+func (m *Monitor) RecordWork(now time.Duration, zone string, class int, work float64) {
+	if current := m.bucketAt(now, zone); class >= 0 && class < len(current.work) {
+		current.work[class] += work
 	}
 }
 
 // RecordOutcome records the end of a step that was sent to a zone at the given time. It is ignored if
 // the zone was reset after the step was sent.
-func (e *Monitor) RecordOutcome(now, sent time.Duration, zone string, c StepCounts) {
-	at := e.bucketAt(now, zone)
-	s := e.zones[zone]
-	if sent < s.ignoreSentBefore {
+func (m *Monitor) RecordOutcome(now, sent time.Duration, zone string, counts StepCounts) {
+	current := m.bucketAt(now, zone)
+	window := m.zones[zone]
+	if sent < window.ignoreSentBefore {
 		return
 	}
-	at.counts.Add(c)
-	if c.Completed() > 0 {
-		s.recent[s.next] = completedStep{now, c.FailureRatio() >= 0.5}
-		s.next = (s.next + 1) % recentStepCount
+	current.counts.Add(counts)
+	if counts.Completed() > 0 {
+		window.recent[window.next] = completedStep{now, counts.FailureRatio() >= 0.5}
+		window.next = (window.next + 1) % recentStepCount
 	}
 }
 
 // Reset discards the outcomes of all steps sent to a zone so far, also those that end later. The work
 // sent there is kept.
-func (e *Monitor) Reset(now time.Duration, zone string) {
-	if s := e.zones[zone]; s != nil {
-		s.ignoreSentBefore, s.recent = now, [recentStepCount]completedStep{}
-		for i := range s.buckets {
-			s.buckets[i].counts = StepCounts{}
+func (m *Monitor) Reset(now time.Duration, zone string) {
+	if window := m.zones[zone]; window != nil {
+		window.ignoreSentBefore, window.recent = now, [recentStepCount]completedStep{}
+		for i := range window.buckets {
+			window.buckets[i].counts = StepCounts{}
 		}
 	}
 }
 
 // SetCapacity records the slots of a zone's ready prep workers, and the capacity fraction lacking as
 // they warm up.
-func (e *Monitor) SetCapacity(now time.Duration, zone string, slots, warmupDeficit float64) {
-	e.bucketAt(now, zone)
-	s := e.zones[zone]
-	s.slots, s.warmupDeficit = slots, warmupDeficit
+func (m *Monitor) SetCapacity(now time.Duration, zone string, slots, warmupDeficit float64) {
+	m.bucketAt(now, zone)
+	window := m.zones[zone]
+	window.slots, window.warmupDeficit = slots, warmupDeficit
 }
 
 // Observe returns the observation of a zone over the window.
-func (e *Monitor) Observe(now time.Duration, zone string) Observation {
+func (m *Monitor) Observe(now time.Duration, zone string) Observation {
 	var out Observation
-	s := e.zones[zone]
-	if s == nil {
+	window := m.zones[zone]
+	if window == nil {
 		return out
 	}
-	out.Slots, out.WarmupDeficit = s.slots, s.warmupDeficit
-	n := int64(now / bucketLength)
-	out.WorkRate = make([]float64, e.classes)
-	for k := n; k > n-bucketCount && k >= 0; k-- {
-		at := &s.buckets[k%bucketCount]
-		if at.work == nil || at.number != k {
+	out.Slots, out.WarmupDeficit = window.slots, window.warmupDeficit
+	newest := int64(now / bucketLength)
+	out.WorkRate = make([]float64, m.classes)
+	for number := newest; number > newest-bucketCount && number >= 0; number-- {
+		recorded := &window.buckets[number%bucketCount]
+		if recorded.work == nil || recorded.number != number {
 			continue
 		}
-		out.StepCounts.Add(at.counts)
-		for c, w := range at.work {
-			out.WorkRate[c] += w
+		out.StepCounts.Add(recorded.counts)
+		for class, work := range recorded.work {
+			out.WorkRate[class] += work
 		}
 	}
-	span := min(Window, max(now-e.startedAt, bucketLength)).Seconds()
-	for c := range out.WorkRate {
-		out.WorkRate[c] /= span
+	span := min(Window, max(now-m.startedAt, bucketLength)).Seconds()
+	for class := range out.WorkRate {
+		out.WorkRate[class] /= span
 	}
-	last, good, bad := s.assess(now)
-	if out.RecentSteps = last; good || bad {
+	steps, healthy, failing := window.assess(now)
+	if out.RecentSteps = steps; healthy || failing {
 		out.Observers = 1
 	}
-	if bad {
+	if failing {
 		out.FailingObservers = 1
 	}
 	return out
 }
 
 // Observations returns the observations of all zones over the window.
-func (e *Monitor) Observations(now time.Duration) Observations {
-	out := make(Observations, len(e.zones))
-	for zone := range e.zones {
-		out[zone] = e.Observe(now, zone)
+func (m *Monitor) Observations(now time.Duration) Observations {
+	out := make(Observations, len(m.zones))
+	for zone := range m.zones {
+		out[zone] = m.Observe(now, zone)
 	}
 	return out
 }
