--- a/coord/consensus/message.go
+++ b/coord/consensus/message.go
@@ -16,7 +16,7 @@
 	MessageHeartbeat                               // the leader asserts its term and passes its commit index
 	MessageHeartbeatReply                          // answers a heartbeat round
 	MessageInstallSnapshot                         // the leader replaces the receiver's log by a snapshot
-	MessageInstallSnapshotReply                    // acknowledges a snapshot, as MessageAppendEntriesReply does
+	MessageInstallSnapshotReply                    // handled as MessageAppendEntriesReply, which this version sends instead
 	MessageTimeoutNow                              // the leader asks the receiver to start an election at once
 )
 
