--- a/internal/dataplane/dispatch/deadline_test.go
+++ b/internal/dataplane/dispatch/deadline_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/dataplane/fleetview"
 	"ospreybend/internal/dataplane/selection"
 )
 
@@ -108,7 +109,7 @@
 func TestDispatcher_Serve_skipsDepartedWorker(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, r *testHarness) {
 		view := *r.view
-		view.Workers = map[string][]*catalogWorker{testService: {testWorker("d2")}}
+		view.Workers = map[string][]*fleetview.Worker{testService: {testWorker("d2")}}
 		r.dispatcher.SetView(&view)
 		r.chooser.offers("d1", "d2")
 		r.script("d2", respondsWith(200, "there", signed))
--- a/internal/dataplane/dispatch/harness_test.go
+++ b/internal/dataplane/dispatch/harness_test.go
@@ -374,11 +374,6 @@
 	return names
 }
 
-type (
-	catalogWorker = fleetview.Worker
-	ctxt          = context.Context
-)
-
 // setRoute applies the changed route to the view.
 func (r *testHarness) setRoute() { *r.view.MatchRoute(testHost, testPath) = *r.route }
 
--- a/internal/dataplane/dispatch/prefill_test.go
+++ b/internal/dataplane/dispatch/prefill_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreybend/internal/controlplane/configuration"
+	"ospreybend/internal/dataplane/fleetview"
 	"ospreybend/internal/dataplane/httpserver"
 	"ospreybend/internal/dataplane/selection"
 	"ospreybend/internal/dataplane/upstream"
@@ -207,7 +208,7 @@
 }
 
 func withLoad(inner script, running, waiting, slots int) script {
-	return func(ctx ctxt, call *upstream.Request) (*Response, *upstream.Failure) {
+	return func(ctx context.Context, call *upstream.Request) (*Response, *upstream.Failure) {
 		response, failure := inner(ctx, call)
 		response.Load = &upstream.Load{Running: running, Waiting: waiting, Slots: slots}
 		return response, failure
@@ -277,7 +278,7 @@
 		r.script("p1", after(50*time.Millisecond, givesHandle("h1")))
 		r.script("d2", streams(1, 1, nil))
 		view := *r.view
-		view.Workers = map[string][]*catalogWorker{testService: {testWorker("d2"), testWorker("p1")}}
+		view.Workers = map[string][]*fleetview.Worker{testService: {testWorker("d2"), testWorker("p1")}}
 		time.AfterFunc(20*time.Millisecond, func() { r.dispatcher.SetView(&view) })
 		r.ask(nil).mustBe(t, 200, texts(1, 1))
 		if r.workersCalled() != "p1 d2 " || r.calls[1].field(fieldKVFrom) != "p1:80/h1" {
--- a/internal/dataplane/dispatch/retry.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -11,8 +11,9 @@
 //   - after a run that may have executed it, only where retryAllowed reports so (afterFailedRun);
 //   - while a run or a prefill still hangs, only where mayRetryRun or mayRetryPrefill grants it.
 //
-// Each run is also an attempt: attemptQuota bounds them by the route's maxAttempts, and all but the first
-// are paid for from the service's retry budget (package retrybudget).
+// Each run that reaches a worker is an attempt: attemptQuota bounds them by the route's maxAttempts, and all
+// but the first are paid for from the service's retry budget (package retrybudget). A run of which nothing
+// was sent keeps its reservation for the next one.
 
 // retryAllowed reports whether the request may be executed more than once: if it is idempotent, or a
 // resumable stream that another worker can continue after the last event sent.
--- a/internal/dataplane/dispatch/run_test.go
+++ b/internal/dataplane/dispatch/run_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"context"
 	"net/http"
 	"testing"
 	"time"
@@ -172,7 +173,7 @@
 
 // toEnd removes the length from a worker's response.
 func toEnd(then script) script {
-	return func(ctx ctxt, call *upstream.Request) (*Response, *upstream.Failure) {
+	return func(ctx context.Context, call *upstream.Request) (*Response, *upstream.Failure) {
 		response, failure := then(ctx, call)
 		response.UntilClose = true
 		return response, failure
@@ -309,7 +310,7 @@
 func TestDispatcher_Serve_idempotentIsRetriedAfterAnyFailure(t *testing.T) {
 	for name, first := range map[string]script{
 		"broken": breaksConnection(), "own error": respondsWith(500, "mine", signed), "unsigned": respondsWith(200, "", nil),
-		"unclear promise": respondsWith(503, "busy", nil),
+		"ambiguous 503": respondsWith(503, "busy", nil),
 	} {
 		t.Run(name, func(t *testing.T) {
 			withFakeClock(t, func(t *testing.T, r *testHarness) {
--- a/internal/dataplane/retrybudget/doc.go
+++ b/internal/dataplane/retrybudget/doc.go
@@ -1,5 +1,5 @@
-// Package retrybudget bounds the retries and second calls that a node makes to a service beyond the first
-// call of each client request, so that retries cannot multiply an overload.
+// Package retrybudget bounds the calls that a node makes to a service beyond the first of each client
+// request, so that retries cannot multiply an overload.
 //
 // The rule holds for all nodes of a fleet together: within any window of Rules.Window they make at most
 // Rules.Ratio times the requests of the service, plus Rules.Slack such calls. Nodes do not exchange what
