--- a/coord/consensus/membership_test.go
+++ b/coord/consensus/membership_test.go
@@ -91,3 +91,76 @@
 		t.Fatalf("promotion of a learner without contact: %v", err)
 	}
 }
+
+func TestNode_ChangeMembers_removedLeaderStepsDownAfterCommit(t *testing.T) {
+	g := newTestGroup(t, 1, 2, 3)
+	leader := g.elect()
+	first := g.leader()
+	g.run(testElection)
+	g.change(MembershipChange{Remove: first})
+	if leader.Status().Role == RoleLeader || leader.NextTick() != NoTick {
+		t.Fatalf("the removed leader is still active: %+v", leader.Status())
+	}
+	if g.leader() == 0 {
+		t.Fatal("no new leader")
+	}
+	g.propose("a")
+	for _, id := range g.others(first) {
+		g.wantApplied(id, "a")
+	}
+}
+
+func TestNode_ChangeMembers_removedMemberLearnsOfItsRemoval(t *testing.T) {
+	g := newTestGroup(t, 1, 2, 3)
+	g.elect()
+	g.run(testElection)
+	removed := g.others(g.leader())[0]
+	g.change(MembershipChange{Remove: removed})
+	if members := g.members[removed].node.Status().Members; len(members) != 2 {
+		t.Fatalf("members %v", members)
+	}
+	g.run(4 * testElection)
+	if status := g.members[removed].node.Status(); status.Role != RoleFollower {
+		t.Fatalf("the removed member starts an election: %+v", status)
+	}
+}
+
+func TestNode_Tick_memberWithUncommittedRemovalMayCampaign(t *testing.T) {
+	stored := persistedLog(2)
+	stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(2, 3)
+	n := newRuleNode(t, stored)
+	if n.NextTick() == NoTick {
+		t.Fatal("never starts an election")
+	}
+	n.now = n.NextTick()
+	n.Tick(n.now)
+	if !containsMessage(n.Ready().Messages, MessagePreVote, 2) {
+		t.Fatal("sends no pre-vote")
+	}
+}
+
+func TestNode_ChangeMembers_rejectsInvalidChanges(t *testing.T) {
+	g := newTestGroup(t, 1, 2, 3)
+	leader := g.elect()
+	g.run(testElection)
+	first := g.leader()
+	others := g.others(first)
+	for name, change := range map[string]MembershipChange{
+		"voter at once":        {Add: &Member{ID: 9, Voter: true}},
+		"no ID":                {Add: &Member{}},
+		"two changes":          {Add: &Member{ID: 9}, Remove: others[0]},
+		"last reachable voter": {Remove: first},
+	} {
+		if name == "last reachable voter" {
+			g.members[others[0]].stopped, g.members[others[1]].stopped = true, true
+			g.now += testElection * 9 / 10
+			leader.leader.electedAt = g.now
+			g.now += testElection / 2
+		}
+		if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
+			t.Errorf("%s: %v", name, err)
+		}
+		g.members[others[0]].stopped, g.members[others[1]].stopped = false, false
+		g.run(2 * testHeartbeat)
+	}
+}
