--- a/coord/consensus/election_test.go
+++ b/coord/consensus/election_test.go
@@ -8,22 +8,24 @@
 
 func TestNode_Step_votesAreIgnoredWithinLeaderLease(t *testing.T) {
 	for name, test := range map[string]struct {
-		pause  time.Duration
-		forced bool
-		want   bool
+		sinceContact time.Duration
+		transfer     bool
+		wantVote     bool
 	}{
-		"lease valid":      {pause: testElection / 2},
-		"lease expired":    {pause: testElection, want: true},
-		"planned transfer": {pause: testElection / 2, forced: true, want: true},
+		"lease valid":         {sinceContact: testElection / 2},
+		"lease expired":       {sinceContact: testElection, wantVote: true},
+		"leadership transfer": {sinceContact: testElection / 2, transfer: true, wantVote: true},
 	} {
-		n := newRuleNode(t, persistedLog())
-		n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 3})
-		n.persistAll()
-		n.now = test.pause
-		n.step(Message{Kind: MessageRequestVote, From: 3, Term: 4, LogIndex: 9, LogTerm: 3, LeadershipTransfer: test.forced})
-		if got := containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3); got != test.want {
-			t.Errorf("%s: voted %v", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			n := newRuleNode(t, persistedLog())
+			n.step(Message{Kind: MessageHeartbeat, From: 2, Term: 3})
+			n.persistAll()
+			n.now = test.sinceContact
+			n.step(Message{Kind: MessageRequestVote, From: 3, Term: 4, LogIndex: 9, LogTerm: 3, LeadershipTransfer: test.transfer})
+			if got := containsMessage(n.persistAll().Messages, MessageRequestVoteReply, 3); got != test.wantVote {
+				t.Errorf("voted: %t", got)
+			}
+		})
 	}
 }
 
--- a/coord/consensus/membership_test.go
+++ b/coord/consensus/membership_test.go
@@ -143,24 +143,34 @@
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	g.run(testElection)
-	first := g.leader()
-	others := g.others(first)
+	follower := g.others(g.leader())[0]
 	for name, change := range map[string]MembershipChange{
-		"voter at once":        {Add: &Member{ID: 9, Voter: true}},
-		"no ID":                {Add: &Member{}},
-		"two changes":          {Add: &Member{ID: 9}, Remove: others[0]},
-		"last reachable voter": {Remove: first},
+		"new member as a voter": {Add: &Member{ID: 9, Voter: true}},
+		"no ID":                 {Add: &Member{}},
+		"two changes":           {Add: &Member{ID: 9}, Remove: follower},
 	} {
-		if name == "last reachable voter" {
-			g.members[others[0]].stopped, g.members[others[1]].stopped = true, true
-			g.now += testElection * 9 / 10
-			leader.leader.electedAt = g.now
-			g.now += testElection / 2
-		}
-		if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
-			t.Errorf("%s: %v", name, err)
-		}
-		g.members[others[0]].stopped, g.members[others[1]].stopped = false, false
-		g.run(2 * testHeartbeat)
+		t.Run(name, func(t *testing.T) {
+			if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
+				t.Error(err)
+			}
+			g.run(2 * testHeartbeat)
+		})
+	}
+}
+
+// TestNode_ChangeMembers_requiresResponsiveMajority has a leader, which still leads, remove the only voter that
+// answers: itself.
+func TestNode_ChangeMembers_requiresResponsiveMajority(t *testing.T) {
+	g := newTestGroup(t, 1, 2, 3)
+	leader := g.elect()
+	g.run(testElection)
+	for _, id := range g.others(g.leader()) {
+		g.members[id].stopped = true
+	}
+	g.now += testElection * 9 / 10
+	leader.leader.electedAt = g.now // as if it had just been elected, so that it does not step down yet
+	g.now += testElection / 2
+	if err := leader.ChangeMembers(g.now, MembershipChange{Remove: g.leader()}); !errors.Is(err, ErrMembershipChange) {
+		t.Error(err)
 	}
 }
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -5,23 +5,25 @@
 	"testing"
 )
 
-func TestPersistedState_Check_rejectsInvalidState(t *testing.T) {
+func TestPersistedState_Check(t *testing.T) {
 	gap := persistedLog(2, 2)
 	gap.Entries = gap.Entries[1:]
-	falling := persistedLog(3, 2)
-	for name, stored := range map[string]PersistedState{
-		"gap":              gap,
-		"falling terms":    falling,
-		"without snapshot": {Entries: []Entry{{Term: 1, Index: 1}}},
+	for name, test := range map[string]struct {
+		state PersistedState
+		want  error
+	}{
+		"empty disk":       {},
+		"bootstrap":        {state: persistedLog()},
+		"entries":          {state: persistedLog(2, 3)},
+		"gap":              {state: gap, want: ErrInvalidState},
+		"decreasing terms": {state: persistedLog(3, 2), want: ErrInvalidState},
+		"without snapshot": {state: PersistedState{Entries: []Entry{{Term: 1, Index: 1}}}, want: ErrInvalidState},
 	} {
-		if err := stored.Check(); !errors.Is(err, ErrInvalidState) {
-			t.Errorf("%s: %v", name, err)
-		}
-	}
-	for name, stored := range map[string]PersistedState{"empty": {}, "founding": persistedLog(), "entries": persistedLog(2, 3)} {
-		if err := stored.Check(); err != nil {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if err := test.state.Check(); !errors.Is(err, test.want) {
+				t.Errorf("%v, want %v", err, test.want)
+			}
+		})
 	}
 }
 
