--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -42,19 +42,19 @@
 // Handle executes an API call and returns its response. Calls that concern a shard are forwarded to the shard's owner, with
 // a deadline of its own by the size of the body; a call whose outcome is not known is answered 503.
 func (s *Server) Handle(ctx context.Context, request APIRequest) APIResponse {
-	reply := s.handle(ctx, request)
-	return APIResponse{Status: reply.Status, Body: responseBody(reply)}
+	response := s.handle(ctx, request)
+	return APIResponse{Status: response.Status, Body: responseBody(response)}
 }
 
 // responseBody returns the HTTP body of a response: its own, an error report, or an empty object.
-func responseBody(reply shardResponse) []byte {
+func responseBody(response shardResponse) []byte {
 	switch {
-	case reply.Status != http.StatusOK:
-		return errorBody(reply.Code, reply.Text)
-	case len(reply.Body) == 0:
+	case response.Status != http.StatusOK:
+		return errorBody(response.Code, response.Text)
+	case len(response.Body) == 0:
 		return emptyObject
 	}
-	return reply.Body
+	return response.Body
 }
 
 func (s *Server) handle(ctx context.Context, request APIRequest) shardResponse {
@@ -110,12 +110,14 @@
 	return smallCallTimeout
 }
 
+// handleConfigurationRead has the owner of the configuration shard return the configuration in force.
 func (s *Server) handleConfigurationRead(ctx context.Context) shardResponse {
 	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
 	return s.forward(ctx, shardRequest{Kind: callRead, Shard: shards.ConfigurationShard})
 }
 
+// handleHeartbeat acknowledges a worker's heartbeat here if it changes nothing, and forwards it to the shard's owner otherwise.
 func (s *Server) handleHeartbeat(ctx context.Context, request APIRequest) shardResponse {
 	if len(request.Body) > maxHeartbeatBytes {
 		return errorResponse(BodyTooLarge)
@@ -133,6 +135,7 @@
 	return s.forward(ctx, shardRequest{Kind: callHeartbeat, Shard: shard, ID: request.ID, Body: request.Body})
 }
 
+// handleDeregister removes an instance on its worker's or an operator's request.
 func (s *Server) handleDeregister(ctx context.Context, request APIRequest) shardResponse {
 	if request.ID == "" {
 		return errorResponse(MissingInstance)
@@ -161,20 +164,21 @@
 	return s.deregisterInAllShards(ctx, id)
 }
 
+// deregisterInAllShards asks the owners of all registry shards concurrently.
 func (s *Server) deregisterInAllShards(ctx context.Context, id string) shardResponse {
-	replies := make([]shardResponse, shards.ServiceShardCount)
+	responses := make([]shardResponse, shards.ServiceShardCount)
 	var waitGroup sync.WaitGroup
-	for i := range replies {
+	for i := range responses {
 		shard := shards.ID(i + 1)
 		waitGroup.Go(func() {
-			replies[i] = s.forward(ctx, shardRequest{Kind: callDeregister, Shard: shard, ID: id})
+			responses[i] = s.forward(ctx, shardRequest{Kind: callDeregister, Shard: shard, ID: id})
 		})
 	}
 	waitGroup.Wait()
-	for _, reply := range replies {
-		if reply.Known && reply.Status == http.StatusOK {
-			return reply
+	for _, response := range responses {
+		if response.Known && response.Status == http.StatusOK {
+			return response
 		}
 	}
-	return firstFailure(replies)
+	return firstFailure(responses)
 }
--- a/internal/controlplane/server/directory.go
+++ b/internal/controlplane/server/directory.go
@@ -66,6 +66,7 @@
 	return d.servingCache
 }
 
+// computeServing collects the result of serving. The caller holds the mutex.
 func (d *directory) computeServing() []serverInfo {
 	listed := []serverInfo{}
 	for _, members := range d.members {
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"net/http"
 	"slices"
 	"strings"
 	"sync"
@@ -28,6 +27,7 @@
 	return &edgeNodeTable{connections: make(map[edgeNode]int), added: make(chan struct{}, 1)}
 }
 
+// add counts a connection of a node, and wakes runNodeHeartbeats.
 func (t *edgeNodeTable) add(node edgeNode) {
 	t.mutex.Lock()
 	t.connections[node]++
@@ -35,6 +35,7 @@
 	notify(t.added)
 }
 
+// remove uncounts a connection of a node.
 func (t *edgeNodeTable) remove(node edgeNode) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -99,6 +100,7 @@
 	}
 }
 
+// sendNodeHeartbeats forwards heartbeats of edge nodes to the owner of their shard.
 func (s *Server) sendNodeHeartbeats(ctx context.Context, nodes []edgeNode) {
 	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
@@ -115,29 +117,20 @@
 	if err := strictavro.Unmarshal(codec, nodesSchema, request.Body, &nodes); err != nil {
 		return errorResponse(InternalFault)
 	}
-	replies := make([]shardResponse, len(nodes))
+	responses := make([]shardResponse, len(nodes))
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentProposals)
 	for i, node := range nodes {
 		group.Go(func() error {
-			replies[i] = s.decideHeartbeat(ctx, request, nodeHeartbeat(node))
+			responses[i] = s.decideHeartbeat(ctx, request, nodeHeartbeat(node))
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return firstFailure(replies)
-}
-
-// firstFailure returns the first response that is no success, or a success if there is none.
-func firstFailure(responses []shardResponse) shardResponse {
-	for _, response := range responses {
-		if response.Status != http.StatusOK {
-			return response
-		}
-	}
-	return okResponse(emptyObject)
+	return firstFailure(responses)
 }
 
+// nodeHeartbeat returns the heartbeat that registers an edge node.
 func nodeHeartbeat(node edgeNode) registry.Heartbeat {
 	return registry.Heartbeat{Instance: registry.Instance{
 		ID: node.ID, Service: registry.NodesService, Address: node.Address, Zone: node.Zone, Slots: 1, State: registry.Ready,
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -44,15 +44,15 @@
 			break
 		}
 		hint, avoid = "", ""
-		reply, err := s.callTarget(ctx, to, request)
-		if err == nil && !reply.NotOwner {
-			return reply
+		response, err := s.callTarget(ctx, to, request)
+		if err == nil && !response.NotOwner {
+			return response
 		}
 		if err != nil {
 			mayHaveExecuted = mayHaveExecuted || !errors.Is(err, peertransport.ErrNotSent)
 			avoid = to.address
 		}
-		hint = reply.Leader
+		hint = response.Leader
 	}
 	if mayHaveExecuted {
 		return errorResponse(OutcomeUnknown)
--- a/internal/controlplane/server/http_api.go
+++ b/internal/controlplane/server/http_api.go
@@ -19,6 +19,7 @@
 	"go.uber.org/zap"
 )
 
+// HTTP headers, content types and path parameters of the API.
 const (
 	headerBaseVersion = "X-Base-Version"
 	contentTypeJSON   = "application/json"
@@ -33,6 +34,7 @@
 	hlog.SetLevel(hlog.LevelFatal)
 })
 
+// listenControl opens the listener of the API.
 func listenControl(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
@@ -71,6 +73,7 @@
 	}
 }
 
+// onPanic answers a call whose handler panicked.
 func (s *Server) onPanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
 	s.logger.Error("API handler panicked", zap.Any("panic", fault), zap.ByteString("stack", stack))
 	writeResponse(c, errorResponse(InternalFault))
@@ -97,11 +100,11 @@
 }
 
 // writeResponse writes a response. An error's body carries its code; a 503 asks the caller to retry.
-func writeResponse(c *app.RequestContext, reply shardResponse) {
-	if reply.Status == http.StatusServiceUnavailable {
+func writeResponse(c *app.RequestContext, response shardResponse) {
+	if response.Status == http.StatusServiceUnavailable {
 		c.Header("Retry-After", retryAfter)
 	}
-	c.Data(reply.Status, contentTypeJSON, responseBody(reply))
+	c.Data(response.Status, contentTypeJSON, responseBody(response))
 }
 
 // errorReport is the JSON body of an error.
--- a/internal/controlplane/server/join.go
+++ b/internal/controlplane/server/join.go
@@ -75,6 +75,7 @@
 	waitGroup.Wait()
 }
 
+// groupStates returns the states of this server's replicas, as callJoin and callGroupStates carry them.
 func (s *Server) groupStates() []groupState {
 	states := make([]groupState, 0, shards.ShardCount)
 	for _, shard := range s.shards {
@@ -87,6 +88,7 @@
 	return states
 }
 
+// learnServers adds the servers of a join reply to the directory.
 func (s *Server) learnServers(body []byte) {
 	var infos []serverInfo
 	if strictavro.Unmarshal(codec, serversSchema, body, &infos) != nil {
--- a/internal/controlplane/server/lifecycle.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -17,6 +17,71 @@
 	"sync"
 )
 
+// Run runs a control plane server until ctx ends, and then hands over what it leads, which takes at most about two seconds. It
+// returns an error if the disk cannot be used or a listener fails.
+func Run(ctx context.Context, settings bootconfig.Settings, logger *zap.Logger) error {
+	limitMemory(settings.Limits.MemoryMb)
+	workers, err := newHTTPWorkerClient()
+	if err != nil {
+		return err
+	}
+	s, err := Open(ctx, settings, Environment{Workers: workers}, logger)
+	if err != nil {
+		return err
+	}
+	defer s.Close()
+	control, err := listenControl(ctx, settings.Listen.Control)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = control.Close() }() // in case Serve fails before it runs the API server
+	return s.Serve(ctx, newAPIServer(s, control))
+}
+
+// limitMemory sets the garbage collector's target and limit by the machine's memory.
+func limitMemory(memoryMb int) {
+	if memoryMb <= 0 {
+		return
+	}
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryMb) << 20 * memoryLimitPercent / 100)
+}
+
+// Open prepares a server and opens its replicas. If a replica is damaged, the whole disk counts as lost: the server takes a new
+// member ID and begins without any replica, because it no longer knows which votes and entries it has acknowledged.
+func Open(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
+	for {
+		s, err := openServer(ctx, settings, environment, logger)
+		if !errors.Is(err, seglog.ErrCorrupt) {
+			return s, err
+		}
+		logger.Error("replica damaged, disk treated as lost", zap.Error(err))
+		if err := seglog.RemoveMemberID(environment.FileSystem, settings.DataDir); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// openServer determines this server's identity and opens its network and replicas.
+func openServer(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
+	resolver := &identityResolver{settings: settings, address: ownPeerAddress(settings), environment: environment.withDefaults()}
+	self, founders, err := resolver.resolveWithRetry(ctx, logger)
+	if err != nil {
+		return nil, err
+	}
+	s := newServer(settings, self, environment, logger)
+	if err := s.openPeerNetwork(); err != nil {
+		return nil, err
+	}
+	if err := s.openGroups(ctx, founders); err != nil {
+		s.Close()
+		return nil, err
+	}
+	logger.Info("server opened", zap.String("address", self.Address), zap.Uint64("member", uint64(self.ID)),
+		zap.Bool("founder", founders != nil))
+	return s, nil
+}
+
 // openPeerNetwork creates this server's endpoint of the peer network. It accepts no connection yet.
 func (s *Server) openPeerNetwork() error {
 	network, err := peertransport.New(peertransport.Options{
@@ -54,6 +119,7 @@
 	return nil
 }
 
+// openGroup opens the replica of one shard.
 func (s *Server) openGroup(shard *shard, founders []consensus.Member) error {
 	group, err := replica.Open(replica.Options{
 		Shard:            shard.id,
@@ -81,76 +147,6 @@
 	return nil
 }
 
-// listenPeers opens the listener for peers and agents.
-func (s *Server) listenPeers(ctx context.Context) (net.Listener, error) {
-	listener, err := s.environment.Listen(ctx, s.self.Address)
-	return listener, eris.Wrap(err, "listen for peers")
-}
-
-// Run runs a control plane server until ctx ends, and then hands over what it leads, which takes at most about two seconds. It
-// returns an error if the disk cannot be used or a listener fails.
-func Run(ctx context.Context, settings bootconfig.Settings, logger *zap.Logger) error {
-	limitMemory(settings.Limits.MemoryMb)
-	workers, err := newHTTPWorkerClient()
-	if err != nil {
-		return err
-	}
-	s, err := Open(ctx, settings, Environment{Workers: workers}, logger)
-	if err != nil {
-		return err
-	}
-	defer s.Close()
-	control, err := listenControl(ctx, settings.Listen.Control)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = control.Close() }() // in case Serve fails before it runs the API server
-	return s.Serve(ctx, newAPIServer(s, control))
-}
-
-// limitMemory sets the garbage collector's target and limit by the machine's memory.
-func limitMemory(memoryMb int) {
-	if memoryMb <= 0 {
-		return
-	}
-	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryMb) << 20 * memoryLimitPercent / 100)
-}
-
-// Open prepares a server and opens its replicas. If a replica is damaged, the whole disk counts as lost: the server takes a new
-// member ID and begins without any replica, because it no longer knows which votes and entries it has acknowledged.
-func Open(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
-	for {
-		s, err := openServer(ctx, settings, environment, logger)
-		if !errors.Is(err, seglog.ErrCorrupt) {
-			return s, err
-		}
-		logger.Error("replica damaged, disk treated as lost", zap.Error(err))
-		if err := seglog.RemoveMemberID(environment.FileSystem, settings.DataDir); err != nil {
-			return nil, err
-		}
-	}
-}
-
-func openServer(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
-	start := &identityResolver{settings: settings, address: ownPeerAddress(settings), environment: environment.withDefaults()}
-	self, founders, err := start.resolveWithRetry(ctx, logger)
-	if err != nil {
-		return nil, err
-	}
-	s := newServer(settings, self, environment, logger)
-	if err := s.openPeerNetwork(); err != nil {
-		return nil, err
-	}
-	if err := s.openGroups(ctx, founders); err != nil {
-		s.Close()
-		return nil, err
-	}
-	logger.Info("server opened", zap.String("address", self.Address), zap.Uint64("member", uint64(self.ID)),
-		zap.Bool("founder", founders != nil))
-	return s, nil
-}
-
 // APIServer accepts calls from outside the process and passes them to Server.Handle. Run returns after Shutdown, or with the error
 // that ended it.
 type APIServer interface {
@@ -218,6 +214,12 @@
 	}
 }
 
+// listenPeers opens the listener for peers and agents.
+func (s *Server) listenPeers(ctx context.Context) (net.Listener, error) {
+	listener, err := s.environment.Listen(ctx, s.self.Address)
+	return listener, eris.Wrap(err, "listen for peers")
+}
+
 // closeAllGroups closes the replicas concurrently, since each may wait for a disk that hangs.
 func (s *Server) closeAllGroups() {
 	var waitGroup sync.WaitGroup
--- a/internal/controlplane/server/maintenance.go
+++ b/internal/controlplane/server/maintenance.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"go.uber.org/zap"
-	"golang.org/x/sync/errgroup"
 )
 
 // runMaintenance runs the periodic work of shard owners until ctx ends: expiry, membership and leadership balance.
@@ -31,6 +30,7 @@
 	}
 }
 
+// maintainShard does one round for a shard. A server that does not lead the shard does nothing.
 func (s *Server) maintainShard(ctx context.Context, shard *shard) {
 	status := shard.group.Status()
 	if !status.IsLeader() {
@@ -53,15 +53,7 @@
 	s.lifecycle.background.Go(func() {
 		ctx, cancel := context.WithTimeout(s.lifecycle.backgroundContext, proposalTimeout)
 		defer cancel()
-		var group errgroup.Group
-		group.SetLimit(maxConcurrentProposals)
-		for _, command := range commands {
-			group.Go(func() error {
-				_, _, err := shard.group.Propose(ctx, command)
-				return err
-			})
-		}
-		err := group.Wait()
+		err := shard.proposeAll(ctx, commands, maxConcurrentProposals)
 		s.logger.Info("instances expired",
 			zap.Uint32("shard", uint32(shard.id)), zap.Int("count", len(commands)), zap.Error(err))
 	})
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -57,6 +57,7 @@
 	return plannedChange{}, false
 }
 
+// removeSuperseded is rule 1 of nextMembershipChange.
 func removeSuperseded(observed observedState) (plannedChange, bool) {
 	for _, request := range observed.JoinRequests {
 		for _, member := range observed.Members {
@@ -69,6 +70,7 @@
 	return plannedChange{}, false
 }
 
+// releaseSurplusVoter is rule 2 of nextMembershipChange.
 func releaseSurplusVoter(observed observedState) (plannedChange, bool) {
 	if observed.voterCount() <= observed.DesiredVoters && observed.guardEnabled(GuardSuccessorReady) {
 		return plannedChange{}, false
@@ -92,6 +94,7 @@
 	return plannedChange{}, false
 }
 
+// promoteLearner is rule 3 of nextMembershipChange.
 func promoteLearner(observed observedState) (plannedChange, bool) {
 	for _, learner := range observed.promotionCandidates() {
 		promoted := learner
@@ -160,6 +163,7 @@
 	return slices.Contains(o.PromotableLearners, id) || (!o.guardEnabled(GuardPromotedDurable) && o.hasJoinRequest(id))
 }
 
+// addLearner is rule 4 of nextMembershipChange.
 func addLearner(observed observedState) (plannedChange, bool) {
 	vacancies := max(0, observed.DesiredVoters-observed.voterCount()+observed.unresponsiveVoters(voterTimeout))
 	if observed.responsiveLearners(voterTimeout) >= vacancies+observed.SpareLearners {
@@ -173,6 +177,7 @@
 	return plannedChange{}, false
 }
 
+// removeUnresponsiveLearner is rule 5 of nextMembershipChange.
 func removeUnresponsiveLearner(observed observedState) (plannedChange, bool) {
 	for _, member := range observed.Members {
 		if !member.Voter && !observed.hasJoinRequest(member.ID) && observed.SinceHeard[member.ID] >= learnerTimeout {
@@ -206,6 +211,7 @@
 
 func (o observedState) guardEnabled(guard Guard) bool { return !slices.Contains(o.OmitGuards, guard) }
 
+// member returns the member with an ID.
 func (o observedState) member(id consensus.MemberID) (consensus.Member, bool) {
 	for _, member := range o.Members {
 		if member.ID == id {
@@ -215,6 +221,7 @@
 	return consensus.Member{}, false
 }
 
+// hasJoinRequest reports whether a server with that member ID asks to join.
 func (o observedState) hasJoinRequest(id consensus.MemberID) bool {
 	for _, request := range o.JoinRequests {
 		if request.ID == id {
@@ -224,6 +231,7 @@
 	return false
 }
 
+// voterCount counts the voters.
 func (o observedState) voterCount() int {
 	count := 0
 	for _, member := range o.Members {
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -94,6 +94,7 @@
 	return lines
 }
 
+// serveMetrics answers /-/metrics in the Prometheus text format.
 func (s *Server) serveMetrics(_ context.Context, c *app.RequestContext) {
 	lines := s.metrics.lines()
 	lines = append(lines, fmt.Sprintf("controlplane_feed_sessions %d", s.metrics.feedSessions.Load()))
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -216,3 +216,13 @@
 func notOwnerResponse(leader string) shardResponse {
 	return shardResponse{NotOwner: true, Leader: leader}
 }
+
+// firstFailure returns the first response that is no success, or a success if there is none.
+func firstFailure(responses []shardResponse) shardResponse {
+	for _, response := range responses {
+		if response.Status != http.StatusOK {
+			return response
+		}
+	}
+	return okResponse(emptyObject)
+}
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -13,7 +13,7 @@
 type registryMachine struct {
 	feedState
 	store        *registry.Store
-	owner        *registry.LivenessTracker
+	liveness     *registry.LivenessTracker
 	now          func() time.Time
 	guardEnabled func(Guard) bool // Environment.guardEnabled
 	leaderTerm   uint64           // term in which this replica leads, 0 if it does not
@@ -24,7 +24,7 @@
 	store := registry.NewStore()
 	return &registryMachine{
 		feedState: newFeedState(store), store: store,
-		owner: registry.NewLivenessTracker(heartbeatInterval, registry.LivenessOptions{}), now: environment.Now, guardEnabled: environment.guardEnabled,
+		liveness: registry.NewLivenessTracker(heartbeatInterval, registry.LivenessOptions{}), now: environment.Now, guardEnabled: environment.guardEnabled,
 	}
 }
 
@@ -35,7 +35,7 @@
 	defer m.mutex.Unlock()
 	outcome, change := m.store.Apply(entry.Index, entry.Data)
 	m.append(change)
-	m.owner.Applied(now, change)
+	m.liveness.Applied(now, change)
 	return outcome
 }
 
@@ -51,7 +51,7 @@
 		return
 	}
 	m.owned = false
-	m.owner.OwnershipLost()
+	m.liveness.OwnershipLost()
 }
 
 // ownershipGained starts the ownership, unless the leadership of the term has ended meanwhile.
@@ -62,7 +62,7 @@
 		return
 	}
 	m.owned = true
-	m.owner.OwnershipGained(now, m.store.Instances(""))
+	m.liveness.OwnershipGained(now, m.store.Instances(""))
 }
 
 // decideHeartbeat decides on a heartbeat. owned is false while this replica does not own the shard.
@@ -75,7 +75,7 @@
 	if m.isRemoved(heartbeat) {
 		return registry.Decision{Action: registry.Acknowledge}, true
 	}
-	return m.owner.Heartbeat(now, heartbeat, m.store.Instance(heartbeat.ID)), true
+	return m.liveness.Heartbeat(now, heartbeat, m.store.Instance(heartbeat.ID)), true
 }
 
 // isRemoved reports whether a heartbeat is of an instance that was removed for good: it may still serve, but its heartbeats change
@@ -100,7 +100,7 @@
 		return false
 	}
 	for _, heartbeat := range heartbeats {
-		m.owner.RemoteHeartbeat(now, heartbeat.ID, uint64(heartbeat.Sequence))
+		m.liveness.RemoteHeartbeat(now, heartbeat.ID, uint64(heartbeat.Sequence))
 	}
 	return true
 }
@@ -116,7 +116,7 @@
 	if m.store.Removed(id) {
 		return registry.Decision{Action: registry.Acknowledge}, known, true
 	}
-	return m.owner.Deregister(now, id, known), known, true
+	return m.liveness.Deregister(now, id, known), known, true
 }
 
 // lookUp reports whether this replica knows an instance, and whether it was removed for good.
@@ -134,7 +134,7 @@
 	if !m.owned {
 		return nil
 	}
-	return m.owner.Expired(now)
+	return m.liveness.Expired(now)
 }
 
 // ownsInTerm reports whether this replica owns the shard in a term.
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -96,24 +96,17 @@
 		commands = append(commands, registry.EncodeAssign(assignment.ID, assignment.Stage))
 		s.logger.Info("role assigned", zap.String("service", service), zap.String("worker", assignment.ID), zap.String("role", assignment.Stage))
 	}
-	s.proposeAll(ctx, shard, commands)
+	s.proposeRoles(ctx, shard, commands)
 }
 
-// proposeAll proposes commands concurrently and waits until they are applied, or for assignmentTimeout.
-func (s *Server) proposeAll(ctx context.Context, shard *shard, commands [][]byte) {
+// proposeRoles proposes commands that record roles, and waits until they are applied, or for assignmentTimeout.
+func (s *Server) proposeRoles(ctx context.Context, shard *shard, commands [][]byte) {
 	if len(commands) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, assignmentTimeout)
 	defer cancel()
-	var group errgroup.Group
-	for _, command := range commands {
-		group.Go(func() error {
-			_, _, err := shard.group.Propose(ctx, command)
-			return err
-		})
-	}
-	if err := group.Wait(); err != nil {
+	if err := shard.proposeAll(ctx, commands, unlimitedProposals); err != nil {
 		s.logger.Info("not all roles were recorded", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 	}
 }
@@ -138,7 +131,7 @@
 			commands = append(commands, registry.EncodeStage(poll.ID, poll.Stage))
 		}
 	}
-	s.proposeAll(ctx, shard, commands)
+	s.proposeRoles(ctx, shard, commands)
 }
 
 // commandOutcome is the HTTP status of a worker's answer to a command, 0 if there was none.
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -107,6 +107,7 @@
 	return s
 }
 
+// newStateMachine returns the empty state machine of a shard.
 func newStateMachine(id shards.ID, heartbeatInterval time.Duration, environment Environment) stateMachine {
 	if id == shards.ConfigurationShard {
 		return newConfigurationMachine(environment)
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -19,25 +19,26 @@
 
 func newLivenessReports() *livenessReports { return &livenessReports{added: make(chan struct{}, 1)} }
 
-func (p *livenessReports) record(shard shards.ID, id string, sequence uint64) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.highestSequence[shard] == nil {
-		p.highestSequence[shard] = make(map[string]uint64)
-		notify(p.added)
+// record adds a heartbeat to the next report.
+func (l *livenessReports) record(shard shards.ID, id string, sequence uint64) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.highestSequence[shard] == nil {
+		l.highestSequence[shard] = make(map[string]uint64)
+		notify(l.added)
 	}
-	p.highestSequence[shard][id] = max(p.highestSequence[shard][id], sequence)
+	l.highestSequence[shard][id] = max(l.highestSequence[shard][id], sequence)
 }
 
 // drain returns what was recorded for a shard since the last call.
-func (p *livenessReports) drain(shard shards.ID) []sessionHeartbeat {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	taken := make([]sessionHeartbeat, 0, len(p.highestSequence[shard]))
-	for id, sequence := range p.highestSequence[shard] {
+func (l *livenessReports) drain(shard shards.ID) []sessionHeartbeat {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	taken := make([]sessionHeartbeat, 0, len(l.highestSequence[shard]))
+	for id, sequence := range l.highestSequence[shard] {
 		taken = append(taken, sessionHeartbeat{ID: id, Sequence: int64(sequence)})
 	}
-	p.highestSequence[shard] = nil
+	l.highestSequence[shard] = nil
 	return taken
 }
 
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -11,6 +11,8 @@
 	"ospreybend/coord/feed"
 	"ospreybend/coord/replica"
 	"ospreybend/coord/shards"
+
+	"golang.org/x/sync/errgroup"
 )
 
 // replicaGroup is the part of replica.Group that the server uses.
@@ -57,6 +59,19 @@
 	cancelLeaderContext context.CancelFunc
 }
 
+// proposeAll proposes commands, at most so many at a time, and waits until all are applied or ctx ends. It returns the first error.
+func (s *shard) proposeAll(ctx context.Context, commands [][]byte, limit int) error {
+	var group errgroup.Group
+	group.SetLimit(limit)
+	for _, command := range commands {
+		group.Go(func() error {
+			_, _, err := s.group.Propose(ctx, command)
+			return err
+		})
+	}
+	return group.Wait()
+}
+
 // readiness is the span in which a learner was promotable without a gap longer than readinessGap.
 type readiness struct{ since, lastSeen time.Time }
 
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -52,6 +52,8 @@
 	return errorResponse(OutcomeUnknown)
 }
 
+// changeConfiguration proposes a change to the configuration shard's group and waits until it is applied here. By then it is
+// committed: a majority of the group has it on disk. The state machine decides on the base version, so racing changes have one winner.
 func (s *Server) changeConfiguration(ctx context.Context, request shardRequest, kind configuration.CommandKind) shardResponse {
 	command := configuration.Command{Kind: kind, Base: request.Base, Body: request.Body}
 	result, _, err := s.shards[request.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
@@ -68,11 +70,13 @@
 	return okResponse(generationBody(outcome.Generation))
 }
 
+// generationBody returns the body that acknowledges a change: the generation now in force.
 func generationBody(generation uint64) []byte {
 	body := strconv.AppendUint([]byte(`{"generation":`), generation, 10)
 	return append(body, '}')
 }
 
+// readConfiguration returns the configuration in force. The read barrier has a majority confirm this leader, so the read is linearizable.
 func (s *Server) readConfiguration(ctx context.Context, request shardRequest) shardResponse {
 	if s.environment.guardEnabled(GuardReadConfirmed) {
 		if err := s.shards[request.Shard].group.ReadBarrier(ctx); err != nil {
@@ -82,6 +86,7 @@
 	return okResponse(s.configurationMachine().document())
 }
 
+// executeHeartbeat parses a worker's heartbeat and has the shard's owner decide on it.
 func (s *Server) executeHeartbeat(ctx context.Context, request shardRequest) shardResponse {
 	heartbeat, err := registry.ParseHeartbeat(request.ID, request.Body)
 	if err != nil {
@@ -102,15 +107,15 @@
 		if owned {
 			return s.applyDecision(ctx, request, decision)
 		}
-		if reply, waiting := s.awaitOwnership(ctx, request, changed); !waiting {
-			return reply
+		if response, waiting := s.awaitOwnership(ctx, request, changed); !waiting {
+			return response
 		}
 	}
 }
 
 // awaitOwnership waits while this replica leads the shard and does not own it yet. If it does not lead, or ctx ends, waiting is
 // false and the response says so.
-func (s *Server) awaitOwnership(ctx context.Context, request shardRequest, changed <-chan struct{}) (reply shardResponse, waiting bool) {
+func (s *Server) awaitOwnership(ctx context.Context, request shardRequest, changed <-chan struct{}) (response shardResponse, waiting bool) {
 	status := s.shards[request.Shard].group.Status()
 	if !status.IsLeader() {
 		return notOwnerResponse(status.Leader.Address), false
@@ -136,6 +141,7 @@
 	return okResponse(emptyObject)
 }
 
+// proposeInstanceChange proposes a change of an instance and waits until it is applied.
 func (s *Server) proposeInstanceChange(ctx context.Context, request shardRequest, command []byte) shardResponse {
 	result, _, err := s.shards[request.Shard].group.Propose(ctx, command)
 	if err != nil {
@@ -173,12 +179,12 @@
 		changed := s.ownersChanged.next()
 		decision, known, owned := machine.decideDeregister(s.environment.Now(), request.ID)
 		if owned {
-			reply := s.applyDecision(ctx, request, decision)
-			reply.Known = known
-			return reply
+			response := s.applyDecision(ctx, request, decision)
+			response.Known = known
+			return response
 		}
-		if reply, waiting := s.awaitOwnership(ctx, request, changed); !waiting {
-			return reply
+		if response, waiting := s.awaitOwnership(ctx, request, changed); !waiting {
+			return response
 		}
 	}
 }
--- a/internal/controlplane/server/status.go
+++ b/internal/controlplane/server/status.go
@@ -58,6 +58,7 @@
 	}
 )
 
+// serveStatus answers /-/status.
 func (s *Server) serveStatus(_ context.Context, c *app.RequestContext) {
 	body, err := json.Marshal(s.report())
 	if err != nil {
--- a/internal/controlplane/server/timing.go
+++ b/internal/controlplane/server/timing.go
@@ -62,6 +62,7 @@
 	apiShutdownTimeout        = 300 * time.Millisecond
 	openRetryInterval         = 500 * time.Millisecond
 	minSpareLearners          = 2  // learners beyond the vacancies; more if more losses are tolerated
+	unlimitedProposals        = -1 // no limit, see errgroup.Group.SetLimit
 	maxConcurrentProposals    = 16 // of one round of expiry or node heartbeats
 	feedBacklogBytes          = 2 << 20
 	memoryLimitPercent        = 75 // of the machine's memory
