--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -25,8 +25,9 @@
 	prefillExecuted                        // the worker executed the request, and the client has its response
 )
 
-// reservePrefill reports whether a prefill may be made before the run. The first one that a worker accepts
-// is not counted, but it may be rejected, and count then.
+// reservePrefill reports whether a prefill may be made before the run. It reserves one call for the run and,
+// once a prefill was accepted, one for the prefill: the first accepted one is not counted. A prefill that is
+// rejected counts, and uses up the reservation of the run.
 func (r *clientRequest) reservePrefill() bool {
 	if r.prefillAccepted {
 		return r.attempts.reserve(2)
