--- a/cmd/inference-router/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -65,7 +65,7 @@
 }
 
 // play builds the simulation and plays the campaign, or the one schedule of a file.
-func (c *simulateCommand) play(ctx context.Context, shapes []schedule.Shape, stdout io.Writer) ([]campaign.Part, error) {
+func (c *simulateCommand) play(ctx context.Context, shapes []schedule.Shape, stdout io.Writer) ([]campaign.ShapeResult, error) {
 	var text []byte
 	if c.Schedule != "" {
 		var err error
@@ -86,10 +86,10 @@
 	player := campaign.Player{Binary: binary, Limit: c.Limit}
 	if c.Schedule != "" {
 		part, err := campaign.PlayText(ctx, player, string(text))
-		return []campaign.Part{part}, err
+		return []campaign.ShapeResult{part}, err
 	}
 	return campaign.Play(ctx, campaign.Plan{Player: player, Shapes: shapes, First: c.Seed, Schedules: c.Schedules, Processes: c.processes(),
-		Shrink: c.Shrink, MostFound: c.MaxViolations, Progress: stdout})
+		Shrink: c.Shrink, MaxFound: c.MaxViolations, Progress: stdout})
 }
 
 // shapes returns the parts of the campaign: each number of servers, without each of the omitted guards.
--- a/internal/testkit/controlplanesim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -69,8 +69,8 @@
 }
 
 // sleep waits for a time, or returns false once ctx has ended.
-func sleep(ctx context.Context, most time.Duration) bool {
-	timer := time.NewTimer(most)
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -80,8 +80,8 @@
 	}
 }
 
-// clear tells whether an answer of the API ends an operator's call, and whether that was taken.
-func clear(status int) (ends, taken bool) {
+// classify tells whether an answer of the API ends an operator's call, and whether that was taken.
+func classify(status int) (final, accepted bool) {
 	switch status {
 	case http.StatusOK:
 		return true, true
--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -20,18 +20,18 @@
 	Schedules int              // for each shape
 	Processes int
 	Shrink    time.Duration // for shrinking each failure; 0: none is shrunk
-	MostFound int           // violations after which a whole shape is not played on; 0: all are played
+	MaxFound  int           // violations after which a whole shape is not played on; 0: all are played
 	Progress  io.Writer
 }
 
 const (
-	chunk         = 10              // seeds that a process is given at a time
+	chunkSeeds    = 10              // seeds that a process is given at a time
 	progressEvery = 5 * time.Second // between two lines of progress
 )
 
 // Play plays the campaign's schedules, one shape after the other.
-func Play(ctx context.Context, plan Plan) ([]Part, error) {
-	var parts []Part
+func Play(ctx context.Context, plan Plan) ([]ShapeResult, error) {
+	var parts []ShapeResult
 	for _, shape := range plan.Shapes {
 		part, err := plan.playShape(ctx, shape)
 		parts = append(parts, part)
@@ -43,15 +43,15 @@
 }
 
 // playShape plays the schedules of one shape in several processes.
-func (p Plan) playShape(ctx context.Context, shape schedule.Shape) (Part, error) {
-	most := p.MostFound
+func (p Plan) playShape(ctx context.Context, shape schedule.Shape) (ShapeResult, error) {
+	most := p.MaxFound
 	if len(shape.Omit) > 0 {
 		most = 1
 	}
 	tally := newTally(shape, p.First, most, p.Progress)
 	player := p.player(shape)
-	err := p.share(ctx, tally, player)
-	part := tally.part()
+	err := p.distribute(ctx, tally, player)
+	part := tally.result()
 	if len(shape.Omit) > 0 && len(part.Failures) > 1 {
 		part.Failures = part.Failures[:1]
 	}
@@ -72,7 +72,7 @@
 			return err
 		}
 		for _, line := range lines {
-			if len(line.Violations) > 0 && p.breaksWithAll(ctx, line.Seed, shape) {
+			if len(line.Violations) > 0 && p.failsWithAllGuards(ctx, line.Seed, shape) {
 				line.Violations = nil
 			}
 			ended(line)
@@ -81,30 +81,30 @@
 	}
 }
 
-// breaksWithAll reports whether the seed's schedule breaks anything with all guards in force.
-func (p Plan) breaksWithAll(ctx context.Context, seed uint64, shape schedule.Shape) bool {
+// failsWithAllGuards reports whether the seed's schedule breaks anything with all guards in force.
+func (p Plan) failsWithAllGuards(ctx context.Context, seed uint64, shape schedule.Shape) bool {
 	shape.Omit = nil
 	broken := false
 	err := p.Player.Play(ctx, Request{Text: schedule.Draw(seed, shape).Format(), Count: 1}, func(line Line) { broken = len(line.Violations) > 0 })
 	return err != nil || broken
 }
 
-// share hands chunks of seeds to the processes until all are played or enough is found.
-func (p Plan) share(ctx context.Context, tally *tally, play func(context.Context, Request, func(Line)) error) error {
+// distribute hands chunks of seeds to the processes until all are played or enough is found.
+func (p Plan) distribute(ctx context.Context, tally *tally, play func(context.Context, Request, func(Line)) error) error {
 	chunks := make(chan Request)
 	failed := make(chan error, p.Processes)
 	var playing sync.WaitGroup
 	for range p.Processes {
 		playing.Go(func() {
 			for request := range chunks {
-				if err := play(ctx, request, tally.take); err != nil {
+				if err := play(ctx, request, tally.add); err != nil {
 					failed <- err
 					return
 				}
 			}
 		})
 	}
-	err := p.hand(ctx, tally, chunks, failed)
+	err := p.sendChunks(ctx, tally, chunks, failed)
 	close(chunks)
 	playing.Wait()
 	if err != nil {
@@ -118,9 +118,9 @@
 	}
 }
 
-func (p Plan) hand(ctx context.Context, tally *tally, chunks chan<- Request, failed <-chan error) error {
-	for played := 0; played < p.Schedules && !tally.enough(); played += chunk {
-		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(chunk, p.Schedules-played)}
+func (p Plan) sendChunks(ctx context.Context, tally *tally, chunks chan<- Request, failed <-chan error) error {
+	for played := 0; played < p.Schedules && !tally.enough(); played += chunkSeeds {
+		request := Request{Shape: tally.shape, First: p.First + uint64(played), Count: min(chunkSeeds, p.Schedules-played)}
 		select {
 		case chunks <- request:
 		case err := <-failed:
@@ -142,15 +142,15 @@
 	ctx, cancel := context.WithTimeout(ctx, p.Shrink)
 	defer cancel()
 	small := schedule.Shrink(drawn, func(candidate schedule.Schedule) bool {
-		return ctx.Err() == nil && candidate.Check() == nil && p.breaks(ctx, candidate, failure.Checks())
+		return ctx.Err() == nil && candidate.Check() == nil && p.failsSameCheck(ctx, candidate, failure.Checks())
 	})
 	if text := small.Format(); text != failure.Schedule {
 		failure.Shrunk = text
 	}
 }
 
-// breaks reports whether the schedule breaks one of the checks.
-func (p Plan) breaks(ctx context.Context, candidate schedule.Schedule, checks []string) bool {
+// failsSameCheck reports whether the schedule breaks one of the checks.
+func (p Plan) failsSameCheck(ctx context.Context, candidate schedule.Schedule, checks []string) bool {
 	broken := false
 	err := p.Player.Play(ctx, Request{Text: candidate.Format(), Count: 1}, func(line Line) {
 		for _, finding := range line.Violations {
@@ -161,14 +161,14 @@
 }
 
 // PlayText plays one schedule.
-func PlayText(ctx context.Context, player Player, text string) (Part, error) {
+func PlayText(ctx context.Context, player Player, text string) (ShapeResult, error) {
 	parsed, err := schedule.Parse(text)
 	if err != nil {
-		return Part{}, err
+		return ShapeResult{}, err
 	}
 	tally := newTally(schedule.Shape{Keepers: parsed.Servers, Tolerance: parsed.Tolerance, Omit: parsed.Omit}, parsed.Seed, 0, io.Discard)
-	err = player.Play(ctx, Request{Text: parsed.Format(), Count: 1}, tally.take)
-	part := tally.part()
+	err = player.Play(ctx, Request{Text: parsed.Format(), Count: 1}, tally.add)
+	part := tally.result()
 	for i := range part.Failures {
 		part.Failures[i].Schedule = parsed.Format()
 	}
@@ -179,23 +179,23 @@
 type tally struct {
 	shape    schedule.Shape
 	first    uint64
-	most     int
+	maxFound int
 	progress io.Writer
 	begun    time.Time
 
-	mutex sync.Mutex
-	told  time.Time
-	found Part
+	mutex    sync.Mutex
+	reported time.Time
+	found    ShapeResult
 }
 
 func newTally(shape schedule.Shape, first uint64, most int, progress io.Writer) *tally {
 	now := time.Now()
-	return &tally{shape: shape, first: first, most: most, progress: progress, begun: now, told: now,
-		found: Part{Keepers: shape.Keepers, Tolerance: shape.Tolerance, Omit: slices.Clone(shape.Omit), First: first}}
+	return &tally{shape: shape, first: first, maxFound: most, progress: progress, begun: now, reported: now,
+		found: ShapeResult{Servers: shape.Keepers, Tolerance: shape.Tolerance, Omit: slices.Clone(shape.Omit), First: first}}
 }
 
-// take counts one schedule.
-func (t *tally) take(line Line) {
+// add counts one schedule.
+func (t *tally) add(line Line) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.found.Played++
@@ -204,8 +204,8 @@
 		t.found.Failures = append(t.found.Failures, Failure{Seed: line.Seed, Violations: line.Violations})
 		fmt.Fprintf(t.progress, "%s: seed %d: %s\n", t.name(), line.Seed, strings.SplitN(line.Violations[0].Text, "\n", 2)[0])
 	}
-	if now := time.Now(); now.Sub(t.told) >= progressEvery {
-		t.told = now
+	if now := time.Now(); now.Sub(t.reported) >= progressEvery {
+		t.reported = now
 		rate := float64(t.found.Played) / now.Sub(t.begun).Seconds()
 		fmt.Fprintf(t.progress, "%s: %d schedules, %.1f a second, %d with violations\n", t.name(), t.found.Played, rate, len(t.found.Failures))
 	}
@@ -224,11 +224,11 @@
 func (t *tally) enough() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.most > 0 && len(t.found.Failures) >= t.most
+	return t.maxFound > 0 && len(t.found.Failures) >= t.maxFound
 }
 
-// part is what was counted, its failures ordered by their seeds.
-func (t *tally) part() Part {
+// result is what was counted, its failures ordered by their seeds.
+func (t *tally) result() ShapeResult {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	slices.SortFunc(t.found.Failures, func(a, b Failure) int { return int(a.Seed) - int(b.Seed) })
--- a/internal/testkit/controlplanesim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -72,7 +72,7 @@
 	return campaign.Player{Binary: binary, Limit: 2 * time.Second}
 }
 
-func TestCampaignPlaysEverySeedOnceAndTellsWhatFailed(t *testing.T) {
+func TestPlay_everySeedOnce(t *testing.T) {
 	var progress bytes.Buffer
 	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: 10, Schedules: 35, Processes: 3,
 		Shrink: time.Minute, Progress: &progress})
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestScheduleThatDoesNotEndIsGivenUp(t *testing.T) {
+func TestPlay_scheduleTimesOut(t *testing.T) {
 	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{shape}, First: 60, Schedules: 6, Processes: 1,
 		Progress: &bytes.Buffer{}})
 	if err != nil {
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestCampaignStopsOnceAnAbsentGuardIsFound has seeds that break something: 102 with all guards in force too, which tells
+// TestPlay_stopsOnceAnOmittedGuardIsFound has seeds that break something: 102 with all guards in force too, which tells
 // nothing about the one that is left out, and 104 only without it.
-func TestCampaignStopsOnceAnAbsentGuardIsFound(t *testing.T) {
+func TestPlay_stopsOnceAnOmittedGuardIsFound(t *testing.T) {
 	without := shape
 	without.Omit = []string{"guard"}
 	parts, err := campaign.Play(context.Background(), campaign.Plan{Player: player(t), Shapes: []schedule.Shape{without}, First: 100, Schedules: 100000, Processes: 2,
@@ -136,18 +136,18 @@
 	}
 }
 
-func TestScheduleOfAFileIsPlayed(t *testing.T) {
+func TestPlayText(t *testing.T) {
 	drawn := schedule.Draw(seedFails, shape)
 	part, err := campaign.PlayText(context.Background(), player(t), drawn.Format())
 	if err != nil || part.Played != 1 || len(part.Failures) != 1 {
 		t.Fatalf("played %d, %d failures, %v", part.Played, len(part.Failures), err)
 	}
-	if _, err := campaign.PlayText(context.Background(), player(t), "no schedule"); !errors.Is(err, schedule.ErrText) {
+	if _, err := campaign.PlayText(context.Background(), player(t), "no schedule"); !errors.Is(err, schedule.ErrSyntax) {
 		t.Errorf("a text that is no schedule: %v", err)
 	}
 }
 
-func TestProcessThatPlaysNothingIsToldWithItsOutput(t *testing.T) {
+func TestPlay_processWithoutResultReportsItsOutput(t *testing.T) {
 	failing := campaign.Player{Binary: "/bin/false", Limit: time.Second}
 	err := failing.Play(context.Background(), campaign.Request{Shape: shape, Count: 3}, func(campaign.Line) { t.Error("a line of nobody") })
 	if !errors.Is(err, campaign.ErrPlayedNothing) {
@@ -155,11 +155,11 @@
 	}
 }
 
-func TestResultNamesTheMissedGuards(t *testing.T) {
-	result := campaign.Result{Command: "measure simulate", Parts: []campaign.Part{
-		{Keepers: 3, Played: 100},
-		{Keepers: 3, Played: 100, Omit: []string{"vote-once"}},
-		{Keepers: 3, Played: 20, Omit: []string{"vote-log"}, FoundAfter: 12, Failures: []campaign.Failure{{Seed: 12, Violations: []campaign.Finding{{Check: "one-body", Text: "two"}}, Schedule: "schedule seed=12\n"}}},
+func TestResult_Missed(t *testing.T) {
+	result := campaign.Result{Command: "measure simulate", Parts: []campaign.ShapeResult{
+		{Servers: 3, Played: 100},
+		{Servers: 3, Played: 100, Omit: []string{"vote-once"}},
+		{Servers: 3, Played: 20, Omit: []string{"vote-log"}, FoundAfter: 12, Failures: []campaign.Failure{{Seed: 12, Violations: []campaign.Finding{{Check: "one-body", Text: "two"}}, Schedule: "schedule seed=12\n"}}},
 	}}
 	if missed := result.Missed(); len(missed) != 1 || missed[0] != "vote-once" {
 		t.Errorf("missed are %v", missed)
--- a/internal/testkit/controlplanesim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -59,9 +59,9 @@
 	Operations   int `json:"operations"`
 	Acknowledged int `json:"acknowledged"`
 	Views        int `json:"views"`
-	Beats        int `json:"beats"`
+	Heartbeats   int `json:"beats"`
 	Departures   int `json:"departures"`
-	Struck       int `json:"struck"` // troubles brought about
+	Faults       int `json:"struck"` // troubles brought about
 }
 
 // add adds those of another schedule.
@@ -69,9 +69,9 @@
 	c.Operations += other.Operations
 	c.Acknowledged += other.Acknowledged
 	c.Views += other.Views
-	c.Beats += other.Beats
+	c.Heartbeats += other.Heartbeats
 	c.Departures += other.Departures
-	c.Struck += other.Struck
+	c.Faults += other.Faults
 }
 
 // Requested reads the request out of the environment; false: there is none.
--- a/internal/testkit/controlplanesim/campaign/result.go
+++ b/internal/testkit/controlplanesim/campaign/result.go
@@ -9,15 +9,15 @@
 
 // Result is a whole campaign.
 type Result struct {
-	Command string `json:"command"`
-	Build   string `json:"build"`
-	Load    string `json:"load"` // of the machine when it began
-	Parts   []Part `json:"parts"`
+	Command string        `json:"command"`
+	Build   string        `json:"build"`
+	Load    string        `json:"load"` // of the machine when it began
+	Parts   []ShapeResult `json:"parts"`
 }
 
-// Part is what the schedules of one shape showed.
-type Part struct {
-	Keepers    int       `json:"keepers"`
+// ShapeResult is what the schedules of one shape showed.
+type ShapeResult struct {
+	Servers    int       `json:"keepers"`
 	Tolerance  int       `json:"tolerance"`
 	Omit       []string  `json:"omit,omitempty"`
 	First      uint64    `json:"first"` // seed
@@ -89,13 +89,13 @@
 	}
 }
 
-func (p Part) writeRow(out io.Writer) {
+func (p ShapeResult) writeRow(out io.Writer) {
 	after, omitted := "", strings.Join(p.Omit, ", ")
 	if p.FoundAfter > 0 {
 		after = fmt.Sprint(p.FoundAfter)
 	}
-	fmt.Fprintf(out, "| %d | %s | %d | %d | %s | %.0f | %d | %d | %d | %d | %d |\n", p.Keepers, omitted, p.Played, len(p.Failures), after, p.Seconds,
-		p.Counts.Operations, p.Counts.Acknowledged, p.Counts.Views, p.Counts.Beats, p.Counts.Struck)
+	fmt.Fprintf(out, "| %d | %s | %d | %d | %s | %.0f | %d | %d | %d | %d | %d |\n", p.Servers, omitted, p.Played, len(p.Failures), after, p.Seconds,
+		p.Counts.Operations, p.Counts.Acknowledged, p.Counts.Views, p.Counts.Heartbeats, p.Counts.Faults)
 }
 
 func (f Failure) write(out io.Writer) {
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -118,9 +118,9 @@
 	leads := func(status replica.Status) bool {
 		return status.Shard == shards.ConfigurationShard && status.IsLeader()
 	}
-	for _, m := range w.everyPlace() {
+	for _, m := range w.currentMachines() {
 		if slices.ContainsFunc(m.inspect(), leads) != follower {
-			return m.place
+			return m.slot
 		}
 	}
 	return -1
@@ -136,21 +136,21 @@
 	amid, stop := context.WithTimeout(ctx, cutFor)
 	defer stop()
 	w.running.Go(func() { w.leaveBehind(ctx, c.early) })
-	w.running.Go(func() { w.readBehind(amid, w.at(victim)) })
+	w.running.Go(func() { w.readBehind(amid, w.machineAt(victim)) })
 	if c.others {
 		w.running.Go(func() { w.restartOthers(ctx, victim) })
 	}
 	if c.wiped {
 		w.running.Go(func() {
 			time.Sleep(cutFor/3 + cutFor/20)
-			w.at(victim).wipe()
+			w.machineAt(victim).wipe()
 		})
 	}
 	if c.variant == "" {
 		event.Kind = schedule.Freeze
-		w.confine(event, w.places(event.Servers))
+		w.restrictTo(event, w.machinesAt(event.Servers))
 		w.playFreeze(ctx, event)
-		w.confine(event, nil)
+		w.restrictTo(event, nil)
 	} else {
 		w.playCut(ctx, event)
 	}
@@ -165,17 +165,17 @@
 		time.Sleep(cutFor / 2)
 	}
 	for worker, variant := range map[int]schedule.Variant{drainWorker: schedule.WorkerDrain, leaveWorker: schedule.WorkerDeregister} {
-		gone := w.workers[worker].take()
-		w.running.Go(func() { gone.leave(ctx, variant) })
+		gone := w.workers[worker].takeIncarnation()
+		w.running.Go(func() { gone.depart(ctx, variant) })
 	}
 }
 
 // restartOthers restarts the processes of all but one keeper at once, and has orders come as soon as they can be taken.
 func (w *world) restartOthers(ctx context.Context, victim int) {
-	over := w.record.recordFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allPlaces()})
+	over := w.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allSlots()})
 	var others []*machine
-	for _, m := range w.everyPlace() {
-		if m.place != victim {
+	for _, m := range w.currentMachines() {
+		if m.slot != victim {
 			m.kill()
 			others = append(others, m)
 		}
@@ -183,23 +183,23 @@
 	w.startAll(others)
 	over()
 	outside := w.operators[outsideOperator]
-	outside.confine(others)
+	outside.restrictTo(others)
 	until, stop := context.WithTimeout(ctx, hurry)
 	defer stop()
-	w.running.Go(func() { w.readOften(until, w.at(victim)) })
+	w.running.Go(func() { w.readOften(until, w.machineAt(victim)) })
 	var sending sync.WaitGroup
 	for _, m := range others {
 		sending.Go(func() { w.orderOften(until, outside, m) })
 	}
 	sending.Wait()
-	outside.confine(nil)
+	outside.restrictTo(nil)
 }
 
 // orderOften has an operator send orders to a keeper, one after the other, until ctx ends.
 func (w *world) orderOften(ctx context.Context, o *operator, to *machine) {
 	for ctx.Err() == nil {
 		sent := o.makeOrder(w.newestBase([]int{outsideOperator, insideOperator}))
-		if ends, taken := clear(o.attempt(sent, to, 1)); ends {
+		if ends, taken := classify(o.attempt(sent, to, 1)); ends {
 			o.recordOutcome(ctx, sent, taken)
 		}
 	}
@@ -221,7 +221,7 @@
 
 // acknowledgedBehind lists what the cut keeper acknowledged, or refused for good, though it could not know.
 func (w *world) acknowledgedBehind(victim int, from, to time.Duration) []string {
-	seen, _ := w.record.history()
+	seen, _ := w.record.result()
 	var wrong []string
 	for _, one := range seen.Operations {
 		if one.Server == victim && one.Call >= from && one.Return < to && one.Outcome != history.Unknown {
@@ -246,15 +246,15 @@
 	return wrong
 }
 
-func TestAKeeperThatIsCutOffForTwentySecondsServesNothingAsCurrent(t *testing.T) {
+func TestCut_isolatedServerServesNothingAsCurrent(t *testing.T) {
 	for i, c := range cutScenarios() {
 		t.Run(c.String(), func(t *testing.T) {
 			report, wrong := playCutScenario(t, uint64(1+i), c)
 			if len(wrong) > 0 || report.Failed() {
 				t.Errorf("%v\n%v", wrong, report)
 			}
-			if report.Figures.Taken < 10 {
-				t.Errorf("only %d orders were taken", report.Figures.Taken)
+			if report.Figures.Acknowledged < 10 {
+				t.Errorf("only %d orders were taken", report.Figures.Acknowledged)
 			}
 		})
 	}
@@ -276,7 +276,7 @@
 	{GuardLeaveStale, cutScenario{variant: schedule.CutServers}, 1},
 }
 
-func TestEachGuardAgainstCutsIsNeeded(t *testing.T) {
+func TestCut_eachGuardIsNeeded(t *testing.T) {
 	for _, one := range guardedCuts {
 		t.Run(one.guard, func(t *testing.T) {
 			const attempts = 20
--- a/internal/testkit/controlplanesim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -18,20 +18,20 @@
 
 // machineDisk is the disk of a machine, whatever process uses it.
 type machineDisk struct {
-	mutex       sync.Mutex // held while an operation is carried out, never while one waits
-	content     *seglogtest.MemoryDisk
-	recordFault schedule.Variant // empty: none
-	over        chan struct{}    // closed when the trouble is over
+	mutex    sync.Mutex // held while an operation is carried out, never while one waits
+	content  *seglogtest.MemoryDisk
+	fault    schedule.Variant // empty: none
+	repaired chan struct{}    // closed when the trouble is over
 }
 
 func newMachineDisk() *machineDisk { return &machineDisk{content: seglogtest.NewMemoryDisk()} }
 
-// disturb brings trouble to the disk until it is calmed.
-func (d *machineDisk) disturb(fault schedule.Variant) (calm func()) {
+// injectFault brings trouble to the disk until it is calmed.
+func (d *machineDisk) injectFault(fault schedule.Variant) (repair func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	over := make(chan struct{})
-	d.recordFault, d.over = fault, over
+	d.fault, d.repaired = fault, over
 	if fault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
@@ -39,8 +39,8 @@
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
 		close(over)
-		if d.over == over {
-			d.recordFault, d.over = "", nil
+		if d.repaired == over {
+			d.fault, d.repaired = "", nil
 			d.content.FreeBytes = seglogtest.Unlimited
 		}
 	}
@@ -52,7 +52,7 @@
 	defer d.mutex.Unlock()
 	d.content.Restart()
 	d.content = seglogtest.NewMemoryDisk()
-	d.resume()
+	d.reapplyFault()
 }
 
 // losePower leaves what was synced and, by the seed's draws, parts of the rest.
@@ -60,7 +60,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.content.LosePower(seglogtest.NewRandom(seed))
-	d.resume()
+	d.reapplyFault()
 }
 
 // kill leaves the disk as the process left it.
@@ -68,12 +68,12 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.content.Restart()
-	d.resume()
+	d.reapplyFault()
 }
 
-// resume brings the trouble back that a restart of the content has lifted.
-func (d *machineDisk) resume() {
-	if d.recordFault == schedule.DiskFull {
+// reapplyFault brings the trouble back that a restart of the content has lifted.
+func (d *machineDisk) reapplyFault() {
+	if d.fault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
 }
@@ -102,7 +102,7 @@
 // await waits until the operation is done. It is false if the process ends before.
 func (d processDisk) await(takes time.Duration) bool {
 	d.disk.mutex.Lock()
-	fault, over := d.disk.recordFault, d.disk.over
+	fault, over := d.disk.fault, d.disk.repaired
 	d.disk.mutex.Unlock()
 	switch fault {
 	case schedule.DiskHang:
--- a/internal/testkit/controlplanesim/drawn_test.go
+++ b/internal/testkit/controlplanesim/drawn_test.go
@@ -17,9 +17,9 @@
 	{Keepers: 3, Tolerance: 1, Agents: 3, Operators: 3, Workers: 6, Length: 40 * time.Second, OneSided: true},
 }
 
-// TestDrawnSchedulesKeepAllPromises plays schedules of fixed seeds. SIMULATED_FROM and SIMULATED_COUNT take others;
+// TestPlay_drawnSchedulesViolateNothing plays schedules of fixed seeds. SIMULATED_FROM and SIMULATED_COUNT take others;
 // `inference-router measure simulate` plays any number and shrinks what fails.
-func TestDrawnSchedulesKeepAllPromises(t *testing.T) {
+func TestPlay_drawnSchedulesViolateNothing(t *testing.T) {
 	from, count := number("SIMULATED_FROM", 1), number("SIMULATED_COUNT", 20)
 	for seed := from; seed < from+count; seed++ {
 		for _, shape := range shapes {
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -20,8 +20,8 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// never is a time that no run reaches.
-const never = 24 * time.Hour
+// beyondEveryRun is a time that no run reaches.
+const beyondEveryRun = 24 * time.Hour
 
 // edge is a machine of the edge: an agent, and the view that its proxy takes.
 type edge struct {
@@ -39,11 +39,11 @@
 		options := agent.Options{
 			Dial: own.Dial, Listen: own.Listen, Random: e.world.sharedRandom("agent", e.index), Origin: time.Now(),
 		}
-		if e.world.omit.leaveStale {
-			options.StaleTimeout = never
+		if e.world.omissions.leaveStale {
+			options.StaleTimeout = beyondEveryRun
 		}
 		if err := agent.RunWith(ctx, e.settings(), options, e.world.log.With(zap.String("machine", e.ip))); err != nil {
-			e.world.record.fault("an agent ended by itself: " + err.Error())
+			e.world.record.addFault("an agent ended by itself: " + err.Error())
 		}
 		own.Kill()
 	})
@@ -79,17 +79,17 @@
 
 // follower makes views as a proxy does, and records what they show.
 type follower struct {
-	edge    *edge
-	builder *fleetview.Builder
-	whole   bool
-	shown   history.View
-	told    map[string]history.State // of workers, as recorded
-	items   map[shards.ID]map[string]history.State
+	edge      *edge
+	builder   *fleetview.Builder
+	complete  bool
+	published history.View
+	recorded  map[string]history.State // of workers, as recorded
+	items     map[shards.ID]map[string]history.State
 }
 
 func newFollower(e *edge) *follower {
 	return &follower{
-		edge: e, builder: fleetview.NewBuilder(), told: make(map[string]history.State),
+		edge: e, builder: fleetview.NewBuilder(), recorded: make(map[string]history.State),
 		items: make(map[shards.ID]map[string]history.State),
 	}
 }
@@ -102,7 +102,7 @@
 		return
 	}
 	f.items[shard] = make(map[string]history.State)
-	f.put(shard, snapshot.Items)
+	f.applyItems(shard, snapshot.Items)
 }
 
 // Change implements feedtransport.Handler.
@@ -115,10 +115,10 @@
 	for _, key := range change.Delete {
 		delete(f.items[shard], key)
 	}
-	f.put(shard, change.Put)
+	f.applyItems(shard, change.Put)
 }
 
-func (f *follower) put(shard shards.ID, items []feed.Item) {
+func (f *follower) applyItems(shard shards.ID, items []feed.Item) {
 	if f.items[shard] == nil {
 		f.items[shard] = make(map[string]history.State)
 	}
@@ -143,7 +143,7 @@
 
 // Status implements feedtransport.Handler: no view is published before the first one.
 func (f *follower) Status(feedtransport.Status) {
-	f.whole = true
+	f.complete = true
 	f.publish()
 }
 
@@ -155,7 +155,7 @@
 
 // publish records what the view shows now, if that is news.
 func (f *follower) publish() {
-	if !f.whole {
+	if !f.complete {
 		return
 	}
 	record := f.edge.world.record
@@ -164,9 +164,9 @@
 	if mark := view.Services[markService]; mark != nil {
 		now.Order = strings.TrimPrefix(mark.HealthPath, "/")
 	}
-	if now.Generation != f.shown.Generation || now.Order != f.shown.Order {
-		f.shown = now
-		record.view(now)
+	if now.Generation != f.published.Generation || now.Order != f.published.Order {
+		f.published = now
+		record.addView(now)
 	}
 	f.publishStates(now.At)
 }
@@ -176,20 +176,20 @@
 	for _, items := range f.items {
 		maps.Copy(states, items)
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.told)) {
+	for _, id := range slices.Sorted(maps.Keys(f.recorded)) {
 		if _, there := states[id]; !there {
-			f.tell(at, id, history.Absent)
-			delete(f.told, id)
+			f.recordState(at, id, history.Absent)
+			delete(f.recorded, id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(states)) {
-		if f.told[id] != states[id] {
-			f.told[id] = states[id]
-			f.tell(at, id, states[id])
+		if f.recorded[id] != states[id] {
+			f.recorded[id] = states[id]
+			f.recordState(at, id, states[id])
 		}
 	}
 }
 
-func (f *follower) tell(at time.Duration, id string, state history.State) {
-	f.edge.world.record.presence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
+func (f *follower) recordState(at time.Duration, id string, state history.State) {
+	f.edge.world.record.addPresence(history.Presence{Agent: f.edge.index, Incarnation: 1, At: at, Instance: id, State: state})
 }
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -19,7 +19,7 @@
 
 // playEvents carries all events out, each at its time, and returns when all are over.
 func (w *world) playEvents(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, w.schedule.End()+tail-w.record.now())
+	ctx, stop := context.WithTimeout(ctx, w.schedule.End()+recoveryTime-w.record.now())
 	defer stop() // orders of a core that is lost for good would be sent for ever
 	var playing sync.WaitGroup
 	for _, event := range w.schedule.Events {
@@ -64,16 +64,16 @@
 	}
 }
 
-// recordFault notes a trouble of the core.
-func (w *world) recordFault(event schedule.Event, lost []int) (over func()) {
-	return w.record.recordFault(history.Fault{What: event.String(), Core: true, Lost: lost})
+// beginCoreFault notes a trouble of the core.
+func (w *world) beginCoreFault(event schedule.Event, lost []int) (over func()) {
+	return w.record.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
 }
 
 // playDown takes machines down in a way, and starts them again.
 func (w *world) playDown(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.recordFault(event, event.Servers)
-		struck := w.places(event.Servers)
+		over := w.beginCoreFault(event, event.Servers)
+		struck := w.machinesAt(event.Servers)
 		for _, m := range struck {
 			down(m)
 		}
@@ -95,13 +95,13 @@
 // playAllDown takes the whole core down; the event's keepers lose their disks too.
 func (w *world) playAllDown(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
-		over := w.record.recordFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: w.allPlaces()})
-		all := w.everyPlace()
+		over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: w.allSlots()})
+		all := w.currentMachines()
 		var going sync.WaitGroup
 		for _, m := range all {
 			going.Go(func() {
 				down(m)
-				if slices.Contains(event.Servers, m.place) {
+				if slices.Contains(event.Servers, m.slot) {
 					m.wipe()
 				}
 			})
@@ -113,20 +113,20 @@
 	}
 }
 
-func (w *world) allPlaces() []int {
+func (w *world) allSlots() []int {
 	all := make([]int, w.schedule.Servers)
-	for place := range all {
-		all[place] = place
+	for slot := range all {
+		all[slot] = slot
 	}
 	return all
 }
 
 func (w *world) playFreeze(_ context.Context, event schedule.Event) {
-	over := w.record.recordFault(history.Fault{
+	over := w.record.beginFault(history.Fault{
 		What: event.String(), Core: len(event.Servers) > 0, Agents: event.Agents, Lost: event.Servers,
 	})
 	var thaw []func()
-	for _, m := range w.places(event.Servers) {
+	for _, m := range w.machinesAt(event.Servers) {
 		thaw = append(thaw, m.freeze())
 	}
 	for _, i := range event.Agents {
@@ -144,27 +144,27 @@
 
 // playCut cuts machines off; the operators and workers that it names reach these alone. With Restart their processes are restarted amid it, and know only each other.
 func (w *world) playCut(_ context.Context, event schedule.Event) {
-	over := w.record.recordFault(history.Fault{What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers})
-	struck := w.places(event.Servers)
-	heal := w.network.Cut(w.cutOf(event, struck))
-	w.confine(event, struck)
+	over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers})
+	struck := w.machinesAt(event.Servers)
+	heal := w.network.Cut(w.blockedPaths(event, struck))
+	w.restrictTo(event, struck)
 	if event.Restart {
 		w.restartBehind(event, struck)
 	} else {
 		time.Sleep(event.For)
 	}
 	heal()
-	w.confine(event, nil)
+	w.restrictTo(event, nil)
 	over()
 }
 
-// confine has the event's operators and workers reach some machines alone, until nil is given.
-func (w *world) confine(event schedule.Event, only []*machine) {
+// restrictTo has the event's operators and workers reach some machines alone, until nil is given.
+func (w *world) restrictTo(event schedule.Event, reachable []*machine) {
 	for _, i := range event.Operators {
-		w.operators[i].confine(only)
+		w.operators[i].restrictTo(reachable)
 	}
 	for _, i := range event.Workers {
-		w.workers[i].confine(only)
+		w.workers[i].restrictTo(reachable)
 	}
 }
 
@@ -178,7 +178,7 @@
 	time.Sleep(event.For / 3)
 	taken := make(map[*machine]bool)
 	for _, m := range struck {
-		taken[m] = m.isTakenIn()
+		taken[m] = m.isMember()
 		m.kill()
 	}
 	time.Sleep(event.For / 10)
@@ -192,8 +192,8 @@
 	time.Sleep(event.For - event.For/3 - event.For/10)
 }
 
-// cutOf returns which paths a cut blocks.
-func (w *world) cutOf(event schedule.Event, struck []*machine) func(simnet.Path) bool {
+// blockedPaths returns which paths a cut blocks.
+func (w *world) blockedPaths(event schedule.Event, struck []*machine) func(simnet.Path) bool {
 	inside := make(map[string]bool)
 	for _, m := range struck {
 		inside[m.ip] = true
@@ -217,14 +217,14 @@
 
 // playReplace has an empty machine at another address take a machine's place.
 func (w *world) playReplace(_ context.Context, event schedule.Event) {
-	over := w.recordFault(event, event.Servers)
+	over := w.beginCoreFault(event, event.Servers)
 	var going sync.WaitGroup
-	for _, place := range event.Servers {
+	for _, slot := range event.Servers {
 		going.Go(func() {
 			if event.Variant == schedule.Planned {
-				w.replacePlanned(place)
+				w.replacePlanned(slot)
 			} else {
-				w.replaceLost(place, event.For)
+				w.replaceLost(slot, event.For)
 			}
 		})
 	}
@@ -232,8 +232,8 @@
 	over()
 }
 
-func (w *world) replacePlanned(place int) {
-	old, successor := w.succeed(place)
+func (w *world) replacePlanned(slot int) {
+	old, successor := w.replaceMachine(slot)
 	successor.start(w.seeds(), false)
 	time.Sleep(handOverPause)
 	old.retire()
@@ -241,25 +241,25 @@
 }
 
 // replaceLost has a machine go for good, whatever else would start it again, and its successor come later.
-func (w *world) replaceLost(place int, after time.Duration) {
-	lost := w.at(place)
+func (w *world) replaceLost(slot int, after time.Duration) {
+	lost := w.machineAt(slot)
 	lost.retire()
 	lost.losePower()
 	time.Sleep(after)
-	old, successor := w.succeed(place)
+	old, successor := w.replaceMachine(slot)
 	old.retire() // another machine by now, if two events replace this place
 	old.losePower()
 	successor.start(w.seeds(), false)
 }
 
 func (w *world) playDisk(_ context.Context, event schedule.Event) {
-	over := w.record.recordFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
-	var calm []func()
-	for _, m := range w.places(event.Servers) {
-		calm = append(calm, m.disk.disturb(event.Variant))
+	over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: event.Servers})
+	var repairs []func()
+	for _, m := range w.machinesAt(event.Servers) {
+		repairs = append(repairs, m.disk.injectFault(event.Variant))
 	}
 	time.Sleep(event.For)
-	for _, end := range calm {
+	for _, end := range repairs {
 		end()
 	}
 	over()
@@ -267,9 +267,9 @@
 
 func (w *world) playLink(_ context.Context, event schedule.Event) {
 	core := len(event.Servers) > 0
-	over := w.record.recordFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
+	over := w.record.beginFault(history.Fault{What: event.String(), Core: core, Lasting: core, Agents: event.Agents, Lost: event.Servers})
 	hosts := make(map[string]bool)
-	for _, m := range w.places(event.Servers) {
+	for _, m := range w.machinesAt(event.Servers) {
 		hosts[m.ip] = true
 	}
 	for _, i := range event.Agents {
@@ -298,10 +298,10 @@
 
 // playRoll ends and starts machines one after the other.
 func (w *world) playRoll(_ context.Context, event schedule.Event) {
-	for _, place := range event.Servers {
+	for _, slot := range event.Servers {
 		began := time.Now()
-		over := w.recordFault(event, []int{place})
-		m := w.at(place)
+		over := w.beginCoreFault(event, []int{slot})
+		m := w.machineAt(slot)
 		m.terminate()
 		w.startAll([]*machine{m})
 		over()
@@ -316,9 +316,9 @@
 
 // kindOf returns the digit of an address that tells the kind of its machine.
 func kindOf(ip string) byte {
-	const place = len("10.")
-	if len(ip) <= place {
+	const slot = len("10.")
+	if len(ip) <= slot {
 		return 0
 	}
-	return ip[place]
+	return ip[slot]
 }
--- a/internal/testkit/controlplanesim/guards.go
+++ b/internal/testkit/controlplanesim/guards.go
@@ -13,7 +13,7 @@
 // Prefixes of the names of guards, by what they guard.
 const (
 	serverPrefix        = "keeper."
-	agreementPrefix     = "agreement."
+	consensusPrefix     = "agreement."
 	configurationPrefix = "configuration."
 )
 
@@ -27,7 +27,7 @@
 		names = append(names, serverPrefix+string(guard))
 	}
 	for _, rule := range consensus.Rules() {
-		names = append(names, agreementPrefix+string(rule))
+		names = append(names, consensusPrefix+string(rule))
 	}
 	for _, rule := range configuration.Rules() {
 		names = append(names, configurationPrefix+string(rule))
@@ -37,8 +37,8 @@
 
 // omissions is what a schedule leaves out, sorted by what it guards.
 type omissions struct {
-	keeper        []server.Guard
-	agreement     []consensus.Rule
+	server        []server.Guard
+	consensus     []consensus.Rule
 	configuration []configuration.Rule
 	leaveStale    bool
 }
@@ -53,9 +53,9 @@
 		case name == GuardLeaveStale:
 			out.leaveStale = true
 		case strings.HasPrefix(name, serverPrefix):
-			out.keeper = append(out.keeper, server.Guard(strings.TrimPrefix(name, serverPrefix)))
-		case strings.HasPrefix(name, agreementPrefix):
-			out.agreement = append(out.agreement, consensus.Rule(strings.TrimPrefix(name, agreementPrefix)))
+			out.server = append(out.server, server.Guard(strings.TrimPrefix(name, serverPrefix)))
+		case strings.HasPrefix(name, consensusPrefix):
+			out.consensus = append(out.consensus, consensus.Rule(strings.TrimPrefix(name, consensusPrefix)))
 		default:
 			out.configuration = append(out.configuration, configuration.Rule(strings.TrimPrefix(name, configurationPrefix)))
 		}
--- a/internal/testkit/controlplanesim/history/contact.go
+++ b/internal/testkit/controlplanesim/history/contact.go
@@ -9,21 +9,21 @@
 // Span is a time from one instant until before another.
 type Span struct{ From, To time.Duration }
 
-// InTouch are the spans in which the agent is in touch: for Contact before, nothing was done to it and the core was stable.
-func (h History) InTouch(agent int) []Span {
+// InContact are the spans in which the agent is in touch: for Contact before, nothing was done to it and the core was stable.
+func (h History) InContact(agent int) []Span {
 	var out []Span
 	for _, fault := range h.Faults {
 		if slices.Contains(fault.Agents, agent) {
 			out = append(out, Span{From: fault.From, To: fault.To + h.Bounds.Contact})
 		}
-		out = append(out, h.unstable(fault)...)
+		out = append(out, h.unstableSpans(fault)...)
 	}
 	out = append(out, Span{To: h.Bounds.Contact})
 	return complement(out, h.End)
 }
 
-// unstable are the spans in which the trouble keeps the core from being stable.
-func (h History) unstable(fault Fault) []Span {
+// unstableSpans are the spans in which the trouble keeps the core from being stable.
+func (h History) unstableSpans(fault Fault) []Span {
 	switch {
 	case !fault.Core:
 		return nil
--- a/internal/testkit/controlplanesim/history/drawn_test.go
+++ b/internal/testkit/controlplanesim/history/drawn_test.go
@@ -107,11 +107,11 @@
 				attempt.Outcome, attempt.Status = history.Unknown, 0
 			default:
 				if !s.take(order) {
-					attempt.Outcome, attempt.Status = history.Refused, 412
+					attempt.Outcome, attempt.Status = history.Rejected, 412
 				}
 			}
 			h.Operations = append(h.Operations, attempt)
-			if attempt.Outcome == history.Refused {
+			if attempt.Outcome == history.Rejected {
 				break
 			}
 			if random.IntN(2) == 0 {
@@ -124,7 +124,7 @@
 	return h
 }
 
-func TestDrawnHistoriesOfASoundServerBreakNothing(t *testing.T) {
+func TestHistory_Check_correctServer(t *testing.T) {
 	for seed := range uint64(500) {
 		if found := drawnHistory(seed, noFault).Check(); len(found) > 0 {
 			t.Fatalf("seed %d: %v", seed, found)
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestDrawnHistoriesOfAFaultyServerAreFound(t *testing.T) {
+func TestHistory_Check_faultyServer(t *testing.T) {
 	const seeds = 200
 	for _, fault := range []fault{staleReads, lostWrites, secondWinner, wrongRefusal} {
 		found := 0
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -20,7 +20,7 @@
 
 // order is an attempt of an order from at for 100 ms.
 func order(name string, on, generation uint64, at time.Duration, outcome history.Outcome) history.Operation {
-	status := map[history.Outcome]int{history.Acknowledged: 200, history.Refused: 412, history.Unknown: 0}[outcome]
+	status := map[history.Outcome]int{history.Acknowledged: 200, history.Rejected: 412, history.Unknown: 0}[outcome]
 	return history.Operation{Kind: history.Replace, Order: name, Base: on, Generation: generation, Call: at, Return: at + 100*time.Millisecond, Outcome: outcome, Status: status}
 }
 
@@ -58,13 +58,13 @@
 	return h
 }
 
-func TestOrdersAndReadsThatHaveAnOrderInTime(t *testing.T) {
+func TestCheckLinearizable_linearizable(t *testing.T) {
 	for name, h := range map[string]history.History{
 		"one after the other":                     operations(order("a", 0, 1, 1*second, history.Acknowledged), read("a", 1, 2*second), order("b", 1, 3, 3*second, history.Acknowledged), read("b", 3, 4*second)),
-		"a loser is refused":                      operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Refused)),
+		"a loser is refused":                      operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Rejected)),
 		"without answer, taken later":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("a", 1, 3*second), read("b", 2, 9*second)),
 		"without answer, never taken":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("a", 1, 30*second)),
-		"without answer, refuses another":         operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), order("c", 1, 3, 5*second, history.Refused)),
+		"without answer, refuses another":         operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), order("c", 1, 3, 5*second, history.Rejected)),
 		"without answer, the next builds on it":   operations(order("a", 0, 1, 1*second, history.Unknown), order("b", 1, 2, 3*second, history.Acknowledged)),
 		"acknowledged at the second attempt":      operations(order("a", 0, 1, 1*second, history.Unknown), order("a", 0, 1, 3*second, history.Acknowledged), read("a", 1, 4*second)),
 		"repeated after newer ones":               operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("a", 0, 1, 3*second, history.Acknowledged), read("b", 2, 4*second)),
@@ -74,24 +74,24 @@
 	}
 }
 
-func TestAnswersThatNoOrderInTimeExplains(t *testing.T) {
+func TestCheckLinearizable_notLinearizable(t *testing.T) {
 	for name, h := range map[string]history.History{
 		"a read of the old":              operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), read("a", 1, 3*second)),
 		"reads that go back":             operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Unknown), read("b", 2, 3*second), read("a", 1, 4*second)),
-		"a refusal without cause":        operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Refused)),
+		"a refusal without cause":        operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Rejected)),
 		"two winners":                    operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged), order("c", 1, 3, 3*second, history.Acknowledged)),
 		"acknowledged, then gone":        operations(order("a", 0, 1, 1*second, history.Acknowledged), read("", 0, 9*second)),
-		"a refusal before the other one": operations(order("a", 0, 1, 1*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Refused), order("b", 1, 2, 5*second, history.Acknowledged)),
+		"a refusal before the other one": operations(order("a", 0, 1, 1*second, history.Acknowledged), order("c", 1, 3, 2*second, history.Rejected), order("b", 1, 2, 5*second, history.Acknowledged)),
 	} {
 		t.Run(name, func(t *testing.T) { wantOnly(t, h, history.CheckLinearizable) })
 	}
 }
 
-func TestManyOrdersWithoutAnswerAreSearchedInTime(t *testing.T) {
+func TestCheckLinearizable_manyUnknownOutcomes(t *testing.T) {
 	var all []history.Operation
 	for i := range uint64(200) {
 		at := time.Duration(i) * 250 * time.Millisecond
-		all = append(all, order(name("lost", i), i, i+1, at, history.Unknown), order(name("kept", i), i, i+1, at, history.Acknowledged), order(name("late", i), i, i+1, at+120*time.Millisecond, history.Refused))
+		all = append(all, order(name("lost", i), i, i+1, at, history.Unknown), order(name("kept", i), i, i+1, at, history.Acknowledged), order(name("late", i), i, i+1, at+120*time.Millisecond, history.Rejected))
 	}
 	start := time.Now()
 	wantOnly(t, operations(all...), "")
@@ -102,18 +102,18 @@
 
 func name(word string, i uint64) string { return word + "-" + time.Duration(i).String() }
 
-func TestOrderIsNotBothTakenAndRefused(t *testing.T) {
+func TestCheckOrders_acceptedAndRejected(t *testing.T) {
 	taken := order("a", 0, 1, 1*second, history.Acknowledged)
-	wantOnly(t, operations(taken, order("b", 0, 1, 2*second, history.Refused)), "")
-	wantOnly(t, operations(taken, order("b", 1, 2, 3*second, history.Acknowledged), order("a", 0, 1, 5*second, history.Refused)), history.CheckOrders)
-	wantOnly(t, operations(order("a", 0, 1, 1*second, history.Unknown), order("a", 0, 1, 2*second, history.Refused), read("", 0, 2*second)), history.CheckLinearizable)
+	wantOnly(t, operations(taken, order("b", 0, 1, 2*second, history.Rejected)), "")
+	wantOnly(t, operations(taken, order("b", 1, 2, 3*second, history.Acknowledged), order("a", 0, 1, 5*second, history.Rejected)), history.CheckOrders)
+	wantOnly(t, operations(order("a", 0, 1, 1*second, history.Unknown), order("a", 0, 1, 2*second, history.Rejected), read("", 0, 2*second)), history.CheckLinearizable)
 
 	invalid := order("x", 0, 1, 1*second, history.Acknowledged)
 	invalid.Invalid = true
 	if h := operations(invalid); len(h.Check()) == 0 || h.Check()[0].Check != history.CheckOrders {
 		t.Errorf("an invalid order that was taken is not told: %v", h.Check())
 	}
-	shown := operations(taken, order("b", 1, 2, 2*second, history.Refused))
+	shown := operations(taken, order("b", 1, 2, 2*second, history.Rejected))
 	shown.Views = append(shown.Views, history.View{Agent: 0, At: 5 * second, Generation: 2, Order: "b"})
 	if found := shown.Check(); len(found) == 0 || found[0].Check != history.CheckOrders {
 		t.Errorf("a refused order that an agent shows is not told: %v", found)
@@ -123,7 +123,7 @@
 	wantOnly(t, foreign, history.CheckOrders)
 }
 
-func TestGenerationHasOneBody(t *testing.T) {
+func TestCheckOneBody(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 0, 1, 1*second, history.Unknown))
 	wantOnly(t, h, "")
 	h.Views = append(h.Views, history.View{Agent: 1, At: 4 * second, Generation: 1, Order: "b"})
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestViewsFollowWhatWasAcknowledged(t *testing.T) {
+func TestCheckFreshViews(t *testing.T) {
 	h := base()
 	h.Operations = []history.Operation{order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 20*second, history.Acknowledged)}
 	h.Views = []history.View{{Agent: 0, At: 2 * second, Generation: 1, Order: "a"}, {Agent: 1, At: 2 * second, Generation: 1, Order: "a"},
@@ -153,7 +153,7 @@
 	wantOnly(t, stableAgain, history.CheckFreshViews)
 }
 
-func TestViewsDoNotGoBackWithinALife(t *testing.T) {
+func TestCheckForwardViews(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 2*second, history.Acknowledged))
 	h.Faults = []history.Fault{{What: "cut", From: 4 * second, To: 60 * second, Agents: []int{0}}}
 	back := history.View{Agent: 0, At: 30 * second, Generation: 1, Order: "a"}
@@ -163,7 +163,7 @@
 	wantOnly(t, h, "")
 }
 
-func TestDeparturesAreNotForgotten(t *testing.T) {
+func TestCheckDepartures(t *testing.T) {
 	h := base()
 	ready := func(agent int, at time.Duration, state history.State) history.Presence {
 		return history.Presence{Agent: agent, At: at, Instance: "i-1", State: state}
@@ -188,7 +188,7 @@
 	wantOnly(t, again, history.CheckDepartures)
 }
 
-func TestRegistrationsAreSeen(t *testing.T) {
+func TestCheckRegistrations(t *testing.T) {
 	h := base()
 	h.Heartbeats = []history.Heartbeat{{Instance: "i-1", At: 10 * second}, {Instance: "i-1", At: 11 * second}}
 	wantOnly(t, h, history.CheckRegistration)
@@ -209,7 +209,7 @@
 	wantOnly(t, away, "")
 }
 
-func TestServesAgainAfterADisruption(t *testing.T) {
+func TestCheckServeAgain(t *testing.T) {
 	h := operations(order("a", 0, 1, 1*second, history.Acknowledged), order("b", 1, 2, 21*second, history.Unknown), order("b", 1, 2, 30*second, history.Acknowledged))
 	h.Faults = []history.Fault{{What: "kill", From: 20 * second, To: 20500 * time.Millisecond, Core: true}}
 	wantOnly(t, h, history.CheckServeAgain)
@@ -227,38 +227,38 @@
 	wantOnly(t, silent, "")
 }
 
-func TestAMajoritySurvivesFurtherLosses(t *testing.T) {
-	voter := func(id uint64, place int) history.Voter { return history.Voter{ID: id, Place: place, Durable: 10} }
+func TestCheckMajority(t *testing.T) {
+	voter := func(id uint64, place int) history.Voter { return history.Voter{ID: id, Slot: place, Durable: 10} }
 	whole := []history.Voter{voter(1, 0), voter(2, 1), voter(3, 2)}
 	lost := history.Fault{What: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
-	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Place: 2, Gone: true}}
+	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Slot: 2, Gone: true}}
 	repaired := []history.Voter{voter(1, 0), voter(2, 1), voter(4, 2)}
-	standing := func(at time.Duration, voters []history.Voter) history.Standing {
-		return history.Standing{At: at, Committed: 10, Voters: voters}
+	standing := func(at time.Duration, voters []history.Voter) history.GroupState {
+		return history.GroupState{At: at, Committed: 10, Voters: voters}
 	}
 	for name, one := range map[string]struct {
-		standings []history.Standing
+		standings []history.GroupState
 		want      string
 	}{
-		"whole":                          {[]history.Standing{standing(0, whole)}, ""},
-		"repaired in time":               {[]history.Standing{standing(0, whole), standing(20*second, wiped), standing(22*second, wiped[:2]), standing(23*second, repaired)}, ""},
-		"not repaired":                   {[]history.Standing{standing(0, whole), standing(20*second, wiped)}, history.CheckMajority},
-		"removed, none in its place":     {[]history.Standing{standing(0, whole), standing(20*second, wiped), standing(22*second, wiped[:2])}, history.CheckMajority},
-		"a voter is removed in calm":     {[]history.Standing{standing(0, whole), standing(40*second, whole[:2])}, history.CheckMajority},
-		"removed the one that is well":   {[]history.Standing{standing(0, whole), standing(20*second, wiped), standing(21*second, wiped[1:])}, history.CheckMajority},
-		"promoted before it holds a log": {[]history.Standing{standing(0, []history.Voter{voter(1, 0), {ID: 2, Place: 1, Durable: 9}, {ID: 3, Place: 2, Durable: 9}})}, history.CheckMajority},
+		"whole":                          {[]history.GroupState{standing(0, whole)}, ""},
+		"repaired in time":               {[]history.GroupState{standing(0, whole), standing(20*second, wiped), standing(22*second, wiped[:2]), standing(23*second, repaired)}, ""},
+		"not repaired":                   {[]history.GroupState{standing(0, whole), standing(20*second, wiped)}, history.CheckMajority},
+		"removed, none in its place":     {[]history.GroupState{standing(0, whole), standing(20*second, wiped), standing(22*second, wiped[:2])}, history.CheckMajority},
+		"a voter is removed in calm":     {[]history.GroupState{standing(0, whole), standing(40*second, whole[:2])}, history.CheckMajority},
+		"removed the one that is well":   {[]history.GroupState{standing(0, whole), standing(20*second, wiped), standing(21*second, wiped[1:])}, history.CheckMajority},
+		"promoted before it holds a log": {[]history.GroupState{standing(0, []history.Voter{voter(1, 0), {ID: 2, Slot: 1, Durable: 9}, {ID: 3, Slot: 2, Durable: 9}})}, history.CheckMajority},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := base()
 			h.Faults = []history.Fault{lost}
-			h.Standings = one.standings
+			h.GroupStates = one.standings
 			wantOnly(t, h, one.want)
 		})
 	}
 	t.Run("everything is down", func(t *testing.T) {
 		h := base()
 		h.Faults = []history.Fault{{What: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
-		h.Standings = []history.Standing{standing(0, whole), standing(20*second, wiped), standing(24*second, repaired)}
+		h.GroupStates = []history.GroupState{standing(0, whole), standing(20*second, wiped), standing(24*second, repaired)}
 		wantOnly(t, h, "")
 	})
 }
--- a/internal/testkit/controlplanesim/history/linearizable.go
+++ b/internal/testkit/controlplanesim/history/linearizable.go
@@ -28,10 +28,10 @@
 type step uint8
 
 const (
-	effect  step = iota // the order is taken
-	look                // a read
-	refusal             // the order is not taken, since what it builds on is not in force
-	finish              // after all that is proven: what has not taken effect never will
+	effectStep    step = iota // the order is taken
+	readStep                  // a read
+	rejectionStep             // the order is not taken, since what it builds on is not in force
+	finishStep                // after all that is proven: what has not taken effect never will
 )
 
 // state is what the model holds.
@@ -44,34 +44,34 @@
 // model is a register whose writes name the generation that they replace and a higher one.
 var model = porcupine.Model{
 	Init: func() any { return state{} },
-	Step: func(before, given, _ any) (bool, any) { return before.(state).take(given.(input)) },
+	Step: func(before, given, _ any) (bool, any) { return before.(state).apply(given.(input)) },
 	DescribeOperation: func(given, _ any) string {
 		i := given.(input)
 		return fmt.Sprintf("%d %q %d on %d", i.step, i.order, i.generation, i.base)
 	},
 }
 
-// take is one step: whether it is possible, and the state after it.
-func (s state) take(i input) (bool, state) {
-	applies := i.base == s.generation && i.generation > s.generation
-	switch i.step {
-	case look:
-		return s.generation == i.generation && s.order == i.order, s
-	case refusal:
+// apply is one step: whether it is possible, and the state after it.
+func (s state) apply(given input) (bool, state) {
+	applies := given.base == s.generation && given.generation > s.generation
+	switch given.step {
+	case readStep:
+		return s.generation == given.generation && s.order == given.order, s
+	case rejectionStep:
 		return !applies, s
-	case finish:
+	case finishStep:
 		s.finished = true
 		return true, s
 	}
-	if s.finished && !i.proven {
+	if s.finished && !given.proven {
 		return true, s
 	}
-	return applies && !s.finished, state{generation: i.generation, order: i.order}
+	return applies && !s.finished, state{generation: given.generation, order: given.order}
 }
 
 // checkLinearizable searches an order in time of all effects, refusals and reads. A search that does not end is told too.
 func checkLinearizable(h History) []Violation {
-	operations := h.modelled()
+	operations := h.modelOperations()
 	result, info := porcupine.CheckOperationsVerbose(model, operations, searchBudget)
 	switch result {
 	case porcupine.Ok:
@@ -82,15 +82,15 @@
 	return []Violation{{Check: CheckLinearizable, At: h.End, Text: explain(operations, info)}}
 }
 
-// modelled are the model's operations: reads and refusals as they were called, the effects of orders, and the end.
-func (h History) modelled() []porcupine.Operation {
+// modelOperations are the model's operations: reads and refusals as they were called, the effects of orders, and the end.
+func (h History) modelOperations() []porcupine.Operation {
 	var all []porcupine.Operation
 	for _, operation := range h.Operations {
 		switch {
 		case operation.Kind == Read && operation.Outcome == Acknowledged:
-			all = append(all, asOperation(operation, look))
-		case operation.Kind != Read && operation.Outcome == Refused && !operation.Invalid:
-			all = append(all, asOperation(operation, refusal))
+			all = append(all, asOperation(operation, readStep))
+		case operation.Kind != Read && operation.Outcome == Rejected && !operation.Invalid:
+			all = append(all, asOperation(operation, rejectionStep))
 		}
 	}
 	all = append(all, h.effects()...)
@@ -100,19 +100,19 @@
 			last = max(last, operation.Return)
 		}
 	}
-	return append(all, porcupine.Operation{Input: input{step: finish}, Call: last + 1, Return: last + 2})
+	return append(all, porcupine.Operation{Input: input{step: finishStep}, Call: last + 1, Return: last + 2})
 }
 
 // effects are those of the orders that were taken or may have been: one for each order, from its first attempt that was
 // not refused until its first proof.
 func (h History) effects() []porcupine.Operation {
-	proofs := h.taken()
+	proofs := h.accepted()
 	needed := h.needed(proofs)
-	refused := h.refused()
+	refused := h.rejected()
 	at := map[string]int{}
 	var effects []porcupine.Operation
 	for _, operation := range h.Operations {
-		if operation.Kind == Read || operation.Outcome == Refused || operation.Invalid {
+		if operation.Kind == Read || operation.Outcome == Rejected || operation.Invalid {
 			continue
 		}
 		if i, known := at[operation.Order]; known {
@@ -124,7 +124,7 @@
 			continue
 		}
 		made := porcupine.Operation{ClientId: operation.Client, Call: int64(operation.Call), Return: forever,
-			Input: input{step: effect, base: operation.Base, generation: operation.Generation, order: operation.Order, proven: proven}}
+			Input: input{step: effectStep, base: operation.Base, generation: operation.Generation, order: operation.Order, proven: proven}}
 		if proven {
 			made.Return = max(int64(proof.at), made.Call)
 		}
@@ -134,11 +134,11 @@
 	return effects
 }
 
-// refused are the orders of which an attempt was refused: none of their attempts may take effect.
-func (h History) refused() map[string]bool {
+// rejected are the orders of which an attempt was refused: none of their attempts may take effect.
+func (h History) rejected() map[string]bool {
 	refused := map[string]bool{}
 	for _, operation := range h.Operations {
-		if operation.Outcome == Refused {
+		if operation.Outcome == Rejected {
 			refused[operation.Order] = true
 		}
 	}
@@ -147,14 +147,14 @@
 
 // needed are the generations upon which an order without proof may explain something: a refusal of another order upon
 // the same one, or the base of an order that was taken.
-func (h History) needed(proofs map[string]sighting) map[uint64]bool {
+func (h History) needed(proofs map[string]proof) map[uint64]bool {
 	needed := map[uint64]bool{}
 	bases := map[uint64]bool{}
 	for _, operation := range h.Operations {
 		if operation.Kind == Read {
 			continue
 		}
-		if operation.Outcome == Refused {
+		if operation.Outcome == Rejected {
 			needed[operation.Base] = true
 			bases[operation.Base] = true
 		}
@@ -165,7 +165,7 @@
 	for changed := true; changed; {
 		changed = false
 		for _, operation := range h.Operations {
-			if operation.Kind != Read && operation.Outcome != Refused && bases[operation.Generation] && !needed[operation.Base] {
+			if operation.Kind != Read && operation.Outcome != Rejected && bases[operation.Generation] && !needed[operation.Base] {
 				needed[operation.Base], bases[operation.Base], changed = true, true, true
 			}
 		}
--- a/internal/testkit/controlplanesim/history/majority.go
+++ b/internal/testkit/controlplanesim/history/majority.go
@@ -28,9 +28,9 @@
 	return found
 }
 
-func (h History) byGroup() map[int][]Standing {
-	groups := map[int][]Standing{}
-	for _, standing := range h.Standings {
+func (h History) byGroup() map[int][]GroupState {
+	groups := map[int][]GroupState{}
+	for _, standing := range h.GroupStates {
 		groups[standing.Group] = append(groups[standing.Group], standing)
 	}
 	return groups
@@ -61,7 +61,7 @@
 }
 
 // weakness tells what a further loss within the tolerance would cost; empty: nothing.
-func (h History) weakness(standing Standing, at time.Duration) string {
+func (h History) weakness(standing GroupState, at time.Duration) string {
 	lost := h.lostAt(at)
 	further := min(h.Tolerance, (h.Wanted-1)/2) - len(lost)
 	if further < 0 {
@@ -69,7 +69,7 @@
 	}
 	remaining, holding := 0, 0
 	for _, voter := range standing.Voters {
-		if voter.Gone || lost[voter.Place] {
+		if voter.Gone || lost[voter.Slot] {
 			continue
 		}
 		remaining++
--- a/internal/testkit/controlplanesim/history/orders.go
+++ b/internal/testkit/controlplanesim/history/orders.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// sighting is the first proof that an order was taken.
-type sighting struct {
+// proof is the first proof that an order was taken.
+type proof struct {
 	at  time.Duration
 	how string
 }
 
-// taken are the orders that are known to have been taken, with the earliest proof of each.
-func (h History) taken() map[string]sighting {
-	taken := map[string]sighting{}
+// accepted are the orders that are known to have been taken, with the earliest proof of each.
+func (h History) accepted() map[string]proof {
+	taken := map[string]proof{}
 	note := func(order string, at time.Duration, how string) {
 		if earlier, known := taken[order]; order != "" && (!known || at < earlier.at) {
-			taken[order] = sighting{at: at, how: how}
+			taken[order] = proof{at: at, how: how}
 		}
 	}
 	for _, operation := range h.Operations {
@@ -33,7 +33,7 @@
 // checkOrders finds orders that were both taken and refused, and taken ones that are invalid or were never sent.
 func checkOrders(history History) []Violation {
 	var found []Violation
-	taken := history.taken()
+	taken := history.accepted()
 	sent := map[string]bool{}
 	for _, operation := range history.Operations {
 		if operation.Kind == Read {
@@ -44,7 +44,7 @@
 		switch {
 		case known && operation.Invalid:
 			found = append(found, Violation{Check: CheckOrders, At: proof.at, Text: "an invalid order was taken: " + proof.how})
-		case known && operation.Outcome == Refused:
+		case known && operation.Outcome == Rejected:
 			found = append(found, Violation{Check: CheckOrders, At: operation.Return, Text: fmt.Sprintf("%v; but it was taken: %s", operation, proof.how)})
 		}
 	}
--- a/internal/testkit/controlplanesim/history/recovery.go
+++ b/internal/testkit/controlplanesim/history/recovery.go
@@ -12,7 +12,7 @@
 	var found []Violation
 	for _, at := range history.disruptions() {
 		until := at + history.Bounds.ServeAgain
-		if until > history.End || !history.calm(at, until) {
+		if until > history.End || !history.undisturbed(at, until) {
 			continue
 		}
 		asked, answered := false, false
@@ -39,8 +39,8 @@
 	return slices.Compact(instants)
 }
 
-// calm reports whether nothing is done to the core after the first instant up to the second, and no trouble lasts.
-func (h History) calm(from, to time.Duration) bool {
+// undisturbed reports whether nothing is done to the core after the first instant up to the second, and no trouble lasts.
+func (h History) undisturbed(from, to time.Duration) bool {
 	for _, fault := range h.Faults {
 		if !fault.Core {
 			continue
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -18,7 +18,7 @@
 	Departures    []Departure
 	Presences     []Presence
 	Faults        []Fault
-	Standings     []Standing
+	GroupStates   []GroupState
 	PresenceUntil time.Duration // until which Presences are complete; 0: End
 }
 
@@ -47,7 +47,7 @@
 // Outcomes.
 const (
 	Acknowledged Outcome = "acknowledged" // 200
-	Refused      Outcome = "refused"      // a 4xx that ends the operator's call
+	Rejected     Outcome = "refused"      // a 4xx that ends the operator's call
 	Unknown      Outcome = "unknown"      // anything else: it may take effect later, once or never
 )
 
@@ -125,8 +125,8 @@
 	Until   time.Duration
 }
 
-// Standing is a group's membership at a time, with what its voters hold durably. It holds until the next one.
-type Standing struct {
+// GroupState is a group's membership at a time, with what its voters hold durably. It holds until the next one.
+type GroupState struct {
 	At        time.Duration
 	Group     int
 	Committed uint64 // highest index whose effect was told to anybody
@@ -136,7 +136,7 @@
 // Voter is a voting member.
 type Voter struct {
 	ID      uint64
-	Place   int
+	Slot    int
 	Gone    bool   // its disk is lost, or its machine is replaced
 	Durable uint64 // highest index that is durable at it
 }
@@ -147,7 +147,7 @@
 	if v.Gone {
 		gone = ", gone"
 	}
-	return fmt.Sprintf("%x at place %d, durable to %d%s", v.ID, v.Place, v.Durable, gone)
+	return fmt.Sprintf("%x at place %d, durable to %d%s", v.ID, v.Slot, v.Durable, gone)
 }
 
 // Violation is a promise that was broken.
--- a/internal/testkit/controlplanesim/history/views.go
+++ b/internal/testkit/controlplanesim/history/views.go
@@ -28,7 +28,7 @@
 func checkFreshViews(history History) []Violation {
 	var found []Violation
 	for agent, views := range history.byAgent() {
-		spans := history.InTouch(agent)
+		spans := history.InContact(agent)
 		for _, order := range history.Operations {
 			if order.Kind == Read || order.Outcome != Acknowledged {
 				continue
--- a/internal/testkit/controlplanesim/history/workers.go
+++ b/internal/testkit/controlplanesim/history/workers.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// shown is what one agent's views show of one worker over time.
-type shown map[string][]Presence
+// presenceLog is what one agent's views show of one worker over time.
+type presenceLog map[string][]Presence
 
 // presencesByAgent sorts the presences by agent and worker.
-func (h History) presencesByAgent() []shown {
-	all := make([]shown, h.Agents)
+func (h History) presencesByAgent() []presenceLog {
+	all := make([]presenceLog, h.Agents)
 	for agent := range all {
-		all[agent] = shown{}
+		all[agent] = presenceLog{}
 	}
 	for _, presence := range h.Presences {
 		one := all[presence.Agent]
@@ -22,8 +22,8 @@
 	return all
 }
 
-// at is how the worker is shown at the time.
-func (s shown) at(instance string, at time.Duration) State {
+// stateAt is how the worker is shown at the time.
+func (s presenceLog) stateAt(instance string, at time.Duration) State {
 	changes := s[instance]
 	after := sort.Search(len(changes), func(i int) bool { return changes[i].At > at })
 	if after == 0 {
@@ -37,7 +37,7 @@
 func checkDepartures(history History) []Violation {
 	var found []Violation
 	for agent, presences := range history.presencesByAgent() {
-		spans := history.InTouch(agent)
+		spans := history.InContact(agent)
 		for _, departure := range history.Departures {
 			if departure.Acknowledged == 0 {
 				continue
@@ -53,13 +53,13 @@
 }
 
 // readyAfter finds a time in the spans, not before the earliest one, at which the worker is shown as ready.
-func (s shown) readyAfter(instance string, spans []Span, earliest time.Duration) (time.Duration, bool) {
+func (s presenceLog) readyAfter(instance string, spans []Span, earliest time.Duration) (time.Duration, bool) {
 	for _, span := range spans {
 		from := max(span.From, earliest)
 		if from >= span.To {
 			continue
 		}
-		if s.at(instance, from) == Ready {
+		if s.stateAt(instance, from) == Ready {
 			return from, true
 		}
 		for _, change := range s[instance] {
@@ -72,7 +72,7 @@
 }
 
 // readyAgain finds workers that were draining and are ready again in the same life of the agent.
-func (s shown) readyAgain(agent int) []Violation {
+func (s presenceLog) readyAgain(agent int) []Violation {
 	var found []Violation
 	for instance, changes := range s {
 		drained := map[int]bool{}
@@ -101,16 +101,16 @@
 	}
 	var found []Violation
 	for agent, presences := range history.presencesByAgent() {
-		spans := history.InTouch(agent)
-		for _, beat := range history.Heartbeats {
-			at := beat.At + history.Bounds.Registration
-			from, left := leaving[beat.Instance]
-			if left && from <= at || at >= until || !covers(spans, beat.At, at) {
+		spans := history.InContact(agent)
+		for _, heartbeat := range history.Heartbeats {
+			at := heartbeat.At + history.Bounds.Registration
+			from, left := leaving[heartbeat.Instance]
+			if left && from <= at || at >= until || !covers(spans, heartbeat.At, at) {
 				continue
 			}
-			if presences.at(beat.Instance, at) == Absent {
+			if presences.stateAt(heartbeat.Instance, at) == Absent {
 				found = append(found, Violation{Check: CheckRegistration, At: at,
-					Text: fmt.Sprintf("agent %d does not show %s, whose heartbeat was acknowledged at %v", agent, beat.Instance, beat.At)})
+					Text: fmt.Sprintf("agent %d does not show %s, whose heartbeat was acknowledged at %v", agent, heartbeat.Instance, heartbeat.At)})
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -18,15 +18,15 @@
 // machine is one machine of the core, with its disk and the keeper that runs on it.
 type machine struct {
 	world *world
-	place int
+	slot  int
 	ip    string
 	disk  *machineDisk
 
-	mutex   sync.Mutex
-	running *serverProcess // nil: none was started, or it is down
-	starts  int
-	member  consensus.MemberID // of this disk, as the last keeper had it
-	retired bool               // another machine has its place
+	mutex    sync.Mutex
+	running  *serverProcess // nil: none was started, or it is down
+	starts   int
+	memberID consensus.MemberID // of this disk, as the last keeper had it
+	retired  bool               // another machine has its place
 }
 
 // serverProcess is one life of a machine's keeper.
@@ -34,7 +34,7 @@
 	process *simnet.Process
 	stop    context.CancelFunc // as SIGTERM does
 	ended   chan struct{}      // closed once nothing of it runs any more
-	keeper  *server.Server     // nil until it is open
+	server  *server.Server     // nil until it is open
 	serving bool               // its API takes calls
 }
 
@@ -82,7 +82,7 @@
 		Dial:          incarnation.process.Dial,
 		Listen:        incarnation.process.Listen,
 		OnGroupStatus: func(status replica.Status) { w.record.observe(m, status) },
-		OmitGuards:    w.omit.keeper, OmitRules: w.omit.agreement, OmitStore: w.omit.configuration,
+		OmitGuards:    w.omissions.server, OmitRules: w.omissions.consensus, OmitStore: w.omissions.configuration,
 	}
 }
 
@@ -91,17 +91,17 @@
 	opened, err := server.Open(ctx, config, outside, m.world.log.With(zap.String("machine", m.ip)))
 	if err == nil {
 		m.mutex.Lock()
-		incarnation.keeper, m.member = opened, opened.Self().ID
+		incarnation.server, m.memberID = opened, opened.Self().ID
 		m.mutex.Unlock()
-		m.world.record.knowMember(opened.Self().ID, m)
+		m.world.record.addMember(opened.Self().ID, m)
 		err = opened.Serve(ctx, &apiServer{machine: m, incarnation: incarnation, stop: make(chan struct{})})
 		opened.Close()
 	}
 	if !incarnation.process.Dead() && ctx.Err() == nil {
-		m.world.record.fault("the keeper of " + m.ip + " ended by itself: " + errorText(err))
+		m.world.record.addFault("the keeper of " + m.ip + " ended by itself: " + errorText(err))
 	}
 	incarnation.process.Kill()
-	m.forget(incarnation)
+	m.processEnded(incarnation)
 }
 
 func errorText(err error) string {
@@ -111,8 +111,8 @@
 	return err.Error()
 }
 
-// forget notes that a life has ended.
-func (m *machine) forget(incarnation *serverProcess) {
+// processEnded notes that a life has ended.
+func (m *machine) processEnded(incarnation *serverProcess) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.running == incarnation {
@@ -120,8 +120,8 @@
 	}
 }
 
-// take takes the running keeper away, so that another may be started, or returns nil.
-func (m *machine) take() *serverProcess {
+// takeProcess takes the running keeper away, so that another may be started, or returns nil.
+func (m *machine) takeProcess() *serverProcess {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	incarnation := m.running
@@ -134,7 +134,7 @@
 
 // kill ends the process; its disk stays.
 func (m *machine) kill() {
-	if incarnation := m.take(); incarnation != nil {
+	if incarnation := m.takeProcess(); incarnation != nil {
 		incarnation.process.Kill()
 		m.disk.kill()
 		incarnation.stop()
@@ -146,7 +146,7 @@
 	m.mutex.Lock()
 	draws := m.world.random("power "+m.ip, m.starts)
 	m.mutex.Unlock()
-	incarnation := m.take()
+	incarnation := m.takeProcess()
 	m.world.network.SetPower(m.ip, false)
 	if incarnation != nil {
 		incarnation.process.LosePower()
@@ -162,9 +162,9 @@
 	m.losePower()
 	m.disk.wipe()
 	m.mutex.Lock()
-	lost := m.member
+	lost := m.memberID
 	m.mutex.Unlock()
-	m.world.record.gone(lost)
+	m.world.record.markGone(lost)
 }
 
 // terminate ends the process as SIGTERM does, and after the time of grace as SIGKILL does.
@@ -176,7 +176,7 @@
 		return
 	}
 	incarnation.stop()
-	timer := time.NewTimer(grace)
+	timer := time.NewTimer(terminationGrace)
 	defer timer.Stop()
 	select {
 	case <-incarnation.ended:
@@ -204,7 +204,7 @@
 	if m.running == nil || !m.running.serving {
 		return nil, nil
 	}
-	return m.running.keeper, m.running.process
+	return m.running.server, m.running.process
 }
 
 // inspect returns the state of the keeper's groups, nil if it has none.
@@ -212,7 +212,7 @@
 	m.mutex.Lock()
 	var opened *server.Server
 	if m.running != nil {
-		opened = m.running.keeper
+		opened = m.running.server
 	}
 	m.mutex.Unlock()
 	if opened == nil {
@@ -261,7 +261,7 @@
 	return m.retired
 }
 
-// isTakenIn tells whether the keeper knows the members of a group.
-func (m *machine) isTakenIn() bool {
+// isMember tells whether the keeper knows the members of a group.
+func (m *machine) isMember() bool {
 	return slices.ContainsFunc(m.inspect(), func(status replica.Status) bool { return len(status.Members) > 0 })
 }
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -14,13 +14,13 @@
 
 // How operators go about.
 const (
-	shortestPause = 300 * time.Millisecond // between two orders
-	longestPause  = 1500 * time.Millisecond
-	firstRetry    = 100 * time.Millisecond // between two attempts, doubled with each up to the last
-	lastRetry     = time.Second
-	readShare     = 4 // one of so many steps is a read
-	largestStep   = 5 // of generations
-	lastChance    = 3 // attempt at which any 4xx ends the call
+	minPause            = 300 * time.Millisecond // between two orders
+	maxPause            = 1500 * time.Millisecond
+	minBackoff          = 100 * time.Millisecond // between two attempts, doubled with each up to the last
+	maxBackoff          = time.Second
+	readShare           = 4 // one of so many steps is a read
+	maxGenerationStep   = 5 // of generations
+	maxRejectedAttempts = 3 // attempt at which any 4xx ends the call
 )
 
 // operator sends orders and reads, as PROTOCOL says.
@@ -29,13 +29,13 @@
 	index int
 	host  string
 
-	mutex  sync.Mutex
-	random *rand.Rand
-	known  uint64 // the newest generation that it has seen
-	orders int
-	only   []*machine // that it reaches; nil: all
-	last   order      // accepted one but the newest
-	newest order
+	mutex           sync.Mutex
+	random          *rand.Rand
+	knownGeneration uint64 // the newest generation that it has seen
+	orders          int
+	reachable       []*machine // that it reaches; nil: all
+	last            order      // accepted one but the newest
+	newest          order
 }
 
 // run sends orders one after the other until ctx ends. The first operator sends the first configuration.
@@ -45,17 +45,17 @@
 	}
 	for sleep(ctx, o.pause()) {
 		if o.draw(readShare) == 0 || o.base() == 0 {
-			o.read(ctx, o.pick())
+			o.read(ctx, o.pickServer())
 			continue
 		}
 		o.send(ctx, o.makeOrder(o.base()))
 	}
 }
 
-// readOn reads from one keeper after the other until ctx ends.
-func (o *operator) readOn(ctx context.Context) {
-	for sleep(ctx, shortestPause+o.share(shortestPause)) {
-		o.read(ctx, o.pick())
+// readForever reads from one keeper after the other until ctx ends.
+func (o *operator) readForever(ctx context.Context) {
+	for sleep(ctx, minPause+o.randomDuration(minPause)) {
+		o.read(ctx, o.pickServer())
 	}
 }
 
@@ -68,7 +68,7 @@
 func (o *operator) pause() time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return shortestPause + rand64(o.random, longestPause-shortestPause)
+	return minPause + rand64(o.random, maxPause-minPause)
 }
 
 func rand64(random *rand.Rand, below time.Duration) time.Duration {
@@ -78,14 +78,14 @@
 func (o *operator) base() uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.known
+	return o.knownGeneration
 }
 
 // makeOrder makes a new order on top of a generation.
 func (o *operator) makeOrder(base uint64) order {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	generation := base + 1 + uint64(o.random.IntN(largestStep))
+	generation := base + 1 + uint64(o.random.IntN(maxGenerationStep))
 	if base > 0 && o.random.IntN(2) == 0 {
 		return updateOrder(o.nextName(), base, generation)
 	}
@@ -103,54 +103,54 @@
 	return o.nextName()
 }
 
-// pick chooses a keeper of the list, or of those that it reaches.
-func (o *operator) pick() *machine {
-	listed := o.world.listed()
+// pickServer chooses a keeper of the list, or of those that it reaches.
+func (o *operator) pickServer() *machine {
+	listed := o.world.listedMachines()
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if len(o.only) > 0 {
-		listed = o.only
+	if len(o.reachable) > 0 {
+		listed = o.reachable
 	}
 	return listed[o.random.IntN(len(listed))]
 }
 
-// confine has it reach some machines alone, until nil is given.
-func (o *operator) confine(only []*machine) {
+// restrictTo has it reach some machines alone, until nil is given.
+func (o *operator) restrictTo(reachable []*machine) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.only = only
+	o.reachable = reachable
 }
 
 // send resends an order unchanged until it has a clear answer.
 func (o *operator) send(ctx context.Context, sent order) {
-	o.sendFirst(ctx, sent, o.pick())
+	o.sendFirst(ctx, sent, o.pickServer())
 }
 
 // sendFirst is send with the keeper of the first attempt.
 func (o *operator) sendFirst(ctx context.Context, sent order, to *machine) bool {
-	retry := firstRetry
+	retry := minBackoff
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		status := o.attempt(sent, to, attempt)
-		if ends, taken := clear(status); ends || attempt >= lastChance && isRefusal(status) {
+		if ends, taken := classify(status); ends || attempt >= maxRejectedAttempts && isRejection(status) {
 			o.recordOutcome(ctx, sent, taken)
 			return taken
 		}
-		if !sleep(ctx, retry/2+o.share(retry/2)) {
+		if !sleep(ctx, retry/2+o.randomDuration(retry/2)) {
 			return false
 		}
-		retry = min(2*retry, lastRetry)
-		to = o.pick()
+		retry = min(2*retry, maxBackoff)
+		to = o.pickServer()
 	}
 	return false
 }
 
-func (o *operator) share(most time.Duration) time.Duration {
+func (o *operator) randomDuration(limit time.Duration) time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return rand64(o.random, most+1)
+	return rand64(o.random, limit+1)
 }
 
-func isRefusal(status int) bool {
+func isRejection(status int) bool {
 	return status >= 400 && status < 500 && status != 408 && status != 429
 }
 
@@ -158,21 +158,21 @@
 func (o *operator) attempt(sent order, to *machine, attempt int) (status int) {
 	record := o.world.record
 	called := record.now()
-	o.world.raise(schedule.Sent)
+	o.world.trigger(schedule.Sent)
 	response := o.world.call(o.host, to, sent.request())
 	outcome := history.Unknown
-	switch ends, taken := clear(response.Status); {
+	switch ends, taken := classify(response.Status); {
 	case taken:
 		outcome = history.Acknowledged
-	case ends, attempt >= lastChance && isRefusal(response.Status):
-		outcome = history.Refused
+	case ends, attempt >= maxRejectedAttempts && isRejection(response.Status):
+		outcome = history.Rejected
 	}
-	record.operation(history.Operation{
-		Client: o.index, Server: to.place, Call: called, Return: record.now(), Kind: sent.kind, Base: sent.base,
+	record.addOperation(history.Operation{
+		Client: o.index, Server: to.slot, Call: called, Return: record.now(), Kind: sent.kind, Base: sent.base,
 		Generation: sent.generation, Order: sent.name, Invalid: sent.invalid, Outcome: outcome, Status: response.Status,
 	})
 	if outcome == history.Acknowledged {
-		o.world.raise(schedule.Acknowledgement)
+		o.world.trigger(schedule.Acknowledgement)
 	}
 	return response.Status
 }
@@ -181,14 +181,14 @@
 func (o *operator) recordOutcome(ctx context.Context, sent order, taken bool) {
 	if !taken {
 		if !sent.invalid {
-			o.read(ctx, o.pick())
+			o.read(ctx, o.pickServer())
 		}
 		return
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if sent.generation > o.known {
-		o.known = sent.generation
+	if sent.generation > o.knownGeneration {
+		o.knownGeneration = sent.generation
 		o.last, o.newest = o.newest, sent
 	}
 }
@@ -199,21 +199,21 @@
 	called := record.now()
 	response := o.world.call(o.host, from, server.APIRequest{Call: server.APIRead})
 	done := history.Operation{
-		Client: o.index, Server: from.place, Call: called, Return: record.now(), Kind: history.Read,
+		Client: o.index, Server: from.slot, Call: called, Return: record.now(), Kind: history.Read,
 		Outcome: history.Unknown, Status: response.Status,
 	}
-	if _, taken := clear(response.Status); taken {
+	if _, taken := classify(response.Status); taken {
 		generation, name, err := readDocument(response.Body)
 		if err != nil {
-			record.fault("a read gave no configuration: " + err.Error())
+			record.addFault("a read gave no configuration: " + err.Error())
 			return
 		}
 		done.Generation, done.Order, done.Outcome = generation, name, history.Acknowledged
 		o.mutex.Lock()
-		o.known = max(o.known, generation)
+		o.knownGeneration = max(o.knownGeneration, generation)
 		o.mutex.Unlock()
 	}
-	record.operation(done)
+	record.addOperation(done)
 }
 
 // accepted returns an order of this operator that was accepted and is not the newest one.
--- a/internal/testkit/controlplanesim/order.go
+++ b/internal/testkit/controlplanesim/order.go
@@ -49,8 +49,8 @@
 	return fmt.Sprintf(`{"name":%q,"healthPath":%q,"maxConnections":10}`, name, healthPath)
 }
 
-// badOrder is a configuration that must be refused whatever is in force.
-func badOrder(name string, base, generation uint64, variant schedule.Variant) order {
+// invalidOrder is a configuration that must be refused whatever is in force.
+func invalidOrder(name string, base, generation uint64, variant schedule.Variant) order {
 	made := replaceOrder(name, base, generation)
 	made.invalid = true
 	text := string(made.body)
--- a/internal/testkit/controlplanesim/play.go
+++ b/internal/testkit/controlplanesim/play.go
@@ -24,11 +24,11 @@
 
 // Figures count what a run had.
 type Figures struct {
-	Virtual  time.Duration // on the fake clock
-	Attempts int           // of orders
-	Taken    int           // of these, acknowledged
-	Reads    int
-	Views    int
+	Virtual      time.Duration // on the fake clock
+	Attempts     int           // of orders
+	Acknowledged int           // of these, acknowledged
+	Reads        int
+	Views        int
 }
 
 // Failed tells whether a promise was broken.
@@ -69,14 +69,14 @@
 			t.Fatal(err)
 		}
 		w.run(func(ctx context.Context) { script(w, ctx) })
-		report.History, report.Faults = w.record.history()
+		report.History, report.Faults = w.record.result()
 	})
 	report.Violations = report.History.Check()
-	report.Figures = figuresOf(report.History)
+	report.Figures = countFigures(report.History)
 	return report
 }
 
-func figuresOf(h history.History) Figures {
+func countFigures(h history.History) Figures {
 	figures := Figures{Virtual: h.End, Views: len(h.Views)}
 	for _, operation := range h.Operations {
 		switch operation.Kind {
@@ -85,7 +85,7 @@
 		default:
 			figures.Attempts++
 			if operation.Outcome == history.Acknowledged {
-				figures.Taken++
+				figures.Acknowledged++
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/play_test.go
+++ b/internal/testkit/controlplanesim/play_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestACalmControlPlaneKeepsItsPromises(t *testing.T) {
+func TestPlay_withoutFaultsViolatesNothing(t *testing.T) {
 	for _, s := range []schedule.Schedule{calm(3, 1, 10*time.Second), calm(5, 2, 10*time.Second), calm(9, 4, 10*time.Second)} {
 		began := time.Now()
 		report := Play(t, s)
@@ -22,7 +22,7 @@
 		if report.Failed() {
 			t.Errorf("%v", report)
 		}
-		if report.Figures.Taken == 0 || report.Figures.Views == 0 {
+		if report.Figures.Acknowledged == 0 || report.Figures.Views == 0 {
 			t.Errorf("%d keepers: nothing happened: %+v", s.Servers, report.Figures)
 		}
 	}
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -19,12 +19,12 @@
 	start time.Time
 
 	mutex       sync.Mutex
-	over        bool // the run is at its end
-	seen        history.History
+	ended       bool // the run is at its end
+	observed    history.History
 	faults      []string
-	departures  map[string]*departing
+	departures  map[string]*pendingDeparture
 	members     map[consensus.MemberID]*knownMember
-	standings   [shards.ShardCount]history.Standing // the last ones
+	groupStates [shards.ShardCount]history.GroupState // the last ones
 	memberships [shards.ShardCount]membership
 	leaders     map[uint64]bool // terms of the configuration's group that had one
 }
@@ -36,15 +36,15 @@
 	durable [shards.ShardCount]uint64
 }
 
-// departing is a departure under way.
-type departing struct {
+// pendingDeparture is a departure under way.
+type pendingDeparture struct {
 	record *recorder
 	index  int
 }
 
 func newRecorder(w *world) *recorder {
 	return &recorder{
-		world: w, start: time.Now(), departures: make(map[string]*departing),
+		world: w, start: time.Now(), departures: make(map[string]*pendingDeparture),
 		members: make(map[consensus.MemberID]*knownMember), leaders: make(map[uint64]bool),
 	}
 }
@@ -52,77 +52,77 @@
 // now is the time since the start.
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
-func (r *recorder) operation(one history.Operation) {
+func (r *recorder) addOperation(one history.Operation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.seen.Operations = append(r.seen.Operations, one)
+	r.observed.Operations = append(r.observed.Operations, one)
 }
 
-func (r *recorder) view(one history.View) {
+func (r *recorder) addView(one history.View) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.seen.Views = append(r.seen.Views, one)
+	r.observed.Views = append(r.observed.Views, one)
 }
 
-func (r *recorder) sendHeartbeat(one history.Heartbeat) {
+func (r *recorder) addHeartbeat(one history.Heartbeat) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.seen.Heartbeats = append(r.seen.Heartbeats, one)
+	r.observed.Heartbeats = append(r.observed.Heartbeats, one)
 }
 
-func (r *recorder) presence(one history.Presence) {
+func (r *recorder) addPresence(one history.Presence) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.seen.Presences = append(r.seen.Presences, one)
+	r.observed.Presences = append(r.observed.Presences, one)
 }
 
-// fault notes something that must not be, whatever the history says.
-func (r *recorder) fault(text string) {
+// addFault notes something that must not be, whatever the history says.
+func (r *recorder) addFault(text string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.faults = append(r.faults, r.now().String()+": "+text)
 }
 
-// departure notes that a worker has begun to leave.
-func (r *recorder) departure(id string) *departing {
+// beginDeparture notes that a worker has begun to leave.
+func (r *recorder) beginDeparture(id string) *pendingDeparture {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.departures[id]; known != nil {
 		return known
 	}
-	made := &departing{record: r, index: len(r.seen.Departures)}
+	made := &pendingDeparture{record: r, index: len(r.observed.Departures)}
 	r.departures[id] = made
-	r.seen.Departures = append(r.seen.Departures, history.Departure{Instance: id, From: r.now()})
+	r.observed.Departures = append(r.observed.Departures, history.Departure{Instance: id, From: r.now()})
 	return made
 }
 
 // acknowledged notes the first acknowledgement of the departure.
-func (d *departing) acknowledged() {
+func (d *pendingDeparture) acknowledged() {
 	d.record.mutex.Lock()
 	defer d.record.mutex.Unlock()
-	if one := &d.record.seen.Departures[d.index]; one.Acknowledged == 0 {
+	if one := &d.record.observed.Departures[d.index]; one.Acknowledged == 0 {
 		one.Acknowledged = d.record.now()
 	}
 }
 
-// recordFault notes the beginning of a trouble; over notes its end.
-func (r *recorder) recordFault(one history.Fault) (over func()) {
+// beginFault notes the beginning of a trouble; over notes its end.
+func (r *recorder) beginFault(one history.Fault) (over func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	one.From = r.now()
 	one.To, one.Until = time.Hour, time.Hour
-	index := len(r.seen.Faults)
-	r.seen.Faults = append(r.seen.Faults, one)
+	index := len(r.observed.Faults)
+	r.observed.Faults = append(r.observed.Faults, one)
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.seen.Faults[index].To = r.now()
-		r.seen.Faults[index].Until = r.now() + schedule.CatchUp
+		r.observed.Faults[index].To = r.now()
+		r.observed.Faults[index].Until = r.now() + schedule.CatchUp
 	}
 }
 
-// knowMember notes where a member ID is.
-func (r *recorder) knowMember(id consensus.MemberID, m *machine) {
+// addMember notes where a member ID is.
+func (r *recorder) addMember(id consensus.MemberID, m *machine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.members[id] == nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// gone notes that a member's disk is lost for good.
-func (r *recorder) gone(id consensus.MemberID) {
+// markGone notes that a member's disk is lost for good.
+func (r *recorder) markGone(id consensus.MemberID) {
 	r.mutex.Lock()
 	if known := r.members[id]; known != nil {
 		known.gone = true
@@ -146,7 +146,7 @@
 		return
 	}
 	if status.Shard == shards.ConfigurationShard && r.firstOfTerm(status.Term) {
-		r.world.raise(schedule.Election)
+		r.world.trigger(schedule.Election)
 	}
 	r.sample()
 }
@@ -162,7 +162,7 @@
 // sample records each group's members, as its leader has them, and what is durable at them. Since members go on while
 // they are asked one after the other, what is committed is asked of all before what is durable.
 func (r *recorder) sample() {
-	all := r.world.everyMachine()
+	all := r.world.allMachines()
 	var committed [shards.ShardCount]uint64
 	for _, m := range all {
 		for _, status := range m.inspect() {
@@ -175,7 +175,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.over {
+	if r.ended {
 		return // members are being ended, and what they hold is not told any more
 	}
 	var leading [shards.ShardCount]replica.Status
@@ -194,7 +194,7 @@
 			known.term, known.members = status.Term, status.Members
 		}
 		if known.term > 0 {
-			r.stand(shard, known.members, known.committed)
+			r.recordGroup(shard, known.members, known.committed)
 		}
 	}
 }
@@ -209,44 +209,44 @@
 
 func (r *recorder) noteDurable(m *machine, status replica.Status) {
 	m.mutex.Lock()
-	id := m.member
+	id := m.memberID
 	m.mutex.Unlock()
 	if known := r.members[id]; known != nil {
 		known.durable[status.Shard] = status.DurableIndex
 	}
 }
 
-// stand records a group's standing unless it is as before.
-func (r *recorder) stand(shard int, members []consensus.Member, committed uint64) {
-	now := history.Standing{At: r.now(), Group: shard, Committed: committed}
+// recordGroup records a group's standing unless it is as before.
+func (r *recorder) recordGroup(shard int, members []consensus.Member, committed uint64) {
+	now := history.GroupState{At: r.now(), Group: shard, Committed: committed}
 	for _, member := range members {
 		if !member.Voter {
 			continue
 		}
-		voter := history.Voter{ID: uint64(member.ID), Place: -1}
+		voter := history.Voter{ID: uint64(member.ID), Slot: -1}
 		if known := r.members[member.ID]; known != nil {
-			voter.Place, voter.Gone, voter.Durable = known.machine.place, known.gone || known.machine.isRetired(), known.durable[shard]
+			voter.Slot, voter.Gone, voter.Durable = known.machine.slot, known.gone || known.machine.isRetired(), known.durable[shard]
 		}
 		now.Voters = append(now.Voters, voter)
 	}
 	slices.SortFunc(now.Voters, func(a, b history.Voter) int { return cmp.Compare(a.ID, b.ID) })
-	before := r.standings[shard]
+	before := r.groupStates[shard]
 	if before.Committed == now.Committed && slices.Equal(before.Voters, now.Voters) {
 		return
 	}
-	r.standings[shard] = now
-	r.seen.Standings = append(r.seen.Standings, now)
+	r.groupStates[shard] = now
+	r.observed.GroupStates = append(r.observed.GroupStates, now)
 }
 
-// history returns what was recorded, in the order of time.
-func (r *recorder) history() (history.History, []string) {
+// result returns what was recorded, in the order of time.
+func (r *recorder) result() (history.History, []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	seen := r.seen
+	seen := r.observed
 	slices.SortStableFunc(seen.Operations, func(a, b history.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	slices.SortStableFunc(seen.Views, func(a, b history.View) int { return cmp.Compare(a.At, b.At) })
 	slices.SortStableFunc(seen.Presences, func(a, b history.Presence) int { return cmp.Compare(a.At, b.At) })
-	slices.SortStableFunc(seen.Standings, func(a, b history.Standing) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(seen.GroupStates, func(a, b history.GroupState) int { return cmp.Compare(a.At, b.At) })
 	return seen, slices.Clone(r.faults)
 }
 
@@ -254,12 +254,12 @@
 func (r *recorder) end() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.over = true
+	r.ended = true
 	s := r.world.schedule
-	r.seen.End, r.seen.Bounds = r.now(), bounds
-	r.seen.Tolerance, r.seen.Agents = s.Tolerance, s.Agents
-	r.seen.Faults = append(r.seen.Faults, history.Fault{
-		What: "formation", To: formation, Core: true, Lasting: true, Lost: r.world.allPlaces(), Until: formation,
+	r.observed.End, r.observed.Bounds = r.now(), bounds
+	r.observed.Tolerance, r.observed.Agents = s.Tolerance, s.Agents
+	r.observed.Faults = append(r.observed.Faults, history.Fault{
+		What: "formation", To: formationTime, Core: true, Lasting: true, Lost: r.world.allSlots(), Until: formationTime,
 	})
-	r.seen.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
+	r.observed.Wanted = min(max(2*s.Tolerance+1, seedCount), s.Servers)
 }
--- a/internal/testkit/controlplanesim/replacement_test.go
+++ b/internal/testkit/controlplanesim/replacement_test.go
@@ -57,7 +57,7 @@
 		22s replace variant=planned keepers=2 for=1s`,
 }
 
-func TestLossesAfterRepairsAndReplacements(t *testing.T) {
+func TestPlay_lossesAfterRepairsAndReplacements(t *testing.T) {
 	const seeds = 3
 	for name, course := range replacementSchedules {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 				if report.Failed() {
 					t.Errorf("seed %d: %v", seed+1, report)
 				}
-				if report.Figures.Taken == 0 {
+				if report.Figures.Acknowledged == 0 {
 					t.Errorf("seed %d: no order is taken", seed+1)
 				}
 			}
--- a/internal/testkit/controlplanesim/request_test.go
+++ b/internal/testkit/controlplanesim/request_test.go
@@ -50,7 +50,7 @@
 }
 
 func countsOf(h history.History) campaign.Counts {
-	counts := campaign.Counts{Operations: len(h.Operations), Views: len(h.Views), Beats: len(h.Heartbeats), Departures: len(h.Departures), Struck: len(h.Faults)}
+	counts := campaign.Counts{Operations: len(h.Operations), Views: len(h.Views), Heartbeats: len(h.Heartbeats), Departures: len(h.Departures), Faults: len(h.Faults)}
 	for _, operation := range h.Operations {
 		if operation.Outcome == history.Acknowledged {
 			counts.Acknowledged++
--- a/internal/testkit/controlplanesim/schedule/draw.go
+++ b/internal/testkit/controlplanesim/schedule/draw.go
@@ -20,11 +20,11 @@
 	SlowDisks bool // all disks are slow now and then, and all keepers lose power amid it
 }
 
-// settle is the time at the start in which nothing is struck: the group is founded and the first configuration sent.
-const settle = 4 * time.Second
+// quietStart is the time at the start in which nothing is struck: the group is founded and the first configuration sent.
+const quietStart = 4 * time.Second
 
-// stream tells schedules' randomness from that of others with the same seed.
-const stream = 0x5ced
+// randomStream tells schedules' randomness from that of others with the same seed.
+const randomStream = 0x5ced
 
 // drawer draws the events of one schedule.
 type drawer struct {
@@ -36,22 +36,22 @@
 
 // loss is a span in which a place counts as lost.
 type loss struct {
-	place    int
+	slot     int
 	from, to time.Duration
 }
 
 // Draw returns the schedule with the seed and shape. At no instant are more keepers lost than the tolerance, counting
 // each for CatchUp after it is back, but for events that take every keeper down at once and leave the disks.
 func Draw(seed uint64, shape Shape) Schedule {
-	d := &drawer{random: rand.New(rand.NewPCG(seed, stream)), shape: shape}
-	mix := d.mix()
-	at := settle
+	d := &drawer{random: rand.New(rand.NewPCG(seed, randomStream)), shape: shape}
+	families := d.pickFamilies()
+	at := quietStart
 	for {
 		at += d.between(100*time.Millisecond, 3500*time.Millisecond)
 		if at >= shape.Length {
 			break
 		}
-		pick(d, mix...)(d, at)
+		pick(d, families...)(d, at)
 	}
 	if shape.SlowDisks {
 		d.slowDisks()
@@ -64,9 +64,9 @@
 // family draws a group of events that belong together, beginning at the time.
 type family func(*drawer, time.Duration)
 
-// mix draws which families the schedule has, so that some schedules have much of one thing and little of others.
-func (d *drawer) mix() []family {
-	all := []family{(*drawer).machine, (*drawer).cut, (*drawer).chain, (*drawer).allDown, (*drawer).race, (*drawer).storm, (*drawer).disk,
+// pickFamilies draws which families the schedule has, so that some schedules have much of one thing and little of others.
+func (d *drawer) pickFamilies() []family {
+	all := []family{(*drawer).machine, (*drawer).cut, (*drawer).chain, (*drawer).allDown, (*drawer).race, (*drawer).burst, (*drawer).disk,
 		(*drawer).link, (*drawer).workers, (*drawer).roll, (*drawer).bad, (*drawer).afterAcknowledgement, (*drawer).loseReplies}
 	var mix []family
 	for _, one := range all {
@@ -88,8 +88,8 @@
 // pick draws one of the choices.
 func pick[T any](d *drawer, choices ...T) T { return choices[d.random.IntN(len(choices))] }
 
-// some draws up to limit different places out of count, at least one.
-func (d *drawer) some(count, limit int) []int {
+// pickSome draws up to limit different places out of count, at least one.
+func (d *drawer) pickSome(count, limit int) []int {
 	if count == 0 || limit == 0 {
 		return nil
 	}
@@ -101,28 +101,28 @@
 // add adds the event.
 func (d *drawer) add(event Event) { d.events = append(d.events, event) }
 
-// strike adds an event that costs the group its keepers, unless more than the tolerance would be lost at once.
-func (d *drawer) strike(event Event) bool {
+// addLoss adds an event that costs the group its keepers, unless more than the tolerance would be lost at once.
+func (d *drawer) addLoss(event Event) bool {
 	until := event.End() + CatchUp
-	if len(event.Servers) == 0 || !d.within(event.Servers, event.At, until) {
+	if len(event.Servers) == 0 || !d.withinTolerance(event.Servers, event.At, until) {
 		return false
 	}
-	for _, place := range event.Servers {
-		d.losses = append(d.losses, loss{place: place, from: event.At, to: until})
+	for _, slot := range event.Servers {
+		d.losses = append(d.losses, loss{slot: slot, from: event.At, to: until})
 	}
 	d.add(event)
 	return true
 }
 
-// within reports whether the places may be lost from one time to the other beside those that are lost by then.
-func (d *drawer) within(indexes []int, from, to time.Duration) bool {
+// withinTolerance reports whether the places may be lost from one time to the other beside those that are lost by then.
+func (d *drawer) withinTolerance(indexes []int, from, to time.Duration) bool {
 	lost := map[int]bool{}
-	for _, place := range indexes {
-		lost[place] = true
+	for _, slot := range indexes {
+		lost[slot] = true
 	}
 	for _, other := range d.losses {
 		if other.from < to && from < other.to {
-			lost[other.place] = true
+			lost[other.slot] = true
 		}
 	}
 	return len(lost) <= d.shape.Tolerance
@@ -130,7 +130,7 @@
 
 // loseAll counts every keeper as lost.
 func (d *drawer) loseAll(from, to time.Duration) {
-	for place := range d.shape.Keepers {
-		d.losses = append(d.losses, loss{place: place, from: from, to: to})
+	for slot := range d.shape.Keepers {
+		d.losses = append(d.losses, loss{slot: slot, from: from, to: to})
 	}
 }
--- a/internal/testkit/controlplanesim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -18,7 +18,7 @@
 	{Keepers: 4, Tolerance: 2, Agents: 3, Operators: 2, Workers: 4, Length: 60 * time.Second},
 }
 
-func TestDrawnSchedulesAreReadBackAsWritten(t *testing.T) {
+func TestParse_drawnSchedules(t *testing.T) {
 	for _, shape := range shapes {
 		for seed := range uint64(300) {
 			drawn := schedule.Draw(seed, shape)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestDrawIsAFunctionOfSeedAndShape(t *testing.T) {
+func TestDraw_deterministic(t *testing.T) {
 	for seed := range uint64(50) {
 		if one, other := schedule.Draw(seed, shapes[1]), schedule.Draw(seed, shapes[1]); !reflect.DeepEqual(one, other) {
 			t.Fatalf("seed %d draws two schedules", seed)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDrawnLossesStayWithinTolerance counts the lost keepers at each tenth of a second, apart from Draw's own books.
-func TestDrawnLossesStayWithinTolerance(t *testing.T) {
+// TestDraw_lossesWithinTolerance counts the lost keepers at each tenth of a second, apart from Draw's own books.
+func TestDraw_lossesWithinTolerance(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for _, shape := range shapes {
 		for seed := range uint64(300) {
@@ -67,14 +67,14 @@
 		case schedule.Kill, schedule.Power, schedule.Wipe, schedule.Freeze, schedule.Cut, schedule.Replace, schedule.Disk, schedule.Link,
 			schedule.KillAll, schedule.PowerAll:
 			if event.At <= at && at < event.End()+schedule.CatchUp {
-				for _, place := range event.Servers {
-					lost[place] = true
+				for _, slot := range event.Servers {
+					lost[slot] = true
 				}
 			}
 		case schedule.Roll:
-			for i, place := range event.Servers {
+			for i, slot := range event.Servers {
 				if from := event.At + time.Duration(i)*event.For; from <= at && at < from+event.For {
-					lost[place] = true
+					lost[slot] = true
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 	return lost
 }
 
-func TestSlowDisksAddToTheScheduleOfTheSeed(t *testing.T) {
+func TestDraw_slowDisks(t *testing.T) {
 	slow := shapes[0]
 	slow.SlowDisks = true
 	for seed := range uint64(50) {
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestDrawnSchedulesHaveEveryKind(t *testing.T) {
+func TestDraw_everyKind(t *testing.T) {
 	seen := map[schedule.Kind]int{}
 	for seed := range uint64(300) {
 		for _, event := range schedule.Draw(seed, shapes[0]).Events {
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestParseRefusesWhatIsNoSchedule(t *testing.T) {
+func TestParse_invalid(t *testing.T) {
 	const head = "schedule seed=1 keepers=3 tolerance=1 agents=1 operators=1 workers=1 length=10s\n"
 	for name, text := range map[string]string{
 		"empty":            "",
@@ -135,13 +135,13 @@
 		"an event's field": head + "1s kill keepers=0 loud",
 		"no kind":          head + "1s",
 	} {
-		if _, err := schedule.Parse(text); !errors.Is(err, schedule.ErrText) {
+		if _, err := schedule.Parse(text); !errors.Is(err, schedule.ErrSyntax) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestShrinkKeepsOnlyWhatTheFailureNeeds(t *testing.T) {
+func TestShrink_minimal(t *testing.T) {
 	drawn := schedule.Draw(7, shapes[1])
 	needed := []schedule.Event{
 		{At: 20 * time.Second, Kind: schedule.Wipe, Servers: []int{1, 3}, For: 800 * time.Millisecond},
@@ -171,14 +171,14 @@
 	}
 }
 
-func TestShrinkLeavesAScheduleThatDoesNotFail(t *testing.T) {
+func TestShrink_doesNotFail(t *testing.T) {
 	drawn := schedule.Draw(3, shapes[0])
 	if got := schedule.Shrink(drawn, func(schedule.Schedule) bool { return false }); !reflect.DeepEqual(got, drawn) {
 		t.Error("a schedule that does not fail was changed")
 	}
 }
 
-func TestShrinkKeepsEventsThatFailOnlyTogether(t *testing.T) {
+func TestShrink_eventsFailTogether(t *testing.T) {
 	drawn := schedule.Draw(11, shapes[1])
 	first, last := drawn.Events[0].At, drawn.Events[len(drawn.Events)-1].At
 	small := schedule.Shrink(drawn, func(s schedule.Schedule) bool {
@@ -201,10 +201,10 @@
 	return events
 }
 
-func hasWipeOf(s schedule.Schedule, place int) bool {
+func hasWipeOf(s schedule.Schedule, slot int) bool {
 	for _, event := range s.Events {
 		for _, struck := range event.Servers {
-			if event.Kind == schedule.Wipe && struck == place && event.At == 20*time.Second {
+			if event.Kind == schedule.Wipe && struck == slot && event.At == 20*time.Second {
 				return true
 			}
 		}
--- a/internal/testkit/controlplanesim/schedule/shrink.go
+++ b/internal/testkit/controlplanesim/schedule/shrink.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// smallestSpan is the span below which a time is not made shorter.
-const smallestSpan = 10 * time.Millisecond
+// minSpan is the span below which a time is not made shorter.
+const minSpan = 10 * time.Millisecond
 
 // Shrink returns a smaller schedule for which fails still holds: first with fewer events, then with fewer places,
 // smaller counts and shorter spans. It returns s itself if fails does not hold for it.
@@ -16,8 +16,8 @@
 	}
 	for {
 		smaller := dropEvents(s, fails)
-		smaller = lessenEvents(smaller, fails)
-		smaller = lessenWorld(smaller, fails)
+		smaller = shrinkEvents(smaller, fails)
+		smaller = shrinkCounts(smaller, fails)
 		if len(smaller.Events) == len(s.Events) {
 			return smaller
 		}
@@ -41,12 +41,12 @@
 	return s
 }
 
-// lessenEvents makes each event smaller, as far as the schedule still fails.
-func lessenEvents(schedule Schedule, fails func(Schedule) bool) Schedule {
+// shrinkEvents makes each event smaller, as far as the schedule still fails.
+func shrinkEvents(schedule Schedule, fails func(Schedule) bool) Schedule {
 	for i := range schedule.Events {
 		for improved := true; improved; {
 			improved = false
-			for _, lesser := range lesserEvents(schedule.Events[i]) {
+			for _, lesser := range smallerEvents(schedule.Events[i]) {
 				candidate := schedule
 				candidate.Events = slices.Clone(schedule.Events)
 				candidate.Events[i] = lesser
@@ -60,8 +60,8 @@
 	return schedule
 }
 
-// lesserEvents are the events that are one step smaller.
-func lesserEvents(event Event) []Event {
+// smallerEvents are the events that are one step smaller.
+func smallerEvents(event Event) []Event {
 	var lesser []Event
 	add := func(change func(*Event)) {
 		smaller := event
@@ -72,8 +72,8 @@
 		add(func(s *Event) { s.Count = event.Count / 2 })
 		add(func(s *Event) { s.Count = event.Count - 1 })
 	}
-	if event.For >= 2*smallestSpan {
-		add(func(s *Event) { s.For = (event.For / 2).Round(smallestSpan) })
+	if event.For >= 2*minSpan {
+		add(func(s *Event) { s.For = (event.For / 2).Round(minSpan) })
 	}
 	if event.Delay > 0 {
 		add(func(s *Event) { s.Delay = 0 })
@@ -97,11 +97,11 @@
 	return lesser
 }
 
-// lessenWorld lowers the counts of agents, operators and workers, and the length, as far as the events allow.
-func lessenWorld(s Schedule, fails func(Schedule) bool) Schedule {
+// shrinkCounts lowers the counts of agents, operators and workers, and the length, as far as the events allow.
+func shrinkCounts(s Schedule, fails func(Schedule) bool) Schedule {
 	for improved := true; improved; {
 		improved = false
-		for _, lesser := range lesserWorlds(s) {
+		for _, lesser := range smallerCounts(s) {
 			if lesser.Check() == nil && fails(lesser) {
 				s, improved = lesser, true
 				break
@@ -111,7 +111,7 @@
 	return s
 }
 
-func lesserWorlds(schedule Schedule) []Schedule {
+func smallerCounts(schedule Schedule) []Schedule {
 	var lesser []Schedule
 	for _, count := range []func(*Schedule) *int{
 		func(c *Schedule) *int { return &c.Agents },
--- a/internal/testkit/controlplanesim/schedule/text.go
+++ b/internal/testkit/controlplanesim/schedule/text.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// header begins the text form of a schedule.
-const header = "schedule"
+// formatHeader begins the text form of a schedule.
+const formatHeader = "schedule"
 
-// ErrText is the cause of each failure to read a schedule.
-var ErrText = errors.New("not a schedule")
+// ErrSyntax is the cause of each failure to read a schedule.
+var ErrSyntax = errors.New("not a schedule")
 
 // Format writes the schedule as text: a line with what holds for the whole, then a line for each event.
 func (s Schedule) Format() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s seed=%d keepers=%d tolerance=%d agents=%d operators=%d workers=%d length=%v",
-		header, s.Seed, s.Servers, s.Tolerance, s.Agents, s.Operators, s.Workers, s.Length)
+		formatHeader, s.Seed, s.Servers, s.Tolerance, s.Agents, s.Operators, s.Workers, s.Length)
 	if len(s.Omit) > 0 {
 		text.WriteString(" omit=" + strings.Join(s.Omit, ","))
 	}
@@ -65,8 +65,8 @@
 
 func formatIndexes(indexes []int) string {
 	words := make([]string, len(indexes))
-	for i, place := range indexes {
-		words[i] = strconv.Itoa(place)
+	for i, slot := range indexes {
+		words[i] = strconv.Itoa(slot)
 	}
 	return strings.Join(words, ",")
 }
@@ -87,20 +87,20 @@
 			err = parsed.parseHeader(line)
 		}
 		if err != nil {
-			return Schedule{}, fmt.Errorf("%w: line %d: %w", ErrText, number+1, err)
+			return Schedule{}, fmt.Errorf("%w: line %d: %w", ErrSyntax, number+1, err)
 		}
 		begun = true
 	}
 	if !begun {
-		return Schedule{}, fmt.Errorf("%w: it is empty", ErrText)
+		return Schedule{}, fmt.Errorf("%w: it is empty", ErrSyntax)
 	}
 	return parsed, parsed.Check()
 }
 
 func (s *Schedule) parseHeader(line string) error {
 	words := strings.Fields(line)
-	if words[0] != header {
-		return fmt.Errorf("it begins with %q, not with %q", words[0], header)
+	if words[0] != formatHeader {
+		return fmt.Errorf("it begins with %q, not with %q", words[0], formatHeader)
 	}
 	for _, word := range words[1:] {
 		name, value, _ := strings.Cut(word, "=")
@@ -186,11 +186,11 @@
 func parseIndexes(text string) ([]int, error) {
 	var indexes []int
 	for _, word := range strings.Split(text, ",") {
-		place, err := strconv.Atoi(word)
+		slot, err := strconv.Atoi(word)
 		if err != nil {
 			return nil, err
 		}
-		indexes = append(indexes, place)
+		indexes = append(indexes, slot)
 	}
 	return indexes, nil
 }
@@ -198,14 +198,14 @@
 // Check reports what makes the schedule unplayable: an unknown word, a place that does not exist, events out of order.
 func (s Schedule) Check() error {
 	if s.Servers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 {
-		return fmt.Errorf("%w: keepers must be positive, the other counts not negative", ErrText)
+		return fmt.Errorf("%w: keepers must be positive, the other counts not negative", ErrSyntax)
 	}
 	for i, event := range s.Events {
 		if i > 0 && event.At < s.Events[i-1].At {
-			return fmt.Errorf("%w: %q comes after a later event", ErrText, event)
+			return fmt.Errorf("%w: %q comes after a later event", ErrSyntax, event)
 		}
 		if err := s.checkEvent(event); err != nil {
-			return fmt.Errorf("%w: %q: %w", ErrText, event, err)
+			return fmt.Errorf("%w: %q: %w", ErrSyntax, event, err)
 		}
 	}
 	return nil
@@ -228,9 +228,9 @@
 		places []int
 		count  int
 	}{{event.Servers, s.Servers}, {event.Agents, s.Agents}, {event.Operators, s.Operators}, {event.Workers, s.Workers}} {
-		for _, place := range group.places {
-			if place < 0 || place >= group.count {
-				return fmt.Errorf("no place %d", place)
+		for _, slot := range group.places {
+			if slot < 0 || slot >= group.count {
+				return fmt.Errorf("no place %d", slot)
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/scripts.go
+++ b/internal/testkit/controlplanesim/scripts.go
@@ -8,8 +8,8 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// repeatAfter is how soon after the first attempt the same order is sent to another keeper.
-const repeatAfter = 2 * time.Millisecond
+// resendDelay is how soon after the first attempt the same order is sent to another keeper.
+const resendDelay = 2 * time.Millisecond
 
 func (w *world) playLoseReplies(_ context.Context, event schedule.Event) {
 	var hosts []string
@@ -59,7 +59,7 @@
 func (w *world) sendTwice(ctx context.Context, o *operator, sent order) {
 	var both sync.WaitGroup
 	both.Go(func() { o.send(ctx, sent) })
-	if sleep(ctx, repeatAfter) {
+	if sleep(ctx, resendDelay) {
 		both.Go(func() { o.send(ctx, sent) })
 	}
 	both.Wait()
@@ -76,10 +76,10 @@
 
 // playBurst has operators send many changes one upon the other.
 func (w *world) playBurst(ctx context.Context, event schedule.Event) {
-	var storming sync.WaitGroup
+	var sending sync.WaitGroup
 	for _, i := range event.Operators {
 		o := w.operators[i]
-		storming.Go(func() {
+		sending.Go(func() {
 			for range event.Count {
 				if base := o.base(); base > 0 && ctx.Err() == nil {
 					o.send(ctx, o.makeOrder(base))
@@ -87,7 +87,7 @@
 			}
 		})
 	}
-	storming.Wait()
+	sending.Wait()
 }
 
 // playBad has operators send what must be refused.
@@ -95,7 +95,7 @@
 	for _, i := range event.Operators {
 		o := w.operators[i]
 		if base := o.base(); base > 0 {
-			o.send(ctx, badOrder(o.newName(), base, base+1, event.Variant))
+			o.send(ctx, invalidOrder(o.newName(), base, base+1, event.Variant))
 		}
 	}
 }
@@ -107,11 +107,11 @@
 		one := w.workers[i]
 		leaving.Go(func() {
 			if event.Variant == schedule.WorkerLate {
-				one.beLate(ctx, event.For)
+				one.delayHeartbeats(ctx, event.For)
 				return
 			}
-			if gone := one.take(); gone != nil {
-				gone.leave(ctx, event.Variant)
+			if departing := one.takeIncarnation(); departing != nil {
+				departing.depart(ctx, event.Variant)
 			}
 			sleep(ctx, event.For)
 			one.start(ctx)
@@ -120,21 +120,21 @@
 	leaving.Wait()
 }
 
-// beLate has a worker's heartbeats come late for a time.
-func (w *worker) beLate(ctx context.Context, late time.Duration) {
+// delayHeartbeats has a worker's heartbeats come late for a time.
+func (w *worker) delayHeartbeats(ctx context.Context, delay time.Duration) {
 	w.mutex.Lock()
 	running := w.incarnation
 	w.mutex.Unlock()
 	if running == nil {
 		return
 	}
-	running.beLateBy(late)
-	sleep(ctx, late)
-	running.beLateBy(0)
+	running.setDelay(delay)
+	sleep(ctx, delay)
+	running.setDelay(0)
 }
 
-func (i *incarnation) beLateBy(late time.Duration) {
+func (i *incarnation) setDelay(delay time.Duration) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.late = late
+	i.delay = delay
 }
--- a/internal/testkit/controlplanesim/simnet/connection.go
+++ b/internal/testkit/controlplanesim/simnet/connection.go
@@ -11,8 +11,8 @@
 
 // Times after which an end gives its connection up.
 const (
-	userTimeout = 1500 * time.Millisecond // sent bytes are not acknowledged
-	probeTime   = 3500 * time.Millisecond // nothing is heard of a silent peer
+	userTimeout      = 1500 * time.Millisecond // sent bytes are not acknowledged
+	keepaliveTimeout = 3500 * time.Millisecond // nothing is heard of a silent peer
 )
 
 var (
@@ -29,24 +29,24 @@
 	finish  error     // io.EOF or a reset: what comes after data
 }
 
-// end is one end of a connection. The network's mutex guards it.
-type end struct {
+// conn is one end of a connection. The network's mutex guards it.
+type conn struct {
 	network *Network
 	process *Process
 	path    Path // from this end to the peer
 	local   address
 	remote  address
-	peer    *end
+	peer    *conn
 	stream  uint64
 	sent    uint64 // segments
 
-	inbox    []segment
-	deadline time.Time // of reads
-	wake     chan struct{}
-	closed   error // why nothing goes on at this end; nil: it is open
-	since    time.Time
-	cut      bool // either direction is blocked, since then
-	watched  bool // a timer looks whether it is to be given up
+	inbox            []segment
+	deadline         time.Time // of reads
+	wake             chan struct{}
+	closed           error // why nothing goes on at this end; nil: it is open
+	since            time.Time
+	cut              bool // either direction is blocked, since then
+	timeoutScheduled bool // a timer looks whether it is to be given up
 }
 
 type address string
@@ -54,13 +54,13 @@
 func (address) Network() string  { return "tcp" }
 func (a address) String() string { return string(a) }
 
-func (e *end) LocalAddr() net.Addr  { return e.local }
-func (e *end) RemoteAddr() net.Addr { return e.remote }
+func (e *conn) LocalAddr() net.Addr  { return e.local }
+func (e *conn) RemoteAddr() net.Addr { return e.remote }
 
-func (e *end) SetDeadline(t time.Time) error    { return e.SetReadDeadline(t) }
-func (e *end) SetWriteDeadline(time.Time) error { return nil } // no write waits
+func (e *conn) SetDeadline(t time.Time) error    { return e.SetReadDeadline(t) }
+func (e *conn) SetWriteDeadline(time.Time) error { return nil } // no write waits
 
-func (e *end) SetReadDeadline(t time.Time) error {
+func (e *conn) SetReadDeadline(t time.Time) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	e.deadline = t
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (e *end) notify() {
+func (e *conn) notify() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -76,7 +76,7 @@
 }
 
 // Read waits for bytes, the connection's end or the deadline, and while the process stands still.
-func (e *end) Read(buffer []byte) (int, error) {
+func (e *conn) Read(buffer []byte) (int, error) {
 	for {
 		if !e.process.Await() {
 			return 0, net.ErrClosed
@@ -90,7 +90,7 @@
 }
 
 // await returns when something may have changed, or after a time; 0: only then.
-func (e *end) await(wait time.Duration) {
+func (e *conn) await(wait time.Duration) {
 	if wait <= 0 {
 		<-e.wake
 		return
@@ -104,7 +104,7 @@
 }
 
 // take returns what has arrived, or why there is nothing, or how long to wait.
-func (e *end) take(buffer []byte) (count int, wait time.Duration, err error) {
+func (e *conn) take(buffer []byte) (count int, wait time.Duration, err error) {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
 	now := time.Now()
@@ -130,7 +130,7 @@
 }
 
 // wait says how long until the next segment or the deadline; 0: neither is known.
-func (e *end) wait(now time.Time) time.Duration {
+func (e *conn) wait(now time.Time) time.Duration {
 	var wait time.Duration
 	if !e.deadline.IsZero() {
 		wait = e.deadline.Sub(now)
@@ -144,7 +144,7 @@
 }
 
 // Write sends bytes. It does not wait: what a process sends while it stands still goes out when it is thawed.
-func (e *end) Write(data []byte) (int, error) {
+func (e *conn) Write(data []byte) (int, error) {
 	e.network.mutex.Lock()
 	closed := e.closed
 	e.network.mutex.Unlock()
@@ -166,15 +166,15 @@
 }
 
 // transmit sends a segment to the peer. The caller holds the mutex, as for all that follows.
-func (e *end) transmit(one segment) {
+func (e *conn) transmit(one segment) {
 	now := time.Now()
 	e.sent++
 	blocked := e.network.blocked(e.path)
 	if e.peer.closed != nil {
-		if !blocked && !e.network.blocked(e.path.back()) && one.finish == nil {
+		if !blocked && !e.network.blocked(e.path.reverse()) && one.finish == nil {
 			e.resetLater(2 * e.network.delay(e.path, e.stream, e.sent))
 		} else {
-			e.watch(userTimeout)
+			e.scheduleTimeout(userTimeout)
 		}
 		return
 	}
@@ -182,12 +182,12 @@
 	one.at = now.Add(e.network.delay(e.path, e.stream, e.sent))
 	e.peer.arrive(one)
 	if e.cut {
-		e.watch(userTimeout)
+		e.scheduleTimeout(userTimeout)
 	}
 }
 
 // arrive queues a segment behind those before it.
-func (e *end) arrive(one segment) {
+func (e *conn) arrive(one segment) {
 	if len(e.inbox) > 0 {
 		before := e.inbox[len(e.inbox)-1]
 		if before.finish != nil {
@@ -204,7 +204,7 @@
 	}
 }
 
-func (e *end) resetLater(after time.Duration) {
+func (e *conn) resetLater(after time.Duration) {
 	time.AfterFunc(after, func() {
 		e.network.mutex.Lock()
 		defer e.network.mutex.Unlock()
@@ -214,22 +214,22 @@
 	})
 }
 
-// follow takes over that paths were opened or closed.
-func (e *end) follow(now time.Time) {
-	forward, back := e.network.blocked(e.path), e.network.blocked(e.path.back())
+// updateCut takes over that paths were opened or closed.
+func (e *conn) updateCut(now time.Time) {
+	forward, back := e.network.blocked(e.path), e.network.blocked(e.path.reverse())
 	cut := forward || back
 	if cut && !e.cut {
 		e.since = now
 	}
 	e.cut = cut
-	e.hold(back, now)
+	e.delayInbox(back, now)
 	if cut && e.closed == nil {
-		e.watch(userTimeout)
+		e.scheduleTimeout(userTimeout)
 	}
 }
 
-// hold holds up what has not arrived, or lets it go on.
-func (e *end) hold(blocked bool, now time.Time) {
+// delayInbox holds up what has not arrived, or lets it go on.
+func (e *conn) delayInbox(blocked bool, now time.Time) {
 	for i := range e.inbox {
 		one := &e.inbox[i]
 		switch {
@@ -237,43 +237,43 @@
 			one.delayed = true
 		case !blocked && one.delayed:
 			one.delayed = false
-			one.at = now.Add(e.network.delay(e.path.back(), e.stream, uint64(i)) + time.Duration(i))
+			one.at = now.Add(e.network.delay(e.path.reverse(), e.stream, uint64(i)) + time.Duration(i))
 		}
 	}
 	e.notify()
 }
 
-// watch looks after a time whether the connection is to be given up.
-func (e *end) watch(after time.Duration) {
-	if e.watched {
+// scheduleTimeout looks after a time whether the connection is to be given up.
+func (e *conn) scheduleTimeout(after time.Duration) {
+	if e.timeoutScheduled {
 		return
 	}
-	e.watched = true
+	e.timeoutScheduled = true
 	time.AfterFunc(after, func() {
 		e.network.mutex.Lock()
 		defer e.network.mutex.Unlock()
-		e.watched = false
+		e.timeoutScheduled = false
 		if e.closed == nil {
-			e.look(time.Now())
+			e.checkTimeout(time.Now())
 		}
 	})
 }
 
-// look gives up a connection whose bytes are not acknowledged, or whose peer is gone.
-func (e *end) look(now time.Time) {
+// checkTimeout gives up a connection whose bytes are not acknowledged, or whose peer is gone.
+func (e *conn) checkTimeout(now time.Time) {
 	cutFor := now.Sub(e.since)
 	switch {
-	case e.cut && cutFor >= probeTime, e.cut && cutFor >= userTimeout && e.unacknowledged():
+	case e.cut && cutFor >= keepaliveTimeout, e.cut && cutFor >= userTimeout && e.unacknowledged():
 		e.fail(errTimeout)
 	case e.cut:
-		e.watch(max(userTimeout-cutFor, 0) + time.Millisecond*50)
+		e.scheduleTimeout(max(userTimeout-cutFor, 0) + time.Millisecond*50)
 	case e.peer.closed != nil && !e.notified():
 		e.fail(errReset)
 	}
 }
 
 // unacknowledged tells whether bytes that this end has sent wait for an acknowledgement.
-func (e *end) unacknowledged() bool {
+func (e *conn) unacknowledged() bool {
 	if e.peer.closed != nil {
 		return true
 	}
@@ -282,30 +282,30 @@
 			return true
 		}
 	}
-	return e.network.blocked(e.path.back()) && e.sent > 0
+	return e.network.blocked(e.path.reverse()) && e.sent > 0
 }
 
 // notified tells whether the peer's end is on its way to this end.
-func (e *end) notified() bool {
+func (e *conn) notified() bool {
 	return len(e.inbox) > 0 && e.inbox[len(e.inbox)-1].finish != nil
 }
 
 // fail ends the connection at this end, and resets the peer if that can be reached.
-func (e *end) fail(reason error) {
+func (e *conn) fail(reason error) {
 	e.dropDelayed()
 	e.forget(reason)
 	if e.peer.closed != nil {
 		return
 	}
 	if e.network.blocked(e.path) {
-		e.peer.watch(probeTime)
+		e.peer.scheduleTimeout(keepaliveTimeout)
 		return
 	}
 	e.peer.resetLater(e.network.delay(e.path, e.stream, e.sent))
 }
 
 // dropDelayed loses what a cut holds up of what this end has sent.
-func (e *end) dropDelayed() {
+func (e *conn) dropDelayed() {
 	for i, one := range e.peer.inbox {
 		if one.delayed {
 			e.peer.inbox = e.peer.inbox[:i]
@@ -314,23 +314,23 @@
 	}
 }
 
-func (e *end) forget(reason error) {
+func (e *conn) forget(reason error) {
 	e.closed = reason
 	e.inbox = nil
-	delete(e.network.ends, e)
-	delete(e.process.ends, e)
+	delete(e.network.conns, e)
+	delete(e.process.conns, e)
 	e.notify()
 }
 
 // Close ends the connection: what was sent still arrives, if no cut holds it up for too long.
-func (e *end) Close() error {
+func (e *conn) Close() error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
-	e.shut()
+	e.close()
 	return nil
 }
 
-func (e *end) shut() {
+func (e *conn) close() {
 	if e.closed != nil {
 		return
 	}
@@ -349,11 +349,11 @@
 	if e.cut {
 		e.dropLater()
 	}
-	e.peer.watch(probeTime)
+	e.peer.scheduleTimeout(keepaliveTimeout)
 }
 
 // dropLater loses what a closed end has sent if a cut holds it up for too long.
-func (e *end) dropLater() {
+func (e *conn) dropLater() {
 	since := e.since
 	time.AfterFunc(userTimeout, func() {
 		e.network.mutex.Lock()
@@ -364,14 +364,14 @@
 	})
 }
 
-// vanish ends the connection without a word, as a loss of power does.
-func (e *end) vanish() {
+// abandon ends the connection without a word, as a loss of power does.
+func (e *conn) abandon() {
 	if e.closed != nil {
 		return
 	}
 	e.dropDelayed()
 	e.forget(errVanished)
 	if e.peer.closed == nil {
-		e.peer.watch(probeTime)
+		e.peer.scheduleTimeout(keepaliveTimeout)
 	}
 }
--- a/internal/testkit/controlplanesim/simnet/listener.go
+++ b/internal/testkit/controlplanesim/simnet/listener.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// longestRetry is the longest pause before an opening packet is sent again after a cut.
-const longestRetry = 400 * time.Millisecond
+// maxRetryDelay is the longest pause before an opening packet is sent again after a cut.
+const maxRetryDelay = 400 * time.Millisecond
 
 var errRefused = os.NewSyscallError("connect", syscall.ECONNREFUSED)
 
@@ -21,7 +21,7 @@
 	process *Process
 	key     string
 	local   address
-	backlog []*end
+	backlog []*conn
 	wake    chan struct{}
 	closed  bool
 }
@@ -58,7 +58,7 @@
 		if !l.process.Await() {
 			return nil, net.ErrClosed
 		}
-		accepted, closed := l.next()
+		accepted, closed := l.acceptNext()
 		switch {
 		case closed:
 			return nil, net.ErrClosed
@@ -69,7 +69,7 @@
 	}
 }
 
-func (l *listener) next() (accepted *end, closed bool) {
+func (l *listener) acceptNext() (accepted *conn, closed bool) {
 	l.network.mutex.Lock()
 	defer l.network.mutex.Unlock()
 	if l.closed {
@@ -87,11 +87,11 @@
 func (l *listener) Close() error {
 	l.network.mutex.Lock()
 	defer l.network.mutex.Unlock()
-	l.shut()
+	l.close()
 	return nil
 }
 
-func (l *listener) shut() {
+func (l *listener) close() {
 	if l.closed {
 		return
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !wait(ctx, p.network.Delay(path.back())) {
+	if !wait(ctx, p.network.Delay(path.reverse())) {
 		_ = made.Close()
 		return nil, context.Cause(ctx)
 	}
@@ -147,7 +147,7 @@
 		if !wait(ctx, p.network.Delay(path)) {
 			return context.Cause(ctx)
 		}
-		if p.network.Open(path) && p.network.Open(path.back()) {
+		if p.network.Open(path) && p.network.Open(path.reverse()) {
 			return nil
 		}
 		select {
@@ -157,14 +157,14 @@
 			return net.ErrClosed
 		case <-changed:
 		}
-		if !wait(ctx, time.Duration(mix(uint64(p.network.Delay(path)))%uint64(longestRetry))) {
+		if !wait(ctx, time.Duration(mix(uint64(p.network.Delay(path)))%uint64(maxRetryDelay))) {
 			return context.Cause(ctx)
 		}
 	}
 }
 
 // connect joins a new connection to the port's backlog.
-func (p *Process) connect(path Path, to string) (*end, error) {
+func (p *Process) connect(path Path, to string) (*conn, error) {
 	n := p.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -173,15 +173,15 @@
 		return nil, errRefused
 	}
 	n.opened++
-	here := &end{network: n, process: p, path: path, local: address(path.From), remote: address(to), stream: 2 * n.opened, wake: make(chan struct{}, 1)}
-	there := &end{
-		network: n, process: port.process, path: path.back(), local: address(to), remote: address(path.From),
+	here := &conn{network: n, process: p, path: path, local: address(path.From), remote: address(to), stream: 2 * n.opened, wake: make(chan struct{}, 1)}
+	there := &conn{
+		network: n, process: port.process, path: path.reverse(), local: address(to), remote: address(path.From),
 		stream: 2*n.opened + 1, wake: make(chan struct{}, 1),
 	}
 	here.peer, there.peer = there, here
-	for _, one := range []*end{here, there} {
-		n.ends[one] = struct{}{}
-		one.process.ends[one] = struct{}{}
+	for _, one := range []*conn{here, there} {
+		n.conns[one] = struct{}{}
+		one.process.conns[one] = struct{}{}
 	}
 	port.backlog = append(port.backlog, there)
 	select {
@@ -192,8 +192,8 @@
 }
 
 // wait waits for a time, or returns false once ctx has ended.
-func wait(ctx context.Context, most time.Duration) bool {
-	timer := time.NewTimer(most)
+func wait(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/testkit/controlplanesim/simnet/network.go
+++ b/internal/testkit/controlplanesim/simnet/network.go
@@ -11,7 +11,7 @@
 
 // Delays of a link.
 const (
-	shortestDelay = 300 * time.Microsecond
+	minDelay      = 300 * time.Microsecond
 	delaySpread   = 1500 * time.Microsecond
 	loopbackDelay = 30 * time.Microsecond
 	loopback      = "127.0.0.1"
@@ -23,11 +23,11 @@
 
 	mutex     sync.Mutex
 	cuts      map[int]func(Path) bool // what blocks a path
-	slow      map[int]func(Path) time.Duration
-	last      int             // number of the last cut or slow-down
+	delays    map[int]func(Path) time.Duration
+	lastRule  int             // number of the last cut or slow-down
 	powerless map[string]bool // machines that are off
 	listeners map[string]*listener
-	ends      map[*end]struct{}
+	conns     map[*conn]struct{}
 	opened    uint64
 	changed   chan struct{} // closed when paths change
 }
@@ -35,8 +35,8 @@
 // New returns a network whose delays are drawn from the seed.
 func New(seed uint64) *Network {
 	return &Network{
-		seed: seed, cuts: make(map[int]func(Path) bool), slow: make(map[int]func(Path) time.Duration),
-		powerless: make(map[string]bool), listeners: make(map[string]*listener), ends: make(map[*end]struct{}),
+		seed: seed, cuts: make(map[int]func(Path) bool), delays: make(map[int]func(Path) time.Duration),
+		powerless: make(map[string]bool), listeners: make(map[string]*listener), conns: make(map[*conn]struct{}),
 		changed: make(chan struct{}),
 	}
 }
@@ -44,8 +44,8 @@
 // Cut blocks all paths for which the function holds, until heal is called.
 func (n *Network) Cut(blocks func(Path) bool) (heal func()) {
 	n.mutex.Lock()
-	n.last++
-	number := n.last
+	n.lastRule++
+	number := n.lastRule
 	n.mutex.Unlock()
 	n.update(func() { n.cuts[number] = blocks })
 	return func() { n.update(func() { delete(n.cuts, number) }) }
@@ -55,13 +55,13 @@
 func (n *Network) Slow(delay func(Path) time.Duration) (heal func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.last++
-	number := n.last
-	n.slow[number] = delay
+	n.lastRule++
+	number := n.lastRule
+	n.delays[number] = delay
 	return func() {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
-		delete(n.slow, number)
+		delete(n.delays, number)
 	}
 }
 
@@ -74,8 +74,8 @@
 func (n *Network) Reset(along func(Path) bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for one := range n.ends {
-		if one.closed == nil && (along(one.path) || along(one.path.back())) {
+	for one := range n.conns {
+		if one.closed == nil && (along(one.path) || along(one.path.reverse())) {
 			one.fail(errReset)
 		}
 	}
@@ -103,7 +103,7 @@
 	return n.delay(path, n.opened, 0)
 }
 
-func (p Path) back() Path { return Path{From: p.To, To: p.From} }
+func (p Path) reverse() Path { return Path{From: p.To, To: p.From} }
 
 // blocked tells whether a path is cut. The caller holds the mutex.
 func (n *Network) blocked(path Path) bool {
@@ -127,8 +127,8 @@
 	if path.From == path.To {
 		return loopbackDelay + time.Duration(drawn%uint64(loopbackDelay))
 	}
-	delay := shortestDelay + time.Duration(drawn%uint64(delaySpread))
-	for _, slow := range n.slow {
+	delay := minDelay + time.Duration(drawn%uint64(delaySpread))
+	for _, slow := range n.delays {
 		if most := slow(path); most > 0 {
 			delay += most/2 + time.Duration(mix(drawn)%uint64(most))
 		}
@@ -142,8 +142,8 @@
 	defer n.mutex.Unlock()
 	change()
 	now := time.Now()
-	for one := range n.ends {
-		one.follow(now)
+	for one := range n.conns {
+		one.updateCut(now)
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -154,13 +154,13 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for one := range p.listeners {
-		one.shut()
+		one.close()
 	}
-	for one := range p.ends {
+	for one := range p.conns {
 		if silent {
-			one.vanish()
+			one.abandon()
 		} else {
-			one.shut()
+			one.close()
 		}
 	}
 }
--- a/internal/testkit/controlplanesim/simnet/network_test.go
+++ b/internal/testkit/controlplanesim/simnet/network_test.go
@@ -56,14 +56,14 @@
 	return func(p Path) bool { return p == Path{one, other} || p == Path{other, one} }
 }
 
-func TestBytesArriveInOrderAfterADelay(t *testing.T) {
+func TestConn_bytesArriveInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, _, _ := pair(t, New(1))
 		for range 20 {
 			write(t, a, "ab")
 			write(t, a, "cd")
 		}
-		if took := receive(t, b, "abcdabcd"); took < shortestDelay {
+		if took := receive(t, b, "abcdabcd"); took < minDelay {
 			t.Errorf("arrived after %v", took)
 		}
 		receive(t, b, "abcdabcdabcdabcd")
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestAShortCutHoldsBytesUpAndALongOneLosesThem(t *testing.T) {
+func TestConn_cutDelaysOrLosesBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(2)
 		a, b, _, _ := pair(t, n)
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestACutOfOneDirectionLetsTheOtherThrough(t *testing.T) {
+func TestConn_cutOfOneDirection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(3)
 		a, b, _, _ := pair(t, n)
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestADialBehindACutHangsAndADeadPortRefuses(t *testing.T) {
+func TestProcess_Dial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(4)
 		_, _, one, other := pair(t, n)
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestAKilledProcessEndsItsConnectionsAndOneWithoutPowerSaysNothing(t *testing.T) {
+func TestProcess_killAndPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(5)
 		a, _, _, other := pair(t, n)
@@ -164,7 +164,7 @@
 	return errors.As(err, &failure) && failure.Timeout()
 }
 
-func TestAFrozenProcessTakesUpWhatHasArrived(t *testing.T) {
+func TestProcess_Freeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, one, other := pair(t, New(7))
 		other.Freeze()
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -15,7 +15,7 @@
 	ended     chan struct{} // closed by the end
 	dead      bool
 	delayed   []func() // what it has sent while it stands still
-	ends      map[*end]struct{}
+	conns     map[*conn]struct{}
 	listeners map[*listener]struct{}
 }
 
@@ -23,7 +23,7 @@
 func (n *Network) NewProcess(host string) *Process {
 	return &Process{
 		network: n, host: host, ended: make(chan struct{}),
-		ends: make(map[*end]struct{}), listeners: make(map[*listener]struct{}),
+		conns: make(map[*conn]struct{}), listeners: make(map[*listener]struct{}),
 	}
 }
 
@@ -43,10 +43,10 @@
 		close(p.frozen)
 		p.frozen = nil
 	}
-	held := p.delayed
+	delayed := p.delayed
 	p.delayed = nil
 	p.mutex.Unlock()
-	for _, send := range held {
+	for _, send := range delayed {
 		send()
 	}
 }
@@ -110,12 +110,12 @@
 }
 
 // Kill ends the process. The machine's kernel closes its connections and listeners.
-func (p *Process) Kill() { p.end(false) }
+func (p *Process) Kill() { p.terminate(false) }
 
 // LosePower ends the process with its machine: its connections end without a word, and what they hold is lost.
-func (p *Process) LosePower() { p.end(true) }
+func (p *Process) LosePower() { p.terminate(true) }
 
-func (p *Process) end(silent bool) {
+func (p *Process) terminate(silent bool) {
 	p.mutex.Lock()
 	if p.dead {
 		p.mutex.Unlock()
--- a/internal/testkit/controlplanesim/world.go
+++ b/internal/testkit/controlplanesim/world.go
@@ -20,15 +20,15 @@
 
 // Ports and times of the simulated site.
 const (
-	peerPort       = 7000
-	controlPort    = 8000
-	startSpread    = 300 * time.Millisecond // within which all machines start
-	listLag        = time.Second            // of the list that callers choose keepers from
-	grace          = 8 * time.Second        // between SIGTERM and SIGKILL
-	sampleInterval = 250 * time.Millisecond
-	tail           = 8 * time.Second // after the last event
-	seedCount      = 3
-	formation      = 4 * time.Second // in which the core has to be formed whole
+	peerPort         = 7000
+	controlPort      = 8000
+	startSpread      = 300 * time.Millisecond // within which all machines start
+	listLag          = time.Second            // of the list that callers choose keepers from
+	terminationGrace = 8 * time.Second        // between SIGTERM and SIGKILL
+	sampleInterval   = 250 * time.Millisecond
+	recoveryTime     = 8 * time.Second // after the last event
+	seedCount        = 3
+	formationTime    = 4 * time.Second // in which the core has to be formed whole
 )
 
 // bounds are the times that are promised to callers.
@@ -38,29 +38,29 @@
 
 // world is everything of one run.
 type world struct {
-	schedule schedule.Schedule
-	omit     omissions
-	log      *zap.Logger // of the keepers
-	network  *simnet.Network
-	record   *recorder
-	running  sync.WaitGroup // everything that was started
-	scripts  context.Context
+	schedule  schedule.Schedule
+	omissions omissions
+	log       *zap.Logger // of the keepers
+	network   *simnet.Network
+	record    *recorder
+	running   sync.WaitGroup // everything that was started
+	scripts   context.Context
 
 	edges     []*edge
 	operators []*operator
 	reader    *operator // only reads, and no answers to it are lost
 	workers   []*worker
 
-	mutex    sync.Mutex
-	machines []*machine // all that there ever were
-	posts    []post     // the core as callers list it
-	current  []*machine // by place
-	lost     map[string]int
-	triggers map[schedule.Trigger]chan struct{}
+	mutex       sync.Mutex
+	machines    []*machine // all that there ever were
+	listings    []listing  // the core as callers list it
+	current     []*machine // by place
+	lostReplies map[string]int
+	triggers    map[schedule.Trigger]chan struct{}
 }
 
-// post is a machine's time on the list of the core.
-type post struct {
+// listing is a machine's time on the list of the core.
+type listing struct {
 	machine    *machine
 	from, till time.Time // till is zero while it is on it
 }
@@ -71,14 +71,14 @@
 		return nil, err
 	}
 	w := &world{
-		schedule: s, omit: omit, log: log, network: simnet.New(s.Seed), lost: make(map[string]int),
+		schedule: s, omissions: omit, log: log, network: simnet.New(s.Seed), lostReplies: make(map[string]int),
 		triggers: make(map[schedule.Trigger]chan struct{}),
 	}
 	w.record = newRecorder(w)
-	for place := range s.Servers {
-		m := w.newMachine(place)
+	for slot := range s.Servers {
+		m := w.newMachine(slot)
 		w.current = append(w.current, m)
-		w.posts = append(w.posts, post{machine: m, from: time.Now().Add(-listLag)})
+		w.listings = append(w.listings, listing{machine: m, from: time.Now().Add(-listLag)})
 	}
 	for i := range s.Agents {
 		w.edges = append(w.edges, &edge{world: w, index: i, ip: address(1, i)})
@@ -120,64 +120,64 @@
 	}
 }
 
-func (w *world) newMachine(place int) *machine {
-	m := &machine{world: w, place: place, ip: address(0, len(w.machines)), disk: newMachineDisk()}
+func (w *world) newMachine(slot int) *machine {
+	m := &machine{world: w, slot: slot, ip: address(0, len(w.machines)), disk: newMachineDisk()}
 	w.machines = append(w.machines, m)
 	return m
 }
 
-// everyMachine returns all machines that there ever were.
-func (w *world) everyMachine() []*machine {
+// allMachines returns all machines that there ever were.
+func (w *world) allMachines() []*machine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.machines)
 }
 
-// at returns the machine that has a place now.
-func (w *world) at(place int) *machine {
+// machineAt returns the machine that has a place now.
+func (w *world) machineAt(slot int) *machine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.current[place]
+	return w.current[slot]
 }
 
-func (w *world) places(machines []int) []*machine {
+func (w *world) machinesAt(machines []int) []*machine {
 	var found []*machine
-	for _, place := range machines {
-		found = append(found, w.at(place))
+	for _, slot := range machines {
+		found = append(found, w.machineAt(slot))
 	}
 	return found
 }
 
-func (w *world) everyPlace() []*machine {
+func (w *world) currentMachines() []*machine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.current)
 }
 
-// succeed has a new machine take a place. The old one stays on the list of callers for a while.
-func (w *world) succeed(place int) (old, successor *machine) {
+// replaceMachine has a new machine take a place. The old one stays on the list of callers for a while.
+func (w *world) replaceMachine(slot int) (old, successor *machine) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	old = w.current[place]
-	successor = w.newMachine(place)
-	w.current[place] = successor
+	old = w.current[slot]
+	successor = w.newMachine(slot)
+	w.current[slot] = successor
 	now := time.Now()
-	for i := range w.posts {
-		if w.posts[i].machine == old {
-			w.posts[i].till = now
+	for i := range w.listings {
+		if w.listings[i].machine == old {
+			w.listings[i].till = now
 		}
 	}
-	w.posts = append(w.posts, post{machine: successor, from: now})
+	w.listings = append(w.listings, listing{machine: successor, from: now})
 	return old, successor
 }
 
-// listed returns the core as callers know it, which lags.
-func (w *world) listed() []*machine {
+// listedMachines returns the core as callers know it, which lags.
+func (w *world) listedMachines() []*machine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	as := time.Now().Add(-listLag)
 	var listed []*machine
-	for _, one := range w.posts {
+	for _, one := range w.listings {
 		if !one.from.After(as) && (one.till.IsZero() || one.till.After(as)) {
 			listed = append(listed, one.machine)
 		}
@@ -188,7 +188,7 @@
 // seeds returns what a settings file names that is written now.
 func (w *world) seeds() []string {
 	var seeds []string
-	for _, m := range w.listed() {
+	for _, m := range w.listedMachines() {
 		if len(seeds) < seedCount {
 			seeds = append(seeds, controlAddress(m.ip))
 		}
@@ -196,8 +196,8 @@
 	return seeds
 }
 
-// raise wakes what waits for a trigger.
-func (w *world) raise(trigger schedule.Trigger) {
+// trigger wakes what waits for a trigger.
+func (w *world) trigger(trigger schedule.Trigger) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if waiting := w.triggers[trigger]; waiting != nil {
@@ -228,7 +228,7 @@
 func (w *world) losesReplies(host string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.lost[host] > 0
+	return w.lostReplies[host] > 0
 }
 
 // loseReplies loses the answers to callers until the function returned is called.
@@ -237,7 +237,7 @@
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		for _, host := range hosts {
-			w.lost[host] += count
+			w.lostReplies[host] += count
 		}
 	}
 	add(1)
@@ -257,10 +257,10 @@
 	}
 	w.startScripts(scripts)
 	script(scripts)
-	time.Sleep(tail)
+	time.Sleep(recoveryTime)
 	w.record.end()
 	stopScripts()
-	w.endEverything(stopEdges)
+	w.stopAll(stopEdges)
 }
 
 // startCore starts all keepers in a drawn order.
@@ -280,7 +280,7 @@
 	for _, o := range w.operators {
 		w.running.Go(func() { o.run(ctx) })
 	}
-	w.running.Go(func() { w.reader.readOn(ctx) })
+	w.running.Go(func() { w.reader.readForever(ctx) })
 	for _, one := range w.workers {
 		one.start(ctx)
 	}
@@ -291,15 +291,15 @@
 	})
 }
 
-// endEverything stops all processes and waits for what they had started.
-func (w *world) endEverything(stopEdges context.CancelFunc) {
+// stopAll stops all processes and waits for what they had started.
+func (w *world) stopAll(stopEdges context.CancelFunc) {
 	stopEdges()
 	for _, e := range w.edges {
 		for _, process := range e.processes {
 			process.Kill()
 		}
 	}
-	for _, m := range w.everyMachine() {
+	for _, m := range w.allMachines() {
 		m.kill()
 	}
 	w.running.Wait()
