--- a/internal/dataplane/dispatch/attempts.go
+++ b/internal/dataplane/dispatch/attempts.go
@@ -28,6 +28,7 @@
 	return true
 }
 
+// reserveOne takes one call from the budget, but for the first one, and reports whether it was there.
 func (q *attemptQuota) reserveOne() bool {
 	if !q.firstReserved {
 		q.firstReserved = true
--- a/internal/dataplane/dispatch/clientrequest.go
+++ b/internal/dataplane/dispatch/clientrequest.go
@@ -57,6 +57,7 @@
 	trace         trace
 }
 
+// newClientRequest returns the state of a request whose time limits count from its first byte.
 func newClientRequest(dispatcher *Dispatcher, responder Responder, request *httpserver.Request,
 	route *configuration.Route, service *configuration.Service) *clientRequest {
 	arrived := dispatcher.now() - receiveTime(request)
@@ -70,7 +71,8 @@
 }
 
 // newCriteria returns what the choice of workers depends on.
-func newCriteria(request *httpserver.Request, route *configuration.Route, service string, arrived, limit time.Duration) selection.Request {
+func newCriteria(request *httpserver.Request, route *configuration.Route, service string,
+	arrived, limit time.Duration) selection.Request {
 	in, out := parseTokenCount(request.Header.Get(fieldTokenCount))
 	return selection.Request{
 		Service:      service,
@@ -198,4 +200,5 @@
 	return false
 }
 
+// exclude keeps a worker from being chosen again for the request.
 func (r *clientRequest) exclude(worker *fleetview.Worker) { r.excluded = append(r.excluded, worker.ID) }
--- a/internal/dataplane/dispatch/counters.go
+++ b/internal/dataplane/dispatch/counters.go
@@ -9,6 +9,7 @@
 	handlesFreed, handlesDropped                            atomic.Int64
 }
 
+// read returns the current values; each is read by itself.
 func (c *counters) read() Counts {
 	return Counts{
 		Requests:       c.requests.Load(),
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -74,7 +74,8 @@
 }
 
 // prefillResponded follows a prefill with a response: a handle, a rejection, or the response of a run.
-func (r *clientRequest) prefillResponded(call *trackedCall, watcher *idleWatcher, choice selection.Choice, response *Response) prefillOutcome {
+func (r *clientRequest) prefillResponded(call *trackedCall, watcher *idleWatcher, choice selection.Choice,
+	response *Response) prefillOutcome {
 	closeEvents(response)
 	if response.Result != upstream.Answered {
 		r.prefillRejected(call, choice, response)
--- a/internal/dataplane/dispatch/trackedcall.go
+++ b/internal/dataplane/dispatch/trackedcall.go
@@ -42,6 +42,7 @@
 	t.end(func(now time.Duration) { t.shared.chooser.Abandoned(now, t.call) })
 }
 
+// end reports the end of the call to the chooser, unless it has ended.
 func (t *trackedCall) end(report func(now time.Duration)) {
 	if t.closed {
 		return
--- a/internal/dataplane/loadshare/loadshare_test.go
+++ b/internal/dataplane/loadshare/loadshare_test.go
@@ -16,7 +16,9 @@
 	properties.Property("decode of encode", prop.ForAll(func(node, sequence uint64, workers []uint64, work uint16) bool {
 		m := Message{Node: node, Sequence: sequence}
 		for i, worker := range workers {
-			m.Entries = append(m.Entries, selection.Outstanding{WorkerHash: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0})
+			m.Entries = append(m.Entries, selection.Outstanding{
+				WorkerHash: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0,
+			})
 		}
 		datagram, err := Encode(m)
 		if err != nil || len(datagram) > MaxDatagramBytes {
@@ -94,7 +96,8 @@
 
 func TestSequenceFilter_Accept_dropsOlderMessages(t *testing.T) {
 	var filter SequenceFilter
-	if !filter.Accept(Message{Node: 1, Sequence: 5}) || filter.Accept(Message{Node: 1, Sequence: 5}) || filter.Accept(Message{Node: 1, Sequence: 4}) {
+	if !filter.Accept(Message{Node: 1, Sequence: 5}) ||
+		filter.Accept(Message{Node: 1, Sequence: 5}) || filter.Accept(Message{Node: 1, Sequence: 4}) {
 		t.Error("a repeated or late message is accepted")
 	}
 	if !filter.Accept(Message{Node: 2, Sequence: 1}) || !filter.Accept(Message{Node: 1, Sequence: 6}) {
--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -61,12 +61,33 @@
 func Encode(message Message) ([]byte, error) {
 	encoded := wireMessage{Node: int64(message.Node), Sequence: int64(message.Sequence)}
 	for _, entry := range mostLoaded(message.Entries) {
-		encoded.List = append(encoded.List, wireEntry{Worker: int64(entry.WorkerHash), Waiting: int(entry.Waiting * microsecondsPerSecond),
-			Running: int(entry.Running), Memory: int(entry.Memory), Failing: entry.Failing})
+		encoded.List = append(encoded.List, newWireEntry(entry))
 	}
 	return avro.Marshal(schema, encoded)
 }
 
+// newWireEntry returns the encoding of an entry.
+func newWireEntry(entry selection.Outstanding) wireEntry {
+	return wireEntry{
+		Worker:  int64(entry.WorkerHash),
+		Waiting: int(entry.Waiting * microsecondsPerSecond),
+		Running: int(entry.Running),
+		Memory:  int(entry.Memory),
+		Failing: entry.Failing,
+	}
+}
+
+// outstanding returns the entry that is encoded. Its numbers must not be negative.
+func (e wireEntry) outstanding() selection.Outstanding {
+	return selection.Outstanding{
+		WorkerHash: uint64(e.Worker),
+		Waiting:    float64(e.Waiting) / microsecondsPerSecond,
+		Running:    float64(e.Running),
+		Memory:     float64(e.Memory),
+		Failing:    e.Failing,
+	}
+}
+
 // Decode parses a datagram. It returns ErrInvalidMessage for one that is malformed, has trailing bytes or
 // values out of range.
 func Decode(datagram []byte) (Message, error) {
@@ -79,9 +100,7 @@
 		if entry.Waiting < 0 || entry.Running < 0 || entry.Memory < 0 {
 			return Message{}, ErrInvalidMessage
 		}
-		message.Entries = append(message.Entries, selection.Outstanding{WorkerHash: uint64(entry.Worker),
-			Waiting: float64(entry.Waiting) / microsecondsPerSecond, Running: float64(entry.Running), Memory: float64(entry.Memory),
-			Failing: entry.Failing})
+		message.Entries = append(message.Entries, entry.outstanding())
 	}
 	return message, nil
 }
--- a/internal/dataplane/retrybudget/requestcounts.go
+++ b/internal/dataplane/retrybudget/requestcounts.go
@@ -10,6 +10,7 @@
 	slots      [windowSlots + 1]int64 // number of the slot that an entry counts; -1: none
 }
 
+// newRequestCounts returns counts of zero.
 func newRequestCounts(window time.Duration) requestCounts {
 	counts := requestCounts{slotLength: max(window/windowSlots, 1)}
 	for i := range counts.slots {
--- a/internal/dataplane/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -25,6 +25,7 @@
 // serviceLoad is the load of a service, summed over the workers that a request may be sent to.
 type serviceLoad struct{ inUse, slots, waiting, workers float64 }
 
+// add adds the load of a worker of that class.
 func (l *serviceLoad) add(of workerClass, load workerLoad, slots float64) {
 	l.inUse += load.total()
 	l.slots += slots
@@ -60,6 +61,7 @@
 	return typical
 }
 
+// priorityLevel returns the level that a priority counts at.
 func priorityLevel(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
 // slackShare returns the share of its slack that a request may wait. It falls with the priority's rank
--- a/internal/dataplane/selection/affinity.go
+++ b/internal/dataplane/selection/affinity.go
@@ -81,7 +81,8 @@
 
 // cachedProbability returns the probability that a worker has the shared segment of that index cached,
 // given that all nodes together send span requests while it retains one.
-func (s *service) cachedProbability(info *requestInfo, worker *worker, index int, reach float64, workers int, span float64) float64 {
+func (s *service) cachedProbability(info *requestInfo, worker *worker, index int, reach float64, workers int,
+	span float64) float64 {
 	beyond := max(0, estimate.RendezvousRank(info.affinityKey, worker.hash, workers)-reach)
 	uses := assumedUses + info.keyShare*span
 	probability := uses / (1 + uses) * math.Exp(-affinityDecay*beyond)
--- a/internal/dataplane/selection/affinity_test.go
+++ b/internal/dataplane/selection/affinity_test.go
@@ -27,7 +27,8 @@
 	p.Property("nodes agree", prop.ForAll(func(key uint64) bool {
 		one, _ := newTestSelector(4, 5, 1)
 		other, _ := newTestSelector(4, 5, 77)
-		return firstAffinityTarget(key, one.services["m"].byClass[classPrefill]) == firstAffinityTarget(key, other.services["m"].byClass[classPrefill])
+		target := firstAffinityTarget(key, one.services["m"].byClass[classPrefill])
+		return target == firstAffinityTarget(key, other.services["m"].byClass[classPrefill])
 	}, gen.UInt64()))
 	p.Property("the first target changes only if its worker leaves", prop.ForAll(func(key uint64, gone int) bool {
 		s, _ := newTestSelector(6, 2, 1)
--- a/internal/dataplane/selection/candidate.go
+++ b/internal/dataplane/selection/candidate.go
@@ -71,7 +71,8 @@
 
 // newCandidate estimates what a worker costs at its load. Workers is the number of eligible workers of
 // its class, reach that of the affinity targets among them.
-func (s *service) newCandidate(now time.Duration, info *requestInfo, worker *worker, load workerLoad, reach float64, workers int) candidate {
+func (s *service) newCandidate(now time.Duration, info *requestInfo, worker *worker, load workerLoad, reach float64,
+	workers int) candidate {
 	cached := 0.
 	if worker.class != classPlain {
 		cached = s.cachedTokens(info, worker, reach, workers)
--- a/internal/dataplane/selection/ejection_test.go
+++ b/internal/dataplane/selection/ejection_test.go
@@ -23,7 +23,8 @@
 		t.Fatal("ejected on the report of one node")
 	}
 	reportFailing(s, time.Second, 2, w)
-	if w.health.ejectedUntil < time.Second+minPeerEjection || w.health.ejectedUntil > time.Second+maxPeerEjection || w.health.slowStartLimit != 1 {
+	until := w.health.ejectedUntil
+	if until < time.Second+minPeerEjection || until > time.Second+maxPeerEjection || w.health.slowStartLimit != 1 {
 		t.Fatalf("%+v", w.health)
 	}
 	for _, entry := range s.Outstanding(time.Second) {
--- a/internal/dataplane/selection/placement.go
+++ b/internal/dataplane/selection/placement.go
@@ -62,6 +62,7 @@
 	return choice
 }
 
+// seconds returns a duration of s seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // bestPlacement returns the placement with the lowest score, and the load of the workers considered. It
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -80,6 +80,7 @@
 	wait    float64 // in the worker's queue
 }
 
+// total returns the seconds up to the beginning of the response.
 func (f forecast) total() float64 { return f.network + f.run + f.wait }
 
 // bucketOf returns the bucket of prompts with that many uncached tokens.
--- a/internal/dataplane/selection/prediction_test.go
+++ b/internal/dataplane/selection/prediction_test.go
@@ -97,7 +97,11 @@
 
 func TestSelector_Choose_spreadsPlainRequests(t *testing.T) {
 	s := New(Options{Seed: 3})
-	view := &fleetview.View{EdgeNodeCount: 3, Services: map[string]*configuration.Service{"p": {Name: "p"}}, Workers: map[string][]*fleetview.Worker{}}
+	view := &fleetview.View{
+		EdgeNodeCount: 3,
+		Services:      map[string]*configuration.Service{"p": {Name: "p"}},
+		Workers:       map[string][]*fleetview.Worker{},
+	}
 	for _, id := range []string{"a", "b", "c"} {
 		view.Workers["p"] = append(view.Workers["p"], &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "p", Slots: 6}})
 	}
--- a/internal/dataplane/selection/requestinfo.go
+++ b/internal/dataplane/selection/requestinfo.go
@@ -26,6 +26,7 @@
 	return request.info
 }
 
+// newRequestInfo derives a request's info but for its shares.
 func (s *service) newRequestInfo(request *Request) requestInfo {
 	info := requestInfo{request: request, prompt: request.Prompt, promptTokens: float64(request.PromptTokens)}
 	if request.PromptTokens <= 0 {
--- a/internal/dataplane/selection/simulation_test.go
+++ b/internal/dataplane/selection/simulation_test.go
@@ -211,7 +211,7 @@
 	Mean, P95, OnTime, Rejected, WithoutPrefill float64
 	Read, Reread, Moved                         float64 // thousands of tokens
 	Kinds                                       string
-	Largest                                     float64 // admitted share of the largest tenth of a kind against all of it, lowest over the kinds
+	Largest                                     float64 // servedShareOfLargest, lowest over the kinds
 }
 
 func (f *modelFleet) results() fleetResults {
--- a/internal/dataplane/selection/worker.go
+++ b/internal/dataplane/selection/worker.go
@@ -61,6 +61,7 @@
 	cache          prefixCache
 }
 
+// newWorker returns a worker without samples.
 func newWorker(entry *fleetview.Worker) *worker {
 	hash := fnv.New64a()
 	hash.Write([]byte(entry.ID))
