--- a/cmd/ospreybend/hot_restart.go
+++ b/cmd/ospreybend/hot_restart.go
@@ -185,22 +185,3 @@
 	}
 	return false
 }
-
-// limitDeadlines has all that clients wait for answered by a time.
-func (n *node) limitDeadlines(at time.Time) {
-	n.core.LimitDeadlines(n.front, n.loop.Now()+time.Until(at))
-}
-
-// keepAccepting lets clients in for as long as they still come, and after that until
-// another node tells that it serves: where all are restarted one after the other,
-// the next may go before the last is back, and clients would find nobody. A crowd is
-// never all gone, and too large for each to tell all others.
-func (n *node) keepAccepting(began, killed time.Time) {
-	time.Sleep(time.Until(began.Add(shutdownAcceptTime)))
-	for alone := true; time.Now().Before(killed.Add(-lastAcceptMargin)); time.Sleep(directoryPollInterval) {
-		n.loop.Call(func() { alone = !n.core.PeersHeardWithin(maxPeerSilence) })
-		if !alone || n.cfg.PeerListen == "" || len(n.cfg.Peers) < 2 || len(n.cfg.Peers) > maxHeardPeers {
-			return
-		}
-	}
-}
--- a/cmd/ospreybend/node.go
+++ b/cmd/ospreybend/node.go
@@ -1,19 +1,12 @@
-// Command ospreybend is one real node: it takes operations from clients,
-// decides by package balance where each goes, and answers them. It also has the
-// commands that call such a node's batch front; see docs/CLI.md.
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
-	"os/signal"
-	"runtime"
-	"syscall"
 	"time"
 
 	"ospreybend/internal/node/eventloop"
@@ -56,74 +49,6 @@
 	handOverInterval      = 10 * time.Millisecond // how often what could not be handed over is looked at again
 )
 
-// version is the program's, as the batch front tells it.
-const version = "0.3.0"
-
-// signals are those that the program has caught and not acted on yet.
-type signals struct {
-	shutdown chan os.Signal
-	reload   chan os.Signal // holds one: what comes meanwhile is served by the same rereading
-}
-
-// catchSignals has the signals caught from now on; one that is not would end the
-// program. SIGHUP may come at any time, above all while the node leaves.
-func catchSignals() signals {
-	s := signals{shutdown: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(s.reload, syscall.SIGHUP)
-	signal.Notify(s.shutdown, syscall.SIGTERM, syscall.SIGINT)
-	return s
-}
-
-func main() {
-	caught := catchSignals()
-	os.Exit(runCommand(caught, os.Args[1:], os.Stdout, os.Stderr))
-}
-
-// serve runs the node until it is told to leave.
-func serve(caught signals) error {
-	cfg, err := nodeconfig.Load(os.Getenv)
-	if err != nil {
-		return err
-	}
-	batch, err := nodeconfig.LoadBatch(os.Getenv)
-	if err != nil {
-		return err
-	}
-	if err := cfg.ReserveBatch(batch); err != nil {
-		return err
-	}
-	fleet, err := nodeconfig.LoadFleet(os.Getenv)
-	if err != nil {
-		return err
-	}
-	if err := cfg.ReserveFleet(fleet); err != nil {
-		return err
-	}
-	runtime.GOMAXPROCS(maxProcs)
-	n, err := start(cfg)
-	if err != nil {
-		return err
-	}
-	if batch.Enabled {
-		if n.batch, err = n.startBatch(batch); err != nil {
-			return err
-		}
-	}
-	go func() {
-		for range caught.reload {
-			n.reload(os.Getenv)
-		}
-	}()
-	if os.Getenv("OSPREYBEND_READY_FD") != "" {
-		ctx, cancel := context.WithCancel(context.Background())
-		defer cancel()
-		go n.signalNodeReady(ctx)
-	}
-	<-caught.shutdown
-	n.shutdown()
-	return nil
-}
-
 // node is the parts of the program, wired.
 type node struct {
 	cfg          *nodeconfig.Node
@@ -288,93 +213,3 @@
 	}
 	n.loop.Timers.Add(n.loop.Now()+countsInterval, n.logCounts)
 }
-
-// reload reads the configuration once more, off the loop. Discovery's address
-// takes effect at once; the rest stays as it was at the start. A file with a
-// fault changes nothing.
-func (n *node) reload(env func(string) string) {
-	cfg, err := nodeconfig.Load(env)
-	if err != nil {
-		slog.Error("reload: the old configuration stays", "fault", err)
-		return
-	}
-	slog.Info("reload", "discovery", cfg.Discovery)
-	if keys := n.cfg.NeedRestart(cfg); len(keys) > 0 {
-		slog.Warn("reload: some keys take effect at the next start", "keys", keys)
-	}
-	n.loop.Post(func() { n.discovery.SetAddress(cfg.Discovery) })
-	if n.batch != nil {
-		n.batch.reload(n, env)
-	}
-}
-
-// shutdown answers what the node has taken, and returns once all of it is out. Where
-// the clients' socket is this process's own, new connections come for a while after
-// the signal. Where it is inherited they are the next process's, which also gets
-// what is open here. What nobody takes over is answered before the process may be
-// killed.
-func (n *node) shutdown() {
-	began := time.Now()
-	slog.Info("leaving", "inherited", n.inherited != nil)
-	if n.stopReceiving != nil {
-		n.stopReceiving() // who leaves next is to find the one that stays
-	}
-	n.loop.Call(func() {
-		n.shuttingDown = true
-		n.front.BeginShutdown()
-		if n.agent != nil {
-			n.agent.Stop()
-		}
-		if n.inherited != nil {
-			n.discovery.ExcludeWarmingUp()
-			n.peers.Close()
-		}
-		n.peers.Mute()
-		if n.batch != nil {
-			n.batch.jobs.Stop()
-		}
-	})
-	defer n.leaveDirectory()
-	longest := time.Duration(0)
-	for _, c := range n.cfg.Settings.Classes {
-		longest = max(longest, c.Timeout)
-	}
-	killed := began.Add(min(longest, maxDrainTime) + drainMargin)
-	next := n.successor()
-	remaining := shutdownAcceptTime
-	if n.inherited == nil {
-		n.loop.Call(func() { n.limitDeadlines(killed) })
-		n.keepAccepting(began, killed)
-		remaining = 0
-	}
-	drained := make(chan struct{})
-	n.loop.Call(func() {
-		n.collectHandovers(next)
-		if n.inherited != nil {
-			n.limitDeadlines(killed)
-		}
-		slog.Info("leaving: no new connections", "open", n.core.OpenOperations())
-		n.front.Stop(remaining, func() {
-			select {
-			case <-drained:
-			default:
-				close(drained)
-			}
-		})
-	})
-	latest := time.Now().Add(longest + shutdownGrace)
-	if next != nil {
-		n.handOver(next, drained, latest)
-	}
-	select {
-	case <-drained:
-	case <-time.After(time.Until(killed.Add(disconnectWait))):
-		slog.Warn("leaving: some clients have not ended their connections")
-	}
-	if n.batch != nil {
-		n.batch.shutdown(n, latest)
-	}
-	time.Sleep(flushTime)
-	n.loop.Call(n.logCounts)
-	slog.Info("left")
-}
