--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -13,9 +13,10 @@
 	"ospreybend/internal/node/protocol"
 )
 
+// storeLoadTimeout limits how long a start reads what the store of record holds.
 const storeLoadTimeout = 30 * time.Second
 
-// batchFront is the parts of the batch front, wired.
+// batchFront wires the parts of the batch API.
 type batchFront struct {
 	cfg      nodeconfig.Batch
 	jobs     *jobs.Manager
@@ -24,8 +25,8 @@
 	servers  []*protocol.Server
 }
 
-// startBatch opens the batch front beside the platform's, on the same core. The
-// node's configuration has made room for it (Reserve).
+// startBatch starts the batch API beside the platform's server, on the same core. The node's configuration has reserved
+// its descriptors (nodeconfig.Node.ReserveBatch).
 func (n *node) startBatch(cfg nodeconfig.Batch) (*batchFront, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeLoadTimeout)
 	defer cancel()
@@ -47,23 +48,10 @@
 	}
 	f := &batchFront{cfg: cfg, executor: store.NewExecutor(record, n.loop.Post)}
 	n.loop.Call(func() {
-		f.jobs = jobs.New(jobs.Config{Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, WorkerName: n.destinations.Name,
-			MaxSlots: n.batchSlots(cfg), DelayTarget: time.Duration(cfg.TargetMS) * time.Millisecond,
-			MaxWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, MaxEvents: cfg.MaxEvents, MaxEndedJobs: jobs.DefaultMaxEndedJobs}, n.core, f.executor, n.loop, &n.loop.Timers)
+		f.jobs = jobs.New(n.jobsConfig(cfg), n.core, f.executor, n.loop, &n.loop.Timers)
 		n.core.SetLoadObserver(f.jobs)
 		f.jobs.Load(tenants, sessions, unfinished, arrays)
-		front := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
-		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.MaxSockets, n.cfg.FrontMaxBufferedBytes, front.Serve))
-		if cfg.AdminListen != "" {
-			f.admin = httpapi.NewAdmin(front, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
-			f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminMaxSockets, n.cfg.FrontMaxBufferedBytes, f.admin.Serve))
-		}
-		for _, s := range f.servers {
-			s.FormatError = httpapi.FormatError
-			if err = s.Start(); err != nil {
-				return
-			}
-		}
+		err = f.startServers(n)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("batch: %w", err)
@@ -72,22 +60,50 @@
 	return f, nil
 }
 
-// batchSlots is how much of the batch front's work may be in the core at once:
-// the descriptors left are the platform's.
+// jobsConfig returns the configuration of the job manager.
+func (n *node) jobsConfig(cfg nodeconfig.Batch) jobs.Config {
+	return jobs.Config{
+		Machine: n.cfg.Name, Classes: n.cfg.BatchClasses, Settings: n.cfg.Settings, WorkerName: n.destinations.Name,
+		MaxSlots: n.batchSlots(cfg), DelayTarget: time.Duration(cfg.TargetMS) * time.Millisecond,
+		MaxWait: time.Duration(cfg.MaxWaitSeconds) * time.Second, MaxEvents: cfg.MaxEvents, MaxEndedJobs: jobs.DefaultMaxEndedJobs,
+	}
+}
+
+// startServers starts the servers of the tenants and, where it has an address, of the administration. It runs on the
+// loop.
+func (f *batchFront) startServers(n *node) error {
+	cfg := f.cfg
+	api := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
+	f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.MaxSockets, n.cfg.FrontMaxBufferedBytes, api.Serve))
+	if cfg.AdminListen != "" {
+		f.admin = httpapi.NewAdmin(api, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
+		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminMaxSockets, n.cfg.FrontMaxBufferedBytes, f.admin.Serve))
+	}
+	for _, server := range f.servers {
+		server.FormatError = httpapi.FormatError
+		if err := server.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// batchSlots returns how many slots batch jobs may take in the core at once; the other connections are reserved for the
+// platform's requests.
 func (n *node) batchSlots(cfg nodeconfig.Batch) float64 {
-	most := n.cfg.MaxDestinationConns / 2
+	slots := n.cfg.MaxDestinationConns / 2
 	if cfg.Slots > 0 {
-		most = min(most, cfg.Slots)
+		slots = min(slots, cfg.Slots)
 	}
-	return float64(most)
+	return float64(slots)
 }
 
-// reload takes up the batch front's file read anew. What it cannot take up while
-// it runs it names. One with a fault changes nothing.
-func (f *batchFront) reload(n *node, env func(string) string) {
-	cfg, err := nodeconfig.LoadBatch(env)
+// reload reads the batch API's file again, applies what can change while it runs and logs the other changed keys. An
+// invalid file changes nothing. It runs off the loop.
+func (f *batchFront) reload(n *node, getenv func(string) string) {
+	cfg, err := nodeconfig.LoadBatch(getenv)
 	if err != nil {
-		slog.Error("reload: the batch front's old configuration stays", "fault", err)
+		slog.Error("reload: invalid configuration of the batch front ignored", "error", err)
 		return
 	}
 	if keys := f.cfg.NeedRestart(cfg); len(keys) > 0 {
@@ -107,21 +123,21 @@
 		"events", cfg.MaxEvents)
 }
 
-// shutdown ends the batch front once what its jobs have in work is answered, or by
-// the given time. What is then unfinished the store has.
-func (f *batchFront) shutdown(n *node, by time.Time) {
-	busy := func() (count int) {
+// shutdown ends the batch API once all its requests in flight are answered, or by the deadline. The store has the jobs
+// that are unfinished then. It runs off the loop.
+func (f *batchFront) shutdown(n *node, deadline time.Time) {
+	pending := func() (count int) {
 		n.loop.Call(func() { count = f.jobs.Pending() })
 		return count
 	}
-	for time.Now().Before(by) && busy() > 0 {
+	for time.Now().Before(deadline) && pending() > 0 {
 		time.Sleep(flushTime)
 	}
 	n.loop.Call(f.jobs.EndWaits)
 	time.Sleep(flushTime)
 	n.loop.Call(func() {
-		for _, s := range f.servers {
-			s.Stop(0, func() {})
+		for _, server := range f.servers {
+			server.Stop(0, func() {})
 		}
 		f.executor.Shutdown()
 	})
--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -29,10 +29,10 @@
 	return s
 }
 
-// Prep workers that die at each byte of their last word: every booking begins
-// once and has one final state, and is DONE only where the whole word came.
+// Prep workers that die at each byte of their last message: every booking begins once and has one final state, and is
+// DONE only if the complete message arrived.
 func TestBatch_workerDiesBetweenTwoBytes(t *testing.T) {
-	const whole = len("20\r\n" + `{"state":"done","result":"cut"}` + "\n") // up to the line's end
+	const messageBytes = len("20\r\n" + `{"state":"done","result":"cut"}` + "\n") // up to the line's end
 	r := newTestNode(t, func(j fakeplatform.Job) fakeplatform.Act {
 		n, err := strconv.Atoi(j.Path[strings.LastIndexByte(j.Path, '/')+1:])
 		if err != nil {
@@ -41,7 +41,7 @@
 		return fakeplatform.Act{Kind: fakeplatform.Cut, Bytes: n - 1, Run: time.Millisecond}
 	})
 	s := newSession(t, r)
-	a, err := s.RunBulk(t.Context(), drmaa.Bulk{Begin: 1, End: whole + 10, MaxParallel: 4,
+	a, err := s.RunBulk(t.Context(), drmaa.Bulk{Begin: 1, End: messageBytes + 10, MaxParallel: 4,
 		Template: &drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", Args: []string{drmaa.IndexPlaceholder}}})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 		switch {
 		case begun[j.ID] != 1:
 			t.Errorf("%s begun %d times", j.ID, begun[j.ID])
-		case j.Index-1 < whole && (j.State != drmaa.Failed || !j.MayHaveRun):
+		case j.Index-1 < messageBytes && (j.State != drmaa.Failed || !j.MayHaveRun):
 			t.Errorf("%s, cut at byte %d, is %s, may have run %v", j.ID, j.Index-1, j.State, j.MayHaveRun)
 		case j.State != drmaa.Done && j.State != drmaa.Failed:
 			t.Errorf("%s is %s", j.ID, j.State)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A prep worker vanishes with bookings and checks in work, and comes back: the
-// checks run elsewhere, no booking begins twice, all have an end.
+// A prep worker vanishes with bookings and idempotent jobs in flight, and returns: the idempotent jobs are retried
+// elsewhere, no booking begins twice, and all jobs end.
 func TestBatch_workerVanishesAndReturns(t *testing.T) {
 	r := newTestNode(t, fakeplatform.For(50*time.Millisecond))
 	s := newSession(t, r)
@@ -108,8 +108,7 @@
 	}
 }
 
-// A wait that is open while the node leaves is told to come again; the job goes
-// on where the record has it.
+// A wait that is pending when the node shuts down is answered with TryLater; the job stays in the store of record.
 func TestBatch_waitDuringShutdown(t *testing.T) {
 	r := newTestNode(t, fakeplatform.For(time.Millisecond))
 	s := newSession(t, r, client.WithMaxAttempts(1))
--- a/cmd/ospreybend/child_process.go
+++ b/cmd/ospreybend/child_process.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"errors"
-	"fmt"
 	"net/http"
 	"os"
 	"os/exec"
@@ -19,45 +16,44 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
+// childEnv names the variable that has a test binary run as the program.
+const childEnv = "OSPREYBEND_CHILD"
+
+// clockTicksPerSecond is the unit of processor times in /proc, on all of Linux's architectures that Go supports.
+const clockTicksPerSecond = 100
+
 // child is a node in a process of its own, for measurements and kills.
 type child struct {
-	cmd           *exec.Cmd
+	cmd           *exec.Cmd // nil: not running
 	dir           string
-	platform      string
-	batch         string
+	platform      string // URL
+	batch         string // URL
 	admin         *client.Admin
-	batchDisabled bool // its batch front is off
+	batchDisabled bool
 }
 
-// files writes a node's files into dir. extra is further lines of the batch
-// front's.
+// newChild writes a node's configuration files into dir. extra is further lines of the batch API's file.
 func newChild(dir, discovery, extra string) (*child, error) {
-	var at [3]string
-	for i := range at {
-		var err error
-		if at[i], err = fakeplatform.FreeAddress(); err != nil {
-			return nil, err
-		}
+	addresses, err := newDemoAddresses()
+	if err != nil {
+		return nil, err
 	}
-	text, err := demoConfig(at[0], discovery)
+	text, err := demoConfig(addresses.platform, discovery)
 	if err != nil {
 		return nil, err
 	}
-	sum := sha256.Sum256([]byte(demoAdminToken))
-	batch := fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n%s",
-		at[1], filepath.Join(dir, "batch.db"), at[2], hex.EncodeToString(sum[:]), extra)
-	c := &child{dir: dir, platform: "http://" + at[0], batch: "http://" + at[1]}
-	if c.admin, err = client.NewAdmin("http://"+at[2], demoAdminToken, client.WithMaxAttempts(1)); err != nil {
+	c := &child{dir: dir, platform: "http://" + addresses.platform, batch: "http://" + addresses.batch}
+	if c.admin, err = client.NewAdmin("http://"+addresses.admin, demoAdminToken, client.WithMaxAttempts(1)); err != nil {
 		return nil, err
 	}
 	return c, errors.Join(os.WriteFile(filepath.Join(dir, "node.json"), text, 0o600),
-		os.WriteFile(filepath.Join(dir, "batch.toml"), []byte(batch), 0o600))
+		os.WriteFile(filepath.Join(dir, "batch.toml"), []byte(demoBatchConfig(addresses, dir)+extra), 0o600))
 }
 
 // start starts the process and waits until it serves.
 func (c *child) start(ctx context.Context) error { return c.startWithEnv(ctx) }
 
-// startWithEnv starts it with further variables in its environment.
+// startWithEnv starts the process with further variables in its environment and waits until it serves.
 func (c *child) startWithEnv(ctx context.Context, env ...string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -76,28 +72,27 @@
 	if err := c.cmd.Start(); err != nil {
 		return err
 	}
-	// The batch front's administration opens last.
-	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool {
-		answer, err := http.Get(c.platform + "/healthz")
-		if err != nil {
-			return false
-		}
-		answer.Body.Close()
-		if answer.StatusCode != http.StatusOK {
-			return false
-		}
-		if c.batchDisabled {
-			return true
-		}
-		_, err = c.admin.Queue(ctx)
-		return err == nil
-	})
+	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool { return c.serves(ctx) })
 }
 
-// childEnv tells a test binary that it is to be the program.
-const childEnv = "OSPREYBEND_CHILD"
+// serves reports whether all servers of the process answer. The batch API's administration opens last.
+func (c *child) serves(ctx context.Context) bool {
+	response, err := http.Get(c.platform + "/healthz")
+	if err != nil {
+		return false
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return false
+	}
+	if c.batchDisabled {
+		return true
+	}
+	_, err = c.admin.Queue(ctx)
+	return err == nil
+}
 
-// kill ends the process without a word.
+// kill kills the process, if it runs, and waits for its end.
 func (c *child) kill() error {
 	if c.cmd == nil {
 		return nil
@@ -116,7 +111,7 @@
 	}
 }
 
-// shutdown ends the process in good order.
+// shutdown sends the process SIGTERM and waits for its end.
 func (c *child) shutdown() error {
 	if c.cmd == nil {
 		return nil
@@ -129,9 +124,7 @@
 	return err
 }
 
-const clockTicksPerSecond = 100 // of /proc's clock in a second, on all of Linux's architectures that Go has
-
-// cpuTime is the processor time that the process has used.
+// cpuTime returns the processor time that the process has used; 0 if it cannot be read.
 func (c *child) cpuTime() time.Duration {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/stat")
 	if err != nil {
@@ -143,7 +136,7 @@
 	return time.Duration(user+system) * time.Second / clockTicksPerSecond
 }
 
-// memory is the most memory that the process has had, in KiB, since its start.
+// memory returns the resident memory of the process, now and at its peak, in KiB; 0 if it cannot be read.
 func (c *child) memory() (current, peak int) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/status")
 	if err != nil {
@@ -161,15 +154,7 @@
 	return current, peak
 }
 
-// tenant makes a tenant with a session.
+// tenant creates a tenant and a session of it.
 func (c *child) tenant(ctx context.Context, name string, quota int) (*client.Session, error) {
-	t, err := c.admin.Create(ctx, name, quota)
-	if err != nil {
-		return nil, err
-	}
-	cl, err := client.New(c.batch, t.Token)
-	if err != nil {
-		return nil, err
-	}
-	return cl.CreateSession(ctx, "default")
+	return newTenantSession(ctx, c.admin, c.batch, name, quota)
 }
--- a/cmd/ospreybend/cli.go
+++ b/cmd/ospreybend/cli.go
@@ -20,8 +20,8 @@
 // exitTrialNotRun is the exit code of a trial that could not run; one with a violation has 1.
 const exitTrialNotRun = 2
 
-// commandLine is the command line. Without a command it serves, as the platform's
-// run line wants.
+// commandLine is the command line. Without a command the program serves, as the platform starts it. Names of commands
+// and flags come from the names of the fields.
 type commandLine struct {
 	JSON bool `help:"Write JSON." env:"OSPREYBEND_JSON"`
 
@@ -38,7 +38,7 @@
 	Version versionCmd  `cmd:"" help:"Show the version."`
 }
 
-// runCommand runs one call of the program and returns its exit code.
+// runCommand runs the program with the given arguments and returns its exit code.
 func runCommand(caught signals, args []string, stdout, stderr io.Writer) int {
 	log, err := nodeconfig.LoadLog(os.Getenv)
 	if err != nil {
@@ -46,12 +46,12 @@
 		return cli.ExitError
 	}
 	slog.SetDefault(slog.New(log.Handler(stderr)))
-	var c commandLine
+	var line commandLine
 	exited := -1
-	parser, err := kong.New(&c, kong.Name("ospreybend"), kong.Description("A load balancer for job preparation, with a batch front after DRMAA."),
+	parser, err := kong.New(&line, kong.Name("ospreybend"), kong.Description("A load balancer for job preparation, with a batch front after DRMAA."),
 		kong.UsageOnError(), kong.Writers(stdout, stderr), kong.Exit(func(code int) { exited = code }))
 	if err != nil {
-		panic(err) // the structure above is wrong
+		panic(err) // commandLine is invalid
 	}
 	parsed, err := parser.Parse(args)
 	if exited >= 0 {
@@ -63,13 +63,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if c := parsed.Command(); c != "serve" && c != "voter" {
+	if name := parsed.Command(); name != "serve" && name != "voter" {
 		go func() {
 			<-caught.shutdown
 			cancel()
 		}()
 	}
-	env := &cli.Env{Ctx: ctx, Out: stdout, Getenv: os.Getenv, JSON: c.JSON}
+	env := &cli.Env{Ctx: ctx, Out: stdout, Getenv: os.Getenv, JSON: line.JSON}
 	err = parsed.Run(env, caught)
 	if err != nil {
 		fmt.Fprintln(stderr, "ospreybend:", err)
@@ -80,17 +80,18 @@
 	return cli.ExitCode(err)
 }
 
+// serveCmd serves as a node.
 type serveCmd struct {
 	CPUProfile string `help:"Write a profile of the processor's time into this file." type:"path" env:"OSPREYBEND_CPU_PROFILE"`
 }
 
-// Run serves.
+// Run serves until the process is signalled to shut down.
 func (c *serveCmd) Run(_ *cli.Env, caught signals) error {
 	if text := os.Getenv("OSPREYBEND_FAULT"); text != "" {
 		if err := faultinjection.Arm(text); err != nil {
 			return err
 		}
-		slog.Warn("the process will be killed at a fault point", "fault", text)
+		slog.Warn("fault injection armed: the process will be killed", "fault", text)
 	}
 	if c.CPUProfile == "" {
 		return serve(caught)
@@ -107,14 +108,16 @@
 	return errors.Join(err, f.Close())
 }
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
-// Run shows the version.
+// Run prints the versions of the program and of Go.
 func (versionCmd) Run(env *cli.Env) error {
-	v := map[string]string{"version": version, "go": runtime.Version()}
-	return env.Show(v, func(w io.Writer) { fmt.Fprintf(w, "ospreybend %s, %s\n", version, runtime.Version()) })
+	versions := map[string]string{"version": version, "go": runtime.Version()}
+	return env.Show(versions, func(w io.Writer) { fmt.Fprintf(w, "ospreybend %s, %s\n", version, runtime.Version()) })
 }
 
+// configCmd groups the commands for configuration files.
 type configCmd struct {
 	Check configCheck `cmd:"" help:"Read the files as a start would, and say what is wrong."`
 }
@@ -127,7 +130,13 @@
 	Fleet string `help:"The fleet's file; else OSPREYBEND_FLEET names it, or it is deploy/fleet.toml." type:"path"`
 }
 
-// Run checks.
+// checkResult is the outcome of a check without errors.
+type checkResult struct {
+	Batch   bool     `json:"batch"` // whether the batch API is enabled
+	Checked []string `json:"checked"`
+}
+
+// Run reads the files as a start would and returns all errors.
 func (c *configCheck) Run(env *cli.Env) error {
 	getenv := func(key string) string {
 		if v := map[string]string{"BALANCER_CONFIG": c.Node, "OSPREYBEND_BATCH": c.Batch, "OSPREYBEND_LOG": c.Log,
@@ -136,17 +145,17 @@
 		}
 		return env.Getenv(key)
 	}
-	var faults []error
+	var errs []error
 	if _, err := nodeconfig.LoadLog(getenv); err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
 	batch, err := nodeconfig.LoadBatch(getenv)
 	if err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
 	fleet, err := nodeconfig.LoadFleet(getenv)
 	if err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
 	checked := []string{"log", "batch", "fleet"}
 	if getenv("BALANCER_CONFIG") != "" {
@@ -155,14 +164,14 @@
 			err = errors.Join(node.ReserveBatch(batch), node.ReserveFleet(fleet))
 		}
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 		checked = append(checked, "node")
 	}
-	if len(faults) > 0 {
-		return errors.Join(faults...)
+	if len(errs) > 0 {
+		return errors.Join(errs...)
 	}
-	return env.Show(map[string]any{"checked": checked, "batch": batch.Enabled}, func(w io.Writer) {
+	return env.Show(checkResult{Batch: batch.Enabled, Checked: checked}, func(w io.Writer) {
 		fmt.Fprintf(w, "well: %v; the batch front is %s\n", checked, map[bool]string{true: "on", false: "off"}[batch.Enabled])
 	})
 }
--- a/cmd/ospreybend/cli_test.go
+++ b/cmd/ospreybend/cli_test.go
@@ -17,7 +17,7 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// newTestNode is a node with the batch front among stand-ins that serve at once.
+// newTestNode starts a node with its batch API among fake workers that follow a script.
 func newTestNode(t *testing.T, script fakeplatform.Script) *localNode {
 	t.Helper()
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 4, script)
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Stop)
-	r, err := newLocalNode(t.TempDir(), fleet, nil)
+	r, err := newLocalNode(t.TempDir(), fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	return r
 }
 
-// The program's own server meets every clause of the conformance suite.
+// The program's own server passes every case of the conformance suite.
 func TestBatch_conforms(t *testing.T) {
 	r := newTestNode(t, fakeplatform.For(5*time.Millisecond))
 	tenant, err := r.admin.Create(t.Context(), "conform", 30_000)
@@ -53,7 +53,7 @@
 	}
 }
 
-// call runs the program's command line.
+// call runs the program with these arguments and environment variables.
 func call(t *testing.T, env map[string]string, args ...string) (code int, out, complaint string) {
 	t.Helper()
 	for k, v := range env {
@@ -169,7 +169,7 @@
 	}
 }
 
-// The demonstration runs to its end and leaves nothing behind.
+// The demonstration runs to its end and removes its files.
 func TestDemo(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	code, out, complaint := call(t, nil, "demo")
@@ -178,12 +178,11 @@
 	}
 	left, err := os.ReadDir(os.Getenv("TMPDIR"))
 	if err != nil || len(left) != 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+		t.Errorf("files not removed: %v, %v", left, err)
 	}
 }
 
-// SIGHUP has the batch front's file read anew: the window, the administration's
-// token. A file with a fault changes nothing.
+// A reload applies the window and the administration's token. An invalid file changes nothing.
 func TestBatchFront_reload(t *testing.T) {
 	r := newTestNode(t, fakeplatform.For(time.Millisecond))
 	path := filepath.Join(t.TempDir(), "batch.toml")
@@ -205,14 +204,14 @@
 	other := strings.Repeat("ab", 32)
 	write("slots = 1\nadmin_token_sha256 = \"" + other + "\"\n")
 	if size() != 1 || admits() {
-		t.Errorf("window %v, the old token holds: %v", size(), admits())
+		t.Errorf("window %v, the old token is accepted: %v", size(), admits())
 	}
 	write("slots = -1\nadmin_token_sha256 = \"" + r.batch.AdminTokenSHA256 + "\"\n")
 	if size() != 1 || admits() {
-		t.Error("a file with a fault took effect")
+		t.Error("an invalid file took effect")
 	}
 	write("slots = 9\nadmin_token_sha256 = \"" + r.batch.AdminTokenSHA256 + "\"\n")
 	if !admits() {
-		t.Error("the token does not hold again")
+		t.Error("the token is not accepted again")
 	}
 }
--- a/cmd/ospreybend/conform.go
+++ b/cmd/ospreybend/conform.go
@@ -9,14 +9,14 @@
 	"ospreybend/internal/testkit/conformance"
 )
 
-// conformCmd holds a server against the binding.
+// conformCmd checks a server against the clauses of the DRMAA binding.
 type conformCmd struct {
 	cli.Server `embed:""`
 	Only       string        `help:"Only cases whose name contains this."`
 	Within     time.Duration `help:"The longest that a case may take." default:"30s"`
 }
 
-// Run runs the suite.
+// Run runs the suite and fails if a case failed.
 func (c *conformCmd) Run(env *cli.Env) error {
 	token, err := env.Token(c.TokenFile, "OSPREYBEND_TOKEN")
 	if err != nil {
--- a/cmd/ospreybend/demo.go
+++ b/cmd/ospreybend/demo.go
@@ -22,20 +22,27 @@
 	demoAdminToken     = "demo-admin"
 	demoReadyTimeout   = 10 * time.Second
 	demoTimeout        = time.Minute
+
+	lastEventsTime = 100 * time.Millisecond // for the last events of a session to arrive
+	demoArrayJobs  = 8
+	demoJobs       = 4 + demoArrayJobs
 )
 
-// demoCmd shows the program at work.
+// printLine prints one line of the demonstration.
+type printLine func(format string, args ...any)
+
+// demoCmd demonstrates a node, its platform server and its batch API on loopback.
 type demoCmd struct {
 	Log bool `help:"Show the node's log too."`
 }
 
-// Run runs the demonstration.
+// Run starts a node among fake workers and sends it requests and batch jobs.
 func (c *demoCmd) Run(env *cli.Env) (err error) {
-	say := func(format string, a ...any) { fmt.Fprintf(env.Out, format+"\n", a...) }
+	say := func(format string, args ...any) { fmt.Fprintf(env.Out, format+"\n", args...) }
 	if !c.Log {
-		old := slog.Default()
+		logger := slog.Default()
 		slog.SetDefault(slog.New(slog.DiscardHandler))
-		defer slog.SetDefault(old)
+		defer slog.SetDefault(logger)
 	}
 	ctx, cancel := context.WithTimeout(env.Ctx, demoTimeout)
 	defer cancel()
@@ -44,100 +51,141 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 3, 2, func(j fakeplatform.Job) fakeplatform.Act {
-		if strings.HasSuffix(j.Path, "/fails") {
-			return fakeplatform.Act{Kind: fakeplatform.Fail, Run: 100 * time.Millisecond}
-		}
-		return fakeplatform.Act{Run: 200 * time.Millisecond}
-	})
+	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 3, 2, demoScript)
 	if err != nil {
 		return err
 	}
 	defer fleet.Stop()
-	r, err := newLocalNode(dir, fleet, nil)
+	node, err := newLocalNode(dir, fleet)
 	if err != nil {
 		return err
 	}
-	defer func() { r.shutdown(); say("\nThe node has left; all that it took is answered.") }()
-	if err := r.ready(ctx); err != nil {
+	defer func() { node.shutdown(); say("\nThe node has left; all that it took is answered.") }()
+	if err := node.ready(ctx); err != nil {
 		return err
 	}
 	say("Three stand-in prep workers of two slots each, discovery, and a node:")
-	say("  platform front   http://%s", r.node.cfg.Listen)
-	say("  batch front      http://%s/drmaa/v2   (store: SQLite in a temporary folder)", r.batch.Listen)
-	say("  administration   http://%s/admin/v1\n", r.batch.AdminListen)
-	if err := demoPlatform(ctx, r, say); err != nil {
+	say("  platform front   http://%s", node.node.cfg.Listen)
+	say("  batch front      http://%s/drmaa/v2   (store: SQLite in a temporary folder)", node.batch.Listen)
+	say("  administration   http://%s/admin/v1\n", node.batch.AdminListen)
+	if err := demoPlatform(ctx, node, say); err != nil {
 		return err
 	}
-	return demoBatch(ctx, r, env, say)
+	return demoBatch(ctx, node, env, say)
+}
+
+// demoScript has the workers take a while for each job, and fail those whose path says so.
+func demoScript(job fakeplatform.Job) fakeplatform.Act {
+	if strings.HasSuffix(job.Path, "/fails") {
+		return fakeplatform.Act{Kind: fakeplatform.Fail, Run: 100 * time.Millisecond}
+	}
+	return fakeplatform.Act{Run: 200 * time.Millisecond}
 }
 
 // demoPlatform sends a few requests as the platform's clients do.
-func demoPlatform(ctx context.Context, r *localNode, say func(string, ...any)) error {
+func demoPlatform(ctx context.Context, node *localNode, say printLine) error {
 	say("Through the platform front, three requests:")
 	for i, class := range []string{"modell-pruefen", "vorschau", "auftrag-buchen"} {
-		in, err := http.NewRequestWithContext(ctx, "POST", "http://"+r.node.cfg.Listen+"/"+class+"/"+strconv.Itoa(i+1), strings.NewReader("model"))
+		number := strconv.Itoa(i + 1)
+		request, err := http.NewRequestWithContext(ctx, "POST", "http://"+node.node.cfg.Listen+"/"+class+"/"+number, strings.NewReader("model"))
 		if err != nil {
 			return err
 		}
-		in.Header.Set("Req-Id", "demo-"+strconv.Itoa(i+1))
-		in.Header.Set("Req-Deadline", "5")
+		request.Header.Set("Req-Id", "demo-"+number)
+		request.Header.Set("Req-Deadline", "5")
 		started := time.Now()
-		out, err := http.DefaultClient.Do(in)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return err
 		}
-		text, err := io.ReadAll(out.Body)
-		out.Body.Close()
+		text, err := io.ReadAll(response.Body)
+		response.Body.Close()
 		if err != nil {
 			return err
 		}
-		say("  %-16s %d in %3d ms: %s", class, out.StatusCode, time.Since(started).Milliseconds(), strings.TrimSpace(string(text)))
+		say("  %-16s %d in %3d ms: %s", class, response.StatusCode, time.Since(started).Milliseconds(), strings.TrimSpace(string(text)))
 	}
 	return nil
 }
 
-// demoBatch hands in jobs as a batch client does, and tells of each.
-func demoBatch(ctx context.Context, r *localNode, env *cli.Env, say func(string, ...any)) error {
-	_, s, err := r.tenant(ctx, "workshop", 100)
+// batchDemo is the batch part of the demonstration: one tenant's session and its jobs, all submitted on hold.
+type batchDemo struct {
+	session *client.Session
+	say     printLine
+
+	booking, failing, onHold, toTerminate *drmaa.Job
+	array                                 *drmaa.Array
+}
+
+// demoBatch submits jobs as a batch client does, and prints what becomes of each.
+func demoBatch(ctx context.Context, node *localNode, env *cli.Env, say printLine) error {
+	session, err := node.tenant(ctx, "workshop", 100)
 	if err != nil {
 		return err
 	}
 	say("\nThrough the batch front, as tenant 'workshop': a booking, one that fails, a held")
 	say("one, one to terminate, and an array of eight with two at once:")
-	run := func(t drmaa.JobTemplate) *drmaa.Job {
-		if err != nil {
-			return &drmaa.Job{}
-		}
-		var j *drmaa.Job
-		j, err = s.Run(ctx, t)
-		return j
+	demo := &batchDemo{session: session, say: say}
+	if err := demo.submit(ctx); err != nil {
+		return err
 	}
-	watch, stop := context.WithCancel(ctx)
-	defer stop()
-	ended := make(chan struct{})
-	listening := make(chan struct{})
-	names := map[string]string{}
-	booking := run(drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", JobName: "booking", SubmitAsHold: true})
-	failing := run(drmaa.JobTemplate{RemoteCommand: "modell-pruefen", JobName: "failing", Args: []string{"fails"}, SubmitAsHold: true})
-	onHold := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "held", SubmitAsHold: true})
-	toTerminate := run(drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "doomed", SubmitAsHold: true})
+	stop, err := demo.printEvents(ctx)
 	if err != nil {
 		return err
 	}
-	array, err := s.RunBulk(ctx, drmaa.Bulk{Begin: 1, End: 8, MaxParallel: 2,
-		Template: &drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "array", Args: []string{"part-" + drmaa.IndexPlaceholder}, SubmitAsHold: true}})
-	if err != nil {
+	defer stop()
+	if err := demo.runJobs(ctx); err != nil {
 		return err
 	}
-	for _, j := range []*drmaa.Job{booking, failing, onHold, toTerminate} {
-		names[j.ID] = j.Name
+	time.Sleep(lastEventsTime)
+	stop()
+	say("\nWhat became of each, as the store of record has it:")
+	return demo.printJobs(ctx, env)
+}
+
+// submit submits all jobs on hold.
+func (d *batchDemo) submit(ctx context.Context) error {
+	for _, job := range []struct {
+		made     **drmaa.Job
+		template drmaa.JobTemplate
+	}{
+		{&d.booking, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen", JobName: "booking", SubmitAsHold: true}},
+		{&d.failing, drmaa.JobTemplate{RemoteCommand: "modell-pruefen", JobName: "failing", Args: []string{"fails"}, SubmitAsHold: true}},
+		{&d.onHold, drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "held", SubmitAsHold: true}},
+		{&d.toTerminate, drmaa.JobTemplate{RemoteCommand: "vorschau", JobName: "doomed", SubmitAsHold: true}},
+	} {
+		made, err := d.session.Run(ctx, job.template)
+		if err != nil {
+			return err
+		}
+		*job.made = made
 	}
-	arrayID := array.ID
+	var err error
+	d.array, err = d.session.RunBulk(ctx, drmaa.Bulk{Begin: 1, End: demoArrayJobs, MaxParallel: 2, Template: &drmaa.JobTemplate{
+		RemoteCommand: "vorschau", JobName: "array", Args: []string{"part-" + drmaa.IndexPlaceholder}, SubmitAsHold: true,
+	}})
+	return err
+}
+
+// singleJobs returns the jobs that are not part of the array.
+func (d *batchDemo) singleJobs() []*drmaa.Job {
+	return []*drmaa.Job{d.booking, d.failing, d.onHold, d.toTerminate}
+}
+
+// printEvents prints the session's events from a goroutine, and returns once it receives them. stop ends the goroutine;
+// it may be called again.
+func (d *batchDemo) printEvents(ctx context.Context) (stop func(), err error) {
+	watch, cancel := context.WithCancel(ctx)
+	ended, listening := make(chan struct{}), make(chan struct{})
+	names := map[string]string{}
+	for _, job := range d.singleJobs() {
+		names[job.ID] = job.Name
+	}
+	arrayID := d.array.ID
 	go func() {
 		defer close(ended)
 		first := true
-		for got, err := range s.Events(watch, "oldest") {
+		for batch, err := range d.session.Events(watch, "oldest") {
 			if err != nil {
 				return
 			}
@@ -145,73 +193,83 @@
 				close(listening)
 				first = false
 			}
-			for _, v := range got.Events {
-				name := names[v.Job]
-				if id, index := drmaa.SplitJobID(v.Job); id == arrayID {
+			for _, event := range batch.Events {
+				name := names[event.Job]
+				if id, index := drmaa.SplitJobID(event.Job); id == arrayID {
 					name = "array " + strconv.Itoa(index)
 				}
-				if v.State != drmaa.QueuedHeld && v.Event == drmaa.NewState {
-					say("  %s  %-9s %-9s %s", v.Time[11:23], name, v.State, v.SubState)
+				if event.State != drmaa.QueuedHeld && event.Event == drmaa.NewState {
+					d.say("  %s  %-9s %-9s %s", event.Time[11:23], name, event.State, event.SubState)
 				}
 			}
 		}
 	}()
+	stop = func() { cancel(); <-ended }
 	select {
 	case <-listening:
+		return stop, nil
 	case <-ctx.Done():
-		return ctx.Err()
+		stop()
+		return nil, ctx.Err()
 	}
-	for _, step := range []error{s.Act(ctx, booking.ID, "release"), s.Act(ctx, failing.ID, "release"), s.Act(ctx, toTerminate.ID, "terminate"),
-		func() error { _, err := s.ActOnArray(ctx, array.ID, "release"); return err }()} {
-		if step != nil {
-			return step
+}
+
+// runJobs releases or terminates each job and waits until all have ended. The one on hold is released last.
+func (d *batchDemo) runJobs(ctx context.Context) error {
+	for _, step := range []func() error{
+		func() error { return d.session.Act(ctx, d.booking.ID, "release") },
+		func() error { return d.session.Act(ctx, d.failing.ID, "release") },
+		func() error { return d.session.Act(ctx, d.toTerminate.ID, "terminate") },
+		func() error { _, err := d.session.ActOnArray(ctx, d.array.ID, "release"); return err },
+		func() (err error) { d.array, err = d.session.WaitArray(ctx, d.array.ID); return err },
+		func() error { return d.session.Act(ctx, d.onHold.ID, "release") },
+	} {
+		if err := step(); err != nil {
+			return err
 		}
 	}
-	if array, err = s.WaitArray(ctx, array.ID); err != nil {
-		return err
-	}
-	if err := s.Act(ctx, onHold.ID, "release"); err != nil {
-		return err
-	}
-	for _, j := range []*drmaa.Job{booking, failing, onHold, toTerminate} {
-		if _, err := s.Wait(ctx, j.ID, client.Terminated); err != nil {
+	for _, job := range d.singleJobs() {
+		if _, err := d.session.Wait(ctx, job.ID, client.Terminated); err != nil {
 			return err
 		}
 	}
-	time.Sleep(100 * time.Millisecond) // the last events
-	stop()
-	<-ended
-	say("\nWhat became of each, as the store of record has it:")
-	type row struct {
-		Name    string `json:"name"`
-		ID      string `json:"jobId"`
-		State   string `json:"state"`
-		Told    string `json:"told"`
-		Machine string `json:"machine"`
-	}
-	var rows []row
-	for j, err := range s.Jobs(ctx, drmaa.Filter{}) {
+	return nil
+}
+
+// jobRow is one job as the store of record has it.
+type jobRow struct {
+	Name    string `json:"name"`
+	ID      string `json:"jobId"`
+	State   string `json:"state"`
+	Outcome string `json:"told"` // the result, or the sub-state where there is none
+	Machine string `json:"machine"`
+}
+
+// printJobs prints all jobs of the session and fails if they are not those that were submitted.
+func (d *batchDemo) printJobs(ctx context.Context, env *cli.Env) error {
+	var rows []jobRow
+	for job, err := range d.session.Jobs(ctx, drmaa.Filter{}) {
 		if err != nil {
 			return err
 		}
-		v := row{Name: j.Name, ID: j.ID, State: string(j.State), Told: j.SubState}
-		if j.Result != nil {
-			v.Told = strings.TrimSpace(*j.Result)
+		row := jobRow{Name: job.Name, ID: job.ID, State: string(job.State), Outcome: job.SubState}
+		if job.Result != nil {
+			row.Outcome = strings.TrimSpace(*job.Result)
 		}
-		if len(j.Steps) > 0 {
-			v.Machine = j.Steps[len(j.Steps)-1].Machine
+		if len(job.Steps) > 0 {
+			row.Machine = job.Steps[len(job.Steps)-1].Machine
 		}
-		rows = append(rows, v)
+		rows = append(rows, row)
 	}
 	if err := env.Show(rows, func(w io.Writer) {
-		for _, v := range rows {
-			fmt.Fprintf(w, "  %s\t%s\t%s\t%s\t%s\n", v.Name, v.ID, v.State, v.Machine, v.Told)
+		for _, row := range rows {
+			fmt.Fprintf(w, "  %s\t%s\t%s\t%s\t%s\n", row.Name, row.ID, row.State, row.Machine, row.Outcome)
 		}
 	}); err != nil {
 		return err
 	}
-	if len(rows) != 12 || array.States[drmaa.Done] != 8 {
-		return fmt.Errorf("%d jobs on record, %d of the array done", len(rows), array.States[drmaa.Done])
+	if done := d.array.States[drmaa.Done]; len(rows) != demoJobs || done != demoArrayJobs {
+		return fmt.Errorf("%d jobs on record, %d of the array done", len(rows), done)
 	}
 	return nil
 }
--- a/cmd/ospreybend/descriptors_test.go
+++ b/cmd/ospreybend/descriptors_test.go
@@ -17,12 +17,12 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// Idle clients fill the descriptors of a node of few while discovery is down. A new client is still
-// served, and what discovery has to tell at its return is known in time: both need descriptors.
+// Idle clients use up the descriptors of a node with a low limit while discovery is unavailable. A new client is still
+// served, and the endpoint list is applied in time when discovery is back: both need descriptors.
 func TestNode_idleClientsDuringDiscoveryOutage(t *testing.T) {
 	const sockets, idlers, known = 128, 200, 6 * time.Second
 	fleet, n := startChild(t, 2, 8, time.Millisecond)
-	if err := n.kill(); err != nil { // it is started anew with few descriptors, and on its own
+	if err := n.kill(); err != nil { // it is restarted with few descriptors and without its batch API
 		t.Fatal(err)
 	}
 	path := filepath.Join(n.dir, "node.json")
@@ -77,7 +77,7 @@
 		}
 	}
 	fleet.Discovery.SetUnavailable(true)
-	refused(1) // the watch is gone, and with it its connection
+	refused(1) // the watch has ended, and with it its connection
 	for range idlers {
 		c, err := net.DialTimeout("tcp", address, known)
 		if err != nil {
@@ -96,7 +96,7 @@
 			t.Fatalf("a client among idle ones got %d", status)
 		}
 	}
-	refused(fleet.Discovery.Refused() + 2) // among the idle ones it finds a descriptor for its calls
+	refused(fleet.Discovery.Refused() + 2) // it finds a descriptor for its calls among those of the idle clients
 	fleet.Drain(fleet.Workers[0], true)
 	fleet.Discovery.SetUnavailable(false)
 	back, other := time.Now(), 0
@@ -108,7 +108,7 @@
 		if other++; worker == fleet.Workers[0].Name {
 			other = 0
 			if time.Since(back) > known {
-				t.Fatalf("%v after the return what drains still gets requests", time.Since(back))
+				t.Fatalf("%v after the return a draining worker still gets requests", time.Since(back))
 			}
 		}
 	}
--- a/cmd/ospreybend/hot_restart.go
+++ b/cmd/ospreybend/hot_restart.go
@@ -11,76 +11,82 @@
 	"ospreybend/internal/node/protocol"
 )
 
-// joinDirectory meets the other processes of this node, and returns how many there are.
-// Without a folder for that the node serves on its own.
+// handOverInterval is how often what could not be handed over yet is tried again.
+const handOverInterval = 10 * time.Millisecond
+
+// joinDirectory joins the directory that the processes of this node share, and returns how many others there are.
+// Without a directory the process serves alone.
 func (n *node) joinDirectory() (others int) {
 	directory, err := hotrestart.Open(n.cfg.TmpDir, n.cfg.Name)
 	if err != nil {
-		slog.Warn("words by hand are kept in memory alone", "fault", err)
+		slog.Warn("overrides are kept in memory only", "error", err)
 		return 0
 	}
 	n.directory = directory
-	words, err := directory.Overrides()
+	recorded, err := directory.Overrides()
 	if err != nil {
-		slog.Warn("words by hand cannot be read", "fault", err)
+		slog.Warn("overrides cannot be read", "error", err)
 	}
-	n.overrides.Merge(words)
+	n.overrides.Merge(recorded)
 	return directory.OtherProcesses()
 }
 
-// directoryChanged takes in, from beside the loop, what has changed in the room.
-func (n *node) directoryChanged(words override.Overrides, others int) {
+// directoryChanged applies a change of the directory: overrides and the number of other processes. It may run off the
+// loop.
+func (n *node) directoryChanged(recorded override.Overrides, others int) {
 	n.loop.Post(func() {
-		n.admin.Merge(words)
+		n.admin.Merge(recorded)
 		n.divideBudgets(others)
 	})
 }
 
-// divideBudgets cuts this process's budgets to its part of the node's, which the processes
-// alive hold in equal parts.
+// divideBudgets limits this process to its part of the node's memory, sockets and connections: the running processes
+// have equal parts.
 func (n *node) divideBudgets(others int) {
-	parts := others + 1
+	processes := others + 1
 	cfg := n.cfg
-	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitFraction * (1 << 20) / float64(parts)))
-	n.front.SetLimits(cfg.FrontMaxSockets/parts, cfg.FrontMaxBufferedBytes/parts)
-	n.destinations.SetMaxConnections(cfg.MaxDestinationConns / parts)
-	slog.Info("budgets", "processes", parts)
+	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitFraction * (1 << 20) / float64(processes)))
+	n.front.SetLimits(cfg.FrontMaxSockets/processes, cfg.FrontMaxBufferedBytes/processes)
+	n.destinations.SetMaxConnections(cfg.MaxDestinationConns / processes)
+	slog.Info("budgets", "processes", processes)
 }
 
-// acceptOnceReady lets clients in when the list is known anew and some destination
-// is ready, or by the given time with the list as it last was.
-func (n *node) acceptOnceReady(by time.Duration) {
+// acceptOnceReady accepts clients when discovery has answered and some worker is ready, or by the deadline with the
+// cached endpoint list.
+func (n *node) acceptOnceReady(deadline time.Duration) {
 	if n.shuttingDown {
 		return
 	}
-	if n.discovery.Answered() && n.core.AnyReady() || n.loop.Now() >= by {
+	if n.discovery.Answered() && n.core.AnyReady() || n.loop.Now() >= deadline {
 		n.front.StartOn(n.inherited)
 		return
 	}
-	n.loop.Timers.Add(n.loop.Now()+readyPollInterval, func() { n.acceptOnceReady(by) })
+	n.loop.Timers.Add(n.loop.Now()+readyPollInterval, func() { n.acceptOnceReady(deadline) })
 }
 
-// openAdmin makes the operators' address.
+// openAdmin creates the administration server.
 func (n *node) openAdmin() {
 	cfg := n.cfg
-	a := protocol.AdminConfig{Listen: cfg.Admin, MaxSockets: cfg.AdminMaxSockets, MaxBufferedBytes: cfg.AdminMaxBufferedBytes, Classes: cfg.ClassNames,
-		Ready: func() bool { return n.front.Accepting() && !n.shuttingDown && n.core.AnyReady() }}
+	config := protocol.AdminConfig{
+		Listen: cfg.Admin, MaxSockets: cfg.AdminMaxSockets, MaxBufferedBytes: cfg.AdminMaxBufferedBytes, Classes: cfg.ClassNames,
+		Ready: func() bool { return n.front.Accepting() && !n.shuttingDown && n.core.AnyReady() },
+	}
 	if n.directory != nil {
-		a.RecordOverride = func(name string, out bool, done func(override.Overrides, error)) {
+		config.RecordOverride = func(name string, out bool, done func(override.Overrides, error)) {
 			at := n.loop.Now()
 			go func() {
-				now, err := n.directory.Change(func(w override.Overrides) { w.Set(name, out, at) })
-				n.loop.Post(func() { done(now, err) })
+				recorded, err := n.directory.Change(func(all override.Overrides) { all.Set(name, out, at) })
+				n.loop.Post(func() { done(recorded, err) })
 			}()
 		}
 	}
 	if cfg.Fleet.Enabled {
-		a.ZoneCommand, a.FleetStatus = n.overrideZone, n.fleetStatus
+		config.ZoneCommand, config.FleetStatus = n.overrideZone, n.fleetStatus
 	}
-	n.admin = protocol.NewAdmin(a, n.loop, n.core, n.discovery, n.destinations, n.overrides)
+	n.admin = protocol.NewAdmin(config, n.loop, n.core, n.discovery, n.destinations, n.overrides)
 }
 
-// leaveDirectory leaves the room, and with it its part of the budgets.
+// leaveDirectory leaves the shared directory, which frees this process's part of the budgets.
 func (n *node) leaveDirectory() {
 	close(n.stop)
 	if n.directory != nil {
@@ -88,37 +94,38 @@
 	}
 }
 
-// receiveHandovers lets the process before this one hand over what it has in work.
+// receiveHandovers lets the predecessor hand over its connections and the requests in flight on them.
 func (n *node) receiveHandovers() {
 	stop, err := n.directory.Receive(n.adoptHandover)
 	if err != nil {
-		slog.Warn("the process before this one cannot hand over what it has in work", "fault", err)
+		slog.Warn("the predecessor cannot hand over its connections", "error", err)
 		return
 	}
 	n.stopReceiving = stop
 }
 
-// adoptHandover takes over one client's connection with what is in work on it.
-func (n *node) adoptHandover(parcel hotrestart.Message) {
-	p, err := protocol.DecodeHandover(parcel.Text, len(parcel.Sockets))
+// adoptHandover takes over one client's connection with the requests in flight on it, or the module's learned state. It
+// runs off the loop.
+func (n *node) adoptHandover(message hotrestart.Message) {
+	handover, err := protocol.DecodeHandover(message.Text, len(message.Sockets))
 	if err != nil {
-		slog.Error("a client's connection is lost", "fault", err)
-		parcel.Close()
+		slog.Error("client connection lost in the hand-over", "error", err)
+		message.Close()
 		return
 	}
-	if len(p.Learned) > 0 {
+	if len(handover.Learned) > 0 {
 		n.loop.Post(func() {
-			if err := n.core.ImportLearned(p.Learned); err != nil {
-				slog.Warn("the module begins anew", "fault", err)
+			if err := n.core.ImportLearned(handover.Learned); err != nil {
+				slog.Warn("learned state not imported", "error", err)
 			}
 		})
 		return
 	}
-	conns := n.loop.Adopt(parcel.Sockets, p.Unread())
-	n.loop.Post(func() { n.front.Adopt(n.destinations, p, conns) })
+	conns := n.loop.Adopt(message.Sockets, handover.Unread())
+	n.loop.Post(func() { n.front.Adopt(n.destinations, handover, conns) })
 }
 
-// successor finds the process that takes over what this one has in work.
+// successor returns the process that takes over this one's connections, or nil if there is none.
 func (n *node) successor() *hotrestart.Successor {
 	if n.inherited == nil || n.directory == nil {
 		return nil
@@ -126,62 +133,71 @@
 	return n.directory.Successor()
 }
 
-// collectHandovers takes what can be handed over out of this process, on the loop.
-func (n *node) collectHandovers(next *hotrestart.Successor) {
-	if next == nil {
+// collectHandovers moves what can be handed over out of the front into the pending messages.
+func (n *node) collectHandovers(successor *hotrestart.Successor) {
+	if successor == nil {
 		return
 	}
-	if !n.learnedCollected {
-		n.learnedCollected = true
-		n.handovers, n.sockets = append(n.handovers, &protocol.Handover{Learned: n.core.ExportLearned()}), append(n.sockets, nil)
+	if !n.pending.learnedAdded {
+		n.pending.learnedAdded = true
+		n.pending.add(&protocol.Handover{Learned: n.core.ExportLearned()}, nil)
 	}
-	n.front.HandOver(n.destinations, func(p *protocol.Handover, sockets []*os.File) {
-		n.handovers, n.sockets = append(n.handovers, p), append(n.sockets, sockets)
-	})
+	n.front.HandOver(n.destinations, n.pending.add)
+}
+
+// add appends a message and the sockets that go with it.
+func (p *pendingHandovers) add(message *protocol.Handover, sockets []*os.File) {
+	p.messages, p.sockets = append(p.messages, message), append(p.sockets, sockets)
 }
 
-// handOver gives the next process what has been collected, and what may be moved
-// only later, until nothing is left here. What the next process does not take goes
-// on in this one.
-func (n *node) handOver(next *hotrestart.Successor, drained <-chan struct{}, by time.Time) {
-	defer next.Close()
+// take returns the pending messages and their sockets, and leaves none.
+func (p *pendingHandovers) take() (messages []*protocol.Handover, sockets [][]*os.File) {
+	messages, sockets = p.messages, p.sockets
+	p.messages, p.sockets = nil, nil
+	return messages, sockets
+}
+
+// handOver sends the successor what has been collected, and what can be moved only later, until nothing is left here or
+// the deadline has passed. What the successor does not take is served to its end by this process. It runs off the loop.
+func (n *node) handOver(successor *hotrestart.Successor, drained <-chan struct{}, deadline time.Time) {
+	defer successor.Close()
 	moved := 0
-	for time.Now().Before(by) {
-		var parcels []*protocol.Handover
+	for time.Now().Before(deadline) {
+		var messages []*protocol.Handover
 		var sockets [][]*os.File
 		n.loop.Call(func() {
-			n.collectHandovers(next)
-			parcels, sockets = n.handovers, n.sockets
-			n.handovers, n.sockets = nil, nil
+			n.collectHandovers(successor)
+			messages, sockets = n.pending.take()
 		})
-		for i, p := range parcels {
-			if !n.sendHandover(next, p, sockets[i]) {
-				next = nil
-			} else {
+		for i, message := range messages {
+			if n.sendHandover(successor, message, sockets[i]) {
 				moved++
+			} else {
+				successor = nil
 			}
 		}
 		select {
 		case <-drained:
-			slog.Info("leaving: handed over", "connections", moved)
+			slog.Info("shutting down: handed over", "connections", moved)
 			return
 		case <-time.After(handOverInterval):
 		}
 	}
 }
 
-// sendHandover hands one parcel over, or takes it back where that fails.
-func (n *node) sendHandover(next *hotrestart.Successor, p *protocol.Handover, sockets []*os.File) bool {
-	text, err := p.Encode()
-	parcel := hotrestart.Message{Text: text, Sockets: sockets}
-	if err == nil && next != nil {
-		if err = next.Send(parcel); err == nil {
+// sendHandover sends one message to the successor and reports whether it was taken; if not, this process adopts the
+// connection again.
+func (n *node) sendHandover(successor *hotrestart.Successor, handover *protocol.Handover, sockets []*os.File) bool {
+	text, err := handover.Encode()
+	message := hotrestart.Message{Text: text, Sockets: sockets}
+	if err == nil && successor != nil {
+		if err = successor.Send(message); err == nil {
 			return true
 		}
 	}
-	slog.Warn("leaving: a connection stays here", "fault", err)
+	slog.Warn("shutting down: connection not handed over", "error", err)
 	if len(sockets) > 0 {
-		n.adoptHandover(parcel)
+		n.adoptHandover(message)
 	}
 	return false
 }
--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -18,7 +18,7 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// restartTest is a site of a test's.
+// restartTest is the site of one test.
 type restartTest struct {
 	*testing.T
 	*restartSite
@@ -80,10 +80,9 @@
 	return len(entries)
 }
 
-// Two upgrades under a steady stream of clients: every job is served, and begun
-// once. Who is out by hand stays out over SIGHUP and in the next process, a word to
-// either binds both, and one called back gets work. What both share, as the address
-// for peers, goes over.
+// Two hot restarts under a steady load: every job is served, and begun once. A worker that an operator has disabled stays
+// disabled over SIGHUP and in the next process, an override given to either process applies to both, and an enabled
+// worker gets jobs again. What the processes share, such as the address for peers, is handed over.
 func TestHotRestart_underLoad(t *testing.T) {
 	s := newRestartTest(t, 1024, fakeplatform.For(20*time.Millisecond))
 	begun := func() int { return len(s.fleet.Workers[0].Begun()) }
@@ -105,20 +104,20 @@
 	}
 	b := s.startNext()
 	s.override(b, "disable", "w-2")
-	s.until("a word to the other process", func() bool { return a.hasMetric("prep_workers_excluded:2|g") })
+	s.until("the override in the other process", func() bool { return a.hasMetric("prep_workers_excluded:2|g") })
 	s.stopped(a)
 	c := s.startNext()
 	s.stopped(b)
 	if !c.hasMetric("prep_workers_excluded:2|g") {
-		t.Error("not out any more after two upgrades")
+		t.Error("not disabled any more after two restarts")
 	}
 	served()
 	if now := begun(); now != was {
-		t.Errorf("%d jobs went to a prep worker that is out", now-was)
+		t.Errorf("%d jobs went to a disabled prep worker", now-was)
 	}
 	go run("v", 2*time.Second)
 	s.override(c, "enable", "w-1")
-	s.until("work for the one called back", func() bool { return begun() > was })
+	s.until("jobs for the enabled worker", func() bool { return begun() > was })
 	served()
 	if n := s.begunTwice(); n > 0 {
 		t.Errorf("%d jobs were begun twice", n)
@@ -133,9 +132,9 @@
 	s.stopped(c)
 }
 
-// What an old process has in work, and every client's connection, goes on in the
-// next one: a job that runs for longer than the old one may live, one that was sent
-// ahead, half a request, an idle connection, a client that walks away later.
+// The requests in flight and all client connections of the old process continue in the next one: a job that runs for
+// longer than the old process may live, a pipelined request, half a request, an idle connection, and a client that
+// disconnects later.
 func TestHotRestart_handsOverConnections(t *testing.T) {
 	s := newRestartTest(t, 1024, func(j fakeplatform.Job) fakeplatform.Act {
 		if j.Class == "vorschau" {
@@ -179,7 +178,7 @@
 	s.until("jobs at work", func() bool { return len(s.fleet.Begun()) == 4 })
 	b, began := s.startNext(), time.Now()
 	if s.stopped(a); time.Since(began) > 1500*time.Millisecond {
-		t.Errorf("the old process took %v to leave", time.Since(began))
+		t.Errorf("the old process took %v to shut down", time.Since(began))
 	}
 	if !b.hasMetric("in_flight:3|g") {
 		t.Error("the next process does not count what it took over")
@@ -193,29 +192,29 @@
 	if n := s.begunTwice(); n > 0 {
 		t.Errorf("%d jobs were begun twice", n)
 	}
-	s.until("the end of a job whose client walked away", func() bool { return b.hasMetric("in_flight:0|g") })
+	s.until("the end of a job whose client disconnected", func() bool { return b.hasMetric("in_flight:0|g") })
 	if !b.hasMetric("served.auftrag-buchen:3|c") {
 		t.Error("figures of the next process")
 	}
 	s.stopped(b)
 }
 
-// In a crowd of idle connections two processes together hold no more descriptors
-// than one node may, and the operators of both are answered.
+// With many idle connections two processes together use no more descriptors than one node may, and the administration
+// servers of both answer.
 func TestHotRestart_processesShareLimits(t *testing.T) {
 	const limit = 192
 	s := newRestartTest(t, limit, fakeplatform.For(time.Millisecond))
-	crowd := func() {
+	openIdle := func() {
 		for range 150 {
-			_, _ = io.WriteString(s.dial("crowd"), "GET /healthz HTTP/1.1\r\n\r\n")
+			_, _ = io.WriteString(s.dial("idle"), "GET /healthz HTTP/1.1\r\n\r\n")
 		}
 	}
 	a := s.startNext()
-	crowd()
-	s.until("a crowd", func() bool { return a.descriptors() > limit/3 })
+	openIdle()
+	s.until("idle connections", func() bool { return a.descriptors() > limit/3 })
 	b := s.startNext()
-	crowd()
-	s.until("room made", func() bool { return a.descriptors() <= limit/3 && b.descriptors() > limit/6 })
+	openIdle()
+	s.until("descriptors freed", func() bool { return a.descriptors() <= limit/3 && b.descriptors() > limit/6 })
 	for range 20 {
 		if n, m := a.descriptors(), b.descriptors(); n+m > limit {
 			t.Errorf("%d and %d descriptors", n, m)
@@ -224,16 +223,16 @@
 	}
 	for _, p := range []*serverProcess{a, b} {
 		if status, text := p.call("GET", "/-/ready"); status != 200 {
-			t.Errorf("not answered in the crowd: %d %s", status, text)
+			t.Errorf("not answered among idle connections: %d %s", status, text)
 		}
 	}
 	s.stopped(a)
 	s.stopped(b)
 }
 
-// A number that names no listening socket is a start error that says so; a folder
-// that cannot be used is not. Without a prep worker in its list a process is not
-// ready, and lets nobody in before it has asked; one that leaves is not ready.
+// A descriptor that is no listening socket is an error of the start that names the variable; a directory that cannot be
+// used is not. A process without a worker in its list is not ready and accepts no clients before discovery has answered;
+// one that shuts down is not ready.
 func TestStart_inheritedListener(t *testing.T) {
 	cfg := exampleConfig(t)
 	for _, fd := range []string{"x", "-1", "0", "99", "4096"} {
--- a/cmd/ospreybend/local_node.go
+++ b/cmd/ospreybend/local_node.go
@@ -13,18 +13,50 @@
 	"ospreybend/drmaa/client"
 	"ospreybend/internal/node/nodeconfig"
 	"ospreybend/internal/testkit/fakeplatform"
+	"ospreybend/internal/testkit/loadgen"
 )
 
-// demoConfig is a node's configuration for demonstrations and measurements.
+// demoAddresses are the loopback addresses of a node for demonstrations and measurements.
+type demoAddresses struct{ platform, batch, admin string }
+
+// newDemoAddresses returns addresses at which nothing listens.
+func newDemoAddresses() (addresses demoAddresses, err error) {
+	for _, address := range []*string{&addresses.platform, &addresses.batch, &addresses.admin} {
+		if *address, err = fakeplatform.FreeAddress(); err != nil {
+			return addresses, err
+		}
+	}
+	return addresses, nil
+}
+
+// demoConfig returns a node's configuration for demonstrations and measurements.
 func demoConfig(listen, discovery string) ([]byte, error) {
-	return fakeplatform.Node{Name: "demo", Listen: listen, Discovery: discovery, Seed: "8c1f30d27a5be964", MemoryMB: 512,
+	return fakeplatform.Node{
+		Name: "demo", Listen: listen, Discovery: discovery, Seed: "8c1f30d27a5be964", MemoryMB: 512,
 		Zones: []string{demoZone}, Kind: demoKind, Grades: []fakeplatform.Grade{
 			{Name: "modell-pruefen", Target: 400 * time.Millisecond, GiveUp: 5 * time.Second, Points: 5, Repeat: "read_like"},
 			{Name: "vorschau", Target: time.Second, GiveUp: 20 * time.Second, Points: 2, Repeat: "read_like"},
-			{Name: "auftrag-buchen", Target: 800 * time.Millisecond, GiveUp: 25 * time.Second, Points: 8, Repeat: "non_idempotent"}}}.Config()
+			{Name: "auftrag-buchen", Target: 800 * time.Millisecond, GiveUp: 25 * time.Second, Points: 8, Repeat: "non_idempotent"},
+		},
+	}.Config()
+}
+
+// demoBatchConfig returns the file of the batch API that goes with it. Its store is in dir.
+func demoBatchConfig(addresses demoAddresses, dir string) string {
+	sum := sha256.Sum256([]byte(demoAdminToken))
+	return fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n",
+		addresses.batch, filepath.Join(dir, "batch.db"), addresses.admin, hex.EncodeToString(sum[:]))
+}
+
+// platformClasses returns the load of the platform's clients in measurements.
+func platformClasses() []loadgen.Class {
+	return []loadgen.Class{
+		{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
+		{Name: "auftrag-buchen", Share: 0.2, Target: 800 * time.Millisecond, Within: 25 * time.Second},
+	}
 }
 
-// localNode is a node with a batch front, among stand-ins, in this process.
+// localNode is a node with its batch API among fake workers, in this process.
 type localNode struct {
 	fleet        *fakeplatform.Fleet
 	node         *node
@@ -33,19 +65,16 @@
 	shutdownOnce sync.Once
 }
 
-// shutdown has the node leave, once.
-func (r *localNode) shutdown() { r.shutdownOnce.Do(r.node.shutdown) }
+// shutdown shuts the node down, once.
+func (l *localNode) shutdown() { l.shutdownOnce.Do(l.node.shutdown) }
 
-// newLocalNode starts one. Its store is in dir.
-func newLocalNode(dir string, fleet *fakeplatform.Fleet, change func(*nodeconfig.Batch)) (*localNode, error) {
-	var at [3]string
-	for i := range at {
-		var err error
-		if at[i], err = fakeplatform.FreeAddress(); err != nil {
-			return nil, err
-		}
+// newLocalNode starts a node whose store is in dir.
+func newLocalNode(dir string, fleet *fakeplatform.Fleet) (*localNode, error) {
+	addresses, err := newDemoAddresses()
+	if err != nil {
+		return nil, err
 	}
-	text, err := demoConfig(at[0], fleet.Discovery.Address())
+	text, err := demoConfig(addresses.platform, fleet.Discovery.Address())
 	if err != nil {
 		return nil, err
 	}
@@ -53,51 +82,50 @@
 	if err != nil {
 		return nil, err
 	}
-	sum := sha256.Sum256([]byte(demoAdminToken))
-	b, err := nodeconfig.ParseBatch(fmt.Sprintf("enabled = true\nlisten = %q\nstore = \"sqlite\"\nsource = %q\nadmin_listen = %q\nadmin_token_sha256 = %q\n",
-		at[1], filepath.Join(dir, "batch.db"), at[2], hex.EncodeToString(sum[:])))
+	batch, err := nodeconfig.ParseBatch(demoBatchConfig(addresses, dir))
 	if err != nil {
 		return nil, err
 	}
-	if change != nil {
-		change(&b)
-	}
-	if err := cfg.ReserveBatch(b); err != nil {
+	if err := cfg.ReserveBatch(batch); err != nil {
 		return nil, err
 	}
 	n, err := start(cfg)
 	if err != nil {
 		return nil, err
 	}
-	if n.batch, err = n.startBatch(b); err != nil {
+	if n.batch, err = n.startBatch(batch); err != nil {
 		return nil, errors.Join(err, n.loop.Stop())
 	}
-	r := &localNode{fleet: fleet, node: n, batch: b}
-	if r.admin, err = client.NewAdmin("http://"+b.AdminListen, demoAdminToken); err != nil {
+	local := &localNode{fleet: fleet, node: n, batch: batch}
+	if local.admin, err = client.NewAdmin("http://"+batch.AdminListen, demoAdminToken); err != nil {
 		return nil, err
 	}
-	return r, nil
+	return local, nil
+}
+
+// tenant creates a tenant and a session of it.
+func (l *localNode) tenant(ctx context.Context, name string, quota int) (*client.Session, error) {
+	return newTenantSession(ctx, l.admin, "http://"+l.batch.Listen, name, quota)
 }
 
-// tenant makes a tenant with a session.
-func (r *localNode) tenant(ctx context.Context, name string, quota int) (*client.Client, *client.Session, error) {
-	t, err := r.admin.Create(ctx, name, quota)
+// newTenantSession creates a tenant with a quota of unfinished jobs, and a session of it at the batch API.
+func newTenantSession(ctx context.Context, admin *client.Admin, batchURL, name string, quota int) (*client.Session, error) {
+	tenant, err := admin.Create(ctx, name, quota)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	c, err := client.New("http://"+r.batch.Listen, t.Token)
+	batch, err := client.New(batchURL, tenant.Token)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	s, err := c.CreateSession(ctx, "default")
-	return c, s, err
+	return batch.CreateSession(ctx, "default")
 }
 
-// ready waits until the node knows its workers.
-func (r *localNode) ready(ctx context.Context) error {
+// ready waits until the node knows a worker that is ready.
+func (l *localNode) ready(ctx context.Context) error {
 	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool {
-		able := false
-		r.node.loop.Call(func() { able = r.node.core.AnyReady() })
-		return able
+		ready := false
+		l.node.loop.Call(func() { ready = l.node.core.AnyReady() })
+		return ready
 	})
 }
--- a/cmd/ospreybend/main.go
+++ b/cmd/ospreybend/main.go
@@ -1,6 +1,9 @@
-// Command ospreybend is one real node: it takes operations from clients,
-// decides by package balance where each goes, and answers them. It also has the
-// commands that call such a node's batch front; see docs/CLI.md.
+// Command ospreybend is the load-balancing node: it accepts operations from clients, decides by package balance which
+// worker each goes to, and returns the worker's response. Its other commands serve as a voter of a fleet of zones, call
+// a node's batch API, check configuration files and run measurements on loopback; see docs/CLI.md.
+//
+// node.go starts a node, shutdown.go ends it gracefully, hot_restart.go hands its connections over to the next process,
+// reload.go applies a changed configuration and readiness.go signals that it serves.
 package main
 
 import (
@@ -13,17 +16,17 @@
 	"ospreybend/internal/node/nodeconfig"
 )
 
-// version is the program's, as the batch front tells it.
+// version is the program's version, as the batch API reports it.
 const version = "0.3.0"
 
-// signals are those that the program has caught and not acted on yet.
+// signals are the caught signals on which the program has not acted yet.
 type signals struct {
 	shutdown chan os.Signal
-	reload   chan os.Signal // holds one: what comes meanwhile is served by the same rereading
+	reload   chan os.Signal // buffers one: the same reload serves what comes meanwhile
 }
 
-// catchSignals has the signals caught from now on; one that is not would end the
-// program. SIGHUP may come at any time, above all while the node leaves.
+// catchSignals starts to catch signals. A SIGHUP that is not caught would end the program, and it may come at any time,
+// also during a shutdown.
 func catchSignals() signals {
 	s := signals{shutdown: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -36,26 +39,12 @@
 	os.Exit(runCommand(caught, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// serve runs the node until it is told to leave.
+// serve runs the node until it is signalled to shut down.
 func serve(caught signals) error {
-	cfg, err := nodeconfig.Load(os.Getenv)
+	cfg, batch, err := loadNodeConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	batch, err := nodeconfig.LoadBatch(os.Getenv)
-	if err != nil {
-		return err
-	}
-	if err := cfg.ReserveBatch(batch); err != nil {
-		return err
-	}
-	fleet, err := nodeconfig.LoadFleet(os.Getenv)
-	if err != nil {
-		return err
-	}
-	if err := cfg.ReserveFleet(fleet); err != nil {
-		return err
-	}
 	runtime.GOMAXPROCS(maxProcs)
 	n, err := start(cfg)
 	if err != nil {
@@ -80,3 +69,24 @@
 	n.shutdown()
 	return nil
 }
+
+// loadNodeConfig reads the files of the node, its batch API and its fleet, and reserves the descriptors that the latter
+// two need.
+func loadNodeConfig(getenv func(string) string) (*nodeconfig.Node, nodeconfig.Batch, error) {
+	cfg, err := nodeconfig.Load(getenv)
+	if err != nil {
+		return nil, nodeconfig.Batch{}, err
+	}
+	batch, err := nodeconfig.LoadBatch(getenv)
+	if err != nil {
+		return nil, batch, err
+	}
+	if err := cfg.ReserveBatch(batch); err != nil {
+		return nil, batch, err
+	}
+	fleet, err := nodeconfig.LoadFleet(getenv)
+	if err != nil {
+		return nil, batch, err
+	}
+	return cfg, batch, cfg.ReserveFleet(fleet)
+}
--- a/cmd/ospreybend/measure.go
+++ b/cmd/ospreybend/measure.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// measureCmd is the measurements: a node in a process of its own among stand-ins
-// in this one, on loopback.
+// measureCmd groups the measurements. Most of them run a node in a process of its own, among fake workers in this one, on
+// loopback.
 type measureCmd struct {
 	Backlog measureBacklog `cmd:"" help:"What a backlog of batch jobs costs the platform's requests."`
 	Fleet   measureFleet   `cmd:"" help:"Play emulated days of a whole fleet with the decisions as they are."`
@@ -14,4 +14,5 @@
 	Upgrade measureUpgrade `cmd:"" help:"Upgrade a node again and again under load and audit every job."`
 }
 
+// milliseconds returns a duration in milliseconds, to the microsecond.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/cmd/ospreybend/measure_kill.go
+++ b/cmd/ospreybend/measure_kill.go
@@ -17,7 +17,10 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// measureKill kills a node amid bookings and audits what became of each.
+// errWronglyBegun is an audit that has found a booking lost or begun twice.
+var errWronglyBegun = errors.New("a booking was begun twice or forgotten")
+
+// measureKill kills a node while bookings are submitted and audits what became of each.
 type measureKill struct {
 	Rounds  int           `default:"5"`
 	Clients int           `help:"That book at once." default:"32"`
@@ -40,131 +43,139 @@
 	OtherFailed  int    `json:"otherwiseFailed"`
 }
 
-// Run measures.
+// Run plays the rounds, prints their audits and fails if one of them found a booking lost or begun twice.
 func (c *measureKill) Run(env *cli.Env) error {
-	var all []bookingAudit
+	var audits []bookingAudit
 	points := []string{""}
 	if c.Points {
 		points = faultinjection.Points()
 	}
 	for i := range c.Rounds {
 		for _, point := range points {
-			a, err := c.runRound(env.Ctx, point, 1+7*i)
+			passing := 1 + 7*i
+			audit, err := c.runRound(env.Ctx, point, passing)
 			if err != nil {
-				return fmt.Errorf("%s:%d: %w", point, 1+7*i, err)
+				return fmt.Errorf("%s:%d: %w", point, passing, err)
 			}
-			all = append(all, a)
+			audits = append(audits, audit)
 		}
 	}
-	if err := env.Show(all, func(w io.Writer) {
-		fmt.Fprintln(w, "POINT\tACKNOWLEDGED\tBEGUN BEFORE\tDONE\tUNDECIDED\tOF THESE NEVER BEGUN\tBEGUN TWICE\tFORGOTTEN\tOTHERWISE FAILED")
-		for _, a := range all {
-			fmt.Fprintf(w, "%s:%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", a.Point, a.Passing, a.Acknowledged, a.Begun, a.Done, a.Undecided, a.NeverBegun, a.Twice, a.Forgotten, a.OtherFailed)
-		}
-	}); err != nil {
+	if err := env.Show(audits, func(w io.Writer) { printAudits(w, audits) }); err != nil {
 		return err
 	}
-	for _, a := range all {
-		if a.Twice+a.Forgotten > 0 {
-			return errors.New("a booking was begun twice or forgotten")
+	for _, audit := range audits {
+		if audit.Twice+audit.Forgotten > 0 {
+			return errWronglyBegun
 		}
 	}
 	return nil
 }
 
-func (c *measureKill) runRound(ctx context.Context, point string, passing int) (out bookingAudit, err error) {
-	out.Point, out.Passing = point, passing
+func printAudits(w io.Writer, audits []bookingAudit) {
+	fmt.Fprintln(w, "POINT\tACKNOWLEDGED\tBEGUN BEFORE\tDONE\tUNDECIDED\tOF THESE NEVER BEGUN\tBEGUN TWICE\tFORGOTTEN\tOTHERWISE FAILED")
+	for _, audit := range audits {
+		fmt.Fprintf(w, "%s:%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", audit.Point, audit.Passing, audit.Acknowledged, audit.Begun, audit.Done,
+			audit.Undecided, audit.NeverBegun, audit.Twice, audit.Forgotten, audit.OtherFailed)
+	}
+}
+
+// runRound kills a node and starts it again. With a fault point the node kills itself the given time it passes there.
+func (c *measureKill) runRound(ctx context.Context, point string, passing int) (bookingAudit, error) {
+	audit := bookingAudit{Point: point, Passing: passing}
 	dir, err := os.MkdirTemp("", "ospreybend-kill-")
 	if err != nil {
-		return out, err
+		return audit, err
 	}
 	defer os.RemoveAll(dir)
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 2, 8, fakeplatform.For(c.JobRun))
 	if err != nil {
-		return out, err
+		return audit, err
 	}
 	defer fleet.Stop()
-	n, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
+	node, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
 	if err != nil {
-		return out, err
+		return audit, err
 	}
 	var env []string
 	if point != "" {
 		env = append(env, "OSPREYBEND_FAULT="+point+":"+strconv.Itoa(passing))
 	}
-	if err := n.startWithEnv(ctx, env...); err != nil {
-		return out, err
+	if err := node.startWithEnv(ctx, env...); err != nil {
+		return audit, err
 	}
-	defer func() { _ = n.kill() }()
-	s, err := n.tenant(ctx, "anna", 1_000_000)
+	defer func() { _ = node.kill() }()
+	session, err := node.tenant(ctx, "anna", 1_000_000)
 	if err != nil {
-		return out, err
+		return audit, err
 	}
-	taken, err := c.killDuringBookings(ctx, n, s, point != "")
+	acknowledged, err := c.killDuringBookings(ctx, node, session, point != "")
 	if err != nil {
-		return out, err
+		return audit, err
 	}
-	out.Acknowledged, out.Begun = len(taken), len(fleet.Begun())
-	if err := n.start(ctx); err != nil {
-		return out, err
+	audit.Acknowledged, audit.Begun = len(acknowledged), len(fleet.Begun())
+	if err := node.start(ctx); err != nil {
+		return audit, err
 	}
-	for _, id := range taken {
-		j, err := s.Wait(ctx, id, client.Terminated)
+	return audit, audit.add(ctx, session, fleet, acknowledged)
+}
+
+// add waits for each of the acknowledged bookings and counts what became of it.
+func (a *bookingAudit) add(ctx context.Context, session *client.Session, fleet *fakeplatform.Fleet, acknowledged []string) error {
+	for _, id := range acknowledged {
+		job, err := session.Wait(ctx, id, client.Terminated)
 		switch {
 		case errors.Is(err, &drmaa.Error{Name: drmaa.InvalidArgument}):
-			out.Forgotten++
+			a.Forgotten++
 			continue
 		case err != nil:
-			return out, err
+			return err
 		}
 		begun := fleet.Begun()[id]
 		switch {
-		case j.State == drmaa.Done:
-			out.Done++
-		case j.MayHaveRun:
-			out.Undecided++
+		case job.State == drmaa.Done:
+			a.Done++
+		case job.MayHaveRun:
+			a.Undecided++
 			if begun == 0 {
-				out.NeverBegun++
+				a.NeverBegun++
 			}
 		default:
-			out.OtherFailed++
+			a.OtherFailed++
 		}
 		if begun > 1 {
-			out.Twice++
+			a.Twice++
 		}
 	}
-	return out, nil
+	return nil
 }
 
-// killDuringBookings books from several clients, kills the node and returns the jobs that were
-// acknowledged.
-func (c *measureKill) killDuringBookings(ctx context.Context, n *child, s *client.Session, itself bool) (acknowledged []string, err error) {
+// killDuringBookings submits bookings from several clients, kills the node, or waits until it has killed itself, and
+// returns the identifiers of the acknowledged jobs.
+func (c *measureKill) killDuringBookings(ctx context.Context, node *child, session *client.Session, killsItself bool) (acknowledged []string, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var mu sync.Mutex
-	var all sync.WaitGroup
+	var mutex sync.Mutex // of acknowledged
+	var clients sync.WaitGroup
 	for range c.Clients {
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		clients.Go(func() {
 			for ctx.Err() == nil {
-				j, err := s.Run(ctx, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen"})
+				job, err := session.Run(ctx, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen"})
 				if err != nil {
 					return // the node is gone
 				}
-				mu.Lock()
-				acknowledged = append(acknowledged, j.ID)
-				mu.Unlock()
+				mutex.Lock()
+				acknowledged = append(acknowledged, job.ID)
+				mutex.Unlock()
 			}
-		}()
+		})
 	}
-	if itself {
-		n.waitExit()
+	if killsItself {
+		node.waitExit()
 	} else {
 		time.Sleep(c.For)
-		err = n.kill()
+		err = node.kill()
 	}
 	stop()
-	all.Wait()
+	clients.Wait()
 	return acknowledged, err
 }
--- a/cmd/ospreybend/measure_kill_test.go
+++ b/cmd/ospreybend/measure_kill_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// TestMain makes the test binary the program itself, for tests that kill one.
+// TestMain runs the test binary as the program where childEnv is set, for tests that need processes of it.
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) != "" {
 		if os.Getenv(refuseEnv) != "" {
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// startChild starts the program as a node among prep workers that take so long for a job.
+// startChild starts the program as a node among fake workers that take the given time for a job.
 func startChild(t *testing.T, workers, slots int, run time.Duration) (*fakeplatform.Fleet, *child) {
 	t.Helper()
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, workers, slots, fakeplatform.For(run))
@@ -42,8 +42,8 @@
 	return fleet, n
 }
 
-// A node killed in the middle of a bulk has all of it on record or nothing, and
-// the same submission, made again, is one array whose bookings begin once.
+// A node killed during a bulk submission has all of its jobs in the store or none, and the same submission, repeated, is
+// one array whose bookings begin once.
 func TestNode_killedDuringBulkSubmission(t *testing.T) {
 	fleet, n := startChild(t, 2, 16, time.Millisecond)
 	made, err := n.admin.Create(t.Context(), "anna", 100_000)
@@ -72,7 +72,7 @@
 		}
 		stop()
 		if err := <-answered; err != nil {
-			t.Log("the bulk call amid the kill: ", err)
+			t.Log("the bulk call during the kill: ", err)
 		}
 		if err := n.start(t.Context()); err != nil {
 			t.Fatal(err)
@@ -85,9 +85,9 @@
 			got++
 		}
 		if got != recorded && got != recorded+jobs {
-			t.Fatalf("round %d: %d jobs of a bulk of %d are on record", round, got-recorded, jobs)
+			t.Fatalf("round %d: %d jobs of a bulk of %d are in the store", round, got-recorded, jobs)
 		}
-		t.Logf("round %d: killed with %d of the bulk on record", round, got-recorded)
+		t.Logf("round %d: killed with %d of the bulk in the store", round, got-recorded)
 		a, err := s.RunBulk(t.Context(), b)
 		if err != nil || a.Jobs != jobs {
 			t.Fatal(a, err)
@@ -104,7 +104,9 @@
 	}
 }
 
+// firstID returns the identifier of the session's first job.
 func firstID(t *testing.T, s *client.Session) string {
+	t.Helper()
 	for j, err := range s.Jobs(t.Context(), drmaa.Filter{}) {
 		if err != nil {
 			t.Fatal(err)
@@ -115,8 +117,8 @@
 	return ""
 }
 
-// A node killed amid bookings: after its restart none is forgotten, none begins
-// twice, and few are undecided: those that were on their way to a prep worker.
+// A node killed during bookings: after its restart none is lost, none begins twice, and only the few in flight to a worker
+// are undecided.
 func TestMeasureKill_duringBookings(t *testing.T) {
 	c := measureKill{Clients: 8, For: 300 * time.Millisecond, JobRun: 20 * time.Millisecond}
 	a, err := c.runRound(t.Context(), "", 0)
@@ -129,8 +131,8 @@
 	}
 }
 
-// A node that dies between any two steps of a booking's way: none is forgotten or
-// begins twice, and undecided are only such as had passed the gate.
+// A node that dies at any fault point of a booking: none is lost or begins twice, and undecided are only those that may
+// have reached a worker.
 func TestMeasureKill_atEachFaultPoint(t *testing.T) {
 	c := measureKill{Clients: 4, JobRun: 10 * time.Millisecond}
 	for _, point := range faultinjection.Points() {
--- a/cmd/ospreybend/measure_stall.go
+++ b/cmd/ospreybend/measure_stall.go
@@ -16,7 +16,7 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// measureStall has the store stall under load, and looks at both fronts.
+// measureStall stalls the store of record under load and measures both servers.
 type measureStall struct {
 	For     time.Duration `help:"Of a phase." default:"12s"`
 	Stall   time.Duration `default:"5s"`
@@ -25,7 +25,7 @@
 	Kill    bool          `help:"Kill the node amid the stall, and start it again."`
 }
 
-// stallPhase is what one phase showed.
+// stallPhase is the result of one phase.
 type stallPhase struct {
 	Stalled          bool    `json:"stalled"`
 	Sent             int     `json:"sent"`
@@ -34,132 +34,145 @@
 	P99              float64 `json:"p99ms"`
 	Booked           int     `json:"bookingsAcknowledged"`
 	Rejected         int     `json:"bookingsTurnedAway"`
-	MaxAnswerTime    float64 `json:"longestAnswerMs"` // that a booking client waited for
+	MaxAnswerTime    float64 `json:"longestAnswerMs"` // of a booking client
 	Done             int     `json:"done"`
 	Undecided        int     `json:"undecided"`
 	BegunTwiceOrLost int     `json:"begunTwiceOrForgotten"`
 }
 
-// Run measures.
+// Run plays a phase without and one with a stall, and fails if a booking was lost or begun twice.
 func (c *measureStall) Run(env *cli.Env) error {
-	var all []stallPhase
+	var phases []stallPhase
 	for _, stalled := range []bool{false, true} {
-		p, err := c.runPhase(env.Ctx, stalled)
+		phase, err := c.runPhase(env.Ctx, stalled)
 		if err != nil {
 			return err
 		}
-		all = append(all, p)
+		phases = append(phases, phase)
 	}
-	if err := env.Show(all, func(w io.Writer) {
-		fmt.Fprintln(w, "STALL\tSENT\tSERVICE\tREFUSED\tP99\tBOOKED\tTURNED AWAY\tLONGEST ANSWER ms\tDONE\tUNDECIDED\tTWICE OR FORGOTTEN")
-		for _, p := range all {
-			fmt.Fprintf(w, "%v\t%d\t%.4f\t%d\t%.1f\t%d\t%d\t%.0f\t%d\t%d\t%d\n", p.Stalled, p.Sent, p.Service, p.Refused, p.P99, p.Booked, p.Rejected,
-				p.MaxAnswerTime, p.Done, p.Undecided, p.BegunTwiceOrLost)
-		}
-	}); err != nil {
+	if err := env.Show(phases, func(w io.Writer) { printStallPhases(w, phases) }); err != nil {
 		return err
 	}
-	if all[0].BegunTwiceOrLost+all[1].BegunTwiceOrLost > 0 {
-		return errors.New("a booking was begun twice or forgotten")
+	if phases[0].BegunTwiceOrLost+phases[1].BegunTwiceOrLost > 0 {
+		return errWronglyBegun
 	}
 	return nil
 }
 
-func (c *measureStall) runPhase(ctx context.Context, stalled bool) (out stallPhase, err error) {
-	out.Stalled = stalled
+func printStallPhases(w io.Writer, phases []stallPhase) {
+	fmt.Fprintln(w, "STALL\tSENT\tSERVICE\tREFUSED\tP99\tBOOKED\tTURNED AWAY\tLONGEST ANSWER ms\tDONE\tUNDECIDED\tTWICE OR FORGOTTEN")
+	for _, phase := range phases {
+		fmt.Fprintf(w, "%v\t%d\t%.4f\t%d\t%.1f\t%d\t%d\t%.0f\t%d\t%d\t%d\n", phase.Stalled, phase.Sent, phase.Service, phase.Refused,
+			phase.P99, phase.Booked, phase.Rejected, phase.MaxAnswerTime, phase.Done, phase.Undecided, phase.BegunTwiceOrLost)
+	}
+}
+
+// runPhase starts a node, which stalls its store if that is asked for, and loads both of its servers.
+func (c *measureStall) runPhase(ctx context.Context, stalled bool) (stallPhase, error) {
+	phase := stallPhase{Stalled: stalled}
 	dir, err := os.MkdirTemp("", "ospreybend-stall-")
 	if err != nil {
-		return out, err
+		return phase, err
 	}
 	defer os.RemoveAll(dir)
 	fleet, err := fakeplatform.NewFleet(demoZone, demoKind, 4, 8, fakeplatform.For(50*time.Millisecond))
 	if err != nil {
-		return out, err
+		return phase, err
 	}
 	defer fleet.Stop()
-	n, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
+	node, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
 	if err != nil {
-		return out, err
+		return phase, err
 	}
 	var env []string
 	if stalled {
 		env = append(env, "OSPREYBEND_FAULT=mark-before:100:"+c.Stall.String())
 	}
-	if err := n.startWithEnv(ctx, env...); err != nil {
-		return out, err
+	if err := node.startWithEnv(ctx, env...); err != nil {
+		return phase, err
+	}
+	defer func() { _ = node.kill() }()
+	session, err := node.tenant(ctx, "anna", 1_000_000)
+	if err != nil {
+		return phase, err
 	}
-	defer func() { _ = n.kill() }()
-	s, err := n.tenant(ctx, "anna", 1_000_000)
+	acknowledged, err := c.loadBothServers(ctx, node, session, &phase)
 	if err != nil {
-		return out, err
+		return phase, err
 	}
-	var taken []string
+	return phase, phase.audit(ctx, session, fleet, acknowledged)
+}
+
+// loadBothServers sends requests to the platform's server and bookings to the batch server for the length of a phase. It
+// kills the node meanwhile, and starts it again, if that is asked for. It returns the acknowledged bookings.
+func (c *measureStall) loadBothServers(ctx context.Context, node *child, session *client.Session, phase *stallPhase) (acknowledged []string, err error) {
 	var platform *loadgen.Result
-	var both sync.WaitGroup
-	both.Add(1)
-	go func() {
-		defer both.Done()
-		platform = loadgen.Run(ctx, loadgen.Config{URL: n.platform, Rate: c.Rate, For: c.For, Seed: 1, Prefix: "p-",
-			Classes: []loadgen.Class{{Name: "modell-pruefen", Share: 0.8, Target: 400 * time.Millisecond, Within: 5 * time.Second},
-				{Name: "auftrag-buchen", Share: 0.2, Target: 800 * time.Millisecond, Within: 25 * time.Second}}})
-	}()
-	if c.Kill && stalled {
-		time.AfterFunc(c.For/3, func() { _ = n.cmd.Process.Kill() })
+	var requests sync.WaitGroup
+	requests.Go(func() {
+		platform = loadgen.Run(ctx, loadgen.Config{URL: node.platform, Rate: c.Rate, For: c.For, Seed: 1, Prefix: "p-", Classes: platformClasses()})
+	})
+	kills := c.Kill && phase.Stalled
+	if kills {
+		time.AfterFunc(c.For/3, func() { _ = node.cmd.Process.Kill() })
 	}
-	taken = c.book(ctx, s, &out)
-	both.Wait()
-	if c.Kill && stalled {
-		n.waitExit()
-		if err := n.start(ctx); err != nil {
-			return out, err
+	acknowledged = c.book(ctx, session, phase)
+	requests.Wait()
+	if kills {
+		node.waitExit()
+		if err := node.start(ctx); err != nil {
+			return nil, err
 		}
 	}
-	out.Sent, out.Service, out.Refused, out.P99 = platform.Sent, platform.Service(), platform.Refused, milliseconds(platform.Percentile(99))
-	for _, id := range taken {
-		j, err := s.Wait(ctx, id, client.Terminated)
+	phase.Sent, phase.Service, phase.Refused = platform.Sent, platform.Service(), platform.Refused
+	phase.P99 = milliseconds(platform.Percentile(99))
+	return acknowledged, nil
+}
+
+// audit waits for each of the acknowledged bookings and counts what became of it.
+func (p *stallPhase) audit(ctx context.Context, session *client.Session, fleet *fakeplatform.Fleet, acknowledged []string) error {
+	for _, id := range acknowledged {
+		job, err := session.Wait(ctx, id, client.Terminated)
 		begun := fleet.Begun()[id]
 		switch {
 		case errors.Is(err, &drmaa.Error{Name: drmaa.InvalidArgument}) || begun > 1:
-			out.BegunTwiceOrLost++
+			p.BegunTwiceOrLost++
 		case err != nil:
-			return out, err
-		case j.State == drmaa.Done:
-			out.Done++
+			return err
+		case job.State == drmaa.Done:
+			p.Done++
 		default:
-			out.Undecided++
+			p.Undecided++
 		}
 	}
-	return out, nil
+	return nil
 }
 
-// book books from several clients, ten times a second each at most, and returns
-// the jobs that were acknowledged.
-func (c *measureStall) book(ctx context.Context, s *client.Session, out *stallPhase) (acknowledged []string) {
-	var mu sync.Mutex
-	var all sync.WaitGroup
+// book submits bookings from several clients, each ten times a second at most, and returns the identifiers of the
+// acknowledged jobs.
+func (c *measureStall) book(ctx context.Context, session *client.Session, phase *stallPhase) (acknowledged []string) {
+	var mutex sync.Mutex // of acknowledged and phase
+	var clients sync.WaitGroup
 	began := time.Now()
 	for range c.Clients {
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		clients.Go(func() {
 			for ; time.Since(began) < c.For; time.Sleep(100 * time.Millisecond) {
-				at := time.Now()
+				sent := time.Now()
 				ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
-				j, err := s.RunOnce(ctx, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen"})
+				job, err := session.RunOnce(ctx, drmaa.JobTemplate{RemoteCommand: "auftrag-buchen"})
 				cancel()
-				mu.Lock()
-				out.MaxAnswerTime = max(out.MaxAnswerTime, milliseconds(time.Since(at)))
+				mutex.Lock()
+				phase.MaxAnswerTime = max(phase.MaxAnswerTime, milliseconds(time.Since(sent)))
 				switch {
 				case err == nil:
-					acknowledged = append(acknowledged, j.ID)
-					out.Booked++
+					acknowledged = append(acknowledged, job.ID)
+					phase.Booked++
 				case errors.Is(err, &drmaa.Error{Name: drmaa.TryLater}):
-					out.Rejected++
+					phase.Rejected++
 				}
-				mu.Unlock()
+				mutex.Unlock()
 			}
-		}()
+		})
 	}
-	all.Wait()
+	clients.Wait()
 	return acknowledged
 }
--- a/cmd/ospreybend/measure_submit.go
+++ b/cmd/ospreybend/measure_submit.go
@@ -1,14 +1,15 @@
 package main
 
 import (
+	"context"
 	"database/sql"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
-	"slices"
 	"strconv"
+	"strings"
 	"sync"
 	"time"
 
@@ -16,17 +17,22 @@
 	_ "modernc.org/sqlite"
 
 	"ospreybend/drmaa"
+	"ospreybend/drmaa/client"
 	"ospreybend/internal/node/batch/cli"
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// measureSubmit measures submissions.
+// bareRowBytes is about what the row of a job takes in the store.
+const bareRowBytes = 600
+
+// measureSubmit compares submissions with a bare loop of SQLite commits, and measures a bulk.
 type measureSubmit struct {
 	Clients int           `help:"That submit at once." default:"32"`
 	For     time.Duration `default:"5s"`
 	Bulk    int           `help:"Jobs of the bulk." default:"10000"`
 }
 
+// submissionRate is how often one call was made, and how long it took.
 type submissionRate struct {
 	Name      string  `json:"name"`
 	PerSecond float64 `json:"perSecond"`
@@ -34,36 +40,49 @@
 	P99       float64 `json:"p99ms"`
 }
 
-// measureRate calls f from some goroutines for a while.
-func measureRate(name string, clients int, span time.Duration, f func(i int) error) (submissionRate, error) {
-	h := hdrhistogram.New(1, 60_000_000, 3)
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	var fault error
+// submitResult is all that the command measures, with members in alphabetical order.
+type submitResult struct {
+	BulkJobs        int              `json:"bulkJobs"`
+	BulkSeconds     float64          `json:"bulkSeconds"`
+	CPUMicrosPerJob int64            `json:"cpuMicrosPerJob"`
+	MemoryAfter     int              `json:"memoryKiBAfter"`
+	MemoryBefore    int              `json:"memoryKiBBefore"`
+	MemoryPeak      int              `json:"memoryKiBMost"`
+	Rates           []submissionRate `json:"rates"`
+	RunSeconds      float64          `json:"runSeconds"`
+}
+
+// measureRate calls f from several goroutines for a while.
+func measureRate(name string, clients int, duration time.Duration, f func(i int) error) (submissionRate, error) {
+	histogram := hdrhistogram.New(1, 60_000_000, 3) // microseconds
+	var mutex sync.Mutex                            // of histogram and errs
+	var errs error
+	var callers sync.WaitGroup
 	began := time.Now()
-	for k := range clients {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for i := k; time.Since(began) < span; i += clients {
-				at := time.Now()
+	for caller := range clients {
+		callers.Go(func() {
+			for i := caller; time.Since(began) < duration; i += clients {
+				called := time.Now()
 				err := f(i)
-				mu.Lock()
-				fault = errors.Join(fault, err)
-				_ = h.RecordValue(time.Since(at).Microseconds())
-				mu.Unlock()
+				mutex.Lock()
+				errs = errors.Join(errs, err)
+				_ = histogram.RecordValue(time.Since(called).Microseconds())
+				mutex.Unlock()
 				if err != nil {
 					return
 				}
 			}
-		}()
+		})
 	}
-	all.Wait()
+	callers.Wait()
 	took := time.Since(began).Seconds()
-	return submissionRate{name, float64(h.TotalCount()) / took, float64(h.ValueAtQuantile(50)) / 1000, float64(h.ValueAtQuantile(99)) / 1000}, fault
+	return submissionRate{
+		Name: name, PerSecond: float64(histogram.TotalCount()) / took,
+		P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000,
+	}, errs
 }
 
-// Run measures.
+// Run measures the rates and then the bulk.
 func (c *measureSubmit) Run(env *cli.Env) error {
 	dir, err := os.MkdirTemp("", "ospreybend-measure-")
 	if err != nil {
@@ -75,77 +94,111 @@
 		return err
 	}
 	defer fleet.Stop()
-	n, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
+	node, err := newChild(dir, fleet.Discovery.Address(), "sockets = 128\n")
 	if err != nil {
 		return err
 	}
-	if err := n.start(env.Ctx); err != nil {
+	if err := node.start(env.Ctx); err != nil {
 		return err
 	}
-	defer func() { _ = n.shutdown() }()
-	s, err := n.tenant(env.Ctx, "submit", 1_000_000)
+	defer func() { _ = node.shutdown() }()
+	session, err := node.tenant(env.Ctx, "submit", 1_000_000)
 	if err != nil {
 		return err
 	}
-	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "bare.db")+"?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)")
+	rates, err := c.measureRates(env.Ctx, dir, session)
 	if err != nil {
 		return err
 	}
-	defer db.Close()
-	db.SetMaxOpenConns(1)
-	if _, err := db.Exec(`CREATE TABLE t (id INTEGER PRIMARY KEY, body TEXT)`); err != nil {
+	result, err := c.measureBulk(env.Ctx, node, session)
+	if err != nil {
 		return err
 	}
-	body := string(slices.Repeat([]byte("x"), 600)) // about what a job's row takes
-	bare := func(int) error { _, err := db.Exec(`INSERT INTO t (body) VALUES (?)`, body); return err }
+	result.Rates = rates
+	return env.Show(result, func(w io.Writer) { c.print(w, result) })
+}
+
+// measureRates measures bare commits before and after the submissions, so that a drift of the disk shows.
+func (c *measureSubmit) measureRates(ctx context.Context, dir string, session *client.Session) ([]submissionRate, error) {
+	db, err := openBareStore(dir)
+	if err != nil {
+		return nil, err
+	}
+	defer db.Close()
+	body := strings.Repeat("x", bareRowBytes)
+	commit := func(int) error { _, err := db.Exec(`INSERT INTO t (body) VALUES (?)`, body); return err }
 	submit := func(int) error {
-		_, err := s.Run(env.Ctx, drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
+		_, err := session.Run(ctx, drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true})
 		return err
 	}
 	var rates []submissionRate
-	for _, m := range []struct {
+	for _, call := range []struct {
 		name    string
 		clients int
 		f       func(int) error
-	}{{"bare commits, one after the other", 1, bare}, {"submissions, 1 client", 1, submit},
-		{"submissions, " + strconv.Itoa(c.Clients) + " clients", c.Clients, submit}, {"bare commits again", 1, bare}} {
-		r, err := measureRate(m.name, m.clients, c.For, m.f)
+	}{
+		{"bare commits, one after the other", 1, commit},
+		{"submissions, 1 client", 1, submit},
+		{"submissions, " + strconv.Itoa(c.Clients) + " clients", c.Clients, submit},
+		{"bare commits again", 1, commit},
+	} {
+		rate, err := measureRate(call.name, call.clients, c.For, call.f)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		rates = append(rates, r)
+		rates = append(rates, rate)
+	}
+	return rates, nil
+}
+
+// openBareStore opens an SQLite file with one table that syncs each commit, as the store of record does.
+func openBareStore(dir string) (*sql.DB, error) {
+	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "bare.db")+"?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)")
+	if err != nil {
+		return nil, err
+	}
+	db.SetMaxOpenConns(1)
+	if _, err := db.Exec(`CREATE TABLE t (id INTEGER PRIMARY KEY, body TEXT)`); err != nil {
+		return nil, errors.Join(err, db.Close())
 	}
-	before, _ := n.memory()
+	return db, nil
+}
+
+// measureBulk submits a bulk of pending jobs, releases them and waits until all have run.
+func (c *measureSubmit) measureBulk(ctx context.Context, node *child, session *client.Session) (result submitResult, err error) {
+	result.MemoryBefore, _ = node.memory()
 	began := time.Now()
-	a, err := s.RunBulk(env.Ctx, drmaa.Bulk{Begin: 1, End: c.Bulk, Template: &drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true}})
+	array, err := session.RunBulk(ctx, drmaa.Bulk{Begin: 1, End: c.Bulk, Template: &drmaa.JobTemplate{RemoteCommand: "vorschau", SubmitAsHold: true}})
 	if err != nil {
-		return err
+		return result, err
 	}
-	took := time.Since(began)
-	after, peak := n.memory()
-	cpu, began := n.cpuTime(), time.Now()
-	if _, err := s.ActOnArray(env.Ctx, a.ID, "release"); err != nil {
-		return err
+	result.BulkJobs, result.BulkSeconds = array.Jobs, time.Since(began).Seconds()
+	result.MemoryAfter, result.MemoryPeak = node.memory()
+	cpu, began := node.cpuTime(), time.Now()
+	if _, err := session.ActOnArray(ctx, array.ID, "release"); err != nil {
+		return result, err
 	}
-	over, err := s.WaitArray(env.Ctx, a.ID)
+	ended, err := session.WaitArray(ctx, array.ID)
 	if err != nil {
-		return err
+		return result, err
 	}
-	ran, each := time.Since(began), (n.cpuTime()-cpu)/time.Duration(max(a.Jobs, 1))
-	if over.States[drmaa.Done] != a.Jobs {
-		return fmt.Errorf("of %d jobs %d are done: %v", a.Jobs, over.States[drmaa.Done], over.States)
+	result.RunSeconds = time.Since(began).Seconds()
+	result.CPUMicrosPerJob = ((node.cpuTime() - cpu) / time.Duration(max(array.Jobs, 1))).Microseconds()
+	if done := ended.States[drmaa.Done]; done != array.Jobs {
+		return result, fmt.Errorf("of %d jobs %d are done: %v", array.Jobs, done, ended.States)
 	}
-	out := map[string]any{"rates": rates, "bulkJobs": a.Jobs, "bulkSeconds": took.Seconds(), "memoryKiBBefore": before, "memoryKiBAfter": after, "memoryKiBMost": peak,
-		"runSeconds": ran.Seconds(), "cpuMicrosPerJob": each.Microseconds()}
-	return env.Show(out, func(w io.Writer) {
-		fmt.Fprintln(w, "WHAT\tA SECOND\tP50 ms\tP99 ms")
-		for _, r := range rates {
-			fmt.Fprintf(w, "%s\t%.0f\t%.2f\t%.2f\n", r.Name, r.PerSecond, r.P50, r.P99)
-		}
-		bare := (rates[0].PerSecond + rates[3].PerSecond) / 2
-		fmt.Fprintf(w, "\nsubmissions to bare commits: 1 client %.2f, %d clients %.2f\n", rates[1].PerSecond/bare, c.Clients, rates[2].PerSecond/bare)
-		fmt.Fprintf(w, "bulk of %d: %.0f ms; the node's memory %d MiB before, %d after, %d at most\n", a.Jobs, milliseconds(took), before>>10, after>>10, peak>>10)
-		fmt.Fprintf(w, "released and run to the end: %.1f s, %.0f jobs a second, the node's CPU %d us a job\n", ran.Seconds(),
-			float64(a.Jobs)/ran.Seconds(), each.Microseconds())
-	})
+	return result, nil
+}
+
+func (c *measureSubmit) print(w io.Writer, result submitResult) {
+	fmt.Fprintln(w, "WHAT\tA SECOND\tP50 ms\tP99 ms")
+	for _, rate := range result.Rates {
+		fmt.Fprintf(w, "%s\t%.0f\t%.2f\t%.2f\n", rate.Name, rate.PerSecond, rate.P50, rate.P99)
+	}
+	bare := (result.Rates[0].PerSecond + result.Rates[3].PerSecond) / 2
+	fmt.Fprintf(w, "\nsubmissions to bare commits: 1 client %.2f, %d clients %.2f\n", result.Rates[1].PerSecond/bare, c.Clients, result.Rates[2].PerSecond/bare)
+	fmt.Fprintf(w, "bulk of %d: %.0f ms; the node's memory %d MiB before, %d after, %d at most\n", result.BulkJobs, result.BulkSeconds*1000,
+		result.MemoryBefore>>10, result.MemoryAfter>>10, result.MemoryPeak>>10)
+	fmt.Fprintf(w, "released and run to the end: %.1f s, %.0f jobs a second, the node's CPU %d us a job\n", result.RunSeconds,
+		float64(result.BulkJobs)/result.RunSeconds, result.CPUMicrosPerJob)
 }
--- a/cmd/ospreybend/measure_trial.go
+++ b/cmd/ospreybend/measure_trial.go
@@ -1,9 +1,11 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"slices"
 	"time"
@@ -12,7 +14,7 @@
 	"ospreybend/internal/testkit/endtoend"
 )
 
-// measureTrial plays many processes of this program against faults between them.
+// measureTrial runs many processes of this program and injects faults between them.
 type measureTrial struct {
 	Kind    string        `arg:"" enum:"zone" help:"What fails: zone."`
 	Seed    uint64        `help:"Draws the faults and the clients." default:"1"`
@@ -25,13 +27,13 @@
 	Keep    string        `help:"Keep the processes' files and logs in this folder." type:"path"`
 }
 
-// errTrialViolations is a trial in which something was not as it must be.
+// errTrialViolations is returned after a trial that has found violations.
 var errTrialViolations = errors.New("the trial has found violations")
 
-// errTrialNotRun is a trial that could not run.
+// errTrialNotRun is wrapped by the errors of a trial that could not run.
 var errTrialNotRun = errors.New("the trial could not run")
 
-// Run plays, and shows what was found.
+// Run runs the trial and prints what it found.
 func (c *measureTrial) Run(env *cli.Env) error {
 	if c.Without != "" && !slices.Contains([]string{"share", "majority"}, c.Without) {
 		return fmt.Errorf("%w: --without: %q is no check of the trial's", errTrialNotRun, c.Without)
@@ -39,44 +41,49 @@
 	if c.Calm <= 0 || c.Trouble <= 0 || c.After <= 0 || !(c.Rate > 0) {
 		return fmt.Errorf("%w: --calm, --trouble, --after and --rate have to be above 0", errTrialNotRun)
 	}
-	program, err := os.Executable()
+	result, err := c.runTrial(env.Ctx)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errTrialNotRun, err)
 	}
+	if err := env.Show(result, func(w io.Writer) { printTrial(w, result) }); err != nil {
+		return err
+	}
+	if len(result.Violations) > 0 {
+		return errTrialViolations
+	}
+	return nil
+}
+
+// runTrial runs the trial in the folder that is to be kept, or in a temporary one.
+func (c *measureTrial) runTrial(ctx context.Context) (endtoend.Report, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return endtoend.Report{}, err
+	}
 	dir := c.Keep
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "ospreybend-trial-"); err != nil {
-			return fmt.Errorf("%w: %w", errTrialNotRun, err)
+			return endtoend.Report{}, err
 		}
 		defer os.RemoveAll(dir)
 	} else if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("%w: %w", errTrialNotRun, err)
+		return endtoend.Report{}, err
 	}
-	r, err := endtoend.Zone(env.Ctx, endtoend.Plan{Program: program, Env: []string{childEnv + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Seed: c.Seed,
-		Alone: c.Alone, Without: c.Without, QuietBefore: c.Calm, Faulty: c.Trouble, After: c.After, Rate: c.Rate, Dir: dir})
-	if err != nil {
-		return fmt.Errorf("%w: %w", errTrialNotRun, err)
+	return endtoend.Zone(ctx, endtoend.Plan{
+		Program: program, Env: []string{childEnv + "=1", "OSPREYBEND_BATCH=" + os.DevNull}, Dir: dir,
+		Seed: c.Seed, Alone: c.Alone, Without: c.Without, Rate: c.Rate,
+		QuietBefore: c.Calm, Faulty: c.Trouble, After: c.After,
+	})
+}
+
+func printTrial(w io.Writer, result endtoend.Report) {
+	for _, line := range result.Story {
+		fmt.Fprintln(w, line)
 	}
-	if err := env.Show(r, func(w io.Writer) {
-		for _, line := range r.Story {
-			fmt.Fprintln(w, line)
-		}
-		for _, v := range r.Violations {
-			fmt.Fprintln(w, "violation:", v)
-		}
-		names := make([]string, 0, len(r.Figures))
-		for name := range r.Figures {
-			names = append(names, name)
-		}
-		slices.Sort(names)
-		for _, name := range names {
-			fmt.Fprintf(w, "%s\t%.3f\n", name, r.Figures[name])
-		}
-	}); err != nil {
-		return err
+	for _, violation := range result.Violations {
+		fmt.Fprintln(w, "violation:", violation)
 	}
-	if len(r.Violations) > 0 {
-		return errTrialViolations
+	for _, name := range slices.Sorted(maps.Keys(result.Figures)) {
+		fmt.Fprintf(w, "%s\t%.3f\n", name, result.Figures[name])
 	}
-	return nil
 }
--- a/cmd/ospreybend/measure_trial_test.go
+++ b/cmd/ospreybend/measure_trial_test.go
@@ -8,9 +8,9 @@
 	"ospreybend/internal/testkit/endtoend"
 )
 
-// A zone fails under nine processes of the program, with a fault beside it. All hold the
-// order within its time, nothing more goes there, no booking runs twice; each for itself
-// breaks nothing either; and with the shares left out the trial says so.
+// A zone fails under nine processes of the program, with a fault beside it. All apply the command in time, the zone gets
+// no more requests, and no booking runs twice; processes without a fleet violate nothing either; and with the shares
+// disabled the trial reports violations.
 func TestMeasureTrial_zoneFailure(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
@@ -39,17 +39,17 @@
 				if most < stalled || plays == 3 {
 					t.Fatalf("violations %v, figures %v, this process late by %v at most\n%v", r.Violations, r.Figures, most, r.Story)
 				}
-				t.Logf("play %d is void: the machine stood still for %v", plays, most)
+				t.Logf("attempt %d does not count: the machine stalled for %v", plays, most)
 			}
 		})
 	}
 }
 
-// stalled is how late a process may be woken before a trial in real time says nothing of the program: no order can then
-// come in its time. The operators' bench plays such a day again too.
+// stalled is how late a process may be woken before a trial in real time shows nothing of the program: no command can
+// then arrive in time. The operators' bench repeats such a day too.
 const stalled = 250 * time.Millisecond
 
-// lateness looks how late this process is woken, until what it returns is called: that tells the most.
+// lateness measures how late this process is woken until the returned function is called, which returns the maximum.
 func lateness() (most func() time.Duration) {
 	const every = 10 * time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
--- a/cmd/ospreybend/measure_upgrade.go
+++ b/cmd/ospreybend/measure_upgrade.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -11,7 +12,7 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// measureUpgrade upgrades a node again and again under load and audits every job.
+// measureUpgrade hot-restarts a node again and again under load and audits every job.
 type measureUpgrade struct {
 	Upgrades int           `default:"10"`
 	Rate     float64       `help:"Of jobs, a second." default:"150"`
@@ -30,49 +31,59 @@
 	ShutdownTime []float64 `json:"leftMs"` // from SIGTERM
 }
 
-// Run measures.
+// Run loads the node during all upgrades and fails if a job was not served, or begun twice.
 func (c *measureUpgrade) Run(env *cli.Env) error {
-	s, err := newRestartSite(4, 16, 1024, fakeplatform.For(c.JobRun))
+	site, err := newRestartSite(4, 16, 1024, fakeplatform.For(c.JobRun))
 	if err != nil {
 		return err
 	}
-	defer s.close()
-	now, err := s.start(env.Ctx)
+	defer site.close()
+	result, err := c.upgradeUnderLoad(env.Ctx, site)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = now.kill() }()
-	result := make(chan *loadgen.Result, 1)
-	go func() { result <- loadgen.Run(env.Ctx, s.load("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
-	out := upgradeResult{}
+	if err := env.Show(result, func(w io.Writer) {
+		fmt.Fprintln(w, "SENT\tSERVED\tREFUSED\tLOST\tBEGUN TWICE\tREADY MS\tLEFT MS")
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\n", result.Sent, result.Served, result.Refused, result.Lost, result.Twice,
+			result.ReadyTime, result.ShutdownTime)
+	}); err != nil {
+		return err
+	}
+	if result.Served != result.Sent || result.Twice > 0 {
+		return errors.New("a job was not served, or begun twice")
+	}
+	return nil
+}
+
+// upgradeUnderLoad starts one process after the other on the same socket, and has each shut down once the next is ready.
+func (c *measureUpgrade) upgradeUnderLoad(ctx context.Context, site *restartSite) (result upgradeResult, err error) {
+	current, err := site.start(ctx)
+	if err != nil {
+		return result, err
+	}
+	defer func() { _ = current.kill() }()
+	loaded := make(chan *loadgen.Result, 1)
+	go func() { loaded <- loadgen.Run(ctx, site.load("u", c.Rate, time.Duration(c.Upgrades+1)*c.Every)) }()
 	for range c.Upgrades {
 		select {
-		case <-env.Ctx.Done():
-			return env.Ctx.Err()
+		case <-ctx.Done():
+			return result, ctx.Err()
 		case <-time.After(c.Every):
 		}
-		next, err := s.start(env.Ctx)
+		next, err := site.start(ctx)
 		if err != nil {
-			return err
+			return result, err
 		}
-		began, old := time.Now(), now
-		now = next
+		began, old := time.Now(), current
+		current = next
 		if err := old.shutdown(); err != nil {
-			return err
+			return result, err
 		}
-		out.ReadyTime = append(out.ReadyTime, float64(next.readyTime.Microseconds())/1000)
-		out.ShutdownTime = append(out.ShutdownTime, float64(time.Since(began).Microseconds())/1000)
+		result.ReadyTime = append(result.ReadyTime, milliseconds(next.readyTime))
+		result.ShutdownTime = append(result.ShutdownTime, milliseconds(time.Since(began)))
 	}
-	r := <-result
-	out.Sent, out.Served, out.Refused, out.Lost, out.Twice = r.Sent, r.Served, r.Refused, r.Failed+r.Broken, s.begunTwice()
-	if err := env.Show(out, func(w io.Writer) {
-		fmt.Fprintln(w, "SENT\tSERVED\tREFUSED\tLOST\tBEGUN TWICE\tREADY MS\tLEFT MS")
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\n", out.Sent, out.Served, out.Refused, out.Lost, out.Twice, out.ReadyTime, out.ShutdownTime)
-	}); err != nil {
-		return err
-	}
-	if out.Served != out.Sent || out.Twice > 0 {
-		return errors.New("a job was not served, or begun twice")
-	}
-	return nil
+	load := <-loaded
+	result.Sent, result.Served, result.Refused = load.Sent, load.Served, load.Refused
+	result.Lost, result.Twice = load.Failed+load.Broken, site.begunTwice()
+	return result, nil
 }
--- a/cmd/ospreybend/node.go
+++ b/cmd/ospreybend/node.go
@@ -20,66 +20,63 @@
 )
 
 const (
-	maxProcs            = 4                      // a loop in a system call must not hold up a dial
-	memoryLimitFraction = 0.6                    // part of the memory limit that the collector aims to stay under
-	shutdownAcceptTime  = 600 * time.Millisecond // after SIGTERM: new connections come for up to 0.4 s
-	flushTime           = 50 * time.Millisecond  // for the last answers to leave
+	maxProcs            = 4   // a loop in a system call must not delay a dial
+	memoryLimitFraction = 0.6 // of the configured memory: the collector's soft limit
 	countsInterval      = 10 * time.Second
 
-	discoveryRandStream     = 2 // of the seed's random numbers; the module has the first ones
+	// discoveryRandStream is the stream of the seed's random numbers that discovery draws from; the decision
+	// module has the first ones.
+	discoveryRandStream     = 2
 	discoveryConnectTimeout = 500 * time.Millisecond
-	maxAgentWait            = time.Second     // where lists are pushed: the node's own machine answers at once, or not at all
-	maxStartWait            = 5 * time.Second // half of the time in which a restarted node is to be ready
 
-	shutdownGrace = time.Second // past the longest deadline
-
-	// A leaving process may be killed so long after the signal: the longest deadline,
-	// which counts at most as much, and some more.
-	maxDrainTime     = 3 * time.Second
-	drainMargin      = 550 * time.Millisecond // of 0.7 s
-	disconnectWait   = 100 * time.Millisecond // then for clients to end their side: a process's end cuts off what they have not read
-	lastAcceptMargin = 700 * time.Millisecond // before that nothing new is let in
-	maxPeerSilence   = 500 * time.Millisecond // a node that serves tells its peers more often
-
-	maxHeardPeers = 10 // nodes of which a planned restart leaves some at work at any time
-
-	readyPollInterval     = 5 * time.Millisecond // how often a start looks whether it may accept clients
-	maxListWait           = 2 * time.Second      // after which it does so with the list as it last was
-	directoryPollInterval = 50 * time.Millisecond
-	handOverInterval      = 10 * time.Millisecond // how often what could not be handed over is looked at again
+	maxAgentWait      = time.Second           // for a pushed endpoint list: the machine's own agent answers at once, or not at all
+	maxStartWait      = 5 * time.Second       // half of the time in which a restarted node has to be ready
+	maxListWait       = 2 * time.Second       // for a fresh endpoint list; after it a start goes by the cached one
+	readyPollInterval = 5 * time.Millisecond  // between two looks of a start whether it may accept clients
+	directoryInterval = 50 * time.Millisecond // between two looks into the directory that the node's processes share
 )
 
-// node is the parts of the program, wired.
+// node wires the parts of the program. Its methods run on the event loop unless they say otherwise.
 type node struct {
-	cfg          *nodeconfig.Node
-	loop         *eventloop.Loop
-	core         *routing.Core
+	cfg  *nodeconfig.Node
+	loop *eventloop.Loop
+	core *routing.Core
+
 	destinations *protocol.Destinations
 	discovery    *protocol.Discovery
 	peers        *protocol.Peers
 	front        *protocol.Front
-	admin        *protocol.Admin // listens where it has an address
-	batch        *batchFront     // nil: off
+	admin        *protocol.Admin // listens only where it has an address
+	batch        *batchFront     // nil: disabled
 
-	agent       *agent.Agent // nil: the node is on its own
+	// Membership of the fleet of zones.
+	agent       *agent.Agent // nil: the node decides alone
 	voterClient *transport.Client
+	voters      []nodeconfig.FleetVoter
 
-	agentDeadline time.Duration // until then the list's agent is waited for
-	startDeadline time.Duration // from then on a start is over though the pool config has not answered yet
-	voters        []nodeconfig.FleetVoter
+	// On the loop's clock.
+	agentDeadline time.Duration // until then the agent's endpoint list is awaited
+	startDeadline time.Duration // from then on a start is over even if discovery has not answered yet
 
-	inherited     net.Listener          // the clients' socket, where the platform holds it; nil: the front opens its own
-	directory     *hotrestart.Directory // nil: no folder to meet other processes of this node in
+	// Hot restart: see hot_restart.go.
+	inherited     net.Listener          // the clients' socket, if the platform passes it on; nil: the front opens its own
+	directory     *hotrestart.Directory // shared by the processes of this node; nil: none
 	overrides     override.Overrides
-	stop          chan struct{} // closed when the node leaves
-	stopReceiving func()        // ends the taking over from a process before this one; nil: none
+	stop          chan struct{} // closed at shutdown
+	stopReceiving func()        // ends the hand-over from the predecessor; nil: none
 	shuttingDown  bool
 
-	learnedCollected bool                 // what the module has learned is among them, or gone
-	handovers        []*protocol.Handover // on their way to the next process, with their sockets
-	sockets          [][]*os.File
+	pending pendingHandovers
 }
 
+// pendingHandovers are connections on their way to the successor.
+type pendingHandovers struct {
+	learnedAdded bool // the module's learned state has been added to the messages once
+	messages     []*protocol.Handover
+	sockets      [][]*os.File // of the message at the same index
+}
+
+// start builds a node, runs its event loop and returns it once it serves.
 func start(cfg *nodeconfig.Node) (*node, error) {
 	n := &node{cfg: cfg, overrides: override.Overrides{}, stop: make(chan struct{})}
 	var err error
@@ -104,69 +101,94 @@
 		n.receiveHandovers()
 	}
 	if n.directory != nil {
-		go n.directory.Watch(directoryPollInterval, n.stop, n.directoryChanged)
+		go n.directory.Watch(directoryInterval, n.stop, n.directoryChanged)
 	}
 	slog.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "classes", len(cfg.ClassNames),
 		"known", len(cfg.CachedList.Entries), "fronts", cfg.FrontMaxSockets, "destinations", cfg.MaxDestinationConns)
 	return n, nil
 }
 
-// assemble makes the parts and starts them. It runs on the loop.
+// assemble creates the parts, connects them and starts them.
 func (n *node) assemble() error {
-	cfg, s := n.cfg, n.cfg.Settings
-	core, err := routing.New(s, cfg.Seed, n.loop, &n.loop.Timers)
-	if err != nil {
+	if err := n.connectCore(); err != nil {
 		return err
 	}
-	n.core = core
-	to := protocol.NewDestinations(protocol.DestinationConfig{Host: "app.svc", MaxConnections: cfg.MaxDestinationConns,
-		ConnectTimeout: s.Limits.ConnectTimeout, IdleTimeout: s.Limits.ConnIdle, ReportFields: cfg.ReportFields}, n.loop, core)
-	n.destinations = to
-	n.discovery = protocol.NewDiscovery(protocol.DiscoveryConfig{Address: cfg.Discovery, Zones: cfg.Zones, Kinds: cfg.Kinds,
-		ConnectTimeout: discoveryConnectTimeout, CachedList: cfg.CachedList, Overrides: n.overrides, WarmupTime: s.Rules.WarmupTime,
-		Jitter: rand.New(rand.NewPCG(cfg.Seed, discoveryRandStream)).Float64, Pushed: !s.SubscribeDiscovery}, n.loop, core, to)
-	peers, err := protocol.NewPeers(protocol.PeersConfig{Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersAll,
-		Ordinal: s.Ordinal}, n.loop, core)
-	if err != nil {
-		return fmt.Errorf("peer_listen: %w", err)
-	}
-	n.peers = peers
-	core.Connect(to, n.discovery, peers)
-	core.SetWorkerNames(n.discovery.NameOf)
 	n.discovery.Start()
 	n.agentDeadline, n.startDeadline = n.loop.Now()+maxAgentWait, n.loop.Now()+maxStartWait
-	giveUp := make([]time.Duration, len(s.Classes))
-	for i, c := range s.Classes {
-		giveUp[i] = c.Timeout
-	}
-	n.front = protocol.NewFront(protocol.FrontConfig{Listen: cfg.Listen, MaxSockets: cfg.FrontMaxSockets, MaxBufferedBytes: cfg.FrontMaxBufferedBytes,
-		Classes: cfg.Classes,
-		Tenants: cfg.Tenants, DefaultTimeouts: giveUp, RetryAdvice: s.Limits.RetryAfter, Healthy: n.acceptsClients}, n.loop, core)
+	n.front = n.newFront()
 	n.openAdmin()
-	if cfg.Admin != "" {
+	if n.cfg.Admin != "" {
 		if err := n.admin.Start(); err != nil {
 			return fmt.Errorf("admin: %w", err)
 		}
 	}
-	if cfg.Fleet.Enabled {
-		n.joinFleet(cfg.Fleet)
+	if n.cfg.Fleet.Enabled {
+		n.joinFleet(n.cfg.Fleet)
 	}
-	if n.inherited != nil {
-		n.acceptOnceReady(n.loop.Now() + maxListWait)
-	} else if n.agent != nil {
-		err = n.acceptOnceAgentReady()
-	} else {
-		err = n.front.Start()
-	}
-	if err != nil {
+	if err := n.startAccepting(); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	n.loop.Timers.Add(n.loop.Now()+countsInterval, n.logCounts)
 	return nil
 }
 
-// acceptOnceAgentReady lets clients in when the fleet's orders are known, or have not come in time:
-// a node that starts amid a zone's return is not to send there as if nothing were.
+// connectCore creates the routing core and what it calls: destinations, discovery and peers.
+func (n *node) connectCore() error {
+	cfg, settings := n.cfg, n.cfg.Settings
+	core, err := routing.New(settings, cfg.Seed, n.loop, &n.loop.Timers)
+	if err != nil {
+		return err
+	}
+	n.core = core
+	n.destinations = protocol.NewDestinations(protocol.DestinationConfig{
+		Host: "app.svc", MaxConnections: cfg.MaxDestinationConns, ReportFields: cfg.ReportFields,
+		ConnectTimeout: settings.Limits.ConnectTimeout, IdleTimeout: settings.Limits.ConnIdle,
+	}, n.loop, core)
+	n.discovery = protocol.NewDiscovery(protocol.DiscoveryConfig{
+		Address: cfg.Discovery, Zones: cfg.Zones, Kinds: cfg.Kinds, ConnectTimeout: discoveryConnectTimeout,
+		CachedList: cfg.CachedList, Overrides: n.overrides, WarmupTime: settings.Rules.WarmupTime,
+		Jitter: rand.New(rand.NewPCG(cfg.Seed, discoveryRandStream)).Float64, Pushed: !settings.SubscribeDiscovery,
+	}, n.loop, core, n.destinations)
+	n.peers, err = protocol.NewPeers(protocol.PeersConfig{
+		Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersAll, Ordinal: settings.Ordinal,
+	}, n.loop, core)
+	if err != nil {
+		return fmt.Errorf("peer_listen: %w", err)
+	}
+	core.Connect(n.destinations, n.discovery, n.peers)
+	core.SetWorkerNames(n.discovery.NameOf)
+	return nil
+}
+
+// newFront creates the clients' HTTP server.
+func (n *node) newFront() *protocol.Front {
+	cfg, settings := n.cfg, n.cfg.Settings
+	timeouts := make([]time.Duration, len(settings.Classes))
+	for i, class := range settings.Classes {
+		timeouts[i] = class.Timeout
+	}
+	return protocol.NewFront(protocol.FrontConfig{
+		Listen: cfg.Listen, MaxSockets: cfg.FrontMaxSockets, MaxBufferedBytes: cfg.FrontMaxBufferedBytes,
+		Classes: cfg.Classes, Tenants: cfg.Tenants, DefaultTimeouts: timeouts,
+		RetryAdvice: settings.Limits.RetryAfter, Healthy: n.acceptsClients,
+	}, n.loop, n.core)
+}
+
+// startAccepting has the front accept clients: at once, or when the endpoint list or the fleet's commands are known.
+func (n *node) startAccepting() error {
+	switch {
+	case n.inherited != nil:
+		n.acceptOnceReady(n.loop.Now() + maxListWait)
+		return nil
+	case n.agent != nil:
+		return n.acceptOnceAgentReady()
+	default:
+		return n.front.Start()
+	}
+}
+
+// acceptOnceAgentReady accepts clients once the agent knows the fleet's commands or has waited for them long enough:
+// a node that starts while a failed zone returns by steps must not send that zone its full share.
 func (n *node) acceptOnceAgentReady() error {
 	ln, err := net.Listen("tcp", n.cfg.Listen)
 	if err != nil {
@@ -187,10 +209,9 @@
 	return nil
 }
 
-// acceptsClients tells whether clients are to come. Where lists are pushed, what the agent has counts as
-// told from the first moment on: it is asked first, for a moment. A start whose own list names
-// nobody who is ready is not held up for longer than a start may take, however long the pool
-// config is down: what comes then is refused at once, which is harmless.
+// acceptsClients reports whether the health check tells clients to come. Where endpoint lists are pushed, the agent's
+// list is awaited for at most maxAgentWait. A start without a ready worker in its cached list lasts no longer than
+// maxStartWait, however long discovery is unavailable: what comes then is rejected at once, which is harmless.
 func (n *node) acceptsClients() bool {
 	if !n.cfg.Settings.SubscribeDiscovery && !n.discovery.Answered() && n.loop.Now() < n.agentDeadline {
 		return false
@@ -198,18 +219,19 @@
 	return n.core.AnyReady() || !n.discovery.Answered() && n.loop.Now() >= n.startDeadline
 }
 
-// logCounts writes the totals to the log, now and then.
+// logCounts logs the totals and schedules itself again.
 func (n *node) logCounts() {
-	c, f, p := n.core.Counts(), n.front.Counts(), n.discovery.Counts()
-	slog.Info("counts", "operations", c.Operations, "served", c.Served, "refused", c.Refused, "failed", c.Failed,
-		"rejected", c.Rejected, "gone", c.Gone, "moved", c.Moved, "open", n.core.OpenOperations(), "steps", c.Steps, "outcomes", fmt.Sprint(c.Outcomes),
-		"turned_away", f.Rejected, "silent", f.Silent, "shed", f.Shed, "full", f.Full,
-		"list_asked", p.Asked, "list_answered", p.Answered, "list_refused", p.Refused, "list_silent", p.Silent)
+	core, front, discovery := n.core.Counts(), n.front.Counts(), n.discovery.Counts()
+	slog.Info("counts", "operations", core.Operations, "served", core.Served, "refused", core.Refused, "failed", core.Failed,
+		"rejected", core.Rejected, "gone", core.Gone, "moved", core.Moved, "open", n.core.OpenOperations(), "steps", core.Steps,
+		"outcomes", fmt.Sprint(core.Outcomes),
+		"turned_away", front.Rejected, "silent", front.Silent, "shed", front.Shed, "full", front.Full,
+		"list_asked", discovery.Asked, "list_answered", discovery.Answered, "list_refused", discovery.Refused, "list_silent", discovery.Silent)
 	if n.batch != nil {
-		b := n.batch.jobs.Counts()
-		slog.Info("batch counts", "unfinished", b.Unfinished, "queued", b.Queued, "in_core", b.InCore, "waits", b.Waits,
-			"window", b.Window.Size, "used", b.Window.Used, "queueing_s", b.Window.Delay, "halvings", b.Window.Halvings,
-			"store", b.Store, "turned_away", b.Rejected)
+		batch := n.batch.jobs.Counts()
+		slog.Info("batch counts", "unfinished", batch.Unfinished, "queued", batch.Queued, "in_core", batch.InCore, "waits", batch.Waits,
+			"window", batch.Window.Size, "used", batch.Window.Used, "queueing_s", batch.Window.Delay, "halvings", batch.Window.Halvings,
+			"store", batch.Store, "turned_away", batch.Rejected)
 	}
 	n.loop.Timers.Add(n.loop.Now()+countsInterval, n.logCounts)
 }
--- a/cmd/ospreybend/node_test.go
+++ b/cmd/ospreybend/node_test.go
@@ -31,9 +31,8 @@
 	return cfg
 }
 
-// The program starts on its example, says that it cannot serve while no
-// destination is known, but is not held up by that for longer than a start may
-// take, and leaves in good order.
+// The program starts with the example configuration, is unhealthy while no worker is known, but for no longer than a start
+// may take, and shuts down gracefully.
 func TestNode_startAndShutdown(t *testing.T) {
 	n, err := start(exampleConfig(t))
 	if err != nil {
@@ -50,7 +49,7 @@
 	if status := health(); status != http.StatusServiceUnavailable {
 		t.Errorf("health %d without a destination", status)
 	}
-	n.loop.Call(func() { n.startDeadline = n.loop.Now() }) // the pool config has not answered for so long
+	n.loop.Call(func() { n.startDeadline = n.loop.Now() }) // discovery has not answered for so long
 	if status := health(); status != http.StatusOK {
 		t.Errorf("health %d when the start is over", status)
 	}
@@ -61,8 +60,7 @@
 	}
 }
 
-// SIGHUP ends a program that does not catch it. The file is read anew with each;
-// one with a fault changes nothing.
+// SIGHUP is caught and reloads the configuration. An invalid file changes nothing.
 func TestNode_reload(t *testing.T) {
 	caught := catchSignals()
 	for range 3 {
@@ -96,7 +94,7 @@
 	defer next.Close()
 	n.loop.Call(func() { n.discovery.Watch(true) })
 	write("127.0.0.1:8500", next.Addr().String())
-	write("127.0.0.1:8500", "nowhere") // stays at the address before
+	write("127.0.0.1:8500", "nowhere") // invalid: the address stays
 	if err := next.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreybend/readiness.go
+++ b/cmd/ospreybend/readiness.go
@@ -9,8 +9,13 @@
 	"time"
 )
 
-// signalReady writes a line to the descriptor that OSPREYBEND_READY_FD names once all that
-// the process listens on answers, and closes it.
+const (
+	readyCheckInterval = 5 * time.Millisecond
+	readyCheckTimeout  = time.Second
+)
+
+// signalReady writes a line to the descriptor that OSPREYBEND_READY_FD names once all addresses of the process answer,
+// and closes it. It returns when it has done so or ctx has ended.
 func signalReady(ctx context.Context, answers func() bool) {
 	text := os.Getenv("OSPREYBEND_READY_FD")
 	if text == "" {
@@ -31,21 +36,21 @@
 		}
 	}
 	if _, err := f.WriteString("ready\n"); err != nil {
-		slog.Warn("nobody hears that the process is ready", "fault", err)
+		slog.Warn("readiness not signalled", "error", err)
 	}
 }
 
-// answersHealthCheck tells whether something that speaks HTTP answers at an address.
+// answersHealthCheck reports whether an HTTP server answers at an address, with whatever status.
 func answersHealthCheck(client *http.Client, address string) bool {
-	r, err := client.Get("http://" + address + "/healthz")
+	response, err := client.Get("http://" + address + "/healthz")
 	if err != nil {
 		return false
 	}
-	return r.Body.Close() == nil
+	return response.Body.Close() == nil
 }
 
-// signalNodeReady signals the readiness of a node: its clients' address says that it serves, and all
-// others answer.
+// signalNodeReady signals that the node is ready: it accepts clients, some worker is ready and all its addresses
+// answer. It runs off the loop.
 func (n *node) signalNodeReady(ctx context.Context) {
 	client := &http.Client{Timeout: readyCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	others := []string{}
--- a/cmd/ospreybend/refused_calls_test.go
+++ b/cmd/ospreybend/refused_calls_test.go
@@ -17,11 +17,11 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// refuseEnv tells a test binary that is the program that the platform refuses calls.
+// refuseEnv names the variable that has a test binary refuse itself the system calls that the platform refuses.
 const refuseEnv = "OSPREYBEND_REFUSED"
 
-// refuseSystemCalls has the system refuse, from now on and for all threads, what the platform's page says
-// that it may: other programs, Unix sockets, io_uring, splice and sendfile.
+// refuseSystemCalls installs a seccomp filter for all threads that refuses what the platform may refuse: executing
+// programs, Unix sockets, io_uring, splice and sendfile.
 func refuseSystemCalls() {
 	type call struct {
 		number uint32
@@ -63,8 +63,8 @@
 	}
 }
 
-// A node starts, serves, rereads its file and leaves in good order where the platform refuses
-// other programs, Unix sockets and the rarer ways to move bytes.
+// A node starts, serves, reloads its configuration and shuts down gracefully where the platform refuses to execute
+// programs, Unix sockets and the rarer ways to copy bytes.
 func TestNode_refusedSystemCalls(t *testing.T) {
 	s := newRestartTest(t, 1024, fakeplatform.For(5*time.Millisecond))
 	t.Setenv(refuseEnv, "1")
@@ -77,6 +77,6 @@
 	}
 	s.stopped(p)
 	if said, _ := os.ReadFile(filepath.Join(s.dir, "log")); !strings.Contains(string(said), "msg=reload ") {
-		t.Errorf("the file was not read anew; it says %s", said)
+		t.Errorf("the configuration was not reloaded; the log: %s", said)
 	}
 }
--- a/cmd/ospreybend/reload.go
+++ b/cmd/ospreybend/reload.go
@@ -6,13 +6,12 @@
 	"ospreybend/internal/node/nodeconfig"
 )
 
-// reload reads the configuration once more, off the loop. Discovery's address
-// takes effect at once; the rest stays as it was at the start. A file with a
-// fault changes nothing.
-func (n *node) reload(env func(string) string) {
-	cfg, err := nodeconfig.Load(env)
+// reload reads the configuration again. The address of discovery takes effect at once; everything else needs a restart.
+// An invalid file changes nothing. It runs off the loop.
+func (n *node) reload(getenv func(string) string) {
+	cfg, err := nodeconfig.Load(getenv)
 	if err != nil {
-		slog.Error("reload: the old configuration stays", "fault", err)
+		slog.Error("reload: invalid configuration ignored", "error", err)
 		return
 	}
 	slog.Info("reload", "discovery", cfg.Discovery)
@@ -21,6 +20,6 @@
 	}
 	n.loop.Post(func() { n.discovery.SetAddress(cfg.Discovery) })
 	if n.batch != nil {
-		n.batch.reload(n, env)
+		n.batch.reload(n, getenv)
 	}
 }
--- a/cmd/ospreybend/restart_site.go
+++ b/cmd/ospreybend/restart_site.go
@@ -17,16 +17,18 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// restartSite is a fleet, the clients' socket, held as the platform does, and a node's
-// files: where processes of one node follow each other.
+// restartSite is what the processes of one node share over hot restarts: a fleet of fake workers, the clients' socket,
+// which the platform keeps open, and the node's files.
 type restartSite struct {
-	fleet                     *fakeplatform.Fleet
-	listener                  net.Listener
-	socket                    *os.File // the same, for the processes
-	dir, address, peerAddress string
+	fleet       *fakeplatform.Fleet
+	listener    net.Listener
+	socket      *os.File // the listener's, passed to the processes
+	dir         string
+	address     string // of the clients' socket
+	peerAddress string
 }
 
-// newRestartSite sets one up. sockets is the node's limit on descriptors.
+// newRestartSite creates a site without a process. sockets is the node's limit on descriptors.
 func newRestartSite(workers, slots, sockets int, script fakeplatform.Script) (s *restartSite, err error) {
 	s = &restartSite{}
 	defer func() {
@@ -74,14 +76,14 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// serverProcess is the program, started on the clients' socket.
+// serverProcess is one process of the node, started on the clients' socket.
 type serverProcess struct {
 	child
 	admin     string
-	readyTime time.Duration // how long it took to say that it is
+	readyTime time.Duration // from its start until it reported that it was ready
 }
 
-// start starts one more process, and waits until it says that it is ready.
+// start starts one more process and waits until it reports that it is ready.
 func (s *restartSite) start(ctx context.Context) (*serverProcess, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -107,13 +109,13 @@
 	err = fakeplatform.Until(ctx, demoReadyTimeout, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
 	p.readyTime = time.Since(began)
 	if err != nil {
-		said, _ := os.ReadFile(filepath.Join(s.dir, "log"))
-		return nil, errors.Join(fmt.Errorf("never ready: %w; it says %s", err, said), p.kill())
+		log, _ := os.ReadFile(filepath.Join(s.dir, "log"))
+		return nil, errors.Join(fmt.Errorf("process never ready: %w; its log: %s", err, log), p.kill())
 	}
 	return p, nil
 }
 
-// call makes an operators' call; status 0: no answer.
+// call calls the administration server. Status 0 stands for no answer, with the error as its text.
 func (p *serverProcess) call(method, path string) (status int, text string) {
 	in, err := http.NewRequest(method, "http://"+p.admin+path, nil)
 	if err != nil {
@@ -129,13 +131,13 @@
 	return answer.StatusCode, string(body)
 }
 
-// hasMetric tells whether a figure is among those of the process.
-func (p *serverProcess) hasMetric(figure string) bool {
+// hasMetric reports whether the process shows a metric with this value.
+func (p *serverProcess) hasMetric(metric string) bool {
 	_, text := p.call("GET", "/-/metrics")
-	return strings.Contains(text, "balancer."+figure+"\n")
+	return strings.Contains(text, "balancer."+metric+"\n")
 }
 
-// load is a load on the site's clients' address.
+// load returns the configuration of a load on the clients' address.
 func (s *restartSite) load(prefix string, rate float64, span time.Duration) loadgen.Config {
 	class := func(name string) loadgen.Class {
 		return loadgen.Class{Name: name, Share: 0.5, Target: time.Second, Within: 3 * time.Second}
@@ -144,7 +146,7 @@
 		Classes: []loadgen.Class{class("modell-pruefen"), class("auftrag-buchen")}}
 }
 
-// begunTwice counts the jobs that were begun more than once.
+// begunTwice returns how many jobs were begun more than once.
 func (s *restartSite) begunTwice() (n int) {
 	for _, times := range s.fleet.Begun() {
 		if times > 1 {
--- a/cmd/ospreybend/shutdown.go
+++ b/cmd/ospreybend/shutdown.go
@@ -3,18 +3,65 @@
 import (
 	"log/slog"
 	"time"
+
+	"ospreybend/internal/node/hotrestart"
 )
 
-// shutdown answers what the node has taken, and returns once all of it is out. Where
-// the clients' socket is this process's own, new connections come for a while after
-// the signal. Where it is inherited they are the next process's, which also gets
-// what is open here. What nobody takes over is answered before the process may be
-// killed.
+// Limits of a graceful shutdown. The platform may kill the process once the longest deadline of a request, of which it
+// counts maxDrainTime at most, and 0.7 s more have passed since the signal.
+const (
+	shutdownAcceptTime = 600 * time.Millisecond // new connections come for up to 0.4 s after the signal
+	maxDrainTime       = 3 * time.Second
+	drainMargin        = 550 * time.Millisecond // of the platform's 0.7 s
+	disconnectWait     = 100 * time.Millisecond // for clients to close their side: the end of a process cuts off what they have not read
+	flushTime          = 50 * time.Millisecond  // for the last responses to be written
+	shutdownGrace      = time.Second            // past the longest deadline, for what is handed over late
+
+	lastAcceptMargin = 700 * time.Millisecond // before the drain deadline: nothing new is accepted after it
+	peerInterval     = 50 * time.Millisecond  // between two looks whether a peer serves
+	maxPeerSilence   = 500 * time.Millisecond // a node that serves notifies its peers more often
+	maxHeardPeers    = 10                     // of more nodes a planned restart leaves some serving at any time
+)
+
+// shutdown answers the accepted requests and returns once all responses are written. A node with a listener of its own
+// goes on accepting for a while after the signal. With an inherited one, new connections are the successor's, which
+// also takes over the open ones; the rest is answered before the platform may kill the process.
 func (n *node) shutdown() {
 	began := time.Now()
-	slog.Info("leaving", "inherited", n.inherited != nil)
+	slog.Info("shutting down", "inherited", n.inherited != nil)
+	n.beginShutdown()
+	defer n.leaveDirectory()
+	longest := n.longestTimeout()
+	deadline := began.Add(min(longest, maxDrainTime) + drainMargin)
+	successor := n.successor()
+	remaining := shutdownAcceptTime
+	if n.inherited == nil {
+		n.loop.Call(func() { n.limitDeadlines(deadline) })
+		n.keepAccepting(began, deadline)
+		remaining = 0
+	}
+	drained := n.stopAccepting(successor, deadline, remaining)
+	latest := time.Now().Add(longest + shutdownGrace)
+	if successor != nil {
+		n.handOver(successor, drained, latest)
+	}
+	select {
+	case <-drained:
+	case <-time.After(time.Until(deadline.Add(disconnectWait))):
+		slog.Warn("shutting down: some clients have not closed their connections")
+	}
+	if n.batch != nil {
+		n.batch.shutdown(n, latest)
+	}
+	time.Sleep(flushTime)
+	n.loop.Call(n.logCounts)
+	slog.Info("shut down")
+}
+
+// beginShutdown marks the parts as shutting down. It runs off the loop.
+func (n *node) beginShutdown() {
 	if n.stopReceiving != nil {
-		n.stopReceiving() // who leaves next is to find the one that stays
+		n.stopReceiving() // a process that shuts down next has to find the one that stays
 	}
 	n.loop.Call(func() {
 		n.shuttingDown = true
@@ -31,26 +78,26 @@
 			n.batch.jobs.Stop()
 		}
 	})
-	defer n.leaveDirectory()
-	longest := time.Duration(0)
-	for _, c := range n.cfg.Settings.Classes {
-		longest = max(longest, c.Timeout)
-	}
-	killed := began.Add(min(longest, maxDrainTime) + drainMargin)
-	next := n.successor()
-	remaining := shutdownAcceptTime
-	if n.inherited == nil {
-		n.loop.Call(func() { n.limitDeadlines(killed) })
-		n.keepAccepting(began, killed)
-		remaining = 0
+}
+
+// longestTimeout returns the longest default deadline of all request classes.
+func (n *node) longestTimeout() (longest time.Duration) {
+	for _, class := range n.cfg.Settings.Classes {
+		longest = max(longest, class.Timeout)
 	}
+	return longest
+}
+
+// stopAccepting has the front accept nothing new after the remaining time. The channel that it returns is closed once
+// the front is drained. It runs off the loop.
+func (n *node) stopAccepting(successor *hotrestart.Successor, deadline time.Time, remaining time.Duration) <-chan struct{} {
 	drained := make(chan struct{})
 	n.loop.Call(func() {
-		n.collectHandovers(next)
+		n.collectHandovers(successor)
 		if n.inherited != nil {
-			n.limitDeadlines(killed)
+			n.limitDeadlines(deadline)
 		}
-		slog.Info("leaving: no new connections", "open", n.core.OpenOperations())
+		slog.Info("shutting down: no new connections", "open", n.core.OpenOperations())
 		n.front.Stop(remaining, func() {
 			select {
 			case <-drained:
@@ -59,35 +106,20 @@
 			}
 		})
 	})
-	latest := time.Now().Add(longest + shutdownGrace)
-	if next != nil {
-		n.handOver(next, drained, latest)
-	}
-	select {
-	case <-drained:
-	case <-time.After(time.Until(killed.Add(disconnectWait))):
-		slog.Warn("leaving: some clients have not ended their connections")
-	}
-	if n.batch != nil {
-		n.batch.shutdown(n, latest)
-	}
-	time.Sleep(flushTime)
-	n.loop.Call(n.logCounts)
-	slog.Info("left")
+	return drained
 }
 
-// limitDeadlines has all that clients wait for answered by a time.
-func (n *node) limitDeadlines(at time.Time) {
-	n.core.LimitDeadlines(n.front, n.loop.Now()+time.Until(at))
+// limitDeadlines moves the deadlines of all pending requests to the given time at the latest.
+func (n *node) limitDeadlines(latest time.Time) {
+	n.core.LimitDeadlines(n.front, n.loop.Now()+time.Until(latest))
 }
 
-// keepAccepting lets clients in for as long as they still come, and after that until
-// another node tells that it serves: where all are restarted one after the other,
-// the next may go before the last is back, and clients would find nobody. A crowd is
-// never all gone, and too large for each to tell all others.
-func (n *node) keepAccepting(began, killed time.Time) {
+// keepAccepting returns when clients no longer come and a peer reports that it serves: in a rolling restart the next
+// node may stop before the previous one is back, and clients would reach nobody. A large group is never all gone, and
+// too large for each node to notify all the others. It runs off the loop.
+func (n *node) keepAccepting(began, deadline time.Time) {
 	time.Sleep(time.Until(began.Add(shutdownAcceptTime)))
-	for alone := true; time.Now().Before(killed.Add(-lastAcceptMargin)); time.Sleep(directoryPollInterval) {
+	for alone := true; time.Now().Before(deadline.Add(-lastAcceptMargin)); time.Sleep(peerInterval) {
 		n.loop.Call(func() { alone = !n.core.PeersHeardWithin(maxPeerSilence) })
 		if !alone || n.cfg.PeerListen == "" || len(n.cfg.Peers) < 2 || len(n.cfg.Peers) > maxHeardPeers {
 			return
--- a/cmd/ospreybend/shutdown_test.go
+++ b/cmd/ospreybend/shutdown_test.go
@@ -23,13 +23,13 @@
 type outcome int
 
 const (
-	answered outcome = iota // a whole answer came
-	unread                  // the connection ended at once, without a byte: the request was not read
+	answered outcome = iota // a complete response arrived
+	unread                  // the connection was closed without a byte: the node did not read the request
 	broken                  // anything else
 )
 
-// sendUntilClosed sends on one connection after the other, as fast as answers come, until nobody
-// listens any more. It uses each connection until the node ends it.
+// sendUntilClosed sends requests on one connection after the other, as fast as responses arrive, until nobody listens any
+// more. It uses each connection until the node closes it.
 func sendUntilClosed(address string, client int, count func(outcome, string)) {
 	for n := 0; ; {
 		c, err := net.Dial("tcp", address)
@@ -71,16 +71,16 @@
 	}
 }
 
-// After SIGTERM a hundred clients go on sending on every connection that stays open. Every
-// request that the node has read gets its whole answer; what is not read crosses the end of
-// its connection, once for each; and the process is gone in time, with exit code 0.
+// After SIGTERM a hundred clients go on sending on every connection that stays open. Every request that the node has read
+// is answered completely; each connection may close with one unread request; and the process ends in time, with exit
+// code 0.
 func TestShutdown_underConstantLoad(t *testing.T) {
 	t.Run("all well", func(t *testing.T) { shutdownUnderLoad(t, false) })
 	t.Run("a quarter hangs", func(t *testing.T) { shutdownUnderLoad(t, true) })
 }
 
-// With hang, one of the four prep workers says that it has started and nothing more, from just
-// before the signal on.
+// shutdownUnderLoad runs the test. With hang, one of the four prep workers reports the start of its jobs and nothing more,
+// from just before the signal on.
 func shutdownUnderLoad(t *testing.T, hang bool) {
 	fleet, n := startChild(t, 4, 64, 40*time.Millisecond)
 	const clients = 100
@@ -121,19 +121,19 @@
 		t.Errorf("the process ended with %v", err)
 	}
 	if took > 4*time.Second {
-		t.Errorf("it took %v to leave", took)
+		t.Errorf("it took %v to shut down", took)
 	}
 	if len(faults) > 0 {
 		t.Errorf("%d requests were lost, the first: %s", len(faults), faults[0])
 	}
 	// A new connection may be closed without an answer for one request in 200 at most.
 	if after := served.Load() - before; crossings*20 > int(after) || after == 0 {
-		t.Errorf("%d requests crossed the end of a connection, %d were answered after the signal", crossings, after)
+		t.Errorf("%d requests were not read before the end of a connection, %d were answered after the signal", crossings, after)
 	}
 }
 
-// A signal amid another: a request is in work when the node is told to leave, to read its
-// configuration anew and to leave once more. The request is answered, and the process ends well.
+// SIGTERM, SIGHUP and another SIGTERM arrive while a request is in flight. The request is answered, and the process ends
+// without an error.
 func TestShutdown_furtherSignals(t *testing.T) {
 	fleet, n := startChild(t, 1, 4, 300*time.Millisecond)
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.platform, "http://"))
@@ -163,7 +163,7 @@
 	n.cmd = nil
 }
 
-// A process that is told to leave before it was ever ready ends well, and soon.
+// A process that is signalled to shut down before it was ever ready ends without an error, and soon.
 func TestShutdown_beforeReady(t *testing.T) {
 	n, err := newChild(t.TempDir(), scriptedpeer.Free(t), "")
 	if err != nil {
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"os"
-	"time"
 
 	"ospreybend/balance"
 	"ospreybend/internal/node/nodeconfig"
@@ -14,40 +13,22 @@
 	"ospreybend/internal/node/zones/transport"
 )
 
-const (
-	overrideTimeout    = 3 * time.Second
-	readyCheckInterval = 5 * time.Millisecond
-	readyCheckTimeout  = time.Second
-)
+// withoutCheckEnv names the variable by which a trial disables one check of the fleet's protocol.
+const withoutCheckEnv = "OSPREYBEND_WITHOUT"
+
+// checkMajority is the name of the check that a zone's failure is reported by a majority of its observers.
+const checkMajority = "majority"
 
 // voterCmd serves as one of the fleet's voters.
 type voterCmd struct{}
 
-// Run votes until the process is told to leave.
+// Run serves until the process is signalled to shut down.
 func (voterCmd) Run(caught signals) error {
-	f, err := nodeconfig.LoadFleet(os.Getenv)
-	if err != nil {
-		return err
-	}
-	if !f.Enabled || f.Voter.ID == 0 {
-		return errors.New("fleet: this process is told of no voter; docs/FLEET.md says what its file has to hold")
-	}
-	node, err := nodeconfig.Load(os.Getenv)
+	config, err := loadVoterConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	c := server.Config{Fleet: f.Fleet, ID: f.Voter.ID, Listen: f.Voter.Listen, StorePath: f.Voter.Store, Voters: map[uint64]string{},
-		Classes: classesOf(node), Settings: replica.DefaultSettings(), DisabledCheck: os.Getenv("OSPREYBEND_WITHOUT")}
-	for _, v := range f.Voters {
-		c.Voters[v.ID] = v.Address
-	}
-	if c.DisabledCheck == "majority" {
-		c.Settings.Failover.Majority, c.Settings.Failover.MinObserverZones = 0, 1
-	}
-	if !f.Voter.Joins {
-		c.InitialVoters = f.VoterIDs()
-	}
-	s, err := server.Open(c)
+	voter, err := server.Open(config)
 	if err != nil {
 		return err
 	}
@@ -60,16 +41,47 @@
 	go func() {
 		client := transport.NewClient()
 		defer client.Close()
-		signalReady(ctx, func() bool { _, err := client.Status(ctx, s.Address()); return err == nil })
+		signalReady(ctx, func() bool { _, err := client.Status(ctx, voter.Address()); return err == nil })
 	}()
-	return s.Run(ctx)
+	return voter.Run(ctx)
+}
+
+// loadVoterConfig reads the fleet's file and the node's, whose classes the failover decisions need.
+func loadVoterConfig(getenv func(string) string) (server.Config, error) {
+	fleet, err := nodeconfig.LoadFleet(getenv)
+	if err != nil {
+		return server.Config{}, err
+	}
+	if !fleet.Enabled || fleet.Voter.ID == 0 {
+		return server.Config{}, errors.New("fleet: this process is told of no voter; docs/FLEET.md says what its file has to hold")
+	}
+	node, err := nodeconfig.Load(getenv)
+	if err != nil {
+		return server.Config{}, err
+	}
+	config := server.Config{
+		Fleet: fleet.Fleet, ID: fleet.Voter.ID, Listen: fleet.Voter.Listen, StorePath: fleet.Voter.Store,
+		Voters: map[uint64]string{}, Classes: failoverClasses(node), Settings: replica.DefaultSettings(),
+		DisabledCheck: getenv(withoutCheckEnv),
+	}
+	for _, voter := range fleet.Voters {
+		config.Voters[voter.ID] = voter.Address
+	}
+	if config.DisabledCheck == checkMajority {
+		config.Settings.Failover.Majority, config.Settings.Failover.MinObserverZones = 0, 1
+	}
+	if !fleet.Voter.Joins {
+		config.InitialVoters = fleet.VoterIDs()
+	}
+	return config, nil
 }
 
-// classesOf tells the fleet's decisions of the node's classes.
-func classesOf(n *nodeconfig.Node) (out []failover.Class) {
-	for i, name := range n.ClassNames {
-		c := n.Settings.Classes[i]
-		out = append(out, failover.Class{Name: name, Value: c.Value, NonIdempotent: c.Effect == balance.NonIdempotent})
+// failoverClasses returns what the failover decisions need to know of the node's request classes.
+func failoverClasses(node *nodeconfig.Node) []failover.Class {
+	var classes []failover.Class
+	for i, name := range node.ClassNames {
+		settings := node.Settings.Classes[i]
+		classes = append(classes, failover.Class{Name: name, Value: settings.Value, NonIdempotent: settings.Effect == balance.NonIdempotent})
 	}
-	return out
+	return classes
 }
