--- a/coord/consensus/doc.go
+++ b/coord/consensus/doc.go
@@ -8,8 +8,8 @@
 //   - it passes the monotonic time and each event (Tick, Step, Propose, ReadIndex, ChangeMembers);
 //   - it calls Ready, writes Ready.Persist to disk, sends Ready.Messages, hands Ready.Restore and
 //     Ready.Committed to the replicated state machine and answers Ready.Reads;
-//   - it calls Persisted once a write is durable. What must not leave the machine before that, as
-//     votes and acknowledgements, is held back by the core until then.
+//   - it calls Persisted once a write is durable. Messages that assert something durable, such as
+//     votes and acknowledgements, are made only then.
 //
 // Package replica is that caller in the control plane, package simulation in the tests. The example
 // in this package drives a group of three members in memory.
--- a/coord/consensus/membership.go
+++ b/coord/consensus/membership.go
@@ -104,6 +104,9 @@
 // next one is allowed when it is committed. A member is added as a learner, and becomes a voter once its
 // log is nearly complete (CanPromote). A change without effect appends nothing.
 //
+// A leader makes no change before an entry of its own term is committed: without this, the algorithm of the
+// dissertation lets two leaders make changes whose majorities do not intersect (Ongaro's correction of 2015).
+//
 // Errors: ErrNotLeader, ErrTransferInProgress, ErrMembershipChange.
 func (n *Node) ChangeMembers(now time.Duration, change MembershipChange) error {
 	n.advanceClock(now)
--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -79,11 +79,11 @@
 
 // leaderElected checks that a new leader's log has everything acknowledged in former terms (paper: leader
 // completeness).
-func (c *checks) leaderElected(h *host, term uint64, log consensus.PersistedState) {
+func (c *checks) leaderElected(h *host, term uint64, stored consensus.PersistedState) {
 	c.recordLeader(term, h.id)
 	for _, index := range c.acknowledged {
 		want := c.committed[index-firstIndex].term
-		if want < term && !hasEntry(log, index, want) {
+		if want < term && !hasEntry(stored, index, want) {
 			c.fail(CheckAcknowledgedDurable, fmt.Sprintf("leader %d of term %d lacks entry %d of term %d", h.id, term, index, want))
 			return
 		}
@@ -96,14 +96,14 @@
 	if index <= base {
 		return true
 	}
-	at := index - base - 1
-	return at < uint64(len(log.Entries)) && log.Entries[at].Term == term
+	position := index - base - 1
+	return position < uint64(len(log.Entries)) && log.Entries[position].Term == term
 }
 
 // applied checks an entry that a state machine applies.
 func (c *checks) applied(member *host, entry consensus.Entry) {
 	if entry.Index != member.applied+1 {
-		c.fail(CheckApplyOrder, fmt.Sprintf("member %d takes entry %d after %d", member.id, entry.Index, member.applied))
+		c.fail(CheckApplyOrder, fmt.Sprintf("member %d applies entry %d after %d", member.id, entry.Index, member.applied))
 		return
 	}
 	stateHash := nextStateHash(member.stateHash, entry)
@@ -113,7 +113,7 @@
 	}
 	known := c.committed[entry.Index-firstIndex]
 	if known.stateHash != stateHash {
-		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes entry %d of term %d, another took one of term %d",
+		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d applies entry %d of term %d, another applied one of term %d",
 			member.id, entry.Index, entry.Term, known.term))
 	}
 }
@@ -121,11 +121,11 @@
 // restored checks a snapshot that a state machine restores.
 func (c *checks) restored(h *host, snapshot consensus.Snapshot) {
 	if snapshot.Index > c.lastCommitted() {
-		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes a snapshot at %d, applied is %d", h.id, snapshot.Index, c.lastCommitted()))
+		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d restores a snapshot at %d, the last applied entry is %d", h.id, snapshot.Index, c.lastCommitted()))
 		return
 	}
 	if c.committed[snapshot.Index-firstIndex].stateHash != h.stateHash {
-		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d takes another state at %d", h.id, snapshot.Index))
+		c.fail(CheckStateMachineSafety, fmt.Sprintf("member %d restores another state at %d", h.id, snapshot.Index))
 	}
 }
 
--- a/coord/consensus/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -121,12 +121,12 @@
 // neededChange returns the next change by which a host becomes a voter under its present ID alone.
 func (h *host) neededChange(members []consensus.Member, removeFirst bool) (consensus.MembershipChange, bool) {
 	var own, old *consensus.Member
-	for at := range members {
+	for i := range members {
 		switch {
-		case members[at].ID == h.id:
-			own = &members[at]
-		case members[at].Address == h.address():
-			old = &members[at]
+		case members[i].ID == h.id:
+			own = &members[i]
+		case members[i].Address == h.address():
+			old = &members[i]
 		}
 	}
 	added := consensus.Member{ID: h.id, Address: h.address()}
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -30,31 +30,31 @@
 
 // newWriteOperation returns the write of a PersistRequest.
 func newWriteOperation(persist *consensus.PersistRequest, done func()) writeOperation {
-	written := writeOperation{done: done}
+	operation := writeOperation{done: done}
 	if persist.Snapshot != nil {
-		written.records = append(written.records, record{snapshot: persist.Snapshot})
+		operation.records = append(operation.records, record{snapshot: persist.Snapshot})
 	}
-	for at := range persist.Entries {
-		written.records = append(written.records, record{entry: &persist.Entries[at]})
+	for i := range persist.Entries {
+		operation.records = append(operation.records, record{entry: &persist.Entries[i]})
 	}
 	if persist.HardState != nil {
-		written.records = append(written.records, record{hardState: persist.HardState})
+		operation.records = append(operation.records, record{hardState: persist.HardState})
 	}
-	return written
+	return operation
 }
 
 // applyRecord applies a record to persisted state.
-func applyRecord(stored *consensus.PersistedState, written record) error {
+func applyRecord(stored *consensus.PersistedState, record record) error {
 	switch {
-	case written.snapshot != nil:
-		stored.Snapshot = *written.snapshot
+	case record.snapshot != nil:
+		stored.Snapshot = *record.snapshot
 		stored.Entries = nil
-	case written.compact != nil:
-		applyCompaction(stored, *written.compact)
-	case written.entry != nil:
-		return applyEntry(stored, *written.entry)
-	case written.hardState != nil:
-		stored.HardState = *written.hardState
+	case record.compact != nil:
+		applyCompaction(stored, *record.compact)
+	case record.entry != nil:
+		return applyEntry(stored, *record.entry)
+	case record.hardState != nil:
+		stored.HardState = *record.hardState
 	}
 	return nil
 }
@@ -90,12 +90,12 @@
 // crash ends all pending writes: of their records, in order, only the first ones survive.
 func (d *disk) crash(survivingRecords int) {
 	for _, operation := range d.queue {
-		for _, written := range operation.records {
+		for _, record := range operation.records {
 			if survivingRecords == 0 {
 				break
 			}
 			survivingRecords--
-			_ = applyRecord(&d.durable, written) // cannot leave a gap: the records before it were applied
+			_ = applyRecord(&d.durable, record) // cannot leave a gap: the records before it were applied
 		}
 	}
 	d.queue, d.syncing = nil, false
@@ -112,12 +112,12 @@
 
 // stateAfterWrites returns the state as it will be once all pending writes are durable.
 func (d *disk) stateAfterWrites() consensus.PersistedState {
-	seen := d.durable
-	seen.Entries = slices.Clone(seen.Entries)
+	state := d.durable
+	state.Entries = slices.Clone(state.Entries)
 	for _, operation := range d.queue {
-		for _, written := range operation.records {
-			_ = applyRecord(&seen, written) // a gap is reported once the write is applied
+		for _, record := range operation.records {
+			_ = applyRecord(&state, record) // a gap is reported once the write is applied
 		}
 	}
-	return seen
+	return state
 }
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -188,14 +188,14 @@
 func (c *cluster) stallDisk() {
 	c.counters.DiskStalls++
 	target := c.randomHost()
-	span := c.randomDuration(100*time.Millisecond, 4*time.Second)
-	target.diskStalledUntil = max(target.diskStalledUntil, c.now+span)
+	duration := c.randomDuration(100*time.Millisecond, 4*time.Second)
+	target.diskStalledUntil = max(target.diskStalledUntil, c.now+duration)
 	if c.chance(0.3) {
 		return
 	}
 	process := target.processID
 	c.schedule(c.randomDuration(0, 300*time.Millisecond), func() { target.setWritable(process, false) })
-	c.schedule(span+c.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { target.setWritable(process, true) })
+	c.schedule(duration+c.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { target.setWritable(process, true) })
 }
 
 // setWritable tells the member of a process whether its disk takes writes.
@@ -223,9 +223,9 @@
 // recordVoterLoss records that a voter is lost, by its disk or by its removal. If a loss of the other kind
 // occurred shortly before, the group may be left without a quorum: it need not recover then, but must stay
 // safe.
-func (c *cluster) recordVoterLoss(at *time.Duration, other time.Duration) {
-	*at = c.now
-	if other > 0 && c.now-other < changeInFlightTime {
+func (c *cluster) recordVoterLoss(lostAt *time.Duration, otherLossAt time.Duration) {
+	*lostAt = c.now
+	if otherLossAt > 0 && c.now-otherLossAt < changeInFlightTime {
 		c.mayLoseQuorum = true
 	}
 }
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -171,14 +171,14 @@
 		h.tickAt = 0
 		return
 	}
-	at := max(next-h.clockOffset, h.cluster.now)
-	if h.tickAt != 0 && h.tickAt <= at {
+	tickAt := max(next-h.clockOffset, h.cluster.now)
+	if h.tickAt != 0 && h.tickAt <= tickAt {
 		return
 	}
-	h.tickAt = at
+	h.tickAt = tickAt
 	process := h.processID
-	h.cluster.schedule(at-h.cluster.now+h.cluster.randomDuration(0, 2*time.Millisecond), func() {
-		if h.processID == process && h.tickAt == at {
+	h.cluster.schedule(tickAt-h.cluster.now+h.cluster.randomDuration(0, 2*time.Millisecond), func() {
+		if h.processID == process && h.tickAt == tickAt {
 			h.tickAt = 0
 			h.whenRunning(func() { h.node.Tick(h.clock()) })
 		}
@@ -251,8 +251,8 @@
 }
 
 // write queues a write. One sync covers everything that is queued when it starts.
-func (h *host) write(written writeOperation) {
-	h.disk.queue = append(h.disk.queue, written)
+func (h *host) write(operation writeOperation) {
+	h.disk.queue = append(h.disk.queue, operation)
 	h.startSync()
 }
 
@@ -288,8 +288,8 @@
 
 // applyWrite makes a write durable.
 func (h *host) applyWrite(operation writeOperation) {
-	for _, written := range operation.records {
-		if err := applyRecord(&h.disk.durable, written); err != nil {
+	for _, record := range operation.records {
+		if err := applyRecord(&h.disk.durable, record); err != nil {
 			h.cluster.checks.fail(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
 		}
 	}
--- a/coord/consensus/simulation/profile.go
+++ b/coord/consensus/simulation/profile.go
@@ -91,7 +91,7 @@
 	millis := func(values ...float64) time.Duration {
 		return time.Duration(pick(values...) * float64(time.Millisecond))
 	}
-	drawn := profile{
+	result := profile{
 		lossRate:                pick(0, 0, 0.02, 0.1, 0.3),
 		duplicateRate:           pick(0, 0.05, 0.2),
 		lateRate:                pick(0, 0.01, 0.1),
@@ -109,15 +109,15 @@
 		maxAppendBytes:          int(pick(1, 100, 4096)),
 		removeFirst:             random.IntN(2) == 0,
 	}
-	drawn.electionTimeout = max(drawn.electionTimeout, 4*drawn.maxDelay+2*drawn.maxSync)
-	for kind := range drawn.faultWeights {
-		drawn.faultWeights[kind] = int(pick(0, 2, 6))
+	result.electionTimeout = max(result.electionTimeout, 4*result.maxDelay+2*result.maxSync)
+	for kind := range result.faultWeights {
+		result.faultWeights[kind] = int(pick(0, 2, 6))
 	}
 	if random.IntN(3) == 0 {
-		drawn.faultWeights[scenarioFaults[random.IntN(len(scenarioFaults))]] = scenarioWeight
+		result.faultWeights[scenarioFaults[random.IntN(len(scenarioFaults))]] = scenarioWeight
 	}
 	for _, rare := range rareFaults {
-		drawn.faultWeights[rare] = int(pick(0, 0, 1))
+		result.faultWeights[rare] = int(pick(0, 0, 1))
 	}
-	return drawn
+	return result
 }
--- a/coord/consensus/simulation/scenarios.go
+++ b/coord/consensus/simulation/scenarios.go
@@ -58,10 +58,10 @@
 
 // partition separates some hosts from the others, in both directions, up to a time.
 func (c *cluster) partition(some func(*host) bool, until time.Duration) {
-	for _, one := range c.hosts {
+	for _, host := range c.hosts {
 		for _, other := range c.hosts {
-			if some(one) != some(other) {
-				c.partitionedUntil[one.index][other.index] = until
+			if some(host) != some(other) {
+				c.partitionedUntil[host.index][other.index] = until
 			}
 		}
 	}
@@ -134,12 +134,12 @@
 	}
 	c := r.cluster
 	r.sides = make([]partitionSide, len(c.hosts))
-	for at := range r.sides {
+	for i := range r.sides {
 		switch {
-		case at == r.firstLeader.index || c.chance(0.15):
-			r.sides[at] = sideFirst
+		case i == r.firstLeader.index || c.chance(0.15):
+			r.sides[i] = sideFirst
 		case c.chance(0.6):
-			r.sides[at] = sideSecond
+			r.sides[i] = sideSecond
 		}
 	}
 	until := c.now + 16*c.profile.electionTimeout
--- a/coord/consensus/simulation/simulation.go
+++ b/coord/consensus/simulation/simulation.go
@@ -111,21 +111,21 @@
 // work plays schedules until none is left.
 func (r *run) work() {
 	for {
-		schedule, left := r.nextSchedule()
-		if !left {
+		schedule, more := r.nextSchedule()
+		if !more {
 			return
 		}
 		seed := scheduleSeed(r.seed, schedule)
 		count, violations := Play(seed, r.options)
-		for at := range violations {
-			violations[at].Schedule = schedule
+		for i := range violations {
+			violations[i].Schedule = schedule
 		}
 		r.add(count, violations)
 	}
 }
 
 // nextSchedule returns the next schedule's number, and false if none is left.
-func (r *run) nextSchedule() (schedule int, left bool) {
+func (r *run) nextSchedule() (schedule int, more bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	stopped := r.options.StopAtFirstViolation && len(r.report.Violations) > 0
