--- a/coord/replica/compaction.go
+++ b/coord/replica/compaction.go
@@ -44,7 +44,9 @@
 
 // needsCompaction reports whether the log has grown enough for a snapshot.
 func (l *eventLoop) needsCompaction() bool {
-	return l.appliedIndex-l.compaction.snapshotIndex > compactionEntries || l.disk.logBytes-l.compaction.snapshotLogBytes > compactionLogBytes
+	newEntries := l.appliedIndex - l.compaction.snapshotIndex
+	newBytes := l.disk.logBytes - l.compaction.snapshotLogBytes
+	return newEntries > compactionEntries || newBytes > compactionLogBytes
 }
 
 // handleCompacted records a local snapshot that became durable and lets the node drop the entries that it covers.
--- a/coord/replica/sustained_load_test.go
+++ b/coord/replica/sustained_load_test.go
@@ -68,7 +68,9 @@
 
 // TestDiskBound_allReplicasFitOnDisk adds up the bounds of all replicas of a control plane server.
 func TestDiskBound_allReplicasFitOnDisk(t *testing.T) {
-	total := replicaDiskBound(maxSnapshotBytes, maxPendingDocumentBytes) + shards.ServiceShardCount*replicaDiskBound(maxInstanceBytes, maxPendingInstanceBytes)
+	configuration := replicaDiskBound(maxSnapshotBytes, maxPendingDocumentBytes)
+	instances := replicaDiskBound(maxInstanceBytes, maxPendingInstanceBytes)
+	total := configuration + shards.ServiceShardCount*instances
 	t.Logf("%d MiB at most", total>>20)
 	if total > diskCapacity {
 		t.Errorf("%d bytes", total)
--- a/coord/seglog/member_id.go
+++ b/coord/seglog/member_id.go
@@ -21,7 +21,9 @@
 // LoadOrCreateMemberID reads the member ID of this disk from the directory. If there is none, it makes the result of newID
 // durable and returns that; created reports which. The directory is created if it is missing. A nil file system stands for
 // OSFileSystem. Errors: FormatError, ErrCorrupt and those of the file system.
-func LoadOrCreateMemberID(fileSystem FileSystem, directory string, newID func() consensus.MemberID) (id consensus.MemberID, created bool, err error) {
+func LoadOrCreateMemberID(
+	fileSystem FileSystem, directory string, newID func() consensus.MemberID,
+) (id consensus.MemberID, created bool, err error) {
 	if fileSystem == nil {
 		fileSystem = OSFileSystem{}
 	}
--- a/coord/seglog/record.go
+++ b/coord/seglog/record.go
@@ -161,9 +161,13 @@
 	if binary.LittleEndian.Uint64(data[preambleBytes:]) != sequence {
 		return nil, false
 	}
-	previous := binary.LittleEndian.Uint32(data[previousChecksumOffset:])
-	first := binary.LittleEndian.Uint64(data[firstIndexOffset:])
-	return &recordReader{data: data, offset: segmentHeaderBytes, lastChecksum: sum, previousChecksum: previous, firstIndex: first}, true
+	return &recordReader{
+		data:             data,
+		offset:           segmentHeaderBytes,
+		lastChecksum:     sum,
+		previousChecksum: binary.LittleEndian.Uint32(data[previousChecksumOffset:]),
+		firstIndex:       binary.LittleEndian.Uint64(data[firstIndexOffset:]),
+	}, true
 }
 
 // next returns the next record without advancing. ok is false at the end of the data and at a record that is incomplete or
--- a/coord/seglog/recovery.go
+++ b/coord/seglog/recovery.go
@@ -218,10 +218,13 @@
 // continuesPrevious reports whether the previous segment ends with the record that this one was started after, and no entry
 // is missing in between.
 func (r *recovery) continuesPrevious(reader *recordReader) bool {
-	if reader.firstIndex > r.log.lastIndex+1 && r.log.enforces(GuardSegmentOrder) {
+	if !r.log.enforces(GuardSegmentOrder) {
+		return true
+	}
+	if reader.firstIndex > r.log.lastIndex+1 {
 		return false
 	}
-	return r.validSegments == 0 || reader.previousChecksum == r.segments[r.validSegments-1].lastChecksum || !r.log.enforces(GuardSegmentOrder)
+	return r.validSegments == 0 || reader.previousChecksum == r.segments[r.validSegments-1].lastChecksum
 }
 
 // apply replays one record. It returns false if the record cannot follow those before it.
--- a/coord/seglog/recovery_durable.go
+++ b/coord/seglog/recovery_durable.go
@@ -45,7 +45,13 @@
 	if err != nil {
 		return err
 	}
-	active := &activeSegment{segment: last.segment, file: file, durableBytes: int64(last.validBytes), lastChecksum: last.lastChecksum, nameSynced: true}
+	active := &activeSegment{
+		segment:      last.segment,
+		file:         file,
+		durableBytes: int64(last.validBytes),
+		lastChecksum: last.lastChecksum,
+		nameSynced:   true,
+	}
 	if err := r.truncateInvalidTail(active); err != nil {
 		_ = file.Close() // nothing was written to it
 		return err
--- a/internal/controlplane/configuration/rules.go
+++ b/internal/controlplane/configuration/rules.go
@@ -16,7 +16,8 @@
 	RuleBaseCurrent Rule = "base-current"
 	// RuleBaseAheadUndecided requires that a change based on a future generation gets an answer that is not final.
 	RuleBaseAheadUndecided Rule = "base-ahead-open"
-	// RuleBaseForgottenUndecided requires that a change based on a generation whose digest is forgotten gets an answer that is not final.
+	// RuleBaseForgottenUndecided requires that a change based on a generation whose digest is forgotten gets an answer that is
+	// not final.
 	RuleBaseForgottenUndecided Rule = "forgotten-open"
 	// RuleGenerationIncreases requires that a generation is above the one that it replaces.
 	RuleGenerationIncreases Rule = "generation-rises"
--- a/internal/controlplane/configuration/store.go
+++ b/internal/controlplane/configuration/store.go
@@ -125,7 +125,8 @@
 	if rejection != nil {
 		return nil, rejection
 	}
-	if rejection := validateGeneration(after.generation, s.document.generation); rejection != nil && s.enforces(RuleGenerationIncreases) {
+	rejection = validateGeneration(after.generation, s.document.generation)
+	if rejection != nil && s.enforces(RuleGenerationIncreases) {
 		return nil, rejection
 	}
 	if command.Kind == CommandUpdate && after.size() > maxDocumentBytes {
