--- a/internal/node/hotrestart/directory.go
+++ b/internal/node/hotrestart/directory.go
@@ -161,7 +161,7 @@
 	}
 	overrides, err := d.Overrides()
 	if err != nil {
-		slog.Warn("words by hand begun anew", "fault", err)
+		slog.Warn("override file reset", "fault", err)
 	}
 	change(overrides)
 	text, err := json.Marshal(overridesFile{fileVersion, overrides})
@@ -198,7 +198,7 @@
 		if fresh || processes != others {
 			overrides, err := d.Overrides()
 			if err != nil {
-				slog.Warn("words by hand cannot be read", "fault", err)
+				slog.Warn("override file cannot be read", "fault", err)
 			}
 			notify(overrides, processes)
 		}
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	recordTimeout             = 700 * time.Millisecond // for a word by hand: the answer is due within 1 s
-	avoidedFailureProbability = 0.5                    // chance of a failure at which the module avoids a destination
+	recordTimeout             = 700 * time.Millisecond // to store a manual override: the answer is due within 1 s
+	avoidedFailureProbability = 0.5                    // from which on the balancer avoids a destination
 )
 
-// AdminConfig is what the operators' address is told.
+// AdminConfig configures the operators' address.
 type AdminConfig struct {
 	Listen           string
 	MaxSockets       int
 	MaxBufferedBytes int
-	Classes          []string // their names by number
+	Classes          []string // names of the request classes, by number
 	Ready            func() bool
-	// RecordOverride has a word by hand written where the next process finds it, beside the
-	// loop, and tells on the loop what holds now. nil: there is no such place.
+	// RecordOverride stores a manual override for the next process of this node, off the loop, and
+	// calls done on the loop with the overrides now in force. nil: they are kept in memory alone.
 	RecordOverride func(name string, out bool, done func(override.Overrides, error))
-	// ZoneCommand puts a word on a zone to the fleet, and tells on the loop what became of it; Fleet
-	// tells how the fleet stands. nil: the node belongs to none.
+	// ZoneCommand sends a command on a zone to the fleet's voters and calls done on the loop with
+	// the result. FleetStatus returns the fleet's status as text. nil: the node belongs to no fleet.
 	ZoneCommand func(zone, do, reason string, span time.Duration, done func(error))
 	FleetStatus func() []byte
 }
 
-// Admin is the operators' address: whether this process is ready, its figures, and
-// prep workers out and back by hand. One call to a connection.
+// Admin serves the operators' address: readiness, metrics, manual overrides that disable
+// or enable a prep worker, and the fleet's calls. Each connection serves one call.
 type Admin struct {
 	*Server
 	config       AdminConfig
@@ -47,8 +47,8 @@
 	overrides    override.Overrides
 }
 
-// NewAdmin makes the front; Start opens it. words are those that the pool config
-// is laid under.
+// NewAdmin returns the operators' front; Start opens it. words are the overrides that
+// Discovery applies to the endpoint list: both share the map.
 func NewAdmin(config AdminConfig, loop *eventloop.Loop, core *routing.Core, pool *Discovery, to *Destinations,
 	words override.Overrides) *Admin {
 	a := &Admin{config: config, loop: loop, core: core, discovery: pool, destinations: to, overrides: words}
@@ -56,6 +56,7 @@
 	return a
 }
 
+// handle serves one call.
 func (a *Admin) handle(call *Call) {
 	call.closeAfter = true
 	path, _, _ := strings.Cut(string(call.Target), "?")
@@ -92,11 +93,11 @@
 }
 
 const (
-	defaultZoneCommandTime = 10 * time.Minute // that a word on a zone holds, where it names no end
+	defaultZoneCommandTime = 10 * time.Minute // that a zone command is in force, if it names no time
 	maxZoneCommandTime     = 24 * time.Hour
 )
 
-// handleFleet answers the calls that concern the fleet; it tells whether this is one.
+// handleFleet answers the calls that concern the fleet. It reports whether this is one.
 func (a *Admin) handleFleet(call *Call, path string) bool {
 	if path == "/-/fleet" {
 		if allowMethod(call, "GET") {
@@ -125,7 +126,7 @@
 			return true
 		}
 	}
-	slog.Info("by hand", "zone", zone, "do", do, "reason", values.Get("reason"), "for", span)
+	slog.Info("zone command received", "zone", zone, "do", do, "reason", values.Get("reason"), "for", span)
 	a.config.ZoneCommand(zone, do, values.Get("reason"), span, func(err error) {
 		if err != nil {
 			call.Reply(503, "Content-Type: text/plain\r\n", []byte(err.Error()+"\n"))
@@ -136,6 +137,7 @@
 	return true
 }
 
+// allowMethod reports whether the call has the method, and answers 405 if not.
 func allowMethod(c *Call, method string) bool {
 	if string(c.Method) != method {
 		c.Reply(405, "Allow: "+method+"\r\n", []byte("only "+method+" is allowed\n"))
@@ -144,16 +146,16 @@
 	return true
 }
 
-// setOverride takes a prep worker out or calls it back. Out holds from here on, whatever
-// becomes of the record; back holds once it is recorded, so that a no leaves the
-// prep worker out.
+// setOverride disables a prep worker (out) or enables it again. Disabling takes effect at
+// once, whether or not the override can be stored. Enabling takes effect once it is stored,
+// so that an error leaves the prep worker disabled.
 func (a *Admin) setOverride(call *Call, name string, out bool) {
 	worker, known := a.discovery.Find(name)
 	if _, spoken := a.overrides[name]; !known && !spoken {
 		call.Reject(404, "no such prep worker")
 		return
 	}
-	slog.Info("by hand", "prep_worker", name, "out", out)
+	slog.Info("manual override received", "prep_worker", name, "out", out)
 	if out {
 		a.overrides.Set(name, true, a.loop.Now())
 		a.applyOverride(worker)
@@ -177,7 +179,7 @@
 	a.config.RecordOverride(name, out, func(now override.Overrides, err error) {
 		a.loop.Timers.Cancel(timeout)
 		if err != nil {
-			slog.Error("a word by hand is not recorded", "prep_worker", name, "out", out, "fault", err)
+			slog.Error("manual override not stored", "prep_worker", name, "out", out, "fault", err)
 			reply(500, "it is out in this process, but not recorded in TMPDIR: an upgrade would forget it")
 			return
 		}
@@ -186,22 +188,22 @@
 	})
 }
 
-// Merge takes in the words that another process has recorded.
+// Merge applies the overrides that another process of this node has stored.
 func (a *Admin) Merge(words override.Overrides) {
 	for _, name := range a.overrides.Merge(words) {
-		slog.Info("by hand", "prep_worker", name, "out", a.overrides.Out(name), "recorded", true)
+		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Out(name), "recorded", true)
 		a.applyOverride(workerIDOf(name))
 	}
 }
 
-// applyOverride has a changed word take effect. Connections from before are not used any
-// more: the prep worker is restarted while it is out.
+// applyOverride makes a changed override take effect. Connections made before are not used
+// any more, since a prep worker is restarted while it is disabled.
 func (a *Admin) applyOverride(id balance.WorkerID) {
 	a.destinations.InvalidateConnections(id)
 	a.discovery.Republish(id)
 }
 
-// Metrics writes the figures, one a line.
+// Metrics returns the metrics in statsd's text format, one a line.
 func (a *Admin) Metrics() []byte {
 	var buffer bytes.Buffer
 	line := func(name string, v uint64, kind string) {
@@ -227,7 +229,8 @@
 	return buffer.Bytes()
 }
 
-// countExcluded counts the listed prep workers that the node avoids now, each once.
+// countExcluded returns the number of listed prep workers that are disabled by an override
+// or avoided by the balancer.
 func (a *Admin) countExcluded() (n int) {
 	a.core.EachWorker(func(id balance.WorkerID, _ balance.State, doubt float64) {
 		if doubt >= avoidedFailureProbability || a.overrides.Out(a.discovery.names[id]) {
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// withAdmin opens the operators' address of a world. record may be nil.
+// withAdmin opens the operators' address of a fixture. record may be nil.
 func (w *fixture) withAdmin(t *testing.T, record func(string, bool, func(override.Overrides, error))) (a *Admin) {
 	t.Helper()
 	at := scriptedpeer.Free(t)
@@ -37,15 +37,15 @@
 	}
 }
 
-func (w *fixture) figures(t *testing.T, want ...string) {
+func (w *fixture) expectMetrics(t *testing.T, want ...string) {
 	t.Helper()
 	for _, line := range want {
 		w.call(t, "GET /-/metrics", "\nbalancer."+line+"\n")
 	}
 }
 
-// All calls and their faults. Callers that say nothing, or half a call, keep nobody
-// waiting, however many there are.
+// All calls and their errors. Any number of callers that send nothing, or an incomplete
+// call, delay nobody.
 func TestAdmin_calls(t *testing.T) {
 	w := newFixture(t, nil)
 	a := w.withAdmin(t, nil)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Calls that concern the fleet are there only where the node belongs to one.
+// The fleet's calls exist only where the node belongs to one.
 func TestAdmin_fleetCalls(t *testing.T) {
 	w := newFixture(t, nil)
 	a := w.withAdmin(t, nil)
@@ -90,13 +90,13 @@
 	}
 }
 
-// The figures are what the peers have seen: a job at work, served, turned away by a
-// prep worker, left by its client.
+// The metrics count what clients and prep workers have seen: a request in progress, served,
+// rejected by a prep worker, abandoned by its client.
 func TestAdmin_Metrics(t *testing.T) {
 	w := newFixture(t, nil)
 	w.withAdmin(t, nil)
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi")
-	w.figures(t, "attempts:1|c", "in_flight:1|g", "prep_workers_known:2|g", "prep_workers_excluded:0|g")
+	w.expectMetrics(t, "attempts:1|c", "in_flight:1|g", "prep_workers_known:2|g", "prep_workers_excluded:0|g")
 	w.Play(`
 		s send HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n{done}
 		c expect fine
@@ -113,14 +113,14 @@
 		e closed
 	`)
 	w.call(t, "PUT /-/prep-workers/s-1/disable", " 200 ")
-	w.figures(t, "refused.pruefen:0|c", "failed.pruefen:0|c", "served.buchen:0|c", "failed.buchen:1|c", "attempts:3|c",
+	w.expectMetrics(t, "refused.pruefen:0|c", "failed.pruefen:0|c", "served.buchen:0|c", "failed.buchen:1|c", "attempts:3|c",
 		"in_flight:0|g", "prep_workers_known:2|g", "prep_workers_excluded:1|g")
 	w.call(t, "GET /-/metrics", "balancer.served.pruefen:1|c\n")
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A prep worker that is out gets nothing new, whatever the list says. Back, its start
-// is the call, and connections from before are not used again.
+// A disabled prep worker gets nothing new, whatever the list says. Once enabled, its start is
+// the time of the call, and earlier connections are not used again.
 func TestAdmin_overrideOutAndBack(t *testing.T) {
 	w := newFixture(t, nil)
 	w.withAdmin(t, nil)
@@ -137,9 +137,9 @@
 	}
 	for i, state := range []string{"Terminating", "Gone", "Ready", "Ready"} {
 		list := EndpointList{Version: uint64(8 + i), Entries: []Endpoint{{Name: "s-1", Address: w.destinations.byID[workerIDOf("s-2")].address, State: state, Weight: 1}}}
-		w.Loop.Call(func() { w.discovery.publish(balance.ListKind(i/3), list) }) // the last is a whole list
+		w.Loop.Call(func() { w.discovery.publish(balance.ListKind(i/3), list) }) // the last is a snapshot
 		if ready() {
-			t.Errorf("listed %s: ready though out by hand", state)
+			t.Errorf("listed %s: ready though disabled by an override", state)
 		}
 		if i == 2 {
 			w.Play(`
@@ -158,15 +158,15 @@
 		t.Errorf("called back: ready %v, counts as started %v ago", ready(), now-laid.Started)
 	}
 	w.Play("s send {stream}{done}\nc expect fine\ns closed\nc send {ask}\nr accept workers\nr expect hi")
-	// Beside a process that has the cold ones' budget this one sends them nothing.
+	// Beside a process that uses the slow-start allowance this one sends them nothing.
 	w.Loop.Call(func() { w.discovery.config.WarmupTime = time.Minute; w.discovery.ExcludeWarmingUp() })
 	if ready() {
-		t.Error("a cold one is ready beside the process that is to warm it")
+		t.Error("a worker that warms up is ready beside the process that uses its allowance")
 	}
 }
 
-// What cannot be recorded gets a no within the second. Out holds all the same; back
-// does not.
+// An override that cannot be stored is answered with an error within a second. Disabling
+// takes effect all the same; enabling does not.
 func TestAdmin_overrideNotRecorded(t *testing.T) {
 	for _, record := range []func(string, bool, func(override.Overrides, error)){
 		func(_ string, _ bool, done func(override.Overrides, error)) { done(nil, errors.New("no room left")) },
@@ -181,7 +181,7 @@
 		}
 		w.Loop.Call(func() {
 			if !a.overrides.Out("s-1") {
-				t.Error("it is back, though the caller was told no")
+				t.Error("it is enabled, though the caller got an error")
 			}
 		})
 	}
--- a/internal/node/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -8,167 +8,172 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// clientConn is the client's side of a connection.
+// clientConn is one client's connection to a Server. It has at most one request being
+// received and one call in progress.
 type clientConn struct {
 	server        *Server
 	conn          *eventloop.Conn
 	handle        slottable.Handle
-	call          *Call             // whose answer is owed; nil: none
-	reader        requestReader     // of the request that is coming
-	requestBegan  time.Duration     // when it began to come, or the connection
-	requestTimer  *timerqueue.Timer // by which it must be whole
-	lastReadAt    time.Duration     // when the last of it came
-	fragmented    bool              // it has come in more than one
-	bufferedBytes int               // bytes of input held for it
-	hasRequested  bool              // has brought a whole request
-	lastReplyAt   time.Duration     // the last answer
+	call          *Call             // in progress; nil: none
+	reader        requestReader     // of the request being received
+	requestBegan  time.Duration     // when its first byte was received, or the connection was opened
+	requestTimer  *timerqueue.Timer // for the complete request; nil: none is being received
+	lastReadAt    time.Duration     // when its last byte was received
+	fragmented    bool              // it was received in more than one read
+	bufferedBytes int               // of it
+	hasRequested  bool              // has sent a complete request before
+	lastReplyAt   time.Duration
 	sentContinue  bool
 }
 
-// startRequestTimer sets the time limit for the request that is to come or is coming.
-func (f *clientConn) startRequestTimer() {
-	if f.requestTimer == nil {
-		f.requestBegan = f.server.loop.Now()
-		f.requestTimer = f.server.loop.Timers.Add(f.requestBegan+requestTimeout, f.requestTimedOut)
+// startRequestTimer starts the time limit of the next request, unless it is running.
+func (client *clientConn) startRequestTimer() {
+	if client.requestTimer == nil {
+		client.requestBegan = client.server.loop.Now()
+		client.requestTimer = client.server.loop.Timers.Add(client.requestBegan+requestTimeout, client.requestTimedOut)
 	}
 }
 
-// requestTimedOut ends a connection whose request has not come whole in time.
-func (f *clientConn) requestTimedOut() {
-	f.requestTimer = nil
-	if !f.conn.NothingUnread() {
-		f.requestTimer = f.server.loop.Timers.Add(f.server.loop.Now()+readDelayBound, f.requestTimedOut) // it is to be read first
+// requestTimedOut closes a connection whose request is incomplete at its time limit.
+func (client *clientConn) requestTimedOut() {
+	client.requestTimer = nil
+	if !client.conn.NothingUnread() {
+		client.requestTimer = client.server.loop.Timers.Add(client.server.loop.Now()+readDelayBound, client.requestTimedOut) // read what has been received first
 		return
 	}
-	if f.bufferedBytes == 0 {
-		f.server.counts.Silent++
-		f.close()
+	if client.bufferedBytes == 0 {
+		client.server.counts.Silent++
+		client.close()
 		return
 	}
-	f.rejectUnreadable(&Fault{Status: 408, Reason: "the request did not come in time"})
+	client.rejectUnreadable(&Fault{Status: 408, Reason: "the request did not come in time"})
 }
 
-func (f *clientConn) close() {
-	f.conn.Close()
-	f.remove()
+// close closes the connection at once.
+func (client *clientConn) close() {
+	client.conn.Close()
+	client.remove()
 }
 
-// remove drops the socket and tells whoever works on its call.
-func (f *clientConn) remove() {
-	if !f.server.sockets.Remove(f.handle) {
+// remove forgets the connection and calls the callback of its call in progress.
+func (client *clientConn) remove() {
+	if !client.server.sockets.Remove(client.handle) {
 		return
 	}
-	f.releaseInput()
-	if c := f.call; c != nil {
-		f.call = nil
-		f.server.bufferedBytes -= c.bodySize
+	client.releaseInput()
+	if c := client.call; c != nil {
+		client.call = nil
+		client.server.bufferedBytes -= c.bodySize
 		if c.clientGone != nil {
 			c.clientGone()
 		}
 	}
-	f.server.checkDrained()
+	client.server.checkDrained()
 }
 
-// releaseInput gives back what the request that was coming took up.
-func (f *clientConn) releaseInput() {
-	f.server.loop.Timers.Cancel(f.requestTimer)
-	f.requestTimer = nil
-	f.server.bufferedBytes -= f.bufferedBytes
-	f.bufferedBytes = 0
+// releaseInput ends the time limit of the request being received and releases its bytes.
+func (client *clientConn) releaseInput() {
+	client.server.loop.Timers.Cancel(client.requestTimer)
+	client.requestTimer = nil
+	client.server.bufferedBytes -= client.bufferedBytes
+	client.bufferedBytes = 0
 }
 
-// Closed is the client's going away.
-func (f *clientConn) Closed(*eventloop.Conn) { f.remove() }
+// Closed implements eventloop.Handler: the client has disconnected.
+func (client *clientConn) Closed(*eventloop.Conn) { client.remove() }
 
-// Data takes in what a client sends: one request at a time.
-func (f *clientConn) Data(conn *eventloop.Conn, in []byte) int {
-	f.lastReadAt, f.fragmented = f.server.loop.Now(), f.bufferedBytes > 0
+// Data implements eventloop.Handler: it parses and serves one request at a time. It returns
+// the number of bytes used.
+func (client *clientConn) Data(conn *eventloop.Conn, in []byte) int {
+	client.lastReadAt, client.fragmented = client.server.loop.Now(), client.bufferedBytes > 0
 	used := 0
-	for f.call == nil && conn.Open() && used < len(in) {
+	for client.call == nil && conn.Open() && used < len(in) {
 		if conn.UnsentBytes() > maxUnreadReplyBytes {
-			f.server.counts.Shed++
-			f.closeAfterLastReply() // it has what it reads of the answers until then
+			client.server.counts.Shed++
+			client.closeAfterLastReply() // the client gets the answers that it reads until then
 			break
 		}
-		m, n, err := f.reader.read(in[used:])
+		m, n, err := client.reader.read(in[used:])
 		if err != nil {
-			f.rejectUnreadable(err)
+			client.rejectUnreadable(err)
 			break
 		}
 		if n == 0 {
-			if f.reader.expectsContinue && !f.sentContinue {
-				f.sentContinue = true
+			if client.reader.expectsContinue && !client.sentContinue {
+				client.sentContinue = true
 				conn.Send([]byte(continueLine))
 			}
 			break
 		}
 		used += n
-		f.serve(m)
+		client.serve(m)
 	}
 	switch {
 	case !conn.Open():
 		return len(in)
-	case f.call != nil && (f.call.closeAfter || len(in)-used > maxPipelinedBytes):
-		// Nobody sends so far ahead in good faith. What is in work is answered,
-		// and the connection ends with that.
-		f.call.closeAfter = true
+	case client.call != nil && (client.call.closeAfter || len(in)-used > maxPipelinedBytes):
+		// A well-behaved client does not send so far ahead. The call in progress is answered,
+		// and the connection is closed after that.
+		client.call.closeAfter = true
 		used = len(in)
-	case f.call == nil && used < len(in):
-		f.startRequestTimer()
+	case client.call == nil && used < len(in):
+		client.startRequestTimer()
 	}
-	f.setBuffered(len(in) - used)
+	client.setBuffered(len(in) - used)
 	return used
 }
 
-// serve has a whole request served.
-func (f *clientConn) serve(m Message) {
-	s := f.server
-	f.releaseInput()
-	f.reader, f.sentContinue, f.hasRequested = requestReader{}, false, true
+// serve starts the call of a complete request.
+func (client *clientConn) serve(m Message) {
+	s := client.server
+	client.releaseInput()
+	client.reader, client.sentContinue, client.hasRequested = requestReader{}, false, true
 	if s.bufferedBytes+len(m.Body) > s.maxBufferedBytes {
 		s.counts.Shed++
-		f.replyError(503, atCapacityText, nil)
+		client.replyError(503, atCapacityText, nil)
 		return
 	}
-	f.call = &Call{Message: m, conn: f, closeAfter: m.Close || s.stopping, bodySize: len(m.Body)}
-	s.bufferedBytes += f.call.bodySize
-	s.serve(f.call)
+	client.call = &Call{Message: m, client: client, closeAfter: m.Close || s.stopping, bodySize: len(m.Body)}
+	s.bufferedBytes += client.call.bodySize
+	s.serve(client.call)
 }
 
-// rejectUnreadable answers what cannot be read, and ends the connection.
-func (f *clientConn) rejectUnreadable(why *Fault) {
-	f.server.countRejected(why.Reason)
-	f.replyError(why.Status, why.Reason, []byte(why.Reason+"\n"))
+// rejectUnreadable counts and answers a malformed request, and closes the connection.
+func (client *clientConn) rejectUnreadable(why *Fault) {
+	client.server.countRejected(why.Reason)
+	client.replyError(why.Status, why.Reason, []byte(why.Reason+"\n"))
 }
 
-// replyError answers what never becomes a call, and ends the connection.
-func (f *clientConn) replyError(status int, text string, plain []byte) {
+// replyError answers a request that never becomes a call, and closes the connection. plain
+// is the body where the server has no FormatError.
+func (client *clientConn) replyError(status int, text string, plain []byte) {
 	extra := ""
-	if f.server.FormatError != nil {
-		extra, plain = f.server.FormatError(status, text)
+	if client.server.FormatError != nil {
+		extra, plain = client.server.FormatError(status, text)
 	}
 	if status == 503 {
 		extra += RetryAfter(time.Second)
 	}
-	f.reply(status, extra, plain, true)
+	client.reply(status, extra, plain, true)
 }
 
-// reply answers on the connection.
-func (f *clientConn) reply(status int, extra string, body []byte, last bool) {
-	f.lastReplyAt = f.server.loop.Now()
-	if !f.conn.Send(AppendResponse(nil, status, extra, body, last)) {
-		f.remove()
+// reply sends an answer; last closes the connection after it.
+func (client *clientConn) reply(status int, extra string, body []byte, last bool) {
+	client.lastReplyAt = client.server.loop.Now()
+	if !client.conn.Send(AppendResponse(nil, status, extra, body, last)) {
+		client.remove()
 		return
 	}
 	if last {
-		f.closeAfterLastReply()
+		client.closeAfterLastReply()
 	}
 }
 
-// closeAfterLastReply ends a connection that has had its last answer.
-func (f *clientConn) closeAfterLastReply() {
-	f.releaseInput()
-	f.server.sockets.Remove(f.handle)
-	f.server.linger(f.conn)
-	f.server.checkDrained()
+// closeAfterLastReply stops serving the connection and closes it once the client has read
+// the last answer.
+func (client *clientConn) closeAfterLastReply() {
+	client.releaseInput()
+	client.server.sockets.Remove(client.handle)
+	client.server.linger(client.conn)
+	client.server.checkDrained()
 }
--- a/internal/node/protocol/compatibility_test.go
+++ b/internal/node/protocol/compatibility_test.go
@@ -11,8 +11,8 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityParcel has every field set, and two sockets.
-func compatibilityParcel() *Handover {
+// compatibilityHandover has every field set, and two sockets.
+func compatibilityHandover() *Handover {
 	return &Handover{
 		Rest: []byte("GET"), Asked: true, Began: time.Second, Since: 2 * time.Second, Size: 77,
 		Call: &CallState{
@@ -39,26 +39,26 @@
 	}
 }
 
-// parcelRow is a row of a parcel. The bytes begin with the names of the types, which a reader leaves alone, so the
+// handoverRow is a row of a hand-over. The bytes begin with the names of the types, which a reader ignores, so the
 // meaning is compared.
-func parcelRow(name string, parcel *Handover) golden.Row {
+func handoverRow(name string, parcel *Handover) golden.Row {
 	return golden.Row{
 		Name: name, Value: parcel, SameMeaning: true, Encode: parcel.Encode,
 		Decode: func(encoded []byte) (any, error) { return DecodeHandover(encoded, len(parcel.unread)) },
 	}
 }
 
-// compatibilityRows are both kinds of parcel that a process hands to the next.
+// compatibilityRows are both kinds of hand-over that a process sends to the next.
 func compatibilityRows() []golden.Row {
 	return []golden.Row{
-		parcelRow("connection", compatibilityParcel()),
-		parcelRow("learned", &Handover{Learned: []uint64{2, 1 << 63, 0, 7}}),
+		handoverRow("connection", compatibilityHandover()),
+		handoverRow("learned", &Handover{Learned: []uint64{2, 1 << 63, 0, 7}}),
 	}
 }
 
 func TestParcel_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
 
-// memberNames returns the names of the members that an encoded parcel lists ahead of its values.
+// memberNames returns the names of the members that an encoded hand-over lists ahead of its values.
 func memberNames() [][]byte {
 	var names [][]byte
 	for _, value := range []any{
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -16,12 +16,12 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// Crossings at an ending, forced: the steps of both sides are played while the loop stands in a
-// callback, so that the node has read nothing of them when it goes on. docs/design/endings.md has
-// the table of these moments.
+// Races at the end of a connection or a request, forced: both sides act while the loop is blocked
+// in a callback, so that the node has read nothing of it when the loop continues.
+// docs/design/endings.md has the table of these races.
 
-// busy plays steps while the node's loop is held up, and then has it do what else there is.
-func (w *fixture) busy(text string, then func()) {
+// whileLoopIsBusy plays a scenario while the loop is blocked, and then calls then on the loop.
+func (w *fixture) whileLoopIsBusy(text string, then func()) {
 	w.Loop.Call(func() {
 		w.Play(text)
 		if then != nil {
@@ -41,66 +41,66 @@
 	return all
 }
 
-// lone leaves one prep worker, so that a connection that rests is the next request's.
-func (w *fixture) lone() {
+// leaveOneWorker removes all prep workers but one, so that the next request uses its idle connection.
+func (w *fixture) leaveOneWorker() {
 	w.Loop.Call(func() {
 		w.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges,
 			Workers: []balance.WorkerListing{{Worker: workerIDOf("s-2"), State: balance.Gone}}})
 	})
 }
 
-func (w *fixture) gone(n uint64) {
+func (w *fixture) waitForGone(n uint64) {
 	w.Until(func() bool { return w.core.Counts().Gone == n })
 }
 
-// A client sends its request and is gone before the loop, busy until then, has read a byte of it:
-// nothing is begun for it, whichever way it went.
+// A client sends its request and disconnects before the busy loop has read a byte of it: no
+// attempt is made for it, whichever way it disconnected.
 func TestFront_clientGoneBeforeItIsRead(t *testing.T) {
 	for _, leaves := range []string{"leaves", "close", "resets"} {
 		t.Run(leaves, func(t *testing.T) {
 			w := newFixture(t, nil)
 			w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
-			w.busy("c send {ask}\nc arrives\nc "+leaves, nil)
-			w.gone(1)
+			w.whileLoopIsBusy("c send {ask}\nc arrives\nc "+leaves, nil)
+			w.waitForGone(1)
 			if n := w.steps(); n != 0 {
 				t.Errorf("%d attempts for a client that had gone", n)
 			}
-			w.balanced(t)
+			w.checkTotals(t)
 		})
 	}
 }
 
-// The second of two requests in one piece is not begun either where the client has left behind them.
+// Nor is the second of two pipelined requests started if the client has disconnected after them.
 func TestFront_clientGoneBehindTwoRequests(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\nc send {book}\nc arrives")
-	w.busy("s send {stream}{done}\ns arrives\nc leaves", nil)
+	w.whileLoopIsBusy("s send {stream}{done}\ns arrives\nc leaves", nil)
 	w.Until(func() bool {
 		return w.core.OpenOperations() == 0 && len(w.front.calls) == 0 && w.front.sockets.Len() == 0
 	})
 	if n := w.steps(); n != 1 {
 		t.Errorf("%d attempts, of which one was for a client that was there", n)
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// An attempt comes back as never run, and behind it the client's leave: there is no further one.
+// An attempt ends as never run, and the client disconnects right after: there is no retry.
 func TestFront_clientGoneBeforeTheNextAttempt(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
-	w.busy(`s send HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n`+"\ns arrives\nc leaves", nil)
-	w.gone(1)
+	w.whileLoopIsBusy(`s send HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n`+"\ns arrives\nc leaves", nil)
+	w.waitForGone(1)
 	if n := w.steps(); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A client leaves while the connection for its attempt is made. Where the settings let nothing be
-// called off, not a byte goes out all the same; so too where the loop has not read its leave.
+// A client disconnects while the connection for its attempt is opened. Not a byte is written, even
+// where the settings allow no cancellation, or where the loop has not read the disconnect.
 func TestFront_clientGoneWhileConnecting(t *testing.T) {
 	for name, leave := range map[string]func(*fixture, *Call){
-		"told":   func(_ *fixture, c *Call) { c.conn.close() },
+		"told":   func(_ *fixture, c *Call) { c.client.close() },
 		"unread": func(w *fixture, _ *Call) { w.Play("c leaves") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -121,53 +121,53 @@
 			if n := w.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
 				t.Errorf("outcomes %v", n)
 			}
-			w.balanced(t)
+			w.checkTotals(t)
 		})
 	}
 }
 
-// A prep worker closes a resting connection in the moment in which a booking is to go over it: it
-// goes over a new one. Nothing has run, and the client sees nothing of it.
+// A prep worker closes an idle connection just as a booking is to be sent on it: a new one is
+// used. Nothing has run, and the client does not notice.
 func TestDestinations_idleConnectionEndsAtTheSend(t *testing.T) {
 	w := newFixture(t, nil)
-	w.lone()
+	w.leaveOneWorker()
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect fine\nwait 1s")
-	w.busy("c send {book}\nc arrives\ns leaves", nil)
+	w.whileLoopIsBusy("c send {book}\nc arrives\ns leaves", nil)
 	w.Play("r accept workers\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200")
 	if n := w.outcomes(); n[balance.Reset] != 0 {
 		t.Errorf("outcomes %v", n)
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A second answer comes after the last line, before the connection's next request is written or
-// after: it is nobody's answer, and no client gets it.
+// A second response arrives after the final line, before the connection's next request is written
+// or after: no client gets it.
 func TestDestinations_secondResponse(t *testing.T) {
 	w := newFixture(t, nil)
-	w.lone()
+	w.leaveOneWorker()
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect fine\nwait 1s")
-	w.busy("c send {book}\nc arrives\ns send {stream}{done}\ns arrives", nil)
+	w.whileLoopIsBusy("c send {book}\nc arrives\ns send {stream}{done}\ns arrives", nil)
 	w.Play("r accept workers\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200\nwait 1s")
 	w.Play("c send {book}\nr expect Req-Id: b1\nr send {stream}{done}\nc expect HTTP/1.1 502")
 	if n := w.outcomes(); n[balance.Served] != 2 || n[balance.Reset] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A second answer may be some milliseconds late, and say that it never ran: what must not run
-// twice does not go over a connection that has only just become free.
+// A second response may be some milliseconds late and say that the request never ran: a
+// non-idempotent request does not use a connection that has only just become idle.
 func TestDestinations_nonIdempotentAvoidsJustIdleConnections(t *testing.T) {
 	w := newFixture(t, nil)
-	w.lone()
+	w.leaveOneWorker()
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect fine\nc send {book}")
 	w.Play("r accept workers\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200")
 	w.Play("wait 1s\nc send {book}\nr expect Req-Id: b1\nr send {stream}{booked}\nc expect HTTP/1.1 200")
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// Prep workers drop repeats of a request for a second. The connection for a repeat comes up only when
-// that second is over: not a byte goes out, as they would run it once more.
+// Prep workers drop repeats of a request for a second. The connection for a repeat is open only
+// after that second: not a byte is written, as they would run the request once more.
 func TestFront_repeatWhoseConnectionComesLate(t *testing.T) {
 	for late, want := range map[time.Duration]balance.Outcome{0: balance.Served, 980 * time.Millisecond: balance.ConnectFailed} {
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
@@ -189,11 +189,11 @@
 		if n := w.outcomes(); n[want] != 1 || n[balance.Served]+n[balance.ConnectFailed] != 1 {
 			t.Errorf("%v late: outcomes %v", late, n)
 		}
-		w.balanced(t)
+		w.checkTotals(t)
 	}
 }
 
-// The connection for an attempt comes up late. The time that the prep worker is told is what is left by then.
+// The connection for an attempt is open late. The deadline sent to the prep worker is the time left by then.
 func TestDestinations_remainingTimeAfterALateConnect(t *testing.T) {
 	for late, want := range map[time.Duration]string{0: "3.000", 200 * time.Millisecond: "2.800", 2500 * time.Millisecond: "0.500"} {
 		w := newFixture(t, nil)
@@ -212,30 +212,30 @@
 	}
 }
 
-// The node leaves, and in that moment a request comes on a connection that rests: it is answered,
-// as the last there, and not cut off unread.
+// The node begins to shut down just as a request arrives on an idle connection: it is answered, as
+// the last on it, and not cut off unread.
 func TestServer_Stop_requestArrives(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200")
-	w.busy("c send {ask}\nc arrives", func() { w.front.Stop(0, func() {}) })
+	w.whileLoopIsBusy("c send {ask}\nc arrives", func() { w.front.Stop(0, func() {}) })
 	w.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect Connection: close\nc expect fine\nc ended")
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// The node stops listening while a client that the system has let in waits to be accepted: its
-// request is answered, not reset.
+// The node stops listening while a client waits in the listen backlog: its request is answered,
+// not reset.
 func TestServer_Stop_clientInTheBacklog(t *testing.T) {
 	w := newFixture(t, nil)
-	// The first is being handed to the loop, which stands; the second waits behind it.
-	// The third asks nothing: the node does not wait for it as long as for a usual client.
-	w.busy("a dial front\na send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc dial front\nc send {ask}\nc arrives\nmute dial front", func() { w.front.Stop(0, func() {}) })
+	// The first is being passed to the blocked loop; the second waits behind it.
+	// The third sends nothing: the node does not wait for it as long as for an ordinary client.
+	w.whileLoopIsBusy("a dial front\na send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc dial front\nc send {ask}\nc arrives\nmute dial front", func() { w.front.Stop(0, func() {}) })
 	w.Until(func() bool { return w.front.listenerEnded })
 	w.Play("wait 30ms\nmute ended\na expect HTTP/1.1 200\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect Connection: close\nc expect fine\nc ended")
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A request that is read after the node has ended its sending is not sent on, and what the client
-// has had before is not taken from it by a reset. The node is not done before the client is.
+// A request that is read after the node has closed its side is not forwarded, and the client
+// does not lose earlier answers to a reset. The node has not drained before the client closes.
 func TestServer_Stop_requestAfterwards(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n")
@@ -256,46 +256,46 @@
 	}
 	w.Play("c close")
 	w.Until(func() bool { return drained })
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A connection on which nothing came in time is ended; not where its request comes just then.
+// A connection on which nothing was received in time is closed, unless its request arrives just then.
 func TestServer_requestAtItsTimeout(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("c dial front")
 	w.Until(func() bool { return w.front.sockets.Len() == 1 })
 	w.Advance(requestTimeout - 5*time.Millisecond)
-	w.busy("c send {ask}\nc arrives", func() {
+	w.whileLoopIsBusy("c send {ask}\nc arrives", func() {
 		f := w.sockets()[0]
 		w.Loop.Timers.Cancel(f.requestTimer)
 		f.requestTimedOut()
 	})
 	w.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect fine")
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A prep worker that answers nonsense all the time is told of once in a while, with all counted.
+// Malformed responses of a prep worker are all counted and logged at a bounded rate.
 func TestServer_malformedRequestsAreLoggedSparsely(t *testing.T) {
 	var log bytes.Buffer
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
 	w := newFixture(t, nil)
-	w.lone()
+	w.leaveOneWorker()
 	w.Play("c dial front")
 	for range 3 {
 		w.Play(`c send {book}` + "\ns accept workers\ns expect Req-Id: b1\ns send nonsense\\r\\n\\r\\n\nc expect HTTP/1.1 502")
 	}
 	w.Play("wait 10s\nc send {book}\ns accept workers\ns expect Req-Id: b1\ns send nonsense\\r\\n\\r\\n\nc expect HTTP/1.1 502")
 	w.Loop.Call(func() {
-		if lines := strings.Count(log.String(), "unreadable answer"); lines != 2 || !strings.Contains(log.String(), "in_all=4") {
+		if lines := strings.Count(log.String(), "unreadable response"); lines != 2 || !strings.Contains(log.String(), "in_all=4") {
 			t.Errorf("%d lines: %s", lines, log.String())
 		}
 	})
 }
 
-// A client asks on and on and reads no answer: the node keeps no more of them than an answer may be
-// long, and ends the connection.
+// A client sends request after request and reads no answer: the node buffers no more than one
+// answer may have, and closes the connection.
 func TestServer_clientNeverReadsAnswers(t *testing.T) {
 	w := newFixture(t, nil)
 	c, err := net.Dial("tcp", w.front.config.Listen)
@@ -305,7 +305,7 @@
 	defer c.Close()
 	asked := bytes.Repeat([]byte("GET /healthz HTTP/1.1\r\n\r\n"), 40<<10)
 	go func() {
-		for range 64 { // over all that the systems of both sides take in
+		for range 64 { // more than the socket buffers of both sides take
 			if _, err := c.Write(asked); err != nil {
 				return
 			}
@@ -323,24 +323,24 @@
 	}
 }
 
-// At the limit of connections one that rests goes, so that the next client finds room; not one
-// whose request has come and is not read yet.
+// At the limit of connections an idle one is closed for the next client, but not one whose
+// request has been received and not read.
 func TestServer_evictedAsItsRequestComes(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 1 })
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc expect HTTP/1.1 200\nwait 1s")
-	w.busy("c send {ask}\nc arrives", func() {
+	w.whileLoopIsBusy("c send {ask}\nc arrives", func() {
 		if w.front.shedOne() {
 			t.Error("the one connection has a request")
 		}
 	})
 	w.Play("s accept workers\ns expect hi\ns send {stream}{done}\nc expect fine")
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
 var _ routing.Waiter = (*Front)(nil)
 
-// A prep worker hangs in the middle of its answer's body, or breaks the connection long after it has begun. A booking has
-// failed, at the end of its time or at once, and is sent nowhere else; what may be repeated is, and its client served by that.
+// A prep worker hangs in the middle of its response, or breaks the connection long after its start. A booking fails, at its
+// deadline or at once, and is not retried; an idempotent request is, and its client is served by the retry.
 func TestServer_connectionEndsLongAfterItsStart(t *testing.T) {
 	half := scriptedpeer.Chunk(`{"id":"b1","state":"started"}`) + `40\r\n{"id":"b1","state":"do`
 	w := newFixture(t, nil)
@@ -355,5 +355,5 @@
 	w.Words["half"] = strings.ReplaceAll(half, "b1", "a1")
 	w.Play(lines("c send {ask}", "s accept workers", "s expect hi", "s send {stream}{half}",
 		"wait 2500ms", "s resets", "r accept workers", "r expect Req-Deadline: 0.5", "r send {stream}{done}", "c expect HTTP/1.1 200"))
-	w.balanced(t)
+	w.checkTotals(t)
 }
--- a/internal/node/protocol/destination_connection.go
+++ b/internal/node/protocol/destination_connection.go
@@ -15,54 +15,56 @@
 	"ospreybend/internal/util/http1"
 )
 
-// destinationConn is one connection to a destination.
+// destinationConn is one connection to a destination. It is idle, or has one exchange in
+// progress, or waits for the end of a response whose outcome is known.
 type destinationConn struct {
 	owner        *Destinations
 	destination  *destination
 	conn         *eventloop.Conn
-	generation   int       // of the destination, when the connection was made
-	exchange     *exchange // in work; nil: idle, or the answer's rest is still to come
-	headRead     bool      // the answer's head has been read
+	generation   int       // the destination's when the connection was opened
+	exchange     *exchange // in progress; nil: none, or its outcome is known
+	headRead     bool      // of the response
 	status       int
 	declined     bool
 	loadHeader   []byte
 	body         http1.BodyReader
-	closeAfter   bool   // no further exchange on this connection
-	partialLine  []byte // the part of a line that is in
+	closeAfter   bool   // not reusable
+	partialLine  []byte // received so far
 	deadline     *timerqueue.Timer
-	reused       bool // has served an exchange before
+	reused       bool // has completed an exchange before
 	idleSince    time.Duration
-	outcomeKnown bool      // the outcome is known
-	unreported   *exchange // whose outcome is known and not told yet
+	outcomeKnown bool      // of the exchange whose response has not ended
+	unreported   *exchange // whose outcome is not reported yet
 	outcome      routing.StepEnd
 }
 
-// takeIdle takes the newest idle connection that may carry a trip. On one that has only just
-// become idle a second answer may yet come, and say of the next request that it never ran:
-// what must not run twice does not go there.
+// takeIdle takes the newest idle connection that an exchange may use, or returns nil. On one
+// that has only just become idle a stray second response might still arrive and be taken for
+// the next request's: a non-idempotent request does not use it.
 func (d *Destinations) takeIdle(ex *exchange) *destinationConn {
 	now := d.loop.Now()
 	if ex.nonIdempotent && now < d.distrustIdleUntil {
 		return nil
 	}
 	for i := len(ex.destination.idle) - 1; i >= 0; i-- {
-		c := ex.destination.idle[i]
-		if !c.conn.NothingUnread() {
-			// Its end has come, or what nobody asked for, and the loop has not read it
-			// yet: what is written now would end as a reset.
-			c.close()
+		conn := ex.destination.idle[i]
+		if !conn.conn.NothingUnread() {
+			// The loop has not read its end, or unexpected data, yet: a request written now
+			// would end as a reset.
+			conn.close()
 			continue
 		}
-		if ex.nonIdempotent && now-c.idleSince < minIdleBeforeReuse {
+		if ex.nonIdempotent && now-conn.idleSince < minIdleBeforeReuse {
 			continue
 		}
 		ex.destination.idle = slices.Delete(ex.destination.idle, i, i+1)
-		d.loop.Timers.Cancel(c.deadline)
-		return c
+		d.loop.Timers.Cancel(conn.deadline)
+		return conn
 	}
 	return nil
 }
 
+// dial opens a connection for an exchange.
 func (d *Destinations) dial(ex *exchange) {
 	c := &destinationConn{owner: d, destination: ex.destination, generation: ex.destination.generation, exchange: ex}
 	d.openConns++
@@ -77,8 +79,8 @@
 		}
 		c.conn = conn
 		if ex.step != 0 && !d.core.MayStart(ex.step) {
-			// Told to drain, or out of time, while the connection was made: not a
-			// byte goes out.
+			// While the connection was opened the destination began to drain, or the deadline
+			// passed: not a byte may be written.
 			c.exchange = nil
 			c.makeIdle()
 			d.conclude(ex, routing.StepEnd{Outcome: balance.ConnectFailed})
@@ -88,29 +90,29 @@
 	}, func() { d.openConns-- })
 }
 
-// write writes a trip's request on a connection.
-func (d *Destinations) write(ex *exchange, c *destinationConn) {
-	c.exchange, ex.conn = ex, c
-	c.headRead, c.status, c.declined, c.loadHeader, c.partialLine, c.closeAfter, c.outcomeKnown = false, 0, false, nil, c.partialLine[:0], false, false
+// write writes an exchange's request on a connection.
+func (d *Destinations) write(ex *exchange, conn *destinationConn) {
+	conn.exchange, ex.conn = ex, conn
+	conn.headRead, conn.status, conn.declined, conn.loadHeader, conn.partialLine, conn.closeAfter, conn.outcomeKnown = false, 0, false, nil, conn.partialLine[:0], false, false
 	request := ex.request
 	if ex.work != nil {
 		request = d.requestBytes(ex.work, ex.until)
 	}
 	ex.request, ex.work = nil, nil
-	sent := c.conn.Send(request)
+	sent := conn.conn.Send(request)
 	if ex.step != 0 {
 		faultinjection.Hit(faultinjection.BytesWritten)
 	}
 	if !sent {
 		// The request's last byte was never written.
-		c.forget()
+		conn.forget()
 		d.conclude(ex, routing.StepEnd{Outcome: balance.ConnectFailed})
 		return
 	}
-	d.countWritten(ex, c)
+	d.countWritten(ex, conn)
 }
 
-// closeLongestIdle gives up the idle connection that has stood longest.
+// closeLongestIdle closes the connection that has been idle longest, and reports whether there was one.
 func (d *Destinations) closeLongestIdle() bool {
 	var idlest *destinationConn
 	var at time.Duration
@@ -128,7 +130,7 @@
 	return true
 }
 
-// makeIdle makes the connection idle.
+// makeIdle makes the connection available to further exchanges, unless it is outdated.
 func (c *destinationConn) makeIdle() {
 	d := c.owner
 	if !c.conn.Open() || d.byID[c.destination.id] != c.destination || c.generation != c.destination.generation {
@@ -145,13 +147,13 @@
 	c.deadline = d.loop.Timers.Add(d.loop.Now()+keep, c.close)
 }
 
-// close ends the connection.
+// close closes the connection.
 func (c *destinationConn) close() {
 	c.conn.Close()
 	c.forget()
 }
 
-// forget forgets a connection that has ended.
+// forget removes a closed connection from the pool.
 func (c *destinationConn) forget() {
 	c.owner.openConns--
 	c.owner.loop.Timers.Cancel(c.deadline)
--- a/internal/node/protocol/destination_response.go
+++ b/internal/node/protocol/destination_response.go
@@ -11,7 +11,7 @@
 	"ospreybend/internal/node/routing"
 )
 
-// Closed is the destination's or the network's end of the connection.
+// Closed implements eventloop.Handler: the connection has ended.
 func (c *destinationConn) Closed(conn *eventloop.Conn) {
 	c.forget()
 	ex := c.exchange
@@ -27,15 +27,15 @@
 	if c.reused && !c.headRead {
 		c.owner.distrustIdle()
 	}
-	outcome := balance.Reset // the last byte was written: it may have run
+	outcome := balance.Reset // all bytes were written: the request may have run
 	if !conn.Flushed() {
 		outcome = balance.ConnectFailed
 	}
 	c.owner.conclude(ex, routing.StepEnd{Outcome: outcome})
 }
 
-// Data takes in what a destination answers. An outcome is told last, so that
-// what follows from it finds the connection idle where the answer has ended.
+// Data implements eventloop.Handler: it parses a response. An outcome is reported last, so
+// that the next request finds the connection idle if the response has ended.
 func (c *destinationConn) Data(conn *eventloop.Conn, in []byte) int {
 	used := c.read(conn, in)
 	if ex := c.unreported; ex != nil {
@@ -45,9 +45,10 @@
 	return used
 }
 
+// read parses the response as far as it was received, and returns the number of bytes used.
 func (c *destinationConn) read(conn *eventloop.Conn, in []byte) int {
 	if c.exchange == nil && !c.outcomeKnown {
-		c.close() // nothing was asked
+		c.close() // unexpected data on an idle connection
 		return len(in)
 	}
 	used := 0
@@ -87,8 +88,8 @@
 	return len(in)
 }
 
-// failUnreadable ends an exchange whose answer cannot be read. The request went out
-// whole, so that it may have run.
+// failUnreadable ends an exchange whose response cannot be parsed. The request was written
+// completely, so that it may have run.
 func (c *destinationConn) failUnreadable(in []byte, why *Fault) int {
 	c.owner.unreadableAnswer(c.destination.name, why.Reason)
 	ex := c.exchange
@@ -100,15 +101,17 @@
 	return len(in)
 }
 
-// unreadableAnswer counts an answer that cannot be read. One line in a while tells of all since the last.
+// unreadableAnswer counts a response that cannot be parsed. It logs at most one line per logInterval with
+// the total.
 func (d *Destinations) unreadableAnswer(from, reason string) {
 	d.unreadable++
 	if now := d.loop.Now(); d.unreadable == 1 || now >= d.nextLogAt {
-		slog.Warn("unreadable answer", "destination", from, "reason", reason, "in_all", d.unreadable)
+		slog.Warn("unreadable response", "destination", from, "reason", reason, "in_all", d.unreadable)
 		d.nextLogAt = now + logInterval
 	}
 }
 
+// beginResponse records the head of a response.
 func (c *destinationConn) beginResponse(message *Message) {
 	c.headRead, c.status, c.closeAfter = true, message.Status, message.Close
 	c.declined = string(message.Header("Srv-Declined")) == "1"
@@ -117,7 +120,7 @@
 	c.closeAfter = c.closeAfter || c.body.UntilClose
 }
 
-// progressUpdate is one line of an answer.
+// progressUpdate is one line of a response.
 type progressUpdate struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
@@ -126,11 +129,12 @@
 	Load   json.RawMessage `json:"load"`
 }
 
-// readLines takes in a piece of the body, line by line.
+// readLines processes a part of the body line by line. A probe's response is one object,
+// which is collected instead.
 func (c *destinationConn) readLines(data []byte) {
 	if c.exchange == nil || c.exchange.step == 0 || c.status != 200 {
 		if c.exchange != nil && c.exchange.step == 0 && len(c.partialLine)+len(data) <= maxLineBytes {
-			c.partialLine = append(c.partialLine, data...) // a probe's answer is one object
+			c.partialLine = append(c.partialLine, data...)
 		}
 		return
 	}
@@ -155,6 +159,7 @@
 	}
 }
 
+// handleUpdate reports one line of a route step's response: its progress or its outcome.
 func (c *destinationConn) handleUpdate(line []byte) {
 	var update progressUpdate
 	if len(line) == 0 {
@@ -185,7 +190,7 @@
 	}
 }
 
-// resultBytes gives a result's bytes: a string's text, and else the JSON itself.
+// resultBytes returns the text of a result that is a JSON string, or else the JSON itself.
 func resultBytes(raw json.RawMessage) []byte {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
@@ -194,8 +199,9 @@
 	return raw
 }
 
-// recordOutcome notes the trip's outcome; the connection goes on to the end of the answer, for a while: an answer
-// that never ends would keep its descriptor.
+// recordOutcome records the exchange's outcome. The connection stays open for the end of the
+// response, but for responseEndTimeout at most, since a response that never ends would use up
+// its descriptor.
 func (c *destinationConn) recordOutcome(end routing.StepEnd) {
 	c.unreported, c.outcome = c.exchange, end
 	c.exchange.conn = nil
@@ -204,10 +210,10 @@
 	c.deadline = loop.Timers.Add(loop.Now()+responseEndTimeout, c.close)
 }
 
-// endOfResponse stands at the end of an answer.
+// endOfResponse handles the end of a response.
 func (c *destinationConn) endOfResponse() {
 	if ex := c.exchange; ex != nil && ex.step != 0 && c.status == 200 && len(c.partialLine) > 0 {
-		c.handleUpdate(c.partialLine) // the last line may have no end
+		c.handleUpdate(c.partialLine) // the last line may lack its newline
 		if !c.conn.Open() {
 			return
 		}
@@ -215,7 +221,7 @@
 	ex := c.exchange
 	c.exchange, c.outcomeKnown = nil, false
 	c.owner.loop.Timers.Cancel(c.deadline)
-	// First the connection, so that what follows from the outcome can use it.
+	// The connection first, so that what follows from the outcome can use it.
 	if c.closeAfter {
 		c.close()
 	} else {
@@ -227,7 +233,7 @@
 	}
 }
 
-// concludeFromStatus tells what an answer without a last line means.
+// concludeFromStatus reports the outcome of a response without a final line, by its status.
 func (c *destinationConn) concludeFromStatus(ex *exchange) {
 	end := routing.StepEnd{Outcome: balance.Errored, Report: c.report(nil)}
 	switch {
@@ -236,7 +242,7 @@
 		case 200:
 			end.Outcome = balance.Served
 		case 503:
-			end.Outcome = balance.Full // it runs, and wants nothing new: it drains, if the list does not say so yet
+			end.Outcome = balance.Full // it runs and rejects new work: it drains, though the list may not have that yet
 		}
 		if len(c.partialLine) > 0 {
 			end.Report = c.report(c.partialLine)
@@ -244,14 +250,15 @@
 	case c.status >= 400 && c.status < 500:
 		end.Rejected = true
 	case c.status == 200:
-		end.Outcome = balance.Reset // it took the job and never said how it ended
+		end.Outcome = balance.Reset // it accepted the request and never reported its end
 	case (c.status == 503 || c.status == 504) && c.declined:
 		end.Outcome = balance.Full
 	}
 	c.owner.conclude(ex, end)
 }
 
-// report reads a load report, of an object or else of the answer's header.
+// report parses a load report: a JSON object, or if that is missing the response's Srv-Load
+// header. Fields that are not there are NaN. It returns nil if no field is known.
 func (c *destinationConn) report(raw []byte) []float32 {
 	if len(raw) == 0 {
 		raw = c.loadHeader
--- a/internal/node/protocol/destinations.go
+++ b/internal/node/protocol/destinations.go
@@ -14,39 +14,45 @@
 )
 
 const (
-	idleCloseMargin    = time.Second            // a connection closes this long before the destination would
-	probeTimeout       = 500 * time.Millisecond // a probe that takes longer says nothing more
-	maxLineBytes       = maxBodyBytes + 4<<10   // most bytes of one line of an answer
-	distrustIdleTime   = time.Minute            // how long kept connections are mistrusted after one has failed
-	minIdleBeforeReuse = 25 * time.Millisecond  // a second answer, if one comes, comes within it
-	responseEndTimeout = 250 * time.Millisecond // the end of an answer, behind its last line
+	idleCloseMargin    = time.Second // an idle connection is closed this long before the destination would close it
+	probeTimeout       = 500 * time.Millisecond
+	maxLineBytes       = maxBodyBytes + 4<<10   // of one line of a response
+	distrustIdleTime   = time.Minute            // how long idle connections are distrusted after one has failed
+	minIdleBeforeReuse = 25 * time.Millisecond  // before a non-idempotent request: a stray second response arrives within it
+	responseEndTimeout = 250 * time.Millisecond // from a response's final line to its end
 )
 
-// DestinationConfig is what the destinations' side is told.
+// DestinationConfig configures the connections to the prep workers.
 type DestinationConfig struct {
 	Host           string
-	MaxConnections int // connections at most, those being made included
+	MaxConnections int // connections being opened included
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration
-	ReportFields   []string // the fields' names, in the order of the settings
+	ReportFields   []string // of load reports, in the order of the settings
 }
 
-// Destinations carries route steps to destinations over pooled connections.
+// Destinations sends route steps and probes to the prep workers over pooled connections, and
+// reports their outcomes to the core. It implements routing.Destinations.
+//
+// An outcome must say whether the request may have run, since a non-idempotent one is not
+// retried then (balance.Outcome). A request that fails before its last byte was written never
+// ran. An idle connection that the destination has just closed leaves that open, so that idle
+// connections are not used for non-idempotent requests while there is reason to distrust them.
 type Destinations struct {
 	config            DestinationConfig
 	loop              *eventloop.Loop
 	core              *routing.Core
 	byID              map[balance.WorkerID]*destination
 	exchanges         map[slottable.Handle]*exchange // by route step
-	openConns         int                            // connections, those being made included
-	distrustIdleUntil time.Duration                  // until when kept connections are mistrusted
-	reportIndex       map[string]int                 // a report field's place, by each name it may have
+	openConns         int                            // connections being opened included
+	distrustIdleUntil time.Duration                  // for non-idempotent requests
+	reportIndex       map[string]int                 // index of a report field, by each of its names
 
-	unreadable uint64        // answers
-	nextLogAt  time.Duration // when to log of them again
+	unreadable uint64        // responses that could not be parsed
+	nextLogAt  time.Duration // of unreadable responses
 
 	attempts  uint64                         // route steps whose last byte has been written
-	unflushed map[*exchange]*destinationConn // those whose last byte the system has not taken yet
+	unflushed map[*exchange]*destinationConn // route steps whose last byte the operating system has not taken yet
 }
 
 // destination is one prep worker.
@@ -55,26 +61,26 @@
 	name       string
 	address    string
 	idle       []*destinationConn // oldest first
-	generation int                // counts what has been called back by hand: connections from before are void
+	generation int                // rises when an override changes: connections of an earlier one are not used any more
 }
 
-// exchange is one exchange with a destination: a route step or a probe.
+// exchange is one request to a destination and its response: a route step or a probe.
 type exchange struct {
 	step          slottable.Handle // 0: a probe
 	id            string           // of the request
-	nonIdempotent bool             // must not run twice
+	nonIdempotent bool
 	destination   *destination
 	request       []byte        // of a probe
-	work          *routing.Work // of a route step: its request is made as it is written, since it tells the time left
+	work          *routing.Work // of a route step: its request is made when it is written, since it has the remaining time
 	until         time.Duration
-	conn          *destinationConn // nil: still being made
-	abandon       func()           // gives up the making of the connection
+	conn          *destinationConn // nil: being opened
+	abandon       func()           // cancels the opening of the connection
 	sentAt        time.Duration
 	timeout       *timerqueue.Timer // of a probe
 	ended         bool
 }
 
-// NewDestinations makes the adapter.
+// NewDestinations returns the adapter, without destinations.
 func NewDestinations(config DestinationConfig, loop *eventloop.Loop, core *routing.Core) *Destinations {
 	d := &Destinations{config: config, loop: loop, core: core, byID: map[balance.WorkerID]*destination{},
 		exchanges: map[slottable.Handle]*exchange{}, reportIndex: map[string]int{}, unflushed: map[*exchange]*destinationConn{}}
@@ -89,11 +95,12 @@
 	return d
 }
 
+// reportFieldAliases are the protocol's names of report fields, by those of the settings.
 var reportFieldAliases = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
 	"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 
-// SetAddress tells where a destination is. Names are its identity; the address of
-// one may change, and with it all its idle connections are void.
+// SetAddress adds a destination or changes its address. Its name is its identity; a change of
+// the address closes its idle connections.
 func (d *Destinations) SetAddress(id balance.WorkerID, name, address string) {
 	target := d.byID[id]
 	if target == nil {
@@ -106,8 +113,8 @@
 	}
 }
 
-// InvalidateConnections has nothing more go over the connections made so far to a destination:
-// another process is to answer there. What is in work on them ends as it ends.
+// InvalidateConnections excludes a destination's present connections from further use, since
+// its process is restarted. Exchanges in progress on them continue.
 func (d *Destinations) InvalidateConnections(id balance.WorkerID) {
 	if target := d.byID[id]; target != nil {
 		target.generation++
@@ -115,15 +122,15 @@
 	}
 }
 
-// SetMaxConnections changes how many connections there may be. Idle ones over it are closed.
+// SetMaxConnections changes the most connections, and closes idle ones beyond that.
 func (d *Destinations) SetMaxConnections(sockets int) {
 	d.config.MaxConnections = sockets
 	for d.openConns > sockets && d.closeLongestIdle() {
 	}
 }
 
-// Attempts counts the route steps that have been written whole. One whose last
-// bytes wait for the system is looked at anew.
+// Attempts returns the number of route steps whose last byte the operating system has taken,
+// after another look at those that were not flushed yet.
 func (d *Destinations) Attempts() uint64 {
 	for ex, c := range d.unflushed {
 		if c.conn.Flushed() {
@@ -134,28 +141,28 @@
 	return d.attempts
 }
 
-// countWritten notes that a trip's request has been given to the system, or waits for it.
-func (d *Destinations) countWritten(ex *exchange, c *destinationConn) {
+// countWritten counts an attempt whose request was written, or remembers that it is not flushed.
+func (d *Destinations) countWritten(ex *exchange, conn *destinationConn) {
 	switch {
 	case ex.step == 0:
-	case c.conn.Flushed():
+	case conn.conn.Flushed():
 		d.attempts++
 	default:
-		d.unflushed[ex] = c
+		d.unflushed[ex] = conn
 	}
 }
 
-// countIfFlushed decides on a request that waited for the system, as its connection ends.
-func (d *Destinations) countIfFlushed(ex *exchange, c *destinationConn) {
+// countIfFlushed counts an attempt that was not flushed yet if it is now that its connection ends.
+func (d *Destinations) countIfFlushed(ex *exchange, conn *destinationConn) {
 	if _, waits := d.unflushed[ex]; waits {
 		delete(d.unflushed, ex)
-		if c.conn.Flushed() {
+		if conn.conn.Flushed() {
 			d.attempts++
 		}
 	}
 }
 
-// Name returns a destination's name; empty where it is not listed any more.
+// Name returns a destination's name, or "" if it is not listed any more.
 func (d *Destinations) Name(id balance.WorkerID) string {
 	if target := d.byID[id]; target != nil {
 		return target.name
@@ -163,7 +170,7 @@
 	return ""
 }
 
-// Remove forgets a destination. Steps that are out end as they end.
+// Remove removes a destination. Exchanges in progress continue.
 func (d *Destinations) Remove(id balance.WorkerID) {
 	d.CloseIdle(id)
 	delete(d.byID, id)
@@ -178,7 +185,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections to a destination.
+// CloseIdle implements routing.Destinations: it closes the idle connections to a destination.
 func (d *Destinations) CloseIdle(id balance.WorkerID) {
 	target := d.byID[id]
 	if target == nil {
@@ -189,11 +196,10 @@
 	}
 }
 
-// distrustIdle notes that a kept connection has failed its next request. What broke
-// it may have broken others.
+// distrustIdle records that a reused connection has failed: other idle ones may be broken too.
 func (d *Destinations) distrustIdle() { d.distrustIdleUntil = d.loop.Now() + distrustIdleTime }
 
-// Send starts a route step.
+// Send implements routing.Destinations: it starts a route step.
 func (d *Destinations) Send(step slottable.Handle, id balance.WorkerID, work *routing.Work, until time.Duration) {
 	target := d.byID[id]
 	if target == nil {
@@ -205,6 +211,7 @@
 	d.start(ex)
 }
 
+// requestBytes returns the HTTP request of a route step, with the time remaining until its deadline.
 func (d *Destinations) requestBytes(work *routing.Work, until time.Duration) []byte {
 	buffer := make([]byte, 0, 192+len(work.Target)+len(work.Body))
 	buffer = append(buffer, "POST "...)
@@ -225,7 +232,7 @@
 	return append(buffer, work.Body...)
 }
 
-// Probe asks a destination for its load.
+// Probe implements routing.Destinations: it requests a destination's load report.
 func (d *Destinations) Probe(id balance.WorkerID) {
 	target := d.byID[id]
 	if target == nil {
@@ -241,13 +248,12 @@
 	d.start(ex)
 }
 
-// start puts a trip on an idle connection, or on a new one. While kept
-// connections are mistrusted, what must not run twice gets a new one: where that
-// does not come up the request never ran, but a kept one that turns out dead
-// when the request is out leaves that open.
+// start sends an exchange on an idle connection, or on a new one. While idle connections are
+// distrusted a non-idempotent request gets a new one: if that cannot be opened, the request
+// certainly never ran, but an idle one that breaks after the write leaves that open.
 func (d *Destinations) start(ex *exchange) {
-	if c := d.takeIdle(ex); c != nil {
-		d.write(ex, c)
+	if conn := d.takeIdle(ex); conn != nil {
+		d.write(ex, conn)
 		return
 	}
 	if d.openConns >= d.config.MaxConnections && !d.closeLongestIdle() {
@@ -258,7 +264,7 @@
 	d.dial(ex)
 }
 
-// Abort gives a route step up: its connection closes, or never comes up.
+// Abort implements routing.Destinations: it abandons a route step and closes its connection.
 func (d *Destinations) Abort(step slottable.Handle) {
 	if ex := d.exchanges[step]; ex != nil {
 		delete(d.exchanges, step)
@@ -266,10 +272,10 @@
 	}
 }
 
-// detach ends a trip's part on the network without a word to the core.
+// detach closes an exchange's connection without a report to the core.
 func (d *Destinations) detach(ex *exchange) {
 	if ex.abandon != nil {
-		ex.abandon() // it counts as open until its socket is closed
+		ex.abandon() // the connection counts as open until its socket is closed
 		ex.abandon = nil
 	}
 	if c := ex.conn; c != nil && c.exchange == ex {
@@ -279,14 +285,14 @@
 	}
 }
 
-// conclude tells the outcome of a trip, once.
+// conclude reports the outcome of an exchange to the core, once.
 func (d *Destinations) conclude(ex *exchange, end routing.StepEnd) {
 	if ex.ended {
 		return
 	}
 	ex.ended = true
 	if c := d.unflushed[ex]; c != nil {
-		// It answers, so that it has all; or it could not read the rest.
+		// The destination has answered, so that the request was flushed, or it rejected it early.
 		d.countIfFlushed(ex, c)
 	}
 	d.loop.Timers.Cancel(ex.timeout)
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// News counts as told 6 s after a watch has fallen silent, whether it came or not. The end of a hold
-	// is answered at once, so that a silent watch is given up soon after it. A call that begins anew
-	// waits for its turn: the service answers or refuses it within 2 s, and one that is given up
-	// before that has taken a turn from others for nothing.
-	maxWatchHold      = 2 * time.Second // at most, and half of it at least
+	// The platform's rules count a change as known to the node 6 s after a watch has fallen silent, whether
+	// or not it was received. The service answers at once when a watch's hold time ends, so that a silent
+	// watch is abandoned soon after it. A call that does not wait for changes is queued there: the service
+	// answers or rejects it within 2 s, and one abandoned before that would waste its place in the queue.
+	maxWatchHold      = 2 * time.Second // the hold time is between half of it and all of it
 	firstHold         = time.Millisecond
-	watchAnswerGrace  = 600 * time.Millisecond  // past the hold
-	queuedCallTimeout = 2200 * time.Millisecond // of a call that may not wait for news
-	maxListBytes      = 8 << 20                 // most bytes of a list
+	watchAnswerGrace  = 600 * time.Millisecond  // beyond the hold time
+	queuedCallTimeout = 2200 * time.Millisecond // of a call without a hold time
+	maxListBytes      = 8 << 20                 // of an answer
 
-	// Where lists are pushed, the address is an agent's on the node's own machine: a call costs
-	// nothing and is answered at once, or not while the service is down. What the agent has
-	// counts as told, so that silence is not waited out for long.
+	// With pushed lists the address is that of an agent on the node's own machine: a call costs
+	// nothing and is answered at once, unless the service is down. What the agent has counts as
+	// known to the node, so that the time-out is short.
 	pushedHold       = time.Second
 	pushedTimeout    = 300 * time.Millisecond
-	pushedRetryDelay = 100 * time.Millisecond // after a call that failed, half as much more or less
+	pushedRetryDelay = 100 * time.Millisecond // after a failed call, jittered by half of it either way
 )
 
-// Endpoint is one entry of the pool config's list.
+// Endpoint is one entry of the pool config's list: a prep worker.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -41,27 +41,32 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// EndpointList is an answer of the pool config.
+// EndpointList is an answer of the pool config: all endpoints (a snapshot), or those that
+// changed since an earlier version.
 type EndpointList struct {
 	Version  uint64     `json:"index"`
 	Snapshot bool       `json:"snapshot"`
 	Entries  []Endpoint `json:"endpoints"`
 }
 
-// DiscoveryConfig is what the pool config's side is told.
+// DiscoveryConfig configures the calls to the pool config.
 type DiscoveryConfig struct {
 	Address        string
-	Zones, Kinds   []string // their numbers are their places here
+	Zones, Kinds   []string // numbered by their index
 	ConnectTimeout time.Duration
 	CachedList     EndpointList
-	Overrides      override.Overrides // laid over each list; nil: none
+	Overrides      override.Overrides // applied to each list; nil: none
 	WarmupTime     time.Duration
-	Jitter         func() float64 // from 0 to 1, by which holds differ: watches that open together would end together; nil: they do not
-	Pushed         bool           // the list is an agent's: watched from the start on, whatever the module asks for
+	Jitter         func() float64 // draws from [0, 1) to vary the hold times, lest watches opened together end together; nil: no variation
+	Pushed         bool           // the address is an agent's: watched from the start on, whether or not the balancer subscribes
 }
 
-// Discovery asks the pool config for the list of destinations, and keeps the
-// core and the destinations informed.
+// Discovery fetches and watches the pool config's endpoint list, and publishes it to the core
+// and to Destinations. It implements routing.Pool.
+//
+// The balancer subscribes (Watch) and fetches; a watch is a long poll that is repeated until
+// the balancer unsubscribes. A failed call is retried once at once (discovery_call.go); after
+// that the balancer is told and asks again when it sees fit.
 type Discovery struct {
 	config           DiscoveryConfig
 	loop             *eventloop.Loop
@@ -69,47 +74,47 @@
 	destinations     *Destinations
 	version          uint64
 	names            map[balance.WorkerID]string
-	listed           map[balance.WorkerID]balance.WorkerListing // as the list has them
-	answered         bool                                       // the pool config has answered since the start
-	excludeWarmingUp bool                                       // cold destinations are for another process of this node
-	watch            *discoveryCall                             // the watch; nil: none
+	listed           map[balance.WorkerID]balance.WorkerListing // without overrides
+	answered         bool                                       // the pool config has been heard since the start
+	excludeWarmingUp bool                                       // destinations that warm up are left to another process of this node
+	watch            *discoveryCall                             // in progress; nil: none
 	fetch            *discoveryCall
-	watchWanted      bool // the module has asked for a watch, and not ended it
-	firstPoll        bool // the watch in work is the one that answers the module's wish
+	watchWanted      bool // the balancer is subscribed
+	firstPoll        bool // the watch in progress answers at once, as the subscription's first
 	rejectedEntries  uint64
-	agentSilent      bool // the agent does not answer
+	agentSilent      bool // logged already
 	counts           CallCounts
 }
 
-// CallCounts are the calls for the list since the start, repeats included: all, and by how they ended. The
-// rest were broken off, could not be read, or are out.
+// CallCounts are the calls to the pool config since the start, retries included: all, and those
+// answered, rejected and timed out. The others were broken off or malformed, or are in progress.
 type CallCounts struct{ Asked, Answered, Refused, Silent uint64 }
 
-// NewDiscovery makes the adapter.
+// NewDiscovery returns the adapter; Start publishes the cached list.
 func NewDiscovery(config DiscoveryConfig, loop *eventloop.Loop, core *routing.Core, to *Destinations) *Discovery {
 	return &Discovery{config: config, loop: loop, core: core, destinations: to, version: config.CachedList.Version,
 		names: map[balance.WorkerID]string{}, listed: map[balance.WorkerID]balance.WorkerListing{}}
 }
 
-// Answered tells whether the list is as the pool config had it since this start.
+// Answered reports whether the pool config has answered since the start.
 func (d *Discovery) Answered() bool { return d.answered }
 
-// Counts returns the totals of the calls.
+// Counts returns the totals of the calls since the start.
 func (d *Discovery) Counts() CallCounts { return d.counts }
 
 // Listed returns the number of destinations in the list.
 func (d *Discovery) Listed() int { return len(d.listed) }
 
-// Find returns the number of a destination that the list has named at some time.
+// Find returns the ID of a destination that any list since the start has named.
 func (d *Discovery) Find(name string) (balance.WorkerID, bool) {
 	id := workerIDOf(name)
 	return id, d.names[id] == name
 }
 
-// NameOf returns the name of a destination that the list has named at some time.
+// NameOf returns the name of a destination that any list since the start has named.
 func (d *Discovery) NameOf(id balance.WorkerID) string { return d.names[id] }
 
-// ZoneOf names the zone of a listed destination.
+// ZoneOf returns the zone of a listed destination.
 func (d *Discovery) ZoneOf(id balance.WorkerID) (string, bool) {
 	l, ok := d.listed[id]
 	if !ok || l.Zone >= len(d.config.Zones) {
@@ -118,8 +123,7 @@
 	return d.config.Zones[l.Zone], true
 }
 
-// Republish tells the core anew of one destination, as when a word by hand on it has
-// changed.
+// Republish publishes one destination to the core again, as when its manual override has changed.
 func (d *Discovery) Republish(id balance.WorkerID) {
 	if listing, ok := d.listed[id]; ok {
 		d.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges, Version: d.version,
@@ -127,8 +131,8 @@
 	}
 }
 
-// ExcludeWarmingUp has nothing new go to cold destinations from now on: another process
-// of this node has what may be sent there.
+// ExcludeWarmingUp makes destinations that warm up count as draining from now on: another
+// process of this node uses their slow-start allowance.
 func (d *Discovery) ExcludeWarmingUp() {
 	d.excludeWarmingUp = true
 	for id := range d.listed {
@@ -136,7 +140,7 @@
 	}
 }
 
-// effective gives a destination's entry as the core is to see it.
+// effective returns a destination's listing as the core sees it, with override and warm-up applied.
 func (d *Discovery) effective(id balance.WorkerID, listing balance.WorkerListing) balance.WorkerListing {
 	listing = d.config.Overrides.Apply(d.names[id], listing)
 	if d.excludeWarmingUp && listing.State == balance.Ready && d.loop.Now()-listing.Started < d.config.WarmupTime {
@@ -145,7 +149,7 @@
 	return listing
 }
 
-// Start tells the core the list as this node last had it.
+// Start publishes the cached list, and opens the watch where lists are pushed.
 func (d *Discovery) Start() {
 	d.publish(balance.ListCached, d.config.CachedList)
 	if d.config.Pushed {
@@ -153,8 +157,8 @@
 	}
 }
 
-// nextHold is how long the watch may wait for news. Its first call waits for nothing: the module gets its one answer
-// at once.
+// nextHold returns how long the service may hold the next watch until there is a change. The first is not held, so that the
+// balancer gets an answer at once.
 func (d *Discovery) nextHold() time.Duration {
 	switch {
 	case d.firstPoll:
@@ -167,7 +171,7 @@
 	return maxWatchHold/2 + time.Duration(d.config.Jitter()*float64(maxWatchHold/2)).Truncate(time.Millisecond)
 }
 
-// answerTimeout is what an answer may take beyond the call's hold.
+// answerTimeout returns the time-out of an answer, beyond the call's hold time.
 func (d *Discovery) answerTimeout(call *discoveryCall) time.Duration {
 	switch {
 	case d.config.Pushed:
@@ -178,13 +182,12 @@
 	return queuedCallTimeout
 }
 
-// Address is where the pool config is asked.
+// Address returns the pool config's address.
 func (d *Discovery) Address() string { return d.config.Address }
 
-// SetAddress goes on with the pool config at another address, at once: what was open
-// is asked anew there, and so is a watch that the module would have asked for
-// again only later. The list and its version stay. That the old connections end
-// is no failure, and the module does not hear of it.
+// SetAddress moves to another address of the pool config. Calls in progress are made again
+// there at once, and so is a watch that the balancer would have reopened only later. The list
+// and its version stay. The end of the old connections is not reported as a failure.
 func (d *Discovery) SetAddress(address string) {
 	if address == d.config.Address {
 		return
@@ -206,7 +209,7 @@
 	}
 }
 
-// Watch opens the standing watch, or ends it.
+// Watch implements routing.Pool: it starts or ends watching the list.
 func (d *Discovery) Watch(on bool) {
 	d.watchWanted = on
 	if !on {
@@ -223,7 +226,7 @@
 	}
 }
 
-// Fetch asks for the whole list once.
+// Fetch implements routing.Pool: it fetches the complete list once.
 func (d *Discovery) Fetch() {
 	if d.fetch == nil {
 		d.fetch = &discoveryCall{owner: d}
@@ -231,7 +234,7 @@
 	}
 }
 
-// pollWatch has the watch ask for what comes next.
+// pollWatch sends the watch's next long poll.
 func (d *Discovery) pollWatch() {
 	d.watch.hold = d.nextHold()
 	d.send(d.watch, "/v1/servers?from="+strconv.FormatUint(d.version, 10)+
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -13,17 +13,17 @@
 	"ospreybend/internal/util/http1"
 )
 
-// discoveryCall is one exchange with the pool config on a connection of its own, which a
-// watch keeps for the next.
+// discoveryCall is one HTTP call to the pool config on a connection of its own, which a watch
+// reuses for its next call.
 type discoveryCall struct {
 	owner      *Discovery
 	conn       *eventloop.Conn
 	abandon    func()
 	timeout    *timerqueue.Timer
 	target     string
-	hold       time.Duration // how long it may wait for news
-	retried    bool          // asked a second time, after the first failed
-	pending    bool          // an answer is owed
+	hold       time.Duration // how long the service may wait for a change
+	retried    bool          // this is the one retry after a failure
+	pending    bool          // waits for an answer
 	headRead   bool
 	status     int
 	closeAfter bool
@@ -31,14 +31,15 @@
 	response   []byte
 }
 
+// send makes a call, on its connection or on a new one.
 func (d *Discovery) send(call *discoveryCall, target string) {
 	request := []byte("GET " + target + " HTTP/1.1\r\nHost: " + d.config.Address + "\r\n\r\n")
 	call.target, call.pending, call.headRead, call.response = target, true, false, nil
 	slog.Debug("pool config asked", "target", target)
 	d.counts.Asked++
 	call.timeout = d.loop.Timers.Add(d.loop.Now()+call.hold+d.answerTimeout(call), func() {
-		// Silence is no sign of a crowd, in which a call is refused: what broke the connection is
-		// over, or it is not, and what is owed is owed soon.
+		// A time-out is retried each time: an overloaded service rejects calls instead, and the
+		// change that the node may have missed is due soon.
 		call.retried = call.retried && d.config.Pushed
 		d.counts.Silent++
 		call.fail("no answer in time")
@@ -64,7 +65,7 @@
 	}, func() {})
 }
 
-// close ends the call's part on the network.
+// close cancels the call's time-out and closes its connection.
 func (c *discoveryCall) close() {
 	c.owner.loop.Timers.Cancel(c.timeout)
 	if c.abandon != nil {
@@ -77,15 +78,15 @@
 	}
 }
 
-// fail ends a call that has no answer. It is made once more at once, and each time after
-// silence, on a new connection and without a hold: the service may have closed the old one or
-// come up anew, and what it had to tell meanwhile is owed soon. After that the
-// module asks anew when it sees fit.
+// fail ends a call that got no answer. It is retried once, and each time after a time-out, on
+// a new connection and without a hold time: the service may have closed the old connection or
+// restarted, and the changes meanwhile are due soon. After that the balancer is told, which
+// asks again when it sees fit.
 func (c *discoveryCall) fail(why string) {
 	d := c.owner
 	c.close()
 	if !c.retried && (c == d.watch || c == d.fetch) {
-		slog.Info("pool config asked again", "reason", why)
+		slog.Info("pool config call retried", "reason", why)
 		c.retried = true
 		if c == d.watch {
 			d.firstPoll = true
@@ -111,10 +112,10 @@
 	d.core.PoolChanged(balance.ListUpdate{Kind: balance.ListFailed, Version: d.version})
 }
 
-// retryAgent has the agent asked again soon: it answers nothing while the service is down.
+// retryAgent schedules the next call to the agent, which does not answer while the service is down.
 func (d *Discovery) retryAgent(why string) {
 	if !d.agentSilent {
-		slog.Warn("the agent does not answer", "reason", why)
+		slog.Warn("agent does not answer", "reason", why)
 		d.agentSilent = true
 	}
 	wait := pushedRetryDelay/2 + time.Duration(rand.Int64N(int64(pushedRetryDelay)))
@@ -125,7 +126,8 @@
 	})
 }
 
-// Closed is the pool config's end of the connection.
+// Closed implements eventloop.Handler: the connection has ended. A body without a length is
+// complete with that.
 func (c *discoveryCall) Closed(*eventloop.Conn) {
 	c.conn = nil
 	if c.headRead && c.body.UntilClose && c.pending {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Data takes in an answer.
+// Data implements eventloop.Handler: it parses the answer.
 func (c *discoveryCall) Data(conn *eventloop.Conn, in []byte) int {
 	used := 0
 	for conn.Open() {
@@ -175,15 +177,15 @@
 	return len(in)
 }
 
-// finish takes in a whole answer, and has the next watch on its way at once: a
-// later one would count as a new watch.
+// finish processes a complete answer. A watch's next call is sent at once, before the list is
+// published: a later one would count as a new watch.
 func (c *discoveryCall) finish() {
 	d := c.owner
 	d.loop.Timers.Cancel(c.timeout)
 	c.pending = false
 	if c.status != 200 {
 		d.counts.Refused++
-		c.retried = true // a service that is down or behind is not to be asked twice
+		c.retried = true // no retry: the service is down or overloaded
 		c.fail("status " + strconv.Itoa(c.status))
 		return
 	}
@@ -214,8 +216,8 @@
 		case list.Snapshot || list.Version >= d.version:
 			d.version = list.Version
 		default:
-			// Another service answers, or one that has begun anew: changes since then say
-			// nothing of what is listed here. All of it is asked for, at once.
+			// Another instance of the service answers, or one that has lost its state: its
+			// changes do not apply to the list here. The complete list is requested at once.
 			slog.Warn("pool config: the version goes backwards", "from", d.version, "to", list.Version)
 			d.version, d.firstPoll, quiet = 0, true, true
 		}
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -17,29 +17,29 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// turns is a pool config for many nodes, on the test's clock: a call that may not wait for news takes its
-// turn, and is refused at once where that would come too late. The end of a hold costs nothing.
-type turns struct {
-	each, longest time.Duration
-	version       int
-	news          bool // to be told on the watches, this once
-	mute          bool // nothing comes on the watches any more
+// serialService is a pool config for many nodes, on the test's clock: it answers calls without a hold time one after the
+// other, and rejects at once those that would wait too long. The end of a hold time costs nothing.
+type serialService struct {
+	callTime, maxWait time.Duration
+	version           int
+	pendingChange     bool // to be sent on the watches, once
+	silent            bool // nothing comes on the watches any more
 
-	mu             sync.Mutex
-	came, ended    int // calls, connections
-	fresh, waiting []*turn
-	watches        []*turn
-	dead           map[net.Conn]bool
-	free           time.Duration // when the turns given so far are over
+	mu               sync.Mutex
+	calls, ended     int // calls, connections
+	arrived, waiting []*queuedCall
+	watches          []*queuedCall
+	dead             map[net.Conn]bool
+	busyUntil        time.Duration // when the turns given so far are over
 }
 
-type turn struct {
+type queuedCall struct {
 	conn net.Conn
 	hold time.Duration
 	at   time.Duration // when it is answered; 0: not given yet
 }
 
-func (s *turns) serve(l net.Listener) {
+func (s *serialService) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -57,70 +57,70 @@
 					return
 				}
 				hold, _ := strconv.Atoi(r.FormValue("hold_ms"))
-				c := &turn{conn: conn, hold: time.Duration(hold) * time.Millisecond}
-				s.came++
-				s.fresh = append(s.fresh, c)
+				c := &queuedCall{conn: conn, hold: time.Duration(hold) * time.Millisecond}
+				s.calls++
+				s.arrived = append(s.arrived, c)
 				s.mu.Unlock()
 			}
 		}()
 	}
 }
 
-// run answers and refuses what is due now, and returns how many calls those were.
-func (s *turns) run(now time.Duration) (told int) {
+// run answers and rejects the calls that are due now, and returns their number.
+func (s *serialService) run(now time.Duration) (told int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.fresh {
+	for _, c := range s.arrived {
 		if c.hold > time.Millisecond {
 			c.at = now + c.hold
 			s.watches = append(s.watches, c)
 			continue
 		}
-		if s.free = max(s.free, now); s.free+s.each-now > s.longest {
+		if s.busyUntil = max(s.busyUntil, now); s.busyUntil+s.callTime-now > s.maxWait {
 			fmt.Fprint(c.conn, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 			told++
 			continue
 		}
-		s.free += s.each
-		c.at = s.free
+		s.busyUntil += s.callTime
+		c.at = s.busyUntil
 		s.waiting = append(s.waiting, c)
 	}
-	s.fresh = nil
-	s.watches = slices.DeleteFunc(s.watches, func(c *turn) bool {
-		ends := s.news || !s.mute && now >= c.at
+	s.arrived = nil
+	s.watches = slices.DeleteFunc(s.watches, func(c *queuedCall) bool {
+		ends := s.pendingChange || !s.silent && now >= c.at
 		if ends {
-			s.tell(c)
+			s.answer(c)
 			told++
 		}
 		return ends
 	})
-	s.news = false
+	s.pendingChange = false
 	for len(s.waiting) > 0 && s.waiting[0].at <= now {
 		c := s.waiting[0]
 		s.waiting = s.waiting[1:]
 		if s.dead[c.conn] {
 			continue // its turn was for nothing
 		}
-		s.tell(c)
+		s.answer(c)
 		told++
 	}
 	return told
 }
 
-func (s *turns) tell(c *turn) {
+func (s *serialService) answer(c *queuedCall) {
 	list := fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[]}`, s.version)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
 
-// Many nodes start together, and the pool config does few calls in a second: what it has is known to all within
-// the 6 s after which it counts as told, as far as it can answer so many by then. Then a change ends all watches in one
-// instant, so that they are opened anew together, and all fall silent. They do not end together: the service has calls to
-// answer as early as half of the longest hold later.
+// Many nodes start together, and the pool config answers few calls a second: its list is known to all within the 6 s after
+// which it counts as known, as far as it can answer so many by then. Then a change ends all watches at once, so that they
+// are reopened together, and all fall silent. They do not end together: the service has calls to answer as early as half
+// of the longest hold time later.
 func TestDiscovery_manyClientsAtASerialService(t *testing.T) {
 	const nodes, known = 16, 6 * time.Second
 	for seed := range uint64(5) {
 		stage := scriptedpeer.New(t)
-		service := &turns{each: 200 * time.Millisecond, longest: 2 * time.Second, version: 8, dead: map[net.Conn]bool{}}
+		service := &serialService{callTime: 200 * time.Millisecond, maxWait: 2 * time.Second, version: 8, dead: map[net.Conn]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -166,7 +166,7 @@
 				}
 				service.mu.Lock()
 				defer service.mu.Unlock()
-				return int(sum.Asked) == service.came && int(sum.Answered+sum.Refused) == told &&
+				return int(sum.Asked) == service.calls && int(sum.Answered+sum.Refused) == told &&
 					int(sum.Refused+sum.Silent) == service.ended
 			}
 			stage.Until(level)
@@ -182,10 +182,10 @@
 			}
 		}
 		allKnow("start", known)
-		service.version, service.news, knowing, began = 9, true, 0, now()
+		service.version, service.pendingChange, knowing, began = 9, true, 0, now()
 		allKnow("news", 100*time.Millisecond)
-		service.version, service.mute, knowing, began = 10, true, 0, now()
+		service.version, service.silent, knowing, began = 10, true, 0, now()
 		// From half of the longest hold on the service has calls to answer, so many one after the other.
-		allKnow("silence", min(known, maxWatchHold/2+watchAnswerGrace+nodes*service.each+watchAnswerGrace))
+		allKnow("silence", min(known, maxWatchHold/2+watchAnswerGrace+nodes*service.callTime+watchAnswerGrace))
 	}
 }
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -16,8 +16,8 @@
 
 const sameList = `{"index":8,"snapshot":false,"endpoints":[]}`
 
-// A watch may fall silent at any moment of its hold, with its connection open. It is given
-// up and asked anew well before what it misses counts as told, 6 s after it fell silent.
+// A watch may fall silent at any moment of its hold time, with its connection open. It is abandoned
+// and retried well before what it misses counts as known, 6 s after it fell silent.
 func TestDiscovery_silentAtAnyMomentOfTheWatch(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
@@ -49,7 +49,7 @@
 	}
 }
 
-// An answer may come split at any byte, and indented.
+// An answer may be split at any byte, and indented.
 func TestDiscovery_listSplitAndIndented(t *testing.T) {
 	text := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -58,7 +58,7 @@
 		w.Words["one"], w.Words["two"] = whole[:at], whole[at:]
 		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
 		if at+3 >= len(whole) && w.ready("s-1") {
-			t.Error("the change was not taken in")
+			t.Error("the change was not applied")
 		}
 	}
 }
@@ -72,8 +72,8 @@
 	return is
 }
 
-// The version goes backwards, as where another service answers or one has begun anew. Changes since
-// then do not fit the list here: all of it is asked for at once, and the watch goes on from there.
+// The version goes backwards, as when another instance answers or one has lost its state. Its changes
+// do not apply to the list here: the complete list is requested at once, and the watch continues from it.
 func TestDiscovery_versionGoesBackwards(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = answered(sameList)
@@ -85,12 +85,11 @@
 	}
 	w.Play("p send {all}\np expect from=3&hold_ms=2000")
 	if w.ready("s-1") || !w.ready("s-2") {
-		t.Error("the whole list does not count")
+		t.Error("the complete list does not count")
 	}
 }
 
-// A call cut in the middle of its answer is one that failed: it is asked anew at once, and
-// nothing of it counts.
+// A call whose answer breaks off has failed: it is retried at once, and nothing of its answer counts.
 func TestDiscovery_listCutInTheMiddle(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = answered(sameList)
@@ -110,10 +109,10 @@
 	}
 }
 
-// The pool config goes down just as a prep worker is told to drain, and stays down for long: it
-// refuses, says nothing, breaks off, or answers without an end. It may return right behind any call,
-// which is lost too, and take 2 s to answer the next: no two lie further apart than 4 s, so that the
-// change is known within 6 s of the return, whatever time for asking the settings give.
+// The pool config goes down just as a prep worker begins to drain, and stays down for long: it
+// rejects calls, is silent, breaks off, or answers without an end. It may return right after any call,
+// which is lost too, and take 2 s to answer the next: no two calls are more than 4 s apart, so that the
+// change is known within 6 s of the return, whatever subscription time the settings allow.
 func TestDiscovery_serviceDownDuringAChange(t *testing.T) {
 	const known, turn = 6 * time.Second, 2 * time.Second
 	for how, says := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
@@ -126,7 +125,7 @@
 			w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
 			w.Words["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
 			if _, came := w.Await("pool", 5*time.Second); !came {
-				t.Fatal("never asked")
+				t.Fatal("no call was made")
 			}
 			w.Play("p0 accept pool\np0 expect hold_ms=1 HTTP/1.1\np0 send {same}\np0 expect from=8&hold_ms=2000\np0 send {down}\np0 closed")
 			gone := time.Duration(0)
@@ -137,7 +136,7 @@
 				}
 				name := fmt.Sprint("p", n)
 				w.Play(name + " accept pool\n" + name + " expect from=8")
-				if gone >= down { // the first that is made after the return
+				if gone >= down { // the first call after the return
 					w.Play(lines(name+" send {drains}", name+" expect from=9&hold_ms=2000"))
 					break
 				}
@@ -158,8 +157,8 @@
 	}
 }
 
-// Where lists are pushed the agent is asked from the start on, soon again while it is silent,
-// and clients are to come once it has been asked.
+// Where lists are pushed the agent is watched from the start on and retried soon while it is
+// silent, and the node is healthy once the agent has answered.
 func TestDiscovery_pushedList(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
@@ -175,7 +174,7 @@
 		p expect from=9&hold_ms=1000
 	`)
 	if w.ready("s-1") {
-		t.Error("what the agent has is not taken in")
+		t.Error("the agent's list is not applied")
 	}
 	w.Play(`
 		# The service is down: the agent says nothing.
@@ -194,12 +193,12 @@
 		r expect from=10&hold_ms=1000
 	`)
 	if !w.ready("s-1") {
-		t.Error("the agent speaks again and is not heard")
+		t.Error("the agent answers again and its list is not applied")
 	}
 }
 
-// What is wrong with an entry is logged by the entry and the field, and counted; the
-// destination stays as it was last told, and the others are taken in.
+// An invalid entry is counted and logged with its index and field; its destination keeps the
+// last valid listing, and the other entries are applied.
 func TestDiscovery_invalidEntries(t *testing.T) {
 	var log bytes.Buffer
 	old := slog.Default()
@@ -229,7 +228,7 @@
 		spoilt = w.discovery.RejectedEntries()
 	})
 	if len(names) != 3 || !w.ready("s-1") || !w.ready("s-2") || !w.ready("s-6") || spoilt != 6 {
-		t.Errorf("listed %v, %d entries passed over", names, spoilt)
+		t.Errorf("listed %v, %d entries rejected", names, spoilt)
 	}
 	for _, want := range []string{"entry=0 destination=s-1 fault=\"address:", "entry=2 destination=s-2 fault=\"name: comes twice", "entry=3 destination=\"\" fault=\"name: missing",
 		"entry=4 destination=s-3 fault=\"status:", "entry=5 destination=s-4 fault=\"since_ms: 9000000000000000 lies in the future", "entry=6 destination=s-5 fault=\"since_ms: -1"} {
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -10,8 +10,7 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// fixture is a node on a stage, with stand-ins for its destinations and its pool
-// config.
+// fixture is a node with scripted destinations and a scripted pool config.
 type fixture struct {
 	*scriptedpeer.Stage
 	core         *routing.Core
@@ -20,9 +19,9 @@
 	discovery    *Discovery
 }
 
-// newFixture sets up a node of two destinations, both played by the stand-in
-// "workers", with two classes: 'pruefen' may be repeated, 'buchen' must never
-// run twice.
+// newFixture starts a node of two destinations, both played by the scripted peer "workers",
+// with two classes: 'pruefen' is idempotent, 'buchen' (a booking) must never run twice.
+// change may alter the settings.
 func newFixture(t *testing.T, change func(*balance.Settings, *FrontConfig)) *fixture {
 	t.Helper()
 	w := &fixture{Stage: scriptedpeer.New(t)}
@@ -70,13 +69,14 @@
 	return w
 }
 
-// outcomes returns how often each outcome came, as told to the module.
+// outcomes returns how often each outcome was reported to the balancer.
 func (w *fixture) outcomes() (n [balance.NotSent + 1]uint64) {
 	w.Loop.Call(func() { n = w.core.Counts().Outcomes })
 	return n
 }
 
-func (w *fixture) balanced(t *testing.T) {
+// checkTotals checks that each operation has one final answer or is open.
+func (w *fixture) checkTotals(t *testing.T) {
 	t.Helper()
 	w.Loop.Call(func() {
 		c := w.core.Counts()
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -15,7 +15,7 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// A request that comes in pieces, cut at any byte, is what it is in one piece.
+// A request received in fragments, split at any byte, is parsed as in one piece.
 func TestServer_requestsSplitAnywhere(t *testing.T) {
 	head := "POST /a HTTP/1.1\r\n"
 	chunked := head + "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"
@@ -34,7 +34,7 @@
 			if i < len(whole) && !every && !rapid.Bool().Draw(t, "cut") {
 				continue
 			}
-			// Each time at another place in memory, as buffers grow and move.
+			// Each time at another address, as buffers grow and move.
 			if m, used, err := r.read(bytes.Clone([]byte(whole[:i]))); used > 0 || err != nil {
 				got = seen(m, used, err)
 			}
@@ -45,8 +45,8 @@
 	})
 }
 
-// drip sends a text byte by byte, and has the loop turn after each.
-func (w *fixture) drip(name, text string) {
+// sendByteByByte sends a text byte by byte, with a turn of the loop after each.
+func (w *fixture) sendByteByByte(name, text string) {
 	for i := 0; i < len(text); i++ {
 		part := text[i : i+1]
 		switch part {
@@ -69,24 +69,24 @@
 	w.Loop.Call(w.discovery.Fetch)
 	w.Play("p accept pool\np expect GET /v1/servers")
 	list := `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + w.destinations.byID[workerIDOf("s-1")].address + `","status":"Ready","weight":1}]}`
-	w.drip("p", fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(list), list))
+	w.sendByteByByte("p", fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(list), list))
 	w.Until(func() bool { return len(w.destinations.byID) == 1 })
 	w.Play("c dial front")
-	w.drip("c", w.Words["ask"])
+	w.sendByteByByte("c", w.Words["ask"])
 	w.Play("s accept workers\ns expect \\r\\n\\r\\nhi")
-	w.drip("s", w.Words["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+w.Words["done"])
+	w.sendByteByByte("s", w.Words["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+w.Words["done"])
 	w.Play("c expect HTTP/1.1 200\nc expect fine\nc send {ask}\ns expect hi")
-	w.drip("s", `HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nfull`)
+	w.sendByteByByte("s", `HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nfull`)
 	w.Play("o dial admin")
-	w.drip("o", `GET /-/ready HTTP/1.1\r\n\r\n`)
+	w.sendByteByByte("o", `GET /-/ready HTTP/1.1\r\n\r\n`)
 	w.Play("o expect HTTP/1.1 200\no closed")
 	if n := w.outcomes(); n[balance.Served] != 1 || n[balance.Full] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
 
-// A prep worker's answer ends at any byte, with the connection. Only a whole last line is a result, its chunk whole or not, and only
-// a whole answer that declines proves that nothing ran: else a booking has failed, and is not sent again.
+// A prep worker's response breaks off at any byte, with the connection. Only a complete final line is a result, whether or not its
+// chunk is complete, and only a complete rejection proves that nothing ran: else a booking has failed, and is not retried.
 func TestDestinations_responsesCutAnywhere(t *testing.T) {
 	type answer struct {
 		text string
@@ -110,18 +110,18 @@
 			then := "c expect HTTP/1.1 502"
 			if end >= a.from {
 				if then = a.then; then == "" {
-					then = "c expect HTTP/1.1 503" // it may come back: nothing ran
+					then = "c expect HTTP/1.1 503" // it may be repeated: nothing ran
 				}
 			}
 			w.Play(lines("c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send {cut}", "s close", then))
 		}
 		t.Log(name, len(a.text))
-		w.balanced(t)
+		w.checkTotals(t)
 	}
 }
 
-// An answer whose last line has come and whose end never does: its client is served, and its connection is not kept for
-// ever. There would be no descriptor for the next ones.
+// A response whose final line arrives and whose end never does: its client is served, and its connection is closed after a
+// time, lest the descriptors be used up.
 func TestDestinations_responsesWithoutAnEnd(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Words["endless"] = strings.TrimSuffix(w.Words["done"], `0\r\n\r\n`)
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -16,44 +16,47 @@
 )
 
 const (
-	maxDeadline = time.Hour // a client that names a longer one waits as long as this
-	maxIDBytes  = 256       // most bytes of a Req-Id, and of a client's own key
+	maxDeadline = time.Hour // a longer deadline is cut to it
+	maxIDBytes  = 256       // of a Req-Id, an Idempotency-Key and an endpoint's name
 
-	idempotencyKey = "Idempotency-Key" // passes on as it comes
+	idempotencyKey = "Idempotency-Key" // forwarded unchanged
 )
 
-// FrontConfig is what the platform front is told.
+// FrontConfig configures the platform front.
 type FrontConfig struct {
 	Listen           string
-	MaxSockets       int            // front sockets at most
-	MaxBufferedBytes int            // bytes of input held at most
+	MaxSockets       int            // connections at most
+	MaxBufferedBytes int            // of unprocessed input, over all connections
 	Classes          map[string]int // by name
 	Tenants          map[string]int
-	DefaultTimeouts  []time.Duration // by class: the deadline where a client names none
-	RetryAdvice      bool            // advice on when to come back is allowed
-	Healthy          func() bool     // whether clients are to come; nil: where any destination is ready
+	DefaultTimeouts  []time.Duration // by class: the deadline if a client names none
+	RetryAdvice      bool            // whether 503 answers may have Retry-After
+	Healthy          func() bool     // the answer of /healthz; nil: whether any destination is ready
 }
 
-// Front is the platform's front: clients' requests in, final answers out.
+// Front serves the platform's clients. Each valid request becomes one operation of the core,
+// whose final answer becomes the response. It implements routing.Owner and routing.Waiter.
 type Front struct {
 	*Server
 	config       FrontConfig
 	core         *routing.Core
 	calls        map[slottable.Handle]*Call // by operation
-	openIDs      map[string]bool            // the ids of the operations in work
-	shuttingDown bool                       // told to stop: not healthy any more
+	openIDs      map[string]bool            // Req-Ids of the operations in progress
+	shuttingDown bool                       // /healthz answers 503
 }
 
-// NewFront makes the front; Start opens it.
+// NewFront returns the platform front; Start opens it.
 func NewFront(config FrontConfig, loop *eventloop.Loop, core *routing.Core) *Front {
 	f := &Front{config: config, core: core, calls: map[slottable.Handle]*Call{}, openIDs: map[string]bool{}}
 	f.Server = NewServer(loop, config.Listen, config.MaxSockets, config.MaxBufferedBytes, f.handle)
 	return f
 }
 
-// BeginShutdown tells the front that the node is to stop soon; it serves on.
+// BeginShutdown makes /healthz answer 503, so that clients go elsewhere. Requests are still
+// served, until Stop.
 func (f *Front) BeginShutdown() { f.shuttingDown = true }
 
+// healthy reports whether the node can serve requests.
 func (f *Front) healthy() bool {
 	if f.config.Healthy != nil {
 		return f.config.Healthy()
@@ -61,6 +64,7 @@
 	return f.core.AnyReady()
 }
 
+// handle serves one request: the health check, or an operation.
 func (f *Front) handle(call *Call) {
 	path, _, _ := bytes.Cut(call.Target, []byte{'?'})
 	if string(path) == "/healthz" {
@@ -89,8 +93,8 @@
 		call.Reject(err.Status, err.Reason)
 		return
 	}
-	// A second one would be a second copy to the destinations, and what it brings
-	// about could end the first, which is another client's.
+	// Destinations tell requests apart by Req-Id: the outcome of a second one of the same
+	// Req-Id could end the first, which may be another client's.
 	id := operation.Work.ID
 	if f.openIDs[id] {
 		call.Reject(409, "a request of this Req-Id is in work")
@@ -99,10 +103,11 @@
 	operation.Owner = f
 	handle := f.core.Accept(operation)
 	call.id = id
-	f.register(handle, call) // first, as the answer may come before Route returns
+	f.register(handle, call) // before Route, which may give the answer already
 	f.core.Route(handle)
 }
 
+// register links an operation to its call, and withdraws it if the client disconnects.
 func (f *Front) register(handle slottable.Handle, call *Call) {
 	f.calls[handle] = call
 	f.openIDs[call.id] = true
@@ -132,23 +137,37 @@
 	case len(operation.Work.ID) > maxIDBytes || !http1.IsToken(operation.Work.ID):
 		return operation, malformed("Req-Id is malformed")
 	}
+	if fault := parseDeadlineAndCost(message, now, &operation); fault != nil {
+		return operation, fault
+	}
+	operation.Repeat = string(message.Header("Req-Retry")) == "1"
+	operation.Tenant = f.config.Tenants[string(message.Header("Req-Owner"))]
+	operation.Key = cookieHash(message.Header("Cookie"), "user")
+	fault := parseExtra(message, &operation)
+	return operation, fault
+}
+
+// parseDeadlineAndCost reads Req-Deadline (seconds from now) and Req-Cost (microseconds).
+func parseDeadlineAndCost(message *Message, now time.Duration, operation *routing.Operation) *Fault {
 	if v := message.Header("Req-Deadline"); v != nil {
 		seconds, ok := parseNumber(v)
 		if !ok {
-			return operation, malformed("Req-Deadline is no number of seconds")
+			return malformed("Req-Deadline is no number of seconds")
 		}
 		operation.Deadline = now + microseconds(min(seconds, maxDeadline.Seconds())*1e6)
 	}
 	if v := message.Header("Req-Cost"); v != nil {
 		cost, ok := parseNumber(v)
 		if !ok {
-			return operation, malformed("Req-Cost is no number of microseconds")
+			return malformed("Req-Cost is no number of microseconds")
 		}
 		operation.Cost, operation.HasCost = microseconds(min(cost, math.MaxUint32)), true
 	}
-	operation.Repeat = string(message.Header("Req-Retry")) == "1"
-	operation.Tenant = f.config.Tenants[string(message.Header("Req-Owner"))]
-	operation.Key = cookieHash(message.Header("Cookie"), "user")
+	return nil
+}
+
+// parseExtra reads the slots and the memory that Req-Extra names, as "slots=2, memory=1.5".
+func parseExtra(message *Message, operation *routing.Operation) *Fault {
 	for pair := range strings.SplitSeq(string(message.Header("Req-Extra")), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
@@ -156,7 +175,7 @@
 		}
 		v, ok := parseNumber([]byte(value))
 		if !ok {
-			return operation, malformed("Req-Extra holds no number for " + name)
+			return malformed("Req-Extra holds no number for " + name)
 		}
 		switch name {
 		case "width", "slots":
@@ -165,13 +184,13 @@
 			operation.Memory = v
 		}
 	}
-	return operation, nil
+	return nil
 }
 
 func microseconds(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// parseNumber reads a decimal that is neither negative nor odd. Go's other spellings
-// of numbers are none on the wire.
+// parseNumber reads a finite decimal that is not negative. Go's other spellings of numbers
+// (hexadecimal, underscores, "Inf") are invalid on the wire.
 func parseNumber(v []byte) (float64, bool) {
 	if bytes.ContainsFunc(v, func(r rune) bool { return !strings.ContainsRune("0123456789.eE+-", r) }) {
 		return 0, false
@@ -180,7 +199,7 @@
 	return f, err == nil && f >= 0 && !math.IsInf(f, 0)
 }
 
-// cookieHash returns a key for the value of a cookie; 0 where it is not there.
+// cookieHash returns the hash of a cookie's value, which is never 0; 0 if there is no such cookie.
 func cookieHash(header []byte, name string) uint64 {
 	for part := range bytes.SplitSeq(header, []byte{';'}) {
 		k, v, ok := bytes.Cut(bytes.TrimSpace(part), []byte{'='})
@@ -191,13 +210,14 @@
 	return 0
 }
 
+// hash returns FNV-1a of 64 bits.
 func hash(b []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(b)
 	return h.Sum64()
 }
 
-// Answered sends an operation's final answer.
+// Answered implements routing.Owner: it sends an operation's final answer.
 func (f *Front) Answered(op slottable.Handle, answer routing.Answer) {
 	call := f.calls[op]
 	if call == nil {
@@ -224,28 +244,28 @@
 	return RetryAfter(after)
 }
 
-// RetryAfter is the header line that tells when to come back.
+// RetryAfter returns the Retry-After header line, in seconds.
 func RetryAfter(after time.Duration) string {
 	return "Retry-After: " + strconv.FormatFloat(after.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
-// ClientWaits looks whether an operation's client is still there. One that has left is heard of
-// only when the loop reads its end, behind all that has come before.
+// ClientWaits implements routing.Waiter: it asks the operating system whether an operation's
+// client is still connected. The loop learns of a disconnect later, after all input before it.
 func (f *Front) ClientWaits(op slottable.Handle) bool {
 	call := f.calls[op]
-	if call == nil || !call.conn.conn.PeerClosed() {
+	if call == nil || !call.client.conn.PeerClosed() {
 		return true
 	}
-	call.conn.close()
+	call.client.close()
 	return false
 }
 
-// Started does nothing, as Stepped and StepDone: a client here gets nothing but the
-// final answer.
+// Started implements routing.Owner. It does nothing, nor do StepSent and StepEnded: a client
+// here gets the final answer alone.
 func (f *Front) Started(slottable.Handle, balance.WorkerID) {}
 
-// StepSent does nothing; see Started.
+// StepSent implements routing.Owner; see Started.
 func (f *Front) StepSent(slottable.Handle, balance.WorkerID) {}
 
-// StepEnded is of no concern here either.
+// StepEnded implements routing.Owner; see Started.
 func (f *Front) StepEnded(slottable.Handle, balance.WorkerID, balance.Outcome) {}
--- a/internal/node/protocol/handover.go
+++ b/internal/node/protocol/handover.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/gob"
+	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -14,127 +15,133 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Handover is what one process of a node hands to the next in one piece: a client's
-// connection, with the request in work on it, if any, and the connections to the
-// prep workers that are at it. The sockets go beside it: the client's first, then
-// one for each step that is out.
+// Handover is the state of one client's connection that a process of a node passes to the
+// next one: its request in progress, if any, and the connections to the prep workers that run
+// it. The sockets are passed beside it: the client's first, then one for each step in CallState.
+//
+// It is encoded with gob: processes of earlier versions read it, so that its fields keep
+// their names. A Handover with Learned has no connection.
 type Handover struct {
-	Learned []uint64 // by the module; with it goes no connection
+	Learned []uint64 // the balancer's state
 
-	Rest  []byte // what the client has sent and nobody has read
-	Asked bool
-	Began time.Duration
-	Since time.Duration
-	Call  *CallState // nil: none in work
-	Size  int        // of the body, in work
+	Rest  []byte        // received from the client and unread
+	Asked bool          // the client has sent a complete request before
+	Began time.Duration // when the request being received began
+	Since time.Duration // when the last answer was sent
+	Call  *CallState    // nil: none in progress
+	Size  int           // of the request's body in progress, in bytes
 
 	unread [][]byte // of all sockets, in order
 }
 
-// CallState is a request in work.
+// CallState is a request in progress. Encoded with gob; see Handover.
 type CallState struct {
-	Last    bool
-	Old     bool
+	Last    bool // the connection closes after the answer
+	Old     bool // HTTP/1.0
 	Carried routing.OperationState
-	Steps   []StepState // those that are out
+	Steps   []StepState // those at destinations
 }
 
-// StepState is a destination's connection at work on a step.
+// StepState is a destination's connection with a route step in progress, and how far its
+// response has been read. Encoded with gob; see Handover.
 type StepState struct {
-	Try      int
+	Try      int    // index of the attempt in OperationState.Tries
 	Name     string // of the destination
-	Address  string
-	Rest     []byte
-	Head     bool
+	Address  string // of the destination
+	Rest     []byte // received and unread
+	Head     bool   // the response's head has been read
 	Status   int
 	Declined bool
-	Load     []byte
-	Line     []byte
-	Last     bool
-	Kept     bool
-	Left     int
-	Chunked  bool
-	ToEnd    bool
-	Over     bool
+	Load     []byte // the response's Srv-Load header
+	Line     []byte // the incomplete line received so far
+	Last     bool   // the connection is not reusable
+	Kept     bool   // the connection has completed an exchange before
+	Left     int    // http1.BodyState.Remaining
+	Chunked  bool   // http1.BodyState.Chunked
+	ToEnd    bool   // http1.BodyState.UntilClose
+	Over     bool   // http1.BodyState.Done
 }
 
-// Encode writes the parcel.
+// errHandover is wrapped by all errors of DecodeHandover.
+var errHandover = errors.New("hand-over of another process")
+
+// Encode returns the hand-over in gob.
 func (h *Handover) Encode() ([]byte, error) {
 	var b bytes.Buffer
 	err := gob.NewEncoder(&b).Encode(h)
 	return b.Bytes(), err
 }
 
-// DecodeHandover reads a parcel and checks that it has the sockets that it names.
+// DecodeHandover decodes a hand-over and checks that it came with as many sockets as it has
+// connections, and that its attempts are consistent.
 func DecodeHandover(encoded []byte, sockets int) (*Handover, error) {
 	handover := &Handover{}
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(handover); err != nil {
-		return nil, fmt.Errorf("a parcel of another process: %w", err)
+		return nil, fmt.Errorf("%w: %w", errHandover, err)
 	}
 	if len(handover.Learned) > 0 {
 		if sockets > 0 || handover.Call != nil {
-			return nil, fmt.Errorf("a parcel of another process: what was learned, with %d sockets", sockets)
+			return nil, fmt.Errorf("%w: the balancer's state, with %d sockets", errHandover, sockets)
 		}
 		return handover, nil
 	}
 	handover.unread = [][]byte{handover.Rest}
 	if call := handover.Call; call != nil {
 		if len(call.Carried.Until) != len(call.Carried.Tries) {
-			return nil, fmt.Errorf("a parcel of another process: %d tries with %d ends", len(call.Carried.Tries), len(call.Carried.Until))
+			return nil, fmt.Errorf("%w: %d attempts with %d deadlines", errHandover, len(call.Carried.Tries), len(call.Carried.Until))
 		}
 		for _, s := range call.Steps {
 			if s.Try < 0 || s.Try >= len(call.Carried.Tries) || !call.Carried.Tries[s.Try].Out {
-				return nil, fmt.Errorf("a parcel of another process: step %d is not out", s.Try)
+				return nil, fmt.Errorf("%w: attempt %d is not in flight", errHandover, s.Try)
 			}
 			handover.unread = append(handover.unread, s.Rest)
 		}
 	}
 	if len(handover.unread) != sockets {
-		return nil, fmt.Errorf("a parcel of another process: %d sockets for %d connections", sockets, len(handover.unread))
+		return nil, fmt.Errorf("%w: %d sockets for %d connections", errHandover, sockets, len(handover.unread))
 	}
 	return handover, nil
 }
 
-// Unread returns, by socket, what had come in on it and nobody has read.
+// Unread returns, by socket, the bytes that were received and not read.
 func (h *Handover) Unread() [][]byte { return h.unread }
 
-// HandOver calls give with each client's connection that another process can take
-// over, and forgets it. What cannot be moved now, as its last bytes wait for the
-// system, stays.
+// HandOver calls give with each client's connection that another process can take over, and
+// removes it here. A connection whose last bytes the operating system has not taken stays.
 func (f *Front) HandOver(destinations *Destinations, give func(handover *Handover, sockets []*os.File)) {
 	byCall := make(map[*Call]slottable.Handle, len(f.calls))
 	for ref, c := range f.calls {
 		byCall[c] = ref
 	}
-	f.sockets.All(func(_ slottable.Handle, conn *clientConn) {
-		if !conn.conn.CanHandOver() {
+	f.sockets.All(func(_ slottable.Handle, client *clientConn) {
+		if !client.conn.CanHandOver() {
 			return
 		}
-		handover := &Handover{Asked: conn.hasRequested, Began: conn.requestBegan, Since: conn.lastReplyAt}
+		handover := &Handover{Asked: client.hasRequested, Began: client.requestBegan, Since: client.lastReplyAt}
 		var operation slottable.Handle
-		if conn.call != nil {
-			ref, ok := byCall[conn.call]
+		if client.call != nil {
+			ref, ok := byCall[client.call]
 			if !ok || !destinations.movable(f.core.StepsInFlight(ref)) {
 				return
 			}
-			handover.Size = conn.call.bodySize
+			handover.Size = client.call.bodySize
 			operation = ref
 		}
-		socket, unread, ok := conn.conn.HandOver()
+		socket, unread, ok := client.conn.HandOver()
 		if !ok {
 			return // no descriptor for it just now: nothing has changed
 		}
 		handover.Rest = unread
 		sockets := []*os.File{socket}
-		if conn.call != nil {
-			handover.Call, sockets = f.releaseCall(destinations, operation, conn.call, sockets)
+		if client.call != nil {
+			handover.Call, sockets = f.releaseCall(destinations, operation, client.call, sockets)
 		}
-		conn.remove()
+		client.remove()
 		give(handover, sockets)
 	})
 }
 
-// releaseCall takes a request in work out of the core and the destinations.
+// releaseCall takes a request in progress out of the core and the destinations.
 func (f *Front) releaseCall(destinations *Destinations, ref slottable.Handle, call *Call, sockets []*os.File) (*CallState, []*os.File) {
 	state := &CallState{Last: call.closeAfter, Old: call.HTTP10}
 	state.Carried = f.core.Release(ref, func(try int, step slottable.Handle) (moved, begun bool) {
@@ -152,29 +159,30 @@
 	return state, sockets
 }
 
-// Adopt takes over a client's connection, on the loop. conns are its own and those
-// of the steps, as the parcel names them.
+// Adopt takes over a client's connection. conns are its own and those of its steps, in the
+// order of the hand-over.
 func (f *Front) Adopt(destinations *Destinations, handover *Handover, conns []*eventloop.Conn) {
-	conn := &clientConn{server: f.Server, conn: conns[0], hasRequested: handover.Asked, requestBegan: handover.Began, lastReplyAt: handover.Since}
-	conn.handle = f.sockets.Add(conn)
+	client := &clientConn{server: f.Server, conn: conns[0], hasRequested: handover.Asked, requestBegan: handover.Began, lastReplyAt: handover.Since}
+	client.handle = f.sockets.Add(client)
 	if f.listener != nil {
-		conn.conn.OnClose(f.listener.Count())
+		client.conn.OnClose(f.listener.Count())
 	}
 	switch {
 	case handover.Call != nil:
-		f.resume(destinations, conn, handover, conns[1:])
+		f.resume(destinations, client, handover, conns[1:])
 	case !handover.Asked:
-		conn.requestTimer = f.loop.Timers.Add(handover.Began+requestTimeout, conn.requestTimedOut) // it may stand idle only once it has asked
+		client.requestTimer = f.loop.Timers.Add(handover.Began+requestTimeout, client.requestTimedOut) // it may be idle only once it has sent a request
 	}
-	conn.conn.SetHandler(conn)
+	client.conn.SetHandler(client)
 	f.shedExcess()
 }
 
-func (f *Front) resume(destinations *Destinations, conn *clientConn, handover *Handover, conns []*eventloop.Conn) {
+// resume continues the request in progress on an adopted connection.
+func (f *Front) resume(destinations *Destinations, client *clientConn, handover *Handover, conns []*eventloop.Conn) {
 	state := handover.Call
-	call := &Call{conn: conn, closeAfter: state.Last || f.stopping, id: state.Carried.Operation.Work.ID, bodySize: handover.Size}
+	call := &Call{client: client, closeAfter: state.Last || f.stopping, id: state.Carried.Operation.Work.ID, bodySize: handover.Size}
 	call.HTTP10 = state.Old
-	conn.call = call
+	client.call = call
 	f.bufferedBytes += call.bodySize
 	ref, steps := f.core.Adopt(state.Carried, f)
 	f.register(ref, call)
@@ -184,11 +192,11 @@
 	}
 	f.core.Resume(ref)
 	for i, call := range destinationConns {
-		conns[i].SetHandler(call) // last, as an answer may be among what has come in
+		conns[i].SetHandler(call) // last: a response may have been received
 	}
 }
 
-// movable tells whether all connections at work on some steps can be handed over.
+// movable reports whether the connections of all the steps can be handed over.
 func (d *Destinations) movable(steps []slottable.Handle) bool {
 	for _, step := range steps {
 		if ex := d.exchanges[step]; ex != nil && ex.conn != nil && !ex.conn.conn.CanHandOver() {
@@ -198,8 +206,8 @@
 	return true
 }
 
-// release gives up the connection at work on a step, and tells whether a byte of
-// the step may have gone out. No socket: it cannot be moved.
+// release gives up the connection of a step. begun reports whether a byte of the request may
+// have been written. Without a socket the step cannot be moved.
 func (d *Destinations) release(step slottable.Handle) (state StepState, socket *os.File, begun bool) {
 	ex := d.exchanges[step]
 	if ex == nil || ex.conn == nil {
@@ -218,20 +226,20 @@
 		Over: call.body.Done}, socket, true
 }
 
-// adopt takes over a connection at work on a step.
+// adopt takes over the connection of a step.
 func (d *Destinations) adopt(step slottable.Handle, id balance.WorkerID, state StepState, work *routing.Work,
 	conn *eventloop.Conn) *destinationConn {
 	target := d.byID[id]
 	if target == nil {
-		// It has left the list meanwhile. What it has in work ends as it ends.
+		// It has left the list meanwhile. Its exchange in progress continues.
 		target = &destination{id: id, name: state.Name, address: state.Address}
 	}
 	c := &destinationConn{owner: d, destination: target, conn: conn, generation: target.generation, headRead: state.Head, status: state.Status, declined: state.Declined,
 		loadHeader: state.Load, partialLine: state.Line, closeAfter: state.Last, reused: state.Kept,
 		body: http1.BodyReader{Rules: &parseRules, BodyState: http1.BodyState{Remaining: state.Left, Chunked: state.Chunked, UntilClose: state.ToEnd, Done: state.Over}}}
-	t := &exchange{step: step, id: work.ID, nonIdempotent: work.Once, destination: target, conn: c, sentAt: d.loop.Now()}
-	c.exchange = t
-	d.exchanges[step] = t
+	ex := &exchange{step: step, id: work.ID, nonIdempotent: work.Once, destination: target, conn: c, sentAt: d.loop.Now()}
+	c.exchange = ex
+	d.exchanges[step] = ex
 	d.openConns++
 	return c
 }
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// move hands over all that a world holds to another one, parcels written and read.
-func (w *fixture) move(t *testing.T, to *fixture) (texts [][]byte) {
+// handOver hands all connections of a fixture over to another one, through the encoding.
+func (w *fixture) handOver(t *testing.T, to *fixture) (texts [][]byte) {
 	t.Helper()
 	var sockets [][]*os.File
 	w.Loop.Call(func() {
@@ -31,13 +31,13 @@
 		conns := to.Loop.Adopt(sockets[i], p.Unread())
 		to.Loop.Call(func() { to.front.Adopt(to.destinations, p, conns) })
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 	return texts
 }
 
-// A job at work moves with half a line of its answer read, and goes on where it was;
-// a connection that has asked before may stand idle after the move too. A parcel that
-// is spoilt, or came with other sockets, is refused.
+// A request in progress moves with half a line of its response read, and continues there; a
+// connection that has sent a request before may be idle after the move too. A hand-over that
+// is corrupt, or came with other sockets, is rejected.
 func TestFront_HandOver(t *testing.T) {
 	old, next := newFixture(t, nil), newFixture(t, nil)
 	started := scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)
@@ -56,13 +56,13 @@
 		}
 		return false
 	})
-	texts := old.move(t, next)
+	texts := old.handOver(t, next)
 	next.Advance(requestTimeout * 2 / 3)
 	old.Play("s send " + started[20:] + "{done}\nc expect HTTP/1.1 200\nc expect fine\nc send {ask}")
 	next.Until(func() bool { return next.core.Counts().Served == 1 && next.core.OpenOperations() == 1 })
 	next.Advance(requestTimeout)
 	old.Play("idle send GET /healthz HTTP/1.1\\r\\n\\r\\n\nidle expect HTTP/1.1 200")
-	next.balanced(t)
+	next.checkTotals(t)
 	if n := old.front.sockets.Len(); n != 0 {
 		t.Errorf("%d front sockets are left behind", n)
 	}
@@ -76,8 +76,8 @@
 	})
 }
 
-// A booking that was written and whose connection cannot be moved may have run: it
-// fails in the next process and is not sent again.
+// A booking that was written and whose connection cannot be moved may have run: it fails in
+// the next process and is not retried.
 func TestFront_HandOver_unflushedStays(t *testing.T) {
 	old, next := newFixture(t, nil), newFixture(t, nil)
 	old.Play("c dial front\nc send {book}\ns accept workers\ns expect b1")
--- a/internal/node/protocol/http.go
+++ b/internal/node/protocol/http.go
@@ -1,6 +1,3 @@
-// Package protocol speaks the platform's protocol: HTTP/1.1 with clients,
-// destinations and the pool config, and datagrams between nodes. Its types are
-// adapters round the core of package routing.
 package protocol
 
 import (
@@ -10,22 +7,23 @@
 )
 
 const (
-	maxHeadBytes = 16 << 10 // most bytes of a start line and its header
-	maxBodyBytes = 64 << 10 // most bytes of a body, as the protocol has it
+	maxHeadBytes = 16 << 10 // of a start line and its header
+	maxBodyBytes = 64 << 10 // of a body, set by the platform's protocol
 
-	maxChunkedBytes = 2*maxBodyBytes + maxHeadBytes // most bytes of a chunked body with its framing
+	maxChunkedBytes = 2*maxBodyBytes + maxHeadBytes // of a chunked body with its framing
 )
 
-// parseRules are those of every message.
+// parseRules are the parser's limits for every message.
 var parseRules = http1.ParseRules{MaxHeadBytes: maxHeadBytes}
 
-// Fault is why a message cannot be read, with the status that says so.
+// Fault is the reason why a message was rejected, with the HTTP status of the answer.
 type Fault = http1.StatusError
 
+// malformed returns the Fault of a message that cannot be parsed (status 400).
 func malformed(text string) *Fault { return http1.BadMessage(text) }
 
-// Message is a request or a response as far as it has come in. Its slices are
-// those of the connection's buffer, valid until the handler returns.
+// Message is a parsed request or response. Its slices point into the connection's
+// buffer and are valid until the handler returns.
 type Message struct {
 	http1.Head
 	Body []byte
@@ -34,8 +32,8 @@
 // Header returns the first value of a header field, or nil.
 func (m *Message) Header(name string) []byte { return m.Get(name) }
 
-// duplicated returns the name of a header field with a prefix that comes more than
-// once. Which of the two holds, one side may see otherwise than the next.
+// duplicated returns the name of a header field that starts with prefix and occurs more than
+// once, or "". Such a message is ambiguous: the next hop might use the other value.
 func (m *Message) duplicated(prefix string) string {
 	for i, f := range m.RawHeader {
 		if len(f.Name) < len(prefix) || !http1.EqualFold(f.Name[:len(prefix)], prefix) {
@@ -50,26 +48,26 @@
 	return ""
 }
 
-// requestReader reads one request as it comes in. Each time it is given all that
-// has come of the request, and goes on from where it stopped, so that no client
-// can have the same bytes read over and over.
+// requestReader parses one request incrementally. Each call gets all bytes received so far
+// and resumes where the last one stopped, so that a client that sends byte by byte cannot
+// make the node parse the same bytes again and again.
 type requestReader struct {
-	position        int // how far the request has been read
+	position        int // bytes parsed so far
 	headReader      http1.HeadReader
-	headEnd         int // where the head ends; 0: not all there yet
+	headEnd         int // where the head ends; 0: incomplete
 	bodyReader      http1.BodyReader
-	bodyLength      int  // of the body; httpwire.LengthChunked: in chunks
-	expectsContinue bool // the client waits for word before it sends the body
+	bodyLength      int  // of the body; http1.LengthChunked: in chunks
+	expectsContinue bool // the client waits for 100 Continue before it sends the body
 	body            []byte
 }
 
-// ParseRequest reads a request. used is 0 where more bytes are needed.
+// ParseRequest parses one request. used is the number of bytes parsed, 0 if more are needed.
 func ParseRequest(in []byte) (m Message, used int, err *Fault) {
 	var r requestReader
 	return r.read(in)
 }
 
-// read goes on with what has come. used is 0 where more bytes are needed.
+// read resumes with all bytes received so far. used is 0 if more are needed.
 func (r *requestReader) read(in []byte) (m Message, used int, err *Fault) {
 	if r.headEnd == 0 {
 		if err := r.readHead(in); err != nil || r.headEnd == 0 {
@@ -85,7 +83,7 @@
 	} else if used, err = r.readChunks(in); err != nil || used == 0 {
 		return m, 0, err
 	}
-	// Slices of the head would have gone stale since it was first read.
+	// The head is parsed again: the buffer may have moved since, and its slices with it.
 	if _, err := http1.ParseHead(http1.Request, in[r.headReader.Start():], &parseRules, &m.Head); err != nil {
 		return m, 0, err
 	}
@@ -93,7 +91,7 @@
 	return m, used, nil
 }
 
-// readHead looks for the end of the head, and reads it then.
+// readHead parses the head once its end has been received.
 func (r *requestReader) readHead(in []byte) *Fault {
 	var h http1.Head
 	r.headReader.Rules = parseRules
@@ -113,7 +111,7 @@
 	return nil
 }
 
-// readChunks goes on with a chunked body, and returns where it ends.
+// readChunks resumes a chunked body. It returns where the body ends, or 0 if it is incomplete.
 func (r *requestReader) readChunks(in []byte) (int, *Fault) {
 	for {
 		data, n, err := r.bodyReader.Next(in[r.position:])
@@ -122,7 +120,7 @@
 		}
 		r.position += n
 		r.body = append(r.body, data...)
-		// Chunks may hold more framing than body.
+		// The framing is bounded too: chunks may have more framing than body.
 		seen := r.position
 		if n == 0 {
 			seen = len(in)
@@ -140,18 +138,18 @@
 	}
 }
 
-// parseResponse reads the head of a response. It returns 0 where it is not all there.
+// parseResponse parses the head of a response. It returns the head's length, 0 if it is incomplete.
 func parseResponse(in []byte, m *Message) (int, *Fault) {
 	return http1.ParseHead(http1.Response, in, &parseRules, &m.Head)
 }
 
-// newBodyReader starts on the body of a response whose head has been read.
+// newBodyReader returns the reader of a response's body, by the framing in its head.
 func newBodyReader(m *Message) http1.BodyReader {
 	return http1.NewResponseBodyReader(&m.Head, &parseRules)
 }
 
-// AppendResponse writes a response. extra holds further header lines, each with
-// its end.
+// AppendResponse appends a response to out. extra holds further header lines, each with
+// its CRLF; closing adds "Connection: close".
 func AppendResponse(out []byte, status int, extra string, body []byte, closing bool) []byte {
 	out = http1.AppendStatusLine(out, status)
 	out = http1.AppendIntField(out, "Content-Length", len(body))
--- a/internal/node/protocol/http_fuzz_test.go
+++ b/internal/node/protocol/http_fuzz_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Whatever comes in, the parser neither fails nor uses more than there is.
+// The parser neither panics nor uses more bytes than there are, whatever the input.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Add([]byte("\r\nPOST /a HTTP/1.1\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhi\r\n0\r\nT: x\r\n\r\n"))
@@ -22,7 +22,7 @@
 	})
 }
 
-// Whatever the pool config answers, the node goes on: what it takes in makes sense, and what does not is passed over.
+// Whatever the pool config answers, the node continues: valid entries are applied, invalid ones rejected.
 func FuzzList(f *testing.F) {
 	for _, text := range []string{`{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"127.0.0.1:80","status":"Ready","weight":1e400,"since_ms":-1}]}`,
 		`{"index":-1}`, `{"index":9,"endpoints":[{"name":"s-1","status":"Gone"},{"name":"s-1","status":"Ready","since_ms":1e300}]}`,
--- a/internal/node/protocol/peers.go
+++ b/internal/node/protocol/peers.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	maxDatagramBytes = 256 // a longer one is not to be sent
+	maxDatagramBytes = 256 // a longer message is not sent
 	peerListenRetry  = 20 * time.Millisecond
 )
 
-// PeersConfig is what the nodes' side is told.
+// PeersConfig configures the datagrams between the nodes of the tier.
 type PeersConfig struct {
 	Listen    string
 	Peers     []string // by number, this node's own included
@@ -25,7 +25,8 @@
 	Ordinal   int
 }
 
-// Peers sends datagrams to the other nodes of the tier.
+// Peers sends the balancer's messages to the other nodes of the tier as datagrams, and
+// passes those received to the core. Datagrams of unknown senders are dropped.
 type Peers struct {
 	config    PeersConfig
 	packets   *eventloop.Packets
@@ -36,7 +37,9 @@
 	muted     bool
 }
 
-// NewPeers makes the adapter. Without an address to listen at it sends nothing.
+// NewPeers returns the adapter, listening. Without an address to listen on it sends and
+// receives nothing. If the previous process of this node still has the address, NewPeers
+// retries until it is free.
 func NewPeers(config PeersConfig, loop *eventloop.Loop, core *routing.Core) (*Peers, error) {
 	p := &Peers{config: config, ordinals: map[netip.AddrPort]int{}}
 	if config.Listen == "" {
@@ -59,14 +62,15 @@
 	}
 	err := p.open(loop, core)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		// The process that this one is to follow still has the address.
-		slog.Info("peer_listen is in use, and asked for again", "address", config.Listen)
+		// The previous process of this node still has the address.
+		slog.Info("peer_listen is in use, retrying", "address", config.Listen)
 		p.retryOpen(loop, core)
 		err = nil
 	}
 	return p, err
 }
 
+// open listens on the address.
 func (p *Peers) open(loop *eventloop.Loop, core *routing.Core) error {
 	out, err := loop.ListenPackets(p.config.Listen, func(from netip.AddrPort, data []byte) {
 		if i, ok := p.ordinals[unmapped(from)]; ok && i != p.config.Ordinal {
@@ -79,8 +83,7 @@
 	return err
 }
 
-// retryOpen asks for the address until it is free. Until then peers are neither told
-// nor heard.
+// retryOpen tries to listen until the address is free. Until then nothing is sent or received.
 func (p *Peers) retryOpen(loop *eventloop.Loop, core *routing.Core) {
 	loop.Timers.Add(loop.Now()+peerListenRetry, func() {
 		if p.closed || p.open(loop, core) == nil {
@@ -90,10 +93,10 @@
 	})
 }
 
-// Mute ends the telling: a node that leaves is not to count as one that serves.
+// Mute stops sending, so that the peers do not count a node that shuts down as serving.
 func (p *Peers) Mute() { p.muted = true }
 
-// Close lets go of the address, for the process that follows.
+// Close releases the address for the next process of this node.
 func (p *Peers) Close() {
 	p.closed = true
 	if p.packets != nil {
@@ -102,10 +105,10 @@
 	}
 }
 
-// unmapped writes an IPv4 address in its one short form.
+// unmapped returns an address with IPv4 in IPv6 unmapped, as keys of a map need it.
 func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// SendMessage sends a message to one node, or to all with to < 0.
+// SendMessage implements routing.Peers: it sends a message to one node, by its ordinal, or to all others if to < 0.
 func (p *Peers) SendMessage(to int, payload []byte) {
 	switch {
 	case p.packets == nil || p.muted:
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -29,14 +29,13 @@
 		# Both destinations are one stand-in; a probe shows that the connection is warm.
 		c send {ask}
 	`)
-	w.balanced(t)
+	w.checkTotals(t)
 	if n := w.outcomes(); n[balance.Served] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
 
-// A client's own key passes on as it came: by it prep workers drop repeats, and one that a node made
-// up, left out or changed is none that a client sent.
+// A client's idempotency key is forwarded unchanged: prep workers drop repeats by it.
 func TestFront_idempotencyKeyIsForwarded(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -48,7 +47,7 @@
 		s send {stream}{done}
 		c expect fine
 	`)
-	w.balanced(t)
+	w.checkTotals(t)
 	for name, key := range map[string]string{"comes twice": `Idempotency-Key: a\r\nidempotency-key: a\r\n`,
 		"is too long": `Idempotency-Key: ` + strings.Repeat("a", maxIDBytes+1) + `\r\n`} {
 		w.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\n`+key+`\r\n`, "c expect HTTP/1.1 400",
@@ -56,7 +55,7 @@
 	}
 }
 
-// Requests come split anywhere, and several at once.
+// Requests may be split anywhere, and pipelined.
 func TestServer_splitAndPipelined(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -74,10 +73,10 @@
 		b send {stream}{booked}
 		c expect fine
 	`)
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// What cannot be read gets a 4xx or 5xx and the end of the connection.
+// A malformed request is answered 4xx or 5xx, and its connection is closed.
 func TestFront_malformedRequests(t *testing.T) {
 	w := newFixture(t, nil)
 	head := `POST /pruefen HTTP/1.1\r\nReq-Id: a\r\n`
@@ -104,7 +103,7 @@
 		t.Log(name)
 		w.Play(lines("c dial front", "c send "+c[0], "c expect HTTP/1.1 "+c[1], "c expect Connection: close", "c closed"))
 	}
-	// So does what can be read but makes no sense.
+	// So is a well-formed request that is invalid.
 	for _, c := range [][2]string{
 		{`POST /nichts HTTP/1.1\r\nReq-Id: a\r\n\r\n`, "404"},
 		{`GET /pruefen HTTP/1.1\r\nReq-Id: a\r\n\r\n`, "405"},
@@ -125,11 +124,11 @@
 			t.Errorf("%d requests counted as rejected", n)
 		}
 	})
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// The id of a request in work may not come a second time: as a second copy it
-// could end the first, which is another client's. Afterwards it may.
+// The Req-Id of a request in progress may not be used a second time: the second could end the
+// first, which may be another client's. Afterwards it may.
 func TestFront_secondRequestOfAnOpenID(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -155,21 +154,21 @@
 		r send {stream}{done}
 		e expect fine
 	`)
-	w.balanced(t)
+	w.checkTotals(t)
 	if n := w.outcomes(); n[balance.Served] != 2 || n[balance.Cancelled] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
 
-// What a destination can make nothing of is the client's fault: it is not tried
-// elsewhere, and the module does not hold it against the destination.
+// A request that a destination rejects as invalid is the client's fault: it is not retried
+// elsewhere, and does not count against the destination.
 func TestFront_destinationRejects(t *testing.T) {
 	w := newFixture(t, nil)
 	for range 3 {
 		w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi",
 			`s send HTTP/1.1 400 X\r\nConnection: close\r\nContent-Length: 2\r\n\r\nno`, "c expect HTTP/1.1 400", "c closed"))
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 	w.Loop.Call(func() {
 		c := w.core.Counts()
 		if c.Steps != 3 || c.Rejected != 3 || c.Outcomes[balance.Errored]+c.Outcomes[balance.Reset] != 0 {
@@ -178,7 +177,7 @@
 	})
 }
 
-// A body of just 64 KiB is in order.
+// A body of just 64 KiB is accepted.
 func TestFront_largestBody(t *testing.T) {
 	w := newFixture(t, nil)
 	body := strings.Repeat("x", maxBodyBytes-3) + "end"
@@ -186,8 +185,7 @@
 		"s accept workers", "s expect xend", "s send {stream}{done}", "c expect fine"))
 }
 
-// A client that goes away is owed nothing: its step is called off, which closes
-// the step's connection.
+// The step of a client that disconnects is cancelled, which closes the step's connection.
 func TestFront_clientGone(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -201,11 +199,11 @@
 	if n := w.outcomes(); n[balance.Cancelled] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// PROTOCOL's table of outcomes. Each answer ends a booking's first step. What
-// never ran is sent again, or refused; what may have run never is.
+// The protocol page's table of outcomes. Each response ends a booking's first step. A request
+// that never ran is retried or rejected; one that may have run never is.
 func TestDestinations_outcomes(t *testing.T) {
 	line := func(state string) string {
 		return `{stream}` + scriptedpeer.Chunk(`{"id":"b1","state":"`+state+`"}`) + `0\r\n\r\n`
@@ -243,13 +241,13 @@
 			if n := w.outcomes(); n[c.want] == 0 {
 				t.Errorf("want outcome %d, have %v", c.want, n)
 			}
-			w.balanced(t)
+			w.checkTotals(t)
 		})
 	}
 }
 
-// A break after the last byte may have run: a booking is not sent again, and
-// not refused, as a refusal would invite the client to repeat it.
+// A request whose connection breaks after its last byte may have run: a booking is not retried,
+// and not answered 503, which would invite the client to repeat it.
 func TestDestinations_connectionBreaksAfterTheLastByte(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s close", "c expect HTTP/1.1 502"))
@@ -258,9 +256,8 @@
 	}
 }
 
-// A kept connection that breaks at its next request leaves open whether that
-// ran. Once one has, a booking gets a new connection, for a while; what may be
-// repeated still takes what is there.
+// An idle connection that breaks at its next request leaves open whether that ran. After one
+// has, a booking gets a new connection for a while; an idempotent request still reuses one.
 func TestDestinations_nonIdempotentAvoidsIdleConnectionsAfterOneBroke(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Loop.Call(func() { // one destination, so that it is clear which connection is meant
@@ -283,8 +280,8 @@
 	w.Play(lines("c send {ask}", asked("u"), "wait 1m", "c send {ask}", "v accept workers", asked("v"), "c send {book}", booked("v")))
 }
 
-// A refused connection proves that nothing ran: after the last attempt the
-// booking is refused, which is harmless.
+// A refused connection proves that nothing ran: after the last attempt the booking is answered
+// 503, so that the client may repeat it.
 func TestDestinations_connectRefused(t *testing.T) {
 	w := newFixture(t, nil)
 	none := scriptedpeer.Free(t)
@@ -299,8 +296,8 @@
 	}
 }
 
-// What the module does not answer in time is answered shortly before the
-// deadline, and the step's connection closes with it.
+// A request without an outcome is answered shortly before its deadline, and the step's
+// connection is closed.
 func TestFront_deadline(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -312,11 +309,11 @@
 		c expect HTTP/1.1 502
 		s closed
 	`)
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// The destination is told to drain, or taken out by hand, while the connection to it
-// is made: not a byte may go out, since the limit counts from a send's first byte.
+// The destination begins to drain, or is disabled by an override, while the connection to it is
+// opened: not a byte may be written, since the platform's limit counts from a request's first byte.
 func TestDestinations_drainWhileConnecting(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
 		drainWhileConnecting(t, func(w *fixture, up balance.ListUpdate) { w.core.PoolChanged(up) })
@@ -355,8 +352,8 @@
 	}
 }
 
-// A connection is closed before the destination would close it: a request that
-// crosses that closing ends as a reset, and may have run.
+// An idle connection is closed before the destination would close it: a request that crosses
+// that close would end as a reset, and may have run.
 func TestDestinations_idleConnectionClosesFirst(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi", "s send {stream}{done}",
@@ -368,8 +365,8 @@
 	})
 }
 
-// The pool config's list is watched without a gap; a call that fails is told to
-// the module, which asks again.
+// The pool config's list is watched without a gap; a failed call is reported to the balancer,
+// which asks again.
 func TestDiscovery_watchAndFetch(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
@@ -403,8 +400,8 @@
 	`)
 }
 
-// A watch that falls silent is given up, and asked anew, before what it had to
-// tell counts as told: 2 s past the hold.
+// A watch that falls silent is abandoned and retried before the change that it misses counts as
+// known: 2 s past the hold time.
 func TestDiscovery_silenceIsNoticedInTime(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
@@ -421,9 +418,9 @@
 	`)
 }
 
-// A new configuration moves the watch to another address at once. The node goes
-// on with its list and version there, and the end of the old watch is no failure:
-// the module would wait a while before it asked again.
+// A new configuration moves the watch to another address at once. The node continues with its
+// list and version there, and the end of the old watch is not reported as a failure: the
+// balancer would wait a while before it asked again.
 func TestDiscovery_SetAddress(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
@@ -445,15 +442,15 @@
 		c send GET /healthz HTTP/1.1\r\n\r\n
 		c expect HTTP/1.1 503
 	`)
-	// Nor does it wait for the module where the last call had failed.
+	// Nor does it wait for the balancer where the last call had failed.
 	w.Play(lines(`n send HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, "n closed"))
 	address := w.StandIn("third")
 	w.Loop.Call(func() { w.discovery.SetAddress(address) })
 	w.Play(lines("o accept third", "o expect from=9&hold_ms=1"))
 }
 
-// After SIGTERM the node serves on, says at /healthz that it leaves, and closes
-// each connection with its last answer.
+// After SIGTERM the node still serves, answers 503 at /healthz, and closes each connection with
+// its last answer.
 func TestServer_Stop(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -498,8 +495,8 @@
 	}
 }
 
-// Who brings no whole request within 2.8 seconds is told so, or closed where
-// nothing has come; a request that comes piece by piece has as long, no more.
+// A client that does not complete a request within 2.8 s is answered 408, or its connection is
+// closed if nothing was received; a request received in fragments has no more time.
 func TestServer_unfinishedRequests(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("silent dial front")
@@ -539,23 +536,23 @@
 	})
 }
 
-// Near the limit those that have brought nothing go first, then what stands still
-// for long; a usual client's idle connection is opened anew, half a job is not.
+// Near the limit silent connections are shed first, then stalled requests; an ordinary client
+// reopens its idle connection, but does not repeat half a request.
 func TestServer_shedsSilentConnectionsFirst(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
 		"half dial front", `half send POST /pruefen HTTP/1.1\r\n`))
 	w.Until(func() bool { return w.front.sockets.Len() == 3 && w.front.bufferedBytes > 0 })
-	// The half request is one of few, and may yet come: the idle connection goes.
+	// The unfinished request is one of few and may yet be completed: the idle connection is shed.
 	w.Play(lines("wait 300ms", "b dial front", "b "+health, "b expect 200", "silent closed", "c dial front", "c "+health,
 		"c expect 200", "a closed"))
-	// It has stood still for too long now.
+	// It is stalled now.
 	w.Play(lines("wait 1800ms", "d dial front", "d "+health, "d expect 200", "half closed", "b "+health, "b expect 200"))
 }
 
-// A request that comes over more than two seconds is served, also while many others
-// stand half written or idle.
+// A request sent over more than two seconds is served, also while many others are unfinished or
+// idle.
 func TestServer_slowRequestAmongMany(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
 	w.Words["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
@@ -592,8 +589,8 @@
 	`)
 }
 
-// Silent connections come by hundreds at once; a usual client that comes right
-// behind them finds room.
+// Hundreds of silent connections arrive at once; an ordinary client that connects right after
+// them is served.
 func TestServer_regularClientBehindABurst(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	for i := range 11 {
@@ -603,8 +600,8 @@
 	w.Play(lines("wait 30ms", "c dial front", `c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
-// Where every socket has a request in work who comes is told so at once, in
-// place of waiting unheard in the system's queue.
+// Where every connection has a request in progress a further client is answered 503 at once,
+// instead of waiting in the listen backlog.
 func TestServer_allSocketsBusy(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = lastSockets+1, 1 })
 	w.Play(`
@@ -621,7 +618,7 @@
 	`)
 }
 
-// Unfinished requests share one budget of memory; past it the largest goes.
+// Unfinished requests share one memory limit; beyond it the largest is rejected.
 func TestServer_inputBudget(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
 	part := func(name string, bytes int) string {
@@ -638,8 +635,7 @@
 		scriptedpeer.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
 }
 
-// A client that writes on at full speed still gets the error, and its
-// descriptor comes back.
+// A client that keeps writing at full speed still gets the error, and its descriptor is released.
 func TestServer_errorArrivesAtFullSpeed(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -654,8 +650,8 @@
 	w.Until(func() bool { return w.front.listener.Open() == 0 })
 }
 
-// Whatever the cuts, a request is read as if it had come at once, and a line
-// once gone over is not read again.
+// However it is split, a request is parsed as if received at once, and a line once parsed is
+// not parsed again.
 func TestRequestReader_resumes(t *testing.T) {
 	for _, text := range []string{
 		"\r\nPOST /a HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 2\r\n\r\nhi",
@@ -683,7 +679,7 @@
 	}
 }
 
-// At the limit of front sockets the one idle longest makes room.
+// At the limit of connections the one idle longest is shed.
 func TestServer_socketsAtTheLimit(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
@@ -691,8 +687,8 @@
 		"wait 1s", "c dial front", "c "+health, "c expect 200", "a closed", "b "+health, "b expect 200"))
 }
 
-// A connection given up while it is being made counts until its socket is
-// closed: descriptors would else be given out twice.
+// A connection abandoned while it is opened counts until its socket is closed: the limit of
+// descriptors would else be exceeded.
 func TestDestinations_abandonedDialCountsUntilClosed(t *testing.T) {
 	w := newFixture(t, nil)
 	step := slottable.Handle(99)
@@ -709,8 +705,8 @@
 	w.Until(func() bool { return w.destinations.openConns == 0 })
 }
 
-// At the limit of connections to destinations a step fails as not connected,
-// which never ran, and the node goes on.
+// At the limit of connections to destinations a step fails as not connected, so that it never
+// ran, and the node continues.
 func TestDestinations_connectionsAtTheLimit(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Loop.Call(func() { w.destinations.config.MaxConnections = 0 })
@@ -736,8 +732,8 @@
 	}
 }
 
-// A process that may be killed soon answers all before: what may run twice is
-// refused, what must not has failed, and what comes later has no longer either.
+// A process that may be killed soon answers all requests before: idempotent ones are answered
+// 503, others fail, and later requests have no longer deadline either.
 func TestDestinations_outcomeBeforeTheEndOfTheResponse(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play(`
@@ -764,18 +760,18 @@
 		r closed
 		q closed
 	`)
-	w.balanced(t)
+	w.checkTotals(t)
 }
 
-// A destination says by its answer to a probe that it wants nothing new. Nothing goes there for a while,
-// though the list has it as ready.
+// A destination answers a probe with 503. Nothing is sent there for a while, though the list has
+// it as ready.
 func TestDestinations_probeRejected(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Words["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
-	w.lone()
+	w.leaveOneWorker()
 	w.Loop.Call(func() { w.destinations.Probe(workerIDOf("s-1")) })
 	w.Play(lines("p accept workers", "p expect GET /load", "p send {no}"))
-	w.Until(func() bool { return len(w.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // it is read; its connection rests
+	w.Until(func() bool { return len(w.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response is read and its connection idle
 	w.Play(lines("c dial front", "c send {ask}", "c arrives"))
 	w.Until(func() bool { return w.core.OpenOperations() == 1 })
 	w.Play("wait 1s")
--- a/internal/node/protocol/server.go
+++ b/internal/node/protocol/server.go
@@ -10,65 +10,65 @@
 )
 
 const (
-	spareSockets        = 8                           // front sockets kept free: past that, some are shed
-	lastSockets         = 2                           // the last of these turn who comes away at once
+	spareSockets        = 8                           // connections kept free: with fewer, some are shed
+	lastSockets         = 2                           // of these, clients are answered 503 at once
 	requestTimeout      = 2800 * time.Millisecond     // from the connection's start, or a later request's first byte, to its last
-	freshConnAge        = 25 * time.Millisecond       // a connection younger than this may yet bring a usual client's request
-	slowRequestAge      = 250 * time.Millisecond      // and one that has brought a part of it, the next
-	stalledRequestAge   = 2 * time.Second             // one that has brought no more for so long will not
-	shortIdleAge        = 500 * time.Millisecond      // an idle connection that a usual client hardly misses
-	readDelayBound      = 2 * time.Millisecond        // what has come is read by the loop within it
-	unfinishedShare     = 2                           // unfinished requests may fill one front socket in so many before they go first
-	maxPipelinedBytes   = maxHeadBytes                // most bytes kept of what a client sends while its call is in work
-	maxUnreadReplyBytes = maxBodyBytes + maxHeadBytes // and of answers that it does not read while it asks on
+	freshConnAge        = 25 * time.Millisecond       // a younger connection may yet receive an ordinary client's request
+	slowRequestAge      = 250 * time.Millisecond      // a request that received nothing for longer is slow
+	stalledRequestAge   = 2 * time.Second             // a request that received nothing for longer is stalled
+	shortIdleAge        = 500 * time.Millisecond      // an idle connection older than this is shed before slow requests
+	readDelayBound      = 2 * time.Millisecond        // the loop reads what has been received within it
+	unfinishedShare     = 2                           // once more than 1/unfinishedShare of the connections have unfinished requests, those are shed first
+	maxPipelinedBytes   = maxHeadBytes                // of pipelined input while a call is in progress
+	maxUnreadReplyBytes = maxBodyBytes + maxHeadBytes // of answers that a client does not read while it sends further requests
 	logInterval         = 10 * time.Second
 	atCapacityText      = "there is no room for the request just now"
 	continueLine        = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// Server is the side towards clients of a front: HTTP/1.1 requests in, one
-// answer to each out, in order. It bounds what a client can take up without
-// bringing a request: time, sockets and memory.
+// Server is an HTTP/1.1 server on the event loop: requests in, one answer to each out, in
+// order. It bounds the time, the connections and the memory that clients can use without
+// completing a request; server_shedding.go has the rules. All its state belongs to the loop.
 type Server struct {
 	loop             *eventloop.Loop
 	listen           string
-	maxSockets       int // front sockets, at this time
-	socketLimit      int // and at most
-	maxBufferedBytes int // bytes of input held at most
+	maxSockets       int // connections at present
+	socketLimit      int // the most that maxSockets may be set to
+	maxBufferedBytes int // of unprocessed input, over all connections
 	serve            func(*Call)
 
-	// FormatError writes what a client is told of a request that cannot be read, or
-	// for which there is no room. nil: the text as it is.
+	// FormatError returns header lines and body of the answer to a request that cannot be
+	// parsed or is rejected at capacity. nil: the plain text.
 	FormatError func(status int, text string) (extra string, body []byte)
 
 	listener      *eventloop.Listener
 	sockets       slottable.Table[*clientConn]
-	lingering     []*eventloop.Conn // answered for the last time, oldest first
-	openLingering int               // of these, not closed yet
-	bufferedBytes int               // bytes of input held
+	lingering     []*eventloop.Conn // connections after their last answer, oldest first
+	openLingering int               // number of lingering connections that are not closed
+	bufferedBytes int               // of unprocessed input, over all connections
 	stopping      bool
-	listenerEnded bool // nothing more is accepted
+	listenerEnded bool // no further connection will be accepted
 	drained       func()
 	counts        ServerCounts
-	nextLogAt     time.Duration // when to log of rejected requests again
+	nextLogAt     time.Duration // of rejected requests
 }
 
 // ServerCounts are a server's totals since its start.
 type ServerCounts struct {
-	Rejected uint64 // requests that could not be read, made no sense or did not come whole
-	Silent   uint64 // connections closed as nothing came on them
-	Shed     uint64 // connections closed to make room for others
-	Full     uint64 // connections answered 503, as there was no room
+	Rejected uint64 // requests that were malformed, invalid or incomplete at their time-out
+	Silent   uint64 // connections closed because nothing was received on them
+	Shed     uint64 // connections closed to keep within the limits
+	Full     uint64 // connections answered 503 at capacity
 }
 
-// NewServer makes a server; Start opens it. It keeps at most most front sockets
-// and holds at most memory bytes of what has come in on them. serve must see to
-// it that each call is answered once, then or later.
+// NewServer returns a server on an address; Start opens it. It has at most most connections
+// and buffers at most memory bytes of unprocessed input. serve is called on the loop and
+// must have each call answered once, then or later.
 func NewServer(loop *eventloop.Loop, listen string, most, memory int, serve func(*Call)) *Server {
 	return &Server{loop: loop, listen: listen, maxSockets: most, socketLimit: most, maxBufferedBytes: memory, serve: serve}
 }
 
-// Start listens.
+// Start listens on the address. Its error is net.Listen's.
 func (s *Server) Start() error {
 	ln, err := net.Listen("tcp", s.listen)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// StartOn accepts clients on a socket that listens already.
+// StartOn accepts clients on a listening socket.
 func (s *Server) StartOn(ln net.Listener) {
 	s.listener = s.loop.Accept(ln, s.socketLimit, s.accept, func() {
 		s.listenerEnded = true
@@ -86,14 +86,14 @@
 	})
 }
 
-// Accepting tells whether clients are let in.
+// Accepting reports whether new connections are accepted.
 func (s *Server) Accepting() bool { return s.listener != nil && !s.stopping }
 
-// Stop accepts nothing more. Each answer from now on is the last on its
-// connection, and after a while those that owe nothing are closed: until then
-// clients may use the ones that they have, and what they have sent is read. drained
-// is called when none is left, and each client has ended its side too or has had the
-// time for it: the end of a process closes over unread bytes, and answers go with that.
+// Stop shuts the server down gracefully: it accepts no further connection, each answer from
+// now on is the last on its connection, and idle connections are closed after a time, until
+// which clients may send further requests on them. drained is called once when no connection
+// is left and each client has closed its side or has had the time for it: a process that
+// exits with unread input would reset the connection, and the last answer would be lost.
 func (s *Server) Stop(after time.Duration, drained func()) {
 	if s.stopping {
 		return
@@ -104,9 +104,9 @@
 	} else {
 		s.listenerEnded = true
 	}
-	s.sockets.All(func(_ slottable.Handle, f *clientConn) {
-		if f.call != nil {
-			f.call.closeAfter = true
+	s.sockets.All(func(_ slottable.Handle, client *clientConn) {
+		if client.call != nil {
+			client.call.closeAfter = true
 		}
 	})
 	if after > 0 {
@@ -117,16 +117,15 @@
 	s.checkDrained()
 }
 
-// closeIdle ends the front sockets that have brought nothing that is unanswered. A
-// request that has come and is not read yet is served first; one that is read after the
-// end of the sending could not be answered, and goes no further.
+// closeIdle closes the connections that have no request in progress. A request that has been
+// received and is not read yet is served first, since it could not be answered after the close.
 func (s *Server) closeIdle() {
 	again := false
-	s.sockets.All(func(_ slottable.Handle, f *clientConn) {
+	s.sockets.All(func(_ slottable.Handle, client *clientConn) {
 		switch {
-		case f.call != nil || f.bufferedBytes > 0:
-		case f.conn.NothingUnread():
-			f.closeAfterLastReply()
+		case client.call != nil || client.bufferedBytes > 0:
+		case client.conn.NothingUnread():
+			client.closeAfterLastReply()
 		default:
 			again = true
 		}
@@ -136,6 +135,7 @@
 	}
 }
 
+// checkDrained calls drained once the last connection has been closed after Stop.
 func (s *Server) checkDrained() {
 	if s.stopping && s.listenerEnded && s.drained != nil && s.sockets.Len() == 0 && s.openLingering == 0 {
 		drained := s.drained
@@ -144,28 +144,29 @@
 	}
 }
 
-// Counts returns the totals.
+// Counts returns the totals since the start.
 func (s *Server) Counts() ServerCounts { return s.counts }
 
+// accept sets up a new connection, and answers 503 at capacity.
 func (s *Server) accept(conn *eventloop.Conn) eventloop.Handler {
 	client := &clientConn{server: s, conn: conn}
 	client.handle = s.sockets.Add(client)
 	client.startRequestTimer()
-	if s.stopping { // it waited in the backlog; a usual client's request is there, or comes at once
+	if s.stopping { // accepted from the backlog: an ordinary client's request is there or arrives at once
 		s.loop.Timers.Add(s.loop.Now()+freshConnAge, s.closeIdle)
 	}
 	s.shedExcess()
 	if s.listener.Open() > s.maxSockets-lastSockets {
-		// All have a request in work. Who waits in the system's queue would wait
-		// without a word; this way each is told.
+		// All connections have a request in progress. In the listen backlog the client would
+		// wait without an answer.
 		s.counts.Full++
 		client.replyError(503, atCapacityText, nil)
 	}
 	return client
 }
 
-// countRejected counts a request turned away. One line in a while tells of all since
-// the last: bad clients come by thousands.
+// countRejected counts a rejected request. It logs at most one line per logInterval with the
+// total, since a faulty client may send thousands.
 func (s *Server) countRejected(reason string) {
 	s.counts.Rejected++
 	now := s.loop.Now()
@@ -176,8 +177,8 @@
 	s.nextLogAt = now + logInterval
 }
 
-// linger ends a connection after its last answer, and remembers it for as long
-// as it stays open.
+// linger closes a connection after its last answer once the client has read it, and tracks
+// it until then.
 func (s *Server) linger(conn *eventloop.Conn) {
 	for len(s.lingering) > 0 && !s.lingering[0].Lingering() {
 		s.lingering = s.lingering[1:]
--- a/internal/node/protocol/server_call.go
+++ b/internal/node/protocol/server_call.go
@@ -6,38 +6,38 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Call is one request and the way to answer it.
+// Call is one request and the means to answer it, by Reply, Reject or a stream.
 type Call struct {
 	Message    // valid until serve returns
-	conn       *clientConn
+	client     *clientConn
 	closeAfter bool
 	clientGone func()
-	id         string // what the front knows it by
-	bodySize   int    // of the body
-	streaming  bool   // the answer goes out in parts
+	id         string // set by the front: the request's Req-Id
+	bodySize   int    // bytes
+	streaming  bool   // between BeginStream and EndStream
 }
 
-// OnClientGone sets what is called if the client goes away before the answer.
+// OnClientGone sets a callback for when the client disconnects before the answer.
 func (c *Call) OnClientGone(f func()) { c.clientGone = f }
 
-// Reply answers the call. Only the first answer counts. extra holds further
-// header lines, each with its end.
+// Reply answers the call; further answers are ignored. extra holds further header lines,
+// each with its CRLF.
 func (c *Call) Reply(status int, extra string, body []byte) {
-	f := c.conn
-	if f.call != c {
+	client := c.client
+	if client.call != c {
 		return
 	}
-	f.call = nil
-	f.server.bufferedBytes -= c.bodySize
-	f.reply(status, extra, body, c.closeAfter || f.server.stopping)
-	f.conn.Pump()
+	client.call = nil
+	client.server.bufferedBytes -= c.bodySize
+	client.reply(status, extra, body, c.closeAfter || client.server.stopping)
+	client.conn.Pump()
 }
 
-// BeginStream starts an answer that goes out in parts, as they come to be, until End.
-// It tells whether the client can read one: a client of HTTP/1.0 cannot.
+// BeginStream starts an answer in chunks, which Write sends until EndStream. It returns false
+// if the client cannot read one, as with HTTP/1.0.
 func (c *Call) BeginStream(status int, extra string) bool {
-	f := c.conn
-	if f.call != c || c.streaming || c.HTTP10 {
+	client := c.client
+	if client.call != c || c.streaming || c.HTTP10 {
 		return false
 	}
 	c.streaming = true
@@ -50,8 +50,8 @@
 	return true
 }
 
-// Write sends one part. Who looks at Flushed first keeps a slow client from
-// taking up memory.
+// Write sends one chunk. Callers should wait for Flushed first, so that a slow client does
+// not use up memory.
 func (c *Call) Write(part []byte) {
 	if len(part) > 0 {
 		line := append(strconv.AppendInt(nil, int64(len(part)), 16), "\r\n"...)
@@ -59,40 +59,40 @@
 	}
 }
 
+// send writes a part of a streamed answer.
 func (c *Call) send(data []byte) {
-	if f := c.conn; f.call == c && !f.conn.Send(data) {
-		f.remove()
+	if client := c.client; client.call == c && !client.conn.Send(data) {
+		client.remove()
 	}
 }
 
-// Flushed tells whether the system has taken all that was written.
-func (c *Call) Flushed() bool { return c.conn.call == c && c.conn.conn.Flushed() }
+// Flushed reports whether the operating system has taken all bytes written.
+func (c *Call) Flushed() bool { return c.client.call == c && c.client.conn.Flushed() }
 
-// EndStream ends an answer in parts.
+// EndStream ends a streamed answer.
 func (c *Call) EndStream() {
-	f := c.conn
-	if f.call != c || !c.streaming {
+	client := c.client
+	if client.call != c || !c.streaming {
 		return
 	}
-	f.call = nil
-	f.server.bufferedBytes -= c.bodySize
-	f.lastReplyAt = f.server.loop.Now()
-	if !f.conn.Send([]byte("0\r\n\r\n")) {
-		f.remove()
+	client.call = nil
+	client.server.bufferedBytes -= c.bodySize
+	client.lastReplyAt = client.server.loop.Now()
+	if !client.conn.Send([]byte("0\r\n\r\n")) {
+		client.remove()
 		return
 	}
-	if c.closeAfter || f.server.stopping {
-		f.closeAfterLastReply()
+	if c.closeAfter || client.server.stopping {
+		client.closeAfterLastReply()
 		return
 	}
-	f.conn.Pump()
+	client.conn.Pump()
 }
 
-// Reject answers a call that the client had no business to make, and closes the
-// connection: who errs again has to come again.
+// Reject answers an invalid call, counts it and closes the connection.
 func (c *Call) Reject(status int, text string) {
-	if c.conn.call == c {
-		c.conn.server.countRejected(text)
+	if c.client.call == c {
+		c.client.server.countRejected(text)
 		c.closeAfter = true
 	}
 	c.Reply(status, "", []byte(text+"\n"))
--- a/internal/node/protocol/server_shedding.go
+++ b/internal/node/protocol/server_shedding.go
@@ -7,50 +7,56 @@
 	"ospreybend/internal/node/slottable"
 )
 
-// SetLimits changes how many front sockets are kept and how many bytes of input held,
-// up to what the server was made with. What is over makes room where it may.
+// SetLimits changes the most connections, up to what the server was made with, and the most
+// bytes of unprocessed input. Connections over the limit are shed as far as the rules allow.
 func (s *Server) SetLimits(most, memory int) {
 	s.maxSockets, s.maxBufferedBytes = min(most, s.socketLimit), memory
 	s.shedExcess()
 }
 
+// shedExcess sheds connections until spareSockets are free or none may be shed.
 func (s *Server) shedExcess() {
 	for s.listener != nil && s.listener.Open() > s.maxSockets-spareSockets && s.shedOne() {
 	}
 }
 
-// shedOne closes one connection to make room for those to come: first one that has
-// brought nothing in a time that a usual client does not need, then one whose
-// request has stood still for long, then one that has had its last answer, then one
-// that has stood idle. A request that comes piece by piece is judged by its last
-// piece, and goes after those that came in one: as long as only few are unfinished
-// they go after the idle ones, since a slow job would be lost and an idle connection
-// is only opened anew. A connection with a request in work is never chosen, nor is a
-// fresh one, which may have a request on its way. The times are short, as such
-// connections come by hundreds.
+// shedOne closes one connection, and reports whether there was one to close. In order:
+//
+//  1. a silent one, on which nothing was received for longer than an ordinary client needs;
+//  2. one with a stalled request, or with any unfinished request while these fill more than
+//     1/unfinishedShare of the connections;
+//  3. one that lingers after its last answer;
+//  4. an idle one;
+//  5. one with an unfinished request.
+//
+// Unfinished requests usually come after idle connections because a slow client would lose
+// its request, while an idle one just reconnects. A request received in fragments counts by
+// its last fragment and comes after those received in one piece. A connection with a call in
+// progress is never closed, nor is a new one, whose request may be on its way. The times are
+// short because such connections arrive by hundreds.
 func (s *Server) shedOne() bool {
 	now := s.loop.Now()
 	var silent, unfinished, idle *clientConn
 	slow := 0
-	s.sockets.All(func(_ slottable.Handle, f *clientConn) {
+	s.sockets.All(func(_ slottable.Handle, client *clientConn) {
 		switch {
-		case f.call != nil || !f.conn.Open():
-		case f.hasRequested && f.bufferedBytes == 0:
-			if idle == nil || f.lastReplyAt < idle.lastReplyAt {
-				idle = f
+		case client.call != nil || !client.conn.Open():
+		case client.hasRequested && client.bufferedBytes == 0:
+			if idle == nil || client.lastReplyAt < idle.lastReplyAt {
+				idle = client
 			}
-		case f.bufferedBytes == 0:
-			if now-f.requestBegan >= freshConnAge && (silent == nil || f.requestBegan < silent.requestBegan) {
-				silent = f
+		case client.bufferedBytes == 0:
+			if now-client.requestBegan >= freshConnAge && (silent == nil || client.requestBegan < silent.requestBegan) {
+				silent = client
 			}
 		default:
 			slow++
-			if now-f.lastReadAt >= slowRequestAge && (unfinished == nil || f.lessLikelyToComplete(unfinished)) {
-				unfinished = f
+			if now-client.lastReadAt >= slowRequestAge && (unfinished == nil || client.lessLikelyToComplete(unfinished)) {
+				unfinished = client
 			}
 		}
 	})
-	// What the other side has closed since is out of the way already.
+	// Connections that the client has closed meanwhile need no shedding.
 	s.lingering = slices.DeleteFunc(s.lingering, func(c *eventloop.Conn) bool { return !c.Lingering() })
 	switch {
 	case silent.nothingUnread():
@@ -72,31 +78,31 @@
 	return true
 }
 
-// nothingUnread tells whether the socket, if there is one, has brought nothing that is not read
-// yet: its request may have come whole by now.
-func (f *clientConn) nothingUnread() bool { return f != nil && f.conn.NothingUnread() }
+// nothingUnread reports whether there is a connection and all that it has received has been
+// read: its request might otherwise be complete by now.
+func (client *clientConn) nothingUnread() bool { return client != nil && client.conn.NothingUnread() }
 
-// lessLikelyToComplete tells whether of two unfinished requests this one is less likely to come
-// whole: one that has come in pieces will go on, one that has brought all it ever
-// brought at once hardly will.
-func (f *clientConn) lessLikelyToComplete(than *clientConn) bool {
-	if f.fragmented != than.fragmented {
-		return !f.fragmented
+// lessLikelyToComplete reports whether this unfinished request is less likely to be completed than another:
+// one received in fragments will probably go on, one that received everything at once and
+// then nothing will not.
+func (client *clientConn) lessLikelyToComplete(other *clientConn) bool {
+	if client.fragmented != other.fragmented {
+		return !client.fragmented
 	}
-	return f.lastReadAt < than.lastReadAt
+	return client.lastReadAt < other.lastReadAt
 }
 
-// setBuffered notes how much input the socket holds. Past the server's budget the
-// unfinished request that holds most is given up.
-func (f *clientConn) setBuffered(bytes int) {
-	s := f.server
-	s.bufferedBytes += bytes - f.bufferedBytes
-	f.bufferedBytes = bytes
+// setBuffered records how much unprocessed input the connection has. While the server's
+// limit is exceeded the unfinished request with the most input is answered 503.
+func (client *clientConn) setBuffered(bytes int) {
+	s := client.server
+	s.bufferedBytes += bytes - client.bufferedBytes
+	client.bufferedBytes = bytes
 	for s.bufferedBytes > s.maxBufferedBytes {
 		var largest *clientConn
-		s.sockets.All(func(_ slottable.Handle, g *clientConn) {
-			if g.call == nil && g.bufferedBytes > 0 && (largest == nil || g.bufferedBytes > largest.bufferedBytes) {
-				largest = g
+		s.sockets.All(func(_ slottable.Handle, other *clientConn) {
+			if other.call == nil && other.bufferedBytes > 0 && (largest == nil || other.bufferedBytes > largest.bufferedBytes) {
+				largest = other
 			}
 		})
 		if largest == nil {
