--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -11,50 +11,57 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// graceAfterDeadline is how long past the deadline the core waits for the
-// module's own final answer before it gives one itself.
+// graceAfterDeadline is how long after the deadline the core waits for the balancer's
+// decision before it answers an operation itself.
 const graceAfterDeadline = time.Millisecond
 
-// Clock is the loop's.
+// Clock is the event loop's clock.
 type Clock interface{ Now() time.Duration }
 
-// operation is one operation and its route steps.
+// operation is an operation in progress and its route steps.
 type operation struct {
 	Operation
-	steps     []slottable.Handle     // by number; a Ref goes stale when its step ends
-	attempts  []balance.PriorAttempt // the same, as another process would have to know them
+	steps     []slottable.Handle     // by number; a handle goes stale when its step ends
+	attempts  []balance.PriorAttempt // the same steps, as another process would need to know them
 	arrived   time.Duration
 	inFlight  int
-	gated     int  // of those that are out: before the gate
-	concluded bool // has its final answer, or nobody waits for one
+	gated     int  // of the steps in flight, those waiting for their gate
+	concluded bool // has its final answer, or was withdrawn
 	deadline  *timerqueue.Timer
 }
 
-// Core is the node's state of operations and route steps. It belongs to the
-// loop.
+// Core has the operations and route steps in progress. It belongs to the event loop.
 type Core struct {
-	settings        balance.Settings
-	balancer        *balance.Balancer
-	clock           Clock
-	timers          *timerqueue.Queue
-	destinations    Destinations
-	pool            Pool
-	peers           Peers
+	settings balance.Settings
+	balancer *balance.Balancer
+	clock    Clock
+	timers   *timerqueue.Queue
+
+	// The adapters, set by Connect.
+	destinations Destinations
+	pool         Pool
+	peers        Peers
+
+	// The state.
 	operations      slottable.Table[*operation]
 	steps           slottable.Table[*step]
-	open            int // operations that are owed an answer
+	open            int // operations without a final answer
 	workerStates    map[balance.WorkerID]balance.State
-	events          []balance.Event
-	dispatching     bool
-	onIdle          func()        // called when the last open operation is answered
-	loadObserver    LoadObserver  // nil: none
-	stepObserver    StepObserver  // nil: none
-	admission       Admission     // nil: all are let in
-	lastPeerMessage time.Duration // the last message of another node; 0: none
-	ownerDeadline   time.Duration // what ending owns is to be answered by then
+	lastPeerMessage time.Duration // when a peer was last heard; 0: never
+	ownerDeadline   time.Duration // latest deadline of limitedOwner's operations
 	limitedOwner    Owner         // nil: none
-	tracing         bool          // the log has each operation's way
-	workerName      func(balance.WorkerID) string
+
+	// Events that the balancer has not handled; see dispatch.
+	events      []balance.Event
+	dispatching bool
+
+	// Optional parts.
+	onIdle       func()       // called when the last open operation is concluded
+	loadObserver LoadObserver // nil: none
+	stepObserver StepObserver // nil: none
+	admission    Admission    // nil: all operations are admitted
+	tracing      bool         // each operation and step is logged
+	workerName   func(balance.WorkerID) string
 
 	counts Counts
 }
@@ -66,50 +73,50 @@
 	Classes                                                           []ClassCounts // by number
 }
 
-// ClassCounts are the final answers to the operations of one class. What a
-// destination could make nothing of has failed here.
+// ClassCounts are the final answers to the operations of one class. Rejected ones count as
+// failed here.
 type ClassCounts struct{ Served, Refused, Failed uint64 }
 
-// New makes a core. Connect must follow before anything else.
+// New returns a core. seed is the balancer's. Connect must be called before any other method.
 func New(settings balance.Settings, seed uint64, clock Clock, timers *timerqueue.Queue) (*Core, error) {
-	decide, err := balance.New(settings, seed)
+	balancer, err := balance.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{settings: settings, balancer: decide, clock: clock, timers: timers,
+	return &Core{settings: settings, balancer: balancer, clock: clock, timers: timers,
 		counts: Counts{Classes: make([]ClassCounts, len(settings.Classes))}, workerStates: map[balance.WorkerID]balance.State{}, onIdle: func() {}, tracing: tracing(),
 		workerName: func(id balance.WorkerID) string { return strconv.FormatUint(uint64(id), 16) }}, nil
 }
 
-// Connect names the adapters on the far side.
+// Connect sets the adapters to the destinations, to discovery and to the peers.
 func (c *Core) Connect(to Destinations, pool Pool, peers Peers) {
 	c.destinations, c.pool, c.peers = to, pool, peers
 }
 
-// SetLoadObserver has a witness told of what happens from now on.
+// SetLoadObserver sets the observer of the destinations' load.
 func (c *Core) SetLoadObserver(observer LoadObserver) { c.loadObserver = observer }
 
-// SetStepObserver has an observer told of the route steps from now on.
+// SetStepObserver sets the observer of all route steps.
 func (c *Core) SetStepObserver(observer StepObserver) { c.stepObserver = observer }
 
-// SetAdmission has a doorkeeper asked about each operation from now on.
+// SetAdmission sets the admission control of further operations.
 func (c *Core) SetAdmission(admission Admission) { c.admission = admission }
 
-// ZoneShares hands the module what the fleet has decided on the zones.
+// ZoneShares passes the fleet's decision on the zones' shares to the balancer.
 func (c *Core) ZoneShares(s balance.ZoneShares) { c.dispatch(s) }
 
-// Zones tells what is known of the zones' ready destinations.
+// Zones returns the balancer's view of the zones' ready destinations.
 func (c *Core) Zones() []balance.ZoneView { return c.balancer.Zones(c.clock.Now()) }
 
-// EachWorker calls f for each destination of the pool config, with its state and the
-// chance that the module gives a failure there.
-func (c *Core) EachWorker(visit func(id balance.WorkerID, state balance.State, doubt float64)) {
+// EachWorker calls visit for each listed destination, with its state and the probability of a
+// failure there by the balancer's estimate.
+func (c *Core) EachWorker(visit func(id balance.WorkerID, state balance.State, failureProbability float64)) {
 	for id, state := range c.workerStates {
 		visit(id, state, c.balancer.FailureProbability(c.clock.Now(), id))
 	}
 }
 
-// AnyReady tells whether any destination is there to serve.
+// AnyReady reports whether any destination is ready.
 func (c *Core) AnyReady() bool {
 	for _, s := range c.workerStates {
 		if s == balance.Ready {
@@ -119,135 +126,136 @@
 	return false
 }
 
-// OpenOperations returns the number of operations that are owed an answer.
+// OpenOperations returns the number of operations without a final answer.
 func (c *Core) OpenOperations() int { return c.open }
 
-// Counts returns the totals.
+// Counts returns the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// OnIdle sets what is called whenever no operation is open any more.
+// OnIdle sets a callback for whenever the last open operation is concluded.
 func (c *Core) OnIdle(callback func()) { c.onIdle = callback }
 
-// Accept takes an operation in. Nothing becomes of it before Route, so that its
-// owner can note the Ref first.
+// Accept registers an operation and starts its deadline. Nothing is sent before Route, so that
+// its owner can record the handle first.
 func (c *Core) Accept(in Operation) slottable.Handle {
 	if c.limitedOwner != nil && in.Owner == c.limitedOwner {
 		in.Deadline = min(in.Deadline, c.ownerDeadline)
 	}
 	in.Work.Once = in.Class < len(c.settings.Classes) && c.settings.Classes[in.Class].Effect == balance.NonIdempotent
-	op := &operation{Operation: in, arrived: c.clock.Now()}
-	ref := c.operations.Add(op)
+	operation := &operation{Operation: in, arrived: c.clock.Now()}
+	ref := c.operations.Add(operation)
 	c.open++
 	c.counts.Operations++
-	// The module answers a little before the deadline. Should it ever not, the
-	// client is still owed an answer while it listens.
-	op.deadline = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(ref) })
+	// The balancer decides a little before the deadline. Should it fail to, the client still
+	// gets an answer.
+	operation.deadline = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(ref) })
 	return ref
 }
 
-// LimitDeadlines has all operations of an owner answered by a time, those still to come too:
-// the process may live no longer. The module refuses or fails what does not end by
-// then.
+// LimitDeadlines cuts the deadlines of all operations of an owner, later ones included, to a
+// time: the process may be killed after it. The balancer rejects or fails those that do not end
+// by then.
 func (c *Core) LimitDeadlines(owner Owner, at time.Duration) {
 	c.limitedOwner, c.ownerDeadline = owner, at
 	var refs []slottable.Handle
-	c.operations.All(func(ref slottable.Handle, op *operation) {
-		if !op.concluded && op.Owner == owner && op.Deadline > at {
+	c.operations.All(func(ref slottable.Handle, operation *operation) {
+		if !operation.concluded && operation.Owner == owner && operation.Deadline > at {
 			refs = append(refs, ref)
 		}
 	})
 	for _, ref := range refs {
-		op := c.operations.Get(ref)
-		if op == nil || op.concluded {
+		operation := c.operations.Get(ref)
+		if operation == nil || operation.concluded {
 			continue
 		}
-		op.Deadline = at
-		c.timers.Cancel(op.deadline)
-		op.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(ref) })
+		operation.Deadline = at
+		c.timers.Cancel(operation.deadline)
+		operation.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(ref) })
 		c.dispatch(balance.DeadlineShortened{Request: balance.RequestID(ref), Deadline: at})
 	}
 }
 
-// PeersHeardWithin tells whether a message of another node has come in the last span.
+// PeersHeardWithin reports whether a peer's message was received within the last window.
 func (c *Core) PeersHeardWithin(window time.Duration) bool {
 	return c.lastPeerMessage > 0 && c.clock.Now()-c.lastPeerMessage <= window
 }
 
-// Route puts an operation to the module. Its final answer may come before Route
-// returns.
+// Route starts an operation: admission, then the balancer's decision. Its final answer may be
+// given before Route returns.
 func (c *Core) Route(ref slottable.Handle) {
-	op := c.operations.Get(ref)
-	if op == nil {
+	operation := c.operations.Get(ref)
+	if operation == nil {
 		return
 	}
-	c.traceOperation("operation taken", op, "class", op.Class, "slots", op.Slots, "hint_us", op.Cost.Microseconds(),
-		"due_us", (op.Deadline - op.arrived).Microseconds())
+	c.traceOperation("operation taken", operation, "class", operation.Class, "slots", operation.Slots, "hint_us", operation.Cost.Microseconds(),
+		"due_us", (operation.Deadline - operation.arrived).Microseconds())
 	if c.admission != nil {
-		if after, ok := c.admission.Admit(op.Class); !ok {
+		if after, ok := c.admission.Admit(operation.Class); !ok {
 			c.conclude(ref, Answer{Verdict: Refused, RetryAfter: c.retryAdvice(after)})
 			return
 		}
 	}
-	c.dispatch(c.request(ref, op))
+	c.dispatch(c.request(ref, operation))
 }
 
-// request is an operation as the module sees it.
-func (c *Core) request(ref slottable.Handle, op *operation) balance.Request {
-	return balance.Request{ID: balance.RequestID(ref), Class: op.Class, Tenant: op.Tenant, Key: op.Key,
-		Cost: op.Cost, HasCost: op.HasCost, Repeat: op.Repeat, Slots: op.Slots, Memory: op.Memory,
-		Deadline: op.Deadline}
+// request returns an operation as the balancer sees it.
+func (c *Core) request(ref slottable.Handle, operation *operation) balance.Request {
+	return balance.Request{ID: balance.RequestID(ref), Class: operation.Class, Tenant: operation.Tenant, Key: operation.Key,
+		Cost: operation.Cost, HasCost: operation.HasCost, Repeat: operation.Repeat, Slots: operation.Slots, Memory: operation.Memory,
+		Deadline: operation.Deadline}
 }
 
-// MayHaveRun tells whether a route step of the operation has had effect, or yet
-// may.
+// MayHaveRun reports whether a route step of the operation may have had an effect, or may yet
+// have one.
 func (c *Core) MayHaveRun(ref slottable.Handle) bool {
-	op := c.operations.Get(ref)
-	return op != nil && (op.inFlight > op.gated ||
-		slices.ContainsFunc(op.attempts, func(t balance.PriorAttempt) bool { return t.MayHave && !t.Out }))
+	operation := c.operations.Get(ref)
+	return operation != nil && (operation.inFlight > operation.gated ||
+		slices.ContainsFunc(operation.attempts, func(t balance.PriorAttempt) bool { return t.MayHave && !t.Out }))
 }
 
-// Withdraw tells that nobody waits for the operation any more. It gets no
-// answer from then on.
+// Withdraw ends an operation whose client is gone. Its steps are cancelled, and it gets no
+// answer.
 func (c *Core) Withdraw(ref slottable.Handle) {
-	op := c.operations.Get(ref)
-	if op == nil || op.concluded {
+	operation := c.operations.Get(ref)
+	if operation == nil || operation.concluded {
 		return
 	}
 	c.counts.Gone++
-	c.traceOperation("operation withdrawn", op)
-	c.finish(op)
+	c.traceOperation("operation withdrawn", operation)
+	c.finish(operation)
 	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
-	c.forget(ref, op)
+	c.forget(ref, operation)
 }
 
+// overdue fails an operation that the balancer has not decided by its deadline.
 func (c *Core) overdue(ref slottable.Handle) {
-	op := c.operations.Get(ref)
-	if op == nil || op.concluded {
+	operation := c.operations.Get(ref)
+	if operation == nil || operation.concluded {
 		return
 	}
-	slog.Warn("operation overdue", "id", op.Work.ID, "steps", len(op.steps))
-	c.giveAnswer(ref, op, Answer{Verdict: Failed})
+	slog.Warn("operation overdue", "id", operation.Work.ID, "steps", len(operation.steps))
+	c.giveAnswer(ref, operation, Answer{Verdict: Failed})
 	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
-	c.forget(ref, op)
+	c.forget(ref, operation)
 }
 
-// giveAnswer gives the operation its one final answer.
-func (c *Core) giveAnswer(ref slottable.Handle, op *operation, answer Answer) {
-	if op.concluded {
+// giveAnswer gives the operation its one final answer; further calls are ignored.
+func (c *Core) giveAnswer(ref slottable.Handle, operation *operation, answer Answer) {
+	if operation.concluded {
 		return
 	}
 	answer.MayHaveRun = c.MayHaveRun(ref)
-	c.countVerdict(op.Class, answer.Verdict)
-	c.traceOperation("operation answered", op, "verdict", answer.Verdict, "retry_us", answer.RetryAfter.Microseconds(),
+	c.countVerdict(operation.Class, answer.Verdict)
+	c.traceOperation("operation answered", operation, "verdict", answer.Verdict, "retry_us", answer.RetryAfter.Microseconds(),
 		"may_have_run", answer.MayHaveRun)
-	c.finish(op)
-	op.Owner.Answered(ref, answer)
+	c.finish(operation)
+	operation.Owner.Answered(ref, answer)
 	if c.loadObserver != nil {
-		c.loadObserver.OperationConcluded(op.Owner, answer.Verdict)
+		c.loadObserver.OperationConcluded(operation.Owner, answer.Verdict)
 	}
 }
 
-// countVerdict books a final answer, in all and on its class.
+// countVerdict counts a final answer, in all and for its class.
 func (c *Core) countVerdict(class int, verdict Verdict) {
 	of := &ClassCounts{}
 	if class >= 0 && class < len(c.counts.Classes) {
@@ -269,23 +277,24 @@
 	}
 }
 
-func (c *Core) finish(op *operation) {
-	op.concluded = true
-	c.timers.Cancel(op.deadline)
+// finish marks an operation as concluded.
+func (c *Core) finish(operation *operation) {
+	operation.concluded = true
+	c.timers.Cancel(operation.deadline)
 	c.open--
 	if c.open == 0 {
 		c.onIdle()
 	}
 }
 
-// forget frees the slot of an operation that is over with nothing out.
-func (c *Core) forget(ref slottable.Handle, op *operation) {
-	if op.concluded && op.inFlight == 0 {
+// forget removes a concluded operation once it has no step in flight.
+func (c *Core) forget(ref slottable.Handle, operation *operation) {
+	if operation.concluded && operation.inFlight == 0 {
 		c.operations.Remove(ref)
 	}
 }
 
-// ProbeEnded tells what a probe found.
+// ProbeEnded takes the result of a probe, from Destinations.
 func (c *Core) ProbeEnded(ev balance.ProbeDone) {
 	if c.loadObserver != nil && ev.Report != nil {
 		c.loadObserver.LoadReported(ev.Worker, ev.Report)
@@ -297,7 +306,7 @@
 	c.dispatch(ev)
 }
 
-// PoolChanged takes in news of the destinations.
+// PoolChanged takes a change of the listed destinations, from Pool.
 func (c *Core) PoolChanged(update balance.ListUpdate) {
 	switch update.Kind {
 	case balance.ListFull, balance.ListCached:
@@ -313,14 +322,14 @@
 	c.dispatch(update)
 }
 
-// PeerMessage takes in a message of another node.
+// PeerMessage takes a message of another node, from Peers.
 func (c *Core) PeerMessage(from int, payload []byte) {
 	c.lastPeerMessage = c.clock.Now()
 	c.dispatch(balance.PeerMessage{From: from, Payload: payload})
 }
 
-// dispatch hands an event to the module and carries its actions out. What they
-// bring about waits its turn, as the module is not to be called within a call.
+// dispatch passes an event to the balancer and carries out its actions. Events that these
+// cause are queued until it has returned, since the balancer is not reentrant.
 func (c *Core) dispatch(ev balance.Event) {
 	c.events = append(c.events, ev)
 	if c.dispatching {
@@ -337,6 +346,7 @@
 	c.dispatching = false
 }
 
+// perform carries out one action of the balancer.
 func (c *Core) perform(action balance.Action) {
 	switch action := action.(type) {
 	case balance.Send:
@@ -364,13 +374,13 @@
 	case balance.FetchList:
 		c.pool.Fetch()
 	case balance.Log:
-		slog.Info("module", "says", action.Text)
+		slog.Info("balancer", "says", action.Text)
 	case balance.InternalError:
-		slog.Error("module fault", "says", action.Text)
+		slog.Error("balancer fault", "says", action.Text)
 	}
 }
 
-// retryAdvice cuts the time to come back to what the settings allow.
+// retryAdvice limits a Retry-After to what the settings allow; 0: none.
 func (c *Core) retryAdvice(after time.Duration) time.Duration {
 	if !c.settings.Limits.RetryAfter {
 		return 0
@@ -381,9 +391,10 @@
 	return after
 }
 
+// conclude answers an operation and removes it if it has no step in flight.
 func (c *Core) conclude(ref slottable.Handle, answer Answer) {
-	if op := c.operations.Get(ref); op != nil {
-		c.giveAnswer(ref, op, answer)
-		c.forget(ref, op)
+	if operation := c.operations.Get(ref); operation != nil {
+		c.giveAnswer(ref, operation, answer)
+		c.forget(ref, operation)
 	}
 }
--- a/internal/node/routing/core_test.go
+++ b/internal/node/routing/core_test.go
@@ -9,10 +9,10 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// fakeAdapters is all that stands round a core in a test.
+// fakeAdapters are a core's clock, adapters and owner in a test.
 type fakeAdapters struct {
 	now     time.Duration
-	line    timerqueue.Queue
+	timers  timerqueue.Queue
 	sent    []slottable.Handle
 	aborted []slottable.Handle
 	answers []Answer
@@ -32,47 +32,49 @@
 func (f *fakeAdapters) Started(slottable.Handle, balance.WorkerID)                    {}
 func (f *fakeAdapters) StepSent(slottable.Handle, balance.WorkerID)                   {}
 func (f *fakeAdapters) StepEnded(slottable.Handle, balance.WorkerID, balance.Outcome) {}
+
+// run advances the clock and fires the timers.
 func (f *fakeAdapters) run(until time.Duration) {
 	for ; f.now < until; f.now += time.Millisecond {
-		f.line.Run(f.now)
+		f.timers.Run(f.now)
 	}
 }
 
-// newCore has one ready worker, number 7, and one operation with a step out.
+// newCore returns a core with one ready worker, number 7, and one operation with a step in flight.
 func newCore(t *testing.T) (*Core, *fakeAdapters, slottable.Handle) {
 	t.Helper()
 	f := &fakeAdapters{now: time.Hour}
 	c, err := New(balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond,
 		Classes: []balance.Class{{LatencyTarget: time.Second, Timeout: time.Second, Value: 1, Effect: balance.NonIdempotent, Kind: -1}},
-		Limits:  balance.Limits{MaxAttempts: 2, Cancel: true}, Rules: balance.Rules{InitialCapacity: 1}}, 1, f, &f.line)
+		Limits:  balance.Limits{MaxAttempts: 2, Cancel: true}, Rules: balance.Rules{InitialCapacity: 1}}, 1, f, &f.timers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Connect(f, f, f)
 	c.PoolChanged(balance.ListUpdate{Kind: balance.ListFull, Workers: []balance.WorkerListing{{Worker: 7, Scale: 1}}})
-	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
-	c.Route(op)
+	operation := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
+	c.Route(operation)
 	if len(f.sent) != 1 {
 		t.Fatalf("%d steps sent", len(f.sent))
 	}
-	return c, f, op
+	return c, f, operation
 }
 
-// Whatever comes twice or late, an operation gets one answer.
+// An operation gets one answer, whatever events are repeated or late.
 func TestCore_oneFinalAnswer(t *testing.T) {
-	c, f, op := newCore(t)
+	c, f, operation := newCore(t)
 	c.StepEnded(f.sent[0], StepEnd{Outcome: balance.Served, Result: []byte("x")})
 	c.StepEnded(f.sent[0], StepEnd{Outcome: balance.Reset})
 	c.StepStarted(f.sent[0])
-	c.Withdraw(op)
+	c.Withdraw(operation)
 	f.run(f.now + 2*time.Second)
 	if len(f.answers) != 1 || f.answers[0].Verdict != Served || c.OpenOperations() != 0 || c.operations.Len() != 0 {
 		t.Errorf("answers %v, %d open", f.answers, c.OpenOperations())
 	}
 }
 
-// With nothing heard the answer comes before the client gives up, the step is
-// called off, and the booking may have run: it is failed, not refused.
+// With a silent destination the answer is given before the deadline, the step is cancelled,
+// and the booking, which may have run, is failed, not refused.
 func TestCore_silenceUntilTheDeadline(t *testing.T) {
 	c, f, _ := newCore(t)
 	f.run(f.now + time.Second)
@@ -84,20 +86,20 @@
 	}
 }
 
-// Withdrawn operations get no answer, and their steps are called off.
+// Withdrawn operations get no answer, and their steps are cancelled.
 func TestCore_Withdraw(t *testing.T) {
-	c, f, op := newCore(t)
-	if !c.MayHaveRun(op) {
-		t.Error("a step is out, and nothing may have run")
+	c, f, operation := newCore(t)
+	if !c.MayHaveRun(operation) {
+		t.Error("a step is in flight, and nothing may have run")
 	}
-	c.Withdraw(op)
+	c.Withdraw(operation)
 	f.run(f.now + 2*time.Second)
 	if len(f.answers) != 0 || len(f.aborted) != 1 || c.OpenOperations() != 0 {
 		t.Errorf("answers %v, %d steps called off", f.answers, len(f.aborted))
 	}
 }
 
-// A destination told to drain gets nothing new, whatever the module thinks.
+// A draining destination gets nothing new, whatever the balancer decides.
 func TestCore_nothingNewToADrainingDestination(t *testing.T) {
 	c, f, _ := newCore(t)
 	if !c.MayStart(f.sent[0]) {
@@ -107,14 +109,14 @@
 	if c.MayStart(f.sent[0]) {
 		t.Error("a step to a draining destination may start")
 	}
-	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
-	c.send(op, balance.Send{Request: balance.RequestID(op), Worker: 7})
+	operation := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: f})
+	c.send(operation, balance.Send{Request: balance.RequestID(operation), Worker: 7})
 	if len(f.sent) != 1 {
 		t.Error("a step was sent to a draining destination")
 	}
 }
 
-// gatedOwner is an owner whose steps wait for it.
+// gatedOwner is an owner with a Gate.
 type gatedOwner struct {
 	*fakeAdapters
 	open []func(bool)
@@ -122,7 +124,7 @@
 
 func (g *gatedOwner) BeforeSend(_ slottable.Handle, open func(bool)) { g.open = append(g.open, open) }
 
-// newGated has one ready worker and one operation whose step is before its gate.
+// newGated returns a core with one ready worker and one operation whose step waits for its gate.
 func newGated(t *testing.T) (*Core, *gatedOwner, slottable.Handle) {
 	t.Helper()
 	c, f, first := newCore(t)
@@ -130,20 +132,20 @@
 	c.forget(first, &operation{})
 	f.sent, f.answers = nil, nil
 	g := &gatedOwner{fakeAdapters: f}
-	op := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: g})
-	c.Route(op)
-	if len(g.open) != 1 || len(f.sent) != 0 || c.MayHaveRun(op) {
-		t.Fatalf("%d gates, %d steps sent, may have run %v", len(g.open), len(f.sent), c.MayHaveRun(op))
+	handle := c.Accept(Operation{Deadline: f.now + time.Second, Slots: 1, Owner: g})
+	c.Route(handle)
+	if len(g.open) != 1 || len(f.sent) != 0 || c.MayHaveRun(handle) {
+		t.Fatalf("%d gates, %d steps sent, may have run %v", len(g.open), len(f.sent), c.MayHaveRun(handle))
 	}
-	return c, g, op
+	return c, g, handle
 }
 
 func TestCore_gateOpens(t *testing.T) {
-	c, g, op := newGated(t)
+	c, g, operation := newGated(t)
 	g.open[0](true)
-	g.open[0](true) // a second word changes nothing
-	if len(g.sent) != 1 || !c.MayHaveRun(op) {
-		t.Fatalf("%d steps sent, may have run %v", len(g.sent), c.MayHaveRun(op))
+	g.open[0](true) // a second call has no effect
+	if len(g.sent) != 1 || !c.MayHaveRun(operation) {
+		t.Fatalf("%d steps sent, may have run %v", len(g.sent), c.MayHaveRun(operation))
 	}
 	c.StepEnded(g.sent[0], StepEnd{Outcome: balance.Served})
 	if len(g.answers) != 1 || g.answers[0].Verdict != Served || c.operations.Len() != 0 {
@@ -151,11 +153,11 @@
 	}
 }
 
-// What is over, late, or at a destination that drains or is gone does not go out
-// when its gate opens at last, and has never run.
+// A step that is concluded, late, or at a destination that drains or is gone is not sent when its
+// gate opens at last, and has never run.
 func TestCore_gateOpensTooLate(t *testing.T) {
-	for name, meanwhile := range map[string]func(c *Core, g *gatedOwner, op slottable.Handle){
-		"withdrawn": func(c *Core, _ *gatedOwner, op slottable.Handle) { c.Withdraw(op) },
+	for name, meanwhile := range map[string]func(c *Core, g *gatedOwner, operation slottable.Handle){
+		"withdrawn": func(c *Core, _ *gatedOwner, operation slottable.Handle) { c.Withdraw(operation) },
 		"draining": func(c *Core, _ *gatedOwner, _ slottable.Handle) {
 			c.PoolChanged(balance.ListUpdate{Workers: []balance.WorkerListing{{Worker: 7, Scale: 1, State: balance.Draining}}})
 		},
@@ -165,8 +167,8 @@
 		"deadline": func(_ *Core, g *gatedOwner, _ slottable.Handle) { g.run(g.now + 3*time.Second) },
 		"refused":  func(_ *Core, g *gatedOwner, _ slottable.Handle) { g.open[0](false) },
 	} {
-		c, g, op := newGated(t)
-		meanwhile(c, g, op)
+		c, g, operation := newGated(t)
+		meanwhile(c, g, operation)
 		g.open[0](true)
 		g.run(g.now + 3*time.Second)
 		if len(g.sent) != 0 || len(g.aborted) != 0 {
--- a/internal/node/routing/handover.go
+++ b/internal/node/routing/handover.go
@@ -7,32 +7,33 @@
 	"ospreybend/internal/node/slottable"
 )
 
-// OperationState is an operation on its way from one process of the node to another, with
-// all its route steps, in order.
+// OperationState is an operation that one process of the node hands over to the next, with all
+// its route steps, in order. It is encoded with gob, so that its fields and those of Operation
+// and Work keep their names.
 type OperationState struct {
 	Operation Operation // without its owner
 	Arrived   time.Duration
 	Tries     []balance.PriorAttempt
-	Until     []time.Duration // by try, where it is out
+	Until     []time.Duration // deadlines by attempt, for those in flight
 }
 
-// ExportLearned returns what the module has learned, for another process.
+// ExportLearned returns the balancer's learned state, for another process.
 func (c *Core) ExportLearned() []uint64 { return c.balancer.ExportState() }
 
-// ImportLearned has the module take up what it has learned in another process.
+// ImportLearned sets the balancer's learned state to that of another process.
 func (c *Core) ImportLearned(state []uint64) error {
 	return c.balancer.ImportState(c.clock.Now(), state)
 }
 
-// StepsInFlight returns the route steps of an operation that are out at destinations, by the
-// number of the try; the zero Ref stands for one that is not.
+// StepsInFlight returns the route steps of an operation by the number of the attempt, with the
+// zero handle for those that are not in flight.
 func (c *Core) StepsInFlight(ref slottable.Handle) []slottable.Handle {
-	op := c.operations.Get(ref)
-	if op == nil || op.concluded {
+	operation := c.operations.Get(ref)
+	if operation == nil || operation.concluded {
 		return nil
 	}
-	out := make([]slottable.Handle, len(op.steps))
-	for i, at := range op.steps {
+	out := make([]slottable.Handle, len(operation.steps))
+	for i, at := range operation.steps {
 		if c.steps.Get(at) != nil {
 			out[i] = at
 		}
@@ -40,14 +41,14 @@
 	return out
 }
 
-// Release gives an operation up to another process, without a word to its owner.
-// move gives up the connection at work on a step, and tells whether a byte of the
-// step may have gone out; one that is not moved is called off here.
+// Release removes an operation for a hand-over to another process, without an answer to its
+// owner. move gives up the connection of a step and reports whether a byte of the step may
+// have been written (begun); a step that is not moved is cancelled here.
 func (c *Core) Release(ref slottable.Handle, move func(try int, step slottable.Handle) (moved, begun bool)) OperationState {
-	op := c.operations.Get(ref)
-	state := OperationState{Operation: op.Operation, Arrived: op.arrived, Tries: op.attempts, Until: make([]time.Duration, len(op.attempts))}
+	operation := c.operations.Get(ref)
+	state := OperationState{Operation: operation.Operation, Arrived: operation.arrived, Tries: operation.attempts, Until: make([]time.Duration, len(operation.attempts))}
 	state.Operation.Owner = nil
-	for i, at := range op.steps {
+	for i, at := range operation.steps {
 		s := c.steps.Get(at)
 		if s == nil {
 			continue
@@ -59,23 +60,23 @@
 		}
 		c.timers.Cancel(s.deadline)
 		c.steps.Remove(at)
-		op.inFlight--
+		operation.inFlight--
 	}
 	c.counts.Moved++
-	c.finish(op)
+	c.finish(operation)
 	c.operations.Remove(ref)
 	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
 	return state
 }
 
-// Adopt takes over an operation that another process has released, and returns its
-// Ref and those of the steps that are out. Nothing becomes of it before Resume.
+// Adopt takes over an operation that another process has released, and returns its handle and
+// those of its steps in flight. Nothing is sent before Resume.
 func (c *Core) Adopt(in OperationState, owner Owner) (slottable.Handle, []slottable.Handle) {
 	in.Operation.Owner = owner
 	ref := c.Accept(in.Operation)
-	op := c.operations.Get(ref)
-	op.arrived, op.attempts = in.Arrived, in.Tries
-	op.steps = make([]slottable.Handle, len(in.Tries))
+	operation := c.operations.Get(ref)
+	operation.arrived, operation.attempts = in.Arrived, in.Tries
+	operation.steps = make([]slottable.Handle, len(in.Tries))
 	for i, t := range in.Tries {
 		if !t.Out {
 			continue
@@ -83,15 +84,15 @@
 		s := &step{op: ref, number: i, to: t.Worker, sentAt: t.SentAt, until: in.Until[i]}
 		at := c.steps.Add(s)
 		s.deadline = c.timers.Add(s.until, func() { c.endStep(at, balance.TimedOut) })
-		op.steps[i] = at
-		op.inFlight++
+		operation.steps[i] = at
+		operation.inFlight++
 	}
-	return ref, op.steps
+	return ref, operation.steps
 }
 
-// Resume puts an adopted operation to the module.
+// Resume continues an adopted operation with the balancer.
 func (c *Core) Resume(ref slottable.Handle) {
-	if op := c.operations.Get(ref); op != nil {
-		c.dispatch(balance.Adopted{Request: c.request(ref, op), Arrived: op.arrived, Attempts: op.attempts})
+	if operation := c.operations.Get(ref); operation != nil {
+		c.dispatch(balance.Adopted{Request: c.request(ref, operation), Arrived: operation.arrived, Attempts: operation.attempts})
 	}
 }
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -1,7 +1,14 @@
-// Package routing is the node's core: it carries operations through their route
-// steps to one final answer, as package balance decides. It knows no HTTP, no
-// JSON and no sockets; fronts, destinations and the pool config are adapters
-// that import this package.
+// Package routing is the node's core: it takes operations (requests) through their route
+// steps (attempts at destinations) to exactly one final answer each.
+//
+// Package balance decides where a step goes, whether it is retried and when an operation is
+// rejected; the core passes it events and carries out its actions, one at a time (core.go). It
+// enforces the rules that no decision may break (steps.go): no step to a destination that is not
+// ready, none after the deadline, none beyond the most attempts, none for a client that is gone.
+//
+// It knows no HTTP, no JSON and no sockets. Fronts (protocol.Front, jobs.Manager),
+// destinations and discovery are adapters behind the interfaces of this file. All of it runs on
+// the event loop, so that nothing is locked. handover.go moves operations between processes.
 package routing
 
 import (
@@ -11,26 +18,27 @@
 	"ospreybend/internal/node/slottable"
 )
 
-// Work is what a destination is asked to do. The core passes it on unread.
+// Work is a request as it is sent to a destination. The core passes it on unread. Encoded with
+// gob; see OperationState.
 type Work struct {
 	ID         string // unique, as the client gave it
 	Target     string // path and query
-	Idempotent string // the client's own key, by which repeats are dropped; passed on; empty: none
+	Idempotent string // the client's idempotency key, forwarded; empty: none
 	Body       []byte
-	Once       bool // must not run twice; set by the core
+	Once       bool // non-idempotent; set by the core
 }
 
-// Operation is a request as a front hands it in.
+// Operation is a request as a front submits it. Encoded with gob; see OperationState.
 type Operation struct {
 	Work     Work
 	Class    int
 	Tenant   int
-	Key      uint64 // 0: none
-	Cost     time.Duration
+	Key      uint64        // of session affinity; 0: none
+	Cost     time.Duration // the client's estimate, with HasCost
 	HasCost  bool
-	Repeat   bool
+	Repeat   bool // the client has sent the request before
 	Slots    float64
-	Memory   float64
+	Memory   float64       // in the settings' unit
 	Deadline time.Duration // on the loop's clock
 	Owner    Owner
 }
@@ -43,7 +51,7 @@
 	Served Verdict = iota
 	Refused
 	Failed
-	Rejected // a destination could make nothing of it: the client's fault
+	Rejected // a destination found the request invalid
 )
 
 // Answer is an operation's one final answer.
@@ -54,72 +62,68 @@
 	MayHaveRun bool          // some route step may have had effect
 }
 
-// Owner is the front that handed an operation in.
+// Owner is the front that submitted an operation.
 type Owner interface {
-	// Answered is called exactly once for each operation, unless it was
-	// withdrawn before.
-	Answered(op slottable.Handle, a Answer)
-	// Started tells that a destination has begun to run the operation.
-	Started(op slottable.Handle, at balance.WorkerID)
-	// StepSent tells that a route step goes out, before its first byte does.
-	StepSent(op slottable.Handle, to balance.WorkerID)
-	// StepEnded tells how a route step ended, while the operation has no final
-	// answer yet.
-	StepEnded(op slottable.Handle, at balance.WorkerID, how balance.Outcome)
+	// Answered is called exactly once for each operation that is not withdrawn before.
+	Answered(operation slottable.Handle, a Answer)
+	// Started is called when a destination has begun to run the operation.
+	Started(operation slottable.Handle, at balance.WorkerID)
+	// StepSent is called before the first byte of a route step is written.
+	StepSent(operation slottable.Handle, to balance.WorkerID)
+	// StepEnded is called when a route step has ended and the operation has no final answer yet.
+	StepEnded(operation slottable.Handle, at balance.WorkerID, how balance.Outcome)
 }
 
-// LoadObserver hears of the operations of all fronts, to learn how busy the
-// destinations are.
+// LoadObserver is told of the operations of all fronts, to estimate the destinations' load.
 type LoadObserver interface {
-	// StartDelay tells of a route step's start, and how long after its sending it came.
+	// StartDelay is called when a route step has started, with the time since it was sent.
 	StartDelay(owner Owner, wait time.Duration)
-	// OperationConcluded tells of an operation's final answer.
+	// OperationConcluded is called with an operation's final answer.
 	OperationConcluded(owner Owner, v Verdict)
-	// LoadReported tells of a destination's load report, ordered as Settings.Report.
+	// LoadReported is called with a destination's load report, ordered as Settings.Report.
 	LoadReported(from balance.WorkerID, report []float32)
 }
 
-// StepObserver hears of all route steps that go out, to learn how the zones fare.
+// StepObserver is told of all route steps, to measure the zones' health.
 type StepObserver interface {
 	StepSent(step slottable.Handle, to balance.WorkerID, class int, slots float64)
 	StepStarted(step slottable.Handle)
-	// StepEnded tells how a step ended, also one that was never sent.
+	// StepEnded is called for each step, also one that was never sent.
 	StepEnded(step slottable.Handle, how balance.Outcome)
 }
 
-// Admission decides whether an operation is let in at all. One that is not is refused at
-// once, with a time to come back.
+// Admission decides whether an operation is admitted. One that is not is answered Refused at
+// once, with after as its Retry-After.
 type Admission interface {
 	Admit(class int) (after time.Duration, ok bool)
 }
 
-// Gate is an owner that must do something, as write to a record, between the
-// module's decision for a route step and the step's first byte. The loop does not
-// wait meanwhile: Gate returns at once, and open is called on the loop, within Gate
-// or later, once; with false nothing goes out. After it the core looks again at the
-// deadline, the destination's state and the final answer. Until then the step has
-// never run, however it ends.
+// Gate is an Owner that must do something, such as a write to a database, between the decision
+// for a route step and its first byte. BeforeSend returns at once; open is called on the
+// loop, within BeforeSend or later, once. open(false) ends the step unsent. Before it sends
+// the core checks the deadline, the destination's state and the final answer again. Until
+// then the step has certainly not run, however it ends.
 type Gate interface {
-	BeforeSend(op slottable.Handle, open func(ok bool))
+	BeforeSend(operation slottable.Handle, open func(ok bool))
 }
 
-// Waiter is an owner that can look whether anybody still waits for an operation, though
-// it may not have been told otherwise yet. The core asks before each attempt's first
-// byte. An owner that finds nobody withdraws the operation before it says no.
+// Waiter is an Owner that can check whether the client still waits for an operation, ahead of
+// the event that tells so. The core asks before each attempt's first byte. If the client is
+// gone, ClientWaits withdraws the operation and returns false.
 type Waiter interface {
-	ClientWaits(op slottable.Handle) bool
+	ClientWaits(operation slottable.Handle) bool
 }
 
 // StepEnd is how a route step ended.
 type StepEnd struct {
 	Outcome  balance.Outcome
-	Rejected bool // the destination could make nothing of the operation
+	Rejected bool // the destination found the request invalid
 	Result   []byte
 	Report   []float32
 }
 
-// Destinations carries route steps to destinations. For each Send it calls
-// Core.StepEnded once, unless Abort came before.
+// Destinations sends route steps to destinations. For each Send it calls Core.StepEnded once,
+// unless Abort is called before.
 type Destinations interface {
 	Send(step slottable.Handle, to balance.WorkerID, w *Work, until time.Duration)
 	Abort(step slottable.Handle) // closes the step's connection
@@ -127,13 +131,14 @@
 	CloseIdle(to balance.WorkerID)
 }
 
-// Pool asks the pool config for the list of destinations.
+// Pool fetches the list of destinations from the pool config, and publishes it by
+// Core.PoolChanged.
 type Pool interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Peers sends messages to the other nodes.
+// Peers sends messages to the other nodes of the tier.
 type Peers interface {
 	SendMessage(to int, payload []byte)
 }
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -9,10 +9,10 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// networkAllowance is what the network may take, with half of the slack that the rules have on sockets to spare.
+// networkAllowance is the time that a request may take on the network: half of the tolerance of the platform's rules.
 const networkAllowance = 25 * time.Millisecond
 
-// step is one route step.
+// step is one route step: an attempt of an operation at a destination.
 type step struct {
 	op       slottable.Handle
 	number   int
@@ -20,12 +20,12 @@
 	sentAt   time.Duration
 	until    time.Duration
 	deadline *timerqueue.Timer
-	gated    bool // not let through to the destination yet
+	gated    bool // waits for its owner's Gate
 }
 
-// MayStart tells whether a route step whose connection has come up only now may
-// still write its first byte: the destination may have been told to drain, the
-// deadline may have passed and the client may have left while the connection was made.
+// MayStart reports whether a route step may write its first byte now that its connection is
+// open. Meanwhile the destination may have begun to drain, the deadline may have passed, the
+// client may have disconnected or the window for repeats may be over.
 func (c *Core) MayStart(ref slottable.Handle) bool {
 	s := c.steps.Get(ref)
 	if s == nil {
@@ -35,32 +35,33 @@
 	return listed && state == balance.Ready && c.clock.Now() < s.until && c.clientWaits(s.op) && c.inDedupWindow(s)
 }
 
-// inDedupWindow tells whether a repeat of what destinations drop repeats of for a while may still begin: its
-// connection may have come up long after the module's decision, and its bytes are on their way yet.
+// inDedupWindow reports whether a retry would arrive while the destinations still recognize it as a repeat.
+// Its connection may have been opened long after the balancer's decision, and its bytes are yet to travel.
 func (c *Core) inDedupWindow(s *step) bool {
-	op := c.operations.Get(s.op)
-	if op.Class >= len(c.settings.Classes) || c.settings.Classes[op.Class].Effect != balance.Deduplicated {
+	operation := c.operations.Get(s.op)
+	if operation.Class >= len(c.settings.Classes) || c.settings.Classes[operation.Class].Effect != balance.Deduplicated {
 		return true
 	}
-	for i, t := range op.attempts {
-		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[op.Class].Window-networkAllowance {
+	for i, t := range operation.attempts {
+		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[operation.Class].Window-networkAllowance {
 			return false
 		}
 	}
 	return true
 }
 
-// clientWaits tells whether anybody waits for an operation's answer. It may withdraw it.
+// clientWaits reports whether the client waits for an operation's answer. If not, the owner
+// withdraws the operation within the call.
 func (c *Core) clientWaits(ref slottable.Handle) bool {
-	op := c.operations.Get(ref)
-	if op == nil || op.concluded {
+	operation := c.operations.Get(ref)
+	if operation == nil || operation.concluded {
 		return false
 	}
-	w, ok := op.Owner.(Waiter)
+	w, ok := operation.Owner.(Waiter)
 	return !ok || w.ClientWaits(ref)
 }
 
-// StepStarted tells that the destination has begun to run the step.
+// StepStarted takes the event that the destination has begun to run the step.
 func (c *Core) StepStarted(ref slottable.Handle) {
 	s := c.steps.Get(ref)
 	if s == nil {
@@ -70,17 +71,17 @@
 	if c.stepObserver != nil {
 		c.stepObserver.StepStarted(ref)
 	}
-	if op := c.operations.Get(s.op); op != nil && !op.concluded {
-		op.attempts[s.number].Started = c.clock.Now()
-		op.Owner.Started(s.op, s.to)
+	if operation := c.operations.Get(s.op); operation != nil && !operation.concluded {
+		operation.attempts[s.number].Started = c.clock.Now()
+		operation.Owner.Started(s.op, s.to)
 		if c.loadObserver != nil {
-			c.loadObserver.StartDelay(op.Owner, c.clock.Now()-s.sentAt)
+			c.loadObserver.StartDelay(operation.Owner, c.clock.Now()-s.sentAt)
 		}
 	}
 	c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to, Started: true})
 }
 
-// StepProgress tells how far the destination is.
+// StepProgress takes the share of the step that the destination has completed, from 0 to 1.
 func (c *Core) StepProgress(ref slottable.Handle, share float64) {
 	if s := c.steps.Get(ref); s != nil {
 		c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
@@ -88,7 +89,7 @@
 	}
 }
 
-// StepEnded tells how a route step ended. Only the first word on a step counts.
+// StepEnded takes the end of a route step; later events of the step are ignored.
 func (c *Core) StepEnded(ref slottable.Handle, end StepEnd) {
 	s := c.steps.Get(ref)
 	if s == nil {
@@ -97,38 +98,38 @@
 	c.steps.Remove(ref)
 	c.timers.Cancel(s.deadline)
 	if end.Rejected {
-		// No fault of the destination's, and another would say the same: one bad
-		// client could else make all of them look sick. To the module it is as if
-		// the step had been called off.
+		// The request is invalid at any destination: if it counted as a failure, one faulty
+		// client could make all destinations look unhealthy. To the balancer the step was
+		// cancelled.
 		end.Outcome = balance.Cancelled
 	}
 	c.counts.Outcomes[end.Outcome]++
 	c.traceStep("step ended", s, "outcome", end.Outcome, "report", end.Report)
-	op := c.operations.Get(s.op)
+	operation := c.operations.Get(s.op)
 	if c.stepObserver != nil {
 		c.stepObserver.StepEnded(ref, end.Outcome)
 	}
-	op.inFlight--
-	op.attempts[s.number].Out, op.attempts[s.number].MayHave = false, !end.Outcome.NeverRan()
+	operation.inFlight--
+	operation.attempts[s.number].Out, operation.attempts[s.number].MayHave = false, !end.Outcome.NeverRan()
 	if c.loadObserver != nil && end.Report != nil {
 		c.loadObserver.LoadReported(s.to, end.Report)
 	}
-	if !op.concluded {
-		op.Owner.StepEnded(s.op, s.to, end.Outcome)
+	if !operation.concluded {
+		operation.Owner.StepEnded(s.op, s.to, end.Outcome)
 	}
 	switch {
 	case end.Rejected:
-		c.giveAnswer(s.op, op, Answer{Verdict: Rejected})
+		c.giveAnswer(s.op, operation, Answer{Verdict: Rejected})
 	case end.Outcome == balance.Served:
-		c.giveAnswer(s.op, op, Answer{Verdict: Served, Result: end.Result})
+		c.giveAnswer(s.op, operation, Answer{Verdict: Served, Result: end.Result})
 	}
 	c.dispatch(balance.AttemptDone{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
-		Outcome: end.Outcome, Elapsed: c.clock.Now() - s.sentAt, Over: op.concluded, Report: end.Report})
-	c.forget(s.op, op)
+		Outcome: end.Outcome, Elapsed: c.clock.Now() - s.sentAt, Over: operation.concluded, Report: end.Report})
+	c.forget(s.op, operation)
 }
 
-// send starts a route step. What the rules forbid outright ends as not sent,
-// whatever the module thinks.
+// send starts a route step. One that the rules forbid ends as not sent, whatever the
+// balancer has decided.
 func (c *Core) send(ref slottable.Handle, send balance.Send) {
 	operation, now := c.operations.Get(ref), c.clock.Now()
 	if operation == nil {
@@ -165,38 +166,39 @@
 	gate.BeforeSend(ref, func(ok bool) { c.openGate(at, ok) })
 }
 
-// openGate lets a step through its gate, or ends it there. What is now over, late or
-// at a destination that has been told to drain does not go out any more.
+// openGate sends a step once its owner allows it, or ends it unsent: if the owner does not
+// allow it, or if it may not start any more.
 func (c *Core) openGate(at slottable.Handle, ok bool) {
 	s := c.steps.Get(at)
 	if s == nil || !s.gated {
 		return
 	}
-	op := c.operations.Get(s.op)
+	operation := c.operations.Get(s.op)
 	s.gated = false
-	op.gated--
+	operation.gated--
 	if !ok || !c.MayStart(at) {
 		c.StepEnded(at, StepEnd{Outcome: balance.NotSent})
 		return
 	}
 	faultinjection.Hit(faultinjection.GateOpen)
-	c.destinations.Send(at, s.to, &op.Work, s.until)
+	c.destinations.Send(at, s.to, &operation.Work, s.until)
 }
 
+// cancel ends a step that the balancer cancels.
 func (c *Core) cancel(ref slottable.Handle, number int) {
-	if op := c.operations.Get(ref); op != nil && number >= 0 && number < len(op.steps) {
-		c.endStep(op.steps[number], balance.Cancelled)
+	if operation := c.operations.Get(ref); operation != nil && number >= 0 && number < len(operation.steps) {
+		c.endStep(operation.steps[number], balance.Cancelled)
 	}
 }
 
-// endStep gives a step up. Its connection is closed with it.
+// endStep abandons a step with an outcome, and closes its connection.
 func (c *Core) endStep(ref slottable.Handle, as balance.Outcome) {
 	s := c.steps.Get(ref)
 	if s == nil {
 		return
 	}
 	if s.gated {
-		c.openGate(ref, false) // whatever the reason, it never ran
+		c.openGate(ref, false) // it never ran, whatever the outcome was to be
 		return
 	}
 	c.destinations.Abort(ref)
