--- a/internal/node/eventloop/conn.go
+++ b/internal/node/eventloop/conn.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	maxRetainedBuffer  = 16 << 10              // a buffer grown past this is given back once empty
-	lingerTimeout      = time.Second           // for the other side to end a connection, or to take some more of what is owed
-	maxLinger          = 10 * lingerTimeout    // for one that takes what is owed ever more slowly
-	lingerPollInterval = 10 * time.Millisecond // how often what is owed is looked at
-	readDelayBound     = 2 * time.Millisecond  // what has come is read by the loop within it
+	maxRetainedBuffer  = 16 << 10              // bytes; a larger buffer is released once empty
+	lingerTimeout      = time.Second           // for the peer to close a connection, or to read some more of what was sent
+	maxLinger          = 10 * lingerTimeout    // for a peer that reads ever more slowly
+	lingerPollInterval = 10 * time.Millisecond // between two looks at what the peer has not read
+	readDelayBound     = 2 * time.Millisecond  // the loop reads what was received within it
 )
 
-// Handler is what a protocol does with a connection.
+// Handler is a protocol's side of a connection.
 type Handler interface {
-	// Data gets all bytes that are in and not used yet, and returns how many of
+	// Data gets all bytes that were received and not used yet, and returns how many of
 	// them it has used now. The slice is valid during the call.
 	Data(c *Conn, in []byte) (used int)
-	// Closed tells that the other side or the network has ended the connection.
-	// It is not called for a connection that the node closed.
+	// Closed is called when the peer or the network has ended the connection. It is not
+	// called for a connection that the node closed.
 	Closed(c *Conn)
 }
 
-// Conn is a connection. Its one buffer holds what came in and is not used yet;
-// it grows as needed and is compacted in place.
+// Conn is a connection on the loop. Its buffer has the bytes that were received and not used
+// yet; it grows as needed and is compacted in place.
 type Conn struct {
 	loop      *Loop
 	raw       gnet.Conn
@@ -39,9 +39,9 @@
 	handler   Handler
 	onOpen    func()
 	onClose   func()
-	onEnded   func() // told when a lingering connection is closed
+	onEnded   func() // called when a lingering connection is closed
 	buffer    []byte
-	consumed  int // where the unused bytes start
+	consumed  int // bytes of buffer that were used
 	pumping   bool
 	closed    bool
 	unsent    bool
@@ -60,6 +60,7 @@
 	return gnet.None
 }
 
+// receive adds received bytes to the buffer and offers it to the handler.
 func (c *Conn) receive(data []byte) {
 	if c.closed || c.lingering {
 		return
@@ -72,8 +73,8 @@
 	c.Pump()
 }
 
-// Pump offers the bytes in the buffer to the handler once more, as when it has
-// become ready for the next of pipelined messages.
+// Pump offers the bytes in the buffer to the handler again, as when it has become ready for
+// the next pipelined message.
 func (c *Conn) Pump() {
 	if c.pumping || c.closed || c.lingering || c.consumed == len(c.buffer) {
 		return
@@ -89,7 +90,7 @@
 	}
 }
 
-// Send writes data, or queues what does not fit now. It returns false where the
+// Send writes data, or queues what the socket buffer does not take. It returns false if the
 // connection has broken before all was written; Closed is not called then.
 func (c *Conn) Send(data []byte) bool {
 	if c.closed {
@@ -104,7 +105,7 @@
 	return err == nil && !c.closed
 }
 
-// Flushed tells whether the system has taken all that was given to Send.
+// Flushed reports whether the operating system has taken all bytes given to Send.
 func (c *Conn) Flushed() bool {
 	if c.closed {
 		return !c.unsent
@@ -112,7 +113,7 @@
 	return c.raw.OutboundBuffered() == 0
 }
 
-// UnsentBytes returns the bytes given to Send that the system has not taken.
+// UnsentBytes returns the number of bytes given to Send that the operating system has not taken.
 func (c *Conn) UnsentBytes() int {
 	if c.closed {
 		return 0
@@ -120,35 +121,35 @@
 	return c.raw.OutboundBuffered()
 }
 
-// Open tells whether the connection is usable.
+// Open reports whether the connection is usable.
 func (c *Conn) Open() bool { return !c.closed && !c.lingering }
 
-// Lingering tells whether the node has sent its last here and waits for the
-// other side to end the connection.
+// Lingering reports whether the node has sent its last bytes and waits for the peer to close
+// the connection.
 func (c *Conn) Lingering() bool { return c.lingering && !c.closed }
 
-// PeerClosed looks whether the other side or the network has ended the connection, though
-// the loop may not have read as far as that: what has come before it is read first, and
-// a busy loop reads late.
+// PeerClosed asks the operating system whether the peer or the network has ended the
+// connection. The loop may not have read as far as that: a busy loop reads late, and all input
+// before the end first.
 func (c *Conn) PeerClosed() bool {
 	return c.closed || c.pollEvents()&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// NothingUnread looks whether nothing has come in that the loop has not read, the other side's
-// end included.
+// NothingUnread asks the operating system whether there is nothing that the loop has not read,
+// neither input nor the peer's close.
 func (c *Conn) NothingUnread() bool { return !c.closed && c.pollEvents() == 0 }
 
-// pollEvents asks the system for what it holds ready on the connection.
+// pollEvents returns the poll(2) events that are ready on the connection.
 func (c *Conn) pollEvents() int16 {
 	ready := []unix.PollFd{{Fd: int32(c.raw.Fd()), Events: unix.POLLIN | unix.POLLRDHUP}}
 	for {
 		if _, err := unix.Poll(ready, 0); err != unix.EINTR {
-			return ready[0].Revents // of a call that failed: nothing is known
+			return ready[0].Revents // none if the call failed
 		}
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection at once; Closed is not called.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -159,10 +160,10 @@
 	}
 }
 
-// Linger ends the sending once the system has taken all that was sent, and the
-// connection once the other side has ended its own: a close over unread bytes would
-// reset the connection, and the other side would lose the last answer. What comes in
-// from now on is read and dropped. ended is called when the connection is closed.
+// Linger closes the sending side once the operating system has taken all bytes, and the
+// connection once the peer has closed its side: a close with unread input would reset the
+// connection, and the peer could lose the last answer. Input from now on is dropped. ended is
+// called when the connection is closed.
 func (c *Conn) Linger(ended func()) {
 	if !c.Open() {
 		ended()
@@ -174,7 +175,7 @@
 	c.flush(c.raw.OutboundBuffered(), now+lingerTimeout, now+maxLinger)
 }
 
-// flush waits for the rest of what was sent for as long as the other side takes some of it.
+// flush waits until the operating system has taken all bytes, as long as the peer reads some of them.
 func (c *Conn) flush(remaining int, until, latest time.Duration) {
 	if c.closed {
 		return
@@ -194,7 +195,7 @@
 	}
 }
 
-// closeBetweenReads closes what lingers, between two reads: not over what has just come.
+// closeBetweenReads closes a lingering connection when it has no unread input.
 func (c *Conn) closeBetweenReads(latest time.Duration) {
 	if !c.closed && c.loop.now < latest && !c.NothingUnread() {
 		c.loop.Timers.Add(c.loop.now+readDelayBound, func() { c.closeBetweenReads(latest) })
@@ -203,4 +204,5 @@
 	c.Close()
 }
 
+// isClosed reports whether an error is that of a closed socket.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
--- a/internal/node/eventloop/handover.go
+++ b/internal/node/eventloop/handover.go
@@ -6,10 +6,13 @@
 	"os"
 )
 
-// HandOver gives up a connection without ending it: its socket and what has come in
-// and is not used yet go to the caller, for another process. The handler hears
-// nothing more. Not ok: the connection is not open, or the system has not taken all
-// that was sent; nothing has changed then.
+// errConnBroken is the error of an adopted socket whose peer is gone.
+var errConnBroken = errors.New("connection has broken")
+
+// HandOver gives up a connection without closing it: the caller gets its socket and the bytes
+// that were received and not used, for another process. The handler is not called any more. ok
+// is false, and nothing has changed, if the connection is not open or the operating system has
+// not taken all that was sent.
 func (c *Conn) HandOver() (socket *os.File, unread []byte, ok bool) {
 	if !c.CanHandOver() {
 		return nil, nil, false
@@ -24,17 +27,17 @@
 	return os.NewFile(uintptr(fd), "handed over"), unread, true
 }
 
-// CanHandOver tells whether HandOver may succeed.
+// CanHandOver reports whether HandOver may succeed.
 func (c *Conn) CanHandOver() bool { return c.Open() && c.Flushed() }
 
-// pendingHandler stands for a handler that is not known yet: what comes in is kept.
+// pendingHandler is the handler of an adopted connection before SetHandler: input is buffered.
 type pendingHandler struct{ closed bool }
 
 func (*pendingHandler) Data(*Conn, []byte) int { return 0 }
 func (p *pendingHandler) Closed(*Conn)         { p.closed = true }
 
-// SetHandler gives an adopted connection its handler, which then gets what has come in
-// until now, or hears of its end.
+// SetHandler sets the handler of an adopted connection, which gets the input received until
+// now, or a call of Closed if it has ended.
 func (c *Conn) SetHandler(handler Handler) {
 	pending, ok := c.handler.(*pendingHandler)
 	c.handler = handler
@@ -45,9 +48,9 @@
 	c.Pump()
 }
 
-// Adopt takes over sockets that another process has handed over, each with what had
-// come in on it, for a goroutine outside. Nothing is read into a handler before
-// Settle. A socket that has broken meanwhile comes as a closed connection.
+// Adopt takes over sockets that another process has handed over, each with its unread input. It
+// must be called outside the loop. The connections have no handler before SetHandler. A socket
+// that has broken meanwhile is returned as a closed connection.
 func (l *Loop) Adopt(sockets []*os.File, unread [][]byte) []*Conn {
 	conns := make([]*Conn, len(sockets))
 	for i, f := range sockets {
@@ -62,27 +65,28 @@
 	return conns
 }
 
-func (loop *Loop) register(f *os.File, c *Conn) error {
+// register passes an adopted socket to the loop.
+func (l *Loop) register(f *os.File, c *Conn) error {
 	defer f.Close()
 	raw, err := net.FileConn(f)
 	if err != nil {
 		return err
 	}
 	if raw.RemoteAddr() == nil || raw.LocalAddr() == nil {
-		return errors.Join(errors.New("the connection has broken"), raw.Close())
+		return errors.Join(errConnBroken, raw.Close())
 	}
-	_, err = loop.client.EnrollContext(raw, c)
+	_, err = l.client.EnrollContext(raw, c)
 	return err
 }
 
-// Count counts an adopted connection as one of the listener's, until leave. It does
-// not wait for room, as the node had the connection before.
+// Count counts an adopted connection as one of the listener's, until leave is called. It takes
+// no slot, as the node had the connection before.
 func (in *Listener) Count() (leave func()) {
 	in.open.Add(1)
 	return func() { in.open.Add(-1) }
 }
 
-// OnClose sets what is called once when the connection has ended.
+// OnClose sets a callback for the end of the connection. It is called at once if that has ended.
 func (c *Conn) OnClose(f func()) {
 	if c.closed {
 		f()
--- a/internal/node/eventloop/listen.go
+++ b/internal/node/eventloop/listen.go
@@ -13,25 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener takes in connections until it is closed.
+// Listener accepts connections until it is closed.
 type Listener struct {
 	net.Listener
 	slots   chan struct{}
-	handOff func(net.Conn) // an accepted connection, which has its place in room
+	handOff func(net.Conn) // passes an accepted connection, which has its slot, to the loop
 	open    atomic.Int32
-	pending atomic.Int32 // accepted, and not shown to the loop yet
+	pending atomic.Int32 // accepted, and not registered with the loop yet
 }
 
-// Open returns the number of connections open, those just being taken over by
-// the loop included.
+// Open returns the number of open connections, pending ones included.
 func (in *Listener) Open() int { return int(in.open.Load()) }
 
-// Pending returns the number of connections that are accepted and not yet shown
-// to the loop.
+// Pending returns the number of connections that are accepted and not registered with the loop
+// yet. It may be called outside the loop.
 func (in *Listener) Pending() int { return int(in.pending.Load()) }
 
-// InheritListener takes over a listening socket that this process was started with. Other
-// processes hold the same socket: it may be closed here, but never shut down.
+// InheritListener returns the listener of a socket that this process was started with, by its
+// descriptor's number. Other processes have the same socket: it may be closed here, but never
+// shut down.
 func InheritListener(descriptor string) (net.Listener, error) {
 	fd, err := strconv.Atoi(descriptor)
 	if err != nil || fd < 3 {
@@ -46,7 +46,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d: none", fd)
 	}
-	defer f.Close() // the listener has a copy of its own, which no child inherits
+	defer f.Close() // the listener has a duplicate, which no child inherits
 	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
@@ -57,12 +57,12 @@
 	return shared{ln}, nil
 }
 
-// shared is a listening socket that other processes hold too: what waits there is theirs as well.
+// shared is a listening socket that other processes accept on too.
 type shared struct{ net.Listener }
 
-// Accept accepts connections on a listening socket, at most most of them open at
-// once; further ones wait in the system's queue. accept is called on the loop with
-// each, and ended once the listener has been closed and the last one been shown.
+// Accept accepts connections on a listening socket, with at most maxOpen open at once; further
+// ones wait in the listen backlog. accept is called on the loop with each, and ended once the
+// listener has been closed and the last connection been registered.
 func (l *Loop) Accept(ln net.Listener, maxOpen int, accept func(*Conn) Handler, ended func()) *Listener {
 	listener := &Listener{Listener: ln, slots: make(chan struct{}, maxOpen)}
 	listener.handOff = func(raw net.Conn) { listener.register(l, raw, accept) }
@@ -76,6 +76,7 @@
 	return listener
 }
 
+// serve accepts connections until the listener is closed.
 func (in *Listener) serve() {
 	for {
 		in.slots <- struct{}{}
@@ -85,14 +86,14 @@
 			if isClosed(err) {
 				return
 			}
-			time.Sleep(acceptBackoff) // out of descriptors, perhaps: they come back
+			time.Sleep(acceptBackoff) // perhaps out of descriptors, for the moment
 			continue
 		}
 		in.handOff(raw)
 	}
 }
 
-// register hands an accepted connection to the loop. It has its place in room.
+// register passes an accepted connection, which has its slot, to the loop.
 func (in *Listener) register(loop *Loop, raw net.Conn, accept func(*Conn) Handler) {
 	in.open.Add(1)
 	in.pending.Add(1)
@@ -111,9 +112,9 @@
 	}
 }
 
-// CloseAfterBacklog closes the listener once what the system has accepted by now is taken in: a close
-// resets what still waits there, with the requests on it. What waits on a shared socket is
-// left to the others. It does not hold up the loop.
+// CloseAfterBacklog closes the listener once the connections in the listen backlog have been accepted: a
+// close would reset those, with the requests on them. The backlog of a shared socket is left to the
+// other processes. It does not block the loop.
 func (in *Listener) CloseAfterBacklog() {
 	go func() {
 		for in.acceptWaiting() {
@@ -122,7 +123,8 @@
 	}()
 }
 
-// acceptWaiting takes in one connection that waits, and tells whether there was one and room for it.
+// acceptWaiting accepts one connection of the backlog. It reports whether there may be more: it
+// returns false if the backlog is empty or no slot is free.
 func (in *Listener) acceptWaiting() bool {
 	ln, ok := in.Listener.(*net.TCPListener)
 	if !ok {
@@ -138,7 +140,7 @@
 		return false
 	}
 	fd := -1
-	// Accept may be waiting on the same socket in another goroutine: this does not wait.
+	// Not the listener's Accept, which would wait: another goroutine does so on the same socket.
 	if err := system.Control(func(listening uintptr) {
 		fd, _, err = unix.Accept4(int(listening), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	}); err != nil || fd < 0 {
--- a/internal/node/eventloop/loop.go
+++ b/internal/node/eventloop/loop.go
@@ -1,9 +1,10 @@
-// Package eventloop runs the node's one event loop: connections, their buffers
-// and the clock. It knows no protocol.
+// Package eventloop runs the node's one event loop, on gnet: TCP connections with their
+// buffers, listeners, datagrams, timers and the clock. It knows no protocol; package protocol
+// is built on it.
 //
-// All callbacks run on the loop, one at a time, so what they own needs no
-// locks. What may block (dials, accepts, packets) runs outside and comes in by
-// Post.
+// All callbacks run on the loop, one at a time, so that the state they own needs no locks.
+// What may block (dials, accepts, datagrams) runs in goroutines of its own and reaches the loop
+// by Post. handover.go passes connections between two processes of a node.
 package eventloop
 
 import (
@@ -21,14 +22,14 @@
 )
 
 const (
-	readChunk     = 64 << 10 // most that one read takes in
+	readChunk     = 64 << 10 // bytes of one read at most
 	acceptBackoff = 20 * time.Millisecond
-	packetBuffer  = 2 << 10
-	discardPort   = 9 // the port to which what is sent is dropped
+	packetBuffer  = 2 << 10 // bytes of a datagram at most
+	discardPort   = 9       // the discard service (RFC 863)
 )
 
-// Loop is the event loop. Its methods are for callbacks on the loop, except
-// where they say otherwise.
+// Loop is the event loop. Its methods must be called on the loop, except where their comments
+// say otherwise.
 type Loop struct {
 	gnet.BuiltinEventEngine
 
@@ -42,12 +43,12 @@
 	start      time.Time
 	clock      Clock // nil: the system's
 	now        time.Duration
-	turnDepth  int // turns within turns: a close within a callback is told at once
+	turnDepth  int // of nested turns: a close within a callback runs Closed at once
 	timer      *time.Timer
 	timerAt    time.Duration // what the timer is set to; 0: not set
 }
 
-// engineLogger passes gnet's complaints on to the node's log, and nothing else.
+// engineLogger passes gnet's warnings and errors to the node's log, and nothing else.
 type engineLogger struct{}
 
 func (engineLogger) Debugf(string, ...any) {}
@@ -62,12 +63,10 @@
 	slog.Error("event loop", "says", fmt.Sprintf(format, v...))
 }
 
-// Clock stands in for the system's clock. A loop that has one fires what is due
-// at Tick alone.
+// Clock replaces the system's clock, for tests. A loop that has one fires timers at Tick alone.
 type Clock func() time.Duration
 
-// NewLoop starts a loop. Nothing runs on it but what Post and the connections
-// bring. With a nil clock it keeps the system's time.
+// NewLoop starts a loop; Stop ends it. With a nil clock it uses the system's.
 func NewLoop(clock Clock) (*Loop, error) {
 	start := time.Now()
 	l := &Loop{start: start, clock: clock, epoch: time.Duration(start.UnixMicro()) * time.Microsecond}
@@ -88,9 +87,9 @@
 	return l, nil
 }
 
-// findEngineLoop gets hold of gnet's loop, which it hands out by a connection alone: a
-// datagram socket that nobody knows of is enrolled for that, and closed again. Not a
-// Unix one: where those are refused the node would not start.
+// findEngineLoop obtains gnet's event loop, which is available from a connection alone: a
+// datagram socket to the discard port is enrolled for that, and closed again. It is no Unix
+// socket, since the node would not start where those are forbidden.
 func (l *Loop) findEngineLoop() error {
 	conn, err := net.DialUDP("udp4", nil, &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: discardPort})
 	if err != nil {
@@ -104,11 +103,11 @@
 	return c.Close()
 }
 
-// Now is the loop's clock: whole microseconds, monotonic, read once a turn. It
-// started at the Unix time, so that times that other machines tell map to it.
+// Now returns the loop's clock: microseconds since the Unix epoch, read once a turn. It is
+// monotonic from the loop's start, and comparable to times of other machines.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// beginTurn and end stand round each turn.
+// beginTurn starts a turn of the loop: it reads the clock.
 func (l *Loop) beginTurn() {
 	l.turnDepth++
 	if l.turnDepth > 1 {
@@ -121,6 +120,7 @@
 	l.now = l.epoch + time.Since(l.start).Truncate(time.Microsecond)
 }
 
+// endTurn ends a turn of the loop: it sets the system timer to the next timer's time.
 func (l *Loop) endTurn() {
 	l.turnDepth--
 	if l.turnDepth > 0 {
@@ -134,18 +134,19 @@
 	l.timer.Reset(max(at-l.now, 0))
 }
 
+// runTimers fires the timers that are due.
 func (l *Loop) runTimers() {
 	l.timerAt = 0
 	l.Timers.Run(l.now)
 }
 
-// Tick fires what is due by a clock of the caller's, and returns when it has
-// been. It is for a goroutine outside.
+// Tick fires the timers that are due by the Clock, and returns after that. It must be called
+// outside the loop.
 func (l *Loop) Tick() { l.Call(func() { l.Timers.Run(l.now) }) }
 
 // Post runs f on the loop. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
-	// The one error is that of a loop that has stopped; f has no place then.
+	// The only error is that the loop has stopped; f is dropped then.
 	_ = l.engineLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		l.beginTurn()
 		f()
@@ -154,20 +155,20 @@
 	}))
 }
 
-// Call runs f on the loop and waits for it. It is for goroutines outside.
+// Call runs f on the loop and waits for it. It must be called outside the loop.
 func (l *Loop) Call(f func()) {
 	done := make(chan struct{})
 	l.Post(func() { f(); close(done) })
 	<-done
 }
 
-// Stop ends the loop, for a goroutine outside.
+// Stop ends the loop. It must be called outside the loop.
 func (l *Loop) Stop() error { return l.client.Stop() }
 
-// Dial opens a connection without holding up the loop. done gets the
-// connection or the error, on the loop, unless cancel was called before: what
-// comes up after that is closed. Where no connection comes of it, freed is
-// called before done, or in its place, once the dial holds no descriptor any more.
+// Dial opens a connection without blocking the loop. done gets the connection or the error, on
+// the loop, unless cancel was called before: a connection opened after that is closed. If
+// there is no connection, released is called once the dial uses no descriptor any more, before
+// done or in its place.
 func (l *Loop) Dial(address string, timeout time.Duration, handler Handler, done func(*Conn, error), released func()) (cancel func()) {
 	ctx, stop := context.WithTimeout(context.Background(), timeout)
 	cancelled := false
@@ -206,7 +207,8 @@
 // Packets is a UDP socket.
 type Packets struct{ conn *net.UDPConn }
 
-// ListenPackets receives datagrams; got is called on the loop with each.
+// ListenPackets receives datagrams on an address until the socket is closed; got is called on
+// the loop with each. It may be called outside the loop.
 func (l *Loop) ListenPackets(address string, got func(from netip.AddrPort, data []byte)) (*Packets, error) {
 	at, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -224,7 +226,7 @@
 				return
 			}
 			if err != nil {
-				continue // a refusal of an earlier packet, told late
+				continue // an ICMP error of an earlier datagram
 			}
 			data := append([]byte(nil), buf[:n]...)
 			l.Post(func() { got(from, data) })
@@ -233,7 +235,7 @@
 	return &Packets{conn: conn}, nil
 }
 
-// Send sends a datagram; it may be lost, as any.
+// Send sends a datagram, which may be lost.
 func (p *Packets) Send(to *net.UDPAddr, data []byte) {
 	_, _ = p.conn.WriteToUDP(data, to)
 }
@@ -243,7 +245,7 @@
 
 // OnOpen, OnTraffic and OnClose are gnet's callbacks.
 
-// OnOpen is gnet's word of a connection that the loop has taken in.
+// OnOpen is gnet's callback for a connection that the loop has registered.
 func (l *Loop) OnOpen(raw gnet.Conn) ([]byte, gnet.Action) {
 	c, ok := raw.Context().(*Conn)
 	if !ok {
@@ -256,7 +258,7 @@
 	return nil, c.run(c.onOpen)
 }
 
-// OnTraffic is gnet's word of bytes come in.
+// OnTraffic is gnet's callback for received bytes.
 func (l *Loop) OnTraffic(raw gnet.Conn) gnet.Action {
 	c, ok := raw.Context().(*Conn)
 	if !ok {
@@ -268,7 +270,7 @@
 	return c.run(func() { c.receive(data) })
 }
 
-// OnClose is gnet's word of a connection that has ended.
+// OnClose is gnet's callback for a connection that has ended.
 func (l *Loop) OnClose(raw gnet.Conn, _ error) gnet.Action {
 	c, ok := raw.Context().(*Conn)
 	if !ok {
--- a/internal/node/eventloop/nodelay_test.go
+++ b/internal/node/eventloop/nodelay_test.go
@@ -14,8 +14,8 @@
 func (silentHandler) Data(_ *Conn, in []byte) int { return len(in) }
 func (silentHandler) Closed(*Conn)                {}
 
-// What is written leaves at once, on accepted, dialled and adopted connections alike: small writes that the
-// system holds back go with a connection that is reset.
+// Written bytes are sent at once (TCP_NODELAY), on accepted, dialled and adopted connections alike: small writes that
+// the operating system delays would be lost if the connection is reset.
 func TestConn_noDelay(t *testing.T) {
 	l, err := NewLoop(nil)
 	if err != nil {
--- a/internal/node/hotrestart/directory.go
+++ b/internal/node/hotrestart/directory.go
@@ -1,6 +1,9 @@
-// Package hotrestart is where the processes of one node meet: a folder in $TMPDIR
-// with the words on prep workers by hand, and a locked file for each process, whose
-// lock ends with it. It blocks, and is not for the loop.
+// Package hotrestart connects the processes of one node while the next takes over from the last:
+// a directory in $TMPDIR has the manual overrides that they share and a lock file for each
+// process, which the operating system releases when the process ends; Unix sockets there pass the
+// last process's clients' connections to the next (handover.go).
+//
+// Its calls block, so that the event loop must not make them. The node's command is its caller.
 package hotrestart
 
 import (
@@ -24,25 +27,26 @@
 	overridesName     = "by-hand.json"
 	changeLockName    = "lock"
 	lockPrefix        = "alive-"
-	maxOverridesBytes = 1 << 20 // bytes of a file that is worth reading
-	maxLockAttempts   = 20      // for a file of one's own that another process takes for a dead one's
+	maxOverridesBytes = 1 << 20 // a longer file counts as unreadable
+	maxLockAttempts   = 20      // on this process's own lock file, which another process may lock for a moment to see whether it is stale
 )
 
-// Directory is the folder.
+// Directory is the directory that the processes of one node share.
 type Directory struct {
 	path     string
-	process  string // this process's own, among all that were ever here
+	process  string // unique over all processes of the node
 	lockPath string
 	lock     *os.File // locked for as long as the process lives
 }
 
-// overridesFile is the file's form.
+// overridesFile is the JSON form of the shared overrides.
 type overridesFile struct {
 	Version   int                `json:"version"`
 	Overrides override.Overrides `json:"words"`
 }
 
-// Open enters the room of a node in a folder.
+// Open creates the directory of a node within tmp if need be, and locks a file there for this
+// process. Its errors name TMPDIR.
 func Open(tmp, node string) (*Directory, error) {
 	if tmp == "" {
 		return nil, errors.New("TMPDIR: not set")
@@ -56,7 +60,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("TMPDIR: %w", err)
 	}
-	// By the number alone two processes might be one, where each has numbers of its own.
+	// The process ID is not unique across PID namespaces.
 	name := strconv.Itoa(os.Getpid()) + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
 	d := &Directory{path: dir, process: name, lockPath: filepath.Join(dir, lockPrefix+name)}
 	for range maxLockAttempts {
@@ -68,13 +72,13 @@
 			d.lock = file
 			return d, nil
 		}
-		file.Close() // another process has just looked whether it is a dead one's
+		file.Close() // another process has just checked whether it is stale
 		time.Sleep(time.Millisecond)
 	}
 	return nil, fmt.Errorf("TMPDIR: %s is locked by another process", d.lockPath)
 }
 
-// samePath tells whether a path still leads to an open file.
+// samePath reports whether a path still leads to an open file.
 func samePath(f *os.File, path string) bool {
 	a, err := f.Stat()
 	if err != nil {
@@ -84,14 +88,14 @@
 	return err == nil && os.SameFile(a, b)
 }
 
-// Close leaves the room.
+// Close removes this process's lock file.
 func (d *Directory) Close() {
 	_ = os.Remove(d.lockPath)
 	_ = d.lock.Close()
 }
 
-// OtherProcesses counts the other processes in the room. What dead ones have left is
-// removed.
+// OtherProcesses returns the number of other processes of the node that run. It removes the
+// lock files of those that have ended.
 func (d *Directory) OtherProcesses() int {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -117,8 +121,8 @@
 	return count
 }
 
-// Overrides reads the words on prep workers. A file that is missing, torn or of
-// another version gives none, and an error that says so unless it is missing.
+// Overrides reads the shared manual overrides. A missing file has none; an unreadable one, or
+// one of another version, is an error.
 func (d *Directory) Overrides() (override.Overrides, error) {
 	path := filepath.Join(d.path, overridesName)
 	info, err := os.Stat(path)
@@ -148,8 +152,8 @@
 	return file.Overrides, nil
 }
 
-// Change has the words changed and written whole, one process at a time, and
-// returns what holds now. What cannot be read is begun anew.
+// Change changes the shared overrides under a lock and writes the file atomically. It returns the
+// overrides now stored. An unreadable file is replaced.
 func (d *Directory) Change(change func(override.Overrides)) (override.Overrides, error) {
 	lock, err := os.OpenFile(filepath.Join(d.path, changeLockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -184,8 +188,8 @@
 	return overrides, nil
 }
 
-// Watch looks into the room in steps and tells when the words or the number of
-// other processes have changed, until stop is closed.
+// Watch polls the directory and calls notify when the overrides or the number of other processes
+// have changed, until stop is closed.
 func (d *Directory) Watch(every time.Duration, stop <-chan struct{}, notify func(overrides override.Overrides, others int)) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
--- a/internal/node/hotrestart/directory_test.go
+++ b/internal/node/hotrestart/directory_test.go
@@ -24,9 +24,8 @@
 	return func(w override.Overrides) { w.Set(name, true, time.Hour) }
 }
 
-// What one process records the next one finds. A file that cannot be read gives no
-// words and an error, and the next change writes it anew. What a dead process has
-// left counts as nobody.
+// Overrides stored by one process are read by the next. An unreadable file is an error without
+// overrides, and the next change replaces it. The files of an ended process do not count.
 func TestDirectory_Overrides_unreadableFileIsReset(t *testing.T) {
 	for spoilt, text := range map[string]string{"torn": `{"version":1,"words":{"a":{"out":tr`, "empty": "",
 		"version": `{"version":7,"words":{"a":{"out":true}}}`, "long": strings.Repeat(" ", maxOverridesBytes+1)} {
@@ -58,7 +57,7 @@
 	}
 }
 
-// Parcels arrive whole, with their sockets, also where the folder's name is long.
+// Messages arrive complete, with their sockets, also if the directory's name is long.
 func TestSuccessor_Send_largeMessageWithSockets(t *testing.T) {
 	tmp := filepath.Join(t.TempDir(), strings.Repeat("long", 30))
 	a, b := openDirectory(t, tmp), openDirectory(t, tmp)
@@ -69,7 +68,7 @@
 	}
 	next := a.Successor()
 	if next == nil || b.Successor() != nil {
-		t.Fatal("the process that follows is not found, or follows itself")
+		t.Fatal("the next process is not found, or is its own successor")
 	}
 	defer next.Close()
 	in, far, err := os.Pipe()
@@ -87,9 +86,9 @@
 	}
 	p.Close()
 	if err := next.Send(Message{Text: make([]byte, maxMessageBytes+1)}); err == nil {
-		t.Error("a parcel that is too long was sent")
+		t.Error("a message that is too long was sent")
 	}
 	if stop(); a.Successor() != nil {
-		t.Error("found a process that takes nothing more")
+		t.Error("found a process that has stopped receiving")
 	}
 }
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	socketPrefix         = "next-2-" // with the version of what is said there
+	socketPrefix         = "next-2-" // with the version of the messages' form
 	maxMessageBytes      = 512 << 10
-	maxSocketsPerMessage = 32 // beside one parcel
+	maxSocketsPerMessage = 32
 	bufferSize           = 1 << 20
 )
 
-// Message is a message with the sockets that go with it.
+// Message is a message to the next process, with the sockets passed along.
 type Message struct {
 	Text    []byte
 	Sockets []*os.File
 }
 
-// Close closes the sockets.
+// Close closes the message's sockets.
 func (m Message) Close() {
 	for _, s := range m.Sockets {
 		s.Close()
 	}
 }
 
-// Receive opens the place where the process before this one hands over what it has
-// in work, and calls got with each parcel, from a goroutine of its own.
+// Receive opens a socket on which the previous process hands over its work, and calls got with
+// each message, from a goroutine of its own, until stop is called.
 func (d *Directory) Receive(got func(Message)) (stop func(), err error) {
 	name := filepath.Join(d.path, socketPrefix+d.process)
 	at, free, err := d.socketAddress(name)
@@ -57,7 +57,8 @@
 	return func() { _ = ln.Close(); _ = os.Remove(name) }, nil
 }
 
-// socketAddress names a socket's file within the length that the system allows.
+// socketAddress returns a socket's address. A path longer than the system allows is replaced by
+// one through the open directory, which the returned function closes.
 func (d *Directory) socketAddress(path string) (*net.UnixAddr, func(), error) {
 	if len(path) < 100 {
 		return &net.UnixAddr{Name: path, Net: "unixpacket"}, func() {}, nil
@@ -70,6 +71,7 @@
 	return &net.UnixAddr{Name: short, Net: "unixpacket"}, func() { dir.Close() }, nil
 }
 
+// receive reads the messages of one connection.
 func receive(conn *net.UnixConn, got func(Message)) {
 	defer conn.Close()
 	text, rights := make([]byte, maxMessageBytes), make([]byte, syscall.CmsgSpace(4*maxSocketsPerMessage))
@@ -80,7 +82,7 @@
 		}
 		message := Message{Text: append([]byte(nil), text[:n]...), Sockets: sockets(rights[:rn])}
 		if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-			slog.Error("a parcel of another process is too long", "bytes", n, "sockets", len(message.Sockets))
+			slog.Error("hand-over message too long", "bytes", n, "sockets", len(message.Sockets))
 			message.Close()
 			continue
 		}
@@ -88,6 +90,7 @@
 	}
 }
 
+// sockets returns the sockets passed beside a message.
 func sockets(rights []byte) (out []*os.File) {
 	messages, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -106,11 +109,11 @@
 	return out
 }
 
-// Successor is the process that follows this one.
+// Successor is a connection to the next process of the node.
 type Successor struct{ conn *net.UnixConn }
 
-// Successor finds the process that follows this one. nil: there is none that speaks as
-// this one does.
+// Successor connects to the next process of the node. It returns nil if there is none that
+// receives messages of this version.
 func (d *Directory) Successor() *Successor {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -129,7 +132,7 @@
 		free()
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				_ = os.Remove(name) // of a process that is gone
+				_ = os.Remove(name) // of a process that has ended
 			}
 			continue
 		}
@@ -139,10 +142,11 @@
 	return nil
 }
 
-// Send hands a parcel over. After an error the sockets are still the caller's.
+// Send sends a message and closes its sockets here. After an error the sockets are still the
+// caller's.
 func (n *Successor) Send(message Message) error {
 	if len(message.Text) > maxMessageBytes || len(message.Sockets) > maxSocketsPerMessage {
-		return fmt.Errorf("a parcel of %d bytes and %d sockets is too long", len(message.Text), len(message.Sockets))
+		return fmt.Errorf("message of %d bytes and %d sockets is too long", len(message.Text), len(message.Sockets))
 	}
 	fds := make([]int, len(message.Sockets))
 	for i, s := range message.Sockets {
@@ -155,5 +159,5 @@
 	return nil
 }
 
-// Close ends the handing over.
+// Close closes the connection to the next process.
 func (n *Successor) Close() { _ = n.conn.Close() }
--- a/internal/node/nodeconfig/batch.go
+++ b/internal/node/nodeconfig/batch.go
@@ -14,15 +14,14 @@
 	batchFile         = "deploy/batch.toml"
 	batchSockets      = 64
 	batchAdminSockets = 32
-	batchStoreConns   = 16 // the store's files or connections
+	batchStoreConns   = 16 // reserved for the store's files or connections
 
 	defaultTargetMS       = 5
 	defaultMaxWaitSeconds = 7 * 24 * 3600
 	defaultEvents         = 16384
 )
 
-// Batch is what the batch front is told. Where Enabled is false nothing of it
-// opens.
+// Batch is the settings of the batch front. Nothing of it is used unless Enabled.
 type Batch struct {
 	Enabled          bool   `toml:"enabled"`
 	Listen           string `toml:"listen"`
@@ -32,16 +31,16 @@
 	AdminListen      string `toml:"admin_listen"`
 	AdminTokenSHA256 string `toml:"admin_token_sha256"`
 
-	Slots          int `toml:"slots"`          // of its jobs in the core at once, at most; 0: half of the destinations' descriptors
-	TargetMS       int `toml:"target_ms"`      // queueing delay that the window aims at
+	Slots          int `toml:"slots"`          // of its jobs in the core at once at most; 0: half of the connections to destinations
+	TargetMS       int `toml:"target_ms"`      // the window's target of the queueing delay
 	MaxWaitSeconds int `toml:"longest_wait_s"` // of a job without a deadline
-	MaxEvents      int `toml:"events"`         // kept for each tenant
+	MaxEvents      int `toml:"events"`         // retained for each tenant
 
 	AdminMaxSockets int `toml:"-"`
 }
 
-// NeedRestart returns the keys that differ from those of a later reading and
-// take effect at the next start alone.
+// NeedRestart returns the keys that differ in later settings and take effect at the next start
+// alone.
 func (b Batch) NeedRestart(later Batch) (keys []string) {
 	for _, k := range []struct {
 		name string
@@ -55,8 +54,13 @@
 	return keys
 }
 
-// LoadBatch reads the batch front's file: the one that OSPREYBEND_BATCH names,
-// else deploy/batch.toml. Without a file the front is off.
+var (
+	errSourceMissing     = errors.New("source: missing")
+	errAdminTokenInvalid = errors.New("admin_token_sha256: wants the 64 hexadecimal digits of the token's SHA-256")
+)
+
+// LoadBatch reads the batch front's file: the one that OSPREYBEND_BATCH names, or
+// deploy/batch.toml. Without that file the front is off.
 func LoadBatch(env func(string) string) (Batch, error) {
 	path := firstNonEmpty(env("OSPREYBEND_BATCH"), batchFile)
 	text, err := os.ReadFile(path)
@@ -73,7 +77,7 @@
 	return b, nil
 }
 
-// ParseBatch reads and checks the file's text.
+// ParseBatch reads and validates the file's text.
 func ParseBatch(text string) (Batch, error) {
 	b := Batch{MaxSockets: batchSockets, AdminMaxSockets: batchAdminSockets, TargetMS: defaultTargetMS, MaxWaitSeconds: defaultMaxWaitSeconds, MaxEvents: defaultEvents}
 	meta, err := toml.Decode(text, &b)
@@ -95,7 +99,7 @@
 	case b.Store != "sqlite" && b.Store != "postgres":
 		return Batch{}, fmt.Errorf("store: %q is neither sqlite nor postgres", b.Store)
 	case b.Source == "":
-		return Batch{}, errors.New("source: missing")
+		return Batch{}, errSourceMissing
 	case b.Slots < 0 || b.Slots > 4096:
 		return Batch{}, fmt.Errorf("slots: %d, not from 0 to 4096", b.Slots)
 	case b.TargetMS < 1 || b.TargetMS > 10_000:
@@ -112,16 +116,15 @@
 		return Batch{}, err
 	}
 	if _, err := hex.DecodeString(b.AdminTokenSHA256); err != nil || len(b.AdminTokenSHA256) != 64 {
-		return Batch{}, errors.New("admin_token_sha256: wants the 64 hexadecimal digits of the token's SHA-256")
+		return Batch{}, errAdminTokenInvalid
 	}
 	return b, nil
 }
 
-// ReserveBatch makes room for the batch front: its descriptors come out of the node's
-// budget, and each class gets a second one for batch jobs. That has no aim short
-// of its end, since no client stands waiting, and no worth, so that the module
-// sends no batch job into a queue wait that a platform's request would mind. All
-// else, above all what may be repeated, is the class's own.
+// ReserveBatch reserves the batch front's descriptors out of the node's, and adds a second
+// class for batch jobs to each request class. Its latency target is its time-out, since no client
+// waits, and its value is 0, so that the balancer never delays a platform's request for a batch
+// job. The rest, such as whether requests are idempotent, is the request class's.
 func (n *Node) ReserveBatch(b Batch) error {
 	if !b.Enabled {
 		return nil
--- a/internal/node/nodeconfig/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -1,5 +1,8 @@
-// Package nodeconfig is the one place where the node's configuration is read,
-// checked and given defaults. Its messages name the faulty key.
+// Package nodeconfig reads, validates and completes the node's settings: the node's own JSON
+// file (config.go), and the TOML files of the batch front (batch.go), the fleet (fleet.go) and
+// the log (log.go). It also divides the node's descriptors and memory among its parts.
+//
+// Each error names the faulty key. The node's command is the caller; nothing is read later.
 package nodeconfig
 
 import (
@@ -19,34 +22,34 @@
 	"ospreybend/internal/node/simwire"
 )
 
-// Descriptors that are not for fronts or destinations: the log, the listeners,
-// the loop's own, the pool config's, UDP, and a second one for each connection
-// just being taken over by the loop. A node of few has fewer of the last kind.
+// Descriptors that are reserved for neither clients nor destinations: the log, the listeners,
+// the loop's own, the pool config's, UDP, and a second one for each connection that is just
+// being registered with the loop, of which a small node has fewer.
 const (
 	maxReservedSockets    = 64
 	baseReservedSockets   = 24
-	reservedSocketDivisor = 16 // past the few, one in so many
-	adminSocketDivisor    = 12 // part of all that is set aside for operators, one in so many
+	reservedSocketDivisor = 16 // one in so many, beyond baseReservedSockets
+	adminSocketDivisor    = 12 // one in so many is reserved for operators
 	minSockets            = 128
 )
 
 const (
 	defaultMemoryMB       = 192
 	defaultSockets        = 1024
-	maxAdminSockets       = 24 // most of the operators' address, set aside
+	maxAdminSockets       = 24 // reserved for the operators' address at most
 	adminMaxBufferedBytes = 256 << 10
 	minMemoryMB           = 32
-	bufferedInputDivisor  = 8 // the part of the memory limit that a front's input may take is one in so many
+	bufferedInputDivisor  = 8 // a front may buffer 1/bufferedInputDivisor of the memory limit
 )
 
-// Node is all that the node is told.
+// Node is the node's settings, validated and completed.
 type Node struct {
 	Name              string
 	Listen            string
 	Discovery         string
 	Admin             string // the operators' address; empty: none
-	InheritedListener string // the descriptor of the clients' listening socket; empty: this process listens itself
-	TmpDir            string // where the processes of one node meet; empty: nowhere
+	InheritedListener string // descriptor number of the clients' listening socket; empty: this process listens itself
+	TmpDir            string // shared by the processes of one node (package hotrestart); empty: none
 	Seed              uint64
 	MemoryMB          int
 	Sockets           int
@@ -58,22 +61,23 @@
 	CachedList protocol.EndpointList
 	Settings   balance.Settings
 
-	Classes, Tenants      map[string]int // numbers by name
+	Classes, Tenants      map[string]int // number by name
 	ClassNames            []string
-	BatchClasses          map[string]int // the batch front's, by name; see Reserve
+	BatchClasses          map[string]int // the batch front's, by name; see ReserveBatch
 	Zones, Kinds          []string
 	ReportFields          []string
 	FrontMaxSockets       int
-	FrontMaxBufferedBytes int // bytes of input that a front holds at most
+	FrontMaxBufferedBytes int // of a front's unprocessed input
 	AdminMaxSockets       int
 	AdminMaxBufferedBytes int
 	MaxDestinationConns   int
 
-	Fleet Fleet // that the node belongs to; see ReserveFleet
+	Fleet Fleet // see ReserveFleet
 
-	flatSettings map[string]string // the settings, flat
+	flatSettings map[string]string // "settings", see flatten
 }
 
+// file is the JSON form of the node's settings.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -91,12 +95,19 @@
 	Settings   json.RawMessage       `json:"settings"`
 }
 
-// Load reads the configuration that the environment names. Single variables
-// stand in for what the file leaves out.
+var (
+	errPathMissing       = errors.New("BALANCER_CONFIG: not set")
+	errSettingsMissing   = errors.New("settings: missing")
+	errSettingsNoObject  = errors.New("settings: no object")
+	errSettingsNoClasses = errors.New("settings: grades: no class of requests")
+)
+
+// Load reads the file that BALANCER_CONFIG names. Environment variables replace some keys that
+// the file lacks.
 func Load(env func(string) string) (*Node, error) {
 	path := env("BALANCER_CONFIG")
 	if path == "" {
-		return nil, errors.New("BALANCER_CONFIG: not set")
+		return nil, errPathMissing
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -105,7 +116,7 @@
 	return Parse(text, env)
 }
 
-// Parse reads the configuration's text.
+// Parse reads and validates the file's text.
 func Parse(text []byte, env func(string) string) (*Node, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -128,8 +139,8 @@
 	return n, nil
 }
 
-// NeedRestart names the keys in which another configuration differs and that
-// take effect at a start alone. What each start is given anew is none of them.
+// NeedRestart returns the keys in which other settings differ and that take effect at a start
+// alone. Keys that are different at each start, as the seed, are not among them.
 func (n *Node) NeedRestart(other *Node) (keys []string) {
 	for _, c := range []struct {
 		key       string
@@ -152,6 +163,7 @@
 	return keys
 }
 
+// firstNonEmpty returns first, or second if that is empty.
 func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
@@ -159,9 +171,28 @@
 	return second
 }
 
+// validate checks the addresses, the seed and the limits, and completes the node from them.
 func (n *Node) validate(seed string) error {
-	for _, a := range []struct{ key, value string }{{"listen", n.Listen}, {"discovery", n.Discovery}} {
-		if err := checkAddress(a.key, a.value); err != nil {
+	if err := n.checkAddresses(); err != nil {
+		return err
+	}
+	if n.Admin != "" {
+		n.AdminMaxBufferedBytes = adminMaxBufferedBytes
+	}
+	if seed != "" {
+		v, err := strconv.ParseUint(seed, 16, 64)
+		if err != nil {
+			return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", seed)
+		}
+		n.Seed = v
+	}
+	return n.divideLimits()
+}
+
+// checkAddresses checks all addresses of the node.
+func (n *Node) checkAddresses() error {
+	for _, required := range []struct{ key, value string }{{"listen", n.Listen}, {"discovery", n.Discovery}} {
+		if err := checkAddress(required.key, required.value); err != nil {
 			return err
 		}
 	}
@@ -172,30 +203,26 @@
 		if n.Admin == n.Listen {
 			return fmt.Errorf("admin: %q is the clients' address", n.Admin)
 		}
-		n.AdminMaxBufferedBytes = adminMaxBufferedBytes
 	}
-	if n.PeerListen != "" {
-		if err := checkAddress("peer_listen", n.PeerListen); err != nil {
-			return err
+	for _, optional := range []struct{ key, value string }{{"peer_listen", n.PeerListen}, {"peers_all", n.PeersAll}} {
+		if optional.value == "" {
+			continue
 		}
-	}
-	if n.PeersAll != "" {
-		if err := checkAddress("peers_all", n.PeersAll); err != nil {
+		if err := checkAddress(optional.key, optional.value); err != nil {
 			return err
 		}
 	}
-	for i, p := range n.Peers {
-		if err := checkAddress(fmt.Sprintf("peers.%d", i), p); err != nil {
+	for i, peer := range n.Peers {
+		if err := checkAddress(fmt.Sprintf("peers.%d", i), peer); err != nil {
 			return err
 		}
 	}
-	if seed != "" {
-		v, err := strconv.ParseUint(seed, 16, 64)
-		if err != nil {
-			return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", seed)
-		}
-		n.Seed = v
-	}
+	return nil
+}
+
+// divideLimits checks the limits of memory and descriptors, and divides them between the
+// operators, the clients' side and the destinations' side.
+func (n *Node) divideLimits() error {
 	if n.MemoryMB == 0 {
 		n.MemoryMB = defaultMemoryMB
 	}
@@ -209,8 +236,7 @@
 	if n.Sockets < minSockets {
 		return fmt.Errorf("limits.sockets: %d, at least %d are needed", n.Sockets, minSockets)
 	}
-	// Clients keep their connections, one for each request in work; so do the
-	// destinations' sides. Neither needs more than the other for long.
+	// A request in progress needs one connection on either side, so that both get as many.
 	if n.Admin != "" {
 		n.AdminMaxSockets = min(maxAdminSockets, n.Sockets/adminSocketDivisor)
 	}
@@ -220,6 +246,7 @@
 	return nil
 }
 
+// checkAddress checks that a key's value is an IP address and port.
 func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return fmt.Errorf("%s: %q is no address and port", key, value)
@@ -227,9 +254,10 @@
 	return nil
 }
 
+// parseSettings reads the balancer's settings, and the names in them.
 func (n *Node) parseSettings(text json.RawMessage) error {
 	if len(text) == 0 {
-		return errors.New("settings: missing")
+		return errSettingsMissing
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -239,7 +267,7 @@
 	}
 	values := map[string]string{}
 	if _, ok := tree.(map[string]any); !ok {
-		return errors.New("settings: no object")
+		return errSettingsNoObject
 	}
 	flatten(values, "", tree)
 	n.flatSettings = values
@@ -255,7 +283,7 @@
 		n.ReportFields = splitList(values["report.fields"])
 	}
 	if len(s.Classes) == 0 {
-		return errors.New("settings: grades: no class of requests")
+		return errSettingsNoClasses
 	}
 	for i, c := range s.Classes {
 		if c.Timeout <= 0 {
@@ -268,8 +296,8 @@
 	return nil
 }
 
-// flatten names the leaves of nested settings as the simulator's wire does: keys
-// joined by dots, lists of words joined by commas, lists of objects by number.
+// flatten puts the leaves of nested settings into values, named as on the simulator's wire: keys
+// are joined by dots, lists of scalars by commas, and elements of lists of objects are numbered.
 func flatten(values map[string]string, prefix string, value any) {
 	join := func(key string) string {
 		if prefix == "" {
@@ -301,6 +329,7 @@
 	}
 }
 
+// scalarText returns a JSON scalar as the simulator's wire has it.
 func scalarText(v any) string {
 	switch v := v.(type) {
 	case nil:
@@ -315,6 +344,7 @@
 	return fmt.Sprint(v)
 }
 
+// splitList splits a list of scalars; see flatten.
 func splitList(v string) []string {
 	if v == "" {
 		return nil
@@ -322,7 +352,7 @@
 	return strings.Split(v, ",")
 }
 
-// numbersByName numbers the entries of a list of objects by their names.
+// numbersByName returns the numbers of a list's objects by their names, and the names in order.
 func numbersByName(values map[string]string, key string, count int) (map[string]int, []string) {
 	numbers, order := map[string]int{}, make([]string, count)
 	for i := range count {
--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -21,7 +21,7 @@
 	return string(text)
 }
 
-// The example names the report's fields with blanks, as a real node's settings do.
+// The example's report fields have blanks in their names, as a real node's settings do.
 func TestLoad_example(t *testing.T) {
 	n, err := Parse([]byte(example(t)), emptyEnv)
 	if err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// The node starts within the smallest limits there are, and gives out no more
-// descriptors than it has; the operators' are set aside.
+// The node starts with the smallest limits allowed, and assigns no more descriptors than it
+// has; the operators' are reserved.
 func TestParse_dividesDescriptors(t *testing.T) {
 	for _, sockets := range []int{128, 192, 256, 384, 512, 1024} {
 		limits := strings.Replace(strings.Replace(example(t), `"admin": "127.0.0.1:9901",`, "", 1), `"sockets": 1024`, `"sockets": `+strconv.Itoa(sockets), 1)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Each message names the key at fault.
+// Each error names the faulty key.
 func TestParse_errorsNameTheKey(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"127.0.0.1:8080"`, `"here"`, "listen"},
@@ -77,8 +77,8 @@
 	}
 }
 
-// What a new configuration changes beside discovery takes effect at a start
-// alone; the seed and the known list are new at each start.
+// All changes but that of discovery take effect at a start alone; the seed and the cached list
+// are different at each start.
 func TestNode_NeedRestart(t *testing.T) {
 	old, err := Parse([]byte(example(t)), emptyEnv)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// On the platform the batch front is off, and nothing of it opens.
+// The batch front is off on the platform.
 func TestLoadBatch_offByDefault(t *testing.T) {
 	b, err := LoadBatch(func(string) string { return "../../../deploy/batch.toml" })
 	if err != nil || b != (Batch{}) {
--- a/internal/node/nodeconfig/fleet.go
+++ b/internal/node/nodeconfig/fleet.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io/fs"
 	"os"
+	"slices"
 	"strings"
 
 	"github.com/BurntSushi/toml"
@@ -13,32 +14,31 @@
 const (
 	fleetFile  = "deploy/fleet.toml"
 	maxVoters  = 7
-	fleetConns = 8 // a node's calls to the voters
+	fleetConns = 8 // reserved for a node's calls to the voters
 )
 
-// Fleet is what a process is told of the fleet that it belongs to. Where Enabled is
-// false nothing of it opens.
+// Fleet is the settings of a process that belongs to a fleet. Nothing of it is used unless Enabled.
 type Fleet struct {
 	Enabled bool         `toml:"enabled"`
-	Fleet   string       `toml:"fleet"` // its name, the same at all of its processes
+	Fleet   string       `toml:"fleet"` // its name, the same in all of its processes
 	Zone    string       `toml:"zone"`  // of this process
 	Voters  []FleetVoter `toml:"voters"`
 	Voter   struct {
 		ID     uint64 `toml:"id"`     // 0: this process is no voter
-		Listen string `toml:"listen"` // empty: the address that the voters' list gives it
+		Listen string `toml:"listen"` // empty: its address in Voters
 		Store  string `toml:"store"`
-		Joins  bool   `toml:"joins"` // the fleet is there already, and is told to add this voter
+		Joins  bool   `toml:"joins"` // the fleet exists already, and this voter is added to it
 	} `toml:"voter"`
 }
 
-// FleetVoter is one of those that agree on the fleet's orders.
+// FleetVoter is one of the replicas of the fleet's control state.
 type FleetVoter struct {
 	ID      uint64 `toml:"id"`
 	Zone    string `toml:"zone"`
 	Address string `toml:"address"`
 }
 
-// VoterIDs are those of the voters.
+// VoterIDs returns the IDs of the voters, in the order of the settings.
 func (f Fleet) VoterIDs() (ids []uint64) {
 	for _, v := range f.Voters {
 		ids = append(ids, v.ID)
@@ -46,8 +46,15 @@
 	return ids
 }
 
-// LoadFleet reads the fleet's file: the one that OSPREYBEND_FLEET names, else
-// deploy/fleet.toml. Without a file the process is on its own.
+var (
+	errFleetMissing      = errors.New("fleet: missing")
+	errZoneMissing       = errors.New("zone: missing")
+	errVoterIDMissing    = errors.New("voter.id: missing")
+	errVoterStoreMissing = errors.New("voter.store: missing")
+)
+
+// LoadFleet reads the fleet's file: the one that OSPREYBEND_FLEET names, or
+// deploy/fleet.toml. Without that file the process belongs to no fleet.
 func LoadFleet(env func(string) string) (Fleet, error) {
 	path := firstNonEmpty(env("OSPREYBEND_FLEET"), fleetFile)
 	text, err := os.ReadFile(path)
@@ -64,7 +71,7 @@
 	return f, nil
 }
 
-// ParseFleet reads and checks the file's text.
+// ParseFleet reads and validates the file's text.
 func ParseFleet(text string) (Fleet, error) {
 	var f Fleet
 	meta, err := toml.Decode(text, &f)
@@ -77,59 +84,75 @@
 	if !f.Enabled {
 		return Fleet{}, nil
 	}
+	if err := f.validateVoters(); err != nil {
+		return Fleet{}, err
+	}
+	if err := f.completeOwnVoter(); err != nil {
+		return Fleet{}, err
+	}
+	return f, nil
+}
+
+// validateVoters checks the fleet's name, the zone and the list of voters.
+func (f *Fleet) validateVoters() error {
 	switch {
 	case f.Fleet == "":
-		return Fleet{}, errors.New("fleet: missing")
+		return errFleetMissing
 	case f.Zone == "":
-		return Fleet{}, errors.New("zone: missing")
+		return errZoneMissing
 	case len(f.Voters) == 0 || len(f.Voters) > maxVoters || len(f.Voters)%2 == 0:
-		return Fleet{}, fmt.Errorf("voters: %d, an odd number of at most %d is wanted", len(f.Voters), maxVoters)
+		return fmt.Errorf("voters: %d, an odd number of at most %d is wanted", len(f.Voters), maxVoters)
 	}
-	var own *FleetVoter
 	ids, addresses := map[uint64]bool{}, map[string]bool{}
-	for i, v := range f.Voters {
-		at := fmt.Sprintf("voters.%d", i)
+	for i, voter := range f.Voters {
+		key := fmt.Sprintf("voters.%d", i)
 		switch {
-		case v.ID == 0:
-			return Fleet{}, fmt.Errorf("%s.id: a number above 0 is wanted", at)
-		case ids[v.ID]:
-			return Fleet{}, fmt.Errorf("%s.id: %d comes twice", at, v.ID)
-		case v.Zone == "":
-			return Fleet{}, fmt.Errorf("%s.zone: missing", at)
-		case addresses[v.Address]:
-			return Fleet{}, fmt.Errorf("%s.address: %q comes twice", at, v.Address)
+		case voter.ID == 0:
+			return fmt.Errorf("%s.id: a number above 0 is wanted", key)
+		case ids[voter.ID]:
+			return fmt.Errorf("%s.id: %d comes twice", key, voter.ID)
+		case voter.Zone == "":
+			return fmt.Errorf("%s.zone: missing", key)
+		case addresses[voter.Address]:
+			return fmt.Errorf("%s.address: %q comes twice", key, voter.Address)
 		}
-		if err := checkAddress(at+".address", v.Address); err != nil {
-			return Fleet{}, err
-		}
-		ids[v.ID], addresses[v.Address] = true, true
-		if v.ID == f.Voter.ID {
-			own = &f.Voters[i]
+		if err := checkAddress(key+".address", voter.Address); err != nil {
+			return err
 		}
+		ids[voter.ID], addresses[voter.Address] = true, true
 	}
+	return nil
+}
+
+// completeOwnVoter checks the settings of this process as a voter, if it is one, and takes its
+// address from the list of voters if it names none.
+func (f *Fleet) completeOwnVoter() error {
 	if f.Voter.ID == 0 {
 		if f.Voter.Listen != "" || f.Voter.Store != "" {
-			return Fleet{}, errors.New("voter.id: missing")
+			return errVoterIDMissing
 		}
-		return f, nil
+		return nil
 	}
-	if own == nil {
-		return Fleet{}, fmt.Errorf("voter.id: %d is none of the voters", f.Voter.ID)
+	index := slices.IndexFunc(f.Voters, func(v FleetVoter) bool { return v.ID == f.Voter.ID })
+	if index < 0 {
+		return fmt.Errorf("voter.id: %d is none of the voters", f.Voter.ID)
 	}
+	own := f.Voters[index]
 	if own.Zone != f.Zone {
-		return Fleet{}, fmt.Errorf("zone: %q, but voter %d is in %q", f.Zone, own.ID, own.Zone)
+		return fmt.Errorf("zone: %q, but voter %d is in %q", f.Zone, own.ID, own.Zone)
 	}
 	f.Voter.Listen = firstNonEmpty(f.Voter.Listen, own.Address)
 	if err := checkAddress("voter.listen", f.Voter.Listen); err != nil {
-		return Fleet{}, err
+		return err
 	}
 	if strings.TrimSpace(f.Voter.Store) == "" {
-		return Fleet{}, errors.New("voter.store: missing")
+		return errVoterStoreMissing
 	}
-	return f, nil
+	return nil
 }
 
-// ReserveFleet has the node belong to a fleet, and makes room for its calls to the voters.
+// ReserveFleet makes the node a member of a fleet, and reserves connections for its calls to the
+// voters.
 func (n *Node) ReserveFleet(f Fleet) error {
 	if !f.Enabled {
 		return nil
--- a/internal/node/nodeconfig/fleet_test.go
+++ b/internal/node/nodeconfig/fleet_test.go
@@ -26,7 +26,7 @@
 store = "x"
 `
 
-// Each fault is named by its key, and a file that is off asks for nothing.
+// Each error names the faulty key, and a disabled file is not validated.
 func TestParseFleet(t *testing.T) {
 	f, err := ParseFleet(goodFleet)
 	if err != nil || f.Voter.Listen != "127.0.0.1:7301" || len(f.VoterIDs()) != 3 {
--- a/internal/node/nodeconfig/log.go
+++ b/internal/node/nodeconfig/log.go
@@ -13,14 +13,14 @@
 
 const logFile = "deploy/log.toml"
 
-// Log is how the program logs.
+// Log is the settings of the log.
 type Log struct {
 	Level  string `toml:"level"`  // debug, info, warn, error
 	Format string `toml:"format"` // text, json
 }
 
-// LoadLog reads the log's file: the one that OSPREYBEND_LOG names, else
-// deploy/log.toml. Without a file it is text at info.
+// LoadLog reads the log's file: the one that OSPREYBEND_LOG names, or deploy/log.toml.
+// Without that file the log is text at level info.
 func LoadLog(env func(string) string) (Log, error) {
 	path := firstNonEmpty(env("OSPREYBEND_LOG"), logFile)
 	text, err := os.ReadFile(path)
@@ -37,7 +37,7 @@
 	return l, nil
 }
 
-// ParseLog reads and checks the file's text.
+// ParseLog reads and validates the file's text.
 func ParseLog(text string) (Log, error) {
 	l := Log{Level: "info", Format: "text"}
 	meta, err := toml.Decode(text, &l)
@@ -57,7 +57,7 @@
 	return l, nil
 }
 
-// Handler writes the log as told.
+// Handler returns a handler that writes the log with these settings.
 func (l Log) Handler(to io.Writer) slog.Handler {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(l.Level)) // checked when it was read
--- a/internal/node/override/override.go
+++ b/internal/node/override/override.go
@@ -1,7 +1,9 @@
-// Package override keeps what operators have said of prep workers: out, or back. It
-// is laid over the pool config, so that core and module see a prep worker that is
-// out as one that drains, and one called back as just started. It does no I/O and
-// takes the clock as an argument.
+// Package override has the operators' manual overrides of prep workers: disabled ("out") or
+// enabled again. They are applied to the endpoint list, so that the core and the balancer see a
+// disabled prep worker as draining, and one enabled again as just started.
+//
+// It does no I/O and takes the clock as an argument. Package hotrestart stores overrides for the
+// node's next process; protocol.Admin sets them and protocol.Discovery applies them.
 package override
 
 import (
@@ -10,22 +12,22 @@
 	"ospreybend/balance"
 )
 
-// Override is the last that was said of a prep worker. Times are the clock's.
+// Override is the latest override of a prep worker. Times are the loop's clock.
 type Override struct {
 	Out   bool          `json:"out"`
 	At    time.Duration `json:"at"`
-	Since time.Duration `json:"since,omitempty"` // when it was last taken out from being in; 0: never
-	Back  time.Duration `json:"back,omitempty"`  // when it was last called back from being out; 0: never
+	Since time.Duration `json:"since,omitempty"` // when it was last disabled; 0: never
+	Back  time.Duration `json:"back,omitempty"`  // when it was last enabled again; 0: never
 }
 
-// Overrides holds the last word on each prep worker, by name.
+// Overrides has the latest override of each prep worker, by name.
 type Overrides map[string]Override
 
-// Out tells whether a prep worker is out by hand.
+// Out reports whether a prep worker is disabled.
 func (o Overrides) Out(name string) bool { return o[name].Out }
 
-// Set notes a call. One back undoes any number out; back for one that is not out
-// changes nothing but the time of the last word.
+// Set disables (out) or enables a prep worker at a time. One call that enables undoes any number
+// of calls that disable; enabling one that is not disabled changes the time of the override alone.
 func (o Overrides) Set(name string, out bool, now time.Duration) {
 	old := o[name]
 	next := Override{Out: out, At: max(now, old.At+time.Microsecond), Since: old.Since, Back: old.Back}
@@ -38,9 +40,8 @@
 	o[name] = next
 }
 
-// Merge takes in the words that another process of this node knows. Of two words
-// on one prep worker the later holds; the order of merging does not matter. It
-// returns the names for which something else holds now.
+// Merge merges the overrides of another process of this node. The later of two overrides of a
+// prep worker wins; merging is commutative. It returns the names whose override has changed.
 func (o Overrides) Merge(other Overrides) (changed []string) {
 	for name, received := range other {
 		old := o[name]
@@ -56,22 +57,22 @@
 	return changed
 }
 
+// later merges two overrides of one prep worker.
 func later(a, b Override) Override {
 	if b.At > a.At || b.At == a.At && b.Out {
-		a, b = b, a // a is the one that holds; of two at once, out is the safe one
+		a, b = b, a // a is the later; of two at the same time the one that disables, to be safe
 	}
 	a.Back, a.Since = max(a.Back, b.Back), max(a.Since, b.Since)
 	if !a.Out && b.Out {
-		a.Back = max(a.Back, a.At) // the two calls met different processes
+		a.Back = max(a.Back, a.At) // the two calls were made to different processes
 	}
 	return a
 }
 
-// Apply gives a prep worker's entry in the pool config as the core is to see it. One
-// that is out drains, whatever the list says of it. One called back has been
-// restarted meanwhile. Where the list has that start, later than the word that took
-// it out, it holds; where it does not yet, the prep worker counts as started with
-// the call back, since the start that is listed is its old process's.
+// Apply returns a prep worker's listing with its override applied. A disabled one drains,
+// whatever the list says. One enabled again has been restarted meanwhile: a listed start after
+// the time when it was disabled is that restart; an earlier one is the old process's, and the
+// prep worker counts as started when it was enabled.
 func (o Overrides) Apply(name string, listing balance.WorkerListing) balance.WorkerListing {
 	latest, ok := o[name]
 	if !ok || listing.State == balance.Gone {
--- a/internal/node/override/override_test.go
+++ b/internal/node/override/override_test.go
@@ -12,10 +12,9 @@
 
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// Two processes hear calls in any order and merge now and then. Once both have, each
-// lays every list as the model says: out is out whatever the list says; called back
-// means started since the last word out, or with the call where the list has no such
-// start.
+// Two processes receive calls in any order and merge now and then. After a merge both apply the
+// overrides to any list as the model says: a disabled worker drains whatever the list says; one
+// enabled again has started since it was disabled, or with the call if the list has no such start.
 func TestOverrides_twoProcessesAgainstAModel(t *testing.T) {
 	type truth struct {
 		out         bool
@@ -64,7 +63,7 @@
 	})
 }
 
-// Words that meet only after both were said: the later holds, in either order.
+// Overrides that are merged only after both calls: the later wins, in either order.
 func TestOverrides_Merge_laterWins(t *testing.T) {
 	a, b := Overrides{}, Overrides{}
 	a.Set("x", true, time.Hour)
