--- a/internal/node/faultinjection/fault.go
+++ b/internal/node/faultinjection/fault.go
@@ -1,5 +1,6 @@
-// Package faultinjection ends the process at named points, or stalls the store of record at
-// them, for tests that kill a node between two steps. Unless Arm was called a point costs one look at a pointer.
+// Package faultinjection kills the process at named points of a batch job's way, or stalls the
+// store of record there, for tests of crashes between two steps. Unless Arm was called a point
+// costs one atomic load. The points are in packages jobs, store, routing and protocol.
 package faultinjection
 
 import (
@@ -13,27 +14,28 @@
 	"time"
 )
 
-// The points, in the order in which a booking meets them.
+// The points, in the order in which a booking passes them.
 const (
-	InsertBefore = "insert-before" // its record is about to be committed
+	InsertBefore = "insert-before" // before the commit of its record
 	InsertAfter  = "insert-after"
-	AnswerBefore = "answer-before" // its client is about to hear that it is taken
-	MarkBefore   = "mark-before"   // that it may be sent is about to be committed
+	AnswerBefore = "answer-before" // before its submission is acknowledged
+	MarkBefore   = "mark-before"   // before the commit that it may be sent
 	MarkAfter    = "mark-after"
-	GateOpen     = "gate-open"     // about to go to the socket
-	BytesWritten = "bytes-written" // the system has the request
-	OutcomeHeard = "outcome-heard" // the prep worker has said how it ended
-	FinishBefore = "finish-before" // its end is about to be committed
+	GateOpen     = "gate-open"     // before it is written to the socket
+	BytesWritten = "bytes-written" // after the request was written
+	OutcomeHeard = "outcome-heard" // after its outcome was received
+	FinishBefore = "finish-before" // before the commit of its end
 	FinishAfter  = "finish-after"
-	ShownBefore  = "shown-before" // its end is about to be shown
+	ShownBefore  = "shown-before" // before its end is visible to clients
 )
 
-// Points lists all points.
+// Points returns all points.
 func Points() []string {
 	return []string{InsertBefore, InsertAfter, AnswerBefore, MarkBefore, MarkAfter, GateOpen, BytesWritten, OutcomeHeard,
 		FinishBefore, FinishAfter, ShownBefore}
 }
 
+// injection is the fault that is armed.
 type injection struct {
 	point     string
 	remaining atomic.Int64
@@ -42,11 +44,11 @@
 
 var armed atomic.Pointer[injection]
 
-// storePoints are the points off the loop, where a stall is the store's.
+// storePoints are the points off the loop, where the store can be stalled.
 var storePoints = []string{InsertBefore, InsertAfter, MarkBefore, MarkAfter, FinishBefore, FinishAfter}
 
-// Arm has the process killed at a point, "POINT" or "POINT:N" at its Nth passing,
-// or with "POINT:N:5s" the store stalled there for so long, once.
+// Arm arms a fault: "POINT" or "POINT:N" kills the process at the first or Nth passing of a
+// point, "POINT:N:5s" stalls the store there for that long, once.
 func Arm(text string) error {
 	point, times, counted := strings.Cut(text, ":")
 	times, span, stalls := strings.Cut(times, ":")
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// Hit stands at a point.
+// Hit marks the passing of a point.
 func Hit(point string) {
 	p := armed.Load()
 	if p == nil || p.point != point || p.remaining.Add(-1) != 0 {
@@ -84,5 +86,5 @@
 		return
 	}
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-	select {} // nothing more is done
+	select {} // until the process is killed
 }
--- a/internal/node/simwire/frame.go
+++ b/internal/node/simwire/frame.go
@@ -1,5 +1,9 @@
-// Package simwire turns the simulator's frames and settings into the types of
-// package balance and back. It decides nothing.
+// Package simwire converts between the simulator's wire format and the types of package balance:
+// frames of events (frame.go), replies with actions (reply.go) and settings (settings.go).
+//
+// All numbers on the wire are little-endian, and times are in microseconds. It decides nothing;
+// the node's command uses it to run the balancer inside the simulator, and package nodeconfig
+// for the settings' names.
 package simwire
 
 import (
@@ -16,20 +20,53 @@
 )
 
 const (
-	batchHeader = 20
-	replyHeader = 12
-	minRecord   = 5       // a code and an instance: the least a record takes
-	listingSize = 23      // one entry of a worker list
-	readChunk   = 1 << 20 // a body grows by this much as its bytes really arrive
+	batchHeader = 20      // bytes
+	replyHeader = 12      // bytes
+	minRecord   = 5       // bytes of the smallest record: a code and an instance
+	listingSize = 23      // bytes of an entry of a worker list
+	readChunk   = 1 << 20 // initial capacity of a body at most, before its bytes arrive
 )
 
-// Attach starts an instance.
+// The codes of events on the wire.
+const (
+	codeAttach       = 1
+	codeList         = 2
+	codeRequest      = 3
+	codeStreamStart  = 4
+	codeAttemptDone  = 5
+	codeRequestEnded = 6
+	codeTimerFired   = 7
+	codeProbeDone    = 8
+	codePeerMessage  = 9
+	codeShutdown     = 10
+	codeProgress     = 11
+)
+
+// The bits of a request's flags.
+const (
+	flagHasCost = 1 << iota
+	flagRepeat
+)
+
+// The topics of a progress event.
+const (
+	topicStarted  = 1
+	topicProgress = 2
+)
+
+// Outcomes are numbered in steps of outcomeStep on the wire, from the first balance.Outcome on.
+const (
+	outcomeStep = 10
+	lastOutcome = 80
+)
+
+// Attach starts an instance of the balancer.
 type Attach struct {
 	Seed    uint64
 	Options string
 }
 
-// Shutdown ends an instance.
+// Shutdown ends an instance of the balancer.
 type Shutdown struct{}
 
 // Record is one event of one instance: a balance.Event, an Attach or a Shutdown.
@@ -45,13 +82,14 @@
 	Records []Record
 }
 
-// ReadBatch reads one frame. It returns io.EOF only where the input ends
-// between frames.
+var errShortHeader = errors.New("batch header: input ends in its middle")
+
+// ReadBatch reads one frame. It returns io.EOF only if the input ends between frames.
 func ReadBatch(reader *bufio.Reader) (Batch, error) {
 	var header [batchHeader]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return Batch{}, errors.New("batch header: input ends in its middle")
+			return Batch{}, errShortHeader
 		}
 		return Batch{}, err
 	}
@@ -73,7 +111,7 @@
 	return batch, nil
 }
 
-// readBody reads size bytes without trusting the size before they arrive.
+// readBody reads size bytes. It does not allocate them all before they arrive.
 func readBody(r io.Reader, size int64) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Grow(int(min(size, readChunk)))
@@ -84,6 +122,7 @@
 	return buf.Bytes(), nil
 }
 
+// decodeRecords decodes the count records of a frame's body.
 func decodeRecords(body []byte, count uint32) ([]Record, error) {
 	if int64(count)*minRecord > int64(len(body)) {
 		return nil, fmt.Errorf("%d records cannot fit %d bytes", count, len(body))
@@ -104,7 +143,7 @@
 	return records, nil
 }
 
-// decoder reads fields one by one; the first short read sticks.
+// decoder reads fields one by one. After a short read all further reads are short.
 type decoder struct {
 	buf   []byte
 	pos   int
@@ -187,32 +226,32 @@
 
 func (d *decoder) event(code uint8) (any, error) {
 	switch code {
-	case 1:
+	case codeAttach:
 		seed := d.u64()
 		return Attach{Seed: seed, Options: string(d.take(int(d.u32())))}, nil
-	case 2:
+	case codeList:
 		return d.list()
-	case 3:
+	case codeRequest:
 		return d.request()
-	case 4:
+	case codeStreamStart:
 		return balance.StreamStarted{Request: d.id(), Attempt: int(d.u16()), Worker: d.worker(),
 			Elapsed: micros(uint64(d.u32()))}, nil
-	case 5:
+	case codeAttemptDone:
 		return d.attemptDone()
-	case 6:
+	case codeRequestEnded:
 		return balance.RequestEnded{Request: d.id()}, nil
-	case 7:
+	case codeTimerFired:
 		return balance.TimerFired{Token: d.u32()}, nil
-	case 8:
+	case codeProbeDone:
 		ev := balance.ProbeDone{Worker: d.worker()}
 		out, err := outcome(d.u16())
 		ev.Outcome, ev.Elapsed, ev.Report = out, micros(uint64(d.u32())), d.report()
 		return ev, err
-	case 9:
+	case codePeerMessage:
 		return balance.PeerMessage{From: int(d.u32()), Payload: d.bytes16()}, nil
-	case 10:
+	case codeShutdown:
 		return Shutdown{}, nil
-	case 11:
+	case codeProgress:
 		return d.progress()
 	}
 	return nil, fmt.Errorf("unknown event code %d", code)
@@ -277,7 +316,7 @@
 	flags := d.u8()
 	ev.Memory = float64(d.f32())
 	ev.Cost = micros(uint64(d.u32()))
-	ev.HasCost, ev.Repeat = flags&1 != 0, flags&2 != 0
+	ev.HasCost, ev.Repeat = flags&flagHasCost != 0, flags&flagRepeat != 0
 	ev.Key = d.u64()
 	ev.Deadline = micros(d.u64())
 	ev.Class = int(d.u8())
@@ -304,21 +343,22 @@
 func (d *decoder) progress() (any, error) {
 	ev := balance.AttemptProgress{Request: d.id(), Attempt: int(d.u16()), Worker: d.worker()}
 	topic := d.u8()
-	ev.Started, ev.Progress = topic == 1, float64(d.f32())
-	if topic != 1 && topic != 2 {
+	ev.Started, ev.Progress = topic == topicStarted, float64(d.f32())
+	if topic != topicStarted && topic != topicProgress {
 		return ev, fmt.Errorf("news of unknown topic %d", topic)
 	}
 	return ev, nil
 }
 
+// outcome converts an outcome's code.
 func outcome(code uint16) (balance.Outcome, error) {
-	if code < 10 || code > 80 || code%10 != 0 {
+	if code < outcomeStep || code > lastOutcome || code%outcomeStep != 0 {
 		return 0, fmt.Errorf("unknown outcome %d", code)
 	}
-	return balance.Outcome(code/10 - 1), nil
+	return balance.Outcome(code/outcomeStep - 1), nil
 }
 
-// micros reads a wire time. Times past the clock's range stand for never.
+// micros converts a time of the wire. Times beyond the clock's range are cut to its end: never.
 func micros(us uint64) time.Duration {
 	return time.Duration(min(us, math.MaxInt64/1000)) * time.Microsecond
 }
--- a/internal/node/simwire/reply.go
+++ b/internal/node/simwire/reply.go
@@ -9,77 +9,94 @@
 	"ospreybend/balance"
 )
 
-// Reply collects the actions of one batch.
+// The codes of actions on the wire.
+const (
+	codeSend          = 1
+	codeReject        = 2
+	codeFail          = 3
+	codeCancel        = 4
+	codeSetTimer      = 5
+	codeProbe         = 6
+	codeCloseIdle     = 7
+	codeSendToPeers   = 8
+	codeLog           = 9
+	codeInternalError = 10
+	codeSubscribe     = 11
+	codeFetchList     = 12
+)
+
+// Reply collects the actions of one batch in a frame. Its buffer is reused.
 type Reply struct {
 	buf   []byte
 	count uint32
 }
 
-// Begin starts the reply to a batch, keeping the buffer of the last one.
+// Begin starts the reply to a batch, in the buffer of the last one.
 func (r *Reply) Begin(number uint32) {
 	r.buf = append(r.buf[:0], make([]byte, replyHeader)...)
 	binary.LittleEndian.PutUint32(r.buf, number)
 	r.count = 0
 }
 
-// Bytes ends the reply and returns its frame, valid until the next Begin.
+// Bytes completes the reply and returns its frame, valid until the next Begin.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.buf[4:], uint32(len(r.buf)-replyHeader))
 	binary.LittleEndian.PutUint32(r.buf[8:], r.count)
 	return r.buf
 }
 
-// Add writes one action of an instance.
+// Add appends one action of an instance. Its error is that the wire has no such action.
 func (r *Reply) Add(instance uint32, action balance.Action) error {
 	r.count++
 	switch action := action.(type) {
 	case balance.Send:
-		r.head(1, instance)
+		r.head(codeSend, instance)
 		r.u64(uint64(action.Request))
 		r.worker(action.Worker)
 		r.u64(uint64(max(action.Until, 0) / time.Microsecond))
 	case balance.Reject:
-		r.head(2, instance)
+		r.head(codeReject, instance)
 		r.u64(uint64(action.Request))
 		r.duration(action.RetryAfter)
 	case balance.Fail:
-		r.head(3, instance)
+		r.head(codeFail, instance)
 		r.u64(uint64(action.Request))
 	case balance.Cancel:
-		r.head(4, instance)
+		r.head(codeCancel, instance)
 		r.u64(uint64(action.Request))
 		r.u16(uint16(action.Attempt))
 	case balance.SetTimer:
-		r.head(5, instance)
+		r.head(codeSetTimer, instance)
 		r.duration(action.After)
 		r.u32(action.Token)
 	case balance.Probe:
-		r.head(6, instance)
+		r.head(codeProbe, instance)
 		r.worker(action.Worker)
 	case balance.CloseIdle:
-		r.head(7, instance)
+		r.head(codeCloseIdle, instance)
 		r.worker(action.Worker)
 	case balance.SendToPeers:
-		r.head(8, instance)
+		r.head(codeSendToPeers, instance)
 		r.u32(uint32(int32(max(action.To, -1))))
 		r.text(string(action.Payload))
 	case balance.Log:
-		r.head(9, instance)
+		r.head(codeLog, instance)
 		r.text(action.Text)
 	case balance.InternalError:
-		r.head(10, instance)
+		r.head(codeInternalError, instance)
 		r.text(action.Text)
 	case balance.Subscribe:
-		r.head(11, instance)
+		r.head(codeSubscribe, instance)
 		r.buf = append(r.buf, boolByte(action.On))
 	case balance.FetchList:
-		r.head(12, instance)
+		r.head(codeFetchList, instance)
 	default:
 		return fmt.Errorf("action %T has no place on the wire", action)
 	}
 	return nil
 }
 
+// head appends an action's code and instance.
 func (r *Reply) head(code uint8, instance uint32) {
 	r.buf = append(r.buf, code)
 	r.u32(instance)
@@ -94,7 +111,7 @@
 	r.u16(uint16(id >> 32))
 }
 
-// duration writes a time from now, cut to what its field holds.
+// duration appends a time from now, cut to the range of its field.
 func (r *Reply) duration(d time.Duration) {
 	r.u32(uint32(min(max(d, 0)/time.Microsecond, math.MaxUint32)))
 }
--- a/internal/node/simwire/settings.go
+++ b/internal/node/simwire/settings.go
@@ -10,21 +10,23 @@
 	"ospreybend/balance"
 )
 
-// maxItems bounds the lists of objects in the settings.
+// maxItems is the most elements of a list of objects in the settings.
 const maxItems = 4096
 
+// fieldNames are the report's fields by name.
 var fieldNames = map[string]balance.ReportField{
 	"outstanding": balance.FieldOutstanding, "backlog": balance.FieldBacklog,
 	"utilization": balance.FieldUtilization, "recent_ms": balance.FieldServiceMS,
 	"throughput": balance.FieldThroughput, "errors_per_s": balance.FieldErrors,
 }
 
+// extraNames are the meanings of the report's fields x0 and x1.
 var extraNames = map[string]balance.ReportField{
 	"free_slots": balance.FieldFreeSlots, "free_memory": balance.FieldFreeMemory,
 }
 
-// ParseSettings reads the options of an Attach. Unknown keys are skipped,
-// absent ones take the value that asks least of the deployment.
+// ParseSettings reads the options of an Attach: lines of key=value. Unknown keys are ignored;
+// absent ones have the value that demands least of the deployment.
 func ParseSettings(options string) (balance.Settings, error) {
 	p := settingsReader{values: map[string]string{}}
 	for i, line := range strings.Split(options, "\n") {
@@ -41,14 +43,14 @@
 	return SettingsOf(p.values)
 }
 
-// SettingsOf reads settings by their full names, as 'bounds.maxAttempts'.
+// SettingsOf reads settings by their full names, such as "bounds.maxAttempts".
 func SettingsOf(values map[string]string) (balance.Settings, error) {
 	p := settingsReader{values: values}
 	s := p.settings()
 	return s, p.err
 }
 
-// settingsReader reads typed values by key; the first bad one sticks.
+// settingsReader reads typed values by key. err is that of the first invalid one.
 type settingsReader struct {
 	values map[string]string
 	err    error
@@ -110,7 +112,7 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// listNumber reads one number of a plain list; a short list leaves the absent value.
+// listNumber reads the i-th number of a list, or returns absent if the list is shorter.
 func (p *settingsReader) listNumber(key string, i int, absent float64) float64 {
 	items := p.list(key)
 	if i >= len(items) {
@@ -227,8 +229,8 @@
 	return fields
 }
 
-// wireWord writes a word as the simulator's wire does. A real node's settings are JSON,
-// and have the blanks that the wire has no room for.
+// wireWord converts a word to its form on the simulator's wire, which has neither blanks nor commas. A
+// node's JSON settings have them.
 func wireWord(word string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(word) }
 
 func (p *settingsReader) class(index int) balance.Class {
