--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -64,7 +64,7 @@
 		fmt.Fprintln(stderr, err)
 		return exitFault
 	}
-	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: directory, Keepers: demoServers, Edges: demoEdges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: directory, Servers: demoServers, Edges: demoEdges})
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitFault
--- a/cmd/ospreybend/batch_faults_test.go
+++ b/cmd/ospreybend/batch_faults_test.go
@@ -81,7 +81,7 @@
 	gone := r.fleet.Workers[0]
 	for range 3 {
 		came, _, _ := gone.Totals()
-		if err := fakeplatform.Until(t.Context(), time.Second, func() bool { now, _, _ := gone.Totals(); return now > came }); err != nil {
+		if err := fakeplatform.WaitUntil(t.Context(), time.Second, func() bool { now, _, _ := gone.Totals(); return now > came }); err != nil {
 			break // the arrays have ended
 		}
 		gone.Vanish()
@@ -118,7 +118,7 @@
 	}
 	got := make(chan error, 1)
 	go func() { _, err := s.Wait(t.Context(), j.ID, client.Terminated); got <- err }()
-	if err := fakeplatform.Until(t.Context(), demoReadyTimeout, func() bool {
+	if err := fakeplatform.WaitUntil(t.Context(), demoReadyTimeout, func() bool {
 		q, err := r.admin.Queue(t.Context())
 		return err == nil && q.Waits == 1
 	}); err != nil {
--- a/cmd/ospreybend/child_process.go
+++ b/cmd/ospreybend/child_process.go
@@ -72,7 +72,7 @@
 	if err := c.cmd.Start(); err != nil {
 		return err
 	}
-	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool { return c.serves(ctx) })
+	return fakeplatform.WaitUntil(ctx, demoReadyTimeout, func() bool { return c.serves(ctx) })
 }
 
 // serves reports whether all servers of the process answer. The batch API's administration opens last.
--- a/cmd/ospreybend/descriptors_test.go
+++ b/cmd/ospreybend/descriptors_test.go
@@ -72,8 +72,8 @@
 		return ask(c)
 	}
 	refused := func(times int) {
-		if err := fakeplatform.Until(t.Context(), 2*known, func() bool { return fleet.Discovery.Refused() >= times }); err != nil {
-			t.Fatalf("%d calls for the list while it is down: %v", fleet.Discovery.Refused(), err)
+		if err := fakeplatform.WaitUntil(t.Context(), 2*known, func() bool { return fleet.Discovery.Rejected() >= times }); err != nil {
+			t.Fatalf("%d calls for the list while it is down: %v", fleet.Discovery.Rejected(), err)
 		}
 	}
 	fleet.Discovery.SetUnavailable(true)
@@ -96,7 +96,7 @@
 			t.Fatalf("a client among idle ones got %d", status)
 		}
 	}
-	refused(fleet.Discovery.Refused() + 2) // it finds a descriptor for its calls among those of the idle clients
+	refused(fleet.Discovery.Rejected() + 2) // it finds a descriptor for its calls among those of the idle clients
 	fleet.Drain(fleet.Workers[0], true)
 	fleet.Discovery.SetUnavailable(false)
 	back, other := time.Now(), 0
--- a/cmd/ospreybend/hot_restart_test.go
+++ b/cmd/ospreybend/hot_restart_test.go
@@ -46,7 +46,7 @@
 
 func (s restartTest) until(what string, f func() bool) {
 	s.Helper()
-	if err := fakeplatform.Until(s.Context(), 10*time.Second, f); err != nil {
+	if err := fakeplatform.WaitUntil(s.Context(), 10*time.Second, f); err != nil {
 		s.Fatalf("%s: %v", what, err)
 	}
 }
--- a/cmd/ospreybend/local_node.go
+++ b/cmd/ospreybend/local_node.go
@@ -33,10 +33,10 @@
 func demoConfig(listen, discovery string) ([]byte, error) {
 	return fakeplatform.Node{
 		Name: "demo", Listen: listen, Discovery: discovery, Seed: "8c1f30d27a5be964", MemoryMB: 512,
-		Zones: []string{demoZone}, Kind: demoKind, Grades: []fakeplatform.Grade{
-			{Name: "modell-pruefen", Target: 400 * time.Millisecond, GiveUp: 5 * time.Second, Points: 5, Repeat: "read_like"},
-			{Name: "vorschau", Target: time.Second, GiveUp: 20 * time.Second, Points: 2, Repeat: "read_like"},
-			{Name: "auftrag-buchen", Target: 800 * time.Millisecond, GiveUp: 25 * time.Second, Points: 8, Repeat: "non_idempotent"},
+		Zones: []string{demoZone}, Kind: demoKind, Classes: []fakeplatform.Class{
+			{Name: "modell-pruefen", Target: 400 * time.Millisecond, Timeout: 5 * time.Second, Value: 5, Effect: "read_like"},
+			{Name: "vorschau", Target: time.Second, Timeout: 20 * time.Second, Value: 2, Effect: "read_like"},
+			{Name: "auftrag-buchen", Target: 800 * time.Millisecond, Timeout: 25 * time.Second, Value: 8, Effect: "non_idempotent"},
 		},
 	}.Config()
 }
@@ -123,7 +123,7 @@
 
 // ready waits until the node knows a worker that is ready.
 func (l *localNode) ready(ctx context.Context) error {
-	return fakeplatform.Until(ctx, demoReadyTimeout, func() bool {
+	return fakeplatform.WaitUntil(ctx, demoReadyTimeout, func() bool {
 		ready := false
 		l.node.loop.Call(func() { ready = l.node.core.AnyReady() })
 		return ready
--- a/cmd/ospreybend/measure_fleet.go
+++ b/cmd/ospreybend/measure_fleet.go
@@ -108,7 +108,7 @@
 
 // add adds the figures of one of count days.
 func (row *daysRow) add(result nodesim.Result, count float64) {
-	requests := result.Asked()
+	requests := result.Requests()
 	row.Served += result.Served / result.Value / count
 	row.Refused += float64(result.Rejected) / requests / count
 	row.RunLate += result.RunLate / result.Value / count
--- a/cmd/ospreybend/node_test.go
+++ b/cmd/ospreybend/node_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.NewReplacer("127.0.0.1:8080", scriptedpeer.Free(t), "127.0.0.1:8500", scriptedpeer.Free(t),
-		"127.0.0.1:9901", scriptedpeer.Free(t)).Replace(string(text))
+	moved := strings.NewReplacer("127.0.0.1:8080", scriptedpeer.FreeAddress(t), "127.0.0.1:8500", scriptedpeer.FreeAddress(t),
+		"127.0.0.1:9901", scriptedpeer.FreeAddress(t)).Replace(string(text))
 	cfg, err := nodeconfig.Parse([]byte(moved), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -112,8 +112,8 @@
 
 func TestNode_startWithBatchFront(t *testing.T) {
 	sum := sha256.Sum256([]byte("chief"))
-	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.Free(t), MaxSockets: 64, Store: "sqlite",
-		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.Free(t), AdminMaxSockets: 32,
+	b := nodeconfig.Batch{Enabled: true, Listen: scriptedpeer.FreeAddress(t), MaxSockets: 64, Store: "sqlite",
+		Source: filepath.Join(t.TempDir(), "x.db"), AdminListen: scriptedpeer.FreeAddress(t), AdminMaxSockets: 32,
 		AdminTokenSHA256: hex.EncodeToString(sum[:])}
 	cfg := exampleConfig(t)
 	if err := cfg.ReserveBatch(b); err != nil {
--- a/cmd/ospreybend/restart_site.go
+++ b/cmd/ospreybend/restart_site.go
@@ -106,7 +106,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	err = fakeplatform.Until(ctx, demoReadyTimeout, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
+	err = fakeplatform.WaitUntil(ctx, demoReadyTimeout, func() bool { status, _ := p.call("GET", "/-/ready"); return status == 200 })
 	p.readyTime = time.Since(began)
 	if err != nil {
 		log, _ := os.ReadFile(filepath.Join(s.dir, "log"))
--- a/cmd/ospreybend/shutdown_test.go
+++ b/cmd/ospreybend/shutdown_test.go
@@ -111,7 +111,7 @@
 	}
 	<-warm
 	if hang {
-		fleet.Workers[0].Follow(func(fakeplatform.Job) fakeplatform.Act { return fakeplatform.Act{Kind: fakeplatform.Hang} })
+		fleet.Workers[0].SetScript(func(fakeplatform.Job) fakeplatform.Act { return fakeplatform.Act{Kind: fakeplatform.Hang} })
 	}
 	before, began := served.Load(), time.Now()
 	err := n.shutdown()
@@ -144,7 +144,7 @@
 	if _, err := io.WriteString(c, "POST /auftrag-buchen HTTP/1.1\r\nHost: a\r\nReq-Id: s1\r\nReq-Deadline: 3\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 		t.Fatal(err)
 	}
-	if err := fakeplatform.Until(t.Context(), 5*time.Second, func() bool { return fleet.Begun()["s1"] == 1 }); err != nil {
+	if err := fakeplatform.WaitUntil(t.Context(), 5*time.Second, func() bool { return fleet.Begun()["s1"] == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
@@ -165,7 +165,7 @@
 
 // A process that is signalled to shut down before it was ever ready ends without an error, and soon.
 func TestShutdown_beforeReady(t *testing.T) {
-	n, err := newChild(t.TempDir(), scriptedpeer.Free(t), "")
+	n, err := newChild(t.TempDir(), scriptedpeer.FreeAddress(t), "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	started := make(chan error, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	go func() { started <- n.start(ctx) }()
-	if err := fakeplatform.Until(t.Context(), 10*time.Second, func() bool {
+	if err := fakeplatform.WaitUntil(t.Context(), 10*time.Second, func() bool {
 		answer, err := http.Get(n.platform + "/healthz")
 		if err != nil {
 			return false
--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -95,7 +95,7 @@
 		template, _ := drmaa.ReadTemplate([]byte(booking), m.Classes(), m.Now())
 		m.Submit(m.Tenant("anna"), "s", template, func(j *jobs.Job, e *drmaa.Error) {
 			if e == nil {
-				w.Words["id"] = j.ID
+				w.Variables["id"] = j.ID
 			}
 		})
 		for _, id := range m.IDs() {
@@ -104,7 +104,7 @@
 			}
 		}
 	})
-	w.Until(func() bool { return w.Words["id"] != "" })
+	w.WaitUntil(func() bool { return w.Variables["id"] != "" })
 	w.Play(join("c dial batch", "c "+ended, `c expect "jobState":"FAILED"`, `c expect "x_mayHaveRun":false`))
 	if n := w.steps(); n != 0 {
 		t.Errorf("%d route steps", n)
@@ -138,7 +138,7 @@
 func TestFront_waitTimesOut(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+request("anna", "POST", jobsPath+"/{id}/wait", `{"timeout":0.5}`)))
-	w.Until(func() bool { return w.service.Counts().Waits > 0 })
+	w.WaitUntil(func() bool { return w.service.Counts().Waits > 0 })
 	w.Play(join("wait 500ms", "c expect HTTP/1.1 504", `c expect "error":"TimeoutException"`, `c expect "jobState":"QUEUED"`,
 		"w send {stream}{done}", "c "+ended, "c expect DONE"))
 }
@@ -152,7 +152,7 @@
 		name := []string{"w", "v"}[i]
 		w.Play(join(name+" accept workers", name+" expect Req-Id: {id}-1", name+" send {stream}{returned}"))
 	}
-	w.Until(func() bool { return w.core.Counts().Outcomes[balance.Full] == 2 })
+	w.WaitUntil(func() bool { return w.core.Counts().Outcomes[balance.Full] == 2 })
 	w.Loop.Call(func() { w.core.PoolChanged(balance.ListUpdate{Kind: balance.ListFull}) })
 	w.Play(join("c "+status, `c expect "jobState":"QUEUED"`, `c expect "x_mayHaveRun":false`, "wait 2500ms"))
 	w.Play(join("c "+status, `c expect "jobState":"REQUEUED"`, `c expect "x_mayHaveRun":false`, "c "+ended, "wait 6s",
@@ -204,7 +204,7 @@
 	}
 	must(t, store.Close())
 	again := newFixture(t, w.file)
-	again.Words["id"], again.Words["id2"] = w.Words["id"], w.Words["id2"]
+	again.Variables["id"], again.Variables["id2"] = w.Variables["id"], w.Variables["id2"]
 	again.Play(join("c dial batch", "c "+ended, "c expect FAILED", "c expect not run again", `c expect "x_mayHaveRun":true`,
 		"a accept workers", "b accept workers", `a expect \r\n\r\n`, `b expect \r\n\r\n`, "a send {stream}{done}", "b send {stream}{done}",
 		"c "+strings.ReplaceAll(ended, "{id}", "{id2}"), "c expect DONE",
@@ -225,7 +225,7 @@
 		admin("POST", "tenants", `{"name":"carl","maxUnfinishedJobs":1}`), "a expect HTTP/1.1 201", `a keep token "token":"`,
 		admin("POST", "tenants", `{"name":"carl"}`), "a expect HTTP/1.1 409",
 		"c "+request("{token}", "POST", "/drmaa/v2/sessions", `{"name":"s"}`), "c expect HTTP/1.1 201"))
-	token := w.Words["token"]
+	token := w.Variables["token"]
 	w.Play(join("c "+submit(token, booking), "c expect HTTP/1.1 202", `c keep id "jobId":"`, "w accept workers", "w expect order",
 		"c "+submit(token, `{"remoteCommand":"pruefen"}`), "c expect HTTP/1.1 429",
 		admin("PUT", "tenants/carl", `{"maxUnfinishedJobs":2}`), `a expect "maxUnfinishedJobs":2,"unfinishedJobs":1`,
@@ -234,9 +234,9 @@
 		admin("POST", "jobs/{id}/terminate", ""), "a expect HTTP/1.1 202", "w closed",
 		admin("POST", "tenants/carl/token", ""), `a keep new "token":"`,
 		"c "+submit(token, booking), "c expect HTTP/1.1 401"))
-	w.Play(join("c "+submit(w.Words["new"], booking), `c expect "jobId":"{id}"`,
+	w.Play(join("c "+submit(w.Variables["new"], booking), `c expect "jobId":"{id}"`,
 		admin("DELETE", "tenants/carl", ""), "a expect HTTP/1.1 204",
-		"c "+submit(w.Words["new"], booking), "c expect HTTP/1.1 401",
+		"c "+submit(w.Variables["new"], booking), "c expect HTTP/1.1 401",
 		admin("GET", "tenants/nobody/jobs", ""), "a expect HTTP/1.1 404"))
 	// Tokens are stored as hashes alone.
 	w.stopStore()
@@ -276,9 +276,9 @@
 func TestFront_clientVanishesInAWait(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join(sendBooking, "d dial batch", "d "+ended))
-	w.Until(func() bool { return w.service.Counts().Waits == 1 })
+	w.WaitUntil(func() bool { return w.service.Counts().Waits == 1 })
 	w.Play("d close")
-	w.Until(func() bool { return w.service.Counts().Waits == 0 })
+	w.WaitUntil(func() bool { return w.service.Counts().Waits == 0 })
 	w.Play(join("w send {stream}{started}{done}", "e dial batch", "e "+ended, `e expect "jobState":"DONE"`, `e expect "result":"fine"`))
 }
 
@@ -343,7 +343,7 @@
 				})
 		})
 		before := told
-		w.Until(func() bool { return told > before })
+		w.WaitUntil(func() bool { return told > before })
 		w.Advance(100 * time.Millisecond)
 	}
 	var came, missed atomic.Int64
--- a/internal/node/batch/httpapi/fixture_test.go
+++ b/internal/node/batch/httpapi/fixture_test.go
@@ -18,7 +18,7 @@
 // fixture is a node with the batch front on a stage. The stand-in "workers" plays
 // its prep workers; scenarios play the batch clients.
 type fixture struct {
-	*scriptedpeer.Stage
+	*scriptedpeer.Bench
 	t            *testing.T
 	core         *routing.Core
 	destinations *protocol.Destinations
@@ -41,7 +41,7 @@
 	if file == "" {
 		file = filepath.Join(t.TempDir(), "batch.db")
 	}
-	w := &fixture{Stage: scriptedpeer.New(t), t: t, file: file}
+	w := &fixture{Bench: scriptedpeer.New(t), t: t, file: file}
 	ctx := context.Background()
 	record := openStore(t, file)
 	for _, name := range []string{"anna", "ben"} {
@@ -61,14 +61,14 @@
 		Classes: []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)},
 		Limits: balance.Limits{Cancel: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnIdle: time.Minute}, Rules: balance.Rules{InitialCapacity: 1}}
-	batch, admin, workers := scriptedpeer.Free(t), scriptedpeer.Free(t), w.StandIn("workers")
+	batch, admin, workers := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t), w.Listen("workers")
 	w.Serve("batch", batch)
 	w.batchAddress = batch
 	w.Serve("admin", admin)
-	w.Words["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
-	w.Words["started"] = scriptedpeer.Chunk(`{"state":"started"}`)
-	w.Words["done"] = scriptedpeer.Chunk(`{"state":"done","result":"fine"}`) + `0\r\n\r\n`
-	w.Words["returned"] = scriptedpeer.Chunk(`{"state":"returned"}`) + `0\r\n\r\n`
+	w.Variables["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
+	w.Variables["started"] = scriptedpeer.Chunk(`{"state":"started"}`)
+	w.Variables["done"] = scriptedpeer.Chunk(`{"state":"done","result":"fine"}`) + `0\r\n\r\n`
+	w.Variables["returned"] = scriptedpeer.Chunk(`{"state":"returned"}`) + `0\r\n\r\n`
 	w.executor = store.NewExecutor(record, w.Loop.Post)
 	w.Loop.Call(func() {
 		w.core, err = routing.New(s, 1, w.Loop, &w.Loop.Timers)
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -15,7 +15,7 @@
 // withAdmin opens the operators' address of a fixture. record may be nil.
 func (w *fixture) withAdmin(t *testing.T, record func(string, bool, func(override.Overrides, error))) (a *Admin) {
 	t.Helper()
-	at := scriptedpeer.Free(t)
+	at := scriptedpeer.FreeAddress(t)
 	w.Loop.Call(func() {
 		w.discovery.config.Overrides = override.Overrides{}
 		a = NewAdmin(AdminConfig{Listen: at, MaxSockets: 12, MaxBufferedBytes: 64 << 10, Classes: []string{"pruefen", "buchen"},
@@ -55,7 +55,7 @@
 		if i%2 == 0 {
 			w.Play(name + ` send GET /-/re`)
 		}
-		w.Until(func() bool { return a.listener.Pending() == 0 })
+		w.WaitUntil(func() bool { return a.listener.Pending() == 0 })
 		w.Advance(300 * time.Millisecond)
 	}
 	for _, c := range [][2]string{{"GET /-/ready", " 200 "}, {"PUT /-/ready", " 405 "}, {"PUT /-/metrics", "Allow: GET\r\n"},
@@ -176,7 +176,7 @@
 		a := w.withAdmin(t, record)
 		for _, verb := range []string{"disable", "enable"} {
 			w.Play(`o dial admin` + "\n" + `o send PUT /-/prep-workers/s-1/` + verb + ` HTTP/1.1\r\n\r\n`)
-			w.Until(func() bool { return a.overrides.Out("s-1") && a.sockets.Len() == 1 || len(a.lingering) > 0 })
+			w.WaitUntil(func() bool { return a.overrides.Out("s-1") && a.sockets.Len() == 1 || len(a.lingering) > 0 })
 			w.Play("wait 800ms\no expect HTTP/1.1 50\no closed")
 		}
 		w.Loop.Call(func() {
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -50,7 +50,7 @@
 }
 
 func (w *fixture) waitForGone(n uint64) {
-	w.Until(func() bool { return w.core.Counts().Gone == n })
+	w.WaitUntil(func() bool { return w.core.Counts().Gone == n })
 }
 
 // A client sends its request and disconnects before the busy loop has read a byte of it: no
@@ -75,7 +75,7 @@
 	w := newFixture(t, nil)
 	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi\nc send {book}\nc arrives")
 	w.whileLoopIsBusy("s send {stream}{done}\ns arrives\nc leaves", nil)
-	w.Until(func() bool {
+	w.WaitUntil(func() bool {
 		return w.core.OpenOperations() == 0 && len(w.front.calls) == 0 && w.front.sockets.Len() == 0
 	})
 	if n := w.steps(); n != 1 {
@@ -117,7 +117,7 @@
 				leave(w, f.call)
 			})
 			w.Play("s accept workers")
-			w.Until(func() bool { return w.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
+			w.WaitUntil(func() bool { return w.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
 			if n := w.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
 				t.Errorf("outcomes %v", n)
 			}
@@ -178,7 +178,7 @@
 			for _, step := range slices.Collect(maps.Keys(w.destinations.exchanges)) { // the first attempt may have run
 				w.core.StepEnded(step, routing.StepEnd{Outcome: balance.Reset})
 			}
-			w.Late(late)
+			w.JumpClock(late)
 		})
 		w.Play("r accept workers")
 		if want == balance.Served {
@@ -206,7 +206,7 @@
 				return
 			}
 			f.serve(m) // dials
-			w.Late(late)
+			w.JumpClock(late)
 		})
 		w.Play(lines("s accept workers", "s expect Req-Deadline: "+want, "s send {stream}{done}", "c expect HTTP/1.1 200"))
 	}
@@ -229,7 +229,7 @@
 	// The first is being passed to the blocked loop; the second waits behind it.
 	// The third sends nothing: the node does not wait for it as long as for an ordinary client.
 	w.whileLoopIsBusy("a dial front\na send GET /healthz HTTP/1.1\\r\\n\\r\\n\nc dial front\nc send {ask}\nc arrives\nmute dial front", func() { w.front.Stop(0, func() {}) })
-	w.Until(func() bool { return w.front.listenerEnded })
+	w.WaitUntil(func() bool { return w.front.listenerEnded })
 	w.Play("wait 30ms\nmute ended\na expect HTTP/1.1 200\ns accept workers\ns expect hi\ns send {stream}{done}\nc expect Connection: close\nc expect fine\nc ended")
 	w.checkTotals(t)
 }
@@ -240,7 +240,7 @@
 	w := newFixture(t, nil)
 	w.Play("c dial front\nc send GET /healthz HTTP/1.1\\r\\n\\r\\n")
 	drained := false
-	w.Until(func() bool {
+	w.WaitUntil(func() bool {
 		all := w.sockets()
 		return len(all) == 1 && all[0].hasRequested
 	})
@@ -255,7 +255,7 @@
 		t.Errorf("%d attempts for what came after the end", n)
 	}
 	w.Play("c close")
-	w.Until(func() bool { return drained })
+	w.WaitUntil(func() bool { return drained })
 	w.checkTotals(t)
 }
 
@@ -263,7 +263,7 @@
 func TestServer_requestAtItsTimeout(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("c dial front")
-	w.Until(func() bool { return w.front.sockets.Len() == 1 })
+	w.WaitUntil(func() bool { return w.front.sockets.Len() == 1 })
 	w.Advance(requestTimeout - 5*time.Millisecond)
 	w.whileLoopIsBusy("c send {ask}\nc arrives", func() {
 		f := w.sockets()[0]
@@ -312,7 +312,7 @@
 		}
 	}()
 	kept := 0
-	w.Until(func() bool {
+	w.WaitUntil(func() bool {
 		for _, f := range w.sockets() {
 			kept = max(kept, f.conn.UnsentBytes())
 		}
@@ -344,7 +344,7 @@
 func TestServer_connectionEndsLongAfterItsStart(t *testing.T) {
 	half := scriptedpeer.Chunk(`{"id":"b1","state":"started"}`) + `40\r\n{"id":"b1","state":"do`
 	w := newFixture(t, nil)
-	w.Words["half"] = half
+	w.Variables["half"] = half
 	w.Play(lines("c dial front", "c send {book}", "s accept workers", "s expect Req-Id: b1", "s send {stream}{half}",
 		"wait 3s", "c expect HTTP/1.1 502", "s closed"))
 	w.Play(lines("c send {book}", "r accept workers", "r expect Req-Id: b1", "r send {stream}{half}",
@@ -352,7 +352,7 @@
 	if n := w.steps(); n != 2 {
 		t.Errorf("%d attempts at two bookings", n)
 	}
-	w.Words["half"] = strings.ReplaceAll(half, "b1", "a1")
+	w.Variables["half"] = strings.ReplaceAll(half, "b1", "a1")
 	w.Play(lines("c send {ask}", "s accept workers", "s expect hi", "s send {stream}{half}",
 		"wait 2500ms", "s resets", "r accept workers", "r expect Req-Deadline: 0.5", "r send {stream}{done}", "c expect HTTP/1.1 200"))
 	w.checkTotals(t)
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -169,9 +169,9 @@
 				return int(sum.Asked) == service.calls && int(sum.Answered+sum.Refused) == told &&
 					int(sum.Refused+sum.Silent) == service.ended
 			}
-			stage.Until(level)
+			stage.WaitUntil(level)
 			told += service.run(now())
-			stage.Until(level)
+			stage.WaitUntil(level)
 		}
 		allKnow := func(what string, within time.Duration) {
 			for knowing < nodes {
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -21,7 +21,7 @@
 func TestDiscovery_silentAtAnyMomentOfTheWatch(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Words["same"] = answered(sameList)
+		w.Variables["same"] = answered(sameList)
 		w.Play(fmt.Sprintf(`
 			wait 100ms
 			p accept pool
@@ -55,7 +55,7 @@
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	for at := 1; at < len(whole); at += 3 {
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Words["one"], w.Words["two"] = whole[:at], whole[at:]
+		w.Variables["one"], w.Variables["two"] = whole[:at], whole[at:]
 		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
 		if at+3 >= len(whole) && w.ready("s-1") {
 			t.Error("the change was not applied")
@@ -76,9 +76,9 @@
 // do not apply to the list here: the complete list is requested at once, and the watch continues from it.
 func TestDiscovery_versionGoesBackwards(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Words["same"] = answered(sameList)
-	w.Words["older"] = answered(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
-	w.Words["all"] = answered(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
+	w.Variables["same"] = answered(sameList)
+	w.Variables["older"] = answered(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
+	w.Variables["all"] = answered(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
 	w.Play("wait 100ms\np accept pool\np expect hold_ms=1 HTTP/1.1\np send {same}\np expect from=8&hold_ms=2000\np send {older}\np expect from=0&hold_ms=1 HTTP/1.1")
 	if !w.ready("s-2") {
 		t.Error("a change of another list counts")
@@ -92,7 +92,7 @@
 // A call whose answer breaks off has failed: it is retried at once, and nothing of its answer counts.
 func TestDiscovery_listCutInTheMiddle(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Words["same"] = answered(sameList)
+	w.Variables["same"] = answered(sameList)
 	w.Play(`
 		wait 100ms
 		p accept pool
@@ -121,9 +121,9 @@
 			w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
 				s.SubscribeDiscovery, s.Rules.SubscribeWithin, s.Balancers = true, 20*time.Second, 300
 			})
-			w.Words["same"] = answered(sameList)
-			w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
-			w.Words["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
+			w.Variables["same"] = answered(sameList)
+			w.Variables["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
+			w.Variables["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
 			if _, came := w.Await("pool", 5*time.Second); !came {
 				t.Fatal("no call was made")
 			}
@@ -161,8 +161,8 @@
 // silent, and the node is healthy once the agent has answered.
 func TestDiscovery_pushedList(t *testing.T) {
 	w := newFixture(t, nil)
-	w.Words["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
-	w.Words["back"] = answered(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
+	w.Variables["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
+	w.Variables["back"] = answered(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
 	w.Loop.Call(func() {
 		w.discovery.config.Pushed = true
 		w.discovery.Start()
@@ -205,7 +205,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Words["spoilt"] = answered(`{"index":9,"snapshot":true,"endpoints":[` +
+	w.Variables["spoilt"] = answered(`{"index":9,"snapshot":true,"endpoints":[` +
 		`{"name":"s-1","address":"somewhere","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:9","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:10","status":"Terminating"},` +
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -12,7 +12,7 @@
 
 // fixture is a node with scripted destinations and a scripted pool config.
 type fixture struct {
-	*scriptedpeer.Stage
+	*scriptedpeer.Bench
 	core         *routing.Core
 	front        *Front
 	destinations *Destinations
@@ -24,7 +24,7 @@
 // change may alter the settings.
 func newFixture(t *testing.T, change func(*balance.Settings, *FrontConfig)) *fixture {
 	t.Helper()
-	w := &fixture{Stage: scriptedpeer.New(t)}
+	w := &fixture{Bench: scriptedpeer.New(t)}
 	class := func(e balance.Effect) balance.Class {
 		return balance.Class{LatencyTarget: 2 * time.Second, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Kind: -1}
 	}
@@ -34,18 +34,18 @@
 		Limits: balance.Limits{Cancel: true, Probes: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute},
 		Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}}
-	f := FrontConfig{Listen: scriptedpeer.Free(t), MaxSockets: 40, MaxBufferedBytes: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
+	f := FrontConfig{Listen: scriptedpeer.FreeAddress(t), MaxSockets: 40, MaxBufferedBytes: 1 << 20, Classes: map[string]int{"pruefen": 0, "buchen": 1},
 		DefaultTimeouts: []time.Duration{4 * time.Second, 4 * time.Second}, RetryAdvice: true}
 	if change != nil {
 		change(&s, &f)
 	}
-	workers, pool := w.StandIn("workers"), w.StandIn("pool")
+	workers, pool := w.Listen("workers"), w.Listen("pool")
 	w.Serve("front", f.Listen)
-	w.Words["ask"] = `POST /pruefen/x?y=1 HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline: 3.0\r\nContent-Length: 2\r\n\r\nhi`
-	w.Words["book"] = `POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3.0\r\n\r\n`
-	w.Words["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
-	w.Words["done"] = scriptedpeer.Chunk(`{"id":"a1","state":"done","result":"fine","load":{"queue":1,"x0":2}}`) + `0\r\n\r\n`
-	w.Words["booked"] = strings.ReplaceAll(w.Words["done"], "a1", "b1")
+	w.Variables["ask"] = `POST /pruefen/x?y=1 HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline: 3.0\r\nContent-Length: 2\r\n\r\nhi`
+	w.Variables["book"] = `POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3.0\r\n\r\n`
+	w.Variables["stream"] = `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`
+	w.Variables["done"] = scriptedpeer.Chunk(`{"id":"a1","state":"done","result":"fine","load":{"queue":1,"x0":2}}`) + `0\r\n\r\n`
+	w.Variables["booked"] = strings.ReplaceAll(w.Variables["done"], "a1", "b1")
 	known := EndpointList{Version: 7, Entries: []Endpoint{{Name: "s-1", Address: workers, State: "Ready", Weight: 1},
 		{Name: "s-2", Address: workers, State: "Ready", Weight: 1}}}
 	w.Loop.Call(func() {
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -64,17 +64,17 @@
 // Clients, prep workers, the pool config and operators may all send byte by byte.
 func TestFront_everythingByteByByte(t *testing.T) {
 	w := newFixture(t, nil)
-	w.Words["blank"] = " "
+	w.Variables["blank"] = " "
 	w.withAdmin(t, nil)
 	w.Loop.Call(w.discovery.Fetch)
 	w.Play("p accept pool\np expect GET /v1/servers")
 	list := `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + w.destinations.byID[workerIDOf("s-1")].address + `","status":"Ready","weight":1}]}`
 	w.sendByteByByte("p", fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(list), list))
-	w.Until(func() bool { return len(w.destinations.byID) == 1 })
+	w.WaitUntil(func() bool { return len(w.destinations.byID) == 1 })
 	w.Play("c dial front")
-	w.sendByteByByte("c", w.Words["ask"])
+	w.sendByteByByte("c", w.Variables["ask"])
 	w.Play("s accept workers\ns expect \\r\\n\\r\\nhi")
-	w.sendByteByByte("s", w.Words["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+w.Words["done"])
+	w.sendByteByByte("s", w.Variables["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+w.Variables["done"])
 	w.Play("c expect HTTP/1.1 200\nc expect fine\nc send {ask}\ns expect hi")
 	w.sendByteByByte("s", `HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nfull`)
 	w.Play("o dial admin")
@@ -106,7 +106,7 @@
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.MaxAttempts = 1 })
 		w.Play("c dial front")
 		for end := range len(a.text) + 1 {
-			w.Words["cut"] = a.text[:end]
+			w.Variables["cut"] = a.text[:end]
 			then := "c expect HTTP/1.1 502"
 			if end >= a.from {
 				if then = a.then; then == "" {
@@ -124,7 +124,7 @@
 // time, lest the descriptors be used up.
 func TestDestinations_responsesWithoutAnEnd(t *testing.T) {
 	w := newFixture(t, nil)
-	w.Words["endless"] = strings.TrimSuffix(w.Words["done"], `0\r\n\r\n`)
+	w.Variables["endless"] = strings.TrimSuffix(w.Variables["done"], `0\r\n\r\n`)
 	w.Play("c dial front")
 	for range w.destinations.config.MaxConnections + 2 {
 		w.Play(`
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -50,7 +50,7 @@
 		s accept workers
 		s expect hi
 		s send {stream}` + started[:20])
-	old.Until(func() bool {
+	old.WaitUntil(func() bool {
 		for _, at := range old.destinations.exchanges {
 			return at.conn != nil && at.conn.headRead
 		}
@@ -59,7 +59,7 @@
 	texts := old.handOver(t, next)
 	next.Advance(requestTimeout * 2 / 3)
 	old.Play("s send " + started[20:] + "{done}\nc expect HTTP/1.1 200\nc expect fine\nc send {ask}")
-	next.Until(func() bool { return next.core.Counts().Served == 1 && next.core.OpenOperations() == 1 })
+	next.WaitUntil(func() bool { return next.core.Counts().Served == 1 && next.core.OpenOperations() == 1 })
 	next.Advance(requestTimeout)
 	old.Play("idle send GET /healthz HTTP/1.1\\r\\n\\r\\n\nidle expect HTTP/1.1 200")
 	next.checkTotals(t)
@@ -93,7 +93,7 @@
 			next.core.Resume(at)
 		})
 	})
-	next.Until(func() bool { return next.core.OpenOperations() == 0 && next.core.Counts().Operations == 1 })
+	next.WaitUntil(func() bool { return next.core.OpenOperations() == 0 && next.core.Counts().Operations == 1 })
 	if c := next.core.Counts(); c.Failed != 1 || c.Steps != 0 {
 		t.Errorf("failed %d, sent %d", c.Failed, c.Steps)
 	}
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -284,7 +284,7 @@
 // 503, so that the client may repeat it.
 func TestDestinations_connectRefused(t *testing.T) {
 	w := newFixture(t, nil)
-	none := scriptedpeer.Free(t)
+	none := scriptedpeer.FreeAddress(t)
 	w.Loop.Call(func() {
 		for id, to := range w.destinations.byID {
 			w.destinations.SetAddress(id, to.name, none)
@@ -346,7 +346,7 @@
 		drain(w, up)
 	})
 	w.Play("s accept workers")
-	w.Until(func() bool { return w.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
+	w.WaitUntil(func() bool { return w.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
 	if n := w.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
 		t.Errorf("outcomes %v", n)
 	}
@@ -370,9 +370,9 @@
 func TestDiscovery_watchAndFetch(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
-	w.Words["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
-	w.Words["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
-	w.Words["empty"] = list(`{"index":12,"snapshot":true,"endpoints":[]}`)
+	w.Variables["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
+	w.Variables["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
+	w.Variables["empty"] = list(`{"index":12,"snapshot":true,"endpoints":[]}`)
 	w.Play(`
 		wait 100ms
 		p accept pool
@@ -404,7 +404,7 @@
 // known: 2 s past the hold time.
 func TestDiscovery_silenceIsNoticedInTime(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
+	w.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(`
 		wait 100ms
 		p accept pool
@@ -423,11 +423,11 @@
 // balancer would wait a while before it asked again.
 func TestDiscovery_SetAddress(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Words["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
-	w.Words["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
+	w.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
+	w.Variables["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
 	for _, name := range []string{"next", "last"} {
-		address := w.StandIn(name)
+		address := w.Listen(name)
 		w.Loop.Call(func() { w.discovery.SetAddress(address) })
 	}
 	w.Play(`
@@ -444,7 +444,7 @@
 	`)
 	// Nor does it wait for the balancer where the last call had failed.
 	w.Play(lines(`n send HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, "n closed"))
-	address := w.StandIn("third")
+	address := w.Listen("third")
 	w.Loop.Call(func() { w.discovery.SetAddress(address) })
 	w.Play(lines("o accept third", "o expect from=9&hold_ms=1"))
 }
@@ -500,7 +500,7 @@
 func TestServer_unfinishedRequests(t *testing.T) {
 	w := newFixture(t, nil)
 	w.Play("silent dial front")
-	w.Until(func() bool { return w.front.sockets.Len() == 1 })
+	w.WaitUntil(func() bool { return w.front.sockets.Len() == 1 })
 	w.Play(`
 		head dial front
 		head send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\n
@@ -543,7 +543,7 @@
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
 	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
 		"half dial front", `half send POST /pruefen HTTP/1.1\r\n`))
-	w.Until(func() bool { return w.front.sockets.Len() == 3 && w.front.bufferedBytes > 0 })
+	w.WaitUntil(func() bool { return w.front.sockets.Len() == 3 && w.front.bufferedBytes > 0 })
 	// The unfinished request is one of few and may yet be completed: the idle connection is shed.
 	w.Play(lines("wait 300ms", "b dial front", "b "+health, "b expect 200", "silent closed", "c dial front", "c "+health,
 		"c expect 200", "a closed"))
@@ -555,10 +555,10 @@
 // idle.
 func TestServer_slowRequestAmongMany(t *testing.T) {
 	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
-	w.Words["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
+	w.Variables["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
 	w.Play("slow dial front")
 	var slow *clientConn
-	w.Until(func() bool {
+	w.WaitUntil(func() bool {
 		w.front.sockets.All(func(_ slottable.Handle, f *clientConn) { slow = f })
 		return slow != nil
 	})
@@ -567,7 +567,7 @@
 		`\r\nh`, `i`} {
 		w.Play("slow send " + part)
 		come += len(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(part))
-		w.Until(func() bool { return slow.bufferedBytes == come || slow.call != nil || !slow.conn.Open() })
+		w.WaitUntil(func() bool { return slow.bufferedBytes == come || slow.call != nil || !slow.conn.Open() })
 		for j := range 6 {
 			name := fmt.Sprintf("x%d%d", i, j)
 			w.Play(name + " dial front")
@@ -576,7 +576,7 @@
 			} else {
 				w.Play(name + ` send POST /pruefen HT`)
 			}
-			w.Until(func() bool { return w.front.listener.Pending() == 0 })
+			w.WaitUntil(func() bool { return w.front.listener.Pending() == 0 })
 			w.Advance(60 * time.Millisecond)
 		}
 		w.Advance(70 * time.Millisecond)
@@ -596,7 +596,7 @@
 	for i := range 11 {
 		w.Play(fmt.Sprintf("silent%d dial front", i))
 	}
-	w.Until(func() bool { return w.front.sockets.Len()+len(w.front.lingering) >= 9 })
+	w.WaitUntil(func() bool { return w.front.sockets.Len()+len(w.front.lingering) >= 9 })
 	w.Play(lines("wait 30ms", "c dial front", `c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
@@ -627,9 +627,9 @@
 	}
 	held := func(bytes int) func() bool { return func() bool { return w.front.bufferedBytes > bytes } }
 	w.Play(part("one", 30<<10))
-	w.Until(held(30 << 10))
+	w.WaitUntil(held(30 << 10))
 	w.Play(part("two", 60<<10))
-	w.Until(held(90 << 10))
+	w.WaitUntil(held(90 << 10))
 	w.Play(lines(part("three", 25<<10), "two expect HTTP/1.1 503", "two closed"))
 	w.Play(lines("one send "+strings.Repeat("x", 34<<10), "s accept workers", "s expect xxx", "s send {stream}"+
 		scriptedpeer.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
@@ -647,7 +647,7 @@
 		w.Play("c send " + piece)
 	}
 	w.Play(lines("c expect HTTP/1.1 413", "c closed", "wait 1100ms"))
-	w.Until(func() bool { return w.front.listener.Open() == 0 })
+	w.WaitUntil(func() bool { return w.front.listener.Open() == 0 })
 }
 
 // However it is split, a request is parsed as if received at once, and a line once parsed is
@@ -702,7 +702,7 @@
 			t.Errorf("%d connections count while one is still being given up", w.destinations.openConns)
 		}
 	})
-	w.Until(func() bool { return w.destinations.openConns == 0 })
+	w.WaitUntil(func() bool { return w.destinations.openConns == 0 })
 }
 
 // At the limit of connections to destinations a step fails as not connected, so that it never
@@ -767,13 +767,13 @@
 // it as ready.
 func TestDestinations_probeRejected(t *testing.T) {
 	w := newFixture(t, nil)
-	w.Words["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
+	w.Variables["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
 	w.leaveOneWorker()
 	w.Loop.Call(func() { w.destinations.Probe(workerIDOf("s-1")) })
 	w.Play(lines("p accept workers", "p expect GET /load", "p send {no}"))
-	w.Until(func() bool { return len(w.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response is read and its connection idle
+	w.WaitUntil(func() bool { return len(w.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response is read and its connection idle
 	w.Play(lines("c dial front", "c send {ask}", "c arrives"))
-	w.Until(func() bool { return w.core.OpenOperations() == 1 })
+	w.WaitUntil(func() bool { return w.core.OpenOperations() == 1 })
 	w.Play("wait 1s")
 	if n := w.steps(); n != 0 {
 		t.Errorf("%d attempts", n)
--- a/internal/node/zones/server/server_test.go
+++ b/internal/node/zones/server/server_test.go
@@ -78,7 +78,7 @@
 // leader waits until a voter other than the given one leads.
 func (servers *threeServers) leader(t *testing.T, not uint64) (leader uint64) {
 	t.Helper()
-	if err := fakeplatform.Until(t.Context(), 10*time.Second, func() bool {
+	if err := fakeplatform.WaitUntil(t.Context(), 10*time.Second, func() bool {
 		for id, at := range servers.addresses {
 			if id == not {
 				continue
--- a/internal/testkit/catchupbench/catchup_test.go
+++ b/internal/testkit/catchupbench/catchup_test.go
@@ -9,8 +9,8 @@
 // catchUpBound is catchUpS of the operators' pages.
 const catchUpBound = 4 * time.Second
 
-// TestMembersAreCurrentWithinTheBound is the short form of "inference-router measure catchup".
-func TestMembersAreCurrentWithinTheBound(t *testing.T) {
+// TestPlay_membersCatchUpWithinTheBound is the short form of "inference-router measure catchup".
+func TestPlay_membersCatchUpWithinTheBound(t *testing.T) {
 	steps, err := Play(t.Context(), Plan{
 		Directory: t.TempDir(), Routes: 450, Rate: 30, ReplaceEvery: 10, Limit: 20 * time.Second,
 		Offline: []time.Duration{100 * time.Millisecond, time.Second},
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -77,15 +77,15 @@
 	return slices.Clone(f.members)
 }
 
-// take adds a member that has been started.
-func (f *fleet) take(one *member) {
+// add adds a member that has been started.
+func (f *fleet) add(one *member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.members = append(f.members, one)
 }
 
-// drop takes out a member that is to be stopped.
-func (f *fleet) drop(gone *member) {
+// remove takes out a member that is to be stopped.
+func (f *fleet) remove(gone *member) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.members = slices.DeleteFunc(f.members, func(one *member) bool { return one == gone })
@@ -101,7 +101,7 @@
 func Play(ctx context.Context, plan Plan) ([]Step, error) {
 	f := &fleet{plan: plan, counted: newTraffic()}
 	defer f.stop()
-	if err := f.found(); err != nil {
+	if err := f.bootstrap(); err != nil {
 		return nil, err
 	}
 	var steps []Step
@@ -126,8 +126,8 @@
 	}
 }
 
-// found starts the founders.
-func (f *fleet) found() error {
+// bootstrap starts the founders.
+func (f *fleet) bootstrap() error {
 	var listeners []net.Listener
 	var first []consensus.Member
 	for range founders {
@@ -144,7 +144,7 @@
 		if err != nil {
 			return err
 		}
-		f.take(started)
+		f.add(started)
 	}
 	return nil
 }
@@ -205,8 +205,8 @@
 	}
 }
 
-// goOn makes changes at the plan's rate until the context ends.
-func (f *fleet) goOn(ctx context.Context) error {
+// makeChanges makes changes at the plan's rate until the context ends.
+func (f *fleet) makeChanges(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second / time.Duration(f.plan.Rate))
 	defer ticker.Stop()
 	for {
@@ -232,7 +232,7 @@
 	}
 	followers := slices.DeleteFunc(f.present(), func(one *member) bool { return one == leader })
 	gone := followers[0]
-	f.drop(gone)
+	f.remove(gone)
 	if err := gone.stop(); err != nil {
 		return Step{}, err
 	}
@@ -245,14 +245,14 @@
 	step := Step{Manner: manner, Offline: offline, Lacked: lacked}
 	going, endChanges := context.WithCancel(ctx)
 	changes := make(chan error, 1)
-	go func() { changes <- f.goOn(going) }()
-	err = f.comeBack(ctx, gone, &step)
+	go func() { changes <- f.makeChanges(going) }()
+	err = f.bringBack(ctx, gone, &step)
 	endChanges()
 	return step, errors.Join(err, <-changes)
 }
 
-// comeBack starts the member, or what takes its place, and measures.
-func (f *fleet) comeBack(ctx context.Context, gone *member, step *Step) error {
+// bringBack starts the member, or what takes its place, and measures.
+func (f *fleet) bringBack(ctx context.Context, gone *member, step *Step) error {
 	self, address := gone.self, gone.self.Address
 	if step.Manner != Restarted {
 		f.lastID++
@@ -277,12 +277,12 @@
 		return err
 	}
 	leader, err := f.leader(ctx)
-	f.take(back)
+	f.add(back)
 	if err != nil {
 		return err
 	}
 	if step.Manner != Restarted {
-		err = errors.Join(f.alter(ctx, replica.MembershipChange{Remove: gone.self.ID}), f.alter(ctx, replica.MembershipChange{Add: &self}))
+		err = errors.Join(f.changeMembership(ctx, replica.MembershipChange{Remove: gone.self.ID}), f.changeMembership(ctx, replica.MembershipChange{Add: &self}))
 	}
 	if err != nil {
 		return err
@@ -298,13 +298,13 @@
 		return nil
 	}
 	self.Voter = true
-	err = f.alter(ctx, replica.MembershipChange{Add: &self})
+	err = f.changeMembership(ctx, replica.MembershipChange{Add: &self})
 	step.Voting = time.Since(began)
 	return err
 }
 
-// alter makes a change of members, and tries again while the group refuses it.
-func (f *fleet) alter(ctx context.Context, change replica.MembershipChange) error {
+// changeMembership makes a change of members, and tries again while the group refuses it.
+func (f *fleet) changeMembership(ctx context.Context, change replica.MembershipChange) error {
 	limit := time.Now().Add(f.plan.Limit)
 	for {
 		leader, err := f.leader(ctx)
@@ -315,14 +315,14 @@
 		if err == nil || ctx.Err() != nil || time.Now().After(limit) {
 			return err
 		}
-		if err := f.until(ctx, nil, pastNow()); err != nil {
+		if err := f.until(ctx, nil, afterNow()); err != nil {
 			return err
 		}
 	}
 }
 
-// pastNow is a condition that holds a little later.
-func pastNow() func() bool {
+// afterNow is a condition that holds a little later.
+func afterNow() func() bool {
 	later := time.Now().Add(10 * pollPause)
 	return func() bool { return time.Now().After(later) }
 }
--- a/internal/testkit/conformance/cases.go
+++ b/internal/testkit/conformance/cases.go
@@ -14,24 +14,24 @@
 // Cases returns how many cases there are.
 func Cases() int { return len(cases()) }
 
-func cases() []kase {
+func cases() []testCase {
 	all := slices.Concat(managerCases, sessionCases, templateCases, jobCases, arrayCases, waitCases, listCases, eventCases, monitoringCases)
 	for _, name := range slices.Sorted(maps.Keys(drmaa.UnsupportedAttributes)) {
 		value := `"x"`
 		if name == "jobEnvironment" {
 			value = `{"A":"b"}`
 		}
-		all = append(all, kase{"template.refused." + name, "GFD.194 8.4", "what cannot be honoured is refused by its name: " + name, func(t *trial) {
-			t.refused(t.call("POST", t.path("/jobs"), t.template(name, value)), 422, drmaa.UnsupportedAttribute, name)
+		all = append(all, testCase{"template.refused." + name, "GFD.194 8.4", "what cannot be honoured is refused by its name: " + name, func(t *run) {
+			t.wantError(t.call("POST", t.path("/jobs"), t.template(name, value)), 422, drmaa.UnsupportedAttribute, name)
 		}})
 	}
 	return all
 }
 
-var jobCases = []kase{
-	{"job.hold-release", "GFD.194 7.3", "submitAsHold waits in QUEUED_HELD; release lets it go on to its end", func(t *trial) {
-		j := t.createHeld()
-		t.state(j.ID, drmaa.QueuedHeld)
+var jobCases = []testCase{
+	{"job.hold-release", "GFD.194 7.3", "submitAsHold waits in QUEUED_HELD; release lets it go on to its end", func(t *run) {
+		j := t.submitOnHold()
+		t.wantState(j.ID, drmaa.QueuedHeld)
 		t.must(t.session.Act(t.ctx, j.ID, "release"))
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
@@ -39,8 +39,8 @@
 			t.fail("%+v", done)
 		}
 	}},
-	{"job.info", "GFD.194 8.5", "an ended job tells where it went, when, and how it ended", func(t *trial) {
-		j := t.run(drmaa.JobTemplate{})
+	{"job.info", "GFD.194 8.5", "an ended job tells where it went, when, and how it ended", func(t *run) {
+		j := t.submit(drmaa.JobTemplate{})
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
 		if done.State != drmaa.Done {
@@ -50,22 +50,22 @@
 			done.Submitted > done.Dispatched || done.Dispatched > done.Finished || done.Steps[len(done.Steps)-1].Outcome != "served" {
 			t.fail("%+v", done)
 		}
-		if again := t.state(j.ID, drmaa.Done); *again.Result != *done.Result {
+		if again := t.wantState(j.ID, drmaa.Done); *again.Result != *done.Result {
 			t.fail("the result has changed")
 		}
 	}},
-	{"job.hold.state", "GFD.194 7.3", "hold of a held job and release of one that is not are InvalidStateException", func(t *trial) {
-		j := t.createHeld()
-		t.ruledOut(t.session.Act(t.ctx, j.ID, "hold"), drmaa.InvalidState)
-		later := t.run(drmaa.JobTemplate{StartTime: drmaa.Stamp(time.Now().Add(time.Hour).UnixMicro())})
-		t.ruledOut(t.session.Act(t.ctx, later.ID, "release"), drmaa.InvalidState)
+	{"job.hold.state", "GFD.194 7.3", "hold of a held job and release of one that is not are InvalidStateException", func(t *run) {
+		j := t.submitOnHold()
+		t.wantClientError(t.session.Act(t.ctx, j.ID, "hold"), drmaa.InvalidState)
+		later := t.submit(drmaa.JobTemplate{StartTime: drmaa.Stamp(time.Now().Add(time.Hour).UnixMicro())})
+		t.wantClientError(t.session.Act(t.ctx, later.ID, "release"), drmaa.InvalidState)
 		t.must(t.session.Act(t.ctx, later.ID, "hold"))
-		t.state(later.ID, drmaa.QueuedHeld)
+		t.wantState(later.ID, drmaa.QueuedHeld)
 		t.must(t.session.Act(t.ctx, later.ID, "release"))
-		t.state(later.ID, drmaa.Queued)
+		t.wantState(later.ID, drmaa.Queued)
 	}},
-	{"job.terminate", "GFD.194 7.3", "terminate ends a job as FAILED, once; one that never went out has not run", func(t *trial) {
-		j := t.createHeld()
+	{"job.terminate", "GFD.194 7.3", "terminate ends a job as FAILED, once; one that never went out has not run", func(t *run) {
+		j := t.submitOnHold()
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
@@ -73,44 +73,44 @@
 			t.fail("%+v", done)
 		}
 		for _, action := range []string{"terminate", "hold", "release"} {
-			t.ruledOut(t.session.Act(t.ctx, j.ID, action), drmaa.InvalidState)
+			t.wantClientError(t.session.Act(t.ctx, j.ID, action), drmaa.InvalidState)
 		}
 	}},
-	{"job.suspend", "GFD.194 7.3", "suspend and resume are UnsupportedOperationException", func(t *trial) {
-		j := t.createHeld()
+	{"job.suspend", "GFD.194 7.3", "suspend and resume are UnsupportedOperationException", func(t *run) {
+		j := t.submitOnHold()
 		for _, action := range []string{"suspend", "resume"} {
-			t.ruledOut(t.session.Act(t.ctx, j.ID, action), drmaa.UnsupportedOperation)
+			t.wantClientError(t.session.Act(t.ctx, j.ID, action), drmaa.UnsupportedOperation)
 		}
-		t.refused(t.call("POST", t.path("/jobs/"+j.ID+"/control"), `{"action":"fly"}`), 400, drmaa.InvalidArgument, "action")
-		t.refused(t.call("POST", t.path("/jobs/"+j.ID+"/control"), `{}`), 400, drmaa.InvalidArgument, "action")
+		t.wantError(t.call("POST", t.path("/jobs/"+j.ID+"/control"), `{"action":"fly"}`), 400, drmaa.InvalidArgument, "action")
+		t.wantError(t.call("POST", t.path("/jobs/"+j.ID+"/control"), `{}`), 400, drmaa.InvalidArgument, "action")
 	}},
-	{"job.reap", "GFD.194 7.3", "reap forgets an ended job, and no other", func(t *trial) {
-		j := t.createHeld()
-		t.ruledOut(t.session.Act(t.ctx, j.ID, "reap"), drmaa.InvalidState)
+	{"job.reap", "GFD.194 7.3", "reap forgets an ended job, and no other", func(t *run) {
+		j := t.submitOnHold()
+		t.wantClientError(t.session.Act(t.ctx, j.ID, "reap"), drmaa.InvalidState)
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		_, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
 		t.must(t.session.Act(t.ctx, j.ID, "reap"))
 		_, err = t.session.Job(t.ctx, j.ID)
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 	}},
-	{"job.unknown", "binding, Errors", "an unknown job is InvalidArgumentException", func(t *trial) {
-		t.refused(t.call("GET", t.path("/jobs/none"), ""), 404, drmaa.InvalidArgument, "")
-		t.refused(t.call("POST", t.path("/jobs/none/wait"), `{}`), 404, drmaa.InvalidArgument, "")
-		t.refused(t.call("POST", t.path("/jobs/none/control"), `{"action":"hold"}`), 404, drmaa.InvalidArgument, "")
+	{"job.unknown", "binding, Errors", "an unknown job is InvalidArgumentException", func(t *run) {
+		t.wantError(t.call("GET", t.path("/jobs/none"), ""), 404, drmaa.InvalidArgument, "")
+		t.wantError(t.call("POST", t.path("/jobs/none/wait"), `{}`), 404, drmaa.InvalidArgument, "")
+		t.wantError(t.call("POST", t.path("/jobs/none/control"), `{"action":"hold"}`), 404, drmaa.InvalidArgument, "")
 	}},
-	{"job.start-time", "GFD.194 8.4", "a job is not begun before its startTime", func(t *trial) {
+	{"job.start-time", "GFD.194 8.4", "a job is not begun before its startTime", func(t *run) {
 		at := time.Now().Add(700 * time.Millisecond)
-		j := t.run(drmaa.JobTemplate{StartTime: drmaa.Stamp(at.UnixMicro())})
-		t.state(j.ID, drmaa.Queued)
+		j := t.submit(drmaa.JobTemplate{StartTime: drmaa.Stamp(at.UnixMicro())})
+		t.wantState(j.ID, drmaa.Queued)
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
 		if done.Dispatched < drmaa.Stamp(at.UnixMicro()) {
 			t.fail("dispatched at %s, before %s", done.Dispatched, drmaa.Stamp(at.UnixMicro()))
 		}
 	}},
-	{"job.deadline", "GFD.194 8.4", "a job whose deadlineTime passes while it waits is FAILED and has not run", func(t *trial) {
-		j := t.run(drmaa.JobTemplate{SubmitAsHold: true, DeadlineTime: drmaa.Stamp(time.Now().Add(500 * time.Millisecond).UnixMicro())})
+	{"job.deadline", "GFD.194 8.4", "a job whose deadlineTime passes while it waits is FAILED and has not run", func(t *run) {
+		j := t.submit(drmaa.JobTemplate{SubmitAsHold: true, DeadlineTime: drmaa.Stamp(time.Now().Add(500 * time.Millisecond).UnixMicro())})
 		done, err := t.session.Wait(t.ctx, j.ID, client.Terminated)
 		t.must(err)
 		if done.State != drmaa.Failed || done.MayHaveRun {
@@ -119,8 +119,8 @@
 	}},
 }
 
-var arrayCases = []kase{
-	{"array.bulk", "GFD.194 7.2", "runBulkJobs makes one job for each index from begin to end by step", func(t *trial) {
+var arrayCases = []testCase{
+	{"array.bulk", "GFD.194 7.2", "runBulkJobs makes one job for each index from begin to end by step", func(t *run) {
 		a, err := t.session.RunBulk(t.ctx, drmaa.Bulk{Template: &drmaa.JobTemplate{RemoteCommand: t.class, SubmitAsHold: true}, Begin: 3, End: 12, Step: 4})
 		t.must(err)
 		if a.Jobs != 3 || a.States[drmaa.QueuedHeld] != 3 || a.AllEnded {
@@ -138,23 +138,23 @@
 			t.fail("indexes %v", indexes)
 		}
 	}},
-	{"array.bounds", "binding, Bulk jobs", "a bad range is refused by its attribute, and nothing of it is taken", func(t *trial) {
+	{"array.bounds", "binding, Bulk jobs", "a bad range is refused by its attribute, and nothing of it is taken", func(t *run) {
 		in := func(rest string) string {
 			return fmt.Sprintf(`{"jobTemplate":{"remoteCommand":%q,"submitAsHold":true}%s}`, t.class, rest)
 		}
 		for _, c := range [][2]string{{`,"beginIndex":0,"endIndex":3`, "beginIndex"}, {`,"beginIndex":5,"endIndex":3`, "endIndex"},
 			{`,"beginIndex":1,"endIndex":3,"step":-1`, "step"}, {`,"beginIndex":1,"endIndex":3,"maxParallel":-1`, "maxParallel"},
 			{`,"beginIndex":1,"endIndex":10001`, "endIndex"}, {`,"beginIndex":"x"`, "beginIndex"}} {
-			t.refused(t.call("POST", t.path("/arrays"), in(c[0])), 400, drmaa.InvalidArgument, c[1])
+			t.wantError(t.call("POST", t.path("/arrays"), in(c[0])), 400, drmaa.InvalidArgument, c[1])
 		}
-		t.refused(t.call("POST", t.path("/arrays"), `{"beginIndex":1,"endIndex":2}`), 400, drmaa.InvalidArgument, "jobTemplate")
-		t.refused(t.call("POST", t.path("/arrays"), in(`,"beginIndex":1,"endIndex":3,"what":1`)), 422, drmaa.UnsupportedAttribute, "what")
+		t.wantError(t.call("POST", t.path("/arrays"), `{"beginIndex":1,"endIndex":2}`), 400, drmaa.InvalidArgument, "jobTemplate")
+		t.wantError(t.call("POST", t.path("/arrays"), in(`,"beginIndex":1,"endIndex":3,"what":1`)), 422, drmaa.UnsupportedAttribute, "what")
 		for _, err := range t.session.Jobs(t.ctx, drmaa.Filter{}) {
 			t.must(err)
 			t.fail("a job of a refused bulk is there")
 		}
 	}},
-	{"array.key", "binding, Client keys", "the client key covers the whole array", func(t *trial) {
+	{"array.key", "binding, Client keys", "the client key covers the whole array", func(t *run) {
 		b := drmaa.Bulk{Template: &drmaa.JobTemplate{RemoteCommand: t.class, SubmitAsHold: true, ClientKey: "conform " + t.session.Name}, Begin: 1, End: 3}
 		one, err := t.session.RunBulk(t.ctx, b)
 		t.must(err)
@@ -165,17 +165,17 @@
 		}
 		b.End = 4
 		_, err = t.session.RunBulk(t.ctx, b)
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 	}},
-	{"array.control", "GFD.194 7.4", "release, hold, terminate and reap of an array apply to all of its jobs", func(t *trial) {
-		a := t.bulk(6, 1)
+	{"array.control", "GFD.194 7.4", "release, hold, terminate and reap of an array apply to all of its jobs", func(t *run) {
+		a := t.submitBulk(6, 1)
 		n, err := t.session.ActOnArray(t.ctx, a.ID, "release")
 		t.must(err)
 		if n.Applied != 6 {
 			t.fail("released %d", n.Applied)
 		}
 		_, err = t.session.ActOnArray(t.ctx, a.ID, "reap")
-		t.ruledOut(err, drmaa.InvalidState)
+		t.wantClientError(err, drmaa.InvalidState)
 		_, err = t.session.ActOnArray(t.ctx, a.ID, "terminate")
 		t.must(err)
 		over, err := t.session.WaitArray(t.ctx, a.ID)
@@ -184,13 +184,13 @@
 			t.fail("%+v", over)
 		}
 		_, err = t.session.ActOnArray(t.ctx, a.ID, "hold")
-		t.ruledOut(err, drmaa.InvalidState)
+		t.wantClientError(err, drmaa.InvalidState)
 		_, err = t.session.ActOnArray(t.ctx, a.ID, "reap")
 		t.must(err)
 		_, err = t.session.Array(t.ctx, a.ID)
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 	}},
-	{"array.index", "GFD.194 8.4", "the index placeholder is replaced in args and input", func(t *trial) {
+	{"array.index", "GFD.194 8.4", "the index placeholder is replaced in args and input", func(t *run) {
 		a, err := t.session.RunBulk(t.ctx, drmaa.Bulk{Begin: 7, End: 8, Template: &drmaa.JobTemplate{RemoteCommand: t.class,
 			Args: []string{"part-" + drmaa.IndexPlaceholder}}})
 		t.must(err)
@@ -200,7 +200,7 @@
 			t.fail("%+v", over)
 		}
 	}},
-	{"array.parallel", "GFD.194 7.2", "no more than maxParallel jobs of an array run at once", func(t *trial) {
+	{"array.parallel", "GFD.194 7.2", "no more than maxParallel jobs of an array run at once", func(t *run) {
 		a, err := t.session.RunBulk(t.ctx, drmaa.Bulk{Begin: 1, End: 6, MaxParallel: 1, Template: &drmaa.JobTemplate{RemoteCommand: t.class}})
 		t.must(err)
 		_, err = t.session.WaitArray(t.ctx, a.ID)
--- a/internal/testkit/conformance/monitoring_cases.go
+++ b/internal/testkit/conformance/monitoring_cases.go
@@ -8,34 +8,34 @@
 	"ospreybend/drmaa/client"
 )
 
-var waitCases = []kase{
-	{"wait.timeout", "GFD.194 7.3", "a wait that times out is TimeoutException, and the job goes on", func(t *trial) {
-		j := t.createHeld()
+var waitCases = []testCase{
+	{"wait.timeout", "GFD.194 7.3", "a wait that times out is TimeoutException, and the job goes on", func(t *run) {
+		j := t.submitOnHold()
 		for _, span := range []string{"0", "0.2"} {
 			a := t.call("POST", t.path("/jobs/"+j.ID+"/wait"), `{"timeout":`+span+`}`)
-			t.refused(a, 504, drmaa.Timeout, "")
+			t.wantError(a, 504, drmaa.Timeout, "")
 			if a.fault.Job == nil || a.fault.Job.State != drmaa.QueuedHeld {
 				t.fail("the error does not tell of the job: %s", a.body)
 			}
 		}
 	}},
-	{"wait.bad", "binding, Waits", "a wait for nothing sensible is refused by attribute", func(t *trial) {
-		j := t.createHeld()
+	{"wait.bad", "binding, Waits", "a wait for nothing sensible is refused by attribute", func(t *run) {
+		j := t.submitOnHold()
 		for _, c := range [][2]string{{`{"timeout":-1}`, "timeout"}, {`{"timeout":1e9}`, "timeout"}, {`{"for":"rain"}`, "for"}} {
-			t.refused(t.call("POST", t.path("/jobs/"+j.ID+"/wait"), c[0]), 400, drmaa.InvalidArgument, c[1])
+			t.wantError(t.call("POST", t.path("/jobs/"+j.ID+"/wait"), c[0]), 400, drmaa.InvalidArgument, c[1])
 		}
-		t.refused(t.call("POST", t.path("/wait"), `{"jobs":[]}`), 400, drmaa.InvalidArgument, "jobs")
-		t.refused(t.call("POST", t.path("/wait"), `{"jobs":["none"]}`), 404, drmaa.InvalidArgument, "")
+		t.wantError(t.call("POST", t.path("/wait"), `{"jobs":[]}`), 400, drmaa.InvalidArgument, "jobs")
+		t.wantError(t.call("POST", t.path("/wait"), `{"jobs":["none"]}`), 404, drmaa.InvalidArgument, "")
 	}},
-	{"wait.started", "GFD.194 7.3", "waitStarted returns once the job has started or ended", func(t *trial) {
-		j, err := t.session.Wait(t.ctx, t.run(drmaa.JobTemplate{}).ID, client.Started)
+	{"wait.started", "GFD.194 7.3", "waitStarted returns once the job has started or ended", func(t *run) {
+		j, err := t.session.Wait(t.ctx, t.submit(drmaa.JobTemplate{}).ID, client.Started)
 		t.must(err)
 		if !j.State.Started() && !j.State.Final() {
 			t.fail("%s", j.State)
 		}
 	}},
-	{"wait.any", "GFD.194 7.2", "waitAnyTerminated returns a job of the list that has ended", func(t *trial) {
-		a, b := t.createHeld(), t.createHeld()
+	{"wait.any", "GFD.194 7.2", "waitAnyTerminated returns a job of the list that has ended", func(t *run) {
+		a, b := t.submitOnHold(), t.submitOnHold()
 		t.must(t.session.Act(t.ctx, b.ID, "terminate"))
 		j, err := t.session.WaitAny(t.ctx, client.Terminated, "", a.ID, b.ID)
 		t.must(err)
@@ -43,9 +43,9 @@
 			t.fail("%s, not %s", j.ID, b.ID)
 		}
 	}},
-	{"wait.any.session", "GFD.194 7.2", "waitAnyTerminated over the session returns what has ended before and is not reaped", func(t *trial) {
-		t.createHeld()
-		b := t.createHeld()
+	{"wait.any.session", "GFD.194 7.2", "waitAnyTerminated over the session returns what has ended before and is not reaped", func(t *run) {
+		t.submitOnHold()
+		b := t.submitOnHold()
 		t.must(t.session.Act(t.ctx, b.ID, "terminate"))
 		_, err := t.session.Wait(t.ctx, b.ID, client.Terminated)
 		t.must(err)
@@ -55,8 +55,8 @@
 			t.fail("%s, not %s", j.ID, b.ID)
 		}
 	}},
-	{"wait.any.array", "GFD.194 7.2", "waitAnyStarted and waitAnyTerminated work over an array", func(t *trial) {
-		a := t.bulk(2, 0)
+	{"wait.any.array", "GFD.194 7.2", "waitAnyStarted and waitAnyTerminated work over an array", func(t *run) {
+		a := t.submitBulk(2, 0)
 		t.must(t.session.Act(t.ctx, drmaa.JobID(a.ID, 2), "release"))
 		for _, what := range []string{client.Started, client.Terminated} {
 			j, err := t.session.WaitAny(t.ctx, what, a.ID)
@@ -68,9 +68,9 @@
 	}},
 }
 
-var listCases = []kase{
-	{"list.pages", "binding, Lists", "pages neither repeat nor leave out jobs, while others come", func(t *trial) {
-		t.bulk(11, 0)
+var listCases = []testCase{
+	{"list.pages", "binding, Lists", "pages neither repeat nor leave out jobs, while others come", func(t *run) {
+		t.submitBulk(11, 0)
 		seen := map[string]int{}
 		next := ""
 		for range 10 {
@@ -80,14 +80,14 @@
 			}
 			a := t.call("GET", path, "")
 			var page drmaa.Page
-			t.read(a, &page)
+			t.decode(a, &page)
 			for _, j := range page.Jobs {
 				seen[j.ID]++
 			}
 			if next = page.Next; next == "" {
 				break
 			}
-			t.createHeld() // newer than the pages to come
+			t.submitOnHold() // newer than the pages to come
 		}
 		if len(seen) != 11 {
 			t.fail("%d jobs of 11", len(seen))
@@ -98,8 +98,8 @@
 			}
 		}
 	}},
-	{"list.filter", "GFD.194 7.2", "getJobs matches state, category, name, account and times", func(t *trial) {
-		t.run(drmaa.JobTemplate{SubmitAsHold: true, JobName: "x", AccountingID: "acc"})
+	{"list.filter", "GFD.194 7.2", "getJobs matches state, category, name, account and times", func(t *run) {
+		t.submit(drmaa.JobTemplate{SubmitAsHold: true, JobName: "x", AccountingID: "acc"})
 		before := drmaa.Stamp(time.Now().Add(-time.Hour).UnixMicro())
 		for _, c := range []struct {
 			query string
@@ -107,30 +107,30 @@
 		}{{"state=QUEUED_HELD", 1}, {"state=DONE,FAILED", 0}, {"name=x", 1}, {"name=y", 0}, {"accountingId=acc", 1}, {"category=" + t.class, 1},
 			{"category=none", 0}, {"submittedFrom=" + before, 1}, {"submittedTo=" + before, 0}, {"finishedFrom=" + before, 0}} {
 			var page drmaa.Page
-			t.read(t.call("GET", t.path("/jobs?"+c.query), ""), &page)
+			t.decode(t.call("GET", t.path("/jobs?"+c.query), ""), &page)
 			if len(page.Jobs) != c.want {
 				t.fail("%s: %d jobs, not %d", c.query, len(page.Jobs), c.want)
 			}
 		}
 	}},
-	{"list.bad", "binding, Lists", "an unknown filter or a bad value is refused by its name", func(t *trial) {
+	{"list.bad", "binding, Lists", "an unknown filter or a bad value is refused by its name", func(t *run) {
 		for _, c := range [][2]string{{"colour=red", "colour"}, {"state=SLEEPING", "state"}, {"limit=0", "limit"}, {"limit=9999", "limit"},
 			{"next=zzz", "next"}, {"submittedFrom=yesterday", "submittedFrom"}, {"name=a&name=b", "name"}} {
-			t.refused(t.call("GET", t.path("/jobs?"+c[0]), ""), 400, drmaa.InvalidArgument, c[1])
+			t.wantError(t.call("GET", t.path("/jobs?"+c[0]), ""), 400, drmaa.InvalidArgument, c[1])
 		}
 	}},
 }
 
-var eventCases = []kase{
-	{"events.cursor", "GFD.194 8.7", "a cursor resumes the stream: each change of state comes once, in order", func(t *trial) {
+var eventCases = []testCase{
+	{"events.cursor", "GFD.194 8.7", "a cursor resumes the stream: each change of state comes once, in order", func(t *run) {
 		var at drmaa.Events
-		t.read(t.call("GET", t.path("/events"), ""), &at)
-		j := t.createHeld()
+		t.decode(t.call("GET", t.path("/events"), ""), &at)
+		j := t.submitOnHold()
 		t.must(t.session.Act(t.ctx, j.ID, "terminate"))
 		var states []drmaa.State
 		for range 10 {
 			var got drmaa.Events
-			t.read(t.call("GET", t.path("/events?timeout=5&limit=1&cursor="+at.Cursor), ""), &got)
+			t.decode(t.call("GET", t.path("/events?timeout=5&limit=1&cursor="+at.Cursor), ""), &got)
 			if got.Missed != 0 {
 				t.fail("%d missed", got.Missed)
 			}
@@ -149,10 +149,10 @@
 			t.fail("%v", states)
 		}
 	}},
-	{"events.stream", "binding, Events", "a stream brings events as they come, and its cursors resume it", func(t *trial) {
+	{"events.stream", "binding, Events", "a stream brings events as they come, and its cursors resume it", func(t *run) {
 		var at drmaa.Events
-		t.read(t.call("GET", t.path("/events"), ""), &at)
-		j := t.createHeld()
+		t.decode(t.call("GET", t.path("/events"), ""), &at)
+		j := t.submitOnHold()
 		seen := 0
 		for range 2 {
 			for got, err := range t.session.Events(t.ctx, at.Cursor) {
@@ -169,16 +169,16 @@
 			t.fail("%d events", seen)
 		}
 	}},
-	{"events.bad", "binding, Events", "a bad cursor or parameter is refused by its name", func(t *trial) {
+	{"events.bad", "binding, Events", "a bad cursor or parameter is refused by its name", func(t *run) {
 		for _, c := range [][2]string{{"cursor=zz", "cursor"}, {"timeout=-1", "timeout"}, {"limit=0", "limit"}, {"stream=maybe", "stream"}, {"x=1", "x"}} {
-			t.refused(t.call("GET", t.path("/events?"+c[0]), ""), 400, drmaa.InvalidArgument, c[1])
+			t.wantError(t.call("GET", t.path("/events?"+c[0]), ""), 400, drmaa.InvalidArgument, c[1])
 		}
 	}},
 }
 
-var monitoringCases = []kase{
-	{"monitoring.queues", "GFD.194 7.5", "getAllQueues lists the classes with what waits in them", func(t *trial) {
-		t.createHeld()
+var monitoringCases = []testCase{
+	{"monitoring.queues", "GFD.194 7.5", "getAllQueues lists the classes with what waits in them", func(t *run) {
+		t.submitOnHold()
 		all, err := t.client.Queues(t.ctx)
 		t.must(err)
 		at := slices.IndexFunc(all, func(q drmaa.Queue) bool { return q.Name == t.class })
@@ -186,7 +186,7 @@
 			t.fail("%+v", all)
 		}
 	}},
-	{"monitoring.machines", "GFD.194 7.5", "getAllMachines lists the prep workers", func(t *trial) {
+	{"monitoring.machines", "GFD.194 7.5", "getAllMachines lists the prep workers", func(t *run) {
 		all, err := t.client.Machines(t.ctx)
 		t.must(err)
 		for _, m := range all {
@@ -195,8 +195,8 @@
 			}
 		}
 	}},
-	{"monitoring.jobs", "GFD.194 7.5", "getAllJobs lists the jobs of all sessions", func(t *trial) {
-		j := t.createHeld()
+	{"monitoring.jobs", "GFD.194 7.5", "getAllJobs lists the jobs of all sessions", func(t *run) {
+		j := t.submitOnHold()
 		for got, err := range t.client.Jobs(t.ctx, drmaa.Filter{States: []drmaa.State{drmaa.QueuedHeld}}) {
 			t.must(err)
 			if got.ID == j.ID {
@@ -205,7 +205,7 @@
 		}
 		t.fail("not listed")
 	}},
-	{"monitoring.reservations", "GFD.194 7.5", "reservations are UnsupportedOperationException", func(t *trial) {
-		t.refused(t.call("GET", "/monitoring/reservations", ""), 422, drmaa.UnsupportedOperation, "")
+	{"monitoring.reservations", "GFD.194 7.5", "reservations are UnsupportedOperationException", func(t *run) {
+		t.wantError(t.call("GET", "/monitoring/reservations", ""), 422, drmaa.UnsupportedOperation, "")
 	}},
 }
--- a/internal/testkit/conformance/run.go
+++ b/internal/testkit/conformance/run.go
@@ -46,13 +46,13 @@
 	Results []Result `json:"results"`
 }
 
-type kase struct {
+type testCase struct {
 	name, source, demand string
-	run                  func(*trial)
+	run                  func(*run)
 }
 
-// trial is one case under way.
-type trial struct {
+// run is one case under way.
+type run struct {
 	ctx     context.Context
 	config  Config
 	client  *client.Client
@@ -64,24 +64,24 @@
 // fault is how a case ends early.
 type fault struct{ text string }
 
-func (t *trial) fail(format string, a ...any) { panic(fault{fmt.Sprintf(format, a...)}) }
+func (t *run) fail(format string, a ...any) { panic(fault{fmt.Sprintf(format, a...)}) }
 
-func (t *trial) must(err error) {
+func (t *run) must(err error) {
 	if err != nil {
 		t.fail("%v", err)
 	}
 }
 
 // Run plays the cases, each in a session of its own, which it destroys.
-func Run(ctx context.Context, c Config, each func(Result)) (*Report, error) {
-	if c.Within == 0 {
-		c.Within = 30 * time.Second
+func Run(ctx context.Context, config Config, each func(Result)) (*Report, error) {
+	if config.Within == 0 {
+		config.Within = 30 * time.Second
 	}
-	cl, err := client.New(c.URL, c.Token, client.WithMaxAttempts(3))
+	cl, err := client.New(config.URL, config.Token, client.WithMaxAttempts(3))
 	if err != nil {
 		return nil, err
 	}
-	first := trial{config: c, client: cl}
+	first := run{config: config, client: cl}
 	m, err := cl.Manager(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("the server does not answer as this binding's: %w", err)
@@ -106,10 +106,10 @@
 		if ctx.Err() != nil {
 			return report, ctx.Err()
 		}
-		if !strings.Contains(k.name, c.Only) {
+		if !strings.Contains(k.name, config.Only) {
 			continue
 		}
-		r := play(ctx, first, k)
+		r := runCase(ctx, first, k)
 		if r.Passed {
 			report.Passed++
 		} else {
@@ -121,8 +121,8 @@
 	return report, nil
 }
 
-func play(ctx context.Context, t trial, k kase) (r Result) {
-	r = Result{Name: k.name, Source: k.source, Demand: k.demand}
+func runCase(ctx context.Context, t run, testCase testCase) (r Result) {
+	r = Result{Name: testCase.name, Source: testCase.source, Demand: testCase.demand}
 	ctx, cancel := context.WithTimeout(ctx, t.config.Within)
 	defer cancel()
 	t.ctx = ctx
@@ -142,11 +142,11 @@
 	t.must(err)
 	t.session = s
 	defer func() {
-		away, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
+		cleanup, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
 		defer cancel()
-		_ = s.Destroy(away) // a case may have done so itself
+		_ = s.Destroy(cleanup) // a case may have done so itself
 	}()
-	k.run(&t)
+	testCase.run(&t)
 	return r
 }
 
@@ -159,11 +159,11 @@
 }
 
 // call makes one call as it is, without the client's care.
-func (t *trial) call(method, path, body string) answer {
+func (t *run) call(method, path, body string) answer {
 	return t.callAs(t.config.Token, method, path, body)
 }
 
-func (t *trial) callAs(token, method, path, body string) answer {
+func (t *run) callAs(token, method, path, body string) answer {
 	r, err := http.NewRequestWithContext(t.ctx, method, t.config.URL+"/drmaa/v2"+path, bytes.NewReader([]byte(body)))
 	t.must(err)
 	if token != "" {
@@ -183,8 +183,8 @@
 	return a
 }
 
-// refused demands an error; attribute may be empty.
-func (t *trial) refused(a answer, status int, name drmaa.Name, attribute string) {
+// wantError demands an error; attribute may be empty.
+func (t *run) wantError(a answer, status int, name drmaa.Name, attribute string) {
 	switch {
 	case a.status != status || a.fault.Name != name:
 		t.fail("status %d %s, not %d %s: %s", a.status, a.fault.Name, status, name, a.body)
@@ -193,20 +193,20 @@
 	}
 }
 
-// ruledOut demands an error from the client.
-func (t *trial) ruledOut(err error, name drmaa.Name) {
+// wantClientError demands an error from the client.
+func (t *run) wantClientError(err error, name drmaa.Name) {
 	if !errors.Is(err, &drmaa.Error{Name: name}) {
 		t.fail("%v, not %s", err, name)
 	}
 }
 
 // path is of the case's session.
-func (t *trial) path(rest string) string { return "/sessions/" + t.session.Name + rest }
+func (t *run) path(rest string) string { return "/sessions/" + t.session.Name + rest }
 
-// createHeld submits a job that waits for its release.
-func (t *trial) createHeld() *drmaa.Job { return t.run(drmaa.JobTemplate{SubmitAsHold: true}) }
+// submitOnHold submits a job that waits for its release.
+func (t *run) submitOnHold() *drmaa.Job { return t.submit(drmaa.JobTemplate{SubmitAsHold: true}) }
 
-func (t *trial) run(template drmaa.JobTemplate) *drmaa.Job {
+func (t *run) submit(template drmaa.JobTemplate) *drmaa.Job {
 	if template.RemoteCommand == "" {
 		template.RemoteCommand = t.class
 	}
@@ -215,14 +215,14 @@
 	return j
 }
 
-func (t *trial) bulk(n, parallel int) *drmaa.Array {
+func (t *run) submitBulk(n, parallel int) *drmaa.Array {
 	a, err := t.session.RunBulk(t.ctx, drmaa.Bulk{Template: &drmaa.JobTemplate{RemoteCommand: t.class, SubmitAsHold: true},
 		Begin: 1, End: n, MaxParallel: parallel})
 	t.must(err)
 	return a
 }
 
-func (t *trial) state(id string, want ...drmaa.State) *drmaa.Job {
+func (t *run) wantState(id string, want ...drmaa.State) *drmaa.Job {
 	j, err := t.session.Job(t.ctx, id)
 	t.must(err)
 	if !slices.Contains(want, j.State) {
@@ -232,12 +232,12 @@
 }
 
 // template writes a template with one attribute more.
-func (t *trial) template(attribute, value string) string {
+func (t *run) template(attribute, value string) string {
 	return fmt.Sprintf(`{"remoteCommand":%q,"submitAsHold":true,%q:%s}`, t.class, attribute, value)
 }
 
-// read reads an answer that must be no error.
-func (t *trial) read(a answer, into any) {
+// decode reads an answer that must be no error.
+func (t *run) decode(a answer, into any) {
 	if a.status >= 300 {
 		t.fail("status %d: %s", a.status, a.body)
 	}
--- a/internal/testkit/conformance/session_cases.go
+++ b/internal/testkit/conformance/session_cases.go
@@ -9,15 +9,15 @@
 	"ospreybend/drmaa"
 )
 
-var managerCases = []kase{
-	{"manager.attributes", "GFD.194 7.1", "the session manager tells its names and versions", func(t *trial) {
+var managerCases = []testCase{
+	{"manager.attributes", "GFD.194 7.1", "the session manager tells its names and versions", func(t *run) {
 		m, err := t.client.Manager(t.ctx)
 		t.must(err)
 		if m.DrmsName == "" || m.DrmsVersion == "" || m.DrmaaName == "" || m.DrmaaVersion == "" || m.MaxBulkJobs < 1 {
 			t.fail("%+v", m)
 		}
 	}},
-	{"manager.supports", "GFD.194 7.1", "supports answers for each capability, and truly for what the binding refuses", func(t *trial) {
+	{"manager.supports", "GFD.194 7.1", "supports answers for each capability, and truly for what the binding refuses", func(t *run) {
 		m, err := t.client.Manager(t.ctx)
 		t.must(err)
 		for name := range drmaa.Supports() {
@@ -29,46 +29,46 @@
 			t.fail("supports and the refused attributes disagree")
 		}
 	}},
-	{"auth.none", "binding, Errors", "a call without a token is denied", func(t *trial) {
-		t.refused(t.callAs("", "GET", "/sessions", ""), 401, drmaa.Denied, "")
+	{"auth.none", "binding, Errors", "a call without a token is denied", func(t *run) {
+		t.wantError(t.callAs("", "GET", "/sessions", ""), 401, drmaa.Denied, "")
 	}},
-	{"auth.wrong", "binding, Errors", "a call with an unknown token is denied", func(t *trial) {
-		t.refused(t.callAs("no-such-token", "GET", "/sessions", ""), 401, drmaa.Denied, "")
+	{"auth.wrong", "binding, Errors", "a call with an unknown token is denied", func(t *run) {
+		t.wantError(t.callAs("no-such-token", "GET", "/sessions", ""), 401, drmaa.Denied, "")
 	}},
-	{"http.path", "binding, Errors", "an unknown path is UnsupportedOperationException", func(t *trial) {
-		t.refused(t.call("GET", "/nowhere", ""), 404, drmaa.UnsupportedOperation, "")
-		t.refused(t.call("PATCH", t.path(""), ""), 404, drmaa.UnsupportedOperation, "")
+	{"http.path", "binding, Errors", "an unknown path is UnsupportedOperationException", func(t *run) {
+		t.wantError(t.call("GET", "/nowhere", ""), 404, drmaa.UnsupportedOperation, "")
+		t.wantError(t.call("PATCH", t.path(""), ""), 404, drmaa.UnsupportedOperation, "")
 	}},
-	{"http.large", "binding, Errors", "a body over the limit is refused with an error of the binding's", func(t *trial) {
+	{"http.large", "binding, Errors", "a body over the limit is refused with an error of the binding's", func(t *run) {
 		a := t.call("POST", t.path("/jobs"), t.template("input", `"`+strings.Repeat("x", 70_000)+`"`))
-		t.refused(a, 413, drmaa.InvalidArgument, "")
+		t.wantError(a, 413, drmaa.InvalidArgument, "")
 	}},
-	{"http.body", "binding, Errors", "what is no JSON object is InvalidArgumentException", func(t *trial) {
+	{"http.body", "binding, Errors", "what is no JSON object is InvalidArgumentException", func(t *run) {
 		for _, body := range []string{"{", "[]", `{} {}`, "\x00", `"x"`} {
-			t.refused(t.call("POST", t.path("/jobs"), body), 400, drmaa.InvalidArgument, "")
+			t.wantError(t.call("POST", t.path("/jobs"), body), 400, drmaa.InvalidArgument, "")
 		}
 	}},
 }
 
-var sessionCases = []kase{
-	{"session.create", "GFD.194 7.1", "createJobSession of a name that is there is an error", func(t *trial) {
+var sessionCases = []testCase{
+	{"session.create", "GFD.194 7.1", "createJobSession of a name that is there is an error", func(t *run) {
 		_, err := t.client.CreateSession(t.ctx, t.session.Name)
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 	}},
-	{"session.open.unknown", "GFD.194 7.1", "openJobSession of a name that is not there is an error", func(t *trial) {
+	{"session.open.unknown", "GFD.194 7.1", "openJobSession of a name that is not there is an error", func(t *run) {
 		_, err := t.client.OpenSession(t.ctx, t.session.Name+"-not")
-		t.ruledOut(err, drmaa.InvalidSession)
+		t.wantClientError(err, drmaa.InvalidSession)
 	}},
-	{"session.close", "GFD.194 7.1", "a closed session takes no calls, and its jobs are there once it is open again", func(t *trial) {
-		j := t.createHeld()
+	{"session.close", "GFD.194 7.1", "a closed session takes no calls, and its jobs are there once it is open again", func(t *run) {
+		j := t.submitOnHold()
 		t.must(t.session.Close(t.ctx))
 		_, err := t.session.Job(t.ctx, j.ID)
-		t.ruledOut(err, drmaa.InvalidSession)
+		t.wantClientError(err, drmaa.InvalidSession)
 		_, err = t.client.OpenSession(t.ctx, t.session.Name)
 		t.must(err)
-		t.state(j.ID, drmaa.QueuedHeld)
+		t.wantState(j.ID, drmaa.QueuedHeld)
 	}},
-	{"session.names", "GFD.194 7.1", "getJobSessionNames lists sessions open and closed", func(t *trial) {
+	{"session.names", "GFD.194 7.1", "getJobSessionNames lists sessions open and closed", func(t *run) {
 		t.must(t.session.Close(t.ctx))
 		all, err := t.client.Sessions(t.ctx)
 		t.must(err)
@@ -77,72 +77,72 @@
 			t.fail("not among %v as closed", all)
 		}
 	}},
-	{"session.destroy", "GFD.194 7.1", "destroyJobSession ends all that is in it, and its name is free", func(t *trial) {
-		j := t.createHeld()
-		t.bulk(5, 0)
+	{"session.destroy", "GFD.194 7.1", "destroyJobSession ends all that is in it, and its name is free", func(t *run) {
+		j := t.submitOnHold()
+		t.submitBulk(5, 0)
 		t.must(t.session.Destroy(t.ctx))
 		_, err := t.session.Job(t.ctx, j.ID)
-		t.ruledOut(err, drmaa.InvalidSession)
+		t.wantClientError(err, drmaa.InvalidSession)
 		_, err = t.client.CreateSession(t.ctx, t.session.Name)
 		t.must(err)
 		_, err = t.session.Job(t.ctx, j.ID)
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 	}},
-	{"session.bad-name", "binding, Sessions", "a name of other characters is refused by attribute", func(t *trial) {
+	{"session.bad-name", "binding, Sessions", "a name of other characters is refused by attribute", func(t *run) {
 		for _, name := range []string{"", "a/b", "..", strings.Repeat("x", 65)} {
-			t.refused(t.call("POST", "/sessions", fmt.Sprintf(`{"name":%q}`, name)), 400, drmaa.InvalidArgument, "name")
+			t.wantError(t.call("POST", "/sessions", fmt.Sprintf(`{"name":%q}`, name)), 400, drmaa.InvalidArgument, "name")
 		}
-		t.refused(t.call("POST", "/sessions", `{"name":"a","mode":"x"}`), 400, drmaa.InvalidArgument, "mode")
-		t.refused(t.call("POST", t.path("/control"), `{"action":"x"}`), 400, drmaa.InvalidArgument, "action")
+		t.wantError(t.call("POST", "/sessions", `{"name":"a","mode":"x"}`), 400, drmaa.InvalidArgument, "mode")
+		t.wantError(t.call("POST", t.path("/control"), `{"action":"x"}`), 400, drmaa.InvalidArgument, "action")
 	}},
 }
 
-var templateCases = []kase{
-	{"template.unknown", "GFD.194 8.4", "an attribute that the standard does not have is refused by its name", func(t *trial) {
-		t.refused(t.call("POST", t.path("/jobs"), t.template("noSuchThing", "1")), 422, drmaa.UnsupportedAttribute, "noSuchThing")
+var templateCases = []testCase{
+	{"template.unknown", "GFD.194 8.4", "an attribute that the standard does not have is refused by its name", func(t *run) {
+		t.wantError(t.call("POST", t.path("/jobs"), t.template("noSuchThing", "1")), 422, drmaa.UnsupportedAttribute, "noSuchThing")
 	}},
-	{"template.class", "binding, Job template", "remoteCommand names a class", func(t *trial) {
-		t.refused(t.call("POST", t.path("/jobs"), `{"remoteCommand":"rm -rf"}`), 400, drmaa.InvalidArgument, "remoteCommand")
-		t.refused(t.call("POST", t.path("/jobs"), `{}`), 400, drmaa.InvalidArgument, "remoteCommand")
+	{"template.class", "binding, Job template", "remoteCommand names a class", func(t *run) {
+		t.wantError(t.call("POST", t.path("/jobs"), `{"remoteCommand":"rm -rf"}`), 400, drmaa.InvalidArgument, "remoteCommand")
+		t.wantError(t.call("POST", t.path("/jobs"), `{}`), 400, drmaa.InvalidArgument, "remoteCommand")
 	}},
-	{"template.bounds", "binding, Job template", "a value out of its bounds is refused by the attribute's name", func(t *trial) {
+	{"template.bounds", "binding, Job template", "a value out of its bounds is refused by the attribute's name", func(t *run) {
 		for _, c := range [][2]string{{"minSlots", "-1"}, {"minSlots", "1e9"}, {"maxSlots", "-1"}, {"maxSlots", "0.5"}, {"priority", "5000"},
 			{"priority", `"high"`}, {"deadline", "-1"}, {"deadlineTime", `"soon"`}, {"deadlineTime", `"2001-01-01T00:00:00Z"`},
 			{"startTime", `"9999-01-01T00:00:00Z"`}, {"startTime", "5"}, {"x_costHint", "-1"}, {"args", `[".."]`}, {"args", `[""]`},
 			{"jobName", `"\u0007"`}, {"jobCategory", `"no such class"`}, {"input", `"` + strings.Repeat("x", drmaa.MaxInputBytes+1) + `"`}} {
-			t.refused(t.call("POST", t.path("/jobs"), t.template(c[0], c[1])), 400, drmaa.InvalidArgument, c[0])
+			t.wantError(t.call("POST", t.path("/jobs"), t.template(c[0], c[1])), 400, drmaa.InvalidArgument, c[0])
 		}
 	}},
-	{"template.honoured", "GFD.194 8.4", "attributes that are honoured come back with the job", func(t *trial) {
+	{"template.honoured", "GFD.194 8.4", "attributes that are honoured come back with the job", func(t *run) {
 		no := false
 		in := drmaa.JobTemplate{RemoteCommand: t.class, Args: []string{"a b", "c"}, JobName: "name", JobCategory: t.class, SubmitAsHold: true,
 			Rerunnable: &no, MinSlots: 2, MaxSlots: 4, Priority: 7, AccountingID: "acc", QueueName: t.class, CostHint: 1.5,
 			StartTime: drmaa.Stamp(time.Now().Add(time.Hour).UnixMicro()), DeadlineTime: drmaa.Stamp(time.Now().Add(2 * time.Hour).UnixMicro())}
-		j := t.run(in)
-		got := t.state(j.ID, drmaa.QueuedHeld)
+		j := t.submit(in)
+		got := t.wantState(j.ID, drmaa.QueuedHeld)
 		v := got.Template
 		if v.JobName != "name" || v.Priority != 7 || v.AccountingID != "acc" || len(v.Args) != 2 || v.StartTime != in.StartTime ||
 			v.DeadlineTime != in.DeadlineTime || got.Slots != 2 || got.Queue != t.class || got.Name != "name" || got.Submitted == "" {
 			t.fail("%+v with %+v", got, v)
 		}
 	}},
-	{"template.rerunnable", "binding, Job template", "rerunnable is refused for a class whose jobs never run twice", func(t *trial) {
+	{"template.rerunnable", "binding, Job template", "rerunnable is refused for a class whose jobs never run twice", func(t *run) {
 		if t.once == "" {
 			return
 		}
-		t.refused(t.call("POST", t.path("/jobs"), fmt.Sprintf(`{"remoteCommand":%q,"rerunnable":true}`, t.once)), 422, drmaa.UnsupportedAttribute, "rerunnable")
+		t.wantError(t.call("POST", t.path("/jobs"), fmt.Sprintf(`{"remoteCommand":%q,"rerunnable":true}`, t.once)), 422, drmaa.UnsupportedAttribute, "rerunnable")
 	}},
-	{"template.key", "binding, Client keys", "the same template under one client key is one job; another is an error", func(t *trial) {
+	{"template.key", "binding, Client keys", "the same template under one client key is one job; another is an error", func(t *run) {
 		in := drmaa.JobTemplate{RemoteCommand: t.class, SubmitAsHold: true, ClientKey: "conform " + t.session.Name}
-		a, b := t.run(in), t.run(in)
+		a, b := t.submit(in), t.submit(in)
 		if a.ID != b.ID {
 			t.fail("two jobs: %s, %s", a.ID, b.ID)
 		}
 		in.JobName = "other"
 		_, err := t.session.Run(t.ctx, in)
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 		in.JobName = ""
 		_, err = t.session.RunBulk(t.ctx, drmaa.Bulk{Template: &in, Begin: 1, End: 2})
-		t.ruledOut(err, drmaa.InvalidArgument)
+		t.wantClientError(err, drmaa.InvalidArgument)
 	}},
 }
--- a/internal/testkit/endtoend/process.go
+++ b/internal/testkit/endtoend/process.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// readyWithin is how long a process may take to say that it is ready.
-const readyWithin = 15 * time.Second
+// readyTimeout is how long a process may take to say that it is ready.
+const readyTimeout = 15 * time.Second
 
 // Process is one of the built program.
 type Process struct {
@@ -59,24 +59,24 @@
 		close(ended)
 	}(p.cmd)
 	defer ready.Close()
-	_ = ready.SetReadDeadline(time.Now().Add(readyWithin))
+	_ = ready.SetReadDeadline(time.Now().Add(readyTimeout))
 	if line, err := bufio.NewReader(ready).ReadString('\n'); err != nil || line != "ready\n" {
 		_ = p.Kill()
-		return fmt.Errorf("%s is not ready; it wrote %q: %w", p.Name, p.tail(), err)
+		return fmt.Errorf("%s is not ready; it wrote %q: %w", p.Name, p.logTail(), err)
 	}
 	return nil
 }
 
 func (p *Process) log() string { return filepath.Join(p.dir, p.Name+".log") }
 
-// tail is the end of what it has said.
-func (p *Process) tail() string {
+// logTail is the end of what it has said.
+func (p *Process) logTail() string {
 	text, _ := os.ReadFile(p.log())
 	return strings.TrimSpace(string(text[max(0, len(text)-1500):]))
 }
 
-// Up tells whether it runs, and whether it should.
-func (p *Process) Up() (runs, should bool) {
+// State tells whether it runs, and whether it should.
+func (p *Process) State() (runs, should bool) {
 	if p.ended == nil {
 		return false, p.wanted
 	}
@@ -91,7 +91,7 @@
 // Kill ends it without a word.
 func (p *Process) Kill() error {
 	p.wanted = false
-	if runs, _ := p.Up(); !runs {
+	if runs, _ := p.State(); !runs {
 		return nil
 	}
 	if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// pending is how many pieces are read ahead on a connection while its link is held.
-const pending = 1024
+// maxPendingFragments is how many pieces are read ahead on a connection while its link is held.
+const maxPendingFragments = 1024
 
 // Link is how bytes fare from one end to the other.
 type Link struct {
@@ -93,12 +93,12 @@
 		if err != nil {
 			return
 		}
-		go p.carry(c)
+		go p.relay(c)
 	}
 }
 
-// keep notes a connection, so that it can be broken; false: it is to be broken now.
-func (p *Proxy) keep(c net.Conn) bool {
+// add notes a connection, so that it can be broken; false: it is to be broken now.
+func (p *Proxy) add(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended || p.out.Cut || p.in.Cut {
@@ -108,14 +108,14 @@
 	return true
 }
 
-func (p *Proxy) carry(c net.Conn) {
-	defer p.drop(c)
-	if !p.keep(c) {
+func (p *Proxy) relay(client net.Conn) {
+	defer p.remove(client)
+	if !p.add(client) {
 		return
 	}
 	// Who connects speaks first. What it says is read, and counted, while the network is
 	// gone; it arrives when that is back.
-	first := p.read(c)
+	first := p.read(client)
 	head, ok := <-first
 	if !ok || !p.await(func() Link { return p.out }) {
 		return
@@ -132,22 +132,22 @@
 	if err != nil {
 		return
 	}
-	defer p.drop(far)
-	if !p.keep(far) {
+	defer p.remove(far)
+	if !p.add(far) {
 		return
 	}
 	done := make(chan struct{}, 2)
 	go func() { p.pump(far, head, first, true); done <- struct{}{} }()
-	go func() { p.pump(c, nil, p.read(far), false); done <- struct{}{} }()
+	go func() { p.pump(client, nil, p.read(far), false); done <- struct{}{} }()
 	<-done
-	_ = c.Close()
+	_ = client.Close()
 	_ = far.Close()
 	<-done
 }
 
 // read reads what comes on a connection until its end.
 func (p *Proxy) read(from net.Conn) <-chan []byte {
-	fragments := make(chan []byte, pending)
+	fragments := make(chan []byte, maxPendingFragments)
 	go func() {
 		defer close(fragments)
 		for {
@@ -169,7 +169,7 @@
 	return fragments
 }
 
-func (p *Proxy) drop(c net.Conn) {
+func (p *Proxy) remove(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	if tcp, ok := c.(*net.TCPConn); ok && (p.out.Cut || p.in.Cut) {
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -52,10 +52,10 @@
 	bookings       = "auftrag-buchen"
 )
 
-var classes = []fakeplatform.Grade{
-	{Name: "modell-pruefen", Target: 400 * time.Millisecond, GiveUp: 3 * time.Second, Points: 5, Repeat: "read_like"},
-	{Name: "vorschau", Target: time.Second, GiveUp: 4 * time.Second, Points: 2, Repeat: "read_like"},
-	{Name: bookings, Target: 800 * time.Millisecond, GiveUp: 4 * time.Second, Points: 8, Repeat: "non_idempotent"},
+var classes = []fakeplatform.Class{
+	{Name: "modell-pruefen", Target: 400 * time.Millisecond, Timeout: 3 * time.Second, Value: 5, Effect: "read_like"},
+	{Name: "vorschau", Target: time.Second, Timeout: 4 * time.Second, Value: 2, Effect: "read_like"},
+	{Name: bookings, Target: 800 * time.Millisecond, Timeout: 4 * time.Second, Value: 8, Effect: "non_idempotent"},
 }
 
 // shares are the classes' parts of the requests.
@@ -71,27 +71,27 @@
 	took   time.Duration
 }
 
-// stage is the processes of a trial and what is between them.
-type stage struct {
-	plan    Plan
-	rng     *rand.Rand
-	nodes   []*Process
-	voters  []*Process
-	at      map[string]string // addresses by process
-	proxies []*Proxy
-	workers map[string][]*fakeplatform.Worker // by zone
-	lists   []*fakeplatform.Discovery
-	calls   *transport.Client
-	began   time.Time
+// trial is the processes of a trial and what is between them.
+type trial struct {
+	plan        Plan
+	rng         *rand.Rand
+	nodes       []*Process
+	voters      []*Process
+	addresses   map[string]string // addresses by process
+	proxies     []*Proxy
+	workers     map[string][]*fakeplatform.Worker // by zone
+	discoveries []*fakeplatform.Discovery
+	client      *transport.Client
+	startedAt   time.Time
 
-	mu    sync.Mutex
-	asked []request
-	story []string
+	mu       sync.Mutex
+	requests []request
+	story    []string
 }
 
-func newStage(plan Plan) (*stage, error) {
-	s := &stage{plan: plan, rng: rand.New(rand.NewPCG(plan.Seed, 11)), at: map[string]string{}, workers: map[string][]*fakeplatform.Worker{},
-		calls: transport.NewClient()}
+func newTrial(plan Plan) (*trial, error) {
+	s := &trial{plan: plan, rng: rand.New(rand.NewPCG(plan.Seed, 11)), addresses: map[string]string{}, workers: map[string][]*fakeplatform.Worker{},
+		client: transport.NewClient()}
 	for _, z := range zones {
 		for i := range workersPerZone {
 			w := fakeplatform.NewWorker("w-"+z+strconv.Itoa(i+1), slotsPerWorker, fakeplatform.For(jobRun))
@@ -108,7 +108,7 @@
 				return s, err
 			}
 			v := &Process{Name: "v" + strconv.Itoa(i+1), Zone: z, dir: plan.Dir, program: plan.Program, args: []string{"voter"}}
-			s.at[v.Name] = at
+			s.addresses[v.Name] = at
 			s.voters = append(s.voters, v)
 		}
 	}
@@ -118,7 +118,7 @@
 			return s, err
 		}
 		n := &Process{Name: "n" + strconv.Itoa(i+1), Zone: zones[i%len(zones)], dir: plan.Dir, program: plan.Program, args: []string{"serve"}}
-		s.at[n.Name] = at
+		s.addresses[n.Name] = at
 		s.nodes = append(s.nodes, n)
 	}
 	for i, v := range s.voters {
@@ -134,8 +134,8 @@
 	return s, nil
 }
 
-// between puts a proxy between two processes, or a process and a prep worker.
-func (s *stage) between(from, to, target string) (string, error) {
+// newProxy puts a proxy between two processes, or a process and a prep worker.
+func (s *trial) newProxy(from, to, target string) (string, error) {
 	p, err := NewProxy(from, to, target)
 	if err != nil {
 		return "", err
@@ -145,14 +145,14 @@
 }
 
 // prepare writes a process's files. What it is told of others are proxies of its own.
-func (s *stage) prepare(plan *Process, voter uint64) error {
+func (s *trial) prepare(plan *Process, voter uint64) error {
 	var f strings.Builder
 	fmt.Fprintf(&f, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, plan.Zone)
 	for i, v := range s.voters {
-		at := s.at[v.Name]
+		at := s.addresses[v.Name]
 		if v != plan {
 			var err error
-			if at, err = s.between(plan.Name, v.Name, at); err != nil {
+			if at, err = s.newProxy(plan.Name, v.Name, at); err != nil {
 				return err
 			}
 		}
@@ -165,9 +165,9 @@
 		f.Reset()
 		f.WriteString("enabled = false\n")
 	}
-	listen, discovery := s.at[plan.Name], "127.0.0.1:9"
+	listen, discovery := s.addresses[plan.Name], "127.0.0.1:9"
 	if voter == 0 {
-		list, err := s.list(plan)
+		list, err := s.startDiscovery(plan)
 		if err != nil {
 			return err
 		}
@@ -183,17 +183,17 @@
 	return errors.Join(os.WriteFile(path("json"), node, 0o600), os.WriteFile(path("toml"), []byte(f.String()), 0o600))
 }
 
-// list makes a node's own pool config: each prep worker at a proxy of the node's.
-func (s *stage) list(p *Process) (string, error) {
+// startDiscovery makes a node's own pool config: each prep worker at a proxy of the node's.
+func (s *trial) startDiscovery(process *Process) (string, error) {
 	d, err := fakeplatform.NewDiscovery()
 	if err != nil {
 		return "", err
 	}
-	s.lists = append(s.lists, d)
+	s.discoveries = append(s.discoveries, d)
 	var all []fakeplatform.Endpoint
 	for _, z := range zones {
 		for _, w := range s.workers[z] {
-			at, err := s.between(p.Name, w.Name, w.Address())
+			at, err := s.newProxy(process.Name, w.Name, w.Address())
 			if err != nil {
 				return "", err
 			}
@@ -204,13 +204,13 @@
 	return d.Address(), nil
 }
 
-func (s *stage) config(p *Process, listen, discovery string) ([]byte, error) {
+func (s *trial) config(p *Process, listen, discovery string) ([]byte, error) {
 	return fakeplatform.Node{Name: p.Name, Listen: listen, Discovery: discovery, Seed: strconv.FormatUint(s.rng.Uint64(), 16), MemoryMB: 256,
-		Nodes: nodesPerZone * len(zones), Zone: slices.Index(zones, p.Zone), Zones: zones, Kind: "demo", Grades: classes}.Config()
+		Nodes: nodesPerZone * len(zones), Zone: slices.Index(zones, p.Zone), Zones: zones, Kind: "demo", Classes: classes}.Config()
 }
 
 // start starts all processes, the voters first; each says when it is ready.
-func (s *stage) start() error {
+func (s *trial) start() error {
 	for _, group := range [][]*Process{s.voters, s.nodes} {
 		errs := make([]error, len(group))
 		var all sync.WaitGroup
@@ -226,7 +226,7 @@
 }
 
 // stop ends all of it.
-func (s *stage) stop() {
+func (s *trial) stop() {
 	for _, p := range append(append([]*Process{}, s.nodes...), s.voters...) {
 		_ = p.Kill()
 	}
@@ -238,42 +238,42 @@
 			w.Vanish()
 		}
 	}
-	for _, d := range s.lists {
+	for _, d := range s.discoveries {
 		d.Stop()
 	}
-	s.calls.Close()
+	s.client.Close()
 }
 
-func (s *stage) since() time.Duration { return time.Since(s.began) }
+func (s *trial) elapsed() time.Duration { return time.Since(s.startedAt) }
 
 // note writes what is done into the story.
-func (s *stage) note(format string, a ...any) {
+func (s *trial) note(format string, a ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.story = append(s.story, fmt.Sprintf("%.2f s: ", s.since().Seconds())+fmt.Sprintf(format, a...))
+	s.story = append(s.story, fmt.Sprintf("%.2f s: ", s.elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
 // load has clients send to every node, whatever becomes of them, and returns when all
 // that they are to send has ended.
-func (s *stage) load(ctx context.Context, span time.Duration) {
+func (s *trial) load(ctx context.Context, span time.Duration) {
 	var all sync.WaitGroup
 	for i, n := range s.nodes {
-		c := loadgen.Config{URL: "http://" + s.at[n.Name], Rate: s.plan.Rate, For: span, Seed: s.plan.Seed*100 + uint64(i), Prefix: n.Name + "x"}
+		c := loadgen.Config{URL: "http://" + s.addresses[n.Name], Rate: s.plan.Rate, For: span, Seed: s.plan.Seed*100 + uint64(i), Prefix: n.Name + "x"}
 		for j, k := range classes {
-			c.Classes = append(c.Classes, loadgen.Class{Name: k.Name, Share: shares[j], Target: k.Target, Within: k.GiveUp})
+			c.Classes = append(c.Classes, loadgen.Class{Name: k.Name, Share: shares[j], Target: k.Target, Within: k.Timeout})
 		}
-		c.Each = func(at time.Duration, k *loadgen.Class, id string, status int, took time.Duration) {
+		c.OnResponse = func(at time.Duration, k *loadgen.Class, id string, status int, took time.Duration) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.asked = append(s.asked, request{at, k.Name, id, n.Name, status, took})
+			s.requests = append(s.requests, request{at, k.Name, id, n.Name, status, took})
 		}
 		all.Go(func() { loadgen.Run(ctx, c) })
 	}
 	all.Wait()
 }
 
-// links sets all links between what matches, one way or both.
-func (s *stage) links(l Link, back Link, match func(from, to string) bool) {
+// setLinks sets all links between what matches, one way or both.
+func (s *trial) setLinks(l Link, back Link, match func(from, to string) bool) {
 	for _, p := range s.proxies {
 		if match(p.From, p.To) {
 			p.Set(l, back)
@@ -281,21 +281,21 @@
 	}
 }
 
-// worth is what was asked for in a time and what of it was served within its aim, but for
+// value is what was asked for in a time and what of it was served within its aim, but for
 // the clients of processes that were the trouble themselves.
-func (s *stage) worth(from, to time.Duration, spared map[string]bool) (asked, served float64) {
-	by := map[string]fakeplatform.Grade{}
+func (s *trial) value(from, to time.Duration, spared map[string]bool) (asked, served float64) {
+	by := map[string]fakeplatform.Class{}
 	for _, c := range classes {
 		by[c.Name] = c
 	}
-	for _, r := range s.asked {
+	for _, r := range s.requests {
 		if r.at < from || r.at >= to || spared[r.node] {
 			continue
 		}
 		c := by[r.class]
-		asked += c.Points
+		asked += c.Value
 		if r.status == 200 && r.took <= c.Target {
-			served += c.Points
+			served += c.Value
 		}
 	}
 	return asked, served
--- a/internal/testkit/fakemodelworker/register.go
+++ b/internal/testkit/fakemodelworker/register.go
@@ -50,7 +50,7 @@
 	at := 0
 	for sequence := 1; ctx.Err() == nil; sequence++ {
 		wait := w.options.Heartbeat
-		err := w.call(ctx, caller, w.options.Control[at], "/-/Instances.Heartbeat/", w.sendHeartbeat(sequence))
+		err := w.call(ctx, caller, w.options.Control[at], "/-/Instances.Heartbeat/", w.heartbeat(sequence))
 		heard(err)
 		if err != nil {
 			at = (at + 1) % len(w.options.Control)
@@ -63,8 +63,8 @@
 	_ = w.call(leaving, caller, w.options.Control[at], "/-/Instances.Deregister/", nil)
 }
 
-// sendHeartbeat is the body of the heartbeat with a sequence number.
-func (w *Worker) sendHeartbeat(sequence int) []byte {
+// heartbeat is the body of the heartbeat with a sequence number.
+func (w *Worker) heartbeat(sequence int) []byte {
 	body := heartbeatBody{Service: w.options.Service, Address: w.options.Address, Zone: w.options.Zone, Generation: "v1",
 		Slots: w.options.Slots, State: "ready", Stage: w.options.Stage, Sequence: sequence}
 	if w.options.Stage != "" {
@@ -87,12 +87,12 @@
 		return err
 	}
 	if response.StatusCode()/100 != 2 {
-		return errStatus(response.StatusCode())
+		return statusError(response.StatusCode())
 	}
 	return nil
 }
 
-// errStatus is the status of a call that was refused.
-type errStatus int
+// statusError is the status of a call that was refused.
+type statusError int
 
-func (e errStatus) Error() string { return "control plane: status " + strconv.Itoa(int(e)) }
+func (e statusError) Error() string { return "control plane: status " + strconv.Itoa(int(e)) }
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -62,14 +62,14 @@
 
 // Worker is one incarnation.
 type Worker struct {
-	options  Options
-	server   *httpserver.Server
-	running  atomic.Int64
-	prefills atomic.Int64
-	runs     atomic.Int64
-	rejected atomic.Int64
-	strays   atomic.Int64
-	deleted  atomic.Int64
+	options   Options
+	server    *httpserver.Server
+	running   atomic.Int64
+	prefills  atomic.Int64
+	runs      atomic.Int64
+	rejected  atomic.Int64
+	misrouted atomic.Int64
+	deleted   atomic.Int64
 }
 
 // Handles are the handles that the workers of one process have given out and nobody has taken yet.
@@ -79,8 +79,8 @@
 	next  int
 }
 
-// give makes a handle for the worker at an address.
-func (h *Handles) give(address string) string {
+// create makes a handle for the worker at an address.
+func (h *Handles) create(address string) string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.next++
@@ -128,17 +128,17 @@
 // Counts returns what the worker has done so far.
 func (w *Worker) Counts() Counts {
 	return Counts{Prefills: w.prefills.Load(), Runs: w.runs.Load(), Rejected: w.rejected.Load(),
-		Misrouted: w.strays.Load(), Deleted: w.deleted.Load()}
+		Misrouted: w.misrouted.Load(), Deleted: w.deleted.Load()}
 }
 
 // serve answers one request.
 func (w *Worker) serve(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	if strings.HasPrefix(request.Path, handlePath) {
-		w.free(answer, strings.TrimPrefix(request.Path, handlePath))
+		w.deleteHandle(answer, strings.TrimPrefix(request.Path, handlePath))
 		return
 	}
 	if target := request.Header.Get(fieldTarget); target != "" && target != w.options.ID {
-		w.strays.Add(1)
+		w.misrouted.Add(1)
 		w.reject(answer, request, statusMisrouted)
 		return
 	}
@@ -191,7 +191,7 @@
 		return
 	}
 	w.prefills.Add(1)
-	handle := w.options.Handles.give(w.options.Address)
+	handle := w.options.Handles.create(w.options.Address)
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: "Content-Type", Value: "application/json"})
 	body := fmt.Sprintf(`{"prefillHandle":%q,"tokens":%d,"generation":1}`, handle, in)
@@ -202,7 +202,7 @@
 func (w *Worker) run(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, out := tokens(request)
 	if w.options.Stage != stageDecode {
-		w.strays.Add(1)
+		w.misrouted.Add(1)
 		w.reject(answer, request, statusMisrouted)
 		return
 	}
@@ -239,8 +239,8 @@
 	return fields
 }
 
-// free drops a handle.
-func (w *Worker) free(answer *httpserver.ResponseWriter, handle string) {
+// deleteHandle drops a handle.
+func (w *Worker) deleteHandle(answer *httpserver.ResponseWriter, handle string) {
 	if !w.options.Handles.take(w.options.Address + "/" + handle) {
 		_ = answer.WriteResponse(statusNotFound, nil, nil)
 		return
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -30,7 +30,7 @@
 	index       uint64
 	changed     chan struct{}
 	unavailable bool
-	refused     int
+	rejected    int
 	server      *http.Server
 	address     string
 }
@@ -69,8 +69,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Refused counts the calls that have had a 503.
-func (d *Discovery) Refused() int { d.mu.Lock(); defer d.mu.Unlock(); return d.refused }
+// Rejected counts the calls that have had a 503.
+func (d *Discovery) Rejected() int { d.mu.Lock(); defer d.mu.Unlock(); return d.rejected }
 
 // Stop ends discovery.
 func (d *Discovery) Stop() { _ = d.server.Close() }
@@ -92,7 +92,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.unavailable {
-		d.refused++
+		d.rejected++
 		http.Error(out, "away", http.StatusServiceUnavailable)
 		return
 	}
@@ -113,13 +113,13 @@
 }
 
 // NewFleet starts n workers of some slots, named w-1 and so on, and discovery.
-func NewFleet(zone, kind string, n, slots int, script Script) (*Fleet, error) {
+func NewFleet(zone, kind string, workers, slots int, script Script) (*Fleet, error) {
 	d, err := NewDiscovery()
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{Discovery: d, Zone: zone, Kind: kind, draining: map[string]bool{}}
-	for i := range n {
+	for i := range workers {
 		w := NewWorker("w-"+strconv.Itoa(i+1), slots, script)
 		if err := w.Start(); err != nil {
 			f.Stop()
@@ -169,8 +169,8 @@
 	f.Discovery.Stop()
 }
 
-// Until waits until something is so, for at most the given time.
-func Until(ctx context.Context, within time.Duration, f func() bool) error {
+// WaitUntil waits until something is so, for at most the given time.
+func WaitUntil(ctx context.Context, within time.Duration, f func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for !f() {
--- a/internal/testkit/fakeplatform/node.go
+++ b/internal/testkit/fakeplatform/node.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Grade is a class of requests in a node's settings.
-type Grade struct {
-	Name   string
-	Target time.Duration
-	GiveUp time.Duration
-	Points float64
-	Repeat string
+// Class is a class of requests in a node's settings.
+type Class struct {
+	Name    string
+	Target  time.Duration
+	Timeout time.Duration
+	Value   float64
+	Effect  string
 }
 
 // Node is what a node among stand-ins is told.
@@ -24,15 +24,15 @@
 	Nodes, Zone                   int // how many there are, and the number of its own zone
 	Zones                         []string
 	Kind                          string
-	Grades                        []Grade
+	Classes                       []Class
 }
 
 // Config writes a node's configuration as the platform would, with generous limits.
 func (n Node) Config() ([]byte, error) {
 	var grades []any
-	for _, g := range n.Grades {
-		grades = append(grades, map[string]any{"name": g.Name, "targetUs": g.Target.Microseconds(), "giveUpUs": g.GiveUp.Microseconds(),
-			"points": g.Points, "repeat": g.Repeat})
+	for _, g := range n.Classes {
+		grades = append(grades, map[string]any{"name": g.Name, "targetUs": g.Target.Microseconds(), "giveUpUs": g.Timeout.Microseconds(),
+			"points": g.Value, "repeat": g.Effect})
 	}
 	return json.Marshal(map[string]any{
 		"name": n.Name, "listen": n.Listen, "discovery": n.Discovery, "seed": n.Seed,
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -34,13 +34,13 @@
 
 // The kinds.
 const (
-	Serve  Kind = iota
-	Fail        // starts, runs and says that it failed
-	Return      // gives it back unstarted
-	Reject      // answers 400
-	Silent      // takes it and says nothing
-	Hang        // says that it started, and nothing more
-	Cut         // ends the connection after so many bytes of the answer
+	Serve    Kind = iota
+	Fail          // starts, runs and says that it failed
+	GiveBack      // gives it back unstarted
+	Reject        // answers 400
+	Silent        // takes it and says nothing
+	Hang          // says that it started, and nothing more
+	Cut           // ends the connection after so many bytes of the answer
 )
 
 // Act is a worker's part in one job.
@@ -72,7 +72,7 @@
 	waiting       int
 	used          float64
 	begun         map[string]int // starts by Req-Id, the try's number cut off
-	came          int
+	received      int
 	served        int
 	busy          time.Duration // slot time
 }
@@ -115,8 +115,8 @@
 	}
 }
 
-// Follow gives the worker another script.
-func (w *Worker) Follow(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
+// SetScript gives the worker another script.
+func (w *Worker) SetScript(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
 
 // Begun returns how often each job was begun. Jobs of the batch front go by
 // their id, without the number of the try.
@@ -127,7 +127,7 @@
 func (w *Worker) Totals() (came, served int, busy time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.came, w.served, w.busy
+	return w.received, w.served, w.busy
 }
 
 // BaseID cuts the try's number off the batch front's Req-Ids.
@@ -160,13 +160,13 @@
 	}
 	job.Class, _, _ = strings.Cut(strings.TrimPrefix(job.Path, "/"), "/")
 	w.mu.Lock()
-	w.came++
+	w.received++
 	act := w.script(job)
 	w.mu.Unlock()
-	w.play(out, in, job, act)
+	w.run(out, in, job, act)
 }
 
-func (w *Worker) play(out http.ResponseWriter, in *http.Request, job Job, act Act) {
+func (w *Worker) run(out http.ResponseWriter, in *http.Request, job Job, act Act) {
 	say := func(line map[string]any) {
 		line["id"], line["from"] = job.ID, w.Name
 		_ = json.NewEncoder(out).Encode(line)
@@ -177,7 +177,7 @@
 	case Reject:
 		http.Error(out, "this makes no sense", http.StatusBadRequest)
 		return
-	case Return:
+	case GiveBack:
 		say(map[string]any{"state": "returned", "load": w.load()})
 		return
 	case Silent:
@@ -185,10 +185,10 @@
 		return
 	}
 	slots := max(act.Slots, 1)
-	if !w.enter(ctx, slots) {
+	if !w.acquireSlots(ctx, slots) {
 		return // the node has given the job up while it was queued
 	}
-	defer w.leave(slots, time.Now())
+	defer w.releaseSlots(slots, time.Now())
 	w.mu.Lock()
 	w.begun[BaseID(job.ID)]++
 	w.mu.Unlock()
@@ -215,7 +215,7 @@
 	}
 }
 
-func (w *Worker) enter(ctx context.Context, slots float64) bool {
+func (w *Worker) acquireSlots(ctx context.Context, slots float64) bool {
 	w.mu.Lock()
 	w.waiting++
 	w.mu.Unlock()
@@ -230,7 +230,7 @@
 	return true
 }
 
-func (w *Worker) leave(slots float64, since time.Time) {
+func (w *Worker) releaseSlots(slots float64, since time.Time) {
 	w.queueCapacity.Release(int64(slots + 0.999))
 	w.mu.Lock()
 	w.used -= slots
--- a/internal/testkit/loadgen/load.go
+++ b/internal/testkit/loadgen/load.go
@@ -34,34 +34,34 @@
 	Seed    uint64
 	Classes []Class
 	Prefix  string // of the Req-Ids
-	// Each is told of every request as it ends: when it was to be sent, its class, the answer's
+	// OnResponse is told of every request as it ends: when it was to be sent, its class, the answer's
 	// status, 0 where there was none, and how long it took. nil: nobody asks.
-	Each func(at time.Duration, class *Class, id string, status int, took time.Duration)
+	OnResponse func(at time.Duration, class *Class, id string, status int, took time.Duration)
 }
 
 // Result is what became of a load.
 type Result struct {
-	Sent, Served, InTime, Refused, Failed, Broken int
-	Latency                                       *hdrhistogram.Histogram // microseconds, of served ones
+	Sent, Served, WithinTarget, Refused, Failed, Broken int
+	Latency                                             *hdrhistogram.Histogram // microseconds, of served ones
 }
 
 // Service is the share of the requests that were served within their target.
-func (r *Result) Service() float64 { return float64(r.InTime) / float64(max(r.Sent, 1)) }
+func (r *Result) Service() float64 { return float64(r.WithinTarget) / float64(max(r.Sent, 1)) }
 
 // Percentile returns a latency.
 func (r *Result) Percentile(p float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(p)) * time.Microsecond
 }
 
-// shot is one request with its intended time.
-type shot struct {
+// arrival is one request with its intended time.
+type arrival struct {
 	at    time.Duration
 	class *Class
 	id    string
 }
 
 // plan draws the arrivals: a Poisson stream, the same for a seed.
-func (c *Config) plan() (out []shot) {
+func (c *Config) plan() (out []arrival) {
 	rng := rand.New(rand.NewPCG(c.Seed, 7))
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / c.Rate * float64(time.Second))
@@ -76,12 +76,12 @@
 				break
 			}
 		}
-		out = append(out, shot{at, class, c.Prefix + strconv.Itoa(len(out))})
+		out = append(out, arrival{at, class, c.Prefix + strconv.Itoa(len(out))})
 	}
 }
 
 // Run sends the load and waits for all answers.
-func Run(ctx context.Context, c Config) *Result {
+func Run(ctx context.Context, config Config) *Result {
 	out := &Result{Latency: hdrhistogram.New(1, 120_000_000, 3)}
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
@@ -89,7 +89,7 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	start := time.Now()
-	for _, s := range c.plan() {
+	for _, s := range config.plan() {
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(start.Add(s.at))):
@@ -100,19 +100,19 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			status := send(ctx, client, c.URL, s)
+			status := send(ctx, client, config.URL, s)
 			took := time.Since(start.Add(s.at))
 			mu.Lock()
 			defer mu.Unlock()
 			out.Sent++
-			if c.Each != nil {
-				c.Each(s.at, s.class, s.id, status, took)
+			if config.OnResponse != nil {
+				config.OnResponse(s.at, s.class, s.id, status, took)
 			}
 			switch status {
 			case http.StatusOK:
 				out.Served++
 				if took <= s.class.Target {
-					out.InTime++
+					out.WithinTarget++
 				}
 				_ = out.Latency.RecordValue(took.Microseconds())
 			case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -129,7 +129,7 @@
 }
 
 // send returns the answer's status, or 0 where there was none.
-func send(ctx context.Context, client *http.Client, url string, s shot) int {
+func send(ctx context.Context, client *http.Client, url string, s arrival) int {
 	in, err := http.NewRequestWithContext(ctx, "POST", url+"/"+s.class.Name, strings.NewReader("model"))
 	if err != nil {
 		return 0
--- a/internal/testkit/loadgen/load_test.go
+++ b/internal/testkit/loadgen/load_test.go
@@ -44,7 +44,7 @@
 		c.Seed++
 	}
 	got := Run(t.Context(), c)
-	if got.Sent != 50 || got.Served != 50 || got.InTime != 0 || got.Service() != 0 || got.Latency.TotalCount() != 50 {
+	if got.Sent != 50 || got.Served != 50 || got.WithinTarget != 0 || got.Service() != 0 || got.Latency.TotalCount() != 50 {
 		t.Errorf("%+v", got)
 	}
 	c.Classes[0].Name = "refused"
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -33,18 +33,18 @@
 )
 
 const (
-	zonesMost  = 3
-	hostsMost  = 250
-	maxServers = 16
-	edgesMost  = 16
-	seedsMost  = 3 // of the keepers' addresses in the settings
+	zoneCount       = 3
+	hostsPerNetwork = 250
+	maxServers      = 16
+	maxEdges        = 16
+	maxSeeds        = 3 // of the keepers' addresses in the settings
 )
 
 // Layout says how large a fleet is and how it is run.
 type Layout struct {
 	Binary    string // the fleet's program
 	Directory string // settings files and data go below it
-	Keepers   int
+	Servers   int
 	Edges     int // machines with a proxy and an agent each
 	LogLevel  string
 	Tolerance int // keepers that may be lost at once; 0: as many as leave a majority
@@ -54,35 +54,35 @@
 
 // Fleet is a running fleet.
 type Fleet struct {
-	layout Layout
-	place  *place
-	mutex  sync.Mutex
-	all    map[string]*Process // by role and node
-	relays []*relay
+	layout    Layout
+	addresses *addressBlock
+	mutex     sync.Mutex
+	all       map[string]*Process // by role and node
+	relays    []*relay
 }
 
 // New prepares a fleet; nothing runs yet. StopAll gives back what it has reserved.
 func New(layout Layout) (*Fleet, error) {
-	if layout.Keepers < 1 || layout.Keepers > maxServers || layout.Edges < 0 || layout.Edges > edgesMost {
-		return nil, eris.Errorf("a local fleet has 1 to %d keepers and at most %d edges", maxServers, edgesMost)
+	if layout.Servers < 1 || layout.Servers > maxServers || layout.Edges < 0 || layout.Edges > maxEdges {
+		return nil, eris.Errorf("a local fleet has 1 to %d keepers and at most %d edges", maxServers, maxEdges)
 	}
 	reserved, err := reserve()
 	if err != nil {
 		return nil, err
 	}
-	return &Fleet{layout: layout, place: reserved, all: map[string]*Process{}}, nil
+	return &Fleet{layout: layout, addresses: reserved, all: map[string]*Process{}}, nil
 }
 
 // Zone names the zone of the i-th machine of a class.
-func Zone(i int) string { return fmt.Sprintf("zone-%d", i%zonesMost+1) }
+func Zone(i int) string { return fmt.Sprintf("zone-%d", i%zoneCount+1) }
 
 func (f *Fleet) address(network, host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", f.place.network(), network, host+1)
+	return fmt.Sprintf("127.%d.%d.%d", f.addresses.network(), network, host+1)
 }
 
 // Control returns the control addresses of all keepers.
 func (f *Fleet) Control() []string {
-	addresses := make([]string, f.layout.Keepers)
+	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
 		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), portControl)
 	}
@@ -101,43 +101,45 @@
 
 // Worker returns the address for the i-th stand-in worker.
 func (f *Fleet) Worker(i int) string {
-	return fmt.Sprintf("%s:%d", f.address(networkWorkers+i/hostsMost, i%hostsMost), PortWorker)
+	return fmt.Sprintf("%s:%d", f.address(networkWorkers+i/hostsPerNetwork, i%hostsPerNetwork), PortWorker)
 }
 
 // HollowIP returns the IP of the i-th node that is played without processes of its own.
-func (f *Fleet) HollowIP(i int) string { return f.address(networkHollow+i/hostsMost, i%hostsMost) }
+func (f *Fleet) HollowIP(i int) string {
+	return f.address(networkHollow+i/hostsPerNetwork, i%hostsPerNetwork)
+}
 
 // EdgeIP returns the IP of the i-th edge.
 func (f *Fleet) EdgeIP(i int) string { return f.address(networkEdges, i) }
 
 // PortRange is the one of the keepers and of the first edge.
-func (f *Fleet) PortRange() [2]int { return f.place.ports(0) }
+func (f *Fleet) PortRange() [2]int { return f.addresses.ports(0) }
 
 // Peers returns the addresses that keepers take each other and agents at.
 func (f *Fleet) Peers() []string {
-	addresses := make([]string, f.layout.Keepers)
+	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), f.place.ports(0)[0])
+		addresses[i] = fmt.Sprintf("%s:%d", f.address(networkServers, i), f.addresses.ports(0)[0])
 	}
 	return addresses
 }
 
 // StartServer starts the i-th keeper. bootstrap is true at the fleet's first start only.
 func (f *Fleet) StartServer(i int, bootstrap bool) (*Process, error) {
-	s := f.base(networkServers, i, roleControlPlane, bootstrap)
-	s.Listen.Control = fmt.Sprintf("%s:%d", s.IP, portControl)
-	s.MachineClass, s.CountsForQuorum = "core", true
-	s.DataDir = f.data(i)
-	return f.start(s)
+	settings := f.baseSettings(networkServers, i, roleControlPlane, bootstrap)
+	settings.Listen.Control = fmt.Sprintf("%s:%d", settings.IP, portControl)
+	settings.MachineClass, settings.CountsForQuorum = "core", true
+	settings.DataDir = f.dataDirectory(i)
+	return f.start(settings)
 }
 
 // WipeServer removes what the i-th keeper, which must have ended, has on its disk.
 func (f *Fleet) WipeServer(i int) error {
-	return eris.Wrap(os.RemoveAll(f.data(i)), "wipe")
+	return eris.Wrap(os.RemoveAll(f.dataDirectory(i)), "wipe")
 }
 
-// data is where the i-th keeper has its disk.
-func (f *Fleet) data(i int) string {
+// dataDirectory is where the i-th keeper has its disk.
+func (f *Fleet) dataDirectory(i int) string {
 	return filepath.Join(f.layout.Directory, nodeName(networkServers, i), "data")
 }
 
@@ -146,22 +148,22 @@
 	if err := f.openRelays(i); err != nil {
 		return nil, err
 	}
-	s := f.base(networkEdges, i, "agent", false)
-	s.PortRange = f.place.ports(i)
-	return f.start(s)
+	settings := f.baseSettings(networkEdges, i, "agent", false)
+	settings.PortRange = f.addresses.ports(i)
+	return f.start(settings)
 }
 
 // StartProxy starts the proxy of the i-th edge.
 func (f *Fleet) StartProxy(i int) (*Process, error) {
-	s := f.base(networkEdges, i, "proxy", false)
-	s.Listen.Front, s.Listen.Readiness = f.Front(i), f.Readiness(i)
-	s.PortRange = f.place.ports(i)
-	return f.start(s)
+	settings := f.baseSettings(networkEdges, i, "proxy", false)
+	settings.Listen.Front, settings.Listen.Readiness = f.Front(i), f.Readiness(i)
+	settings.PortRange = f.addresses.ports(i)
+	return f.start(settings)
 }
 
 // StartAll starts all processes of a new fleet.
 func (f *Fleet) StartAll() error {
-	for i := range f.layout.Keepers {
+	for i := range f.layout.Servers {
 		if _, err := f.StartServer(i, true); err != nil {
 			return err
 		}
@@ -179,27 +181,27 @@
 
 func nodeName(network, i int) string { return fmt.Sprintf("machine-%d-%d", network, i+1) }
 
-// base returns the settings that all roles have.
-func (f *Fleet) base(network, i int, role string, bootstrap bool) bootconfig.Settings {
-	s := bootconfig.Defaults()
-	s.Role, s.IP, s.Zone, s.Region = role, f.address(network, i), Zone(i), "local"
-	s.NodeName = nodeName(network, i)
-	s.MachineClass = "edge"
-	s.Zones = map[string]string{}
-	for zone := range zonesMost {
-		s.Zones[Zone(zone)] = "local"
-	}
-	s.PortRange = f.place.ports(0)
-	s.Seeds = f.Control()[:min(seedsMost, f.layout.Keepers)]
-	s.Bootstrap = bootstrap
+// baseSettings returns the settings that all roles have.
+func (f *Fleet) baseSettings(network, index int, role string, bootstrap bool) bootconfig.Settings {
+	settings := bootconfig.Defaults()
+	settings.Role, settings.IP, settings.Zone, settings.Region = role, f.address(network, index), Zone(index), "local"
+	settings.NodeName = nodeName(network, index)
+	settings.MachineClass = "edge"
+	settings.Zones = map[string]string{}
+	for zone := range zoneCount {
+		settings.Zones[Zone(zone)] = "local"
+	}
+	settings.PortRange = f.addresses.ports(0)
+	settings.Seeds = f.Control()[:min(maxSeeds, f.layout.Servers)]
+	settings.Bootstrap = bootstrap
 	if f.layout.MemoryMb > 0 {
-		s.Limits.MemoryMb = f.layout.MemoryMb
+		settings.Limits.MemoryMb = f.layout.MemoryMb
 	}
-	s.FaultTolerance.Machines = f.layout.Tolerance
+	settings.FaultTolerance.Machines = f.layout.Tolerance
 	if f.layout.Tolerance == 0 {
-		s.FaultTolerance.Machines = (f.layout.Keepers - 1) / 2
+		settings.FaultTolerance.Machines = (f.layout.Servers - 1) / 2
 	}
-	return s
+	return settings
 }
 
 // roleControlPlane is the role of control plane servers in the settings.
@@ -214,25 +216,25 @@
 }
 
 // start writes a process's settings and starts it.
-func (f *Fleet) start(s bootconfig.Settings) (*Process, error) {
-	directory := filepath.Join(f.layout.Directory, s.NodeName)
+func (f *Fleet) start(settings bootconfig.Settings) (*Process, error) {
+	directory := filepath.Join(f.layout.Directory, settings.NodeName)
 	if err := os.MkdirAll(filepath.Join(directory, "data"), 0o755); err != nil {
 		return nil, eris.Wrap(err, "directory")
 	}
-	content, err := json.Marshal(s)
+	content, err := json.Marshal(settings)
 	if err != nil {
 		return nil, eris.Wrap(err, "settings")
 	}
-	path := filepath.Join(directory, s.Role+".json")
+	path := filepath.Join(directory, settings.Role+".json")
 	if err := os.WriteFile(path, content, 0o644); err != nil {
 		return nil, eris.Wrap(err, "settings")
 	}
-	log, err := os.OpenFile(filepath.Join(directory, s.Role+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(directory, settings.Role+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, eris.Wrap(err, "log")
 	}
 	defer log.Close()
-	command := exec.Command(f.layout.Binary, subcommand(s.Role), "--settings", path)
+	command := exec.Command(f.layout.Binary, subcommand(settings.Role), "--settings", path)
 	if f.layout.LogLevel != "" {
 		command.Args = append(command.Args, "--log-level", f.layout.LogLevel)
 	}
@@ -241,7 +243,7 @@
 	}
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
-		return nil, eris.Wrapf(err, "start of %s", s.Role)
+		return nil, eris.Wrapf(err, "start of %s", settings.Role)
 	}
-	return f.watch(s, command), nil
+	return f.watch(settings, command), nil
 }
--- a/internal/testkit/localfleet/link.go
+++ b/internal/testkit/localfleet/link.go
@@ -16,9 +16,9 @@
 }
 
 const (
-	segmentBytes      = 1448
-	retransmitAtLeast = 200 * time.Millisecond
-	linkQueue         = 256 // segments under way
+	segmentBytes         = 1448
+	minRetransmitTimeout = 200 * time.Millisecond
+	linkQueue            = 256 // segments under way
 )
 
 // segment is what is under way.
@@ -27,8 +27,8 @@
 	due  time.Time
 }
 
-// carry passes bytes on in their order until either connection ends.
-func (l Link) carry(to, from net.Conn) {
+// copyBytes passes bytes on in their order until either connection ends.
+func (l Link) copyBytes(to, from net.Conn) {
 	queue := make(chan segment, linkQueue)
 	ended := make(chan struct{})
 	go func() {
@@ -41,7 +41,7 @@
 		count, err := from.Read(buffer)
 		if count > 0 {
 			select {
-			case queue <- segment{data: buffer[:count], due: l.due(time.Now())}:
+			case queue <- segment{data: buffer[:count], due: l.arrival(time.Now())}:
 			case <-ended:
 				return
 			}
@@ -52,11 +52,11 @@
 	}
 }
 
-// due says when a segment that is sent now comes.
-func (l Link) due(now time.Time) time.Time {
+// arrival says when a segment that is sent now comes.
+func (l Link) arrival(now time.Time) time.Time {
 	at := now.Add(l.Delay)
 	for l.Loss > 0 && rand.Float64() < l.Loss {
-		at = at.Add(max(retransmitAtLeast, 2*l.Delay) + l.Delay)
+		at = at.Add(max(minRetransmitTimeout, 2*l.Delay) + l.Delay)
 	}
 	return at
 }
--- a/internal/testkit/localfleet/mixed_versions_test.go
+++ b/internal/testkit/localfleet/mixed_versions_test.go
@@ -50,7 +50,7 @@
 	if err := os.WriteFile(launcher, fmt.Appendf(nil, launcherText, earlier), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := localfleet.New(localfleet.Layout{Binary: launcher, Directory: directory, Keepers: keepers, Edges: edges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: launcher, Directory: directory, Servers: keepers, Edges: edges})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/localfleet/operator.go
+++ b/internal/testkit/localfleet/operator.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	statusOK           = 200
-	statusServerFaults = 500 // and above
+	statusOK          = 200
+	statusServerError = 500 // and above
 )
 
 // Operator makes calls of the operator's API as the protocol has it: a call without a clear answer is sent
@@ -28,7 +28,7 @@
 type Operator struct {
 	pool    *upstream.Pool
 	control []string
-	turn    atomic.Uint64
+	next    atomic.Uint64
 }
 
 // NewOperator makes an operator that knows some control addresses.
@@ -39,13 +39,13 @@
 // Close closes the operator's connections.
 func (o *Operator) Close() { o.pool.Close() }
 
-// ErrRefused is the answer to a call that was understood and refused.
-type ErrRefused struct {
+// RejectedError is the answer to a call that was understood and refused.
+type RejectedError struct {
 	Status int
 	Body   string
 }
 
-func (e ErrRefused) Error() string { return "refused: " + strconv.Itoa(e.Status) + " " + e.Body }
+func (e RejectedError) Error() string { return "refused: " + strconv.Itoa(e.Status) + " " + e.Body }
 
 // Replace sends a whole configuration until it is accepted or refused, or the context ends.
 func (o *Operator) Replace(ctx context.Context, base uint64, body []byte) error {
@@ -67,15 +67,15 @@
 // call tries one keeper after the other.
 func (o *Operator) call(ctx context.Context, method, target string, base uint64, body []byte) ([]byte, error) {
 	for {
-		address := o.control[o.turn.Load()%uint64(len(o.control))]
+		address := o.control[o.next.Load()%uint64(len(o.control))]
 		response, err := o.Ask(ctx, address, method, target, base, body)
 		switch {
 		case err == nil && response.Status == statusOK:
 			return response.Body, nil
-		case err == nil && response.Status < statusServerFaults:
-			return nil, ErrRefused{Status: response.Status, Body: string(response.Body)}
+		case err == nil && response.Status < statusServerError:
+			return nil, RejectedError{Status: response.Status, Body: string(response.Body)}
 		}
-		o.turn.Add(1)
+		o.next.Add(1)
 		if !pause(ctx, operatorRetryPause) {
 			return nil, eris.Wrap(ctx.Err(), "no keeper has answered clearly")
 		}
--- a/internal/testkit/localfleet/process.go
+++ b/internal/testkit/localfleet/process.go
@@ -117,7 +117,7 @@
 	}
 	group.Wait()
 	f.closeRelays()
-	f.place.release()
+	f.addresses.release()
 }
 
 // Await calls check until it is true or the context ends, with a pause between calls.
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -24,15 +24,15 @@
 }
 
 // openRelays makes the keepers reachable at the port where the i-th edge looks for them.
-func (f *Fleet) openRelays(i int) error {
+func (f *Fleet) openRelays(edge int) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	port := f.place.ports(i)[0]
-	if port == f.place.ports(0)[0] || f.hasRelays(port) {
+	port := f.addresses.ports(edge)[0]
+	if port == f.addresses.ports(0)[0] || f.hasRelays(port) {
 		return nil
 	}
-	for keeper, target := range f.Peers() {
-		opened, err := newRelay(fmt.Sprintf("%s:%d", f.address(networkServers, keeper), port), target, Link{})
+	for server, target := range f.Peers() {
+		opened, err := newRelay(fmt.Sprintf("%s:%d", f.address(networkServers, server), port), target, Link{})
 		if err != nil {
 			return err
 		}
@@ -55,8 +55,8 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	addresses := map[string]string{}
-	for keeper, target := range f.Peers() {
-		opened, err := newRelay(f.address(networkServers, keeper)+":0", target, link)
+	for server, target := range f.Peers() {
+		opened, err := newRelay(f.address(networkServers, server)+":0", target, link)
 		if err != nil {
 			return nil, err
 		}
@@ -91,27 +91,27 @@
 		if err != nil {
 			return
 		}
-		go r.pass(connection)
+		go r.relay(connection)
 	}
 }
 
-// pass joins a connection with one to the target until either ends.
-func (r *relay) pass(connection net.Conn) {
-	defer r.forget(connection)
-	if !r.remember(connection) {
+// relay joins a connection with one to the target until either ends.
+func (r *relay) relay(connection net.Conn) {
+	defer r.remove(connection)
+	if !r.add(connection) {
 		return
 	}
 	onward, err := net.Dial("tcp4", r.target)
 	if err != nil {
 		return
 	}
-	defer r.forget(onward)
-	if !r.remember(onward) {
+	defer r.remove(onward)
+	if !r.add(onward) {
 		return
 	}
 	ended := make(chan struct{}, 2)
 	join := func(to, from net.Conn) {
-		r.link.carry(to, from)
+		r.link.copyBytes(to, from)
 		ended <- struct{}{}
 	}
 	go join(onward, connection)
@@ -119,15 +119,15 @@
 	<-ended
 }
 
-// remember tells whether the relay is still open.
-func (r *relay) remember(connection net.Conn) bool {
+// add tells whether the relay is still open.
+func (r *relay) add(connection net.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.open[connection] = struct{}{}
 	return !r.closed
 }
 
-func (r *relay) forget(connection net.Conn) {
+func (r *relay) remove(connection net.Conn) {
 	_ = connection.Close()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/testkit/localfleet/whole_program_test.go
+++ b/internal/testkit/localfleet/whole_program_test.go
@@ -57,7 +57,7 @@
 // newRig starts a whole fleet; the test's end kills what still runs.
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Keepers: keepers, Edges: edges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: keepers, Edges: edges})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/nodesim/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -15,12 +15,12 @@
 	"ospreybend/balance"
 )
 
-// Span is the least and the most of a figure that is drawn evenly.
-type Span struct{ Least, Most float64 }
+// Range is the least and the most of a figure that is drawn evenly.
+type Range struct{ Min, Max float64 }
 
-func (s Span) draw(r *rand.Rand) float64 { return s.Least + (s.Most-s.Least)*r.Float64() }
+func (s Range) draw(r *rand.Rand) float64 { return s.Min + (s.Max-s.Min)*r.Float64() }
 
-func (s Span) seconds(r *rand.Rand) time.Duration { return seconds(s.draw(r)) }
+func (s Range) seconds(r *rand.Rand) time.Duration { return seconds(s.draw(r)) }
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
@@ -28,11 +28,11 @@
 type Kind struct {
 	Share        float64
 	Cores        float64
-	Speed        Span    // of a core; each worker's own is drawn
-	SlotsPerCore Span    // with more slots than cores, jobs share the cores
-	QueuePerCore Span    // jobs that wait at most
-	WarmUpFloor  Span    // part of its capacity that a cold one has
-	WarmUpTime   Span    // seconds in which it is warm at the latest
+	Speed        Range   // of a core; each worker's own is drawn
+	SlotsPerCore Range   // with more slots than cores, jobs share the cores
+	QueuePerCore Range   // jobs that wait at most
+	WarmUpFloor  Range   // part of its capacity that a cold one has
+	WarmUpTime   Range   // seconds in which it is warm at the latest
 	Errors       float64 // part of its jobs that fail on any day
 }
 
@@ -52,7 +52,7 @@
 	At, Within float64 // seconds
 	Share      float64
 	Steps      int
-	Drain      Span // seconds until what still runs is killed
+	Drain      Range // seconds until what still runs is killed
 }
 
 // Loss is a part of the workers that falls silent and comes back cold.
@@ -76,24 +76,24 @@
 	Heaviest     float64 // work of the heaviest job, as a part of its class's give-up
 	AttemptNoise float64 // by which each run differs
 	HintNoise    float64 // by which a hint is off; below 0: no hints
-	ReportEvery  Span    // seconds from one load report to the next
-	ReportDelay  Span    // seconds until it can be read
+	ReportEvery  Range   // seconds from one load report to the next
+	ReportDelay  Range   // seconds until it can be read
 	ReportNoise  float64 // slots or jobs
 	WarmUpWork   float64 // part of the longest warming that a worker kept busy needs
-	OneWay       Span    // seconds on the network
-	ListLate     Span    // seconds until news of the list reaches a node
-	PeerDelay    Span
+	OneWay       Range   // seconds on the network
+	ListLate     Range   // seconds until news of the list reaches a node
+	PeerDelay    Range
 	PeerLoss     float64
-	Retries      int  // that a client makes of its own
-	Backoff      Span // seconds before one
+	Retries      int   // that a client makes of its own
+	Backoff      Range // seconds before one
 
 	SlowShare, SlowFactor float64
 	Replace               Replace
 	Loss                  Loss
 	Kill                  Kill
 
-	Goal       Goal
-	ShakePrice float64 // part of the price of a handshake that each new connection counts
+	Goal           Goal
+	HandshakePrice float64 // part of the price of a handshake that each new connection counts
 }
 
 // check names the first parameter with which no day can be played: without workers, or with
--- a/internal/testkit/nodesim/emulator_test.go
+++ b/internal/testkit/nodesim/emulator_test.go
@@ -19,7 +19,7 @@
 }
 
 // The same day gives the same result, another seed another one.
-func TestSameSeedSameDay(t *testing.T) {
+func TestPlay_deterministic(t *testing.T) {
 	d := Workshop(20, 15, 3).Killed()
 	a, b := play(t, d), play(t, d)
 	if !reflect.DeepEqual(a, b) {
@@ -31,19 +31,19 @@
 }
 
 // All that was asked for is booked once, by what became of it.
-func TestEveryOperationEnds(t *testing.T) {
+func TestPlay_everyOperationEnds(t *testing.T) {
 	for name, d := range map[string]Day{"released": Workshop(20, 15, 1).Released(), "returned": Workshop(20, 15, 1).Returned(),
 		"killed": Workshop(20, 15, 1).Killed()} {
 		r := play(t, d)
 		lost := r.Served + r.RunLate + r.QueueLate + r.PendingLate + r.RejectedValue + r.FailedValue
-		if r.Asked() < 100 || r.Value-lost > 1e-6*r.Value || lost-r.Value > 1e-6*r.Value {
-			t.Errorf("%s: %.0f asked for; worth %.3f, booked %.3f", name, r.Asked(), r.Value, lost)
+		if r.Requests() < 100 || r.Value-lost > 1e-6*r.Value || lost-r.Value > 1e-6*r.Value {
+			t.Errorf("%s: %.0f asked for; worth %.3f, booked %.3f", name, r.Requests(), r.Value, lost)
 		}
 	}
 }
 
 // A day that cannot be played is turned away by the name of what is wrong, not played for ever.
-func TestNoSuchDay(t *testing.T) {
+func TestPlay_invalidDay(t *testing.T) {
 	for name, spoil := range map[string]func(*Day){"nodes": func(d *Day) { d.Nodes = 0 }, "workers": func(d *Day) { d.Workers = -1 },
 		"load": func(d *Day) { d.Load = math.NaN() }, "length": func(d *Day) { d.Length = math.Inf(1) }, "classes": func(d *Day) { d.Classes = nil }} {
 		d := Workshop(2, 2, 1)
@@ -57,14 +57,14 @@
 // Six in ten prep workers are replaced within 7 s, and all nodes see the cold ones at once: what
 // the sum of them sends to any stays within what it bears, with seven in ten nodes killed and
 // started anew amid it as without, and with the list late by as long as it may be.
-func TestColdOnesAreNotFelled(t *testing.T) {
+func TestPlay_warmingWorkersNotOverloaded(t *testing.T) {
 	for seed := range uint64(4) {
 		d := Workshop(80, 60, 1+seed).Released()
 		if seed%2 == 1 {
 			d.Kill = Kill{At: 11, Down: 1, Share: 0.7}
 		}
 		if seed > 1 {
-			d.ListLate = Span{6, 6}
+			d.ListLate = Range{6, 6}
 		}
 		if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 {
 			t.Errorf("seed %d: %d felled, one got %.2f of what it bears", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
@@ -75,12 +75,12 @@
 // A prep worker comes back cold and the list tells it late: one among 300 nodes, and a third of
 // them among 80. Nodes that have not been told may fell it; those that have stay well under what
 // fells it. Among 300 it gets far less than it could take: no node alone has much to spend.
-func TestColdOneThatTheListTellsLate(t *testing.T) {
+func TestPlay_warmingWorkerListedLate(t *testing.T) {
 	for seed := range uint64(3) {
 		one := Workshop(300, 60, 1+seed)
-		one.Length, one.Loss, one.ListLate = 16, Loss{At: 5, For: 2, Share: 1. / 60}, Span{1, 6}
+		one.Length, one.Loss, one.ListLate = 16, Loss{At: 5, For: 2, Share: 1. / 60}, Range{1, 6}
 		many := Workshop(80, 60, 1+seed).Returned()
-		many.ListLate = Span{1, 6}
+		many.ListLate = Range{1, 6}
 		for name, d := range map[string]Day{"one": one, "many": many} {
 			if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 || r.MaxWarmUpLoad > 0.4 {
 				t.Errorf("%s, seed %d: %d felled, %d by who had not been told; one got %.2f of what fells it", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
@@ -91,7 +91,7 @@
 
 // A class with about a twentieth of the worth is served at least half as well as the whole, with
 // more asked for than there is and with a third of the prep workers lost and back cold.
-func TestNoClassIsStarved(t *testing.T) {
+func TestPlay_noClassStarved(t *testing.T) {
 	for seed := range uint64(2) {
 		over := Workshop(60, 40, 1+seed)
 		over.Load = 1.2
@@ -111,10 +111,10 @@
 
 // A worker of four slots serves in order: the head waits until it fits, and so does who comes behind
 // it. A cold one is slow and gets warm by its work.
-func TestWorkerServesInOrder(t *testing.T) {
+func TestWorker_servesInOrder(t *testing.T) {
 	d := Workshop(1, 1, 1)
-	d.Kinds = []Kind{{Share: 1, Cores: 4, Speed: Span{1, 1}, SlotsPerCore: Span{1, 1}, QueuePerCore: Span{8, 8},
-		WarmUpFloor: Span{0.25, 0.25}, WarmUpTime: Span{20, 20}}}
+	d.Kinds = []Kind{{Share: 1, Cores: 4, Speed: Range{1, 1}, SlotsPerCore: Range{1, 1}, QueuePerCore: Range{8, 8},
+		WarmUpFloor: Range{0.25, 0.25}, WarmUpTime: Range{20, 20}}}
 	d.AttemptNoise, d.WarmUpWork = 0, 0.05
 	w := newWorld(d)
 	k := w.addWorker(0)
@@ -122,11 +122,11 @@
 	if err := n.start(); err != nil {
 		t.Fatal(err)
 	}
-	var steps []*step
+	var steps []*attempt
 	send := func(slots, work float64) {
 		op := &operation{slots: slots, work: work, deadline: w.now + time.Hour}
 		op.first, op.ended = op, true // no client waits for it
-		s := &step{op: op, node: n, worker: k, sentAt: w.now, remains: work}
+		s := &attempt{op: op, node: n, worker: k, sentAt: w.now, remains: work}
 		steps = append(steps, s)
 		k.arrive(s)
 	}
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	fullMessage = 256 // bytes; the unit of a message's price
-	frame       = 16  // bytes that a message has besides its text
+	messagePriceBytes = 256 // bytes; the unit of a message's price
+	frameBytes        = 16  // bytes that a message has besides its text
 )
 
 // start has the node's process begin from nothing but the list.
@@ -40,7 +40,7 @@
 			up.Workers = append(up.Workers, k.listing())
 		}
 	}
-	n.tell(up)
+	n.handle(up)
 	return nil
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// take gives an operation to the decisions.
-func (n *node) take(op *operation) {
+// begin gives an operation to the decisions.
+func (n *node) begin(op *operation) {
 	w := n.w
 	w.lastID++
 	op.id = w.lastID
@@ -69,11 +69,11 @@
 	if op.hint > 0 {
 		in.Cost, in.HasCost = op.hint, true
 	}
-	n.tell(in)
+	n.handle(in)
 }
 
-// tell hands the decisions an event and carries out what they want.
-func (n *node) tell(ev balance.Event) {
+// handle hands the decisions an event and carries out what they want.
+func (n *node) handle(ev balance.Event) {
 	w := n.w
 	for _, a := range n.b.Handle(w.now, ev) {
 		switch a := a.(type) {
@@ -90,7 +90,7 @@
 			w.after(0, func() {
 				if !n.down && n.incarnation == incarnation && !s.done {
 					s.done = true
-					n.tell(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: balance.Cancelled,
+					n.handle(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: balance.Cancelled,
 						Elapsed: w.now - s.sentAt, Over: s.op.ended})
 				}
 			})
@@ -98,13 +98,13 @@
 			incarnation := n.incarnation
 			w.after(a.After, func() {
 				if !n.down && n.incarnation == incarnation {
-					n.tell(balance.TimerFired{Token: a.Token})
+					n.handle(balance.TimerFired{Token: a.Token})
 				}
 			})
 		case balance.Probe:
 			n.probe(a.Worker)
 		case balance.SendToPeers:
-			n.say(a)
+			n.sendToPeers(a)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 
 func (n *node) send(a balance.Send) {
 	w, op, k := n.w, n.ops[a.Request], n.w.byID[a.Worker]
-	s := &step{op: op, number: len(op.steps), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
+	s := &attempt{op: op, number: len(op.steps), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
 		remains: op.work * lognormal(w.rng, w.day.AttemptNoise)}
 	op.steps = append(op.steps, s)
 	w.after(n.connect(a.Worker)+w.day.OneWay.seconds(w.rng), func() { k.arrive(s) })
@@ -140,32 +140,32 @@
 			report, outcome = nil, balance.ConnectFailed
 		}
 		w.reach(n, incarnation, func() {
-			n.tell(balance.ProbeDone{Worker: id, Outcome: outcome, Elapsed: w.now - began, Report: report})
+			n.handle(balance.ProbeDone{Worker: id, Outcome: outcome, Elapsed: w.now - began, Report: report})
 		})
 	})
 }
 
-func (n *node) say(a balance.SendToPeers) {
+func (n *node) sendToPeers(message balance.SendToPeers) {
 	w := n.w
 	for _, to := range w.nodes {
-		if to == n || a.To >= 0 && a.To != to.number {
+		if to == n || message.To >= 0 && message.To != to.number {
 			continue
 		}
-		w.result.Messages += float64(len(a.Payload)+frame) / fullMessage
+		w.result.Messages += float64(len(message.Payload)+frameBytes) / messagePriceBytes
 		if w.rng.Float64() < w.day.PeerLoss {
 			continue
 		}
-		text := append([]byte(nil), a.Payload...)
+		text := append([]byte(nil), message.Payload...)
 		w.after(w.day.PeerDelay.seconds(w.rng), func() {
 			if !to.down {
-				to.tell(balance.PeerMessage{From: n.number, Payload: text})
+				to.handle(balance.PeerMessage{From: n.number, Payload: text})
 			}
 		})
 	}
 }
 
-// ended tells the decisions how a step ended, and the client where it was served.
-func (n *node) ended(s *step, outcome balance.Outcome, report []float32) {
+// attemptEnded tells the decisions how a step ended, and the client where it was served.
+func (n *node) attemptEnded(s *attempt, outcome balance.Outcome, report []float32) {
 	if s.op.ended && outcome == balance.Served {
 		outcome = balance.Cancelled
 	}
@@ -173,7 +173,7 @@
 		s.op.by = s
 		n.w.final(s.op, served, 0)
 	}
-	n.tell(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: outcome,
+	n.handle(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: outcome,
 		Elapsed: n.w.now - s.sentAt, Over: s.op.ended, Report: report})
 }
 
--- a/internal/testkit/nodesim/sites.go
+++ b/internal/testkit/nodesim/sites.go
@@ -13,12 +13,12 @@
 		return balance.Class{LatencyTarget: time.Duration(latencyTarget) * time.Millisecond, Timeout: time.Duration(giveUp) * time.Second,
 			Value: worth, TargetStretch: stretch, Effect: effect, Kind: -1}
 	}
-	kind := func(share float64, speed, queue, from Span) Kind {
-		return Kind{Share: share, Cores: 4, Speed: speed, SlotsPerCore: Span{1, 1.3}, QueuePerCore: queue, WarmUpFloor: from,
-			WarmUpTime: Span{12, 23}, Errors: 0.001}
+	kind := func(share float64, speed, queue, from Range) Kind {
+		return Kind{Share: share, Cores: 4, Speed: speed, SlotsPerCore: Range{1, 1.3}, QueuePerCore: queue, WarmUpFloor: from,
+			WarmUpTime: Range{12, 23}, Errors: 0.001}
 	}
 	return Day{Seed: seed, Nodes: nodes, Workers: workers, Length: 23, Load: 0.62, Uneven: 0.6, Heaviest: 0.5, WarmUpWork: 0.6,
-		Goal: Goal{Day: 0.75, WorstWindow: 0.05, WorstClass: 0.2}, ShakePrice: 0.32,
+		Goal: Goal{Day: 0.75, WorstWindow: 0.05, WorstClass: 0.2}, HandshakePrice: 0.32,
 		Settings: balance.Settings{Resolution: 2 * time.Millisecond, ValueByWork: true, ReportsStart: true,
 			Classes: []balance.Class{class(400, 5, 5, 1.75, balance.Idempotent), class(1000, 20, 2, 2.5, balance.Idempotent),
 				class(800, 25, 8, 2, balance.NonIdempotent)},
@@ -30,19 +30,19 @@
 				DrainGrace: 300 * time.Millisecond, InitialCapacity: 0.14, WarmupTime: 24 * time.Second, OverloadMultiple: 4,
 				OverloadTime: 3 * time.Second},
 			Costs: balance.Costs{LateFail: 0.032, Waste: 0.036, Probe: 0.0013, Message: 0.0099, Handshake: 0.02}},
-		Kinds: []Kind{kind(0.52, Span{0.8, 1.15}, Span{5.9, 8.6}, Span{0.14, 0.29}),
-			kind(0.48, Span{0.48, 0.72}, Span{7.7, 16}, Span{0.18, 0.3})},
+		Kinds: []Kind{kind(0.52, Range{0.8, 1.15}, Range{5.9, 8.6}, Range{0.14, 0.29}),
+			kind(0.48, Range{0.48, 0.72}, Range{7.7, 16}, Range{0.18, 0.3})},
 		Classes: []Class{{0.43, 0.46, 2, []float64{1}}, {0.37, 1.9, 2.2, []float64{0.6, 0.25, 0.15}},
 			{0.2, 2.8, 2, []float64{0.6, 0.25, 0.15}}},
-		AttemptNoise: 0.3, HintNoise: 0.5, ReportEvery: Span{0.33, 1.5}, ReportDelay: Span{0.089, 0.49}, ReportNoise: 0.03,
-		OneWay: Span{0.0001, 0.0004}, ListLate: Span{1, 3}, PeerDelay: Span{0.0013, 0.027}, PeerLoss: 0.01, Retries: 2,
-		Backoff: Span{0.012, 0.097}}
+		AttemptNoise: 0.3, HintNoise: 0.5, ReportEvery: Range{0.33, 1.5}, ReportDelay: Range{0.089, 0.49}, ReportNoise: 0.03,
+		OneWay: Range{0.0001, 0.0004}, ListLate: Range{1, 3}, PeerDelay: Range{0.0013, 0.027}, PeerLoss: 0.01, Retries: 2,
+		Backoff: Range{0.012, 0.097}}
 }
 
 // Released is a day on which six in ten prep workers are replaced within 7 s, and one of
 // eight is slow.
 func (d Day) Released() Day {
-	d.Replace = Replace{At: 7, Within: 7, Share: 0.6, Steps: 4, Drain: Span{3.3, 5.8}}
+	d.Replace = Replace{At: 7, Within: 7, Share: 0.6, Steps: 4, Drain: Range{3.3, 5.8}}
 	d.SlowShare, d.SlowFactor = 0.125, 5
 	return d
 }
@@ -58,6 +58,6 @@
 // Killed is a day on which most nodes are killed at once during a release.
 func (d Day) Killed() Day {
 	d.Kill = Kill{At: 10, Down: 2, Share: 0.7}
-	d.Replace = Replace{At: 14, Within: 12, Share: 0.6, Steps: 7, Drain: Span{3.3, 5.8}}
+	d.Replace = Replace{At: 14, Within: 12, Share: 0.6, Steps: 7, Drain: Range{3.3, 5.8}}
 	return d
 }
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -9,8 +9,8 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// step is one attempt at an operation, at a worker.
-type step struct {
+// attempt is one attempt at an operation, at a worker.
+type attempt struct {
 	op          *operation
 	number      int
 	node        *node
@@ -36,12 +36,12 @@
 	started       time.Duration // 0: long ago
 	warmth        float64       // slot-seconds done since the start
 	state         balance.State
-	slow          float64 // factor
-	silent        bool    // cut off: nothing in, nothing out
-	lost          []*step // at it meanwhile: reset when it is back
+	slow          float64    // factor
+	silent        bool       // cut off: nothing in, nothing out
+	lost          []*attempt // at it meanwhile: reset when it is back
 
-	running []*step
-	queue   []*step
+	running []*attempt
+	queue   []*attempt
 	used    float64
 	at      time.Duration // up to which running work is booked
 	next    *timerqueue.Timer
@@ -57,8 +57,8 @@
 	startKnown bool // its node had been told of the start
 }
 
-// warm is the part of its capacity that the worker has now.
-func (k *worker) warm() float64 {
+// capacityFraction is the part of its capacity that the worker has now.
+func (k *worker) capacityFraction() float64 {
 	age := k.w.now - k.started
 	if k.started == 0 || age >= k.warmUpTime {
 		return 1
@@ -69,7 +69,7 @@
 
 // rate is the work that each running job gets done in a second.
 func (k *worker) rate() float64 {
-	return k.speed * k.warm() / k.slow * min(1, k.cores/max(k.used, 1))
+	return k.speed * k.capacityFraction() / k.slow * min(1, k.cores/max(k.used, 1))
 }
 
 // advance books the work done since the last look, and plans the next.
@@ -77,7 +77,7 @@
 	span := (k.w.now - k.at).Seconds()
 	rate := k.rate()
 	k.at = k.w.now
-	var ended []*step
+	var ended []*attempt
 	for _, s := range k.running {
 		s.remains -= rate * span
 		k.warmth += rate / k.speed * span * s.op.slots
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, s := range ended {
-		k.leave(s)
+		k.remove(s)
 		outcome := balance.Served
 		if k.w.rng.Float64() < k.w.day.Kinds[k.kind].Errors {
 			outcome = balance.Errored
@@ -108,7 +108,7 @@
 		least = min(least, s.remains/rate)
 	}
 	wait := seconds(least) + time.Microsecond
-	if k.warm() < 1 {
+	if k.capacityFraction() < 1 {
 		wait = min(wait, 200*time.Millisecond)
 	}
 	k.next = k.w.timers.Add(k.w.now+wait, k.advance)
@@ -124,13 +124,13 @@
 		s.began = k.w.now
 		if !k.silent {
 			k.w.reach(s.node, s.incarnation, func() {
-				s.node.tell(balance.AttemptProgress{Request: s.op.id, Attempt: s.number, Worker: k.id, Started: true})
+				s.node.handle(balance.AttemptProgress{Request: s.op.id, Attempt: s.number, Worker: k.id, Started: true})
 			})
 		}
 	}
 }
 
-func (k *worker) leave(s *step) {
+func (k *worker) remove(s *attempt) {
 	if i := slices.Index(k.running, s); i >= 0 {
 		k.running = slices.Delete(k.running, i, i+1)
 		k.used -= s.op.slots
@@ -141,46 +141,46 @@
 }
 
 // answer ends a step, as its node is to hear.
-func (k *worker) answer(s *step, outcome balance.Outcome) {
+func (k *worker) answer(s *attempt, outcome balance.Outcome) {
 	if s.done {
 		return
 	}
 	s.done = true
 	report := slices.Clone(k.shown)
-	k.w.reach(s.node, s.incarnation, func() { s.node.ended(s, outcome, report) })
+	k.w.reach(s.node, s.incarnation, func() { s.node.attemptEnded(s, outcome, report) })
 }
 
 // arrive takes in a step.
-func (k *worker) arrive(s *step) {
+func (k *worker) arrive(attempt *attempt) {
 	k.advance()
 	switch {
-	case s.done:
+	case attempt.done:
 		return
 	case k.silent:
-		k.lost = append(k.lost, s)
+		k.lost = append(k.lost, attempt)
 	case k.state == balance.Gone:
-		k.answer(s, balance.ConnectFailed)
-	case k.state == balance.Draining || len(k.queue) >= k.queueCapacity || s.op.slots > k.slots:
-		k.answer(s, balance.Full)
+		k.answer(attempt, balance.ConnectFailed)
+	case k.state == balance.Draining || len(k.queue) >= k.queueCapacity || attempt.op.slots > k.slots:
+		k.answer(attempt, balance.Full)
 	default:
-		k.count(s)
-		k.queue = append(k.queue, s)
+		k.recordWarmUpLoad(attempt)
+		k.queue = append(k.queue, attempt)
 		k.begin()
 		k.plan()
 	}
 }
 
-// count holds what is sent to a cold worker, by all nodes, against the rule on felling: it
+// recordWarmUpLoad holds what is sent to a cold worker, by all nodes, against the rule on felling: it
 // falls when it gets more than N + 2 x root of N + 2 operations of mean work in the rules'
 // time, N being what they allow it then, and the rule is broken where over two thirds of
 // that came from nodes that had been told of its start.
-func (k *worker) count(s *step) {
+func (k *worker) recordWarmUpLoad(attempt *attempt) {
 	r := k.w.day.Settings.Rules
-	warm := k.warm()
+	warm := k.capacityFraction()
 	if warm >= 1 || r.OverloadMultiple == 0 {
 		return
 	}
-	k.sent = append(k.sent, warmUpSend{k.w.now, s.op.work * s.op.slots / k.speed, s.node.listedStart[k.id] == k.started})
+	k.sent = append(k.sent, warmUpSend{k.w.now, attempt.op.work * attempt.op.slots / k.speed, attempt.node.listedStart[k.id] == k.started})
 	for len(k.sent) > 0 && k.sent[0].at < k.w.now-r.OverloadTime {
 		k.sent = k.sent[1:]
 	}
@@ -208,13 +208,13 @@
 }
 
 // cancel takes back a step: waiting work is dropped, running work goes on.
-func (k *worker) cancel(s *step) {
+func (k *worker) cancel(s *attempt) {
 	if k.silent {
 		return
 	}
 	k.advance()
 	if s.began == 0 {
-		k.leave(s)
+		k.remove(s)
 		k.advance()
 	}
 }
@@ -223,7 +223,7 @@
 func (k *worker) kill() {
 	k.advance()
 	for _, s := range slices.Clone(k.running) {
-		k.leave(s)
+		k.remove(s)
 		k.answer(s, balance.Reset)
 	}
 	k.plan()
@@ -232,7 +232,7 @@
 // handBack returns what has not started.
 func (k *worker) handBack() {
 	for _, s := range slices.Clone(k.queue) {
-		k.leave(s)
+		k.remove(s)
 		k.answer(s, balance.Full)
 	}
 	k.plan()
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -24,8 +24,8 @@
 	deadline time.Duration
 	value    float64
 	attempts int
-	steps    []*step
-	by       *step // that served it
+	steps    []*attempt
+	by       *attempt // that served it
 	ended    bool
 }
 
@@ -74,16 +74,16 @@
 }
 
 // Play plays a day.
-func Play(d Day) (Result, error) {
-	if err := d.check(); err != nil {
+func Play(day Day) (Result, error) {
+	if err := day.check(); err != nil {
 		return Result{}, err
 	}
-	w := newWorld(d)
-	for range d.Workers {
+	w := newWorld(day)
+	for range day.Workers {
 		w.addWorker(0)
 	}
-	for i := range d.Nodes {
-		n := &node{w: w, number: i, weight: lognormal(w.rng, d.Uneven)}
+	for i := range day.Nodes {
+		n := &node{w: w, number: i, weight: lognormal(w.rng, day.Uneven)}
 		w.nodes = append(w.nodes, n)
 		if err := n.start(); err != nil {
 			return Result{}, err
@@ -92,10 +92,10 @@
 	w.troubles()
 	w.arrivals()
 	longest := time.Duration(0)
-	for _, c := range d.Settings.Classes {
+	for _, c := range day.Settings.Classes {
 		longest = max(longest, c.Timeout)
 	}
-	w.play(begins + seconds(d.Length+1) + longest)
+	w.play(begins + seconds(day.Length+1) + longest)
 	return w.result, nil
 }
 
@@ -136,7 +136,7 @@
 		warmUpFloor: c.WarmUpFloor.draw(w.rng), warmUpTime: c.WarmUpTime.seconds(w.rng), started: started, slow: 1, at: w.now}
 	w.workers = append(w.workers, k)
 	w.byID[k.id] = k
-	w.after(seconds(d.ReportEvery.Least*w.rng.Float64()), k.publish)
+	w.after(seconds(d.ReportEvery.Min*w.rng.Float64()), k.publish)
 	return k
 }
 
@@ -194,7 +194,7 @@
 			continue
 		}
 		if at -= n.weight; at <= 0 {
-			n.take(op)
+			n.begin(op)
 			return
 		}
 	}
@@ -249,11 +249,13 @@
 	}
 }
 
-// Asked is the number of operations that clients asked for, their retries left out.
-func (r Result) Asked() float64 { return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost) }
+// Requests is the number of operations that clients asked for, their retries left out.
+func (r Result) Requests() float64 {
+	return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost)
+}
 
 // G is the day's figure: the whole, its worst 10 s and worst class, less the prices.
-func (r Result) G(d Day) float64 {
+func (r Result) G(day Day) float64 {
 	if r.Value == 0 {
 		return 0
 	}
@@ -273,9 +275,9 @@
 			window = min(window, got/all)
 		}
 	}
-	c := d.Settings.Costs
-	price := c.Handshake*d.ShakePrice*float64(r.Handshakes) + c.Probe*float64(r.Probes) + c.Message*r.Messages
-	return d.Goal.Day*r.Served/r.Value + d.Goal.WorstWindow*window + d.Goal.WorstClass*worst - price/r.Asked()
+	c := day.Settings.Costs
+	price := c.Handshake*day.HandshakePrice*float64(r.Handshakes) + c.Probe*float64(r.Probes) + c.Message*r.Messages
+	return day.Goal.Day*r.Served/r.Value + day.Goal.WorstWindow*window + day.Goal.WorstClass*worst - price/r.Requests()
 }
 
 // troubles plans what goes wrong.
@@ -336,7 +338,7 @@
 		w.after(seconds(late*(1+0.05*w.rng.Float64())), func() {
 			if !n.down && n.incarnation == incarnation {
 				n.listedStart[l.Worker] = l.Started
-				n.tell(balance.ListUpdate{Kind: balance.ListChanges, Workers: []balance.WorkerListing{l}})
+				n.handle(balance.ListUpdate{Kind: balance.ListChanges, Workers: []balance.WorkerListing{l}})
 			}
 		})
 	}
--- a/internal/testkit/scalereport/scale_test.go
+++ b/internal/testkit/scalereport/scale_test.go
@@ -14,7 +14,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
-func TestFitTellsNodesFromWorkers(t *testing.T) {
+func TestFitTo_nodesAndWorkers(t *testing.T) {
 	var observations []Observation
 	for _, size := range []Size{{30, 60}, {100, 200}, {360, 600}, {30, 600}, {360, 60}} {
 		observations = append(observations, Observation{size, 2 + 0.5*float64(size.Nodes) + 0.1*float64(size.Workers)})
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestFitCountsNodesWithTheirWorkersWhereSizesAreInProportion(t *testing.T) {
+func TestFitTo_proportionalSizes(t *testing.T) {
 	fit, ok := FitTo([]Observation{{Size{30, 60}, 31}, {Size{100, 200}, 101}, {Size{360, 600}, 361}})
 	if !ok || !fit.Together || !near(fit.PerNode, 1) || !near(fit.Base, 1) || fit.PerWorker != 0 {
 		t.Errorf("fit %+v, %v", fit, ok)
@@ -42,7 +42,7 @@
 }
 
 // The interval is checked against a textbook line: y = 1, 3, 2, 5 at x = 1, 2, 3, 4.
-func TestFitsIntervalIsThatOfAPrediction(t *testing.T) {
+func TestFit_At_predictionInterval(t *testing.T) {
 	fit, _ := FitTo([]Observation{{Size{1, 1}, 1}, {Size{2, 2}, 3}, {Size{3, 3}, 2}, {Size{4, 4}, 5}})
 	value, half := fit.At(Size{5, 5})
 	// Slope 1.1, intercept 0, s^2 = 2.7/2; at 5: s * sqrt(1 + 1/4 + 2.5^2/5) * t(2).
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPercentiles(t *testing.T) {
+func TestPercentilesOf(t *testing.T) {
 	values := make([]float64, 200)
 	for i := range values {
 		values[len(values)-1-i] = float64(i + 1)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestProcessorTimeReadsPastAnyName(t *testing.T) {
+func TestProcessorTime_anyName(t *testing.T) {
 	stat := "4711 (a) b) S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20 0 9 0 100 200 300"
 	if got, err := ProcessorTime(stat); err != nil || got != 2*time.Second {
 		t.Errorf("%v, %v, want 2s", got, err)
@@ -85,14 +85,14 @@
 	}
 }
 
-func TestNamedTurnsKilobytesIntoBytes(t *testing.T) {
+func TestNamed_kilobytes(t *testing.T) {
 	got := Named("Name:\tospreyfleet\nVmRSS:\t  20 kB\nvoluntary_ctxt_switches:\t7\nrchar: 12\n\n")
 	if len(got) != 3 || got["VmRSS"] != 20480 || got["voluntary_ctxt_switches"] != 7 || got["rchar"] != 12 {
 		t.Errorf("%v", got)
 	}
 }
 
-func TestUseBetweenIsASecond(t *testing.T) {
+func TestUseBetween_perSecond(t *testing.T) {
 	before := Counters{Processor: time.Second, Read: 1000, Written: 2000, Reads: 1, Writes: 2, Switches: 3}
 	after := Counters{Processor: 2 * time.Second, Resident: 3e6, Peak: 4e6, Read: 11000, Written: 4000, Reads: 11, Writes: 22, Switches: 13}
 	want := Use{Processor: 10, MemoryMB: 3, PeakMB: 4, ReadKB: 1, WrittenKB: 0.2, Reads: 1, Writes: 2, Switches: 1}
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestBoundsNameWhatIsShort(t *testing.T) {
+func TestBounds_Check(t *testing.T) {
 	need := NeedOf(Size{360, 600}, 3, 1, 3700)
 	enough := Bounds(need)
 	if err := enough.Check(need); err != nil {
@@ -151,7 +151,7 @@
 		Cuts: []Cut{{Size: target, Why: "needs more descriptors"}}}
 }
 
-func TestTrendsAddUpKeepersOfOneWindow(t *testing.T) {
+func TestTrends_sumOfServers(t *testing.T) {
 	for _, trend := range example().Trends {
 		if trend.Name == "all keepers: written at rest" && !near(trend.Target, 720) {
 			t.Errorf("two keepers of 360 kB/s each are %v", trend.Target)
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestResultIsWrittenAsJSONTextAndSVG(t *testing.T) {
+func TestResult_Write(t *testing.T) {
 	result := example()
 	var encoded bytes.Buffer
 	if err := result.WriteJSON(&encoded); err != nil {
--- a/internal/testkit/scalereport/traffic_test.go
+++ b/internal/testkit/scalereport/traffic_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestConcludeTellsRequestsFromEvents(t *testing.T) {
+func TestTrafficResult_Conclude(t *testing.T) {
 	result := TrafficResult{Target: Rate{12, 200}}
 	for _, rate := range []Rate{{3, 20}, {6, 200}, {12, 200}, {12, 20}} {
 		events := float64(rate.Requests * rate.Tokens)
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -90,15 +90,15 @@
 
 // Snapshot implements feedtransport.Handler.
 func (a *hollowAgent) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
-	a.take(shard, snapshot.Index, snapshot.Items)
+	a.applyItems(shard, snapshot.Index, snapshot.Items)
 }
 
 // Change implements feedtransport.Handler.
 func (a *hollowAgent) Change(shard shards.ID, change feed.Change) {
-	a.take(shard, change.Index, change.Put)
+	a.applyItems(shard, change.Index, change.Put)
 }
 
-func (a *hollowAgent) take(shard shards.ID, index uint64, items []feed.Item) {
+func (a *hollowAgent) applyItems(shard shards.ID, index uint64, items []feed.Item) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.received[shard] = index
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -82,7 +82,7 @@
 		return scalereport.Step{}, err
 	}
 	defer os.RemoveAll(directory)
-	fleet, err := localfleet.New(localfleet.Layout{Binary: p.Binary, Directory: directory, Keepers: p.Servers,
+	fleet, err := localfleet.New(localfleet.Layout{Binary: p.Binary, Directory: directory, Servers: p.Servers,
 		Edges: p.Edges, Tolerance: p.Tolerance, LogLevel: "warn", Cores: coresOfProcess, MemoryMb: memoryOfProcess})
 	if err != nil {
 		return scalereport.Step{}, err
--- a/internal/testkit/scalerun/plan_test.go
+++ b/internal/testkit/scalerun/plan_test.go
@@ -42,8 +42,8 @@
 	testLimit   = 40 * time.Second
 )
 
-// TestShortRun plays the whole measurement with a few nodes.
-func TestShortRun(t *testing.T) {
+// TestPlay_shortRun plays the whole measurement with a few nodes.
+func TestPlay_shortRun(t *testing.T) {
 	sizes := []scalereport.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
 	var progress strings.Builder
 	result, err := Play(t.Context(), Plan{Binary: binary, Directory: t.TempDir(), Sizes: sizes, Target: scalereport.Size{Nodes: 360, Workers: 600},
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestShortTraffic measures a proxy at two low rates.
-func TestShortTraffic(t *testing.T) {
+// TestPlayTraffic_short measures a proxy at two low rates.
+func TestPlayTraffic_short(t *testing.T) {
 	steps, err := PlayTraffic(t.Context(), TrafficPlan{Binary: binary, Directory: t.TempDir(), Rates: []scalereport.Rate{{Requests: 20, Tokens: 5}, {Requests: 40, Tokens: 5}},
 		Workers: 3, TokenTime: 2 * time.Millisecond, Window: testWindow, Windows: 2, Limit: testLimit, Progress: io.Discard})
 	if err != nil || len(steps) != 2 {
@@ -105,14 +105,14 @@
 	}
 }
 
-func TestSizesBeyondTheMachineAreCut(t *testing.T) {
+func TestPlay_sizesBeyondTheMachine(t *testing.T) {
 	result, err := Play(t.Context(), Plan{Sizes: []scalereport.Size{{Nodes: 1 << 24, Workers: 1}}, Servers: 3, Progress: io.Discard})
 	if err != nil || len(result.Steps) != 0 || len(result.Cuts) != 1 || result.Cuts[0].Why == "" {
 		t.Errorf("%+v, %v", result, err)
 	}
 }
 
-func TestAnEndedContextEndsTheStep(t *testing.T) {
+func TestPlay_contextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := Play(ctx, Plan{Binary: binary, Directory: t.TempDir(), Sizes: []scalereport.Size{{Nodes: 2, Workers: 1}}, Servers: 3,
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestDocumentsAreValid(t *testing.T) {
+func TestDocument_valid(t *testing.T) {
 	command := configuration.Command{Kind: configuration.CommandReplace, Body: document(1, 20)}
 	if refusal := configuration.ValidateCommand(command); refusal != nil {
 		t.Errorf("whole: %v", refusal)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestAThirdOfTheWorkersReadPrompts(t *testing.T) {
+func TestStageOf_thirdIsPrefill(t *testing.T) {
 	prefill := 0
 	for i := range 600 {
 		if stageOf(i) == "prefill" {
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -55,7 +55,7 @@
 func PlayTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Limit)
 	defer cancel()
-	fleet, err := localfleet.New(localfleet.Layout{Binary: plan.Binary, Directory: plan.Directory, Keepers: 1, Edges: 1,
+	fleet, err := localfleet.New(localfleet.Layout{Binary: plan.Binary, Directory: plan.Directory, Servers: 1, Edges: 1,
 		LogLevel: "warn", Cores: coresOfProcess, MemoryMb: memoryOfProcess})
 	if err != nil {
 		return nil, err
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -38,23 +38,23 @@
 )
 
 const (
-	hang  = 10 * time.Second     // real time after which a step has failed
-	grain = 5 * time.Millisecond // the clock advances by this much at a time
+	stepTimeout = 10 * time.Second     // real time after which a step has failed
+	clockStep   = 5 * time.Millisecond // the clock advances by this much at a time
 
-	finWait2 = 5 // the system's number for a connection whose end the other side has acknowledged
+	tcpFinWait2 = 5 // the system's number for a connection whose end the other side has acknowledged
 )
 
-// Stage is where scenarios play: a loop with a clock of its own, and stand-ins.
-type Stage struct {
-	Loop  *eventloop.Loop
-	Words map[string]string // {name} in texts
+// Bench is where scenarios play: a loop with a clock of its own, and stand-ins.
+type Bench struct {
+	Loop      *eventloop.Loop
+	Variables map[string]string // {name} in texts
 
-	t        *testing.T
-	now      atomic.Int64
-	services map[string]string
-	standIns map[string]net.Listener
-	offered  map[string]net.Conn // taken from a stand-in that a later step accepts
-	conns    map[string]*conn
+	t         *testing.T
+	now       atomic.Int64
+	services  map[string]string
+	listeners map[string]net.Listener
+	accepted  map[string]net.Conn // taken from a stand-in that a later step accepts
+	conns     map[string]*conn
 }
 
 type conn struct {
@@ -63,10 +63,10 @@
 }
 
 // New sets a stage.
-func New(t *testing.T) *Stage {
+func New(t *testing.T) *Bench {
 	t.Helper()
-	s := &Stage{t: t, Words: map[string]string{}, services: map[string]string{},
-		standIns: map[string]net.Listener{}, offered: map[string]net.Conn{}, conns: map[string]*conn{}}
+	s := &Bench{t: t, Variables: map[string]string{}, services: map[string]string{},
+		listeners: map[string]net.Listener{}, accepted: map[string]net.Conn{}, conns: map[string]*conn{}}
 	s.now.Store(int64(1000 * time.Hour))
 	loop, err := eventloop.NewLoop(func() time.Duration { return time.Duration(s.now.Load()) })
 	if err != nil {
@@ -77,7 +77,7 @@
 		for _, c := range s.conns {
 			c.Close()
 		}
-		for _, l := range s.standIns {
+		for _, l := range s.listeners {
 			l.Close()
 		}
 		if err := loop.Stop(); err != nil {
@@ -87,25 +87,25 @@
 	return s
 }
 
-// StandIn listens in place of an outside service and returns its address.
-func (s *Stage) StandIn(name string) string {
+// Listen listens in place of an outside service and returns its address.
+func (s *Bench) Listen(name string) string {
 	s.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.standIns[name] = l
+	s.listeners[name] = l
 	s.services[name] = l.Addr().String()
 	return l.Addr().String()
 }
 
 // Serve names a service of the node's that scenarios dial.
-func (s *Stage) Serve(name, address string) { s.services[name] = address }
+func (s *Bench) Serve(name, address string) { s.services[name] = address }
 
-// Free returns a loopback address that nothing listens at. It is one of its
+// FreeAddress returns a loopback address that nothing listens at. It is one of its
 // own, since on 127.0.0.1 the system gives a port just found free to the next
 // connection that any test dials.
-func Free(t *testing.T) string {
+func FreeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254)))
 	if err != nil {
@@ -116,20 +116,20 @@
 }
 
 // Advance lets the node's clock run.
-func (s *Stage) Advance(span time.Duration) {
-	for ; span > 0; span -= grain {
-		s.now.Add(int64(min(span, grain)))
+func (s *Bench) Advance(span time.Duration) {
+	for ; span > 0; span -= clockStep {
+		s.now.Add(int64(min(span, clockStep)))
 		s.Loop.Tick()
 	}
 }
 
-// Late has the node's clock jump, as when the loop was held up: nothing is fired before the next turn.
-func (s *Stage) Late(span time.Duration) { s.now.Add(int64(span)) }
+// JumpClock has the node's clock jump, as when the loop was held up: nothing is fired before the next turn.
+func (s *Bench) JumpClock(span time.Duration) { s.now.Add(int64(span)) }
 
-// Until waits for something that shows on the loop alone. The clock stands.
-func (s *Stage) Until(f func() bool) {
+// WaitUntil waits for something that shows on the loop alone. The clock stands.
+func (s *Bench) WaitUntil(f func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(hang); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(stepTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		met := false
 		if s.Loop.Call(func() { met = f() }); met {
 			return
@@ -139,7 +139,7 @@
 }
 
 // Play plays a scenario.
-func (s *Stage) Play(text string) {
+func (s *Bench) Play(text string) {
 	s.t.Helper()
 	for line := range strings.SplitSeq(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -152,7 +152,7 @@
 	}
 }
 
-func (s *Stage) step(line string) error {
+func (s *Bench) step(line string) error {
 	name, rest, _ := strings.Cut(line, " ")
 	verb, arg, _ := strings.Cut(rest, " ")
 	if name == "wait" {
@@ -173,25 +173,25 @@
 	}
 	switch verb {
 	case "send":
-		_, err := io.WriteString(c, s.text(arg))
+		_, err := io.WriteString(c, s.expand(arg))
 		return err
 	case "expect":
-		return c.expect(s.text(arg))
+		return c.expect(s.expand(arg))
 	case "keep":
 		word, text, _ := strings.Cut(arg, " ")
-		if err := c.expect(s.text(text)); err != nil {
+		if err := c.expect(s.expand(text)); err != nil {
 			return err
 		}
-		value, err := c.until('"')
-		s.Words[word] = value
+		value, err := c.readUntil('"')
+		s.Variables[word] = value
 		return err
 	case "arrives":
-		return c.await(func(q int, _ uint8) bool { return q == 0 })
+		return c.awaitKernel(func(q int, _ uint8) bool { return q == 0 })
 	case "leaves":
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			return err
 		}
-		return c.await(func(_ int, state uint8) bool { return state == finWait2 })
+		return c.awaitKernel(func(_ int, state uint8) bool { return state == tcpFinWait2 })
 	case "resets":
 		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 			return err
@@ -200,7 +200,7 @@
 	case "closed":
 		return c.expectEnd()
 	case "ended":
-		if err := c.more(); !errors.Is(err, io.EOF) {
+		if err := c.readMore(); !errors.Is(err, io.EOF) {
 			return fmt.Errorf("the connection has not ended, %q came: %w", c.unread, err)
 		}
 		return nil
@@ -210,19 +210,19 @@
 	return errors.New("no such verb")
 }
 
-func (s *Stage) connect(verb, service string) (net.Conn, error) {
+func (s *Bench) connect(verb, service string) (net.Conn, error) {
 	if verb == "dial" {
-		return net.DialTimeout("tcp", s.services[service], hang)
+		return net.DialTimeout("tcp", s.services[service], stepTimeout)
 	}
-	l, ok := s.standIns[service].(*net.TCPListener)
+	l, ok := s.listeners[service].(*net.TCPListener)
 	if !ok {
 		return nil, errors.New("no such stand-in")
 	}
-	if c := s.offered[service]; c != nil {
-		delete(s.offered, service)
+	if c := s.accepted[service]; c != nil {
+		delete(s.accepted, service)
 		return c, nil
 	}
-	if err := l.SetDeadline(time.Now().Add(hang)); err != nil {
+	if err := l.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return nil, err
 	}
 	return l.Accept()
@@ -230,10 +230,10 @@
 
 // Await lets the node's clock run until a connection comes to a stand-in, for at most so long,
 // and returns how long that was. The next accept takes it.
-func (s *Stage) Await(service string, most time.Duration) (span time.Duration, came bool) {
+func (s *Bench) Await(service string, most time.Duration) (span time.Duration, came bool) {
 	s.t.Helper()
 	const step, look = 50 * time.Millisecond, 2 * time.Millisecond
-	l, ok := s.standIns[service].(*net.TCPListener)
+	l, ok := s.listeners[service].(*net.TCPListener)
 	if !ok {
 		s.t.Fatal("no such stand-in: " + service)
 	}
@@ -242,7 +242,7 @@
 			s.t.Fatal(err)
 		}
 		if c, err := l.Accept(); err == nil {
-			s.offered[service] = c
+			s.accepted[service] = c
 			return span, true
 		}
 		s.Advance(step)
@@ -250,9 +250,9 @@
 	return span, false
 }
 
-func (s *Stage) text(v string) string {
+func (s *Bench) expand(v string) string {
 	for range 2 { // a word may hold another
-		for word, stands := range s.Words {
+		for word, stands := range s.Variables {
 			v = strings.ReplaceAll(v, "{"+word+"}", stands)
 		}
 	}
@@ -266,21 +266,21 @@
 			c.unread = c.unread[i+len(text):]
 			return nil
 		}
-		if err := c.more(); err != nil {
+		if err := c.readMore(); err != nil {
 			return errors.Join(err, errors.New("came: "+string(c.unread)))
 		}
 	}
 }
 
-// until returns what comes before the next such byte, which stays unread.
-func (c *conn) until(end byte) (string, error) {
+// readUntil returns what comes before the next such byte, which stays unread.
+func (c *conn) readUntil(end byte) (string, error) {
 	for {
 		if i := strings.IndexByte(string(c.unread), end); i >= 0 {
 			value := string(c.unread[:i])
 			c.unread = c.unread[i:]
 			return value, nil
 		}
-		if err := c.more(); err != nil {
+		if err := c.readMore(); err != nil {
 			return "", err
 		}
 	}
@@ -288,7 +288,7 @@
 
 func (c *conn) expectEnd() error {
 	for {
-		err := c.more()
+		err := c.readMore()
 		var late net.Error
 		switch {
 		case errors.As(err, &late) && late.Timeout():
@@ -299,14 +299,14 @@
 	}
 }
 
-// await asks the system of this side until the other's has what was sent. On loopback that is
+// awaitKernel asks the system of this side until the other's has what was sent. On loopback that is
 // at once; the other side's program need not have read any of it.
-func (c *conn) await(met func(unacknowledged int, state uint8) bool) error {
+func (c *conn) awaitKernel(met func(unacknowledged int, state uint8) bool) error {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(hang); time.Now().Before(end); runtime.Gosched() {
+	for end := time.Now().Add(stepTimeout); time.Now().Before(end); runtime.Gosched() {
 		q, state := 0, uint8(0)
 		var err error
 		if received := raw.Control(func(fd uintptr) {
@@ -326,8 +326,8 @@
 	return errors.New("it never came there")
 }
 
-func (c *conn) more() error {
-	if err := c.SetReadDeadline(time.Now().Add(hang)); err != nil {
+func (c *conn) readMore() error {
+	if err := c.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
 	}
 	buf := make([]byte, 4096)
@@ -342,4 +342,4 @@
 }
 
 // Unread returns what has come on a connection and no step has taken.
-func (s *Stage) Unread(name string) string { return string(s.conns[name].unread) }
+func (s *Bench) Unread(name string) string { return string(s.conns[name].unread) }
