--- a/internal/node/batch/circuitbreaker/circuit.go
+++ b/internal/node/batch/circuitbreaker/circuit.go
@@ -1,47 +1,46 @@
-// Package circuitbreaker tells from the calls of the store of record whether it answers,
-// so that new work is turned away at once while it does not. It does no I/O and
-// takes the clock as an argument.
+// Package circuitbreaker is the circuit breaker of the batch front's store: it judges from the
+// store's calls whether it answers, so that submissions are rejected at once while it does not.
+// It does no I/O and takes the clock as an argument. Package jobs uses it.
 //
-// The calls are served one after the other, so that progress is one call's end: a
-// store that has calls to serve and has made none for a while is stalled. One whose
-// last call failed is failing, and one submission after each pause tries it, as
-// long as nothing else does. Any call that succeeds closes the circuit: the calls
-// that must not be dropped, as those that record results, go on throughout and are
-// the probes.
+// The store serves one call after the other, so that each end of a call is progress. A store with
+// calls in flight and no progress for StallTime is stalled. One whose last call failed is failing:
+// one submission per RetryInterval is admitted as a trial, unless other calls are in flight. Any
+// successful call closes the circuit. Calls that must not be dropped, such as those that record
+// results, are made throughout and serve as trials too.
 package circuitbreaker
 
 import "time"
 
-// Config is what a circuit is told.
+// Config configures a circuit breaker.
 type Config struct {
 	StallTime     time.Duration // without progress for longer the store is stalled
-	RetryInterval time.Duration // between two tries of a failing one
+	RetryInterval time.Duration // between two trials of a failing store
 }
 
-// State is a circuit's state, as it is shown.
+// State is the state of a circuit breaker, as the administration shows it.
 type State string
 
 // The states.
 const (
 	Healthy State = "well"
-	Stalled State = "stalled" // calls wait and none ends
+	Stalled State = "stalled" // calls are in flight and none ends
 	Failing State = "failing" // the last call failed
 )
 
-// Circuit is for one goroutine.
+// Circuit is a circuit breaker. It is not safe for concurrent use.
 type Circuit struct {
 	config       Config
-	inFlight     int           // calls not ended
-	lastProgress time.Duration // the last call's end, or the first one's beginning after none was out
+	inFlight     int           // calls that have not ended
+	lastProgress time.Duration // the last call's end, or the start of the first call after none was in flight
 	failing      bool
 	lastTrial    time.Duration
 	rejected     uint64
 }
 
-// New makes a closed circuit.
+// New returns a closed circuit breaker.
 func New(c Config) *Circuit { return &Circuit{config: c} }
 
-// CallBegan tells of a call handed to the store.
+// CallBegan records a call handed to the store.
 func (c *Circuit) CallBegan(now time.Duration) {
 	if c.inFlight == 0 {
 		c.lastProgress = now
@@ -49,7 +48,7 @@
 	c.inFlight++
 }
 
-// CallEnded tells of a call's end.
+// CallEnded records the end of a call.
 func (c *Circuit) CallEnded(now time.Duration, failed bool) {
 	c.inFlight--
 	c.lastProgress = now
@@ -70,14 +69,14 @@
 	return Healthy
 }
 
-// Admit tells whether new work may be taken, and where not when to return.
+// Admit reports whether a submission may be accepted, and if not after which time to retry.
 func (c *Circuit) Admit(now time.Duration) (after time.Duration, ok bool) {
 	switch c.State(now) {
 	case Healthy:
 		return 0, true
 	case Failing:
 		if c.inFlight == 0 && now-c.lastTrial >= c.config.RetryInterval {
-			c.lastTrial = now // this one tries it
+			c.lastTrial = now // this submission is the trial
 			return 0, true
 		}
 	}
@@ -85,11 +84,11 @@
 	return c.config.RetryInterval, false
 }
 
-// CountRejected counts work that had been admitted and was turned away after all.
+// CountRejected counts a submission that was admitted and rejected later.
 func (c *Circuit) CountRejected() { c.rejected++ }
 
 // InFlight returns the number of calls that have not ended.
 func (c *Circuit) InFlight() int { return c.inFlight }
 
-// Rejected returns how much work was turned away.
+// Rejected returns the number of rejected submissions.
 func (c *Circuit) Rejected() uint64 { return c.rejected }
--- a/internal/node/batch/circuitbreaker/circuit_test.go
+++ b/internal/node/batch/circuitbreaker/circuit_test.go
@@ -35,7 +35,7 @@
 	if after, ok := c.Admit(20 * ms); ok || after != time.Second || c.State(20*ms) != Failing {
 		t.Errorf("admitted %v, %v", ok, after)
 	}
-	// One after each pause tries it, and no other meanwhile.
+	// One submission per RetryInterval is the trial, and no other meanwhile.
 	tries := 0
 	for now := 20 * ms; now < 10*time.Second; now += 10 * ms {
 		if _, ok := c.Admit(now); ok {
--- a/internal/node/batch/jobs/control.go
+++ b/internal/node/batch/jobs/control.go
@@ -17,8 +17,8 @@
 	Reap      = "reap"
 )
 
-// Act does an action on a job. done is called once what it did is on record,
-// or with why it cannot be; the end that a termination brings follows.
+// Act performs an action on a job. done is called once its effect is recorded, or with an error.
+// A terminated job's end follows after that.
 func (m *Manager) Act(job *Job, action string, done func(*drmaa.Error)) {
 	switch action {
 	case Hold:
@@ -38,8 +38,8 @@
 
 var jobHasEnded = drmaa.InvalidStateError("the job has ended")
 
-// holdJob keeps a waiting job from being sent. One that is in the core is drawn
-// back from there, unless some step of it may have had effect.
+// holdJob keeps a waiting job from being sent. A job in the core is withdrawn, unless a step of
+// it may have run.
 func (m *Manager) holdJob(job *Job, done func(*drmaa.Error)) {
 	switch {
 	case job.ending || job.State.Final():
@@ -79,7 +79,7 @@
 	m.launchQueued()
 }
 
-// releaseJob lets a held job go on, once the store has it so.
+// releaseJob releases a held job once the store has it as released.
 func (m *Manager) releaseJob(job *Job, done func(*drmaa.Error)) {
 	switch {
 	case job.ending || job.State.Final():
@@ -103,7 +103,7 @@
 	}})
 }
 
-// Terminate ends a job at its owner's wish.
+// Terminate fails a job on request.
 func (m *Manager) Terminate(job *Job) *drmaa.Error {
 	switch {
 	case job.ending || job.State.Final():
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// TerminateID ends a job at hand for the administration.
+// TerminateID terminates a job in memory, for the administration.
 func (m *Manager) TerminateID(id string) (*Job, *drmaa.Error) {
 	job := m.jobs[id]
 	if job == nil {
@@ -133,8 +133,8 @@
 	return job, m.Terminate(job)
 }
 
-// ActOnArray does an action on all jobs of an array that are in a state for it.
-// Where there is none, it is an error as for a single job.
+// ActOnArray performs an action on all jobs of an array whose state allows it. If there is none,
+// the error is that of a single job.
 func (m *Manager) ActOnArray(array *Array, action string, done func(*drmaa.Affected, *drmaa.Error)) {
 	if action == Reap {
 		if array.unfinished > 0 {
@@ -164,7 +164,7 @@
 	m.actOnAll(all, action, done)
 }
 
-// actOnAll does an action on some jobs and tells on how many it worked.
+// actOnAll performs an action on jobs and counts those it applied to.
 func (m *Manager) actOnAll(all []*Job, action string, done func(*drmaa.Affected, *drmaa.Error)) {
 	if len(all) == 0 {
 		done(nil, jobHasEnded)
--- a/internal/node/batch/jobs/events.go
+++ b/internal/node/batch/jobs/events.go
@@ -7,17 +7,18 @@
 	"ospreybend/drmaa"
 )
 
-// stream is a tenant's events: the last ones, and who follows them. It takes a
-// bounded room whatever its readers do; what a slow reader has not fetched in
-// time is dropped, and the reader is told how many.
+// stream has a tenant's last events and those who follow them. Its size is bounded, however slow
+// the readers are: a slow reader misses events, and is told how many.
 type stream struct {
 	first     uint64 // the number of events[0]
 	events    []drmaa.Event
 	followers map[*follower]bool
 }
 
+// follower is a client that follows a stream; see Follow.
 type follower struct{ wake func() }
 
+// stream returns a tenant's stream.
 func (m *Manager) stream(tenant string) *stream {
 	s := m.streams[tenant]
 	if s == nil {
@@ -27,14 +28,14 @@
 	return s
 }
 
-// publish puts an event into the stream of the job's owner.
+// publish adds an event to the stream of the job's owner.
 func (m *Manager) publish(job *Job, what, machine string) {
 	if !job.recorded {
-		return // its owner does not know of it yet
+		return // its submission is not acknowledged yet
 	}
 	stream := m.stream(job.Tenant)
 	if maxEvents := m.config.MaxEvents; len(stream.events) >= maxEvents {
-		n := max(maxEvents/4, 1) // a good part at once, so that each event costs little
+		n := max(maxEvents/4, 1) // a quarter at once, so that the copy costs little per event
 		retained := make([]drmaa.Event, len(stream.events)-n, maxEvents)
 		copy(retained, stream.events[n:])
 		stream.events, stream.first = retained, stream.first+uint64(n)
@@ -50,9 +51,9 @@
 	}
 }
 
-// Events returns up to limit events of a session after a cursor. An empty cursor
-// is the present, "oldest" the oldest event that is kept. A cursor of an earlier
-// run of the program stands for events that are not known any more.
+// Events returns up to limit events of a session after a cursor. An empty cursor is the present,
+// "oldest" the oldest event retained. With a cursor of an earlier run of the program the number
+// of missed events is unknown.
 func (m *Manager) Events(t *TenantState, session, cursor string, limit int) (*drmaa.Events, *drmaa.Error) {
 	s := m.stream(t.Name)
 	next := s.first + uint64(len(s.events)) // the number that the next event will have
@@ -83,7 +84,7 @@
 	return out, nil
 }
 
-// Follow has wake called whenever a tenant has a new event, until leave is.
+// Follow has wake called for each new event of a tenant, until leave is called.
 func (m *Manager) Follow(t *TenantState, wake func()) (leave func()) {
 	s := m.stream(t.Name)
 	f := &follower{wake}
--- a/internal/node/batch/jobs/fixture_test.go
+++ b/internal/node/batch/jobs/fixture_test.go
@@ -14,8 +14,8 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// fixture is a manager between a scripted core and a store in memory whose calls
-// happen when the test says so.
+// fixture is a manager with a scripted core and a store in memory, whose calls run when the test
+// says so.
 type fixture struct {
 	t       testingT
 	now     time.Duration
@@ -30,7 +30,7 @@
 	settings balance.Settings
 }
 
-// testingT is a test, or a drawn case of one.
+// testingT is a *testing.T or a *rapid.T.
 type testingT interface {
 	Helper()
 	Fatal(...any)
@@ -42,7 +42,7 @@
 	then func(error)
 }
 
-// callResult is how a call of the store fails.
+// callResult is how a call of the store ends.
 type callResult uint8
 
 const (
@@ -55,13 +55,13 @@
 
 func (r *fixture) Now() time.Duration { return r.now }
 
-// Call is the keeper's.
+// Call implements StoreExecutor: it queues a call for runStoreCall.
 func (r *fixture) Call(do func(context.Context, Store) error, then func(error)) bool {
 	r.calls = append(r.calls, call{do, then})
 	return true
 }
 
-// runStoreCall has one call of the store done.
+// runStoreCall runs the first queued call of the store. It returns false if there is none.
 func (r *fixture) runStoreCall(how callResult) bool {
 	if len(r.calls) == 0 {
 		return false
@@ -107,8 +107,7 @@
 	return r
 }
 
-// start starts the program; after another one it is a restart, of which the
-// store alone knows the past.
+// start starts the program, or restarts it with the state that the store has.
 func (r *fixture) start() {
 	r.calls, r.timers = nil, timerqueue.Queue{}
 	r.core = &fakeCore{fixture: r, ready: true, ops: map[slottable.Handle]*fakeOp{}}
@@ -129,7 +128,7 @@
 
 func (r *fixture) anna() *TenantState { return r.manager.tenants["anna"] }
 
-// submit submits a job and has it recorded.
+// submit submits a job and records it.
 func (r *fixture) submit(t drmaa.JobTemplate) *Job {
 	r.t.Helper()
 	var got *Job
@@ -159,7 +158,7 @@
 	return got
 }
 
-// act does an action and returns what came of it.
+// act performs an action and returns its error.
 func (r *fixture) act(job *Job, action string) *drmaa.Error {
 	r.t.Helper()
 	var out *drmaa.Error
@@ -212,10 +211,10 @@
 	f(0, balance.Draining, 0)
 }
 
-// of finds a job's operation.
+// of returns a job's operation.
 func (c *fakeCore) of(job *Job) *fakeOp { return c.ops[job.operation] }
 
-// step has a step go out; it does once the store has it.
+// step sends a step, once the store has the job as sent.
 func (c *fakeCore) step(job *Job, to balance.WorkerID) { c.stepThen(job, to, func() {}) }
 
 func (c *fakeCore) stepThen(job *Job, to balance.WorkerID, out func()) {
@@ -236,7 +235,7 @@
 	})
 }
 
-// sent has a step go out at once.
+// sent sends a step at once.
 func (c *fakeCore) sent(job *Job, to balance.WorkerID) {
 	c.step(job, to)
 	c.fixture.runStoreCalls()
@@ -263,7 +262,7 @@
 	c.fixture.manager.OperationConcluded(c.fixture.manager, a.Verdict)
 }
 
-// serve has a job run to its end at a worker.
+// serve runs a job to its end at a worker.
 func (c *fakeCore) serve(job *Job) {
 	c.sent(job, 0)
 	c.begin(job, 0)
--- a/internal/node/batch/jobs/job.go
+++ b/internal/node/batch/jobs/job.go
@@ -12,17 +12,17 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// stage is where in the node a job is.
+// stage is how far a job has come within the node.
 type stage uint8
 
 const (
-	unscheduled stage = iota // held, or not to start yet, or behind its array's limit
+	unscheduled stage = iota // held, before its start time, backing off, or beyond its array's limit
 	queued                   // in the queue
 	inCore
 	ended
 )
 
-// Job is a job at hand.
+// Job is a job in memory.
 type Job struct {
 	Record
 	owner             *TenantState
@@ -30,23 +30,23 @@
 	array             *Array
 	stage             stage
 	recorded          bool // in the store
-	sendRecorded      bool // the store has it as sent, or is about to
-	ending            bool // its final state is decided, and being recorded
-	terminateOnRecord bool // asked for before it was recorded
+	sendRecorded      bool // the store has it as sent, or that is being written
+	ending            bool // its final state is decided, and being written
+	terminateOnRecord bool // Terminate was called before it was recorded
 	countedActive     bool // among its array's active jobs
 	operation         slottable.Handle
-	attempts          int // operations made of it
+	attempts          int // operations of it so far
 	refusals          int // in a row
-	failures          int // operations in which prep workers ran it and it failed
+	failures          int // operations that failed at a prep worker
 	stepFailed        bool
 	failedSteps       int // of this operation
 	notBefore         time.Duration
-	wake              *timerqueue.Timer // when it may be put in the queue
+	wake              *timerqueue.Timer // when it may be queued
 	deadline          *timerqueue.Timer
-	retryAfter        time.Duration      // the last refusal's advice
+	retryAfter        time.Duration      // of the last refusal
 	pending           *pendingSubmission // while it is being recorded
 	waiters           waiters
-	final             *Record // the final state, until it is recorded
+	final             *Record // the final record, until it is written
 }
 
 func (job *Job) slots() float64 { return job.Template.Slots() }
@@ -59,7 +59,7 @@
 	return queue.Key{Priority: job.Template.Priority, Start: start, Seq: job.Seq, ID: job.ID}
 }
 
-// Array is a job array at hand.
+// Array is a job array in memory.
 type Array struct {
 	ArrayRecord
 	session        *Session
@@ -68,18 +68,20 @@
 	unfinishedJobs map[int]*Job // unfinished jobs by index
 	states         map[drmaa.State]int
 	active         int                // jobs in the queue or beyond it
-	waiting        *queue.Queue[*Job] // those behind the limit
+	waiting        *queue.Queue[*Job] // jobs beyond MaxParallel
 
 	unfinished      int
 	anyWaiters      waiters // any of its jobs
 	allEndedWaiters waiters // all of them
 }
 
+// newArray returns an array in memory without jobs.
 func newArray(r ArrayRecord, recorded bool) *Array {
 	return &Array{ArrayRecord: r, recorded: recorded, unfinishedJobs: map[int]*Job{}, states: map[drmaa.State]int{},
 		waiting: queue.New[*Job]()}
 }
 
+// indexText returns the index of an array's job; "" for a single job.
 func indexText(job *Record) string {
 	if job.Array == "" {
 		return ""
@@ -87,7 +89,7 @@
 	return strconv.Itoa(job.Index)
 }
 
-// track keeps an unfinished job at hand.
+// track adds an unfinished job to the state in memory.
 func (m *Manager) track(job *Job) {
 	m.jobs[job.ID] = job
 	job.owner.unfinished++
@@ -101,6 +103,7 @@
 	}
 }
 
+// rememberKey records what a client key stands for.
 func (m *Manager) rememberKey(k submissionRef, tenant, key string) {
 	if key != "" {
 		m.byKey[keyOf(tenant, key)] = k
@@ -109,7 +112,7 @@
 
 func keyOf(tenant, clientKey string) string { return tenant + "\x00" + clientKey }
 
-// untrack undoes hold, for a job that has ended or was never recorded.
+// untrack removes a job that has ended, or was not recorded, from the unfinished ones.
 func (m *Manager) untrack(job *Job) {
 	job.owner.unfinished--
 	delete(job.session.jobs, job)
@@ -122,7 +125,7 @@
 	}
 }
 
-// forget forgets a job. The store has it, or never got it.
+// forget removes a job from memory. The store has it, unless it was not recorded.
 func (m *Manager) forget(job *Job) {
 	if m.jobs[job.ID] == job {
 		delete(m.jobs, job.ID)
@@ -132,6 +135,7 @@
 	}
 }
 
+// forgetArray removes an array from memory.
 func (m *Manager) forgetArray(a *Array) {
 	if m.arrays[a.ID] == a {
 		delete(m.arrays, a.ID)
@@ -141,15 +145,15 @@
 	}
 }
 
-// transition gives a job a new state and tells of it. A change that the standard's
-// model does not have is a fault of the program's.
+// transition changes a job's state and publishes the event. A transition that the standard's
+// model lacks is a defect: it is counted and logged.
 func (m *Manager) transition(job *Job, to drmaa.State) {
 	if job.State == to {
 		return
 	}
 	if !job.State.MayBecome(to) {
 		m.modelViolations++
-		slog.Error("a job's state changes against the model", "id", job.ID, "from", job.State, "to", to)
+		slog.Error("invalid job state transition", "id", job.ID, "from", job.State, "to", to)
 	}
 	if job.array != nil {
 		job.array.states[job.State]--
@@ -159,17 +163,18 @@
 	m.publish(job, drmaa.NewState, "")
 }
 
-// startDeadline has the job end when its deadline passes while it waits. In the core it
-// is the core that watches.
+// startDeadline fails the job if its deadline passes while it waits. In the core the core
+// does that.
 func (m *Manager) startDeadline(job *Job) {
 	job.deadline = m.timers.Add(time.Duration(job.DeadlineAt)*time.Microsecond, func() {
 		job.deadline = nil
-		if job.stage != inCore { // there the core watches, and it settles again
+		if job.stage != inCore { // from there it is scheduled again
 			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun)
 		}
 	})
 }
 
+// deadlineReason returns the reason of a job that fails by its deadline.
 func (m *Manager) deadlineReason(job *Job) string {
 	switch {
 	case job.MayHaveRun:
@@ -180,8 +185,8 @@
 	return "its deadline passed while it waited; it never ran"
 }
 
-// schedule puts a waiting job where it belongs now: to wait for its release or its
-// time, behind its array's limit, or in the queue.
+// schedule queues a waiting job, or leaves it unscheduled until its release, its start time or
+// backoff, or a place within its array's MaxParallel.
 func (m *Manager) schedule(job *Job) {
 	if !job.recorded || job.ending || job.stage == inCore {
 		return
@@ -190,7 +195,7 @@
 	now := m.clock.Now()
 	if job.DeadlineAt > 0 && job.deadline == nil {
 		if now >= time.Duration(job.DeadlineAt)*time.Microsecond {
-			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun) // it passed while the job was on its way
+			m.endJob(job, drmaa.Failed, m.deadlineReason(job), job.MayHaveRun) // it passed before the job was scheduled
 			return
 		}
 		m.startDeadline(job)
@@ -216,8 +221,8 @@
 	}
 }
 
-// unschedule takes a job out of wherever it waits. Its place among its array's active
-// jobs goes to the next.
+// unschedule removes a job from the queue and ends its waiting. Its place among its array's
+// active jobs goes to the next.
 func (m *Manager) unschedule(job *Job) {
 	m.timers.Cancel(job.wake)
 	job.wake = nil
@@ -243,7 +248,7 @@
 	}
 }
 
-// View is the job as its client sees it now.
+// View returns a job as its client sees it now.
 func (m *Manager) View(job *Job) *drmaa.Job {
 	v := job.view()
 	v.SubmissionMachine = m.config.Machine
@@ -256,6 +261,7 @@
 	return v
 }
 
+// view returns a job as its client sees it, by its record alone.
 func (r *Record) view() *drmaa.Job {
 	t := *r.Template
 	t.Input = "" // it may be large, and the client has it
@@ -291,7 +297,7 @@
 	return v
 }
 
-// ViewArray is the array as its client sees it now.
+// ViewArray returns an array as its client sees it now.
 func (m *Manager) ViewArray(a *Array) *drmaa.Array {
 	t := *a.Template
 	t.Input = ""
--- a/internal/node/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -12,7 +12,7 @@
 
 func template(command string) drmaa.JobTemplate { return drmaa.JobTemplate{RemoteCommand: command} }
 
-// order returns the jobs in the core, as they came there.
+// order returns the jobs in the core, in the order of their launch.
 func (r *fixture) order() (out []string) {
 	for ref := range r.core.last {
 		if op := r.core.ops[ref+1]; op != nil {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// fill has the window full, so that what comes next waits in the queue.
+// fill fills the window, so that further jobs wait in the queue.
 func (r *fixture) fill() (all []*Job) {
 	for r.manager.queue.Len() == 0 {
 		all = append(all, r.submit(template(safe)))
@@ -79,8 +79,8 @@
 	}
 }
 
-// A hold that comes while the job is being recorded as sent wins: nothing goes
-// out, and the record says so.
+// A hold while the job is being recorded as sent wins: nothing is sent, and the record has it as
+// held.
 func TestManager_Act_holdRacesTheLaunch(t *testing.T) {
 	r := newFixture(t)
 	job := r.submit(template(once))
@@ -111,7 +111,7 @@
 	r.state(again, drmaa.Done)
 }
 
-// In the core, a job can be held until a step of it may have had effect.
+// In the core, a job can be held until a step of it may have run.
 func TestManager_Act_holdInTheCore(t *testing.T) {
 	r := newFixture(t)
 	job := r.submit(template(once))
@@ -182,7 +182,7 @@
 	if got := r.order(); len(got) != 2 || got[1] != "/buchen/teil-6" {
 		t.Fatalf("in the core: %v", got)
 	}
-	// Terminated half started: what runs is drawn back, what waits never runs.
+	// Terminated when half of it has started: running jobs are withdrawn, waiting ones never run.
 	ends := 0
 	r.manager.WaitArray(a, false, true, time.Hour, func(*Job, *drmaa.Error) { ends++ })
 	r.core.sent(a.unfinishedJobs[4], 0)
@@ -225,7 +225,7 @@
 		t.Fatalf("%v; %d jobs left", got, len(r.manager.jobs))
 	}
 	r.advance(2 * time.Second) // while the store is failing new work is turned away
-	// Killed after the store has it and before it said so: all of it is there.
+	// Killed after the commit and before the acknowledgement: all of it is there.
 	r.manager.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) {})
 	_ = r.calls[0].do(t.Context(), r.store)
 	r.start()
@@ -267,8 +267,8 @@
 	}
 }
 
-// Of two creations at once the second fails; one that the store fails leaves
-// nothing; a session made anew while the old one of its name goes stays.
+// Of two concurrent creations the second fails; one that the store fails leaves nothing; a session
+// that is created while the old one of its name is removed stays.
 func TestManager_SetSession_concurrentCreates(t *testing.T) {
 	r := newFixture(t)
 	var got []*drmaa.Error
@@ -301,7 +301,7 @@
 	}
 }
 
-// Killed while a session is being destroyed: the restart goes on with it.
+// Killed while a session is being destroyed: the restart continues with it.
 func TestManager_DestroySession_continuesAfterRestart(t *testing.T) {
 	r := newFixture(t)
 	job := r.submit(template(safe))
@@ -344,7 +344,7 @@
 	if fmt.Sprint(got) != want || r.manager.Counts().Waits != 0 {
 		t.Errorf("%v, want %s; %d waits", got, want, r.manager.Counts().Waits)
 	}
-	// One that ended before the wait satisfies it, until it is reaped.
+	// One that has ended before the wait satisfies it, until it is reaped.
 	r.manager.WaitSession(s, false, time.Second, note("after"))
 	r.runStoreCalls()
 	if got[len(got)-1] != "after b" {
@@ -369,8 +369,8 @@
 	}
 }
 
-// What fails wherever it runs has failed; a rerunnable job is tried a few times
-// more. Refusals for want of room are another matter.
+// A job that fails wherever it runs has failed; a rerunnable one is retried a few times more.
+// Refusals for lack of capacity do not count.
 func TestManager_StepEnded_failsAtEveryWorker(t *testing.T) {
 	r := newFixture(t)
 	yes := true
@@ -394,8 +394,8 @@
 			t.Errorf("%d runs, %+v", runs, v)
 		}
 	}
-	// While the core goes on trying, the third failure ends a job, the first one
-	// that is not to be run again.
+	// While the core retries, the third failure ends a job, and the first ends one that is not
+	// rerunnable.
 	no := false
 	single := template(safe)
 	single.Rerunnable = &no
@@ -427,9 +427,8 @@
 	}
 }
 
-// The store stalls before a job's gate until the core gives up on it: nothing has
-// run, so the job waits anew, and its record is as it was. A mark that was written
-// meanwhile is taken back.
+// The store stalls in BeforeSend until the core's time-out: nothing has run, so that the job is
+// requeued with its record unchanged. An update that was written meanwhile is undone.
 func TestManager_BeforeSend_storeStalls(t *testing.T) {
 	r := newFixture(t)
 	job := r.submit(template(once))
@@ -445,7 +444,7 @@
 	if job.stage != inCore {
 		t.Fatal("it does not come back")
 	}
-	// Refused by a store that fails: the same.
+	// The same with a store that fails.
 	r.core.step(job, 0)
 	r.runStoreCall(callFails)
 	if r.core.of(job).out != 0 || job.Sent {
@@ -559,7 +558,7 @@
 	}
 }
 
-// Pages neither repeat nor leave out, while jobs come and end between them.
+// Pages neither repeat nor omit jobs, while jobs are submitted and end between them.
 func TestManager_List_pages(t *testing.T) {
 	r := newFixture(t)
 	r.core.ready = false
@@ -603,8 +602,7 @@
 	}
 }
 
-// Ten thousand waiting jobs come back in their order after a restart, held ones
-// held.
+// Ten thousand waiting jobs are restored in their order after a restart, held ones held.
 func TestManager_Load_manyWaiting(t *testing.T) {
 	r := newFixture(t)
 	r.core.ready = false
@@ -652,8 +650,8 @@
 	}
 }
 
-// While the store stalls or fails, new work is turned away at once and told when
-// to come back; what is in work ends, and its end shows once the store is back.
+// While the store stalls or fails, submissions are rejected at once with Retry-After; jobs in
+// progress end, and their end is visible once the store is back.
 func TestManager_Submit_whileTheStoreStalls(t *testing.T) {
 	r := newFixture(t)
 	job := r.submit(template(once))
@@ -689,8 +687,8 @@
 	}
 }
 
-// Submissions that a stalled store has not begun are turned away too, nothing of
-// them comes on record, and their client keys are free. One that it has begun waits.
+// Submissions that a stalled store has not begun are rejected too: nothing of them is recorded,
+// and their client keys are free. One that it has begun waits.
 func TestManager_Submit_caughtInAStall(t *testing.T) {
 	r := newFixture(t)
 	answers := map[string]*drmaa.Error{}
@@ -727,8 +725,8 @@
 	}
 }
 
-// The store stalls while a thousand clients wait: each gets its answer once it
-// is back, none before the end is on record.
+// The store stalls while a thousand clients wait: each is answered once it is back, none before
+// the end is recorded.
 func TestManager_Submit_storeStallsWhileManyWait(t *testing.T) {
 	r := newFixture(t)
 	job := r.submit(template(once))
--- a/internal/node/batch/jobs/lookup.go
+++ b/internal/node/batch/jobs/lookup.go
@@ -8,7 +8,7 @@
 
 const maxScans = 16 // reads of the store for one page
 
-// Session returns a tenant's session that is open.
+// Session returns an open session of a tenant.
 func (m *Manager) Session(t *TenantState, name string) (*Session, *drmaa.Error) {
 	if s := t.sessions[name]; s != nil && s.State == SessionOpen {
 		return s, nil
@@ -16,8 +16,8 @@
 	return nil, UnknownSession
 }
 
-// Find gives a tenant's job to got, from what is at hand or from the store. A
-// job of another tenant, or a reaped one, looks unknown.
+// Find calls got with a tenant's job, from memory or from the store. A job of another tenant, or
+// a reaped one, is unknown.
 func (m *Manager) Find(t *TenantState, session, id string, got func(*Job, *drmaa.Error)) {
 	if _, e := m.Session(t, session); e != nil {
 		got(nil, e)
@@ -53,7 +53,7 @@
 	}
 }
 
-// FindAll is Find for several jobs; one that is unknown fails the call.
+// FindAll is Find for several jobs. An unknown one is an error of the call.
 func (m *Manager) FindAll(t *TenantState, session string, ids []string, got func([]*Job, *drmaa.Error)) {
 	out := make([]*Job, len(ids))
 	left := len(ids)
@@ -107,14 +107,16 @@
 	}
 }
 
-// List gives one page of a tenant's jobs, newest first; an empty session means
-// all sessions, an empty tenant all tenants'. The store selects by what does not
-// change, and the states as they are now are looked at here.
+// List calls got with one page of a tenant's jobs, newest first; an empty session means all
+// sessions, an empty tenant all tenants. The store selects by all but the state, which may be
+// newer in memory.
 func (m *Manager) List(tenant, session string, f drmaa.Filter, got func(*drmaa.Page, *drmaa.Error)) {
 	page := &drmaa.Page{Jobs: []*drmaa.Job{}}
 	m.scan(tenant, session, f, page, maxScans, got)
 }
 
+// scan appends the matching jobs of one read of the store to a page, and reads on until the page
+// is full, the list ends or no scans are left.
 func (m *Manager) scan(tenant, session string, filter drmaa.Filter, page *drmaa.Page, scans int, got func(*drmaa.Page, *drmaa.Error)) {
 	most := drmaa.MaxListed + 1
 	var rows []*Record
@@ -145,7 +147,7 @@
 		case len(rows) < most:
 			got(page, nil)
 		case scans <= 1:
-			page.Next = filter.Before.String() // a short page, with more to come
+			page.Next = filter.Before.String() // an incomplete page, with more to follow
 			got(page, nil)
 		default:
 			m.scan(tenant, session, filter, page, scans-1, got)
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -21,16 +21,17 @@
 )
 
 const (
-	maxEndedArrays    = 200                    // ended arrays, likewise
-	storeRetryDelay   = time.Second            // a failed write is tried again after this
+	maxEndedArrays    = 200                    // ended arrays in memory; Config.MaxEndedJobs is that of jobs
+	storeRetryDelay   = time.Second            // before a failed write is retried
 	storeStallTime    = 500 * time.Millisecond // without progress for longer the store is stalled
-	defaultRetryAfter = time.Second            // advice where nothing better is known
-	minRequeueDelay   = 100 * time.Millisecond // a refused job returns to the core no sooner
-	maxRequeueDelay   = 10 * time.Second       // and, by this front's own waits, no later
-	readyPollInterval = 100 * time.Millisecond // without a ready destination, looked at again after this
+	defaultRetryAfter = time.Second            // Retry-After where nothing better is known
+	minRequeueDelay   = 100 * time.Millisecond // backoff of a job that the core refused, at first
+	maxRequeueDelay   = 10 * time.Second       // and at most, unless the core advises a longer one
+	readyPollInterval = 100 * time.Millisecond // between two looks for a ready destination
 )
 
-// Manager is the jobs, arrays, sessions and tenants of the batch front.
+// Manager has the jobs, arrays, sessions and tenants of the batch front. All of it belongs to
+// the event loop.
 type Manager struct {
 	config  Config
 	classes map[string]drmaa.Class
@@ -40,41 +41,50 @@
 	clock   routing.Clock
 	timers  *timerqueue.Queue
 
+	// The state in memory: unfinished jobs and arrays, and those that ended last.
 	tenants     map[string]*TenantState // by name
 	byToken     map[string]*TenantState // by the token's hash
 	jobs        map[string]*Job
 	arrays      map[string]*Array
 	byKey       map[string]submissionRef // by tenant and client key
 	byOperation map[slottable.Handle]*Job
-	endedJobs   []string // jobs at hand that have ended, oldest first
-	endedArrays []string // arrays at hand that have ended, oldest first
+	endedJobs   []string // IDs of ended jobs in memory, oldest first
+	endedArrays []string // IDs of ended arrays in memory, oldest first
 	lastSeq     int64
 
-	queue               *queue.Queue[*Job]
-	window              *window.Window
+	// Dispatch of queued jobs to the core.
+	queue           *queue.Queue[*Job]
+	window          *window.Window
+	launchScheduled bool // launchQueued is called again at a time that is set
+	launching       bool // within launchQueued
+	stopping        bool // no further submissions or dispatches
+
+	// Writes to the store.
 	inserts             batchWriter[*pendingSubmission]
 	updates             batchWriter[*change]
 	finals              batchWriter[*Job]
-	openWaits           int
-	modelViolations     int                         // of the program's own
-	pendingSubmissions  map[*pendingSubmission]bool // submissions that are being recorded
-	stallCheckScheduled bool                        // the store, for a stall
-	finalsToRetry       int                         // final states that the store failed to write, and gets again
-	pumpScheduled       bool                        // at the queue again at a time that is set
-	pumping             bool
-	stopping            bool
-	streamEpoch         string
-	streams             map[string]*stream // by tenant
-	loadReports         map[balance.WorkerID]*loadReport
-	freeSlotsField      int // where reports have the free slots; below 0: nowhere
+	pendingSubmissions  map[*pendingSubmission]bool // being recorded
+	finalsToRetry       int                         // final states whose write failed and will be retried
+	stallCheckScheduled bool
+
+	// Clients that wait, and event streams.
+	openWaits   int
+	streamEpoch string             // names this run of the program in cursors
+	streams     map[string]*stream // by tenant
+
+	// Monitoring.
+	loadReports     map[balance.WorkerID]*loadReport
+	freeSlotsField  int // index of the free slots in load reports; below 0: none
+	modelViolations int // state transitions that the standard's model lacks
 }
 
+// submissionRef is what a client key stands for: a job or an array.
 type submissionRef struct {
 	job   *Job
 	array *Array
 }
 
-// TenantState is a tenant and its sessions.
+// TenantState is a tenant with its sessions.
 type TenantState struct {
 	Tenant
 	sessions   map[string]*Session
@@ -89,21 +99,24 @@
 	SessionRecord
 	jobs             map[*Job]bool // unfinished ones
 	waiters          waiters
-	destroyCallbacks []func(*drmaa.Error) // that wait for its end
+	destroyCallbacks []func(*drmaa.Error) // of DestroySession
 
-	recorded bool
-	removing bool // its removal is on its way to the store
+	recorded bool // in the store
+	removing bool // its removal is being written
 }
 
-// New makes a manager. Load must follow.
-func New(config Config, core Core, keeper StoreExecutor, clock routing.Clock, line *timerqueue.Queue) *Manager {
-	m := &Manager{config: config, classes: map[string]drmaa.Class{}, core: core, store: keeper, clock: clock, timers: line,
+// New returns a manager. Load must be called before any other method.
+func New(config Config, core Core, store StoreExecutor, clock routing.Clock, timers *timerqueue.Queue) *Manager {
+	m := &Manager{
+		config: config, classes: map[string]drmaa.Class{}, core: core, clock: clock, timers: timers,
 		tenants: map[string]*TenantState{}, byToken: map[string]*TenantState{}, jobs: map[string]*Job{},
-		arrays: map[string]*Array{}, byKey: map[string]submissionRef{}, byOperation: map[slottable.Handle]*Job{}, queue: queue.New[*Job](),
-		streamEpoch: newID()[:8], streams: map[string]*stream{}, loadReports: map[balance.WorkerID]*loadReport{}, pendingSubmissions: map[*pendingSubmission]bool{},
-		freeSlotsField: slices.Index(config.Settings.Report, balance.FieldFreeSlots)}
+		arrays: map[string]*Array{}, byKey: map[string]submissionRef{}, byOperation: map[slottable.Handle]*Job{},
+		queue: queue.New[*Job](), pendingSubmissions: map[*pendingSubmission]bool{},
+		streamEpoch: newID()[:8], streams: map[string]*stream{}, loadReports: map[balance.WorkerID]*loadReport{},
+		freeSlotsField: slices.Index(config.Settings.Report, balance.FieldFreeSlots),
+	}
 	m.circuit = circuitbreaker.New(circuitbreaker.Config{StallTime: storeStallTime, RetryInterval: storeRetryDelay})
-	m.store = &monitoredStore{keeper, m}
+	m.store = &monitoredStore{store, m}
 	if config.WorkerName == nil {
 		m.config.WorkerName = func(balance.WorkerID) string { return "" }
 	}
@@ -118,37 +131,54 @@
 	return m
 }
 
-// Reconfigure changes what may change while the front runs: the window's bounds,
-// the longest wait of jobs to come, the events kept.
+// Reconfigure changes the settings that take effect while the front runs: the window's bounds,
+// the longest wait of further jobs and the events retained.
 func (m *Manager) Reconfigure(slots float64, target, longest time.Duration, events int) {
 	m.config.MaxSlots, m.config.DelayTarget, m.config.MaxWait, m.config.MaxEvents = slots, target, longest, events
 	m.window.Reconfigure(window.Config{MaxSlots: slots, DelayTarget: target})
 	m.launchQueued()
 }
 
-// Classes returns the classes that jobs may be of.
+// Classes returns the classes of jobs by name.
 func (m *Manager) Classes() map[string]drmaa.Class { return m.classes }
 
-// Now is the loop's clock, which counts from the Unix epoch.
+// Now returns the loop's clock as a time.
 func (m *Manager) Now() time.Time { return time.UnixMicro(m.unixNow()) }
 
 func (m *Manager) unixNow() int64 { return m.clock.Now().Microseconds() }
 
+// newID returns a random ID of 24 hexadecimal digits.
 func newID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:]) // never fails, as of Go 1.24
 	return hex.EncodeToString(b[:])
 }
 
-// Load takes up where the last run of the program ended: what may have run and
-// must not run twice has failed, the rest waits in its old order while its
-// deadline lasts, held jobs held.
+// Load restores the state that the last run of the program has left in the store. A job that
+// may have run and is non-idempotent fails; the others wait in their old order, held ones held,
+// until their deadline.
 func (m *Manager) Load(tenants []Tenant, sessions []SessionRecord, records []*Record, arrays []*ArrayRecord) {
 	for _, t := range tenants {
 		m.PutTenant(t)
 	}
-	var destroying []*Session
-	for _, r := range sessions {
+	destroying := m.restoreSessions(sessions)
+	for _, r := range arrays {
+		m.restoreArray(r)
+	}
+	for _, r := range records {
+		m.restoreJob(r)
+	}
+	for _, s := range destroying {
+		m.destroy(s)
+	}
+	if len(tenants) > 0 {
+		slog.Info("batch jobs restored", "tenants", len(tenants), "jobs", len(records), "arrays", len(arrays))
+	}
+}
+
+// restoreSessions restores sessions from their records, and returns those whose destruction has begun.
+func (m *Manager) restoreSessions(records []SessionRecord) (destroying []*Session) {
+	for _, r := range records {
 		t := m.tenants[r.Tenant]
 		if t == nil {
 			continue
@@ -159,52 +189,52 @@
 			destroying = append(destroying, s)
 		}
 	}
-	for _, r := range arrays {
-		a := newArray(*r, true)
-		for s, n := range r.States {
-			if s.Final() { // the others are counted as they are taken up
-				a.states[s] += n
-			}
+	return destroying
+}
+
+// restoreArray restores an array from its record, with the counts of its ended jobs: the others
+// are counted as they are restored.
+func (m *Manager) restoreArray(r *ArrayRecord) {
+	array := newArray(*r, true)
+	for state, count := range r.States {
+		if state.Final() {
+			array.states[state] += count
 		}
-		m.arrays[a.ID] = a
-		m.rememberKey(submissionRef{array: a}, a.Tenant, a.ClientKey)
 	}
-	for _, r := range records {
-		owner := m.tenants[r.Tenant]
-		if owner == nil {
-			slog.Error("batch job of no tenant", "id", r.ID, "tenant", r.Tenant)
-			continue
-		}
-		job := &Job{Record: *r, owner: owner, session: owner.session(r.Session), array: m.arrays[r.Array], recorded: true,
-			sendRecorded: r.Sent}
-		m.lastSeq = max(m.lastSeq, r.Seq)
-		job.State = drmaa.Queued
-		if r.Sent {
-			job.State = drmaa.Requeued
-		}
-		if r.Held {
-			job.State = job.State.Hold()
-		}
-		m.track(job)
-		class, known := m.classes[r.Template.RemoteCommand]
-		switch {
-		case !known:
-			m.endJob(job, drmaa.Failed, "the class is gone", r.Sent)
-		case r.Sent && class.NonIdempotent:
-			m.endJob(job, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
-		default:
-			m.schedule(job)
-		}
+	m.arrays[array.ID] = array
+	m.rememberKey(submissionRef{array: array}, array.Tenant, array.ClientKey)
+}
+
+// restoreJob restores an unfinished job from its record, and schedules or fails it.
+func (m *Manager) restoreJob(r *Record) {
+	owner := m.tenants[r.Tenant]
+	if owner == nil {
+		slog.Error("batch job of no tenant", "id", r.ID, "tenant", r.Tenant)
+		return
 	}
-	for _, s := range destroying {
-		m.destroy(s)
+	job := &Job{Record: *r, owner: owner, session: owner.session(r.Session), array: m.arrays[r.Array], recorded: true,
+		sendRecorded: r.Sent}
+	m.lastSeq = max(m.lastSeq, r.Seq)
+	job.State = drmaa.Queued
+	if r.Sent {
+		job.State = drmaa.Requeued
 	}
-	if len(tenants) > 0 {
-		slog.Info("batch jobs taken up", "tenants", len(tenants), "jobs", len(records), "arrays", len(arrays))
+	if r.Held {
+		job.State = job.State.Hold()
+	}
+	m.track(job)
+	class, known := m.classes[r.Template.RemoteCommand]
+	switch {
+	case !known:
+		m.endJob(job, drmaa.Failed, "the class is gone", r.Sent)
+	case r.Sent && class.NonIdempotent:
+		m.endJob(job, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
+	default:
+		m.schedule(job)
 	}
 }
 
-// PutTenant lets a tenant in, or changes one.
+// PutTenant adds a tenant, or changes one.
 func (m *Manager) PutTenant(in Tenant) *TenantState {
 	t := m.tenants[in.Name]
 	if t == nil {
@@ -220,7 +250,7 @@
 // Tenant returns the tenant of a name, or nil.
 func (m *Manager) Tenant(name string) *TenantState { return m.tenants[name] }
 
-// Tenants returns all tenants by name.
+// Tenants returns all tenants, sorted by name.
 func (m *Manager) Tenants() []*TenantState {
 	out := make([]*TenantState, 0, len(m.tenants))
 	for _, name := range slices.Sorted(maps.Keys(m.tenants)) {
@@ -232,6 +262,7 @@
 // ByToken returns the tenant whose token has the hash, or nil.
 func (m *Manager) ByToken(hash string) *TenantState { return m.byToken[hash] }
 
+// session returns a tenant's session, which is created closed if it does not exist.
 func (t *TenantState) session(name string) *Session {
 	s := t.sessions[name]
 	if s == nil {
@@ -241,13 +272,14 @@
 	return s
 }
 
-// Stop has no new jobs taken in, and none begun.
+// Stop ends the acceptance and the dispatch of jobs.
 func (m *Manager) Stop() { m.stopping = true }
 
-// Stopping tells whether Stop was called.
+// Stopping reports whether Stop or EndWaits was called.
 func (m *Manager) Stopping() bool { return m.stopping }
 
-// EndWaits ends all waits: their clients may wait again elsewhere, or later.
+// EndWaits stops the manager and ends all waits with TryLater: their clients may wait again
+// elsewhere, or later.
 func (m *Manager) EndWaits() {
 	m.stopping = true
 	e := drmaa.TryLaterError(defaultRetryAfter, "the node is stopping")
@@ -275,12 +307,12 @@
 	}
 }
 
-// Pending returns the number of operations and writes still on their way.
+// Pending returns the number of operations and writes in progress.
 func (m *Manager) Pending() int {
 	return len(m.byOperation) + m.inserts.pending() + m.updates.pending() + m.finals.pending() + m.finalsToRetry
 }
 
-// IDs returns the ids of the jobs at hand, the newest submission's last.
+// IDs returns the IDs of the jobs in memory, in the order of their submission.
 func (m *Manager) IDs() []string {
 	all := slices.SortedFunc(maps.Values(m.jobs), func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
 	out := make([]string, len(all))
@@ -290,18 +322,18 @@
 	return out
 }
 
-// Counts is the batch front as it stands.
+// Counts is the state of the batch front in numbers.
 type Counts struct {
 	Unfinished int                  `json:"unfinished"` // jobs
-	Queued     int                  `json:"queued"`     // whose turn has not come
+	Queued     int                  `json:"queued"`     // not in the core yet
 	InCore     int                  `json:"inCore"`
 	Store      circuitbreaker.State `json:"store"`
-	Rejected   uint64               `json:"turnedAway"` // as the store did not answer
+	Rejected   uint64               `json:"turnedAway"` // submissions, because the store did not answer
 	Waits      int                  `json:"waits"`      // of clients
 	Window     window.State         `json:"window"`
 }
 
-// Counts returns how the batch front stands.
+// Counts returns the state of the batch front in numbers.
 func (m *Manager) Counts() Counts {
 	c := Counts{Store: m.circuit.State(m.clock.Now()), Rejected: m.circuit.Rejected(), Queued: m.queue.Len(), InCore: len(m.byOperation), Waits: m.openWaits, Window: m.window.State()}
 	for _, t := range m.tenants {
@@ -310,12 +342,13 @@
 	return c
 }
 
-// monitoredStore is the keeper with the circuit that watches it.
+// monitoredStore reports the calls of a StoreExecutor to the circuit breaker.
 type monitoredStore struct {
 	StoreExecutor
 	manager *Manager
 }
 
+// Call implements StoreExecutor.
 func (w *monitoredStore) Call(do func(context.Context, Store) error, then func(error)) bool {
 	m := w.manager
 	taken := w.StoreExecutor.Call(do, func(err error) {
@@ -333,7 +366,8 @@
 	return taken
 }
 
-// checkStall looks at the store as long as it has calls to serve.
+// checkStall checks for a stall of the store as long as it has calls in flight, and rejects the
+// submissions that wait for it.
 func (m *Manager) checkStall() {
 	if m.stallCheckScheduled || m.circuit.InFlight() == 0 {
 		return
@@ -348,20 +382,20 @@
 	})
 }
 
-// StoreExecutor returns the way to the store, for calls of the administration.
+// StoreExecutor returns the access to the store, for calls of the administration.
 func (m *Manager) StoreExecutor() StoreExecutor { return m.store }
 
-// batchWriter gathers the writes of one kind: while one call of the store is under way,
-// what comes goes with the next. Its items are handed to write off the loop, so
-// that what write reads of them must not change.
+// batchWriter groups the writes of one kind into batches: items added while a call of the store
+// is in flight go with the next. write is called off the loop, so that the fields that it reads
+// must not change; done is called on the loop with the result.
 type batchWriter[T any] struct {
 	manager  *Manager
-	maxBatch int // items of one call
+	maxBatch int // items of one batch
 	write    func(context.Context, Store, []T) error
 	done     func([]T, error)
 	waiting  []T
-	inFlight int
-	paused   bool
+	inFlight int  // items of the batch that is being written
+	paused   bool // the store's queue was full
 }
 
 func (p *batchWriter[T]) pending() int { return len(p.waiting) + p.inFlight }
--- a/internal/node/batch/jobs/monitor.go
+++ b/internal/node/batch/jobs/monitor.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	maxReportAge = 10 * time.Second // a load report is shown no longer
-	maxMachines  = 20_000           // whose last report is kept
+	maxReportAge = 10 * time.Second // an older load report is not shown
+	maxMachines  = 20_000           // destinations whose last report is kept
 )
 
-// loadReport is the last that a destination said of itself.
+// loadReport is the last load report of a destination.
 type loadReport struct {
 	freeSlots float64
 	at        time.Duration
 }
 
-// LoadReported is the core's word of a destination's load report.
+// LoadReported implements routing.LoadObserver: it records a destination's free slots.
 func (m *Manager) LoadReported(to balance.WorkerID, report []float32) {
 	if m.freeSlotsField < 0 || m.freeSlotsField >= len(report) || report[m.freeSlotsField] != report[m.freeSlotsField] {
 		return
@@ -29,7 +29,7 @@
 	k := m.loadReports[to]
 	if k == nil {
 		if len(m.loadReports) >= maxMachines {
-			clear(m.loadReports) // most have left; those here report again
+			clear(m.loadReports) // most have left the list; the others report again
 		}
 		k = &loadReport{}
 		m.loadReports[to] = k
@@ -37,8 +37,7 @@
 	k.freeSlots, k.at = float64(report[m.freeSlotsField]), m.clock.Now()
 }
 
-// Machines lists the destinations, with the slots that the tenant's jobs take up
-// there.
+// Machines returns the destinations, with the slots that the tenant's jobs use there.
 func (m *Manager) Machines(t *TenantState) []drmaa.Machine {
 	taken := map[string]float64{}
 	for _, job := range m.byOperation {
@@ -71,7 +70,7 @@
 	return out
 }
 
-// Queues lists the classes, with the tenant's jobs of each.
+// Queues returns the classes, with the numbers of the tenant's jobs.
 func (m *Manager) Queues(t *TenantState) []drmaa.Queue {
 	by := map[string]*drmaa.Queue{}
 	for name, class := range m.classes {
--- a/internal/node/batch/jobs/property_test.go
+++ b/internal/node/batch/jobs/property_test.go
@@ -17,9 +17,9 @@
 // The cases drawn are the same in each run; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// randomTest drives a manager with random calls and faults, and holds what it shows
-// against a model: one final state for each job, never changed; no booking begun
-// twice; nothing held in the core; every wait answered once.
+// randomTest drives a manager with random calls and faults, and checks invariants: each job has one
+// final state, which never changes; no booking starts twice; no held job is in the core; every wait
+// is answered once.
 type randomTest struct {
 	*fixture
 	t     *rapid.T
@@ -42,7 +42,7 @@
 	return all
 }
 
-// pick draws one of the jobs that are fit, or nil.
+// pick draws one of the jobs that fit, or nil.
 func (w *randomTest) pick(fit func(*Job) bool) *Job {
 	all := slices.DeleteFunc(w.jobs(), func(job *Job) bool { return !fit(job) })
 	if len(all) == 0 {
@@ -101,7 +101,7 @@
 	case 5, 6, 7:
 		w.runStoreCall(callSucceeds)
 	case 8:
-		// Inserts whose answer is lost are the next issue's; the client is told 500.
+		// Inserts whose answer is lost are not covered here; the client gets 500.
 		w.faulted = true
 		w.runStoreCall(callFails)
 	case 9:
@@ -147,8 +147,8 @@
 	}
 }
 
-// step sends a job's step, which goes out once its gate opens. From then on the
-// worker may begin it, whatever the node learns of that.
+// step sends a job's step once its gate opens. From then on the worker may start it, whether or
+// not the node learns of that.
 func (w *randomTest) step(job *Job, to balance.WorkerID) {
 	w.core.stepThen(job, to, func() {
 		w.went[job.ID]++
@@ -158,7 +158,7 @@
 	})
 }
 
-// stepEnds ends a job's step, and the operation as the core's rules have it.
+// stepEnds ends a job's step, and its operation by the core's rules.
 func (w *randomTest) stepEnds(job *Job) {
 	op, at := w.core.of(job), job.Steps[len(job.Steps)-1].worker
 	outcomes := []balance.Outcome{balance.Served, balance.Errored, balance.Reset}
@@ -174,7 +174,7 @@
 	case how == balance.Served:
 		w.core.answer(job, routing.Answer{Verdict: routing.Served, Result: []byte("r")})
 	case how.NeverRan():
-		// Stays: another step or a refusal follows.
+		// The operation continues: another step or a refusal follows.
 	case job.Template.RemoteCommand == once:
 		w.core.answer(job, routing.Answer{Verdict: routing.Failed})
 	default:
@@ -241,7 +241,7 @@
 	}
 }
 
-// finish plays without faults until all has ended.
+// finish continues without faults until all jobs have ended.
 func (w *randomTest) finish() {
 	w.core.ready = true
 	for range 3000 {
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	maxRecordedSteps = 16 // of one job; the oldest go first
-	maxFailures      = 3  // runs that failed of a job; of a rerunnable one, operations in which all did
+	maxRecordedSteps = 16 // of a job; the oldest are dropped
+	maxFailures      = 3  // failed steps of a job; of a rerunnable one, failed operations
 )
 
-// launchQueued sends on whose turn it is, as far as the window reaches.
+// launchQueued dispatches queued jobs to the core, as far as the window has slots.
 func (m *Manager) launchQueued() {
-	if m.stopping || m.queue.Len() == 0 || m.pumpScheduled || m.pumping {
+	if m.stopping || m.queue.Len() == 0 || m.launchScheduled || m.launching {
 		return
 	}
-	m.pumping = true
-	defer func() { m.pumping = false }()
+	m.launching = true
+	defer func() { m.launching = false }()
 	now := m.clock.Now()
 	retryAt, paused := m.window.Paused(now)
 	if !paused && !m.core.AnyReady() {
 		retryAt, paused = now+readyPollInterval, true
 	}
 	if paused {
-		m.pumpScheduled = true
+		m.launchScheduled = true
 		m.timers.Add(retryAt, func() {
-			m.pumpScheduled = false
+			m.launchScheduled = false
 			m.launchQueued()
 		})
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// BeforeSend has a job's first step wait until the store knows that it may be sent:
-// after a restart only what the store does not have so never ran for certain.
+// BeforeSend implements routing.Gate: a job's first step is sent only after the store has the
+// job as sent. After a crash all other jobs certainly never ran.
 func (m *Manager) BeforeSend(op slottable.Handle, open func(bool)) {
 	job := m.byOperation[op]
 	switch {
@@ -60,7 +60,7 @@
 	case job.Sent:
 		open(true)
 	case m.stopping:
-		open(false) // the next run of the program may send it
+		open(false) // it is left to the next run of the program
 	default:
 		job.sendRecorded = true
 		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: true}, job: job, done: func(err error) {
@@ -70,8 +70,7 @@
 	}
 }
 
-// clearSent takes the mark back from a job that is in no prep worker's hands and has
-// been in none's.
+// clearSent records that a job is not sent any more, if it certainly never ran.
 func (m *Manager) clearSent(job *Job) {
 	if job.sendRecorded && !job.MayHaveRun {
 		job.Sent, job.sendRecorded = false, false
@@ -79,13 +78,14 @@
 	}
 }
 
-// change is a change to a job's record on its way to the store.
+// change is a RecordUpdate on its way to the store.
 type change struct {
 	RecordUpdate
 	job  *Job
-	done func(error) // nil: nobody waits for it
+	done func(error) // nil: none
 }
 
+// writeUpdates writes a batch of updates, off the loop.
 func (m *Manager) writeUpdates(ctx context.Context, store Store, updates []*change) error {
 	rows := make([]RecordUpdate, len(updates))
 	for i, update := range updates {
@@ -94,27 +94,28 @@
 	return store.Update(ctx, rows)
 }
 
+// updatesWritten takes the result of writeUpdates.
 func (m *Manager) updatesWritten(updates []*change, err error) {
 	for _, update := range updates {
 		switch {
 		case update.done != nil:
 			update.done(err)
 		case err != nil:
-			// The record says more than is so, which does no harm but after a crash.
+			// The record still has the job as sent or held. That matters after a crash alone.
 			m.timers.Add(m.fromNow(storeRetryDelay), func() { m.rewriteStatus(update.job) })
 		}
 	}
 	m.launchQueued()
 }
 
-// rewriteStatus writes what an unfinished job is now.
+// rewriteStatus records the present status of an unfinished job.
 func (m *Manager) rewriteStatus(job *Job) {
 	if !job.ending {
 		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: job.Sent || job.stage == inCore, Held: job.Held}, job: job})
 	}
 }
 
-// launch makes an operation of a job whose turn it is.
+// launch submits a job to the core as an operation.
 func (m *Manager) launch(job *Job) {
 	now := m.clock.Now()
 	deadline := time.Duration(job.DeadlineAt) * time.Microsecond
@@ -138,7 +139,8 @@
 	m.core.Route(job.operation)
 }
 
-// leaveCore takes a job out of the window, where it is in it.
+// leaveCore ends a job's operation on this side and releases its slots of the window. The
+// caller withdraws the operation from the core if need be.
 func (m *Manager) leaveCore(job *Job) {
 	if job.stage == inCore {
 		m.window.Release(m.clock.Now(), job.slots())
@@ -150,7 +152,7 @@
 	}
 }
 
-// StepSent is the core's word that a route step goes out.
+// StepSent implements routing.Owner: a route step is about to be sent.
 func (m *Manager) StepSent(op slottable.Handle, to balance.WorkerID) {
 	job := m.byOperation[op]
 	if job == nil {
@@ -172,7 +174,7 @@
 	}
 }
 
-// stepInFlight finds the step that is out at a destination, or nil.
+// stepInFlight returns the step in flight at a destination, or nil.
 func (m *Manager) stepInFlight(job *Job, to balance.WorkerID) *Step {
 	for i := len(job.Steps) - 1; i >= 0; i-- {
 		if s := &job.Steps[i]; s.worker == to && s.EndedAt == 0 {
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// Started is the core's word that a prep worker has begun to run the job.
+// Started implements routing.Owner: a prep worker has begun to run the job.
 func (m *Manager) Started(op slottable.Handle, to balance.WorkerID) {
 	job := m.byOperation[op]
 	if job == nil {
@@ -196,7 +198,8 @@
 	m.notifyWaiters(job)
 }
 
-// StepEnded is the core's word of how a route step ended.
+// StepEnded implements routing.Owner: a route step has ended. A job that has failed at
+// maxFailedSteps prep workers fails.
 func (m *Manager) StepEnded(op slottable.Handle, to balance.WorkerID, how balance.Outcome) {
 	job := m.byOperation[op]
 	if job == nil {
@@ -213,7 +216,7 @@
 	if job.failedSteps < job.maxFailedSteps() {
 		return
 	}
-	// After the core's turn, which has more to tell of the step.
+	// In the loop's next turn: the core has not finished with the step.
 	m.timers.Add(m.clock.Now(), func() {
 		if job.operation == op && !job.ending {
 			m.leaveCore(job)
@@ -225,8 +228,8 @@
 	})
 }
 
-// maxFailedSteps is how often prep workers may run the job and say that it
-// failed, while the core tries it anew, before it has FAILED.
+// maxFailedSteps returns how many steps of an operation may fail at prep workers, with retries
+// by the core, before the job fails.
 func (job *Job) maxFailedSteps() int {
 	switch again := job.Template.Rerunnable; {
 	case again == nil:
@@ -237,12 +240,12 @@
 	return 1
 }
 
-// outcomeNames is the steps' outcomes in words for clients.
+// outcomeNames are the names of outcomes in the binding.
 var outcomeNames = [...]string{balance.Served: "served", balance.Errored: "failed", balance.Full: "returned",
 	balance.TimedOut: "timed out", balance.ConnectFailed: "not connected", balance.Reset: "lost",
 	balance.Cancelled: "cancelled", balance.NotSent: "not sent"}
 
-// Answered is the core's final answer on an operation.
+// Answered implements routing.Owner: it takes the core's final answer to an operation.
 func (m *Manager) Answered(op slottable.Handle, answer routing.Answer) {
 	job := m.byOperation[op]
 	if job == nil {
@@ -257,8 +260,8 @@
 		job.Result, job.ExitStatus = answer.Result, 0
 		m.endJob(job, drmaa.Done, "", true)
 	case answer.Verdict == routing.Refused, answer.Verdict == routing.Failed && !job.MayHaveRun:
-		// Where nothing has run a failure is as harmless: the core ran out of the
-		// class's time, as it does when the store stalls before a gate.
+		// A failure that certainly never ran is like a refusal: the class's time-out passed, as
+		// when the store stalls in BeforeSend.
 		m.requeue(job, answer.RetryAfter)
 	case answer.Verdict == routing.Rejected:
 		m.endJob(job, drmaa.Failed, "the prep workers can make nothing of the job", job.MayHaveRun)
@@ -273,11 +276,12 @@
 	}
 }
 
-// requeue has a job wait anew. To try again is harmless, and a batch job has
-// until its deadline; where the time to come back lies past that, it has ended.
+// requeue schedules a job again after an operation that was refused, with exponential backoff or
+// the core's advice, whichever is longer. A job whose deadline is before that fails. A retry is
+// safe, since the operation has not run, or the job is rerunnable.
 func (m *Manager) requeue(job *Job, advice time.Duration) {
 	if job.stepFailed {
-		// Not for want of room: prep workers ran it and it failed there.
+		// Not for lack of capacity: it failed at prep workers.
 		job.failures++
 		if again := job.Template.Rerunnable != nil && *job.Template.Rerunnable; !again || job.failures >= maxFailures {
 			job.ExitStatus = 1
@@ -299,8 +303,8 @@
 	m.schedule(job)
 }
 
-// endJob decides a job's final state, once. It shows only when the store has it:
-// what a client has seen must stand after a restart too.
+// endJob decides a job's final state, once. It is visible only after the store has it, so that
+// a state that a client has seen is not lost by a restart.
 func (m *Manager) endJob(job *Job, state drmaa.State, reason string, mayHaveRun bool) {
 	if job.ending {
 		return
@@ -322,6 +326,7 @@
 	m.finals.add(job)
 }
 
+// writeFinals writes a batch of final states, off the loop.
 func (m *Manager) writeFinals(ctx context.Context, store Store, jobs []*Job) error {
 	records := make([]*Record, len(jobs))
 	for i, job := range jobs {
@@ -330,8 +335,8 @@
 	return store.Finish(ctx, records)
 }
 
-// finalsWritten shows final states. Those that the store failed to write are written
-// again: they must not be lost.
+// finalsWritten publishes final states after their write. A failed write is retried until it
+// succeeds.
 func (m *Manager) finalsWritten(jobs []*Job, err error) {
 	if err != nil {
 		m.finalsToRetry += len(jobs)
@@ -346,6 +351,7 @@
 	}
 }
 
+// publishEnd makes a job's final state visible and notifies its waiters.
 func (m *Manager) publishEnd(job *Job) {
 	faultinjection.Hit(faultinjection.ShownBefore)
 	was := job.State
@@ -382,14 +388,14 @@
 	}
 }
 
-// StartDelay is the core's word of how long an operation of either front waited for
-// its start.
+// StartDelay implements routing.LoadObserver: an operation of either front has started.
 func (m *Manager) StartDelay(owner routing.Owner, wait time.Duration) {
 	m.window.ObserveStart(m.clock.Now(), wait, owner == routing.Owner(m))
 	m.launchQueued()
 }
 
-// OperationConcluded is the core's word of a final answer to either front.
+// OperationConcluded implements routing.LoadObserver: a refused or failed operation of either
+// front is a loss to the window.
 func (m *Manager) OperationConcluded(_ routing.Owner, v routing.Verdict) {
 	if v == routing.Refused || v == routing.Failed {
 		m.window.ObserveLoss(m.clock.Now())
--- a/internal/node/batch/jobs/session.go
+++ b/internal/node/batch/jobs/session.go
@@ -10,7 +10,7 @@
 
 var sessionExists = &drmaa.Error{Status: 409, Name: drmaa.InvalidArgument, Attribute: "name", Message: "the session is there already"}
 
-// Sessions returns a tenant's sessions by name.
+// Sessions returns a tenant's sessions, sorted by name.
 func (m *Manager) Sessions(t *TenantState) []drmaa.Session {
 	out := []drmaa.Session{}
 	for _, name := range slices.Sorted(maps.Keys(t.sessions)) {
@@ -19,13 +19,13 @@
 	return out
 }
 
-// View is the session as its client sees it.
+// View returns a session as its client sees it.
 func (s *Session) View() drmaa.Session {
 	return drmaa.Session{Name: s.Name, State: s.State, Unfinished: len(s.jobs)}
 }
 
-// SetSession creates, opens or closes a session. Where must is "create" it must
-// not be there, where it is "exist" it must be; else it is made as needed.
+// SetSession creates, opens or closes a session. With must "create" it must not exist, with
+// "exist" it must; else it is created if need be.
 func (m *Manager) SetSession(t *TenantState, name, state, must string, done func(*Session, *drmaa.Error)) {
 	s := t.sessions[name]
 	switch {
@@ -40,7 +40,7 @@
 		return
 	}
 	if s == nil {
-		// From here on, so that of two creations at once the second fails.
+		// Before it is recorded, so that of two concurrent creations the second fails.
 		s = t.session(name)
 	}
 	made := s
@@ -64,15 +64,15 @@
 	}
 }
 
-// undoCreate takes back a session that the store never got.
+// undoCreate removes a session that could not be recorded.
 func (m *Manager) undoCreate(t *TenantState, s *Session) {
 	if t.sessions[s.Name] == s && !s.recorded && len(s.jobs) == 0 {
 		delete(t.sessions, s.Name)
 	}
 }
 
-// DestroySession ends a session with all that is in it: what has not ended is
-// terminated, and then all its jobs are reaped. done is called after that.
+// DestroySession terminates a session's unfinished jobs, reaps all its jobs and removes it. done
+// is called after that.
 func (m *Manager) DestroySession(t *TenantState, name string, done func(*drmaa.Error)) {
 	s := t.sessions[name]
 	if s == nil {
@@ -84,7 +84,7 @@
 		return
 	}
 	was := s.State
-	s.State = SessionDestroying // nothing new comes in from here on
+	s.State = SessionDestroying // no further submissions
 	s.destroyCallbacks = append(s.destroyCallbacks, done)
 	record := s.SessionRecord
 	if !m.store.Call(func(ctx context.Context, store Store) error { return store.PutSession(ctx, record) },
@@ -101,6 +101,7 @@
 	}
 }
 
+// notifyDestroyed calls the callbacks of DestroySession.
 func (s *Session) notifyDestroyed(e *drmaa.Error) {
 	all := s.destroyCallbacks
 	s.destroyCallbacks = nil
@@ -109,21 +110,21 @@
 	}
 }
 
-// destroy terminates what is left in a session.
+// destroy terminates a session's unfinished jobs, or removes it if there are none.
 func (m *Manager) destroy(s *Session) {
 	if len(s.jobs) == 0 {
 		m.removeSession(s)
 		return
 	}
 	for _, job := range byAge(s.jobs) {
-		_ = m.Terminate(job) // what has ended in this moment needs no termination
+		_ = m.Terminate(job) // its error is that the job has just ended
 	}
 }
 
-// removeSession removes a session whose last job has ended.
+// removeSession removes a session whose last job has ended. A failed write is retried.
 func (m *Manager) removeSession(session *Session) {
 	if session.removing {
-		return // a session of the same name may be there before a second call
+		return // after a second call a new session of the same name could be removed
 	}
 	session.removing = true
 	again := func() {
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -10,9 +10,9 @@
 	"ospreybend/internal/node/faultinjection"
 )
 
-const maxPendingInserts = 1024 // submissions that wait for the store at most
+const maxPendingInserts = 1024 // submissions queued for the store at most
 
-// Errors that more than one call gives.
+// Errors of several calls.
 var (
 	UnknownJob     = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job"}
 	UnknownArray   = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such job array"}
@@ -31,13 +31,13 @@
 	array      *Array
 	callbacks  []func(submissionRef, *drmaa.Error)
 	existing   ExistingSubmission
-	progress   atomic.Int32 // waits, begun or withdrawn: the keeper's and the loop's
+	progress   atomic.Int32 // awaitingInsert, insertBegun or withdrawn; shared with the store's executor
 }
 
 const (
-	awaitingInsert = iota // neither the store has begun it nor the loop taken it back
+	awaitingInsert = iota // neither begun by the store nor withdrawn by the loop
 	insertBegun           // the store may have it
-	withdrawn             // its clients have been turned away
+	withdrawn             // its clients were answered TryLater
 )
 
 func (e *pendingSubmission) ref() submissionRef {
@@ -54,7 +54,7 @@
 	return k.job.Digest
 }
 
-// Submit takes a job in. answer is called once the job is recorded.
+// Submit accepts a job. answer is called once the job is recorded, or with an error.
 func (m *Manager) Submit(t *TenantState, session string, template *drmaa.JobTemplate, answer func(*Job, *drmaa.Error)) {
 	digest := template.Digest("")
 	tell := func(k submissionRef, e *drmaa.Error) {
@@ -73,7 +73,7 @@
 	}
 	job := m.newJob(s, t, template, newID(), 0)
 	job.ClientKey, job.Digest = template.ClientKey, digest
-	record := job.Record // the keeper must not read what the loop changes
+	record := job.Record // a copy: the store's executor must not read what the loop changes
 	e := &pendingSubmission{submission: &Submission{Jobs: []*Record{&record}}, jobs: []*Job{job}}
 	e.callbacks = append(e.callbacks, tell)
 	job.pending = e
@@ -82,8 +82,8 @@
 	m.inserts.add(e)
 }
 
-// SubmitBulk takes a job array in, all of it or nothing. answer is called once
-// it is recorded. The client key covers the whole array.
+// SubmitBulk accepts a job array with all its jobs. answer is called once it is recorded, or
+// with an error. The client key stands for the array.
 func (m *Manager) SubmitBulk(t *TenantState, session string, b *drmaa.Bulk, answer func(*Array, *drmaa.Error)) {
 	digest := b.Digest()
 	tell := func(k submissionRef, e *drmaa.Error) {
@@ -124,8 +124,8 @@
 	m.inserts.add(e)
 }
 
-// admit checks whether n jobs may be taken in, and answers where not or where
-// the client key stands for a submission already.
+// admit reports whether count jobs may be accepted. If not, or if the client key stands for a
+// submission already, it answers by tell.
 func (m *Manager) admit(t *TenantState, name, key, digest string, count int, tell func(submissionRef, *drmaa.Error)) (*Session, bool) {
 	s := t.sessions[name]
 	if s == nil || s.State != SessionOpen {
@@ -155,7 +155,7 @@
 	return nil, false
 }
 
-// attach answers a submission whose client key stands for one already.
+// attach answers a submission whose client key stands for an earlier one, once that is recorded.
 func (m *Manager) attach(ref submissionRef, digest string, tell func(submissionRef, *drmaa.Error)) {
 	var e *pendingSubmission
 	if ref.array != nil {
@@ -173,6 +173,7 @@
 	}
 }
 
+// newJob returns a job of a submission.
 func (m *Manager) newJob(s *Session, t *TenantState, template *drmaa.JobTemplate, id string, index int) *Job {
 	now := m.unixNow()
 	m.lastSeq = max(m.lastSeq+1, now)
@@ -187,6 +188,7 @@
 	return job
 }
 
+// insert records the submissions of a batch that were not withdrawn, off the loop.
 func (m *Manager) insert(ctx context.Context, store Store, entries []*pendingSubmission) error {
 	var subs []*Submission
 	var whose []*pendingSubmission
@@ -208,8 +210,8 @@
 	return nil
 }
 
-// rejectPending answers the submissions that the store has not begun, while it stalls:
-// nothing of them is on record, nor will be.
+// rejectPending withdraws and answers the submissions that a stalled store has not begun:
+// nothing of them is recorded, nor will be.
 func (m *Manager) rejectPending() {
 	for e := range m.pendingSubmissions {
 		if e.progress.CompareAndSwap(awaitingInsert, withdrawn) {
@@ -220,7 +222,7 @@
 	}
 }
 
-// discard forgets a submission that is not on record.
+// discard removes a submission that is not recorded.
 func (m *Manager) discard(e *pendingSubmission) {
 	delete(m.pendingSubmissions, e)
 	for _, job := range e.jobs {
@@ -241,13 +243,15 @@
 	}
 }
 
-// insertsWritten takes up submissions that the store has, or has refused.
+// insertsWritten takes the result of insert.
 func (m *Manager) insertsWritten(entries []*pendingSubmission, err error) {
 	for _, e := range entries {
 		m.submissionWritten(e, err)
 	}
 }
 
+// submissionWritten acknowledges a recorded submission and schedules its jobs; or answers what
+// has its client key, or the error.
 func (m *Manager) submissionWritten(pending *pendingSubmission, err error) {
 	if pending.progress.Load() == withdrawn {
 		return
@@ -260,7 +264,7 @@
 			pending.answer(submissionRef{}, StoreFailed)
 			return
 		}
-		// The key was taken by something that is no longer at hand.
+		// The key stands for a submission that is not in memory any more.
 		ref := m.detached(pending.existing)
 		if ref.digest() != pending.ref().digest() {
 			pending.answer(submissionRef{}, keyReused)
@@ -287,7 +291,7 @@
 	}
 }
 
-// detached makes what the store returned fit for one call.
+// detached returns a stored submission in the form of one in memory, for one call.
 func (m *Manager) detached(s ExistingSubmission) submissionRef {
 	if s.Array != nil {
 		return submissionRef{array: m.detachedArray(s.Array)}
@@ -313,5 +317,5 @@
 	return a
 }
 
-// fromNow is a span from now on, on the clock.
+// fromNow returns the time after a span from now.
 func (m *Manager) fromNow(span time.Duration) time.Duration { return m.clock.Now() + span }
--- a/internal/node/batch/jobs/undecided.go
+++ b/internal/node/batch/jobs/undecided.go
@@ -9,7 +9,7 @@
 	"ospreybend/drmaa"
 )
 
-// nonIdempotentClasses returns the names of the classes whose jobs must not run twice.
+// nonIdempotentClasses returns the names of the classes whose jobs must not run twice, sorted.
 func (m *Manager) nonIdempotentClasses() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(m.classes)) {
 		if m.classes[name].NonIdempotent {
@@ -19,8 +19,8 @@
 	return names
 }
 
-// Undecided gives a page of the jobs that have FAILED, may have run, must not run
-// twice, and of which no prep worker said how they ended: the oldest first.
+// Undecided calls got with a page of the undecided jobs, oldest first: they have FAILED, may have
+// run and must not run twice, and no prep worker has reported their outcome.
 func (m *Manager) Undecided(after drmaa.Cursor, limit int, got func(*drmaa.Page, *drmaa.Error)) {
 	var rows []*Record
 	classes := m.nonIdempotentClasses()
@@ -48,7 +48,7 @@
 
 var notUndecided = drmaa.InvalidStateError("the job is not undecided, or has been settled")
 
-// Settle records what a person has found out of an undecided job, once.
+// Settle records a person's decision on an undecided job, once.
 func (m *Manager) Settle(id string, ran bool, reason string, done func(*drmaa.Error)) {
 	s := Settlement{At: m.unixNow(), Ran: ran, Reason: reason}
 	settled := false
--- a/internal/node/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -8,18 +8,19 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// waiter is a client that waits for one of some jobs.
+// waiter is a client that waits for one of several jobs.
 type waiter struct {
-	started bool // the start is enough
+	started bool // it waits for a start, not for an end
 	sets    []waiters
 	timeout *timerqueue.Timer
 	ended   bool
 	done    func(*Job, *drmaa.Error)
 }
 
-// waiters is who waits for a job, for one of an array's or of a session's.
+// waiters is the set of clients that wait for a job, or for one of an array or a session.
 type waiters map[*waiter]bool
 
+// join adds the waiter to a set.
 func (w *waiter) join(set *waiters) {
 	if *set == nil {
 		*set = waiters{}
@@ -28,13 +29,14 @@
 	w.sets = append(w.sets, *set)
 }
 
-// endWait ends a wait, once.
+// endWait answers a waiter, once.
 func (m *Manager) endWait(w *waiter, job *Job, e *drmaa.Error) {
 	if m.cancelWait(w) {
 		w.done(job, e)
 	}
 }
 
+// cancelWait removes a waiter from all its sets. It returns false if the wait has ended.
 func (m *Manager) cancelWait(w *waiter) bool {
 	if w.ended {
 		return false
@@ -48,7 +50,7 @@
 	return true
 }
 
-// notifyWaiters tells those who wait that a job has started or ended.
+// notifyWaiters answers the waiters of a job that has started or ended.
 func (m *Manager) notifyWaiters(job *Job) {
 	sets := []waiters{job.waiters}
 	if job.array != nil {
@@ -66,12 +68,14 @@
 	}
 }
 
+// satisfyAll answers all waiters of a set.
 func (m *Manager) satisfyAll(set waiters, job *Job) {
 	for w := range set {
 		m.endWait(w, job, nil)
 	}
 }
 
+// newWaiter returns a waiter with a time-out, whose error has the job about if it is given.
 func (m *Manager) newWaiter(started bool, timeout time.Duration, done func(*Job, *drmaa.Error), about *Job) *waiter {
 	w := &waiter{started: started, done: done}
 	m.openWaits++
@@ -87,9 +91,8 @@
 
 func doNothing() {}
 
-// Wait calls done when one of the jobs has ended, or has started where that is
-// enough, or with an error after the timeout. The returned function gives the
-// wait up.
+// Wait calls done when one of the jobs has ended (or started, with started), or with an error
+// after the timeout. leave cancels the wait.
 func (m *Manager) Wait(all []*Job, started bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	for _, job := range all {
 		if job.State.Final() || started && job.State.Started() {
@@ -108,8 +111,7 @@
 	return func() { m.cancelWait(w) }
 }
 
-// WaitArray is Wait over the jobs of an array; with whole it is for the end of
-// all of them.
+// WaitArray is Wait over the jobs of an array; with all it waits for the end of all of them.
 func (m *Manager) WaitArray(array *Array, started, all bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	switch {
 	case all && array.unfinished == 0:
@@ -136,8 +138,7 @@
 	return func() { m.cancelWait(w) }
 }
 
-// WaitSession is Wait over all jobs of a session, ended ones that are not reaped
-// included.
+// WaitSession is Wait over all jobs of a session, ended ones that are not reaped included.
 func (m *Manager) WaitSession(s *Session, started bool, timeout time.Duration, done func(*Job, *drmaa.Error)) (leave func()) {
 	if started {
 		for job := range s.jobs {
@@ -153,8 +154,8 @@
 	return func() { m.cancelWait(w) }
 }
 
-// satisfyFromStore looks for a job that has ended already. The waiter listens
-// meanwhile, so that none slips through between.
+// satisfyFromStore looks for a job that has ended already. The waiter is in its sets meanwhile,
+// so that it does not miss one that ends before the answer.
 func (m *Manager) satisfyFromStore(waiter *waiter, tenant, session, array string) {
 	var r *Record
 	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
--- a/internal/node/batch/queue/queue_test.go
+++ b/internal/node/batch/queue/queue_test.go
@@ -13,7 +13,7 @@
 // The cases drawn are the same in each run; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "20261201") }
 
-// The queue against a sorted list, over random puts, drops and takes.
+// The queue against a sorted list, with random calls of Put, Remove and First.
 func TestQueue_order(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int]()
--- a/internal/node/batch/store/bench_test.go
+++ b/internal/node/batch/store/bench_test.go
@@ -15,7 +15,7 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// idleCore is a core that nothing is sent to.
+// idleCore is a core without operations.
 type idleCore struct{}
 
 func (idleCore) Accept(routing.Operation) slottable.Handle                 { return 0 }
@@ -26,9 +26,8 @@
 func (idleCore) EachWorker(func(balance.WorkerID, balance.State, float64)) {}
 func (idleCore) Now() time.Duration                                        { return time.Duration(time.Now().UnixMicro()) * time.Microsecond }
 
-// BenchmarkSubmit has a manager on SQLite take jobs as many clients would hand
-// them in, without HTTP, and sets its rate beside that of a bare loop of commits
-// in the same run.
+// BenchmarkSubmit submits jobs to a manager on SQLite as many clients would, without HTTP, and
+// compares the rate with that of bare commits in the same run.
 func BenchmarkSubmit(b *testing.B) {
 	dir := b.TempDir()
 	s, err := Open(b.Context(), "sqlite", filepath.Join(dir, "x.db"))
@@ -71,7 +70,7 @@
 	b.ReportMetric(rate/bareCommits(b, dir), "jobs/bare-commit")
 }
 
-// bareCommits is how many single inserts SQLite commits a second here.
+// bareCommits returns how many single inserts SQLite commits a second here.
 func bareCommits(b *testing.B, dir string) float64 {
 	db, err := sql.Open("sqlite", "file:"+filepath.Join(dir, "bare.db")+"?_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)")
 	if err != nil {
--- a/internal/node/batch/store/executor.go
+++ b/internal/node/batch/store/executor.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	maxQueuedCalls = 1024             // calls that wait for the store at most
-	callTimeout    = 10 * time.Second // a call that takes longer has failed
+	maxQueuedCalls = 1024 // calls queued for the store at most
+	callTimeout    = 10 * time.Second
 )
 
-// task is one call of the store. then runs on the loop afterwards.
+// task is one call of the store. then is called on the loop with its error.
 type task struct {
 	do   func(context.Context, jobs.Store) error
 	then func(error)
 }
 
-// Executor calls the store of record, one call after the other, off the loop.
+// Executor runs calls of the store in a goroutine of its own, one after the other. It implements
+// jobs.StoreExecutor. Shutdown and Wait end the goroutine.
 type Executor struct {
 	store    jobs.Store
 	post     func(func())
 	tasks    chan task
 	done     chan struct{}
-	shutDown bool // the loop's: no more calls
+	shutDown bool // no further calls; owned by the loop
 }
 
-// NewExecutor starts a keeper. post brings results to the loop.
+// NewExecutor starts an executor. post runs a function on the loop.
 func NewExecutor(store jobs.Store, post func(func())) *Executor {
 	k := &Executor{store: store, post: post, tasks: make(chan task, maxQueuedCalls), done: make(chan struct{})}
 	go k.run()
 	return k
 }
 
+// run runs the queued calls until Shutdown.
 func (k *Executor) run() {
 	defer close(k.done)
 	for t := range k.tasks {
@@ -48,8 +50,7 @@
 	}
 }
 
-// Call hands a call over, from the loop. It returns false, at once, where too
-// many wait.
+// Call implements jobs.StoreExecutor. It must be called on the loop.
 func (k *Executor) Call(do func(context.Context, jobs.Store) error, then func(error)) bool {
 	if k.shutDown {
 		return false
@@ -62,7 +63,7 @@
 	}
 }
 
-// Shutdown ends the taking of calls, from the loop.
+// Shutdown rejects further calls. It must be called on the loop.
 func (k *Executor) Shutdown() {
 	if !k.shutDown {
 		k.shutDown = true
@@ -70,8 +71,8 @@
 	}
 }
 
-// Wait waits, off the loop and after Shut, for the calls handed over, and
-// closes the store.
+// Wait waits for the queued calls after Shutdown, and closes the store. It must be called off the
+// loop.
 func (k *Executor) Wait() error {
 	<-k.done
 	return k.store.Close()
--- a/internal/node/batch/store/job_rows.go
+++ b/internal/node/batch/store/job_rows.go
@@ -23,6 +23,7 @@
 	QueryContext(ctx context.Context, query string, args ...any) (*sql.Rows, error)
 }
 
+// queryOne returns the first job of a query, or nil.
 func (s *Store) queryOne(ctx context.Context, database queryer, query string, args ...any) (*jobs.Record, error) {
 	all, err := s.queryJobs(ctx, database, query, args...)
 	if err != nil || len(all) == 0 {
@@ -31,6 +32,7 @@
 	return all[0], nil
 }
 
+// queryJobs returns the jobs of a query, with their templates.
 func (s *Store) queryJobs(ctx context.Context, database queryer, query string, args ...any) ([]*jobs.Record, error) {
 	out, err := s.scanJobs(ctx, database, query, args...)
 	if err != nil {
@@ -57,6 +59,7 @@
 	return out, nil
 }
 
+// scanJobs reads the rows of a query; jobs of arrays have no template.
 func (s *Store) scanJobs(ctx context.Context, database queryer, query string, args ...any) (out []*jobs.Record, err error) {
 	rows, err := database.QueryContext(ctx, s.rebind(query), args...)
 	if err != nil {
@@ -99,7 +102,7 @@
 	return out, rows.Err()
 }
 
-// queryArray reads an array and counts its jobs by state.
+// queryArray returns an array with the counts of its jobs by state, or nil.
 func (s *Store) queryArray(ctx context.Context, database queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
 	a, err := s.scanArray(ctx, database, where, args...)
 	if err != nil || a == nil {
@@ -126,6 +129,7 @@
 	return a, rows.Err()
 }
 
+// scanArray returns an array without counts, or nil.
 func (s *Store) scanArray(ctx context.Context, database queryer, where string, args ...any) (*jobs.ArrayRecord, error) {
 	rows, err := database.QueryContext(ctx, s.rebind(`SELECT `+arrayColumns+` FROM arrays WHERE `+where), args...)
 	if err != nil {
--- a/internal/node/batch/store/jobs.go
+++ b/internal/node/batch/store/jobs.go
@@ -12,6 +12,7 @@
 	"ospreybend/internal/node/faultinjection"
 )
 
+// boolToInt returns a truth value as the tables have it.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -19,7 +20,7 @@
 	return 0
 }
 
-// nullable keeps keys that are not given from colliding.
+// nullable returns NULL for a missing client key: the column is unique.
 func nullable(key string) any {
 	if key == "" {
 		return nil
@@ -27,7 +28,7 @@
 	return key
 }
 
-// The statements that the store keeps prepared.
+// The prepared statements.
 const (
 	insertJob = `INSERT INTO jobs (id, tenant, session, client_key, digest, template,
 		submitted_at, deadline_at, sent, state, reason, result, may_have_run, ended_at, array_id, array_index, seq, held,
@@ -40,8 +41,8 @@
 		exit_status = ?, dispatched_at = ?, started_at = ?, steps = ? WHERE id = ? AND ended_at = 0`
 )
 
-// Insert records submissions, each whole or not at all. One whose client key is
-// taken is left out, and what has the key is returned in its place.
+// Insert implements jobs.Store: it records submissions, each completely or not at all. One whose
+// client key is taken is not recorded, and what has the key is returned in its place.
 func (s *Store) Insert(ctx context.Context, subs []*jobs.Submission) ([]jobs.ExistingSubmission, error) {
 	out := make([]jobs.ExistingSubmission, len(subs))
 	err := s.inTransactionBetween(ctx, faultinjection.InsertBefore, faultinjection.InsertAfter, func(tx *sql.Tx) error {
@@ -63,7 +64,7 @@
 	return out, err
 }
 
-// findExisting finds what has a submission's client key.
+// findExisting returns the job or array that has a submission's client key.
 func (s *Store) findExisting(ctx context.Context, tx *sql.Tx, sub *jobs.Submission) (out jobs.ExistingSubmission, err error) {
 	tenant, key := sub.Jobs[0].Tenant, sub.Jobs[0].ClientKey
 	if sub.Array != nil {
@@ -85,6 +86,7 @@
 	return out, err
 }
 
+// insert records one submission.
 func (s *Store) insert(ctx context.Context, tx *sql.Tx, job *sql.Stmt, submission *jobs.Submission) error {
 	text := ""
 	if a := submission.Array; a != nil {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// Update changes what unfinished jobs' records say of them.
+// Update implements jobs.Store: it changes the records of unfinished jobs.
 func (s *Store) Update(ctx context.Context, updates []jobs.RecordUpdate) error {
 	return s.inTransactionBetween(ctx, faultinjection.MarkBefore, faultinjection.MarkAfter, func(tx *sql.Tx) error {
 		row := tx.StmtContext(ctx, s.updateJob)
@@ -128,12 +130,12 @@
 	})
 }
 
-// Finish records final states. A job's first one stands.
+// Finish implements jobs.Store: it records final states. A job's first one is not overwritten.
 func (s *Store) Finish(ctx context.Context, records []*jobs.Record) error {
 	return s.inTransactionBetween(ctx, faultinjection.FinishBefore, faultinjection.FinishAfter, func(tx *sql.Tx) error {
 		row := tx.StmtContext(ctx, s.finishJob)
 		for _, r := range records {
-			// As JSON, since PostgreSQL's text holds no NUL.
+			// As JSON, since text in PostgreSQL cannot have a NUL.
 			result, err := json.Marshal(string(r.Result))
 			if err != nil {
 				return err
@@ -151,7 +153,7 @@
 	})
 }
 
-// Reap hides ended jobs from their owner.
+// Reap implements jobs.Store: it hides ended jobs from their owner.
 func (s *Store) Reap(ctx context.Context, what jobs.ReapSelector) (n int, err error) {
 	err = s.inTransaction(ctx, func(tx *sql.Tx) error {
 		const reap = `UPDATE jobs SET reaped = 1 WHERE tenant = ? AND session = ? AND ended_at > 0 AND reaped = 0`
@@ -217,6 +219,7 @@
 	return s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+strings.Join(where, " AND ")+` ORDER BY j.seq DESC, j.id LIMIT ?`, args...)
 }
 
+// firstState returns the filter's first state, or "".
 func firstState(f drmaa.Filter) string {
 	if len(f.States) == 0 {
 		return ""
@@ -224,8 +227,8 @@
 	return string(f.States[0])
 }
 
-// AnyEnded returns the job of a session, or of one of its arrays, that ended
-// last, or nil.
+// AnyEnded implements jobs.Store: it returns the job of a session, or of one of its arrays, that
+// has ended last, or nil.
 func (s *Store) AnyEnded(ctx context.Context, tenant, session, array string) (*jobs.Record, error) {
 	where, args := `j.tenant = ? AND j.session = ? AND j.ended_at > 0 AND j.reaped = 0`, []any{tenant, session}
 	if array != "" {
@@ -234,8 +237,8 @@
 	return s.queryOne(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE `+where+` ORDER BY j.ended_at DESC LIMIT 1`, args...)
 }
 
-// Unfinished returns the jobs that have not ended, in the order of their
-// submission, and the arrays that they are of.
+// Unfinished implements jobs.Store: it returns the jobs that have not ended, in the order of their
+// submission, and their arrays.
 func (s *Store) Unfinished(ctx context.Context) ([]*jobs.Record, []*jobs.ArrayRecord, error) {
 	records, err := s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.ended_at = 0 ORDER BY j.seq, j.id`)
 	if err != nil {
@@ -266,7 +269,7 @@
 	undecidedCondition = `state = 'FAILED' AND may_have_run = 1 AND settled = '' AND exit_status < 0`
 )
 
-// Undecided lists undecided jobs that nobody has settled, the oldest first.
+// Undecided implements jobs.Store: it lists undecided jobs that are not settled, oldest first.
 func (s *Store) Undecided(ctx context.Context, classes []string, after drmaa.Cursor, most int) ([]*jobs.Record, error) {
 	if len(classes) == 0 {
 		return nil, nil
@@ -279,7 +282,7 @@
 		AND j.category IN (?`+strings.Repeat(", ?", len(classes)-1)+`) ORDER BY j.seq, j.id LIMIT ?`, append(args, most)...)
 }
 
-// Settle settles an undecided job.
+// Settle implements jobs.Store: it settles an undecided job.
 func (s *Store) Settle(ctx context.Context, id string, v jobs.Settlement) (bool, error) {
 	as := settledNever
 	if v.Ran {
--- a/internal/node/batch/store/lock.go
+++ b/internal/node/batch/store/lock.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// errOpenElsewhere is a store that another node has open.
+// errOpenElsewhere is the error of a store that another node has open.
 var errOpenElsewhere = errors.New("another node has it open")
 
-// lockFile takes a SQLite file for this process alone, by a lock on a file beside it:
-// two nodes on one file would each run its jobs. The system gives it back when the
-// process ends, however it does. A database in memory needs none.
+// lockFile locks a SQLite file for this process, by a file beside it: two nodes on one file would
+// both run its jobs. The operating system releases the lock when the process ends. It returns nil
+// for a database in memory.
 func lockFile(path string) (*os.File, error) {
 	path = strings.TrimPrefix(path, "file:")
 	if path == "" || strings.Contains(path, ":memory:") {
--- a/internal/node/batch/store/store.go
+++ b/internal/node/batch/store/store.go
@@ -1,4 +1,8 @@
-// Package store is the batch front's store of record on SQLite or PostgreSQL.
+// Package store is the batch front's store of record in SQLite or PostgreSQL. It implements
+// jobs.Store, and Executor runs its calls off the event loop.
+//
+// The schema is in migrations, which Open applies. Each write is one transaction, durable before
+// it returns. It decides nothing about jobs; package jobs does.
 package store
 
 import (
@@ -24,27 +28,27 @@
 //go:embed migrations/*.sql
 var migrations embed.FS
 
-// Store is the store of record in a database.
+// Store is the store of record. It has one connection to the database.
 type Store struct {
 	db                   *sql.DB
-	lock                 *os.File // nil: none is needed
-	numberedPlaceholders bool     // placeholders are $1, $2, not ?
+	lock                 *os.File // nil: not needed
+	numberedPlaceholders bool     // placeholders are $1, $2 instead of ?
 
-	insertJob, keyExists, updateJob, finishJob *sql.Stmt // what is done by the thousand
+	insertJob, keyExists, updateJob, finishJob *sql.Stmt // prepared
 }
 
 var _ jobs.Store = (*Store)(nil)
 
-// Open opens a store of record and brings its tables up to this program's
-// version. kind is "sqlite" or "postgres". A store whose tables are newer than
-// the program is refused.
+// Open opens a store and migrates its tables to this program's version. kind is "sqlite" or
+// "postgres", source a file or a connection string. A store whose tables are newer than the program
+// is an error.
 func Open(ctx context.Context, kind, source string) (*Store, error) {
 	var driver string
 	var dialect goose.Dialect
 	var lock *os.File
 	switch kind {
 	case "sqlite":
-		// Written through before an acknowledgement, and readable meanwhile.
+		// Durable before each commit returns (synchronous=FULL), and readable meanwhile (WAL).
 		driver, dialect = "sqlite", goose.DialectSQLite3
 		path, query, _ := strings.Cut(source, "?")
 		var err error
@@ -68,7 +72,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db.SetMaxOpenConns(1) // the keeper is the only user
+	db.SetMaxOpenConns(1) // the executor is the only user
 	s := &Store{db: db, lock: lock, numberedPlaceholders: kind == "postgres"}
 	if err := migrate(ctx, db, dialect); err != nil {
 		return nil, errors.Join(fmt.Errorf("store: %w", err), s.Close())
@@ -87,6 +91,7 @@
 	return s, nil
 }
 
+// migrate applies the migrations that the database lacks.
 func migrate(ctx context.Context, db *sql.DB, dialect goose.Dialect) error {
 	files, err := fs.Sub(migrations, "migrations")
 	if err != nil {
@@ -108,8 +113,8 @@
 	return err
 }
 
-// backfill gives the jobs of the first version's tables what is selected by, from
-// their templates. It goes by small steps, so that a kill within it loses nothing.
+// backfill fills the columns that lists select by, for the jobs of the first version's tables,
+// from their templates. It proceeds in small transactions, so that it can be interrupted.
 func (s *Store) backfill(ctx context.Context) error {
 	for {
 		rows, err := s.queryJobs(ctx, s.db, `SELECT `+jobColumns+` FROM jobs j WHERE j.category = '' AND j.array_id = '' LIMIT 500`)
@@ -134,7 +139,7 @@
 	}
 }
 
-// Close closes the database.
+// Close closes the database and releases the lock.
 func (s *Store) Close() error {
 	err := s.db.Close()
 	if s.lock != nil {
@@ -144,7 +149,7 @@
 	return err
 }
 
-// rebind writes a statement's placeholders as the database wants them.
+// rebind returns a statement with the database's form of placeholders.
 func (s *Store) rebind(statement string) string {
 	if !s.numberedPlaceholders {
 		return statement
@@ -162,17 +167,18 @@
 	return b.String()
 }
 
+// exec executes one statement.
 func (s *Store) exec(ctx context.Context, statement string, args ...any) error {
 	_, err := s.db.ExecContext(ctx, s.rebind(statement), args...)
 	return err
 }
 
-// inTransaction does all of f or nothing.
+// inTransaction runs body in a transaction, which is rolled back if body returns an error.
 func (s *Store) inTransaction(ctx context.Context, body func(tx *sql.Tx) error) error {
 	return s.inTransactionBetween(ctx, "", "", body)
 }
 
-// inTransactionBetween is together between two fault points.
+// inTransactionBetween is inTransaction with a fault point on either side of the commit.
 func (s *Store) inTransactionBetween(ctx context.Context, before, after string, body func(tx *sql.Tx) error) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -187,7 +193,7 @@
 	return err
 }
 
-// forEachRow calls f for each row of a query.
+// forEachRow calls visit for each row of a query, until it returns an error.
 func (s *Store) forEachRow(ctx context.Context, visit func(*sql.Rows) error, query string, args ...any) error {
 	rows, err := s.db.QueryContext(ctx, s.rebind(query), args...)
 	if err != nil {
--- a/internal/node/batch/store/store_test.go
+++ b/internal/node/batch/store/store_test.go
@@ -35,7 +35,7 @@
 
 func one(r *jobs.Record) []*jobs.Submission { return []*jobs.Submission{{Jobs: []*jobs.Record{r}}} }
 
-// The first final state stands, whatever comes later.
+// A job's first final state is not overwritten.
 func TestStore_Finish_firstFinalStateStands(t *testing.T) {
 	s, ctx := open(t, filepath.Join(t.TempDir(), "x?y#.db")), context.Background()
 	first := job("1", 1)
@@ -162,7 +162,7 @@
 	}
 }
 
-// A store that the first version of the program made comes up without loss.
+// A store of the first version of the program is migrated without loss.
 func TestOpen_migratesTheFirstTables(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "old.db")
 	db, err := sql.Open("sqlite", file)
@@ -198,7 +198,7 @@
 		}
 		must(t, s.Close())
 	}
-	// One that a later program made is left alone.
+	// One of a later version is left unchanged.
 	s := open(t, file)
 	must(t, s.exec(t.Context(), `INSERT INTO goose_db_version (version_id, is_applied) VALUES (99, 1)`))
 	must(t, s.Close())
@@ -239,7 +239,7 @@
 	}
 }
 
-// A second node is refused a SQLite file that a first has open.
+// A second node cannot open a SQLite file that a first has open.
 func TestOpen_oneNodePerFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.db")
 	first, err := Open(t.Context(), "sqlite", file)
--- a/internal/node/batch/window/window.go
+++ b/internal/node/batch/window/window.go
@@ -1,16 +1,13 @@
-// Package window limits how much of the batch front's work is in the core at
-// once, so that a backlog of batch jobs takes up what the platform's requests
-// leave and gives way as soon as they feel it. It does no I/O and takes the
-// clock as an argument.
+// Package window limits the batch jobs in the core at once, so that a backlog of batch jobs uses
+// the capacity that the platform's requests leave, and yields as soon as they are delayed. It
+// does no I/O and takes the clock as an argument. Package jobs uses it.
 //
-// The law is LEDBAT's (RFC 6817), the congestion control of transfers that are
-// to use what is left over: the window grows while the measured queueing delay
-// is under a target and shrinks in proportion once it is over, and a loss
-// halves it at most once in a round trip. What is measured here is the time from
-// a step's sending to the start that its destination tells of, of both fronts'
-// operations alike; the base delay is its least over the last minutes; a loss is
-// an operation of either front that the core refused or failed. docs/design
-// names the laws weighed against it.
+// It is LEDBAT (RFC 6817), congestion control for background transfers: the window grows while
+// the measured queueing delay is under a target, shrinks in proportion above it, and is halved by
+// a loss, at most once per minHalvingInterval. The delay measured here is the time from the
+// sending of a step to its start at the destination, of both fronts' operations; the base delay
+// is its minimum over the last minutes; a loss is an operation of either front that the core
+// refused or failed. docs/design compares it with other algorithms.
 package window
 
 import (
@@ -18,33 +15,33 @@
 	"time"
 )
 
-// Config is what the window is told.
+// Config configures a window.
 type Config struct {
-	MaxSlots    float64       // slots at most
-	DelayTarget time.Duration // queueing delay aimed at
+	MaxSlots    float64
+	DelayTarget time.Duration // target of the queueing delay
 }
 
 const (
 	initialSlots       = 2.0
 	minSlots           = 1.0
-	gain               = 1.0                    // slots that a window's worth of starts adds at most (RFC 6817: GAIN)
-	smoothing          = 0.125                  // weight of the newest wait
-	baseInterval       = time.Minute            // one minimum is kept for each (RFC 6817: BASE_HISTORY)
-	baseHistory        = 10                     // of these
-	minHalvingInterval = 500 * time.Millisecond // between two halvings at least
-	staleAfter         = 2 * time.Second        // a wait as old as this says nothing any more
+	gain               = 1.0         // slots that a window of starts adds at most (RFC 6817: GAIN)
+	smoothing          = 0.125       // weight of the newest delay in the mean
+	baseInterval       = time.Minute // one minimum is kept for each (RFC 6817: BASE_HISTORY)
+	baseHistory        = 10          // of the minima
+	minHalvingInterval = 500 * time.Millisecond
+	staleAfter         = 2 * time.Second // a mean without a new delay for longer is dropped
 	minPause           = 50 * time.Millisecond
 	maxDoublings       = 5
 	maxPause           = 2 * time.Second
-	idleResetTime      = 5 * time.Second // a window unused for as long starts anew
+	idleResetTime      = 5 * time.Second // a window unused for longer starts again
 )
 
-// Window is a number of slots. It is for one goroutine.
+// Window is the adaptive number of slots. It is not safe for concurrent use.
 type Window struct {
 	config      Config
 	size        float64
 	used        float64
-	slowStart   bool // growing with each start, until the first delay or loss
+	slowStart   bool // grows by one with each start, until the first delay or loss
 	meanDelay   float64
 	lastStartAt time.Duration
 	halvedAt    time.Duration
@@ -52,12 +49,12 @@
 	baseDelays  [baseHistory]time.Duration
 	baseIndex   time.Duration // the span of base[0]
 	halvings    uint64
-	rejections  int           // of ours since something of ours started
-	pausedUntil time.Duration // nothing is let through before
-	limited     bool          // something has been turned away since the last start
+	rejections  int           // of batch jobs since the last start of one
+	pausedUntil time.Duration // no slots are given out before
+	limited     bool          // Acquire has failed since the last start: the window is full
 }
 
-// New makes a window.
+// New returns a window of its initial size.
 func New(c Config) *Window {
 	w := &Window{config: c, size: initialSlots, slowStart: true, baseIndex: -1, halvedAt: -minHalvingInterval}
 	for i := range w.baseDelays {
@@ -73,11 +70,11 @@
 	w.clamp()
 }
 
-// Acquire takes slots for a job, and tells whether there were any. Whatever its
-// size, a job may go while no other is in.
+// Acquire takes slots for a job. It returns false if there are not enough. A job of any size gets
+// its slots while no other has any.
 func (w *Window) Acquire(now time.Duration, slots float64) bool {
 	if w.used == 0 && now-w.lastUsedAt > idleResetTime && w.lastUsedAt > 0 {
-		// What was learnt is old: others have been at work since (RFC 2861's reason).
+		// The size is outdated: others have used the capacity since (as in RFC 2861).
 		w.size, w.slowStart = min(w.size, initialSlots), true
 		w.clamp()
 	}
@@ -93,7 +90,7 @@
 	return true
 }
 
-// Release gives a job's slots back.
+// Release returns a job's slots.
 func (w *Window) Release(now time.Duration, slots float64) {
 	w.used = max(0, w.used-slots)
 	if w.used < 1e-9 {
@@ -102,7 +99,8 @@
 	w.lastUsedAt = now
 }
 
-// ObserveStart tells how long an operation of either front waited for its start.
+// ObserveStart takes the time that an operation of either front waited for its start; own is a
+// batch job's. It adapts the window.
 func (w *Window) ObserveStart(now, wait time.Duration, own bool) {
 	base := w.baseDelay(now, wait)
 	if now-w.lastStartAt > staleAfter {
@@ -118,9 +116,9 @@
 		w.slowStart = false
 		w.size += gain * offset / w.size
 	case !own || !w.limited:
-		// Who does not fill the window has not shown that it may be larger.
+		// A window that is not full gives no evidence that it may be larger.
 	case w.slowStart && w.meanDelay < target/2:
-		w.size++ // doubles with a window's worth of starts
+		w.size++ // doubles with a window of starts
 	default:
 		w.slowStart = false
 		w.size += gain * offset / w.size
@@ -131,7 +129,7 @@
 	w.clamp()
 }
 
-// baseDelay notes a wait and returns the least of the last minutes.
+// baseDelay records a wait and returns the minimum of the last minutes.
 func (w *Window) baseDelay(now, wait time.Duration) time.Duration {
 	span := now / baseInterval
 	if w.baseIndex < 0 {
@@ -152,22 +150,21 @@
 	return low
 }
 
-// ObserveRejection tells that the core refused an operation of ours, with its advice when
-// to return. The advice holds for all that wait: were it heeded by that job alone,
-// the next would knock in its place, and so through the whole backlog. It doubles
-// with each refusal until something of ours starts again.
+// ObserveRejection takes a refusal of a batch job by the core, with its advice when to retry. The
+// window pauses for all jobs: else the next one would be refused in its place, and so on through
+// the backlog. The pause doubles with each refusal until a batch job starts again.
 func (w *Window) ObserveRejection(now, advice time.Duration) {
 	pause := max(advice, minPause<<min(w.rejections, maxDoublings))
 	w.rejections++
 	w.pausedUntil = max(w.pausedUntil, now+min(pause, maxPause))
 }
 
-// Paused tells until when nothing is let through, whatever room there is.
+// Paused reports whether the window is paused, and until when.
 func (w *Window) Paused(now time.Duration) (until time.Duration, shut bool) {
 	return w.pausedUntil, now < w.pausedUntil
 }
 
-// ObserveLoss tells that the core refused or failed an operation of either front.
+// ObserveLoss takes a refused or failed operation of either front. It halves the window.
 func (w *Window) ObserveLoss(now time.Duration) {
 	w.slowStart = false
 	if now-w.halvedAt < minHalvingInterval {
@@ -179,9 +176,10 @@
 	w.clamp()
 }
 
+// clamp keeps the size within its bounds.
 func (w *Window) clamp() { w.size = min(max(w.size, minSlots), max(w.config.MaxSlots, minSlots)) }
 
-// State is the window as it is shown.
+// State is the window's state as the administration shows it.
 type State struct {
 	Size     float64 `json:"slots"`
 	Used     float64 `json:"used"`
--- a/internal/node/batch/window/window_test.go
+++ b/internal/node/batch/window/window_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Without a backlog the window does not grow, whatever the waits.
+// Without a backlog the window does not grow, whatever the delays.
 func TestWindow_ObserveStart_unusedDoesNotGrow(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	for ms := range 500 {
@@ -73,8 +73,7 @@
 	}
 }
 
-// A refusal shuts the window for the whole backlog, longer with each, until
-// something of ours starts.
+// A refusal pauses the window for the backlog, longer with each, until a batch job starts.
 func TestWindow_ObserveRejection_pauses(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	now := time.Hour
@@ -102,8 +101,7 @@
 	}
 }
 
-// A base delay that has risen for good is taken for the base after the minutes
-// that it is kept.
+// A base delay that has risen for good becomes the base after baseHistory intervals.
 func TestWindow_baseDelay_oldMinimaExpire(t *testing.T) {
 	w := New(Config{MaxSlots: 32, DelayTarget: 20 * time.Millisecond})
 	w.ObserveStart(time.Hour, time.Millisecond, false)
@@ -147,8 +145,8 @@
 	})
 }
 
-// serverFarm is a first-come farm of workers, for trying the law out: jobs of the
-// batch front behind a window, and the other front's straight in.
+// serverFarm simulates workers with a first-come queue: batch jobs pass a window, requests of the
+// other front do not.
 type serverFarm struct {
 	free int
 	line []*work
@@ -175,9 +173,8 @@
 	return x
 }
 
-// simulate runs a farm of 8 slots for a minute with the other front at a load, with
-// or without an endless backlog, and returns the other front's mean wait and the
-// share of slot time that was in use.
+// simulate runs a farm of 8 slots for a minute with a load of the other front, with or without an
+// endless backlog. It returns the other front's mean wait and the utilization.
 func simulate(load float64, backlog bool) (wait time.Duration, busy float64) {
 	const slots, run, span = 8, 100 * time.Millisecond, time.Minute
 	w := New(Config{MaxSlots: 64, DelayTarget: 20 * time.Millisecond})
@@ -221,8 +218,7 @@
 	return waits / time.Duration(max(n, 1)), served.Seconds() / (span.Seconds() * slots)
 }
 
-// The law on a model farm: a backlog fills what is left over, and what the other
-// front waits stays near the target.
+// A backlog uses the spare capacity, and the other front's wait stays near the target.
 func TestWindow_usesSpareCapacity(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
 		alone, idle := simulate(load, false)
