--- a/internal/node/batch/cli/monitoring.go
+++ b/internal/node/batch/cli/monitoring.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"io"
+
+	"ospreybend/drmaa"
 )
 
 // Events follows events.
@@ -35,6 +37,12 @@
 	return nil
 }
 
+// capacity is the JSON output of Queues.
+type capacity struct {
+	Machines []drmaa.Machine `json:"machines"`
+	Queues   []drmaa.Queue   `json:"queues"`
+}
+
 // Queues lists classes and prep workers.
 type Queues struct {
 	Server `embed:""`
@@ -54,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	return env.Show(map[string]any{"queues": queues, "machines": machines}, func(w io.Writer) {
+	return env.Show(capacity{Machines: machines, Queues: queues}, func(w io.Writer) {
 		fmt.Fprintln(w, "CLASS\tRUNS ONCE\tWAITING\tHELD\tRUNNING")
 		for _, q := range queues {
 			fmt.Fprintf(w, "%s\t%v\t%d\t%d\t%d\n", q.Name, q.NonIdempotent, q.Waiting, q.Held, q.Running)
--- a/internal/node/batch/httpapi/admin.go
+++ b/internal/node/batch/httpapi/admin.go
@@ -16,24 +16,24 @@
 	maxQuota  = 1_000_000
 )
 
-// Admin is the administration of the batch front: tenants, their quotas and
-// their jobs. It listens at an address of its own and has a token of its own.
+// Admin serves the administration of the batch front: tenants, their quotas and tokens, and all
+// jobs. It has an address and a token of its own.
 type Admin struct {
 	front     *Front
 	store     jobs.StoreExecutor
 	tokenHash string
-	creating  map[string]bool // tenants that the store does not have yet
+	creating  map[string]bool // tenants that are being recorded
 }
 
-// NewAdmin makes the administration; tokenHash is the SHA-256 of its token.
-func NewAdmin(f *Front, keeper jobs.StoreExecutor, tokenHash string) *Admin {
-	return &Admin{front: f, store: keeper, tokenHash: tokenHash, creating: map[string]bool{}}
+// NewAdmin returns the administration; tokenHash is the TokenHash of its token.
+func NewAdmin(f *Front, store jobs.StoreExecutor, tokenHash string) *Admin {
+	return &Admin{front: f, store: store, tokenHash: tokenHash, creating: map[string]bool{}}
 }
 
-// SetTokenHash has another token hold from now on.
+// SetTokenHash replaces the token.
 func (a *Admin) SetTokenHash(hash string) { a.tokenHash = hash }
 
-// Serve answers one call.
+// Serve serves one call of the administration.
 func (a *Admin) Serve(call *protocol.Call) {
 	token, ok := bearer(call)
 	if !ok || subtle.ConstantTimeCompare([]byte(TokenHash(token)), []byte(a.tokenHash)) != 1 {
@@ -74,22 +74,24 @@
 	}
 }
 
-// tenantView is a tenant as the administration sees it.
+// tenantView is a tenant as the administration shows it.
 type tenantView struct {
 	jobs.Tenant
 	Unfinished int    `json:"unfinishedJobs"`
-	Token      string `json:"token,omitempty"` // shown once, when it is made
+	Token      string `json:"token,omitempty"` // shown once, when it is created
 }
 
 var unknownTenant = &drmaa.Error{Status: 404, Name: drmaa.InvalidArgument, Message: "no such tenant"}
 
+// newToken returns a random token of 48 hexadecimal digits.
 func newToken() string {
 	var b [24]byte
 	_, _ = rand.Read(b[:]) // never fails, as of Go 1.24
 	return hex.EncodeToString(b[:])
 }
 
-// callStore hands a call to the store and answers when it is done.
+// callStore runs a call of the store. Then then is called, or fail and the call is answered with
+// the error.
 func (a *Admin) callStore(call *protocol.Call, do func(context.Context, jobs.Store) error, then, fail func()) {
 	if !a.store.Call(do, func(err error) {
 		if err != nil {
@@ -104,15 +106,18 @@
 	}
 }
 
+// tenants answers with all tenants.
 func (a *Admin) tenants(call *protocol.Call) {
 	out := []tenantView{}
 	for _, t := range a.front.jobs.Tenants() {
 		out = append(out, tenantView{Tenant: t.Tenant, Unfinished: t.Unfinished()})
 	}
-	reply(call, 200, map[string]any{"tenants": out})
+	reply(call, 200, struct {
+		Tenants []tenantView `json:"tenants"`
+	}{out})
 }
 
-// storeTenant records a tenant, and then lets it in.
+// storeTenant records a tenant, and then puts it into effect and answers with it.
 func (a *Admin) storeTenant(call *protocol.Call, t jobs.Tenant, status int, token string) {
 	a.callStore(call, func(ctx context.Context, store jobs.Store) error { return store.PutTenant(ctx, t) }, func() {
 		delete(a.creating, t.Name)
@@ -120,6 +125,7 @@
 	}, func() { delete(a.creating, t.Name) })
 }
 
+// create creates a tenant with a token.
 func (a *Admin) create(call *protocol.Call) {
 	var in jobs.Tenant
 	if p := decodeBody(call, &in); p != nil {
@@ -144,6 +150,7 @@
 	a.storeTenant(call, in, 201, token)
 }
 
+// change changes a tenant's quota.
 func (a *Admin) change(call *protocol.Call, name string) {
 	t := a.front.jobs.Tenant(name)
 	if t == nil {
@@ -162,7 +169,7 @@
 	a.storeTenant(call, in, 200, "")
 }
 
-// rotate gives a tenant a new token; the old one is void.
+// rotate replaces a tenant's token.
 func (a *Admin) rotate(call *protocol.Call, name string) {
 	t := a.front.jobs.Tenant(name)
 	if t == nil {
@@ -174,8 +181,8 @@
 	a.storeTenant(call, in, 200, token)
 }
 
-// remove locks a tenant out. What it has submitted runs to its end. Its name is
-// not free again: a newcomer of that name would see the old one's jobs.
+// remove disables a tenant. Its submitted jobs run to their end. Its name stays taken: a new
+// tenant of that name would see the old one's jobs.
 func (a *Admin) remove(call *protocol.Call, name string) {
 	t := a.front.jobs.Tenant(name)
 	if t == nil {
@@ -190,6 +197,7 @@
 	}, func() {})
 }
 
+// listJobs answers with one page of a tenant's jobs, or of all.
 func (a *Admin) listJobs(call *protocol.Call, tenant, query string) {
 	if tenant != "" && a.front.jobs.Tenant(tenant) == nil {
 		replyError(call, unknownTenant)
@@ -209,7 +217,7 @@
 	})
 }
 
-// undecided lists the bookings that a person must look into.
+// undecided answers with one page of the jobs that a person must decide on.
 func (a *Admin) undecided(call *protocol.Call, query string) {
 	f, e := drmaa.ReadFilter(query)
 	if e == nil && f.Query() != (drmaa.Filter{Limit: f.Limit, Before: f.Before}).Query() {
@@ -230,6 +238,7 @@
 
 const maxReasonBytes = 1000
 
+// settle records a person's decision on an undecided job.
 func (a *Admin) settle(call *protocol.Call, id string) {
 	var in struct {
 		Ran    *bool  `json:"ran"`
--- a/internal/node/batch/httpapi/binding.go
+++ b/internal/node/batch/httpapi/binding.go
@@ -1,6 +1,8 @@
-// Package httpapi binds the batch front to HTTP/1.1 and JSON, as docs/BATCH.md
-// describes it, and has its administration. What calls mean package jobs
-// decides; here they are read, handed on and answered.
+// Package httpapi is the HTTP/1.1 and JSON binding of the batch front, as docs/BATCH.md describes
+// it, and its administration. It parses and validates calls, authenticates tenants, and writes
+// the answers; what a call does is in package jobs.
+//
+// Front and Admin serve calls of a protocol.Server, on the event loop.
 package httpapi
 
 import (
@@ -31,7 +33,7 @@
 	denied      = &drmaa.Error{Status: 401, Name: drmaa.Denied, Message: "no valid token"}
 )
 
-// Front answers the calls of batch clients.
+// Front serves the calls of batch clients.
 type Front struct {
 	jobs    *jobs.Manager
 	clock   routing.Clock
@@ -39,25 +41,25 @@
 	version string
 }
 
-// New makes a front. version is the program's.
+// New returns a front. version is the program's.
 func New(manager *jobs.Manager, clock routing.Clock, timers *timerqueue.Queue, version string) *Front {
 	return &Front{jobs: manager, clock: clock, timers: timers, version: version}
 }
 
-// apiCall is one call with what was read of it.
+// apiCall is one authenticated call.
 type apiCall struct {
 	*protocol.Call
 	tenant *jobs.TenantState
-	hash   string // of its token
+	hash   string // of its token; see TokenHash
 	method string
-	path   []string // what follows the root
+	path   []string // the path's parts after the root
 	query  string
 }
 
-// Serve answers one call of the binding.
+// Serve serves one call of the binding.
 func (f *Front) Serve(in *protocol.Call) {
 	call := &apiCall{Call: in, method: string(in.Method)}
-	// Tokens are compared by their hashes alone, so that timing tells nothing of one.
+	// Tokens are looked up by their hashes, so that timing reveals nothing of a token.
 	if token, ok := bearer(in); ok {
 		call.hash = TokenHash(token)
 		call.tenant = f.jobs.ByToken(call.hash)
@@ -71,83 +73,86 @@
 		replyError(call, unknownPath)
 		return
 	}
-	serve := f.route(call)
+	serve := route(call)
 	if serve == nil {
 		replyError(call, unknownPath)
 		return
 	}
-	serve(call)
+	serve(f, call)
 }
 
-// route finds what answers a call. A '*' stands for one part of the path.
-func (f *Front) route(call *apiCall) func(*apiCall) {
+// routes are the handlers by method and path. A '*' stands for a session's name, a job's or an
+// array's ID.
+var routes = map[string]func(*Front, *apiCall){
+	"GET ":                             (*Front).manager,
+	"GET sessions":                     (*Front).sessions,
+	"POST sessions":                    (*Front).newSession,
+	"GET sessions/*":                   (*Front).session,
+	"DELETE sessions/*":                (*Front).closeSession,
+	"POST sessions/*/control":          (*Front).controlSession,
+	"POST sessions/*/wait":             (*Front).waitAny,
+	"GET sessions/*/events":            (*Front).events,
+	"GET sessions/*/jobs":              (*Front).listJobs,
+	"POST sessions/*/jobs":             (*Front).submit,
+	"GET sessions/*/jobs/*":            (*Front).job,
+	"POST sessions/*/jobs/*/wait":      (*Front).wait,
+	"POST sessions/*/jobs/*/control":   (*Front).control,
+	"POST sessions/*/arrays":           (*Front).submitBulk,
+	"GET sessions/*/arrays/*":          (*Front).array,
+	"POST sessions/*/arrays/*/wait":    (*Front).waitArray,
+	"POST sessions/*/arrays/*/control": (*Front).controlArray,
+	"GET monitoring/jobs":              (*Front).listJobs,
+	"GET monitoring/queues":            (*Front).queues,
+	"GET monitoring/machines":          (*Front).machines,
+	"GET monitoring/reservations":      (*Front).reservations,
+	"GET reservations":                 (*Front).reservations,
+	"POST reservations":                (*Front).reservations,
+}
+
+// route returns the handler of a call, or nil.
+func route(call *apiCall) func(*Front, *apiCall) {
 	shape := slices.Clone(call.path)
 	for _, at := range []int{1, 3} {
 		if at < len(shape) && shape[0] == "sessions" {
 			shape[at] = "*"
 		}
 	}
-	switch call.method + " " + strings.Join(shape, "/") {
-	case "GET ":
-		return f.manager
-	case "GET sessions":
-		return f.sessions
-	case "POST sessions":
-		return f.newSession
-	case "GET sessions/*":
-		return f.session
-	case "DELETE sessions/*":
-		return func(call *apiCall) { f.setSession(call, jobs.SessionClosed) }
-	case "POST sessions/*/control":
-		return f.controlSession
-	case "POST sessions/*/wait":
-		return f.waitAny
-	case "GET sessions/*/events":
-		return f.events
-	case "GET sessions/*/jobs":
-		return f.listJobs
-	case "POST sessions/*/jobs":
-		return f.submit
-	case "GET sessions/*/jobs/*":
-		return f.job
-	case "POST sessions/*/jobs/*/wait":
-		return f.wait
-	case "POST sessions/*/jobs/*/control":
-		return f.control
-	case "POST sessions/*/arrays":
-		return f.submitBulk
-	case "GET sessions/*/arrays/*":
-		return f.array
-	case "POST sessions/*/arrays/*/wait":
-		return f.waitArray
-	case "POST sessions/*/arrays/*/control":
-		return f.controlArray
-	case "GET monitoring/jobs":
-		return f.listJobs
-	case "GET monitoring/queues":
-		return func(call *apiCall) { reply(call, 200, map[string]any{"queues": f.jobs.Queues(call.tenant)}) }
-	case "GET monitoring/machines":
-		return func(call *apiCall) { reply(call, 200, map[string]any{"machines": f.jobs.Machines(call.tenant)}) }
-	case "GET monitoring/reservations", "GET reservations", "POST reservations":
-		return func(call *apiCall) {
-			replyError(call, drmaa.UnsupportedOperationError("there are no advance reservations"))
-		}
-	}
-	return nil
+	return routes[call.method+" "+strings.Join(shape, "/")]
+}
+
+// queues answers with the classes of jobs.
+func (f *Front) queues(call *apiCall) {
+	reply(call, 200, struct {
+		Queues []drmaa.Queue `json:"queues"`
+	}{f.jobs.Queues(call.tenant)})
+}
+
+// machines answers with the prep workers.
+func (f *Front) machines(call *apiCall) {
+	reply(call, 200, struct {
+		Machines []drmaa.Machine `json:"machines"`
+	}{f.jobs.Machines(call.tenant)})
+}
+
+// reservations rejects all calls on advance reservations.
+func (f *Front) reservations(call *apiCall) {
+	replyError(call, drmaa.UnsupportedOperationError("there are no advance reservations"))
 }
 
-// TokenHash is how tokens are stored.
+// TokenHash returns the hexadecimal SHA-256 of a token, by which the store has it.
 func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
+// bearer returns the bearer token of a call.
 func bearer(call *protocol.Call) (string, bool) {
 	kind, token, _ := strings.Cut(string(call.Header("Authorization")), " ")
 	return token, strings.EqualFold(kind, "Bearer") && token != ""
 }
 
-// pathOf splits what follows the root of a call's path.
+// pathOf returns the unescaped parts of a call's path after the root, and the query. ok is false
+// if the path is not under the root.
 func pathOf(call *protocol.Call, root string) (parts []string, query string, ok bool) {
 	path, query, _ := strings.Cut(string(call.Target), "?")
 	if path == root {
@@ -168,19 +173,21 @@
 	return parts, query, true
 }
 
-// answerer is a call that is owed an answer.
+// answerer is a call to be answered.
 type answerer interface {
 	Reply(status int, extra string, body []byte)
 }
 
+// reply answers a call with a JSON document.
 func reply(call answerer, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // all that is answered is made of plain fields
+		panic(err) // unreachable: answers have plain fields alone
 	}
 	call.Reply(status, jsonType, append(body, '\n'))
 }
 
+// replyError answers a call with an error of the binding.
 func replyError(call answerer, e *drmaa.Error) {
 	extra := jsonType
 	if e.RetryAfter > 0 {
@@ -193,7 +200,7 @@
 	call.Reply(e.Status, extra, append(body, '\n'))
 }
 
-// decodeBody reads the JSON object of a call's body, which may be absent.
+// decodeBody decodes the JSON object in a call's body, which may be empty.
 func decodeBody(call *protocol.Call, into any) *drmaa.Error {
 	if len(call.Body) == 0 {
 		return nil
@@ -201,8 +208,8 @@
 	return drmaa.Decode(call.Body, into, "the body")
 }
 
-// FormatError writes the answer to a request that cannot be read as an error of the
-// binding's, for a server's use.
+// FormatError returns header lines and body of an error of the binding, for the answer to a
+// request that a server rejects; see protocol.Server.FormatError.
 func FormatError(status int, text string) (extra string, body []byte) {
 	e := &drmaa.Error{Name: drmaa.InvalidArgument, Message: text}
 	if status == 503 {
@@ -215,6 +222,7 @@
 	return jsonType, append(body, '\n')
 }
 
+// checkName checks the name of a session or tenant.
 func checkName(name string) *drmaa.Error {
 	if name == "" || len(name) > 64 || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.") != "" ||
 		name == "." || name == ".." {
@@ -223,24 +231,28 @@
 	return nil
 }
 
-// manager answers for the session manager's attributes and its supports().
+// manager answers with the session manager's attributes and its supports().
 func (f *Front) manager(call *apiCall) {
 	reply(call, 200, drmaa.Manager{DrmsName: "ospreybend", DrmsVersion: f.version, DrmaaName: "ospreybend HTTP binding",
 		DrmaaVersion: "2.2", Categories: slices.Sorted(maps.Keys(f.jobs.Classes())), Supports: drmaa.Supports(), UnsupportedAttributes: drmaa.UnsupportedAttributes,
 		MaxBulkJobs: drmaa.MaxBulkJobs})
 }
 
+// sessions answers with the tenant's sessions.
 func (f *Front) sessions(call *apiCall) {
 	all := f.jobs.Sessions(call.tenant)
 	names := make([]string, len(all))
 	for i, s := range all {
 		names[i] = s.Name
 	}
-	reply(call, 200, map[string]any{"sessions": names, "x_sessions": all})
+	reply(call, 200, struct {
+		Names    []string        `json:"sessions"`
+		Sessions []drmaa.Session `json:"x_sessions"`
+	}{names, all})
 }
 
-// newSession is createJobSession and openJobSession. Without a mode it makes the
-// session or opens it, whichever is needed.
+// newSession is createJobSession and openJobSession. Without a mode it creates the session or
+// opens it, as needed.
 func (f *Front) newSession(call *apiCall) {
 	var in struct {
 		Name string `json:"name"`
@@ -261,6 +273,7 @@
 	f.jobs.SetSession(call.tenant, in.Name, jobs.SessionOpen, must, f.showSession(call, 201))
 }
 
+// showSession returns a callback that answers with a session, or without a body for status 204.
 func (f *Front) showSession(call *apiCall, status int) func(*jobs.Session, *drmaa.Error) {
 	return func(s *jobs.Session, e *drmaa.Error) {
 		switch {
@@ -274,6 +287,7 @@
 	}
 }
 
+// session answers with a session in any state.
 func (f *Front) session(call *apiCall) {
 	for _, s := range f.jobs.Sessions(call.tenant) {
 		if s.Name == call.path[1] {
@@ -284,10 +298,12 @@
 	replyError(call, jobs.UnknownSession)
 }
 
-func (f *Front) setSession(call *apiCall, state string) {
-	f.jobs.SetSession(call.tenant, call.path[1], state, "exist", f.showSession(call, 204))
+// closeSession is closeJobSession.
+func (f *Front) closeSession(call *apiCall) {
+	f.jobs.SetSession(call.tenant, call.path[1], jobs.SessionClosed, "exist", f.showSession(call, 204))
 }
 
+// controlSession opens, closes or destroys a session.
 func (f *Front) controlSession(call *apiCall) {
 	action, e := readAction(call)
 	switch {
@@ -310,6 +326,7 @@
 	}
 }
 
+// readAction returns the action that a call's body names.
 func readAction(call *apiCall) (string, *drmaa.Error) {
 	var in struct {
 		Action string `json:"action"`
--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -30,7 +30,7 @@
 	terminate = request("anna", "POST", jobsPath+"/{id}/control", `{"action":"terminate"}`)
 )
 
-// sendBooking has anna's booking at a prep worker, with its id kept.
+// sendBooking submits a booking of anna's, records its ID and has it sent to a prep worker.
 var sendBooking = join("c dial batch", "c "+submit("anna", booking), "c expect HTTP/1.1 202",
 	`c keep id "jobId":"`, "w accept workers", `w expect POST /buchen/teil%201 HTTP/1.1\r\n`, `w expect \r\n\r\norder`)
 
@@ -61,7 +61,7 @@
 	w.Play(join("c dial batch", "c "+submit("ben", booking), "c expect HTTP/1.1 202", "v accept workers", "v expect order", "v send {stream}{done}"))
 }
 
-// A key stays taken when its job is no longer at hand.
+// A key stays taken when its job is not in memory any more.
 func TestFront_submitAgainAfterTheEnd(t *testing.T) {
 	w := newFixtureWith(t, "", 2, 0)
 	w.Play(join(sendBooking, "w send {stream}{done}", "c "+ended, `c expect "jobState":"DONE"`))
@@ -73,15 +73,15 @@
 	}
 }
 
-// Cancel while the job starts: the start, and even the result, come after it.
-// There is one final outcome, and it does not change.
+// Terminated while the job starts: the start, and even the result, arrive after it. There is one
+// final outcome, and it does not change.
 func TestFront_terminateWhileStarting(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+terminate, "c expect HTTP/1.1 202", "w send {stream}{started}{done}",
 		"c "+ended, `c expect "jobState":"FAILED"`, `c expect "jobSubState":"terminated"`, `c expect "x_mayHaveRun":true`,
 		"w closed", "c "+terminate, "c expect HTTP/1.1 409", "c expect InvalidStateException",
 		"c "+status, `c expect "jobState":"FAILED"`))
-	// The other way round, the result stands.
+	// If the result arrives first, it is the outcome.
 	w.Play(join(`c `+submit("anna", `{"remoteCommand":"buchen"}`), `c keep id "jobId":"`, "w accept workers",
 		"w expect Req-Id: {id}-1", "w send {stream}{started}{done}", "c "+ended, `c expect "jobState":"DONE"`,
 		"c "+terminate, "c expect HTTP/1.1 409", "c "+status, `c expect "jobState":"DONE"`))
@@ -111,8 +111,8 @@
 	}
 }
 
-// The worker vanishes: while nothing is known of it the job is as it last was,
-// then it has failed and may have run, and a booking is not run again.
+// The worker vanishes: until that is known the job keeps its state, then it has failed and may
+// have run, and a booking is not run again.
 func TestFront_workerVanishes(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+begun, "w send {stream}{started}", "c expect RUNNING", "wait 1s",
@@ -122,7 +122,7 @@
 	if n := w.steps(); n != 1 {
 		t.Errorf("%d route steps", n)
 	}
-	// What may be repeated is.
+	// An idempotent job is retried.
 	w.Play(join("c "+submit("anna", `{"remoteCommand":"pruefen"}`), `c keep id "jobId":"`, "w accept workers",
 		"w send {stream}{started}", "c "+begun, "c expect RUNNING", "w close", "v accept workers", "v expect Req-Id: {id}-1",
 		"c "+status, "c expect REQUEUED", "v send {stream}{done}", "c "+ended, "c expect DONE"))
@@ -143,8 +143,8 @@
 		"w send {stream}{done}", "c "+ended, "c expect DONE"))
 }
 
-// No prep worker takes the job: it is refused in the core and returns when told
-// to, until its deadline. It never ran.
+// No prep worker accepts the job: the core refuses it and it is retried as advised, until its
+// deadline. It never ran.
 func TestFront_rejectedIsRetriedUntilDeadline(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join("c dial batch", "c "+submit("anna", strings.Replace(booking, "{", `{"deadline":6,`, 1)), `c keep id "jobId":"`))
@@ -178,17 +178,17 @@
 	} {
 		w.Play(join("c "+c[0], "c expect HTTP/1.1 "+c[1], "c expect "+c[2]))
 	}
-	// Another tenant's job looks unknown.
+	// Another tenant's job is unknown.
 	w.Play(join(sendBooking, "c "+request("ben", "GET", jobsPath+"/{id}", ""), "c expect HTTP/1.1 404", "c expect no such job",
 		"c "+request("ben", "POST", jobsPath+"/{id}/control", `{"action":"terminate"}`), "c expect HTTP/1.1 404",
 		"c "+request("anna", "POST", jobsPath+"/{id}/control", `{"action":"suspend"}`), "c expect UnsupportedOperationException"))
-	// Over the quota, and with no prep worker: refused with a time to return.
+	// Over the quota, and with no prep worker: rejected with Retry-After.
 	w.Play(join("c "+submit("anna", `{"remoteCommand":"pruefen"}`), "c expect HTTP/1.1 202",
 		"c "+submit("anna", `{"remoteCommand":"pruefen"}`), "c expect HTTP/1.1 429", "c expect Retry-After: 1.000", "c expect TryLaterException"))
 }
 
-// After a restart what may have run and must not run twice has failed; what may
-// be repeated, and what was never sent, runs.
+// After a restart a non-idempotent job that may have run has failed; idempotent ones, and those
+// never sent, run.
 func TestFront_restart(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join(sendBooking, "c "+submit("anna", `{"remoteCommand":"pruefen","deadline":60,"x_clientKey":"k2"}`), `c keep id2 "jobId":"`))
@@ -271,8 +271,7 @@
 	}
 }
 
-// A client that vanishes in a wait leaves nothing behind, and finds the job when
-// it is back.
+// The wait of a client that disconnects is removed, and the client finds its job later.
 func TestFront_clientVanishesInAWait(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join(sendBooking, "d dial batch", "d "+ended))
@@ -282,8 +281,7 @@
 	w.Play(join("w send {stream}{started}{done}", "e dial batch", "e "+ended, `e expect "jobState":"DONE"`, `e expect "result":"fine"`))
 }
 
-// A booking that is lost is listed for the administration, settled once, and its
-// owner sees that.
+// A lost booking is listed for the administration, settled once, and its owner sees that.
 func TestAdmin_settleUndecided(t *testing.T) {
 	w := newFixture(t, "")
 	admin := func(method, path, body string) string {
@@ -298,7 +296,7 @@
 		admin("GET", "undecided", ""), `a expect "jobs":[]`, "c "+status, `c expect "x_settled":{"ran":false,"reason":"not in the books"`))
 }
 
-// A held job's whole way over the wire, with its events on a stream.
+// The life of a held job over HTTP, with its events on a stream.
 func TestFront_holdAndEventStream(t *testing.T) {
 	w := newFixture(t, "")
 	control := func(action string) string {
@@ -314,10 +312,9 @@
 		control("reap"), "c expect HTTP/1.1 204", "c "+status, "c expect HTTP/1.1 404"))
 }
 
-// A reader that takes nothing from its connection: once the system's buffers are
-// full nothing more is written to it, what it has not fetched is dropped from the
-// bounded stream, and when it reads again it is told how many events it missed.
-// Each event has come or is counted.
+// A client that does not read its connection: once the socket buffers are full nothing more is
+// written, events that it has not fetched are dropped from the bounded stream, and when it reads
+// again it gets the number missed. Each event is received or counted.
 func TestFront_events_slowReaderSeesMissedCount(t *testing.T) {
 	w := newFixtureWith(t, "", 1_000_000, 10)
 	conn, err := net.Dial("tcp", w.batchAddress)
@@ -365,7 +362,7 @@
 	}
 }
 
-// A stream ends when the tenant's token does.
+// A stream ends when the tenant's token is replaced.
 func TestFront_events_streamEndsWithTheToken(t *testing.T) {
 	w := newFixture(t, "")
 	w.Play(join("e dial batch", "e "+request("anna", "GET", "/drmaa/v2/sessions/s/events?stream=1", ""), `e expect "events":[]`,
@@ -373,7 +370,7 @@
 		"wait 11s", `e expect 0\r\n\r\n`))
 }
 
-// What the documentation says of each attribute and method is there.
+// Each attribute and method is documented.
 func TestFront_answersAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../../../docs/BATCH.md")
 	must(t, err)
--- a/internal/node/batch/httpapi/events.go
+++ b/internal/node/batch/httpapi/events.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	maxEvents               = 500                   // of one answer, or of one line of a stream
-	slowClientPollInterval  = 50 * time.Millisecond // at a stream whose client is slow
-	streamHeartbeatInterval = 10 * time.Second      // a line goes out on a stream at least so often
+	maxEvents               = 500                   // in one answer, or in one line of a stream
+	slowClientPollInterval  = 50 * time.Millisecond // between two looks whether a slow client has read the last line
+	streamHeartbeatInterval = 10 * time.Second      // at most between two lines of a stream
 	ndjsonType              = "Content-Type: application/x-ndjson\r\n"
 )
 
-// events answers with the events after a cursor: at once where there are some,
-// else when the first comes or the timeout passes; or, with stream=1, with line
-// after line as they come.
+// events answers with the events after a cursor: at once if there are some, else with the first
+// or at the timeout; or, with stream=1, with a line for each batch of events.
 func (f *Front) events(call *apiCall) {
 	if _, e := f.jobs.Session(call.tenant, call.path[1]); e != nil {
 		replyError(call, e)
@@ -57,8 +56,8 @@
 	r.start()
 }
 
-// eventReader is one client that reads events. It holds nothing but its cursor: what
-// its connection does not take yet stays in the tenant's bounded stream.
+// eventReader is one client that reads events. It has a cursor and no events: those that its
+// connection does not take yet stay in the tenant's bounded stream.
 type eventReader struct {
 	front      *Front
 	call       *apiCall
@@ -68,10 +67,11 @@
 	timeout    time.Duration
 	unfollow   func()
 	stopped    bool
-	timer      *timerqueue.Timer // when to look again
-	nextLineAt time.Duration     // when a line must go out, or the wait is over
+	timer      *timerqueue.Timer // of the next poll
+	nextLineAt time.Duration     // when a line must be sent, or the wait ends
 }
 
+// start answers at once, or starts to wait or to stream.
 func (r *eventReader) start() {
 	f := r.front
 	first, e := f.jobs.Events(r.call.tenant, r.call.path[1], r.cursor, r.limit)
@@ -87,7 +87,7 @@
 	r.unfollow = f.jobs.Follow(r.call.tenant, func() { r.wakeAt(f.clock.Now()) })
 	r.call.OnClientGone(r.stop)
 	if !r.stream {
-		r.cursor = first.Cursor // from now on, where there was none
+		r.cursor = first.Cursor // the present, if there was none
 		r.wakeAt(r.nextLineAt)
 		return
 	}
@@ -100,6 +100,7 @@
 	r.poll()
 }
 
+// stop ends the reading.
 func (r *eventReader) stop() {
 	r.stopped = true
 	r.unfollow()
@@ -107,7 +108,7 @@
 	r.timer = nil
 }
 
-// wakeAt has the reader look again at a time, or at an earlier one that is set.
+// wakeAt schedules the next poll, unless an earlier one is scheduled.
 func (r *eventReader) wakeAt(at time.Duration) {
 	if r.stopped || r.timer != nil && r.timer.At() <= at {
 		return
@@ -119,7 +120,7 @@
 	})
 }
 
-// poll sends what has come since.
+// poll sends the events since the cursor, or ends the wait or the stream.
 func (r *eventReader) poll() {
 	f, now := r.front, r.front.clock.Now()
 	ended := f.jobs.Stopping() || f.jobs.ByToken(r.call.hash) != r.call.tenant
@@ -142,13 +143,14 @@
 		r.wakeAt(now + slowClientPollInterval)
 	case len(got.Events) > 0 || got.Missed != 0 || now >= r.nextLineAt:
 		r.writeLine(got)
-		r.wakeAt(now) // there may be more
+		r.wakeAt(now) // there may be more events
 	default:
 		r.cursor = got.Cursor
 		r.wakeAt(r.nextLineAt)
 	}
 }
 
+// writeLine sends a line of a stream.
 func (r *eventReader) writeLine(got *drmaa.Events) {
 	r.cursor, r.nextLineAt = got.Cursor, r.front.clock.Now()+streamHeartbeatInterval
 	line, err := json.Marshal(got)
--- a/internal/node/batch/httpapi/fixture_test.go
+++ b/internal/node/batch/httpapi/fixture_test.go
@@ -15,8 +15,8 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-// fixture is a node with the batch front on a stage. The stand-in "workers" plays
-// its prep workers; scenarios play the batch clients.
+// fixture is a node with the batch front. The scripted peer "workers" plays its prep workers;
+// scenarios play the batch clients.
 type fixture struct {
 	*scriptedpeer.Bench
 	t            *testing.T
@@ -30,8 +30,8 @@
 
 const adminToken = "chief"
 
-// newFixture sets a node up on a store in a file; an empty one has the tenants
-// 'anna' and 'ben', each with a session 's' and a token of its name.
+// newFixture starts a node on a store in a file; a new one has the tenants 'anna' and 'ben', each
+// with a session 's' and a token of its name.
 func newFixture(t *testing.T, file string) *fixture {
 	return newFixtureWith(t, file, 2, jobs.DefaultMaxEndedJobs)
 }
@@ -93,7 +93,7 @@
 	return w
 }
 
-// stopStore stops the store's side, as the end of the process would.
+// stopStore closes the store, as the end of the process would.
 func (w *fixture) stopStore() {
 	if w.executor == nil {
 		return
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/node/batch/jobs"
 )
 
-// show answers with a job.
+// show returns a callback that answers with a job.
 func (f *Front) show(call answerer, status int) func(*jobs.Job, *drmaa.Error) {
 	return func(j *jobs.Job, e *drmaa.Error) {
 		if e != nil {
@@ -18,6 +18,7 @@
 	}
 }
 
+// showArray returns a callback that answers with a job array.
 func (f *Front) showArray(call answerer, status int) func(*jobs.Array, *drmaa.Error) {
 	return func(a *jobs.Array, e *drmaa.Error) {
 		if e != nil {
@@ -28,6 +29,7 @@
 	}
 }
 
+// submit is runJob.
 func (f *Front) submit(call *apiCall) {
 	template, e := drmaa.ReadTemplate(call.Body, f.jobs.Classes(), f.jobs.Now())
 	if e != nil {
@@ -37,6 +39,7 @@
 	f.jobs.Submit(call.tenant, call.path[1], template, f.show(call, 202))
 }
 
+// submitBulk is runBulkJobs.
 func (f *Front) submitBulk(call *apiCall) {
 	var b drmaa.Bulk
 	e := drmaa.Decode(call.Body, &b, "the bulk")
@@ -53,6 +56,7 @@
 	f.jobs.SubmitBulk(call.tenant, call.path[1], &b, f.showArray(call, 202))
 }
 
+// listJobs answers with one page of a session's jobs, or of all of the tenant's.
 func (f *Front) listJobs(call *apiCall) {
 	filter, e := drmaa.ReadFilter(call.query)
 	session := ""
@@ -73,15 +77,17 @@
 	})
 }
 
+// job answers with a job.
 func (f *Front) job(call *apiCall) {
 	f.jobs.Find(call.tenant, call.path[1], call.path[3], f.show(call, 200))
 }
 
+// array answers with a job array.
 func (f *Front) array(call *apiCall) {
 	f.jobs.FindArray(call.tenant, call.path[1], call.path[3], f.showArray(call, 200))
 }
 
-// waitRequest is the body of a wait.
+// waitRequest is the body of a wait call.
 type waitRequest struct {
 	Timeout float64  `json:"timeout"` // seconds
 	For     string   `json:"for"`     // started, terminated; of an array also allTerminated
@@ -91,6 +97,8 @@
 
 const maxAwaitedJobs = 1000
 
+// readWait reads and validates the body of a wait call. allowJobList allows a session's wait for
+// several jobs, allowAll an array's for all of its jobs. It returns the timeout too.
 func readWait(call *apiCall, allowJobList, allowAll bool) (waitRequest, time.Duration, *drmaa.Error) {
 	in := waitRequest{For: "terminated"}
 	e := decodeBody(call.Call, &in)
@@ -112,6 +120,7 @@
 	return in, time.Duration(in.Timeout * float64(time.Second)), e
 }
 
+// wait is waitStarted and waitTerminated of a job.
 func (f *Front) wait(call *apiCall) {
 	in, timeout, e := readWait(call, false, false)
 	if e != nil {
@@ -183,6 +192,7 @@
 	})
 }
 
+// control performs an action on a job.
 func (f *Front) control(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
@@ -204,6 +214,7 @@
 	})
 }
 
+// controlArray performs an action on the jobs of an array.
 func (f *Front) controlArray(call *apiCall) {
 	action, e := readAction(call)
 	if e != nil {
