--- a/drmaa/bulk.go
+++ b/drmaa/bulk.go
@@ -8,16 +8,16 @@
 // MaxBulkJobs is the most jobs of one bulk.
 const MaxBulkJobs = 10_000
 
-// Bulk is the range of runBulkJobs, GFD.194 clause 7.2.
+// Bulk is a job array to submit: the arguments of runBulkJobs (GFD.194 clause 7.2).
 type Bulk struct {
 	Template    *JobTemplate `json:"jobTemplate"`
 	Begin       int          `json:"beginIndex"`
 	End         int          `json:"endIndex"`
 	Step        int          `json:"step"`                  // 0: one
-	MaxParallel int          `json:"maxParallel,omitempty"` // that run at once; 0: no limit
+	MaxParallel int          `json:"maxParallel,omitempty"` // jobs that run at once; 0: no limit
 }
 
-// Validate tells what is wrong with the range, or nil. It fills in the step.
+// Validate checks the range. It sets a missing step to 1.
 func (b *Bulk) Validate() *Error {
 	if b.Step == 0 {
 		b.Step = 1
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// Count is how many jobs the bulk has.
+// Count returns the number of jobs.
 func (b *Bulk) Count() int { return (b.End-b.Begin)/b.Step + 1 }
 
-// Digest is that of the template and the range.
+// Digest returns the digest of the template and the range.
 func (b *Bulk) Digest() string {
 	parts := []string{"bulk"}
 	for _, n := range []int{b.Begin, b.End, b.Step, b.MaxParallel} {
@@ -52,11 +52,10 @@
 	return b.Template.Digest(strings.Join(parts, " "))
 }
 
-// JobID is the id of an array's job. It names the array and the index.
+// JobID returns the ID of an array's job: the array's ID and the index.
 func JobID(array string, index int) string { return array + "." + strconv.Itoa(index) }
 
-// SplitJobID finds the array and the index in a job's id; the array is empty
-// for a single job.
+// SplitJobID returns the array and the index in a job's ID; "" and 0 for a single job.
 func SplitJobID(id string) (array string, index int) {
 	array, digits, ok := strings.Cut(id, ".")
 	n, err := strconv.Atoi(digits)
--- a/drmaa/client/admin.go
+++ b/drmaa/client/admin.go
@@ -8,10 +8,10 @@
 	"ospreybend/drmaa"
 )
 
-// Admin is a way to the batch front's administration.
+// Admin is a client of the batch front's administration.
 type Admin struct{ client *Client }
 
-// NewAdmin makes one. base is the administration's address.
+// NewAdmin returns a client of the administration. base is its address.
 func NewAdmin(base, token string, options ...Option) (*Admin, error) {
 	c, err := New(base, token, options...)
 	return &Admin{c}, err
@@ -22,42 +22,59 @@
 	Name       string `json:"name"`
 	Quota      int    `json:"maxUnfinishedJobs"`
 	Unfinished int    `json:"unfinishedJobs"`
-	Token      string `json:"token,omitempty"` // shown once, when it is made
+	Token      string `json:"token,omitempty"` // shown once, when it is created
 }
 
 const tenants = "/admin/v1/tenants"
 
-// Tenants lists all tenants.
+// Tenants returns all tenants.
 func (a *Admin) Tenants(ctx context.Context) ([]Tenant, error) {
 	var out struct{ Tenants []Tenant }
 	return out.Tenants, a.client.do(ctx, getCall(tenants, &out))
 }
 
-// Create makes a tenant, and its token.
+// createRequest is the body of a call that creates a tenant.
+type createRequest struct {
+	Quota int    `json:"maxUnfinishedJobs"`
+	Name  string `json:"name"`
+}
+
+// quotaRequest is the body of a call that changes a tenant's quota.
+type quotaRequest struct {
+	Quota int `json:"maxUnfinishedJobs"`
+}
+
+// settleRequest is the body of a call that settles an undecided job.
+type settleRequest struct {
+	Ran    bool   `json:"ran"`
+	Reason string `json:"reason"`
+}
+
+// Create creates a tenant and its token.
 func (a *Admin) Create(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
-	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants, in: map[string]any{"name": name, "maxUnfinishedJobs": quota}, out: &t})
+	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants, in: createRequest{Quota: quota, Name: name}, out: &t})
 }
 
 // SetQuota changes how many unfinished jobs a tenant may have.
 func (a *Admin) SetQuota(ctx context.Context, name string, quota int) (*Tenant, error) {
 	var t Tenant
 	return &t, a.client.do(ctx, apiCall{method: "PUT", path: tenants + "/" + url.PathEscape(name),
-		in: map[string]int{"maxUnfinishedJobs": quota}, out: &t, retryable: true})
+		in: quotaRequest{quota}, out: &t, retryable: true})
 }
 
-// Rotate gives a tenant a new token; the old one is void.
+// Rotate replaces a tenant's token.
 func (a *Admin) Rotate(ctx context.Context, name string) (*Tenant, error) {
 	var t Tenant
 	return &t, a.client.do(ctx, apiCall{method: "POST", path: tenants + "/" + url.PathEscape(name) + "/token", out: &t})
 }
 
-// Remove locks a tenant out. What it has submitted runs to its end.
+// Remove disables a tenant. Its submitted jobs run to their end.
 func (a *Admin) Remove(ctx context.Context, name string) error {
 	return a.client.do(ctx, apiCall{method: "DELETE", path: tenants + "/" + url.PathEscape(name), retryable: true})
 }
 
-// Queue is the batch front as it stands.
+// Queue is the state of the batch front in numbers.
 type Queue struct {
 	Unfinished int    `json:"unfinished"`
 	Queued     int    `json:"queued"`
@@ -73,20 +90,20 @@
 	} `json:"window"`
 }
 
-// Queue returns how the batch front stands.
+// Queue returns the state of the batch front in numbers.
 func (a *Admin) Queue(ctx context.Context) (*Queue, error) {
 	var q Queue
 	return &q, a.client.do(ctx, getCall("/admin/v1/queue", &q))
 }
 
-// Undecided lists the bookings that have FAILED, may have run, and that nobody has
-// settled, the oldest first.
+// Undecided iterates over the jobs that have FAILED, may have run, must not run twice and are not
+// settled, oldest first.
 func (a *Admin) Undecided(ctx context.Context) iter.Seq2[*drmaa.Job, error] {
 	return a.client.pages(ctx, "/admin/v1/undecided", drmaa.Filter{})
 }
 
-// Settle records what was found out of an undecided booking, once.
+// Settle records the decision on an undecided job, once.
 func (a *Admin) Settle(ctx context.Context, id string, ran bool, reason string) error {
 	return a.client.do(ctx, apiCall{method: "POST", path: "/admin/v1/jobs/" + url.PathEscape(id) + "/settle",
-		in: map[string]any{"ran": ran, "reason": reason}})
+		in: settleRequest{Ran: ran, Reason: reason}})
 }
--- a/drmaa/client/client.go
+++ b/drmaa/client/client.go
@@ -1,6 +1,7 @@
-// Package client calls the batch front over HTTP. Calls take a context, heed
-// Retry-After, and are made again where that is safe: reads and waits always,
-// submissions under their client key. It is safe for use by several goroutines.
+// Package client is a client of the batch front over HTTP. Calls take a context, honour
+// Retry-After, and are retried with backoff where that is safe: reads and waits always,
+// submissions under their client key. Its types are safe for concurrent use. The program's own
+// commands (package cli) use it.
 package client
 
 import (
@@ -25,11 +26,11 @@
 const (
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = 5 * time.Second
-	maxServerWait    = 30 * time.Second // the longest that one call waits at the server
+	maxServerWait    = 30 * time.Second // of one wait call; longer waits are repeated
 	maxResponseBytes = 64 << 20
 )
 
-// Client is one tenant's way to a batch front.
+// Client is one tenant's client of a batch front.
 type Client struct {
 	base        string
 	token       string
@@ -37,18 +38,18 @@
 	maxAttempts int
 }
 
-// Option changes a client from its defaults.
+// Option configures a client.
 type Option func(*Client)
 
-// WithHTTP has the client use an HTTP client of the caller's. Its timeout must
-// be none or over half a minute, as waits take as long.
+// WithHTTP makes the client use an HTTP client. Its timeout must be none or over half a minute,
+// the duration of a wait call.
 func WithHTTP(h *http.Client) Option { return func(c *Client) { c.http = h } }
 
-// WithMaxAttempts sets how often a call is made at most, where it is safe to make it
-// again; 1: once. Without it a call goes on until its context ends.
+// WithMaxAttempts sets the most attempts of a call that may be retried. Without it a call is retried
+// until its context ends.
 func WithMaxAttempts(n int) Option { return func(c *Client) { c.maxAttempts = n } }
 
-// New makes a client. base is the server's address, as http://127.0.0.1:8090.
+// New returns a client. base is the server's address, such as http://127.0.0.1:8090.
 func New(base, token string, options ...Option) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
@@ -65,10 +66,10 @@
 type apiCall struct {
 	method, path string
 	in, out      any
-	retryable    bool // safe to make again after a failure that leaves open what it did
+	retryable    bool // safe to retry after a failure that leaves its effect open
 }
 
-// do makes a call until it has an answer that stands.
+// do makes a call, with retries.
 func (c *Client) do(ctx context.Context, call apiCall) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
@@ -85,14 +86,14 @@
 		case c.maxAttempts > 0 && attempt >= c.maxAttempts:
 			return err
 		case answered && e.Name == drmaa.TryLater:
-			// It was not taken: to come again is harmless.
+			// It had no effect: a retry is safe.
 		case !answered && call.retryable:
 		default:
 			return err
 		}
 		wait := pause.NextBackOff()
 		if answered && e.RetryAfter > 0 {
-			wait = e.RetryAfter + wait/4 // not all who were told the same at once
+			wait = e.RetryAfter + wait/4 // jitter: others were told the same time
 		}
 		select {
 		case <-ctx.Done():
@@ -102,6 +103,7 @@
 	}
 }
 
+// request sends one HTTP request.
 func (c *Client) request(ctx context.Context, method, path string, in any) (*http.Response, error) {
 	var body io.Reader
 	if in != nil {
@@ -122,6 +124,7 @@
 	return c.http.Do(r)
 }
 
+// doOnce makes one attempt of a call.
 func (c *Client) doOnce(ctx context.Context, call apiCall) error {
 	answer, err := c.request(ctx, call.method, call.path, call.in)
 	if err != nil {
@@ -144,7 +147,7 @@
 	return nil
 }
 
-// responseError reads an answer that is an error.
+// responseError returns the error of an HTTP response.
 func responseError(answer *http.Response, text []byte) error {
 	e := &drmaa.Error{Status: answer.StatusCode}
 	if json.Unmarshal(text, e) != nil || e.Name == "" {
@@ -152,7 +155,7 @@
 			return &drmaa.Error{Status: answer.StatusCode, Name: drmaa.Communication,
 				Message: "status " + answer.Status + " with no error of the binding's"}
 		}
-		e.Name, e.Message = drmaa.TryLater, "the server has no room" // before the binding is reached
+		e.Name, e.Message = drmaa.TryLater, "the server has no room" // of the HTTP server, before the binding
 	}
 	if s, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 		e.RetryAfter = time.Duration(s * float64(time.Second))
@@ -162,6 +165,7 @@
 
 const root = "/drmaa/v2"
 
+// getCall returns a call that reads a document.
 func getCall(path string, out any) apiCall {
 	return apiCall{method: "GET", path: path, out: out, retryable: true}
 }
@@ -172,7 +176,7 @@
 	return &m, c.do(ctx, getCall(root, &m))
 }
 
-// Sessions lists the tenant's job sessions.
+// Sessions returns the tenant's job sessions.
 func (c *Client) Sessions(ctx context.Context) ([]drmaa.Session, error) {
 	var out struct {
 		Sessions []drmaa.Session `json:"x_sessions"`
@@ -180,43 +184,50 @@
 	return out.Sessions, c.do(ctx, getCall(root+"/sessions", &out))
 }
 
-// CreateSession is createJobSession: it must not be there yet.
+// CreateSession is createJobSession: the session must not exist.
 func (c *Client) CreateSession(ctx context.Context, name string) (*Session, error) {
 	return c.session(ctx, name, "create")
 }
 
-// OpenSession is openJobSession: it must be there.
+// OpenSession is openJobSession: the session must exist.
 func (c *Client) OpenSession(ctx context.Context, name string) (*Session, error) {
 	return c.session(ctx, name, "open")
 }
 
-// EnsureSession creates a session or opens it, whichever is needed.
+// EnsureSession creates a session or opens it, as needed.
 func (c *Client) EnsureSession(ctx context.Context, name string) (*Session, error) {
 	return c.session(ctx, name, "")
 }
 
+// sessionRequest is the body of a call that creates or opens a session.
+type sessionRequest struct {
+	Mode string `json:"mode"`
+	Name string `json:"name"`
+}
+
+// session creates or opens a session by mode.
 func (c *Client) session(ctx context.Context, name, mode string) (*Session, error) {
-	in := map[string]string{"name": name, "mode": mode}
+	in := sessionRequest{Name: name, Mode: mode}
 	err := c.do(ctx, apiCall{method: "POST", path: root + "/sessions", in: in, retryable: mode != "create"})
 	return c.Session(name), err
 }
 
-// Session is a session by its name, without a call.
+// Session returns a session by its name, without a call.
 func (c *Client) Session(name string) *Session {
 	return &Session{client: c, Name: name, path: root + "/sessions/" + url.PathEscape(name)}
 }
 
-// Queues lists the classes that jobs may be of.
+// Queues returns the classes of jobs.
 func (c *Client) Queues(ctx context.Context) ([]drmaa.Queue, error) {
 	var out struct{ Queues []drmaa.Queue }
 	return out.Queues, c.do(ctx, getCall(root+"/monitoring/queues", &out))
 }
 
-// Machines lists the prep workers.
+// Machines returns the prep workers.
 func (c *Client) Machines(ctx context.Context) ([]drmaa.Machine, error) {
 	var out struct{ Machines []drmaa.Machine }
 	return out.Machines, c.do(ctx, getCall(root+"/monitoring/machines", &out))
 }
 
-// newClientKey makes a client key, so that a submission can be made again.
+// newClientKey returns a random client key, under which a submission can be retried.
 func newClientKey() string { return "auto-" + rand.Text() }
--- a/drmaa/client/client_test.go
+++ b/drmaa/client/client_test.go
@@ -23,7 +23,7 @@
 	at    []time.Time
 }
 
-// newServer plays one handler after the other; the last goes on.
+// newServer plays one handler after the other; the last is repeated.
 func newServer(t *testing.T, script ...http.HandlerFunc) *server {
 	s := &server{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -46,7 +46,7 @@
 	return append([]string(nil), s.calls...)
 }
 
-// gap is the time between the first two calls.
+// gap returns the time between the first two calls.
 func (s *server) gap() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// breaks ends the connection without an answer.
+// breaks closes the connection without an answer.
 func breaks(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// A submission whose answer is lost is made again under the same client key.
+// A submission whose answer is lost is retried under the same client key.
 func TestSession_Run_retriesUnderItsKey(t *testing.T) {
 	s := newServer(t, breaks, answers(202, drmaa.Job{ID: "j"}))
 	if _, err := s.client(t).Session("s").Run(t.Context(), drmaa.JobTemplate{RemoteCommand: "c"}); err != nil {
@@ -107,7 +107,7 @@
 	if len(s.seen()) != 2 || s.seen()[0] != s.seen()[1] || !strings.Contains(s.seen()[0], "x_clientKey") {
 		t.Errorf("%q", s.seen())
 	}
-	// A bulk too, and the caller's template is left as it was.
+	// So is a bulk, and the caller's template is unchanged.
 	s = newServer(t, breaks, answers(202, drmaa.Array{ID: "a"}))
 	template := &drmaa.JobTemplate{RemoteCommand: "c"}
 	if _, err := s.client(t).Session("s").RunBulk(t.Context(), drmaa.Bulk{Template: template, Begin: 1, End: 2}); err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// What may have had effect and has no key is not made again.
+// A call that may have had an effect and has no key is not retried.
 func TestSession_Act_isNotRetried(t *testing.T) {
 	s := newServer(t, breaks, answers(202, drmaa.Job{}))
 	if err := s.client(t).Session("s").Act(t.Context(), "j", "terminate"); err == nil || len(s.seen()) != 1 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// A stream that breaks is resumed at the last cursor.
+// A broken stream is resumed at the last cursor.
 func TestSession_Events_resume(t *testing.T) {
 	lines := func(v ...drmaa.Events) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
--- a/drmaa/client/session.go
+++ b/drmaa/client/session.go
@@ -23,18 +23,24 @@
 	path   string
 }
 
+// actionRequest is the body of a control call.
+type actionRequest struct {
+	Action string `json:"action"`
+}
+
+// control performs an action on the session.
 func (s *Session) control(ctx context.Context, action string) error {
-	return s.client.do(ctx, apiCall{method: "POST", path: s.path + "/control", in: map[string]string{"action": action}, retryable: action != "destroy"})
+	return s.client.do(ctx, apiCall{method: "POST", path: s.path + "/control", in: actionRequest{action}, retryable: action != "destroy"})
 }
 
-// Close is closeJobSession. The jobs go on.
+// Close is closeJobSession. The session's jobs continue.
 func (s *Session) Close(ctx context.Context) error { return s.control(ctx, "close") }
 
-// Destroy is destroyJobSession: what has not ended is terminated, all is reaped.
+// Destroy is destroyJobSession: unfinished jobs are terminated, and all are reaped.
 func (s *Session) Destroy(ctx context.Context) error { return s.control(ctx, "destroy") }
 
-// Run is runJob. A template without a client key is given one, so that the
-// submission can be made again when its answer is lost, and yet be one job.
+// Run is runJob. A template without a client key gets one, so that a retry after a lost answer does
+// not submit a second job.
 func (s *Session) Run(ctx context.Context, t drmaa.JobTemplate) (*drmaa.Job, error) {
 	if t.ClientKey == "" {
 		t.ClientKey = newClientKey()
@@ -43,8 +49,7 @@
 	return &j, s.client.do(ctx, apiCall{method: "POST", path: s.path + "/jobs", in: t, out: &j, retryable: true})
 }
 
-// RunOnce is Run without a second try: where it is turned away the caller learns it
-// at once.
+// RunOnce is Run without retries: a rejection is returned at once.
 func (s *Session) RunOnce(ctx context.Context, t drmaa.JobTemplate) (*drmaa.Job, error) {
 	var j drmaa.Job
 	return &j, s.client.doOnce(ctx, apiCall{method: "POST", path: s.path + "/jobs", in: t, out: &j})
@@ -76,17 +81,18 @@
 	return &a, s.client.do(ctx, getCall(s.array(id), &a))
 }
 
-// Jobs is getJobs: all that match, newest first, fetched page by page. It stops
-// after the first error.
+// Jobs is getJobs: it iterates over all matching jobs, newest first, and fetches them page by page.
+// It stops after the first error.
 func (s *Session) Jobs(ctx context.Context, f drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
 	return s.client.pages(ctx, s.path+"/jobs", f)
 }
 
-// Jobs is the monitoring session's getAllJobs: those of all sessions.
+// Jobs is the monitoring session's getAllJobs: it iterates over the jobs of all sessions.
 func (c *Client) Jobs(ctx context.Context, f drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
 	return c.pages(ctx, root+"/monitoring/jobs", f)
 }
 
+// pages iterates over the jobs of a list.
 func (c *Client) pages(ctx context.Context, path string, filter drmaa.Filter) iter.Seq2[*drmaa.Job, error] {
 	return func(yield func(*drmaa.Job, error) bool) {
 		query := filter.Query()
@@ -111,24 +117,25 @@
 	}
 }
 
-// Act does an action on a job: hold, release, terminate or reap.
+// Act performs an action on a job: hold, release, terminate or reap.
 func (s *Session) Act(ctx context.Context, id, action string) error {
-	return s.client.do(ctx, apiCall{method: "POST", path: s.job(id) + "/control", in: map[string]string{"action": action}})
+	return s.client.do(ctx, apiCall{method: "POST", path: s.job(id) + "/control", in: actionRequest{action}})
 }
 
-// ActOnArray does an action on all jobs of an array that are in a state for it.
+// ActOnArray performs an action on all jobs of an array whose state allows it.
 func (s *Session) ActOnArray(ctx context.Context, id, action string) (*drmaa.Affected, error) {
 	var n drmaa.Affected
-	return &n, s.client.do(ctx, apiCall{method: "POST", path: s.array(id) + "/control", in: map[string]string{"action": action}, out: &n})
+	return &n, s.client.do(ctx, apiCall{method: "POST", path: s.array(id) + "/control", in: actionRequest{action}, out: &n})
 }
 
-// What a wait is for.
+// The events that a wait may be for.
 const (
 	Started       = "started"
 	Terminated    = "terminated"
 	AllTerminated = "allTerminated" // of an array
 )
 
+// waitBody is the body of a wait call. Timeout is in seconds.
 type waitBody struct {
 	Timeout float64  `json:"timeout"`
 	For     string   `json:"for"`
@@ -136,7 +143,7 @@
 	Array   string   `json:"array,omitempty"`
 }
 
-// wait waits at the server again and again, until the context ends.
+// wait repeats a wait call until it is answered or the context ends.
 func (s *Session) wait(ctx context.Context, path string, b waitBody, out any) error {
 	for {
 		span := maxServerWait
@@ -161,9 +168,8 @@
 	return &j, s.wait(ctx, s.job(id)+"/wait", waitBody{For: what}, &j)
 }
 
-// WaitAny is waitAnyStarted or waitAnyTerminated: over the jobs named, over an
-// array's, or where neither is given over all of the session. It returns one
-// that is so.
+// WaitAny is waitAnyStarted or waitAnyTerminated: over the jobs named, over an array's, or if
+// neither is given over all of the session. It returns one that has started or ended.
 func (s *Session) WaitAny(ctx context.Context, what, array string, ids ...string) (*drmaa.Job, error) {
 	var j drmaa.Job
 	return &j, s.wait(ctx, s.path+"/wait", waitBody{For: what, Jobs: ids, Array: array}, &j)
@@ -175,11 +181,10 @@
 	return &a, s.wait(ctx, s.array(id)+"/wait", waitBody{For: AllTerminated}, &a)
 }
 
-// Events follows the session's events from a cursor on; empty: from now,
-// "oldest": from the oldest that is kept. A connection that breaks is made anew
-// at the last cursor, which each element has. Missed tells of events that were
-// dropped before they were read. It ends with the context, or after an error
-// that a new connection would not mend.
+// Events follows the session's events from a cursor on; empty: from now, "oldest": from the oldest
+// retained. A broken connection is reopened at the last cursor, which each element has. Missed
+// counts events that were dropped before they were read. It ends with the context, or after an
+// error that a new connection would not resolve.
 func (s *Session) Events(ctx context.Context, cursor string) iter.Seq2[*drmaa.Events, error] {
 	return func(yield func(*drmaa.Events, error) bool) {
 		pause := backoff.NewExponentialBackOff()
@@ -206,7 +211,7 @@
 	}
 }
 
-// follow reads one connection's lines to their end.
+// follow reads the lines of one connection to its end. more is false if each returned false.
 func (s *Session) follow(ctx context.Context, cursor *string, each func(*drmaa.Events) bool) (more bool, err error) {
 	answer, err := s.client.request(ctx, "GET", s.path+"/events?stream=1&cursor="+url.QueryEscape(*cursor), nil)
 	if err != nil {
--- a/drmaa/drmaa_test.go
+++ b/drmaa/drmaa_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Whatever comes as a template is read or refused, and what is read stands a
-// second reading.
+// Any document is read or rejected as a template, and one that is read can be read again after
+// encoding.
 func FuzzReadTemplate(f *testing.F) {
 	f.Add([]byte(`{"remoteCommand":"buchen","args":["a"],"minSlots":2}`))
 	f.Add([]byte(`{"remoteCommand":"pruefen","startTime":"2026-12-01T14:00:00Z","x_costHint":1e3}`))
@@ -128,7 +128,7 @@
 	}
 }
 
-// A filter comes through its query as it was.
+// A filter is unchanged by its form as a query.
 func TestReadFilter_readsQuery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stamp := func(name string) int64 { return rapid.Int64Range(0, 4e15).Draw(t, name) }
@@ -149,7 +149,7 @@
 	})
 }
 
-// Final states are left by no transition, and each held state has its way back.
+// No transition leaves a final state, and each held state can be released.
 func TestState_transitions(t *testing.T) {
 	for _, from := range States() {
 		for _, to := range States() {
--- a/drmaa/filter.go
+++ b/drmaa/filter.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// MaxListed is the most jobs of one page, and the usual number.
+// MaxListed is the most jobs of one page, and the default.
 const MaxListed = 200
 
-// Filter selects jobs: the attributes of JobInfo that GFD.194 clause 7.2 has
-// getJobs match. Zero fields match all.
+// Filter selects jobs by the attributes of JobInfo that getJobs matches (GFD.194 clause 7.2).
+// Zero fields match all.
 type Filter struct {
 	States        []State
 	Category      string
@@ -25,17 +25,18 @@
 	FinishedTo    int64
 
 	Limit  int
-	Before Cursor // only what is older than it
+	Before Cursor // only older jobs
 }
 
-// Cursor is a place in a list: after the job of this number and id. Lists run
-// from the newest to the oldest job, and the order of two jobs never changes, so
-// that a page asked for later neither repeats nor leaves out any.
+// Cursor is a position in a list: after the job of this number and ID. Lists run from the newest to
+// the oldest job, and the order of two jobs never changes, so that a later page neither repeats
+// nor omits one.
 type Cursor struct {
 	Seq int64
 	ID  string
 }
 
+// String returns the cursor as clients have it; "" for the zero cursor.
 func (c Cursor) String() string {
 	if c == (Cursor{}) {
 		return ""
@@ -43,13 +44,14 @@
 	return strconv.FormatInt(c.Seq, 36) + "-" + c.ID
 }
 
+// readCursor parses the form of Cursor.String.
 func readCursor(text string) (Cursor, bool) {
 	seq, id, ok := strings.Cut(text, "-")
 	n, err := strconv.ParseInt(seq, 36, 64)
 	return Cursor{n, id}, ok && err == nil && n > 0 && id != ""
 }
 
-// ReadFilter reads a filter from a call's query.
+// ReadFilter reads a filter from a call's query. Its error names the parameter.
 func ReadFilter(query string) (Filter, *Error) {
 	filter := Filter{Limit: MaxListed}
 	values, err := url.ParseQuery(query)
@@ -57,62 +59,71 @@
 		return filter, InvalidArgumentError("query", "%v", err)
 	}
 	for _, name := range sortedKeys(values) {
-		value := values.Get(name)
 		if len(values[name]) > 1 {
 			return filter, InvalidArgumentError(name, "given twice")
 		}
-		var timestamp *int64
-		switch name {
-		case "state":
-			for s := range strings.SplitSeq(value, ",") {
-				if !State(s).Known() {
-					return filter, InvalidArgumentError(name, "no state %q", s)
-				}
-				filter.States = append(filter.States, State(s))
-			}
-		case "category":
-			filter.Category = value
-		case "name":
-			filter.Name = value
-		case "accountingId":
-			filter.AccountingID = value
-		case "array":
-			filter.Array = value
-		case "submittedFrom":
-			timestamp = &filter.SubmittedFrom
-		case "submittedTo":
-			timestamp = &filter.SubmittedTo
-		case "finishedFrom":
-			timestamp = &filter.FinishedFrom
-		case "finishedTo":
-			timestamp = &filter.FinishedTo
-		case "limit":
-			n, err := strconv.Atoi(value)
-			if err != nil || n < 1 || n > MaxListed {
-				return filter, InvalidArgumentError(name, "not from 1 to %d", MaxListed)
-			}
-			filter.Limit = n
-		case "next":
-			c, ok := readCursor(value)
-			if !ok {
-				return filter, InvalidArgumentError(name, "%q is no cursor of this list", value)
-			}
-			filter.Before = c
-		default:
-			return filter, InvalidArgumentError(name, "no such filter")
+		if e := filter.set(name, values.Get(name)); e != nil {
+			return filter, e
 		}
-		if timestamp != nil {
-			t, err := time.Parse(time.RFC3339Nano, value)
-			if err != nil {
-				return filter, InvalidArgumentError(name, "%q is no time after RFC 3339", value)
+	}
+	return filter, nil
+}
+
+// set sets the field of one parameter.
+func (f *Filter) set(name, value string) *Error {
+	switch name {
+	case "state":
+		for s := range strings.SplitSeq(value, ",") {
+			if !State(s).Known() {
+				return InvalidArgumentError(name, "no state %q", s)
 			}
-			*timestamp = t.UnixMicro()
+			f.States = append(f.States, State(s))
 		}
+	case "category":
+		f.Category = value
+	case "name":
+		f.Name = value
+	case "accountingId":
+		f.AccountingID = value
+	case "array":
+		f.Array = value
+	case "submittedFrom":
+		return setTimestamp(name, value, &f.SubmittedFrom)
+	case "submittedTo":
+		return setTimestamp(name, value, &f.SubmittedTo)
+	case "finishedFrom":
+		return setTimestamp(name, value, &f.FinishedFrom)
+	case "finishedTo":
+		return setTimestamp(name, value, &f.FinishedTo)
+	case "limit":
+		n, err := strconv.Atoi(value)
+		if err != nil || n < 1 || n > MaxListed {
+			return InvalidArgumentError(name, "not from 1 to %d", MaxListed)
+		}
+		f.Limit = n
+	case "next":
+		cursor, ok := readCursor(value)
+		if !ok {
+			return InvalidArgumentError(name, "%q is no cursor of this list", value)
+		}
+		f.Before = cursor
+	default:
+		return InvalidArgumentError(name, "no such filter")
 	}
-	return filter, nil
+	return nil
+}
+
+// setTimestamp parses a parameter in the form of RFC 3339 to Unix microseconds.
+func setTimestamp(name, value string, field *int64) *Error {
+	t, err := time.Parse(time.RFC3339Nano, value)
+	if err != nil {
+		return InvalidArgumentError(name, "%q is no time after RFC 3339", value)
+	}
+	*field = t.UnixMicro()
+	return nil
 }
 
-// Query writes the filter as a call's query.
+// Query returns the filter as a call's query, which ReadFilter reads.
 func (f Filter) Query() string {
 	v := url.Values{}
 	set := func(name, value string) {
@@ -140,6 +151,7 @@
 	return v.Encode()
 }
 
+// sortedKeys returns the names of parameters in order, so that errors do not depend on a map's order.
 func sortedKeys(v url.Values) []string {
 	var names []string
 	for name := range v {
@@ -149,16 +161,16 @@
 	return names
 }
 
-// Unfinished and Ended tell whether jobs that have not ended, or have, can match.
+// Unfinished reports whether unfinished jobs may match.
 func (f *Filter) Unfinished() bool {
 	return f.FinishedFrom == 0 && f.FinishedTo == 0 &&
 		(len(f.States) == 0 || slices.ContainsFunc(f.States, func(s State) bool { return !s.Final() }))
 }
 
-// Ended reports whether jobs in a final state may match; see Unfinished.
+// Ended reports whether jobs in a final state may match.
 func (f *Filter) Ended() bool {
 	return len(f.States) == 0 || slices.ContainsFunc(f.States, State.Final)
 }
 
-// Matches tells whether a job's state, as it is now, is among those asked for.
+// Matches reports whether a job's state is among the filter's.
 func (f *Filter) Matches(s State) bool { return len(f.States) == 0 || slices.Contains(f.States, s) }
--- a/drmaa/info.go
+++ b/drmaa/info.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Step is one go at a job: the prep worker that it went to and what came of it.
+// Step is one attempt at a job: the prep worker and the outcome.
 type Step struct {
 	Machine string `json:"machineName"`
 	Sent    string `json:"x_sentTime"`
 	Started string `json:"x_startTime,omitempty"`
 	Ended   string `json:"x_endTime,omitempty"`
-	Outcome string `json:"x_outcome,omitempty"` // as the platform's protocol has it; empty: still out
+	Outcome string `json:"x_outcome,omitempty"` // as in the platform's protocol; empty: in flight
 }
 
-// Settlement is what a person has found out of a job that may have run.
+// Settlement is a person's decision whether an undecided job has run.
 type Settlement struct {
 	Ran    bool   `json:"ran"`
 	Reason string `json:"reason"`
 	Time   string `json:"time,omitempty"`
 }
 
-// Slots is the slots of one machine, GFD.194 clause 8.2 (SlotInfo).
+// Slots are the slots of one machine: SlotInfo (GFD.194 clause 8.2).
 type Slots struct {
 	Machine string  `json:"machineName"`
 	Slots   float64 `json:"slots"`
 }
 
-// Job is a job as clients see it: JobInfo of GFD.194 clause 8.5 with the job's
-// own attributes. Times are RFC 3339, in UTC.
+// Job is a job as clients see it: JobInfo (GFD.194 clause 8.5) with the job's own attributes.
+// Times are RFC 3339, in UTC.
 type Job struct {
 	ID                string       `json:"jobId"`
 	Name              string       `json:"jobName,omitempty"`
@@ -52,7 +52,7 @@
 	Settled           *Settlement  `json:"x_settled,omitempty"`
 }
 
-// Array is a job array, GFD.194 clause 8.8.
+// Array is a job array (GFD.194 clause 8.8).
 type Array struct {
 	ID          string        `json:"jobArrayId"`
 	Session     string        `json:"session"`
@@ -67,7 +67,7 @@
 	AllEnded    bool          `json:"x_over"` // all have ended
 }
 
-// Page is one page of a list. Next asks for the following one; empty: the end.
+// Page is one page of a list. Next is the cursor of the following one; empty: there is none.
 type Page struct {
 	Jobs []*Job `json:"jobs"`
 	Next string `json:"x_next,omitempty"`
@@ -80,21 +80,20 @@
 	Unfinished int    `json:"unfinishedJobs"`
 }
 
-// Affected is how many jobs of an array or session an operation applied to, and
-// how many were in a state that ruled it out.
+// Affected has the numbers of jobs that an operation on an array applied to, and of those whose
+// state did not allow it.
 type Affected struct {
 	Applied  int `json:"applied"`
 	RuledOut int `json:"x_ruledOut"`
 }
 
-// Event kinds, GFD.194 clause 8.7 (DrmaaEvent).
+// Event kinds: DrmaaEvent (GFD.194 clause 8.7).
 const (
 	NewState = "NEW_STATE"
 	Migrated = "MIGRATED"
 )
 
-// Event is one notification. Sequence numbers rise by one within a stream of a
-// tenant's.
+// Event is one notification. Sequence numbers rise by one within a tenant's stream.
 type Event struct {
 	Seq      uint64 `json:"seq"`
 	Time     string `json:"time"`
@@ -103,28 +102,28 @@
 	Job      string `json:"jobId"`
 	State    State  `json:"jobState"`
 	SubState string `json:"jobSubState,omitempty"`
-	Machine  string `json:"machineName,omitempty"` // MIGRATED: where it went
+	Machine  string `json:"machineName,omitempty"` // of MIGRATED: the new one
 }
 
-// Events is an answer from an event stream. Missed tells how many events before
-// the first were dropped unread; -1: unknown, as the node has restarted since.
+// Events is an answer from an event stream. Missed is the number of events before the first that
+// were dropped unread; -1: unknown, as the node has restarted since.
 type Events struct {
 	Events []Event `json:"events"`
 	Missed int64   `json:"missed"`
 	Cursor string  `json:"cursor"`
 }
 
-// Machine is a prep worker, GFD.194 clause 8.6 (MachineInfo).
+// Machine is a prep worker: MachineInfo (GFD.194 clause 8.6).
 type Machine struct {
 	Name               string   `json:"name"`
 	Available          bool     `json:"available"`
 	State              string   `json:"x_state"` // Ready, Draining
-	FailureProbability float64  `json:"x_doubt"` // the chance that a job fails there, as the node sees it
+	FailureProbability float64  `json:"x_doubt"` // the probability that a job fails there, by the node's estimate
 	FreeSlots          *float64 `json:"x_freeSlots,omitempty"`
-	BatchSlots         float64  `json:"x_batchSlots"` // that this front's jobs take there
+	BatchSlots         float64  `json:"x_batchSlots"` // slots that the tenant's batch jobs use there
 }
 
-// Queue is a class, GFD.194 clause 8.6 (QueueInfo).
+// Queue is a class of jobs: QueueInfo (GFD.194 clause 8.6).
 type Queue struct {
 	Name          string `json:"name"`
 	NonIdempotent bool   `json:"x_once"` // its jobs never run twice
@@ -133,7 +132,7 @@
 	Running       int    `json:"x_running"`
 }
 
-// Manager is the session manager's attributes, GFD.194 clause 7.1.
+// Manager has the session manager's attributes (GFD.194 clause 7.1).
 type Manager struct {
 	DrmsName              string            `json:"drmsName"`
 	DrmsVersion           string            `json:"drmsVersion"`
@@ -145,7 +144,7 @@
 	MaxBulkJobs           int               `json:"x_mostBulkJobs"`
 }
 
-// Supports answers supports() for each capability of GFD.194 clause 7.1.
+// Supports returns the result of supports() for each capability of GFD.194 clause 7.1.
 func Supports() map[string]bool {
 	return map[string]bool{
 		"ADVANCE_RESERVATION": false, "RESERVE_SLOTS": false, "CALLBACK": false, "BULK_JOBS_MAXPARALLEL": true,
@@ -154,7 +153,7 @@
 	}
 }
 
-// Stamp writes a time of Unix microseconds; 0 is written as nothing.
+// Stamp formats a time in Unix microseconds as RFC 3339; 0 as "".
 func Stamp(micros int64) string {
 	if micros == 0 {
 		return ""
--- a/drmaa/template.go
+++ b/drmaa/template.go
@@ -22,40 +22,40 @@
 	MaxNameBytes  = 200      // bytes of a name, a key or an argument
 	MaxSlots      = 64
 	MaxArgs       = 32
-	MaxPriority   = 1000 // either way
+	MaxPriority   = 1000 // and -MaxPriority at least
 	MaxDeadline   = 24 * time.Hour
-	MaxTimeAhead  = 366 * 24 * time.Hour // a start or a deadline lies no further ahead
+	MaxTimeAhead  = 366 * 24 * time.Hour // of a start time or a deadline
 )
 
-// IndexPlaceholder stands for a bulk job's index in args and input: the
-// binding's spelling of the standard's index placeholder, GFD.194 clause 8.4.
+// IndexPlaceholder is replaced by an array job's index in args and input: the binding's form of
+// the standard's index placeholder (GFD.194 clause 8.4).
 const IndexPlaceholder = "$DRMAA_INDEX$"
 
-// JobTemplate is what a job is made of, GFD.194 clause 8.4. Attributes that
-// start with x_ are the binding's own. What the standard has and is not here is
-// refused by its name; see Refused.
+// JobTemplate describes a job to submit (GFD.194 clause 8.4). Attributes that start with x_ are the
+// binding's own. Attributes of the standard that are missing here are rejected by name; see
+// UnsupportedAttributes.
 type JobTemplate struct {
 	RemoteCommand string            `json:"remoteCommand"`            // the class of the job
-	Args          []string          `json:"args,omitempty"`           // the further parts of its path
+	Args          []string          `json:"args,omitempty"`           // further parts of its path
 	Input         string            `json:"input,omitempty"`          // the body
 	JobName       string            `json:"jobName,omitempty"`        // for the client's own use
-	JobCategory   string            `json:"jobCategory,omitempty"`    // a class too; where both are given they agree
+	JobCategory   string            `json:"jobCategory,omitempty"`    // the class too; must agree with the others
 	SubmitAsHold  bool              `json:"submitAsHold,omitempty"`   // waits for its release
 	Rerunnable    *bool             `json:"rerunnable,omitempty"`     // nil: as the class has it
-	Environment   map[string]string `json:"jobEnvironment,omitempty"` // refused; kept to say so by name
+	Environment   map[string]string `json:"jobEnvironment,omitempty"` // rejected by name
 	MinSlots      float64           `json:"minSlots,omitempty"`       // slots that it takes; 0: one
 	MaxSlots      float64           `json:"maxSlots,omitempty"`       // 0: as many as minSlots
 	Priority      int               `json:"priority,omitempty"`       // higher goes first
 	StartTime     string            `json:"startTime,omitempty"`      // RFC 3339; not before it
 	DeadlineTime  string            `json:"deadlineTime,omitempty"`   // RFC 3339; not after it
 	AccountingID  string            `json:"accountingId,omitempty"`   // for the client's own use
-	QueueName     string            `json:"queueName,omitempty"`      // the class once more
-	Deadline      float64           `json:"deadline,omitempty"`       // seconds from submission, as an older binding had it
-	CostHint      float64           `json:"x_costHint,omitempty"`     // seconds of work, roughly; 0: not known
+	QueueName     string            `json:"queueName,omitempty"`      // the class too; must agree with the others
+	Deadline      float64           `json:"deadline,omitempty"`       // seconds from submission; of an older version of the binding
+	CostHint      float64           `json:"x_costHint,omitempty"`     // estimated seconds of work; 0: unknown
 	ClientKey     string            `json:"x_clientKey,omitempty"`
 }
 
-// UnsupportedAttributes has each attribute of the standard that the binding refuses, and why.
+// UnsupportedAttributes are the attributes of the standard that the binding rejects, with the reasons.
 var UnsupportedAttributes = map[string]string{
 	"workingDirectory":  "prep workers have no directories of their clients'",
 	"email":             "the service sends no mail",
@@ -76,13 +76,13 @@
 	"jobEnvironment":    "prep workers are handed no environment",
 }
 
-// Class is what a template may say of a class of jobs.
+// Class is a class of jobs, which a template names.
 type Class struct {
 	Number        int
 	NonIdempotent bool // must not run twice
 }
 
-// ReadTemplate reads and checks a job template.
+// ReadTemplate reads and validates a job template. classes are those allowed, by name.
 func ReadTemplate(body []byte, classes map[string]Class, now time.Time) (*JobTemplate, *Error) {
 	var t JobTemplate
 	if e := Decode(body, &t, "the job template"); e != nil {
@@ -91,43 +91,68 @@
 	return &t, t.Validate(classes, now)
 }
 
-// Decode reads one JSON object and names what it finds wrong.
+// Decode decodes one JSON object without unknown members. what names the document in errors, which
+// name the faulty attribute where there is one.
 func Decode(body []byte, into any, what string) *Error {
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) && kind.Field != "" {
-			return InvalidArgumentError(kind.Field, "a %s makes no sense here", kind.Value)
-		}
-		if errors.As(err, &kind) {
-			return &Error{Status: 400, Name: InvalidArgument, Message: what + " is no JSON object: it is a " + kind.Value}
-		}
-		if quoted, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			name, err := strconv.Unquote(quoted)
-			if err != nil {
-				name = quoted
-			}
-			why, known := UnsupportedAttributes[name]
-			if !known {
-				why = "no such attribute"
-			}
-			return UnsupportedAttributeError(name, why)
-		}
-		return &Error{Status: 400, Name: InvalidArgument, Message: what + " cannot be read: " + err.Error()}
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return decodeError(err, what)
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return &Error{Status: 400, Name: InvalidArgument, Message: "something follows " + what}
 	}
 	return nil
 }
 
-// Validate tells what is wrong with a template, or nil. It fills in the class that
-// jobCategory or queueName name.
+// decodeError converts an error of encoding/json.
+func decodeError(err error, what string) *Error {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		if typeError.Field != "" {
+			return InvalidArgumentError(typeError.Field, "a %s makes no sense here", typeError.Value)
+		}
+		return &Error{Status: 400, Name: InvalidArgument, Message: what + " is no JSON object: it is a " + typeError.Value}
+	}
+	if quoted, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
+		name, err := strconv.Unquote(quoted)
+		if err != nil {
+			name = quoted
+		}
+		why, known := UnsupportedAttributes[name]
+		if !known {
+			why = "no such attribute"
+		}
+		return UnsupportedAttributeError(name, why)
+	}
+	return &Error{Status: 400, Name: InvalidArgument, Message: what + " cannot be read: " + err.Error()}
+}
+
+// Validate checks a template. It sets the class from jobCategory or queueName if remoteCommand is
+// missing.
 func (t *JobTemplate) Validate(classes map[string]Class, now time.Time) *Error {
 	if len(t.Environment) > 0 {
 		return UnsupportedAttributeError("jobEnvironment", UnsupportedAttributes["jobEnvironment"])
 	}
+	if e := t.checkClass(classes); e != nil {
+		return e
+	}
+	if e := t.checkTexts(); e != nil {
+		return e
+	}
+	if e := t.checkNumbers(); e != nil {
+		return e
+	}
+	for _, a := range t.Args {
+		if a == "" || len(a) > MaxNameBytes || a == "." || a == ".." {
+			return InvalidArgumentError("args", "%q is no part of a path", a)
+		}
+	}
+	return t.checkTimes(now)
+}
+
+// checkClass completes and checks the class.
+func (t *JobTemplate) checkClass(classes map[string]Class) *Error {
 	for _, other := range []struct{ attribute, value string }{{"jobCategory", t.JobCategory}, {"queueName", t.QueueName}} {
 		switch {
 		case other.value == "":
@@ -147,6 +172,11 @@
 	if t.Rerunnable != nil && *t.Rerunnable && class.NonIdempotent {
 		return UnsupportedAttributeError("rerunnable", "jobs of class "+t.RemoteCommand+" never run twice")
 	}
+	return nil
+}
+
+// checkTexts checks the lengths and characters of input, names and keys.
+func (t *JobTemplate) checkTexts() *Error {
 	for _, text := range []struct {
 		attribute, value string
 		most             int
@@ -159,6 +189,11 @@
 			return InvalidArgumentError(text.attribute, "holds a control character")
 		}
 	}
+	return nil
+}
+
+// checkNumbers checks the ranges of slots, priority, deadline, cost and arguments.
+func (t *JobTemplate) checkNumbers() *Error {
 	switch {
 	case !(t.MinSlots >= 0) || t.MinSlots > MaxSlots:
 		return InvalidArgumentError("minSlots", "not from 0 to %d", MaxSlots)
@@ -177,14 +212,10 @@
 	case len(t.Args) > MaxArgs:
 		return InvalidArgumentError("args", "over %d", MaxArgs)
 	}
-	for _, a := range t.Args {
-		if a == "" || len(a) > MaxNameBytes || a == "." || a == ".." {
-			return InvalidArgumentError("args", "%q is no part of a path", a)
-		}
-	}
-	return t.checkTimes(now)
+	return nil
 }
 
+// checkTimes checks start time and deadline.
 func (t *JobTemplate) checkTimes(now time.Time) *Error {
 	var start, end time.Time
 	for _, at := range []struct {
@@ -214,9 +245,10 @@
 	return nil
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Slots is how many slots the job takes.
+// Slots returns the number of slots that the job uses.
 func (t *JobTemplate) Slots() float64 {
 	if t.MinSlots > 0 {
 		return t.MinSlots
@@ -224,11 +256,10 @@
 	return 1
 }
 
-// Start is the time before which the job does not run, in Unix microseconds; 0: none.
+// Start returns the job's start time in Unix microseconds; 0: none.
 func (t *JobTemplate) Start() int64 { return unixMicros(t.StartTime) }
 
-// End is the job's deadline in Unix microseconds, for a job submitted at the
-// given one; 0: none.
+// End returns the deadline of a job submitted at a time, both in Unix microseconds; 0: none.
 func (t *JobTemplate) End(submitted int64) int64 {
 	if t.Deadline > 0 {
 		return submitted + seconds(t.Deadline).Microseconds()
@@ -236,6 +267,7 @@
 	return unixMicros(t.DeadlineTime)
 }
 
+// unixMicros parses a time of RFC 3339 to Unix microseconds; 0 if it is none.
 func unixMicros(text string) int64 {
 	if at, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return at.UnixMicro()
@@ -243,8 +275,8 @@
 	return 0
 }
 
-// Target is the path that the job goes to a prep worker under. index takes the
-// placeholder's place; it is empty for a single job.
+// Target returns the path of the job's request to a prep worker. index replaces IndexPlaceholder;
+// it is empty for a single job.
 func (t *JobTemplate) Target(index string) string {
 	var b strings.Builder
 	b.WriteString("/" + url.PathEscape(t.RemoteCommand))
@@ -254,9 +286,10 @@
 	return b.String()
 }
 
-// Body is the job's input, with the index in the placeholder's place.
+// Body returns the job's input, with the index in place of IndexPlaceholder.
 func (t *JobTemplate) Body(index string) string { return replaceIndex(t.Input, index) }
 
+// replaceIndex replaces IndexPlaceholder, unless index is empty.
 func replaceIndex(text, index string) string {
 	if index == "" {
 		return text
@@ -264,12 +297,12 @@
 	return strings.ReplaceAll(text, IndexPlaceholder, index)
 }
 
-// Digest tells templates of one client key apart. extra is what else the key
-// covers, as the range of a bulk.
+// Digest returns a hash of the template and of extra, the rest of what its client key stands for,
+// such as the range of a bulk. Submissions of one client key must have one digest.
 func (t *JobTemplate) Digest(extra string) string {
 	text, err := json.Marshal(t)
 	if err != nil {
-		panic(err) // a template has nothing that JSON lacks
+		panic(err) // unreachable: a template has plain fields alone
 	}
 	sum := sha256.Sum256(append(text, extra...))
 	return hex.EncodeToString(sum[:])
