--- a/cmd/inference-router/measure_simulate.go
+++ b/cmd/inference-router/measure_simulate.go
@@ -103,7 +103,7 @@
 		if err != nil || servers < 1 {
 			return nil, fmt.Errorf("servers must be positive numbers joined by commas, not %q", c.Servers)
 		}
-		shape := schedule.Shape{Keepers: servers, Tolerance: c.tolerance(servers), Agents: c.Agents, Operators: c.Operators, Workers: c.Workers, Length: c.Length,
+		shape := schedule.Shape{Servers: servers, Tolerance: c.tolerance(servers), Agents: c.Agents, Operators: c.Operators, Workers: c.Workers, Length: c.Length,
 			SlowDisks: c.SlowDisks}
 		if len(c.Omit) == 0 {
 			shapes = append(shapes, shape)
--- a/internal/testkit/controlplanesim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -9,11 +9,11 @@
 	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
-// callTimeout is how long a caller waits in silence before it goes on to another node.
+// callTimeout is how long a caller waits for an answer before it tries another node.
 const callTimeout = time.Second
 
-// call sends a call to a machine's API, as over HTTP. The status is 0 if no answer came in time. A call that has arrived
-// is carried out though its caller may have gone.
+// call calls a machine's API, as over HTTP. The status is 0 if no answer arrived in time. A call that has arrived
+// is processed even if its caller no longer waits.
 func (w *world) call(from string, to *machine, request server.APIRequest) server.APIResponse {
 	answered := make(chan server.APIResponse, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -27,7 +27,7 @@
 	}
 }
 
-// deliver brings a call to the machine and its answer back. ctx ends when the caller waits no longer.
+// deliver carries a call to the machine and its answer back. ctx ends when the caller no longer waits.
 func (w *world) deliver(ctx context.Context, from string, to *machine, request server.APIRequest, answered chan<- server.APIResponse) {
 	path := simnet.Path{From: from, To: to.ip}
 	if !w.travel(ctx, path) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// travel waits until something has come along a path. It is false if ctx ends before.
+// travel waits until a message has arrived along a path. It returns false if ctx ends before.
 func (w *world) travel(ctx context.Context, path simnet.Path) bool {
 	for {
 		changed := w.network.Changed()
@@ -80,7 +80,7 @@
 	}
 }
 
-// classify tells whether an answer of the API ends an operator's call, and whether that was taken.
+// classify reports whether a status of the API is final for an operator's call, and whether the call was accepted.
 func classify(status int) (final, accepted bool) {
 	switch status {
 	case http.StatusOK:
--- a/internal/testkit/controlplanesim/campaign/campaign.go
+++ b/internal/testkit/controlplanesim/campaign/campaign.go
@@ -12,15 +12,15 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Plan is a campaign.
+// Plan describes a campaign: many drawn schedules, played by several processes.
 type Plan struct {
 	Player    Player
-	Shapes    []schedule.Shape // each plays the same seeds; one that leaves guards out is played until that is found
+	Shapes    []schedule.Shape // each plays the same seeds; one that omits guards is played until a schedule fails
 	First     uint64           // seed
 	Schedules int              // for each shape
 	Processes int
 	Shrink    time.Duration // for shrinking each failure; 0: none is shrunk
-	MaxFound  int           // violations after which a whole shape is not played on; 0: all are played
+	MaxFound  int           // failures after which a shape is not played further; 0: all schedules are played
 	Progress  io.Writer
 }
 
@@ -61,7 +61,7 @@
 	return part, err
 }
 
-// player plays the shape's requests. Without a guard only those findings count which are not there with the guard.
+// player plays the shape's requests. For a shape that omits guards, only findings count that do not occur with all guards.
 func (p Plan) player(shape schedule.Shape) func(context.Context, Request, func(Line)) error {
 	if len(shape.Omit) == 0 {
 		return p.Player.Play
@@ -81,7 +81,7 @@
 	}
 }
 
-// failsWithAllGuards reports whether the seed's schedule breaks anything with all guards in force.
+// failsWithAllGuards reports whether the seed's schedule fails a check with all guards enabled.
 func (p Plan) failsWithAllGuards(ctx context.Context, seed uint64, shape schedule.Shape) bool {
 	shape.Omit = nil
 	broken := false
@@ -89,7 +89,7 @@
 	return err != nil || broken
 }
 
-// distribute hands chunks of seeds to the processes until all are played or enough is found.
+// distribute sends chunks of seeds to the processes until all are played or enough failures are found.
 func (p Plan) distribute(ctx context.Context, tally *tally, play func(context.Context, Request, func(Line)) error) error {
 	chunks := make(chan Request)
 	failed := make(chan error, p.Processes)
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// shrink makes the failure's schedule smaller, as far as the same check breaks.
+// shrink reduces the failure's schedule as long as the same check fails.
 func (p Plan) shrink(ctx context.Context, shape schedule.Shape, failure *Failure) {
 	drawn := schedule.Draw(failure.Seed, shape)
 	failure.Schedule = drawn.Format()
@@ -149,7 +149,7 @@
 	}
 }
 
-// failsSameCheck reports whether the schedule breaks one of the checks.
+// failsSameCheck reports whether the schedule fails one of the checks.
 func (p Plan) failsSameCheck(ctx context.Context, candidate schedule.Schedule, checks []string) bool {
 	broken := false
 	err := p.Player.Play(ctx, Request{Text: candidate.Format(), Count: 1}, func(line Line) {
@@ -166,7 +166,7 @@
 	if err != nil {
 		return ShapeResult{}, err
 	}
-	tally := newTally(schedule.Shape{Keepers: parsed.Servers, Tolerance: parsed.Tolerance, Omit: parsed.Omit}, parsed.Seed, 0, io.Discard)
+	tally := newTally(schedule.Shape{Servers: parsed.Servers, Tolerance: parsed.Tolerance, Omit: parsed.Omit}, parsed.Seed, 0, io.Discard)
 	err = player.Play(ctx, Request{Text: parsed.Format(), Count: 1}, tally.add)
 	part := tally.result()
 	for i := range part.Failures {
@@ -175,7 +175,7 @@
 	return part, err
 }
 
-// tally counts what the processes tell.
+// tally counts the results that the processes report.
 type tally struct {
 	shape    schedule.Shape
 	first    uint64
@@ -191,7 +191,7 @@
 func newTally(shape schedule.Shape, first uint64, most int, progress io.Writer) *tally {
 	now := time.Now()
 	return &tally{shape: shape, first: first, maxFound: most, progress: progress, begun: now, reported: now,
-		found: ShapeResult{Servers: shape.Keepers, Tolerance: shape.Tolerance, Omit: slices.Clone(shape.Omit), First: first}}
+		found: ShapeResult{Servers: shape.Servers, Tolerance: shape.Tolerance, Omit: slices.Clone(shape.Omit), First: first}}
 }
 
 // add counts one schedule.
@@ -211,16 +211,16 @@
 	}
 }
 
-// name tells shapes apart in lines of progress.
+// name names the shape in lines of progress.
 func (t *tally) name() string {
-	name := fmt.Sprintf("%d keepers", t.shape.Keepers)
+	name := fmt.Sprintf("%d servers", t.shape.Servers)
 	if len(t.shape.Omit) > 0 {
 		name += " without " + strings.Join(t.shape.Omit, ", ")
 	}
 	return name
 }
 
-// enough reports whether so much is found that the shape need not be played on.
+// enough reports whether the shape has failed often enough.
 func (t *tally) enough() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/testkit/controlplanesim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -14,7 +14,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-var shape = schedule.Shape{Keepers: 3, Tolerance: 1, Agents: 2, Operators: 2, Workers: 3, Length: 40 * time.Second}
+var shape = schedule.Shape{Servers: 3, Tolerance: 1, Agents: 2, Operators: 2, Workers: 3, Length: 40 * time.Second}
 
 // Seeds at which the scripted simulation misbehaves.
 const (
--- a/internal/testkit/controlplanesim/campaign/player.go
+++ b/internal/testkit/controlplanesim/campaign/player.go
@@ -16,7 +16,7 @@
 
 // Checks that the campaign itself adds.
 const (
-	CheckDied    = "died"    // the process that played the schedule ended amid it
+	CheckDied    = "died"    // the process ended while it played the schedule
 	CheckEndless = "endless" // the schedule did not end within the limit
 )
 
@@ -37,12 +37,12 @@
 
 // outcome is what one process did.
 type outcome struct {
-	began   *Line // the schedule under way, if the process ended amid one
+	began   *Line // the schedule under way, if the process ended during one
 	tail    []string
 	endless bool
 }
 
-// Play plays the request and hands over a line for each schedule that ended. A schedule amid which the process dies has
+// Play plays the request and hands over a line for each schedule that ended. A schedule during which the process dies has
 // a finding, and the rest of the request goes on in another process.
 func (p Player) Play(ctx context.Context, request Request, ended func(Line)) error {
 	for {
@@ -109,7 +109,7 @@
 	result := p.follow(output, cancel, ended)
 	failure := command.Wait()
 	if failure == nil && result.began != nil {
-		failure = fmt.Errorf("the process ended without an error amid schedule %d", result.began.Seed)
+		failure = fmt.Errorf("the process ended without an error during schedule %d", result.began.Seed)
 	}
 	if failure != nil {
 		result.tail = append(result.tail, failure.Error())
--- a/internal/testkit/controlplanesim/campaign/protocol.go
+++ b/internal/testkit/controlplanesim/campaign/protocol.go
@@ -40,7 +40,7 @@
 	return all, nil
 }
 
-// Line tells of one schedule: that it begins, or how it ended.
+// Line describes one schedule: that it begins, or how it ended.
 type Line struct {
 	Seed       uint64    `json:"seed"`
 	Begins     bool      `json:"begins,omitempty"`
@@ -61,7 +61,7 @@
 	Views        int `json:"views"`
 	Heartbeats   int `json:"beats"`
 	Departures   int `json:"departures"`
-	Faults       int `json:"struck"` // troubles brought about
+	Faults       int `json:"struck"` // faults brought about
 }
 
 // add adds those of another schedule.
--- a/internal/testkit/controlplanesim/campaign/result.go
+++ b/internal/testkit/controlplanesim/campaign/result.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Result is a whole campaign.
+// Result is the result of a campaign.
 type Result struct {
 	Command string        `json:"command"`
 	Build   string        `json:"build"`
-	Load    string        `json:"load"` // of the machine when it began
+	Load    string        `json:"load"` // load average of the machine when the campaign began
 	Parts   []ShapeResult `json:"parts"`
 }
 
@@ -77,7 +77,7 @@
 // WriteText writes the result for people.
 func (r Result) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "%s\nbuild %s, load at the start %s\n\n", r.Command, r.Build, r.Load)
-	fmt.Fprintln(out, "| keepers | left out | schedules | with violations | found after | seconds | operations | acknowledged | views | heartbeats | troubles |")
+	fmt.Fprintln(out, "| servers | omitted guards | schedules | with violations | found after | seconds | operations | acknowledged | views | heartbeats | faults |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, part := range r.Parts {
 		part.writeRow(out)
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -21,7 +21,7 @@
 	cutAt     = 6 * time.Second
 	cutFor    = 20 * time.Second
 	cutLength = cutAt + cutFor + 6*time.Second
-	leaseOver = 1200 * time.Millisecond // after which a keeper that is cut off acknowledges nothing
+	leaseOver = 1200 * time.Millisecond // after which a server that is partitioned off acknowledges nothing
 	// A follower whose words are lost is current for as long as the leader's connection to it lasts, which is not acknowledged.
 	outwardLeaseOver = 2500 * time.Millisecond
 	readInterval     = 300 * time.Millisecond // of reads behind the cut
@@ -30,19 +30,19 @@
 
 // Roles of the operators and workers in these scenarios.
 const (
-	outsideOperator = 0 // goes to all keepers
+	outsideOperator = 0 // goes to all servers
 	insideOperator  = 1 // reaches the cut ones alone
 	steadyWorker    = 0 // has its heartbeats go there alone
 	drainWorker     = 1 // drains there
-	leaveWorker     = 2 // deregisters there without a word before
+	leaveWorker     = 2 // deregisters there without notice before
 	crashWorker     = 3 // reaches all, and is there throughout
 )
 
-// cutScenario is one way in which a keeper is cut off.
+// cutScenario is one way in which a server is partitioned off.
 type cutScenario struct {
 	variant  schedule.Variant // empty: it is frozen
 	follower bool             // not the leader of the configuration's group
-	agents   []int            // that are cut off along with it
+	agents   []int            // that are partitioned off along with it
 	restart  bool             // its process is restarted behind the cut
 	wiped    bool             // and has lost its disk
 	early    bool             // workers leave right after the beginning, when it does not know yet
@@ -65,7 +65,7 @@
 	return name
 }
 
-// cutScenarios are all ways in which the operators say that a keeper was cut off.
+// cutScenarios are all ways in which the operators report that a server was partitioned off.
 func cutScenarios() []cutScenario {
 	var all []cutScenario
 	for _, follower := range []bool{false, true} {
@@ -84,7 +84,7 @@
 	return all
 }
 
-// playCutScenario cuts a keeper off for twenty seconds, with callers that reach it alone.
+// playCutScenario cuts a server off for twenty seconds, with callers that reach it alone.
 func playCutScenario(t *testing.T, seed uint64, c cutScenario, omit ...string) (Report, []string) {
 	t.Helper()
 	s := schedule.Schedule{
@@ -105,7 +105,7 @@
 	return report, wrong
 }
 
-// lease is how long after the beginning the keeper may still acknowledge what changes nothing.
+// lease is how long after the beginning the server may still acknowledge what changes nothing.
 func (c cutScenario) lease() time.Duration {
 	if c.variant == schedule.CutOutward {
 		return outwardLeaseOver
@@ -113,7 +113,7 @@
 	return leaseOver
 }
 
-// victim returns the place of the keeper that leads the configuration's group, or of one that doesn't.
+// victim returns the slot of the server that leads the configuration's group, or of one that doesn't.
 func (w *world) victim(follower bool) int {
 	leads := func(status replica.Status) bool {
 		return status.Shard == shards.ConfigurationShard && status.IsLeader()
@@ -133,10 +133,10 @@
 		At: began, Kind: schedule.Cut, Variant: c.variant, Servers: []int{victim}, Agents: c.agents, For: cutFor, Restart: c.restart,
 		Operators: []int{insideOperator}, Workers: []int{steadyWorker, drainWorker, leaveWorker},
 	}
-	amid, stop := context.WithTimeout(ctx, cutFor)
+	during, stop := context.WithTimeout(ctx, cutFor)
 	defer stop()
 	w.running.Go(func() { w.leaveBehind(ctx, c.early) })
-	w.running.Go(func() { w.readBehind(amid, w.machineAt(victim)) })
+	w.running.Go(func() { w.readBehind(during, w.machineAt(victim)) })
 	if c.others {
 		w.running.Go(func() { w.restartOthers(ctx, victim) })
 	}
@@ -157,7 +157,7 @@
 	return began, w.record.now()
 }
 
-// leaveBehind has workers leave in the middle of the cut, which they can tell the cut keeper alone.
+// leaveBehind has workers leave in the middle of the cut, which they can tell the cut server alone.
 func (w *world) leaveBehind(ctx context.Context, early bool) {
 	if early {
 		time.Sleep(readInterval)
@@ -170,7 +170,7 @@
 	}
 }
 
-// restartOthers restarts the processes of all but one keeper at once, and has orders come as soon as they can be taken.
+// restartOthers restarts the processes of all but one server at once, and has orders come as soon as they can be taken.
 func (w *world) restartOthers(ctx context.Context, victim int) {
 	over := w.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allSlots()})
 	var others []*machine
@@ -195,7 +195,7 @@
 	outside.restrictTo(nil)
 }
 
-// orderOften has an operator send orders to a keeper, one after the other, until ctx ends.
+// orderOften has an operator send orders to a server, one after the other, until ctx ends.
 func (w *world) orderOften(ctx context.Context, o *operator, to *machine) {
 	for ctx.Err() == nil {
 		sent := o.makeOrder(w.newestBase([]int{outsideOperator, insideOperator}))
@@ -205,21 +205,21 @@
 	}
 }
 
-// readOften reads from a keeper again and again until ctx ends.
+// readOften reads from a server again and again until ctx ends.
 func (w *world) readOften(ctx context.Context, from *machine) {
 	for sleep(ctx, hurry/100) {
 		w.operators[insideOperator].read(ctx, from)
 	}
 }
 
-// readBehind reads from the cut keeper until ctx ends.
+// readBehind reads from the cut server until ctx ends.
 func (w *world) readBehind(ctx context.Context, from *machine) {
 	for sleep(ctx, readInterval) {
 		w.operators[insideOperator].read(ctx, from)
 	}
 }
 
-// acknowledgedBehind lists what the cut keeper acknowledged, or refused for good, though it could not know.
+// acknowledgedBehind lists what the cut server acknowledged, or rejected for good, though it could not know.
 func (w *world) acknowledgedBehind(victim int, from, to time.Duration) []string {
 	seen, _ := w.record.result()
 	var wrong []string
--- a/internal/testkit/controlplanesim/disk.go
+++ b/internal/testkit/controlplanesim/disk.go
@@ -18,15 +18,15 @@
 
 // machineDisk is the disk of a machine, whatever process uses it.
 type machineDisk struct {
-	mutex    sync.Mutex // held while an operation is carried out, never while one waits
+	mutex    sync.Mutex // held while an operation is executed, never while one waits
 	content  *seglogtest.MemoryDisk
 	fault    schedule.Variant // empty: none
-	repaired chan struct{}    // closed when the trouble is over
+	repaired chan struct{}    // closed when the fault is over
 }
 
 func newMachineDisk() *machineDisk { return &machineDisk{content: seglogtest.NewMemoryDisk()} }
 
-// injectFault brings trouble to the disk until it is calmed.
+// injectFault makes the disk faulty until repair is called.
 func (d *machineDisk) injectFault(fault schedule.Variant) (repair func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -71,14 +71,14 @@
 	d.reapplyFault()
 }
 
-// reapplyFault brings the trouble back that a restart of the content has lifted.
+// reapplyFault restores the fault, which a restart of the content has cleared.
 func (d *machineDisk) reapplyFault() {
 	if d.fault == schedule.DiskFull {
 		d.content.FreeBytes = 0
 	}
 }
 
-// processDisk is a machine's disk as one process uses it: it is dead with the process, and waits while that stands still.
+// processDisk is a machine's disk as one process uses it: it fails once the process is dead, and waits while the process is frozen.
 type processDisk struct {
 	disk    *machineDisk
 	process *simnet.Process
@@ -86,7 +86,7 @@
 
 var _ seglog.FileSystem = processDisk{}
 
-// operate carries out an operation that takes a time.
+// operate executes an operation that takes the given time.
 func (d processDisk) operate(takes time.Duration, operation func(content *seglogtest.MemoryDisk) error) error {
 	if !d.await(takes) {
 		return seglogtest.ErrPowerLost
--- a/internal/testkit/controlplanesim/doc.go
+++ b/internal/testkit/controlplanesim/doc.go
@@ -1,6 +1,6 @@
 // Package controlplanesim runs the real code of the whole control plane in one process, on the fake clock of a testing/synctest
-// bubble: keepers with their disks, agents, and the views that proxies take from them. Package simnet stands for the
-// network and package seglogtest for the disks; operators and workers are scripted as PROTOCOL says. A schedule tells
+// bubble: servers with their disks, agents, and the views that proxies take from them. Package simnet fakes the
+// network and package seglogtest for the disks; operators and workers are scripted as the protocol page says. A schedule tells
 // what happens to all of them, and a history of what was seen is checked at the end.
 //
 // One seed gives nearly the same run each time: chance is drawn from the seed, and deliveries have distinct instants. What
--- a/internal/testkit/controlplanesim/drawn_test.go
+++ b/internal/testkit/controlplanesim/drawn_test.go
@@ -11,10 +11,10 @@
 )
 
 var shapes = []schedule.Shape{
-	{Keepers: 3, Tolerance: 1, Agents: 3, Operators: 2, Workers: 4, Length: 40 * time.Second},
-	{Keepers: 5, Tolerance: 2, Agents: 3, Operators: 2, Workers: 4, Length: 40 * time.Second},
-	{Keepers: 9, Tolerance: 4, Agents: 3, Operators: 2, Workers: 4, Length: 40 * time.Second},
-	{Keepers: 3, Tolerance: 1, Agents: 3, Operators: 3, Workers: 6, Length: 40 * time.Second, OneSided: true},
+	{Servers: 3, Tolerance: 1, Agents: 3, Operators: 2, Workers: 4, Length: 40 * time.Second},
+	{Servers: 5, Tolerance: 2, Agents: 3, Operators: 2, Workers: 4, Length: 40 * time.Second},
+	{Servers: 9, Tolerance: 4, Agents: 3, Operators: 2, Workers: 4, Length: 40 * time.Second},
+	{Servers: 3, Tolerance: 1, Agents: 3, Operators: 3, Workers: 6, Length: 40 * time.Second, OneSided: true},
 }
 
 // TestPlay_drawnSchedulesViolateNothing plays schedules of fixed seeds. SIMULATED_FROM and SIMULATED_COUNT take others;
@@ -23,7 +23,7 @@
 	from, count := number("SIMULATED_FROM", 1), number("SIMULATED_COUNT", 20)
 	for seed := from; seed < from+count; seed++ {
 		for _, shape := range shapes {
-			t.Run(fmt.Sprintf("%d keepers, %d operators, seed %d", shape.Keepers, shape.Operators, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d servers, %d operators, seed %d", shape.Servers, shape.Operators, seed), func(t *testing.T) {
 				t.Parallel()
 				began := time.Now()
 				report := Play(t, schedule.Draw(seed, shape))
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -153,7 +153,7 @@
 // Disconnected implements feedtransport.Handler.
 func (f *follower) Disconnected(error) {}
 
-// publish records what the view shows now, if that is news.
+// publish records what the view shows now, if that has changed.
 func (f *follower) publish() {
 	if !f.complete {
 		return
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// beginCoreFault notes a trouble of the core.
+// beginCoreFault records a fault of the core; over records its end.
 func (w *world) beginCoreFault(event schedule.Event, lost []int) (over func()) {
 	return w.record.beginFault(history.Fault{What: event.String(), Core: true, Lost: lost})
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// startAll starts those of the machines that are down and still have their place.
+// startAll starts those of the machines that are down and still have their slot.
 func (w *world) startAll(machines []*machine) {
 	for _, m := range machines {
 		if !m.isRetired() {
@@ -92,7 +92,7 @@
 	}
 }
 
-// playAllDown takes the whole core down; the event's keepers lose their disks too.
+// playAllDown takes all of the core down; the event's servers lose their disks too.
 func (w *world) playAllDown(down func(*machine)) func(context.Context, schedule.Event) {
 	return func(_ context.Context, event schedule.Event) {
 		over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Lasting: true, Lost: w.allSlots()})
@@ -142,7 +142,7 @@
 	over()
 }
 
-// playCut cuts machines off; the operators and workers that it names reach these alone. With Restart their processes are restarted amid it, and know only each other.
+// playCut cuts machines off; the operators and workers that it names reach these alone. With Restart their processes are restarted meanwhile, and know only each other.
 func (w *world) playCut(_ context.Context, event schedule.Event) {
 	over := w.record.beginFault(history.Fault{What: event.String(), Core: true, Agents: event.Agents, Lost: event.Servers})
 	struck := w.machinesAt(event.Servers)
@@ -158,7 +158,7 @@
 	over()
 }
 
-// restrictTo has the event's operators and workers reach some machines alone, until nil is given.
+// restrictTo lets the event's operators and workers reach the given machines alone; nil lifts the restriction.
 func (w *world) restrictTo(event schedule.Event, reachable []*machine) {
 	for _, i := range event.Operators {
 		w.operators[i].restrictTo(reachable)
@@ -169,7 +169,7 @@
 }
 
 // restartBehind kills and starts the machines behind a cut whose seeds are just these. One that no group has taken in
-// yet keeps its seeds: it would be told of nobody, and nobody knows it.
+// yet keeps its seeds: it would learn of no other server, and none knows it.
 func (w *world) restartBehind(event schedule.Event, struck []*machine) {
 	var seeds []string
 	for _, m := range struck {
@@ -215,7 +215,7 @@
 	return func(p simnet.Path) bool { return crosses(p) && isMachine(p.From) && isMachine(p.To) }
 }
 
-// playReplace has an empty machine at another address take a machine's place.
+// playReplace has an empty machine at another address take a machine's slot.
 func (w *world) playReplace(_ context.Context, event schedule.Event) {
 	over := w.beginCoreFault(event, event.Servers)
 	var going sync.WaitGroup
@@ -247,7 +247,7 @@
 	lost.losePower()
 	time.Sleep(after)
 	old, successor := w.replaceMachine(slot)
-	old.retire() // another machine by now, if two events replace this place
+	old.retire() // another machine by now, if two events replace this slot
 	old.losePower()
 	successor.start(w.seeds(), false)
 }
@@ -311,7 +311,7 @@
 
 func isServer(ip string) bool { return kindOf(ip) == '0' }
 
-// isMachine tells whether an IP is one of the system's own machines.
+// isMachine reports whether an IP is one of the system's own machines.
 func isMachine(ip string) bool { return kindOf(ip) == '0' || kindOf(ip) == '1' }
 
 // kindOf returns the digit of an address that tells the kind of its machine.
--- a/internal/testkit/controlplanesim/guards.go
+++ b/internal/testkit/controlplanesim/guards.go
@@ -17,7 +17,7 @@
 	configurationPrefix = "configuration."
 )
 
-// GuardLeaveStale has an agent leave a keeper that is not current.
+// GuardLeaveStale has an agent leave a server that is not current.
 const GuardLeaveStale = "agent.leave-stale"
 
 // Guards lists the names that a schedule can leave out.
@@ -47,7 +47,7 @@
 	var out omissions
 	for _, name := range names {
 		if !slices.Contains(Guards(), name) {
-			return out, fmt.Errorf("controlsim: there is no guard %q", name)
+			return out, fmt.Errorf("no such guard: %q", name)
 		}
 		switch {
 		case name == GuardLeaveStale:
--- a/internal/testkit/controlplanesim/history/contact.go
+++ b/internal/testkit/controlplanesim/history/contact.go
@@ -9,7 +9,7 @@
 // Span is a time from one instant until before another.
 type Span struct{ From, To time.Duration }
 
-// InContact are the spans in which the agent is in touch: for Contact before, nothing was done to it and the core was stable.
+// InContact returns the spans in which the agent is in contact: for Contact before, nothing was done to it and the core was stable.
 func (h History) InContact(agent int) []Span {
 	var out []Span
 	for _, fault := range h.Faults {
@@ -22,7 +22,7 @@
 	return complement(out, h.End)
 }
 
-// unstableSpans are the spans in which the trouble keeps the core from being stable.
+// unstableSpans returns the spans in which a fault keeps the core from being stable.
 func (h History) unstableSpans(fault Fault) []Span {
 	switch {
 	case !fault.Core:
@@ -33,7 +33,7 @@
 	return []Span{{From: fault.From, To: fault.From + h.Bounds.Contact}, {From: fault.To, To: fault.To + h.Bounds.Contact}}
 }
 
-// complement are the spans up to end that none of those given covers.
+// complement returns the spans up to end that none of those given covers.
 func complement(covered []Span, end time.Duration) []Span {
 	slices.SortFunc(covered, func(a, b Span) int { return cmp.Compare(a.From, b.From) })
 	var free []Span
--- a/internal/testkit/controlplanesim/history/drawn_test.go
+++ b/internal/testkit/controlplanesim/history/drawn_test.go
@@ -37,7 +37,7 @@
 	return s.versions[len(s.versions)-1]
 }
 
-// strikes tells whether the fault shows at this call.
+// strikes reports whether the fault shows at this call.
 func (s *server) strikes(fault fault) bool { return s.fault == fault && s.random.IntN(8) == 0 }
 
 func (s *server) read() history.Operation {
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// base is a history without anything in it; all of its time from Contact on is in touch.
+// base is a history without anything in it; all of its time from Contact on is in contact.
 func base() history.History {
 	return history.History{
 		Bounds:    history.Bounds{Contact: 3 * second, ConfigApply: 2 * second, Drain: 2 * second, Registration: 2 * second, ServeAgain: 6 * second},
--- a/internal/testkit/controlplanesim/history/linearizable.go
+++ b/internal/testkit/controlplanesim/history/linearizable.go
@@ -51,7 +51,7 @@
 	},
 }
 
-// apply is one step: whether it is possible, and the state after it.
+// apply returns whether a step is possible, and the state after it.
 func (s state) apply(given input) (bool, state) {
 	applies := given.base == s.generation && given.generation > s.generation
 	switch given.step {
@@ -69,7 +69,7 @@
 	return applies && !s.finished, state{generation: given.generation, order: given.order}
 }
 
-// checkLinearizable searches an order in time of all effects, refusals and reads. A search that does not end is told too.
+// checkLinearizable searches an order in time of all effects, rejections and reads. A search that does not end in time is a violation too.
 func checkLinearizable(h History) []Violation {
 	operations := h.modelOperations()
 	result, info := porcupine.CheckOperationsVerbose(model, operations, searchBudget)
@@ -82,7 +82,7 @@
 	return []Violation{{Check: CheckLinearizable, At: h.End, Text: explain(operations, info)}}
 }
 
-// modelOperations are the model's operations: reads and refusals as they were called, the effects of orders, and the end.
+// modelOperations returns the model's operations: reads and rejections as they were called, the effects of orders, and the end.
 func (h History) modelOperations() []porcupine.Operation {
 	var all []porcupine.Operation
 	for _, operation := range h.Operations {
@@ -103,8 +103,8 @@
 	return append(all, porcupine.Operation{Input: input{step: finishStep}, Call: last + 1, Return: last + 2})
 }
 
-// effects are those of the orders that were taken or may have been: one for each order, from its first attempt that was
-// not refused until its first proof.
+// effects returns those of the orders that were taken or may have been: one for each order, from its first attempt that was
+// not rejected until its first proof.
 func (h History) effects() []porcupine.Operation {
 	proofs := h.accepted()
 	needed := h.needed(proofs)
@@ -134,7 +134,7 @@
 	return effects
 }
 
-// rejected are the orders of which an attempt was refused: none of their attempts may take effect.
+// rejected returns the orders of which an attempt was rejected: none of their attempts may take effect.
 func (h History) rejected() map[string]bool {
 	refused := map[string]bool{}
 	for _, operation := range h.Operations {
@@ -145,7 +145,7 @@
 	return refused
 }
 
-// needed are the generations upon which an order without proof may explain something: a refusal of another order upon
+// needed returns the generations upon which an order without proof may explain something: a rejection of another order upon
 // the same one, or the base of an order that was taken.
 func (h History) needed(proofs map[string]proof) map[uint64]bool {
 	needed := map[uint64]bool{}
@@ -206,6 +206,6 @@
 	if first < 0 {
 		return "no order of the operations explains the answers"
 	}
-	return fmt.Sprintf("%d of %d operations have an order, then %s from %v to %v has no place", len(longest), len(operations),
+	return fmt.Sprintf("%d of %d operations have an order, then %s from %v to %v does not fit", len(longest), len(operations),
 		model.DescribeOperation(operations[first].Input, nil), time.Duration(operations[first].Call), time.Duration(operations[first].Return))
 }
--- a/internal/testkit/controlplanesim/history/majority.go
+++ b/internal/testkit/controlplanesim/history/majority.go
@@ -8,7 +8,7 @@
 )
 
 // checkMajority finds instants at which one more loss within the tolerance would leave a group without a majority of
-// its voters, or without any voter that holds what was told.
+// its voters, or without any voter that holds what was acknowledged.
 func checkMajority(history History) []Violation {
 	var found []Violation
 	for group, standings := range history.byGroup() {
@@ -36,7 +36,7 @@
 	return groups
 }
 
-// lossChanges are the first instant and those up to the second at which a place ends to count as lost.
+// lossChanges returns the first instant and those up to the second at which a slot stops to count as lost.
 func (h History) lossChanges(from, until time.Duration) []time.Duration {
 	instants := []time.Duration{from}
 	for _, fault := range h.Faults {
@@ -47,7 +47,7 @@
 	return instants
 }
 
-// lostAt are the places that count as lost at the instant.
+// lostAt returns the slots that count as lost at the instant.
 func (h History) lostAt(at time.Duration) map[int]bool {
 	lost := map[int]bool{}
 	for _, fault := range h.Faults {
@@ -60,7 +60,7 @@
 	return lost
 }
 
-// weakness tells what a further loss within the tolerance would cost; empty: nothing.
+// weakness describes what a further loss within the tolerance would cost; it is empty if nothing is lost.
 func (h History) weakness(standing GroupState, at time.Duration) string {
 	lost := h.lostAt(at)
 	further := min(h.Tolerance, (h.Wanted-1)/2) - len(lost)
--- a/internal/testkit/controlplanesim/history/orders.go
+++ b/internal/testkit/controlplanesim/history/orders.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// proof is the first proof that an order was taken.
+// proof is the earliest evidence that an order was accepted.
 type proof struct {
 	at  time.Duration
 	how string
 }
 
-// accepted are the orders that are known to have been taken, with the earliest proof of each.
+// accepted returns the orders that are known to have been accepted, with the earliest proof of each.
 func (h History) accepted() map[string]proof {
 	taken := map[string]proof{}
 	note := func(order string, at time.Duration, how string) {
@@ -30,7 +30,7 @@
 	return taken
 }
 
-// checkOrders finds orders that were both taken and refused, and taken ones that are invalid or were never sent.
+// checkOrders finds orders that were both taken and rejected, and taken ones that are invalid or were never sent.
 func checkOrders(history History) []Violation {
 	var found []Violation
 	taken := history.accepted()
--- a/internal/testkit/controlplanesim/history/recovery.go
+++ b/internal/testkit/controlplanesim/history/recovery.go
@@ -27,7 +27,7 @@
 	return found
 }
 
-// disruptions are the instants at which something was done to the core, in order.
+// disruptions returns the instants at which something was done to the core, in order.
 func (h History) disruptions() []time.Duration {
 	var instants []time.Duration
 	for _, fault := range h.Faults {
@@ -39,7 +39,7 @@
 	return slices.Compact(instants)
 }
 
-// undisturbed reports whether nothing is done to the core after the first instant up to the second, and no trouble lasts.
+// undisturbed reports whether nothing is done to the core after the first instant up to the second, and no fault lasts.
 func (h History) undisturbed(from, to time.Duration) bool {
 	for _, fault := range h.Faults {
 		if !fault.Core {
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -22,12 +22,12 @@
 	PresenceUntil time.Duration // until which Presences are complete; 0: End
 }
 
-// Bounds are the times that are promised.
+// Bounds are the times that the control plane guarantees.
 type Bounds struct {
 	Contact      time.Duration // contactMs
 	ConfigApply  time.Duration // configApplyMs
 	Drain        time.Duration // drainMs
-	Registration time.Duration // from a registration's acknowledgement until every agent in touch shows it
+	Registration time.Duration // from a registration's acknowledgement until every agent in contact shows it
 	ServeAgain   time.Duration // from a disruption until an order or a read is answered
 }
 
@@ -68,7 +68,7 @@
 
 // String describes the operation for a violation's text.
 func (o Operation) String() string {
-	return fmt.Sprintf("%s %q %d on %d by client %d at keeper %d from %v to %v: %s (%d)", o.Kind, o.Order, o.Generation, o.Base, o.Client, o.Server, o.Call, o.Return, o.Outcome, o.Status)
+	return fmt.Sprintf("%s %q %d on %d by client %d at server %d from %v to %v: %s (%d)", o.Kind, o.Order, o.Generation, o.Base, o.Client, o.Server, o.Call, o.Return, o.Outcome, o.Status)
 }
 
 // View is the configuration that an agent's proxy took.
@@ -120,8 +120,8 @@
 	To      time.Duration
 	Core    bool  // the core is unstable for Contact after From and after To
 	Lasting bool  // the core is unstable all the time between them, too
-	Agents  []int // out of touch from From until Contact after To
-	Lost    []int // places of the core that count as lost from From until Until
+	Agents  []int // out of contact from From until Contact after To
+	Lost    []int // slots of the core that count as lost from From until Until
 	Until   time.Duration
 }
 
@@ -129,7 +129,7 @@
 type GroupState struct {
 	At        time.Duration
 	Group     int
-	Committed uint64 // highest index whose effect was told to anybody
+	Committed uint64 // highest index whose effect was reported to anybody
 	Voters    []Voter
 }
 
@@ -141,16 +141,16 @@
 	Durable uint64 // highest index that is durable at it
 }
 
-// String tells where the voter is and what it holds.
+// String describes where the voter is and what it has durably.
 func (v Voter) String() string {
 	gone := ""
 	if v.Gone {
 		gone = ", gone"
 	}
-	return fmt.Sprintf("%x at place %d, durable to %d%s", v.ID, v.Slot, v.Durable, gone)
+	return fmt.Sprintf("%x at slot %d, durable to %d%s", v.ID, v.Slot, v.Durable, gone)
 }
 
-// Violation is a promise that was broken.
+// Violation is a guarantee that was broken.
 type Violation struct {
 	Check string
 	At    time.Duration
@@ -162,13 +162,13 @@
 
 // Names of the checks.
 const (
-	CheckOrders       = "orders"        // each order is taken or refused, not both; no invalid one is taken
+	CheckOrders       = "orders"        // each order is taken or rejected, not both; no invalid one is taken
 	CheckOneBody      = "one-body"      // a generation has one body
 	CheckLinearizable = "linearizable"  // orders and reads have an order in time that explains all answers
-	CheckFreshViews   = "fresh-views"   // an agent in touch shows what was acknowledged ConfigApply ago
-	CheckForwardViews = "forward-views" // no view goes back within a life
+	CheckFreshViews   = "fresh-views"   // an agent in contact shows what was acknowledged ConfigApply ago
+	CheckForwardViews = "forward-views" // no view goes back within an incarnation
 	CheckDepartures   = "departures"    // no acknowledged drain or departure is forgotten
-	CheckRegistration = "registrations" // an agent in touch shows every acknowledged worker
+	CheckRegistration = "registrations" // an agent in contact shows every acknowledged worker
 	CheckServeAgain   = "serve-again"   // an answer within ServeAgain after each disruption
 	CheckMajority     = "majority"      // a majority survives each further loss within the tolerance
 )
--- a/internal/testkit/controlplanesim/history/views.go
+++ b/internal/testkit/controlplanesim/history/views.go
@@ -15,7 +15,7 @@
 	return views
 }
 
-// viewAt is the agent's view at the time. There is none before the first one.
+// viewAt returns the agent's view at the time. There is none before the first one.
 func viewAt(views []View, at time.Duration) (View, bool) {
 	after := sort.Search(len(views), func(i int) bool { return views[i].At > at })
 	if after == 0 {
@@ -24,7 +24,7 @@
 	return views[after-1], true
 }
 
-// checkFreshViews finds agents in touch whose view is older than what was acknowledged ConfigApply ago.
+// checkFreshViews finds agents in contact whose view is older than what was acknowledged ConfigApply ago.
 func checkFreshViews(history History) []Violation {
 	var found []Violation
 	for agent, views := range history.byAgent() {
@@ -40,7 +40,7 @@
 				}
 				if shown, _ := viewAt(views, at); shown.Generation < order.Generation {
 					found = append(found, Violation{Check: CheckFreshViews, At: at,
-						Text: fmt.Sprintf("agent %d shows generation %d; in touch since %v; %v", agent, shown.Generation, span.From, order)})
+						Text: fmt.Sprintf("agent %d shows generation %d; in contact since %v; %v", agent, shown.Generation, span.From, order)})
 				}
 			}
 		}
@@ -48,7 +48,7 @@
 	return found
 }
 
-// checkForwardViews finds views that go back within a life.
+// checkForwardViews finds views that go back within an incarnation.
 func checkForwardViews(h History) []Violation {
 	var found []Violation
 	for agent, views := range h.byAgent() {
@@ -56,7 +56,7 @@
 			before, after := views[i-1], views[i]
 			if before.Incarnation == after.Incarnation && after.Generation < before.Generation {
 				found = append(found, Violation{Check: CheckForwardViews, At: after.At,
-					Text: fmt.Sprintf("agent %d went from generation %d (%v) back to %d in its life %d", agent, before.Generation, before.At, after.Generation, after.Incarnation)})
+					Text: fmt.Sprintf("agent %d went from generation %d (%v) back to %d in its incarnation %d", agent, before.Generation, before.At, after.Generation, after.Incarnation)})
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/history/workers.go
+++ b/internal/testkit/controlplanesim/history/workers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// presenceLog is what one agent's views show of one worker over time.
+// presenceLog is what one agent's views show of each worker over time.
 type presenceLog map[string][]Presence
 
 // presencesByAgent sorts the presences by agent and worker.
@@ -22,7 +22,7 @@
 	return all
 }
 
-// stateAt is how the worker is shown at the time.
+// stateAt returns how the worker is shown at the time.
 func (s presenceLog) stateAt(instance string, at time.Duration) State {
 	changes := s[instance]
 	after := sort.Search(len(changes), func(i int) bool { return changes[i].At > at })
@@ -33,7 +33,7 @@
 }
 
 // checkDepartures finds workers that are shown as ready though their drain or departure was acknowledged Drain ago and
-// the agent is in touch, and those that become ready again within a life after they were draining.
+// the agent is in contact, and those that become ready again within an incarnation after they were draining.
 func checkDepartures(history History) []Violation {
 	var found []Violation
 	for agent, presences := range history.presencesByAgent() {
@@ -71,7 +71,7 @@
 	return 0, false
 }
 
-// readyAgain finds workers that were draining and are ready again in the same life of the agent.
+// readyAgain finds workers that were draining and are ready again in the same incarnation of the agent.
 func (s presenceLog) readyAgain(agent int) []Violation {
 	var found []Violation
 	for instance, changes := range s {
@@ -88,7 +88,7 @@
 	return found
 }
 
-// checkRegistrations finds agents that were in touch since a worker's heartbeat was acknowledged and do not show the
+// checkRegistrations finds agents that were in contact since a worker's heartbeat was acknowledged and do not show the
 // worker Registration later, though it has not begun to leave.
 func checkRegistrations(history History) []Violation {
 	leaving := map[string]time.Duration{}
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -15,7 +15,7 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// machine is one machine of the core, with its disk and the keeper that runs on it.
+// machine is one machine of the core, with its disk and the server that runs on it.
 type machine struct {
 	world *world
 	slot  int
@@ -25,11 +25,11 @@
 	mutex    sync.Mutex
 	running  *serverProcess // nil: none was started, or it is down
 	starts   int
-	memberID consensus.MemberID // of this disk, as the last keeper had it
-	retired  bool               // another machine has its place
+	memberID consensus.MemberID // of this disk, as the last server had it
+	retired  bool               // another machine has its slot
 }
 
-// serverProcess is one life of a machine's keeper.
+// serverProcess is one process of a machine's server, from its start to its end.
 type serverProcess struct {
 	process *simnet.Process
 	stop    context.CancelFunc // as SIGTERM does
@@ -52,7 +52,7 @@
 	return config
 }
 
-// start starts a keeper unless one is running or the machine's place has gone to another.
+// start starts a server unless one is running or the machine's slot has gone to another.
 func (m *machine) start(seeds []string, bootstrap bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -64,12 +64,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	incarnation := &serverProcess{process: m.world.network.NewProcess(m.ip), stop: cancel, ended: make(chan struct{})}
 	m.running = incarnation
-	outside := m.environment(incarnation, m.starts)
+	environment := m.environment(incarnation, m.starts)
 	config := m.settings(seeds, bootstrap)
 	m.world.running.Go(func() {
 		defer close(incarnation.ended)
 		defer cancel()
-		m.run(ctx, incarnation, config, outside)
+		m.run(ctx, incarnation, config, environment)
 	})
 }
 
@@ -86,9 +86,9 @@
 	}
 }
 
-// run is one life of the keeper.
-func (m *machine) run(ctx context.Context, incarnation *serverProcess, config bootconfig.Settings, outside server.Environment) {
-	opened, err := server.Open(ctx, config, outside, m.world.log.With(zap.String("machine", m.ip)))
+// run opens and serves the server until its process ends.
+func (m *machine) run(ctx context.Context, incarnation *serverProcess, config bootconfig.Settings, environment server.Environment) {
+	opened, err := server.Open(ctx, config, environment, m.world.log.With(zap.String("machine", m.ip)))
 	if err == nil {
 		m.mutex.Lock()
 		incarnation.server, m.memberID = opened, opened.Self().ID
@@ -98,7 +98,7 @@
 		opened.Close()
 	}
 	if !incarnation.process.Dead() && ctx.Err() == nil {
-		m.world.record.addFault("the keeper of " + m.ip + " ended by itself: " + errorText(err))
+		m.world.record.addFault("the server of " + m.ip + " ended by itself: " + errorText(err))
 	}
 	incarnation.process.Kill()
 	m.processEnded(incarnation)
@@ -111,7 +111,7 @@
 	return err.Error()
 }
 
-// processEnded notes that a life has ended.
+// processEnded records that a process has ended.
 func (m *machine) processEnded(incarnation *serverProcess) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// takeProcess takes the running keeper away, so that another may be started, or returns nil.
+// takeProcess detaches the running process, so that another may be started, and returns it, or nil.
 func (m *machine) takeProcess() *serverProcess {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// losePower ends the process without a word; what was not synced may be lost.
+// losePower ends the process without notice; what was not synced may be lost.
 func (m *machine) losePower() {
 	m.mutex.Lock()
 	draws := m.world.random("power "+m.ip, m.starts)
@@ -185,7 +185,7 @@
 	}
 }
 
-// freeze has the process stand still.
+// freeze freezes the process until thaw is called.
 func (m *machine) freeze() (thaw func()) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -197,7 +197,7 @@
 	return process.Thaw
 }
 
-// serving returns the keeper whose API takes calls, and its process.
+// serving returns the server whose API takes calls, and its process.
 func (m *machine) serving() (*server.Server, *simnet.Process) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -207,7 +207,7 @@
 	return m.running.server, m.running.process
 }
 
-// inspect returns the state of the keeper's groups, nil if it has none.
+// inspect returns the state of the server's groups, nil if it has none.
 func (m *machine) inspect() []replica.Status {
 	m.mutex.Lock()
 	var opened *server.Server
@@ -221,7 +221,7 @@
 	return opened.Inspect()
 }
 
-// apiServer stands for the HTTP server of a keeper.
+// apiServer is the fake HTTP server of a control plane server.
 type apiServer struct {
 	machine     *machine
 	incarnation *serverProcess
@@ -248,7 +248,7 @@
 	s.incarnation.serving = serving && s.machine.running == s.incarnation
 }
 
-// retire notes that another machine has the place.
+// retire records that another machine has taken the slot.
 func (m *machine) retire() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -261,7 +261,7 @@
 	return m.retired
 }
 
-// isMember tells whether the keeper knows the members of a group.
+// isMember reports whether the server is a member of a group.
 func (m *machine) isMember() bool {
 	return slices.ContainsFunc(m.inspect(), func(status replica.Status) bool { return len(status.Members) > 0 })
 }
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// How operators go about.
+// Behaviour of operators.
 const (
 	minPause            = 300 * time.Millisecond // between two orders
 	maxPause            = 1500 * time.Millisecond
@@ -23,7 +23,7 @@
 	maxRejectedAttempts = 3 // attempt at which any 4xx ends the call
 )
 
-// operator sends orders and reads, as PROTOCOL says.
+// operator sends orders and reads, as the protocol page says.
 type operator struct {
 	world *world
 	index int
@@ -52,7 +52,7 @@
 	}
 }
 
-// readForever reads from one keeper after the other until ctx ends.
+// readForever reads from one server after the other until ctx ends.
 func (o *operator) readForever(ctx context.Context) {
 	for sleep(ctx, minPause+o.randomDuration(minPause)) {
 		o.read(ctx, o.pickServer())
@@ -103,7 +103,7 @@
 	return o.nextName()
 }
 
-// pickServer chooses a keeper of the list, or of those that it reaches.
+// pickServer chooses a server of the list, or of those that it reaches.
 func (o *operator) pickServer() *machine {
 	listed := o.world.listedMachines()
 	o.mutex.Lock()
@@ -114,19 +114,19 @@
 	return listed[o.random.IntN(len(listed))]
 }
 
-// restrictTo has it reach some machines alone, until nil is given.
+// restrictTo lets it reach the given machines alone; nil lifts the restriction.
 func (o *operator) restrictTo(reachable []*machine) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.reachable = reachable
 }
 
-// send resends an order unchanged until it has a clear answer.
+// send sends an order unchanged until its answer is final.
 func (o *operator) send(ctx context.Context, sent order) {
 	o.sendFirst(ctx, sent, o.pickServer())
 }
 
-// sendFirst is send with the keeper of the first attempt.
+// sendFirst is send with the server of the first attempt.
 func (o *operator) sendFirst(ctx context.Context, sent order, to *machine) bool {
 	retry := minBackoff
 	for attempt := 1; ctx.Err() == nil; attempt++ {
@@ -177,7 +177,7 @@
 	return response.Status
 }
 
-// recordOutcome takes note of the answer to an order. After a refusal the operator reads what is in force.
+// recordOutcome takes note of the answer to an order. After a rejection the operator reads what is in force.
 func (o *operator) recordOutcome(ctx context.Context, sent order, taken bool) {
 	if !taken {
 		if !sent.invalid {
--- a/internal/testkit/controlplanesim/order.go
+++ b/internal/testkit/controlplanesim/order.go
@@ -14,7 +14,7 @@
 // markService is a service of every configuration whose health path names the order that the configuration came by.
 const markService = "mark"
 
-// order is one change to the configuration as an operator sends it, unchanged with each attempt.
+// order is one change of the configuration by an operator; every attempt sends it unchanged.
 type order struct {
 	name       string
 	kind       history.Kind
@@ -24,7 +24,7 @@
 	invalid    bool
 }
 
-// replaceOrder is a whole configuration.
+// replaceOrder is a complete configuration.
 func replaceOrder(name string, base, generation uint64) order {
 	body := fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[%s,%s],"limits":%s}`,
 		generation, routeJSON("r0", "/p/", "s0"), serviceJSON("s0", "/health"), serviceJSON(markService, "/"+name), limitsJSON)
@@ -49,7 +49,7 @@
 	return fmt.Sprintf(`{"name":%q,"healthPath":%q,"maxConnections":10}`, name, healthPath)
 }
 
-// invalidOrder is a configuration that must be refused whatever is in force.
+// invalidOrder is a configuration that must be rejected whatever is in force.
 func invalidOrder(name string, base, generation uint64, variant schedule.Variant) order {
 	made := replaceOrder(name, base, generation)
 	made.invalid = true
--- a/internal/testkit/controlplanesim/play.go
+++ b/internal/testkit/controlplanesim/play.go
@@ -13,16 +13,16 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// Report is what became of a schedule.
+// Report is the result of playing a schedule.
 type Report struct {
 	Schedule   schedule.Schedule
 	Violations []history.Violation
-	Faults     []string // what must not be whatever the history says
+	Faults     []string // failures that no check of the history would find
 	History    history.History
 	Figures    Figures
 }
 
-// Figures count what a run had.
+// Figures count the operations of a run.
 type Figures struct {
 	Virtual      time.Duration // on the fake clock
 	Attempts     int           // of orders
@@ -31,10 +31,10 @@
 	Views        int
 }
 
-// Failed tells whether a promise was broken.
+// Failed reports whether a check failed.
 func (r Report) Failed() bool { return len(r.Violations) > 0 || len(r.Faults) > 0 }
 
-// String lists what was broken, and the schedule as a script that can be replayed.
+// String lists the violations, and the schedule as a script that can be replayed.
 func (r Report) String() string {
 	var text strings.Builder
 	for _, violation := range r.Violations {
@@ -47,19 +47,19 @@
 	return text.String()
 }
 
-// Play plays a schedule in a bubble of its own and checks what was seen. It is to be called outside of a bubble.
+// Play plays a schedule in a synctest bubble of its own and checks the history. It must be called outside of a bubble.
 func Play(t *testing.T, s schedule.Schedule) Report {
 	t.Helper()
 	return PlayLogged(t, s, zap.NewNop())
 }
 
-// PlayLogged is Play with a log of what the keepers do, for the search of a cause.
+// PlayLogged is Play with the servers' log, for debugging.
 func PlayLogged(t *testing.T, s schedule.Schedule, log *zap.Logger) Report {
 	t.Helper()
 	return playScript(t, s, log, (*world).playEvents)
 }
 
-// playScript is Play with a script in the place of the schedule's events.
+// playScript is Play with a script in place of the schedule's events.
 func playScript(t *testing.T, s schedule.Schedule, log *zap.Logger, script func(w *world, ctx context.Context)) Report {
 	t.Helper()
 	report := Report{Schedule: s}
--- a/internal/testkit/controlplanesim/play_test.go
+++ b/internal/testkit/controlplanesim/play_test.go
@@ -18,12 +18,12 @@
 	for _, s := range []schedule.Schedule{calm(3, 1, 10*time.Second), calm(5, 2, 10*time.Second), calm(9, 4, 10*time.Second)} {
 		began := time.Now()
 		report := Play(t, s)
-		t.Logf("%d keepers: %+v in %v", s.Servers, report.Figures, time.Since(began))
+		t.Logf("%d servers: %+v in %v", s.Servers, report.Figures, time.Since(began))
 		if report.Failed() {
 			t.Errorf("%v", report)
 		}
 		if report.Figures.Acknowledged == 0 || report.Figures.Views == 0 {
-			t.Errorf("%d keepers: nothing happened: %+v", s.Servers, report.Figures)
+			t.Errorf("%d servers: nothing happened: %+v", s.Servers, report.Figures)
 		}
 	}
 }
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -13,7 +13,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// recorder collects what is seen of a run.
+// recorder collects the history of a run.
 type recorder struct {
 	world *world
 	start time.Time
@@ -36,7 +36,7 @@
 	durable [shards.ShardCount]uint64
 }
 
-// pendingDeparture is a departure under way.
+// pendingDeparture is a departure that may not be acknowledged yet.
 type pendingDeparture struct {
 	record *recorder
 	index  int
@@ -49,7 +49,7 @@
 	}
 }
 
-// now is the time since the start.
+// now returns the time since the start.
 func (r *recorder) now() time.Duration { return time.Since(r.start) }
 
 func (r *recorder) addOperation(one history.Operation) {
@@ -76,14 +76,14 @@
 	r.observed.Presences = append(r.observed.Presences, one)
 }
 
-// addFault notes something that must not be, whatever the history says.
+// addFault records a failure that no check of the history would find.
 func (r *recorder) addFault(text string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.faults = append(r.faults, r.now().String()+": "+text)
 }
 
-// beginDeparture notes that a worker has begun to leave.
+// beginDeparture records that a worker has begun to leave.
 func (r *recorder) beginDeparture(id string) *pendingDeparture {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -96,7 +96,7 @@
 	return made
 }
 
-// acknowledged notes the first acknowledgement of the departure.
+// acknowledged records the first acknowledgement of the departure.
 func (d *pendingDeparture) acknowledged() {
 	d.record.mutex.Lock()
 	defer d.record.mutex.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// beginFault notes the beginning of a trouble; over notes its end.
+// beginFault records the beginning of a fault; over records its end.
 func (r *recorder) beginFault(one history.Fault) (over func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-// addMember notes where a member ID is.
+// addMember records where a member ID is.
 func (r *recorder) addMember(id consensus.MemberID, m *machine) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// markGone notes that a member's disk is lost for good.
+// markGone records that a member's disk is lost for good.
 func (r *recorder) markGone(id consensus.MemberID) {
 	r.mutex.Lock()
 	if known := r.members[id]; known != nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// membership is a group's membership as the leader of its newest term has it: one of a former term, frozen or cut off,
+// membership is a group's membership as the leader of its newest term has it: one of a former term, frozen or partitioned off,
 // may have an older one.
 type membership struct {
 	term      uint64
@@ -250,7 +250,7 @@
 	return seen, slices.Clone(r.faults)
 }
 
-// end notes the end of the run and what was promised in it.
+// end records the end of the run and its bounds.
 func (r *recorder) end() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/testkit/controlplanesim/request_test.go
+++ b/internal/testkit/controlplanesim/request_test.go
@@ -8,7 +8,7 @@
 	"ospreybend/internal/testkit/controlplanesim/history"
 )
 
-// checkFault names what must not be whatever the history says.
+// checkFault names failures that no check of the history would find.
 const checkFault = "fault"
 
 // TestPlayRequest plays what `inference-router measure simulate` asks a process for.
--- a/internal/testkit/controlplanesim/schedule/draw.go
+++ b/internal/testkit/controlplanesim/schedule/draw.go
@@ -9,7 +9,7 @@
 
 // Shape is what schedules are drawn for.
 type Shape struct {
-	Keepers   int
+	Servers   int `json:"Keepers"`
 	Tolerance int
 	Agents    int
 	Operators int
@@ -17,13 +17,13 @@
 	Length    time.Duration
 	OneSided  bool // of some cuts, the cut side is all that some operators and workers reach
 	Omit      []string
-	SlowDisks bool // all disks are slow now and then, and all keepers lose power amid it
+	SlowDisks bool // all disks are slow now and then, and all servers lose power meanwhile
 }
 
-// quietStart is the time at the start in which nothing is struck: the group is founded and the first configuration sent.
+// quietStart is the time at the start without events: the group is founded and the first configuration sent.
 const quietStart = 4 * time.Second
 
-// randomStream tells schedules' randomness from that of others with the same seed.
+// randomStream separates the random numbers of schedules from other ones of the same seed.
 const randomStream = 0x5ced
 
 // drawer draws the events of one schedule.
@@ -34,14 +34,14 @@
 	events []Event
 }
 
-// loss is a span in which a place counts as lost.
+// loss is a span in which a slot counts as lost.
 type loss struct {
 	slot     int
 	from, to time.Duration
 }
 
-// Draw returns the schedule with the seed and shape. At no instant are more keepers lost than the tolerance, counting
-// each for CatchUp after it is back, but for events that take every keeper down at once and leave the disks.
+// Draw returns the schedule with the seed and shape. At no instant are more servers lost than the tolerance, counting
+// each for CatchUp after it is back, but for events that take every server down at once and leave the disks.
 func Draw(seed uint64, shape Shape) Schedule {
 	d := &drawer{random: rand.New(rand.NewPCG(seed, randomStream)), shape: shape}
 	families := d.pickFamilies()
@@ -57,7 +57,7 @@
 		d.slowDisks()
 	}
 	slices.SortStableFunc(d.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return Schedule{Seed: seed, Servers: shape.Keepers, Tolerance: shape.Tolerance, Agents: shape.Agents, Operators: shape.Operators,
+	return Schedule{Seed: seed, Servers: shape.Servers, Tolerance: shape.Tolerance, Agents: shape.Agents, Operators: shape.Operators,
 		Workers: shape.Workers, Length: shape.Length, Omit: slices.Clone(shape.Omit), Events: d.events}
 }
 
@@ -88,7 +88,7 @@
 // pick draws one of the choices.
 func pick[T any](d *drawer, choices ...T) T { return choices[d.random.IntN(len(choices))] }
 
-// pickSome draws up to limit different places out of count, at least one.
+// pickSome draws up to limit different slots out of count, at least one.
 func (d *drawer) pickSome(count, limit int) []int {
 	if count == 0 || limit == 0 {
 		return nil
@@ -101,7 +101,7 @@
 // add adds the event.
 func (d *drawer) add(event Event) { d.events = append(d.events, event) }
 
-// addLoss adds an event that costs the group its keepers, unless more than the tolerance would be lost at once.
+// addLoss adds an event that costs the group its servers, unless more than the tolerance would be lost at once.
 func (d *drawer) addLoss(event Event) bool {
 	until := event.End() + CatchUp
 	if len(event.Servers) == 0 || !d.withinTolerance(event.Servers, event.At, until) {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// withinTolerance reports whether the places may be lost from one time to the other beside those that are lost by then.
+// withinTolerance reports whether the slots may be lost from one time to the other beside those that are lost by then.
 func (d *drawer) withinTolerance(indexes []int, from, to time.Duration) bool {
 	lost := map[int]bool{}
 	for _, slot := range indexes {
@@ -128,9 +128,9 @@
 	return len(lost) <= d.shape.Tolerance
 }
 
-// loseAll counts every keeper as lost.
+// loseAll records every server as lost.
 func (d *drawer) loseAll(from, to time.Duration) {
-	for slot := range d.shape.Keepers {
+	for slot := range d.shape.Servers {
 		d.losses = append(d.losses, loss{slot: slot, from: from, to: to})
 	}
 }
--- a/internal/testkit/controlplanesim/schedule/families.go
+++ b/internal/testkit/controlplanesim/schedule/families.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// machine strikes machines for a while.
+// machine takes machines down for a while.
 func (d *drawer) machine(at time.Duration) {
 	kind := pick(d, Kill, Kill, Power, Power, Wipe, Freeze)
-	d.addLoss(Event{At: at, Kind: kind, Servers: d.pickSome(d.shape.Keepers, d.shape.Tolerance), For: d.downtime()})
+	d.addLoss(Event{At: at, Kind: kind, Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), For: d.downtime()})
 }
 
 // downtime draws how long a machine is down: mostly about a second, at times long.
@@ -16,9 +16,9 @@
 	return pick(d, d.between(100*time.Millisecond, time.Second), d.between(time.Second, 4*time.Second), d.between(4*time.Second, 15*time.Second))
 }
 
-// cut cuts keepers off, often for as long as operators fear most, and has things happen amid it.
+// cut cuts servers off, often for as long as operators observe, and adds events meanwhile.
 func (d *drawer) cut(at time.Duration) {
-	event := Event{At: at, Kind: Cut, Variant: pick(d, variants[Cut]...), Servers: d.pickSome(d.shape.Keepers, d.shape.Tolerance),
+	event := Event{At: at, Kind: Cut, Variant: pick(d, variants[Cut]...), Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance),
 		For: pick(d, d.between(500*time.Millisecond, 4*time.Second), d.between(14*time.Second, 21*time.Second))}
 	if event.Variant == CutSide {
 		event.Agents = d.pickSome(d.shape.Agents, d.shape.Agents)
@@ -37,10 +37,10 @@
 	}
 }
 
-// chain strikes one machine after the other, each soon after the one before has been repaired.
+// chain takes down one machine after the other, each soon after the one before has been repaired.
 func (d *drawer) chain(at time.Duration) {
 	for range 2 + d.random.IntN(2) {
-		event := Event{At: at, Kind: pick(d, Replace, Replace, Wipe, Kill, Power), Servers: d.pickSome(d.shape.Keepers, 1), For: d.between(50*time.Millisecond, 2*time.Second)}
+		event := Event{At: at, Kind: pick(d, Replace, Replace, Wipe, Kill, Power), Servers: d.pickSome(d.shape.Servers, 1), For: d.between(50*time.Millisecond, 2*time.Second)}
 		if event.Kind == Replace {
 			event.Variant = pick(d, variants[Replace]...)
 		}
@@ -54,12 +54,12 @@
 	}
 }
 
-// allDown takes every keeper down at once; some lose their disks, as many as may.
+// allDown takes every server down at once; some lose their disks, as many as may.
 func (d *drawer) allDown(at time.Duration) {
 	event := Event{At: at, Kind: pick(d, KillAll, PowerAll, RestartAll), For: d.between(50*time.Millisecond, time.Second)}
 	event.On = pick(d, "", "", Acknowledgement, Sent)
 	if event.Kind != RestartAll && d.random.IntN(2) == 0 {
-		event.Servers = d.pickSome(d.shape.Keepers, d.shape.Tolerance)
+		event.Servers = d.pickSome(d.shape.Servers, d.shape.Tolerance)
 	}
 	until := event.End() + CatchUp
 	if !d.withinTolerance(event.Servers, event.At, until) {
@@ -69,10 +69,10 @@
 	d.add(event)
 }
 
-// afterAcknowledgement strikes right after an order, a drain or an election.
+// afterAcknowledgement takes machines down right after an order, a drain or an election.
 func (d *drawer) afterAcknowledgement(at time.Duration) {
 	event := Event{At: at, On: pick(d, Acknowledgement, Acknowledgement, Sent, Election, Drain), Kind: pick(d, Kill, Power, Wipe, Freeze), For: d.downtime(),
-		Servers: d.pickSome(d.shape.Keepers, d.shape.Tolerance), Delay: pick(d, 0, d.between(time.Millisecond, 30*time.Millisecond), d.between(30*time.Millisecond, 500*time.Millisecond))}
+		Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), Delay: pick(d, 0, d.between(time.Millisecond, 30*time.Millisecond), d.between(30*time.Millisecond, 500*time.Millisecond))}
 	d.addLoss(event)
 }
 
@@ -113,19 +113,19 @@
 	}
 }
 
-// bad has an operator send what must be refused.
+// bad has an operator send what must be rejected.
 func (d *drawer) bad(at time.Duration) {
 	if operators := d.pickSome(d.shape.Operators, 1); len(operators) > 0 {
 		d.add(Event{At: at, Kind: Bad, Variant: pick(d, variants[Bad]...), Operators: operators})
 	}
 }
 
-// disk brings trouble to disks.
+// disk makes disks faulty.
 func (d *drawer) disk(at time.Duration) {
-	d.addLoss(Event{At: at, Kind: Disk, Variant: pick(d, variants[Disk]...), Servers: d.pickSome(d.shape.Keepers, d.shape.Tolerance), For: d.between(200*time.Millisecond, 6*time.Second)})
+	d.addLoss(Event{At: at, Kind: Disk, Variant: pick(d, variants[Disk]...), Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), For: d.between(200*time.Millisecond, 6*time.Second)})
 }
 
-// link brings trouble to the links of keepers or agents.
+// link makes the links of servers or agents faulty.
 func (d *drawer) link(at time.Duration) {
 	event := Event{At: at, Kind: Link, Variant: pick(d, variants[Link]...), For: d.between(100*time.Millisecond, 5*time.Second)}
 	if d.random.IntN(3) == 0 {
@@ -134,13 +134,13 @@
 		}
 		return
 	}
-	event.Servers = d.pickSome(d.shape.Keepers, d.shape.Tolerance)
+	event.Servers = d.pickSome(d.shape.Servers, d.shape.Tolerance)
 	d.addLoss(event)
 }
 
-// roll ends and starts all keepers one after the other, each when the one before is no longer lost.
+// roll ends and starts all servers one after the other, each when the one before is no longer lost.
 func (d *drawer) roll(at time.Duration) {
-	event := Event{At: at, Kind: Roll, For: CatchUp + d.between(500*time.Millisecond, 2*time.Second), Servers: d.random.Perm(d.shape.Keepers)}
+	event := Event{At: at, Kind: Roll, For: CatchUp + d.between(500*time.Millisecond, 2*time.Second), Servers: d.random.Perm(d.shape.Servers)}
 	spans := event.rollSpans()
 	for _, span := range spans {
 		if !d.withinTolerance([]int{span.slot}, span.from, span.to) {
@@ -151,7 +151,7 @@
 	d.add(event)
 }
 
-// rollSpans are the spans in which a roll costs each keeper.
+// rollSpans returns the spans in which each server of a roll is lost.
 func (e Event) rollSpans() []loss {
 	spans := make([]loss, len(e.Servers))
 	for i, slot := range e.Servers {
@@ -170,14 +170,14 @@
 	event := Event{At: at, Kind: Worker, Variant: pick(d, variants[Worker]...), Workers: workers, For: d.between(500*time.Millisecond, 6*time.Second)}
 	d.add(event)
 	if event.Variant != WorkerLate && event.Variant != WorkerCrash && d.random.IntN(3) == 0 {
-		d.addLoss(Event{At: at, On: Drain, Kind: pick(d, Kill, Power, Wipe), Servers: d.pickSome(d.shape.Keepers, d.shape.Tolerance), For: d.downtime()})
+		d.addLoss(Event{At: at, On: Drain, Kind: pick(d, Kill, Power, Wipe), Servers: d.pickSome(d.shape.Servers, d.shape.Tolerance), For: d.downtime()})
 	}
 }
 
-// slowDisks slows all disks now and then and has all keepers lose power amid it, at an acknowledgement or a send: what was
-// said before it was durable is then lost. Slowed machines count as lost, so nothing but safety is asked in that time.
+// slowDisks slows all disks now and then and has all servers lose power meanwhile, at an acknowledgement or a send: what was
+// acknowledged before it was durable is then lost. Slowed machines count as lost, so nothing but safety is asked in that time.
 func (d *drawer) slowDisks() {
-	all := make([]int, d.shape.Keepers)
+	all := make([]int, d.shape.Servers)
 	for slot := range all {
 		all[slot] = slot
 	}
--- a/internal/testkit/controlplanesim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -12,10 +12,10 @@
 
 // shapes are those that the tests draw for.
 var shapes = []schedule.Shape{
-	{Keepers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 6, Length: 60 * time.Second},
-	{Keepers: 5, Tolerance: 2, Agents: 6, Operators: 3, Workers: 8, Length: 60 * time.Second},
-	{Keepers: 9, Tolerance: 4, Agents: 6, Operators: 3, Workers: 8, Length: 90 * time.Second},
-	{Keepers: 4, Tolerance: 2, Agents: 3, Operators: 2, Workers: 4, Length: 60 * time.Second},
+	{Servers: 3, Tolerance: 1, Agents: 4, Operators: 2, Workers: 6, Length: 60 * time.Second},
+	{Servers: 5, Tolerance: 2, Agents: 6, Operators: 3, Workers: 8, Length: 60 * time.Second},
+	{Servers: 9, Tolerance: 4, Agents: 6, Operators: 3, Workers: 8, Length: 90 * time.Second},
+	{Servers: 4, Tolerance: 2, Agents: 3, Operators: 2, Workers: 4, Length: 60 * time.Second},
 }
 
 func TestParse_drawnSchedules(t *testing.T) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestDraw_lossesWithinTolerance counts the lost keepers at each tenth of a second, apart from Draw's own books.
+// TestDraw_lossesWithinTolerance counts the lost servers at each tenth of a second, independently of Draw's own accounting.
 func TestDraw_lossesWithinTolerance(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for _, shape := range shapes {
@@ -52,14 +52,14 @@
 			drawn := schedule.Draw(seed, shape)
 			for at := time.Duration(0); at < drawn.End()+schedule.CatchUp; at += step {
 				if lost := lostAt(drawn, at); len(lost) > shape.Tolerance {
-					t.Fatalf("seed %d: %d keepers are lost at %v\n%s", seed, len(lost), at, drawn.Format())
+					t.Fatalf("seed %d: %d servers are lost at %v\n%s", seed, len(lost), at, drawn.Format())
 				}
 			}
 		}
 	}
 }
 
-// lostAt are the keepers that single events cost at the time.
+// lostAt returns the servers that are lost to single events at the time.
 func lostAt(s schedule.Schedule, at time.Duration) map[int]bool {
 	lost := map[int]bool{}
 	for _, event := range s.Events {
@@ -92,8 +92,8 @@
 		}
 		added := 0
 		for _, event := range more.Events {
-			if event.Kind == schedule.Disk && len(event.Servers) == shapes[0].Keepers {
-				added += 2 // with the loss of power amid it
+			if event.Kind == schedule.Disk && len(event.Servers) == shapes[0].Servers {
+				added += 2 // with the loss of power meanwhile
 			}
 		}
 		if added < 10 || len(more.Events) != len(plain.Events)+added {
--- a/internal/testkit/controlplanesim/schedule/shrink.go
+++ b/internal/testkit/controlplanesim/schedule/shrink.go
@@ -8,7 +8,7 @@
 // minSpan is the span below which a time is not made shorter.
 const minSpan = 10 * time.Millisecond
 
-// Shrink returns a smaller schedule for which fails still holds: first with fewer events, then with fewer places,
+// Shrink returns a smaller schedule for which fails still holds: first with fewer events, then with fewer slots,
 // smaller counts and shorter spans. It returns s itself if fails does not hold for it.
 func Shrink(s Schedule, fails func(Schedule) bool) Schedule {
 	if !fails(s) {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// shrinkEvents makes each event smaller, as far as the schedule still fails.
+// shrinkEvents makes each event smaller as long as the schedule still fails.
 func shrinkEvents(schedule Schedule, fails func(Schedule) bool) Schedule {
 	for i := range schedule.Events {
 		for improved := true; improved; {
--- a/internal/testkit/controlplanesim/schedule/text.go
+++ b/internal/testkit/controlplanesim/schedule/text.go
@@ -12,9 +12,19 @@
 // formatHeader begins the text form of a schedule.
 const formatHeader = "schedule"
 
-// ErrSyntax is the cause of each failure to read a schedule.
+// ErrSyntax is wrapped by each error of Parse and Check.
 var ErrSyntax = errors.New("not a schedule")
 
+// Details of ErrSyntax.
+var (
+	errUnknownField    = errors.New("no such field")
+	errIncompleteEvent = errors.New("an event needs a time and a kind")
+	errUnknownKind     = errors.New("no such kind")
+	errUnknownVariant  = errors.New("no such variant")
+	errUnknownTrigger  = errors.New("no such trigger")
+	errNegative        = errors.New("a time or count is negative")
+)
+
 // Format writes the schedule as text: a line with what holds for the whole, then a line for each event.
 func (s Schedule) Format() string {
 	var text strings.Builder
@@ -65,8 +75,8 @@
 
 func formatIndexes(indexes []int) string {
 	words := make([]string, len(indexes))
-	for i, slot := range indexes {
-		words[i] = strconv.Itoa(slot)
+	for i, index := range indexes {
+		words[i] = strconv.Itoa(index)
 	}
 	return strings.Join(words, ",")
 }
@@ -130,7 +140,7 @@
 	case "omit":
 		s.Omit = strings.Split(value, ",")
 	default:
-		return errors.New("no such field")
+		return errUnknownField
 	}
 	return err
 }
@@ -138,7 +148,7 @@
 func (s *Schedule) parseEvent(line string) error {
 	words := strings.Fields(line)
 	if len(words) < 2 {
-		return errors.New("an event needs a time and a kind")
+		return errIncompleteEvent
 	}
 	at, err := time.ParseDuration(words[0])
 	if err != nil {
@@ -178,7 +188,7 @@
 	case "restart":
 		e.Restart = true
 	default:
-		return errors.New("no such field")
+		return errUnknownField
 	}
 	return err
 }
@@ -186,19 +196,19 @@
 func parseIndexes(text string) ([]int, error) {
 	var indexes []int
 	for _, word := range strings.Split(text, ",") {
-		slot, err := strconv.Atoi(word)
+		index, err := strconv.Atoi(word)
 		if err != nil {
 			return nil, err
 		}
-		indexes = append(indexes, slot)
+		indexes = append(indexes, index)
 	}
 	return indexes, nil
 }
 
-// Check reports what makes the schedule unplayable: an unknown word, a place that does not exist, events out of order.
+// Check reports what makes the schedule unplayable: an unknown word, an index out of range, events out of order.
 func (s Schedule) Check() error {
 	if s.Servers < 1 || s.Tolerance < 0 || s.Agents < 0 || s.Operators < 0 || s.Workers < 0 || s.Length < 0 {
-		return fmt.Errorf("%w: keepers must be positive, the other counts not negative", ErrSyntax)
+		return fmt.Errorf("%w: the number of servers must be positive, the other counts not negative", ErrSyntax)
 	}
 	for i, event := range s.Events {
 		if i > 0 && event.At < s.Events[i-1].At {
@@ -213,24 +223,24 @@
 
 func (s Schedule) checkEvent(event Event) error {
 	if !slices.Contains(kinds, event.Kind) {
-		return errors.New("no such kind")
+		return errUnknownKind
 	}
 	if allowed := variants[event.Kind]; len(allowed) == 0 && event.Variant != "" || len(allowed) > 0 && !slices.Contains(allowed, event.Variant) {
-		return errors.New("no such variant")
+		return errUnknownVariant
 	}
 	if event.On != "" && !slices.Contains(triggers, event.On) {
-		return errors.New("no such trigger")
+		return errUnknownTrigger
 	}
 	if event.At < 0 || event.For < 0 || event.Delay < 0 || event.Count < 0 {
-		return errors.New("a time or count is negative")
+		return errNegative
 	}
 	for _, group := range []struct {
-		places []int
-		count  int
+		indexes []int
+		count   int
 	}{{event.Servers, s.Servers}, {event.Agents, s.Agents}, {event.Operators, s.Operators}, {event.Workers, s.Workers}} {
-		for _, slot := range group.places {
-			if slot < 0 || slot >= group.count {
-				return fmt.Errorf("no place %d", slot)
+		for _, index := range group.indexes {
+			if index < 0 || index >= group.count {
+				return fmt.Errorf("index %d is out of range", index)
 			}
 		}
 	}
--- a/internal/testkit/controlplanesim/schedule/types.go
+++ b/internal/testkit/controlplanesim/schedule/types.go
@@ -8,8 +8,8 @@
 	TriggerWindow = 2 * time.Second // an event whose trigger doesn't come within this time after At is dropped
 )
 
-// Schedule is everything that one simulated run is given. The first keepers' places are 0 to Keepers-1; a replaced
-// machine's successor takes over its place at another address.
+// Schedule is the input of one simulated run. The first servers' slots are 0 to Servers-1; a replaced
+// machine's successor takes over its slot at another address.
 type Schedule struct {
 	Seed      uint64        // of the network, the disks and all that is scripted
 	Servers   int           // machines of the core at the start
@@ -29,13 +29,13 @@
 	Delay     time.Duration // between the trigger and the event
 	Kind      Kind
 	Variant   Variant
-	Servers   []int         // places that are struck
-	Agents    []int         // agents that are struck, or that share the keepers' side of a cut
+	Servers   []int         // slots that are affected
+	Agents    []int         // agents that are affected, or that share the servers' side of a cut
 	Operators []int         // operators that are concerned
 	Workers   []int         // workers that are concerned
 	For       time.Duration // how long it lasts, or until what was stopped is started again
 	Count     int           // number of orders
-	Restart   bool          // of a cut: processes on the cut side are killed and started amid it, their seeds are the cut keepers
+	Restart   bool          // of a cut: processes on the cut side are killed and started meanwhile, their seeds are the cut servers
 }
 
 // Kind is what happens.
@@ -43,69 +43,69 @@
 
 // Kinds of events.
 const (
-	Kill        Kind = "kill"         // Keepers' processes die and start again after For; disks stay
-	Power       Kind = "power"        // Keepers lose power: writes that were not synced may be lost or torn; back after For
-	Wipe        Kind = "wipe"         // Keepers lose their disks and start empty at the old address after For
-	Freeze      Kind = "freeze"       // Keepers or Agents stand still for For, then take up what has arrived
-	Cut         Kind = "cut"          // Keepers, and Agents along with them, are cut off for For
-	Replace     Kind = "replace"      // Keepers end and empty machines at other addresses take their places after For
-	Disk        Kind = "disk"         // the disks of Keepers are in trouble for For
-	Link        Kind = "link"         // the links of Keepers or Agents are in trouble for For
-	KillAll     Kind = "kill-all"     // all keepers' processes die at once; back after For, disks stay, but for those of Keepers
-	PowerAll    Kind = "power-all"    // all keepers lose power at once; back after For; Keepers lose their disks too
-	RestartAll  Kind = "restart-all"  // all keepers get SIGTERM at once; back after For
-	Roll        Kind = "roll"         // Keepers get SIGTERM one after the other, For apart, and start again
+	Kill        Kind = "kill"         // Servers' processes die and start again after For; disks stay
+	Power       Kind = "power"        // Servers lose power: writes that were not synced may be lost or torn; back after For
+	Wipe        Kind = "wipe"         // Servers lose their disks and start empty at the old address after For
+	Freeze      Kind = "freeze"       // Servers or Agents are frozen for For, then process what has arrived
+	Cut         Kind = "cut"          // Servers, and Agents along with them, are partitioned off for For
+	Replace     Kind = "replace"      // Servers end and empty machines at other addresses take their slots after For
+	Disk        Kind = "disk"         // the disks of Servers are faulty for For
+	Link        Kind = "link"         // the links of Servers or Agents are faulty for For
+	KillAll     Kind = "kill-all"     // all servers' processes die at once; back after For, disks stay, but for those of Servers
+	PowerAll    Kind = "power-all"    // all servers lose power at once; back after For; Servers lose their disks too
+	RestartAll  Kind = "restart-all"  // all servers get SIGTERM at once; back after For
+	Roll        Kind = "roll"         // Servers get SIGTERM one after the other, For apart, and start again
 	LoseReplies Kind = "lose-replies" // answers to Operators are lost for For
 	Race        Kind = "race"         // Operators send at once on top of one version
 	Burst       Kind = "storm"        // Operators send Count changes one upon the other without a pause
-	Bad         Kind = "bad"          // Operators send a configuration that must be refused
+	Bad         Kind = "bad"          // Operators send a configuration that must be rejected
 	Worker      Kind = "worker"       // Workers leave, crash or are late
 )
 
 // Variant says more about a Kind.
 type Variant string
 
-// Variants of Cut. All are between Keepers and the other keepers; all but the first also concern agents. Operators and
-// Workers that are named reach Keepers alone while it lasts.
+// Variants of Cut. All are between Servers and the other servers; all but the first also concern agents. Operators and
+// Workers that are named reach Servers alone while it lasts.
 const (
-	CutServers Variant = "keepers"  // from the other keepers alone: every agent, operator and worker still reaches them
+	CutServers Variant = "keepers"  // from the other servers alone: every agent, operator and worker still reaches them
 	CutSide    Variant = "side"     // from all but the Agents that are named, and from operators and workers as DEPLOY allows: either side may be reached
-	CutInward  Variant = "inward"   // what others send to Keepers is lost; what they send arrives
-	CutOutward Variant = "outward"  // what Keepers send is lost; what others send arrives
+	CutInward  Variant = "inward"   // what others send to Servers is lost; what they send arrives
+	CutOutward Variant = "outward"  // what Servers send is lost; what others send arrives
 	CutAll     Variant = "isolated" // from everybody
 )
 
 // Variants of Replace.
 const (
 	Planned   Variant = "planned"   // the old machine gets SIGTERM when the new one has started
-	Unplanned Variant = "unplanned" // the old machine is gone without a word before the new one starts
+	Unplanned Variant = "unplanned" // the old machine is gone without notice before the new one starts
 )
 
 // Variants of Disk.
 const (
-	DiskHang Variant = "hang" // writes and syncs wait until the trouble is over
+	DiskHang Variant = "hang" // writes and syncs wait until the fault is over
 	DiskSlow Variant = "slow" // writes and syncs take a hundred times as long
-	DiskFull Variant = "full" // every write is refused
+	DiskFull Variant = "full" // every write is rejected
 )
 
 // Variants of Link.
 const (
 	LinkReset Variant = "reset" // every connection is reset once
-	LinkHold  Variant = "hold"  // what was sent is held up and delivered after For, new connections with it
+	LinkHold  Variant = "hold"  // what was sent is delayed and delivered after For, new connections with it
 	LinkSlow  Variant = "slow"  // delays of hundreds of milliseconds, datagrams are lost, repeated and reordered
 )
 
 // Variants of Race.
 const (
 	RaceBodies Variant = "bodies" // one number, a different body from each operator
-	RaceSame   Variant = "same"   // the same body by each operator, each at another keeper
-	RaceRepeat Variant = "repeat" // an operator sends its order again at another keeper while the first is under way
+	RaceSame   Variant = "same"   // the same body by each operator, each at another server
+	RaceRepeat Variant = "repeat" // an operator sends its order again at another server while the first is under way
 	RaceOld    Variant = "old"    // an accepted body is sent again after newer ones
 )
 
 // Variants of Bad.
 const (
-	BadBytes      Variant = "bytes"      // cannot be read whole
+	BadBytes      Variant = "bytes"      // cannot be read completely
 	BadService    Variant = "service"    // a route names an unknown service
 	BadRoutes     Variant = "routes"     // two routes have the same host and prefix
 	BadWeights    Variant = "weights"    // a route's weights sum to 0
@@ -118,7 +118,7 @@
 	WorkerDrain           Variant = "drain"            // says draining, then deregisters; a new incarnation follows after For
 	WorkerDeregister      Variant = "deregister"       // deregisters without ever draining and ends
 	WorkerDeregisterFirst Variant = "deregister-first" // deregisters, serves on, ends
-	WorkerCrash           Variant = "crash"            // ends without a word; a new incarnation at the same address after For
+	WorkerCrash           Variant = "crash"            // ends without notice; a new incarnation at the same address after For
 	WorkerLate            Variant = "late"             // its heartbeats come For late
 )
 
@@ -129,7 +129,7 @@
 const (
 	Acknowledgement Trigger = "acknowledgement" // an operator's order is acknowledged
 	Sent            Trigger = "sent"            // an operator's order is sent
-	Election        Trigger = "election"        // a keeper becomes leader of the configuration's group
+	Election        Trigger = "election"        // a server becomes leader of the configuration's group
 	Drain           Trigger = "drain"           // a worker's drain or departure is acknowledged
 )
 
--- a/internal/testkit/controlplanesim/scripts.go
+++ b/internal/testkit/controlplanesim/scripts.go
@@ -8,7 +8,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// resendDelay is how soon after the first attempt the same order is sent to another keeper.
+// resendDelay is how soon after the first attempt the same order is sent to another server.
 const resendDelay = 2 * time.Millisecond
 
 func (w *world) playLoseReplies(_ context.Context, event schedule.Event) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sendTwice sends an order to a second keeper while the first attempt is under way.
+// sendTwice sends an order to a second server while the first attempt is in flight.
 func (w *world) sendTwice(ctx context.Context, o *operator, sent order) {
 	var both sync.WaitGroup
 	both.Go(func() { o.send(ctx, sent) })
@@ -74,7 +74,7 @@
 	return base
 }
 
-// playBurst has operators send many changes one upon the other.
+// playBurst has operators send many changes, each on top of the one before.
 func (w *world) playBurst(ctx context.Context, event schedule.Event) {
 	var sending sync.WaitGroup
 	for _, i := range event.Operators {
@@ -90,7 +90,7 @@
 	sending.Wait()
 }
 
-// playBad has operators send what must be refused.
+// playBad has operators send what must be rejected.
 func (w *world) playBad(ctx context.Context, event schedule.Event) {
 	for _, i := range event.Operators {
 		o := w.operators[i]
@@ -120,7 +120,7 @@
 	leaving.Wait()
 }
 
-// delayHeartbeats has a worker's heartbeats come late for a time.
+// delayHeartbeats delays a worker's heartbeats for a while.
 func (w *worker) delayHeartbeats(ctx context.Context, delay time.Duration) {
 	w.mutex.Lock()
 	running := w.incarnation
--- a/internal/testkit/controlplanesim/simnet/connection.go
+++ b/internal/testkit/controlplanesim/simnet/connection.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Times after which an end gives its connection up.
+// Times after which a connection fails.
 const (
 	userTimeout      = 1500 * time.Millisecond // sent bytes are not acknowledged
 	keepaliveTimeout = 3500 * time.Millisecond // nothing is heard of a silent peer
@@ -46,7 +46,7 @@
 	closed           error // why nothing goes on at this end; nil: it is open
 	since            time.Time
 	cut              bool // either direction is blocked, since then
-	timeoutScheduled bool // a timer looks whether it is to be given up
+	timeoutScheduled bool // a timer will call checkTimeout
 }
 
 type address string
@@ -75,7 +75,7 @@
 	}
 }
 
-// Read waits for bytes, the connection's end or the deadline, and while the process stands still.
+// Read waits for bytes, the connection's end or the deadline, and while the process is frozen.
 func (e *conn) Read(buffer []byte) (int, error) {
 	for {
 		if !e.process.Await() {
@@ -103,7 +103,7 @@
 	}
 }
 
-// take returns what has arrived, or why there is nothing, or how long to wait.
+// take returns what has arrived, or an error, or how long to wait.
 func (e *conn) take(buffer []byte) (count int, wait time.Duration, err error) {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -129,7 +129,7 @@
 	return count, 0, nil
 }
 
-// wait says how long until the next segment or the deadline; 0: neither is known.
+// wait returns how long until the next segment or the deadline; 0: neither is known.
 func (e *conn) wait(now time.Time) time.Duration {
 	var wait time.Duration
 	if !e.deadline.IsZero() {
@@ -143,7 +143,7 @@
 	return wait
 }
 
-// Write sends bytes. It does not wait: what a process sends while it stands still goes out when it is thawed.
+// Write sends bytes. It does not wait: what a process sends while it is frozen goes out when it is thawed.
 func (e *conn) Write(data []byte) (int, error) {
 	e.network.mutex.Lock()
 	closed := e.closed
@@ -214,7 +214,7 @@
 	})
 }
 
-// updateCut takes over that paths were opened or closed.
+// updateCut applies that paths were opened or blocked.
 func (e *conn) updateCut(now time.Time) {
 	forward, back := e.network.blocked(e.path), e.network.blocked(e.path.reverse())
 	cut := forward || back
@@ -228,7 +228,7 @@
 	}
 }
 
-// delayInbox holds up what has not arrived, or lets it go on.
+// delayInbox delays the segments that have not arrived, or releases them.
 func (e *conn) delayInbox(blocked bool, now time.Time) {
 	for i := range e.inbox {
 		one := &e.inbox[i]
@@ -243,7 +243,7 @@
 	e.notify()
 }
 
-// scheduleTimeout looks after a time whether the connection is to be given up.
+// scheduleTimeout checks after a time whether the connection has timed out.
 func (e *conn) scheduleTimeout(after time.Duration) {
 	if e.timeoutScheduled {
 		return
@@ -259,7 +259,7 @@
 	})
 }
 
-// checkTimeout gives up a connection whose bytes are not acknowledged, or whose peer is gone.
+// checkTimeout fails a connection whose bytes are not acknowledged, or whose peer is gone.
 func (e *conn) checkTimeout(now time.Time) {
 	cutFor := now.Sub(e.since)
 	switch {
@@ -272,7 +272,7 @@
 	}
 }
 
-// unacknowledged tells whether bytes that this end has sent wait for an acknowledgement.
+// unacknowledged reports whether bytes that this end has sent wait for an acknowledgement.
 func (e *conn) unacknowledged() bool {
 	if e.peer.closed != nil {
 		return true
@@ -285,7 +285,7 @@
 	return e.network.blocked(e.path.reverse()) && e.sent > 0
 }
 
-// notified tells whether the peer's end is on its way to this end.
+// notified reports whether the peer's close is on its way to this end.
 func (e *conn) notified() bool {
 	return len(e.inbox) > 0 && e.inbox[len(e.inbox)-1].finish != nil
 }
@@ -304,7 +304,7 @@
 	e.peer.resetLater(e.network.delay(e.path, e.stream, e.sent))
 }
 
-// dropDelayed loses what a cut holds up of what this end has sent.
+// dropDelayed drops the segments of this end that a cut delays.
 func (e *conn) dropDelayed() {
 	for i, one := range e.peer.inbox {
 		if one.delayed {
@@ -364,7 +364,7 @@
 	})
 }
 
-// abandon ends the connection without a word, as a loss of power does.
+// abandon ends the connection without notice, as a loss of power does.
 func (e *conn) abandon() {
 	if e.closed != nil {
 		return
--- a/internal/testkit/controlplanesim/simnet/listener.go
+++ b/internal/testkit/controlplanesim/simnet/listener.go
@@ -52,7 +52,7 @@
 // Addr returns the address that was opened.
 func (l *listener) Addr() net.Addr { return l.local }
 
-// Accept waits for a connection, and while the process stands still.
+// Accept waits for a connection, and while the process is frozen.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		if !l.process.Await() {
--- a/internal/testkit/controlplanesim/simnet/network.go
+++ b/internal/testkit/controlplanesim/simnet/network.go
@@ -17,7 +17,7 @@
 	loopback      = "127.0.0.1"
 )
 
-// Network connects machines.
+// Network connects simulated machines. Its methods may be called by several goroutines.
 type Network struct {
 	seed uint64
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// Open tells whether something that is sent now along the path gets there.
+// Open reports whether something that is sent now along the path gets there.
 func (n *Network) Open(path Path) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -105,7 +105,7 @@
 
 func (p Path) reverse() Path { return Path{From: p.To, To: p.From} }
 
-// blocked tells whether a path is cut. The caller holds the mutex.
+// blocked reports whether a path is cut. The caller holds the mutex.
 func (n *Network) blocked(path Path) bool {
 	if n.powerless[path.From] || n.powerless[path.To] {
 		return true
@@ -136,7 +136,7 @@
 	return delay
 }
 
-// update changes what blocks paths and has all connections follow.
+// update changes the rules and applies them to all connections.
 func (n *Network) update(change func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -149,7 +149,7 @@
 	n.changed = make(chan struct{})
 }
 
-// release ends all that a process had open.
+// release closes all connections and listeners of a process.
 func (n *Network) release(p *Process, silent bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Process is one simulated process. It can stand still and be killed, and owns connections and listeners.
+// Process is one simulated process. It can be frozen and killed, and owns connections and listeners.
 type Process struct {
 	network *Network
 	host    string // IP
@@ -14,7 +14,7 @@
 	frozen    chan struct{} // nil: it runs; closed by Thaw
 	ended     chan struct{} // closed by the end
 	dead      bool
-	delayed   []func() // what it has sent while it stands still
+	delayed   []func() // what it has sent while it is frozen
 	conns     map[*conn]struct{}
 	listeners map[*listener]struct{}
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// Freeze has the process stand still: it gets and sends nothing, and Await waits.
+// Freeze freezes the process: it gets and sends nothing, and Await waits.
 func (p *Process) Freeze() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// Thaw lets the process go on.
+// Thaw lets the process continue.
 func (p *Process) Thaw() {
 	p.mutex.Lock()
 	if p.frozen != nil {
@@ -51,14 +51,14 @@
 	}
 }
 
-// Frozen tells whether the process stands still.
+// Frozen reports whether the process is frozen.
 func (p *Process) Frozen() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.frozen != nil
 }
 
-// Dead tells whether the process was killed.
+// Dead reports whether the process was killed.
 func (p *Process) Dead() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -87,13 +87,13 @@
 	}
 }
 
-// Now is the process's clock: whoever asks while it stands still waits.
+// Now is the process's clock: whoever asks while it is frozen waits.
 func (p *Process) Now() time.Time {
 	p.Await()
 	return time.Now()
 }
 
-// send carries out what the process sends, at once or when it is thawed.
+// send calls function at once, or when the process is thawed.
 func (p *Process) send(function func()) {
 	p.mutex.Lock()
 	if p.dead {
@@ -112,7 +112,7 @@
 // Kill ends the process. The machine's kernel closes its connections and listeners.
 func (p *Process) Kill() { p.terminate(false) }
 
-// LosePower ends the process with its machine: its connections end without a word, and what they hold is lost.
+// LosePower ends the process with its machine: its connections end without notice, and what they hold is lost.
 func (p *Process) LosePower() { p.terminate(true) }
 
 func (p *Process) terminate(silent bool) {
--- a/internal/testkit/controlplanesim/worker.go
+++ b/internal/testkit/controlplanesim/worker.go
@@ -13,7 +13,7 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// How workers go about.
+// Behaviour of workers.
 const (
 	heartbeatInterval = 500 * time.Millisecond
 	drainTime         = 2 * time.Second        // drainMs
@@ -36,7 +36,7 @@
 	reachable   []*machine // that it reaches; nil: all
 }
 
-// incarnation is one life of a worker.
+// incarnation is one run of a worker, from its start to its end.
 type incarnation struct {
 	worker   *worker
 	id       string
@@ -61,7 +61,7 @@
 	w.world.running.Go(func() { made.run(ctx) })
 }
 
-// takeIncarnation takes the running incarnation away, nil if there is none.
+// takeIncarnation detaches the running incarnation and returns it, or nil.
 func (w *worker) takeIncarnation() *incarnation {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -76,7 +76,7 @@
 	return rand64(w.random, below)
 }
 
-// pickServer chooses a keeper of the list, or of those that it reaches.
+// pickServer chooses a server of the list, or of those that it reaches.
 func (w *worker) pickServer() *machine {
 	listed := w.world.listedMachines()
 	w.mutex.Lock()
@@ -87,7 +87,7 @@
 	return listed[w.random.IntN(len(listed))]
 }
 
-// restrictTo has it reach some machines alone, until nil is given.
+// restrictTo lets it reach the given machines alone; nil lifts the restriction.
 func (w *worker) restrictTo(reachable []*machine) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -122,7 +122,7 @@
 	return false
 }
 
-// sendDelayed has a heartbeat come late, while later ones may come before it.
+// sendDelayed sends a heartbeat late; later ones may arrive before it.
 func (i *incarnation) sendDelayed(ctx context.Context, delay time.Duration, to *machine, body []byte) {
 	i.worker.world.running.Go(func() {
 		if sleep(ctx, delay/2+i.worker.randomDuration(delay)) {
@@ -131,7 +131,7 @@
 	})
 }
 
-// nextHeartbeat returns the body of the next heartbeat, and how late it comes.
+// nextHeartbeat returns the body of the next heartbeat, and how long it is delayed.
 func (i *incarnation) nextHeartbeat() (body []byte, delay time.Duration, draining bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -141,7 +141,7 @@
 	return []byte(text), i.delay, i.state != "ready"
 }
 
-// call sends a call once and tells whether it was acknowledged.
+// call sends a call once and reports whether it was acknowledged.
 func (i *incarnation) call(to *machine, kind server.APICall, body []byte) bool {
 	response := i.worker.world.call(i.worker.host, to, server.APIRequest{Call: kind, ID: i.id, Body: body})
 	if isRejection(response.Status) {
@@ -156,7 +156,7 @@
 	i.state, i.delay = state, delay
 }
 
-// drain says that the worker is draining, serves on and deregisters.
+// drain reports that the worker is draining, goes on serving for a while and deregisters.
 func (i *incarnation) drain(ctx context.Context) {
 	i.stop() // its usual heartbeats: those of the drain follow
 	i.setState("draining", 0)
@@ -175,7 +175,7 @@
 	i.deregister(ctx, departure)
 }
 
-// deregister has the worker leave the list; it is resent to other nodes for some time.
+// deregister removes the worker from the list, with retries at other nodes for some time.
 func (i *incarnation) deregister(ctx context.Context, departure *pendingDeparture) {
 	patience, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -189,7 +189,7 @@
 	}
 }
 
-// depart carries an event out that ends this incarnation.
+// depart plays an event that ends this incarnation.
 func (i *incarnation) depart(ctx context.Context, variant schedule.Variant) {
 	switch variant {
 	case schedule.WorkerDrain:
--- a/internal/testkit/controlplanesim/world.go
+++ b/internal/testkit/controlplanesim/world.go
@@ -23,15 +23,15 @@
 	peerPort         = 7000
 	controlPort      = 8000
 	startSpread      = 300 * time.Millisecond // within which all machines start
-	listLag          = time.Second            // of the list that callers choose keepers from
+	listLag          = time.Second            // of the list that callers choose servers from
 	terminationGrace = 8 * time.Second        // between SIGTERM and SIGKILL
 	sampleInterval   = 250 * time.Millisecond
 	recoveryTime     = 8 * time.Second // after the last event
 	seedCount        = 3
-	formationTime    = 4 * time.Second // in which the core has to be formed whole
+	formationTime    = 4 * time.Second // in which the core has to be formed completely
 )
 
-// bounds are the times that are promised to callers.
+// bounds are the times that the control plane guarantees to callers.
 var bounds = history.Bounds{
 	Contact: 3 * time.Second, ConfigApply: 2 * time.Second, Drain: drainTime, Registration: 2 * time.Second, ServeAgain: 6 * time.Second,
 }
@@ -40,7 +40,7 @@
 type world struct {
 	schedule  schedule.Schedule
 	omissions omissions
-	log       *zap.Logger // of the keepers
+	log       *zap.Logger // of the servers
 	network   *simnet.Network
 	record    *recorder
 	running   sync.WaitGroup // everything that was started
@@ -54,40 +54,40 @@
 	mutex       sync.Mutex
 	machines    []*machine // all that there ever were
 	listings    []listing  // the core as callers list it
-	current     []*machine // by place
+	current     []*machine // by slot
 	lostReplies map[string]int
 	triggers    map[schedule.Trigger]chan struct{}
 }
 
-// listing is a machine's time on the list of the core.
+// listing is the time for which a machine is on the list of the core.
 type listing struct {
 	machine    *machine
 	from, till time.Time // till is zero while it is on it
 }
 
-func newWorld(s schedule.Schedule, log *zap.Logger) (*world, error) {
-	omit, err := parseOmissions(s.Omit)
+func newWorld(played schedule.Schedule, log *zap.Logger) (*world, error) {
+	omit, err := parseOmissions(played.Omit)
 	if err != nil {
 		return nil, err
 	}
 	w := &world{
-		schedule: s, omissions: omit, log: log, network: simnet.New(s.Seed), lostReplies: make(map[string]int),
+		schedule: played, omissions: omit, log: log, network: simnet.New(played.Seed), lostReplies: make(map[string]int),
 		triggers: make(map[schedule.Trigger]chan struct{}),
 	}
 	w.record = newRecorder(w)
-	for slot := range s.Servers {
+	for slot := range played.Servers {
 		m := w.newMachine(slot)
 		w.current = append(w.current, m)
 		w.listings = append(w.listings, listing{machine: m, from: time.Now().Add(-listLag)})
 	}
-	for i := range s.Agents {
+	for i := range played.Agents {
 		w.edges = append(w.edges, &edge{world: w, index: i, ip: address(1, i)})
 	}
-	for i := range s.Operators {
+	for i := range played.Operators {
 		w.operators = append(w.operators, w.newOperator(i))
 	}
-	w.reader = w.newOperator(s.Operators)
-	for i := range s.Workers {
+	w.reader = w.newOperator(played.Operators)
+	for i := range played.Workers {
 		w.workers = append(w.workers, &worker{world: w, index: i, host: address(2, i), random: w.random("worker", i)})
 	}
 	return w, nil
@@ -133,7 +133,7 @@
 	return slices.Clone(w.machines)
 }
 
-// machineAt returns the machine that has a place now.
+// machineAt returns the machine that occupies a slot now.
 func (w *world) machineAt(slot int) *machine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -154,7 +154,7 @@
 	return slices.Clone(w.current)
 }
 
-// replaceMachine has a new machine take a place. The old one stays on the list of callers for a while.
+// replaceMachine has a new machine take a slot. The old one stays on the list of callers for a while.
 func (w *world) replaceMachine(slot int) (old, successor *machine) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -185,7 +185,7 @@
 	return listed
 }
 
-// seeds returns what a settings file names that is written now.
+// seeds returns the seeds of a settings file that is written now.
 func (w *world) seeds() []string {
 	var seeds []string
 	for _, m := range w.listedMachines() {
@@ -196,7 +196,7 @@
 	return seeds
 }
 
-// trigger wakes what waits for a trigger.
+// trigger wakes the events that wait for a trigger.
 func (w *world) trigger(trigger schedule.Trigger) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -206,7 +206,7 @@
 	}
 }
 
-// awaitTrigger waits for a trigger. It is false if that doesn't come in time.
+// awaitTrigger waits for a trigger. It returns false if the trigger does not occur in time.
 func (w *world) awaitTrigger(trigger schedule.Trigger) bool {
 	w.mutex.Lock()
 	if w.triggers[trigger] == nil {
@@ -224,7 +224,7 @@
 	}
 }
 
-// losesReplies tells whether answers to a caller are lost now.
+// losesReplies reports whether answers to a caller are lost now.
 func (w *world) losesReplies(host string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -244,7 +244,7 @@
 	return func() { add(-1) }
 }
 
-// run runs a script, which the schedule's events are as a rule, and ends everything.
+// run plays a script, usually the schedule's events, and stops everything.
 func (w *world) run(script func(ctx context.Context)) {
 	scripts, stopScripts := context.WithCancel(context.Background())
 	defer stopScripts()
@@ -263,7 +263,7 @@
 	w.stopAll(stopEdges)
 }
 
-// startCore starts all keepers in a drawn order.
+// startCore starts all servers in a drawn order.
 func (w *world) startCore() {
 	random := w.random("start", 0)
 	seeds := w.seeds()
@@ -291,7 +291,7 @@
 	})
 }
 
-// stopAll stops all processes and waits for what they had started.
+// stopAll stops all processes and waits for their goroutines.
 func (w *world) stopAll(stopEdges context.CancelFunc) {
 	stopEdges()
 	for _, e := range w.edges {
