--- a/cmd/inference-router/main_test.go
+++ b/cmd/inference-router/main_test.go
@@ -23,10 +23,10 @@
 
 func TestRun_helpOfEachCommand(t *testing.T) {
 	for _, words := range [][]string{{}, {"proxy"}, {"agent"}, {"control-plane"}, {"check"}, {"demo"}, {"measure"}, {"measure", "scale"}, {"measure", "traffic"}, {"measure", "simulate"}} {
-		code, stdout, faults := runCommand(append(words, "--help")...)
+		code, stdout, stderr := runCommand(append(words, "--help")...)
 		usage := strings.Join(append([]string{"Usage: inference-router"}, words...), " ")
-		if code != exitOK || !strings.Contains(stdout, usage) || faults != "" {
-			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, stdout, faults)
+		if code != exitOK || !strings.Contains(stdout, usage) || stderr != "" {
+			t.Errorf("%v: exit %d, no %q in %q, errors %q", words, code, usage, stdout, stderr)
 		}
 	}
 }
@@ -55,10 +55,10 @@
 		{[]string{"measure", "simulate", "--servers", "three"}, "joined by commas"},
 		{[]string{"measure", "simulate", "--schedules", "0"}, "must be positive"},
 	}
-	for _, one := range cases {
-		code, _, faults := runCommand(one.line...)
-		if code != exitUsage || !strings.Contains(faults, one.says) {
-			t.Errorf("%v: exit %d, no %q in %q", one.line, code, one.says, faults)
+	for _, test := range cases {
+		code, _, stderr := runCommand(test.line...)
+		if code != exitUsage || !strings.Contains(stderr, test.says) {
+			t.Errorf("%v: exit %d, no %q in %q", test.line, code, test.says, stderr)
 		}
 	}
 }
@@ -92,10 +92,10 @@
 			exitFault, "1026 "},
 		{"no JSON", []string{"--configuration", file("none.json", "{")}, exitFault, "1020 "},
 	}
-	for _, one := range cases {
-		code, stdout, faults := runCommand(append([]string{"check"}, one.line...)...)
-		if code != one.code || !strings.Contains(stdout+faults, one.says) {
-			t.Errorf("%s: exit %d, no %q in %q", one.name, code, one.says, stdout+faults)
+	for _, test := range cases {
+		code, stdout, stderr := runCommand(append([]string{"check"}, test.line...)...)
+		if code != test.code || !strings.Contains(stdout+stderr, test.says) {
+			t.Errorf("%s: exit %d, no %q in %q", test.name, code, test.says, stdout+stderr)
 		}
 	}
 }
--- a/cmd/inference-router/measure_catchup.go
+++ b/cmd/inference-router/measure_catchup.go
@@ -73,10 +73,10 @@
 // parseDurations parses durations separated by commas.
 func parseDurations(text string) ([]time.Duration, error) {
 	var durations []time.Duration
-	for _, one := range strings.Split(text, ",") {
-		duration, err := time.ParseDuration(strings.TrimSpace(one))
+	for _, word := range strings.Split(text, ",") {
+		duration, err := time.ParseDuration(strings.TrimSpace(word))
 		if err != nil || duration < 0 {
-			return nil, fmt.Errorf("measure catchup: %q is no span", one)
+			return nil, fmt.Errorf("measure catchup: %q is no span", word)
 		}
 		durations = append(durations, duration)
 	}
--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -96,8 +96,8 @@
 }
 
 func TestServer_APIHandler_proposalOwnsItsBytes(t *testing.T) {
-	for _, one := range requestsOutlivingHandler {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range requestsOutlivingHandler {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newDegradedServerFixture(t)
 				s.setEveryGroup(leaderStatus(), nil)
@@ -109,8 +109,8 @@
 						return nil, replica.ErrUnknownOutcome
 					}
 				}
-				request := newReusedBufferRequest(one.id, "7", one.body)
-				s.server.apiHandler(one.kind)(t.Context(), request.context)
+				request := newReusedBufferRequest(test.id, "7", test.body)
+				s.server.apiHandler(test.kind)(t.Context(), request.context)
 				if status := request.context.Response.StatusCode(); status != http.StatusServiceUnavailable {
 					t.Fatal(status)
 				}
@@ -122,15 +122,15 @@
 }
 
 func TestServer_APIHandler_forwardedCallOwnsItsBytes(t *testing.T) {
-	for _, one := range requestsOutlivingHandler {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range requestsOutlivingHandler {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newDegradedServerFixture(t)
 				s.setEveryGroup(followerStatus(ownerAddress), nil)
 				calls := &retainedProposals{}
 				s.server.peers.network = &retainingNetwork{calls: calls}
-				request := newReusedBufferRequest(one.id, "7", one.body)
-				s.server.apiHandler(one.kind)(t.Context(), request.context)
+				request := newReusedBufferRequest(test.id, "7", test.body)
+				s.server.apiHandler(test.kind)(t.Context(), request.context)
 				request.overwrite()
 				calls.check(t)
 			})
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -252,17 +252,17 @@
 }
 
 // callDegraded makes a call to a server in a state, with guards omitted, and returns what is wrong with its answer.
-func callDegraded(t *testing.T, state, one int, omit ...Guard) (wrong string) {
+func callDegraded(t *testing.T, state, call int, omit ...Guard) (wrong string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
 		s.server.environment.OmitGuards = omit
 		degradedStates[state].set(s)
-		want := degradedCalls[one].status
-		if needs := degradedCalls[one].needs; degradedStates[state].able&needs != needs {
+		want := degradedCalls[call].status
+		if needs := degradedCalls[call].needs; degradedStates[state].able&needs != needs {
 			want = http.StatusServiceUnavailable
 		}
 		began := time.Now()
-		reply := s.server.Handle(t.Context(), degradedCalls[one].request)
+		reply := s.server.Handle(t.Context(), degradedCalls[call].request)
 		if reply.Status != want {
 			wrong = fmt.Sprintf("%d, not %d: %s", reply.Status, want, reply.Body)
 		}
@@ -276,10 +276,10 @@
 // TestServer_Handle_degradedStates makes each call to a server in each state. What depends on the state of the system is rejected by a
 // majority alone, and nothing is acknowledged that is not recorded; where there is no majority, 503 comes in time.
 func TestServer_Handle_degradedStates(t *testing.T) {
-	for trouble := range degradedStates {
-		for one := range degradedCalls {
-			t.Run(degradedStates[trouble].name+"/"+degradedCalls[one].name, func(t *testing.T) {
-				if wrong := callDegraded(t, trouble, one); wrong != "" {
+	for state := range degradedStates {
+		for call := range degradedCalls {
+			t.Run(degradedStates[state].name+"/"+degradedCalls[call].name, func(t *testing.T) {
+				if wrong := callDegraded(t, state, call); wrong != "" {
 					t.Fatal(wrong)
 				}
 			})
@@ -291,9 +291,9 @@
 func TestServer_Handle_eachGuardIsNeededWhenDegraded(t *testing.T) {
 	for _, guard := range []Guard{GuardReadConfirmed, GuardHeartbeatCurrent, GuardHeartbeatRecorded} {
 		missed := 0
-		for trouble := range degradedStates {
-			for one := range degradedCalls {
-				if wrong := callDegraded(t, trouble, one, guard); wrong != "" {
+		for state := range degradedStates {
+			for call := range degradedCalls {
+				if wrong := callDegraded(t, state, call, guard); wrong != "" {
 					missed++
 				}
 			}
@@ -316,16 +316,16 @@
 			t.Errorf("%+v", reply)
 		}
 	}
-	for _, clear := range []shardResponse{okResponse(nil), errorResponse(NoOwner), notOwnerResponse(""), {Status: http.StatusPreconditionFailed}} {
-		encoded, err := encodeShardResponse(clear)
+	for _, definitive := range []shardResponse{okResponse(nil), errorResponse(NoOwner), notOwnerResponse(""), {Status: http.StatusPreconditionFailed}} {
+		encoded, err := encodeShardResponse(definitive)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := decodeShardResponse(encoded); err != nil {
-			t.Errorf("%+v: %v", clear, err)
+			t.Errorf("%+v: %v", definitive, err)
 		}
 		if _, err := decodeShardResponse(encoded[:len(encoded)-1]); err == nil {
-			t.Errorf("%+v is cut short and taken", clear)
+			t.Errorf("%+v is cut short and taken", definitive)
 		}
 	}
 }
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -201,22 +201,22 @@
 		{"a heartbeat that is too large", "/-/Instances.Heartbeat/i", "0", strings.Repeat(" ", maxHeartbeatBytes+1), http.StatusRequestEntityTooLarge},
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clusterTimeout}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address+one.path, bytes.NewReader([]byte(one.body)))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address+test.path, bytes.NewReader([]byte(test.body)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			request.Header.Set(headerBaseVersion, one.base)
+			request.Header.Set(headerBaseVersion, test.base)
 			response, err := client.Do(request)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = response.Body.Close() }()
-			if response.StatusCode != one.status {
+			if response.StatusCode != test.status {
 				t.Fatal(response.Status)
 			}
-			if retry := response.Header.Get("Retry-After"); (retry != "") != (one.status == http.StatusServiceUnavailable) {
+			if retry := response.Header.Get("Retry-After"); (retry != "") != (test.status == http.StatusServiceUnavailable) {
 				t.Fatalf("Retry-After %q", retry)
 			}
 		})
--- a/internal/controlplane/server/membership_model_steps_test.go
+++ b/internal/controlplane/server/membership_model_steps_test.go
@@ -9,8 +9,8 @@
 // lateRequests are the former members whose join requests may still be in flight.
 func (s *modelState) lateRequests() []consensus.MemberID {
 	var found []consensus.MemberID
-	for machine, one := range s.machines {
-		for disk := range int(one.disk) {
+	for machine, target := range s.machines {
+		for disk := range int(target.disk) {
 			found = append(found, modelID(machine, disk))
 		}
 	}
@@ -41,8 +41,8 @@
 }
 
 func (s modelState) elections() (next []modelStep) {
-	voters, living, _ := s.count()
-	if living <= voters/2 {
+	voters, running, _ := s.count()
+	if running <= voters/2 {
 		return nil
 	}
 	s.each(func(machine, disk int, role modelRole) {
@@ -58,7 +58,7 @@
 // steps returns all that may happen in a state.
 func (m model) steps(state modelState) []modelStep {
 	next := m.faultFreeSteps(state)
-	vacancyFilled := len(next) == 0
+	quiescent := len(next) == 0
 	if state.led() {
 		for _, late := range state.lateRequests() {
 			if made, found := m.decide(state, late); found {
@@ -68,51 +68,53 @@
 		}
 	}
 	for machine := range m.founders + m.spares {
-		next = append(next, m.machineEvents(state, machine, vacancyFilled)...)
+		next = append(next, m.machineEvents(state, machine, quiescent)...)
 	}
 	return next
 }
 
 // machineEvents returns the events that may happen to one machine.
-func (m model) machineEvents(state modelState, machine int, vacancyFilled bool) (next []modelStep) {
-	befall := func(name string, change func(one *modelMachine, after *modelState)) {
+func (m model) machineEvents(state modelState, machine int, quiescent bool) (next []modelStep) {
+	addEvent := func(name string, change func(target *modelMachine, after *modelState)) {
 		after := state
 		change(&after.machines[machine], &after)
 		next = append(next, modelStep{name: fmt.Sprintf("machine %d %s", machine, name), after: after})
 	}
-	one := state.machines[machine]
-	if !one.exists {
-		befall("is added", func(one *modelMachine, _ *modelState) {
-			one.exists, one.up, one.fresh = true, true, state.lostMachines() > 0
+	target := state.machines[machine]
+	if !target.exists {
+		addEvent("is added", func(target *modelMachine, _ *modelState) {
+			target.exists, target.up, target.fresh = true, true, state.lostMachines() > 0
 		})
 		return next
 	}
-	if !one.up && !one.silent {
-		befall("is silent", func(one *modelMachine, _ *modelState) { one.silent = true })
+	if !target.up && !target.silent {
+		addEvent("is silent", func(target *modelMachine, _ *modelState) { target.silent = true })
 	}
-	if !one.up && !one.gone {
-		befall("is back", func(one *modelMachine, _ *modelState) { one.up, one.silent = true, false })
+	if !target.up && !target.gone {
+		addEvent("is back", func(target *modelMachine, _ *modelState) { target.up, target.silent = true, false })
 	}
-	if one.up && one.leaving {
-		befall("ends", func(one *modelMachine, _ *modelState) { one.up, one.leaving, one.stable = false, false, false })
+	if target.up && target.leaving {
+		addEvent("ends", func(target *modelMachine, _ *modelState) {
+			target.up, target.leaving, target.stable = false, false, false
+		})
 	}
-	if one.lost && vacancyFilled && m.recovered(&state, machine) {
-		befall("counts as lost no more", func(one *modelMachine, after *modelState) {
-			one.lost = false
+	if target.lost && quiescent && m.recovered(&state, machine) {
+		addEvent("counts as lost no more", func(target *modelMachine, after *modelState) {
+			target.lost = false
 			after.clearFresh()
 		})
 	}
-	if m.oldDisks && !one.up && !one.gone && one.disk > 0 && state.retiredOrNone(machine) {
-		befall("gets an old disk back", func(one *modelMachine, _ *modelState) { one.disk--; one.up, one.silent = true, false })
+	if m.oldDisks && !target.up && !target.gone && target.disk > 0 && state.retiredOrNone(machine) {
+		addEvent("gets an old disk back", func(target *modelMachine, _ *modelState) { target.disk--; target.up, target.silent = true, false })
 	}
-	if state.faults > 0 && (one.lost || state.lostMachines() < m.toleratedLosses()) {
+	if state.faults > 0 && (target.lost || state.lostMachines() < m.toleratedLosses()) {
 		next = append(next, m.faultsAt(state, machine)...)
 	}
 	return next
 }
 
-// clearFresh ends the time in which a new machine counts with one that was lost: with each that counts as lost no more,
-// one new machine does not either, and no more stay new than others are lost.
+// clearFresh is called when a machine no longer counts as lost. New machines that came to replace lost ones are part of those
+// losses; one of them, and as many as exceed the remaining losses, now count as machines of their own.
 func (s *modelState) clearFresh() {
 	surplus := -s.lostMachines()
 	for _, machine := range s.machines {
@@ -123,9 +125,9 @@
 	surplus = max(surplus, 1)
 	for _, voters := range []bool{true, false} {
 		for machine := range s.machines {
-			one := &s.machines[machine]
-			if one.fresh && surplus > 0 && (s.roles[machine][one.disk] == roleVoter) == voters {
-				one.fresh = false
+			target := &s.machines[machine]
+			if target.fresh && surplus > 0 && (s.roles[machine][target.disk] == roleVoter) == voters {
+				target.fresh = false
 				surplus--
 			}
 		}
@@ -144,34 +146,34 @@
 			return false
 		}
 	}
-	_, living, _ := s.count()
-	one := s.machines[machine]
-	back := one.up && !one.leaving && !s.retired[machine][one.disk]
-	return back || (one.gone && living >= min(m.desiredVoters(), m.founders))
+	_, running, _ := s.count()
+	target := s.machines[machine]
+	back := target.up && !target.leaving && !s.retired[machine][target.disk]
+	return back || (target.gone && running >= min(m.desiredVoters(), m.founders))
 }
 
 // faultsAt returns the faults that may strike a machine.
 func (m model) faultsAt(state modelState, machine int) (next []modelStep) {
-	strike := func(name string, change func(one *modelMachine)) {
+	addFault := func(name string, change func(target *modelMachine)) {
 		after := state
 		after.faults--
-		one := &after.machines[machine]
-		one.lost, one.stable = true, false
-		change(one)
+		target := &after.machines[machine]
+		target.lost, target.stable = true, false
+		change(target)
 		next = append(next, modelStep{name: fmt.Sprintf("machine %d %s", machine, name), after: after})
 	}
-	one := state.machines[machine]
-	if one.up {
-		strike("is down", func(one *modelMachine) { one.up, one.leaving = false, false })
+	target := state.machines[machine]
+	if target.up {
+		addFault("is down", func(target *modelMachine) { target.up, target.leaving = false, false })
 	}
-	if one.up && !one.leaving {
-		strike("gets a SIGTERM", func(one *modelMachine) { one.leaving = true })
+	if target.up && !target.leaving {
+		addFault("gets a SIGTERM", func(target *modelMachine) { target.leaving = true })
 	}
-	if !one.gone && int(one.disk)+1 < modelDisks {
-		strike("loses its disk", func(one *modelMachine) { one.up, one.leaving = false, false; one.disk++ })
+	if !target.gone && int(target.disk)+1 < modelDisks {
+		addFault("loses its disk", func(target *modelMachine) { target.up, target.leaving = false, false; target.disk++ })
 	}
-	if !one.gone {
-		strike("is gone", func(one *modelMachine) { one.up, one.leaving, one.gone = false, false, true })
+	if !target.gone {
+		addFault("is gone", func(target *modelMachine) { target.up, target.leaving, target.gone = false, false, true })
 	}
 	return next
 }
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -107,20 +107,20 @@
 }
 
 // count counts the voters, those that live, and those that live on machines that do not count as lost.
-func (s *modelState) count() (voters, living, standing int) {
+func (s *modelState) count() (voters, running, standing int) {
 	s.each(func(machine, disk int, role modelRole) {
 		if role != roleVoter {
 			return
 		}
 		voters++
 		if s.isRunning(machine, disk) {
-			living++
+			running++
 			if !s.machines[machine].lost && !s.machines[machine].fresh {
 				standing++
 			}
 		}
 	})
-	return voters, living, standing
+	return voters, running, standing
 }
 
 func (s *modelState) lostMachines() int {
@@ -139,8 +139,8 @@
 		return false
 	}
 	disk := int(s.machines[s.leader].disk)
-	voters, living, _ := s.count()
-	return s.isRunning(int(s.leader), disk) && s.roles[s.leader][disk] == roleVoter && living > voters/2
+	voters, running, _ := s.count()
+	return s.isRunning(int(s.leader), disk) && s.roles[s.leader][disk] == roleVoter && running > voters/2
 }
 
 // observe is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
@@ -166,24 +166,24 @@
 			}
 		}
 	})
-	for machine, one := range state.machines {
-		id := modelID(machine, int(one.disk))
+	for machine, target := range state.machines {
+		id := modelID(machine, int(target.disk))
 		for disk, retired := range state.retired[machine] {
 			if retired {
 				observed.Retired = append(observed.Retired, modelID(machine, disk))
 			}
 		}
-		asks := one.up && !one.leaving && state.roles[machine][one.disk] != roleVoter
+		asks := target.up && !target.leaving && state.roles[machine][target.disk] != roleVoter
 		if from, _ := machineAndDiskOf(max(late, 1)); late != 0 && from == machine {
 			id, asks = late, true
 		}
 		if asks {
 			observed.JoinRequests = append(observed.JoinRequests, joinRequest{ID: id, Address: modelAddress(machine)})
 		}
-		if one.up && one.leaving {
+		if target.up && target.leaving {
 			observed.Leaving = append(observed.Leaving, id)
 		}
-		if m.freshSpares && one.up && !one.leaving && machine >= m.founders {
+		if m.freshSpares && target.up && !target.leaving && machine >= m.founders {
 			observed.Successors = append(observed.Successors, id)
 		}
 	}
@@ -220,8 +220,8 @@
 	} else {
 		wrong = m.add(state, *change.Add)
 	}
-	voters, living, _ := state.count()
-	if living <= voters/2 {
+	voters, running, _ := state.count()
+	if running <= voters/2 {
 		*state = before // a majority of the new voters must answer
 		return ""
 	}
@@ -280,9 +280,9 @@
 // weakness returns what is wrong with a state; empty if nothing is.
 func (m model) weakness(state modelState) string {
 	voters, _, standing := state.count()
-	further := m.toleratedLosses() - state.lostMachines()
-	if standing-further <= voters/2 {
-		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", standing, voters, further)
+	furtherLosses := m.toleratedLosses() - state.lostMachines()
+	if standing-furtherLosses <= voters/2 {
+		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", standing, voters, furtherLosses)
 	}
 	return ""
 }
@@ -290,21 +290,21 @@
 // unfinished returns what a group still lacks when nothing more happens by itself; empty if nothing.
 func (m model) unfinished(state modelState) string {
 	available, silent := 0, true
-	for machine, one := range state.machines {
-		if one.up && one.leaving {
+	for machine, target := range state.machines {
+		if target.up && target.leaving {
 			return "" // its shutdown comes first
 		}
-		silent = silent && (!one.exists || one.up || one.silent)
-		if one.up && !state.retired[machine][one.disk] {
+		silent = silent && (!target.exists || target.up || target.silent)
+		if target.up && !state.retired[machine][target.disk] {
 			available++
 		}
 	}
-	voters, living, _ := state.count()
+	voters, running, _ := state.count()
 	if !state.led() || !silent {
 		return ""
 	}
-	if living < m.reachable(available) || (available >= m.desiredVoters() && voters != living) {
-		return fmt.Sprintf("%d of %d voters live, with %d machines at hand", living, voters, available)
+	if running < m.reachable(available) || (available >= m.desiredVoters() && voters != running) {
+		return fmt.Sprintf("%d of %d voters live, with %d machines at hand", running, voters, available)
 	}
 	return ""
 }
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -46,102 +46,102 @@
 		want    replica.MembershipChange // zero: none
 		confirm consensus.MemberID
 	}{
-		{name: "nothing asked", given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2}},
-		{name: "a free place: learner first, if it lives",
+		{name: "no join request", given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2}},
+		{name: "a vacancy: learner first, if it confirms",
 			given: observedState{Members: three[:2], DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want:  added(learner(3)), confirm: 3},
 		{name: "a learner that is behind stays one",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
-		{name: "a learner that holds nearly all becomes a voter",
+		{name: "a promotable learner becomes a voter",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, PromotableLearners: memberIDs(3)},
 			want:  added(voter(3))},
-		{name: "one learner makes no group of four: it would bear no more losses than three",
+		{name: "one learner makes no group of four: it would tolerate no more losses than three",
 			given: observedState{Members: threeAndOne, DesiredVoters: 5, PromotableLearners: memberIDs(4), Stable: memberIDs(4)}},
 		{name: "two make a group of five, one after the other",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5)},
 			want:  added(voter(4))},
-		{name: "that which has been ready longest is the first of them",
+		{name: "the one that has been promotable longest is the first",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5, 4)},
 			want:  added(voter(5))},
 		{name: "and then",
 			given: observedState{Members: append(four[:4:4], learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(5)},
 			want:  added(voter(5))},
-		{name: "not before both have been ready for some time",
+		{name: "not before both are stable",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5)}},
-		{name: "nor while a voter does not answer",
+		{name: "not while a voter is unresponsive",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5),
 				SinceHeard: sinceHeard(3, missedHeartbeatsAge)}},
-		{name: "a wiped disk: the old member goes first, for good, if the new one lives",
+		{name: "a lost disk: the old member is removed first, for good, if the new one confirms",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{renewed}},
 			want:  replica.MembershipChange{Remove: 3, Retire: true}, confirm: 9},
-		{name: "a replaced member is not taken in",
+		{name: "a retired member is not added",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2)}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}}},
-		{name: "but if it lives, the member that had its place does not",
+		{name: "a retired member that confirms proves that its successor is gone",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "k3", Voter: true}}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want: replica.MembershipChange{Remove: 9, Retire: true}, confirm: 3},
-		{name: "the leader is not removed for one that claims its address",
+		{name: "the leader is not removed for a server that claims its address",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{{ID: 9, Address: "k1"}}}},
-		{name: "a voter that asks because it was cut off changes nothing",
+		{name: "a voter that asks after a partition changes nothing",
 			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
-		{name: "no place and no spare wanted: a stand-by stays out",
+		{name: "no vacancy and no spare desired: a server stays out",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}}},
-		{name: "no place: a stand-by becomes a learner",
+		{name: "no vacancy: a spare becomes a learner",
 			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(4)}},
 			want:  added(learner(4)), confirm: 4},
-		{name: "no more stand-bys than wanted",
+		{name: "no more spares than desired",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(4), joinRequestFrom(5)}}},
-		{name: "a stand-by that is silent leaves its place to another",
+		{name: "an unresponsive spare is replaced by another",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(5)}, SinceHeard: sinceHeard(4, voterTimeout)},
 			want:  added(learner(5)), confirm: 5},
-		{name: "a voter is silent: a further stand-by becomes a learner",
+		{name: "a voter is unresponsive: a further server becomes a learner",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)},
 			want:  added(learner(4)), confirm: 4},
-		{name: "a silent voter makes room for a learner that holds nearly all",
+		{name: "a voter that has timed out is removed for a promotable learner",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4),
 				SinceHeard: map[consensus.MemberID]time.Duration{2: voterTimeout, 3: 2 * voterTimeout}},
 			want: replica.MembershipChange{Remove: 3}},
-		{name: "but not for one that only asks",
+		{name: "not for a learner that is not promotable",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)}},
-		{name: "not silent for long enough",
+		{name: "not before the time-out",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), SinceHeard: sinceHeard(3, voterTimeout-1)}},
-		{name: "one learner for each place",
+		{name: "one learner for each vacancy",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3), joinRequestFrom(4)}}},
-		{name: "a surplus voter goes when it is silent",
+		{name: "a surplus voter is removed once it has timed out",
 			given: observedState{Members: four, DesiredVoters: 3, SinceHeard: sinceHeard(4, voterTimeout)},
 			want:  replica.MembershipChange{Remove: 4}},
-		{name: "a surplus voter that is there stays",
+		{name: "a responsive surplus voter stays",
 			given: observedState{Members: four, DesiredVoters: 3}},
-		{name: "a learner that asks no more goes",
+		{name: "an unresponsive learner without a join request is removed",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, SinceHeard: sinceHeard(4, learnerTimeout)},
 			want:  replica.MembershipChange{Remove: 4}},
-		{name: "a leaving voter becomes a learner if its successor can take the place",
+		{name: "a leaving voter becomes a learner if its successor is promotable",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want:  added(learner(3))},
-		{name: "then the successor takes the place",
+		{name: "then the successor becomes a voter",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3), learner(4)}, DesiredVoters: 3, PromotableLearners: memberIDs(3, 4),
 				Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want: added(voter(4))},
-		{name: "a successor that has not caught up takes no place",
+		{name: "a successor that has not caught up is not promoted",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, Leaving: memberIDs(3), Successors: memberIDs(4)}},
 		{name: "a surplus voter that is leaving becomes a learner",
 			given: observedState{Members: four, DesiredVoters: 3, Leaving: memberIDs(3)},
 			want:  added(learner(3))},
-		{name: "a stand-by that was there before is no successor: the voter may be back soon",
+		{name: "a spare started earlier is no successor: the voter may only restart",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3)}},
 		{name: "a learner that is leaving itself is no successor",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3, 4), Successors: memberIDs(4)}},
-		{name: "the leader does not give its own place away",
+		{name: "the leader does not release its own vote",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(1), Successors: memberIDs(4)}},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
-			one.given.Self = 1
-			got, found := nextMembershipChange(one.given)
-			if found != (one.want != replica.MembershipChange{}) || !sameChange(got.Change, one.want) || got.Confirm.ID != one.confirm {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			test.given.Self = 1
+			got, found := nextMembershipChange(test.given)
+			if found != (test.want != replica.MembershipChange{}) || !sameChange(got.Change, test.want) || got.Confirm.ID != test.confirm {
 				t.Fatalf("got %s confirmed by %d, want %s by %d",
-					changeText(got.Change), got.Confirm.ID, changeText(one.want), one.confirm)
+					changeText(got.Change), got.Confirm.ID, changeText(test.want), test.confirm)
 			}
 		})
 	}
@@ -149,18 +149,18 @@
 
 func TestTimeSinceHeard_newLeader(t *testing.T) {
 	start := time.Now()
-	for _, one := range []struct {
-		name               string
-		heard, led, silent time.Duration // before now
+	for _, test := range []struct {
+		name             string
+		heard, led, want time.Duration // heard, led: before now
 	}{
 		{"heard since it leads", 50 * time.Millisecond, time.Hour, 50 * time.Millisecond},
-		{"silent since it leads, for a moment", time.Hour, newLeaderGracePeriod - 1, newLeaderGracePeriod - 1},
+		{"unresponsive since it leads, for a moment", time.Hour, newLeaderGracePeriod - 1, newLeaderGracePeriod - 1},
 		{"heard shortly before it led, and not since", newLeaderGracePeriod + time.Millisecond, newLeaderGracePeriod, newLeaderGracePeriod + time.Millisecond},
 		{"lost before it led", time.Hour, newLeaderGracePeriod, voterTimeout},
-		{"silent for long under this leader", time.Hour, learnerTimeout, learnerTimeout},
+		{"unresponsive for long under this leader", time.Hour, learnerTimeout, learnerTimeout},
 	} {
-		if got := timeSinceHeard(start, start.Add(-one.heard), start.Add(-one.led)); got != one.silent {
-			t.Errorf("%s: %s, want %s", one.name, got, one.silent)
+		if got := timeSinceHeard(start, start.Add(-test.heard), start.Add(-test.led)); got != test.want {
+			t.Errorf("%s: %s, want %s", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/controlplane/server/shard_owner_test.go
+++ b/internal/controlplane/server/shard_owner_test.go
@@ -31,12 +31,12 @@
 		{"not the leader", nil, replica.NotLeaderError{Leader: consensus.Member{ID: 2, Address: "b"}}, 0, "b"},
 		{"being handed over", nil, consensus.ErrTransferInProgress, 0, ""},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			s, groups, _ := newScriptedServer(t)
-			groups[0].propose = func() (any, error) { return one.result, one.err }
+			groups[0].propose = func() (any, error) { return test.result, test.err }
 			reply := s.execute(timeoutContext(t), replaceRequest)
-			if reply.Status != one.status || reply.NotOwner != (one.status == 0) || reply.Leader != one.leader {
+			if reply.Status != test.status || reply.NotOwner != (test.status == 0) || reply.Leader != test.leader {
 				t.Fatalf("%+v", reply)
 			}
 		})
@@ -87,9 +87,9 @@
 	s.registryMachine(id).ownershipGained(time.Now(), 3)
 	unchanged := shardRequest{Kind: callHeartbeat, Shard: id, ID: heartbeat.ID, Body: []byte(heartbeatJSON("ready", 1))}
 	departure := shardRequest{Kind: callDeregister, Shard: id, ID: "i-unknown"}
-	for _, one := range []shardRequest{unchanged, departure} {
-		if reply := s.execute(timeoutContext(t), one); reply.Status != http.StatusServiceUnavailable {
-			t.Fatal(one.Kind, reply)
+	for _, request := range []shardRequest{unchanged, departure} {
+		if reply := s.execute(timeoutContext(t), request); reply.Status != http.StatusServiceUnavailable {
+			t.Fatal(request.Kind, reply)
 		}
 	}
 	group.set(leaderStatus())
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name      string
 		successor identityReply
 		want      []replica.MembershipChange
@@ -29,7 +29,7 @@
 		{"another member at the successor's address", identityReply{ID: 5}, nil},
 	} {
 		s, _, _ := newScriptedServer(t)
-		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k4": one.successor}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k4": test.successor}}
 		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
 		s.settings.FaultTolerance.Machines = 1
 		group.promotable = memberIDs(4)
@@ -38,13 +38,13 @@
 			t.Fatal(err)
 		}
 		waitForReconcile(t, s, s.shards[id])
-		for _, want := range one.want {
+		for _, want := range test.want {
 			if got := <-group.changes; !sameChange(got, want) {
-				t.Fatalf("%s: got %s, want %s", one.name, changeText(got), changeText(want))
+				t.Fatalf("%s: got %s, want %s", test.name, changeText(got), changeText(want))
 			}
 		}
 		if len(group.changes) > 0 {
-			t.Fatalf("%s: %s", one.name, changeText(<-group.changes))
+			t.Fatalf("%s: %s", test.name, changeText(<-group.changes))
 		}
 	}
 }
