--- a/internal/node/batch/cli/cli.go
+++ b/internal/node/batch/cli/cli.go
@@ -25,7 +25,7 @@
 	ExitFailed  = 3 // the job that was waited for has FAILED
 	ExitUnknown = 4 // an argument makes no sense, or nothing is of that name
 	ExitDenied  = 5
-	ExitLater   = 6 // turned away for now
+	ExitLater   = 6 // rejected for now
 	ExitTimeout = 7
 	ExitState   = 8 // the state of the job or session rules it out
 )
--- a/internal/node/batch/cli/store.go
+++ b/internal/node/batch/cli/store.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// StoreSettle settles one.
+// StoreSettle records the decision on an undecided job.
 type StoreSettle struct {
 	AdminServer `embed:""`
 	ID          string `arg:"" help:"The job's id."`
--- a/internal/node/batch/httpapi/jobs.go
+++ b/internal/node/batch/httpapi/jobs.go
@@ -137,7 +137,7 @@
 }
 
 // waitAny is waitAnyStarted and waitAnyTerminated: over a list of jobs, an
-// array or the whole session.
+// array or all of the session.
 func (f *Front) waitAny(call *apiCall) {
 	in, timeout, e := readWait(call, true, false)
 	s, fault := f.jobs.Session(call.tenant, call.path[1])
--- a/internal/node/batch/jobs/control.go
+++ b/internal/node/batch/jobs/control.go
@@ -53,9 +53,9 @@
 		return
 	}
 	if job.stage == inCore {
-		op := job.operation
+		handle := job.operation
 		m.leaveCore(job)
-		m.core.Withdraw(op)
+		m.core.Withdraw(handle)
 	}
 	m.leaveCore(job)
 	if !job.MayHaveRun {
@@ -114,10 +114,10 @@
 	}
 	ran := job.MayHaveRun
 	if job.operation != 0 {
-		op := job.operation
-		ran = ran || m.core.MayHaveRun(op)
+		handle := job.operation
+		ran = ran || m.core.MayHaveRun(handle)
 		m.leaveCore(job)
-		m.core.Withdraw(op)
+		m.core.Withdraw(handle)
 	}
 	m.endJob(job, drmaa.Failed, "terminated", ran)
 	m.launchQueued()
@@ -204,22 +204,18 @@
 			return
 		}
 	}
-	n := 0
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		n, err = store.Reap(ctx, what)
-		return err
-	}, func(err error) {
-		if err != nil {
-			done(0, StoreFailed)
+	callStore(m, func(ctx context.Context, store Store) (int, error) {
+		return store.Reap(ctx, what)
+	}, func(count int, e *drmaa.Error) {
+		if e != nil {
+			done(0, e)
 			return
 		}
 		for _, job := range at {
 			m.forget(job)
 		}
-		done(n, nil)
-	}) {
-		done(0, StoreBehind)
-	}
+		done(count, nil)
+	})
 }
 
 // byAge sorts jobs, the oldest first.
--- a/internal/node/batch/jobs/fixture_test.go
+++ b/internal/node/batch/jobs/fixture_test.go
@@ -194,17 +194,17 @@
 	begun bool
 }
 
-func (c *fakeCore) Accept(op routing.Operation) slottable.Handle {
+func (c *fakeCore) Accept(handle routing.Operation) slottable.Handle {
 	c.last++
-	c.ops[c.last] = &fakeOp{Operation: op}
+	c.ops[c.last] = &fakeOp{Operation: handle}
 	return c.last
 }
 func (c *fakeCore) Route(slottable.Handle)        {}
 func (c *fakeCore) Withdraw(ref slottable.Handle) { delete(c.ops, ref) }
 func (c *fakeCore) AnyReady() bool                { return c.ready }
 func (c *fakeCore) MayHaveRun(ref slottable.Handle) bool {
-	op := c.ops[ref]
-	return op != nil && (op.ran || op.out > 0)
+	handle := c.ops[ref]
+	return handle != nil && (handle.ran || handle.out > 0)
 }
 func (c *fakeCore) EachWorker(f func(balance.WorkerID, balance.State, float64)) {
 	f(1, balance.Ready, 0.25)
@@ -218,19 +218,19 @@
 func (c *fakeCore) step(job *Job, to balance.WorkerID) { c.stepThen(job, to, func() {}) }
 
 func (c *fakeCore) stepThen(job *Job, to balance.WorkerID, out func()) {
-	ref, op := job.operation, c.of(job)
-	op.gated++
+	ref, handle := job.operation, c.of(job)
+	handle.gated++
 	c.fixture.manager.StepSent(ref, to)
 	c.fixture.manager.BeforeSend(ref, func(ok bool) {
-		if c.ops[ref] != op {
+		if c.ops[ref] != handle {
 			return // the step has ended meanwhile
 		}
-		op.gated--
+		handle.gated--
 		if !ok {
 			c.fixture.manager.StepEnded(ref, to, balance.NotSent)
 			return
 		}
-		op.out++
+		handle.out++
 		out()
 	})
 }
@@ -248,9 +248,9 @@
 }
 
 func (c *fakeCore) stepDone(job *Job, at balance.WorkerID, how balance.Outcome) {
-	op := c.of(job)
-	op.out--
-	op.ran = op.ran || !how.NeverRan()
+	handle := c.of(job)
+	handle.out--
+	handle.ran = handle.ran || !how.NeverRan()
 	c.fixture.manager.StepEnded(job.operation, at, how)
 }
 
--- a/internal/node/batch/jobs/jobs_test.go
+++ b/internal/node/batch/jobs/jobs_test.go
@@ -15,8 +15,8 @@
 // order returns the jobs in the core, in the order of their launch.
 func (r *fixture) order() (out []string) {
 	for ref := range r.core.last {
-		if op := r.core.ops[ref+1]; op != nil {
-			out = append(out, op.Work.Target)
+		if handle := r.core.ops[ref+1]; handle != nil {
+			out = append(out, handle.Work.Target)
 		}
 	}
 	return out
@@ -224,7 +224,7 @@
 	if got != StoreFailed || len(r.manager.jobs) != 0 || len(r.manager.arrays) != 0 || r.anna().unfinished != 0 || len(r.core.ops) != 0 {
 		t.Fatalf("%v; %d jobs left", got, len(r.manager.jobs))
 	}
-	r.advance(2 * time.Second) // while the store is failing new work is turned away
+	r.advance(2 * time.Second) // while the store is failing submissions are rejected
 	// Killed after the commit and before the acknowledgement: all of it is there.
 	r.manager.SubmitBulk(r.anna(), "s", &drmaa.Bulk{Template: &one, Begin: 1, End: 3, Step: 1}, func(_ *Array, e *drmaa.Error) {})
 	_ = r.calls[0].do(t.Context(), r.store)
@@ -284,7 +284,7 @@
 	if r.anna().sessions["y"] != nil || got[2] != StoreFailed {
 		t.Errorf("%v", got[2])
 	}
-	r.advance(2 * time.Second) // while the store is failing new work is turned away
+	r.advance(2 * time.Second) // while the store is failing submissions are rejected
 	job := r.submit(template(once))
 	ended := 0
 	r.manager.DestroySession(r.anna(), "s", func(*drmaa.Error) { ended++ })
@@ -704,7 +704,7 @@
 	r.manager.DestroySession(r.manager.tenants["ben"], "s", func(*drmaa.Error) {}) // another call that waits
 	for e := range r.manager.pendingSubmissions {
 		if e.jobs[0].ClientKey == "a" {
-			e.progress.Store(insertBegun) // as the keeper's goroutine would
+			e.progress.Store(insertBegun) // as the executor's goroutine would
 		}
 	}
 	r.advance(2 * time.Second)
--- a/internal/node/batch/jobs/lookup.go
+++ b/internal/node/batch/jobs/lookup.go
@@ -8,6 +8,24 @@
 
 const maxScans = 16 // reads of the store for one page
 
+// callStore makes a call of the store and calls done on the loop with its result, or with the
+// error of a store that failed (StoreFailed) or whose queue is full (StoreBehind).
+func callStore[T any](m *Manager, call func(context.Context, Store) (T, error), done func(T, *drmaa.Error)) {
+	var result, none T
+	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
+		result, err = call(ctx, store)
+		return err
+	}, func(err error) {
+		if err != nil {
+			done(none, StoreFailed)
+			return
+		}
+		done(result, nil)
+	}) {
+		done(none, StoreBehind)
+	}
+}
+
 // Session returns an open session of a tenant.
 func (m *Manager) Session(t *TenantState, name string) (*Session, *drmaa.Error) {
 	if s := t.sessions[name]; s != nil && s.State == SessionOpen {
@@ -34,23 +52,19 @@
 		check(job)
 		return
 	}
-	var r *Record
 	name := t.Name
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		r, err = store.Job(ctx, name, id)
-		return err
-	}, func(err error) {
+	callStore(m, func(ctx context.Context, store Store) (*Record, error) {
+		return store.Job(ctx, name, id)
+	}, func(record *Record, e *drmaa.Error) {
 		switch {
-		case err != nil:
-			got(nil, StoreFailed)
-		case r == nil:
+		case e != nil:
+			got(nil, e)
+		case record == nil:
 			check(nil)
 		default:
-			check(m.detachedJob(r))
+			check(m.detachedJob(record))
 		}
-	}) {
-		got(nil, StoreBehind)
-	}
+	})
 }
 
 // FindAll is Find for several jobs. An unknown one is an error of the call.
@@ -88,23 +102,19 @@
 		check(a)
 		return
 	}
-	var r *ArrayRecord
 	name := t.Name
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		r, err = store.Array(ctx, name, id)
-		return err
-	}, func(err error) {
+	callStore(m, func(ctx context.Context, store Store) (*ArrayRecord, error) {
+		return store.Array(ctx, name, id)
+	}, func(record *ArrayRecord, e *drmaa.Error) {
 		switch {
-		case err != nil:
-			got(nil, StoreFailed)
-		case r == nil:
+		case e != nil:
+			got(nil, e)
+		case record == nil:
 			check(nil)
 		default:
-			check(m.detachedArray(r))
+			check(m.detachedArray(record))
 		}
-	}) {
-		got(nil, StoreBehind)
-	}
+	})
 }
 
 // List calls got with one page of a tenant's jobs, newest first; an empty session means all
@@ -118,14 +128,12 @@
 // scan appends the matching jobs of one read of the store to a page, and reads on until the page
 // is full, the list ends or no scans are left.
 func (m *Manager) scan(tenant, session string, filter drmaa.Filter, page *drmaa.Page, scans int, got func(*drmaa.Page, *drmaa.Error)) {
-	most := drmaa.MaxListed + 1
-	var rows []*Record
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		rows, err = store.Jobs(ctx, tenant, session, filter, most)
-		return err
-	}, func(err error) {
-		if err != nil {
-			got(nil, StoreFailed)
+	limit := drmaa.MaxListed + 1
+	callStore(m, func(ctx context.Context, store Store) ([]*Record, error) {
+		return store.Jobs(ctx, tenant, session, filter, limit)
+	}, func(rows []*Record, e *drmaa.Error) {
+		if e != nil {
+			got(nil, e)
 			return
 		}
 		for _, r := range rows {
@@ -144,7 +152,7 @@
 			}
 		}
 		switch {
-		case len(rows) < most:
+		case len(rows) < limit:
 			got(page, nil)
 		case scans <= 1:
 			page.Next = filter.Before.String() // an incomplete page, with more to follow
@@ -152,7 +160,5 @@
 		default:
 			m.scan(tenant, session, filter, page, scans-1, got)
 		}
-	}) {
-		got(nil, StoreBehind)
-	}
+	})
 }
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -194,9 +194,9 @@
 
 // restoreArray restores an array from its record, with the counts of its ended jobs: the others
 // are counted as they are restored.
-func (m *Manager) restoreArray(r *ArrayRecord) {
-	array := newArray(*r, true)
-	for state, count := range r.States {
+func (m *Manager) restoreArray(record *ArrayRecord) {
+	array := newArray(*record, true)
+	for state, count := range record.States {
 		if state.Final() {
 			array.states[state] += count
 		}
@@ -206,28 +206,28 @@
 }
 
 // restoreJob restores an unfinished job from its record, and schedules or fails it.
-func (m *Manager) restoreJob(r *Record) {
-	owner := m.tenants[r.Tenant]
+func (m *Manager) restoreJob(record *Record) {
+	owner := m.tenants[record.Tenant]
 	if owner == nil {
-		slog.Error("batch job of no tenant", "id", r.ID, "tenant", r.Tenant)
+		slog.Error("batch job of no tenant", "id", record.ID, "tenant", record.Tenant)
 		return
 	}
-	job := &Job{Record: *r, owner: owner, session: owner.session(r.Session), array: m.arrays[r.Array], recorded: true,
-		sendRecorded: r.Sent}
-	m.lastSeq = max(m.lastSeq, r.Seq)
+	job := &Job{Record: *record, owner: owner, session: owner.session(record.Session), array: m.arrays[record.Array], recorded: true,
+		sendRecorded: record.Sent}
+	m.lastSeq = max(m.lastSeq, record.Seq)
 	job.State = drmaa.Queued
-	if r.Sent {
+	if record.Sent {
 		job.State = drmaa.Requeued
 	}
-	if r.Held {
+	if record.Held {
 		job.State = job.State.Hold()
 	}
 	m.track(job)
-	class, known := m.classes[r.Template.RemoteCommand]
+	class, known := m.classes[record.Template.RemoteCommand]
 	switch {
 	case !known:
-		m.endJob(job, drmaa.Failed, "the class is gone", r.Sent)
-	case r.Sent && class.NonIdempotent:
+		m.endJob(job, drmaa.Failed, "the class is gone", record.Sent)
+	case record.Sent && class.NonIdempotent:
 		m.endJob(job, drmaa.Failed, "the node restarted; the job may have run and is not run again", true)
 	default:
 		m.schedule(job)
--- a/internal/node/batch/jobs/property_test.go
+++ b/internal/node/batch/jobs/property_test.go
@@ -132,8 +132,8 @@
 		}
 	case 16, 17:
 		w.advance(time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "ms")) * time.Millisecond)
-		for ref, op := range w.core.ops { // the core keeps its deadlines
-			if job := w.manager.byOperation[ref]; job != nil && w.now > op.Deadline {
+		for ref, handle := range w.core.ops { // the core keeps its deadlines
+			if job := w.manager.byOperation[ref]; job != nil && w.now > handle.Deadline {
 				w.core.answer(job, routing.Answer{Verdict: routing.Failed})
 			}
 		}
@@ -160,9 +160,9 @@
 
 // stepEnds ends a job's step, and its operation by the core's rules.
 func (w *randomTest) stepEnds(job *Job) {
-	op, at := w.core.of(job), job.Steps[len(job.Steps)-1].worker
+	handle, at := w.core.of(job), job.Steps[len(job.Steps)-1].worker
 	outcomes := []balance.Outcome{balance.Served, balance.Errored, balance.Reset}
-	if !op.begun {
+	if !handle.begun {
 		outcomes = []balance.Outcome{balance.Full, balance.ConnectFailed, balance.Reset}
 	}
 	how := rapid.SampledFrom(outcomes).Draw(w.t, "outcome")
@@ -178,7 +178,7 @@
 	case job.Template.RemoteCommand == once:
 		w.core.answer(job, routing.Answer{Verdict: routing.Failed})
 	default:
-		op.begun = false // it may be repeated
+		handle.begun = false // it may be repeated
 	}
 }
 
@@ -262,15 +262,15 @@
 			if job.stage != inCore {
 				continue
 			}
-			op := w.core.of(job)
-			if op.out+op.gated == 0 {
+			handle := w.core.of(job)
+			if handle.out+handle.gated == 0 {
 				w.step(job, 0)
 				w.runStoreCalls()
 			}
-			if op.out == 0 || job.operation == 0 || w.core.of(job) != op {
+			if handle.out == 0 || job.operation == 0 || w.core.of(job) != handle {
 				continue
 			}
-			if !op.begun {
+			if !handle.begun {
 				w.core.begin(job, job.Steps[len(job.Steps)-1].worker)
 			}
 			w.core.stepDone(job, job.Steps[len(job.Steps)-1].worker, balance.Served)
--- a/internal/node/batch/jobs/run.go
+++ b/internal/node/batch/jobs/run.go
@@ -52,8 +52,8 @@
 
 // BeforeSend implements routing.Gate: a job's first step is sent only after the store has the
 // job as sent. After a crash all other jobs certainly never ran.
-func (m *Manager) BeforeSend(op slottable.Handle, open func(bool)) {
-	job := m.byOperation[op]
+func (m *Manager) BeforeSend(handle slottable.Handle, open func(bool)) {
+	job := m.byOperation[handle]
 	switch {
 	case job == nil || job.ending:
 		open(false)
@@ -64,7 +64,7 @@
 	default:
 		job.sendRecorded = true
 		m.updates.add(&change{RecordUpdate: RecordUpdate{ID: job.ID, Sent: true}, job: job, done: func(err error) {
-			job.Sent = job.Sent || err == nil && job.operation == op
+			job.Sent = job.Sent || err == nil && job.operation == handle
 			open(err == nil)
 		}})
 	}
@@ -153,8 +153,8 @@
 }
 
 // StepSent implements routing.Owner: a route step is about to be sent.
-func (m *Manager) StepSent(op slottable.Handle, to balance.WorkerID) {
-	job := m.byOperation[op]
+func (m *Manager) StepSent(handle slottable.Handle, to balance.WorkerID) {
+	job := m.byOperation[handle]
 	if job == nil {
 		return
 	}
@@ -185,8 +185,8 @@
 }
 
 // Started implements routing.Owner: a prep worker has begun to run the job.
-func (m *Manager) Started(op slottable.Handle, to balance.WorkerID) {
-	job := m.byOperation[op]
+func (m *Manager) Started(handle slottable.Handle, to balance.WorkerID) {
+	job := m.byOperation[handle]
 	if job == nil {
 		return
 	}
@@ -200,8 +200,8 @@
 
 // StepEnded implements routing.Owner: a route step has ended. A job that has failed at
 // maxFailedSteps prep workers fails.
-func (m *Manager) StepEnded(op slottable.Handle, to balance.WorkerID, how balance.Outcome) {
-	job := m.byOperation[op]
+func (m *Manager) StepEnded(handle slottable.Handle, to balance.WorkerID, how balance.Outcome) {
+	job := m.byOperation[handle]
 	if job == nil {
 		return
 	}
@@ -218,9 +218,9 @@
 	}
 	// In the loop's next turn: the core has not finished with the step.
 	m.timers.Add(m.clock.Now(), func() {
-		if job.operation == op && !job.ending {
+		if job.operation == handle && !job.ending {
 			m.leaveCore(job)
-			m.core.Withdraw(op)
+			m.core.Withdraw(handle)
 			job.ExitStatus = 1
 			m.endJob(job, drmaa.Failed, "the job failed at "+strconv.Itoa(job.failedSteps)+" prep workers that ran it", true)
 			m.launchQueued()
@@ -246,8 +246,8 @@
 	balance.Cancelled: "cancelled", balance.NotSent: "not sent"}
 
 // Answered implements routing.Owner: it takes the core's final answer to an operation.
-func (m *Manager) Answered(op slottable.Handle, answer routing.Answer) {
-	job := m.byOperation[op]
+func (m *Manager) Answered(handle slottable.Handle, answer routing.Answer) {
+	job := m.byOperation[handle]
 	if job == nil {
 		return
 	}
--- a/internal/node/batch/jobs/submit.go
+++ b/internal/node/batch/jobs/submit.go
@@ -125,7 +125,7 @@
 }
 
 // admit reports whether count jobs may be accepted. If not, or if the client key stands for a
-// submission already, it answers by tell.
+// submission already, it answers by tell and returns false.
 func (m *Manager) admit(t *TenantState, name, key, digest string, count int, tell func(submissionRef, *drmaa.Error)) (*Session, bool) {
 	s := t.sessions[name]
 	if s == nil || s.State != SessionOpen {
--- a/internal/node/batch/jobs/undecided.go
+++ b/internal/node/batch/jobs/undecided.go
@@ -22,14 +22,12 @@
 // Undecided calls got with a page of the undecided jobs, oldest first: they have FAILED, may have
 // run and must not run twice, and no prep worker has reported their outcome.
 func (m *Manager) Undecided(after drmaa.Cursor, limit int, got func(*drmaa.Page, *drmaa.Error)) {
-	var rows []*Record
 	classes := m.nonIdempotentClasses()
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		rows, err = store.Undecided(ctx, classes, after, limit+1)
-		return err
-	}, func(err error) {
-		if err != nil {
-			got(nil, StoreFailed)
+	callStore(m, func(ctx context.Context, store Store) ([]*Record, error) {
+		return store.Undecided(ctx, classes, after, limit+1)
+	}, func(rows []*Record, e *drmaa.Error) {
+		if e != nil {
+			got(nil, e)
 			return
 		}
 		page := &drmaa.Page{Jobs: []*drmaa.Job{}}
@@ -41,9 +39,7 @@
 			page.Next = drmaa.Cursor{Seq: last.Seq, ID: last.ID}.String()
 		}
 		got(page, nil)
-	}) {
-		got(nil, StoreBehind)
-	}
+	})
 }
 
 var notUndecided = drmaa.InvalidStateError("the job is not undecided, or has been settled")
@@ -51,14 +47,12 @@
 // Settle records a person's decision on an undecided job, once.
 func (m *Manager) Settle(id string, ran bool, reason string, done func(*drmaa.Error)) {
 	s := Settlement{At: m.unixNow(), Ran: ran, Reason: reason}
-	settled := false
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		settled, err = store.Settle(ctx, id, s)
-		return err
-	}, func(err error) {
+	callStore(m, func(ctx context.Context, store Store) (bool, error) {
+		return store.Settle(ctx, id, s)
+	}, func(settled bool, e *drmaa.Error) {
 		switch {
-		case err != nil:
-			done(StoreFailed)
+		case e != nil:
+			done(e)
 		case !settled:
 			done(notUndecided)
 		default:
@@ -68,7 +62,5 @@
 			slog.Info("batch job settled", "id", id, "ran", ran, "reason", reason)
 			done(nil)
 		}
-	}) {
-		done(StoreBehind)
-	}
+	})
 }
--- a/internal/node/batch/jobs/wait.go
+++ b/internal/node/batch/jobs/wait.go
@@ -157,18 +157,14 @@
 // satisfyFromStore looks for a job that has ended already. The waiter is in its sets meanwhile,
 // so that it does not miss one that ends before the answer.
 func (m *Manager) satisfyFromStore(waiter *waiter, tenant, session, array string) {
-	var r *Record
-	if !m.store.Call(func(ctx context.Context, store Store) (err error) {
-		r, err = store.AnyEnded(ctx, tenant, session, array)
-		return err
-	}, func(err error) {
+	callStore(m, func(ctx context.Context, store Store) (*Record, error) {
+		return store.AnyEnded(ctx, tenant, session, array)
+	}, func(record *Record, e *drmaa.Error) {
 		switch {
-		case err != nil:
-			m.endWait(waiter, nil, StoreFailed)
-		case r != nil:
-			m.endWait(waiter, m.detachedJob(r), nil)
+		case e != nil:
+			m.endWait(waiter, nil, e)
+		case record != nil:
+			m.endWait(waiter, m.detachedJob(record), nil)
 		}
-	}) {
-		m.endWait(waiter, nil, StoreBehind)
-	}
+	})
 }
--- a/internal/node/batch/store/compatibility_test.go
+++ b/internal/node/batch/store/compatibility_test.go
@@ -21,7 +21,7 @@
 	return jobs.Tenant{Name: "anna", TokenHash: "digest of a token", Quota: 500}
 }
 
-// compatibilityJob is a job with all that a submission tells.
+// compatibilityJob is a job with all fields of a submission.
 func compatibilityJob(id string, sequence int64) *jobs.Record {
 	rerunnable := true
 	return &jobs.Record{
@@ -35,7 +35,7 @@
 	}
 }
 
-// compatibilityEnd is what becomes of the job that has ended.
+// compatibilityEnd is the end of the job that has ended.
 func compatibilityEnd(id string) *jobs.Record {
 	return &jobs.Record{
 		ID: id, State: drmaa.Failed, Reason: "timeout", Result: []byte("output\x00"), ExitStatus: -1, MayHaveRun: true,
--- a/internal/node/hotrestart/directory.go
+++ b/internal/node/hotrestart/directory.go
@@ -45,11 +45,13 @@
 	Overrides override.Overrides `json:"words"`
 }
 
+var errTmpDirMissing = errors.New("TMPDIR: not set")
+
 // Open creates the directory of a node within tmp if need be, and locks a file there for this
 // process. Its errors name TMPDIR.
 func Open(tmp, node string) (*Directory, error) {
 	if tmp == "" {
-		return nil, errors.New("TMPDIR: not set")
+		return nil, errTmpDirMissing
 	}
 	dir := filepath.Join(tmp, "ospreybend-"+strings.Map(func(d rune) rune {
 		if d == filepath.Separator || d == 0 {
--- a/internal/node/protocol/handover.go
+++ b/internal/node/protocol/handover.go
@@ -110,8 +110,8 @@
 // removes it here. A connection whose last bytes the operating system has not taken stays.
 func (f *Front) HandOver(destinations *Destinations, give func(handover *Handover, sockets []*os.File)) {
 	byCall := make(map[*Call]slottable.Handle, len(f.calls))
-	for ref, c := range f.calls {
-		byCall[c] = ref
+	for handle, c := range f.calls {
+		byCall[c] = handle
 	}
 	f.sockets.All(func(_ slottable.Handle, client *clientConn) {
 		if !client.conn.CanHandOver() {
@@ -120,12 +120,12 @@
 		handover := &Handover{Asked: client.hasRequested, Began: client.requestBegan, Since: client.lastReplyAt}
 		var operation slottable.Handle
 		if client.call != nil {
-			ref, ok := byCall[client.call]
-			if !ok || !destinations.movable(f.core.StepsInFlight(ref)) {
+			handle, ok := byCall[client.call]
+			if !ok || !destinations.movable(f.core.StepsInFlight(handle)) {
 				return
 			}
 			handover.Size = client.call.bodySize
-			operation = ref
+			operation = handle
 		}
 		socket, unread, ok := client.conn.HandOver()
 		if !ok {
@@ -142,9 +142,9 @@
 }
 
 // releaseCall takes a request in progress out of the core and the destinations.
-func (f *Front) releaseCall(destinations *Destinations, ref slottable.Handle, call *Call, sockets []*os.File) (*CallState, []*os.File) {
+func (f *Front) releaseCall(destinations *Destinations, handle slottable.Handle, call *Call, sockets []*os.File) (*CallState, []*os.File) {
 	state := &CallState{Last: call.closeAfter, Old: call.HTTP10}
-	state.Carried = f.core.Release(ref, func(try int, step slottable.Handle) (moved, begun bool) {
+	state.Carried = f.core.Release(handle, func(try int, step slottable.Handle) (moved, begun bool) {
 		s, socket, begun := destinations.release(step)
 		if socket != nil {
 			s.Try = try
@@ -153,7 +153,7 @@
 		}
 		return socket != nil, begun
 	})
-	delete(f.calls, ref)
+	delete(f.calls, handle)
 	delete(f.openIDs, call.id)
 	call.clientGone = nil
 	return state, sockets
@@ -184,13 +184,13 @@
 	call.HTTP10 = state.Old
 	client.call = call
 	f.bufferedBytes += call.bodySize
-	ref, steps := f.core.Adopt(state.Carried, f)
-	f.register(ref, call)
+	handle, steps := f.core.Adopt(state.Carried, f)
+	f.register(handle, call)
 	destinationConns := make([]*destinationConn, len(state.Steps))
 	for i, at := range state.Steps {
 		destinationConns[i] = destinations.adopt(steps[at.Try], state.Carried.Tries[at.Try].Worker, at, &state.Carried.Operation.Work, conns[i])
 	}
-	f.core.Resume(ref)
+	f.core.Resume(handle)
 	for i, call := range destinationConns {
 		conns[i].SetHandler(call) // last: a response may have been received
 	}
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -82,12 +82,12 @@
 	old, next := newFixture(t, nil), newFixture(t, nil)
 	old.Play("c dial front\nc send {book}\ns accept workers\ns expect b1")
 	next.Loop.Call(func() {}) // both are up
-	var ref slottable.Handle
+	var handle slottable.Handle
 	old.Loop.Call(func() {
 		for at := range old.front.calls {
-			ref = at
+			handle = at
 		}
-		carried := old.core.Release(ref, func(int, slottable.Handle) (bool, bool) { return false, true })
+		carried := old.core.Release(handle, func(int, slottable.Handle) (bool, bool) { return false, true })
 		next.Loop.Post(func() {
 			at, _ := next.core.Adopt(carried, next.front)
 			next.core.Resume(at)
--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -143,13 +143,13 @@
 	}
 	in.Work.Once = in.Class < len(c.settings.Classes) && c.settings.Classes[in.Class].Effect == balance.NonIdempotent
 	operation := &operation{Operation: in, arrived: c.clock.Now()}
-	ref := c.operations.Add(operation)
+	handle := c.operations.Add(operation)
 	c.open++
 	c.counts.Operations++
 	// The balancer decides a little before the deadline. Should it fail to, the client still
 	// gets an answer.
-	operation.deadline = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(ref) })
-	return ref
+	operation.deadline = c.timers.Add(in.Deadline+graceAfterDeadline, func() { c.overdue(handle) })
+	return handle
 }
 
 // LimitDeadlines cuts the deadlines of all operations of an owner, later ones included, to a
@@ -158,20 +158,20 @@
 func (c *Core) LimitDeadlines(owner Owner, at time.Duration) {
 	c.limitedOwner, c.ownerDeadline = owner, at
 	var refs []slottable.Handle
-	c.operations.All(func(ref slottable.Handle, operation *operation) {
+	c.operations.All(func(handle slottable.Handle, operation *operation) {
 		if !operation.concluded && operation.Owner == owner && operation.Deadline > at {
-			refs = append(refs, ref)
+			refs = append(refs, handle)
 		}
 	})
-	for _, ref := range refs {
-		operation := c.operations.Get(ref)
+	for _, handle := range refs {
+		operation := c.operations.Get(handle)
 		if operation == nil || operation.concluded {
 			continue
 		}
 		operation.Deadline = at
 		c.timers.Cancel(operation.deadline)
-		operation.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(ref) })
-		c.dispatch(balance.DeadlineShortened{Request: balance.RequestID(ref), Deadline: at})
+		operation.deadline = c.timers.Add(at+graceAfterDeadline, func() { c.overdue(handle) })
+		c.dispatch(balance.DeadlineShortened{Request: balance.RequestID(handle), Deadline: at})
 	}
 }
 
@@ -182,8 +182,8 @@
 
 // Route starts an operation: admission, then the balancer's decision. Its final answer may be
 // given before Route returns.
-func (c *Core) Route(ref slottable.Handle) {
-	operation := c.operations.Get(ref)
+func (c *Core) Route(handle slottable.Handle) {
+	operation := c.operations.Get(handle)
 	if operation == nil {
 		return
 	}
@@ -191,65 +191,65 @@
 		"due_us", (operation.Deadline - operation.arrived).Microseconds())
 	if c.admission != nil {
 		if after, ok := c.admission.Admit(operation.Class); !ok {
-			c.conclude(ref, Answer{Verdict: Refused, RetryAfter: c.retryAdvice(after)})
+			c.conclude(handle, Answer{Verdict: Refused, RetryAfter: c.retryAdvice(after)})
 			return
 		}
 	}
-	c.dispatch(c.request(ref, operation))
+	c.dispatch(c.request(handle, operation))
 }
 
 // request returns an operation as the balancer sees it.
-func (c *Core) request(ref slottable.Handle, operation *operation) balance.Request {
-	return balance.Request{ID: balance.RequestID(ref), Class: operation.Class, Tenant: operation.Tenant, Key: operation.Key,
+func (c *Core) request(handle slottable.Handle, operation *operation) balance.Request {
+	return balance.Request{ID: balance.RequestID(handle), Class: operation.Class, Tenant: operation.Tenant, Key: operation.Key,
 		Cost: operation.Cost, HasCost: operation.HasCost, Repeat: operation.Repeat, Slots: operation.Slots, Memory: operation.Memory,
 		Deadline: operation.Deadline}
 }
 
 // MayHaveRun reports whether a route step of the operation may have had an effect, or may yet
 // have one.
-func (c *Core) MayHaveRun(ref slottable.Handle) bool {
-	operation := c.operations.Get(ref)
+func (c *Core) MayHaveRun(handle slottable.Handle) bool {
+	operation := c.operations.Get(handle)
 	return operation != nil && (operation.inFlight > operation.gated ||
 		slices.ContainsFunc(operation.attempts, func(t balance.PriorAttempt) bool { return t.MayHave && !t.Out }))
 }
 
 // Withdraw ends an operation whose client is gone. Its steps are cancelled, and it gets no
 // answer.
-func (c *Core) Withdraw(ref slottable.Handle) {
-	operation := c.operations.Get(ref)
+func (c *Core) Withdraw(handle slottable.Handle) {
+	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
 		return
 	}
 	c.counts.Gone++
 	c.traceOperation("operation withdrawn", operation)
 	c.finish(operation)
-	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
-	c.forget(ref, operation)
+	c.dispatch(balance.RequestEnded{Request: balance.RequestID(handle)})
+	c.forget(handle, operation)
 }
 
 // overdue fails an operation that the balancer has not decided by its deadline.
-func (c *Core) overdue(ref slottable.Handle) {
-	operation := c.operations.Get(ref)
+func (c *Core) overdue(handle slottable.Handle) {
+	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
 		return
 	}
 	slog.Warn("operation overdue", "id", operation.Work.ID, "steps", len(operation.steps))
-	c.giveAnswer(ref, operation, Answer{Verdict: Failed})
-	c.dispatch(balance.RequestEnded{Request: balance.RequestID(ref)})
-	c.forget(ref, operation)
+	c.giveAnswer(handle, operation, Answer{Verdict: Failed})
+	c.dispatch(balance.RequestEnded{Request: balance.RequestID(handle)})
+	c.forget(handle, operation)
 }
 
 // giveAnswer gives the operation its one final answer; further calls are ignored.
-func (c *Core) giveAnswer(ref slottable.Handle, operation *operation, answer Answer) {
+func (c *Core) giveAnswer(handle slottable.Handle, operation *operation, answer Answer) {
 	if operation.concluded {
 		return
 	}
-	answer.MayHaveRun = c.MayHaveRun(ref)
+	answer.MayHaveRun = c.MayHaveRun(handle)
 	c.countVerdict(operation.Class, answer.Verdict)
 	c.traceOperation("operation answered", operation, "verdict", answer.Verdict, "retry_us", answer.RetryAfter.Microseconds(),
 		"may_have_run", answer.MayHaveRun)
 	c.finish(operation)
-	operation.Owner.Answered(ref, answer)
+	operation.Owner.Answered(handle, answer)
 	if c.loadObserver != nil {
 		c.loadObserver.OperationConcluded(operation.Owner, answer.Verdict)
 	}
@@ -288,9 +288,9 @@
 }
 
 // forget removes a concluded operation once it has no step in flight.
-func (c *Core) forget(ref slottable.Handle, operation *operation) {
+func (c *Core) forget(handle slottable.Handle, operation *operation) {
 	if operation.concluded && operation.inFlight == 0 {
-		c.operations.Remove(ref)
+		c.operations.Remove(handle)
 	}
 }
 
@@ -392,9 +392,9 @@
 }
 
 // conclude answers an operation and removes it if it has no step in flight.
-func (c *Core) conclude(ref slottable.Handle, answer Answer) {
-	if operation := c.operations.Get(ref); operation != nil {
-		c.giveAnswer(ref, operation, answer)
-		c.forget(ref, operation)
+func (c *Core) conclude(handle slottable.Handle, answer Answer) {
+	if operation := c.operations.Get(handle); operation != nil {
+		c.giveAnswer(handle, operation, answer)
+		c.forget(handle, operation)
 	}
 }
--- a/internal/node/routing/ports.go
+++ b/internal/node/routing/ports.go
@@ -108,7 +108,7 @@
 }
 
 // Waiter is an Owner that can check whether the client still waits for an operation, ahead of
-// the event that tells so. The core asks before each attempt's first byte. If the client is
+// the disconnect event. The core asks before each attempt's first byte. If the client is
 // gone, ClientWaits withdraws the operation and returns false.
 type Waiter interface {
 	ClientWaits(operation slottable.Handle) bool
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -26,8 +26,8 @@
 // MayStart reports whether a route step may write its first byte now that its connection is
 // open. Meanwhile the destination may have begun to drain, the deadline may have passed, the
 // client may have disconnected or the window for repeats may be over.
-func (c *Core) MayStart(ref slottable.Handle) bool {
-	s := c.steps.Get(ref)
+func (c *Core) MayStart(handle slottable.Handle) bool {
+	s := c.steps.Get(handle)
 	if s == nil {
 		return false
 	}
@@ -52,24 +52,24 @@
 
 // clientWaits reports whether the client waits for an operation's answer. If not, the owner
 // withdraws the operation within the call.
-func (c *Core) clientWaits(ref slottable.Handle) bool {
-	operation := c.operations.Get(ref)
+func (c *Core) clientWaits(handle slottable.Handle) bool {
+	operation := c.operations.Get(handle)
 	if operation == nil || operation.concluded {
 		return false
 	}
 	w, ok := operation.Owner.(Waiter)
-	return !ok || w.ClientWaits(ref)
+	return !ok || w.ClientWaits(handle)
 }
 
 // StepStarted takes the event that the destination has begun to run the step.
-func (c *Core) StepStarted(ref slottable.Handle) {
-	s := c.steps.Get(ref)
+func (c *Core) StepStarted(handle slottable.Handle) {
+	s := c.steps.Get(handle)
 	if s == nil {
 		return
 	}
 	c.traceStep("step started", s)
 	if c.stepObserver != nil {
-		c.stepObserver.StepStarted(ref)
+		c.stepObserver.StepStarted(handle)
 	}
 	if operation := c.operations.Get(s.op); operation != nil && !operation.concluded {
 		operation.attempts[s.number].Started = c.clock.Now()
@@ -82,20 +82,20 @@
 }
 
 // StepProgress takes the share of the step that the destination has completed, from 0 to 1.
-func (c *Core) StepProgress(ref slottable.Handle, share float64) {
-	if s := c.steps.Get(ref); s != nil {
+func (c *Core) StepProgress(handle slottable.Handle, share float64) {
+	if s := c.steps.Get(handle); s != nil {
 		c.dispatch(balance.AttemptProgress{Request: balance.RequestID(s.op), Attempt: s.number, Worker: s.to,
 			Progress: share})
 	}
 }
 
 // StepEnded takes the end of a route step; later events of the step are ignored.
-func (c *Core) StepEnded(ref slottable.Handle, end StepEnd) {
-	s := c.steps.Get(ref)
+func (c *Core) StepEnded(handle slottable.Handle, end StepEnd) {
+	s := c.steps.Get(handle)
 	if s == nil {
 		return
 	}
-	c.steps.Remove(ref)
+	c.steps.Remove(handle)
 	c.timers.Cancel(s.deadline)
 	if end.Rejected {
 		// The request is invalid at any destination: if it counted as a failure, one faulty
@@ -107,7 +107,7 @@
 	c.traceStep("step ended", s, "outcome", end.Outcome, "report", end.Report)
 	operation := c.operations.Get(s.op)
 	if c.stepObserver != nil {
-		c.stepObserver.StepEnded(ref, end.Outcome)
+		c.stepObserver.StepEnded(handle, end.Outcome)
 	}
 	operation.inFlight--
 	operation.attempts[s.number].Out, operation.attempts[s.number].MayHave = false, !end.Outcome.NeverRan()
@@ -130,8 +130,8 @@
 
 // send starts a route step. One that the rules forbid ends as not sent, whatever the
 // balancer has decided.
-func (c *Core) send(ref slottable.Handle, send balance.Send) {
-	operation, now := c.operations.Get(ref), c.clock.Now()
+func (c *Core) send(handle slottable.Handle, send balance.Send) {
+	operation, now := c.operations.Get(handle), c.clock.Now()
 	if operation == nil {
 		return
 	}
@@ -139,68 +139,68 @@
 	if send.Until > 0 {
 		until = min(until, send.Until)
 	}
-	s := &step{op: ref, number: len(operation.steps), to: send.Worker, sentAt: now, until: until}
-	at := c.steps.Add(s)
-	operation.steps = append(operation.steps, at)
+	s := &step{op: handle, number: len(operation.steps), to: send.Worker, sentAt: now, until: until}
+	stepHandle := c.steps.Add(s)
+	operation.steps = append(operation.steps, stepHandle)
 	operation.attempts = append(operation.attempts, balance.PriorAttempt{Worker: send.Worker, SentAt: now, Out: true, MayHave: true})
 	operation.inFlight++
 	state, listed := c.workerStates[send.Worker]
-	if !c.clientWaits(ref) || !listed || state != balance.Ready || len(operation.steps) > c.settings.Limits.MaxAttempts || !c.inDedupWindow(s) {
-		c.StepEnded(at, StepEnd{Outcome: balance.NotSent})
+	if !c.clientWaits(handle) || !listed || state != balance.Ready || len(operation.steps) > c.settings.Limits.MaxAttempts || !c.inDedupWindow(s) {
+		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
 	}
 	c.counts.Steps++
 	c.traceStep("step sent", s)
 	if c.stepObserver != nil {
-		c.stepObserver.StepSent(at, send.Worker, operation.Class, operation.Slots)
+		c.stepObserver.StepSent(stepHandle, send.Worker, operation.Class, operation.Slots)
 	}
-	s.deadline = c.timers.Add(until, func() { c.endStep(at, balance.TimedOut) })
-	operation.Owner.StepSent(ref, send.Worker)
+	s.deadline = c.timers.Add(until, func() { c.endStep(stepHandle, balance.TimedOut) })
+	operation.Owner.StepSent(handle, send.Worker)
 	gate, ok := operation.Owner.(Gate)
 	if !ok {
-		c.destinations.Send(at, send.Worker, &operation.Work, until)
+		c.destinations.Send(stepHandle, send.Worker, &operation.Work, until)
 		return
 	}
 	s.gated = true
 	operation.gated++
-	gate.BeforeSend(ref, func(ok bool) { c.openGate(at, ok) })
+	gate.BeforeSend(handle, func(ok bool) { c.openGate(stepHandle, ok) })
 }
 
 // openGate sends a step once its owner allows it, or ends it unsent: if the owner does not
 // allow it, or if it may not start any more.
-func (c *Core) openGate(at slottable.Handle, ok bool) {
-	s := c.steps.Get(at)
+func (c *Core) openGate(stepHandle slottable.Handle, ok bool) {
+	s := c.steps.Get(stepHandle)
 	if s == nil || !s.gated {
 		return
 	}
 	operation := c.operations.Get(s.op)
 	s.gated = false
 	operation.gated--
-	if !ok || !c.MayStart(at) {
-		c.StepEnded(at, StepEnd{Outcome: balance.NotSent})
+	if !ok || !c.MayStart(stepHandle) {
+		c.StepEnded(stepHandle, StepEnd{Outcome: balance.NotSent})
 		return
 	}
 	faultinjection.Hit(faultinjection.GateOpen)
-	c.destinations.Send(at, s.to, &operation.Work, s.until)
+	c.destinations.Send(stepHandle, s.to, &operation.Work, s.until)
 }
 
 // cancel ends a step that the balancer cancels.
-func (c *Core) cancel(ref slottable.Handle, number int) {
-	if operation := c.operations.Get(ref); operation != nil && number >= 0 && number < len(operation.steps) {
+func (c *Core) cancel(handle slottable.Handle, number int) {
+	if operation := c.operations.Get(handle); operation != nil && number >= 0 && number < len(operation.steps) {
 		c.endStep(operation.steps[number], balance.Cancelled)
 	}
 }
 
 // endStep abandons a step with an outcome, and closes its connection.
-func (c *Core) endStep(ref slottable.Handle, as balance.Outcome) {
-	s := c.steps.Get(ref)
+func (c *Core) endStep(handle slottable.Handle, as balance.Outcome) {
+	s := c.steps.Get(handle)
 	if s == nil {
 		return
 	}
 	if s.gated {
-		c.openGate(ref, false) // it never ran, whatever the outcome was to be
+		c.openGate(handle, false) // it never ran, whatever the outcome was to be
 		return
 	}
-	c.destinations.Abort(ref)
-	c.StepEnded(ref, StepEnd{Outcome: as})
+	c.destinations.Abort(handle)
+	c.StepEnded(handle, StepEnd{Outcome: as})
 }
