--- /dev/null
+++ b/coord/membership/packet_test.go
@@ -0,0 +1,30 @@
+package membership
+
+import (
+	"net/netip"
+	"testing"
+)
+
+func TestDecodePacket_decodesEncodedPackets(t *testing.T) {
+	packets := []Packet{
+		{Kind: Ping, Sequence: 1},
+		{Kind: Ack, Sequence: 1<<64 - 1},
+		{Kind: NoAck, Sequence: 7},
+		{Kind: PingRequest, Sequence: 9, Target: netip.MustParseAddrPort("10.1.0.35:7662")},
+	}
+	for _, packet := range packets {
+		encoded := packet.Encode(nil)
+		if len(encoded) != PacketBytes {
+			t.Errorf("%d bytes", len(encoded))
+		}
+		decoded, err := DecodePacket(encoded)
+		if err != nil || decoded != packet {
+			t.Errorf("got %+v, %v; want %+v", decoded, err, packet)
+		}
+	}
+	for _, bad := range [][]byte{nil, {1}, make([]byte, PacketBytes), make([]byte, PacketBytes+1)} {
+		if _, err := DecodePacket(bad); err == nil {
+			t.Errorf("%v was decoded", bad)
+		}
+	}
+}
