--- a/coord/membership/packet.go
+++ b/coord/membership/packet.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"net/netip"
+	"strconv"
 )
 
 // PacketKind is the kind of a packet. Its numbers are sent.
@@ -17,6 +18,22 @@
 	NoAck       PacketKind = 4 // that peer got no Ack from Target in time
 )
 
+// String returns the kind's name.
+func (k PacketKind) String() string {
+	switch k {
+	case Ping:
+		return "Ping"
+	case Ack:
+		return "Ack"
+	case PingRequest:
+		return "PingRequest"
+	case NoAck:
+		return "NoAck"
+	default:
+		return "packet kind " + strconv.Itoa(int(k))
+	}
+}
+
 // Packet is one datagram between two nodes.
 type Packet struct {
 	Kind     PacketKind
--- a/coord/membership/packet_test.go
+++ b/coord/membership/packet_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"errors"
 	"net/netip"
 	"testing"
 )
@@ -23,8 +24,18 @@
 		}
 	}
 	for _, bad := range [][]byte{nil, {1}, make([]byte, PacketBytes), make([]byte, PacketBytes+1)} {
-		if _, err := DecodePacket(bad); err == nil {
-			t.Errorf("%v was decoded", bad)
+		if _, err := DecodePacket(bad); !errors.Is(err, ErrBadPacket) {
+			t.Errorf("%v: %v, want %v", bad, err, ErrBadPacket)
+		}
+	}
+}
+
+func TestPacketKind_String(t *testing.T) {
+	for kind, want := range map[PacketKind]string{
+		Ping: "Ping", Ack: "Ack", PingRequest: "PingRequest", NoAck: "NoAck", 9: "packet kind 9",
+	} {
+		if got := kind.String(); got != want {
+			t.Errorf("kind %d: %s, want %s", kind, got, want)
 		}
 	}
 }
