--- a/coord/consensus/heartbeat.go
+++ b/coord/consensus/heartbeat.go
@@ -96,7 +96,7 @@
 		return
 	}
 	if sent, known := n.roundSentAt(message.HeartbeatRound); known {
-		peer.answeredRound = max(peer.answeredRound, message.HeartbeatRound)
+		peer.ackedRound = max(peer.ackedRound, message.HeartbeatRound)
 		peer.contactAt = max(peer.contactAt, sent)
 	}
 	n.confirmReads()
--- a/coord/consensus/progress.go
+++ b/coord/consensus/progress.go
@@ -25,8 +25,8 @@
 	probeSent bool     // stateProbe: the one message is sent
 	inflight  []uint64 // stateReplicate: the last entry of each unacknowledged message, oldest first
 
-	contactAt     time.Duration // when the latest heartbeat was sent that it has answered
-	answeredRound uint64        // that heartbeat's round, 0: none yet
+	contactAt  time.Duration // when the latest heartbeat was sent that it has answered
+	ackedRound uint64        // that heartbeat's round, 0: none yet
 
 	// stateReplicate: by the answer to round lossCheckRound, the peer must have received the entries
 	// up to lossCheckIndex, or they were lost. 0: no check is under way.
@@ -69,5 +69,5 @@
 
 // responsive reports whether a peer has answered a heartbeat within the election timeout.
 func (n *Node) responsive(peer *progress) bool {
-	return peer.answeredRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
+	return peer.ackedRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
 }
--- a/coord/consensus/read.go
+++ b/coord/consensus/read.go
@@ -66,7 +66,7 @@
 	if len(reads.inRound) == 0 {
 		return
 	}
-	confirmed := n.quorumValue(n.members(), n.answeredRoundOf)
+	confirmed := n.quorumValue(n.members(), n.ackedRoundOf)
 	done := 0
 	for done < len(reads.inRound) && reads.inRound[done].round <= confirmed {
 		read := reads.inRound[done]
@@ -76,13 +76,13 @@
 	reads.inRound = reads.inRound[done:]
 }
 
-// answeredRoundOf returns the latest round that a member has answered.
-func (n *Node) answeredRoundOf(id MemberID) uint64 {
+// ackedRoundOf returns the latest round that a member has answered.
+func (n *Node) ackedRoundOf(id MemberID) uint64 {
 	if id == n.config.ID {
 		return n.leader.lastRound
 	}
 	if peer := n.peer(id); peer != nil {
-		return peer.answeredRound
+		return peer.ackedRound
 	}
 	return 0
 }
--- a/coord/consensus/replication.go
+++ b/coord/consensus/replication.go
@@ -123,7 +123,7 @@
 func (n *Node) sendSnapshot(peer *progress) {
 	peer.becomeProbe(peer.nextIndex)
 	peer.probeSent = true
-	if peer.answeredRound == 0 || n.now < peer.snapshotRetryAt {
+	if peer.ackedRound == 0 || n.now < peer.snapshotRetryAt {
 		return
 	}
 	backoff := max(n.config.ElectionTimeout, peer.snapshotBackoff)
--- a/coord/consensus/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -7,18 +7,18 @@
 	"ospreybend/coord/consensus"
 )
 
-// minRecoveryPause is the least mean pause between two calls of the client after the faults, so that
+// minRecoveryInterval is the least mean pause between two calls of the client after the faults, so that
 // members far behind can catch up with any limit of messages in flight.
-const minRecoveryPause = 100 * time.Millisecond
+const minRecoveryInterval = 100 * time.Millisecond
 
 // runClient proposes a command or reads at one of the members that believe they lead, and schedules the
 // next call.
 func (c *cluster) runClient() {
-	pause := c.profile.clientPause
+	delay := c.profile.clientInterval
 	if c.faultsOver {
-		pause = max(pause, minRecoveryPause)
+		delay = max(delay, minRecoveryInterval)
 	}
-	c.schedule(c.randomDuration(0, 2*pause), c.runClient)
+	c.schedule(c.randomDuration(0, 2*delay), c.runClient)
 	leaders := c.leaders()
 	if len(leaders) == 0 {
 		return
--- a/coord/consensus/simulation/cluster.go
+++ b/coord/consensus/simulation/cluster.go
@@ -158,7 +158,7 @@
 		if c.now < c.partitionedUntil[from][to] || c.losesEntries(message, from, to) || c.chance(c.profile.lossRate) {
 			return
 		}
-		if c.chance(c.profile.lateRate) {
+		if c.chance(c.profile.delayedRate) {
 			delay += c.randomDuration(0, 2*time.Second)
 		}
 	}
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -11,7 +11,7 @@
 	if c.faultsOver {
 		return
 	}
-	c.schedule(c.randomDuration(0, 2*c.profile.faultPause), c.injectFault)
+	c.schedule(c.randomDuration(0, 2*c.profile.faultInterval), c.injectFault)
 	total := 0
 	for _, weight := range c.profile.faultWeights {
 		total += weight
@@ -114,9 +114,9 @@
 }
 
 // restartLater starts a host's process after a pause, unless it was started meanwhile.
-func (c *cluster) restartLater(target *host, pause time.Duration) {
+func (c *cluster) restartLater(target *host, delay time.Duration) {
 	process := target.processID
-	c.schedule(pause, func() {
+	c.schedule(delay, func() {
 		if target.processID == process && !target.up {
 			target.start()
 		}
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -102,8 +102,8 @@
 	}
 	if h.cluster.now < h.frozenUntil {
 		process := h.processID
-		pause := h.frozenUntil - h.cluster.now + h.cluster.randomDuration(0, time.Millisecond)
-		h.cluster.schedule(pause, func() { h.whenProcessRunning(process, action) })
+		delay := h.frozenUntil - h.cluster.now + h.cluster.randomDuration(0, time.Millisecond)
+		h.cluster.schedule(delay, func() { h.whenProcessRunning(process, action) })
 		return
 	}
 	action()
@@ -262,9 +262,9 @@
 		return
 	}
 	h.disk.syncing = true
-	pause := h.cluster.randomDuration(0, h.cluster.profile.maxSync) + max(0, h.diskStalledUntil-h.cluster.now)
+	delay := h.cluster.randomDuration(0, h.cluster.profile.maxSync) + max(0, h.diskStalledUntil-h.cluster.now)
 	count, process := len(h.disk.queue), h.processID
-	h.cluster.schedule(pause, func() { h.finishSync(process, count) })
+	h.cluster.schedule(delay, func() { h.finishSync(process, count) })
 }
 
 // finishSync makes the first count writes durable and reports them, once the disk no longer stalls.
--- a/coord/consensus/simulation/profile.go
+++ b/coord/consensus/simulation/profile.go
@@ -9,8 +9,8 @@
 // configured and how often each fault occurs.
 type profile struct {
 	// The network.
-	lossRate, duplicateRate, lateRate float64       // parts of the messages
-	maxDelay                          time.Duration // of a message that is not late
+	lossRate, duplicateRate, delayedRate float64       // parts of the messages
+	maxDelay                             time.Duration // of a message that is not delayed further
 
 	// The hosts.
 	maxSync   time.Duration // of a disk that does not stall
@@ -24,11 +24,11 @@
 	maxAppendBytes     int
 
 	// The client and the operator.
-	clientPause time.Duration // mean, between two calls of the client
-	removeFirst bool          // a lost member is removed before its successor becomes a voter
+	clientInterval time.Duration // mean, between two calls of the client
+	removeFirst    bool          // a lost member is removed before its successor becomes a voter
 
 	// The faults.
-	faultPause              time.Duration // mean, between two faults
+	faultInterval           time.Duration // mean, between two faults
 	faultWeights            [faultKindCount]int
 	powerLossAtAckRate      float64 // how often all power is lost when a command is acknowledged
 	powerLossAtElectionRate float64 // how often a new leader soon loses its power
@@ -94,12 +94,12 @@
 	result := profile{
 		lossRate:                pick(0, 0, 0.02, 0.1, 0.3),
 		duplicateRate:           pick(0, 0.05, 0.2),
-		lateRate:                pick(0, 0.01, 0.1),
+		delayedRate:             pick(0, 0.01, 0.1),
 		maxDelay:                millis(2, 10, 40),
 		maxSync:                 millis(1, 10, 60),
 		batchRate:               pick(0, 0.3, 0.8),
-		clientPause:             millis(8, 20, 80),
-		faultPause:              millis(100, 300, 800),
+		clientInterval:          millis(8, 20, 80),
+		faultInterval:           millis(100, 300, 800),
 		powerLossAtAckRate:      pick(0, 0, 0.002, 0.02),
 		powerLossAtElectionRate: pick(0, 0, 0.1, 0.5),
 		electionTimeout:         millis(100, 200, 400),
