--- a/coord/consensus/simulation/checks.go
+++ b/coord/consensus/simulation/checks.go
@@ -6,9 +6,6 @@
 	"ospreybend/coord/consensus"
 )
 
-// initialStateHash is the hash of the bootstrap state.
-const initialStateHash = 1
-
 // firstIndex is the index of the bootstrap snapshot.
 const firstIndex = 1
 
@@ -46,20 +43,6 @@
 	return firstIndex + uint64(len(c.committed)) - 1
 }
 
-// nextStateHash returns the hash of the state after an entry (FNV-1a over the entry's parts).
-func nextStateHash(hash uint64, entry consensus.Entry) uint64 {
-	const prime = 1099511628211
-	hash = (hash ^ entry.Index) * prime
-	hash = (hash ^ entry.Term) * prime
-	for _, part := range entry.Data {
-		hash = (hash ^ uint64(part)) * prime
-	}
-	for _, member := range entry.Members {
-		hash = (hash ^ uint64(member.ID)) * prime
-	}
-	return hash
-}
-
 // leaderMessage checks the sender of a message that only the leader of its term may send.
 func (c *checks) leaderMessage(message consensus.Message) {
 	switch message.Kind {
--- a/coord/consensus/simulation/cluster.go
+++ b/coord/consensus/simulation/cluster.go
@@ -130,38 +130,3 @@
 func (c *cluster) randomHost() *host {
 	return c.hosts[c.random.IntN(len(c.hosts))]
 }
-
-// send sends a message, which arrives after a delay: once, twice or not at all.
-func (c *cluster) send(message consensus.Message) {
-	c.counters.Messages++
-	if message.Kind == consensus.MessageInstallSnapshot {
-		c.counters.Snapshots++
-	}
-	c.checks.leaderMessage(message)
-	copies := 1
-	if !c.faultsOver && c.chance(c.profile.duplicateRate) {
-		copies = 2
-	}
-	for range copies {
-		c.deliverLater(message)
-	}
-}
-
-// deliverLater delivers one copy of a message after a delay, unless it is lost.
-func (c *cluster) deliverLater(message consensus.Message) {
-	from, to := hostOf(message.From), hostOf(message.To)
-	if to < 0 || to >= len(c.hosts) {
-		return
-	}
-	delay := c.randomDuration(time.Millisecond, c.profile.maxDelay)
-	if !c.faultsOver {
-		if c.now < c.partitionedUntil[from][to] || c.losesEntries(message, from, to) || c.chance(c.profile.lossRate) {
-			return
-		}
-		if c.chance(c.profile.delayedRate) {
-			delay += c.randomDuration(0, 2*time.Second)
-		}
-	}
-	receiver := c.hosts[to]
-	c.schedule(delay, func() { receiver.receive(message) })
-}
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -121,3 +121,55 @@
 	}
 	return state
 }
+
+// write queues a write. One sync covers everything that is queued when it starts.
+func (h *host) write(operation writeOperation) {
+	h.disk.queue = append(h.disk.queue, operation)
+	h.startSync()
+}
+
+// startSync starts a sync of the queued writes, unless one is in progress.
+func (h *host) startSync() {
+	if h.disk.syncing || len(h.disk.queue) == 0 {
+		return
+	}
+	h.disk.syncing = true
+	delay := h.cluster.randomDuration(0, h.cluster.profile.maxSync) + max(0, h.diskStalledUntil-h.cluster.now)
+	count, process := len(h.disk.queue), h.processID
+	h.cluster.schedule(delay, func() { h.finishSync(process, count) })
+}
+
+// finishSync makes the first count writes durable and reports them, once the disk no longer stalls.
+func (h *host) finishSync(process, count int) {
+	if h.processID != process {
+		return
+	}
+	if h.cluster.now < h.diskStalledUntil {
+		h.cluster.schedule(h.diskStalledUntil-h.cluster.now, func() { h.finishSync(process, count) })
+		return
+	}
+	finished := h.disk.queue[:count]
+	h.disk.queue = h.disk.queue[count:]
+	h.disk.syncing = false
+	for _, operation := range finished {
+		h.applyWrite(operation)
+	}
+	h.whenRunning(func() { h.reportDurable(finished) })
+	h.startSync()
+}
+
+// applyWrite makes a write durable.
+func (h *host) applyWrite(operation writeOperation) {
+	for _, record := range operation.records {
+		if err := applyRecord(&h.disk.durable, record); err != nil {
+			h.cluster.checks.fail(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
+		}
+	}
+}
+
+// reportDurable tells the process that writes are durable.
+func (h *host) reportDurable(finished []writeOperation) {
+	for _, operation := range finished {
+		operation.done()
+	}
+}
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -29,51 +29,6 @@
 	}
 }
 
-// isolateHost partitions a host from all others, in one direction or both.
-func (c *cluster) isolateHost() {
-	c.counters.Partitions++
-	target, until := c.randomHost().index, c.now+c.randomDuration(100*time.Millisecond, 2500*time.Millisecond)
-	direction := c.random.IntN(3)
-	for other := range c.hosts {
-		if direction != 0 {
-			c.partitionedUntil[target][other] = until
-		}
-		if direction != 1 {
-			c.partitionedUntil[other][target] = until
-		}
-	}
-}
-
-// isolateLeaderButOne leaves a leader the way to one other member alone, so that entries and membership
-// changes reach a minority, and has it propose one.
-func (c *cluster) isolateLeaderButOne() {
-	c.counters.Partitions++
-	for _, leader := range c.leaders() {
-		reachable := c.randomHost().index
-		until := c.now + c.randomDuration(100*time.Millisecond, 4*c.profile.electionTimeout)
-		for other := range c.hosts {
-			if other != reachable {
-				c.partitionedUntil[leader.index][other] = until
-			}
-		}
-		if c.chance(0.5) {
-			leader.removeRandomVoter()
-		} else {
-			leader.whenRunning(leader.propose)
-		}
-		if c.chance(0.3) {
-			c.schedule(c.randomDuration(0, c.profile.electionTimeout), func() { c.killProcessOf(leader) })
-		}
-	}
-}
-
-// partitionOneWay cuts one direction between two hosts.
-func (c *cluster) partitionOneWay() {
-	c.counters.Partitions++
-	from, to := c.randomHost().index, c.randomHost().index
-	c.partitionedUntil[from][to] = c.now + c.randomDuration(100*time.Millisecond, 3*time.Second)
-}
-
 // freezeProcess suspends a process. Its events wait until it goes on.
 func (c *cluster) freezeProcess() {
 	c.counters.ProcessFreezes++
--- a/coord/consensus/simulation/host.go
+++ b/coord/consensus/simulation/host.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"encoding/binary"
 	"fmt"
 	"time"
 
@@ -185,31 +184,6 @@
 	})
 }
 
-// restore replaces the state machine's state.
-func (h *host) restore(snapshot consensus.Snapshot) {
-	h.applied = snapshot.Index
-	h.stateHash = binary.LittleEndian.Uint64(snapshot.Data)
-	h.appliedSinceCompaction = 0
-	h.cluster.checks.restored(h, snapshot)
-}
-
-// apply applies a committed entry to the state machine, and acknowledges it if it is the host's own
-// proposal.
-func (h *host) apply(entry consensus.Entry) {
-	h.cluster.checks.applied(h, entry)
-	h.applied = entry.Index
-	h.stateHash = nextStateHash(h.stateHash, entry)
-	h.appliedSinceCompaction++
-	term, own := h.proposedTerms[entry.Index]
-	if !own {
-		return
-	}
-	delete(h.proposedTerms, entry.Index)
-	if term == entry.Term {
-		h.cluster.acknowledged(entry)
-	}
-}
-
 // checkNewLeader checks the log of a member that has become leader. Some schedules cut its power soon
 // after.
 func (h *host) checkNewLeader() {
@@ -232,77 +206,3 @@
 		})
 	}
 }
-
-// compactLog takes a snapshot after a number of applied entries.
-func (h *host) compactLog() {
-	if h.appliedSinceCompaction < h.cluster.profile.compactionInterval {
-		return
-	}
-	snapshot, known := h.node.SnapshotAt(h.applied, encodeStateHash(h.stateHash))
-	if !known {
-		return
-	}
-	h.appliedSinceCompaction = 0
-	h.cluster.counters.Compactions++
-	h.write(writeOperation{
-		records: []record{{compact: &snapshot}},
-		done:    func() { h.node.Compact(snapshot.Index, snapshot.Members, snapshot.Data) },
-	})
-}
-
-// write queues a write. One sync covers everything that is queued when it starts.
-func (h *host) write(operation writeOperation) {
-	h.disk.queue = append(h.disk.queue, operation)
-	h.startSync()
-}
-
-// startSync starts a sync of the queued writes, unless one is in progress.
-func (h *host) startSync() {
-	if h.disk.syncing || len(h.disk.queue) == 0 {
-		return
-	}
-	h.disk.syncing = true
-	delay := h.cluster.randomDuration(0, h.cluster.profile.maxSync) + max(0, h.diskStalledUntil-h.cluster.now)
-	count, process := len(h.disk.queue), h.processID
-	h.cluster.schedule(delay, func() { h.finishSync(process, count) })
-}
-
-// finishSync makes the first count writes durable and reports them, once the disk no longer stalls.
-func (h *host) finishSync(process, count int) {
-	if h.processID != process {
-		return
-	}
-	if h.cluster.now < h.diskStalledUntil {
-		h.cluster.schedule(h.diskStalledUntil-h.cluster.now, func() { h.finishSync(process, count) })
-		return
-	}
-	finished := h.disk.queue[:count]
-	h.disk.queue = h.disk.queue[count:]
-	h.disk.syncing = false
-	for _, operation := range finished {
-		h.applyWrite(operation)
-	}
-	h.whenRunning(func() { h.reportDurable(finished) })
-	h.startSync()
-}
-
-// applyWrite makes a write durable.
-func (h *host) applyWrite(operation writeOperation) {
-	for _, record := range operation.records {
-		if err := applyRecord(&h.disk.durable, record); err != nil {
-			h.cluster.checks.fail(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
-		}
-	}
-}
-
-// reportDurable tells the process that writes are durable.
-func (h *host) reportDurable(finished []writeOperation) {
-	for _, operation := range finished {
-		operation.done()
-	}
-}
-
-// encodeStateHash returns the data of a snapshot.
-func encodeStateHash(hash uint64) []byte {
-	return binary.LittleEndian.AppendUint64(nil, hash)
-}
--- a/coord/consensus/simulation/scenarios.go
+++ b/coord/consensus/simulation/scenarios.go
@@ -33,48 +33,6 @@
 	c.schedule(c.randomDuration(c.profile.electionTimeout/2, 2*c.profile.electionTimeout), func() { c.isolateLeadersRepeatedly(until) })
 }
 
-// loseEntries loses a host's messages with entries of its own term, to the hosts that to returns true for,
-// up to a time.
-func (c *cluster) loseEntries(from int, until time.Duration, to func(*host) bool) {
-	for _, other := range c.hosts {
-		if to(other) {
-			c.entriesLostUntil[from][other.index] = until
-		}
-	}
-}
-
-// losesEntries reports whether loseEntries loses a message.
-func (c *cluster) losesEntries(message consensus.Message, from, to int) bool {
-	if c.now >= c.entriesLostUntil[from][to] {
-		return false
-	}
-	for _, entry := range message.Entries {
-		if entry.Term == message.Term {
-			return true
-		}
-	}
-	return false
-}
-
-// partition separates some hosts from the others, in both directions, up to a time.
-func (c *cluster) partition(some func(*host) bool, until time.Duration) {
-	for _, host := range c.hosts {
-		for _, other := range c.hosts {
-			if some(host) != some(other) {
-				c.partitionedUntil[host.index][other.index] = until
-			}
-		}
-	}
-}
-
-// heal ends all partitions and losses of entries.
-func (c *cluster) heal() {
-	for from := range c.hosts {
-		clear(c.partitionedUntil[from])
-		clear(c.entriesLostUntil[from])
-	}
-}
-
 // competingChanges is a scenario of two leaders, one after the other, that each make a membership change
 // which only their side of the group receives. Then the first leader's side joins the hosts that received
 // neither change. It harms a group with an even number of voters, unless a change waits for a commit of the
