--- a/coord/consensus/config.go
+++ b/coord/consensus/config.go
@@ -13,7 +13,7 @@
 	MaxAppendBytes    int           // bound of the entries in one AppendEntries; a larger entry is sent alone
 	MaxInflight       int           // bound of the unanswered AppendEntries to one member
 	Seed              uint64        // of the random election timeouts
-	TrailingEntries   int           // entries retained before a snapshot for members a little behind; 0: defaultTrailingEntries, negative: none
+	TrailingEntries   int           // entries retained before a snapshot for members a little behind; 0: 256, negative: none
 	OmitRules         []Rule        // rules that are not enforced; only tests set it
 }
 
--- a/coord/consensus/doc.go
+++ b/coord/consensus/doc.go
@@ -24,7 +24,7 @@
 //
 //   - Writes to disk are asynchronous. A leader replicates an entry while its own disk still writes
 //     it, and counts itself for the entry only once it is durable (persistence.go).
-//   - A member without a disk, or with a new one, gives no vote until a leader has sent it the group's
+//   - A member that starts with an empty disk gives no vote until a leader has sent it the group's
 //     state; its machine returns under a new MemberID. IDs that were replaced are remembered in the
 //     membership and never admitted again.
 //   - A leader whose disk takes no writes transfers leadership away (SetWritable).
--- a/coord/consensus/errors.go
+++ b/coord/consensus/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Errors of proposals, reads, membership changes and leadership transfers. None of them has changed
-// the member's state.
+// Errors of proposals, reads, membership changes and leadership transfers. A call that returns one of them
+// has appended and started nothing.
 var (
 	// ErrNotLeader is returned by a member that is not the leader, or that stepped down because no
 	// majority has answered it within the election timeout.
