--- a/cmd/ospreybend/batch.go
+++ b/cmd/ospreybend/batch.go
@@ -71,13 +71,13 @@
 
 // startServers starts the servers of the tenants and, where it has an address, of the administration. It runs on the
 // loop.
-func (f *batchFront) startServers(n *node) error {
+func (f *batchFront) startServers(node *node) error {
 	cfg := f.cfg
-	api := httpapi.New(f.jobs, n.loop, &n.loop.Timers, version)
-	f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.Listen, cfg.MaxSockets, n.cfg.FrontMaxBufferedBytes, api.Serve))
+	api := httpapi.New(f.jobs, node.loop, &node.loop.Timers, version)
+	f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.Listen, cfg.MaxSockets, node.cfg.FrontMaxBufferedBytes, api.Serve))
 	if cfg.AdminListen != "" {
 		f.admin = httpapi.NewAdmin(api, f.jobs.StoreExecutor(), cfg.AdminTokenSHA256)
-		f.servers = append(f.servers, protocol.NewServer(n.loop, cfg.AdminListen, cfg.AdminMaxSockets, n.cfg.FrontMaxBufferedBytes, f.admin.Serve))
+		f.servers = append(f.servers, protocol.NewServer(node.loop, cfg.AdminListen, cfg.AdminMaxSockets, node.cfg.FrontMaxBufferedBytes, f.admin.Serve))
 	}
 	for _, server := range f.servers {
 		server.FormatError = httpapi.FormatError
@@ -100,7 +100,7 @@
 
 // reload reads the batch API's file again, applies what can change while it runs and logs the other changed keys. An
 // invalid file changes nothing. It runs off the loop.
-func (f *batchFront) reload(n *node, getenv func(string) string) {
+func (f *batchFront) reload(node *node, getenv func(string) string) {
 	cfg, err := nodeconfig.LoadBatch(getenv)
 	if err != nil {
 		slog.Error("reload: invalid configuration of the batch front ignored", "error", err)
@@ -112,30 +112,30 @@
 	if !cfg.Enabled {
 		return
 	}
-	n.loop.Call(func() {
-		f.jobs.Reconfigure(n.batchSlots(cfg), time.Duration(cfg.TargetMS)*time.Millisecond,
+	node.loop.Call(func() {
+		f.jobs.Reconfigure(node.batchSlots(cfg), time.Duration(cfg.TargetMS)*time.Millisecond,
 			time.Duration(cfg.MaxWaitSeconds)*time.Second, cfg.MaxEvents)
 		if f.admin != nil && cfg.AdminTokenSHA256 != "" {
 			f.admin.SetTokenHash(cfg.AdminTokenSHA256)
 		}
 	})
-	slog.Info("reload: batch front", "slots", n.batchSlots(cfg), "target_ms", cfg.TargetMS, "longest_wait_s", cfg.MaxWaitSeconds,
+	slog.Info("reload: batch front", "slots", node.batchSlots(cfg), "target_ms", cfg.TargetMS, "longest_wait_s", cfg.MaxWaitSeconds,
 		"events", cfg.MaxEvents)
 }
 
 // shutdown ends the batch API once all its requests in flight are answered, or by the deadline. The store has the jobs
 // that are unfinished then. It runs off the loop.
-func (f *batchFront) shutdown(n *node, deadline time.Time) {
+func (f *batchFront) shutdown(node *node, deadline time.Time) {
 	pending := func() (count int) {
-		n.loop.Call(func() { count = f.jobs.Pending() })
+		node.loop.Call(func() { count = f.jobs.Pending() })
 		return count
 	}
 	for time.Now().Before(deadline) && pending() > 0 {
 		time.Sleep(flushTime)
 	}
-	n.loop.Call(f.jobs.EndWaits)
+	node.loop.Call(f.jobs.EndWaits)
 	time.Sleep(flushTime)
-	n.loop.Call(func() {
+	node.loop.Call(func() {
 		for _, server := range f.servers {
 			server.Stop(0, func() {})
 		}
--- a/cmd/ospreybend/measure_stall.go
+++ b/cmd/ospreybend/measure_stall.go
@@ -115,7 +115,7 @@
 	if kills {
 		time.AfterFunc(c.For/3, func() { _ = node.cmd.Process.Kill() })
 	}
-	acknowledged = c.book(ctx, session, phase)
+	acknowledged = c.submitBookings(ctx, session, phase)
 	requests.Wait()
 	if kills {
 		node.waitExit()
@@ -147,9 +147,9 @@
 	return nil
 }
 
-// book submits bookings from several clients, each ten times a second at most, and returns the identifiers of the
+// submitBookings submits bookings from several clients, each ten times a second at most, and returns the identifiers of the
 // acknowledged jobs.
-func (c *measureStall) book(ctx context.Context, session *client.Session, phase *stallPhase) (acknowledged []string) {
+func (c *measureStall) submitBookings(ctx context.Context, session *client.Session, phase *stallPhase) (acknowledged []string) {
 	var mutex sync.Mutex // of acknowledged and phase
 	var clients sync.WaitGroup
 	began := time.Now()
--- a/cmd/ospreybend/measure_submit.go
+++ b/cmd/ospreybend/measure_submit.go
@@ -53,7 +53,7 @@
 }
 
 // measureRate calls f from several goroutines for a while.
-func measureRate(name string, clients int, duration time.Duration, f func(i int) error) (submissionRate, error) {
+func measureRate(name string, clients int, duration time.Duration, call func(i int) error) (submissionRate, error) {
 	histogram := hdrhistogram.New(1, 60_000_000, 3) // microseconds
 	var mutex sync.Mutex                            // of histogram and errs
 	var errs error
@@ -63,7 +63,7 @@
 		callers.Go(func() {
 			for i := caller; time.Since(began) < duration; i += clients {
 				called := time.Now()
-				err := f(i)
+				err := call(i)
 				mutex.Lock()
 				errs = errors.Join(errs, err)
 				_ = histogram.RecordValue(time.Since(called).Microseconds())
--- a/cmd/ospreybend/measure_upgrade.go
+++ b/cmd/ospreybend/measure_upgrade.go
@@ -12,6 +12,9 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
+// errJobsLost is returned after an audit that has found a job not served or begun twice.
+var errJobsLost = errors.New("a job was not served, or begun twice")
+
 // measureUpgrade hot-restarts a node again and again under load and audits every job.
 type measureUpgrade struct {
 	Upgrades int           `default:"10"`
@@ -50,7 +53,7 @@
 		return err
 	}
 	if result.Served != result.Sent || result.Twice > 0 {
-		return errors.New("a job was not served, or begun twice")
+		return errJobsLost
 	}
 	return nil
 }
--- a/cmd/ospreybend/shutdown.go
+++ b/cmd/ospreybend/shutdown.go
@@ -17,10 +17,10 @@
 	flushTime          = 50 * time.Millisecond  // for the last responses to be written
 	shutdownGrace      = time.Second            // past the longest deadline, for what is handed over late
 
-	lastAcceptMargin = 700 * time.Millisecond // before the drain deadline: nothing new is accepted after it
-	peerInterval     = 50 * time.Millisecond  // between two looks whether a peer serves
-	maxPeerSilence   = 500 * time.Millisecond // a node that serves notifies its peers more often
-	maxHeardPeers    = 10                     // of more nodes a planned restart leaves some serving at any time
+	lastAcceptMargin    = 700 * time.Millisecond // before the drain deadline: nothing new is accepted after it
+	peerInterval        = 50 * time.Millisecond  // between two looks whether a peer serves
+	maxPeerHeartbeatAge = 500 * time.Millisecond // a node that serves notifies its peers more often
+	maxHeardPeers       = 10                     // of more nodes a planned restart leaves some serving at any time
 )
 
 // shutdown answers the accepted requests and returns once all responses are written. A node with a listener of its own
@@ -120,7 +120,7 @@
 func (n *node) keepAccepting(began, deadline time.Time) {
 	time.Sleep(time.Until(began.Add(shutdownAcceptTime)))
 	for alone := true; time.Now().Before(deadline.Add(-lastAcceptMargin)); time.Sleep(peerInterval) {
-		n.loop.Call(func() { alone = !n.core.PeersHeardWithin(maxPeerSilence) })
+		n.loop.Call(func() { alone = !n.core.PeersHeardWithin(maxPeerHeartbeatAge) })
 		if !alone || n.cfg.PeerListen == "" || len(n.cfg.Peers) < 2 || len(n.cfg.Peers) > maxHeardPeers {
 			return
 		}
--- a/cmd/ospreybend/voter.go
+++ b/cmd/ospreybend/voter.go
@@ -16,6 +16,9 @@
 // withoutCheckEnv names the variable by which a trial disables one check of the fleet's protocol.
 const withoutCheckEnv = "OSPREYBEND_WITHOUT"
 
+// errNoVoter is returned when the fleet's file does not describe a voter of this process.
+var errNoVoter = errors.New("fleet: this process is told of no voter; docs/FLEET.md says what its file has to hold")
+
 // checkMajority is the name of the check that a zone's failure is reported by a majority of its observers.
 const checkMajority = "majority"
 
@@ -53,7 +56,7 @@
 		return server.Config{}, err
 	}
 	if !fleet.Enabled || fleet.Voter.ID == 0 {
-		return server.Config{}, errors.New("fleet: this process is told of no voter; docs/FLEET.md says what its file has to hold")
+		return server.Config{}, errNoVoter
 	}
 	node, err := nodeconfig.Load(getenv)
 	if err != nil {
--- a/deploy/days/families.go
+++ b/deploy/days/families.go
@@ -15,14 +15,14 @@
 	"races":   racesAndRepeats,
 	"repairs": lossAfterRepair,
 	"storms":  hundredsOfChanges,
-	"answers": spoiltAnswers,
+	"answers": lostAnswers,
 }
 
 func familyNames() []string {
 	return slices.Sorted(maps.Keys(families))
 }
 
-// cutVariants are the ways in which a core machine can be cut off.
+// cutVariants are the ways in which a core machine can be partitioned off.
 var cutVariants = []string{
 	"", "one_way", "seeds", "both", "lure", "near", "all", "reset", "refuse", "oldest",
 	"leader", "leader one_way", "leader all", "leader race", "leader meet hard", "leader race drain", "leader near drain",
@@ -40,11 +40,11 @@
 		fmt.Sprintf(`at = %.2f, kind = "config_race", count = %d, gap_s = 1.5`, start+between(random, 0, 4), 3+random.IntN(6)),
 	}
 	faults = []string{
-		fmt.Sprintf(`at = %.2f, kind = "core_cut", count = 1, for_s = %.1f, how = "%s"`, start, cut, pick(random, cutVariants)),
+		fmt.Sprintf(`at = %.2f, kind = "core_cut", count = 1, for_s = %.1f, how = "%s"`, start, cut, choose(random, cutVariants)),
 	}
 	switch random.IntN(4) {
 	case 0:
-		faults = append(faults, fmt.Sprintf("at = %.2f, %s", start+cut+between(random, 0.2, 4), pick(random, faultsOfCore)))
+		faults = append(faults, fmt.Sprintf("at = %.2f, %s", start+cut+between(random, 0.2, 4), choose(random, faultsOfCore)))
 	case 1:
 		faults = append(faults, fmt.Sprintf(`at = %.2f, kind = "node_kill", share = 0.3, for_s = 1.5`, start+between(random, 1, cut)))
 	case 2:
@@ -56,18 +56,18 @@
 	return plan, faults
 }
 
-// racesAndRepeats draws races on one version and lost acknowledgements, so that orders are repeated, amid losses of the
+// racesAndRepeats draws races on one version and lost acknowledgements, so that orders are repeated, during losses of the
 // machines that acknowledge.
 func racesAndRepeats(random *rand.Rand, length float64) (plan, faults []string) {
 	plan = []string{
 		fmt.Sprintf(`at = 1.5, kind = "config_race", count = %d, gap_s = %.2f`, int(length/1.2), between(random, 0.6, 1.2)),
 		fmt.Sprintf(`at = 2.0, kind = "config_storm", for_s = %.1f, gap_s = %.2f`, length-4, between(random, 0.5, 1.5)),
 		fmt.Sprintf(`at = %.2f, kind = "bad_config", count = 8, gap_s = 0.7, how = "%s"`,
-			between(random, 2, 12), pick(random, []string{"old_version", "same_version", "stale_match", "shared_key"})),
+			between(random, 2, 12), choose(random, []string{"old_version", "same_version", "stale_match", "shared_key"})),
 	}
 	faults = []string{fmt.Sprintf(`at = 1.0, kind = "ack_lost", x = 0.8, for_s = %.1f`, length-2)}
 	for at := between(random, 3, 6); at < length-5; at += between(random, 4, 9) {
-		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, pick(random, faultsAroundAcknowledgement)))
+		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, choose(random, faultsAroundAcknowledgement)))
 	}
 	return plan, faults
 }
@@ -91,13 +91,13 @@
 func lossAfterRepair(random *rand.Rand, length float64) (plan, faults []string) {
 	plan = []string{fmt.Sprintf(`at = 1.5, kind = "config_storm", for_s = %.1f, gap_s = %.2f`, length-4, between(random, 0.4, 1.0))}
 	for at := between(random, 2, 5); at < length-8; at += between(random, 6, 10) {
-		repair := pick(random, repairs)
+		repair := choose(random, repairs)
 		if repair == plannedReplacement {
 			plan = append(plan, fmt.Sprintf("at = %.2f, %s", at, repair))
 		} else {
 			faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, repair))
 		}
-		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at+between(random, 0.5, 6), pick(random, secondLosses)))
+		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at+between(random, 0.5, 6), choose(random, secondLosses)))
 	}
 	return plan, faults
 }
@@ -134,7 +134,7 @@
 		fmt.Sprintf(`at = 2.5, kind = "config_storm", for_s = %.1f, gap_s = %.2f`, length-4, between(random, 0.06, 0.15)),
 	}
 	for at := between(random, 4, 7); at < length-6; at += between(random, 4, 9) {
-		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, pick(random, faultsAmidBurst)))
+		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, choose(random, faultsAmidBurst)))
 	}
 	return plan, faults
 }
@@ -155,15 +155,15 @@
 	`kind = "core_cut", for_s = 6.0`,
 }
 
-// spoiltAnswers draws answers of workers that are spoilt, cut or lost, with connections reset and machines that restart.
-func spoiltAnswers(random *rand.Rand, length float64) (plan, faults []string) {
+// lostAnswers draws answers of workers that are spoilt, cut or lost, with connections reset and machines that restart.
+func lostAnswers(random *rand.Rand, length float64) (plan, faults []string) {
 	plan = []string{
 		fmt.Sprintf(`at = %.2f, kind = "roll_term", share = 0.6, x = 1.0, gap_s = 1.5, how = "busy"`, between(random, 3, 8)),
 		fmt.Sprintf(`at = %.2f, kind = "hup", share = 0.5, gap_s = 0.8`, between(random, 2, 10)),
 		fmt.Sprintf(`at = %.2f, kind = "release", share = 0.5, x = 1.0, gap_s = 1.0`, between(random, 3, 12)),
 	}
 	for at := between(random, 1, 3); at < length-5; at += between(random, 2, 5) {
-		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, pick(random, faultsOfAnswers)))
+		faults = append(faults, fmt.Sprintf("at = %.2f, %s", at, choose(random, faultsOfAnswers)))
 	}
 	return plan, faults
 }
--- a/deploy/days/kinds.go
+++ b/deploy/days/kinds.go
@@ -34,7 +34,7 @@
 	`kind = "replace_with_reuse", share = 0.15, how = "drain"`,
 }
 
-// faultsOfCore strike unannounced. Those of the core are listed in all their variants.
+// faultsOfCore are unplanned faults. Those of the core are listed in all their variants.
 var faultsOfCore = []string{
 	`kind = "core_cut", for_s = 4.0`,
 	`kind = "core_cut", for_s = 4.0, how = "one_way"`,
--- a/deploy/days/main_test.go
+++ b/deploy/days/main_test.go
@@ -12,7 +12,7 @@
 func TestSeedGivesSameDay(t *testing.T) {
 	digest := sha256.New()
 	for seed := uint64(1); seed <= 20; seed++ {
-		digest.Write([]byte(draw(seed, shape{family: "core", length: defaultLength})))
+		digest.Write([]byte(draw(seed, dayOptions{family: "core", length: defaultLength})))
 	}
 	const recorded = "90169998619fe75a"
 	if got := hex.EncodeToString(digest.Sum(nil)[:8]); got != recorded {
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,4 @@
-// Command toy stands in for what surrounds a node: two prep workers and the
-// pool config, on loopback, to try the node with. See examples/README.md.
+// Command toy fakes a node's surroundings on loopback, to try a node: two prep workers and discovery. See examples/README.md.
 package main
 
 import (
@@ -24,40 +23,40 @@
 		go func() { log.Fatal(http.ListenAndServe(address, worker(name))) }()
 	}
 	log.Printf("prep workers %v, pool config %s", workers, discovery)
-	log.Fatal(http.ListenAndServe(discovery, http.HandlerFunc(list)))
+	log.Fatal(http.ListenAndServe(discovery, http.HandlerFunc(serveList)))
 }
 
-// worker takes every job, says that it has started, and is done a little later.
+// worker accepts every job, reports its start and completes it a little later.
 func worker(name string) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get("Req-Id")
-		body, err := io.ReadAll(r.Body)
+	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		id := request.Header.Get("Req-Id")
+		body, err := io.ReadAll(request.Body)
 		if err != nil || id == "" {
-			http.Error(w, "no request of a node's", http.StatusBadRequest)
+			http.Error(response, "no request of a node's", http.StatusBadRequest)
 			return
 		}
-		say := func(line map[string]any) {
+		send := func(line map[string]any) {
 			line["id"], line["from"] = id, name
-			_ = json.NewEncoder(w).Encode(line)
-			w.(http.Flusher).Flush()
+			_ = json.NewEncoder(response).Encode(line)
+			response.(http.Flusher).Flush()
 		}
-		say(map[string]any{"state": "started"})
+		send(map[string]any{"state": "started"})
 		time.Sleep(runFor)
-		say(map[string]any{"state": "done", "load": map[string]any{"queue": 0, "x0": 4},
-			"result": fmt.Sprintf("%s did %s with %d bytes\n", name, r.URL.Path, len(body))})
-		log.Printf("%s: %s %s", name, id, r.URL.Path)
+		send(map[string]any{"state": "done", "load": map[string]any{"queue": 0, "x0": 4},
+			"result": fmt.Sprintf("%s did %s with %d bytes\n", name, request.URL.Path, len(body))})
+		log.Printf("%s: %s %s", name, id, request.URL.Path)
 	})
 }
 
-// list answers with the whole list, which never changes: a watch only waits.
-func list(w http.ResponseWriter, r *http.Request) {
-	if from := r.FormValue("from"); from == "1" {
-		hold, _ := strconv.Atoi(r.FormValue("hold_ms"))
+// serveList answers with the complete list, which never changes: a watch only waits.
+func serveList(response http.ResponseWriter, request *http.Request) {
+	if from := request.FormValue("from"); from == "1" {
+		hold, _ := strconv.Atoi(request.FormValue("hold_ms"))
 		select {
 		case <-time.After(time.Duration(hold) * time.Millisecond):
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 		}
-		_ = json.NewEncoder(w).Encode(map[string]any{"index": 1, "snapshot": false, "endpoints": []any{}})
+		_ = json.NewEncoder(response).Encode(map[string]any{"index": 1, "snapshot": false, "endpoints": []any{}})
 		return
 	}
 	entries := []any{}
@@ -65,5 +64,5 @@
 		entries = append(entries, map[string]any{"name": name, "address": address, "zone": "steyr-keller",
 			"type": "neu-4k", "group": 0, "status": "Ready", "weight": 1.0, "since_ms": 0})
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"index": 1, "snapshot": true, "endpoints": entries})
+	_ = json.NewEncoder(response).Encode(map[string]any{"index": 1, "snapshot": true, "endpoints": entries})
 }
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -114,7 +114,7 @@
 	return err
 }
 
-// Connected is told of connections.
+// Connected implements peertransport's handler.
 func (m *member) Connected(peertransport.Hello) {}
 
 // Messages hands messages to the replica.
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -29,7 +29,7 @@
 // Manners returns all manners.
 func Manners() []Manner { return []Manner{Restarted, Wiped, Replaced} }
 
-// Plan says what is measured.
+// Plan describes what is measured.
 type Plan struct {
 	Directory    string
 	Routes       int
@@ -251,7 +251,7 @@
 	return step, errors.Join(err, <-changes)
 }
 
-// bringBack starts the member, or what takes its place, and measures.
+// bringBack starts the member, or its replacement, and measures how long it takes to catch up.
 func (f *fleet) bringBack(ctx context.Context, gone *member, step *Step) error {
 	self, address := gone.self, gone.self.Address
 	if step.Manner != Restarted {
--- a/internal/testkit/conformance/run.go
+++ b/internal/testkit/conformance/run.go
@@ -1,4 +1,4 @@
-// Package conformance holds a server against the batch front's binding
+// Package conformance checks a server against the batch API's binding
 // (docs/BATCH.md), clause by clause. Each case is named and has the text of what
 // it demands, with its source: a clause of GFD.194 (DRMAA version 2) or of the
 // binding.
@@ -21,14 +21,14 @@
 	"ospreybend/drmaa/client"
 )
 
-// Config is the server and who asks.
+// Config names the server and the tenant.
 type Config struct {
 	URL, Token string
 	Only       string        // cases whose name contains it; empty: all
 	Within     time.Duration // of one case
 }
 
-// Result is what came of a case.
+// Result is the outcome of a case.
 type Result struct {
 	Name   string  `json:"name"`
 	Source string  `json:"source"`
@@ -51,7 +51,7 @@
 	run                  func(*run)
 }
 
-// run is one case under way.
+// run is one case while it runs.
 type run struct {
 	ctx     context.Context
 	config  Config
@@ -61,7 +61,7 @@
 	once    string // one whose jobs must not run twice; empty: none
 }
 
-// fault is how a case ends early.
+// fault is the panic value with which a case fails.
 type fault struct{ text string }
 
 func (t *run) fail(format string, a ...any) { panic(fault{fmt.Sprintf(format, a...)}) }
@@ -72,7 +72,10 @@
 	}
 }
 
-// Run plays the cases, each in a session of its own, which it destroys.
+// errNoClass is returned when there is no class to submit jobs of.
+var errNoClass = errors.New("the server names no class (jobCategories)")
+
+// Run runs the cases, each in a session of its own, which it destroys.
 func Run(ctx context.Context, config Config, each func(Result)) (*Report, error) {
 	if config.Within == 0 {
 		config.Within = 30 * time.Second
@@ -87,7 +90,7 @@
 		return nil, fmt.Errorf("the server does not answer as this binding's: %w", err)
 	}
 	if len(m.Categories) == 0 {
-		return nil, errors.New("the server names no class (jobCategories)")
+		return nil, errNoClass
 	}
 	first.class = m.Categories[0]
 	queues, err := cl.Queues(ctx)
@@ -150,7 +153,7 @@
 	return r
 }
 
-// answer is an answer as it came.
+// answer is a response without interpretation.
 type answer struct {
 	status int
 	header http.Header
@@ -158,7 +161,7 @@
 	fault  drmaa.Error
 }
 
-// call makes one call as it is, without the client's care.
+// call makes one call without the client's retries.
 func (t *run) call(method, path, body string) answer {
 	return t.callAs(t.config.Token, method, path, body)
 }
@@ -183,7 +186,7 @@
 	return a
 }
 
-// wantError demands an error; attribute may be empty.
+// wantError fails unless the answer is the given error; attribute may be empty.
 func (t *run) wantError(a answer, status int, name drmaa.Name, attribute string) {
 	switch {
 	case a.status != status || a.fault.Name != name:
@@ -193,17 +196,17 @@
 	}
 }
 
-// wantClientError demands an error from the client.
+// wantClientError fails unless the client returns the given error.
 func (t *run) wantClientError(err error, name drmaa.Name) {
 	if !errors.Is(err, &drmaa.Error{Name: name}) {
 		t.fail("%v, not %s", err, name)
 	}
 }
 
-// path is of the case's session.
+// path returns a path below the case's session.
 func (t *run) path(rest string) string { return "/sessions/" + t.session.Name + rest }
 
-// submitOnHold submits a job that waits for its release.
+// submitOnHold submits a job that is on hold until its release.
 func (t *run) submitOnHold() *drmaa.Job { return t.submit(drmaa.JobTemplate{SubmitAsHold: true}) }
 
 func (t *run) submit(template drmaa.JobTemplate) *drmaa.Job {
@@ -231,12 +234,12 @@
 	return j
 }
 
-// template writes a template with one attribute more.
+// template returns a job template with one more attribute.
 func (t *run) template(attribute, value string) string {
 	return fmt.Sprintf(`{"remoteCommand":%q,"submitAsHold":true,%q:%s}`, t.class, attribute, value)
 }
 
-// decode reads an answer that must be no error.
+// decode decodes an answer that must not be an error.
 func (t *run) decode(a answer, into any) {
 	if a.status >= 300 {
 		t.fail("status %d: %s", a.status, a.body)
--- a/internal/testkit/endtoend/process.go
+++ b/internal/testkit/endtoend/process.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// readyTimeout is how long a process may take to say that it is ready.
+// readyTimeout is how long a process may take to report that it is ready.
 const readyTimeout = 15 * time.Second
 
-// Process is one of the built program.
+// Process is one process of the built program.
 type Process struct {
 	Name, Zone string
 	dir        string
@@ -26,10 +26,10 @@
 	ended      chan struct{}
 	state      *os.ProcessState
 	starts     int
-	wanted     bool // it is to be up
+	wanted     bool // it should run
 }
 
-// Start starts it and waits until it says that all that it listens on answers.
+// Start starts the process and waits until it signals that all its addresses answer.
 func (p *Process) Start() error {
 	ready, tell, err := os.Pipe()
 	if err != nil {
@@ -69,13 +69,13 @@
 
 func (p *Process) log() string { return filepath.Join(p.dir, p.Name+".log") }
 
-// logTail is the end of what it has said.
+// logTail returns the end of the process's log.
 func (p *Process) logTail() string {
 	text, _ := os.ReadFile(p.log())
 	return strings.TrimSpace(string(text[max(0, len(text)-1500):]))
 }
 
-// State tells whether it runs, and whether it should.
+// State reports whether the process runs, and whether it should.
 func (p *Process) State() (runs, should bool) {
 	if p.ended == nil {
 		return false, p.wanted
@@ -88,7 +88,7 @@
 	}
 }
 
-// Kill ends it without a word.
+// Kill ends the process by SIGKILL.
 func (p *Process) Kill() error {
 	p.wanted = false
 	if runs, _ := p.State(); !runs {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Freeze has it stand still, Thaw go on.
+// Freeze stops the process until Thaw.
 func (p *Process) Freeze() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw has it go on.
+// Thaw continues a frozen process.
 func (p *Process) Thaw() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -1,6 +1,6 @@
-// Package endtoend puts the built program to the test as many processes over loopback, with
-// faults between them: a proxy on each link that drops, delays, holds and cuts, one way or
-// both; processes killed, frozen and restarted. It tells what became of every request.
+// Package endtoend tests the built program as many processes over loopback, with faults between them: a proxy on each
+// link that delays, drops and resets, in one direction or both; processes killed, frozen and restarted. It reports the
+// outcome of every request.
 package endtoend
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// maxPendingFragments is how many pieces are read ahead on a connection while its link is held.
+// maxPendingFragments is how many reads are buffered on a connection while its link is delayed.
 const maxPendingFragments = 1024
 
-// Link is how bytes fare from one end to the other.
+// Link describes what happens to bytes from one end to the other.
 type Link struct {
-	Delayed bool          // nothing arrives, and nothing is lost: it is as if the network were gone
+	Delayed bool          // nothing arrives, and nothing is lost, as in a partition
 	Delay   time.Duration // of each piece
 	Cut     bool          // connections are reset, new ones are closed at once
 }
 
-// Proxy stands between one process and another. Its address is what the first is told.
+// Proxy relays the connections of one process to another. The first is configured with its address.
 type Proxy struct {
 	From, To string // who is on its ends
 	target   string
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -18,7 +18,7 @@
 	"ospreybend/internal/testkit/loadgen"
 )
 
-// Plan is a trial.
+// Plan describes a trial.
 type Plan struct {
 	Program     string   // the built program
 	Env         []string // of its processes, besides their own
@@ -32,14 +32,14 @@
 	Dir         string  // for files; the caller's to remove
 }
 
-// Report is what a trial has found.
+// Report is the result of a trial.
 type Report struct {
 	Kind       string             `json:"kind"`
 	Seed       uint64             `json:"seed"`
 	Processes  int                `json:"processes"`
 	Violations []string           `json:"violations"`
 	Figures    map[string]float64 `json:"figures"`
-	Story      []string           `json:"story"` // what was done when
+	Story      []string           `json:"story"` // the events, each with its time
 }
 
 var zones = []string{"a", "b", "c"}
@@ -61,7 +61,7 @@
 // shares are the classes' parts of the requests.
 var shares = []float64{0.5, 0.3, 0.2}
 
-// request is what became of one.
+// request is one client request and its outcome.
 type request struct {
 	at     time.Duration // since the load's start
 	class  string
@@ -71,7 +71,7 @@
 	took   time.Duration
 }
 
-// trial is the processes of a trial and what is between them.
+// trial is the processes of a trial and the proxies between them.
 type trial struct {
 	plan        Plan
 	rng         *rand.Rand
@@ -134,7 +134,7 @@
 	return s, nil
 }
 
-// newProxy puts a proxy between two processes, or a process and a prep worker.
+// newProxy creates a proxy between two processes, or a process and a worker.
 func (s *trial) newProxy(from, to, target string) (string, error) {
 	p, err := NewProxy(from, to, target)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return p.Address(), nil
 }
 
-// prepare writes a process's files. What it is told of others are proxies of its own.
+// prepare writes a process's files. The addresses of other processes in them are proxies of its own.
 func (s *trial) prepare(plan *Process, voter uint64) error {
 	var f strings.Builder
 	fmt.Fprintf(&f, "enabled = %v\nfleet = \"trial\"\nzone = %q\n", !s.plan.Alone, plan.Zone)
@@ -183,7 +183,7 @@
 	return errors.Join(os.WriteFile(path("json"), node, 0o600), os.WriteFile(path("toml"), []byte(f.String()), 0o600))
 }
 
-// startDiscovery makes a node's own pool config: each prep worker at a proxy of the node's.
+// startDiscovery starts a node's own discovery, which lists each worker at a proxy of the node.
 func (s *trial) startDiscovery(process *Process) (string, error) {
 	d, err := fakeplatform.NewDiscovery()
 	if err != nil {
@@ -209,7 +209,7 @@
 		Nodes: nodesPerZone * len(zones), Zone: slices.Index(zones, p.Zone), Zones: zones, Kind: "demo", Classes: classes}.Config()
 }
 
-// start starts all processes, the voters first; each says when it is ready.
+// start starts all processes, the voters first; and waits until each is ready.
 func (s *trial) start() error {
 	for _, group := range [][]*Process{s.voters, s.nodes} {
 		errs := make([]error, len(group))
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// stop ends all of it.
+// stop ends all processes, proxies and fakes.
 func (s *trial) stop() {
 	for _, p := range append(append([]*Process{}, s.nodes...), s.voters...) {
 		_ = p.Kill()
@@ -246,15 +246,15 @@
 
 func (s *trial) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// note writes what is done into the story.
+// note adds an event to the story.
 func (s *trial) note(format string, a ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.story = append(s.story, fmt.Sprintf("%.2f s: ", s.elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
-// load has clients send to every node, whatever becomes of them, and returns when all
-// that they are to send has ended.
+// load has clients send to every node, whatever the outcome, and returns when all
+// their requests have ended.
 func (s *trial) load(ctx context.Context, span time.Duration) {
 	var all sync.WaitGroup
 	for i, n := range s.nodes {
@@ -272,7 +272,7 @@
 	all.Wait()
 }
 
-// setLinks sets all links between what matches, one way or both.
+// setLinks sets all links whose ends match, in both directions.
 func (s *trial) setLinks(l Link, back Link, match func(from, to string) bool) {
 	for _, p := range s.proxies {
 		if match(p.From, p.To) {
@@ -281,8 +281,8 @@
 	}
 }
 
-// value is what was asked for in a time and what of it was served within its aim, but for
-// the clients of processes that were the trouble themselves.
+// value returns the value of all requests in a time and that of those served within their latency target, but for
+// the clients of processes that were faulty themselves.
 func (s *trial) value(from, to time.Duration, spared map[string]bool) (asked, served float64) {
 	by := map[string]fakeplatform.Class{}
 	for _, c := range classes {
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// All processes in contact have left a zone within this of the order.
+	// All processes in contact evacuate a zone within this time of the command.
 	maxEvacuationTime = time.Second
 	pollInterval      = 50 * time.Millisecond
-	pollSlack         = 300 * time.Millisecond // by which a look may show an order late, on a busy machine
-	maxUnledFraction  = 0.01                   // part of all requests that a zone that fails may get for half of that time without being left
-	maxReturnTime     = 20 * time.Second       // of the trouble's end the zone takes its whole share again
+	pollSlack         = 300 * time.Millisecond // by which a poll may show a command late, on a busy machine
+	maxUnledFraction  = 0.01                   // part of all requests that a failed zone may get in the second half of its failure without an evacuation
+	maxReturnTime     = 20 * time.Second       // of the fault's end the zone takes its full share again
 )
 
-// observation is what one look at a voter has shown.
+// observation is the state of one voter at one poll.
 type observation struct {
 	at    time.Duration
 	voter string
@@ -29,7 +29,7 @@
 	leads bool
 }
 
-// Zone plays a zone that fails and comes back, with faults at processes and links beside it.
+// Zone runs a trial in which a zone fails and returns, with a second fault at a process or a link meanwhile.
 func Zone(ctx context.Context, plan Plan) (Report, error) {
 	r := Report{Kind: "zone", Seed: plan.Seed, Figures: map[string]float64{}}
 	s, err := newTrial(plan)
@@ -60,13 +60,13 @@
 	return r, nil
 }
 
-// injectFaults plays the trouble, and returns the zone that fails and the processes whose clients
-// and sends are not held against the program, as they are themselves the trouble.
+// injectFaults plays the faults. It returns the zone that fails, and the spared processes: they are faulty themselves, so
+// their clients and sends do not count against the program.
 func (s *trial) injectFaults(ctx context.Context) (bad string, spared map[string]bool) {
 	spared = map[string]bool{}
 	rng := rand.New(rand.NewPCG(s.plan.Seed, 12)) // of its own: alone or not, the faults are the same
 	bad = zones[rng.IntN(len(zones))]
-	how, beside, whose := rng.IntN(3), rng.IntN(6), rng.IntN(len(s.nodes))
+	how, second, whose := rng.IntN(3), rng.IntN(secondFaults), rng.IntN(len(s.nodes))
 	at := func(d time.Duration) bool {
 		select {
 		case <-ctx.Done():
@@ -86,84 +86,111 @@
 	}
 	switch how {
 	case 0:
-		s.note("zone %s: its prep workers are cut off, without a word", bad)
+		s.note("zone %s: its prep workers are partitioned off, without a reset", bad)
 		s.setLinks(Link{Delayed: true}, Link{Delayed: true}, toWorkers)
 	case 1:
-		s.note("zone %s: its prep workers reset all", bad)
+		s.note("zone %s: its prep workers reset all connections", bad)
 		s.setLinks(Link{Cut: true}, Link{Cut: true}, toWorkers)
 	default:
-		s.note("zone %s: what its prep workers answer does not come back", bad)
+		s.note("zone %s: the responses of its prep workers do not arrive", bad)
 		s.setLinks(Link{}, Link{Delayed: true}, toWorkers)
 	}
-	undo := s.injectSecondFault(beside, s.nodes[whose], bad, spared)
+	undo := s.injectSecondFault(second, s.nodes[whose], bad, spared)
 	if !at(s.plan.QuietBefore + s.plan.Faulty) {
 		return bad, spared
 	}
-	s.note("zone %s: its links are mended", bad)
+	s.note("zone %s: its links are healed", bad)
 	s.setLinks(Link{}, Link{}, toWorkers)
 	undo()
 	return bad, spared
 }
 
-// injectSecondFault plays a fault at a process or a link while the zone fails.
-func (s *trial) injectSecondFault(which int, node *Process, bad string, spared map[string]bool) (undo func()) {
-	undo = func() {}
-	switch which {
-	case 1:
+// Kinds of the second fault, as they are drawn. 0 is none.
+const (
+	freezeNode = 1 + iota
+	killNode
+	killLeader
+	partitionVoter
+	partitionHealthyZone
+	secondFaults // how many kinds there are, none included
+)
+
+// injectSecondFault injects a fault at a process or a link while the zone fails. undo ends it.
+func (s *trial) injectSecondFault(kind int, node *Process, bad string, spared map[string]bool) (undo func()) {
+	switch kind {
+	case freezeNode:
 		spared[node.Name] = true
-		s.note("%s stands still", node.Name)
+		s.note("%s is frozen", node.Name)
 		_ = node.Freeze()
 		return func() {
-			s.note("%s goes on", node.Name)
+			s.note("%s continues", node.Name)
 			_ = node.Thaw()
 		}
-	case 2:
+	case killNode:
 		spared[node.Name] = true
-		s.note("%s is killed", node.Name)
-		_ = node.Kill()
-		return func() { s.restart(node) }
-	case 5:
-		other := zones[0]
-		if other == bad {
-			other = zones[1]
-		}
-		s.note("%s alone does not reach the prep workers of zone %s, which is well", node.Name, other)
-		match := func(from, to string) bool { return from == node.Name && strings.HasPrefix(to, "w-"+other) }
-		s.setLinks(Link{Delayed: true}, Link{Delayed: true}, match)
-		return func() { s.setLinks(Link{}, Link{}, match) }
+		return s.kill(node, "%s is killed")
+	case partitionHealthyZone:
+		return s.partitionHealthyZone(node, bad)
 	}
 	if len(s.voters) == 0 {
-		return undo
+		return func() {}
 	}
-	switch which {
-	case 3:
-		leader := s.voters[0]
-		for _, v := range s.voters {
-			if st, err := s.client.Status(context.Background(), s.addresses[v.Name]); err == nil && st.Leader == st.Voter {
-				leader = v
-			}
-		}
-		s.note("%s, which leads, is killed", leader.Name)
-		_ = leader.Kill()
-		return func() { s.restart(leader) }
-	case 4:
-		s.note("voter of zone %s hears the others late, and they do not hear it", bad)
-		own := ""
-		for _, v := range s.voters {
-			if v.Zone == bad {
-				own = v.Name
-			}
+	switch kind {
+	case killLeader:
+		return s.kill(s.leader(), "%s, which leads, is killed")
+	case partitionVoter:
+		return s.partitionVoter(bad)
+	}
+	return func() {}
+}
+
+// kill kills a process; undo restarts it.
+func (s *trial) kill(process *Process, note string) (undo func()) {
+	s.note(note, process.Name)
+	_ = process.Kill()
+	return func() { s.restart(process) }
+}
+
+// leader returns the voter that leads, or the first one if none reports that it does.
+func (s *trial) leader() *Process {
+	leader := s.voters[0]
+	for _, voter := range s.voters {
+		if status, err := s.client.Status(context.Background(), s.addresses[voter.Name]); err == nil && status.Leader == status.Voter {
+			leader = voter
 		}
-		match := func(from, to string) bool { return from == own && strings.HasPrefix(to, "v") }
-		late := func(from, to string) bool { return to == own && strings.HasPrefix(from, "v") }
-		s.setLinks(Link{Delayed: true}, Link{}, match)
-		s.setLinks(Link{Delay: 100 * time.Millisecond}, Link{Delay: 100 * time.Millisecond}, late)
-		return func() {
-			s.setLinks(Link{}, Link{}, match)
-			s.setLinks(Link{}, Link{}, late)
+	}
+	return leader
+}
+
+// partitionHealthyZone lets one node alone not reach the workers of a zone that does not fail.
+func (s *trial) partitionHealthyZone(node *Process, bad string) (undo func()) {
+	other := zones[0]
+	if other == bad {
+		other = zones[1]
+	}
+	s.note("%s alone does not reach the prep workers of zone %s, which is healthy", node.Name, other)
+	match := func(from, to string) bool { return from == node.Name && strings.HasPrefix(to, "w-"+other) }
+	s.setLinks(Link{Delayed: true}, Link{Delayed: true}, match)
+	return func() { s.setLinks(Link{}, Link{}, match) }
+}
+
+// partitionVoter lets the failing zone's voter receive the other voters' messages late, and them none of its own.
+func (s *trial) partitionVoter(bad string) (undo func()) {
+	s.note("voter of zone %s receives from the others late, and they do not receive from it", bad)
+	own := ""
+	for _, voter := range s.voters {
+		if voter.Zone == bad {
+			own = voter.Name
 		}
 	}
-	return undo
+	outgoing := func(from, to string) bool { return from == own && strings.HasPrefix(to, "v") }
+	incoming := func(from, to string) bool { return to == own && strings.HasPrefix(from, "v") }
+	s.setLinks(Link{Delayed: true}, Link{}, outgoing)
+	s.setLinks(Link{Delay: 100 * time.Millisecond}, Link{Delay: 100 * time.Millisecond}, incoming)
+	return func() {
+		s.setLinks(Link{}, Link{}, outgoing)
+		s.setLinks(Link{}, Link{}, incoming)
+	}
 }
 
 // restart starts a process that was killed.
@@ -175,7 +202,7 @@
 	s.note("%s is up again", p.Name)
 }
 
-// poll looks at the voters again and again.
+// poll polls the voters until ctx ends.
 func (s *trial) poll(ctx context.Context) (out []observation) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -199,7 +226,7 @@
 	}
 }
 
-// noteVerdicts notes what the leader makes of the zones, and orders, as they change.
+// noteVerdicts notes the leader's verdicts on the zones, and its commands, as they change.
 func (s *trial) noteVerdicts(said map[string]string, voter string, st transport.Status) {
 	if st.Leader != st.Voter {
 		return
@@ -215,7 +242,7 @@
 	}
 }
 
-// audit holds the trial against what must be so.
+// audit checks the invariants of the trial and adds the figures.
 func (s *trial) audit(report *Report, looks []observation, bad string, spared map[string]bool) {
 	violate := func(format string, a ...any) {
 		report.Violations = append(report.Violations, fmt.Sprintf(format, a...))
@@ -240,7 +267,7 @@
 	}
 	for _, p := range append(append([]*Process{}, s.nodes...), s.voters...) {
 		if runs, should := p.State(); should && !runs {
-			violate("%s has ended by itself: %s", p.Name, p.logTail())
+			violate("%s ended unexpectedly: %s", p.Name, p.logTail())
 		}
 	}
 	if len(s.voters) > 0 {
@@ -254,8 +281,8 @@
 	report.Figures["requests"] = float64(len(s.requests))
 }
 
-// countSends counts what went to a zone's prep workers in a time, but for what came from processes
-// that were the trouble themselves.
+// countSends counts what was sent to a zone's workers in a time, but for what came from processes
+// that were faulty themselves.
 func (s *trial) countSends(zone string, spared map[string]bool, from, to time.Duration) (n int) {
 	for _, p := range s.proxies {
 		if !strings.HasPrefix(p.To, "w-"+zone) || spared[p.From] {
@@ -281,7 +308,7 @@
 		epochs[run] = l.table.Epoch
 		for _, z := range zones {
 			if o := l.table.Zone(z); z != bad && o.Phase != commands.PhaseActive {
-				violate("zone %s, which is well, is %v: %s", z, o.Phase, o.Reason)
+				violate("zone %s, which is healthy, is %v: %s", z, o.Phase, o.Reason)
 				return
 			}
 		}
@@ -299,7 +326,7 @@
 		// Where the nodes themselves soon send next to nothing there, too little is seen to leave it.
 		late := s.countSends(bad, spared, s.plan.QuietBefore+s.plan.Faulty/2, s.plan.QuietBefore+s.plan.Faulty)
 		if report.Figures["sends_unled"] = float64(late); float64(late) > maxUnledFraction*float64(len(s.requests)) {
-			violate("zone %s was never left, and %d sends went there in the second half of its failure", bad, late)
+			violate("zone %s was never evacuated, and %d sends went there in the second half of its failure", bad, late)
 		}
 		return
 	}
@@ -307,16 +334,16 @@
 		probedAt = s.elapsed()
 	}
 	report.Figures["left_after"] = (evacuatedAt - s.plan.QuietBefore).Seconds()
-	// The look that shows the end of the rest comes after it.
+	// The poll that shows the end of the evacuation comes after it.
 	sends := s.countSends(bad, spared, evacuatedAt+maxEvacuationTime, probedAt-pollSlack)
 	report.Figures["sends_to_left"] = float64(sends)
 	if sends > 0 {
-		violate("%d sends to zone %s, which was left", sends, bad)
+		violate("%d sends to zone %s, which was evacuated", sends, bad)
 	}
 	healedAt := s.plan.QuietBefore + s.plan.Faulty
 	if returnedAt > 0 {
 		report.Figures["back_after"] = (returnedAt - healedAt).Seconds()
 	} else if s.plan.After >= maxReturnTime {
-		violate("zone %s does not take its whole share %v after its links were mended", bad, s.plan.After)
+		violate("zone %s does not take its full share %v after its links were healed", bad, s.plan.After)
 	}
 }
--- a/internal/testkit/fakemodelworker/register.go
+++ b/internal/testkit/fakemodelworker/register.go
@@ -36,7 +36,7 @@
 }
 
 // Register sends a worker's heartbeats until the context ends, then announces the end. Nothing listens at the
-// worker's address. heard is told what became of each heartbeat.
+// worker's address. report is called with the outcome of each heartbeat.
 func Register(ctx context.Context, options Options, heard func(err error)) {
 	(&Worker{options: options}).register(ctx, heard)
 }
@@ -63,7 +63,7 @@
 	_ = w.call(leaving, caller, w.options.Control[at], "/-/Instances.Deregister/", nil)
 }
 
-// heartbeat is the body of the heartbeat with a sequence number.
+// heartbeat returns the body of the heartbeat with a sequence number.
 func (w *Worker) heartbeat(sequence int) []byte {
 	body := heartbeatBody{Service: w.options.Service, Address: w.options.Address, Zone: w.options.Zone, Generation: "v1",
 		Slots: w.options.Slots, State: "ready", Stage: w.options.Stage, Sequence: sequence}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// statusError is the status of a call that was refused.
+// statusError is the status of a call that was rejected.
 type statusError int
 
 func (e statusError) Error() string { return "control plane: status " + strconv.Itoa(int(e)) }
--- a/internal/testkit/fakemodelworker/worker.go
+++ b/internal/testkit/fakemodelworker/worker.go
@@ -1,5 +1,5 @@
-// Package fakemodelworker is a stand-in for a model worker: it speaks the workers' side of the protocol
-// (heartbeats, prompts read, hand-overs, event streams, orders) with simple timing and no model.
+// Package fakemodelworker is a fake model worker: it speaks the workers' side of the protocol
+// (heartbeats, prefill, hand-over of prompts, event streams, commands) with simple timing and no model.
 package fakemodelworker
 
 import (
@@ -54,13 +54,13 @@
 	PrefillRate float64       // prompt tokens read in a millisecond
 	TokenTime   time.Duration // time between two tokens
 	PlainTime   time.Duration // time of a plain request
-	Handles     *Handles      // shared by workers that hand prompts over to each other
+	Handles     *Handles      // shared by the prefill and decode workers of a fleet
 }
 
-// Counts tell what a worker has done.
+// Counts count what a worker has done.
 type Counts struct{ Prefills, Runs, Rejected, Misrouted, Deleted int64 }
 
-// Worker is one incarnation.
+// Worker is one incarnation of a fake model worker.
 type Worker struct {
 	options   Options
 	server    *httpserver.Server
@@ -72,14 +72,14 @@
 	deleted   atomic.Int64
 }
 
-// Handles are the handles that the workers of one process have given out and nobody has taken yet.
+// Handles are the prefill handles of one process's workers that no decode worker has used yet.
 type Handles struct {
 	mutex sync.Mutex
 	open  map[string]bool // by "ip:port/handle"
 	next  int
 }
 
-// create makes a handle for the worker at an address.
+// create creates a handle for the worker at an address.
 func (h *Handles) create(address string) string {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -92,7 +92,7 @@
 	return handle
 }
 
-// take removes a handle and tells whether it was there.
+// take removes a handle and reports whether it was there.
 func (h *Handles) take(handle string) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -101,7 +101,7 @@
 	return known
 }
 
-// Open returns how many handles nobody has taken or deleted.
+// Open returns how many handles are neither used nor deleted.
 func (h *Handles) Open() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -159,14 +159,14 @@
 	}
 }
 
-// reject answers that the request was not run.
+// reject answers that the request was not executed.
 func (w *Worker) reject(answer *httpserver.ResponseWriter, request *httpserver.Request, status int) {
 	fields := w.fields(request)
 	fields = append(fields, http1.HeaderField{Name: fieldNotRun, Value: "1"})
 	_ = answer.WriteResponse(status, fields, nil)
 }
 
-// fields are those of each answer.
+// fields returns the header fields of every response.
 func (w *Worker) fields(request *httpserver.Request) http1.Header {
 	fields := make(http1.Header, 0, 8)
 	fields = append(fields, http1.HeaderField{Name: fieldRequestID, Value: request.Header.Get(fieldRequestID)})
@@ -184,7 +184,7 @@
 	_ = answer.WriteResponse(statusOK, w.signed(request), []byte("done by "+w.options.ID+"\n"))
 }
 
-// prefill reads a prompt and hands out a handle.
+// prefill answers a prompt with a handle.
 func (w *Worker) prefill(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, _ := tokens(request)
 	if !pause(request.Context, w.readTime(in, 1)) {
@@ -198,7 +198,7 @@
 	_ = answer.WriteResponse(statusOK, fields, []byte(body))
 }
 
-// run streams tokens, from a handle or after reading the prompt at half the pace.
+// run streams tokens, from a handle or after a prefill of its own at half the rate.
 func (w *Worker) run(answer *httpserver.ResponseWriter, request *httpserver.Request) {
 	in, out := tokens(request)
 	if w.options.Stage != stageDecode {
@@ -239,7 +239,7 @@
 	return fields
 }
 
-// deleteHandle drops a handle.
+// deleteHandle answers a call that deletes a handle.
 func (w *Worker) deleteHandle(answer *httpserver.ResponseWriter, handle string) {
 	if !w.options.Handles.take(w.options.Address + "/" + handle) {
 		_ = answer.WriteResponse(statusNotFound, nil, nil)
@@ -249,7 +249,7 @@
 	_ = answer.WriteResponse(statusOK, nil, nil)
 }
 
-// readTime is how long a prompt takes to read, at a part of the pace.
+// readTime returns how long the prefill of a prompt takes; slower divides the rate.
 func (w *Worker) readTime(tokens, slower int) time.Duration {
 	if w.options.PrefillRate <= 0 {
 		return 0
@@ -268,7 +268,7 @@
 	return in, out
 }
 
-// pause waits and tells whether the context still stands.
+// pause waits, and reports whether the context has not ended.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testkit/fakeplatform/fleet.go
+++ b/internal/testkit/fakeplatform/fleet.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Endpoint is a worker as discovery lists it.
+// Endpoint is a worker in the endpoint list.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -23,7 +23,7 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// Discovery is the pool config: a list that nodes ask for and watch.
+// Discovery is the fake discovery service: an endpoint list that nodes read and watch.
 type Discovery struct {
 	mu          sync.Mutex
 	list        []Endpoint
@@ -47,10 +47,10 @@
 	return d, nil
 }
 
-// Address is where discovery listens.
+// Address returns the address of the service.
 func (d *Discovery) Address() string { return d.address }
 
-// Set gives the list another content. Who watches it is told.
+// Set replaces the list. Watches are notified.
 func (d *Discovery) Set(list []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,10 +69,10 @@
 	d.changed = make(chan struct{})
 }
 
-// Rejected counts the calls that have had a 503.
+// Rejected returns how many calls were answered with 503.
 func (d *Discovery) Rejected() int { d.mu.Lock(); defer d.mu.Unlock(); return d.rejected }
 
-// Stop ends discovery.
+// Stop stops the service.
 func (d *Discovery) Stop() { _ = d.server.Close() }
 
 func (d *Discovery) serve(out http.ResponseWriter, in *http.Request) {
@@ -103,7 +103,7 @@
 	_ = json.NewEncoder(out).Encode(map[string]any{"index": d.index, "snapshot": true, "endpoints": d.list})
 }
 
-// Fleet is some workers and discovery that lists them.
+// Fleet is a number of fake workers and the discovery service that lists them.
 type Fleet struct {
 	Discovery *Discovery
 	Workers   []*Worker
@@ -131,7 +131,7 @@
 	return f, nil
 }
 
-// List has discovery tell the workers as they are.
+// List updates the endpoint list from the state of the workers.
 func (f *Fleet) List() {
 	var list []Endpoint
 	for _, w := range f.Workers {
@@ -144,7 +144,7 @@
 	f.Discovery.Set(list)
 }
 
-// Drain has discovery list a worker as draining, or as ready again.
+// Drain lists a worker as draining, or as ready again.
 func (f *Fleet) Drain(w *Worker, on bool) {
 	f.draining[w.Name] = on
 	f.List()
@@ -161,7 +161,7 @@
 	return out
 }
 
-// Stop ends all of it.
+// Stop stops the workers and discovery.
 func (f *Fleet) Stop() {
 	for _, w := range f.Workers {
 		w.Vanish()
@@ -169,14 +169,17 @@
 	f.Discovery.Stop()
 }
 
-// WaitUntil waits until something is so, for at most the given time.
+// errWaitTimeout is returned by WaitUntil when the condition was not met in time.
+var errWaitTimeout = errors.New("the condition was not met in time")
+
+// WaitUntil waits until f returns true, for at most the given time.
 func WaitUntil(ctx context.Context, within time.Duration, f func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for !f() {
 		select {
 		case <-ctx.Done():
-			return errors.New("what was waited for has not come in time")
+			return errWaitTimeout
 		case <-time.After(time.Millisecond):
 		}
 	}
--- a/internal/testkit/fakeplatform/node.go
+++ b/internal/testkit/fakeplatform/node.go
@@ -17,7 +17,7 @@
 	Effect  string
 }
 
-// Node is what a node among stand-ins is told.
+// Node describes the configuration of a node among fakes.
 type Node struct {
 	Name, Listen, Discovery, Seed string
 	MemoryMB                      int
@@ -27,7 +27,7 @@
 	Classes                       []Class
 }
 
-// Config writes a node's configuration as the platform would, with generous limits.
+// Config returns a node's configuration file as the platform writes it, with generous limits.
 func (n Node) Config() ([]byte, error) {
 	var grades []any
 	for _, g := range n.Classes {
--- a/internal/testkit/fakeplatform/worker.go
+++ b/internal/testkit/fakeplatform/worker.go
@@ -1,6 +1,5 @@
-// Package fakeplatform stands in for what surrounds a node, on loopback and by the
-// platform's published protocol: prep workers and discovery, each scripted to be
-// slow, silent, failing, vanishing and coming back, or dying between two bytes.
+// Package fakeplatform fakes a node's surroundings on loopback, by the platform's published protocol: prep workers and
+// discovery, each scripted to be slow, silent, failing, vanishing and returning, or dying between two bytes.
 // It serves tests, demonstrations and measurements, never a node.
 package fakeplatform
 
@@ -20,13 +19,13 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Job is a request as a worker gets it.
+// Job is a request as a worker receives it.
 type Job struct {
 	ID       string // Req-Id
 	Class    string
 	Path     string
 	Body     []byte
-	Deadline time.Duration // 0: none told
+	Deadline time.Duration // 0: none given
 }
 
 // Kind is what a worker does with a job.
@@ -35,20 +34,20 @@
 // The kinds.
 const (
 	Serve    Kind = iota
-	Fail          // starts, runs and says that it failed
-	GiveBack      // gives it back unstarted
+	Fail          // starts, runs and reports a failure
+	GiveBack      // returns it without starting it
 	Reject        // answers 400
-	Silent        // takes it and says nothing
-	Hang          // says that it started, and nothing more
+	Silent        // accepts it and sends nothing
+	Hang          // reports the start, and nothing more
 	Cut           // ends the connection after so many bytes of the answer
 )
 
-// Act is a worker's part in one job.
+// Act is what a worker does with one job.
 type Act struct {
 	Kind  Kind
 	Run   time.Duration
 	Slots float64 // 0: one
-	Bytes int     // of the answer, for Cut; the start is told before them
+	Bytes int     // of the answer, for Cut; the start is reported before them
 }
 
 // Script decides what a worker does with a job. It may be called by several
@@ -71,18 +70,18 @@
 	queueCapacity *semaphore.Weighted
 	waiting       int
 	used          float64
-	begun         map[string]int // starts by Req-Id, the try's number cut off
+	begun         map[string]int // starts by Req-Id without the number of the attempt
 	received      int
 	served        int
 	busy          time.Duration // slot time
 }
 
-// NewWorker makes a worker; Start opens it.
+// NewWorker creates a worker; Start has it listen.
 func NewWorker(name string, slots int, script Script) *Worker {
 	return &Worker{Name: name, Slots: slots, script: script, queueCapacity: semaphore.NewWeighted(int64(slots)), begun: map[string]int{}}
 }
 
-// Start opens the worker, at its old address where it had one.
+// Start has the worker listen, at its former address if it had one.
 func (w *Worker) Start() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,11 +99,11 @@
 	return nil
 }
 
-// Address is where the worker listens.
+// Address returns the worker's address.
 func (w *Worker) Address() string { w.mu.Lock(); defer w.mu.Unlock(); return w.address }
 
 // Vanish ends the worker as a crash would: its connections break, what it runs is
-// lost. Start brings it back.
+// lost. Start restarts it.
 func (w *Worker) Vanish() {
 	w.mu.Lock()
 	s := w.server
@@ -115,22 +114,20 @@
 	}
 }
 
-// SetScript gives the worker another script.
+// SetScript replaces the worker's script.
 func (w *Worker) SetScript(s Script) { w.mu.Lock(); w.script = s; w.mu.Unlock() }
 
-// Begun returns how often each job was begun. Jobs of the batch front go by
-// their id, without the number of the try.
+// Begun returns how often each job was begun. Jobs of the batch API count by their ID, without the number of the attempt.
 func (w *Worker) Begun() map[string]int { w.mu.Lock(); defer w.mu.Unlock(); return maps.Clone(w.begun) }
 
-// Totals returns how many jobs came and how many were served, and the slot time
-// that they took.
+// Totals returns how many jobs arrived, how many were served, and the slot time that they took.
 func (w *Worker) Totals() (came, served int, busy time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.received, w.served, w.busy
 }
 
-// BaseID cuts the try's number off the batch front's Req-Ids.
+// BaseID removes the number of the attempt from a Req-Id of the batch API.
 func BaseID(id string) string {
 	if at := strings.LastIndexByte(id, '-'); at > 0 {
 		return id[:at]
@@ -138,10 +135,17 @@
 	return id
 }
 
-func (w *Worker) load() map[string]any {
+// loadReport is a worker's load in its responses.
+type loadReport struct {
+	Queue     int     `json:"queue"`
+	FreeSlots float64 `json:"x0"`
+}
+
+// load returns the present load.
+func (w *Worker) load() loadReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return map[string]any{"queue": w.waiting, "x0": float64(w.Slots) - w.used}
+	return loadReport{Queue: w.waiting, FreeSlots: float64(w.Slots) - w.used}
 }
 
 func (w *Worker) serve(out http.ResponseWriter, in *http.Request) {
@@ -238,7 +242,7 @@
 	w.mu.Unlock()
 }
 
-// cut sends so many bytes of a last line and breaks the connection.
+// cut sends the first bytes of a last line and resets the connection.
 func (w *Worker) cut(out http.ResponseWriter, bytes int) {
 	conn, _, err := out.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/testkit/loadgen/load.go
+++ b/internal/testkit/loadgen/load.go
@@ -1,7 +1,7 @@
 // Package loadgen sends requests to a platform front as its clients do, open-loop:
-// each is sent at its intended time, whatever became of those before, and its
+// each is sent at its intended time, whatever the outcome of the earlier ones, and its
 // latency counts from that time, so that a stalled server cannot hide the
-// requests that it held up (coordinated omission).
+// requests that it delayed (coordinated omission).
 package loadgen
 
 import (
@@ -26,7 +26,7 @@
 	Within time.Duration // Req-Deadline
 }
 
-// Config is a load.
+// Config describes a load.
 type Config struct {
 	URL     string // of the platform front
 	Rate    float64
@@ -34,12 +34,12 @@
 	Seed    uint64
 	Classes []Class
 	Prefix  string // of the Req-Ids
-	// OnResponse is told of every request as it ends: when it was to be sent, its class, the answer's
-	// status, 0 where there was none, and how long it took. nil: nobody asks.
+	// OnResponse is called for every request as it ends, with its intended time, its class, the
+	// response's status (0: none) and how long it took. It may be nil.
 	OnResponse func(at time.Duration, class *Class, id string, status int, took time.Duration)
 }
 
-// Result is what became of a load.
+// Result counts the outcomes of a load.
 type Result struct {
 	Sent, Served, WithinTarget, Refused, Failed, Broken int
 	Latency                                             *hdrhistogram.Histogram // microseconds, of served ones
@@ -60,7 +60,7 @@
 	id    string
 }
 
-// plan draws the arrivals: a Poisson stream, the same for a seed.
+// plan draws the arrivals, a Poisson process that depends on the seed alone.
 func (c *Config) plan() (out []arrival) {
 	rng := rand.New(rand.NewPCG(c.Seed, 7))
 	for at := time.Duration(0); ; {
@@ -128,7 +128,7 @@
 	return out
 }
 
-// send returns the answer's status, or 0 where there was none.
+// send returns the response's status, or 0 if there was none.
 func send(ctx context.Context, client *http.Client, url string, s arrival) int {
 	in, err := http.NewRequestWithContext(ctx, "POST", url+"/"+s.class.Name, strings.NewReader("model"))
 	if err != nil {
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -21,7 +21,7 @@
 	portFront     = 21144
 	portReadiness = 21140
 	portControl   = 21146
-	PortWorker    = 21080 // of stand-in workers
+	PortWorker    = 21080 // of fake workers
 )
 
 // Networks (third byte of the address) by class of machine.
@@ -37,19 +37,19 @@
 	hostsPerNetwork = 250
 	maxServers      = 16
 	maxEdges        = 16
-	maxSeeds        = 3 // of the keepers' addresses in the settings
+	maxSeeds        = 3 // of the servers' addresses in the settings
 )
 
-// Layout says how large a fleet is and how it is run.
+// Layout describes the size of a fleet and how its processes run.
 type Layout struct {
 	Binary    string // the fleet's program
 	Directory string // settings files and data go below it
 	Servers   int
 	Edges     int // machines with a proxy and an agent each
 	LogLevel  string
-	Tolerance int // keepers that may be lost at once; 0: as many as leave a majority
+	Tolerance int // servers that may be lost at once; 0: as many as leave a majority
 	Cores     int // that a process may use; 0: all of the machine's
-	MemoryMb  int // that a process is told to have; 0: the settings' default
+	MemoryMb  int // in a process's settings; 0: the settings' default
 }
 
 // Fleet is a running fleet.
@@ -61,10 +61,13 @@
 	relays    []*relay
 }
 
-// New prepares a fleet; nothing runs yet. StopAll gives back what it has reserved.
+// ErrLayout is wrapped by the error of New for a layout that cannot be run.
+var ErrLayout = eris.New("invalid layout of a local fleet")
+
+// New prepares a fleet; nothing runs yet. StopAll releases its addresses.
 func New(layout Layout) (*Fleet, error) {
 	if layout.Servers < 1 || layout.Servers > maxServers || layout.Edges < 0 || layout.Edges > maxEdges {
-		return nil, eris.Errorf("a local fleet has 1 to %d keepers and at most %d edges", maxServers, maxEdges)
+		return nil, eris.Wrapf(ErrLayout, "%d servers of 1 to %d, %d edges of at most %d", layout.Servers, maxServers, layout.Edges, maxEdges)
 	}
 	reserved, err := reserve()
 	if err != nil {
@@ -80,7 +83,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", f.addresses.network(), network, host+1)
 }
 
-// Control returns the control addresses of all keepers.
+// Control returns the control addresses of all servers.
 func (f *Fleet) Control() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
@@ -89,17 +92,17 @@
 	return addresses
 }
 
-// Front returns the address that the i-th edge's proxy takes clients at.
+// Front returns the address at which the i-th edge's proxy accepts clients.
 func (f *Fleet) Front(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portFront)
 }
 
-// Readiness returns the address that the i-th edge's proxy tells its readiness at.
+// Readiness returns the address of the i-th edge's readiness check.
 func (f *Fleet) Readiness(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkEdges, i), portReadiness)
 }
 
-// Worker returns the address for the i-th stand-in worker.
+// Worker returns the address for the i-th fake worker.
 func (f *Fleet) Worker(i int) string {
 	return fmt.Sprintf("%s:%d", f.address(networkWorkers+i/hostsPerNetwork, i%hostsPerNetwork), PortWorker)
 }
@@ -112,10 +115,10 @@
 // EdgeIP returns the IP of the i-th edge.
 func (f *Fleet) EdgeIP(i int) string { return f.address(networkEdges, i) }
 
-// PortRange is the one of the keepers and of the first edge.
+// PortRange returns the port range of the servers and of the first edge.
 func (f *Fleet) PortRange() [2]int { return f.addresses.ports(0) }
 
-// Peers returns the addresses that keepers take each other and agents at.
+// Peers returns the addresses at which servers accept each other and agents.
 func (f *Fleet) Peers() []string {
 	addresses := make([]string, f.layout.Servers)
 	for i := range addresses {
@@ -124,7 +127,7 @@
 	return addresses
 }
 
-// StartServer starts the i-th keeper. bootstrap is true at the fleet's first start only.
+// StartServer starts the i-th server. bootstrap is true at the fleet's first start only.
 func (f *Fleet) StartServer(i int, bootstrap bool) (*Process, error) {
 	settings := f.baseSettings(networkServers, i, roleControlPlane, bootstrap)
 	settings.Listen.Control = fmt.Sprintf("%s:%d", settings.IP, portControl)
@@ -133,12 +136,12 @@
 	return f.start(settings)
 }
 
-// WipeServer removes what the i-th keeper, which must have ended, has on its disk.
+// WipeServer removes what the i-th server, which must have ended, has on its disk.
 func (f *Fleet) WipeServer(i int) error {
 	return eris.Wrap(os.RemoveAll(f.dataDirectory(i)), "wipe")
 }
 
-// dataDirectory is where the i-th keeper has its disk.
+// dataDirectory returns the data directory of the i-th server.
 func (f *Fleet) dataDirectory(i int) string {
 	return filepath.Join(f.layout.Directory, nodeName(networkServers, i), "data")
 }
--- a/internal/testkit/localfleet/link.go
+++ b/internal/testkit/localfleet/link.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Link is what a relay does to what it carries. The zero value passes all on at once.
+// Link describes the delay and loss of a relay. The zero value forwards at once.
 //
-// Loss is played as TCP shows it: the bytes come, later. A lost segment holds up all that follows for a
+// Loss shows as it does to users of TCP: the bytes arrive later. A lost segment delays all that follows for a
 // retransmission time-out beside the delay.
 type Link struct {
 	Delay time.Duration // one way
@@ -18,16 +18,16 @@
 const (
 	segmentBytes         = 1448
 	minRetransmitTimeout = 200 * time.Millisecond
-	linkQueue            = 256 // segments under way
+	linkQueue            = 256 // segments in flight
 )
 
-// segment is what is under way.
+// segment is a chunk of bytes in flight.
 type segment struct {
 	data []byte
 	due  time.Time
 }
 
-// copyBytes passes bytes on in their order until either connection ends.
+// copyBytes forwards bytes in order until either connection ends.
 func (l Link) copyBytes(to, from net.Conn) {
 	queue := make(chan segment, linkQueue)
 	ended := make(chan struct{})
@@ -52,7 +52,7 @@
 	}
 }
 
-// arrival says when a segment that is sent now comes.
+// arrival returns when a segment that is sent now arrives.
 func (l Link) arrival(now time.Time) time.Time {
 	at := now.Add(l.Delay)
 	for l.Loss > 0 && rand.Float64() < l.Loss {
--- a/internal/testkit/localfleet/mixed_versions_test.go
+++ b/internal/testkit/localfleet/mixed_versions_test.go
@@ -50,7 +50,7 @@
 	if err := os.WriteFile(launcher, fmt.Appendf(nil, launcherText, earlier), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	fleet, err := localfleet.New(localfleet.Layout{Binary: launcher, Directory: directory, Servers: keepers, Edges: edges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: launcher, Directory: directory, Servers: serverCount, Edges: edges})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 
 // complete reports whether each server runs its program, has all three as voters of each shard, and is current.
 func (m *mixedFleet) complete() bool {
-	for server := range keepers {
+	for server := range serverCount {
 		if !m.runsAssigned(server) {
 			return false
 		}
@@ -98,7 +98,7 @@
 			return false
 		}
 		for _, shard := range status.Shards {
-			if !shard.Current || len(shard.Members) != keepers {
+			if !shard.Current || len(shard.Members) != serverCount {
 				return false
 			}
 			for _, member := range shard.Members {
@@ -132,7 +132,7 @@
 		}
 	}
 	m.await(step+": the proxies answer on the new route", m.answers("/"+route+"/", http.StatusOK))
-	m.Logf("%s: generation %d read from %d servers, answered by %d proxies", step, m.generation, keepers, edges)
+	m.Logf("%s: generation %d read from %d servers, answered by %d proxies", step, m.generation, serverCount, edges)
 }
 
 // change stops a server and starts it with another program on the same disk.
@@ -157,7 +157,7 @@
 	m := newMixedFleet(t, earlier)
 	m.assign(serverMachine(0), earlier)
 	m.assign(edgeMachine(0), earlier)
-	for server := 1; server < keepers; server++ {
+	for server := 1; server < serverCount; server++ {
 		m.assign(serverMachine(server), binary)
 	}
 	m.assign(edgeMachine(1), binary)
@@ -170,11 +170,11 @@
 	m.check("one earlier server beside two")
 	m.change(0, binary)
 	m.check("all servers of this version")
-	for server := range keepers {
+	for server := range serverCount {
 		m.change(server, earlier)
 		m.check(fmt.Sprintf("servers up to %d back", server))
 	}
-	for server := range keepers {
+	for server := range serverCount {
 		m.change(server, binary)
 		m.check(fmt.Sprintf("servers up to %d of this version again", server))
 	}
--- a/internal/testkit/localfleet/operator.go
+++ b/internal/testkit/localfleet/operator.go
@@ -23,15 +23,15 @@
 	statusServerError = 500 // and above
 )
 
-// Operator makes calls of the operator's API as the protocol has it: a call without a clear answer is sent
-// again, unchanged, to the next keeper.
+// Operator calls the operators' API as the protocol demands: a call without a final answer is sent
+// again, unchanged, to the next server.
 type Operator struct {
 	pool    *upstream.Pool
 	control []string
 	next    atomic.Uint64
 }
 
-// NewOperator makes an operator that knows some control addresses.
+// NewOperator returns an operator that calls the given control addresses.
 func NewOperator(control []string) *Operator {
 	return &Operator{pool: upstream.New(upstream.Options{}), control: control}
 }
@@ -39,21 +39,22 @@
 // Close closes the operator's connections.
 func (o *Operator) Close() { o.pool.Close() }
 
-// RejectedError is the answer to a call that was understood and refused.
+// RejectedError is the answer to a call that was understood and rejected.
 type RejectedError struct {
 	Status int
 	Body   string
 }
 
-func (e RejectedError) Error() string { return "refused: " + strconv.Itoa(e.Status) + " " + e.Body }
+// Error implements error.
+func (e RejectedError) Error() string { return "rejected: " + strconv.Itoa(e.Status) + " " + e.Body }
 
-// Replace sends a whole configuration until it is accepted or refused, or the context ends.
+// Replace sends a complete configuration until it is accepted or rejected, or the context ends.
 func (o *Operator) Replace(ctx context.Context, base uint64, body []byte) error {
 	_, err := o.call(ctx, "POST", "/-/Config.Replace", base, body)
 	return err
 }
 
-// Update sends a change of the configuration until it is accepted or refused, or the context ends.
+// Update sends a change of the configuration until it is accepted or rejected, or the context ends.
 func (o *Operator) Update(ctx context.Context, base uint64, body []byte) error {
 	_, err := o.call(ctx, "POST", "/-/Config.Update", base, body)
 	return err
@@ -64,7 +65,7 @@
 	return o.call(ctx, "GET", "/-/Config.Read", 0, nil)
 }
 
-// call tries one keeper after the other.
+// call tries one server after the other.
 func (o *Operator) call(ctx context.Context, method, target string, base uint64, body []byte) ([]byte, error) {
 	for {
 		address := o.control[o.next.Load()%uint64(len(o.control))]
@@ -77,7 +78,7 @@
 		}
 		o.next.Add(1)
 		if !pause(ctx, operatorRetryPause) {
-			return nil, eris.Wrap(ctx.Err(), "no keeper has answered clearly")
+			return nil, eris.Wrap(ctx.Err(), "no final answer from a server")
 		}
 	}
 }
@@ -95,7 +96,7 @@
 	return response, nil
 }
 
-// pause waits and tells whether the context still stands.
+// pause waits, and reports whether the context has not ended.
 func pause(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/testkit/localfleet/process.go
+++ b/internal/testkit/localfleet/process.go
@@ -16,6 +16,9 @@
 // stopTimeout is the time between SIGTERM and SIGKILL.
 const stopTimeout = 12 * time.Second
 
+// errStopTimeout is returned by Stop for a process that had to be killed.
+var errStopTimeout = eris.New("process did not end after SIGTERM")
+
 // Process is one running child.
 type Process struct {
 	Role    string
@@ -26,7 +29,7 @@
 	err     error
 }
 
-// watch remembers a process and waits for its end.
+// watch records a process and waits for its end.
 func (f *Fleet) watch(s bootconfig.Settings, command *exec.Cmd) *Process {
 	process := &Process{Role: s.Role, Node: s.NodeName, Address: s.IP, command: command, done: make(chan struct{})}
 	f.mutex.Lock()
@@ -50,7 +53,7 @@
 	return all
 }
 
-// Server returns the process of the i-th keeper that was started last, or nil.
+// Server returns the process of the i-th server that was started last, or nil.
 func (f *Fleet) Server(i int) *Process { return f.process(roleControlPlane, networkServers, i) }
 
 // Agent returns the agent of the i-th edge that was started last, or nil.
@@ -81,12 +84,12 @@
 	case <-p.done:
 	case <-time.After(stopTimeout):
 		p.Kill()
-		return eris.Errorf("%s did not end within %s of SIGTERM", p.Role, stopTimeout)
+		return eris.Wrapf(errStopTimeout, "%s within %s", p.Role, stopTimeout)
 	}
 	return p.err
 }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -102,7 +105,7 @@
 // Done is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// StopAll ends all processes at once and gives back what the fleet has reserved.
+// StopAll ends all processes at once and releases the fleet's addresses.
 func (f *Fleet) StopAll() {
 	f.endAll(func(process *Process) { _ = process.Stop() })
 }
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// Listens tells whether something accepts connections at an address.
+// Listens reports whether something accepts connections at an address.
 func Listens(address string) bool {
 	connection, err := net.DialTimeout("tcp4", address, time.Second)
 	if err != nil {
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// relay takes connections at one address and passes their bytes on to another. Agents look for keepers at
+// relay accepts connections at one address and forwards their bytes to another. Agents look for servers at
 // the first port of their own range, which in a local fleet differs from edge to edge.
 //
 // Datagrams are not relayed: edges but the first one of a local fleet get no answers to their probes (such findings
@@ -23,7 +23,7 @@
 	open   map[net.Conn]struct{}
 }
 
-// openRelays makes the keepers reachable at the port where the i-th edge looks for them.
+// openRelays makes the servers reachable at the port where the i-th edge looks for them.
 func (f *Fleet) openRelays(edge int) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return false
 }
 
-// SlowPeers makes the keepers reachable over a slow link and returns the address of each by its own.
+// SlowPeers makes the servers reachable over a slow link and returns the address of each by its own.
 func (f *Fleet) SlowPeers(link Link) (map[string]string, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -78,7 +78,7 @@
 func newRelay(address, target string, link Link) (*relay, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, eris.Wrap(err, "relay to a keeper")
+		return nil, eris.Wrap(err, "relay to a server")
 	}
 	r := &relay{listener: listener, target: target, link: link, open: map[net.Conn]struct{}{}}
 	go r.accept()
@@ -119,7 +119,7 @@
 	<-ended
 }
 
-// add tells whether the relay is still open.
+// add records a connection and reports whether the relay is still open.
 func (r *relay) add(connection net.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/testkit/localfleet/whole_program_test.go
+++ b/internal/testkit/localfleet/whole_program_test.go
@@ -21,7 +21,7 @@
 const (
 	poll        = 20 * time.Millisecond
 	testLimit   = 40 * time.Second
-	keepers     = 3
+	serverCount = 3
 	edges       = 2
 	hostOfTests = "whole.example"
 )
@@ -57,7 +57,7 @@
 // newRig starts a whole fleet; the test's end kills what still runs.
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: keepers, Edges: edges})
+	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: serverCount, Edges: edges})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// worker starts a stand-in worker of a service.
+// worker starts a fake worker of a service.
 func (r *rig) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
 	r.Helper()
 	options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
@@ -160,7 +160,7 @@
 	return http.DefaultTransport.RoundTrip(request)
 }
 
-// answers tells whether each proxy answers on a route with a status.
+// answers reports whether each proxy answers on a route with a status.
 func (r *rig) answers(path string, status int) func() bool {
 	return func() bool {
 		for edge := range edges {
@@ -178,8 +178,8 @@
 	}
 }
 
-// keeperStatus is what the tests read of a keeper's report.
-type keeperStatus struct {
+// serverStatus is the part of a server's status that the tests read.
+type serverStatus struct {
 	Member string
 	Shards []struct {
 		Shard   int
@@ -191,17 +191,17 @@
 	}
 }
 
-func (r *rig) status(keeper int) (status keeperStatus, ok bool) {
-	response, err := r.operator.Ask(r.ctx, r.fleet.Control()[keeper], "GET", "/-/status", 0, nil)
+func (r *rig) status(server int) (status serverStatus, ok bool) {
+	response, err := r.operator.Ask(r.ctx, r.fleet.Control()[server], "GET", "/-/status", 0, nil)
 	if err != nil || response.Status != http.StatusOK {
 		return status, false
 	}
 	return status, json.Unmarshal(response.Body, &status) == nil
 }
 
-// votes tells whether a keeper is a current voter of all groups that have exactly the wanted members.
-func (r *rig) votes(keeper int) bool {
-	status, ok := r.status(keeper)
+// votes reports whether a server is a current voter of all groups that have exactly the wanted members.
+func (r *rig) votes(server int) bool {
+	status, ok := r.status(server)
 	if !ok || len(status.Shards) == 0 {
 		return false
 	}
@@ -210,14 +210,14 @@
 		for _, member := range shard.Members {
 			votes = votes || member.Member == status.Member && member.Voter
 		}
-		if !votes || !shard.Current || len(shard.Members) != keepers {
+		if !votes || !shard.Current || len(shard.Members) != serverCount {
 			return false
 		}
 	}
 	return true
 }
 
-func TestConfigurationOutlivesKeepers(t *testing.T) {
+func TestFleet_configurationOutlivesServers(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.worker(0, "store", 0)
@@ -226,14 +226,14 @@
 
 	r.fleet.Server(0).Kill()
 	r.update(1, addRoute(2, "second"))
-	r.await("a change taken without one keeper", r.answers("/second/x", http.StatusOK))
+	r.await("a change accepted without one server", r.answers("/second/x", http.StatusOK))
 
-	r.restartAllKeepers()
+	r.restartAllServers()
 	if got := r.generation(); got != 2 {
-		t.Fatalf("read back after all keepers were killed: generation %d, want 2", got)
+		t.Fatalf("read back after all servers were killed: generation %d, want 2", got)
 	}
 	r.replaceDisk(1)
-	r.fleet.Server(2).Kill() // what is acknowledged now needs the keeper with the new disk
+	r.fleet.Server(2).Kill() // what is acknowledged now needs the server with the new disk
 	r.update(2, addRoute(3, "third"))
 	r.await("a change taken with the new disk's vote", r.answers("/third/x", http.StatusOK))
 	if got := r.generation(); got != 3 {
@@ -241,37 +241,37 @@
 	}
 }
 
-// restartAllKeepers kills all keepers before any starts again.
-func (r *rig) restartAllKeepers() {
+// restartAllServers kills all servers before any starts again.
+func (r *rig) restartAllServers() {
 	r.Helper()
-	for i := range keepers {
+	for i := range serverCount {
 		r.fleet.Server(i).Kill()
 	}
-	for i := range keepers {
+	for i := range serverCount {
 		if _, err := r.fleet.StartServer(i, false); err != nil {
 			r.Fatal(err)
 		}
 	}
 }
 
-// replaceDisk kills a keeper, removes its disk and has it join again.
-func (r *rig) replaceDisk(keeper int) {
+// replaceDisk kills a server, removes its disk and has it join again.
+func (r *rig) replaceDisk(server int) {
 	r.Helper()
-	before, _ := r.status(keeper)
-	r.fleet.Server(keeper).Kill()
-	if err := r.fleet.WipeServer(keeper); err != nil {
+	before, _ := r.status(server)
+	r.fleet.Server(server).Kill()
+	if err := r.fleet.WipeServer(server); err != nil {
 		r.Fatal(err)
 	}
-	if _, err := r.fleet.StartServer(keeper, false); err != nil {
+	if _, err := r.fleet.StartServer(server, false); err != nil {
 		r.Fatal(err)
 	}
-	r.await("a keeper with an empty disk to be a voter again", func() bool { return r.votes(keeper) })
-	if after, ok := r.status(keeper); ok && after.Member == before.Member {
-		r.Errorf("the keeper that lost its disk is still member %s", after.Member)
+	r.await("a server with an empty disk to be a voter again", func() bool { return r.votes(server) })
+	if after, ok := r.status(server); ok && after.Member == before.Member {
+		r.Errorf("the server that lost its disk is still member %s", after.Member)
 	}
 }
 
-func TestProxyServesWithoutItsAgentAndThenHearsOfChanges(t *testing.T) {
+func TestFleet_proxyServesWithoutItsAgent(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.worker(0, "store", 0)
@@ -284,7 +284,7 @@
 		t.Error("a proxy without its agent does not serve")
 	}
 	r.update(1, addRoute(2, "second"))
-	// Without an agent nobody knows whether there is such a route by now, and 404 would say that there is none.
+	// Without an agent nobody knows whether there is such a route by now, and 404 would report that there is none.
 	if !r.answers("/second/x", http.StatusServiceUnavailable)() {
 		t.Error("a change has come without an agent, or is denied: the proxies do not read from their own agents")
 	}
@@ -297,7 +297,7 @@
 	r.await("a route that there is not, after the agents are back", r.answers("/third/x", http.StatusNotFound))
 }
 
-func TestStreamIsCompletedAfterSIGTERM(t *testing.T) {
+func TestFleet_streamCompletesAfterSIGTERM(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.worker(0, "model", 60*time.Millisecond)
--- a/internal/testkit/nodesim/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -2,8 +2,8 @@
 // the real decisions, on one clock, against models of prep workers, clients, the network
 // and the list. The same day gives the same result.
 //
-// It is a model, not the bench: what it tells is which of two versions does better on the
-// same hundred days, and what the fleet does as a sum. Every parameter stands in Day.
+// It is a model, not a benchmark: it shows which of two versions does better on the same hundred days, and what the
+// fleet does as a sum. All parameters are in Day.
 package nodesim
 
 import (
@@ -15,7 +15,7 @@
 	"ospreybend/balance"
 )
 
-// Range is the least and the most of a figure that is drawn evenly.
+// Range is the range of a parameter that is drawn uniformly.
 type Range struct{ Min, Max float64 }
 
 func (s Range) draw(r *rand.Rand) float64 { return s.Min + (s.Max-s.Min)*r.Float64() }
@@ -31,12 +31,12 @@
 	Speed        Range   // of a core; each worker's own is drawn
 	SlotsPerCore Range   // with more slots than cores, jobs share the cores
 	QueuePerCore Range   // jobs that wait at most
-	WarmUpFloor  Range   // part of its capacity that a cold one has
+	WarmUpFloor  Range   // part of its capacity that a warming worker has
 	WarmUpTime   Range   // seconds in which it is warm at the latest
 	Errors       float64 // part of its jobs that fail on any day
 }
 
-// Class is a class of operations; balance.Settings says what it is worth.
+// Class is a class of operations; balance.Settings has its value.
 type Class struct {
 	Share float64
 	Work  float64   // mean running time at speed 1, seconds
@@ -44,7 +44,7 @@
 	Slots []float64 // shares of jobs that take 1, 2, 4 ... slots
 }
 
-// Goal is what a day's figure is made of.
+// Goal has the weights of a day's score.
 type Goal struct{ Day, WorstWindow, WorstClass float64 }
 
 // Replace is a release: a part of the workers drains in steps, successors start cold.
@@ -55,10 +55,10 @@
 	Drain      Range // seconds until what still runs is killed
 }
 
-// Loss is a part of the workers that falls silent and comes back cold.
+// Loss is a part of the workers that becomes unreachable and returns with a cold cache.
 type Loss struct{ At, For, Share float64 }
 
-// Kill is a part of the nodes that dies at once and starts from nothing.
+// Kill is a part of the nodes that dies at once and restarts without state.
 type Kill struct{ At, Down, Share float64 }
 
 // Day describes one day. What is drawn for it comes from Seed alone.
@@ -96,8 +96,8 @@
 	HandshakePrice float64 // part of the price of a handshake that each new connection counts
 }
 
-// check names the first parameter with which no day can be played: without workers, or with
-// no load, operations would come all at once or never.
+// check returns an error that names the first invalid parameter: without workers or load, operations would arrive all at
+// once or never.
 func (d Day) check() error {
 	for _, c := range []struct {
 		name string
--- a/internal/testkit/nodesim/emulator_test.go
+++ b/internal/testkit/nodesim/emulator_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A day that cannot be played is turned away by the name of what is wrong, not played for ever.
+// An invalid day is rejected with the name of the parameter.
 func TestPlay_invalidDay(t *testing.T) {
 	for name, spoil := range map[string]func(*Day){"nodes": func(d *Day) { d.Nodes = 0 }, "workers": func(d *Day) { d.Workers = -1 },
 		"load": func(d *Day) { d.Load = math.NaN() }, "length": func(d *Day) { d.Length = math.Inf(1) }, "classes": func(d *Day) { d.Classes = nil }} {
@@ -54,9 +54,9 @@
 	}
 }
 
-// Six in ten prep workers are replaced within 7 s, and all nodes see the cold ones at once: what
+// Six in ten prep workers are replaced within 7 s, and all nodes are notified of the warming workers at once: what
 // the sum of them sends to any stays within what it bears, with seven in ten nodes killed and
-// started anew amid it as without, and with the list late by as long as it may be.
+// started again meanwhile as without, and with the list late by as long as it may be.
 func TestPlay_warmingWorkersNotOverloaded(t *testing.T) {
 	for seed := range uint64(4) {
 		d := Workshop(80, 60, 1+seed).Released()
@@ -110,7 +110,7 @@
 }
 
 // A worker of four slots serves in order: the head waits until it fits, and so does who comes behind
-// it. A cold one is slow and gets warm by its work.
+// it. A warming worker is slow and gets warm by its work.
 func TestWorker_servesInOrder(t *testing.T) {
 	d := Workshop(1, 1, 1)
 	d.Kinds = []Kind{{Share: 1, Cores: 4, Speed: Range{1, 1}, SlotsPerCore: Range{1, 1}, QueuePerCore: Range{8, 8},
@@ -118,7 +118,7 @@
 	d.AttemptNoise, d.WarmUpWork = 0, 0.05
 	w := newWorld(d)
 	k := w.addWorker(0)
-	n := &node{w: w}
+	n := &node{world: w}
 	if err := n.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	send := func(slots, work float64) {
 		op := &operation{slots: slots, work: work, deadline: w.now + time.Hour}
 		op.first, op.ended = op, true // no client waits for it
-		s := &attempt{op: op, node: n, worker: k, sentAt: w.now, remains: work}
+		s := &attempt{operation: op, node: n, worker: k, sentAt: w.now, remains: work}
 		steps = append(steps, s)
 		k.arrive(s)
 	}
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -21,20 +21,20 @@
 	frameBytes        = 16  // bytes that a message has besides its text
 )
 
-// start has the node's process begin from nothing but the list.
+// start starts the node's process with the endpoint list alone.
 func (n *node) start() error {
-	s := n.w.day.Settings
-	s.Balancers, s.Ordinal = n.w.day.Nodes, n.number
-	b, err := balance.New(s, rand.New(rand.NewPCG(n.w.day.Seed, uint64(n.number)<<16|uint64(n.incarnation))).Uint64())
+	s := n.world.day.Settings
+	s.Balancers, s.Ordinal = n.world.day.Nodes, n.number
+	b, err := balance.New(s, rand.New(rand.NewPCG(n.world.day.Seed, uint64(n.number)<<16|uint64(n.incarnation))).Uint64())
 	if err != nil {
 		return err
 	}
-	n.b, n.down = b, false
+	n.balancer, n.down = b, false
 	n.incarnation++
 	n.ops, n.known = map[balance.RequestID]*operation{}, map[balance.WorkerID]bool{}
 	n.listedStart = map[balance.WorkerID]time.Duration{}
 	up := balance.ListUpdate{Kind: balance.ListCached}
-	for _, k := range n.w.workers {
+	for _, k := range n.world.workers {
 		if k.state != balance.Gone {
 			n.listedStart[k.id] = k.started
 			up.Workers = append(up.Workers, k.listing())
@@ -52,16 +52,16 @@
 		op := n.ops[id]
 		for _, s := range op.steps {
 			if !s.done {
-				n.w.after(n.w.day.OneWay.seconds(n.w.rng), func() { s.worker.cancel(s) })
+				n.world.after(n.world.day.OneWay.seconds(n.world.rng), func() { s.worker.cancel(s) })
 			}
 		}
-		n.w.final(op, -1, 0)
+		n.world.final(op, -1, 0)
 	}
 }
 
-// begin gives an operation to the decisions.
+// begin passes a new operation to the decision module.
 func (n *node) begin(op *operation) {
-	w := n.w
+	w := n.world
 	w.lastID++
 	op.id = w.lastID
 	n.ops[op.id] = op
@@ -72,10 +72,10 @@
 	n.handle(in)
 }
 
-// handle hands the decisions an event and carries out what they want.
+// handle passes an event to the decision module and executes its actions.
 func (n *node) handle(ev balance.Event) {
-	w := n.w
-	for _, a := range n.b.Handle(w.now, ev) {
+	w := n.world
+	for _, a := range n.balancer.Handle(w.now, ev) {
 		switch a := a.(type) {
 		case balance.Send:
 			n.send(a)
@@ -90,8 +90,8 @@
 			w.after(0, func() {
 				if !n.down && n.incarnation == incarnation && !s.done {
 					s.done = true
-					n.handle(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: balance.Cancelled,
-						Elapsed: w.now - s.sentAt, Over: s.op.ended})
+					n.handle(balance.AttemptDone{Request: s.operation.id, Attempt: s.number, Worker: s.worker.id, Outcome: balance.Cancelled,
+						Elapsed: w.now - s.sentAt, Over: s.operation.ended})
 				}
 			})
 		case balance.SetTimer:
@@ -109,26 +109,26 @@
 	}
 }
 
-// connect is the time that a connection takes, where there is none yet.
+// connect returns the time to open a connection; 0 if there is one.
 func (n *node) connect(id balance.WorkerID) time.Duration {
 	if n.known[id] {
 		return 0
 	}
 	n.known[id] = true
-	n.w.result.Handshakes++
-	return 4 * n.w.day.OneWay.seconds(n.w.rng)
+	n.world.result.Handshakes++
+	return 4 * n.world.day.OneWay.seconds(n.world.rng)
 }
 
 func (n *node) send(a balance.Send) {
-	w, op, k := n.w, n.ops[a.Request], n.w.byID[a.Worker]
-	s := &attempt{op: op, number: len(op.steps), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
+	w, op, k := n.world, n.ops[a.Request], n.world.byID[a.Worker]
+	s := &attempt{operation: op, number: len(op.steps), node: n, incarnation: n.incarnation, worker: k, sentAt: w.now,
 		remains: op.work * lognormal(w.rng, w.day.AttemptNoise)}
 	op.steps = append(op.steps, s)
 	w.after(n.connect(a.Worker)+w.day.OneWay.seconds(w.rng), func() { k.arrive(s) })
 }
 
 func (n *node) probe(id balance.WorkerID) {
-	w, k := n.w, n.w.byID[id]
+	w, k := n.world, n.world.byID[id]
 	w.result.Probes++
 	incarnation, began := n.incarnation, w.now
 	w.after(n.connect(id)+w.day.OneWay.seconds(w.rng), func() {
@@ -146,7 +146,7 @@
 }
 
 func (n *node) sendToPeers(message balance.SendToPeers) {
-	w := n.w
+	w := n.world
 	for _, to := range w.nodes {
 		if to == n || message.To >= 0 && message.To != to.number {
 			continue
@@ -164,19 +164,19 @@
 	}
 }
 
-// attemptEnded tells the decisions how a step ended, and the client where it was served.
+// attemptEnded notifies the decision module of an attempt's outcome, and the client if it was served.
 func (n *node) attemptEnded(s *attempt, outcome balance.Outcome, report []float32) {
-	if s.op.ended && outcome == balance.Served {
+	if s.operation.ended && outcome == balance.Served {
 		outcome = balance.Cancelled
 	}
 	if outcome == balance.Served {
-		s.op.by = s
-		n.w.final(s.op, served, 0)
+		s.operation.by = s
+		n.world.final(s.operation, served, 0)
 	}
-	n.handle(balance.AttemptDone{Request: s.op.id, Attempt: s.number, Worker: s.worker.id, Outcome: outcome,
-		Elapsed: n.w.now - s.sentAt, Over: s.op.ended, Report: report})
+	n.handle(balance.AttemptDone{Request: s.operation.id, Attempt: s.number, Worker: s.worker.id, Outcome: outcome,
+		Elapsed: n.world.now - s.sentAt, Over: s.operation.ended, Report: report})
 }
 
 func (n *node) answer(id balance.RequestID, verdict int, wait time.Duration) {
-	n.w.final(n.ops[id], verdict, wait)
+	n.world.final(n.ops[id], verdict, wait)
 }
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -11,7 +11,7 @@
 
 // attempt is one attempt at an operation, at a worker.
 type attempt struct {
-	op          *operation
+	operation   *operation
 	number      int
 	node        *node
 	incarnation int // the node's, when it sent this
@@ -24,7 +24,7 @@
 
 // worker models a prep worker: slots, cores, a queue served in order, a cold start.
 type worker struct {
-	w             *world
+	world         *world
 	id            balance.WorkerID
 	kind          int
 	speed         float64
@@ -37,7 +37,7 @@
 	warmth        float64       // slot-seconds done since the start
 	state         balance.State
 	slow          float64    // factor
-	silent        bool       // cut off: nothing in, nothing out
+	silent        bool       // partitioned off: nothing in, nothing out
 	lost          []*attempt // at it meanwhile: reset when it is back
 
 	running []*attempt
@@ -54,33 +54,33 @@
 type warmUpSend struct {
 	at         time.Duration
 	cost       float64
-	startKnown bool // its node had been told of the start
+	startKnown bool // its node had been notified of the start
 }
 
-// capacityFraction is the part of its capacity that the worker has now.
+// capacityFraction returns the part of its capacity that the worker has now.
 func (k *worker) capacityFraction() float64 {
-	age := k.w.now - k.started
+	age := k.world.now - k.started
 	if k.started == 0 || age >= k.warmUpTime {
 		return 1
 	}
-	p := max(float64(age)/float64(k.warmUpTime), k.warmth/(k.cores*k.warmUpTime.Seconds()*k.w.day.WarmUpWork))
+	p := max(float64(age)/float64(k.warmUpTime), k.warmth/(k.cores*k.warmUpTime.Seconds()*k.world.day.WarmUpWork))
 	return k.warmUpFloor + (1-k.warmUpFloor)*min(1, p)
 }
 
-// rate is the work that each running job gets done in a second.
+// rate returns the work that each running job completes in a second.
 func (k *worker) rate() float64 {
 	return k.speed * k.capacityFraction() / k.slow * min(1, k.cores/max(k.used, 1))
 }
 
-// advance books the work done since the last look, and plans the next.
+// advance accounts for the work done since its last call, and schedules the next one.
 func (k *worker) advance() {
-	span := (k.w.now - k.at).Seconds()
+	span := (k.world.now - k.at).Seconds()
 	rate := k.rate()
-	k.at = k.w.now
+	k.at = k.world.now
 	var ended []*attempt
 	for _, s := range k.running {
 		s.remains -= rate * span
-		k.warmth += rate / k.speed * span * s.op.slots
+		k.warmth += rate / k.speed * span * s.operation.slots
 		if s.remains <= 1e-9 {
 			ended = append(ended, s)
 		}
@@ -88,7 +88,7 @@
 	for _, s := range ended {
 		k.remove(s)
 		outcome := balance.Served
-		if k.w.rng.Float64() < k.w.day.Kinds[k.kind].Errors {
+		if k.world.rng.Float64() < k.world.day.Kinds[k.kind].Errors {
 			outcome = balance.Errored
 		}
 		k.answer(s, outcome)
@@ -98,7 +98,7 @@
 }
 
 func (k *worker) plan() {
-	k.w.timers.Cancel(k.next)
+	k.world.timers.Cancel(k.next)
 	k.next = nil
 	if len(k.running) == 0 {
 		return
@@ -111,20 +111,20 @@
 	if k.capacityFraction() < 1 {
 		wait = min(wait, 200*time.Millisecond)
 	}
-	k.next = k.w.timers.Add(k.w.now+wait, k.advance)
+	k.next = k.world.timers.Add(k.world.now+wait, k.advance)
 }
 
 // begin starts waiting jobs in order: the head waits until it fits.
 func (k *worker) begin() {
-	for len(k.queue) > 0 && k.used+k.queue[0].op.slots <= k.slots {
+	for len(k.queue) > 0 && k.used+k.queue[0].operation.slots <= k.slots {
 		s := k.queue[0]
 		k.queue = k.queue[1:]
-		k.used += s.op.slots
+		k.used += s.operation.slots
 		k.running = append(k.running, s)
-		s.began = k.w.now
+		s.began = k.world.now
 		if !k.silent {
-			k.w.reach(s.node, s.incarnation, func() {
-				s.node.handle(balance.AttemptProgress{Request: s.op.id, Attempt: s.number, Worker: k.id, Started: true})
+			k.world.reach(s.node, s.incarnation, func() {
+				s.node.handle(balance.AttemptProgress{Request: s.operation.id, Attempt: s.number, Worker: k.id, Started: true})
 			})
 		}
 	}
@@ -133,24 +133,24 @@
 func (k *worker) remove(s *attempt) {
 	if i := slices.Index(k.running, s); i >= 0 {
 		k.running = slices.Delete(k.running, i, i+1)
-		k.used -= s.op.slots
+		k.used -= s.operation.slots
 	}
 	if i := slices.Index(k.queue, s); i >= 0 {
 		k.queue = slices.Delete(k.queue, i, i+1)
 	}
 }
 
-// answer ends a step, as its node is to hear.
+// answer ends an attempt and notifies its node.
 func (k *worker) answer(s *attempt, outcome balance.Outcome) {
 	if s.done {
 		return
 	}
 	s.done = true
 	report := slices.Clone(k.shown)
-	k.w.reach(s.node, s.incarnation, func() { s.node.attemptEnded(s, outcome, report) })
+	k.world.reach(s.node, s.incarnation, func() { s.node.attemptEnded(s, outcome, report) })
 }
 
-// arrive takes in a step.
+// arrive receives an attempt.
 func (k *worker) arrive(attempt *attempt) {
 	k.advance()
 	switch {
@@ -160,7 +160,7 @@
 		k.lost = append(k.lost, attempt)
 	case k.state == balance.Gone:
 		k.answer(attempt, balance.ConnectFailed)
-	case k.state == balance.Draining || len(k.queue) >= k.queueCapacity || attempt.op.slots > k.slots:
+	case k.state == balance.Draining || len(k.queue) >= k.queueCapacity || attempt.operation.slots > k.slots:
 		k.answer(attempt, balance.Full)
 	default:
 		k.recordWarmUpLoad(attempt)
@@ -173,15 +173,15 @@
 // recordWarmUpLoad holds what is sent to a cold worker, by all nodes, against the rule on felling: it
 // falls when it gets more than N + 2 x root of N + 2 operations of mean work in the rules'
 // time, N being what they allow it then, and the rule is broken where over two thirds of
-// that came from nodes that had been told of its start.
+// that came from nodes that had been notified of its start.
 func (k *worker) recordWarmUpLoad(attempt *attempt) {
-	r := k.w.day.Settings.Rules
+	r := k.world.day.Settings.Rules
 	warm := k.capacityFraction()
 	if warm >= 1 || r.OverloadMultiple == 0 {
 		return
 	}
-	k.sent = append(k.sent, warmUpSend{k.w.now, attempt.op.work * attempt.op.slots / k.speed, attempt.node.listedStart[k.id] == k.started})
-	for len(k.sent) > 0 && k.sent[0].at < k.w.now-r.OverloadTime {
+	k.sent = append(k.sent, warmUpSend{k.world.now, attempt.operation.work * attempt.operation.slots / k.speed, attempt.node.listedStart[k.id] == k.started})
+	for len(k.sent) > 0 && k.sent[0].at < k.world.now-r.OverloadTime {
 		k.sent = k.sent[1:]
 	}
 	sum, startKnown := 0.0, 0.0
@@ -191,23 +191,23 @@
 			startKnown += c.cost
 		}
 	}
-	mean := k.w.day.meanWork() / k.speed
+	mean := k.world.day.meanWork() / k.speed
 	allowed := r.OverloadMultiple * warm * k.cores * r.OverloadTime.Seconds() / mean
 	most := mean * (allowed + 2*math.Sqrt(allowed) + 2)
 	if startKnown*3 > sum*2 {
-		k.w.result.MaxWarmUpLoad = max(k.w.result.MaxWarmUpLoad, sum/most)
+		k.world.result.MaxWarmUpLoad = max(k.world.result.MaxWarmUpLoad, sum/most)
 	}
 	if sum > most && !k.overloaded {
 		k.overloaded = true
 		if startKnown*3 > sum*2 {
-			k.w.result.Overloaded++
+			k.world.result.Overloaded++
 		} else {
-			k.w.result.OverloadedUnknown++
+			k.world.result.OverloadedUnknown++
 		}
 	}
 }
 
-// cancel takes back a step: waiting work is dropped, running work goes on.
+// cancel cancels an attempt: queued work is dropped, running work continues.
 func (k *worker) cancel(s *attempt) {
 	if k.silent {
 		return
@@ -219,7 +219,7 @@
 	}
 }
 
-// kill ends the process, and with it what still runs.
+// kill ends the process and all attempts that it runs.
 func (k *worker) kill() {
 	k.advance()
 	for _, s := range slices.Clone(k.running) {
@@ -229,7 +229,7 @@
 	k.plan()
 }
 
-// handBack returns what has not started.
+// handBack rejects what has not started.
 func (k *worker) handBack() {
 	for _, s := range slices.Clone(k.queue) {
 		k.remove(s)
@@ -238,11 +238,11 @@
 	k.plan()
 }
 
-// publish refreshes the load report, again and again.
+// publish refreshes the load report periodically.
 func (k *worker) publish() {
 	k.advance()
-	d := k.w.day
-	noise := func(v float64) float32 { return float32(max(0, v+d.ReportNoise*k.w.rng.NormFloat64())) }
+	d := k.world.day
+	noise := func(v float64) float32 { return float32(max(0, v+d.ReportNoise*k.world.rng.NormFloat64())) }
 	values := make([]float32, len(d.Settings.Report))
 	for i, f := range d.Settings.Report {
 		switch f {
@@ -252,14 +252,14 @@
 			values[i] = noise(k.slots - k.used)
 		}
 	}
-	k.w.after(d.ReportDelay.seconds(k.w.rng), func() { k.shown = values })
-	k.w.after(d.ReportEvery.seconds(k.w.rng), k.publish)
+	k.world.after(d.ReportDelay.seconds(k.world.rng), func() { k.shown = values })
+	k.world.after(d.ReportEvery.seconds(k.world.rng), k.publish)
 }
 
 // restart has the worker come up cold.
 func (k *worker) restart() {
-	k.state, k.started, k.warmth, k.silent, k.sent, k.shown = balance.Ready, k.w.now, 0, false, nil, nil
-	k.at = k.w.now
+	k.state, k.started, k.warmth, k.silent, k.sent, k.shown = balance.Ready, k.world.now, 0, false, nil, nil
+	k.at = k.world.now
 	lost := k.lost
 	k.lost = nil
 	for _, s := range lost {
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -9,7 +9,7 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// begins is the clock at the start of a day: zero stands for long ago in listings.
+// begins is the clock at the start of a day: zero means long ago in listings.
 const begins = time.Hour
 
 // operation is a client's request, its tries by the client included.
@@ -32,10 +32,10 @@
 // node is an instance of the real decisions, with the part of its process that the
 // decisions ask of it.
 type node struct {
-	w           *world
+	world       *world
 	number      int
 	weight      float64
-	b           *balance.Balancer
+	balancer    *balance.Balancer
 	down        bool
 	incarnation int
 	ops         map[balance.RequestID]*operation
@@ -83,7 +83,7 @@
 		w.addWorker(0)
 	}
 	for i := range day.Nodes {
-		n := &node{w: w, number: i, weight: lognormal(w.rng, day.Uneven)}
+		n := &node{world: w, number: i, weight: lognormal(w.rng, day.Uneven)}
 		w.nodes = append(w.nodes, n)
 		if err := n.start(); err != nil {
 			return Result{}, err
@@ -131,7 +131,7 @@
 	d := w.day
 	kind := pick(w.rng, len(d.Kinds), func(i int) float64 { return d.Kinds[i].Share })
 	c := d.Kinds[kind]
-	k := &worker{w: w, id: balance.WorkerID(w.rng.Uint64() | 1), kind: kind, speed: c.Speed.draw(w.rng), cores: c.Cores,
+	k := &worker{world: w, id: balance.WorkerID(w.rng.Uint64() | 1), kind: kind, speed: c.Speed.draw(w.rng), cores: c.Cores,
 		slots: float64(int(c.Cores * c.SlotsPerCore.draw(w.rng))), queueCapacity: int(c.Cores * c.QueuePerCore.draw(w.rng)),
 		warmUpFloor: c.WarmUpFloor.draw(w.rng), warmUpTime: c.WarmUpTime.seconds(w.rng), started: started, slow: 1, at: w.now}
 	w.workers = append(w.workers, k)
@@ -280,7 +280,7 @@
 	return day.Goal.Day*r.Served/r.Value + day.Goal.WorstWindow*window + day.Goal.WorstClass*worst - price/r.Requests()
 }
 
-// troubles plans what goes wrong.
+// faults schedules the day's faults.
 func (w *world) troubles() {
 	d := w.day
 	at := func(s float64, f func()) { w.timers.Add(begins+seconds(s), f) }
--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -29,7 +29,7 @@
 	memoryBase           = 64 << 20 // bytes of this process without any of the fleet
 	memoryPerHollow      = 192 << 10
 	memoryPerProcess     = 40 << 20
-	memoryPerRoute       = 16 << 10 // in all keepers and real edges, a process each
+	memoryPerRoute       = 16 << 10 // in all servers and real edges, a process each
 )
 
 // NeedOf estimates what a fleet takes.
--- a/internal/testkit/scalereport/fit.go
+++ b/internal/testkit/scalereport/fit.go
@@ -50,7 +50,7 @@
 	return fit, ok
 }
 
-// proportional tells whether all sizes have about as many workers to a node.
+// proportional reports whether all sizes have about as many workers to a node.
 func proportional(observations []Observation) bool {
 	for _, one := range observations {
 		if proportionsDiffer(one.Size, observations[0].Size) {
@@ -60,7 +60,7 @@
 	return true
 }
 
-// proportionsDiffer tells whether two sizes differ by half or more in their workers to a node.
+// proportionsDiffer reports whether two sizes differ by half or more in their workers to a node.
 func proportionsDiffer(one, other Size) bool {
 	left, right := one.Workers*other.Nodes, other.Workers*one.Nodes
 	return left != right && 2*max(left, right) >= 3*min(left, right)
--- a/internal/testkit/scalereport/plot.go
+++ b/internal/testkit/scalereport/plot.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// alike tells whether a size has about as many workers to a node as the target.
+// alike reports whether a size has about as many workers to a node as the target.
 func (p panel) alike(size Size) bool {
 	return !proportionsDiffer(size, p.target)
 }
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -34,7 +34,7 @@
 	Datagrams              float64 `json:"datagrams"`  // a second and agent, both ways
 	HeartbeatsAcknowledged float64 `json:"beatsTaken"` // heartbeats acknowledged a second, of all workers
 	HeartbeatsFailed       int64   `json:"beatsFailed"`
-	// AgentsOf counts the hollow agents that read from each keeper at the end of rest, by its address.
+	// AgentsOf counts the hollow agents that read from each server at the end of rest, by its address.
 	AgentsOf map[string]int `json:"agentsOf"`
 	// Failures counts the heartbeats that failed since the step's start by their errors.
 	Failures      map[string]int `json:"failures"`
@@ -56,10 +56,10 @@
 	AtProxies          Percentiles  `json:"changeAtProxyMs"` // the same at the real proxies, by their figures
 	Acked              Percentiles  `json:"ackMs"`           // of the changes
 	FirstConfiguration float64      `json:"wholeMs"`         // of the first configuration, until all agents have it
-	Moved              Percentiles  `json:"lossMs"`          // after the kill of a keeper: until an agent is current elsewhere
+	Moved              Percentiles  `json:"lossMs"`          // after the kill of a server: until an agent is current elsewhere
 	AckedAfter         float64      `json:"ackAfterLossMs"`  // until a change that was sent with the kill is acknowledged
 	AllAfter           float64      `json:"changeAfterLossMs"`
-	CaughtUp           float64      `json:"caughtUpMs"` // from the start of the killed keeper until it is current in all shards
+	CaughtUp           float64      `json:"caughtUpMs"` // from the start of the killed server until it is current in all shards
 
 	Blackout        Percentiles `json:"blackoutMs"`            // after all were killed, from their start until an agent has all shards
 	BlackoutAcked   float64     `json:"ackAfterBlackoutMs"`    // the same until a change is acknowledged
@@ -151,7 +151,7 @@
 	return fit
 }
 
-// orMinusOne stands for a number that is not known.
+// orMinusOne returns -1 for a value that is not finite.
 func orMinusOne(value float64) float64 {
 	if value != value {
 		return -1
--- a/internal/testkit/scalereport/scale_test.go
+++ b/internal/testkit/scalereport/scale_test.go
@@ -182,7 +182,7 @@
 	checkSVG(t, result)
 }
 
-// checkSVG tells whether a plot is well-formed and shows all points.
+// checkSVG reports whether a plot is well-formed and shows all points.
 func checkSVG(t *testing.T, result Result) {
 	t.Helper()
 	var plot bytes.Buffer
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -1,6 +1,6 @@
-// Package scalerun plays whole fleets on one machine and measures them: keepers and some edges as processes, all
+// Package scalerun plays whole fleets on one machine and measures them: servers and some edges as processes, all
 // other nodes and all workers hollow, in this process. A hollow node runs an agent's real feed link and real
-// monitoring; a hollow worker runs the real registration of the stand-in worker. Neither has traffic.
+// monitoring; a hollow worker runs the real registration of the fake worker. Neither has traffic.
 package scalerun
 
 import (
@@ -61,7 +61,7 @@
 	node, zone, ip string
 	seeds          []string
 	feedPort       int
-	slow           map[string]string // keepers' addresses over the agent's link; nil: their own
+	slow           map[string]string // servers' addresses over the agent's link; nil: their own
 	traffic        *traffic
 }
 
@@ -167,7 +167,7 @@
 	running sync.WaitGroup
 }
 
-// start runs all agents anew.
+// start runs all agents again.
 func (c *hollowAgents) start(ctx context.Context) {
 	ctx, c.cancel = context.WithCancel(ctx)
 	c.agents = make([]*hollowAgent, len(c.options))
@@ -186,7 +186,7 @@
 	c.running.Wait()
 }
 
-// all tells whether a condition holds for each agent.
+// all reports whether a condition holds for each agent.
 func (c *hollowAgents) all(check func(agentState) bool) bool {
 	for _, agent := range c.agents {
 		if !check(agent.state()) {
@@ -196,12 +196,12 @@
 	return true
 }
 
-// complete tells whether all agents have all shards from a current keeper.
+// complete reports whether all agents have all shards from a current server.
 func (c *hollowAgents) complete() bool {
 	return c.all(func(state agentState) bool { return !state.completeAt.IsZero() })
 }
 
-// servers counts the agents that read from each keeper.
+// servers counts the agents that read from each server.
 func (c *hollowAgents) servers() map[string]int {
 	counts := map[string]int{}
 	for _, agent := range c.agents {
--- a/internal/testkit/scalerun/document.go
+++ b/internal/testkit/scalerun/document.go
@@ -27,7 +27,7 @@
 		i, i, timeoutMs, modelService(i))
 }
 
-// document is a whole configuration with a route for each tenant and a service for each model.
+// document is a complete configuration with a route for each tenant and a service for each model.
 func document(generation uint64, routes int) []byte {
 	listed := make([]string, routes)
 	for i := range listed {
--- a/internal/testkit/scalerun/monitor.go
+++ b/internal/testkit/scalerun/monitor.go
@@ -61,7 +61,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			continue // a refused datagram of before; the next read waits
+			continue // a rejected datagram of before; the next read waits
 		}
 		m.send(m.prober.Tick(now))
 	}
--- a/internal/testkit/scalerun/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -88,7 +88,7 @@
 	a := s.step.Hollow
 	s.plan.say("  at rest, each hollow agent: %.2f kB/s in %.1f messages/s, monitoring %.2f kB/s in %.1f datagrams/s; %.0f heartbeats/s taken, %d failed so far",
 		a.FeedInKB, a.FeedMessages, a.MonitorKB, a.Datagrams, a.HeartbeatsAcknowledged, a.HeartbeatsFailed)
-	s.plan.say("  hollow agents by keeper: %v", a.AgentsOf)
+	s.plan.say("  hollow agents by server: %v", a.AgentsOf)
 	if len(a.Failures) > 0 {
 		s.plan.say("  heartbeats failed by: %v", a.Failures)
 	}
@@ -153,7 +153,7 @@
 
 func becameComplete(state agentState) time.Time { return state.completeAt }
 
-var errNoOwner = errors.New("no keeper leads the configuration's shard")
+var errNoOwner = errors.New("no server leads the configuration's shard")
 
 // loss kills the owner of the configuration and sends a change at the same moment.
 func (s *stepRun) loss(ctx context.Context) error {
@@ -183,7 +183,7 @@
 	s.step.AckedAfter = milliseconds(acked.Sub(killed))
 	all := s.hollow.since(killed, everyone, gotGeneration)
 	s.step.AllAfter = scalereport.PercentilesOf(all).Max
-	if err := s.await(ctx, "agents not current after the loss of a keeper", s.hollow.complete); err != nil {
+	if err := s.await(ctx, "agents not current after the loss of a server", s.hollow.complete); err != nil {
 		return err
 	}
 	s.note(scalereport.PhaseLoss, 0, before)
@@ -191,26 +191,26 @@
 		return err
 	}
 	s.step.Moved = scalereport.PercentilesOf(s.hollow.since(killed, func(i int) bool { return lost[i] }, becameComplete))
-	s.plan.say("  keeper killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current elsewhere p50 %.0f, max %.0f ms; started again, current after %.0f ms",
+	s.plan.say("  server killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current elsewhere p50 %.0f, max %.0f ms; started again, current after %.0f ms",
 		s.step.AckedAfter, s.step.AllAfter, s.step.Moved.Count, s.step.Moved.P50, s.step.Moved.Max, s.step.CaughtUp)
 	return nil
 }
 
-// rejoin starts a keeper again, with its disk, and waits until it is current in all shards.
+// rejoin starts a server again, with its disk, and waits until it is current in all shards.
 func (s *stepRun) rejoin(ctx context.Context, server int) error {
 	started := time.Now()
 	if _, err := s.fleet.StartServer(server, false); err != nil {
 		return err
 	}
-	err := s.await(ctx, "a keeper that was started again is not current", func() bool { return s.current(ctx, server) })
+	err := s.await(ctx, "a restarted server is not current", func() bool { return s.current(ctx, server) })
 	s.step.CaughtUp = milliseconds(time.Since(started))
 	return err
 }
 
-// readsFrom tells whether an agent reads from a keeper, perhaps over a slow link: its relay has the same IP.
+// readsFrom reports whether an agent reads from a server, perhaps over a slow link: its relay has the same IP.
 func (s *stepRun) readsFrom(address, host string) bool { return strings.HasPrefix(address, host+":") }
 
-// serverStatus is what is read of a keeper's report.
+// serverStatus is what is read of a server's report.
 type serverStatus struct {
 	Shards []struct {
 		Role    string
@@ -226,7 +226,7 @@
 	return status, json.Unmarshal(response.Body, &status) == nil && len(status.Shards) > 0
 }
 
-// owner returns the keeper that leads the configuration's shard, or -1.
+// owner returns the server that leads the configuration's shard, or -1.
 func (s *stepRun) owner(ctx context.Context) int {
 	for i := range s.plan.Servers {
 		if status, ok := s.status(ctx, i); ok && status.Shards[0].Role == "leader" {
@@ -236,7 +236,7 @@
 	return -1
 }
 
-// current tells whether a keeper is current in all shards.
+// current reports whether a server is current in all shards.
 func (s *stepRun) current(ctx context.Context, server int) bool {
 	status, ok := s.status(ctx, server)
 	for _, shard := range status.Shards {
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -13,14 +13,14 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// Plan says what is played.
+// Plan describes what is played.
 type Plan struct {
 	Binary    string // the fleet's program
 	Directory string // settings, data and logs go below it
 	Sizes     []scalereport.Size
 	Target    scalereport.Size
 	Servers   int
-	Tolerance int // keepers that may be lost at once; 0: as many as leave a majority
+	Tolerance int // servers that may be lost at once; 0: as many as leave a majority
 	Edges     int // real ones among the nodes
 	Routes    int
 	WarmUp    time.Duration // after the start, before anything is measured
@@ -28,7 +28,7 @@
 	Windows   int
 	Changes   int
 	FarEvery  int             // each so-manieth hollow agent has the far link; 0: none
-	Far       localfleet.Link // between these and the keepers
+	Far       localfleet.Link // between these and the servers
 	Heartbeat time.Duration   // of workers
 	Limit     time.Duration   // of one step
 	Progress  io.Writer
@@ -90,7 +90,7 @@
 	s := newStepRun(p, size, fleet, bounds)
 	defer s.close()
 	started := time.Now()
-	p.say("%d nodes, %d workers, %d keepers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
+	p.say("%d nodes, %d workers, %d control plane servers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
 	err = s.play(ctx)
 	s.step.TookS = time.Since(started).Seconds()
 	return s.step, err
--- a/internal/testkit/scalerun/plan_test.go
+++ b/internal/testkit/scalerun/plan_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkStep tells whether all phases left figures that can be.
+// checkStep reports whether all phases left figures that can be.
 func checkStep(t *testing.T, step scalereport.Step) {
 	t.Helper()
 	hollow := step.Size.Nodes - 1
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -90,7 +90,7 @@
 	if err := s.startNodes(inner); err != nil {
 		return err
 	}
-	if err := s.await(ctx, "agents without a keeper", s.hollow.complete); err != nil {
+	if err := s.await(ctx, "agents without a server", s.hollow.complete); err != nil {
 		return err
 	}
 	if err := s.firstConfiguration(ctx); err != nil {
@@ -105,7 +105,7 @@
 	return s.checkMemory()
 }
 
-// firstConfiguration sends a whole configuration and waits until all have it.
+// firstConfiguration sends a complete configuration and waits until all have it.
 func (s *stepRun) firstConfiguration(ctx context.Context) error {
 	body := document(1, s.plan.Routes)
 	s.step.Hollow.DocumentBytes = len(body)
@@ -131,7 +131,7 @@
 	})
 }
 
-// proxyHas tells whether all real proxies have the configuration sent last, by their figures.
+// proxyHas reports whether all real proxies have the configuration sent last, by their figures.
 func (s *stepRun) proxyHas(ctx context.Context) bool {
 	for edge := range s.plan.Edges {
 		response, err := s.operator.Ask(ctx, s.fleet.Readiness(edge), "GET", "/-/metrics", 0, nil)
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -16,7 +16,7 @@
 	"ospreybend/internal/util/http1"
 )
 
-// TrafficPlan says what one proxy is measured with.
+// TrafficPlan describes the load with which one proxy is measured.
 type TrafficPlan struct {
 	Binary    string
 	Directory string
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -1,23 +1,23 @@
 // Package scriptedpeer plays network scenarios against the node in tests. A
 // scenario is a text, one step a line:
 //
-//	NAME dial SERVICE     open a connection to a service of the stage
-//	NAME accept SERVICE   take the next connection to a stand-in that listens
-//	NAME send TEXT        TEXT knows \r, \n and the stage's {words}
-//	NAME expect TEXT      read until TEXT has come; what is before it is passed over
-//	NAME keep WORD TEXT   read until TEXT has come; what follows it, to the next
+//	NAME dial SERVICE     open a connection to a service of the bench
+//	NAME accept SERVICE   accept the next connection to a fake service
+//	NAME send TEXT        TEXT knows \r, \n and the bench's {words}
+//	NAME expect TEXT      read until TEXT has arrived; what is before it is skipped
+//	NAME keep WORD TEXT   read until TEXT has arrived; what follows it, to the next
 //	                      quotation mark, is {WORD} from then on
-//	NAME arrives          wait until the node's system has all that was sent
-//	NAME leaves           end the sending, and wait until the node's system has that
+//	NAME arrives          wait until the node's kernel has received all that was sent
+//	NAME leaves           close the sending side, and wait until the node's kernel has received that
 //	NAME resets           break the connection
 //	NAME closed           read until the other side has ended the connection
 //	NAME ended            the same, and it was no reset
 //	NAME close            end the connection
 //	wait SPAN             let the node's clock advance by so much
 //
-// Lines that start with '#' are remarks. The clock is the stage's: no step
+// Lines that start with '#' are remarks. The clock is the bench's: no step
 // races with real time, which only bounds how long a failing step hangs. What is
-// played within a callback of the loop comes while the node reads nothing.
+// sent within a callback of the loop arrives while the node reads nothing.
 package scriptedpeer
 
 import (
@@ -38,13 +38,13 @@
 )
 
 const (
-	stepTimeout = 10 * time.Second     // real time after which a step has failed
-	clockStep   = 5 * time.Millisecond // the clock advances by this much at a time
+	stepTimeout = 10 * time.Second     // real time after which a step fails
+	clockStep   = 5 * time.Millisecond // by which the clock advances at once
 
-	tcpFinWait2 = 5 // the system's number for a connection whose end the other side has acknowledged
+	tcpFinWait2 = 5 // the kernel's number of the state in which the other side has acknowledged the end of a connection
 )
 
-// Bench is where scenarios play: a loop with a clock of its own, and stand-ins.
+// Bench runs scenarios: it has an event loop with a clock of its own, and fake services.
 type Bench struct {
 	Loop      *eventloop.Loop
 	Variables map[string]string // {name} in texts
@@ -53,7 +53,7 @@
 	now       atomic.Int64
 	services  map[string]string
 	listeners map[string]net.Listener
-	accepted  map[string]net.Conn // taken from a stand-in that a later step accepts
+	accepted  map[string]net.Conn // from a fake service, for a later accept
 	conns     map[string]*conn
 }
 
@@ -62,7 +62,7 @@
 	unread []byte
 }
 
-// New sets a stage.
+// New returns a bench whose loop stops at the end of the test.
 func New(t *testing.T) *Bench {
 	t.Helper()
 	s := &Bench{t: t, Variables: map[string]string{}, services: map[string]string{},
@@ -87,7 +87,7 @@
 	return s
 }
 
-// Listen listens in place of an outside service and returns its address.
+// Listen starts a fake outside service and returns its address.
 func (s *Bench) Listen(name string) string {
 	s.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,7 +99,7 @@
 	return l.Addr().String()
 }
 
-// Serve names a service of the node's that scenarios dial.
+// Serve names a service of the node that scenarios dial.
 func (s *Bench) Serve(name, address string) { s.services[name] = address }
 
 // FreeAddress returns a loopback address that nothing listens at. It is one of its
@@ -115,7 +115,7 @@
 	return l.Addr().String()
 }
 
-// Advance lets the node's clock run.
+// Advance lets the node's clock run for a time.
 func (s *Bench) Advance(span time.Duration) {
 	for ; span > 0; span -= clockStep {
 		s.now.Add(int64(min(span, clockStep)))
@@ -123,10 +123,10 @@
 	}
 }
 
-// JumpClock has the node's clock jump, as when the loop was held up: nothing is fired before the next turn.
+// JumpClock advances the node's clock at once, as after a delay of the loop: no timer fires before its next iteration.
 func (s *Bench) JumpClock(span time.Duration) { s.now.Add(int64(span)) }
 
-// WaitUntil waits for something that shows on the loop alone. The clock stands.
+// WaitUntil waits until f, which runs on the loop, returns true. The clock does not advance.
 func (s *Bench) WaitUntil(f func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(stepTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -135,7 +135,7 @@
 			return
 		}
 	}
-	s.t.Fatal("what the scenario waits for has not come")
+	s.t.Fatal("the condition was not met in time")
 }
 
 // Play plays a scenario.
@@ -152,41 +152,63 @@
 	}
 }
 
+// Errors of a scenario's steps.
+var (
+	errNoConnection   = errors.New("no such connection")
+	errNoVerb         = errors.New("no such verb")
+	errNoService      = errors.New("no such fake service")
+	errStillOpen      = errors.New("the connection is still open")
+	errConditionUnmet = errors.New("the connection did not reach the state in time")
+)
+
+// step runs one line of a scenario.
 func (s *Bench) step(line string) error {
 	name, rest, _ := strings.Cut(line, " ")
-	verb, arg, _ := strings.Cut(rest, " ")
-	if name == "wait" {
+	verb, argument, _ := strings.Cut(rest, " ")
+	switch {
+	case name == "wait":
 		span, err := time.ParseDuration(rest)
 		s.Advance(span)
 		return err
-	}
-	if verb == "dial" || verb == "accept" {
-		c, err := s.connect(verb, arg)
+	case verb == "dial" || verb == "accept":
+		connection, err := s.connect(verb, argument)
 		if err == nil {
-			s.conns[name] = &conn{Conn: c}
+			s.conns[name] = &conn{Conn: connection}
 		}
 		return err
 	}
 	c := s.conns[name]
 	if c == nil {
-		return errors.New("no such connection")
+		return errNoConnection
 	}
 	switch verb {
 	case "send":
-		_, err := io.WriteString(c, s.expand(arg))
+		_, err := io.WriteString(c, s.expand(argument))
 		return err
 	case "expect":
-		return c.expect(s.expand(arg))
+		return c.expect(s.expand(argument))
 	case "keep":
-		word, text, _ := strings.Cut(arg, " ")
-		if err := c.expect(s.expand(text)); err != nil {
-			return err
-		}
-		value, err := c.readUntil('"')
-		s.Variables[word] = value
+		return s.keep(c, argument)
+	}
+	return c.step(verb)
+}
+
+// keep reads until a text has arrived and assigns what follows it, up to the next quotation mark, to a variable.
+func (s *Bench) keep(c *conn, argument string) error {
+	word, text, _ := strings.Cut(argument, " ")
+	if err := c.expect(s.expand(text)); err != nil {
 		return err
+	}
+	value, err := c.readUntil('"')
+	s.Variables[word] = value
+	return err
+}
+
+// step runs a verb without an argument.
+func (c *conn) step(verb string) error {
+	switch verb {
 	case "arrives":
-		return c.awaitKernel(func(q int, _ uint8) bool { return q == 0 })
+		return c.awaitKernel(func(unacknowledged int, _ uint8) bool { return unacknowledged == 0 })
 	case "leaves":
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			return err
@@ -201,22 +223,23 @@
 		return c.expectEnd()
 	case "ended":
 		if err := c.readMore(); !errors.Is(err, io.EOF) {
-			return fmt.Errorf("the connection has not ended, %q came: %w", c.unread, err)
+			return fmt.Errorf("the connection has not ended, %q arrived: %w", c.unread, err)
 		}
 		return nil
 	case "close":
 		return c.Close()
 	}
-	return errors.New("no such verb")
+	return errNoVerb
 }
 
+// connect opens or accepts a connection, as the verb says.
 func (s *Bench) connect(verb, service string) (net.Conn, error) {
 	if verb == "dial" {
 		return net.DialTimeout("tcp", s.services[service], stepTimeout)
 	}
 	l, ok := s.listeners[service].(*net.TCPListener)
 	if !ok {
-		return nil, errors.New("no such stand-in")
+		return nil, errNoService
 	}
 	if c := s.accepted[service]; c != nil {
 		delete(s.accepted, service)
@@ -228,14 +251,14 @@
 	return l.Accept()
 }
 
-// Await lets the node's clock run until a connection comes to a stand-in, for at most so long,
-// and returns how long that was. The next accept takes it.
+// Await lets the node's clock run until a connection to a fake service arrives, for at most the given time, and returns
+// how long that was. The next accept step takes it.
 func (s *Bench) Await(service string, most time.Duration) (span time.Duration, came bool) {
 	s.t.Helper()
 	const step, look = 50 * time.Millisecond, 2 * time.Millisecond
 	l, ok := s.listeners[service].(*net.TCPListener)
 	if !ok {
-		s.t.Fatal("no such stand-in: " + service)
+		s.t.Fatal("no such fake service: " + service)
 	}
 	for ; span <= most; span += step {
 		if err := l.SetDeadline(time.Now().Add(look)); err != nil {
@@ -251,15 +274,15 @@
 }
 
 func (s *Bench) expand(v string) string {
-	for range 2 { // a word may hold another
-		for word, stands := range s.Variables {
-			v = strings.ReplaceAll(v, "{"+word+"}", stands)
+	for range 2 { // a variable may contain another
+		for name, value := range s.Variables {
+			v = strings.ReplaceAll(v, "{"+name+"}", value)
 		}
 	}
 	return strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(v)
 }
 
-// expect reads until the text has come, and keeps what is behind it.
+// expect reads until the text has arrived, and keeps what follows it.
 func (c *conn) expect(text string) error {
 	for {
 		if i := strings.Index(string(c.unread), text); i >= 0 {
@@ -267,12 +290,12 @@
 			return nil
 		}
 		if err := c.readMore(); err != nil {
-			return errors.Join(err, errors.New("came: "+string(c.unread)))
+			return errors.Join(err, fmt.Errorf("arrived: %q", c.unread))
 		}
 	}
 }
 
-// readUntil returns what comes before the next such byte, which stays unread.
+// readUntil returns what precedes the next such byte, which stays unread.
 func (c *conn) readUntil(end byte) (string, error) {
 	for {
 		if i := strings.IndexByte(string(c.unread), end); i >= 0 {
@@ -292,15 +315,15 @@
 		var late net.Error
 		switch {
 		case errors.As(err, &late) && late.Timeout():
-			return errors.New("still open")
+			return errStillOpen
 		case err != nil:
 			return nil
 		}
 	}
 }
 
-// awaitKernel asks the system of this side until the other's has what was sent. On loopback that is
-// at once; the other side's program need not have read any of it.
+// awaitKernel waits until the state of the connection in this side's kernel meets a condition. On loopback that is
+// soon; the other side's program need not have read anything.
 func (c *conn) awaitKernel(met func(unacknowledged int, state uint8) bool) error {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -323,7 +346,7 @@
 			return nil
 		}
 	}
-	return errors.New("it never came there")
+	return errConditionUnmet
 }
 
 func (c *conn) readMore() error {
@@ -336,10 +359,10 @@
 	return err
 }
 
-// Chunk writes a line as one chunk of a body, in the spelling of scenarios.
+// Chunk returns a line as one chunk of a body, with the escapes of scenarios.
 func Chunk(line string) string {
 	return fmt.Sprintf(`%x\r\n%s\n\r\n`, len(line)+1, line)
 }
 
-// Unread returns what has come on a connection and no step has taken.
+// Unread returns what has arrived on a connection and no step has read.
 func (s *Bench) Unread(name string) string { return string(s.conns[name].unread) }
