--- a/cmd/ospreybend/node.go
+++ b/cmd/ospreybend/node.go
@@ -226,7 +226,7 @@
 		"rejected", core.Rejected, "gone", core.Gone, "moved", core.Moved, "open", n.core.OpenOperations(), "steps", core.Steps,
 		"outcomes", fmt.Sprint(core.Outcomes),
 		"turned_away", front.Rejected, "silent", front.Silent, "shed", front.Shed, "full", front.Full,
-		"list_asked", discovery.Asked, "list_answered", discovery.Answered, "list_refused", discovery.Refused, "list_silent", discovery.Silent)
+		"list_asked", discovery.Sent, "list_answered", discovery.Answered, "list_refused", discovery.Rejected, "list_silent", discovery.TimedOut)
 	if n.batch != nil {
 		batch := n.batch.jobs.Counts()
 		slog.Info("batch counts", "unfinished", batch.Unfinished, "queued", batch.Queued, "in_core", batch.InCore, "waits", batch.Waits,
--- a/internal/node/batch/httpapi/binding_test.go
+++ b/internal/node/batch/httpapi/binding_test.go
@@ -328,19 +328,19 @@
 	lines := bufio.NewScanner(answer.Body)
 	lines.Buffer(nil, 1<<20)
 	lines.Scan() // the first line; from here on it reads nothing
-	told := 0
+	published := 0
 	for range 100 {
 		w.Loop.Call(func() {
 			template := &drmaa.JobTemplate{RemoteCommand: "buchen", SubmitAsHold: true}
 			w.service.SubmitBulk(w.service.Tenant("anna"), "s", &drmaa.Bulk{Template: template, Begin: 1, End: 1000, Step: 1},
 				func(_ *jobs.Array, e *drmaa.Error) {
 					if e == nil {
-						told += 1000
+						published += 1000
 					}
 				})
 		})
-		before := told
-		w.WaitUntil(func() bool { return told > before })
+		before := published
+		w.WaitUntil(func() bool { return published > before })
 		w.Advance(100 * time.Millisecond)
 	}
 	var came, missed atomic.Int64
@@ -354,11 +354,11 @@
 			missed.Add(got.Missed)
 		}
 	}()
-	for end := time.Now().Add(20 * time.Second); came.Load()+missed.Load() < int64(told) && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); came.Load()+missed.Load() < int64(published) && time.Now().Before(end); {
 		w.Advance(50 * time.Millisecond) // the node looks again at what it could not send
 	}
-	if total := came.Load() + missed.Load(); total != int64(told) || missed.Load() == 0 || came.Load() == 0 {
-		t.Errorf("%d events came and %d are told as missed, of %d", came.Load(), missed.Load(), told)
+	if total := came.Load() + missed.Load(); total != int64(published) || missed.Load() == 0 || came.Load() == 0 {
+		t.Errorf("%d events came and %d are told as missed, of %d", came.Load(), missed.Load(), published)
 	}
 }
 
--- a/internal/node/batch/httpapi/fixture_test.go
+++ b/internal/node/batch/httpapi/fixture_test.go
@@ -36,7 +36,7 @@
 	return newFixtureWith(t, file, 2, jobs.DefaultMaxEndedJobs)
 }
 
-func newFixtureWith(t *testing.T, file string, quota, kept int) *fixture {
+func newFixtureWith(t *testing.T, file string, quota, maxEndedJobs int) *fixture {
 	t.Helper()
 	if file == "" {
 		file = filepath.Join(t.TempDir(), "batch.db")
@@ -81,7 +81,7 @@
 		w.core.Connect(w.destinations, pool, nil)
 		pool.Start()
 		w.service = jobs.New(jobs.Config{Machine: "n0", Classes: map[string]int{"pruefen": 0, "buchen": 1}, Settings: s, WorkerName: w.destinations.Name,
-			MaxSlots: 100, DelayTarget: jobs.DefaultDelayTarget, MaxWait: jobs.DefaultMaxWait, MaxEvents: 2000, MaxEndedJobs: kept},
+			MaxSlots: 100, DelayTarget: jobs.DefaultDelayTarget, MaxWait: jobs.DefaultMaxWait, MaxEvents: 2000, MaxEndedJobs: maxEndedJobs},
 			w.core, w.executor, w.Loop, &w.Loop.Timers)
 		w.core.SetLoadObserver(w.service)
 		w.service.Load(tenants, sessions, unfinished, arrays)
--- a/internal/node/batch/jobs/fixture_test.go
+++ b/internal/node/batch/jobs/fixture_test.go
@@ -337,8 +337,8 @@
 	return out, nil
 }
 
-func (s *memoryStore) Update(_ context.Context, marks []RecordUpdate) error {
-	for _, k := range marks {
+func (s *memoryStore) Update(_ context.Context, updates []RecordUpdate) error {
+	for _, k := range updates {
 		if r := s.jobs[k.ID]; r.EndedAt == 0 {
 			r.Sent, r.Held = k.Sent, k.Held
 		}
--- a/internal/node/batch/store/bench_test.go
+++ b/internal/node/batch/store/bench_test.go
@@ -35,9 +35,9 @@
 		b.Fatal(err)
 	}
 	results := make(chan func(), 4096)
-	keeper := NewExecutor(s, func(f func()) { results <- f })
+	executor := NewExecutor(s, func(f func()) { results <- f })
 	m := jobs.New(jobs.Config{Classes: map[string]int{"c": 0}, Settings: balance.Settings{Classes: []balance.Class{{Timeout: time.Second}}},
-		MaxSlots: 1, DelayTarget: jobs.DefaultDelayTarget, MaxWait: time.Hour, MaxEvents: 1024, MaxEndedJobs: 10}, idleCore{}, keeper, idleCore{}, &timerqueue.Queue{})
+		MaxSlots: 1, DelayTarget: jobs.DefaultDelayTarget, MaxWait: time.Hour, MaxEvents: 1024, MaxEndedJobs: 10}, idleCore{}, executor, idleCore{}, &timerqueue.Queue{})
 	m.Load([]jobs.Tenant{{Name: "anna", TokenHash: "h", Quota: 1 << 30}}, []jobs.SessionRecord{{Tenant: "anna", Name: "s", State: jobs.SessionOpen}}, nil, nil)
 	t := &drmaa.JobTemplate{RemoteCommand: "c", SubmitAsHold: true, Input: strings.Repeat("x", 300)}
 	const clients = 64
@@ -62,8 +62,8 @@
 		(<-results)()
 	}
 	rate := float64(done) / time.Since(began).Seconds()
-	keeper.Shutdown()
-	if err := keeper.Wait(); err != nil {
+	executor.Shutdown()
+	if err := executor.Wait(); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportMetric(rate, "jobs/s")
--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -47,11 +47,11 @@
 	overrides    override.Overrides
 }
 
-// NewAdmin returns the operators' front; Start opens it. words are the overrides that
-// Discovery applies to the endpoint list: both share the map.
-func NewAdmin(config AdminConfig, loop *eventloop.Loop, core *routing.Core, pool *Discovery, to *Destinations,
-	words override.Overrides) *Admin {
-	a := &Admin{config: config, loop: loop, core: core, discovery: pool, destinations: to, overrides: words}
+// NewAdmin returns the operators' front; Start opens it. overrides are those that Discovery
+// applies to the endpoint list: both share the map.
+func NewAdmin(config AdminConfig, loop *eventloop.Loop, core *routing.Core, discovery *Discovery, destinations *Destinations,
+	overrides override.Overrides) *Admin {
+	a := &Admin{config: config, loop: loop, core: core, discovery: discovery, destinations: destinations, overrides: overrides}
 	a.Server = NewServer(loop, config.Listen, config.MaxSockets, config.MaxBufferedBytes, a.handle)
 	return a
 }
--- a/internal/node/protocol/compatibility_test.go
+++ b/internal/node/protocol/compatibility_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestParcel_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
+func TestHandover_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
 
 // memberNames returns the names of the members that an encoded hand-over lists ahead of its values.
 func memberNames() [][]byte {
@@ -75,7 +75,7 @@
 }
 
 // An earlier process drops members that it does not know by name, so none may be added or have another name.
-func TestParcel_hasTheMemberNamesOfVersion8782861(t *testing.T) {
+func TestHandover_hasTheMemberNamesOfVersion8782861(t *testing.T) {
 	fixture := golden.Read(t, "connection")
 	for _, name := range memberNames() {
 		if !bytes.Contains(fixture, name) {
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -311,15 +311,15 @@
 			}
 		}
 	}()
-	kept := 0
+	buffered := 0
 	w.WaitUntil(func() bool {
 		for _, f := range w.sockets() {
-			kept = max(kept, f.conn.UnsentBytes())
+			buffered = max(buffered, f.conn.UnsentBytes())
 		}
-		return kept > 2*maxUnreadReplyBytes || w.front.Counts().Shed == 1 && w.front.sockets.Len() == 0
+		return buffered > 2*maxUnreadReplyBytes || w.front.Counts().Shed == 1 && w.front.sockets.Len() == 0
 	})
-	if kept > 2*maxUnreadReplyBytes {
-		t.Errorf("%d bytes of answers are kept", kept)
+	if buffered > 2*maxUnreadReplyBytes {
+		t.Errorf("%d bytes of answers are kept", buffered)
 	}
 }
 
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -68,31 +68,36 @@
 // the balancer unsubscribes. A failed call is retried once at once (discovery_call.go); after
 // that the balancer is told and asks again when it sees fit.
 type Discovery struct {
-	config           DiscoveryConfig
-	loop             *eventloop.Loop
-	core             *routing.Core
-	destinations     *Destinations
+	config       DiscoveryConfig
+	loop         *eventloop.Loop
+	core         *routing.Core
+	destinations *Destinations
+
+	// The list.
 	version          uint64
-	names            map[balance.WorkerID]string
+	names            map[balance.WorkerID]string                // of all destinations since the start
 	listed           map[balance.WorkerID]balance.WorkerListing // without overrides
-	answered         bool                                       // the pool config has been heard since the start
+	answered         bool                                       // the pool config has answered since the start
 	excludeWarmingUp bool                                       // destinations that warm up are left to another process of this node
-	watch            *discoveryCall                             // in progress; nil: none
-	fetch            *discoveryCall
-	watchWanted      bool // the balancer is subscribed
-	firstPoll        bool // the watch in progress answers at once, as the subscription's first
-	rejectedEntries  uint64
-	agentSilent      bool // logged already
-	counts           CallCounts
+
+	// The calls.
+	watch       *discoveryCall // in progress; nil: none
+	fetch       *discoveryCall // in progress; nil: none
+	watchWanted bool           // the balancer is subscribed
+	firstPoll   bool           // the watch in progress is the subscription's first, which answers at once
+	agentSilent bool           // logged already
+
+	rejectedEntries uint64
+	counts          CallCounts
 }
 
 // CallCounts are the calls to the pool config since the start, retries included: all, and those
 // answered, rejected and timed out. The others were broken off or malformed, or are in progress.
-type CallCounts struct{ Asked, Answered, Refused, Silent uint64 }
+type CallCounts struct{ Sent, Answered, Rejected, TimedOut uint64 }
 
 // NewDiscovery returns the adapter; Start publishes the cached list.
-func NewDiscovery(config DiscoveryConfig, loop *eventloop.Loop, core *routing.Core, to *Destinations) *Discovery {
-	return &Discovery{config: config, loop: loop, core: core, destinations: to, version: config.CachedList.Version,
+func NewDiscovery(config DiscoveryConfig, loop *eventloop.Loop, core *routing.Core, destinations *Destinations) *Discovery {
+	return &Discovery{config: config, loop: loop, core: core, destinations: destinations, version: config.CachedList.Version,
 		names: map[balance.WorkerID]string{}, listed: map[balance.WorkerID]balance.WorkerListing{}}
 }
 
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -36,12 +36,12 @@
 	request := []byte("GET " + target + " HTTP/1.1\r\nHost: " + d.config.Address + "\r\n\r\n")
 	call.target, call.pending, call.headRead, call.response = target, true, false, nil
 	slog.Debug("pool config asked", "target", target)
-	d.counts.Asked++
+	d.counts.Sent++
 	call.timeout = d.loop.Timers.Add(d.loop.Now()+call.hold+d.answerTimeout(call), func() {
 		// A time-out is retried each time: an overloaded service rejects calls instead, and the
 		// change that the node may have missed is due soon.
 		call.retried = call.retried && d.config.Pushed
-		d.counts.Silent++
+		d.counts.TimedOut++
 		call.fail("no answer in time")
 	})
 	if call.conn != nil {
@@ -184,7 +184,7 @@
 	d.loop.Timers.Cancel(c.timeout)
 	c.pending = false
 	if c.status != 200 {
-		d.counts.Refused++
+		d.counts.Rejected++
 		c.retried = true // no retry: the service is down or overloaded
 		c.fail("status " + strconv.Itoa(c.status))
 		return
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -67,7 +67,7 @@
 }
 
 // run answers and rejects the calls that are due now, and returns their number.
-func (s *serialService) run(now time.Duration) (told int) {
+func (s *serialService) run(now time.Duration) (answered int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.arrived {
@@ -78,7 +78,7 @@
 		}
 		if s.busyUntil = max(s.busyUntil, now); s.busyUntil+s.callTime-now > s.maxWait {
 			fmt.Fprint(c.conn, "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-			told++
+			answered++
 			continue
 		}
 		s.busyUntil += s.callTime
@@ -90,7 +90,7 @@
 		ends := s.pendingChange || !s.silent && now >= c.at
 		if ends {
 			s.answer(c)
-			told++
+			answered++
 		}
 		return ends
 	})
@@ -102,9 +102,9 @@
 			continue // its turn was for nothing
 		}
 		s.answer(c)
-		told++
+		answered++
 	}
-	return told
+	return answered
 }
 
 func (s *serialService) answer(c *queuedCall) {
@@ -149,28 +149,28 @@
 				pools[i].Start()
 			}
 		})
-		told, knowing := 0, 0
+		answered, knowing := 0, 0
 		step := func() {
 			stage.Advance(10 * time.Millisecond)
 			var sum CallCounts
 			level := func() bool { // what either side has done the other has seen
 				sum, knowing = CallCounts{}, 0
 				for _, d := range pools {
-					sum.Asked += d.counts.Asked
+					sum.Sent += d.counts.Sent
 					sum.Answered += d.counts.Answered
-					sum.Refused += d.counts.Refused
-					sum.Silent += d.counts.Silent
+					sum.Rejected += d.counts.Rejected
+					sum.TimedOut += d.counts.TimedOut
 					if d.version == uint64(service.version) {
 						knowing++
 					}
 				}
 				service.mu.Lock()
 				defer service.mu.Unlock()
-				return int(sum.Asked) == service.calls && int(sum.Answered+sum.Refused) == told &&
-					int(sum.Refused+sum.Silent) == service.ended
+				return int(sum.Sent) == service.calls && int(sum.Answered+sum.Rejected) == answered &&
+					int(sum.Rejected+sum.TimedOut) == service.ended
 			}
 			stage.WaitUntil(level)
-			told += service.run(now())
+			answered += service.run(now())
 			stage.WaitUntil(level)
 		}
 		allKnow := func(what string, within time.Duration) {
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -52,12 +52,12 @@
 // An answer may be split at any byte, and indented.
 func TestDiscovery_listSplitAndIndented(t *testing.T) {
 	text := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-	for at := 1; at < len(whole); at += 3 {
+	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	for at := 1; at < len(complete); at += 3 {
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Variables["one"], w.Variables["two"] = whole[:at], whole[at:]
+		w.Variables["one"], w.Variables["two"] = complete[:at], complete[at:]
 		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
-		if at+3 >= len(whole) && w.ready("s-1") {
+		if at+3 >= len(complete) && w.ready("s-1") {
 			t.Error("the change was not applied")
 		}
 	}
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -26,16 +26,16 @@
 		return fmt.Sprintf("%s %s %q %d %v %q %v", m.Method, m.Target, m.Body, used, m.Close, m.Header("Req-Id"), err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		whole := rapid.SampledFrom(requests).Draw(t, "request")
-		want, got := seen(ParseRequest([]byte(whole))), ""
+		complete := rapid.SampledFrom(requests).Draw(t, "request")
+		want, got := seen(ParseRequest([]byte(complete))), ""
 		var r requestReader
 		every := rapid.Bool().Draw(t, "byte by byte")
-		for i := 1; i <= len(whole) && got == ""; i++ {
-			if i < len(whole) && !every && !rapid.Bool().Draw(t, "cut") {
+		for i := 1; i <= len(complete) && got == ""; i++ {
+			if i < len(complete) && !every && !rapid.Bool().Draw(t, "cut") {
 				continue
 			}
 			// Each time at another address, as buffers grow and move.
-			if m, used, err := r.read(bytes.Clone([]byte(whole[:i]))); used > 0 || err != nil {
+			if m, used, err := r.read(bytes.Clone([]byte(complete[:i]))); used > 0 || err != nil {
 				got = seen(m, used, err)
 			}
 		}
--- a/internal/node/protocol/handover.go
+++ b/internal/node/protocol/handover.go
@@ -191,8 +191,8 @@
 		destinationConns[i] = destinations.adopt(steps[at.Try], state.Carried.Tries[at.Try].Worker, at, &state.Carried.Operation.Work, conns[i])
 	}
 	f.core.Resume(handle)
-	for i, call := range destinationConns {
-		conns[i].SetHandler(call) // last: a response may have been received
+	for i, conn := range destinationConns {
+		conns[i].SetHandler(conn) // last: a response may have been received
 	}
 }
 
@@ -213,17 +213,17 @@
 	if ex == nil || ex.conn == nil {
 		return state, nil, false
 	}
-	call := ex.conn
-	d.countIfFlushed(ex, call)
-	socket, rest, ok := call.conn.HandOver()
+	conn := ex.conn
+	d.countIfFlushed(ex, conn)
+	socket, rest, ok := conn.conn.HandOver()
 	if !ok {
 		return state, nil, true
 	}
-	call.forget()
+	conn.forget()
 	delete(d.exchanges, step)
-	return StepState{Name: ex.destination.name, Address: ex.destination.address, Rest: rest, Head: call.headRead, Status: call.status, Declined: call.declined,
-		Load: call.loadHeader, Line: call.partialLine, Last: call.closeAfter, Kept: call.reused, Left: call.body.Remaining, Chunked: call.body.Chunked, ToEnd: call.body.UntilClose,
-		Over: call.body.Done}, socket, true
+	return StepState{Name: ex.destination.name, Address: ex.destination.address, Rest: rest, Head: conn.headRead, Status: conn.status, Declined: conn.declined,
+		Load: conn.loadHeader, Line: conn.partialLine, Last: conn.closeAfter, Kept: conn.reused, Left: conn.body.Remaining, Chunked: conn.body.Chunked, ToEnd: conn.body.UntilClose,
+		Over: conn.body.Done}, socket, true
 }
 
 // adopt takes over the connection of a step.
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -402,7 +402,7 @@
 
 // A watch that falls silent is abandoned and retried before the change that it misses counts as
 // known: 2 s past the hold time.
-func TestDiscovery_silenceIsNoticedInTime(t *testing.T) {
+func TestDiscovery_timeoutOfAWatch(t *testing.T) {
 	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	w.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
 	w.Play(`
@@ -625,11 +625,11 @@
 		return lines(name+" dial front", name+` send POST /pruefen HTTP/1.1\r\nReq-Id: `+name+`\r\nContent-Length: 65536\r\n\r\n`+
 			strings.Repeat("x", bytes))
 	}
-	held := func(bytes int) func() bool { return func() bool { return w.front.bufferedBytes > bytes } }
+	buffered := func(bytes int) func() bool { return func() bool { return w.front.bufferedBytes > bytes } }
 	w.Play(part("one", 30<<10))
-	w.WaitUntil(held(30 << 10))
+	w.WaitUntil(buffered(30 << 10))
 	w.Play(part("two", 60<<10))
-	w.WaitUntil(held(90 << 10))
+	w.WaitUntil(buffered(90 << 10))
 	w.Play(lines(part("three", 25<<10), "two expect HTTP/1.1 503", "two closed"))
 	w.Play(lines("one send "+strings.Repeat("x", 34<<10), "s accept workers", "s expect xxx", "s send {stream}"+
 		scriptedpeer.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
--- a/internal/node/protocol/server.go
+++ b/internal/node/protocol/server.go
@@ -30,27 +30,33 @@
 // order. It bounds the time, the connections and the memory that clients can use without
 // completing a request; server_shedding.go has the rules. All its state belongs to the loop.
 type Server struct {
-	loop             *eventloop.Loop
-	listen           string
-	maxSockets       int // connections at present
-	socketLimit      int // the most that maxSockets may be set to
-	maxBufferedBytes int // of unprocessed input, over all connections
-	serve            func(*Call)
+	loop   *eventloop.Loop
+	listen string
+	serve  func(*Call)
 
 	// FormatError returns header lines and body of the answer to a request that cannot be
 	// parsed or is rejected at capacity. nil: the plain text.
 	FormatError func(status int, text string) (extra string, body []byte)
 
+	// The limits.
+	maxSockets       int // connections at present
+	socketLimit      int // the most that maxSockets may be set to
+	maxBufferedBytes int // of unprocessed input, over all connections
+
+	// The connections.
 	listener      *eventloop.Listener
 	sockets       slottable.Table[*clientConn]
+	bufferedBytes int               // of unprocessed input, over all connections
 	lingering     []*eventloop.Conn // connections after their last answer, oldest first
 	openLingering int               // number of lingering connections that are not closed
-	bufferedBytes int               // of unprocessed input, over all connections
+
+	// The shutdown; see Stop.
 	stopping      bool
 	listenerEnded bool // no further connection will be accepted
 	drained       func()
-	counts        ServerCounts
-	nextLogAt     time.Duration // of rejected requests
+
+	counts    ServerCounts
+	nextLogAt time.Duration // of rejected requests
 }
 
 // ServerCounts are a server's totals since its start.
@@ -61,11 +67,11 @@
 	Full     uint64 // connections answered 503 at capacity
 }
 
-// NewServer returns a server on an address; Start opens it. It has at most most connections
-// and buffers at most memory bytes of unprocessed input. serve is called on the loop and
-// must have each call answered once, then or later.
-func NewServer(loop *eventloop.Loop, listen string, most, memory int, serve func(*Call)) *Server {
-	return &Server{loop: loop, listen: listen, maxSockets: most, socketLimit: most, maxBufferedBytes: memory, serve: serve}
+// NewServer returns a server on an address; Start opens it. It has at most maxSockets
+// connections and buffers at most maxBufferedBytes of unprocessed input. serve is called on
+// the loop and must have each call answered once, then or later.
+func NewServer(loop *eventloop.Loop, listen string, maxSockets, maxBufferedBytes int, serve func(*Call)) *Server {
+	return &Server{loop: loop, listen: listen, maxSockets: maxSockets, socketLimit: maxSockets, maxBufferedBytes: maxBufferedBytes, serve: serve}
 }
 
 // Start listens on the address. Its error is net.Listen's.
--- a/internal/node/protocol/server_shedding.go
+++ b/internal/node/protocol/server_shedding.go
@@ -9,8 +9,8 @@
 
 // SetLimits changes the most connections, up to what the server was made with, and the most
 // bytes of unprocessed input. Connections over the limit are shed as far as the rules allow.
-func (s *Server) SetLimits(most, memory int) {
-	s.maxSockets, s.maxBufferedBytes = min(most, s.socketLimit), memory
+func (s *Server) SetLimits(maxSockets, memory int) {
+	s.maxSockets, s.maxBufferedBytes = min(maxSockets, s.socketLimit), memory
 	s.shedExcess()
 }
 
--- a/internal/node/routing/core_test.go
+++ b/internal/node/routing/core_test.go
@@ -75,7 +75,7 @@
 
 // With a silent destination the answer is given before the deadline, the step is cancelled,
 // and the booking, which may have run, is failed, not refused.
-func TestCore_silenceUntilTheDeadline(t *testing.T) {
+func TestCore_noResponseUntilTheDeadline(t *testing.T) {
 	c, f, _ := newCore(t)
 	f.run(f.now + time.Second)
 	if len(f.answers) != 1 || f.answers[0].Verdict != Failed || !f.answers[0].MayHaveRun || len(f.aborted) != 1 {
