--- a/balance/api.go
+++ b/balance/api.go
@@ -52,16 +52,16 @@
 
 // Request is a client's request.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64 // 0: none
-	Cost     time.Duration
-	HasCost  bool
-	Repeat   bool // marked by the client as a retry
-	Slots    float64
-	Memory   float64
-	Deadline time.Duration // clock time
+	ID          RequestID
+	Class       int
+	Tenant      int
+	Key         uint64 // 0: none
+	Cost        time.Duration
+	HasCost     bool
+	ClientRetry bool // marked by the client as a retry
+	Slots       float64
+	Memory      float64
+	Deadline    time.Duration // clock time
 }
 
 // Outcome is how an attempt ended.
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -23,8 +23,8 @@
 
 // deduplicates reports whether a worker drops repeats of what ran at the first worker.
 func deduplicates(c *Class, first, w *worker) bool {
-	return c.Effect != Deduplicated || c.Group == GroupAll ||
-		c.Group == GroupZone && first.zone == w.zone || c.Group == GroupCell && first.cell == w.cell
+	return c.Effect != Deduplicated || c.DedupGroup == GroupAll ||
+		c.DedupGroup == GroupZone && first.zone == w.zone || c.DedupGroup == GroupCell && first.cell == w.cell
 }
 
 // permit enforces rule 2: whether a request may be sent (again), and whether it may be rejected as not run.
@@ -34,9 +34,9 @@
 	if first == nil {
 		return send, true
 	}
-	inWindow := now <= first.sentAt+r.class.Window-transitTime
+	inWindow := now <= first.sentAt+r.class.DedupWindow-transitTime
 	send = send && effect != NonIdempotent && (effect != Deduplicated || inWindow)
-	return send, effect == Idempotent || effect == Deduplicated && r.class.Group == GroupAll
+	return send, effect == Idempotent || effect == Deduplicated && r.class.DedupGroup == GroupAll
 }
 
 // send starts the request's next attempt and schedules the checks on its start.
--- a/balance/compatibility_test.go
+++ b/balance/compatibility_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	class := balance.Class{LatencyTarget: time.Second, Timeout: 4 * time.Second, Value: 1, Kind: -1}
 	b, err := balance.New(balance.Settings{
-		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class}, Report: []balance.ReportField{balance.FieldFreeSlots},
+		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class}, ReportFields: []balance.ReportField{balance.FieldFreeSlots},
 		Limits: balance.Limits{MaxAttempts: 2},
 	}, 1)
 	if err != nil {
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -10,15 +10,15 @@
 
 // ruleSettings returns settings with a class of each effect and group.
 func ruleSettings(ordinal int) Settings {
-	class := func(e Effect, g Group) Class {
-		return Class{LatencyTarget: 300 * time.Millisecond, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Group: g,
-			Window: 2 * time.Second, Kind: -1}
+	class := func(e Effect, g DedupGroup) Class {
+		return Class{LatencyTarget: 300 * time.Millisecond, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, DedupGroup: g,
+			DedupWindow: 2 * time.Second, Kind: -1}
 	}
 	return Settings{Balancers: 4, Ordinal: ordinal, Resolution: 5 * time.Millisecond, ReportsStart: true,
 		Classes: []Class{class(Idempotent, GroupAll), class(Deduplicated, GroupAll), class(Deduplicated, GroupZone),
 			class(Deduplicated, GroupCell), class(NonIdempotent, GroupAll)},
-		Report: []ReportField{FieldFreeSlots, FieldBacklog},
-		Limits: Limits{MaxAttempts: 4, Cancel: true, Messages: true},
+		ReportFields: []ReportField{FieldFreeSlots, FieldBacklog},
+		Limits:       Limits{MaxAttempts: 4, Cancel: true, Messages: true},
 		Rules: Rules{AnswerSlack: 20 * time.Millisecond, SubscribeWithin: 10 * time.Second,
 			DrainGrace: 250 * time.Millisecond, InitialCapacity: 0.3, WarmupTime: 8 * time.Second, OverloadMultiple: 3,
 			OverloadTime: 2 * time.Second}}
@@ -105,7 +105,7 @@
 	case Reject:
 		w := c.requests[a.Request]
 		cl := c.s.Classes[w.req.Class]
-		if cl.Effect == NonIdempotent || cl.Effect == Deduplicated && cl.Group != GroupAll {
+		if cl.Effect == NonIdempotent || cl.Effect == Deduplicated && cl.DedupGroup != GroupAll {
 			for _, at := range w.attempts {
 				if !at.proved {
 					c.fault("rule 2: request %d refused though it may have run", a.Request)
@@ -149,10 +149,10 @@
 		switch {
 		case cl.Effect == NonIdempotent:
 			c.fault("rule 2: unsafe request %d sent again", a.Request)
-		case cl.Effect == Deduplicated && now > at.sentAt+cl.Window:
+		case cl.Effect == Deduplicated && now > at.sentAt+cl.DedupWindow:
 			c.fault("rule 2: keyed request %d sent past its window", a.Request)
-		case cl.Effect == Deduplicated && cl.Group == GroupZone && l.Zone != first.Zone,
-			cl.Effect == Deduplicated && cl.Group == GroupCell && l.Cell != first.Cell:
+		case cl.Effect == Deduplicated && cl.DedupGroup == GroupZone && l.Zone != first.Zone,
+			cl.Effect == Deduplicated && cl.DedupGroup == GroupCell && l.Cell != first.Cell:
 			c.fault("rule 2: keyed request %d left its group", a.Request)
 		}
 		break
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -17,12 +17,12 @@
 	NonIdempotent               // must not run twice
 )
 
-// Group is the set of workers that drop each other's repeats of a Deduplicated request.
-type Group uint8
+// DedupGroup is the set of workers that drop each other's repeats of a Deduplicated request.
+type DedupGroup uint8
 
 // The groups.
 const (
-	GroupAll Group = iota
+	GroupAll DedupGroup = iota
 	GroupZone
 	GroupCell
 )
@@ -61,8 +61,8 @@
 	Value         float64
 	LateValue     float64 // fraction of the value that a late answer earns
 	Effect        Effect
-	Group         Group         // for Deduplicated
-	Window        time.Duration // for Deduplicated, from the first attempt that may have run
+	DedupGroup    DedupGroup    // for Deduplicated
+	DedupWindow   time.Duration // for Deduplicated, from the first attempt that may have run
 	Stream        bool
 	Kind          int // the worker kind it needs, or -1
 	Priority      int
@@ -122,7 +122,7 @@
 	ValueByWork        bool // the value counts per unit of work
 	ReportsStart       bool // workers report the start of a job
 	QueueOrder         QueueOrder
-	Report             []ReportField
+	ReportFields       []ReportField
 	ReportProbes       bool // reports come with probe results only
 
 	OverShareValue float64
@@ -163,7 +163,7 @@
 // parseReport returns the values of a load report by field; missing ones are absent.
 func (s *Settings) parseReport(report []float32) map[ReportField]float64 {
 	seen := map[ReportField]float64{}
-	for i, field := range s.Report {
+	for i, field := range s.ReportFields {
 		if i < len(report) && !math.IsNaN(float64(report[i])) {
 			seen[field] = float64(report[i])
 		}
--- a/balance/state_test.go
+++ b/balance/state_test.go
@@ -24,7 +24,7 @@
 	once := c
 	once.Effect = NonIdempotent
 	b, err := New(Settings{Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []Class{c, once},
-		Report: []ReportField{FieldFreeSlots}, Limits: Limits{MaxAttempts: 2}}, 1)
+		ReportFields: []ReportField{FieldFreeSlots}, Limits: Limits{MaxAttempts: 2}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/balance/warmup_test.go
+++ b/balance/warmup_test.go
@@ -46,7 +46,7 @@
 )
 
 func newTier(n int, mean time.Duration, hints bool, seed uint64) *tier {
-	s := Settings{Balancers: n, Resolution: 2 * time.Millisecond, ReportsStart: true, Report: []ReportField{FieldFreeSlots, FieldBacklog},
+	s := Settings{Balancers: n, Resolution: 2 * time.Millisecond, ReportsStart: true, ReportFields: []ReportField{FieldFreeSlots, FieldBacklog},
 		Classes: []Class{{LatencyTarget: mean / 2, TargetStretch: 2, Timeout: 20 * time.Second, Value: 1, Kind: -1}},
 		Limits:  Limits{MaxAttempts: 4, Cancel: true, HedgedRequests: true},
 		Rules: Rules{AnswerSlack: 8 * time.Millisecond, DrainGrace: 300 * time.Millisecond, InitialCapacity: 0.2, WarmupTime: 20 * time.Second,
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -8,7 +8,7 @@
 
 // zonedBalancer returns a dispatcher with two workers in each of two zones, all with free slots.
 func zonedBalancer(t testing.TB, classes ...Class) *Balancer {
-	b, err := New(Settings{Balancers: 1, Classes: classes, Report: []ReportField{FieldBacklog, FieldFreeSlots},
+	b, err := New(Settings{Balancers: 1, Classes: classes, ReportFields: []ReportField{FieldBacklog, FieldFreeSlots},
 		Limits: Limits{Cancel: true, HedgedRequests: true, MaxAttempts: 4}, ReportsStart: true}, 7)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/batch/jobs/fixture_test.go
+++ b/internal/node/batch/jobs/fixture_test.go
@@ -100,7 +100,7 @@
 func newFixture(t testingT) *fixture {
 	r := &fixture{t: t, now: 1000 * time.Hour, store: newMemoryStore(), quota: 20_000, classes: map[string]int{safe: 0, once: 1}}
 	r.settings = balance.Settings{Classes: []balance.Class{{Timeout: 10 * time.Second, Effect: balance.Idempotent},
-		{Timeout: 10 * time.Second, Effect: balance.NonIdempotent}}, Report: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots}}
+		{Timeout: 10 * time.Second, Effect: balance.NonIdempotent}}, ReportFields: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots}}
 	r.store.tenants = []Tenant{{Name: "anna", TokenHash: "a", Quota: r.quota}, {Name: "ben", TokenHash: "b", Quota: 2}}
 	r.store.sessions = map[[2]string]string{{"anna", "s"}: SessionOpen, {"ben", "s"}: SessionOpen}
 	r.start()
--- a/internal/node/batch/jobs/manager.go
+++ b/internal/node/batch/jobs/manager.go
@@ -113,7 +113,7 @@
 		arrays: map[string]*Array{}, byKey: map[string]submissionRef{}, byOperation: map[slottable.Handle]*Job{},
 		queue: queue.New[*Job](), pendingSubmissions: map[*pendingSubmission]bool{},
 		streamEpoch: newID()[:8], streams: map[string]*stream{}, loadReports: map[balance.WorkerID]*loadReport{},
-		freeSlotsField: slices.Index(config.Settings.Report, balance.FieldFreeSlots),
+		freeSlotsField: slices.Index(config.Settings.ReportFields, balance.FieldFreeSlots),
 	}
 	m.circuit = circuitbreaker.New(circuitbreaker.Config{StallTime: storeStallTime, RetryInterval: storeRetryDelay})
 	m.store = &monitoredStore{store, m}
--- a/internal/node/nodeconfig/config.go
+++ b/internal/node/nodeconfig/config.go
@@ -279,7 +279,7 @@
 	n.Classes, n.ClassNames = numbersByName(values, "grades", len(s.Classes))
 	n.Tenants, _ = numbersByName(values, "tenants", len(s.Tenants))
 	n.Zones, n.Kinds = splitList(values["failureDomains"]), splitList(values["machineTypes"])
-	if len(s.Report) > 0 {
+	if len(s.ReportFields) > 0 {
 		n.ReportFields = splitList(values["report.fields"])
 	}
 	if len(s.Classes) == 0 {
--- a/internal/node/nodeconfig/config_test.go
+++ b/internal/node/nodeconfig/config_test.go
@@ -30,7 +30,7 @@
 	s := n.Settings
 	if n.Seed != 0x8c1f30d27a5be964 || len(s.Classes) != 3 || n.Classes["auftrag-buchen"] != 2 ||
 		s.Classes[2].Effect != balance.NonIdempotent || s.Classes[1].TargetStretch != 2.5 || !s.SubscribeDiscovery ||
-		s.Limits.ConnIdle != time.Minute || len(n.Kinds) != 2 || len(n.ReportFields) != 2 || s.Report[1] != balance.FieldFreeSlots {
+		s.Limits.ConnIdle != time.Minute || len(n.Kinds) != 2 || len(n.ReportFields) != 2 || s.ReportFields[1] != balance.FieldFreeSlots {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/node/protocol/connection_end_test.go
+++ b/internal/node/protocol/connection_end_test.go
@@ -171,7 +171,7 @@
 func TestFront_repeatWhoseConnectionComesLate(t *testing.T) {
 	for late, want := range map[time.Duration]balance.Outcome{0: balance.Served, 980 * time.Millisecond: balance.ConnectFailed} {
 		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
-			s.Classes[1].Effect, s.Classes[1].Window = balance.Deduplicated, time.Second
+			s.Classes[1].Effect, s.Classes[1].DedupWindow = balance.Deduplicated, time.Second
 		})
 		w.Play("c dial front\nc send {book}\ns accept workers\ns expect Req-Id: b1")
 		w.Loop.Call(func() {
--- a/internal/node/protocol/fixture_test.go
+++ b/internal/node/protocol/fixture_test.go
@@ -29,8 +29,8 @@
 		return balance.Class{LatencyTarget: 2 * time.Second, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, Kind: -1}
 	}
 	s := balance.Settings{Balancers: 1, Resolution: 2 * time.Millisecond, ReportsStart: true,
-		Classes: []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)},
-		Report:  []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots},
+		Classes:      []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)},
+		ReportFields: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots},
 		Limits: balance.Limits{Cancel: true, Probes: true, MaxAttempts: 2, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: 250 * time.Millisecond, ConnIdle: time.Minute},
 		Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}}
--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -201,7 +201,7 @@
 // request returns an operation as the balancer sees it.
 func (c *Core) request(handle slottable.Handle, operation *operation) balance.Request {
 	return balance.Request{ID: balance.RequestID(handle), Class: operation.Class, Tenant: operation.Tenant, Key: operation.Key,
-		Cost: operation.Cost, HasCost: operation.HasCost, Repeat: operation.Repeat, Slots: operation.Slots, Memory: operation.Memory,
+		Cost: operation.Cost, HasCost: operation.HasCost, ClientRetry: operation.Repeat, Slots: operation.Slots, Memory: operation.Memory,
 		Deadline: operation.Deadline}
 }
 
--- a/internal/node/routing/steps.go
+++ b/internal/node/routing/steps.go
@@ -43,7 +43,7 @@
 		return true
 	}
 	for i, t := range operation.attempts {
-		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[operation.Class].Window-networkAllowance {
+		if i != s.number && t.MayHave && c.clock.Now() > t.SentAt+c.settings.Classes[operation.Class].DedupWindow-networkAllowance {
 			return false
 		}
 	}
--- a/internal/node/simwire/frame.go
+++ b/internal/node/simwire/frame.go
@@ -316,7 +316,7 @@
 	flags := d.u8()
 	ev.Memory = float64(d.f32())
 	ev.Cost = micros(uint64(d.u32()))
-	ev.HasCost, ev.Repeat = flags&flagHasCost != 0, flags&flagRepeat != 0
+	ev.HasCost, ev.ClientRetry = flags&flagHasCost != 0, flags&flagRepeat != 0
 	ev.Key = d.u64()
 	ev.Deadline = micros(d.u64())
 	ev.Class = int(d.u8())
--- a/internal/node/simwire/settings.go
+++ b/internal/node/simwire/settings.go
@@ -174,7 +174,7 @@
 	reportMode := p.choice("report.how", "inline", "on_probe", "off")
 	s.ReportProbes = reportMode == 1
 	if reportMode < 2 {
-		s.Report = p.report()
+		s.ReportFields = p.report()
 	}
 	for i := range p.count("grades.count") {
 		s.Classes = append(s.Classes, p.class(i))
@@ -243,10 +243,10 @@
 		LateValue:     p.number(at+"lateWorth", 0),
 		Effect: balance.Effect(p.choice(at+"repeat", "read_like", "idempotency_key",
 			"non_idempotent")),
-		Group:    balance.Group(p.choice(at+"group", "all", "zone", "cell")),
-		Window:   p.duration(at + "windowUs"),
-		Stream:   p.flag(at + "stream"),
-		Kind:     int(p.listNumber("domain.classKind", index, -1)),
-		Priority: int(p.listNumber("domain.classPriority", index, 0)),
+		DedupGroup:  balance.DedupGroup(p.choice(at+"group", "all", "zone", "cell")),
+		DedupWindow: p.duration(at + "windowUs"),
+		Stream:      p.flag(at + "stream"),
+		Kind:        int(p.listNumber("domain.classKind", index, -1)),
+		Priority:    int(p.listNumber("domain.classPriority", index, 0)),
 	}
 }
--- a/internal/node/simwire/wire_test.go
+++ b/internal/node/simwire/wire_test.go
@@ -54,7 +54,7 @@
 		"Ask": {le(uint8(3), uint32(3), uint64(12), uint32(1), uint8(3), float32(0.5), uint32(2000), uint64(77),
 			uint64(9000), uint8(2), float32(4)),
 			balance.Request{ID: 12, Class: 2, Tenant: 1, Key: 77, Cost: 2 * time.Millisecond, HasCost: true,
-				Repeat: true, Slots: 4, Memory: 0.5, Deadline: 9 * time.Millisecond}},
+				ClientRetry: true, Slots: 4, Memory: 0.5, Deadline: 9 * time.Millisecond}},
 		"Streaming": {le(uint8(4), uint32(3), uint64(12), uint16(1), addr, uint32(500)),
 			balance.StreamStarted{Request: 12, Attempt: 1, Worker: addrID, Elapsed: 500 * time.Microsecond}},
 		"Outcome": {le(uint8(5), uint32(3), uint64(12), uint16(1), addr, uint16(30), uint32(500), uint8(1), uint32(6),
@@ -208,9 +208,9 @@
 	}
 	want := balance.Settings{Balancers: 3, Ordinal: 2, Zone: 1, Resolution: 5 * time.Millisecond,
 		SubscribeDiscovery: true, ValueByWork: true, ReportsStart: true, QueueOrder: balance.Backfill,
-		Report: []balance.ReportField{balance.FieldOutstanding, balance.FieldFreeSlots, balance.FieldOther},
+		ReportFields: []balance.ReportField{balance.FieldOutstanding, balance.FieldFreeSlots, balance.FieldOther},
 		Classes: []balance.Class{{LatencyTarget: 200 * time.Millisecond, TargetStretch: 1.5, Timeout: 5 * time.Second, Value: 2.5,
-			Effect: balance.Deduplicated, Group: balance.GroupCell, Window: 7 * time.Millisecond, Kind: -1}},
+			Effect: balance.Deduplicated, DedupGroup: balance.GroupCell, DedupWindow: 7 * time.Millisecond, Kind: -1}},
 		Tenants: []balance.Tenant{{QuotaPerSecond: 10.5, Share: 0.4}},
 		Limits:  balance.Limits{MaxAttempts: 6, HedgedRequests: true, StreamsPerConn: 1},
 		Rules:   balance.Rules{InitialCapacity: 0.35, WarmupTime: 9 * time.Second}}
--- a/internal/node/zones/replica/messages.go
+++ b/internal/node/zones/replica/messages.go
@@ -116,7 +116,7 @@
 	if read.term > 0 && (read.term > r.leaderCommit.term || read.term == r.leaderCommit.term && read.at >= r.leaderCommit.at) {
 		r.leaderCommit = read
 	}
-	if r.leaderCommit.term > 0 && r.leaderCommit.term >= r.log.Term() && r.log.Applied() >= r.leaderCommit.index {
+	if r.leaderCommit.term > 0 && r.leaderCommit.term >= r.log.Term() && r.log.AppliedIndex() >= r.leaderCommit.index {
 		r.caughtUpAt = max(r.caughtUpAt, r.leaderCommit.at)
 	}
 }
@@ -130,7 +130,7 @@
 	message.Stamp, message.Echo = Timestamp{r.config.Starts, r.now}, r.lastStamps[to]
 	// A new leader does not know the commit index of its predecessors before it has applied its own first entry.
 	if r.log.LeaderCaughtUp() || r.config.DisabledCheck == checkLeaderCaughtUp && r.log.IsLeader() {
-		message.LeaderTerm, message.CommitIndex = r.log.Term(), r.log.Committed()
+		message.LeaderTerm, message.CommitIndex = r.log.Term(), r.log.CommitIndex()
 	}
 	r.outgoing = append(r.outgoing, Envelope{to, message})
 }
--- a/internal/node/zones/replicatedlog/log.go
+++ b/internal/node/zones/replicatedlog/log.go
@@ -91,7 +91,7 @@
 	machine          StateMachine
 	now              time.Duration
 	ticksSinceLeader int // since the last message of a leader
-	applied          uint64
+	appliedIndex     uint64
 	appliedTerm      uint64 // of the entry at applied
 	snapshotIndex    uint64 // index of the last snapshot
 	pending          Persist
@@ -255,12 +255,12 @@
 	if err := l.machine.Restore(s.Data); err != nil {
 		return fmt.Errorf("the snapshot at %d: %w", s.Index, err)
 	}
-	l.applied, l.appliedTerm, l.snapshotIndex = s.Index, s.Term, s.Index
+	l.appliedIndex, l.appliedTerm, l.snapshotIndex = s.Index, s.Term, s.Index
 	return nil
 }
 
 func (l *Log) apply(entry consensus.Entry) {
-	l.applied, l.appliedTerm = entry.Index, entry.Term
+	l.appliedIndex, l.appliedTerm = entry.Index, entry.Term
 	switch entry.Kind {
 	case consensus.EntryCommand:
 		l.machine.Apply(entry.Index, entry.Data)
@@ -271,19 +271,19 @@
 
 // maybeSnapshot makes a snapshot when SnapshotInterval entries were applied since the last.
 func (l *Log) maybeSnapshot() error {
-	if l.compacting || l.applied < l.snapshotIndex+uint64(l.config.SnapshotInterval) {
+	if l.compacting || l.appliedIndex < l.snapshotIndex+uint64(l.config.SnapshotInterval) {
 		return nil
 	}
 	state, err := l.machine.Snapshot()
 	if err != nil {
 		return err
 	}
-	s, known := l.node.SnapshotAt(l.applied, state)
+	s, known := l.node.SnapshotAt(l.appliedIndex, state)
 	if !known {
 		return nil
 	}
-	l.snapshotIndex, l.compacting = l.applied, true
-	first := max(l.node.Status().FirstIndex, l.applied+1-min(l.applied, trailingEntries))
+	l.snapshotIndex, l.compacting = l.appliedIndex, true
+	first := max(l.node.Status().FirstIndex, l.appliedIndex+1-min(l.appliedIndex, trailingEntries))
 	l.pending.addSnapshot(s, first)
 	return nil
 }
@@ -322,11 +322,11 @@
 // Term returns the current term.
 func (l *Log) Term() uint64 { return l.node.Status().Term }
 
-// Applied returns the index of the last entry applied here.
-func (l *Log) Applied() uint64 { return l.applied }
+// AppliedIndex returns the index of the last entry applied here.
+func (l *Log) AppliedIndex() uint64 { return l.appliedIndex }
 
-// Committed returns the commit index, as far as this voter knows.
-func (l *Log) Committed() uint64 { return l.node.Status().CommitIndex }
+// CommitIndex returns the commit index, as far as this voter knows.
+func (l *Log) CommitIndex() uint64 { return l.node.Status().CommitIndex }
 
 // LeaderCaughtUp reports whether this voter leads and has applied an entry of its own term, and with it all entries
 // committed before (Raft paper, section 8).
--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -252,21 +252,21 @@
 func (s *Server) status(now time.Duration) transport.Status {
 	log := s.replica.Log()
 	status := transport.Status{
-		Voter:    s.config.ID,
-		Leader:   log.Leader(),
-		Term:     log.Term(),
-		Applied:  log.Applied(),
-		Voters:   log.Voters(),
-		Table:    s.replica.Table().Clone(),
-		Counts:   s.replica.Counts(),
-		Verdicts: map[string]string{},
+		Voter:        s.config.ID,
+		Leader:       log.Leader(),
+		Term:         log.Term(),
+		AppliedIndex: log.AppliedIndex(),
+		Voters:       log.Voters(),
+		Table:        s.replica.Table().Clone(),
+		Counts:       s.replica.Counts(),
+		Assessments:  map[string]string{},
 	}
 	for _, member := range s.replica.Members() {
 		status.Members = append(status.Members, transport.MemberStatus{Name: member.Name, Zone: member.Zone, Incarnation: member.Incarnation,
 			SinceHeartbeat: now - member.LastHeartbeat})
 	}
 	for name, assessment := range s.replica.Assessments() {
-		status.Verdicts[name] = assessment.String()
+		status.Assessments[name] = assessment.String()
 	}
 	return status
 }
--- a/internal/node/zones/simulation/simulation.go
+++ b/internal/node/zones/simulation/simulation.go
@@ -169,7 +169,7 @@
 	if voter.replica == nil {
 		return
 	}
-	at, table := voter.replica.Log().Applied(), voter.replica.Table()
+	at, table := voter.replica.Log().AppliedIndex(), voter.replica.Table()
 	if at == voter.checked {
 		return
 	}
--- a/internal/node/zones/transport/compatibility_test.go
+++ b/internal/node/zones/transport/compatibility_test.go
@@ -37,10 +37,10 @@
 		Zones: map[string]commands.ZoneState{"north": {Phase: commands.PhaseReduced, Share: 0.5, SinceEpoch: 3, UnreachableFrom: []string{"south"}}},
 	}
 	status := Status{
-		Voter: 1, Leader: 2, Term: 3, Applied: 4, Voters: []uint64{1, 2, 3}, Table: table,
-		Members:  []MemberStatus{{Name: "node-1", Zone: "north", Incarnation: 5, SinceHeartbeat: 6 * time.Millisecond}},
-		Verdicts: map[string]string{"north": "fails"},
-		Counts:   replica.Counts{Reports: 1, OutOfOrder: 2, Superseded: 3, Foreign: 4, Commands: 5, Stale: 6, Rejected: 7},
+		Voter: 1, Leader: 2, Term: 3, AppliedIndex: 4, Voters: []uint64{1, 2, 3}, Table: table,
+		Members:     []MemberStatus{{Name: "node-1", Zone: "north", Incarnation: 5, SinceHeartbeat: 6 * time.Millisecond}},
+		Assessments: map[string]string{"north": "fails"},
+		Counts:      replica.Counts{Reports: 1, OutOfOrder: 2, Superseded: 3, Foreign: 4, Commands: 5, Stale: 6, Rejected: 7},
 	}
 	return []golden.Row{
 		bodyRow("report", follower.Report{Fleet: "f", Name: "node-1", Zone: "north", Incarnation: 1 << 63, Sequence: 2, Epoch: 3, Observations: observations}),
--- a/internal/node/zones/transport/transport.go
+++ b/internal/node/zones/transport/transport.go
@@ -51,15 +51,15 @@
 
 // Status is the state of the group as one voter sees it. The names are part of the operators' interface.
 type Status struct {
-	Voter    uint64            `cbor:"1,keyasint" json:"voter"`
-	Leader   uint64            `cbor:"2,keyasint" json:"leader"` // 0: unknown
-	Term     uint64            `cbor:"3,keyasint" json:"term"`
-	Applied  uint64            `cbor:"4,keyasint" json:"applied"`
-	Voters   []uint64          `cbor:"5,keyasint" json:"voters"`
-	Table    commands.Table    `cbor:"6,keyasint" json:"table"`
-	Members  []MemberStatus    `cbor:"7,keyasint" json:"members"` // that report to this voter
-	Verdicts map[string]string `cbor:"8,keyasint" json:"verdicts,omitempty"`
-	Counts   replica.Counts    `cbor:"9,keyasint" json:"counts"`
+	Voter        uint64            `cbor:"1,keyasint" json:"voter"`
+	Leader       uint64            `cbor:"2,keyasint" json:"leader"` // 0: unknown
+	Term         uint64            `cbor:"3,keyasint" json:"term"`
+	AppliedIndex uint64            `cbor:"4,keyasint" json:"applied"`
+	Voters       []uint64          `cbor:"5,keyasint" json:"voters"`
+	Table        commands.Table    `cbor:"6,keyasint" json:"table"`
+	Members      []MemberStatus    `cbor:"7,keyasint" json:"members"` // that report to this voter
+	Assessments  map[string]string `cbor:"8,keyasint" json:"verdicts,omitempty"`
+	Counts       replica.Counts    `cbor:"9,keyasint" json:"counts"`
 }
 
 // MemberStatus is a process that reports to the voter.
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -232,12 +232,12 @@
 		return
 	}
 	for _, z := range zones {
-		verdict, _, _ := strings.Cut(st.Verdicts[z], ",")
+		verdict, _, _ := strings.Cut(st.Assessments[z], ",")
 		o := st.Table.Zone(z)
 		now := fmt.Sprintf("%s, ordered: %v, share %.3f", verdict, o.Phase, o.Share)
 		if now != said[z] {
 			said[z] = now
-			s.note("%s on zone %s: %s (%s)", voter, z, now, st.Verdicts[z])
+			s.note("%s on zone %s: %s (%s)", voter, z, now, st.Assessments[z])
 		}
 	}
 }
--- a/internal/testkit/nodesim/sites.go
+++ b/internal/testkit/nodesim/sites.go
@@ -22,7 +22,7 @@
 		Settings: balance.Settings{Resolution: 2 * time.Millisecond, ValueByWork: true, ReportsStart: true,
 			Classes: []balance.Class{class(400, 5, 5, 1.75, balance.Idempotent), class(1000, 20, 2, 2.5, balance.Idempotent),
 				class(800, 25, 8, 2, balance.NonIdempotent)},
-			Report: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots},
+			ReportFields: []balance.ReportField{balance.FieldBacklog, balance.FieldFreeSlots},
 			Limits: balance.Limits{Cancel: true, HedgedRequests: true, Probes: true, Messages: true, RetryAfter: true,
 				MaxRetryAfter: 2 * time.Second, MaxAttempts: 4, ConnectTimeout: 250 * time.Millisecond,
 				ConnIdle: time.Minute, StreamsPerConn: 1},
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -243,8 +243,8 @@
 	k.advance()
 	d := k.world.day
 	noise := func(v float64) float32 { return float32(max(0, v+d.ReportNoise*k.world.rng.NormFloat64())) }
-	values := make([]float32, len(d.Settings.Report))
-	for i, f := range d.Settings.Report {
+	values := make([]float32, len(d.Settings.ReportFields))
+	for i, f := range d.Settings.ReportFields {
 		switch f {
 		case balance.FieldBacklog:
 			values[i] = noise(float64(len(k.queue)))
