--- a/internal/testkit/catchupbench/document.go
+++ b/internal/testkit/catchupbench/document.go
@@ -16,7 +16,7 @@
 		number, number, timeoutMs, service)
 }
 
-// change is the change that follows a generation: the whole document now and then, one route otherwise.
+// change is the change that follows a generation: the complete document now and then, one route otherwise.
 func (p Plan) change(generation uint64) configuration.Command {
 	next := generation + 1
 	if generation%uint64(p.ReplaceEvery) != 0 {
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -126,12 +126,12 @@
 	}
 }
 
-// Call answers nothing: nobody calls.
+// Call is never called here.
 func (m *member) Call(context.Context, peertransport.Hello, peertransport.CallKind, []byte) ([]byte, error) {
 	return nil, nil
 }
 
-// FeedConnection closes the connection: nobody reads.
+// FeedConnection closes the connection: the benchmark has no readers.
 func (m *member) FeedConnection(_ context.Context, connection net.Conn, _ feedtransport.Kind, _ []byte) {
 	_ = connection.Close()
 }
--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -34,7 +34,7 @@
 	Directory    string
 	Routes       int
 	Rate         int // changes a second, which go on
-	ReplaceEvery int // each so-manieth change replaces the whole document
+	ReplaceEvery int // one in so many changes replaces the complete document
 	Offline      []time.Duration
 	Limit        time.Duration // until a member must be current
 	Progress     io.Writer     // nil: none
--- a/internal/testkit/catchupbench/result.go
+++ b/internal/testkit/catchupbench/result.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Result is a whole measurement.
+// Result is a complete measurement.
 type Result struct {
 	Command string
 	Build   string
 	Steps   []Step
 }
 
-// String tells a step in one line.
+// String describes a step in one line.
 func (s Step) String() string {
 	return fmt.Sprintf("%-9s away %6v, %4d changes lacked: current after %4d ms, voting after %4d ms, %6d KiB sent, on disk %5d KiB, the leader's %5d KiB",
 		s.Manner, s.Offline, s.Lacked, s.Took.Milliseconds(), s.Voting.Milliseconds(), s.Bytes>>10, s.OnDisk>>10, s.Leading>>10)
@@ -32,7 +32,7 @@
 	return slowest
 }
 
-// WriteJSON writes the whole result.
+// WriteJSON writes the result as JSON.
 func (r Result) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/testkit/controlplanesim/campaign/campaign_test.go
+++ b/internal/testkit/controlplanesim/campaign/campaign_test.go
@@ -24,7 +24,7 @@
 	seedAlways  = 102
 )
 
-// TestPlayRequest stands in for the simulation: the campaign runs this test binary, too, with a request.
+// TestPlayRequest is the fake simulation: the campaign runs this test binary, too, with a request.
 func TestPlayRequest(t *testing.T) {
 	request, given, err := campaign.Requested()
 	if !given {
@@ -92,7 +92,7 @@
 		t.Fatalf("found %s, want %s", got, want)
 	}
 	if text := part.Failures[0].Violations[0].Text; !strings.Contains(text, "scripted end") {
-		t.Errorf("how the process died is not told: %q", text)
+		t.Errorf("how the process died is not reported: %q", text)
 	}
 	shrunk, err := schedule.Parse(part.Failures[1].Shrunk)
 	if err != nil || len(shrunk.Events) != 1 || shrunk.Events[0].Kind != schedule.Worker {
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestPlay_stopsOnceAnOmittedGuardIsFound has seeds that break something: 102 with all guards in force too, which tells
-// nothing about the one that is left out, and 104 only without it.
+// TestPlay_stopsOnceAnOmittedGuardIsFound has seeds that break something: 102 with all guards enabled too, which shows
+// nothing about the omitted one, and 104 only without it.
 func TestPlay_stopsOnceAnOmittedGuardIsFound(t *testing.T) {
 	without := shape
 	without.Omit = []string{"guard"}
--- a/internal/testkit/controlplanesim/campaign/player.go
+++ b/internal/testkit/controlplanesim/campaign/player.go
@@ -43,7 +43,7 @@
 }
 
 // Play plays the request and hands over a line for each schedule that ended. A schedule during which the process dies has
-// a finding, and the rest of the request goes on in another process.
+// a finding, and another process continues with the rest of the request.
 func (p Player) Play(ctx context.Context, request Request, ended func(Line)) error {
 	for {
 		played := 0
@@ -96,7 +96,7 @@
 	defer cancel()
 	command := exec.CommandContext(ctx, p.Binary, "-test.run=^"+Test+"$", "-test.timeout=0")
 	command.Env = append(os.Environ(), Variable+"="+string(text), "GOMAXPROCS=1")
-	command.Cancel = func() error { return command.Process.Signal(syscall.SIGQUIT) } // it then tells where its goroutines stand
+	command.Cancel = func() error { return command.Process.Signal(syscall.SIGQUIT) } // it then prints its goroutines
 	command.WaitDelay = waitDelay
 	output, err := command.StdoutPipe()
 	if err != nil {
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -22,7 +22,7 @@
 	cutFor    = 20 * time.Second
 	cutLength = cutAt + cutFor + 6*time.Second
 	leaseOver = 1200 * time.Millisecond // after which a server that is partitioned off acknowledges nothing
-	// A follower whose words are lost is current for as long as the leader's connection to it lasts, which is not acknowledged.
+	// A follower whose messages are lost is current for as long as the leader's connection to it lasts, which is not acknowledged.
 	outwardLeaseOver = 2500 * time.Millisecond
 	readInterval     = 300 * time.Millisecond // of reads behind the cut
 	hurry            = time.Second            // in which a new leader may be there beside the old one
@@ -170,7 +170,7 @@
 	}
 }
 
-// restartOthers restarts the processes of all but one server at once, and has orders come as soon as they can be taken.
+// restartOthers restarts the processes of all but one server at once, and sends orders as soon as they can be accepted.
 func (w *world) restartOthers(ctx context.Context, victim int) {
 	over := w.record.beginFault(history.Fault{What: "all others are killed", Core: true, Lost: w.allSlots()})
 	var others []*machine
--- a/internal/testkit/controlplanesim/doc.go
+++ b/internal/testkit/controlplanesim/doc.go
@@ -1,7 +1,7 @@
-// Package controlplanesim runs the real code of the whole control plane in one process, on the fake clock of a testing/synctest
+// Package controlplanesim runs the real code of the control plane in one process, on the fake clock of a testing/synctest
 // bubble: servers with their disks, agents, and the views that proxies take from them. Package simnet fakes the
-// network and package seglogtest for the disks; operators and workers are scripted as the protocol page says. A schedule tells
-// what happens to all of them, and a history of what was seen is checked at the end.
+// network and package seglogtest for the disks; operators and workers are scripted as the protocol page says. A schedule has
+// the events, and the recorded history is checked at the end.
 //
 // One seed gives nearly the same run each time: chance is drawn from the seed, and deliveries have distinct instants. What
 // the Go scheduler and its selects choose among events of one instant is not drawn.
--- a/internal/testkit/controlplanesim/events.go
+++ b/internal/testkit/controlplanesim/events.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// restartBehind kills and starts the machines behind a cut whose seeds are just these. One that no group has taken in
+// restartBehind kills and starts the machines behind a cut whose seeds are just these. One that is no member of a group
 // yet keeps its seeds: it would learn of no other server, and none knows it.
 func (w *world) restartBehind(event schedule.Event, struck []*machine) {
 	var seeds []string
@@ -314,7 +314,7 @@
 // isMachine reports whether an IP is one of the system's own machines.
 func isMachine(ip string) bool { return kindOf(ip) == '0' || kindOf(ip) == '1' }
 
-// kindOf returns the digit of an address that tells the kind of its machine.
+// kindOf returns the digit of an address that encodes the kind of its machine.
 func kindOf(ip string) byte {
 	const slot = len("10.")
 	if len(ip) <= slot {
--- a/internal/testkit/controlplanesim/history/drawn_test.go
+++ b/internal/testkit/controlplanesim/history/drawn_test.go
@@ -26,7 +26,7 @@
 type server struct {
 	random   *rand.Rand
 	fault    fault
-	versions []history.Operation // that were taken, oldest first
+	versions []history.Operation // accepted, oldest first
 	taken    map[string]bool
 }
 
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -111,12 +111,12 @@
 	invalid := order("x", 0, 1, 1*second, history.Acknowledged)
 	invalid.Invalid = true
 	if h := operations(invalid); len(h.Check()) == 0 || h.Check()[0].Check != history.CheckOrders {
-		t.Errorf("an invalid order that was taken is not told: %v", h.Check())
+		t.Errorf("an invalid order that was accepted is not reported: %v", h.Check())
 	}
 	shown := operations(taken, order("b", 1, 2, 2*second, history.Rejected))
 	shown.Views = append(shown.Views, history.View{Agent: 0, At: 5 * second, Generation: 2, Order: "b"})
 	if found := shown.Check(); len(found) == 0 || found[0].Check != history.CheckOrders {
-		t.Errorf("a refused order that an agent shows is not told: %v", found)
+		t.Errorf("a rejected order that an agent shows is not reported: %v", found)
 	}
 	foreign := operations(taken)
 	foreign.Views = append(foreign.Views, history.View{Agent: 0, At: 5 * second, Generation: 7, Order: "nobody's"})
@@ -128,7 +128,7 @@
 	wantOnly(t, h, "")
 	h.Views = append(h.Views, history.View{Agent: 1, At: 4 * second, Generation: 1, Order: "b"})
 	if found := h.Check(); len(found) == 0 || found[0].Check != history.CheckOneBody {
-		t.Errorf("two bodies under one generation are not told: %v", found)
+		t.Errorf("two bodies under one generation are not reported: %v", found)
 	}
 }
 
@@ -229,7 +229,7 @@
 
 func TestCheckMajority(t *testing.T) {
 	voter := func(id uint64, place int) history.Voter { return history.Voter{ID: id, Slot: place, Durable: 10} }
-	whole := []history.Voter{voter(1, 0), voter(2, 1), voter(3, 2)}
+	complete := []history.Voter{voter(1, 0), voter(2, 1), voter(3, 2)}
 	lost := history.Fault{What: "wipe", From: 20 * second, To: 21 * second, Lost: []int{2}, Until: 25 * second}
 	wiped := []history.Voter{voter(1, 0), voter(2, 1), {ID: 3, Slot: 2, Gone: true}}
 	repaired := []history.Voter{voter(1, 0), voter(2, 1), voter(4, 2)}
@@ -240,13 +240,13 @@
 		standings []history.GroupState
 		want      string
 	}{
-		"whole":                          {[]history.GroupState{standing(0, whole)}, ""},
-		"repaired in time":               {[]history.GroupState{standing(0, whole), standing(20*second, wiped), standing(22*second, wiped[:2]), standing(23*second, repaired)}, ""},
-		"not repaired":                   {[]history.GroupState{standing(0, whole), standing(20*second, wiped)}, history.CheckMajority},
-		"removed, none in its place":     {[]history.GroupState{standing(0, whole), standing(20*second, wiped), standing(22*second, wiped[:2])}, history.CheckMajority},
-		"a voter is removed in calm":     {[]history.GroupState{standing(0, whole), standing(40*second, whole[:2])}, history.CheckMajority},
-		"removed the one that is well":   {[]history.GroupState{standing(0, whole), standing(20*second, wiped), standing(21*second, wiped[1:])}, history.CheckMajority},
-		"promoted before it holds a log": {[]history.GroupState{standing(0, []history.Voter{voter(1, 0), {ID: 2, Slot: 1, Durable: 9}, {ID: 3, Slot: 2, Durable: 9}})}, history.CheckMajority},
+		"complete":                           {[]history.GroupState{standing(0, complete)}, ""},
+		"repaired in time":                   {[]history.GroupState{standing(0, complete), standing(20*second, wiped), standing(22*second, wiped[:2]), standing(23*second, repaired)}, ""},
+		"not repaired":                       {[]history.GroupState{standing(0, complete), standing(20*second, wiped)}, history.CheckMajority},
+		"removed, none in its place":         {[]history.GroupState{standing(0, complete), standing(20*second, wiped), standing(22*second, wiped[:2])}, history.CheckMajority},
+		"a voter is removed without a fault": {[]history.GroupState{standing(0, complete), standing(40*second, complete[:2])}, history.CheckMajority},
+		"removed the healthy one":            {[]history.GroupState{standing(0, complete), standing(20*second, wiped), standing(21*second, wiped[1:])}, history.CheckMajority},
+		"promoted before it holds a log":     {[]history.GroupState{standing(0, []history.Voter{voter(1, 0), {ID: 2, Slot: 1, Durable: 9}, {ID: 3, Slot: 2, Durable: 9}})}, history.CheckMajority},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := base()
@@ -258,7 +258,7 @@
 	t.Run("everything is down", func(t *testing.T) {
 		h := base()
 		h.Faults = []history.Fault{{What: "power-all", From: 20 * second, To: 21 * second, Lost: []int{0, 1, 2}, Until: 25 * second}}
-		h.GroupStates = []history.GroupState{standing(0, whole), standing(20*second, wiped), standing(24*second, repaired)}
+		h.GroupStates = []history.GroupState{standing(0, complete), standing(20*second, wiped), standing(24*second, repaired)}
 		wantOnly(t, h, "")
 	})
 }
--- a/internal/testkit/controlplanesim/history/linearizable.go
+++ b/internal/testkit/controlplanesim/history/linearizable.go
@@ -15,7 +15,7 @@
 const forever = math.MaxInt64
 
 // input is one step of the sequential model. Attempts of an order are put together: it takes effect once, after the
-// first attempt that may have been taken and before the first proof.
+// first attempt that may have been accepted and before the first proof.
 type input struct {
 	step       step
 	base       uint64
@@ -28,10 +28,10 @@
 type step uint8
 
 const (
-	effectStep    step = iota // the order is taken
+	effectStep    step = iota // the order is accepted
 	readStep                  // a read
-	rejectionStep             // the order is not taken, since what it builds on is not in force
-	finishStep                // after all that is proven: what has not taken effect never will
+	rejectionStep             // the order is rejected, since its base is not in force
+	finishStep                // after all that is proven: what is not in force by then never will be
 )
 
 // state is what the model holds.
@@ -103,7 +103,7 @@
 	return append(all, porcupine.Operation{Input: input{step: finishStep}, Call: last + 1, Return: last + 2})
 }
 
-// effects returns those of the orders that were taken or may have been: one for each order, from its first attempt that was
+// effects returns those of the orders that were accepted or may have been: one for each order, from its first attempt that was
 // not rejected until its first proof.
 func (h History) effects() []porcupine.Operation {
 	proofs := h.accepted()
@@ -146,7 +146,7 @@
 }
 
 // needed returns the generations upon which an order without proof may explain something: a rejection of another order upon
-// the same one, or the base of an order that was taken.
+// the same one, or the base of an order that was accepted.
 func (h History) needed(proofs map[string]proof) map[uint64]bool {
 	needed := map[uint64]bool{}
 	bases := map[uint64]bool{}
--- a/internal/testkit/controlplanesim/history/orders.go
+++ b/internal/testkit/controlplanesim/history/orders.go
@@ -30,7 +30,7 @@
 	return taken
 }
 
-// checkOrders finds orders that were both taken and rejected, and taken ones that are invalid or were never sent.
+// checkOrders finds orders that were both accepted and rejected, and accepted ones that are invalid or were never sent.
 func checkOrders(history History) []Violation {
 	var found []Violation
 	taken := history.accepted()
--- a/internal/testkit/controlplanesim/history/recovery.go
+++ b/internal/testkit/controlplanesim/history/recovery.go
@@ -7,7 +7,7 @@
 )
 
 // checkServeAgain finds disruptions of the core after which nothing is answered within ServeAgain, though no other
-// disruption falls into that time and somebody asked.
+// disruption falls into that time and something was asked.
 func checkServeAgain(history History) []Violation {
 	var found []Violation
 	for _, at := range history.disruptions() {
--- a/internal/testkit/controlplanesim/history/types.go
+++ b/internal/testkit/controlplanesim/history/types.go
@@ -125,7 +125,7 @@
 	Until   time.Duration
 }
 
-// GroupState is a group's membership at a time, with what its voters hold durably. It holds until the next one.
+// GroupState is a group's membership at a time, with what is durable at its voters. It is valid until the next one.
 type GroupState struct {
 	At        time.Duration
 	Group     int
@@ -162,7 +162,7 @@
 
 // Names of the checks.
 const (
-	CheckOrders       = "orders"        // each order is taken or rejected, not both; no invalid one is taken
+	CheckOrders       = "orders"        // each order is accepted or rejected, not both; no invalid one is accepted
 	CheckOneBody      = "one-body"      // a generation has one body
 	CheckLinearizable = "linearizable"  // orders and reads have an order in time that explains all answers
 	CheckFreshViews   = "fresh-views"   // an agent in contact shows what was acknowledged ConfigApply ago
--- a/internal/testkit/controlplanesim/record.go
+++ b/internal/testkit/controlplanesim/record.go
@@ -176,7 +176,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.ended {
-		return // members are being ended, and what they hold is not told any more
+		return // members are being stopped, and their states are not reported any more
 	}
 	var leading [shards.ShardCount]replica.Status
 	for i, m := range all {
--- a/internal/testkit/controlplanesim/schedule/text.go
+++ b/internal/testkit/controlplanesim/schedule/text.go
@@ -25,7 +25,7 @@
 	errNegative        = errors.New("a time or count is negative")
 )
 
-// Format writes the schedule as text: a line with what holds for the whole, then a line for each event.
+// Format writes the schedule as text: a line with the schedule's fields, then a line for each event.
 func (s Schedule) Format() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s seed=%d keepers=%d tolerance=%d agents=%d operators=%d workers=%d length=%v",
--- a/internal/testkit/controlplanesim/schedule/types.go
+++ b/internal/testkit/controlplanesim/schedule/types.go
@@ -62,7 +62,7 @@
 	Worker      Kind = "worker"       // Workers leave, crash or are late
 )
 
-// Variant says more about a Kind.
+// Variant distinguishes events of one Kind.
 type Variant string
 
 // Variants of Cut. All are between Servers and the other servers; all but the first also concern agents. Operators and
@@ -115,7 +115,7 @@
 
 // Variants of Worker.
 const (
-	WorkerDrain           Variant = "drain"            // says draining, then deregisters; a new incarnation follows after For
+	WorkerDrain           Variant = "drain"            // reports that it is draining, then deregisters; a new incarnation follows after For
 	WorkerDeregister      Variant = "deregister"       // deregisters without ever draining and ends
 	WorkerDeregisterFirst Variant = "deregister-first" // deregisters, serves on, ends
 	WorkerCrash           Variant = "crash"            // ends without notice; a new incarnation at the same address after For
--- a/internal/testkit/controlplanesim/simnet/connection.go
+++ b/internal/testkit/controlplanesim/simnet/connection.go
@@ -43,7 +43,7 @@
 	inbox            []segment
 	deadline         time.Time // of reads
 	wake             chan struct{}
-	closed           error // why nothing goes on at this end; nil: it is open
+	closed           error // why this end is closed; nil: it is open
 	since            time.Time
 	cut              bool // either direction is blocked, since then
 	timeoutScheduled bool // a timer will call checkTimeout
@@ -336,7 +336,7 @@
 	}
 	finish := io.EOF
 	if len(e.inbox) > 0 && e.inbox[0].finish == nil {
-		finish = errReset // bytes that nobody has read
+		finish = errReset // unread bytes
 	}
 	e.forget(net.ErrClosed)
 	if e.peer.closed != nil {
--- a/internal/testkit/controlplanesim/simnet/listener.go
+++ b/internal/testkit/controlplanesim/simnet/listener.go
@@ -41,7 +41,7 @@
 	return made, nil
 }
 
-// key tells ports on loopback of different machines apart.
+// key distinguishes ports on loopback of different machines.
 func (p *Process) key(at string) string {
 	if strings.HasPrefix(at, loopback+":") {
 		return p.host + "/" + at
@@ -137,7 +137,7 @@
 	return made, nil
 }
 
-// reach waits until an opening packet has come to the other machine and its answer could come back.
+// reach waits until an opening packet has arrived at the other machine and the answer can arrive.
 func (p *Process) reach(ctx context.Context, path Path) error {
 	for {
 		if !p.Await() {
--- a/internal/testkit/controlplanesim/simnet/network.go
+++ b/internal/testkit/controlplanesim/simnet/network.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Path tells from which machine to which something goes, by their IPs.
+// Path is a direction between two machines, by their IPs.
 type Path struct{ From, To string }
 
 // Delays of a link.
--- a/internal/testkit/controlplanesim/simnet/network_test.go
+++ b/internal/testkit/controlplanesim/simnet/network_test.go
@@ -34,7 +34,7 @@
 	return a, b, one, other
 }
 
-// receive reads all of a text, and tells how long that took.
+// receive reads a text, and returns how long that took.
 func receive(t *testing.T, from net.Conn, want string) time.Duration {
 	t.Helper()
 	began := time.Now()
--- a/internal/testkit/controlplanesim/simnet/process.go
+++ b/internal/testkit/controlplanesim/simnet/process.go
@@ -112,7 +112,7 @@
 // Kill ends the process. The machine's kernel closes its connections and listeners.
 func (p *Process) Kill() { p.terminate(false) }
 
-// LosePower ends the process with its machine: its connections end without notice, and what they hold is lost.
+// LosePower ends the process with its machine: its connections end without notice, and buffered bytes are lost.
 func (p *Process) LosePower() { p.terminate(true) }
 
 func (p *Process) terminate(silent bool) {
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// reset breaks all connections. The lock is held.
+// reset resets all connections. The caller holds the mutex.
 func (p *Proxy) reset() {
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -113,7 +113,7 @@
 	if !p.add(client) {
 		return
 	}
-	// Who connects speaks first. What it says is read, and counted, while the network is
+	// The client sends first. What it sends is read, and counted, while the network is
 	// gone; it arrives when that is back.
 	first := p.read(client)
 	head, ok := <-first
@@ -179,7 +179,7 @@
 	_ = c.Close()
 }
 
-// await waits while bytes are held; false: the proxy has ended.
+// await waits while the link delays bytes. It returns false once the proxy is closed.
 func (p *Proxy) await(of func() Link) bool {
 	for {
 		p.mu.Lock()
--- a/internal/testkit/loadgen/load_test.go
+++ b/internal/testkit/loadgen/load_test.go
@@ -25,7 +25,7 @@
 }
 
 // A server that stalls shows in the latency of all that came meanwhile, and none
-// is left out or held back.
+// is skipped or delayed.
 func TestStallsCount(t *testing.T) {
 	var came atomic.Int32
 	gate := make(chan struct{})
--- a/internal/testkit/localfleet/fleet.go
+++ b/internal/testkit/localfleet/fleet.go
@@ -1,4 +1,4 @@
-// Package localfleet runs a whole router fleet on loopback addresses of one machine: each process is a
+// Package localfleet runs a complete router fleet on loopback addresses of one machine: each process is a
 // child of this one with a settings file and a data directory of its own. Demonstrations, whole-program
 // tests and scale runs rest on it.
 package localfleet
--- a/internal/testkit/localfleet/relay.go
+++ b/internal/testkit/localfleet/relay.go
@@ -12,7 +12,7 @@
 // the first port of their own range, which in a local fleet differs from edge to edge.
 //
 // Datagrams are not relayed: edges but the first one of a local fleet get no answers to their probes (such findings
-// remove nobody), and their proxies do not hear of each other's load.
+// remove nobody), and their proxies do not receive each other's load.
 type relay struct {
 	listener net.Listener
 	target   string
--- a/internal/testkit/localfleet/whole_program_test.go
+++ b/internal/testkit/localfleet/whole_program_test.go
@@ -54,7 +54,7 @@
 	operator *localfleet.Operator
 }
 
-// newRig starts a whole fleet; the test's end kills what still runs.
+// newRig starts a fleet, whose processes are killed at the end of the test.
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: serverCount, Edges: edges})
--- a/internal/testkit/nodesim/day.go
+++ b/internal/testkit/nodesim/day.go
@@ -1,4 +1,4 @@
-// Package nodesim plays a day of the whole fleet in simulated time: many instances of
+// Package nodesim plays a day of a complete fleet in simulated time: many instances of
 // the real decisions, on one clock, against models of prep workers, clients, the network
 // and the list. The same day gives the same result.
 //
@@ -47,7 +47,7 @@
 // Goal has the weights of a day's score.
 type Goal struct{ Day, WorstWindow, WorstClass float64 }
 
-// Replace is a release: a part of the workers drains in steps, successors start cold.
+// Replace is a release: a part of the workers drains in steps, successors start with cold caches.
 type Replace struct {
 	At, Within float64 // seconds
 	Share      float64
--- a/internal/testkit/nodesim/emulator_test.go
+++ b/internal/testkit/nodesim/emulator_test.go
@@ -37,7 +37,7 @@
 		r := play(t, d)
 		lost := r.Served + r.RunLate + r.QueueLate + r.PendingLate + r.RejectedValue + r.FailedValue
 		if r.Requests() < 100 || r.Value-lost > 1e-6*r.Value || lost-r.Value > 1e-6*r.Value {
-			t.Errorf("%s: %.0f asked for; worth %.3f, booked %.3f", name, r.Requests(), r.Value, lost)
+			t.Errorf("%s: %.0f operations; value %.3f, counted %.3f", name, r.Requests(), r.Value, lost)
 		}
 	}
 }
@@ -67,14 +67,14 @@
 			d.ListLate = Range{6, 6}
 		}
 		if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 {
-			t.Errorf("seed %d: %d felled, one got %.2f of what it bears", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
+			t.Errorf("seed %d: %d overloaded, one got %.2f of its limit", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
 		}
 	}
 }
 
-// A prep worker comes back cold and the list tells it late: one among 300 nodes, and a third of
-// them among 80. Nodes that have not been told may fell it; those that have stay well under what
-// fells it. Among 300 it gets far less than it could take: no node alone has much to spend.
+// A prep worker restarts and the endpoint list reports it late: one among 300 nodes, and a third of them among 80. Nodes
+// that have not been notified may overload it; those that have stay well below its limit. Among 300 nodes it gets far
+// less than it could serve: no node alone may send it much.
 func TestPlay_warmingWorkerListedLate(t *testing.T) {
 	for seed := range uint64(3) {
 		one := Workshop(300, 60, 1+seed)
@@ -83,14 +83,14 @@
 		many.ListLate = Range{1, 6}
 		for name, d := range map[string]Day{"one": one, "many": many} {
 			if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 || r.MaxWarmUpLoad > 0.4 {
-				t.Errorf("%s, seed %d: %d felled, %d by who had not been told; one got %.2f of what fells it", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
+				t.Errorf("%s, seed %d: %d overloaded, %d by nodes that had not been notified; one got %.2f of its limit", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
 			}
 		}
 	}
 }
 
-// A class with about a twentieth of the worth is served at least half as well as the whole, with
-// more asked for than there is and with a third of the prep workers lost and back cold.
+// A class with about a twentieth of the value is served at least half as well as all classes together, under overload
+// and with a third of the prep workers lost and restarted.
 func TestPlay_noClassStarved(t *testing.T) {
 	for seed := range uint64(2) {
 		over := Workshop(60, 40, 1+seed)
@@ -100,9 +100,9 @@
 				d.Settings.Classes = slices.Clone(Workshop(1, 1, 1).Settings.Classes)
 				d.Settings.Classes[class].Value *= times
 				r := play(t, d)
-				worth, part, whole := r.ClassValue[class]/r.Value, r.ClassServed[class]/r.ClassValue[class], r.Served/r.Value
-				if part < whole/2 || worth < 0.03 || worth > 0.08 {
-					t.Errorf("%s, seed %d: class %d, %.3f of the worth, is served %.3f, the whole %.3f", name, d.Seed, class, worth, part, whole)
+				value, part, all := r.ClassValue[class]/r.Value, r.ClassServed[class]/r.ClassValue[class], r.Served/r.Value
+				if part < all/2 || value < 0.03 || value > 0.08 {
+					t.Errorf("%s, seed %d: class %d, %.3f of the value, is served %.3f, all together %.3f", name, d.Seed, class, value, part, all)
 				}
 			}
 		}
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -9,11 +9,15 @@
 	"ospreybend/balance"
 )
 
-// The verdicts on an operation.
+// verdict is how an operation ended at its client.
+type verdict uint8
+
+// Verdicts.
 const (
-	served = iota
-	refused
+	served verdict = iota
+	rejected
 	failed
+	lost // no answer: the connection broke, or no node runs
 )
 
 const (
@@ -55,7 +59,7 @@
 				n.world.after(n.world.day.OneWay.seconds(n.world.rng), func() { s.worker.cancel(s) })
 			}
 		}
-		n.world.final(op, -1, 0)
+		n.world.final(op, lost, 0)
 	}
 }
 
@@ -80,7 +84,7 @@
 		case balance.Send:
 			n.send(a)
 		case balance.Reject:
-			n.answer(a.Request, refused, a.RetryAfter)
+			n.answer(a.Request, rejected, a.RetryAfter)
 		case balance.Fail:
 			n.answer(a.Request, failed, 0)
 		case balance.Cancel:
@@ -177,6 +181,6 @@
 		Elapsed: n.world.now - s.sentAt, Over: s.operation.ended, Report: report})
 }
 
-func (n *node) answer(id balance.RequestID, verdict int, wait time.Duration) {
-	n.world.final(n.ops[id], verdict, wait)
+func (n *node) answer(id balance.RequestID, ended verdict, wait time.Duration) {
+	n.world.final(n.ops[id], ended, wait)
 }
--- a/internal/testkit/nodesim/sites.go
+++ b/internal/testkit/nodesim/sites.go
@@ -47,8 +47,8 @@
 	return d
 }
 
-// Returned is a day on which a third of the prep workers is lost for 5 s and comes back
-// cold, and one of eight is slow.
+// Returned is a day on which a third of the prep workers is lost for 5 s and returns with
+// cold caches, and one of eight is slow.
 func (d Day) Returned() Day {
 	d.Loss = Loss{At: 7, For: 5, Share: 0.3}
 	d.SlowShare, d.SlowFactor = 0.125, 5
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -47,7 +47,7 @@
 	next    *timerqueue.Timer
 	shown   []float32 // the report that can be read
 
-	sent       []warmUpSend // while cold, for the rule on felling
+	sent       []warmUpSend // while it warms up, for the rule on overload
 	overloaded bool
 }
 
@@ -170,8 +170,8 @@
 	}
 }
 
-// recordWarmUpLoad holds what is sent to a cold worker, by all nodes, against the rule on felling: it
-// falls when it gets more than N + 2 x root of N + 2 operations of mean work in the rules'
+// recordWarmUpLoad checks what all nodes send to a worker that warms up against the rule on overload: it
+// is overloaded when it gets more than N + 2 x root of N + 2 operations of mean work in the rules'
 // time, N being what they allow it then, and the rule is broken where over two thirds of
 // that came from nodes that had been notified of its start.
 func (k *worker) recordWarmUpLoad(attempt *attempt) {
@@ -256,7 +256,7 @@
 	k.world.after(d.ReportEvery.seconds(k.world.rng), k.publish)
 }
 
-// restart has the worker come up cold.
+// restart restarts the worker, which then warms up.
 func (k *worker) restart() {
 	k.state, k.started, k.warmth, k.silent, k.sent, k.shown = balance.Ready, k.world.now, 0, false, nil, nil
 	k.at = k.world.now
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -12,10 +12,10 @@
 // begins is the clock at the start of a day: zero means long ago in listings.
 const begins = time.Hour
 
-// operation is a client's request, its tries by the client included.
+// operation is one attempt of a client's request.
 type operation struct {
 	id       balance.RequestID
-	first    *operation // the client's first try
+	first    *operation // the client's first attempt
 	class    int
 	slots    float64
 	work     float64
@@ -29,8 +29,7 @@
 	ended    bool
 }
 
-// node is an instance of the real decisions, with the part of its process that the
-// decisions ask of it.
+// node is an instance of the real decision module, with the part of its process that the module calls.
 type node struct {
 	world       *world
 	number      int
@@ -39,8 +38,8 @@
 	down        bool
 	incarnation int
 	ops         map[balance.RequestID]*operation
-	known       map[balance.WorkerID]bool          // has a connection to it
-	listedStart map[balance.WorkerID]time.Duration // its last start, as the list has told it here
+	known       map[balance.WorkerID]bool          // workers to which it has a connection
+	listedStart map[balance.WorkerID]time.Duration // its last start, as the endpoint list has reported it to this node
 }
 
 type world struct {
@@ -56,24 +55,24 @@
 	result  Result
 }
 
-// Result is what became of a day.
+// Result counts the outcomes of a day.
 type Result struct {
-	Value, Served              float64 // asked for, and answered in time
+	Value, Served              float64 // of all operations, and of those answered in time
 	ClassValue, ClassServed    []float64
 	WindowValue, WindowServed  []float64 // by second
 	InTime, Late, Rejected     int
 	Failed, Lost               int
 	Handshakes, Probes         int
 	Messages                   float64 // of full length
-	Overloaded                 int     // cold workers that fell, most of it by nodes that had been told: the rule is broken
-	OverloadedUnknown          int     // and those that fell by nodes that had not
-	MaxWarmUpLoad              float64 // the most that one got, as a part of what fells it, most of it by nodes that had been told
-	RunLate, QueueLate         float64 // worth of what was late, by what made it so
+	Overloaded                 int     // workers overloaded while warming up, mostly by nodes that had been notified: the rule is broken
+	OverloadedUnknown          int     // the same by nodes that had not been notified
+	MaxWarmUpLoad              float64 // highest load of one, as a part of the limit, mostly by nodes that had been notified
+	RunLate, QueueLate         float64 // value of late operations, by the cause
 	PendingLate, RejectedValue float64
 	FailedValue                float64
 }
 
-// Play plays a day.
+// Play simulates a day.
 func Play(day Day) (Result, error) {
 	if err := day.check(); err != nil {
 		return Result{}, err
@@ -89,7 +88,7 @@
 			return Result{}, err
 		}
 	}
-	w.troubles()
+	w.scheduleFaults()
 	w.arrivals()
 	longest := time.Duration(0)
 	for _, c := range day.Settings.Classes {
@@ -107,7 +106,7 @@
 			WindowValue: make([]float64, span), WindowServed: make([]float64, span)}}
 }
 
-// play goes on until a time.
+// play runs the simulation until a time.
 func (w *world) play(until time.Duration) {
 	for at, ok := w.timers.Next(); ok && at <= until; at, ok = w.timers.Next() {
 		w.now = at
@@ -118,7 +117,7 @@
 
 func (w *world) after(span time.Duration, f func()) { w.timers.Add(w.now+max(span, 0), f) }
 
-// reach has something come to a node over the network, if it is the one that asked.
+// reach delivers something to a node over the network, unless the node has restarted since it asked.
 func (w *world) reach(n *node, incarnation int, f func()) {
 	w.after(w.day.OneWay.seconds(w.rng), func() {
 		if !n.down && n.incarnation == incarnation {
@@ -177,11 +176,11 @@
 	w.result.Value += op.value
 	w.result.ClassValue[class] += op.value
 	w.result.WindowValue[int((w.now - begins).Seconds())] += op.value
-	w.hand(op)
+	w.dispatch(op)
 }
 
-// hand brings an operation to a node that is up.
-func (w *world) hand(op *operation) {
+// dispatch passes an operation to a node that is up, drawn by the nodes' weights.
+func (w *world) dispatch(op *operation) {
 	sum := 0.0
 	for _, n := range w.nodes {
 		if !n.down {
@@ -198,63 +197,81 @@
 			return
 		}
 	}
-	w.final(op, -1, 0)
+	w.final(op, lost, 0)
 }
 
-// final books an operation's answer at its client: a verdict below 0 is none.
-func (w *world) final(op *operation, verdict int, wait time.Duration) {
+// final ends an operation at its client, which may retry it if it was not served.
+func (w *world) final(op *operation, ended verdict, wait time.Duration) {
 	if op.ended {
 		return
 	}
 	op.ended = true
-	d, first := w.day, op.first
-	left := first.deadline - w.now
-	if verdict != served && first.attempts < d.Retries {
-		first.attempts++
-		if pause := max(wait, d.Backoff.seconds(w.rng)<<first.attempts); pause < left {
-			again := &operation{first: first, class: op.class, slots: op.slots, work: op.work, hint: op.hint, value: op.value,
-				deadline: first.deadline}
-			w.after(pause, func() { again.arrived = w.now; w.hand(again) })
-			return
-		}
+	if ended != served && w.retry(op, wait) {
+		return
+	}
+	result := &w.result
+	switch ended {
+	case rejected:
+		result.Rejected++
+		result.RejectedValue += op.value
+	case failed:
+		result.Failed++
+		result.FailedValue += op.value
+	case lost:
+		result.Lost++
+		result.FailedValue += op.value
+	case served:
+		w.countServed(op)
+	}
+}
+
+// retry has the client send the operation again after a backoff, if it has retries and time left.
+func (w *world) retry(op *operation, wait time.Duration) bool {
+	first := op.first
+	if first.attempts >= w.day.Retries {
+		return false
 	}
-	r, class := &w.result, d.Settings.Classes[op.class]
+	first.attempts++
+	pause := max(wait, w.day.Backoff.seconds(w.rng)<<first.attempts)
+	if pause >= first.deadline-w.now {
+		return false
+	}
+	again := &operation{first: first, class: op.class, slots: op.slots, work: op.work, hint: op.hint, value: op.value,
+		deadline: first.deadline}
+	w.after(pause, func() { again.arrived = w.now; w.dispatch(again) })
+	return true
+}
+
+// countServed counts a served operation: in time, or late by the largest of its causes.
+func (w *world) countServed(op *operation) {
+	result, first, class := &w.result, op.first, w.day.Settings.Classes[op.class]
 	took := (w.now - first.arrived).Seconds()
-	switch latencyTarget := class.LatencyTarget.Seconds() + class.TargetStretch*op.work; {
-	case verdict == refused:
-		r.Rejected++
-		r.RejectedValue += op.value
-	case verdict == failed:
-		r.Failed++
-		r.FailedValue += op.value
-	case verdict != served:
-		r.Lost++
-		r.FailedValue += op.value
-	case took <= latencyTarget:
-		r.InTime++
-		r.Served += op.value
-		r.ClassServed[op.class] += op.value
-		r.WindowServed[int((first.arrived - begins).Seconds())] += op.value
+	latencyTarget := class.LatencyTarget.Seconds() + class.TargetStretch*op.work
+	if took <= latencyTarget {
+		result.InTime++
+		result.Served += op.value
+		result.ClassServed[op.class] += op.value
+		result.WindowServed[int((first.arrived - begins).Seconds())] += op.value
+		return
+	}
+	result.Late++
+	queued := (op.by.began - op.by.sentAt).Seconds()
+	switch pending := (op.by.sentAt - first.arrived).Seconds(); {
+	case took-pending <= latencyTarget && pending > queued:
+		result.PendingLate += op.value
+	case took-queued-pending <= latencyTarget:
+		result.QueueLate += op.value
 	default:
-		r.Late++
-		queued := (op.by.began - op.by.sentAt).Seconds()
-		switch pending := (op.by.sentAt - first.arrived).Seconds(); {
-		case took-pending <= latencyTarget && pending > queued:
-			r.PendingLate += op.value
-		case took-queued-pending <= latencyTarget:
-			r.QueueLate += op.value
-		default:
-			r.RunLate += op.value
-		}
+		result.RunLate += op.value
 	}
 }
 
-// Requests is the number of operations that clients asked for, their retries left out.
+// Requests returns the number of operations, without the clients' retries.
 func (r Result) Requests() float64 {
 	return float64(r.InTime + r.Late + r.Rejected + r.Failed + r.Lost)
 }
 
-// G is the day's figure: the whole, its worst 10 s and worst class, less the prices.
+// G returns the day's score: the served value of the day, of its worst 10 s and of its worst class, less the prices.
 func (r Result) G(day Day) float64 {
 	if r.Value == 0 {
 		return 0
@@ -280,8 +297,8 @@
 	return day.Goal.Day*r.Served/r.Value + day.Goal.WorstWindow*window + day.Goal.WorstClass*worst - price/r.Requests()
 }
 
-// faults schedules the day's faults.
-func (w *world) troubles() {
+// scheduleFaults schedules the day's faults.
+func (w *world) scheduleFaults() {
 	d := w.day
 	at := func(s float64, f func()) { w.timers.Add(begins+seconds(s), f) }
 	some := func(share float64) []*worker {
@@ -329,7 +346,7 @@
 	})
 }
 
-// list tells all nodes of a worker's state, late.
+// list notifies all nodes of a worker's state, with the list's delay.
 func (w *world) list(k *worker) {
 	l := k.listing()
 	late := w.day.ListLate.draw(w.rng)
--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Check says why a need is over the bounds, or returns nil.
+// Check returns an error that names the bound that a need exceeds, or nil.
 func (b Bounds) Check(need Need) error {
 	switch {
 	case need.Memory > b.Memory:
--- a/internal/testkit/scalereport/process.go
+++ b/internal/testkit/scalereport/process.go
@@ -34,7 +34,7 @@
 
 // ProcessorTime reads the processor time out of /proc/PID/stat.
 func ProcessorTime(stat string) (time.Duration, error) {
-	end := strings.LastIndex(stat, afterName) // a name may hold anything
+	end := strings.LastIndex(stat, afterName) // a name may contain anything
 	if end < 0 {
 		return 0, ErrProcessFile
 	}
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -85,7 +85,7 @@
 	points []Observation
 }
 
-// Result is a whole run.
+// Result is the result of a run.
 type Result struct {
 	Command string    `json:"command"`
 	Build   string    `json:"build"` // revision of the sources
@@ -145,7 +145,7 @@
 	return trends
 }
 
-// finite replaces what JSON cannot hold.
+// finite replaces values that JSON cannot represent.
 func finite(fit Fit) Fit {
 	fit.Residual = orMinusOne(fit.Residual)
 	return fit
--- a/internal/testkit/scalereport/traffic.go
+++ b/internal/testkit/scalereport/traffic.go
@@ -25,7 +25,7 @@
 // TrafficStep is what was measured at one rate.
 type TrafficStep struct {
 	Rate    Rate         `json:"rate"`
-	Served  float64      `json:"served"` // requests a second that ended whole
+	Served  float64      `json:"served"` // requests a second that ended completely
 	Events  float64      `json:"events"` // a second
 	Failed  int64        `json:"failed"`
 	First   Percentiles  `json:"firstMs"` // until the first event
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -1,4 +1,4 @@
-// Package scalerun plays whole fleets on one machine and measures them: servers and some edges as processes, all
+// Package scalerun runs complete fleets on one machine and measures them: servers and some edges as processes, all
 // other nodes and all workers hollow, in this process. A hollow node runs an agent's real feed link and real
 // monitoring; a hollow worker runs the real registration of the fake worker. Neither has traffic.
 package scalerun
--- a/internal/testkit/scalerun/blackout.go
+++ b/internal/testkit/scalerun/blackout.go
@@ -9,7 +9,7 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// blackout kills all processes at once, starts them again at once, and waits until all are whole. Workers go on.
+// blackout kills all processes at once, starts them again at once, and waits until all are complete again. Workers keep running.
 func (s *stepRun) blackout(ctx context.Context) error {
 	s.killEverything()
 	started := time.Now()
--- a/internal/testkit/scalerun/plan_test.go
+++ b/internal/testkit/scalerun/plan_test.go
@@ -42,7 +42,7 @@
 	testLimit   = 40 * time.Second
 )
 
-// TestPlay_shortRun plays the whole measurement with a few nodes.
+// TestPlay_shortRun runs the complete measurement with a few nodes.
 func TestPlay_shortRun(t *testing.T) {
 	sizes := []scalereport.Size{{Nodes: 4, Workers: 6}, {Nodes: 8, Workers: 9}}
 	var progress strings.Builder
@@ -125,7 +125,7 @@
 func TestDocument_valid(t *testing.T) {
 	command := configuration.Command{Kind: configuration.CommandReplace, Body: document(1, 20)}
 	if refusal := configuration.ValidateCommand(command); refusal != nil {
-		t.Errorf("whole: %v", refusal)
+		t.Errorf("complete document: %v", refusal)
 	}
 	command = configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: oneRoute(2, 3)}
 	if refusal := configuration.ValidateCommand(command); refusal != nil {
--- a/internal/testkit/scalerun/procfs.go
+++ b/internal/testkit/scalerun/procfs.go
@@ -70,7 +70,7 @@
 	return scalereport.BoundsOf(memory["MemTotal"], int(min(files.Cur, 1<<30))), nil
 }
 
-// machineName tells processors and memory.
+// machineName describes the processors and memory.
 func machineName(processors int) string {
 	memory, _ := readNamed("/proc/meminfo")
 	return fmt.Sprintf("%d processors, %d MB", processors, memory["MemTotal"]>>20)
--- a/internal/testkit/scriptedpeer/scenario.go
+++ b/internal/testkit/scriptedpeer/scenario.go
@@ -3,7 +3,7 @@
 //
 //	NAME dial SERVICE     open a connection to a service of the bench
 //	NAME accept SERVICE   accept the next connection to a fake service
-//	NAME send TEXT        TEXT knows \r, \n and the bench's {words}
+//	NAME send TEXT        TEXT may contain \r, \n and the bench's {words}
 //	NAME expect TEXT      read until TEXT has arrived; what is before it is skipped
 //	NAME keep WORD TEXT   read until TEXT has arrived; what follows it, to the next
 //	                      quotation mark, is {WORD} from then on
