--- a/internal/testkit/controlplanesim/call.go
+++ b/internal/testkit/controlplanesim/call.go
@@ -54,7 +54,7 @@
 func (w *world) travel(ctx context.Context, path simnet.Path) bool {
 	for {
 		changed := w.network.Changed()
-		if !sleep(ctx, w.network.Delay(path)) {
+		if !simnet.Sleep(ctx, w.network.Delay(path)) {
 			return false
 		}
 		if w.network.Open(path) {
@@ -68,18 +68,6 @@
 	}
 }
 
-// sleep waits for a time, or returns false once ctx has ended.
-func sleep(ctx context.Context, duration time.Duration) bool {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
 // classify reports whether a status of the API is final for an operator's call, and whether the call was accepted.
 func classify(status int) (final, accepted bool) {
 	switch status {
--- a/internal/testkit/controlplanesim/cutoff_test.go
+++ b/internal/testkit/controlplanesim/cutoff_test.go
@@ -14,6 +14,7 @@
 	"ospreybend/coord/shards"
 	"ospreybend/internal/testkit/controlplanesim/history"
 	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // Times of the scenarios of a cut.
@@ -207,14 +208,14 @@
 
 // readOften reads from a server again and again until ctx ends.
 func (w *world) readOften(ctx context.Context, from *machine) {
-	for sleep(ctx, hurry/100) {
+	for simnet.Sleep(ctx, hurry/100) {
 		w.operators[insideOperator].read(ctx, from)
 	}
 }
 
 // readBehind reads from the cut server until ctx ends.
 func (w *world) readBehind(ctx context.Context, from *machine) {
-	for sleep(ctx, readInterval) {
+	for simnet.Sleep(ctx, readInterval) {
 		w.operators[insideOperator].read(ctx, from)
 	}
 }
--- a/internal/testkit/controlplanesim/history/history_test.go
+++ b/internal/testkit/controlplanesim/history/history_test.go
@@ -204,9 +204,9 @@
 	left.Departures = []history.Departure{{Instance: "i-1", From: 12200 * time.Millisecond}}
 	wantOnly(t, left, "")
 
-	away := dropped
-	away.Faults = []history.Fault{{What: "cut", From: 11500 * time.Millisecond, To: 13 * second, Agents: []int{0}}}
-	wantOnly(t, away, "")
+	outOfContact := dropped
+	outOfContact.Faults = []history.Fault{{What: "cut", From: 11500 * time.Millisecond, To: 13 * second, Agents: []int{0}}}
+	wantOnly(t, outOfContact, "")
 }
 
 func TestCheckServeAgain(t *testing.T) {
--- a/internal/testkit/controlplanesim/operator.go
+++ b/internal/testkit/controlplanesim/operator.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
-	"sync"
 	"time"
 
 	"ospreybend/internal/controlplane/server"
 	"ospreybend/internal/testkit/controlplanesim/history"
 	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // Behaviour of operators.
@@ -25,16 +24,13 @@
 
 // operator sends orders and reads, as the protocol page says.
 type operator struct {
-	world *world
+	caller
 	index int
-	host  string
 
-	mutex           sync.Mutex
-	random          *rand.Rand
+	// Guarded by the caller's mutex.
 	knownGeneration uint64 // the newest generation that it has seen
 	orders          int
-	reachable       []*machine // that it reaches; nil: all
-	last            order      // accepted one but the newest
+	last            order // accepted one but the newest
 	newest          order
 }
 
@@ -43,7 +39,7 @@
 	if o.index == 0 {
 		o.send(ctx, o.makeOrder(0))
 	}
-	for sleep(ctx, o.pause()) {
+	for simnet.Sleep(ctx, minPause+o.randomDuration(maxPause-minPause)) {
 		if o.draw(readShare) == 0 || o.base() == 0 {
 			o.read(ctx, o.pickServer())
 			continue
@@ -54,7 +50,7 @@
 
 // readForever reads from one server after the other until ctx ends.
 func (o *operator) readForever(ctx context.Context) {
-	for sleep(ctx, minPause+o.randomDuration(minPause)) {
+	for simnet.Sleep(ctx, minPause+o.randomDuration(minPause+1)) {
 		o.read(ctx, o.pickServer())
 	}
 }
@@ -65,16 +61,6 @@
 	return o.random.IntN(below)
 }
 
-func (o *operator) pause() time.Duration {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return minPause + rand64(o.random, maxPause-minPause)
-}
-
-func rand64(random *rand.Rand, below time.Duration) time.Duration {
-	return time.Duration(random.Int64N(int64(below)))
-}
-
 func (o *operator) base() uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -103,24 +89,6 @@
 	return o.nextName()
 }
 
-// pickServer chooses a server of the list, or of those that it reaches.
-func (o *operator) pickServer() *machine {
-	listed := o.world.listedMachines()
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if len(o.reachable) > 0 {
-		listed = o.reachable
-	}
-	return listed[o.random.IntN(len(listed))]
-}
-
-// restrictTo lets it reach the given machines alone; nil lifts the restriction.
-func (o *operator) restrictTo(reachable []*machine) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.reachable = reachable
-}
-
 // send sends an order unchanged until its answer is final.
 func (o *operator) send(ctx context.Context, sent order) {
 	o.sendFirst(ctx, sent, o.pickServer())
@@ -135,7 +103,7 @@
 			o.recordOutcome(ctx, sent, taken)
 			return taken
 		}
-		if !sleep(ctx, retry/2+o.randomDuration(retry/2)) {
+		if !simnet.Sleep(ctx, retry/2+o.randomDuration(retry/2+1)) {
 			return false
 		}
 		retry = min(2*retry, maxBackoff)
@@ -144,12 +112,6 @@
 	return false
 }
 
-func (o *operator) randomDuration(limit time.Duration) time.Duration {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return rand64(o.random, limit+1)
-}
-
 func isRejection(status int) bool {
 	return status >= 400 && status < 500 && status != 408 && status != 429
 }
--- a/internal/testkit/controlplanesim/play_test.go
+++ b/internal/testkit/controlplanesim/play_test.go
@@ -7,15 +7,15 @@
 	"ospreybend/internal/testkit/controlplanesim/schedule"
 )
 
-// calm is a schedule without events.
-func calm(keepers, tolerance int, length time.Duration) schedule.Schedule {
+// faultFree is a schedule without events.
+func faultFree(servers, tolerance int, length time.Duration) schedule.Schedule {
 	return schedule.Schedule{
-		Seed: 1, Servers: keepers, Tolerance: tolerance, Agents: 3, Operators: 2, Workers: 4, Length: length,
+		Seed: 1, Servers: servers, Tolerance: tolerance, Agents: 3, Operators: 2, Workers: 4, Length: length,
 	}
 }
 
 func TestPlay_withoutFaultsViolatesNothing(t *testing.T) {
-	for _, s := range []schedule.Schedule{calm(3, 1, 10*time.Second), calm(5, 2, 10*time.Second), calm(9, 4, 10*time.Second)} {
+	for _, s := range []schedule.Schedule{faultFree(3, 1, 10*time.Second), faultFree(5, 2, 10*time.Second), faultFree(9, 4, 10*time.Second)} {
 		began := time.Now()
 		report := Play(t, s)
 		t.Logf("%d servers: %+v in %v", s.Servers, report.Figures, time.Since(began))
--- a/internal/testkit/controlplanesim/schedule/schedule_test.go
+++ b/internal/testkit/controlplanesim/schedule/schedule_test.go
@@ -151,14 +151,14 @@
 	calls := 0
 	small := schedule.Shrink(drawn, func(s schedule.Schedule) bool {
 		calls++
-		return s.Check() == nil && hasWipeOf(s, 3) && hasStormOf(s, 7)
+		return s.Check() == nil && hasWipeOf(s, 3) && hasBurstOf(s, 7)
 	})
 	want := strings.Join([]string{"wipe", "storm"}, ",")
 	if got := kindsOf(small); got != want {
 		t.Errorf("shrunk to %s, want %s:\n%s", got, want, small.Format())
 	}
-	if storm := small.Events[len(small.Events)-1]; storm.Count != 7 || len(storm.Operators) != 1 {
-		t.Errorf("the storm was not made smaller: %v", storm)
+	if burst := small.Events[len(small.Events)-1]; burst.Count != 7 || len(burst.Operators) != 1 {
+		t.Errorf("the storm was not made smaller: %v", burst)
 	}
 	if wipe := small.Events[0]; len(wipe.Servers) != 1 || wipe.For >= 20*time.Millisecond {
 		t.Errorf("the wipe was not made smaller: %v", wipe)
@@ -212,7 +212,7 @@
 	return false
 }
 
-func hasStormOf(s schedule.Schedule, count int) bool {
+func hasBurstOf(s schedule.Schedule, count int) bool {
 	for _, event := range s.Events {
 		if event.Kind == schedule.Burst && event.Count >= count {
 			return true
--- a/internal/testkit/controlplanesim/scripts.go
+++ b/internal/testkit/controlplanesim/scripts.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // resendDelay is how soon after the first attempt the same order is sent to another server.
@@ -59,7 +60,7 @@
 func (w *world) sendTwice(ctx context.Context, o *operator, sent order) {
 	var both sync.WaitGroup
 	both.Go(func() { o.send(ctx, sent) })
-	if sleep(ctx, resendDelay) {
+	if simnet.Sleep(ctx, resendDelay) {
 		both.Go(func() { o.send(ctx, sent) })
 	}
 	both.Wait()
@@ -113,7 +114,7 @@
 			if departing := one.takeIncarnation(); departing != nil {
 				departing.depart(ctx, event.Variant)
 			}
-			sleep(ctx, event.For)
+			simnet.Sleep(ctx, event.For)
 			one.start(ctx)
 		})
 	}
@@ -129,7 +130,7 @@
 		return
 	}
 	running.setDelay(delay)
-	sleep(ctx, delay)
+	simnet.Sleep(ctx, delay)
 	running.setDelay(0)
 }
 
--- a/internal/testkit/controlplanesim/simnet/listener.go
+++ b/internal/testkit/controlplanesim/simnet/listener.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !wait(ctx, p.network.Delay(path.reverse())) {
+	if !Sleep(ctx, p.network.Delay(path.reverse())) {
 		_ = made.Close()
 		return nil, context.Cause(ctx)
 	}
@@ -144,7 +144,7 @@
 			return net.ErrClosed
 		}
 		changed := p.network.Changed()
-		if !wait(ctx, p.network.Delay(path)) {
+		if !Sleep(ctx, p.network.Delay(path)) {
 			return context.Cause(ctx)
 		}
 		if p.network.Open(path) && p.network.Open(path.reverse()) {
@@ -157,7 +157,7 @@
 			return net.ErrClosed
 		case <-changed:
 		}
-		if !wait(ctx, time.Duration(mix(uint64(p.network.Delay(path)))%uint64(maxRetryDelay))) {
+		if !Sleep(ctx, time.Duration(mix(uint64(p.network.Delay(path)))%uint64(maxRetryDelay))) {
 			return context.Cause(ctx)
 		}
 	}
@@ -191,8 +191,8 @@
 	return here, nil
 }
 
-// wait waits for a time, or returns false once ctx has ended.
-func wait(ctx context.Context, duration time.Duration) bool {
+// Sleep waits for a time and returns true, or returns false once ctx has ended.
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/testkit/controlplanesim/worker.go
+++ b/internal/testkit/controlplanesim/worker.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"math/rand/v2"
 	"net/http"
 	"sync"
 	"time"
@@ -11,6 +10,7 @@
 	"ospreybend/internal/controlplane/server"
 	"ospreybend/internal/testkit/controlplanesim/history"
 	"ospreybend/internal/testkit/controlplanesim/schedule"
+	"ospreybend/internal/testkit/controlplanesim/simnet"
 )
 
 // Behaviour of workers.
@@ -25,15 +25,12 @@
 
 // worker is an address at which one incarnation of a worker after the other runs.
 type worker struct {
-	world *world
+	caller
 	index int
-	host  string
 
-	mutex       sync.Mutex
-	random      *rand.Rand
+	// Guarded by the caller's mutex.
 	incarnation *incarnation // nil: none runs
 	starts      int
-	reachable   []*machine // that it reaches; nil: all
 }
 
 // incarnation is one run of a worker, from its start to its end.
@@ -70,35 +67,11 @@
 	return taken
 }
 
-func (w *worker) randomDuration(below time.Duration) time.Duration {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return rand64(w.random, below)
-}
-
-// pickServer chooses a server of the list, or of those that it reaches.
-func (w *worker) pickServer() *machine {
-	listed := w.world.listedMachines()
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if len(w.reachable) > 0 {
-		listed = w.reachable
-	}
-	return listed[w.random.IntN(len(listed))]
-}
-
-// restrictTo lets it reach the given machines alone; nil lifts the restriction.
-func (w *worker) restrictTo(reachable []*machine) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.reachable = reachable
-}
-
 // run sends heartbeats until ctx ends.
 func (i *incarnation) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		i.sendHeartbeat(ctx)
-		if !sleep(ctx, heartbeatInterval*9/10+i.worker.randomDuration(heartbeatInterval/5)) {
+		if !simnet.Sleep(ctx, heartbeatInterval*9/10+i.worker.randomDuration(heartbeatInterval/5)) {
 			return
 		}
 	}
@@ -117,7 +90,7 @@
 			i.worker.world.record.addHeartbeat(history.Heartbeat{Instance: i.id, At: i.worker.world.record.now(), Draining: draining})
 			return true
 		}
-		sleep(ctx, retryInterval)
+		simnet.Sleep(ctx, retryInterval)
 	}
 	return false
 }
@@ -125,7 +98,7 @@
 // sendDelayed sends a heartbeat late; later ones may arrive before it.
 func (i *incarnation) sendDelayed(ctx context.Context, delay time.Duration, to *machine, body []byte) {
 	i.worker.world.running.Go(func() {
-		if sleep(ctx, delay/2+i.worker.randomDuration(delay)) {
+		if simnet.Sleep(ctx, delay/2+i.worker.randomDuration(delay)) {
 			i.call(to, server.APIHeartbeat, body)
 		}
 	})
@@ -185,7 +158,7 @@
 			i.worker.world.trigger(schedule.Drain)
 			return
 		}
-		sleep(patience, retryInterval)
+		simnet.Sleep(patience, retryInterval)
 	}
 }
 
@@ -201,7 +174,7 @@
 		i.stop()
 		i.sendDelayed(ctx, drainTime, i.worker.pickServer(), i.delayedHeartbeat())
 		i.deregister(ctx, i.worker.world.record.beginDeparture(i.id))
-		sleep(ctx, drainTime)
+		simnet.Sleep(ctx, drainTime)
 	default:
 		i.worker.world.record.beginDeparture(i.id)
 		i.stop()
--- a/internal/testkit/controlplanesim/world.go
+++ b/internal/testkit/controlplanesim/world.go
@@ -88,13 +88,13 @@
 	}
 	w.reader = w.newOperator(played.Operators)
 	for i := range played.Workers {
-		w.workers = append(w.workers, &worker{world: w, index: i, host: address(2, i), random: w.random("worker", i)})
+		w.workers = append(w.workers, &worker{caller: caller{world: w, host: address(2, i), random: w.random("worker", i)}, index: i})
 	}
 	return w, nil
 }
 
 func (w *world) newOperator(index int) *operator {
-	return &operator{world: w, index: index, host: address(9, index), random: w.random("operator", index)}
+	return &operator{caller: caller{world: w, host: address(9, index), random: w.random("operator", index)}, index: index}
 }
 
 // address is the IP of one machine of a kind.
@@ -285,7 +285,7 @@
 		one.start(ctx)
 	}
 	w.running.Go(func() {
-		for sleep(ctx, sampleInterval) {
+		for simnet.Sleep(ctx, sampleInterval) {
 			w.record.sample()
 		}
 	})
