--- a/cmd/ospreybend/measure_trial.go
+++ b/cmd/ospreybend/measure_trial.go
@@ -77,7 +77,7 @@
 }
 
 func printTrial(w io.Writer, result endtoend.Report) {
-	for _, line := range result.Story {
+	for _, line := range result.Events {
 		fmt.Fprintln(w, line)
 	}
 	for _, violation := range result.Violations {
--- a/cmd/ospreybend/measure_trial_test.go
+++ b/cmd/ospreybend/measure_trial_test.go
@@ -37,7 +37,7 @@
 					return
 				}
 				if most < stalled || plays == 3 {
-					t.Fatalf("violations %v, figures %v, this process late by %v at most\n%v", r.Violations, r.Figures, most, r.Story)
+					t.Fatalf("violations %v, figures %v, this process late by %v at most\n%v", r.Violations, r.Figures, most, r.Events)
 				}
 				t.Logf("attempt %d does not count: the machine stalled for %v", plays, most)
 			}
--- a/internal/testkit/catchupbench/member.go
+++ b/internal/testkit/catchupbench/member.go
@@ -17,17 +17,17 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// machine is the configuration as a replica's state machine.
-type machine struct{ store *configuration.Store }
+// stateMachine is the configuration as a replica's state machine.
+type stateMachine struct{ store *configuration.Store }
 
-func (m machine) Apply(entry consensus.Entry) any {
+func (m stateMachine) Apply(entry consensus.Entry) any {
 	outcome, _ := m.store.Apply(entry.Index, entry.Data)
 	return outcome
 }
 
-func (m machine) Snapshot() []byte { return m.store.Snapshot() }
+func (m stateMachine) Snapshot() []byte { return m.store.Snapshot() }
 
-func (m machine) Restore(_ uint64, data []byte) error { return m.store.Restore(data) }
+func (m stateMachine) Restore(_ uint64, data []byte) error { return m.store.Restore(data) }
 
 // traffic counts the bytes that are sent to each address.
 type traffic struct {
@@ -92,7 +92,7 @@
 		Directory:        directory,
 		Self:             self,
 		BootstrapMembers: founders,
-		StateMachine:     machine{store: configuration.NewStore()},
+		StateMachine:     stateMachine{store: configuration.NewStore()},
 		Send: func(to consensus.Member, message consensus.Message) {
 			network.Send(to, shards.ConfigurationShard, message)
 		},
--- a/internal/testkit/endtoend/proxy.go
+++ b/internal/testkit/endtoend/proxy.go
@@ -84,8 +84,8 @@
 // Count begins to note when pieces go out.
 func (p *Proxy) Count() { p.mu.Lock(); p.counts = true; p.mu.Unlock() }
 
-// Passed are the times at which pieces went out.
-func (p *Proxy) Passed() []time.Time { p.mu.Lock(); defer p.mu.Unlock(); return p.passed }
+// SendTimes are the times at which pieces went out.
+func (p *Proxy) SendTimes() []time.Time { p.mu.Lock(); defer p.mu.Unlock(); return p.passed }
 
 func (p *Proxy) accept() {
 	for {
@@ -137,8 +137,8 @@
 		return
 	}
 	done := make(chan struct{}, 2)
-	go func() { p.pump(far, head, first, true); done <- struct{}{} }()
-	go func() { p.pump(client, nil, p.read(far), false); done <- struct{}{} }()
+	go func() { p.forward(far, head, first, true); done <- struct{}{} }()
+	go func() { p.forward(client, nil, p.read(far), false); done <- struct{}{} }()
 	<-done
 	_ = client.Close()
 	_ = far.Close()
@@ -195,7 +195,7 @@
 	}
 }
 
-func (p *Proxy) pump(to net.Conn, head []byte, fragments <-chan []byte, out bool) {
+func (p *Proxy) forward(to net.Conn, head []byte, fragments <-chan []byte, out bool) {
 	of := func() Link {
 		if out {
 			return p.out
--- a/internal/testkit/endtoend/trial.go
+++ b/internal/testkit/endtoend/trial.go
@@ -39,7 +39,7 @@
 	Processes  int                `json:"processes"`
 	Violations []string           `json:"violations"`
 	Figures    map[string]float64 `json:"figures"`
-	Story      []string           `json:"story"` // the events, each with its time
+	Events     []string           `json:"story"` // the events, each with its time
 }
 
 var zones = []string{"a", "b", "c"}
@@ -86,7 +86,7 @@
 
 	mu       sync.Mutex
 	requests []request
-	story    []string
+	events   []string
 }
 
 func newTrial(plan Plan) (*trial, error) {
@@ -250,7 +250,7 @@
 func (s *trial) note(format string, a ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.story = append(s.story, fmt.Sprintf("%.2f s: ", s.elapsed().Seconds())+fmt.Sprintf(format, a...))
+	s.events = append(s.events, fmt.Sprintf("%.2f s: ", s.elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
 // load has clients send to every node, whatever the outcome, and returns when all
--- a/internal/testkit/endtoend/zone_failure.go
+++ b/internal/testkit/endtoend/zone_failure.go
@@ -56,7 +56,7 @@
 	stop()
 	looks := <-polled
 	s.audit(&r, looks, bad, spared)
-	r.Story = s.story
+	r.Events = s.events
 	return r, nil
 }
 
@@ -288,7 +288,7 @@
 		if !strings.HasPrefix(p.To, "w-"+zone) || spared[p.From] {
 			continue
 		}
-		for _, at := range p.Passed() {
+		for _, at := range p.SendTimes() {
 			if t := at.Sub(s.startedAt); t > from && t < to {
 				n++
 			}
--- a/internal/testkit/localfleet/fleet_test.go
+++ b/internal/testkit/localfleet/fleet_test.go
@@ -46,16 +46,16 @@
 	return m.Run()
 }
 
-// rig is a running fleet with an operator.
-type rig struct {
+// fleetTest is a running fleet with an operator.
+type fleetTest struct {
 	*testing.T
 	ctx      context.Context
 	fleet    *localfleet.Fleet
 	operator *localfleet.Operator
 }
 
-// newRig starts a fleet, whose processes are killed at the end of the test.
-func newRig(t *testing.T) *rig {
+// newFleetTest starts a fleet, whose processes are killed at the end of the test.
+func newFleetTest(t *testing.T) *fleetTest {
 	t.Helper()
 	fleet, err := localfleet.New(localfleet.Layout{Binary: binary, Directory: t.TempDir(), Servers: serverCount, Edges: edges})
 	if err != nil {
@@ -68,7 +68,7 @@
 		operator.Close()
 		fleet.KillAll()
 	})
-	r := &rig{T: t, ctx: ctx, fleet: fleet, operator: operator}
+	r := &fleetTest{T: t, ctx: ctx, fleet: fleet, operator: operator}
 	if err := fleet.StartAll(); err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 }
 
 // await fails the test if a condition does not come about.
-func (r *rig) await(what string, check func() bool) {
+func (r *fleetTest) await(what string, check func() bool) {
 	r.Helper()
 	if err := localfleet.Await(r.ctx, poll, check); err != nil {
 		r.Fatalf("%s: %v", what, err)
@@ -84,7 +84,7 @@
 }
 
 // worker starts a fake worker of a service.
-func (r *rig) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
+func (r *fleetTest) worker(i int, service string, tokenTime time.Duration) *fakemodelworker.Worker {
 	r.Helper()
 	options := fakemodelworker.Options{ID: fmt.Sprintf("worker-%d", i), Zone: localfleet.Zone(i), Service: service,
 		Address: r.fleet.Worker(i), Slots: 8, Control: r.fleet.Control(), Heartbeat: 300 * time.Millisecond,
@@ -120,14 +120,14 @@
 }
 
 // replaceFirst sends the first configuration, which has no base.
-func (r *rig) replaceFirst(body []byte) {
+func (r *fleetTest) replaceFirst(body []byte) {
 	r.Helper()
 	if err := r.operator.Replace(r.ctx, 0, body); err != nil {
 		r.Fatalf("replace on no configuration: %v", err)
 	}
 }
 
-func (r *rig) update(base uint64, body []byte) {
+func (r *fleetTest) update(base uint64, body []byte) {
 	r.Helper()
 	if err := r.operator.Update(r.ctx, base, body); err != nil {
 		r.Fatalf("update on %d: %v", base, err)
@@ -135,7 +135,7 @@
 }
 
 // generation reads the configuration back.
-func (r *rig) generation() int {
+func (r *fleetTest) generation() int {
 	r.Helper()
 	body, err := r.operator.Read(r.ctx)
 	if err != nil {
@@ -149,7 +149,7 @@
 }
 
 // request sends one request through a proxy.
-func (r *rig) request(edge int, path string) (*http.Response, error) {
+func (r *fleetTest) request(edge int, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(r.ctx, "POST", "http://"+r.fleet.Front(edge)+path, strings.NewReader("{}"))
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 }
 
 // answers reports whether each proxy answers on a route with a status.
-func (r *rig) answers(path string, status int) func() bool {
+func (r *fleetTest) answers(path string, status int) func() bool {
 	return func() bool {
 		for edge := range edges {
 			response, err := r.request(edge, path)
@@ -191,7 +191,7 @@
 	}
 }
 
-func (r *rig) status(server int) (status serverStatus, ok bool) {
+func (r *fleetTest) status(server int) (status serverStatus, ok bool) {
 	response, err := r.operator.Ask(r.ctx, r.fleet.Control()[server], "GET", "/-/status", 0, nil)
 	if err != nil || response.Status != http.StatusOK {
 		return status, false
@@ -200,7 +200,7 @@
 }
 
 // votes reports whether a server is a current voter of all groups that have exactly the wanted members.
-func (r *rig) votes(server int) bool {
+func (r *fleetTest) votes(server int) bool {
 	status, ok := r.status(server)
 	if !ok || len(status.Shards) == 0 {
 		return false
@@ -219,7 +219,7 @@
 
 func TestFleet_configurationOutlivesServers(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newFleetTest(t)
 	r.worker(0, "store", 0)
 	r.replaceFirst(firstConfiguration("first"))
 	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
@@ -242,7 +242,7 @@
 }
 
 // restartAllServers kills all servers before any starts again.
-func (r *rig) restartAllServers() {
+func (r *fleetTest) restartAllServers() {
 	r.Helper()
 	for i := range serverCount {
 		r.fleet.Server(i).Kill()
@@ -255,7 +255,7 @@
 }
 
 // replaceDisk kills a server, removes its disk and has it join again.
-func (r *rig) replaceDisk(server int) {
+func (r *fleetTest) replaceDisk(server int) {
 	r.Helper()
 	before, _ := r.status(server)
 	r.fleet.Server(server).Kill()
@@ -273,7 +273,7 @@
 
 func TestFleet_proxyServesWithoutItsAgent(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newFleetTest(t)
 	r.worker(0, "store", 0)
 	r.replaceFirst(firstConfiguration("first"))
 	r.await("the first route at all proxies", r.answers("/first/x", http.StatusOK))
@@ -299,7 +299,7 @@
 
 func TestFleet_streamCompletesAfterSIGTERM(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newFleetTest(t)
 	r.worker(0, "model", 60*time.Millisecond)
 	r.replaceFirst(firstConfiguration())
 	r.await("the streaming route at all proxies", r.answers("/stream/x", http.StatusOK))
--- a/internal/testkit/localfleet/mixed_versions_test.go
+++ b/internal/testkit/localfleet/mixed_versions_test.go
@@ -36,7 +36,7 @@
 
 // mixedFleet is a running fleet whose processes are of two versions.
 type mixedFleet struct {
-	*rig
+	*fleetTest
 	directory  string
 	programs   map[string]string // by machine, as assigned last
 	generation int
@@ -61,7 +61,7 @@
 		operator.Close()
 		fleet.KillAll()
 	})
-	return &mixedFleet{rig: &rig{T: t, ctx: ctx, fleet: fleet, operator: operator}, directory: directory, programs: map[string]string{}}
+	return &mixedFleet{fleetTest: &fleetTest{T: t, ctx: ctx, fleet: fleet, operator: operator}, directory: directory, programs: map[string]string{}}
 }
 
 // assign names the program that a machine's processes run from their next start on.
--- a/internal/testkit/nodesim/emulator_test.go
+++ b/internal/testkit/nodesim/emulator_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func play(t *testing.T, d Day) Result {
+func mustPlay(t *testing.T, d Day) Result {
 	t.Helper()
 	r, err := Play(d)
 	if err != nil {
@@ -21,11 +21,11 @@
 // The same day gives the same result, another seed another one.
 func TestPlay_deterministic(t *testing.T) {
 	d := Workshop(20, 15, 3).Killed()
-	a, b := play(t, d), play(t, d)
+	a, b := mustPlay(t, d), mustPlay(t, d)
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, then %+v", a, b)
 	}
-	if c := play(t, Workshop(20, 15, 4).Killed()); reflect.DeepEqual(a, c) {
+	if c := mustPlay(t, Workshop(20, 15, 4).Killed()); reflect.DeepEqual(a, c) {
 		t.Error("another seed makes no difference")
 	}
 }
@@ -34,7 +34,7 @@
 func TestPlay_everyOperationEnds(t *testing.T) {
 	for name, d := range map[string]Day{"released": Workshop(20, 15, 1).Released(), "returned": Workshop(20, 15, 1).Returned(),
 		"killed": Workshop(20, 15, 1).Killed()} {
-		r := play(t, d)
+		r := mustPlay(t, d)
 		lost := r.Served + r.RunLate + r.QueueLate + r.PendingLate + r.RejectedValue + r.FailedValue
 		if r.Requests() < 100 || r.Value-lost > 1e-6*r.Value || lost-r.Value > 1e-6*r.Value {
 			t.Errorf("%s: %.0f operations; value %.3f, counted %.3f", name, r.Requests(), r.Value, lost)
@@ -66,7 +66,7 @@
 		if seed > 1 {
 			d.ListLate = Range{6, 6}
 		}
-		if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 {
+		if r := mustPlay(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 {
 			t.Errorf("seed %d: %d overloaded, one got %.2f of its limit", d.Seed, r.Overloaded, r.MaxWarmUpLoad)
 		}
 	}
@@ -82,7 +82,7 @@
 		many := Workshop(80, 60, 1+seed).Returned()
 		many.ListLate = Range{1, 6}
 		for name, d := range map[string]Day{"one": one, "many": many} {
-			if r := play(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 || r.MaxWarmUpLoad > 0.4 {
+			if r := mustPlay(t, d); r.Overloaded > 0 || r.MaxWarmUpLoad == 0 || r.MaxWarmUpLoad > 0.4 {
 				t.Errorf("%s, seed %d: %d overloaded, %d by nodes that had not been notified; one got %.2f of its limit", name, d.Seed, r.Overloaded, r.OverloadedUnknown, r.MaxWarmUpLoad)
 			}
 		}
@@ -96,10 +96,10 @@
 		over := Workshop(60, 40, 1+seed)
 		over.Load = 1.2
 		for name, d := range map[string]Day{"overload": over, "returned": Workshop(60, 40, 1+seed).Returned()} {
-			for class, times := range []float64{0.45, 0.18} { // the two that may be repeated, in turn
+			for class, factor := range []float64{0.45, 0.18} { // the two that may be repeated, in turn
 				d.Settings.Classes = slices.Clone(Workshop(1, 1, 1).Settings.Classes)
-				d.Settings.Classes[class].Value *= times
-				r := play(t, d)
+				d.Settings.Classes[class].Value *= factor
+				r := mustPlay(t, d)
 				value, part, all := r.ClassValue[class]/r.Value, r.ClassServed[class]/r.ClassValue[class], r.Served/r.Value
 				if part < all/2 || value < 0.03 || value > 0.08 {
 					t.Errorf("%s, seed %d: class %d, %.3f of the value, is served %.3f, all together %.3f", name, d.Seed, class, value, part, all)
@@ -132,14 +132,14 @@
 	}
 	began := func() (at []float64) {
 		for _, s := range steps {
-			at = append(at, math.Round((s.began-begins).Seconds()*100)/100)
+			at = append(at, math.Round((s.began-dayStart).Seconds()*100)/100)
 		}
 		return at
 	}
 	send(2, 1)
 	send(4, 2)
 	send(1, 1)
-	w.play(begins + 10*time.Second)
+	w.run(dayStart + 10*time.Second)
 	if want := []float64{0, 1, 3}; !slices.Equal(began(), want) {
 		t.Errorf("began at %v, not %v", began(), want)
 	}
@@ -148,7 +148,7 @@
 	send(4, 1)
 	send(4, 1)
 	send(4, 1)
-	w.play(begins + 40*time.Second)
+	w.run(dayStart + 40*time.Second)
 	first, second := steps[1].began-steps[0].began, steps[2].began-steps[1].began
 	if first < 1500*time.Millisecond || first > 2500*time.Millisecond || second > 1200*time.Millisecond {
 		t.Errorf("cold, a job of a second took %v, the next %v", first, second)
--- a/internal/testkit/nodesim/node.go
+++ b/internal/testkit/nodesim/node.go
@@ -174,7 +174,7 @@
 		outcome = balance.Cancelled
 	}
 	if outcome == balance.Served {
-		s.operation.by = s
+		s.operation.servedBy = s
 		n.world.final(s.operation, served, 0)
 	}
 	n.handle(balance.AttemptDone{Request: s.operation.id, Attempt: s.number, Worker: s.worker.id, Outcome: outcome,
--- a/internal/testkit/nodesim/worker.go
+++ b/internal/testkit/nodesim/worker.go
@@ -267,8 +267,8 @@
 	}
 }
 
-// vanish has the worker fall silent, and forget all that is there.
-func (k *worker) vanish() {
+// disconnect has the worker fall silent, and forget all that is there.
+func (k *worker) disconnect() {
 	k.advance()
 	k.lost = append(append(k.lost, k.running...), k.queue...)
 	k.running, k.queue, k.used, k.silent = nil, nil, 0, true
--- a/internal/testkit/nodesim/world.go
+++ b/internal/testkit/nodesim/world.go
@@ -9,8 +9,8 @@
 	"ospreybend/internal/node/timerqueue"
 )
 
-// begins is the clock at the start of a day: zero means long ago in listings.
-const begins = time.Hour
+// dayStart is the clock at the start of a day: zero means long ago in listings.
+const dayStart = time.Hour
 
 // operation is one attempt of a client's request.
 type operation struct {
@@ -25,7 +25,7 @@
 	value    float64
 	attempts int
 	steps    []*attempt
-	by       *attempt // that served it
+	servedBy *attempt // that served it
 	ended    bool
 }
 
@@ -94,20 +94,20 @@
 	for _, c := range day.Settings.Classes {
 		longest = max(longest, c.Timeout)
 	}
-	w.play(begins + seconds(day.Length+1) + longest)
+	w.run(dayStart + seconds(day.Length+1) + longest)
 	return w.result, nil
 }
 
 func newWorld(d Day) *world {
 	n, span := len(d.Classes), int(d.Length)+1
-	return &world{day: d, rng: rand.New(rand.NewPCG(d.Seed, 1)), traffic: rand.New(rand.NewPCG(d.Seed, 2)), now: begins,
+	return &world{day: d, rng: rand.New(rand.NewPCG(d.Seed, 1)), traffic: rand.New(rand.NewPCG(d.Seed, 2)), now: dayStart,
 		byID: map[balance.WorkerID]*worker{},
 		result: Result{ClassValue: make([]float64, n), ClassServed: make([]float64, n),
 			WindowValue: make([]float64, span), WindowServed: make([]float64, span)}}
 }
 
-// play runs the simulation until a time.
-func (w *world) play(until time.Duration) {
+// run runs the simulation until a time.
+func (w *world) run(until time.Duration) {
 	for at, ok := w.timers.Next(); ok && at <= until; at, ok = w.timers.Next() {
 		w.now = at
 		w.timers.Run(at)
@@ -149,7 +149,7 @@
 	rate := d.Load * capacity / mean
 	var next func()
 	next = func() {
-		if w.now > begins+seconds(d.Length) {
+		if w.now > dayStart+seconds(d.Length) {
 			return
 		}
 		w.arrive()
@@ -175,7 +175,7 @@
 	}
 	w.result.Value += op.value
 	w.result.ClassValue[class] += op.value
-	w.result.WindowValue[int((w.now - begins).Seconds())] += op.value
+	w.result.WindowValue[int((w.now - dayStart).Seconds())] += op.value
 	w.dispatch(op)
 }
 
@@ -251,12 +251,12 @@
 		result.InTime++
 		result.Served += op.value
 		result.ClassServed[op.class] += op.value
-		result.WindowServed[int((first.arrived - begins).Seconds())] += op.value
+		result.WindowServed[int((first.arrived - dayStart).Seconds())] += op.value
 		return
 	}
 	result.Late++
-	queued := (op.by.began - op.by.sentAt).Seconds()
-	switch pending := (op.by.sentAt - first.arrived).Seconds(); {
+	queued := (op.servedBy.began - op.servedBy.sentAt).Seconds()
+	switch pending := (op.servedBy.sentAt - first.arrived).Seconds(); {
 	case took-pending <= latencyTarget && pending > queued:
 		result.PendingLate += op.value
 	case took-queued-pending <= latencyTarget:
@@ -300,7 +300,7 @@
 // scheduleFaults schedules the day's faults.
 func (w *world) scheduleFaults() {
 	d := w.day
-	at := func(s float64, f func()) { w.timers.Add(begins+seconds(s), f) }
+	at := func(s float64, f func()) { w.timers.Add(dayStart+seconds(s), f) }
 	some := func(share float64) []*worker {
 		all := slices.Clone(w.workers)
 		w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -317,7 +317,7 @@
 	}
 	if l := d.Loss; l.Share > 0 {
 		for _, k := range some(l.Share) {
-			at(l.At, k.vanish)
+			at(l.At, k.disconnect)
 			at(l.At+l.For, func() { k.restart(); w.list(k) })
 		}
 	}
--- a/internal/testkit/scalerun/blackout.go
+++ b/internal/testkit/scalerun/blackout.go
@@ -9,11 +9,11 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// blackout kills all processes at once, starts them again at once, and waits until all are complete again. Workers keep running.
-func (s *stepRun) blackout(ctx context.Context) error {
-	s.killEverything()
+// measureFullRestart kills all processes at once, starts them again at once, and waits until all are complete again. Workers keep running.
+func (s *stepRun) measureFullRestart(ctx context.Context) error {
+	s.killAll()
 	started := time.Now()
-	if err := s.startEverything(); err != nil {
+	if err := s.startAll(); err != nil {
 		return err
 	}
 	before := s.read()
@@ -32,14 +32,14 @@
 		return err
 	}
 	s.note(scalereport.PhaseBlackout, 0, before)
-	s.step.Blackout = scalereport.PercentilesOf(s.hollow.since(started, everyone, becameComplete))
-	s.plan.say("  all processes killed and started again: %d hollow agents whole p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
+	s.step.Blackout = scalereport.PercentilesOf(s.hollow.since(started, allAgents, completedAt))
+	s.plan.printf("  all processes killed and started again: %d hollow agents whole p50 %.0f, p99 %.0f, max %.0f ms; a change acknowledged after %.0f ms, at the proxies after %.0f ms",
 		len(s.hollow.agents), s.step.Blackout.P50, s.step.Blackout.P99, s.step.Blackout.Max, s.step.BlackoutAcked, s.step.BlackoutProxies)
 	return nil
 }
 
-// killEverything ends all processes of the fleet and all hollow agents.
-func (s *stepRun) killEverything() {
+// killAll ends all processes of the fleet and all hollow agents.
+func (s *stepRun) killAll() {
 	var killing sync.WaitGroup
 	kill := func(process *localfleet.Process) { killing.Go(process.Kill) }
 	for i := range s.plan.Servers {
@@ -53,8 +53,8 @@
 	killing.Wait()
 }
 
-// startEverything starts what killEverything has ended, but for the hollow agents.
-func (s *stepRun) startEverything() error {
+// startAll starts what killEverything has ended, but for the hollow agents.
+func (s *stepRun) startAll() error {
 	for i := range s.plan.Servers {
 		if _, err := s.fleet.StartServer(i, false); err != nil {
 			return err
--- a/internal/testkit/scalerun/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -41,14 +41,14 @@
 	}
 }
 
-// rest measures while nothing changes.
-func (s *stepRun) rest(ctx context.Context) error {
+// measureIdle measures while nothing changes.
+func (s *stepRun) measureIdle(ctx context.Context) error {
 	started := time.Now()
 	in, out, reads := s.hollow.traffic.in.Load(), s.hollow.traffic.out.Load(), s.hollow.traffic.reads.Load()
 	taken, datagrams, bytes := s.taken.Load(), s.monitoring.datagrams.Load(), s.monitoring.bytes.Load()
 	for window := range s.plan.Windows {
 		before := s.read()
-		rest(ctx, s.plan.Window)
+		pause(ctx, s.plan.Window)
 		s.note(scalereport.PhaseRest, window, before)
 	}
 	seconds := time.Since(started).Seconds()
@@ -61,12 +61,12 @@
 	a.Datagrams = round(float64(s.monitoring.datagrams.Load()-datagrams) / seconds / agents)
 	a.HeartbeatsAcknowledged, a.HeartbeatsFailed = round(float64(s.taken.Load()-taken)/seconds), s.refused.Load()
 	a.Failures, a.AgentsOf = s.failuresSoFar(), s.hollow.servers()
-	s.sayRest()
+	s.printIdle()
 	return ctx.Err()
 }
 
-// sayRest shows the means of the roles at rest.
-func (s *stepRun) sayRest() {
+// printIdle shows the means of the roles at rest.
+func (s *stepRun) printIdle() {
 	for _, role := range []string{"controlplane", "agent", "proxy"} {
 		var sum scalereport.Use
 		count := 0.0
@@ -81,21 +81,21 @@
 			}
 		}
 		if count > 0 {
-			s.plan.say("  at rest, each %s: %.2f%% of a core, %.1f MB, %.1f kB/s read, %.1f kB/s written, %.0f waits/s",
+			s.plan.printf("  at rest, each %s: %.2f%% of a core, %.1f MB, %.1f kB/s read, %.1f kB/s written, %.0f waits/s",
 				role, sum.Processor/count, sum.MemoryMB/count, sum.ReadKB/count, sum.WrittenKB/count, sum.Switches/count)
 		}
 	}
 	a := s.step.Hollow
-	s.plan.say("  at rest, each hollow agent: %.2f kB/s in %.1f messages/s, monitoring %.2f kB/s in %.1f datagrams/s; %.0f heartbeats/s taken, %d failed so far",
+	s.plan.printf("  at rest, each hollow agent: %.2f kB/s in %.1f messages/s, monitoring %.2f kB/s in %.1f datagrams/s; %.0f heartbeats/s taken, %d failed so far",
 		a.FeedInKB, a.FeedMessages, a.MonitorKB, a.Datagrams, a.HeartbeatsAcknowledged, a.HeartbeatsFailed)
-	s.plan.say("  hollow agents by server: %v", a.AgentsOf)
+	s.plan.printf("  hollow agents by server: %v", a.AgentsOf)
 	if len(a.Failures) > 0 {
-		s.plan.say("  heartbeats failed by: %v", a.Failures)
+		s.plan.printf("  heartbeats failed by: %v", a.Failures)
 	}
 }
 
-// changes sends changes one after the other and waits for each at all agents and real proxies.
-func (s *stepRun) changes(ctx context.Context) error {
+// measureChanges sends changes one after the other and waits for each at all agents and real proxies.
+func (s *stepRun) measureChanges(ctx context.Context) error {
 	var near, far, proxies, acks []float64
 	before := s.read()
 	for range s.plan.Changes {
@@ -115,13 +115,13 @@
 		if err := s.awaitGeneration(ctx); err != nil {
 			return err
 		}
-		near = append(near, s.hollow.since(sent, s.near, gotGeneration)...)
-		far = append(far, s.hollow.since(sent, s.far, gotGeneration)...)
+		near = append(near, s.hollow.since(sent, s.near, generationAt)...)
+		far = append(far, s.hollow.since(sent, s.far, generationAt)...)
 	}
 	s.note(scalereport.PhaseChange, 0, before)
 	s.step.Acked, s.step.AtProxies = scalereport.PercentilesOf(acks), scalereport.PercentilesOf(proxies)
 	s.step.InForce, s.step.InForceFar = scalereport.PercentilesOf(near), scalereport.PercentilesOf(far)
-	s.plan.say("  %d changes: acknowledged p50 %.0f ms; in force at near agents p50 %.0f, p99 %.0f, max %.0f ms; at far ones p99 %.0f, max %.0f ms; at proxies max %.0f ms",
+	s.plan.printf("  %d changes: acknowledged p50 %.0f ms; in force at near agents p50 %.0f, p99 %.0f, max %.0f ms; at far ones p99 %.0f, max %.0f ms; at proxies max %.0f ms",
 		s.plan.Changes, s.step.Acked.P50, s.step.InForce.P50, s.step.InForce.P99, s.step.InForce.Max,
 		s.step.InForceFar.P99, s.step.InForceFar.Max, s.step.AtProxies.Max)
 	return nil
@@ -134,8 +134,8 @@
 	return time.Now(), err
 }
 
-// restart ends all hollow agents and starts them again at once, without anything of before.
-func (s *stepRun) restart(ctx context.Context) error {
+// measureRestart ends all hollow agents and starts them again at once, without anything of before.
+func (s *stepRun) measureRestart(ctx context.Context) error {
 	s.hollow.stop()
 	in := s.hollow.traffic.in.Load()
 	before, started := s.read(), time.Now()
@@ -144,19 +144,19 @@
 		return err
 	}
 	s.note(scalereport.PhaseRestart, 0, before)
-	s.step.Known = scalereport.PercentilesOf(s.hollow.since(started, everyone, becameComplete))
+	s.step.Known = scalereport.PercentilesOf(s.hollow.since(started, allAgents, completedAt))
 	s.step.Hollow.SnapshotKB = round(float64(s.hollow.traffic.in.Load()-in) / 1000 / float64(max(len(s.hollow.agents), 1)))
-	s.plan.say("  all %d hollow agents restarted: whole again p50 %.0f, p99 %.0f, max %.0f ms; %.0f kB each",
+	s.plan.printf("  all %d hollow agents restarted: whole again p50 %.0f, p99 %.0f, max %.0f ms; %.0f kB each",
 		len(s.hollow.agents), s.step.Known.P50, s.step.Known.P99, s.step.Known.Max, s.step.Hollow.SnapshotKB)
 	return nil
 }
 
-func becameComplete(state agentState) time.Time { return state.completeAt }
+func completedAt(state agentState) time.Time { return state.completeAt }
 
 var errNoOwner = errors.New("no server leads the configuration's shard")
 
-// loss kills the owner of the configuration and sends a change at the same moment.
-func (s *stepRun) loss(ctx context.Context) error {
+// measureLoss kills the owner of the configuration and sends a change at the same moment.
+func (s *stepRun) measureLoss(ctx context.Context) error {
 	if s.plan.Servers < 3 {
 		return nil
 	}
@@ -181,7 +181,7 @@
 		return err
 	}
 	s.step.AckedAfter = milliseconds(acked.Sub(killed))
-	all := s.hollow.since(killed, everyone, gotGeneration)
+	all := s.hollow.since(killed, allAgents, generationAt)
 	s.step.AllAfter = scalereport.PercentilesOf(all).Max
 	if err := s.await(ctx, "agents not current after the loss of a server", s.hollow.complete); err != nil {
 		return err
@@ -190,8 +190,8 @@
 	if err := s.rejoin(ctx, owner); err != nil {
 		return err
 	}
-	s.step.Moved = scalereport.PercentilesOf(s.hollow.since(killed, func(i int) bool { return lost[i] }, becameComplete))
-	s.plan.say("  server killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current elsewhere p50 %.0f, max %.0f ms; started again, current after %.0f ms",
+	s.step.Moved = scalereport.PercentilesOf(s.hollow.since(killed, func(i int) bool { return lost[i] }, completedAt))
+	s.plan.printf("  server killed: next change acknowledged after %.0f ms, at all agents after %.0f ms; its %d agents current elsewhere p50 %.0f, max %.0f ms; started again, current after %.0f ms",
 		s.step.AckedAfter, s.step.AllAfter, s.step.Moved.Count, s.step.Moved.P50, s.step.Moved.Max, s.step.CaughtUp)
 	return nil
 }
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -50,7 +50,7 @@
 	for i, size := range plan.Sizes {
 		if why := bounds.Check(scalereport.NeedOf(size, plan.Servers, plan.Edges, plan.Routes)); why != nil {
 			result.Cuts = append(result.Cuts, scalereport.Cut{Size: size, Why: why.Error()})
-			plan.say("%d nodes, %d workers: not played: %v", size.Nodes, size.Workers, why)
+			plan.printf("%d nodes, %d workers: not played: %v", size.Nodes, size.Workers, why)
 			continue
 		}
 		result.Load = append(result.Load, LoadAverage())
@@ -71,7 +71,7 @@
 	return fmt.Sprintf("one hollow agent in %d: %v one way, %.3g%% of segments lost", p.FarEvery, p.Far.Delay, 100*p.Far.Loss)
 }
 
-func (p Plan) say(format string, values ...any) { fmt.Fprintf(p.Progress, format+"\n", values...) }
+func (p Plan) printf(format string, values ...any) { fmt.Fprintf(p.Progress, format+"\n", values...) }
 
 // playStep plays one size with a fleet of its own.
 func (p Plan) playStep(ctx context.Context, index int, size scalereport.Size, bounds scalereport.Bounds) (scalereport.Step, error) {
@@ -90,7 +90,7 @@
 	s := newStepRun(p, size, fleet, bounds)
 	defer s.close()
 	started := time.Now()
-	p.say("%d nodes, %d workers, %d control plane servers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
+	p.printf("%d nodes, %d workers, %d control plane servers, %d routes (load average %.1f)", size.Nodes, size.Workers, p.Servers, p.Routes, LoadAverage())
 	err = s.play(ctx)
 	s.step.TookS = time.Since(started).Seconds()
 	return s.step, err
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -72,7 +72,7 @@
 
 // play does the phases in turn.
 func (s *stepRun) play(ctx context.Context) error {
-	for _, phase := range []func(context.Context) error{s.begin, s.rest, s.changes, s.loss, s.restart, s.blackout} {
+	for _, phase := range []func(context.Context) error{s.begin, s.measureIdle, s.measureChanges, s.measureLoss, s.measureRestart, s.measureFullRestart} {
 		if err := phase(ctx); err != nil {
 			return err
 		}
@@ -100,8 +100,8 @@
 	if err := s.await(ctx, "workers are not known", func() bool { return int(s.known.Load()) == s.step.Size.Workers }); err != nil {
 		return err
 	}
-	s.plan.say("  whole configuration of %d kB at all agents after %.0f ms; all workers known", s.step.Hollow.DocumentBytes/1000, s.step.FirstConfiguration)
-	rest(ctx, s.plan.WarmUp)
+	s.plan.printf("  whole configuration of %d kB at all agents after %.0f ms; all workers known", s.step.Hollow.DocumentBytes/1000, s.step.FirstConfiguration)
+	pause(ctx, s.plan.WarmUp)
 	return s.checkMemory()
 }
 
@@ -117,13 +117,13 @@
 	if err := s.awaitGeneration(ctx); err != nil {
 		return err
 	}
-	s.step.FirstConfiguration = slices.Max(append(s.hollow.since(sent, everyone, gotGeneration), 0))
+	s.step.FirstConfiguration = slices.Max(append(s.hollow.since(sent, allAgents, generationAt), 0))
 	return s.await(ctx, "a proxy without the configuration", func() bool { return s.proxyHas(ctx) })
 }
 
-func everyone(int) bool { return true }
+func allAgents(int) bool { return true }
 
-func gotGeneration(state agentState) time.Time { return state.generationAt }
+func generationAt(state agentState) time.Time { return state.generationAt }
 
 func (s *stepRun) awaitGeneration(ctx context.Context) error {
 	return s.await(ctx, "agents without a change", func() bool {
@@ -253,8 +253,8 @@
 	return nil
 }
 
-// rest waits unless the context ends.
-func rest(ctx context.Context, span time.Duration) {
+// pause waits unless the context ends.
+func pause(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -35,10 +35,10 @@
 	statusServed = 200
 )
 
-var errUnserved = errors.New("a request was not served whole")
+var errIncompleteResponse = errors.New("a request was not served whole")
 
-// load is an open-loop load on one proxy.
-type load struct {
+// trafficRun is an open-loop load on one proxy.
+type trafficRun struct {
 	plan     TrafficPlan
 	fleet    *localfleet.Fleet
 	pool     *upstream.Pool
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &load{plan: plan, fleet: fleet, pool: upstream.New(upstream.Options{})}
+	l := &trafficRun{plan: plan, fleet: fleet, pool: upstream.New(upstream.Options{})}
 	defer func() {
 		cancel()
 		fleet.KillAll()
@@ -81,7 +81,7 @@
 }
 
 // begin starts the fleet and its workers and waits until the proxy serves.
-func (l *load) begin(ctx context.Context) error {
+func (l *trafficRun) begin(ctx context.Context) error {
 	if err := l.fleet.StartAll(); err != nil {
 		return err
 	}
@@ -107,12 +107,12 @@
 }
 
 // step gives the proxy a rate, waits until as many streams run as will, and measures.
-func (l *load) step(ctx context.Context, rate scalereport.Rate) scalereport.TrafficStep {
+func (l *trafficRun) step(ctx context.Context, rate scalereport.Rate) scalereport.TrafficStep {
 	ctx, cancel := context.WithCancel(ctx)
 	defer l.requests.Wait()
 	defer cancel()
 	l.requests.Go(func() { l.offer(ctx, rate) })
-	rest(ctx, time.Duration(rate.Tokens)*l.plan.TokenTime+time.Second)
+	pause(ctx, time.Duration(rate.Tokens)*l.plan.TokenTime+time.Second)
 	step := scalereport.TrafficStep{Rate: rate}
 	l.mutex.Lock()
 	l.first = nil
@@ -136,11 +136,11 @@
 }
 
 // measure returns the proxy's use over one window.
-func (l *load) measure(ctx context.Context) scalereport.Use {
+func (l *trafficRun) measure(ctx context.Context) scalereport.Use {
 	pid := l.fleet.Proxy(0).PID()
 	before, err := readCounters(pid)
 	at := time.Now()
-	rest(ctx, l.plan.Window)
+	pause(ctx, l.plan.Window)
 	after, failure := readCounters(pid)
 	if err != nil || failure != nil {
 		return scalereport.Use{}
@@ -149,7 +149,7 @@
 }
 
 // offer sends requests at a rate, whatever becomes of them, until ctx ends.
-func (l *load) offer(ctx context.Context, rate scalereport.Rate) {
+func (l *trafficRun) offer(ctx context.Context, rate scalereport.Rate) {
 	ticker := time.NewTicker(time.Second / time.Duration(rate.Requests))
 	defer ticker.Stop()
 	for {
@@ -170,7 +170,7 @@
 }
 
 // send sends one request and reads its stream.
-func (l *load) send(ctx context.Context, tokens int) error {
+func (l *trafficRun) send(ctx context.Context, tokens int) error {
 	number, sent := l.number.Add(1), time.Now()
 	response, failure := l.pool.RoundTrip(ctx, &upstream.Request{Address: l.fleet.Front(0), Method: "POST", Target: "/v1/chat", StreamEvents: true,
 		Body: []byte("{}"), Header: http1.Header{{Name: "Host", Value: "tenant-0.example"},
@@ -182,19 +182,19 @@
 		return failure
 	}
 	if response.Stream == nil || response.Status != statusServed {
-		return errUnserved
+		return errIncompleteResponse
 	}
 	return l.readStream(response.Stream, sent, tokens)
 }
 
-func (l *load) readStream(stream *upstream.Stream, sent time.Time, tokens int) error {
+func (l *trafficRun) readStream(stream *upstream.Stream, sent time.Time, tokens int) error {
 	for came := 0; ; {
 		batch, err := stream.Next()
 		if err != nil {
 			if errors.Is(err, io.EOF) && came == tokens {
 				return nil
 			}
-			return errUnserved
+			return errIncompleteResponse
 		}
 		if came == 0 {
 			l.noteFirst(milliseconds(time.Since(sent)))
@@ -204,7 +204,7 @@
 	}
 }
 
-func (l *load) noteFirst(after float64) {
+func (l *trafficRun) noteFirst(after float64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.first = append(l.first, after)
