--- a/balance/state.go
+++ b/balance/state.go
@@ -122,22 +122,22 @@
 }
 
 // codeMap codes a map; reading replaces its content.
-func codeMap[K comparable, V any](c *stateCodec, m map[K]V, key func(*K), value func(*V)) {
-	if !c.reading {
-		c.length(len(m))
-		for k, v := range m {
-			key(&k)
-			value(&v)
+func codeMap[K comparable, V any](codec *stateCodec, entries map[K]V, key func(*K), value func(*V)) {
+	if !codec.reading {
+		codec.length(len(entries))
+		for mapKey, mapValue := range entries {
+			key(&mapKey)
+			value(&mapValue)
 		}
 		return
 	}
-	clear(m)
-	for range c.length(0) {
-		var k K
-		var v V
-		key(&k)
-		value(&v)
-		m[k] = v
+	clear(entries)
+	for range codec.length(0) {
+		var mapKey K
+		var mapValue V
+		key(&mapKey)
+		value(&mapValue)
+		entries[mapKey] = mapValue
 	}
 }
 
--- a/internal/node/zones/encoding/encoding_test.go
+++ b/internal/node/zones/encoding/encoding_test.go
@@ -19,6 +19,7 @@
 	}
 }
 
+// Input from other processes is limited in depth and form.
 func TestUnmarshal_rejectsInvalid(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"empty":             {},
--- a/internal/node/zones/failover/decider_test.go
+++ b/internal/node/zones/failover/decider_test.go
@@ -43,6 +43,7 @@
 	return d
 }
 
+// The condition of zone b by what the zones observe of it.
 func TestSettings_assessZones(t *testing.T) {
 	late := observation(3, 10, 0)
 	late.Late = 25
--- a/internal/node/zones/quota/quota_test.go
+++ b/internal/node/zones/quota/quota_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// Invalid settings, children and requests are rejected.
 func TestNewParent_rejectsInvalid(t *testing.T) {
 	rules := Settings{Lease: time.Second, ClockDrift: 0.1}
 	site := map[string]ChildConfig{"a": {Guaranteed: Amount{2, 1}, Weight: 1}}
--- a/internal/node/zones/replicatedlog/log_test.go
+++ b/internal/node/zones/replicatedlog/log_test.go
@@ -237,6 +237,7 @@
 	}
 }
 
+// A log does not start from stored records that contradict each other.
 func TestNew_rejectsInvalidStoredState(t *testing.T) {
 	hole := Bootstrap([]uint64{1})
 	hole.Entries = []consensus.Entry{{Index: 3, Term: 1}}
--- a/internal/node/zones/simulation/simulation_test.go
+++ b/internal/node/zones/simulation/simulation_test.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// A scenario without zones, voters or length is an error.
 func TestRun_rejectsInvalidScenario(t *testing.T) {
 	for _, d := range []Scenario{{}, {Zones: 3}, {Zones: 3, Voters: 1, Nodes: 1, Length: -1}} {
 		if _, err := Run(d); err == nil {
