--- a/internal/testkit/catchupbench/plan.go
+++ b/internal/testkit/catchupbench/plan.go
@@ -40,16 +40,16 @@
 	Progress     io.Writer     // nil: none
 }
 
-// Step is one return.
+// Step is one return of a member. Its JSON members have the names that earlier results have.
 type Step struct {
-	Manner  Manner
-	Offline time.Duration
-	Lacked  int           // changes made meanwhile
-	Took    time.Duration // from its start until it had applied what the leader had
-	Voting  time.Duration // until it had a vote again
-	Bytes   int64         // sent to it until it was current
-	OnDisk  int64         // bytes of its replica then
-	Leading int64         // bytes of the leader's replica
+	Manner  Manner        `json:"Manner"`
+	Offline time.Duration `json:"Away"`
+	Lacked  int           `json:"Lacked"`  // changes made meanwhile
+	Took    time.Duration `json:"Took"`    // from its start until it had applied what the leader had
+	Voting  time.Duration `json:"Voting"`  // until it had a vote again
+	Bytes   int64         `json:"Bytes"`   // sent to it until it was current
+	OnDisk  int64         `json:"OnDisk"`  // bytes of its replica then
+	Leading int64         `json:"Leading"` // bytes of the leader's replica
 }
 
 // Errors of a measurement.
