--- a/internal/testkit/scalereport/bounds.go
+++ b/internal/testkit/scalereport/bounds.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Bounds are what a run may take of the machine.
+// Bounds are what a run may use of the machine.
 type Bounds struct {
 	Memory      int64 // bytes, half of the machine's
 	Descriptors int   // of this process
 	Processes   int
 }
 
-// Need is what a fleet takes of the machine.
+// Need is what a fleet uses of the machine.
 type Need struct {
 	Memory      int64
 	Descriptors int
@@ -32,7 +32,7 @@
 	memoryPerRoute       = 16 << 10 // in all servers and real edges, a process each
 )
 
-// NeedOf estimates what a fleet takes.
+// NeedOf estimates what a fleet uses.
 func NeedOf(size Size, servers, edges, routes int) Need {
 	processes := servers + 2*edges
 	return Need{
@@ -61,7 +61,7 @@
 	return Bounds{Memory: memory / 2, Descriptors: descriptors, Processes: processesMost}
 }
 
-// ErrSizes is returned for a list of sizes that cannot be read.
+// ErrSizes is returned for an invalid list of sizes.
 var ErrSizes = errors.New(`scale: sizes are NODESxWORKERS joined by commas, such as "30x60,100x200"`)
 
 // ParseSizes reads a list of sizes.
--- a/internal/testkit/scalereport/fit.go
+++ b/internal/testkit/scalereport/fit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Size is how large a fleet is.
+// Size is the size of a fleet.
 type Size struct {
 	Nodes   int `json:"nodes"`
 	Workers int `json:"workers"`
@@ -18,14 +18,14 @@
 }
 
 // Fit is a figure as a function of the size: Base + PerNode*nodes + PerWorker*workers, by least squares.
-// Where the sizes that were played do not tell nodes from workers, PerWorker is 0 and Together is true:
+// Where the measured sizes do not distinguish nodes from workers, PerWorker is 0 and Together is true:
 // PerNode then counts a node with its workers.
 type Fit struct {
 	Base         float64 `json:"base"`
 	PerNode      float64 `json:"perNode"`
 	PerWorker    float64 `json:"perWorker"`
 	Together     bool    `json:"together"`
-	Residual     float64 `json:"residual"` // standard deviation of what the fit leaves
+	Residual     float64 `json:"residual"` // standard deviation of the residuals
 	Observations int     `json:"observations"`
 
 	inverse [][]float64 // of the normal equations' matrix
@@ -121,7 +121,7 @@
 }
 
 // At returns the figure at a size and the half width of the interval in which a single measurement there lies
-// in 95 of 100 cases, if what the fit leaves is noise. The half width is NaN without degrees of freedom.
+// in 95 of 100 cases, if the residuals are noise. The half width is NaN without degrees of freedom.
 func (f Fit) At(size Size) (value, half float64) {
 	row := terms(size, len(f.inverse))
 	spread := 1.0
--- a/internal/testkit/scalereport/plot.go
+++ b/internal/testkit/scalereport/plot.go
@@ -87,7 +87,7 @@
 	return panels
 }
 
-// timesPanel shows the median, the 99th percentile and the maximum of a time at each step.
+// timesPanel returns a panel with the median, the 99th percentile and the maximum of a time at each step.
 func (r Result) timesPanel(title string, of func(Step) Percentiles) panel {
 	rows := []series{{label: "max", colour: "#d62728", line: true}, {label: "p99", colour: "#ff7f0e", line: true},
 		{label: "p50", colour: "#2ca02c", line: true}}
@@ -160,7 +160,7 @@
 	fmt.Fprintf(out, `<text x="%d" y="%d" text-anchor="end">nodes</text>`+"\n", panelWidth-marginRight, panelHeight-8)
 }
 
-// tickStep is 1, 2 or 5 times a power of ten, so that an axis has ticksLeast or more of them.
+// tickStep returns 1, 2 or 5 times a power of ten, so that an axis has ticksLeast or more of them.
 func tickStep(length float64) float64 {
 	power := math.Pow(10, math.Floor(math.Log10(length/ticksLeast)))
 	for _, factor := range []float64{5, 2} {
--- a/internal/testkit/scalereport/process.go
+++ b/internal/testkit/scalereport/process.go
@@ -10,7 +10,7 @@
 // ErrProcessFile is returned for a file of a process that cannot be read as expected.
 var ErrProcessFile = errors.New("scale: unexpected form of a process's file")
 
-// Counters are what a process has used since its start.
+// Counters are a process's use since its start.
 type Counters struct {
 	Processor time.Duration // in user and system mode
 	Resident  int64         // bytes now
@@ -19,7 +19,7 @@
 	Written   int64         // bytes by write calls
 	Reads     int64         // calls
 	Writes    int64
-	Switches  int64 // how often its threads went to wait
+	Switches  int64 // how often its threads have waited
 }
 
 const (
@@ -72,7 +72,7 @@
 	return values
 }
 
-// Use is what a process used a second over some time.
+// Use is a process's use per second over some time.
 type Use struct {
 	Processor float64 `json:"processorPercent"` // of one core
 	MemoryMB  float64 `json:"memoryMB"`         // resident at the end
--- a/internal/testkit/scalereport/result.go
+++ b/internal/testkit/scalereport/result.go
@@ -105,7 +105,7 @@
 	return encoder.Encode(r)
 }
 
-// figure is one thing that is followed over the sizes.
+// figure is one quantity that is fitted over the sizes.
 type figure struct {
 	name, unit string
 	role       string
@@ -129,7 +129,7 @@
 	{"proxy: memory without requests", "MB", "proxy", PhaseRest, false, func(u Use) float64 { return u.MemoryMB }},
 }
 
-// Trends fits all figures and carries them to the target's size.
+// Trends fits all figures and extrapolates them to the target's size.
 func Trends(steps []Step, target Size) []Trend {
 	var trends []Trend
 	for _, one := range figures {
@@ -180,7 +180,7 @@
 	return found
 }
 
-// WriteText writes the fits as lines for people.
+// WriteText writes the fits as text.
 func (r Result) WriteText(out io.Writer) {
 	fmt.Fprintf(out, "\n%-36s %10s %10s %10s %10s   at %d nodes, %d workers\n",
 		"figure", "base", "per node", "per worker", "residual", r.Target.Nodes, r.Target.Workers)
--- a/internal/testkit/scalerun/agents.go
+++ b/internal/testkit/scalerun/agents.go
@@ -44,7 +44,7 @@
 	return count, err
 }
 
-// hollowAgent is an agent's feed link without the rest of the agent. It notes when it has what.
+// hollowAgent is an agent's feed link without the rest of the agent. It records when it received what.
 type hollowAgent struct {
 	client *feedtransport.Client
 
@@ -56,7 +56,7 @@
 	completeAt   time.Time // since when all shards are there and current; zero: they are not
 }
 
-// agentOptions say who a hollow agent is.
+// agentOptions identify a hollow agent and its link.
 type agentOptions struct {
 	node, zone, ip string
 	seeds          []string
@@ -145,7 +145,7 @@
 	a.server, a.completeAt = "", time.Time{}
 }
 
-// agentState is what a hollow agent has noted.
+// agentState is what a hollow agent has recorded.
 type agentState struct {
 	generation               uint64
 	generationAt, completeAt time.Time
--- a/internal/testkit/scalerun/blackout.go
+++ b/internal/testkit/scalerun/blackout.go
@@ -53,7 +53,7 @@
 	killing.Wait()
 }
 
-// startAll starts what killEverything has ended, but for the hollow agents.
+// startAll starts what killAll has ended, but for the hollow agents.
 func (s *stepRun) startAll() error {
 	for i := range s.plan.Servers {
 		if _, err := s.fleet.StartServer(i, false); err != nil {
--- a/internal/testkit/scalerun/document.go
+++ b/internal/testkit/scalerun/document.go
@@ -13,7 +13,7 @@
 
 func modelService(i int) string { return fmt.Sprintf("model-%d", i%models+1) }
 
-// stageOf spreads the prefill workers evenly.
+// stageOf returns the stage of a worker; prefill workers are spread evenly.
 func stageOf(i int) string {
 	if i*34%stride < stride*prefillShare {
 		return "prefill"
@@ -21,13 +21,13 @@
 	return "decode"
 }
 
-// route is one tenant's.
+// route returns the route of one tenant.
 func route(i, timeoutMs int) string {
 	return fmt.Sprintf(`{"name":"tenant-%d","hostname":"tenant-%d.example","pathPrefix":"/v1/","routeType":"streaming","timeoutMs":%d,"targetLatencyMs":310,"priority":0,"service":%q,"maxAttempts":2,"sessionAffinity":true,"resumable":true,"gap_aim_ms":27}`,
 		i, i, timeoutMs, modelService(i))
 }
 
-// document is a complete configuration with a route for each tenant and a service for each model.
+// document returns a complete configuration with a route for each tenant and a service for each model.
 func document(generation uint64, routes int) []byte {
 	listed := make([]string, routes)
 	for i := range listed {
@@ -41,7 +41,7 @@
 		generation, strings.Join(listed, ","), strings.Join(services, ","))
 }
 
-// oneRoute is a change of one tenant's route.
+// oneRoute returns a change of one tenant's route.
 func oneRoute(generation uint64, tenant int) []byte {
 	return fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s]}}`, generation, route(tenant, 8000+int(generation)))
 }
--- a/internal/testkit/scalerun/monitor.go
+++ b/internal/testkit/scalerun/monitor.go
@@ -23,7 +23,7 @@
 	datagrams, bytes atomic.Int64
 }
 
-// monitor is one hollow node's part in the monitoring of the fleet.
+// monitor takes part in the fleet's health checks for one hollow node.
 type monitor struct {
 	socket *net.UDPConn
 	prober *membership.Prober
@@ -31,7 +31,7 @@
 	buffer []byte
 }
 
-// startMonitor answers and sends probes until ctx ends.
+// startMonitor sends and answers health checks until ctx ends.
 func startMonitor(ctx context.Context, self netip.Addr, port int, nodes []membership.Node, counts *monitoring) error {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(self, uint16(port))))
 	if err != nil {
@@ -61,7 +61,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			continue // a rejected datagram of before; the next read waits
+			continue // an ICMP error of an earlier datagram; the next read waits
 		}
 		m.send(m.prober.Tick(now))
 	}
@@ -82,6 +82,6 @@
 		m.buffer = out.Packet.Encode(m.buffer[:0])
 		m.counts.datagrams.Add(1)
 		m.counts.bytes.Add(int64(len(m.buffer)))
-		_, _ = m.socket.WriteToUDPAddrPort(m.buffer, out.To) // a lost packet is asked about again
+		_, _ = m.socket.WriteToUDPAddrPort(m.buffer, out.To) // a lost health check is retried
 	}
 }
--- a/internal/testkit/scalerun/phases.go
+++ b/internal/testkit/scalerun/phases.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/scalereport"
 )
 
-// reading is what the processes of a fleet had used at one moment.
+// reading is the use of a fleet's processes up to one moment.
 type reading struct {
 	at        time.Time
 	processes map[*localfleet.Process]scalereport.Counters
@@ -65,7 +65,7 @@
 	return ctx.Err()
 }
 
-// printIdle shows the means of the roles at rest.
+// printIdle prints the means of the roles while nothing changes.
 func (s *stepRun) printIdle() {
 	for _, role := range []string{"controlplane", "agent", "proxy"} {
 		var sum scalereport.Use
@@ -134,7 +134,7 @@
 	return time.Now(), err
 }
 
-// measureRestart ends all hollow agents and starts them again at once, without anything of before.
+// measureRestart ends all hollow agents and starts them again at once, without state.
 func (s *stepRun) measureRestart(ctx context.Context) error {
 	s.hollow.stop()
 	in := s.hollow.traffic.in.Load()
@@ -210,7 +210,7 @@
 // readsFrom reports whether an agent reads from a server, perhaps over a slow link: its relay has the same IP.
 func (s *stepRun) readsFrom(address, host string) bool { return strings.HasPrefix(address, host+":") }
 
-// serverStatus is what is read of a server's report.
+// serverStatus is the part of a server's status that is read.
 type serverStatus struct {
 	Shards []struct {
 		Role    string
--- a/internal/testkit/scalerun/plan.go
+++ b/internal/testkit/scalerun/plan.go
@@ -27,7 +27,7 @@
 	Window    time.Duration // of a measurement at rest
 	Windows   int
 	Changes   int
-	FarEvery  int             // each so-manieth hollow agent has the far link; 0: none
+	FarEvery  int             // one in so many hollow agents has the far link; 0: none
 	Far       localfleet.Link // between these and the servers
 	Heartbeat time.Duration   // of workers
 	Limit     time.Duration   // of one step
@@ -40,7 +40,7 @@
 	memoryOfProcess = 256 // MB
 )
 
-// Play plays all sizes that the machine has room for. On an error the result holds the steps before it.
+// Play measures all sizes for which the machine has enough memory and descriptors. On an error the result has the steps before it.
 func Play(ctx context.Context, plan Plan) (scalereport.Result, error) {
 	result := scalereport.Result{Machine: machineName(runtime.NumCPU()), Target: plan.Target, Far: plan.farText()}
 	bounds, err := machineBounds()
@@ -73,7 +73,7 @@
 
 func (p Plan) printf(format string, values ...any) { fmt.Fprintf(p.Progress, format+"\n", values...) }
 
-// playStep plays one size with a fleet of its own.
+// playStep measures one size with a fleet of its own.
 func (p Plan) playStep(ctx context.Context, index int, size scalereport.Size, bounds scalereport.Bounds) (scalereport.Step, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.Limit)
 	defer cancel()
--- a/internal/testkit/scalerun/plan_test.go
+++ b/internal/testkit/scalerun/plan_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkStep reports whether all phases left figures that can be.
+// checkStep fails unless all phases have plausible figures.
 func checkStep(t *testing.T, step scalereport.Step) {
 	t.Helper()
 	hollow := step.Size.Nodes - 1
--- a/internal/testkit/scalerun/procfs.go
+++ b/internal/testkit/scalerun/procfs.go
@@ -37,7 +37,7 @@
 		Switches: switches(directory)}, nil
 }
 
-// switches adds up how often each thread of a process went to wait.
+// switches returns how often the threads of a process have waited.
 func switches(directory string) int64 {
 	threads, _ := filepath.Glob(filepath.Join(directory, "task", "*", "status"))
 	var sum int64
@@ -57,7 +57,7 @@
 	return scalereport.Named(string(text)), nil
 }
 
-// machineBounds are what a run may take of this machine.
+// machineBounds returns what a run may use of this machine.
 func machineBounds() (scalereport.Bounds, error) {
 	memory, err := readNamed("/proc/meminfo")
 	if err != nil {
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("%d processors, %d MB", processors, memory["MemTotal"]>>20)
 }
 
-// LoadAverage is the machine's over the last minute.
+// LoadAverage returns the machine's load average over the last minute.
 func LoadAverage() float64 {
 	text, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
--- a/internal/testkit/scalerun/step.go
+++ b/internal/testkit/scalerun/step.go
@@ -29,7 +29,7 @@
 // ErrMemory ends a step whose processes use more memory than the run may.
 var ErrMemory = errors.New("scale: the processes use more than half of the machine's memory")
 
-// stepRun is one size while it is played.
+// stepRun is the measurement of one size.
 type stepRun struct {
 	plan       Plan
 	fleet      *localfleet.Fleet
@@ -54,7 +54,7 @@
 		hollow: hollowAgents{traffic: new(traffic)}, failures: map[string]int{}, stopAll: func() {}}
 }
 
-// close ends all that the step has started.
+// close stops all that the step has started.
 func (s *stepRun) close() {
 	s.stopAll()
 	s.fleet.KillAll()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// play does the phases in turn.
+// play runs the phases in turn.
 func (s *stepRun) play(ctx context.Context) error {
 	for _, phase := range []func(context.Context) error{s.begin, s.measureIdle, s.measureChanges, s.measureLoss, s.measureRestart, s.measureFullRestart} {
 		if err := phase(ctx); err != nil {
@@ -228,14 +228,14 @@
 	s.failures[err.Error()]++
 }
 
-// failuresSoFar copies the counts.
+// failuresSoFar returns a copy of the counts.
 func (s *stepRun) failuresSoFar() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.failures)
 }
 
-// checkMemory adds up what all processes have in memory.
+// checkMemory fails if all processes together use too much memory.
 func (s *stepRun) checkMemory() error {
 	own, err := readCounters(os.Getpid())
 	if err != nil {
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// pause waits unless the context ends.
+// pause waits for a time or until the context ends.
 func pause(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -263,5 +263,5 @@
 	}
 }
 
-// round cuts a figure to three decimals.
+// round rounds a figure to three decimals.
 func round(value float64) float64 { return math.Round(value*1000) / 1000 }
--- a/internal/testkit/scalerun/traffic.go
+++ b/internal/testkit/scalerun/traffic.go
@@ -31,7 +31,7 @@
 
 const (
 	promptTokens = 1200
-	prefillEvery = 3 // each so-manieth worker reads prompts
+	prefillEvery = 3 // one in so many workers is a prefill worker
 	statusServed = 200
 )
 
@@ -51,7 +51,7 @@
 	requests sync.WaitGroup
 }
 
-// PlayTraffic measures one proxy at each rate. On an error the result holds the rates before it.
+// PlayTraffic measures one proxy at each rate. On an error the result has the rates before it.
 func PlayTraffic(ctx context.Context, plan TrafficPlan) ([]scalereport.TrafficStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Limit)
 	defer cancel()
@@ -148,7 +148,7 @@
 	return scalereport.UseBetween(before, after, time.Since(at))
 }
 
-// offer sends requests at a rate, whatever becomes of them, until ctx ends.
+// offer sends requests at a rate, whatever their outcome, until ctx ends.
 func (l *trafficRun) offer(ctx context.Context, rate scalereport.Rate) {
 	ticker := time.NewTicker(time.Second / time.Duration(rate.Requests))
 	defer ticker.Stop()
