--- a/cmd/inference-router/demo.go
+++ b/cmd/inference-router/demo.go
@@ -202,9 +202,9 @@
 func (d *demoRun) printSummary() {
 	for i, worker := range d.workers {
 		counts := worker.Counts()
-		fmt.Fprintf(d.out, "worker %d: %d prompts read, %d runs, %d turned away\n", i+1, counts.Prefills, counts.Runs, counts.Rejected)
+		fmt.Fprintf(d.out, "worker %d: %d prefills, %d runs, %d rejected\n", i+1, counts.Prefills, counts.Runs, counts.Rejected)
 	}
-	fmt.Fprintf(d.out, "handles left over: %d\n", d.handles.Open())
+	fmt.Fprintf(d.out, "KV handles left over: %d\n", d.handles.Open())
 }
 
 func elapsed(started time.Time) time.Duration { return time.Since(started).Round(time.Millisecond) }
