--- a/internal/dataplane/loadshare/compatibility_test.go
+++ b/internal/dataplane/loadshare/compatibility_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityRows are one datagram with every field set.
+// compatibilityRows returns one message with every field set.
 func compatibilityRows() []golden.Row {
 	message := Message{Node: 1<<64 - 9, Sequence: 12, Entries: []selection.Outstanding{
 		{WorkerHash: 1<<63 + 5, Waiting: 2.5, Running: 4, Memory: 3000, Failing: true},
--- a/internal/dataplane/loadshare/loadshare_test.go
+++ b/internal/dataplane/loadshare/loadshare_test.go
@@ -11,25 +11,25 @@
 	"ospreybend/internal/dataplane/selection"
 )
 
-func TestDecode_ofEncode(t *testing.T) {
+func TestDecode_returnsEncodedMessage(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
-	properties.Property("decode of encode", prop.ForAll(func(node, sequence uint64, workers []uint64, work uint16) bool {
-		m := Message{Node: node, Sequence: sequence}
+	properties.Property("Decode returns the message that was encoded", prop.ForAll(func(node, sequence uint64, workers []uint64, load uint16) bool {
+		message := Message{Node: node, Sequence: sequence}
 		for i, worker := range workers {
-			m.Entries = append(m.Entries, selection.Outstanding{
-				WorkerHash: worker, Waiting: float64(work) / 1000, Running: float64(i), Memory: float64(work), Failing: i%3 == 0,
+			message.Entries = append(message.Entries, selection.Outstanding{
+				WorkerHash: worker, Waiting: float64(load) / 1000, Running: float64(i), Memory: float64(load), Failing: i%3 == 0,
 			})
 		}
-		datagram, err := Encode(m)
+		datagram, err := Encode(message)
 		if err != nil || len(datagram) > MaxDatagramBytes {
 			return false
 		}
-		read, err := Decode(datagram)
-		if err != nil || read.Node != node || read.Sequence != sequence || len(read.Entries) != len(m.Entries) {
+		decoded, err := Decode(datagram)
+		if err != nil || decoded.Node != node || decoded.Sequence != sequence || len(decoded.Entries) != len(message.Entries) {
 			return false
 		}
-		for i := range m.Entries {
-			if read.Entries[i] != m.Entries[i] {
+		for i := range message.Entries {
+			if decoded.Entries[i] != message.Entries[i] {
 				return false
 			}
 		}
@@ -39,25 +39,26 @@
 }
 
 func TestEncode_keepsMostLoadedWorkers(t *testing.T) {
-	m := Message{Node: 1 << 63, Sequence: 1 << 62}
+	message := Message{Node: 1 << 63, Sequence: 1 << 62}
 	for i := range 4 * maxEntries {
-		m.Entries = append(m.Entries, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
+		message.Entries = append(message.Entries, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
 	}
-	datagram, err := Encode(m)
+	datagram, err := Encode(message)
 	if err != nil || len(datagram) > MaxDatagramBytes {
-		t.Fatalf("%d bytes, %v", len(datagram), err)
+		t.Fatalf("Encode: %d bytes and error %v, want at most %d bytes and no error", len(datagram), err, MaxDatagramBytes)
 	}
-	read, err := Decode(datagram)
-	if err != nil || len(read.Entries) != maxEntries || read.Entries[0].Waiting != 4*maxEntries-1 {
-		t.Fatalf("%v, %d entries", err, len(read.Entries))
+	decoded, err := Decode(datagram)
+	if err != nil || len(decoded.Entries) != maxEntries || decoded.Entries[0].Waiting != 4*maxEntries-1 {
+		t.Fatalf("Decode: %d entries and error %v, want %d entries with the most waiting work first: %+v",
+			len(decoded.Entries), err, maxEntries, decoded.Entries)
 	}
 }
 
 func TestDecode_rejectsTruncatedDatagrams(t *testing.T) {
 	datagram, _ := Encode(Message{Node: 7, Sequence: 9, Entries: []selection.Outstanding{{WorkerHash: 5, Waiting: 0.25, Running: 3}}})
-	for cut := range datagram {
-		if read, err := Decode(datagram[:cut]); err == nil {
-			t.Errorf("truncated at %d of %d: %+v", cut, len(datagram), read)
+	for length := range datagram {
+		if decoded, err := Decode(datagram[:length]); err == nil {
+			t.Errorf("Decode of the first %d of %d bytes returned %+v, want an error", length, len(datagram), decoded)
 		}
 	}
 }
@@ -73,11 +74,11 @@
 			}
 		}
 		rate := rateFor(peers)
-		if most := rate*seconds + max(minBurst, float64(peers)); float64(sent) > most {
-			t.Errorf("%d peers: %d datagrams in %d s, %v at most", peers, sent, seconds, most)
+		if maxSent := rate*seconds + max(minBurst, float64(peers)); float64(sent) > maxSent {
+			t.Errorf("%d peers: sent %d datagrams in %d s, want at most %v", peers, sent, seconds, maxSent)
 		}
-		if float64(sent) < rate*seconds*0.9-float64(peers) {
-			t.Errorf("%d peers: only %d datagrams in %d s", peers, sent, seconds)
+		if minSent := rate*seconds*0.9 - float64(peers); float64(sent) < minSent {
+			t.Errorf("%d peers: sent %d datagrams in %d s, want at least %v", peers, sent, seconds, minSent)
 		}
 	}
 }
@@ -85,12 +86,12 @@
 func TestRateLimiter_Reserve_returnsDelay(t *testing.T) {
 	var limiter RateLimiter
 	now := time.Duration(0)
-	wait := limiter.Reserve(now, 100)
-	if wait <= 0 {
-		t.Fatal("a new limiter has tokens")
+	delay := limiter.Reserve(now, 100)
+	if delay <= 0 {
+		t.Fatalf("a new limiter returned a delay of %s, want one above 0", delay)
 	}
-	if again := limiter.Reserve(now+wait+time.Millisecond, 100); again != 0 {
-		t.Errorf("delayed for another %s", again)
+	if secondDelay := limiter.Reserve(now+delay+time.Millisecond, 100); secondDelay != 0 {
+		t.Errorf("a second call after the delay of %s returned a delay of %s, want 0", delay, secondDelay)
 	}
 }
 
@@ -98,9 +99,9 @@
 	var filter SequenceFilter
 	if !filter.Accept(Message{Node: 1, Sequence: 5}) ||
 		filter.Accept(Message{Node: 1, Sequence: 5}) || filter.Accept(Message{Node: 1, Sequence: 4}) {
-		t.Error("a repeated or late message is accepted")
+		t.Error("the first message of node 1 was rejected, or a repeated or older one was accepted")
 	}
 	if !filter.Accept(Message{Node: 2, Sequence: 1}) || !filter.Accept(Message{Node: 1, Sequence: 6}) {
-		t.Error("a message of another node or a newer one is not accepted")
+		t.Error("the first message of node 2 or a newer one of node 1 was rejected")
 	}
 }
--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -1,9 +1,10 @@
-// Package loadshare encodes and paces the messages by which the proxies of a fleet tell each other what
-// they have in flight at workers. A message is a complete state in one datagram, so that a lost or late
-// one is made good by the next. The package rejects malformed and old messages.
+// Package loadshare encodes and rate-limits the messages in which the proxies of a fleet tell each other
+// what they have in flight at each worker. Each message is one datagram with the sender's complete state,
+// so the next message makes up for one that was lost or late. The package rejects malformed and outdated
+// messages.
 //
-// It has no socket and no clock: package proxy sends and receives the datagrams, and gives their entries
-// to package selection.
+// The package uses no socket and no clock: package proxy sends and receives the datagrams and passes their
+// entries to package selection.
 package loadshare
 
 import (
@@ -16,38 +17,39 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// MaxDatagramBytes bounds datagrams, so that they fit one Ethernet frame.
+// MaxDatagramBytes is the largest size of a datagram; one of this size fits into a single Ethernet frame.
 const MaxDatagramBytes = 1400
 
 const (
-	maxEntries            = 60 // of a message, so that it fits a datagram
+	maxEntries            = 60 // entries of one message; this many fit into MaxDatagramBytes
 	microsecondsPerSecond = 1e6
 )
 
 // ErrInvalidMessage is returned for a datagram that is not a valid message.
-var ErrInvalidMessage = errors.New("loadshare: not a message")
+var ErrInvalidMessage = errors.New("loadshare: datagram is not a valid message")
 
-// Message is the state of one node.
+// Message is the state of one node: its calls in flight at workers.
 type Message struct {
-	Node     uint64 // random, of one incarnation of a process
-	Sequence uint64 // increases with every message of the node
+	Node     uint64 // random ID that a proxy process draws at its start
+	Sequence uint64 // rises with every message of the node
 	Entries  []selection.Outstanding
 }
 
-// wireMessage is the avro encoding of a Message.
+// wireMessage is the Avro form of a Message. Avro has no unsigned integers, so uint64 values are
+// converted to int64.
 type wireMessage struct {
 	Node     int64       `avro:"node"`
 	Sequence int64       `avro:"sequence"`
-	List     []wireEntry `avro:"list"`
+	Entries  []wireEntry `avro:"list"`
 }
 
-// wireEntry is the avro encoding of a selection.Outstanding.
+// wireEntry is the Avro form of a selection.Outstanding.
 type wireEntry struct {
-	Worker  int64 `avro:"worker"`
-	Waiting int   `avro:"waiting"` // microseconds of work
-	Running int   `avro:"running"`
-	Memory  int   `avro:"memory"`
-	Failing bool  `avro:"failing"`
+	WorkerHash int64 `avro:"worker"`
+	Waiting    int   `avro:"waiting"` // work in microseconds
+	Running    int   `avro:"running"`
+	Memory     int   `avro:"memory"`
+	Failing    bool  `avro:"failing"`
 }
 
 var schema = avro.MustParse(`{"type":"record","name":"load","fields":[
@@ -57,30 +59,30 @@
 {"name":"worker","type":"long"},{"name":"waiting","type":"int"},
 {"name":"running","type":"int"},{"name":"memory","type":"int"},{"name":"failing","type":"boolean"}]}}}]}`)
 
-// Encode returns the datagram of a message. Entries beyond maxEntries are left out, see mostLoaded.
+// Encode returns the datagram of a message. A message with more than maxEntries entries is cut down to
+// those that mostLoaded selects.
 func Encode(message Message) ([]byte, error) {
 	encoded := wireMessage{Node: int64(message.Node), Sequence: int64(message.Sequence)}
 	for _, entry := range mostLoaded(message.Entries) {
-		encoded.List = append(encoded.List, newWireEntry(entry))
+		encoded.Entries = append(encoded.Entries, newWireEntry(entry))
 	}
 	return avro.Marshal(schema, encoded)
 }
 
-// newWireEntry returns the encoding of an entry.
 func newWireEntry(entry selection.Outstanding) wireEntry {
 	return wireEntry{
-		Worker:  int64(entry.WorkerHash),
-		Waiting: int(entry.Waiting * microsecondsPerSecond),
-		Running: int(entry.Running),
-		Memory:  int(entry.Memory),
-		Failing: entry.Failing,
+		WorkerHash: int64(entry.WorkerHash),
+		Waiting:    int(entry.Waiting * microsecondsPerSecond),
+		Running:    int(entry.Running),
+		Memory:     int(entry.Memory),
+		Failing:    entry.Failing,
 	}
 }
 
-// outstanding returns the entry that is encoded. Its numbers must not be negative.
+// outstanding converts a decoded entry back. Its numbers must not be negative.
 func (e wireEntry) outstanding() selection.Outstanding {
 	return selection.Outstanding{
-		WorkerHash: uint64(e.Worker),
+		WorkerHash: uint64(e.WorkerHash),
 		Waiting:    float64(e.Waiting) / microsecondsPerSecond,
 		Running:    float64(e.Running),
 		Memory:     float64(e.Memory),
@@ -88,15 +90,15 @@
 	}
 }
 
-// Decode parses a datagram. It returns ErrInvalidMessage for one that is malformed, has trailing bytes or
-// values out of range.
+// Decode parses a datagram. It returns ErrInvalidMessage if the datagram is malformed, has trailing bytes
+// or too many entries, or if an entry has a negative number.
 func Decode(datagram []byte) (Message, error) {
 	var decoded wireMessage
-	if strictavro.Unmarshal(avro.DefaultConfig, schema, datagram, &decoded) != nil || len(decoded.List) > maxEntries {
+	if strictavro.Unmarshal(avro.DefaultConfig, schema, datagram, &decoded) != nil || len(decoded.Entries) > maxEntries {
 		return Message{}, ErrInvalidMessage
 	}
 	message := Message{Node: uint64(decoded.Node), Sequence: uint64(decoded.Sequence)}
-	for _, entry := range decoded.List {
+	for _, entry := range decoded.Entries {
 		if entry.Waiting < 0 || entry.Running < 0 || entry.Memory < 0 {
 			return Message{}, ErrInvalidMessage
 		}
@@ -105,14 +107,14 @@
 	return message, nil
 }
 
-// mostLoaded returns at most maxEntries entries: those of failing workers first, then those with the most
-// waiting work. It does not change list.
-func mostLoaded(list []selection.Outstanding) []selection.Outstanding {
-	if len(list) <= maxEntries {
-		return list
+// mostLoaded returns at most maxEntries of the entries: those of failing workers first, then those with
+// the most waiting work. It does not modify the slice passed in.
+func mostLoaded(entries []selection.Outstanding) []selection.Outstanding {
+	if len(entries) <= maxEntries {
+		return entries
 	}
-	list = slices.Clone(list)
-	slices.SortFunc(list, func(a, b selection.Outstanding) int {
+	entries = slices.Clone(entries)
+	slices.SortFunc(entries, func(a, b selection.Outstanding) int {
 		switch {
 		case a.Failing != b.Failing:
 			if a.Failing {
@@ -126,5 +128,5 @@
 		}
 		return 0
 	})
-	return list[:maxEntries]
+	return entries[:maxEntries]
 }
--- a/internal/dataplane/retrybudget/budget_test.go
+++ b/internal/dataplane/retrybudget/budget_test.go
@@ -19,17 +19,17 @@
 		spent++
 	}
 	if spent != 10 { // 0.8 * 54 / 4 = 10.8
-		t.Fatalf("spent %d", spent)
+		t.Fatalf("the budget allowed %d calls, want 10", spent)
 	}
 }
 
 func TestBudget_TrySpend_slackGrowsFromZero(t *testing.T) {
 	budget := New(testRules, 0)
 	if budget.TrySpend(0, 1) {
-		t.Fatal("spent at the start")
+		t.Fatal("a call was allowed at the start, when the slack is still zero")
 	}
 	if !budget.TrySpend(time.Second, 1) {
-		t.Fatal("nothing to spend after a tenth of the window")
+		t.Fatal("no call was allowed after a tenth of the first window")
 	}
 }
 
@@ -38,10 +38,10 @@
 	for budget.TrySpend(20*time.Second, 1) {
 	}
 	if budget.TrySpend(30*time.Second, 1) {
-		t.Fatal("spent again within the window")
+		t.Fatal("a call was allowed within the window in which the budget was used up")
 	}
 	if !budget.TrySpend(30*time.Second+1, 1) {
-		t.Fatal("nothing to spend after the window")
+		t.Fatal("no call was allowed after the window in which the budget was used up")
 	}
 }
 
@@ -57,10 +57,10 @@
 		spent++
 	}
 	if spent != 10 {
-		t.Fatalf("spent %d of 10", spent)
+		t.Fatalf("100 requests allowed %d calls, want 10", spent)
 	}
 	if budget.TrySpend(31*time.Second, 1) {
-		t.Fatal("requests of an older window still earn")
+		t.Fatal("a call was allowed for requests that are older than a window")
 	}
 }
 
@@ -69,10 +69,10 @@
 	budgets.RecordRequest(0, "a")
 	budgets.RecordRequest(0, "a")
 	if budgets.TrySpend(0, "b", 1) {
-		t.Fatal("b spent what a earned")
+		t.Fatal("service b was allowed a call for the requests of service a")
 	}
 	if !budgets.TrySpend(0, "a", 1) {
-		t.Fatal("a has nothing")
+		t.Fatal("service a was allowed no call for its own requests")
 	}
 }
 
@@ -83,22 +83,23 @@
 		budgets.RecordRequest(0, "a")
 	}
 	if !budgets.TrySpend(0, "a", 1) {
-		t.Fatal("a has nothing")
+		t.Fatal("service a was allowed no call for 4 requests")
 	}
 	budgets.Retain(time.Second, none)
 	if budgets.byService["a"] == nil {
-		t.Fatal("a budget was dropped with a call in its window")
+		t.Fatal("Retain removed a budget with a call within the last window")
 	}
 	budgets.Retain(time.Second+1, none)
 	if budgets.byService["a"] != nil {
-		t.Fatal("a budget without calls stays")
+		t.Fatal("Retain kept a budget without calls within the last window")
 	}
 }
 
-// history is what happened at all nodes: instants of requests and of granted calls.
-type history struct{ requests, spends []time.Duration }
+// history holds the times of the requests and of the allowed calls of all nodes.
+type history struct{ requests, calls []time.Duration }
 
-// simulate lets nodes receive requests and ask for calls in an uneven random pattern.
+// simulate generates a random, uneven sequence of requests and attempted calls on several nodes, and returns the requests
+// and the calls that the budgets allowed.
 func simulate(seed int64, nodes int, rules Rules) history {
 	random := rand.New(rand.NewSource(seed))
 	budgets := make([]*Budget, nodes)
@@ -118,16 +119,17 @@
 			result.requests = append(result.requests, now)
 			continue
 		}
-		for asked := random.Intn(20); asked > 0; asked-- {
+		for attempts := random.Intn(20); attempts > 0; attempts-- {
 			if budgets[random.Intn(nodes)].TrySpend(now, nodes) {
-				result.spends = append(result.spends, now)
+				result.calls = append(result.calls, now)
 			}
 		}
 	}
 	return result
 }
 
-// preferredNode changes with time, so that the load moves between nodes.
+// preferredNode returns the node of the next event. In three of four cases it follows the time, so that the load moves
+// from node to node.
 func preferredNode(random *rand.Rand, now time.Duration, nodes int, window time.Duration) int {
 	if random.Intn(4) == 0 {
 		return random.Intn(nodes)
@@ -135,26 +137,26 @@
 	return int(now/(window/2)) % nodes
 }
 
-func countWithin(instants []time.Duration, from, to time.Duration) int {
+func countWithin(times []time.Duration, from, to time.Duration) int {
 	count := 0
-	for _, instant := range instants {
-		if instant >= from && instant <= to {
+	for _, at := range times {
+		if at >= from && at <= to {
 			count++
 		}
 	}
 	return count
 }
 
-// withinRules checks the rule in each window that begins at a spend.
+// withinRules reports whether the calls of all nodes stay within the rules in each window that begins with a call.
 func (h history) withinRules(rules Rules) bool {
-	for _, from := range h.spends {
+	for _, from := range h.calls {
 		to := from + rules.Window
 		requests := max(
 			countWithin(h.requests, from, to),
 			countWithin(h.requests, from-rules.Window, to-rules.Window),
 			countWithin(h.requests, from-rules.Window/2, to-rules.Window/2))
 		allowed := rules.Ratio*float64(requests) + rules.Slack
-		if float64(countWithin(h.spends, from, to)) > allowed {
+		if float64(countWithin(h.calls, from, to)) > allowed {
 			return false
 		}
 	}
@@ -165,7 +167,7 @@
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 30
 	properties := gopter.NewProperties(parameters)
-	properties.Property("spends of all nodes stay within the rule", prop.ForAll(
+	properties.Property("the calls of all nodes together stay within the rules", prop.ForAll(
 		func(seed int64, nodes int, ratio, slack float64) bool {
 			rules := Rules{Ratio: ratio, Slack: slack, Window: 4 * time.Second}
 			return simulate(seed, nodes, rules).withinRules(rules)
@@ -174,27 +176,27 @@
 	properties.TestingRun(t)
 }
 
-// The worst pattern moves the load: one node spends at the start of a window on the requests of
-// the window before it, another at the end on those of the window.
+// TestBudget_fleetWithinRulesWhenLoadMoves checks the worst case, a load that moves between nodes: one node makes calls at
+// the start of a window for the requests of the previous window, another makes calls at the end for the requests of this one.
 func TestBudget_fleetWithinRulesWhenLoadMoves(t *testing.T) {
 	rules := Rules{Ratio: 1, Window: 10 * time.Second}
 	first, second := New(rules, 0), New(rules, 0)
-	var played history
+	var result history
 	for range 100 {
 		first.RecordRequest(19 * time.Second)
 		second.RecordRequest(29 * time.Second)
-		played.requests = append(played.requests, 19*time.Second, 29*time.Second)
+		result.requests = append(result.requests, 19*time.Second, 29*time.Second)
 	}
 	for first.TrySpend(19500*time.Millisecond, 2) {
-		played.spends = append(played.spends, 19500*time.Millisecond)
+		result.calls = append(result.calls, 19500*time.Millisecond)
 	}
 	for second.TrySpend(29400*time.Millisecond, 2) {
-		played.spends = append(played.spends, 29400*time.Millisecond)
+		result.calls = append(result.calls, 29400*time.Millisecond)
 	}
-	if len(played.spends) != 100 {
-		t.Fatalf("spent %d", len(played.spends))
+	if len(result.calls) != 100 {
+		t.Fatalf("the two budgets allowed %d calls, want 100", len(result.calls))
 	}
-	if !played.withinRules(rules) {
-		t.Fatal("rule broken")
+	if !result.withinRules(rules) {
+		t.Fatal("the calls of both nodes together exceed the rules")
 	}
 }
--- a/internal/dataplane/retrybudget/doc.go
+++ b/internal/dataplane/retrybudget/doc.go
@@ -1,10 +1,11 @@
-// Package retrybudget bounds the calls that a node makes to a service beyond the first of each client
-// request, so that retries cannot multiply an overload.
+// Package retrybudget limits the calls to a service that go beyond the first call of each client request,
+// so that retries cannot amplify an overload. Only these extra calls use up the budget.
 //
-// The rule holds for all nodes of a fleet together: within any window of Rules.Window they make at most
-// Rules.Ratio times the requests of the service, plus Rules.Slack such calls. Nodes do not exchange what
-// they spent. Each spends a share that is safe whatever the others do, see slackShare and ratioShare.
+// The limit applies to all nodes of a fleet together: within any period of length Rules.Window they make at
+// most Rules.Ratio times the service's client requests, plus Rules.Slack extra calls. Nodes do not tell each
+// other how many calls they have made. Instead each uses a share of the limit that is safe whatever the
+// others do, see slackShare and ratioShare.
 //
 // Package dispatch asks for every call beyond the first (dispatch/retry.go). This package has no clock and
-// does no I/O; instants are arguments on the caller's monotonic clock.
+// does no I/O; the caller passes the current time, as a duration on its monotonic clock.
 package retrybudget
--- a/internal/dataplane/retrybudget/example_test.go
+++ b/internal/dataplane/retrybudget/example_test.go
@@ -7,11 +7,12 @@
 	"ospreybend/internal/dataplane/retrybudget"
 )
 
-// The budget of a node grows with the requests of the service, and with a slack that all nodes share.
+// The budget of a node consists of an amount that grows with the requests of the service, and of its share of
+// a slack that all nodes share.
 func ExampleBudget_TrySpend() {
 	rules := retrybudget.Rules{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
 	budget := retrybudget.New(rules, 0)
-	now := 20 * time.Second // after the first window, in which the slack grows
+	now := 20 * time.Second // after the first window, during which the slack grows from zero
 	for range 30 {
 		budget.RecordRequest(now)
 	}
--- a/internal/dataplane/retrybudget/requestcounts.go
+++ b/internal/dataplane/retrybudget/requestcounts.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// requestCounts counts requests in a ring of slots of time. A slot that is not entirely within the window
-// is left out, so that the count is never too high.
+// requestCounts counts the requests within a sliding window, in a ring of time buckets. It leaves out a bucket
+// that is not entirely within the window, so that the count is never too high.
 type requestCounts struct {
-	slotLength time.Duration
-	counts     [windowSlots + 1]int
-	slots      [windowSlots + 1]int64 // number of the slot that an entry counts; -1: none
+	bucketLength  time.Duration
+	counts        [bucketsPerWindow + 1]int
+	bucketNumbers [bucketsPerWindow + 1]int64 // number of the bucket that each entry of counts belongs to; -1: none
 }
 
-// newRequestCounts returns counts of zero.
+// newRequestCounts returns empty counts for a window.
 func newRequestCounts(window time.Duration) requestCounts {
-	counts := requestCounts{slotLength: max(window/windowSlots, 1)}
-	for i := range counts.slots {
-		counts.slots[i] = -1
+	counts := requestCounts{bucketLength: max(window/bucketsPerWindow, 1)}
+	for i := range counts.bucketNumbers {
+		counts.bucketNumbers[i] = -1
 	}
 	return counts
 }
 
-// add counts a request.
+// add counts a request at the time now.
 func (c *requestCounts) add(now time.Duration) {
-	slot := int64(now / c.slotLength)
-	entry := int(slot % int64(len(c.counts)))
-	if c.slots[entry] != slot {
-		c.slots[entry] = slot
-		c.counts[entry] = 0
+	bucket := int64(now / c.bucketLength)
+	index := int(bucket % int64(len(c.counts)))
+	if c.bucketNumbers[index] != bucket {
+		c.bucketNumbers[index] = bucket
+		c.counts[index] = 0
 	}
-	c.counts[entry]++
+	c.counts[index]++
 }
 
-// inWindow returns the number of requests of the window that ends now.
+// inWindow returns the number of requests within the window that ends now.
 func (c *requestCounts) inWindow(now time.Duration) int {
-	newest := int64(now / c.slotLength)
-	oldest := newest - windowSlots + 1
+	newest := int64(now / c.bucketLength)
+	oldest := newest - bucketsPerWindow + 1
 	sum := 0
-	for entry, slot := range c.slots {
-		if slot >= oldest && slot <= newest {
-			sum += c.counts[entry]
+	for index, bucket := range c.bucketNumbers {
+		if bucket >= oldest && bucket <= newest {
+			sum += c.counts[index]
 		}
 	}
 	return sum
