--- a/internal/dataplane/fleetview/builder.go
+++ b/internal/dataplane/fleetview/builder.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	minEdgeNodes = 1 // this node
-	decimal      = 10
-	uintBits     = 64
+	minEdgeNodes = 1 // this node itself
+	decimalBase  = 10
+	uint64Bits   = 64
 )
 
-// shardState is the builder's copy of one shard.
+// shardState is the builder's copy of one shard's items.
 type shardState struct {
-	index  uint64            // of the last snapshot or change
+	index  uint64            // index of the last snapshot or change that was applied
 	values map[string][]byte // by key
 }
 
-// Builder builds views from the feed. It is not safe for concurrent use; the views are.
+// Builder builds views from the snapshots and changes of the feed. A Builder is not safe for concurrent use; the views that it returns
+// are.
 type Builder struct {
 	shards      map[shards.ID]*shardState
 	generation  uint64
 	routes      map[string]*configuration.Route   // by name
 	services    map[string]*configuration.Service // by name
 	limits      configuration.Limits
-	workers     map[string]map[string]*Worker // by service and ID, draining ones included
+	workers     map[string]map[string]*Worker // by service and ID; includes draining workers
 	view        *View
-	undecodable uint64 // items that were skipped
+	undecodable uint64 // number of items skipped because they could not be decoded
 	dirty       dirtyParts
 }
 
-// dirtyParts are the parts of the view that have changed since it was built.
+// dirtyParts records which parts of the state have changed since the last view was built.
 type dirtyParts struct {
-	routes   bool
-	services bool
-	other    bool            // generation or limits
-	workers  map[string]bool // by service
+	routes             bool
+	services           bool
+	generationOrLimits bool
+	workers            map[string]bool // by service
 }
 
-func (d dirtyParts) any() bool {
-	return d.routes || d.services || d.other || len(d.workers) > 0
+func (d dirtyParts) anyDirty() bool {
+	return d.routes || d.services || d.generationOrLimits || len(d.workers) > 0
 }
 
 // NewBuilder returns a builder with an empty view.
@@ -68,7 +69,7 @@
 	return builder
 }
 
-// shardState returns the copy of a shard, which is empty at first.
+// shardState returns the copy of a shard, and creates an empty one if there is none.
 func (b *Builder) shardState(shard shards.ID) *shardState {
 	state := b.shards[shard]
 	if state == nil {
@@ -78,8 +79,8 @@
 	return state
 }
 
-// ApplySnapshot replaces the items of a shard and reports whether the view has changed. A snapshot whose index is not above the
-// shard's is ignored.
+// ApplySnapshot replaces all items of a shard and reports whether this changed the view. A snapshot whose index is not above the
+// shard's current index is ignored.
 func (b *Builder) ApplySnapshot(shard shards.ID, snapshot feed.Snapshot) bool {
 	state := b.shardState(shard)
 	if snapshot.Index <= state.index {
@@ -101,8 +102,8 @@
 	return b.buildView()
 }
 
-// ApplyChange applies a change to a shard and reports whether the view has changed. A change whose index is not above the shard's is
-// ignored.
+// ApplyChange applies a change to a shard and reports whether this changed the view. A change whose index is not above the shard's
+// current index is ignored.
 func (b *Builder) ApplyChange(shard shards.ID, change feed.Change) bool {
 	state := b.shardState(shard)
 	if change.Index <= state.index {
@@ -118,9 +119,10 @@
 	return b.buildView()
 }
 
-// buildView builds the next view if something has changed, and reports whether it did. Unchanged parts are shared with the last view.
+// buildView builds a new view if something has changed, and reports whether it did. The new view shares unchanged parts with the
+// previous one.
 func (b *Builder) buildView() bool {
-	if !b.dirty.any() {
+	if !b.dirty.anyDirty() {
 		return false
 	}
 	next := *b.view
@@ -143,54 +145,55 @@
 	return true
 }
 
-// buildWorkers builds the list of one service's workers. The instances of registry.NodesService are the edge nodes.
+// buildWorkers sets the ready workers of one service in the next view. The instances of registry.NodesService are not workers but
+// the edge nodes.
 func (b *Builder) buildWorkers(next *View, service string) {
-	list := b.readyWorkers(service, b.view.Workers[service])
+	ready := b.readyWorkers(service, b.view.Workers[service])
 	if len(b.workers[service]) == 0 {
 		delete(b.workers, service)
 	}
 	if service == registry.NodesService {
-		next.EdgeNodeCount, next.EdgeNodes = max(len(list), minEdgeNodes), list
+		next.EdgeNodeCount, next.EdgeNodes = max(len(ready), minEdgeNodes), ready
 		return
 	}
-	if len(list) == 0 {
+	if len(ready) == 0 {
 		delete(next.Workers, service)
 		return
 	}
-	next.Workers[service] = list
+	next.Workers[service] = ready
 }
 
-// readyWorkers returns the ready workers of a service in the order of their IDs. Those of the previous list that are unchanged are in
-// order already: only new ones are sorted, and all of them only if that puts one out of order.
+// readyWorkers returns the ready workers of a service, sorted by ID. Unchanged workers of the previous list are already sorted, so it
+// sorts only the new ones and appends them, and sorts the whole list only if the first new one does not belong at the end.
 func (b *Builder) readyWorkers(service string, previous []*Worker) []*Worker {
 	current := b.workers[service]
-	list := make([]*Worker, 0, len(current))
-	known := make(map[string]bool, len(previous))
+	ready := make([]*Worker, 0, len(current))
+	kept := make(map[string]bool, len(previous))
 	for _, worker := range previous {
 		if current[worker.ID] == worker {
-			list = append(list, worker)
-			known[worker.ID] = true
+			ready = append(ready, worker)
+			kept[worker.ID] = true
 		}
 	}
-	unchanged := len(list)
+	keptCount := len(ready)
 	for id, worker := range current {
-		if worker.State == registry.Ready && !known[id] {
-			list = append(list, worker)
+		if worker.State == registry.Ready && !kept[id] {
+			ready = append(ready, worker)
 		}
 	}
-	slices.SortFunc(list[unchanged:], compareByID)
-	if unchanged > 0 && len(list) > unchanged && list[unchanged].ID < list[unchanged-1].ID {
-		slices.SortFunc(list, compareByID)
+	slices.SortFunc(ready[keptCount:], compareByID)
+	if keptCount > 0 && len(ready) > keptCount && ready[keptCount].ID < ready[keptCount-1].ID {
+		slices.SortFunc(ready, compareByID)
 	}
-	return list
+	return ready
 }
 
-func compareByID(left, right *Worker) int { return strings.Compare(left.ID, right.ID) }
+func compareByID(a, b *Worker) int { return strings.Compare(a.ID, b.ID) }
 
-// View returns the newest view.
+// View returns the most recently built view.
 func (b *Builder) View() *View { return b.view }
 
-// Indexes returns the index of each shard up to which the builder has followed the feed.
+// Indexes returns the index of the last snapshot or change that was applied to each shard.
 func (b *Builder) Indexes() map[shards.ID]uint64 {
 	indexes := make(map[shards.ID]uint64, len(b.shards))
 	for shard, state := range b.shards {
@@ -199,8 +202,8 @@
 	return indexes
 }
 
-// HasConfiguration reports whether a configuration was received.
+// HasConfiguration reports whether the builder has received a configuration.
 func (b *Builder) HasConfiguration() bool { return b.generation > 0 }
 
-// Undecodable returns the number of items that were skipped because they could not be decoded.
+// Undecodable returns how many items have been skipped because they could not be decoded.
 func (b *Builder) Undecodable() uint64 { return b.undecodable }
--- a/internal/dataplane/fleetview/items.go
+++ b/internal/dataplane/fleetview/items.go
@@ -11,7 +11,7 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// put sets one item, unless its value is the same.
+// put sets one item of a shard, unless it already has this value.
 func (b *Builder) put(shard shards.ID, state *shardState, item feed.Item) {
 	value, found := state.values[item.Key]
 	if found && bytes.Equal(value, item.Value) {
@@ -25,7 +25,7 @@
 	state.values[item.Key] = item.Value
 }
 
-// delete deletes one item.
+// delete deletes one item of a shard, if it exists.
 func (b *Builder) delete(shard shards.ID, state *shardState, key string) {
 	value, found := state.values[key]
 	if !found {
@@ -39,10 +39,11 @@
 	b.deleteConfiguration(key)
 }
 
-// putInstance replaces the worker of an instance. An instance whose record cannot be decoded gets no requests.
+// putInstance adds or replaces the worker of an instance. An instance whose record cannot be decoded has no worker, and so gets no
+// requests.
 func (b *Builder) putInstance(state *shardState, item feed.Item) {
-	if before, found := state.values[item.Key]; found {
-		b.deleteInstance(item.Key, before)
+	if previous, found := state.values[item.Key]; found {
+		b.deleteInstance(item.Key, previous)
 	}
 	instance, err := registry.DecodeItem(item.Value)
 	if err != nil {
@@ -56,17 +57,17 @@
 	b.dirty.workers[instance.Service] = true
 }
 
-// deleteInstance deletes the worker of an instance by its last record.
+// deleteInstance deletes the worker of an instance; value is the last record of the instance.
 func (b *Builder) deleteInstance(id string, value []byte) {
 	instance, err := registry.DecodeItem(value)
 	if err != nil {
-		return // the record was skipped
+		return // putInstance skipped this record
 	}
 	delete(b.workers[instance.Service], id)
 	b.dirty.workers[instance.Service] = true
 }
 
-// putConfiguration sets an item of the configuration's shard.
+// putConfiguration sets an item of the configuration shard: a route, a service, the generation or the limits.
 func (b *Builder) putConfiguration(item feed.Item) {
 	var err error
 	if name, found := strings.CutPrefix(item.Key, configuration.KeyRoutePrefix); found {
@@ -101,16 +102,17 @@
 	return err
 }
 
-// putGenerationOrLimits sets the generation or the limits. Other keys are ignored: a newer control plane may have more.
+// putGenerationOrLimits sets the generation or the limits. It ignores other keys, since a newer control plane may send keys that this
+// version does not know.
 func (b *Builder) putGenerationOrLimits(item feed.Item) error {
 	switch item.Key {
 	case configuration.KeyGeneration:
-		b.dirty.other = true
-		generation, err := strconv.ParseUint(string(item.Value), decimal, uintBits)
+		b.dirty.generationOrLimits = true
+		generation, err := strconv.ParseUint(string(item.Value), decimalBase, uint64Bits)
 		b.generation = generation
 		return err
 	case configuration.KeyLimits:
-		b.dirty.other = true
+		b.dirty.generationOrLimits = true
 		limits, err := configuration.ParseLimits(item.Value)
 		if err != nil {
 			return err
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// deleteConfiguration deletes an item of the configuration's shard.
+// deleteConfiguration deletes an item of the configuration shard. A deleted generation becomes 0; deleted limits become the defaults.
 func (b *Builder) deleteConfiguration(key string) {
 	if name, found := strings.CutPrefix(key, configuration.KeyRoutePrefix); found {
 		delete(b.routes, name)
@@ -135,9 +137,9 @@
 	switch key {
 	case configuration.KeyGeneration:
 		b.generation = 0
-		b.dirty.other = true
+		b.dirty.generationOrLimits = true
 	case configuration.KeyLimits:
 		b.limits = configuration.DefaultLimits()
-		b.dirty.other = true
+		b.dirty.generationOrLimits = true
 	}
 }
--- a/internal/dataplane/fleetview/routetable.go
+++ b/internal/dataplane/fleetview/routetable.go
@@ -6,47 +6,47 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// routeTable finds routes by host and path. It is immutable.
+// routeTable is an immutable index of the routes by host and path prefix.
 type routeTable struct {
 	byHost map[string]hostRoutes
 }
 
 // hostRoutes are the routes of one host.
 type hostRoutes struct {
-	byPrefix map[string]*configuration.Route
-	longest  int // length of the longest prefix in bytes
+	byPrefix      map[string]*configuration.Route
+	longestPrefix int // bytes of the longest path prefix
 }
 
-// newRouteTable returns the table of the routes, which must not be changed afterwards.
+// newRouteTable returns the table of the given routes. The caller must not modify a route afterwards.
 func newRouteTable(routes map[string]*configuration.Route) routeTable {
 	table := routeTable{byHost: map[string]hostRoutes{}}
 	for _, route := range routes {
-		ofHost, found := table.byHost[route.Hostname]
+		hostEntry, found := table.byHost[route.Hostname]
 		if !found {
-			ofHost.byPrefix = map[string]*configuration.Route{}
+			hostEntry.byPrefix = map[string]*configuration.Route{}
 		}
-		ofHost.byPrefix[route.PathPrefix] = route
-		ofHost.longest = max(ofHost.longest, len(route.PathPrefix))
-		table.byHost[route.Hostname] = ofHost
+		hostEntry.byPrefix[route.PathPrefix] = route
+		hostEntry.longestPrefix = max(hostEntry.longestPrefix, len(route.PathPrefix))
+		table.byHost[route.Hostname] = hostEntry
 	}
 	return table
 }
 
-// MatchRoute returns the route of a request by its longest matching prefix, or nil. The host is in lower case and has no port; the path
-// has no query.
+// MatchRoute returns the route with the longest path prefix that matches a request, or nil if none matches. The host must be in lower
+// case and without a port, the path without a query.
 func (v *View) MatchRoute(host, path string) *configuration.Route {
-	ofHost, found := v.routes.byHost[host]
+	hostEntry, found := v.routes.byHost[host]
 	if !found {
 		return nil
 	}
-	// Each prefix ends with a slash: only parts of the path that end with one are candidates.
-	candidate := path[:min(len(path), ofHost.longest)]
+	// Every prefix ends with a slash, so only the parts of the path up to one of its slashes can match.
+	candidate := path[:min(len(path), hostEntry.longestPrefix)]
 	for {
 		slash := strings.LastIndexByte(candidate, '/')
 		if slash < 0 {
 			return nil
 		}
-		if route := ofHost.byPrefix[candidate[:slash+1]]; route != nil {
+		if route := hostEntry.byPrefix[candidate[:slash+1]]; route != nil {
 			return route
 		}
 		candidate = candidate[:slash]
--- a/internal/dataplane/fleetview/routetable_test.go
+++ b/internal/dataplane/fleetview/routetable_test.go
@@ -12,11 +12,11 @@
 
 func TestView_MatchRoute_longestPrefix(t *testing.T) {
 	builder := NewBuilder()
-	from := configurationSource{store: configuration.NewStore()}
-	builder.ApplyChange(shards.ConfigurationShard, from.replace(t, configurationJSON(1, "",
+	source := configurationSource{store: configuration.NewStore()}
+	builder.ApplyChange(shards.ConfigurationShard, source.replace(t, configurationJSON(1, "",
 		routeJSON("all", "H.example:80", "/", 1), routeJSON("a", "h.example", "/a/", 1), routeJSON("ab", "h.example", "/a/b/", 1),
 		routeJSON("other", "other.example", "/a/", 1))))
-	for target, expected := range map[[2]string]string{
+	for target, want := range map[[2]string]string{
 		{"h.example", "/"}:          "all",
 		{"h.example", "/a"}:         "all",
 		{"h.example", "/a/"}:        "a",
@@ -31,43 +31,44 @@
 		{"h.example", "*"}:          "",
 		{"unknown.example", "/a/x"}: "",
 	} {
-		name := ""
+		got := ""
 		if found := builder.View().MatchRoute(target[0], target[1]); found != nil {
-			name = found.Name
+			got = found.Name
 		}
-		if name != expected {
-			t.Errorf("%v: %q, not %q", target, name, expected)
+		if got != want {
+			t.Errorf("MatchRoute(%q, %q) = %q, want %q", target[0], target[1], got, want)
 		}
 	}
 }
 
-// TestView_MatchRoute_randomRoutes compares with a linear search, on random routes with a fixed seed.
+// TestView_MatchRoute_randomRoutes compares MatchRoute with a linear search, on random routes and paths with a fixed
+// seed.
 func TestView_MatchRoute_randomRoutes(t *testing.T) {
 	random := rand.New(rand.NewSource(11))
-	path := func(parts int) string {
-		text := "/"
-		for range random.Intn(parts) {
-			text += strings.Repeat("a", random.Intn(3)) + "/"
+	randomPath := func(segmentLimit int) string { // fewer segments than segmentLimit
+		path := "/"
+		for range random.Intn(segmentLimit) {
+			path += strings.Repeat("a", random.Intn(3)) + "/"
 		}
-		return text
+		return path
 	}
 	for range 200 {
 		routes := map[string]*configuration.Route{}
 		for number := range 6 {
-			prefix := path(4)
+			prefix := randomPath(4)
 			routes[prefix] = &configuration.Route{Name: fmt.Sprint(number), Hostname: "h", PathPrefix: prefix}
 		}
 		view := &View{routes: newRouteTable(routes)}
 		for range 20 {
-			asked := path(6) + strings.Repeat("a", random.Intn(2))
-			var expected *configuration.Route
+			requestPath := randomPath(6) + strings.Repeat("a", random.Intn(2))
+			var want *configuration.Route
 			for prefix, candidate := range routes {
-				if strings.HasPrefix(asked, prefix) && (expected == nil || len(prefix) > len(expected.PathPrefix)) {
-					expected = candidate
+				if strings.HasPrefix(requestPath, prefix) && (want == nil || len(prefix) > len(want.PathPrefix)) {
+					want = candidate
 				}
 			}
-			if view.MatchRoute("h", asked) != expected {
-				t.Fatalf("%s among %v", asked, routes)
+			if view.MatchRoute("h", requestPath) != want {
+				t.Fatalf("MatchRoute of %s returned another route than the longest matching prefix of %v", requestPath, routes)
 			}
 		}
 	}
@@ -83,7 +84,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if view.MatchRoute("h", "/p399/2f") == nil {
-			b.Fatal()
+			b.Fatal("MatchRoute returned no route for /p399/2f")
 		}
 	}
 }
