--- a/internal/dataplane/proxy/demand.go
+++ b/internal/dataplane/proxy/demand.go
@@ -11,24 +11,24 @@
 // demandInterval is the time between two reports of demand.
 const demandInterval = 500 * time.Millisecond
 
-// demandReporter turns totals of demand into rates per second. It is used by one goroutine.
+// demandReporter converts totals of demand into rates per second. It is not safe for concurrent use.
 type demandReporter struct {
-	previous         map[string]roleplanner.Demand // totals of the last report, by service
+	previous         map[string]roleplanner.Demand // totals at the last call of report, by service
 	reportedAt       time.Time
-	reportedNonEmpty bool // the last report had a rate
+	reportedNonEmpty bool // the last report contained a rate
 }
 
-// report returns the rates since the last call, and whether to send them. One empty report follows the last non-empty one, so that
-// the control plane learns that there is no demand any more.
+// report returns the rates since the last call, and whether to send them. After the last non-empty report one empty report is sent,
+// so that the control plane learns that demand has ended.
 func (r *demandReporter) report(now time.Time, totals map[string]roleplanner.Demand) ([]roleplanner.ServiceDemand, bool) {
-	span := now.Sub(r.reportedAt).Seconds()
-	if r.reportedAt.IsZero() || span <= 0 {
+	elapsed := now.Sub(r.reportedAt).Seconds()
+	if r.reportedAt.IsZero() || elapsed <= 0 {
 		r.previous, r.reportedAt = totals, now
 		return nil, false
 	}
 	var rates []roleplanner.ServiceDemand
 	for service, total := range totals {
-		rate := total.Since(r.previous[service]).Scale(1 / span)
+		rate := total.Since(r.previous[service]).Scale(1 / elapsed)
 		if rate != (roleplanner.Demand{}) {
 			rates = append(rates, roleplanner.ServiceDemand{Service: service, Demand: rate})
 		}
--- a/internal/dataplane/proxy/demand_test.go
+++ b/internal/dataplane/proxy/demand_test.go
@@ -10,23 +10,23 @@
 func TestDemandReporter_report(t *testing.T) {
 	var reporter demandReporter
 	start := time.Now()
-	total := func(read float64) map[string]roleplanner.Demand {
-		return map[string]roleplanner.Demand{"s": {Prefill: read}}
+	total := func(prefill float64) map[string]roleplanner.Demand {
+		return map[string]roleplanner.Demand{"s": {Prefill: prefill}}
 	}
-	if _, tell := reporter.report(start, total(5)); tell {
-		t.Fatal("a total without an earlier one was reported")
+	if _, shouldSend := reporter.report(start, total(5)); shouldSend {
+		t.Fatal("the first total was reported, although there is no earlier one to compute a rate from")
 	}
-	list, tell := reporter.report(start.Add(2*time.Second), total(9))
-	if !tell || len(list) != 1 || list[0].Demand.Prefill != 2 {
-		t.Fatalf("%+v", list)
+	rates, shouldSend := reporter.report(start.Add(2*time.Second), total(9))
+	if !shouldSend || len(rates) != 1 || rates[0].Demand.Prefill != 2 {
+		t.Fatalf("after a rise by 4 within 2 s: send %v, rates %+v; want one rate of 2 to be sent", shouldSend, rates)
 	}
-	if list, tell := reporter.report(start.Add(3*time.Second), total(9)); !tell || len(list) != 0 {
-		t.Fatalf("the end of the demand was not reported: %+v", list)
+	if rates, shouldSend := reporter.report(start.Add(3*time.Second), total(9)); !shouldSend || len(rates) != 0 {
+		t.Fatalf("after the demand ended: send %v, rates %+v; want an empty report to be sent", shouldSend, rates)
 	}
-	if _, tell := reporter.report(start.Add(4*time.Second), total(9)); tell {
-		t.Fatal("an empty report was sent twice")
+	if _, shouldSend := reporter.report(start.Add(4*time.Second), total(9)); shouldSend {
+		t.Fatal("a second empty report was sent")
 	}
-	if list, _ := reporter.report(start.Add(5*time.Second), total(1)); len(list) != 1 || list[0].Demand.Prefill != 1 {
-		t.Fatalf("a total that started again: %+v", list)
+	if rates, _ := reporter.report(start.Add(5*time.Second), total(1)); len(rates) != 1 || rates[0].Demand.Prefill != 1 {
+		t.Fatalf("after the total restarted at 1: rates %+v, want one rate of 1", rates)
 	}
 }
--- a/internal/dataplane/proxy/exposition.go
+++ b/internal/dataplane/proxy/exposition.go
@@ -8,30 +8,30 @@
 	"ospreybend/internal/util/exposition"
 )
 
-// families returns the metrics that /metrics shows. docs/OPERATORS-FLEET.md says what to do about each.
-func (p *proxy) families() []exposition.Family {
+// metricFamilies returns the metrics that /metrics exports. docs/OPERATORS-FLEET.md explains what an operator should do about each.
+func (p *proxy) metricFamilies() []exposition.Family {
 	families := viewFamilies(p.dispatcher.View(), p.isConfigConfirmed())
 	families = append(families, dispatchFamilies(p.dispatcher.Counts())...)
 	families = append(families, clientFamilies(p.clientServer.Counts())...)
 	return append(families, upstreamFamilies(p.pool.Counts())...)
 }
 
-// viewFamilies returns the metrics of the view in force; a nil view counts as empty.
+// viewFamilies returns the metrics of the view in force; a nil view is treated as an empty one.
 func viewFamilies(view *fleetview.View, confirmed bool) []exposition.Family {
 	generation, nodes, workers := int64(0), int64(0), int64(0)
 	if view != nil {
 		generation, nodes = int64(view.Generation), int64(view.EdgeNodeCount)
-		for _, ofService := range view.Workers {
-			workers += int64(len(ofService))
+		for _, serviceWorkers := range view.Workers {
+			workers += int64(len(serviceWorkers))
 		}
 	}
-	current := int64(0)
+	confirmedValue := int64(0)
 	if confirmed {
-		current = 1
+		confirmedValue = 1
 	}
 	return []exposition.Family{
 		exposition.NewGauge("router_proxy_view_generation", "Generation of the configuration in force; 0 without one.", generation),
-		exposition.NewGauge("router_proxy_view_confirmed", "1 while the configuration in force is known to be the newest.", current),
+		exposition.NewGauge("router_proxy_view_confirmed", "1 while the configuration in force is known to be the newest.", confirmedValue),
 		exposition.NewGauge("router_proxy_view_nodes", "Edge machines that the control plane lists.", nodes),
 		exposition.NewGauge("router_proxy_view_workers", "Workers that the control plane lists as ready, of all services.", workers),
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-// clientFamilies returns the metrics of the server towards clients.
+// clientFamilies returns the metrics of the server for clients.
 func clientFamilies(counts httpserver.Counts) []exposition.Family {
 	return []exposition.Family{
 		exposition.NewCounter("router_proxy_client_connections_total", "Connections accepted from clients.", counts.Accepted),
--- a/internal/dataplane/proxy/exposition_test.go
+++ b/internal/dataplane/proxy/exposition_test.go
@@ -8,8 +8,8 @@
 	"ospreybend/internal/util/exposition/expositiontest"
 )
 
-func TestProxy_families_namesAndHelp(t *testing.T) {
+func TestProxy_metricFamilies_namesAndHelp(t *testing.T) {
 	p := newProxy(testSettings(), zap.NewNop())
 	t.Cleanup(p.close)
-	expositiontest.Check(t, "../../..", "router_proxy_", p.families())
+	expositiontest.Check(t, "../../..", "router_proxy_", p.metricFamilies())
 }
--- a/internal/dataplane/proxy/helpers_test.go
+++ b/internal/dataplane/proxy/helpers_test.go
@@ -45,10 +45,10 @@
 	}
 }
 
-// fakeAgent serves a feed with fixed items.
+// fakeAgent serves a feed whose items never change.
 type fakeAgent struct {
-	snapshots map[shards.ID]feed.Snapshot
-	behind    bool // it does not know whether its configuration is the newest, and confirms none
+	snapshots   map[shards.ID]feed.Snapshot
+	unconfirmed bool // its status does not confirm that its configuration is the newest
 }
 
 func (a *fakeAgent) Shards() []shards.ID { return []shards.ID{0, 1} }
@@ -62,14 +62,14 @@
 }
 
 func (a *fakeAgent) Status() feedtransport.Status {
-	return feedtransport.Status{Shards: []feedtransport.ShardStatus{{Index: 4, Current: !a.behind}, {Shard: 1, Index: 9, Current: true}}}
+	return feedtransport.Status{Shards: []feedtransport.ShardStatus{{Index: 4, Current: !a.unconfirmed}, {Shard: 1, Index: 9, Current: true}}}
 }
 
 func (a *fakeAgent) Subscribe(chan<- struct{}) func() { return func() {} }
 
 func (a *fakeAgent) OnReport(feedtransport.Hello, string, []byte) {}
 
-// serve serves the feed to proxies until the test ends.
+// serve serves the feed in the background, to any number of proxies, until the listener is closed and the test ends.
 func (a *fakeAgent) serve(t *testing.T, listener net.Listener) {
 	go func() {
 		for {
@@ -77,12 +77,12 @@
 			if err != nil {
 				return
 			}
-			go a.session(t.Context(), connection)
+			go a.serveSession(t.Context(), connection)
 		}
 	}()
 }
 
-func (a *fakeAgent) session(ctx context.Context, connection net.Conn) {
+func (a *fakeAgent) serveSession(ctx context.Context, connection net.Conn) {
 	_, body, err := feedtransport.ReadFirstFrame(connection, testTimeout)
 	if err != nil {
 		return
@@ -94,10 +94,10 @@
 	_ = feedtransport.NewSession(connection, hello, a, feedtransport.SessionOptions{}).Run(ctx)
 }
 
-// fakeWorker is a worker that echoes requests, or streams events.
+// fakeWorker echoes requests, or streams events for paths below /stream/.
 type fakeWorker struct {
-	release chan struct{} // closed to answer the requests to /a/pending
-	arrived chan struct{} // receives one value for each of them
+	release chan struct{} // a request to /a/pending is answered once this is closed
+	arrived chan struct{} // receives one value for each request to /a/pending
 }
 
 func (w *fakeWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
@@ -119,7 +119,8 @@
 	fmt.Fprintf(writer, "%s %s %s", request.Method, request.RequestURI, body)
 }
 
-// streamEvents sends five events; in response to a first request only three before it aborts.
+// streamEvents sends events 1 to 3 of a stream, and aborts the response to /stream/cut after them. A request with a Last-Event-Id gets
+// the events after that ID, up to event 5.
 func streamEvents(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	from, to := 1, 3
@@ -136,7 +137,7 @@
 	}
 }
 
-// testSystem is a proxy on loopback with a fake agent and a fake worker.
+// testSystem is a proxy on the loopback interface, with a fake agent and a fake worker.
 type testSystem struct {
 	t                *testing.T
 	agent            *fakeAgent
@@ -145,7 +146,7 @@
 	clientAddress    string
 	readinessAddress string
 	client           *http.Client
-	deadlineHeader   string // the client's X-Request-Deadline; empty: none
+	deadlineHeader   string // X-Request-Deadline of the client's requests; empty: no such header
 }
 
 func newTestSystem(t *testing.T) *testSystem {
@@ -153,7 +154,7 @@
 	return newTestSystemWithAgent(t, &fakeAgent{})
 }
 
-// newTestSystemWithAgent starts a proxy with the given agent, and sets the agent's items.
+// newTestSystemWithAgent starts a proxy that follows the given agent, with a configuration and one worker as the agent's items.
 func newTestSystemWithAgent(t *testing.T, agent *fakeAgent) *testSystem {
 	t.Helper()
 	s := &testSystem{t: t, agent: agent, worker: &fakeWorker{release: make(chan struct{}), arrived: make(chan struct{}, 8)}}
@@ -187,14 +188,14 @@
 }
 
 func (s *testSystem) startProxy(feedPort int) {
-	loaded := bootconfig.Defaults()
-	loaded.PortRange = [2]int{feedPort - 1, feedPort + 10}
-	loaded.Bounds.GraceS = 8
-	loaded.Bounds.BudgetWindowS = 0.001
-	loaded.Bounds.RetryBudgetSlack = 50
+	settings := bootconfig.Defaults()
+	settings.PortRange = [2]int{feedPort - 1, feedPort + 10}
+	settings.Bounds.GraceS = 8
+	settings.Bounds.BudgetWindowS = 0.001
+	settings.Bounds.RetryBudgetSlack = 50
 	clientListener, readinessListener := listenLoopback(s.t), listenLoopback(s.t)
 	s.clientAddress, s.readinessAddress = clientListener.Addr().String(), readinessListener.Addr().String()
-	started, err := startOnListeners(loaded, zap.NewNop(), clientListener, readinessListener)
+	started, err := startOnListeners(settings, zap.NewNop(), clientListener, readinessListener)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -202,16 +203,17 @@
 	s.t.Cleanup(started.close)
 }
 
-// waitFor polls a condition until it is true.
-func (s *testSystem) waitFor(what string, condition func() bool) {
+// waitFor polls a condition until it is true, and fails the test after testTimeout.
+func (s *testSystem) waitFor(description string, condition func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("never: %s", what)
+			s.t.Fatalf("timed out after %v waiting for %s", testTimeout, description)
 		}
 	}
 }
 
+// readinessStatus returns the status of a readiness check, or 0 if the check failed to get a response.
 func (s *testSystem) readinessStatus() int {
 	response, err := s.client.Get("http://" + s.readinessAddress + "/-/ready")
 	if err != nil {
@@ -222,7 +224,7 @@
 	return response.StatusCode
 }
 
-// request sends a request and returns the status, the body, and the error of sending or reading.
+// request sends a request and returns the status and body of the response, and any error of sending the request or reading the response.
 func (s *testSystem) request(path string) (int, string, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.clientAddress+path, strings.NewReader(requestBody))
 	if err != nil {
@@ -244,28 +246,29 @@
 
 func (s *testSystem) waitUntilReady() {
 	s.t.Helper()
-	s.waitFor("ready", func() bool { return s.readinessStatus() == http.StatusOK })
+	s.waitFor("the proxy to become ready", func() bool { return s.readinessStatus() == http.StatusOK })
 }
 
-// statusOf sends a request and returns the status, or 0 if it failed.
+// statusOf sends a request and returns the status of the response, or 0 if there was none.
 func (s *testSystem) statusOf(path string) int {
 	status, _, _ := s.request(path)
 	return status
 }
 
+// requireResponse sends a request and fails the test unless the response has the given status and body.
 func (s *testSystem) requireResponse(path string, status int, body string) {
 	s.t.Helper()
 	gotStatus, gotBody, err := s.request(path)
 	if gotStatus != status || gotBody != body || err != nil {
-		s.t.Fatalf("%s: %d %q %v", path, gotStatus, gotBody, err)
+		s.t.Fatalf("request to %s: got status %d, body %q and error %v, want status %d and body %q", path, gotStatus, gotBody, err, status, body)
 	}
 }
 
-// pendingResponse is the body of the response to a request by requestHeld.
+// pendingResponse is the body of the response to the request of startPendingRequest.
 const pendingResponse = "POST /a/pending " + requestBody
 
-// startPendingRequest sends a request that the worker holds until its channel release is closed, and returns when the worker has it. The
-// channel receives the body of the response.
+// startPendingRequest sends a request that the worker answers only once its channel release is closed. It returns when the request has
+// arrived at the worker. The returned channel receives the body of the response.
 func (s *testSystem) startPendingRequest() <-chan string {
 	answered := make(chan string, 1)
 	go func() {
@@ -276,7 +279,7 @@
 	return answered
 }
 
-// startDrain starts the graceful shutdown. The channel is closed at its end.
+// startDrain starts the graceful shutdown. The returned channel is closed when it has ended.
 func (s *testSystem) startDrain() <-chan struct{} {
 	drained := make(chan struct{})
 	go func() {
--- a/internal/dataplane/proxy/limits.go
+++ b/internal/dataplane/proxy/limits.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	megabyte = 1 << 20
+	mebibyte = 1 << 20
 
-	// heapGrowthPercent is how much the heap may grow between two garbage collections (GOGC). It trades memory for CPU time.
+	// heapGrowthPercent is how much the heap may grow between two garbage collections (GOGC). A value above the default of 100 uses
+	// more memory to save CPU time.
 	heapGrowthPercent = 200
-	// memoryLimitPercent is the share of the machine's memory above which the garbage collector runs more often.
+	// memoryLimitPercent is the share of the machine's memory above which the garbage collector runs more often (GOMEMLIMIT).
 	memoryLimitPercent = 60
-	// bodyBudgetPercent is the share of the machine's memory that request bodies may take.
-	bodyBudgetPercent = 20
-	percent           = 100
+	// bufferedBodyPercent is the share of the machine's memory that buffered request bodies may take.
+	bufferedBodyPercent = 20
+	percent             = 100
 
-	reservedDescriptors  = 200 // file descriptors for files and for connections inside the machine
+	reservedDescriptors  = 200 // file descriptors kept for files and for connections within the machine
 	maxClientConnections = 2048
 )
 
-// applyMemoryLimit configures the garbage collector for the machine.
-func applyMemoryLimit(limits bootconfig.Limits) {
+// configureGarbageCollector sets the heap growth, and the memory limit if the settings contain the machine's memory.
+func configureGarbageCollector(limits bootconfig.Limits) {
 	debug.SetGCPercent(heapGrowthPercent)
 	if limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(limits.MemoryMb) * megabyte * memoryLimitPercent / percent)
+		debug.SetMemoryLimit(int64(limits.MemoryMb) * mebibyte * memoryLimitPercent / percent)
 	}
 }
 
-// clientConnectionLimit returns how many connections clients may open: half of the free file descriptors. The others are for
-// connections to workers.
+// clientConnectionLimit returns how many connections clients may open: half of the available file descriptors, at most
+// maxClientConnections. The other half is for connections to workers.
 func clientConnectionLimit(limits bootconfig.Limits) int {
-	free := limits.MaxFds - reservedDescriptors
-	return min(maxClientConnections, max(free/2, 1))
+	available := limits.MaxFds - reservedDescriptors
+	return min(maxClientConnections, max(available/2, 1))
 }
 
-// bodyBudget returns the limit of the bytes of all request bodies in memory.
-func bodyBudget(limits bootconfig.Limits) int64 {
-	return int64(limits.MemoryMb) * megabyte * bodyBudgetPercent / percent
+// bufferedBodyLimit returns how many bytes of request bodies may be in memory at a time.
+func bufferedBodyLimit(limits bootconfig.Limits) int64 {
+	return int64(limits.MemoryMb) * mebibyte * bufferedBodyPercent / percent
 }
--- a/internal/dataplane/proxy/loadsharer.go
+++ b/internal/dataplane/proxy/loadsharer.go
@@ -14,33 +14,34 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// loadSharer sends the load that this proxy has outstanding to the other proxies, and receives theirs, over UDP. A worker reports its
-// load only in its responses: between them a proxy would not know what its peers have sent there.
+// loadSharer tells the other proxies over UDP which calls this proxy has in flight at each worker, and receives the same from them. A
+// worker reports its load only in its responses; without this exchange a proxy would not know what other proxies have sent to the
+// worker since its last response.
 type loadSharer struct {
 	ownIP      string
 	port       uint16
 	socket     *net.UDPConn // nil if it could not be opened
 	dispatcher *dispatch.Dispatcher
-	changed    chan struct{} // of capacity 1: a change is pending
+	changed    chan struct{} // has capacity 1; a value means that a change has not been sent yet
 	done       chan struct{} // closed by close
-	started    time.Time
+	startedAt  time.Time
 
-	// owned by the goroutine that sends
-	node         uint64 // a random ID of this process
+	// used only by the goroutine of sendLoop
+	node         uint64 // random ID of this process
 	sequence     uint64
 	rateLimiter  loadshare.RateLimiter
-	sentNonEmpty bool // the last state sent was not empty, or one is pending
+	sentNonEmpty bool // the last state sent was not empty, or a delayed one is still to be sent
 	peers        []netip.AddrPort
-	peersView    *fleetview.View // of which peers were read
+	peersView    *fleetview.View // view that peers were taken from
 
-	// owned by the goroutine that receives
+	// used only by the goroutine of receiveLoop
 	sequenceFilter loadshare.SequenceFilter
 }
 
-// newLoadSharer opens the socket. Without one the proxy works by the load in workers' responses alone.
-func newLoadSharer(loaded *bootconfig.Settings, log *zap.Logger) *loadSharer {
-	s := &loadSharer{ownIP: loaded.IP, changed: make(chan struct{}, 1), done: make(chan struct{}), node: rand.Uint64(), started: time.Now()}
-	address, err := netip.ParseAddrPort(loaded.LoadAddressOf(loaded.IP))
+// newLoadSharer opens the socket. If it cannot be opened, the proxy knows only the load that workers report in their responses.
+func newLoadSharer(settings *bootconfig.Settings, log *zap.Logger) *loadSharer {
+	s := &loadSharer{ownIP: settings.IP, changed: make(chan struct{}, 1), done: make(chan struct{}), node: rand.Uint64(), startedAt: time.Now()}
+	address, err := netip.ParseAddrPort(settings.LoadAddressOf(settings.IP))
 	if err != nil {
 		return s
 	}
@@ -53,17 +54,17 @@
 	return s
 }
 
-// start starts the goroutines that send and receive. They end with close.
+// start starts the goroutines that send and receive. close ends them.
 func (s *loadSharer) start(dispatcher *dispatch.Dispatcher) {
 	s.dispatcher = dispatcher
 	if s.socket == nil {
 		return
 	}
-	go s.send()
-	go s.receive()
+	go s.sendLoop()
+	go s.receiveLoop()
 }
 
-// notifyChanged notifies the sender that the outstanding load has changed. It never waits.
+// notifyChanged notifies the sender that the calls in flight have changed. It never blocks.
 func (s *loadSharer) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
@@ -79,35 +80,35 @@
 	}
 }
 
-// send sends the state after each change, as often as the rate limiter allows, and repeats it while it is not empty, since datagrams can be
-// lost.
-func (s *loadSharer) send() {
-	repeat := time.NewTimer(loadshare.ResendInterval)
-	defer repeat.Stop()
+// sendLoop sends the state after each change, as often as the rate limiter allows, and repeats a non-empty state, since datagrams can
+// be lost.
+func (s *loadSharer) sendLoop() {
+	resendTimer := time.NewTimer(loadshare.ResendInterval)
+	defer resendTimer.Stop()
 	for {
 		select {
 		case <-s.done:
 			return
 		case <-s.changed:
-		case <-repeat.C:
+		case <-resendTimer.C:
 			if !s.sentNonEmpty {
 				continue
 			}
 		}
 		peers := s.peerAddresses()
-		if wait := s.rateLimiter.Reserve(time.Since(s.started), len(peers)); wait > 0 {
-			s.sentNonEmpty = true // the timer sends the delayed state
-			repeat.Reset(wait)
+		if delay := s.rateLimiter.Reserve(time.Since(s.startedAt), len(peers)); delay > 0 {
+			s.sentNonEmpty = true // makes the timer send the delayed state
+			resendTimer.Reset(delay)
 			continue
 		}
 		s.broadcast(peers)
 		if s.sentNonEmpty {
-			repeat.Reset(loadshare.ResendInterval)
+			resendTimer.Reset(loadshare.ResendInterval)
 		}
 	}
 }
 
-// broadcast sends the state to all peers.
+// broadcast sends the calls in flight to all peers.
 func (s *loadSharer) broadcast(peers []netip.AddrPort) {
 	outstanding := s.dispatcher.Outstanding()
 	s.sentNonEmpty = len(outstanding) > 0
@@ -121,7 +122,7 @@
 	}
 }
 
-// peerAddresses returns the addresses of the other proxies by the view in force.
+// peerAddresses returns the addresses of the other proxies in the view in force.
 func (s *loadSharer) peerAddresses() []netip.AddrPort {
 	view := s.dispatcher.View()
 	if view == nil || view == s.peersView {
@@ -142,8 +143,8 @@
 	return s.peers
 }
 
-// receive passes the load of other proxies to the dispatcher.
-func (s *loadSharer) receive() {
+// receiveLoop passes the messages of other proxies to the dispatcher.
+func (s *loadSharer) receiveLoop() {
 	buffer := make([]byte, loadshare.MaxDatagramBytes)
 	for {
 		length, _, err := s.socket.ReadFromUDPAddrPort(buffer)
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -12,14 +12,14 @@
 	"ospreybend/internal/util/http1"
 )
 
-// metric is one counter or gauge of the metrics page. Its name is read by dashboards, so it does not follow the name of the Go
-// field that the value comes from.
+// metric is one counter or gauge of the plain-text metrics page. Dashboards read its name, so the name stays the same when the Go field
+// of the value is renamed.
 type metric struct {
 	name  string
 	value int64
 }
 
-// writeMetrics answers with the process's counters, a name and a number on each line.
+// writeMetrics responds with all metrics of the page, one name and value on each line.
 func (p *proxy) writeMetrics(w *httpserver.ResponseWriter) {
 	var text strings.Builder
 	appendMetrics(&text, viewMetrics(p.dispatcher.View()))
@@ -37,14 +37,14 @@
 	}
 }
 
-// viewMetrics returns the metrics of the view in force; none before the first view.
+// viewMetrics returns the metrics of the view in force, or none before the first view.
 func viewMetrics(view *fleetview.View) []metric {
 	if view == nil {
 		return nil
 	}
 	workers := 0
-	for _, ofService := range view.Workers {
-		workers += len(ofService)
+	for _, serviceWorkers := range view.Workers {
+		workers += len(serviceWorkers)
 	}
 	return []metric{
 		{"view_generation", int64(view.Generation)},
@@ -71,7 +71,7 @@
 	}
 }
 
-// serverMetrics returns the metrics of the server towards clients.
+// serverMetrics returns the metrics of the server for clients.
 func serverMetrics(counts httpserver.Counts) []metric {
 	return []metric{
 		{"http_server_accepted", counts.Accepted},
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -9,7 +9,8 @@
 	"ospreybend/internal/dataplane/upstream"
 )
 
-// metricsPage is the metrics page of counters that are numbered in its order. Dashboards read these names.
+// metricsPage is the expected page when the view and the counters have the values of TestMetrics_namesAndOrder. Dashboards read these
+// names.
 const metricsPage = `view_generation 7
 view_nodes 3
 view_workers 2
@@ -49,7 +50,7 @@
 `
 
 func TestMetrics_namesAndOrder(t *testing.T) {
-	view := viewOf(1, 3, worker("a", "1:1"), worker("b", "1:2"))
+	view := testView(1, 3, testWorker("a", "1:1"), testWorker("b", "1:2"))
 	view.Generation = 7
 	var text strings.Builder
 	appendMetrics(&text, viewMetrics(nil))
@@ -61,6 +62,6 @@
 	appendMetrics(&text, upstreamMetrics(upstream.Counts{Dials: 25, DialsFailed: 26, Reused: 27, Stale: 28, Unsolicited: 29,
 		MismatchedResponses: 30, Expired: 31, Open: 32, Idle: 33}))
 	if text.String() != metricsPage {
-		t.Fatalf("%s, not %s", text.String(), metricsPage)
+		t.Fatalf("got the page:\n%swant:\n%s", text.String(), metricsPage)
 	}
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -22,16 +22,16 @@
 	"ospreybend/internal/util/exposition"
 )
 
-// Run serves until ctx ends, and then drains. It returns an error only if the process cannot serve: an address is in use, the settings
-// are invalid, or a listener has failed.
-func Run(ctx context.Context, loaded bootconfig.Settings, log *zap.Logger) error {
-	p, err := start(loaded, log)
+// Run serves requests until ctx is canceled, and then drains. It returns an error only if the process cannot serve: an address is in
+// use, the settings are invalid, or a listener has failed.
+func Run(ctx context.Context, settings bootconfig.Settings, log *zap.Logger) error {
+	p, err := start(settings, log)
 	if err != nil {
 		return err
 	}
 	defer p.close()
-	reload := p.watchSettings()
-	defer reload()
+	stopWatching := p.watchSettings()
+	defer stopWatching()
 	select {
 	case <-ctx.Done():
 	case err := <-p.failed:
@@ -41,62 +41,62 @@
 	return nil
 }
 
-// listenerCount is the number of goroutines that may report a failed listener.
+// listenerCount is the number of listeners, each of which may report one failure.
 const listenerCount = 2
 
-// proxy is a running process. Its parts have their own locks; its own state is in atomics.
+// proxy is the state of the process. Its parts have their own locks; the fields that change while it serves are atomic.
 type proxy struct {
 	settings atomic.Pointer[bootconfig.Settings]
 	log      *zap.Logger
 
-	// towards workers
+	// connections and calls to workers
 	pool       *upstream.Pool
 	connLimits *connLimits
 	dispatcher *dispatch.Dispatcher
 	loadSharer *loadSharer
 
-	// towards clients and the platform
+	// servers for clients and for the platform's readiness checks
 	clientServer    *httpserver.Server
 	readinessServer *httpserver.Server
-	failed          chan error // of listeners
+	failed          chan error // errors of the listeners
 
-	// the feed of the agent
+	// the agent's feed and the exported metrics
 	configConfirmed configConfirmation
 	stopFeed        context.CancelFunc
 	stopMetrics     func()
 
-	// the graceful shutdown
-	shutdown  atomic.Pointer[shutdown] // nil before the signal
-	rejectAll atomic.Bool              // set at the end: no request is accepted
+	// graceful shutdown
+	shutdown  atomic.Pointer[shutdownPolicy] // nil before SIGTERM
+	rejectAll atomic.Bool                    // set at the end of the drain: no request is accepted any more
 }
 
-// start opens the listeners and starts to serve.
-func start(loaded bootconfig.Settings, log *zap.Logger) (*proxy, error) {
-	clientListener, err := httpserver.Listen(loaded.Listen.Front)
+// start opens the listeners and starts to serve on them.
+func start(settings bootconfig.Settings, log *zap.Logger) (*proxy, error) {
+	clientListener, err := httpserver.Listen(settings.Listen.Front)
 	if err != nil {
 		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
-	readinessListener, err := httpserver.Listen(loaded.Listen.Readiness)
+	readinessListener, err := httpserver.Listen(settings.Listen.Readiness)
 	if err != nil {
 		_ = clientListener.Close()
 		return nil, fmt.Errorf("listen for readiness checks: %w", err)
 	}
-	return startOnListeners(loaded, log, clientListener, readinessListener)
+	return startOnListeners(settings, log, clientListener, readinessListener)
 }
 
-// startOnListeners starts to serve on open listeners.
-func startOnListeners(loaded bootconfig.Settings, log *zap.Logger, clientListener, readinessListener net.Listener) (*proxy, error) {
-	port, err := agentFeedPort(&loaded)
+// startOnListeners starts to serve on the given listeners. The proxy serves without metrics if their address cannot be opened.
+func startOnListeners(settings bootconfig.Settings, log *zap.Logger, clientListener, readinessListener net.Listener) (*proxy, error) {
+	port, err := agentFeedPort(&settings)
 	if err != nil {
 		return nil, err
 	}
-	applyMemoryLimit(loaded.Limits)
-	p := newProxy(loaded, log)
+	configureGarbageCollector(settings.Limits)
+	p := newProxy(settings, log)
 	p.serveInBackground(p.clientServer, clientListener)
 	p.serveInBackground(p.readinessServer, readinessListener)
 	p.followFeed(port)
-	if address := loaded.MetricsAddress(); address != "" {
-		if p.stopMetrics, err = exposition.Serve(address, p.families); err != nil {
+	if address := settings.MetricsAddress(); address != "" {
+		if p.stopMetrics, err = exposition.Serve(address, p.metricFamilies); err != nil {
 			p.log.Error("metrics are not served", zap.Error(err))
 			p.stopMetrics = func() {}
 		}
@@ -106,20 +106,21 @@
 	return p, nil
 }
 
-// newProxy creates the parts of the process and connects them. Nothing listens or follows the feed yet; only the load sharer runs.
-func newProxy(loaded bootconfig.Settings, log *zap.Logger) *proxy {
+// newProxy creates the parts of the process and connects them. It starts the load sharer, but neither serves requests nor follows the
+// feed yet.
+func newProxy(settings bootconfig.Settings, log *zap.Logger) *proxy {
 	p := &proxy{log: log, connLimits: new(connLimits), failed: make(chan error, listenerCount), stopFeed: func() {}, stopMetrics: func() {}}
-	p.settings.Store(&loaded)
+	p.settings.Store(&settings)
 	p.pool = upstream.New(upstream.Options{MaxConnections: p.connLimits.limit})
-	started := time.Now()
-	p.loadSharer = newLoadSharer(&loaded, log)
+	startedAt := time.Now()
+	p.loadSharer = newLoadSharer(&settings, log)
 	p.dispatcher = dispatch.New(dispatch.Options{
 		Workers: dispatch.OverPool(p.pool),
 		Chooser: selection.New(selection.Options{
-			Zone: loaded.Zone, Seed: rand.Uint64(), RereadSpan: bootconfig.Seconds(loaded.Bounds.AgainS),
+			Zone: settings.Zone, Seed: rand.Uint64(), RereadSpan: bootconfig.Seconds(settings.Bounds.AgainS),
 		}),
-		Budget:  retryBudgetRules(loaded.Bounds),
-		Now:     func() time.Duration { return time.Since(started) },
+		Budget:  retryBudgetRules(settings.Bounds),
+		Now:     func() time.Duration { return time.Since(startedAt) },
 		Random:  rand.Float64,
 		Log:     log,
 		Changed: p.loadSharer.notifyChanged,
@@ -127,12 +128,12 @@
 		Confirmed: p.isConfigConfirmed,
 	})
 	p.loadSharer.start(p.dispatcher)
-	p.clientServer = p.newClientServer(loaded.Limits)
+	p.clientServer = p.newClientServer(settings.Limits)
 	p.readinessServer = p.newReadinessServer()
 	return p
 }
 
-// retryBudgetRules returns the rules of the retry budgets by the settings.
+// retryBudgetRules returns the rules of the retry budgets that the settings contain.
 func retryBudgetRules(bounds bootconfig.Bounds) retrybudget.Rules {
 	return retrybudget.Rules{
 		Ratio:  bounds.RetryBudgetRatio,
@@ -141,7 +142,7 @@
 	}
 }
 
-// newClientServer returns the server towards clients.
+// newClientServer returns the HTTP server for clients.
 func (p *proxy) newClientServer(limits bootconfig.Limits) *httpserver.Server {
 	return httpserver.New(httpserver.Options{
 		Handler:              p.serveRequest,
@@ -149,7 +150,7 @@
 		RequestTimeout:       p.dispatcher.TimeLimit,
 		LimitsConfirmed:      p.isConfigConfirmed,
 		MaxConnections:       clientConnectionLimit(limits),
-		MaxBufferedBodyBytes: bodyBudget(limits),
+		MaxBufferedBodyBytes: bufferedBodyLimit(limits),
 		Log:                  func(line string) { p.log.Warn("client server error", zap.String("error", line)) },
 	})
 }
@@ -157,7 +158,7 @@
 // isConfigConfirmed reports whether the configuration in force is known to be the newest.
 func (p *proxy) isConfigConfirmed() bool { return p.configConfirmed.isValid(time.Now()) }
 
-// clientLimits returns the limits of the configuration in force.
+// clientLimits returns the limits of the configuration in force, or zero limits before the first view.
 func (p *proxy) clientLimits() configuration.Limits {
 	view := p.dispatcher.View()
 	if view == nil {
@@ -166,8 +167,8 @@
 	return view.Limits
 }
 
-// serveInBackground accepts connections in a goroutine, which ends when the server is closed. An error of the listener ends the
-// process.
+// serveInBackground accepts connections in a goroutine that ends when the server is closed. An error of the listener is sent to
+// p.failed, which ends the process.
 func (p *proxy) serveInBackground(server *httpserver.Server, listener net.Listener) {
 	go func() {
 		if err := server.Serve(listener); err != nil {
@@ -176,11 +177,11 @@
 	}()
 }
 
-// followFeed starts the goroutines that read the feed of the machine's agent and report demand to it. They end with stopFeed.
+// followFeed starts the goroutines that read the feed of the machine's agent and report demand to it. stopFeed ends them.
 func (p *proxy) followFeed(port int) {
-	loaded := p.settings.Load()
+	settings := p.settings.Load()
 	hello := feedtransport.Hello{
-		Node: loaded.NodeName, Zone: loaded.Zone, Region: loaded.Region, IP: loaded.IP, Incarnation: rand.Uint64(),
+		Node: settings.NodeName, Zone: settings.Zone, Region: settings.Region, IP: settings.IP, Incarnation: rand.Uint64(),
 	}
 	client := feedtransport.NewProxyClient(hello, port, newViewPublisher(p.publishView, &p.configConfirmed, p.log))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -189,7 +190,7 @@
 	go p.reportDemand(ctx, client)
 }
 
-// close ends the feed and the load sharer, and closes all listeners and connections.
+// close stops the metrics, the feed and the load sharer, and closes all listeners and connections.
 func (p *proxy) close() {
 	p.stopMetrics()
 	p.stopFeed()
@@ -199,15 +200,15 @@
 	p.pool.Close()
 }
 
-// agentFeedPort returns the port on loopback at which the machine's agent serves the feed.
-func agentFeedPort(loaded *bootconfig.Settings) (int, error) {
-	_, port, err := net.SplitHostPort(loaded.FeedAddress())
+// agentFeedPort returns the loopback port at which the machine's agent serves the feed.
+func agentFeedPort(settings *bootconfig.Settings) (int, error) {
+	_, port, err := net.SplitHostPort(settings.FeedAddress())
 	if err != nil {
-		return 0, fmt.Errorf("split the feed's address: %w", err)
+		return 0, fmt.Errorf("split the address of the agent's feed into host and port: %w", err)
 	}
 	number, err := strconv.Atoi(port)
 	if err != nil {
-		return 0, fmt.Errorf("parse the feed's port: %w", err)
+		return 0, fmt.Errorf("parse the port of the agent's feed: %w", err)
 	}
 	return number, nil
 }
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -11,8 +11,8 @@
 	s := newTestSystem(t)
 	s.waitUntilReady()
 	s.requireResponse("/a/x?y=1", 200, "POST /a/x?y=1 "+requestBody)
-	// The configuration is put in force a moment before it is confirmed.
-	s.waitFor("denied", func() bool { return s.statusOf("/none/") == http.StatusNotFound })
+	// The configuration is confirmed only shortly after it has been put in force; until then an unknown route gets 503.
+	s.waitFor("an unknown route to be answered with 404", func() bool { return s.statusOf("/none/") == http.StatusNotFound })
 }
 
 func TestProxy_resumesStream(t *testing.T) {
@@ -21,10 +21,10 @@
 	status, body, err := s.request("/stream/whole")
 	want := "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"
 	if status != 200 || body != want || err != nil {
-		t.Fatalf("%d %q %v", status, body, err)
+		t.Fatalf("a complete stream: got status %d, body %q and error %v, want 200 and %q", status, body, err, want)
 	}
 	if _, body, err := s.request("/stream/cut"); err == nil || !strings.HasPrefix(want, body) {
-		t.Fatalf("a truncated stream without another worker ended as complete: %q", body)
+		t.Fatalf("a stream aborted by the only worker: got body %q and error %v, want an error and the beginning of %q", body, err, want)
 	}
 }
 
@@ -33,10 +33,10 @@
 	unused := listenLoopback(t)
 	s.startProxy(unused.Addr().(*net.TCPAddr).Port)
 	if status := s.readinessStatus(); status != http.StatusServiceUnavailable {
-		t.Fatal(status)
+		t.Fatalf("readiness check without a configuration: got status %d, want %d", status, http.StatusServiceUnavailable)
 	}
 	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
-		t.Fatal(status, err)
+		t.Fatalf("request without a configuration: got status %d and error %v, want %d", status, err, http.StatusServiceUnavailable)
 	}
 }
 
@@ -45,34 +45,34 @@
 	s.waitUntilReady()
 	answered := s.startPendingRequest()
 	drained := s.startDrain()
-	s.waitFor("not ready", func() bool { return s.readinessStatus() == http.StatusServiceUnavailable })
+	s.waitFor("the readiness check to fail", func() bool { return s.readinessStatus() == http.StatusServiceUnavailable })
 	s.requireResponse("/a/x", 200, "POST /a/x "+requestBody)
 	close(s.worker.release)
 	if body := <-answered; body != pendingResponse {
-		t.Fatalf("the request in flight got %q", body)
+		t.Fatalf("the request in flight got the body %q, want %q", body, pendingResponse)
 	}
 	<-drained
 	if inFlight := s.proxy.clientServer.Counts().InFlight; inFlight != 0 {
-		t.Fatalf("%d requests in flight at the end", inFlight)
+		t.Fatalf("%d requests in flight after the drain, want 0", inFlight)
 	}
 }
 
-// TestProxy_drain_rejectsInFinalWindow drains with a grace that has only the final window.
+// TestProxy_drain_rejectsInFinalWindow drains with a grace period so short that it consists of the final window alone.
 func TestProxy_drain_rejectsInFinalWindow(t *testing.T) {
 	s := newTestSystem(t)
 	s.waitUntilReady()
 	answered := s.startPendingRequest()
-	loaded := *s.proxy.settings.Load()
-	loaded.Bounds.GraceS = (shutdownMargin + finalWindow).Seconds()
-	s.proxy.settings.Store(&loaded)
+	settings := *s.proxy.settings.Load()
+	settings.Bounds.GraceS = (shutdownMargin + finalWindow).Seconds()
+	s.proxy.settings.Store(&settings)
 	drained := s.startDrain()
-	s.waitFor("shutdown", func() bool { return s.proxy.shutdown.Load() != nil })
+	s.waitFor("the shutdown to begin", func() bool { return s.proxy.shutdown.Load() != nil })
 	if status, _, err := s.request("/a/x"); status != http.StatusServiceUnavailable || err != nil {
-		t.Fatal(status, err)
+		t.Fatalf("a request in the final window: got status %d and error %v, want %d", status, err, http.StatusServiceUnavailable)
 	}
 	close(s.worker.release)
 	if body := <-answered; body != pendingResponse {
-		t.Fatalf("the request in flight got %q", body)
+		t.Fatalf("the request in flight got the body %q, want %q", body, pendingResponse)
 	}
 	<-drained
 }
--- a/internal/dataplane/proxy/readiness.go
+++ b/internal/dataplane/proxy/readiness.go
@@ -10,23 +10,23 @@
 	maxReadinessConnections = 64
 )
 
-// newReadinessServer returns the server that the platform asks whether to send clients to this process. It also has the metrics page.
+// newReadinessServer returns the server for the platform's readiness checks. It also serves the plain-text metrics page.
 func (p *proxy) newReadinessServer() *httpserver.Server {
-	check := httpserver.ReadinessHandler(p.isReady)
+	readinessHandler := httpserver.ReadinessHandler(p.isReady)
 	return httpserver.New(httpserver.Options{
 		Handler: func(w *httpserver.ResponseWriter, r *httpserver.Request) {
 			if r.Path == metricsPath {
 				p.writeMetrics(w)
 				return
 			}
-			check(w, r)
+			readinessHandler(w, r)
 		},
 		Limits:         func() configuration.Limits { return configuration.Limits{} },
 		MaxConnections: maxReadinessConnections,
 	})
 }
 
-// isReady reports whether the platform may send clients to this process: it has a configuration and is not shutting down.
+// isReady reports whether the platform may send clients to this process: whether it has a configuration and is not shutting down.
 func (p *proxy) isReady() bool {
 	view := p.dispatcher.View()
 	return view != nil && view.Generation > 0 && p.shutdown.Load() == nil
--- a/internal/dataplane/proxy/run_test.go
+++ b/internal/dataplane/proxy/run_test.go
@@ -13,14 +13,14 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// testSettings returns settings with any free port, and with a grace too short to wait for anything.
+// testSettings returns settings with free ports for the listeners, and with a grace period so short that a drain ends at once.
 func testSettings() bootconfig.Settings {
-	loaded := bootconfig.Defaults()
-	loaded.NodeName, loaded.Role, loaded.IP = "edge-1", "proxy", "127.0.0.1"
-	loaded.Listen = bootconfig.Listen{Front: "127.0.0.1:0", Readiness: "127.0.0.1:0"}
-	loaded.PortRange = [2]int{7660, 7675}
-	loaded.Bounds.GraceS = 0.1
-	return loaded
+	settings := bootconfig.Defaults()
+	settings.NodeName, settings.Role, settings.IP = "edge-1", "proxy", "127.0.0.1"
+	settings.Listen = bootconfig.Listen{Front: "127.0.0.1:0", Readiness: "127.0.0.1:0"}
+	settings.PortRange = [2]int{7660, 7675}
+	settings.Bounds.GraceS = 0.1
+	return settings
 }
 
 func TestRun_endsWhenContextIsCanceled(t *testing.T) {
@@ -33,16 +33,16 @@
 
 func TestRun_addressInUse(t *testing.T) {
 	taken := listenLoopback(t)
-	loaded := testSettings()
-	loaded.Listen.Readiness = taken.Addr().String()
-	if err := Run(t.Context(), loaded, zap.NewNop()); err == nil {
-		t.Fatal("two servers on one address")
+	settings := testSettings()
+	settings.Listen.Readiness = taken.Addr().String()
+	if err := Run(t.Context(), settings, zap.NewNop()); err == nil {
+		t.Fatal("Run with the readiness address in use returned no error")
 	}
 }
 
-func writeSettings(t *testing.T, loaded bootconfig.Settings) string {
+func writeSettings(t *testing.T, settings bootconfig.Settings) string {
 	t.Helper()
-	content, err := json.Marshal(loaded)
+	content, err := json.Marshal(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,16 +54,16 @@
 }
 
 func TestProxy_reload_grace(t *testing.T) {
-	loaded := testSettings()
-	p := newProxy(loaded, zap.NewNop())
-	loaded.Bounds.GraceS = 5
-	p.reload(writeSettings(t, loaded))
+	settings := testSettings()
+	p := newProxy(settings, zap.NewNop())
+	settings.Bounds.GraceS = 5
+	p.reload(writeSettings(t, settings))
 	if got := p.settings.Load().Bounds.GraceS; got != 5 {
-		t.Fatal(got)
+		t.Fatalf("GraceS after the reload is %v, want 5", got)
 	}
 	p.reload(filepath.Join(t.TempDir(), "none.json"))
 	if got := p.settings.Load().Bounds.GraceS; got != 5 {
-		t.Fatalf("a file that cannot be read changed the grace to %v", got)
+		t.Fatalf("GraceS after the reload of a missing file is %v, want the previous value of 5", got)
 	}
 }
 
@@ -71,9 +71,9 @@
 	s := newTestSystem(t)
 	s.waitUntilReady()
 	defer s.proxy.watchSettings()()
-	changed := testSettings()
-	changed.Bounds.GraceS = 3
-	t.Setenv(bootconfig.PathVariable, writeSettings(t, changed))
+	settings := testSettings()
+	settings.Bounds.GraceS = 3
+	t.Setenv(bootconfig.PathVariable, writeSettings(t, settings))
 	answered := make(chan int, 1)
 	go func() {
 		status, _, _ := s.request("/a/pending")
@@ -83,16 +83,16 @@
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	s.waitFor("reloaded", func() bool { return s.proxy.settings.Load().Bounds.GraceS == 3 })
+	s.waitFor("the settings to be reloaded", func() bool { return s.proxy.settings.Load().Bounds.GraceS == 3 })
 	close(s.worker.release)
 	if status := <-answered; status != 200 {
-		t.Fatalf("the request in flight got %d", status)
+		t.Fatalf("the request in flight during the reload got status %d, want 200", status)
 	}
 }
 
 func TestAgentFeedPort(t *testing.T) {
 	port, err := agentFeedPort(&bootconfig.Settings{PortRange: [2]int{7660, 7675}})
 	if err != nil || port != 7661 {
-		t.Fatal(port, err)
+		t.Fatalf("got port %d and error %v, want 7661, the second port of the range", port, err)
 	}
 }
--- a/internal/dataplane/proxy/settings.go
+++ b/internal/dataplane/proxy/settings.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// watchSettings reloads the settings file at each SIGHUP, in a goroutine that ends when the returned function is called. Connections
-// and requests are not affected.
+// watchSettings starts a goroutine that reloads the settings file at each SIGHUP, and returns a function that stops it. A reload does
+// not affect connections and requests.
 func (p *proxy) watchSettings() func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -27,20 +27,20 @@
 		}
 	}()
 	return func() {
-		signal.Ignore(syscall.SIGHUP) // the default action would end the process
+		signal.Ignore(syscall.SIGHUP) // the default action of SIGHUP would end the process
 		close(stopped)
 	}
 }
 
-// reload applies the settings that may change while the process runs: the memory limit and the grace. A file that cannot be read,
-// also not a moment later, changes nothing.
+// reload applies the settings that may change while the process runs: the memory limit and the grace period. If the file cannot be
+// read even after retries, the previous settings stay in force.
 func (p *proxy) reload(path string) {
-	loaded, err := bootconfig.LoadWithRetry(path)
+	settings, err := bootconfig.LoadWithRetry(path)
 	if err != nil {
-		p.log.Warn("settings reload failed", zap.Error(err))
+		p.log.Warn("settings reload failed; the previous settings stay in force", zap.Error(err))
 		return
 	}
-	p.settings.Store(&loaded)
-	applyMemoryLimit(loaded.Limits)
+	p.settings.Store(&settings)
+	configureGarbageCollector(settings.Limits)
 	p.log.Info("settings reloaded")
 }
--- a/internal/dataplane/proxy/viewpublisher.go
+++ b/internal/dataplane/proxy/viewpublisher.go
@@ -11,18 +11,18 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// viewPublisher builds views from the feed's snapshots and changes, and publishes them. One goroutine calls it: that of the feed's
-// client.
+// viewPublisher builds views from the feed's snapshots and changes, and publishes them. Only the goroutine of the feed's client calls
+// its methods.
 type viewPublisher struct {
 	builder      *fleetview.Builder
 	publish      func(*fleetview.View)
 	confirmation *configConfirmation
 	log          *zap.Logger
-	dirty        bool // the newest view was not published
-	synced       bool // every shard was received up to the agent's index
+	dirty        bool // the latest view has not been published yet
+	synced       bool // a status has been received, and so every shard up to the index that the agent had
 }
 
-// The client finds BatchDone by a type assertion.
+// The feed's client calls BatchDone only if a type assertion to BatchHandler succeeds.
 var _ feedtransport.BatchHandler = (*viewPublisher)(nil)
 
 func newViewPublisher(publish func(*fleetview.View), confirmation *configConfirmation, log *zap.Logger) *viewPublisher {
@@ -43,11 +43,11 @@
 	}
 }
 
-// BatchDone implements feedtransport.BatchHandler: changes received together make one view.
+// BatchDone implements feedtransport.BatchHandler. It publishes the changes that were received together as one view.
 func (p *viewPublisher) BatchDone() { p.publishChanged() }
 
-// Status implements feedtransport.Handler. The first status follows all items of every shard. No view is published before it: it
-// could have routes and no workers.
+// Status implements feedtransport.Handler. The agent sends the first status after all items of every shard. Before it no view is
+// published, since a view could have routes but no workers.
 func (p *viewPublisher) Status(status feedtransport.Status) {
 	p.synced = true
 	p.publishChanged()
@@ -65,7 +65,7 @@
 	p.log.Info("feed disconnected", zap.Error(err))
 }
 
-// publishChanged publishes the newest view if it was not published.
+// publishChanged publishes the latest view if it has not been published yet.
 func (p *viewPublisher) publishChanged() {
 	if !p.dirty || !p.synced {
 		return
@@ -74,8 +74,8 @@
 	p.publish(p.builder.View())
 }
 
-// publishView puts a view in force: requests that start from now on are handled by it. It closes the connections to workers that are
-// not in it.
+// publishView puts a view in force for all requests that start from now on, and closes the connections to workers that are no longer
+// in it.
 func (p *proxy) publishView(view *fleetview.View) {
 	first := p.dispatcher.View() == nil
 	removed := p.connLimits.update(view)
