--- a/internal/dataplane/fleetview/routetable.go
+++ b/internal/dataplane/fleetview/routetable.go
@@ -14,7 +14,7 @@
 // hostRoutes are the routes of one host.
 type hostRoutes struct {
 	byPrefix      map[string]*configuration.Route
-	longestPrefix int // bytes of the longest path prefix
+	longestPrefix int // length of the longest path prefix in bytes
 }
 
 // newRouteTable returns the table of the given routes. The caller must not modify a route afterwards.
