--- a/internal/controlplane/roleplanner/compatibility_test.go
+++ b/internal/controlplane/roleplanner/compatibility_test.go
@@ -6,7 +6,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityRows are one report of demand with every field set.
+// compatibilityRows returns one demand report in which every field of Demand is set.
 func compatibilityRows() []golden.Row {
 	report := []ServiceDemand{
 		{Service: "chat", Demand: Demand{Offered: 1, Started: 2, Prefill: 3, PrefillDone: 4, PrefillTime: 5, Slots: 6, Memory: 7, Transfers: 8}},
--- a/internal/controlplane/roleplanner/demand.go
+++ b/internal/controlplane/roleplanner/demand.go
@@ -10,74 +10,75 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Stages of workers, as they register with them.
+// Stages that workers report when they register.
 const (
 	Prefill = "prefill"
 	Decode  = "decode"
 )
 
-// Demand is the work that requests bring: a sum in worker-seconds, or a rate in workers, where a rate of 1 keeps one worker
-// busy. The prompt of each request counts once for Prefill, also if the request is rejected or fails, so that the demand
-// does not fall where prefill workers are too few. Prompts count with the time that they are expected to take without waits.
+// Demand is the work that requests cause: either a total in worker-seconds or a rate in workers, where a rate of 1 keeps
+// one worker busy. The prompt of each request counts once towards Prefill, even if the request is rejected or fails, so
+// that the measured demand does not fall when there are too few prefill workers. A prompt counts with its expected
+// processing time, without queueing.
 type Demand struct {
-	Offered     float64 // requests that arrived; a count, not a time
-	Started     float64 // requests that started to stream; a count, too
-	Prefill     float64 // expected time of the prompts that arrived
-	PrefillDone float64 // expected time of the prompts that prefill workers completed
-	PrefillTime float64 // observed time of the same prompts, with their waits
-	Slots       float64 // share of a decode worker's slots that streams occupied, over time
-	Memory      float64 // share of a decode worker's memory that streams occupied, over time
-	Transfers   float64 // time in which decode workers fetched KV caches
+	Offered     float64 // number of requests that arrived; a count, not a time
+	Started     float64 // number of requests that started to stream; a count, not a time
+	Prefill     float64 // expected processing time of the prompts that arrived
+	PrefillDone float64 // expected processing time of the prompts that prefill workers completed
+	PrefillTime float64 // observed time of the completed prompts, including queueing
+	Slots       float64 // share of a decode worker's slots that streams occupied, integrated over time
+	Memory      float64 // share of a decode worker's memory that streams occupied, integrated over time
+	Transfers   float64 // time that decode workers spent fetching KV caches
 }
 
-// parts returns pointers to the fields, in the order of their encoding.
-func (d *Demand) parts() [8]*float64 {
+// fields returns pointers to the fields in the order of their encoding.
+func (d *Demand) fields() [8]*float64 {
 	return [...]*float64{&d.Offered, &d.Started, &d.Prefill, &d.PrefillDone, &d.PrefillTime, &d.Slots, &d.Memory, &d.Transfers}
 }
 
 // Add returns the sum of two demands.
 func (d Demand) Add(other Demand) Demand {
-	more := other.parts()
-	for i, part := range d.parts() {
-		*part += *more[i]
+	otherFields := other.fields()
+	for i, field := range d.fields() {
+		*field += *otherFields[i]
 	}
 	return d
 }
 
 // Scale returns the demand multiplied by a factor.
 func (d Demand) Scale(factor float64) Demand {
-	for _, part := range d.parts() {
-		*part *= factor
+	for _, field := range d.fields() {
+		*field *= factor
 	}
 	return d
 }
 
-// Since returns the increase over an earlier sum, or all of the demand if the sum was reset meanwhile.
-func (d Demand) Since(before Demand) Demand {
-	since := d.Add(before.Scale(-1))
-	if !since.valid() {
+// Since returns the increase over an earlier total, or d itself if the totals were reset in between.
+func (d Demand) Since(earlier Demand) Demand {
+	increase := d.Add(earlier.Scale(-1))
+	if !increase.valid() {
 		return d
 	}
-	return since
+	return increase
 }
 
 // valid reports whether all fields are finite and none is negative.
 func (d Demand) valid() bool {
-	for _, part := range d.parts() {
-		if !(*part >= 0) || math.IsInf(*part, 1) {
+	for _, field := range d.fields() {
+		if !(*field >= 0) || math.IsInf(*field, 1) {
 			return false
 		}
 	}
 	return true
 }
 
-// maxServices limits the services of one report.
+// maxServices limits the number of services in one report.
 const maxServices = 4096
 
-// ErrInvalidReport is wrapped by the errors of DecodeReport.
+// ErrInvalidReport is wrapped by the errors that DecodeReport returns.
 var ErrInvalidReport = errors.New("roleplanner: invalid demand report")
 
-// ServiceDemand is the rate of the demand of one service, in workers.
+// ServiceDemand is the demand rate of one service, in workers.
 type ServiceDemand struct {
 	Service string
 	Demand  Demand
@@ -86,7 +87,7 @@
 // wireDemand is the encoded form of a ServiceDemand.
 type wireDemand struct {
 	Service string    `avro:"service"`
-	Parts   []float64 `avro:"parts"` // in the order of Demand's fields
+	Values  []float64 `avro:"parts"` // in the order of Demand.fields
 }
 
 var reportSchema = avro.MustParse(`{"type":"array","items":{"type":"record","name":"demand","fields":[
@@ -95,39 +96,42 @@
 
 var codec = avro.Config{MaxSliceAllocSize: maxServices}.Freeze()
 
-// EncodeReport returns the encoded form of a report, the body of a message on feedtransport.TopicDemand.
+// EncodeReport returns the encoded form of a report, which is the body of a message on feedtransport.TopicDemand.
 func EncodeReport(report []ServiceDemand) ([]byte, error) {
 	wire := make([]wireDemand, 0, len(report))
 	for _, entry := range report {
 		encoded := wireDemand{Service: entry.Service}
-		for _, part := range entry.Demand.parts() {
-			encoded.Parts = append(encoded.Parts, *part)
+		for _, field := range entry.Demand.fields() {
+			encoded.Values = append(encoded.Values, *field)
 		}
 		wire = append(wire, encoded)
 	}
 	return codec.Marshal(reportSchema, wire)
 }
 
-// DecodeReport decodes what EncodeReport returned. The error wraps ErrInvalidReport.
+// DecodeReport decodes a report encoded by EncodeReport. Its errors wrap ErrInvalidReport.
 func DecodeReport(encoded []byte) ([]ServiceDemand, error) {
 	var wire []wireDemand
 	if err := strictavro.Unmarshal(codec, reportSchema, encoded, &wire); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidReport, err)
 	}
 	report := make([]ServiceDemand, 0, len(wire))
-	for _, entry := range wire {
-		read := ServiceDemand{Service: entry.Service}
-		parts := read.Demand.parts()
-		if entry.Service == "" || len(entry.Parts) != len(parts) {
-			return nil, ErrInvalidReport
+	for position, entry := range wire {
+		decoded := ServiceDemand{Service: entry.Service}
+		fields := decoded.Demand.fields()
+		if entry.Service == "" {
+			return nil, fmt.Errorf("%w: entry %d has no service name", ErrInvalidReport, position)
 		}
-		for i, part := range entry.Parts {
-			*parts[i] = part
+		if len(entry.Values) != len(fields) {
+			return nil, fmt.Errorf("%w: service %q has %d values, expected %d", ErrInvalidReport, entry.Service, len(entry.Values), len(fields))
 		}
-		if !read.Demand.valid() {
-			return nil, ErrInvalidReport
+		for i, value := range entry.Values {
+			*fields[i] = value
 		}
-		report = append(report, read)
+		if !decoded.Demand.valid() {
+			return nil, fmt.Errorf("%w: service %q has a negative or non-finite value: %+v", ErrInvalidReport, entry.Service, decoded.Demand)
+		}
+		report = append(report, decoded)
 	}
 	return report, nil
 }
--- a/internal/controlplane/roleplanner/example_test.go
+++ b/internal/controlplane/roleplanner/example_test.go
@@ -7,8 +7,8 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// Eight workers decode, and one does prefill. The demand for prefill rises to that of three workers, so that the planner assigns
-// the stage prefill to further workers, and commands them to change to it.
+// Eight workers run decode and one runs prefill. The prefill demand occupies three workers, so the planner assigns the stage
+// prefill to more workers and commands them to change to it.
 func ExamplePlanner() {
 	workers := []roleplanner.Worker{{ID: "worker-0", Stage: roleplanner.Prefill}}
 	for number := 1; number <= 8; number++ {
@@ -20,7 +20,7 @@
 	planner := roleplanner.NewPlanner()
 	for now := time.Second; now < 3*time.Second; now += 250 * time.Millisecond {
 		plan := planner.Plan(now, workers, demand, switchTime)
-		for _, assignment := range plan.Assignments { // the registry records it
+		for _, assignment := range plan.Assignments { // the caller records it in the registry
 			fmt.Println(now, "assign", assignment.Stage, "to", assignment.ID)
 			for i := range workers {
 				if workers[i].ID == assignment.ID {
@@ -28,7 +28,7 @@
 				}
 			}
 		}
-		for _, command := range plan.Commands { // the server calls the worker
+		for _, command := range plan.Commands { // the caller sends it to the worker
 			fmt.Println(now, "command", command.ID)
 			planner.CommandFinished(command.ID, roleplanner.Accepted)
 		}
--- a/internal/controlplane/roleplanner/planner.go
+++ b/internal/controlplane/roleplanner/planner.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxTransitioningShare is the part of a service's workers that may change their stage at a time.
+// maxTransitioningShare is the share of a service's workers that may be changing their stage at the same time.
 const maxTransitioningShare = 0.4
 
 // Worker is one worker of a service, as the registry records it.
@@ -14,12 +14,12 @@
 	ID       string
 	Address  string // "ip:port"
 	Zone     string
-	Stage    string // that it reports: Prefill or Decode
-	Assigned string // that it is to have; empty: none
+	Stage    string // reported by the worker: Prefill or Decode
+	Assigned string // stage that the worker is to have; empty if none is assigned
 	Draining bool
 }
 
-// transitioning reports whether the worker has been assigned a stage that it does not have yet.
+// transitioning reports whether the worker is assigned a stage that it does not have yet.
 func (w *Worker) transitioning() bool { return w.Assigned != "" && w.Assigned != w.Stage }
 
 // targetStage returns the stage that the worker has, or will have after its transition.
@@ -30,19 +30,20 @@
 	return w.Stage
 }
 
-// Assignment asks to record in the registry that a worker is to have a stage. An empty stage withdraws the assignment.
+// Assignment is a request to record in the registry which stage a worker is to have. An empty stage withdraws the
+// worker's assignment.
 type Assignment struct{ ID, Stage string }
 
-// Command asks to command a worker to change to a stage.
+// Command is a request to command a worker to change to a stage.
 type Command struct {
 	ID, Address, Stage string
 }
 
-// Plan is what the caller is to carry out now.
+// Plan is what the caller must carry out now.
 type Plan struct {
 	Assignments []Assignment
 	Commands    []Command
-	Polls       []Command // workers that may have the stage by now; the caller asks each for its present stage
+	Polls       []Command // workers that may have reached the stage; the caller asks each for its current stage
 }
 
 // Result is the outcome of a command.
@@ -50,9 +51,9 @@
 
 // Results of a command.
 const (
-	// Accepted means that the worker changes its stage, or has it already.
+	// Accepted means that the worker is changing to the stage, or has it already.
 	Accepted Result = iota + 1
-	// Busy means that another command is in progress or that the worker did not answer; the command is retried.
+	// Busy means that the worker is executing another command or did not answer; the command is retried.
 	Busy
 	// Rejected means that the worker will not change its stage.
 	Rejected
@@ -74,28 +75,27 @@
 
 // Status describes a service for the operators' status pages.
 type Status struct {
-	Demand         Demand // average of late, in workers
+	Demand         Demand // recent average, in workers
 	PrefillWorkers int    // workers with stage Prefill that are not transitioning
 	DecodeWorkers  int    // workers with stage Decode that are not transitioning
 	Transitioning  int
-	TargetPrefill  int // prefill workers that the service is to have; 0: not decided
+	TargetPrefill  int // number of prefill workers that the service is to have; 0 if not decided
 }
 
-// Planner plans the stages of one service's workers. It is not safe for concurrent use; the loop of the shard's owner in
-// package server calls it. Its state ends with the ownership: a new owner's planner continues from the assignments that the
-// registry records.
+// Planner plans the stages of one service's workers. It is not safe for concurrent use; the shard owner's planning loop in
+// package server calls it. Its state is lost when the ownership ends: the new owner's planner continues from the
+// assignments recorded in the registry.
 type Planner struct {
 	demand        demandAverage
-	targetPrefill int // prefill workers; 0: not decided
+	targetPrefill int // number of prefill workers that the service is to have; 0 if not decided
 	status        Status
 
-	// Workers that change their stage, by ID.
-	switchTime    time.Duration // that a worker needs for it
-	transitions   map[string]*transition
-	cooldownUntil map[string]time.Duration // until when a worker is given no new assignment
+	switchTime    time.Duration            // time that a worker needs to change its stage
+	transitions   map[string]*transition   // by worker ID
+	cooldownUntil map[string]time.Duration // by worker ID: when the worker may be given a new assignment
 }
 
-// NewPlanner returns a planner without state. It continues whatever assignments the workers have.
+// NewPlanner returns a planner without state. It continues any assignments that the workers already have.
 func NewPlanner() *Planner {
 	return &Planner{transitions: map[string]*transition{}, cooldownUntil: map[string]time.Duration{}}
 }
@@ -103,8 +103,8 @@
 // Status returns the status of the service at the last call of Plan.
 func (p *Planner) Status() Status { return p.status }
 
-// Plan returns what to do for a service with these workers and this rate of demand. It is to be called several times a
-// second. switchTime is the time that a worker needs to change its stage.
+// Plan returns what to do for a service with these workers and this demand rate. It must be called several times a second.
+// switchTime is the time that a worker needs to change its stage.
 func (p *Planner) Plan(now time.Duration, workers []Worker, demand Demand, switchTime time.Duration) Plan {
 	p.switchTime = switchTime
 	eligible := eligibleWorkers(workers)
@@ -128,7 +128,7 @@
 	return eligible
 }
 
-// countActivePrefill returns the number of workers that do prefill and are not transitioning.
+// countActivePrefill returns the number of prefill workers that are not transitioning.
 func countActivePrefill(workers []Worker) int {
 	count := 0
 	for i := range workers {
@@ -140,30 +140,31 @@
 }
 
 // selectAssignments picks the workers that are to change their stage, so that the number of prefill workers approaches the
-// target. Without enough observed demand it changes nothing, except where a service has no decode worker at all.
+// target. Until demand has been observed for minObservation it changes nothing, unless the service has no decode worker.
 func (p *Planner) selectAssignments(now time.Duration, workers []Worker) []Assignment {
 	prefillWorkers := countTargetPrefill(workers)
 	if p.targetPrefill == 0 || !p.demand.observedFor(minObservation) && prefillWorkers < len(workers) {
 		return nil
 	}
 	shortfall := p.targetPrefill - prefillWorkers
-	stage, from := Prefill, Decode
+	toStage, fromStage := Prefill, Decode
 	if shortfall < 0 {
-		stage, from, shortfall = Decode, Prefill, -shortfall
+		toStage, fromStage, shortfall = Decode, Prefill, -shortfall
 	}
 	capacity := max(1, int(maxTransitioningShare*float64(len(workers)))) - p.status.Transitioning
-	chosen := p.candidates(now, workers, from)
+	chosen := p.candidates(now, workers, fromStage)
 	chosen = chosen[:max(0, min(shortfall, capacity, len(chosen)))]
 	assignments := make([]Assignment, 0, len(chosen))
 	for _, id := range chosen {
-		assignments = append(assignments, Assignment{ID: id, Stage: stage})
-		p.transitions[id] = &transition{stage: stage, assignedAt: now}
+		assignments = append(assignments, Assignment{ID: id, Stage: toStage})
+		p.transitions[id] = &transition{stage: toStage, assignedAt: now}
 	}
 	return assignments
 }
 
-// candidates returns the IDs of the workers of a stage that may be given another, in the order of preference: always one
-// of the zone that has most of them left, so that zones stay balanced, and within a zone by ID.
+// candidates returns the IDs of the workers that have the given stage and may be assigned another one, in order of
+// preference: the next ID is always taken from the zone with the most candidates left, so that zones stay balanced, and
+// within a zone in ascending order.
 func (p *Planner) candidates(now time.Duration, workers []Worker, stage string) []string {
 	byZone := map[string][]string{}
 	for i := range workers {
@@ -181,14 +182,14 @@
 	slices.Sort(zones)
 	var ordered []string
 	for {
-		fullest := slices.MaxFunc(append([]string{""}, zones...), func(left, right string) int {
+		largestZone := slices.MaxFunc(append([]string{""}, zones...), func(left, right string) int {
 			return cmp.Compare(len(byZone[left]), len(byZone[right]))
 		})
-		if len(byZone[fullest]) == 0 {
+		if len(byZone[largestZone]) == 0 {
 			return ordered
 		}
-		ordered = append(ordered, byZone[fullest][0])
-		byZone[fullest] = byZone[fullest][1:]
+		ordered = append(ordered, byZone[largestZone][0])
+		byZone[largestZone] = byZone[largestZone][1:]
 	}
 }
 
--- a/internal/controlplane/roleplanner/planner_test.go
+++ b/internal/controlplane/roleplanner/planner_test.go
@@ -6,103 +6,102 @@
 	"time"
 )
 
-// fleet is a scripted service: it carries out assignments and commands as workers would.
-type fleet struct {
+// simulatedService carries out the assignments and commands of a planner as the workers of a service would.
+type simulatedService struct {
 	t              *testing.T
 	planner        *Planner
 	now            time.Duration
 	demand         Demand
 	workers        []Worker
-	transitionTime time.Duration            // between a command and the new stage
+	transitionTime time.Duration            // time between a command and the new stage
 	completesAt    map[string]time.Duration // when the transition of a worker completes
-	answer         func(Command) Result     // nil: Accepted
-	commands       []Command
-
-	mayLackDecode bool
+	commandResult  func(Command) Result     // result of a command; nil: always Accepted
+	commands       []Command                // all commands so far
+	allowNoDecode  bool                     // the service may be without a decode worker
 }
 
-func newFleet(t *testing.T, prefillWorkers, decodeWorkers int) *fleet {
-	f := &fleet{t: t, planner: NewPlanner(), now: time.Second, transitionTime: 2 * time.Second, completesAt: map[string]time.Duration{}}
+func newSimulatedService(t *testing.T, prefillWorkers, decodeWorkers int) *simulatedService {
+	s := &simulatedService{t: t, planner: NewPlanner(), now: time.Second, transitionTime: 2 * time.Second, completesAt: map[string]time.Duration{}}
 	for i := range prefillWorkers + decodeWorkers {
 		stage := Decode
 		if i < prefillWorkers {
 			stage = Prefill
 		}
-		f.workers = append(f.workers, Worker{ID: fmt.Sprintf("w%02d", i), Zone: fmt.Sprint("z", i%3), Stage: stage})
+		s.workers = append(s.workers, Worker{ID: fmt.Sprintf("w%02d", i), Zone: fmt.Sprint("z", i%3), Stage: stage})
 	}
-	return f
+	return s
 }
 
-// demandOf returns a demand of prefill and decode alone.
+// demandOf returns a demand for prefill and decode slots only.
 func demandOf(prefill, slots float64) Demand {
 	return Demand{Prefill: prefill, Slots: slots, Offered: 1, Started: 1}
 }
 
-// observedDemand returns what proxies observe of the demand with the present prefill workers: these complete no more prompts
-// than they can, prompts wait, and only completed ones start to stream.
-func (f *fleet) observedDemand() Demand {
-	prefillWorkers := float64(countActivePrefill(f.workers))
-	demand := f.demand
+// observedDemand returns the demand that proxies observe with the current prefill workers: these complete no more prompts
+// than their capacity allows, prompts queue, and only completed prompts start to stream.
+func (s *simulatedService) observedDemand() Demand {
+	prefillWorkers := float64(countActivePrefill(s.workers))
+	demand := s.demand
 	if demand.Prefill == 0 || prefillWorkers == 0 {
 		return demand
 	}
 	demand.PrefillDone = min(demand.Prefill, 0.98*prefillWorkers)
-	busy := demand.PrefillDone / prefillWorkers
-	demand.PrefillTime = demand.PrefillDone * (1 + queueingFactor*busy/(1-busy))
+	utilization := demand.PrefillDone / prefillWorkers
+	demand.PrefillTime = demand.PrefillDone * (1 + queueingFactor*utilization/(1-utilization))
 	demand.Offered, demand.Started = demand.Prefill, demand.PrefillDone
 	demand.Slots *= demand.PrefillDone / demand.Prefill
 	return demand
 }
 
-// run simulates a time span in steps of 250 ms.
-func (f *fleet) run(span time.Duration) {
-	for end := f.now + span; f.now < end; f.now += 250 * time.Millisecond {
-		plan := f.planner.Plan(f.now, f.workers, f.observedDemand(), time.Second)
+// run simulates the service for a time span, in steps of 250 ms.
+func (s *simulatedService) run(span time.Duration) {
+	for end := s.now + span; s.now < end; s.now += 250 * time.Millisecond {
+		plan := s.planner.Plan(s.now, s.workers, s.observedDemand(), time.Second)
 		for _, entry := range plan.Assignments {
-			f.worker(entry.ID).Assigned = entry.Stage
+			s.worker(entry.ID).Assigned = entry.Stage
 		}
 		for _, command := range plan.Commands {
-			f.execute(command)
+			s.execute(command)
 		}
-		for id, at := range f.completesAt {
-			if f.now >= at {
-				worker := f.worker(id)
+		for id, at := range s.completesAt {
+			if s.now >= at {
+				worker := s.worker(id)
 				worker.Stage = worker.Assigned
-				delete(f.completesAt, id)
+				delete(s.completesAt, id)
 			}
 		}
-		f.check()
+		s.checkInvariants()
 	}
 }
 
-func (f *fleet) execute(command Command) {
-	f.commands = append(f.commands, command)
+func (s *simulatedService) execute(command Command) {
+	s.commands = append(s.commands, command)
 	result := Accepted
-	if f.answer != nil {
-		result = f.answer(command)
+	if s.commandResult != nil {
+		result = s.commandResult(command)
 	}
-	f.planner.CommandFinished(command.ID, result)
+	s.planner.CommandFinished(command.ID, result)
 	if result == Accepted {
-		f.completesAt[command.ID] = f.now + f.transitionTime
+		s.completesAt[command.ID] = s.now + s.transitionTime
 	}
 }
 
-func (f *fleet) worker(id string) *Worker {
-	for i := range f.workers {
-		if f.workers[i].ID == id {
-			return &f.workers[i]
+func (s *simulatedService) worker(id string) *Worker {
+	for i := range s.workers {
+		if s.workers[i].ID == id {
+			return &s.workers[i]
 		}
 	}
-	f.t.Fatalf("no worker %s", id)
+	s.t.Fatalf("the service has no worker %s", id)
 	return nil
 }
 
-func (f *fleet) count() (prefillWorkers, decodeWorkers, transitioning int) {
-	for i := range f.workers {
+func (s *simulatedService) countWorkers() (prefillWorkers, decodeWorkers, transitioning int) {
+	for i := range s.workers {
 		switch {
-		case f.workers[i].transitioning():
+		case s.workers[i].transitioning():
 			transitioning++
-		case f.workers[i].Stage == Prefill:
+		case s.workers[i].Stage == Prefill:
 			prefillWorkers++
 		default:
 			decodeWorkers++
@@ -111,86 +110,87 @@
 	return prefillWorkers, decodeWorkers, transitioning
 }
 
-// check fails the test if an invariant does not hold.
-func (f *fleet) check() {
-	prefillWorkers, decodeWorkers, transitioning := f.count()
-	if prefillWorkers+transitioning < 1 || decodeWorkers < 1 && !f.mayLackDecode || transitioning > max(1, int(maxTransitioningShare*float64(len(f.workers)))) {
-		f.t.Fatalf("at %v: %d prefill, %d decode, %d transitioning", f.now, prefillWorkers, decodeWorkers, transitioning)
+// checkInvariants fails the test if no worker runs or is changing its stage for prefill, no worker runs decode, or too many
+// workers are transitioning.
+func (s *simulatedService) checkInvariants() {
+	prefillWorkers, decodeWorkers, transitioning := s.countWorkers()
+	if prefillWorkers+transitioning < 1 || decodeWorkers < 1 && !s.allowNoDecode || transitioning > max(1, int(maxTransitioningShare*float64(len(s.workers)))) {
+		s.t.Fatalf("at %v: %d prefill, %d decode and %d transitioning of %d workers violate the limits", s.now, prefillWorkers, decodeWorkers, transitioning, len(s.workers))
 	}
 }
 
-func (f *fleet) expectPrefill(prefillWorkers int) {
-	f.t.Helper()
-	if have, _, transitioning := f.count(); have != prefillWorkers || transitioning != 0 {
-		f.t.Fatalf("%d prefill workers and %d transitioning, not %d", have, transitioning, prefillWorkers)
+func (s *simulatedService) expectPrefill(prefillWorkers int) {
+	s.t.Helper()
+	if got, _, transitioning := s.countWorkers(); got != prefillWorkers || transitioning != 0 {
+		s.t.Fatalf("at %v: %d prefill workers and %d transitioning, want %d and 0", s.now, got, transitioning, prefillWorkers)
 	}
 }
 
 func TestPlanner_Plan_followsDemand(t *testing.T) {
 	for _, start := range []int{6, 24, 54} {
-		f := newFleet(t, start, 60-start)
-		f.demand = demandOf(24, 2) // requires about 34 prefill and 4.4 decode workers
-		f.run(30 * time.Second)
-		prefillWorkers, _, transitioning := f.count()
+		s := newSimulatedService(t, start, 60-start)
+		s.demand = demandOf(24, 2) // requires about 34 prefill and 4.4 decode workers
+		s.run(30 * time.Second)
+		prefillWorkers, _, transitioning := s.countWorkers()
 		if transitioning != 0 || prefillWorkers < 50 || prefillWorkers > 56 {
-			t.Errorf("from %d: %d prefill, %d transitioning", start, prefillWorkers, transitioning)
+			t.Errorf("after 30s from %d prefill workers: %d prefill workers and %d transitioning, want 50 to 56 and 0", start, prefillWorkers, transitioning)
 		}
 	}
 }
 
 func TestPlanner_Plan_decodeHeavyDemand(t *testing.T) {
-	f := newFleet(t, 24, 36)
-	f.demand = demandOf(0.6, 20)
-	f.run(60 * time.Second)
-	f.expectPrefill(2)
+	s := newSimulatedService(t, 24, 36)
+	s.demand = demandOf(0.6, 20)
+	s.run(60 * time.Second)
+	s.expectPrefill(2)
 }
 
 func TestPlanner_Plan_withoutDemand(t *testing.T) {
-	f := newFleet(t, 4, 5)
-	f.run(30 * time.Second)
-	f.expectPrefill(4)
-	f.demand = demandOf(1, 0.1)
-	f.run(20 * time.Second)
-	before := len(f.commands)
-	f.demand = Demand{}
-	f.run(60 * time.Second)
-	if len(f.commands) != before {
-		t.Fatalf("%d commands after the traffic had ended", len(f.commands)-before)
+	s := newSimulatedService(t, 4, 5)
+	s.run(30 * time.Second)
+	s.expectPrefill(4)
+	s.demand = demandOf(1, 0.1)
+	s.run(20 * time.Second)
+	commandsBefore := len(s.commands)
+	s.demand = Demand{}
+	s.run(60 * time.Second)
+	if len(s.commands) != commandsBefore {
+		t.Fatalf("%d commands after the demand ended, want none", len(s.commands)-commandsBefore)
 	}
 }
 
 func TestPlanner_Plan_noDecodeWorkerLeft(t *testing.T) {
-	f := newFleet(t, 9, 0)
-	f.mayLackDecode = true
-	f.run(10 * time.Second)
-	f.expectPrefill(7)
-	f.demand = demandOf(3, 0.4)
-	f.run(20 * time.Second)
-	var left []Worker
-	for _, worker := range f.workers {
+	s := newSimulatedService(t, 9, 0)
+	s.allowNoDecode = true
+	s.run(10 * time.Second)
+	s.expectPrefill(7)
+	s.demand = demandOf(3, 0.4)
+	s.run(20 * time.Second)
+	var remaining []Worker
+	for _, worker := range s.workers {
 		if worker.Stage == Prefill {
-			left = append(left, worker)
+			remaining = append(remaining, worker)
 		}
 	}
-	f.workers = left    // all decode workers are lost at once
-	f.demand = Demand{} // and without them no demand is seen
-	f.run(10 * time.Second)
-	if _, decodeWorkers, _ := f.count(); decodeWorkers == 0 {
-		t.Fatal("no decode worker")
+	s.workers = remaining // all decode workers fail at the same time
+	s.demand = Demand{}   // without decode workers no demand is observed
+	s.run(10 * time.Second)
+	if _, decodeWorkers, _ := s.countWorkers(); decodeWorkers == 0 {
+		t.Fatal("no decode worker 10s after all of them failed")
 	}
 }
 
 func TestPlanner_Plan_hysteresis(t *testing.T) {
-	f := newFleet(t, 30, 30)
-	f.demand = demandOf(12, 10)
-	f.run(30 * time.Second)
-	before := len(f.commands)
+	s := newSimulatedService(t, 30, 30)
+	s.demand = demandOf(12, 10)
+	s.run(30 * time.Second)
+	commandsBefore := len(s.commands)
 	for i := range 60 {
-		f.demand = demandOf(12*(1+0.06*float64(i%2)), 10)
-		f.run(time.Second)
+		s.demand = demandOf(12*(1+0.06*float64(i%2)), 10)
+		s.run(time.Second)
 	}
-	if len(f.commands) != before {
-		t.Fatalf("%d commands", len(f.commands)-before)
+	if len(s.commands) != commandsBefore {
+		t.Fatalf("%d commands while the prefill demand alternated by 6%%, want none", len(s.commands)-commandsBefore)
 	}
 }
 
@@ -200,95 +200,95 @@
 		now := time.Duration(i+1) * 250 * time.Millisecond
 		for _, workers := range [][]Worker{nil, {{ID: "a", Stage: Decode}}, {{ID: "a"}, {ID: "b"}, {ID: "c"}}} {
 			if plan := planner.Plan(now, workers, demandOf(5, 1), time.Second); len(plan.Assignments)+len(plan.Commands) > 0 {
-				t.Fatalf("%+v", plan)
+				t.Fatalf("plan for workers %+v is %+v, want no assignments and no commands", workers, plan)
 			}
 		}
 	}
 }
 
 func TestPlanner_Plan_retriesThenWithdrawsCommand(t *testing.T) {
-	f := newFleet(t, 2, 7)
-	f.demand = demandOf(3, 0.4)
-	f.answer = func(command Command) Result {
+	s := newSimulatedService(t, 2, 7)
+	s.demand = demandOf(3, 0.4)
+	s.commandResult = func(command Command) Result {
 		if command.ID == "w02" {
 			return Busy
 		}
 		return Accepted
 	}
-	f.run(30 * time.Second)
-	given := 0
-	for _, command := range f.commands {
+	s.run(30 * time.Second)
+	sent := 0
+	for _, command := range s.commands {
 		if command.ID == "w02" {
-			given++
+			sent++
 		}
 	}
-	if given != maxAttempts || f.worker("w02").Assigned != "" {
-		t.Fatalf("%d commands, assigned %q", given, f.worker("w02").Assigned)
+	if sent != maxAttempts || s.worker("w02").Assigned != "" {
+		t.Fatalf("busy worker w02 got %d commands and is assigned %q, want %d commands and no assignment", sent, s.worker("w02").Assigned, maxAttempts)
 	}
-	if prefillWorkers, _, _ := f.count(); prefillWorkers < 6 {
-		t.Fatalf("%d prefill workers: no other worker was assigned", prefillWorkers)
+	if prefillWorkers, _, _ := s.countWorkers(); prefillWorkers < 6 {
+		t.Fatalf("%d prefill workers, want at least 6: no other worker replaced the busy one", prefillWorkers)
 	}
 }
 
 func TestPlanner_Plan_rejectedCommandNotRepeated(t *testing.T) {
-	f := newFleet(t, 2, 7)
-	f.demand = demandOf(3, 0.4)
-	f.answer = func(Command) Result { return Rejected }
-	f.run(20 * time.Second)
-	commanded := map[string]int{}
-	for _, command := range f.commands {
-		if commanded[command.ID]++; commanded[command.ID] > 1 {
-			t.Fatalf("%s was commanded again", command.ID)
+	s := newSimulatedService(t, 2, 7)
+	s.demand = demandOf(3, 0.4)
+	s.commandResult = func(Command) Result { return Rejected }
+	s.run(20 * time.Second)
+	commandCount := map[string]int{}
+	for _, command := range s.commands {
+		if commandCount[command.ID]++; commandCount[command.ID] > 1 {
+			t.Fatalf("worker %s rejected a command and was commanded again within 20s", command.ID)
 		}
 	}
-	if len(commanded) == 0 {
-		t.Fatal("no command")
+	if len(commandCount) == 0 {
+		t.Fatal("no command was sent")
 	}
 }
 
 func TestPlanner_Plan_newOwnerContinuesAssignments(t *testing.T) {
-	f := newFleet(t, 2, 7)
-	f.demand = demandOf(3, 0.4)
-	f.transitionTime = time.Hour
-	f.run(3 * time.Second)
-	f.planner, f.commands = NewPlanner(), nil
-	f.transitionTime = time.Second
-	f.run(500 * time.Millisecond)
-	if len(f.commands) == 0 || f.commands[0].Stage != Prefill {
-		t.Fatalf("the assignments of the previous owner were not continued: %+v", f.commands)
+	s := newSimulatedService(t, 2, 7)
+	s.demand = demandOf(3, 0.4)
+	s.transitionTime = time.Hour
+	s.run(3 * time.Second)
+	s.planner, s.commands = NewPlanner(), nil
+	s.transitionTime = time.Second
+	s.run(500 * time.Millisecond)
+	if len(s.commands) == 0 || s.commands[0].Stage != Prefill {
+		t.Fatalf("commands of the new owner are %+v, want the prefill assignments of the previous owner continued", s.commands)
 	}
 }
 
 func TestPlanner_Plan_replacedWorkers(t *testing.T) {
-	f := newFleet(t, 4, 5)
-	f.demand = demandOf(3, 0.4)
-	f.run(15 * time.Second)
-	prefillWorkers, _, _ := f.count()
-	for i := range f.workers { // a release replaces all workers, in their first stages
+	s := newSimulatedService(t, 4, 5)
+	s.demand = demandOf(3, 0.4)
+	s.run(15 * time.Second)
+	prefillWorkers, _, _ := s.countWorkers()
+	for i := range s.workers { // a rollout replaces all workers by new ones with their initial stages
 		stage := Decode
 		if i < 4 {
 			stage = Prefill
 		}
-		f.workers[i] = Worker{ID: fmt.Sprintf("x%02d", i), Zone: f.workers[i].Zone, Stage: stage}
+		s.workers[i] = Worker{ID: fmt.Sprintf("x%02d", i), Zone: s.workers[i].Zone, Stage: stage}
 	}
-	f.run(15 * time.Second)
-	f.expectPrefill(prefillWorkers)
+	s.run(15 * time.Second)
+	s.expectPrefill(prefillWorkers)
 }
 
 func TestPlanner_Plan_balancesZones(t *testing.T) {
-	f := newFleet(t, 0, 30)
-	f.workers[0].Stage = Prefill
-	f.demand = demandOf(10, 5)
-	f.run(30 * time.Second)
+	s := newSimulatedService(t, 0, 30)
+	s.workers[0].Stage = Prefill
+	s.demand = demandOf(10, 5)
+	s.run(30 * time.Second)
 	byZone := map[string]int{}
-	for i := range f.workers {
-		if f.workers[i].Stage == Prefill {
-			byZone[f.workers[i].Zone]++
+	for i := range s.workers {
+		if s.workers[i].Stage == Prefill {
+			byZone[s.workers[i].Zone]++
 		}
 	}
 	for zone, prefillWorkers := range byZone {
 		if prefillWorkers < byZone["z0"]-1 || prefillWorkers > byZone["z0"]+1 {
-			t.Errorf("%s has %d prefill workers: %v", zone, prefillWorkers, byZone)
+			t.Errorf("zone %s has %d prefill workers, want at most 1 more or less than z0: %v", zone, prefillWorkers, byZone)
 		}
 	}
 }
@@ -296,55 +296,55 @@
 func TestPrefillSlowdown_correctsForQueueing(t *testing.T) {
 	const prefillWorkers = 20
 	for _, slowdown := range []float64{0.5, 1, 2} {
-		for _, busy := range []float64{0.05, 0.5, 0.8, 0.95} {
-			done := busy * prefillWorkers / slowdown
-			wait := slowdown * (1 + queueingFactor*busy/(1-busy))
-			demand := Demand{Prefill: done, PrefillDone: done, PrefillTime: done * wait}
-			if seen := prefillSlowdown(demand, prefillWorkers); seen < 0.99*slowdown || seen > 1.01*slowdown {
-				t.Errorf("slowdown %v, utilization %v: estimated as %v", slowdown, busy, seen)
+		for _, utilization := range []float64{0.05, 0.5, 0.8, 0.95} {
+			completedWork := utilization * prefillWorkers / slowdown
+			timeRatio := slowdown * (1 + queueingFactor*utilization/(1-utilization))
+			demand := Demand{Prefill: completedWork, PrefillDone: completedWork, PrefillTime: completedWork * timeRatio}
+			if estimate := prefillSlowdown(demand, prefillWorkers); estimate < 0.99*slowdown || estimate > 1.01*slowdown {
+				t.Errorf("slowdown %v at utilization %v is estimated as %v, want within 1%%", slowdown, utilization, estimate)
 			}
 		}
 	}
-	if seen := prefillSlowdown(Demand{PrefillDone: 10, PrefillTime: 1e6}, prefillWorkers); seen > prefillWorkers/10.+1e-3 {
-		t.Errorf("endless waits are a slowdown of %v", seen)
+	if estimate := prefillSlowdown(Demand{PrefillDone: 10, PrefillTime: 1e6}, prefillWorkers); estimate > prefillWorkers/10.+1e-3 {
+		t.Errorf("extremely long queueing is estimated as slowdown %v, want at most %v", estimate, prefillWorkers/10.)
 	}
 }
 
 func TestPlanner_Plan_demandShiftsAndReturns(t *testing.T) {
-	f := newFleet(t, 24, 36)
-	f.demand = demandOf(24, 2)
-	f.run(20 * time.Second)
-	many, _, _ := f.count()
-	f.demand = demandOf(3, 18)
-	f.run(40 * time.Second)
-	few, _, _ := f.count()
-	f.demand = demandOf(24, 2)
-	f.run(40 * time.Second)
-	again, _, transitioning := f.count()
-	if many < 45 || few > 10 || again < 45 || transitioning != 0 {
-		t.Fatalf("%d prefill workers, then %d, then %d and %d transitioning", many, few, again, transitioning)
+	s := newSimulatedService(t, 24, 36)
+	s.demand = demandOf(24, 2)
+	s.run(20 * time.Second)
+	initial, _, _ := s.countWorkers()
+	s.demand = demandOf(3, 18)
+	s.run(40 * time.Second)
+	afterShift, _, _ := s.countWorkers()
+	s.demand = demandOf(24, 2)
+	s.run(40 * time.Second)
+	afterReturn, _, transitioning := s.countWorkers()
+	if initial < 45 || afterShift > 10 || afterReturn < 45 || transitioning != 0 {
+		t.Fatalf("%d prefill workers, %d after the shift to decode, %d and %d transitioning after the return; want at least 45, at most 10, at least 45 and 0", initial, afterShift, afterReturn, transitioning)
 	}
 }
 
 func TestPlanner_Plan_crashesDuringTransition(t *testing.T) {
-	f := newFleet(t, 6, 18)
-	f.demand = demandOf(9, 0.8)
-	f.transitionTime = time.Hour
-	f.run(3 * time.Second)
+	s := newSimulatedService(t, 6, 18)
+	s.demand = demandOf(9, 0.8)
+	s.transitionTime = time.Hour
+	s.run(3 * time.Second)
 	crashed := 0
-	for i := range f.workers {
-		if f.workers[i].transitioning() { // its replacement is another instance, in the first stage
+	for i := range s.workers {
+		if s.workers[i].transitioning() { // it crashes and is replaced by a new instance with the initial stage
 			crashed++
-			f.workers[i] = Worker{ID: fmt.Sprintf("x%02d", i), Zone: f.workers[i].Zone, Stage: Decode}
+			s.workers[i] = Worker{ID: fmt.Sprintf("x%02d", i), Zone: s.workers[i].Zone, Stage: Decode}
 		}
 	}
-	f.completesAt, f.transitionTime = map[string]time.Duration{}, time.Second
-	f.run(30 * time.Second)
-	prefillWorkers, _, transitioning := f.count()
+	s.completesAt, s.transitionTime = map[string]time.Duration{}, time.Second
+	s.run(30 * time.Second)
+	prefillWorkers, _, transitioning := s.countWorkers()
 	if crashed == 0 || prefillWorkers < 17 || transitioning != 0 {
-		t.Fatalf("%d crashed; %d prefill, %d transitioning", crashed, prefillWorkers, transitioning)
+		t.Fatalf("%d workers crashed, then %d prefill workers and %d transitioning; want some crashed, at least 17 and 0", crashed, prefillWorkers, transitioning)
 	}
-	if len(f.planner.transitions) != 0 {
-		t.Fatalf("%d transitions remain", len(f.planner.transitions))
+	if len(s.planner.transitions) != 0 {
+		t.Fatalf("the planner still has %d transitions, want none", len(s.planner.transitions))
 	}
 }
--- a/internal/controlplane/roleplanner/transition.go
+++ b/internal/controlplane/roleplanner/transition.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Times of a transition.
+// Durations that control a transition.
 const (
-	commandDelay         = 80 * time.Millisecond  // between assignment and first command; proxies learn of the assignment in it
-	assignmentTimeout    = 2 * time.Second        // an assignment that the registry has not recorded by then has failed
-	commandRetryInterval = time.Second            // between commands without a clear answer
-	confirmationTimeout  = 10 * time.Second       // an accepted command is repeated if the worker has not the stage by then
+	commandDelay         = 80 * time.Millisecond  // lets proxies learn of an assignment before the first command
+	assignmentTimeout    = 2 * time.Second        // after which an assignment that the registry has not recorded counts as failed
+	commandRetryInterval = time.Second            // between commands that are not accepted
+	confirmationTimeout  = 10 * time.Second       // after which an accepted command is repeated if it had no effect
 	pollInterval         = 400 * time.Millisecond // between two polls of a worker
-	reportLag            = 250 * time.Millisecond // maximal age of the stage that a worker reports when polled
+	reportLag            = 250 * time.Millisecond // maximum age of the stage that a worker reports when polled
 	failureCooldown      = 30 * time.Second       // without an assignment for a worker that failed to change its stage
 	transitionCooldown   = 8 * time.Second        // without an assignment for a worker that has changed its stage
 )
 
-// maxAttempts is the number of commands for one assignment, after which it is withdrawn.
+// maxAttempts is the number of commands after which an assignment is withdrawn.
 const maxAttempts = 6
 
 // transition is the state of one worker's change of stage.
 type transition struct {
-	stage       string        // that the worker is to have
+	stage       string        // stage that the worker is to have
 	assignedAt  time.Duration // when the assignment was made or first seen
-	commandedAt time.Duration // when the last command was given
-	polledAt    time.Duration // when the worker was last polled; 0: not since the last command
-	attempts    int           // commands that were given
-	accepted    bool          // the worker accepted the last command
+	commandedAt time.Duration // when the last command was issued
+	polledAt    time.Duration // when the worker was last polled; 0 if not since the last command
+	attempts    int           // number of commands issued
+	accepted    bool          // whether the worker accepted the last command
 }
 
-// pruneTransitions drops the transitions that are complete or withdrawn, the state of workers that are gone, and cooldowns
-// that are over.
+// pruneTransitions drops the transitions that are complete or withdrawn, the state of workers that no longer exist, and the
+// cooldowns that have ended.
 func (p *Planner) pruneTransitions(now time.Duration, workers []Worker) {
-	present := make(map[string]*Worker, len(workers))
+	workersByID := make(map[string]*Worker, len(workers))
 	for i := range workers {
-		present[workers[i].ID] = &workers[i]
+		workersByID[workers[i].ID] = &workers[i]
 	}
 	for id, current := range p.transitions {
-		worker := present[id]
+		worker := workersByID[id]
 		if worker != nil && worker.transitioning() && worker.Assigned == current.stage {
 			continue
 		}
 		if worker != nil && worker.Stage != current.stage && now-current.assignedAt < assignmentTimeout {
-			continue // its assignment is not recorded yet
+			continue // the registry has not recorded the assignment yet
 		}
 		delete(p.transitions, id)
 		if worker != nil && worker.Stage == current.stage {
@@ -48,14 +48,14 @@
 		}
 	}
 	for id, until := range p.cooldownUntil {
-		if present[id] == nil || now >= until {
+		if workersByID[id] == nil || now >= until {
 			delete(p.cooldownUntil, id)
 		}
 	}
 }
 
 // continueTransitions returns the commands and polls that are due, and withdraws the assignments of workers that have not
-// changed their stage after maxAttempts.
+// changed their stage after maxAttempts commands.
 func (p *Planner) continueTransitions(now time.Duration, workers []Worker) Plan {
 	var plan Plan
 	for i := range workers {
@@ -85,7 +85,7 @@
 	return plan
 }
 
-// commandDue reports whether the worker is to be commanded now.
+// commandDue reports whether a command must be sent to the worker now.
 func (t *transition) commandDue(now time.Duration) bool {
 	switch {
 	case t.attempts == 0:
@@ -97,8 +97,8 @@
 	}
 }
 
-// pollDue reports whether a worker that accepted a command may have its new stage and is to be polled now. Its next
-// heartbeat would report the stage only later.
+// pollDue reports whether a worker that accepted a command may have its new stage and must be polled now. Waiting for its
+// next heartbeat would take longer.
 func (t *transition) pollDue(now, switchTime time.Duration) bool {
 	return t.accepted && now-t.commandedAt >= switchTime+reportLag && (t.polledAt == 0 || now-t.polledAt >= pollInterval)
 }
