--- a/internal/controlplane/registry/codes.go
+++ b/internal/controlplane/registry/codes.go
@@ -11,13 +11,13 @@
 
 // Codes of the registry.
 const (
-	// Recorded means that the command changed the record of the instance.
+	// Recorded means that the command changed the instance's record.
 	Recorded Code = 1100
-	// Unchanged means that the record said the same already.
+	// Unchanged means that the record already had the values of the command.
 	Unchanged Code = 1101
-	// Stale means that a later heartbeat was applied before; the record is unchanged.
+	// Stale means that a later heartbeat was already applied; the record is unchanged.
 	Stale Code = 1102
-	// Gone means that the instance is removed and stays so; nothing is changed.
+	// Gone means that the instance has no record and that the command does not create one.
 	Gone Code = 1103
 	// Removed means that the command removed the instance.
 	Removed Code = 1104
@@ -25,9 +25,9 @@
 	Malformed Code = 1110
 	// MissingField rejects a heartbeat without a required member.
 	MissingField Code = 1111
-	// InvalidField rejects a member with a value of the wrong type or out of its range.
+	// InvalidField rejects a member whose value has the wrong type or is out of range.
 	InvalidField Code = 1112
-	// TooLarge rejects a body, a string or a list above its limit.
+	// TooLarge rejects a body, a string or a list that exceeds its limit.
 	TooLarge Code = 1113
 	// InvalidCommand rejects a log entry that cannot be decoded.
 	InvalidCommand Code = 1114
@@ -38,7 +38,7 @@
 // CodeEntry describes one code: its name, HTTP status and text.
 type CodeEntry = resultcode.Entry
 
-// Rejection is the error of a heartbeat, a deregistration or a command that is not applied.
+// Rejection is the error for a heartbeat, a deregistration or a command that is not applied.
 type Rejection = resultcode.Rejection
 
 var codes = resultcode.NewTable([]CodeEntry{
@@ -58,5 +58,5 @@
 // Codes returns all codes in ascending order.
 func Codes() []CodeEntry { return codes.Entries() }
 
-// reject returns the rejection with a code; detail names the part of the input that it concerns.
+// reject returns the rejection with a code; detail says what is wrong with which part of the input.
 func reject(code Code, detail string) *Rejection { return codes.Reject(code, detail) }
--- a/internal/controlplane/registry/command.go
+++ b/internal/controlplane/registry/command.go
@@ -8,24 +8,24 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Reason is why an instance was removed. Its values are part of the stored commands and snapshots.
-type Reason uint8
+// RemovalReason is why an instance was removed. Its values are stored in commands and snapshots.
+type RemovalReason uint8
 
-// Reasons of a removal. Deregistered and NeverRegistered are final: no heartbeat registers the instance again.
+// Reasons for a removal. Deregistered and NeverRegistered are permanent: no heartbeat registers the instance again.
 const (
-	// Deregistered instances asked for their removal.
-	Deregistered Reason = 1
-	// Expired instances sent no heartbeat for the time-out; a later heartbeat registers them again.
-	Expired Reason = 2
-	// Superseded instances had an address under which another instance has registered. Once that one is gone, a later heartbeat
-	// registers them again: the other may have been dead already when its first heartbeat arrived.
-	Superseded Reason = 3
-	// NeverRegistered instances deregistered before any heartbeat of theirs arrived.
-	NeverRegistered Reason = 4
+	// Deregistered instances requested their removal.
+	Deregistered RemovalReason = 1
+	// Expired instances sent no heartbeat within the timeout; a later heartbeat registers them again.
+	Expired RemovalReason = 2
+	// Superseded instances had an address with which another instance has registered since. Once the other instance is
+	// removed, a later heartbeat registers them again: the other one may have been dead when its first heartbeat arrived.
+	Superseded RemovalReason = 3
+	// NeverRegistered instances deregistered before any of their heartbeats arrived.
+	NeverRegistered RemovalReason = 4
 )
 
 // String returns the name of the reason.
-func (r Reason) String() string {
+func (r RemovalReason) String() string {
 	switch r {
 	case Deregistered:
 		return "deregistered"
@@ -40,10 +40,10 @@
 	}
 }
 
-// final reports whether heartbeats no longer register the instance again.
-func (r Reason) final() bool { return r == Deregistered || r == NeverRegistered }
+// permanent reports whether no heartbeat registers the instance again.
+func (r RemovalReason) permanent() bool { return r == Deregistered || r == NeverRegistered }
 
-// operation is what a command does. Its values are part of the log.
+// operation is what a command does. Its values are stored in the log.
 type operation int
 
 const (
@@ -55,12 +55,12 @@
 
 const (
 	commandFormat    = 1
-	maxArrayElements = 1 << 17 // limit for an array that is decoded from the log or a snapshot
+	maxArrayElements = 1 << 17 // limit for an array decoded from the log or a snapshot
 )
 
 var codec = avro.Config{MaxSliceAllocSize: maxArrayElements}.Freeze()
 
-// instanceFields are the schema's fields of an instance. A command has them beside those of its operation.
+// instanceFields are the schema fields of an instance. A command has them in addition to its own fields.
 const instanceFields = `
 	{"name":"id","type":"string"},
 	{"name":"service","type":"string"},
@@ -87,6 +87,7 @@
 	{"name":"reason","type":"int"},` + instanceFields + `]}`)
 )
 
+// instanceRecord is the encoded form of an Instance.
 type instanceRecord struct {
 	ID         string  `avro:"id"`
 	Service    string  `avro:"service"`
@@ -100,6 +101,7 @@
 	Assigned   string  `avro:"assigned"`
 }
 
+// commandRecord is the encoded form of a command.
 type commandRecord struct {
 	Format    int   `avro:"format"`
 	Operation int   `avro:"operation"`
@@ -111,13 +113,13 @@
 // command is a decoded command. Which fields are set depends on its operation.
 type command struct {
 	operation operation
-	instance  Instance // a removal has the ID alone, the stage operations the ID and the stage
+	instance  Instance // a removal sets only the ID, the stage operations set the ID and the stage
 	sequence  uint64
-	reason    Reason
+	reason    RemovalReason
 }
 
-// recordOf returns the encoded form of an instance.
-func recordOf(instance Instance) instanceRecord {
+// newInstanceRecord returns the encoded form of an instance.
+func newInstanceRecord(instance Instance) instanceRecord {
 	return instanceRecord{
 		ID:         instance.ID,
 		Service:    instance.Service,
@@ -148,18 +150,19 @@
 	}
 }
 
-// EncodePut returns the command that records an instance as its heartbeat with that sequence reported it.
+// EncodePut returns the command that records an instance as reported by its heartbeat with the given sequence.
 func EncodePut(instance Instance, sequence uint64) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
 		Operation:      int(operationPut),
 		Sequence:       int64(sequence),
-		instanceRecord: recordOf(instance),
+		instanceRecord: newInstanceRecord(instance),
 	})
 }
 
-// EncodeRemove returns the command that removes an instance; sequence is that of its last known heartbeat, or 0.
-func EncodeRemove(id string, reason Reason, sequence uint64) []byte {
+// EncodeRemove returns the command that removes an instance; sequence is that of its last known heartbeat, or 0 if it has
+// none.
+func EncodeRemove(id string, reason RemovalReason, sequence uint64) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
 		Operation:      int(operationRemove),
@@ -178,7 +181,7 @@
 	})
 }
 
-// EncodeStage returns the command that records the stage that an instance has reported when it was polled.
+// EncodeStage returns the command that records the stage that an instance reported when it was polled.
 func EncodeStage(id, stage string) []byte {
 	return mustMarshal(commandSchema, commandRecord{
 		Format:         commandFormat,
@@ -190,31 +193,33 @@
 // decodeCommand decodes a log entry. Its rejections have the code InvalidCommand.
 func decodeCommand(encoded []byte) (command, *Rejection) {
 	if len(encoded) == 0 {
-		return command{}, reject(InvalidCommand, "it is empty")
+		return command{}, reject(InvalidCommand, "the command is empty")
 	}
 	var record commandRecord
 	if err := strictavro.Unmarshal(codec, commandSchema, encoded, &record); err != nil {
 		return command{}, reject(InvalidCommand, err.Error())
 	}
 	if record.Format != commandFormat {
-		return command{}, reject(InvalidCommand, fmt.Sprintf("format %d", record.Format))
+		return command{}, reject(InvalidCommand, fmt.Sprintf("the command has format %d, expected %d", record.Format, commandFormat))
 	}
 	decoded := command{
 		operation: operation(record.Operation),
 		instance:  record.instance(),
 		sequence:  uint64(record.Sequence),
-		reason:    Reason(record.Reason),
+		reason:    RemovalReason(record.Reason),
 	}
 	if decoded.instance.ID == "" {
-		return command{}, reject(InvalidCommand, "it names no instance")
+		return command{}, reject(InvalidCommand, "the command has no instance ID")
 	}
 	return decoded, nil
 }
 
 // EncodeItem returns the value of an instance's item in the feed.
-func EncodeItem(instance Instance) []byte { return mustMarshal(itemSchema, recordOf(instance)) }
+func EncodeItem(instance Instance) []byte {
+	return mustMarshal(itemSchema, newInstanceRecord(instance))
+}
 
-// DecodeItem decodes what EncodeItem returned. The error is a *Rejection with InvalidCommand.
+// DecodeItem decodes a value encoded by EncodeItem. The error is a *Rejection with the code InvalidCommand.
 func DecodeItem(value []byte) (Instance, error) { return decodeItem(itemSchema, value) }
 
 // decodeItem decodes an instance with the schema of its format.
@@ -229,11 +234,11 @@
 	return record.instance(), nil
 }
 
-// mustMarshal encodes a record of this package with its own schema, which cannot fail.
+// mustMarshal encodes a record of this package with the matching schema, which cannot fail.
 func mustMarshal(schema avro.Schema, record any) []byte {
 	encoded, err := codec.Marshal(schema, record)
 	if err != nil {
-		panic(fmt.Sprintf("registry: encode: %v", err))
+		panic(fmt.Sprintf("registry: encode %T: %v", record, err))
 	}
 	return encoded
 }
--- a/internal/controlplane/registry/compatibility_test.go
+++ b/internal/controlplane/registry/compatibility_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// commandRow is a row of a command of the log, whose value is what it does to a store with one instance.
+// commandRow returns a row for a command of the log. Its value is the code of applying the command to a store with one
+// instance.
 func commandRow(name string, command []byte, want registry.Code) golden.Row {
 	return golden.Row{
 		Name: name, Value: want,
@@ -28,7 +29,7 @@
 	}
 }
 
-// compatibilityRows are a command of each kind, an item of the feed, and a snapshot.
+// compatibilityRows returns rows for a command of each kind, an item of the feed, and a snapshot.
 func compatibilityRows() []golden.Row {
 	instance := compatibilityInstance("worker-1")
 	put, remove := registry.EncodePut(instance, 1<<40), registry.EncodeRemove("worker-2", registry.Expired, 7)
--- a/internal/controlplane/registry/doc.go
+++ b/internal/controlplane/registry/doc.go
@@ -1,17 +1,17 @@
 // Package registry holds the registered instances of services: workers, and the nodes of the router fleet itself under
 // NodesService.
 //
-// An instance registers and renews its registration by heartbeats. The state has two parts:
+// An instance registers by sending heartbeats, which also renew its registration. The state has two parts:
 //
-//   - Store is replicated. It is a deterministic state machine over the commands of one shard's log (EncodePut,
-//     EncodeRemove, EncodeAssign, EncodeStage) and holds a record for each instance and a tombstone for each removed one.
-//   - LivenessTracker is soft state of the shard's owner (the leader of its consensus group): when each instance was last
-//     heard. LivenessTracker.Heartbeat renews a registration, and proposes a command only where the heartbeat changes the
-//     record; LivenessTracker.Expired proposes the removal of instances whose heartbeats have stopped.
+//   - Store is replicated. It is a deterministic state machine that applies the commands of one shard's log (EncodePut,
+//     EncodeRemove, EncodeAssign, EncodeStage). It holds a record of each instance and a tombstone of each removed one.
+//   - LivenessTracker is soft state of the shard's owner (the leader of its consensus group): the time of each instance's
+//     last heartbeat. LivenessTracker.Heartbeat renews a registration, and proposes a command only if the heartbeat
+//     changes the record; LivenessTracker.Expired proposes the removal of instances whose heartbeats have stopped.
 //
-// Heartbeats may arrive late, twice and in any order. Their sequence numbers and the tombstones make sure that an instance
-// that is draining does not become ready again, and that one which deregistered does not return.
+// Heartbeats may arrive late, more than once and in any order. Sequence numbers and tombstones ensure that a draining
+// instance does not become ready again, and that a deregistered instance does not reappear.
 //
-// The package has no clock, no I/O and no locks. Package server calls it with the instants, the committed commands and the
-// bodies of heartbeats, and guards each shard's Store and LivenessTracker by a mutex.
+// The package has no clock, performs no I/O and takes no locks. Package server passes in the time, the committed commands
+// and the bodies of heartbeats, and guards the Store and LivenessTracker of each shard with a mutex.
 package registry
--- a/internal/controlplane/registry/example_test.go
+++ b/internal/controlplane/registry/example_test.go
@@ -7,8 +7,8 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// The owner of a shard registers two workers by their first heartbeats. Later ones renew the registrations without a log entry.
-// A worker that sends no more heartbeats expires.
+// The owner of a shard registers two workers when their first heartbeats arrive. Later heartbeats renew the registrations
+// without a log entry. A worker that stops sending heartbeats expires.
 func ExampleLivenessTracker() {
 	store := registry.NewStore()
 	tracker := registry.NewLivenessTracker(time.Second, registry.LivenessOptions{})
@@ -16,7 +16,7 @@
 	tracker.OwnershipGained(now, nil)
 
 	index := uint64(0)
-	apply := func(command []byte) registry.Code { // stands for the replicated log of the shard
+	apply := func(command []byte) registry.Code { // stands in for the shard's replicated log
 		index++
 		outcome, change := store.Apply(index, command)
 		tracker.Applied(now, change)
--- a/internal/controlplane/registry/expiry.go
+++ b/internal/controlplane/registry/expiry.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// expiryCandidates are the registered instances of one service, by what their expiry depends on. The lists hold IDs of
-// instances without a heartbeat for the time-out.
+// expiryCandidates groups the registered instances of one service by the conditions of their expiry. The lists contain the
+// IDs of instances that have sent no heartbeat within the timeout.
 type expiryCandidates struct {
-	ready         int      // ready instances whose removal is not pending, timed out or not
-	timedOut      []string // those of them that timed out
-	draining      []string // draining instances that timed out
-	stuckRemovals []string // instances whose removal was proposed a time-out ago and is not applied
+	readyCount      int      // number of ready instances without a pending removal, whether timed out or not
+	timedOut        []string // ready instances without a pending removal that timed out
+	draining        []string // draining instances that timed out
+	overdueRemovals []string // instances whose removal was proposed at least a timeout ago and is not applied yet
 }
 
-// Expired returns the removals to propose for instances that have sent no heartbeat for the time-out. It must be called
-// several times in each StallGap.
+// Expired returns the commands to propose that remove the instances that have sent no heartbeat within the timeout. It must
+// be called several times per StallGap.
 //
-// At most half of the ready instances of a service expire within ExpiryWindow. Where more have timed out, none of them
-// expires, since the fault may be on the side of this server. Draining instances expire regardless: they get no requests.
+// At most half of the ready instances of a service expire within ExpiryWindow. If more have timed out, none of them
+// expires, since the fault may be with this server. Draining instances expire regardless, because they get no requests.
 func (t *LivenessTracker) Expired(now time.Time) [][]byte {
 	if !t.owned {
 		return nil
@@ -27,7 +27,7 @@
 	if now.Before(t.graceUntil) {
 		return nil
 	}
-	byService := t.classifyInstances(now)
+	byService := t.collectCandidates(now)
 	services := make([]string, 0, len(byService))
 	for service := range byService {
 		services = append(services, service)
@@ -42,8 +42,8 @@
 	return commands
 }
 
-// classifyInstances groups the registered instances by service, and drops timed-out ones that were never recorded.
-func (t *LivenessTracker) classifyInstances(now time.Time) map[string]*expiryCandidates {
+// collectCandidates groups the registered instances by service, and drops timed-out instances that were never recorded.
+func (t *LivenessTracker) collectCandidates(now time.Time) map[string]*expiryCandidates {
 	byService := map[string]*expiryCandidates{}
 	for id, liveness := range t.instances {
 		timedOut := now.Sub(liveness.lastHeartbeat) >= t.timeout
@@ -58,38 +58,38 @@
 			candidates = &expiryCandidates{}
 			byService[liveness.service] = candidates
 		}
-		t.classify(now, id, liveness, timedOut, candidates)
+		t.addCandidate(now, id, liveness, timedOut, candidates)
 	}
 	return byService
 }
 
-// classify adds one registered instance to the candidates of its service.
-func (t *LivenessTracker) classify(now time.Time, id string, liveness *instanceLiveness, timedOut bool, into *expiryCandidates) {
+// addCandidate adds a registered instance to the candidates of its service.
+func (t *LivenessTracker) addCandidate(now time.Time, id string, liveness *instanceLiveness, timedOut bool, candidates *expiryCandidates) {
 	switch {
 	case liveness.removalPending:
 		if timedOut && now.Sub(liveness.removalProposedAt) >= t.timeout {
-			into.stuckRemovals = append(into.stuckRemovals, id)
+			candidates.overdueRemovals = append(candidates.overdueRemovals, id)
 		}
 	case liveness.state == Draining:
 		if timedOut {
-			into.draining = append(into.draining, id)
+			candidates.draining = append(candidates.draining, id)
 		}
 	default:
-		into.ready++
+		candidates.readyCount++
 		if timedOut {
-			into.timedOut = append(into.timedOut, id)
+			candidates.timedOut = append(candidates.timedOut, id)
 		}
 	}
 }
 
-// selectExpired returns the sorted IDs of a service's instances to remove, and marks their removal as pending.
+// selectExpired returns the sorted IDs of the instances of a service to remove, and marks their removal as pending.
 func (t *LivenessTracker) selectExpired(now time.Time, service string, candidates *expiryCandidates) []string {
 	recentCount := t.countRecentExpiries(now, service)
-	chosen := append(candidates.draining, candidates.stuckRemovals...)
-	total := candidates.ready + recentCount
+	chosen := append(candidates.draining, candidates.overdueRemovals...)
+	total := candidates.readyCount + recentCount
 	if 2*(recentCount+len(candidates.timedOut)) <= total {
 		chosen = append(chosen, candidates.timedOut...)
-		t.noteExpiries(now, service, candidates.timedOut)
+		t.recordExpiries(now, service, candidates.timedOut)
 	}
 	for _, id := range chosen {
 		t.instances[id].removalPending = true
@@ -99,19 +99,19 @@
 	return chosen
 }
 
-// countRecentExpiries returns how many instances of a service expired within ExpiryWindow.
+// countRecentExpiries returns how many instances of a service expired within ExpiryWindow, and forgets older expiries.
 func (t *LivenessTracker) countRecentExpiries(now time.Time, service string) int {
-	times := t.recentExpiries[service]
-	for id, at := range times {
+	expiredAt := t.recentExpiries[service]
+	for id, at := range expiredAt {
 		if now.Sub(at) > t.options.ExpiryWindow {
-			delete(times, id)
+			delete(expiredAt, id)
 		}
 	}
-	return len(times)
+	return len(expiredAt)
 }
 
-// noteExpiries records when the removal of a service's instances was proposed.
-func (t *LivenessTracker) noteExpiries(now time.Time, service string, ids []string) {
+// recordExpiries records that the removal of these instances of a service is proposed now.
+func (t *LivenessTracker) recordExpiries(now time.Time, service string, ids []string) {
 	if len(ids) == 0 {
 		return
 	}
--- a/internal/controlplane/registry/expiry_test.go
+++ b/internal/controlplane/registry/expiry_test.go
@@ -10,241 +10,241 @@
 )
 
 func TestLivenessTracker_Expired_afterTimeout(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	s.register(list)
-	s.advance(expiryTimeout, list...)
-	s.advance(expiryTimeout-tick, list[1:]...)
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	s.register(instances)
+	s.advance(expiryTimeout, instances...)
+	s.advance(expiryTimeout-tick, instances[1:]...)
 	if len(s.store.Instances("")) != 4 {
-		t.Fatal("it expired too early")
+		t.Fatalf("%d instances are registered one tick before the timeout, want 4", len(s.store.Instances("")))
 	}
-	s.advance(tick, list[1:]...)
+	s.advance(tick, instances[1:]...)
 	if len(s.store.Instances("")) != 3 || s.store.Instance("i00") != nil {
-		t.Fatal(s.store.Instances(""))
+		t.Fatalf("instances after the timeout of i00 are %+v, want the other 3", s.store.Instances(""))
 	}
-	if action, code := s.heartbeat(list[0], 0); action != Propose || code != Recorded {
-		t.Fatal("it must come back", action, code)
+	if action, code := s.heartbeat(instances[0], 0); action != Propose || code != Recorded {
+		t.Fatalf("heartbeat of an expired instance: action %v, code %v; want %v, %v", action, code, Propose, Recorded)
 	}
 }
 
 func TestNewLivenessTracker_minTimeout(t *testing.T) {
-	for heartbeat, expected := range map[time.Duration]time.Duration{
+	for heartbeat, want := range map[time.Duration]time.Duration{
 		100 * time.Millisecond: defaultMinTimeout,
 		time.Second:            4 * time.Second,
 		3 * time.Second:        12 * time.Second,
 	} {
-		if tracker := NewLivenessTracker(heartbeat, LivenessOptions{}); tracker.timeout != expected {
-			t.Errorf("%v: %v", heartbeat, tracker.timeout)
+		if tracker := NewLivenessTracker(heartbeat, LivenessOptions{}); tracker.timeout != want {
+			t.Errorf("heartbeat interval %v: timeout %v, want %v", heartbeat, tracker.timeout, want)
 		}
 	}
 }
 
 func TestLivenessTracker_OwnershipGained_grantsFullTimeout(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	for number, instance := range list {
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	for number, instance := range instances {
 		s.heartbeat(instance, uint64(5+number))
 	}
 	s.advance(expiryTimeout - tick)
-	s.gain()
-	s.advance(expiryTimeout-tick, list[1:]...)
+	s.gainOwnership()
+	s.advance(expiryTimeout-tick, instances[1:]...)
 	if len(s.store.Instances("")) != 4 {
-		t.Fatal("it expired too early")
+		t.Fatalf("%d instances are registered one tick before the timeout of the new ownership, want 4", len(s.store.Instances("")))
 	}
-	s.advance(tick, list[1:]...)
+	s.advance(tick, instances[1:]...)
 	if len(s.store.Instances("")) != 3 {
-		t.Fatal("an instance whose numbers the new owner does not know must expire as well")
+		t.Fatalf("%d instances are registered, want 3: one whose sequences the new owner does not know must expire, too", len(s.store.Instances("")))
 	}
 }
 
 func TestLivenessTracker_Expired_graceAfterStall(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	s.register(list)
-	s.advance(expiryTimeout, list...)
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	s.register(instances)
+	s.advance(expiryTimeout, instances...)
 	s.now = s.now.Add(time.Minute)
 	if s.expire() != 0 {
-		t.Fatal("expired right after the stall")
+		t.Fatal("instances expired immediately after a stall of the process")
 	}
-	s.advance(expiryTimeout-tick, list[1:]...)
+	s.advance(expiryTimeout-tick, instances[1:]...)
 	if len(s.store.Instances("")) != 4 {
-		t.Fatal("expired within the time-out")
+		t.Fatalf("%d instances are registered one tick before the timeout after the stall, want 4", len(s.store.Instances("")))
 	}
-	s.advance(tick, list[1:]...)
+	s.advance(tick, instances[1:]...)
 	if len(s.store.Instances("")) != 3 {
-		t.Fatal("it did not expire after the time-out")
+		t.Fatalf("%d instances are registered at the timeout after the stall, want 3", len(s.store.Instances("")))
 	}
 }
 
-func TestLivenessTracker_Expired_spareMajority(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(10)
-	s.register(list)
-	s.advance(expiryTimeout, list...)
-	s.advance(10*expiryTimeout, list[6:]...)
+func TestLivenessTracker_Expired_sparesMajority(t *testing.T) {
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(10)
+	s.register(instances)
+	s.advance(expiryTimeout, instances...)
+	s.advance(10*expiryTimeout, instances[6:]...)
 	if len(s.store.Instances("")) != 10 {
-		t.Fatal("6 of 10 expired")
+		t.Fatalf("%d instances are registered after 6 of 10 timed out, want all 10", len(s.store.Instances("")))
 	}
-	s.advance(expiryTimeout, list[5:]...)
+	s.advance(expiryTimeout, instances[5:]...)
 	if len(s.store.Instances("")) != 5 {
-		t.Fatal("5 of 10 did not expire")
+		t.Fatalf("%d instances are registered after 5 of 10 timed out, want 5", len(s.store.Instances("")))
 	}
 }
 
-func TestLivenessTracker_Expired_spareOnlyInstance(t *testing.T) {
-	s := newShard()
-	s.gain()
+func TestLivenessTracker_Expired_sparesOnlyInstance(t *testing.T) {
+	s := newSimulatedShard()
+	s.gainOwnership()
 	s.register(workers(1))
 	s.advance(5 * expiryTimeout)
 	if len(s.store.Instances("")) != 1 {
-		t.Fatal("it expired")
+		t.Fatal("the only instance of a service expired")
 	}
-	next := worker(2)
-	s.advance(expiryTimeout, next)
+	successor := worker(2)
+	s.advance(expiryTimeout, successor)
 	if s.store.Instance("i00") != nil {
-		t.Fatal("it stays beside its successor")
+		t.Fatal("a timed-out instance did not expire after another instance registered")
 	}
 }
 
 func TestLivenessTracker_Expired_countsServicesSeparately(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	list[2].Service, list[3].Service = "other", "other"
-	s.register(list)
-	s.advance(expiryTimeout, list...)
-	s.advance(2*expiryTimeout, list[0], list[2])
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	instances[2].Service, instances[3].Service = "other", "other"
+	s.register(instances)
+	s.advance(expiryTimeout, instances...)
+	s.advance(2*expiryTimeout, instances[0], instances[2])
 	if len(s.store.Instances("")) != 2 {
-		t.Fatal(s.store.Instances(""))
+		t.Fatalf("instances after half of each service timed out are %+v, want 2", s.store.Instances(""))
 	}
 }
 
 func TestLivenessTracker_Expired_drainingRegardlessOfLimit(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	for number := range list[:3] {
-		list[number].State = Draining
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	for number := range instances[:3] {
+		instances[number].State = Draining
 	}
-	s.register(list)
+	s.register(instances)
 	s.advance(2 * expiryTimeout)
 	if len(s.store.Instances("")) != 1 {
-		t.Fatal(s.store.Instances(""))
+		t.Fatalf("instances after all timed out are %+v, want only the ready one", s.store.Instances(""))
 	}
 }
 
 func TestLivenessTracker_Expired_nodesReturn(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	for number := range list {
-		list[number].Service = NodesService
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	for number := range instances {
+		instances[number].Service = NodesService
 	}
-	s.register(list)
-	s.heartbeat(list[0], 900)
-	if action, _ := s.heartbeat(list[0], 3); action != Acknowledge {
-		t.Fatal(action)
+	s.register(instances)
+	s.heartbeat(instances[0], 900)
+	if action, _ := s.heartbeat(instances[0], 3); action != Acknowledge {
+		t.Fatalf("action for a node's heartbeat with a lower sequence is %v, want %v", action, Acknowledge)
 	}
-	s.advance(2*expiryTimeout, list[1:]...)
+	s.advance(2*expiryTimeout, instances[1:]...)
 	if len(s.store.Instances(NodesService)) != 3 {
-		t.Fatal(s.store.Instances(NodesService))
+		t.Fatalf("nodes after the timeout of one are %+v, want 3", s.store.Instances(NodesService))
 	}
-	if action, code := s.heartbeat(list[0], 4); action != Propose || code != Recorded {
-		t.Fatal(action, code)
+	if action, code := s.heartbeat(instances[0], 4); action != Propose || code != Recorded {
+		t.Fatalf("heartbeat of an expired node: action %v, code %v; want %v, %v", action, code, Propose, Recorded)
 	}
-	s.deregister(list[0].ID)
-	if action, code := s.heartbeat(list[0], 1); action != Propose || code != Recorded {
-		t.Fatal("a node may start again under its ID", action, code)
+	s.deregister(instances[0].ID)
+	if action, code := s.heartbeat(instances[0], 1); action != Propose || code != Recorded {
+		t.Fatalf("heartbeat of a restarted node with the ID of a deregistered one: action %v, code %v; want %v, %v", action, code, Propose, Recorded)
 	}
 }
 
 func TestLivenessTracker_Expired_proposesLostRemovalAgain(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	s.register(list)
-	s.advance(expiryTimeout, list...)
-	s.stalled = true
-	s.advance(expiryTimeout, list[1:]...)
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	s.register(instances)
+	s.advance(expiryTimeout, instances...)
+	s.dropProposals = true
+	s.advance(expiryTimeout, instances[1:]...)
 	if s.expire() != 0 {
-		t.Fatal("proposed twice within the time-out")
+		t.Fatal("a removal was proposed again within the timeout")
 	}
-	s.stalled = false
-	s.advance(expiryTimeout, list[1:]...)
+	s.dropProposals = false
+	s.advance(expiryTimeout, instances[1:]...)
 	if len(s.store.Instances("")) != 3 {
-		t.Fatal("a lost proposal was not made again")
+		t.Fatalf("%d instances are registered, want 3: the lost removal was not proposed again", len(s.store.Instances("")))
 	}
 }
 
 func TestLivenessTracker_Heartbeat_cancelsLostRemoval(t *testing.T) {
-	s := newShard()
-	s.gain()
-	list := workers(4)
-	s.register(list)
-	s.advance(expiryTimeout, list...)
-	s.stalled = true
-	s.advance(expiryTimeout, list[1:]...)
-	s.stalled = false
-	if action, code := s.heartbeat(list[0], 0); action != Propose || code != Unchanged {
-		t.Fatal("a heartbeat during a pending removal must be an entry", action, code)
+	s := newSimulatedShard()
+	s.gainOwnership()
+	instances := workers(4)
+	s.register(instances)
+	s.advance(expiryTimeout, instances...)
+	s.dropProposals = true
+	s.advance(expiryTimeout, instances[1:]...)
+	s.dropProposals = false
+	if action, code := s.heartbeat(instances[0], 0); action != Propose || code != Unchanged {
+		t.Fatalf("heartbeat during a pending removal: action %v, code %v; want %v, %v", action, code, Propose, Unchanged)
 	}
-	s.advance(2*expiryTimeout, list...)
-	if action, _ := s.heartbeat(list[0], 0); action != Acknowledge || s.store.Instance("i00") == nil {
-		t.Fatal(action)
+	s.advance(2*expiryTimeout, instances...)
+	if action, _ := s.heartbeat(instances[0], 0); action != Acknowledge || s.store.Instance("i00") == nil {
+		t.Fatalf("action for a heartbeat after the lost removal is %v and the record is %+v; want %v and a record", action, s.store.Instance("i00"), Acknowledge)
 	}
 }
 
 func TestLivenessTracker_clockMovingBackwards(t *testing.T) {
-	s := newShard()
-	s.gain()
+	s := newSimulatedShard()
+	s.gainOwnership()
 	s.register(workers(4))
 	if commands := s.tracker.Expired(s.now.Add(-time.Hour)); commands != nil {
-		t.Fatal(commands)
+		t.Fatalf("Expired returned %d commands after the clock moved backwards, want none", len(commands))
 	}
 	s.now = s.now.Add(tick)
 	if s.expire() != 0 {
-		t.Fatal("a decreasing clock was taken for a stall")
+		t.Fatal("instances expired after the clock moved backwards and forwards again")
 	}
 }
 
 func TestLivenessTracker_Expired_atMostHalfPerWindow(t *testing.T) {
-	total := 0
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 7))
+	totalExpired := 0
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(propertySeed + 7))
 	properties.Property("at most half of a service expires within the window", prop.ForAll(
 		func(count int, stops []uint16) bool {
-			s := newShard()
-			s.gain()
-			list := workers(count)
-			s.register(list)
-			stoppedAt := map[int]time.Time{}
-			for position, stop := range stops {
+			s := newSimulatedShard()
+			s.gainOwnership()
+			instances := workers(count)
+			s.register(instances)
+			stopTimes := map[int]time.Time{}
+			for position, stopTicks := range stops {
 				number := position % count
-				stoppedAt[number] = s.now.Add(time.Duration(stop%300) * tick)
+				stopTimes[number] = s.now.Add(time.Duration(stopTicks%300) * tick)
 			}
-			expired, valid := s.expireAtMostHalf(list, stoppedAt)
-			total += expired
-			return valid && s.allLiveRegistered(list, stoppedAt)
+			expired, withinLimit := s.simulateExpiry(instances, stopTimes)
+			totalExpired += expired
+			return withinLimit && s.allLiveRegistered(instances, stopTimes)
 		},
 		gen.IntRange(1, 12), gen.SliceOf(gen.UInt16()),
 	))
 	properties.TestingRun(t)
-	if total < 50 {
-		t.Fatalf("only %d expired: the property was hardly exercised", total)
+	if totalExpired < 50 {
+		t.Fatalf("only %d instances expired in all runs, want at least 50: the property was hardly exercised", totalExpired)
 	}
 }
 
-// expireAtMostHalf advances time while instances send heartbeats until they stop. It returns how many expired, and reports
-// whether at most half of the instances expired within each window.
-func (s *shard) expireAtMostHalf(list []Instance, stoppedAt map[int]time.Time) (total int, valid bool) {
+// simulateExpiry advances the time while each instance sends heartbeats until its stop time, if it has one. It returns how
+// many instances expired, and whether at most half of the instances expired within each window.
+func (s *simulatedShard) simulateExpiry(instances []Instance, stopTimes map[int]time.Time) (total int, withinLimit bool) {
 	var expiries []time.Time
 	for round := 0; round < 400; round++ {
 		s.now = s.now.Add(tick)
-		for number, instance := range list {
-			if from, stopped := stoppedAt[number]; !stopped || s.now.Before(from) {
+		for number, instance := range instances {
+			if stopTime, stopped := stopTimes[number]; !stopped || s.now.Before(stopTime) {
 				s.heartbeat(instance, 0)
 			}
 		}
@@ -254,25 +254,25 @@
 			expiries = append(expiries, s.now)
 		}
 		total += expired
-		within := 0
+		inWindow := 0
 		for _, at := range expiries {
 			if s.now.Sub(at) <= defaultExpiryWindow {
-				within++
+				inWindow++
 			}
 		}
-		// Those that expired in the window were all registered at its start.
-		if 2*within > before-expired+within {
+		// All instances that expired in the window were registered at its start.
+		if 2*inWindow > before-expired+inWindow {
 			return total, false
 		}
 	}
 	return total, true
 }
 
-// allLiveRegistered reports whether the store has all instances that sent a heartbeat within the time-out.
-func (s *shard) allLiveRegistered(list []Instance, stoppedAt map[int]time.Time) bool {
-	for number, instance := range list {
-		from, stopped := stoppedAt[number]
-		if (!stopped || s.now.Before(from.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
+// allLiveRegistered reports whether the store has all instances that sent a heartbeat within the timeout.
+func (s *simulatedShard) allLiveRegistered(instances []Instance, stopTimes map[int]time.Time) bool {
+	for number, instance := range instances {
+		stopTime, stopped := stopTimes[number]
+		if (!stopped || s.now.Before(stopTime.Add(expiryTimeout))) && s.store.Instance(instance.ID) == nil {
 			return false
 		}
 	}
--- a/internal/controlplane/registry/heartbeat.go
+++ b/internal/controlplane/registry/heartbeat.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/netip"
 	"strings"
 
@@ -10,30 +11,30 @@
 	"ospreybend/internal/util/jsonfield"
 )
 
-// Limits of the fields of a heartbeat.
+// Limits and special values of the fields of a heartbeat.
 const (
-	maxBodyBytes   = 256 << 10 // bytes
-	maxNameBytes   = 256       // bytes of a name or an address
+	maxBodyBytes   = 256 << 10
+	maxNameBytes   = 256 // of a name or an address
 	maxModels      = 1024
-	maxAdapters    = 4096 // of one model
-	maxNumber      = 1 << 40
+	maxAdapters    = 4096 // per model
+	maxAbsNumber   = 1 << 40
 	reservedPrefix = "@" // of the names of the fleet's own services
 	minSlots       = 1
-	unnumbered     = 0 // sequence of a heartbeat without one
+	noSequence     = 0 // sequence of a heartbeat that has none
 )
 
-// Heartbeat is one heartbeat: the record that the instance reports, and what is not replicated of it.
+// Heartbeat is a parsed heartbeat: the record that the instance reports, and values that are not part of the record.
 type Heartbeat struct {
 	Instance
-	WarmUpRemainingMs int64  // milliseconds for which the worker is still warming up; not replicated
-	Sequence          uint64 // rises with every call of the instance; unnumbered if it sends none
+	WarmUpRemainingMs int64  // milliseconds until the worker has warmed up; not replicated
+	Sequence          uint64 // increases with every call of the instance; noSequence if it sends none
 }
 
-// ParseHeartbeat parses the body of a heartbeat of the instance id. Unknown fields are ignored; an unknown state
+// ParseHeartbeat parses the body of a heartbeat from the instance id. Unknown members are ignored, and an unknown state
 // counts as draining. The error is a *Rejection.
 func ParseHeartbeat(id string, body []byte) (Heartbeat, error) {
 	if len(body) > maxBodyBytes {
-		return Heartbeat{}, reject(TooLarge, "body")
+		return Heartbeat{}, reject(TooLarge, fmt.Sprintf("the body has %d bytes, the limit is %d", len(body), maxBodyBytes))
 	}
 	heartbeat := Heartbeat{}
 	err := jsonfield.EachMember(body, func(decoder *jx.Decoder, key string) error {
@@ -50,8 +51,8 @@
 	return heartbeat, nil
 }
 
-// asRejection returns the rejection that err wraps. Any other error becomes a rejection: InvalidField for a member of
-// the wrong type, and Malformed for the rest.
+// asRejection returns the rejection that err wraps. It converts any other error to a rejection with the code InvalidField
+// for a member of the wrong type, and Malformed otherwise.
 func asRejection(err error) *Rejection {
 	var rejection *Rejection
 	if errors.As(err, &rejection) {
@@ -64,17 +65,17 @@
 	return reject(Malformed, err.Error())
 }
 
-// readMember reads one member of the body into heartbeat.
+// readMember reads one member of the body into the heartbeat.
 func readMember(decoder *jx.Decoder, key string, heartbeat *Heartbeat) error {
 	switch key {
 	case "service":
-		return readText(decoder, key, &heartbeat.Service)
+		return readString(decoder, key, &heartbeat.Service)
 	case "address":
-		return readText(decoder, key, &heartbeat.Address)
+		return readString(decoder, key, &heartbeat.Address)
 	case "zone":
-		return readText(decoder, key, &heartbeat.Zone)
+		return readString(decoder, key, &heartbeat.Zone)
 	case "generation":
-		return readText(decoder, key, &heartbeat.Generation)
+		return readString(decoder, key, &heartbeat.Generation)
 	case "slots":
 		return readInt(decoder, key, &heartbeat.Slots)
 	case "state":
@@ -82,7 +83,7 @@
 	case "coldRemainingMs":
 		return readWarmUpRemaining(decoder, key, &heartbeat.WarmUpRemainingMs)
 	case "stage":
-		return readText(decoder, key, &heartbeat.Stage)
+		return readString(decoder, key, &heartbeat.Stage)
 	case "models":
 		return readModels(decoder, key, &heartbeat.Models)
 	case "sequence":
@@ -98,63 +99,63 @@
 		return reject(MissingField, "id")
 	}
 	if len(heartbeat.ID) > maxNameBytes {
-		return reject(TooLarge, "id")
+		return reject(TooLarge, fmt.Sprintf("id has %d bytes, the limit is %d", len(heartbeat.ID), maxNameBytes))
 	}
 	if heartbeat.Service == "" {
 		return reject(MissingField, "service")
 	}
 	if strings.HasPrefix(heartbeat.Service, reservedPrefix) {
-		return reject(InvalidField, "service is reserved")
+		return reject(InvalidField, fmt.Sprintf("service %q begins with %q, which is reserved", heartbeat.Service, reservedPrefix))
 	}
 	if heartbeat.Address == "" {
 		return reject(MissingField, "address")
 	}
 	if _, err := netip.ParseAddrPort(heartbeat.Address); err != nil {
-		return reject(InvalidField, "address is not IP:PORT")
+		return reject(InvalidField, fmt.Sprintf("address %q is not IP:PORT", heartbeat.Address))
 	}
 	return nil
 }
 
-// readText reads a string of at most maxNameBytes; null counts as empty.
-func readText(decoder *jx.Decoder, key string, into *string) error {
-	if err := jsonfield.String(decoder, key, into); err != nil {
+// readString reads a string of at most maxNameBytes bytes; null counts as empty.
+func readString(decoder *jx.Decoder, key string, target *string) error {
+	if err := jsonfield.String(decoder, key, target); err != nil {
 		return err
 	}
-	if len(*into) > maxNameBytes {
-		return reject(TooLarge, key)
+	if len(*target) > maxNameBytes {
+		return reject(TooLarge, fmt.Sprintf("%s has %d bytes, the limit is %d", key, len(*target), maxNameBytes))
 	}
 	return nil
 }
 
-// readNumber reads a number and truncates its fraction; null counts as 0.
+// readNumber reads a number and truncates it to an integer; null counts as 0.
 func readNumber(decoder *jx.Decoder, key string) (int64, error) {
 	value := 0.0
 	if err := jsonfield.Number(decoder, key, &value); err != nil {
 		return 0, err
 	}
-	if value < -maxNumber || value > maxNumber {
-		return 0, reject(InvalidField, key+" is out of range")
+	if value < -maxAbsNumber || value > maxAbsNumber {
+		return 0, reject(InvalidField, fmt.Sprintf("%s is %g, which is out of range", key, value))
 	}
 	return int64(value), nil
 }
 
-// readInt reads a number as an int.
-func readInt(decoder *jx.Decoder, key string, into *int) error {
+// readInt reads a number and truncates it to an int; null counts as 0.
+func readInt(decoder *jx.Decoder, key string, target *int) error {
 	value, err := readNumber(decoder, key)
-	*into = int(value)
+	*target = int(value)
 	return err
 }
 
-// readWarmUpRemaining reads the milliseconds that are left of a warm-up; a negative number counts as 0.
-func readWarmUpRemaining(decoder *jx.Decoder, key string, into *int64) error {
+// readWarmUpRemaining reads the remaining milliseconds of a warm-up; a negative number counts as 0.
+func readWarmUpRemaining(decoder *jx.Decoder, key string, target *int64) error {
 	value, err := readNumber(decoder, key)
-	*into = max(value, 0)
+	*target = max(value, 0)
 	return err
 }
 
-// readSequence reads an integer of up to 63 bits; null counts as unnumbered.
-func readSequence(decoder *jx.Decoder, key string, into *uint64) error {
-	*into = unnumbered
+// readSequence reads a non-negative integer of up to 63 bits; null counts as noSequence.
+func readSequence(decoder *jx.Decoder, key string, target *uint64) error {
+	*target = noSequence
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
@@ -165,28 +166,28 @@
 	if err != nil || value < 0 {
 		return reject(InvalidField, key+" is not a whole number")
 	}
-	*into = uint64(value)
+	*target = uint64(value)
 	return nil
 }
 
-// readState reads the state. An unknown one counts as draining, so that the instance is given no requests.
-func readState(decoder *jx.Decoder, key string, into *State) error {
+// readState reads the state. An unknown state counts as draining, so that the instance receives no requests.
+func readState(decoder *jx.Decoder, key string, target *State) error {
 	text := ""
-	if err := readText(decoder, key, &text); err != nil {
+	if err := readString(decoder, key, &text); err != nil {
 		return err
 	}
 	switch text {
 	case stateReady, "":
-		*into = Ready
+		*target = Ready
 	default:
-		*into = Draining
+		*target = Draining
 	}
 	return nil
 }
 
 // readModels reads at most maxModels models; null counts as none.
-func readModels(decoder *jx.Decoder, key string, into *[]Model) error {
-	*into = nil
+func readModels(decoder *jx.Decoder, key string, target *[]Model) error {
+	*target = nil
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
@@ -194,25 +195,25 @@
 		return reject(InvalidField, key+" is not a list")
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
-		if len(*into) == maxModels {
-			return reject(TooLarge, key)
+		if len(*target) == maxModels {
+			return reject(TooLarge, fmt.Sprintf("%s has more than %d entries", key, maxModels))
 		}
 		model, err := readModel(decoder, key)
-		*into = append(*into, model)
+		*target = append(*target, model)
 		return err
 	})
 }
 
-// readModel reads one model of a list; unknown members are ignored.
+// readModel reads one model of the member named list; unknown members of the model are ignored.
 func readModel(decoder *jx.Decoder, list string) (Model, error) {
 	model := Model{}
 	if decoder.Next() != jx.Object {
-		return model, reject(InvalidField, list+" holds something that is not an object")
+		return model, reject(InvalidField, list+" has an entry that is not an object")
 	}
 	err := decoder.Obj(func(decoder *jx.Decoder, key string) error {
 		switch key {
 		case "name":
-			return readText(decoder, key, &model.Name)
+			return readString(decoder, key, &model.Name)
 		case "generation":
 			return readInt(decoder, key, &model.Generation)
 		case "adapters":
@@ -224,9 +225,9 @@
 	return model, err
 }
 
-// readAdapters reads at most maxAdapters names; null counts as none.
-func readAdapters(decoder *jx.Decoder, key string, into *[]string) error {
-	*into = nil
+// readAdapters reads the names of at most maxAdapters adapters; null counts as none.
+func readAdapters(decoder *jx.Decoder, key string, target *[]string) error {
+	*target = nil
 	if jsonfield.IsNull(decoder) {
 		return nil
 	}
@@ -234,12 +235,12 @@
 		return reject(InvalidField, key+" is not a list")
 	}
 	return decoder.Arr(func(decoder *jx.Decoder) error {
-		if len(*into) == maxAdapters {
-			return reject(TooLarge, key)
+		if len(*target) == maxAdapters {
+			return reject(TooLarge, fmt.Sprintf("%s has more than %d entries", key, maxAdapters))
 		}
 		name := ""
-		err := readText(decoder, key, &name)
-		*into = append(*into, name)
+		err := readString(decoder, key, &name)
+		*target = append(*target, name)
 		return err
 	})
 }
--- a/internal/controlplane/registry/heartbeat_test.go
+++ b/internal/controlplane/registry/heartbeat_test.go
@@ -19,29 +19,29 @@
 
 func TestParseHeartbeat(t *testing.T) {
 	heartbeat, err := ParseHeartbeat("i-1", []byte(exampleHeartbeat))
-	expected := Heartbeat{Instance: exampleInstance("i-1", "10.128.0.9:8080"), WarmUpRemainingMs: 120, Sequence: 4}
-	if err != nil || !reflect.DeepEqual(heartbeat, expected) {
-		t.Fatalf("%+v %v", heartbeat, err)
+	want := Heartbeat{Instance: exampleInstance("i-1", "10.128.0.9:8080"), WarmUpRemainingMs: 120, Sequence: 4}
+	if err != nil || !reflect.DeepEqual(heartbeat, want) {
+		t.Fatalf("parsed heartbeat %+v, error %v; want %+v", heartbeat, err, want)
 	}
 }
 
 func TestParseHeartbeat_defaults(t *testing.T) {
 	heartbeat, err := ParseHeartbeat("i-1", []byte(`{"service":"s","address":"1.2.3.4:5","models":null,"stage":null,"coldRemainingMs":-4}`))
 	if err != nil || heartbeat.Slots != 1 || heartbeat.State != Ready || heartbeat.Models != nil || heartbeat.WarmUpRemainingMs != 0 {
-		t.Fatalf("%+v %v", heartbeat, err)
+		t.Fatalf("heartbeat without optional values parsed as %+v, error %v; want 1 slot, ready, no models, no warm-up", heartbeat, err)
 	}
-	for state, expected := range map[string]State{"ready": Ready, "draining": Draining, "of_a_later_day": Draining} {
+	for state, want := range map[string]State{"ready": Ready, "draining": Draining, "unknown": Draining} {
 		heartbeat, err := ParseHeartbeat("i-1", []byte(fmt.Sprintf(`{"service":"s","address":"1.2.3.4:5","state":%q}`, state)))
-		if err != nil || heartbeat.State != expected {
-			t.Errorf("%s: %+v %v", state, heartbeat, err)
+		if err != nil || heartbeat.State != want {
+			t.Errorf("state %q parsed as %v, error %v; want %v", state, heartbeat.State, err, want)
 		}
 	}
 }
 
 func TestParseHeartbeat_rejectsInvalidBodies(t *testing.T) {
 	large := strings.Repeat("x", maxNameBytes+1)
-	fields := func(more string) string { return `{"service":"s","address":"1.2.3.4:5",` + more + `}` }
-	for body, code := range map[string]Code{
+	withMember := func(member string) string { return `{"service":"s","address":"1.2.3.4:5",` + member + `}` }
+	for body, want := range map[string]Code{
 		``:                                    Malformed,
 		`[]`:                                  Malformed,
 		`{"service":"s"`:                      Malformed,
@@ -50,28 +50,28 @@
 		`{"service":"s"}`:                     MissingField,
 		`{"service":"s","address":"host:80"}`: InvalidField,
 		`{"service":"s","address":"1.2.3.4"}`: InvalidField,
-		`{"service":"@nodes","address":"1.2.3.4:5"}`:                    InvalidField,
-		fields(`"slots":"4"`):                                           InvalidField,
-		fields(`"slots":1e300`):                                         InvalidField,
-		fields(`"sequence":-1`):                                         InvalidField,
-		fields(`"sequence":1.5`):                                        InvalidField,
-		fields(`"models":{}`):                                           InvalidField,
-		fields(`"models":["m"]`):                                        InvalidField,
-		fields(`"zone":"` + large + `"`):                                TooLarge,
-		fields(`"models":[` + strings.Repeat(`{},`, maxModels) + `{}]`): TooLarge,
-		strings.Repeat(" ", maxBodyBytes+1):                             TooLarge,
+		`{"service":"@nodes","address":"1.2.3.4:5"}`:                        InvalidField,
+		withMember(`"slots":"4"`):                                           InvalidField,
+		withMember(`"slots":1e300`):                                         InvalidField,
+		withMember(`"sequence":-1`):                                         InvalidField,
+		withMember(`"sequence":1.5`):                                        InvalidField,
+		withMember(`"models":{}`):                                           InvalidField,
+		withMember(`"models":["m"]`):                                        InvalidField,
+		withMember(`"zone":"` + large + `"`):                                TooLarge,
+		withMember(`"models":[` + strings.Repeat(`{},`, maxModels) + `{}]`): TooLarge,
+		strings.Repeat(" ", maxBodyBytes+1):                                 TooLarge,
 	} {
 		_, err := ParseHeartbeat("i-1", []byte(body))
 		var rejection *Rejection
-		if !errors.As(err, &rejection) || rejection.Code != code {
-			t.Errorf("%.80s: %v, not %v", body, err, code)
+		if !errors.As(err, &rejection) || rejection.Code != want {
+			t.Errorf("body %.80s: error %v, want code %v", body, err, want)
 		}
 	}
 	if _, err := ParseHeartbeat("", []byte(exampleHeartbeat)); err == nil {
-		t.Error("no ID")
+		t.Error("a heartbeat without an ID was accepted")
 	}
 	if _, err := ParseHeartbeat(large, []byte(exampleHeartbeat)); err == nil {
-		t.Error("a large ID")
+		t.Errorf("a heartbeat with an ID of %d bytes was accepted, the limit is %d", len(large), maxNameBytes)
 	}
 }
 
@@ -85,7 +85,7 @@
 		}
 		decoded, err := DecodeItem(EncodeItem(heartbeat.Instance))
 		if err != nil || !SameRecord(decoded, heartbeat.Instance) {
-			t.Fatalf("%+v %+v %v", heartbeat.Instance, decoded, err)
+			t.Fatalf("encoded item of %+v decoded as %+v, error %v", heartbeat.Instance, decoded, err)
 		}
 	})
 }
@@ -98,17 +98,17 @@
 		store.Apply(1, EncodePut(exampleInstance("b", "1.2.3.4:5"), 1))
 		store.Apply(2, entry)
 		if err := NewStore().Restore(store.Snapshot()); err != nil {
-			t.Fatal(err)
+			t.Fatalf("restore the snapshot after entry %x: %v", entry, err)
 		}
 	})
 }
 
 func TestCodes_distinctAndAscending(t *testing.T) {
-	table := Codes()
+	entries := Codes()
 	names := map[string]bool{}
-	for position, entry := range table {
-		if position > 0 && entry.Code <= table[position-1].Code || names[entry.Name] || entry.Text == "" {
-			t.Errorf("%+v", entry)
+	for position, entry := range entries {
+		if position > 0 && entry.Code <= entries[position-1].Code || names[entry.Name] || entry.Text == "" {
+			t.Errorf("entry %d is %+v, want an ascending code, a unique name and a text", position, entry)
 		}
 		names[entry.Name] = true
 	}
--- a/internal/controlplane/registry/liveness.go
+++ b/internal/controlplane/registry/liveness.go
@@ -12,7 +12,7 @@
 
 // Actions of a Decision.
 const (
-	// Acknowledge answers with status 200 at once, without a log entry.
+	// Acknowledge answers with status 200 immediately, without a log entry.
 	Acknowledge Action = 1
 	// Propose proposes the decision's Command and answers with its outcome once it is applied.
 	Propose Action = 2
@@ -34,11 +34,11 @@
 	}
 }
 
-// Decision is what the owner of a shard does with one heartbeat or deregistration.
+// Decision is how the owner of a shard handles one heartbeat or deregistration.
 type Decision struct {
 	Action    Action
-	Command   []byte     // with Propose
-	Rejection *Rejection // with Reject
+	Command   []byte     // set for Propose
+	Rejection *Rejection // set for Reject
 }
 
 // Defaults of LivenessOptions.
@@ -49,11 +49,11 @@
 	defaultExpiryWindow     = 10 * time.Second
 )
 
-// LivenessOptions are the limits of the expiry; a field that is 0 has its default.
+// LivenessOptions are the limits for the expiry of instances; a field that is 0 has its default value.
 type LivenessOptions struct {
-	MissedHeartbeats int           // the time-out in heartbeat intervals; default 4
-	MinTimeout       time.Duration // lower bound of the time-out; default 4 s
-	StallGap         time.Duration // gap between two calls above which the process is taken to have stalled; default 1 s
+	MissedHeartbeats int           // timeout in heartbeat intervals; default 4
+	MinTimeout       time.Duration // lower bound of the timeout; default 4 s
+	StallGap         time.Duration // time between two calls above which the process counts as stalled; default 1 s
 	ExpiryWindow     time.Duration // window in which at most half of a service's instances expire; default 10 s
 }
 
@@ -77,40 +77,40 @@
 type instanceLiveness struct {
 	service           string
 	state             State
-	registered        bool      // the store has a record of it
+	registered        bool      // the store has a record of the instance
 	lastHeartbeat     time.Time // when its last heartbeat arrived, or its record was first seen
 	sequence          uint64    // highest sequence of its heartbeats
-	removalPending    bool      // its removal was proposed and is not applied yet
+	removalPending    bool      // its removal was proposed but is not applied yet
 	removalProposedAt time.Time
 }
 
-// LivenessTracker is the soft state of a shard's owner beside the replicated Store: when each instance was last heard.
-// Heartbeat and RemoteHeartbeat renew a registration, Expired finds those that have lapsed.
+// LivenessTracker is the soft state that a shard's owner keeps in addition to the replicated Store: the time of each
+// instance's last heartbeat. Heartbeat and RemoteHeartbeat renew a registration, Expired finds those that have lapsed.
 //
-// All instants must come from one monotonic clock. Applied must be called with each entry that is applied while the shard
-// is owned. A LivenessTracker is not safe for concurrent use.
+// All times must come from one monotonic clock. Applied must be called with the change of each entry that is applied while
+// the shard is owned. A LivenessTracker is not safe for concurrent use.
 type LivenessTracker struct {
 	options    LivenessOptions
-	timeout    time.Duration // without a heartbeat, after which an instance is removed
+	timeout    time.Duration // time without a heartbeat after which an instance is removed
 	owned      bool
 	lastCallAt time.Time
-	graceUntil time.Time // nothing expires before
+	graceUntil time.Time // no instance expires before this time
 
 	instances      map[string]*instanceLiveness    // by ID
 	recentExpiries map[string]map[string]time.Time // by service and ID: when the removal was proposed
 }
 
-// NewLivenessTracker returns the tracker of a shard that is not owned yet. heartbeat is the interval at which instances
-// send heartbeats.
-func NewLivenessTracker(heartbeat time.Duration, options LivenessOptions) *LivenessTracker {
+// NewLivenessTracker returns the tracker of a shard that is not owned yet. heartbeatInterval is the interval at which
+// instances send heartbeats.
+func NewLivenessTracker(heartbeatInterval time.Duration, options LivenessOptions) *LivenessTracker {
 	options = options.withDefaults()
-	timeout := max(time.Duration(options.MissedHeartbeats)*heartbeat, options.MinTimeout)
+	timeout := max(time.Duration(options.MissedHeartbeats)*heartbeatInterval, options.MinTimeout)
 	tracker := &LivenessTracker{options: options, timeout: timeout}
 	tracker.OwnershipLost()
 	return tracker
 }
 
-// OwnershipGained starts the ownership with the instances of the store. Each of them is given a full time-out, since the
+// OwnershipGained starts the ownership with the instances of the store. Each of them is given a full timeout, since the
 // heartbeats that the previous owner received are unknown.
 func (t *LivenessTracker) OwnershipGained(now time.Time, instances []Instance) {
 	t.OwnershipLost()
@@ -134,8 +134,8 @@
 	t.recentExpiries = map[string]map[string]time.Time{}
 }
 
-// advanceClock records a call. After a gap above StallGap the process itself had stalled, and all instances are given a
-// full time-out again. It returns the instant to decide by, which never decreases.
+// advanceClock records a call and returns the time to use for decisions, which never decreases. If the time since the
+// previous call exceeds StallGap, this process was stalled, and all instances are given a full timeout again.
 func (t *LivenessTracker) advanceClock(now time.Time) time.Time {
 	if now.Before(t.lastCallAt) {
 		return t.lastCallAt
@@ -147,64 +147,64 @@
 	return now
 }
 
-// Heartbeat renews the registration of an instance. It proposes a command where the heartbeat differs from known, the
-// store's record of the instance or nil, and otherwise acknowledges at once. Heartbeats of NodesService count as
-// unnumbered, since several processes send them.
-func (t *LivenessTracker) Heartbeat(now time.Time, heartbeat Heartbeat, known *Instance) Decision {
+// Heartbeat renews the registration of an instance. stored is the store's record of the instance, or nil. If the heartbeat
+// differs from it, Heartbeat proposes a command, otherwise it acknowledges immediately. The sequences of heartbeats of
+// NodesService are ignored, since several processes send them.
+func (t *LivenessTracker) Heartbeat(now time.Time, heartbeat Heartbeat, stored *Instance) Decision {
 	if !t.owned {
 		return Decision{Action: Reject, Rejection: reject(NotOwner, "")}
 	}
 	now = t.advanceClock(now)
 	if heartbeat.Service == NodesService {
-		heartbeat.Sequence = unnumbered
+		heartbeat.Sequence = noSequence
 	}
 	liveness := t.instances[heartbeat.ID]
 	if liveness == nil {
 		liveness = &instanceLiveness{service: heartbeat.Service, state: heartbeat.State}
 		t.instances[heartbeat.ID] = liveness
 	}
-	if heartbeat.Sequence != unnumbered && heartbeat.Sequence < liveness.sequence && !needsEntry(heartbeat, known) {
+	if heartbeat.Sequence != noSequence && heartbeat.Sequence < liveness.sequence && !mustPropose(heartbeat, stored) {
 		return Decision{Action: Acknowledge}
 	}
 	liveness.lastHeartbeat = now
 	liveness.sequence = max(liveness.sequence, heartbeat.Sequence)
-	liveness.registered = liveness.registered || known != nil
+	liveness.registered = liveness.registered || stored != nil
 	if liveness.removalPending && now.Sub(liveness.removalProposedAt) >= t.timeout {
 		liveness.removalPending = false // the proposal was lost
 	}
-	if known != nil && !liveness.removalPending && SameRecord(*known, heartbeat.Instance) {
+	if stored != nil && !liveness.removalPending && SameRecord(*stored, heartbeat.Instance) {
 		return Decision{Action: Acknowledge}
 	}
 	return Decision{Action: Propose, Command: EncodePut(heartbeat.Instance, heartbeat.Sequence)}
 }
 
-// needsEntry reports whether a late heartbeat must be proposed nonetheless: its acknowledgement would promise that the
-// instance is registered, or draining, and the store does not have that yet. The entry of the later heartbeat may be lost.
-func needsEntry(heartbeat Heartbeat, known *Instance) bool {
-	return known == nil || heartbeat.State == Draining && known.State != Draining
+// mustPropose reports whether a heartbeat must be proposed even though it is late. Acknowledging it would promise that the
+// instance is registered, or draining. If the store has not recorded that yet, the entry of the later heartbeat may be lost.
+func mustPropose(heartbeat Heartbeat, stored *Instance) bool {
+	return stored == nil || heartbeat.State == Draining && stored.State != Draining
 }
 
-// RemoteHeartbeat renews the registration of an instance whose heartbeat another server has acknowledged, since it agrees
-// with the replicated record. It has no effect for an instance that is not recorded or is being removed: that instance's
-// next heartbeat is forwarded to the owner.
+// RemoteHeartbeat renews the registration of an instance whose heartbeat another server has acknowledged because it matches
+// the replicated record. It has no effect for an instance that is not recorded or is being removed: the next heartbeat of
+// that instance is forwarded to the owner.
 func (t *LivenessTracker) RemoteHeartbeat(now time.Time, id string, sequence uint64) {
 	liveness := t.instances[id]
 	if !t.owned || liveness == nil || liveness.removalPending {
 		return
 	}
 	now = t.advanceClock(now)
-	if sequence != unnumbered && sequence < liveness.sequence {
+	if sequence != noSequence && sequence < liveness.sequence {
 		return
 	}
 	liveness.lastHeartbeat = now
 	liveness.sequence = max(liveness.sequence, sequence)
 }
 
-// SameRecord reports whether two records agree in all that heartbeats report; a nil list equals an empty one. Assigned is
-// not compared.
+// SameRecord reports whether two records are equal in all fields that heartbeats report; a nil list equals an empty one.
+// Assigned is not compared, since heartbeats do not report it.
 func SameRecord(left, right Instance) bool {
-	sameModels := slices.EqualFunc(left.Models, right.Models, func(one, other Model) bool {
-		return one.Name == other.Name && one.Generation == other.Generation && slices.Equal(one.Adapters, other.Adapters)
+	sameModels := slices.EqualFunc(left.Models, right.Models, func(leftModel, rightModel Model) bool {
+		return leftModel.Name == rightModel.Name && leftModel.Generation == rightModel.Generation && slices.Equal(leftModel.Adapters, rightModel.Adapters)
 	})
 	return sameModels &&
 		left.ID == right.ID &&
@@ -217,8 +217,9 @@
 		left.Stage == right.Stage
 }
 
-// Deregister proposes the removal of an instance; known reports whether the store knows it. The removal of an unknown
-// instance is proposed too: an owner that has been replaced may not know it, and its heartbeat may still arrive.
+// Deregister proposes the removal of an instance. known says whether the store has, or had, a record of it. The removal of
+// an unknown instance is proposed too: an owner that has been replaced may not have its record, and a heartbeat of the
+// instance may still arrive.
 func (t *LivenessTracker) Deregister(now time.Time, id string, known bool) Decision {
 	if !t.owned {
 		return Decision{Action: Reject, Rejection: reject(NotOwner, "")}
@@ -226,16 +227,16 @@
 	t.advanceClock(now)
 	liveness := t.instances[id]
 	if liveness == nil && !known {
-		return Decision{Action: Propose, Command: EncodeRemove(id, NeverRegistered, unnumbered)}
+		return Decision{Action: Propose, Command: EncodeRemove(id, NeverRegistered, noSequence)}
 	}
-	sequence := uint64(unnumbered)
+	sequence := uint64(noSequence)
 	if liveness != nil {
 		sequence = liveness.sequence
 	}
 	return Decision{Action: Propose, Command: EncodeRemove(id, Deregistered, sequence)}
 }
 
-// Applied updates the tracker by a change that was applied to the store while the shard is owned.
+// Applied updates the tracker with a change that was applied to the store while the shard is owned.
 func (t *LivenessTracker) Applied(now time.Time, change feed.Change) {
 	if !t.owned {
 		return
@@ -247,14 +248,14 @@
 	for _, item := range change.Put {
 		instance, err := DecodeItem(item.Value)
 		if err != nil {
-			continue // the store encoded it itself: only a later format can be the cause
+			continue // the store encoded the item itself, so only a newer format can be the cause
 		}
-		t.noteRecord(now, instance)
+		t.markRegistered(now, instance)
 	}
 }
 
-// noteRecord marks an instance as registered by a new record of the store.
-func (t *LivenessTracker) noteRecord(now time.Time, instance Instance) {
+// markRegistered marks an instance as registered after the store has recorded it.
+func (t *LivenessTracker) markRegistered(now time.Time, instance Instance) {
 	liveness := t.instances[instance.ID]
 	if liveness == nil {
 		liveness = &instanceLiveness{lastHeartbeat: now}
--- a/internal/controlplane/registry/store.go
+++ b/internal/controlplane/registry/store.go
@@ -7,32 +7,32 @@
 	"ospreybend/coord/feed"
 )
 
-// maxTombstones limits the tombstones of a shard; beyond it the oldest are dropped.
+// maxTombstones limits the number of tombstones of a shard. When it is exceeded, the oldest tombstone is dropped.
 const maxTombstones = 2048
 
-// Outcome is the result of one command, as its caller is answered.
+// Outcome is the result of one command, as it is returned to the caller of the server.
 type Outcome struct {
 	Status int // HTTP status
 	Code   Code
 	Text   string
 }
 
-// record is the replicated record of an instance. It is immutable but for its sequence.
+// record is the replicated record of an instance. It is immutable except for its sequence.
 type record struct {
 	instance *Instance
-	value    []byte // its value in the feed
+	value    []byte // encoded value of its item in the feed
 	sequence uint64 // of the latest heartbeat that was applied
 }
 
-// tombstone is what remains of a removed instance, so that its late heartbeats are recognized.
+// tombstone is kept for a removed instance, so that its late heartbeats are recognized.
 type tombstone struct {
-	reason   Reason
+	reason   RemovalReason
 	draining bool
-	sequence uint64 // of the latest heartbeat that was known
+	sequence uint64 // of the latest known heartbeat
 }
 
-// tombstone returns the tombstone of a record that is removed.
-func (r *record) tombstone(reason Reason) tombstone {
+// tombstone returns the tombstone that replaces the record when the instance is removed.
+func (r *record) tombstone(reason RemovalReason) tombstone {
 	return tombstone{reason: reason, draining: r.instance.State == Draining, sequence: r.sequence}
 }
 
@@ -53,8 +53,8 @@
 	}
 }
 
-// Apply applies the committed command at an index of the log. It is deterministic. The change is for the feed and is
-// empty where the command changed nothing.
+// Apply applies the committed command at an index of the log. It is deterministic. The returned change is to be published
+// in the feed. It is empty if the command changed nothing.
 func (s *Store) Apply(index uint64, encoded []byte) (Outcome, feed.Change) {
 	change := feed.Change{Index: index}
 	decoded, rejection := decodeCommand(encoded)
@@ -63,27 +63,27 @@
 	}
 	switch decoded.operation {
 	case operationPut:
-		return outcome(s.put(decoded.instance, decoded.sequence, &change)), change
+		return outcomeFor(s.put(decoded.instance, decoded.sequence, &change)), change
 	case operationRemove:
-		return outcome(s.remove(decoded, &change)), change
+		return outcomeFor(s.remove(decoded, &change)), change
 	case operationAssign:
-		wanted := decoded.instance.Stage
-		return outcome(s.update(decoded.instance.ID, &change, func(i *Instance) { i.Assigned = wanted })), change
+		assigned := decoded.instance.Stage
+		return outcomeFor(s.update(decoded.instance.ID, &change, func(i *Instance) { i.Assigned = assigned })), change
 	case operationStage:
-		found := decoded.instance.Stage
-		return outcome(s.update(decoded.instance.ID, &change, func(i *Instance) { i.Stage = found })), change
+		reported := decoded.instance.Stage
+		return outcomeFor(s.update(decoded.instance.ID, &change, func(i *Instance) { i.Stage = reported })), change
 	default:
-		return outcome(InvalidCommand), change
+		return outcomeFor(InvalidCommand), change
 	}
 }
 
-// outcome returns the outcome with a code.
-func outcome(code Code) Outcome {
+// outcomeFor returns the outcome with a code, its status and its text.
+func outcomeFor(code Code) Outcome {
 	entry := codes.Entry(code)
 	return Outcome{Status: entry.HTTPStatus, Code: code, Text: entry.Text}
 }
 
-// put records an instance unless a later heartbeat or its removal was applied before.
+// put records an instance unless a later heartbeat or its removal was already applied.
 func (s *Store) put(instance Instance, sequence uint64, change *feed.Change) Code {
 	if code, stale := s.checkStale(instance, sequence); stale {
 		return code
@@ -97,7 +97,7 @@
 		current.sequence = max(current.sequence, sequence)
 		return Unchanged
 	}
-	// An unnumbered heartbeat keeps the sequence by which late heartbeats are recognized.
+	// A heartbeat without a sequence must not reset the sequence by which late heartbeats are recognized.
 	sequence = max(sequence, s.tombstones[instance.ID].sequence)
 	if current != nil {
 		sequence = max(sequence, current.sequence)
@@ -110,7 +110,7 @@
 	return Recorded
 }
 
-// update applies mutate to a copy of an instance's record, if there is one.
+// update replaces an instance's record by a copy changed by mutate, if the instance has a record.
 func (s *Store) update(id string, change *feed.Change, mutate func(*Instance)) Code {
 	current := s.records[id]
 	if current == nil {
@@ -127,8 +127,9 @@
 	return Recorded
 }
 
-// checkStale reports whether a heartbeat changes nothing, and the code then: its instance is removed for good, or a newer
-// heartbeat was applied. Every heartbeat of NodesService counts, as they have no order and an ID may start again.
+// checkStale reports whether a heartbeat changes nothing, and the code for that case: its instance stays removed, or a newer
+// heartbeat was applied. Heartbeats of NodesService are never stale, since they have no order and a node may restart under
+// the same ID.
 func (s *Store) checkStale(instance Instance, sequence uint64) (Code, bool) {
 	if instance.Service == NodesService {
 		return Recorded, false
@@ -140,25 +141,25 @@
 	if current == nil {
 		return Recorded, false
 	}
-	if sequence != unnumbered && sequence < current.sequence {
+	if sequence != noSequence && sequence < current.sequence {
 		return Stale, true
 	}
-	revoked := current.instance.State == Draining && instance.State == Ready
-	if revoked && sequence <= current.sequence {
+	revokesDrain := current.instance.State == Draining && instance.State == Ready
+	if revokesDrain && sequence <= current.sequence {
 		return Stale, true
 	}
 	return Recorded, false
 }
 
-// checkTombstone reports whether a heartbeat leaves a removed instance removed, and the code then.
+// checkTombstone reports whether a removed instance stays removed in spite of a heartbeat, and the code for that case.
 func (s *Store) checkTombstone(instance Instance, sequence uint64, removed tombstone) (Code, bool) {
-	if removed.reason.final() {
+	if removed.reason.permanent() {
 		return Gone, true
 	}
-	if sequence != unnumbered && sequence <= removed.sequence {
+	if sequence != noSequence && sequence <= removed.sequence {
 		return Stale, true
 	}
-	if sequence == unnumbered && removed.draining && instance.State == Ready {
+	if sequence == noSequence && removed.draining && instance.State == Ready {
 		return Stale, true
 	}
 	if _, taken := s.byAddress[instance.Address]; taken {
@@ -167,7 +168,7 @@
 	return Recorded, false
 }
 
-// evictAddress removes the instance whose address another instance registers with.
+// evictAddress removes the instance at an address with which another instance registers.
 func (s *Store) evictAddress(address string, change *feed.Change) {
 	id, taken := s.byAddress[address]
 	if !taken {
@@ -184,9 +185,9 @@
 	id := decoded.instance.ID
 	current := s.records[id]
 	if current == nil {
-		return s.finalizeRemoval(id, decoded)
+		return s.makeRemovalPermanent(id, decoded)
 	}
-	numbered := decoded.sequence != unnumbered
+	numbered := decoded.sequence != noSequence
 	if decoded.reason == Expired && numbered && decoded.sequence < current.sequence {
 		return Stale // a heartbeat was applied after the removal had been proposed
 	}
@@ -198,10 +199,10 @@
 	return Removed
 }
 
-// finalizeRemoval makes the removal of an instance without a record final, if the command's reason is final.
-func (s *Store) finalizeRemoval(id string, decoded command) Code {
+// makeRemovalPermanent makes the removal of an instance without a record permanent if the command's reason is permanent.
+func (s *Store) makeRemovalPermanent(id string, decoded command) Code {
 	removed, found := s.tombstones[id]
-	if found && removed.reason.final() || !decoded.reason.final() {
+	if found && removed.reason.permanent() || !decoded.reason.permanent() {
 		return Gone
 	}
 	removed.reason = decoded.reason
@@ -214,7 +215,7 @@
 	return Gone
 }
 
-// insertRecord adds a record and its address.
+// insertRecord adds a record and the entry of its address.
 func (s *Store) insertRecord(entry *record) {
 	s.records[entry.instance.ID] = entry
 	if entry.instance.Address != "" {
@@ -222,7 +223,7 @@
 	}
 }
 
-// deleteRecord removes the record of an instance, and its address unless another instance has it.
+// deleteRecord removes the record of an instance, and the entry of its address unless it belongs to another instance.
 func (s *Store) deleteRecord(id string) {
 	address := s.records[id].instance.Address
 	delete(s.records, id)
@@ -231,7 +232,7 @@
 	}
 }
 
-// addTombstone adds a tombstone and drops the oldest one beyond maxTombstones.
+// addTombstone adds a tombstone and drops the oldest one if there are more than maxTombstones.
 func (s *Store) addTombstone(id string, removed tombstone) {
 	s.tombstones[id] = removed
 	s.tombstoneOrder = append(s.tombstoneOrder, id)
@@ -276,30 +277,30 @@
 	return instances
 }
 
-// Removed reports whether an instance is removed for good, so that its heartbeats change nothing.
+// Removed reports whether an instance is removed permanently, so that its heartbeats change nothing.
 func (s *Store) Removed(id string) bool {
 	removed, found := s.tombstones[id]
-	return found && removed.reason.final()
+	return found && removed.reason.permanent()
 }
 
-// IgnoresHeartbeat reports whether the heartbeats of an instance change nothing now: it is removed for good, or another instance
-// that has superseded it is at its address.
+// IgnoresHeartbeat reports whether the heartbeats of an instance currently change nothing: it is removed permanently, or it
+// was superseded and its address is still taken.
 func (s *Store) IgnoresHeartbeat(instance Instance) bool {
 	removed, found := s.tombstones[instance.ID]
 	if !found {
 		return false
 	}
 	_, taken := s.byAddress[instance.Address]
-	return removed.reason.final() || removed.reason == Superseded && taken
+	return removed.reason.permanent() || removed.reason == Superseded && taken
 }
 
-// Knows reports whether an instance has, or had, a record in this shard, to which its heartbeats belong then.
+// Knows reports whether an instance has, or had, a record in this shard. If so, its heartbeats belong to this shard.
 func (s *Store) Knows(id string) bool {
 	removed, found := s.tombstones[id]
 	return s.records[id] != nil || found && removed.reason != NeverRegistered
 }
 
-// Items returns the items of the feed, sorted by key, which is the instance's ID.
+// Items returns the items of the feed, sorted by key, which is the instance ID.
 func (s *Store) Items() []feed.Item {
 	items := make([]feed.Item, 0, len(s.records))
 	for _, id := range s.sortedIDs() {
--- a/internal/controlplane/registry/store_test.go
+++ b/internal/controlplane/registry/store_test.go
@@ -14,40 +14,42 @@
 	"ospreybend/coord/feed"
 )
 
-const drawnSeed = 5150
+// propertySeed is the seed of the property tests.
+const propertySeed = 5150
 
-func apply(t *testing.T, store *Store, entry []byte, expected Code) feed.Change {
+// apply applies a log entry, fails the test unless the outcome has the wanted code, and returns the change.
+func apply(t *testing.T, store *Store, entry []byte, want Code) feed.Change {
 	t.Helper()
 	outcome, change := store.Apply(1, entry)
-	if outcome.Code != expected {
-		t.Fatalf("%+v, not %v", outcome, expected)
+	if outcome.Code != want {
+		t.Fatalf("entry applied with outcome %+v, want code %v", outcome, want)
 	}
 	return change
 }
 
-func empty(change feed.Change) bool { return len(change.Put)+len(change.Delete) == 0 }
+func isEmpty(change feed.Change) bool { return len(change.Put)+len(change.Delete) == 0 }
 
 func TestStore_Apply_putRecordedOnce(t *testing.T) {
 	store := NewStore()
 	instance := exampleInstance("a", "1.2.3.4:5")
 	change := apply(t, store, EncodePut(instance, 3), Recorded)
 	if len(change.Put) != 1 || change.Put[0].Key != "a" {
-		t.Fatalf("%+v", change)
+		t.Fatalf("change of a new instance is %+v, want one put of a", change)
 	}
 	decoded, err := DecodeItem(change.Put[0].Value)
 	if err != nil || !reflect.DeepEqual(decoded, instance) || !reflect.DeepEqual(*store.Instance("a"), instance) {
-		t.Fatalf("%+v %v", decoded, err)
+		t.Fatalf("decoded item %+v, error %v, stored instance %+v; want %+v", decoded, err, store.Instance("a"), instance)
 	}
-	if change := apply(t, store, EncodePut(instance, 9), Unchanged); !empty(change) {
-		t.Fatalf("%+v", change)
+	if change := apply(t, store, EncodePut(instance, 9), Unchanged); !isEmpty(change) {
+		t.Fatalf("change of a repeated report is %+v, want none", change)
 	}
 	instance.Stage = "prefill"
-	if change := apply(t, store, EncodePut(instance, 8), Stale); !empty(change) {
-		t.Fatalf("%+v", change)
+	if change := apply(t, store, EncodePut(instance, 8), Stale); !isEmpty(change) {
+		t.Fatalf("change of a late heartbeat is %+v, want none", change)
 	}
 	apply(t, store, EncodePut(instance, 10), Recorded)
 	if store.Instance("a").Stage != "prefill" || store.Instance("b") != nil {
-		t.Fatalf("%+v", store.Instance("a"))
+		t.Fatalf("instance a is %+v and b is %+v, want a with stage prefill and no b", store.Instance("a"), store.Instance("b"))
 	}
 }
 
@@ -66,7 +68,7 @@
 		apply(t, store, EncodePut(ready, sequences[2]), Stale)
 		apply(t, store, EncodePut(ready, sequences[0]), Stale)
 		if store.Instance("a").State != Draining {
-			t.Fatal("it is ready again")
+			t.Fatalf("numbered %v: state after late heartbeats is %v, want %v", numbered, store.Instance("a").State, Draining)
 		}
 	}
 }
@@ -77,14 +79,14 @@
 	apply(t, store, EncodePut(instance, 3), Recorded)
 	change := apply(t, store, EncodeRemove("a", Deregistered, 3), Removed)
 	if !reflect.DeepEqual(change.Delete, []string{"a"}) || !store.Removed("a") || store.Instance("a") != nil {
-		t.Fatalf("%+v", change)
+		t.Fatalf("change of the deregistration is %+v, Removed is %v, instance is %+v; want a deleted and removed permanently", change, store.Removed("a"), store.Instance("a"))
 	}
 	apply(t, store, EncodePut(instance, 99), Gone)
 	apply(t, store, EncodeRemove("a", Deregistered, 3), Gone)
 	apply(t, store, EncodeRemove("never", Deregistered, 0), Gone)
 	apply(t, store, EncodePut(exampleInstance("never", "1.2.3.4:6"), 1), Gone)
 	if len(store.Items()) != 0 {
-		t.Fatal(store.Items())
+		t.Fatalf("items are %+v, want none", store.Items())
 	}
 }
 
@@ -95,7 +97,7 @@
 	apply(t, store, EncodeRemove("a", Expired, 7), Removed)
 	apply(t, store, EncodePut(instance, 7), Stale)
 	if store.Removed("a") {
-		t.Fatal("it may come back")
+		t.Fatal("an expired instance counts as removed permanently")
 	}
 	apply(t, store, EncodePut(instance, 8), Recorded)
 	apply(t, store, EncodeRemove("a", Expired, 7), Stale)
@@ -111,26 +113,26 @@
 	apply(t, store, EncodePut(exampleInstance("b", "1.2.3.4:5"), 1), Recorded)
 	apply(t, store, EncodePut(exampleInstance("a", "1.2.3.4:5"), 4), Gone)
 	if store.Instance("b") == nil {
-		t.Fatal("b was removed")
+		t.Fatal("an expired instance evicted the instance that now has its address")
 	}
 }
 
 func TestStore_Apply_addressReused(t *testing.T) {
 	store := NewStore()
 	apply(t, store, EncodePut(exampleInstance("a", "1.2.3.4:5"), 3), Recorded)
-	next := exampleInstance("b", "1.2.3.4:5")
-	next.Service = "other"
-	change := apply(t, store, EncodePut(next, 1), Recorded)
+	successor := exampleInstance("b", "1.2.3.4:5")
+	successor.Service = "other"
+	change := apply(t, store, EncodePut(successor, 1), Recorded)
 	if !reflect.DeepEqual(change.Delete, []string{"a"}) || len(change.Put) != 1 || change.Put[0].Key != "b" {
-		t.Fatalf("%+v", change)
+		t.Fatalf("change is %+v, want a deleted and b put", change)
 	}
 	apply(t, store, EncodePut(exampleInstance("a", "1.2.3.4:5"), 9), Gone)
-	moved := next
+	moved := successor
 	moved.Address = "1.2.3.4:6"
 	apply(t, store, EncodePut(moved, 2), Recorded)
 	apply(t, store, EncodePut(exampleInstance("c", "1.2.3.4:5"), 1), Recorded)
 	if len(store.Instances("")) != 2 || len(store.Instances("other")) != 1 {
-		t.Fatal(store.Instances(""))
+		t.Fatalf("instances are %+v, want 2, one of them of service other", store.Instances(""))
 	}
 }
 
@@ -140,32 +142,34 @@
 		apply(t, store, EncodeRemove(fmt.Sprint(number), Deregistered, 0), Gone)
 	}
 	if store.Removed("0") || !store.Removed("1") || len(store.tombstones) != maxTombstones || len(store.tombstoneOrder) != maxTombstones {
-		t.Fatal(len(store.tombstones), len(store.tombstoneOrder))
+		t.Fatalf("%d tombstones, %d in order, Removed is %v for the oldest and %v for the next; want %d, %d, false, true",
+			len(store.tombstones), len(store.tombstoneOrder), store.Removed("0"), store.Removed("1"), maxTombstones, maxTombstones)
 	}
 }
 
 func TestStore_Apply_malformedEntryChangesNothing(t *testing.T) {
 	store := NewStore()
-	state := EncodePut(exampleInstance("a", "1.2.3.4:5"), 3)
-	for _, entry := range [][]byte{nil, {}, {2}, {200, 3}, state[:len(state)-1], append(state[:len(state):len(state)], 0), EncodeRemove("", Expired, 0)} {
+	validPut := EncodePut(exampleInstance("a", "1.2.3.4:5"), 3)
+	for _, entry := range [][]byte{nil, {}, {2}, {200, 3}, validPut[:len(validPut)-1], append(validPut[:len(validPut):len(validPut)], 0), EncodeRemove("", Expired, 0)} {
 		apply(t, store, entry, InvalidCommand)
 	}
-	for _, wrong := range [][]byte{nil, {1}, {6, 0, 0}} {
-		if err := store.Restore(wrong); !errors.Is(err, ErrSnapshot) {
-			t.Error(err)
+	for _, invalid := range [][]byte{nil, {1}, {6, 0, 0}} {
+		if err := store.Restore(invalid); !errors.Is(err, ErrSnapshot) {
+			t.Errorf("restore %x: error %v, want %v", invalid, err, ErrSnapshot)
 		}
 	}
 	if _, err := DecodeItem(nil); err == nil {
-		t.Error("an empty item was read")
+		t.Error("an empty item was decoded without an error")
 	}
 }
 
-// drawnEntry turns a random number into a command about few instances at few addresses.
-func drawnEntry(number uint32) []byte {
+// commandFromNumber derives a command from a random number. The commands are about few instances at few addresses, so that
+// they interact.
+func commandFromNumber(number uint32) []byte {
 	id := fmt.Sprintf("i%d", number%5)
 	sequence := uint64(number / 5 % 16)
 	if number%7 == 0 {
-		return EncodeRemove(id, Reason(number/7%2+1), sequence)
+		return EncodeRemove(id, RemovalReason(number/7%2+1), sequence)
 	}
 	instance := exampleInstance(id, fmt.Sprintf("1.2.3.4:%d", 1+number/80%4))
 	instance.State = State(number / 320 % 2)
@@ -173,21 +177,21 @@
 }
 
 func TestStore_Apply_replicasAgree(t *testing.T) {
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed))
-	properties.Property("snapshots, changes and items agree, and no address is had twice", prop.ForAll(
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(propertySeed))
+	properties.Property("snapshots, changes and items agree, and each address belongs to one instance", prop.ForAll(
 		func(numbers []uint32) bool {
 			first, second := NewStore(), NewStore()
 			follower := feed.NewBuffer(0)
 			for position, number := range numbers {
-				entry := drawnEntry(number)
-				one, change := first.Apply(uint64(position+1), entry)
+				entry := commandFromNumber(number)
+				firstOutcome, change := first.Apply(uint64(position+1), entry)
 				restored := NewStore()
 				if restored.Restore(second.Snapshot()) != nil {
 					return false
 				}
 				second = restored
-				other, otherChange := second.Apply(uint64(position+1), entry)
-				if one != other || !reflect.DeepEqual(change, otherChange) || !bytes.Equal(first.Snapshot(), second.Snapshot()) {
+				secondOutcome, secondChange := second.Apply(uint64(position+1), entry)
+				if firstOutcome != secondOutcome || !reflect.DeepEqual(change, secondChange) || !bytes.Equal(first.Snapshot(), second.Snapshot()) {
 					return false
 				}
 				if follower.Append(change) != nil || len(first.records) != len(first.byAddress) {
@@ -206,16 +210,16 @@
 }
 
 func TestStore_Apply_onlyLaterHeartbeatsCount(t *testing.T) {
-	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(drawnSeed + 1))
+	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(propertySeed + 1))
 	properties.Property("after a draining heartbeat, earlier ones in any order leave it draining or removed", prop.ForAll(
 		func(numbers []uint32) bool {
 			store := NewStore()
-			const drainedAt = 20
+			const drainSequence = 20
 			draining := exampleInstance("i0", "1.2.3.4:9")
 			draining.State = Draining
-			store.Apply(1, EncodePut(draining, drainedAt))
+			store.Apply(1, EncodePut(draining, drainSequence))
 			for position, number := range numbers {
-				entry := drawnEntry(number)
+				entry := commandFromNumber(number)
 				store.Apply(uint64(position+2), entry)
 				if current := store.Instance("i0"); current != nil && current.State != Draining {
 					return false
@@ -228,25 +232,25 @@
 	properties.TestingRun(t)
 }
 
-// TestStore_Apply_supersededComesBackOnceItsAddressIsFree has the first heartbeat of an instance that is dead arrive after another
-// one has registered at its address: the living one is excluded until the dead one has expired, not for good.
+// The first heartbeat of a dead instance may arrive after another instance has registered with the same address. It
+// supersedes the living instance. That one must be able to register again once the dead one has expired.
 func TestStore_Apply_supersededComesBackOnceItsAddressIsFree(t *testing.T) {
 	store := NewStore()
 	living, dead := exampleInstance("living", "1.2.3.4:5"), exampleInstance("dead", "1.2.3.4:5")
 	apply(t, store, EncodePut(living, 3), Recorded)
 	apply(t, store, EncodePut(dead, 1), Recorded)
 	if store.Instance("living") != nil || !store.IgnoresHeartbeat(living) {
-		t.Fatal("two instances at one address")
+		t.Fatal("the living instance is still registered, or its heartbeats are not ignored, while the dead one has its address")
 	}
 	apply(t, store, EncodePut(living, 7), Gone)
 	apply(t, store, EncodeRemove("dead", Expired, 1), Removed)
 	if store.IgnoresHeartbeat(living) {
-		t.Fatal("still excluded though its address is free")
+		t.Fatal("heartbeats of the living instance are ignored although its address is free")
 	}
-	apply(t, store, EncodePut(living, 3), Stale) // a late one
+	apply(t, store, EncodePut(living, 3), Stale) // a late heartbeat
 	change := apply(t, store, EncodePut(living, 8), Recorded)
 	if store.Instance("living") == nil || len(change.Put) != 1 {
-		t.Fatalf("not back: %+v", change)
+		t.Fatalf("the living instance did not register again: change %+v", change)
 	}
 	apply(t, store, EncodePut(dead, 1), Stale)
 }
@@ -260,6 +264,6 @@
 	apply(t, store, EncodeRemove("successor", Deregistered, 1), Removed)
 	apply(t, store, EncodePut(former, 9), Gone)
 	if !store.Removed("former") {
-		t.Error("a deregistered instance may come back")
+		t.Error("a superseded instance that deregistered is not removed permanently")
 	}
 }
