--- a/internal/controlplane/registry/liveness.go
+++ b/internal/controlplane/registry/liveness.go
@@ -178,8 +178,9 @@
 	return Decision{Action: Propose, Command: EncodePut(heartbeat.Instance, heartbeat.Sequence)}
 }
 
-// mustPropose reports whether a heartbeat must be proposed even though it is late. Acknowledging it would promise that the
-// instance is registered, or draining. If the store has not recorded that yet, the entry of the later heartbeat may be lost.
+// mustPropose reports whether a heartbeat must be proposed even though it is late: acknowledging it would promise that the
+// instance is registered, or draining, but the store has not recorded that yet, and the entry of the later heartbeat may be
+// lost.
 func mustPropose(heartbeat Heartbeat, stored *Instance) bool {
 	return stored == nil || heartbeat.State == Draining && stored.State != Draining
 }
--- a/internal/controlplane/roleplanner/planner_test.go
+++ b/internal/controlplane/roleplanner/planner_test.go
@@ -110,8 +110,8 @@
 	return prefillWorkers, decodeWorkers, transitioning
 }
 
-// checkInvariants fails the test if no worker runs or is changing its stage for prefill, no worker runs decode, or too many
-// workers are transitioning.
+// checkInvariants fails the test if no worker runs prefill or is transitioning, no worker runs decode, or too many workers
+// are transitioning.
 func (s *simulatedService) checkInvariants() {
 	prefillWorkers, decodeWorkers, transitioning := s.countWorkers()
 	if prefillWorkers+transitioning < 1 || decodeWorkers < 1 && !s.allowNoDecode || transitioning > max(1, int(maxTransitioningShare*float64(len(s.workers)))) {
