--- a/internal/controlplane/registry/deregistration_test.go
+++ b/internal/controlplane/registry/deregistration_test.go
@@ -130,14 +130,14 @@
 	}
 	s.deregister("i01")
 	s.deregister("i02")
-	if !s.store.Knows("i01") || s.store.Knows("i02") || !s.store.Removed("i01") || !s.store.Removed("i02") {
-		t.Fatalf("after both deregistered, i01: Knows %v, Removed %v, want true, true; i02: Knows %v, Removed %v, want false, true",
-			s.store.Knows("i01"), s.store.Removed("i01"), s.store.Knows("i02"), s.store.Removed("i02"))
+	if !s.store.Knows("i01") || s.store.Knows("i02") || !s.store.PermanentlyRemoved("i01") || !s.store.PermanentlyRemoved("i02") {
+		t.Fatalf("after both deregistered, i01: Knows %v, PermanentlyRemoved %v, want true, true; i02: Knows %v, PermanentlyRemoved %v, want false, true",
+			s.store.Knows("i01"), s.store.PermanentlyRemoved("i01"), s.store.Knows("i02"), s.store.PermanentlyRemoved("i02"))
 	}
 	s.apply(EncodePut(worker(3), 1))
 	s.apply(EncodeRemove("i03", Expired, 1))
 	s.apply(EncodeRemove("i03", NeverRegistered, 0))
-	if !s.store.Knows("i03") || !s.store.Removed("i03") {
-		t.Fatalf("after i03 expired and deregistered as never registered: Knows %v, Removed %v, want true, true", s.store.Knows("i03"), s.store.Removed("i03"))
+	if !s.store.Knows("i03") || !s.store.PermanentlyRemoved("i03") {
+		t.Fatalf("after i03 expired and deregistered as never registered: Knows %v, PermanentlyRemoved %v, want true, true", s.store.Knows("i03"), s.store.PermanentlyRemoved("i03"))
 	}
 }
--- a/internal/controlplane/registry/liveness_test.go
+++ b/internal/controlplane/registry/liveness_test.go
@@ -174,7 +174,7 @@
 func TestLivenessTracker_Deregister(t *testing.T) {
 	s := newSimulatedShard()
 	s.gainOwnership()
-	if action, code := s.deregister("i04"); action != Propose || code != Gone || !s.store.Removed("i04") {
+	if action, code := s.deregister("i04"); action != Propose || code != Gone || !s.store.PermanentlyRemoved("i04") {
 		t.Fatalf("deregistration of an unknown instance: action %v, code %v; want %v, %v and a permanent removal", action, code, Propose, Gone)
 	}
 	if action, code := s.heartbeat(worker(4), 1); action != Propose || code != Gone {
@@ -190,7 +190,7 @@
 	s.dropProposals = true
 	s.heartbeat(worker(2), 1)
 	s.dropProposals = false
-	if action, code := s.deregister("i02"); action != Propose || code != Gone || !s.store.Removed("i02") {
+	if action, code := s.deregister("i02"); action != Propose || code != Gone || !s.store.PermanentlyRemoved("i02") {
 		t.Fatalf("deregistration before the registration is applied: action %v, code %v; want %v, %v and a permanent removal", action, code, Propose, Gone)
 	}
 }
--- a/internal/controlplane/registry/store.go
+++ b/internal/controlplane/registry/store.go
@@ -277,8 +277,8 @@
 	return instances
 }
 
-// Removed reports whether an instance is removed permanently, so that its heartbeats change nothing.
-func (s *Store) Removed(id string) bool {
+// PermanentlyRemoved reports whether an instance is removed permanently, so that its heartbeats change nothing.
+func (s *Store) PermanentlyRemoved(id string) bool {
 	removed, found := s.tombstones[id]
 	return found && removed.reason.permanent()
 }
--- a/internal/controlplane/registry/store_test.go
+++ b/internal/controlplane/registry/store_test.go
@@ -78,8 +78,8 @@
 	instance := exampleInstance("a", "1.2.3.4:5")
 	apply(t, store, EncodePut(instance, 3), Recorded)
 	change := apply(t, store, EncodeRemove("a", Deregistered, 3), Removed)
-	if !reflect.DeepEqual(change.Delete, []string{"a"}) || !store.Removed("a") || store.Instance("a") != nil {
-		t.Fatalf("change of the deregistration is %+v, Removed is %v, instance is %+v; want a deleted and removed permanently", change, store.Removed("a"), store.Instance("a"))
+	if !reflect.DeepEqual(change.Delete, []string{"a"}) || !store.PermanentlyRemoved("a") || store.Instance("a") != nil {
+		t.Fatalf("change of the deregistration is %+v, PermanentlyRemoved is %v, instance is %+v; want a deleted and removed permanently", change, store.PermanentlyRemoved("a"), store.Instance("a"))
 	}
 	apply(t, store, EncodePut(instance, 99), Gone)
 	apply(t, store, EncodeRemove("a", Deregistered, 3), Gone)
@@ -96,7 +96,7 @@
 	apply(t, store, EncodePut(instance, 3), Recorded)
 	apply(t, store, EncodeRemove("a", Expired, 7), Removed)
 	apply(t, store, EncodePut(instance, 7), Stale)
-	if store.Removed("a") {
+	if store.PermanentlyRemoved("a") {
 		t.Fatal("an expired instance counts as removed permanently")
 	}
 	apply(t, store, EncodePut(instance, 8), Recorded)
@@ -141,9 +141,9 @@
 	for number := 0; number <= maxTombstones; number++ {
 		apply(t, store, EncodeRemove(fmt.Sprint(number), Deregistered, 0), Gone)
 	}
-	if store.Removed("0") || !store.Removed("1") || len(store.tombstones) != maxTombstones || len(store.tombstoneOrder) != maxTombstones {
-		t.Fatalf("%d tombstones, %d in order, Removed is %v for the oldest and %v for the next; want %d, %d, false, true",
-			len(store.tombstones), len(store.tombstoneOrder), store.Removed("0"), store.Removed("1"), maxTombstones, maxTombstones)
+	if store.PermanentlyRemoved("0") || !store.PermanentlyRemoved("1") || len(store.tombstones) != maxTombstones || len(store.tombstoneOrder) != maxTombstones {
+		t.Fatalf("%d tombstones, %d in order, PermanentlyRemoved is %v for the oldest and %v for the next; want %d, %d, false, true",
+			len(store.tombstones), len(store.tombstoneOrder), store.PermanentlyRemoved("0"), store.PermanentlyRemoved("1"), maxTombstones, maxTombstones)
 	}
 }
 
@@ -263,7 +263,7 @@
 	apply(t, store, EncodeRemove("former", Deregistered, 3), Gone)
 	apply(t, store, EncodeRemove("successor", Deregistered, 1), Removed)
 	apply(t, store, EncodePut(former, 9), Gone)
-	if !store.Removed("former") {
+	if !store.PermanentlyRemoved("former") {
 		t.Error("a superseded instance that deregistered is not removed permanently")
 	}
 }
--- a/internal/controlplane/roleplanner/planner.go
+++ b/internal/controlplane/roleplanner/planner.go
@@ -46,13 +46,13 @@
 	Polls       []Command // workers that may have reached the stage; the caller asks each for its current stage
 }
 
-// Result is the outcome of a command.
-type Result uint8
+// CommandResult is the outcome of a command, as the caller reports it to Planner.CommandFinished.
+type CommandResult uint8
 
 // Results of a command.
 const (
 	// Accepted means that the worker is changing to the stage, or has it already.
-	Accepted Result = iota + 1
+	Accepted CommandResult = iota + 1
 	// Busy means that the worker is executing another command or did not answer; the command is retried.
 	Busy
 	// Rejected means that the worker will not change its stage.
@@ -60,7 +60,7 @@
 )
 
 // String returns the name of the result.
-func (r Result) String() string {
+func (r CommandResult) String() string {
 	switch r {
 	case Accepted:
 		return "accepted"
--- a/internal/controlplane/roleplanner/planner_test.go
+++ b/internal/controlplane/roleplanner/planner_test.go
@@ -13,11 +13,11 @@
 	now            time.Duration
 	demand         Demand
 	workers        []Worker
-	transitionTime time.Duration            // time between a command and the new stage
-	completesAt    map[string]time.Duration // when the transition of a worker completes
-	commandResult  func(Command) Result     // result of a command; nil: always Accepted
-	commands       []Command                // all commands so far
-	allowNoDecode  bool                     // the service may be without a decode worker
+	transitionTime time.Duration               // time between a command and the new stage
+	completesAt    map[string]time.Duration    // when the transition of a worker completes
+	commandResult  func(Command) CommandResult // result of a command; nil: always Accepted
+	commands       []Command                   // all commands so far
+	allowNoDecode  bool                        // the service may be without a decode worker
 }
 
 func newSimulatedService(t *testing.T, prefillWorkers, decodeWorkers int) *simulatedService {
@@ -209,7 +209,7 @@
 func TestPlanner_Plan_retriesThenWithdrawsCommand(t *testing.T) {
 	s := newSimulatedService(t, 2, 7)
 	s.demand = demandOf(3, 0.4)
-	s.commandResult = func(command Command) Result {
+	s.commandResult = func(command Command) CommandResult {
 		if command.ID == "w02" {
 			return Busy
 		}
@@ -233,7 +233,7 @@
 func TestPlanner_Plan_rejectedCommandNotRepeated(t *testing.T) {
 	s := newSimulatedService(t, 2, 7)
 	s.demand = demandOf(3, 0.4)
-	s.commandResult = func(Command) Result { return Rejected }
+	s.commandResult = func(Command) CommandResult { return Rejected }
 	s.run(20 * time.Second)
 	commandCount := map[string]int{}
 	for _, command := range s.commands {
--- a/internal/controlplane/roleplanner/transition.go
+++ b/internal/controlplane/roleplanner/transition.go
@@ -104,7 +104,7 @@
 }
 
 // CommandFinished records the result of the last command to a worker.
-func (p *Planner) CommandFinished(id string, result Result) {
+func (p *Planner) CommandFinished(id string, result CommandResult) {
 	current := p.transitions[id]
 	if current == nil {
 		return
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -113,7 +113,7 @@
 		return registry.Decision{}, false, false
 	}
 	known = m.store.Knows(id)
-	if m.store.Removed(id) {
+	if m.store.PermanentlyRemoved(id) {
 		return registry.Decision{Action: registry.Acknowledge}, known, true
 	}
 	return m.liveness.Deregister(now, id, known), known, true
@@ -124,7 +124,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known = m.store.Knows(id)
-	return known, known && m.store.Removed(id)
+	return known, known && m.store.PermanentlyRemoved(id)
 }
 
 // expiryCommands returns the commands that remove the instances whose heartbeats have timed out.
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -170,7 +170,7 @@
 }
 
 // commandResult classifies a worker's answer to a role command.
-func commandResult(status int) roleplanner.Result {
+func commandResult(status int) roleplanner.CommandResult {
 	switch status {
 	case statusOK, statusAccepted:
 		return roleplanner.Accepted
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -206,7 +206,7 @@
 }
 
 func TestCommandResult(t *testing.T) {
-	for status, expected := range map[int]roleplanner.Result{
+	for status, expected := range map[int]roleplanner.CommandResult{
 		200: roleplanner.Accepted, 202: roleplanner.Accepted, 409: roleplanner.Busy, 503: roleplanner.Busy, 0: roleplanner.Busy,
 		400: roleplanner.Rejected, 412: roleplanner.Rejected, 421: roleplanner.Rejected,
 	} {
