--- a/internal/dataplane/dispatch/retry.go
+++ b/internal/dataplane/dispatch/retry.go
@@ -6,14 +6,15 @@
 
 // Retry rules. A client request may be sent to a worker again
 //
-//   - regardless of the route's type, if the earlier call cannot have executed it: no byte was sent, or the
-//     worker responded that it did not execute it (onRunFailed, onRunRejected, onRunMisdirected);
+//   - regardless of the route's type, if the earlier call cannot have executed it: its head was not sent
+//     completely, or the worker responded that it did not execute it (onRunFailed, onRunRejected,
+//     onRunMisdirected);
 //   - after a run that may have executed it, only if retryAllowed returns true (retryOrFinish);
-//   - while a run or a prefill has not responded, only if runRetryCheck or prefillRetryCheck allows it.
+//   - while a run or a prefill is unresponsive, only if runRetryCheck or prefillRetryCheck allows it.
 //
 // Each run that reaches a worker is an attempt: attemptQuota limits attempts to the route's maxAttempts, and
-// all but the first spend the service's retry budget (package retrybudget). A run of which no byte was sent
-// leaves its reservation to the next run.
+// all but the first spend the service's retry budget (package retrybudget). A run whose head was not sent
+// completely leaves its reservation to the next run.
 
 // retryAllowed reports whether the request may be executed more than once: it is idempotent, or it is a
 // resumable stream that another worker can continue after the last event sent.
