--- a/internal/dataplane/dispatch/bench_test.go
+++ b/internal/dataplane/dispatch/bench_test.go
@@ -25,7 +25,7 @@
 	chooser := &scriptedChooser{results: map[*selection.Call][]string{}}
 	chooser.addChoices("p1>d1")
 	d := New(Options{
-		Workers: h, Chooser: chooser, Now: h.now, Random: func() float64 { return 0 },
+		WorkerClient: h, Chooser: chooser, Now: h.now, Random: func() float64 { return 0 },
 		Budget: retrybudget.Rules{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
 	})
 	d.SetView(testView(h.route))
--- a/internal/dataplane/dispatch/dispatcher.go
+++ b/internal/dataplane/dispatch/dispatcher.go
@@ -15,19 +15,19 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Options configures a Dispatcher. All fields but Log, Confirmed and Changed are required.
+// Options configures a Dispatcher. All fields but Log, ViewConfirmed and OnLoadChange are required.
 type Options struct {
-	Workers Workers
-	Chooser Chooser
-	Budget  retrybudget.Rules
-	Now     func() time.Duration // monotonic
-	Random  func() float64       // uniform in [0, 1); called from several goroutines
-	Log     *zap.Logger
-	// Confirmed reports whether the current view was recently confirmed to be the newest. It is called for requests
+	WorkerClient WorkerClient
+	Chooser      Chooser
+	Budget       retrybudget.Rules
+	Now          func() time.Duration // monotonic
+	Random       func() float64       // uniform in [0, 1); called from several goroutines
+	Log          *zap.Logger
+	// ViewConfirmed reports whether the current view was recently confirmed to be the newest. It is called for requests
 	// without a route. If it is nil, every view counts as confirmed.
-	Confirmed func() bool
-	// Changed is called when this node's calls in flight change. It must not block.
-	Changed func()
+	ViewConfirmed func() bool
+	// OnLoadChange is called when this node's calls in flight change. It must not block.
+	OnLoadChange func()
 }
 
 // Counts holds a Dispatcher's counters since its creation.
@@ -49,7 +49,7 @@
 
 // Dispatcher serves client requests. It is safe for concurrent use.
 type Dispatcher struct {
-	workers       Workers
+	workerClient  WorkerClient
 	now           func() time.Duration
 	random        func() float64
 	viewConfirmed func() bool
@@ -67,16 +67,16 @@
 	if log == nil {
 		log = zap.NewNop()
 	}
-	changed := options.Changed
+	changed := options.OnLoadChange
 	if changed == nil {
 		changed = func() {}
 	}
-	confirmed := options.Confirmed
+	confirmed := options.ViewConfirmed
 	if confirmed == nil {
 		confirmed = func() bool { return true }
 	}
 	return &Dispatcher{
-		workers:       options.Workers,
+		workerClient:  options.WorkerClient,
 		now:           options.Now,
 		random:        options.Random,
 		viewConfirmed: confirmed,
--- a/internal/dataplane/dispatch/fields_test.go
+++ b/internal/dataplane/dispatch/fields_test.go
@@ -16,7 +16,7 @@
 	workers := upstreamtest.NewWorkers()
 	pool := upstream.New(upstream.Options{Dial: workers.Dial})
 	defer pool.Close()
-	h.dispatcher.workers = OverPool(pool)
+	h.dispatcher.workerClient = NewPoolClient(pool)
 	workers.Script("d1:80", func(int) []upstreamtest.Exchange { return []upstreamtest.Exchange{upstreamtest.HealthyExchange(true)} })
 	h.chooser.addChoices("d1")
 	h.send(func(request *httpserver.Request) {
--- a/internal/dataplane/dispatch/harness_test.go
+++ b/internal/dataplane/dispatch/harness_test.go
@@ -39,7 +39,7 @@
 
 func (c recordedCall) field(name string) string { return c.request.Header.Get(name) }
 
-// testHarness is a Dispatcher with a scripted chooser and simulated workers, on a fake clock. It implements Workers.
+// testHarness is a Dispatcher with a scripted chooser and simulated workers, on a fake clock. It implements WorkerClient.
 type testHarness struct {
 	t          *testing.T
 	started    time.Time
@@ -78,7 +78,7 @@
 	h.route = testRoute()
 	h.chooser = &scriptedChooser{results: map[*selection.Call][]string{}}
 	h.dispatcher = New(Options{
-		Workers: h, Chooser: h.chooser, Now: h.now, Random: func() float64 { return 0.5 },
+		WorkerClient: h, Chooser: h.chooser, Now: h.now, Random: func() float64 { return 0.5 },
 		Budget: retrybudget.Rules{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
 	})
 	time.Sleep(10 * time.Second) // on the fake clock: the first window of the retry budget
@@ -128,7 +128,7 @@
 	h.scripts[worker] = append(h.scripts[worker], scripts...)
 }
 
-// Do implements Workers by running the next script of the called worker.
+// Do implements WorkerClient by running the next script of the called worker.
 func (h *testHarness) Do(ctx context.Context, call *upstream.Request) (*Response, *upstream.Failure) {
 	worker := call.Header.Get(fieldTargetInstance)
 	next := h.record(worker, call)
--- a/internal/dataplane/dispatch/interfaces.go
+++ b/internal/dataplane/dispatch/interfaces.go
@@ -29,8 +29,8 @@
 	Abort()
 }
 
-// Workers makes calls to workers.
-type Workers interface {
+// WorkerClient makes calls to workers.
+type WorkerClient interface {
 	// Do makes a call and returns its response. It never sends a call twice. The end of the context cancels
 	// the call, even while Events are being read.
 	Do(ctx context.Context, call *upstream.Request) (*Response, *upstream.Failure)
@@ -72,14 +72,14 @@
 	Demands(now time.Duration) map[string]roleplanner.Demand
 }
 
-// pooledWorkers makes calls over the connections of a pool.
-type pooledWorkers struct{ pool *upstream.Pool }
+// poolClient is a WorkerClient that uses the connections of a pool.
+type poolClient struct{ pool *upstream.Pool }
 
-// OverPool returns Workers whose calls use the connections of a pool.
-func OverPool(pool *upstream.Pool) Workers { return pooledWorkers{pool} }
+// NewPoolClient returns a WorkerClient that uses the connections of a pool.
+func NewPoolClient(pool *upstream.Pool) WorkerClient { return poolClient{pool} }
 
-// Do implements Workers.
-func (w pooledWorkers) Do(ctx context.Context, call *upstream.Request) (*Response, *upstream.Failure) {
+// Do implements WorkerClient.
+func (w poolClient) Do(ctx context.Context, call *upstream.Request) (*Response, *upstream.Failure) {
 	received, failure := w.pool.RoundTrip(ctx, call)
 	if failure != nil {
 		return nil, failure
--- a/internal/dataplane/dispatch/kvhandle.go
+++ b/internal/dataplane/dispatch/kvhandle.go
@@ -55,7 +55,7 @@
 		defer func() { <-d.freeSemaphore }()
 		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
-		response, _ := d.workers.Do(ctx, freeRequest(handle))
+		response, _ := d.workerClient.Do(ctx, freeRequest(handle))
 		closeEvents(response)
 	}()
 }
--- a/internal/dataplane/dispatch/outcome_test.go
+++ b/internal/dataplane/dispatch/outcome_test.go
@@ -133,7 +133,7 @@
 	workers := upstreamtest.NewWorkers()
 	pool := upstream.New(upstream.Options{Dial: workers.Dial})
 	defer pool.Close()
-	harness.dispatcher.workers = OverPool(pool)
+	harness.dispatcher.workerClient = NewPoolClient(pool)
 	harness.route.Type, harness.route.Resumable = o.routeType, o.resumable
 	harness.setRoute()
 	tested, size := "d1:80", 6
--- a/internal/dataplane/dispatch/prefill.go
+++ b/internal/dataplane/dispatch/prefill.go
@@ -42,7 +42,7 @@
 	r.dispatcher.counts.prefills.Add(1)
 	call := r.dispatcher.shared.sent(&r.criteria, selection.CallPrefill, choice)
 	sentAt := r.dispatcher.now()
-	response, failure := r.dispatcher.workers.Do(watcher.ctx, r.prefillRequest(choice.Prefill))
+	response, failure := r.dispatcher.workerClient.Do(watcher.ctx, r.prefillRequest(choice.Prefill))
 	r.trace.prefillTime = r.dispatcher.now() - sentAt
 	if failure != nil {
 		r.onPrefillFailed(call, choice, failure)
--- a/internal/dataplane/dispatch/resume_test.go
+++ b/internal/dataplane/dispatch/resume_test.go
@@ -147,7 +147,7 @@
 	workers := upstreamtest.NewWorkers()
 	pool := upstream.New(upstream.Options{Dial: workers.Dial})
 	defer pool.Close()
-	harness.dispatcher.workers = OverPool(pool)
+	harness.dispatcher.workerClient = NewPoolClient(pool)
 	harness.route.Resumable = resumable
 	harness.setRoute()
 	harness.chooser.addChoices("d1", "d2", "d3")
--- a/internal/dataplane/dispatch/run.go
+++ b/internal/dataplane/dispatch/run.go
@@ -43,7 +43,7 @@
 	defer watcher.stop()
 	call := r.dispatcher.shared.sent(&r.criteria, selection.CallRun, choice)
 	r.trace.recordRun(r.dispatcher.now())
-	response, failure := r.dispatcher.workers.Do(watcher.ctx, r.runRequest(choice.Run))
+	response, failure := r.dispatcher.workerClient.Do(watcher.ctx, r.runRequest(choice.Run))
 	watcher.pause()
 	if failure != nil {
 		return r.onRunFailed(call, watcher, failure)
--- a/internal/dataplane/dispatch/version_test.go
+++ b/internal/dataplane/dispatch/version_test.go
@@ -92,7 +92,7 @@
 		workers := upstreamtest.NewWorkers()
 		pool := upstream.New(upstream.Options{Dial: workers.Dial})
 		defer pool.Close()
-		h.dispatcher.workers = OverPool(pool)
+		h.dispatcher.workerClient = NewPoolClient(pool)
 		earlierID := ""
 		prefill := upstreamtest.Exchange{Respond: func(request upstreamtest.Request) string {
 			text := prefillResponse(request.ID)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -114,17 +114,17 @@
 	started := time.Now()
 	p.loadSharer = newLoadSharer(&loaded, log)
 	p.dispatcher = dispatch.New(dispatch.Options{
-		Workers: dispatch.OverPool(p.pool),
+		WorkerClient: dispatch.NewPoolClient(p.pool),
 		Chooser: selection.New(selection.Options{
 			Zone: loaded.Zone, Seed: rand.Uint64(), RereadSpan: bootconfig.Seconds(loaded.Bounds.AgainS),
 		}),
-		Budget:  retryBudgetRules(loaded.Bounds),
-		Now:     func() time.Duration { return time.Since(started) },
-		Random:  rand.Float64,
-		Log:     log,
-		Changed: p.loadSharer.notifyChanged,
+		Budget:       retryBudgetRules(loaded.Bounds),
+		Now:          func() time.Duration { return time.Since(started) },
+		Random:       rand.Float64,
+		Log:          log,
+		OnLoadChange: p.loadSharer.notifyChanged,
 
-		Confirmed: p.isConfigConfirmed,
+		ViewConfirmed: p.isConfigConfirmed,
 	})
 	p.loadSharer.start(p.dispatcher)
 	p.clientServer = p.newClientServer(loaded.Limits)
