--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -115,17 +115,17 @@
 	startedAt := time.Now()
 	p.loadSharer = newLoadSharer(&settings, log)
 	p.dispatcher = dispatch.New(dispatch.Options{
-		Workers: dispatch.OverPool(p.pool),
+		WorkerClient: dispatch.NewPoolClient(p.pool),
 		Chooser: selection.New(selection.Options{
 			Zone: settings.Zone, Seed: rand.Uint64(), RereadSpan: bootconfig.Seconds(settings.Bounds.AgainS),
 		}),
-		Budget:  retryBudgetRules(settings.Bounds),
-		Now:     func() time.Duration { return time.Since(startedAt) },
-		Random:  rand.Float64,
-		Log:     log,
-		Changed: p.loadSharer.notifyChanged,
+		Budget:       retryBudgetRules(settings.Bounds),
+		Now:          func() time.Duration { return time.Since(startedAt) },
+		Random:       rand.Float64,
+		Log:          log,
+		OnLoadChange: p.loadSharer.notifyChanged,
 
-		Confirmed: p.isConfigConfirmed,
+		ViewConfirmed: p.isConfigConfirmed,
 	})
 	p.loadSharer.start(p.dispatcher)
 	p.clientServer = p.newClientServer(settings.Limits)
