--- a/internal/dataplane/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	lowLoadSlotShare    = 0.5  // share of the slots in use below which every request is admitted
-	lowLoadQueueLength  = 1.   // requests waiting at each worker below which every request is admitted
+	lowLoadSlotShare    = 0.5  // the load is low, and every request admitted, only with a smaller share of the slots in use than this
+	lowLoadQueueLength  = 1.   // and only with fewer waiting requests per worker than this
 	maxSlackShare       = 0.75 // share of its slack that a request of the highest priority may wait
 	minSlackShare       = 0.5  // the same for the lowest priority
-	rejectAllRatio      = 1.4  // multiple of the longest wait at which all are rejected; rising from none at 1
-	maxRejectShare      = 0.95 // share that is rejected at most: without any responses nothing would be learned
+	rejectAllRatio      = 1.4  // multiple of the acceptable wait at which all requests are rejected; the share rises linearly from 0 at a ratio of 1
+	maxRejectShare      = 0.95 // upper bound on the share of rejected requests: predictions need some responses to learn from
 	deadlineShare       = 0.9  // share of the time to the deadline within which the first event must be predicted
-	lateWaitShare       = 0.1  // share of its latency target that a request may wait once it misses it anyway
+	lateWaitShare       = 0.1  // share of its latency target that a request may wait if it cannot meet the target any more
 	minRetryAfter       = 100 * time.Millisecond
 	maxRetryAfter       = 1500 * time.Millisecond
-	priorityTTL         = 30 * time.Second // for which a priority counts as in use after its last request
+	priorityTTL         = 30 * time.Second // a priority counts as in use for this long after its last request
 	priorityLevels      = 16
-	unloadedTimeSamples = 64. // requests of a route after which its mean forgets
+	unloadedTimeSamples = 64. // requests over which the mean of a route is averaged
 )
 
-// serviceLoad is the load of a service, summed over the workers that a request may be sent to.
+// serviceLoad is the load of a service, summed over the workers that are eligible for a request.
 type serviceLoad struct{ inUse, slots, waiting, workers float64 }
 
-// add adds the load of a worker of that class.
+// add adds the load of a worker of the given class. On a plain worker, requests beyond its slots count as
+// waiting.
 func (l *serviceLoad) add(of workerClass, load workerLoad, slots float64) {
 	l.inUse += load.total()
 	l.slots += slots
@@ -37,55 +38,55 @@
 	l.waiting += load.waiting
 }
 
-// low reports whether rejecting a request could not help any other.
+// low reports whether the load is so low that rejecting a request would not speed up any other.
 func (l *serviceLoad) low() bool {
 	return l.inUse < lowLoadSlotShare*l.slots && l.waiting < lowLoadQueueLength*l.workers
 }
 
-// admission is what load shedding depends on besides the load.
+// admission is the state of load shedding, except for the load itself.
 type admission struct {
-	unloadedByRoute map[string]*stats.Mean        // seconds to the first event of a route's requests without a queue
-	lastSeen        [priorityLevels]time.Duration // instant of the last request of a priority, plus 1; 0: none
+	unloadedByRoute map[string]*stats.Mean        // predicted seconds to the first event without queue wait, by route
+	lastSeen        [priorityLevels]time.Duration // instant of the last request of each priority, plus 1 ns; 0: none
 }
 
-// observe records a request and returns the seconds to the first event that are typical of its route
-// without a queue.
+// observe records a request, whose first event is predicted after unloaded seconds without queue wait. It
+// returns the mean of these seconds over the earlier requests of the route.
 func (a *admission) observe(now time.Duration, request *Request, unloaded float64) float64 {
 	if a.unloadedByRoute == nil {
 		a.unloadedByRoute = map[string]*stats.Mean{}
 	}
 	a.lastSeen[priorityLevel(request.Priority)] = now + 1
 	mean := stats.Of(a.unloadedByRoute, request.Route)
-	typical := mean.Or(unloaded, 0) // before its own size is added, which must not decide
+	typical := mean.Or(unloaded, 0) // without this request, whose own size must not matter
 	mean.Add(min(unloaded, typical*maxOutlierRatio), unloadedTimeSamples)
 	return typical
 }
 
-// priorityLevel returns the level that a priority counts at.
+// priorityLevel clamps a priority to the range that is tracked.
 func priorityLevel(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
-// slackShare returns the share of its slack that a request may wait. It falls with the priority's rank
-// among those in use, so that lower priorities are rejected first.
+// slackShare returns the share of its slack that a request may wait. It decreases with the rank of its
+// priority among those in use, so that requests of lower priorities are rejected first.
 func (a *admission) slackShare(now time.Duration, priority int) float64 {
-	moreUrgent, others := 0., -1.
+	higherPriorities, otherPriorities := 0., -1.
 	for level, seen := range a.lastSeen {
 		if seen == 0 || now-seen > priorityTTL {
 			continue
 		}
-		others++
+		otherPriorities++
 		if level < priorityLevel(priority) {
-			moreUrgent++
+			higherPriorities++
 		}
 	}
-	if others < 1 {
+	if otherPriorities < 1 {
 		return maxSlackShare
 	}
-	return maxSlackShare - (maxSlackShare-minSlackShare)*moreUrgent/others
+	return maxSlackShare - (maxSlackShare-minSlackShare)*higherPriorities/otherPriorities
 }
 
-// admit decides whether a request is sent. It compares the predicted queue wait with the longest one
-// that is acceptable; the request's own size does not count, so that the largest requests of a route are
-// rejected no sooner than the others.
+// admit decides whether a request is sent. The probability of a rejection depends on how far the predicted
+// queue wait exceeds the longest acceptable one. The request's own size has no influence, so that large
+// requests of a route are not rejected more often than small ones.
 func (s *service) admit(now time.Duration, info *requestInfo, best placement, load serviceLoad) Verdict {
 	request := info.request
 	typical := s.admission.observe(now, request, best.firstEvent-best.queueWait)
@@ -104,7 +105,8 @@
 }
 
 // maxWait returns the seconds of queue wait with which a typical request of the route still meets its
-// latency target; once that is impossible, a small share of the target.
+// latency target, or a small share of the target if that is larger. Typical is the route's time to the
+// first event without queue wait.
 func (s *service) maxWait(now time.Duration, request *Request, typical float64) float64 {
 	target := request.Objective
 	if target == 0 {
@@ -116,7 +118,8 @@
 	return max((target-now).Seconds()-typical, lateWaitShare*(target-request.Arrived).Seconds())
 }
 
-// retryAfter returns when a queue wait will have fallen by that many seconds, if nothing is added.
+// retryAfter returns the time in which a queue wait falls by excess seconds if no work is added, within
+// bounds.
 func retryAfter(excess float64) time.Duration {
 	return min(max(seconds(excess), minRetryAfter), maxRetryAfter)
 }
--- a/internal/dataplane/selection/admission_test.go
+++ b/internal/dataplane/selection/admission_test.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// busyService is a load at which requests may be rejected.
+// busyService is a load that is high enough for rejections.
 var busyService = serviceLoad{inUse: 90, slots: 100, waiting: 40, workers: 4}
 
-func placementWith(first, waits float64) placement {
-	return placement{firstEvent: first, queueWait: waits}
+// testPlacement returns a placement with the given predictions in seconds.
+func testPlacement(firstEvent, queueWait float64) placement {
+	return placement{firstEvent: firstEvent, queueWait: queueWait}
 }
 
 // countAdmitted counts how many of 1,000 requests are admitted.
-func countAdmitted(s *Selector, r *Request, o placement, c serviceLoad) (n int) {
+func countAdmitted(s *Selector, r *Request, best placement, load serviceLoad) (admitted int) {
 	svc := s.services["m"]
 	for range 1000 {
-		if svc.admit(r.Arrived, &requestInfo{request: r}, o, c).Admit {
-			n++
+		if svc.admit(r.Arrived, &requestInfo{request: r}, best, load).Admit {
+			admitted++
 		}
 	}
-	return n
+	return admitted
 }
 
 func TestService_Admit_outcomes(t *testing.T) {
 	cases := []struct {
-		name        string
-		first, wait float64
-		load        serviceLoad
-		low, high   int
+		name                     string
+		firstEvent, queueWait    float64
+		load                     serviceLoad
+		minAdmitted, maxAdmitted int
 	}{
-		{"no wait", 0.1, 0, busyService, 1000, 1000},
-		{"a wait within the objective", 0.3, 0.2, busyService, 1000, 1000},
-		{"a wait past the objective", 1.1, 1, busyService, 20, 90},
-		{"the same at low load", 1.1, 1, serviceLoad{inUse: 10, slots: 100, waiting: 1, workers: 4}, 1000, 1000},
-		{"large, without a wait", 3, 0.01, busyService, 1000, 1000},
-		{"past the deadline", 6, 2, busyService, 20, 90},
+		{"no queue wait", 0.1, 0, busyService, 1000, 1000},
+		{"queue wait within the objective", 0.3, 0.2, busyService, 1000, 1000},
+		{"queue wait past the objective", 1.1, 1, busyService, 20, 90},
+		{"queue wait past the objective at low load", 1.1, 1, serviceLoad{inUse: 10, slots: 100, waiting: 1, workers: 4}, 1000, 1000},
+		{"large request without queue wait", 3, 0.01, busyService, 1000, 1000},
+		{"first event past the deadline", 6, 2, busyService, 20, 90},
 	}
 	for _, c := range cases {
 		s, _ := newTestSelector(1, 1, 1)
-		if got := countAdmitted(s, newTestRequest(0, 1, 160, 100), placementWith(c.first, c.wait), c.load); got < c.low || got > c.high {
-			t.Errorf("%s: %d of 1000 admitted, want %d to %d", c.name, got, c.low, c.high)
+		got := countAdmitted(s, newTestRequest(0, 1, 160, 100), testPlacement(c.firstEvent, c.queueWait), c.load)
+		if got < c.minAdmitted || got > c.maxAdmitted {
+			t.Errorf("%s: admitted %d of 1000 requests, want %d to %d", c.name, got, c.minAdmitted, c.maxAdmitted)
 		}
 	}
 }
@@ -51,21 +53,21 @@
 	for _, wait := range []float64{0.4, 0.8, 1.2, 9} {
 		v := Verdict{Admit: true}
 		for range 100 {
-			if v = svc.admit(0, &requestInfo{request: r}, placementWith(wait+0.05, wait), busyService); !v.Admit {
+			if v = svc.admit(0, &requestInfo{request: r}, testPlacement(wait+0.05, wait), busyService); !v.Admit {
 				break
 			}
 		}
 		if !v.Admit && (v.RetryAfter < minRetryAfter || v.RetryAfter > maxRetryAfter) {
-			t.Errorf("queue wait of %v s: Retry-After %v", wait, v.RetryAfter)
+			t.Errorf("rejected at a queue wait of %v s: RetryAfter is %v, want %v to %v", wait, v.RetryAfter, minRetryAfter, maxRetryAfter)
 		}
 		if v.Admit && wait > 0.8 {
-			t.Errorf("a queue wait of %v s is never rejected", wait)
+			t.Errorf("queue wait of %v s: admitted all of 100 requests, want some rejected", wait)
 		}
 	}
 }
 
 func TestService_Admit_rejectsLowPriorityFirst(t *testing.T) {
-	var count [3]int
+	var admitted [3]int
 	s, _ := newTestSelector(1, 1, 1)
 	for priority := range 3 {
 		s.services["m"].admission.lastSeen[priority] = 1
@@ -73,10 +75,10 @@
 	for priority := range 3 {
 		r := newTestRequest(0, 1, 160, 100)
 		r.Priority = priority
-		count[priority] = countAdmitted(s, r, placementWith(0.37, 0.32), busyService)
+		admitted[priority] = countAdmitted(s, r, testPlacement(0.37, 0.32), busyService)
 	}
-	if count[0] != 1000 || count[1] <= count[2] || count[2] > 600 {
-		t.Errorf("admitted by priority: %v", count)
+	if admitted[0] != 1000 || admitted[1] <= admitted[2] || admitted[2] > 600 {
+		t.Errorf("admitted of 1000 requests of priorities 0, 1 and 2: %v, want 1000, then more of 1 than of 2, and at most 600 of 2", admitted)
 	}
 }
 
@@ -84,29 +86,30 @@
 	s, _ := newTestSelector(1, 1, 1)
 	svc, r := s.services["m"], newTestRequest(0, 1, 160, 100)
 	small, large := 0, 0
-	for i := range 4000 { // a tenth are large: they take 0.9 s without a queue
-		first, count := 0.1, &small
+	for i := range 4000 { // a tenth are large: their first event takes 0.9 s without queue wait
+		firstEvent, count := 0.1, &small
 		if i%10 == 0 {
-			first, count = 0.9, &large
+			firstEvent, count = 0.9, &large
 		}
-		if svc.admit(0, &requestInfo{request: r}, placementWith(first+0.28, 0.28), busyService).Admit {
+		if svc.admit(0, &requestInfo{request: r}, testPlacement(firstEvent+0.28, 0.28), busyService).Admit {
 			*count++
 		}
 	}
 	if small == 3600 || large*9 < small*8/10 {
-		t.Errorf("admitted %d large and %d small requests", large, small)
+		t.Errorf("admitted %d of 400 large and %d of 3600 small requests, want some small ones rejected and at least 0.8 times their share of large ones",
+			large, small)
 	}
 }
 
 func TestService_Admit_someAdmittedAtAnyWait(t *testing.T) {
 	s, _ := newTestSelector(1, 1, 1)
-	if got := countAdmitted(s, newTestRequest(0, 1, 160, 100), placementWith(100, 100), busyService); got == 0 {
-		t.Error("none is admitted: nothing would be learned")
+	if got := countAdmitted(s, newTestRequest(0, 1, 160, 100), testPlacement(100, 100), busyService); got == 0 {
+		t.Error("queue wait of 100 s: admitted none of 1000 requests, want some, as predictions learn from their responses")
 	}
 	if r := retryAfter(100); r != maxRetryAfter {
-		t.Errorf("Retry-After %v", r)
+		t.Errorf("retryAfter(100) = %v, want %v", r, maxRetryAfter)
 	}
 	if r := retryAfter(0); r != 100*time.Millisecond {
-		t.Errorf("Retry-After %v", r)
+		t.Errorf("retryAfter(0) = %v, want 100ms", r)
 	}
 }
--- a/internal/dataplane/selection/affinity_test.go
+++ b/internal/dataplane/selection/affinity_test.go
@@ -30,13 +30,13 @@
 		target := firstAffinityTarget(key, one.services["m"].byClass[classPrefill])
 		return target == firstAffinityTarget(key, other.services["m"].byClass[classPrefill])
 	}, gen.UInt64()))
-	p.Property("the first target changes only if its worker leaves", prop.ForAll(func(key uint64, gone int) bool {
+	p.Property("the first target changes only if its worker leaves", prop.ForAll(func(key uint64, removed int) bool {
 		s, _ := newTestSelector(6, 2, 1)
 		list := s.services["m"].byClass[classPrefill]
 		before := firstAffinityTarget(key, list)
-		rest := append(append([]*worker{}, list[:gone]...), list[gone+1:]...)
-		after := firstAffinityTarget(key, rest)
-		return after == before || before == list[gone].entry.ID
+		remaining := append(append([]*worker{}, list[:removed]...), list[removed+1:]...)
+		after := firstAffinityTarget(key, remaining)
+		return after == before || before == list[removed].entry.ID
 	}, gen.UInt64(), gen.IntRange(0, 5)))
 	p.TestingRun(t)
 }
@@ -57,7 +57,7 @@
 		}
 	}
 	if agreements < 36 {
-		t.Errorf("all nodes agree on %d of 40 keys", agreements)
+		t.Errorf("5 nodes chose the same prefill worker for %d of 40 keys, want at least 36", agreements)
 	}
 }
 
@@ -72,10 +72,11 @@
 	again := newTestRequest(time.Second, 5, 9600, 64)
 	next, _ := s.Choose(time.Second, again, nil)
 	if next.Run != c.Run || next.Prefill != nil {
-		t.Errorf("computed at %s, then sent to %s after %s", idOf(c.Run), idOf(next.Run), idOf(next.Prefill))
+		t.Errorf("second request with a prefix cached on worker %q: run on %q, prefill on %q; want run on the same worker without prefill",
+			idOf(c.Run), idOf(next.Run), idOf(next.Prefill))
 	}
 	if cached := svc.workers[c.Run.ID].cache.cachedTokens(again.Prompt); cached != 9600 {
-		t.Errorf("%v tokens cached", cached)
+		t.Errorf("cachedTokens = %v, want 9600", cached)
 	}
 }
 
@@ -87,51 +88,53 @@
 		prompt []PromptSegment
 		want   float64
 	}{
-		{"nothing", nil, []PromptSegment{a, b}, 0},
-		{"complete blocks of all", []PromptSegment{a, b, own}, []PromptSegment{a, b, own}, 112},
-		{"up to the first that is not cached", []PromptSegment{a, own}, []PromptSegment{a, b, own}, 32},
-		{"not without those before", []PromptSegment{b, own}, []PromptSegment{a, b, own}, 0},
+		{"nothing cached", nil, []PromptSegment{a, b}, 0},
+		{"all segments cached: complete blocks", []PromptSegment{a, b, own}, []PromptSegment{a, b, own}, 112},
+		{"middle segment not cached: those before it", []PromptSegment{a, own}, []PromptSegment{a, b, own}, 32},
+		{"first segment not cached", []PromptSegment{b, own}, []PromptSegment{a, b, own}, 0},
 	}
 	for _, c := range cases {
-		k := prefixCache{capacity: 1000}
-		k.add(c.cached, 1, 0)
-		if got := k.cachedTokens(c.prompt); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		cache := prefixCache{capacity: 1000}
+		cache.add(c.cached, 1, 0)
+		if got := cache.cachedTokens(c.prompt); got != c.want {
+			t.Errorf("%s: cachedTokens = %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestPrefixCache_Add_evictsLeastRecentlyUsed(t *testing.T) {
-	k := prefixCache{capacity: 100}
-	k.add([]PromptSegment{{1, 40}, {2, 20}}, 1, 0)
-	k.add([]PromptSegment{{1, 40}, {3, 20}}, 1, 0)
-	k.add([]PromptSegment{{1, 40}, {4, 30}}, 1, 0)
-	if !k.has(1) || k.has(2) || !k.has(3) || !k.has(4) {
-		t.Errorf("1 %v, 2 %v, 3 %v, 4 %v", k.has(1), k.has(2), k.has(3), k.has(4))
+	cache := prefixCache{capacity: 100}
+	cache.add([]PromptSegment{{1, 40}, {2, 20}}, 1, 0)
+	cache.add([]PromptSegment{{1, 40}, {3, 20}}, 1, 0)
+	cache.add([]PromptSegment{{1, 40}, {4, 30}}, 1, 0)
+	if !cache.contains(1) || cache.contains(2) || !cache.contains(3) || !cache.contains(4) {
+		t.Errorf("cached segments after adding 1, 2, 3 and 4: 1 %v, 2 %v, 3 %v, 4 %v; want all but 2",
+			cache.contains(1), cache.contains(2), cache.contains(3), cache.contains(4))
 	}
-	if k.add([]PromptSegment{{5, 10}}, 5, 0); k.has(3) || !k.has(5) {
-		t.Errorf("the weight of a request's own segment counts for all nodes: 3 %v, 5 %v", k.has(3), k.has(5))
+	if cache.add([]PromptSegment{{5, 10}}, 5, 0); cache.contains(3) || !cache.contains(5) {
+		t.Errorf("after adding segment 5 for 5 nodes: 3 cached %v, 5 cached %v; want 3 evicted, as the last segment counts once per node",
+			cache.contains(3), cache.contains(5))
 	}
-	if k.evict(0); k.used != 0 || len(k.byID) != 0 {
-		t.Errorf("%v used by %d", k.used, len(k.byID))
+	if cache.evict(0); cache.used != 0 || len(cache.byID) != 0 {
+		t.Errorf("after evict(0): %v tokens used by %d segments, want none", cache.used, len(cache.byID))
 	}
 }
 
-func TestAffinityReach_growsWithPopularity(t *testing.T) {
+func TestTargetRankLimit_growsWithPopularity(t *testing.T) {
 	s, _ := newTestSelector(8, 2, 1)
 	list := s.services["m"].byClass[classPrefill]
-	inHomes := func(share float64) (n int) {
-		j := requestInfo{affinityKey: 42, keyShare: share}
-		reach := affinityReach(&j, list)
+	countTargets := func(share float64) (n int) {
+		info := requestInfo{affinityKey: 42, keyShare: share}
+		rankLimit := targetRankLimit(&info, list)
 		for _, w := range list {
-			if estimate.RendezvousRank(42, w.hash, len(list)) <= reach {
+			if estimate.RendezvousRank(42, w.hash, len(list)) <= rankLimit {
 				n++
 			}
 		}
 		return n
 	}
-	if rare, popular := inHomes(0), inHomes(0.6); rare != 1 || popular < 4 {
-		t.Errorf("%d targets of a rare key, %d of a popular one", rare, popular)
+	if rare, popular := countTargets(0), countTargets(0.6); rare != 1 || popular < 4 {
+		t.Errorf("of 8 workers, %d are targets of a key with share 0 and %d of one with share 0.6, want 1 and at least 4", rare, popular)
 	}
 }
 
@@ -143,13 +146,14 @@
 		testWorker(0, "decode"), view.Workers["m"][1], view.Workers["m"][2], view.Workers["m"][3]}}}
 	s.SetView(0, changed)
 	if s.services["m"].workers["wa"] != w || w.class != classDecode {
-		t.Fatalf("the worker's state is gone, or its class is %v", w.class)
+		t.Fatalf("after worker wa became a decode worker: same state %v, class %v; want the same state and class %v",
+			s.services["m"].workers["wa"] == w, w.class, classDecode)
 	}
 	if got := w.delays[classDecode].Process(0, 1, 0, 1); got != 1 {
-		t.Errorf("samples of the old class count in the new one: %v", got)
+		t.Errorf("prediction for the new class: %v, want 1, without the samples of the old class", got)
 	}
 	s.SetView(0, view)
 	if got := w.delays[classPrefill].Process(0, 1, 0, 1); got <= 1 {
-		t.Errorf("the samples of the old class are gone: %v", got)
+		t.Errorf("prediction after the return to the old class: %v, want above 1, from its earlier samples", got)
 	}
 }
--- a/internal/dataplane/selection/bench_test.go
+++ b/internal/dataplane/selection/bench_test.go
@@ -6,9 +6,9 @@
 )
 
 func BenchmarkSelector_Choose(b *testing.B) {
-	f := newModelFleet(90, 90, 5, 1, selectorPolicy)
-	for _, k := range trafficKinds {
-		f.traffic(k, 6)
+	f := newSimFleet(90, 90, 5, 1, selectorPolicy)
+	for _, kind := range trafficKinds {
+		f.startTraffic(kind, 6)
 	}
 	f.clock.run(10 * time.Second)
 	s := f.selectors[0]
--- a/internal/dataplane/selection/calls.go
+++ b/internal/dataplane/selection/calls.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// Call is one call to a worker that is in flight. It ends by the first of Done, Rejected, Failed and
-// Abandoned; later ones have no effect.
+// Call is a call to a worker. It is in flight until the first of Done, Rejected, Failed and Abandoned;
+// later ones have no effect.
 type Call struct {
 	service        *service
 	worker         *worker
 	source         *worker     // prefill worker that the KV cache is transferred from; nil: none
-	workerClass    workerClass // of the worker when the call was sent
+	workerClass    workerClass // class of the worker when the call was sent
 	forecast       forecast
 	prompt         []PromptSegment
-	reservedTokens float64 // of the worker's KV cache
+	reservedTokens float64 // tokens of the worker's KV cache
 	outputTokens   float64 // upper bound
 	sentAt         time.Duration
 
 	firstEventAt       time.Duration
-	othersAtFirstEvent callCounts // this node's other calls at the worker when the response began
+	othersAtFirstEvent callCounts // this node's other calls at the worker at firstEventAt
 	started            bool       // the response has begun
 	ended              bool
 }
 
-// Sent opens a call that is being sent to choice.Prefill (CallPrefill) or to choice.Run. If that worker
-// is not in the view, the returned call has ended and counts for nothing.
+// Sent returns a new Call, which is being sent to choice.Prefill (CallPrefill) or choice.Run (CallRun). If
+// that worker is not in the view, the call has already ended and nothing is learned from it.
 func (s *Selector) Sent(now time.Duration, request *Request, kind CallKind, choice Choice) *Call {
 	call := &Call{sentAt: now, prompt: request.Prompt}
 	target, svc := choice.Run, s.services[request.Service]
@@ -44,15 +44,15 @@
 	return call
 }
 
-// predictCall sets a call's forecast and the KV cache that it reserves.
+// predictCall sets a call's forecast and the tokens of KV cache that it reserves.
 func (s *service) predictCall(now time.Duration, info *requestInfo, call *Call) {
 	w := call.worker
 	call.workerClass, call.outputTokens = w.class, float64(info.request.OutputTokens)
-	reach, workers := 0., len(s.byClass[w.class])
+	rankLimit, workers := 0., len(s.byClass[w.class])
 	if w.class != classPlain {
-		reach = affinityReach(info, s.byClass[w.class])
+		rankLimit = targetRankLimit(info, s.byClass[w.class])
 	}
-	cached := s.cachedTokens(info, w, reach, workers)
+	cached := s.cachedTokens(info, w, rankLimit, workers)
 	t := promptTask(w.class, info.promptTokens, cached)
 	if call.source != nil {
 		size := transferSize(call.source, w, info.promptTokens-cached)
@@ -65,18 +65,18 @@
 	call.forecast = s.predict(now, w, t, s.estimateLoad(now, w))
 }
 
-// FirstEvent records that the first event of a response has arrived.
+// FirstEvent records that the first event of a call's response has arrived.
 func (s *Selector) FirstEvent(now time.Duration, call *Call) {
 	if call.ended || call.started {
 		return
 	}
-	call.start(now)
+	call.recordFirstEvent(now)
 }
 
-// start learns from the beginning of a response.
-func (c *Call) start(now time.Duration) {
+// recordFirstEvent marks the response as begun and learns from the time it took.
+func (c *Call) recordFirstEvent(now time.Duration) {
 	s, w := c.service, c.worker
-	s.learn(now, c, (now - c.sentAt).Seconds())
+	s.learnResponseTime(now, c, (now - c.sentAt).Seconds())
 	c.othersAtFirstEvent = w.ownCallsExcept(c)
 	c.started, c.firstEventAt = true, now
 	w.cache.add(c.prompt, s.selector.nodes, s.occupiedTokens(w, workerLoad{}))
@@ -85,11 +85,11 @@
 		s.pools[classDecode].requestTokens.Add(c.reservedTokens, poolSamples)
 	}
 	if c.source != nil {
-		s.recordTransfer(now, c, false)
+		s.recordTransferOutcome(now, c, false)
 	}
 }
 
-// Done ends a call whose response is complete. Load is what the head of the response reported; nil: nothing.
+// Done ends a call whose response is complete. Load is the load reported in the response header; nil: none.
 func (s *Selector) Done(now time.Duration, call *Call, load *Load) {
 	if call.ended {
 		return
@@ -100,7 +100,7 @@
 		at = call.firstEventAt
 		call.learnDecodeTime(now)
 	} else {
-		call.start(now)
+		call.recordFirstEvent(now)
 	}
 	if at > w.report.at || !w.report.known {
 		svc.recordLoad(at, w, load, call.othersAtFirstEvent)
@@ -112,7 +112,7 @@
 	call.close()
 }
 
-// learnDecodeTime learns from the time between the first event and the end of the response.
+// learnDecodeTime records the time per token between the first event and the end of the response.
 func (c *Call) learnDecodeTime(now time.Duration) {
 	if c.workerClass != classDecode || c.worker.class != c.workerClass || c.outputTokens < 1 {
 		return
@@ -122,8 +122,8 @@
 	c.worker.delays[classDecode].AddProcess(now, interTokenBucket, c.forecast.load.running, ratio)
 }
 
-// Rejected ends a call that the worker did not execute. Its round trip has no processing time in it, and
-// the worker counts as full for fullAfterRejection.
+// Rejected ends a call that the worker did not execute. The round trip includes no processing, so it is
+// a sample of the network time. The worker counts as full for fullAfterRejection.
 func (s *Selector) Rejected(now time.Duration, call *Call, load *Load) {
 	if call.ended {
 		return
@@ -138,26 +138,26 @@
 	call.close()
 }
 
-// Failed ends a call without a usable response. No prediction learns from it.
+// Failed ends a call without a usable response. It adds no sample to the time predictions.
 func (s *Selector) Failed(now time.Duration, call *Call, cause Failure) {
 	if call.ended {
 		return
 	}
 	if call.source != nil && cause == FailureTransfer {
-		call.service.recordTransfer(now, call, true)
+		call.service.recordTransferOutcome(now, call, true)
 	}
 	call.worker.health.recordFailure(now, cause)
 	call.close()
 }
 
-// Abandoned ends a call whose client has left. No prediction learns from it.
+// Abandoned ends a call whose client has disconnected. It adds no sample to the time predictions.
 func (s *Selector) Abandoned(_ time.Duration, call *Call) {
 	if !call.ended {
 		call.close()
 	}
 }
 
-// close removes the call from its worker's calls in flight.
+// close marks the call as ended and removes it from its worker's calls in flight.
 func (c *Call) close() {
 	c.ended = true
 	c.worker.removeCall(c)
--- a/internal/dataplane/selection/calls_test.go
+++ b/internal/dataplane/selection/calls_test.go
@@ -15,7 +15,8 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// newTestSelector builds a selector for an engine service of some prefill and decode workers in two zones.
+// newTestSelector returns a selector, and its view, for service "m" with the given numbers of prefill and decode
+// workers in two zones.
 func newTestSelector(prefill, decode int, seed uint64) (*Selector, *fleetview.View) {
 	view := &fleetview.View{EdgeNodeCount: 4, Workers: map[string][]*fleetview.Worker{},
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
@@ -32,11 +33,14 @@
 	return s, view
 }
 
+// testWorker returns worker number i: "wa", "wb" and so on, alternately in two zones.
 func testWorker(i int, stage string) *fleetview.Worker {
 	return &fleetview.Worker{Instance: registry.Instance{ID: "w" + string(rune('a'+i)), Service: "m",
 		Zone: zoneName(i % 2), Slots: 64, Stage: stage}}
 }
 
+// newTestRequest returns a request whose prompt has a shared segment with ID key and one of its own, with the given
+// numbers of tokens.
 func newTestRequest(now time.Duration, key uint64, shared, own int) *Request {
 	return &Request{Service: "m", Route: "r", Prompt: []PromptSegment{{key, shared}, {key<<32 + uint64(now), own}},
 		PromptTokens: shared + own, OutputTokens: 20, Arrived: now,
@@ -49,8 +53,9 @@
 	return gopter.NewProperties(parameters)
 }
 
-// playCalls plays random calls, a step for each number, and ends all that are open.
-func playCalls(selector *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
+// runRandomCalls starts or ends a call in each step, as chosen by the step's number, and passes each choice to check.
+// At last it abandons the calls in flight.
+func runRandomCalls(selector *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
 	var open []*Call
 	now := time.Duration(0)
 	random := rand.New(rand.NewPCG(uint64(len(steps)), 5))
@@ -68,10 +73,10 @@
 			}
 			continue
 		}
-		at := random.IntN(len(open))
-		endCall(selector, now, open[at], step)
-		endCall(selector, now, open[at], step+1) // a second end is ignored
-		open = append(open[:at], open[at+1:]...)
+		index := random.IntN(len(open))
+		endCall(selector, now, open[index], step)
+		endCall(selector, now, open[index], step+1) // ending a call twice has no effect
+		open = append(open[:index], open[index+1:]...)
 		if step%41 == 0 {
 			selector.SetView(now, view)
 		}
@@ -81,17 +86,18 @@
 	}
 }
 
-func endCall(s *Selector, now time.Duration, call *Call, how int) {
-	switch how % 6 {
+// endCall ends a call in one of six ways, chosen by variant.
+func endCall(s *Selector, now time.Duration, call *Call, variant int) {
+	switch variant % 6 {
 	case 0, 1:
 		s.FirstEvent(now, call)
-		s.Done(now+time.Second/10, call, &Load{how % 5, how % 3, 64})
+		s.Done(now+time.Second/10, call, &Load{variant % 5, variant % 3, 64})
 	case 2:
 		s.Done(now, call, nil)
 	case 3:
-		s.Rejected(now, call, &Load{64, how % 9, 64})
+		s.Rejected(now, call, &Load{64, variant % 9, 64})
 	case 4:
-		s.Failed(now, call, Failure(how/6%6))
+		s.Failed(now, call, Failure(variant/6%6))
 	case 5:
 		s.Abandoned(now, call)
 	}
@@ -100,9 +106,9 @@
 func TestSelector_Calls_properties(t *testing.T) {
 	p := newProperties()
 	steps := gen.SliceOfN(300, gen.IntRange(0, 100000))
-	p.Property("counts return to zero", prop.ForAll(func(steps []int) bool {
+	p.Property("no calls in flight and no reserved tokens once all calls have ended", prop.ForAll(func(steps []int) bool {
 		s, view := newTestSelector(3, 4, 1)
-		playCalls(s, view, steps, func(time.Duration, Choice, Verdict) {})
+		runRandomCalls(s, view, steps, func(time.Duration, Choice, Verdict) {})
 		for _, w := range s.services["m"].workers {
 			if len(w.calls) != 0 || w.reservedTokens != 0 {
 				return false
@@ -110,25 +116,25 @@
 		}
 		return true
 	}, steps))
-	p.Property("predictions are finite and not negative", prop.ForAll(func(steps []int) bool {
+	p.Property("scores and predictions are finite and not negative", prop.ForAll(func(steps []int) bool {
 		s, view := newTestSelector(3, 4, 1)
-		good := true
-		playCalls(s, view, steps, func(_ time.Duration, c Choice, v Verdict) {
-			good = good && c.TimeToFirstEvent >= 0 && c.TimeToFirstEvent < time.Hour && (v.Admit || v.RetryAfter >= minRetryAfter)
-			for _, option := range s.services["m"].scratch.placements {
-				good = good && option.score >= 0 && option.firstEvent >= 0 && option.queueWait >= 0
-				good = good && !math.IsInf(option.score, 0) && !math.IsNaN(option.score)
+		valid := true
+		runRandomCalls(s, view, steps, func(_ time.Duration, c Choice, v Verdict) {
+			valid = valid && c.TimeToFirstEvent >= 0 && c.TimeToFirstEvent < time.Hour && (v.Admit || v.RetryAfter >= minRetryAfter)
+			for _, scored := range s.services["m"].scratch.placements {
+				valid = valid && scored.score >= 0 && scored.firstEvent >= 0 && scored.queueWait >= 0
+				valid = valid && !math.IsInf(scored.score, 0) && !math.IsNaN(scored.score)
 			}
 		})
-		return good
+		return valid
 	}, steps))
 	p.Property("the same seed gives the same choices", prop.ForAll(func(steps []int) bool {
-		play := func() (out []Choice) {
+		choose := func() (choices []Choice) {
 			s, view := newTestSelector(3, 4, 9)
-			playCalls(s, view, steps, func(_ time.Duration, c Choice, _ Verdict) { out = append(out, c) })
-			return out
+			runRandomCalls(s, view, steps, func(_ time.Duration, c Choice, _ Verdict) { choices = append(choices, c) })
+			return choices
 		}
-		first, second := play(), play()
+		first, second := choose(), choose()
 		for i := range first {
 			if idOf(first[i].Run) != idOf(second[i].Run) || idOf(first[i].Prefill) != idOf(second[i].Prefill) {
 				return false
@@ -151,16 +157,16 @@
 	p.Property("excluded workers are not chosen", prop.ForAll(func(mask int, key uint64) bool {
 		s, view := newTestSelector(3, 4, 1)
 		var excluded []string
-		left := 0
+		eligible := 0
 		for i, w := range view.Workers["m"] {
 			if mask>>i&1 == 1 {
 				excluded = append(excluded, w.ID)
 			} else if w.Stage == "decode" {
-				left++
+				eligible++
 			}
 		}
 		c, v := s.Choose(0, newTestRequest(0, key, 3200, 900), excluded)
-		if left == 0 {
+		if eligible == 0 {
 			return c.Run == nil && !v.Admit && v.RetryAfter > 0
 		}
 		for _, id := range excluded {
@@ -182,6 +188,6 @@
 	s.FirstEvent(1, call)
 	s.Done(2, call, nil)
 	if _, v := s.Choose(3, r, nil); v.Admit || v.RetryAfter <= 0 {
-		t.Errorf("without workers: %+v", v)
+		t.Errorf("Choose without workers: %+v, want a rejection with RetryAfter above 0", v)
 	}
 }
--- a/internal/dataplane/selection/demand.go
+++ b/internal/dataplane/selection/demand.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// batchSlowdown is by how much longer a decode worker takes for a token when all its slots are in use, against a
-	// single request. Its capacity is what it decodes then.
+	// batchSlowdown is the relative increase in the time per token of a decode worker from a single stream to all slots
+	// in use. The worker's capacity is its throughput with all slots in use.
 	batchSlowdown = 1.
-	// maxSampleSpan bounds the time for which one look at the running streams counts.
-	maxSampleSpan = 2 * time.Second
+	// maxStreamInterval limits the time that a call of recordStreamTime accounts for.
+	maxStreamInterval = 2 * time.Second
 )
 
-// Demands returns the demand since the start of each service whose workers have stages; the planner of
-// prefill and decode roles works from it. Running streams count for the time since the previous call, so
-// it is to be called several times a second.
+// Demands returns the cumulative demand of each service whose workers have stages. It is the input of the
+// planner of prefill and decode roles. The streams that are running now are counted for the time since the
+// previous call, so it should be called several times a second.
 func (s *Selector) Demands(now time.Duration) map[string]roleplanner.Demand {
 	demands := make(map[string]roleplanner.Demand, len(s.services))
 	for name, service := range s.services {
-		service.countStreams(now)
+		service.recordStreamTime(now)
 		if service.demand != (roleplanner.Demand{}) {
 			demands[name] = service.demand
 		}
@@ -28,24 +28,24 @@
 	return demands
 }
 
-// countStreams adds the time for which this node's streams have occupied slots and KV cache of decode
-// workers.
-func (s *service) countStreams(now time.Duration) {
-	span := min(now-s.streamsCountedAt, maxSampleSpan).Seconds()
-	s.streamsCountedAt = now
+// recordStreamTime adds to the demand the share of the decode workers' slots and KV cache that this node's
+// streams occupied since the previous call.
+func (s *service) recordStreamTime(now time.Duration) {
+	interval := min(now-s.streamsRecordedAt, maxStreamInterval).Seconds()
+	s.streamsRecordedAt = now
 	for _, w := range s.workers {
 		for _, call := range w.calls {
 			if call.workerClass != classDecode || !call.started && call.source == nil {
-				continue // it is still in prefill
+				continue // the prompt is still being prefilled
 			}
-			busy := min(1, call.forecast.load.running/s.slotsOf(w))
-			s.demand.Slots += span * (1 + batchSlowdown) / (1 + batchSlowdown*busy) / s.slotsOf(w)
-			s.demand.Memory += span * call.reservedTokens / s.kvCapacity()
+			utilization := min(1, call.forecast.load.running/s.slotsOf(w))
+			s.demand.Slots += interval * (1 + batchSlowdown) / (1 + batchSlowdown*utilization) / s.slotsOf(w)
+			s.demand.Memory += interval * call.reservedTokens / s.kvCapacity()
 		}
 	}
 }
 
-// recordOffered adds a request to the demand, as the best placement would serve it.
+// recordOffered adds a request to the demand, with the costs it has on its best placement.
 func (s *service) recordOffered(info *requestInfo, best placement) {
 	prefill := best.prefill
 	if prefill == nil {
@@ -53,10 +53,10 @@
 	}
 	s.demand.Offered++
 	s.demand.Prefill += unloadedTime(classPrefill, max(1, prefill.uncachedTokens), info.promptTokens-prefill.uncachedTokens)
-	s.demand.Transfers += s.configuredTransfer(best.run.uncachedTokens)
+	s.demand.Transfers += s.configuredTransferTime(best.run.uncachedTokens)
 }
 
-// recordPrefill adds a prefill that is done.
+// recordPrefill adds a completed prefill call that took the given seconds to the demand.
 func (s *service) recordPrefill(call *Call, seconds float64) {
 	s.demand.PrefillDone += call.forecast.unloaded
 	s.demand.PrefillTime += max(0, seconds-call.forecast.network)
--- a/internal/dataplane/selection/ejection.go
+++ b/internal/dataplane/selection/ejection.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Nodes report to each other which workers fail, so that each need not find out by requests of its own.
-// A worker that enough nodes report is ejected at all of them.
+// Nodes report to each other which workers fail, so that a node need not lose requests of its own to find
+// out. Every node ejects the workers that enough nodes report.
 
 const (
-	minReporters        = 2    // nodes that must report a worker
-	minReporterShare    = 0.03 // and at least this share of the nodes
-	maxFailingShare     = 0.5  // a node that reports more than this share of a service's workers is at fault itself
-	maxPeerEjectedShare = 0.2  // share of a class's workers that are ejected because of reports
+	minReporters        = 2    // minimum number of nodes that must report a worker
+	minReporterShare    = 0.03 // minimum share of the nodes that must report a worker
+	maxFailingShare     = 0.5  // a node that reports more than this share of a service's workers is assumed to be faulty itself
+	maxPeerEjectedShare = 0.2  // maximum share of a class's workers that are ejected because of reports
 	minPeerEjection     = 500 * time.Millisecond
-	maxPeerEjection     = 3 * time.Second // drawn, so that not all nodes probe a worker at once
+	maxPeerEjection     = 3 * time.Second // the duration is random, so that not all nodes probe a worker at the same time
 )
 
-// applyFailureReports ejects the workers that, with what a node has just reported, enough nodes report.
+// applyFailureReports ejects the workers that are reported by enough nodes, now that one node has reported
+// list.
 func (s *Selector) applyFailureReports(now time.Duration, list []Outstanding) {
 	for _, service := range s.services {
 		var failing []*worker
@@ -35,8 +36,8 @@
 	}
 }
 
-// ejectByReports ejects a worker for a while if enough nodes report it, and not too many workers of its
-// class are ejected because of reports.
+// ejectByReports ejects a worker for a random time if enough nodes report it and not too many workers of
+// its class are already ejected because of reports.
 func (s *service) ejectByReports(now time.Duration, worker *worker) {
 	needed := max(minReporters, int(math.Ceil(minReporterShare*float64(s.selector.nodes))))
 	if now < worker.health.ejectedUntil || s.selector.failureReporters(now, worker) < needed {
@@ -51,15 +52,15 @@
 	if float64(ejected) > max(1, maxPeerEjectedShare*float64(len(sameClass))) {
 		return
 	}
-	span := minPeerEjection + time.Duration(s.selector.random.Float64()*float64(maxPeerEjection-minPeerEjection))
-	worker.health.eject(now + span)
+	duration := minPeerEjection + time.Duration(s.selector.random.Float64()*float64(maxPeerEjection-minPeerEjection))
+	worker.health.eject(now + duration)
 }
 
-// failureReporters counts the nodes whose latest state reports that a worker fails.
+// failureReporters counts the other nodes whose latest state reports that a worker fails.
 func (s *Selector) failureReporters(now time.Duration, w *worker) int {
 	count := 0
 	for _, peer := range s.peers {
-		if now-peer.at <= peerStateTTL && peer.byWorker[w.hash].Failing {
+		if now-peer.receivedAt <= peerStateTTL && peer.byWorker[w.hash].Failing {
 			count++
 		}
 	}
--- a/internal/dataplane/selection/ejection_test.go
+++ b/internal/dataplane/selection/ejection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reportFailing has a node report that workers fail.
+// reportFailing applies a state of another node that reports workers as failing.
 func reportFailing(s *Selector, now time.Duration, node uint64, workers ...*worker) {
 	var list []Outstanding
 	for _, w := range workers {
@@ -20,21 +20,22 @@
 	w := s.services["m"].byClass[classDecode][0]
 	reportFailing(s, time.Second, 1, w)
 	if time.Second < w.health.ejectedUntil {
-		t.Fatal("ejected on the report of one node")
+		t.Fatal("the worker is ejected after the report of one node, want reports of two")
 	}
 	reportFailing(s, time.Second, 2, w)
 	until := w.health.ejectedUntil
 	if until < time.Second+minPeerEjection || until > time.Second+maxPeerEjection || w.health.slowStartLimit != 1 {
-		t.Fatalf("%+v", w.health)
+		t.Fatalf("health after reports of two nodes: %+v, want an ejection of %v to %v with a slow start limit of 1",
+			w.health, minPeerEjection, maxPeerEjection)
 	}
 	for _, entry := range s.Outstanding(time.Second) {
 		if entry.WorkerHash == w.hash {
-			t.Fatal("an ejection because of reports is reported as one of own calls")
+			t.Fatal("Outstanding lists a worker that is ejected only because of reports; want only ejections due to own calls")
 		}
 	}
 	for range 200 {
 		if choice, _ := s.Choose(time.Second, newTestRequest(time.Second, 1, 1600, 400), nil); choice.Run == w.entry {
-			t.Fatal("an ejected worker is chosen")
+			t.Fatal("Choose returned a worker that is ejected because of reports")
 		}
 	}
 }
@@ -46,7 +47,7 @@
 	reportFailing(s, 0, 1, w)
 	reportFailing(s, peerStateTTL+ms, 2, w)
 	if w.health.ejectedUntil != 0 {
-		t.Fatalf("%+v", w.health)
+		t.Fatalf("health after two reports, the first of which has expired: %+v, want no ejection", w.health)
 	}
 }
 
@@ -60,7 +61,7 @@
 	}
 	for _, w := range all {
 		if w.health.ejectedUntil != 0 {
-			t.Fatalf("%+v", w.health)
+			t.Fatalf("health of worker %s after nodes reported all workers: %+v, want no ejection", w.entry.ID, w.health)
 		}
 	}
 }
@@ -68,17 +69,17 @@
 func TestSelector_SetPeerLoad_boundsEjectedShare(t *testing.T) {
 	s, _ := newTestSelector(4, 20, 3)
 	s.nodes = 7
-	writers := s.services["m"].byClass[classDecode]
-	reportFailing(s, time.Second, 1, writers[:11]...)
-	reportFailing(s, time.Second, 2, writers[:11]...)
-	aside := 0
-	for _, w := range writers {
+	decodeWorkers := s.services["m"].byClass[classDecode]
+	reportFailing(s, time.Second, 1, decodeWorkers[:11]...)
+	reportFailing(s, time.Second, 2, decodeWorkers[:11]...)
+	ejected := 0
+	for _, w := range decodeWorkers {
 		if time.Second < w.health.ejectedUntil {
-			aside++
+			ejected++
 		}
 	}
-	if aside != int(maxPeerEjectedShare*20) {
-		t.Fatalf("%d of %d workers ejected", aside, len(writers))
+	if ejected != int(maxPeerEjectedShare*20) {
+		t.Fatalf("ejected %d of %d decode workers after reports of 11, want %d", ejected, len(decodeWorkers), int(maxPeerEjectedShare*20))
 	}
 }
 
@@ -89,9 +90,9 @@
 	s.Failed(time.Second, s.Sent(time.Second, r, CallRun, choice), FailureTimeout)
 	list := s.Outstanding(time.Second)
 	if len(list) != 1 || !list[0].Failing {
-		t.Fatalf("%+v", list)
+		t.Fatalf("Outstanding after a time-out: %+v, want one entry with Failing", list)
 	}
 	if later := s.Outstanding(time.Minute); len(later) != 0 {
-		t.Fatalf("%+v", later)
+		t.Fatalf("Outstanding a minute later: %+v, want none", later)
 	}
 }
--- a/internal/dataplane/selection/example_test.go
+++ b/internal/dataplane/selection/example_test.go
@@ -10,8 +10,8 @@
 	"ospreybend/internal/dataplane/selection"
 )
 
-// A request is sent to a pair of workers: one prefills its prompt, the other fetches the KV cache and decodes. A second request
-// with the same prompt segment goes to the worker that has it cached.
+// A request is sent to a pair of workers: one prefills the prompt, the other fetches the KV cache and decodes. A second
+// request with the same shared prompt segment goes to the prefill worker that has the segment cached.
 func ExampleSelector_Choose() {
 	worker := func(id, stage string) *fleetview.Worker {
 		return &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "chat", Zone: "a", Stage: stage, Slots: 64}}
--- a/internal/dataplane/selection/health.go
+++ b/internal/dataplane/selection/health.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	baseEjection   = 500 * time.Millisecond // doubled with each ejection in a row
+	baseEjection   = 500 * time.Millisecond // duration of the first ejection, doubled with each consecutive one
 	maxEjection    = 4 * time.Second
-	slowStartCalls = 8               // calls at once above which slow start is over
-	failureDecay   = 3 * time.Second // in which the weight of past failures falls by e
+	slowStartCalls = 8               // limit of concurrent calls above which slow start ends
+	failureDecay   = 3 * time.Second // time constant in which the weight of past failures decays by a factor of e
 )
 
-// failureWeights are the weights of failures; at a sum of 1 the worker is ejected.
+// failureWeights are the weights of failures. A worker is ejected when the decayed sum reaches 1.
 var failureWeights = [...]float64{
 	FailureConnect:   1,
 	FailureBroken:    0.6,
 	FailureTimeout:   1,
 	FailureStatus:    0.2,
-	FailureTransfer:  0, // counts against the pair, see pairPenalty
+	FailureTransfer:  0, // counts against the pair of workers, see pairPenalty
 	FailureMisrouted: 1,
 }
 
-// health is the outlier ejection of one worker with exponential backoff: after an ejection it gets a
-// single call, and with each success twice as many (slow start).
+// health is the state of a worker's outlier ejection. Consecutive ejections back off exponentially. An
+// ejection is followed by slow start: the worker gets one call at a time, and each success doubles this
+// limit.
 type health struct {
 	failures       decayingCount
-	ejectionLevel  int           // ejections since slow start was last completed
-	ejectedUntil   time.Duration // instant up to which the worker is ejected
-	slowStartLimit int           // calls at once during slow start; 0: not limited
-	ejectedLocally bool          // ejected for failures of this node's own calls
+	ejectionLevel  int           // exponent of the backoff; reset when slow start completes
+	ejectedUntil   time.Duration // end of the current or last ejection
+	slowStartLimit int           // limit of concurrent calls during slow start; 0: not in slow start
+	ejectedLocally bool          // the ejection is due to failures of this node's own calls
 }
 
-// ejectedByOwnCalls reports whether the worker is ejected for failures of this node's own calls.
+// ejectedByOwnCalls reports whether the worker is ejected due to failures of this node's own calls.
 func (h *health) ejectedByOwnCalls(now time.Duration) bool {
 	return h.ejectedLocally && now < h.ejectedUntil
 }
 
-// eject ejects the worker because other nodes report failures.
+// eject ejects the worker because other nodes report it.
 func (h *health) eject(until time.Duration) {
 	h.ejectedUntil, h.slowStartLimit, h.ejectedLocally = until, 1, false
 }
 
-// available reports whether the worker, with that many calls in flight, may be sent another.
+// available reports whether the worker may be sent another call, with the given number of calls in flight.
 func (h *health) available(now time.Duration, calls int) bool {
 	if now < h.ejectedUntil {
 		return false
@@ -47,8 +48,8 @@
 	return h.slowStartLimit == 0 || calls < h.slowStartLimit
 }
 
-// recordFailure counts a failed call, and ejects the worker if there were too many. Failures during an
-// ejection are ignored: those calls were sent before it.
+// recordFailure adds a failed call and ejects the worker if the sum of weights reaches 1. Failures during
+// an ejection are ignored, as these calls were sent before it.
 func (h *health) recordFailure(now time.Duration, cause Failure) {
 	weight := 1.
 	if int(cause) < len(failureWeights) {
@@ -58,14 +59,14 @@
 		return
 	}
 	if h.slowStartLimit > 0 {
-		weight = 1 // one failure during slow start is enough
+		weight = 1 // during slow start, one failure ejects the worker again
 	}
 	h.failures = decayingCount{h.failures.valueAt(now, failureDecay) + weight, now}
 	if h.failures.value < 1 {
 		return
 	}
 	h.failures.value = 0
-	if cause == FailureTimeout { // each probing call may cost a request a long wait
+	if cause == FailureTimeout { // start with a longer ejection: a probing call may delay its request by a full timeout
 		h.ejectionLevel = max(h.ejectionLevel, 1)
 	}
 	h.ejectedUntil = now + min(baseEjection<<h.ejectionLevel, maxEjection)
@@ -75,7 +76,7 @@
 	}
 }
 
-// recordSuccess counts a successful call.
+// recordSuccess adds a successful call: it halves the sum of failures and advances slow start.
 func (h *health) recordSuccess() {
 	h.failures.value /= 2
 	if h.slowStartLimit == 0 {
--- a/internal/dataplane/selection/kvmemory.go
+++ b/internal/dataplane/selection/kvmemory.go
@@ -1,22 +1,22 @@
 package selection
 
 const (
-	memoryHighWatermark       = 0.85  // share of a worker's KV cache up to which running requests may fill it
-	memoryPenaltySeconds      = 4.    // cost of exceeding the watermark by the capacity of the KV cache
-	requestTokensPriorSamples = 4.    // samples that defaultRequestTokens counts as
-	defaultRequestTokens      = 3000. // tokens of a running request before any is seen
+	memoryHighWatermark       = 0.85  // share of a worker's KV cache that running requests may occupy without a penalty
+	memoryPenaltySeconds      = 4.    // penalty for exceeding the watermark by one full capacity, proportional to the excess
+	requestTokensPriorSamples = 4.    // weight of defaultRequestTokens, in samples
+	defaultRequestTokens      = 3000. // assumed tokens of a running request before any is observed
 )
 
-// occupiedTokens estimates the tokens of KV cache that the running requests of a worker occupy. Those of
-// this node's calls are known; requests of other nodes count with the mean size.
+// occupiedTokens estimates how many tokens of a worker's KV cache its requests occupy. The tokens of this
+// node's calls are known; requests of other nodes are assumed to have the mean size.
 func (s *service) occupiedTokens(w *worker, load workerLoad) float64 {
 	own := w.ownCalls()
 	others := max(0, load.running+load.waiting-own.running-own.waiting)
 	return w.reservedTokens + others*s.pools[classDecode].requestTokens.Or(defaultRequestTokens, requestTokensPriorSamples)
 }
 
-// memoryPenalty returns the seconds that a request of that many tokens adds to a worker's score as its
-// KV cache fills up.
+// memoryPenalty returns the penalty, in seconds, for a request of that many tokens on a worker whose KV
+// cache it would fill beyond memoryHighWatermark.
 func (s *service) memoryPenalty(w *worker, load workerLoad, tokens float64) float64 {
 	over := s.occupiedTokens(w, load) + tokens - memoryHighWatermark*s.kvCapacity()
 	return max(0, over/s.kvCapacity()) * memoryPenaltySeconds
--- a/internal/dataplane/selection/kvtransfer.go
+++ b/internal/dataplane/selection/kvtransfer.go
@@ -9,44 +9,44 @@
 )
 
 // After a prefill, the decode worker fetches the KV cache of the prompt from the prefill worker. This
-// file predicts how long such a transfer takes, prices it, and counts those that fail.
+// file predicts the duration of such transfers, assigns them a cost, and tracks their failures.
 
 const (
-	transferSetup            = 0.003 // seconds of a transfer of no tokens
-	defaultLinkBits          = 1e11  // bits per second of a worker's link, where none are configured
-	defaultKVTokenBytes      = 160e3 // bytes of KV cache per token, where none are configured
-	crossZoneTransferFactor  = 2.    // time of a transfer between zones, against one within a zone
-	configuredTransferWeight = 0.05  // seconds of transfers that the configured pace counts as
-	maxTransferSlowdown      = 100.  // bound on a sample, as a multiple of the configured time
-
-	transferPricePerGB   = 0.006 // seconds that a gigabyte costs within a zone
-	crossZonePriceFactor = 3.    // price between zones, against within a zone
-	crossZoneSendPrice   = 1e-6  // seconds that a token of the prompt costs when sent to another zone
-
-	pairFailureDecay           = 4 * time.Second // in which a pair's failures fall by e
-	pairFailurePenalty         = 0.25            // seconds that each failure of a pair costs
-	maxTrackedPairs            = 4096            // pairs with failures; beyond it all are forgotten
-	transferFailureDecay       = 5 * time.Second // in which the outcomes of all transfers fall by e
-	transferFailurePrior       = 0.01            // probability of a failure before any outcome
-	transferFailurePriorWeight = 4.              // outcomes that transferFailurePrior counts as
-	maxTransferFailure         = 0.95            // bound on the probability, as it divides by its complement
+	transferSetupTime        = 0.003 // seconds of a transfer without tokens
+	defaultLinkBits          = 1e11  // bits per second of a worker's link, if not configured
+	defaultKVBytesPerToken   = 160e3 // bytes of KV cache per token, if not configured
+	crossZoneTransferFactor  = 2.    // duration of a transfer between zones, relative to one within a zone
+	configuredTransferWeight = 0.05  // weight of the configured speed, in seconds of transfers
+	maxTransferSlowdown      = 100.  // upper bound on a sample, as a multiple of the configured time
+
+	transferCostPerGB   = 0.006 // cost in seconds of a gigabyte transferred within a zone
+	crossZoneCostFactor = 3.    // cost of a transfer between zones, relative to one within a zone
+	crossZoneSendCost   = 1e-6  // cost in seconds of each prompt token that is sent to another zone
+
+	pairFailureDecay           = 4 * time.Second // time constant in which a pair's failures decay by a factor of e
+	pairFailurePenalty         = 0.25            // seconds added to the score of a pair for each of its failures
+	maxTrackedPairs            = 4096            // pairs with failures; at this number all are dropped, to bound the map
+	transferFailureDecay       = 5 * time.Second // time constant in which the outcomes of all transfers decay by a factor of e
+	transferFailurePrior       = 0.01            // failure probability before any outcome is observed
+	transferFailurePriorWeight = 4.              // weight of transferFailurePrior, in outcomes
+	maxTransferFailure         = 0.95            // upper bound on the probability p, as scorePair divides by 1-p
 )
 
-// workerPair is a pair of workers by the hashes of their IDs.
+// workerPair identifies a pair of workers by the hashes of their IDs.
 type workerPair struct{ prefill, decode uint64 }
 
-// decayingCount is a count that falls by e in a time constant.
+// decayingCount is a count that decays exponentially.
 type decayingCount struct {
 	value float64
 	at    time.Duration
 }
 
-// valueAt returns what is left of the count at an instant.
+// valueAt returns the count at an instant. It decays by a factor of e in the time constant.
 func (c decayingCount) valueAt(now, timeConstant time.Duration) float64 {
 	return c.value * math.Exp(-max(0, now-c.at).Seconds()/timeConstant.Seconds())
 }
 
-// transferOutcomes counts KV cache transfers that succeeded and that failed.
+// transferOutcomes tracks the successes and failures of KV cache transfers.
 type transferOutcomes struct {
 	overall        stats.FailureRate
 	failuresByPair map[workerPair]decayingCount
@@ -55,13 +55,13 @@
 // kvBytesPerToken returns the bytes of KV cache per token.
 func (s *service) kvBytesPerToken() float64 {
 	if s.engine == nil || s.engine.KVBytesPerToken <= 0 {
-		return defaultKVTokenBytes
+		return defaultKVBytesPerToken
 	}
 	return s.engine.KVBytesPerToken
 }
 
-// transferPerToken returns the seconds that transferring a token takes by the configuration.
-func (s *service) transferPerToken() float64 {
+// configuredTransferPerToken returns the seconds of transferring a token at the configured link speed.
+func (s *service) configuredTransferPerToken() float64 {
 	bits := defaultLinkBits
 	if s.engine != nil && s.engine.LinkMbps > 0 {
 		bits = s.engine.LinkMbps * 1e6
@@ -69,18 +69,20 @@
 	return s.kvBytesPerToken() * 8 / bits
 }
 
-// configuredTransfer returns the seconds that a transfer takes by the configuration.
-func (s *service) configuredTransfer(size float64) float64 {
-	return transferSetup + size*s.transferPerToken()
+// configuredTransferTime returns the seconds of a transfer at the configured link speed.
+func (s *service) configuredTransferTime(size float64) float64 {
+	return transferSetupTime + size*s.configuredTransferPerToken()
 }
 
-// transferSlowdown returns how many times longer transfers take than that, over all workers.
+// transferSlowdown returns the recent transfer time over all workers as a multiple of
+// configuredTransferTime.
 func (s *service) transferSlowdown(now time.Duration) float64 {
 	all := s.transferTimes.Fit(now, sampleTTL, 0)
 	return (all.SumY + configuredTransferWeight) / (all.SumX + configuredTransferWeight)
 }
 
-// transferSize returns the tokens to be transferred between two workers, weighed by distance.
+// transferSize returns the size of a transfer between two workers: the tokens, multiplied by
+// crossZoneTransferFactor between zones.
 func transferSize(prefill, decode *worker, tokens float64) float64 {
 	if prefill.zone != decode.zone {
 		return tokens * crossZoneTransferFactor
@@ -88,29 +90,29 @@
 	return tokens
 }
 
-// transferTime predicts the seconds of a transfer between two workers: the slower end determines it.
+// transferTime predicts the seconds of a transfer between two workers. The slower one determines it.
 func (s *service) transferTime(now time.Duration, prefill, decode *worker, size float64) float64 {
 	return max(s.transferTimeAt(now, prefill, size), s.transferTimeAt(now, decode, size))
 }
 
-// transferTimeAt predicts the seconds of a transfer that is bounded by one worker.
+// transferTimeAt predicts the seconds of a transfer that is limited by the given worker.
 func (s *service) transferTimeAt(now time.Duration, w *worker, size float64) float64 {
 	line := w.transferTimes.Fit(now, sampleTTL, 1)
-	prior := s.configuredTransfer(size) * s.transferSlowdown(now)
+	prior := s.configuredTransferTime(size) * s.transferSlowdown(now)
 	return estimate.Blend(line.At(size), line.N, prior, estimate.PriorSamples)
 }
 
-// learnTransferTime records how many seconds the transfer of a call took, for both of its workers.
+// learnTransferTime records the duration of a call's transfer for both of its workers.
 func (s *service) learnTransferTime(now time.Duration, call *Call, seconds float64) {
-	configured := s.configuredTransfer(call.forecast.size)
+	configured := s.configuredTransferTime(call.forecast.size)
 	s.transferTimes.Add(now, configured, min(seconds, configured*maxTransferSlowdown), estimate.WindowLength)
 	for _, w := range []*worker{call.worker, call.source} {
 		w.transferTimes.Add(now, call.forecast.size, seconds, estimate.WindowLength)
 	}
 }
 
-// recordTransfer counts the outcome of a call's transfer.
-func (s *service) recordTransfer(now time.Duration, call *Call, failed bool) {
+// recordTransferOutcome records whether a call's transfer failed.
+func (s *service) recordTransferOutcome(now time.Duration, call *Call, failed bool) {
 	outcomes := &s.transferOutcomes
 	outcomes.overall.Add(now, transferFailureDecay, failed)
 	if !failed {
@@ -124,7 +126,7 @@
 	outcomes.failuresByPair[pair] = decayingCount{failures + 1, now}
 }
 
-// pairPenalty returns the seconds that recent failures between two workers add to their score.
+// pairPenalty returns the seconds that recent failed transfers between two workers add to their score.
 func (s *service) pairPenalty(now time.Duration, prefill, decode *worker) float64 {
 	failures := s.transferOutcomes.failuresByPair
 	if len(failures) == 0 {
@@ -133,27 +135,27 @@
 	return pairFailurePenalty * failures[workerPair{prefill.hash, decode.hash}].valueAt(now, pairFailureDecay)
 }
 
-// transferFailureProbability returns the probability that a transfer fails.
+// transferFailureProbability returns the probability that a transfer fails, over all pairs.
 func (s *service) transferFailureProbability(now time.Duration) float64 {
 	outcomes := &s.transferOutcomes.overall
 	return min(maxTransferFailure,
 		outcomes.Probability(now, transferFailureDecay, transferFailurePrior, transferFailurePriorWeight))
 }
 
-// transferPrice returns the price of a transfer in seconds, by its bytes and distance. It keeps traffic
-// between zones low where the predicted times hardly differ.
-func (s *service) transferPrice(prefill, decode *worker, tokens float64) float64 {
-	price := tokens * s.kvBytesPerToken() / 1e9 * transferPricePerGB
+// transferCost returns the cost of a transfer in seconds, by its bytes and whether it crosses zones. It
+// keeps traffic between zones low if the predicted times hardly differ.
+func (s *service) transferCost(prefill, decode *worker, tokens float64) float64 {
+	cost := tokens * s.kvBytesPerToken() / 1e9 * transferCostPerGB
 	if prefill.zone != decode.zone {
-		price *= crossZonePriceFactor
+		cost *= crossZoneCostFactor
 	}
-	return price
+	return cost
 }
 
-// sendPrice returns the price in seconds of sending a prompt to a worker.
-func sendPrice(w *worker, tokens float64) float64 {
+// sendCost returns the cost in seconds of sending a prompt to a worker.
+func sendCost(w *worker, tokens float64) float64 {
 	if w.sameZone {
 		return 0
 	}
-	return tokens * crossZoneSendPrice
+	return tokens * crossZoneSendCost
 }
--- a/internal/dataplane/selection/load.go
+++ b/internal/dataplane/selection/load.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	reportDecay        = 1500 * time.Millisecond // in which a worker's report falls by e towards the mean of its class
-	meanLoadSamples    = 64.                     // responses after which the mean load forgets
-	meanLoadDecay      = 3 * time.Second         // in which the mean load falls by e while no response reports any
-	fullAfterRejection = 400 * time.Millisecond  // for which a worker that rejected a call counts as full
-	overdueFactor      = 3.                      // multiple of its predicted time after which a call is overdue
-	overdueSlack       = 0.05                    // seconds added to that
-	minRemainingShare  = 0.15                    // share of a call's work that remains until its response begins
+	reportDecay        = 1500 * time.Millisecond // time constant in which the weight of a report decays by a factor of e, in favor of the class's mean
+	meanLoadSamples    = 64.                     // responses over which the mean load of a class is averaged
+	meanLoadDecay      = 3 * time.Second         // time constant in which the mean load decays by a factor of e without new reports
+	fullAfterRejection = 400 * time.Millisecond  // a worker that rejected a call counts as full for this long
+	overdueFactor      = 3.                      // a call is overdue after this multiple of its predicted time
+	overdueSlack       = 0.05                    // plus this many seconds
+	minRemainingShare  = 0.15                    // share of a call's work that counts as remaining, at least, until its response begins
 )
 
-// callCounts is a number of calls by their state at the worker.
+// callCounts are numbers of calls, by whether their response has begun.
 type callCounts struct{ waiting, running float64 }
 
-// loadReport is what a worker's latest response said of the load that is not this node's.
+// loadReport is the foreign load in a worker's latest response: its reported load without this node's calls.
 type loadReport struct {
 	at               time.Duration
 	running, waiting float64
 	slots            float64 // 0: unknown
 	known            bool
-	fullUntil        time.Duration // after a rejection
+	fullUntil        time.Duration // after a rejection, the worker counts as full until then
 }
 
-// recordLoad records the load that a response reported, at the instant when it was reported. Own are this
+// recordLoad records the load that a worker reported in a response at the given instant. Own are this
 // node's other calls at that instant, which the report includes.
 //
-// Workers differ in whether a report includes the request whose response it is in. It is inferred for each class:
-// if it did, no report would say that there is no request.
+// Engines differ in whether the report includes the request that it responds to. This is inferred for each class of
+// workers: a report of no requests at all shows that it does not.
 func (s *service) recordLoad(at time.Duration, worker *worker, load *Load, own callCounts) {
 	if load == nil || load.Running < 0 || load.Waiting < 0 {
 		return
@@ -46,33 +46,34 @@
 	report.running = float64(load.Running) - own.running
 	report.waiting = float64(load.Waiting) - own.waiting
 	if report.running < 0 || report.waiting < 0 || worker.class == classPrefill {
-		// What the worker counts as waiting may be running by this node's count, and the reverse.
+		// The worker may count calls as waiting that this node counts as running, and vice versa.
 		total := max(0, report.running+report.waiting)
 		report.waiting = min(max(0, report.waiting), total)
 		report.running = total - report.waiting
 	}
-	if worker.class == classPrefill { // a call has no response for as long as its prefill takes
+	if worker.class == classPrefill { // a call has no response until its prefill ends, so this node counts all as waiting
 		report.running, report.waiting = 0, report.running+report.waiting
 	}
 	if load.Slots > 0 {
 		report.slots = float64(load.Slots)
 	}
 	report.at, report.known = at, true
-	pool.running.Add(report.running, meanLoadSamples)
-	pool.waiting.Add(report.waiting, meanLoadSamples)
+	pool.foreignRunning.Add(report.running, meanLoadSamples)
+	pool.foreignWaiting.Add(report.waiting, meanLoadSamples)
 	pool.lastReport = at
 }
 
-// foreignLoad estimates the load at a worker that is not this node's: its report, weighed less the older
-// it is, the mean over its class for the rest, and in place of both what other nodes say.
+// foreignLoad estimates the load at a worker that is not due to this node's calls. It blends the worker's
+// latest report, with a weight that decays with its age, and the mean over the worker's class. The states
+// of the other nodes, as far as they are known, replace both.
 func (s *service) foreignLoad(now time.Duration, w *worker) (waiting, running float64) {
 	pool := &s.pools[w.class]
-	recent := math.Exp(-max(0, now-pool.lastReport).Seconds() / meanLoadDecay.Seconds())
-	waiting, running = pool.waiting.Or(0, 1)*recent, pool.running.Or(0, 1)*recent
+	meanWeight := math.Exp(-max(0, now-pool.lastReport).Seconds() / meanLoadDecay.Seconds())
+	waiting, running = pool.foreignWaiting.Or(0, 1)*meanWeight, pool.foreignRunning.Or(0, 1)*meanWeight
 	if w.report.known {
-		fresh := math.Exp(-max(0, now-w.report.at).Seconds() / reportDecay.Seconds())
-		waiting += (w.report.waiting - waiting) * fresh
-		running += (w.report.running - running) * fresh
+		reportWeight := math.Exp(-max(0, now-w.report.at).Seconds() / reportDecay.Seconds())
+		waiting += (w.report.waiting - waiting) * reportWeight
+		running += (w.report.running - running) * reportWeight
 	}
 	waiting, running = s.blendPeerLoad(now, w, waiting, running)
 	if now < w.report.fullUntil {
@@ -83,9 +84,9 @@
 
 // workerLoad is the estimated load of a worker.
 type workerLoad struct {
-	waiting float64 // work of requests without a response yet, in typical requests of the worker's class
+	waiting float64 // requests without a response yet, weighted by their remaining work relative to a typical request of the class
 	running float64 // requests whose response has begun
-	stall   float64 // seconds by which the most overdue call is late
+	overdue float64 // seconds by which the most overdue of this node's calls is late
 }
 
 // estimateLoad estimates a worker's load from this node's own calls and the foreign load.
@@ -105,12 +106,12 @@
 		} else {
 			estimate.waiting += min(remaining/unloaded, maxOutlierRatio*maxOutlierRatio)
 		}
-		estimate.stall = max(estimate.stall, elapsed-overdueFactor*expected-overdueSlack)
+		estimate.overdue = max(estimate.overdue, elapsed-overdueFactor*expected-overdueSlack)
 	}
 	return estimate
 }
 
-// forClass returns the load that the processing time of a class is fitted against.
+// forClass returns the part of the load that the processing times of a class are fitted against.
 func (l workerLoad) forClass(class workerClass) float64 {
 	if class == classPlain {
 		return l.running + l.waiting
@@ -118,5 +119,5 @@
 	return l.waiting
 }
 
-// total returns the number of slots in use.
+// total returns the number of requests, waiting and running.
 func (l workerLoad) total() float64 { return l.running + l.waiting }
--- a/internal/dataplane/selection/placement.go
+++ b/internal/dataplane/selection/placement.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	shortlistSize      = 6     // candidates of each stage that are paired, besides the best of each zone
+	shortlistSize      = 6     // candidates of each stage that are paired, in addition to the best of each zone
 	maxShortlistZones  = 64    // zones beyond this number share an entry
-	tieSeconds         = 0.001 // scores that are within this of the lowest are ties
-	tieShare           = 0.02  // and those within this share of it
+	tieSeconds         = 0.001 // scores within this many seconds of the lowest are ties
+	tieShare           = 0.02  // scores within this share of the lowest are ties as well
 	noWorkerRetryAfter = 500 * time.Millisecond
 )
 
-// placement is a way to serve a request: a prefill/decode pair, or one worker alone.
+// placement is a possible assignment of a request: to a pair of a prefill and a decode worker, or to a
+// single worker.
 type placement struct {
-	prefill, run *candidate // prefill is nil if run computes the prompt itself
+	prefill, run *candidate // prefill is nil if run prefills the prompt itself
 	score        float64    // seconds; the placement with the lowest score is chosen
 	firstEvent   float64    // predicted seconds to the first event
 	queueWait    float64    // the part of firstEvent that is spent in queues
 }
 
-// scratchSpace is reused from choice to choice, so that choosing does not allocate.
+// scratchSpace has buffers that are reused by all choices, so that a choice does not allocate.
 type scratchSpace struct {
 	workers          []*worker
 	prefill, run     []candidate
@@ -31,8 +32,8 @@
 	placements       []placement
 }
 
-// Choose returns where to send a request, and whether it is admitted. Workers whose IDs are excluded are
-// not chosen. Choice is empty if no worker is eligible.
+// Choose returns the workers to send a request to, and whether it is admitted. Workers whose IDs are in
+// excluded are not chosen. The Choice is empty if no worker is eligible.
 func (s *Selector) Choose(now time.Duration, request *Request, excluded []string) (Choice, Verdict) {
 	svc := s.services[request.Service]
 	if svc == nil {
@@ -50,23 +51,23 @@
 	return best.choice(), svc.admit(now, info, best, load)
 }
 
-// choice returns the placement as the caller sees it.
+// choice returns the placement as a Choice.
 func (p placement) choice() Choice {
-	prefill := p.run
+	promptWorker := p.run
 	choice := Choice{Run: p.run.worker.entry, TimeToFirstEvent: seconds(p.firstEvent)}
 	if p.prefill != nil {
-		prefill = p.prefill
+		promptWorker = p.prefill
 		choice.Prefill = p.prefill.worker.entry
 	}
-	choice.Urgency = urgencyOf(prefill.forecast.run)
+	choice.Urgency = urgencyOf(promptWorker.forecast.processing)
 	return choice
 }
 
 // seconds returns a duration of s seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// bestPlacement returns the placement with the lowest score, and the load of the workers considered. It
-// returns false if no worker is eligible.
+// bestPlacement returns the placement with the lowest score, and the total load of the eligible workers.
+// It returns false if no worker is eligible.
 func (s *service) bestPlacement(now time.Duration, info *requestInfo, excluded []string) (placement, serviceLoad, bool) {
 	var load serviceLoad
 	runClass := classPlain
@@ -81,36 +82,36 @@
 	}
 	scratch.placements = scratch.placements[:0]
 	for i := range scratch.run {
-		scratch.placements = append(scratch.placements, placeAlone(&scratch.run[i]))
+		scratch.placements = append(scratch.placements, unpairedPlacement(&scratch.run[i]))
 	}
 	s.appendPairs(now)
 	best, found := s.selector.lowestScore(scratch.placements)
 	return best, load, found
 }
 
-// placeAlone returns the placement of a worker that serves the request without a prefill worker.
-func placeAlone(run *candidate) placement {
-	return placement{run: run, score: run.score, firstEvent: run.forecast.total(), queueWait: run.forecast.wait}
+// unpairedPlacement returns the placement on a worker that serves the request without a prefill worker.
+func unpairedPlacement(run *candidate) placement {
+	return placement{run: run, score: run.score, firstEvent: run.forecast.total(), queueWait: run.forecast.queueWait}
 }
 
-// appendPairs adds the pairs of the shortlisted prefill and decode workers to the placements.
+// appendPairs appends all pairs of shortlisted prefill and decode workers to the placements.
 func (s *service) appendPairs(now time.Duration) {
 	scratch := &s.scratch
 	if len(scratch.prefill) == 0 || len(scratch.run) == 0 {
 		return
 	}
 	scratch.prefillShortlist = shortlist(scratch.prefill, scratch.prefillShortlist[:0], func(c *candidate) float64 { return c.score })
-	scratch.runShortlist = shortlist(scratch.run, scratch.runShortlist[:0], func(c *candidate) float64 { return c.kvScore })
-	failure := s.transferFailureProbability(now)
+	scratch.runShortlist = shortlist(scratch.run, scratch.runShortlist[:0], func(c *candidate) float64 { return c.pairedScore })
+	failureProbability := s.transferFailureProbability(now)
 	for _, prefill := range scratch.prefillShortlist {
 		for _, run := range scratch.runShortlist {
-			scratch.placements = append(scratch.placements, s.scorePair(now, prefill, run, failure))
+			scratch.placements = append(scratch.placements, s.scorePair(now, prefill, run, failureProbability))
 		}
 	}
 }
 
-// shortlist appends the shortlistSize candidates with the lowest scores to selected, and the best one of
-// each zone, so that a transfer within a zone stays possible.
+// shortlist appends to selected the shortlistSize candidates with the lowest scores, and the best one of
+// each zone, so that there are pairs within a zone.
 func shortlist(candidates []candidate, selected []*candidate, score func(*candidate) float64) []*candidate {
 	for i := range candidates {
 		position := len(selected)
@@ -137,21 +138,21 @@
 	return selected
 }
 
-// scorePair scores a prefill on one worker and a run on another that the KV cache is transferred to.
-// Failure is the probability that the transfer fails.
-func (s *service) scorePair(now time.Duration, prefill, run *candidate, failure float64) placement {
+// scorePair returns the placement of a prefill on one worker and a run on another, which the KV cache is
+// transferred to. FailureProbability is that of the transfer.
+func (s *service) scorePair(now time.Duration, prefill, run *candidate, failureProbability float64) placement {
 	size := transferSize(prefill.worker, run.worker, run.uncachedTokens)
 	transfer := s.transferTime(now, prefill.worker, run.worker, size)
-	firstEvent := prefill.forecast.total() + run.kvForecast.total() + transfer
-	score := prefill.score + run.kvScore + transfer
-	score += s.transferPrice(prefill.worker, run.worker, run.uncachedTokens) + s.pairPenalty(now, prefill.worker, run.worker)
-	score += firstEvent * failure / (1 - failure) // expected repetitions of a transfer that fails
+	firstEvent := prefill.forecast.total() + run.pairedForecast.total() + transfer
+	score := prefill.score + run.pairedScore + transfer
+	score += s.transferCost(prefill.worker, run.worker, run.uncachedTokens) + s.pairPenalty(now, prefill.worker, run.worker)
+	score += firstEvent * failureProbability / (1 - failureProbability) // expected repetitions because of failed transfers
 	return placement{prefill: prefill, run: run, score: score, firstEvent: firstEvent,
-		queueWait: prefill.forecast.wait + run.kvForecast.wait}
+		queueWait: prefill.forecast.queueWait + run.pairedForecast.queueWait}
 }
 
-// lowestScore returns the placement with the lowest score, and among ties one at random. It returns
-// false if there is none.
+// lowestScore returns the placement with the lowest score, or a random one of those that tie with it. It
+// returns false if there are no placements.
 func (s *Selector) lowestScore(placements []placement) (placement, bool) {
 	if len(placements) == 0 {
 		return placement{}, false
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -7,52 +7,52 @@
 	"ospreybend/internal/util/stats"
 )
 
-// Properties of the engines, as priors until responses show others. All are in seconds, or seconds per
-// token.
+// Assumed properties of the engines. They are the priors of the predictions until there are enough
+// samples. All but defaultPromptTokens are in seconds, or in seconds per token.
 const (
-	prefillPerToken       = 1. / 40000     // of a prefill worker
-	decodePrefillPerToken = 2. * 2 / 40000 // prefill on a decode worker: half the pace, between the tokens of its streams
-	attentionPerTokenPair = 0.5e-9         // added for each pair of a computed token and one before it
+	prefillPerToken       = 1. / 40000     // prefill on a prefill worker
+	decodePrefillPerToken = 2. * 2 / 40000 // prefill on a decode worker: at half the speed, interleaved with the decoding of its streams
+	attentionPerTokenPair = 0.5e-9         // attention, for each pair of a computed token and a token before it
 	prefillBase           = 0.006          // a prefill call without uncached tokens
-	firstEventTime        = 0.015          // of a decode worker, without prefill
+	firstEventTime        = 0.015          // first event of a decode worker, without prefill
 	plainRequestTime      = 0.05           // a request of a service without stages
 	decodePerToken        = 0.007
 	defaultSameZoneRTT    = 0.002
 	defaultCrossZoneRTT   = 0.004
 	sendPerToken          = 2e-8 // sending the prompt
-	defaultPromptTokens   = 1500 // tokens of a request that names none
+	defaultPromptTokens   = 1500 // tokens of a prompt whose length the request does not state
 )
 
 const (
-	slowdownPriorSamples = 2.0  // samples of a worker's own that the pooled slowdown counts as
-	poolSamples          = 256. // samples after which pooled values forget
-	poolPriorSamples     = 8.   // pooled samples that a constant counts as
-	waitPriorSamples     = 200. // the same for the queue wait
-	maxOutlierRatio      = 4.   // a call that is this many times slower or faster than typical counts as just that
-	minSeconds           = 1e-4
-	bucketBase           = 4. // factor between prompt size buckets; coarse, so that few of them lack samples
-	bucketTokens         = 64.
-	transferWaitShare    = 0.3 // queue wait of a run after a KV cache transfer, against one with its own prefill
-	interTokenBucket     = -1  // bucket of the time between tokens
-	transferBucket       = 0   // bucket of first events after a KV cache transfer
+	slowdownPriorSamples = 2.0  // weight of the pooled slowdown, in a worker's own samples
+	poolSamples          = 256. // samples over which pooled values are averaged
+	poolPriorSamples     = 8.   // weight of a constant prior, in pooled samples
+	waitPriorSamples     = 200. // weight of the prior queue wait, in pooled samples
+	maxOutlierRatio      = 4.   // samples are clamped to within this factor of the typical value
+	minSeconds           = 1e-4 // lower bound on predicted times that are divided by
+	bucketBase           = 4.   // factor between the bounds of prompt size buckets; coarse, so that few buckets lack samples
+	bucketTokens         = 64.  // unit of the bounds
+	transferWaitShare    = 0.3  // queue wait of a run after a KV cache transfer, relative to one that prefills its prompt
+	interTokenBucket     = -1   // bucket of the time between tokens
+	transferBucket       = 0    // bucket of first events after a KV cache transfer
 )
 
-// pool is what the workers of one class have shown together. It is the prior for each of them.
+// pool has estimates from the samples of all workers of a class. They are the priors for each worker.
 type pool struct {
-	slowdown         stats.Mean   // processing time for each second on an unloaded worker of nominal speed
+	slowdown         stats.Mean   // processing time relative to that on an unloaded worker of nominal speed
 	transferSlowdown stats.Mean   // the same for first events after a KV cache transfer
-	wait             stats.Pooled // queue wait against the negated load, as the fit allows falling lines alone
-	sameZoneRTT      stats.Mean   // network time of calls within the node's zone, without the prompt's size
-	crossZoneRTT     stats.Mean
-	unloadedTime     stats.Mean // of the calls
-	requestTokens    stats.Mean // KV cache that a running request reserves
-
-	running, waiting   stats.Mean    // foreign load of a worker
-	lastReport         time.Duration // when a response last reported load
-	excludesOwnRequest bool          // reports do not count the request whose response they are in
+	queueWait        stats.Pooled // queue wait against the negated load, as the fit never rises with x
+	sameZoneRTT      stats.Mean   // network time of calls within the node's zone, without sending the prompt
+	crossZoneRTT     stats.Mean   // the same for calls to other zones
+	unloadedTime     stats.Mean   // predicted processing time of the calls on an unloaded worker
+	requestTokens    stats.Mean   // tokens of KV cache that a running request reserves
+
+	foreignRunning, foreignWaiting stats.Mean    // foreign load per worker
+	lastReport                     time.Duration // when a response last reported load
+	excludesOwnRequest             bool          // load reports do not include the request that they respond to
 }
 
-// typicalUnloadedTime returns the seconds that a typical call takes on an unloaded worker.
+// typicalUnloadedTime returns the mean processing seconds of a call on an unloaded worker.
 func (p *pool) typicalUnloadedTime(class workerClass) float64 {
 	prior := plainRequestTime
 	if class != classPlain {
@@ -61,35 +61,35 @@
 	return max(minSeconds, p.unloadedTime.Or(prior, poolPriorSamples))
 }
 
-// task is what is predicted for a call, independent of the worker's load.
+// task is the work of a call, independent of the worker's load.
 type task struct {
-	bucket       int     // of the processing times that are fitted together
+	bucket       int     // calls of the same bucket share a fit of their processing times
 	unloaded     float64 // seconds of processing on an unloaded worker of nominal speed
-	size         float64 // tokens sent, or tokens to be transferred weighed by distance
+	size         float64 // tokens sent or, with transfersKV, transferSize
 	transfersKV  bool    // the network time includes a KV cache transfer
 	transferTime float64 // predicted seconds of the KV cache transfer
 }
 
-// forecast is the prediction for one call in seconds up to the beginning of its response: the terms of
-// Eq. 3, whose sum is total.
+// forecast predicts the seconds from sending a call to the beginning of its response, by the terms of
+// Eq. 3.
 type forecast struct {
 	task
-	load    workerLoad
-	network float64 // round trip, sending the prompt, KV cache transfer
-	run     float64 // processing
-	wait    float64 // in the worker's queue
+	load       workerLoad // of the worker when the call is sent
+	network    float64    // round trip, sending the prompt, KV cache transfer
+	processing float64    // on the worker, without queue wait
+	queueWait  float64    // in the worker's queue, and the delay by an overdue call
 }
 
-// total returns the seconds up to the beginning of the response.
-func (f forecast) total() float64 { return f.network + f.run + f.wait }
+// total returns the sum of the terms.
+func (f forecast) total() float64 { return f.network + f.processing + f.queueWait }
 
-// bucketOf returns the bucket of prompts with that many uncached tokens.
+// bucketOf returns the bucket of prompts with the given number of uncached tokens.
 func bucketOf(uncached float64) int {
 	return 1 + stats.Bucket(max(0, uncached)/bucketTokens, bucketBase)
 }
 
-// unloadedTime returns the seconds that an unloaded worker of nominal speed takes to compute uncached
-// tokens that follow cached ones.
+// unloadedTime returns the processing seconds of a prompt, with that many uncached tokens after the cached
+// ones, on an unloaded worker of nominal speed.
 func unloadedTime(class workerClass, uncached, cached float64) float64 {
 	switch class {
 	case classPrefill:
@@ -100,7 +100,7 @@
 	return plainRequestTime
 }
 
-// rtt predicts the network time of a call without its prompt and without a KV cache transfer.
+// rtt predicts the network time of a call, without sending the prompt and without a KV cache transfer.
 func (p *pool) rtt(worker *worker) float64 {
 	if worker.sameZone {
 		return p.sameZoneRTT.Or(defaultSameZoneRTT, poolPriorSamples)
@@ -108,7 +108,7 @@
 	return p.crossZoneRTT.Or(defaultCrossZoneRTT, poolPriorSamples)
 }
 
-// slowdownOf returns a worker's processing time for each second on an unloaded worker of nominal speed.
+// slowdownOf returns a worker's processing time relative to that on an unloaded worker of nominal speed.
 func (p *pool) slowdownOf(now time.Duration, w *worker) float64 {
 	prior := p.slowdown.Or(1, poolPriorSamples)
 	own := w.slowdown[w.class].Fit(now, sampleTTL, 0)
@@ -116,7 +116,8 @@
 	return (own.SumY + prior*weight) / (own.SumX + weight)
 }
 
-// queueWait predicts the queue wait at a load. The prior is the time that the queued requests take.
+// queueWait predicts the queue wait on a worker at a load. The prior is the processing time of the
+// requests in the queue.
 func (s *service) queueWait(w *worker, load workerLoad) float64 {
 	pool, queued := &s.pools[w.class], load.forClass(w.class)
 	prior := queued * pool.typicalUnloadedTime(w.class)
@@ -124,23 +125,23 @@
 		slots := s.slotsOf(w)
 		prior = max(0, queued+1-slots) * pool.typicalUnloadedTime(w.class) / slots
 	}
-	line := &pool.wait
+	line := &pool.queueWait
 	return (line.At(-queued)*line.N + prior*waitPriorSamples) / (line.N + waitPriorSamples)
 }
 
 // predict returns the forecast of a task on a worker at its load (Eq. 3). Processing and queue wait are
-// first predicted apart, from pooled values; their sum is then scaled to what the worker's own fit for
-// the task's bucket says.
+// first predicted separately from pooled values. Both are then scaled so that their sum matches the
+// worker's own fit for the task's bucket.
 func (s *service) predict(now time.Duration, w *worker, task task, load workerLoad) forecast {
 	f := forecast{task: task, load: load}
 	pool := &s.pools[w.class]
-	run, wait := pool.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
-	if task.transfersKV { // its first token joins the next step of the batch
-		run, wait = pool.transferSlowdown.Or(1, poolPriorSamples)*task.unloaded, wait*transferWaitShare
+	processing, queueWait := pool.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
+	if task.transfersKV { // the first token is decoded in the next step of the batch
+		processing, queueWait = pool.transferSlowdown.Or(1, poolPriorSamples)*task.unloaded, queueWait*transferWaitShare
 	}
-	process := w.delays[w.class].Process(now, task.bucket, load.forClass(w.class), (run+wait)/task.unloaded) * task.unloaded
-	scale := process / max(run+wait, minSeconds)
-	f.run, f.wait = run*scale, wait*scale+max(0, load.stall)
+	fitted := w.delays[w.class].Process(now, task.bucket, load.forClass(w.class), (processing+queueWait)/task.unloaded) * task.unloaded
+	scale := fitted / max(processing+queueWait, minSeconds)
+	f.processing, f.queueWait = processing*scale, queueWait*scale+max(0, load.overdue)
 	f.network = s.networkTime(now, w, task)
 	return f
 }
@@ -154,36 +155,37 @@
 	return w.delays[w.class].Transfer(now, task.size, pooled+task.size*sendPerToken)
 }
 
-// learn records the seconds that a call took up to the beginning of its response. Only their sum is
-// observed: it is divided as its terms were predicted, and the fits against size and load separate them
-// in the course of time.
-func (s *service) learn(now time.Duration, call *Call, seconds float64) {
+// learnResponseTime records the seconds from sending a call to the beginning of its response. Only the sum
+// of the terms can be observed. It is divided in proportion to the forecast; over many samples, the fits
+// against size and load separate the terms.
+func (s *service) learnResponseTime(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
 	if w.class != call.workerClass || seconds <= 0 {
-		return // the worker has changed its role since
+		return // the worker's role has changed since the call was sent
 	}
 	scale := seconds / max(f.total(), minSeconds)
-	network, run, wait := f.network*scale, f.run*scale, f.wait*scale
+	network, processing, queueWait := f.network*scale, f.processing*scale, f.queueWait*scale
 	pool := &s.pools[w.class]
 	s.learnNetworkTime(now, call, network)
-	w.delays[w.class].AddProcess(now, f.bucket, f.load.forClass(w.class), (run+wait)/f.unloaded)
+	w.delays[w.class].AddProcess(now, f.bucket, f.load.forClass(w.class), (processing+queueWait)/f.unloaded)
 	if f.transfersKV {
-		pool.transferSlowdown.Add(clampRatio(run/f.unloaded, pool.transferSlowdown.Or(1, poolPriorSamples)), poolSamples)
+		pool.transferSlowdown.Add(clampRatio(processing/f.unloaded, pool.transferSlowdown.Or(1, poolPriorSamples)), poolSamples)
 		return
 	}
-	ratio := clampRatio(run/f.unloaded, pool.slowdown.Or(1, poolPriorSamples))
+	ratio := clampRatio(processing/f.unloaded, pool.slowdown.Or(1, poolPriorSamples))
 	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, estimate.WindowLength)
 	pool.slowdown.AddWeighted(ratio, min(1, f.unloaded/pool.typicalUnloadedTime(w.class)), poolSamples)
 	pool.unloadedTime.Add(f.unloaded, poolSamples)
-	pool.wait.AddWeighted(-f.load.forClass(w.class), wait, 1, poolSamples)
+	pool.queueWait.AddWeighted(-f.load.forClass(w.class), queueWait, 1, poolSamples)
 }
 
-// clampRatio bounds a ratio to within maxOutlierRatio of the typical one.
+// clampRatio clamps a ratio to within a factor of maxOutlierRatio of the typical one.
 func clampRatio(ratio, typical float64) float64 {
 	return min(max(ratio, typical/maxOutlierRatio), typical*maxOutlierRatio)
 }
 
-// learnNetworkTime records the network time of a call.
+// learnNetworkTime records the network time of a call, as the time of its KV cache transfer or as a round
+// trip.
 func (s *service) learnNetworkTime(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
 	pool := &s.pools[w.class]
@@ -201,7 +203,7 @@
 	}
 }
 
-// secondsPerToken predicts the time between the tokens of a stream on a decode worker.
+// secondsPerToken predicts the time between two tokens of a stream on a decode worker at a load.
 func (w *worker) secondsPerToken(now time.Duration, load workerLoad) float64 {
 	return w.delays[classDecode].Process(now, interTokenBucket, load.running, 1) * decodePerToken
 }
--- a/internal/dataplane/selection/prediction_test.go
+++ b/internal/dataplane/selection/prediction_test.go
@@ -10,37 +10,37 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// playPrefill plays one prefill call that takes the given time.
-func playPrefill(s *Selector, w *worker, now, span time.Duration, tokens int) {
+// completePrefill sends a prefill call and completes it after the given duration.
+func completePrefill(s *Selector, w *worker, now, duration time.Duration, tokens int) {
 	r := newTestRequest(now, uint64(now)+7, 0, tokens)
 	call := s.Sent(now, r, CallPrefill, Choice{Prefill: w.entry})
-	s.Done(now+span, call, nil)
+	s.Done(now+duration, call, nil)
 }
 
-func TestService_Predict_followsAnswers(t *testing.T) {
+func TestService_Predict_followsResponseTimes(t *testing.T) {
 	s, _ := newTestSelector(3, 2, 1)
 	svc := s.services["m"]
-	slow, quick, unknown := svc.byClass[classPrefill][0], svc.byClass[classPrefill][1], svc.byClass[classPrefill][2]
+	slow, fast, unknown := svc.byClass[classPrefill][0], svc.byClass[classPrefill][1], svc.byClass[classPrefill][2]
 	now := time.Duration(0)
 	for range 30 {
 		now += 300 * ms
-		playPrefill(s, slow, now, 240*ms, 4000)
-		playPrefill(s, quick, now, 120*ms, 4000)
+		completePrefill(s, slow, now, 240*ms, 4000)
+		completePrefill(s, fast, now, 120*ms, 4000)
 	}
 	total := func(w *worker) float64 {
 		return svc.predict(now+time.Second, w, promptTask(classPrefill, 4000, 0), workerLoad{}).total()
 	}
 	if got := total(slow); math.Abs(got-0.24) > 0.04 {
-		t.Errorf("the slow worker: %v", got)
+		t.Errorf("worker whose prefills took 0.24 s: predicted %v s, want 0.24 within 0.04", got)
 	}
-	if got := total(quick); math.Abs(got-0.12) > 0.03 {
-		t.Errorf("the fast worker: %v", got)
+	if got := total(fast); math.Abs(got-0.12) > 0.03 {
+		t.Errorf("worker whose prefills took 0.12 s: predicted %v s, want 0.12 within 0.03", got)
 	}
-	if got := total(unknown); got < total(quick) || got > total(slow) {
-		t.Errorf("one without samples: %v, not between the others", got)
+	if got := total(unknown); got < total(fast) || got > total(slow) {
+		t.Errorf("worker without samples: predicted %v s, want from %v to %v as for the others", got, total(fast), total(slow))
 	}
 	if later := svc.predict(now+time.Minute, slow, promptTask(classPrefill, 4000, 0), workerLoad{}).total(); later > 0.22 {
-		t.Errorf("its samples have expired, yet it is predicted %v", later)
+		t.Errorf("slow worker a minute later: predicted %v s, want at most 0.22 as its samples have expired", later)
 	}
 }
 
@@ -51,15 +51,16 @@
 		last := -1.
 		for waiting := range 5 {
 			f := svc.predict(0, w, promptTask(c, 2000, 500), workerLoad{waiting: float64(waiting)})
-			if f.total() <= last || f.wait < 0 {
-				t.Errorf("class %v with %d waiting: %v after %v", c, waiting, f.total(), last)
+			if f.total() <= last || f.queueWait < 0 {
+				t.Errorf("class %v with %d waiting requests: total %v s, queue wait %v s; want a total above %v and a wait of at least 0",
+					c, waiting, f.total(), f.queueWait, last)
 			}
 			last = f.total()
 		}
 	}
 }
 
-func TestSelector_Failed_feedsNoWindow(t *testing.T) {
+func TestSelector_Failed_addsNoSample(t *testing.T) {
 	s, _ := newTestSelector(1, 1, 1)
 	svc := s.services["m"]
 	w := svc.byClass[classPrefill][0]
@@ -68,7 +69,8 @@
 	}
 	s.Abandoned(time.Second, s.Sent(0, newTestRequest(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}))
 	if svc.pools[classPrefill].slowdown.N != 0 || w.slowdown[classPrefill].Samples != nil || len(w.cache.byID) != 0 {
-		t.Error("a failed call added a sample")
+		t.Errorf("after failed and abandoned calls: %v pooled samples, %d of the worker, %d cached segments; want none",
+			svc.pools[classPrefill].slowdown.N, len(w.slowdown[classPrefill].Samples), len(w.cache.byID))
 	}
 }
 
@@ -76,7 +78,7 @@
 	s, _ := newTestSelector(2, 2, 1)
 	svc := s.services["m"]
 	from, to := svc.byClass[classPrefill][0], svc.byClass[classDecode][0]
-	fresh := svc.transferTime(0, from, to, 8000)
+	initial := svc.transferTime(0, from, to, 8000)
 	now := time.Duration(0)
 	for range 12 {
 		now += 200 * ms
@@ -85,13 +87,13 @@
 		s.Done(now+700*ms, call, nil)
 	}
 	if got := svc.transferTime(now, from, to, 8000); got < 0.25 {
-		t.Errorf("transfers take 0.6 s, yet %v is predicted", got)
+		t.Errorf("after transfers of 0.6 s: predicted %v s, want at least 0.25", got)
 	}
-	if got := svc.transferTime(now, svc.byClass[classPrefill][1], svc.byClass[classDecode][1], 8000); got < 5*fresh {
-		t.Errorf("another pair is predicted %v, at first %v", got, fresh)
+	if got := svc.transferTime(now, svc.byClass[classPrefill][1], svc.byClass[classDecode][1], 8000); got < 5*initial {
+		t.Errorf("another pair after slow transfers: predicted %v s, want at least 5 times the initial %v", got, initial)
 	}
-	if got := svc.transferTime(now+time.Minute, from, to, 8000); math.Abs(got-fresh) > fresh/2 {
-		t.Errorf("a minute later %v is predicted, at first %v", got, fresh)
+	if got := svc.transferTime(now+time.Minute, from, to, 8000); math.Abs(got-initial) > initial/2 {
+		t.Errorf("a minute later: predicted %v s, want the initial %v within half", got, initial)
 	}
 }
 
@@ -111,14 +113,14 @@
 		r := &Request{Service: "p", Route: "r", Objective: time.Second, Deadline: 4 * time.Second}
 		c, v := s.Choose(0, r, nil)
 		if !v.Admit || c.Prefill != nil {
-			t.Fatalf("%+v %+v", c, v)
+			t.Fatalf("Choose returned run on %q, prefill on %q, %+v; want the request admitted without a prefill", idOf(c.Run), idOf(c.Prefill), v)
 		}
 		s.Sent(0, r, CallRun, c)
 		count[c.Run.ID]++
 	}
 	for id, n := range count {
 		if n < 4 || n > 8 {
-			t.Errorf("%s has %d of 18", id, n)
+			t.Errorf("worker %s was sent %d of 18 requests, want 4 to 8", id, n)
 		}
 	}
 }
@@ -133,7 +135,7 @@
 	s.Done(60*ms, call, &Load{Running: 6, Waiting: 5, Slots: 6})
 	for range 20 {
 		if c, _ := s.Choose(61*ms, &Request{Service: "p"}, nil); c.Run.ID == "a" {
-			t.Fatal("the worker with a queue is chosen")
+			t.Fatal("Choose returned worker a, which reported a queue, want b")
 		}
 	}
 }
--- a/internal/dataplane/selection/prefixcache.go
+++ b/internal/dataplane/selection/prefixcache.go
@@ -6,8 +6,8 @@
 const blockTokens = 16
 
 // prefixCache models which prompt segments a worker has cached, with eviction of the least recently
-// used. It knows the calls of this node alone; those of the other nodes are covered by the weight of
-// segments that are a request's own.
+// used one. It is updated by this node's calls alone. To account for the other nodes, the last segment of
+// a prompt, which is specific to the request, counts once for each node.
 type prefixCache struct {
 	capacity float64 // tokens
 	used     float64 // tokens
@@ -15,23 +15,24 @@
 	recency  list.List // of *cachedSegment; the least recently used is last
 }
 
+// cachedSegment is an entry of a prefixCache.
 type cachedSegment struct {
 	id     uint64
-	weight float64 // tokens of the capacity
+	weight float64 // tokens of the capacity that it uses
 }
 
-// has reports whether a segment is cached.
-func (c *prefixCache) has(id uint64) bool {
+// contains reports whether a segment is cached.
+func (c *prefixCache) contains(id uint64) bool {
 	_, cached := c.byID[id]
 	return cached
 }
 
-// cachedTokens returns how many tokens of a prompt need no prefill: the complete blocks of the segments
-// before the first one that is not cached.
+// cachedTokens returns how many tokens of a prompt need no prefill: those in complete blocks of the
+// segments before the first one that is not cached.
 func (c *prefixCache) cachedTokens(prompt []PromptSegment) float64 {
 	tokens := 0
 	for _, segment := range prompt {
-		if !c.has(segment.ID) {
+		if !c.contains(segment.ID) {
 			break
 		}
 		tokens += segment.Tokens
@@ -39,8 +40,8 @@
 	return float64(tokens - tokens%blockTokens)
 }
 
-// add records that a worker has computed or fetched the KV cache of a prompt. Nodes is how many nodes
-// send it segments of their own as this one does, occupied the tokens that running requests occupy.
+// add records that the worker has computed or fetched the KV cache of a prompt. Nodes is the number of
+// nodes that send requests to the worker, occupied the number of tokens that its running requests occupy.
 func (c *prefixCache) add(prompt []PromptSegment, nodes int, occupied float64) {
 	if c.byID == nil {
 		c.byID = map[uint64]*list.Element{}
@@ -55,7 +56,7 @@
 	c.evict(c.capacity - occupied)
 }
 
-// touch makes a segment the most recently used.
+// touch makes a segment the most recently used one, adding it if necessary.
 func (c *prefixCache) touch(id uint64, weight float64) {
 	if element, cached := c.byID[id]; cached {
 		segment := element.Value.(*cachedSegment)
@@ -68,7 +69,7 @@
 	c.used += weight
 }
 
-// evict removes the least recently used segments until the rest fits the capacity.
+// evict removes the least recently used segments until the remaining ones fit the capacity.
 func (c *prefixCache) evict(capacity float64) {
 	for c.used > max(0, capacity) && c.recency.Len() > 0 {
 		last := c.recency.Back()
--- a/internal/dataplane/selection/requestinfo.go
+++ b/internal/dataplane/selection/requestinfo.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// maxAncestors is the number of segments before the affinity key whose shares are counted.
+// maxAncestors limits the segments before the affinity key whose shares of the requests are tracked. The
+// first segments of the prompt count.
 const maxAncestors = 3
 
-// requestInfo is what the choice derives from a request, once.
+// requestInfo holds the values that are derived from a request once, by its first choice.
 type requestInfo struct {
 	request        *Request
 	prompt         []PromptSegment
-	sharedSegments []PromptSegment       // those that other requests have too
-	affinityKey    uint64                // ID of the segment whose affinity targets the request goes to; 0: none
-	promptTokens   float64               // an assumed number where the request names none
-	keyShare       float64               // share of the requests that have the affinity key
-	ancestorShares [maxAncestors]float64 // shares of the requests that have a segment before it
+	sharedSegments []PromptSegment       // those that other requests may have too: all but the last
+	affinityKey    uint64                // ID of the segment whose affinity targets are preferred; 0: none
+	promptTokens   float64               // an assumed number if the request does not state it
+	keyShare       float64               // share of this node's requests that have the affinity key
+	ancestorShares [maxAncestors]float64 // shares of this node's requests that have each of the first segments before it
 }
 
-// infoFor returns a request's info. The first call derives it and counts the request's segments.
+// infoFor returns a request's info. The first call for a request derives it and counts the request's
+// segments in the popularity statistics.
 func (s *service) infoFor(now time.Duration, request *Request) *requestInfo {
 	if request.info == nil || request.info.request != request {
 		info := s.newRequestInfo(request)
@@ -26,7 +28,7 @@
 	return request.info
 }
 
-// newRequestInfo derives a request's info but for its shares.
+// newRequestInfo derives a request's info, without its shares.
 func (s *service) newRequestInfo(request *Request) requestInfo {
 	info := requestInfo{request: request, prompt: request.Prompt, promptTokens: float64(request.PromptTokens)}
 	if request.PromptTokens <= 0 {
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -10,33 +10,33 @@
 	"ospreybend/internal/util/stats"
 )
 
-// Options of a Selector.
+// Options configures a Selector.
 type Options struct {
-	Zone       string        // the node's own zone
-	Seed       uint64        // of the random choices among ties and in admission control
-	RereadSpan time.Duration // span in which computing a shared segment again is priced; 0: defaultRereadSpan
+	Zone       string        // this node's zone
+	Seed       uint64        // of the random decisions in tie-breaking, admission control and ejection
+	RereadSpan time.Duration // recomputing a shared segment within this time of another use has a cost; 0: defaultRecomputeWindow
 }
 
-const defaultRereadSpan = 8 * time.Second
+const defaultRecomputeWindow = 8 * time.Second
 
 // Selector chooses workers for the requests of one node. It is not safe for concurrent use.
 type Selector struct {
 	options  Options
 	random   *rand.Rand
-	nodes    int // that send requests to the same workers, this one included
+	nodes    int // number of nodes that send requests to the same workers, including this one
 	services map[string]*service
 	peers    map[uint64]peerState // by node
 }
 
-// service is what a node knows of one service and its workers.
+// service is this node's state of one service and its workers.
 type service struct {
 	selector *Selector
 	engine   *configuration.Engine // nil: plain HTTP workers
 
 	workers map[string]*worker // by ID
 	byHash  map[uint64]*worker
-	byClass [classCount][]*worker // those that may be sent to, in the order of their IDs
-	zones   map[string]int        // numbers of the zones
+	byClass [classCount][]*worker // without those that are changing their role, ordered by ID as in the view
+	zones   map[string]int        // number of each zone
 
 	pools            [classCount]pool
 	popularity       segmentPopularity
@@ -44,8 +44,8 @@
 	transferTimes    stats.Window // KV cache transfers of all pairs: observed against configured seconds
 	admission        admission
 
-	demand           roleplanner.Demand // since the start
-	streamsCountedAt time.Duration
+	demand            roleplanner.Demand // cumulative
+	streamsRecordedAt time.Duration
 
 	scratch scratchSpace
 }
@@ -53,7 +53,7 @@
 // New returns a Selector without a view. It rejects all requests until SetView is called.
 func New(options Options) *Selector {
 	if options.RereadSpan == 0 {
-		options.RereadSpan = defaultRereadSpan
+		options.RereadSpan = defaultRecomputeWindow
 	}
 	return &Selector{
 		options:  options,
@@ -63,8 +63,8 @@
 	}
 }
 
-// SetView applies a new view of the fleet. Workers that are in both views keep their state; samples of a
-// worker whose role changed are kept apart by class.
+// SetView applies a new view of the fleet. Workers that are in both views keep their state. A worker whose
+// role changed starts with the samples of its new class, if it had that role before.
 func (s *Selector) SetView(_ time.Duration, view *fleetview.View) {
 	s.nodes = max(1, view.EdgeNodeCount)
 	for name := range s.services {
@@ -82,7 +82,7 @@
 	}
 }
 
-// serviceOf returns the state of a service, which it creates if there is none.
+// serviceOf returns the state of a service, creating it if necessary.
 func (s *Selector) serviceOf(name string) *service {
 	svc := s.services[name]
 	if svc == nil {
@@ -92,19 +92,19 @@
 	return svc
 }
 
-// update makes the service's workers those of a view. Configured is nil if the service is not in the
-// configuration.
+// update replaces the service's workers by those listed in a view. Configured is nil if the service is not
+// in the configuration.
 func (s *service) update(configured *configuration.Service, listed []*fleetview.Worker) {
 	s.engine = nil
 	if configured != nil {
 		s.engine = configured.Engine
 	}
-	known := s.workers
+	previous := s.workers
 	s.workers = make(map[string]*worker, len(listed))
 	s.byHash = make(map[uint64]*worker, len(listed))
 	s.byClass = [classCount][]*worker{}
 	for _, entry := range listed {
-		w := known[entry.ID]
+		w := previous[entry.ID]
 		if w == nil {
 			w = newWorker(entry)
 		}
@@ -120,7 +120,7 @@
 	}
 }
 
-// zoneOf returns the number of a zone.
+// zoneOf returns the number of a zone, assigning the next one to a new zone.
 func (s *service) zoneOf(name string) int {
 	number, known := s.zones[name]
 	if !known {
@@ -130,7 +130,7 @@
 	return number
 }
 
-// kvCapacity returns the tokens that a worker's KV cache has room for.
+// kvCapacity returns the capacity of a worker's KV cache in tokens.
 func (s *service) kvCapacity() float64 {
 	if s.engine == nil || s.engine.KVCapacityTokens <= 0 {
 		return defaultKVCapacity
@@ -138,8 +138,8 @@
 	return float64(s.engine.KVCapacityTokens)
 }
 
-// slotsOf returns the number of requests that a worker serves at once: what it last reported, else what
-// it registered, else what is configured.
+// slotsOf returns the number of requests that a worker serves concurrently: the number it last reported,
+// else the one it registered, else the configured one.
 func (s *service) slotsOf(w *worker) float64 {
 	if w.report.slots > 0 {
 		return w.report.slots
--- a/internal/dataplane/selection/simulation_test.go
+++ b/internal/dataplane/selection/simulation_test.go
@@ -11,18 +11,19 @@
 	"ospreybend/internal/dataplane/fleetview"
 )
 
-// trafficKind is a kind of request of the simulation.
+// trafficKind is a kind of simulated requests. A prompt has a root segment, a document segment and one of the request's
+// own.
 type trafficKind struct {
 	name                    string
-	rate                    float64
+	requestsPerSecond       float64
 	sharedTokens, ownTokens float64 // mean tokens of the shared segments and of the request's own
-	documents               int
-	output                  int
+	documents               int     // number of distinct document segments
+	outputTokens            int
 	priority                int
 	objective               time.Duration
 	deadline                time.Duration
-	ownSpread               float64
-	documentsPerRoot        int
+	ownSpread               float64 // share of the own segment's tokens that varies
+	roots                   int     // number of distinct root segments
 }
 
 var trafficKinds = []trafficKind{
@@ -31,22 +32,22 @@
 	{"chat", 9.39, 172, 543, 124, 40, 2, 250 * time.Millisecond, 10 * time.Second, 0.8, 8},
 }
 
-// policy is a way to choose workers; it returns false to reject the request.
-type policy func(f *modelFleet, node int, r *Request) (Choice, bool)
+// policy chooses the workers of a request, or returns false to reject it.
+type policy func(f *simFleet, node int, r *Request) (Choice, bool)
 
-// modelFleet is a simulated fleet of nodes and engine workers.
-type modelFleet struct {
+// simFleet is a simulated fleet of nodes and engine workers.
+type simFleet struct {
 	clock     clock
 	random    *rand.Rand
-	workers   map[string]*modelWorker
-	list      []*fleetview.Worker
+	workers   map[string]*simWorker
+	entries   []*fleetview.Worker
 	selectors []*Selector
-	counts    []map[string]int // by node: calls in flight, by worker
+	inFlight  []map[string]int // calls in flight, by node and worker ID
 	policy    policy
 
-	unresponsive             func(id string) bool // reports whether a worker does not respond now; nil: none
+	unresponsive             func(id string) bool // reports whether a worker does not respond now; nil: all respond
 	lostCalls                int
-	firsts                   []float64
+	firstEventTimes          []float64 // seconds from arrival to first event
 	sent, onTime             int
 	rejected, withoutPrefill int
 	sentByKind, onTimeByKind map[string]int
@@ -55,8 +56,8 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
-func newModelFleet(nodes, workers, zones int, seed uint64, policy policy) *modelFleet {
-	f := &modelFleet{random: rand.New(rand.NewPCG(seed, 1)), workers: map[string]*modelWorker{}, policy: policy,
+func newSimFleet(nodes, workers, zones int, seed uint64, policy policy) *simFleet {
+	f := &simFleet{random: rand.New(rand.NewPCG(seed, 1)), workers: map[string]*simWorker{}, policy: policy,
 		sentByKind: map[string]int{}, onTimeByKind: map[string]int{}, sizes: map[string][]servedSize{}}
 	speeds := []float64{1, 1, 1.3}
 	for i := range workers {
@@ -65,55 +66,58 @@
 			stage = "prefill"
 		}
 		id := fmt.Sprintf("i-%03d", i)
-		f.workers[id] = &modelWorker{clock: &f.clock, decode: stage == "decode", slowdown: speeds[i%3],
+		f.workers[id] = &simWorker{clock: &f.clock, decode: stage == "decode", slowdown: speeds[i%3],
 			cache: prefixCache{capacity: 342882}}
-		f.list = append(f.list, &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "m",
+		f.entries = append(f.entries, &fleetview.Worker{Instance: registry.Instance{ID: id, Service: "m",
 			Zone: zoneName(i % zones), Slots: 64, Stage: stage}})
 	}
-	view := &fleetview.View{Workers: map[string][]*fleetview.Worker{"m": f.list}, EdgeNodeCount: nodes,
+	view := &fleetview.View{Workers: map[string][]*fleetview.Worker{"m": f.entries}, EdgeNodeCount: nodes,
 		Services: map[string]*configuration.Service{"m": {Name: "m", Engine: &configuration.Engine{
 			Slots: 64, KVCapacityTokens: 342882, KVBytesPerToken: 327680, LinkMbps: 2.6e6, MaxTokensPerEvent: 7}}}}
 	for i := range nodes {
 		s := New(Options{Zone: zoneName(i % zones), Seed: seed + uint64(i)})
 		s.SetView(0, view)
 		f.selectors = append(f.selectors, s)
-		f.counts = append(f.counts, map[string]int{})
+		f.inFlight = append(f.inFlight, map[string]int{})
 	}
 	return f
 }
 
-// spread draws around a mean, at least 1.
-func (f *modelFleet) spread(mean, by float64) int {
-	x := f.random.ExpFloat64()*by + (1 - by)
+// randomTokens draws an exponentially distributed number of tokens, at least 1. Spread is the share of the mean that
+// varies.
+func (f *simFleet) randomTokens(mean, spread float64) int {
+	x := f.random.ExpFloat64()*spread + (1 - spread)
 	return 1 + int(mean*min(x, 8))
 }
 
-func (f *modelFleet) request(kind trafficKind) *Request {
-	thing := f.random.IntN(kind.documents)
-	root := thing % kind.documentsPerRoot
+// request draws a request of a kind.
+func (f *simFleet) request(kind trafficKind) *Request {
+	document := f.random.IntN(kind.documents)
+	root := document % kind.roots
 	hash := func(x int) int { return int(mixHash(uint64(x)+uint64(kind.documents)<<20) % 1000) }
 	rootTokens := int(kind.sharedTokens * 0.4 * (0.6 + 0.0008*float64(hash(root))))
-	thingTokens := int(kind.sharedTokens * 0.6 * (0.5 + 0.001*float64(hash(1000+thing))))
-	own := f.spread(kind.ownTokens, kind.ownSpread)
+	documentTokens := int(kind.sharedTokens * 0.6 * (0.5 + 0.001*float64(hash(1000+document))))
+	own := f.randomTokens(kind.ownTokens, kind.ownSpread)
 	prompt := []PromptSegment{
 		{mixHash(uint64(kind.documents)<<32 + uint64(root)), rootTokens},
-		{mixHash(uint64(kind.documents)<<32 + 1<<20 + uint64(thing)), thingTokens},
+		{mixHash(uint64(kind.documents)<<32 + 1<<20 + uint64(document)), documentTokens},
 		{f.random.Uint64(), own},
 	}
 	return &Request{Service: "m", Route: kind.name, Model: "m", Priority: kind.priority, Prompt: prompt,
-		PromptTokens: rootTokens + thingTokens + own, OutputTokens: kind.output,
+		PromptTokens: rootTokens + documentTokens + own, OutputTokens: kind.outputTokens,
 		Arrived: f.clock.now, Objective: f.clock.now + kind.objective, Deadline: f.clock.now + kind.deadline}
 }
 
-// traffic starts a kind's arrivals.
-func (f *modelFleet) traffic(k trafficKind, scale float64) {
-	f.clock.after(f.random.ExpFloat64()/(k.rate*scale), func() {
-		f.arrive(k, f.request(k))
-		f.traffic(k, scale)
+// startTraffic starts the arrivals of a kind of requests, as a Poisson process.
+func (f *simFleet) startTraffic(kind trafficKind, scale float64) {
+	f.clock.after(f.random.ExpFloat64()/(kind.requestsPerSecond*scale), func() {
+		f.handleArrival(kind, f.request(kind))
+		f.startTraffic(kind, scale)
 	})
 }
 
-func (f *modelFleet) arrive(kind trafficKind, request *Request) {
+// handleArrival sends a request to a random node, whose policy rejects it or chooses its workers.
+func (f *simFleet) handleArrival(kind trafficKind, request *Request) {
 	node := f.random.IntN(len(f.selectors))
 	c, ok := f.policy(f, node, request)
 	f.sent++
@@ -132,144 +136,153 @@
 }
 
 const (
-	modelNetworkDelay = 0.001 // seconds
-	modelCallTimeout  = 0.8   // seconds until a node cancels a call
+	simNetworkDelay = 0.001 // seconds
+	simCallTimeout  = 0.8   // seconds after which a call to an unresponsive worker fails
 )
 
-func (f *modelFleet) prefill(kind trafficKind, node int, request *Request, choice Choice) {
+// prefill simulates a request's prefill call, and then its run.
+func (f *simFleet) prefill(kind trafficKind, node int, request *Request, choice Choice) {
 	s, w := f.selectors[node], f.workers[choice.Prefill.ID]
 	call := s.Sent(f.clock.now, request, CallPrefill, choice)
-	f.counts[node][choice.Prefill.ID]++
+	f.inFlight[node][choice.Prefill.ID]++
 	if f.dropCall(choice.Prefill.ID, node, call) {
 		return
 	}
-	job := &modelJob{prompt: request.Prompt}
-	job.first = func(l Load) {
-		f.clock.after(modelNetworkDelay, func() {
-			f.counts[node][choice.Prefill.ID]--
+	simulated := &simCall{prompt: request.Prompt}
+	simulated.onFirstEvent = func(l Load) {
+		f.clock.after(simNetworkDelay, func() {
+			f.inFlight[node][choice.Prefill.ID]--
 			s.Done(f.clock.now, call, &l)
 			f.run(kind, node, request, choice)
 		})
 	}
-	f.clock.after(modelNetworkDelay, func() { w.startPrefill(job) })
+	f.clock.after(simNetworkDelay, func() { w.startPrefill(simulated) })
 }
 
-func (f *modelFleet) run(kind trafficKind, node int, request *Request, choice Choice) {
+// run simulates a request's run.
+func (f *simFleet) run(kind trafficKind, node int, request *Request, choice Choice) {
 	s, w := f.selectors[node], f.workers[choice.Run.ID]
 	call := s.Sent(f.clock.now, request, CallRun, choice)
-	f.counts[node][choice.Run.ID]++
+	f.inFlight[node][choice.Run.ID]++
 	if f.dropCall(choice.Run.ID, node, call) {
 		return
 	}
-	job := &modelJob{prompt: request.Prompt, output: request.OutputTokens}
+	simulated := &simCall{prompt: request.Prompt, remainingOutput: request.OutputTokens}
 	var reported Load
-	job.first = func(l Load) {
+	simulated.onFirstEvent = func(l Load) {
 		reported = l
-		f.clock.after(modelNetworkDelay, func() {
+		f.clock.after(simNetworkDelay, func() {
 			f.recordFirstEvent(kind, request)
 			s.FirstEvent(f.clock.now, call)
 		})
 	}
-	job.done = func(Load) {
-		f.clock.after(modelNetworkDelay, func() {
-			f.counts[node][choice.Run.ID]--
+	simulated.onDone = func(Load) {
+		f.clock.after(simNetworkDelay, func() {
+			f.inFlight[node][choice.Run.ID]--
 			s.Done(f.clock.now, call, &reported)
 		})
 	}
-	f.clock.after(modelNetworkDelay, func() {
+	f.clock.after(simNetworkDelay, func() {
 		if choice.Prefill != nil {
-			w.startTransfer(f.workers[choice.Prefill.ID], choice.Prefill.Zone != choice.Run.Zone, job)
+			w.startTransfer(f.workers[choice.Prefill.ID], choice.Prefill.Zone != choice.Run.Zone, simulated)
 			return
 		}
-		w.startPrefill(job)
+		w.startPrefill(simulated)
 	})
 }
 
-// dropCall plays a call to an unresponsive worker, and reports whether the worker is one.
-func (f *modelFleet) dropCall(id string, node int, call *Call) bool {
+// dropCall reports whether a worker is unresponsive. If so, the call to it fails after simCallTimeout.
+func (f *simFleet) dropCall(id string, node int, call *Call) bool {
 	if f.unresponsive == nil || !f.unresponsive(id) {
 		return false
 	}
 	f.lostCalls++
-	f.clock.after(modelCallTimeout, func() {
-		f.counts[node][id]--
+	f.clock.after(simCallTimeout, func() {
+		f.inFlight[node][id]--
 		f.selectors[node].Failed(f.clock.now, call, FailureTimeout)
 	})
 	return true
 }
 
-func (f *modelFleet) recordFirstEvent(k trafficKind, r *Request) {
-	f.firsts = append(f.firsts, (f.clock.now - r.Arrived).Seconds())
+func (f *simFleet) recordFirstEvent(kind trafficKind, r *Request) {
+	f.firstEventTimes = append(f.firstEventTimes, (f.clock.now - r.Arrived).Seconds())
 	if f.clock.now <= r.Objective {
 		f.onTime++
-		f.onTimeByKind[k.name]++
+		f.onTimeByKind[kind.name]++
 	}
 }
 
 // fleetResults are the results of a simulation.
 type fleetResults struct {
-	Mean, P95, OnTime, Rejected, WithoutPrefill float64
-	Read, Reread, Moved                         float64 // thousands of tokens
-	Kinds                                       string
-	Largest                                     float64 // servedShareOfLargest, lowest over the kinds
+	Mean, P95                          float64 // seconds to the first event
+	OnTime, Rejected, WithoutPrefill   float64 // shares of the requests
+	Prefilled, Recomputed, Transferred float64 // thousands of tokens
+	OnTimeByKind                       string  // share of each kind, as text
+	LargestServed                      float64 // lowest servedShareOfLargest of the kinds
 }
 
-func (f *modelFleet) results() fleetResults {
-	sort.Float64s(f.firsts)
+func (f *simFleet) results() fleetResults {
+	sort.Float64s(f.firstEventTimes)
 	var total float64
-	for _, x := range f.firsts {
+	for _, x := range f.firstEventTimes {
 		total += x
 	}
-	n := float64(len(f.firsts))
-	out := fleetResults{Mean: total / n, P95: f.firsts[int(n*0.95)], OnTime: float64(f.onTime) / float64(f.sent),
+	n := float64(len(f.firstEventTimes))
+	results := fleetResults{Mean: total / n, P95: f.firstEventTimes[int(n*0.95)], OnTime: float64(f.onTime) / float64(f.sent),
 		Rejected: float64(f.rejected) / float64(f.sent), WithoutPrefill: float64(f.withoutPrefill) / n}
-	for _, c := range f.list {
-		w := f.workers[c.ID]
-		out.Read, out.Reread, out.Moved = out.Read+w.read/1000, out.Reread+w.reread/1000, out.Moved+w.moved/1000
+	for _, entry := range f.entries {
+		w := f.workers[entry.ID]
+		results.Prefilled += w.prefilledTokens / 1000
+		results.Recomputed += w.recomputedTokens / 1000
+		results.Transferred += w.transferredTokens / 1000
 	}
-	out.Largest = 1
+	results.LargestServed = 1
 	for _, k := range trafficKinds {
-		out.Largest = min(out.Largest, servedShareOfLargest(f.sizes[k.name]))
-		out.Kinds += fmt.Sprintf("%s %.3f ", k.name, float64(f.onTimeByKind[k.name])/float64(max(1, f.sentByKind[k.name])))
+		results.LargestServed = min(results.LargestServed, servedShareOfLargest(f.sizes[k.name]))
+		results.OnTimeByKind += fmt.Sprintf("%s %.3f ", k.name, float64(f.onTimeByKind[k.name])/float64(max(1, f.sentByKind[k.name])))
 	}
-	return out
+	return results
 }
 
-func simulateFleet(nodes, workers, zones int, scale float64, span time.Duration, seed uint64, p policy) fleetResults {
-	f := newModelFleet(nodes, workers, zones, seed, p)
+// simulateFleet runs a simulated fleet for a duration. Scale multiplies the rates of all kinds.
+func simulateFleet(nodes, workers, zones int, scale float64, duration time.Duration, seed uint64, p policy) fleetResults {
+	f := newSimFleet(nodes, workers, zones, seed, p)
 	for _, k := range trafficKinds {
-		f.traffic(k, scale)
+		f.startTraffic(k, scale)
 	}
-	f.clock.run(span)
+	f.clock.run(duration)
 	return f.results()
 }
 
-func selectorPolicy(f *modelFleet, node int, r *Request) (Choice, bool) {
+// selectorPolicy is the policy of the node's Selector.
+func selectorPolicy(f *simFleet, node int, r *Request) (Choice, bool) {
 	c, v := f.selectors[node].Choose(f.clock.now, r, nil)
 	return c, v.Admit
 }
 
-// workersOfStage lists the workers of a stage.
-func (f *modelFleet) workersOfStage(stage string) []*fleetview.Worker {
-	var out []*fleetview.Worker
-	for _, w := range f.list {
+// workersOfStage returns the workers of a stage.
+func (f *simFleet) workersOfStage(stage string) []*fleetview.Worker {
+	var workers []*fleetview.Worker
+	for _, w := range f.entries {
 		if w.Stage == stage {
-			out = append(out, w)
+			workers = append(workers, w)
 		}
 	}
-	return out
+	return workers
 }
 
-func randomPolicy(f *modelFleet, node int, r *Request) (Choice, bool) {
+// randomPolicy chooses a random pair.
+func randomPolicy(f *simFleet, node int, r *Request) (Choice, bool) {
 	from, to := f.workersOfStage("prefill"), f.workersOfStage("decode")
 	return Choice{Prefill: from[f.random.IntN(len(from))], Run: to[f.random.IntN(len(to))]}, true
 }
 
-func leastOutstandingPolicy(fleet *modelFleet, node int, request *Request) (Choice, bool) {
-	pick := func(list []*fleetview.Worker) *fleetview.Worker {
+// leastOutstandingPolicy chooses the prefill and the decode worker with the fewest calls in flight from the node.
+func leastOutstandingPolicy(fleet *simFleet, node int, request *Request) (Choice, bool) {
+	leastLoaded := func(list []*fleetview.Worker) *fleetview.Worker {
 		best, ties := list[0], 0
 		for _, w := range list {
-			switch a, b := fleet.counts[node][w.ID], fleet.counts[node][best.ID]; {
+			switch a, b := fleet.inFlight[node][w.ID], fleet.inFlight[node][best.ID]; {
 			case a < b:
 				best, ties = w, 1
 			case a == b:
@@ -280,26 +293,27 @@
 		}
 		return best
 	}
-	return Choice{Prefill: pick(fleet.workersOfStage("prefill")), Run: pick(fleet.workersOfStage("decode"))}, true
+	return Choice{Prefill: leastLoaded(fleet.workersOfStage("prefill")), Run: leastLoaded(fleet.workersOfStage("decode"))}, true
 }
 
-// servedSize is a request's size and whether it was admitted.
+// servedSize is the size of a request's prompt, and whether the request was admitted.
 type servedSize struct {
 	tokens int
 	served bool
 }
 
-// servedShareOfLargest returns the admitted share of the largest tenth, divided by that of all.
-func servedShareOfLargest(all []servedSize) float64 {
-	sort.Slice(all, func(i, k int) bool { return all[i].tokens > all[k].tokens })
-	share := func(some []servedSize) float64 {
+// servedShareOfLargest returns the admitted share of the largest tenth of requests, divided by that of all
+// requests.
+func servedShareOfLargest(requests []servedSize) float64 {
+	sort.Slice(requests, func(i, k int) bool { return requests[i].tokens > requests[k].tokens })
+	share := func(group []servedSize) float64 {
 		n := 0.
-		for _, one := range some {
-			if one.served {
+		for _, request := range group {
+			if request.served {
 				n++
 			}
 		}
-		return n / float64(len(some))
+		return n / float64(len(group))
 	}
-	return share(all[:max(1, len(all)/10)]) / share(all)
+	return share(requests[:max(1, len(requests)/10)]) / share(requests)
 }
--- a/internal/dataplane/selection/worker.go
+++ b/internal/dataplane/selection/worker.go
@@ -9,23 +9,23 @@
 	"ospreybend/internal/util/stats"
 )
 
-// workerClass is the role of a worker as the predictions see it. Samples are kept apart by class.
+// workerClass is the role of a worker. Predictions keep separate samples for each class.
 type workerClass int
 
 const (
 	classPlain   workerClass = iota // serves complete requests; the service has no stages
 	classPrefill                    // computes the KV cache of prompts
-	classDecode                     // decodes, and prefills at a slower pace where no prefill worker did
+	classDecode                     // decodes, and prefills, more slowly, if no prefill worker did
 	classCount
 )
 
 const (
-	sampleTTL         = 15 * time.Second // of the samples in windows
-	defaultKVCapacity = 300000.          // tokens, where none are configured
-	defaultSlots      = 8.               // requests at once, where neither worker nor configuration says
+	sampleTTL         = 15 * time.Second // of the samples in a worker's windows
+	defaultKVCapacity = 300000.          // tokens, if not configured
+	defaultSlots      = 8.               // concurrent requests, if neither the worker nor the configuration states them
 )
 
-// Stages of workers as they register them.
+// Stages that workers register with.
 const (
 	stagePrefill = "prefill"
 	stageDecode  = "decode"
@@ -42,17 +42,17 @@
 	return classPlain
 }
 
-// worker is what this node knows of one incarnation of a worker.
+// worker is this node's state of one incarnation of a worker.
 type worker struct {
 	entry    *fleetview.Worker
-	hash     uint64 // of the ID, the same on all nodes
+	hash     uint64 // of the ID; all nodes compute the same
 	class    workerClass
 	zone     int
-	sameZone bool // in the node's own zone
+	sameZone bool // is in this node's zone
 
 	delays        [classCount]estimate.Delays // by class, as a worker may return to an earlier one
-	slowdown      [classCount]stats.Window    // processing time against unloaded time, over all sizes
-	transferTimes stats.Window                // KV cache transfers from it or to it: seconds against tokens weighed by distance
+	slowdown      [classCount]stats.Window    // processing time against predicted time on an unloaded worker, for all prompt sizes
+	transferTimes stats.Window                // KV cache transfers from or to the worker: seconds against transferSize
 
 	calls          []*Call // in flight
 	reservedTokens float64 // KV cache of the calls in flight
@@ -72,7 +72,8 @@
 	return w
 }
 
-// ownCalls counts this node's calls without a response yet, and those whose response has begun.
+// ownCalls counts this node's calls at the worker: those without a response yet as waiting, those whose
+// response has begun as running.
 func (w *worker) ownCalls() callCounts {
 	var counts callCounts
 	for _, call := range w.calls {
@@ -85,7 +86,7 @@
 	return counts
 }
 
-// ownCallsExcept counts this node's calls at the worker other than one.
+// ownCallsExcept counts this node's calls at the worker without the given one.
 func (w *worker) ownCallsExcept(call *Call) callCounts {
 	counts := w.ownCalls()
 	if call.started {
@@ -96,13 +97,13 @@
 	return counts
 }
 
-// addCall adds a call in flight.
+// addCall adds a call in flight and reserves its KV cache.
 func (w *worker) addCall(call *Call) {
 	w.calls = append(w.calls, call)
 	w.reservedTokens += call.reservedTokens
 }
 
-// removeCall removes a call in flight.
+// removeCall removes a call in flight and releases its KV cache.
 func (w *worker) removeCall(call *Call) {
 	for i, other := range w.calls {
 		if other == call {
@@ -112,6 +113,6 @@
 		}
 	}
 	if len(w.calls) == 0 {
-		w.reservedTokens = 0 // without the rounding errors of the sum
+		w.reservedTokens = 0 // clears the accumulated rounding errors
 	}
 }
