--- a/internal/dataplane/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -49,17 +49,17 @@
 	lastSeen        [priorityLevels]time.Duration // instant of the last request of each priority, plus 1 ns; 0: none
 }
 
-// observe records a request, whose first event is predicted after unloaded seconds without queue wait. It
+// recordRequest records a request, whose first event is predicted after unloaded seconds without queue wait. It
 // returns the mean of these seconds over the earlier requests of the route.
-func (a *admission) observe(now time.Duration, request *Request, unloaded float64) float64 {
+func (a *admission) recordRequest(now time.Duration, request *Request, unloaded float64) float64 {
 	if a.unloadedByRoute == nil {
 		a.unloadedByRoute = map[string]*stats.Mean{}
 	}
 	a.lastSeen[priorityLevel(request.Priority)] = now + 1
 	mean := stats.Of(a.unloadedByRoute, request.Route)
-	typical := mean.Or(unloaded, 0) // without this request, whose own size must not matter
-	mean.Add(min(unloaded, typical*maxOutlierRatio), unloadedTimeSamples)
-	return typical
+	typicalUnloaded := mean.Or(unloaded, 0) // without this request, whose own size must not matter
+	mean.Add(min(unloaded, typicalUnloaded*maxOutlierRatio), unloadedTimeSamples)
+	return typicalUnloaded
 }
 
 // priorityLevel clamps a priority to the range that is tracked.
@@ -89,13 +89,13 @@
 // requests of a route are not rejected more often than small ones.
 func (s *service) admit(now time.Duration, info *requestInfo, best placement, load serviceLoad) Verdict {
 	request := info.request
-	typical := s.admission.observe(now, request, best.firstEvent-best.queueWait)
+	typicalUnloaded := s.admission.recordRequest(now, request, best.firstEvent-best.queueWait)
 	if load.low() {
 		return Verdict{Admit: true}
 	}
-	maxWait := s.maxWait(now, request, typical) * s.admission.slackShare(now, request.Priority)
+	maxWait := s.maxWait(now, request, typicalUnloaded) * s.admission.slackShare(now, request.Priority)
 	if request.Deadline > 0 {
-		maxWait = min(maxWait, deadlineShare*(request.Deadline-now).Seconds()-typical)
+		maxWait = min(maxWait, deadlineShare*(request.Deadline-now).Seconds()-typicalUnloaded)
 	}
 	excess := (best.queueWait - maxWait) / max(maxWait*(rejectAllRatio-1), minSeconds)
 	if s.selector.random.Float64() >= min(excess, maxRejectShare) {
@@ -105,9 +105,9 @@
 }
 
 // maxWait returns the seconds of queue wait with which a typical request of the route still meets its
-// latency target, or a small share of the target if that is larger. Typical is the route's time to the
-// first event without queue wait.
-func (s *service) maxWait(now time.Duration, request *Request, typical float64) float64 {
+// latency target, or a small share of the target if that is larger. TypicalUnloaded is the route's time to
+// the first event without queue wait.
+func (s *service) maxWait(now time.Duration, request *Request, typicalUnloaded float64) float64 {
 	target := request.Objective
 	if target == 0 {
 		target = request.Deadline
@@ -115,7 +115,7 @@
 	if target == 0 {
 		return maxRetryAfter.Seconds()
 	}
-	return max((target-now).Seconds()-typical, lateWaitShare*(target-request.Arrived).Seconds())
+	return max((target-now).Seconds()-typicalUnloaded, lateWaitShare*(target-request.Arrived).Seconds())
 }
 
 // retryAfter returns the time in which a queue wait falls by excess seconds if no work is added, within
--- a/internal/dataplane/selection/calls.go
+++ b/internal/dataplane/selection/calls.go
@@ -82,7 +82,7 @@
 	w.cache.add(c.prompt, s.selector.nodes, s.occupiedTokens(w, workerLoad{}))
 	if c.workerClass == classDecode {
 		s.demand.Started++
-		s.pools[classDecode].requestTokens.Add(c.reservedTokens, poolSamples)
+		s.estimates[classDecode].requestTokens.Add(c.reservedTokens, pooledSamples)
 	}
 	if c.source != nil {
 		s.recordTransferOutcome(now, c, false)
--- a/internal/dataplane/selection/ejection.go
+++ b/internal/dataplane/selection/ejection.go
@@ -53,7 +53,7 @@
 		return
 	}
 	duration := minPeerEjection + time.Duration(s.selector.random.Float64()*float64(maxPeerEjection-minPeerEjection))
-	worker.health.eject(now + duration)
+	worker.health.ejectByPeers(now + duration)
 }
 
 // failureReporters counts the other nodes whose latest state reports that a worker fails.
--- a/internal/dataplane/selection/health.go
+++ b/internal/dataplane/selection/health.go
@@ -35,8 +35,8 @@
 	return h.ejectedLocally && now < h.ejectedUntil
 }
 
-// eject ejects the worker because other nodes report it.
-func (h *health) eject(until time.Duration) {
+// ejectByPeers ejects the worker because other nodes report it.
+func (h *health) ejectByPeers(until time.Duration) {
 	h.ejectedUntil, h.slowStartLimit, h.ejectedLocally = until, 1, false
 }
 
--- a/internal/dataplane/selection/health_test.go
+++ b/internal/dataplane/selection/health_test.go
@@ -106,9 +106,9 @@
 		t.Errorf("transferFailureProbability: %v before a failure, %v after it, %v after 10 time constants; want an increase that decays", before,
 			svc.transferFailureProbability(0), svc.transferFailureProbability(10*transferFailureDecay))
 	}
-	if !to.health.available(0, 0) || svc.pools[classDecode].slowdown.N != 0 || svc.transferTimes.Samples != nil {
+	if !to.health.available(0, 0) || svc.estimates[classDecode].slowdown.N != 0 || svc.transferTimes.Samples != nil {
 		t.Errorf("after a failed transfer: worker available %v, %v slowdown samples, %d transfer times; want true, 0 and 0", to.health.available(0, 0),
-			svc.pools[classDecode].slowdown.N, len(svc.transferTimes.Samples))
+			svc.estimates[classDecode].slowdown.N, len(svc.transferTimes.Samples))
 	}
 }
 
--- a/internal/dataplane/selection/kvtransfer.go
+++ b/internal/dataplane/selection/kvtransfer.go
@@ -37,13 +37,13 @@
 
 // decayingCount is a count that decays exponentially.
 type decayingCount struct {
-	value float64
-	at    time.Duration
+	value     float64
+	updatedAt time.Duration
 }
 
 // valueAt returns the count at an instant. It decays by a factor of e in the time constant.
 func (c decayingCount) valueAt(now, timeConstant time.Duration) float64 {
-	return c.value * math.Exp(-max(0, now-c.at).Seconds()/timeConstant.Seconds())
+	return c.value * math.Exp(-max(0, now-c.updatedAt).Seconds()/timeConstant.Seconds())
 }
 
 // transferOutcomes tracks the successes and failures of KV cache transfers.
--- a/internal/dataplane/selection/load.go
+++ b/internal/dataplane/selection/load.go
@@ -36,11 +36,11 @@
 	if load == nil || load.Running < 0 || load.Waiting < 0 {
 		return
 	}
-	pool, report := &s.pools[worker.class], &worker.report
+	pooled, report := &s.estimates[worker.class], &worker.report
 	if load.Running+load.Waiting == 0 {
-		pool.excludesOwnRequest = true
+		pooled.excludesOwnRequest = true
 	}
-	if !pool.excludesOwnRequest {
+	if !pooled.excludesOwnRequest {
 		own.running++
 	}
 	report.running = float64(load.Running) - own.running
@@ -58,18 +58,18 @@
 		report.slots = float64(load.Slots)
 	}
 	report.at, report.known = at, true
-	pool.foreignRunning.Add(report.running, meanLoadSamples)
-	pool.foreignWaiting.Add(report.waiting, meanLoadSamples)
-	pool.lastReport = at
+	pooled.foreignRunning.Add(report.running, meanLoadSamples)
+	pooled.foreignWaiting.Add(report.waiting, meanLoadSamples)
+	pooled.lastReport = at
 }
 
 // foreignLoad estimates the load at a worker that is not due to this node's calls. It blends the worker's
 // latest report, with a weight that decays with its age, and the mean over the worker's class. The states
 // of the other nodes, as far as they are known, replace both.
 func (s *service) foreignLoad(now time.Duration, w *worker) (waiting, running float64) {
-	pool := &s.pools[w.class]
-	meanWeight := math.Exp(-max(0, now-pool.lastReport).Seconds() / meanLoadDecay.Seconds())
-	waiting, running = pool.foreignWaiting.Or(0, 1)*meanWeight, pool.foreignRunning.Or(0, 1)*meanWeight
+	pooled := &s.estimates[w.class]
+	meanWeight := math.Exp(-max(0, now-pooled.lastReport).Seconds() / meanLoadDecay.Seconds())
+	waiting, running = pooled.foreignWaiting.Or(0, 1)*meanWeight, pooled.foreignRunning.Or(0, 1)*meanWeight
 	if w.report.known {
 		reportWeight := math.Exp(-max(0, now-w.report.at).Seconds() / reportDecay.Seconds())
 		waiting += (w.report.waiting - waiting) * reportWeight
@@ -93,7 +93,7 @@
 func (s *service) estimateLoad(now time.Duration, worker *worker) workerLoad {
 	waiting, running := s.foreignLoad(now, worker)
 	estimate := workerLoad{waiting: waiting, running: running}
-	unloaded := s.pools[worker.class].typicalUnloadedTime(worker.class)
+	unloaded := s.estimates[worker.class].typicalUnloadedTime(worker.class)
 	for _, call := range worker.calls {
 		if call.started {
 			estimate.running++
@@ -111,8 +111,8 @@
 	return estimate
 }
 
-// forClass returns the part of the load that the processing times of a class are fitted against.
-func (l workerLoad) forClass(class workerClass) float64 {
+// fittedLoad returns the part of the load that the processing times of a class are fitted against.
+func (l workerLoad) fittedLoad(class workerClass) float64 {
 	if class == classPlain {
 		return l.running + l.waiting
 	}
--- a/internal/dataplane/selection/peers.go
+++ b/internal/dataplane/selection/peers.go
@@ -117,6 +117,6 @@
 		return waiting, running
 	}
 	sum := s.selector.peerLoad(now, w)
-	waitingByPeers := sum.Waiting / max(minSeconds, s.pools[w.class].typicalUnloadedTime(w.class))
+	waitingByPeers := sum.Waiting / max(minSeconds, s.estimates[w.class].typicalUnloadedTime(w.class))
 	return stats.WeightedMean(waitingByPeers, waiting, coverage), stats.WeightedMean(sum.Running, running, coverage)
 }
--- a/internal/dataplane/selection/peers_test.go
+++ b/internal/dataplane/selection/peers_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("peerCoverage with states of 2 of 2 peers: %v, want 1", got)
 	}
 	waiting, running := svc.foreignLoad(0, w)
-	want := 0.5 / svc.pools[classPrefill].typicalUnloadedTime(classPrefill)
+	want := 0.5 / svc.estimates[classPrefill].typicalUnloadedTime(classPrefill)
 	if waiting < want*0.99 || waiting > want*1.01 || running != 2 {
 		t.Errorf("foreignLoad: waiting %v, running %v; want %v and 2", waiting, running, want)
 	}
@@ -118,7 +118,7 @@
 	svc := s.services["m"]
 	w := svc.byClass[classPrefill][0]
 	for i := range 300 { // by these samples, no call ever waits
-		svc.pools[classPrefill].queueWait.AddWeighted(-float64(i%4), 0, 1, poolSamples)
+		svc.estimates[classPrefill].queueWait.AddWeighted(-float64(i%4), 0, 1, pooledSamples)
 	}
 	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, Waiting: 1}})
 	if wait := svc.queueWait(w, svc.estimateLoad(0, w)); wait < 0.4 || wait > 1 {
--- a/internal/dataplane/selection/prediction.go
+++ b/internal/dataplane/selection/prediction.go
@@ -25,8 +25,8 @@
 
 const (
 	slowdownPriorSamples = 2.0  // weight of the pooled slowdown, in a worker's own samples
-	poolSamples          = 256. // samples over which pooled values are averaged
-	poolPriorSamples     = 8.   // weight of a constant prior, in pooled samples
+	pooledSamples        = 256. // samples over which pooled values are averaged
+	constantPriorSamples = 8.   // weight of a constant prior, in pooled samples
 	waitPriorSamples     = 200. // weight of the prior queue wait, in pooled samples
 	maxOutlierRatio      = 4.   // samples are clamped to within this factor of the typical value
 	minSeconds           = 1e-4 // lower bound on predicted times that are divided by
@@ -37,8 +37,9 @@
 	transferBucket       = 0    // bucket of first events after a KV cache transfer
 )
 
-// pool has estimates from the samples of all workers of a class. They are the priors for each worker.
-type pool struct {
+// classEstimates has the estimates that are pooled over all workers of a class. They are the priors for each
+// worker.
+type classEstimates struct {
 	slowdown         stats.Mean   // processing time relative to that on an unloaded worker of nominal speed
 	transferSlowdown stats.Mean   // the same for first events after a KV cache transfer
 	queueWait        stats.Pooled // queue wait against the negated load, as the fit never rises with x
@@ -53,12 +54,12 @@
 }
 
 // typicalUnloadedTime returns the mean processing seconds of a call on an unloaded worker.
-func (p *pool) typicalUnloadedTime(class workerClass) float64 {
+func (e *classEstimates) typicalUnloadedTime(class workerClass) float64 {
 	prior := plainRequestTime
 	if class != classPlain {
 		prior = prefillBase + defaultPromptTokens*prefillPerToken
 	}
-	return max(minSeconds, p.unloadedTime.Or(prior, poolPriorSamples))
+	return max(minSeconds, e.unloadedTime.Or(prior, constantPriorSamples))
 }
 
 // task is the work of a call, independent of the worker's load.
@@ -101,31 +102,31 @@
 }
 
 // rtt predicts the network time of a call, without sending the prompt and without a KV cache transfer.
-func (p *pool) rtt(worker *worker) float64 {
+func (e *classEstimates) rtt(worker *worker) float64 {
 	if worker.sameZone {
-		return p.sameZoneRTT.Or(defaultSameZoneRTT, poolPriorSamples)
+		return e.sameZoneRTT.Or(defaultSameZoneRTT, constantPriorSamples)
 	}
-	return p.crossZoneRTT.Or(defaultCrossZoneRTT, poolPriorSamples)
+	return e.crossZoneRTT.Or(defaultCrossZoneRTT, constantPriorSamples)
 }
 
 // slowdownOf returns a worker's processing time relative to that on an unloaded worker of nominal speed.
-func (p *pool) slowdownOf(now time.Duration, w *worker) float64 {
-	prior := p.slowdown.Or(1, poolPriorSamples)
+func (e *classEstimates) slowdownOf(now time.Duration, w *worker) float64 {
+	prior := e.slowdown.Or(1, constantPriorSamples)
 	own := w.slowdown[w.class].Fit(now, sampleTTL, 0)
-	weight := slowdownPriorSamples * p.typicalUnloadedTime(w.class)
+	weight := slowdownPriorSamples * e.typicalUnloadedTime(w.class)
 	return (own.SumY + prior*weight) / (own.SumX + weight)
 }
 
 // queueWait predicts the queue wait on a worker at a load. The prior is the processing time of the
 // requests in the queue.
 func (s *service) queueWait(w *worker, load workerLoad) float64 {
-	pool, queued := &s.pools[w.class], load.forClass(w.class)
-	prior := queued * pool.typicalUnloadedTime(w.class)
+	pooled, queued := &s.estimates[w.class], load.fittedLoad(w.class)
+	prior := queued * pooled.typicalUnloadedTime(w.class)
 	if w.class == classPlain {
 		slots := s.slotsOf(w)
-		prior = max(0, queued+1-slots) * pool.typicalUnloadedTime(w.class) / slots
+		prior = max(0, queued+1-slots) * pooled.typicalUnloadedTime(w.class) / slots
 	}
-	line := &pool.queueWait
+	line := &pooled.queueWait
 	return (line.At(-queued)*line.N + prior*waitPriorSamples) / (line.N + waitPriorSamples)
 }
 
@@ -134,12 +135,12 @@
 // worker's own fit for the task's bucket.
 func (s *service) predict(now time.Duration, w *worker, task task, load workerLoad) forecast {
 	f := forecast{task: task, load: load}
-	pool := &s.pools[w.class]
-	processing, queueWait := pool.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
+	pooled := &s.estimates[w.class]
+	processing, queueWait := pooled.slowdownOf(now, w)*task.unloaded, s.queueWait(w, load)
 	if task.transfersKV { // the first token is decoded in the next step of the batch
-		processing, queueWait = pool.transferSlowdown.Or(1, poolPriorSamples)*task.unloaded, queueWait*transferWaitShare
+		processing, queueWait = pooled.transferSlowdown.Or(1, constantPriorSamples)*task.unloaded, queueWait*transferWaitShare
 	}
-	fitted := w.delays[w.class].Process(now, task.bucket, load.forClass(w.class), (processing+queueWait)/task.unloaded) * task.unloaded
+	fitted := w.delays[w.class].Process(now, task.bucket, load.fittedLoad(w.class), (processing+queueWait)/task.unloaded) * task.unloaded
 	scale := fitted / max(processing+queueWait, minSeconds)
 	f.processing, f.queueWait = processing*scale, queueWait*scale+max(0, load.overdue)
 	f.network = s.networkTime(now, w, task)
@@ -148,7 +149,7 @@
 
 // networkTime predicts the network time of a task on a worker.
 func (s *service) networkTime(now time.Duration, w *worker, task task) float64 {
-	pooled := s.pools[w.class].rtt(w)
+	pooled := s.estimates[w.class].rtt(w)
 	if task.transfersKV {
 		return pooled + task.transferTime
 	}
@@ -165,18 +166,18 @@
 	}
 	scale := seconds / max(f.total(), minSeconds)
 	network, processing, queueWait := f.network*scale, f.processing*scale, f.queueWait*scale
-	pool := &s.pools[w.class]
+	pooled := &s.estimates[w.class]
 	s.learnNetworkTime(now, call, network)
-	w.delays[w.class].AddProcess(now, f.bucket, f.load.forClass(w.class), (processing+queueWait)/f.unloaded)
+	w.delays[w.class].AddProcess(now, f.bucket, f.load.fittedLoad(w.class), (processing+queueWait)/f.unloaded)
 	if f.transfersKV {
-		pool.transferSlowdown.Add(clampRatio(processing/f.unloaded, pool.transferSlowdown.Or(1, poolPriorSamples)), poolSamples)
+		pooled.transferSlowdown.Add(clampRatio(processing/f.unloaded, pooled.transferSlowdown.Or(1, constantPriorSamples)), pooledSamples)
 		return
 	}
-	ratio := clampRatio(processing/f.unloaded, pool.slowdown.Or(1, poolPriorSamples))
+	ratio := clampRatio(processing/f.unloaded, pooled.slowdown.Or(1, constantPriorSamples))
 	w.slowdown[w.class].Add(now, f.unloaded, ratio*f.unloaded, estimate.WindowLength)
-	pool.slowdown.AddWeighted(ratio, min(1, f.unloaded/pool.typicalUnloadedTime(w.class)), poolSamples)
-	pool.unloadedTime.Add(f.unloaded, poolSamples)
-	pool.queueWait.AddWeighted(-f.load.forClass(w.class), queueWait, 1, poolSamples)
+	pooled.slowdown.AddWeighted(ratio, min(1, f.unloaded/pooled.typicalUnloadedTime(w.class)), pooledSamples)
+	pooled.unloadedTime.Add(f.unloaded, pooledSamples)
+	pooled.queueWait.AddWeighted(-f.load.fittedLoad(w.class), queueWait, 1, pooledSamples)
 }
 
 // clampRatio clamps a ratio to within a factor of maxOutlierRatio of the typical one.
@@ -188,8 +189,8 @@
 // trip.
 func (s *service) learnNetworkTime(now time.Duration, call *Call, seconds float64) {
 	w, f := call.worker, call.forecast
-	pool := &s.pools[w.class]
-	rtt := pool.rtt(w)
+	pooled := &s.estimates[w.class]
+	rtt := pooled.rtt(w)
 	if f.transfersKV {
 		s.learnTransferTime(now, call, seconds*(1-rtt/max(f.network, rtt)))
 		return
@@ -197,9 +198,9 @@
 	w.delays[w.class].AddTransfer(now, f.size, seconds)
 	rtt = min(max(0, seconds-f.size*sendPerToken), rtt*maxOutlierRatio)
 	if w.sameZone {
-		pool.sameZoneRTT.Add(rtt, poolSamples)
+		pooled.sameZoneRTT.Add(rtt, pooledSamples)
 	} else {
-		pool.crossZoneRTT.Add(rtt, poolSamples)
+		pooled.crossZoneRTT.Add(rtt, pooledSamples)
 	}
 }
 
--- a/internal/dataplane/selection/prediction_test.go
+++ b/internal/dataplane/selection/prediction_test.go
@@ -68,9 +68,9 @@
 		s.Failed(time.Second, s.Sent(0, newTestRequest(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}), cause)
 	}
 	s.Abandoned(time.Second, s.Sent(0, newTestRequest(0, 1, 0, 100), CallPrefill, Choice{Prefill: w.entry}))
-	if svc.pools[classPrefill].slowdown.N != 0 || w.slowdown[classPrefill].Samples != nil || len(w.cache.byID) != 0 {
+	if svc.estimates[classPrefill].slowdown.N != 0 || w.slowdown[classPrefill].Samples != nil || len(w.cache.byID) != 0 {
 		t.Errorf("after failed and abandoned calls: %v pooled samples, %d of the worker, %d cached segments; want none",
-			svc.pools[classPrefill].slowdown.N, len(w.slowdown[classPrefill].Samples), len(w.cache.byID))
+			svc.estimates[classPrefill].slowdown.N, len(w.slowdown[classPrefill].Samples), len(w.cache.byID))
 	}
 }
 
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -38,7 +38,7 @@
 	byClass [classCount][]*worker // without those that are changing their role, ordered by ID as in the view
 	zones   map[string]int        // number of each zone
 
-	pools            [classCount]pool
+	estimates        [classCount]classEstimates
 	popularity       segmentPopularity
 	transferOutcomes transferOutcomes
 	transferTimes    stats.Window // KV cache transfers of all pairs: observed against configured seconds
