--- a/internal/dataplane/dispatch/chooser_test.go
+++ b/internal/dataplane/dispatch/chooser_test.go
@@ -43,11 +43,11 @@
 
 func (c *scriptedChooser) SetView(time.Duration, *fleetview.View) {}
 
-func (c *scriptedChooser) Choose(_ time.Duration, request *selection.Request, excluded []string) (selection.Choice, selection.Verdict) {
+func (c *scriptedChooser) Choose(_ time.Duration, request *selection.Request, excluded []string) (selection.Choice, selection.AdmissionDecision) {
 	c.requests = append(c.requests, *request)
 	if c.chooseFunc != nil {
 		choice, send := c.chooseFunc(excluded)
-		return choice, selection.Verdict{Admit: send, RetryAfter: c.retryAfter}
+		return choice, selection.AdmissionDecision{Admit: send, RetryAfter: c.retryAfter}
 	}
 	for _, choice := range c.choices {
 		if slices.Contains(excluded, choice.Run.ID) {
@@ -56,9 +56,9 @@
 		if choice.Prefill != nil && slices.Contains(excluded, choice.Prefill.ID) {
 			continue
 		}
-		return choice, selection.Verdict{Admit: true}
+		return choice, selection.AdmissionDecision{Admit: true}
 	}
-	return selection.Choice{}, selection.Verdict{RetryAfter: c.retryAfter}
+	return selection.Choice{}, selection.AdmissionDecision{RetryAfter: c.retryAfter}
 }
 
 func (c *scriptedChooser) Sent(_ time.Duration, _ *selection.Request, _ selection.CallKind, _ selection.Choice) *selection.Call {
--- a/internal/dataplane/dispatch/sharedstate.go
+++ b/internal/dataplane/dispatch/sharedstate.go
@@ -45,7 +45,7 @@
 }
 
 // choose returns the workers of a request and whether the request is admitted.
-func (s *sharedState) choose(request *selection.Request, excluded []string) (selection.Choice, selection.Verdict) {
+func (s *sharedState) choose(request *selection.Request, excluded []string) (selection.Choice, selection.AdmissionDecision) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.chooser.Choose(s.now(), request, excluded)
--- a/internal/dataplane/loadshare/loadshare_test.go
+++ b/internal/dataplane/loadshare/loadshare_test.go
@@ -17,7 +17,7 @@
 		message := Message{Node: node, Sequence: sequence}
 		for i, worker := range workers {
 			message.Entries = append(message.Entries, selection.Outstanding{
-				WorkerHash: worker, Waiting: float64(load) / 1000, Running: float64(i), Memory: float64(load), Failing: i%3 == 0,
+				WorkerHash: worker, WaitingWork: float64(load) / 1000, Running: float64(i), ReservedTokens: float64(load), Failing: i%3 == 0,
 			})
 		}
 		datagram, err := Encode(message)
@@ -41,21 +41,21 @@
 func TestEncode_keepsMostLoadedWorkers(t *testing.T) {
 	message := Message{Node: 1 << 63, Sequence: 1 << 62}
 	for i := range 4 * maxEntries {
-		message.Entries = append(message.Entries, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), Waiting: float64(i), Running: 60, Memory: 300000})
+		message.Entries = append(message.Entries, selection.Outstanding{WorkerHash: 1<<63 + uint64(i), WaitingWork: float64(i), Running: 60, ReservedTokens: 300000})
 	}
 	datagram, err := Encode(message)
 	if err != nil || len(datagram) > MaxDatagramBytes {
 		t.Fatalf("Encode: %d bytes and error %v, want at most %d bytes and no error", len(datagram), err, MaxDatagramBytes)
 	}
 	decoded, err := Decode(datagram)
-	if err != nil || len(decoded.Entries) != maxEntries || decoded.Entries[0].Waiting != 4*maxEntries-1 {
+	if err != nil || len(decoded.Entries) != maxEntries || decoded.Entries[0].WaitingWork != 4*maxEntries-1 {
 		t.Fatalf("Decode: %d entries and error %v, want %d entries with the most waiting work first: %+v",
 			len(decoded.Entries), err, maxEntries, decoded.Entries)
 	}
 }
 
 func TestDecode_rejectsTruncatedDatagrams(t *testing.T) {
-	datagram, _ := Encode(Message{Node: 7, Sequence: 9, Entries: []selection.Outstanding{{WorkerHash: 5, Waiting: 0.25, Running: 3}}})
+	datagram, _ := Encode(Message{Node: 7, Sequence: 9, Entries: []selection.Outstanding{{WorkerHash: 5, WaitingWork: 0.25, Running: 3}}})
 	for length := range datagram {
 		if decoded, err := Decode(datagram[:length]); err == nil {
 			t.Errorf("Decode of the first %d of %d bytes returned %+v, want an error", length, len(datagram), decoded)
--- a/internal/dataplane/loadshare/message.go
+++ b/internal/dataplane/loadshare/message.go
@@ -72,9 +72,9 @@
 func newWireEntry(entry selection.Outstanding) wireEntry {
 	return wireEntry{
 		WorkerHash: int64(entry.WorkerHash),
-		Waiting:    int(entry.Waiting * microsecondsPerSecond),
+		Waiting:    int(entry.WaitingWork * microsecondsPerSecond),
 		Running:    int(entry.Running),
-		Memory:     int(entry.Memory),
+		Memory:     int(entry.ReservedTokens),
 		Failing:    entry.Failing,
 	}
 }
@@ -82,11 +82,11 @@
 // outstanding converts a decoded entry back. Its numbers must not be negative.
 func (e wireEntry) outstanding() selection.Outstanding {
 	return selection.Outstanding{
-		WorkerHash: uint64(e.WorkerHash),
-		Waiting:    float64(e.Waiting) / microsecondsPerSecond,
-		Running:    float64(e.Running),
-		Memory:     float64(e.Memory),
-		Failing:    e.Failing,
+		WorkerHash:     uint64(e.WorkerHash),
+		WaitingWork:    float64(e.Waiting) / microsecondsPerSecond,
+		Running:        float64(e.Running),
+		ReservedTokens: float64(e.Memory),
+		Failing:        e.Failing,
 	}
 }
 
@@ -121,9 +121,9 @@
 				return -1
 			}
 			return 1
-		case a.Waiting > b.Waiting:
+		case a.WaitingWork > b.WaitingWork:
 			return -1
-		case a.Waiting < b.Waiting:
+		case a.WaitingWork < b.WaitingWork:
 			return 1
 		}
 		return 0
--- a/internal/dataplane/selection/admission.go
+++ b/internal/dataplane/selection/admission.go
@@ -87,11 +87,11 @@
 // admit decides whether a request is sent. The probability of a rejection depends on how far the predicted
 // queue wait exceeds the longest acceptable one. The request's own size has no influence, so that large
 // requests of a route are not rejected more often than small ones.
-func (s *service) admit(now time.Duration, info *requestInfo, best placement, load serviceLoad) Verdict {
+func (s *service) admit(now time.Duration, info *requestInfo, best placement, load serviceLoad) AdmissionDecision {
 	request := info.request
 	typicalUnloaded := s.admission.recordRequest(now, request, best.firstEvent-best.queueWait)
 	if load.low() {
-		return Verdict{Admit: true}
+		return AdmissionDecision{Admit: true}
 	}
 	maxWait := s.maxWait(now, request, typicalUnloaded) * s.admission.slackShare(now, request.Priority)
 	if request.Deadline > 0 {
@@ -99,9 +99,9 @@
 	}
 	excess := (best.queueWait - maxWait) / max(maxWait*(rejectAllRatio-1), minSeconds)
 	if s.selector.random.Float64() >= min(excess, maxRejectShare) {
-		return Verdict{Admit: true}
+		return AdmissionDecision{Admit: true}
 	}
-	return Verdict{RetryAfter: retryAfter(best.queueWait - maxWait)}
+	return AdmissionDecision{RetryAfter: retryAfter(best.queueWait - maxWait)}
 }
 
 // maxWait returns the seconds of queue wait with which a typical request of the route still meets its
--- a/internal/dataplane/selection/admission_test.go
+++ b/internal/dataplane/selection/admission_test.go
@@ -51,7 +51,7 @@
 	s, _ := newTestSelector(1, 1, 1)
 	svc, r := s.services["m"], newTestRequest(0, 1, 160, 100)
 	for _, wait := range []float64{0.4, 0.8, 1.2, 9} {
-		v := Verdict{Admit: true}
+		v := AdmissionDecision{Admit: true}
 		for range 100 {
 			if v = svc.admit(0, &requestInfo{request: r}, testPlacement(wait+0.05, wait), busyService); !v.Admit {
 				break
--- a/internal/dataplane/selection/calls_test.go
+++ b/internal/dataplane/selection/calls_test.go
@@ -55,7 +55,7 @@
 
 // runRandomCalls starts or ends a call in each step, as chosen by the step's number, and passes each choice to check.
 // At last it abandons the calls in flight.
-func runRandomCalls(selector *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v Verdict)) {
+func runRandomCalls(selector *Selector, view *fleetview.View, steps []int, check func(now time.Duration, c Choice, v AdmissionDecision)) {
 	var open []*Call
 	now := time.Duration(0)
 	random := rand.New(rand.NewPCG(uint64(len(steps)), 5))
@@ -108,7 +108,7 @@
 	steps := gen.SliceOfN(300, gen.IntRange(0, 100000))
 	p.Property("no calls in flight and no reserved tokens once all calls have ended", prop.ForAll(func(steps []int) bool {
 		s, view := newTestSelector(3, 4, 1)
-		runRandomCalls(s, view, steps, func(time.Duration, Choice, Verdict) {})
+		runRandomCalls(s, view, steps, func(time.Duration, Choice, AdmissionDecision) {})
 		for _, w := range s.services["m"].workers {
 			if len(w.calls) != 0 || w.reservedTokens != 0 {
 				return false
@@ -119,7 +119,7 @@
 	p.Property("scores and predictions are finite and not negative", prop.ForAll(func(steps []int) bool {
 		s, view := newTestSelector(3, 4, 1)
 		valid := true
-		runRandomCalls(s, view, steps, func(_ time.Duration, c Choice, v Verdict) {
+		runRandomCalls(s, view, steps, func(_ time.Duration, c Choice, v AdmissionDecision) {
 			valid = valid && c.TimeToFirstEvent >= 0 && c.TimeToFirstEvent < time.Hour && (v.Admit || v.RetryAfter >= minRetryAfter)
 			for _, scored := range s.services["m"].scratch.placements {
 				valid = valid && scored.score >= 0 && scored.firstEvent >= 0 && scored.queueWait >= 0
@@ -131,7 +131,7 @@
 	p.Property("the same seed gives the same choices", prop.ForAll(func(steps []int) bool {
 		choose := func() (choices []Choice) {
 			s, view := newTestSelector(3, 4, 9)
-			runRandomCalls(s, view, steps, func(_ time.Duration, c Choice, _ Verdict) { choices = append(choices, c) })
+			runRandomCalls(s, view, steps, func(_ time.Duration, c Choice, _ AdmissionDecision) { choices = append(choices, c) })
 			return choices
 		}
 		first, second := choose(), choose()
--- a/internal/dataplane/selection/candidate.go
+++ b/internal/dataplane/selection/candidate.go
@@ -12,7 +12,7 @@
 	targetEventInterval     = 0.15 // seconds between the events of a stream above which a decode worker is penalized
 	eventIntervalPenalty    = 2.   // cost of each second above targetEventInterval
 	recomputeDelayPerToken  = 3e-5 // seconds for each shared token that is recomputed: the delay of other calls
-	recomputeCostPerToken   = 6e-5 // seconds for each shared token that is recomputed within Options.RereadSpan of another use
+	recomputeCostPerToken   = 6e-5 // seconds for each shared token that is recomputed within Options.RecomputeWindow of another use
 )
 
 // candidate is an eligible worker with its estimated costs. Scores are in seconds; lower is better.
@@ -117,7 +117,7 @@
 	for _, segment := range info.sharedSegments {
 		shared += segment.Tokens
 	}
-	expectedUses := priorUses + info.keyShare*s.popularity.rate()*float64(s.selector.nodes)*s.selector.options.RereadSpan.Seconds()
+	expectedUses := priorUses + info.keyShare*s.popularity.rate()*float64(s.selector.nodes)*s.selector.options.RecomputeWindow.Seconds()
 	return max(0, float64(shared)-cached) * (recomputeDelayPerToken + recomputeCostPerToken*expectedUses/(1+expectedUses))
 }
 
--- a/internal/dataplane/selection/peers.go
+++ b/internal/dataplane/selection/peers.go
@@ -13,11 +13,11 @@
 
 // Outstanding summarizes the calls that one node has in flight at one worker.
 type Outstanding struct {
-	WorkerHash uint64  // hash of the worker's ID; all nodes compute the same
-	Waiting    float64 // remaining seconds of work of the calls without a response yet
-	Running    float64 // number of calls whose response has begun
-	Memory     float64 // tokens of KV cache that the calls reserve
-	Failing    bool    // the node has ejected the worker due to failures of its own calls
+	WorkerHash     uint64  // hash of the worker's ID; all nodes compute the same
+	WaitingWork    float64 // remaining seconds of work of the calls without a response yet
+	Running        float64 // number of calls whose response has begun
+	ReservedTokens float64 // tokens of KV cache that the calls reserve
+	Failing        bool    // the node has ejected the worker due to failures of its own calls
 }
 
 // peerState is the latest state received from another node.
@@ -42,13 +42,13 @@
 
 // outstandingOf summarizes this node's calls at a worker.
 func outstandingOf(now time.Duration, w *worker) Outstanding {
-	sum := Outstanding{WorkerHash: w.hash, Memory: w.reservedTokens, Failing: w.health.ejectedByOwnCalls(now)}
+	sum := Outstanding{WorkerHash: w.hash, ReservedTokens: w.reservedTokens, Failing: w.health.ejectedByOwnCalls(now)}
 	for _, call := range w.calls {
 		if call.started || w.class == classPlain {
 			sum.Running++
 			continue
 		}
-		sum.Waiting += max(minOutstandingWork, call.remainingWork(now))
+		sum.WaitingWork += max(minOutstandingWork, call.remainingWork(now))
 	}
 	return sum
 }
@@ -102,9 +102,9 @@
 		if !found || age > peerStateTTL {
 			continue
 		}
-		sum.Waiting += max(0, entry.Waiting-age.Seconds())
+		sum.WaitingWork += max(0, entry.WaitingWork-age.Seconds())
 		sum.Running += entry.Running
-		sum.Memory += entry.Memory
+		sum.ReservedTokens += entry.ReservedTokens
 	}
 	return sum
 }
@@ -117,6 +117,6 @@
 		return waiting, running
 	}
 	sum := s.selector.peerLoad(now, w)
-	waitingByPeers := sum.Waiting / max(minSeconds, s.estimates[w.class].typicalUnloadedTime(w.class))
+	waitingByPeers := sum.WaitingWork / max(minSeconds, s.estimates[w.class].typicalUnloadedTime(w.class))
 	return stats.WeightedMean(waitingByPeers, waiting, coverage), stats.WeightedMean(sum.Running, running, coverage)
 }
--- a/internal/dataplane/selection/peers_test.go
+++ b/internal/dataplane/selection/peers_test.go
@@ -14,7 +14,7 @@
 	s.nodes = 3
 	svc := s.services["m"]
 	w := svc.byClass[classPrefill][0]
-	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, Waiting: 0.5, Running: 2}})
+	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, WaitingWork: 0.5, Running: 2}})
 	s.SetPeerLoad(0, 2, nil)
 	if got := s.peerCoverage(0); got != 1 {
 		t.Fatalf("peerCoverage with states of 2 of 2 peers: %v, want 1", got)
@@ -37,13 +37,13 @@
 	s, _ := newTestSelector(1, 1, 3)
 	s.nodes = 3
 	w := s.services["m"].byClass[classPrefill][0]
-	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, Waiting: 3, Running: 2}})
+	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, WaitingWork: 3, Running: 2}})
 	if got := s.peerCoverage(0); got != 0.5 {
 		t.Errorf("peerCoverage with the state of 1 of 2 peers: %v, want 0.5", got)
 	}
 	later := peerStateTTL + ms
-	if got := s.peerCoverage(later); got != 0 || s.peerLoad(later, w).Waiting != 0 {
-		t.Errorf("after the state expired: peerCoverage %v, waiting %v; want 0 and 0", got, s.peerLoad(later, w).Waiting)
+	if got := s.peerCoverage(later); got != 0 || s.peerLoad(later, w).WaitingWork != 0 {
+		t.Errorf("after the state expired: peerCoverage %v, waiting %v; want 0 and 0", got, s.peerLoad(later, w).WaitingWork)
 	}
 }
 
@@ -58,8 +58,8 @@
 	startedCall := s.Sent(0, r, CallRun, Choice{Run: w.entry})
 	s.FirstEvent(10*ms, startedCall)
 	list := s.Outstanding(10 * ms)
-	if len(list) != 1 || list[0].WorkerHash != w.hash || list[0].Running != 1 || list[0].Waiting <= 0 || list[0].Memory <= 0 {
-		t.Fatalf("Outstanding with a waiting and a running call: %+v, want one entry with Running 1, and Waiting and Memory above 0", list)
+	if len(list) != 1 || list[0].WorkerHash != w.hash || list[0].Running != 1 || list[0].WaitingWork <= 0 || list[0].ReservedTokens <= 0 {
+		t.Fatalf("Outstanding with a waiting and a running call: %+v, want one entry with Running 1, and WaitingWork and ReservedTokens above 0", list)
 	}
 	s.Done(20*ms, startedCall, nil)
 	s.Abandoned(20*ms, waitingCall)
@@ -75,8 +75,8 @@
 	busy := svc.byClass[classPrefill][0]
 	prefillCall := s.Sent(0, newTestRequest(0, 1, 100, 20000), CallPrefill, Choice{Prefill: busy.entry, Run: svc.byClass[classDecode][0].entry})
 	s.Abandoned(0, prefillCall)
-	s.SetPeerLoad(0, 9, []Outstanding{{WorkerHash: busy.hash, Waiting: 2}, {WorkerHash: svc.byClass[classDecode][0].hash, Waiting: 2},
-		{WorkerHash: svc.byClass[classDecode][1].hash, Waiting: 2}})
+	s.SetPeerLoad(0, 9, []Outstanding{{WorkerHash: busy.hash, WaitingWork: 2}, {WorkerHash: svc.byClass[classDecode][0].hash, WaitingWork: 2},
+		{WorkerHash: svc.byClass[classDecode][1].hash, WaitingWork: 2}})
 	for i := range 20 {
 		choice, _ := s.Choose(0, newTestRequest(0, uint64(i+1), 3000, 3000), nil)
 		if choice.Prefill == nil || choice.Prefill.ID == busy.entry.ID {
@@ -120,7 +120,7 @@
 	for i := range 300 { // by these samples, no call ever waits
 		svc.estimates[classPrefill].queueWait.AddWeighted(-float64(i%4), 0, 1, pooledSamples)
 	}
-	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, Waiting: 1}})
+	s.SetPeerLoad(0, 1, []Outstanding{{WorkerHash: w.hash, WaitingWork: 1}})
 	if wait := svc.queueWait(w, svc.estimateLoad(0, w)); wait < 0.4 || wait > 1 {
 		t.Errorf("queueWait after a peer reported 1 s of work: %v s, want 0.4 to 1", wait)
 	}
--- a/internal/dataplane/selection/placement.go
+++ b/internal/dataplane/selection/placement.go
@@ -34,16 +34,16 @@
 
 // Choose returns the workers to send a request to, and whether it is admitted. Workers whose IDs are in
 // excluded are not chosen. The Choice is empty if no worker is eligible.
-func (s *Selector) Choose(now time.Duration, request *Request, excluded []string) (Choice, Verdict) {
+func (s *Selector) Choose(now time.Duration, request *Request, excluded []string) (Choice, AdmissionDecision) {
 	svc := s.services[request.Service]
 	if svc == nil {
-		return Choice{}, Verdict{RetryAfter: noWorkerRetryAfter}
+		return Choice{}, AdmissionDecision{RetryAfter: noWorkerRetryAfter}
 	}
 	firstChoice := request.info == nil
 	info := svc.infoFor(now, request)
 	best, load, found := svc.bestPlacement(now, info, excluded)
 	if !found {
-		return Choice{}, Verdict{RetryAfter: noWorkerRetryAfter}
+		return Choice{}, AdmissionDecision{RetryAfter: noWorkerRetryAfter}
 	}
 	if firstChoice && best.run.worker.class != classPlain {
 		svc.recordOffered(info, best)
--- a/internal/dataplane/selection/selector.go
+++ b/internal/dataplane/selection/selector.go
@@ -12,9 +12,9 @@
 
 // Options configures a Selector.
 type Options struct {
-	Zone       string        // this node's zone
-	Seed       uint64        // of the random decisions in tie-breaking, admission control and ejection
-	RereadSpan time.Duration // recomputing a shared segment within this time of another use has a cost; 0: defaultRecomputeWindow
+	Zone            string        // this node's zone
+	Seed            uint64        // of the random decisions in tie-breaking, admission control and ejection
+	RecomputeWindow time.Duration // recomputing a shared segment within this time of another use has a cost; 0: defaultRecomputeWindow
 }
 
 const defaultRecomputeWindow = 8 * time.Second
@@ -52,8 +52,8 @@
 
 // New returns a Selector without a view. It rejects all requests until SetView is called.
 func New(options Options) *Selector {
-	if options.RereadSpan == 0 {
-		options.RereadSpan = defaultRecomputeWindow
+	if options.RecomputeWindow == 0 {
+		options.RecomputeWindow = defaultRecomputeWindow
 	}
 	return &Selector{
 		options:  options,
--- a/internal/dataplane/selection/types.go
+++ b/internal/dataplane/selection/types.go
@@ -38,8 +38,8 @@
 	Urgency          int               // of the call that prefills the prompt, 0 (admitted first) to 9; a run after a prefill has 0
 }
 
-// Verdict is the result of admission control.
-type Verdict struct {
+// AdmissionDecision is the result of admission control for one request.
+type AdmissionDecision struct {
 	Admit      bool
 	RetryAfter time.Duration // of a rejected request: the delay after which the client should retry
 }
