--- a/coord/consensus/election.go
+++ b/coord/consensus/election.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// initialElectionDivisor divides the election timeout for the first election after a start: the time is
-// drawn from the quotient up to half a timeout more.
+// initialElectionDivisor sets the minimum timeout of the first election after a start, as a fraction of the
+// election timeout. The actual timeout is up to half an election timeout longer.
 const initialElectionDivisor = 5
 
-// electionState is what a member knows of elections, its own and those of others.
+// electionState is a member's state in its own elections and in those of other members.
 type electionState struct {
-	deadline       time.Duration     // when the member starts an election unless it hears from a leader before
-	grantedVotes   map[MemberID]bool // of a candidate or pre-candidate: the members that voted for it
-	votesRequested bool              // of a candidate: its vote requests are sent
-	forTransfer    bool              // of a candidate: the election is part of a leadership transfer
-	pendingVote    MemberID          // the candidate that this member's vote goes to once it is durable; 0: none
+	deadline       time.Duration     // when the member starts an election unless it receives a message from a leader first
+	grantedVotes   map[MemberID]bool // candidate or pre-candidate: the members that granted it their vote
+	votesRequested bool              // candidate: its vote requests have been sent
+	forTransfer    bool              // candidate: the election is part of a leadership transfer
+	pendingVote    MemberID          // the candidate that is sent this member's vote once it is durable; 0: none
 }
 
-// lacksGroupState reports whether the member started with an empty disk and no leader has sent it the
-// group's state yet. It must not vote then: it cannot know which votes and acknowledgements it gave before
-// it lost its disk.
+// lacksGroupState reports whether the member started with an empty disk and has not received the group's state
+// from a leader. Such a member must not vote, because it does not know which votes and acknowledgements it sent
+// before it lost its disk.
 func (n *Node) lacksGroupState() bool {
 	return len(n.members()) == 0 && n.enforces(RuleEmptyDiskNoVote)
 }
 
-// canCampaign reports whether the member may start an election. A member whose removal is not committed
-// may: it may be the only one whose log contains the removal, so that no other could be elected.
+// canCampaign reports whether the member may start an election: its disk takes writes and it is a voter. A member
+// whose removal is not committed may, too: if only its log contains the removal, no other member may be electable.
 func (n *Node) canCampaign() bool {
 	if !n.diskWritable {
 		return false
@@ -32,9 +32,9 @@
 	return n.isVoter(n.config.ID) || (known && n.countsInQuorum(committed))
 }
 
-// inLeaderLease reports whether the member heard from a leader within the election timeout. Vote requests
-// of others are ignored then, so that a member that was partitioned off cannot depose a leader that works
-// (dissertation 4.2.3).
+// inLeaderLease reports whether the member leads or has received a message from its leader within the election
+// timeout. It ignores vote requests then, so that a member returning from a partition does not depose a working
+// leader (dissertation 4.2.3).
 func (n *Node) inLeaderLease() bool {
 	if n.role == RoleLeader {
 		return true
@@ -42,9 +42,9 @@
 	return n.leaderID != 0 && n.now-n.follower.leaderContactAt < n.config.ElectionTimeout
 }
 
-// setInitialElectionDeadline sets the deadline after a start. It is earlier than later ones: after a
-// restart of the whole group there is no leader to wait for, and if there is one, the members that hear
-// from it reject the pre-vote.
+// setInitialElectionDeadline sets the election deadline after a start. The timeout is shorter than later ones,
+// because after a restart of the whole group there is no leader to wait for. If there is a leader, the members
+// within its lease ignore the pre-vote.
 func (n *Node) setInitialElectionDeadline() {
 	timeout := n.config.ElectionTimeout / initialElectionDivisor
 	spread := n.config.ElectionTimeout / 2
@@ -63,8 +63,9 @@
 	n.election.deadline = n.now + timeout
 }
 
-// startPreVote asks the voters whether they would vote for this member in the next term, which disturbs
-// nobody if they would not. While the current term is not durable, the disk is slow: the member waits.
+// startPreVote asks the voters whether they would vote for this member in the next term. A pre-vote that fails
+// changes no member's term. The member does not start one while its current term is not durable, because its disk
+// is slow then.
 func (n *Node) startPreVote() {
 	n.resetElectionDeadline()
 	if !n.canCampaign() || n.persistence.durable.Term != n.term {
@@ -81,8 +82,8 @@
 	n.broadcastVoteRequest(MessagePreVote, n.term+1)
 }
 
-// startElection enters a new term as a candidate. Votes are requested once the term and the vote for itself
-// are durable. ForTransfer marks the election as part of a leadership transfer.
+// startElection makes the member a candidate in a new term. It requests votes once the term and its vote for
+// itself are durable. If forTransfer is set, the election is part of a leadership transfer.
 func (n *Node) startElection(forTransfer bool) {
 	n.role = RoleCandidate
 	n.leaderID = 0
@@ -95,8 +96,8 @@
 	n.requestVotesIfDurable()
 }
 
-// requestVotesIfDurable requests votes once the candidate's vote for itself is durable, and counts that
-// vote.
+// requestVotesIfDurable counts the candidate's vote for itself and requests the votes of others, once that vote is
+// durable.
 func (n *Node) requestVotesIfDurable() {
 	if n.role != RoleCandidate || n.election.votesRequested {
 		return
@@ -117,7 +118,7 @@
 	return n.persistence.durable.Term == n.term && n.persistence.durable.Vote == id
 }
 
-// broadcastVoteRequest sends a PreVote or RequestVote of a term to all other voters.
+// broadcastVoteRequest sends a PreVote or RequestVote for a term to all other voters.
 func (n *Node) broadcastVoteRequest(kind MessageKind, term uint64) {
 	for _, member := range n.members() {
 		if member.ID == n.config.ID || !member.Voter {
@@ -134,8 +135,8 @@
 	}
 }
 
-// candidateUpToDate reports whether a candidate's log is at least as up to date as the member's own (paper
-// 5.4.1): no other candidate may have all committed entries.
+// candidateUpToDate reports whether a candidate's log is at least as up to date as the member's own (paper 5.4.1).
+// Otherwise the candidate's log may lack committed entries.
 func (n *Node) candidateUpToDate(message Message) bool {
 	if !n.enforces(RuleVoteUpToDateLog) {
 		return true
@@ -146,8 +147,7 @@
 	return message.LogIndex >= n.log.lastIndex()
 }
 
-// handlePreVote answers whether the member would vote for the sender. The answer binds the member to
-// nothing.
+// handlePreVote answers whether the member would vote for the sender. The answer does not commit it to that vote.
 func (n *Node) handlePreVote(message Message) {
 	if n.inLeaderLease() {
 		return
@@ -160,7 +160,7 @@
 	n.send(Message{Kind: MessagePreVoteReply, To: message.From, Term: message.Term})
 }
 
-// handlePreVoteReply starts the election once a quorum would vote for the member.
+// handlePreVoteReply counts a pre-vote and starts the election once a quorum would vote for the member.
 func (n *Node) handlePreVoteReply(message Message) {
 	if n.role != RolePreCandidate || message.Reject || message.Term != n.term+1 {
 		return
@@ -171,8 +171,8 @@
 	}
 }
 
-// handleRequestVote votes for the first candidate of the term whose log is up to date. The vote is sent
-// once it is durable.
+// handleRequestVote votes for the first candidate of the term whose log is up to date. The vote is sent once it is
+// durable.
 func (n *Node) handleRequestVote(message Message) {
 	mayVote := n.votedFor == message.From || (n.votedFor == 0 && n.leaderID == 0) || !n.enforces(RuleVoteOnce)
 	if n.role == RoleLeader || !mayVote || !n.candidateUpToDate(message) {
@@ -188,8 +188,8 @@
 	n.grantVoteIfDurable()
 }
 
-// grantVoteIfDurable sends the pending vote once it is durable: a vote that a restart forgets could be
-// given twice.
+// grantVoteIfDurable sends the pending vote once it is durable. After a restart, a member that lost a vote it had
+// sent could vote again in the same term.
 func (n *Node) grantVoteIfDurable() {
 	if n.election.pendingVote == 0 {
 		return
@@ -201,7 +201,7 @@
 	n.election.pendingVote = 0
 }
 
-// handleRequestVoteReply counts a vote and takes over leadership with a quorum of them.
+// handleRequestVoteReply counts a vote and makes the member leader once it has a quorum of votes.
 func (n *Node) handleRequestVoteReply(message Message) {
 	if n.role != RoleCandidate || message.Reject {
 		return
@@ -212,8 +212,8 @@
 	}
 }
 
-// SetWritable tells the member whether its disk takes writes. A member whose disk does not starts no
-// election and, if it leads, transfers leadership to another voter as long as one can take it.
+// SetWritable tells the member whether its disk takes writes. While it does not, the member starts no election
+// and, if it leads, tries to transfer leadership to a responsive voter.
 func (n *Node) SetWritable(now time.Duration, writable bool) {
 	n.advanceClock(now)
 	if writable && !n.diskWritable {
--- a/coord/consensus/example_test.go
+++ b/coord/consensus/example_test.go
@@ -7,15 +7,14 @@
 	"ospreybend/coord/consensus"
 )
 
-// exampleMember is one member of the example's group: its core and what it has applied.
+// exampleMember is a member of the example's group: its core and the commands that it has applied.
 type exampleMember struct {
 	id      consensus.MemberID
 	node    *consensus.Node
 	applied []string
 }
 
-// processReady does what the member's core asks for. The disk of the example makes each write durable
-// at once; messages go straight to the queue of the group.
+// processReady processes the core's Ready and returns its messages. Every write is durable immediately.
 func (m *exampleMember) processReady(now time.Duration) []consensus.Message {
 	ready := m.node.Ready()
 	if ready.Persist != nil {
@@ -29,7 +28,7 @@
 	return ready.Messages
 }
 
-// exampleGroup is a group of members with a network that delivers at once.
+// exampleGroup is a group of members with a network without latency.
 type exampleGroup struct {
 	now     time.Duration
 	members []*exampleMember
@@ -57,8 +56,8 @@
 	return group
 }
 
-// advance moves the clock in steps of 10 ms until done returns true, ticks the members that are due and
-// delivers all messages.
+// advance advances the clock in steps of 10 ms until done returns true. In each step it ticks the members that are
+// due and delivers all messages.
 func (g *exampleGroup) advance(done func() bool) {
 	for !done() {
 		g.now += 10 * time.Millisecond
@@ -71,7 +70,7 @@
 	}
 }
 
-// deliver passes messages on until no member sends any more.
+// deliver delivers messages until no member sends any more.
 func (g *exampleGroup) deliver() {
 	for {
 		var messages []consensus.Message
@@ -87,7 +86,7 @@
 	}
 }
 
-// leader returns the member that leads, or nil.
+// leader returns the leader, or nil if there is none.
 func (g *exampleGroup) leader() *exampleMember {
 	for _, member := range g.members {
 		if member.node.Status().Role == consensus.RoleLeader {
@@ -97,8 +96,8 @@
 	return nil
 }
 
-// Example elects a leader in a group of three members and commits an entry. Time and messages are
-// passed to the core by hand, as a server does with its clock, its sockets and its disk.
+// Example elects a leader in a group of three members and commits an entry. It passes the time, messages and
+// durable writes to the core, as a server does with its clock, sockets and disk.
 func Example() {
 	group := newExampleGroup(1, 2, 3)
 	group.advance(func() bool { return group.leader() != nil })
--- a/coord/consensus/leader.go
+++ b/coord/consensus/leader.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// leaderState is what a leader knows in its term.
+// leaderState is the state of a leader in its term.
 type leaderState struct {
-	peers            []*progress // all other members; removed ones until the change is committed
+	peers            []*progress // all other members, and removed ones until their removal is committed
 	electedAt        time.Duration
 	nextHeartbeat    time.Duration
-	rounds           []heartbeatRound // sent within the last election timeout, oldest first
+	rounds           []heartbeatRound // rounds sent within the last election timeout, oldest first
 	lastRound        uint64           // number of the latest round
-	uncommittedBytes int              // of this term's entries that are not committed
+	uncommittedBytes int              // estimated size of this term's uncommitted entries
 	reads            readQueue
 	transfer         leadershipTransfer
 }
 
-// nextTick returns when the leader has something to do by time alone.
+// nextTick returns the time of the leader's next timeout.
 func (l *leaderState) nextTick() time.Duration {
 	if l.transfer.target != 0 {
 		return min(l.nextHeartbeat, l.transfer.deadline)
@@ -22,8 +22,8 @@
 	return l.nextHeartbeat
 }
 
-// becomeLeader starts the term as leader: with a no-op entry, by whose commit all entries of former terms
-// are committed (paper 5.4.2), and with a round of heartbeats.
+// becomeLeader makes a candidate the leader of its term. It appends a no-op entry, whose commit also commits all
+// entries of former terms (paper 5.4.2), and sends a round of heartbeats.
 func (n *Node) becomeLeader() {
 	n.role = RoleLeader
 	n.leaderID = n.config.ID
@@ -35,7 +35,7 @@
 	n.advanceCommit()
 }
 
-// resetLeaderState fails the pending reads and forgets the peers, on stepping down.
+// resetLeaderState fails the pending reads and clears the leader's state when it steps down.
 func (n *Node) resetLeaderState() {
 	n.failReads()
 	n.leader = leaderState{}
--- a/coord/consensus/message.go
+++ b/coord/consensus/message.go
@@ -2,25 +2,25 @@
 
 import "strconv"
 
-// MessageKind is the kind of a message. Its numbers are sent.
+// MessageKind is the kind of a message. The numeric values are part of the wire format.
 type MessageKind uint8
 
 // The kinds of messages: requests and their replies.
 const (
 	MessagePreVote              MessageKind = iota // asks whether the receiver would vote for the sender in the next term
-	MessagePreVoteReply                            // the answer; it binds the sender to nothing
-	MessageRequestVote                             // a candidate asks for a vote in its term
-	MessageRequestVoteReply                        // sent once the vote is durable
+	MessagePreVoteReply                            // answers a PreVote; commits the sender to nothing
+	MessageRequestVote                             // a candidate requests a vote in its term
+	MessageRequestVoteReply                        // grants the vote once that is durable, or rejects it
 	MessageAppendEntries                           // the leader replicates entries
 	MessageAppendEntriesReply                      // acknowledges durable entries, or rejects the request
-	MessageHeartbeat                               // the leader asserts its term and passes its commit index
-	MessageHeartbeatReply                          // answers a heartbeat round
-	MessageInstallSnapshot                         // the leader replaces the receiver's log by a snapshot
-	MessageInstallSnapshotReply                    // handled as MessageAppendEntriesReply, which this version sends instead
-	MessageTimeoutNow                              // the leader asks the receiver to start an election at once
+	MessageHeartbeat                               // the leader asserts its leadership and sends its commit index
+	MessageHeartbeatReply                          // acknowledges a heartbeat round
+	MessageInstallSnapshot                         // the leader replaces the receiver's log with a snapshot
+	MessageInstallSnapshotReply                    // handled like MessageAppendEntriesReply, which this version sends instead
+	MessageTimeoutNow                              // the leader asks the receiver to start an election immediately
 )
 
-// messageKindNames are the names of the kinds, by number.
+// messageKindNames are the names that MessageKind.String returns.
 var messageKindNames = [...]string{
 	MessagePreVote:              "PreVote",
 	MessagePreVoteReply:         "PreVoteReply",
@@ -43,37 +43,37 @@
 	return "message kind " + strconv.Itoa(int(k))
 }
 
-// Message is a message between two members of a group. Not all kinds use all fields.
+// Message is a message between two members of a group. Which fields are set depends on the kind.
 type Message struct {
 	Kind     MessageKind
 	From, To MemberID
 	Term     uint64
 
-	// LogIndex is, of
-	//  - AppendEntries: the index of the entry before the first one sent (prevLogIndex);
+	// LogIndex depends on the kind:
+	//  - AppendEntries: the index of the entry that precedes Entries (prevLogIndex);
 	//  - PreVote and RequestVote: the index of the candidate's last entry (lastLogIndex);
 	//  - AppendEntriesReply: the last entry that matches the leader's log and is durable;
-	//    of a rejection, the LogIndex of the rejected request;
-	//  - HeartbeatReply: the last entry that matches the leader's log.
+	//    in a rejection, the LogIndex of the rejected request;
+	//  - HeartbeatReply: the last entry that matches the leader's log, durable or not.
 	LogIndex uint64
-	// LogTerm is the term of the entry at LogIndex, in requests.
+	// LogTerm is the term of the entry at LogIndex. Only requests set it.
 	LogTerm  uint64
 	Commit   uint64 // the leader's commit index
 	Entries  []Entry
 	Snapshot *Snapshot // of InstallSnapshot
 	Reject   bool      // in replies
-	// HintIndex is, of
-	//  - AppendEntriesReply: the last entry that matches, durable or not; of a rejection,
+	// HintIndex depends on the kind:
+	//  - AppendEntriesReply: the last entry that matches, durable or not; in a rejection,
 	//    the highest index at which the logs may match;
 	//  - HeartbeatReply: the last entry that matches and is durable.
 	HintIndex uint64
-	HintTerm  uint64 // of a rejection: the term of the rejecting member's entry at HintIndex
+	HintTerm  uint64 // in a rejection: the term of the rejecting member's entry at HintIndex
 
-	// HeartbeatRound numbers the round of heartbeats that a Heartbeat and its reply belong to.
-	// 0: the message passes the commit index alone and wants no reply.
+	// HeartbeatRound is the number of the round that a Heartbeat and its reply belong to. A Heartbeat
+	// with round 0 only carries the commit index and requests no reply.
 	HeartbeatRound uint64
-	// LeadershipTransfer marks a RequestVote as part of a leadership transfer, so that the
-	// receivers' leases on the old leader do not hold it back.
+	// LeadershipTransfer marks a RequestVote as part of a leadership transfer: receivers handle it
+	// although the old leader's lease has not expired.
 	LeadershipTransfer bool
 }
 
--- a/coord/consensus/node_test.go
+++ b/coord/consensus/node_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := test.state.Check(); !errors.Is(err, test.want) {
-				t.Errorf("%v, want %v", err, test.want)
+				t.Errorf("Check of %+v: %v, want %v", test.state, err, test.want)
 			}
 		})
 	}
@@ -32,10 +32,10 @@
 	stored.HardState = HardState{Term: 6, Vote: 3}
 	n := newRuleNode(t, stored)
 	if term := n.Status().Term; term != 7 {
-		t.Fatalf("term %d", term)
+		t.Fatalf("term %d with a stored term 6 and a last entry of term 7, want 7", term)
 	}
 	ready := n.Ready()
 	if ready.Persist == nil || ready.Persist.HardState.Term != 7 || ready.Persist.HardState.Vote != 0 {
-		t.Fatalf("persist %+v", ready.Persist)
+		t.Fatalf("persist request %+v, want term 7 without a vote", ready.Persist)
 	}
 }
--- a/coord/consensus/quorum.go
+++ b/coord/consensus/quorum.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// isVoter reports whether a member counts in quorums under the current membership.
+// isVoter reports whether the member with an ID is counted in quorums under the current membership.
 func (n *Node) isVoter(id MemberID) bool {
 	member, known := findMember(n.members(), id)
 	return known && n.countsInQuorum(member)
 }
 
-// countsInQuorum reports whether a member counts in quorums: voters do, learners do not.
+// countsInQuorum reports whether a member is counted in quorums. Only voters are, unless a test omits the rule.
 func (n *Node) countsInQuorum(member Member) bool {
 	return member.Voter || !n.enforces(RuleLearnerNoQuorum)
 }
 
-// hasQuorum reports whether a majority of the voters is in a set.
+// hasQuorum reports whether a set contains a majority of the voters.
 func (n *Node) hasQuorum(set map[MemberID]bool) bool {
 	voters, inSet := 0, 0
 	for _, member := range n.members() {
@@ -28,11 +28,11 @@
 	return inSet > voters/2
 }
 
-// maxVotersInline is the number of voters up to which quorumValue does not allocate.
+// maxVotersInline is the maximum number of voters for which quorumValue does not allocate.
 const maxVotersInline = 16
 
-// quorumValue returns the highest value that a majority of the voters among members has reached, such as a
-// match index. It returns 0 without voters.
+// quorumValue returns the highest value that a majority of the voters among members has reached, for example of
+// their match indexes. It returns 0 if there are no voters.
 func (n *Node) quorumValue(members []Member, value func(MemberID) uint64) uint64 {
 	var inline [maxVotersInline]uint64
 	values := inline[:0]
--- a/coord/consensus/step.go
+++ b/coord/consensus/step.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Step handles a message from another member. Messages may be lost, duplicated, delayed and reordered. It
+// Step handles a message from another member. Messages may be lost, duplicated, delayed and reordered. Step
 // panics with an error that wraps ErrCommittedConflict if the group's logs have diverged.
 func (n *Node) Step(now time.Duration, message Message) {
 	n.advanceClock(now)
@@ -23,7 +23,7 @@
 	n.handleMessage(message)
 }
 
-// handleMessage handles a message of the current term, or one that needs no agreement on the term.
+// handleMessage handles a message of the current term, or one that is valid in any term.
 func (n *Node) handleMessage(message Message) {
 	switch message.Kind {
 	case MessagePreVote:
@@ -49,14 +49,13 @@
 	}
 }
 
-// acceptsStaleTerm reports whether a message of a former term is handled all the same: never, unless a test
-// disables the rule.
+// acceptsStaleTerm reports whether a message of a former term is handled nevertheless. It returns false unless a
+// test omits RuleAppendCurrentTerm.
 func (n *Node) acceptsStaleTerm(message Message) bool {
 	return message.Kind == MessageAppendEntries && !n.enforces(RuleAppendCurrentTerm)
 }
 
-// rejectStaleTerm replies to a request of a former term with the current one, so that its sender steps
-// down.
+// rejectStaleTerm replies to a request of a former term with the current term, so that the sender steps down.
 func (n *Node) rejectStaleTerm(message Message) {
 	reply := Message{To: message.From, Term: n.term, LogIndex: message.LogIndex, Reject: true}
 	switch message.Kind {
@@ -72,8 +71,8 @@
 	n.send(reply)
 }
 
-// acceptNewerTerm enters the term of a message from a later one. It returns false if the message is to be
-// ignored. Pre-votes leave the term as it is.
+// acceptNewerTerm enters the term of a message from a later term. It returns false if the message must be
+// ignored. PreVote messages and granted pre-votes do not change the term.
 func (n *Node) acceptNewerTerm(message Message) bool {
 	switch {
 	case message.Kind == MessagePreVote:
--- a/coord/consensus/addressee_test.go
+++ b/coord/consensus/step_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestNode_Step_ignoresMessagesForOthers hands a member what was sent to another one, as to a former member at its address: it gives
-// no vote, appends nothing and answers nothing.
+// TestNode_Step_ignoresMessagesForOthers passes a member messages with another receiver, such as a former member at its address. It
+// must not vote, append entries or reply.
 func TestNode_Step_ignoresMessagesForOthers(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
@@ -21,10 +21,10 @@
 		message.From, message.To = g.leader(), 99
 		node.Step(g.now, message)
 		if ready := node.Ready(); len(ready.Messages) > 0 || ready.Persist != nil {
-			t.Errorf("%v for another member: %+v", message.Kind, ready)
+			t.Errorf("after %v for member 99: messages %+v, persist %+v, want none", message.Kind, ready.Messages, ready.Persist)
 		}
 	}
 	if after := node.Status(); after.Term != before.Term || after.LastIndex != before.LastIndex {
-		t.Errorf("term %d and index %d, before %d and %d", after.Term, after.LastIndex, before.Term, before.LastIndex)
+		t.Errorf("after messages for member 99: term %d, last index %d, want %d and %d as before", after.Term, after.LastIndex, before.Term, before.LastIndex)
 	}
 }
--- a/coord/consensus/types.go
+++ b/coord/consensus/types.go
@@ -2,26 +2,26 @@
 
 import "strconv"
 
-// MemberID identifies one incarnation of a member. A machine that lost its disk returns under a new
-// ID, so that no vote or acknowledgement of the lost incarnation is given a second time.
+// MemberID identifies one incarnation of a member. A machine that lost its disk rejoins under a new ID, because
+// it no longer knows the votes and acknowledgements that its former incarnation sent.
 type MemberID uint64
 
 // Member is one replica of the group.
 type Member struct {
 	ID      MemberID
-	Address string // where its peers reach it, "ip:port"
-	Voter   bool   // false: a learner, which receives the log and counts in no quorum
-	Retired bool   // a tombstone rather than a member: this ID was replaced and is never admitted again
+	Address string // address for its peers, "ip:port"
+	Voter   bool   // false: a learner, which receives the log but is not counted in quorums
+	Retired bool   // a tombstone instead of a member: this ID was replaced and is never admitted again
 }
 
-// EntryKind is the kind of a log entry. Its numbers are stored and sent.
+// EntryKind is the kind of a log entry. The numeric values are part of the disk and wire formats.
 type EntryKind uint8
 
 // The kinds of log entries.
 const (
 	EntryCommand    EntryKind = iota // Data is a command for the replicated state machine
 	EntryNoop                        // the first entry of a new leader's term
-	EntryMembership                  // Members is the group's membership from this entry on
+	EntryMembership                  // Members is the membership in force from this entry on
 )
 
 // String returns the kind's name.
@@ -43,22 +43,21 @@
 	Term, Index uint64
 	Kind        EntryKind
 	Data        []byte
-	Members     []Member // of EntryMembership, tombstones of retired IDs included
+	Members     []Member // of EntryMembership, including the tombstones of retired IDs
 }
 
-// HardState is the part of a member's state that must be durable before a message that depends on
-// it is sent.
+// HardState is the state, besides the log, that must be durable before messages that depend on it are sent.
 type HardState struct {
 	Term   uint64
 	Vote   MemberID
-	Commit uint64 // a lower bound of the commit index; it costs no write of its own
+	Commit uint64 // a lower bound of the commit index: a higher one alone causes no write
 }
 
-// Snapshot takes the place of all entries up to Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index, Term uint64
-	Members     []Member // tombstones of retired IDs included
-	Data        []byte   // of the replicated state machine
+	Members     []Member // including the tombstones of retired IDs
+	Data        []byte   // state of the replicated state machine
 }
 
 // Role is the role of a member in its current term.
@@ -66,10 +65,10 @@
 
 // The roles of a member.
 const (
-	RoleFollower     Role = iota // follows a leader, or waits for one
-	RolePreCandidate             // asks whether it would be elected, without raising its term
-	RoleCandidate                // asks for votes in a new term
-	RoleLeader                   // replicates its log to all others
+	RoleFollower     Role = iota // follows a leader or waits for one to be elected
+	RolePreCandidate             // asks whether it would win an election, without incrementing its term
+	RoleCandidate                // requests votes in a new term
+	RoleLeader                   // replicates its log to all other members
 )
 
 // String returns the role's name.
--- a/coord/consensus/types_test.go
+++ b/coord/consensus/types_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestString_namesEachValue expects each kind and role to have a name of its own, and a number beyond them to show.
+// TestString_namesEachValue verifies that every kind and role has a distinct name and that the name of an unknown value contains its
+// number.
 func TestString_namesEachValue(t *testing.T) {
 	names := map[string]bool{}
 	for kind := MessagePreVote; kind <= MessageTimeoutNow; kind++ {
@@ -19,11 +20,11 @@
 		names["role "+role.String()] = true
 	}
 	if want := int(MessageTimeoutNow+1) + int(EntryMembership+1) + int(RoleLeader+1); len(names) != want {
-		t.Errorf("%d names, want %d: %v", len(names), want, names)
+		t.Errorf("%d distinct names of kinds and roles, want %d: %v", len(names), want, names)
 	}
 	for _, unknown := range []fmt.Stringer{MessageTimeoutNow + 1, EntryMembership + 1, RoleLeader + 1} {
 		if !strings.ContainsAny(unknown.String(), "0123456789") {
-			t.Errorf("an unknown value is called %q", unknown)
+			t.Errorf("name of an unknown value: %q, want one with its number", unknown)
 		}
 	}
 }
