--- a/coord/consensus/commit.go
+++ b/coord/consensus/commit.go
@@ -1,8 +1,8 @@
 package consensus
 
-// advanceCommit commits the entries that are durable at a majority of voters, provided that the last of
-// them is of the current term: entries of former terms are committed by the commit of a later one alone
-// (paper 5.4.2).
+// advanceCommit commits the entries that are durable at a majority of voters, provided that the last of them is
+// of the current term. Entries of former terms are committed only together with a later entry of the current
+// term (paper 5.4.2).
 func (n *Node) advanceCommit() {
 	if n.role != RoleLeader {
 		return
@@ -18,13 +18,13 @@
 	if term != n.term && n.enforces(RuleCommitCurrentTerm) {
 		return
 	}
-	n.releaseUncommitted(quorumIndex)
+	n.reduceUncommittedBytes(quorumIndex)
 	n.commitTo(quorumIndex)
 	n.follower.verifiedIndex = n.commitIndex
 	n.finishMembershipChange()
 }
 
-// matchIndexOf returns the last entry that a member is known to have made durable.
+// matchIndexOf returns the last entry known to be durable at a member.
 func (n *Node) matchIndexOf(id MemberID) uint64 {
 	if id == n.config.ID {
 		if !n.enforces(RuleLeaderEntriesDurable) {
@@ -38,8 +38,9 @@
 	return 0
 }
 
-// finishMembershipChange acts on the commit of a membership change: removed peers are sent it, so that they
-// stop campaigning, and a leader that is no longer a voter hands over to the best peer and steps down.
+// finishMembershipChange completes a committed membership change. It sends the change to removed peers, so that
+// they stop campaigning. A leader that is no longer a voter asks the peer with the most complete log to start an
+// election, and steps down.
 func (n *Node) finishMembershipChange() {
 	if n.currentMembership().index > n.commitIndex {
 		return
--- a/coord/consensus/follower.go
+++ b/coord/consensus/follower.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// followerState is what a follower knows of its leader and of their logs.
+// followerState is a follower's view of its leader and of the leader's log.
 type followerState struct {
-	leaderContactAt time.Duration // when it last heard from the leader
-	verifiedIndex   uint64        // up to here the log is known to match the leader's; of a leader, its commit index
+	leaderContactAt time.Duration // when it last received a message from the leader
+	verifiedIndex   uint64        // last entry known to match the leader's log; on a leader, its commit index
 	ackedIndex      uint64        // highest index acknowledged to the leader of this term
-	confirmedAt     time.Duration // Status.ConfirmedAt
+	confirmedAt     time.Duration // see Status.ConfirmedAt
 }
 
-// recordLeaderContact records a message from the leader of the current term: it renews the leader's lease
-// and puts the election off.
+// recordLeaderContact records a message from the leader of the current term, which renews the leader's lease and
+// resets the election deadline.
 func (n *Node) recordLeaderContact(message Message) {
 	if n.role != RoleFollower {
 		n.becomeFollower(n.term)
@@ -27,15 +27,15 @@
 	n.resetElectionDeadline()
 }
 
-// confirmIfUpToDate records that the member has all entries that its leader had committed when it sent a
-// message just received.
+// confirmIfUpToDate records the current time as ConfirmedAt if the member has all entries up to leaderCommit, the
+// commit index in a message just received from the leader.
 func (n *Node) confirmIfUpToDate(leaderCommit uint64) {
 	if (leaderCommit <= n.follower.verifiedIndex || !n.enforces(RuleConfirmedUpToDate)) && !n.lacksGroupState() {
 		n.follower.confirmedAt = n.now
 	}
 }
 
-// handleAppendEntries appends the leader's entries if the entry before them matches, and rejects them
+// handleAppendEntries appends the leader's entries if the entry that precedes them matches, and rejects them
 // otherwise (paper 5.3). They are acknowledged once they are durable.
 func (n *Node) handleAppendEntries(message Message) {
 	if n.role == RoleLeader {
@@ -63,8 +63,8 @@
 	}
 }
 
-// withoutCommittedEntries returns the message without its entries up to the commit index: all logs share
-// those, and compaction may have dropped them here.
+// withoutCommittedEntries returns the message without its entries up to the commit index. These are the same in
+// all logs, and compaction may have dropped them from this one.
 func (n *Node) withoutCommittedEntries(message Message) Message {
 	end := message.LogIndex + uint64(len(message.Entries))
 	if end <= n.commitIndex {
@@ -77,8 +77,8 @@
 	return message
 }
 
-// rejectAppendEntries tells the leader the highest index at which the logs may still match, so that it goes
-// back by a term at a time rather than by an entry (paper 5.3).
+// rejectAppendEntries sends the leader the highest index at which the logs may match, so that it lowers its next
+// index by a term at a time instead of by a single entry (paper 5.3).
 func (n *Node) rejectAppendEntries(message Message) {
 	hintIndex, hintTerm := n.log.findConflictByTerm(message.LogIndex, message.LogTerm)
 	if message.LogIndex > n.log.lastIndex() {
@@ -94,8 +94,8 @@
 	})
 }
 
-// appendMissing appends the entries that the log lacks. It truncates the log before an entry that
-// conflicts.
+// appendMissing appends the entries that the log lacks, and reports whether there were any. If an entry conflicts
+// with the log, the log is truncated from that entry on.
 func (n *Node) appendMissing(entries []Entry) (added bool) {
 	for i, entry := range entries {
 		if n.log.matches(entry.Index, entry.Term) {
@@ -111,11 +111,11 @@
 	return false
 }
 
-// truncate drops the entries from index on, and the memberships among them. It panics if one of them is
-// committed.
+// truncate drops the entries from index on and restores the membership before them. It panics if one of the
+// entries is committed.
 func (n *Node) truncate(index uint64) {
 	if index <= n.commitIndex {
-		panic(fmt.Errorf("%w: entry %d, committed up to %d", ErrCommittedConflict, index, n.commitIndex))
+		panic(fmt.Errorf("%w: entry %d conflicts, commit index is %d", ErrCommittedConflict, index, n.commitIndex))
 	}
 	n.log.truncate(index)
 	n.follower.verifiedIndex = min(n.follower.verifiedIndex, index-1)
@@ -125,7 +125,7 @@
 	}
 }
 
-// followLeaderCommit commits what the leader has committed, as far as the logs are known to match.
+// followLeaderCommit commits the entries that the leader has committed, as far as the logs are known to match.
 func (n *Node) followLeaderCommit(leaderCommit uint64) {
 	if n.enforces(RuleCommitVerified) {
 		leaderCommit = min(leaderCommit, n.follower.verifiedIndex)
@@ -133,8 +133,8 @@
 	n.commitTo(leaderCommit)
 }
 
-// ackableIndex returns the last entry that may be acknowledged: the log matches the leader's up to it, and
-// both the entries and the term are durable.
+// ackableIndex returns the last entry that may be acknowledged: up to it, the log matches the leader's and is
+// durable. It returns 0 while the current term is not durable.
 func (n *Node) ackableIndex() uint64 {
 	if !n.enforces(RuleAppendDurable) {
 		return n.follower.verifiedIndex
@@ -145,15 +145,14 @@
 	return min(n.follower.verifiedIndex, n.persistence.stableIndex)
 }
 
-// acknowledge tells the leader up to where the log matches and is durable, and in HintIndex up to where it
-// matches at all.
+// acknowledge sends the leader the last entry that matches its log and is durable and, as HintIndex, the last
+// entry that matches.
 func (n *Node) acknowledge() {
 	n.follower.ackedIndex = n.ackableIndex()
 	n.send(Message{Kind: MessageAppendEntriesReply, To: n.leaderID, LogIndex: n.follower.ackedIndex, HintIndex: n.follower.verifiedIndex})
 }
 
-// handleHeartbeat follows the leader's commit index, and replies unless the message passes that index
-// alone.
+// handleHeartbeat follows the leader's commit index. It replies unless the message only carries that index.
 func (n *Node) handleHeartbeat(message Message) {
 	if n.role == RoleLeader {
 		return
@@ -173,7 +172,8 @@
 	})
 }
 
-// handleInstallSnapshot replaces the log by the leader's snapshot, unless the log contains its last entry.
+// handleInstallSnapshot replaces the log with the leader's snapshot, unless the log already contains the
+// snapshot's last entry.
 func (n *Node) handleInstallSnapshot(message Message) {
 	if n.role == RoleLeader || message.Snapshot == nil {
 		return
@@ -181,7 +181,7 @@
 	n.recordLeaderContact(message)
 	snapshot := message.Snapshot
 	switch {
-	case snapshot.Index <= n.commitIndex: // nothing new
+	case snapshot.Index <= n.commitIndex: // the snapshot contains nothing new
 	case n.log.matches(snapshot.Index, snapshot.Term):
 		n.follower.verifiedIndex = max(n.follower.verifiedIndex, snapshot.Index)
 		n.commitTo(snapshot.Index)
@@ -192,9 +192,9 @@
 	n.acknowledge()
 }
 
-// installSnapshot replaces the log, the membership and the state machine's state by a snapshot.
+// installSnapshot replaces the log, the membership and the state machine's state with a snapshot.
 func (n *Node) installSnapshot(snapshot Snapshot) {
-	n.persistence.replace(n.commitIndex, snapshot.Index)
+	n.persistence.replaceWithSnapshot(n.commitIndex, snapshot.Index)
 	n.log = entryLog{baseIndex: snapshot.Index, baseTerm: snapshot.Term}
 	n.snapshot = snapshot
 	n.memberships = []membership{newMembership(snapshot.Index, snapshot.Members)}
--- a/coord/consensus/group_test.go
+++ b/coord/consensus/group_test.go
@@ -1,15 +1,13 @@
 package consensus
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestGroup_replicatesCommandsInOrder(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.propose("a")
 	g.propose("b")
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		g.wantApplied(id, "a", "b")
 	}
 }
@@ -18,16 +16,16 @@
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
 	g.propose("a")
-	first := g.leader()
-	g.members[first].stopped = true
+	oldLeader := g.leader()
+	g.members[oldLeader].stopped = true
 	g.elect()
 	g.propose("b")
-	for _, id := range g.others(first) {
+	for _, id := range g.others(oldLeader) {
 		g.wantApplied(id, "a", "b")
 	}
-	g.restart(first)
-	g.run(2 * testElection)
-	g.wantApplied(first, "a", "b")
+	g.restart(oldLeader)
+	g.run(2 * testElectionTimeout)
+	g.wantApplied(oldLeader, "a", "b")
 }
 
 func TestGroup_soleVoterCommitsAndReads(t *testing.T) {
@@ -36,11 +34,11 @@
 	g.propose("a")
 	g.wantApplied(1, "a")
 	if err := node.ReadIndex(g.now, 5); err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadIndex at the only voter: %v", err)
 	}
 	g.deliverAll()
 	if len(g.members[1].reads) != 1 || !g.members[1].reads[0].OK {
-		t.Fatalf("reads %v", g.members[1].reads)
+		t.Fatalf("reads of the only voter: %+v, want one with OK", g.members[1].reads)
 	}
 }
 
@@ -48,24 +46,24 @@
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
 	g.propose("a")
-	lost := g.others(g.leader())[0]
-	g.members[lost].stopped = true
+	replaced := g.others(g.leader())[0]
+	g.members[replaced].stopped = true
 	g.add(9, PersistedState{})
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	if status := g.members[9].node.Status(); status.Term != 0 || status.Role != RoleFollower {
-		t.Fatalf("a member with an empty disk is active: %+v", status)
+		t.Fatalf("member with an empty disk: status %+v, want a follower of term 0", status)
 	}
 	added := Member{ID: 9, Address: "10.0.0.9:1"}
-	g.change(MembershipChange{Add: &added})
-	g.run(testElection)
+	g.changeMembers(MembershipChange{Add: &added})
+	g.run(testElectionTimeout)
 	g.wantApplied(9, "a")
 	added.Voter = true
-	g.change(MembershipChange{Add: &added})
-	g.change(MembershipChange{Remove: lost})
+	g.changeMembers(MembershipChange{Add: &added})
+	g.changeMembers(MembershipChange{Remove: replaced})
 	g.propose("b")
 	g.wantApplied(9, "a", "b")
 	if members := leader.Status().Members; len(members) != 3 {
-		t.Fatalf("members %v", members)
+		t.Fatalf("after one voter was replaced: members %+v, want 3", members)
 	}
 }
 
@@ -77,17 +75,17 @@
 	}
 	leader.Compact(leader.Status().AppliedIndex, nil, []byte("state"))
 	if leader.Status().FirstIndex == 2 {
-		t.Fatal("nothing was compacted")
+		t.Fatal("first index is 2 after Compact, want a higher one")
 	}
 	g.add(9, PersistedState{})
-	g.change(MembershipChange{Add: &Member{ID: 9, Address: "10.0.0.9:1"}})
-	g.run(testElection)
+	g.changeMembers(MembershipChange{Add: &Member{ID: 9, Address: "10.0.0.9:1"}})
+	g.run(testElectionTimeout)
 	g.propose("b")
 	g.wantApplied(9, "b")
 	if g.members[9].restoredState != "state" {
-		t.Fatalf("state %q", g.members[9].restoredState)
+		t.Fatalf("new learner restored the state %q, want %q", g.members[9].restoredState, "state")
 	}
 	g.restart(9)
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	g.wantApplied(9, "b")
 }
--- a/coord/consensus/harness_test.go
+++ b/coord/consensus/harness_test.go
@@ -8,58 +8,59 @@
 )
 
 const (
-	testElection  = 1000 * time.Millisecond
-	testHeartbeat = 100 * time.Millisecond
-	testStep      = 20 * time.Millisecond
+	testElectionTimeout   = 1000 * time.Millisecond
+	testHeartbeatInterval = 100 * time.Millisecond
+	testTickInterval      = 20 * time.Millisecond
 )
 
-// testStorage is what a member has made durable.
+// testStorage is the state that a member has made durable.
 type testStorage struct {
 	stored PersistedState
 }
 
-func (d *testStorage) write(persist *PersistRequest) {
+// write makes a PersistRequest durable.
+func (s *testStorage) write(persist *PersistRequest) {
 	if persist.Snapshot != nil {
-		d.stored.Snapshot = *persist.Snapshot
-		d.stored.Entries = nil
+		s.stored.Snapshot = *persist.Snapshot
+		s.stored.Entries = nil
 	}
 	if len(persist.Entries) > 0 {
-		keep := persist.Entries[0].Index - d.stored.Snapshot.Index - 1
-		d.stored.Entries = append(slices.Clone(d.stored.Entries[:keep]), persist.Entries...)
+		keptCount := persist.Entries[0].Index - s.stored.Snapshot.Index - 1
+		s.stored.Entries = append(slices.Clone(s.stored.Entries[:keptCount]), persist.Entries...)
 	}
 	if persist.HardState != nil {
-		d.stored.HardState = *persist.HardState
+		s.stored.HardState = *persist.HardState
 	}
 }
 
-// testMember is a node with its storage and what its state machine was given.
+// testMember is a node with its storage and the output to its state machine.
 type testMember struct {
 	node          *Node
 	storage       testStorage
-	pendingWrites []*PersistRequest // not durable while its disk is stalled
-	stalled       bool
+	pendingWrites []*PersistRequest // not durable yet; kept while diskStalled is set
+	diskStalled   bool
 	stopped       bool
 	applied       []string
 	reads         []ReadResult
-	restoredState string // of the last restored snapshot
+	restoredState string // data of the last restored snapshot
 }
 
-// testGroup is a group of members with a network that delivers at once.
+// testGroup is a group of members with a network without latency.
 type testGroup struct {
-	t           *testing.T
-	now         time.Duration
-	members     map[MemberID]*testMember
-	order       []MemberID
-	queue       []Message
-	dropMessage func(Message) bool
-	sent        int
+	t            *testing.T
+	now          time.Duration
+	members      map[MemberID]*testMember
+	ids          []MemberID
+	queue        []Message
+	dropMessage  func(Message) bool
+	sentMessages int
 }
 
 func testConfig(id MemberID) Config {
 	return Config{
 		ID:                id,
-		ElectionTimeout:   testElection,
-		HeartbeatInterval: testHeartbeat,
+		ElectionTimeout:   testElectionTimeout,
+		HeartbeatInterval: testHeartbeatInterval,
 		MaxAppendBytes:    1 << 10,
 		MaxInflight:       4,
 		Seed:              7,
@@ -86,17 +87,18 @@
 	member := &testMember{storage: testStorage{stored: stored}}
 	member.node = New(testConfig(id), stored, g.now)
 	g.members[id] = member
-	g.order = append(g.order, id)
+	g.ids = append(g.ids, id)
 }
 
-// restart starts a member from what its storage has.
+// restart starts a member from the state in its storage.
 func (g *testGroup) restart(id MemberID) {
 	member := g.members[id]
 	member.pendingWrites, member.applied, member.stopped = nil, nil, false
 	member.node = New(testConfig(id), member.storage.stored, g.now)
 }
 
-// processReady does what a member asks for.
+// processReady processes a member's Ready: it applies entries, queues messages and, unless the disk is stalled,
+// makes writes durable.
 func (g *testGroup) processReady(id MemberID) {
 	member := g.members[id]
 	if member.stopped {
@@ -113,17 +115,17 @@
 	}
 	member.reads = append(member.reads, ready.Reads...)
 	g.queue = append(g.queue, ready.Messages...)
-	g.sent += len(ready.Messages)
+	g.sentMessages += len(ready.Messages)
 	if ready.Persist != nil {
 		member.pendingWrites = append(member.pendingWrites, ready.Persist)
 	}
-	if !member.stalled {
-		g.sync(id)
+	if !member.diskStalled {
+		g.syncDisk(id)
 	}
 }
 
-// sync makes a member's pending writes durable.
-func (g *testGroup) sync(id MemberID) {
+// syncDisk makes a member's pending writes durable.
+func (g *testGroup) syncDisk(id MemberID) {
 	member := g.members[id]
 	for _, persist := range member.pendingWrites {
 		member.storage.write(persist)
@@ -134,19 +136,20 @@
 
 // deliverAll delivers messages until no member sends any more.
 func (g *testGroup) deliverAll() {
-	for quiet := 0; quiet < 2; {
-		for _, id := range g.order {
+	for idleRounds := 0; idleRounds < 2; {
+		for _, id := range g.ids {
 			g.processReady(id)
 		}
 		if len(g.queue) == 0 {
-			quiet++
+			idleRounds++
 			continue
 		}
-		quiet = 0
+		idleRounds = 0
 		g.deliver()
 	}
 }
 
+// deliver delivers the queued messages, except those that dropMessage drops.
 func (g *testGroup) deliver() {
 	queue := g.queue
 	g.queue = nil
@@ -159,11 +162,11 @@
 	}
 }
 
-// run advances the time and ticks the members that are due.
-func (g *testGroup) run(span time.Duration) {
-	for end := g.now + span; g.now < end; {
-		g.now += testStep
-		for _, id := range g.order {
+// run advances the time by duration. In each step it ticks the members that are due and delivers all messages.
+func (g *testGroup) run(duration time.Duration) {
+	for end := g.now + duration; g.now < end; {
+		g.now += testTickInterval
+		for _, id := range g.ids {
 			member := g.members[id]
 			if !member.stopped && g.now >= member.node.NextTick() {
 				member.node.Tick(g.now)
@@ -177,7 +180,7 @@
 func (g *testGroup) leader() MemberID {
 	var leader MemberID
 	var term uint64
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		status := g.members[id].node.Status()
 		if !g.members[id].stopped && status.Role == RoleLeader && status.Term > term {
 			leader, term = id, status.Term
@@ -186,13 +189,14 @@
 	return leader
 }
 
-// elect runs the group until it must have a leader, and returns its node.
+// elect runs the group for four election timeouts and returns the node of the leader. It fails the test if there
+// is none.
 func (g *testGroup) elect() *Node {
 	g.t.Helper()
-	g.run(4 * testElection)
+	g.run(4 * testElectionTimeout)
 	id := g.leader()
 	if id == 0 {
-		g.t.Fatal("no leader")
+		g.t.Fatalf("no leader after %v", 4*testElectionTimeout)
 	}
 	return g.members[id].node
 }
@@ -201,21 +205,21 @@
 func (g *testGroup) propose(data string) {
 	g.t.Helper()
 	if _, _, err := g.members[g.leader()].node.Propose(g.now, []byte(data)); err != nil {
-		g.t.Fatal(err)
+		g.t.Fatalf("proposing %q at member %d: %v", data, g.leader(), err)
 	}
 	g.deliverAll()
 }
 
-// change proposes a membership change at the leader and delivers all messages.
-func (g *testGroup) change(change MembershipChange) {
+// changeMembers proposes a membership change at the leader and delivers all messages.
+func (g *testGroup) changeMembers(change MembershipChange) {
 	g.t.Helper()
 	if err := g.members[g.leader()].node.ChangeMembers(g.now, change); err != nil {
-		g.t.Fatal(err)
+		g.t.Fatalf("membership change %+v at member %d: %v", change, g.leader(), err)
 	}
 	g.deliverAll()
 }
 
-// wantApplied fails the test unless a member has applied these commands.
+// wantApplied fails the test unless a member has applied exactly these commands.
 func (g *testGroup) wantApplied(id MemberID, want ...string) {
 	g.t.Helper()
 	if got := g.members[id].applied; !slices.Equal(got, want) {
@@ -225,5 +229,5 @@
 
 // others returns all members but one.
 func (g *testGroup) others(id MemberID) []MemberID {
-	return slices.DeleteFunc(slices.Clone(g.order), func(other MemberID) bool { return other == id })
+	return slices.DeleteFunc(slices.Clone(g.ids), func(other MemberID) bool { return other == id })
 }
--- a/coord/consensus/heartbeat.go
+++ b/coord/consensus/heartbeat.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// heartbeatRound is one round of heartbeats to all peers. Its number comes back in their replies.
+// heartbeatRound is one round of heartbeats to all peers. Their replies carry its number.
 type heartbeatRound struct {
 	number uint64
 	sentAt time.Duration
 }
 
-// tickLeader does what is due for a leader: it steps down without a quorum, gives up a leadership transfer
+// tickLeader handles a leader's expired timeouts: it steps down without a quorum, aborts a leadership transfer
 // that takes too long and sends heartbeats.
 func (n *Node) tickLeader() {
 	n.checkQuorum()
@@ -21,9 +21,9 @@
 	}
 }
 
-// checkQuorum has a leader step down that no majority has answered for an election timeout: by then another
-// one may be elected. Every call that acts as leader checks this first, so that a process that was
-// suspended does not act on its old term.
+// checkQuorum makes a leader step down if no majority has answered it for an election timeout, because another
+// leader may have been elected by then. Every call that acts as leader checks this first, so that a process that
+// was suspended does not act on an outdated term.
 func (n *Node) checkQuorum() {
 	if n.role != RoleLeader {
 		return
@@ -33,14 +33,14 @@
 	}
 }
 
-// quorumContactAt returns the time by which a heartbeat was sent that a majority has answered. No other
-// leader was elected before then.
+// quorumContactAt returns the latest time such that a majority has answered a heartbeat sent at that time or
+// later. No other leader was elected before that time.
 func (n *Node) quorumContactAt() time.Duration {
 	return time.Duration(n.quorumValue(n.members(), n.contactAt))
 }
 
-// contactAt returns when the latest heartbeat was sent that a member has answered, in nanoseconds for
-// quorumValue; 0 if it has answered none.
+// contactAt returns when the latest heartbeat that a member has answered was sent, in nanoseconds for
+// quorumValue. It returns 0 if the member has answered none.
 func (n *Node) contactAt(id MemberID) uint64 {
 	if id == n.config.ID {
 		return uint64(n.now)
@@ -51,15 +51,14 @@
 	return 0
 }
 
-// broadcastHeartbeat starts a round: it sends a heartbeat to all peers. The reads that wait for a round are
-// confirmed by the replies.
+// broadcastHeartbeat starts a round of heartbeats to all peers. The replies also confirm the pending reads.
 func (n *Node) broadcastHeartbeat() {
 	leader := &n.leader
 	leader.lastRound++
 	leader.nextHeartbeat = n.now + n.config.HeartbeatInterval
 	n.dropExpiredRounds()
 	leader.rounds = append(leader.rounds, heartbeatRound{number: leader.lastRound, sentAt: n.now})
-	n.assignReads()
+	n.assignReadsToRound()
 	for _, peer := range leader.peers {
 		peer.startLossCheck(leader.lastRound)
 		peer.sentCommit = n.commitIndex
@@ -68,8 +67,8 @@
 	n.confirmReads()
 }
 
-// dropExpiredRounds drops the rounds sent more than an election timeout ago: a reply to them renews
-// nothing.
+// dropExpiredRounds drops the rounds sent more than an election timeout ago. A reply to one of them does not renew
+// the contact with a peer.
 func (n *Node) dropExpiredRounds() {
 	rounds := n.leader.rounds
 	for len(rounds) > 0 && n.now-rounds[0].sentAt > n.config.ElectionTimeout {
@@ -88,27 +87,26 @@
 	return 0, false
 }
 
-// handleHeartbeatReply renews the leader's contact with a peer, confirms reads, and resends entries that
-// were lost on the way.
+// handleHeartbeatReply records the contact with a peer, confirms reads and resends entries lost in transit.
 func (n *Node) handleHeartbeatReply(message Message) {
 	peer := n.peer(message.From)
 	if n.role != RoleLeader || peer == nil {
 		return
 	}
-	if sent, known := n.roundSentAt(message.HeartbeatRound); known {
+	if sentAt, known := n.roundSentAt(message.HeartbeatRound); known {
 		peer.ackedRound = max(peer.ackedRound, message.HeartbeatRound)
-		peer.contactAt = max(peer.contactAt, sent)
+		peer.contactAt = max(peer.contactAt, sentAt)
 	}
 	n.confirmReads()
 	n.updateMatch(peer, message.HintIndex, message.LogIndex)
 	if n.role == RoleLeader {
-		n.resendLost(peer, message)
+		n.resendLostEntries(peer, message)
 	}
 }
 
-// resendLost resumes replication to a peer whose reply lacks entries that were sent before the heartbeat
-// that it answers.
-func (n *Node) resendLost(peer *progress, message Message) {
+// resendLostEntries resumes replication to a peer whose reply shows that it lacks entries sent before the
+// heartbeat. It also allows the next probe, and ends the wait for a snapshot whose retry pause has passed.
+func (n *Node) resendLostEntries(peer *progress, message Message) {
 	switch peer.state {
 	case stateProbe:
 		peer.probeSent = false
--- a/coord/consensus/log.go
+++ b/coord/consensus/log.go
@@ -2,28 +2,27 @@
 
 import "slices"
 
-// entryLog is the part of the log in memory: the entries after baseIndex. Slices of it that were handed out
-// stay valid, since entries are never overwritten in place.
+// entryLog is the in-memory part of the log: the entries after baseIndex. Returned slices of entries stay valid,
+// because entries are never overwritten in place.
 type entryLog struct {
 	baseIndex uint64 // index before the first entry
-	baseTerm  uint64
+	baseTerm  uint64 // term of the entry at baseIndex
 	entries   []Entry
 }
 
-// firstIndex returns the index of the first entry in the log, or of the next one if it is empty.
+// firstIndex returns the index of the first entry, or of the next one to be appended if the log is empty.
 func (l *entryLog) firstIndex() uint64 { return l.baseIndex + 1 }
 
 // lastIndex returns the index of the last entry, or baseIndex if the log is empty.
 func (l *entryLog) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
-// lastTerm returns the term of the last entry.
+// lastTerm returns the term of the last entry, or baseTerm if the log is empty.
 func (l *entryLog) lastTerm() uint64 {
 	term, _ := l.term(l.lastIndex())
 	return term
 }
 
-// term returns the term of the entry at index, and false if the entry is not in the log. The term at
-// baseIndex is known.
+// term returns the term of the entry at index, or false if it is neither in the log nor at baseIndex.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -34,14 +33,14 @@
 	return l.entries[index-l.baseIndex-1].Term, true
 }
 
-// matches reports whether the log has an entry of the given index and term.
+// matches reports whether the entry at index is known and has the given term.
 func (l *entryLog) matches(index, term uint64) bool {
 	entryTerm, present := l.term(index)
 	return present && entryTerm == term
 }
 
-// span returns the entries from first to last, both included. They must be in the log.
-func (l *entryLog) span(first, last uint64) []Entry {
+// slice returns the entries from first to last, inclusive. They must be in the log.
+func (l *entryLog) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
 	}
@@ -49,8 +48,9 @@
 	return l.entries[from:to:to]
 }
 
-// sizeLimited returns entries from first on of at most maxBytes, but at least one if there is one.
-func (l *entryLog) sizeLimited(first uint64, maxBytes int) []Entry {
+// limitedSlice returns the entries from first on whose total size is at most maxBytes, and at least one entry
+// unless first is beyond the end of the log.
+func (l *entryLog) limitedSlice(first uint64, maxBytes int) []Entry {
 	last, size := first, 0
 	for ; last <= l.lastIndex(); last++ {
 		size += entrySize(&l.entries[last-l.baseIndex-1])
@@ -58,21 +58,21 @@
 			break
 		}
 	}
-	return l.span(first, last-1)
+	return l.slice(first, last-1)
 }
 
-// append appends entries, which must follow the last one.
+// append appends entries. The first one must follow the last entry of the log.
 func (l *entryLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on. The rest is copied, since dropped entries may still be on their
-// way to the disk or to a peer.
+// truncate drops the entries from index on. It copies the remaining ones, because writes and messages in
+// progress may still refer to the dropped ones.
 func (l *entryLog) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.baseIndex-1])
 }
 
-// compact drops the entries up to index.
+// compact drops the entries up to and including index.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.baseIndex {
 		return
@@ -82,8 +82,8 @@
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// findConflictByTerm returns the highest index up to limit whose term is at most term, and that term. It is
-// baseIndex if there is none in the log.
+// findConflictByTerm returns the highest index up to limit whose entry has at most the given term, and the term
+// of that entry. If the log has no such entry, it returns baseIndex and baseTerm.
 func (l *entryLog) findConflictByTerm(limit, term uint64) (index, foundTerm uint64) {
 	index = min(limit, l.lastIndex())
 	for index > l.baseIndex {
@@ -96,13 +96,13 @@
 	return l.baseIndex, l.baseTerm
 }
 
-// entryOverhead is the assumed size of an entry's fields in a message, in bytes.
-const entryOverhead = 24
+// entryOverheadBytes is the estimated size of an entry in a message, without its data and members.
+const entryOverheadBytes = 24
 
-// memberOverhead is the assumed size of a member in a message, in bytes.
-const memberOverhead = 40
+// memberOverheadBytes is the estimated size of a member in a message.
+const memberOverheadBytes = 40
 
-// entriesSize returns the assumed size of entries in a message, in bytes.
+// entriesSize returns the estimated size of entries in a message, in bytes.
 func entriesSize(entries []Entry) (sum int) {
 	for i := range entries {
 		sum += entrySize(&entries[i])
@@ -110,7 +110,7 @@
 	return sum
 }
 
-// entrySize returns the assumed size of an entry in a message, in bytes.
+// entrySize returns the estimated size of an entry in a message, in bytes.
 func entrySize(entry *Entry) int {
-	return entryOverhead + len(entry.Data) + memberOverhead*len(entry.Members)
+	return entryOverheadBytes + len(entry.Data) + memberOverheadBytes*len(entry.Members)
 }
--- a/coord/consensus/membership.go
+++ b/coord/consensus/membership.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// membership is the group's membership from an index of the log on.
+// membership is the membership in force from an index of the log on.
 type membership struct {
-	index    uint64
-	members  []Member // without tombstones
-	recorded []Member // as in the log: with the tombstones of retired IDs
-	retired  []MemberID
+	index          uint64
+	members        []Member // members of the group
+	withTombstones []Member // the members and the tombstones of retired IDs, as in the log
+	retired        []MemberID
 }
 
-// newMembership separates the recorded members from the tombstones.
-func newMembership(index uint64, recorded []Member) membership {
-	result := membership{index: index, recorded: recorded}
-	for _, member := range recorded {
+// newMembership separates the members from the tombstones of a membership as recorded in the log.
+func newMembership(index uint64, withTombstones []Member) membership {
+	result := membership{index: index, withTombstones: withTombstones}
+	for _, member := range withTombstones {
 		if member.Retired {
 			result.retired = append(result.retired, member.ID)
 		} else {
@@ -26,19 +26,19 @@
 	return result
 }
 
-// MembershipChange adds, updates or removes one member. One at a time suffices for any two majorities, of
-// before and after, to share a member (dissertation 4.1).
+// MembershipChange adds, updates or removes one member. Because only one member changes at a time, any majority
+// before the change and any majority after it share a member (dissertation 4.1).
 type MembershipChange struct {
-	Add    *Member  // a new learner, or a member with its new address and role
-	Remove MemberID // if Add is nil
-	Retire bool     // with Remove: a tombstone remains, so that the ID is never admitted again
+	Add    *Member  // a new learner, or an existing member with its new address and voter status
+	Remove MemberID // member to remove if Add is nil
+	Retire bool     // with Remove: leaves a tombstone, so that the ID is never admitted again
 }
 
-// maxRetiredMembers bounds the tombstones; beyond it the oldest are dropped.
-const maxRetiredMembers = 64
+// maxTombstones is the maximum number of tombstones. The oldest ones beyond it are dropped.
+const maxTombstones = 64
 
-// maxPromotionLag is the number of entries that a learner may lack when it becomes a voter. It also bounds
-// the entries that a removed member is sent at last.
+// maxPromotionLag is the maximum number of entries that a learner may lack when it becomes a voter. It also limits
+// the entries in the last message to a removed member.
 const maxPromotionLag = 256
 
 // currentMembership returns the last membership in the log.
@@ -46,14 +46,15 @@
 	return &n.memberships[len(n.memberships)-1]
 }
 
-// members returns the current membership: the last one in the log, committed or not (dissertation 4.1).
+// members returns the members under the current membership, which is the last one in the log, committed or not
+// (dissertation 4.1).
 func (n *Node) members() []Member {
 	return n.currentMembership().members
 }
 
-// recorded returns the current membership with the tombstones of retired IDs.
-func (n *Node) recorded() []Member {
-	return n.currentMembership().recorded
+// membersWithTombstones returns the current members and the tombstones of retired IDs.
+func (n *Node) membersWithTombstones() []Member {
+	return n.currentMembership().withTombstones
 }
 
 // membershipAt returns the membership in force at an index.
@@ -65,7 +66,7 @@
 	return n.memberships[i]
 }
 
-// recordMemberships takes over the memberships among appended entries.
+// recordMemberships puts the memberships among appended entries into force.
 func (n *Node) recordMemberships(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Kind == EntryMembership {
@@ -74,7 +75,7 @@
 	}
 }
 
-// rollBackMemberships drops the memberships from index on, after a truncation.
+// rollBackMemberships drops the memberships from index on, after the log was truncated there.
 func (n *Node) rollBackMemberships(index uint64) {
 	for len(n.memberships) > 1 && n.currentMembership().index >= index {
 		n.memberships = n.memberships[:len(n.memberships)-1]
@@ -90,7 +91,7 @@
 	n.memberships = slices.Clone(n.memberships[first:])
 }
 
-// findMember returns the member with an ID.
+// findMember returns the member or tombstone with an ID, or false.
 func findMember(members []Member, id MemberID) (Member, bool) {
 	for _, member := range members {
 		if member.ID == id {
@@ -100,12 +101,12 @@
 	return Member{}, false
 }
 
-// ChangeMembers appends a change of one member to the leader's log. The change is in force at once, and the
-// next one is allowed when it is committed. A member is added as a learner, and becomes a voter once its
-// log is nearly complete (CanPromote). A change without effect appends nothing.
+// ChangeMembers appends a change of one member to the leader's log. The change is in force immediately; another
+// one is allowed once it is committed. A member must be added as a learner, and can become a voter once its log
+// is nearly complete (CanPromote). A change without effect appends nothing.
 //
-// A leader makes no change before an entry of its own term is committed: without this, the algorithm of the
-// dissertation lets two leaders make changes whose majorities do not intersect (Ongaro's correction of 2015).
+// A leader rejects changes until an entry of its own term is committed. Without this rule, the dissertation's
+// algorithm allows two leaders to make changes whose majorities do not intersect (Ongaro's correction of 2015).
 //
 // Errors: ErrNotLeader, ErrTransferInProgress, ErrMembershipChange.
 func (n *Node) ChangeMembers(now time.Duration, change MembershipChange) error {
@@ -120,57 +121,57 @@
 	if !n.currentTermCommitted() && n.enforces(RuleMembershipCurrentTerm) {
 		return ErrMembershipChange
 	}
-	recorded, changed := applyChange(n.recorded(), change)
+	members, changed := applyMembershipChange(n.membersWithTombstones(), change)
 	if !changed {
 		return nil
 	}
-	if !n.changeAllowed(change, newMembership(0, recorded).members) {
+	if !n.changeAllowed(change, newMembership(0, members).members) {
 		return ErrMembershipChange
 	}
-	n.appendEntry(Entry{Kind: EntryMembership, Members: recorded})
+	n.appendEntry(Entry{Kind: EntryMembership, Members: members})
 	n.syncPeers()
 	n.advanceCommit()
 	return nil
 }
 
-// applyChange returns the recorded members after a change, and whether they differ.
-func applyChange(recorded []Member, change MembershipChange) ([]Member, bool) {
+// applyMembershipChange returns the members and tombstones after a change, and whether they differ from before.
+func applyMembershipChange(members []Member, change MembershipChange) ([]Member, bool) {
 	if change.Add == nil {
-		return removeMember(recorded, change)
+		return removeMember(members, change)
 	}
-	altered := slices.Clone(recorded)
-	for i, member := range altered {
+	updated := slices.Clone(members)
+	for i, member := range updated {
 		if member.ID == change.Add.ID {
-			altered[i] = *change.Add
-			return altered, member != *change.Add
+			updated[i] = *change.Add
+			return updated, member != *change.Add
 		}
 	}
-	return append(altered, *change.Add), true
+	return append(updated, *change.Add), true
 }
 
-// removeMember removes a member, and leaves its tombstone if it is retired.
-func removeMember(recorded []Member, change MembershipChange) ([]Member, bool) {
-	member, known := findMember(recorded, change.Remove)
+// removeMember removes a member and, if change.Retire is set, adds its tombstone.
+func removeMember(members []Member, change MembershipChange) ([]Member, bool) {
+	member, known := findMember(members, change.Remove)
 	if !known || member.Retired {
-		return recorded, false
+		return members, false
 	}
-	remaining := slices.DeleteFunc(slices.Clone(recorded), func(member Member) bool { return member.ID == change.Remove })
+	remaining := slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.ID == change.Remove })
 	if !change.Retire {
 		return remaining, true
 	}
-	return trimRetired(append(remaining, Member{ID: change.Remove, Retired: true})), true
+	return trimTombstones(append(remaining, Member{ID: change.Remove, Retired: true})), true
 }
 
-// trimRetired drops the oldest tombstones beyond the bound. They stand in the order in which they were
+// trimTombstones drops the oldest tombstones beyond maxTombstones. Tombstones are in the order in which they were
 // added.
-func trimRetired(recorded []Member) []Member {
-	surplus := -maxRetiredMembers
-	for _, member := range recorded {
+func trimTombstones(members []Member) []Member {
+	surplus := -maxTombstones
+	for _, member := range members {
 		if member.Retired {
 			surplus++
 		}
 	}
-	return slices.DeleteFunc(recorded, func(member Member) bool {
+	return slices.DeleteFunc(members, func(member Member) bool {
 		if !member.Retired || surplus <= 0 {
 			return false
 		}
@@ -179,8 +180,8 @@
 	})
 }
 
-// changeAllowed reports whether a change of a single member is safe and leaves a group that works: a new
-// voter was a learner with a nearly complete log, and a majority of the new voters answers.
+// changeAllowed reports whether a change is safe and leaves a group that can commit entries: a new voter must have
+// been a learner with a nearly complete log, and a majority of the voters after the change must be responsive.
 func (n *Node) changeAllowed(change MembershipChange, members []Member) bool {
 	if change.Add != nil && !n.addAllowed(*change.Add, change.Remove) {
 		return false
@@ -200,25 +201,25 @@
 	if added.ID == 0 || removed != 0 || added.Retired {
 		return false
 	}
-	if known, found := findMember(n.recorded(), added.ID); found && known.Retired && n.enforces(RuleRetiredNeverReturns) {
+	if member, found := findMember(n.membersWithTombstones(), added.ID); found && member.Retired && n.enforces(RuleRetiredNeverReturns) {
 		return false
 	}
 	return !added.Voter || n.isVoter(added.ID) || n.CanPromote(added.ID)
 }
 
-// CanPromote reports whether a learner may become a voter now: it answers heartbeats, and its durable log
-// is nearly complete and contains the current membership. Only the leader knows; others return false.
+// CanPromote reports whether a learner may become a voter now: it answers heartbeats, and its durable log is nearly
+// complete and contains the current membership. It returns false on a member that does not lead.
 func (n *Node) CanPromote(id MemberID) bool {
 	peer := n.peer(id)
-	if n.role != RoleLeader || peer == nil || peer.removing {
+	if n.role != RoleLeader || peer == nil || peer.removalPending {
 		return false
 	}
 	caughtUp := peer.matchIndex+maxPromotionLag >= n.log.lastIndex() && peer.matchIndex >= n.currentMembership().index
-	return n.responsive(peer) && caughtUp
+	return n.isResponsive(peer) && caughtUp
 }
 
-// MatchIndex returns the last entry that a member is known to have made durable. It returns false on any
-// member but the leader, and for an unknown member.
+// MatchIndex returns the last entry known to be durable at a member. It returns false if this member does not lead
+// or the given one is unknown.
 func (n *Node) MatchIndex(id MemberID) (index uint64, known bool) {
 	if n.role != RoleLeader {
 		return 0, false
--- a/coord/consensus/membership_test.go
+++ b/coord/consensus/membership_test.go
@@ -9,28 +9,28 @@
 func TestNode_ChangeMembers_retiredMemberNeverReturns(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	replaced := g.others(g.leader())[0]
-	g.change(MembershipChange{Remove: replaced, Retire: true})
+	g.changeMembers(MembershipChange{Remove: replaced, Retire: true})
 	if members := leader.Status().Members; len(members) != 2 {
-		t.Fatalf("members %v", members)
+		t.Fatalf("leader's members after member %d was retired: %+v, want 2", replaced, members)
 	}
 	if err := leader.ChangeMembers(g.now, MembershipChange{Add: &Member{ID: replaced}}); !errors.Is(err, ErrMembershipChange) {
-		t.Fatalf("the retired member is added again: %v", err)
+		t.Fatalf("adding the retired member %d: %v, want %v", replaced, err, ErrMembershipChange)
 	}
 	if err := leader.ChangeMembers(g.now, MembershipChange{Add: &Member{ID: 9, Retired: true}}); !errors.Is(err, ErrMembershipChange) {
-		t.Fatalf("a tombstone is added as a member: %v", err)
+		t.Fatalf("adding a tombstone as a member: %v, want %v", err, ErrMembershipChange)
 	}
 	tombstone := Member{ID: replaced, Retired: true}
 	for _, id := range []MemberID{g.leader(), g.others(g.leader())[1]} {
 		status := g.members[id].node.Status()
 		snapshot, known := g.members[id].node.SnapshotAt(status.AppliedIndex, nil)
 		if !known || !slices.Contains(snapshot.Members, tombstone) {
-			t.Fatalf("the snapshot of member %d has no tombstone: %v", id, snapshot.Members)
+			t.Fatalf("snapshot of member %d: taken %t, members %+v, want the tombstone of member %d", id, known, snapshot.Members, replaced)
 		}
 		restarted := New(testConfig(id), PersistedState{HardState: HardState{Term: status.Term}, Snapshot: snapshot}, g.now)
-		if !slices.Contains(restarted.recorded(), tombstone) || len(restarted.Status().Members) != 2 {
-			t.Fatalf("member %d lost the tombstone in a restart: %v", id, restarted.recorded())
+		if !slices.Contains(restarted.membersWithTombstones(), tombstone) || len(restarted.Status().Members) != 2 {
+			t.Fatalf("member %d after a restart: %+v, want 2 members and the tombstone of member %d", id, restarted.membersWithTombstones(), replaced)
 		}
 	}
 }
@@ -41,19 +41,19 @@
 	stored.Entries[0].Members = append(testVoters(1, 2), Member{ID: 3, Retired: true})
 	n := newRuleNode(t, stored)
 	n.step(Message{Kind: MessageAppendEntries, From: 2, Term: 5, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Term: 5, Index: 2}}})
-	if recorded := n.recorded(); !slices.Equal(recorded, testVoters(1, 2, 3)) {
-		t.Fatalf("recorded %v", recorded)
+	if got := n.membersWithTombstones(); !slices.Equal(got, testVoters(1, 2, 3)) {
+		t.Fatalf("members after the retirement was truncated: %+v, want %+v", got, testVoters(1, 2, 3))
 	}
 }
 
 func TestApplyChange_retiredMembersAreBounded(t *testing.T) {
-	recorded := testVoters(1)
-	for id := MemberID(100); id < 100+2*maxRetiredMembers; id++ {
-		added := append(recorded, Member{ID: id})
-		recorded, _ = applyChange(added, MembershipChange{Remove: id, Retire: true})
+	members := testVoters(1)
+	for id := MemberID(100); id < 100+2*maxTombstones; id++ {
+		added := append(members, Member{ID: id})
+		members, _ = applyMembershipChange(added, MembershipChange{Remove: id, Retire: true})
 	}
-	if len(recorded) != 1+maxRetiredMembers || recorded[1].ID != 100+maxRetiredMembers || !recorded[0].Voter {
-		t.Fatalf("%d recorded, the oldest %+v", len(recorded), recorded[1])
+	if len(members) != 1+maxTombstones || members[1].ID != 100+maxTombstones || !members[0].Voter {
+		t.Fatalf("%d members and tombstones, the first two %+v, want %d, the first a voter, the oldest tombstone of member %d", len(members), members[:2], 1+maxTombstones, 100+maxTombstones)
 	}
 }
 
@@ -67,45 +67,45 @@
 	n.ackHeartbeat(2)
 	promotion := MembershipChange{Add: &Member{ID: 4, Voter: true}}
 	if n.CanPromote(4) || n.ChangeMembers(n.now, promotion) == nil {
-		t.Fatal("promoted before it answered a heartbeat")
+		t.Fatal("learner 4 can be promoted before it answered a heartbeat")
 	}
 	n.ackHeartbeat(4)
 	if n.CanPromote(4) {
-		t.Fatal("promoted before it acknowledged entries")
+		t.Fatal("learner 4 can be promoted before it acknowledged entries")
 	}
 	n.ackAppend(4, 2)
 	if !n.CanPromote(4) || n.CanPromote(9) {
-		t.Fatal("cannot be promoted, or an unknown member can")
+		t.Fatalf("CanPromote: learner 4 %t, unknown member 9 %t, want true and false", n.CanPromote(4), n.CanPromote(9))
 	}
-	n.now += testElection - testHeartbeat
+	n.now += testElectionTimeout - testHeartbeatInterval
 	n.ackHeartbeat(2) // member 2 keeps answering, member 4 does not
 	n.Tick(n.now)
 	n.persistAll()
 	n.ackHeartbeat(2)
-	n.now += 2 * testHeartbeat
+	n.now += 2 * testHeartbeatInterval
 	n.Tick(n.now)
 	if n.Status().Role != RoleLeader || n.CanPromote(4) {
-		t.Fatal("promoted without recent contact, or not the leader")
+		t.Fatalf("role %v, CanPromote(4) %t without recent contact, want %v and false", n.Status().Role, n.CanPromote(4), RoleLeader)
 	}
 	if err := n.ChangeMembers(n.now, promotion); !errors.Is(err, ErrMembershipChange) {
-		t.Fatalf("promotion of a learner without contact: %v", err)
+		t.Fatalf("promoting a learner without recent contact: %v, want %v", err, ErrMembershipChange)
 	}
 }
 
 func TestNode_ChangeMembers_removedLeaderStepsDownAfterCommit(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
-	first := g.leader()
-	g.run(testElection)
-	g.change(MembershipChange{Remove: first})
+	oldLeader := g.leader()
+	g.run(testElectionTimeout)
+	g.changeMembers(MembershipChange{Remove: oldLeader})
 	if leader.Status().Role == RoleLeader || leader.NextTick() != NoTick {
-		t.Fatalf("the removed leader is still active: %+v", leader.Status())
+		t.Fatalf("removed leader: status %+v, next tick %v, want another role and no tick", leader.Status(), leader.NextTick())
 	}
 	if g.leader() == 0 {
-		t.Fatal("no new leader")
+		t.Fatalf("no new leader after leader %d was removed", oldLeader)
 	}
 	g.propose("a")
-	for _, id := range g.others(first) {
+	for _, id := range g.others(oldLeader) {
 		g.wantApplied(id, "a")
 	}
 }
@@ -113,15 +113,15 @@
 func TestNode_ChangeMembers_removedMemberLearnsOfItsRemoval(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	removed := g.others(g.leader())[0]
-	g.change(MembershipChange{Remove: removed})
+	g.changeMembers(MembershipChange{Remove: removed})
 	if members := g.members[removed].node.Status().Members; len(members) != 2 {
-		t.Fatalf("members %v", members)
+		t.Fatalf("removed member %d: members %+v, want the 2 others", removed, members)
 	}
-	g.run(4 * testElection)
+	g.run(4 * testElectionTimeout)
 	if status := g.members[removed].node.Status(); status.Role != RoleFollower {
-		t.Fatalf("the removed member starts an election: %+v", status)
+		t.Fatalf("removed member %d after four election timeouts: status %+v, want a follower", removed, status)
 	}
 }
 
@@ -130,19 +130,19 @@
 	stored.Entries[0].Kind, stored.Entries[0].Members = EntryMembership, testVoters(2, 3)
 	n := newRuleNode(t, stored)
 	if n.NextTick() == NoTick {
-		t.Fatal("never starts an election")
+		t.Fatal("NextTick is NoTick on a member whose removal is not committed, want an election deadline")
 	}
 	n.now = n.NextTick()
 	n.Tick(n.now)
 	if !containsMessage(n.Ready().Messages, MessagePreVote, 2) {
-		t.Fatal("sends no pre-vote")
+		t.Fatal("no pre-vote sent to member 2 at the election deadline")
 	}
 }
 
 func TestNode_ChangeMembers_rejectsInvalidChanges(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	follower := g.others(g.leader())[0]
 	for name, change := range map[string]MembershipChange{
 		"new member as a voter": {Add: &Member{ID: 9, Voter: true}},
@@ -151,26 +151,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := leader.ChangeMembers(g.now, change); !errors.Is(err, ErrMembershipChange) {
-				t.Error(err)
+				t.Errorf("change %+v: %v, want %v", change, err, ErrMembershipChange)
 			}
-			g.run(2 * testHeartbeat)
+			g.run(2 * testHeartbeatInterval)
 		})
 	}
 }
 
-// TestNode_ChangeMembers_requiresResponsiveMajority has a leader, which still leads, remove the only voter that
-// answers: itself.
+// TestNode_ChangeMembers_requiresResponsiveMajority verifies that a leader which has not stepped down yet cannot
+// remove itself when it is the only responsive voter.
 func TestNode_ChangeMembers_requiresResponsiveMajority(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	for _, id := range g.others(g.leader()) {
 		g.members[id].stopped = true
 	}
-	g.now += testElection * 9 / 10
+	g.now += testElectionTimeout * 9 / 10
 	leader.leader.electedAt = g.now // as if it had just been elected, so that it does not step down yet
-	g.now += testElection / 2
+	g.now += testElectionTimeout / 2
 	if err := leader.ChangeMembers(g.now, MembershipChange{Remove: g.leader()}); !errors.Is(err, ErrMembershipChange) {
-		t.Error(err)
+		t.Errorf("removing the only responsive voter: %v, want %v", err, ErrMembershipChange)
 	}
 }
--- a/coord/consensus/node.go
+++ b/coord/consensus/node.go
@@ -6,44 +6,43 @@
 	"time"
 )
 
-// NoTick is what NextTick returns if no timeout is running.
+// NoTick is returned by NextTick if no timeout is pending.
 const NoTick = time.Duration(math.MaxInt64)
 
-// Node is one member of a replica group. It is not safe for concurrent use: its caller owns it with one
-// goroutine.
+// Node is one member of a replica group. It is not safe for concurrent use.
 type Node struct {
 	config       Config
 	omittedRules map[Rule]bool
 	random       *rand.Rand
-	now          time.Duration // of the latest call; never decreases
-	diskWritable bool          // SetWritable
+	now          time.Duration // latest time passed by the caller; never decreases
+	diskWritable bool          // as last set by SetWritable
 
 	role     Role
 	term     uint64
-	votedFor MemberID // in term; 0: nobody
+	votedFor MemberID // in term; 0: none
 	leaderID MemberID // in term; 0: unknown
 
 	log          entryLog
-	snapshot     Snapshot     // the latest one: sent to members that lack entries no longer in the log
-	memberships  []membership // the one at or before the first entry of the log, then those in the log
+	snapshot     Snapshot     // latest snapshot; sent to members that need entries no longer in the log
+	memberships  []membership // the one in force at the latest snapshot, then the later ones in the log
 	commitIndex  uint64
-	appliedIndex uint64 // last entry handed out as Ready.Committed
+	appliedIndex uint64 // last entry returned in Ready.Committed
 
-	election    electionState // of a follower or candidate
+	election    electionState // of a follower, pre-candidate or candidate
 	follower    followerState
 	leader      leaderState // of a leader; zero otherwise
 	persistence persistenceTracker
 
-	// What the next Ready hands out.
+	// Output that the next Ready returns.
 	messages            []Message
 	readResults         []ReadResult
 	pendingRestore      *Snapshot
-	unpersistedSnapshot *Snapshot // received from the leader
+	unpersistedSnapshot *Snapshot // received from the leader and not yet in a PersistRequest
 }
 
-// New returns a member that starts from what it found on its disk, which must be durable and pass
-// stored.Check: New panics otherwise. The first Ready returns a stored snapshot as Restore, and the
-// entries known to be committed.
+// New returns a member that starts from the state read from its disk. The state must be durable; New panics if
+// stored.Check returns an error. The first Ready returns the stored snapshot, if any, as Restore and the entries
+// known to be committed.
 func New(config Config, stored PersistedState, now time.Duration) *Node {
 	if err := stored.Check(); err != nil {
 		panic(err)
@@ -66,26 +65,26 @@
 	return n
 }
 
-// restoreLog takes over the stored snapshot and entries.
+// restoreLog initializes the log, the membership and the indexes from the stored snapshot and entries.
 func (n *Node) restoreLog(stored PersistedState) {
-	base := stored.Snapshot
-	n.log = entryLog{baseIndex: base.Index, baseTerm: base.Term}
+	snapshot := stored.Snapshot
+	n.log = entryLog{baseIndex: snapshot.Index, baseTerm: snapshot.Term}
 	n.log.append(stored.Entries...)
-	n.commitIndex = max(base.Index, min(stored.HardState.Commit, n.log.lastIndex()))
-	n.appliedIndex = base.Index
+	n.commitIndex = max(snapshot.Index, min(stored.HardState.Commit, n.log.lastIndex()))
+	n.appliedIndex = snapshot.Index
 	n.follower.verifiedIndex = n.commitIndex
-	n.memberships = []membership{newMembership(base.Index, base.Members)}
+	n.memberships = []membership{newMembership(snapshot.Index, snapshot.Members)}
 	n.recordMemberships(stored.Entries)
-	if base.Index > 0 {
+	if snapshot.Index > 0 {
 		n.pendingRestore = &n.snapshot
 	}
 	n.persistence.stableIndex = n.log.lastIndex()
-	n.persistence.firstUnsaved = n.log.lastIndex() + 1
+	n.persistence.firstUnrequested = n.log.lastIndex() + 1
 }
 
-// restoreTerm takes over the stored term and vote. An entry may have become durable without the term
-// that it belongs to, if power was lost between the two writes: the member has sent no vote in that
-// term then, so that it starts the term with its vote free.
+// restoreTerm initializes the term and the vote. If power was lost between the two writes, an entry may be
+// durable although its term is not. The member cannot have sent a vote in that term then, so it enters the
+// term without a vote.
 func (n *Node) restoreTerm(hardState HardState) {
 	n.term = hardState.Term
 	if n.log.lastTerm() > n.term {
@@ -95,12 +94,13 @@
 	n.persistence.durable = HardState{Term: hardState.Term, Vote: hardState.Vote}
 }
 
-// advanceClock takes over the caller's monotonic time. An earlier time than the latest one is ignored.
+// advanceClock sets the current time to the caller's monotonic time, unless that is earlier.
 func (n *Node) advanceClock(now time.Duration) {
 	n.now = max(n.now, now)
 }
 
-// Tick acts on the time-outs that have passed: of an election, of heartbeats, of a leadership transfer.
+// Tick handles the timeouts that have expired: for elections, heartbeats, the quorum check and leadership
+// transfers.
 func (n *Node) Tick(now time.Duration) {
 	n.advanceClock(now)
 	if n.role == RoleLeader {
@@ -112,7 +112,7 @@
 	}
 }
 
-// NextTick returns the time by which Tick must be called, or NoTick. It may change with every other call.
+// NextTick returns the time at which Tick must be called, or NoTick. Any other call may change it.
 func (n *Node) NextTick() time.Duration {
 	if n.role == RoleLeader {
 		return n.leader.nextTick()
@@ -123,7 +123,8 @@
 	return n.election.deadline
 }
 
-// becomeFollower enters a newer term, or gives up the candidate's or leader's role in the current one.
+// becomeFollower makes the member a follower without a known leader. It enters the given term if that is newer
+// than the current one.
 func (n *Node) becomeFollower(term uint64) {
 	if n.role == RoleLeader {
 		n.resetLeaderState()
@@ -138,14 +139,14 @@
 	}
 }
 
-// enterTerm starts a term with a vote, 0 for none. It becomes durable with the next PersistRequest.
+// enterTerm sets the term and the vote in it, 0 for none. The next PersistRequest contains both.
 func (n *Node) enterTerm(term uint64, vote MemberID) {
 	n.term, n.votedFor = term, vote
 	n.follower.verifiedIndex = n.commitIndex
 	n.follower.ackedIndex = 0
 }
 
-// send queues a message for the next Ready. It is of the current term unless it carries another.
+// send queues a message for the next Ready. A message without a term is sent in the current one.
 func (n *Node) send(message Message) {
 	message.From = n.config.ID
 	if message.Term == 0 {
@@ -154,7 +155,7 @@
 	n.messages = append(n.messages, message)
 }
 
-// commitTo raises the commit index to an index, at most to the end of the log. It never decreases.
+// commitTo raises the commit index to index or the end of the log, whichever is lower. It never lowers it.
 func (n *Node) commitTo(index uint64) {
 	n.commitIndex = max(n.commitIndex, min(index, n.log.lastIndex()))
 }
--- a/coord/consensus/progress.go
+++ b/coord/consensus/progress.go
@@ -1,49 +1,48 @@
 package consensus
 
-import (
-	"time"
-)
+import "time"
 
-// progressState is how a leader sends entries to a peer, as in etcd's raft.
+// progressState determines how a leader sends entries to a peer, as in etcd's raft.
 type progressState uint8
 
 const (
-	stateProbe     progressState = iota // one AppendEntries at a time, until it is known where the logs match
-	stateReplicate                      // several AppendEntries in flight
-	stateSnapshot                       // a snapshot has been sent
+	stateProbe     progressState = iota // one AppendEntries at a time, until the matching index is known
+	stateReplicate                      // pipelined: up to MaxInflight AppendEntries in flight
+	stateSnapshot                       // a snapshot was sent; no entries until the peer has it or the retry pause has passed
 )
 
-// progress is what a leader knows of a peer's log.
+// progress is a leader's view of a peer's log and of the messages sent to the peer.
 type progress struct {
-	id         MemberID
-	removing   bool   // removed by a membership change that is not committed yet
-	matchIndex uint64 // last entry that matches the leader's log and is durable at the peer
-	nextIndex  uint64 // next entry to send
-	sentCommit uint64 // commit index as last sent
+	id             MemberID
+	removalPending bool   // removed by a membership change that is not committed
+	matchIndex     uint64 // last entry that matches the leader's log and is durable at the peer
+	nextIndex      uint64 // next entry to send
+	sentCommit     uint64 // commit index in the latest message
 
 	state     progressState
-	probeSent bool         // stateProbe: the one message is sent
-	inflight  []sentAppend // stateReplicate: the unacknowledged messages, oldest first
+	probeSent bool         // stateProbe: no further AppendEntries until the peer answers
+	inflight  []sentAppend // stateReplicate: unacknowledged messages, oldest first
 
-	contactAt  time.Duration // when the latest heartbeat was sent that it has answered
-	ackedRound uint64        // that heartbeat's round, 0: none yet
+	contactAt  time.Duration // when the latest heartbeat that the peer has answered was sent
+	ackedRound uint64        // round of that heartbeat; 0: none
 
-	// stateReplicate: by the answer to round lossCheckRound, the peer must have received the entries
-	// up to lossCheckIndex, or they were lost. 0: no check is under way.
+	// stateReplicate: if the reply to heartbeat round lossCheckRound does not cover the entries up to
+	// lossCheckIndex, messages were lost. Round 0: no check is in progress.
 	lossCheckIndex uint64
 	lossCheckRound uint64
 
-	snapshotRetryAt time.Duration // when the next snapshot may be sent
-	snapshotBackoff time.Duration // the pause after the next one; 0: not yet sent
+	snapshotRetryAt time.Duration // earliest time of the next snapshot
+	snapshotBackoff time.Duration // minimum pause after the next snapshot; 0: one election timeout
 }
 
-// sentAppend is an AppendEntries that a peer has not acknowledged.
+// sentAppend describes an unacknowledged AppendEntries.
 type sentAppend struct {
-	lastIndex uint64 // of its entries
-	bytes     int    // of its entries
+	lastIndex uint64 // index of its last entry
+	bytes     int    // estimated size of its entries
 }
 
-// inflightBytes returns the size of the entries that the peer has not acknowledged. A peer may have to write them at once.
+// inflightBytes returns the estimated size of the unacknowledged entries. The peer may have to write all of them
+// in one batch.
 func (p *progress) inflightBytes() (sum int) {
 	for _, message := range p.inflight {
 		sum += message.bytes
@@ -51,11 +50,11 @@
 	return sum
 }
 
-// maxSnapshotBackoff bounds the pause between two snapshots to a peer, which doubles from one election
-// timeout on. It is a multiple of that timeout.
+// maxSnapshotBackoff is the maximum pause between two snapshots to a peer, in election timeouts. The pause starts
+// at one election timeout and doubles with each snapshot.
 const maxSnapshotBackoff = 8
 
-// becomeProbe resumes replication at an entry with one message at a time.
+// becomeProbe resumes replication at entry next with one message at a time.
 func (p *progress) becomeProbe(next uint64) {
 	p.state = stateProbe
 	p.nextIndex = next
@@ -64,16 +63,16 @@
 	p.lossCheckRound = 0
 }
 
-// startLossCheck remembers what was sent before a heartbeat round, so that its answer shows what was lost.
-// A check that is under way goes on.
+// startLossCheck records the last entry sent before a heartbeat round, so that the reply to the round shows
+// whether entries were lost. It does nothing while a check is in progress.
 func (p *progress) startLossCheck(round uint64) {
 	if p.state == stateReplicate && p.lossCheckRound == 0 {
 		p.lossCheckIndex, p.lossCheckRound = p.nextIndex-1, round
 	}
 }
 
-// expectedMatchIndex returns the last entry that the peer has, or will have with the snapshot that it is
-// being sent.
+// expectedMatchIndex returns the last entry known to be durable at the peer, or that of the snapshot being sent
+// to it.
 func (p *progress) expectedMatchIndex() uint64 {
 	if p.state == stateSnapshot {
 		return p.nextIndex - 1
@@ -81,7 +80,7 @@
 	return p.matchIndex
 }
 
-// responsive reports whether a peer has answered a heartbeat within the election timeout.
-func (n *Node) responsive(peer *progress) bool {
+// isResponsive reports whether a peer has answered a heartbeat sent within the last election timeout.
+func (n *Node) isResponsive(peer *progress) bool {
 	return peer.ackedRound > 0 && n.now-peer.contactAt <= n.config.ElectionTimeout
 }
--- a/coord/consensus/proposal.go
+++ b/coord/consensus/proposal.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Bounds of the entries that may wait for a majority, so that a leader without followers does not grow
-// without end. An entry that is larger by itself is taken when nothing else waits.
+// Limits of the uncommitted entries, so that the log of a leader that reaches no followers does not grow without
+// bound. A single entry above the byte limit is accepted if no other entry is uncommitted.
 const (
 	maxUncommittedEntries = 4096
 	maxUncommittedBytes   = 8 << 20
@@ -19,7 +19,7 @@
 	return entry
 }
 
-// checkProposable returns why the member takes no proposal now, or nil.
+// checkProposable returns an error unless the member leads and no leadership transfer is in progress.
 func (n *Node) checkProposable() error {
 	if n.role != RoleLeader {
 		return ErrNotLeader
@@ -31,8 +31,8 @@
 }
 
 // Propose appends a command to the leader's log and returns the term and index of its entry. The command is
-// committed once Ready hands out an entry of this term and index; it is lost if an entry of another term
-// takes its place. The core keeps data without copying.
+// committed once Ready returns an entry with this term and index. It is lost if Ready returns an entry of
+// another term at this index. The core retains data without copying it.
 //
 // Errors: ErrNotLeader, ErrTransferInProgress, ErrTooManyUncommitted.
 func (n *Node) Propose(now time.Duration, data []byte) (term, index uint64, err error) {
@@ -53,10 +53,10 @@
 	return entry.Term, entry.Index, nil
 }
 
-// releaseUncommitted subtracts the entries up to quorumIndex, which become committed, from the bytes that
-// wait.
-func (n *Node) releaseUncommitted(quorumIndex uint64) {
-	for _, entry := range n.log.span(n.commitIndex+1, quorumIndex) {
+// reduceUncommittedBytes subtracts the size of the current term's entries up to quorumIndex, which are about to
+// be committed, from the uncommitted bytes.
+func (n *Node) reduceUncommittedBytes(quorumIndex uint64) {
+	for _, entry := range n.log.slice(n.commitIndex+1, quorumIndex) {
 		if entry.Term == n.term {
 			n.leader.uncommittedBytes -= entrySize(&entry)
 		}
--- a/coord/consensus/proposal_test.go
+++ b/coord/consensus/proposal_test.go
@@ -8,46 +8,47 @@
 func TestNode_Propose_uncommittedEntriesAreBounded(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	leader := g.elect()
-	for range maxUncommittedEntries {
+	for i := range maxUncommittedEntries {
 		if _, _, err := leader.Propose(g.now, nil); err != nil {
-			t.Fatal(err)
+			t.Fatalf("proposal %d of %d: %v", i+1, maxUncommittedEntries, err)
 		}
 	}
 	if _, _, err := leader.Propose(g.now, nil); !errors.Is(err, ErrTooManyUncommitted) {
-		t.Fatalf("propose: %v", err)
+		t.Fatalf("proposal beyond %d uncommitted entries: %v, want %v", maxUncommittedEntries, err, ErrTooManyUncommitted)
 	}
 	g.deliverAll()
 	if _, _, err := leader.Propose(g.now, nil); err != nil {
-		t.Fatalf("propose after the commit: %v", err)
+		t.Fatalf("proposal after all entries were committed: %v", err)
 	}
 }
 
-// TestNode_Propose_uncommittedBytesAreBounded proposes large commands: one beyond the bound is taken only when nothing else waits.
+// TestNode_Propose_uncommittedBytesAreBounded proposes large commands. One above the limit is accepted only if no other entry is
+// uncommitted.
 func TestNode_Propose_uncommittedBytesAreBounded(t *testing.T) {
 	for _, size := range []int{maxUncommittedBytes / 4, maxUncommittedBytes - 1, 2 * maxUncommittedBytes} {
 		g := newTestGroup(t, 1, 2, 3)
 		leader := g.elect()
-		waiting := 0
+		uncommitted := 0
 		for {
 			if _, _, err := leader.Propose(g.now, make([]byte, size)); errors.Is(err, ErrTooManyUncommitted) {
 				break
 			} else if err != nil {
-				t.Fatal(err)
+				t.Fatalf("commands of %d bytes: proposal after %d uncommitted bytes: %v", size, uncommitted, err)
 			}
-			waiting += size
+			uncommitted += size
 		}
-		if waiting > max(size, maxUncommittedBytes) {
-			t.Errorf("commands of %d bytes: %d bytes wait", size, waiting)
+		if uncommitted > max(size, maxUncommittedBytes) {
+			t.Errorf("commands of %d bytes: %d bytes uncommitted, want at most %d", size, uncommitted, max(size, maxUncommittedBytes))
 		}
 		g.deliverAll()
 		if _, _, err := leader.Propose(g.now, make([]byte, size)); err != nil {
-			t.Errorf("commands of %d bytes: propose after the commit: %v", size, err)
+			t.Errorf("commands of %d bytes: proposal after all entries were committed: %v", size, err)
 		}
 	}
 }
 
-// TestNode_Ready_unacknowledgedBytesAreBounded sends a peer whose disk is stalled commands that the others commit: what it may have
-// to write at once stays within the bound and one entry.
+// TestNode_Ready_unacknowledgedBytesAreBounded commits commands while the disk of one peer is stalled. The entries that the peer then
+// has to write in one batch must not exceed the in-flight limit by more than one entry.
 func TestNode_Ready_unacknowledgedBytesAreBounded(t *testing.T) {
 	const commandBytes, commands = 3 << 10, 100
 	g := newTestGroup(t, 1, 2, 3)
@@ -57,10 +58,10 @@
 		slow = 2
 	}
 	g.deliverAll()
-	g.members[slow].stalled = true
+	g.members[slow].diskStalled = true
 	for range commands {
 		if _, _, err := leader.Propose(g.now, make([]byte, commandBytes)); err != nil {
-			t.Fatal(err)
+			t.Fatalf("proposing while the disk of member %d is stalled: %v", slow, err)
 		}
 		g.deliverAll()
 	}
@@ -69,13 +70,13 @@
 		pending += entriesSize(write.Entries)
 	}
 	config := testConfig(slow)
-	if bound := config.MaxInflight*config.MaxAppendBytes + commandBytes + entryOverhead; pending > bound || pending == 0 {
-		t.Errorf("%d bytes wait for the disk, bound %d", pending, bound)
+	if bound := config.MaxInflight*config.MaxAppendBytes + commandBytes + entryOverheadBytes; pending > bound || pending == 0 {
+		t.Errorf("%d bytes wait for the stalled disk, want 1 to %d", pending, bound)
 	}
-	g.members[slow].stalled = false
-	g.sync(slow)
-	g.run(testElection)
+	g.members[slow].diskStalled = false
+	g.syncDisk(slow)
+	g.run(testElectionTimeout)
 	if applied := len(g.members[slow].applied); applied != commands {
-		t.Errorf("the peer has applied %d of %d commands after its disk came back", applied, commands)
+		t.Errorf("member %d has applied %d commands after its disk recovered, want %d", slow, applied, commands)
 	}
 }
--- a/coord/consensus/read.go
+++ b/coord/consensus/read.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// readQueue is a leader's pending reads. A round of heartbeats confirms reads that were asked for before it
-// started, so that at most one round is in progress for all of them.
+// readQueue holds a leader's pending reads. A round of heartbeats confirms the reads requested before the round
+// started. Later reads wait for the next round, so that one round serves any number of reads.
 type readQueue struct {
-	pending []uint64 // IDs that wait for the next round
-	inRound []roundRead
+	pending []uint64    // IDs of the reads that wait for the next round
+	inRound []roundRead // reads of rounds in progress, oldest first
 }
 
-// roundRead is a read that the replies to a round of heartbeats confirm.
+// roundRead is a read that is confirmed by a majority's replies to a round of heartbeats.
 type roundRead struct {
 	id, index, round uint64
 }
 
-// ReadIndex asks for an index that covers everything acknowledged before the call (dissertation 6.4). The
-// answer comes in Ready.Reads: with OK once a majority has answered a round of heartbeats that started
-// after the call, or without if the member no longer leads. ID is the caller's, to tell answers apart.
+// ReadIndex requests an index at which the state machine reflects every command acknowledged before the call
+// (dissertation 6.4). Ready.Reads returns the result under the caller's id: with OK once a majority has answered
+// a round of heartbeats that started after the call, or without OK if the member has lost leadership.
 //
 // Errors: ErrNotLeader.
 func (n *Node) ReadIndex(now time.Duration, id uint64) error {
@@ -33,14 +33,15 @@
 	return nil
 }
 
-// canServeReads reports whether the leader's commit index covers everything that former terms committed: it
-// does once an entry of its own term is committed.
+// canServeReads reports whether the leader's commit index is known to cover all entries committed in former
+// terms, which is so once an entry of the leader's own term is committed.
 func (n *Node) canServeReads() bool {
 	return n.currentTermCommitted() || !n.enforces(RuleReadCurrentTerm)
 }
 
-// startReads starts a round of heartbeats for the pending reads, unless one is in progress for others.
-func (n *Node) startReads() {
+// startReadRound starts a round of heartbeats for the pending reads, unless other reads wait for a round in
+// progress.
+func (n *Node) startReadRound() {
 	reads := &n.leader.reads
 	if len(reads.pending) == 0 || len(reads.inRound) > 0 || !n.canServeReads() {
 		return
@@ -48,8 +49,8 @@
 	n.broadcastHeartbeat()
 }
 
-// assignReads assigns the pending reads to the round that starts.
-func (n *Node) assignReads() {
+// assignReadsToRound assigns the pending reads to the round that is about to be sent.
+func (n *Node) assignReadsToRound() {
 	reads := &n.leader.reads
 	if !n.canServeReads() {
 		return
@@ -60,23 +61,23 @@
 	reads.pending = nil
 }
 
-// confirmReads answers the reads whose round a majority has answered.
+// confirmReads returns the results of the reads whose round a majority has answered.
 func (n *Node) confirmReads() {
 	reads := &n.leader.reads
 	if len(reads.inRound) == 0 {
 		return
 	}
 	confirmed := n.quorumValue(n.members(), n.ackedRoundOf)
-	done := 0
-	for done < len(reads.inRound) && reads.inRound[done].round <= confirmed {
-		read := reads.inRound[done]
+	confirmedCount := 0
+	for confirmedCount < len(reads.inRound) && reads.inRound[confirmedCount].round <= confirmed {
+		read := reads.inRound[confirmedCount]
 		n.readResults = append(n.readResults, ReadResult{ID: read.id, Index: read.index, OK: true})
-		done++
+		confirmedCount++
 	}
-	reads.inRound = reads.inRound[done:]
+	reads.inRound = reads.inRound[confirmedCount:]
 }
 
-// ackedRoundOf returns the latest round that a member has answered.
+// ackedRoundOf returns the latest round that a member has answered, or 0.
 func (n *Node) ackedRoundOf(id MemberID) uint64 {
 	if id == n.config.ID {
 		return n.leader.lastRound
@@ -87,7 +88,7 @@
 	return 0
 }
 
-// failReads answers all pending reads of a leader that steps down, without OK.
+// failReads returns all pending reads without OK when the leader steps down.
 func (n *Node) failReads() {
 	reads := &n.leader.reads
 	for _, read := range reads.inRound {
--- a/coord/consensus/ready.go
+++ b/coord/consensus/ready.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Ready is everything that a member wants its caller to do since the last call of Node.Ready.
+// Ready is the output of a member since the previous call of Node.Ready, for the caller to process.
 type Ready struct {
-	Persist   *PersistRequest // nil: nothing. Several may be written in one batch, apart from the caller's loop
-	Messages  []Message       // may be sent at once; those that depend on Persist are released by Persisted
-	Restore   *Snapshot       // replaces the state of the state machine, before Committed is applied
-	Committed []Entry         // to be applied in order; each is handed out once in a process's life
+	Persist   *PersistRequest // nil: nothing to write. Several requests may be batched and written asynchronously
+	Messages  []Message       // to be sent without waiting for Persist; Persisted releases those that depend on it
+	Restore   *Snapshot       // replaces the state of the state machine before Committed is applied
+	Committed []Entry         // to be applied in order; a Node returns each entry once
 	Reads     []ReadResult
 }
 
-// PersistRequest is what is to be made durable, in this order: Snapshot, then Entries, then HardState.
-// Entries replace all stored entries from the index of the first one on.
+// PersistRequest is state to be made durable, in this order: Snapshot, Entries, HardState. Entries replace all
+// stored entries from the index of the first one on.
 type PersistRequest struct {
 	Sequence  uint64 // to be passed to Persisted once all of it is durable
 	HardState *HardState
 	Entries   []Entry
-	Snapshot  *Snapshot // received from the leader; replaces the whole log
+	Snapshot  *Snapshot // received from the leader; replaces the entire stored log
 }
 
-// ReadResult answers a ReadIndex.
+// ReadResult is the result of a ReadIndex.
 type ReadResult struct {
 	ID    uint64 // as passed to ReadIndex
-	Index uint64 // the state machine may be read once this entry is applied
+	Index uint64 // the state machine may be read once the entry at this index is applied
 	OK    bool   // false: leadership was lost or could not be confirmed
 }
 
-// Ready returns everything that is to be done since the last call. It must be called after each event;
-// several events may share a call, which then batches their messages and writes.
+// Ready returns the member's output since the previous call. It must be called after every event or batch of
+// events; a call for several events batches their messages and writes.
 func (n *Node) Ready() Ready {
 	if n.role == RoleLeader {
 		n.replicateAll()
@@ -40,20 +40,20 @@
 		Reads:    n.readResults,
 	}
 	if n.appliedIndex < n.commitIndex {
-		ready.Committed = n.log.span(n.appliedIndex+1, n.commitIndex)
+		ready.Committed = n.log.slice(n.appliedIndex+1, n.commitIndex)
 		n.appliedIndex = n.commitIndex
 	}
 	n.messages, n.pendingRestore, n.readResults = nil, nil, nil
 	return ready
 }
 
-// nextPersistRequest returns what has not been handed out yet, or nil. A commit index that rose causes no
-// write of its own: after a restart it is learnt again from the leader.
+// nextPersistRequest returns a request with the state that no earlier one contains, or nil if there is none. A
+// higher commit index alone causes no write: after a restart the leader sends it again.
 func (n *Node) nextPersistRequest() *PersistRequest {
 	hardState := HardState{Term: n.term, Vote: n.votedFor, Commit: n.commitIndex}
 	lastRequested := n.persistence.lastRequested
 	termOrVoteChanged := hardState.Term != lastRequested.Term || hardState.Vote != lastRequested.Vote
-	entries := n.log.span(n.persistence.firstUnsaved, n.log.lastIndex())
+	entries := n.log.slice(n.persistence.firstUnrequested, n.log.lastIndex())
 	if !termOrVoteChanged && len(entries) == 0 && n.unpersistedSnapshot == nil {
 		return nil
 	}
@@ -67,15 +67,15 @@
 		request.HardState, write.hardState = &hardState, &hardState
 	}
 	n.persistence.lastRequested = hardState
-	n.persistence.firstUnsaved = n.log.lastIndex() + 1
+	n.persistence.firstUnrequested = n.log.lastIndex() + 1
 	n.persistence.pending = append(n.persistence.pending, write)
 	n.unpersistedSnapshot = nil
 	return request
 }
 
-// Persisted reports that the PersistRequest of this sequence, and all before it, are durable. It releases
-// the messages that depend on them: votes, vote requests and acknowledgements. A leader counts its own
-// copy of the entries from here on.
+// Persisted reports that the PersistRequest with this sequence and all earlier ones are durable. It releases the
+// messages that depend on them: votes, vote requests and acknowledgements. A leader counts itself towards the
+// majority for the entries that have become durable.
 func (n *Node) Persisted(now time.Duration, sequence uint64) {
 	n.advanceClock(now)
 	n.persistence.complete(sequence)
--- a/coord/consensus/ready_test.go
+++ b/coord/consensus/ready_test.go
@@ -1,27 +1,25 @@
 package consensus
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestNode_Persisted_leaderCommitsWhileItsDiskStalls(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
-	first := g.leader()
-	g.members[first].stalled = true
+	leaderID := g.leader()
+	g.members[leaderID].diskStalled = true
 	g.propose("a")
 	g.propose("b")
-	for _, id := range g.order {
+	for _, id := range g.ids {
 		g.wantApplied(id, "a", "b")
 	}
-	if pending := len(g.members[first].pendingWrites); pending < 2 {
-		t.Fatalf("%d pending writes", pending)
+	if pending := len(g.members[leaderID].pendingWrites); pending < 2 {
+		t.Fatalf("leader with a stalled disk: %d pending writes, want at least 2", pending)
 	}
-	last := g.members[first].pendingWrites[len(g.members[first].pendingWrites)-1]
-	leader := g.members[first].node
+	last := g.members[leaderID].pendingWrites[len(g.members[leaderID].pendingWrites)-1]
+	leader := g.members[leaderID].node
 	leader.Persisted(g.now, last.Sequence)
-	if stable, _ := leader.MatchIndex(first); stable != leader.Status().LastIndex {
-		t.Fatalf("durable up to %d of %d", stable, leader.Status().LastIndex)
+	if durable, _ := leader.MatchIndex(leaderID); durable != leader.Status().LastIndex {
+		t.Fatalf("leader after all writes are durable: match index %d, want %d", durable, leader.Status().LastIndex)
 	}
 }
 
@@ -34,10 +32,10 @@
 	second := n.Ready()
 	n.Persisted(0, first.Persist.Sequence)
 	if got := n.ackableIndex(); got > 1 {
-		t.Fatalf("acknowledges %d by the write before the truncation", got)
+		t.Fatalf("acknowledgeable index %d after the write from before the truncation, want at most 1", got)
 	}
 	n.Persisted(0, second.Persist.Sequence)
 	if got := n.ackableIndex(); got != 3 {
-		t.Fatalf("acknowledges %d, want 3", got)
+		t.Fatalf("acknowledgeable index %d after the write from after the truncation, want 3", got)
 	}
 }
--- a/coord/consensus/replication.go
+++ b/coord/consensus/replication.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// peer returns the progress of a peer, or nil if it is none of the leader's.
+// peer returns the progress of the peer with an ID, or nil if the leader has no such peer.
 func (n *Node) peer(id MemberID) *progress {
 	for _, peer := range n.leader.peers {
 		if peer.id == id {
@@ -12,7 +12,7 @@
 	return nil
 }
 
-// syncPeers makes the peers those of the current membership. Removed ones stay until their removal is
+// syncPeers updates the leader's peers to the current membership. Removed peers stay until their removal is
 // committed.
 func (n *Node) syncPeers() {
 	for _, member := range n.members() {
@@ -20,29 +20,29 @@
 			continue
 		}
 		if peer := n.peer(member.ID); peer != nil {
-			peer.removing = false
+			peer.removalPending = false
 			continue
 		}
 		n.leader.peers = append(n.leader.peers, &progress{id: member.ID, nextIndex: n.log.lastIndex() + 1})
 	}
 	for _, peer := range n.leader.peers {
 		_, known := findMember(n.members(), peer.id)
-		peer.removing = !known
+		peer.removalPending = !known
 	}
 }
 
-// dropRemovedPeers sends removed peers the entries up to their committed removal, and forgets them.
+// dropRemovedPeers sends removed peers the entries up to their committed removal, and stops tracking them.
 func (n *Node) dropRemovedPeers() {
 	n.leader.peers = slices.DeleteFunc(n.leader.peers, func(peer *progress) bool {
-		if peer.removing {
+		if peer.removalPending {
 			n.sendFinalEntries(peer)
 		}
-		return peer.removing
+		return peer.removalPending
 	})
 }
 
-// sendFinalEntries sends a removed peer the entries that it lacks up to the commit index, in one message,
-// unless they are many.
+// sendFinalEntries sends a removed peer the entries that it lacks up to the commit index in one message, unless
+// there are more than maxPromotionLag or compaction has dropped some.
 func (n *Node) sendFinalEntries(peer *progress) {
 	prevIndex := peer.matchIndex
 	prevTerm, present := n.log.term(prevIndex)
@@ -55,21 +55,21 @@
 		LogIndex: prevIndex,
 		LogTerm:  prevTerm,
 		Commit:   n.commitIndex,
-		Entries:  n.log.span(prevIndex+1, n.commitIndex),
+		Entries:  n.log.slice(prevIndex+1, n.commitIndex),
 	})
 }
 
-// replicateAll sends peers the entries, snapshots and commit index that they lack. Ready calls it, once for
-// all events since the Ready before.
+// replicateAll sends peers the entries, snapshots and commit index that they lack. Ready calls it once for all
+// events since the previous Ready.
 func (n *Node) replicateAll() {
-	n.startReads()
+	n.startReadRound()
 	for _, peer := range n.leader.peers {
 		n.replicateTo(peer)
 	}
 	n.finishTransfer()
 }
 
-// replicateTo sends a peer the entries that it lacks, as far as its state allows, and the commit index.
+// replicateTo sends a peer the entries that it lacks, as far as its state allows, and a new commit index.
 func (n *Node) replicateTo(peer *progress) {
 	for peer.nextIndex <= n.log.lastIndex() && n.canSend(peer) {
 		n.sendEntries(peer)
@@ -79,7 +79,7 @@
 	}
 }
 
-// canSend reports whether the peer's state allows a further AppendEntries.
+// canSend reports whether the peer's state and the in-flight limits allow another AppendEntries.
 func (n *Node) canSend(peer *progress) bool {
 	switch peer.state {
 	case stateProbe:
@@ -92,8 +92,8 @@
 	}
 }
 
-// sendEntries sends a peer one AppendEntries from its next index on, without entries if it has all of them.
-// If they are no longer in the log, it sends a snapshot.
+// sendEntries sends a peer one AppendEntries with entries from its next index on, or without entries if it has
+// been sent all of them. If compaction has dropped the entry that precedes them, it sends a snapshot instead.
 func (n *Node) sendEntries(peer *progress) {
 	prevIndex := peer.nextIndex - 1
 	prevTerm, present := n.log.term(prevIndex)
@@ -101,7 +101,7 @@
 		n.sendSnapshot(peer)
 		return
 	}
-	entries := n.log.sizeLimited(peer.nextIndex, n.config.MaxAppendBytes)
+	entries := n.log.limitedSlice(peer.nextIndex, n.config.MaxAppendBytes)
 	n.send(Message{
 		Kind:     MessageAppendEntries,
 		To:       peer.id,
@@ -119,8 +119,8 @@
 	peer.inflight = append(peer.inflight, sentAppend{lastIndex: peer.nextIndex - 1, bytes: entriesSize(entries)})
 }
 
-// sendSnapshot sends the latest snapshot to a peer that has answered a heartbeat, unless the last one was
-// sent too recently. Until then the peer is only probed.
+// sendSnapshot sends the latest snapshot to a peer that has answered a heartbeat, unless the previous one was sent
+// too recently. If none can be sent, the peer stays in stateProbe.
 func (n *Node) sendSnapshot(peer *progress) {
 	peer.becomeProbe(peer.nextIndex)
 	peer.probeSent = true
@@ -136,13 +136,14 @@
 	n.send(Message{Kind: MessageInstallSnapshot, To: peer.id, Commit: n.commitIndex, Snapshot: &snapshot})
 }
 
-// sendCommitIndex sends a peer the commit index alone; it does not reply.
+// sendCommitIndex sends a peer a heartbeat that only carries the commit index and requests no reply.
 func (n *Node) sendCommitIndex(peer *progress) {
 	peer.sentCommit = n.commitIndex
 	n.send(Message{Kind: MessageHeartbeat, To: peer.id, Commit: n.commitIndex})
 }
 
-// handleAppendEntriesReply records what a peer acknowledged, or goes back to where the logs may match.
+// handleAppendEntriesReply records the entries that a peer acknowledged, or lowers its next index after a
+// rejection.
 func (n *Node) handleAppendEntriesReply(message Message) {
 	peer := n.peer(message.From)
 	if n.role != RoleLeader || peer == nil {
@@ -155,8 +156,8 @@
 	n.updateMatch(peer, message.LogIndex, message.HintIndex)
 }
 
-// backtrack lowers a peer's next index to where the logs may match. A peer that rejects what it
-// acknowledged has lost its disk without a new ID: it gets no more than the probes that follow heartbeat
+// backtrack lowers a peer's next index to where the logs may match. It ignores rejections of entries that the peer
+// has acknowledged: such a peer lost its disk without a new ID, and is only sent the probes that follow heartbeat
 // replies.
 func (n *Node) backtrack(peer *progress, message Message) {
 	stale := message.LogIndex <= peer.matchIndex || message.LogIndex >= peer.nextIndex
@@ -169,8 +170,8 @@
 	peer.becomeProbe(max(peer.matchIndex, n.highestPossibleMatch(message.HintIndex, message.HintTerm)) + 1)
 }
 
-// highestPossibleMatch returns the highest index at which a peer's log may match whose entry at index has
-// the given term. It lies before the log's first entry if only a snapshot helps.
+// highestPossibleMatch returns the highest index at which a peer's log may match, given the term of the peer's
+// entry at index. The result is before baseIndex if the peer needs a snapshot.
 func (n *Node) highestPossibleMatch(index, term uint64) uint64 {
 	if index < n.log.baseIndex {
 		return index
@@ -182,8 +183,8 @@
 	return found
 }
 
-// updateMatch records that a peer's log matches up to matchingIndex and is durable up to durableIndex. Once
-// the entry before the next index matches, replication goes on with several messages in flight.
+// updateMatch records that a peer's log matches up to matchingIndex and is durable up to durableIndex. Once the
+// entry before the peer's next index matches, replication continues with several messages in flight.
 func (n *Node) updateMatch(peer *progress, durableIndex, matchingIndex uint64) {
 	matchingIndex = min(max(matchingIndex, durableIndex), n.log.lastIndex())
 	peer.matchIndex = max(peer.matchIndex, min(durableIndex, n.log.lastIndex()))
--- a/coord/consensus/replication_test.go
+++ b/coord/consensus/replication_test.go
@@ -1,13 +1,11 @@
 package consensus
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestGroup_lostMessagesAreResent(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
-	g.run(testElection)
+	g.run(testElectionTimeout)
 	lost := 0
 	g.dropMessage = func(message Message) bool {
 		drop := (message.Kind == MessageAppendEntries || message.Kind == MessageAppendEntriesReply) && lost < 6
@@ -17,8 +15,8 @@
 		return drop
 	}
 	g.propose("a")
-	g.run(10 * testHeartbeat)
-	for _, id := range g.order {
+	g.run(10 * testHeartbeatInterval)
+	for _, id := range g.ids {
 		g.wantApplied(id, "a")
 	}
 }
@@ -33,22 +31,22 @@
 		n.step(Message{Kind: MessageAppendEntriesReply, From: 2, Term: 2, Reject: true, LogIndex: 2})
 	}
 	if sent := n.Ready().Messages; len(sent) > 1 {
-		t.Fatalf("%d messages", len(sent))
+		t.Fatalf("%d messages after 5 equal rejections, want at most 1: %+v", len(sent), sent)
 	}
 }
 
 func TestGroup_idleSendsHeartbeatsOnly(t *testing.T) {
 	g := newTestGroup(t, 1, 2, 3)
 	g.elect()
-	g.run(testElection)
-	g.sent = 0
-	g.run(10 * testHeartbeat)
-	if want := 2 * 2 * 10; g.sent > want {
-		t.Fatalf("%d messages in %v, want at most %d", g.sent, 10*testHeartbeat, want)
+	g.run(testElectionTimeout)
+	g.sentMessages = 0
+	g.run(10 * testHeartbeatInterval)
+	if want := 2 * 2 * 10; g.sentMessages > want {
+		t.Fatalf("idle group sent %d messages in %v, want at most %d", g.sentMessages, 10*testHeartbeatInterval, want)
 	}
-	for _, id := range g.order {
-		if id != g.leader() && g.members[id].node.NextTick() < g.now+testElection/2 {
-			t.Fatal("a follower has a tick too early")
+	for _, id := range g.ids {
+		if id != g.leader() && g.members[id].node.NextTick() < g.now+testElectionTimeout/2 {
+			t.Fatalf("idle follower %d: next tick in %v, want at least %v", id, g.members[id].node.NextTick()-g.now, testElectionTimeout/2)
 		}
 	}
 }
--- a/coord/consensus/rules_test.go
+++ b/coord/consensus/rules_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// ruleNode is a single member, with ID 1, whose messages a test plays by hand.
+// ruleNode is the member with ID 1, to which a test passes the messages of all other members.
 type ruleNode struct {
 	*Node
 	t   *testing.T
 	now time.Duration
 }
 
-// persistedLog returns the state of a member of a group of members 1 to 3 whose log continues with commands
-// of the given terms.
+// persistedLog returns the state of a member of the group of voters 1 to 3. After the bootstrap snapshot, its log
+// has commands of the given terms.
 func persistedLog(terms ...uint64) PersistedState {
 	stored := Bootstrap(testVoters(1, 2, 3), nil)
-	for at, term := range terms {
-		stored.Entries = append(stored.Entries, Entry{Term: term, Index: uint64(at) + 2, Data: []byte("x")})
+	for i, term := range terms {
+		stored.Entries = append(stored.Entries, Entry{Term: term, Index: uint64(i) + 2, Data: []byte("x")})
 		stored.HardState.Term = term
 	}
 	return stored
 }
 
-// newRuleNode starts the member without some rules.
+// newRuleNode starts member 1 from a stored state, without enforcing the omitted rules.
 func newRuleNode(t *testing.T, stored PersistedState, omitted ...Rule) *ruleNode {
 	config := testConfig(1)
 	config.OmitRules = omitted
 	return &ruleNode{Node: New(config, stored, 0), t: t}
 }
 
-// persistAll processes what is ready, reports it durable and returns it with the messages that are released
-// by that.
+// persistAll reports the member's pending writes durable. It returns its Ready together with the messages, entries
+// and reads that this released.
 func (n *ruleNode) persistAll() Ready {
 	ready := n.Ready()
 	if ready.Persist != nil {
@@ -44,13 +44,13 @@
 	return ready
 }
 
-// step passes a message to the member.
+// step passes a message with the member as receiver.
 func (n *ruleNode) step(message Message) {
 	message.To = 1
 	n.Step(n.now, message)
 }
 
-// becomeLeader makes the member leader of the next term by member 2's vote.
+// becomeLeader makes the member leader of the next term with member 2's vote.
 func (n *ruleNode) becomeLeader() {
 	n.t.Helper()
 	n.now = n.NextTick()
@@ -59,29 +59,29 @@
 	n.persistAll()
 	n.step(Message{Kind: MessageRequestVoteReply, From: 2, Term: n.Status().Term})
 	if n.Status().Role != RoleLeader {
-		n.t.Fatalf("no leader: %+v", n.Status())
+		n.t.Fatalf("after member 2's vote: status %+v, want the leader", n.Status())
 	}
 }
 
-// ackAppend has a peer acknowledge the log up to an index.
+// ackAppend passes a peer's acknowledgement of the log up to an index.
 func (n *ruleNode) ackAppend(peer MemberID, index uint64) {
 	n.step(Message{Kind: MessageAppendEntriesReply, From: peer, Term: n.Status().Term, LogIndex: index, HintIndex: index})
 }
 
-// ackHeartbeat has a peer answer the latest round of heartbeats.
+// ackHeartbeat passes a peer's reply to the latest round of heartbeats.
 func (n *ruleNode) ackHeartbeat(peer MemberID) {
 	n.step(Message{Kind: MessageHeartbeatReply, From: peer, Term: n.Status().Term, HeartbeatRound: n.leader.lastRound})
 }
 
-// readIndex starts a read.
+// readIndex starts a read and fails the test if the member rejects it.
 func (n *ruleNode) readIndex(id uint64) {
 	n.t.Helper()
 	if err := n.ReadIndex(n.now, id); err != nil {
-		n.t.Fatal(err)
+		n.t.Fatalf("ReadIndex %d: %v", id, err)
 	}
 }
 
-// containsMessage reports whether a message of a kind goes to a member that is no rejection.
+// containsMessage reports whether messages contain one of a kind to a member that is not a rejection.
 func containsMessage(messages []Message, kind MessageKind, to MemberID) bool {
 	for _, message := range messages {
 		if message.Kind == kind && message.To == to && !message.Reject {
@@ -91,9 +91,9 @@
 	return false
 }
 
-// ruleScenarios are, by rule, sequences of events that do harm if the rule is omitted. They report whether
-// harm was done.
-var ruleScenarios = map[Rule]func(t *testing.T, omitted ...Rule) (harm bool){
+// ruleScenarios has a sequence of events for each rule that leads to a violation if the rule is omitted. The
+// functions report whether the violation occurred.
+var ruleScenarios = map[Rule]func(t *testing.T, omitted ...Rule) (violated bool){
 	RuleVoteOnce: func(t *testing.T, omitted ...Rule) bool {
 		n := newRuleNode(t, persistedLog(), omitted...)
 		n.step(Message{Kind: MessageRequestVote, From: 2, Term: 5, LogIndex: 9, LogTerm: 4})
@@ -187,7 +187,7 @@
 		n.ackAppend(2, 2)
 		n.ackHeartbeat(2)
 		if err := n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 4}}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("adding learner 4: %v", err)
 		}
 		return n.ChangeMembers(n.now, MembershipChange{Add: &Member{ID: 5}}) == nil
 	},
@@ -247,10 +247,10 @@
 		n.step(Message{Kind: MessageAppendEntriesReply, From: 3, Term: n.Status().Term, Reject: true, LogIndex: 1})
 		n.ackHeartbeat(3)
 		if !containsMessage(n.persistAll().Messages, MessageInstallSnapshot, 3) {
-			t.Fatal("no snapshot is sent")
+			t.Fatal("no snapshot sent to member 3, which needs compacted entries")
 		}
 		if _, index, err := n.Propose(n.now, []byte("x")); err != nil || index != 3 {
-			t.Fatal(index, err)
+			t.Fatalf("Propose: index %d, error %v, want index 3 and no error", index, err)
 		}
 		n.persistAll()
 		n.ackAppend(2, 3)
@@ -266,19 +266,19 @@
 	},
 }
 
-func TestRules_eachPreventsHarm(t *testing.T) {
+func TestRules_eachPreventsAViolation(t *testing.T) {
 	for _, rule := range Rules() {
 		if ruleScenarios[rule] == nil {
-			t.Errorf("%s: no scenario", rule)
+			t.Errorf("rule %s has no scenario", rule)
 		}
 	}
 	for rule, scenario := range ruleScenarios {
 		t.Run(string(rule), func(t *testing.T) {
 			if scenario(t) {
-				t.Error("harm although the rule is enforced")
+				t.Errorf("violation although rule %s is enforced", rule)
 			}
 			if !scenario(t, rule) {
-				t.Error("no harm without the rule")
+				t.Errorf("no violation with rule %s omitted, want one", rule)
 			}
 		})
 	}
--- a/coord/consensus/transfer.go
+++ b/coord/consensus/transfer.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// leadershipTransfer is a transfer of leadership to another voter. Proposals are rejected meanwhile.
+// leadershipTransfer is a transfer of leadership to another voter. The leader rejects proposals while one is in
+// progress.
 type leadershipTransfer struct {
 	target         MemberID      // 0: no transfer is in progress
-	deadline       time.Duration // when it is given up
+	deadline       time.Duration // when the transfer is aborted
 	timeoutNowSent bool
-	retryAt        time.Duration // when a leader whose disk takes no writes may start another
+	retryAt        time.Duration // earliest next attempt of a leader whose disk takes no writes
 }
 
-// TransferLeadership starts a transfer of leadership to another voter, or to the one with the most complete
-// log if target is 0. Until another leader is known, or an election timeout has passed, proposals are
-// rejected.
+// TransferLeadership starts a transfer of leadership to another voter or, if target is 0, to the responsive one
+// with the most complete log. Proposals are rejected until the member steps down or an election timeout has
+// passed.
 //
 // Errors: ErrNotLeader, ErrTransferInProgress, ErrNoTransferTarget.
 func (n *Node) TransferLeadership(now time.Duration, target MemberID) error {
@@ -35,11 +36,11 @@
 	return nil
 }
 
-// bestTransferTarget returns the responsive voter with the most complete durable log, or nil.
+// bestTransferTarget returns the responsive peer that is a voter and has the most complete durable log, or nil.
 func (n *Node) bestTransferTarget() *progress {
 	var best *progress
 	for _, peer := range n.leader.peers {
-		if !n.responsive(peer) || !n.isVoter(peer.id) {
+		if !n.isResponsive(peer) || !n.isVoter(peer.id) {
 			continue
 		}
 		if best == nil || peer.matchIndex > best.matchIndex {
@@ -49,8 +50,8 @@
 	return best
 }
 
-// startTransferToBestPeer starts a transfer away from a leader whose disk takes no writes, unless the last
-// attempt was less than two election timeouts ago.
+// startTransferToBestPeer starts a transfer from a leader whose disk takes no writes to the best target, unless the
+// previous attempt started less than two election timeouts ago.
 func (n *Node) startTransferToBestPeer() {
 	transfer := &n.leader.transfer
 	if transfer.target != 0 || n.now < transfer.retryAt {
@@ -68,8 +69,7 @@
 	}
 }
 
-// tickTransfer gives up a transfer that takes too long, and starts one if the leader's disk takes no
-// writes.
+// tickTransfer aborts a transfer whose deadline has passed, and starts one if the leader's disk takes no writes.
 func (n *Node) tickTransfer() {
 	transfer := &n.leader.transfer
 	if transfer.target != 0 && n.now >= transfer.deadline {
@@ -80,7 +80,7 @@
 	}
 }
 
-// finishTransfer asks the target to start an election once its log is complete and durable.
+// finishTransfer asks the target to start an election once its durable log is complete.
 func (n *Node) finishTransfer() {
 	transfer := &n.leader.transfer
 	if transfer.target == 0 || transfer.timeoutNowSent {
@@ -94,7 +94,7 @@
 	n.send(Message{Kind: MessageTimeoutNow, To: transfer.target})
 }
 
-// handleTimeoutNow starts an election at once, without a pre-vote: the leader itself asked for it.
+// handleTimeoutNow starts an election without a pre-vote, because the leader itself requested it.
 func (n *Node) handleTimeoutNow(message Message) {
 	if message.From != n.leaderID || !n.canCampaign() {
 		return
