--- a/internal/controlplane/configuration/bench_test.go
+++ b/internal/controlplane/configuration/bench_test.go
@@ -12,7 +12,7 @@
 	addedRoutes        = 350
 )
 
-// configurationWithRoutes is a configuration with many routes and a member of fill bytes in each.
+// configurationWithRoutes returns a configuration with that many routes, each with an unknown member of padding bytes.
 func configurationWithRoutes(generation uint64, routes, padding int) string {
 	list := make([]string, 0, routes)
 	for number := 0; number < routes; number++ {
@@ -23,7 +23,8 @@
 	return configurationOf(generation, list, []string{exampleService, examplePlainService})
 }
 
-// benchmarkReplace replaces a small configuration by one with many routes, each with fill bytes in an unknown member.
+// benchmarkReplace measures the replacement of a small configuration by one with 400 routes, each with an unknown member of
+// padding bytes.
 func benchmarkReplace(b *testing.B, padding int) {
 	store := NewStore()
 	mustAccept(b, store, replaceCommand(0, exampleConfiguration(1)))
@@ -35,21 +36,21 @@
 	for b.Loop() {
 		fresh := NewStore()
 		if err := fresh.Restore(start); err != nil {
-			b.Fatal(err)
+			b.Fatalf("restore the initial snapshot: %v", err)
 		}
 		if outcome, change := fresh.Apply(2, entry); outcome.Code != CodeAccepted || len(change.Put) < manyRoutes {
-			b.Fatal(outcome)
+			b.Fatalf("replace: got %+v with %d changed items, want code %s and at least %d items", outcome, len(change.Put), CodeAccepted, manyRoutes)
 		}
 	}
 }
 
-// BenchmarkReplaceManyRoutes measures a replacement by 400 routes.
+// BenchmarkReplaceManyRoutes measures a replacement by a configuration with 400 routes.
 func BenchmarkReplaceManyRoutes(b *testing.B) { benchmarkReplace(b, 0) }
 
-// BenchmarkReplaceFourMegabytes measures a replacement by 400 routes of 4 MiB in total.
+// BenchmarkReplaceFourMegabytes measures a replacement by a configuration with 400 routes of 4 MiB in total.
 func BenchmarkReplaceFourMegabytes(b *testing.B) { benchmarkReplace(b, largeDocumentBytes/manyRoutes) }
 
-// BenchmarkUpdateAddsRoutes measures one update that adds 350 routes to 400.
+// BenchmarkUpdateAddsRoutes measures one update that adds 350 routes to a configuration with 400.
 func BenchmarkUpdateAddsRoutes(b *testing.B) {
 	body := configurationWithRoutes(1, manyRoutes, 0)
 	added := strings.NewReplacer(`"r`, `"q`, "/p", "/q").Replace(configurationWithRoutes(2, addedRoutes, 0))
@@ -65,12 +66,12 @@
 		fresh.accepted = map[commandDigest]struct{}{}
 		fresh.acceptedOrder = nil
 		if outcome, change := fresh.Apply(2, entry); outcome.Code != CodeAccepted || len(change.Put) != addedRoutes+1 {
-			b.Fatal(outcome, len(change.Put))
+			b.Fatalf("update that adds %d routes: got %+v with %d changed items, want code %s and %d items", addedRoutes, outcome, len(change.Put), CodeAccepted, addedRoutes+1)
 		}
 	}
 }
 
-// BenchmarkUpdateOfOneRoute measures an update of one of 400 routes.
+// BenchmarkUpdateOfOneRoute measures an update that replaces one of 400 routes.
 func BenchmarkUpdateOfOneRoute(b *testing.B) {
 	store := NewStore()
 	mustAccept(b, store, replaceCommand(0, configurationWithRoutes(1, manyRoutes, 0)))
@@ -80,18 +81,19 @@
 		route := routeNamed("r3", "h", "/p3/", "huvo11a", int(generation))
 		entry := EncodeCommand(updateCommand(generation, fmt.Sprintf(`{"generation":%d,"upsert":{"routes":[%s]}}`, generation+1, route)))
 		if outcome, _ := store.Apply(generation, entry); outcome.Code != CodeAccepted {
-			b.Fatal(outcome)
+			b.Fatalf("update on generation %d: got %+v, want code %s", generation, outcome, CodeAccepted)
 		}
 		generation++
 	}
 }
 
-// TestStore_Apply_largeDocuments applies what the benchmarks measure once.
+// TestStore_Apply_largeDocuments applies replacements as large as those of the benchmarks once, and checks the number of
+// items.
 func TestStore_Apply_largeDocuments(t *testing.T) {
 	store := NewStore()
 	mustAccept(t, store, replaceCommand(0, configurationWithRoutes(1, manyRoutes, largeDocumentBytes/manyRoutes)))
 	mustAccept(t, store, replaceCommand(1, configurationWithRoutes(2, manyRoutes+addedRoutes, 0)))
-	if len(store.Items()) != manyRoutes+addedRoutes+4 {
-		t.Fatal(len(store.Items()))
+	if got, want := len(store.Items()), manyRoutes+addedRoutes+4; got != want {
+		t.Fatalf("got %d feed items, want %d", got, want)
 	}
 }
--- a/internal/controlplane/configuration/cluster_test.go
+++ b/internal/controlplane/configuration/cluster_test.go
@@ -8,65 +8,66 @@
 	"slices"
 )
 
-// injectedDefect names a defect of the servers around the store, for runs that show that the checks detect it.
+// injectedDefect names a defect of the servers around the store. Tests inject it to show that the history checks detect it.
 type injectedDefect string
 
-// The defects that a cluster may have.
+// The defects that can be injected.
 const (
-	rejectsLostProposals injectedDefect = "rejects-lost-proposals" // a proposal that its leader has lost is rejected with 412
-	answersBeforeCommit  injectedDefect = "answers-before-commit"  // an entry is answered when it is proposed, not when it is committed
+	rejectsLostProposals injectedDefect = "rejects-lost-proposals" // a proposal that is lost in a change of leader is rejected with 412
+	answersBeforeCommit  injectedDefect = "answers-before-commit"  // a command is answered when it is proposed, before it is committed
 )
 
-// clusterOptions configure a random cluster.
+// clusterOptions configures a random cluster.
 type clusterOptions struct {
 	replicas, operators int
-	maxPending          int  // greatest number that one operator has pending
-	maxRemembered       int  // changes that a store remembers
-	rejectEarly         bool // any server rejects by the state that it has applied, however stale
+	maxPending          int  // maximum number of commands that one operator has pending
+	maxRemembered       int  // accepted changes that a store remembers
+	rejectEarly         bool // any server may reject a command based on its own, possibly stale state
 	omitRules           []Rule
 	defect              injectedDefect
 }
 
-// errStoresDiffer reports a violation of determinism.
+// errStoresDiffer is the violation that two replicas differ after the same log.
 var errStoresDiffer = errors.New("two stores that applied the same log differ")
 
-// noProposer stands for a proposer that has answered already.
+// noProposer is the proposer of an entry that has been answered already.
 const noProposer = -1
 
-// proposal is an entry with the replica that answers for it.
+// proposal is a log entry with the replica that proposed it and answers it.
 type proposal struct {
 	command     Command
 	proposer    int
-	incarnation int // of the proposer, which no longer answers after a restart
+	incarnation int // incarnation of the proposer, which no longer answers after a restart
 }
 
-// replicaModel is one server's store with its disk.
+// replicaModel is the store of one server and the snapshot on its disk.
 type replicaModel struct {
 	store         *Store
-	applied       int // entries of the log
+	applied       int // number of log entries that the store has applied
 	incarnation   int
-	savedSnapshot []byte // snapshot on disk
-	savedAt       int
+	savedSnapshot []byte // on disk; nil if none was saved
+	savedAt       int    // number of log entries that savedSnapshot includes
 }
 
 // operatorModel is an operator that sends commands and retries them.
 type operatorModel struct {
-	knownGeneration uint64 // the latest generation that it knows of
-	pending         []Command
-	sent            []Command // all commands that it has created
+	knownGeneration uint64    // highest generation that it has read or was acknowledged
+	pending         []Command // commands without a final answer
+	sent            []Command // all commands that it has created, pending or not
 }
 
-// cluster is a log with the stores that apply it and the operators that send commands, all in one goroutine.
+// cluster is a model of a replica group and its operators: a log, the stores that apply it, and the operators that send
+// commands. It runs in one goroutine, and a seed determines all its steps.
 type cluster struct {
 	options     clusterOptions
 	random      *rand.Rand
 	log         []proposal // committed
-	outcomes    []Outcome  // of the log's entries, from the first store that applied them
-	uncommitted []proposal // in the log of the leader alone
+	outcomes    []Outcome  // of the log entries, as given by the first store that applied them
+	uncommitted []proposal // only in the log of the leader
 	leader      int
 	replicas    []*replicaModel
 	operators   []*operatorModel
-	inFlight    []Command // copies of commands that have not arrived
+	inFlight    []Command // sent commands that have not arrived at the leader
 	history     *historyChecker
 	counts      map[Code]int
 }
@@ -91,10 +92,10 @@
 	return store
 }
 
-// stepWeights is the sum of the weights of the steps. The weight of a step is how many cases it has.
+// stepWeights is the sum of the weights of all kinds of steps. The weight of a kind is the number of its cases in step.
 const stepWeights = 20
 
-// step makes one random step.
+// step executes one random step.
 func (c *cluster) step() error {
 	switch c.random.IntN(stepWeights) {
 	case 0, 1, 2:
@@ -115,7 +116,7 @@
 	return c.readConfiguration(c.operators[c.random.IntN(len(c.operators))])
 }
 
-// createCommand gives an operator a new command to send.
+// createCommand adds a new command to the pending commands of an operator that has fewer than maxPending.
 func (c *cluster) createCommand(operator *operatorModel) error {
 	if len(operator.pending) >= c.options.maxPending {
 		return nil
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// randomCommand returns a command based on what an operator knows or on one of its own commands, or a copy of another
-// operator's command.
+// randomCommand returns a new command, based on the generation that the operator knows or on a later one, or a duplicate of
+// a command that any operator has sent, possibly on another base.
 func (c *cluster) randomCommand(operator *operatorModel) Command {
 	other := c.operators[c.random.IntN(len(c.operators))]
 	if len(other.sent) > 0 && c.random.IntN(6) == 0 {
@@ -139,7 +140,7 @@
 	}
 	base := operator.knownGeneration
 	if len(operator.pending) > 0 && c.random.IntN(3) == 0 {
-		base += 1 + c.random.Uint64N(2) // based on a command that is still pending, or on a generation that never exists
+		base += 1 + c.random.Uint64N(2) // the generation of a command that is still pending, or one that never exists
 	}
 	generation := base + c.random.Uint64N(3)
 	if c.random.IntN(4) == 0 {
@@ -148,14 +149,14 @@
 	return updateCommand(base, randomUpdate(generation, c.random.Uint32N(64)))
 }
 
-// send makes an operator send one of its open commands, possibly again.
+// send makes an operator send one of its pending commands, possibly not for the first time.
 func (c *cluster) send(operator *operatorModel) error {
 	if len(operator.pending) == 0 {
 		return nil
 	}
 	command := operator.pending[c.random.IntN(len(operator.pending))]
 	rejection := ValidateCommand(command)
-	if rejection != nil && c.random.IntN(4) > 0 { // a server of another version may know fewer checks
+	if rejection != nil && c.random.IntN(4) > 0 { // a server of another version may perform fewer checks
 		return c.answer(command, Outcome{HTTPStatus: rejection.HTTPStatus, Code: rejection.Code})
 	}
 	if c.options.rejectEarly {
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// deliver makes the leader propose a copy that was in flight.
+// deliver makes the leader propose a command that was in flight.
 func (c *cluster) deliver() error {
 	if len(c.inFlight) == 0 {
 		return nil
@@ -192,7 +193,7 @@
 	return c.answer(command, outcome)
 }
 
-// applyToCopy returns the outcome that a command would have now.
+// applyToCopy returns the outcome of a command on a copy of the replica's store.
 func applyToCopy(replica *replicaModel, command Command) (Outcome, error) {
 	scratch, err := restartedStore(replica.store)
 	if err != nil {
@@ -201,14 +202,15 @@
 	return applyCommand(scratch, command), nil
 }
 
-// commit moves the first uncommitted entries to the log.
+// commit moves the first count uncommitted entries to the log.
 func (c *cluster) commit(count int) error {
 	c.log = append(c.log, c.uncommitted[:count]...)
 	c.uncommitted = slices.Clone(c.uncommitted[count:])
 	return nil
 }
 
-// changeLeader makes another replica the leader, which has only the first uncommitted entries.
+// changeLeader makes a random replica the leader. It keeps a random number of the first uncommitted entries; the others are
+// lost.
 func (c *cluster) changeLeader() error {
 	retained := c.random.IntN(len(c.uncommitted) + 1)
 	lost := c.uncommitted[retained:]
@@ -225,7 +227,7 @@
 	return nil
 }
 
-// apply makes a replica apply the next entry of the log.
+// apply makes a replica apply the next log entry, and answer it if this replica proposed it.
 func (c *cluster) apply(position int) error {
 	replica := c.replicas[position]
 	if replica.applied == len(c.log) {
@@ -242,7 +244,7 @@
 		}
 	}
 	if first := c.outcomes[replica.applied-1]; first != outcome {
-		return fmt.Errorf("entry %d: %+v, elsewhere %+v", replica.applied, outcome, first)
+		return fmt.Errorf("entry %d has outcome %+v on replica %d, but %+v on the first replica that applied it", replica.applied, outcome, position, first)
 	}
 	if entry.proposer == position && entry.incarnation == replica.incarnation {
 		return c.answer(entry.command, outcome)
@@ -250,7 +252,8 @@
 	return nil
 }
 
-// saveOrRestart makes a replica save its state, restart from what it has saved, or install another one's snapshot.
+// saveOrRestart makes a replica save a snapshot, restart from the saved one, or install the snapshot of a replica that has
+// applied more entries.
 func (c *cluster) saveOrRestart(replica *replicaModel) error {
 	switch c.random.IntN(3) {
 	case 0:
@@ -277,7 +280,8 @@
 	return replica.store.Restore(replica.savedSnapshot)
 }
 
-// read makes an operator read the configuration in force, confirmed by a majority.
+// readConfiguration makes an operator read the configuration from the leader after it has applied the whole log, as a read
+// confirmed by a majority does.
 func (c *cluster) readConfiguration(operator *operatorModel) error {
 	for c.replicas[c.leader].applied < len(c.log) {
 		if err := c.apply(c.leader); err != nil {
@@ -289,7 +293,7 @@
 	return c.history.checkRead(store)
 }
 
-// answer gives the operators an answer, which may be lost. A final one ends the command.
+// answer sends an answer to the operators, which may be lost. If it is final, the command is no longer pending.
 func (c *cluster) answer(command Command, outcome Outcome) error {
 	if err := c.history.recordAnswer(command, outcome.HTTPStatus); err != nil {
 		return err
@@ -310,7 +314,8 @@
 	return nil
 }
 
-// drain delivers all copies, sends each command once more, and makes all replicas apply the whole log.
+// drain sends each valid command once more, delivers all commands in flight, and makes all replicas apply the whole log. It
+// returns an error if their states then differ.
 func (c *cluster) drain() error {
 	for _, operator := range c.operators {
 		for _, command := range operator.sent {
@@ -340,7 +345,7 @@
 	return c.history.checkRead(c.replicas[0].store)
 }
 
-// run makes random steps and returns the first violation.
+// run executes random steps and then drains the cluster. It returns the first violation.
 func (c *cluster) run(steps int) error {
 	for range steps {
 		if err := c.step(); err != nil {
--- a/internal/controlplane/configuration/compatibility_test.go
+++ b/internal/controlplane/configuration/compatibility_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// commandRow is a row of a command of the log.
+// commandRow returns the golden row of a log entry that contains the command.
 func commandRow(name string, command configuration.Command) golden.Row {
 	return golden.Row{
 		Name: name, Value: command,
@@ -16,19 +16,20 @@
 	}
 }
 
-// compatibilityRows are a command of each kind, and the snapshot that they lead to, whose value is the document.
+// compatibilityRows returns the golden rows of a command of each kind, of the snapshot after both, whose value is the
+// document, and of that document.
 func compatibilityRows() []golden.Row {
-	const whole = `{"generation":1,"routes":[{"name":"r","hostname":"chat.example","pathPrefix":"/","timeoutMs":4000,"service":"chat"}],` +
+	const configurationBody = `{"generation":1,"routes":[{"name":"r","hostname":"chat.example","pathPrefix":"/","timeoutMs":4000,"service":"chat"}],` +
 		`"services":[{"name":"chat","healthPath":"/health","maxConnections":100,"protocol":"h1","tls":false}],` +
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000},"notes":{"by":"a"}}`
 	commands := []configuration.Command{
-		{Kind: configuration.CommandReplace, Body: []byte(whole)},
+		{Kind: configuration.CommandReplace, Body: []byte(configurationBody)},
 		{Kind: configuration.CommandUpdate, Base: 1, Body: []byte(`{"generation":2}`)},
 	}
 	store := configuration.NewStore()
 	for index, command := range commands {
 		if outcome, _ := store.Apply(uint64(index+1), configuration.EncodeCommand(command)); outcome.Code != configuration.CodeAccepted {
-			panic(outcome.Text) // the commands are constant
+			panic(outcome.Text) // the commands are constant and valid
 		}
 	}
 	return []golden.Row{
@@ -50,4 +51,6 @@
 	}
 }
 
-func TestForms_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
+// TestStoredFormats_matchVersion8782861 checks that stored commands, snapshots and documents are encoded and decoded as in
+// version 8782861, which wrote the golden files.
+func TestStoredFormats_matchVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
--- a/internal/controlplane/configuration/example_data_test.go
+++ b/internal/controlplane/configuration/example_data_test.go
@@ -18,7 +18,7 @@
 
 const exampleLimits = `{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}`
 
-// configurationOf returns a complete configuration with the given lists.
+// configurationOf returns a complete configuration with the given routes and services.
 func configurationOf(generation uint64, routes, services []string) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[%s],"limits":%s,"notes":{"by":"a"}}`,
 		generation, strings.Join(routes, ","), strings.Join(services, ","), exampleLimits)
@@ -47,27 +47,28 @@
 	return outcome
 }
 
+// mustAccept applies a command and fails the test unless it is valid and accepted.
 func mustAccept(t testing.TB, store *Store, command Command) {
 	t.Helper()
 	if rejection := ValidateCommand(command); rejection != nil {
-		t.Fatal(rejection)
+		t.Fatalf("ValidateCommand(%.200s on %d): got %v, want no rejection", command.Body, command.Base, rejection)
 	}
 	if outcome := applyCommand(store, command); outcome.Code != CodeAccepted {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("apply %.200s on %d: got %+v, want code %s", command.Body, command.Base, outcome, CodeAccepted)
 	}
 }
 
-// requireSameJSON compares two texts as JSON.
+// requireEqualJSON fails the test unless the two texts are equal as JSON values.
 func requireEqualJSON(t testing.TB, got, expected string) {
 	t.Helper()
 	var gotValue, expectedValue any
 	if err := json.Unmarshal([]byte(got), &gotValue); err != nil {
-		t.Fatalf("%v: %s", err, got)
+		t.Fatalf("parse the JSON got: %v: %s", err, got)
 	}
 	if err := json.Unmarshal([]byte(expected), &expectedValue); err != nil {
-		t.Fatalf("%v: %s", err, expected)
+		t.Fatalf("parse the expected JSON: %v: %s", err, expected)
 	}
 	if !reflect.DeepEqual(gotValue, expectedValue) {
-		t.Fatalf("got %s\nexpected %s", got, expected)
+		t.Fatalf("got  %s\nwant %s", got, expected)
 	}
 }
--- a/internal/controlplane/configuration/example_test.go
+++ b/internal/controlplane/configuration/example_test.go
@@ -6,8 +6,8 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// ExampleStore applies four log entries, as each replica of the configuration shard does: a first configuration, a change based
-// on it, a competing change on the same base, and a retry of the second entry.
+// ExampleStore applies four log entries, as each replica of the configuration shard does: the first configuration, a change
+// based on it, a competing change on the same base, and a retry of the second entry.
 func ExampleStore() {
 	entries := []configuration.Command{
 		{Kind: configuration.CommandReplace, Base: 0, Body: []byte(`{"generation":1,"routes":[],"services":[{"name":"chat"}]}`)},
--- a/internal/controlplane/configuration/property_test.go
+++ b/internal/controlplane/configuration/property_test.go
@@ -20,7 +20,7 @@
 	randomHosts = 2
 )
 
-// randomUpdate derives an update, valid or not, from a random number.
+// randomUpdate returns an update, valid or invalid, whose content is determined by the random number.
 func randomUpdate(generation uint64, random uint32) string {
 	routes := []string{}
 	for index := uint32(0); index < random%3; index++ {
@@ -37,15 +37,17 @@
 		generation, strings.Join(routes, ","), services, removed)
 }
 
-// randomConfiguration is a complete configuration that random updates change.
+// randomConfiguration returns a complete configuration to which random updates are applied.
 func randomConfiguration(generation uint64) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[],"services":[{"name":"s0"},{"name":"s1"}],"other":[1]}`, generation)
 }
 
+// TestStore_updatesEqualReplaceWithResult checks that a follower of the feed has the items of the store after each update, that
+// ValidateCommand rejects no update that is accepted, and that replacing with the resulting document gives the same state.
 func TestStore_updatesEqualReplaceWithResult(t *testing.T) {
 	accepted := 0
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed))
-	properties.Property("items, document and feed agree", prop.ForAll(
+	properties.Property("items, document and feed agree after each update", prop.ForAll(
 		func(numbers []uint32) bool {
 			store := NewStore()
 			mustAccept(t, store, replaceCommand(0, randomConfiguration(1)))
@@ -74,13 +76,15 @@
 	))
 	properties.TestingRun(t)
 	if accepted < 100 {
-		t.Fatalf("only %d updates were accepted: the property is hardly tested", accepted)
+		t.Fatalf("only %d updates were accepted, want at least 100, so that the property is tested with enough changes", accepted)
 	}
 }
 
+// TestStore_replicasAgreeThroughSnapshots checks that a replica that is restored from its snapshot before each entry has the same
+// outcomes, feed changes and state as one that is not.
 func TestStore_replicasAgreeThroughSnapshots(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 1))
-	properties.Property("a replica that is restored in between has the same state", prop.ForAll(
+	properties.Property("a replica restored before each entry has the same state", prop.ForAll(
 		func(numbers []uint32) bool {
 			first, second := NewStore(), NewStore()
 			entries := [][]byte{EncodeCommand(replaceCommand(0, randomConfiguration(1)))}
@@ -109,7 +113,7 @@
 
 func TestStore_Apply_oneOfTwoChangesOnSameBaseWins(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 2))
-	properties.Property("the second is rejected, each duplicate is acknowledged", prop.ForAll(
+	properties.Property("the second change is rejected, and a duplicate of the first is acknowledged", prop.ForAll(
 		func(increment, otherIncrement uint8, loserReplaces bool) bool {
 			store := NewStore()
 			mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
@@ -130,7 +134,7 @@
 
 func TestStore_Document_preservesRawMembers(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(randomSeed + 3))
-	properties.Property("what was sent is read back", prop.ForAll(
+	properties.Property("the document contains the route byte for byte", prop.ForAll(
 		func(text string, number float64, spaces uint8) bool {
 			blank := strings.Repeat(" ", int(spaces%5))
 			unknown := fmt.Sprintf(`{%s"text":%q,"number":%g}`, blank, strings.ToValidUTF8(text, ""), number)
--- a/internal/controlplane/configuration/random_commands_test.go
+++ b/internal/controlplane/configuration/random_commands_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 const (
-	randomClusters       = 150 // of each shape
+	randomClusters       = 150 // clusters of each shape
 	randomSteps          = 400
-	fewRememberedChanges = 3 // remembered changes, so few that commands outlive them
+	fewRememberedChanges = 3 // remembered changes, so few that duplicates arrive after they are forgotten
 )
 
-// clusterShapes differ in the numbers of replicas, operators, pending commands and remembered changes.
+// clusterShapes returns options with different numbers of replicas, operators, pending commands and remembered changes.
 func clusterShapes() []clusterOptions {
 	return []clusterOptions{
 		{replicas: 3, operators: 2, maxPending: 3, maxRemembered: maxRememberedChanges},
@@ -17,12 +17,12 @@
 	}
 }
 
-// TestStore_randomCommands has operators send and retry commands at any server, while leaders change, proposals are lost at
-// unknown points, answers are lost, and servers restart, replay the log and install snapshots.
+// TestStore_randomCommands checks the history of random clusters in which operators send and retry commands at any server, while
+// the leader changes, proposals and answers are lost, and servers restart, replay the log and install snapshots.
 func TestStore_randomCommands(t *testing.T) { runRandomClusters(t, false) }
 
-// TestStore_rejectionsHoldForAnyState checks that a rejection is final whatever state it is based on: any server could reject by
-// its own replica, however stale that is. Only an acknowledgement needs the log.
+// TestStore_rejectionsHoldForAnyState checks that a rejection is final even if it is based on a stale state: any server may
+// reject a command based on its own replica. Only an acknowledgement requires the log.
 func TestStore_rejectionsHoldForAnyState(t *testing.T) { runRandomClusters(t, true) }
 
 func runRandomClusters(t *testing.T, rejectEarly bool) {
@@ -32,7 +32,7 @@
 		for seed := range uint64(randomClusters) {
 			random := newCluster(shape, seed)
 			if err := random.run(randomSteps); err != nil {
-				t.Fatalf("%+v, seed %d: %v", shape, seed, err)
+				t.Fatalf("cluster %+v, seed %d: %v", shape, seed, err)
 			}
 			for code, count := range random.counts {
 				counts[code] += count
@@ -41,14 +41,15 @@
 	}
 	for _, code := range []Code{CodeAccepted, CodeRepeated, CodeBaseNotCurrent, CodeBaseAhead, CodeBaseForgotten, CodeUnknownService} {
 		if counts[code] < randomClusters/10 {
-			t.Errorf("%s occurred only %d times: the case is hardly tested", codes.Entry(code).Name, counts[code])
+			t.Errorf("result %s occurred %d times, want at least %d, so that the case is tested often enough", codes.Entry(code).Name, counts[code], randomClusters/10)
 		}
 	}
-	t.Logf("%d clusters: %d accepted, %d repeated, %d lost races, %d ahead, %d forgotten",
+	t.Logf("%d clusters: %d accepted, %d repeated, %d base not current, %d base ahead, %d base forgotten",
 		randomClusters*len(clusterShapes()), counts[CodeAccepted], counts[CodeRepeated], counts[CodeBaseNotCurrent], counts[CodeBaseAhead], counts[CodeBaseForgotten])
 }
 
-// firstViolation returns the number of the first random cluster with a violation, and that violation.
+// firstViolation runs random clusters with modified options until one has a violation. It returns the number of clusters run,
+// and the violation.
 func firstViolation(modify func(options *clusterOptions)) (number int, violation error) {
 	for seed := range uint64(randomClusters) {
 		for _, shape := range clusterShapes() {
@@ -62,21 +63,21 @@
 	return number, nil
 }
 
-// TestRules_omissionIsDetectedByRandomCommands checks that each rule of the store, and each property of the servers around it, is
-// needed: without it a random cluster violates a promise.
+// TestRules_omissionIsDetectedByRandomCommands checks that each rule of the store is needed, and that defects of the servers
+// around it are detected: a random cluster without the rule, or with the defect, has a violation.
 func TestRules_omissionIsDetectedByRandomCommands(t *testing.T) {
 	for _, rule := range Rules() {
 		number, violation := firstViolation(func(options *clusterOptions) { options.omitRules = []Rule{rule} })
 		if violation == nil {
-			t.Errorf("no violation without %s", rule)
+			t.Errorf("without rule %s: no violation in %d clusters, want one", rule, number)
 		}
-		t.Logf("without %s: %v (cluster %d)", rule, violation, number)
+		t.Logf("without rule %s: violation in cluster %d: %v", rule, number, violation)
 	}
 	for _, defect := range []injectedDefect{rejectsLostProposals, answersBeforeCommit} {
 		number, violation := firstViolation(func(options *clusterOptions) { options.defect = defect })
 		if violation == nil {
-			t.Errorf("no violation although a server %s", defect)
+			t.Errorf("with defect %s: no violation in %d clusters, want one", defect, number)
 		}
-		t.Logf("%s: %v (cluster %d)", defect, violation, number)
+		t.Logf("with defect %s: violation in cluster %d: %v", defect, number, violation)
 	}
 }
--- a/internal/controlplane/configuration/store.go
+++ b/internal/controlplane/configuration/store.go
@@ -153,13 +153,13 @@
 	return change.apply(d)
 }
 
-// outcome returns the outcome of a change that is accepted now or was accepted before.
+// acceptedOutcome returns the outcome of a change that is accepted now or was accepted before.
 func (s *Store) acceptedOutcome(code Code) Outcome {
 	entry := codes.Entry(code)
 	return Outcome{HTTPStatus: entry.HTTPStatus, Code: code, Text: entry.Text, Generation: s.document.generation}
 }
 
-// rejected returns the outcome of a rejected change.
+// rejectedOutcome returns the outcome of a rejected change.
 func (s *Store) rejectedOutcome(rejection *Rejection) Outcome {
 	return Outcome{HTTPStatus: rejection.HTTPStatus, Code: rejection.Code, Text: rejection.Text, Generation: s.document.generation}
 }
--- a/internal/controlplane/configuration/store_test.go
+++ b/internal/controlplane/configuration/store_test.go
@@ -13,15 +13,15 @@
 func TestStore_Apply_replaceAndUpdate(t *testing.T) {
 	store := NewStore()
 	if store.Generation() != 0 || len(store.Items()) != 0 {
-		t.Fatal("a new store has no configuration")
+		t.Fatalf("new store: got generation %d and items %v, want generation 0 and no items", store.Generation(), store.Items())
 	}
 	requireEqualJSON(t, string(store.Document()), `{"generation":0,"routes":[],"services":[]}`)
 	outcome, change := store.Apply(5, EncodeCommand(replaceCommand(0, exampleConfiguration(7))))
 	if outcome.HTTPStatus != http.StatusOK || outcome.Generation != 7 || change.Index != 5 {
-		t.Fatalf("%+v %+v", outcome, change)
+		t.Fatalf("first replace: got %+v and feed change %+v, want status 200, generation 7 and index 5", outcome, change)
 	}
 	if !reflect.DeepEqual(change.Put, store.Items()) || len(change.Put) != 6 || change.Delete != nil {
-		t.Fatalf("%+v", change)
+		t.Fatalf("first replace: got feed change %+v, want to put the 6 items %v and to delete none", change, store.Items())
 	}
 	requireEqualJSON(t, string(store.Document()), exampleConfiguration(7))
 	shorter := routeNamed("r-3d3zji9", "ficu95.example", "/lohu930/", "wuno96b", 99)
@@ -29,14 +29,15 @@
 	update := fmt.Sprintf(`{"generation":9,"upsert":{"routes":[%s,%s]},"remove":{"routes":["r-n73hh2b","r-old"]}}`, added, shorter)
 	outcome, change = store.Apply(6, EncodeCommand(updateCommand(7, update)))
 	if outcome.Code != CodeAccepted || outcome.Generation != 9 {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("update: got %+v, want code %s and generation 9", outcome, CodeAccepted)
 	}
 	keys := []string{}
 	for _, item := range change.Put {
 		keys = append(keys, item.Key)
 	}
-	if !reflect.DeepEqual(keys, []string{"generation", "route/r-3d3zji9", "route/r-new"}) || !reflect.DeepEqual(change.Delete, []string{"route/r-n73hh2b"}) {
-		t.Fatalf("%v %v", keys, change.Delete)
+	wantPut, wantDelete := []string{"generation", "route/r-3d3zji9", "route/r-new"}, []string{"route/r-n73hh2b"}
+	if !reflect.DeepEqual(keys, wantPut) || !reflect.DeepEqual(change.Delete, wantDelete) {
+		t.Fatalf("update: got keys %v to put and %v to delete, want %v and %v", keys, change.Delete, wantPut, wantDelete)
 	}
 	requireEqualJSON(t, string(store.Document()), configurationOf(9, []string{shorter, added}, []string{exampleService, examplePlainService}))
 }
@@ -54,15 +55,15 @@
 	mustAccept(t, store, replaceCommand(0, `{"generation" : 7.0 , "routes":[ `+route+` ],"services":[{"name":"s"}],"big":123456789012345678901234567890}`))
 	for _, part := range []string{route, `7.0`, `123456789012345678901234567890`} {
 		if !bytes.Contains(store.Document(), []byte(part)) {
-			t.Errorf("%s is not in %s", part, store.Document())
+			t.Errorf("the document does not contain the bytes %s: %s", part, store.Document())
 		}
 	}
 	if store.Generation() != 7 || store.Items()[1].Key != "route/r1" {
-		t.Fatalf("%d %v", store.Generation(), store.Items())
+		t.Fatalf("got generation %d and items %v, want generation 7 and the second item with key route/r1", store.Generation(), store.Items())
 	}
 }
 
-// invalidReplaceBodies are invalid in any state, with the code of their rejection.
+// invalidReplaceBodies returns bodies that are invalid in every state, with the code of their rejection.
 func invalidReplaceBodies() map[string]Code {
 	services := []string{`{"name":"s"}`}
 	route := func(fields string) string {
@@ -116,14 +117,14 @@
 		before := store.Snapshot()
 		command := replaceCommand(7, body)
 		if rejection := ValidateCommand(command); rejection == nil || rejection.Code != code || rejection.HTTPStatus != http.StatusBadRequest {
-			t.Errorf("%s: %v, not %v", body, rejection, code)
+			t.Errorf("ValidateCommand of a replace with %s: got %v, want code %s and status 400", body, rejection, code)
 		}
 		outcome, change := store.Apply(2, EncodeCommand(command))
 		if outcome.HTTPStatus != http.StatusBadRequest || outcome.Code != code || outcome.Generation != 7 {
-			t.Errorf("%s: %+v", body, outcome)
+			t.Errorf("replace with %s: got %+v, want code %s, status 400 and generation 7", body, outcome, code)
 		}
 		if len(change.Put)+len(change.Delete) > 0 || !bytes.Equal(before, store.Snapshot()) {
-			t.Errorf("%s changed the state", body)
+			t.Errorf("the rejected replace with %s changed the state, with feed change %+v", body, change)
 		}
 	}
 }
@@ -154,13 +155,13 @@
 		before := store.Snapshot()
 		outcome := applyCommand(store, updateCommand(7, body))
 		if outcome.HTTPStatus != http.StatusBadRequest || outcome.Code != code {
-			t.Errorf("%s: %+v, not %v", body, outcome, code)
+			t.Errorf("update with %s: got %+v, want code %s and status 400", body, outcome, code)
 		}
 		if !bytes.Equal(before, store.Snapshot()) {
-			t.Errorf("%s changed the state", body)
+			t.Errorf("the rejected update with %s changed the state", body)
 		}
 		if rejection := ValidateCommand(updateCommand(7, body)); rejection != nil && rejection.Code != code {
-			t.Errorf("%s: without the state %v, not %v", body, rejection, code)
+			t.Errorf("ValidateCommand of an update with %s: got %v, want code %s or no rejection", body, rejection, code)
 		}
 	}
 }
@@ -170,29 +171,30 @@
 	mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
 	for _, command := range []Command{replaceCommand(0, exampleConfiguration(9)), replaceCommand(6, `{`)} {
 		if outcome := applyCommand(store, command); outcome.HTTPStatus != http.StatusPreconditionFailed || outcome.Code != CodeBaseNotCurrent {
-			t.Errorf("%+v", outcome)
+			t.Errorf("replace with %s on base %d: got %+v, want code %s and status 412", command.Body, command.Base, outcome, CodeBaseNotCurrent)
 		}
 	}
 }
 
-// TestStore_Apply_baseAheadIsUndecided checks that a change based on one which is still pending gets no final answer, since it
-// may be accepted later.
+// TestStore_Apply_baseAheadIsUndecided checks that the result is not final for a change based on one that is still pending, since
+// it may be accepted later.
 func TestStore_Apply_baseAheadIsUndecided(t *testing.T) {
 	store := NewStore()
 	mustAccept(t, store, replaceCommand(0, exampleConfiguration(7)))
 	early := updateCommand(9, `{"generation":11}`)
 	before := store.Snapshot()
 	if outcome := applyCommand(store, early); outcome.HTTPStatus != http.StatusServiceUnavailable || outcome.Code != CodeBaseAhead {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("update on base 9 while generation 7 is in force: got %+v, want code %s and status 503", outcome, CodeBaseAhead)
 	}
 	if !bytes.Equal(before, store.Snapshot()) {
-		t.Fatal("a change without a final answer has changed the state")
+		t.Fatal("an update with the result base_ahead changed the state")
 	}
 	mustAccept(t, store, updateCommand(7, `{"generation":9}`))
 	mustAccept(t, store, early)
 }
 
-// TestStore_Apply_duplicateNeedsSameKindBaseAndBytes checks that only the same call, X-Base-Version and body make a duplicate.
+// TestStore_Apply_duplicateNeedsSameKindBaseAndBytes checks that a command is a duplicate only if it has the same kind, the same
+// base (X-Base-Version) and the same bytes.
 func TestStore_Apply_duplicateNeedsSameKindBaseAndBytes(t *testing.T) {
 	store := NewStore()
 	body := exampleConfiguration(7)
@@ -204,14 +206,14 @@
 		code    Code
 	}{
 		{"unchanged", replaceCommand(0, body), CodeRepeated},
-		{"another base that was passed", replaceCommand(7, body), CodeBaseNotCurrent},
+		{"another base, no longer in force", replaceCommand(7, body), CodeBaseNotCurrent},
 		{"another base, in force", replaceCommand(9, body), CodeGenerationNotAbove},
-		{"another call", updateCommand(0, body), CodeBaseNotCurrent},
-		{"a space more", replaceCommand(0, body+" "), CodeBaseNotCurrent},
+		{"another kind", updateCommand(0, body), CodeBaseNotCurrent},
+		{"an additional space", replaceCommand(0, body+" "), CodeBaseNotCurrent},
 		{"members in another order", replaceCommand(0, strings.Replace(body, `"name":"huvo11a","healthPath":"/health"`, `"healthPath":"/health","name":"huvo11a"`, 1)), CodeBaseNotCurrent},
 	} {
 		if outcome := applyCommand(store, test.command); outcome.Code != test.code {
-			t.Errorf("%s: %+v, not %d", test.name, outcome, test.code)
+			t.Errorf("%s: got %+v, want code %s", test.name, outcome, test.code)
 		}
 	}
 }
@@ -222,10 +224,10 @@
 	for _, generation := range []uint64{6, 7} {
 		command := replaceCommand(7, exampleConfiguration(generation))
 		if outcome := applyCommand(store, command); outcome.Code != CodeGenerationNotAbove {
-			t.Errorf("%+v", outcome)
+			t.Errorf("replace with generation %d on base 7: got %+v, want code %s", generation, outcome, CodeGenerationNotAbove)
 		}
 		if rejection := ValidateCommand(command); rejection == nil || rejection.Code != CodeGenerationNotAbove {
-			t.Errorf("%v", rejection)
+			t.Errorf("ValidateCommand of a replace with generation %d on base 7: got %v, want code %s", generation, rejection, CodeGenerationNotAbove)
 		}
 	}
 }
@@ -239,19 +241,19 @@
 	for _, command := range []Command{first, second, first} {
 		outcome, change := store.Apply(9, EncodeCommand(command))
 		if outcome.HTTPStatus != http.StatusOK || outcome.Code != CodeRepeated || outcome.Generation != 9 {
-			t.Errorf("%+v", outcome)
+			t.Errorf("duplicate of %s: got %+v, want code %s, status 200 and generation 9", command.Body, outcome, CodeRepeated)
 		}
 		if len(change.Put)+len(change.Delete) != 0 {
-			t.Errorf("%+v", change)
+			t.Errorf("duplicate of %s: got feed change %+v, want none", command.Body, change)
 		}
 	}
 	if outcome := applyCommand(store, updateCommand(0, string(first.Body))); outcome.HTTPStatus != http.StatusPreconditionFailed {
-		t.Errorf("the same body as another kind is another change: %+v", outcome)
+		t.Errorf("accepted body as a command of another kind: got %+v, want status 412", outcome)
 	}
 }
 
-// TestStore_Apply_forgetsDuplicatesBeyondBound checks that a change too old to be remembered gets no final answer, whether it was
-// accepted or not: the store does not know any more.
+// TestStore_Apply_forgetsDuplicatesBeyondBound checks that the result is not final for a change based on a generation so old that
+// the store no longer remembers whether the change was accepted.
 func TestStore_Apply_forgetsDuplicatesBeyondBound(t *testing.T) {
 	store := NewStore()
 	commands := []Command{}
@@ -262,7 +264,7 @@
 	}
 	restored := NewStore()
 	if err := restored.Restore(store.Snapshot()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restore the snapshot of the store: %v", err)
 	}
 	for _, tested := range []*Store{store, restored} {
 		for _, test := range []struct {
@@ -276,14 +278,14 @@
 			{commands[maxRememberedChanges], CodeRepeated},
 		} {
 			if outcome := applyCommand(tested, test.command); outcome.Code != test.code || outcome.HTTPStatus != codes.Entry(test.code).HTTPStatus {
-				t.Errorf("%s on %d: %+v, not %d", test.command.Body, test.command.Base, outcome, test.code)
+				t.Errorf("update with %s on base %d: got %+v, want code %s and status %d", test.command.Body, test.command.Base, outcome, test.code, codes.Entry(test.code).HTTPStatus)
 			}
 		}
 	}
 }
 
-// TestStore_Apply_boundsDocumentSize checks that updates make a configuration no larger than what servers can send to each other,
-// and may make a large one smaller.
+// TestStore_Apply_boundsDocumentSize checks that an update cannot make a configuration larger than servers can send to each
+// other, and that a large configuration can be made smaller.
 func TestStore_Apply_boundsDocumentSize(t *testing.T) {
 	store := NewStore()
 	mustAccept(t, store, replaceCommand(0, `{"generation":1,"routes":[],"services":[],"notes":[{"name":"a"}]}`))
@@ -294,10 +296,10 @@
 	mustAccept(t, store, note(2, "a"))
 	before := store.Snapshot()
 	if outcome := applyCommand(store, note(3, "b")); outcome.Code != CodeTooLarge || outcome.HTTPStatus != http.StatusRequestEntityTooLarge {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("update beyond maxDocumentBytes: got %+v, want code %s and status 413", outcome, CodeTooLarge)
 	}
 	if !bytes.Equal(before, store.Snapshot()) {
-		t.Fatal("the state has changed")
+		t.Fatal("the rejected update beyond maxDocumentBytes changed the state")
 	}
 	mustAccept(t, store, updateCommand(2, `{"generation":3,"remove":{"notes":["a"]}}`))
 	mustAccept(t, store, note(4, "b"))
@@ -308,7 +310,7 @@
 	complete := EncodeCommand(replaceCommand(0, exampleConfiguration(7)))
 	for _, entry := range [][]byte{nil, {}, {1}, {200, 1, 2, 3}, complete[:len(complete)-1], append(complete[:len(complete):len(complete)], 0), EncodeCommand(Command{Kind: 9})} {
 		if outcome, _ := store.Apply(1, entry); outcome.Code != CodeBadCommand {
-			t.Errorf("%v: %+v", entry, outcome)
+			t.Errorf("entry %v: got %+v, want code %s", entry, outcome, CodeBadCommand)
 		}
 	}
 }
@@ -320,11 +322,11 @@
 	unknownFormat := append([]byte{snapshotFormat*2 + 2}, snapshot[1:]...)
 	for _, invalid := range [][]byte{nil, {1}, snapshot[:20], snapshot[:len(snapshot)-1], append(snapshot[:len(snapshot):len(snapshot)], 0), unknownFormat} {
 		if err := store.Restore(invalid); !errors.Is(err, ErrSnapshot) {
-			t.Errorf("%v", err)
+			t.Errorf("restore the invalid snapshot %v: got error %v, want %v", invalid, err, ErrSnapshot)
 		}
 	}
 	if store.Generation() != 7 {
-		t.Fatal("the state is lost")
+		t.Fatalf("after the failed calls of Restore: got generation %d, want 7", store.Generation())
 	}
 }
 
@@ -333,7 +335,7 @@
 	names := map[string]bool{}
 	for position, entry := range table {
 		if position > 0 && entry.Code <= table[position-1].Code || names[entry.Name] || entry.Text == "" {
-			t.Errorf("%+v", entry)
+			t.Errorf("entry %d of the code table is not above the one before, has no text, or repeats a name: %+v", position, entry)
 		}
 		names[entry.Name] = true
 	}
