--- a/internal/controlplane/configuration/document.go
+++ b/internal/controlplane/configuration/document.go
@@ -55,7 +55,7 @@
 // references between them.
 func readDocument(body []byte) (*document, *Rejection) {
 	if !utf8.Valid(body) {
-		return nil, reject(CodeUnreadable, "the body is not valid UTF-8")
+		return nil, reject(CodeMalformed, "the body is not valid UTF-8")
 	}
 	members, rejection := readMembers(body, "configuration")
 	if rejection != nil {
@@ -180,7 +180,7 @@
 // readGeneration parses the generation, a positive integer. It also accepts notations such as 7.0 and 1e3.
 func readGeneration(source *member) (uint64, *Rejection) {
 	if source == nil || source.isItemList {
-		return 0, reject(CodeGenerationUnreadable, "")
+		return 0, reject(CodeInvalidGeneration, "")
 	}
 	text := string(source.raw)
 	if integer, err := strconv.ParseUint(text, decimalBase, generationBits); err == nil && integer > 0 {
@@ -188,7 +188,7 @@
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || number != math.Trunc(number) || number < 1 || number > maxInteger {
-		return 0, reject(CodeGenerationUnreadable, text)
+		return 0, reject(CodeInvalidGeneration, text)
 	}
 	return uint64(number), nil
 }
--- a/internal/controlplane/configuration/document_update.go
+++ b/internal/controlplane/configuration/document_update.go
@@ -32,7 +32,7 @@
 // readUpdate parses an update and performs the checks that do not depend on the document that it applies to.
 func readUpdate(body []byte) (*update, *Rejection) {
 	if !utf8.Valid(body) {
-		return nil, reject(CodeUnreadable, "it is not UTF-8")
+		return nil, reject(CodeMalformed, "it is not UTF-8")
 	}
 	change := &update{}
 	present := map[string]bool{}
@@ -47,7 +47,7 @@
 		return nil, rejection
 	}
 	if !present[memberGeneration] {
-		return nil, reject(CodeGenerationUnreadable, "")
+		return nil, reject(CodeInvalidGeneration, "")
 	}
 	return change, nil
 }
--- a/internal/controlplane/configuration/field.go
+++ b/internal/controlplane/configuration/field.go
@@ -13,8 +13,8 @@
 // maxDuration bounds parsed durations, so that the sum of a few of them does not overflow.
 const maxDuration = 10 * 365 * 24 * time.Hour
 
-// maxInteger bounds parsed integers. Up to this value float64 represents each integer exactly, and the sum of a
-// few of them does not overflow.
+// maxInteger bounds parsed integers. Up to this value float64 represents each integer exactly, and the sum of a few of
+// them does not overflow.
 const maxInteger = 1 << 53
 
 // eachMember calls visit for each member of the JSON object raw, which must not be followed by other data. It returns a
@@ -27,7 +27,7 @@
 }
 
 // asRejection returns the rejection that err wraps. It converts a type mismatch to CodeBadField and any other error to
-// CodeUnreadable, with the subject as the name of the input.
+// CodeMalformed, with the subject as the name of the input.
 func asRejection(err error, subject string) *Rejection {
 	var rejection *Rejection
 	if errors.As(err, &rejection) {
@@ -37,7 +37,7 @@
 	if errors.As(err, &mismatch) {
 		return reject(CodeBadField, mismatch.Error())
 	}
-	return reject(CodeUnreadable, subject+": "+err.Error())
+	return reject(CodeMalformed, subject+": "+err.Error())
 }
 
 // readInteger reads a number, discards its fraction and clamps it to the range from -maxInteger to maxInteger.
--- a/internal/controlplane/configuration/store.go
+++ b/internal/controlplane/configuration/store.go
@@ -70,9 +70,9 @@
 	return store
 }
 
-// LimitRemembered sets how many accepted changes are remembered, in place of maxRememberedChanges. Tests call it before
+// SetMaxRemembered sets how many accepted changes are remembered, in place of maxRememberedChanges. Tests call it before
 // the first entry is applied, with the same count for all replicas.
-func (s *Store) LimitRemembered(count int) { s.maxRemembered = count }
+func (s *Store) SetMaxRemembered(count int) { s.maxRemembered = count }
 
 // Apply executes the committed log entry at the given index. It is deterministic, so that all replicas reach the same state
 // and outcome. The returned feed change has the same index; it contains no items if the document did not change.
--- a/internal/controlplane/configuration/validate.go
+++ b/internal/controlplane/configuration/validate.go
@@ -19,7 +19,7 @@
 		return reject(CodeBadPrefix, "route "+route.Name)
 	}
 	if route.Timeout <= 0 {
-		return reject(CodeNoTimeout, "route "+route.Name)
+		return reject(CodeInvalidTimeout, "route "+route.Name)
 	}
 	return validateTargets(route)
 }
@@ -29,7 +29,7 @@
 	sum := 0.0
 	for _, target := range route.Targets {
 		if target.Weight < 0 {
-			return reject(CodeNoWeight, "route "+route.Name)
+			return reject(CodeInvalidWeights, "route "+route.Name)
 		}
 		if target.Service == "" {
 			return reject(CodeUnknownService, "route "+route.Name+" has a target without a service name")
@@ -37,7 +37,7 @@
 		sum += target.Weight
 	}
 	if sum <= 0 || math.IsInf(sum, 0) {
-		return reject(CodeNoWeight, "route "+route.Name)
+		return reject(CodeInvalidWeights, "route "+route.Name)
 	}
 	return nil
 }
--- a/internal/controlplane/server/configuration_machine.go
+++ b/internal/controlplane/server/configuration_machine.go
@@ -16,7 +16,7 @@
 func newConfigurationMachine(environment Environment) *configurationMachine {
 	store := configuration.NewStore(environment.OmitStore...)
 	if environment.RememberedChanges > 0 {
-		store.LimitRemembered(environment.RememberedChanges)
+		store.SetMaxRemembered(environment.RememberedChanges)
 	}
 	return &configurationMachine{feedState: newFeedState(store), store: store}
 }
