--- a/coord/consensus/simulation/client.go
+++ b/coord/consensus/simulation/client.go
@@ -7,16 +7,16 @@
 	"ospreybend/coord/consensus"
 )
 
-// minRecoveryInterval is the least mean pause between two calls of the client after the faults, so that
-// members far behind can catch up with any limit of messages in flight.
-const minRecoveryInterval = 100 * time.Millisecond
+// minClientIntervalAfterFaults is the shortest mean interval between two calls of the client after the
+// faults. It lets members that are far behind catch up even if few messages may be in flight.
+const minClientIntervalAfterFaults = 100 * time.Millisecond
 
-// runClient proposes a command or reads at one of the members that believe they lead, and schedules the
-// next call.
+// runClient proposes a command to, or reads from, one of the members that believe they lead, and schedules
+// the client's next call.
 func (c *cluster) runClient() {
 	delay := c.profile.clientInterval
 	if c.faultsOver {
-		delay = max(delay, minRecoveryInterval)
+		delay = max(delay, minClientIntervalAfterFaults)
 	}
 	c.schedule(c.randomDuration(0, 2*delay), c.runClient)
 	leaders := c.leaders()
@@ -42,12 +42,12 @@
 	return leaders
 }
 
-// maxUncommitted is the number of uncommitted entries beyond which the client waits.
-const maxUncommitted = 50
+// maxUncommittedEntries is the number of uncommitted entries above which the client proposes no command.
+const maxUncommittedEntries = 50
 
-// propose proposes a new command.
+// propose proposes a new command, unless the member has too many uncommitted entries.
 func (h *host) propose() {
-	if status := h.node.Status(); status.LastIndex > status.CommitIndex+maxUncommitted {
+	if status := h.node.Status(); status.LastIndex > status.CommitIndex+maxUncommittedEntries {
 		return
 	}
 	h.cluster.lastCommandID++
@@ -58,8 +58,8 @@
 	}
 }
 
-// acknowledged records a command that its proposer saw committed. Some schedules cut all power at that
-// moment.
+// acknowledged records a command that its proposer saw committed. In some schedules all hosts may then lose
+// power at once.
 func (c *cluster) acknowledged(entry consensus.Entry) {
 	c.counters.Acknowledged++
 	c.checks.acknowledged = append(c.checks.acknowledged, entry.Index)
@@ -68,34 +68,35 @@
 	}
 }
 
-// read starts a read, which must cover everything applied anywhere so far.
+// read starts a read. Its result must cover everything that any member has applied so far.
 func (h *host) read() {
 	h.cluster.lastReadID++
 	id := h.cluster.lastReadID
 	if h.node.ReadIndex(h.clock(), id) == nil {
-		h.readFloors[id] = h.cluster.checks.lastCommitted()
+		h.minReadIndexes[id] = h.cluster.checks.lastCommitted()
 	}
 }
 
-// finishReads checks the answered reads.
+// finishReads checks the results of confirmed reads.
 func (h *host) finishReads(results []consensus.ReadResult) {
 	for _, result := range results {
-		floor := h.readFloors[result.ID]
-		delete(h.readFloors, result.ID)
+		minIndex := h.minReadIndexes[result.ID]
+		delete(h.minReadIndexes, result.ID)
 		if result.OK {
 			h.cluster.counters.Reads++
-			h.cluster.checks.read(h, floor, result.Index)
+			h.cluster.checks.readConfirmed(h, minIndex, result.Index)
 		}
 	}
 }
 
-// operatorInterval is the longest pause between two checks of the membership by the operator.
+// operatorInterval is the longest interval between two checks of the membership by the operator.
 const operatorInterval = 100 * time.Millisecond
 
-// runOperator brings hosts that lost their disk back into the group, as the control plane's server does.
+// runOperator plays the operator, which brings hosts that lost their disk back into the group, as the
+// control plane's server does. It makes no changes while competing changes are played.
 func (c *cluster) runOperator() {
 	c.schedule(c.randomDuration(operatorInterval/2, operatorInterval), c.runOperator)
-	if c.competition != nil && !c.competition.finished && !c.faultsOver {
+	if c.competingChanges != nil && !c.competingChanges.finished && !c.faultsOver {
 		return
 	}
 	for _, leader := range c.leaders() {
@@ -103,11 +104,11 @@
 	}
 }
 
-// repairMembership proposes the first change that the membership needs.
+// repairMembership proposes the first membership change that any host needs.
 func (h *host) repairMembership() {
 	members := h.node.Status().Members
 	for _, machine := range h.cluster.hosts {
-		change, needed := machine.neededChange(members, h.cluster.profile.removeFirst)
+		change, needed := machine.nextMembershipChange(members, h.cluster.profile.removeBeforePromotion)
 		if !needed {
 			continue
 		}
@@ -118,24 +119,25 @@
 	}
 }
 
-// neededChange returns the next change by which a host becomes a voter under its present ID alone.
-func (h *host) neededChange(members []consensus.Member, removeFirst bool) (consensus.MembershipChange, bool) {
-	var own, old *consensus.Member
+// nextMembershipChange returns the next change needed for a host to be a voter under its current ID, and
+// under no other. It returns false if no change is needed.
+func (h *host) nextMembershipChange(members []consensus.Member, removeBeforePromotion bool) (consensus.MembershipChange, bool) {
+	var current, former *consensus.Member
 	for i := range members {
 		switch {
 		case members[i].ID == h.id:
-			own = &members[i]
+			current = &members[i]
 		case members[i].Address == h.address():
-			old = &members[i]
+			former = &members[i]
 		}
 	}
 	added := consensus.Member{ID: h.id, Address: h.address()}
 	switch {
-	case own == nil:
+	case current == nil:
 		return consensus.MembershipChange{Add: &added}, true
-	case old != nil && (removeFirst || own.Voter):
-		return consensus.MembershipChange{Remove: old.ID}, true
-	case !own.Voter:
+	case former != nil && (removeBeforePromotion || current.Voter):
+		return consensus.MembershipChange{Remove: former.ID}, true
+	case !current.Voter:
 		added.Voter = true
 		return consensus.MembershipChange{Add: &added}, true
 	}
--- a/coord/consensus/simulation/cluster.go
+++ b/coord/consensus/simulation/cluster.go
@@ -9,13 +9,12 @@
 	"ospreybend/coord/consensus"
 )
 
-// Times of a schedule.
 const (
 	heartbeatsPerElectionTimeout = 5
-	recoveryLimit                = 20 * time.Second // for the group to work again after the faults
+	recoveryTimeout              = 20 * time.Second // after the faults, until the group must work again
 )
 
-// cluster is the simulated hosts, the network between them and the faults of one schedule.
+// cluster simulates the hosts, the network between them and the faults of one schedule.
 type cluster struct {
 	options  Options
 	profile  profile
@@ -24,27 +23,27 @@
 	checks   checks
 	counters Counters
 
-	now          time.Duration // simulated time
+	now          time.Duration // simulated time since the start of the schedule
 	events       eventQueue
-	lastSequence uint64
+	lastSequence uint64 // of the latest scheduled event
 
 	// Faults of the network and of membership changes.
 	faultsOver       bool
-	partitionedUntil [][]time.Duration // until when no message passes, by sender and receiver
-	entriesLostUntil [][]time.Duration // until when no entries of the sender's own term pass
-	competition      *competingChanges // the latest one; nil: none yet
+	partitionedUntil [][]time.Duration         // until when no message is delivered, by sender and receiver
+	entriesLostUntil [][]time.Duration         // until when messages with entries of the sender's own term are lost
+	competingChanges *competingChangesScenario // the latest scenario; nil: none yet
 
-	// Losses of voters, which together may exceed what the group tolerates.
+	// Losses of voters, which together may leave the group without a quorum.
 	lastDiskLoss  time.Duration
 	lastRemoval   time.Duration
 	mayLoseQuorum bool
 
-	// The client's latest command and read.
+	// Of the client.
 	lastCommandID uint64
 	lastReadID    uint64
 }
 
-// newCluster returns a group of options.Members voters on new disks.
+// newCluster returns a cluster whose hosts are the options.Members voters of a newly bootstrapped group.
 func newCluster(seed uint64, options Options) *cluster {
 	c := &cluster{options: options, random: rand.New(rand.NewPCG(seed, seed^seedStep))}
 	c.checks = newChecks(seed)
@@ -63,7 +62,7 @@
 	return c
 }
 
-// play runs the schedule: faults occur for a while, then the group must recover.
+// play runs the schedule: faults are injected for options.FaultDuration, then the group must recover.
 func (c *cluster) play() {
 	defer c.recordPanic()
 	for _, host := range c.hosts {
@@ -81,19 +80,20 @@
 	}
 	c.endFaults()
 	recovered := func() bool { return c.now > faultDuration+time.Second && c.converged() }
-	if c.runUntil(faultDuration+recoveryLimit, recovered) {
+	if c.runUntil(faultDuration+recoveryTimeout, recovered) {
 		c.checkRecovery()
 	}
 }
 
-// recordPanic records a panic of the core as a violation.
+// recordPanic records a panic of the core as a violation. It must be deferred.
 func (c *cluster) recordPanic() {
 	if cause := recover(); cause != nil {
-		c.checks.fail(CheckPanic, fmt.Sprint(cause))
+		c.checks.recordViolation(CheckPanic, fmt.Sprint(cause))
 	}
 }
 
-// runUntil runs events up to a time, or until done returns true. It returns false after a violation.
+// runUntil runs events up to a time, or until done returns true (nil: never). It returns false after a
+// violation.
 func (c *cluster) runUntil(end time.Duration, done func() bool) bool {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		if len(c.checks.violations) > 0 {
@@ -110,23 +110,23 @@
 	return len(c.checks.violations) == 0
 }
 
-// schedule runs an action after a delay.
+// schedule adds an event that runs an action after a delay of simulated time.
 func (c *cluster) schedule(delay time.Duration, action func()) {
 	c.lastSequence++
 	heap.Push(&c.events, event{at: c.now + delay, sequence: c.lastSequence, action: action})
 }
 
-// randomDuration returns a uniform duration from shortest to longest.
+// randomDuration returns a uniformly distributed duration from shortest to longest, both included.
 func (c *cluster) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(c.random.Int64N(int64(longest-shortest)+1))
 }
 
-// chance returns true with a probability.
+// chance returns true with the given probability.
 func (c *cluster) chance(probability float64) bool {
 	return c.random.Float64() < probability
 }
 
-// randomHost returns any host.
+// randomHost returns a host chosen uniformly at random.
 func (c *cluster) randomHost() *host {
 	return c.hosts[c.random.IntN(len(c.hosts))]
 }
--- a/coord/consensus/simulation/disk.go
+++ b/coord/consensus/simulation/disk.go
@@ -7,32 +7,32 @@
 	"ospreybend/coord/consensus"
 )
 
-// record is the smallest part of a write that a loss of power leaves or takes.
+// record is the unit of a write that a crash either keeps or loses as a whole. One field is set.
 type record struct {
-	snapshot  *consensus.Snapshot // received from the leader: replaces the log
-	compact   *consensus.Snapshot // taken by this member: replaces the entries up to it
-	entry     *consensus.Entry    // replaces all entries from its index on
-	hardState *consensus.HardState
+	installedSnapshot  *consensus.Snapshot // received from the leader; replaces the log
+	compactionSnapshot *consensus.Snapshot // taken by this member; replaces the entries up to its index
+	entry              *consensus.Entry    // replaces the entry at its index and all later ones
+	hardState          *consensus.HardState
 }
 
-// writeOperation is a write that is reported durable once all its records are.
+// writeOperation is a write, reported by a call of done once all its records are durable.
 type writeOperation struct {
 	records []record
 	done    func()
 }
 
-// disk is the durable state of a host, and the writes that are not durable yet.
+// disk holds the durable state of a host, and the writes that are not durable yet.
 type disk struct {
-	durable consensus.PersistedState
-	queue   []writeOperation
-	syncing bool
+	durable       consensus.PersistedState
+	pendingWrites []writeOperation
+	syncing       bool
 }
 
 // newWriteOperation returns the write of a PersistRequest.
 func newWriteOperation(persist *consensus.PersistRequest, done func()) writeOperation {
 	operation := writeOperation{done: done}
 	if persist.Snapshot != nil {
-		operation.records = append(operation.records, record{snapshot: persist.Snapshot})
+		operation.records = append(operation.records, record{installedSnapshot: persist.Snapshot})
 	}
 	for i := range persist.Entries {
 		operation.records = append(operation.records, record{entry: &persist.Entries[i]})
@@ -43,14 +43,15 @@
 	return operation
 }
 
-// applyRecord applies a record to persisted state.
+// applyRecord applies a record to persisted state. It returns an error if the record is an entry that would
+// leave a gap in the log.
 func applyRecord(stored *consensus.PersistedState, record record) error {
 	switch {
-	case record.snapshot != nil:
-		stored.Snapshot = *record.snapshot
+	case record.installedSnapshot != nil:
+		stored.Snapshot = *record.installedSnapshot
 		stored.Entries = nil
-	case record.compact != nil:
-		applyCompaction(stored, *record.compact)
+	case record.compactionSnapshot != nil:
+		applyCompaction(stored, *record.compactionSnapshot)
 	case record.entry != nil:
 		return applyEntry(stored, *record.entry)
 	case record.hardState != nil:
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// applyCompaction replaces the entries up to a snapshot by it.
+// applyCompaction replaces the entries up to a snapshot's index by the snapshot.
 func applyCompaction(stored *consensus.PersistedState, snapshot consensus.Snapshot) {
 	if snapshot.Index <= stored.Snapshot.Index {
 		return
@@ -72,8 +73,8 @@
 	stored.Snapshot = snapshot
 }
 
-// applyEntry writes an entry in place of all entries from its index on. It returns an error if entries
-// before it are missing.
+// applyEntry writes an entry in place of the one at its index and all later ones. It returns an error if
+// entries before it are missing.
 func applyEntry(stored *consensus.PersistedState, entry consensus.Entry) error {
 	base := stored.Snapshot.Index
 	if entry.Index <= base {
@@ -81,15 +82,15 @@
 	}
 	entriesBefore := entry.Index - base - 1
 	if entriesBefore > uint64(len(stored.Entries)) {
-		return fmt.Errorf("entry %d is written after entry %d", entry.Index, base+uint64(len(stored.Entries)))
+		return fmt.Errorf("entry %d is written to a log that ends at entry %d", entry.Index, base+uint64(len(stored.Entries)))
 	}
 	stored.Entries = append(stored.Entries[:entriesBefore:entriesBefore], entry)
 	return nil
 }
 
-// crash ends all pending writes: of their records, in order, only the first ones survive.
+// crash ends all pending writes. Of their records, in order, the first survivingRecords become durable.
 func (d *disk) crash(survivingRecords int) {
-	for _, operation := range d.queue {
+	for _, operation := range d.pendingWrites {
 		for _, record := range operation.records {
 			if survivingRecords == 0 {
 				break
@@ -98,58 +99,59 @@
 			_ = applyRecord(&d.durable, record) // cannot leave a gap: the records before it were applied
 		}
 	}
-	d.queue, d.syncing = nil, false
+	d.pendingWrites, d.syncing = nil, false
 }
 
-// pendingRecords returns the number of records that are not durable.
+// pendingRecords returns the number of records that are not durable yet.
 func (d *disk) pendingRecords() int {
 	count := 0
-	for _, operation := range d.queue {
+	for _, operation := range d.pendingWrites {
 		count += len(operation.records)
 	}
 	return count
 }
 
-// stateAfterWrites returns the state as it will be once all pending writes are durable.
+// stateAfterWrites returns the persisted state as it will be once all pending writes are durable.
 func (d *disk) stateAfterWrites() consensus.PersistedState {
 	state := d.durable
 	state.Entries = slices.Clone(state.Entries)
-	for _, operation := range d.queue {
+	for _, operation := range d.pendingWrites {
 		for _, record := range operation.records {
-			_ = applyRecord(&state, record) // a gap is reported once the write is applied
+			_ = applyRecord(&state, record) // a gap is recorded as a violation when the write is applied
 		}
 	}
 	return state
 }
 
-// write queues a write. One sync covers everything that is queued when it starts.
+// write queues a write. One sync covers all writes that are queued when it starts.
 func (h *host) write(operation writeOperation) {
-	h.disk.queue = append(h.disk.queue, operation)
+	h.disk.pendingWrites = append(h.disk.pendingWrites, operation)
 	h.startSync()
 }
 
-// startSync starts a sync of the queued writes, unless one is in progress.
+// startSync starts a sync of the queued writes, unless there are none or a sync is in progress.
 func (h *host) startSync() {
-	if h.disk.syncing || len(h.disk.queue) == 0 {
+	if h.disk.syncing || len(h.disk.pendingWrites) == 0 {
 		return
 	}
 	h.disk.syncing = true
-	delay := h.cluster.randomDuration(0, h.cluster.profile.maxSync) + max(0, h.diskStalledUntil-h.cluster.now)
-	count, process := len(h.disk.queue), h.processID
-	h.cluster.schedule(delay, func() { h.finishSync(process, count) })
+	delay := h.cluster.randomDuration(0, h.cluster.profile.maxSyncTime) + max(0, h.diskStalledUntil-h.cluster.now)
+	count, processID := len(h.disk.pendingWrites), h.processID
+	h.cluster.schedule(delay, func() { h.finishSync(processID, count) })
 }
 
-// finishSync makes the first count writes durable and reports them, once the disk no longer stalls.
-func (h *host) finishSync(process, count int) {
-	if h.processID != process {
+// finishSync makes the first count writes durable and reports them to the process. If the disk is stalled,
+// it waits until the stall ends.
+func (h *host) finishSync(processID, count int) {
+	if h.processID != processID {
 		return
 	}
 	if h.cluster.now < h.diskStalledUntil {
-		h.cluster.schedule(h.diskStalledUntil-h.cluster.now, func() { h.finishSync(process, count) })
+		h.cluster.schedule(h.diskStalledUntil-h.cluster.now, func() { h.finishSync(processID, count) })
 		return
 	}
-	finished := h.disk.queue[:count]
-	h.disk.queue = h.disk.queue[count:]
+	finished := h.disk.pendingWrites[:count]
+	h.disk.pendingWrites = h.disk.pendingWrites[count:]
 	h.disk.syncing = false
 	for _, operation := range finished {
 		h.applyWrite(operation)
@@ -158,16 +160,16 @@
 	h.startSync()
 }
 
-// applyWrite makes a write durable.
+// applyWrite applies a write to the durable state. A gap in the log is a violation.
 func (h *host) applyWrite(operation writeOperation) {
 	for _, record := range operation.records {
 		if err := applyRecord(&h.disk.durable, record); err != nil {
-			h.cluster.checks.fail(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
+			h.cluster.checks.recordViolation(CheckStorage, fmt.Sprintf("member %d: %v", h.id, err))
 		}
 	}
 }
 
-// reportDurable tells the process that writes are durable.
+// reportDurable notifies the process that writes are durable.
 func (h *host) reportDurable(finished []writeOperation) {
 	for _, operation := range finished {
 		operation.done()
--- a/coord/consensus/simulation/events.go
+++ b/coord/consensus/simulation/events.go
@@ -1,17 +1,15 @@
 package simulation
 
-import (
-	"time"
-)
+import "time"
 
-// event is an action at a simulated time.
+// event is an action that runs at a simulated time.
 type event struct {
 	at       time.Duration
-	sequence uint64 // orders events of the same time as they were scheduled
+	sequence uint64 // events at the same time run in the order in which they were scheduled
 	action   func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap.Interface with the earliest event first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/coord/consensus/simulation/faults.go
+++ b/coord/consensus/simulation/faults.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// injectFault injects one fault, drawn by the profile's weights, and schedules the next.
+// injectFault injects one fault, drawn by the profile's weights, and schedules the next one.
 func (c *cluster) injectFault() {
 	if c.faultsOver {
 		return
@@ -29,20 +29,21 @@
 	}
 }
 
-// freezeProcess suspends a process. Its events wait until it goes on.
+// freezeProcess suspends a process. Its events are delayed until it resumes.
 func (c *cluster) freezeProcess() {
 	c.counters.ProcessFreezes++
 	target := c.randomHost()
 	target.frozenUntil = max(target.frozenUntil, c.now+c.randomDuration(50*time.Millisecond, 3*time.Second))
 }
 
-// killProcess kills a process, which starts again later.
+// killProcess kills a random host's process, which is restarted later.
 func (c *cluster) killProcess() {
 	c.counters.ProcessKills++
 	c.killProcessOf(c.randomHost())
 }
 
-// killProcessOf kills a host's process. Pending writes mostly survive in the operating system.
+// killProcessOf kills a host's process. Pending writes usually survive, since the operating system holds
+// them; otherwise a random number of their first records does.
 func (c *cluster) killProcessOf(target *host) {
 	survivingRecords := target.disk.pendingRecords()
 	if c.chance(0.3) {
@@ -52,13 +53,13 @@
 	c.restartLater(target, c.randomDuration(0, time.Second))
 }
 
-// losePower cuts the power of a host, which starts again later.
+// losePower cuts the power of a random host, which is restarted later.
 func (c *cluster) losePower() {
 	c.counters.PowerLosses++
 	c.losePowerOf(c.randomHost())
 }
 
-// losePowerOf cuts the power of a host. Pending writes are lost, or torn after any record.
+// losePowerOf cuts the power of a host. Pending writes are lost, or end after a random record.
 func (c *cluster) losePowerOf(target *host) {
 	survivingRecords := 0
 	if c.chance(0.5) {
@@ -68,11 +69,11 @@
 	c.restartLater(target, c.randomDuration(0, 2*time.Second))
 }
 
-// restartLater starts a host's process after a pause, unless it was started meanwhile.
+// restartLater starts a host's process after a delay, unless it has been started in the meantime.
 func (c *cluster) restartLater(target *host, delay time.Duration) {
-	process := target.processID
+	processID := target.processID
 	c.schedule(delay, func() {
-		if target.processID == process && !target.up {
+		if target.processID == processID && !target.up {
 			target.start()
 		}
 	})
@@ -94,11 +95,12 @@
 	}
 }
 
-// loseDisk empties a host's disk, unless as many as the group tolerates are already lost.
+// loseDisk replaces a host's disk by an empty one, unless as many hosts as the group tolerates are already
+// unavailable. The host returns under a new member ID, except with options.ReuseMemberID.
 func (c *cluster) loseDisk() {
 	target := c.randomHost()
-	lost := c.lostHosts()
-	if lost[target.index] || len(lost) >= (c.options.Members-1)/2 {
+	unavailable := c.unavailableHosts()
+	if unavailable[target.index] || len(unavailable) >= (c.options.Members-1)/2 {
 		return
 	}
 	c.counters.DiskLosses++
@@ -111,35 +113,37 @@
 	c.restartLater(target, c.randomDuration(0, 500*time.Millisecond))
 }
 
-// lostHosts returns the hosts that lost their disk and have not returned as voters, as far as any member
-// knows, and those that are stopped.
-func (c *cluster) lostHosts() map[int]bool {
-	lost := make(map[int]bool)
+// unavailableHosts returns the indexes of the hosts that are stopped, have no membership, or are not a voter
+// under their current ID alone in the membership that some running member knows.
+func (c *cluster) unavailableHosts() map[int]bool {
+	unavailable := make(map[int]bool)
 	for _, host := range c.hosts {
 		for _, other := range c.hosts {
-			if other.up && len(other.node.Status().Members) > 0 && !host.restoredIn(other.node.Status().Members) {
-				lost[host.index] = true
+			if other.up && len(other.node.Status().Members) > 0 && !host.isSoleVoterIn(other.node.Status().Members) {
+				unavailable[host.index] = true
 			}
 		}
 		if host.up && len(host.node.Status().Members) == 0 {
-			lost[host.index] = true
+			unavailable[host.index] = true
 		}
 	}
 	for _, other := range c.hosts {
 		if !other.up {
-			lost[other.index] = true
+			unavailable[other.index] = true
 		}
 	}
-	return lost
+	return unavailable
 }
 
-// restoredIn reports whether a host is a voter of a membership under its present ID, and under no other.
-func (h *host) restoredIn(members []consensus.Member) bool {
-	_, needed := h.neededChange(members, false)
+// isSoleVoterIn reports whether a host is a voter of a membership under its current ID, and no member under
+// any other.
+func (h *host) isSoleVoterIn(members []consensus.Member) bool {
+	_, needed := h.nextMembershipChange(members, false)
 	return !needed
 }
 
-// stallDisk has a disk stall for a while. Mostly the process notices, and tells its member.
+// stallDisk stalls a disk for a while. Usually the process notices and tells its member, first that the disk
+// takes no writes and later that it takes them again.
 func (c *cluster) stallDisk() {
 	c.counters.DiskStalls++
 	target := c.randomHost()
@@ -148,17 +152,17 @@
 	if c.chance(0.3) {
 		return
 	}
-	process := target.processID
-	c.schedule(c.randomDuration(0, 300*time.Millisecond), func() { target.setWritable(process, false) })
-	c.schedule(duration+c.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { target.setWritable(process, true) })
+	processID := target.processID
+	c.schedule(c.randomDuration(0, 300*time.Millisecond), func() { target.setWritable(processID, false) })
+	c.schedule(duration+c.randomDuration(300*time.Millisecond, 600*time.Millisecond), func() { target.setWritable(processID, true) })
 }
 
-// setWritable tells the member of a process whether its disk takes writes.
-func (h *host) setWritable(process int, writable bool) {
-	h.whenProcessRunning(process, func() { h.node.SetWritable(h.clock(), writable) })
+// setWritable tells the member of a process whether its disk takes writes, unless the process has ended.
+func (h *host) setWritable(processID int, writable bool) {
+	h.whenProcessRunning(processID, func() { h.node.SetWritable(h.clock(), writable) })
 }
 
-// transferLeadership has the leaders transfer leadership to any member, or to the best one.
+// transferLeadership has the leaders transfer leadership to a random member, or to one that they choose.
 func (c *cluster) transferLeadership() {
 	c.counters.Transfers++
 	to := consensus.MemberID(0)
@@ -167,17 +171,17 @@
 	}
 	for _, leader := range c.leaders() {
 		leader.whenRunning(func() {
-			_ = leader.node.TransferLeadership(leader.clock(), to) // may be rejected, as by a target that is no voter
+			_ = leader.node.TransferLeadership(leader.clock(), to) // may be rejected, for example if the target is not a voter
 		})
 	}
 }
 
-// changeInFlightTime is how long the messages of a membership change may still be on their way.
+// changeInFlightTime is how long the messages of a membership change may remain in flight.
 const changeInFlightTime = 6 * time.Second
 
-// recordVoterLoss records that a voter is lost, by its disk or by its removal. If a loss of the other kind
-// occurred shortly before, the group may be left without a quorum: it need not recover then, but must stay
-// safe.
+// recordVoterLoss records the loss of a voter, either of its disk or by its removal. If a loss of the other
+// kind occurred within changeInFlightTime, the group may be left without a quorum: it need not recover then,
+// but must stay safe.
 func (c *cluster) recordVoterLoss(lostAt *time.Duration, otherLossAt time.Duration) {
 	*lostAt = c.now
 	if otherLossAt > 0 && c.now-otherLossAt < changeInFlightTime {
@@ -185,15 +189,15 @@
 	}
 }
 
-// removeVoter has the leaders remove a voter. The operator adds it again later, like one that lost its
-// disk.
+// removeVoter has each leader remove a random voter. The operator adds it again later, as it does for a host
+// that lost its disk.
 func (c *cluster) removeVoter() {
 	for _, leader := range c.leaders() {
 		leader.removeRandomVoter()
 	}
 }
 
-// removeRandomVoter has a leader remove some voter.
+// removeRandomVoter has a leader propose the removal of a random host's member.
 func (h *host) removeRandomVoter() {
 	c := h.cluster
 	c.recordVoterLoss(&c.lastRemoval, c.lastDiskLoss)
--- a/coord/consensus/simulation/network.go
+++ b/coord/consensus/simulation/network.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// isolateHost partitions a host from all others, in one direction or both.
+// isolateHost partitions a host from all others, in one direction or in both.
 func (c *cluster) isolateHost() {
 	c.counters.Partitions++
 	target, until := c.randomHost().index, c.now+c.randomDuration(100*time.Millisecond, 2500*time.Millisecond)
@@ -21,9 +21,9 @@
 	}
 }
 
-// isolateLeaderButOne leaves a leader the way to one other member alone, so that entries and membership
-// changes reach a minority, and has it propose one.
-func (c *cluster) isolateLeaderButOne() {
+// isolateLeaderExceptOnePeer lets the messages of each leader reach one host only and has the leader propose
+// a command or a membership change, which then reaches a minority. The leader may be killed soon afterwards.
+func (c *cluster) isolateLeaderExceptOnePeer() {
 	c.counters.Partitions++
 	for _, leader := range c.leaders() {
 		reachable := c.randomHost().index
@@ -44,20 +44,20 @@
 	}
 }
 
-// partitionOneWay cuts one direction between two hosts.
+// partitionOneWay loses the messages from one host to another.
 func (c *cluster) partitionOneWay() {
 	c.counters.Partitions++
 	from, to := c.randomHost().index, c.randomHost().index
 	c.partitionedUntil[from][to] = c.now + c.randomDuration(100*time.Millisecond, 3*time.Second)
 }
 
-// send sends a message, which arrives after a delay: once, twice or not at all.
+// send sends a message, which is delivered after a delay: once, twice or not at all.
 func (c *cluster) send(message consensus.Message) {
 	c.counters.Messages++
 	if message.Kind == consensus.MessageInstallSnapshot {
 		c.counters.Snapshots++
 	}
-	c.checks.leaderMessage(message)
+	c.checks.messageSent(message)
 	copies := 1
 	if !c.faultsOver && c.chance(c.profile.duplicateRate) {
 		copies = 2
@@ -67,9 +67,9 @@
 	}
 }
 
-// deliverLater delivers one copy of a message after a delay, unless it is lost.
+// deliverLater schedules the delivery of one copy of a message, unless it is lost.
 func (c *cluster) deliverLater(message consensus.Message) {
-	from, to := hostOf(message.From), hostOf(message.To)
+	from, to := hostIndexOf(message.From), hostIndexOf(message.To)
 	if to < 0 || to >= len(c.hosts) {
 		return
 	}
@@ -78,7 +78,7 @@
 		if c.now < c.partitionedUntil[from][to] || c.losesEntries(message, from, to) || c.chance(c.profile.lossRate) {
 			return
 		}
-		if c.chance(c.profile.delayedRate) {
+		if c.chance(c.profile.extraDelayRate) {
 			delay += c.randomDuration(0, 2*time.Second)
 		}
 	}
@@ -86,17 +86,17 @@
 	c.schedule(delay, func() { receiver.receive(message) })
 }
 
-// loseEntries loses a host's messages with entries of its own term, to the hosts that to returns true for,
-// up to a time.
-func (c *cluster) loseEntries(from int, until time.Duration, to func(*host) bool) {
+// loseEntries loses, up to a time, a host's messages with entries of its own term to the hosts that
+// isReceiver returns true for.
+func (c *cluster) loseEntries(from int, until time.Duration, isReceiver func(*host) bool) {
 	for _, other := range c.hosts {
-		if to(other) {
+		if isReceiver(other) {
 			c.entriesLostUntil[from][other.index] = until
 		}
 	}
 }
 
-// losesEntries reports whether loseEntries loses a message.
+// losesEntries reports whether a message is lost because of loseEntries.
 func (c *cluster) losesEntries(message consensus.Message, from, to int) bool {
 	if c.now >= c.entriesLostUntil[from][to] {
 		return false
@@ -109,11 +109,12 @@
 	return false
 }
 
-// partition separates some hosts from the others, in both directions, up to a time.
-func (c *cluster) partition(some func(*host) bool, until time.Duration) {
+// partition separates the hosts that isInside returns true for from the others, in both directions, up to a
+// time.
+func (c *cluster) partition(isInside func(*host) bool, until time.Duration) {
 	for _, host := range c.hosts {
 		for _, other := range c.hosts {
-			if some(host) != some(other) {
+			if isInside(host) != isInside(other) {
 				c.partitionedUntil[host.index][other.index] = until
 			}
 		}
--- a/coord/consensus/simulation/recovery.go
+++ b/coord/consensus/simulation/recovery.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// endFaults ends all faults and starts all hosts.
+// endFaults ends all faults and starts the hosts that are stopped.
 func (c *cluster) endFaults() {
 	c.faultsOver = true
 	for _, host := range c.hosts {
@@ -16,11 +16,12 @@
 	}
 }
 
-// maxConvergenceLag is the number of entries that a member may lack while the client goes on.
+// maxConvergenceLag is the number of entries by which a converged member may lag behind the leader, since the
+// client continues to propose commands.
 const maxConvergenceLag = 100
 
-// converged reports whether one member leads, its term has committed entries, and all hosts are voters that
-// have applied nearly as much.
+// converged reports whether a single member leads and has applied an entry of its own term, and all hosts are
+// voters that have applied all but maxConvergenceLag of the leader's entries.
 func (c *cluster) converged() bool {
 	leaders := c.leaders()
 	if len(leaders) != 1 {
@@ -33,15 +34,16 @@
 	}
 	for _, host := range c.hosts {
 		behind := host.applied+maxConvergenceLag < leader.applied
-		if behind || !host.restoredIn(leader.node.Status().Members) {
+		if behind || !host.isSoleVoterIn(leader.node.Status().Members) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkRecovery checks that the group works again. It need not where voters were lost beyond what it
-// tolerates, or where lost disks returned under their old IDs: the leader rejects what such members lack.
+// checkRecovery checks that the group works again. The check is skipped if the group may have lost its quorum,
+// or if hosts with lost disks return under their old IDs: such members need not catch up, since they reject
+// entries that they acknowledged before.
 func (c *cluster) checkRecovery() {
 	if c.mayLoseQuorum || c.options.ReuseMemberID || c.converged() {
 		return
@@ -50,9 +52,9 @@
 	if len(c.leaders()) != 1 {
 		check = CheckLeaderAfterFaults
 	}
-	text := fmt.Sprintf("%d leaders", len(c.leaders()))
+	text := fmt.Sprintf("%d leaders after the recovery time", len(c.leaders()))
 	for _, host := range c.hosts {
-		text += fmt.Sprintf("; member %d at %v: %+v", host.id, host.clock(), host.node.Status())
+		text += fmt.Sprintf("; member %d at clock %v: %+v", host.id, host.clock(), host.node.Status())
 	}
-	c.checks.fail(check, text)
+	c.checks.recordViolation(check, text)
 }
--- a/coord/consensus/simulation/simulation.go
+++ b/coord/consensus/simulation/simulation.go
@@ -1,9 +1,11 @@
-// Package simulation plays the members of a replica group, with the real code of package consensus, on
-// simulated machines, disks and a simulated network. Schedules of faults are drawn from a seed: process
+// Package simulation runs the members of a replica group, with the production code of package consensus, on
+// simulated machines, disks and a simulated network. Each schedule of faults is derived from a seed: process
 // kills, power losses, disk losses and stalls, partitions, lost and delayed messages, membership changes.
-// It checks what must hold on each history whatever fails, and that the group works again after the faults.
+// The package checks safety properties throughout the schedule, and that the group works again after the
+// faults.
 //
-// The same seed gives the same history. The package belongs to the tests of the core; no program uses it.
+// The same seed and options give the same sequence of events. The package is part of the tests of package
+// consensus; no program uses it.
 package simulation
 
 import (
@@ -14,45 +16,45 @@
 	"ospreybend/coord/consensus"
 )
 
-// Options sets what is played.
+// Options configures a run.
 type Options struct {
 	Members              int              // voters, one on each host
-	Schedules            int              // how many are played
-	Workers              int              // schedules played at a time; 0: one
-	OmitRules            []consensus.Rule // rules of the core that are not enforced
-	ReuseMemberID        bool             // a host that lost its disk returns under its old ID: a fault that must be detected
-	StopAtFirstViolation bool             // play no more schedules after the first violation
+	Schedules            int              // number of schedules that Run plays
+	Workers              int              // schedules played concurrently; 0: one
+	OmitRules            []consensus.Rule // rules of package consensus that are not enforced
+	ReuseMemberID        bool             // a host that lost its disk returns under its old member ID, which is unsafe
+	StopAtFirstViolation bool             // start no more schedules after the first violation
 	FaultDuration        time.Duration    // how long faults occur in a schedule; 0: defaultFaultDuration
 }
 
-// defaultFaultDuration is how long faults occur in a schedule.
+// defaultFaultDuration is the default of Options.FaultDuration.
 const defaultFaultDuration = 8 * time.Second
 
-// Check names a property that each history must have.
+// Check names a property that is checked in each schedule.
 type Check string
 
-// The checks. Safety is checked during the whole schedule, the last two after the faults.
+// The checks. The last two are made once after the faults, the others during the whole schedule.
 const (
 	CheckElectionSafety      Check = "one-leader"  // at most one leader is elected in a term
-	CheckStateMachineSafety  Check = "agreement"   // all state machines apply the same entries
-	CheckApplyOrder          Check = "order"       // entries are handed out in order, each once
+	CheckStateMachineSafety  Check = "agreement"   // all state machines apply the same entry at an index
+	CheckApplyOrder          Check = "order"       // committed entries are delivered in order, each once
 	CheckAcknowledgedDurable Check = "kept"        // an acknowledged command is in the log of every later leader
 	CheckLinearizableRead    Check = "read"        // a read covers everything applied anywhere before it started
-	CheckStorage             Check = "storage"     // what is to be made durable has no gap
-	CheckPanic               Check = "panic"       // the core found a state that must not occur
-	CheckLeaderAfterFaults   Check = "recovers"    // after the faults, a leader commits commands again
-	CheckConvergence         Check = "all-current" // after the faults, all members apply all entries
+	CheckStorage             Check = "storage"     // entries to be made durable leave no gap in the log
+	CheckPanic               Check = "panic"       // the core panicked, as it does in a state that must not occur
+	CheckLeaderAfterFaults   Check = "recovers"    // after the faults, a single member leads again
+	CheckConvergence         Check = "all-current" // after the faults, the leader commits in its term and all hosts are voters that keep up
 )
 
-// Violation is a check that a history did not pass.
+// Violation is a check that a schedule failed.
 type Violation struct {
-	Schedule int    // 0 for the first one
-	Seed     uint64 // Play replays the schedule with it
+	Schedule int    // number of the schedule in the run, from 0
+	Seed     uint64 // of the schedule; Play replays it
 	Check    Check
 	Text     string
 }
 
-// Counters counts what happened in schedules.
+// Counters counts events in schedules.
 type Counters struct {
 	// Work of the group.
 	Leaders, Acknowledged, Reads, Messages               int
@@ -60,7 +62,7 @@
 
 	// Faults.
 	ProcessKills, ProcessFreezes, PowerLosses int
-	GroupOutages                              int // all hosts at once
+	GroupOutages                              int // kills or power losses of all hosts at once
 	DiskLosses, DiskStalls                    int
 	Partitions                                int
 
@@ -70,12 +72,12 @@
 
 // Report is the result of a run.
 type Report struct {
-	Played     int // schedules
+	Played     int // number of schedules played
 	Violations []Violation
 	Counters   Counters
 }
 
-// FirstViolation returns the number of schedules played up to the first violation, or 0 if there was none.
+// FirstViolation returns the position, from 1, of the first schedule with a violation, or 0 if there was none.
 func (r *Report) FirstViolation() int {
 	first := 0
 	for _, violation := range r.Violations {
@@ -86,45 +88,45 @@
 	return first
 }
 
-// Run plays options.Schedules schedules whose seeds derive from seed. The same seed and options give the
-// same histories, in any number of workers.
+// Run plays options.Schedules schedules whose seeds are derived from seed. The same seed and options give the
+// same schedules with any number of workers.
 func Run(seed uint64, options Options) Report {
 	run := &run{seed: seed, options: options}
 	var group sync.WaitGroup
 	for range max(1, options.Workers) {
-		group.Go(run.work)
+		group.Go(run.playSchedules)
 	}
 	group.Wait()
 	return run.report
 }
 
-// run hands out the schedules to its workers and collects their results.
+// run distributes the schedules among its workers and collects their results.
 type run struct {
 	seed    uint64
 	options Options
 
 	mutex  sync.Mutex // guards the fields below
-	next   int
+	next   int        // number of the next schedule
 	report Report
 }
 
-// work plays schedules until none is left.
-func (r *run) work() {
+// playSchedules plays schedules until none is left.
+func (r *run) playSchedules() {
 	for {
 		schedule, more := r.nextSchedule()
 		if !more {
 			return
 		}
 		seed := scheduleSeed(r.seed, schedule)
-		count, violations := Play(seed, r.options)
+		counters, violations := Play(seed, r.options)
 		for i := range violations {
 			violations[i].Schedule = schedule
 		}
-		r.add(count, violations)
+		r.addResult(counters, violations)
 	}
 }
 
-// nextSchedule returns the next schedule's number, and false if none is left.
+// nextSchedule returns the number of the next schedule. It returns false if none is left.
 func (r *run) nextSchedule() (schedule int, more bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -136,31 +138,32 @@
 	return r.next - 1, true
 }
 
-// add adds a schedule's results to the report.
-func (r *run) add(count Counters, violations []Violation) {
+// addResult adds a schedule's results to the report.
+func (r *run) addResult(counters Counters, violations []Violation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.report.Played++
-	r.report.Counters.add(count)
+	r.report.Counters.add(counters)
 	r.report.Violations = append(r.report.Violations, violations...)
 }
 
-// seedStep spreads the seeds of schedules. It is the odd constant of the golden ratio.
+// seedStep is the difference between the seeds of successive schedules: 2^64 divided by the golden ratio,
+// rounded to an odd number.
 const seedStep = 0x9e3779b97f4a7c15
 
-// scheduleSeed returns the seed of a schedule of a run.
+// scheduleSeed returns the seed of a run's schedule.
 func scheduleSeed(seed uint64, schedule int) uint64 {
 	return seed + seedStep*uint64(schedule+1)
 }
 
-// Play plays one schedule. It ends at the first violation.
+// Play plays one schedule, up to the first violation.
 func Play(seed uint64, options Options) (Counters, []Violation) {
-	world := newCluster(seed, options)
-	world.play()
-	return world.counters, world.checks.violations
+	c := newCluster(seed, options)
+	c.play()
+	return c.counters, c.checks.violations
 }
 
-// add adds the counters of another schedule.
+// add adds the counts of another schedule.
 func (c *Counters) add(other Counters) {
 	c.Leaders += other.Leaders
 	c.Acknowledged += other.Acknowledged
@@ -182,7 +185,7 @@
 	c.OutagesDuringChange += other.OutagesDuringChange
 }
 
-// String returns the violation in one line.
+// String returns a one-line description of the violation.
 func (v Violation) String() string {
 	return fmt.Sprintf("schedule %d (seed %d): %s: %s", v.Schedule, v.Seed, v.Check, v.Text)
 }
--- a/coord/consensus/simulation/simulation_test.go
+++ b/coord/consensus/simulation/simulation_test.go
@@ -12,10 +12,10 @@
 	"ospreybend/coord/consensus"
 )
 
-// testSeed is the seed of all tests' schedules.
+// testSeed is the seed of the schedules in all tests.
 const testSeed = 7
 
-// testFaultDuration is how long faults occur in a test's schedule.
+// testFaultDuration is how long faults occur in each schedule of the tests.
 const testFaultDuration = 4 * time.Second
 
 func TestPlay_randomSchedulesPassAllChecks(t *testing.T) {
@@ -25,7 +25,7 @@
 			parameters.MinSuccessfulTests = schedules
 			parameters.Workers = 2
 			properties := gopter.NewProperties(parameters)
-			properties.Property("no check is broken", prop.ForAllNoShrink(func(seed uint64) string {
+			properties.Property("no check fails", prop.ForAllNoShrink(func(seed uint64) string {
 				_, violations := Play(seed, Options{Members: members, FaultDuration: testFaultDuration})
 				if len(violations) > 0 {
 					return violations[0].String()
@@ -40,9 +40,9 @@
 // maxSchedules bounds the search for a schedule that detects an omitted rule.
 const maxSchedules = 2000
 
-// TestRun_detectsOmittedRules omits the rules whose absence shows within few schedules of three
-// members. The others show rarely (docs/design/agreement.md); each has a scenario in the tests of package
-// consensus.
+// TestRun_detectsOmittedRules omits the rules whose omission is detected within few schedules of three
+// members. The omission of the others is rarely detected (docs/design/agreement.md); each of them has a
+// scenario in the tests of package consensus.
 func TestRun_detectsOmittedRules(t *testing.T) {
 	for _, rule := range []consensus.Rule{
 		consensus.RuleVoteOnce, consensus.RuleVoteUpToDateLog, consensus.RuleVoteDurable,
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestRun_detectsOmittedRulesOfScenarios omits the rules that only a sequence of several leaders shows
-// (scenarios.go). Those of membership changes do harm if the number of voters is even at some time.
+// TestRun_detectsOmittedRulesOfScenarios omits the rules whose omission only a sequence of several leaders
+// reveals (scenarios.go). For the rules of membership changes, the number of voters must be even at some time.
 func TestRun_detectsOmittedRulesOfScenarios(t *testing.T) {
 	for rule, members := range map[consensus.Rule]int{
 		consensus.RuleCommitCurrentTerm:     5,
@@ -71,7 +71,7 @@
 	}
 }
 
-// requireDetected fails the test unless some schedule detects what the options omit.
+// requireDetected fails the test unless some schedule detects a violation with these options.
 func requireDetected(t *testing.T, name string, options Options) {
 	t.Helper()
 	if options.Schedules == 0 {
@@ -81,30 +81,31 @@
 	options.FaultDuration = testFaultDuration
 	report := Run(testSeed, options)
 	if report.FirstViolation() == 0 {
-		t.Errorf("%s: %d members: not detected in %d schedules", name, options.Members, report.Played)
+		t.Errorf("omitted rule %s, %d members: no violation in %d schedules, want one", name, options.Members, report.Played)
 		return
 	}
-	t.Logf("%s: %d members: detected after %d schedules: %s", name, options.Members, report.FirstViolation(), report.Violations[0].Check)
+	t.Logf("omitted rule %s, %d members: violation after %d schedules: %s", name, options.Members, report.FirstViolation(), report.Violations[0].Check)
 }
 
 func TestRun_sameSeedGivesSameHistories(t *testing.T) {
 	options := Options{Members: 5, Schedules: 10, FaultDuration: testFaultDuration}
 	first, second := Run(testSeed, options), Run(testSeed, options)
 	if first.Counters != second.Counters || first.Counters.Acknowledged == 0 {
-		t.Fatalf("%+v, then %+v", first.Counters, second.Counters)
+		t.Fatalf("two runs with seed %d: counters %+v, then %+v; want equal ones with acknowledged commands",
+			testSeed, first.Counters, second.Counters)
 	}
 }
 
 func TestRun_schedulesContainAllFaults(t *testing.T) {
-	count := Run(testSeed, Options{Members: 5, Schedules: 30, FaultDuration: testFaultDuration}).Counters
+	counters := Run(testSeed, Options{Members: 5, Schedules: 30, FaultDuration: testFaultDuration}).Counters
 	for name, times := range map[string]int{
-		"kills": count.ProcessKills, "power losses": count.PowerLosses, "group outages": count.GroupOutages, "disk losses": count.DiskLosses,
-		"disk stalls": count.DiskStalls, "freezes": count.ProcessFreezes, "partitions": count.Partitions, "transfers": count.Transfers,
-		"compactions": count.Compactions, "snapshots": count.Snapshots, "changes": count.MembershipChanges,
-		"reads": count.Reads, "entry losses": count.EntryLosses, "competing changes": count.CompetingChanges, "outages during changes": count.OutagesDuringChange,
+		"kills": counters.ProcessKills, "power losses": counters.PowerLosses, "group outages": counters.GroupOutages, "disk losses": counters.DiskLosses,
+		"disk stalls": counters.DiskStalls, "freezes": counters.ProcessFreezes, "partitions": counters.Partitions, "transfers": counters.Transfers,
+		"compactions": counters.Compactions, "snapshots": counters.Snapshots, "changes": counters.MembershipChanges,
+		"reads": counters.Reads, "entry losses": counters.EntryLosses, "competing changes": counters.CompetingChanges, "outages during changes": counters.OutagesDuringChange,
 	} {
 		if times == 0 {
-			t.Errorf("no %s", name)
+			t.Errorf("no %s in the schedules, want at least one", name)
 		}
 	}
 }
--- a/coord/consensus/simulation/statemachine.go
+++ b/coord/consensus/simulation/statemachine.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// restore replaces the state machine's state.
+// restore replaces the state machine's state by a snapshot.
 func (h *host) restore(snapshot consensus.Snapshot) {
 	h.applied = snapshot.Index
 	h.stateHash = binary.LittleEndian.Uint64(snapshot.Data)
@@ -14,8 +14,7 @@
 	h.cluster.checks.restored(h, snapshot)
 }
 
-// apply applies a committed entry to the state machine, and acknowledges it if it is the host's own
-// proposal.
+// apply applies a committed entry to the state machine, and acknowledges it if the process proposed it.
 func (h *host) apply(entry consensus.Entry) {
 	h.cluster.checks.applied(h, entry)
 	h.applied = entry.Index
@@ -31,7 +30,8 @@
 	}
 }
 
-// compactLog takes a snapshot after a number of applied entries.
+// compactLog takes a snapshot and compacts the log, once enough entries have been applied since the last
+// time.
 func (h *host) compactLog() {
 	if h.appliedSinceCompaction < h.cluster.profile.compactionInterval {
 		return
@@ -43,20 +43,21 @@
 	h.appliedSinceCompaction = 0
 	h.cluster.counters.Compactions++
 	h.write(writeOperation{
-		records: []record{{compact: &snapshot}},
+		records: []record{{compactionSnapshot: &snapshot}},
 		done:    func() { h.node.Compact(snapshot.Index, snapshot.Members, snapshot.Data) },
 	})
 }
 
-// encodeStateHash returns the data of a snapshot.
+// encodeStateHash encodes a state as the data of a snapshot.
 func encodeStateHash(hash uint64) []byte {
 	return binary.LittleEndian.AppendUint64(nil, hash)
 }
 
-// initialStateHash is the hash of the bootstrap state.
+// initialStateHash is the state hash of the bootstrap snapshot.
 const initialStateHash = 1
 
-// nextStateHash returns the hash of the state after an entry (FNV-1a over the entry's parts).
+// nextStateHash returns the state hash after an entry. It mixes in the entry's index, term, data bytes and
+// member IDs one after the other, as FNV-1a does with bytes.
 func nextStateHash(hash uint64, entry consensus.Entry) uint64 {
 	const prime = 1099511628211
 	hash = (hash ^ entry.Index) * prime
