--- a/coord/feed/buffer.go
+++ b/coord/feed/buffer.go
@@ -8,43 +8,44 @@
 )
 
 // ErrIndexNotIncreasing is returned for a change whose index is not above the buffer's.
-var ErrIndexNotIncreasing = errors.New("feed: the index of a change is not above the last one")
+var ErrIndexNotIncreasing = errors.New("feed: the index of the change is not above the index of the buffer")
 
 const (
 	itemTreeDegree = 32
-	changeOverhead = 64 // bytes counted for a change besides its items
-	itemOverhead   = 32 // bytes counted for an item or a deleted key besides its key and value
+	changeOverhead = 64 // bytes counted for a change in addition to its items
+	itemOverhead   = 32 // bytes counted for an item or a deleted key in addition to its key and value
 
-	// maxSharedSnapshotLag bounds the changes, in bytes, after a snapshot that is shared with another reader.
+	// maxSharedSnapshotLag is the greatest size in bytes of the changes after a snapshot with which the snapshot
+	// is still given to further readers.
 	maxSharedSnapshotLag = 32 << 10
 )
 
-// Guard names one safety check of a buffer. Tests omit guards one by one to show that a violation is then
-// detected; a running system enforces all of them.
+// Guard names a safety check of a Buffer. Tests omit guards one by one to show that they then detect a
+// violation; a running system enforces all of them.
 type Guard string
 
 // The guards that tests can omit.
 const (
-	// GuardBacklogFloor requires that a reader whose offset lies before the backlog gets a snapshot.
+	// GuardBacklogFloor requires that a reader whose offset is before the backlog gets a snapshot.
 	GuardBacklogFloor Guard = "backlog-floor"
 	// GuardIndexIncreases requires that a change whose index is not above the last one is rejected.
 	GuardIndexIncreases Guard = "index-rises"
 )
 
-// Buffer keeps the items of one shard and the latest changes to them. Values passed in and out are shared:
-// nobody may modify them. It is not safe for concurrent use.
+// Buffer holds the items of one shard and the latest changes to them. Values passed in and out are shared and
+// must not be modified. A Buffer is not safe for concurrent use.
 type Buffer struct {
 	index           uint64 // of the last change or of the snapshot
-	backlogFloor    uint64 // all changes above it are in the backlog
+	backlogFloor    uint64 // all changes with a higher index are in the backlog
 	items           *btree.BTreeG[Item]
 	backlog         []Change
 	backlogBytes    int
 	maxBacklogBytes int
 	omittedGuards   map[Guard]bool
-	sharedSnapshot  *Snapshot // the latest one that From returned; nil: none
+	sharedSnapshot  *Snapshot // the latest one that From returned; nil: none since the last Reset
 }
 
-// NewBuffer returns an empty buffer at index 0, with a backlog of at most maxBacklogBytes. Only tests omit
+// NewBuffer returns an empty buffer at index 0, whose backlog is limited to maxBacklogBytes. Only tests omit
 // guards.
 func NewBuffer(maxBacklogBytes int, omit ...Guard) *Buffer {
 	buffer := &Buffer{maxBacklogBytes: maxBacklogBytes, omittedGuards: make(map[Guard]bool, len(omit))}
@@ -55,12 +56,12 @@
 	return buffer
 }
 
-// newItemTree returns an empty tree of items in the order of their keys.
+// newItemTree returns an empty tree of items sorted by key.
 func newItemTree() *btree.BTreeG[Item] {
 	return btree.NewG(itemTreeDegree, func(left, right Item) bool { return left.Key < right.Key })
 }
 
-// Reset replaces the items by a snapshot. The backlog is empty afterwards.
+// Reset replaces the items by those of a snapshot and empties the backlog.
 func (b *Buffer) Reset(snapshot Snapshot) {
 	b.index = snapshot.Index
 	b.backlogFloor = snapshot.Index
@@ -73,9 +74,9 @@
 	}
 }
 
-// Append applies a change, whose index must be above the last one: otherwise it returns
-// ErrIndexNotIncreasing and changes nothing. Indexes may be skipped. A change without items is appended as
-// well, so that the offsets of readers follow the log.
+// Append applies a change. If its index is not above the buffer's, Append returns ErrIndexNotIncreasing and
+// changes nothing. Indexes may be skipped. A change without items is appended as well, so that the offsets of
+// readers follow the log.
 func (b *Buffer) Append(change Change) error {
 	if change.Index <= b.index && !b.omittedGuards[GuardIndexIncreases] {
 		return ErrIndexNotIncreasing
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// trimBacklog drops the oldest changes until the backlog is within its bound.
+// trimBacklog drops the oldest changes until the backlog is within its limit.
 func (b *Buffer) trimBacklog() {
 	dropped := 0
 	for b.backlogBytes > b.maxBacklogBytes && dropped < len(b.backlog) {
@@ -106,7 +107,7 @@
 	b.backlog = b.backlog[dropped:]
 }
 
-// changeBytes returns the bytes that a change counts in the backlog.
+// changeBytes returns the size of a change as counted in the backlog.
 func changeBytes(change Change) int {
 	total := changeOverhead
 	for _, item := range change.Put {
@@ -119,7 +120,7 @@
 }
 
 // Since returns the changes above index in order. It returns false if some of them are no longer in the
-// backlog: the reader needs a snapshot. A reader at or beyond the last change gets none.
+// backlog, so that the reader needs a snapshot. A reader at or beyond the last change gets no changes.
 func (b *Buffer) Since(index uint64) (changes []Change, ok bool) {
 	if index < b.backlogFloor && !b.omittedGuards[GuardBacklogFloor] {
 		return nil, false
@@ -128,10 +129,10 @@
 	return append([]Change(nil), b.backlog[first:]...), true
 }
 
-// From returns what brings a reader from index up to date: the changes above it, or a snapshot and the
-// changes above that. Both are nil if there is nothing above index. A reader at index 0 always gets a
-// snapshot, since changes may delete items that it never had. Consecutive readers get the same snapshot, so
-// that it is made and encoded once.
+// From returns what a reader at index needs to catch up: the changes above index, or a snapshot and the
+// changes above that. Both are nil if nothing above index exists. A reader at index 0 always gets a snapshot,
+// since changes may delete items that it never had. Consecutive readers get the same snapshot, so that it is
+// created and encoded only once.
 func (b *Buffer) From(index uint64) (changes []Change, snapshot *Snapshot) {
 	if index >= b.index {
 		return nil, nil
@@ -146,12 +147,12 @@
 			return changes, b.sharedSnapshot
 		}
 	}
-	made := b.Snapshot()
-	b.sharedSnapshot = &made
+	fresh := b.Snapshot()
+	b.sharedSnapshot = &fresh
 	return nil, b.sharedSnapshot
 }
 
-// totalChangeBytes returns the bytes that changes count in the backlog.
+// totalChangeBytes returns the total size of changes as counted in the backlog.
 func totalChangeBytes(changes []Change) int {
 	total := 0
 	for _, change := range changes {
@@ -170,5 +171,5 @@
 	return Snapshot{Index: b.index, Items: items}
 }
 
-// Index returns the index of the last change, or of the snapshot if none came after it.
+// Index returns the index of the last change, or of the snapshot if no change has been appended since.
 func (b *Buffer) Index() uint64 { return b.index }
--- a/coord/feed/example_test.go
+++ b/coord/feed/example_test.go
@@ -6,8 +6,8 @@
 	"ospreybend/coord/feed"
 )
 
-// Example fills a buffer, as a replicated state machine does from committed entries, and brings two
-// readers up to date: a new one by a snapshot, and one that has the first change by the second alone.
+// Example fills a buffer as a replicated state machine does from committed entries, and lets two readers catch
+// up: a new one by a snapshot, and one that has applied the first change by the second change.
 func Example() {
 	const maxBacklogBytes = 1 << 20
 	buffer := feed.NewBuffer(maxBacklogBytes)
--- a/coord/feed/guards_test.go
+++ b/coord/feed/guards_test.go
@@ -8,14 +8,14 @@
 	"ospreybend/coord/feed"
 )
 
-// lagLength is the number of changes in the tests' sequences.
-const lagLength = 5
+// sequenceLength is the number of changes in each sequence of checkAllSequences.
+const sequenceLength = 5
 
-// lagBacklogs are bounds of the backlog: for no change, one or two changes, all.
-var lagBacklogs = []int{0, 120, 240, 2000}
+// sequenceBacklogBytes are backlog limits that hold no change, one or two changes, and all changes.
+var sequenceBacklogBytes = []int{0, 120, 240, 2000}
 
-// lagChange is one of four changes of two keys.
-func lagChange(index uint64, kind int) feed.Change {
+// sequenceChange returns one of four kinds of changes to two keys.
+func sequenceChange(index uint64, kind int) feed.Change {
 	value := []byte(fmt.Sprint(index))
 	switch kind {
 	case 0:
@@ -28,14 +28,14 @@
 	return feed.Change{Index: index}
 }
 
-// checkAllSequences plays all sequences of changes, with readers that stop after each change and resume at
-// the end. It returns the first difference.
+// checkAllSequences checks all sequences of changes with all backlog limits. It returns an error for the first
+// one in which a reader does not catch up.
 func checkAllSequences(omit ...feed.Guard) error {
 	sequences := 1
-	for range lagLength {
+	for range sequenceLength {
 		sequences *= 4
 	}
-	for _, backlog := range lagBacklogs {
+	for _, backlog := range sequenceBacklogBytes {
 		for sequence := range sequences {
 			if err := checkSequence(backlog, sequence, omit...); err != nil {
 				return err
@@ -45,13 +45,14 @@
 	return nil
 }
 
-// checkSequence plays one sequence, whose digits to the base of 4 are the kinds of its changes.
+// checkSequence appends the changes of one sequence, whose base-4 digits are their kinds. One reader stops after
+// each change and must catch up at the end.
 func checkSequence(backlog, sequence int, omit ...feed.Guard) error {
 	buffer := feed.NewBuffer(backlog, omit...)
 	want := map[string]string{}
 	readers := []map[string]string{{}}
-	for index := uint64(1); index <= lagLength; index++ {
-		change := lagChange(index, sequence%4)
+	for index := uint64(1); index <= sequenceLength; index++ {
+		change := sequenceChange(index, sequence%4)
 		sequence /= 4
 		if err := buffer.Append(change); err != nil {
 			return err
@@ -64,48 +65,48 @@
 		at := uint64(index)
 		if snapshot != nil {
 			if snapshot.Index < at {
-				return fmt.Errorf("a reader at %d gets a snapshot of %d", at, snapshot.Index)
+				return fmt.Errorf("a reader at %d gets an older snapshot, at %d", at, snapshot.Index)
 			}
 			state, at = stateOf(*snapshot), snapshot.Index
 		}
 		for _, change := range changes {
 			if change.Index <= at {
-				return fmt.Errorf("a reader at %d gets change %d", at, change.Index)
+				return fmt.Errorf("a reader at %d gets change %d, which it already has", at, change.Index)
 			}
 			at = change.Index
 			applyChange(state, change)
 		}
 		if at != buffer.Index() || !reflect.DeepEqual(state, want) {
-			return fmt.Errorf("a reader from %d with a backlog of %d bytes ends at %d with %v, not %v", index, backlog, at, state, want)
+			return fmt.Errorf("a reader that resumes at %d, with a backlog of %d bytes, ends at %d with %v; want %d with %v",
+				index, backlog, at, state, buffer.Index(), want)
 		}
 	}
 	return nil
 }
 
-// TestBuffer_From_readerBehindBacklogHasNoGap shows that a reader that stopped at any index ends with the
-// complete state and never goes back, and that it would not without the snapshot for readers behind the
-// backlog.
+// TestBuffer_From_readerBehindBacklogHasNoGap shows that a reader that resumes from any index gets the complete
+// state and nothing older than what it has, and that without GuardBacklogFloor some reader misses changes.
 func TestBuffer_From_readerBehindBacklogHasNoGap(t *testing.T) {
 	if err := checkAllSequences(); err != nil {
 		t.Fatal(err)
 	}
-	without := checkAllSequences(feed.GuardBacklogFloor)
-	if without == nil {
-		t.Fatal("backlog-floor omitted: not detected")
+	err := checkAllSequences(feed.GuardBacklogFloor)
+	if err == nil {
+		t.Fatal("guard backlog-floor omitted: every reader caught up, want an error")
 	}
-	t.Log(without)
+	t.Logf("guard backlog-floor omitted: %v", err)
 }
 
-// TestBuffer_Append_guardPreventsStaleChange shows that a change whose index does not increase would
-// overwrite a newer one.
+// TestBuffer_Append_guardPreventsStaleChange shows that without GuardIndexIncreases a change with a lower index
+// overwrites a newer one.
 func TestBuffer_Append_guardPreventsStaleChange(t *testing.T) {
-	harm := func(omit ...feed.Guard) bool {
+	staleChangeApplied := func(omit ...feed.Guard) bool {
 		buffer := feed.NewBuffer(largeBacklog, omit...)
-		mustAppend(t, buffer, put(4, "a", "new"))
-		err := buffer.Append(put(3, "a", "old"))
+		mustAppend(t, buffer, putChange(4, "a", "new"))
+		err := buffer.Append(putChange(3, "a", "old"))
 		return err == nil && string(buffer.Snapshot().Items[0].Value) == "old"
 	}
-	if harm() || !harm(feed.GuardIndexIncreases) {
-		t.Fatalf("harm with the guard: %t, without: %t", harm(), harm(feed.GuardIndexIncreases))
+	if staleChangeApplied() || !staleChangeApplied(feed.GuardIndexIncreases) {
+		t.Fatalf("stale change applied with the guard: %t, want false; without: %t, want true", staleChangeApplied(), staleChangeApplied(feed.GuardIndexIncreases))
 	}
 }
--- a/coord/membership/compatibility_test.go
+++ b/coord/membership/compatibility_test.go
@@ -10,10 +10,10 @@
 	"ospreybend/coord/membership"
 )
 
-// compatibilityFolder has the packets that commit 8782861 wrote.
+// compatibilityFolder contains packets as encoded by commit 8782861.
 const compatibilityFolder = "testdata/v8782861"
 
-// compatibilityPackets are one packet of each kind, by the name of its fixture.
+// compatibilityPackets returns one packet of each kind, by the name of its fixture.
 func compatibilityPackets() map[string]membership.Packet {
 	return map[string]membership.Packet{
 		"ping":         {Kind: membership.Ping, Sequence: 1<<64 - 2},
@@ -30,10 +30,10 @@
 			t.Fatal(err)
 		}
 		if decoded, err := membership.DecodePacket(fixture); err != nil || decoded != packet {
-			t.Errorf("%s: decoded %+v, %v, want %+v", name, decoded, err, packet)
+			t.Errorf("%s: decoding the fixture: got %+v, error %v; want %+v", name, decoded, err, packet)
 		}
 		if encoded := packet.Encode(nil); !bytes.Equal(encoded, fixture) {
-			t.Errorf("%s: encoded %x, the fixture holds %x", name, encoded, fixture)
+			t.Errorf("%s: encoding %+v: got %x, want the fixture %x", name, packet, encoded, fixture)
 		}
 	}
 }
--- a/coord/membership/example_test.go
+++ b/coord/membership/example_test.go
@@ -8,7 +8,7 @@
 	"ospreybend/coord/membership"
 )
 
-// Example drives the prober of one node of a fleet of two by hand: it pings the other node, which answers.
+// Example drives the prober of one node in a fleet of two: it pings the other node, which answers.
 func Example() {
 	random := uint64(0)
 	prober := membership.NewProber("node-1", membership.Options{}, func() uint64 { random++; return random })
--- a/coord/membership/packet.go
+++ b/coord/membership/packet.go
@@ -7,18 +7,18 @@
 	"strconv"
 )
 
-// PacketKind is the kind of a packet. Its numbers are sent.
+// PacketKind is the kind of a packet. Its numeric values are part of the wire format.
 type PacketKind uint8
 
 // The kinds of packets.
 const (
 	Ping        PacketKind = 1 // asks for an Ack
-	Ack         PacketKind = 2 // the pinged node answers, by itself or through a peer
+	Ack         PacketKind = 2 // answers a Ping, or a PingRequest whose Target was reached
 	PingRequest PacketKind = 3 // asks a peer to ping Target
-	NoAck       PacketKind = 4 // that peer got no Ack from Target in time
+	NoAck       PacketKind = 4 // answers a PingRequest whose Target sent no Ack in time
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k PacketKind) String() string {
 	switch k {
 	case Ping:
@@ -37,17 +37,18 @@
 // Packet is one datagram between two nodes.
 type Packet struct {
 	Kind     PacketKind
-	Sequence uint64         // an answer repeats that of its request
-	Target   netip.AddrPort // of PingRequest, IPv4
+	Sequence uint64         // an answer has the sequence of its request
+	Target   netip.AddrPort // only in PingRequest; IPv4
 }
 
 // PacketBytes is the length of an encoded packet.
 const PacketBytes = 15
 
-// ErrBadPacket is returned for bytes that are not a packet.
-var ErrBadPacket = errors.New("membership: not a packet")
+// ErrBadPacket is returned for data that is not a valid packet.
+var ErrBadPacket = errors.New("membership: packet has a wrong length or an unknown kind")
 
-// Encode appends the encoded packet to buffer: kind, sequence, IPv4 address and port, big endian.
+// Encode appends the encoded packet to buffer: kind, sequence, and the target's IPv4 address and port, in
+// big-endian byte order.
 func (p Packet) Encode(buffer []byte) []byte {
 	buffer = append(buffer, byte(p.Kind))
 	buffer = binary.BigEndian.AppendUint64(buffer, p.Sequence)
@@ -59,7 +60,7 @@
 	return binary.BigEndian.AppendUint16(buffer, p.Target.Port())
 }
 
-// DecodePacket decodes a packet. It returns ErrBadPacket for another length or an unknown kind.
+// DecodePacket decodes a packet. It returns ErrBadPacket for a wrong length or an unknown kind.
 func DecodePacket(data []byte) (Packet, error) {
 	if len(data) != PacketBytes {
 		return Packet{}, ErrBadPacket
--- a/coord/membership/packet_test.go
+++ b/coord/membership/packet_test.go
@@ -16,16 +16,16 @@
 	for _, packet := range packets {
 		encoded := packet.Encode(nil)
 		if len(encoded) != PacketBytes {
-			t.Errorf("%d bytes", len(encoded))
+			t.Errorf("encoding %+v: got %d bytes, want %d", packet, len(encoded), PacketBytes)
 		}
 		decoded, err := DecodePacket(encoded)
 		if err != nil || decoded != packet {
-			t.Errorf("got %+v, %v; want %+v", decoded, err, packet)
+			t.Errorf("decoding %x: got %+v, error %v; want %+v", encoded, decoded, err, packet)
 		}
 	}
 	for _, bad := range [][]byte{nil, {1}, make([]byte, PacketBytes), make([]byte, PacketBytes+1)} {
 		if _, err := DecodePacket(bad); !errors.Is(err, ErrBadPacket) {
-			t.Errorf("%v: %v, want %v", bad, err, ErrBadPacket)
+			t.Errorf("decoding %x: got error %v, want %v", bad, err, ErrBadPacket)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 		Ping: "Ping", Ack: "Ack", PingRequest: "PingRequest", NoAck: "NoAck", 9: "packet kind 9",
 	} {
 		if got := kind.String(); got != want {
-			t.Errorf("kind %d: %s, want %s", kind, got, want)
+			t.Errorf("String of kind %d: got %q, want %q", kind, got, want)
 		}
 	}
 }
--- a/coord/membership/probe.go
+++ b/coord/membership/probe.go
@@ -13,10 +13,10 @@
 	actions.sendPacket(target.Address, Packet{Kind: Ping, Sequence: p.probe.sequence})
 }
 
-// handleProbeTimeout asks peers to ping a target that did not answer, and drops a probe whose peers did not
-// all answer in time.
+// handleProbeTimeout asks peers to ping a target that did not answer a ping in time. If they have been asked
+// already and some did not answer in time, it ends the probe without a result.
 func (p *Prober) handleProbeTimeout(now time.Time, actions *Actions) {
-	if p.probe.indirectRequested > 0 {
+	if p.probe.indirectRequests > 0 {
 		p.probe = nil
 		return
 	}
@@ -25,7 +25,7 @@
 		p.probe = nil
 		return
 	}
-	p.probe.indirectRequested = len(peers)
+	p.probe.indirectRequests = len(peers)
 	p.probe.deadline = now.Add(p.options.IndirectTimeout)
 	for _, peer := range peers {
 		actions.sendPacket(peer.Address, Packet{
@@ -34,7 +34,7 @@
 	}
 }
 
-// randomPeers draws the nodes that are asked to ping a target: neither this node nor suspected ones.
+// randomPeers draws the peers that are asked to ping a target. Suspected nodes are excluded.
 func (p *Prober) randomPeers(target Node) []Node {
 	others := make([]Node, 0, len(p.nodes))
 	for _, node := range p.nodes {
@@ -50,7 +50,8 @@
 	return others[:count]
 }
 
-// handleAck ends the probe or relay that the sequence belongs to.
+// handleAck ends the probe or relay with a sequence. A relay forwards the Ack; a probe clears the suspicion
+// of its target.
 func (p *Prober) handleAck(sequence uint64, actions *Actions) {
 	if relay, ok := p.relays[sequence]; ok {
 		delete(p.relays, sequence)
@@ -68,13 +69,14 @@
 	}
 }
 
-// handleNoAck counts a peer that got no Ack, and suspects the target after the last of them.
+// handleNoAck counts a peer that got no Ack from the probe's target. The target is suspected once all peers
+// that were asked have reported that.
 func (p *Prober) handleNoAck(sequence uint64, actions *Actions) {
-	if p.probe == nil || p.probe.sequence != sequence || p.probe.indirectRequested == 0 {
+	if p.probe == nil || p.probe.sequence != sequence || p.probe.indirectRequests == 0 {
 		return
 	}
 	p.probe.noAcks++
-	if p.probe.noAcks < p.probe.indirectRequested {
+	if p.probe.noAcks < p.probe.indirectRequests {
 		return
 	}
 	target := p.probe.target
@@ -83,7 +85,7 @@
 	actions.Findings = append(actions.Findings, Finding{Node: target, Suspected: true})
 }
 
-// startRelay pings a node on behalf of another.
+// startRelay pings a node on behalf of another, unless too many such pings are outstanding.
 func (p *Prober) startRelay(now time.Time, from netip.AddrPort, request Packet, actions *Actions) {
 	if len(p.relays) >= maxRelays {
 		return
@@ -95,7 +97,7 @@
 	actions.sendPacket(request.Target, Packet{Kind: Ping, Sequence: sequence})
 }
 
-// expireRelays answers NoAck for the relayed pings that timed out.
+// expireRelays answers NoAck for relayed pings that have timed out.
 func (p *Prober) expireRelays(now time.Time, actions *Actions) {
 	for sequence, relay := range p.relays {
 		if now.Before(relay.deadline) {
--- a/coord/membership/prober.go
+++ b/coord/membership/prober.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Options are a prober's intervals. Zero values stand for the defaults.
+// Options configures a Prober. Zero values stand for the defaults.
 type Options struct {
-	ProbeInterval   time.Duration // between two probes; each goes to the next target
-	AckTimeout      time.Duration // for the Ack of a ping
+	ProbeInterval   time.Duration // between two probes; each probe goes to the next target
+	AckTimeout      time.Duration // for the Ack of a Ping
 	IndirectTimeout time.Duration // for the answers of the peers that are asked to ping the target
-	Rings           int           // targets of each node
+	Rings           int           // number of hash rings, each of which gives a node one target; see Targets
 }
 
 const (
@@ -20,12 +20,13 @@
 	defaultAckTimeout      = 400 * time.Millisecond
 	defaultIndirectTimeout = 900 * time.Millisecond
 
-	// indirectProbes is the number of peers that are asked, all of which must get no Ack before a node is suspected.
+	// indirectProbes is the number of peers that are asked to ping a target. All of them must get no Ack before the
+	// target is suspected.
 	indirectProbes = 2
 	// maxRelays bounds the outstanding pings on behalf of other nodes.
 	maxRelays = 64
-	// maxTickDelay is how late Tick may be called before the process counts as stalled: what it has missed then says
-	// nothing about other nodes.
+	// maxTickDelay is how late Tick may be called before the process counts as stalled. Answers that it then lacks
+	// say nothing about other nodes.
 	maxTickDelay = 250 * time.Millisecond
 )
 
@@ -35,7 +36,7 @@
 	Address netip.AddrPort // where it answers pings
 }
 
-// Outgoing is a packet to be sent.
+// Outgoing is a packet to send.
 type Outgoing struct {
 	To     netip.AddrPort
 	Packet Packet
@@ -47,7 +48,7 @@
 	Suspected bool // false: a suspected node answers again
 }
 
-// Actions are what the caller has to do: send packets and report findings.
+// Actions tells the caller which packets to send and which findings to report.
 type Actions struct {
 	Packets  []Outgoing
 	Findings []Finding
@@ -55,11 +56,11 @@
 
 // probe is the outstanding probe of a target.
 type probe struct {
-	target            Node
-	sequence          uint64
-	deadline          time.Time
-	indirectRequested int // peers asked to ping the target; 0: the target itself was pinged
-	noAcks            int // of them
+	target           Node
+	sequence         uint64
+	deadline         time.Time
+	indirectRequests int // peers asked to ping the target; 0: only this node has pinged it
+	noAcks           int // number of those peers that reported no Ack
 }
 
 // relay is an outstanding ping on behalf of another node.
@@ -69,33 +70,34 @@
 	deadline  time.Time
 }
 
-// Prober pings this node's targets in turn, and asks peers to ping one that does not answer. A node is
-// suspected once all peers that were asked report that it does not answer them either; a node that is
-// itself cut off gets no such reports, and so suspects nobody. A Prober is used by one goroutine.
+// Prober pings this node's targets in turn, and asks peers to ping a target that does not answer. A target is
+// suspected once all peers that were asked report that it does not answer them either. A node that is itself
+// isolated receives no such reports, and therefore suspects no other. A Prober is not safe for concurrent use.
 type Prober struct {
 	self    string
 	options Options
 	random  func() uint64
 
-	nodes      []Node
-	targets    []Node
-	probeCount int // probes started; selects the next target
-	sequence   uint64
-	nextPing   time.Time
-	probe      *probe
-	relays     map[uint64]relay
-	suspected  map[string]bool
+	nodes        []Node
+	targets      []Node
+	probeCount   int // probes started; selects the next target
+	lastSequence uint64
+	nextProbe    time.Time
+	probe        *probe
+	relays       map[uint64]relay
+	suspected    map[string]bool
 }
 
-// NewProber returns a prober of the node named self. Random returns uniform numbers.
+// NewProber returns the prober of the node named self. The function random must return uniformly distributed
+// numbers.
 func NewProber(self string, options Options, random func() uint64) *Prober {
 	return &Prober{
-		self:      self,
-		options:   options.withDefaults(),
-		random:    random,
-		sequence:  random(),
-		relays:    make(map[uint64]relay),
-		suspected: make(map[string]bool),
+		self:         self,
+		options:      options.withDefaults(),
+		random:       random,
+		lastSequence: random(),
+		relays:       make(map[uint64]relay),
+		suspected:    make(map[string]bool),
 	}
 }
 
@@ -116,11 +118,11 @@
 	return o
 }
 
-// Suspected returns the names of the nodes that are suspected now, sorted.
+// Suspected returns the names of the nodes that are currently suspected, sorted.
 func (p *Prober) Suspected() []string { return slices.Sorted(maps.Keys(p.suspected)) }
 
-// SetNodes replaces the list of nodes. A probe of a node that is no longer in it, or has another address,
-// is dropped.
+// SetNodes replaces the list of nodes. It drops suspicions of nodes that are no longer in the list, and a
+// probe of a node that is no longer in it or has another address.
 func (p *Prober) SetNodes(nodes []Node) {
 	byName := make(map[string]Node, len(nodes))
 	names := make([]string, 0, len(nodes))
@@ -143,10 +145,10 @@
 	}
 }
 
-// NextTick returns when Tick has to be called. It returns false if nothing is outstanding.
+// NextTick returns when Tick must be called next. It returns false if no call is needed.
 func (p *Prober) NextTick() (at time.Time, ok bool) {
 	if len(p.targets) > 0 {
-		at, ok = p.nextPing, true
+		at, ok = p.nextProbe, true
 	}
 	if p.probe != nil && (!ok || p.probe.deadline.Before(at)) {
 		at, ok = p.probe.deadline, true
@@ -159,7 +161,8 @@
 	return at, ok
 }
 
-// Tick acts on the time-outs that have passed and starts the next probe.
+// Tick handles the timeouts that have passed and starts the next probe if it is due. If the call is later than
+// maxTickDelay, outstanding probes and relays are dropped instead.
 func (p *Prober) Tick(now time.Time) Actions {
 	var actions Actions
 	if at, ok := p.NextTick(); ok && !at.IsZero() && now.Sub(at) > maxTickDelay {
@@ -170,8 +173,8 @@
 	if p.probe != nil && !now.Before(p.probe.deadline) {
 		p.handleProbeTimeout(now, &actions)
 	}
-	if len(p.targets) > 0 && !now.Before(p.nextPing) {
-		p.nextPing = now.Add(p.options.ProbeInterval)
+	if len(p.targets) > 0 && !now.Before(p.nextProbe) {
+		p.nextProbe = now.Add(p.options.ProbeInterval)
 		if p.probe == nil {
 			p.startProbe(now, &actions)
 		}
@@ -179,7 +182,7 @@
 	return actions
 }
 
-// Receive handles a packet.
+// Receive handles a packet received from another node.
 func (p *Prober) Receive(now time.Time, from netip.AddrPort, packet Packet) Actions {
 	var actions Actions
 	switch packet.Kind {
@@ -195,13 +198,13 @@
 	return actions
 }
 
-// sendPacket adds a packet to be sent.
+// sendPacket adds a packet to send.
 func (a *Actions) sendPacket(to netip.AddrPort, packet Packet) {
 	a.Packets = append(a.Packets, Outgoing{To: to, Packet: packet})
 }
 
-// nextSequence returns a sequence that no outstanding ping has.
+// nextSequence returns a sequence that no outstanding ping of this node has.
 func (p *Prober) nextSequence() uint64 {
-	p.sequence++
-	return p.sequence
+	p.lastSequence++
+	return p.lastSequence
 }
--- a/coord/membership/prober_test.go
+++ b/coord/membership/prober_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// network delivers packets between probers, on a simulated clock; each packet takes latency.
+// network delivers packets between probers on a simulated clock. Each packet takes latency.
 type network struct {
 	now         time.Time
 	probers     map[netip.AddrPort]*Prober
 	down        map[netip.AddrPort]bool
-	partitioned map[[2]netip.AddrPort]bool
+	partitioned map[[2]netip.AddrPort]bool // by sender and receiver
 	inFlight    []delayedPacket
 	findings    map[string][]Finding // by the node that reported them
-	sent        int
+	packetsSent int
 }
 
-// delayedPacket is a packet that arrives at a time.
+// delayedPacket is a packet in flight, delivered at a time.
 type delayedPacket struct {
 	at       time.Time
 	from, to netip.AddrPort
@@ -26,9 +26,10 @@
 
 const (
 	latency = 2 * time.Millisecond
-	step    = time.Millisecond
+	step    = time.Millisecond // of the simulated clock
 )
 
+// newNetwork returns a network of count nodes that all know each other.
 func newNetwork(count int) *network {
 	n := &network{
 		now:         time.Unix(1000, 0),
@@ -43,7 +44,7 @@
 	}
 	for i, node := range nodes {
 		seed := uint64(i + 1)
-		random := func() uint64 { seed = seed*6364136223846793005 + 1442695040888963407; return mix(seed) }
+		random := func() uint64 { seed = seed*6364136223846793005 + 1442695040888963407; return fmix64(seed) }
 		prober := NewProber(node.Name, Options{}, random)
 		prober.SetNodes(nodes)
 		n.probers[node.Address] = prober
@@ -55,6 +56,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7662)
 }
 
+// run advances the clock in steps, delivers the packets that are due and calls Tick when a prober requires it.
 func (n *network) run(span time.Duration) {
 	for end := n.now.Add(span); n.now.Before(end); n.now = n.now.Add(step) {
 		n.deliver()
@@ -66,6 +68,8 @@
 	}
 }
 
+// deliver delivers the packets that are due. Packets from or to a node that is down, or between partitioned
+// nodes, are lost.
 func (n *network) deliver() {
 	due := n.inFlight
 	n.inFlight = nil
@@ -80,14 +84,16 @@
 	}
 }
 
+// apply puts a prober's packets in flight and records its findings.
 func (n *network) apply(from netip.AddrPort, prober *Prober, actions Actions) {
 	for _, out := range actions.Packets {
-		n.sent++
+		n.packetsSent++
 		n.inFlight = append(n.inFlight, delayedPacket{at: n.now.Add(latency), from: from, to: out.To, packet: out.Packet})
 	}
 	n.findings[prober.self] = append(n.findings[prober.self], actions.Findings...)
 }
 
+// suspicions returns how many times a node was reported as suspected.
 func (n *network) suspicions(node string) int {
 	count := 0
 	for _, findings := range n.findings {
@@ -105,11 +111,11 @@
 	n.run(20 * time.Second)
 	for name, findings := range n.findings {
 		if len(findings) > 0 {
-			t.Errorf("%s reports %v", name, findings)
+			t.Errorf("%s: got findings %v, want none", name, findings)
 		}
 	}
-	if perSecond := float64(n.sent) / 10 / 20; perSecond > 2.2 {
-		t.Errorf("%.1f packets per node and second", perSecond)
+	if perSecond := float64(n.packetsSent) / 10 / 20; perSecond > 2.2 {
+		t.Errorf("got %.1f packets per node and second, want at most 2.2", perSecond)
 	}
 }
 
@@ -119,18 +125,18 @@
 	n.down[address(4)] = true
 	n.run(6 * time.Second)
 	if n.suspicions("edge-004") == 0 {
-		t.Error("the dead node is not suspected")
+		t.Error("edge-004 is down: got no suspicion of it, want at least one")
 	}
 	for _, name := range nodeNames(10) {
 		if name != "edge-004" && n.suspicions(name) > 0 {
-			t.Errorf("%s is suspected", name)
+			t.Errorf("%s is running: got %d suspicions of it, want none", name, n.suspicions(name))
 		}
 	}
 	n.down[address(4)] = false
 	n.run(8 * time.Second)
 	for _, prober := range n.probers {
 		if prober.suspected["edge-004"] {
-			t.Errorf("%s still suspects it", prober.self)
+			t.Errorf("edge-004 is running again: %s still suspects it", prober.self)
 		}
 	}
 }
@@ -147,7 +153,7 @@
 	n.run(20 * time.Second)
 	for _, name := range nodeNames(10) {
 		if n.suspicions(name) > 0 {
-			t.Errorf("%s is suspected", name)
+			t.Errorf("only one pair is partitioned: got %d suspicions of %s, want none", n.suspicions(name), name)
 		}
 	}
 }
@@ -160,10 +166,10 @@
 	}
 	n.run(20 * time.Second)
 	if len(n.findings["edge-000"]) > 0 {
-		t.Errorf("it reports %v", n.findings["edge-000"])
+		t.Errorf("isolated edge-000: got findings %v, want none", n.findings["edge-000"])
 	}
 	if n.suspicions("edge-000") == 0 {
-		t.Error("the others do not suspect it")
+		t.Error("isolated edge-000: the others do not suspect it")
 	}
 }
 
@@ -172,11 +178,11 @@
 	prober := n.probers[address(0)]
 	actions := prober.Tick(n.now)
 	if len(actions.Packets) != 1 || actions.Packets[0].Packet.Kind != Ping {
-		t.Fatalf("first tick: %+v", actions)
+		t.Fatalf("first tick: got %+v, want one Ping", actions)
 	}
 	actions = prober.Tick(n.now.Add(10 * time.Second))
 	if len(actions.Packets) != 1 || actions.Packets[0].Packet.Kind != Ping {
-		t.Errorf("after the stall: %+v", actions)
+		t.Errorf("tick after a stall of 10s: got %+v, want only the Ping of the next probe", actions)
 	}
 }
 
@@ -186,6 +192,6 @@
 	prober.Tick(n.now)
 	prober.SetNodes(nil)
 	if at, ok := prober.NextTick(); ok {
-		t.Errorf("the next tick is at %v", at)
+		t.Errorf("without nodes: the next tick is at %v, want none", at)
 	}
 }
--- a/coord/membership/targets.go
+++ b/coord/membership/targets.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Rings is the default number of nodes that each node probes, and of those that probe it.
+// Rings is the default number of hash rings: about as many nodes are probed by each node, and probe it.
 const Rings = 3
 
-// Targets returns the nodes that the node named self probes. For each ring, all nodes are ordered by a hash
-// of the ring's number and their name, and each probes its successor. So each node is probed by one other
-// per ring (rarely by the same in two), and a node that joins or leaves changes one target per ring. The
-// order of names does not matter; self need not be among them.
+// Targets returns the names of the nodes that the node named self probes. On each ring, all nodes are ordered
+// by a hash of the ring's number and their name, and each node probes its successor. Therefore each node is
+// probed by one other per ring (rarely by the same one on two rings), and a node that joins or leaves changes
+// one target per ring. The order of names does not matter, and self need not be among them.
 func Targets(self string, names []string, rings int) []string {
 	var targets []string
 	for ring := range rings {
@@ -23,32 +23,33 @@
 	return targets
 }
 
-// successor returns the name after self on a ring. It returns false if there is no other name.
+// successor returns the name that follows self on a ring. It returns false if there is no other name.
 func successor(ring int, self string, names []string) (next string, ok bool) {
 	origin := ringPosition(ring, self)
-	var nearest uint64
+	var shortest uint64
 	for _, name := range names {
 		if name == self {
 			continue
 		}
-		steps := ringPosition(ring, name) - origin // wraps around
-		if !ok || steps < nearest || (steps == nearest && name < next) {
-			next, nearest, ok = name, steps, true
+		distance := ringPosition(ring, name) - origin // modulo 2^64
+		if !ok || distance < shortest || (distance == shortest && name < next) {
+			next, shortest, ok = name, distance, true
 		}
 	}
 	return next, ok
 }
 
-// ringPosition hashes a name to its position on a ring.
+// ringPosition returns the position of a name on a ring, a hash of both.
 func ringPosition(ring int, name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte{byte(ring)})
 	_, _ = hash.Write([]byte(name))
-	return mix(hash.Sum64())
+	return fmix64(hash.Sum64())
 }
 
-// mix spreads the bits of a hash (the finalizer of MurmurHash3).
-func mix(value uint64) uint64 {
+// fmix64 is the 64-bit finalizer of MurmurHash3. It spreads the differences between hashes over all
+// bits.
+func fmix64(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
--- a/coord/membership/targets_test.go
+++ b/coord/membership/targets_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// nodeNames returns the names of count nodes.
 func nodeNames(count int) []string {
 	list := make([]string, count)
 	for i := range list {
@@ -14,7 +15,8 @@
 	return list
 }
 
-func probeCounts(t *testing.T, all []string) map[string]int {
+// probersPerNode returns by how many others each node is probed.
+func probersPerNode(t *testing.T, all []string) map[string]int {
 	t.Helper()
 	probed := make(map[string]int)
 	for _, name := range all {
@@ -31,26 +33,26 @@
 
 func TestTargets_eachNodeIsProbedByAboutThreeOthers(t *testing.T) {
 	for _, count := range []int{4, 10, 60, 300} {
-		probed := probeCounts(t, nodeNames(count))
+		probed := probersPerNode(t, nodeNames(count))
 		total := 0
 		for _, name := range nodeNames(count) {
 			if probed[name] < 1 || probed[name] > Rings {
-				t.Errorf("of %d nodes, %s is probed by %d", count, name, probed[name])
+				t.Errorf("%d nodes: %s is probed by %d others, want 1 to %d", count, name, probed[name], Rings)
 			}
 			total += probed[name]
 		}
 		if count >= 60 && float64(total) < 2.9*float64(count) {
-			t.Errorf("%d nodes have %d probes", count, total)
+			t.Errorf("%d nodes: got %d targets in total, want at least 2.9 per node", count, total)
 		}
 	}
 }
 
 func TestTargets_fewNodes(t *testing.T) {
 	if targets := Targets("a", nil, Rings); len(targets) != 0 {
-		t.Errorf("targets of a lone node: %v", targets)
+		t.Errorf("targets of a single node: got %v, want none", targets)
 	}
 	if targets := Targets("a", []string{"a", "b"}, Rings); !slices.Equal(targets, []string{"b"}) {
-		t.Errorf("targets of one of two: %v", targets)
+		t.Errorf("targets of a among a and b: got %v, want [b]", targets)
 	}
 }
 
@@ -66,7 +68,7 @@
 		}
 	}
 	if changed > Rings {
-		t.Errorf("%d targets changed, want at most %d", changed, Rings)
+		t.Errorf("after a join: got %d new targets, want at most %d", changed, Rings)
 	}
 }
 
@@ -75,6 +77,6 @@
 	want := Targets(all[3], all, Rings)
 	slices.Reverse(all)
 	if got := Targets(all[26], all, Rings); !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("targets of %s with the names reversed: got %v, want %v", all[26], got, want)
 	}
 }
