--- a/coord/feed/buffer.go
+++ b/coord/feed/buffer.go
@@ -42,7 +42,7 @@
 	backlogBytes    int
 	maxBacklogBytes int
 	omittedGuards   map[Guard]bool
-	sharedSnapshot  *Snapshot // the latest one that From returned; nil: none since the last Reset
+	sharedSnapshot  *Snapshot // the latest one that CatchUp returned; nil: none since the last Reset
 }
 
 // NewBuffer returns an empty buffer at index 0, whose backlog is limited to maxBacklogBytes. Only tests omit
@@ -129,11 +129,11 @@
 	return append([]Change(nil), b.backlog[first:]...), true
 }
 
-// From returns what a reader at index needs to catch up: the changes above index, or a snapshot and the
+// CatchUp returns what a reader at index needs to catch up: the changes above index, or a snapshot and the
 // changes above that. Both are nil if nothing above index exists. A reader at index 0 always gets a snapshot,
 // since changes may delete items that it never had. Consecutive readers get the same snapshot, so that it is
 // created and encoded only once.
-func (b *Buffer) From(index uint64) (changes []Change, snapshot *Snapshot) {
+func (b *Buffer) CatchUp(index uint64) (changes []Change, snapshot *Snapshot) {
 	if index >= b.index {
 		return nil, nil
 	}
--- a/coord/feed/buffer_test.go
+++ b/coord/feed/buffer_test.go
@@ -171,8 +171,8 @@
 	properties.TestingRun(t)
 }
 
-// applyFrom applies the results of Buffer.From to a reader's items.
-func applyFrom(items map[string]string, changes []feed.Change, snapshot *feed.Snapshot) {
+// applyCatchUp applies the results of Buffer.CatchUp to a reader's items.
+func applyCatchUp(items map[string]string, changes []feed.Change, snapshot *feed.Snapshot) {
 	if snapshot != nil {
 		clear(items)
 		for _, item := range snapshot.Items {
@@ -193,11 +193,11 @@
 func itemsOf(buffer *feed.Buffer) map[string]string {
 	items := make(map[string]string)
 	snapshot := buffer.Snapshot()
-	applyFrom(items, nil, &snapshot)
+	applyCatchUp(items, nil, &snapshot)
 	return items
 }
 
-func TestBuffer_From_anyReaderCatchesUp(t *testing.T) {
+func TestBuffer_CatchUp_anyReaderCatchesUp(t *testing.T) {
 	buffer := feed.NewBuffer(1500)
 	indexes := []uint64{0}
 	states := []map[string]string{{}}
@@ -211,9 +211,9 @@
 		states = append(states, itemsOf(buffer))
 	}
 	for position, index := range indexes {
-		changes, snapshot := buffer.From(index)
+		changes, snapshot := buffer.CatchUp(index)
 		state := states[position]
-		applyFrom(state, changes, snapshot)
+		applyCatchUp(state, changes, snapshot)
 		if want := itemsOf(buffer); !reflect.DeepEqual(state, want) {
 			t.Fatalf("reader that resumes at %d: got items %v, want %v", index, state, want)
 		}
@@ -221,28 +221,28 @@
 			t.Fatalf("reader that resumes at %d: got change %d with a snapshot at %d, want later changes only", index, changes[0].Index, snapshot.Index)
 		}
 	}
-	if changes, snapshot := buffer.From(400); changes != nil || snapshot != nil {
+	if changes, snapshot := buffer.CatchUp(400); changes != nil || snapshot != nil {
 		t.Fatalf("reader at the last change: got %v and %v, want neither changes nor a snapshot", changes, snapshot)
 	}
 }
 
-func TestBuffer_From_readersShareSnapshot(t *testing.T) {
+func TestBuffer_CatchUp_readersShareSnapshot(t *testing.T) {
 	buffer := feed.NewBuffer(largeBacklog)
 	for index := uint64(1); index <= 100; index++ {
 		mustAppend(t, buffer, putChange(index, fmt.Sprintf("key-%d", index), "1"))
 	}
-	_, first := buffer.From(0)
+	_, first := buffer.CatchUp(0)
 	mustAppend(t, buffer, putChange(101, "key-1", "2"))
-	changes, second := buffer.From(0)
+	changes, second := buffer.CatchUp(0)
 	if first == nil || second != first || len(changes) != 1 || changes[0].Index != 101 {
 		t.Fatalf("second reader: got snapshot %p and %d changes, want the first reader's snapshot %p and change 101", second, len(changes), first)
 	}
 	mustAppend(t, buffer, putChange(102, "large", string(make([]byte, 64<<10))))
-	if changes, third := buffer.From(0); third == nil || third.Index != 102 || len(changes) != 0 {
+	if changes, third := buffer.CatchUp(0); third == nil || third.Index != 102 || len(changes) != 0 {
 		t.Fatalf("reader after a large change: got an old snapshot or none, and %d changes; want a snapshot at 102 and no changes", len(changes))
 	}
 	buffer.Reset(feed.Snapshot{Index: 200, Items: []feed.Item{{Key: "a"}}})
-	if _, fourth := buffer.From(0); fourth == nil || fourth.Index != 200 {
+	if _, fourth := buffer.CatchUp(0); fourth == nil || fourth.Index != 200 {
 		t.Fatal("reader after a reset: got an old snapshot or none, want the one at 200")
 	}
 }
--- a/coord/feed/example_test.go
+++ b/coord/feed/example_test.go
@@ -21,10 +21,10 @@
 		}
 	}
 
-	_, snapshot := buffer.From(0)
+	_, snapshot := buffer.CatchUp(0)
 	fmt.Printf("a new reader gets a snapshot at %d: %s is %s\n", snapshot.Index, snapshot.Items[0].Key, snapshot.Items[0].Value)
 
-	changes, _ := buffer.From(4)
+	changes, _ := buffer.CatchUp(4)
 	fmt.Printf("a reader at 4 gets %d change: worker-2 is deleted: %t\n", len(changes), changes[0].Delete[0] == "worker-2")
 	// Output:
 	// a new reader gets a snapshot at 7: worker-1 is draining
--- a/coord/feed/guards_test.go
+++ b/coord/feed/guards_test.go
@@ -61,7 +61,7 @@
 		readers = append(readers, stateOf(feed.Snapshot{Items: buffer.Snapshot().Items}))
 	}
 	for index, state := range readers {
-		changes, snapshot := buffer.From(uint64(index))
+		changes, snapshot := buffer.CatchUp(uint64(index))
 		at := uint64(index)
 		if snapshot != nil {
 			if snapshot.Index < at {
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// TestBuffer_From_readerBehindBacklogHasNoGap shows that a reader that resumes from any index gets the complete
+// TestBuffer_CatchUp_readerBehindBacklogHasNoGap shows that a reader that resumes from any index gets the complete
 // state and nothing older than what it has, and that without GuardBacklogFloor some reader misses changes.
-func TestBuffer_From_readerBehindBacklogHasNoGap(t *testing.T) {
+func TestBuffer_CatchUp_readerBehindBacklogHasNoGap(t *testing.T) {
 	if err := checkAllSequences(); err != nil {
 		t.Fatal(err)
 	}
--- a/coord/membership/prober.go
+++ b/coord/membership/prober.go
@@ -36,8 +36,8 @@
 	Address netip.AddrPort // where it answers pings
 }
 
-// Outgoing is a packet to send.
-type Outgoing struct {
+// OutgoingPacket is a packet to send.
+type OutgoingPacket struct {
 	To     netip.AddrPort
 	Packet Packet
 }
@@ -50,7 +50,7 @@
 
 // Actions tells the caller which packets to send and which findings to report.
 type Actions struct {
-	Packets  []Outgoing
+	Packets  []OutgoingPacket
 	Findings []Finding
 }
 
@@ -113,7 +113,7 @@
 		o.IndirectTimeout = defaultIndirectTimeout
 	}
 	if o.Rings == 0 {
-		o.Rings = Rings
+		o.Rings = DefaultRings
 	}
 	return o
 }
@@ -200,7 +200,7 @@
 
 // sendPacket adds a packet to send.
 func (a *Actions) sendPacket(to netip.AddrPort, packet Packet) {
-	a.Packets = append(a.Packets, Outgoing{To: to, Packet: packet})
+	a.Packets = append(a.Packets, OutgoingPacket{To: to, Packet: packet})
 }
 
 // nextSequence returns a sequence that no outstanding ping of this node has.
--- a/coord/membership/prober_test.go
+++ b/coord/membership/prober_test.go
@@ -143,7 +143,7 @@
 
 func TestProber_Tick_partitionOfTwoNodesSuspectsNobody(t *testing.T) {
 	n := newNetwork(10)
-	target := Targets("edge-000", nodeNames(10), Rings)[0]
+	target := Targets("edge-000", nodeNames(10), DefaultRings)[0]
 	for i, name := range nodeNames(10) {
 		if name == target {
 			n.partitioned[[2]netip.AddrPort{address(0), address(i)}] = true
--- a/coord/membership/targets.go
+++ b/coord/membership/targets.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Rings is the default number of hash rings: about as many nodes are probed by each node, and probe it.
-const Rings = 3
+// DefaultRings is the default number of hash rings: about as many nodes are probed by each node, and probe it.
+const DefaultRings = 3
 
 // Targets returns the names of the nodes that the node named self probes. On each ring, all nodes are ordered
 // by a hash of the ring's number and their name, and each node probes its successor. Therefore each node is
--- a/coord/membership/targets_test.go
+++ b/coord/membership/targets_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	probed := make(map[string]int)
 	for _, name := range all {
-		targets := Targets(name, all, Rings)
+		targets := Targets(name, all, DefaultRings)
 		if slices.Contains(targets, name) {
 			t.Fatalf("%s probes itself", name)
 		}
@@ -36,8 +36,8 @@
 		probed := probersPerNode(t, nodeNames(count))
 		total := 0
 		for _, name := range nodeNames(count) {
-			if probed[name] < 1 || probed[name] > Rings {
-				t.Errorf("%d nodes: %s is probed by %d others, want 1 to %d", count, name, probed[name], Rings)
+			if probed[name] < 1 || probed[name] > DefaultRings {
+				t.Errorf("%d nodes: %s is probed by %d others, want 1 to %d", count, name, probed[name], DefaultRings)
 			}
 			total += probed[name]
 		}
@@ -48,10 +48,10 @@
 }
 
 func TestTargets_fewNodes(t *testing.T) {
-	if targets := Targets("a", nil, Rings); len(targets) != 0 {
+	if targets := Targets("a", nil, DefaultRings); len(targets) != 0 {
 		t.Errorf("targets of a single node: got %v, want none", targets)
 	}
-	if targets := Targets("a", []string{"a", "b"}, Rings); !slices.Equal(targets, []string{"b"}) {
+	if targets := Targets("a", []string{"a", "b"}, DefaultRings); !slices.Equal(targets, []string{"b"}) {
 		t.Errorf("targets of a among a and b: got %v, want [b]", targets)
 	}
 }
@@ -61,22 +61,22 @@
 	after := append(nodeNames(100), "edge-new")
 	changed := 0
 	for _, name := range before {
-		for _, target := range Targets(name, after, Rings) {
-			if !slices.Contains(Targets(name, before, Rings), target) {
+		for _, target := range Targets(name, after, DefaultRings) {
+			if !slices.Contains(Targets(name, before, DefaultRings), target) {
 				changed++
 			}
 		}
 	}
-	if changed > Rings {
-		t.Errorf("after a join: got %d new targets, want at most %d", changed, Rings)
+	if changed > DefaultRings {
+		t.Errorf("after a join: got %d new targets, want at most %d", changed, DefaultRings)
 	}
 }
 
 func TestTargets_ignoresOrder(t *testing.T) {
 	all := nodeNames(30)
-	want := Targets(all[3], all, Rings)
+	want := Targets(all[3], all, DefaultRings)
 	slices.Reverse(all)
-	if got := Targets(all[26], all, Rings); !slices.Equal(got, want) {
+	if got := Targets(all[26], all, DefaultRings); !slices.Equal(got, want) {
 		t.Errorf("targets of %s with the names reversed: got %v, want %v", all[26], got, want)
 	}
 }
--- a/internal/controlplane/feedtransport/guards_test.go
+++ b/internal/controlplane/feedtransport/guards_test.go
@@ -98,7 +98,7 @@
 	writer := newFeedWriter(connection, client.receiver.reset(), WriteTimeout)
 	changes, snapshot := log, (*feed.Snapshot)(nil)
 	if short {
-		changes, snapshot = buffer.From(client.receiver.offsets[0])
+		changes, snapshot = buffer.CatchUp(client.receiver.offsets[0])
 	}
 	if err := writer.writeShard(0, changes, snapshot); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/feedtransport/shared_snapshot_test.go
+++ b/internal/controlplane/feedtransport/shared_snapshot_test.go
@@ -37,7 +37,7 @@
 func (s *bufferSource) Since(_ shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.buffer.From(index)
+	return s.buffer.CatchUp(index)
 }
 
 // All nodes connect at once after a restart of all, while workers change: each gets all of them within the time of a
--- a/internal/controlplane/server/feed_state.go
+++ b/internal/controlplane/server/feed_state.go
@@ -47,7 +47,7 @@
 func (f *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.buffer.From(index)
+	return f.buffer.CatchUp(index)
 }
 
 // index returns the log index that the feed has reached.
