--- a/internal/node/zones/encoding/encoding.go
+++ b/internal/node/zones/encoding/encoding.go
@@ -1,16 +1,16 @@
-// Package encoding is the CBOR encoding of what the zones' voters and nodes store and send.
+// Package encoding encodes, as CBOR, the data that the zones' voters and nodes store and send.
 //
-// The encoding is deterministic: equal values have equal bytes, so that tables can be compared by them. Structures
-// are encoded by the field numbers or names in their tags. Packages commands and replicatedlog define the records,
-// package transport the messages.
+// The encoding is deterministic: equal values have equal encodings, so that tables can be compared by their bytes.
+// The keys of structures are the field numbers or names in their tags. Packages commands and replicatedlog define the
+// records, package transport the messages.
 package encoding
 
 import "github.com/fxamacker/cbor/v2"
 
-// Limits of what is decoded; input comes from other processes.
+// Limits of the decoder, as the input comes from other processes.
 const (
 	maxNestedLevels = 16
-	maxElements     = 1 << 16 // of an array or a map
+	maxElements     = 1 << 16 // elements of an array, or pairs of a map
 )
 
 var (
@@ -26,7 +26,7 @@
 
 func must[T any](value T, err error) T {
 	if err != nil {
-		panic(err) // the options above are constants
+		panic(err) // unreachable: the options are constant and valid
 	}
 	return value
 }
@@ -34,5 +34,5 @@
 // Marshal returns the encoding of a value.
 func Marshal(value any) ([]byte, error) { return encoder.Marshal(value) }
 
-// Unmarshal decodes data, which must be one complete value, into the value that into points to.
+// Unmarshal decodes data into the value that into points to. The data must be exactly one value.
 func Unmarshal(data []byte, into any) error { return decoder.Unmarshal(data, into) }
--- a/internal/node/zones/encoding/encoding_test.go
+++ b/internal/node/zones/encoding/encoding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Equal values have equal bytes, whatever the order of a map.
+// Equal values have equal encodings, whatever the iteration order of a map.
 func TestMarshal_isDeterministic(t *testing.T) {
 	value := map[string]int{"c": 3, "a": 1, "b": 2}
 	first, err := Marshal(value)
@@ -14,12 +14,12 @@
 	}
 	for range 20 {
 		if again, err := Marshal(value); err != nil || !bytes.Equal(again, first) {
-			t.Fatalf("%x, then %x, %v", first, again, err)
+			t.Fatalf("encoded again: %x, error %v; want %x as the first time", again, err, first)
 		}
 	}
 }
 
-// Input from other processes is limited in depth and form.
+// Malformed, ambiguous and too deeply nested input is rejected.
 func TestUnmarshal_rejectsInvalid(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"empty":             {},
@@ -31,7 +31,7 @@
 	} {
 		var into any
 		if err := Unmarshal(data, &into); err == nil {
-			t.Errorf("%s: accepted as %v", name, into)
+			t.Errorf("%s: decoded %x as %v, want an error", name, data, into)
 		}
 	}
 }
