--- a/internal/node/zones/commands/commands.go
+++ b/internal/node/zones/commands/commands.go
@@ -2,11 +2,12 @@
 //
 // The state is a Table: the phase and traffic share of each zone, the admitted fraction of each
 // request class, and the operators' manual overrides. StateMachine applies the commands of the
-// replicated log (package replicatedlog) and is identical at every voter. Package failover computes
-// the changes, package replica proposes them, package follower obeys the resulting table.
+// replicated log (package replicatedlog); its state is identical at every voter that has applied the
+// same entries. Package failover computes the changes, package replica proposes them, and package
+// follower applies the resulting table in each process.
 //
-// The package has no clock and does no I/O. Durations are plain spans; an override ends at a wall
-// clock time that the caller compares.
+// The package has no clock and does no I/O. An override ends at a wall clock time, which the caller
+// compares with its own clock.
 package commands
 
 import (
@@ -22,18 +23,19 @@
 // Phase is the state of a zone in the failover state machine.
 type Phase uint8
 
-// The phases. docs/design/fleet-as-one.md lists every transition. The numbers are stored and sent.
+// The phases. docs/design/fleet-as-one.md lists every transition. The numbers are part of the stored and
+// sent encoding.
 const (
-	PhaseActive    Phase = iota // takes its full share
-	PhaseReduced                // slow: takes a reduced share
-	PhaseEvacuated              // takes no work
+	PhaseActive    Phase = iota // takes its full share of traffic
+	PhaseReduced                // slower than the other zones: takes a reduced share
+	PhaseEvacuated              // takes no traffic
 	PhaseProbing                // a few processes send it trial requests
 	PhaseSlowStart              // takes a share that doubles step by step
 )
 
 var phaseNames = [...]string{"in", "eased", "left", "trying", "rising"}
 
-// String returns the phase's name as operators see it.
+// String returns the name of the phase in the operators' interface.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -47,16 +49,16 @@
 // ZoneState is the committed state of one zone.
 type ZoneState struct {
 	Phase           Phase    `cbor:"1,keyasint" json:"Phase"`
-	Share           float64  `cbor:"2,keyasint"`                         // of its normal traffic, 0 to 1; while probing, of the selected processes' traffic
+	Share           float64  `cbor:"2,keyasint"`                         // fraction of its normal traffic, 0 to 1; while probing, of the selected processes' traffic
 	ProbeFraction   float64  `cbor:"3,keyasint,omitempty" json:"Chosen"` // fraction of the processes that send probe requests
-	Step            int      `cbor:"4,keyasint,omitempty"`               // of the slow start, from 1
-	Failures        int      `cbor:"5,keyasint,omitempty"`               // consecutive; each doubles the probe backoff
-	UnreachableFrom []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes cannot reach it and send nothing there
+	Step            int      `cbor:"4,keyasint,omitempty"`               // slow start step, from 1
+	Failures        int      `cbor:"5,keyasint,omitempty"`               // consecutive failures; each doubles the probe backoff
+	UnreachableFrom []string `cbor:"6,keyasint,omitempty" json:"Cut"`    // zones whose processes cannot reach it; of these only the selected ones send it traffic, as probes
 	Reason          string   `cbor:"7,keyasint,omitempty"`
 	SinceEpoch      uint64   `cbor:"8,keyasint,omitempty" json:"Since"` // the epoch that set this state
 }
 
-// The actions of a manual override. The texts are part of the operators' interface.
+// The actions of a manual override. The strings are part of the operators' interface.
 const (
 	OverrideEvacuate = "leave"
 	OverrideRestore  = "return"
@@ -77,8 +79,8 @@
 type Table struct {
 	Epoch     uint64               `cbor:"1,keyasint"`
 	Zones     map[string]ZoneState `cbor:"2,keyasint"`
-	Admission map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // admitted fraction by class; a class that is absent is fully admitted
-	Overrides map[string]Override  `cbor:"4,keyasint,omitempty" json:"Words"`
+	Admission map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // admitted fraction by class; absent classes are fully admitted
+	Overrides map[string]Override  `cbor:"4,keyasint,omitempty" json:"Words"` // by zone
 }
 
 // Zone returns the state of a zone; a zone without an entry is active with its full share.
@@ -104,16 +106,16 @@
 type Change struct {
 	ExpectedEpoch uint64               `cbor:"1,keyasint"`
 	Zones         map[string]ZoneState `cbor:"2,keyasint,omitempty"`              // the zones that change
-	Admission     map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // replaces the table's where SetsAdmission
+	Admission     map[string]float64   `cbor:"3,keyasint,omitempty" json:"Admit"` // replaces the table's Admission if SetsAdmission
 	SetsAdmission bool                 `cbor:"4,keyasint,omitempty"`
 }
 
-// VoterStart registers a start of a voter's process, so that a store restored from an old copy is
-// detected.
+// VoterStart registers a start of a voter's process, so that a store restored from an older copy is
+// detected by its start count.
 type VoterStart struct {
 	Voter  uint64 `cbor:"1,keyasint"`
-	Store  string `cbor:"2,keyasint"`
-	Starts uint64 `cbor:"3,keyasint"`
+	Store  string `cbor:"2,keyasint"` // ID of the voter's store
+	Starts uint64 `cbor:"3,keyasint"` // how often a process has started with the store
 }
 
 // Command is one entry of the replicated log. Exactly one of Change, Override and Start is set.
@@ -132,33 +134,33 @@
 
 // Errors of invalid commands. Those of overrides are shown to operators.
 var (
-	errDuplicateID    = errors.New("command without an ID of its own")
-	errEmptyCommand   = errors.New("command without content")
+	errDuplicateID    = errors.New("command ID is missing or was applied before")
+	errEmptyCommand   = errors.New("command sets none of change, override and start")
 	errZoneMissing    = errors.New("zone: missing")
 	errReasonMissing  = errors.New("reason: missing")
 	errUntilMissing   = errors.New("until: missing")
 	errSnapshotFields = errors.New("snapshot lacks zones, overrides or starts")
 )
 
-// checkExpectedEpoch names a check for StateMachine.DisabledCheck: a change for another epoch is rejected.
+// checkExpectedEpoch is the value of StateMachine.DisabledCheck that accepts changes computed for another epoch.
 const checkExpectedEpoch = "expect"
 
 // StateMachine applies the commands of the replicated log in order. It is not safe for concurrent
-// use; its replica's goroutine owns it.
+// use; the replica's goroutine owns it.
 type StateMachine struct {
 	state         state
-	OnApplied     func(command Command, err error) // called after each command; err is nil where it took effect
-	DisabledCheck string                           // a check to skip, for tests that show why it is needed
+	OnApplied     func(command Command, err error) // called after each command; err is nil if the command took effect
+	DisabledCheck string                           // check to skip, for tests that show why it is needed
 }
 
 type state struct {
 	Table      Table                 `cbor:"1,keyasint"`
-	Starts     map[uint64]VoterStart `cbor:"2,keyasint"`
+	Starts     map[uint64]VoterStart `cbor:"2,keyasint"` // last start by voter
 	RecentIDs  []string              `cbor:"3,keyasint"` // IDs of the last commands, oldest first
 	RolledBack map[uint64]string     `cbor:"4,keyasint"` // ID of the rolled-back store by voter
 }
 
-const maxRecentIDs = 256 // commands remembered to reject duplicates
+const maxRecentIDs = 256 // command IDs kept to reject duplicates
 
 // NewStateMachine returns a state machine with an empty table at epoch 0.
 func NewStateMachine() *StateMachine {
@@ -180,8 +182,8 @@
 	return m.state.RolledBack[voter] == store
 }
 
-// Apply applies the next log entry. An entry that cannot be decoded or is invalid has no effect, at
-// every voter alike.
+// Apply applies the next log entry. An entry that cannot be decoded or is invalid changes nothing in
+// the table, at every voter alike.
 func (m *StateMachine) Apply(_ uint64, data []byte) {
 	var command Command
 	err := encoding.Unmarshal(data, &command)
@@ -236,7 +238,7 @@
 func (z ZoneState) validate() error {
 	switch {
 	case int(z.Phase) >= len(phaseNames):
-		return fmt.Errorf("%v", z.Phase)
+		return fmt.Errorf("unknown phase %d", z.Phase)
 	case !(z.Share >= 0 && z.Share <= 1), !(z.ProbeFraction >= 0 && z.ProbeFraction <= 1):
 		return fmt.Errorf("a share of %v, %v chosen", z.Share, z.ProbeFraction)
 	}
@@ -244,18 +246,18 @@
 }
 
 // Validate returns an error that names the first invalid field. It is called before the override is
-// proposed and again when it is applied.
-func (w Override) Validate() error {
+// proposed and again when the override is applied.
+func (o Override) Validate() error {
 	switch {
-	case w.Zone == "":
+	case o.Zone == "":
 		return errZoneMissing
-	case w.Action == OverrideClear:
+	case o.Action == OverrideClear:
 		return nil
-	case w.Action != OverrideEvacuate && w.Action != OverrideRestore && w.Action != OverrideFreeze:
-		return fmt.Errorf("do: %q is none of leave, return, hold and clear", w.Action)
-	case w.Reason == "":
+	case o.Action != OverrideEvacuate && o.Action != OverrideRestore && o.Action != OverrideFreeze:
+		return fmt.Errorf("do: %q is none of leave, return, hold and clear", o.Action)
+	case o.Reason == "":
 		return errReasonMissing
-	case w.Until <= 0:
+	case o.Until <= 0:
 		return errUntilMissing
 	}
 	return nil
@@ -276,20 +278,20 @@
 }
 
 // applyVoterStart records a voter's start. A store whose start count does not grow was restored from
-// an older copy and lacks the votes and entries acknowledged since; the voter must not go on.
-func (m *StateMachine) applyVoterStart(s VoterStart) error {
-	if last, ok := m.state.Starts[s.Voter]; ok && last.Store == s.Store && s.Starts <= last.Starts {
-		m.state.RolledBack[s.Voter] = s.Store
+// an older copy and lacks the votes and entries acknowledged since; the voter must stop.
+func (m *StateMachine) applyVoterStart(start VoterStart) error {
+	if last, ok := m.state.Starts[start.Voter]; ok && last.Store == start.Store && start.Starts <= last.Starts {
+		m.state.RolledBack[start.Voter] = start.Store
 		return ErrStoreRolledBack
 	}
-	m.state.Starts[s.Voter] = s
+	m.state.Starts[start.Voter] = start
 	return nil
 }
 
 // Snapshot encodes the state.
 func (m *StateMachine) Snapshot() ([]byte, error) { return encoding.Marshal(m.state) }
 
-// Restore replaces the state by a snapshot's. Empty data stands for the empty state.
+// Restore replaces the state with that of a snapshot. Empty data stands for the empty state.
 func (m *StateMachine) Restore(data []byte) error {
 	s := emptyState()
 	if len(data) > 0 {
--- a/internal/node/zones/commands/compatibility_test.go
+++ b/internal/node/zones/commands/compatibility_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// valueRow is a row of a value of the replicated log.
+// valueRow returns a golden row for a value that is stored in the replicated log.
 func valueRow[T any](name string, value T) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
@@ -20,7 +20,8 @@
 	}
 }
 
-// compatibilityCommands are one entry of each kind, in an order that a state machine accepts.
+// compatibilityCommands returns rows for commands of each kind. The last one registers a start count a second
+// time, as a store restored from an older copy does.
 func compatibilityCommands() []golden.Row {
 	zones := map[string]ZoneState{
 		"north": {Phase: PhaseProbing, Share: 0.5, ProbeFraction: 0.25, Step: 3, Failures: 2, UnreachableFrom: []string{"south"}, Reason: "errors", SinceEpoch: 9},
@@ -34,14 +35,14 @@
 	}
 }
 
-// compatibilityRows are the entries, the table and the snapshot that they lead to.
+// compatibilityRows returns rows for the commands, and for the table and the snapshot after applying them.
 func compatibilityRows() []golden.Row {
 	machine := NewStateMachine()
 	rows := compatibilityCommands()
 	for index, row := range rows {
 		encoded, err := row.Encode()
 		if err != nil {
-			panic(err) // the rows are constant
+			panic(err) // the commands are constant and can be encoded
 		}
 		machine.Apply(uint64(index+1), encoded)
 	}
@@ -56,6 +57,7 @@
 	})
 }
 
+// The encodings equal those of version 8782861, and its snapshot can be restored.
 func TestCommands_asVersion8782861(t *testing.T) {
 	golden.Check(t, compatibilityRows())
 	restored := NewStateMachine()
@@ -63,6 +65,6 @@
 		t.Fatal(err)
 	}
 	if !restored.StoreRolledBack(2, "store-a") {
-		t.Error("the start from an older copy of the store is not in the snapshot")
+		t.Error("StoreRolledBack is false after restoring the golden snapshot, want true: it records a start from an older copy of the store")
 	}
 }
--- a/internal/node/zones/failover/admission.go
+++ b/internal/node/zones/failover/admission.go
@@ -9,20 +9,22 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// minAdmittedFraction bounds the fraction by which observed demand is divided to estimate the demand before rejections.
+// minAdmittedFraction bounds the fraction by which offeredDemand divides the observed work, so that the result stays finite.
 const minAdmittedFraction = 0.01
 
-// decideAdmission returns the fraction of each class to admit while zones are out of service, and whether that
-// differs enough from the table to be committed. Classes absent from the result are fully admitted.
+// decideAdmission returns the fraction of each class to admit while a zone does not take its full share, and whether
+// it is to be committed. nextTable is the table with the zone changes of the same decision. Classes absent from the
+// result are fully admitted.
 func (d *Decider) decideAdmission(
-	now time.Duration, assessments map[string]Assessment, table, after *commands.Table,
+	now time.Duration, assessments map[string]Assessment, table, nextTable *commands.Table,
 ) (map[string]float64, bool) {
-	capacity, degraded := availableCapacity(assessments, after)
+	capacity, degraded := availableCapacity(assessments, nextTable)
 	wanted := map[string]float64{}
 	if degraded && capacity > 0 {
 		wanted = d.allotCapacity(capacity, d.offeredDemand(assessments, table))
 	}
-	// A burst, as of clients whose process was paused, is queued for a moment; rejecting it would lose more.
+	// A burst, for instance of clients that resume after a pause, is left to the queues for OverloadGraceTime:
+	// rejecting it would lose more than the queueing.
 	if len(wanted) == 0 {
 		d.overloadedSince = 0
 	} else if d.overloadedSince == 0 {
@@ -39,11 +41,11 @@
 	return wanted, true
 }
 
-// availableCapacity returns the slots of the zones in service by their shares, and whether any zone takes less than
-// its full share.
-func availableCapacity(assessments map[string]Assessment, after *commands.Table) (capacity float64, degraded bool) {
+// availableCapacity returns the slots of the serving zones, weighted by their shares, and whether any zone takes less
+// than its full share.
+func availableCapacity(assessments map[string]Assessment, nextTable *commands.Table) (capacity float64, degraded bool) {
 	for name, assessment := range assessments {
-		state := after.Zone(name)
+		state := nextTable.Zone(name)
 		switch {
 		case !state.Phase.Serves():
 			degraded = true
@@ -57,8 +59,8 @@
 	return capacity, degraded
 }
 
-// offeredDemand estimates the slot-seconds per second that clients ask for, by class: the work sent, corrected for
-// what the present admission rejects.
+// offeredDemand estimates the demand of the clients by class, in slot-seconds per second: the observed work divided by
+// the fraction that the current table admits.
 func (d *Decider) offeredDemand(assessments map[string]Assessment, table *commands.Table) []float64 {
 	demand := make([]float64, len(d.classes))
 	for _, assessment := range assessments {
@@ -76,8 +78,8 @@
 	return demand
 }
 
-// allotCapacity returns the fractions of the classes that do not fit. Non-idempotent classes are served first, then
-// the classes of the highest value per slot-second.
+// allotCapacity returns the admitted fractions of the classes whose demand does not fit into the capacity.
+// Non-idempotent classes are served first, each group by descending value per slot-second.
 func (d *Decider) allotCapacity(capacity float64, demand []float64) map[string]float64 {
 	order := make([]int, len(d.classes))
 	for i := range order {
@@ -108,10 +110,11 @@
 	return wanted
 }
 
-// admissionDiffers reports whether any class's fraction changes by MinAdmissionChange, or rejections end.
-func (d *Decider) admissionDiffers(present, wanted map[string]float64) bool {
+// admissionDiffers reports whether the fraction of any class changes by at least MinAdmissionChange, or wanted ends
+// all rejections.
+func (d *Decider) admissionDiffers(current, wanted map[string]float64) bool {
 	for _, class := range d.classes {
-		before, after := admittedFraction(present, class.Name), admittedFraction(wanted, class.Name)
+		before, after := admittedFraction(current, class.Name), admittedFraction(wanted, class.Name)
 		if math.Abs(before-after) >= d.settings.MinAdmissionChange || before != after && len(wanted) == 0 {
 			return true
 		}
--- a/internal/node/zones/failover/assessment.go
+++ b/internal/node/zones/failover/assessment.go
@@ -9,37 +9,37 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-// Condition is the assessed condition of a zone.
+// Condition is the condition of a zone as assessed from the observations.
 type Condition uint8
 
-// The conditions, the mildest first.
+// The conditions, in order of severity.
 const (
 	Healthy              Condition = iota
-	Unknown                        // too few steps were observed
-	Overloaded                     // it serves all it can: evacuating it would only move the overload
-	Slow                           // it serves, but later than the other zones
+	Unknown                        // too few observations to assess it
+	Overloaded                     // it works at full capacity: evacuating it would only move the overload
+	Slow                           // its steps succeed, but are late more often than in the other zones
 	PartiallyUnreachable           // some zones cannot reach it, others can
-	Failed                         // no zone reaches it or gets work done there
-	Inconclusive                   // it looks failed, but so does more than MaxFailedCapacity of the fleet
+	Failed                         // no observing zone gets work done there
+	Inconclusive                   // it looks failed, but more than MaxFailedCapacity of the fleet would be out of service
 )
 
-// conditionNames are part of the operators' interface.
+// conditionNames are part of the operators' interface and must not change.
 var conditionNames = [...]string{"well", "unknown", "crowded", "slow", "cut", "fails", "undecided"}
 
-// String returns the condition's name as operators see it.
+// String returns the name of the condition in the operators' interface.
 func (c Condition) String() string { return conditionNames[c] }
 
-// Assessment is the condition of one zone and the observations that it rests on.
+// Assessment is the condition of one zone and the observations that it is based on.
 type Assessment struct {
 	Condition           Condition
-	Observers           []string           // the zones whose observations show the condition
-	ReachedFrom         []string           // the zones that reach it
-	SustainableFraction float64            // of a slow zone: the fraction of its load that it keeps up with
+	Observers           []string           // zones whose observations show the condition
+	ReachedFrom         []string           // zones that can reach it
+	SustainableFraction float64            // of a slow zone: the fraction of its load that it can complete in time
 	Total               health.Observation // merged over all observing zones
-	OfferedWork         float64            // slot-seconds per second sent there, all classes
+	OfferedWork         float64            // slot-seconds per second sent there, sum of all classes
 }
 
-// reachability is what one zone's processes observe of another zone.
+// reachability tells whether the processes of one zone can reach another zone.
 type reachability uint8
 
 const (
@@ -48,7 +48,7 @@
 	unreachable
 )
 
-// String describes the condition and its reasons for operators.
+// String describes the condition and the observations behind it for operators.
 func (a Assessment) String() string {
 	total := &a.Total
 	return fmt.Sprintf("%v, by %s, reached by %s: %.0f of %.0f processes see it fail; "+
@@ -57,16 +57,16 @@
 		total.Completed(), total.Failed, total.TimedOut, total.Late, a.OfferedWork, total.Slots)
 }
 
-// views holds what each zone observes of the others.
-type views struct {
-	zones        []string // sorted
-	reachability map[string]map[string]reachability
-	unreliable   map[string]bool // zones whose observations do not count
+// zoneViews holds what the processes of each zone observe of every zone.
+type zoneViews struct {
+	zones        []string                           // sorted
+	reachability map[string]map[string]reachability // by observing and observed zone
+	unreliable   map[string]bool                    // observing zones whose observations are ignored
 }
 
-// assessZones assesses all zones that report or are reported on.
+// assessZones assesses all zones that report or are observed.
 func (s Settings) assessZones(digest health.Digest, table *commands.Table) map[string]Assessment {
-	views := s.viewsOf(digest)
+	views := s.collectViews(digest)
 	assessments := map[string]Assessment{}
 	for _, zone := range views.zones {
 		assessments[zone] = s.assessZone(zone, table.Zone(zone).UnreachableFrom, views, digest)
@@ -75,7 +75,8 @@
 	return assessments
 }
 
-func (s Settings) viewsOf(digest health.Digest) views {
+// collectViews classifies what each zone observes of every zone.
+func (s Settings) collectViews(digest health.Digest) zoneViews {
 	var names []string
 	for from, report := range digest {
 		names = append(names, from)
@@ -84,7 +85,7 @@
 		}
 	}
 	slices.Sort(names)
-	out := views{zones: slices.Compact(names), reachability: map[string]map[string]reachability{}, unreliable: map[string]bool{}}
+	out := zoneViews{zones: slices.Compact(names), reachability: map[string]map[string]reachability{}, unreliable: map[string]bool{}}
 	for _, from := range out.zones {
 		report := digest[from]
 		out.reachability[from] = map[string]reachability{}
@@ -99,15 +100,16 @@
 				failing++
 			}
 		}
-		// A zone that sees most of the fleet fail is partitioned itself, or the whole fleet is overloaded.
+		// If a zone sees most of the fleet fail, the zone itself is partitioned or the whole fleet is overloaded.
 		out.unreliable[from] = failing > 0 && 2*failing > known
 	}
 	return out
 }
 
-// classify returns what the processes of a zone observe of another. A zone counts as unreachable only if more than
-// half of the observing processes, at least two where there are two, see it fail over enough steps: a single
-// partitioned process decides nothing. That the zone is reachable a single process can show.
+// classify returns the reachability of a zone as observed by the processes of the zone from. A zone counts as
+// unreachable only if it has at least two observers (one if only one process reports), more than the fraction Majority
+// of them see it fail, and they saw enough steps: a single partitioned process must not decide this. If fewer see it
+// fail, or none does, the zone counts as reachable, also by a single process.
 func (s Settings) classify(from health.ZoneReport, observed health.Observation) reachability {
 	switch {
 	case observed.Observers == 0:
@@ -121,9 +123,9 @@
 	return reachUnknown
 }
 
-// assessZone assesses one zone by what the reliable zones observe of it. unreachableFrom are the zones that must
-// send it nothing: until they reach it again they count as failing to.
-func (s Settings) assessZone(zone string, unreachableFrom []string, views views, digest health.Digest) Assessment {
+// assessZone assesses one zone by the observations of the reliable zones. unreachableFrom are the zones that the table
+// lists as unable to reach it: they hardly send there, and count as unable until they reach it again.
+func (s Settings) assessZone(zone string, unreachableFrom []string, views zoneViews, digest health.Digest) Assessment {
 	assessment := Assessment{Condition: Unknown}
 	var failedFrom, reachedFrom []string
 	for _, from := range views.zones {
@@ -149,7 +151,7 @@
 		return assessment
 	case len(failedFrom) == 0:
 		assessment.Condition, assessment.Observers = Healthy, reachedFrom
-	case s.overloaded(assessment):
+	case s.isOverloaded(assessment):
 		assessment.Condition, assessment.Observers = Overloaded, failedFrom
 	case len(reachedFrom) > 0:
 		assessment.Condition, assessment.Observers = PartiallyUnreachable, failedFrom
@@ -159,18 +161,18 @@
 	return assessment
 }
 
-// overloaded reports whether a zone is offered more than its capacity and still completes many steps: its time-outs
-// are then waits in queues.
-func (s Settings) overloaded(assessment Assessment) bool {
+// isOverloaded reports whether a zone is offered at least its capacity and still serves the fraction
+// OverloadSuccessRatio of its steps: its time-outs are then due to queueing.
+func (s Settings) isOverloaded(assessment Assessment) bool {
 	total := &assessment.Total
 	return total.Slots > 0 && assessment.OfferedWork >= total.Slots && total.Succeeded >= s.OverloadSuccessRatio*total.Completed()
 }
 
-// minOnTimeRatio keeps the quotient of on-time ratios finite.
+// minOnTimeRatio is the least divisor of the quotient of on-time ratios, which keeps it finite.
 const minOnTimeRatio = 0.01
 
-// markSlowZones compares the late ratios of the healthy zones: one far above the median is slow. Where all are late,
-// none is.
+// markSlowZones marks as slow the healthy zones whose late ratio exceeds the median by SlowMargin. If all zones are
+// late alike, none is marked.
 func (s Settings) markSlowZones(assessments map[string]Assessment) {
 	var lateRatios []float64
 	for _, assessment := range assessments {
--- a/internal/node/zones/failover/decider.go
+++ b/internal/node/zones/failover/decider.go
@@ -1,9 +1,10 @@
 // Package failover decides which zones take traffic and how much.
 //
 // It evacuates a zone that fails, reduces the share of one that is slower than the others, probes an
-// evacuated zone after a backoff, and returns traffic by a slow start. While capacity is missing it
-// limits the admitted fraction of each request class. The decisions rest on the merged observations
-// of many processes (package health); one zone's opinion alone never evacuates another.
+// evacuated zone after a backoff, and restores its traffic by a slow start. While capacity is short
+// it limits the admitted fraction of request classes. The decisions are based on the merged
+// observations of many processes (package health); the observations of a single zone never evacuate
+// another.
 //
 // The Decider runs at the leader (package replica). Its changes take effect when the replicated log
 // has committed them. The package has no clock and does no I/O. docs/design/fleet-as-one.md lists
@@ -19,32 +20,32 @@
 	"ospreybend/internal/node/zones/health"
 )
 
-// zoneHistory is since when a zone's state and condition have been as they are.
+// zoneHistory records since when a zone has had its current state and condition.
 type zoneHistory struct {
-	sinceEpoch     uint64
-	stateSince     time.Duration // when this decider first saw the state
+	sinceEpoch     uint64        // epoch that set the state
+	stateSince     time.Duration // when this Decider first saw the state
 	condition      Condition
-	conditionSince time.Duration // since when the condition has been the same
+	conditionSince time.Duration // when the condition last changed
 }
 
-// Decider computes the next changes of the table. A new leader creates a new one: times count from the
-// moment it leads, so that a slow start step lasts rather too long than too short. It belongs to the
-// replica's goroutine.
+// Decider computes the next changes of the table. A new leader creates a new Decider, whose times
+// count from then on, so that a change of leader lengthens a slow start step and never shortens it. It
+// is not safe for concurrent use; the replica's goroutine owns it.
 type Decider struct {
 	settings           Settings
 	classes            []Class
 	history            map[string]*zoneHistory
 	admissionChangedAt time.Duration
-	overloadedSince    time.Duration // since when demand has exceeded capacity; 0: it does not
+	overloadedSince    time.Duration // since when demand has exceeded the available capacity; 0 if it does not
 }
 
-// New returns a decider without history.
+// New returns a Decider without history.
 func New(settings Settings, classes []Class) *Decider {
 	return &Decider{settings: settings, classes: classes, history: map[string]*zoneHistory{}}
 }
 
-// Decide returns the change that the observations call for, nil where there is none, and the assessments
-// of all zones. wall is the time of day in Unix microseconds, by which overrides expire.
+// Decide returns the change that the observations require, nil if there is none, and the assessments
+// of all zones. wall is the wall clock time in Unix microseconds, by which overrides expire.
 func (d *Decider) Decide(
 	now time.Duration, wall int64, digest health.Digest, table *commands.Table,
 ) (*commands.Change, map[string]Assessment) {
@@ -54,7 +55,7 @@
 		processes += from.Processes
 	}
 	d.updateHistory(now, assessments, table)
-	d.withholdMassFailure(assessments, table)
+	d.markMassFailureInconclusive(assessments, table)
 	change := &commands.Change{ExpectedEpoch: table.Epoch, Zones: map[string]commands.ZoneState{}}
 	for _, name := range d.zoneNames(assessments, table) {
 		in := d.zoneInput(now, wall, name, assessments[name], table)
@@ -65,8 +66,8 @@
 	}
 	after := table.Clone()
 	maps.Copy(after.Zones, change.Zones)
-	if admit, ok := d.decideAdmission(now, assessments, table, &after); ok {
-		change.Admission, change.SetsAdmission = admit, true
+	if admission, ok := d.decideAdmission(now, assessments, table, &after); ok {
+		change.Admission, change.SetsAdmission = admission, true
 	}
 	if len(change.Zones) == 0 && !change.SetsAdmission {
 		return nil, assessments
@@ -74,25 +75,25 @@
 	return change, assessments
 }
 
-// zoneInput is what the next state of one zone depends on.
+// zoneInput holds what the next state of one zone depends on.
 type zoneInput struct {
 	state        commands.ZoneState
 	assessment   Assessment
 	override     commands.Override
-	overridden   bool          // the override has not expired
-	stateAge     time.Duration // since this decider first saw the state
-	conditionAge time.Duration // since the assessed condition last changed
-	processes    float64       // that report, over all zones
+	hasOverride  bool          // override is set and has not expired
+	stateAge     time.Duration // time since this Decider first saw the state
+	conditionAge time.Duration // time since the assessed condition last changed
+	processes    float64       // number of reporting processes in all zones
 }
 
 func (d *Decider) zoneInput(now time.Duration, wall int64, name string, assessment Assessment, table *commands.Table) zoneInput {
 	history := d.history[name]
 	override, ok := table.Overrides[name]
-	return zoneInput{state: table.Zone(name), assessment: assessment, override: override, overridden: ok && wall < override.Until,
+	return zoneInput{state: table.Zone(name), assessment: assessment, override: override, hasOverride: ok && wall < override.Until,
 		stateAge: now - history.stateSince, conditionAge: now - history.conditionSince}
 }
 
-// zoneNames returns all zones that are assessed or in the table, sorted.
+// zoneNames returns the names of all zones that are assessed, in the table or overridden, sorted.
 func (d *Decider) zoneNames(assessments map[string]Assessment, table *commands.Table) []string {
 	names := slices.Collect(maps.Keys(assessments))
 	names = slices.AppendSeq(names, maps.Keys(table.Zones))
@@ -101,34 +102,34 @@
 	return slices.Compact(names)
 }
 
-// sameState reports whether two states differ in nothing but reason and epoch.
+// sameState reports whether two states are equal except for Reason and SinceEpoch.
 func sameState(a, b commands.ZoneState) bool {
 	return a.Phase == b.Phase && a.Share == b.Share && a.ProbeFraction == b.ProbeFraction && a.Step == b.Step && a.Failures == b.Failures &&
 		slices.Equal(a.UnreachableFrom, b.UnreachableFrom)
 }
 
-// updateHistory records since when each zone's state and condition have been as they are.
+// updateHistory records the zones whose state or condition has changed since the last call.
 func (d *Decider) updateHistory(now time.Duration, assessments map[string]Assessment, table *commands.Table) {
 	for _, name := range d.zoneNames(assessments, table) {
-		since, kind := table.Zone(name).SinceEpoch, assessments[name].Condition
+		sinceEpoch, condition := table.Zone(name).SinceEpoch, assessments[name].Condition
 		history := d.history[name]
 		if history == nil {
-			history = &zoneHistory{sinceEpoch: since, stateSince: now, condition: kind, conditionSince: now}
+			history = &zoneHistory{sinceEpoch: sinceEpoch, stateSince: now, condition: condition, conditionSince: now}
 			d.history[name] = history
 		}
-		if history.sinceEpoch != since {
-			history.sinceEpoch, history.stateSince = since, now
+		if history.sinceEpoch != sinceEpoch {
+			history.sinceEpoch, history.stateSince = sinceEpoch, now
 		}
-		if history.condition != kind {
-			history.condition, history.conditionSince = kind, now
+		if history.condition != condition {
+			history.condition, history.conditionSince = condition, now
 		}
 	}
 }
 
-// withholdMassFailure makes all failures inconclusive where evacuating them would take more than
-// MaxFailedCapacity out of service, together with the zones evacuated already: so many failures at once
-// are more likely a fault of the observers.
-func (d *Decider) withholdMassFailure(assessments map[string]Assessment, table *commands.Table) {
+// markMassFailureInconclusive makes all failures inconclusive if evacuating the failed zones would, with
+// those already out of service, put more than MaxFailedCapacity of all slots out of service: so many
+// failures at once are more likely a fault of the observers.
+func (d *Decider) markMassFailureInconclusive(assessments map[string]Assessment, table *commands.Table) {
 	total, unavailable := 0.0, 0.0
 	for name, assessment := range assessments {
 		total += assessment.Total.Slots
--- a/internal/node/zones/failover/decider_test.go
+++ b/internal/node/zones/failover/decider_test.go
@@ -11,98 +11,101 @@
 
 var testClasses = []Class{{Name: "check", Value: 2}, {Name: "preview", Value: 1}, {Name: "book", Value: 4, NonIdempotent: true}}
 
-// observation returns the merged observation of n processes that each saw good and bad steps, with a load of work.
-func observation(n int, good, bad float64) health.Observation {
-	s := health.Observation{Slots: 10, WorkRate: []float64{1, 1, 1}}
-	for range n {
-		one := health.Observation{StepCounts: health.StepCounts{Sent: good + bad, Succeeded: good, Failed: bad}, Observers: 1, RecentSteps: good + bad}
-		if bad >= good {
-			one.FailingObservers = 1
+// observationBy returns the merged observation of a number of processes, each of which saw the given numbers of
+// succeeded and failed steps. A process sees the zone fail if at least half of its steps failed. The zone has 10 slots.
+func observationBy(processes int, succeeded, failed float64) health.Observation {
+	merged := health.Observation{Slots: 10, WorkRate: []float64{1, 1, 1}}
+	for range processes {
+		perProcess := health.Observation{StepCounts: health.StepCounts{Sent: succeeded + failed, Succeeded: succeeded, Failed: failed}, Observers: 1, RecentSteps: succeeded + failed}
+		if failed >= succeeded {
+			perProcess.FailingObservers = 1
 		}
-		s.Add(one)
+		merged.Add(perProcess)
 	}
-	return s
+	return merged
 }
 
-var healthyBy3, failingBy3 = observation(3, 10, 0), observation(3, 0, 10)
+// The observations by three processes of a healthy and of a failing zone.
+var healthyObservation, failingObservation = observationBy(3, 10, 0), observationBy(3, 0, 10)
 
-// shownBy returns the digest of zones a, b and c of three processes each, all healthy but for what differs.
-func shownBy(differs map[[2]string]health.Observation) health.Digest {
-	d := health.Digest{}
+// digestWith returns the digest of the zones a, b and c with three processes each. All observe all zones as healthy,
+// except for the given pairs of observing and observed zone.
+func digestWith(exceptions map[[2]string]health.Observation) health.Digest {
+	digest := health.Digest{}
 	for _, from := range []string{"a", "b", "c"} {
-		at := health.ZoneReport{Processes: 3, Observations: health.Observations{}}
+		report := health.ZoneReport{Processes: 3, Observations: health.Observations{}}
 		for _, to := range []string{"a", "b", "c"} {
-			s, ok := differs[[2]string{from, to}]
+			observed, ok := exceptions[[2]string{from, to}]
 			if !ok {
-				s = healthyBy3
+				observed = healthyObservation
 			}
-			at.Observations[to] = s
+			report.Observations[to] = observed
 		}
-		d[from] = at
+		digest[from] = report
 	}
-	return d
+	return digest
 }
 
-// The condition of zone b by what the zones observe of it.
+// assessZones derives the condition of zone b from the observations of all zones.
 func TestSettings_assessZones(t *testing.T) {
-	late := observation(3, 10, 0)
+	late := observationBy(3, 10, 0)
 	late.Late = 25
-	crowded := observation(3, 5, 10)
-	crowded.WorkRate = []float64{4, 4, 4}
-	one := observation(2, 10, 0)
-	one.Add(observation(1, 0, 10))
-	gone := shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"c", "b"}: failingBy3})
-	delete(gone, "b")
+	overloaded := observationBy(3, 5, 10)
+	overloaded.WorkRate = []float64{4, 4, 4}
+	oneOfThreeFailing := observationBy(2, 10, 0)
+	oneOfThreeFailing.Add(observationBy(1, 0, 10))
+	zoneBSilent := digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation, {"c", "b"}: failingObservation})
+	delete(zoneBSilent, "b")
 	for _, c := range []struct {
-		name string
-		seen health.Digest
-		want Condition
+		name   string
+		digest health.Digest
+		want   Condition
 	}{
-		{"all well", shownBy(nil), Healthy},
-		{"nobody gets anything done there", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"b", "b"}: failingBy3, {"c", "b"}: failingBy3}), Failed},
-		{"and its processes are gone, too", gone, Failed},
-		{"its own processes reach it", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"c", "b"}: failingBy3}), PartiallyUnreachable},
-		{"one zone does not reach it", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3}), PartiallyUnreachable},
-		{"one zone alone speaks", health.Digest{"a": {Processes: 3, Observations: health.Observations{"a": healthyBy3, "b": failingBy3}}}, Unknown},
-		{"who says so reaches nobody", shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"a", "c"}: failingBy3}), Healthy},
-		{"one process is cut off", shownBy(map[[2]string]health.Observation{{"a", "b"}: one, {"c", "b"}: one, {"b", "b"}: one}), Healthy},
-		{"too few steps to tell", shownBy(map[[2]string]health.Observation{{"a", "b"}: observation(2, 0, 1), {"b", "b"}: observation(2, 0, 1), {"c", "b"}: observation(2, 0, 1)}), Unknown},
-		{"it only has too much to do", shownBy(map[[2]string]health.Observation{{"a", "b"}: crowded, {"b", "b"}: crowded, {"c", "b"}: crowded}), Overloaded},
-		{"it alone is late", shownBy(map[[2]string]health.Observation{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late}), Slow},
-		{"all are late", shownBy(map[[2]string]health.Observation{{"a", "a"}: late, {"a", "b"}: late, {"a", "c"}: late, {"b", "a"}: late,
+		{"all zones healthy", digestWith(nil), Healthy},
+		{"fails from all zones", digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation, {"b", "b"}: failingObservation, {"c", "b"}: failingObservation}), Failed},
+		{"fails from the other zones, its own processes do not report", zoneBSilent, Failed},
+		{"only its own processes reach it", digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation, {"c", "b"}: failingObservation}), PartiallyUnreachable},
+		{"one zone cannot reach it", digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation}), PartiallyUnreachable},
+		{"fails from the only zone that reports", health.Digest{"a": {Processes: 3, Observations: health.Observations{"a": healthyObservation, "b": failingObservation}}}, Unknown},
+		{"the only zone from which it fails cannot reach most zones", digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation, {"a", "c"}: failingObservation}), Healthy},
+		{"fails from one of three processes in each zone", digestWith(map[[2]string]health.Observation{{"a", "b"}: oneOfThreeFailing, {"c", "b"}: oneOfThreeFailing, {"b", "b"}: oneOfThreeFailing}), Healthy},
+		{"too few failed steps", digestWith(map[[2]string]health.Observation{{"a", "b"}: observationBy(2, 0, 1), {"b", "b"}: observationBy(2, 0, 1), {"c", "b"}: observationBy(2, 0, 1)}), Unknown},
+		{"offered more than its capacity, serves a third", digestWith(map[[2]string]health.Observation{{"a", "b"}: overloaded, {"b", "b"}: overloaded, {"c", "b"}: overloaded}), Overloaded},
+		{"only its steps are late", digestWith(map[[2]string]health.Observation{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late}), Slow},
+		{"steps are late in all zones", digestWith(map[[2]string]health.Observation{{"a", "a"}: late, {"a", "b"}: late, {"a", "c"}: late, {"b", "a"}: late,
 			{"b", "b"}: late, {"b", "c"}: late, {"c", "a"}: late, {"c", "b"}: late, {"c", "c"}: late}), Healthy},
 	} {
-		if got := DefaultSettings().assessZones(c.seen, &commands.Table{})["b"]; got.Condition != c.want {
-			t.Errorf("%s: %v, not %v", c.name, got.Condition, c.want)
+		if got := DefaultSettings().assessZones(c.digest, &commands.Table{})["b"]; got.Condition != c.want {
+			t.Errorf("%s: condition %v, want %v", c.name, got.Condition, c.want)
 		}
 	}
 }
 
-// simulatedFleet applies a decider's changes to a table at once.
+// simulatedFleet applies the changes of a Decider to a table without delay.
 type simulatedFleet struct {
-	t     *testing.T
-	d     *Decider
-	table commands.Table
-	now   time.Duration
-	wall  int64
+	t        *testing.T
+	decider  *Decider
+	table    commands.Table
+	now      time.Duration
+	wallTime int64
 }
 
 func newSimulatedFleet(t *testing.T) *simulatedFleet {
-	return &simulatedFleet{t: t, d: New(DefaultSettings(), testClasses), now: time.Hour,
+	return &simulatedFleet{t: t, decider: New(DefaultSettings(), testClasses), now: time.Hour,
 		table: commands.Table{Zones: map[string]commands.ZoneState{}, Overrides: map[string]commands.Override{}}}
 }
 
-// observe presents the same observations for a while and returns the state of zone b.
-func (s *simulatedFleet) observe(span time.Duration, v health.Digest) commands.ZoneState {
+// observe lets the Decider decide on the same digest every 200 ms for a time span and returns the state of zone b.
+func (s *simulatedFleet) observe(span time.Duration, digest health.Digest) commands.ZoneState {
 	for end := s.now + span; s.now < end; s.now += 200 * time.Millisecond {
-		change, _ := s.d.Decide(s.now, s.wall, v, &s.table)
+		change, _ := s.decider.Decide(s.now, s.wallTime, digest, &s.table)
 		if change == nil {
 			continue
 		}
 		s.table.Epoch++
-		for name, z := range change.Zones {
-			z.SinceEpoch = s.table.Epoch
-			s.table.Zones[name] = z
+		for name, state := range change.Zones {
+			state.SinceEpoch = s.table.Epoch
+			s.table.Zones[name] = state
 		}
 		if change.SetsAdmission {
 			s.table.Admission = change.Admission
@@ -111,141 +114,143 @@
 	return s.table.Zone("b")
 }
 
-var failing = shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3, {"b", "b"}: failingBy3, {"c", "b"}: failingBy3})
+// zoneBFailing is a digest in which zone b fails from all zones.
+var zoneBFailing = digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation, {"b", "b"}: failingObservation, {"c", "b"}: failingObservation})
 
-// A failed zone is evacuated, probed after a backoff that doubles with each failure, and returns by slow start steps
-// no larger than its warm capacity; failures during a step halve the share.
+// A failed zone is evacuated, probed after a backoff that doubles with each failure, and returned by a slow start that
+// at most doubles the share at a time and does not exceed the warm capacity. Failures during a step halve the share.
 func TestDecider_evacuatesAndReturns(t *testing.T) {
 	s := newSimulatedFleet(t)
-	if z := s.observe(time.Second, failing); z.Phase != commands.PhaseEvacuated || z.Share != 0 || z.Failures != 1 {
-		t.Fatalf("after the failure: %+v", z)
+	if z := s.observe(time.Second, zoneBFailing); z.Phase != commands.PhaseEvacuated || z.Share != 0 || z.Failures != 1 {
+		t.Fatalf("after one failing second: %+v, want evacuated with share 0 and 1 failure", z)
 	}
-	if z := s.observe(2*time.Second, failing); z.Phase != commands.PhaseProbing || z.ProbeFraction*z.Share > DefaultSettings().InitialShare+1e-9 {
-		t.Fatalf("after the backoff: %+v", z)
+	if z := s.observe(2*time.Second, zoneBFailing); z.Phase != commands.PhaseProbing || z.ProbeFraction*z.Share > DefaultSettings().InitialShare+1e-9 {
+		t.Fatalf("after the backoff: %+v, want probing with at most the initial share over all processes", z)
 	}
-	if z := s.observe(1500*time.Millisecond, failing); z.Phase != commands.PhaseEvacuated || z.Failures != 2 {
-		t.Fatalf("after failed probes: %+v", z)
+	if z := s.observe(1500*time.Millisecond, zoneBFailing); z.Phase != commands.PhaseEvacuated || z.Failures != 2 {
+		t.Fatalf("after failed probes: %+v, want evacuated with 2 failures", z)
 	}
-	if z := s.observe(3*time.Second, failing); z.Phase != commands.PhaseEvacuated {
-		t.Fatalf("before the doubled backoff ended: %+v", z)
+	if z := s.observe(3*time.Second, zoneBFailing); z.Phase != commands.PhaseEvacuated {
+		t.Fatalf("before the doubled backoff ended: %+v, want evacuated", z)
 	}
-	s.observe(1200*time.Millisecond, failing)
-	warmupDeficit := observation(3, 10, 0)
-	warmupDeficit.WarmupDeficit = 0.7
-	coming := shownBy(map[[2]string]health.Observation{{"a", "b"}: warmupDeficit, {"b", "b"}: warmupDeficit, {"c", "b"}: warmupDeficit})
-	if z := s.observe(12*time.Second, coming); z.Phase != commands.PhaseSlowStart || z.Share != 0.25 {
-		t.Fatalf("at three tenths of the capacity: %+v", z)
+	s.observe(1200*time.Millisecond, zoneBFailing)
+	warmingUp := observationBy(3, 10, 0)
+	warmingUp.WarmupDeficit = 0.7
+	zoneBWarmingUp := digestWith(map[[2]string]health.Observation{{"a", "b"}: warmingUp, {"b", "b"}: warmingUp, {"c", "b"}: warmingUp})
+	if z := s.observe(12*time.Second, zoneBWarmingUp); z.Phase != commands.PhaseSlowStart || z.Share != 0.25 {
+		t.Fatalf("slow start with three tenths of the capacity warm: %+v, want share 0.25", z)
 	}
-	if z := s.observe(400*time.Millisecond, failing); z.Phase != commands.PhaseSlowStart || z.Share != 0.125 {
-		t.Fatalf("after failures in a step: %+v", z)
+	if z := s.observe(400*time.Millisecond, zoneBFailing); z.Phase != commands.PhaseSlowStart || z.Share != 0.125 {
+		t.Fatalf("after failures in a slow start step: %+v, want slow start with share 0.125", z)
 	}
 	last := 0.0
 	for range 40 {
-		z := s.observe(200*time.Millisecond, shownBy(nil))
+		z := s.observe(200*time.Millisecond, digestWith(nil))
 		if z.Share > 2*last && last > 0 {
-			t.Fatalf("from %v to %v at once", last, z.Share)
+			t.Fatalf("the share rose from %v to %v at once, want at most twofold", last, z.Share)
 		}
 		last = z.Share
 	}
 	z := s.table.Zone("b")
 	if z.Phase != commands.PhaseActive || z.Share != 1 || z.Failures != 2 {
-		t.Fatalf("after the slow start: %+v", z)
+		t.Fatalf("after the slow start: %+v, want active with share 1 and 2 failures", z)
 	}
-	if z := s.observe(31*time.Second, shownBy(nil)); z.Failures != 0 {
-		t.Errorf("the failure count is not reset: %+v", z)
+	if z := s.observe(31*time.Second, digestWith(nil)); z.Failures != 0 {
+		t.Errorf("after 31 healthy seconds: %+v, want the failure count reset to 0", z)
 	}
 }
 
-// A new leader starts the time of a step anew and continues from the share.
+// A new leader continues the slow start from the committed share and restarts the duration of the current step.
 func TestDecider_slowStartSurvivesLeaderChange(t *testing.T) {
 	s := newSimulatedFleet(t)
 	s.table = commands.Table{Epoch: 7, Zones: map[string]commands.ZoneState{"b": {Phase: commands.PhaseSlowStart, Share: 0.25, Step: 3, Failures: 1, SinceEpoch: 7}}}
-	if z := s.observe(time.Second, shownBy(nil)); z.Share != 0.25 {
-		t.Errorf("at once: %+v", z)
+	if z := s.observe(time.Second, digestWith(nil)); z.Share != 0.25 {
+		t.Errorf("1 s after the change of leader: %+v, want share 0.25", z)
 	}
-	if z := s.observe(800*time.Millisecond, shownBy(nil)); z.Share != 0.5 {
-		t.Errorf("after its time: %+v", z)
+	if z := s.observe(800*time.Millisecond, digestWith(nil)); z.Share != 0.5 {
+		t.Errorf("1.8 s after the change of leader: %+v, want share 0.5", z)
 	}
 }
 
 // No zone is evacuated when more than half of the capacity looks failed.
 func TestDecider_keepsZonesOnMassFailure(t *testing.T) {
 	s := newSimulatedFleet(t)
-	big := observation(3, 0, 10)
-	big.Slots = 50
-	if z := s.observe(2*time.Second, shownBy(map[[2]string]health.Observation{{"a", "b"}: big, {"b", "b"}: big, {"c", "b"}: big})); z.Phase != commands.PhaseActive {
-		t.Errorf("%+v", z)
+	mostSlots := observationBy(3, 0, 10)
+	mostSlots.Slots = 50
+	if z := s.observe(2*time.Second, digestWith(map[[2]string]health.Observation{{"a", "b"}: mostSlots, {"b", "b"}: mostSlots, {"c", "b"}: mostSlots})); z.Phase != commands.PhaseActive {
+		t.Errorf("a failing zone with more than half of the slots: %+v, want it still active", z)
 	}
 }
 
-// When capacity is short, the class of the lowest value is rejected first, a non-idempotent one last.
+// When capacity is short for longer than a burst, the class of the lowest value is rejected first and a non-idempotent
+// one last. All classes are admitted again when the capacity is back.
 func TestDecider_rejectsLowestValueFirst(t *testing.T) {
 	s := newSimulatedFleet(t)
-	busy := func(z health.Observation) health.Observation { z.WorkRate = []float64{2.5, 2.5, 1}; return z }
-	v := shownBy(nil)
-	for _, from := range v {
-		for to, z := range from.Observations {
+	withHighLoad := func(z health.Observation) health.Observation { z.WorkRate = []float64{2.5, 2.5, 1}; return z }
+	digest := digestWith(nil)
+	for _, report := range digest {
+		for to, observed := range report.Observations {
 			if to == "b" {
-				z = failingBy3
+				observed = failingObservation
 			}
-			from.Observations[to] = busy(z)
+			report.Observations[to] = withHighLoad(observed)
 		}
 	}
-	if s.observe(3*time.Second, v); len(s.table.Admission) > 0 {
-		t.Errorf("a burst is rejected: %v", s.table.Admission)
+	if s.observe(3*time.Second, digest); len(s.table.Admission) > 0 {
+		t.Errorf("admission after 3 s of high load: %v, want none before OverloadGraceTime", s.table.Admission)
 	}
-	s.observe(3*time.Second, v)
-	a := s.table.Admission
-	if admittedFraction(a, "book") != 1 || admittedFraction(a, "check") >= 1 || admittedFraction(a, "preview") > admittedFraction(a, "check") {
-		t.Errorf("admission: %v", a)
+	s.observe(3*time.Second, digest)
+	admission := s.table.Admission
+	if admittedFraction(admission, "book") != 1 || admittedFraction(admission, "check") >= 1 || admittedFraction(admission, "preview") > admittedFraction(admission, "check") {
+		t.Errorf("admission after 6 s of high load: %v, want book fully admitted, check limited, preview no higher than check", admission)
 	}
 	for range 20 {
-		s.observe(time.Second, shownBy(nil))
+		s.observe(time.Second, digestWith(nil))
 	}
 	if len(s.table.Admission) != 0 {
-		t.Errorf("all zones are healthy, admission is %v", s.table.Admission)
+		t.Errorf("admission with all zones healthy again: %v, want none", s.table.Admission)
 	}
 }
 
-// A slow zone keeps a reduced share; a partition concerns only the zones beyond it.
+// A slow zone keeps a reduced share. In a partition only the zones that cannot reach a zone stop sending to it.
 func TestDecider_slowAndPartiallyUnreachable(t *testing.T) {
 	s := newSimulatedFleet(t)
-	late := observation(3, 10, 0)
+	late := observationBy(3, 10, 0)
 	late.Late = 18
-	slow := shownBy(map[[2]string]health.Observation{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late})
+	slow := digestWith(map[[2]string]health.Observation{{"a", "b"}: late, {"b", "b"}: late, {"c", "b"}: late})
 	if z := s.observe(3300*time.Millisecond, slow); z.Phase != commands.PhaseReduced || z.Share != 0.25 {
-		t.Errorf("slow: %+v", z)
+		t.Errorf("a slow zone: %+v, want reduced with share 0.25", z)
 	}
 	s = newSimulatedFleet(t)
-	if z := s.observe(2*time.Second, shownBy(map[[2]string]health.Observation{{"a", "b"}: failingBy3})); z.Phase != commands.PhaseActive || len(z.UnreachableFrom) != 1 || z.UnreachableFrom[0] != "a" {
-		t.Errorf("partitioned: %+v", z)
+	if z := s.observe(2*time.Second, digestWith(map[[2]string]health.Observation{{"a", "b"}: failingObservation})); z.Phase != commands.PhaseActive || len(z.UnreachableFrom) != 1 || z.UnreachableFrom[0] != "a" {
+		t.Errorf("unreachable from zone a alone: %+v, want active and unreachable from a", z)
 	}
-	if z := s.observe(2*time.Second, shownBy(nil)); len(z.UnreachableFrom) != 0 {
-		t.Errorf("reached again: %+v", z)
+	if z := s.observe(2*time.Second, digestWith(nil)); len(z.UnreachableFrom) != 0 {
+		t.Errorf("reached from all zones again: %+v, want unreachable from none", z)
 	}
 }
 
-// An override takes precedence until it expires.
+// An override takes precedence over the observations until it expires.
 func TestDecider_overrides(t *testing.T) {
 	s := newSimulatedFleet(t)
-	say := func(do string) {
-		s.table.Overrides["b"] = commands.Override{Zone: "b", Action: do, Reason: "works", Until: 10}
+	setOverride := func(action string) {
+		s.table.Overrides["b"] = commands.Override{Zone: "b", Action: action, Reason: "works", Until: 10}
 	}
-	say(commands.OverrideEvacuate)
-	if z := s.observe(20*time.Second, shownBy(nil)); z.Phase != commands.PhaseEvacuated {
-		t.Errorf("evacuated by override: %+v", z)
+	setOverride(commands.OverrideEvacuate)
+	if z := s.observe(20*time.Second, digestWith(nil)); z.Phase != commands.PhaseEvacuated {
+		t.Errorf("healthy, override evacuates: %+v, want evacuated", z)
 	}
-	say(commands.OverrideRestore)
-	if z := s.observe(time.Second, failing); z.Phase != commands.PhaseSlowStart || math.Abs(z.Share-DefaultSettings().InitialShare) > 1e-9 {
-		t.Errorf("restored by override: %+v", z)
+	setOverride(commands.OverrideRestore)
+	if z := s.observe(time.Second, zoneBFailing); z.Phase != commands.PhaseSlowStart || math.Abs(z.Share-DefaultSettings().InitialShare) > 1e-9 {
+		t.Errorf("failing, override restores: %+v, want slow start with the initial share", z)
 	}
 	s = newSimulatedFleet(t)
-	say(commands.OverrideFreeze)
-	if z := s.observe(3*time.Second, failing); z.Phase != commands.PhaseActive {
-		t.Errorf("frozen by override: %+v", z)
+	setOverride(commands.OverrideFreeze)
+	if z := s.observe(3*time.Second, zoneBFailing); z.Phase != commands.PhaseActive {
+		t.Errorf("failing, override freezes: %+v, want still active", z)
 	}
-	s.wall = 11
-	if z := s.observe(time.Second, failing); z.Phase != commands.PhaseEvacuated {
-		t.Errorf("after the override expired: %+v", z)
+	s.wallTime = 11
+	if z := s.observe(time.Second, zoneBFailing); z.Phase != commands.PhaseEvacuated {
+		t.Errorf("failing, after the override expired: %+v, want evacuated", z)
 	}
 }
--- a/internal/node/zones/failover/settings.go
+++ b/internal/node/zones/failover/settings.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	failedRatio         = 0.5  // failure ratio from which probes and slow start steps count as failed
-	maxBackoffDoublings = 16   // keeps the shift of the backoff in range; MaxBackoff ends it earlier
-	shareTolerance      = 1e-9 // rounding error of shares
+	failedStepRatio     = 0.5  // failure ratio from which a probe or a slow start step counts as failed
+	maxBackoffDoublings = 16   // keeps the shift in probeBackoff in range; MaxBackoff is reached earlier
+	shareTolerance      = 1e-9 // tolerated rounding error of shares
 )
 
-// Settings are the thresholds and times of the decisions.
+// Settings are the thresholds and durations by which a Decider decides.
 type Settings struct {
-	Majority             float64       // fraction of a zone's processes that must see another zone fail
-	MinObserverZones     int           // zones that must see it
+	Majority             float64       // a zone sees another fail if more than this fraction of its observing processes do
+	MinObserverZones     int           // zones that must see a zone fail, or be slow
 	FailureConfirmTime   time.Duration // how long a zone must look failed before it is evacuated
-	PartitionConfirmTime time.Duration // how long it must be unreachable from some zones alone
-	MaxFailedCapacity    float64       // fraction of all slots that may be evacuated; beyond it no further zone is
-	OverloadSuccessRatio float64       // fraction of steps that succeed in a zone that is only overloaded
-	SlowMargin           float64       // late ratio above the median from which a zone counts as slow
-	SlowConfirmTime      time.Duration // how long it must be slow: a burst makes steps late, too
-	MaxUtilization       float64       // fraction of the available capacity that admission fills
-	OverloadGraceTime    time.Duration // how long demand must exceed capacity before requests are rejected
-	InitialBackoff       time.Duration // before the first probe; doubles with each failure
-	MaxBackoff           time.Duration
-	ProbeProcesses       float64       // processes that probe an evacuated zone
-	InitialShare         float64       // share of the first slow start step; doubles with each
-	ProbeTimeout         time.Duration // after which more processes probe, if too few steps were seen
-	PropagationTime      time.Duration // until a change has reached all connected processes and shows in the observations
+	PartitionConfirmTime time.Duration // how long a zone must be unreachable from only some zones before these stop sending there
+	MaxFailedCapacity    float64       // fraction of all slots that may be out of service; a failure that would exceed it is Inconclusive
+	OverloadSuccessRatio float64       // fraction of completed steps that must succeed for a zone to count as overloaded instead of failed
+	SlowMargin           float64       // least difference of the late ratio to the median from which a zone counts as slow
+	SlowConfirmTime      time.Duration // how long a zone must be slow before its share is reduced: a burst makes steps late as well
+	MaxUtilization       float64       // fraction of the available capacity up to which requests are admitted
+	OverloadGraceTime    time.Duration // how long demand must exceed the available capacity before requests are rejected
+	InitialBackoff       time.Duration // time from an evacuation to the first probe; doubles with each consecutive failure
+	MaxBackoff           time.Duration // upper limit of the doubled backoff
+	ProbeProcesses       float64       // number of processes that probe an evacuated zone
+	InitialShare         float64       // share of the first slow start step; doubles with each further step
+	ProbeTimeout         time.Duration // after which more processes probe, if too few probes have completed
+	PropagationTime      time.Duration // until a change has reached all connected processes and shows in their observations
 	MinStepTime          time.Duration // shortest duration of a slow start step
-	MinFailureSteps      float64       // completed steps for a zone to see another fail: processes send little to a zone that they doubt
-	MinSteps             float64       // completed steps to judge a probe or a slow start step by
-	MaxFailureRatio      float64       // failure ratio up to which a step counts as successful
-	StableTime           time.Duration // active without a failure, after which the failure count is reset
+	MinFailureSteps      float64       // recent steps by which a zone sees another fail; few, as processes send little to a zone that fails
+	MinSteps             float64       // completed steps needed to judge a probe or a slow start step, or that a zone is slow
+	MaxFailureRatio      float64       // failure ratio up to which a probe or a slow start step counts as successful
+	StableTime           time.Duration // time in the active phase after which the failure count is reset
 	MinAdmissionChange   float64       // smallest change of an admitted fraction that is committed
 }
 
-// DefaultSettings returns the settings that the program uses.
+// DefaultSettings returns the settings that the program runs with.
 func DefaultSettings() Settings {
 	return Settings{
 		Majority:             0.5,
@@ -65,6 +65,6 @@
 // Class describes a class of requests.
 type Class struct {
 	Name          string
-	Value         float64 // per slot-second
-	NonIdempotent bool    // must not run twice, as a booking
+	Value         float64 // value of a slot-second of work; lower ones are rejected first
+	NonIdempotent bool    // must not run twice, for instance a booking
 }
--- a/internal/node/zones/failover/transitions.go
+++ b/internal/node/zones/failover/transitions.go
@@ -8,15 +8,16 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// nextState returns the state that a zone is to have: an operator's override first, else the state machine's next.
+// nextState returns the next state of a zone: the one that an operator's override demands, if any, else the next one
+// of the state machine.
 func (d *Decider) nextState(in zoneInput) commands.ZoneState {
-	if in.overridden {
+	if in.hasOverride {
 		state, decided := d.overriddenState(in)
 		if decided {
 			return state
 		}
 		if in.override.Action == commands.OverrideRestore && in.assessment.Condition == Failed {
-			in.assessment.Condition = Unknown // the operator decided that the zone returns
+			in.assessment.Condition = Unknown // the override takes precedence over the failure
 		}
 	}
 	switch in.state.Phase {
@@ -32,7 +33,7 @@
 	return in.state
 }
 
-// overriddenState returns the state that an override demands, and false where it leaves the zone to the state machine.
+// overriddenState returns the state that an override demands, or false if it leaves the zone to the state machine.
 func (d *Decider) overriddenState(in zoneInput) (commands.ZoneState, bool) {
 	reason := "by hand: " + in.override.Reason
 	switch in.override.Action {
@@ -52,7 +53,7 @@
 	return commands.ZoneState{}, false
 }
 
-// nextWhileEvacuated lets a few processes probe the zone once its backoff is over.
+// nextWhileEvacuated lets a few processes probe the zone after its backoff.
 func (d *Decider) nextWhileEvacuated(in zoneInput) commands.ZoneState {
 	if in.stateAge < d.probeBackoff(in.state.Failures) {
 		return in.state
@@ -62,12 +63,12 @@
 		Failures: in.state.Failures, Reason: "rested"}
 }
 
-// nextWhileProbing begins the slow start when the probes succeeded, evacuates the zone again when they failed, and
-// selects more processes when too few steps were seen.
+// nextWhileProbing begins the slow start if the probes succeeded, evacuates the zone again if they failed, and
+// selects more processes if too few probes completed.
 func (d *Decider) nextWhileProbing(in zoneInput) commands.ZoneState {
 	state := in.state
 	if in.stateAge >= d.settings.ProbeTimeout && !d.hasEnoughSteps(in.assessment) && state.ProbeFraction < 1 {
-		// The selected processes had nothing to send there: select more.
+		// The selected processes had too few requests to send there.
 		state.ProbeFraction = min(1, 2*state.ProbeFraction)
 		state.Share, state.Reason = min(1, d.settings.InitialShare/state.ProbeFraction), "too little was tried"
 		return state
@@ -75,17 +76,17 @@
 	if in.stateAge < d.settings.PropagationTime || !d.hasEnoughSteps(in.assessment) {
 		return state
 	}
-	if acceptable(in.assessment, d.settings) {
+	if stepSucceeded(in.assessment, d.settings) {
 		return commands.ZoneState{Phase: commands.PhaseSlowStart, Share: d.settings.InitialShare, Step: 1, Failures: state.Failures,
 			Reason: "the tries went well"}
 	}
-	if in.assessment.Total.FailureRatio() >= failedRatio {
-		return evacuate(state, "the tries went wrong")
+	if in.assessment.Total.FailureRatio() >= failedStepRatio {
+		return evacuatedAfterFailure(state, "the tries went wrong")
 	}
 	return state
 }
 
-// probeFraction returns the fraction of all processes that makes the wanted number of probing ones.
+// probeFraction returns the fraction of the processes to select so that the given number probe; 1 if there are no more.
 func probeFraction(probing, processes float64) float64 {
 	if processes <= probing {
 		return 1
@@ -98,29 +99,29 @@
 	return min(d.settings.MaxBackoff, d.settings.InitialBackoff<<min(max(failures-1, 0), maxBackoffDoublings))
 }
 
-// hasEnoughSteps reports whether enough steps completed to judge by.
+// hasEnoughSteps reports whether enough steps completed to judge a zone.
 func (d *Decider) hasEnoughSteps(assessment Assessment) bool {
 	return assessment.Total.Completed() >= d.settings.MinSteps
 }
 
-// acceptable reports whether a probe or slow start step succeeded. Late steps count as successes: the
-// load on workers that warm up is bounded by the share.
-func acceptable(assessment Assessment, settings Settings) bool {
+// stepSucceeded reports whether a probe or a slow start step succeeded. Late route steps count as successes:
+// the share already limits the load on workers that are warming up.
+func stepSucceeded(assessment Assessment, settings Settings) bool {
 	return assessment.Total.FailureRatio() <= settings.MaxFailureRatio
 }
 
-// evacuate returns the state of a zone that failed once more.
-func evacuate(state commands.ZoneState, reason string) commands.ZoneState {
+// evacuatedAfterFailure returns the evacuated state with one more failure.
+func evacuatedAfterFailure(state commands.ZoneState, reason string) commands.ZoneState {
 	return commands.ZoneState{Phase: commands.PhaseEvacuated, Failures: state.Failures + 1, Reason: reason}
 }
 
-// nextWhileServing decides on a zone that takes its full or a reduced share.
+// nextWhileServing returns the next state of a zone that takes its full or a reduced share.
 func (d *Decider) nextWhileServing(in zoneInput) commands.ZoneState {
 	state, assessment := in.state, in.assessment
 	confirmed := in.conditionAge >= d.settings.FailureConfirmTime
 	switch {
 	case assessment.Condition == Failed && confirmed:
-		return evacuate(state, "it fails, seen from "+strings.Join(assessment.Observers, ", "))
+		return evacuatedAfterFailure(state, "it fails, seen from "+strings.Join(assessment.Observers, ", "))
 	case assessment.Condition == PartiallyUnreachable && in.conditionAge >= d.settings.PartitionConfirmTime &&
 		!isSubset(assessment.Observers, state.UnreachableFrom):
 		state.UnreachableFrom = union(state.UnreachableFrom, assessment.Observers)
@@ -128,7 +129,7 @@
 		state.Reason = "cut from " + strings.Join(assessment.Observers, ", ")
 	case len(state.UnreachableFrom) > 0 && in.stateAge >= d.settings.PropagationTime &&
 		intersect(state.UnreachableFrom, assessment.ReachedFrom):
-		state = withReached(state, assessment.ReachedFrom)
+		state = withoutReachable(state, assessment.ReachedFrom)
 	case assessment.Condition == Slow && in.conditionAge >= d.settings.SlowConfirmTime && in.stateAge >= d.settings.PropagationTime:
 		if share := roundDownToStep(assessment.SustainableFraction*state.Share, d.settings.InitialShare); share < state.Share {
 			state.Phase, state.Share, state.Reason = commands.PhaseReduced, share, "slower than the others"
@@ -145,8 +146,8 @@
 	return state
 }
 
-// withReached returns the state without the zones that reach the zone again.
-func withReached(state commands.ZoneState, reachedFrom []string) commands.ZoneState {
+// withoutReachable returns the state with the zones of reachedFrom removed from UnreachableFrom.
+func withoutReachable(state commands.ZoneState, reachedFrom []string) commands.ZoneState {
 	state.UnreachableFrom = slices.DeleteFunc(slices.Clone(state.UnreachableFrom), func(from string) bool {
 		return slices.Contains(reachedFrom, from)
 	})
@@ -157,7 +158,7 @@
 	return state
 }
 
-// isSubset reports whether all of subset are in set.
+// isSubset reports whether all elements of subset are in set.
 func isSubset(subset, set []string) bool {
 	return !slices.ContainsFunc(subset, func(name string) bool { return !slices.Contains(set, name) })
 }
@@ -167,14 +168,15 @@
 	return slices.ContainsFunc(a, func(name string) bool { return slices.Contains(b, name) })
 }
 
-// union returns the elements of both, sorted.
+// union returns the elements of a and b, sorted and without duplicates.
 func union(a, b []string) []string {
 	out := append(slices.Clone(a), b...)
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// roundDownToStep rounds a share down to a slow start step: the initial share times a power of two.
+// roundDownToStep rounds a share down to that of a slow start step: the initial share times a power of two, at most 1.
+// Smaller shares become the initial share.
 func roundDownToStep(share, initial float64) float64 {
 	step := initial
 	for 2*step <= share+shareTolerance {
@@ -183,23 +185,24 @@
 	return min(step, 1)
 }
 
-// nextWhileSlowStart doubles the share of a zone whose present step succeeded. A step never exceeds the warm part
-// of the zone's capacity; a step that failed halves the share, or evacuates the zone again.
+// nextWhileSlowStart doubles the share of a zone whose current slow start step succeeded, as far as enough of the zone's
+// capacity has warmed up. A failed step halves the share, or evacuates the zone if the share falls below that of the
+// first step.
 func (d *Decider) nextWhileSlowStart(in zoneInput) commands.ZoneState {
 	state, assessment := in.state, in.assessment
 	if in.stateAge < d.settings.PropagationTime || !d.hasEnoughSteps(assessment) {
 		return state
 	}
-	if assessment.Condition == Failed || assessment.Total.FailureRatio() >= failedRatio {
+	if assessment.Condition == Failed || assessment.Total.FailureRatio() >= failedStepRatio {
 		if state.Share /= 2; state.Share < d.settings.InitialShare {
-			return evacuate(state, "it failed again")
+			return evacuatedAfterFailure(state, "it failed again")
 		}
 		state.Step, state.Reason = state.Step-1, "bad news"
 		return state
 	}
 	next := min(1, 2*state.Share)
 	warm := max(d.settings.InitialShare, 1-assessment.Total.WarmupDeficit)
-	if in.stateAge < d.settings.MinStepTime || !acceptable(assessment, d.settings) || next > warm+shareTolerance {
+	if in.stateAge < d.settings.MinStepTime || !stepSucceeded(assessment, d.settings) || next > warm+shareTolerance {
 		return state
 	}
 	state.Share, state.Step, state.Reason = next, state.Step+1, "earned"
