--- a/internal/node/zones/health/health.go
+++ b/internal/node/zones/health/health.go
@@ -1,10 +1,9 @@
-// Package health records how route steps to each zone end, and merges the records of many
-// processes.
+// Package health counts the outcomes of route steps by zone and merges the counts of many processes.
 //
-// A process feeds a Monitor; the Monitor's Observations travel in its reports (package follower).
-// A voter merges the reports of its processes into a Digest, and the leader merges the voters'
-// digests and assesses the zones (package failover). Merging adds counts, so that a digest's size
-// depends on the number of zones alone. The package has no clock and does no I/O.
+// A process records its steps in a Monitor and sends the Monitor's Observations in its reports (package
+// follower). A voter merges the reports of its processes into a Digest; the leader merges the voters'
+// digests and assesses the zones (package failover). Merging adds counts, so that the size of a digest
+// depends only on the number of zones. The package has no clock and does no I/O.
 package health
 
 import (
@@ -13,20 +12,21 @@
 )
 
 const (
-	bucketCount  = 12                     // buckets of a window
-	bucketLength = 250 * time.Millisecond // a window covers the last three seconds
-	// A process assesses a zone by its last steps there: the fresh ones if there are any, else
-	// older ones. A process that doubts a zone sends little there and must not forget why.
+	bucketCount  = 12                     // number of buckets of a window
+	bucketLength = 250 * time.Millisecond // 12 of them cover the last three seconds
+	// A process assesses a zone by its last completed steps there: those not older than freshStepAge if
+	// there are any, else those not older than maxStepAge. A process that saw a zone fail sends little
+	// there, so the failures must count for longer.
 	recentStepCount = 5
 	freshStepAge    = 2 * time.Second
 	maxStepAge      = 10 * time.Second
-	failingRatio    = 0.6 // failed or timed out fraction from which the zone counts as failing here
+	failingRatio    = 0.6 // fraction of failed and timed out steps from which a process sees a zone as failing
 )
 
-// Window is the time span that a process's counts cover.
+// Window is the time span that the counts of a Monitor cover.
 const Window = bucketCount * bucketLength
 
-// StepCounts counts route steps to one zone by how they ended. Fractional counts are allowed.
+// StepCounts counts the route steps to one zone by outcome. Fractional counts are allowed.
 type StepCounts struct {
 	Sent      float64 `cbor:"1,keyasint,omitempty"` // steps sent
 	Succeeded float64 `cbor:"2,keyasint,omitempty"` // served, or rejected by a live prep worker
@@ -35,7 +35,7 @@
 	TimedOut  float64 `cbor:"5,keyasint,omitempty"` // not started within the start time-out
 }
 
-// Add adds other's counts.
+// Add adds the counts of other.
 func (c *StepCounts) Add(other StepCounts) {
 	c.Sent += other.Sent
 	c.Succeeded += other.Succeeded
@@ -44,7 +44,7 @@
 	c.TimedOut += other.TimedOut
 }
 
-// Completed returns the number of steps with a known end.
+// Completed returns the number of steps with a known outcome.
 func (c StepCounts) Completed() float64 { return c.Succeeded + c.Failed + c.TimedOut }
 
 // FailureRatio returns the fraction of completed steps that failed or timed out; 0 if none completed.
@@ -66,60 +66,60 @@
 // Observation is what one or more processes observed of a zone.
 type Observation struct {
 	StepCounts
-	Observers        float64   `cbor:"7,keyasint,omitempty"`  // processes with enough steps to judge
-	FailingObservers float64   `cbor:"8,keyasint,omitempty"`  // those of them that see the zone failing
-	RecentSteps      float64   `cbor:"12,keyasint,omitempty"` // the steps that the observers judge by
-	Slots            float64   `cbor:"9,keyasint,omitempty"`  // of the zone's ready prep workers; the largest value that one process knows
-	WarmupDeficit    float64   `cbor:"10,keyasint,omitempty"` // capacity fraction lacking as prep workers warm up; the largest value that one process knows
-	WorkRate         []float64 `cbor:"11,keyasint,omitempty"` // slot-seconds per second sent there, by class
+	Observers        float64   `cbor:"7,keyasint,omitempty"`  // processes with steps to judge the zone by
+	FailingObservers float64   `cbor:"8,keyasint,omitempty"`  // observers that see the zone failing
+	RecentSteps      float64   `cbor:"12,keyasint,omitempty"` // recent steps of the processes; the observers judge by theirs
+	Slots            float64   `cbor:"9,keyasint,omitempty"`  // slots of the zone's ready prep workers; the largest value of any process
+	WarmupDeficit    float64   `cbor:"10,keyasint,omitempty"` // fraction of the capacity that is missing while prep workers warm up; the largest value of any process
+	WorkRate         []float64 `cbor:"11,keyasint,omitempty"` // slot-seconds per second sent to the zone, by class
 }
 
 // Add merges another observation of the same zone.
-func (s *Observation) Add(other Observation) {
-	s.StepCounts.Add(other.StepCounts)
-	s.Observers += other.Observers
-	s.FailingObservers += other.FailingObservers
-	s.RecentSteps += other.RecentSteps
-	s.Slots = max(s.Slots, other.Slots)
-	s.WarmupDeficit = max(s.WarmupDeficit, other.WarmupDeficit)
-	for len(s.WorkRate) < len(other.WorkRate) {
-		s.WorkRate = append(s.WorkRate, 0)
+func (o *Observation) Add(other Observation) {
+	o.StepCounts.Add(other.StepCounts)
+	o.Observers += other.Observers
+	o.FailingObservers += other.FailingObservers
+	o.RecentSteps += other.RecentSteps
+	o.Slots = max(o.Slots, other.Slots)
+	o.WarmupDeficit = max(o.WarmupDeficit, other.WarmupDeficit)
+	for len(o.WorkRate) < len(other.WorkRate) {
+		o.WorkRate = append(o.WorkRate, 0)
 	}
 	for i, rate := range other.WorkRate {
-		s.WorkRate[i] += rate
+		o.WorkRate[i] += rate
 	}
 }
 
-// Observations are observations by zone name.
+// Observations holds observations by the name of the observed zone.
 type Observations map[string]Observation
 
-// Add merges other observations.
-func (s Observations) Add(other Observations) {
+// Add merges other into o. It does not modify other.
+func (o Observations) Add(other Observations) {
 	for zone, observed := range other {
-		merged := s[zone]
+		merged := o[zone]
 		merged.WorkRate = slices.Clone(merged.WorkRate)
 		merged.Add(observed)
-		s[zone] = merged
+		o[zone] = merged
 	}
 }
 
-// Digest is the merged observations of many processes, by the zone that the processes run in.
+// Digest holds the merged observations of many processes by the zone in which the processes run.
 type Digest map[string]ZoneReport
 
-// ZoneReport is the merged observations of the processes of one zone.
+// ZoneReport holds the merged observations of the processes in one zone.
 type ZoneReport struct {
-	Processes    float64      `cbor:"1,keyasint"` // that report
+	Processes    float64      `cbor:"1,keyasint"` // number of reporting processes
 	Observations Observations `cbor:"2,keyasint"`
 }
 
 // Add merges another digest.
 func (d Digest) Add(other Digest) {
-	for zone, from := range other {
-		d.add(zone, from.Processes, from.Observations)
+	for zone, report := range other {
+		d.add(zone, report.Processes, report.Observations)
 	}
 }
 
-// AddProcess merges the observations of one process that runs in a zone.
+// AddProcess merges the observations of one process that runs in the given zone.
 func (d Digest) AddProcess(zone string, observations Observations) { d.add(zone, 1, observations) }
 
 func (d Digest) add(zone string, processes float64, observations Observations) {
@@ -132,35 +132,36 @@
 	d[zone] = merged
 }
 
-// bucket holds the counts of one bucketLength of the window.
+// bucket holds the counts of one interval of bucketLength.
 type bucket struct {
-	number int64
+	number int64 // index of the interval since time 0
 	counts StepCounts
-	work   []float64
+	work   []float64 // slot-seconds by class; nil: the bucket is unused
 }
 
-// zoneWindow is one process's sliding window over one zone.
+// zoneWindow holds the sliding window of counts of one zone.
 type zoneWindow struct {
 	buckets          [bucketCount]bucket
-	ignoreSentBefore time.Duration // steps sent earlier are not counted
+	ignoreSentBefore time.Duration // outcomes of steps sent earlier are not counted
 	recent           [recentStepCount]completedStep
-	next             int
+	nextRecent       int
 	slots            float64
 	warmupDeficit    float64
 }
 
-// completedStep is the end of one step.
+// completedStep is the outcome of one step.
 type completedStep struct {
-	at     time.Duration // 0: the entry is unused
-	failed bool
+	endedAt time.Duration // 0: the entry is unused
+	failed  bool
 }
 
-// assess returns the number of recent steps judged by, and whether they show the zone healthy or failing.
+// assess returns the number of recent steps, and whether they show that the zone is healthy or failing. Neither is
+// the case if the steps are too old to decide.
 func (w *zoneWindow) assess(now time.Duration) (steps float64, healthy, failing bool) {
 	for _, span := range [...]time.Duration{freshStepAge, maxStepAge} {
 		failed := 0.0
 		for _, ended := range w.recent {
-			if ended.at > 0 && now-ended.at <= span {
+			if ended.endedAt > 0 && now-ended.endedAt <= span {
 				steps++
 				if ended.failed {
 					failed++
@@ -169,27 +170,28 @@
 		}
 		if steps > 0 {
 			failing = failed >= failingRatio*steps
-			// Old successes prove nothing about now; old failures may be the reason that nothing
-			// has been sent since.
+			// Old successes prove nothing about the present; old failures may be the reason why
+			// nothing has been sent since.
 			return steps, !failing && span == freshStepAge, failing
 		}
 	}
 	return 0, false, false
 }
 
-// Monitor records what one process observes of all zones. Use New; the zero value is not ready. It
-// belongs to one goroutine.
+// Monitor records what one process observes of all zones. The zero value is not usable; use New. A
+// Monitor is not safe for concurrent use.
 type Monitor struct {
-	classes   int
-	startedAt time.Duration
-	zones     map[string]*zoneWindow
+	classCount int
+	startedAt  time.Duration
+	zones      map[string]*zoneWindow
 }
 
-// New returns a monitor of a process started at now that serves the given number of classes.
+// New returns the Monitor of a process started at now; classes is the number of request classes.
 func New(now time.Duration, classes int) *Monitor {
-	return &Monitor{classes: classes, startedAt: now, zones: map[string]*zoneWindow{}}
+	return &Monitor{classCount: classes, startedAt: now, zones: map[string]*zoneWindow{}}
 }
 
+// bucketAt returns the current bucket of a zone. It creates the zone's window if needed, and clears an outdated bucket.
 func (m *Monitor) bucketAt(now time.Duration, zone string) *bucket {
 	window := m.zones[zone]
 	if window == nil {
@@ -201,7 +203,7 @@
 	if current.number != number || current.work == nil {
 		work := current.work
 		if work == nil {
-			work = make([]float64, m.classes)
+			work = make([]float64, m.classCount)
 		}
 		clear(work)
 		*current = bucket{number: number, work: work}
@@ -209,7 +211,7 @@
 	return current
 }
 
-// RecordSent records a step sent, and the slot-seconds that it will take.
+// RecordSent records that a step was sent, with the slot-seconds that it will take as far as they are known.
 func (m *Monitor) RecordSent(now time.Duration, zone string, class int, work float64) {
 	current := m.bucketAt(now, zone)
 	current.counts.Sent++
@@ -218,30 +220,30 @@
 	}
 }
 
-// RecordWork adds slot-seconds of work that are known only when a step has ended.
+// RecordWork records the slot-seconds of a step that are known only after its end.
 func (m *Monitor) RecordWork(now time.Duration, zone string, class int, work float64) {
 	if current := m.bucketAt(now, zone); class >= 0 && class < len(current.work) {
 		current.work[class] += work
 	}
 }
 
-// RecordOutcome records the end of a step that was sent to a zone at the given time. It is ignored if
-// the zone was reset after the step was sent.
-func (m *Monitor) RecordOutcome(now, sent time.Duration, zone string, counts StepCounts) {
+// RecordOutcome records the outcome of a step that was sent to a zone at sentAt. It is ignored if the
+// zone was reset after the step was sent.
+func (m *Monitor) RecordOutcome(now, sentAt time.Duration, zone string, counts StepCounts) {
 	current := m.bucketAt(now, zone)
 	window := m.zones[zone]
-	if sent < window.ignoreSentBefore {
+	if sentAt < window.ignoreSentBefore {
 		return
 	}
 	current.counts.Add(counts)
 	if counts.Completed() > 0 {
-		window.recent[window.next] = completedStep{now, counts.FailureRatio() >= 0.5}
-		window.next = (window.next + 1) % recentStepCount
+		window.recent[window.nextRecent] = completedStep{now, counts.FailureRatio() >= 0.5}
+		window.nextRecent = (window.nextRecent + 1) % recentStepCount
 	}
 }
 
-// Reset discards the outcomes of all steps sent to a zone so far, also those that end later. The work
-// sent there is kept.
+// Reset discards the outcomes of all steps sent to a zone so far, also of those that end later. The
+// recorded work is kept.
 func (m *Monitor) Reset(now time.Duration, zone string) {
 	if window := m.zones[zone]; window != nil {
 		window.ignoreSentBefore, window.recent = now, [recentStepCount]completedStep{}
@@ -251,8 +253,8 @@
 	}
 }
 
-// SetCapacity records the slots of a zone's ready prep workers, and the capacity fraction lacking as
-// they warm up.
+// SetCapacity records the slots of a zone's ready prep workers, and the fraction of the capacity that is
+// missing while they warm up.
 func (m *Monitor) SetCapacity(now time.Duration, zone string, slots, warmupDeficit float64) {
 	m.bucketAt(now, zone)
 	window := m.zones[zone]
@@ -268,7 +270,7 @@
 	}
 	out.Slots, out.WarmupDeficit = window.slots, window.warmupDeficit
 	newest := int64(now / bucketLength)
-	out.WorkRate = make([]float64, m.classes)
+	out.WorkRate = make([]float64, m.classCount)
 	for number := newest; number > newest-bucketCount && number >= 0; number-- {
 		recorded := &window.buckets[number%bucketCount]
 		if recorded.work == nil || recorded.number != number {
