--- a/coord/replica/clock.go
+++ b/coord/replica/clock.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// clockStart is the first reading of the steady clock. Clock requires readings above 0.
+// clockStart offsets the readings of monotonicClock, since Clock requires them to be above 0.
 const clockStart = time.Second
 
-// processStart is the origin of the clocks of all groups, so that all groups of a process read the same time.
+// processStart is the common origin of all groups' clocks, so that all groups of a process read the same time.
 var processStart = time.Now()
 
-// steadyClock is the default Clock: the monotonic clock of the process.
-type steadyClock struct{}
+// monotonicClock is the default Clock. It reads the monotonic clock of the process.
+type monotonicClock struct{}
 
 // Now returns the time since the process started, plus clockStart.
-func (steadyClock) Now() time.Duration { return clockStart + time.Since(processStart) }
+func (monotonicClock) Now() time.Duration { return clockStart + time.Since(processStart) }
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -81,10 +81,10 @@
 	}
 }
 
-func newTestCluster(t *testing.T, founders int) *testCluster {
+func newTestCluster(t *testing.T, voterCount int) *testCluster {
 	c := &testCluster{t: t, clock: &fakeClock{now: time.Second}}
 	var members []consensus.Member
-	for number := 1; number <= founders; number++ {
+	for number := 1; number <= voterCount; number++ {
 		members = append(members, testMember(number, true))
 	}
 	for _, member := range members {
@@ -93,14 +93,14 @@
 	return c
 }
 
-func (c *testCluster) add(member consensus.Member, founders []consensus.Member) *testReplica {
+func (c *testCluster) add(member consensus.Member, bootstrapMembers []consensus.Member) *testReplica {
 	added := &testReplica{member: member, disk: seglogtest.NewMemoryDisk()}
 	c.replicas = append(c.replicas, added)
-	c.open(added, founders)
+	c.open(added, bootstrapMembers)
 	return added
 }
 
-func (c *testCluster) open(replica *testReplica, founders []consensus.Member) {
+func (c *testCluster) open(replica *testReplica, bootstrapMembers []consensus.Member) {
 	c.t.Helper()
 	replica.stateMachine = &listStateMachine{}
 	machine := StateMachine(replica.stateMachine)
@@ -111,7 +111,7 @@
 		Directory:        "group",
 		FileSystem:       replica.disk,
 		Self:             replica.member,
-		BootstrapMembers: founders,
+		BootstrapMembers: bootstrapMembers,
 		StateMachine:     machine,
 		Send:             func(_ consensus.Member, message consensus.Message) { c.send(replica, message) },
 		Clock:            c.clock,
@@ -154,9 +154,9 @@
 		due = c.clock.now + idleStep
 	}
 	c.clock.now = max(c.clock.now, due)
-	c.deliver()
+	c.deliverDue()
 	for _, replica := range c.replicas {
-		replica.work(c.clock.now)
+		replica.runDue(c.clock.now)
 	}
 }
 
@@ -185,7 +185,7 @@
 	return !replica.stalled && replica.retryAt == 0 && len(replica.group.writer.submitted)+len(replica.group.writer.pending) > 0
 }
 
-func (c *testCluster) deliver() {
+func (c *testCluster) deliverDue() {
 	var later []envelope
 	for _, sent := range c.network {
 		if sent.due > c.clock.now {
@@ -199,7 +199,7 @@
 	c.network = later
 }
 
-func (replica *testReplica) work(now time.Duration) {
+func (replica *testReplica) runDue(now time.Duration) {
 	if replica.stopped {
 		return
 	}
@@ -225,12 +225,12 @@
 }
 
 // stepUntil steps until the condition is true.
-func (c *testCluster) stepUntil(what string, condition func() bool) {
+func (c *testCluster) stepUntil(description string, condition func() bool) {
 	c.t.Helper()
 	limit := c.clock.now + testTimeout
 	for !condition() {
 		if c.clock.now > limit {
-			c.t.Fatalf("not reached in %v: %s", testTimeout, what)
+			c.t.Fatalf("not reached in %v: %s", testTimeout, description)
 		}
 		c.step()
 	}
@@ -267,7 +267,7 @@
 	return done
 }
 
-func (c *testCluster) await(done chan outcome) outcome {
+func (c *testCluster) awaitOutcome(done chan outcome) outcome {
 	c.t.Helper()
 	c.stepUntil("an answer", func() bool { return len(done) > 0 })
 	return <-done
@@ -277,7 +277,7 @@
 func (c *testCluster) commit(command string) {
 	c.t.Helper()
 	leader := c.awaitLeader()
-	if received := c.await(leader.propose(command)); received.err != nil {
+	if received := c.awaitOutcome(leader.propose(command)); received.err != nil {
 		c.t.Fatal(received.err)
 	}
 }
@@ -290,13 +290,13 @@
 }
 
 // change changes the membership, and retries while the leader does not know yet that the change is possible.
-func (c *testCluster) change(change consensus.MembershipChange) {
+func (c *testCluster) commitChange(change consensus.MembershipChange) {
 	c.t.Helper()
 	limit := c.clock.now + testTimeout
 	for {
 		done := newOutcomeChannel()
 		c.awaitLeader().group.queue.push(changeEvent{change: change, done: done})
-		err := c.await(done).err
+		err := c.awaitOutcome(done).err
 		if err == nil {
 			return
 		}
--- a/coord/replica/compaction.go
+++ b/coord/replica/compaction.go
@@ -7,19 +7,19 @@
 	"go.uber.org/zap"
 )
 
-// A snapshot is taken once the log has grown by more than either of these since the previous one.
+// A snapshot is taken once the log has grown by more than either of these limits since the previous snapshot.
 const (
 	compactionEntries  = 2000
 	compactionLogBytes = 4 << 20
 )
 
-// compactionRetryDelay is the pause after a snapshot that could not be written.
+// compactionRetryDelay is the delay before the next snapshot after one could not be written.
 const compactionRetryDelay = 2 * time.Second
 
-// compaction tracks the local snapshots that replace the beginning of the log.
+// compaction tracks the local snapshots that replace the oldest entries of the log.
 type compaction struct {
-	snapshotIndex    uint64        // of the latest durable snapshot
-	snapshotLogBytes int64         // size of the log after that snapshot
+	snapshotIndex    uint64        // index of the latest durable snapshot
+	snapshotLogBytes int64         // size of the log right after that snapshot
 	running          bool          // a snapshot is being written
 	retryAt          time.Duration // earliest time of the next snapshot, after a failure
 	retryPending     bool          // a snapshot is due but waits for retryAt
@@ -35,8 +35,8 @@
 		l.compaction.retryPending = true
 		return
 	}
-	snapshot, known := l.node.SnapshotAt(l.appliedIndex, l.options.StateMachine.Snapshot())
-	if !known {
+	snapshot, available := l.node.SnapshotAt(l.appliedIndex, l.options.StateMachine.Snapshot())
+	if !available {
 		return
 	}
 	l.compaction.running = true
@@ -50,27 +50,27 @@
 	return newEntries > cmp.Or(l.options.SnapshotEntries, compactionEntries) || newBytes > compactionLogBytes
 }
 
-// handleCompacted records a local snapshot that became durable and lets the node drop the entries that it covers.
+// handleCompacted records a local snapshot that became durable and lets the node discard the entries that it covers.
 func (l *eventLoop) handleCompacted(report diskReport) {
 	snapshot := report.compactedSnapshot
 	l.compaction.running = false
 	l.compaction.snapshotLogBytes = report.logBytes
-	l.compaction.advance(snapshot.Index)
+	l.compaction.recordSnapshot(snapshot.Index)
 	l.node.Compact(snapshot.Index, snapshot.Members, snapshot.Data)
 	l.options.Logger.Debug("log compacted", zap.Uint32("shard", uint32(l.options.Shard)),
 		zap.Uint64("index", snapshot.Index), zap.Int64("bytes", report.diskBytes))
 }
 
-// advance records a durable snapshot, local or received from the leader.
-func (c *compaction) advance(index uint64) { c.snapshotIndex = max(c.snapshotIndex, index) }
+// recordSnapshot records a durable snapshot, taken locally or received from the leader.
+func (c *compaction) recordSnapshot(index uint64) { c.snapshotIndex = max(c.snapshotIndex, index) }
 
-// failed records a snapshot that could not be written.
-func (c *compaction) failed(now time.Duration) {
+// recordFailure records that a snapshot could not be written, and delays the next one.
+func (c *compaction) recordFailure(now time.Duration) {
 	c.running = false
 	c.retryAt = now + compactionRetryDelay
 }
 
-// nextAttempt returns when a delayed snapshot is due.
+// nextAttempt returns when a delayed snapshot is due, or never if none is delayed.
 func (c *compaction) nextAttempt() time.Duration {
 	if !c.retryPending {
 		return never
--- a/coord/replica/stall_test.go
+++ b/coord/replica/confirmation_test.go
@@ -8,7 +8,7 @@
 )
 
 // confirmedAt makes the scripted node a follower that its leader confirmed at a time, and returns the age that the group publishes.
-func (s *scriptedLoop) confirmedAt(at, iterateAfter time.Duration) time.Duration {
+func (s *scriptedLoop) confirmAt(at, iterateAfter time.Duration) time.Duration {
 	s.node.status.Role = consensus.RoleFollower
 	s.node.status.ConfirmedAt = at
 	s.iterate(iterateAfter)
@@ -24,17 +24,17 @@
 	)
 	s := newScriptedLoop()
 	before := s.clock.now + interval
-	if age := s.confirmedAt(before, interval); age != 0 {
+	if age := s.confirmAt(before, interval); age != 0 {
 		t.Fatalf("age %v when confirmed, want 0", age)
 	}
 	stale := before + freeze
-	if age := s.confirmedAt(stale, freeze); age != freeze {
+	if age := s.confirmAt(stale, freeze); age != freeze {
 		t.Errorf("age %v after an old message, want %v", age, freeze)
 	}
-	if age := s.confirmedAt(stale, interval); age != freeze+interval {
+	if age := s.confirmAt(stale, interval); age != freeze+interval {
 		t.Errorf("age %v without another message, want %v", age, freeze+interval)
 	}
-	if age := s.confirmedAt(stale+2*interval, interval); age != 0 {
+	if age := s.confirmAt(stale+2*interval, interval); age != 0 {
 		t.Errorf("age %v after a new message, want 0", age)
 	}
 }
@@ -43,11 +43,11 @@
 func TestEventLoop_confirmationOfIdleFollower(t *testing.T) {
 	s := newScriptedLoop()
 	before := s.clock.now
-	s.confirmedAt(before, 0)
+	s.confirmAt(before, 0)
 	for s.clock.now < before+3*time.Second {
-		s.confirmedAt(before, s.loop.nextWakeUp()-s.clock.now)
+		s.confirmAt(before, s.loop.nextWakeUp()-s.clock.now)
 	}
-	if age := s.confirmedAt(s.clock.now, 0); age != 0 {
+	if age := s.confirmAt(s.clock.now, 0); age != 0 {
 		t.Errorf("age %v after a message, want 0", age)
 	}
 }
--- a/coord/replica/consensus_node.go
+++ b/coord/replica/consensus_node.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// consensusNode is what the event loop uses of consensus.Node. Tests replace it by a scripted one.
+// consensusNode is the part of consensus.Node that the event loop uses. Tests substitute a scripted implementation.
 type consensusNode interface {
 	Tick(now time.Duration)
 	NextTick() time.Duration
@@ -26,22 +26,22 @@
 
 var _ consensusNode = (*consensus.Node)(nil)
 
-// MembershipChange is a change of the group's membership: it adds, alters or removes one member.
+// MembershipChange adds, updates or removes one member of the group.
 type MembershipChange = consensus.MembershipChange
 
-// Bounds of the append messages that a leader has in flight to one member.
+// Limits on the AppendEntries messages that a leader has in flight to one member.
 const (
 	maxAppendBytes      = 256 << 10
 	maxInflightMessages = 16
 )
 
-// heartbeatMarginDivisor sets the interval at which the node itself asks for heartbeats: shorter than HeartbeatInterval by
-// this fraction of it. Since a leader ticks only at multiples of HeartbeatInterval (see eventLoop.nextTick), a heartbeat that
-// is sent slightly late must not push the next one past the following multiple.
+// heartbeatMarginDivisor shortens the node's own heartbeat interval to HeartbeatInterval minus HeartbeatInterval divided by this
+// value. A leader ticks only at multiples of HeartbeatInterval (see eventLoop.nextTick); without the margin, a heartbeat that is
+// sent slightly late would delay the next one past the following multiple.
 const heartbeatMarginDivisor = 6
 
-// newNode returns the consensus core with the state that was read from the disk.
-func newNode(options *Options, stored consensus.PersistedState, now time.Duration) consensusNode {
+// newConsensusNode returns a consensus node with the state that was recovered from disk.
+func newConsensusNode(options *Options, stored consensus.PersistedState, now time.Duration) consensusNode {
 	config := consensus.Config{
 		ID:                options.Self.ID,
 		ElectionTimeout:   options.ElectionTimeout,
--- a/coord/replica/event_loop.go
+++ b/coord/replica/event_loop.go
@@ -7,21 +7,21 @@
 	"ospreybend/coord/consensus"
 )
 
-// never is a time that is never reached: nothing is due.
+// never is the due time of something that is not scheduled.
 const never = time.Duration(1<<63 - 1)
 
 // eventLoop owns the consensus node and the state machine of a group. It has no goroutine of its own: Group.Run, or a test,
-// calls iterate with the queued events, and again no later than nextWakeUp. All fields but published belong to that caller.
+// calls iterate with the queued events, and no later than nextWakeUp. Only that caller may access the fields, except published.
 type eventLoop struct {
 	options   *Options
 	node      consensusNode
 	submitJob func(writeJob) // hands a job to the log writer; does not block
 
 	now          time.Duration    // read from the clock once in each iteration
-	status       consensus.Status // of the node, as of refreshStatus
-	appliedIndex uint64           // of the state machine
+	status       consensus.Status // the node's status at the last refreshStatus
+	appliedIndex uint64           // index of the last entry that the state machine applied
 	knownMembers map[consensus.MemberID]consensus.Member
-	fatalError   error // the group cannot continue
+	fatalError   error // why the group cannot continue; nil: it can
 
 	// Calls that wait for an answer.
 	proposals pendingProposals
@@ -34,7 +34,7 @@
 	published    publication
 }
 
-// newEventLoop returns the loop of a group whose disk is assumed to be writable.
+// newEventLoop returns an event loop that assumes the disk to be writable.
 func newEventLoop(options *Options, node consensusNode, submit func(writeJob)) *eventLoop {
 	l := &eventLoop{
 		options:      options,
@@ -50,12 +50,12 @@
 	return l
 }
 
-// iterate handles the events and everything else that is due now. The order matters: what the node wants done is processed
-// after all events, so that they share one write and one message to each peer.
+// iterate handles the events and everything else that is due now. The node's output is processed after all events,
+// so that they share one write and one message to each peer.
 func (l *eventLoop) iterate(events []loopEvent) {
 	l.now = l.options.Clock.Now()
-	for _, received := range events {
-		l.handleEvent(received)
+	for _, event := range events {
+		l.handleEvent(event)
 	}
 	if l.now >= l.nextTick() {
 		l.node.Tick(l.now)
@@ -64,13 +64,13 @@
 	l.startReads()
 	l.processReady(l.node.Ready())
 	l.updateProposalDeadlines()
-	l.expirePending()
+	l.expireCalls()
 	l.startCompaction()
 	l.transfers.resolveIfNotLeader(l.status)
 	l.publish()
 }
 
-// handleEvent passes an event to the node or to the state that it concerns.
+// handleEvent dispatches an event to its handler.
 func (l *eventLoop) handleEvent(received loopEvent) {
 	switch event := received.(type) {
 	case messageEvent:
@@ -91,11 +91,11 @@
 	}
 }
 
-// nextWakeUp returns when iterate must be called at the latest.
+// nextWakeUp returns the latest time at which iterate must be called again.
 func (l *eventLoop) nextWakeUp() time.Duration {
 	return min(
 		l.nextTick(),
-		l.proposals.deadline(),
+		l.proposals.nextDeadline(),
 		l.transfers.nextDeadline(),
 		l.disk.nextCheck(),
 		l.compaction.nextAttempt(),
@@ -114,16 +114,16 @@
 	return (next + interval - 1) / interval * interval
 }
 
-// processReady carries out what the node asks for: writes, messages, a received snapshot, committed entries and the answers to
-// read requests. The messages may be sent before the write completes: the node returns those that depend on durable state, such
-// as a vote or an acknowledgement, only after handleDiskReport has told it that the state is persisted.
+// processReady processes the node's output: state to persist, messages to send, a received snapshot, committed entries and read
+// results. The messages may be sent before the write completes: the node returns a message that depends on durable state, such
+// as a vote or an acknowledgement, only after handleDiskReport has reported that state as persisted.
 func (l *eventLoop) processReady(ready consensus.Ready) {
 	l.refreshStatus()
 	if ready.Persist != nil {
 		l.submitWrite(writeJob{persist: ready.Persist})
 	}
 	for _, message := range ready.Messages {
-		l.options.Send(l.member(message.To), message)
+		l.options.Send(l.memberByID(message.To), message)
 	}
 	if ready.Restore != nil {
 		l.restore(ready.Restore)
@@ -137,14 +137,14 @@
 	l.answerReads()
 }
 
-// restore replaces the state machine's state by a received snapshot.
+// restore replaces the state machine's state with a received snapshot.
 func (l *eventLoop) restore(snapshot *consensus.Snapshot) {
 	if err := l.options.StateMachine.Restore(snapshot.Index, snapshot.Data); err != nil {
 		l.fatalError = fmt.Errorf("restore the snapshot at index %d: %w", snapshot.Index, err)
 		return
 	}
 	l.appliedIndex = snapshot.Index
-	l.compaction.advance(snapshot.Index)
+	l.compaction.recordSnapshot(snapshot.Index)
 	l.proposals.resolveSkipped(snapshot.Index, l.options)
 	l.notifyApplied()
 }
@@ -171,13 +171,13 @@
 	}
 }
 
-// refreshStatus reads the node's status.
+// refreshStatus updates the cached status of the node and the addresses of its members.
 func (l *eventLoop) refreshStatus() {
 	l.status = l.node.Status()
 	l.rememberMembers(l.status.Members)
 }
 
-// rememberMembers stores the members' addresses. Those of removed members stay known: they are still sent messages.
+// rememberMembers stores the members' addresses. Those of removed members are kept, since messages are still sent to them.
 func (l *eventLoop) rememberMembers(members []consensus.Member) {
 	for _, member := range members {
 		if l.knownMembers[member.ID] != member {
@@ -186,29 +186,29 @@
 	}
 }
 
-// member returns the member of an ID, or one with the ID alone if it is not known.
-func (l *eventLoop) member(id consensus.MemberID) consensus.Member {
+// memberByID returns the member with the given ID, or one without an address if the member is unknown.
+func (l *eventLoop) memberByID(id consensus.MemberID) consensus.Member {
 	if member, known := l.knownMembers[id]; known {
 		return member
 	}
 	return consensus.Member{ID: id}
 }
 
-// leader returns the current leader, or the zero value if none is known.
+// leader returns the current leader, or the zero value if the leader is unknown.
 func (l *eventLoop) leader() consensus.Member {
 	if l.status.Leader == 0 {
 		return consensus.Member{}
 	}
-	return l.member(l.status.Leader)
+	return l.memberByID(l.status.Leader)
 }
 
-// expirePending ends the calls whose deadline has passed.
-func (l *eventLoop) expirePending() {
+// expireCalls answers the calls whose deadline has passed.
+func (l *eventLoop) expireCalls() {
 	l.proposals.expire(l.now)
 	l.transfers.expire(l.now)
 }
 
-// stop answers all pending calls and the given unhandled events at the end of the group.
+// stop answers all pending calls, and the calls of the given unhandled events, when the group ends.
 func (l *eventLoop) stop(unhandled []loopEvent) {
 	l.proposals.failAll(ErrUnknownOutcome)
 	l.reads.failAll(ErrClosed)
--- a/coord/replica/event_loop_test.go
+++ b/coord/replica/event_loop_test.go
@@ -52,8 +52,8 @@
 	s.iterate(0, proposeEvent{done: done})
 	s.node.status.Role = consensus.RoleFollower
 	s.iterate(0)
-	grace := gracePeriodTimeouts * DefaultElectionTimeout
-	if next := s.loop.proposals.deadline(); next != s.clock.now+grace {
+	grace := gracePeriodElectionTimeouts * DefaultElectionTimeout
+	if next := s.loop.proposals.nextDeadline(); next != s.clock.now+grace {
 		t.Fatalf("deadline in %v", next-s.clock.now)
 	}
 	if next := s.loop.nextWakeUp(); next != s.clock.now+idleHeartbeats*DefaultHeartbeatInterval {
@@ -65,7 +65,7 @@
 	}
 	s.iterate(1)
 	requireError(t, done, ErrUnknownOutcome)
-	if s.loop.proposals.deadline() != never {
+	if s.loop.proposals.nextDeadline() != never {
 		t.Fatal("has a deadline with nothing to do")
 	}
 	s.node.status.Role = consensus.RoleLeader
@@ -90,11 +90,11 @@
 	s := newScriptedLoop()
 	s.iterate(0)
 	s.node.nextTick = 10*DefaultHeartbeatInterval + 1
-	grid := 11 * DefaultHeartbeatInterval
-	if next := s.loop.nextWakeUp(); next != grid {
-		t.Fatalf("wakes at %v, not at %v", next, grid)
+	multiple := 11 * DefaultHeartbeatInterval
+	if next := s.loop.nextWakeUp(); next != multiple {
+		t.Fatalf("wakes at %v, not at %v", next, multiple)
 	}
-	s.clock.now = grid - 1
+	s.clock.now = multiple - 1
 	s.iterate(0)
 	if s.node.ticks != 0 {
 		t.Fatal("ticked between two multiples of the interval")
@@ -103,9 +103,9 @@
 	if s.node.ticks != 1 {
 		t.Fatalf("ticked %d times", s.node.ticks)
 	}
-	s.node.nextTick = grid // a multiple already
-	if next := s.loop.nextWakeUp(); next != grid {
-		t.Fatalf("wakes at %v, not at %v", next, grid)
+	s.node.nextTick = multiple // a multiple already
+	if next := s.loop.nextWakeUp(); next != multiple {
+		t.Fatalf("wakes at %v, not at %v", next, multiple)
 	}
 }
 
--- a/coord/replica/event_queue.go
+++ b/coord/replica/event_queue.go
@@ -6,13 +6,13 @@
 	"ospreybend/coord/consensus"
 )
 
-// loopEvent is an event for the event loop. An event that carries a call answers it through its outcome channel.
+// loopEvent is an event for the event loop. If it carries a call, the answer is sent on its outcome channel.
 type loopEvent interface {
-	// reject answers the call, if the event carries one, with an error instead of handling it.
+	// reject answers the call, if the event carries one, with err, without handling the event.
 	reject(err error)
 }
 
-// messageEvent carries a message of another member.
+// messageEvent carries a message from another member.
 type messageEvent struct{ message consensus.Message }
 
 // proposeEvent carries a call of Propose.
@@ -32,7 +32,7 @@
 
 // transferEvent carries a call of TransferLeadershipTo.
 type transferEvent struct {
-	to   consensus.MemberID // 0: the most up-to-date voter
+	to   consensus.MemberID // 0: the most up-to-date other voter
 	done chan outcome
 }
 
@@ -44,11 +44,11 @@
 
 // diskReport is a report of the log writer about its last write.
 type diskReport struct {
-	finishedJobs      int                 // finished by this write, the oldest ones
-	persistedSequence uint64              // of the last state that is now durable; 0: none
-	compactedSnapshot *consensus.Snapshot // local snapshot that is now durable; nil: none
-	snapshotFailed    bool                // a local snapshot failed; the writer does not retry it
-	err               error               // why the write failed; nil: it succeeded
+	finishedJobs      int                 // number of jobs that this write finished, oldest first
+	persistedSequence uint64              // sequence of the last state that is now durable; 0: none
+	compactedSnapshot *consensus.Snapshot // the local snapshot that is now durable; nil: none
+	snapshotFailed    bool                // a local snapshot could not be written; the writer does not retry it
+	err               error               // why the write failed; nil if it succeeded
 	logBytes          int64
 	diskBytes         int64
 }
@@ -71,42 +71,42 @@
 // newOutcomeChannel returns the channel for the answer to one call. It is buffered, so that the event loop never blocks.
 func newOutcomeChannel() chan outcome { return make(chan outcome, 1) }
 
-// maxQueuedMessages bounds the messages in an event queue; further ones are dropped. Calls are not bounded.
+// maxQueuedMessages limits the messages in an event queue; further messages are dropped. Calls are not limited.
 const maxQueuedMessages = 4096
 
 // eventQueue collects events for the event loop.
 type eventQueue struct {
-	mutex    sync.Mutex // guards the fields below
-	events   []loopEvent
-	messages int // how many of the events are messages
-	closed   bool
+	mutex        sync.Mutex // guards the fields below
+	events       []loopEvent
+	messageCount int // number of messages among the events
+	closed       bool
 
-	signal chan struct{} // buffered; receives a value when the queue stops being empty
+	signal chan struct{} // buffered; signaled when the first event is added to an empty queue
 }
 
 func newEventQueue() *eventQueue { return &eventQueue{signal: make(chan struct{}, 1)} }
 
-// push appends an event. It returns false if the queue is closed or, for a message, full.
-func (q *eventQueue) push(added loopEvent) bool {
+// push appends an event. It returns false if the queue is closed or, for a message, if the queue is full.
+func (q *eventQueue) push(event loopEvent) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.closed {
 		return false
 	}
-	if _, isMessage := added.(messageEvent); isMessage {
-		if q.messages >= maxQueuedMessages {
+	if _, isMessage := event.(messageEvent); isMessage {
+		if q.messageCount >= maxQueuedMessages {
 			return false
 		}
-		q.messages++
+		q.messageCount++
 	}
-	q.events = append(q.events, added)
+	q.events = append(q.events, event)
 	if len(q.events) == 1 {
 		notify(q.signal)
 	}
 	return true
 }
 
-// notify sends to a buffered signal channel unless a signal is pending already.
+// notify signals a buffered channel unless a signal is already pending.
 func notify(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -119,7 +119,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	events := q.events
-	q.events, q.messages = nil, 0
+	q.events, q.messageCount = nil, 0
 	return events
 }
 
--- a/coord/replica/event_queue_test.go
+++ b/coord/replica/event_queue_test.go
@@ -5,20 +5,20 @@
 )
 
 func TestEventQueue_push_boundsMessages(t *testing.T) {
-	box := newEventQueue()
+	queue := newEventQueue()
 	for range maxQueuedMessages {
-		if !box.push(messageEvent{}) {
+		if !queue.push(messageEvent{}) {
 			t.Fatal("rejected too early")
 		}
 	}
-	if box.push(messageEvent{}) {
+	if queue.push(messageEvent{}) {
 		t.Fatal("not bounded")
 	}
-	if !box.push(readEvent{}) {
+	if !queue.push(readEvent{}) {
 		t.Fatal("a call was rejected because of messages")
 	}
-	box.drain()
-	if !box.push(messageEvent{}) {
+	queue.drain()
+	if !queue.push(messageEvent{}) {
 		t.Fatal("rejected after it was drained")
 	}
 }
--- a/coord/replica/group.go
+++ b/coord/replica/group.go
@@ -12,7 +12,7 @@
 
 // Group is the local replica of one replica group. Its methods may be called by any goroutine.
 type Group struct {
-	loop   *eventLoop // owned by the goroutine of Run while that runs
+	loop   *eventLoop // accessed only by Run's goroutine while Run runs
 	writer *logWriter
 	queue  *eventQueue
 
@@ -21,12 +21,12 @@
 	closed  bool
 
 	stop    chan struct{}  // closed by Close
-	running sync.WaitGroup // Run and the log writer
+	running sync.WaitGroup // counts Run and the log writer
 }
 
-// Open recovers the group from its directory, or forms it if Founders are given and the directory is empty, and restores the
-// state machine. The caller must then call Run, and Close at the end. Errors: those of seglog.Open,
-// consensus.ErrInvalidState, and those of the state machine and of the file system.
+// Open recovers the group from its directory, or bootstraps it if BootstrapMembers are given and the directory is empty, and
+// restores the state machine. The caller must then call Run, and finally Close. Errors: those of seglog.Open,
+// consensus.ErrInvalidState, and those of the state machine and the file system.
 func Open(options Options) (*Group, error) {
 	options = options.withDefaults()
 	log, stored, err := openLog(&options)
@@ -40,56 +40,55 @@
 	return group, nil
 }
 
-// newGroup returns the group with the state that was read from its log.
+// newGroup returns a group with the state that was recovered from its log.
 func newGroup(options *Options, log logStorage, stored consensus.PersistedState) (*Group, error) {
 	if err := stored.Check(); err != nil {
 		return nil, err
 	}
 	group := &Group{queue: newEventQueue(), stop: make(chan struct{})}
 	group.writer = newLogWriter(log, func(report diskReport) { group.queue.push(report) })
-	node := newNode(options, stored, options.Clock.Now())
+	node := newConsensusNode(options, stored, options.Clock.Now())
 	group.loop = newEventLoop(options, node, group.writer.submit)
 	group.loop.disk.logBytes, group.loop.disk.diskBytes = log.LogBytes(), log.DiskBytes()
 	group.loop.iterate(nil)
 	return group, group.loop.fatalError
 }
 
-// openLog recovers the log. If the group is to be formed and the log is empty, it first makes the founding state durable.
+// openLog recovers the log. If BootstrapMembers are given and the log is empty, it makes the initial state durable first.
 func openLog(options *Options) (*seglog.Log, consensus.PersistedState, error) {
 	log, stored, err := seglog.Open(seglog.Options{FileSystem: options.FileSystem, Directory: options.Directory})
 	if err != nil || len(options.BootstrapMembers) == 0 || !isEmpty(&stored) {
 		return log, stored, err
 	}
 	stored = consensus.Bootstrap(options.BootstrapMembers, options.StateMachine.Snapshot())
-	founding := consensus.PersistRequest{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
-	if err := log.Save([]*consensus.PersistRequest{&founding}); err != nil {
+	bootstrap := consensus.PersistRequest{HardState: &stored.HardState, Snapshot: &stored.Snapshot}
+	if err := log.Save([]*consensus.PersistRequest{&bootstrap}); err != nil {
 		return nil, consensus.PersistedState{}, errors.Join(err, log.Close())
 	}
 	return log, stored, nil
 }
 
-// isEmpty reports whether nothing was ever stored.
+// isEmpty reports whether the log has never stored anything.
 func isEmpty(stored *consensus.PersistedState) bool {
 	return stored.HardState == consensus.HardState{} && stored.Snapshot.Index == 0 && len(stored.Entries) == 0
 }
 
-// Run serves the group until ctx ends or Close is called. All pending calls then end with ErrClosed or ErrUnknownOutcome.
-// The error is that of the state machine if it could not restore a snapshot, or ErrClosed if the group is closed or has
-// been run before.
+// Run serves the group until ctx ends or Close is called. Pending calls then return ErrClosed or ErrUnknownOutcome. Run returns
+// the state machine's error if a snapshot could not be restored, and ErrClosed if the group is closed or has been run before.
 func (g *Group) Run(ctx context.Context) error {
 	if !g.markStarted() {
 		return ErrClosed
 	}
 	defer g.running.Done()
-	ended := make(chan struct{})
-	defer close(ended)
-	g.running.Go(func() { g.writer.run(ended) })
+	stopWriter := make(chan struct{})
+	defer close(stopWriter)
+	g.running.Go(func() { g.writer.run(stopWriter) })
 	g.runLoop(ctx)
 	g.loop.stop(g.queue.close())
 	return g.loop.fatalError
 }
 
-// markStarted returns false if the group is closed or was started before.
+// markStarted marks the group as started. It returns false if the group is closed or was started before.
 func (g *Group) markStarted() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -101,7 +100,7 @@
 	return true
 }
 
-// runLoop iterates the event loop until the group ends or cannot continue.
+// runLoop iterates the event loop until the group is stopped or cannot continue.
 func (g *Group) runLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -113,7 +112,7 @@
 	}
 }
 
-// waitForWork returns true at the next event or timeout, and false at the end.
+// waitForWork waits for the next event or timeout. It returns false if the group is stopped instead.
 func (g *Group) waitForWork(ctx context.Context, timer *time.Timer) bool {
 	var timeout <-chan time.Time
 	if next := g.loop.nextWakeUp(); next != never {
@@ -132,14 +131,14 @@
 	}
 }
 
-// Step passes a message of another member to the node. It does not block: beyond maxQueuedMessages, messages are dropped. The
-// message must not be changed afterwards.
+// Step passes a message from another member to the node. It does not block: the message is dropped if maxQueuedMessages are
+// queued. The message must not be modified afterwards.
 func (g *Group) Step(message consensus.Message) { g.queue.push(messageEvent{message}) }
 
 // Propose appends a command to the log and returns the state machine's result and the entry's index once the entry is
 // committed and applied here. Errors: NotLeaderError, ErrUnknownOutcome, ErrClosed, consensus.ErrTooManyUncommitted and
-// consensus.ErrTransferInProgress. All but ErrUnknownOutcome mean that the command is not in the log and never will be, so
-// that the caller may retry it.
+// consensus.ErrTransferInProgress. All errors but ErrUnknownOutcome mean that the command is not in the log and never will
+// be, so that the caller may retry it.
 func (g *Group) Propose(ctx context.Context, data []byte) (result any, index uint64, err error) {
 	done := newOutcomeChannel()
 	if !g.queue.push(proposeEvent{data: data, done: done}) {
@@ -150,34 +149,34 @@
 }
 
 // ReadBarrier returns once the state machine has applied everything that any member acknowledged before the call, so that
-// a following read is linearizable. Only the leader can confirm this. Errors: NotLeaderError, ErrClosed and the context's.
+// a subsequent read is linearizable. Only the leader can confirm this. Errors: NotLeaderError, ErrClosed and the context's.
 func (g *Group) ReadBarrier(ctx context.Context) error {
 	done := newOutcomeChannel()
 	return g.call(ctx, readEvent{done}, done, nil)
 }
 
-// ChangeMembers changes the membership and returns once the change is committed and applied here. Errors: those of Propose,
-// and consensus.ErrMembershipChange if the change is not possible now.
+// ChangeMembers applies a membership change and returns once the change is committed and applied here. Errors: those of Propose,
+// and consensus.ErrMembershipChange if the change is not possible at present.
 func (g *Group) ChangeMembers(ctx context.Context, change MembershipChange) error {
 	done := newOutcomeChannel()
 	return g.call(ctx, changeEvent{change: change, done: done}, done, ErrUnknownOutcome)
 }
 
-// PromotableLearners returns the learners that could be made voters now: they respond and have acknowledged nearly all of the
-// log as durable. Only the leader knows; other members return none.
+// PromotableLearners returns the learners that could become voters now: they respond, and nearly all of the log is durable on
+// them. Only the leader knows this; other members return none.
 func (g *Group) PromotableLearners() []consensus.MemberID {
-	var found []consensus.MemberID
+	var promotable []consensus.MemberID
 	err := g.Do(func() {
 		for _, member := range g.loop.node.Status().Members {
 			if !member.Voter && g.loop.node.CanPromote(member.ID) {
-				found = append(found, member.ID)
+				promotable = append(promotable, member.ID)
 			}
 		}
 	})
 	if err != nil {
 		return nil
 	}
-	return found
+	return promotable
 }
 
 // TransferLeadership transfers leadership to the most up-to-date other voter and returns once this replica is no longer the
@@ -195,14 +194,14 @@
 	return g.call(ctx, transferEvent{to: to, done: done}, done, nil)
 }
 
-// Do runs a function in the event loop, where the state machine may be read, and returns after it. The function must not call
-// the group. Error: ErrClosed.
+// Do runs a function in the event loop, where it may read the state machine, and waits for it to return. The function must not
+// call the group. Error: ErrClosed.
 func (g *Group) Do(function func()) error {
 	done := newOutcomeChannel()
 	return g.call(context.Background(), callEvent{function: function, done: done}, done, nil)
 }
 
-// call queues an event that carries a call and waits for its answer.
+// call queues an event that carries a call and waits for the answer. See awaitOutcome for timeoutError.
 func (g *Group) call(ctx context.Context, event loopEvent, done chan outcome, timeoutError error) error {
 	if !g.queue.push(event) {
 		return ErrClosed
@@ -224,34 +223,33 @@
 	return outcome{err: timeoutError}
 }
 
-// Status returns the last published status, without waiting for the event loop.
+// Status returns the last published status. It does not wait for the event loop.
 func (g *Group) Status() Status { return g.loop.currentStatus() }
 
 // StatusWithoutAge is like Status with a ConfirmedAge of 0. It does not read the clock.
 func (g *Group) StatusWithoutAge() Status { return g.loop.currentStatusWithoutAge() }
 
-// closeTimeout is how long Close waits for the write in progress.
+// closeTimeout is how long Close waits for Run and the log writer to end.
 const closeTimeout = 500 * time.Millisecond
 
-// Close ends Run, waits for the write in progress and closes the files. The error ErrDiskStalled means that the write did not
-// complete in time: the files then stay open until the process ends, and what was being written was never reported as
-// durable.
+// Close ends Run, waits for a write in progress and closes the files. ErrDiskStalled means that the write did not complete in
+// time: the files then stay open until the process exits, and the data being written has not been reported as durable.
 func (g *Group) Close() error { return g.closeWithin(closeTimeout) }
 
-// closeWithin is Close with a given timeout.
+// closeWithin implements Close with the given timeout.
 func (g *Group) closeWithin(timeout time.Duration) error {
 	if !g.markClosed() {
 		return nil
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		g.running.Wait()
-		close(ended)
+		close(stopped)
 	}()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-timer.C:
 		return ErrDiskStalled
 	}
@@ -259,7 +257,7 @@
 	return g.writer.log.Close()
 }
 
-// markClosed returns false if the group was closed before.
+// markClosed marks the group as closed and stops Run. It returns false if the group was closed before.
 func (g *Group) markClosed() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -28,8 +28,8 @@
 func TestGroup_Propose_returnsResultAndIndex(t *testing.T) {
 	c := newTestCluster(t, 3)
 	leader := c.awaitLeader()
-	first := c.await(leader.propose("one"))
-	second := c.await(leader.propose("two"))
+	first := c.awaitOutcome(leader.propose("one"))
+	second := c.awaitOutcome(leader.propose("two"))
 	if first.err != nil || first.result != 1 || second.result != 2 || second.index != first.index+1 {
 		t.Fatalf("got %+v and %+v", first, second)
 	}
@@ -44,7 +44,7 @@
 		}
 		c.stepUntil("knows the leader", func() bool { return replica.group.Status().Leader.ID != 0 })
 		var rejected NotLeaderError
-		if err := c.await(replica.propose("x")).err; !errors.As(err, &rejected) || rejected.Leader != leader.member {
+		if err := c.awaitOutcome(replica.propose("x")).err; !errors.As(err, &rejected) || rejected.Leader != leader.member {
 			t.Fatalf("got %v", err)
 		}
 	}
@@ -55,7 +55,7 @@
 	leader := c.awaitLeader()
 	leader.partitioned = true
 	done := leader.propose("lost")
-	if err := c.await(done).err; !errors.Is(err, ErrUnknownOutcome) {
+	if err := c.awaitOutcome(done).err; !errors.Is(err, ErrUnknownOutcome) {
 		t.Fatalf("got %v", err)
 	}
 	c.commit("other")
@@ -74,7 +74,7 @@
 	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader().group.loop.appliedIndex > 2 })
 	leader.partitioned = false
 	var rejected NotLeaderError
-	if err := c.await(done).err; !errors.As(err, &rejected) && !errors.Is(err, ErrUnknownOutcome) {
+	if err := c.awaitOutcome(done).err; !errors.As(err, &rejected) && !errors.Is(err, ErrUnknownOutcome) {
 		t.Fatalf("got %v", err)
 	}
 	c.commit("other")
@@ -87,13 +87,13 @@
 	leader := c.leader()
 	done := newOutcomeChannel()
 	leader.group.queue.push(readEvent{done})
-	if err := c.await(done).err; err != nil {
+	if err := c.awaitOutcome(done).err; err != nil {
 		t.Fatal(err)
 	}
 	leader.partitioned = true
 	rejected := newOutcomeChannel()
 	leader.group.queue.push(readEvent{rejected})
-	if err := c.await(rejected).err; err == nil {
+	if err := c.awaitOutcome(rejected).err; err == nil {
 		t.Fatal("a partitioned leader confirmed a read")
 	}
 }
@@ -103,7 +103,7 @@
 	leader := c.awaitLeader()
 	done := newOutcomeChannel()
 	leader.group.queue.push(transferEvent{done: done})
-	if err := c.await(done).err; err != nil {
+	if err := c.awaitOutcome(done).err; err != nil {
 		t.Fatal(err)
 	}
 	if next := c.awaitLeader(); next == leader {
@@ -120,7 +120,7 @@
 		}
 		done := newOutcomeChannel()
 		leader.group.queue.push(transferEvent{to: chosen.member.ID, done: done})
-		if err := c.await(done).err; err != nil {
+		if err := c.awaitOutcome(done).err; err != nil {
 			t.Fatal(err)
 		}
 		if leader = c.awaitLeader(); leader != chosen {
@@ -135,7 +135,7 @@
 	for _, to := range []consensus.MemberID{leader.member.ID, 99} {
 		done := newOutcomeChannel()
 		leader.group.queue.push(transferEvent{to: to, done: done})
-		if err := c.await(done).err; !errors.Is(err, consensus.ErrNoTransferTarget) {
+		if err := c.awaitOutcome(done).err; !errors.Is(err, consensus.ErrNoTransferTarget) {
 			t.Fatalf("to %d: %v", to, err)
 		}
 	}
@@ -150,7 +150,7 @@
 	leader.stalled = true
 	done := leader.propose("durable on the other disks")
 	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
-	if received := c.await(done); received.err != nil {
+	if received := c.awaitOutcome(done); received.err != nil {
 		t.Fatal(received.err)
 	}
 	if leader.group.Status().Writable {
@@ -167,7 +167,7 @@
 	leader := c.awaitLeader()
 	leader.disk.FreeBytes = 10
 	done := leader.propose("durable on the other disks")
-	if received := c.await(done); received.err != nil {
+	if received := c.awaitOutcome(done); received.err != nil {
 		t.Fatal(received.err)
 	}
 	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
@@ -203,11 +203,11 @@
 		t.Fatal("the log was not compacted")
 	}
 	added := c.add(testMember(4, false), nil)
-	c.change(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
+	c.commitChange(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
 	c.awaitCommands(added, compactionEntries+100)
-	c.change(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address, Voter: true}})
+	c.commitChange(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address, Voter: true}})
 	removed := c.awaitLeader().member.ID%3 + 1
-	c.change(consensus.MembershipChange{Remove: removed})
+	c.commitChange(consensus.MembershipChange{Remove: removed})
 	c.commit("last")
 	c.awaitCommands(added, compactionEntries+101)
 	c.restart(added, true, 3)
--- a/coord/replica/guards.go
+++ b/coord/replica/guards.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Guard names one safety check of a group. Tests omit guards one by one to show that a violation is then detected; a
-// running system enforces all of them.
+// Guard identifies one safety check of a group. Tests disable guards one at a time to show that they then detect a violation;
+// production code enforces all of them.
 type Guard string
 
-// The guards that tests can omit.
+// The guards that tests can disable.
 const (
-	// GuardOutcomeMatchesTerm requires that a proposal is acknowledged only by an entry of its own term.
+	// GuardOutcomeMatchesTerm requires that a proposal is acknowledged only if the entry applied at its index has the proposal's term.
 	GuardOutcomeMatchesTerm Guard = "outcome-of-term"
-	// GuardLostLeadershipUnknown requires that a proposal has an unknown outcome once its leader has lost leadership, until
-	// its entry is applied or replaced.
+	// GuardLostLeadershipUnknown requires that the outcome of a proposal counts as unknown from the loss of leadership until an
+	// entry is applied at its index.
 	GuardLostLeadershipUnknown Guard = "lost-unknown"
-	// GuardSkippedUnknown requires that a proposal whose index is covered by a received snapshot has an unknown outcome.
+	// GuardSkippedUnknown requires that a proposal whose index is covered by a received snapshot is answered with an unknown outcome.
 	GuardSkippedUnknown Guard = "skipped-unknown"
-	// GuardReadWaitsForApply requires that a read is answered only after the state machine has applied all that it covers.
+	// GuardReadWaitsForApply requires that a read is answered only after the state machine has applied every entry that it must observe.
 	GuardReadWaitsForApply Guard = "read-applied"
-	// GuardStalledDiskStepsDown requires that a member whose disk stalls or fails hands leadership over.
+	// GuardStalledDiskStepsDown requires that a leader whose disk stalls or fails transfers leadership.
 	GuardStalledDiskStepsDown Guard = "stall-hands-over"
 )
 
-// Guards returns all guards that tests can omit.
+// Guards returns all guards.
 func Guards() []Guard {
 	return []Guard{
 		GuardOutcomeMatchesTerm, GuardLostLeadershipUnknown, GuardSkippedUnknown, GuardReadWaitsForApply,
--- a/coord/replica/guards_test.go
+++ b/coord/replica/guards_test.go
@@ -16,7 +16,7 @@
 }
 
 // guardViolations contains for each guard a sequence of events that violates a promise if the guard is omitted.
-var guardViolations = map[Guard]func(t *testing.T, omit ...Guard) (violated bool){
+var guardScenarios = map[Guard]func(t *testing.T, omit ...Guard) (violated bool){
 	// The next leader's entry replaces the proposed one.
 	GuardOutcomeMatchesTerm: func(t *testing.T, omit ...Guard) bool {
 		s, done := loopWithProposal(t, omit)
@@ -78,7 +78,7 @@
 
 func TestGuards_eachPreventsViolation(t *testing.T) {
 	for _, guard := range Guards() {
-		scenario := guardViolations[guard]
+		scenario := guardScenarios[guard]
 		if scenario == nil {
 			t.Errorf("%s: no scenario", guard)
 			continue
--- a/coord/replica/loaded_cluster_test.go
+++ b/coord/replica/loaded_cluster_test.go
@@ -10,13 +10,13 @@
 
 // A load of changes to a document of 450 routes: every tenth replaces the document, the others one route.
 const (
-	minChanges     = 2000
-	changeInterval = time.Second / 30
-	replacedBytes  = 150 << 10
-	updatedBytes   = 400
-	replacedEvery  = 10
-	stateBytes     = 250 << 10
-	catchUpBound   = 4 * time.Second // catchUpS of the operators' requirements
+	minChanges          = 2000
+	changeInterval      = time.Second / 30
+	documentChangeBytes = 150 << 10
+	routeChangeBytes    = 400
+	documentChangeEvery = 10
+	stateBytes          = 250 << 10
+	catchUpBound        = 4 * time.Second // catchUpS of the operators' requirements
 )
 
 // documentStateMachine has a state as large as that document, and counts the commands.
@@ -59,12 +59,12 @@
 }
 
 // runUntil continues the load until a condition is true and returns how long that took.
-func (s *loadedCluster) runUntil(what string, limit time.Duration, done func() bool) time.Duration {
+func (s *loadedCluster) runUntil(description string, limit time.Duration, done func() bool) time.Duration {
 	s.t.Helper()
-	began := s.clock.now
+	start := s.clock.now
 	for !done() {
-		if s.clock.now > began+limit {
-			s.t.Fatalf("not reached in %v: %s", limit, what)
+		if s.clock.now > start+limit {
+			s.t.Fatalf("not reached in %v: %s", limit, description)
 		}
 		if leader := s.leader(); leader != nil && s.clock.now >= s.nextChangeAt {
 			s.nextChangeAt = max(s.nextChangeAt+changeInterval, s.clock.now-time.Second)
@@ -75,21 +75,21 @@
 			s.peakDiskBytes[replica] = max(s.peakDiskBytes[replica], replica.disk.UsedBytes())
 		}
 	}
-	return s.clock.now - began
+	return s.clock.now - start
 }
 
 func (s *loadedCluster) propose(leader *testReplica) {
-	size := updatedBytes
-	if s.proposedChanges%replacedEvery == 0 {
-		size = replacedBytes
+	size := routeChangeBytes
+	if s.proposedChanges%documentChangeEvery == 0 {
+		size = documentChangeBytes
 	}
 	s.proposedChanges++
 	leader.group.queue.push(proposeEvent{data: make([]byte, size), done: newOutcomeChannel()})
 }
 
-func (s *loadedCluster) runFor(span time.Duration) {
-	until := s.clock.now + span
-	s.runUntil("time", span+time.Second, func() bool { return s.clock.now >= until })
+func (s *loadedCluster) runFor(duration time.Duration) {
+	until := s.clock.now + duration
+	s.runUntil("time", duration+time.Second, func() bool { return s.clock.now >= until })
 }
 
 // isCurrent reports whether a member has applied all that the leader has, except for what is in flight.
@@ -102,38 +102,38 @@
 }
 
 // stopFor stops a member's process for a while.
-func (s *loadedCluster) stopFor(replica *testReplica, span time.Duration) {
+func (s *loadedCluster) stopFor(replica *testReplica, duration time.Duration) {
 	replica.group.loop.stop(replica.group.queue.close())
 	replica.partitioned, replica.stopped = true, true
-	s.runFor(span)
+	s.runFor(duration)
 	replica.partitioned, replica.stopped = false, false
 }
 
 // returnMode is the way in which a stopped member returns.
-type returnMode string
+type rejoinMode string
 
 // The ways in which a member returns.
 const (
-	returnRestarted returnMode = "restarted" // with its disk
-	returnWiped     returnMode = "wiped"     // with an empty disk and a new ID, at the same address
-	returnReplaced  returnMode = "replaced"  // with an empty disk and a new ID, at another address
+	rejoinRestarted rejoinMode = "restarted" // with its disk
+	rejoinWiped     rejoinMode = "wiped"     // with an empty disk and a new ID, at the same address
+	rejoinReplaced  rejoinMode = "replaced"  // with an empty disk and a new ID, at another address
 )
 
 // returnMember brings the member back in the given mode and returns the replica that takes its place.
-func (s *loadedCluster) returnMember(replica *testReplica, mode returnMode, number int) *testReplica {
-	if mode == returnRestarted {
+func (s *loadedCluster) rejoin(replica *testReplica, mode rejoinMode, number int) *testReplica {
+	if mode == rejoinRestarted {
 		replica.disk.Restart()
 		s.open(replica, nil)
 		return replica
 	}
-	old := replica.member
+	previous := replica.member
 	member := testMember(number, false)
-	if mode == returnWiped {
-		member.Address = old.Address
+	if mode == rejoinWiped {
+		member.Address = previous.Address
 	}
 	s.remove(replica)
 	added := s.add(member, nil)
-	s.changeMembers(consensus.MembershipChange{Remove: old.ID})
+	s.changeMembers(consensus.MembershipChange{Remove: previous.ID})
 	s.changeMembers(consensus.MembershipChange{Add: &member})
 	return added
 }
--- a/coord/replica/log_writer.go
+++ b/coord/replica/log_writer.go
@@ -7,19 +7,19 @@
 	"ospreybend/coord/consensus"
 )
 
-// Bounds of the delay before a failed write is retried. It doubles with each failure.
+// Limits of the delay before a failed write is retried. The delay doubles with each failure.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// writeJob is one job of the log writer: either a state of the node to persist or a snapshot of the state machine.
+// writeJob is one job of the log writer: either node state to persist or a snapshot of the state machine.
 type writeJob struct {
 	persist  *consensus.PersistRequest
 	snapshot *consensus.Snapshot
 }
 
-// logStorage is what the log writer uses of seglog.Log.
+// logStorage is the part of seglog.Log that a group uses.
 type logStorage interface {
 	Save(batch []*consensus.PersistRequest) error
 	Compact(snapshot consensus.Snapshot) error
@@ -28,21 +28,21 @@
 	Close() error
 }
 
-// logWriter owns a group's log on disk. All jobs that are submitted during a write go into the next one, so that the cost of
-// a sync is shared (group commit).
+// logWriter owns a group's log on disk. Jobs that are submitted during a write are batched into the next one, so that they share
+// the cost of a sync (group commit).
 type logWriter struct {
 	log    logStorage
 	report func(diskReport)
 
 	mutex     sync.Mutex // guards submitted
 	submitted []writeJob
-	signal    chan struct{} // buffered; receives a value when a job was submitted
+	signal    chan struct{} // buffered; signaled when a job is submitted
 
-	pending    []writeJob // taken from submitted and not written yet
+	pending    []writeJob // taken from submitted, not written yet; used by run's goroutine alone
 	retryDelay time.Duration
 }
 
-// newLogWriter returns a writer that calls report, from the goroutine of run, after each write.
+// newLogWriter returns a writer that calls report after each write, in the goroutine of run.
 func newLogWriter(log logStorage, report func(diskReport)) *logWriter {
 	return &logWriter{log: log, report: report, signal: make(chan struct{}, 1)}
 }
@@ -73,7 +73,7 @@
 	}
 }
 
-// waitForWork returns true at the next job or, if a write failed, after the retry delay; false at the end.
+// waitForWork waits for the next job or, if retryDelay is not 0, for that delay. It returns false if stop is closed instead.
 func (w *logWriter) waitForWork(retryDelay time.Duration, stop <-chan struct{}) bool {
 	if retryDelay > 0 {
 		timer := time.NewTimer(retryDelay)
@@ -93,7 +93,7 @@
 	}
 }
 
-// writePending writes and reports all pending jobs. It returns the delay before the next attempt, or 0 if nothing failed.
+// writePending writes and reports all pending jobs. It returns the delay before the next attempt, or 0 if all writes succeeded.
 func (w *logWriter) writePending() time.Duration {
 	w.collectSubmitted()
 	for len(w.pending) > 0 {
@@ -111,14 +111,14 @@
 	return 0
 }
 
-// nextRetryDelay doubles the retry delay, within its bounds.
+// nextRetryDelay doubles the retry delay, within its limits, and returns it.
 func (w *logWriter) nextRetryDelay() time.Duration {
 	w.retryDelay = min(max(2*w.retryDelay, minRetryDelay), maxRetryDelay)
 	return w.retryDelay
 }
 
-// writeFirst writes the states up to the next snapshot as one batch, or the snapshot if that is first. Once Save has
-// returned, the states are durable on this member.
+// writeFirst writes the first pending job: a snapshot alone, or node states in one batch up to the next snapshot. Once Save
+// has succeeded, the states are durable on this member.
 func (w *logWriter) writeFirst() diskReport {
 	if w.pending[0].snapshot != nil {
 		return w.writeSnapshot(w.pending[0].snapshot)
@@ -136,8 +136,8 @@
 	return diskReport{finishedJobs: len(batch), persistedSequence: batch[len(batch)-1].Sequence}
 }
 
-// writeSnapshot writes a snapshot and abandons it at the first failure: the states behind it are more urgent, and the event
-// loop submits a newer snapshot later.
+// writeSnapshot writes a snapshot. It does not retry a failed one: the node states queued behind it are more urgent, and the
+// event loop submits a newer snapshot later.
 func (w *logWriter) writeSnapshot(snapshot *consensus.Snapshot) diskReport {
 	if err := w.log.Compact(*snapshot); err != nil {
 		return diskReport{finishedJobs: 1, snapshotFailed: true, err: err}
--- a/coord/replica/log_writer_test.go
+++ b/coord/replica/log_writer_test.go
@@ -13,14 +13,14 @@
 
 // scriptedLog records its calls: the sequences of a batch, or the negative index of a snapshot.
 type scriptedLog struct {
-	calls [][]int
-	fail  int // how many of the next calls fail
+	calls        [][]int
+	failuresLeft int // how many of the next calls fail
 }
 
-func (l *scriptedLog) note(call []int) error {
+func (l *scriptedLog) record(call []int) error {
 	l.calls = append(l.calls, call)
-	if l.fail > 0 {
-		l.fail--
+	if l.failuresLeft > 0 {
+		l.failuresLeft--
 		return seglogtest.ErrFull
 	}
 	return nil
@@ -31,11 +31,11 @@
 	for _, persist := range batch {
 		call = append(call, int(persist.Sequence))
 	}
-	return l.note(call)
+	return l.record(call)
 }
 
 func (l *scriptedLog) Compact(snapshot consensus.Snapshot) error {
-	return l.note([]int{-int(snapshot.Index)})
+	return l.record([]int{-int(snapshot.Index)})
 }
 
 func (l *scriptedLog) LogBytes() int64  { return 1 }
@@ -74,7 +74,7 @@
 
 func TestLogWriter_retriesWithBackoff(t *testing.T) {
 	w, log, reports := newScriptedWriter()
-	log.fail = 8
+	log.failuresLeft = 8
 	submitStates(w, 1)
 	want := minRetryDelay
 	for range 8 {
@@ -95,7 +95,7 @@
 			t.Fatalf("got %+v", report)
 		}
 	}
-	log.fail = 1
+	log.failuresLeft = 1
 	submitStates(w, 3)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
 		t.Fatalf("the delay after a success is %v", retryDelay)
@@ -104,7 +104,7 @@
 
 func TestLogWriter_abandonsFailedSnapshot(t *testing.T) {
 	w, log, reports := newScriptedWriter()
-	log.fail = 1
+	log.failuresLeft = 1
 	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 1)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
@@ -121,7 +121,7 @@
 
 func TestLogWriter_stops(t *testing.T) {
 	w, log, _ := newScriptedWriter()
-	log.fail = 1
+	log.failuresLeft = 1
 	submitStates(w, 1)
 	stop := make(chan struct{})
 	close(stop)
@@ -134,17 +134,17 @@
 // stalledLog has writes that complete only once they are released.
 type stalledLog struct {
 	scriptedLog
-	began, released chan struct{}
+	saveStarted, saveReleased chan struct{}
 }
 
 func (l *stalledLog) Save([]*consensus.PersistRequest) error {
-	close(l.began)
-	<-l.released
+	close(l.saveStarted)
+	<-l.saveReleased
 	return nil
 }
 
 func TestGroup_Close_doesNotWaitForStalledDisk(t *testing.T) {
-	log := &stalledLog{began: make(chan struct{}), released: make(chan struct{})}
+	log := &stalledLog{saveStarted: make(chan struct{}), saveReleased: make(chan struct{})}
 	options := Options{
 		Self: testMember(1, true), StateMachine: &listStateMachine{}, Send: func(consensus.Member, consensus.Message) {},
 	}.withDefaults()
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- group.Run(ctx) }()
-	<-log.began // the only member campaigns, and its vote is being written
+	<-log.saveStarted // the only member campaigns, and its vote is being written
 	cancel()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
@@ -163,6 +163,6 @@
 	if err := group.closeWithin(0); !errors.Is(err, ErrDiskStalled) {
 		t.Fatal(err)
 	}
-	close(log.released)
+	close(log.saveReleased)
 	group.running.Wait()
 }
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -10,15 +10,15 @@
 	"ospreybend/coord/shards"
 )
 
-// StateMachine is the replicated state machine. Only the group's event loop calls it.
+// StateMachine is the replicated state machine. Open and the group's event loop call it, never concurrently.
 type StateMachine interface {
-	// Apply executes one command and returns its result. It is called once for each command entry, in the order of the log,
-	// and must be deterministic: the same state and result on all replicas.
+	// Apply executes one command and returns its result. It is called once for each command entry, in log order, and must be
+	// deterministic, so that all replicas reach the same state and result.
 	Apply(entry consensus.Entry) any
-	// Snapshot returns the encoded state. The group keeps the slice, so that the state machine must not change it.
+	// Snapshot returns the encoded state. The group keeps the slice, so the state machine must not modify it.
 	Snapshot() []byte
-	// Restore replaces the state by that of a snapshot that was taken after the entry at index. The data was made by Snapshot,
-	// of this replica or of another one.
+	// Restore replaces the state with that of a snapshot taken after the entry at index was applied. The data was returned by
+	// Snapshot on this or another replica.
 	Restore(index uint64, data []byte) error
 }
 
@@ -31,18 +31,18 @@
 // Options configures a Group.
 type Options struct {
 	Shard            shards.ID
-	Directory        string            // used by this group alone
+	Directory        string            // must not be shared with another group
 	FileSystem       seglog.FileSystem // nil: seglog.OSFileSystem
 	Self             consensus.Member
-	BootstrapMembers []consensus.Member // voters of a new group; only used if the directory is empty
-	StateMachine     StateMachine       // in its initial state
+	BootstrapMembers []consensus.Member // initial voters of a new group; used only if the directory is empty
+	StateMachine     StateMachine       // must be in its initial state
 
 	// Send passes a message to the transport. It is called by the event loop and must not block; messages may be lost. The
-	// address is empty if the group does not know the receiver as a member yet: the transport then looks it up by ID, or drops
-	// the message. The message must not be changed.
+	// receiver's address is empty if the group does not know the receiver as a member yet: the transport then looks it up by
+	// ID, or drops the message. The message must not be modified.
 	Send func(to consensus.Member, message consensus.Message)
-	// OnApplied is called by the event loop, and by Open, after the state machine has applied everything up to index. It must
-	// not call the group. It may be nil.
+	// OnApplied is called by the event loop, and by Open, after the state machine has applied all entries up to index. It
+	// must not call the group. It may be nil.
 	OnApplied func(index uint64)
 	// OnStatus is called by the event loop after a change of role, term, leader, members or writability, and once by Open. It
 	// must not call the group. It may be nil.
@@ -53,21 +53,21 @@
 	Logger            *zap.Logger   // nil: no logging
 	Clock             Clock         // nil: the monotonic clock of the process
 
-	// SnapshotEntries is after how many entries the log is compacted; 0: compactionEntries. Only tests set it.
+	// SnapshotEntries is the number of entries after which the log is compacted; 0: compactionEntries. Only tests set it.
 	SnapshotEntries uint64
-	// OmitRules lists rules of the consensus core that are not enforced. Only tests set it.
+	// OmitRules lists the rules of package consensus that are not enforced. Only tests set it.
 	OmitRules []consensus.Rule
-	// OmitGuards lists guards of the group that are not enforced. Only tests set it.
+	// OmitGuards lists the guards that the group does not enforce. Only tests set it.
 	OmitGuards []Guard
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultElectionTimeout   = 500 * time.Millisecond
 	DefaultHeartbeatInterval = 100 * time.Millisecond
 )
 
-// NeverConfirmed is the ConfirmedAge of a replica that has not been confirmed since its start.
+// NeverConfirmed is the ConfirmedAge of a replica whose state has not been confirmed as current since its start.
 const NeverConfirmed = time.Duration(1<<63 - 1)
 
 // Status describes the local replica of a group.
@@ -75,18 +75,18 @@
 	Shard        shards.ID
 	Role         consensus.Role
 	Term         uint64
-	Leader       consensus.Member // ID 0: unknown
+	Leader       consensus.Member // its ID is 0 if the leader is unknown
 	Members      []consensus.Member
-	Retired      []consensus.MemberID // IDs that were replaced and are never members again
+	Retired      []consensus.MemberID // IDs retired on removal; they never become members again
 	AppliedIndex uint64
 	CommitIndex  uint64
-	ConfirmedAge time.Duration // since consensus.Status.ConfirmedAt, or NeverConfirmed
-	Writable     bool          // the disk completes writes in time
+	ConfirmedAge time.Duration // time since consensus.Status.ConfirmedAt, or NeverConfirmed
+	Writable     bool          // whether the disk completes writes in time
 	DiskBytes    int64
 	DurableIndex uint64 // highest index that is durable on this replica
 }
 
-// withDefaults replaces zero values by the defaults.
+// withDefaults returns the options with default values in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.FileSystem == nil {
 		o.FileSystem = seglog.OSFileSystem{}
@@ -101,7 +101,7 @@
 		o.Logger = zap.NewNop()
 	}
 	if o.Clock == nil {
-		o.Clock = steadyClock{}
+		o.Clock = monotonicClock{}
 	}
 	return o
 }
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -7,24 +7,24 @@
 	"ospreybend/coord/consensus"
 )
 
-// gracePeriodTimeouts is the grace period, in election timeouts, in which the next leader may still commit a proposal of a
-// lost leadership before its outcome is reported as unknown.
-const gracePeriodTimeouts = 2
+// gracePeriodElectionTimeouts is the grace period, in election timeouts, after this replica has lost leadership: the next leader
+// may still commit a pending proposal within it. After that the outcome is reported as unknown.
+const gracePeriodElectionTimeouts = 2
 
-// pendingProposal is an entry of this leader whose proposer waits for the outcome.
+// pendingProposal is an entry that this replica appended as leader and whose proposer waits for the outcome.
 type pendingProposal struct {
-	term     uint64 // of the entry
+	term     uint64 // term of the entry
 	done     chan outcome
-	deadline time.Duration // after which its outcome is unknown; 0: none, as this replica still leads its term
+	deadline time.Duration // end of the grace period; 0: this replica still leads the term
 }
 
-// pendingProposals are the pending proposals by index of their entry.
+// pendingProposals holds the pending proposals by the index of their entry.
 type pendingProposals struct {
-	byIndex      map[uint64]*pendingProposal
-	nextDeadline time.Duration // earliest deadline; 0: none
+	byIndex          map[uint64]*pendingProposal
+	earliestDeadline time.Duration // of all proposals; 0: none has a deadline
 }
 
-// propose appends a command to the log if this replica leads.
+// propose appends a command to the log if this replica is the leader.
 func (l *eventLoop) propose(event proposeEvent) {
 	term, index, err := l.node.Propose(l.now, event.data)
 	if err != nil {
@@ -34,22 +34,22 @@
 	l.proposals.add(index, &pendingProposal{term: term, done: event.done})
 }
 
-// changeMembers appends a membership change to the log if this replica leads.
+// changeMembers appends a membership change to the log if this replica is the leader.
 func (l *eventLoop) changeMembers(event changeEvent) {
-	previous := l.node.Status().LastIndex
+	previousIndex := l.node.Status().LastIndex
 	if err := l.node.ChangeMembers(l.now, event.change); err != nil {
 		event.done <- outcome{err: l.callerError(err)}
 		return
 	}
 	status := l.node.Status()
-	if status.LastIndex == previous {
+	if status.LastIndex == previousIndex {
 		event.done <- outcome{} // the change has no effect, and the previous one is committed
 		return
 	}
 	l.proposals.add(status.LastIndex, &pendingProposal{term: status.Term, done: event.done})
 }
 
-// callerError converts the node's error to the one that callers of the group get.
+// callerError converts an error of the node to the error that the group's caller receives.
 func (l *eventLoop) callerError(err error) error {
 	if !errors.Is(err, consensus.ErrNotLeader) {
 		return err
@@ -58,7 +58,7 @@
 	return NotLeaderError{Leader: l.leader()}
 }
 
-// add registers a proposal. One that is pending at the same index belongs to an earlier term.
+// add registers a proposal. A proposal still pending at the same index is of an earlier term; its outcome is unknown.
 func (p *pendingProposals) add(index uint64, proposal *pendingProposal) {
 	if previous := p.byIndex[index]; previous != nil {
 		previous.done <- outcome{err: ErrUnknownOutcome}
@@ -66,8 +66,8 @@
 	p.byIndex[index] = proposal
 }
 
-// resolveApplied answers the proposal at the entry's index. If the entry is of another term, it has replaced the proposed
-// one, which therefore never was and never will be committed.
+// resolveApplied answers the proposal at the entry's index. If the entry is of a different term, it has replaced the
+// proposed entry, which therefore never was and never will be committed.
 func (p *pendingProposals) resolveApplied(entry consensus.Entry, result any, leader consensus.Member, options *Options) {
 	proposal := p.byIndex[entry.Index]
 	if proposal == nil {
@@ -81,7 +81,8 @@
 	proposal.done <- outcome{result: result, index: entry.Index}
 }
 
-// resolveSkipped answers the proposals that a received snapshot covers: whether they are part of it is unknown.
+// resolveSkipped answers the proposals up to index, which a received snapshot covers. Whether the snapshot includes their
+// commands is unknown.
 func (p *pendingProposals) resolveSkipped(index uint64, options *Options) {
 	outcomeError := error(ErrUnknownOutcome)
 	if !options.enforces(GuardSkippedUnknown) {
@@ -95,55 +96,56 @@
 	}
 }
 
-// updateProposalDeadlines starts the grace period of proposals whose term this replica no longer leads.
+// updateProposalDeadlines starts the grace period of the proposals whose term this replica no longer leads.
 func (l *eventLoop) updateProposalDeadlines() {
 	if len(l.proposals.byIndex) == 0 {
-		l.proposals.nextDeadline = 0
+		l.proposals.earliestDeadline = 0
 		return
 	}
 	if l.status.Role != consensus.RoleLeader && !l.options.enforces(GuardLostLeadershipUnknown) {
 		l.proposals.failAll(NotLeaderError{Leader: l.leader()})
 		return
 	}
-	l.proposals.startGracePeriod(l.status, l.now+gracePeriodTimeouts*l.options.ElectionTimeout)
+	l.proposals.startGracePeriod(l.status, l.now+gracePeriodElectionTimeouts*l.options.ElectionTimeout)
 }
 
-// startGracePeriod sets the deadline of proposals whose term has ended, and recomputes the earliest one.
+// startGracePeriod sets the deadline of the proposals whose term this replica no longer leads, unless they have one already, and
+// recomputes the earliest deadline.
 func (p *pendingProposals) startGracePeriod(status consensus.Status, deadline time.Duration) {
-	p.nextDeadline = 0
+	p.earliestDeadline = 0
 	for _, proposal := range p.byIndex {
 		leading := status.Role == consensus.RoleLeader && status.Term == proposal.term
 		if !leading && proposal.deadline == 0 {
 			proposal.deadline = deadline
 		}
-		if proposal.deadline != 0 && (p.nextDeadline == 0 || proposal.deadline < p.nextDeadline) {
-			p.nextDeadline = proposal.deadline
+		if proposal.deadline != 0 && (p.earliestDeadline == 0 || proposal.deadline < p.earliestDeadline) {
+			p.earliestDeadline = proposal.deadline
 		}
 	}
 }
 
-// deadline returns the earliest deadline.
-func (p *pendingProposals) deadline() time.Duration {
-	if p.nextDeadline == 0 {
+// nextDeadline returns the earliest deadline, or never if there is none.
+func (p *pendingProposals) nextDeadline() time.Duration {
+	if p.earliestDeadline == 0 {
 		return never
 	}
-	return p.nextDeadline
+	return p.earliestDeadline
 }
 
 // expire answers the proposals whose deadline has passed.
 func (p *pendingProposals) expire(now time.Duration) {
-	if p.nextDeadline == 0 || now < p.nextDeadline {
+	if p.earliestDeadline == 0 || now < p.earliestDeadline {
 		return
 	}
-	p.nextDeadline = 0
+	p.earliestDeadline = 0
 	for index, proposal := range p.byIndex {
 		switch {
 		case proposal.deadline == 0:
 		case now >= proposal.deadline:
 			delete(p.byIndex, index)
 			proposal.done <- outcome{err: ErrUnknownOutcome}
-		case p.nextDeadline == 0 || proposal.deadline < p.nextDeadline:
-			p.nextDeadline = proposal.deadline
+		case p.earliestDeadline == 0 || proposal.deadline < p.earliestDeadline:
+			p.earliestDeadline = proposal.deadline
 		}
 	}
 }
--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -17,25 +17,25 @@
 const (
 	randomSeed        = 20260102
 	randomRuns        = 300
-	faultsPerRun      = 150
+	actionsPerRun     = 150
 	fullDiskFreeBytes = 200 // bytes, exclusive
-	actionWeights     = 12  // the named actions have weight 1, a proposal the rest
-	faultOdds         = 3   // a chosen member becomes faulty one time in this many, and healthy otherwise
+	actionChoices     = 12  // the named actions have weight 1, a proposal the rest
+	faultOneIn        = 3   // a chosen member becomes faulty one time in this many, and healthy otherwise
 )
 
 // attempt is one proposal or read of a random run.
-type attempt struct {
-	command string // empty: a read
-	at      *testReplica
-	seen    int // acknowledged commands at the time of a read
-	done    chan outcome
+type pendingCall struct {
+	command            string // empty: a read
+	replica            *testReplica
+	acknowledgedBefore int // acknowledged commands at the time of a read
+	done               chan outcome
 }
 
 // randomFaultRun makes proposals and reads while faults are injected.
 type randomFaultRun struct {
 	*testCluster
 	random       *rand.Rand
-	pending      []attempt
+	pending      []pendingCall
 	acknowledged []string
 	rejected     map[string]bool
 	failure      error
@@ -62,11 +62,11 @@
 func runRandomFaults(t *testing.T, seed uint64, omit ...Guard) error {
 	run := &randomFaultRun{testCluster: newTestCluster(t, 3), random: seglogtest.NewRandom(seed), rejected: map[string]bool{}}
 	run.setOmittedGuards(omit)
-	for number := range faultsPerRun {
-		run.injectFault(number)
+	for number := range actionsPerRun {
+		run.runRandomAction(number)
 		for range run.random.IntN(12) {
 			run.step()
-			run.collect()
+			run.collectOutcomes()
 		}
 	}
 	run.heal()
@@ -88,13 +88,13 @@
 )
 
 // injectFault makes one random fault or call at a random member.
-func (r *randomFaultRun) injectFault(number int) {
+func (r *randomFaultRun) runRandomAction(number int) {
 	replica := r.replicas[r.random.IntN(len(r.replicas))]
-	switch r.random.IntN(actionWeights) {
+	switch r.random.IntN(actionChoices) {
 	case actionPartition:
-		replica.partitioned = r.random.IntN(faultOdds) == 0
+		replica.partitioned = r.random.IntN(faultOneIn) == 0
 	case actionStall:
-		replica.stalled = r.random.IntN(faultOdds) == 0
+		replica.stalled = r.random.IntN(faultOneIn) == 0
 	case actionRestart:
 		r.restart(replica, r.random.IntN(2) == 0, r.random.Uint64())
 	case actionFillDisk:
@@ -111,18 +111,18 @@
 }
 
 func (r *randomFaultRun) proposeAt(replica *testReplica, command string) {
-	r.pending = append(r.pending, attempt{command: command, at: replica, done: replica.propose(command)})
+	r.pending = append(r.pending, pendingCall{command: command, replica: replica, done: replica.propose(command)})
 }
 
 func (r *randomFaultRun) read(replica *testReplica) {
 	done := newOutcomeChannel()
 	replica.group.queue.push(readEvent{done})
-	r.pending = append(r.pending, attempt{at: replica, seen: len(r.acknowledged), done: done})
+	r.pending = append(r.pending, pendingCall{replica: replica, acknowledgedBefore: len(r.acknowledged), done: done})
 }
 
 // collect processes the answers that have arrived.
-func (r *randomFaultRun) collect() {
-	var left []attempt
+func (r *randomFaultRun) collectOutcomes() {
+	var left []pendingCall
 	for _, pending := range r.pending {
 		select {
 		case received := <-pending.done:
@@ -134,7 +134,7 @@
 	r.pending = left
 }
 
-func (r *randomFaultRun) record(pending attempt, received outcome) {
+func (r *randomFaultRun) record(pending pendingCall, received outcome) {
 	switch {
 	case pending.command == "" && received.err == nil:
 		r.checkRead(pending)
@@ -146,10 +146,10 @@
 	}
 }
 
-func (r *randomFaultRun) checkRead(read attempt) {
-	for _, command := range r.acknowledged[:read.seen] {
-		if !slices.Contains(read.at.stateMachine.Commands, command) {
-			r.failure = fmt.Errorf("a read at member %d does not see %q", read.at.member.ID, command)
+func (r *randomFaultRun) checkRead(read pendingCall) {
+	for _, command := range r.acknowledged[:read.acknowledgedBefore] {
+		if !slices.Contains(read.replica.stateMachine.Commands, command) {
+			r.failure = fmt.Errorf("a read at member %d does not see %q", read.replica.member.ID, command)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		replica.disk.FreeBytes = seglogtest.Unlimited
 	}
 	r.stepUntil("no pending attempt", func() bool {
-		r.collect()
+		r.collectOutcomes()
 		return len(r.pending) == 0
 	})
 	last := r.commitLast()
@@ -175,7 +175,7 @@
 	limit := r.clock.now + testTimeout
 	for number := 0; r.clock.now < limit; number++ {
 		command := fmt.Sprint("last ", number)
-		if r.await(r.awaitLeader().propose(command)).err == nil {
+		if r.awaitOutcome(r.awaitLeader().propose(command)).err == nil {
 			return command
 		}
 		r.step()
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -2,13 +2,13 @@
 
 import "ospreybend/coord/consensus"
 
-// pendingReads are the pending read barriers. All that arrive before one iteration of the event loop form a round, which the
-// node confirms at once (the ReadIndex of the Raft dissertation, section 6.4).
+// pendingReads holds the pending read barriers. The barriers that arrive before an iteration of the event loop form one round,
+// which the node confirms as a whole (ReadIndex, section 6.4 of the Raft dissertation).
 type pendingReads struct {
-	queued      []chan outcome            // not passed to the node yet
+	queued      []chan outcome            // not yet passed to the node
 	lastRoundID uint64                    // ID of the latest round
-	confirming  map[uint64][]chan outcome // passed to the node, by the ID of the round
-	confirmed   []confirmedRead           // confirmed by a majority; the state machine has not reached the index yet
+	confirming  map[uint64][]chan outcome // passed to the node, by round ID
+	confirmed   []confirmedRead           // confirmed by a majority; the state machine has not yet reached the index
 }
 
 // confirmedRead is a round that may be answered once the state machine has reached the index.
@@ -17,7 +17,7 @@
 	done  []chan outcome
 }
 
-// startReads passes the barriers that arrived since the last iteration to the node, as one round.
+// startReads passes the barriers that arrived since the last iteration to the node as one round.
 func (l *eventLoop) startReads() {
 	if len(l.reads.queued) == 0 {
 		return
@@ -32,7 +32,7 @@
 	l.reads.confirming[l.reads.lastRoundID] = queued
 }
 
-// handleReadResult processes the node's answer to a round.
+// handleReadResult processes the node's result for a round.
 func (l *eventLoop) handleReadResult(result consensus.ReadResult) {
 	done := l.reads.confirming[result.ID]
 	delete(l.reads.confirming, result.ID)
@@ -45,15 +45,15 @@
 
 // answerReads answers the rounds whose index the state machine has reached.
 func (l *eventLoop) answerReads() {
-	var unreached []confirmedRead
+	var waiting []confirmedRead
 	for _, read := range l.reads.confirmed {
 		if read.index <= l.appliedIndex || !l.options.enforces(GuardReadWaitsForApply) {
 			answerAll(read.done, nil)
 		} else {
-			unreached = append(unreached, read)
+			waiting = append(waiting, read)
 		}
 	}
-	l.reads.confirmed = unreached
+	l.reads.confirmed = waiting
 }
 
 // failAll answers all barriers with an error.
--- a/coord/replica/staleness_test.go
+++ b/coord/replica/staleness_test.go
@@ -15,26 +15,26 @@
 )
 
 // progress records how far the group had committed at a time.
-type progress struct {
-	at     time.Duration
+type commitProgress struct {
+	time   time.Duration
 	commit uint64
 }
 
 // staleMember returns a description of a stale member that is treated as current: one that was recently confirmed although it
 // lacks entries that were committed before that.
-func (s *loadedCluster) staleMember(history []progress) string {
+func (s *loadedCluster) staleMember(history []commitProgress) string {
 	for _, replica := range s.replicas {
 		status := replica.group.Status()
 		if replica.stopped || status.ConfirmedAge > maxCurrentAge {
 			continue
 		}
-		confirmed := s.clock.now - status.ConfirmedAge - confirmationDelay
-		for at := len(history) - 1; at >= 0; at-- {
-			if history[at].at > confirmed {
+		confirmedAt := s.clock.now - status.ConfirmedAge - confirmationDelay
+		for i := len(history) - 1; i >= 0; i-- {
+			if history[i].time > confirmedAt {
 				continue
 			}
-			if status.AppliedIndex < history[at].commit {
-				return fmt.Sprintf("member %d is current at %d, committed was %d", replica.member.ID, status.AppliedIndex, history[at].commit)
+			if status.AppliedIndex < history[i].commit {
+				return fmt.Sprintf("member %d is current at %d, committed was %d", replica.member.ID, status.AppliedIndex, history[i].commit)
 			}
 			break
 		}
@@ -45,14 +45,14 @@
 // checkReturningMembers stops, partitions and stalls members for seconds under load, and returns the first violation.
 func checkReturningMembers(t *testing.T, omit ...consensus.Rule) string {
 	s := newLoadedCluster(t, omit...)
-	var history []progress
+	var history []commitProgress
 	violation := ""
 	recordProgress := func() bool {
 		highest := uint64(0)
 		for _, replica := range s.replicas {
 			highest = max(highest, replica.group.Status().CommitIndex)
 		}
-		history = append(history, progress{at: s.clock.now, commit: highest})
+		history = append(history, commitProgress{time: s.clock.now, commit: highest})
 		if violation == "" {
 			violation = s.staleMember(history)
 		}
@@ -63,7 +63,7 @@
 		switch round % 3 {
 		case 0:
 			s.stopFor(chosen, 4*time.Second)
-			s.returnMember(chosen, returnRestarted, 0)
+			s.rejoin(chosen, rejoinRestarted, 0)
 		case 1:
 			chosen.partitioned = true
 			s.runFor(4 * time.Second)
@@ -85,11 +85,11 @@
 	if violation := checkReturningMembers(t); violation != "" {
 		t.Error(violation)
 	}
-	without := checkReturningMembers(t, consensus.RuleConfirmedUpToDate)
-	if without == "" {
+	violation := checkReturningMembers(t, consensus.RuleConfirmedUpToDate)
+	if violation == "" {
 		t.Error("current-held omitted: not detected")
 	}
-	t.Log(without)
+	t.Log(violation)
 }
 
 // TestGroup_staleMemberNeitherLeadsNorConfirmsReads partitions a leader under load: it answers no read meanwhile, and when it
@@ -97,20 +97,20 @@
 func TestGroup_staleMemberNeitherLeadsNorConfirmsReads(t *testing.T) {
 	s := newLoadedCluster(t)
 	for range 6 {
-		old := s.leader()
-		old.partitioned = true
-		received := newOutcomeChannel()
-		old.group.queue.push(readEvent{received})
+		previousLeader := s.leader()
+		previousLeader.partitioned = true
+		readDone := newOutcomeChannel()
+		previousLeader.group.queue.push(readEvent{readDone})
 		s.runFor(4 * time.Second)
-		if len(received) == 0 || (<-received).err == nil {
+		if len(readDone) == 0 || (<-readDone).err == nil {
 			t.Fatal("a partitioned leader answers a read")
 		}
 		target := s.leader().group.Status().CommitIndex
-		old.partitioned = false
+		previousLeader.partitioned = false
 		s.runUntil("caught up", testTimeout, func() bool {
-			status := old.group.Status()
+			status := previousLeader.group.Status()
 			if status.IsLeader() && status.AppliedIndex < target {
-				t.Fatalf("member %d leads at %d, committed was %d", old.member.ID, status.AppliedIndex, target)
+				t.Fatalf("member %d leads at %d, committed was %d", previousLeader.member.ID, status.AppliedIndex, target)
 			}
 			return status.AppliedIndex >= target
 		})
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -8,18 +8,18 @@
 	"ospreybend/coord/consensus"
 )
 
-// publication is the state that the event loop makes visible to other goroutines. Fields that change often are apart from
-// the status, so that publishing them allocates nothing.
+// publication is the state that the event loop makes visible to other goroutines. Fields that change often are kept outside
+// the status, so that publishing them does not allocate.
 type publication struct {
 	status       atomic.Pointer[Status]
-	confirmedAt  atomic.Int64  // consensus.Status.ConfirmedAt, as far as it counts
+	confirmedAt  atomic.Int64  // confirmation.trustedAt
 	diskBytes    atomic.Int64  // Status.DiskBytes
 	durableIndex atomic.Uint64 // Status.DurableIndex
 
-	last Status // the latest status published; read by the event loop alone
+	last Status // the latest published status; used by the event loop alone
 }
 
-// publish makes the current state visible to other goroutines and calls Options.OnStatus if more than progress changed.
+// publish makes the current state visible to other goroutines and calls Options.OnStatus if hasStatusChanged.
 func (l *eventLoop) publish() {
 	l.confirmation.observe(l.now, l.options.HeartbeatInterval, l.status)
 	l.published.confirmedAt.Store(int64(l.confirmation.trustedAt))
@@ -30,14 +30,15 @@
 		return
 	}
 	l.published.last = l.buildStatus()
-	copied := l.published.last
-	l.published.status.Store(&copied)
+	published := l.published.last
+	l.published.status.Store(&published)
 	if changed && l.options.OnStatus != nil {
-		l.options.OnStatus(withAge(copied, l.confirmation.trustedAt, l.now))
+		l.options.OnStatus(withAge(published, l.confirmation.trustedAt, l.now))
 	}
 }
 
-// hasStatusChanged reports whether anything but progress changed since the last publication.
+// hasStatusChanged reports whether the role, term, leader, writability or members changed since the last publication. Progress
+// of the indexes and sizes does not count.
 func (l *eventLoop) hasStatusChanged() bool {
 	previous := &l.published.last
 	return previous.Role != l.status.Role ||
@@ -47,7 +48,7 @@
 		!slices.Equal(previous.Members, l.status.Members)
 }
 
-// buildStatus returns the current status without its age.
+// buildStatus returns the current status without ConfirmedAge and DurableIndex.
 func (l *eventLoop) buildStatus() Status {
 	return Status{
 		Shard:        l.options.Shard,
@@ -76,14 +77,14 @@
 	return status
 }
 
-// withAge returns the status with the time since the node was last confirmed; a time of 0 means never.
-func withAge(status Status, confirmed, now time.Duration) Status {
+// withAge returns the status with its ConfirmedAge at now. A confirmedAt of 0 means that the replica was never confirmed.
+func withAge(status Status, confirmedAt, now time.Duration) Status {
 	status.ConfirmedAge = NeverConfirmed
-	if confirmed > 0 {
-		status.ConfirmedAge = max(now-confirmed, 0)
+	if confirmedAt > 0 {
+		status.ConfirmedAge = max(now-confirmedAt, 0)
 	}
 	return status
 }
 
-// IsLeader reports whether this replica leads the group.
+// IsLeader reports whether this replica is the group's leader.
 func (s Status) IsLeader() bool { return s.Role == consensus.RoleLeader }
--- a/coord/replica/sustained_load_test.go
+++ b/coord/replica/sustained_load_test.go
@@ -14,24 +14,24 @@
 // them back restarted, wiped or replaced: each is up to date within catchUpS.
 func TestGroup_returningMembersCatchUpWithinBound(t *testing.T) {
 	s := newLoadedCluster(t)
-	number := 3
+	memberID := 3
 	for _, span := range []time.Duration{100 * time.Millisecond, time.Second, 4 * time.Second, 15 * time.Second, 60 * time.Second} {
-		for _, mode := range []returnMode{returnRestarted, returnWiped, returnReplaced} {
-			number++
-			chosen := s.replicas[number%len(s.replicas)]
+		for _, mode := range []rejoinMode{rejoinRestarted, rejoinWiped, rejoinReplaced} {
+			memberID++
+			chosen := s.replicas[memberID%len(s.replicas)]
 			previous := s.proposedChanges
 			s.stopFor(chosen, span)
-			lacked := s.proposedChanges - previous
-			began := s.clock.now
-			back := s.returnMember(chosen, mode, number)
-			s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(back) })
-			took := s.clock.now - began
+			missedChanges := s.proposedChanges - previous
+			start := s.clock.now
+			returned := s.rejoin(chosen, mode, memberID)
+			s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(returned) })
+			took := s.clock.now - start
 			if took > catchUpBound {
 				t.Errorf("%s after %v: up to date after %v", mode, span, took)
 			}
-			t.Logf("%-9s after %5v, %4d changes: up to date after %v", mode, span, lacked, took)
-			if mode != returnRestarted {
-				voter := back.member
+			t.Logf("%-9s after %5v, %4d changes: up to date after %v", mode, span, missedChanges, took)
+			if mode != rejoinRestarted {
+				voter := returned.member
 				voter.Voter = true
 				s.changeMembers(consensus.MembershipChange{Add: &voter})
 			}
@@ -96,7 +96,7 @@
 		return s.isCurrent(s.replicas[0]) && s.isCurrent(s.replicas[1]) && s.isCurrent(s.replicas[2])
 	})
 	for replica, peak := range s.peakDiskBytes {
-		if bound := replicaDiskBound(stateBytes, 2*replacedBytes); peak > bound {
+		if bound := replicaDiskBound(stateBytes, 2*documentChangeBytes); peak > bound {
 			t.Errorf("member %d: %d bytes on disk, bound %d", replica.member.ID, peak, bound)
 		}
 		t.Logf("member %d: %d KiB at most", replica.member.ID, peak>>10)
@@ -134,15 +134,15 @@
 func TestGroup_stalledDiskDuringSnapshots(t *testing.T) {
 	s := newLoadedCluster(t)
 	for round := range 12 {
-		slow := s.leader()
-		slow.stalled = true
+		stalled := s.leader()
+		stalled.stalled = true
 		previous := s.proposedChanges
 		s.runFor(3 * time.Second)
 		if s.proposedChanges-previous < 30 {
 			t.Errorf("round %d: %d changes in three seconds", round, s.proposedChanges-previous)
 		}
-		slow.stalled = false
-		if took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(slow) }); took > catchUpBound {
+		stalled.stalled = false
+		if took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(stalled) }); took > catchUpBound {
 			t.Errorf("round %d: up to date after %v", round, took)
 		}
 	}
--- a/coord/replica/transfers.go
+++ b/coord/replica/transfers.go
@@ -6,16 +6,16 @@
 	"ospreybend/coord/consensus"
 )
 
-// transferElectionTimeouts is how many election timeouts a leadership transfer may take.
+// transferElectionTimeouts is how long a leadership transfer may take, in election timeouts.
 const transferElectionTimeouts = 2
 
-// pendingTransfers are the calls that wait until this replica is no longer the leader.
+// pendingTransfers holds the calls that wait until this replica is no longer the leader.
 type pendingTransfers struct {
 	waiting  []chan outcome
-	deadline time.Duration // of all of them; 0: none is pending
+	deadline time.Duration // common to all calls; 0: none is pending
 }
 
-// transfer starts a leadership transfer if this replica leads.
+// transfer starts a leadership transfer if this replica is the leader.
 func (l *eventLoop) transfer(event transferEvent) {
 	if err := l.node.TransferLeadership(l.now, event.to); err != nil {
 		event.done <- outcome{err: l.callerError(err)}
@@ -32,7 +32,7 @@
 	}
 }
 
-// nextDeadline returns when the calls time out.
+// nextDeadline returns when the calls time out, or never if none is pending.
 func (t *pendingTransfers) nextDeadline() time.Duration {
 	if t.deadline == 0 {
 		return never
