--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	idleStep     = 10 * time.Millisecond // length of a step in which nothing is due
-	messageDelay = 2 * time.Millisecond  // of the test network
-	testTimeout  = 20 * time.Second      // on the fake clock
+	idleStep     = 10 * time.Millisecond // how far a step advances the clock if nothing is due
+	messageDelay = 2 * time.Millisecond  // latency of the test network
+	testTimeout  = 20 * time.Second      // limit of a wait, on the fake clock
 )
 
-// listStateMachine collects all commands in order.
+// listStateMachine stores all commands in the order in which they were applied.
 type listStateMachine struct{ Commands []string }
 
 func (m *listStateMachine) Apply(entry consensus.Entry) any {
@@ -43,33 +43,33 @@
 
 func (c *fakeClock) Now() time.Duration { return c.now }
 
-// envelope is a message in flight.
+// envelope is a message in flight, to be delivered at due.
 type envelope struct {
 	due     time.Duration
 	message consensus.Message
 }
 
-// testReplica is one member: a process with its disk.
+// testReplica is one member of a testCluster: a process and its disk.
 type testReplica struct {
 	member       consensus.Member
 	disk         *seglogtest.MemoryDisk
 	group        *Group
 	stateMachine *listStateMachine
-	partitioned  bool          // sends and receives no messages
+	partitioned  bool          // neither sends nor receives messages
 	stalled      bool          // its log writer does not run
 	stopped      bool          // its process has ended
-	retryAt      time.Duration // when a failed write is retried; 0: none failed
+	retryAt      time.Duration // when a failed write is retried; 0: the last write succeeded
 }
 
-// testCluster is a group whose event loops, log writers and network are driven by the test on a fake clock.
+// testCluster is a group of replicas in one goroutine: the test drives their event loops, log writers and network on a fake clock.
 type testCluster struct {
 	t        *testing.T
 	clock    *fakeClock
 	replicas []*testReplica
 	network  []envelope
 
-	newStateMachine func() StateMachine // nil: a listStateMachine
-	omitRules       []consensus.Rule    // omitted by all members
+	newStateMachine func() StateMachine // nil: use a listStateMachine
+	omitRules       []consensus.Rule    // not enforced by any member
 	omitGuards      []Guard             // likewise
 }
 
@@ -103,28 +103,28 @@
 func (c *testCluster) open(replica *testReplica, bootstrapMembers []consensus.Member) {
 	c.t.Helper()
 	replica.stateMachine = &listStateMachine{}
-	machine := StateMachine(replica.stateMachine)
+	stateMachine := StateMachine(replica.stateMachine)
 	if c.newStateMachine != nil {
-		machine = c.newStateMachine()
+		stateMachine = c.newStateMachine()
 	}
 	group, err := Open(Options{
 		Directory:        "group",
 		FileSystem:       replica.disk,
 		Self:             replica.member,
 		BootstrapMembers: bootstrapMembers,
-		StateMachine:     machine,
+		StateMachine:     stateMachine,
 		Send:             func(_ consensus.Member, message consensus.Message) { c.send(replica, message) },
 		Clock:            c.clock,
 		OmitRules:        c.omitRules,
 		OmitGuards:       c.omitGuards,
 	})
 	if err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("open member %d: %v", replica.member.ID, err)
 	}
 	replica.group = group
 }
 
-// restart ends a process and starts it again from its disk, after a power loss if requested.
+// restart restarts a process from its disk, optionally with a power loss, whose effects depend on seed.
 func (c *testCluster) restart(replica *testReplica, powerLoss bool, seed uint64) {
 	if powerLoss {
 		replica.disk.LosePower(seglogtest.NewRandom(seed))
@@ -136,7 +136,7 @@
 	c.open(replica, nil)
 }
 
-// remove removes a replica from the cluster for good.
+// remove permanently removes a replica from the cluster.
 func (c *testCluster) remove(removed *testReplica) {
 	c.replicas = slices.DeleteFunc(c.replicas, func(replica *testReplica) bool { return replica == removed })
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// step advances the clock to the next moment at which something is due, and does that.
+// step advances the clock to the next time at which something is due, and does everything that is due then.
 func (c *testCluster) step() {
 	due := c.nextDue()
 	if due == never {
@@ -180,11 +180,13 @@
 	return due
 }
 
-// hasWriteReady reports whether the log writer has work that it may do at once.
+// hasWriteReady reports whether the log writer has a job that it can write immediately.
 func (replica *testReplica) hasWriteReady() bool {
 	return !replica.stalled && replica.retryAt == 0 && len(replica.group.writer.submitted)+len(replica.group.writer.pending) > 0
 }
 
+// deliverDue delivers the messages that are due.
+// deliverDue delivers the messages that are due.
 func (c *testCluster) deliverDue() {
 	var later []envelope
 	for _, sent := range c.network {
@@ -199,6 +201,8 @@
 	c.network = later
 }
 
+// runDue runs the event loop and the log writer if they are due.
+// runDue runs the event loop and the log writer if they are due.
 func (replica *testReplica) runDue(now time.Duration) {
 	if replica.stopped {
 		return
@@ -224,19 +228,19 @@
 	return nil
 }
 
-// stepUntil steps until the condition is true.
+// stepUntil steps until the condition is met, and fails the test after testTimeout.
 func (c *testCluster) stepUntil(description string, condition func() bool) {
 	c.t.Helper()
 	limit := c.clock.now + testTimeout
 	for !condition() {
 		if c.clock.now > limit {
-			c.t.Fatalf("not reached in %v: %s", testTimeout, description)
+			c.t.Fatalf("condition not met within %v: %s", testTimeout, description)
 		}
 		c.step()
 	}
 }
 
-// leader returns the replica that leads in the highest term, or nil.
+// leader returns the reachable leader of the highest term, or nil.
 func (c *testCluster) leader() *testReplica {
 	var found *testReplica
 	for _, replica := range c.replicas {
@@ -253,14 +257,18 @@
 
 func (c *testCluster) awaitLeader() *testReplica {
 	c.t.Helper()
-	c.stepUntil("a leader whose own entry is applied", func() bool {
+	c.stepUntil("a leader has applied its whole log", func() bool {
 		leader := c.leader()
-		return leader != nil && leader.group.Status().AppliedIndex == leader.group.loop.status.LastIndex && leader.group.Status().AppliedIndex > 1
+		if leader == nil {
+			return false
+		}
+		applied := leader.group.Status().AppliedIndex
+		return applied == leader.group.loop.status.LastIndex && applied > 1
 	})
 	return c.leader()
 }
 
-// propose queues a proposal without waiting.
+// propose queues a proposal and returns the channel for its outcome.
 func (replica *testReplica) propose(command string) chan outcome {
 	done := newOutcomeChannel()
 	replica.group.queue.push(proposeEvent{data: []byte(command), done: done})
@@ -269,27 +277,27 @@
 
 func (c *testCluster) awaitOutcome(done chan outcome) outcome {
 	c.t.Helper()
-	c.stepUntil("an answer", func() bool { return len(done) > 0 })
+	c.stepUntil("the call is answered", func() bool { return len(done) > 0 })
 	return <-done
 }
 
-// commit proposes a command at the leader and waits until it is applied there.
+// commit proposes a command to the leader and waits until the leader has applied it.
 func (c *testCluster) commit(command string) {
 	c.t.Helper()
 	leader := c.awaitLeader()
 	if received := c.awaitOutcome(leader.propose(command)); received.err != nil {
-		c.t.Fatal(received.err)
+		c.t.Fatalf("propose %q to member %d: %v", command, leader.member.ID, received.err)
 	}
 }
 
 func (c *testCluster) awaitCommands(replica *testReplica, count int) {
 	c.t.Helper()
-	c.stepUntil(fmt.Sprintf("%d commands at member %d", count, replica.member.ID), func() bool {
+	c.stepUntil(fmt.Sprintf("member %d has applied %d commands", replica.member.ID, count), func() bool {
 		return len(replica.stateMachine.Commands) == count
 	})
 }
 
-// change changes the membership, and retries while the leader does not know yet that the change is possible.
+// commitChange commits a membership change. It retries while the leader does not yet consider the change possible.
 func (c *testCluster) commitChange(change consensus.MembershipChange) {
 	c.t.Helper()
 	limit := c.clock.now + testTimeout
@@ -301,7 +309,7 @@
 			return
 		}
 		if !errors.Is(err, consensus.ErrMembershipChange) || c.clock.now > limit {
-			c.t.Fatal(err)
+			c.t.Fatalf("membership change %+v: %v", change, err)
 		}
 		c.step()
 	}
--- a/coord/replica/confirmation.go
+++ b/coord/replica/confirmation.go
@@ -15,7 +15,7 @@
 
 // confirmation decides which of the leader's confirmations show that a follower is current. After a stall, the process first
 // reads the messages that arrived meanwhile. Those may be as old as the stall was long, so they no longer show that the follower
-// is current and are ignored.
+// is current: the confirmations that they give are ignored.
 type confirmation struct {
 	lastIteration time.Duration
 	staleUntil    time.Duration // messages handled before this time may be old
--- a/coord/replica/confirmation_test.go
+++ b/coord/replica/confirmation_test.go
@@ -7,7 +7,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// confirmedAt makes the scripted node a follower that its leader confirmed at a time, and returns the age that the group publishes.
+// confirmAt makes the scripted node a follower that its leader confirmed at the given time, iterates the event loop and returns
+// the published ConfirmedAge.
 func (s *scriptedLoop) confirmAt(at, iterateAfter time.Duration) time.Duration {
 	s.node.status.Role = consensus.RoleFollower
 	s.node.status.ConfirmedAt = at
@@ -15,8 +16,8 @@
 	return s.loop.currentStatus().ConfirmedAge
 }
 
-// TestEventLoop_confirmationAfterStall freezes a follower's loop for 3 s: a confirmation by a message that it reads right afterwards does
-// not count, also later; the next one does.
+// TestEventLoop_confirmationAfterStall stalls a follower's event loop for 3 s. A confirmation by a message that is read right
+// afterwards must not count, not even later; the next confirmation must count.
 func TestEventLoop_confirmationAfterStall(t *testing.T) {
 	const (
 		freeze   = 3 * time.Second
@@ -25,21 +26,22 @@
 	s := newScriptedLoop()
 	before := s.clock.now + interval
 	if age := s.confirmAt(before, interval); age != 0 {
-		t.Fatalf("age %v when confirmed, want 0", age)
+		t.Fatalf("ConfirmedAge is %v right after a confirmation, want 0", age)
 	}
 	stale := before + freeze
 	if age := s.confirmAt(stale, freeze); age != freeze {
-		t.Errorf("age %v after an old message, want %v", age, freeze)
+		t.Errorf("ConfirmedAge is %v after a message that may be old, want %v", age, freeze)
 	}
 	if age := s.confirmAt(stale, interval); age != freeze+interval {
-		t.Errorf("age %v without another message, want %v", age, freeze+interval)
+		t.Errorf("ConfirmedAge is %v one interval later without another message, want %v", age, freeze+interval)
 	}
 	if age := s.confirmAt(stale+2*interval, interval); age != 0 {
-		t.Errorf("age %v after a new message, want 0", age)
+		t.Errorf("ConfirmedAge is %v after a new message, want 0", age)
 	}
 }
 
-// TestEventLoop_confirmationOfIdleFollower lets a follower wait for its leader for 3 s: it runs meanwhile, so that the first message counts.
+// TestEventLoop_confirmationOfIdleFollower leaves a follower without messages for 3 s. Its event loop iterates meanwhile, so that
+// it does not count as stalled and the next confirmation counts.
 func TestEventLoop_confirmationOfIdleFollower(t *testing.T) {
 	s := newScriptedLoop()
 	before := s.clock.now
@@ -48,17 +50,18 @@
 		s.confirmAt(before, s.loop.nextWakeUp()-s.clock.now)
 	}
 	if age := s.confirmAt(s.clock.now, 0); age != 0 {
-		t.Errorf("age %v after a message, want 0", age)
+		t.Errorf("ConfirmedAge is %v after the first message, want 0", age)
 	}
 }
 
-// TestEventLoop_leaderAfterStall freezes a leader: its followers' replies count from when the heartbeats were sent, so none is old.
+// TestEventLoop_leaderAfterStall stalls a leader for 3 s. Replies of followers count from the time at which the heartbeats were
+// sent, so the stall does not make them misleading.
 func TestEventLoop_leaderAfterStall(t *testing.T) {
 	s := newScriptedLoop()
 	s.iterate(time.Second)
 	s.node.status.ConfirmedAt = s.clock.now + time.Second
 	s.iterate(3 * time.Second)
 	if age := s.loop.currentStatus().ConfirmedAge; age != 2*time.Second {
-		t.Errorf("age %v, want 2s", age)
+		t.Errorf("ConfirmedAge is %v, want 2s", age)
 	}
 }
--- a/coord/replica/doc.go
+++ b/coord/replica/doc.go
@@ -2,8 +2,8 @@
 // and serves the process's proposals, reads and membership changes.
 //
 // The consensus algorithm itself is in package consensus, which does no I/O; the meaning of the commands is left to the
-// StateMachine. Messages leave through Options.Send and arrive through Group.Step; package shards and the
-// control plane server provide the transport. The control plane server runs one Group for each shard.
+// StateMachine. Messages leave through Options.Send and arrive through Group.Step; package shards and the control plane server
+// provide the transport. The control plane server runs one Group for each shard.
 //
 // # Goroutines
 //
--- a/coord/replica/event_loop_test.go
+++ b/coord/replica/event_loop_test.go
@@ -15,13 +15,13 @@
 	done, second := newOutcomeChannel(), newOutcomeChannel()
 	s.iterate(0, readEvent{done}, readEvent{second})
 	if len(s.node.reads) != 1 {
-		t.Fatalf("%d rounds for two reads of one iteration", len(s.node.reads))
+		t.Fatalf("two reads of one iteration started %d rounds, want 1", len(s.node.reads))
 	}
 	s.node.ready.Reads = []consensus.ReadResult{{ID: s.node.reads[0], Index: 5, OK: true}}
 	s.commit(1, 4)
 	s.iterate(0)
 	if len(done) > 0 {
-		t.Fatal("answered before the state machine reached the index")
+		t.Fatal("the read was answered before the state machine reached its index")
 	}
 	s.commit(5, 5)
 	s.iterate(0)
@@ -54,24 +54,24 @@
 	s.iterate(0)
 	grace := gracePeriodElectionTimeouts * DefaultElectionTimeout
 	if next := s.loop.proposals.nextDeadline(); next != s.clock.now+grace {
-		t.Fatalf("deadline in %v", next-s.clock.now)
+		t.Fatalf("the proposal's deadline is in %v, want %v", next-s.clock.now, grace)
 	}
 	if next := s.loop.nextWakeUp(); next != s.clock.now+idleHeartbeats*DefaultHeartbeatInterval {
-		t.Fatalf("a follower wakes in %v", next-s.clock.now)
+		t.Fatalf("the follower's next wake-up is in %v, want %v", next-s.clock.now, idleHeartbeats*DefaultHeartbeatInterval)
 	}
 	s.iterate(grace - 1)
 	if len(done) > 0 {
-		t.Fatal("answered too early")
+		t.Fatal("the proposal was answered before its grace period ended")
 	}
 	s.iterate(1)
 	requireError(t, done, ErrUnknownOutcome)
 	if s.loop.proposals.nextDeadline() != never {
-		t.Fatal("has a deadline with nothing to do")
+		t.Fatal("a deadline is set although no proposal is pending")
 	}
 	s.node.status.Role = consensus.RoleLeader
 	s.iterate(0)
 	if s.loop.nextWakeUp() != never {
-		t.Fatal("a leader wakes with nothing to do")
+		t.Fatal("the leader has a wake-up time although nothing is due")
 	}
 }
 
@@ -92,20 +92,20 @@
 	s.node.nextTick = 10*DefaultHeartbeatInterval + 1
 	multiple := 11 * DefaultHeartbeatInterval
 	if next := s.loop.nextWakeUp(); next != multiple {
-		t.Fatalf("wakes at %v, not at %v", next, multiple)
+		t.Fatalf("next wake-up at %v, want %v", next, multiple)
 	}
 	s.clock.now = multiple - 1
 	s.iterate(0)
 	if s.node.ticks != 0 {
-		t.Fatal("ticked between two multiples of the interval")
+		t.Fatalf("ticked %d times before a multiple of the heartbeat interval, want 0", s.node.ticks)
 	}
 	s.iterate(1)
 	if s.node.ticks != 1 {
-		t.Fatalf("ticked %d times", s.node.ticks)
+		t.Fatalf("ticked %d times at a multiple of the heartbeat interval, want 1", s.node.ticks)
 	}
-	s.node.nextTick = multiple // a multiple already
+	s.node.nextTick = multiple // is a multiple already
 	if next := s.loop.nextWakeUp(); next != multiple {
-		t.Fatalf("wakes at %v, not at %v", next, multiple)
+		t.Fatalf("next wake-up at %v, want %v", next, multiple)
 	}
 }
 
@@ -115,7 +115,7 @@
 	s.iterate(0)
 	s.node.nextTick = 10*DefaultHeartbeatInterval + 1
 	if next := s.loop.nextWakeUp(); next != s.node.nextTick {
-		t.Fatalf("wakes at %v, not at %v", next, s.node.nextTick)
+		t.Fatalf("next wake-up at %v, want %v", next, s.node.nextTick)
 	}
 }
 
@@ -125,7 +125,7 @@
 	s.iterate(0, transferEvent{done: done})
 	timeout := transferElectionTimeouts * DefaultElectionTimeout
 	if next := s.loop.nextWakeUp(); next != s.clock.now+timeout {
-		t.Fatalf("wakes in %v", next-s.clock.now)
+		t.Fatalf("next wake-up is in %v, want %v", next-s.clock.now, timeout)
 	}
 	s.iterate(timeout)
 	requireError(t, done, ErrTransferFailed)
@@ -143,11 +143,12 @@
 	s.node.nextTick = s.clock.now + time.Second
 	s.iterate(time.Second - 1)
 	if s.node.ticks != 0 || s.loop.nextWakeUp() != s.node.nextTick {
-		t.Fatal("ticked too early")
+		t.Fatalf("ticked %d times before the tick was due, next wake-up at %v; want 0 and %v",
+			s.node.ticks, s.loop.nextWakeUp(), s.node.nextTick)
 	}
 	s.iterate(1)
 	if s.node.ticks != 1 {
-		t.Fatal("not ticked")
+		t.Fatalf("ticked %d times when the tick was due, want 1", s.node.ticks)
 	}
 }
 
@@ -156,15 +157,16 @@
 	s.node.ready.Persist = &consensus.PersistRequest{Sequence: 1}
 	s.iterate(0)
 	if next := s.loop.nextWakeUp(); next != s.clock.now+diskStallTimeout {
-		t.Fatalf("wakes in %v", next-s.clock.now)
+		t.Fatalf("next wake-up is in %v, want %v", next-s.clock.now, diskStallTimeout)
 	}
 	s.iterate(diskStallTimeout)
 	if s.node.writable || s.loop.currentStatus().Writable {
-		t.Fatal("a stalled disk is writable")
+		t.Fatalf("stalled disk: the node has writable %t, the status %t; want false", s.node.writable, s.loop.currentStatus().Writable)
 	}
 	s.iterate(time.Second, diskReport{finishedJobs: 1, persistedSequence: 1})
 	if !s.node.writable || s.node.persisted != 1 || !s.loop.currentStatus().Writable {
-		t.Fatal("the completed write was not recorded")
+		t.Fatalf("after the write completed: node writable %t, sequence %d persisted, status writable %t; want true, 1, true",
+			s.node.writable, s.node.persisted, s.loop.currentStatus().Writable)
 	}
 }
 
@@ -174,11 +176,11 @@
 	s.iterate(0)
 	s.iterate(0, diskReport{err: seglogtest.ErrFull})
 	if s.node.writable || s.node.persisted != 0 {
-		t.Fatal("a failing disk is writable")
+		t.Fatalf("after a failed write: node writable %t, sequence %d persisted; want false, 0", s.node.writable, s.node.persisted)
 	}
 	s.iterate(time.Millisecond, diskReport{finishedJobs: 1, persistedSequence: 1})
 	if !s.node.writable {
-		t.Fatal("not writable again")
+		t.Fatal("the node is not writable after a write succeeded")
 	}
 }
 
@@ -187,17 +189,18 @@
 	s.commit(1, compactionEntries)
 	s.iterate(0)
 	if len(s.jobs) != 0 {
-		t.Fatal("compacted too early")
+		t.Fatalf("%d jobs after %d entries, want 0", len(s.jobs), compactionEntries)
 	}
 	s.commit(compactionEntries+1, compactionEntries+1)
 	s.iterate(0)
 	s.iterate(0)
 	if len(s.jobs) != 1 || s.jobs[0].snapshot == nil {
-		t.Fatalf("%d jobs", len(s.jobs))
+		t.Fatalf("%d jobs after %d entries, want 1 with a snapshot", len(s.jobs), compactionEntries+1)
 	}
 	s.iterate(0, diskReport{finishedJobs: 1, compactedSnapshot: s.jobs[0].snapshot})
 	if s.node.compacted != compactionEntries+1 || len(s.jobs) != 1 {
-		t.Fatal("the node was not informed, or a second snapshot was taken")
+		t.Fatalf("the node compacted to index %d and %d jobs were submitted, want %d and 1",
+			s.node.compacted, len(s.jobs), compactionEntries+1)
 	}
 }
 
@@ -206,17 +209,17 @@
 	s.commit(1, 1)
 	s.iterate(0, diskReport{logBytes: compactionLogBytes})
 	if len(s.jobs) != 0 {
-		t.Fatal("compacted too early")
+		t.Fatalf("%d jobs with a log of %d bytes, want 0", len(s.jobs), compactionLogBytes)
 	}
 	s.iterate(0, diskReport{logBytes: compactionLogBytes + 1})
 	if len(s.jobs) != 1 {
-		t.Fatalf("%d jobs", len(s.jobs))
+		t.Fatalf("%d jobs with a log of %d bytes, want 1", len(s.jobs), compactionLogBytes+1)
 	}
 	s.iterate(0, diskReport{finishedJobs: 1, compactedSnapshot: s.jobs[0].snapshot, logBytes: compactionLogBytes})
 	s.commit(2, 2)
 	s.iterate(0, diskReport{logBytes: compactionLogBytes + 1})
 	if len(s.jobs) != 1 {
-		t.Fatal("the log after the compaction counts as grown")
+		t.Fatalf("%d jobs after the log grew by 1 byte since its compaction, want 1", len(s.jobs))
 	}
 }
 
@@ -226,18 +229,19 @@
 	s.iterate(0)
 	s.iterate(0, diskReport{finishedJobs: 1, snapshotFailed: true, err: seglogtest.ErrFull})
 	if len(s.jobs) != 1 || s.loop.nextWakeUp() != s.clock.now+compactionRetryDelay {
-		t.Fatal("retried at once, or never")
+		t.Fatalf("after a failed snapshot: %d jobs, next wake-up in %v; want 1 and %v",
+			len(s.jobs), s.loop.nextWakeUp()-s.clock.now, compactionRetryDelay)
 	}
 	s.iterate(compactionRetryDelay)
 	if len(s.jobs) != 2 {
-		t.Fatal("not retried")
+		t.Fatalf("%d jobs after the retry delay, want 2", len(s.jobs))
 	}
 }
 
-// failingStateMachine cannot restore a snapshot.
+// failingStateMachine returns errStateMachine when it should restore a snapshot.
 type failingStateMachine struct{ listStateMachine }
 
-var errStateMachine = errors.New("the state machine fails")
+var errStateMachine = errors.New("the state machine cannot restore the snapshot")
 
 func (*failingStateMachine) Restore(uint64, []byte) error { return errStateMachine }
 
@@ -252,7 +256,7 @@
 		Send:             func(consensus.Member, consensus.Message) {},
 	})
 	if !errors.Is(err, errStateMachine) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Open returned %v, want %v", err, errStateMachine)
 	}
 }
 
@@ -262,15 +266,15 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, _, err := group.Propose(ended, nil); !errors.Is(err, ErrUnknownOutcome) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Propose with a canceled context returned %v, want %v", err, ErrUnknownOutcome)
 	}
 	if err := group.ReadBarrier(ended); !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("ReadBarrier with a canceled context returned %v, want %v", err, context.Canceled)
 	}
 	if err := group.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Close: %v", err)
 	}
 	if err := group.Run(context.Background()); !errors.Is(err, ErrClosed) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Run after Close returned %v, want %v", err, ErrClosed)
 	}
 }
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -26,18 +26,18 @@
 	return err
 }
 
-// Example forms a group of one member, proposes a command and reads the state machine.
+// Example bootstraps a group of one member, proposes a command and reads the state machine.
 func Example() {
 	member := consensus.Member{ID: 1, Address: "10.0.0.1:7000", Voter: true}
-	machine := &counter{}
+	stateMachine := &counter{}
 	leading := make(chan struct{})
 	wasLeading := false
 	group, err := replica.Open(replica.Options{
 		Directory:        "group",
-		FileSystem:       seglogtest.NewMemoryDisk(), // leave it out to use the operating system's files
+		FileSystem:       seglogtest.NewMemoryDisk(), // nil: use the operating system's files
 		Self:             member,
 		BootstrapMembers: []consensus.Member{member},
-		StateMachine:     machine,
+		StateMachine:     stateMachine,
 		Send:             func(consensus.Member, consensus.Message) {}, // no other members
 		OnStatus: func(status replica.Status) {
 			if status.IsLeader() && !wasLeading {
@@ -57,7 +57,7 @@
 	result, _, err := group.Propose(ctx, []byte("increment"))
 	fmt.Println("result:", result, err)
 	fmt.Println("read barrier:", group.ReadBarrier(ctx))
-	err = group.Do(func() { fmt.Println("count:", machine.count) })
+	err = group.Do(func() { fmt.Println("count:", stateMachine.count) })
 	fmt.Println("read:", err)
 
 	cancel()
--- a/coord/replica/group_test.go
+++ b/coord/replica/group_test.go
@@ -20,7 +20,8 @@
 	for _, replica := range c.replicas {
 		c.awaitCommands(replica, 20)
 		if !slices.Equal(replica.stateMachine.Commands, c.replicas[0].stateMachine.Commands) {
-			t.Fatal("replicas differ")
+			t.Fatalf("member %d applied %q, member %d applied %q; want equal lists", replica.member.ID,
+				replica.stateMachine.Commands, c.replicas[0].member.ID, c.replicas[0].stateMachine.Commands)
 		}
 	}
 }
@@ -31,7 +32,7 @@
 	first := c.awaitOutcome(leader.propose("one"))
 	second := c.awaitOutcome(leader.propose("two"))
 	if first.err != nil || first.result != 1 || second.result != 2 || second.index != first.index+1 {
-		t.Fatalf("got %+v and %+v", first, second)
+		t.Fatalf("got outcomes %+v and %+v, want results 1 and 2 at consecutive indexes", first, second)
 	}
 }
 
@@ -42,10 +43,10 @@
 		if replica == leader {
 			continue
 		}
-		c.stepUntil("knows the leader", func() bool { return replica.group.Status().Leader.ID != 0 })
+		c.stepUntil("the follower knows the leader", func() bool { return replica.group.Status().Leader.ID != 0 })
 		var rejected NotLeaderError
 		if err := c.awaitOutcome(replica.propose("x")).err; !errors.As(err, &rejected) || rejected.Leader != leader.member {
-			t.Fatalf("got %v", err)
+			t.Fatalf("proposal to follower %d: got %v, want NotLeaderError with leader %d", replica.member.ID, err, leader.member.ID)
 		}
 	}
 }
@@ -56,13 +57,13 @@
 	leader.partitioned = true
 	done := leader.propose("lost")
 	if err := c.awaitOutcome(done).err; !errors.Is(err, ErrUnknownOutcome) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("proposal to a partitioned leader: got %v, want %v", err, ErrUnknownOutcome)
 	}
 	c.commit("other")
 	leader.partitioned = false
 	c.awaitCommands(leader, 1)
 	if leader.stateMachine.Commands[0] != "other" {
-		t.Fatalf("got %q", leader.stateMachine.Commands)
+		t.Fatalf("the former leader applied %q, want \"other\" first", leader.stateMachine.Commands)
 	}
 }
 
@@ -71,11 +72,13 @@
 	leader := c.awaitLeader()
 	leader.partitioned = true
 	done := leader.propose("lost")
-	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader().group.loop.appliedIndex > 2 })
+	c.stepUntil("another member leads and has applied an entry", func() bool {
+		return c.leader() != nil && c.leader().group.loop.appliedIndex > 2
+	})
 	leader.partitioned = false
 	var rejected NotLeaderError
 	if err := c.awaitOutcome(done).err; !errors.As(err, &rejected) && !errors.Is(err, ErrUnknownOutcome) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("proposal of a lost term: got %v, want NotLeaderError or %v", err, ErrUnknownOutcome)
 	}
 	c.commit("other")
 	c.awaitCommands(leader, 1)
@@ -88,13 +91,13 @@
 	done := newOutcomeChannel()
 	leader.group.queue.push(readEvent{done})
 	if err := c.awaitOutcome(done).err; err != nil {
-		t.Fatal(err)
+		t.Fatalf("read barrier at the leader: %v", err)
 	}
 	leader.partitioned = true
 	rejected := newOutcomeChannel()
 	leader.group.queue.push(readEvent{rejected})
 	if err := c.awaitOutcome(rejected).err; err == nil {
-		t.Fatal("a partitioned leader confirmed a read")
+		t.Fatal("the read barrier at a partitioned leader succeeded, want an error")
 	}
 }
 
@@ -104,10 +107,10 @@
 	done := newOutcomeChannel()
 	leader.group.queue.push(transferEvent{done: done})
 	if err := c.awaitOutcome(done).err; err != nil {
-		t.Fatal(err)
+		t.Fatalf("leadership transfer: %v", err)
 	}
 	if next := c.awaitLeader(); next == leader {
-		t.Fatal("the same member leads")
+		t.Fatalf("member %d still leads after the transfer", leader.member.ID)
 	}
 }
 
@@ -121,10 +124,10 @@
 		done := newOutcomeChannel()
 		leader.group.queue.push(transferEvent{to: chosen.member.ID, done: done})
 		if err := c.awaitOutcome(done).err; err != nil {
-			t.Fatal(err)
+			t.Fatalf("leadership transfer to member %d: %v", chosen.member.ID, err)
 		}
 		if leader = c.awaitLeader(); leader != chosen {
-			t.Fatalf("member %d leads, not %d", leader.member.ID, chosen.member.ID)
+			t.Fatalf("after the transfer member %d leads, want %d", leader.member.ID, chosen.member.ID)
 		}
 	}
 }
@@ -136,11 +139,11 @@
 		done := newOutcomeChannel()
 		leader.group.queue.push(transferEvent{to: to, done: done})
 		if err := c.awaitOutcome(done).err; !errors.Is(err, consensus.ErrNoTransferTarget) {
-			t.Fatalf("to %d: %v", to, err)
+			t.Fatalf("leadership transfer to member %d: got %v, want %v", to, err, consensus.ErrNoTransferTarget)
 		}
 	}
 	if !leader.group.Status().IsLeader() {
-		t.Fatal("leadership is lost")
+		t.Fatal("the leader lost leadership by rejected transfers")
 	}
 }
 
@@ -149,16 +152,16 @@
 	leader := c.awaitLeader()
 	leader.stalled = true
 	done := leader.propose("durable on the other disks")
-	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
+	c.stepUntil("another member leads", func() bool { return c.leader() != nil && c.leader() != leader })
 	if received := c.awaitOutcome(done); received.err != nil {
-		t.Fatal(received.err)
+		t.Fatalf("proposal to a leader with a stalled disk: %v", received.err)
 	}
 	if leader.group.Status().Writable {
-		t.Fatal("a stalled disk counts as writable")
+		t.Fatal("the status of the member with the stalled disk is writable")
 	}
-	c.commit("and on")
+	c.commit("after the stall")
 	leader.stalled = false
-	c.stepUntil("writable", func() bool { return leader.group.Status().Writable })
+	c.stepUntil("the former leader is writable", func() bool { return leader.group.Status().Writable })
 	c.awaitCommands(leader, 2)
 }
 
@@ -168,12 +171,12 @@
 	leader.disk.FreeBytes = 10
 	done := leader.propose("durable on the other disks")
 	if received := c.awaitOutcome(done); received.err != nil {
-		t.Fatal(received.err)
+		t.Fatalf("proposal to a leader with a full disk: %v", received.err)
 	}
-	c.stepUntil("another leader", func() bool { return c.leader() != nil && c.leader() != leader })
+	c.stepUntil("another member leads", func() bool { return c.leader() != nil && c.leader() != leader })
 	leader.disk.FreeBytes = seglogtest.Unlimited
 	c.commit("more")
-	c.stepUntil("writable", func() bool { return leader.group.Status().Writable })
+	c.stepUntil("the former leader is writable", func() bool { return leader.group.Status().Writable })
 	c.awaitCommands(leader, 2)
 	c.restart(leader, true, 1)
 	c.awaitCommands(leader, 2)
@@ -200,7 +203,7 @@
 	}
 	leader := c.awaitLeader()
 	if first := leader.group.loop.status.FirstIndex; first == 2 {
-		t.Fatal("the log was not compacted")
+		t.Fatalf("the leader's log still begins at index %d, want a compacted log", first)
 	}
 	added := c.add(testMember(4, false), nil)
 	c.commitChange(consensus.MembershipChange{Add: &consensus.Member{ID: 4, Address: added.member.Address}})
@@ -213,21 +216,21 @@
 	c.restart(added, true, 3)
 	c.awaitCommands(added, compactionEntries+101)
 	if members := c.awaitLeader().group.Status().Members; len(members) != 3 {
-		t.Fatalf("got %v", members)
+		t.Fatalf("got members %v, want 3", members)
 	}
 }
 
-// TestGroup_Run_withGoroutines runs one group of one member with its goroutines and the steady clock.
+// TestGroup_Run_withGoroutines runs a group of one member with its goroutines and the monotonic clock.
 func TestGroup_Run_withGoroutines(t *testing.T) {
 	member := testMember(1, true)
-	machine := &listStateMachine{}
+	stateMachine := &listStateMachine{}
 	leading := make(chan struct{}, 1)
 	group, err := Open(Options{
 		Directory:         "group",
 		FileSystem:        seglogtest.NewMemoryDisk(),
 		Self:              member,
 		BootstrapMembers:  []consensus.Member{member},
-		StateMachine:      machine,
+		StateMachine:      stateMachine,
 		Send:              func(consensus.Member, consensus.Message) {},
 		ElectionTimeout:   time.Millisecond,
 		HeartbeatInterval: time.Millisecond,
@@ -238,30 +241,30 @@
 		},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- group.Run(ctx) }()
 	<-leading
 	if result, _, err := group.Propose(ctx, []byte("one")); err != nil || result != 1 {
-		t.Fatal(result, err)
+		t.Fatalf("Propose returned result %v, error %v; want 1, nil", result, err)
 	}
 	if err := group.ReadBarrier(ctx); err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReadBarrier: %v", err)
 	}
 	var seen int
-	if err := group.Do(func() { seen = len(machine.Commands) }); err != nil || seen != 1 {
-		t.Fatal(seen, err)
+	if err := group.Do(func() { seen = len(stateMachine.Commands) }); err != nil || seen != 1 {
+		t.Fatalf("Do saw %d commands, error %v; want 1, nil", seen, err)
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Fatal(err)
+		t.Fatalf("Run: %v", err)
 	}
 	if _, _, err := group.Propose(context.Background(), nil); !errors.Is(err, ErrClosed) {
-		t.Fatal(err)
+		t.Fatalf("Propose after Run has ended: got %v, want %v", err, ErrClosed)
 	}
 	if err := group.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Close: %v", err)
 	}
 }
--- a/coord/replica/guards.go
+++ b/coord/replica/guards.go
@@ -8,14 +8,14 @@
 
 // The guards that tests can disable.
 const (
-	// GuardOutcomeMatchesTerm requires that a proposal is acknowledged only if the entry applied at its index has the proposal's term.
+	// GuardOutcomeMatchesTerm requires that a proposal is acknowledged only by an entry of the term in which it was proposed.
 	GuardOutcomeMatchesTerm Guard = "outcome-of-term"
 	// GuardLostLeadershipUnknown requires that the outcome of a proposal counts as unknown from the loss of leadership until an
 	// entry is applied at its index.
 	GuardLostLeadershipUnknown Guard = "lost-unknown"
 	// GuardSkippedUnknown requires that a proposal whose index is covered by a received snapshot is answered with an unknown outcome.
 	GuardSkippedUnknown Guard = "skipped-unknown"
-	// GuardReadWaitsForApply requires that a read is answered only after the state machine has applied every entry that it must observe.
+	// GuardReadWaitsForApply requires that a read is answered only after the state machine has reached the index of its round.
 	GuardReadWaitsForApply Guard = "read-applied"
 	// GuardStalledDiskStepsDown requires that a leader whose disk stalls or fails transfers leadership.
 	GuardStalledDiskStepsDown Guard = "stall-hands-over"
--- a/coord/replica/guards_test.go
+++ b/coord/replica/guards_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// setOmittedGuards omits guards in all members, running ones included.
+// setOmittedGuards disables guards in all members, including running ones.
 func (c *testCluster) setOmittedGuards(guards []Guard) {
 	c.omitGuards = guards
 	for _, replica := range c.replicas {
@@ -15,16 +15,16 @@
 	}
 }
 
-// guardViolations contains for each guard a sequence of events that violates a promise if the guard is omitted.
+// guardScenarios contains, for each guard, a scenario that violates a guarantee of the group if the guard is disabled.
 var guardScenarios = map[Guard]func(t *testing.T, omit ...Guard) (violated bool){
-	// The next leader's entry replaces the proposed one.
+	// The next leader's entry replaces the proposed entry.
 	GuardOutcomeMatchesTerm: func(t *testing.T, omit ...Guard) bool {
 		s, done := loopWithProposal(t, omit)
 		s.node.ready.Committed = []consensus.Entry{{Term: 2, Index: 1}}
 		s.iterate(0)
 		return (<-done).err == nil
 	},
-	// The next leader commits the entry that this one proposed.
+	// The leader steps down with a pending proposal, which the next leader may still commit.
 	GuardLostLeadershipUnknown: func(t *testing.T, omit ...Guard) bool {
 		s, done := loopWithProposal(t, omit)
 		s.node.status.Role = consensus.RoleFollower
@@ -34,14 +34,14 @@
 		}
 		return !errors.Is((<-done).err, ErrUnknownOutcome)
 	},
-	// A snapshot contains the entry, or another one at its index.
+	// A received snapshot covers the index of the proposal; it contains that entry or a different one.
 	GuardSkippedUnknown: func(t *testing.T, omit ...Guard) bool {
 		s, done := loopWithProposal(t, omit)
 		s.node.ready.Restore = &consensus.Snapshot{Index: 10, Term: 1, Data: []byte("{}")}
 		s.iterate(0)
 		return !errors.Is((<-done).err, ErrUnknownOutcome)
 	},
-	// A majority confirms the leader before its state machine has applied the log.
+	// A majority confirms the leader before its state machine has reached the index of the read.
 	GuardReadWaitsForApply: func(t *testing.T, omit ...Guard) bool {
 		s := newScriptedLoop()
 		s.loop.options.OmitGuards = omit
@@ -52,7 +52,7 @@
 		s.iterate(0)
 		return len(done) > 0
 	},
-	// A write does not complete.
+	// A write does not complete in time.
 	GuardStalledDiskStepsDown: func(t *testing.T, omit ...Guard) bool {
 		s := newScriptedLoop()
 		s.loop.options.OmitGuards = omit
@@ -63,7 +63,7 @@
 	},
 }
 
-// loopWithProposal returns a leader with a proposal at index 1 of term 1.
+// loopWithProposal returns a leader with a pending proposal at index 1 of term 1.
 func loopWithProposal(t *testing.T, omit []Guard) (*scriptedLoop, chan outcome) {
 	t.Helper()
 	s := newScriptedLoop()
@@ -71,7 +71,7 @@
 	done := newOutcomeChannel()
 	s.iterate(0, proposeEvent{done: done})
 	if len(done) > 0 {
-		t.Fatal((<-done).err)
+		t.Fatalf("the proposal was answered before its entry was committed: %v", (<-done).err)
 	}
 	return s, done
 }
@@ -80,19 +80,19 @@
 	for _, guard := range Guards() {
 		scenario := guardScenarios[guard]
 		if scenario == nil {
-			t.Errorf("%s: no scenario", guard)
+			t.Errorf("%s: guardScenarios has no scenario", guard)
 			continue
 		}
 		if scenario(t) {
-			t.Errorf("%s: violated although the guard is enforced", guard)
+			t.Errorf("%s: the scenario violates the guarantee although the guard is enforced", guard)
 		}
 		if !scenario(t, guard) {
-			t.Errorf("%s: not violated without the guard", guard)
+			t.Errorf("%s: the scenario does not violate the guarantee although the guard is disabled", guard)
 		}
 	}
 }
 
-// TestGuards_omissionIsDetectedByRandomFaults omits the guards whose omission shows in runs with random faults.
+// TestGuards_omissionIsDetectedByRandomFaults checks that random faults detect the omission of the guards that they can exercise.
 func TestGuards_omissionIsDetectedByRandomFaults(t *testing.T) {
 	for _, guard := range []Guard{GuardOutcomeMatchesTerm, GuardLostLeadershipUnknown} {
 		var detected error
@@ -102,9 +102,9 @@
 			detected = runRandomFaults(t, uint64(runs), guard)
 		}
 		if detected == nil {
-			t.Errorf("%s: not detected in %d runs", guard, runs)
+			t.Errorf("%s: omission not detected in %d runs", guard, runs)
 			continue
 		}
-		t.Logf("%s: detected after %d runs: %v", guard, runs, detected)
+		t.Logf("%s: omission detected after %d runs: %v", guard, runs, detected)
 	}
 }
--- a/coord/replica/loaded_cluster_test.go
+++ b/coord/replica/loaded_cluster_test.go
@@ -8,7 +8,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// A load of changes to a document of 450 routes: every tenth replaces the document, the others one route.
+// The load consists of changes to a configuration document of 450 routes: every tenth change replaces the whole document, the
+// others replace one route.
 const (
 	minChanges          = 2000
 	changeInterval      = time.Second / 30
@@ -19,7 +20,7 @@
 	catchUpBound        = 4 * time.Second // catchUpS of the operators' requirements
 )
 
-// documentStateMachine has a state as large as that document, and counts the commands.
+// documentStateMachine counts the commands. Its snapshot is as large as that document.
 type documentStateMachine struct{ count int }
 
 func (m *documentStateMachine) Apply(consensus.Entry) any { m.count++; return m.count }
@@ -33,12 +34,12 @@
 	return err
 }
 
-// loadedCluster is a test cluster that is given changes at a steady rate on the fake clock.
+// loadedCluster is a test cluster whose leader receives proposals at a constant rate on the fake clock.
 type loadedCluster struct {
 	*testCluster
 	nextChangeAt    time.Duration // when the next change is due
 	proposedChanges int
-	peakDiskBytes   map[*testReplica]int64 // of the bytes on its disk
+	peakDiskBytes   map[*testReplica]int64 // most bytes in use on the replica's disk
 }
 
 func newLoadedCluster(t *testing.T, omit ...consensus.Rule) *loadedCluster {
@@ -58,13 +59,13 @@
 	return s
 }
 
-// runUntil continues the load until a condition is true and returns how long that took.
+// runUntil continues the load until the condition done is met, and returns how long that took.
 func (s *loadedCluster) runUntil(description string, limit time.Duration, done func() bool) time.Duration {
 	s.t.Helper()
 	start := s.clock.now
 	for !done() {
 		if s.clock.now > start+limit {
-			s.t.Fatalf("not reached in %v: %s", limit, description)
+			s.t.Fatalf("condition not met within %v: %s", limit, description)
 		}
 		if leader := s.leader(); leader != nil && s.clock.now >= s.nextChangeAt {
 			s.nextChangeAt = max(s.nextChangeAt+changeInterval, s.clock.now-time.Second)
@@ -89,19 +90,20 @@
 
 func (s *loadedCluster) runFor(duration time.Duration) {
 	until := s.clock.now + duration
-	s.runUntil("time", duration+time.Second, func() bool { return s.clock.now >= until })
+	s.runUntil("the duration has passed", duration+time.Second, func() bool { return s.clock.now >= until })
 }
 
-// isCurrent reports whether a member has applied all that the leader has, except for what is in flight.
+// isCurrent reports whether a member was recently confirmed and has applied all that the leader has, except for entries in flight.
 func (s *loadedCluster) isCurrent(replica *testReplica) bool {
 	leader := s.leader()
 	if leader == nil || replica.group.Status().AppliedIndex < 2 {
 		return false
 	}
-	return replica.group.Status().AppliedIndex+2 >= leader.group.Status().AppliedIndex && replica.group.Status().ConfirmedAge < time.Second
+	return replica.group.Status().AppliedIndex+2 >= leader.group.Status().AppliedIndex &&
+		replica.group.Status().ConfirmedAge < time.Second
 }
 
-// stopFor stops a member's process for a while.
+// stopFor stops a member's process and runs the load for the duration. The caller must then call rejoin or remove.
 func (s *loadedCluster) stopFor(replica *testReplica, duration time.Duration) {
 	replica.group.loop.stop(replica.group.queue.close())
 	replica.partitioned, replica.stopped = true, true
@@ -109,17 +111,18 @@
 	replica.partitioned, replica.stopped = false, false
 }
 
-// returnMode is the way in which a stopped member returns.
+// rejoinMode is how a stopped member rejoins the group.
 type rejoinMode string
 
-// The ways in which a member returns.
+// The modes of loadedCluster.rejoin.
 const (
 	rejoinRestarted rejoinMode = "restarted" // with its disk
 	rejoinWiped     rejoinMode = "wiped"     // with an empty disk and a new ID, at the same address
 	rejoinReplaced  rejoinMode = "replaced"  // with an empty disk and a new ID, at another address
 )
 
-// returnMember brings the member back in the given mode and returns the replica that takes its place.
+// rejoin lets a stopped member rejoin in the given mode and returns the replica that takes its place. A wiped or replaced member
+// gets the given number as its new ID.
 func (s *loadedCluster) rejoin(replica *testReplica, mode rejoinMode, number int) *testReplica {
 	if mode == rejoinRestarted {
 		replica.disk.Restart()
@@ -138,14 +141,14 @@
 	return added
 }
 
-// changeMembers changes the membership under load.
+// changeMembers changes the membership under load and retries until the change succeeds.
 func (s *loadedCluster) changeMembers(change consensus.MembershipChange) {
 	s.t.Helper()
 	for {
-		s.runUntil("a leader", testTimeout, func() bool { return s.leader() != nil })
+		s.runUntil("a member leads", testTimeout, func() bool { return s.leader() != nil })
 		done := newOutcomeChannel()
 		s.leader().group.queue.push(changeEvent{change: change, done: done})
-		s.runUntil("an answer", testTimeout, func() bool { return len(done) > 0 })
+		s.runUntil("the membership change is answered", testTimeout, func() bool { return len(done) > 0 })
 		if err := (<-done).err; err == nil {
 			return
 		}
--- a/coord/replica/log_writer_test.go
+++ b/coord/replica/log_writer_test.go
@@ -11,10 +11,10 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// scriptedLog records its calls: the sequences of a batch, or the negative index of a snapshot.
+// scriptedLog is a logStorage that records its calls: the sequences of a batch, or the negated index of a snapshot.
 type scriptedLog struct {
 	calls        [][]int
-	failuresLeft int // how many of the next calls fail
+	failuresLeft int // number of the next calls that fail
 }
 
 func (l *scriptedLog) record(call []int) error {
@@ -60,15 +60,15 @@
 	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 3)
 	if retryDelay := w.writePending(); retryDelay != 0 {
-		t.Fatal(retryDelay)
+		t.Fatalf("writePending returned a retry delay of %v although no write failed, want 0", retryDelay)
 	}
 	want := [][]int{{1, 2}, {-9}, {3}}
 	if !slices.EqualFunc(log.calls, want, slices.Equal) {
-		t.Fatalf("got %v", log.calls)
+		t.Fatalf("got calls %v, want %v", log.calls, want)
 	}
 	got := *reports
 	if got[0].finishedJobs != 2 || got[0].persistedSequence != 2 || got[1].compactedSnapshot == nil || got[2].persistedSequence != 3 {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got reports %+v, want sequence 2 of two jobs, the snapshot, and sequence 3", got)
 	}
 }
 
@@ -79,26 +79,26 @@
 	want := minRetryDelay
 	for range 8 {
 		if retryDelay := w.writePending(); retryDelay != want {
-			t.Fatalf("delay %v, not %v", retryDelay, want)
+			t.Fatalf("writePending returned a retry delay of %v, want %v", retryDelay, want)
 		}
 		want = min(2*want, maxRetryDelay)
 	}
 	submitStates(w, 2)
 	if retryDelay := w.writePending(); retryDelay != 0 {
-		t.Fatal(retryDelay)
+		t.Fatalf("writePending returned a retry delay of %v although no write failed, want 0", retryDelay)
 	}
 	if last := log.calls[len(log.calls)-1]; !slices.Equal(last, []int{1, 2}) {
-		t.Fatalf("got %v", last)
+		t.Fatalf("the last batch is %v, want [1 2]", last)
 	}
 	for _, report := range (*reports)[:8] {
 		if report.finishedJobs != 0 || report.persistedSequence != 0 || report.err == nil {
-			t.Fatalf("got %+v", report)
+			t.Fatalf("a failed write reported %+v, want an error and nothing finished", report)
 		}
 	}
 	log.failuresLeft = 1
 	submitStates(w, 3)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
-		t.Fatalf("the delay after a success is %v", retryDelay)
+		t.Fatalf("the first retry delay after a success is %v, want %v", retryDelay, minRetryDelay)
 	}
 }
 
@@ -108,14 +108,14 @@
 	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 1)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
-		t.Fatal(retryDelay)
+		t.Fatalf("the retry delay after a failed snapshot is %v, want %v", retryDelay, minRetryDelay)
 	}
 	if retryDelay := w.writePending(); retryDelay != 0 {
-		t.Fatal(retryDelay)
+		t.Fatalf("writePending returned a retry delay of %v although no write failed, want 0", retryDelay)
 	}
 	got := *reports
 	if len(got) != 2 || !got[0].snapshotFailed || got[0].finishedJobs != 1 || got[1].persistedSequence != 1 {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got reports %+v, want the failed snapshot as finished and then sequence 1", got)
 	}
 }
 
@@ -127,11 +127,11 @@
 	close(stop)
 	w.run(stop)
 	if w.waitForWork(time.Hour, stop) {
-		t.Fatal("waits after the end")
+		t.Fatal("waitForWork returned true after stop was closed, want false")
 	}
 }
 
-// stalledLog has writes that complete only once they are released.
+// stalledLog is a logStorage whose Save blocks until saveReleased is closed.
 type stalledLog struct {
 	scriptedLog
 	saveStarted, saveReleased chan struct{}
@@ -150,18 +150,18 @@
 	}.withDefaults()
 	group, err := newGroup(&options, log, consensus.Bootstrap([]consensus.Member{testMember(1, true)}, []byte("{}")))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("newGroup: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- group.Run(ctx) }()
-	<-log.saveStarted // the only member campaigns, and its vote is being written
+	<-log.saveStarted // the only member campaigns, and the log writer is saving its vote
 	cancel()
 	if err := <-ended; err != nil {
-		t.Fatal(err)
+		t.Fatalf("Run: %v", err)
 	}
 	if err := group.closeWithin(0); !errors.Is(err, ErrDiskStalled) {
-		t.Fatal(err)
+		t.Fatalf("close during a stalled write: got %v, want %v", err, ErrDiskStalled)
 	}
 	close(log.saveReleased)
 	group.running.Wait()
--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -18,20 +18,20 @@
 	randomSeed        = 20260102
 	randomRuns        = 300
 	actionsPerRun     = 150
-	fullDiskFreeBytes = 200 // bytes, exclusive
-	actionChoices     = 12  // the named actions have weight 1, a proposal the rest
-	faultOneIn        = 3   // a chosen member becomes faulty one time in this many, and healthy otherwise
+	fullDiskFreeBytes = 200 // exclusive upper limit of the free bytes on a full disk
+	actionChoices     = 12  // each named action is one choice; the remaining choices are proposals
+	faultOneIn        = 3   // a chosen member becomes faulty once in this many times, and healthy otherwise
 )
 
-// attempt is one proposal or read of a random run.
+// pendingCall is a proposal or read that is not answered yet.
 type pendingCall struct {
-	command            string // empty: a read
+	command            string // empty for a read
 	replica            *testReplica
-	acknowledgedBefore int // acknowledged commands at the time of a read
+	acknowledgedBefore int // number of commands acknowledged when a read began
 	done               chan outcome
 }
 
-// randomFaultRun makes proposals and reads while faults are injected.
+// randomFaultRun makes proposals and reads in a cluster while it injects faults.
 type randomFaultRun struct {
 	*testCluster
 	random       *rand.Rand
@@ -41,13 +41,13 @@
 	failure      error
 }
 
-// TestGroup_randomFaults checks that acknowledged commands persist, rejected ones are never applied, and reads observe
-// everything that was acknowledged before them.
+// TestGroup_randomFaults checks that every acknowledged command is applied exactly once on all members, that rejected commands
+// are never applied, and that reads observe all commands acknowledged before them.
 func TestGroup_randomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(randomSeed)
 	parameters.MinSuccessfulTests = randomRuns
 	properties := gopter.NewProperties(parameters)
-	properties.Property("acknowledged commands persist", prop.ForAll(
+	properties.Property("acknowledged commands persist, rejected ones are not applied, reads are current", prop.ForAll(
 		func(seed uint64) string {
 			if err := runRandomFaults(t, seed); err != nil {
 				return err.Error()
@@ -59,6 +59,7 @@
 	properties.TestingRun(t)
 }
 
+// runRandomFaults runs random actions, ends all faults and returns a violation, if any. The given guards are disabled.
 func runRandomFaults(t *testing.T, seed uint64, omit ...Guard) error {
 	run := &randomFaultRun{testCluster: newTestCluster(t, 3), random: seglogtest.NewRandom(seed), rejected: map[string]bool{}}
 	run.setOmittedGuards(omit)
@@ -76,7 +77,7 @@
 	return run.checkCommands()
 }
 
-// Actions of a random run. Any other number is a proposal.
+// Actions of a random run. Any other choice is a proposal.
 const (
 	actionPartition = iota
 	actionStall
@@ -87,7 +88,7 @@
 	actionRead
 )
 
-// injectFault makes one random fault or call at a random member.
+// runRandomAction injects a random fault into, or makes a random call to, a random member.
 func (r *randomFaultRun) runRandomAction(number int) {
 	replica := r.replicas[r.random.IntN(len(r.replicas))]
 	switch r.random.IntN(actionChoices) {
@@ -120,7 +121,7 @@
 	r.pending = append(r.pending, pendingCall{replica: replica, acknowledgedBefore: len(r.acknowledged), done: done})
 }
 
-// collect processes the answers that have arrived.
+// collectOutcomes records the outcomes that have arrived.
 func (r *randomFaultRun) collectOutcomes() {
 	var left []pendingCall
 	for _, pending := range r.pending {
@@ -149,27 +150,28 @@
 func (r *randomFaultRun) checkRead(read pendingCall) {
 	for _, command := range r.acknowledged[:read.acknowledgedBefore] {
 		if !slices.Contains(read.replica.stateMachine.Commands, command) {
-			r.failure = fmt.Errorf("a read at member %d does not see %q", read.replica.member.ID, command)
+			r.failure = fmt.Errorf("a read at member %d does not observe %q, which was acknowledged before it",
+				read.replica.member.ID, command)
 		}
 	}
 }
 
-// heal ends all faults and waits until all members are up to date.
+// heal ends all faults and waits until all calls are answered and all members are up to date.
 func (r *randomFaultRun) heal() {
 	r.t.Helper()
 	for _, replica := range r.replicas {
 		replica.partitioned, replica.stalled = false, false
 		replica.disk.FreeBytes = seglogtest.Unlimited
 	}
-	r.stepUntil("no pending attempt", func() bool {
+	r.stepUntil("all calls are answered", func() bool {
 		r.collectOutcomes()
 		return len(r.pending) == 0
 	})
 	last := r.commitLast()
-	r.stepUntil("all members up to date", func() bool { return r.allHave(last) })
+	r.stepUntil("all members have applied the last command", func() bool { return r.allHave(last) })
 }
 
-// commitLast retries until the leader has accepted a command: a transfer may still be in progress.
+// commitLast commits a command and returns it. It retries, since a leadership transfer may still be in progress.
 func (r *randomFaultRun) commitLast() string {
 	r.t.Helper()
 	limit := r.clock.now + testTimeout
@@ -180,7 +182,7 @@
 		}
 		r.step()
 	}
-	r.t.Fatal("no leader accepts a command")
+	r.t.Fatalf("no command was committed within %v after all faults ended", testTimeout)
 	return ""
 }
 
@@ -197,19 +199,21 @@
 	commands := r.replicas[0].stateMachine.Commands
 	for _, replica := range r.replicas {
 		if !slices.Equal(replica.stateMachine.Commands, commands) {
-			return fmt.Errorf("members differ: %q and %q", commands, replica.stateMachine.Commands)
+			return fmt.Errorf("members %d and %d applied different commands: %q and %q",
+				r.replicas[0].member.ID, replica.member.ID, commands, replica.stateMachine.Commands)
 		}
 	}
 	counts := map[string]int{}
 	for _, command := range commands {
 		counts[command]++
 		if counts[command] > 1 || r.rejected[command] {
-			return fmt.Errorf("%q was applied %d times, rejected: %v", command, counts[command], r.rejected[command])
+			return fmt.Errorf("%q was applied %d times, rejected: %t; want at most once, and never if rejected",
+				command, counts[command], r.rejected[command])
 		}
 	}
 	for _, command := range r.acknowledged {
 		if counts[command] != 1 {
-			return fmt.Errorf("%q was acknowledged and not applied", command)
+			return fmt.Errorf("%q was acknowledged but applied %d times, want 1", command, counts[command])
 		}
 	}
 	return nil
--- a/coord/replica/received_snapshot_test.go
+++ b/coord/replica/received_snapshot_test.go
@@ -8,8 +8,8 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// replaceMemberUnderLoad returns a cluster under load in which a member is replaced by one whose empty disk has little free
-// space, after the log was compacted: the new member is sent a snapshot that it cannot store.
+// replaceMemberUnderLoad returns a cluster under load in which a stopped member was replaced by a new one, whose empty disk has
+// freeBytes of free space. The log was compacted meanwhile, so that the leader sends the new member a snapshot.
 func replaceMemberUnderLoad(t *testing.T, freeBytes int64) (*loadedCluster, *testReplica) {
 	t.Helper()
 	s := newLoadedCluster(t)
@@ -24,33 +24,33 @@
 	return s, added
 }
 
-// TestGroup_fullDiskDuringReceivedSnapshot has a new member receive a snapshot on a disk that becomes full at various points:
-// the member acknowledges nothing that depends on it, the others continue, and it is up to date once space is freed, also
-// after a power loss.
+// TestGroup_fullDiskDuringReceivedSnapshot fills the disk of a new member at various points while it receives a snapshot. The
+// member must not acknowledge anything that depends on the snapshot, the others must continue, and the member must catch up once
+// space is freed, even after a power loss.
 func TestGroup_fullDiskDuringReceivedSnapshot(t *testing.T) {
 	for round, freeBytes := range []int64{0, 1, 40, stateBytes / 3, stateBytes - 1, stateBytes + 40, stateBytes + 400} {
 		s, added := replaceMemberUnderLoad(t, freeBytes)
 		previous := s.proposedChanges
 		s.runFor(3 * time.Second)
 		if s.proposedChanges-previous < 60 {
-			t.Errorf("%d bytes free: %d changes in three seconds", freeBytes, s.proposedChanges-previous)
+			t.Errorf("%d bytes free: %d changes proposed in 3 s, want at least 60", freeBytes, s.proposedChanges-previous)
 		}
 		if matched := matchedIndex(s, added); freeBytes < stateBytes && matched > 0 {
-			t.Errorf("%d bytes free: the member has acknowledged entry %d", freeBytes, matched)
+			t.Errorf("%d bytes free: the new member has acknowledged index %d, want 0", freeBytes, matched)
 		}
 		if round%2 == 0 {
 			s.restart(added, true, uint64(round))
 		}
 		added.disk.FreeBytes = seglogtest.Unlimited
-		took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(added) })
+		took := s.runUntil("the new member is up to date", testTimeout, func() bool { return s.isCurrent(added) })
 		if took > catchUpBound {
-			t.Errorf("%d bytes free: up to date after %v", freeBytes, took)
+			t.Errorf("%d bytes free: up to date %v after space was freed, want at most %v", freeBytes, took, catchUpBound)
 		}
 		t.Logf("%6d bytes free: up to date %v after space was freed", freeBytes, took)
 	}
 }
 
-// matchedIndex returns the index up to which the leader knows a member's log to be durable.
+// matchedIndex returns the index up to which the leader knows the member's log to be durable and equal to its own.
 func matchedIndex(s *loadedCluster, replica *testReplica) uint64 {
 	node, ok := s.leader().group.loop.node.(*consensus.Node)
 	if !ok {
@@ -60,16 +60,18 @@
 	return matched
 }
 
-// TestGroup_stalledDiskDuringReceivedSnapshot has the new member's disk stall for seconds while it receives the snapshot.
+// TestGroup_stalledDiskDuringReceivedSnapshot stalls the disk of a new member for 6 s while it receives a snapshot. The member
+// must not acknowledge the snapshot before it is on disk, and must catch up afterwards.
 func TestGroup_stalledDiskDuringReceivedSnapshot(t *testing.T) {
 	s, added := replaceMemberUnderLoad(t, seglogtest.Unlimited)
 	added.stalled = true
 	s.runFor(6 * time.Second)
 	if matched := matchedIndex(s, added); matched > 0 && added.disk.UsedBytes() < stateBytes {
-		t.Errorf("the member has acknowledged entry %d", matched)
+		t.Errorf("the new member has acknowledged index %d without a snapshot on its disk, want 0", matched)
 	}
 	added.stalled = false
-	if took := s.runUntil("up to date", testTimeout, func() bool { return s.isCurrent(added) }); took > catchUpBound {
-		t.Errorf("up to date after %v", took)
+	took := s.runUntil("the new member is up to date", testTimeout, func() bool { return s.isCurrent(added) })
+	if took > catchUpBound {
+		t.Errorf("up to date %v after the stall, want at most %v", took, catchUpBound)
 	}
 }
--- a/coord/replica/scripted_loop_test.go
+++ b/coord/replica/scripted_loop_test.go
@@ -8,13 +8,13 @@
 	"ospreybend/coord/consensus"
 )
 
-// scriptedNode is a consensusNode that returns what the test has set and records its calls.
+// scriptedNode is a consensusNode that returns values set by the test and records its calls.
 type scriptedNode struct {
 	nextTick  time.Duration
 	ticks     int
-	ready     consensus.Ready // returned once
+	ready     consensus.Ready // returned by the next call of Ready only
 	status    consensus.Status
-	callError error // returned by proposals, reads, changes and transfers
+	callError error // returned by proposals, reads, membership changes and transfers
 	reads     []uint64
 	writable  bool
 	persisted uint64
@@ -61,7 +61,7 @@
 
 func (n *scriptedNode) Compact(index uint64, _ []consensus.Member, _ []byte) { n.compacted = index }
 
-// scriptedLoop is an event loop with a scripted node that leads term 1, and the jobs that it has submitted.
+// scriptedLoop is an event loop with a scripted node that leads term 1. It records the write jobs that the loop submits.
 type scriptedLoop struct {
 	clock *fakeClock
 	node  *scriptedNode
@@ -73,21 +73,25 @@
 	s := &scriptedLoop{clock: &fakeClock{now: time.Second}}
 	s.node = &scriptedNode{
 		nextTick: never,
-		status:   consensus.Status{Role: consensus.RoleLeader, Term: 1, Leader: 1, Members: []consensus.Member{testMember(1, true)}},
+		status: consensus.Status{
+			Role: consensus.RoleLeader, Term: 1, Leader: 1, Members: []consensus.Member{testMember(1, true)},
+		},
 		writable: true,
 	}
-	options := Options{StateMachine: &listStateMachine{}, Clock: s.clock, Send: func(consensus.Member, consensus.Message) {}}.withDefaults()
+	options := Options{
+		StateMachine: &listStateMachine{}, Clock: s.clock, Send: func(consensus.Member, consensus.Message) {},
+	}.withDefaults()
 	s.loop = newEventLoop(&options, s.node, func(job writeJob) { s.jobs = append(s.jobs, job) })
 	return s
 }
 
-// iterate advances the clock and handles the events.
+// iterate advances the clock and then iterates the event loop with the events.
 func (s *scriptedLoop) iterate(after time.Duration, events ...loopEvent) {
 	s.clock.now += after
 	s.loop.iterate(events)
 }
 
-// commit makes the node return the entries of term 1 from first to last as committed.
+// commit makes the next Ready return the entries of term 1 from first to last as committed.
 func (s *scriptedLoop) commit(first, last uint64) {
 	var entries []consensus.Entry
 	for index := first; index <= last; index++ {
@@ -96,12 +100,13 @@
 	s.node.ready.Committed = entries
 }
 
+// requireError fails the test unless the call has already ended with the error want.
 func requireError(t *testing.T, done chan outcome, want error) {
 	t.Helper()
 	if len(done) == 0 {
-		t.Fatal("no answer")
+		t.Fatalf("the call has no outcome, want error %v", want)
 	}
 	if received := <-done; !errors.Is(received.err, want) {
-		t.Fatalf("got %v, not %v", received.err, want)
+		t.Fatalf("the call ended with error %v, want %v", received.err, want)
 	}
 }
--- a/coord/replica/staleness_test.go
+++ b/coord/replica/staleness_test.go
@@ -8,20 +8,20 @@
 	"ospreybend/coord/consensus"
 )
 
-// Bounds of staleness, as the control plane server applies them.
+// Staleness limits, as the control plane server applies them.
 const (
-	maxCurrentAge     = 800 * time.Millisecond // a replica that was confirmed longer ago serves nothing as current
-	confirmationDelay = 2 * messageDelay       // between a commit at the leader and its confirmation at a follower
+	maxCurrentAge     = 800 * time.Millisecond // a replica that was last confirmed longer ago does not count as current
+	confirmationDelay = 2 * messageDelay       // from a commit at the leader to its confirmation at a follower
 )
 
-// progress records how far the group had committed at a time.
+// commitProgress records the group's highest commit index at a time.
 type commitProgress struct {
 	time   time.Duration
 	commit uint64
 }
 
-// staleMember returns a description of a stale member that is treated as current: one that was recently confirmed although it
-// lacks entries that were committed before that.
+// staleMember describes a stale member that counts as current: one that was recently confirmed although it lacks entries that
+// were committed before the confirmation. It returns an empty string if there is none.
 func (s *loadedCluster) staleMember(history []commitProgress) string {
 	for _, replica := range s.replicas {
 		status := replica.group.Status()
@@ -34,7 +34,8 @@
 				continue
 			}
 			if status.AppliedIndex < history[i].commit {
-				return fmt.Sprintf("member %d is current at %d, committed was %d", replica.member.ID, status.AppliedIndex, history[i].commit)
+				return fmt.Sprintf("member %d counts as current at index %d, but index %d was committed before",
+					replica.member.ID, status.AppliedIndex, history[i].commit)
 			}
 			break
 		}
@@ -42,7 +43,8 @@
 	return ""
 }
 
-// checkReturningMembers stops, partitions and stalls members for seconds under load, and returns the first violation.
+// checkReturningMembers stops, partitions and stalls members for 4 s each under load. It returns the first stale member that
+// counts as current afterwards, as described by staleMember.
 func checkReturningMembers(t *testing.T, omit ...consensus.Rule) string {
 	s := newLoadedCluster(t, omit...)
 	var history []commitProgress
@@ -74,26 +76,28 @@
 			chosen.stalled = false
 		}
 		until := s.clock.now + 2*time.Second
-		s.runUntil("time", testTimeout, func() bool { return recordProgress() || s.clock.now >= until })
+		s.runUntil("a stale member counts as current, or 2 s have passed", testTimeout, func() bool {
+			return recordProgress() || s.clock.now >= until
+		})
 	}
 	return violation
 }
 
-// TestGroup_staleMemberIsNotCurrent has members return that lack hundreds of changes: they do not count as current until they
-// have what the leader has committed. Without that rule they would.
+// TestGroup_staleMemberIsNotCurrent checks that members that return without the latest changes, up to hundreds, do not count as
+// current until they have all that the leader has committed, and that they would without RuleConfirmedUpToDate.
 func TestGroup_staleMemberIsNotCurrent(t *testing.T) {
 	if violation := checkReturningMembers(t); violation != "" {
 		t.Error(violation)
 	}
 	violation := checkReturningMembers(t, consensus.RuleConfirmedUpToDate)
 	if violation == "" {
-		t.Error("current-held omitted: not detected")
+		t.Errorf("rule %s omitted: no stale member counts as current, want a violation", consensus.RuleConfirmedUpToDate)
 	}
 	t.Log(violation)
 }
 
-// TestGroup_staleMemberNeitherLeadsNorConfirmsReads partitions a leader under load: it answers no read meanwhile, and when it
-// returns it neither leads nor answers before it has caught up.
+// TestGroup_staleMemberNeitherLeadsNorConfirmsReads partitions a leader under load. It must reject a read meanwhile, and must not
+// lead after the partition until it has caught up.
 func TestGroup_staleMemberNeitherLeadsNorConfirmsReads(t *testing.T) {
 	s := newLoadedCluster(t)
 	for range 6 {
@@ -103,14 +107,15 @@
 		previousLeader.group.queue.push(readEvent{readDone})
 		s.runFor(4 * time.Second)
 		if len(readDone) == 0 || (<-readDone).err == nil {
-			t.Fatal("a partitioned leader answers a read")
+			t.Fatalf("the read barrier at partitioned leader %d did not fail within 4 s", previousLeader.member.ID)
 		}
 		target := s.leader().group.Status().CommitIndex
 		previousLeader.partitioned = false
-		s.runUntil("caught up", testTimeout, func() bool {
+		s.runUntil("the former leader has caught up", testTimeout, func() bool {
 			status := previousLeader.group.Status()
 			if status.IsLeader() && status.AppliedIndex < target {
-				t.Fatalf("member %d leads at %d, committed was %d", previousLeader.member.ID, status.AppliedIndex, target)
+				t.Fatalf("member %d leads at applied index %d, but index %d was committed before",
+					previousLeader.member.ID, status.AppliedIndex, target)
 			}
 			return status.AppliedIndex >= target
 		})
