--- a/coord/replica/log_writer_test.go
+++ b/coord/replica/log_writer_test.go
@@ -11,16 +11,16 @@
 	"ospreybend/coord/seglog/seglogtest"
 )
 
-// scriptedLog records its calls: the sequences of a batch, or the negative index of a snapshot.
+// scriptedLog is a logStorage that records its calls: the sequences of a batch, or the negated index of a snapshot.
 type scriptedLog struct {
-	calls [][]int
-	fail  int // how many of the next calls fail
+	calls        [][]int
+	failuresLeft int // number of the next calls that fail
 }
 
-func (l *scriptedLog) note(call []int) error {
+func (l *scriptedLog) record(call []int) error {
 	l.calls = append(l.calls, call)
-	if l.fail > 0 {
-		l.fail--
+	if l.failuresLeft > 0 {
+		l.failuresLeft--
 		return seglogtest.ErrFull
 	}
 	return nil
@@ -31,11 +31,11 @@
 	for _, persist := range batch {
 		call = append(call, int(persist.Sequence))
 	}
-	return l.note(call)
+	return l.record(call)
 }
 
 func (l *scriptedLog) Compact(snapshot consensus.Snapshot) error {
-	return l.note([]int{-int(snapshot.Index)})
+	return l.record([]int{-int(snapshot.Index)})
 }
 
 func (l *scriptedLog) LogBytes() int64  { return 1 }
@@ -60,109 +60,109 @@
 	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 3)
 	if retryDelay := w.writePending(); retryDelay != 0 {
-		t.Fatal(retryDelay)
+		t.Fatalf("writePending returned a retry delay of %v although no write failed, want 0", retryDelay)
 	}
 	want := [][]int{{1, 2}, {-9}, {3}}
 	if !slices.EqualFunc(log.calls, want, slices.Equal) {
-		t.Fatalf("got %v", log.calls)
+		t.Fatalf("got calls %v, want %v", log.calls, want)
 	}
 	got := *reports
 	if got[0].finishedJobs != 2 || got[0].persistedSequence != 2 || got[1].compactedSnapshot == nil || got[2].persistedSequence != 3 {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got reports %+v, want sequence 2 of two jobs, the snapshot, and sequence 3", got)
 	}
 }
 
 func TestLogWriter_retriesWithBackoff(t *testing.T) {
 	w, log, reports := newScriptedWriter()
-	log.fail = 8
+	log.failuresLeft = 8
 	submitStates(w, 1)
 	want := minRetryDelay
 	for range 8 {
 		if retryDelay := w.writePending(); retryDelay != want {
-			t.Fatalf("delay %v, not %v", retryDelay, want)
+			t.Fatalf("writePending returned a retry delay of %v, want %v", retryDelay, want)
 		}
 		want = min(2*want, maxRetryDelay)
 	}
 	submitStates(w, 2)
 	if retryDelay := w.writePending(); retryDelay != 0 {
-		t.Fatal(retryDelay)
+		t.Fatalf("writePending returned a retry delay of %v although no write failed, want 0", retryDelay)
 	}
 	if last := log.calls[len(log.calls)-1]; !slices.Equal(last, []int{1, 2}) {
-		t.Fatalf("got %v", last)
+		t.Fatalf("the last batch is %v, want [1 2]", last)
 	}
 	for _, report := range (*reports)[:8] {
 		if report.finishedJobs != 0 || report.persistedSequence != 0 || report.err == nil {
-			t.Fatalf("got %+v", report)
+			t.Fatalf("a failed write reported %+v, want an error and nothing finished", report)
 		}
 	}
-	log.fail = 1
+	log.failuresLeft = 1
 	submitStates(w, 3)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
-		t.Fatalf("the delay after a success is %v", retryDelay)
+		t.Fatalf("the first retry delay after a success is %v, want %v", retryDelay, minRetryDelay)
 	}
 }
 
 func TestLogWriter_abandonsFailedSnapshot(t *testing.T) {
 	w, log, reports := newScriptedWriter()
-	log.fail = 1
+	log.failuresLeft = 1
 	w.submit(writeJob{snapshot: &consensus.Snapshot{Index: 9}})
 	submitStates(w, 1)
 	if retryDelay := w.writePending(); retryDelay != minRetryDelay {
-		t.Fatal(retryDelay)
+		t.Fatalf("the retry delay after a failed snapshot is %v, want %v", retryDelay, minRetryDelay)
 	}
 	if retryDelay := w.writePending(); retryDelay != 0 {
-		t.Fatal(retryDelay)
+		t.Fatalf("writePending returned a retry delay of %v although no write failed, want 0", retryDelay)
 	}
 	got := *reports
 	if len(got) != 2 || !got[0].snapshotFailed || got[0].finishedJobs != 1 || got[1].persistedSequence != 1 {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got reports %+v, want the failed snapshot as finished and then sequence 1", got)
 	}
 }
 
 func TestLogWriter_stops(t *testing.T) {
 	w, log, _ := newScriptedWriter()
-	log.fail = 1
+	log.failuresLeft = 1
 	submitStates(w, 1)
 	stop := make(chan struct{})
 	close(stop)
 	w.run(stop)
 	if w.waitForWork(time.Hour, stop) {
-		t.Fatal("waits after the end")
+		t.Fatal("waitForWork returned true after stop was closed, want false")
 	}
 }
 
-// stalledLog has writes that complete only once they are released.
+// stalledLog is a logStorage whose Save blocks until saveReleased is closed.
 type stalledLog struct {
 	scriptedLog
-	began, released chan struct{}
+	saveStarted, saveReleased chan struct{}
 }
 
 func (l *stalledLog) Save([]*consensus.PersistRequest) error {
-	close(l.began)
-	<-l.released
+	close(l.saveStarted)
+	<-l.saveReleased
 	return nil
 }
 
 func TestGroup_Close_doesNotWaitForStalledDisk(t *testing.T) {
-	log := &stalledLog{began: make(chan struct{}), released: make(chan struct{})}
+	log := &stalledLog{saveStarted: make(chan struct{}), saveReleased: make(chan struct{})}
 	options := Options{
 		Self: testMember(1, true), StateMachine: &listStateMachine{}, Send: func(consensus.Member, consensus.Message) {},
 	}.withDefaults()
 	group, err := newGroup(&options, log, consensus.Bootstrap([]consensus.Member{testMember(1, true)}, []byte("{}")))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("newGroup: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- group.Run(ctx) }()
-	<-log.began // the only member campaigns, and its vote is being written
+	<-log.saveStarted // the only member campaigns, and the log writer is saving its vote
 	cancel()
 	if err := <-ended; err != nil {
-		t.Fatal(err)
+		t.Fatalf("Run: %v", err)
 	}
 	if err := group.closeWithin(0); !errors.Is(err, ErrDiskStalled) {
-		t.Fatal(err)
+		t.Fatalf("close during a stalled write: got %v, want %v", err, ErrDiskStalled)
 	}
-	close(log.released)
+	close(log.saveReleased)
 	group.running.Wait()
 }
--- a/coord/replica/random_faults_test.go
+++ b/coord/replica/random_faults_test.go
@@ -17,37 +17,37 @@
 const (
 	randomSeed        = 20260102
 	randomRuns        = 300
-	faultsPerRun      = 150
-	fullDiskFreeBytes = 200 // bytes, exclusive
-	actionWeights     = 12  // the named actions have weight 1, a proposal the rest
-	faultOdds         = 3   // a chosen member becomes faulty one time in this many, and healthy otherwise
+	actionsPerRun     = 150
+	fullDiskFreeBytes = 200 // exclusive upper limit of the free bytes on a full disk
+	actionChoices     = 12  // each named action is one choice; the remaining choices are proposals
+	faultOneIn        = 3   // a chosen member becomes faulty once in this many times, and healthy otherwise
 )
 
-// attempt is one proposal or read of a random run.
-type attempt struct {
-	command string // empty: a read
-	at      *testReplica
-	seen    int // acknowledged commands at the time of a read
-	done    chan outcome
+// pendingCall is a proposal or read that is not answered yet.
+type pendingCall struct {
+	command            string // empty for a read
+	replica            *testReplica
+	acknowledgedBefore int // number of commands acknowledged when a read began
+	done               chan outcome
 }
 
-// randomFaultRun makes proposals and reads while faults are injected.
+// randomFaultRun makes proposals and reads in a cluster while it injects faults.
 type randomFaultRun struct {
 	*testCluster
 	random       *rand.Rand
-	pending      []attempt
+	pending      []pendingCall
 	acknowledged []string
 	rejected     map[string]bool
 	failure      error
 }
 
-// TestGroup_randomFaults checks that acknowledged commands persist, rejected ones are never applied, and reads observe
-// everything that was acknowledged before them.
+// TestGroup_randomFaults checks that every acknowledged command is applied exactly once on all members, that rejected commands
+// are never applied, and that reads observe all commands acknowledged before them.
 func TestGroup_randomFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(randomSeed)
 	parameters.MinSuccessfulTests = randomRuns
 	properties := gopter.NewProperties(parameters)
-	properties.Property("acknowledged commands persist", prop.ForAll(
+	properties.Property("acknowledged commands persist, rejected ones are not applied, reads are current", prop.ForAll(
 		func(seed uint64) string {
 			if err := runRandomFaults(t, seed); err != nil {
 				return err.Error()
@@ -59,14 +59,15 @@
 	properties.TestingRun(t)
 }
 
+// runRandomFaults runs random actions, ends all faults and returns a violation, if any. The given guards are disabled.
 func runRandomFaults(t *testing.T, seed uint64, omit ...Guard) error {
 	run := &randomFaultRun{testCluster: newTestCluster(t, 3), random: seglogtest.NewRandom(seed), rejected: map[string]bool{}}
 	run.setOmittedGuards(omit)
-	for number := range faultsPerRun {
-		run.injectFault(number)
+	for number := range actionsPerRun {
+		run.runRandomAction(number)
 		for range run.random.IntN(12) {
 			run.step()
-			run.collect()
+			run.collectOutcomes()
 		}
 	}
 	run.heal()
@@ -76,7 +77,7 @@
 	return run.checkCommands()
 }
 
-// Actions of a random run. Any other number is a proposal.
+// Actions of a random run. Any other choice is a proposal.
 const (
 	actionPartition = iota
 	actionStall
@@ -87,14 +88,14 @@
 	actionRead
 )
 
-// injectFault makes one random fault or call at a random member.
-func (r *randomFaultRun) injectFault(number int) {
+// runRandomAction injects a random fault into, or makes a random call to, a random member.
+func (r *randomFaultRun) runRandomAction(number int) {
 	replica := r.replicas[r.random.IntN(len(r.replicas))]
-	switch r.random.IntN(actionWeights) {
+	switch r.random.IntN(actionChoices) {
 	case actionPartition:
-		replica.partitioned = r.random.IntN(faultOdds) == 0
+		replica.partitioned = r.random.IntN(faultOneIn) == 0
 	case actionStall:
-		replica.stalled = r.random.IntN(faultOdds) == 0
+		replica.stalled = r.random.IntN(faultOneIn) == 0
 	case actionRestart:
 		r.restart(replica, r.random.IntN(2) == 0, r.random.Uint64())
 	case actionFillDisk:
@@ -111,18 +112,18 @@
 }
 
 func (r *randomFaultRun) proposeAt(replica *testReplica, command string) {
-	r.pending = append(r.pending, attempt{command: command, at: replica, done: replica.propose(command)})
+	r.pending = append(r.pending, pendingCall{command: command, replica: replica, done: replica.propose(command)})
 }
 
 func (r *randomFaultRun) read(replica *testReplica) {
 	done := newOutcomeChannel()
 	replica.group.queue.push(readEvent{done})
-	r.pending = append(r.pending, attempt{at: replica, seen: len(r.acknowledged), done: done})
+	r.pending = append(r.pending, pendingCall{replica: replica, acknowledgedBefore: len(r.acknowledged), done: done})
 }
 
-// collect processes the answers that have arrived.
-func (r *randomFaultRun) collect() {
-	var left []attempt
+// collectOutcomes records the outcomes that have arrived.
+func (r *randomFaultRun) collectOutcomes() {
+	var left []pendingCall
 	for _, pending := range r.pending {
 		select {
 		case received := <-pending.done:
@@ -134,7 +135,7 @@
 	r.pending = left
 }
 
-func (r *randomFaultRun) record(pending attempt, received outcome) {
+func (r *randomFaultRun) record(pending pendingCall, received outcome) {
 	switch {
 	case pending.command == "" && received.err == nil:
 		r.checkRead(pending)
@@ -146,41 +147,42 @@
 	}
 }
 
-func (r *randomFaultRun) checkRead(read attempt) {
-	for _, command := range r.acknowledged[:read.seen] {
-		if !slices.Contains(read.at.stateMachine.Commands, command) {
-			r.failure = fmt.Errorf("a read at member %d does not see %q", read.at.member.ID, command)
+func (r *randomFaultRun) checkRead(read pendingCall) {
+	for _, command := range r.acknowledged[:read.acknowledgedBefore] {
+		if !slices.Contains(read.replica.stateMachine.Commands, command) {
+			r.failure = fmt.Errorf("a read at member %d does not observe %q, which was acknowledged before it",
+				read.replica.member.ID, command)
 		}
 	}
 }
 
-// heal ends all faults and waits until all members are up to date.
+// heal ends all faults and waits until all calls are answered and all members are up to date.
 func (r *randomFaultRun) heal() {
 	r.t.Helper()
 	for _, replica := range r.replicas {
 		replica.partitioned, replica.stalled = false, false
 		replica.disk.FreeBytes = seglogtest.Unlimited
 	}
-	r.stepUntil("no pending attempt", func() bool {
-		r.collect()
+	r.stepUntil("all calls are answered", func() bool {
+		r.collectOutcomes()
 		return len(r.pending) == 0
 	})
 	last := r.commitLast()
-	r.stepUntil("all members up to date", func() bool { return r.allHave(last) })
+	r.stepUntil("all members have applied the last command", func() bool { return r.allHave(last) })
 }
 
-// commitLast retries until the leader has accepted a command: a transfer may still be in progress.
+// commitLast commits a command and returns it. It retries, since a leadership transfer may still be in progress.
 func (r *randomFaultRun) commitLast() string {
 	r.t.Helper()
 	limit := r.clock.now + testTimeout
 	for number := 0; r.clock.now < limit; number++ {
 		command := fmt.Sprint("last ", number)
-		if r.await(r.awaitLeader().propose(command)).err == nil {
+		if r.awaitOutcome(r.awaitLeader().propose(command)).err == nil {
 			return command
 		}
 		r.step()
 	}
-	r.t.Fatal("no leader accepts a command")
+	r.t.Fatalf("no command was committed within %v after all faults ended", testTimeout)
 	return ""
 }
 
@@ -197,19 +199,21 @@
 	commands := r.replicas[0].stateMachine.Commands
 	for _, replica := range r.replicas {
 		if !slices.Equal(replica.stateMachine.Commands, commands) {
-			return fmt.Errorf("members differ: %q and %q", commands, replica.stateMachine.Commands)
+			return fmt.Errorf("members %d and %d applied different commands: %q and %q",
+				r.replicas[0].member.ID, replica.member.ID, commands, replica.stateMachine.Commands)
 		}
 	}
 	counts := map[string]int{}
 	for _, command := range commands {
 		counts[command]++
 		if counts[command] > 1 || r.rejected[command] {
-			return fmt.Errorf("%q was applied %d times, rejected: %v", command, counts[command], r.rejected[command])
+			return fmt.Errorf("%q was applied %d times, rejected: %t; want at most once, and never if rejected",
+				command, counts[command], r.rejected[command])
 		}
 	}
 	for _, command := range r.acknowledged {
 		if counts[command] != 1 {
-			return fmt.Errorf("%q was acknowledged and not applied", command)
+			return fmt.Errorf("%q was acknowledged but applied %d times, want 1", command, counts[command])
 		}
 	}
 	return nil
