--- a/balance/api.go
+++ b/balance/api.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// WorkerID identifies a worker. It is opaque and survives the worker's restart.
+// WorkerID identifies a worker. It is opaque and stays the same when the worker restarts.
 type WorkerID uint64
 
 // RequestID identifies a request. It is opaque and never reused.
 type RequestID uint64
 
-// Event is an input of a dispatcher.
+// Event is an input of a balancer.
 type Event interface{ event() }
 
 // ListKind is the kind of a list update.
 type ListKind uint8
 
-// The kinds of list update.
+// The kinds of list updates.
 const (
 	ListChanges ListKind = iota // only changed entries
-	ListFull                    // all workers; absent ones are gone
-	ListCached                  // all workers as once known, possibly outdated
-	ListFailed                  // a call failed; the list is unchanged
+	ListFull                    // all workers; those not listed are gone
+	ListCached                  // all workers of an earlier, possibly outdated list
+	ListFailed                  // a call to the discovery service failed; the list is unchanged
 )
 
-// State is a worker's listed state.
+// State is the state of a worker in the list.
 type State uint8
 
-// The states.
+// The states of a worker.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	Ready    State = iota // gets requests
+	Draining              // completes its requests and gets no new ones
+	Gone                  // removed from the list
 )
 
-// WorkerListing is one worker in a list update.
+// WorkerListing is one worker's entry in a list update.
 type WorkerListing struct {
 	Worker  WorkerID
 	Zone    int
@@ -40,7 +40,7 @@
 	Cell    int
 	State   State
 	Scale   float64
-	Started time.Duration // clock time of its last start; 0: long ago
+	Started time.Duration // clock time of its last start; 0: so long ago that it is warm
 }
 
 // ListUpdate is an update of the worker list.
@@ -50,13 +50,13 @@
 	Workers []WorkerListing
 }
 
-// Request is a client's request.
+// Request reports a new request of a client.
 type Request struct {
 	ID          RequestID
 	Class       int
 	Tenant      int
-	Key         uint64 // 0: none
-	Cost        time.Duration
+	Key         uint64        // affinity key; 0: none
+	Cost        time.Duration // estimated run time, if HasCost
 	HasCost     bool
 	ClientRetry bool // marked by the client as a retry
 	Slots       float64
@@ -64,46 +64,46 @@
 	Deadline    time.Duration // clock time
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the way in which an attempt or a probe ended.
 type Outcome uint8
 
-// The outcomes of an attempt.
+// The outcomes.
 const (
-	Served Outcome = iota
-	Errored
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
+	Served        Outcome = iota
+	Errored               // the worker returned an error
+	Full                  // the worker rejected it for lack of a free slot
+	TimedOut              // no response in time
+	ConnectFailed         // no connection to the worker
+	Reset                 // the connection broke after the send
 	Cancelled
 	NotSent
 )
 
-// NeverRan reports whether the outcome proves that the attempt did not run.
+// NeverRan reports whether the outcome proves that the worker did not run the request.
 func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == NotSent }
 
-// AttemptDone is the end of an attempt.
+// AttemptDone reports that an attempt ended.
 type AttemptDone struct {
 	Request RequestID
 	Attempt int
 	Worker  WorkerID
 	Outcome Outcome
 	Elapsed time.Duration
-	Over    bool // the request has its final answer
+	Over    bool // the request has its final response
 	Note    uint32
-	Report  []float32 // ordered as Settings.Report; nil: none
+	Report  []float32 // the worker's load, in the order of Settings.ReportFields; nil: none
 }
 
-// AttemptProgress is a report of a running attempt.
+// AttemptProgress reports that a worker started to run an attempt, or how far it is.
 type AttemptProgress struct {
 	Request  RequestID
 	Attempt  int
 	Worker   WorkerID
-	Started  bool // else progress
-	Progress float64
+	Started  bool    // it started; otherwise Progress is set
+	Progress float64 // completed fraction of the job, 0 to 1
 }
 
-// StreamStarted is the begin of a streamed answer.
+// StreamStarted reports that a streamed response began. From then on the request has its final response.
 type StreamStarted struct {
 	Request RequestID
 	Attempt int
@@ -111,35 +111,36 @@
 	Elapsed time.Duration
 }
 
-// RequestEnded is the end of a request by another cause, as when its client disconnects.
+// RequestEnded reports that a request ended without a response, for example because its client disconnected.
 type RequestEnded struct{ Request RequestID }
 
-// DeadlineShortened moves a request's deadline forward.
+// DeadlineShortened moves a request's deadline to an earlier time.
 type DeadlineShortened struct {
 	Request  RequestID
 	Deadline time.Duration // clock time
 }
 
-// PriorAttempt is an attempt made by a previous process of this dispatcher. It is handed over by field name.
+// PriorAttempt is an attempt made by the previous process of this balancer. The handover encodes it with its
+// field names, so they stay as they are.
 type PriorAttempt struct {
 	Worker  WorkerID
 	SentAt  time.Duration
-	Started time.Duration // when its start was reported; 0: not yet
+	Started time.Duration // when the worker reported its start; 0: not yet
 	Out     bool          // in flight
 	MayHave bool          // it may have run
 }
 
-// Adopted is a request taken over from a previous process of this dispatcher, with its attempts in order.
+// Adopted hands over a request from the previous process of this balancer, with its attempts in order.
 type Adopted struct {
 	Request
 	Arrived  time.Duration
 	Attempts []PriorAttempt
 }
 
-// TimerFired is the expiry of a timer.
+// TimerFired reports that a timer expired.
 type TimerFired struct{ Token uint32 }
 
-// ProbeDone is the end of a probe.
+// ProbeDone reports that a probe ended.
 type ProbeDone struct {
 	Worker  WorkerID
 	Outcome Outcome
@@ -147,14 +148,15 @@
 	Report  []float32
 }
 
-// ZoneShares sets the fraction of requests, 0 to 1, that each zone may take, by zone number. A zone past the
-// end takes all. Requests in flight in a Failed zone are hedged elsewhere where they may be repeated.
+// ZoneShares sets the fraction of requests, 0 to 1, that each zone may get, by zone number. A zone beyond the
+// end of Shares may get all. Requests in flight in a failed zone are hedged in other zones if they may be
+// repeated.
 type ZoneShares struct {
 	Shares []float64
-	Failed []int
+	Failed []int // numbers of the zones that failed
 }
 
-// PeerMessage is a message from another dispatcher.
+// PeerMessage delivers a message from another balancer.
 type PeerMessage struct {
 	From    int
 	Payload []byte
@@ -173,7 +175,7 @@
 func (ZoneShares) event()        {}
 func (PeerMessage) event()       {}
 
-// Action is an output of a dispatcher.
+// Action is an output of a balancer, for the caller to carry out.
 type Action interface{ action() }
 
 // Send starts the request's next attempt; attempts are numbered from 0.
@@ -183,13 +185,13 @@
 	Until   time.Duration // clock time at which the attempt times out; 0: the request's deadline
 }
 
-// Reject is the final answer that the request did not run and may be retried.
+// Reject answers a request finally: it did not run, or may run again, and so the client may retry it.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // the least delay before the retry; 0: not given
 }
 
-// Fail is the final answer that the request may have run.
+// Fail answers a request finally: it failed and may have run.
 type Fail struct{ Request RequestID }
 
 // Cancel cancels an attempt.
@@ -198,7 +200,7 @@
 	Attempt int
 }
 
-// SetTimer starts a timer, which ends with a TimerFired.
+// SetTimer starts a timer. When it expires, the caller passes in a TimerFired with the same token.
 type SetTimer struct {
 	After time.Duration
 	Token uint32
@@ -219,13 +221,13 @@
 // Log writes a log line.
 type Log struct{ Text string }
 
-// Subscribe opens the standing subscription to the worker list, or closes it.
+// Subscribe opens or closes the subscription to updates of the worker list.
 type Subscribe struct{ On bool }
 
 // FetchList requests the full worker list once.
 type FetchList struct{}
 
-// InternalError reports a defect of the dispatcher.
+// InternalError reports a bug in the balancer.
 type InternalError struct{ Text string }
 
 func (Send) action()          {}
--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	startOverdue = 400 * time.Millisecond // overdue after this, a mean run time and two predicted waits
-	hedgeDelay   = 100 * time.Millisecond // a start is reported within it unless the job is queued
-	transitTime  = 30 * time.Millisecond  // from a send to the worker's deduplication
+	minStartTimeout = 400 * time.Millisecond // plus a mean run time and twice the predicted queue wait
+	hedgeDelay      = 100 * time.Millisecond // a job that is not queued reports its start earlier
+	maxTransitTime  = 30 * time.Millisecond  // from a send until the worker checks for duplicates
 )
 
-// firstPossiblyRun returns the earliest attempt that may have run.
+// firstPossiblyRun returns the earliest attempt that may have run, or nil.
 func (r *request) firstPossiblyRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun }); i >= 0 {
 		return &r.attempts[i]
@@ -21,79 +21,83 @@
 	return nil
 }
 
-// deduplicates reports whether a worker drops repeats of what ran at the first worker.
-func deduplicates(c *Class, first, w *worker) bool {
+// inDedupGroup reports whether a worker drops repeats of what ran at the first worker, if that matters for
+// the class.
+func inDedupGroup(c *Class, first, w *worker) bool {
 	return c.Effect != Deduplicated || c.DedupGroup == GroupAll ||
 		c.DedupGroup == GroupZone && first.zone == w.zone || c.DedupGroup == GroupCell && first.cell == w.cell
 }
 
-// permit enforces rule 2: whether a request may be sent (again), and whether it may be rejected as not run.
-func (b *Balancer) permit(now time.Duration, r *request) (send, reject bool) {
+// permit enforces rule 2. It reports whether a request may be sent (again), and whether it may be rejected,
+// which lets the client send it again.
+func (b *Balancer) permit(now time.Duration, r *request) (maySend, mayReject bool) {
 	first, effect, limits := r.firstPossiblyRun(), r.class.Effect, &b.settings.Limits
-	send = len(r.attempts) < limits.MaxAttempts && (r.inFlight == 0 || limits.HedgedRequests)
+	maySend = len(r.attempts) < limits.MaxAttempts && (r.inFlight == 0 || limits.HedgedRequests)
 	if first == nil {
-		return send, true
+		return maySend, true
 	}
-	inWindow := now <= first.sentAt+r.class.DedupWindow-transitTime
-	send = send && effect != NonIdempotent && (effect != Deduplicated || inWindow)
-	return send, effect == Idempotent || effect == Deduplicated && r.class.DedupGroup == GroupAll
+	inWindow := now <= first.sentAt+r.class.DedupWindow-maxTransitTime
+	maySend = maySend && effect != NonIdempotent && (effect != Deduplicated || inWindow)
+	return maySend, effect == Idempotent || effect == Deduplicated && r.class.DedupGroup == GroupAll
 }
 
-// send starts the request's next attempt and schedules the checks on its start.
+// send starts the request's next attempt, and schedules the hedge and the check of its start.
 func (b *Balancer) send(now time.Duration, r *request, f forecast) {
-	if maySend, _ := b.permit(now, r); r.over || now >= r.Deadline || !maySend {
+	if maySend, _ := b.permit(now, r); r.finished || now >= r.Deadline || !maySend {
 		return
 	}
 	w := f.worker
-	b.fleet.spendWarmupBudget(now, w, f.cost)
+	b.fleet.spendWarmupBudget(now, w, f.work)
 	r.attempts = append(r.attempts, attempt{worker: w, workerStarted: w.startedAt, sentAt: now, inFlight: true,
-		mayHaveRun: true, freeSlots: f.free})
+		mayHaveRun: true, freeSlots: f.freeSlots})
 	r.inFlight++
 	b.inFlight++
 	w.inFlightSlots += r.Slots
 	b.emit(Send{Request: r.ID, Worker: w.id})
-	if at := len(r.attempts) - 1; b.settings.ReportsStart {
-		wait := 2*max(0, f.delay-f.run) + b.estimator.run.Or(0, 0)
-		late := startOverdue + time.Duration(wait*float64(time.Second))
-		b.schedule(late, func(now time.Duration) { b.checkStart(now, r, at, late) })
+	if index := len(r.attempts) - 1; b.settings.ReportsStart {
+		wait := 2*max(0, f.delay-f.unqueuedDelay) + b.estimator.meanRun.Or(0, 0)
+		startTimeout := minStartTimeout + time.Duration(wait*float64(time.Second))
+		b.schedule(startTimeout, func(now time.Duration) { b.checkStart(now, r, index, startTimeout) })
 		if r.inFlight == 1 && b.settings.Limits.Cancel {
-			b.schedule(hedgeDelay, func(now time.Duration) { b.hedge(now, r, at, false) })
+			b.schedule(hedgeDelay, func(now time.Duration) { b.hedge(now, r, index, false) })
 		}
 	}
 }
 
-// hedge sends a second attempt to a worker with a free slot while the first is still queued, or runs in a
-// failed zone. When one of them starts, the other is cancelled if it is still queued.
-func (b *Balancer) hedge(now time.Duration, r *request, index int, evenRunning bool) {
+// hedge sends a second attempt to a worker with a free slot if the first, that of the index, has not started.
+// With includeStarted it may also be running, as in a failed zone. When one of them starts, the other is
+// cancelled if it has not started.
+func (b *Balancer) hedge(now time.Duration, r *request, index int, includeStarted bool) {
 	maySend, _ := b.permit(now, r)
 	a := &r.attempts[index]
-	if r.over || r.inFlight != 1 || !a.inFlight || a.startedAt > 0 && !evenRunning || !maySend {
+	if r.finished || r.inFlight != 1 || !a.inFlight || a.startedAt > 0 && !includeStarted || !maySend {
 		return
 	}
 	r.probingDone, r.probed = false, nil
 	f, ok := b.choose(now, r)
-	if ok && f.delay <= b.timeLeft(now, r) && !b.probe(now, r, f) && f.free >= r.Slots {
+	if ok && f.delay <= b.timeLeft(now, r) && !b.sendProbes(now, r, f) && f.freeSlots >= r.Slots {
 		b.send(now, r, f)
 	}
 }
 
-// checkStart handles an overdue start. The worker may hang: that counts as a failure, its connections are
-// closed, and the request is hedged.
+// checkStart handles an attempt whose start is overdue. As the worker may hang, this counts as a failure, the
+// idle connections to it are closed, and the request is hedged.
 func (b *Balancer) checkStart(now time.Duration, r *request, index int, startTimeout time.Duration) {
 	a := r.attempts[index]
-	if r.over || !a.inFlight || a.startedAt > 0 {
+	if r.finished || !a.inFlight || a.startedAt > 0 {
 		return
 	}
-	if left := max(a.sentAt, a.worker.lastSeenAt) + startTimeout - now; left > 0 {
-		b.schedule(left, func(now time.Duration) { b.checkStart(now, r, index, startTimeout) })
+	if remaining := max(a.sentAt, a.worker.lastSeenAt) + startTimeout - now; remaining > 0 {
+		b.schedule(remaining, func(now time.Duration) { b.checkStart(now, r, index, startTimeout) })
 		return
 	}
-	b.fleet.recordHealth(now, a.worker, r.Class, true)
+	b.fleet.recordResult(now, a.worker, r.Class, true)
 	b.emit(CloseIdle{Worker: a.worker.id})
 	b.hedge(now, r, index, false)
 }
 
-func (b *Balancer) attemptProgress(now time.Duration, ev AttemptProgress) {
+// handleAttemptProgress records that an attempt started, and cancels the hedged one that has not.
+func (b *Balancer) handleAttemptProgress(now time.Duration, ev AttemptProgress) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt >= len(r.attempts) || !ev.Started {
 		return
@@ -102,14 +106,15 @@
 	if a := &r.attempts[ev.Attempt]; a.startedAt == 0 {
 		a.startedAt = now
 		b.cancelAttempts(r, false)
-		took, zone := (now - a.sentAt).Seconds(), a.worker.zone
-		if minDelay, ok := b.estimator.minStartDelay[zone]; !ok || took < minDelay {
-			b.estimator.minStartDelay[zone] = took
+		startDelay, zone := (now - a.sentAt).Seconds(), a.worker.zone
+		if minDelay, ok := b.estimator.minStartDelay[zone]; !ok || startDelay < minDelay {
+			b.estimator.minStartDelay[zone] = startDelay
 		}
 	}
 }
 
-func (b *Balancer) attemptDone(now time.Duration, ev AttemptDone) {
+// handleAttemptDone records the end of an attempt, and places the request again if it is not finished.
+func (b *Balancer) handleAttemptDone(now time.Duration, ev AttemptDone) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
 		return
@@ -128,13 +133,13 @@
 	b.release(r)
 	r.probingDone = false
 	if ev.Outcome == Full && len(r.attempts) > 1 {
-		b.enqueue(now, r) // two rejections: the knowledge of free slots is poor
+		b.enqueue(now, r) // after two rejections: the estimates of free slots are too high
 		return
 	}
 	b.place(now, r)
 }
 
-// recordOutcome records what an outcome shows of the worker. Only Served and Full give samples of delays.
+// recordOutcome records what an outcome shows about the worker. Only Served and Full give samples of delays.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, ev AttemptDone) {
 	w := a.worker
 	if w.startedAt != a.workerStarted || b.fleet.byID[w.id] != w {
@@ -149,30 +154,33 @@
 	switch ev.Outcome {
 	case Served:
 		b.recordServed(now, r, a, ev.Elapsed.Seconds())
-		b.fleet.recordHealth(now, w, r.Class, false)
+		b.fleet.recordResult(now, w, r.Class, false)
 	case Full:
-		b.estimator.full.AddWeighted(a.freeSlots-r.Slots, 1, 1, pooledSamples)
+		b.estimator.fullRate.AddWeighted(a.freeSlots-r.Slots, 1, 1, pooledSamples)
 		if a.freeSlots >= r.Slots {
-			// It rejects with free slots, so something is wrong; idle, it would attract ever more requests.
-			b.fleet.recordHealth(now, w, r.Class, true)
+			// It rejects although it seems to have free slots, so it is faulty. Unless this counts as a
+			// failure, it looks idle and attracts ever more requests.
+			b.fleet.recordResult(now, w, r.Class, true)
 		}
-		b.fleet.recordFull(now, w, b.estimator.run.Or(defaultRunTime, 1))
-		w.profile.transfer.Add(now, b.estimator.sizeOf(r.job), ev.Elapsed.Seconds(), windowLen)
-		stats.Of(b.estimator.transfer, w.zone).Add(ev.Elapsed.Seconds(), pooledSamples)
+		b.fleet.recordFull(now, w, b.estimator.meanRun.Or(defaultRunTime, 1))
+		w.delays.transfer.Add(now, b.estimator.sizeOf(r.job), ev.Elapsed.Seconds(), windowLen)
+		stats.Of(b.estimator.zoneTransfer, w.zone).Add(ev.Elapsed.Seconds(), pooledSamples)
 	case Errored, ConnectFailed, Reset, TimedOut:
 		if ev.Outcome != TimedOut || a.startedAt == 0 {
-			b.fleet.recordHealth(now, w, r.Class, true)
+			b.fleet.recordResult(now, w, r.Class, true)
 		}
 	}
 }
 
-// recordServed splits the time of a served attempt into transfer, queue wait and run time.
+// recordServed splits the elapsed seconds of a served attempt into transfer, queue wait and run time, and
+// records them.
 func (b *Balancer) recordServed(now time.Duration, r *request, a *attempt, elapsed float64) {
 	w := a.worker
-	process := max(0, elapsed-b.estimator.transferTo(now, &w.profile, w.zone, r.job))
-	run := min(process, b.estimator.slowdownOf(now, &w.profile, w.kind)*b.estimator.sizeOf(r.job))
+	processing := max(0, elapsed-b.estimator.predictTransfer(now, &w.delays, w.zone, r.job))
+	run := min(processing, b.estimator.slowdownOf(now, &w.delays, w.kind)*b.estimator.sizeOf(r.job))
 	if a.startedAt > 0 {
-		run = min(process, (now - a.startedAt).Seconds())
+		run = min(processing, (now - a.startedAt).Seconds())
 	}
-	b.estimator.learnProcess(now, &w.profile, w.kind, r.job, a.freeSlots, b.fleet.slotsOf(w), process-run, run)
+	b.estimator.recordProcessing(now, &w.delays, w.kind, r.job,
+		a.freeSlots, b.fleet.slotsOf(w), processing-run, run)
 }
--- a/balance/attempts_test.go
+++ b/balance/attempts_test.go
@@ -7,11 +7,11 @@
 )
 
 // A request whose every attempt was rejected gets retry advice, too.
-func TestBalancer_rejectAfterLastAttemptHasRetryAfter(t *testing.T) {
-	s := ruleSettings(0)
+func TestBalancer_rejectionAfterLastAttemptHasRetryAfter(t *testing.T) {
+	s := testSettings(0)
 	s.Limits.MaxAttempts = 1
-	b := busyBalancer(t, s)
-	b.estimator.run.Add(0.1, pooledSamples)
+	b := newBusyBalancer(t, s)
+	b.estimator.meanRun.Add(0.1, pooledSamples)
 	for _, a := range b.Handle(0, AttemptDone{Request: 1, Worker: b.requests[1].attempts[0].worker.id, Outcome: Full}) {
 		if r, ok := a.(Reject); ok && r.RetryAfter > 0 {
 			return
@@ -31,13 +31,13 @@
 		"unsafe":  {class: 4, blamed: 1},
 		"started": {class: 0, started: true},
 	} {
-		s := ruleSettings(0)
+		s := testSettings(0)
 		s.Limits.HedgedRequests = true
-		b := balancer(t, s, 1)
+		b := newTestBalancer(t, s, 1)
 		now := time.Hour
-		b.Handle(now, listOf(ListFull, 3))
+		b.Handle(now, workerList(ListFull, 3))
 		first := slices.Clone(b.Handle(now, Request{ID: 1, Class: c.class, Deadline: now + 4*time.Second}))
-		if countOf[Send](first) != 1 {
+		if countActions[Send](first) != 1 {
 			t.Fatalf("%s: not sent", name)
 		}
 		if c.started {
@@ -49,10 +49,10 @@
 				then = append(then, b.Handle(now+timer.After, TimerFired{Token: timer.Token})...)
 			}
 		}
-		if got := countOf[CloseIdle](then); got != c.blamed {
+		if got := countActions[CloseIdle](then); got != c.blamed {
 			t.Errorf("%s: idle connections closed %d times", name, got)
 		}
-		if got := countOf[Send](then); got != c.copies {
+		if got := countActions[Send](then); got != c.copies {
 			t.Errorf("%s: %d hedges sent", name, got)
 		}
 		chance := 0.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -8,71 +8,74 @@
 )
 
 const (
-	answerMarginTicks = 3    // event rounds between the final answer and the deadline
-	minValue          = 1e-9 // of the class of the highest value, if all are 0
+	responseMarginTicks = 3    // the final response is due this many times Resolution before the deadline
+	minValue            = 1e-9 // least maxValue, which is divided by: the values of all classes may be 0
 )
 
-// attempt is one send of a request to a worker.
+// attempt is one send of a request to a worker, and what became of it.
 type attempt struct {
 	worker              *worker
-	workerStarted       time.Duration // start of the worker's process, as of the send
+	workerStarted       time.Duration // the worker's startedAt as of the send, to detect a restart
 	sentAt              time.Duration
-	startedAt           time.Duration // when its start was reported; 0: not yet
-	freeSlots           float64       // free slots estimated at the send
+	startedAt           time.Duration // when the worker reported its start; 0: not yet
+	freeSlots           float64       // the worker's estimated free slots as of the send
 	inFlight, cancelled bool
 	mayHaveRun          bool
 }
 
-// request is a client's request and its attempts.
+// request is the state of a client's request.
 type request struct {
 	Request
-	class        *Class
-	job          job
-	arrived      time.Duration
-	attempts     []attempt
-	inFlight     int
-	over, queued bool
-	queueRounds  int           // times it was queued
-	retryAt      time.Duration // when to place it again
-	probedAt     time.Duration // when probes were first sent for it
-	probed       []*worker     // workers probed for it
-	candidates   []*worker     // the only ones to choose from; nil: all
-	unanswered   int           // probes without an answer
-	probingDone  bool          // no further probes for this attempt
-	homeRange    float64       // how far down its key's order the homes go
+	class            *Class
+	job              job
+	arrived          time.Duration
+	attempts         []attempt
+	inFlight         int
+	finished         bool // it has its final response, or the client is gone
+	queued           bool
+	timesQueued      int
+	retryAt          time.Duration // when a queued request is placed again
+	probingStartedAt time.Duration // when the first probes for the next attempt were sent
+	probed           []*worker     // workers probed for the next attempt
+	candidates       []*worker     // the only workers to choose from; nil: all
+	pendingProbes    int           // probes without a response
+	probingDone      bool          // the next attempt needs no further probes
+	maxHomeRank      float64       // workers up to this keyRank are homes of its key
 }
 
-// Balancer makes one dispatcher's decisions. It is not safe for concurrent use, and shares nothing.
+// Balancer makes the decisions of one node. It is not safe for concurrent use, and shares no state with other
+// balancers.
 type Balancer struct {
-	settings  Settings
-	rng       *rand.Rand
-	fleet     fleet
-	estimator estimator
-	actions   []Action // of the event being handled
-	timers    map[uint32]func(now time.Duration)
-	lastToken uint32
-
-	requests         map[RequestID]*request
-	inFlight         int        // attempts of all requests
-	queue, probing   []*request // waiting for a worker or for probes, oldest first
-	wakeScheduled    bool       // the queue's timer is set
-	maxValue         float64    // of all classes
-	keyShares        stats.Shares
-	evacuationBudget float64 // hedges out of failed zones allowed now
-
-	// The last choice of a worker.
-	ties            []forecast
+	settings       Settings
+	rng            *rand.Rand
+	fleet          fleet
+	estimator      estimator
+	actions        []Action // returned for the event being handled
+	timers         map[uint32]func(now time.Duration)
+	lastTimerToken uint32
+
+	requests               map[RequestID]*request
+	inFlight               int        // attempts in flight, of all requests
+	queue, probingRequests []*request // those waiting for a worker and for probes, oldest first
+	queueTimerSet          bool
+	maxValue               float64      // highest value of a class
+	keyShares              stats.Shares // share of the requests by key
+	evacuationBudget       float64      // hedges out of failed zones that are allowed now
+
+	// Results of the last call of choose.
+	ties            []forecast // the workers that cost about the least
 	randomCandidate *worker
-	sparseReports   bool // too few fresh reports
+	sparseReports   bool // few workers are known to have free slots
 
-	// Messages to peers.
-	broadcasting bool // their timer is set
-	broadcastAt  time.Duration
-	newRequests  float64    // requests since the last message
-	requestRate  stats.Mean // per second
+	// Load messages to peers.
+	broadcastTimerSet      bool
+	lastBroadcastAt        time.Duration
+	requestsSinceBroadcast float64
+	requestRate            stats.Mean // requests per second
 }
 
-// New returns a dispatcher, or the settings' error. The same seed and events give the same actions.
+// New returns a balancer, or an error if the settings are invalid. The same settings, seed and events always
+// give the same actions.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -87,75 +90,80 @@
 	return b, nil
 }
 
-// Handle handles one event and returns the actions, in order; they are valid until the next call.
+// Handle handles one event and returns the actions to carry out, in order. The slice is valid until the next
+// call.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.actions = b.actions[:0]
 	switch ev := ev.(type) {
 	case ListUpdate:
-		b.listUpdate(now, ev)
+		b.handleListUpdate(now, ev)
 	case Request:
 		b.place(now, b.accept(now, ev))
 	case Adopted:
-		b.adopt(now, ev)
+		b.handleAdopted(now, ev)
 	case DeadlineShortened:
 		if r := b.requests[ev.Request]; r != nil && ev.Deadline < r.Deadline {
 			r.Deadline = ev.Deadline
 			b.scheduleDeadline(now, r)
 		}
 	case AttemptDone:
-		b.attemptDone(now, ev)
+		b.handleAttemptDone(now, ev)
 	case AttemptProgress:
-		b.attemptProgress(now, ev)
+		b.handleAttemptProgress(now, ev)
 	case StreamStarted:
 		if r := b.requests[ev.Request]; r != nil {
-			r.over = true // the answer goes to the client now
+			r.finished = true // the client is receiving the response
 		}
 	case RequestEnded:
 		if r := b.requests[ev.Request]; r != nil {
 			b.finish(r)
 		}
 	case TimerFired:
-		if due := b.timers[ev.Token]; due != nil {
+		if callback := b.timers[ev.Token]; callback != nil {
 			delete(b.timers, ev.Token)
-			due(now)
+			callback(now)
 		}
 	case ZoneShares:
-		b.zoneShares(now, ev)
+		b.handleZoneShares(now, ev)
 	case PeerMessage:
 		b.fleet.applyPeerLoad(now, ev.From, ev.Payload)
 	case ProbeDone:
-		b.probeDone(now, ev)
+		b.handleProbeDone(now, ev)
 	}
 	return b.actions
 }
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) schedule(span time.Duration, due func(now time.Duration)) {
-	b.lastToken++
-	b.timers[b.lastToken] = due
-	b.emit(SetTimer{After: max(span, 0), Token: b.lastToken})
+// schedule starts a timer that calls back after a delay.
+func (b *Balancer) schedule(delay time.Duration, callback func(now time.Duration)) {
+	b.lastTimerToken++
+	b.timers[b.lastTimerToken] = callback
+	b.emit(SetTimer{After: max(delay, 0), Token: b.lastTimerToken})
 }
 
-// broadcastLoad sends the own load to all peers, as often as the message price allows.
+// broadcastLoad sends this balancer's load to all peers if messages are affordable, and schedules the next
+// broadcast.
 func (b *Balancer) broadcastLoad(now time.Duration) {
 	b.fleet.dropSilentPeers(now)
-	if span := now - b.broadcastAt; span > 0 {
-		b.requestRate.Add(b.newRequests/span.Seconds(), maxMessageRate)
+	if elapsed := now - b.lastBroadcastAt; elapsed > 0 {
+		b.requestRate.Add(b.requestsSinceBroadcast/elapsed.Seconds(), maxMessageRate)
 	}
-	b.newRequests, b.broadcastAt = 0, now
+	b.requestsSinceBroadcast, b.lastBroadcastAt = 0, now
 	message := b.fleet.encodeLoad()
-	every, worthwhile := b.fleet.messageInterval(len(message), b.requestRate.Or(0, 0))
-	b.schedule(b.fleet.jitter(every), b.broadcastLoad)
-	if worthwhile {
+	interval, affordable := b.fleet.messageInterval(len(message), b.requestRate.Or(0, 0))
+	b.schedule(b.fleet.jitter(interval), b.broadcastLoad)
+	if affordable {
 		b.emit(SendToPeers{To: -1, Payload: message})
 	}
 }
 
-func (b *Balancer) listUpdate(now time.Duration, up ListUpdate) {
-	b.fleet.applyUpdate(now, up)
-	if b.settings.Limits.Messages && b.settings.Balancers > 1 && !b.broadcasting {
-		b.broadcasting, b.broadcastAt = true, now
+// handleListUpdate applies a list update. The first one starts the broadcasts, and any update without a
+// subscription in place schedules one.
+func (b *Balancer) handleListUpdate(now time.Duration, update ListUpdate) {
+	b.fleet.applyUpdate(now, update)
+	if b.settings.Limits.Messages && b.settings.Balancers > 1 && !b.broadcastTimerSet {
+		b.broadcastTimerSet, b.lastBroadcastAt = true, now
 		b.schedule(b.fleet.jitter(time.Duration(float64(time.Second)/maxMessageRate)), b.broadcastLoad)
 	}
 	if b.settings.SubscribeDiscovery && !b.fleet.subscribed && !b.fleet.subscribing {
@@ -167,6 +175,7 @@
 	}
 }
 
+// accept registers a new request. One of an unknown class fails, and nil is returned.
 func (b *Balancer) accept(now time.Duration, incoming Request) *request {
 	if incoming.Class < 0 || incoming.Class >= len(b.settings.Classes) {
 		b.emit(Fail{Request: incoming.ID})
@@ -174,7 +183,7 @@
 	}
 	r := &request{Request: incoming, class: &b.settings.Classes[incoming.Class], arrived: now}
 	r.Slots = max(r.Slots, 1)
-	b.newRequests++
+	b.requestsSinceBroadcast++
 	b.evacuationBudget = min(b.evacuationBudget+evacuationPerRequest, maxEvacuationBudget)
 	r.job = job{class: incoming.Class, bucket: bucketOf(incoming.Cost, incoming.HasCost), slots: r.Slots}
 	if b.settings.QueueOrder == Priority {
@@ -184,39 +193,40 @@
 		r.job.size = incoming.Cost.Seconds()
 	}
 	b.requests[incoming.ID] = r
-	b.assignHomes(r)
+	b.setMaxHomeRank(r)
 	b.fleet.jobSlots.Add(r.Slots, reportSamples)
 	b.scheduleDeadline(now, r)
 	return r
 }
 
-// scheduleDeadline schedules the final answer shortly before the request's deadline.
+// scheduleDeadline schedules a final response shortly before the request's deadline.
 func (b *Balancer) scheduleDeadline(now time.Duration, r *request) {
-	last := r.Deadline - answerMarginTicks*b.settings.Resolution
-	b.schedule(last-now, func(now time.Duration) { b.rejectOrFail(now, r, 0) })
+	respondBy := r.Deadline - responseMarginTicks*b.settings.Resolution
+	b.schedule(respondBy-now, func(now time.Duration) { b.rejectOrFail(now, r, 0) })
 }
 
-// rejectOrFail enforces rule 1: one final answer, a rejection with retry advice (seconds) or a failure.
-func (b *Balancer) rejectOrFail(now time.Duration, r *request, wait float64) {
-	if r.over {
+// rejectOrFail enforces rule 1: a request gets one final response. It is a rejection, with retryAfter in
+// seconds, if the client may retry, and a failure otherwise.
+func (b *Balancer) rejectOrFail(now time.Duration, r *request, retryAfter float64) {
+	if r.finished {
 		return
 	}
-	if _, mayRefuse := b.permit(now, r); mayRefuse {
-		b.emit(Reject{Request: r.ID, RetryAfter: max(0, time.Duration(wait*float64(time.Second)))})
+	if _, mayReject := b.permit(now, r); mayReject {
+		b.emit(Reject{Request: r.ID, RetryAfter: max(0, time.Duration(retryAfter*float64(time.Second)))})
 	} else {
 		b.emit(Fail{Request: r.ID})
 	}
 	b.finish(r)
 }
 
-// finish marks a request over and cancels its attempts.
+// finish marks a request as finished and cancels its attempts.
 func (b *Balancer) finish(r *request) {
-	r.over = true
+	r.finished = true
 	b.cancelAttempts(r, true)
 	b.release(r)
 }
 
-// cancelAttempts cancels the attempts in flight, all or those that have not started.
+// cancelAttempts cancels a request's attempts in flight: those that have not started, or all.
 func (b *Balancer) cancelAttempts(r *request, includeStarted bool) {
 	b.endProbing(r)
 	for i := range r.attempts {
@@ -228,9 +238,9 @@
 	}
 }
 
-// release drops a request that is over and has nothing in flight.
+// release removes a finished request once none of its attempts is in flight.
 func (b *Balancer) release(r *request) {
-	if r.over && r.inFlight == 0 {
+	if r.finished && r.inFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
--- a/balance/compatibility_test.go
+++ b/balance/compatibility_test.go
@@ -12,10 +12,10 @@
 )
 
 // compatibilityRow is the fixture: what a dispatcher of commit 8782861 has learned, as big-endian words.
-const compatibilityRow = "testdata/v8782861/learned"
+const fixturePath = "testdata/v8782861/learned"
 
 // newCompatible returns a dispatcher over two workers.
-func newCompatible(t *testing.T) *balance.Balancer {
+func newFixtureBalancer(t *testing.T) *balance.Balancer {
 	t.Helper()
 	class := balance.Class{LatencyTarget: time.Second, Timeout: 4 * time.Second, Value: 1, Kind: -1}
 	b, err := balance.New(balance.Settings{
@@ -31,25 +31,25 @@
 }
 
 // readRow returns the words of the fixture.
-func readRow(t *testing.T) (row []uint64) {
+func readFixture(t *testing.T) (words []uint64) {
 	t.Helper()
-	content, err := os.ReadFile(filepath.FromSlash(compatibilityRow))
+	content, err := os.ReadFile(filepath.FromSlash(fixturePath))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for word := range slices.Chunk(content, 8) {
-		row = append(row, binary.BigEndian.Uint64(word))
+		words = append(words, binary.BigEndian.Uint64(word))
 	}
-	return row
+	return words
 }
 
 // The order of a row's tables is that of maps, so the words are compared without it.
-func TestRecall_readsVersion8782861(t *testing.T) {
-	row, taken := readRow(t), newCompatible(t)
-	if err := taken.ImportState(2*time.Hour, slices.Clone(row)); err != nil {
+func TestBalancer_ImportState_version8782861(t *testing.T) {
+	fixture, b := readFixture(t), newFixtureBalancer(t)
+	if err := b.ImportState(2*time.Hour, slices.Clone(fixture)); err != nil {
 		t.Fatal(err)
 	}
-	if again := taken.ExportState(); !slices.Equal(slices.Sorted(slices.Values(again)), slices.Sorted(slices.Values(row))) {
-		t.Errorf("what was recalled is %v, the fixture %v", again, row)
+	if exported := b.ExportState(); !slices.Equal(slices.Sorted(slices.Values(exported)), slices.Sorted(slices.Values(fixture))) {
+		t.Errorf("what was recalled is %v, the fixture %v", exported, fixture)
 	}
 }
--- a/balance/estimate_test.go
+++ b/balance/estimate_test.go
@@ -8,67 +8,67 @@
 	"ospreybend/internal/util/stats"
 )
 
-const lifetime = 10 * time.Second
+const testSampleLifetime = 10 * time.Second
 
-func near(t *testing.T, what string, got, want, within float64) {
+func assertNear(t *testing.T, what string, got, want, within float64) {
 	t.Helper()
 	if math.IsNaN(got) || math.Abs(got-want) > within {
 		t.Errorf("%s: got %v, want %v within %v", what, got, want, within)
 	}
 }
 
-func fresh() *profile {
-	p := &profile{sampleLifetime: lifetime}
+func newDelaySamples() *delaySamples {
+	p := &delaySamples{sampleLifetime: testSampleLifetime}
 	p.reset()
 	return p
 }
 
-func TestEstimator_emptyWindowUsesPooled(t *testing.T) {
+func TestEstimator_predictionsWithoutSamplesArePooled(t *testing.T) {
 	e := newEstimator(1)
 	j := job{size: 0.1, bucket: 1, slots: 1}
-	slow, unseen := fresh(), fresh()
+	slow, unseen := newDelaySamples(), newDelaySamples()
 	for range 40 {
-		e.learnProcess(0, slow, 3, j, 2, 4, 0, 0.2)
+		e.recordProcessing(0, slow, 3, j, 2, 4, 0, 0.2)
 		slow.transfer.Add(0, e.sizeOf(j), 0.01, windowLen)
-		stats.Of(e.transfer, 1).Add(0.01, pooledSamples)
+		stats.Of(e.zoneTransfer, 1).Add(0.01, pooledSamples)
 	}
-	near(t, "processing of its kind", e.processAt(0, unseen, 3, j, 2, 4), 0.2, 0.02)
-	near(t, "transfer of its zone", e.transferTo(0, unseen, 1, j), 0.01, 1e-9)
+	assertNear(t, "processing of its kind", e.predictProcessing(0, unseen, 3, j, 2, 4), 0.2, 0.02)
+	assertNear(t, "transfer of its zone", e.predictTransfer(0, unseen, 1, j), 0.01, 1e-9)
 	e.queueWait = map[int]*stats.Pooled{} // nobody has waited yet
-	near(t, "wait for the slots that lack", e.waitAt(j, -3, 4), 4*e.run.Or(0, 0)/4, 0.01)
-	near(t, "wait where slots are free", e.waitAt(j, 5, 4), 0, 0.01)
+	assertNear(t, "wait for the slots that lack", e.predictQueueWait(j, -3, 4), 4*e.meanRun.Or(0, 0)/4, 0.01)
+	assertNear(t, "wait where slots are free", e.predictQueueWait(j, 5, 4), 0, 0.01)
 }
 
-func TestEstimator_transferTo_followsSize(t *testing.T) {
-	e, p := newEstimator(1), fresh()
+func TestEstimator_predictTransfer_growsWithSize(t *testing.T) {
+	e, p := newEstimator(1), newDelaySamples()
 	for i := 1; i <= 6; i++ {
 		size := float64(i) / 10
 		p.transfer.Add(0, size, 0.001+0.01*size, windowLen)
 	}
-	near(t, "transfer at 0.35", e.transferTo(0, p, 0, job{size: 0.35}), 0.0045, 1e-6)
+	assertNear(t, "transfer at 0.35", e.predictTransfer(0, p, 0, job{size: 0.35}), 0.0045, 1e-6)
 }
 
-func TestEstimator_processAt_fallsWithFreeSlots(t *testing.T) {
-	e, p := newEstimator(1), fresh()
+func TestEstimator_predictProcessing_fallsWithFreeSlots(t *testing.T) {
+	e, p := newEstimator(1), newDelaySamples()
 	j := job{size: 0.1, bucket: 1, slots: 1}
 	for i := range 20 {
 		free := float64(i % 5)
-		e.learnProcess(0, p, 0, j, free, 4, 0.05*(4-free), 0.1)
+		e.recordProcessing(0, p, 0, j, free, 4, 0.05*(4-free), 0.1)
 	}
-	busy, idle := e.processAt(0, p, 0, j, 0, 4), e.processAt(0, p, 0, j, 4, 4)
-	near(t, "busy", busy, 0.3, 0.03)
-	near(t, "idle", idle, 0.1, 0.03)
+	busy, idle := e.predictProcessing(0, p, 0, j, 0, 4), e.predictProcessing(0, p, 0, j, 4, 4)
+	assertNear(t, "busy", busy, 0.3, 0.03)
+	assertNear(t, "idle", idle, 0.1, 0.03)
 }
 
 func TestEstimator_sizeOf_classMeanWithoutHint(t *testing.T) {
-	e, p := newEstimator(2), fresh()
+	e, p := newEstimator(2), newDelaySamples()
 	for range 50 {
-		e.learnProcess(0, p, 0, job{class: 1, slots: 1}, 4, 4, 0, 0.4)
+		e.recordProcessing(0, p, 0, job{class: 1, slots: 1}, 4, 4, 0, 0.4)
 	}
-	near(t, "predicted", e.processAt(0, p, 0, job{class: 1, slots: 1}, 4, 4), 0.4, 0.08)
+	assertNear(t, "predicted", e.predictProcessing(0, p, 0, job{class: 1, slots: 1}, 4, 4), 0.4, 0.08)
 }
 
-func TestBucketOf_followsHint(t *testing.T) {
+func TestBucketOf_growsWithHint(t *testing.T) {
 	if bucketOf(time.Second, false) != 0 || bucketOf(0, true) != 0 {
 		t.Error("without a hint the bucket is not 0")
 	}
@@ -82,27 +82,27 @@
 // tightened every latency target and rejected feasible jobs.
 func TestEstimator_sizeOf_noDriftWithoutHints(t *testing.T) {
 	e := newEstimator(1)
-	fast, slow := fresh(), fresh()
+	fast, slow := newDelaySamples(), newDelaySamples()
 	j := job{slots: 1}
 	for i := range 20000 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		noise := 0.5 + float64(i*7919%1000)/1000
-		e.learnProcess(now, fast, 0, j, 4, 4, 0, 0.2*noise)
-		e.learnProcess(now, slow, 1, j, 4, 4, 0, 0.6*noise)
+		e.recordProcessing(now, fast, 0, j, 4, 4, 0, 0.2*noise)
+		e.recordProcessing(now, slow, 1, j, 4, 4, 0, 0.6*noise)
 	}
-	near(t, "size", e.sizeOf(j), 0.4, 0.08)
-	near(t, "fast", e.processAt(200*time.Second, fast, 0, j, 4, 4), 0.2, 0.05)
-	near(t, "slow", e.processAt(200*time.Second, slow, 1, j, 4, 4), 0.6, 0.12)
+	assertNear(t, "size", e.sizeOf(j), 0.4, 0.08)
+	assertNear(t, "fast", e.predictProcessing(200*time.Second, fast, 0, j, 4, 4), 0.2, 0.05)
+	assertNear(t, "slow", e.predictProcessing(200*time.Second, slow, 1, j, 4, 4), 0.6, 0.12)
 }
 
 // A first job of no measurable run time once made every prediction NaN, and the dispatcher queued all its requests until
 // their deadlines.
-func TestEstimator_learnProcess_zeroRunTime(t *testing.T) {
-	e, p := newEstimator(1), fresh()
+func TestEstimator_recordProcessing_zeroRunTime(t *testing.T) {
+	e, p := newEstimator(1), newDelaySamples()
 	j := job{slots: 1}
-	e.learnProcess(0, p, 0, j, 4, 4, 0, 0)
-	e.learnProcess(0, p, 0, j, 4, 4, 0, 0.1)
-	if got := e.processAt(0, p, 0, j, 4, 4); math.IsNaN(got) || got < 0 {
+	e.recordProcessing(0, p, 0, j, 4, 4, 0, 0)
+	e.recordProcessing(0, p, 0, j, 4, 4, 0, 0.1)
+	if got := e.predictProcessing(0, p, 0, j, 4, 4); math.IsNaN(got) || got < 0 {
 		t.Errorf("predicted %v", got)
 	}
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -11,153 +11,155 @@
 )
 
 const (
-	sampleLifetime        = 15 * time.Second // of delay samples: about as long as faults last
-	jitterFraction        = 0.25             // so that expiries and messages do not coincide
-	healthDecay           = 10 * time.Second // time constant of the decay of past failures
-	healthPrior           = 3.0              // weight, in outcomes, of the fleet's failure rate at a worker
-	minFailureRate        = 0.002            // failure rate assumed anywhere
-	reportSamples         = 64.0             // memory of the mean free slots, in reports
-	warmupBudgetFraction  = 0.4              // of the overload multiple, for all dispatchers together
-	maxJobBudgetFraction  = 0.2              // of a window's budget, for one job
-	subscribeSpread       = 4                // first subscriptions spread over SubscribeWithin over this
-	fullSpreadDispatchers = 50               // dispatchers that need the full spread
-	resubscribeDelay      = time.Second      // mean delay after a failed subscription
-	staleAfter            = 3 * time.Second  // without the list, which may be 2.6 s old by then; 6 s are allowed
-	halfSlot              = 0.5              // error of a report, in slots or jobs
+	sampleLifetime         = 15 * time.Second // of delay samples: about as long as faults last
+	jitterFraction         = 0.25             // keeps expiries and messages from coinciding
+	failureDecayTime       = 10 * time.Second // time constant of the decay of past failures
+	failurePriorOutcomes   = 3.0              // weight, in outcomes, of the fleet's failure rate for a worker
+	minFailureRate         = 0.002            // failure rate assumed for any worker
+	reportSamples          = 64.0             // bound on the weight of the mean free slots, in reports
+	warmupBudgetFraction   = 0.4              // of the overload multiple, for all balancers together
+	maxJobBudgetFraction   = 0.2              // of the budget for OverloadTime, for a single job
+	subscribeSpreadDivisor = 4                // first subscriptions spread over SubscribeWithin divided by this
+	fullSpreadBalancers    = 50               // from this number of balancers on, subscriptions spread fully
+	resubscribeDelay       = time.Second      // mean delay after a failed subscription
+	listStaleAfter         = 3 * time.Second  // the list may be 2.6 s old when its updates stop; 6 s are allowed
+	reportTolerance        = 0.5              // error of a load report, in slots or jobs
 )
 
-// worker is one listed worker as this dispatcher knows it.
+// worker is what this balancer knows of a worker.
 type worker struct {
 	id               WorkerID
 	zone, kind, cell int
 	state            State
-	refusing         bool // it rejected a probe
+	rejectsProbes    bool // it rejected a probe within probeRejectionBackoff
 	startedAt        time.Duration
-	profile          profile
+	delays           delaySamples
 
-	// The last report, without this dispatcher's own jobs.
-	reported     bool
+	// The last load report. This balancer's jobs in flight are not subtracted from reportedFree.
+	hasReport    bool
 	reportedAt   time.Duration
 	reportedFree float64
 	maxFree      float64 // most free slots ever reported
 
-	inFlightSlots  float64             // slots of own jobs in flight
-	health         []stats.FailureRate // over all classes, then by class
-	lastSeenAt     time.Duration       // when it last started or answered an own job; 0: never
-	peerSlots      float64             // slots of peers' jobs here, by their messages
-	warmupTokens   float64             // warm-up budget left, slot-seconds; may be overdrawn
+	inFlightSlots  float64             // slots of this balancer's jobs in flight
+	failureRates   []stats.FailureRate // of all classes, then of each class
+	lastSeenAt     time.Duration       // when it last started or answered such a job, or a probe; 0: never
+	peerSlots      float64             // slots of the peers' jobs in flight, by their messages
+	warmupTokens   float64             // warm-up budget left, in slot-seconds; negative if overdrawn
 	warmupTokensAt time.Duration
 }
 
-// fleet is the worker list and the state of each worker.
+// fleet is the list of workers with the state of each, and the load of the peers.
 type fleet struct {
-	settings   *Settings
-	rng        *rand.Rand
-	workers    []*worker
-	byID       map[WorkerID]*worker
-	kindFree   map[int]float64     // by kind: most free slots ever reported
-	meanFree   map[int]*stats.Mean // by kind: reported free slots less those that queues want
-	jobSlots   stats.Mean          // slots of a job
-	peers      map[int]*peerLoad
-	freshPeers int // peers with a recent message
-	byTag      map[uint16]*worker
-	health     []stats.FailureRate // over the fleet: as in worker
-	shares     []float64           // by zone number; a zone without one has all
+	settings     *Settings
+	rng          *rand.Rand
+	workers      []*worker
+	byID         map[WorkerID]*worker
+	kindFree     map[int]float64     // by kind: most free slots ever reported
+	meanFree     map[int]*stats.Mean // by kind: reported free slots minus those that queued jobs need
+	jobSlots     stats.Mean          // slots of a job
+	peers        map[int]*peerLoad
+	freshPeers   int                 // peers with a recent message
+	workerByTag  map[uint16]*worker  // see workerTag
+	failureRates []stats.FailureRate // as in worker, over the whole fleet
+	zoneShares   []float64           // by zone number; a zone beyond the end has share 1
 
 	subscribed, subscribing bool
 	subscribeAttempts       int
-	listedAt                time.Duration // when the list was last confirmed
+	listConfirmedAt         time.Duration // when the list was last confirmed
 }
 
 func newFleet(s *Settings, rng *rand.Rand) fleet {
 	return fleet{settings: s, rng: rng, byID: map[WorkerID]*worker{}, kindFree: map[int]float64{},
-		meanFree: map[int]*stats.Mean{}, health: make([]stats.FailureRate, 1+len(s.Classes)),
+		meanFree: map[int]*stats.Mean{}, failureRates: make([]stats.FailureRate, 1+len(s.Classes)),
 		peers: map[int]*peerLoad{}}
 }
 
 // applyUpdate applies a list update.
-func (f *fleet) applyUpdate(now time.Duration, up ListUpdate) {
-	if f.subscribed || up.Kind != ListFailed {
-		f.listedAt = now
+func (f *fleet) applyUpdate(now time.Duration, update ListUpdate) {
+	if f.subscribed || update.Kind != ListFailed {
+		f.listConfirmedAt = now
 	}
-	if up.Kind == ListFailed {
+	if update.Kind == ListFailed {
 		f.subscribed, f.subscribing, f.subscribeAttempts = false, false, max(f.subscribeAttempts, 1)
 		return
 	}
-	if up.Kind != ListCached {
+	if update.Kind != ListCached {
 		f.subscribed, f.subscribing, f.subscribeAttempts = f.subscribed || f.subscribing, false, 1
 	}
-	if up.Kind != ListChanges {
+	if update.Kind != ListChanges {
 		for _, w := range f.workers {
-			w.state = Gone // unless it is listed below
+			w.state = Gone // until its listing is applied below
 		}
 	}
-	for _, l := range up.Workers {
+	for _, l := range update.Workers {
 		f.applyListing(now, l)
 	}
 	maps.DeleteFunc(f.byID, func(_ WorkerID, w *worker) bool { return w.state == Gone })
 	f.workers = slices.DeleteFunc(f.workers, func(w *worker) bool { return w.state == Gone })
-	f.byTag = make(map[uint16]*worker, len(f.workers))
+	f.workerByTag = make(map[uint16]*worker, len(f.workers))
 	for _, w := range f.workers {
-		f.byTag[workerTag(w.id)] = w
+		f.workerByTag[workerTag(w.id)] = w
 	}
 }
 
-func (f *fleet) applyListing(now time.Duration, l WorkerListing) {
-	w := f.byID[l.Worker]
+// applyListing adds or updates a worker.
+func (f *fleet) applyListing(now time.Duration, listing WorkerListing) {
+	w := f.byID[listing.Worker]
 	if w == nil {
-		w = f.newWorker(now, l.Worker)
-		f.byID[l.Worker] = w
+		w = f.newWorker(now, listing.Worker)
+		f.byID[listing.Worker] = w
 		f.workers = append(f.workers, w)
-	} else if w.startedAt != l.Started {
-		w.profile.reset() // it restarted: its samples are void
-		w.reported, w.warmupTokens, w.lastSeenAt, w.refusing = false, 0, 0, false
-		clear(w.health)
+	} else if w.startedAt != listing.Started {
+		w.delays.reset() // it restarted: its samples are no longer valid
+		w.hasReport, w.warmupTokens, w.lastSeenAt, w.rejectsProbes = false, 0, 0, false
+		clear(w.failureRates)
 	}
-	w.zone, w.kind, w.cell, w.state, w.startedAt = l.Zone, l.Kind, l.Cell, l.State, l.Started
+	w.zone, w.kind, w.cell = listing.Zone, listing.Kind, listing.Cell
+	w.state, w.startedAt = listing.State, listing.Started
 	if w.warmupTokens == 0 {
-		// All dispatchers learn of a start together: a random overdraft spreads their first jobs.
+		// All balancers learn of a start at the same time. A random overdraft spreads their first jobs.
 		w.warmupTokens, w.warmupTokensAt = -f.rng.Float64(), now
 	}
 }
 
 func (f *fleet) newWorker(now time.Duration, id WorkerID) *worker {
-	w := &worker{id: id, warmupTokensAt: now, health: make([]stats.FailureRate, len(f.health))}
-	w.profile.sampleLifetime = f.jitter(sampleLifetime)
-	w.profile.reset()
+	w := &worker{id: id, warmupTokensAt: now, failureRates: make([]stats.FailureRate, len(f.failureRates))}
+	w.delays.sampleLifetime = f.jitter(sampleLifetime)
+	w.delays.reset()
 	return w
 }
 
-// jitter varies a duration at random, so that dispatchers do not act in step.
+// jitter varies a duration at random, so that balancers do not act at the same time.
 func (f *fleet) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + jitterFraction*(2*f.rng.Float64()-1)))
 }
 
-// subscribeDelay returns the time until the next subscription.
+// subscribeDelay returns the delay until the next call that subscribes to the worker list.
 func (f *fleet) subscribeDelay() time.Duration {
-	// A change must be known 6 s after the service is reachable again, however often calls failed: a lost call
-	// takes 2.4 s, the next follows within 1.5 s, and its answer may take 2 s.
-	spread := min(1, float64(f.settings.Balancers)/fullSpreadDispatchers)
+	// A change must be known 6 s after the discovery service is reachable again, however many calls failed: a
+	// lost call takes 2.4 s, the next call follows within 1.5 s, and its response may take 2 s.
+	spread := min(1, float64(f.settings.Balancers)/fullSpreadBalancers)
 	switch f.subscribeAttempts {
 	case 0:
-		most := min(f.settings.Rules.SubscribeWithin/subscribeSpread, 3*resubscribeDelay)
-		return time.Duration(f.rng.Float64() * spread * float64(most))
-	case 1: // the first that failed
+		maxDelay := min(f.settings.Rules.SubscribeWithin/subscribeSpreadDivisor, 3*resubscribeDelay)
+		return time.Duration(f.rng.Float64() * spread * float64(maxDelay))
+	case 1: // the first retry, or a subscription that ended
 		return time.Duration(f.rng.Float64() * spread * float64(resubscribeDelay*3/2))
 	}
-	return time.Duration((halfSlot + f.rng.Float64()) * float64(resubscribeDelay))
+	return time.Duration((0.5 + f.rng.Float64()) * float64(resubscribeDelay))
 }
 
 // isReady enforces rule 3: only workers listed as ready get requests.
-func (f *fleet) isReady(w *worker) bool { return w.state == Ready && !w.refusing }
+func (f *fleet) isReady(w *worker) bool { return w.state == Ready && !w.rejectsProbes }
 
-// listStale reports whether the list is unconfirmed, so that a probe's answer is newer.
+// listStale reports whether the list has not been confirmed for so long that probes are more up to date.
 func (f *fleet) listStale(now time.Duration) bool {
-	return f.settings.SubscribeDiscovery && !f.subscribed && now-f.listedAt > staleAfter
+	return f.settings.SubscribeDiscovery && !f.subscribed && now-f.listConfirmedAt > listStaleAfter
 }
 
-// warmCapacity returns the fraction of its capacity that a worker has at least.
-func (f *fleet) warmCapacity(now time.Duration, w *worker) float64 {
+// capacityFraction returns the least fraction of its full capacity that a worker has by now.
+func (f *fleet) capacityFraction(now time.Duration, w *worker) float64 {
 	rules := f.settings.Rules
 	age := now - w.startedAt
 	if w.startedAt == 0 || age >= rules.WarmupTime || rules.WarmupTime == 0 {
@@ -166,101 +168,109 @@
 	return rules.InitialCapacity + (1-rules.InitialCapacity)*max(0, float64(age))/float64(rules.WarmupTime)
 }
 
-// withinWarmupBudget enforces rule 4: a warming-up worker gets no more than this dispatcher's budget.
+// withinWarmupBudget enforces rule 4: a warming-up worker gets no more work, in slot-seconds, than this
+// balancer's share of its budget.
 func (f *fleet) withinWarmupBudget(now time.Duration, w *worker, cost float64) bool {
-	rules, part := f.settings.Rules, f.warmCapacity(now, w)
-	if part >= 1 {
+	rules, capacity := f.settings.Rules, f.capacityFraction(now, w)
+	if capacity >= 1 {
 		return true
 	}
-	f.refill(now, w, part)
-	budget := rules.OverloadMultiple * part * f.slotsOf(w) * rules.OverloadTime.Seconds()
+	f.refillWarmupBudget(now, w, capacity)
+	budget := rules.OverloadMultiple * capacity * f.slotsOf(w) * rules.OverloadTime.Seconds()
 	return w.warmupTokens > 0 && cost <= maxJobBudgetFraction*budget
 }
 
-// refill adds a warming-up worker's budget for the time since the last call.
-func (f *fleet) refill(now time.Duration, w *worker, part float64) {
+// refillWarmupBudget adds the budget of a warming-up worker for the time since the last call.
+func (f *fleet) refillWarmupBudget(now time.Duration, w *worker, capacity float64) {
 	rules := f.settings.Rules
-	rate := warmupBudgetFraction * rules.OverloadMultiple * part * f.slotsOf(w) / float64(f.settings.Balancers)
+	rate := warmupBudgetFraction * rules.OverloadMultiple * capacity * f.slotsOf(w) /
+		float64(f.settings.Balancers)
 	w.warmupTokens = min(w.warmupTokens+rate*(now-w.warmupTokensAt).Seconds(), rate*rules.OverloadTime.Seconds())
 	w.warmupTokensAt = now
 }
 
-// spendWarmupBudget charges a send. Rejected sends count, too.
+// spendWarmupBudget charges a send to the budget of a warming-up worker. Sends that are rejected later count,
+// too.
 func (f *fleet) spendWarmupBudget(now time.Duration, w *worker, cost float64) {
-	if part := f.warmCapacity(now, w); part < 1 {
-		f.refill(now, w, part)
+	if capacity := f.capacityFraction(now, w); capacity < 1 {
+		f.refillWarmupBudget(now, w, capacity)
 		w.warmupTokens -= cost
 	}
 }
 
-// slotsOf returns a worker's slots, as far as reports have shown.
+// slotsOf estimates the slots of a worker by the most free slots that were ever reported of it or its kind.
 func (f *fleet) slotsOf(w *worker) float64 {
 	return max(1, w.maxFree, f.kindFree[w.kind])
 }
 
 // recordReport records a worker's load report.
 func (f *fleet) recordReport(now time.Duration, w *worker, values []float32) {
-	seen := f.settings.parseReport(values)
-	free, ok := seen[FieldFreeSlots]
+	fields := f.settings.parseReport(values)
+	free, ok := fields[FieldFreeSlots]
 	if !ok {
 		return
 	}
 	w.maxFree = max(w.maxFree, math.Round(free))
 	f.kindFree[w.kind] = max(f.kindFree[w.kind], w.maxFree)
-	free -= f.queuedSlots(w, free, seen)
+	free -= f.queuedSlots(w, free, fields)
 	stats.Of(f.meanFree, w.kind).Add(free, reportSamples)
 	free += w.inFlightSlots
-	if w.reported {
+	if w.hasReport {
 		free = (free + w.reportedFree) / 2
 	}
-	w.reported, w.reportedAt, w.reportedFree = true, now, free
+	w.hasReport, w.reportedAt, w.reportedFree = true, now, free
 }
 
-// queuedSlots returns the slots that a worker's queued jobs want: reported free slots are never negative.
-func (f *fleet) queuedSlots(w *worker, free float64, seen map[ReportField]float64) float64 {
-	each := f.jobSlots.Or(1, 1)
-	if waiting, ok := seen[FieldBacklog]; ok {
-		if waiting > halfSlot && f.settings.QueueOrder == FIFO {
-			return max(0, free) + waiting*each // the queue's head waits for more than what is free
+// queuedSlots returns the slots that a worker's queued jobs need. They are subtracted from its reported free
+// slots, which are never negative.
+func (f *fleet) queuedSlots(w *worker, free float64, fields map[ReportField]float64) float64 {
+	slotsPerJob := f.jobSlots.Or(1, 1)
+	if backlog, ok := fields[FieldBacklog]; ok {
+		if backlog > reportTolerance && f.settings.QueueOrder == FIFO {
+			return max(0, free) + backlog*slotsPerJob // the first job in the queue needs more than the free slots
 		}
-		return waiting * each
+		return backlog * slotsPerJob
 	}
-	return max(0, seen[FieldOutstanding]*each-(f.slotsOf(w)-free)) // 0 without that field
+	return max(0, fields[FieldOutstanding]*slotsPerJob-(f.slotsOf(w)-free)) // 0 if the field is missing
 }
 
-// freeSlots estimates the slots free now: a report decays towards the mean of the worker's kind within the
-// mean run time. Messages of most peers are fresher than any report.
+// freeSlots estimates the slots that are free now. The last report decays towards the mean of the worker's
+// kind, with the mean run time as time constant. Messages from most peers are used instead of any report, as
+// they are more recent.
 func (f *fleet) freeSlots(now time.Duration, w *worker, meanRun float64) float64 {
 	if peers := f.settings.Balancers - 1; f.freshPeers*2 > peers && peers > 0 {
 		return f.slotsOf(w) - w.inFlightSlots - w.peerSlots*float64(peers)/float64(f.freshPeers)
 	}
 	mean := stats.Of(f.meanFree, w.kind).Or(f.slotsOf(w), 1)
-	if !w.reported {
+	if !w.hasReport {
 		return mean - w.inFlightSlots
 	}
 	weight := math.Exp(-(now - w.reportedAt).Seconds() / max(meanRun, 0.001))
 	return mean + (w.reportedFree-mean)*weight - w.inFlightSlots
 }
 
-// recordFull records a rejection: whatever the worker last reported, no slot is free.
+// recordFull records that a worker rejected a job as full: whatever it last reported, no slot is free.
 func (f *fleet) recordFull(now time.Duration, w *worker, meanRun float64) {
 	free := min(0, f.freeSlots(now, w, meanRun))
-	w.reported, w.reportedAt, w.reportedFree = true, now, free+w.inFlightSlots
+	w.hasReport, w.reportedAt, w.reportedFree = true, now, free+w.inFlightSlots
 }
 
-// recordHealth records an outcome, over all classes and for its own: some faults hit one class alone.
-func (f *fleet) recordHealth(now time.Duration, w *worker, class int, failed bool) {
-	for _, of := range [][]stats.FailureRate{w.health, f.health} {
-		of[0].Add(now, healthDecay, failed)
-		of[1+class].Add(now, healthDecay, failed)
+// recordResult records a success or failure for all classes and for the request's class, as some faults
+// affect a single class.
+func (f *fleet) recordResult(now time.Duration, w *worker, class int, failed bool) {
+	for _, rates := range [][]stats.FailureRate{w.failureRates, f.failureRates} {
+		rates[0].Add(now, failureDecayTime, failed)
+		rates[1+class].Add(now, failureDecayTime, failed)
 	}
 }
 
-// failureProbability estimates the probability of a failure at a worker, relative to the fleet's.
-func (f *fleet) failureProbability(now time.Duration, w *worker, class int) (chance float64) {
-	for _, at := range [2]int{0, 1 + class} {
-		prior := max(minFailureRate, f.health[at].Probability(f.health[at].At, healthDecay, 0, healthPrior))
-		chance = max(chance, w.health[at].Probability(now, healthDecay, prior, healthPrior))
+// failureProbability estimates the probability that a request of a class fails at a worker. The failure rate
+// of the fleet is the prior, so that a failure of all workers does not make one look worse than another.
+func (f *fleet) failureProbability(now time.Duration, w *worker, class int) (probability float64) {
+	for _, i := range [2]int{0, 1 + class} {
+		ofFleet, ofWorker := &f.failureRates[i], &w.failureRates[i]
+		prior := max(minFailureRate, ofFleet.Probability(ofFleet.At, failureDecayTime, 0, failurePriorOutcomes))
+		probability = max(probability, ofWorker.Probability(now, failureDecayTime, prior, failurePriorOutcomes))
 	}
-	return chance
+	return probability
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -9,14 +9,14 @@
 )
 
 // A worker that fails fast looks idle and would attract all jobs.
-func TestBalancer_avoidsFailingWorker(t *testing.T) {
-	b := busyBalancer(t, ruleSettings(0))
+func TestFleet_failureProbability_risesAfterFailure(t *testing.T) {
+	b := newBusyBalancer(t, testSettings(0))
 	w := b.fleet.workers[0]
 	for range 100 {
-		b.fleet.recordHealth(0, b.fleet.workers[1], 0, false)
+		b.fleet.recordResult(0, b.fleet.workers[1], 0, false)
 	}
 	before := b.fleet.failureProbability(0, w, 0)
-	b.fleet.recordHealth(0, w, 0, true)
+	b.fleet.recordResult(0, w, 0, true)
 	after := b.fleet.failureProbability(0, w, 0)
 	if after < 10*before {
 		t.Errorf("failure probability %v after a failure, %v before", after, before)
@@ -27,22 +27,22 @@
 }
 
 // When most workers fail, none must look much worse than the rest.
-func TestBalancer_fleetWideFailureAvoidsNobody(t *testing.T) {
-	b := busyBalancer(t, ruleSettings(0))
+func TestFleet_failureProbability_relativeToFleet(t *testing.T) {
+	b := newBusyBalancer(t, testSettings(0))
 	for range 20 {
 		for _, w := range b.fleet.workers {
-			b.fleet.recordHealth(0, w, 0, true)
+			b.fleet.recordResult(0, w, 0, true)
 		}
 	}
-	spared := &worker{health: make([]stats.FailureRate, len(b.fleet.health))}
+	spared := &worker{failureRates: make([]stats.FailureRate, len(b.fleet.failureRates))}
 	if tried, other := b.fleet.failureProbability(0, b.fleet.workers[0], 0), b.fleet.failureProbability(0, spared, 0); tried > 1.5*other {
 		t.Errorf("failure probability %v at a used worker, %v at an unused one", tried, other)
 	}
 }
 
 // A rejection by a worker that seemed free counts as a failure: such a worker once attracted 85 times the mean.
-func TestBalancer_unexpectedFullIsRecorded(t *testing.T) {
-	b := busyBalancer(t, ruleSettings(0))
+func TestBalancer_unexpectedFullCountsAsFailure(t *testing.T) {
+	b := newBusyBalancer(t, testSettings(0))
 	a := &b.requests[1].attempts[0]
 	a.freeSlots = 4
 	before := b.fleet.failureProbability(0, a.worker, 0)
@@ -53,8 +53,8 @@
 }
 
 // A worker without a recent report is assumed to have its kind's mean load, not the fleet's.
-func TestFleet_freeSlots_ageTowardsKindMean(t *testing.T) {
-	b := busyBalancer(t, ruleSettings(0))
+func TestFleet_freeSlots_unreportedWorkerHasKindMean(t *testing.T) {
+	b := newBusyBalancer(t, testSettings(0))
 	busy, idle := b.fleet.workers[0], b.fleet.workers[1]
 	busy.kind, idle.kind = 1, 2
 	for range 50 {
@@ -67,17 +67,17 @@
 	}
 }
 
-func TestBalancer_resubscribes(t *testing.T) {
-	s := ruleSettings(0)
+func TestBalancer_resubscribesAfterFailedCall(t *testing.T) {
+	s := testSettings(0)
 	s.SubscribeDiscovery = true
-	st := &stream{b: balancer(t, s, 3), c: newChecker(s), rng: rand.New(rand.NewPCG(1, 1))}
-	st.handle(listOf(ListCached, 4))
+	st := &driver{balancer: newTestBalancer(t, s, 3), checker: newChecker(s), rng: rand.New(rand.NewPCG(1, 1))}
+	st.handle(workerList(ListCached, 4))
 	var asks []time.Duration
 	for st.now < time.Minute {
 		st.now += 5 * time.Millisecond
-		n := countOf[Subscribe](st.trace)
-		st.fire()
-		if countOf[Subscribe](st.trace) > n {
+		n := countActions[Subscribe](st.actions)
+		st.fireTimers()
+		if countActions[Subscribe](st.actions) > n {
 			asks = append(asks, st.now)
 			st.handle(ListUpdate{Kind: ListFailed})
 		}
@@ -93,16 +93,16 @@
 }
 
 // A worker that fails one class alone is avoided for it and preferred no less for the others.
-func TestFleet_healthIsByClass(t *testing.T) {
-	b := balancer(t, ruleSettings(0), 1)
-	b.Handle(0, listOf(ListFull, 3))
+func TestFleet_failureProbability_byClass(t *testing.T) {
+	b := newTestBalancer(t, testSettings(0), 1)
+	b.Handle(0, workerList(ListFull, 3))
 	failing, well := b.fleet.workers[0], b.fleet.workers[1]
 	for range 8 {
-		b.fleet.recordHealth(0, failing, 0, false)
-		b.fleet.recordHealth(0, well, 0, false)
-		b.fleet.recordHealth(0, well, 4, false)
+		b.fleet.recordResult(0, failing, 0, false)
+		b.fleet.recordResult(0, well, 0, false)
+		b.fleet.recordResult(0, well, 4, false)
 	}
-	b.fleet.recordHealth(0, failing, 4, true)
+	b.fleet.recordResult(0, failing, 4, true)
 	if got, other := b.fleet.failureProbability(0, failing, 4), b.fleet.failureProbability(0, well, 4); got < 0.2 || got < 10*other {
 		t.Errorf("failure probability %.3f at the failing worker, %.3f at another", got, other)
 	}
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -8,35 +8,36 @@
 
 const (
 	keySamples    = 2048. // requests with a key after which the counts are halved
-	keyPrior      = 16.   // requests of other keys assumed
-	homeHeadroom  = 1.5   // homes per home that a key's request share needs: not all are free at once
-	fetchCostRuns = 4.    // cost of a fetch in mean run times, evictions and load on the store included
+	keyPrior      = 16.   // number of requests of other keys that is assumed at first
+	homeHeadroom  = 1.5   // homes relative to those that the key's share needs: not all are free at once
+	fetchCostRuns = 4.    // cost of a fetch, evictions and load on the store included, in mean run times
 )
 
-// A worker caches the data of a few keys and fetches that of others from a shared store. So a key has
-// affinity to its homes: all dispatchers compute the same order of workers for a key (rendezvous hashing),
-// and as many of the first are homes as its share of the requests needs. Overflow goes to the next ones.
+// A worker caches the data of a few keys and fetches other data from a shared store. Therefore a key has
+// affinity to some workers, its homes: all balancers compute the same order of workers for a key (rendezvous
+// hashing), and as many workers from its start are homes as the key's share of the requests needs. Overflow
+// goes to the next workers in the order.
 
-// nearness returns a worker's expected position in a key's order; the least is the first home.
-func (f *fleet) nearness(key uint64, w *worker) float64 {
+// keyRank returns the expected rank of a worker in a key's order. The worker of least rank is the first home.
+func (f *fleet) keyRank(key uint64, w *worker) float64 {
 	return estimate.RendezvousRank(key, uint64(w.id), len(f.workers))
 }
 
-// assignHomes sets how far down its key's order a request's homes go. Without a key all workers are homes.
-func (b *Balancer) assignHomes(r *request) {
-	if r.homeRange = math.Inf(1); r.Key == 0 {
+// setMaxHomeRank sets the rank up to which workers are homes of a request's key. Without a key all are.
+func (b *Balancer) setMaxHomeRank(r *request) {
+	if r.maxHomeRank = math.Inf(1); r.Key == 0 {
 		return
 	}
 	for _, w := range b.fleet.workers {
 		if b.fleet.isReady(w) {
-			r.homeRange = min(r.homeRange, b.fleet.nearness(r.Key, w))
+			r.maxHomeRank = min(r.maxHomeRank, b.fleet.keyRank(r.Key, w))
 		}
 	}
-	r.homeRange += b.keyShares.Add(r.Key, keySamples, keyPrior) * homeHeadroom * float64(len(b.fleet.workers))
+	r.maxHomeRank += b.keyShares.Add(r.Key, keySamples, keyPrior) * homeHeadroom * float64(len(b.fleet.workers))
 }
 
-// fetchCost returns the expected cost, in seconds, of a cache miss of the request's key at a worker.
+// fetchCost returns the expected cost, in seconds, of fetching the data of the request's key at a worker.
 func (b *Balancer) fetchCost(r *request, w *worker) float64 {
-	chance := 1 - 1/(1+max(0, b.fleet.nearness(r.Key, w)-r.homeRange))
-	return chance * fetchCostRuns * b.estimator.run.Or(b.estimator.sizeOf(r.job), 1)
+	missProbability := 1 - 1/(1+max(0, b.fleet.keyRank(r.Key, w)-r.maxHomeRank))
+	return missProbability * fetchCostRuns * b.estimator.meanRun.Or(b.estimator.sizeOf(r.job), 1)
 }
--- a/balance/homes_test.go
+++ b/balance/homes_test.go
@@ -8,22 +8,22 @@
 
 // keyedRequest sends requests of a key, one after the other, through dispatchers that share nothing, and returns how many
 // each worker got. served reports whether a request has ended before the next.
-func keyedRequest(t *testing.T, dispatchers, requests int, key func(i int) uint64, served bool) map[WorkerID]int {
+func sendKeyedRequests(t *testing.T, dispatchers, requests int, key func(i int) uint64, served bool) map[WorkerID]int {
 	t.Helper()
-	s := ruleSettings(0)
+	s := testSettings(0)
 	s.Limits.Probes = false
-	all := make([]*stream, dispatchers)
+	all := make([]*driver, dispatchers)
 	for i := range all {
-		all[i] = &stream{b: balancer(t, s, uint64(i)+1), c: newChecker(s), rng: rand.New(rand.NewPCG(1, 1)), now: time.Second}
-		all[i].handle(listOf(ListFull, 24))
+		all[i] = &driver{balancer: newTestBalancer(t, s, uint64(i)+1), checker: newChecker(s), rng: rand.New(rand.NewPCG(1, 1)), now: time.Second}
+		all[i].handle(workerList(ListFull, 24))
 	}
 	got := map[WorkerID]int{}
 	for i := range requests {
 		st := all[i%dispatchers]
 		st.now += 5 * time.Second // what was learned of workers one by one is forgotten
-		from, id := len(st.trace), RequestID(i+1)
+		from, id := len(st.actions), RequestID(i+1)
 		st.handle(Request{ID: id, Key: key(i), Slots: 1, Deadline: st.now + 4*time.Second})
-		for _, a := range st.trace[from:] {
+		for _, a := range st.actions[from:] {
 			if send, ok := a.(Send); ok {
 				got[send.Worker]++
 				if served {
@@ -39,10 +39,10 @@
 
 // Dispatchers without communication send a key's requests to the same few workers, and other keys' to others. Otherwise
 // each worker would fetch every key's data from the shared store.
-func TestHomes_requestsOfOneKeyGoTogether(t *testing.T) {
+func TestHomes_requestsOfOneKeyShareWorkers(t *testing.T) {
 	homes := map[WorkerID]bool{}
 	for key := range uint64(30) {
-		got, most := keyedRequest(t, 40, 40, func(int) uint64 { return key + 1 }, true), 0
+		got, most := sendKeyedRequests(t, 40, 40, func(int) uint64 { return key + 1 }, true), 0
 		for id, n := range got {
 			if n > most {
 				most, homes[id] = n, true
@@ -59,7 +59,7 @@
 
 // A hot key gets as many homes as its share of the requests needs; a single one would have all of them in its queue.
 func TestHomes_hotKeyHasManyHomes(t *testing.T) {
-	hot := keyedRequest(t, 1, 600, func(i int) uint64 {
+	hot := sendKeyedRequests(t, 1, 600, func(i int) uint64 {
 		if i%2 == 0 {
 			return 1
 		}
@@ -78,7 +78,7 @@
 // Overflow goes to the next workers of the key's order, the same for all dispatchers: they are busy with the key, too, but
 // cache its data.
 func TestHomes_overflowOrderIsShared(t *testing.T) {
-	got := keyedRequest(t, 10, 60, func(int) uint64 { return 9 }, false)
+	got := sendKeyedRequests(t, 10, 60, func(int) uint64 { return 9 }, false)
 	if len(got) < 2 || len(got) > 8 {
 		t.Errorf("six of each of ten dispatchers, none ended, went to %d workers: %v", len(got), got)
 	}
@@ -86,7 +86,7 @@
 
 // Requests without a key have no affinity.
 func TestHomes_noneWithoutKey(t *testing.T) {
-	if got := keyedRequest(t, 40, 40, func(int) uint64 { return 0 }, true); len(got) < 12 {
+	if got := sendKeyedRequests(t, 40, 40, func(int) uint64 { return 0 }, true); len(got) < 12 {
 		t.Errorf("40 requests without a key went to %d workers", len(got))
 	}
 }
@@ -95,14 +95,14 @@
 func BenchmarkDecisionAmong200(b *testing.B) {
 	for name, keys := range map[string]uint64{"keyed": 1000, "keyless": 1} {
 		b.Run(name, func(b *testing.B) {
-			s := ruleSettings(0)
+			s := testSettings(0)
 			s.Balancers, s.Limits.Probes = 300, true
 			d, err := New(s, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Second
-			d.Handle(now, listOf(ListFull, 200))
+			d.Handle(now, workerList(ListFull, 200))
 			id := RequestID(0)
 			for b.Loop() {
 				id++
--- a/balance/load_message.go
+++ b/balance/load_message.go
@@ -7,13 +7,15 @@
 	"ospreybend/internal/util/stats"
 )
 
-// The load message to peers is a list of entries of three bytes: a worker's tag, little-endian, and the slots in
-// flight there, at most 255. A receiver ignores unknown tags and a partial entry at the end.
+// The load message to peers is a list of three-byte entries: the tag of a worker (two bytes, little-endian)
+// and the slots of the sender's jobs in flight there (one byte, at most 255). A receiver ignores unknown tags
+// and an incomplete entry at the end.
 
-// workerTag identifies a worker in messages, in two bytes.
+// workerTag returns a hash of a worker's ID, which identifies it in load messages.
 func workerTag(id WorkerID) uint16 { return uint16(stats.Mix(uint64(id))) }
 
-// encodeLoad encodes the slots that this dispatcher has in flight, by worker.
+// encodeLoad encodes the slots of this balancer's jobs in flight, by worker. Workers that do not fit into
+// messageBytes are left out.
 func (f *fleet) encodeLoad() []byte {
 	var message []byte
 	for _, w := range f.workers {
--- a/balance/peers_test.go
+++ b/balance/peers_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-func TestFleet_peerLoadCounts(t *testing.T) {
-	s := ruleSettings(0)
+func TestFleet_applyPeerLoad(t *testing.T) {
+	s := testSettings(0)
 	s.Balancers = 2
-	teller, hearer := busyBalancer(t, s), balancer(t, s, 2)
-	hearer.Handle(0, listOf(ListFull, 4))
+	teller, hearer := newBusyBalancer(t, s), newTestBalancer(t, s, 2)
+	hearer.Handle(0, workerList(ListFull, 4))
 	at := teller.requests[1].attempts[0].worker.id
 	hearer.Handle(0, PeerMessage{From: 1, Payload: teller.fleet.encodeLoad()})
 	hearer.Handle(0, PeerMessage{From: 1, Payload: append(teller.fleet.encodeLoad(), 9)})
@@ -24,23 +24,23 @@
 }
 
 // The cost of all messages per request is bounded, at the low request rate of a large fleet and at that of a small one.
-func TestFleet_messageInterval_followsPrice(t *testing.T) {
+func TestFleet_messageInterval_boundsCost(t *testing.T) {
 	for _, of := range []struct{ nodes, perSecond int }{{300, 1}, {60, 1}, {3, 30}} {
-		s := ruleSettings(0)
+		s := testSettings(0)
 		s.Balancers, s.Costs.Message = of.nodes, 0.0099
 		requests, price := 0, 0.0
 		for i := range of.nodes {
 			s.Ordinal = i
-			st := &stream{b: balancer(t, s, uint64(i)), c: newChecker(s), rng: rand.New(rand.NewPCG(uint64(i), 3))}
-			st.handle(listOf(ListFull, 8))
+			st := &driver{balancer: newTestBalancer(t, s, uint64(i)), checker: newChecker(s), rng: rand.New(rand.NewPCG(uint64(i), 3))}
+			st.handle(workerList(ListFull, 8))
 			for st.now = 0; st.now < 10*time.Second; st.now += 10 * time.Millisecond {
-				st.fire()
+				st.fireTimers()
 				if st.rng.IntN(100) < of.perSecond {
-					requests, st.next = requests+1, st.next+1
-					st.handle(Request{ID: st.next, Slots: 1, Deadline: st.now + 4*time.Second})
+					requests, st.lastRequest = requests+1, st.lastRequest+1
+					st.handle(Request{ID: st.lastRequest, Slots: 1, Deadline: st.now + 4*time.Second})
 				}
 			}
-			for _, a := range st.trace {
+			for _, a := range st.actions {
 				if a, ok := a.(SendToPeers); ok {
 					price += s.Costs.Message * float64(len(a.Payload)+messageOverhead) / messageBytes * float64(of.nodes-1)
 				}
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -7,54 +7,57 @@
 )
 
 const (
-	queuePollInterval   = 20 * time.Millisecond // a queued request is placed again this often
-	pollsPerRun         = 8.                    // attempts to place it in a mean run time, where that is longer
-	maxPollDoublings    = 3                     // doublings of that interval at most
-	unseenDiscount      = 0.5                   // factor on the total of an idle worker that never answered
-	tieMargin           = 0.01                  // totals within this fraction of the least are ties
+	queuePollInterval   = 20 * time.Millisecond // least interval between attempts to place a queued request
+	pollsPerRun         = 8.                    // such attempts per mean run time, if that interval is longer
+	maxPollDoublings    = 3                     // doublings of the interval at most
+	unusedWorkerFactor  = 0.5                   // on the cost of an idle worker that never answered
+	tieMargin           = 0.01                  // costs within this fraction of the least are ties
 	allowedWaitFraction = 0.1                   // fraction of its time left that any job may wait at a worker
-	maxFullProbability  = 0.5                   // queue a job that would be rejected with a higher probability
-	lateCredit          = 0.25                  // fraction of the time past the target that late value buys
+	maxFullProbability  = 0.5                   // a job that is more likely to be rejected as full is queued
+	lateTimeFraction    = 0.25                  // part of the time after the target that counts at LateValue 1
 )
 
-// place sends a request to the worker with the least total cost, queues it, or rejects it.
+// place sends a request to the worker of least cost, queues it, or rejects it.
 func (b *Balancer) place(now time.Duration, r *request) {
-	if r == nil || r.over || r.inFlight > 0 {
+	if r == nil || r.finished || r.inFlight > 0 {
 		return
 	}
 	maySend, mayReject := b.permit(now, r)
 	if !maySend {
-		b.rejectOrFail(now, r, b.estimator.run.Or(0, 0))
+		b.rejectOrFail(now, r, b.estimator.meanRun.Or(0, 0))
 		return
 	}
 	f, ok := b.choose(now, r)
-	run := b.estimator.sizeOf(r.job) * min(1, b.estimator.allSlowdown.Or(1, 1)) // at the usual speed
-	wait, left := f.delay-f.run, b.timeLeft(now, r)
-	infeasible := wait+run > left // at the usual speed: one slow job must not make all look infeasible
+	run := b.estimator.sizeOf(r.job) * min(1, b.estimator.allSlowdown.Or(1, 1))
+	wait, remaining := f.delay-f.unqueuedDelay, b.timeLeft(now, r)
+	// The run time counts at the usual speed, as one slow job must not make all requests look infeasible.
+	infeasible := wait+run > remaining
 	switch {
-	case ok && b.probe(now, r, f):
-	case !ok && run > left:
-		b.rejectOrFail(now, r, b.estimator.run.Or(0, 0)) // queued until its deadline became infeasible
+	case ok && b.sendProbes(now, r, f):
+	case !ok && run > remaining:
+		b.rejectOrFail(now, r, b.estimator.meanRun.Or(0, 0)) // its target became infeasible in the queue
 	case !ok:
 		b.enqueue(now, r)
-	case b.inFlight == 0: // a dispatcher that rejects all by a wrong estimate would never correct it
+	case b.inFlight == 0: // a balancer that rejects all requests by a wrong estimate would never correct it
 		b.send(now, r, f)
-	case infeasible && mayReject && (!r.probingDone || run > left): // workers not probed may have free slots
-		b.rejectOrFail(now, r, wait+run-left)
-	case infeasible && r.probingDone, f.full > maxFullProbability,
-		wait > max(b.queueingTolerance(r), left*allowedWaitFraction):
+	case infeasible && mayReject && (!r.probingDone || run > remaining):
+		// After probes it is queued below: the workers that were not probed may have free slots.
+		b.rejectOrFail(now, r, wait+run-remaining)
+	case infeasible && r.probingDone, f.fullProbability > maxFullProbability,
+		wait > max(b.maxQueueWait(r), remaining*allowedWaitFraction):
 		b.enqueue(now, r)
 	default:
 		b.send(now, r, f)
 	}
 }
 
-// queueingTolerance returns the queue wait, in seconds, that a job may be sent into: the slack of the
-// tightest class of the same or higher value. Jobs with more slack wait here, lest they make that class late.
-func (b *Balancer) queueingTolerance(r *request) float64 {
+// maxQueueWait returns the longest predicted queue wait, in seconds, for which a job is sent to a worker: the
+// slack of the strictest class of the same or a higher value. Jobs with more slack wait in this balancer's
+// queue, as in a worker's queue they would make the jobs of that class late.
+func (b *Balancer) maxQueueWait(r *request) float64 {
 	tolerance := math.Inf(1)
 	for i := range b.settings.Classes {
-		c, size := &b.settings.Classes[i], &b.estimator.size[i]
+		c, size := &b.settings.Classes[i], &b.estimator.classSize[i]
 		if c.Value >= r.class.Value && (size.N > 0 || c == r.class) {
 			slack := (c.TargetStretch - b.estimator.allSlowdown.Or(1, 1)) * size.Or(b.estimator.sizeOf(r.job), 0)
 			tolerance = min(tolerance, c.LatencyTarget.Seconds()+slack)
@@ -63,141 +66,150 @@
 	return max(tolerance, 0)
 }
 
-// timeLeft returns the time, in seconds, in which an answer still has value; late answers count by theirs.
+// timeLeft returns the time, in seconds, in which a response still has value. The time after the latency
+// target counts in part, in proportion to LateValue.
 func (b *Balancer) timeLeft(now time.Duration, r *request) float64 {
-	end := (r.Deadline - now).Seconds()
-	untilTarget := min(end, b.latencyTarget(r)-(now-r.arrived).Seconds())
-	return untilTarget + lateCredit*r.class.LateValue*(end-untilTarget)
+	untilDeadline := (r.Deadline - now).Seconds()
+	untilTarget := min(untilDeadline, b.latencyTarget(r)-(now-r.arrived).Seconds())
+	return untilTarget + lateTimeFraction*r.class.LateValue*(untilDeadline-untilTarget)
 }
 
-// enqueue queues a request until it can be placed, with growing intervals between the attempts.
+// enqueue queues a request. It is placed again at growing intervals.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	r.probingDone = false
-	step := max(queuePollInterval, time.Duration(b.estimator.run.Or(0, 0)/pollsPerRun*float64(time.Second)))
-	r.retryAt = now + step<<min(r.queueRounds, maxPollDoublings)
-	r.queueRounds++
+	pollsInterval := time.Duration(b.estimator.meanRun.Or(0, 0) / pollsPerRun * float64(time.Second))
+	interval := max(queuePollInterval, pollsInterval)
+	r.retryAt = now + interval<<min(r.timesQueued, maxPollDoublings)
+	r.timesQueued++
 	b.appendToQueue(r)
 }
 
+// appendToQueue appends a request to the queue and starts the queue's timer if it is not set.
 func (b *Balancer) appendToQueue(r *request) {
 	r.queued, b.queue = true, append(b.queue, r)
-	if !b.wakeScheduled {
-		b.wakeScheduled = true
+	if !b.queueTimerSet {
+		b.queueTimerSet = true
 		b.schedule(queuePollInterval, b.retryQueued)
 	}
 }
 
-// retryQueued places the queued requests that are due, oldest first. A class that finds no worker is skipped.
+// retryQueued places the queued requests that are due, oldest first. Once a request that was never sent finds
+// no worker, others of its class that were never sent are skipped.
 func (b *Balancer) retryQueued(now time.Duration) {
-	b.wakeScheduled = false
+	b.queueTimerSet = false
 	queue := b.queue
 	b.queue = nil
 	blocked := make([]bool, len(b.settings.Classes))
 	for _, r := range queue {
-		fresh := len(r.attempts) == 0
+		neverSent := len(r.attempts) == 0
 		switch {
-		case r.over:
-		case now < r.retryAt || fresh && blocked[r.Class]:
+		case r.finished:
+		case now < r.retryAt || neverSent && blocked[r.Class]:
 			b.appendToQueue(r)
 		default:
 			r.queued = false
 			b.place(now, r)
-			blocked[r.Class] = blocked[r.Class] || fresh && r.queued
+			blocked[r.Class] = blocked[r.Class] || neverSent && r.queued
 		}
 	}
 }
 
-// forecast predicts a request at a worker. Times are in seconds.
+// forecast is the prediction for a request at a worker. Times are in seconds.
 type forecast struct {
-	worker *worker
-	total  float64 // the cost that workers are compared by
-	delay  float64 // from the send to the answer
-	run    float64 // transfer and run time, without queue wait
-	full   float64 // probability that the worker rejects it as full
-	free   float64 // slots free now
-	cost   float64 // slot-seconds of work
+	worker          *worker
+	totalCost       float64 // the cost that workers are compared by
+	delay           float64 // from the send to the answer
+	unqueuedDelay   float64 // transfer and run time, without queue wait
+	fullProbability float64 // probability that the worker rejects it as full
+	freeSlots       float64 // slots free now
+	work            float64 // slot-seconds of work
 }
 
-// choose returns the forecast of the least total among the eligible workers.
+// choose returns the forecast of least cost among the eligible workers, if there is any. Ties are broken at
+// random.
 func (b *Balancer) choose(now time.Duration, r *request) (forecast, bool) {
-	least, first := math.Inf(1), r.firstPossiblyRun()
-	meanRun, eligible, known, bestDraw := b.estimator.run.Or(defaultRunTime, 1), 0, 0, -1.
+	leastCost, first := math.Inf(1), r.firstPossiblyRun()
+	meanRun, eligible, knownFree, bestDraw := b.estimator.meanRun.Or(defaultRunTime, 1), 0, 0, -1.
 	r.job.cachedSize = b.estimator.sizeOf(r.job)
-	target, left := b.latencyTarget(r), b.timeLeft(now, r)
+	target, remaining := b.latencyTarget(r), b.timeLeft(now, r)
 	b.ties = b.ties[:0]
 	for _, w := range b.fleet.workers {
 		if !b.eligible(r, w, first) {
 			continue
 		}
 		eligible++
-		if w.reported && w.reportedFree >= r.Slots && (now-w.reportedAt).Seconds() < meanRun {
-			known++
+		if w.hasReport && w.reportedFree >= r.Slots && (now-w.reportedAt).Seconds() < meanRun {
+			knownFree++
 		}
-		f := b.forecast(now, r, w, meanRun, target, left)
-		if !b.fleet.withinWarmupBudget(now, w, f.cost) {
+		f := b.predict(now, r, w, meanRun, target, remaining)
+		if !b.fleet.withinWarmupBudget(now, w, f.work) {
 			continue
 		}
 		draw := b.rng.Float64()
-		if b.fleet.warmCapacity(now, w) < 1 {
+		if b.fleet.capacityFraction(now, w) < 1 {
 			draw++
 		}
 		if draw > bestDraw {
 			b.randomCandidate, bestDraw = w, draw
 		}
-		if f.total < least*(1-tieMargin) {
+		if f.totalCost < leastCost*(1-tieMargin) {
 			b.ties = b.ties[:0]
 		}
-		if f.total <= least*(1+tieMargin) {
+		if f.totalCost <= leastCost*(1+tieMargin) {
 			b.ties = append(b.ties, f)
 		}
-		least = min(least, f.total)
+		leastCost = min(leastCost, f.totalCost)
 	}
-	r.job.cachedSize = 0 // estimated anew for the next choice
-	b.sparseReports = eligible > maxProbes && float64(known) < sparseFraction*float64(eligible)
+	r.job.cachedSize = 0 // to be estimated anew for the next choice
+	b.sparseReports = eligible > maxProbes && float64(knownFree) < sparseReportFraction*float64(eligible)
 	if len(b.ties) == 0 {
 		return forecast{}, false
 	}
 	return b.ties[b.rng.IntN(len(b.ties))], true
 }
 
-// forecast predicts a request at a worker. The total is the delay plus, as time, the own jobs in flight there
-// and what a failure, a rejection or another zone would cost. period is the mean run time.
-func (b *Balancer) forecast(now time.Duration, r *request, w *worker, period, target, left float64) forecast {
-	f := forecast{worker: w, free: b.fleet.freeSlots(now, w, period)}
-	process := b.estimator.processAt(now, &w.profile, w.kind, r.job, f.free, b.fleet.slotsOf(w))
-	transfer := b.estimator.transferTo(now, &w.profile, w.zone, r.job)
-	run := b.estimator.slowdownOf(now, &w.profile, w.kind) * b.estimator.sizeOf(r.job)
-	f.cost, f.run, f.delay = run*r.Slots, transfer+run, transfer+process
-	f.full = min(1, b.estimator.full.At(f.free-r.Slots))
-	f.total = f.delay + b.fetchCost(r, w) + process*w.inFlightSlots/b.fleet.slotsOf(w)
-	f.total += target * min(1, (f.delay-f.run)/max(left-f.run, minRunTime)) // probability of being late
-	f.total += b.fleet.failureProbability(now, w, r.Class) * r.class.Timeout.Seconds()
-	// Each rejection uses up an attempt and its round trip.
-	f.total += f.full * target / float64(b.settings.Limits.MaxAttempts-len(r.attempts))
+// predict returns the forecast for a request at a worker. Its cost is the delay, plus the expected costs, as
+// time, of this balancer's jobs in flight there, a cache miss, lateness, a failure, a rejection and another
+// zone. target is the request's latency target and remaining its time left, in seconds.
+func (b *Balancer) predict(now time.Duration, r *request, w *worker,
+	meanRun, target, remaining float64) forecast {
+	f := forecast{worker: w, freeSlots: b.fleet.freeSlots(now, w, meanRun)}
+	processing := b.estimator.predictProcessing(now, &w.delays, w.kind, r.job, f.freeSlots, b.fleet.slotsOf(w))
+	transfer := b.estimator.predictTransfer(now, &w.delays, w.zone, r.job)
+	run := b.estimator.slowdownOf(now, &w.delays, w.kind) * b.estimator.sizeOf(r.job)
+	f.work, f.unqueuedDelay, f.delay = run*r.Slots, transfer+run, transfer+processing
+	f.fullProbability = min(1, b.estimator.fullRate.At(f.freeSlots-r.Slots))
+	f.totalCost = f.delay + b.fetchCost(r, w) + processing*w.inFlightSlots/b.fleet.slotsOf(w)
+	lateProbability := min(1, (f.delay-f.unqueuedDelay)/max(remaining-f.unqueuedDelay, minRunTime))
+	f.totalCost += target * lateProbability
+	f.totalCost += b.fleet.failureProbability(now, w, r.Class) * r.class.Timeout.Seconds()
+	// Each rejection costs one of the remaining attempts and a round trip.
+	f.totalCost += f.fullProbability * target / float64(b.settings.Limits.MaxAttempts-len(r.attempts))
 	if w.zone != b.settings.Zone {
-		f.total += b.settings.Costs.CrossZone * target
+		f.totalCost += b.settings.Costs.CrossZone * target
 	}
 	switch {
 	case w.lastSeenAt == 0 && b.sparseReports && b.settings.Limits.Probes:
-		f.total += b.settings.Costs.Handshake * target // it is likely to need a new connection
+		f.totalCost += b.settings.Costs.Handshake * target // it probably needs a new connection
 	case w.lastSeenAt == 0 && w.inFlightSlots == 0:
-		f.total *= unseenDiscount // a worker known by pooled estimates alone would never have the least
+		f.totalCost *= unusedWorkerFactor // with pooled estimates alone it would never be the best and get a job
 	}
 	return f
 }
 
-// latencyTarget returns the time, in seconds, in which an answer earns full value.
+// latencyTarget returns the time, in seconds, within which a response earns the full value.
 func (b *Balancer) latencyTarget(r *request) float64 {
 	return r.class.LatencyTarget.Seconds() + r.class.TargetStretch*b.estimator.sizeOf(r.job)
 }
 
-// eligible reports whether a worker may get the request's next attempt at all.
+// eligible reports whether a worker may get the request's next attempt. first is the earliest attempt that
+// may have run.
 func (b *Balancer) eligible(r *request, w *worker, first *attempt) bool {
-	otherKind := r.class.Kind >= 0 && r.class.Kind != w.kind
-	if !b.fleet.isReady(w) || !b.fleet.withinZoneShare(r.ID, w.zone) || otherKind {
+	wrongKind := r.class.Kind >= 0 && r.class.Kind != w.kind
+	if !b.fleet.isReady(w) || !b.fleet.withinZoneShare(r.ID, w.zone) || wrongKind {
 		return false
 	}
-	if first != nil && !deduplicates(r.class, first.worker, w) || slices.Contains(r.probed, w) ||
+	if first != nil && !inDedupGroup(r.class, first.worker, w) || slices.Contains(r.probed, w) ||
 		r.candidates != nil && !slices.Contains(r.candidates, w) {
 		return false
 	}
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -6,98 +6,102 @@
 )
 
 const (
-	sparseFraction = 0.125                 // of the workers known to have free slots: enough to choose from
-	probeTimeout   = 10 * time.Millisecond // a probe is answered within it, with a new connection
-	probesPerRound = 3                     // more dispatchers would find the same worker free
-	maxProbes      = 8                     // workers probed for a request
-	fullBackoff    = 2 * time.Second       // for which a worker that rejected a probe is avoided
+	sparseReportFraction  = 0.125                 // of the workers: no probes if so many are known to be free
+	probeTimeout          = 10 * time.Millisecond // enough for the response, even over a new connection
+	probesPerRound        = 3                     // with more, more balancers would find the same worker free
+	maxProbes             = 8                     // workers probed for an attempt
+	probeRejectionBackoff = 2 * time.Second       // a worker that rejected a probe is avoided for this long
 )
 
-// In a large fleet a dispatcher gets reports of each worker too seldom to know which are free. It then probes
-// a few, in turn the best by forecast and one at random, and takes the least total of these. The random one
-// is a warming-up worker if any: its warm-up budget is divided among the dispatchers.
+// In a large fleet a balancer gets a worker's load reports too rarely to know which workers are free. It then
+// probes a few workers, alternating between the best by forecast and one at random, and takes the one of
+// least cost. The random one is a warming-up worker if there is any, as each balancer has only a share of
+// such a worker's budget.
 
-// probe sends probes for a request and reports whether it did: only where the known reports are too few.
-func (b *Balancer) probe(now time.Duration, r *request, f forecast) bool {
-	needless := len(r.probed) == 0 && !b.sparseReports && !b.fleet.listStale(now)
-	if !b.settings.Limits.Probes || r.probingDone || needless {
+// sendProbes sends probes for a request if too few load reports are known, and reports whether it did.
+func (b *Balancer) sendProbes(now time.Duration, r *request, f forecast) bool {
+	reportsSuffice := len(r.probed) == 0 && !b.sparseReports && !b.fleet.listStale(now)
+	if !b.settings.Limits.Probes || r.probingDone || reportsSuffice {
 		return false
 	}
 	if len(r.probed) == 0 {
-		r.probedAt, r.unanswered = now, 0
-		b.probing = append(b.probing, r)
+		r.probingStartedAt, r.pendingProbes = now, 0
+		b.probingRequests = append(b.probingRequests, r)
 	}
-	before := len(r.probed)
-	for ok := true; ok && len(r.probed) < min(before+probesPerRound, maxProbes); f, ok = b.choose(now, r) {
+	most := min(len(r.probed)+probesPerRound, maxProbes)
+	for ok := true; ok && len(r.probed) < most; f, ok = b.choose(now, r) {
 		if len(r.probed)%2 == 1 {
 			f.worker = b.randomCandidate
 		}
 		r.probed = append(r.probed, f.worker)
-		r.unanswered++
+		r.pendingProbes++
 		b.emit(Probe{Worker: f.worker.id})
 	}
-	began, asked := r.probedAt, len(r.probed)
+	startedAt, probedCount := r.probingStartedAt, len(r.probed)
 	b.schedule(probeTimeout, func(now time.Duration) {
-		if r.probedAt == began && len(r.probed) == asked {
-			b.probesAnswered(now, r)
+		if r.probingStartedAt == startedAt && len(r.probed) == probedCount {
+			b.evaluateProbes(now, r)
 		}
 	})
 	return true
 }
 
-// probesAnswered places the request by the answers. If none shows a free slot, further workers are probed.
-func (b *Balancer) probesAnswered(now time.Duration, r *request) {
-	if r.probingDone || r.over {
+// evaluateProbes places a request by the responses to its probes. If none shows a free slot, it probes more
+// workers.
+func (b *Balancer) evaluateProbes(now time.Duration, r *request) {
+	if r.probingDone || r.finished {
 		return
 	}
-	// A class of lower value accepts a short wait. For a key with busy homes any free worker will do.
-	probed, needed := r.probed, r.Slots-halfSlot-(1-r.class.Value/b.maxValue)
+	// A class of lower value accepts a short wait. A request with a key goes to any free worker if its homes
+	// are busy.
+	probed, neededSlots := r.probed, r.Slots-reportTolerance-(1-r.class.Value/b.maxValue)
 	r.probed, r.candidates = nil, slices.DeleteFunc(slices.Clone(probed), func(w *worker) bool {
-		free := b.fleet.freeSlots(now, w, b.estimator.run.Or(defaultRunTime, 1))
-		return r.Key != 0 && free < needed || !w.reported || w.reportedAt < r.probedAt
+		free := b.fleet.freeSlots(now, w, b.estimator.meanRun.Or(defaultRunTime, 1))
+		return r.Key != 0 && free < neededSlots || !w.hasReport || w.reportedAt < r.probingStartedAt
 	})
 	f, ok := b.choose(now, r)
-	if r.candidates = nil; ok && f.free >= needed {
+	if r.candidates = nil; ok && f.freeSlots >= neededSlots {
 		b.endProbing(r)
 		b.send(now, r, f)
 		return
 	}
 	r.probed = probed
-	if f, ok := b.choose(now, r); ok && len(r.probed) < maxProbes && b.probe(now, r, f) {
+	if f, ok := b.choose(now, r); ok && len(r.probed) < maxProbes && b.sendProbes(now, r, f) {
 		return
 	}
 	b.endProbing(r)
 	b.place(now, r)
 }
 
+// endProbing ends the probing for the request's next attempt.
 func (b *Balancer) endProbing(r *request) {
 	r.probingDone, r.probed = true, nil
-	b.probing = slices.DeleteFunc(b.probing, func(one *request) bool { return one == r })
+	b.probingRequests = slices.DeleteFunc(b.probingRequests, func(other *request) bool { return other == r })
 }
 
-// probeDone records a probe's answer, which replaces any earlier report.
-func (b *Balancer) probeDone(now time.Duration, ev ProbeDone) {
+// handleProbeDone records the response to a probe, which replaces earlier load reports.
+func (b *Balancer) handleProbeDone(now time.Duration, ev ProbeDone) {
 	w := b.fleet.byID[ev.Worker]
 	if w == nil {
 		return
 	}
 	switch ev.Outcome {
 	case Served:
-		w.reported, w.lastSeenAt = false, now
+		w.hasReport, w.lastSeenAt = false, now
 		b.fleet.recordReport(now, w, ev.Report)
 	case Full:
-		w.refusing = true
-		b.schedule(fullBackoff, func(time.Duration) { w.refusing = false })
+		w.rejectsProbes = true
+		b.schedule(probeRejectionBackoff, func(time.Duration) { w.rejectsProbes = false })
 	default:
-		w.health[0].Add(now, healthDecay, true)
-		b.fleet.health[0].Add(now, healthDecay, true)
+		w.failureRates[0].Add(now, failureDecayTime, true)
+		b.fleet.failureRates[0].Add(now, failureDecayTime, true)
 	}
-	for _, r := range slices.Clone(b.probing) {
+	for _, r := range slices.Clone(b.probingRequests) {
 		if !slices.Contains(r.probed, w) {
 			continue
 		}
-		if r.unanswered--; r.unanswered == 0 {
-			b.probesAnswered(now, r)
+		if r.pendingProbes--; r.pendingProbes == 0 {
+			b.evaluateProbes(now, r)
 		}
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -9,7 +9,7 @@
 )
 
 // ruleSettings returns settings with a class of each effect and group.
-func ruleSettings(ordinal int) Settings {
+func testSettings(ordinal int) Settings {
 	class := func(e Effect, g DedupGroup) Class {
 		return Class{LatencyTarget: 300 * time.Millisecond, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, DedupGroup: g,
 			DedupWindow: 2 * time.Second, Kind: -1}
@@ -24,7 +24,7 @@
 			OverloadTime: 2 * time.Second}}
 }
 
-func balancer(t *testing.T, s Settings, seed uint64) *Balancer {
+func newTestBalancer(t *testing.T, s Settings, seed uint64) *Balancer {
 	t.Helper()
 	b, err := New(s, seed)
 	if err != nil {
@@ -33,47 +33,47 @@
 	return b
 }
 
-func listing(id WorkerID) WorkerListing {
+func testListing(id WorkerID) WorkerListing {
 	return WorkerListing{Worker: id, Zone: int(id % 2), Cell: int(id % 4), State: Ready, Scale: 4}
 }
 
-func listOf(kind ListKind, n int) ListUpdate {
+func workerList(kind ListKind, n int) ListUpdate {
 	up := ListUpdate{Kind: kind}
 	for id := range n {
-		up.Workers = append(up.Workers, listing(WorkerID(id+1)))
+		up.Workers = append(up.Workers, testListing(WorkerID(id+1)))
 	}
 	return up
 }
 
 // trackedRequest is what the checker knows of a request.
 type trackedRequest struct {
-	req      Request
-	attempts []watchedAttempt
-	over     bool
+	request  Request
+	attempts []trackedAttempt
+	finished bool
 }
 
-type watchedAttempt struct {
-	worker  WorkerID
-	sentAt  time.Duration
-	out     bool
-	proved  bool // never ran
-	outcome Outcome
+type trackedAttempt struct {
+	worker       WorkerID
+	sentAt       time.Duration
+	inFlight     bool
+	provedNotRun bool // never ran
+	outcome      Outcome
 }
 
 // checker checks a dispatcher's events and actions against the four rules. It shares no code with the dispatcher.
 type checker struct {
-	s        Settings
-	requests map[RequestID]*trackedRequest
-	listed   map[WorkerID]WorkerListing
-	bad      []string
+	settings   Settings
+	requests   map[RequestID]*trackedRequest
+	listed     map[WorkerID]WorkerListing
+	violations []string
 }
 
 func newChecker(s Settings) *checker {
-	return &checker{s: s, requests: map[RequestID]*trackedRequest{}, listed: map[WorkerID]WorkerListing{}}
+	return &checker{settings: s, requests: map[RequestID]*trackedRequest{}, listed: map[WorkerID]WorkerListing{}}
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.bad = append(c.bad, fmt.Sprintf(format, args...))
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 func (c *checker) event(ev Event) {
@@ -86,15 +86,15 @@
 			c.listed[l.Worker] = l
 		}
 	case Request:
-		c.requests[ev.ID] = &trackedRequest{req: ev}
+		c.requests[ev.ID] = &trackedRequest{request: ev}
 	case AttemptDone:
 		w := c.requests[ev.Request]
 		a := &w.attempts[ev.Attempt]
-		a.out, a.outcome = false, ev.Outcome
-		a.proved = ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
-		w.over = w.over || ev.Over
+		a.inFlight, a.outcome = false, ev.Outcome
+		a.provedNotRun = ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
+		w.finished = w.finished || ev.Over
 	case RequestEnded:
-		c.requests[ev.Request].over = true
+		c.requests[ev.Request].finished = true
 	}
 }
 
@@ -104,97 +104,97 @@
 		c.send(now, a)
 	case Reject:
 		w := c.requests[a.Request]
-		cl := c.s.Classes[w.req.Class]
+		cl := c.settings.Classes[w.request.Class]
 		if cl.Effect == NonIdempotent || cl.Effect == Deduplicated && cl.DedupGroup != GroupAll {
 			for _, at := range w.attempts {
-				if !at.proved {
-					c.fault("rule 2: request %d refused though it may have run", a.Request)
+				if !at.provedNotRun {
+					c.violation("rule 2: request %d refused though it may have run", a.Request)
 				}
 			}
 		}
-		c.final(now, w)
+		c.finalResponse(now, w)
 	case Fail:
-		c.final(now, c.requests[a.Request])
+		c.finalResponse(now, c.requests[a.Request])
 	}
 }
 
-func (c *checker) final(now time.Duration, w *trackedRequest) {
-	if w.over {
-		c.fault("rule 1: request %d answered twice", w.req.ID)
+func (c *checker) finalResponse(now time.Duration, w *trackedRequest) {
+	if w.finished {
+		c.violation("rule 1: request %d answered twice", w.request.ID)
 	}
-	if now > w.req.Deadline {
-		c.fault("rule 1: request %d answered %v late", w.req.ID, now-w.req.Deadline)
+	if now > w.request.Deadline {
+		c.violation("rule 1: request %d answered %v late", w.request.ID, now-w.request.Deadline)
 	}
-	w.over = true
+	w.finished = true
 }
 
 func (c *checker) send(now time.Duration, a Send) {
 	w := c.requests[a.Request]
-	if w.over || now >= w.req.Deadline {
-		c.fault("rule 1: request %d sent when over", a.Request)
+	if w.finished || now >= w.request.Deadline {
+		c.violation("rule 1: request %d sent when over", a.Request)
 	}
 	l, ok := c.listed[a.Worker]
 	if !ok || l.State != Ready {
-		c.fault("rule 3: request %d sent to a worker not ready", a.Request)
+		c.violation("rule 3: request %d sent to a worker not ready", a.Request)
 	}
-	cl := c.s.Classes[w.req.Class]
+	cl := c.settings.Classes[w.request.Class]
 	for _, at := range w.attempts {
-		if at.out && !c.s.Limits.HedgedRequests {
-			c.fault("rule 2: request %d out twice", a.Request)
+		if at.inFlight && !c.settings.Limits.HedgedRequests {
+			c.violation("rule 2: request %d out twice", a.Request)
 		}
-		if at.proved {
+		if at.provedNotRun {
 			continue
 		}
-		first := listing(at.worker)
+		first := testListing(at.worker)
 		switch {
 		case cl.Effect == NonIdempotent:
-			c.fault("rule 2: unsafe request %d sent again", a.Request)
+			c.violation("rule 2: unsafe request %d sent again", a.Request)
 		case cl.Effect == Deduplicated && now > at.sentAt+cl.DedupWindow:
-			c.fault("rule 2: keyed request %d sent past its window", a.Request)
+			c.violation("rule 2: keyed request %d sent past its window", a.Request)
 		case cl.Effect == Deduplicated && cl.DedupGroup == GroupZone && l.Zone != first.Zone,
 			cl.Effect == Deduplicated && cl.DedupGroup == GroupCell && l.Cell != first.Cell:
-			c.fault("rule 2: keyed request %d left its group", a.Request)
+			c.violation("rule 2: keyed request %d left its group", a.Request)
 		}
 		break
 	}
-	w.attempts = append(w.attempts, watchedAttempt{worker: a.Worker, sentAt: now, out: true})
-	if len(w.attempts) > c.s.Limits.MaxAttempts {
-		c.fault("request %d: %d attempts", a.Request, len(w.attempts))
+	w.attempts = append(w.attempts, trackedAttempt{worker: a.Worker, sentAt: now, inFlight: true})
+	if len(w.attempts) > c.settings.Limits.MaxAttempts {
+		c.violation("request %d: %d attempts", a.Request, len(w.attempts))
 	}
 }
 
 // end reports requests whose deadline passed with no final answer.
-func (c *checker) end(now time.Duration) {
+func (c *checker) checkUnanswered(now time.Duration) {
 	for id, w := range c.requests {
-		if !w.over && now > w.req.Deadline {
-			c.fault("rule 1: request %d never answered", id)
+		if !w.finished && now > w.request.Deadline {
+			c.violation("rule 1: request %d never answered", id)
 		}
 	}
 }
 
 // stream feeds one dispatcher with a seeded random sequence of events.
-type stream struct {
-	b      *Balancer
-	c      *checker
-	rng    *rand.Rand
-	now    time.Duration
-	timers []SetTimer // After holds the clock time it is due
-	next   RequestID
-	trace  []Action
+type driver struct {
+	balancer    *Balancer
+	checker     *checker
+	rng         *rand.Rand
+	now         time.Duration
+	timers      []SetTimer // After holds the clock time it is due
+	lastRequest RequestID
+	actions     []Action
 }
 
-func (s *stream) handle(ev Event) {
-	s.c.event(ev)
-	for _, a := range s.b.Handle(s.now, ev) {
-		s.trace = append(s.trace, a)
-		s.c.action(s.now, a)
+func (s *driver) handle(ev Event) {
+	s.checker.event(ev)
+	for _, a := range s.balancer.Handle(s.now, ev) {
+		s.actions = append(s.actions, a)
+		s.checker.action(s.now, a)
 		if t, ok := a.(SetTimer); ok {
 			s.timers = append(s.timers, SetTimer{max(s.now+t.After, s.now+1), t.Token})
 		}
 	}
 }
 
-func (s *stream) fire() {
+func (s *driver) fireTimers() {
 	due := s.timers
 	s.timers = nil
 	for _, t := range due {
@@ -207,82 +207,82 @@
 }
 
 // resolve ends one attempt at random, with any outcome.
-func (s *stream) resolve(id RequestID, attempt int) {
-	w := s.c.requests[id]
+func (s *driver) endAttempt(id RequestID, attempt int) {
+	w := s.checker.requests[id]
 	at := w.attempts[attempt]
 	out := Outcome(s.rng.IntN(8))
 	ev := AttemptDone{Request: id, Attempt: attempt, Worker: at.worker, Outcome: out, Elapsed: s.now - at.sentAt,
-		Over: w.over || out == Served}
+		Over: w.finished || out == Served}
 	if s.rng.IntN(2) == 0 {
 		ev.Report = []float32{float32(s.rng.IntN(5)), float32(s.rng.IntN(3))}
 	}
 	s.handle(ev)
 }
 
-func (s *stream) list() {
-	l := listing(WorkerID(1 + s.rng.IntN(12)))
+func (s *driver) updateList() {
+	l := testListing(WorkerID(1 + s.rng.IntN(12)))
 	l.State = State(s.rng.IntN(3))
 	if s.rng.IntN(3) == 0 {
 		l.Started = s.now
 	}
 	if s.rng.IntN(10) == 0 {
-		s.handle(listOf(ListFull, 6+s.rng.IntN(7)))
+		s.handle(workerList(ListFull, 6+s.rng.IntN(7)))
 		return
 	}
 	s.handle(ListUpdate{Kind: ListChanges, Workers: []WorkerListing{l}})
 }
 
-func (s *stream) step() {
+func (s *driver) step() {
 	s.now += 5 * time.Millisecond
-	s.fire()
+	s.fireTimers()
 	if s.rng.IntN(3) == 0 {
-		s.next++
+		s.lastRequest++
 		lifetime := time.Duration(1+s.rng.IntN(4000)) * time.Millisecond
-		s.handle(Request{ID: s.next, Class: s.rng.IntN(5), HasCost: s.rng.IntN(2) == 0, Key: uint64(s.rng.IntN(5)),
+		s.handle(Request{ID: s.lastRequest, Class: s.rng.IntN(5), HasCost: s.rng.IntN(2) == 0, Key: uint64(s.rng.IntN(5)),
 			Cost: time.Duration(s.rng.IntN(300)) * time.Millisecond, Slots: float64(1 + s.rng.IntN(2)),
 			Deadline: s.now + lifetime + 100*time.Millisecond})
 	}
-	for id := max(1, s.next-300); id <= s.next; id++ {
-		w := s.c.requests[id]
+	for id := max(1, s.lastRequest-300); id <= s.lastRequest; id++ {
+		w := s.checker.requests[id]
 		for i := range w.attempts {
-			if w.attempts[i].out && s.rng.IntN(40) == 0 {
-				s.resolve(id, i)
+			if w.attempts[i].inFlight && s.rng.IntN(40) == 0 {
+				s.endAttempt(id, i)
 			}
 		}
-		if !w.over && s.rng.IntN(2000) == 0 {
+		if !w.finished && s.rng.IntN(2000) == 0 {
 			s.handle(RequestEnded{id})
 			s.handle(RequestEnded{id})
 		}
 	}
 	if s.rng.IntN(50) == 0 {
-		s.list()
+		s.updateList()
 	}
 }
 
-func play(t *testing.T, seed uint64) *stream {
+func driveRandomly(t *testing.T, seed uint64) *driver {
 	t.Helper()
-	s := ruleSettings(1)
-	st := &stream{b: balancer(t, s, seed), c: newChecker(s), rng: rand.New(rand.NewPCG(seed, 1))}
-	st.handle(listOf(ListCached, 12))
+	s := testSettings(1)
+	st := &driver{balancer: newTestBalancer(t, s, seed), checker: newChecker(s), rng: rand.New(rand.NewPCG(seed, 1))}
+	st.handle(workerList(ListCached, 12))
 	for range 2000 {
 		st.step()
 	}
 	for range 1000 {
 		st.now += 5 * time.Millisecond
-		st.fire()
+		st.fireTimers()
 	}
-	st.c.end(st.now)
+	st.checker.checkUnanswered(st.now)
 	return st
 }
 
-func TestBalancer_rulesHoldOnRandomStreams(t *testing.T) {
+func TestBalancer_rulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(20) {
-		st := play(t, seed)
-		for _, fault := range st.c.bad {
+		st := driveRandomly(t, seed)
+		for _, fault := range st.checker.violations {
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 		sends := 0
-		for _, a := range st.trace {
+		for _, a := range st.actions {
 			if _, ok := a.(Send); ok {
 				sends++
 			}
@@ -290,14 +290,14 @@
 		if sends < 50 { // outcomes at random soon teach it to refuse most
 			t.Errorf("seed %d: only %d sends", seed, sends)
 		}
-		if n := len(st.b.requests); n > 400 {
+		if n := len(st.balancer.requests); n > 400 {
 			t.Errorf("seed %d: %d requests left", seed, n)
 		}
 	}
 }
 
 func TestBalancer_sameEventsSameActions(t *testing.T) {
-	if !reflect.DeepEqual(play(t, 5).trace, play(t, 5).trace) {
+	if !reflect.DeepEqual(driveRandomly(t, 5).actions, driveRandomly(t, 5).actions) {
 		t.Error("the same events and seed gave other actions")
 	}
 }
@@ -329,8 +329,8 @@
 		"never answered":           {0, []any{5 * time.Second}, true},
 	}
 	for name, tc := range cases {
-		c, now := newChecker(ruleSettings(0)), time.Duration(0)
-		c.event(listOf(ListFull, 4))
+		c, now := newChecker(testSettings(0)), time.Duration(0)
+		c.event(workerList(ListFull, 4))
 		c.event(Request{ID: 1, Class: tc.class, Deadline: 4 * time.Second})
 		for _, step := range tc.steps {
 			switch step := step.(type) {
@@ -342,9 +342,9 @@
 				now += step
 			}
 		}
-		c.end(now)
-		if got := len(c.bad) > 0; got != tc.fault {
-			t.Errorf("%s: faults %v, want any: %v", name, c.bad, tc.fault)
+		c.checkUnanswered(now)
+		if got := len(c.violations) > 0; got != tc.fault {
+			t.Errorf("%s: faults %v, want any: %v", name, c.violations, tc.fault)
 		}
 	}
 }
@@ -359,7 +359,7 @@
 		"negative time":   func(s *Settings) { s.Resolution = -1 },
 		"no give-up":      func(s *Settings) { s.Classes[0].Timeout = 0 },
 	} {
-		s := ruleSettings(0)
+		s := testSettings(0)
 		spoil(&s)
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("%s: no error", name)
--- a/balance/state.go
+++ b/balance/state.go
@@ -9,27 +9,28 @@
 	"ospreybend/internal/util/stats"
 )
 
-// A hot restart hands a dispatcher's state to its successor process: the estimates and the workers' state as a
-// sequence of 64-bit values (ExportState, ImportState), the requests in progress as Adopted events.
+// A hot restart hands a balancer's state to the next process of its node: the estimates and the workers'
+// state as a sequence of 64-bit values (ExportState, ImportState), its open requests as Adopted events.
 
-// adopt continues a request of the previous process.
-func (b *Balancer) adopt(now time.Duration, in Adopted) {
-	r := b.accept(now, in.Request)
+// handleAdopted continues a request of the previous process.
+func (b *Balancer) handleAdopted(now time.Duration, adopted Adopted) {
+	r := b.accept(now, adopted.Request)
 	if r == nil {
 		return
 	}
-	r.arrived = in.Arrived
-	for _, t := range in.Attempts {
-		w := b.fleet.byID[t.Worker]
+	r.arrived = adopted.Arrived
+	for _, prior := range adopted.Attempts {
+		w := b.fleet.byID[prior.Worker]
 		if w == nil {
-			w = b.fleet.newWorker(now, t.Worker) // not listed any more: its attempts end by their own events
+			w = b.fleet.newWorker(now, prior.Worker) // no longer listed; the attempt still ends with AttemptDone
 		}
-		a := attempt{worker: w, workerStarted: w.startedAt, sentAt: t.SentAt, inFlight: t.Out, mayHaveRun: t.MayHave}
-		a.freeSlots = b.fleet.freeSlots(now, w, b.estimator.run.Or(0, 0))
-		if a.startedAt = t.Started; t.Started > 0 {
+		a := attempt{worker: w, workerStarted: w.startedAt, sentAt: prior.SentAt, inFlight: prior.Out,
+			mayHaveRun: prior.MayHave}
+		a.freeSlots = b.fleet.freeSlots(now, w, b.estimator.meanRun.Or(0, 0))
+		if a.startedAt = prior.Started; prior.Started > 0 {
 			w.lastSeenAt = now
 		}
-		if t.Out {
+		if prior.Out {
 			r.inFlight++
 			b.inFlight++
 			w.inFlightSlots += r.Slots
@@ -39,20 +40,20 @@
 	b.place(now, r)
 }
 
-const stateVersion = 2 // the first value; a state of another version is rejected
+const stateVersion = 2 // first value of an exported state; ImportState rejects other versions
 
 // Errors of ImportState.
 var (
-	errStateVersion = errors.New("the state of the previous process has another version")
-	errStateInvalid = errors.New("the state of the previous process cannot be read")
+	errStateVersion = errors.New("state of the previous process: unsupported version")
+	errStateInvalid = errors.New("state of the previous process: malformed, or of other settings")
 )
 
-// stateCodec writes values or, if reading, reads them. Both directions run the same functions in the same order,
-// so that what is written is what is read.
+// stateCodec encodes a state to values or, if reading, decodes it from them. Both directions run the same
+// functions in the same order, so that the format is defined once.
 type stateCodec struct {
 	reading bool
-	values  []uint64
-	invalid bool
+	values  []uint64 // written so far, or left to read
+	invalid bool     // a value that was read is missing or invalid
 }
 
 func (c *stateCodec) unsigned(v *uint64) {
@@ -67,9 +68,9 @@
 }
 
 func (c *stateCodec) float(v *float64) {
-	w := math.Float64bits(*v)
-	c.unsigned(&w)
-	*v = math.Float64frombits(w)
+	bits := math.Float64bits(*v)
+	c.unsigned(&bits)
+	*v = math.Float64frombits(bits)
 	c.invalid = c.invalid || c.reading && (math.IsNaN(*v) || math.IsInf(*v, 0))
 }
 
@@ -80,51 +81,51 @@
 }
 
 func (c *stateCodec) integer(v *int) {
-	w := uint64(*v)
-	c.unsigned(&w)
-	*v = int(w)
+	word := uint64(*v)
+	c.unsigned(&word)
+	*v = int(word)
 }
 
 func (c *stateCodec) duration(v *time.Duration) {
-	w := uint64(*v)
-	c.unsigned(&w)
-	*v = time.Duration(w)
+	word := uint64(*v)
+	c.unsigned(&word)
+	*v = time.Duration(word)
 }
 
 func (c *stateCodec) boolean(v *bool) {
-	w := uint64(0)
+	word := uint64(0)
 	if *v {
-		w = 1
+		word = 1
 	}
-	c.unsigned(&w)
-	*v = w != 0
+	c.unsigned(&word)
+	*v = word != 0
 }
 
-// length codes the number of elements that follow, each of at least one value.
-func (c *stateCodec) length(n int) int {
-	c.integer(&n)
-	if c.invalid || c.reading && (n < 0 || n > len(c.values)) {
+// length encodes or decodes the number of elements that follow, each of which has at least one value.
+func (c *stateCodec) length(length int) int {
+	c.integer(&length)
+	if c.invalid || c.reading && (length < 0 || length > len(c.values)) {
 		c.invalid = true
 		return 0
 	}
-	return n
+	return length
 }
 
-// codeSlice codes a slice whose length both sides know.
-func codeSlice[T any](c *stateCodec, of []T, each func(*T)) {
-	if c.length(len(of)) != len(of) {
+// codeSlice encodes or decodes a slice whose length is known to the reader.
+func codeSlice[T any](c *stateCodec, elements []T, code func(*T)) {
+	if c.length(len(elements)) != len(elements) {
 		c.invalid = true
 		return
 	}
-	for i := range of {
-		each(&of[i])
+	for i := range elements {
+		code(&elements[i])
 	}
 }
 
-// codeMap codes a map; reading replaces its content.
-func codeMap[K comparable, V any](codec *stateCodec, entries map[K]V, key func(*K), value func(*V)) {
-	if !codec.reading {
-		codec.length(len(entries))
+// codeMap encodes a map, or replaces its content by the decoded one.
+func codeMap[K comparable, V any](c *stateCodec, entries map[K]V, key func(*K), value func(*V)) {
+	if !c.reading {
+		c.length(len(entries))
 		for mapKey, mapValue := range entries {
 			key(&mapKey)
 			value(&mapValue)
@@ -132,7 +133,7 @@
 		return
 	}
 	clear(entries)
-	for range codec.length(0) {
+	for range c.length(0) {
 		var mapKey K
 		var mapValue V
 		key(&mapKey)
@@ -159,7 +160,7 @@
 	c.pooled(*p)
 }
 
-func (c *stateCodec) odds(h *stats.FailureRate) {
+func (c *stateCodec) failureRate(h *stats.FailureRate) {
 	c.floats(&h.Failures, &h.Outcomes)
 	c.duration(&h.At)
 }
@@ -184,34 +185,34 @@
 	c.window(*w)
 }
 
-func (c *stateCodec) windowKey(k *windowKey) {
+func (c *stateCodec) classBucket(k *classBucket) {
 	c.integer(&k.class)
 	c.integer(&k.bucket)
 }
 
 func (c *stateCodec) estimator(e *estimator) {
-	codeSlice(c, e.size, c.mean)
+	codeSlice(c, e.classSize, c.mean)
 	codeMap(c, e.kindSlowdown, c.integer, c.meanPointer)
-	codeMap(c, e.hintRatio, c.windowKey, c.meanPointer)
+	codeMap(c, e.hintCorrection, c.classBucket, c.meanPointer)
 	codeMap(c, e.queueWait, c.integer, c.pooledPointer)
-	codeMap(c, e.transfer, c.integer, c.meanPointer)
+	codeMap(c, e.zoneTransfer, c.integer, c.meanPointer)
 	codeMap(c, e.minStartDelay, c.integer, c.float)
-	c.pooled(&e.full)
-	for _, m := range []*stats.Mean{&e.allSlowdown, &e.run} {
+	c.pooled(&e.fullRate)
+	for _, m := range []*stats.Mean{&e.allSlowdown, &e.meanRun} {
 		c.mean(m)
 	}
 }
 
 func (c *stateCodec) worker(w *worker) {
 	c.duration(&w.startedAt)
-	c.window(&w.profile.transfer)
-	c.window(&w.profile.slowdown)
-	codeMap(c, w.profile.process, c.windowKey, c.windowPointer)
-	c.boolean(&w.reported)
+	c.window(&w.delays.transfer)
+	c.window(&w.delays.slowdown)
+	codeMap(c, w.delays.processing, c.classBucket, c.windowPointer)
+	c.boolean(&w.hasReport)
 	c.duration(&w.reportedAt)
 	c.floats(&w.reportedFree, &w.maxFree, &w.warmupTokens)
 	c.duration(&w.warmupTokensAt)
-	codeSlice(c, w.health, c.odds)
+	codeSlice(c, w.failureRates, c.failureRate)
 	c.duration(&w.lastSeenAt)
 }
 
@@ -223,7 +224,7 @@
 	codeMap(c, f.kindFree, c.integer, c.float)
 	codeMap(c, f.meanFree, c.integer, c.meanPointer)
 	c.mean(&f.jobSlots)
-	codeSlice(c, f.health, c.odds)
+	codeSlice(c, f.failureRates, c.failureRate)
 	c.length(len(f.workers))
 	for _, w := range f.workers {
 		id := uint64(w.id)
@@ -233,8 +234,8 @@
 	return c.values
 }
 
-// ImportState applies the state of the previous process. A worker that restarted since is left as it is. After
-// an error, by another version or a state that does not fit, nothing has changed.
+// ImportState applies a state that the previous process exported. Workers that have restarted since are left
+// unchanged. An error, for another version or a malformed state, leaves the balancer unchanged.
 func (b *Balancer) ImportState(now time.Duration, state []uint64) error {
 	version := uint64(0)
 	c := &stateCodec{reading: true, values: slices.Clone(state)}
@@ -248,28 +249,32 @@
 	codeMap(c, f.kindFree, c.integer, c.float)
 	codeMap(c, f.meanFree, c.integer, c.meanPointer)
 	c.mean(&f.jobSlots)
-	codeSlice(c, f.health, c.odds)
-	known := make([]*worker, 0, len(b.fleet.workers))
+	codeSlice(c, f.failureRates, c.failureRate)
+	imported := make([]*worker, 0, len(b.fleet.workers))
 	for range c.length(0) {
 		var id uint64
 		c.unsigned(&id)
 		w := f.newWorker(now, WorkerID(id))
 		c.worker(w)
-		known = append(known, w)
+		imported = append(imported, w)
 	}
 	if c.invalid || len(c.values) > 0 {
 		return errStateInvalid
 	}
-	b.estimator, b.fleet.kindFree, b.fleet.meanFree, b.fleet.jobSlots, b.fleet.health = est, f.kindFree, f.meanFree, f.jobSlots, f.health
-	for _, old := range known {
-		w := b.fleet.byID[old.id]
-		if w == nil || w.startedAt != old.startedAt {
+	b.estimator = est
+	b.fleet.kindFree, b.fleet.meanFree = f.kindFree, f.meanFree
+	b.fleet.jobSlots, b.fleet.failureRates = f.jobSlots, f.failureRates
+	for _, previous := range imported {
+		w := b.fleet.byID[previous.id]
+		if w == nil || w.startedAt != previous.startedAt {
 			continue
 		}
-		w.profile.transfer, w.profile.slowdown, w.profile.process = old.profile.transfer, old.profile.slowdown, old.profile.process
-		w.reported, w.reportedAt, w.reportedFree, w.maxFree = old.reported, old.reportedAt, old.reportedFree, old.maxFree
-		w.warmupTokens, w.warmupTokensAt = old.warmupTokens, old.warmupTokensAt
-		w.health, w.lastSeenAt = old.health, max(old.lastSeenAt, w.lastSeenAt)
+		w.delays.transfer, w.delays.slowdown = previous.delays.transfer, previous.delays.slowdown
+		w.delays.processing = previous.delays.processing
+		w.hasReport, w.reportedAt = previous.hasReport, previous.reportedAt
+		w.reportedFree, w.maxFree = previous.reportedFree, previous.maxFree
+		w.warmupTokens, w.warmupTokensAt = previous.warmupTokens, previous.warmupTokensAt
+		w.failureRates, w.lastSeenAt = previous.failureRates, max(previous.lastSeenAt, w.lastSeenAt)
 	}
 	return nil
 }
--- a/balance/state_test.go
+++ b/balance/state_test.go
@@ -18,7 +18,7 @@
 	id  RequestID
 }
 
-func learn(t testing.TB, workers ...WorkerListing) *stateFixture {
+func newStateFixture(t testing.TB, workers ...WorkerListing) *stateFixture {
 	t.Helper()
 	c := Class{LatencyTarget: time.Second, Timeout: 4 * time.Second, Value: 1, Kind: -1}
 	once := c
@@ -53,20 +53,20 @@
 	return to
 }
 
-func unevenWorkers(to WorkerID) time.Duration { return time.Duration(to) * 20 * time.Millisecond }
+func unevenRunTime(to WorkerID) time.Duration { return time.Duration(to) * 20 * time.Millisecond }
 
 // A restarted worker gets a job soon, though the others are known and idle, and no second one before it has answered.
 func TestBalancer_restartedWorkerGetsFirstJob(t *testing.T) {
-	l := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 2}, WorkerListing{Worker: 9})
+	l := newStateFixture(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 2}, WorkerListing{Worker: 9})
 	for range 200 {
-		l.request(unevenWorkers)
+		l.request(unevenRunTime)
 	}
 	l.list(WorkerListing{Worker: 1}, WorkerListing{Worker: 2}, WorkerListing{Worker: 9, Started: l.now})
 	if to := l.request(nil); to != 9 {
 		t.Errorf("the first job after the restart went to %d", to)
 	}
 	r := &request{class: &l.settings.Classes[0], job: job{size: 0.04, slots: 1}, Request: Request{Slots: 1}}
-	total := func(id WorkerID) float64 { return l.forecast(l.now, r, l.fleet.byID[id], 0.1, 1, 1).total }
+	total := func(id WorkerID) float64 { return l.predict(l.now, r, l.fleet.byID[id], 0.1, 1, 1).totalCost }
 	if total(9) <= total(1) {
 		t.Errorf("still preferred before it answered: %.4f beside %.4f", total(9), total(1))
 	}
@@ -75,18 +75,18 @@
 // A dispatcher that imports another's state predicts as that one does. A truncated or changed state is rejected as a
 // whole, or read; it breaks nothing.
 func TestBalancer_ImportState(t *testing.T) {
-	old := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 3, Kind: 1})
+	old := newStateFixture(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 3, Kind: 1})
 	for range 200 {
-		old.request(unevenWorkers)
+		old.request(unevenRunTime)
 	}
-	next := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 3, Kind: 1})
+	next := newStateFixture(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 3, Kind: 1})
 	differ := func() bool {
 		r := &request{Request: Request{Slots: 1}, class: &old.settings.Classes[0], job: job{bucket: 3, size: 0.05, slots: 1}}
 		far := 0.0
 		for id := range old.fleet.byID {
-			a := old.forecast(old.now, r, old.fleet.byID[id], old.estimator.run.Or(0, 0), 1, 1)
-			b := next.forecast(old.now, r, next.fleet.byID[id], next.estimator.run.Or(0, 0), 1, 1)
-			far += math.Abs(a.total-b.total) + math.Abs(a.delay-b.delay) + math.Abs(a.full-b.full)
+			a := old.predict(old.now, r, old.fleet.byID[id], old.estimator.meanRun.Or(0, 0), 1, 1)
+			b := next.predict(old.now, r, next.fleet.byID[id], next.estimator.meanRun.Or(0, 0), 1, 1)
+			far += math.Abs(a.totalCost-b.totalCost) + math.Abs(a.delay-b.delay) + math.Abs(a.fullProbability-b.fullProbability)
 		}
 		return far > 1e-9
 	}
@@ -104,7 +104,7 @@
 		}
 		next.Handle(old.now, ListUpdate{Kind: ListFull, Workers: []WorkerListing{{Worker: 1}}})
 		err = next.ImportState(old.now, spoilt)
-		if (err != nil || len(spoilt) < len(row)) && next.estimator.run.N != 0 {
+		if (err != nil || len(spoilt) < len(row)) && next.estimator.meanRun.N != 0 {
 			t.Fatalf("applied in part: %v", err)
 		}
 		next.Handle(old.now, Request{ID: 1, Deadline: old.now + time.Second})
@@ -114,7 +114,7 @@
 // An adopted request keeps its attempts: a non-idempotent one that may have run is not sent again, its worker's slots are
 // taken, and an attempt at an unlisted worker ends by its own event.
 func TestBalancer_Handle_adopted(t *testing.T) {
-	l := learn(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 2})
+	l := newStateFixture(t, WorkerListing{Worker: 1}, WorkerListing{Worker: 2})
 	take := func(id RequestID, tries ...PriorAttempt) {
 		l.Handle(l.now, Adopted{Request: Request{ID: id, Class: 1, Deadline: l.now + 4*time.Second}, Attempts: tries})
 	}
--- a/balance/view.go
+++ b/balance/view.go
@@ -7,8 +7,8 @@
 	"ospreybend/internal/util/stats"
 )
 
-// FailureProbability returns the estimated probability that a request of the worst affected class fails at a
-// worker; 0 for an unknown worker. It is for observers and changes nothing.
+// FailureProbability returns the estimated probability that a request fails at a worker, for the class with
+// the highest one; 0 for an unknown worker. It is meant for monitoring and does not affect decisions.
 func (b *Balancer) FailureProbability(now time.Duration, id WorkerID) float64 {
 	w := b.fleet.byID[id]
 	if w == nil {
@@ -21,29 +21,30 @@
 	return worst
 }
 
-// ZoneView is the capacity of a zone's ready workers, as known to a dispatcher.
+// ZoneView is the capacity of a zone's ready workers, as far as this balancer knows.
 type ZoneView struct {
 	Zone          int
 	Slots         float64
-	WarmupDeficit float64 // capacity fraction lacking as workers warm up
+	WarmupDeficit float64 // fraction of the capacity that is not yet available as workers warm up
 }
 
-// Zones returns the capacity of all zones, by zone number. It is for observers and changes nothing.
+// Zones returns the capacity of each zone with a ready worker, ordered by zone number. It is meant for
+// monitoring and does not affect decisions.
 func (b *Balancer) Zones(now time.Duration) []ZoneView {
-	by := map[int]*ZoneView{}
-	var out []ZoneView
+	byZone := map[int]*ZoneView{}
+	var zones []ZoneView
 	for _, w := range b.fleet.workers {
 		if !b.fleet.isReady(w) {
 			continue
 		}
-		z := stats.Of(by, w.zone)
+		z := stats.Of(byZone, w.zone)
 		slots := b.fleet.slotsOf(w)
-		z.WarmupDeficit += slots * (1 - b.fleet.warmCapacity(now, w))
+		z.WarmupDeficit += slots * (1 - b.fleet.capacityFraction(now, w))
 		z.Slots += slots
 	}
-	for zone, z := range by {
-		out = append(out, ZoneView{Zone: zone, Slots: z.Slots, WarmupDeficit: z.WarmupDeficit / z.Slots})
+	for zone, z := range byZone {
+		zones = append(zones, ZoneView{Zone: zone, Slots: z.Slots, WarmupDeficit: z.WarmupDeficit / z.Slots})
 	}
-	slices.SortFunc(out, func(a, b ZoneView) int { return a.Zone - b.Zone })
-	return out
+	slices.SortFunc(zones, func(a, b ZoneView) int { return a.Zone - b.Zone })
+	return zones
 }
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	evacuationSpread     = time.Second // hedges of requests in a failed zone are spread over it
-	evacuationPerRequest = 0.1         // such hedges allowed for each request accepted;
-	maxEvacuationBudget  = 10.0        // at most so many at once, as all dispatchers evacuate together
+	evacuationSpread     = time.Second // the hedges out of a failed zone are spread over this time
+	evacuationPerRequest = 0.1         // hedges out of failed zones allowed per accepted request
+	maxEvacuationBudget  = 10.0        // at most this many at once, as all balancers evacuate at the same time
 )
 
-// withinZoneShare reports whether a request may go to a zone. The answer is drawn from the request's ID, so
-// that it stays the same while the share does.
+// withinZoneShare reports whether a request may go to a zone. This depends on a hash of the request's ID, so
+// that it does not change while the share stays the same.
 func (f *fleet) withinZoneShare(id RequestID, zone int) bool {
 	share := f.zoneShare(zone)
 	return share >= 1 || stats.Draw(uint64(id), uint64(zone)) < share
@@ -23,22 +23,22 @@
 
 // zoneShare returns the share of a zone, 0 to 1.
 func (f *fleet) zoneShare(zone int) float64 {
-	if zone < len(f.shares) {
-		return f.shares[zone]
+	if zone < len(f.zoneShares) {
+		return f.zoneShares[zone]
 	}
 	return 1
 }
 
-// zoneShares applies the zones' shares, and hedges the requests in zones that newly failed.
-func (b *Balancer) zoneShares(now time.Duration, ev ZoneShares) {
-	before := b.fleet.shares
-	b.fleet.shares = slices.Clone(ev.Shares)
+// handleZoneShares applies the zones' shares, and hedges requests out of the zones that have just failed.
+func (b *Balancer) handleZoneShares(now time.Duration, ev ZoneShares) {
+	previous := b.fleet.zoneShares
+	b.fleet.zoneShares = slices.Clone(ev.Shares)
 	newlyFailed := func(zone int) bool {
-		return slices.Contains(ev.Failed, zone) && (zone >= len(before) || before[zone] > 0)
+		return slices.Contains(ev.Failed, zone) && (zone >= len(previous) || previous[zone] > 0)
 	}
 	for _, w := range b.fleet.workers {
-		if w.zone < len(before) && before[w.zone] == 0 && b.fleet.zoneShare(w.zone) > 0 {
-			clear(w.health) // the voters decided that it is tried again
+		if w.zone < len(previous) && previous[w.zone] == 0 && b.fleet.zoneShare(w.zone) > 0 {
+			clear(w.failureRates) // the voters put the zone back in use: past failures do not count
 			w.lastSeenAt = 0
 		}
 	}
@@ -50,8 +50,8 @@
 			}
 			if maySend, _ := b.permit(now, r); maySend {
 				b.evacuationBudget--
-				wait := time.Duration(b.rng.Float64() * float64(evacuationSpread))
-				b.schedule(wait, func(now time.Duration) { b.hedge(now, r, index, true) })
+				delay := time.Duration(b.rng.Float64() * float64(evacuationSpread))
+				b.schedule(delay, func(now time.Duration) { b.hedge(now, r, index, true) })
 			}
 		}
 	}
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -7,7 +7,7 @@
 )
 
 // zonedBalancer returns a dispatcher with two workers in each of two zones, all with free slots.
-func zonedBalancer(t testing.TB, classes ...Class) *Balancer {
+func newZonedBalancer(t testing.TB, classes ...Class) *Balancer {
 	b, err := New(Settings{Balancers: 1, Classes: classes, ReportFields: []ReportField{FieldBacklog, FieldFreeSlots},
 		Limits: Limits{Cancel: true, HedgedRequests: true, MaxAttempts: 4}, ReportsStart: true}, 7)
 	if err != nil {
@@ -25,12 +25,12 @@
 }
 
 var (
-	idempotent = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: Idempotent}
-	once       = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: NonIdempotent}
+	idempotent    = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: Idempotent}
+	nonIdempotent = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: NonIdempotent}
 )
 
 // sends returns the workers that a list of actions sends to.
-func sends(actions []Action) (out []WorkerID) {
+func sentTo(actions []Action) (out []WorkerID) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			out = append(out, s.Worker)
@@ -42,7 +42,7 @@
 // A zone takes its share of the requests, none at share 0.
 func TestBalancer_zoneTakesItsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.25, 1} {
-		b := zonedBalancer(t, idempotent)
+		b := newZonedBalancer(t, idempotent)
 		// Nobody else takes anything: who may not go there goes nowhere.
 		b.Handle(0, ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 1, State: Draining}, {Worker: 3, State: Draining}}})
 		b.Handle(0, ZoneShares{Shares: []float64{1, share}})
@@ -50,7 +50,7 @@
 		const all = 2000
 		for i := range all {
 			now, id := time.Duration(i)*time.Millisecond, RequestID(i+1)
-			for _, to := range sends(b.Handle(now, Request{ID: id, Slots: 1, Deadline: now + 10*time.Second})) {
+			for _, to := range sentTo(b.Handle(now, Request{ID: id, Slots: 1, Deadline: now + 10*time.Second})) {
 				n++
 				b.Handle(now, AttemptDone{Request: id, Worker: to, Outcome: Served, Elapsed: time.Millisecond, Over: true, Report: []float32{0, 4}})
 			}
@@ -63,12 +63,12 @@
 
 // Requests in flight in a failed zone are hedged elsewhere: only as many as the budget allows, spread over time, and none
 // that must not run twice.
-func TestBalancer_evacuatesFailedZone(t *testing.T) {
+func TestBalancer_hedgesOutOfFailedZone(t *testing.T) {
 	for _, c := range []struct {
 		class Class
 		want  int
-	}{{idempotent, int(maxEvacuationBudget)}, {once, 0}} {
-		b := zonedBalancer(t, c.class)
+	}{{idempotent, int(maxEvacuationBudget)}, {nonIdempotent, 0}} {
+		b := newZonedBalancer(t, c.class)
 		timers := map[uint32]time.Duration{}
 		take := func(now time.Duration, actions []Action) []WorkerID {
 			for _, a := range actions {
@@ -76,7 +76,7 @@
 					timers[s.Token] = now + s.After
 				}
 			}
-			return sends(actions)
+			return sentTo(actions)
 		}
 		const t0 = time.Second
 		take(t0, b.Handle(t0, ZoneShares{Shares: []float64{0, 1}}))
@@ -115,7 +115,7 @@
 		shares []float64
 	}{{"off", nil}, {"orders", []float64{1, 0.5, 1, 1, 1}}} {
 		b.Run(c.name, func(b *testing.B) {
-			d := zonedBalancer(b, idempotent)
+			d := newZonedBalancer(b, idempotent)
 			up := ListUpdate{Kind: ListFull}
 			for i := range 200 {
 				up.Workers = append(up.Workers, WorkerListing{Worker: WorkerID(i + 1), Zone: i % 5, State: Ready})
@@ -126,7 +126,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				to := sends(d.Handle(time.Duration(id)*time.Microsecond, Request{ID: id, Slots: 1, Deadline: time.Hour}))
+				to := sentTo(d.Handle(time.Duration(id)*time.Microsecond, Request{ID: id, Slots: 1, Deadline: time.Hour}))
 				d.Handle(time.Duration(id)*time.Microsecond, AttemptDone{Request: id, Worker: to[0], Outcome: Served, Elapsed: time.Millisecond, Over: true})
 			}
 		})
@@ -140,7 +140,7 @@
 	for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
 		var asked [20]int // in each tenth of the span in which a call may come, over all dispatchers
 		for i := range 300 {
-			b, err := New(Settings{Balancers: 300, Ordinal: i, Classes: []Class{once}, SubscribeDiscovery: true, Limits: Limits{MaxAttempts: 1},
+			b, err := New(Settings{Balancers: 300, Ordinal: i, Classes: []Class{nonIdempotent}, SubscribeDiscovery: true, Limits: Limits{MaxAttempts: 1},
 				Rules: Rules{SubscribeWithin: within}}, 3)
 			if err != nil {
 				t.Fatal(err)
@@ -154,7 +154,7 @@
 				}
 				asked[wait.After/(100*time.Millisecond)]++
 				now += wait.After
-				if acts := b.Handle(now, TimerFired{Token: wait.Token}); countOf[Subscribe](acts) != 1 {
+				if acts := b.Handle(now, TimerFired{Token: wait.Token}); countActions[Subscribe](acts) != 1 {
 					t.Fatalf("no call: %v", acts)
 				}
 			}
