--- a/balance/api.go
+++ b/balance/api.go
@@ -185,13 +185,13 @@
 	Until   time.Duration // clock time at which the attempt times out; 0: the request's deadline
 }
 
-// Reject answers a request finally: it did not run, or may run again, and so the client may retry it.
+// Reject is the final response to a request that did not run or may run again: the client may retry it.
 type Reject struct {
 	Request    RequestID
 	RetryAfter time.Duration // the least delay before the retry; 0: not given
 }
 
-// Fail answers a request finally: it failed and may have run.
+// Fail is the final response to a request that failed and may have run.
 type Fail struct{ Request RequestID }
 
 // Cancel cancels an attempt.
--- a/balance/compatibility_test.go
+++ b/balance/compatibility_test.go
@@ -11,16 +11,16 @@
 	"ospreybend/balance"
 )
 
-// compatibilityRow is the fixture: what a dispatcher of commit 8782861 has learned, as big-endian words.
+// fixturePath is a state that a balancer of commit 8782861 exported, as 64-bit big-endian words.
 const fixturePath = "testdata/v8782861/learned"
 
-// newCompatible returns a dispatcher over two workers.
+// newFixtureBalancer returns a balancer with the settings and workers of the fixture.
 func newFixtureBalancer(t *testing.T) *balance.Balancer {
 	t.Helper()
 	class := balance.Class{LatencyTarget: time.Second, Timeout: 4 * time.Second, Value: 1, Kind: -1}
 	b, err := balance.New(balance.Settings{
-		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class}, ReportFields: []balance.ReportField{balance.FieldFreeSlots},
-		Limits: balance.Limits{MaxAttempts: 2},
+		Balancers: 1, Resolution: 2 * time.Millisecond, Classes: []balance.Class{class},
+		ReportFields: []balance.ReportField{balance.FieldFreeSlots}, Limits: balance.Limits{MaxAttempts: 2},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 	return b
 }
 
-// readRow returns the words of the fixture.
+// readFixture returns the words of the fixture.
 func readFixture(t *testing.T) (words []uint64) {
 	t.Helper()
 	content, err := os.ReadFile(filepath.FromSlash(fixturePath))
@@ -43,13 +43,15 @@
 	return words
 }
 
-// The order of a row's tables is that of maps, so the words are compared without it.
+// A state of commit 8782861 is imported and exported again without a change. The order of the words is not
+// compared, as maps are exported in random order.
 func TestBalancer_ImportState_version8782861(t *testing.T) {
 	fixture, b := readFixture(t), newFixtureBalancer(t)
 	if err := b.ImportState(2*time.Hour, slices.Clone(fixture)); err != nil {
 		t.Fatal(err)
 	}
-	if exported := b.ExportState(); !slices.Equal(slices.Sorted(slices.Values(exported)), slices.Sorted(slices.Values(fixture))) {
-		t.Errorf("what was recalled is %v, the fixture %v", exported, fixture)
+	exported := b.ExportState()
+	if !slices.Equal(slices.Sorted(slices.Values(exported)), slices.Sorted(slices.Values(fixture))) {
+		t.Errorf("exported after the import: got %v, want the fixture's words in any order: %v", exported, fixture)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/balance"
 )
 
-// A dispatcher with one worker accepts a request, and the worker rejects it as full.
+// A balancer sends a request to its only worker, which rejects it as full.
 func ExampleNew() {
 	settings := balance.Settings{
 		Balancers:  1,
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -8,7 +8,8 @@
 	"ospreybend/internal/util/stats"
 )
 
-// A worker that fails fast looks idle and would attract all jobs.
+// One failure raises a worker's failure probability for some time. Otherwise a worker that fails fast looks
+// idle and attracts all jobs.
 func TestFleet_failureProbability_risesAfterFailure(t *testing.T) {
 	b := newBusyBalancer(t, testSettings(0))
 	w := b.fleet.workers[0]
@@ -19,14 +20,14 @@
 	b.fleet.recordResult(0, w, 0, true)
 	after := b.fleet.failureProbability(0, w, 0)
 	if after < 10*before {
-		t.Errorf("failure probability %v after a failure, %v before", after, before)
+		t.Errorf("failure probability after a failure: got %v, want at least 10 times %v", after, before)
 	}
 	if later := b.fleet.failureProbability(time.Minute, w, 0); later > after/2 {
-		t.Errorf("failure probability still %v after a minute", later)
+		t.Errorf("failure probability a minute later: got %v, want at most half of %v", later, after)
 	}
 }
 
-// When most workers fail, none must look much worse than the rest.
+// If all workers fail, those that were used must not look much worse than one that was not.
 func TestFleet_failureProbability_relativeToFleet(t *testing.T) {
 	b := newBusyBalancer(t, testSettings(0))
 	for range 20 {
@@ -34,13 +35,16 @@
 			b.fleet.recordResult(0, w, 0, true)
 		}
 	}
-	spared := &worker{failureRates: make([]stats.FailureRate, len(b.fleet.failureRates))}
-	if tried, other := b.fleet.failureProbability(0, b.fleet.workers[0], 0), b.fleet.failureProbability(0, spared, 0); tried > 1.5*other {
-		t.Errorf("failure probability %v at a used worker, %v at an unused one", tried, other)
+	unused := &worker{failureRates: make([]stats.FailureRate, len(b.fleet.failureRates))}
+	used, other := b.fleet.failureProbability(0, b.fleet.workers[0], 0), b.fleet.failureProbability(0, unused, 0)
+	if used > 1.5*other {
+		t.Errorf("failure probability of a used worker: got %v, want at most 1.5 times an unused one's %v",
+			used, other)
 	}
 }
 
-// A rejection by a worker that seemed free counts as a failure: such a worker once attracted 85 times the mean.
+// A rejection as full counts as a failure if the worker seemed to have a free slot. A worker that rejected
+// everything while it looked idle once attracted 85 times the mean number of requests.
 func TestBalancer_unexpectedFullCountsAsFailure(t *testing.T) {
 	b := newBusyBalancer(t, testSettings(0))
 	a := &b.requests[1].attempts[0]
@@ -48,11 +52,11 @@
 	before := b.fleet.failureProbability(0, a.worker, 0)
 	b.Handle(time.Millisecond, AttemptDone{Request: 1, Worker: a.worker.id, Outcome: Full})
 	if after := b.fleet.failureProbability(time.Millisecond, a.worker, 0); after < 10*before {
-		t.Errorf("failure probability %v, was %v", after, before)
+		t.Errorf("failure probability after the unexpected Full: got %v, want at least 10 times %v", after, before)
 	}
 }
 
-// A worker without a recent report is assumed to have its kind's mean load, not the fleet's.
+// A worker without a report is assumed to have the mean load of its kind, not of the fleet.
 func TestFleet_freeSlots_unreportedWorkerHasKindMean(t *testing.T) {
 	b := newBusyBalancer(t, testSettings(0))
 	busy, idle := b.fleet.workers[0], b.fleet.workers[1]
@@ -63,50 +67,54 @@
 	}
 	unseen := &worker{kind: 1}
 	if got := b.fleet.freeSlots(0, unseen, 0.1); got > -1 {
-		t.Errorf("an unseen worker of a kind with three waiting has %v slots free", got)
+		t.Errorf("free slots of an unreported worker whose kind has 3 queued jobs: got %v, want at most -1", got)
 	}
 }
 
+// After each failed call the balancer subscribes again within 1.5 s.
 func TestBalancer_resubscribesAfterFailedCall(t *testing.T) {
 	s := testSettings(0)
 	s.SubscribeDiscovery = true
-	st := &driver{balancer: newTestBalancer(t, s, 3), checker: newChecker(s), rng: rand.New(rand.NewPCG(1, 1))}
-	st.handle(workerList(ListCached, 4))
-	var asks []time.Duration
-	for st.now < time.Minute {
-		st.now += 5 * time.Millisecond
-		n := countActions[Subscribe](st.actions)
-		st.fireTimers()
-		if countActions[Subscribe](st.actions) > n {
-			asks = append(asks, st.now)
-			st.handle(ListUpdate{Kind: ListFailed})
+	d := &driver{balancer: newTestBalancer(t, s, 3), checker: newChecker(s), rng: rand.New(rand.NewPCG(1, 1))}
+	d.handle(workerList(ListCached, 4))
+	var calls []time.Duration
+	for d.now < time.Minute {
+		d.now += 5 * time.Millisecond
+		before := countActions[Subscribe](d.actions)
+		d.fireTimers()
+		if countActions[Subscribe](d.actions) > before {
+			calls = append(calls, d.now)
+			d.handle(ListUpdate{Kind: ListFailed})
 		}
 	}
-	if len(asks) < 4 || asks[0] > s.Rules.SubscribeWithin {
-		t.Fatalf("subscribed at %v", asks)
+	if len(calls) < 4 || calls[0] > s.Rules.SubscribeWithin {
+		t.Fatalf("subscribed at %v, want at least 4 calls, the first within %v", calls, s.Rules.SubscribeWithin)
 	}
-	for i := range asks[1:] {
-		if wait := asks[i+1] - asks[i]; i > 0 && wait < 500*time.Millisecond || wait > 1505*time.Millisecond {
-			t.Errorf("call %d comes %v after the one that failed", i+1, wait)
+	for i := range calls[1:] {
+		if wait := calls[i+1] - calls[i]; i > 0 && wait < 500*time.Millisecond || wait > 1505*time.Millisecond {
+			t.Errorf("call %d: got a delay of %v after the failed one, want 0.5 s (0 for the first retry) to 1.505 s",
+				i+1, wait)
 		}
 	}
 }
 
-// A worker that fails one class alone is avoided for it and preferred no less for the others.
+// A worker that fails the requests of one class is avoided for that class, but not for the others.
 func TestFleet_failureProbability_byClass(t *testing.T) {
 	b := newTestBalancer(t, testSettings(0), 1)
 	b.Handle(0, workerList(ListFull, 3))
-	failing, well := b.fleet.workers[0], b.fleet.workers[1]
+	failing, healthy := b.fleet.workers[0], b.fleet.workers[1]
 	for range 8 {
 		b.fleet.recordResult(0, failing, 0, false)
-		b.fleet.recordResult(0, well, 0, false)
-		b.fleet.recordResult(0, well, 4, false)
+		b.fleet.recordResult(0, healthy, 0, false)
+		b.fleet.recordResult(0, healthy, 4, false)
 	}
 	b.fleet.recordResult(0, failing, 4, true)
-	if got, other := b.fleet.failureProbability(0, failing, 4), b.fleet.failureProbability(0, well, 4); got < 0.2 || got < 10*other {
-		t.Errorf("failure probability %.3f at the failing worker, %.3f at another", got, other)
+	got, other := b.fleet.failureProbability(0, failing, 4), b.fleet.failureProbability(0, healthy, 4)
+	if got < 0.2 || got < 10*other {
+		t.Errorf("failure probability for the failing class: got %.3f, want at least 0.2 and 10 times the healthy "+
+			"worker's %.3f", got, other)
 	}
 	if got := b.fleet.failureProbability(0, failing, 0); got > 0.15 {
-		t.Errorf("failure probability %.3f for a class that it serves", got)
+		t.Errorf("failure probability for another class: got %.3f, want at most 0.15", got)
 	}
 }
--- a/balance/homes_test.go
+++ b/balance/homes_test.go
@@ -6,39 +6,42 @@
 	"time"
 )
 
-// keyedRequest sends requests of a key, one after the other, through dispatchers that share nothing, and returns how many
-// each worker got. served reports whether a request has ended before the next.
-func sendKeyedRequests(t *testing.T, dispatchers, requests int, key func(i int) uint64, served bool) map[WorkerID]int {
+// sendKeyedRequests sends requests with keys, one after the other, through balancers that share nothing, and
+// returns how many each worker got. With served, each request is served before the next is sent.
+func sendKeyedRequests(t *testing.T, balancers, requests int, key func(i int) uint64,
+	served bool) map[WorkerID]int {
 	t.Helper()
 	s := testSettings(0)
 	s.Limits.Probes = false
-	all := make([]*driver, dispatchers)
-	for i := range all {
-		all[i] = &driver{balancer: newTestBalancer(t, s, uint64(i)+1), checker: newChecker(s), rng: rand.New(rand.NewPCG(1, 1)), now: time.Second}
-		all[i].handle(workerList(ListFull, 24))
+	drivers := make([]*driver, balancers)
+	for i := range drivers {
+		drivers[i] = &driver{balancer: newTestBalancer(t, s, uint64(i)+1), checker: newChecker(s),
+			rng: rand.New(rand.NewPCG(1, 1)), now: time.Second}
+		drivers[i].handle(workerList(ListFull, 24))
 	}
-	got := map[WorkerID]int{}
+	counts := map[WorkerID]int{}
 	for i := range requests {
-		st := all[i%dispatchers]
-		st.now += 5 * time.Second // what was learned of workers one by one is forgotten
-		from, id := len(st.actions), RequestID(i+1)
-		st.handle(Request{ID: id, Key: key(i), Slots: 1, Deadline: st.now + 4*time.Second})
-		for _, a := range st.actions[from:] {
+		d := drivers[i%balancers]
+		d.now += 5 * time.Second // estimates of single workers decay
+		seen, id := len(d.actions), RequestID(i+1)
+		d.handle(Request{ID: id, Key: key(i), Slots: 1, Deadline: d.now + 4*time.Second})
+		for _, a := range d.actions[seen:] {
 			if send, ok := a.(Send); ok {
-				got[send.Worker]++
+				counts[send.Worker]++
 				if served {
-					st.handle(AttemptProgress{Request: id, Worker: send.Worker, Started: true})
-					st.now += 100 * time.Millisecond
-					st.handle(AttemptDone{Request: id, Worker: send.Worker, Outcome: Served, Elapsed: 100 * time.Millisecond, Over: true})
+					d.handle(AttemptProgress{Request: id, Worker: send.Worker, Started: true})
+					d.now += 100 * time.Millisecond
+					d.handle(AttemptDone{Request: id, Worker: send.Worker, Outcome: Served,
+						Elapsed: 100 * time.Millisecond, Over: true})
 				}
 			}
 		}
 	}
-	return got
+	return counts
 }
 
-// Dispatchers without communication send a key's requests to the same few workers, and other keys' to others. Otherwise
-// each worker would fetch every key's data from the shared store.
+// Balancers that do not communicate send the requests of a key to the same few workers, and those of other
+// keys to others. Otherwise each worker would fetch the data of every key from the shared store.
 func TestHomes_requestsOfOneKeyShareWorkers(t *testing.T) {
 	homes := map[WorkerID]bool{}
 	for key := range uint64(30) {
@@ -49,15 +52,15 @@
 			}
 		}
 		if most < 36 {
-			t.Errorf("key %d: of 40 requests at most %d went to one worker: %v", key, most, got)
+			t.Errorf("key %d: got at most %d of 40 requests at one worker, want at least 36: %v", key, most, got)
 		}
 	}
 	if len(homes) < 12 {
-		t.Errorf("30 keys have %d homes of 24", len(homes))
+		t.Errorf("homes of 30 keys among 24 workers: got %d, want at least 12", len(homes))
 	}
 }
 
-// A hot key gets as many homes as its share of the requests needs; a single one would have all of them in its queue.
+// A hot key gets as many homes as its share of the requests needs. A single home would queue all of them.
 func TestHomes_hotKeyHasManyHomes(t *testing.T) {
 	hot := sendKeyedRequests(t, 1, 600, func(i int) uint64 {
 		if i%2 == 0 {
@@ -66,32 +69,32 @@
 		return uint64(2 + i)
 	}, true)
 	if len(hot) < 16 {
-		t.Errorf("%d of 24 workers are used", len(hot))
+		t.Errorf("workers used: got %d of 24, want at least 16", len(hot))
 	}
 	for id, n := range hot {
-		if n > 150 { // a quarter; without homes by share the first has half
-			t.Errorf("worker %d got %d of 600", id, n)
+		if n > 150 { // a quarter; if the share did not set the number of homes, the first would get half
+			t.Errorf("worker %d: got %d of 600 requests, want at most 150", id, n)
 		}
 	}
 }
 
-// Overflow goes to the next workers of the key's order, the same for all dispatchers: they are busy with the key, too, but
-// cache its data.
+// Overflow goes to the next workers in the key's order, which is the same for all balancers. These workers
+// then cache the key's data, too.
 func TestHomes_overflowOrderIsShared(t *testing.T) {
 	got := sendKeyedRequests(t, 10, 60, func(int) uint64 { return 9 }, false)
 	if len(got) < 2 || len(got) > 8 {
-		t.Errorf("six of each of ten dispatchers, none ended, went to %d workers: %v", len(got), got)
+		t.Errorf("10 balancers with 6 open requests each: got %d workers in use, want 2 to 8: %v", len(got), got)
 	}
 }
 
 // Requests without a key have no affinity.
 func TestHomes_noneWithoutKey(t *testing.T) {
 	if got := sendKeyedRequests(t, 40, 40, func(int) uint64 { return 0 }, true); len(got) < 12 {
-		t.Errorf("40 requests without a key went to %d workers", len(got))
+		t.Errorf("40 requests without a key: got requests at %d workers, want at least 12", len(got))
 	}
 }
 
-// BenchmarkDecisionAmong200 measures a decision among 200 workers with answered probes, with a key and without.
+// BenchmarkDecisionAmong200 measures a decision among 200 workers, probes included, with a key and without.
 func BenchmarkDecisionAmong200(b *testing.B) {
 	for name, keys := range map[string]uint64{"keyed": 1000, "keyless": 1} {
 		b.Run(name, func(b *testing.B) {
@@ -107,20 +110,23 @@
 			for b.Loop() {
 				id++
 				now += 20 * time.Millisecond
-				todo := append([]Action(nil), d.Handle(now, Request{ID: id, Key: uint64(id) % keys, Slots: 1, Deadline: now + 4*time.Second})...)
-				for len(todo) > 0 {
-					a := todo[0]
-					todo = todo[1:]
+				r := Request{ID: id, Key: uint64(id) % keys, Slots: 1, Deadline: now + 4*time.Second}
+				pending := append([]Action(nil), d.Handle(now, r)...)
+				for len(pending) > 0 {
+					a := pending[0]
+					pending = pending[1:]
 					switch a := a.(type) {
 					case Probe:
-						todo = append(todo, d.Handle(now, ProbeDone{Worker: a.Worker, Outcome: Served, Report: []float32{4, 0}})...)
+						done := ProbeDone{Worker: a.Worker, Outcome: Served, Report: []float32{4, 0}}
+						pending = append(pending, d.Handle(now, done)...)
 					case Send:
-						d.Handle(now, AttemptDone{Request: id, Worker: a.Worker, Outcome: Served, Elapsed: 10 * time.Millisecond, Over: true})
+						d.Handle(now, AttemptDone{Request: id, Worker: a.Worker, Outcome: Served,
+							Elapsed: 10 * time.Millisecond, Over: true})
 					}
 				}
 			}
 			if len(d.requests) > 0 {
-				b.Errorf("%d requests are open", len(d.requests))
+				b.Errorf("open requests at the end: got %d, want 0", len(d.requests))
 			}
 		})
 	}
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -77,8 +77,8 @@
 // enqueue queues a request. It is placed again at growing intervals.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	r.probingDone = false
-	pollsInterval := time.Duration(b.estimator.meanRun.Or(0, 0) / pollsPerRun * float64(time.Second))
-	interval := max(queuePollInterval, pollsInterval)
+	perRunInterval := time.Duration(b.estimator.meanRun.Or(0, 0) / pollsPerRun * float64(time.Second))
+	interval := max(queuePollInterval, perRunInterval)
 	r.retryAt = now + interval<<min(r.timesQueued, maxPollDoublings)
 	r.timesQueued++
 	b.appendToQueue(r)
@@ -118,7 +118,7 @@
 type forecast struct {
 	worker          *worker
 	totalCost       float64 // the cost that workers are compared by
-	delay           float64 // from the send to the answer
+	delay           float64 // from the send to the response
 	unqueuedDelay   float64 // transfer and run time, without queue wait
 	fullProbability float64 // probability that the worker rejects it as full
 	freeSlots       float64 // slots free now
--- a/balance/probing_test.go
+++ b/balance/probing_test.go
@@ -7,174 +7,194 @@
 	"time"
 )
 
-// probingBalancer runs one of 300 dispatchers with 160 unknown workers, one in eight warming up with budget left, and one
-// request. Probes are answered by report; a worker without a report rejects them. It returns the probed workers, and the
-// end of the request and its time.
-func runProbing(t *testing.T, seed uint64, reported func(asked int) []float32, with ...func(*Balancer)) ([]WorkerID, Action, time.Duration) {
-	return runKeyedProbing(t, seed, 0, reported, with...)
+// runProbing runs a request through one of 300 balancers with 160 workers that it knows nothing of; one in
+// eight is warming up and has budget left. report returns the response to the probe of that number, from 1;
+// if it is nil, the worker rejects the probe. changes are applied to the balancer before the request.
+// runProbing returns the probed workers in order, the first Send, Reject or Fail, and the time of it.
+func runProbing(t *testing.T, seed uint64, report func(probed int) []float32,
+	changes ...func(*Balancer)) ([]WorkerID, Action, time.Duration) {
+	return runKeyedProbing(t, seed, 0, report, changes...)
 }
 
-// probingBalancerWith is probingBalancer for a request with a key.
-func runKeyedProbing(t *testing.T, seed, key uint64, reported func(asked int) []float32, with ...func(*Balancer)) (asked []WorkerID, end Action, at time.Duration) {
+// runKeyedProbing is runProbing for a request with a key.
+func runKeyedProbing(t *testing.T, seed, key uint64, report func(probed int) []float32,
+	changes ...func(*Balancer)) (probed []WorkerID, end Action, endedAt time.Duration) {
 	s := testSettings(0)
 	s.Balancers, s.Limits.Probes = 300, true
-	st := &driver{balancer: newTestBalancer(t, s, seed), checker: newChecker(s), rng: rand.New(rand.NewPCG(seed, 4)), now: 12 * time.Second}
+	d := &driver{balancer: newTestBalancer(t, s, seed), checker: newChecker(s),
+		rng: rand.New(rand.NewPCG(seed, 4)), now: 12 * time.Second}
 	up := workerList(ListFull, 160)
 	for i := range up.Workers[:20] {
 		up.Workers[i].Started = 10 * time.Second
 	}
-	st.handle(up)
-	for _, f := range with {
-		f(st.balancer)
+	d.handle(up)
+	for _, change := range changes {
+		change(d.balancer)
 	}
-	for _, w := range st.balancer.fleet.workers {
-		w.warmupTokens, w.warmupTokensAt = 1, st.now
+	for _, w := range d.balancer.fleet.workers {
+		w.warmupTokens, w.warmupTokensAt = 1, d.now
 	}
-	st.balancer.inFlight = 1 // with nothing out it would send in any case
-	st.handle(Request{ID: 1, Key: key, HasCost: true, Cost: 100 * time.Millisecond, Slots: 1, Deadline: st.now + 4*time.Second})
-	for seen := 0; st.now < 20*time.Second; st.now += time.Millisecond {
-		st.fireTimers()
-		for ; seen < len(st.actions); seen++ {
-			switch a := st.actions[seen].(type) {
+	d.balancer.inFlight = 1 // with nothing in flight it would send without regard to the estimates
+	d.handle(Request{ID: 1, Key: key, HasCost: true, Cost: 100 * time.Millisecond, Slots: 1,
+		Deadline: d.now + 4*time.Second})
+	for seen := 0; d.now < 20*time.Second; d.now += time.Millisecond {
+		d.fireTimers()
+		for ; seen < len(d.actions); seen++ {
+			switch a := d.actions[seen].(type) {
 			case Probe:
-				asked = append(asked, a.Worker)
-				done := ProbeDone{Worker: a.Worker, Outcome: Full, Report: reported(len(asked))}
+				probed = append(probed, a.Worker)
+				done := ProbeDone{Worker: a.Worker, Outcome: Full, Report: report(len(probed))}
 				if done.Report != nil {
 					done.Outcome = Served
 				}
-				st.handle(done)
+				d.handle(done)
 			case Send, Reject, Fail:
-				return asked, a, st.now
+				return probed, a, d.now
 			}
 		}
 	}
-	return asked, nil, st.now
+	return probed, nil, d.now
 }
 
+// A request goes to the probed worker that reports free slots. Warming-up workers are probed often enough for
+// this balancer to use its share of their budget.
 func TestBalancer_sendProbes_choosesFreeWorker(t *testing.T) {
 	warmingUp := 0
 	for seed := range uint64(20) {
-		asked, end, _ := runProbing(t, seed, func(asked int) []float32 {
-			if asked == 2 {
-				return []float32{4, 0} // free slots, waiting
+		probed, end, _ := runProbing(t, seed, func(probed int) []float32 {
+			if probed == 2 {
+				return []float32{4, 0} // free slots, backlog
 			}
 			return []float32{0, 3}
 		})
-		if send, ok := end.(Send); !ok || len(asked) != probesPerRound || send.Worker != asked[1] {
-			t.Errorf("seed %d: %+v, probed were %v", seed, end, asked)
+		if send, ok := end.(Send); !ok || len(probed) != probesPerRound || send.Worker != probed[1] {
+			t.Errorf("seed %d: got %T%+v after probes of %v, want %d probes and a Send to the second worker",
+				seed, end, end, probed, probesPerRound)
 		}
-		for _, id := range asked {
+		for _, id := range probed {
 			if id <= 20 {
 				warmingUp++
 			}
 		}
 	}
-	if warmingUp < 20 { // one a request is drawn at random, of the cold ones if there are any
-		t.Errorf("%d of the probed are warming up: this dispatcher's part of their budget is unused", warmingUp)
+	if warmingUp < 20 { // at least one per request: the worker at random is a warming-up one if possible
+		t.Errorf("20 requests: got %d probes of warming-up workers, want at least 20", warmingUp)
 	}
 }
 
-// The few probed workers say nothing of the others: the request probes those later, and is rejected when its deadline
-// is infeasible.
+// If no probed worker has a free slot, others may have one: the request probes others later, and is rejected
+// once its deadline is infeasible.
 func TestBalancer_sendProbes_noFreeWorker(t *testing.T) {
-	asked, end, at := runProbing(t, 1, func(int) []float32 { return []float32{0, 40} })
-	if _, ok := end.(Reject); !ok || len(asked) <= maxProbes || at <= 12*time.Second || at > 12500*time.Millisecond {
-		t.Errorf("%+v at %v, %d probed", end, at, len(asked))
+	probed, end, endedAt := runProbing(t, 1, func(int) []float32 { return []float32{0, 40} })
+	_, ok := end.(Reject)
+	if !ok || len(probed) <= maxProbes || endedAt <= 12*time.Second || endedAt > 12500*time.Millisecond {
+		t.Errorf("no worker has a free slot: got %T%+v at %v after %d probes, want a Reject at 12 s to 12.5 s "+
+			"after more than %d probes", end, end, endedAt, len(probed), maxProbes)
 	}
 }
 
-// A job of a class of lower value accepts a short wait; one of the class of the highest value looks for a free slot.
+// A request of a class of lower value accepts a short wait; one of the class of the highest value probes more
+// workers for a free slot.
 func TestBalancer_sendProbes_lowerValueAcceptsWait(t *testing.T) {
 	for _, c := range []struct {
-		maxValue float64
-		more     bool
+		maxValue   float64
+		probesMore bool
 	}{{1, true}, {4, false}} {
-		asked, _, _ := runProbing(t, 3, func(int) []float32 { return []float32{0.4, 0} }, func(b *Balancer) { b.maxValue = c.maxValue })
-		if more := len(asked) > probesPerRound; more != c.more {
-			t.Errorf("value 1 of %v: %d probed", c.maxValue, len(asked))
+		probed, _, _ := runProbing(t, 3, func(int) []float32 { return []float32{0.4, 0} },
+			func(b *Balancer) { b.maxValue = c.maxValue })
+		if probesMore := len(probed) > probesPerRound; probesMore != c.probesMore {
+			t.Errorf("class of value 1, highest value %v, 0.4 free slots: got %d probes, want more than %d: %v",
+				c.maxValue, len(probed), probesPerRound, c.probesMore)
 		}
 	}
 }
 
-// Workers that reject probes though listed as ready are draining, and the list is seconds late. Nothing is sent there,
-// however good their forecast.
+// A worker that is listed as ready but rejects a probe is draining, and the list is seconds old. Nothing is
+// sent to it, however good its forecast is.
 func TestBalancer_sendProbes_rejectingWorkerIsSkipped(t *testing.T) {
 	for seed := range uint64(20) {
-		asked, end, _ := runProbing(t, seed, func(int) []float32 { return nil })
-		if send, ok := end.(Send); !ok || len(asked) < maxProbes || slices.Contains(asked, send.Worker) {
-			t.Errorf("seed %d: %+v, probed were %v", seed, end, asked)
+		probed, end, _ := runProbing(t, seed, func(int) []float32 { return nil })
+		if send, ok := end.(Send); !ok || len(probed) < maxProbes || slices.Contains(probed, send.Worker) {
+			t.Errorf("seed %d, all probes rejected: got %T%+v after probes of %v, want at least %d probes and "+
+				"a Send to another worker", seed, end, end, probed, maxProbes)
 		}
 	}
 }
 
-// A list that was not confirmed for a while may have draining workers as ready. They are probed first, however few there
-// are, and again later, as an answer is not valid for ever.
+// A list that has not been confirmed for some time may show draining workers as ready. Workers are then
+// probed first, however few there are. A worker that rejects a probe gets no requests for a limited time.
 func TestBalancer_sendProbes_staleList(t *testing.T) {
 	s := testSettings(0)
 	s.SubscribeDiscovery, s.Limits.Probes = true, true
-	st := &driver{balancer: newTestBalancer(t, s, 1), checker: newChecker(s), rng: rand.New(rand.NewPCG(1, 4)), now: 12 * time.Second}
+	d := &driver{balancer: newTestBalancer(t, s, 1), checker: newChecker(s),
+		rng: rand.New(rand.NewPCG(1, 4)), now: 12 * time.Second}
 	id := RequestID(0)
-	request := func() (seen []Action) {
+	sendRequest := func() (actions []Action) {
 		id++
-		from := len(st.actions)
-		st.handle(Request{ID: id, HasCost: true, Cost: 100 * time.Millisecond, Slots: 1, Deadline: st.now + 4*time.Second})
-		for _, a := range st.actions[from:] {
+		seen := len(d.actions)
+		d.handle(Request{ID: id, HasCost: true, Cost: 100 * time.Millisecond, Slots: 1,
+			Deadline: d.now + 4*time.Second})
+		for _, a := range d.actions[seen:] {
 			switch a.(type) {
 			case Probe, Send:
-				seen = append(seen, a)
+				actions = append(actions, a)
 			}
 		}
-		return seen
-	}
-	st.handle(workerList(ListFull, 2))
-	st.handle(ListUpdate{Kind: ListFailed})
-	st.now += listStaleAfter
-	if seen := request(); len(seen) != 1 {
-		t.Fatalf("%+v", seen)
-	} else if _, ok := seen[0].(Send); !ok {
-		t.Errorf("the list is confirmed: %+v", seen)
-	}
-	st.now += time.Millisecond
-	seen := request()
-	if len(seen) != 2 {
-		t.Fatalf("both must be probed: %+v", seen)
-	}
-	for _, a := range seen {
+		return actions
+	}
+	d.handle(workerList(ListFull, 2))
+	d.handle(ListUpdate{Kind: ListFailed})
+	d.now += listStaleAfter
+	if actions := sendRequest(); len(actions) != 1 {
+		t.Fatalf("request with a recent list: got actions %+v, want one Send", actions)
+	} else if _, ok := actions[0].(Send); !ok {
+		t.Errorf("request with a recent list: got %+v, want a Send", actions)
+	}
+	d.now += time.Millisecond
+	actions := sendRequest()
+	if len(actions) != 2 {
+		t.Fatalf("request with a stale list: got actions %+v, want 2 Probes", actions)
+	}
+	for _, a := range actions {
 		if _, ok := a.(Probe); !ok {
-			t.Fatalf("%+v", seen)
+			t.Fatalf("request with a stale list: got actions %+v, want Probes only", actions)
 		}
 	}
-	drains, stays := seen[0].(Probe).Worker, seen[1].(Probe).Worker
-	st.handle(ProbeDone{Worker: drains, Outcome: Full})
-	from := len(st.actions)
-	st.handle(ProbeDone{Worker: stays, Outcome: Served, Report: []float32{4, 0}})
-	if send, ok := st.actions[from].(Send); !ok || send.Worker != stays {
-		t.Errorf("%+v", st.actions[from:])
+	draining, ready := actions[0].(Probe).Worker, actions[1].(Probe).Worker
+	d.handle(ProbeDone{Worker: draining, Outcome: Full})
+	seen := len(d.actions)
+	d.handle(ProbeDone{Worker: ready, Outcome: Served, Report: []float32{4, 0}})
+	if send, ok := d.actions[seen].(Send); !ok || send.Worker != ready {
+		t.Errorf("after worker %d rejected its probe: got actions %+v, want a Send to worker %d",
+			draining, d.actions[seen:], ready)
 	}
-	st.handle(workerList(ListFull, 2)) // the list is there again, and has it as ready; its own word holds a while
-	if f := st.balancer.fleet; f.listStale(st.now+time.Hour) || f.isReady(f.byID[drains]) {
-		t.Error("the list is confirmed, or the answers have expired")
+	d.handle(workerList(ListFull, 2)) // lists it as ready, but the rejected probe still counts
+	if f := d.balancer.fleet; f.listStale(d.now+time.Hour) || f.isReady(f.byID[draining]) {
+		t.Errorf("after the list was confirmed: got list stale %v, rejecting worker ready %v; want false for both",
+			f.listStale(d.now+time.Hour), f.isReady(f.byID[draining]))
 	}
-	for end := st.now + probeRejectionBackoff; st.now <= end; st.now += time.Millisecond {
-		st.fireTimers()
+	for end := d.now + probeRejectionBackoff; d.now <= end; d.now += time.Millisecond {
+		d.fireTimers()
 	}
-	if f := st.balancer.fleet; !f.isReady(f.byID[drains]) {
-		t.Error("an answer is valid for ever")
+	if f := d.balancer.fleet; !f.isReady(f.byID[draining]) {
+		t.Errorf("%v after a rejected probe: the worker is not ready again", probeRejectionBackoff)
 	}
 }
 
-// A key's home is busy, and another probed worker has a free slot: the request goes there. With the cost of a cache miss
-// its total exceeds that of the wait, so that by totals the request would probe on and wait at home.
+// If the home of a key is busy and another probed worker has a free slot, the request goes there. Because of
+// the cache miss that worker costs more than the wait at the home, so that by cost alone the request would
+// probe more workers and wait for its home.
 func TestBalancer_sendProbes_busyHome(t *testing.T) {
 	for seed := range uint64(10) {
-		asked, end, _ := runKeyedProbing(t, seed, 7, func(asked int) []float32 {
-			if asked == 1 {
+		probed, end, _ := runKeyedProbing(t, seed, 7, func(probed int) []float32 {
+			if probed == 1 {
 				return []float32{0, 1}
 			}
 			return []float32{4, 0}
 		})
-		if send, ok := end.(Send); !ok || len(asked) != probesPerRound || send.Worker == asked[0] {
-			t.Errorf("seed %d: %+v, probed were %v", seed, end, asked)
+		if send, ok := end.(Send); !ok || len(probed) != probesPerRound || send.Worker == probed[0] {
+			t.Errorf("seed %d, busy home: got %T%+v after probes of %v, want %d probes and a Send to another "+
+				"worker than the first", seed, end, end, probed, probesPerRound)
 		}
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// ruleSettings returns settings with a class of each effect and group.
+// testSettings returns the settings of one of 4 balancers, with a class for each effect and dedup group.
 func testSettings(ordinal int) Settings {
 	class := func(e Effect, g DedupGroup) Class {
-		return Class{LatencyTarget: 300 * time.Millisecond, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1, Effect: e, DedupGroup: g,
-			DedupWindow: 2 * time.Second, Kind: -1}
+		return Class{LatencyTarget: 300 * time.Millisecond, TargetStretch: 2, Timeout: 4 * time.Second, Value: 1,
+			Effect: e, DedupGroup: g, DedupWindow: 2 * time.Second, Kind: -1}
 	}
 	return Settings{Balancers: 4, Ordinal: ordinal, Resolution: 5 * time.Millisecond, ReportsStart: true,
 		Classes: []Class{class(Idempotent, GroupAll), class(Deduplicated, GroupAll), class(Deduplicated, GroupZone),
@@ -56,16 +56,16 @@
 	worker       WorkerID
 	sentAt       time.Duration
 	inFlight     bool
-	provedNotRun bool // never ran
+	provedNotRun bool // its outcome proves that it did not run
 	outcome      Outcome
 }
 
-// checker checks a dispatcher's events and actions against the four rules. It shares no code with the dispatcher.
+// checker checks a balancer's events and actions against the four rules. It shares no code with it.
 type checker struct {
 	settings   Settings
 	requests   map[RequestID]*trackedRequest
 	listed     map[WorkerID]WorkerListing
-	violations []string
+	violations []string // found so far
 }
 
 func newChecker(s Settings) *checker {
@@ -88,11 +88,11 @@
 	case Request:
 		c.requests[ev.ID] = &trackedRequest{request: ev}
 	case AttemptDone:
-		w := c.requests[ev.Request]
-		a := &w.attempts[ev.Attempt]
+		r := c.requests[ev.Request]
+		a := &r.attempts[ev.Attempt]
 		a.inFlight, a.outcome = false, ev.Outcome
 		a.provedNotRun = ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
-		w.finished = w.finished || ev.Over
+		r.finished = r.finished || ev.Over
 	case RequestEnded:
 		c.requests[ev.Request].finished = true
 	}
@@ -103,230 +103,236 @@
 	case Send:
 		c.send(now, a)
 	case Reject:
-		w := c.requests[a.Request]
-		cl := c.settings.Classes[w.request.Class]
-		if cl.Effect == NonIdempotent || cl.Effect == Deduplicated && cl.DedupGroup != GroupAll {
-			for _, at := range w.attempts {
+		r := c.requests[a.Request]
+		class := c.settings.Classes[r.request.Class]
+		if class.Effect == NonIdempotent || class.Effect == Deduplicated && class.DedupGroup != GroupAll {
+			for _, at := range r.attempts {
 				if !at.provedNotRun {
-					c.violation("rule 2: request %d refused though it may have run", a.Request)
+					c.violation("rule 2: request %d rejected although it may have run", a.Request)
 				}
 			}
 		}
-		c.finalResponse(now, w)
+		c.finalResponse(now, r)
 	case Fail:
 		c.finalResponse(now, c.requests[a.Request])
 	}
 }
 
-func (c *checker) finalResponse(now time.Duration, w *trackedRequest) {
-	if w.finished {
-		c.violation("rule 1: request %d answered twice", w.request.ID)
+func (c *checker) finalResponse(now time.Duration, r *trackedRequest) {
+	if r.finished {
+		c.violation("rule 1: request %d got a second final response", r.request.ID)
 	}
-	if now > w.request.Deadline {
-		c.violation("rule 1: request %d answered %v late", w.request.ID, now-w.request.Deadline)
+	if now > r.request.Deadline {
+		late := now - r.request.Deadline
+		c.violation("rule 1: request %d got its final response %v after its deadline", r.request.ID, late)
 	}
-	w.finished = true
+	r.finished = true
 }
 
 func (c *checker) send(now time.Duration, a Send) {
-	w := c.requests[a.Request]
-	if w.finished || now >= w.request.Deadline {
-		c.violation("rule 1: request %d sent when over", a.Request)
+	r := c.requests[a.Request]
+	if r.finished || now >= r.request.Deadline {
+		c.violation("rule 1: request %d sent after its final response or deadline", a.Request)
 	}
 	l, ok := c.listed[a.Worker]
 	if !ok || l.State != Ready {
-		c.violation("rule 3: request %d sent to a worker not ready", a.Request)
+		c.violation("rule 3: request %d sent to a worker that is not listed as ready", a.Request)
 	}
-	cl := c.settings.Classes[w.request.Class]
-	for _, at := range w.attempts {
+	class := c.settings.Classes[r.request.Class]
+	for _, at := range r.attempts {
 		if at.inFlight && !c.settings.Limits.HedgedRequests {
-			c.violation("rule 2: request %d out twice", a.Request)
+			c.violation("rule 2: request %d has two attempts in flight, but hedging is off", a.Request)
 		}
 		if at.provedNotRun {
 			continue
 		}
 		first := testListing(at.worker)
 		switch {
-		case cl.Effect == NonIdempotent:
-			c.violation("rule 2: unsafe request %d sent again", a.Request)
-		case cl.Effect == Deduplicated && now > at.sentAt+cl.DedupWindow:
-			c.violation("rule 2: keyed request %d sent past its window", a.Request)
-		case cl.Effect == Deduplicated && cl.DedupGroup == GroupZone && l.Zone != first.Zone,
-			cl.Effect == Deduplicated && cl.DedupGroup == GroupCell && l.Cell != first.Cell:
-			c.violation("rule 2: keyed request %d left its group", a.Request)
+		case class.Effect == NonIdempotent:
+			c.violation("rule 2: non-idempotent request %d sent again although it may have run", a.Request)
+		case class.Effect == Deduplicated && now > at.sentAt+class.DedupWindow:
+			c.violation("rule 2: deduplicated request %d sent again after its window", a.Request)
+		case class.Effect == Deduplicated && class.DedupGroup == GroupZone && l.Zone != first.Zone,
+			class.Effect == Deduplicated && class.DedupGroup == GroupCell && l.Cell != first.Cell:
+			c.violation("rule 2: deduplicated request %d sent to a worker outside its group", a.Request)
 		}
 		break
 	}
-	w.attempts = append(w.attempts, trackedAttempt{worker: a.Worker, sentAt: now, inFlight: true})
-	if len(w.attempts) > c.settings.Limits.MaxAttempts {
-		c.violation("request %d: %d attempts", a.Request, len(w.attempts))
+	r.attempts = append(r.attempts, trackedAttempt{worker: a.Worker, sentAt: now, inFlight: true})
+	if len(r.attempts) > c.settings.Limits.MaxAttempts {
+		c.violation("request %d has %d attempts, more than MaxAttempts", a.Request, len(r.attempts))
 	}
 }
 
-// end reports requests whose deadline passed with no final answer.
+// checkUnanswered checks that no request is past its deadline without a final response.
 func (c *checker) checkUnanswered(now time.Duration) {
-	for id, w := range c.requests {
-		if !w.finished && now > w.request.Deadline {
-			c.violation("rule 1: request %d never answered", id)
+	for id, r := range c.requests {
+		if !r.finished && now > r.request.Deadline {
+			c.violation("rule 1: request %d got no final response by its deadline", id)
 		}
 	}
 }
 
-// stream feeds one dispatcher with a seeded random sequence of events.
+// driver passes events to a balancer, at random if step is called, and keeps and checks its actions.
 type driver struct {
 	balancer    *Balancer
 	checker     *checker
 	rng         *rand.Rand
 	now         time.Duration
-	timers      []SetTimer // After holds the clock time it is due
+	timers      []SetTimer // After is the clock time of the expiry
 	lastRequest RequestID
 	actions     []Action
 }
 
-func (s *driver) handle(ev Event) {
-	s.checker.event(ev)
-	for _, a := range s.balancer.Handle(s.now, ev) {
-		s.actions = append(s.actions, a)
-		s.checker.action(s.now, a)
+func (d *driver) handle(ev Event) {
+	d.checker.event(ev)
+	for _, a := range d.balancer.Handle(d.now, ev) {
+		d.actions = append(d.actions, a)
+		d.checker.action(d.now, a)
 		if t, ok := a.(SetTimer); ok {
-			s.timers = append(s.timers, SetTimer{max(s.now+t.After, s.now+1), t.Token})
+			d.timers = append(d.timers, SetTimer{max(d.now+t.After, d.now+1), t.Token})
 		}
 	}
 }
 
-func (s *driver) fireTimers() {
-	due := s.timers
-	s.timers = nil
+func (d *driver) fireTimers() {
+	due := d.timers
+	d.timers = nil
 	for _, t := range due {
-		if t.After <= s.now {
-			s.handle(TimerFired{t.Token})
+		if t.After <= d.now {
+			d.handle(TimerFired{t.Token})
 		} else {
-			s.timers = append(s.timers, t)
+			d.timers = append(d.timers, t)
 		}
 	}
 }
 
-// resolve ends one attempt at random, with any outcome.
-func (s *driver) endAttempt(id RequestID, attempt int) {
-	w := s.checker.requests[id]
-	at := w.attempts[attempt]
-	out := Outcome(s.rng.IntN(8))
-	ev := AttemptDone{Request: id, Attempt: attempt, Worker: at.worker, Outcome: out, Elapsed: s.now - at.sentAt,
-		Over: w.finished || out == Served}
-	if s.rng.IntN(2) == 0 {
-		ev.Report = []float32{float32(s.rng.IntN(5)), float32(s.rng.IntN(3))}
+// endAttempt ends an attempt with a random outcome.
+func (d *driver) endAttempt(id RequestID, attempt int) {
+	r := d.checker.requests[id]
+	at := r.attempts[attempt]
+	outcome := Outcome(d.rng.IntN(8))
+	ev := AttemptDone{Request: id, Attempt: attempt, Worker: at.worker, Outcome: outcome,
+		Elapsed: d.now - at.sentAt, Over: r.finished || outcome == Served}
+	if d.rng.IntN(2) == 0 {
+		ev.Report = []float32{float32(d.rng.IntN(5)), float32(d.rng.IntN(3))}
 	}
-	s.handle(ev)
+	d.handle(ev)
 }
 
-func (s *driver) updateList() {
-	l := testListing(WorkerID(1 + s.rng.IntN(12)))
-	l.State = State(s.rng.IntN(3))
-	if s.rng.IntN(3) == 0 {
-		l.Started = s.now
+// updateList sends a random list update: usually of one worker, sometimes of all.
+func (d *driver) updateList() {
+	l := testListing(WorkerID(1 + d.rng.IntN(12)))
+	l.State = State(d.rng.IntN(3))
+	if d.rng.IntN(3) == 0 {
+		l.Started = d.now
 	}
-	if s.rng.IntN(10) == 0 {
-		s.handle(workerList(ListFull, 6+s.rng.IntN(7)))
+	if d.rng.IntN(10) == 0 {
+		d.handle(workerList(ListFull, 6+d.rng.IntN(7)))
 		return
 	}
-	s.handle(ListUpdate{Kind: ListChanges, Workers: []WorkerListing{l}})
+	d.handle(ListUpdate{Kind: ListChanges, Workers: []WorkerListing{l}})
 }
 
-func (s *driver) step() {
-	s.now += 5 * time.Millisecond
-	s.fireTimers()
-	if s.rng.IntN(3) == 0 {
-		s.lastRequest++
-		lifetime := time.Duration(1+s.rng.IntN(4000)) * time.Millisecond
-		s.handle(Request{ID: s.lastRequest, Class: s.rng.IntN(5), HasCost: s.rng.IntN(2) == 0, Key: uint64(s.rng.IntN(5)),
-			Cost: time.Duration(s.rng.IntN(300)) * time.Millisecond, Slots: float64(1 + s.rng.IntN(2)),
-			Deadline: s.now + lifetime + 100*time.Millisecond})
+// step advances the clock by 5 ms and passes random events.
+func (d *driver) step() {
+	d.now += 5 * time.Millisecond
+	d.fireTimers()
+	if d.rng.IntN(3) == 0 {
+		d.lastRequest++
+		lifetime := time.Duration(1+d.rng.IntN(4000)) * time.Millisecond
+		d.handle(Request{ID: d.lastRequest, Class: d.rng.IntN(5), HasCost: d.rng.IntN(2) == 0,
+			Key: uint64(d.rng.IntN(5)), Cost: time.Duration(d.rng.IntN(300)) * time.Millisecond,
+			Slots:    float64(1 + d.rng.IntN(2)),
+			Deadline: d.now + lifetime + 100*time.Millisecond})
 	}
-	for id := max(1, s.lastRequest-300); id <= s.lastRequest; id++ {
-		w := s.checker.requests[id]
-		for i := range w.attempts {
-			if w.attempts[i].inFlight && s.rng.IntN(40) == 0 {
-				s.endAttempt(id, i)
+	for id := max(1, d.lastRequest-300); id <= d.lastRequest; id++ {
+		r := d.checker.requests[id]
+		for i := range r.attempts {
+			if r.attempts[i].inFlight && d.rng.IntN(40) == 0 {
+				d.endAttempt(id, i)
 			}
 		}
-		if !w.finished && s.rng.IntN(2000) == 0 {
-			s.handle(RequestEnded{id})
-			s.handle(RequestEnded{id})
+		if !r.finished && d.rng.IntN(2000) == 0 {
+			d.handle(RequestEnded{id})
+			d.handle(RequestEnded{id})
 		}
 	}
-	if s.rng.IntN(50) == 0 {
-		s.updateList()
+	if d.rng.IntN(50) == 0 {
+		d.updateList()
 	}
 }
 
+// driveRandomly passes random events for 10 s and then fires the timers for another 5 s.
 func driveRandomly(t *testing.T, seed uint64) *driver {
 	t.Helper()
 	s := testSettings(1)
-	st := &driver{balancer: newTestBalancer(t, s, seed), checker: newChecker(s), rng: rand.New(rand.NewPCG(seed, 1))}
-	st.handle(workerList(ListCached, 12))
+	d := &driver{balancer: newTestBalancer(t, s, seed), checker: newChecker(s),
+		rng: rand.New(rand.NewPCG(seed, 1))}
+	d.handle(workerList(ListCached, 12))
 	for range 2000 {
-		st.step()
+		d.step()
 	}
 	for range 1000 {
-		st.now += 5 * time.Millisecond
-		st.fireTimers()
+		d.now += 5 * time.Millisecond
+		d.fireTimers()
 	}
-	st.checker.checkUnanswered(st.now)
-	return st
+	d.checker.checkUnanswered(d.now)
+	return d
 }
 
 func TestBalancer_rulesHoldOnRandomEvents(t *testing.T) {
 	for seed := range uint64(20) {
-		st := driveRandomly(t, seed)
-		for _, fault := range st.checker.violations {
-			t.Errorf("seed %d: %s", seed, fault)
+		d := driveRandomly(t, seed)
+		for _, violation := range d.checker.violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		sends := 0
-		for _, a := range st.actions {
+		for _, a := range d.actions {
 			if _, ok := a.(Send); ok {
 				sends++
 			}
 		}
-		if sends < 50 { // outcomes at random soon teach it to refuse most
-			t.Errorf("seed %d: only %d sends", seed, sends)
+		if sends < 50 { // few, as after random outcomes the balancer soon rejects most requests
+			t.Errorf("seed %d: got %d sends, want at least 50", seed, sends)
 		}
-		if n := len(st.balancer.requests); n > 400 {
-			t.Errorf("seed %d: %d requests left", seed, n)
+		if n := len(d.balancer.requests); n > 400 {
+			t.Errorf("seed %d: got %d requests left at the end, want at most 400", seed, n)
 		}
 	}
 }
 
 func TestBalancer_sameEventsSameActions(t *testing.T) {
 	if !reflect.DeepEqual(driveRandomly(t, 5).actions, driveRandomly(t, 5).actions) {
-		t.Error("the same events and seed gave other actions")
+		t.Error("two runs with the same seed and events: got different actions, want the same")
 	}
 }
 
-// The actions are those that a dispatcher without a rule would return.
+// The checker finds the violations in the actions of a balancer that breaks a rule, and no others.
 func TestChecker_detectsBrokenRules(t *testing.T) {
 	done := func(o Outcome) Event { return AttemptDone{Request: 1, Worker: 1, Outcome: o} }
-	gone := ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 2, State: Draining}}}
-	to := func(w WorkerID) Action { return Send{Request: 1, Worker: w} }
+	draining := ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 2, State: Draining}}}
+	sendTo := func(w WorkerID) Action { return Send{Request: 1, Worker: w} }
 	cases := map[string]struct {
-		class int
-		steps []any
-		fault bool
+		class     int
+		steps     []any // events, actions and advances of the clock
+		violation bool
 	}{
-		"answered twice":           {0, []any{Fail{1}, Fail{1}}, true},
-		"sent after its end":       {0, []any{Fail{1}, to(1)}, true},
-		"two out at once":          {0, []any{to(1), to(2)}, true},
-		"safe again":               {0, []any{to(1), done(Errored), to(2)}, false},
-		"unsafe again":             {4, []any{to(1), done(Errored), to(2)}, true},
-		"unsafe after full":        {4, []any{to(1), done(Full), to(2)}, false},
-		"unsafe refused":           {4, []any{to(1), done(TimedOut), Reject{Request: 1}}, true},
-		"zone left":                {2, []any{to(1), done(Reset), to(2)}, true},
-		"zone kept":                {2, []any{to(1), done(Reset), to(3)}, false},
-		"cell left":                {3, []any{to(1), done(Reset), to(3)}, true},
-		"keyed past its window":    {1, []any{to(1), done(Reset), 3 * time.Second, to(3)}, true},
-		"keyed for all refused":    {1, []any{to(1), done(Reset), Reject{Request: 1}}, false},
-		"keyed for a zone refused": {2, []any{to(1), done(Reset), Reject{Request: 1}}, true},
-		"sent to a draining one":   {0, []any{gone, to(2)}, true},
-		"never answered":           {0, []any{5 * time.Second}, true},
+		"two final responses":              {0, []any{Fail{1}, Fail{1}}, true},
+		"sent after the final response":    {0, []any{Fail{1}, sendTo(1)}, true},
+		"two attempts in flight":           {0, []any{sendTo(1), sendTo(2)}, true},
+		"idempotent, again":                {0, []any{sendTo(1), done(Errored), sendTo(2)}, false},
+		"non-idempotent, again":            {4, []any{sendTo(1), done(Errored), sendTo(2)}, true},
+		"non-idempotent, again after Full": {4, []any{sendTo(1), done(Full), sendTo(2)}, false},
+		"non-idempotent, rejected":         {4, []any{sendTo(1), done(TimedOut), Reject{Request: 1}}, true},
+		"other zone than the group":        {2, []any{sendTo(1), done(Reset), sendTo(2)}, true},
+		"zone of the group":                {2, []any{sendTo(1), done(Reset), sendTo(3)}, false},
+		"other cell than the group":        {3, []any{sendTo(1), done(Reset), sendTo(3)}, true},
+		"deduplicated, window over":        {1, []any{sendTo(1), done(Reset), 3 * time.Second, sendTo(3)}, true},
+		"deduplicated by all, rejected":    {1, []any{sendTo(1), done(Reset), Reject{Request: 1}}, false},
+		"deduplicated by a zone, rejected": {2, []any{sendTo(1), done(Reset), Reject{Request: 1}}, true},
+		"sent to a draining worker":        {0, []any{draining, sendTo(2)}, true},
+		"no final response":                {0, []any{5 * time.Second}, true},
 	}
 	for name, tc := range cases {
 		c, now := newChecker(testSettings(0)), time.Duration(0)
@@ -343,26 +349,26 @@
 			}
 		}
 		c.checkUnanswered(now)
-		if got := len(c.violations) > 0; got != tc.fault {
-			t.Errorf("%s: faults %v, want any: %v", name, c.violations, tc.fault)
+		if got := len(c.violations) > 0; got != tc.violation {
+			t.Errorf("%s: got violations %q, want any: %v", name, c.violations, tc.violation)
 		}
 	}
 }
 
 func TestNew_rejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"no dispatcher":   func(s *Settings) { s.Balancers = 0 },
-		"ordinal too big": func(s *Settings) { s.Ordinal = 4 },
-		"no class":        func(s *Settings) { s.Classes = nil },
-		"no attempt":      func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"cold share":      func(s *Settings) { s.Rules.InitialCapacity = 1.5 },
-		"negative time":   func(s *Settings) { s.Resolution = -1 },
-		"no give-up":      func(s *Settings) { s.Classes[0].Timeout = 0 },
+	for name, invalidate := range map[string]func(*Settings){
+		"Balancers 0":         func(s *Settings) { s.Balancers = 0 },
+		"Ordinal too large":   func(s *Settings) { s.Ordinal = 4 },
+		"no class":            func(s *Settings) { s.Classes = nil },
+		"MaxAttempts 0":       func(s *Settings) { s.Limits.MaxAttempts = 0 },
+		"InitialCapacity 1.5": func(s *Settings) { s.Rules.InitialCapacity = 1.5 },
+		"negative Resolution": func(s *Settings) { s.Resolution = -1 },
+		"Timeout 0":           func(s *Settings) { s.Classes[0].Timeout = 0 },
 	} {
 		s := testSettings(0)
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// zonedBalancer returns a dispatcher with two workers in each of two zones, all with free slots.
+// newZonedBalancer returns a balancer with two workers in each of the zones 0 and 1, all with free slots.
 func newZonedBalancer(t testing.TB, classes ...Class) *Balancer {
-	b, err := New(Settings{Balancers: 1, Classes: classes, ReportFields: []ReportField{FieldBacklog, FieldFreeSlots},
-		Limits: Limits{Cancel: true, HedgedRequests: true, MaxAttempts: 4}, ReportsStart: true}, 7)
+	b, err := New(Settings{Balancers: 1, Classes: classes,
+		ReportFields: []ReportField{FieldBacklog, FieldFreeSlots}, ReportsStart: true,
+		Limits: Limits{Cancel: true, HedgedRequests: true, MaxAttempts: 4}}, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,11 +26,13 @@
 }
 
 var (
-	idempotent    = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: Idempotent}
-	nonIdempotent = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1, Effect: NonIdempotent}
+	idempotent = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1,
+		Effect: Idempotent}
+	nonIdempotent = Class{LatencyTarget: 5 * time.Second, Timeout: 10 * time.Second, Value: 1, Kind: -1,
+		Effect: NonIdempotent}
 )
 
-// sends returns the workers that a list of actions sends to.
+// sentTo returns the workers of the Sends among the actions.
 func sentTo(actions []Action) (out []WorkerID) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
@@ -39,30 +42,33 @@
 	return out
 }
 
-// A zone takes its share of the requests, none at share 0.
+// A zone gets its share of the requests, and none if the share is 0.
 func TestBalancer_zoneTakesItsShare(t *testing.T) {
 	for _, share := range []float64{0, 0.25, 1} {
 		b := newZonedBalancer(t, idempotent)
-		// Nobody else takes anything: who may not go there goes nowhere.
-		b.Handle(0, ListUpdate{Kind: ListChanges, Workers: []WorkerListing{{Worker: 1, State: Draining}, {Worker: 3, State: Draining}}})
+		// The workers of the other zone drain, so that a request that may not go to this zone is not sent.
+		b.Handle(0, ListUpdate{Kind: ListChanges,
+			Workers: []WorkerListing{{Worker: 1, State: Draining}, {Worker: 3, State: Draining}}})
 		b.Handle(0, ZoneShares{Shares: []float64{1, share}})
-		n := 0.0
-		const all = 2000
-		for i := range all {
+		sent := 0.0
+		const requests = 2000
+		for i := range requests {
 			now, id := time.Duration(i)*time.Millisecond, RequestID(i+1)
 			for _, to := range sentTo(b.Handle(now, Request{ID: id, Slots: 1, Deadline: now + 10*time.Second})) {
-				n++
-				b.Handle(now, AttemptDone{Request: id, Worker: to, Outcome: Served, Elapsed: time.Millisecond, Over: true, Report: []float32{0, 4}})
+				sent++
+				b.Handle(now, AttemptDone{Request: id, Worker: to, Outcome: Served, Elapsed: time.Millisecond,
+					Over: true, Report: []float32{0, 4}})
 			}
 		}
-		if want := share * all; math.Abs(n-want) > 0.1*want {
-			t.Errorf("share %v: %v of %d sent there", share, n, all)
+		if want := share * requests; math.Abs(sent-want) > 0.1*want {
+			t.Errorf("zone share %v: got %v of %d requests sent to the zone, want %v within 10%%",
+				share, sent, requests, want)
 		}
 	}
 }
 
-// Requests in flight in a failed zone are hedged elsewhere: only as many as the budget allows, spread over time, and none
-// that must not run twice.
+// Requests in flight in a failed zone are hedged in other zones: only as many as the budget allows, spread
+// over time, and none that must not run twice.
 func TestBalancer_hedgesOutOfFailedZone(t *testing.T) {
 	for _, c := range []struct {
 		class Class
@@ -70,7 +76,7 @@
 	}{{idempotent, int(maxEvacuationBudget)}, {nonIdempotent, 0}} {
 		b := newZonedBalancer(t, c.class)
 		timers := map[uint32]time.Duration{}
-		take := func(now time.Duration, actions []Action) []WorkerID {
+		handle := func(now time.Duration, actions []Action) []WorkerID {
 			for _, a := range actions {
 				if s, ok := a.(SetTimer); ok {
 					timers[s.Token] = now + s.After
@@ -78,32 +84,35 @@
 			}
 			return sentTo(actions)
 		}
-		const t0 = time.Second
-		take(t0, b.Handle(t0, ZoneShares{Shares: []float64{0, 1}}))
+		const failedAt = time.Second
+		handle(failedAt, b.Handle(failedAt, ZoneShares{Shares: []float64{0, 1}}))
 		for i := range 200 {
 			id := RequestID(i + 1)
-			for _, to := range take(t0, b.Handle(t0, Request{ID: id, Slots: 1, Deadline: 10 * time.Second})) {
-				take(t0, b.Handle(t0, AttemptProgress{Request: id, Worker: to, Started: true}))
+			r := Request{ID: id, Slots: 1, Deadline: 10 * time.Second}
+			for _, to := range handle(failedAt, b.Handle(failedAt, r)) {
+				handle(failedAt, b.Handle(failedAt, AttemptProgress{Request: id, Worker: to, Started: true}))
 			}
 		}
-		take(t0, b.Handle(t0, ZoneShares{Shares: []float64{1, 0}, Failed: []int{1}}))
-		n, last := 0, time.Duration(0)
-		for now := t0; now < t0+2*evacuationSpread; now += 10 * time.Millisecond {
+		handle(failedAt, b.Handle(failedAt, ZoneShares{Shares: []float64{1, 0}, Failed: []int{1}}))
+		hedges, last := 0, time.Duration(0)
+		for now := failedAt; now < failedAt+2*evacuationSpread; now += 10 * time.Millisecond {
 			for token, at := range timers {
 				if at > now {
 					continue
 				}
 				delete(timers, token)
-				for _, to := range take(now, b.Handle(now, TimerFired{Token: token})) {
-					if n++; to%2 == 0 {
-						t.Fatalf("a hedge goes to worker %d of the evacuated zone", to)
+				for _, to := range handle(now, b.Handle(now, TimerFired{Token: token})) {
+					if hedges++; to%2 == 0 {
+						t.Fatalf("hedge out of the failed zone: got sent to worker %d of that zone", to)
 					}
-					last = now - t0
+					last = now - failedAt
 				}
 			}
 		}
-		if n != c.want || n > 0 && (last < evacuationSpread/4 || last > evacuationSpread+10*time.Millisecond) {
-			t.Errorf("effect %d: %d hedges, the last at %v", c.class.Effect, n, last)
+		earliest, latest := evacuationSpread/4, evacuationSpread+10*time.Millisecond
+		if hedges != c.want || hedges > 0 && (last < earliest || last > latest) {
+			t.Errorf("effect %d: got %d hedges out of the failed zone, the last after %v; want %d, the last after "+
+				"%v to %v", c.class.Effect, hedges, last, c.want, earliest, latest)
 		}
 	}
 }
@@ -126,42 +135,46 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
-				to := sentTo(d.Handle(time.Duration(id)*time.Microsecond, Request{ID: id, Slots: 1, Deadline: time.Hour}))
-				d.Handle(time.Duration(id)*time.Microsecond, AttemptDone{Request: id, Worker: to[0], Outcome: Served, Elapsed: time.Millisecond, Over: true})
+				now := time.Duration(id) * time.Microsecond
+				to := sentTo(d.Handle(now, Request{ID: id, Slots: 1, Deadline: time.Hour}))
+				d.Handle(now, AttemptDone{Request: id, Worker: to[0], Outcome: Served, Elapsed: time.Millisecond,
+					Over: true})
 			}
 		})
 	}
 }
 
-// However long discovery is down and whatever SubscribeWithin is, each of 300 dispatchers calls again within 1.5 s of a
-// failed call: with a call that is lost (2.4 s) and one that is answered only at the service's own limit (2 s), a change
-// is known 6 s after it can be. The calls are spread.
+// However long the discovery service is down and whatever SubscribeWithin is, each of 300 balancers calls
+// again within 1.5 s of a failed call. So even after a lost call (2.4 s) and a response that takes as long as
+// the service allows (2 s), a change is known 6 s after the service is reachable again. The calls are spread.
 func TestFleet_subscribeDelay_afterLongOutage(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
-		var asked [20]int // in each tenth of the span in which a call may come, over all dispatchers
+		var calls [20]int // by tenth of a second since the failure, of all balancers
 		for i := range 300 {
-			b, err := New(Settings{Balancers: 300, Ordinal: i, Classes: []Class{nonIdempotent}, SubscribeDiscovery: true, Limits: Limits{MaxAttempts: 1},
-				Rules: Rules{SubscribeWithin: within}}, 3)
+			b, err := New(Settings{Balancers: 300, Ordinal: i, Classes: []Class{nonIdempotent},
+				SubscribeDiscovery: true, Limits: Limits{MaxAttempts: 1}, Rules: Rules{SubscribeWithin: within}}, 3)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := time.Duration(0)
 			for n := range 40 {
-				acts := b.Handle(now, ListUpdate{Kind: ListFailed})
-				wait := acts[len(acts)-1].(SetTimer)
-				if wait.After > 1500*time.Millisecond || n > 0 && wait.After < 500*time.Millisecond {
-					t.Fatalf("with SubscribeWithin %v the next call comes %v later", within, wait.After)
+				actions := b.Handle(now, ListUpdate{Kind: ListFailed})
+				timer := actions[len(actions)-1].(SetTimer)
+				if timer.After > 1500*time.Millisecond || n > 0 && timer.After < 500*time.Millisecond {
+					t.Fatalf("SubscribeWithin %v, failure %d: got the next call after %v, want 0.5 s (0 after the "+
+						"first failure) to 1.5 s", within, n+1, timer.After)
 				}
-				asked[wait.After/(100*time.Millisecond)]++
-				now += wait.After
-				if acts := b.Handle(now, TimerFired{Token: wait.Token}); countActions[Subscribe](acts) != 1 {
-					t.Fatalf("no call: %v", acts)
+				calls[timer.After/(100*time.Millisecond)]++
+				now += timer.After
+				if actions := b.Handle(now, TimerFired{Token: timer.Token}); countActions[Subscribe](actions) != 1 {
+					t.Fatalf("SubscribeWithin %v, timer fired: got actions %+v, want one Subscribe", within, actions)
 				}
 			}
 		}
-		for tenth, n := range asked {
+		for tenth, n := range calls {
 			if n > 300*40/5 {
-				t.Errorf("%d of %d calls come in the %d. tenth of a second after a failure", n, 300*40, tenth)
+				t.Errorf("SubscribeWithin %v: got %d of %d calls in tenth %d of a second after a failure, "+
+					"want at most %d", within, n, 300*40, tenth, 300*40/5)
 			}
 		}
 	}
