--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -35,7 +35,7 @@
 	startedAt        time.Duration
 	delays           delaySamples
 
-	// The last load report. This balancer's jobs in flight are not subtracted from reportedFree.
+	// The last load report. reportedFree also counts the slots of this balancer's jobs in flight as free.
 	hasReport    bool
 	reportedAt   time.Duration
 	reportedFree float64
@@ -170,14 +170,14 @@
 
 // withinWarmupBudget enforces rule 4: a warming-up worker gets no more work, in slot-seconds, than this
 // balancer's share of its budget.
-func (f *fleet) withinWarmupBudget(now time.Duration, w *worker, cost float64) bool {
+func (f *fleet) withinWarmupBudget(now time.Duration, w *worker, work float64) bool {
 	rules, capacity := f.settings.Rules, f.capacityFraction(now, w)
 	if capacity >= 1 {
 		return true
 	}
 	f.refillWarmupBudget(now, w, capacity)
 	budget := rules.OverloadMultiple * capacity * f.slotsOf(w) * rules.OverloadTime.Seconds()
-	return w.warmupTokens > 0 && cost <= maxJobBudgetFraction*budget
+	return w.warmupTokens > 0 && work <= maxJobBudgetFraction*budget
 }
 
 // refillWarmupBudget adds the budget of a warming-up worker for the time since the last call.
@@ -191,10 +191,10 @@
 
 // spendWarmupBudget charges a send to the budget of a warming-up worker. Sends that are rejected later count,
 // too.
-func (f *fleet) spendWarmupBudget(now time.Duration, w *worker, cost float64) {
+func (f *fleet) spendWarmupBudget(now time.Duration, w *worker, work float64) {
 	if capacity := f.capacityFraction(now, w); capacity < 1 {
 		f.refillWarmupBudget(now, w, capacity)
-		w.warmupTokens -= cost
+		w.warmupTokens -= work
 	}
 }
 
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -55,15 +55,15 @@
 // slack of the strictest class of the same or a higher value. Jobs with more slack wait in this balancer's
 // queue, as in a worker's queue they would make the jobs of that class late.
 func (b *Balancer) maxQueueWait(r *request) float64 {
-	tolerance := math.Inf(1)
+	leastSlack := math.Inf(1)
 	for i := range b.settings.Classes {
 		c, size := &b.settings.Classes[i], &b.estimator.classSize[i]
 		if c.Value >= r.class.Value && (size.N > 0 || c == r.class) {
 			slack := (c.TargetStretch - b.estimator.allSlowdown.Or(1, 1)) * size.Or(b.estimator.sizeOf(r.job), 0)
-			tolerance = min(tolerance, c.LatencyTarget.Seconds()+slack)
+			leastSlack = min(leastSlack, c.LatencyTarget.Seconds()+slack)
 		}
 	}
-	return max(tolerance, 0)
+	return max(leastSlack, 0)
 }
 
 // timeLeft returns the time, in seconds, in which a response still has value. The time after the latency
