--- a/balance/doc.go
+++ b/balance/doc.go
@@ -14,7 +14,7 @@
 // cycle of requests), placement.go (choice of a worker), attempts.go (sends and their outcomes), probing.go
 // (load probes), homes.go (key affinity), zones.go (zone shares), estimate.go (predicted delays), fleet.go
 // (state of the workers) and peers.go (load of the peers). load_message.go encodes the messages to peers,
-// state.go the state that a hot restart hands to the next process, and view.go serves monitoring.
+// state.go the state that a hot restart hands to the next process. view.go has queries that change nothing.
 //
 // A job is a request as the estimator and the workers see it: a class, a size and a number of slots. In all
 // files b is a balancer, r a request, w a worker and f a forecast or, as a receiver, the fleet.
--- a/balance/view.go
+++ b/balance/view.go
@@ -8,7 +8,7 @@
 )
 
 // FailureProbability returns the estimated probability that a request fails at a worker, for the class with
-// the highest one; 0 for an unknown worker. It is meant for monitoring and does not affect decisions.
+// the highest one; 0 for an unknown worker. The call does not change the balancer.
 func (b *Balancer) FailureProbability(now time.Duration, id WorkerID) float64 {
 	w := b.fleet.byID[id]
 	if w == nil {
@@ -21,18 +21,18 @@
 	return worst
 }
 
-// ZoneView is the capacity of a zone's ready workers, as far as this balancer knows.
-type ZoneView struct {
+// ZoneCapacity is the capacity of a zone's ready workers, as far as this balancer knows.
+type ZoneCapacity struct {
 	Zone          int
 	Slots         float64
 	WarmupDeficit float64 // fraction of the capacity that is not yet available as workers warm up
 }
 
-// Zones returns the capacity of each zone with a ready worker, ordered by zone number. It is meant for
-// monitoring and does not affect decisions.
-func (b *Balancer) Zones(now time.Duration) []ZoneView {
-	byZone := map[int]*ZoneView{}
-	var zones []ZoneView
+// Zones returns the capacity of each zone with a ready worker, ordered by zone number. The call does not
+// change the balancer.
+func (b *Balancer) Zones(now time.Duration) []ZoneCapacity {
+	byZone := map[int]*ZoneCapacity{}
+	var zones []ZoneCapacity
 	for _, w := range b.fleet.workers {
 		if !b.fleet.isReady(w) {
 			continue
@@ -43,8 +43,8 @@
 		z.Slots += slots
 	}
 	for zone, z := range byZone {
-		zones = append(zones, ZoneView{Zone: zone, Slots: z.Slots, WarmupDeficit: z.WarmupDeficit / z.Slots})
+		zones = append(zones, ZoneCapacity{Zone: zone, Slots: z.Slots, WarmupDeficit: z.WarmupDeficit / z.Slots})
 	}
-	slices.SortFunc(zones, func(a, b ZoneView) int { return a.Zone - b.Zone })
+	slices.SortFunc(zones, func(a, b ZoneCapacity) int { return a.Zone - b.Zone })
 	return zones
 }
--- a/internal/node/routing/core.go
+++ b/internal/node/routing/core.go
@@ -106,7 +106,7 @@
 func (c *Core) ZoneShares(s balance.ZoneShares) { c.dispatch(s) }
 
 // Zones returns the balancer's view of the zones' ready destinations.
-func (c *Core) Zones() []balance.ZoneView { return c.balancer.Zones(c.clock.Now()) }
+func (c *Core) Zones() []balance.ZoneCapacity { return c.balancer.Zones(c.clock.Now()) }
 
 // EachWorker calls visit for each listed destination, with its state and the probability of a
 // failure there by the balancer's estimate.
--- a/internal/node/zones/agent/agent.go
+++ b/internal/node/zones/agent/agent.go
@@ -39,7 +39,7 @@
 // Dispatcher is what the agent needs of the node's dispatcher.
 type Dispatcher interface {
 	ZoneShares(balance.ZoneShares)
-	Zones() []balance.ZoneView
+	Zones() []balance.ZoneCapacity
 }
 
 // Reporter sends reports to voters; see transport.Client.
--- a/internal/node/zones/agent/agent_test.go
+++ b/internal/node/zones/agent/agent_test.go
@@ -29,7 +29,7 @@
 func (n *fakeNode) Now() time.Duration                   { return n.now }
 func (n *fakeNode) Post(f func())                        { n.posted <- f }
 func (n *fakeNode) ZoneShares(shares balance.ZoneShares) { n.applied = append(n.applied, shares) }
-func (n *fakeNode) Zones() []balance.ZoneView            { return nil }
+func (n *fakeNode) Zones() []balance.ZoneCapacity        { return nil }
 
 func (n *fakeNode) Report(_ context.Context, address string, report follower.Report) (follower.Response, error) {
 	n.asked = append(n.asked, address)
