--- a/balance/settings.go
+++ b/balance/settings.go
@@ -132,7 +132,7 @@
 }
 
 var (
-	errNoClasses    = errors.New("settings: Classes is empty")
+	errNoClasses    = errors.New("settings: no class of requests")
 	errNegativeTime = errors.New("settings: Resolution, WarmupTime or OverloadTime is negative")
 )
 
