--- a/balance/attempts.go
+++ b/balance/attempts.go
@@ -21,15 +21,13 @@
 	return nil
 }
 
-// inDedupGroup reports whether a worker drops repeats of what ran at the first worker, if that matters for
-// the class.
+// inDedupGroup reports whether a worker drops repeats of what ran at the first, if the class needs that.
 func inDedupGroup(c *Class, first, w *worker) bool {
 	return c.Effect != Deduplicated || c.DedupGroup == GroupAll ||
 		c.DedupGroup == GroupZone && first.zone == w.zone || c.DedupGroup == GroupCell && first.cell == w.cell
 }
 
-// permit enforces rule 2. It reports whether a request may be sent (again), and whether it may be rejected,
-// which lets the client send it again.
+// permit enforces rule 2: whether a request may be sent (again), or rejected, so that the client may retry.
 func (b *Balancer) permit(now time.Duration, r *request) (maySend, mayReject bool) {
 	first, effect, limits := r.firstPossiblyRun(), r.class.Effect, &b.settings.Limits
 	maySend = len(r.attempts) < limits.MaxAttempts && (r.inFlight == 0 || limits.HedgedRequests)
@@ -64,9 +62,8 @@
 	}
 }
 
-// hedge sends a second attempt to a worker with a free slot if the first, that of the index, has not started.
-// With includeStarted it may also be running, as in a failed zone. When one of them starts, the other is
-// cancelled if it has not started.
+// hedge sends a second attempt to a worker with a free slot if the first, at index, has not started or, with
+// includeStarted, also if it runs (in a failed zone). When one starts, the other is cancelled if not started.
 func (b *Balancer) hedge(now time.Duration, r *request, index int, includeStarted bool) {
 	maySend, _ := b.permit(now, r)
 	a := &r.attempts[index]
@@ -80,8 +77,7 @@
 	}
 }
 
-// checkStart handles an attempt whose start is overdue. As the worker may hang, this counts as a failure, the
-// idle connections to it are closed, and the request is hedged.
+// checkStart takes an overdue start as a failure (a worker may hang), closes its idle connections and hedges.
 func (b *Balancer) checkStart(now time.Duration, r *request, index int, startTimeout time.Duration) {
 	a := r.attempts[index]
 	if r.finished || !a.inFlight || a.startedAt > 0 {
@@ -120,8 +116,7 @@
 		return
 	}
 	a := &r.attempts[ev.Attempt]
-	a.inFlight = false
-	a.mayHaveRun = !ev.Outcome.NeverRan()
+	a.inFlight, a.mayHaveRun = false, !ev.Outcome.NeverRan()
 	r.inFlight--
 	b.inFlight--
 	a.worker.inFlightSlots -= r.Slots
@@ -158,8 +153,8 @@
 	case Full:
 		b.estimator.fullRate.AddWeighted(a.freeSlots-r.Slots, 1, 1, pooledSamples)
 		if a.freeSlots >= r.Slots {
-			// It rejects although it seems to have free slots, so it is faulty. Unless this counts as a
-			// failure, it looks idle and attracts ever more requests.
+			// It rejects although it seems to have free slots, so it is faulty. Unless this counts as a failure,
+			// it looks idle and attracts ever more requests.
 			b.fleet.recordResult(now, w, r.Class, true)
 		}
 		b.fleet.recordFull(now, w, b.estimator.meanRun.Or(defaultRunTime, 1))
@@ -172,15 +167,13 @@
 	}
 }
 
-// recordServed splits the elapsed seconds of a served attempt into transfer, queue wait and run time, and
-// records them.
+// recordServed records the elapsed seconds of a served attempt, split into transfer, queue wait and run time.
 func (b *Balancer) recordServed(now time.Duration, r *request, a *attempt, elapsed float64) {
-	w := a.worker
-	processing := max(0, elapsed-b.estimator.predictTransfer(now, &w.delays, w.zone, r.job))
-	run := min(processing, b.estimator.slowdownOf(now, &w.delays, w.kind)*b.estimator.sizeOf(r.job))
+	w, e := a.worker, &b.estimator
+	processing := max(0, elapsed-e.predictTransfer(now, &w.delays, w.zone, r.job))
+	run := min(processing, e.slowdownOf(now, &w.delays, w.kind)*e.sizeOf(r.job))
 	if a.startedAt > 0 {
 		run = min(processing, (now - a.startedAt).Seconds())
 	}
-	b.estimator.recordProcessing(now, &w.delays, w.kind, r.job,
-		a.freeSlots, b.fleet.slotsOf(w), processing-run, run)
+	e.recordProcessing(now, &w.delays, w.kind, r.job, a.freeSlots, b.fleet.slotsOf(w), processing-run, run)
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -14,13 +14,12 @@
 
 // attempt is one send of a request to a worker, and what became of it.
 type attempt struct {
-	worker              *worker
-	workerStarted       time.Duration // the worker's startedAt as of the send, to detect a restart
-	sentAt              time.Duration
-	startedAt           time.Duration // when the worker reported its start; 0: not yet
-	freeSlots           float64       // the worker's estimated free slots as of the send
-	inFlight, cancelled bool
-	mayHaveRun          bool
+	worker                          *worker
+	workerStarted                   time.Duration // the worker's startedAt as of the send, to detect a restart
+	sentAt                          time.Duration
+	startedAt                       time.Duration // when the worker reported its start; 0: not yet
+	freeSlots                       float64       // the worker's estimated free slots as of the send
+	inFlight, cancelled, mayHaveRun bool
 }
 
 // request is the state of a client's request.
@@ -31,8 +30,7 @@
 	arrived          time.Duration
 	attempts         []attempt
 	inFlight         int
-	finished         bool // it has its final response, or the client is gone
-	queued           bool
+	finished, queued bool // finished: it has its final response, or the client is gone
 	timesQueued      int
 	retryAt          time.Duration // when a queued request is placed again
 	probingStartedAt time.Duration // when the first probes for the next attempt were sent
@@ -43,8 +41,7 @@
 	maxHomeRank      float64       // workers up to this keyRank are homes of its key
 }
 
-// Balancer makes the decisions of one node. It is not safe for concurrent use, and shares no state with other
-// balancers.
+// Balancer makes one node's decisions. It is not safe for concurrent use, and shares no state with others.
 type Balancer struct {
 	settings       Settings
 	rng            *rand.Rand
@@ -74,8 +71,7 @@
 	requestRate            stats.Mean // requests per second
 }
 
-// New returns a balancer, or an error if the settings are invalid. The same settings, seed and events always
-// give the same actions.
+// New returns a balancer, or its settings' error. The same settings, seed and events give the same actions.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -90,8 +86,7 @@
 	return b, nil
 }
 
-// Handle handles one event and returns the actions to carry out, in order. The slice is valid until the next
-// call.
+// Handle handles an event and returns the actions to carry out, in order; they are valid until the next call.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.actions = b.actions[:0]
 	switch ev := ev.(type) {
@@ -142,8 +137,7 @@
 	b.emit(SetTimer{After: max(delay, 0), Token: b.lastTimerToken})
 }
 
-// broadcastLoad sends this balancer's load to all peers if messages are affordable, and schedules the next
-// broadcast.
+// broadcastLoad sends this balancer's load to all peers if affordable, and schedules the next broadcast.
 func (b *Balancer) broadcastLoad(now time.Duration) {
 	b.fleet.dropSilentPeers(now)
 	if elapsed := now - b.lastBroadcastAt; elapsed > 0 {
@@ -158,8 +152,7 @@
 	}
 }
 
-// handleListUpdate applies a list update. The first one starts the broadcasts, and any update without a
-// subscription in place schedules one.
+// handleListUpdate applies a list update, starts the broadcasts, and schedules a subscription if none exists.
 func (b *Balancer) handleListUpdate(now time.Duration, update ListUpdate) {
 	b.fleet.applyUpdate(now, update)
 	if b.settings.Limits.Messages && b.settings.Balancers > 1 && !b.broadcastTimerSet {
@@ -205,8 +198,7 @@
 	b.schedule(respondBy-now, func(now time.Duration) { b.rejectOrFail(now, r, 0) })
 }
 
-// rejectOrFail enforces rule 1: a request gets one final response. It is a rejection, with retryAfter in
-// seconds, if the client may retry, and a failure otherwise.
+// rejectOrFail enforces rule 1, one final response: a rejection, with retryAfter in seconds, or a failure.
 func (b *Balancer) rejectOrFail(now time.Duration, r *request, retryAfter float64) {
 	if r.finished {
 		return
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -30,8 +30,7 @@
 	f, ok := b.choose(now, r)
 	run := b.estimator.sizeOf(r.job) * min(1, b.estimator.allSlowdown.Or(1, 1))
 	wait, remaining := f.delay-f.unqueuedDelay, b.timeLeft(now, r)
-	// The run time counts at the usual speed, as one slow job must not make all requests look infeasible.
-	infeasible := wait+run > remaining
+	infeasible := wait+run > remaining // at the usual speed: one slow job must not make all look infeasible
 	switch {
 	case ok && b.sendProbes(now, r, f):
 	case !ok && run > remaining:
@@ -51,9 +50,8 @@
 	}
 }
 
-// maxQueueWait returns the longest predicted queue wait, in seconds, for which a job is sent to a worker: the
-// slack of the strictest class of the same or a higher value. Jobs with more slack wait in this balancer's
-// queue, as in a worker's queue they would make the jobs of that class late.
+// maxQueueWait returns the longest predicted wait, in seconds, to send a job into: the slack of the strictest
+// class of at least its value. Jobs with more slack wait here: at a worker they would make that class late.
 func (b *Balancer) maxQueueWait(r *request) float64 {
 	leastSlack := math.Inf(1)
 	for i := range b.settings.Classes {
@@ -66,8 +64,7 @@
 	return max(leastSlack, 0)
 }
 
-// timeLeft returns the time, in seconds, in which a response still has value. The time after the latency
-// target counts in part, in proportion to LateValue.
+// timeLeft returns the seconds in which a response has value; past the target they count in part (LateValue).
 func (b *Balancer) timeLeft(now time.Duration, r *request) float64 {
 	untilDeadline := (r.Deadline - now).Seconds()
 	untilTarget := min(untilDeadline, b.latencyTarget(r)-(now-r.arrived).Seconds())
@@ -77,9 +74,8 @@
 // enqueue queues a request. It is placed again at growing intervals.
 func (b *Balancer) enqueue(now time.Duration, r *request) {
 	r.probingDone = false
-	perRunInterval := time.Duration(b.estimator.meanRun.Or(0, 0) / pollsPerRun * float64(time.Second))
-	interval := max(queuePollInterval, perRunInterval)
-	r.retryAt = now + interval<<min(r.timesQueued, maxPollDoublings)
+	delay := max(queuePollInterval, time.Duration(b.estimator.meanRun.Or(0, 0)/pollsPerRun*float64(time.Second)))
+	r.retryAt = now + delay<<min(r.timesQueued, maxPollDoublings)
 	r.timesQueued++
 	b.appendToQueue(r)
 }
@@ -96,9 +92,8 @@
 // retryQueued places the queued requests that are due, oldest first. Once a request that was never sent finds
 // no worker, others of its class that were never sent are skipped.
 func (b *Balancer) retryQueued(now time.Duration) {
-	b.queueTimerSet = false
 	queue := b.queue
-	b.queue = nil
+	b.queueTimerSet, b.queue = false, nil
 	blocked := make([]bool, len(b.settings.Classes))
 	for _, r := range queue {
 		neverSent := len(r.attempts) == 0
@@ -125,8 +120,7 @@
 	work            float64 // slot-seconds of work
 }
 
-// choose returns the forecast of least cost among the eligible workers, if there is any. Ties are broken at
-// random.
+// choose returns the forecast of least cost among the eligible workers, if any. Ties are broken at random.
 func (b *Balancer) choose(now time.Duration, r *request) (forecast, bool) {
 	leastCost, first := math.Inf(1), r.firstPossiblyRun()
 	meanRun, eligible, knownFree, bestDraw := b.estimator.meanRun.Or(defaultRunTime, 1), 0, 0, -1.
@@ -168,11 +162,10 @@
 	return b.ties[b.rng.IntN(len(b.ties))], true
 }
 
-// predict returns the forecast for a request at a worker. Its cost is the delay, plus the expected costs, as
-// time, of this balancer's jobs in flight there, a cache miss, lateness, a failure, a rejection and another
-// zone. target is the request's latency target and remaining its time left, in seconds.
-func (b *Balancer) predict(now time.Duration, r *request, w *worker,
-	meanRun, target, remaining float64) forecast {
+// predict returns the forecast for a request at a worker. Its cost is the delay plus, as time, the expected
+// costs of this balancer's jobs in flight there, a cache miss, lateness, a failure, a rejection and another
+// zone. target is the request's latency target and left its time left, in seconds.
+func (b *Balancer) predict(now time.Duration, r *request, w *worker, meanRun, target, left float64) forecast {
 	f := forecast{worker: w, freeSlots: b.fleet.freeSlots(now, w, meanRun)}
 	processing := b.estimator.predictProcessing(now, &w.delays, w.kind, r.job, f.freeSlots, b.fleet.slotsOf(w))
 	transfer := b.estimator.predictTransfer(now, &w.delays, w.zone, r.job)
@@ -180,8 +173,7 @@
 	f.work, f.unqueuedDelay, f.delay = run*r.Slots, transfer+run, transfer+processing
 	f.fullProbability = min(1, b.estimator.fullRate.At(f.freeSlots-r.Slots))
 	f.totalCost = f.delay + b.fetchCost(r, w) + processing*w.inFlightSlots/b.fleet.slotsOf(w)
-	lateProbability := min(1, (f.delay-f.unqueuedDelay)/max(remaining-f.unqueuedDelay, minRunTime))
-	f.totalCost += target * lateProbability
+	f.totalCost += target * min(1, (f.delay-f.unqueuedDelay)/max(left-f.unqueuedDelay, minRunTime)) // lateness
 	f.totalCost += b.fleet.failureProbability(now, w, r.Class) * r.class.Timeout.Seconds()
 	// Each rejection costs one of the remaining attempts and a round trip.
 	f.totalCost += f.fullProbability * target / float64(b.settings.Limits.MaxAttempts-len(r.attempts))
@@ -202,14 +194,12 @@
 	return r.class.LatencyTarget.Seconds() + r.class.TargetStretch*b.estimator.sizeOf(r.job)
 }
 
-// eligible reports whether a worker may get the request's next attempt. first is the earliest attempt that
-// may have run.
+// eligible reports whether a worker may get the next attempt. first is the earliest one that may have run.
 func (b *Balancer) eligible(r *request, w *worker, first *attempt) bool {
-	wrongKind := r.class.Kind >= 0 && r.class.Kind != w.kind
-	if !b.fleet.isReady(w) || !b.fleet.withinZoneShare(r.ID, w.zone) || wrongKind {
+	if !b.fleet.isReady(w) || !b.fleet.withinZoneShare(r.ID, w.zone) || slices.Contains(r.probed, w) {
 		return false
 	}
-	if first != nil && !inDedupGroup(r.class, first.worker, w) || slices.Contains(r.probed, w) ||
+	if r.class.Kind >= 0 && r.class.Kind != w.kind || first != nil && !inDedupGroup(r.class, first.worker, w) ||
 		r.candidates != nil && !slices.Contains(r.candidates, w) {
 		return false
 	}
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -13,10 +13,9 @@
 	probeRejectionBackoff = 2 * time.Second       // a worker that rejected a probe is avoided for this long
 )
 
-// In a large fleet a balancer gets a worker's load reports too rarely to know which workers are free. It then
-// probes a few workers, alternating between the best by forecast and one at random, and takes the one of
-// least cost. The random one is a warming-up worker if there is any, as each balancer has only a share of
-// such a worker's budget.
+// In a large fleet a balancer gets load reports too rarely to know which workers are free. It then probes
+// a few, alternating between the best by forecast and one at random, and takes the one of least cost. The
+// random one is a warming-up worker if there is any, as each balancer has only a share of its budget.
 
 // sendProbes sends probes for a request if too few load reports are known, and reports whether it did.
 func (b *Balancer) sendProbes(now time.Duration, r *request, f forecast) bool {
@@ -46,14 +45,12 @@
 	return true
 }
 
-// evaluateProbes places a request by the responses to its probes. If none shows a free slot, it probes more
-// workers.
+// evaluateProbes places a request by the responses to its probes, or probes more if none shows a free slot.
 func (b *Balancer) evaluateProbes(now time.Duration, r *request) {
 	if r.probingDone || r.finished {
 		return
 	}
-	// A class of lower value accepts a short wait. A request with a key goes to any free worker if its homes
-	// are busy.
+	// A class of lower value accepts a short wait. A request goes to any free worker if its homes are busy.
 	probed, neededSlots := r.probed, r.Slots-reportTolerance-(1-r.class.Value/b.maxValue)
 	r.probed, r.candidates = nil, slices.DeleteFunc(slices.Clone(probed), func(w *worker) bool {
 		free := b.fleet.freeSlots(now, w, b.estimator.meanRun.Or(defaultRunTime, 1))
