--- a/balance/estimate.go
+++ b/balance/estimate.go
@@ -67,16 +67,14 @@
 
 // job is what the estimator needs to know of a request.
 type job struct {
-	class      int
-	bucket     int
-	size       float64 // the cost hint in seconds; 0: none
-	priority   int     // 0 unless workers serve their queues by priority
-	slots      float64
-	cachedSize float64 // result of sizeOf, kept while a worker is chosen; 0: none
+	class, bucket int
+	size          float64 // the cost hint in seconds; 0: none
+	priority      int     // 0 unless workers serve their queues by priority
+	slots         float64
+	cachedSize    float64 // result of sizeOf, kept while a worker is chosen; 0: none
 }
 
-// sizeOf estimates a job's size, its run time at slowdown 1 in seconds: the corrected cost hint, or the mean
-// of its class.
+// sizeOf estimates a job's size, its run time in seconds at slowdown 1: the corrected hint or the class mean.
 func (e *estimator) sizeOf(j job) float64 {
 	if j.cachedSize > 0 {
 		return j.cachedSize
@@ -107,8 +105,7 @@
 	return (pooled.At(free-j.slots)*pooled.N + prior*waitPriorSamples) / (pooled.N + waitPriorSamples)
 }
 
-// predictTransfer predicts the transfer delay: by the worker's samples, otherwise the mean of its zone,
-// otherwise the least delay until a start was reported from that zone.
+// predictTransfer uses the worker's samples, else the mean of its zone, else the zone's least start delay.
 func (e *estimator) predictTransfer(now time.Duration, delays *delaySamples, zone int, j job) float64 {
 	if fit := delays.transfer.Fit(now, delays.sampleLifetime, 1); fit.N > 0 {
 		return fit.At(e.sizeOf(j))
@@ -119,9 +116,8 @@
 	return e.minStartDelay[zone]
 }
 
-// predictProcessing predicts the processing time, which includes the queue wait, at a worker with that many
-// slots, of which some are free. The fit to the worker's own samples is weighted by their number against the
-// pooled prediction, since in a large fleet most workers have few samples.
+// predictProcessing predicts queue wait plus run time at a worker with that many slots, some of them free.
+// The worker's fit is weighted by sample count against the pooled prediction: in a large fleet most have few.
 func (e *estimator) predictProcessing(now time.Duration, delays *delaySamples, kind int, j job,
 	free, slots float64) float64 {
 	size := e.sizeOf(j)
@@ -134,8 +130,7 @@
 // slots as of the send and when it is idle.
 func (e *estimator) recordProcessing(now time.Duration, delays *delaySamples, kind int, j job,
 	free, idle, wait, run float64) {
-	// A run time of 0 would give a size of 0 and turn every later prediction into NaN.
-	run = max(run, minRunTime)
+	run = max(run, minRunTime) // 0 would give a size of 0 and turn every later prediction into NaN
 	if j.size == 0 {
 		// Only the product of size and slowdown is known. Unless the mean slowdown is taken as 1, both drift.
 		slowdown := e.slowdownOf(now, delays, kind) / e.allSlowdown.Or(1, 1)
@@ -145,24 +140,21 @@
 	}
 	if j.size > 0 {
 		// Inexact hints tend to be too low for small jobs and too high for large ones.
-		hintRatio := run / e.slowdownOf(now, delays, kind) / j.size
-		hintRatio = min(max(hintRatio, 1/outlierRatio), outlierRatio)
+		hintRatio := min(max(run/e.slowdownOf(now, delays, kind)/j.size, 1/outlierRatio), outlierRatio)
 		stats.Of(e.hintCorrection, classBucket{j.class, j.bucket}).Add(hintRatio, pooledSamples)
 		e.classSize[j.class].Add(e.sizeOf(j), pooledSamples)
 	}
-	size := e.sizeOf(j)
+	size, meanSlowdown := e.sizeOf(j), e.allSlowdown.Or(1, 1)
 	// A single outlier, above all the first job, must not determine the slowdown of all workers.
-	meanSlowdown := e.allSlowdown.Or(1, 1)
 	slowdown := min(max(run/size, meanSlowdown/outlierRatio), meanSlowdown*outlierRatio)
 	delays.slowdown.Add(now, size, slowdown*size, windowLen)
 	weight := size / e.meanRun.Or(size, 1)
 	stats.Of(e.kindSlowdown, kind).AddWeighted(slowdown, weight, pooledSamples)
 	e.allSlowdown.AddWeighted(slowdown, weight, pooledSamples)
 	e.meanRun.Add(run, pooledSamples)
-	queueWait := stats.Of(e.queueWait, j.priority)
-	queueWait.AddWeighted(free-j.slots, wait, 1, pooledSamples)
+	stats.Of(e.queueWait, j.priority).AddWeighted(free-j.slots, wait, 1, pooledSamples)
 	e.fullRate.AddWeighted(free-j.slots, 0, 1, pooledSamples)
 	// Otherwise, while all workers are busy, the fit would predict the same wait for an idle worker.
-	queueWait.AddWeighted(idle-j.slots, 0, idleSampleWeight, pooledSamples)
+	stats.Of(e.queueWait, j.priority).AddWeighted(idle-j.slots, 0, idleSampleWeight, pooledSamples)
 	stats.Of(delays.processing, classBucket{j.class, j.bucket}).Add(now, free, (wait+run)/size, windowLen)
 }
--- a/balance/fleet.go
+++ b/balance/fleet.go
@@ -35,11 +35,10 @@
 	startedAt        time.Duration
 	delays           delaySamples
 
-	// The last load report. reportedFree also counts the slots of this balancer's jobs in flight as free.
 	hasReport    bool
-	reportedAt   time.Duration
-	reportedFree float64
-	maxFree      float64 // most free slots ever reported
+	reportedAt   time.Duration // of the last load report
+	reportedFree float64       // by load reports; the slots of this balancer's jobs in flight count as free
+	maxFree      float64       // most free slots ever reported
 
 	inFlightSlots  float64             // slots of this balancer's jobs in flight
 	failureRates   []stats.FailureRate // of all classes, then of each class
@@ -70,9 +69,8 @@
 }
 
 func newFleet(s *Settings, rng *rand.Rand) fleet {
-	return fleet{settings: s, rng: rng, byID: map[WorkerID]*worker{}, kindFree: map[int]float64{},
-		meanFree: map[int]*stats.Mean{}, failureRates: make([]stats.FailureRate, 1+len(s.Classes)),
-		peers: map[int]*peerLoad{}}
+	return fleet{rng: rng, byID: map[WorkerID]*worker{}, peers: map[int]*peerLoad{}, kindFree: map[int]float64{},
+		settings: s, meanFree: map[int]*stats.Mean{}, failureRates: make([]stats.FailureRate, 1+len(s.Classes))}
 }
 
 // applyUpdate applies a list update.
@@ -108,8 +106,7 @@
 	w := f.byID[listing.Worker]
 	if w == nil {
 		w = f.newWorker(now, listing.Worker)
-		f.byID[listing.Worker] = w
-		f.workers = append(f.workers, w)
+		f.byID[listing.Worker], f.workers = w, append(f.workers, w)
 	} else if w.startedAt != listing.Started {
 		w.delays.reset() // it restarted: its samples are no longer valid
 		w.hasReport, w.warmupTokens, w.lastSeenAt, w.rejectsProbes = false, 0, 0, false
@@ -160,16 +157,14 @@
 
 // capacityFraction returns the least fraction of its full capacity that a worker has by now.
 func (f *fleet) capacityFraction(now time.Duration, w *worker) float64 {
-	rules := f.settings.Rules
-	age := now - w.startedAt
+	rules, age := f.settings.Rules, now-w.startedAt
 	if w.startedAt == 0 || age >= rules.WarmupTime || rules.WarmupTime == 0 {
 		return 1
 	}
 	return rules.InitialCapacity + (1-rules.InitialCapacity)*max(0, float64(age))/float64(rules.WarmupTime)
 }
 
-// withinWarmupBudget enforces rule 4: a warming-up worker gets no more work, in slot-seconds, than this
-// balancer's share of its budget.
+// withinWarmupBudget enforces rule 4: a warming-up worker gets no more slot-seconds than its budget allows.
 func (f *fleet) withinWarmupBudget(now time.Duration, w *worker, work float64) bool {
 	rules, capacity := f.settings.Rules, f.capacityFraction(now, w)
 	if capacity >= 1 {
@@ -180,17 +175,15 @@
 	return w.warmupTokens > 0 && work <= maxJobBudgetFraction*budget
 }
 
-// refillWarmupBudget adds the budget of a warming-up worker for the time since the last call.
+// refillWarmupBudget adds this balancer's share of the worker's budget for the time since the last call.
 func (f *fleet) refillWarmupBudget(now time.Duration, w *worker, capacity float64) {
-	rules := f.settings.Rules
-	rate := warmupBudgetFraction * rules.OverloadMultiple * capacity * f.slotsOf(w) /
-		float64(f.settings.Balancers)
+	rules, slots := f.settings.Rules, f.slotsOf(w)
+	rate := warmupBudgetFraction * rules.OverloadMultiple * capacity * slots / float64(f.settings.Balancers)
 	w.warmupTokens = min(w.warmupTokens+rate*(now-w.warmupTokensAt).Seconds(), rate*rules.OverloadTime.Seconds())
 	w.warmupTokensAt = now
 }
 
-// spendWarmupBudget charges a send to the budget of a warming-up worker. Sends that are rejected later count,
-// too.
+// spendWarmupBudget charges a send, also one rejected later, to the budget of a warming-up worker.
 func (f *fleet) spendWarmupBudget(now time.Duration, w *worker, work float64) {
 	if capacity := f.capacityFraction(now, w); capacity < 1 {
 		f.refillWarmupBudget(now, w, capacity)
@@ -199,9 +192,7 @@
 }
 
 // slotsOf estimates the slots of a worker by the most free slots that were ever reported of it or its kind.
-func (f *fleet) slotsOf(w *worker) float64 {
-	return max(1, w.maxFree, f.kindFree[w.kind])
-}
+func (f *fleet) slotsOf(w *worker) float64 { return max(1, w.maxFree, f.kindFree[w.kind]) }
 
 // recordReport records a worker's load report.
 func (f *fleet) recordReport(now time.Duration, w *worker, values []float32) {
@@ -214,15 +205,13 @@
 	f.kindFree[w.kind] = max(f.kindFree[w.kind], w.maxFree)
 	free -= f.queuedSlots(w, free, fields)
 	stats.Of(f.meanFree, w.kind).Add(free, reportSamples)
-	free += w.inFlightSlots
-	if w.hasReport {
+	if free += w.inFlightSlots; w.hasReport {
 		free = (free + w.reportedFree) / 2
 	}
 	w.hasReport, w.reportedAt, w.reportedFree = true, now, free
 }
 
-// queuedSlots returns the slots that a worker's queued jobs need. They are subtracted from its reported free
-// slots, which are never negative.
+// queuedSlots returns the slots that queued jobs need, to subtract: reported free slots are never negative.
 func (f *fleet) queuedSlots(w *worker, free float64, fields map[ReportField]float64) float64 {
 	slotsPerJob := f.jobSlots.Or(1, 1)
 	if backlog, ok := fields[FieldBacklog]; ok {
@@ -234,9 +223,8 @@
 	return max(0, fields[FieldOutstanding]*slotsPerJob-(f.slotsOf(w)-free)) // 0 if the field is missing
 }
 
-// freeSlots estimates the slots that are free now. The last report decays towards the mean of the worker's
-// kind, with the mean run time as time constant. Messages from most peers are used instead of any report, as
-// they are more recent.
+// freeSlots estimates the slots free now. The last report decays towards the mean of the worker's kind, with
+// the mean run time as time constant. Messages from most peers replace any report, as they are more recent.
 func (f *fleet) freeSlots(now time.Duration, w *worker, meanRun float64) float64 {
 	if peers := f.settings.Balancers - 1; f.freshPeers*2 > peers && peers > 0 {
 		return f.slotsOf(w) - w.inFlightSlots - w.peerSlots*float64(peers)/float64(f.freshPeers)
@@ -255,8 +243,7 @@
 	w.hasReport, w.reportedAt, w.reportedFree = true, now, free+w.inFlightSlots
 }
 
-// recordResult records a success or failure for all classes and for the request's class, as some faults
-// affect a single class.
+// recordResult records a result for all classes and for the request's class, as some faults affect only one.
 func (f *fleet) recordResult(now time.Duration, w *worker, class int, failed bool) {
 	for _, rates := range [][]stats.FailureRate{w.failureRates, f.failureRates} {
 		rates[0].Add(now, failureDecayTime, failed)
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -13,10 +13,9 @@
 	fetchCostRuns = 4.    // cost of a fetch, evictions and load on the store included, in mean run times
 )
 
-// A worker caches the data of a few keys and fetches other data from a shared store. Therefore a key has
-// affinity to some workers, its homes: all balancers compute the same order of workers for a key (rendezvous
-// hashing), and as many workers from its start are homes as the key's share of the requests needs. Overflow
-// goes to the next workers in the order.
+// A worker caches the data of a few keys and fetches other data from a shared store. So a key has affinity to
+// some workers, its homes: all balancers compute the same order of workers for a key (rendezvous hashing), of
+// which the first are homes, as many as the key's share of the requests needs. Overflow goes to the next.
 
 // keyRank returns the expected rank of a worker in a key's order. The worker of least rank is the first home.
 func (f *fleet) keyRank(key uint64, w *worker) float64 {
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -14,8 +14,7 @@
 	maxEvacuationBudget  = 10.0        // at most this many at once, as all balancers evacuate at the same time
 )
 
-// withinZoneShare reports whether a request may go to a zone. This depends on a hash of the request's ID, so
-// that it does not change while the share stays the same.
+// withinZoneShare reports if a request may go to a zone, by a hash of its ID: it changes only with the share.
 func (f *fleet) withinZoneShare(id RequestID, zone int) bool {
 	share := f.zoneShare(zone)
 	return share >= 1 || stats.Draw(uint64(id), uint64(zone)) < share
