--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -27,50 +27,50 @@
 	memory  [][]byte
 }
 
-func (h *reusedBufferRequest) allocate(text string) []byte {
+func (r *reusedBufferRequest) allocate(text string) []byte {
 	memory := []byte(text)
-	h.memory = append(h.memory, memory)
+	r.memory = append(r.memory, memory)
 	return memory
 }
 
 // newReusedBufferRequest lays out a request as the server does: its parameter and body are memory of the connection.
 func newReusedBufferRequest(id, base, body string) *reusedBufferRequest {
-	h := &reusedBufferRequest{context: app.NewContext(1)}
+	r := &reusedBufferRequest{context: app.NewContext(1)}
 	if id != "" {
-		memory := h.allocate(id)
+		memory := r.allocate(id)
 		value := unsafe.String(&memory[0], len(memory))
-		h.context.Params = append(h.context.Params, param.Param{Key: parameterID, Value: value})
+		r.context.Params = append(r.context.Params, param.Param{Key: parameterID, Value: value})
 	}
-	h.context.Request.SetBodyRaw(h.allocate(body))
-	h.context.Request.Header.Set(headerBaseVersion, base)
-	return h
+	r.context.Request.SetBodyRaw(r.allocate(body))
+	r.context.Request.Header.Set(headerBaseVersion, base)
+	return r
 }
 
 // overwrite overwrites the request's memory, as its connection's next request does.
-func (h *reusedBufferRequest) overwrite() {
-	for _, memory := range h.memory {
+func (r *reusedBufferRequest) overwrite() {
+	for _, memory := range r.memory {
 		for i := range memory {
 			memory[i] = '#'
 		}
 	}
-	h.context.Reset()
+	r.context.Reset()
 }
 
 // retainedProposals are the proposals that a group was given and has not decided on.
-type retainedProposals struct {
+type retainedBuffers struct {
 	mutex    sync.Mutex
 	retained [][]byte
 	copies   [][]byte // copies of the same, made at once
 }
 
-func (p *retainedProposals) retain(data []byte) {
+func (p *retainedBuffers) retain(data []byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.retained = append(p.retained, data)
 	p.copies = append(p.copies, bytes.Clone(data))
 }
 
-func (p *retainedProposals) check(t *testing.T) {
+func (p *retainedBuffers) requireUnchanged(t *testing.T) {
 	t.Helper()
 	if len(p.retained) == 0 {
 		t.Fatal("nothing was retained")
@@ -101,10 +101,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newDegradedServerFixture(t)
 				s.setEveryGroup(leaderStatus(), nil)
-				proposals := &retainedProposals{}
+				retained := &retainedBuffers{}
 				for _, group := range s.groups {
 					group.submit = func(ctx context.Context, data []byte) (any, error) {
-						proposals.retain(data)
+						retained.retain(data)
 						<-ctx.Done()
 						return nil, replica.ErrUnknownOutcome
 					}
@@ -115,7 +115,7 @@
 					t.Fatal(status)
 				}
 				request.overwrite()
-				proposals.check(t)
+				retained.requireUnchanged(t)
 			})
 		})
 	}
@@ -127,12 +127,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newDegradedServerFixture(t)
 				s.setEveryGroup(followerStatus(ownerAddress), nil)
-				calls := &retainedProposals{}
-				s.server.peers.network = &retainingNetwork{calls: calls}
+				retained := &retainedBuffers{}
+				s.server.peers.network = &retainingNetwork{retained: retained}
 				request := newReusedBufferRequest(test.id, "7", test.body)
 				s.server.apiHandler(test.kind)(t.Context(), request.context)
 				request.overwrite()
-				calls.check(t)
+				retained.requireUnchanged(t)
 			})
 		})
 	}
@@ -141,11 +141,11 @@
 // retainingNetwork retains the calls that it is given, and answers none.
 type retainingNetwork struct {
 	scriptedNetwork
-	calls *retainedProposals
+	retained *retainedBuffers
 }
 
 func (n *retainingNetwork) Call(ctx context.Context, _ string, _ peertransport.CallKind, body []byte) ([]byte, error) {
-	n.calls.retain(body)
+	n.retained.retain(body)
 	<-ctx.Done()
 	return nil, peertransport.ErrOutcomeUnknown
 }
@@ -178,7 +178,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
 		makeOwner(s.server, s.groups)
-		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentNumber, Body: []byte(configurationJSON(9))})
+		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentGeneration, Body: []byte(configurationJSON(9))})
 		if _, err := s.groups[0].submit(t.Context(), data); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controlplane/server/cluster_test.go
+++ b/internal/controlplane/server/cluster_test.go
@@ -27,7 +27,7 @@
 type serverProcess struct {
 	config bootconfig.Settings
 	stop   context.CancelFunc
-	ended  chan error
+	exited chan error
 }
 
 // testCluster is a set of servers on loopback addresses of this machine.
@@ -74,7 +74,7 @@
 		ips[i] = fmt.Sprintf("127.0.0.%d", 2+i)
 	}
 	control, peers := freePort(t, ips), freePort(t, ips)
-	f := &testCluster{t: t, client: &http.Client{
+	c := &testCluster{t: t, client: &http.Client{
 		Timeout:   5 * time.Second,
 		Transport: &http.Transport{DisableKeepAlives: true},
 	}}
@@ -91,36 +91,36 @@
 		for _, seed := range ips[:min(count, 3)] {
 			config.Seeds = append(config.Seeds, net.JoinHostPort(seed, strconv.Itoa(control)))
 		}
-		f.processes = append(f.processes, &serverProcess{config: config})
+		c.processes = append(c.processes, &serverProcess{config: config})
 	}
-	t.Cleanup(f.stopAll)
-	return f
+	t.Cleanup(c.stopAll)
+	return c
 }
 
-func (f *testCluster) start(i int) {
-	p := f.processes[i]
+func (c *testCluster) start(i int) {
+	p := c.processes[i]
 	ctx, cancel := context.WithCancel(context.Background())
-	p.stop, p.ended = cancel, make(chan error, 1)
-	go func() { p.ended <- Run(ctx, p.config, zap.NewNop()) }()
+	p.stop, p.exited = cancel, make(chan error, 1)
+	go func() { p.exited <- Run(ctx, p.config, zap.NewNop()) }()
 }
 
 // bootstrap starts the first servers and waits until they have formed the cluster.
-func (f *testCluster) bootstrap(count int) {
-	f.t.Helper()
+func (c *testCluster) bootstrap(count int) {
+	c.t.Helper()
 	var servers []int
 	for i := range count {
-		f.start(i)
+		c.start(i)
 		servers = append(servers, i)
 	}
-	f.awaitConverged("formation", servers...)
+	c.awaitConverged("formation", servers...)
 }
 
 // awaitConverged waits until each of the servers sees all shards with just these servers as voters, current.
-func (f *testCluster) awaitConverged(what string, servers ...int) {
-	f.t.Helper()
-	f.await(what, func() bool {
+func (c *testCluster) awaitConverged(what string, servers ...int) {
+	c.t.Helper()
+	c.await(what, func() bool {
 		for _, i := range servers {
-			if !f.isConverged(i, len(servers)) {
+			if !c.isConverged(i, len(servers)) {
 				return false
 			}
 		}
@@ -129,49 +129,49 @@
 }
 
 // terminate stops a server as a SIGTERM does and returns how long it took.
-func (f *testCluster) terminate(index int) time.Duration {
-	f.t.Helper()
-	p := f.processes[index]
-	began := time.Now()
+func (c *testCluster) terminate(index int) time.Duration {
+	c.t.Helper()
+	p := c.processes[index]
+	startedAt := time.Now()
 	p.stop()
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		if err != nil {
-			f.t.Fatalf("server %d: %v", index, err)
+			c.t.Fatalf("server %d: %v", index, err)
 		}
 	case <-time.After(clusterTimeout):
-		f.t.Fatalf("server %d does not end", index)
+		c.t.Fatalf("server %d does not end", index)
 	}
 	p.stop = nil
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-func (f *testCluster) stopAll() {
-	for i, p := range f.processes {
+func (c *testCluster) stopAll() {
+	for i, p := range c.processes {
 		if p.stop != nil {
-			f.terminate(i)
+			c.terminate(i)
 		}
 	}
 }
 
 // await looks until a condition holds.
-func (f *testCluster) await(what string, holds func() bool) {
-	f.t.Helper()
-	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
+func (c *testCluster) await(what string, condition func() bool) {
+	c.t.Helper()
+	ctx, cancel := context.WithTimeout(c.t.Context(), clusterTimeout)
 	defer cancel()
-	if err := localfleet.Await(ctx, pollInterval, holds); err != nil {
-		f.t.Fatalf("%s: not within %s", what, clusterTimeout)
+	if err := localfleet.Await(ctx, pollInterval, condition); err != nil {
+		c.t.Fatalf("%s: not within %s", what, clusterTimeout)
 	}
 }
 
 // do sends one call to a server; a status of 0 means that no answer came.
-func (f *testCluster) do(i int, method, path string, base uint64, body string) (status int, content []byte) {
-	request, err := http.NewRequest(method, "http://"+f.processes[i].config.Listen.Control+path, bytes.NewReader([]byte(body)))
+func (c *testCluster) do(i int, method, path string, base uint64, body string) (status int, content []byte) {
+	request, err := http.NewRequest(method, "http://"+c.processes[i].config.Listen.Control+path, bytes.NewReader([]byte(body)))
 	if err != nil {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	request.Header.Set(headerBaseVersion, strconv.FormatUint(base, 10))
-	response, err := f.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
@@ -181,17 +181,17 @@
 }
 
 // doUntilDefinitive repeats a call, as callers do, until it has a clear answer.
-func (f *testCluster) doUntilDefinitive(i int, method, path string, base uint64, body string) (status int, content []byte) {
-	f.t.Helper()
-	f.await(method+" "+path, func() bool {
-		status, content = f.do(i, method, path, base, body)
+func (c *testCluster) doUntilDefinitive(i int, method, path string, base uint64, body string) (status int, content []byte) {
+	c.t.Helper()
+	c.await(method+" "+path, func() bool {
+		status, content = c.do(i, method, path, base, body)
 		return status != 0 && status < http.StatusInternalServerError
 	})
 	return status, content
 }
 
-func (f *testCluster) status(i int) (report statusReport, ok bool) {
-	code, body := f.do(i, http.MethodGet, "/-/status", 0, "")
+func (c *testCluster) status(i int) (report statusReport, reachable bool) {
+	code, body := c.do(i, http.MethodGet, "/-/status", 0, "")
 	if code != http.StatusOK {
 		return report, false
 	}
@@ -199,8 +199,8 @@
 }
 
 // isConverged reports whether a server sees every shard with the given voters, current.
-func (f *testCluster) isConverged(index, voters int) bool {
-	report, ok := f.status(index)
+func (c *testCluster) isConverged(index, voters int) bool {
+	report, ok := c.status(index)
 	if !ok {
 		return false
 	}
@@ -231,56 +231,56 @@
 		state, sequence)
 }
 
-func (f *testCluster) requireStatus(want, got int, content []byte) {
-	f.t.Helper()
+func (c *testCluster) requireStatus(want, got int, content []byte) {
+	c.t.Helper()
 	if got != want {
-		f.t.Fatalf("status %d, not %d: %s", got, want, content)
+		c.t.Fatalf("status %d, not %d: %s", got, want, content)
 	}
 }
 
 func TestCluster_threeServersBootstrapServeAndRepair(t *testing.T) {
-	f := newTestCluster(t, 3)
-	began := time.Now()
-	f.bootstrap(3)
-	t.Logf("formed in %s", time.Since(began))
+	c := newTestCluster(t, 3)
+	startedAt := time.Now()
+	c.bootstrap(3)
+	t.Logf("formed in %s", time.Since(startedAt))
 
 	replace, read := "/-/Config.Replace", "/-/Config.Read"
 	for i := range 3 {
 		base, next := i, i+1
-		status, content := f.doUntilDefinitive(i, http.MethodPost, replace, uint64(base), configurationJSON(next))
-		f.requireStatus(http.StatusOK, status, content)
-		status, content = f.doUntilDefinitive((i+1)%3, http.MethodPost, replace, uint64(base), configurationJSON(next)) // sent again
-		f.requireStatus(http.StatusOK, status, content)
+		status, content := c.doUntilDefinitive(i, http.MethodPost, replace, uint64(base), configurationJSON(next))
+		c.requireStatus(http.StatusOK, status, content)
+		status, content = c.doUntilDefinitive((i+1)%3, http.MethodPost, replace, uint64(base), configurationJSON(next)) // sent again
+		c.requireStatus(http.StatusOK, status, content)
 	}
-	status, content := f.doUntilDefinitive(0, http.MethodPost, replace, 1, configurationJSON(9))
-	f.requireStatus(http.StatusPreconditionFailed, status, content)
-	status, content = f.doUntilDefinitive(1, http.MethodPost, replace, 3, `{"generation":4`)
-	f.requireStatus(http.StatusBadRequest, status, content)
+	status, content := c.doUntilDefinitive(0, http.MethodPost, replace, 1, configurationJSON(9))
+	c.requireStatus(http.StatusPreconditionFailed, status, content)
+	status, content = c.doUntilDefinitive(1, http.MethodPost, replace, 3, `{"generation":4`)
+	c.requireStatus(http.StatusBadRequest, status, content)
 
-	took := f.terminate(0)
+	took := c.terminate(0)
 	t.Logf("one server shut down in %s", took)
 	if took > 2*time.Second {
 		t.Errorf("the graceful shutdown took %s", took)
 	}
-	began = time.Now()
-	status, content = f.doUntilDefinitive(1, http.MethodPost, replace, 3, configurationJSON(4))
-	f.requireStatus(http.StatusOK, status, content)
-	t.Logf("a configuration with two of three in %s", time.Since(began))
+	startedAt = time.Now()
+	status, content = c.doUntilDefinitive(1, http.MethodPost, replace, 3, configurationJSON(4))
+	c.requireStatus(http.StatusOK, status, content)
+	t.Logf("a configuration with two of three in %s", time.Since(startedAt))
 
 	// The server comes back without its disk.
-	f.processes[0].config.DataDir = t.TempDir()
-	f.processes[0].config.Bootstrap = false
-	f.start(0)
-	began = time.Now()
+	c.processes[0].config.DataDir = t.TempDir()
+	c.processes[0].config.Bootstrap = false
+	c.start(0)
+	startedAt = time.Now()
 	for i := range 3 {
-		f.await("repair", func() bool { return f.isConverged(i, 3) })
+		c.await("repair", func() bool { return c.isConverged(i, 3) })
 	}
-	t.Logf("repaired in %s", time.Since(began))
-	f.terminate(1)
-	status, content = f.doUntilDefinitive(0, http.MethodPost, replace, 4, configurationJSON(5))
-	f.requireStatus(http.StatusOK, status, content)
-	status, content = f.doUntilDefinitive(0, http.MethodGet, read, 0, "")
-	f.requireStatus(http.StatusOK, status, content)
+	t.Logf("repaired in %s", time.Since(startedAt))
+	c.terminate(1)
+	status, content = c.doUntilDefinitive(0, http.MethodPost, replace, 4, configurationJSON(5))
+	c.requireStatus(http.StatusOK, status, content)
+	status, content = c.doUntilDefinitive(0, http.MethodGet, read, 0, "")
+	c.requireStatus(http.StatusOK, status, content)
 	var document struct{ Generation int }
 	if err := json.Unmarshal(content, &document); err != nil || document.Generation != 5 {
 		t.Fatalf("read %s: %v", content, err)
@@ -288,22 +288,22 @@
 }
 
 func TestCluster_anyServerAcceptsInstanceCalls(t *testing.T) {
-	f := newTestCluster(t, 3)
-	f.bootstrap(3)
+	c := newTestCluster(t, 3)
+	c.bootstrap(3)
 	for i := range 3 {
-		status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1+i))
-		f.requireStatus(http.StatusOK, status, content)
+		status, content := c.doUntilDefinitive(i, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("ready", 1+i))
+		c.requireStatus(http.StatusOK, status, content)
 	}
-	status, content := f.doUntilDefinitive(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("draining", 9))
-	f.requireStatus(http.StatusOK, status, content)
-	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, `{"service":`)
-	f.requireStatus(http.StatusBadRequest, status, content)
-	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Instances.Deregister/i-1", 0, "{}")
-	f.requireStatus(http.StatusOK, status, content)
-	status, content = f.doUntilDefinitive(0, http.MethodPost, "/-/Instances.Deregister/i-unknown", 0, "{}")
-	f.requireStatus(http.StatusOK, status, content)
-	status, content = f.doUntilDefinitive(0, http.MethodGet, "/-/nothing", 0, "")
-	f.requireStatus(http.StatusNotFound, status, content)
-	status, content = f.doUntilDefinitive(0, http.MethodGet, "/-/metrics", 0, "")
-	f.requireStatus(http.StatusOK, status, content)
+	status, content := c.doUntilDefinitive(1, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, heartbeatJSON("draining", 9))
+	c.requireStatus(http.StatusOK, status, content)
+	status, content = c.doUntilDefinitive(2, http.MethodPost, "/-/Instances.Heartbeat/i-1", 0, `{"service":`)
+	c.requireStatus(http.StatusBadRequest, status, content)
+	status, content = c.doUntilDefinitive(2, http.MethodPost, "/-/Instances.Deregister/i-1", 0, "{}")
+	c.requireStatus(http.StatusOK, status, content)
+	status, content = c.doUntilDefinitive(0, http.MethodPost, "/-/Instances.Deregister/i-unknown", 0, "{}")
+	c.requireStatus(http.StatusOK, status, content)
+	status, content = c.doUntilDefinitive(0, http.MethodGet, "/-/nothing", 0, "")
+	c.requireStatus(http.StatusNotFound, status, content)
+	status, content = c.doUntilDefinitive(0, http.MethodGet, "/-/metrics", 0, "")
+	c.requireStatus(http.StatusOK, status, content)
 }
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	ownerAddress  = "127.0.0.1:7100"
-	currentNumber = 7 // generation in force
-	removedID     = "i-gone"
+	ownerAddress      = "127.0.0.1:7100"
+	currentGeneration = 7 // generation in force
+	removedID         = "i-gone"
 )
 
 // capability is what a degraded server can still find out or have done.
@@ -37,31 +37,31 @@
 
 // degradedServerFixture is a degraded server, and perhaps another one that owns all shards.
 type degradedServerFixture struct {
-	server *Server
-	groups [shards.ShardCount]*scriptedGroup
-	owner  *Server
-	link   *ownerOnlyNetwork
+	server  *Server
+	groups  [shards.ShardCount]*scriptedGroup
+	owner   *Server
+	network *ownerOnlyNetwork
 }
 
 // ownerOnlyNetwork is the network of a server that reaches the owner alone.
 type ownerOnlyNetwork struct {
 	scriptedNetwork
-	owner *Server
-	lost  error // of each answer
-	mute  bool  // nothing is carried out, and nothing comes back
+	owner        *Server
+	replyError   error // of each answer
+	unresponsive bool  // nothing is carried out, and nothing comes back
 }
 
-func (l *ownerOnlyNetwork) Call(ctx context.Context, _ string, kind peertransport.CallKind, body []byte) ([]byte, error) {
-	if l.mute {
+func (n *ownerOnlyNetwork) Call(ctx context.Context, _ string, kind peertransport.CallKind, body []byte) ([]byte, error) {
+	if n.unresponsive {
 		<-ctx.Done()
 		return nil, peertransport.ErrOutcomeUnknown
 	}
-	if l.owner == nil {
+	if n.owner == nil {
 		return nil, peertransport.ErrNotSent
 	}
-	reply, err := l.owner.Call(ctx, peertransport.Hello{}, kind, body)
-	if l.lost != nil {
-		return nil, l.lost
+	reply, err := n.owner.Call(ctx, peertransport.Hello{}, kind, body)
+	if n.replyError != nil {
+		return nil, n.replyError
 	}
 	return reply, err
 }
@@ -74,7 +74,7 @@
 	}
 	for index, change := range []configuration.Command{
 		{Kind: configuration.CommandReplace, Base: 0, Body: []byte(configurationJSON(3))},
-		{Kind: configuration.CommandReplace, Base: 3, Body: []byte(configurationJSON(currentNumber))},
+		{Kind: configuration.CommandReplace, Base: 3, Body: []byte(configurationJSON(currentGeneration))},
 	} {
 		apply(shards.ConfigurationShard, uint64(index+1), configuration.EncodeCommand(change))
 	}
@@ -105,11 +105,11 @@
 }
 
 // setEveryGroup sets the groups' status and what becomes of proposals and reads.
-func (s *degradedServerFixture) setEveryGroup(status replica.Status, refusal error) {
+func (s *degradedServerFixture) setEveryGroup(status replica.Status, err error) {
 	for i, group := range s.groups {
 		group.set(status)
-		group.submit = func(ctx context.Context, _ []byte) (any, error) { return nil, waitOrFail(ctx, refusal) }
-		group.barrier = func(ctx context.Context) error { return waitOrFail(ctx, refusal) }
+		group.submit = func(ctx context.Context, _ []byte) (any, error) { return nil, failOrWait(ctx, err) }
+		group.barrier = func(ctx context.Context) error { return failOrWait(ctx, err) }
 		if status.IsLeader() {
 			s.server.shards[i].stateMachine.setLeaderTerm(status.Term)
 			s.server.shards[i].stateMachine.ownershipGained(time.Now(), status.Term)
@@ -118,19 +118,19 @@
 }
 
 // waitOrFail returns the error, or waits for the context's end where it is nil.
-func waitOrFail(ctx context.Context, refusal error) error {
-	if refusal == nil {
+func failOrWait(ctx context.Context, err error) error {
+	if err == nil {
 		<-ctx.Done()
 		return replica.ErrUnknownOutcome
 	}
-	return refusal
+	return err
 }
 
 func newDegradedServerFixture(t *testing.T) *degradedServerFixture {
 	t.Helper()
-	s := &degradedServerFixture{link: &ownerOnlyNetwork{}}
+	s := &degradedServerFixture{network: &ownerOnlyNetwork{}}
 	s.server, s.groups, _ = newScriptedServer(t)
-	s.server.peers.network = s.link
+	s.server.peers.network = s.network
 	applyInitialState(t, s.server)
 	config := bootconfig.Defaults()
 	config.IP, config.PortRange = "127.0.0.1", [2]int{7100, 7115}
@@ -154,9 +154,9 @@
 
 // degradedStates are states of a server, with its capabilities in each.
 var degradedStates = []struct {
-	name string
-	able capability
-	set  func(s *degradedServerFixture)
+	name         string
+	capabilities capability
+	enter        func(s *degradedServerFixture)
 }{
 	{"it leads", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) { makeOwner(s.server, s.groups) }},
 	{"it leads, cut off a moment ago", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), nil) }},
@@ -167,26 +167,26 @@
 	{"it leads, its disk is full", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), consensus.ErrTransferInProgress) }},
 	{"it led until now", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(leaderStatus(), replica.NotLeaderError{Leader: consensus.Member{ID: 2, Address: ownerAddress}})
-		s.link.owner = s.owner
+		s.network.owner = s.owner
 	}},
 	{"it has closed its groups", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(""), 2*currentMaxAge), replica.ErrClosed)
 	}},
 	{"it follows", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
-		s.link.owner = s.owner
+		s.network.owner = s.owner
 	}},
 	{"it follows, behind", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(ownerAddress), 2*currentMaxAge), replica.NotLeaderError{})
-		s.link.owner = s.owner
+		s.network.owner = s.owner
 	}},
 	{"it follows, answers are lost", canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
-		s.link.owner, s.link.lost = s.owner, peertransport.ErrOutcomeUnknown
+		s.network.owner, s.network.replyError = s.owner, peertransport.ErrOutcomeUnknown
 	}},
 	{"it follows, the owner is mute", canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
-		s.link.mute = true
+		s.network.unresponsive = true
 	}},
 	{"it follows, cut off", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(ownerAddress), 2*contactLostAfter), nil)
@@ -201,12 +201,12 @@
 	{"it has no group, and knows the owner", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(replica.Status{}, 2*contactLostAfter), nil)
 		s.server.directory.learn(serverInfo{Address: ownerAddress, Zone: "z"})
-		s.link.owner = s.owner
+		s.network.owner = s.owner
 	}},
 	{"it is leaving", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
 		s.server.lifecycle.shuttingDown.Store(true)
-		s.link.owner = s.owner
+		s.network.owner = s.owner
 	}},
 }
 
@@ -220,7 +220,7 @@
 }{
 	{"a change", changeRequest(APIReplace, "7", configurationJSON(9)), canChange, http.StatusOK},
 	{"an update", changeRequest(APIUpdate, "7", `{"generation":9}`), canChange, http.StatusOK},
-	{"a repeat", changeRequest(APIReplace, "3", configurationJSON(currentNumber)), canChange, http.StatusOK},
+	{"a repeat", changeRequest(APIReplace, "3", configurationJSON(currentGeneration)), canChange, http.StatusOK},
 	{"an older repeat", changeRequest(APIReplace, "", configurationJSON(3)), canChange, http.StatusOK},
 	{"a lost race", changeRequest(APIReplace, "3", configurationJSON(9)), canChange, http.StatusPreconditionFailed},
 	{"a base to come", changeRequest(APIReplace, "8", configurationJSON(9)), canChange, http.StatusServiceUnavailable},
@@ -252,25 +252,25 @@
 }
 
 // callDegraded makes a call to a server in a state, with guards omitted, and returns what is wrong with its answer.
-func callDegraded(t *testing.T, state, call int, omit ...Guard) (wrong string) {
+func callDegraded(t *testing.T, state, call int, omit ...Guard) (problem string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
 		s.server.environment.OmitGuards = omit
-		degradedStates[state].set(s)
+		degradedStates[state].enter(s)
 		want := degradedCalls[call].status
-		if needs := degradedCalls[call].needs; degradedStates[state].able&needs != needs {
+		if needs := degradedCalls[call].needs; degradedStates[state].capabilities&needs != needs {
 			want = http.StatusServiceUnavailable
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		reply := s.server.Handle(t.Context(), degradedCalls[call].request)
 		if reply.Status != want {
-			wrong = fmt.Sprintf("%d, not %d: %s", reply.Status, want, reply.Body)
+			problem = fmt.Sprintf("%d, not %d: %s", reply.Status, want, reply.Body)
 		}
-		if took := time.Since(began); took > smallCallTimeout {
-			wrong = fmt.Sprintf("it comes after %v", took)
+		if took := time.Since(startedAt); took > smallCallTimeout {
+			problem = fmt.Sprintf("it comes after %v", took)
 		}
 	})
-	return wrong
+	return problem
 }
 
 // TestServer_Handle_degradedStates makes each call to a server in each state. What depends on the state of the system is rejected by a
@@ -279,8 +279,8 @@
 	for state := range degradedStates {
 		for call := range degradedCalls {
 			t.Run(degradedStates[state].name+"/"+degradedCalls[call].name, func(t *testing.T) {
-				if wrong := callDegraded(t, state, call); wrong != "" {
-					t.Fatal(wrong)
+				if problem := callDegraded(t, state, call); problem != "" {
+					t.Fatal(problem)
 				}
 			})
 		}
@@ -290,18 +290,18 @@
 // Each guard is needed: without it some call in some state has another answer.
 func TestServer_Handle_eachGuardIsNeededWhenDegraded(t *testing.T) {
 	for _, guard := range []Guard{GuardReadConfirmed, GuardHeartbeatCurrent, GuardHeartbeatRecorded} {
-		missed := 0
+		wrongAnswers := 0
 		for state := range degradedStates {
 			for call := range degradedCalls {
-				if wrong := callDegraded(t, state, call, guard); wrong != "" {
-					missed++
+				if problem := callDegraded(t, state, call, guard); problem != "" {
+					wrongAnswers++
 				}
 			}
 		}
-		if missed == 0 {
+		if wrongAnswers == 0 {
 			t.Errorf("nothing is wrong without %s", guard)
 		}
-		t.Logf("without %s: %d answers of %d are wrong", guard, missed, len(degradedStates)*len(degradedCalls))
+		t.Logf("without %s: %d answers of %d are wrong", guard, wrongAnswers, len(degradedStates)*len(degradedCalls))
 	}
 }
 
--- a/internal/controlplane/server/directory.go
+++ b/internal/controlplane/server/directory.go
@@ -9,7 +9,8 @@
 	"ospreybend/coord/shards"
 )
 
-// directory holds the addresses and failure domains of the other servers, as learned from seeds, peers and memberships.
+// directory holds the addresses and failure domains of the other servers, as learned from the seeds, from peers and
+// from group memberships.
 type directory struct {
 	self serverInfo
 
@@ -28,7 +29,7 @@
 	return d
 }
 
-// learn records the address and failure domain of a server. An entry without a zone never replaces one with a zone.
+// learn records the address and failure domain of a server. An entry without a zone does not replace an existing entry.
 func (d *directory) learn(info serverInfo) {
 	if info.Address == "" || info.Address == d.self.Address {
 		return
@@ -56,7 +57,8 @@
 	}
 }
 
-// serving returns the servers that are members of any group, sorted by address. The slice is shared: nobody may change it.
+// serving returns the servers that are members of any group, sorted by address. The slice is shared: callers must not
+// modify it.
 func (d *directory) serving() []serverInfo {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -66,7 +68,7 @@
 	return d.servingCache
 }
 
-// computeServing collects the result of serving. The caller holds the mutex.
+// computeServing builds the result of serving. The caller must hold the mutex.
 func (d *directory) computeServing() []serverInfo {
 	listed := []serverInfo{}
 	for _, members := range d.members {
@@ -81,7 +83,7 @@
 	return listed
 }
 
-// otherAddresses returns the addresses of all known servers but this one, sorted.
+// otherAddresses returns the sorted addresses of all known servers except this one.
 func (d *directory) otherAddresses() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -16,18 +16,18 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// edgeNodeTable counts the feed connections of each edge node whose agent reads this server's feed.
+// edgeNodeTable counts the feed connections of each edge node whose agent is connected to this server.
 type edgeNodeTable struct {
 	mutex       sync.Mutex
 	connections map[edgeNode]int
-	added       chan struct{}
+	added       chan struct{} // receives a token after add
 }
 
 func newEdgeNodeTable() *edgeNodeTable {
 	return &edgeNodeTable{connections: make(map[edgeNode]int), added: make(chan struct{}, 1)}
 }
 
-// add counts a connection of a node, and wakes runNodeHeartbeats.
+// add counts a new connection of a node and wakes runNodeHeartbeats.
 func (t *edgeNodeTable) add(node edgeNode) {
 	t.mutex.Lock()
 	t.connections[node]++
@@ -35,7 +35,7 @@
 	notify(t.added)
 }
 
-// remove uncounts a connection of a node.
+// remove subtracts a closed connection of a node. A node without connections is removed from the table.
 func (t *edgeNodeTable) remove(node edgeNode) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -58,7 +58,7 @@
 }
 
 // FeedConnection serves the feed on a connection whose first frame has been read, and returns when the session ends. A server that
-// shuts down accepts no session.
+// is shutting down closes the connection instead.
 func (s *Server) FeedConnection(ctx context.Context, connection net.Conn, kind feedtransport.Kind, body []byte) {
 	hello, err := feedtransport.DecodeHello(body)
 	if kind != feedtransport.KindHello || err != nil || s.lifecycle.shuttingDown.Load() {
@@ -79,8 +79,8 @@
 	_ = feedtransport.NewSession(connection, hello, s, options).Run(ctx)
 }
 
-// runNodeHeartbeats sends heartbeats for the connected edge nodes: at once when a node connects, then every
-// nodeHeartbeatInterval. It sleeps while no node is connected.
+// runNodeHeartbeats sends heartbeats for the connected edge nodes: immediately when a node connects, then every
+// nodeHeartbeatInterval. It waits while no node is connected.
 func (s *Server) runNodeHeartbeats(ctx context.Context) {
 	timer := time.NewTimer(nodeHeartbeatInterval)
 	defer timer.Stop()
@@ -93,7 +93,7 @@
 		}
 		nodes := s.feed.nodes.list()
 		if len(nodes) == 0 {
-			continue // the next node that connects sends a token
+			continue // add wakes the loop when the next node connects
 		}
 		s.sendNodeHeartbeats(ctx, nodes)
 		timer.Reset(nodeHeartbeatInterval)
@@ -111,7 +111,7 @@
 	s.forward(ctx, shardRequest{Kind: callNodeHeartbeats, Shard: shards.ForService(registry.NodesService), Body: body})
 }
 
-// executeNodeHeartbeats decides, as the owner of the nodes' shard, on the heartbeats of edge nodes.
+// executeNodeHeartbeats processes heartbeats of edge nodes as the owner of their shard.
 func (s *Server) executeNodeHeartbeats(ctx context.Context, request shardRequest) shardResponse {
 	var nodes []edgeNode
 	if err := strictavro.Unmarshal(codec, nodesSchema, request.Body, &nodes); err != nil {
--- a/internal/controlplane/server/environment.go
+++ b/internal/controlplane/server/environment.go
@@ -14,24 +14,24 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// Environment is what a server needs of its machine. A nil field stands for the operating system's implementation; a simulation
-// sets its own.
+// Environment holds the server's dependencies on its machine. Fields left nil use the operating system's implementation unless
+// their comment says otherwise; a simulation sets its own.
 type Environment struct {
 	FileSystem seglog.FileSystem
-	Now        func() time.Time // monotonic; never called with a mutex held, because a simulation blocks in it
+	Now        func() time.Time // monotonic; never called with a mutex held, because it blocks in a simulation
 	Random     func() uint64
 	Dial       func(ctx context.Context, address string) (net.Conn, error)     // dials peers
 	Listen     func(ctx context.Context, address string) (net.Listener, error) // listens for peers and agents
 
-	Workers WorkerClient // nil: workers are not called, and roles are not planned
+	Workers WorkerClient // nil: workers are not called and roles are not planned
 
-	OnGroupStatus func(replica.Status) // called at each change of a group's status; must not block
+	OnGroupStatus func(replica.Status) // called whenever a group's status changes; must not block
 
-	// Bounds that tests lower, so that a short run reaches them; 0: the usual ones.
-	SnapshotEntries   uint64 // after which a group's log is compacted
-	RememberedChanges int    // of the configuration
+	// Limits that tests lower so that a short run reaches them; 0 selects the default.
+	SnapshotEntries   uint64 // log entries after which a group's log is compacted
+	RememberedChanges int    // accepted configuration changes that are remembered to recognize repeats
 
-	// Safety checks that tests omit, to show that the simulation detects their absence.
+	// Safety checks that tests omit to show that the simulation detects their absence.
 	OmitGuards []Guard
 	OmitRules  []consensus.Rule
 	OmitStore  []configuration.Rule
@@ -59,10 +59,10 @@
 	return e
 }
 
-// guardEnabled reports whether a guard is in force.
+// guardEnabled reports whether a guard is enforced.
 func (e Environment) guardEnabled(guard Guard) bool { return !slices.Contains(e.OmitGuards, guard) }
 
-// clockStart keeps the groups' clock above 0.
+// clockStart is the initial value of the groups' clock, which must be above 0.
 const clockStart = time.Second
 
 // groupClock is the monotonic clock that all groups of one server share.
--- a/internal/controlplane/server/full_disk_test.go
+++ b/internal/controlplane/server/full_disk_test.go
@@ -25,7 +25,7 @@
 }
 
 // resolveAfterFreeing fills the disk, begins the start, makes room after a while and returns the ID.
-func resolveAfterFreeing(t *testing.T, disk *seglogtest.MemoryDisk, span time.Duration) (self consensus.Member, founders []consensus.Member) {
+func resolveAfterFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, fullFor time.Duration) (self consensus.Member, founders []consensus.Member) {
 	t.Helper()
 	disk.Full = true
 	done := make(chan error, 1)
@@ -34,7 +34,7 @@
 		self, founders, err = newIdentityResolver(disk).resolveWithRetry(context.Background(), zap.NewNop())
 		done <- err
 	}()
-	time.Sleep(span)
+	time.Sleep(fullFor)
 	synctest.Wait()
 	if len(done) > 0 {
 		t.Fatalf("the start has ended on a full disk: %v", <-done)
@@ -50,8 +50,8 @@
 func TestIdentityResolver_ResolveWithRetry_fullDiskWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := seglogtest.NewMemoryDisk()
-		self, founders := resolveAfterFreeing(t, disk, 10*time.Second)
-		if self.ID != memberID(self.Address, foundingNonce) || len(founders) != 3 {
+		self, founders := resolveAfterFullDisk(t, disk, 10*time.Second)
+		if self.ID != memberID(self.Address, founderNonce) || len(founders) != 3 {
 			t.Fatal(self, founders)
 		}
 	})
@@ -64,8 +64,8 @@
 		disk := seglogtest.NewMemoryDisk()
 		disk.WriteFile(filepath.Join("data", "member"), []byte("?"))
 		disk.WriteFile(filepath.Join("data", "shard-1", "segment"), []byte("promises"))
-		self, founders := resolveAfterFreeing(t, disk, 3*time.Second)
-		if self.ID == memberID(self.Address, foundingNonce) || founders != nil {
+		self, founders := resolveAfterFullDisk(t, disk, 3*time.Second)
+		if self.ID == memberID(self.Address, founderNonce) || founders != nil {
 			t.Fatalf("member %+v founds %v", self, founders)
 		}
 	})
--- a/internal/controlplane/server/graceful_shutdown.go
+++ b/internal/controlplane/server/graceful_shutdown.go
@@ -11,8 +11,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// shutDown is the graceful shutdown. It ends the feed's sessions, so that agents switch to other servers at once, hands over the
-// leaderships and votes of this server, and then stops the API, which serves until then, and the control loops.
+// shutDown shuts the server down gracefully. It ends the feed sessions, so that agents switch to other servers immediately, hands over
+// the leaderships and votes of this server, and only then stops the API and the control loops.
 func (s *Server) shutDown(api APIServer) {
 	s.lifecycle.shuttingDown.Store(true)
 	s.lifecycle.cancelFeed()
@@ -39,7 +39,7 @@
 	s.logger.Info("shutting down", zap.Duration("handOverDuration", s.environment.Now().Sub(startedAt)))
 }
 
-// transferLeadership transfers the leadership of one shard, and retries while the group refuses.
+// transferLeadership transfers the leadership of one shard. It retries while the group rejects the transfer, until ctx ends.
 func (s *Server) transferLeadership(ctx context.Context, shard *shard) {
 	for {
 		err := shard.group.TransferLeadership(ctx)
@@ -54,8 +54,8 @@
 }
 
 // releaseVotes notifies the leaders of all groups in which this server votes that it is shutting down, and waits until each has
-// reconciled its members. A leader without a successor answers at once. Groups without a known leader, or whose leader has just
-// changed, are attempted again until ctx ends.
+// reconciled its members. A leader without a successor for the vote answers immediately. Groups without a known leader, or whose
+// leader has just changed, are retried until ctx ends.
 func (s *Server) releaseVotes(ctx context.Context) {
 	remaining := slices.Clone(allShards[:])
 	for len(remaining) > 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// requestRelease notifies one leader, and returns the groups that it does not lead.
+// requestRelease notifies one leader and returns the groups that it does not lead, or all of them if the call failed.
 func (s *Server) requestRelease(ctx context.Context, leader string, votes []groupState) []shards.ID {
 	body, err := codec.Marshal(groupsSchema, votes)
 	if err != nil {
@@ -104,8 +104,9 @@
 	return found
 }
 
-// votesByLeader groups those of the given shards in which this server votes by the address of their leader. unknown are the shards
-// without a known leader: after a transfer the new leader may be known a moment later.
+// votesByLeader returns those of the given shards in which this server is a voter, grouped by the address of their leader. Shards that
+// still have no known leader after leaderDiscoveryTimeout are returned as unknown: after a transfer it takes a moment to learn of the
+// new leader.
 func (s *Server) votesByLeader(ctx context.Context, candidates []shards.ID) (found map[string][]groupState, unknown []shards.ID) {
 	ctx, cancel := context.WithTimeout(ctx, leaderDiscoveryTimeout)
 	defer cancel()
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -19,8 +19,9 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// foundingNonce is the nonce of the members that bootstrap the groups: their IDs follow from their addresses alone.
-const foundingNonce = 0
+// foundingNonce is the nonce of the members that bootstrap the groups, so that each of them can derive the IDs of all from their
+// addresses.
+const founderNonce = 0
 
 // memberID derives a member ID from an address and a nonce. It is never 0, which stands for "no member".
 func memberID(address string, nonce uint64) consensus.MemberID {
@@ -41,16 +42,16 @@
 	return directories
 }
 
-// identityResolver determines the member ID of this server's disk, which may take several attempts.
+// identityResolver determines the member ID of this server's disk. It keeps state across several attempts.
 type identityResolver struct {
 	settings    bootconfig.Settings
 	address     string
 	environment Environment
-	diskLost    bool // replicas without a member ID were found and removed
+	diskLost    bool // replicas without a member ID were found, in this or an earlier attempt
 }
 
-// resolveWithRetry retries until ctx ends while the disk refuses, as a full one does. A disk with files of another format is a
-// permanent error.
+// resolveWithRetry calls resolve until it succeeds or ctx ends, since a disk may be full or unavailable for a time. Files of another
+// format are a permanent error.
 func (r *identityResolver) resolveWithRetry(ctx context.Context, logger *zap.Logger) (consensus.Member, []consensus.Member, error) {
 	for {
 		self, founders, err := r.resolve()
@@ -65,10 +66,10 @@
 	}
 }
 
-// resolve returns the member ID, which the first start draws and stores, and the founding members if this server is one of them.
-// A founder is a seed at the system's first start. A disk with replicas whose member ID is missing or damaged counts as lost:
-// its replicas are removed and the new ID bootstraps nothing, not even if it is drawn by a later attempt. Otherwise a server
-// that forgot its votes could elect a second leader.
+// resolve returns the member ID, which is generated and stored at the first start, and the founders if this server is one of them.
+// A founder is a seed when the cluster starts for the first time. A disk with replicas whose member ID is missing or damaged is
+// treated as lost: its replicas are removed, and the new ID never bootstraps groups, even if a later attempt generates it.
+// Otherwise a server that lost the record of its votes could vote again and elect a second leader.
 func (r *identityResolver) resolve() (consensus.Member, []consensus.Member, error) {
 	seeds := seedPeerAddresses(r.settings)
 	lost, err := removeOrphanReplicas(r.settings, r.environment)
@@ -76,25 +77,25 @@
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "remove replicas without a member ID")
 	}
-	founds := slices.Contains(seeds, r.address) && (r.settings.Bootstrap && !r.diskLost || !r.environment.guardEnabled(GuardFoundingOnce))
-	draw := func() consensus.MemberID {
-		if founds {
-			return memberID(r.address, foundingNonce)
+	isFounder := slices.Contains(seeds, r.address) && (r.settings.Bootstrap && !r.diskLost || !r.environment.guardEnabled(GuardFoundingOnce))
+	newID := func() consensus.MemberID {
+		if isFounder {
+			return memberID(r.address, founderNonce)
 		}
 		return memberID(r.address, r.environment.Random()|1)
 	}
-	id, _, err := seglog.LoadOrCreateMemberID(r.environment.FileSystem, r.settings.DataDir, draw)
+	id, _, err := seglog.LoadOrCreateMemberID(r.environment.FileSystem, r.settings.DataDir, newID)
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "load or create member ID")
 	}
 	self := consensus.Member{ID: id, Address: r.address, Voter: true}
-	if !founds || id != memberID(r.address, foundingNonce) {
+	if !isFounder || id != memberID(r.address, founderNonce) {
 		return self, nil, nil
 	}
-	return self, foundersOf(seeds), nil
+	return self, founderMembers(seeds), nil
 }
 
-// removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged, and reports whether there were any.
+// removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged and reports whether there were any.
 func removeOrphanReplicas(settings bootconfig.Settings, environment Environment) (lost bool, err error) {
 	if !environment.guardEnabled(GuardOrphans) {
 		return false, nil
@@ -102,10 +103,10 @@
 	return seglog.RemoveOrphanedReplicas(environment.FileSystem, settings.DataDir, replicaDirectories(settings.DataDir))
 }
 
-func foundersOf(seeds []string) []consensus.Member {
+func founderMembers(seeds []string) []consensus.Member {
 	founders := make([]consensus.Member, 0, len(seeds))
 	for _, seed := range seeds {
-		founders = append(founders, consensus.Member{ID: memberID(seed, foundingNonce), Address: seed, Voter: true})
+		founders = append(founders, consensus.Member{ID: memberID(seed, founderNonce), Address: seed, Voter: true})
 	}
 	slices.SortFunc(founders, func(a, b consensus.Member) int {
 		if a.Address < b.Address {
@@ -116,7 +117,8 @@
 	return founders
 }
 
-// ownPeerAddress returns the address at which this server accepts peers and agents: the IP of its control address, first port.
+// ownPeerAddress returns the address at which this server accepts peers and agents: the IP address of the control listener with the
+// first port of the port range.
 func ownPeerAddress(settings bootconfig.Settings) string {
 	control, err := netip.ParseAddrPort(settings.Listen.Control)
 	if err != nil {
--- a/internal/controlplane/server/join.go
+++ b/internal/controlplane/server/join.go
@@ -11,65 +11,66 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// runJoin asks the other servers to add this one to the groups in which it has no vote, or whose leader it has lost contact with,
-// until ctx ends.
+// runJoin asks the other servers, until ctx ends, to add this one to the groups in which it is not a voter or with whose majority it
+// has lost contact.
 func (s *Server) runJoin(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	startedAt, requests := s.environment.Now(), 0
+	startedAt, consecutiveRequests := s.environment.Now(), 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		running := s.environment.Now().Sub(startedAt)
-		if s.lifecycle.shuttingDown.Load() || !s.needsToJoin(running) {
-			requests = 0
-			timer.Reset(joinCheckInterval(running))
+		uptime := s.environment.Now().Sub(startedAt)
+		if s.lifecycle.shuttingDown.Load() || !s.needsToJoin(uptime) {
+			consecutiveRequests = 0
+			timer.Reset(joinCheckInterval(uptime))
 			continue
 		}
 		s.requestJoin(ctx)
-		requests++
-		timer.Reset(joinRequestInterval(requests))
+		consecutiveRequests++
+		timer.Reset(joinRequestInterval(consecutiveRequests))
 	}
 }
 
-// joinRequestInterval returns the pause after so many requests in a row: a server that is not needed now asks less often.
-func joinRequestInterval(requests int) time.Duration {
-	if requests > maxEagerJoinRequests {
+// joinRequestInterval returns the delay after a number of consecutive requests. A server that has not been added after
+// maxEagerJoinRequests is not needed at present and asks less often.
+func joinRequestInterval(consecutiveRequests int) time.Duration {
+	if consecutiveRequests > maxEagerJoinRequests {
 		return joinIdleInterval
 	}
 	return joinInterval
 }
 
-// joinCheckInterval returns the pause until a server that need not join looks again: a short one soon after its start, since a
-// group may have replaced it while it was away, and then nobody tells it.
-func joinCheckInterval(running time.Duration) time.Duration {
-	if running < contactLostAfter {
+// joinCheckInterval returns the delay until a server that need not join checks again. It is short soon after the start: a group may
+// have replaced the server while it was down, and no other server tells it.
+func joinCheckInterval(uptime time.Duration) time.Duration {
+	if uptime < contactLostAfter {
 		return joinInterval
 	}
 	return joinIdleInterval
 }
 
-// needsToJoin reports whether this server, as far as it knows, is missing as a voter of any group or out of contact with one.
-func (s *Server) needsToJoin(running time.Duration) bool {
+// needsToJoin reports whether, as far as this server knows, it is not a voter of some group or has no contact with a majority of one.
+func (s *Server) needsToJoin(uptime time.Duration) bool {
 	for _, shard := range s.shards {
 		status := shard.group.Status()
 		if !isVoter(status, s.self.ID) {
 			return true
 		}
-		if running > contactLostAfter && status.ConfirmedAge > contactLostAfter {
+		if uptime > contactLostAfter && status.ConfirmedAge > contactLostAfter {
 			return true
 		}
-		if running > firstContactTimeout && status.ConfirmedAge == replica.NeverConfirmed {
+		if uptime > firstContactTimeout && status.ConfirmedAge == replica.NeverConfirmed {
 			return true
 		}
 	}
 	return false
 }
 
-// requestJoin sends a join request to all other known servers at once, and learns of further servers from their replies.
+// requestJoin sends a join request to all other known servers concurrently and adds the servers in their replies to the directory.
 func (s *Server) requestJoin(ctx context.Context) {
 	body, err := codec.Marshal(groupsSchema, s.groupStates())
 	if err != nil {
@@ -89,7 +90,7 @@
 	waitGroup.Wait()
 }
 
-// groupStates returns the states of this server's replicas, as callJoin and callGroupStates carry them.
+// groupStates returns the states of this server's replicas, as sent by callJoin and callGroupStates.
 func (s *Server) groupStates() []groupState {
 	states := make([]groupState, 0, shards.ShardCount)
 	for _, shard := range s.shards {
@@ -113,8 +114,8 @@
 	}
 }
 
-// receiveJoin records a join request for the groups that this server leads, starts to reconcile them, and replies with the servers
-// that it knows.
+// receiveJoin records a join request for the groups that this server leads, starts reconciling them, and replies with the servers
+// that are members of groups.
 func (s *Server) receiveJoin(peer peertransport.Hello, body []byte) ([]byte, error) {
 	var states []groupState
 	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
--- a/internal/controlplane/server/join_requests.go
+++ b/internal/controlplane/server/join_requests.go
@@ -10,8 +10,8 @@
 	"ospreybend/coord/shards"
 )
 
-// joinRequest is a server's request to be added to a group. It may be late: the process that sent it may have ended, and a member
-// with another ID may run at its address. See Server.confirmJoinRequest.
+// joinRequest is a server's request to be added to a group. It may be outdated: the process that sent it may have ended, and a member
+// with another ID may run at its address. Server.confirmJoinRequest checks this.
 type joinRequest struct {
 	ID      consensus.MemberID
 	Address string
@@ -37,7 +37,7 @@
 	r.byAddress[shard][request.Address] = receivedJoinRequest{request: request, receivedAt: now}
 }
 
-// forget drops a request that was not confirmed. A newer one from the same address under another ID stays.
+// forget drops a request that was not confirmed, unless a request with another ID has since arrived from the same address.
 func (r *joinRequests) forget(shard shards.ID, request joinRequest) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// recent returns the requests of the last joinRequestMaxAge, sorted by address, and drops older ones.
+// recent returns the requests received within joinRequestMaxAge, sorted by address, and drops older ones.
 func (r *joinRequests) recent(shard shards.ID, now time.Time) []joinRequest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -44,7 +44,7 @@
 // since, which nobody tells it, so it asks soon, and no longer once it has heard from a majority.
 func TestServer_NeedsToJoin_withoutContactAfterAStart(t *testing.T) {
 	s, groups, _ := newScriptedServer(t)
-	set := func(confirmed time.Duration) {
+	setConfirmedAge := func(confirmed time.Duration) {
 		for _, group := range groups {
 			group.set(replica.Status{Members: []consensus.Member{{ID: s.self.ID, Voter: true}}, ConfirmedAge: confirmed})
 		}
@@ -60,7 +60,7 @@
 		{contactLostAfter + 1, contactLostAfter + 1, true},
 		{contactLostAfter + 1, 0, false},
 	} {
-		if set(c.confirmed); s.needsToJoin(c.running) != c.want {
+		if setConfirmedAge(c.confirmed); s.needsToJoin(c.running) != c.want {
 			t.Errorf("running for %v, confirmed %v ago: %v", c.running, c.confirmed, !c.want)
 		}
 	}
--- a/internal/controlplane/server/leadership_balance.go
+++ b/internal/controlplane/server/leadership_balance.go
@@ -12,8 +12,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// preferredOwner returns the voter that should lead a shard: the one with the greatest rendezvous hash, which spreads the shards
-// evenly over the members.
+// preferredOwner returns the voter that should lead a shard: the one with the highest rendezvous hash, which spreads the shards
+// evenly over the voters. It returns false if there is no voter.
 func preferredOwner(shard shards.ID, members []consensus.Member) (consensus.Member, bool) {
 	addresses := make([]string, 0, len(members))
 	for _, member := range members {
@@ -33,8 +33,8 @@
 	return consensus.Member{}, false
 }
 
-// balanceLeadership moves a shard's leadership to the preferred owner once that has been able to take it for
-// preferredOwnerStableFor. At most one shard moves in minLeaderTransferInterval. Only the maintenance loop calls it.
+// balanceLeadership transfers a shard's leadership to the preferred owner after that server has been able to take it for
+// preferredOwnerStableFor. At most one shard is transferred per minLeaderTransferInterval. Only the maintenance loop calls it.
 func (s *Server) balanceLeadership(ctx context.Context, shard *shard, status replica.Status, now time.Time) {
 	group, able := shard.group.(leadershipTransferrer)
 	preferred, found := preferredOwner(shard.id, status.Members)
--- a/internal/controlplane/server/leadership_balance_test.go
+++ b/internal/controlplane/server/leadership_balance_test.go
@@ -13,11 +13,11 @@
 // transferrableGroup is a scripted group that can hand leadership to a chosen voter.
 type transferrableGroup struct {
 	scriptedGroup
-	moved []consensus.MemberID
+	transfers []consensus.MemberID
 }
 
 func (g *transferrableGroup) TransferLeadershipTo(_ context.Context, to consensus.MemberID) error {
-	g.moved = append(g.moved, to)
+	g.transfers = append(g.transfers, to)
 	return nil
 }
 
@@ -56,27 +56,27 @@
 	if preferred, _ := preferredOwner(id, status.Members); preferred.ID != other.ID {
 		t.Fatal("no address is preferred")
 	}
-	began := time.Now()
-	at := func(after time.Duration, able bool) {
-		network.states = []groupState{{Shard: int(id), Voter: true, Current: able, Writable: true}}
-		s.balanceLeadership(t.Context(), s.shards[id], status, began.Add(after))
+	start := time.Now()
+	balanceAt := func(after time.Duration, current bool) {
+		network.states = []groupState{{Shard: int(id), Voter: true, Current: current, Writable: true}}
+		s.balanceLeadership(t.Context(), s.shards[id], status, start.Add(after))
 	}
-	at(0, true)
-	at(preferredOwnerStableFor-1, true)
-	at(preferredOwnerStableFor, false) // not stable: the time starts over
-	at(preferredOwnerStableFor+1, true)
-	at(2*preferredOwnerStableFor, true)
-	if len(group.moved) != 0 {
-		t.Fatalf("moved to %v too early", group.moved)
+	balanceAt(0, true)
+	balanceAt(preferredOwnerStableFor-1, true)
+	balanceAt(preferredOwnerStableFor, false) // not stable: the time starts over
+	balanceAt(preferredOwnerStableFor+1, true)
+	balanceAt(2*preferredOwnerStableFor, true)
+	if len(group.transfers) != 0 {
+		t.Fatalf("moved to %v too early", group.transfers)
 	}
-	at(2*preferredOwnerStableFor+1, true)
-	at(2*preferredOwnerStableFor+minLeaderTransferInterval, true) // too soon after the last move
-	if len(group.moved) != 1 || group.moved[0] != other.ID {
-		t.Fatalf("moved to %v", group.moved)
+	balanceAt(2*preferredOwnerStableFor+1, true)
+	balanceAt(2*preferredOwnerStableFor+minLeaderTransferInterval, true) // too soon after the last move
+	if len(group.transfers) != 1 || group.transfers[0] != other.ID {
+		t.Fatalf("moved to %v", group.transfers)
 	}
-	at(2*preferredOwnerStableFor+1+minLeaderTransferInterval, true)
-	if len(group.moved) != 2 {
-		t.Fatalf("moved %d times", len(group.moved))
+	balanceAt(2*preferredOwnerStableFor+1+minLeaderTransferInterval, true)
+	if len(group.transfers) != 2 {
+		t.Fatalf("moved %d times", len(group.transfers))
 	}
 }
 
--- a/internal/controlplane/server/lifecycle.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -18,8 +18,8 @@
 	"sync"
 )
 
-// Run runs a control plane server until ctx ends, and then hands over what it leads, which takes at most about two seconds. It
-// returns an error if the disk cannot be used or a listener fails.
+// Run runs a control plane server until ctx ends and then shuts it down gracefully, which takes at most about two seconds. It returns
+// an error if the disk cannot be used or a listener fails.
 func Run(ctx context.Context, settings bootconfig.Settings, logger *zap.Logger) error {
 	limitMemory(settings.Limits.MemoryMb)
 	workers, err := newHTTPWorkerClient()
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = control.Close() }() // in case Serve fails before it runs the API server
+	defer func() { _ = control.Close() }() // needed if Serve fails before it runs the API server
 	if address := settings.MetricsAddress(); address != "" {
 		stopMetrics, err := exposition.Serve(address, s.families)
 		if err != nil {
@@ -47,7 +47,7 @@
 	return s.Serve(ctx, newAPIServer(s, control))
 }
 
-// limitMemory sets the garbage collector's target and limit by the machine's memory.
+// limitMemory derives the garbage collector's target percentage and memory limit from the machine's memory.
 func limitMemory(memoryMb int) {
 	if memoryMb <= 0 {
 		return
@@ -56,8 +56,8 @@
 	debug.SetMemoryLimit(int64(memoryMb) << 20 * memoryLimitPercent / 100)
 }
 
-// Open prepares a server and opens its replicas. If a replica is damaged, the whole disk counts as lost: the server takes a new
-// member ID and begins without any replica, because it no longer knows which votes and entries it has acknowledged.
+// Open creates a server and opens its replicas. If a replica is damaged, the whole disk is treated as lost: the server takes a new
+// member ID and starts without replicas, because it no longer knows which votes it cast and which entries it acknowledged.
 func Open(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
 	for {
 		s, err := openServer(ctx, settings, environment, logger)
@@ -71,7 +71,7 @@
 	}
 }
 
-// openServer determines this server's identity and opens its network and replicas.
+// openServer determines this server's member ID and opens its peer network and replicas.
 func openServer(ctx context.Context, settings bootconfig.Settings, environment Environment, logger *zap.Logger) (*Server, error) {
 	resolver := &identityResolver{settings: settings, address: ownPeerAddress(settings), environment: environment.withDefaults()}
 	self, founders, err := resolver.resolveWithRetry(ctx, logger)
@@ -91,7 +91,8 @@
 	return s, nil
 }
 
-// openPeerNetwork creates this server's endpoint of the peer network. It accepts no connection yet.
+// openPeerNetwork creates this server's endpoint of the peer network. It does not accept
+// connections yet.
 func (s *Server) openPeerNetwork() error {
 	network, err := peertransport.New(peertransport.Options{
 		Self: peertransport.Hello{
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// openGroups opens all replicas. One that cannot be opened now, as on a full disk, is retried until ctx ends; a damaged one returns
-// seglog.ErrCorrupt.
+// openGroups opens all replicas. It retries a replica that cannot be opened at present, for example on a full disk, until ctx ends. If a
+// replica is damaged, the error wraps seglog.ErrCorrupt.
 func (s *Server) openGroups(ctx context.Context, founders []consensus.Member) error {
 	for _, shard := range s.shards {
 		for {
@@ -157,15 +158,15 @@
 	return nil
 }
 
-// APIServer accepts calls from outside the process and passes them to Server.Handle. Run returns after Shutdown, or with the error
-// that ended it.
+// APIServer accepts API calls from other processes and passes them to Server.Handle. Run returns after Shutdown or with the error that
+// stopped it.
 type APIServer interface {
 	Run() error
 	Shutdown(ctx context.Context) error
 }
 
-// Serve runs all parts until ctx ends or one of them fails, and then shuts down gracefully. It returns an error if the listener for
-// peers cannot be opened or a listener fails.
+// Serve runs the opened server until ctx ends or a listener fails, and then shuts down gracefully. It returns an error if the listener
+// for peers cannot be opened or a listener fails.
 func (s *Server) Serve(ctx context.Context, api APIServer) error {
 	peers, err := s.listenPeers(ctx)
 	if err != nil {
@@ -204,7 +205,7 @@
 	}
 }
 
-// groupRunner is a group with an event loop. The scripted groups of tests have none.
+// groupRunner is a group with an event loop. The scripted groups in tests have none.
 type groupRunner interface {
 	Run(ctx context.Context) error
 }
@@ -230,7 +231,7 @@
 	return listener, eris.Wrap(err, "listen for peers")
 }
 
-// closeAllGroups closes the replicas concurrently, since each may wait for a disk that hangs.
+// closeAllGroups closes the replicas concurrently, since closing one may block on a disk that does not respond.
 func (s *Server) closeAllGroups() {
 	var waitGroup sync.WaitGroup
 	for _, closeGroup := range s.groups.close {
@@ -243,7 +244,7 @@
 	waitGroup.Wait()
 }
 
-// Close ends everything that Open and Serve have started, without a hand-over, and waits for it.
+// Close stops everything that Open and Serve have started, without handing over leaderships or votes, and waits until it has ended.
 func (s *Server) Close() {
 	s.lifecycle.shuttingDown.Store(true)
 	s.lifecycle.cancelBackground()
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -13,7 +13,7 @@
 )
 
 // storedMember returns the member ID of a data directory.
-func storedMember(t *testing.T, directory string) consensus.MemberID {
+func loadMemberID(t *testing.T, directory string) consensus.MemberID {
 	t.Helper()
 	id, created, err := seglog.LoadOrCreateMemberID(nil, directory, func() consensus.MemberID { return 1 })
 	if err != nil || created {
@@ -78,32 +78,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if founds := founders != nil; founds != (omit != nil) || (after.ID == before.ID) != (omit != nil) {
-			t.Errorf("without %v: member %d after %d, founds again %v", omit, after.ID, before.ID, founds)
+		if bootstraps := founders != nil; bootstraps != (omit != nil) || (after.ID == before.ID) != (omit != nil) {
+			t.Errorf("without %v: member %d after %d, founds again %v", omit, after.ID, before.ID, bootstraps)
 		}
 	}
 }
 
 func TestOpen_damagedReplicaCountsAsLostDisk(t *testing.T) {
-	f := newTestCluster(t, 3)
-	f.bootstrap(3)
-	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
-	f.requireStatus(http.StatusOK, status, content)
-	f.terminate(2)
-	directory := f.processes[2].config.DataDir
-	before := storedMember(t, directory)
+	c := newTestCluster(t, 3)
+	c.bootstrap(3)
+	status, content := c.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	c.requireStatus(http.StatusOK, status, content)
+	c.terminate(2)
+	directory := c.processes[2].config.DataDir
+	before := loadMemberID(t, directory)
 	damageSnapshot(t, replicaDirectory(directory, 1))
-	f.processes[2].config.Bootstrap = false
-	f.start(2)
+	c.processes[2].config.Bootstrap = false
+	c.start(2)
 	for i := range 3 {
-		f.await("repair", func() bool { return f.isConverged(i, 3) })
+		c.await("repair", func() bool { return c.isConverged(i, 3) })
 	}
-	if after := storedMember(t, directory); after == before {
+	if after := loadMemberID(t, directory); after == before {
 		t.Fatal("the member that lost a replica came back under its old ID")
 	}
-	f.terminate(0) // the new member counts
-	status, content = f.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
-	f.requireStatus(http.StatusOK, status, content)
+	c.terminate(0) // the new member counts
+	status, content = c.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	c.requireStatus(http.StatusOK, status, content)
 }
 
 // damageSnapshot changes the last byte of a replica's snapshot.
--- a/internal/controlplane/server/maintenance.go
+++ b/internal/controlplane/server/maintenance.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 )
 
-// runMaintenance runs the periodic work of shard owners until ctx ends: expiry, membership and leadership balance.
+// runMaintenance runs the periodic work of shard leaders until ctx ends: instance expiry, membership changes and leadership balance.
 func (s *Server) runMaintenance(ctx context.Context) {
 	runPeriodically(ctx, maintenanceInterval, func() {
 		for _, shard := range s.shards {
@@ -17,7 +17,7 @@
 	})
 }
 
-// runPeriodically calls a function at an interval until ctx ends. The first call comes after one interval.
+// runPeriodically calls a function at a fixed interval until ctx ends. The first call is made after one interval.
 func runPeriodically(ctx context.Context, interval time.Duration, function func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -31,12 +31,13 @@
 	}
 }
 
-// maintainShard does one round for a shard. A server that does not lead the shard only watches its contact with a majority.
+// maintainShard runs one maintenance round for a shard. A server that does not lead the shard only checks the replica's contact with a
+// majority.
 func (s *Server) maintainShard(ctx context.Context, shard *shard) {
 	status := shard.group.Status()
 	s.logMajorityContact(shard, status)
 	if !status.IsLeader() {
-		shard.preferredReadySince = time.Time{} // observations of an earlier leadership do not count
+		shard.preferredReadySince = time.Time{} // discard observations of an earlier leadership
 		return
 	}
 	now := s.environment.Now()
@@ -47,7 +48,7 @@
 	s.balanceLeadership(ctx, shard, status, now)
 }
 
-// startExpiry proposes the removal of expired instances. A proposal that fails is decided on again by a later round.
+// startExpiry proposes the removal of expired instances in the background. A later round proposes again what could not be committed.
 func (s *Server) startExpiry(shard *shard, commands [][]byte) {
 	if len(commands) == 0 {
 		return
--- a/internal/controlplane/server/majority_contact.go
+++ b/internal/controlplane/server/majority_contact.go
@@ -8,46 +8,46 @@
 	"ospreybend/coord/replica"
 )
 
-// majorityContact tells when a replica loses contact with a majority of its group, and when it is back. Only the maintenance loop
+// majorityContact detects when a replica loses contact with a majority of its group and when it regains it. Only the maintenance loop
 // uses it.
 type majorityContact struct {
-	last time.Time // of the last contact; zero: none since the start
-	lost bool
+	lastContact time.Time // time of the last contact; zero if there was none since the start
+	lost        bool
 }
 
-// contactChange is what a look at a replica's contact has shown.
+// contactChange is the result of majorityContact.update.
 type contactChange int
 
-// Results of majorityContact.update.
 const (
 	contactUnchanged contactChange = iota
 	contactLost
 	contactRegained
 )
 
-// update records the age of the last contact with a majority, or replica.NeverConfirmed if none is known in the present term: a new
-// term alone is no loss. For contactLost and contactRegained it returns how long there was no contact.
+// update records the age of the last contact with a majority. The age is replica.NeverConfirmed if there was no contact in the current
+// term; a new term by itself does not count as a loss. For contactLost and contactRegained, update also returns how long there was
+// no contact.
 func (m *majorityContact) update(now time.Time, age time.Duration) (change contactChange, outage time.Duration) {
-	before := m.last
-	if age != replica.NeverConfirmed && now.Add(-age).After(m.last) {
-		m.last = now.Add(-age)
+	previousContact := m.lastContact
+	if age != replica.NeverConfirmed && now.Add(-age).After(m.lastContact) {
+		m.lastContact = now.Add(-age)
 	}
-	if m.last.IsZero() {
+	if m.lastContact.IsZero() {
 		return contactUnchanged, 0
 	}
-	switch lost := now.Sub(m.last) > contactLostAfter; {
+	switch lost := now.Sub(m.lastContact) > contactLostAfter; {
 	case lost && !m.lost:
 		m.lost = true
-		return contactLost, now.Sub(m.last)
+		return contactLost, now.Sub(m.lastContact)
 	case !lost && m.lost:
 		m.lost = false
-		return contactRegained, m.last.Sub(before)
+		return contactRegained, m.lastContact.Sub(previousContact)
 	}
 	return contactUnchanged, 0
 }
 
-// logMajorityContact logs that a replica has lost contact with a majority, which then decides and confirms nothing through it, or
-// has regained it.
+// logMajorityContact logs when a replica has lost contact with a majority of its group, so that nothing can be committed or confirmed
+// through it, and when it has regained contact.
 func (s *Server) logMajorityContact(shard *shard, status replica.Status) {
 	fields := []zap.Field{zap.Uint32("shard", uint32(shard.id)), zap.String("role", roleName(status.Role)), zap.Uint64("term", status.Term)}
 	switch change, outage := shard.majority.update(s.environment.Now(), status.ConfirmedAge); change {
--- a/internal/controlplane/server/majority_contact_test.go
+++ b/internal/controlplane/server/majority_contact_test.go
@@ -21,13 +21,13 @@
 	now := start
 	s.environment.Now = func() time.Time { return now }
 	shard, group := s.shards[0], groups[0]
-	for _, look := range []struct{ at, age time.Duration }{
+	for _, observation := range []struct{ at, age time.Duration }{
 		{0, replica.NeverConfirmed}, {1 * time.Second, 100 * time.Millisecond}, {2 * time.Second, replica.NeverConfirmed}, // an election
 		{2200 * time.Millisecond, 0}, {4 * time.Second, 1800 * time.Millisecond}, {5 * time.Second, replica.NeverConfirmed},
 		{9 * time.Second, replica.NeverConfirmed}, {10 * time.Second, 200 * time.Millisecond}, {11 * time.Second, 0},
 	} {
-		now = start.Add(look.at)
-		group.set(replica.Status{Role: consensus.RoleFollower, Term: 4, ConfirmedAge: look.age})
+		now = start.Add(observation.at)
+		group.set(replica.Status{Role: consensus.RoleFollower, Term: 4, ConfirmedAge: observation.age})
 		s.maintainShard(t.Context(), shard)
 	}
 	lost := logs.FilterMessage("replica lost contact with a majority of its group").All()
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -10,7 +10,8 @@
 	"ospreybend/coord/replica"
 )
 
-// startReconcile starts to reconcile a group's members with the desired ones, unless that is in progress or the server shuts down.
+// startReconcile starts reconciling a group's members with the desired ones in the background, unless this is already in progress or
+// the server is shutting down.
 func (s *Server) startReconcile(shard *shard) {
 	if s.lifecycle.shuttingDown.Load() || !shard.beginReconcile() {
 		return
@@ -21,7 +22,8 @@
 	})
 }
 
-// reconcile makes membership changes until none is needed or one fails. The next join request or maintenance round continues.
+// reconcile makes membership changes until none is needed or one fails. After a failure the next join request or maintenance round starts
+// it again.
 func (s *Server) reconcile(shard *shard) {
 	changed := false
 	for s.lifecycle.backgroundContext.Err() == nil {
@@ -40,9 +42,9 @@
 	}
 }
 
-// awaitMembershipChange returns the next change, if this server leads the group. After a change it waits up to vacancyFillTimeout for a
-// learner to acknowledge that change, too, while a vacancy can be filled: the vacancy of a lost voter is then filled at once and
-// not at the next occasion.
+// awaitMembershipChange returns the next change, if this server leads the group. After a change, and while there is a vacancy that a
+// learner could fill, it waits up to vacancyFillTimeout for a learner to acknowledge that change. The vacancy of a lost voter is then
+// filled immediately instead of in a later maintenance round.
 func (s *Server) awaitMembershipChange(shard *shard, changed bool) (plannedChange, bool) {
 	deadline := s.environment.Now().Add(vacancyFillTimeout)
 	for {
@@ -61,9 +63,9 @@
 	}
 }
 
-// confirmJoinRequest asks the address of a join request which member runs there, and reports whether it is the requesting one. This
-// leader knew the members that the change concerns before it asked, so whoever answers started later than they were added: a
-// former member whose request was delayed cannot answer.
+// confirmJoinRequest asks the server at the address of a join request for its member ID and reports whether it is the one in the request.
+// This leader knew the members that the change concerns before it asked, so the server that answers started after they were added:
+// a former member whose request was delayed cannot answer.
 func (s *Server) confirmJoinRequest(request joinRequest) bool {
 	if request.ID == 0 {
 		return true
@@ -77,7 +79,7 @@
 	return false
 }
 
-// queryIdentity asks an address which member runs there.
+// queryIdentity asks the server at an address which member it is.
 func (s *Server) queryIdentity(ctx context.Context, address string) (identityReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinInterval)
 	defer cancel()
@@ -97,8 +99,8 @@
 	return err == nil
 }
 
-// observeGroup gathers the observed state of a group that this server leads. It asks learners and leaving voters for their identity
-// if that matters, so it must not be called with a mutex held.
+// observeGroup collects the observed state of a group that this server leads. While a member is shutting down, it calls learners and
+// leaving members for their identity, so it must not be called with a mutex held.
 func (s *Server) observeGroup(shard *shard, status replica.Status) observedState {
 	now := s.environment.Now()
 	observed := observedState{
@@ -118,8 +120,8 @@
 	return observed
 }
 
-// sinceHeard returns, for each member, how long it has sent no message of this group. Its process may still be heard in other
-// groups: a replica that has stopped alone is replaced, too.
+// sinceHeard returns, for each member, the time since its last message of this group. Messages of other groups do not count, so that a
+// member is also replaced if only its replica of this group has stopped.
 func (s *Server) sinceHeard(shard *shard, members []consensus.Member, now time.Time) map[consensus.MemberID]time.Duration {
 	leadingSince := shard.leadershipStart()
 	shard.keepHeard(members)
@@ -130,18 +132,19 @@
 	return sinceHeard
 }
 
-// desiredVoters returns the number of voters that tolerates the losses of the settings, 2f+1, and at least the number of founders.
+// desiredVoters returns 2f+1, the number of voters that tolerates the f losses configured in the settings, but at least the number of
+// seeds.
 func (s *Server) desiredVoters() int {
 	return max(2*s.toleratedLosses()+1, len(s.settings.Seeds))
 }
 
-// toleratedLosses returns how many voters may be lost at once according to the settings.
+// toleratedLosses returns how many voters may be lost at the same time according to the settings.
 func (s *Server) toleratedLosses() int {
 	tolerated := s.settings.FaultTolerance
 	return max(tolerated.Machines, tolerated.Zones, tolerated.Regions)
 }
 
-// logMembershipChange logs a membership change and, if it failed, why.
+// logMembershipChange logs a membership change and the error if it failed.
 func (s *Server) logMembershipChange(shard *shard, change replica.MembershipChange, err error) {
 	fields := []zap.Field{zap.Uint32("shard", uint32(shard.id)), zap.Error(err)}
 	if change.Add != nil {
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -30,9 +30,9 @@
 func (g *changingGroup) ChangeMembers(_ context.Context, change replica.MembershipChange) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	w := &simulatedGroup{members: g.status.Members}
-	w.apply(change)
-	g.status.Members = w.members
+	updated := &simulatedGroup{members: g.status.Members}
+	updated.apply(change)
+	g.status.Members = updated.members
 	if change.Add != nil && g.onAdd != nil {
 		g.onAdd(change.Add.ID)
 	}
@@ -131,13 +131,13 @@
 	waitForReconcile(t, s, s.shards[id])
 	for _, want := range []replica.MembershipChange{{Remove: former, Retire: true}, {Add: &consensus.Member{ID: living, Address: "k3"}}} {
 		if got := <-group.changes; !sameChange(got, want) {
-			t.Fatalf("got %s, want %s", changeText(got), changeText(want))
+			t.Fatalf("got %s, want %s", formatChange(got), formatChange(want))
 		}
 	}
 	sendJoinRequest(t, s, former) // late
 	waitForReconcile(t, s, s.shards[id])
 	if len(group.changes) > 0 {
-		t.Fatalf("a retired member came back: %s", changeText(<-group.changes))
+		t.Fatalf("a retired member came back: %s", formatChange(<-group.changes))
 	}
 }
 
@@ -152,13 +152,13 @@
 	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if len(group.changes) > 0 {
-		t.Fatalf("it is taken in: %s", changeText(<-group.changes))
+		t.Fatalf("it is taken in: %s", formatChange(<-group.changes))
 	}
 	network.identities["k3"] = identityReply{ID: 3}
 	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if got := <-group.changes; got.Add == nil || got.Add.ID != 3 || got.Add.Voter {
-		t.Fatalf("got %s", changeText(got))
+		t.Fatalf("got %s", formatChange(got))
 	}
 }
 
@@ -172,20 +172,20 @@
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
 		hearMembers(s, s.shards[id], group.changingGroup)
-		began := time.Now()
+		startedAt := time.Now()
 		sendJoinRequest(t, s, 31) // member 3 has lost its disk
 		waitForReconcile(t, s, s.shards[id])
-		if took := time.Since(began); took > vacancyFillTimeout {
+		if took := time.Since(startedAt); took > vacancyFillTimeout {
 			t.Fatalf("taken after %s", took)
 		}
 		for _, want := range []replica.MembershipChange{
 			{Remove: 3, Retire: true}, {Add: &consensus.Member{ID: 31, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}},
 		} {
 			if len(group.changes) == 0 {
-				t.Fatalf("no change: %s is still to come", changeText(want))
+				t.Fatalf("no change: %s is still to come", formatChange(want))
 			}
 			if got := <-group.changes; !sameChange(got, want) {
-				t.Fatalf("got %s, want %s", changeText(got), changeText(want))
+				t.Fatalf("got %s, want %s", formatChange(got), formatChange(want))
 			}
 		}
 	})
--- a/internal/controlplane/server/membership_model_steps_test.go
+++ b/internal/controlplane/server/membership_model_steps_test.go
@@ -7,7 +7,7 @@
 )
 
 // lateRequests are the former members whose join requests may still be in flight.
-func (s *modelState) lateRequests() []consensus.MemberID {
+func (s *modelState) delayedRequestSenders() []consensus.MemberID {
 	var found []consensus.MemberID
 	for machine, target := range s.machines {
 		for disk := range int(target.disk) {
@@ -18,14 +18,14 @@
 }
 
 // faultFreeSteps returns what happens without faults or late requests: the next election, change or catching up.
-func (m model) faultFreeSteps(state modelState) (next []modelStep) {
-	if !state.led() {
+func (m membershipModel) faultFreeSteps(state modelState) (next []modelStep) {
+	if !state.hasLeader() {
 		return state.elections()
 	}
 	if made, found := m.decide(state, 0); found {
 		next = append(next, made)
 	}
-	state.each(func(machine, disk int, role modelRole) {
+	state.forEachMember(func(machine, disk int, role modelRole) {
 		if role == roleLearner && state.isRunning(machine, disk) && !state.durable[machine][disk] {
 			after := state
 			after.durable[machine][disk] = true
@@ -41,11 +41,11 @@
 }
 
 func (s modelState) elections() (next []modelStep) {
-	voters, running, _ := s.count()
+	voters, running, _ := s.countVoters()
 	if running <= voters/2 {
 		return nil
 	}
-	s.each(func(machine, disk int, role modelRole) {
+	s.forEachMember(func(machine, disk int, role modelRole) {
 		if role == roleVoter && s.isRunning(machine, disk) && !s.machines[machine].leaving {
 			after := s
 			after.leader = int8(machine)
@@ -56,13 +56,13 @@
 }
 
 // steps returns all that may happen in a state.
-func (m model) steps(state modelState) []modelStep {
+func (m membershipModel) steps(state modelState) []modelStep {
 	next := m.faultFreeSteps(state)
 	quiescent := len(next) == 0
-	if state.led() {
-		for _, late := range state.lateRequests() {
-			if made, found := m.decide(state, late); found {
-				made.name = fmt.Sprintf("late request of %d, %s", late, made.name)
+	if state.hasLeader() {
+		for _, sender := range state.delayedRequestSenders() {
+			if made, found := m.decide(state, sender); found {
+				made.name = fmt.Sprintf("late request of %d, %s", sender, made.name)
 				next = append(next, made)
 			}
 		}
@@ -74,7 +74,7 @@
 }
 
 // machineEvents returns the events that may happen to one machine.
-func (m model) machineEvents(state modelState, machine int, quiescent bool) (next []modelStep) {
+func (m membershipModel) machineEvents(state modelState, machine int, quiescent bool) (next []modelStep) {
 	addEvent := func(name string, change func(target *modelMachine, after *modelState)) {
 		after := state
 		change(&after.machines[machine], &after)
@@ -83,15 +83,15 @@
 	target := state.machines[machine]
 	if !target.exists {
 		addEvent("is added", func(target *modelMachine, _ *modelState) {
-			target.exists, target.up, target.fresh = true, true, state.lostMachines() > 0
+			target.exists, target.up, target.replacement = true, true, state.lostMachines() > 0
 		})
 		return next
 	}
-	if !target.up && !target.silent {
-		addEvent("is silent", func(target *modelMachine, _ *modelState) { target.silent = true })
+	if !target.up && !target.timedOut {
+		addEvent("is silent", func(target *modelMachine, _ *modelState) { target.timedOut = true })
 	}
-	if !target.up && !target.gone {
-		addEvent("is back", func(target *modelMachine, _ *modelState) { target.up, target.silent = true, false })
+	if !target.up && !target.destroyed {
+		addEvent("is back", func(target *modelMachine, _ *modelState) { target.up, target.timedOut = true, false })
 	}
 	if target.up && target.leaving {
 		addEvent("ends", func(target *modelMachine, _ *modelState) {
@@ -101,11 +101,11 @@
 	if target.lost && quiescent && m.recovered(&state, machine) {
 		addEvent("counts as lost no more", func(target *modelMachine, after *modelState) {
 			target.lost = false
-			after.clearFresh()
+			after.clearReplacement()
 		})
 	}
-	if m.oldDisks && !target.up && !target.gone && target.disk > 0 && state.retiredOrNone(machine) {
-		addEvent("gets an old disk back", func(target *modelMachine, _ *modelState) { target.disk--; target.up, target.silent = true, false })
+	if m.restoreOldDisks && !target.up && !target.destroyed && target.disk > 0 && state.retiredOrNone(machine) {
+		addEvent("gets an old disk back", func(target *modelMachine, _ *modelState) { target.disk--; target.up, target.timedOut = true, false })
 	}
 	if state.faults > 0 && (target.lost || state.lostMachines() < m.toleratedLosses()) {
 		next = append(next, m.faultsAt(state, machine)...)
@@ -115,10 +115,10 @@
 
 // clearFresh is called when a machine no longer counts as lost. New machines that came to replace lost ones are part of those
 // losses; one of them, and as many as exceed the remaining losses, now count as machines of their own.
-func (s *modelState) clearFresh() {
+func (s *modelState) clearReplacement() {
 	surplus := -s.lostMachines()
 	for _, machine := range s.machines {
-		if machine.fresh {
+		if machine.replacement {
 			surplus++
 		}
 	}
@@ -126,8 +126,8 @@
 	for _, voters := range []bool{true, false} {
 		for machine := range s.machines {
 			target := &s.machines[machine]
-			if target.fresh && surplus > 0 && (s.roles[machine][target.disk] == roleVoter) == voters {
-				target.fresh = false
+			if target.replacement && surplus > 0 && (s.roles[machine][target.disk] == roleVoter) == voters {
+				target.replacement = false
 				surplus--
 			}
 		}
@@ -140,20 +140,20 @@
 }
 
 // recovered reports whether a machine is back, or another has its vote.
-func (m model) recovered(s *modelState, machine int) bool {
+func (m membershipModel) recovered(s *modelState, machine int) bool {
 	for disk, role := range s.roles[machine] {
 		if role == roleVoter && !s.isRunning(machine, disk) {
 			return false
 		}
 	}
-	_, running, _ := s.count()
+	_, running, _ := s.countVoters()
 	target := s.machines[machine]
 	back := target.up && !target.leaving && !s.retired[machine][target.disk]
-	return back || (target.gone && running >= min(m.desiredVoters(), m.founders))
+	return back || (target.destroyed && running >= min(m.desiredVoters(), m.founders))
 }
 
 // faultsAt returns the faults that may strike a machine.
-func (m model) faultsAt(state modelState, machine int) (next []modelStep) {
+func (m membershipModel) faultsAt(state modelState, machine int) (next []modelStep) {
 	addFault := func(name string, change func(target *modelMachine)) {
 		after := state
 		after.faults--
@@ -169,11 +169,11 @@
 	if target.up && !target.leaving {
 		addFault("gets a SIGTERM", func(target *modelMachine) { target.leaving = true })
 	}
-	if !target.gone && int(target.disk)+1 < modelDisks {
+	if !target.destroyed && int(target.disk)+1 < modelDisks {
 		addFault("loses its disk", func(target *modelMachine) { target.up, target.leaving = false, false; target.disk++ })
 	}
-	if !target.gone {
-		addFault("is gone", func(target *modelMachine) { target.up, target.leaving, target.gone = false, false, true })
+	if !target.destroyed {
+		addFault("is gone", func(target *modelMachine) { target.up, target.leaving, target.destroyed = false, false, true })
 	}
 	return next
 }
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -26,15 +26,15 @@
 
 // modelMachine is one machine of the core. Its disk is numbered: one that is lost is followed by an empty one.
 type modelMachine struct {
-	exists  bool // it was started at some time
-	up      bool // its process runs and is reached
-	gone    bool // it never comes back
-	silent  bool // it is down for so long that its time-out has passed
-	leaving bool // its graceful shutdown has begun
-	stable  bool // its member has been ready to be a voter for some time
-	lost    bool // it counts as lost
-	fresh   bool // it was started to replace a lost machine: part of that loss until it has the vote
-	disk    uint8
+	exists      bool // it was started at some time
+	up          bool // its process runs and is reached
+	destroyed   bool // it never comes back
+	timedOut    bool // it is down for so long that its time-out has passed
+	leaving     bool // its graceful shutdown has begun
+	stable      bool // its member has been ready to be a voter for some time
+	lost        bool // it counts as lost
+	replacement bool // it was started to replace a lost machine: part of that loss until it has the vote
+	disk        uint8
 }
 
 // modelState is a group and its machines between two steps. A member is a machine with one of its disks.
@@ -49,29 +49,29 @@
 }
 
 // model is the game: what may happen in which state, and what must never.
-type model struct {
-	founders, spares int
-	tolerated        int
-	faults           int
-	freshSpares      bool // spares are started to replace a voter that leaves
-	oldDisks         bool // an old copy of a disk may be put back
-	omit             []Guard
-	omitRetired      bool // the group's core takes retired members back
+type membershipModel struct {
+	founders, spares  int
+	tolerated         int
+	faults            int
+	replacementSpares bool // spares are started to replace a voter that leaves
+	restoreOldDisks   bool // an old copy of a disk may be put back
+	omit              []Guard
+	readdRetired      bool // the group's core takes retired members back
 }
 
 // modelStep is a step and the state after it.
 type modelStep struct {
-	name  string
-	after modelState
-	wrong string // what must not happen did
+	name      string
+	after     modelState
+	violation string // what must not happen did
 }
 
-func (m model) desiredVoters() int { return 2*m.tolerated + 1 }
+func (m membershipModel) desiredVoters() int { return 2*m.tolerated + 1 }
 
 // toleratedLosses is how many machines may be lost at once: fewer than the settings tolerate if there are too few machines.
-func (m model) toleratedLosses() int { return (min(m.desiredVoters(), m.founders) - 1) / 2 }
+func (m membershipModel) toleratedLosses() int { return (min(m.desiredVoters(), m.founders) - 1) / 2 }
 
-func (m model) start() modelState {
+func (m membershipModel) initialState() modelState {
 	state := modelState{leader: -1, faults: int8(m.faults)}
 	for i := range m.founders {
 		state.machines[i] = modelMachine{exists: true, up: true}
@@ -96,7 +96,7 @@
 }
 
 // each calls a function for each member.
-func (s *modelState) each(function func(machine, disk int, role modelRole)) {
+func (s *modelState) forEachMember(function func(machine, disk int, role modelRole)) {
 	for machine := range s.roles {
 		for disk, role := range s.roles[machine] {
 			if role != roleNone {
@@ -107,20 +107,20 @@
 }
 
 // count counts the voters, those that live, and those that live on machines that do not count as lost.
-func (s *modelState) count() (voters, running, standing int) {
-	s.each(func(machine, disk int, role modelRole) {
+func (s *modelState) countVoters() (voters, running, unaffected int) {
+	s.forEachMember(func(machine, disk int, role modelRole) {
 		if role != roleVoter {
 			return
 		}
 		voters++
 		if s.isRunning(machine, disk) {
 			running++
-			if !s.machines[machine].lost && !s.machines[machine].fresh {
-				standing++
+			if !s.machines[machine].lost && !s.machines[machine].replacement {
+				unaffected++
 			}
 		}
 	})
-	return voters, running, standing
+	return voters, running, unaffected
 }
 
 func (s *modelState) lostMachines() int {
@@ -134,27 +134,27 @@
 }
 
 // led reports whether there is a leader that a majority follows.
-func (s *modelState) led() bool {
+func (s *modelState) hasLeader() bool {
 	if s.leader < 0 {
 		return false
 	}
 	disk := int(s.machines[s.leader].disk)
-	voters, running, _ := s.count()
+	voters, running, _ := s.countVoters()
 	return s.isRunning(int(s.leader), disk) && s.roles[s.leader][disk] == roleVoter && running > voters/2
 }
 
 // observe is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
 // member in place of the one from its address.
-func (m model) observe(state *modelState, late consensus.MemberID) observedState {
+func (m membershipModel) observe(state *modelState, delayed consensus.MemberID) observedState {
 	observed := observedState{
 		Self: modelID(int(state.leader), int(state.machines[state.leader].disk)), DesiredVoters: m.desiredVoters(), SpareLearners: max(minSpareLearners, m.tolerated),
 		SinceHeard: map[consensus.MemberID]time.Duration{}, OmitGuards: m.omit,
 	}
-	state.each(func(machine, disk int, role modelRole) {
+	state.forEachMember(func(machine, disk int, role modelRole) {
 		id := modelID(machine, disk)
 		observed.Members = append(observed.Members, consensus.Member{ID: id, Address: modelAddress(machine), Voter: role == roleVoter})
 		switch {
-		case state.machines[machine].silent:
+		case state.machines[machine].timedOut:
 			observed.SinceHeard[id] = learnerTimeout
 		case !state.machines[machine].up:
 			observed.SinceHeard[id] = missedHeartbeatsAge
@@ -173,17 +173,17 @@
 				observed.Retired = append(observed.Retired, modelID(machine, disk))
 			}
 		}
-		asks := target.up && !target.leaving && state.roles[machine][target.disk] != roleVoter
-		if from, _ := machineAndDiskOf(max(late, 1)); late != 0 && from == machine {
-			id, asks = late, true
+		sendsRequest := target.up && !target.leaving && state.roles[machine][target.disk] != roleVoter
+		if from, _ := machineAndDiskOf(max(delayed, 1)); delayed != 0 && from == machine {
+			id, sendsRequest = delayed, true
 		}
-		if asks {
+		if sendsRequest {
 			observed.JoinRequests = append(observed.JoinRequests, joinRequest{ID: id, Address: modelAddress(machine)})
 		}
 		if target.up && target.leaving {
 			observed.Leaving = append(observed.Leaving, id)
 		}
-		if m.freshSpares && target.up && !target.leaving && machine >= m.founders {
+		if m.replacementSpares && target.up && !target.leaving && machine >= m.founders {
 			observed.Successors = append(observed.Successors, id)
 		}
 	}
@@ -196,8 +196,8 @@
 }
 
 // decide has the leader make its next change, after a request that came late if there is one.
-func (m model) decide(state modelState, late consensus.MemberID) (modelStep, bool) {
-	next, found := nextMembershipChange(m.observe(&state, late))
+func (m membershipModel) decide(state modelState, delayed consensus.MemberID) (modelStep, bool) {
+	next, found := nextMembershipChange(m.observe(&state, delayed))
 	if !found {
 		return modelStep{}, false
 	}
@@ -207,28 +207,28 @@
 			return modelStep{}, false
 		}
 	}
-	made := modelStep{name: "change: " + changeText(next.Change), after: state}
-	made.wrong = m.apply(&made.after, next.Change)
-	return made, made.after != state || made.wrong != ""
+	made := modelStep{name: "change: " + formatChange(next.Change), after: state}
+	made.violation = m.apply(&made.after, next.Change)
+	return made, made.after != state || made.violation != ""
 }
 
 // apply makes a change if the core's leader would, and returns the violation if there is one.
-func (m model) apply(state *modelState, change replica.MembershipChange) (wrong string) {
+func (m membershipModel) apply(state *modelState, change replica.MembershipChange) (violation string) {
 	before := *state
 	if change.Add == nil {
-		wrong = m.remove(state, change)
+		violation = m.remove(state, change)
 	} else {
-		wrong = m.add(state, *change.Add)
+		violation = m.add(state, *change.Add)
 	}
-	voters, running, _ := state.count()
+	voters, running, _ := state.countVoters()
 	if running <= voters/2 {
 		*state = before // a majority of the new voters must answer
 		return ""
 	}
-	return wrong
+	return violation
 }
 
-func (m model) remove(state *modelState, change replica.MembershipChange) (wrong string) {
+func (m membershipModel) remove(state *modelState, change replica.MembershipChange) (violation string) {
 	machine, disk := machineAndDiskOf(change.Remove)
 	wasVoter := state.roles[machine][disk] == roleVoter
 	diskLost := int(state.machines[machine].disk) != disk
@@ -245,11 +245,11 @@
 	return ""
 }
 
-func (m model) add(state *modelState, added consensus.Member) (wrong string) {
+func (m membershipModel) add(state *modelState, added consensus.Member) (violation string) {
 	machine, disk := machineAndDiskOf(added.ID)
 	role := state.roles[machine][disk]
 	switch {
-	case state.retired[machine][disk] && !m.omitRetired:
+	case state.retired[machine][disk] && !m.readdRetired:
 		return "" // rejected
 	case added.Voter && role == roleLearner && state.canPromote(machine, disk):
 		state.roles[machine][disk] = roleVoter
@@ -268,42 +268,42 @@
 }
 
 // hasPromotionCandidate reports whether the group has its voters, or a learner that can fill a vacancy at once.
-func (m model) hasPromotionCandidate(s *modelState) bool {
-	voters, _, _ := s.count()
+func (m membershipModel) hasPromotionCandidate(s *modelState) bool {
+	voters, _, _ := s.countVoters()
 	found := voters >= m.desiredVoters()
-	s.each(func(machine, disk int, _ modelRole) {
+	s.forEachMember(func(machine, disk int, _ modelRole) {
 		found = found || (s.canPromote(machine, disk) && !s.machines[machine].leaving)
 	})
 	return found
 }
 
 // weakness returns what is wrong with a state; empty if nothing is.
-func (m model) weakness(state modelState) string {
-	voters, _, standing := state.count()
+func (m membershipModel) checkLossTolerance(state modelState) string {
+	voters, _, unaffected := state.countVoters()
 	furtherLosses := m.toleratedLosses() - state.lostMachines()
-	if standing-furtherLosses <= voters/2 {
-		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", standing, voters, furtherLosses)
+	if unaffected-furtherLosses <= voters/2 {
+		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", unaffected, voters, furtherLosses)
 	}
 	return ""
 }
 
 // unfinished returns what a group still lacks when nothing more happens by itself; empty if nothing.
-func (m model) unfinished(state modelState) string {
-	available, silent := 0, true
+func (m membershipModel) checkConverged(state modelState) string {
+	available, timeoutsPassed := 0, true
 	for machine, target := range state.machines {
 		if target.up && target.leaving {
 			return "" // its shutdown comes first
 		}
-		silent = silent && (!target.exists || target.up || target.silent)
+		timeoutsPassed = timeoutsPassed && (!target.exists || target.up || target.timedOut)
 		if target.up && !state.retired[machine][target.disk] {
 			available++
 		}
 	}
-	voters, running, _ := state.count()
-	if !state.led() || !silent {
+	voters, running, _ := state.countVoters()
+	if !state.hasLeader() || !timeoutsPassed {
 		return ""
 	}
-	if running < m.reachable(available) || (available >= m.desiredVoters() && voters != running) {
+	if running < m.expectedVoters(available) || (available >= m.desiredVoters() && voters != running) {
 		return fmt.Sprintf("%d of %d voters live, with %d machines at hand", running, voters, available)
 	}
 	return ""
@@ -311,7 +311,7 @@
 
 // reachable is how many voters a group should have with so many machines. An even number bears no more losses than the
 // odd one below it.
-func (m model) reachable(available int) int {
+func (m membershipModel) expectedVoters(available int) int {
 	voters := min(m.desiredVoters(), available)
 	if voters%2 == 0 {
 		return voters - 1
@@ -322,7 +322,7 @@
 // describe lists the members of a state.
 func (s modelState) describe() string {
 	var parts []string
-	s.each(func(machine, disk int, role modelRole) {
+	s.forEachMember(func(machine, disk int, role modelRole) {
 		parts = append(parts, fmt.Sprintf("%d(voter %v, lives %v)", modelID(machine, disk), role == roleVoter, s.isRunning(machine, disk)))
 	})
 	slices.Sort(parts)
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -8,44 +8,45 @@
 	"ospreybend/coord/replica"
 )
 
-// observedState is what the leader of a group knows when it decides on the next membership change.
+// observedState is what the leader of a group knows when it chooses the next membership change.
 type observedState struct {
 	Self               consensus.MemberID
 	Members            []consensus.Member
 	Retired            []consensus.MemberID                 // IDs of replaced members, which are never added again
 	DesiredVoters      int                                  // desired number of voters
-	SpareLearners      int                                  // desired number of learners beyond the vacancies, for voters to be lost
-	JoinRequests       []joinRequest                        // recent ones, at most one for each address
+	SpareLearners      int                                  // desired number of learners in addition to the vacancies, to replace voters lost later
+	JoinRequests       []joinRequest                        // recent requests, at most one per address
 	PromotableLearners []consensus.MemberID                 // responsive learners that have acknowledged nearly all of the log as durable
-	Stable             []consensus.MemberID                 // promotable learners that have been so for stableAfter, the longest first
-	SinceHeard         map[consensus.MemberID]time.Duration // how long a member has sent no message of this group
+	Stable             []consensus.MemberID                 // learners that have been promotable for at least stableAfter, longest first
+	SinceHeard         map[consensus.MemberID]time.Duration // time since the last message of this group, by member
 	Leaving            []consensus.MemberID                 // members that have announced their shutdown
-	Successors         []consensus.MemberID                 // learners started lately, to replace a leaving voter
+	Successors         []consensus.MemberID                 // recently started learners, assumed to replace a leaving voter
 
 	OmitGuards []Guard // set by tests only
 }
 
-// plannedChange is one change of a group's members and its precondition.
+// plannedChange is a membership change and its precondition.
 type plannedChange struct {
 	Change replica.MembershipChange
-	// Confirm is the join request that must be confirmed before the change is made. ID 0: none.
+	// Confirm is the join request that must be confirmed before the change is made. Its ID is 0 if none need be.
 	Confirm joinRequest
 }
 
-// nextMembershipChange decides how to bring a group's members nearer to the desired ones; it returns false if nothing is to be done.
-// It is a pure function of the observed state. The first rule that applies wins. Each changes one member:
+// nextMembershipChange returns the next change that brings a group's members closer to the desired ones, or false if none is needed. It
+// is a pure function of the observed state. The first rule that applies is used; each rule changes one member:
 //
 //  1. removeSuperseded: a member whose address now belongs to another member ID has lost its disk. It is removed, which never makes a
-//     majority harder to reach, and its ID is retired. This holds even if the other ID is a retired one, as when an old copy of a
-//     disk was put back: that one is not added, but the member is gone nevertheless.
-//  2. releaseSurplusVoter: with more voters than desired, one that is leaving becomes a learner, else one that has timed out is removed.
+//     majority harder to reach, and its ID is retired. This applies even if the other ID is itself retired, for example after an old
+//     copy of a disk was restored: the retired ID is not added again, but the superseded member no longer exists.
+//  2. releaseSurplusVoter: if there are more voters than desired, one that is leaving becomes a learner, else one that has timed out is
+//     removed.
 //  3. promoteLearner: a learner that has acknowledged nearly all of the log as durable becomes a voter if there is a vacancy and the
-//     number of voters becomes odd; else the voter that has been unresponsive longest is removed, if it has timed out; else the
-//     learner is promoted if a second one is to follow; else, if the learner is the successor of a leaving voter, that voter
-//     becomes a learner.
-//  4. addLearner: a server with a join request becomes a learner: one for each vacancy or timed-out voter, and some spares, so that
-//     replacing a lost voter takes one change and no transfer of the state.
-//  5. removeUnresponsiveLearner: a learner that sends no join request and has been unresponsive for learnerTimeout is removed.
+//     number of voters becomes odd. Otherwise the voter that has been unresponsive longest is removed if it has timed out; otherwise
+//     the learner is promoted if canAddVoter expects a second promotion; otherwise, if the learner is the successor of a leaving
+//     voter, that voter becomes a learner.
+//  4. addLearner: a server with a join request becomes a learner: one for each vacancy or timed-out voter, plus SpareLearners, so that a
+//     lost voter can be replaced without first transferring the state.
+//  5. removeUnresponsiveLearner: a learner without a join request that has been unresponsive for learnerTimeout is removed.
 func nextMembershipChange(observed observedState) (plannedChange, bool) {
 	for _, rule := range []func(observedState) (plannedChange, bool){
 		removeSuperseded, releaseSurplusVoter, promoteLearner, addLearner, removeUnresponsiveLearner,
@@ -78,12 +79,12 @@
 	if released, found := observed.demoteLeavingVoter(); found {
 		return released, true
 	}
-	gone, found := observed.longestUnresponsiveVoter(voterTimeout)
-	return plannedChange{Change: replica.MembershipChange{Remove: gone}}, found && observed.voterCount() > observed.DesiredVoters
+	unresponsive, found := observed.longestUnresponsiveVoter(voterTimeout)
+	return plannedChange{Change: replica.MembershipChange{Remove: unresponsive}}, found && observed.voterCount() > observed.DesiredVoters
 }
 
-// demoteLeavingVoter turns a voter that is shutting down into a learner. It goes before its successor comes: with both as voters, the
-// loss of the one machine would cost two votes.
+// demoteLeavingVoter returns the change that makes a voter that is shutting down a learner. It is demoted before its successor is
+// promoted: while both were voters, one planned replacement could cost two votes.
 func (o observedState) demoteLeavingVoter() (plannedChange, bool) {
 	for _, member := range o.Members {
 		if member.Voter && member.ID != o.Self && slices.Contains(o.Leaving, member.ID) {
@@ -99,14 +100,14 @@
 	for _, learner := range observed.promotionCandidates() {
 		promoted := learner
 		promoted.Voter = true
-		free, even := observed.voterCount() < observed.DesiredVoters, observed.voterCount()%2 == 0
-		if free && even {
+		hasVacancy, evenVoters := observed.voterCount() < observed.DesiredVoters, observed.voterCount()%2 == 0
+		if hasVacancy && evenVoters {
 			return plannedChange{Change: replica.MembershipChange{Add: &promoted}}, true
 		}
-		if gone, found := observed.longestUnresponsiveVoter(voterTimeout); found {
-			return plannedChange{Change: replica.MembershipChange{Remove: gone}}, true
+		if unresponsive, found := observed.longestUnresponsiveVoter(voterTimeout); found {
+			return plannedChange{Change: replica.MembershipChange{Remove: unresponsive}}, true
 		}
-		if free && observed.canAddVoter() {
+		if hasVacancy && observed.canAddVoter() {
 			return plannedChange{Change: replica.MembershipChange{Add: &promoted}}, true
 		}
 		if released, found := observed.demoteLeavingVoter(); found && slices.Contains(observed.Successors, learner.ID) {
@@ -116,7 +117,7 @@
 	return plannedChange{}, false
 }
 
-// promotionCandidates returns the learners that could become voters at once, by their stability rank.
+// promotionCandidates returns the learners that can become voters now, sorted by stabilityRank.
 func (o observedState) promotionCandidates() (found []consensus.Member) {
 	for _, member := range o.Members {
 		if !member.Voter && !slices.Contains(o.Leaving, member.ID) && o.canPromote(member.ID) {
@@ -127,8 +128,9 @@
 	return found
 }
 
-// stabilityRank ranks learners by how long they have been promotable without interruption: the longest first, those below stableAfter
-// last. A learner that has just come back may be about to fail again, and must not be the one that makes the number even.
+// stabilityRank ranks learners by how long they have been promotable without interruption: the longest first, those that have been for
+// less than stableAfter last. A learner that has just returned may fail again soon and must not be the one that makes the number
+// of voters even.
 func (o observedState) stabilityRank(id consensus.MemberID) int {
 	if rank := slices.Index(o.Stable, id); rank >= 0 {
 		return rank
@@ -139,7 +141,7 @@
 func (o observedState) isStable(id consensus.MemberID) bool { return slices.Contains(o.Stable, id) }
 
 // canAddVoter reports whether a group with an odd number of voters may add one more. An even number tolerates no more losses than the
-// odd one below it and needs one more vote for a majority. So the group waits until two learners are stable (one, if only one
+// odd one below it and needs one more vote for a majority. So the group waits until two learners are stable (one if only one
 // vacancy is left), all voters are responsive and none is leaving.
 func (o observedState) canAddVoter() bool {
 	if !o.guardEnabled(GuardVotersOdd) {
@@ -157,8 +159,8 @@
 	return stable > 1 || (stable == 1 && o.voterCount()+1 == o.DesiredVoters)
 }
 
-// canPromote reports whether a learner has acknowledged enough of the log to be a sound voter. Without the guard its own join request
-// is believed.
+// canPromote reports whether a learner has acknowledged enough of the log to become a voter. If GuardPromotedDurable is omitted, its own
+// join request suffices.
 func (o observedState) canPromote(id consensus.MemberID) bool {
 	return slices.Contains(o.PromotableLearners, id) || (!o.guardEnabled(GuardPromotedDurable) && o.hasJoinRequest(id))
 }
@@ -187,7 +189,7 @@
 	return plannedChange{}, false
 }
 
-// requireConfirmation returns a change that is made only if the requesting server confirms its identity.
+// requireConfirmation returns a change that is made only if the server that sent the join request confirms its member ID.
 func (o observedState) requireConfirmation(change replica.MembershipChange, request joinRequest) plannedChange {
 	if !o.guardEnabled(GuardIdentityAsked) {
 		return plannedChange{Change: change}
@@ -195,23 +197,23 @@
 	return plannedChange{Change: change, Confirm: request}
 }
 
-// timeSinceHeard returns how long a member that was last heard at a time counts as unresponsive. Before a server leads, members have
-// no reason to send to it, so only the time since then counts. A member that leaves the first heartbeats of newLeaderGracePeriod
-// unanswered, though, was most likely unresponsive before: a change of leader does not prolong the time-out of a lost voter.
+// timeSinceHeard returns how long a member is considered unresponsive, given when it last sent a message and since when this server has
+// led the group. Members have no reason to send to a server that does not lead, so only the time as leader counts at first. A
+// member that has not answered any heartbeat during newLeaderGracePeriod was most likely unresponsive before: its earlier silence
+// then counts, up to voterTimeout, so that a change of leader does not extend the timeout of a lost voter.
 func timeSinceHeard(now, heard, leadingSince time.Time) time.Duration {
 	if !heard.Before(leadingSince) {
 		return now.Sub(heard)
 	}
-	led := now.Sub(leadingSince)
-	if led < newLeaderGracePeriod {
-		return led
+	leadingFor := now.Sub(leadingSince)
+	if leadingFor < newLeaderGracePeriod {
+		return leadingFor
 	}
-	return max(led, min(now.Sub(heard), voterTimeout))
+	return max(leadingFor, min(now.Sub(heard), voterTimeout))
 }
 
 func (o observedState) guardEnabled(guard Guard) bool { return !slices.Contains(o.OmitGuards, guard) }
 
-// member returns the member with an ID.
 func (o observedState) member(id consensus.MemberID) (consensus.Member, bool) {
 	for _, member := range o.Members {
 		if member.ID == id {
@@ -221,7 +223,7 @@
 	return consensus.Member{}, false
 }
 
-// hasJoinRequest reports whether a server with that member ID asks to join.
+// hasJoinRequest reports whether there is a recent join request from the member.
 func (o observedState) hasJoinRequest(id consensus.MemberID) bool {
 	for _, request := range o.JoinRequests {
 		if request.ID == id {
@@ -231,7 +233,6 @@
 	return false
 }
 
-// voterCount counts the voters.
 func (o observedState) voterCount() int {
 	count := 0
 	for _, member := range o.Members {
@@ -242,18 +243,18 @@
 	return count
 }
 
-// responsiveLearners counts the learners that were heard within a time.
-func (o observedState) responsiveLearners(limit time.Duration) int {
+// responsiveLearners counts the learners that sent a message less than maxSilence ago.
+func (o observedState) responsiveLearners(maxSilence time.Duration) int {
 	count := 0
 	for _, member := range o.Members {
-		if !member.Voter && o.SinceHeard[member.ID] < limit {
+		if !member.Voter && o.SinceHeard[member.ID] < maxSilence {
 			count++
 		}
 	}
 	return count
 }
 
-// hasFillableVacancy reports whether there is a vacancy that responsive learners will fill as soon as they are promotable.
+// hasFillableVacancy reports whether there is a vacancy that responsive learners will fill once they are promotable.
 func (o observedState) hasFillableVacancy() bool {
 	candidates := 0
 	for _, member := range o.Members {
@@ -264,22 +265,22 @@
 	return o.voterCount() < o.DesiredVoters && (candidates > 1 || (candidates == 1 && o.voterCount()%2 == 0))
 }
 
-// unresponsiveVoters counts the voters, the leader apart, that were not heard for at least a time.
-func (o observedState) unresponsiveVoters(atLeast time.Duration) int {
+// unresponsiveVoters counts the voters other than the leader whose last message is at least minSilence old.
+func (o observedState) unresponsiveVoters(minSilence time.Duration) int {
 	count := 0
 	for _, member := range o.Members {
-		if member.Voter && member.ID != o.Self && o.SinceHeard[member.ID] >= atLeast {
+		if member.Voter && member.ID != o.Self && o.SinceHeard[member.ID] >= minSilence {
 			count++
 		}
 	}
 	return count
 }
 
-// longestUnresponsiveVoter returns the voter that was not heard for longest, if that is at least a time.
-func (o observedState) longestUnresponsiveVoter(atLeast time.Duration) (consensus.MemberID, bool) {
+// longestUnresponsiveVoter returns the voter other than the leader whose last message is oldest, if it is at least minSilence old.
+func (o observedState) longestUnresponsiveVoter(minSilence time.Duration) (consensus.MemberID, bool) {
 	var longest consensus.Member
 	for _, member := range o.Members {
-		if !member.Voter || member.ID == o.Self || o.SinceHeard[member.ID] < atLeast {
+		if !member.Voter || member.ID == o.Self || o.SinceHeard[member.ID] < minSilence {
 			continue
 		}
 		if longest.ID == 0 || o.SinceHeard[member.ID] > o.SinceHeard[longest.ID] {
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -141,7 +141,7 @@
 			got, found := nextMembershipChange(test.given)
 			if found != (test.want != replica.MembershipChange{}) || !sameChange(got.Change, test.want) || got.Confirm.ID != test.confirm {
 				t.Fatalf("got %s confirmed by %d, want %s by %d",
-					changeText(got.Change), got.Confirm.ID, changeText(test.want), test.confirm)
+					formatChange(got.Change), got.Confirm.ID, formatChange(test.want), test.confirm)
 			}
 		})
 	}
@@ -172,7 +172,7 @@
 	return a.Add == nil || *a.Add == *b.Add
 }
 
-func changeText(change replica.MembershipChange) string {
+func formatChange(change replica.MembershipChange) string {
 	if change.Add != nil {
 		return fmt.Sprintf("add %+v", *change.Add)
 	}
@@ -181,14 +181,14 @@
 
 // simulatedGroup is a group together with the running servers; each sends join requests whenever it is not a voter.
 type simulatedGroup struct {
-	members []consensus.Member
-	running map[string]consensus.MemberID // by address
-	wanted  int
+	members       []consensus.Member
+	running       map[string]consensus.MemberID // by address
+	desiredVoters int
 }
 
-func (w *simulatedGroup) observe() observedState {
-	state := observedState{Self: 1, Members: w.members, DesiredVoters: w.wanted, SpareLearners: 1, SinceHeard: map[consensus.MemberID]time.Duration{}}
-	for address, id := range w.running {
+func (g *simulatedGroup) observe() observedState {
+	state := observedState{Self: 1, Members: g.members, DesiredVoters: g.desiredVoters, SpareLearners: 1, SinceHeard: map[consensus.MemberID]time.Duration{}}
+	for address, id := range g.running {
 		member, found := state.member(id)
 		if !found || !member.Voter {
 			state.JoinRequests = append(state.JoinRequests, joinRequest{ID: id, Address: address})
@@ -198,8 +198,8 @@
 			state.Stable = append(state.Stable, id)
 		}
 	}
-	for _, member := range w.members {
-		if _, runs := w.running[member.Address]; !runs {
+	for _, member := range g.members {
+		if _, runs := g.running[member.Address]; !runs {
 			state.SinceHeard[member.ID] = learnerTimeout
 		}
 	}
@@ -207,35 +207,35 @@
 }
 
 // apply makes a change as a group does; it returns false for one that a group would reject.
-func (w *simulatedGroup) apply(change replica.MembershipChange) bool {
+func (g *simulatedGroup) apply(change replica.MembershipChange) bool {
 	if change.Add == nil {
 		remaining := []consensus.Member{}
-		for _, member := range w.members {
+		for _, member := range g.members {
 			if member.ID != change.Remove {
 				remaining = append(remaining, member)
 			}
 		}
-		removed := len(remaining) == len(w.members)-1
-		w.members = remaining
+		removed := len(remaining) == len(g.members)-1
+		g.members = remaining
 		return removed && change.Remove != 1
 	}
-	for i, member := range w.members {
+	for i, member := range g.members {
 		if member.ID == change.Add.ID {
-			w.members[i] = *change.Add
+			g.members[i] = *change.Add
 			return change.Add.Voter && !member.Voter
 		}
 	}
-	w.members = append(w.members, *change.Add)
+	g.members = append(g.members, *change.Add)
 	return !change.Add.Voter
 }
 
-func (w *simulatedGroup) runningVoters() (running, all int) {
-	for _, member := range w.members {
+func (g *simulatedGroup) runningVoters() (running, all int) {
+	for _, member := range g.members {
 		if !member.Voter {
 			continue
 		}
 		all++
-		if w.running[member.Address] == member.ID {
+		if g.running[member.Address] == member.ID {
 			running++
 		}
 	}
@@ -245,13 +245,13 @@
 func TestNextMembershipChange_reachesDesiredVoters(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("whatever came and went, the group ends with as many running voters as it can", prop.ForAll(
-		func(fate []int, tolerated int) bool {
-			w := &simulatedGroup{running: map[string]consensus.MemberID{"k1": 1}, wanted: 2*tolerated + 1}
-			w.members = []consensus.Member{voter(1)}
-			for i, what := range fate {
-				addFate(w, consensus.MemberID(i+2), what)
+		func(fates []int, tolerated int) bool {
+			group := &simulatedGroup{running: map[string]consensus.MemberID{"k1": 1}, desiredVoters: 2*tolerated + 1}
+			group.members = []consensus.Member{voter(1)}
+			for i, fate := range fates {
+				addMachine(group, consensus.MemberID(i+2), fate)
 			}
-			return converges(w)
+			return converges(group)
 		},
 		gen.SliceOfN(7, gen.IntRange(0, 4)), gen.IntRange(1, 2),
 	))
@@ -259,18 +259,18 @@
 }
 
 // addFate adds one more machine, as a member, wiped, gone, or new.
-func addFate(group *simulatedGroup, id consensus.MemberID, fate int) {
+func addMachine(group *simulatedGroup, id consensus.MemberID, fate int) {
 	address := fmt.Sprintf("k%d", id)
 	_, voters := group.runningVoters()
-	place := voters < group.wanted
+	hasVacancy := voters < group.desiredVoters
 	switch {
-	case fate == 0 && place: // a voter that runs
+	case fate == 0 && hasVacancy: // a voter that runs
 		group.members = append(group.members, voter(id))
 		group.running[address] = id
-	case fate == 1 && place: // a voter that lost its disk and came back
+	case fate == 1 && hasVacancy: // a voter that lost its disk and came back
 		group.members = append(group.members, voter(id))
 		group.running[address] = id + 100
-	case fate == 2 && place: // a voter that is gone
+	case fate == 2 && hasVacancy: // a voter that is gone
 		group.members = append(group.members, voter(id))
 	case fate == 3: // a machine without state
 		group.running[address] = id
@@ -280,17 +280,17 @@
 func converges(group *simulatedGroup) bool {
 	const mostChanges = 50
 	for range mostChanges {
-		before, voters := group.runningVoters()
+		runningBefore, voters := group.runningVoters()
 		next, found := nextMembershipChange(group.observe())
 		if !found {
-			most := min(group.wanted, len(group.running))
-			least := most - 1 + most%2 // an even number of voters bears no more losses than the odd one below it
-			return before >= least && before <= most && (voters == before || before == len(group.running) || before < group.wanted)
+			maxRunning := min(group.desiredVoters, len(group.running))
+			minRunning := maxRunning - 1 + maxRunning%2 // an even number of voters bears no more losses than the odd one below it
+			return runningBefore >= minRunning && runningBefore <= maxRunning && (voters == runningBefore || runningBefore == len(group.running) || runningBefore < group.desiredVoters)
 		}
 		if !group.apply(next.Change) {
 			return false
 		}
-		if after, _ := group.runningVoters(); after < before {
+		if runningAfter, _ := group.runningVoters(); runningAfter < runningBefore {
 			return false // a running voter was removed
 		}
 	}
@@ -303,16 +303,16 @@
 	s, _, _ := newScriptedServer(t)
 	shard := s.shards[1]
 	start := time.Now()
-	at := func(after time.Duration, ready ...consensus.MemberID) []consensus.MemberID {
+	trackAt := func(after time.Duration, ready ...consensus.MemberID) []consensus.MemberID {
 		return shard.trackReadiness(ready, start.Add(after))
 	}
-	at(0, 4, 5)
+	trackAt(0, 4, 5)
 	later := readinessGap + time.Millisecond
-	at(later, 5)
+	trackAt(later, 5)
 	for after := later; after < later+stableAfter; after += readinessGap {
-		at(after, 4, 5)
+		trackAt(after, 4, 5)
 	}
-	if steady := at(later+stableAfter, 4, 5); !slices.Equal(steady, memberIDs(5, 4)) {
-		t.Fatalf("stable learners: %v", steady)
+	if stable := trackAt(later+stableAfter, 4, 5); !slices.Equal(stable, memberIDs(5, 4)) {
+		t.Fatalf("stable learners: %v", stable)
 	}
 }
--- a/internal/controlplane/server/ownership.go
+++ b/internal/controlplane/server/ownership.go
@@ -8,7 +8,7 @@
 	"ospreybend/coord/replica"
 )
 
-// onGroupStatus handles a change of a group's role, leader or members. The group's event loop calls it: it must not block.
+// onGroupStatus handles a change of a group's role, leader or members. It is called by the group's event loop and must not block.
 func (s *Server) onGroupStatus(shard *shard, status replica.Status) {
 	s.directory.setMembers(shard.id, status.Members)
 	shard.setLeader(status.Leader)
@@ -26,8 +26,8 @@
 	s.environment.OnGroupStatus(status)
 }
 
-// acquireOwnership waits until this replica has applied all that earlier leaders acknowledged, and then starts to own the shard,
-// unless the leadership of the term has ended.
+// acquireOwnership waits until this replica has applied everything that earlier leaders acknowledged and then takes ownership of the
+// shard. It gives up when this replica no longer leads in the given term.
 func (s *Server) acquireOwnership(shard *shard, term uint64) {
 	select {
 	case <-s.groups.opened:
@@ -49,7 +49,7 @@
 	}
 }
 
-// ownershipBarrier waits until this replica has applied all that was committed when it was called.
+// ownershipBarrier waits until this replica has applied everything that was committed when it was called.
 func (s *Server) ownershipBarrier(shard *shard) error {
 	if !s.environment.guardEnabled(GuardOwnershipBarrier) {
 		return nil
--- a/internal/controlplane/server/ownership_guard_test.go
+++ b/internal/controlplane/server/ownership_guard_test.go
@@ -40,8 +40,8 @@
 		f := newOwnershipFixture(omit...)
 		f.machine.setLeaderTerm(3)
 		f.machine.ownershipGained(f.now, 3)
-		living := workerHeartbeat("living", 1)
-		f.apply(registry.EncodePut(living.Instance, 1))
+		worker := workerHeartbeat("living", 1)
+		f.apply(registry.EncodePut(worker.Instance, 1))
 		f.machine.setLeaderTerm(0)
 		for number := range 60 { // the other owner replaces another worker again and again, and hears this one
 			f.now = f.now.Add(500 * time.Millisecond)
--- a/internal/controlplane/server/planned_replacement_test.go
+++ b/internal/controlplane/server/planned_replacement_test.go
@@ -10,11 +10,11 @@
 
 // votersAndLearners counts the voters and learners of all shards by address, as the shards' leaders among some servers see them. It
 // returns false while a shard has no leader among them.
-func (f *testCluster) votersAndLearners(among ...int) (voters, learners map[string]int, led bool) {
+func (c *testCluster) votersAndLearners(among ...int) (voters, learners map[string]int, allLed bool) {
 	voters, learners = map[string]int{}, map[string]int{}
 	leaders := 0
 	for _, i := range among {
-		report, _ := f.status(i)
+		report, _ := c.status(i)
 		for _, shard := range report.Shards {
 			if shard.Role != roleName(consensus.RoleLeader) {
 				continue
@@ -35,46 +35,46 @@
 // TestCluster_plannedReplacementKeepsVoters starts a fourth server, ends a voter as a SIGTERM does, and expects the vote to be
 // taken before that process has ended, unless it had to end before.
 func TestCluster_plannedReplacementKeepsVoters(t *testing.T) {
-	f := newTestCluster(t, 4)
-	f.bootstrap(3)
-	status, content := f.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
-	f.requireStatus(http.StatusOK, status, content)
+	c := newTestCluster(t, 4)
+	c.bootstrap(3)
+	status, content := c.doUntilDefinitive(0, http.MethodPost, "/-/Config.Replace", 0, configurationJSON(1))
+	c.requireStatus(http.StatusOK, status, content)
 
-	f.processes[3].config.Bootstrap = false
-	f.start(3)
+	c.processes[3].config.Bootstrap = false
+	c.start(3)
 	shards := len(allShards)
-	newcomer := ownPeerAddress(f.processes[3].config)
-	f.await("a warm learner", func() bool {
-		_, learners, _ := f.votersAndLearners(0, 1, 2)
-		report, answers := f.status(3)
+	successor := ownPeerAddress(c.processes[3].config)
+	c.await("a warm learner", func() bool {
+		_, learners, _ := c.votersAndLearners(0, 1, 2)
+		report, current := c.status(3)
 		for _, shard := range report.Shards {
-			answers = answers && shard.Current
+			current = current && shard.Current
 		}
-		return answers && learners[newcomer] == shards
+		return current && learners[successor] == shards
 	})
-	took := f.terminate(0)
+	took := c.terminate(0)
 	t.Logf("the old server shut down in %s", took)
 	if took > 2*time.Second {
 		t.Errorf("the graceful shutdown took %s", took)
 	}
-	ended := time.Now()
+	endedAt := time.Now()
 	var voters map[string]int
 	voteTransferred := func() bool {
-		return voters[newcomer] == shards && voters[ownPeerAddress(f.processes[0].config)] == 0
+		return voters[successor] == shards && voters[ownPeerAddress(c.processes[0].config)] == 0
 	}
-	f.await("leaders", func() (led bool) {
-		voters, _, led = f.votersAndLearners(1, 2, 3)
-		return led
+	c.await("leaders", func() (allLed bool) {
+		voters, _, allLed = c.votersAndLearners(1, 2, 3)
+		return allLed
 	})
 	inTime := took < leaderTransferTimeout*3/4 // on a loaded machine the hand-over may time out
-	if inTime && (!voteTransferred() || time.Since(ended) >= voterTimeout) {
-		t.Fatalf("%s after the old server ended, the voters are %v", time.Since(ended), voters)
+	if inTime && (!voteTransferred() || time.Since(endedAt) >= voterTimeout) {
+		t.Fatalf("%s after the old server ended, the voters are %v", time.Since(endedAt), voters)
 	}
-	f.await("a successor for each place", func() bool {
-		voters, _, _ = f.votersAndLearners(1, 2, 3)
+	c.await("a successor for each place", func() bool {
+		voters, _, _ = c.votersAndLearners(1, 2, 3)
 		return voteTransferred()
 	})
-	f.terminate(2) // a second loss right after the replacement
-	status, content = f.doUntilDefinitive(1, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
-	f.requireStatus(http.StatusOK, status, content)
+	c.terminate(2) // a second loss right after the replacement
+	status, content = c.doUntilDefinitive(1, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
+	c.requireStatus(http.StatusOK, status, content)
 }
--- a/internal/controlplane/server/timing.go
+++ b/internal/controlplane/server/timing.go
@@ -8,7 +8,7 @@
 	electionTimeout        = 500 * time.Millisecond
 )
 
-// Timing of calls. Callers retry elsewhere after one second without an answer, later for large bodies.
+// Timing of calls. Callers retry at another server after one second without an answer, or later for large bodies.
 const (
 	smallCallTimeout   = 850 * time.Millisecond
 	largeCallTimeout   = 2500 * time.Millisecond
@@ -26,66 +26,66 @@
 	idleTimeout          = 60 * time.Second
 )
 
-// Freshness of replicas and the interval of maintenance.
+// Freshness of replicas, and maintenance.
 const (
-	maintenanceInterval = 500 * time.Millisecond  // of expiry, membership and leadership balance
-	currentMaxAge       = 800 * time.Millisecond  // of the last contact with a majority of a current replica
-	contactLostAfter    = 1500 * time.Millisecond // without contact with a majority, other servers are asked for the owner
-	proposalTimeout     = 2 * time.Second         // of one membership change, round of expiry or ownership barrier
-	openRetryInterval   = 500 * time.Millisecond  // while the disk refuses at the start
+	maintenanceInterval = 500 * time.Millisecond  // of instance expiry, membership changes and leadership balance
+	currentMaxAge       = 800 * time.Millisecond  // a replica is current if its last contact with a majority is no older
+	contactLostAfter    = 1500 * time.Millisecond // without contact with a majority: log it, ask to join, and ask other servers for the owner
+	proposalTimeout     = 2 * time.Second         // of one membership change, expiry round or ownership barrier
+	openRetryInterval   = 500 * time.Millisecond  // while the disk cannot be used at startup
 )
 
 // Reports to the owners of shards.
 const (
-	nodeHeartbeatInterval  = 1200 * time.Millisecond // of the connected edge nodes
-	livenessReportInterval = 400 * time.Millisecond  // well below the time-out of instances
-	demandReportInterval   = 250 * time.Millisecond  // between two demand reports to a shard's owner
-	demandReportMaxAge     = 1600 * time.Millisecond // a demand report older than this does not count
+	nodeHeartbeatInterval  = 1200 * time.Millisecond // for the connected edge nodes
+	livenessReportInterval = 400 * time.Millisecond  // must be well below the timeout of instances
+	demandReportInterval   = 250 * time.Millisecond  // between demand reports to the owner of a shard
+	demandReportMaxAge     = 1600 * time.Millisecond // older demand reports are ignored
 )
 
 // Planning of workers' roles.
 const (
-	rolePlanInterval     = 250 * time.Millisecond // between two planning steps
-	roleLogInterval      = 5 * time.Second        // between two log lines on a service with an unchanged plan
-	leaseSafetyMargin    = 500 * time.Millisecond // beyond the lease, before a new owner sends commands
+	rolePlanInterval     = 250 * time.Millisecond // between planning steps
+	roleLogInterval      = 5 * time.Second        // between log messages about a service whose plan has not changed
+	leaseSafetyMargin    = 500 * time.Millisecond // that a new owner waits after the end of the lease before it sends commands
 	workerCommandTimeout = 500 * time.Millisecond // of one command or poll
-	assignmentTimeout    = time.Second            // of recording assignments
+	assignmentTimeout    = time.Second            // for recording assignments
 )
 
-// Joining, and the membership of groups.
+// Joining and group membership.
 const (
-	joinInterval         = 300 * time.Millisecond // between new join requests; also the time-out of a question to one server
-	joinIdleInterval     = time.Second            // later, and while there is nothing to join
-	firstContactTimeout  = 500 * time.Millisecond // after a start without contact with a majority, a server asks to join
-	maxEagerJoinRequests = 40                     // sent at joinInterval, later ones at joinIdleInterval
-	joinRequestMaxAge    = 2 * time.Second        // a server that wants to join asks every joinInterval
-	voterTimeout         = 2 * time.Second        // a voter unresponsive for so long is replaced
-	missedHeartbeatsAge  = 300 * time.Millisecond // a voter unresponsive for longer has missed two heartbeats
-	stableAfter          = time.Second            // how long a learner must be promotable before a group grows by it
-	readinessGap         = time.Second            // a learner not promotable for longer starts over
+	joinInterval         = 300 * time.Millisecond // between the first join requests; also the timeout of calls to one server about joining or membership
+	joinIdleInterval     = time.Second            // between later join requests, and between checks while there is nothing to join
+	firstContactTimeout  = 500 * time.Millisecond // without contact with a majority after startup, before a server asks to join
+	maxEagerJoinRequests = 40                     // requests sent every joinInterval; later ones every joinIdleInterval
+	joinRequestMaxAge    = 2 * time.Second        // older join requests are dropped
+	voterTimeout         = 2 * time.Second        // a voter that is unresponsive for this long is replaced
+	missedHeartbeatsAge  = 300 * time.Millisecond // a voter that is unresponsive for this long has missed two heartbeats
+	stableAfter          = time.Second            // how long a learner must have been promotable before a group grows to an even number of voters with it
+	readinessGap         = time.Second            // a longer interruption resets the time for which a learner has been promotable
 	newLeaderGracePeriod = time.Second            // see timeSinceHeard
-	learnerTimeout       = 10 * time.Second       // a learner unresponsive for so long, without a join request, is removed
-	vacancyFillTimeout   = 500 * time.Millisecond // for a learner to become promotable after a change
-	minSpareLearners     = 2                      // learners beyond the vacancies; more if more losses are tolerated
+	learnerTimeout       = 10 * time.Second       // a learner without a join request that is unresponsive for this long is removed
+	vacancyFillTimeout   = 500 * time.Millisecond // for a learner to become promotable after a membership change
+	minSpareLearners     = 2                      // learners in addition to the vacancies; more if the settings tolerate more losses
 )
 
-// Moves of leadership, and graceful shutdown.
+// Leadership transfers and graceful shutdown.
 const (
-	preferredOwnerStableFor   = 5 * time.Second        // how long the preferred owner must be able to lead
-	minLeaderTransferInterval = 2 * time.Second        // between two moves of leadership
-	leaderTransferTimeout     = time.Second            // of one transfer, and of the whole hand-over of a shutdown
-	leaderDiscoveryTimeout    = 300 * time.Millisecond // for the new leaders to be known after a transfer
-	releasePollInterval       = 10 * time.Millisecond  // between two looks at a group while a vote is released or filled
-	leavingNoticeMaxAge       = 3 * time.Second        // a member that announced its shutdown longer ago and still votes is back
-	successorMaxUptime        = 60 * time.Second       // of a process that was started to replace a leaving voter
-	apiShutdownTimeout        = 300 * time.Millisecond // for open API calls to end
+	preferredOwnerStableFor   = 5 * time.Second        // how long the preferred owner must have been able to lead
+	minLeaderTransferInterval = 2 * time.Second        // between transfers to preferred owners
+	leaderTransferTimeout     = time.Second            // of one transfer, and of handing over all leaderships and votes at shutdown
+	leaderDiscoveryTimeout    = 300 * time.Millisecond // for learning of the new leaders after a transfer
+	releasePollInterval       = 10 * time.Millisecond  // between checks of a group while a vote is released or a vacancy is filled
+	leavingNoticeMaxAge       = 3 * time.Second        // a member that announced its shutdown longer ago and is still a voter has returned
+	successorMaxUptime        = 60 * time.Second       // a learner that has run for longer was not started to replace a leaving voter
+	apiShutdownTimeout        = 300 * time.Millisecond // for API calls in progress
 )
 
-// Bounds of work and memory.
+// Limits of concurrency and memory.
 const (
 	unlimitedProposals     = -1      // no limit, see errgroup.Group.SetLimit
-	maxConcurrentProposals = 16      // of one round of expiry or node heartbeats
-	feedBacklogBytes       = 2 << 20 // of changes buffered for each shard's feed
-	memoryLimitPercent     = 75      // of the machine's memory
-	gcPercent              = 50      // growth of the heap between two collections; low, since peak memory counts
+	maxConcurrentProposals = 16      // in one expiry round or one batch of node heartbeats
+	feedBacklogBytes       = 2 << 20 // of changes buffered per shard for the feed
+	memoryLimitPercent     = 75      // of the machine's memory, as the garbage collector's memory limit
+	gcPercent              = 50      // heap growth between collections; low because peak memory matters
 )
--- a/internal/controlplane/server/vote_release.go
+++ b/internal/controlplane/server/vote_release.go
@@ -12,8 +12,8 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// receiveLeave records, as the leader of groups, that a voter is shutting down. It returns once the vote was released or there is no
-// successor for it. The reply lists the groups that this server does not lead.
+// receiveLeave records that a voter is shutting down, for each of the given groups. For groups that this server leads, it returns only
+// after the vote has been released or if there is no successor for it. The reply lists the groups that this server does not lead.
 func (s *Server) receiveLeave(ctx context.Context, peer peertransport.Hello, body []byte) ([]byte, error) {
 	var states []groupState
 	if err := strictavro.Unmarshal(codec, groupsSchema, body, &states); err != nil {
@@ -31,14 +31,14 @@
 	}
 	waitGroup.Wait()
 	for _, state := range states {
-		if known := state.Shard >= 0 && state.Shard < shards.ShardCount; known && !s.shards[state.Shard].group.Status().IsLeader() {
+		if inRange := state.Shard >= 0 && state.Shard < shards.ShardCount; inRange && !s.shards[state.Shard].group.Status().IsLeader() {
 			notLed = append(notLed, state)
 		}
 	}
 	return codec.Marshal(groupsSchema, notLed)
 }
 
-// awaitRelease waits until no membership change is in progress or due, and no successor may still catch up.
+// awaitRelease waits until no membership change is in progress or due and no successor that is still catching up could take the vote.
 func (s *Server) awaitRelease(ctx context.Context, shard *shard, leaving consensus.MemberID) {
 	for {
 		status := shard.group.Status()
@@ -58,8 +58,8 @@
 	}
 }
 
-// forgetReturnedMembers drops the notices of members whose process runs again under the same ID: they only restarted, and keep
-// their votes.
+// forgetReturnedMembers drops the shutdown notices of members whose process runs again under the same ID: they were only restarted and
+// keep their votes.
 func (s *Server) forgetReturnedMembers(shard *shard, status replica.Status, leaving []consensus.MemberID) {
 	for _, member := range status.Members {
 		if !slices.Contains(leaving, member.ID) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// successors returns the learners that were started at most successorMaxUptime ago, and so to replace a voter that leaves. A spare
-// that has run for longer proves no such plan: the voter may only restart.
+// successors returns the learners that were started at most successorMaxUptime ago and are therefore assumed to replace a leaving voter.
+// A spare that has run for longer does not show that a replacement is planned: the voter may only be restarting.
 func (s *Server) successors(status replica.Status) []consensus.MemberID {
 	var found []consensus.MemberID
 	for _, member := range status.Members {
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -41,11 +41,11 @@
 		waitForReconcile(t, s, s.shards[id])
 		for _, want := range test.want {
 			if got := <-group.changes; !sameChange(got, want) {
-				t.Fatalf("%s: got %s, want %s", test.name, changeText(got), changeText(want))
+				t.Fatalf("%s: got %s, want %s", test.name, formatChange(got), formatChange(want))
 			}
 		}
 		if len(group.changes) > 0 {
-			t.Fatalf("%s: %s", test.name, changeText(<-group.changes))
+			t.Fatalf("%s: %s", test.name, formatChange(<-group.changes))
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		s.startReconcile(s.shards[id])
 		waitForReconcile(t, s, s.shards[id])
 		if len(group.changes) > 0 {
-			t.Fatal(changeText(<-group.changes))
+			t.Fatal(formatChange(<-group.changes))
 		}
 	})
 }
