--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -18,8 +18,8 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// The HTTP server reuses the memory of a request as soon as its handler has returned. What outlives the handler must
-// be a copy: a proposal that waits for its group, a call that waits for its peer, and what a server records.
+// The HTTP server reuses the memory of a request as soon as its handler has returned. Everything that outlives the handler must
+// therefore be a copy: proposals waiting for their group, calls waiting for a peer, and the state that a server records.
 
 // reusedBufferRequest is a request whose memory the test overwrites after its handler has returned.
 type reusedBufferRequest struct {
@@ -33,7 +33,7 @@
 	return memory
 }
 
-// newReusedBufferRequest lays out a request as the server does: its parameter and body are memory of the connection.
+// newReusedBufferRequest builds a request as the HTTP server does: its path parameter and body lie in the connection's memory.
 func newReusedBufferRequest(id, base, body string) *reusedBufferRequest {
 	r := &reusedBufferRequest{context: app.NewContext(1)}
 	if id != "" {
@@ -46,7 +46,7 @@
 	return r
 }
 
-// overwrite overwrites the request's memory, as its connection's next request does.
+// overwrite overwrites the request's memory, as the next request on the connection does.
 func (r *reusedBufferRequest) overwrite() {
 	for _, memory := range r.memory {
 		for i := range memory {
@@ -56,11 +56,11 @@
 	r.context.Reset()
 }
 
-// retainedProposals are the proposals that a group was given and has not decided on.
+// retainedBuffers holds the bytes of proposals or calls that have not been answered yet.
 type retainedBuffers struct {
 	mutex    sync.Mutex
 	retained [][]byte
-	copies   [][]byte // copies of the same, made at once
+	copies   [][]byte // copies of retained, made when it was received
 }
 
 func (p *retainedBuffers) retain(data []byte) {
@@ -70,19 +70,20 @@
 	p.copies = append(p.copies, bytes.Clone(data))
 }
 
+// requireUnchanged fails the test if nothing was retained or if retained bytes were overwritten.
 func (p *retainedBuffers) requireUnchanged(t *testing.T) {
 	t.Helper()
 	if len(p.retained) == 0 {
-		t.Fatal("nothing was retained")
+		t.Fatal("the handler made no proposal and no call")
 	}
 	for i, data := range p.retained {
 		if !bytes.Equal(data, p.copies[i]) || bytes.Contains(data, []byte("####")) {
-			t.Errorf("%q has become %q", p.copies[i], data)
+			t.Errorf("retained bytes changed after the handler returned: got %q, want %q", data, p.copies[i])
 		}
 	}
 }
 
-// requestsOutlivingHandler are calls that may outlive their handler.
+// requestsOutlivingHandler are requests whose proposal or forwarded call may outlive their handler.
 var requestsOutlivingHandler = []struct {
 	name     string
 	kind     APICall
@@ -92,7 +93,7 @@
 	{"a change", APIUpdate, "", `{"generation":9}`},
 	{"a heartbeat", APIHeartbeat, "i-new", heartbeatJSON("ready", 1)},
 	{"a drain", APIHeartbeat, presentID, heartbeatJSON("draining", 2)},
-	{"a departure", APIDeregister, presentID, ""},
+	{"a deregistration", APIDeregister, presentID, ""},
 }
 
 func TestServer_APIHandler_proposalOwnsItsBytes(t *testing.T) {
@@ -112,7 +113,7 @@
 				request := newReusedBufferRequest(test.id, "7", test.body)
 				s.server.apiHandler(test.kind)(t.Context(), request.context)
 				if status := request.context.Response.StatusCode(); status != http.StatusServiceUnavailable {
-					t.Fatal(status)
+					t.Fatalf("got status %d for an undecided proposal, want %d", status, http.StatusServiceUnavailable)
 				}
 				request.overwrite()
 				retained.requireUnchanged(t)
@@ -138,7 +139,7 @@
 	}
 }
 
-// retainingNetwork retains the calls that it is given, and answers none.
+// retainingNetwork retains the bodies of all calls and never answers.
 type retainingNetwork struct {
 	scriptedNetwork
 	retained *retainedBuffers
@@ -150,7 +151,7 @@
 	return nil, peertransport.ErrOutcomeUnknown
 }
 
-// A server records instances by their IDs, which lie in the request's memory.
+// A server records instances under their IDs, which lie in the request's memory.
 func TestServer_APIHandler_recordedStateOwnsItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
@@ -160,7 +161,7 @@
 		request.overwrite()
 		drained := s.server.liveness.drain(shards.ForService(presentService))
 		if len(drained) != 1 || drained[0].ID != presentID {
-			t.Fatal(drained)
+			t.Fatalf("got recorded heartbeats %+v, want one of instance %q", drained, presentID)
 		}
 		makeOwner(s.server, s.groups)
 		request = newReusedBufferRequest("i-new", "", heartbeatJSON("ready", 1))
@@ -168,12 +169,12 @@
 		request.overwrite()
 		machine := s.server.registryMachine(shards.ForService(presentService))
 		if machine.store.Instance("i-new") == nil {
-			t.Fatal(machine.store.Instances(""))
+			t.Fatalf("instance %q is not registered under its ID; registered are %v", "i-new", machine.store.Instances(""))
 		}
 	})
 }
 
-// A configuration that is in force does not change with the memory of the entry or of the answers that tell of it.
+// The configuration in force shares no memory with the log entry that set it or with the bodies of read responses.
 func TestServer_APIHandler_configurationOwnsItsBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
@@ -186,11 +187,11 @@
 		first := s.server.Handle(t.Context(), APIRequest{Call: APIRead})
 		clear(first.Body)
 		if second := s.server.Handle(t.Context(), APIRequest{Call: APIRead}); string(second.Body) != configurationJSON(9) {
-			t.Fatalf("%s", second.Body)
+			t.Fatalf("second read after the first body was overwritten: got %s, want %s", second.Body, configurationJSON(9))
 		}
 		changes, snapshot := s.server.Since(shards.ConfigurationShard, 0)
 		if len(changes) == 0 && snapshot == nil {
-			t.Fatal("the feed has nothing")
+			t.Fatal("the feed has neither changes nor a snapshot after a configuration change")
 		}
 	})
 }
--- a/internal/controlplane/server/cluster_test.go
+++ b/internal/controlplane/server/cluster_test.go
@@ -20,24 +20,24 @@
 
 const (
 	clusterTimeout = 30 * time.Second
-	pollInterval   = 10 * time.Millisecond // between two looks at a condition
+	pollInterval   = 10 * time.Millisecond // between checks of a condition
 )
 
-// serverProcess is a server that a test runs.
+// serverProcess is a server that a test starts and stops. stop is nil while it is not running.
 type serverProcess struct {
 	config bootconfig.Settings
 	stop   context.CancelFunc
 	exited chan error
 }
 
-// testCluster is a set of servers on loopback addresses of this machine.
+// testCluster is a set of servers on loopback addresses.
 type testCluster struct {
 	t         *testing.T
 	processes []*serverProcess
 	client    *http.Client
 }
 
-// freePort returns a port that is free on all of the given addresses.
+// freePort returns a port that is free on all given addresses.
 func freePort(t *testing.T, ips []string) int {
 	t.Helper()
 	for range 50 {
@@ -51,7 +51,7 @@
 			return port
 		}
 	}
-	t.Fatal("no free port")
+	t.Fatalf("found no port that is free on all of %v", ips)
 	return 0
 }
 
@@ -66,7 +66,7 @@
 	return true
 }
 
-// newTestCluster prepares servers of which the first three are the seeds. None is started.
+// newTestCluster prepares servers without starting them. The first three are the seeds.
 func newTestCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
 	ips := make([]string, count)
@@ -104,7 +104,7 @@
 	go func() { p.exited <- Run(ctx, p.config, zap.NewNop()) }()
 }
 
-// bootstrap starts the first servers and waits until they have formed the cluster.
+// bootstrap starts the first count servers and waits until they have formed the cluster.
 func (c *testCluster) bootstrap(count int) {
 	c.t.Helper()
 	var servers []int
@@ -112,10 +112,10 @@
 		c.start(i)
 		servers = append(servers, i)
 	}
-	c.awaitConverged("formation", servers...)
+	c.awaitConverged("bootstrap", servers...)
 }
 
-// awaitConverged waits until each of the servers sees all shards with just these servers as voters, current.
+// awaitConverged waits until each of the servers has a current replica of every shard, with exactly these servers as voters.
 func (c *testCluster) awaitConverged(what string, servers ...int) {
 	c.t.Helper()
 	c.await(what, func() bool {
@@ -137,10 +137,10 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			c.t.Fatalf("server %d: %v", index, err)
+			c.t.Fatalf("server %d failed: %v", index, err)
 		}
 	case <-time.After(clusterTimeout):
-		c.t.Fatalf("server %d does not end", index)
+		c.t.Fatalf("server %d has not shut down within %s", index, clusterTimeout)
 	}
 	p.stop = nil
 	return time.Since(startedAt)
@@ -154,17 +154,17 @@
 	}
 }
 
-// await looks until a condition holds.
+// await waits until a condition holds, and fails the test after clusterTimeout.
 func (c *testCluster) await(what string, condition func() bool) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), clusterTimeout)
 	defer cancel()
 	if err := localfleet.Await(ctx, pollInterval, condition); err != nil {
-		c.t.Fatalf("%s: not within %s", what, clusterTimeout)
+		c.t.Fatalf("%s: condition not met within %s", what, clusterTimeout)
 	}
 }
 
-// do sends one call to a server; a status of 0 means that no answer came.
+// do sends one request to a server. A status of 0 means that no response arrived.
 func (c *testCluster) do(i int, method, path string, base uint64, body string) (status int, content []byte) {
 	request, err := http.NewRequest(method, "http://"+c.processes[i].config.Listen.Control+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -180,7 +180,7 @@
 	return response.StatusCode, content
 }
 
-// doUntilDefinitive repeats a call, as callers do, until it has a clear answer.
+// doUntilDefinitive repeats a request, as clients do, until it gets a response other than a server error.
 func (c *testCluster) doUntilDefinitive(i int, method, path string, base uint64, body string) (status int, content []byte) {
 	c.t.Helper()
 	c.await(method+" "+path, func() bool {
@@ -198,7 +198,7 @@
 	return report, json.Unmarshal(body, &report) == nil
 }
 
-// isConverged reports whether a server sees every shard with the given voters, current.
+// isConverged reports whether a server has a current replica of every shard and is one of the given number of voters, with no learners.
 func (c *testCluster) isConverged(index, voters int) bool {
 	report, ok := c.status(index)
 	if !ok {
@@ -234,7 +234,7 @@
 func (c *testCluster) requireStatus(want, got int, content []byte) {
 	c.t.Helper()
 	if got != want {
-		c.t.Fatalf("status %d, not %d: %s", got, want, content)
+		c.t.Fatalf("got status %d, want %d: %s", got, want, content)
 	}
 }
 
@@ -242,14 +242,14 @@
 	c := newTestCluster(t, 3)
 	startedAt := time.Now()
 	c.bootstrap(3)
-	t.Logf("formed in %s", time.Since(startedAt))
+	t.Logf("cluster formed in %s", time.Since(startedAt))
 
 	replace, read := "/-/Config.Replace", "/-/Config.Read"
 	for i := range 3 {
 		base, next := i, i+1
 		status, content := c.doUntilDefinitive(i, http.MethodPost, replace, uint64(base), configurationJSON(next))
 		c.requireStatus(http.StatusOK, status, content)
-		status, content = c.doUntilDefinitive((i+1)%3, http.MethodPost, replace, uint64(base), configurationJSON(next)) // sent again
+		status, content = c.doUntilDefinitive((i+1)%3, http.MethodPost, replace, uint64(base), configurationJSON(next)) // a repeated change is accepted
 		c.requireStatus(http.StatusOK, status, content)
 	}
 	status, content := c.doUntilDefinitive(0, http.MethodPost, replace, 1, configurationJSON(9))
@@ -258,24 +258,24 @@
 	c.requireStatus(http.StatusBadRequest, status, content)
 
 	took := c.terminate(0)
-	t.Logf("one server shut down in %s", took)
+	t.Logf("graceful shutdown of one server took %s", took)
 	if took > 2*time.Second {
-		t.Errorf("the graceful shutdown took %s", took)
+		t.Errorf("graceful shutdown took %s, want at most 2s", took)
 	}
 	startedAt = time.Now()
 	status, content = c.doUntilDefinitive(1, http.MethodPost, replace, 3, configurationJSON(4))
 	c.requireStatus(http.StatusOK, status, content)
-	t.Logf("a configuration with two of three in %s", time.Since(startedAt))
+	t.Logf("configuration change with two of three servers took %s", time.Since(startedAt))
 
-	// The server comes back without its disk.
+	// Restart the stopped server with an empty disk.
 	c.processes[0].config.DataDir = t.TempDir()
 	c.processes[0].config.Bootstrap = false
 	c.start(0)
 	startedAt = time.Now()
 	for i := range 3 {
-		c.await("repair", func() bool { return c.isConverged(i, 3) })
+		c.await("rejoin after a lost disk", func() bool { return c.isConverged(i, 3) })
 	}
-	t.Logf("repaired in %s", time.Since(startedAt))
+	t.Logf("all three servers are voters again after %s", time.Since(startedAt))
 	c.terminate(1)
 	status, content = c.doUntilDefinitive(0, http.MethodPost, replace, 4, configurationJSON(5))
 	c.requireStatus(http.StatusOK, status, content)
@@ -283,7 +283,7 @@
 	c.requireStatus(http.StatusOK, status, content)
 	var document struct{ Generation int }
 	if err := json.Unmarshal(content, &document); err != nil || document.Generation != 5 {
-		t.Fatalf("read %s: %v", content, err)
+		t.Fatalf("read configuration: got %s (error %v), want generation 5", content, err)
 	}
 }
 
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -26,16 +26,16 @@
 	removedID         = "i-gone"
 )
 
-// capability is what a degraded server can still find out or have done.
+// capability is a set of operations that a degraded server can still perform.
 type capability uint8
 
 const (
-	canChange      capability = 1 << iota // a majority decides on a change
-	canRead                               // a majority confirms what is newest
-	canAcknowledge                        // this server or an owner is current, for heartbeats that change nothing
+	canChange      capability = 1 << iota // a majority can commit a change
+	canRead                               // a majority can confirm that the state is the newest
+	canAcknowledge                        // this server or an owner is current, which suffices for heartbeats that change nothing
 )
 
-// degradedServerFixture is a degraded server, and perhaps another one that owns all shards.
+// degradedServerFixture is a degraded server and a second server that owns all shards, which the first may or may not reach.
 type degradedServerFixture struct {
 	server  *Server
 	groups  [shards.ShardCount]*scriptedGroup
@@ -43,12 +43,12 @@
 	network *ownerOnlyNetwork
 }
 
-// ownerOnlyNetwork is the network of a server that reaches the owner alone.
+// ownerOnlyNetwork is the network of a server that can reach at most the owner.
 type ownerOnlyNetwork struct {
 	scriptedNetwork
-	owner        *Server
-	replyError   error // of each answer
-	unresponsive bool  // nothing is carried out, and nothing comes back
+	owner        *Server // nil: not reachable
+	replyError   error   // if set, the owner executes each call but the caller gets this error
+	unresponsive bool    // calls are neither executed nor answered
 }
 
 func (n *ownerOnlyNetwork) Call(ctx context.Context, _ string, kind peertransport.CallKind, body []byte) ([]byte, error) {
@@ -66,7 +66,7 @@
 	return reply, err
 }
 
-// applyInitialState gives a server's replicas the state of the tables below.
+// applyInitialState applies the state that the test cases below assume to a server's replicas.
 func applyInitialState(t *testing.T, server *Server) {
 	t.Helper()
 	apply := func(shard shards.ID, index uint64, data []byte) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// makeOwner makes a server the owner of all shards; proposals are committed at once.
+// makeOwner makes a server the owner of all shards and has its proposals committed immediately.
 func makeOwner(s *Server, groups [shards.ShardCount]*scriptedGroup) {
 	for i, group := range groups {
 		index := uint64(10)
@@ -104,7 +104,7 @@
 	}
 }
 
-// setEveryGroup sets the groups' status and what becomes of proposals and reads.
+// setEveryGroup sets the status of all groups. Proposals and reads fail with err or, if it is nil, wait until their deadline.
 func (s *degradedServerFixture) setEveryGroup(status replica.Status, err error) {
 	for i, group := range s.groups {
 		group.set(status)
@@ -117,7 +117,7 @@
 	}
 }
 
-// waitOrFail returns the error, or waits for the context's end where it is nil.
+// failOrWait returns err or, if it is nil, waits until ctx ends and returns replica.ErrUnknownOutcome.
 func failOrWait(ctx context.Context, err error) error {
 	if err == nil {
 		<-ctx.Done()
@@ -146,101 +146,102 @@
 	return s
 }
 
-// withConfirmedAge is a status whose contact with a majority was so long ago.
+// withConfirmedAge returns the status with the given age of the last contact with a majority.
 func withConfirmedAge(status replica.Status, age time.Duration) replica.Status {
 	status.ConfirmedAge = age
 	return status
 }
 
-// degradedStates are states of a server, with its capabilities in each.
+// degradedStates lists states of a server with its capabilities in each.
 var degradedStates = []struct {
 	name         string
 	capabilities capability
 	enter        func(s *degradedServerFixture)
 }{
-	{"it leads", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) { makeOwner(s.server, s.groups) }},
-	{"it leads, cut off a moment ago", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), nil) }},
-	{"it leads, cut off", 0, func(s *degradedServerFixture) {
+	{"leader", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) { makeOwner(s.server, s.groups) }},
+	{"leader that has just lost its majority", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), nil) }},
+	{"leader that lost its majority long ago", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(leaderStatus(), 2*currentMaxAge), nil)
 	}},
-	{"it leads, too many proposals wait", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), consensus.ErrTooManyUncommitted) }},
-	{"it leads, its disk is full", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), consensus.ErrTransferInProgress) }},
-	{"it led until now", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
+	{"leader with too many uncommitted proposals", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), consensus.ErrTooManyUncommitted) }},
+	{"leader that transfers its leadership because its disk is full", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(leaderStatus(), consensus.ErrTransferInProgress) }},
+	{"former leader", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(leaderStatus(), replica.NotLeaderError{Leader: consensus.Member{ID: 2, Address: ownerAddress}})
 		s.network.owner = s.owner
 	}},
-	{"it has closed its groups", 0, func(s *degradedServerFixture) {
+	{"groups are closed", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(""), 2*currentMaxAge), replica.ErrClosed)
 	}},
-	{"it follows", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
+	{"follower", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
 		s.network.owner = s.owner
 	}},
-	{"it follows, behind", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
+	{"follower that is not current", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(ownerAddress), 2*currentMaxAge), replica.NotLeaderError{})
 		s.network.owner = s.owner
 	}},
-	{"it follows, answers are lost", canAcknowledge, func(s *degradedServerFixture) {
+	{"follower that loses the owner's replies", canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
 		s.network.owner, s.network.replyError = s.owner, peertransport.ErrOutcomeUnknown
 	}},
-	{"it follows, the owner is mute", canAcknowledge, func(s *degradedServerFixture) {
+	{"follower of an unresponsive owner", canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
 		s.network.unresponsive = true
 	}},
-	{"it follows, cut off", 0, func(s *degradedServerFixture) {
+	{"follower without contact", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(ownerAddress), 2*contactLostAfter), nil)
 	}},
-	{"it follows nobody, cut off", 0, func(s *degradedServerFixture) {
+	{"no known leader, without contact", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(followerStatus(""), 2*contactLostAfter), nil)
 	}},
-	{"it follows nobody, an election", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(followerStatus(""), nil) }},
-	{"it has no group, and is alone", 0, func(s *degradedServerFixture) {
+	{"no known leader during an election", canAcknowledge, func(s *degradedServerFixture) { s.setEveryGroup(followerStatus(""), nil) }},
+	{"not a member, owner unknown", 0, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(replica.Status{}, 2*contactLostAfter), nil)
 	}},
-	{"it has no group, and knows the owner", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
+	{"not a member, owner known", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(withConfirmedAge(replica.Status{}, 2*contactLostAfter), nil)
 		s.server.directory.learn(serverInfo{Address: ownerAddress, Zone: "z"})
 		s.network.owner = s.owner
 	}},
-	{"it is leaving", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
+	{"shutting down", canChange | canRead | canAcknowledge, func(s *degradedServerFixture) {
 		s.setEveryGroup(followerStatus(ownerAddress), replica.NotLeaderError{})
 		s.server.lifecycle.shuttingDown.Store(true)
 		s.network.owner = s.owner
 	}},
 }
 
-// degradedCalls are calls with their answer where the server is able to give one; elsewhere it is 503. What needs nothing is
-// answered anywhere: what is invalid whatever the state is, and what the replica knows for good.
+// degradedCalls lists calls with the capability that they need and the response status if the server has it; otherwise the status is
+// 503. Calls that need no capability get the same response in every state: they are invalid in any state, or concern facts in the
+// replica that can no longer change.
 var degradedCalls = []struct {
 	name    string
 	request APIRequest
 	needs   capability
 	status  int
 }{
-	{"a change", changeRequest(APIReplace, "7", configurationJSON(9)), canChange, http.StatusOK},
+	{"a replacement of the configuration", changeRequest(APIReplace, "7", configurationJSON(9)), canChange, http.StatusOK},
 	{"an update", changeRequest(APIUpdate, "7", `{"generation":9}`), canChange, http.StatusOK},
-	{"a repeat", changeRequest(APIReplace, "3", configurationJSON(currentGeneration)), canChange, http.StatusOK},
-	{"an older repeat", changeRequest(APIReplace, "", configurationJSON(3)), canChange, http.StatusOK},
-	{"a lost race", changeRequest(APIReplace, "3", configurationJSON(9)), canChange, http.StatusPreconditionFailed},
-	{"a base to come", changeRequest(APIReplace, "8", configurationJSON(9)), canChange, http.StatusServiceUnavailable},
-	{"a service that is removed but used", changeRequest(APIUpdate, "7", `{"generation":9,"remove":{"services":["s"]}}`), canChange, http.StatusBadRequest},
-	{"no JSON", changeRequest(APIReplace, "7", "{"), 0, http.StatusBadRequest},
-	{"no service of that name", changeRequest(APIReplace, "7", strings.Replace(configurationJSON(9), `"service":"s"`, `"service":"x"`, 1)), 0, http.StatusBadRequest},
-	{"a number not above its base", changeRequest(APIUpdate, "7", `{"generation":7}`), 0, http.StatusBadRequest},
-	{"a base that is no number", changeRequest(APIReplace, "x", configurationJSON(9)), 0, http.StatusBadRequest},
+	{"a repeated change", changeRequest(APIReplace, "3", configurationJSON(currentGeneration)), canChange, http.StatusOK},
+	{"a repeated change that is no longer in force", changeRequest(APIReplace, "", configurationJSON(3)), canChange, http.StatusOK},
+	{"a change with an outdated base version", changeRequest(APIReplace, "3", configurationJSON(9)), canChange, http.StatusPreconditionFailed},
+	{"a base version above the generation in force", changeRequest(APIReplace, "8", configurationJSON(9)), canChange, http.StatusServiceUnavailable},
+	{"removal of a service that a route uses", changeRequest(APIUpdate, "7", `{"generation":9,"remove":{"services":["s"]}}`), canChange, http.StatusBadRequest},
+	{"a configuration that is not JSON", changeRequest(APIReplace, "7", "{"), 0, http.StatusBadRequest},
+	{"a route to an unknown service", changeRequest(APIReplace, "7", strings.Replace(configurationJSON(9), `"service":"s"`, `"service":"x"`, 1)), 0, http.StatusBadRequest},
+	{"a generation not above its base version", changeRequest(APIUpdate, "7", `{"generation":7}`), 0, http.StatusBadRequest},
+	{"a base version that is not a number", changeRequest(APIReplace, "x", configurationJSON(9)), 0, http.StatusBadRequest},
 	{"a read", APIRequest{Call: APIRead}, canRead, http.StatusOK},
 	{"a heartbeat that changes nothing", heartbeatRequest(presentID, heartbeatJSON("ready", 2)), canAcknowledge, http.StatusOK},
-	{"a drain", heartbeatRequest(presentID, heartbeatJSON("draining", 2)), canChange, http.StatusOK},
-	{"a new instance", heartbeatRequest("i-new", heartbeatJSON("ready", 1)), canChange, http.StatusOK},
-	{"a heartbeat after its end", heartbeatRequest(removedID, heartbeatJSON("ready", 2)), canAcknowledge, http.StatusOK},
-	{"a heartbeat that is no JSON", heartbeatRequest(presentID, "{"), 0, http.StatusBadRequest},
+	{"a heartbeat that starts draining", heartbeatRequest(presentID, heartbeatJSON("draining", 2)), canChange, http.StatusOK},
+	{"a heartbeat of a new instance", heartbeatRequest("i-new", heartbeatJSON("ready", 1)), canChange, http.StatusOK},
+	{"a heartbeat of a removed instance", heartbeatRequest(removedID, heartbeatJSON("ready", 2)), canAcknowledge, http.StatusOK},
+	{"a heartbeat that is not JSON", heartbeatRequest(presentID, "{"), 0, http.StatusBadRequest},
 	{"a heartbeat that is too large", heartbeatRequest(presentID, strings.Repeat(" ", maxHeartbeatBytes+1)), 0, http.StatusRequestEntityTooLarge},
-	{"a departure", APIRequest{Call: APIDeregister, ID: presentID}, canChange, http.StatusOK},
-	{"a departure of one that is not known", APIRequest{Call: APIDeregister, ID: "i-unknown"}, canChange, http.StatusOK},
-	{"a departure again", APIRequest{Call: APIDeregister, ID: removedID}, 0, http.StatusOK},
-	{"a departure of nobody", APIRequest{Call: APIDeregister}, 0, http.StatusBadRequest},
-	{"no such call", APIRequest{}, 0, http.StatusNotFound},
+	{"a deregistration", APIRequest{Call: APIDeregister, ID: presentID}, canChange, http.StatusOK},
+	{"a deregistration of an unknown instance", APIRequest{Call: APIDeregister, ID: "i-unknown"}, canChange, http.StatusOK},
+	{"a repeated deregistration", APIRequest{Call: APIDeregister, ID: removedID}, 0, http.StatusOK},
+	{"a deregistration without an instance ID", APIRequest{Call: APIDeregister}, 0, http.StatusBadRequest},
+	{"an unknown call", APIRequest{}, 0, http.StatusNotFound},
 }
 
 func changeRequest(kind APICall, base, body string) APIRequest {
@@ -251,7 +252,8 @@
 	return APIRequest{Call: APIHeartbeat, ID: id, Body: []byte(body)}
 }
 
-// callDegraded makes a call to a server in a state, with guards omitted, and returns what is wrong with its answer.
+// callDegraded makes a call to a server in a degraded state, with the given guards omitted, and returns what is wrong with the response,
+// or "" if nothing is. state and call are indexes of degradedStates and degradedCalls.
 func callDegraded(t *testing.T, state, call int, omit ...Guard) (problem string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
@@ -264,17 +266,18 @@
 		startedAt := time.Now()
 		reply := s.server.Handle(t.Context(), degradedCalls[call].request)
 		if reply.Status != want {
-			problem = fmt.Sprintf("%d, not %d: %s", reply.Status, want, reply.Body)
+			problem = fmt.Sprintf("got status %d, want %d: %s", reply.Status, want, reply.Body)
 		}
 		if took := time.Since(startedAt); took > smallCallTimeout {
-			problem = fmt.Sprintf("it comes after %v", took)
+			problem = fmt.Sprintf("response took %v, want at most %v", took, smallCallTimeout)
 		}
 	})
 	return problem
 }
 
-// TestServer_Handle_degradedStates makes each call to a server in each state. What depends on the state of the system is rejected by a
-// majority alone, and nothing is acknowledged that is not recorded; where there is no majority, 503 comes in time.
+// TestServer_Handle_degradedStates makes each call to a server in each state. A call whose result depends on replicated state must be
+// rejected only if a majority can decide it, and acknowledged only if it is recorded. Without a majority, the response must be 503,
+// within smallCallTimeout.
 func TestServer_Handle_degradedStates(t *testing.T) {
 	for state := range degradedStates {
 		for call := range degradedCalls {
@@ -287,7 +290,7 @@
 	}
 }
 
-// Each guard is needed: without it some call in some state has another answer.
+// Each guard is needed: without it, some call in some state gets a wrong response.
 func TestServer_Handle_eachGuardIsNeededWhenDegraded(t *testing.T) {
 	for _, guard := range []Guard{GuardReadConfirmed, GuardHeartbeatCurrent, GuardHeartbeatRecorded} {
 		wrongAnswers := 0
@@ -299,13 +302,13 @@
 			}
 		}
 		if wrongAnswers == 0 {
-			t.Errorf("nothing is wrong without %s", guard)
+			t.Errorf("all responses are correct without guard %s, so no test case needs it", guard)
 		}
-		t.Logf("without %s: %d answers of %d are wrong", guard, wrongAnswers, len(degradedStates)*len(degradedCalls))
+		t.Logf("without guard %s, %d of %d responses are wrong", guard, wrongAnswers, len(degradedStates)*len(degradedCalls))
 	}
 }
 
-// An answer that no owner gives is none: it may belong to something else.
+// A response with a status that no owner returns is rejected: it is damaged or comes from another version.
 func TestDecodeShardResponse_rejectsOtherStatuses(t *testing.T) {
 	for _, status := range []int{0, 1, 100, 204, 307, 500, 502, 1000} {
 		encoded, err := encodeShardResponse(shardResponse{Status: status})
@@ -313,7 +316,7 @@
 			t.Fatal(err)
 		}
 		if reply, err := decodeShardResponse(encoded); err == nil {
-			t.Errorf("%+v", reply)
+			t.Errorf("response with status %d was decoded as %+v, want an error", status, reply)
 		}
 	}
 	for _, definitive := range []shardResponse{okResponse(nil), errorResponse(NoOwner), notOwnerResponse(""), {Status: http.StatusPreconditionFailed}} {
@@ -322,10 +325,10 @@
 			t.Fatal(err)
 		}
 		if _, err := decodeShardResponse(encoded); err != nil {
-			t.Errorf("%+v: %v", definitive, err)
+			t.Errorf("decode %+v: %v", definitive, err)
 		}
 		if _, err := decodeShardResponse(encoded[:len(encoded)-1]); err == nil {
-			t.Errorf("%+v is cut short and taken", definitive)
+			t.Errorf("a truncated encoding of %+v was decoded without an error", definitive)
 		}
 	}
 }
--- a/internal/controlplane/server/full_disk_test.go
+++ b/internal/controlplane/server/full_disk_test.go
@@ -14,7 +14,7 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// newIdentityResolver is the start of a seed at the system's first start.
+// newIdentityResolver returns the resolver of a seed at the first start of its cluster.
 func newIdentityResolver(disk *seglogtest.MemoryDisk) *identityResolver {
 	config := bootconfig.Defaults()
 	config.Bootstrap, config.DataDir = true, "data"
@@ -24,7 +24,7 @@
 	return &identityResolver{settings: config, address: seedPeerAddresses(config)[0], environment: environment}
 }
 
-// resolveAfterFreeing fills the disk, begins the start, makes room after a while and returns the ID.
+// resolveAfterFullDisk resolves the member ID while the disk is full, frees space after fullFor, and returns the result.
 func resolveAfterFullDisk(t *testing.T, disk *seglogtest.MemoryDisk, fullFor time.Duration) (self consensus.Member, founders []consensus.Member) {
 	t.Helper()
 	disk.Full = true
@@ -37,7 +37,7 @@
 	time.Sleep(fullFor)
 	synctest.Wait()
 	if len(done) > 0 {
-		t.Fatalf("the start has ended on a full disk: %v", <-done)
+		t.Fatalf("resolving the member ID ended with %v while the disk was full, want it to retry", <-done)
 	}
 	disk.Full = false
 	if err := <-done; err != nil {
@@ -46,27 +46,28 @@
 	return self, founders
 }
 
-// TestIdentityResolver_ResolveWithRetry_fullDiskWaits has a process whose disk takes no member ID wait instead of ending.
+// TestIdentityResolver_ResolveWithRetry_fullDiskWaits checks that a server waits, instead of exiting, while its disk is too full to store a
+// member ID.
 func TestIdentityResolver_ResolveWithRetry_fullDiskWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := seglogtest.NewMemoryDisk()
 		self, founders := resolveAfterFullDisk(t, disk, 10*time.Second)
 		if self.ID != memberID(self.Address, founderNonce) || len(founders) != 3 {
-			t.Fatal(self, founders)
+			t.Fatalf("got member %+v and founders %v, want the founder ID of its address and 3 founders", self, founders)
 		}
 	})
 }
 
-// TestIdentityResolver_ResolveWithRetry_lostDiskStaysLostWhileFull has the replicas of a lost disk removed at a try that cannot store a new ID: the
-// ID of a later try founds nothing all the same.
+// TestIdentityResolver_ResolveWithRetry_lostDiskStaysLostWhileFull covers an attempt that removes the replicas of a lost disk but cannot
+// store a new ID: the ID that a later attempt stores must still not bootstrap groups.
 func TestIdentityResolver_ResolveWithRetry_lostDiskStaysLostWhileFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := seglogtest.NewMemoryDisk()
 		disk.WriteFile(filepath.Join("data", "member"), []byte("?"))
-		disk.WriteFile(filepath.Join("data", "shard-1", "segment"), []byte("promises"))
+		disk.WriteFile(filepath.Join("data", "shard-1", "segment"), []byte("votes"))
 		self, founders := resolveAfterFullDisk(t, disk, 3*time.Second)
 		if self.ID == memberID(self.Address, founderNonce) || founders != nil {
-			t.Fatalf("member %+v founds %v", self, founders)
+			t.Fatalf("got member %+v and founders %v, want another member ID and no founders", self, founders)
 		}
 	})
 }
--- a/internal/controlplane/server/graceful_shutdown_test.go
+++ b/internal/controlplane/server/graceful_shutdown_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// leaveRecordingNetwork accepts and records leave calls.
+// leaveRecordingNetwork accepts leave calls and records the addresses called.
 type leaveRecordingNetwork struct {
 	scriptedNetwork
 	leaveCalls []string
@@ -24,6 +24,7 @@
 	return codec.Marshal(groupsSchema, []groupState{})
 }
 
+// The new leader of a group becomes known only after leaderDiscoveryTimeout. The vote must still be released to it, soon after that.
 func TestServer_ReleaseVotes_waitsForNewLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const electionDelay = leaderDiscoveryTimeout + 200*time.Millisecond
@@ -39,7 +40,7 @@
 		startedAt := time.Now()
 		s.releaseVotes(ctx)
 		if len(network.leaveCalls) != 1 || network.leaveCalls[0] != "b" || time.Since(startedAt) > electionDelay+10*releasePollInterval {
-			t.Fatalf("asked %v within %s", network.leaveCalls, time.Since(startedAt))
+			t.Fatalf("got leave calls to %v after %s, want one to b shortly after %s", network.leaveCalls, time.Since(startedAt), electionDelay)
 		}
 	})
 }
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -19,7 +19,7 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// foundingNonce is the nonce of the members that bootstrap the groups, so that each of them can derive the IDs of all from their
+// founderNonce is the nonce of the members that bootstrap the groups, so that each of them can derive the IDs of all from their
 // addresses.
 const founderNonce = 0
 
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -10,13 +10,13 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// The join requests of the tests concern one shard and come from one address.
+// The join requests in tests concern one shard and come from one address.
 const (
 	joinedShard    = shards.ID(1)
 	joiningAddress = "k3"
 )
 
-// sendJoinRequest has a server receive the join request of a member.
+// sendJoinRequest delivers the join request of a member to a server.
 func sendJoinRequest(t *testing.T, s *Server, id consensus.MemberID) {
 	t.Helper()
 	body, err := codec.Marshal(groupsSchema, []groupState{{Shard: int(joinedShard), Current: true, Writable: true}})
@@ -36,12 +36,12 @@
 	}
 	identity, err := decodeIdentity(body)
 	if err != nil || identity.ID != s.self.ID || identity.ShuttingDown || identity.Age < 0 {
-		t.Fatalf("%+v, %v", identity, err)
+		t.Fatalf("got identity %+v (error %v), want member %d, not shutting down", identity, err, s.self.ID)
 	}
 }
 
-// TestServer_NeedsToJoin_withoutContactAfterAStart has a server that was a voter when it went down: a group may have replaced it
-// since, which nobody tells it, so it asks soon, and no longer once it has heard from a majority.
+// TestServer_NeedsToJoin_withoutContactAfterAStart covers a server that was a voter when it went down. A group may have replaced it since
+// without telling it, so it must ask to join soon after its start, until it has had contact with a majority.
 func TestServer_NeedsToJoin_withoutContactAfterAStart(t *testing.T) {
 	s, groups, _ := newScriptedServer(t)
 	setConfirmedAge := func(confirmed time.Duration) {
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, c := range []struct {
-		running, confirmed time.Duration
+		running, confirmed time.Duration // uptime, age of the last contact with a majority
 		want               bool
 	}{
 		{0, replica.NeverConfirmed, false},
@@ -61,10 +61,11 @@
 		{contactLostAfter + 1, 0, false},
 	} {
 		if setConfirmedAge(c.confirmed); s.needsToJoin(c.running) != c.want {
-			t.Errorf("running for %v, confirmed %v ago: %v", c.running, c.confirmed, !c.want)
+			t.Errorf("uptime %v, last contact with a majority %v ago: needsToJoin is %v, want %v", c.running, c.confirmed, !c.want, c.want)
 		}
 	}
 	if joinCheckInterval(0) >= joinCheckInterval(contactLostAfter) {
-		t.Error("a server that has just started looks no more often than later")
+		t.Errorf("got join check intervals %v at startup and %v later, want a shorter one at startup",
+			joinCheckInterval(0), joinCheckInterval(contactLostAfter))
 	}
 }
--- a/internal/controlplane/server/leadership_balance_test.go
+++ b/internal/controlplane/server/leadership_balance_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// transferrableGroup is a scripted group that can hand leadership to a chosen voter.
+// transferrableGroup is a scripted group that can transfer leadership to a chosen voter.
 type transferrableGroup struct {
 	scriptedGroup
 	transfers []consensus.MemberID
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// groupStatesNetwork answers which shards a server can own.
+// groupStatesNetwork answers calls for the group states of a server.
 type groupStatesNetwork struct {
 	scriptedNetwork
 	states []groupState
@@ -42,7 +42,7 @@
 	network := &groupStatesNetwork{}
 	s.peers.network = network
 
-	// Choose an address that the hash prefers to this server's.
+	// Find an address with a higher rendezvous hash than this server's.
 	status := leaderStatus()
 	status.Members = []consensus.Member{{ID: s.self.ID, Address: s.self.Address, Voter: true}}
 	other := consensus.Member{ID: 2, Voter: true}
@@ -54,7 +54,7 @@
 		}
 	}
 	if preferred, _ := preferredOwner(id, status.Members); preferred.ID != other.ID {
-		t.Fatal("no address is preferred")
+		t.Fatal("no candidate address is preferred to that of this server")
 	}
 	start := time.Now()
 	balanceAt := func(after time.Duration, current bool) {
@@ -63,20 +63,20 @@
 	}
 	balanceAt(0, true)
 	balanceAt(preferredOwnerStableFor-1, true)
-	balanceAt(preferredOwnerStableFor, false) // not stable: the time starts over
+	balanceAt(preferredOwnerStableFor, false) // not current: the stable time starts over
 	balanceAt(preferredOwnerStableFor+1, true)
 	balanceAt(2*preferredOwnerStableFor, true)
 	if len(group.transfers) != 0 {
-		t.Fatalf("moved to %v too early", group.transfers)
+		t.Fatalf("leadership transferred to %v before the preferred owner was ready for %v", group.transfers, preferredOwnerStableFor)
 	}
 	balanceAt(2*preferredOwnerStableFor+1, true)
-	balanceAt(2*preferredOwnerStableFor+minLeaderTransferInterval, true) // too soon after the last move
+	balanceAt(2*preferredOwnerStableFor+minLeaderTransferInterval, true) // too soon after the last transfer
 	if len(group.transfers) != 1 || group.transfers[0] != other.ID {
-		t.Fatalf("moved to %v", group.transfers)
+		t.Fatalf("got transfers to %v, want one to member %d", group.transfers, other.ID)
 	}
 	balanceAt(2*preferredOwnerStableFor+1+minLeaderTransferInterval, true)
 	if len(group.transfers) != 2 {
-		t.Fatalf("moved %d times", len(group.transfers))
+		t.Fatalf("got %d transfers, want 2 after another minLeaderTransferInterval", len(group.transfers))
 	}
 }
 
@@ -87,12 +87,12 @@
 	groups[id].set(followerStatus("b"))
 	s.maintainShard(t.Context(), s.shards[id])
 	if !s.shards[id].preferredReadySince.IsZero() {
-		t.Fatal("a follower still tracks how long the preferred owner is ready")
+		t.Fatal("a follower still tracks since when the preferred owner is ready")
 	}
 }
 
 func TestPreferredOwner_ignoresLearners(t *testing.T) {
 	if _, found := preferredOwner(1, []consensus.Member{{ID: 1, Address: "a"}}); found {
-		t.Fatal("a learner is preferred")
+		t.Fatal("a learner is the preferred owner")
 	}
 }
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -12,17 +12,17 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// storedMember returns the member ID of a data directory.
+// loadMemberID returns the member ID that is stored in a data directory.
 func loadMemberID(t *testing.T, directory string) consensus.MemberID {
 	t.Helper()
 	id, created, err := seglog.LoadOrCreateMemberID(nil, directory, func() consensus.MemberID { return 1 })
 	if err != nil || created {
-		t.Fatal(created, err)
+		t.Fatalf("load the member ID of %s: created %v, error %v; want a stored one", directory, created, err)
 	}
 	return id
 }
 
-// resolveIdentity returns a disk's member, and the founders if this server bootstraps the groups.
+// resolveIdentity resolves the member of a data directory, and the founders if the server bootstraps the groups.
 func resolveIdentity(settings bootconfig.Settings, address string) (consensus.Member, []consensus.Member, error) {
 	resolver := identityResolver{settings: settings, address: address, environment: Environment{}.withDefaults()}
 	return resolver.resolve()
@@ -36,22 +36,24 @@
 	address := seedPeerAddresses(config)[0]
 	before, founders, err := resolveIdentity(config, address)
 	if err != nil || len(founders) != 3 {
-		t.Fatal(before, founders, err)
+		t.Fatalf("first start: got member %+v, founders %v, error %v; want 3 founders", before, founders, err)
 	}
 	if again, founders, err := resolveIdentity(config, address); err != nil || again != before || len(founders) != 3 {
-		t.Fatal(again, founders, err)
+		t.Fatalf("second start: got member %+v, founders %v, error %v; want member %+v and 3 founders", again, founders, err, before)
 	}
 	if err := os.WriteFile(filepath.Join(config.DataDir, "member"), []byte("?"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	after, founders, err := resolveIdentity(config, address)
 	if err != nil || after.ID == before.ID || founders != nil {
-		t.Fatalf("member %d after %d, founders %v, %v", after.ID, before.ID, founders, err)
+		t.Fatalf("start with a damaged member ID: got member %d, founders %v, error %v; want another member than %d and no founders",
+			after.ID, founders, err, before.ID)
 	}
 }
 
-// TestIdentityResolver_Resolve_orphansCountAsLostDisk loses the member ID of a founder's disk, but not its replicas, which hold votes and
-// entries. It comes back as another member and founds nothing; without the guard it founds the groups again, under the ID that has voted.
+// TestIdentityResolver_Resolve_orphansCountAsLostDisk removes the member ID from a founder's disk but keeps its replicas, which hold votes
+// and entries. The server must return as another member and bootstrap nothing. Without the guard it bootstraps the groups again, under
+// the ID that has already voted.
 func TestIdentityResolver_Resolve_orphansCountAsLostDisk(t *testing.T) {
 	for _, omit := range [][]Guard{nil, {GuardOrphans}} {
 		config := bootconfig.Defaults()
@@ -79,7 +81,7 @@
 			t.Fatal(err)
 		}
 		if bootstraps := founders != nil; bootstraps != (omit != nil) || (after.ID == before.ID) != (omit != nil) {
-			t.Errorf("without %v: member %d after %d, founds again %v", omit, after.ID, before.ID, bootstraps)
+			t.Errorf("with guards %v omitted: got member %d after %d, bootstraps again: %v", omit, after.ID, before.ID, bootstraps)
 		}
 	}
 }
@@ -96,12 +98,12 @@
 	c.processes[2].config.Bootstrap = false
 	c.start(2)
 	for i := range 3 {
-		c.await("repair", func() bool { return c.isConverged(i, 3) })
+		c.await("rejoin after a damaged replica", func() bool { return c.isConverged(i, 3) })
 	}
 	if after := loadMemberID(t, directory); after == before {
-		t.Fatal("the member that lost a replica came back under its old ID")
+		t.Fatalf("the server with a damaged replica returned under its old member ID %d", before)
 	}
-	c.terminate(0) // the new member counts
+	c.terminate(0) // the majority now needs the new member
 	status, content = c.doUntilDefinitive(2, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
 	c.requireStatus(http.StatusOK, status, content)
 }
@@ -128,5 +130,5 @@
 		}
 		return
 	}
-	t.Fatal("no snapshot")
+	t.Fatalf("found no snapshot in %s", directory)
 }
--- a/internal/controlplane/server/majority_contact_test.go
+++ b/internal/controlplane/server/majority_contact_test.go
@@ -11,8 +11,8 @@
 	"ospreybend/coord/replica"
 )
 
-// TestServer_MaintainShard_logsMajorityContact has a replica lose its majority and regain it: each is logged once. A replica that never
-// had contact, and one that has a new term, are not reported.
+// TestServer_MaintainShard_logsMajorityContact has a replica lose and regain contact with a majority; each must be logged once. A replica
+// that never had contact, and a new term without contact yet, must not be logged.
 func TestServer_MaintainShard_logsMajorityContact(t *testing.T) {
 	s, groups, _ := newScriptedServer(t)
 	core, logs := observer.New(zap.InfoLevel)
@@ -22,7 +22,7 @@
 	s.environment.Now = func() time.Time { return now }
 	shard, group := s.shards[0], groups[0]
 	for _, observation := range []struct{ at, age time.Duration }{
-		{0, replica.NeverConfirmed}, {1 * time.Second, 100 * time.Millisecond}, {2 * time.Second, replica.NeverConfirmed}, // an election
+		{0, replica.NeverConfirmed}, {1 * time.Second, 100 * time.Millisecond}, {2 * time.Second, replica.NeverConfirmed}, // new term after an election
 		{2200 * time.Millisecond, 0}, {4 * time.Second, 1800 * time.Millisecond}, {5 * time.Second, replica.NeverConfirmed},
 		{9 * time.Second, replica.NeverConfirmed}, {10 * time.Second, 200 * time.Millisecond}, {11 * time.Second, 0},
 	} {
@@ -32,16 +32,16 @@
 	}
 	lost := logs.FilterMessage("replica lost contact with a majority of its group").All()
 	if len(lost) != 1 || lost[0].Level != zap.WarnLevel || lost[0].ContextMap()["age"] != 1800*time.Millisecond {
-		t.Errorf("lost: %v", lost)
+		t.Errorf("got messages of lost contact %v, want one warning with age 1.8s", lost)
 	}
 	regained := logs.FilterMessage("replica regained contact with a majority of its group").All()
 	if len(regained) != 1 || regained[0].ContextMap()["outage"] != 7600*time.Millisecond {
-		t.Errorf("regained: %v", regained)
+		t.Errorf("got messages of regained contact %v, want one with outage 7.6s", regained)
 	}
 }
 
-// TestServer_SinceHeard_countsMessagesOfTheGroup hears a member in one group alone: in another group, whose replica has stopped, the
-// member counts as silent and is replaced by a learner that can take its place.
+// TestServer_SinceHeard_countsMessagesOfTheGroup has a member send messages in one group only. In another group, where its replica has
+// stopped, it must count as unresponsive and be replaced by a promotable learner.
 func TestServer_SinceHeard_countsMessagesOfTheGroup(t *testing.T) {
 	s, _, _ := newScriptedServer(t)
 	const silent = consensus.MemberID(3)
@@ -65,9 +65,9 @@
 		}
 	}
 	if replaced(s.shards[1]) {
-		t.Error("replaced in the group in which it is heard")
+		t.Error("the member is replaced in the group in which it sends messages")
 	}
 	if !replaced(s.shards[2]) {
-		t.Error("not replaced in the group in which its replica is silent")
+		t.Error("the member is not replaced in the group in which its replica has stopped")
 	}
 }
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -11,7 +11,7 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// changingGroup is a group that this server leads and that makes each membership change at once.
+// changingGroup is a group that this server leads and that applies each membership change immediately.
 type changingGroup struct {
 	scriptedGroup
 	promotable []consensus.MemberID
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// hearMembers has all members of a changing group, and those that it adds, be heard in the group for as long as the test runs.
+// hearMembers makes all members of a changing group, and those added later, count as responsive for the whole test.
 func hearMembers(s *Server, shard *shard, group *changingGroup) {
 	later := s.environment.Now().Add(time.Hour)
 	for _, member := range group.status.Members {
@@ -52,7 +52,7 @@
 	group.onAdd = func(id consensus.MemberID) { shard.recordHeard(id, later) }
 }
 
-// laggingGroup is a changingGroup whose learner holds a change only after some questions.
+// laggingGroup is a changingGroup whose learners become promotable only after lag queries following each change.
 type laggingGroup struct {
 	*changingGroup
 	queries, lag int
@@ -71,7 +71,7 @@
 	return g.changingGroup.ChangeMembers(ctx, change)
 }
 
-// identityNetwork answers which member runs at an address.
+// identityNetwork answers identity calls; addresses without an identity cannot be reached.
 type identityNetwork struct {
 	scriptedNetwork
 	identities map[string]identityReply
@@ -88,17 +88,18 @@
 	return encodeIdentity(identity)
 }
 
-// waitForReconcile waits until no change of members is under way.
+// waitForReconcile waits until the reconcile of a shard has ended.
 func waitForReconcile(t *testing.T, s *Server, shard *shard) {
 	t.Helper()
 	s.lifecycle.background.Wait()
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	if shard.reconciling {
-		t.Fatal("still reconciling")
+		t.Fatalf("shard %d is still reconciling after all background goroutines have ended", shard.id)
 	}
 }
 
+// A delayed join request of a former member must not remove the member that now runs at its address. Without the identity check it does.
 func TestServer_ReceiveJoin_lateRequestOfFormerMemberRemovesNobody(t *testing.T) {
 	const id, former, living = joinedShard, consensus.MemberID(30), consensus.MemberID(31)
 	for _, omit := range [][]Guard{nil, {GuardIdentityAsked}} {
@@ -112,10 +113,10 @@
 		waitForReconcile(t, s, s.shards[id])
 		removed := len(group.changes) > 0
 		if removed != (omit != nil) {
-			t.Fatalf("without %v: the living member is removed: %v", omit, removed)
+			t.Fatalf("with guards %v omitted: running member is removed: got %v, want %v", omit, removed, omit != nil)
 		}
 		if _, found := nextMembershipChange(s.observeGroup(s.shards[id], group.Status())); found && omit == nil {
-			t.Fatal("the late request is still believed")
+			t.Fatal("the delayed request is kept although it was not confirmed")
 		}
 	}
 }
@@ -134,10 +135,10 @@
 			t.Fatalf("got %s, want %s", formatChange(got), formatChange(want))
 		}
 	}
-	sendJoinRequest(t, s, former) // late
+	sendJoinRequest(t, s, former) // delayed
 	waitForReconcile(t, s, s.shards[id])
 	if len(group.changes) > 0 {
-		t.Fatalf("a retired member came back: %s", formatChange(<-group.changes))
+		t.Fatalf("unexpected change after the request of a retired member: %s", formatChange(<-group.changes))
 	}
 }
 
@@ -152,16 +153,18 @@
 	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if len(group.changes) > 0 {
-		t.Fatalf("it is taken in: %s", formatChange(<-group.changes))
+		t.Fatalf("unexpected change for a server that is shutting down: %s", formatChange(<-group.changes))
 	}
 	network.identities["k3"] = identityReply{ID: 3}
 	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if got := <-group.changes; got.Add == nil || got.Add.ID != 3 || got.Add.Voter {
-		t.Fatalf("got %s", formatChange(got))
+		t.Fatalf("got %s, want member 3 added as a learner", formatChange(got))
 	}
 }
 
+// After a voter with a lost disk is removed, a learner is promoted in the same reconcile, although learners are not promotable until they
+// have acknowledged the preceding change.
 func TestServer_Reconcile_vacancyOfLostVoterIsFilledAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const id = joinedShard
@@ -176,13 +179,13 @@
 		sendJoinRequest(t, s, 31) // member 3 has lost its disk
 		waitForReconcile(t, s, s.shards[id])
 		if took := time.Since(startedAt); took > vacancyFillTimeout {
-			t.Fatalf("taken after %s", took)
+			t.Fatalf("reconcile took %s, want at most %s", took, vacancyFillTimeout)
 		}
 		for _, want := range []replica.MembershipChange{
 			{Remove: 3, Retire: true}, {Add: &consensus.Member{ID: 31, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}},
 		} {
 			if len(group.changes) == 0 {
-				t.Fatalf("no change: %s is still to come", formatChange(want))
+				t.Fatalf("got no further change, want %s", formatChange(want))
 			}
 			if got := <-group.changes; !sameChange(got, want) {
 				t.Fatalf("got %s, want %s", formatChange(got), formatChange(want))
--- a/internal/controlplane/server/membership_model_exhaustive_test.go
+++ b/internal/controlplane/server/membership_model_exhaustive_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// predecessor is how a state was first reached.
+// predecessor records how a state was first reached.
 type predecessor struct {
 	from modelState
 	step string
 }
 
-// explore plays all schedules, and returns the number of states and the first violation with the path to it.
+// explore visits all reachable states breadth-first. It returns their number and the first violation with the steps that lead to it.
 func (m membershipModel) explore() (states int, violation string) {
 	start := m.initialState()
 	reached := map[modelState]predecessor{start: {}}
@@ -38,7 +38,7 @@
 	return len(reached), ""
 }
 
-// check looks at a state by itself, and, where nothing more happens by itself, at what it has come to.
+// check returns the violation in a state, if any. Convergence is checked only if no fault-free step remains.
 func (m membershipModel) check(state modelState) string {
 	if violation := m.checkLossTolerance(state); violation != "" {
 		return violation + " " + state.describe()
@@ -51,6 +51,7 @@
 	return ""
 }
 
+// pathTo returns the names of the steps from start to state, one per line.
 func pathTo(reached map[modelState]predecessor, start, state modelState) string {
 	var names []string
 	for state != start {
@@ -84,7 +85,7 @@
 	}
 }
 
-// walk plays one random schedule.
+// randomWalk takes up to length random steps and then checks that the group converges without further faults.
 func (m membershipModel) randomWalk(random *rand.Rand, length int) (violation string) {
 	state, names := m.initialState(), []string{}
 	for range length {
@@ -108,7 +109,7 @@
 	return m.convergesFrom(state)
 }
 
-// convergesFrom plays on without faults, and expects an end.
+// convergesFrom takes fault-free steps until none remains. It returns a violation if there is no end.
 func (m membershipModel) convergesFrom(state modelState) (violation string) {
 	const maxSteps = 60
 	for range maxSteps {
@@ -118,7 +119,7 @@
 		}
 		state = next[0].after
 	}
-	return "changes without end " + state.describe()
+	return fmt.Sprintf("no convergence within %d fault-free steps: %s", maxSteps, state.describe())
 }
 
 func TestNextMembershipChange_randomSchedulesKeepMajority(t *testing.T) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// TestNextMembershipChange_eachGuardIsNeeded omits one guard at a time: some schedule must then violate a rule.
+// TestNextMembershipChange_eachGuardIsNeeded omits one guard at a time; some schedule must then end in a violation.
 func TestNextMembershipChange_eachGuardIsNeeded(t *testing.T) {
 	base := membershipModel{founders: 3, spares: 1, tolerated: 1, faults: 2, replacementSpares: true, restoreOldDisks: true}
 	wide := membershipModel{founders: 3, spares: 1, tolerated: 2, faults: 2, replacementSpares: true}
@@ -148,14 +149,14 @@
 		weakened.omit = []Guard{guard}
 		states, violation := weakened.explore()
 		if violation == "" {
-			t.Errorf("without %s nothing goes wrong in %d states", guard, states)
+			t.Errorf("without guard %s: found no violation in %d states, want one", guard, states)
 			continue
 		}
-		t.Logf("without %s, after %d states: %s", guard, states, violation)
+		t.Logf("without guard %s: violation after %d states: %s", guard, states, violation)
 	}
 	weakened := base
 	weakened.readdRetired, weakened.omit = true, []Guard{GuardReplacedRetired}
 	if _, violation := weakened.explore(); violation == "" {
-		t.Error("without the core's memory nothing goes wrong")
+		t.Errorf("without guard %s and with retired members added again: found no violation, want one", GuardReplacedRetired)
 	}
 }
--- a/internal/controlplane/server/membership_model_steps_test.go
+++ b/internal/controlplane/server/membership_model_steps_test.go
@@ -6,7 +6,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// lateRequests are the former members whose join requests may still be in flight.
+// delayedRequestSenders returns the former members whose join requests may still be in flight.
 func (s *modelState) delayedRequestSenders() []consensus.MemberID {
 	var found []consensus.MemberID
 	for machine, target := range s.machines {
@@ -17,7 +17,8 @@
 	return found
 }
 
-// faultFreeSteps returns what happens without faults or late requests: the next election, change or catching up.
+// faultFreeSteps returns the steps possible without faults or delayed requests: elections, the next membership change, and learners that
+// catch up or become stable.
 func (m membershipModel) faultFreeSteps(state modelState) (next []modelStep) {
 	if !state.hasLeader() {
 		return state.elections()
@@ -34,7 +35,7 @@
 		if state.canPromote(machine, disk) && !state.machines[machine].stable {
 			after := state
 			after.machines[machine].stable = true
-			next = append(next, modelStep{name: fmt.Sprintf("%d has been ready for some time", modelID(machine, disk)), after: after})
+			next = append(next, modelStep{name: fmt.Sprintf("%d has been promotable for stableAfter", modelID(machine, disk)), after: after})
 		}
 	})
 	return next
@@ -49,20 +50,20 @@
 		if role == roleVoter && s.isRunning(machine, disk) && !s.machines[machine].leaving {
 			after := s
 			after.leader = int8(machine)
-			next = append(next, modelStep{name: fmt.Sprintf("%d leads", modelID(machine, disk)), after: after})
+			next = append(next, modelStep{name: fmt.Sprintf("%d becomes leader", modelID(machine, disk)), after: after})
 		}
 	})
 	return next
 }
 
-// steps returns all that may happen in a state.
+// steps returns all steps that are possible in a state.
 func (m membershipModel) steps(state modelState) []modelStep {
 	next := m.faultFreeSteps(state)
 	quiescent := len(next) == 0
 	if state.hasLeader() {
 		for _, sender := range state.delayedRequestSenders() {
 			if made, found := m.decide(state, sender); found {
-				made.name = fmt.Sprintf("late request of %d, %s", sender, made.name)
+				made.name = fmt.Sprintf("delayed request of %d, %s", sender, made.name)
 				next = append(next, made)
 			}
 		}
@@ -73,7 +74,7 @@
 	return next
 }
 
-// machineEvents returns the events that may happen to one machine.
+// machineEvents returns the possible events of one machine. quiescent reports that no fault-free step is possible.
 func (m membershipModel) machineEvents(state modelState, machine int, quiescent bool) (next []modelStep) {
 	addEvent := func(name string, change func(target *modelMachine, after *modelState)) {
 		after := state
@@ -82,30 +83,30 @@
 	}
 	target := state.machines[machine]
 	if !target.exists {
-		addEvent("is added", func(target *modelMachine, _ *modelState) {
+		addEvent("is started for the first time", func(target *modelMachine, _ *modelState) {
 			target.exists, target.up, target.replacement = true, true, state.lostMachines() > 0
 		})
 		return next
 	}
 	if !target.up && !target.timedOut {
-		addEvent("is silent", func(target *modelMachine, _ *modelState) { target.timedOut = true })
+		addEvent("times out", func(target *modelMachine, _ *modelState) { target.timedOut = true })
 	}
 	if !target.up && !target.destroyed {
-		addEvent("is back", func(target *modelMachine, _ *modelState) { target.up, target.timedOut = true, false })
+		addEvent("returns", func(target *modelMachine, _ *modelState) { target.up, target.timedOut = true, false })
 	}
 	if target.up && target.leaving {
-		addEvent("ends", func(target *modelMachine, _ *modelState) {
+		addEvent("has shut down", func(target *modelMachine, _ *modelState) {
 			target.up, target.leaving, target.stable = false, false, false
 		})
 	}
 	if target.lost && quiescent && m.recovered(&state, machine) {
-		addEvent("counts as lost no more", func(target *modelMachine, after *modelState) {
+		addEvent("no longer counts as lost", func(target *modelMachine, after *modelState) {
 			target.lost = false
 			after.clearReplacement()
 		})
 	}
-	if m.restoreOldDisks && !target.up && !target.destroyed && target.disk > 0 && state.retiredOrNone(machine) {
-		addEvent("gets an old disk back", func(target *modelMachine, _ *modelState) { target.disk--; target.up, target.timedOut = true, false })
+	if m.restoreOldDisks && !target.up && !target.destroyed && target.disk > 0 && state.previousDiskIsNotMember(machine) {
+		addEvent("gets an old copy of its disk", func(target *modelMachine, _ *modelState) { target.disk--; target.up, target.timedOut = true, false })
 	}
 	if state.faults > 0 && (target.lost || state.lostMachines() < m.toleratedLosses()) {
 		next = append(next, m.faultsAt(state, machine)...)
@@ -113,8 +114,8 @@
 	return next
 }
 
-// clearFresh is called when a machine no longer counts as lost. New machines that came to replace lost ones are part of those
-// losses; one of them, and as many as exceed the remaining losses, now count as machines of their own.
+// clearReplacement is called when a machine no longer counts as lost. Machines started to replace lost ones are part of those losses. At
+// least one of them, and as many as exceed the remaining losses, now count as separate machines; voters first.
 func (s *modelState) clearReplacement() {
 	surplus := -s.lostMachines()
 	for _, machine := range s.machines {
@@ -134,12 +135,12 @@
 	}
 }
 
-// retiredOrNone reports whether the previous disk was replaced or never belonged to a member.
-func (s *modelState) retiredOrNone(machine int) bool {
+// previousDiskIsNotMember reports whether the previous disk of a machine is not a member of the group at present.
+func (s *modelState) previousDiskIsNotMember(machine int) bool {
 	return s.roles[machine][s.machines[machine].disk-1] == roleNone
 }
 
-// recovered reports whether a machine is back, or another has its vote.
+// recovered reports whether a lost machine has returned or, if it was destroyed, another has taken its vote.
 func (m membershipModel) recovered(s *modelState, machine int) bool {
 	for disk, role := range s.roles[machine] {
 		if role == roleVoter && !s.isRunning(machine, disk) {
@@ -152,7 +153,7 @@
 	return back || (target.destroyed && running >= min(m.desiredVoters(), m.founders))
 }
 
-// faultsAt returns the faults that may strike a machine.
+// faultsAt returns the faults that may occur on a machine.
 func (m membershipModel) faultsAt(state modelState, machine int) (next []modelStep) {
 	addFault := func(name string, change func(target *modelMachine)) {
 		after := state
@@ -164,16 +165,16 @@
 	}
 	target := state.machines[machine]
 	if target.up {
-		addFault("is down", func(target *modelMachine) { target.up, target.leaving = false, false })
+		addFault("goes down", func(target *modelMachine) { target.up, target.leaving = false, false })
 	}
 	if target.up && !target.leaving {
-		addFault("gets a SIGTERM", func(target *modelMachine) { target.leaving = true })
+		addFault("receives a SIGTERM", func(target *modelMachine) { target.leaving = true })
 	}
 	if !target.destroyed && int(target.disk)+1 < modelDisks {
 		addFault("loses its disk", func(target *modelMachine) { target.up, target.leaving = false, false; target.disk++ })
 	}
 	if !target.destroyed {
-		addFault("is gone", func(target *modelMachine) { target.up, target.leaving, target.destroyed = false, false, true })
+		addFault("is destroyed", func(target *modelMachine) { target.up, target.leaving, target.destroyed = false, false, true })
 	}
 	return next
 }
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -9,13 +9,13 @@
 	"ospreybend/coord/replica"
 )
 
-// Bounds of the model: machines, and disks that one machine may have had.
+// Limits of the model: machines, and disks per machine, including lost ones.
 const (
 	modelMachines = 12
 	modelDisks    = 3
 )
 
-// modelRole is what a member is in the model's group.
+// modelRole is the role of a member in the modeled group.
 type modelRole uint8
 
 const (
@@ -24,51 +24,52 @@
 	roleVoter
 )
 
-// modelMachine is one machine of the core. Its disk is numbered: one that is lost is followed by an empty one.
+// modelMachine is one machine that may run a server. Its disks are numbered; a lost disk is followed by an empty one.
 type modelMachine struct {
-	exists      bool // it was started at some time
-	up          bool // its process runs and is reached
-	destroyed   bool // it never comes back
-	timedOut    bool // it is down for so long that its time-out has passed
-	leaving     bool // its graceful shutdown has begun
-	stable      bool // its member has been ready to be a voter for some time
-	lost        bool // it counts as lost
-	replacement bool // it was started to replace a lost machine: part of that loss until it has the vote
-	disk        uint8
+	exists      bool  // it has been started at some time
+	up          bool  // its process runs and can be reached
+	destroyed   bool  // it never returns
+	timedOut    bool  // it has been down for longer than its timeout
+	leaving     bool  // its graceful shutdown has begun
+	stable      bool  // its member has been promotable for stableAfter
+	lost        bool  // it counts as lost
+	replacement bool  // it was started to replace a lost machine and counts as part of that loss, see clearReplacement
+	disk        uint8 // number of the current disk
 }
 
-// modelState is a group and its machines between two steps. A member is a machine with one of its disks.
+// modelState is the state of a group and its machines between two steps. A member is identified by a machine and one of its disks.
 type modelState struct {
 	machines [modelMachines]modelMachine
 	roles    [modelMachines][modelDisks]modelRole
-	durable  [modelMachines][modelDisks]bool // it holds all that is committed
+	durable  [modelMachines][modelDisks]bool // it has acknowledged all committed entries
 	retired  [modelMachines][modelDisks]bool // its ID is retired in the group
-	replaced [modelMachines][modelDisks]bool // it was removed for another member at its address, retired or not
+	replaced [modelMachines][modelDisks]bool // it was removed in favor of another member at its address, whether or not its ID was retired
 	leader   int8                            // machine; -1: none
-	faults   int8                            // that may still strike
+	faults   int8                            // faults that may still occur
 }
 
-// model is the game: what may happen in which state, and what must never.
+// membershipModel defines the possible steps in each state and the conditions that must never be violated. It is used to check
+// nextMembershipChange against all schedules of small groups.
 type membershipModel struct {
 	founders, spares  int
-	tolerated         int
-	faults            int
-	replacementSpares bool // spares are started to replace a voter that leaves
-	restoreOldDisks   bool // an old copy of a disk may be put back
+	tolerated         int  // losses tolerated according to the settings
+	faults            int  // faults that may occur in one schedule
+	replacementSpares bool // spares are started to replace a leaving voter
+	restoreOldDisks   bool // an old copy of a disk may be restored
 	omit              []Guard
-	readdRetired      bool // the group's core takes retired members back
+	readdRetired      bool // the group adds retired members again
 }
 
-// modelStep is a step and the state after it.
+// modelStep is a step with the state after it.
 type modelStep struct {
 	name      string
 	after     modelState
-	violation string // what must not happen did
+	violation string // condition that the step violates; empty if none
 }
 
 func (m membershipModel) desiredVoters() int { return 2*m.tolerated + 1 }
 
-// toleratedLosses is how many machines may be lost at once: fewer than the settings tolerate if there are too few machines.
+// toleratedLosses returns how many machines may be lost at the same time: fewer than the settings tolerate if there are too few founders.
 func (m membershipModel) toleratedLosses() int { return (min(m.desiredVoters(), m.founders) - 1) / 2 }
 
 func (m membershipModel) initialState() modelState {
@@ -90,12 +91,12 @@
 
 func modelAddress(machine int) string { return fmt.Sprintf("k%02d", machine) }
 
-// isRunning reports whether a member's process runs.
+// isRunning reports whether a member's process runs, with the disk of that member.
 func (s *modelState) isRunning(machine, disk int) bool {
 	return s.machines[machine].up && int(s.machines[machine].disk) == disk
 }
 
-// each calls a function for each member.
+// forEachMember calls a function for each member of the group.
 func (s *modelState) forEachMember(function func(machine, disk int, role modelRole)) {
 	for machine := range s.roles {
 		for disk, role := range s.roles[machine] {
@@ -106,7 +107,7 @@
 	}
 }
 
-// count counts the voters, those that live, and those that live on machines that do not count as lost.
+// countVoters counts the voters, those that are running, and those that are running on machines that are not part of a loss.
 func (s *modelState) countVoters() (voters, running, unaffected int) {
 	s.forEachMember(func(machine, disk int, role modelRole) {
 		if role != roleVoter {
@@ -133,7 +134,7 @@
 	return count
 }
 
-// led reports whether there is a leader that a majority follows.
+// hasLeader reports whether there is a leader that a majority follows.
 func (s *modelState) hasLeader() bool {
 	if s.leader < 0 {
 		return false
@@ -143,8 +144,8 @@
 	return s.isRunning(int(s.leader), disk) && s.roles[s.leader][disk] == roleVoter && running > voters/2
 }
 
-// observe is what the leader knows. Candidates are all processes that are no voters; late puts a request of a former
-// member in place of the one from its address.
+// observe returns what the leader knows. All running servers that are not voters and not shutting down send join requests; if delayed is
+// not 0, a request of that former member replaces the one from its address.
 func (m membershipModel) observe(state *modelState, delayed consensus.MemberID) observedState {
 	observed := observedState{
 		Self: modelID(int(state.leader), int(state.machines[state.leader].disk)), DesiredVoters: m.desiredVoters(), SpareLearners: max(minSpareLearners, m.tolerated),
@@ -190,12 +191,12 @@
 	return observed
 }
 
-// canPromote is what the core's leader knows of a learner.
+// canPromote reports whether a member is a learner that the leader can promote.
 func (s *modelState) canPromote(machine, disk int) bool {
 	return s.roles[machine][disk] == roleLearner && s.isRunning(machine, disk) && s.durable[machine][disk]
 }
 
-// decide has the leader make its next change, after a request that came late if there is one.
+// decide has the leader make its next change, after a delayed request of a former member unless delayed is 0.
 func (m membershipModel) decide(state modelState, delayed consensus.MemberID) (modelStep, bool) {
 	next, found := nextMembershipChange(m.observe(&state, delayed))
 	if !found {
@@ -212,7 +213,7 @@
 	return made, made.after != state || made.violation != ""
 }
 
-// apply makes a change if the core's leader would, and returns the violation if there is one.
+// apply makes a change if it can be committed, and returns the violation, if any.
 func (m membershipModel) apply(state *modelState, change replica.MembershipChange) (violation string) {
 	before := *state
 	if change.Add == nil {
@@ -222,7 +223,7 @@
 	}
 	voters, running, _ := state.countVoters()
 	if running <= voters/2 {
-		*state = before // a majority of the new voters must answer
+		*state = before // a majority of the new voters must acknowledge the change
 		return ""
 	}
 	return violation
@@ -238,9 +239,9 @@
 	state.replaced[machine][disk] = diskLost && state.machines[machine].up
 	switch {
 	case state.isRunning(machine, disk):
-		return fmt.Sprintf("member %d is removed although it lives", change.Remove)
+		return fmt.Sprintf("member %d is removed although it is running", change.Remove)
 	case wasVoter && !diskLost && !m.hasPromotionCandidate(state):
-		return fmt.Sprintf("voter %d gives its place to nobody", change.Remove)
+		return fmt.Sprintf("voter %d is removed without a successor", change.Remove)
 	}
 	return ""
 }
@@ -256,18 +257,18 @@
 	case !added.Voter && role == roleVoter:
 		state.roles[machine][disk] = roleLearner
 		if !m.hasPromotionCandidate(state) {
-			return fmt.Sprintf("voter %d gives its place to nobody", added.ID)
+			return fmt.Sprintf("voter %d is demoted without a successor", added.ID)
 		}
 	case !added.Voter && role == roleNone:
 		state.roles[machine][disk] = roleLearner
 	}
 	if state.replaced[machine][disk] && state.roles[machine][disk] != roleNone {
-		return fmt.Sprintf("member %d is back although it was replaced", added.ID)
+		return fmt.Sprintf("member %d is added again although it was replaced", added.ID)
 	}
 	return ""
 }
 
-// hasPromotionCandidate reports whether the group has its voters, or a learner that can fill a vacancy at once.
+// hasPromotionCandidate reports whether the group has all desired voters or a learner that can fill a vacancy immediately.
 func (m membershipModel) hasPromotionCandidate(s *modelState) bool {
 	voters, _, _ := s.countVoters()
 	found := voters >= m.desiredVoters()
@@ -277,22 +278,22 @@
 	return found
 }
 
-// weakness returns what is wrong with a state; empty if nothing is.
+// checkLossTolerance returns a violation if the further losses that must be tolerated would leave no majority.
 func (m membershipModel) checkLossTolerance(state modelState) string {
 	voters, _, unaffected := state.countVoters()
 	furtherLosses := m.toleratedLosses() - state.lostMachines()
 	if unaffected-furtherLosses <= voters/2 {
-		return fmt.Sprintf("%d of %d voters stand, %d further losses leave no majority", unaffected, voters, furtherLosses)
+		return fmt.Sprintf("%d of %d voters run on machines that are not part of a loss; %d further losses leave no majority", unaffected, voters, furtherLosses)
 	}
 	return ""
 }
 
-// unfinished returns what a group still lacks when nothing more happens by itself; empty if nothing.
+// checkConverged returns a violation if a group in which no fault-free step remains lacks voters that it could have.
 func (m membershipModel) checkConverged(state modelState) string {
 	available, timeoutsPassed := 0, true
 	for machine, target := range state.machines {
 		if target.up && target.leaving {
-			return "" // its shutdown comes first
+			return "" // its shutdown must complete first
 		}
 		timeoutsPassed = timeoutsPassed && (!target.exists || target.up || target.timedOut)
 		if target.up && !state.retired[machine][target.disk] {
@@ -304,13 +305,13 @@
 		return ""
 	}
 	if running < m.expectedVoters(available) || (available >= m.desiredVoters() && voters != running) {
-		return fmt.Sprintf("%d of %d voters live, with %d machines at hand", running, voters, available)
+		return fmt.Sprintf("%d of %d voters are running although %d machines are available", running, voters, available)
 	}
 	return ""
 }
 
-// reachable is how many voters a group should have with so many machines. An even number bears no more losses than the
-// odd one below it.
+// expectedVoters returns how many voters a group should have with the given number of available machines. An even number tolerates no
+// more losses than the odd one below it.
 func (m membershipModel) expectedVoters(available int) int {
 	voters := min(m.desiredVoters(), available)
 	if voters%2 == 0 {
@@ -323,7 +324,7 @@
 func (s modelState) describe() string {
 	var parts []string
 	s.forEachMember(func(machine, disk int, role modelRole) {
-		parts = append(parts, fmt.Sprintf("%d(voter %v, lives %v)", modelID(machine, disk), role == roleVoter, s.isRunning(machine, disk)))
+		parts = append(parts, fmt.Sprintf("%d(voter %v, running %v)", modelID(machine, disk), role == roleVoter, s.isRunning(machine, disk)))
 	})
 	slices.Sort(parts)
 	return fmt.Sprint(parts)
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -28,7 +28,7 @@
 	return joinRequest{ID: id, Address: fmt.Sprintf("k%d", id)}
 }
 
-// memberIDs is a list of member IDs.
+// memberIDs returns its arguments as a slice.
 func memberIDs(listed ...consensus.MemberID) []consensus.MemberID { return listed }
 
 func TestNextMembershipChange(t *testing.T) {
@@ -43,51 +43,51 @@
 	cases := []struct {
 		name    string
 		given   observedState
-		want    replica.MembershipChange // zero: none
-		confirm consensus.MemberID
+		want    replica.MembershipChange // zero value: no change
+		confirm consensus.MemberID       // 0: no confirmation
 	}{
 		{name: "no join request", given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2}},
-		{name: "a vacancy: learner first, if it confirms",
+		{name: "vacancy: the joining server becomes a learner first, if it confirms",
 			given: observedState{Members: three[:2], DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want:  added(learner(3)), confirm: 3},
-		{name: "a learner that is behind stays one",
+		{name: "a learner that has not caught up stays a learner",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "a promotable learner becomes a voter",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, PromotableLearners: memberIDs(3)},
 			want:  added(voter(3))},
-		{name: "one learner makes no group of four: it would tolerate no more losses than three",
+		{name: "one learner does not make three voters four: they would tolerate no more losses",
 			given: observedState{Members: threeAndOne, DesiredVoters: 5, PromotableLearners: memberIDs(4), Stable: memberIDs(4)}},
-		{name: "two make a group of five, one after the other",
+		{name: "two stable learners make three voters five, one after the other",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5)},
 			want:  added(voter(4))},
-		{name: "the one that has been promotable longest is the first",
+		{name: "the learner that has been promotable longest is promoted first",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5, 4)},
 			want:  added(voter(5))},
-		{name: "and then",
+		{name: "the second learner makes four voters five",
 			given: observedState{Members: append(four[:4:4], learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(5)},
 			want:  added(voter(5))},
-		{name: "not before both are stable",
+		{name: "no even number of voters before both learners are stable",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(5)}},
-		{name: "not while a voter is unresponsive",
+		{name: "no even number of voters while a voter is unresponsive",
 			given: observedState{Members: append(three[:3:3], learner(4), learner(5)), DesiredVoters: 5, PromotableLearners: memberIDs(4, 5), Stable: memberIDs(4, 5),
 				SinceHeard: sinceHeard(3, missedHeartbeatsAge)}},
-		{name: "a lost disk: the old member is removed first, for good, if the new one confirms",
+		{name: "lost disk: the old member is removed and retired first, if the new one confirms",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{renewed}},
 			want:  replica.MembershipChange{Remove: 3, Retire: true}, confirm: 9},
 		{name: "a retired member is not added",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2)}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}}},
-		{name: "a retired member that confirms proves that its successor is gone",
+		{name: "a retired member that confirms shows that its successor no longer exists",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "k3", Voter: true}}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want: replica.MembershipChange{Remove: 9, Retire: true}, confirm: 3},
 		{name: "the leader is not removed for a server that claims its address",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{{ID: 9, Address: "k1"}}}},
-		{name: "a voter that asks after a partition changes nothing",
+		{name: "a join request of a voter after a partition changes nothing",
 			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
-		{name: "no vacancy and no spare desired: a server stays out",
+		{name: "no vacancy and no spare desired: a joining server is not added",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}}},
-		{name: "no vacancy: a spare becomes a learner",
+		{name: "no vacancy: a joining server becomes a spare learner",
 			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(4)}},
 			want:  added(learner(4)), confirm: 4},
 		{name: "no more spares than desired",
@@ -95,16 +95,16 @@
 		{name: "an unresponsive spare is replaced by another",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, SpareLearners: 1, JoinRequests: []joinRequest{joinRequestFrom(5)}, SinceHeard: sinceHeard(4, voterTimeout)},
 			want:  added(learner(5)), confirm: 5},
-		{name: "a voter is unresponsive: a further server becomes a learner",
+		{name: "a voter has timed out: a joining server becomes a learner",
 			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)},
 			want:  added(learner(4)), confirm: 4},
 		{name: "a voter that has timed out is removed for a promotable learner",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4),
 				SinceHeard: map[consensus.MemberID]time.Duration{2: voterTimeout, 3: 2 * voterTimeout}},
 			want: replica.MembershipChange{Remove: 3}},
-		{name: "not for a learner that is not promotable",
+		{name: "a voter that has timed out stays while no learner is promotable",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(4)}, SinceHeard: sinceHeard(3, voterTimeout)}},
-		{name: "not before the time-out",
+		{name: "an unresponsive voter stays before its timeout",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), SinceHeard: sinceHeard(3, voterTimeout-1)}},
 		{name: "one learner for each vacancy",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3)}, DesiredVoters: 3, JoinRequests: []joinRequest{joinRequestFrom(3), joinRequestFrom(4)}}},
@@ -119,7 +119,7 @@
 		{name: "a leaving voter becomes a learner if its successor is promotable",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want:  added(learner(3))},
-		{name: "then the successor becomes a voter",
+		{name: "after the leaving voter is a learner, its successor becomes a voter",
 			given: observedState{Members: []consensus.Member{voter(1), voter(2), learner(3), learner(4)}, DesiredVoters: 3, PromotableLearners: memberIDs(3, 4),
 				Leaving: memberIDs(3), Successors: memberIDs(4)},
 			want: added(voter(4))},
@@ -128,9 +128,9 @@
 		{name: "a surplus voter that is leaving becomes a learner",
 			given: observedState{Members: four, DesiredVoters: 3, Leaving: memberIDs(3)},
 			want:  added(learner(3))},
-		{name: "a spare started earlier is no successor: the voter may only restart",
+		{name: "a spare started earlier is no successor: the voter may only be restarting",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3)}},
-		{name: "a learner that is leaving itself is no successor",
+		{name: "a learner that is itself leaving is no successor",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(3, 4), Successors: memberIDs(4)}},
 		{name: "the leader does not release its own vote",
 			given: observedState{Members: threeAndOne, DesiredVoters: 3, PromotableLearners: memberIDs(4), Leaving: memberIDs(1), Successors: memberIDs(4)}},
@@ -140,7 +140,7 @@
 			test.given.Self = 1
 			got, found := nextMembershipChange(test.given)
 			if found != (test.want != replica.MembershipChange{}) || !sameChange(got.Change, test.want) || got.Confirm.ID != test.confirm {
-				t.Fatalf("got %s confirmed by %d, want %s by %d",
+				t.Fatalf("got %s with confirmation by %d, want %s by %d",
 					formatChange(got.Change), got.Confirm.ID, formatChange(test.want), test.confirm)
 			}
 		})
@@ -151,16 +151,16 @@
 	start := time.Now()
 	for _, test := range []struct {
 		name             string
-		heard, led, want time.Duration // heard, led: before now
+		heard, led, want time.Duration // heard, led: time before now at which the member was last heard and leadership began
 	}{
-		{"heard since it leads", 50 * time.Millisecond, time.Hour, 50 * time.Millisecond},
-		{"unresponsive since it leads, for a moment", time.Hour, newLeaderGracePeriod - 1, newLeaderGracePeriod - 1},
-		{"heard shortly before it led, and not since", newLeaderGracePeriod + time.Millisecond, newLeaderGracePeriod, newLeaderGracePeriod + time.Millisecond},
-		{"lost before it led", time.Hour, newLeaderGracePeriod, voterTimeout},
-		{"unresponsive for long under this leader", time.Hour, learnerTimeout, learnerTimeout},
+		{"heard under this leader", 50 * time.Millisecond, time.Hour, 50 * time.Millisecond},
+		{"not heard yet by a leader within its grace period", time.Hour, newLeaderGracePeriod - 1, newLeaderGracePeriod - 1},
+		{"heard shortly before this leader, and not since", newLeaderGracePeriod + time.Millisecond, newLeaderGracePeriod, newLeaderGracePeriod + time.Millisecond},
+		{"lost long before this leader", time.Hour, newLeaderGracePeriod, voterTimeout},
+		{"unresponsive for a long time under this leader", time.Hour, learnerTimeout, learnerTimeout},
 	} {
 		if got := timeSinceHeard(start, start.Add(-test.heard), start.Add(-test.led)); got != test.want {
-			t.Errorf("%s: %s, want %s", test.name, got, test.want)
+			t.Errorf("%s: got %s, want %s", test.name, got, test.want)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	return fmt.Sprintf("remove %d", change.Remove)
 }
 
-// simulatedGroup is a group together with the running servers; each sends join requests whenever it is not a voter.
+// simulatedGroup is a group together with the running servers. Each server sends join requests while it is not a voter.
 type simulatedGroup struct {
 	members       []consensus.Member
 	running       map[string]consensus.MemberID // by address
@@ -206,7 +206,7 @@
 	return state
 }
 
-// apply makes a change as a group does; it returns false for one that a group would reject.
+// apply makes a change as a group does. It returns false for a change that a group would reject.
 func (g *simulatedGroup) apply(change replica.MembershipChange) bool {
 	if change.Add == nil {
 		remaining := []consensus.Member{}
@@ -244,7 +244,7 @@
 
 func TestNextMembershipChange_reachesDesiredVoters(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	properties.Property("whatever came and went, the group ends with as many running voters as it can", prop.ForAll(
+	properties.Property("from any initial members, the group ends with as many running voters as possible", prop.ForAll(
 		func(fates []int, tolerated int) bool {
 			group := &simulatedGroup{running: map[string]consensus.MemberID{"k1": 1}, desiredVoters: 2*tolerated + 1}
 			group.members = []consensus.Member{voter(1)}
@@ -258,25 +258,28 @@
 	properties.TestingRun(t)
 }
 
-// addFate adds one more machine, as a member, wiped, gone, or new.
+// addMachine adds one more machine: a running voter, one with a lost disk, one that is gone, or a server without state. Other values of
+// fate, and voters beyond the desired number, add nothing.
 func addMachine(group *simulatedGroup, id consensus.MemberID, fate int) {
 	address := fmt.Sprintf("k%d", id)
 	_, voters := group.runningVoters()
 	hasVacancy := voters < group.desiredVoters
 	switch {
-	case fate == 0 && hasVacancy: // a voter that runs
+	case fate == 0 && hasVacancy: // running voter
 		group.members = append(group.members, voter(id))
 		group.running[address] = id
-	case fate == 1 && hasVacancy: // a voter that lost its disk and came back
+	case fate == 1 && hasVacancy: // voter that lost its disk and returned under a new ID
 		group.members = append(group.members, voter(id))
 		group.running[address] = id + 100
-	case fate == 2 && hasVacancy: // a voter that is gone
+	case fate == 2 && hasVacancy: // voter that no longer runs
 		group.members = append(group.members, voter(id))
-	case fate == 3: // a machine without state
+	case fate == 3: // running server that is no member
 		group.running[address] = id
 	}
 }
 
+// converges applies changes until none is needed. It reports whether no running voter was removed and the group has as many running voters
+// as its servers allow.
 func converges(group *simulatedGroup) bool {
 	const mostChanges = 50
 	for range mostChanges {
@@ -284,7 +287,7 @@
 		next, found := nextMembershipChange(group.observe())
 		if !found {
 			maxRunning := min(group.desiredVoters, len(group.running))
-			minRunning := maxRunning - 1 + maxRunning%2 // an even number of voters bears no more losses than the odd one below it
+			minRunning := maxRunning - 1 + maxRunning%2 // an even number of voters tolerates no more losses than the odd one below it
 			return runningBefore >= minRunning && runningBefore <= maxRunning && (voters == runningBefore || runningBefore == len(group.running) || runningBefore < group.desiredVoters)
 		}
 		if !group.apply(next.Change) {
@@ -297,8 +300,8 @@
 	return false
 }
 
-// TestShard_TrackReadiness_longestReadyFirst fixes the order in which learners become voters: one whose disk hung is
-// ready anew, and after the others.
+// TestShard_TrackReadiness_longestReadyFirst checks the order in which learners become voters. A learner that was not promotable for longer
+// than readinessGap, for example because its disk hung, starts over and comes after the others.
 func TestShard_TrackReadiness_longestReadyFirst(t *testing.T) {
 	s, _, _ := newScriptedServer(t)
 	shard := s.shards[1]
@@ -313,6 +316,6 @@
 		trackAt(after, 4, 5)
 	}
 	if stable := trackAt(later+stableAfter, 4, 5); !slices.Equal(stable, memberIDs(5, 4)) {
-		t.Fatalf("stable learners: %v", stable)
+		t.Fatalf("got stable learners %v, want %v", stable, memberIDs(5, 4))
 	}
 }
--- a/internal/controlplane/server/ownership_guard_test.go
+++ b/internal/controlplane/server/ownership_guard_test.go
@@ -9,7 +9,7 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// ownershipFixture is a registry shard's state machine whose clock a test sets.
+// ownershipFixture is the state machine of a registry shard with a clock that the test sets.
 type ownershipFixture struct {
 	machine *registryMachine
 	now     time.Time
@@ -32,9 +32,9 @@
 	return registry.Heartbeat{Instance: registry.Instance{ID: id, Service: "s", Address: id + ":80", Slots: 1}, Sequence: sequence}
 }
 
-// TestRegistryMachine_SetLeaderTerm_ownershipEndsWithItsTerm has a replica own its shard, follow another owner that a worker's heartbeats
-// go to, and lead again. With the guard the worker has a full time-out from then on; without it the worker expires at once, by what the
-// replica knew in the earlier term.
+// TestRegistryMachine_SetLeaderTerm_ownershipEndsWithItsTerm has a replica own its shard, follow another owner, which receives the worker's
+// heartbeats, and lead again. With the guard, the worker then gets a full timeout. Without it, the worker expires immediately because
+// the replica uses the heartbeat times of its earlier term.
 func TestRegistryMachine_SetLeaderTerm_ownershipEndsWithItsTerm(t *testing.T) {
 	for _, omit := range [][]Guard{nil, {GuardOwnershipTerm}} {
 		f := newOwnershipFixture(omit...)
@@ -43,7 +43,7 @@
 		worker := workerHeartbeat("living", 1)
 		f.apply(registry.EncodePut(worker.Instance, 1))
 		f.machine.setLeaderTerm(0)
-		for number := range 60 { // the other owner replaces another worker again and again, and hears this one
+		for number := range 60 { // the other owner keeps replacing another worker; this worker stays registered
 			f.now = f.now.Add(500 * time.Millisecond)
 			other := func(number int) string { return fmt.Sprintf("other-%d", number) }
 			f.apply(registry.EncodePut(workerHeartbeat(other(number), 1).Instance, 1))
@@ -52,7 +52,7 @@
 		f.machine.setLeaderTerm(5)
 		f.machine.ownershipGained(f.now, 5)
 		if expired := len(f.machine.expiryCommands(f.now)) > 0; expired != (omit != nil) {
-			t.Errorf("without %v: the worker expires at once: %v", omit, expired)
+			t.Errorf("with guards %v omitted: worker expires immediately after ownership is regained: got %v, want %v", omit, expired, omit != nil)
 		}
 	}
 }
--- a/internal/controlplane/server/planned_replacement_test.go
+++ b/internal/controlplane/server/planned_replacement_test.go
@@ -8,8 +8,8 @@
 	"ospreybend/coord/consensus"
 )
 
-// votersAndLearners counts the voters and learners of all shards by address, as the shards' leaders among some servers see them. It
-// returns false while a shard has no leader among them.
+// votersAndLearners counts the groups in which each address is a voter or a learner, as seen by the group leaders among the given servers.
+// allLed reports whether every group has its leader among them.
 func (c *testCluster) votersAndLearners(among ...int) (voters, learners map[string]int, allLed bool) {
 	voters, learners = map[string]int{}, map[string]int{}
 	leaders := 0
@@ -32,8 +32,8 @@
 	return voters, learners, leaders == len(allShards)
 }
 
-// TestCluster_plannedReplacementKeepsVoters starts a fourth server, ends a voter as a SIGTERM does, and expects the vote to be
-// taken before that process has ended, unless it had to end before.
+// TestCluster_plannedReplacementKeepsVoters starts a fourth server and then shuts a voter down as a SIGTERM does. The fourth server must be
+// a voter in its place by the time that process has ended, unless the hand-over timed out.
 func TestCluster_plannedReplacementKeepsVoters(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.bootstrap(3)
@@ -44,7 +44,7 @@
 	c.start(3)
 	shards := len(allShards)
 	successor := ownPeerAddress(c.processes[3].config)
-	c.await("a warm learner", func() bool {
+	c.await("fourth server is a current learner of all groups", func() bool {
 		_, learners, _ := c.votersAndLearners(0, 1, 2)
 		report, current := c.status(3)
 		for _, shard := range report.Shards {
@@ -53,28 +53,29 @@
 		return current && learners[successor] == shards
 	})
 	took := c.terminate(0)
-	t.Logf("the old server shut down in %s", took)
+	t.Logf("graceful shutdown of the replaced server took %s", took)
 	if took > 2*time.Second {
-		t.Errorf("the graceful shutdown took %s", took)
+		t.Errorf("graceful shutdown took %s, want at most 2s", took)
 	}
 	endedAt := time.Now()
 	var voters map[string]int
 	voteTransferred := func() bool {
 		return voters[successor] == shards && voters[ownPeerAddress(c.processes[0].config)] == 0
 	}
-	c.await("leaders", func() (allLed bool) {
+	c.await("all groups have a leader", func() (allLed bool) {
 		voters, _, allLed = c.votersAndLearners(1, 2, 3)
 		return allLed
 	})
-	inTime := took < leaderTransferTimeout*3/4 // on a loaded machine the hand-over may time out
+	inTime := took < leaderTransferTimeout*3/4 // the hand-over may time out on a loaded machine
 	if inTime && (!voteTransferred() || time.Since(endedAt) >= voterTimeout) {
-		t.Fatalf("%s after the old server ended, the voters are %v", time.Since(endedAt), voters)
+		t.Fatalf("%s after the replaced server ended, the voters are %v, want %s as a voter of all groups instead of it within %s",
+			time.Since(endedAt), voters, successor, voterTimeout)
 	}
-	c.await("a successor for each place", func() bool {
+	c.await("fourth server is a voter of all groups", func() bool {
 		voters, _, _ = c.votersAndLearners(1, 2, 3)
 		return voteTransferred()
 	})
-	c.terminate(2) // a second loss right after the replacement
+	c.terminate(2) // a second loss directly after the replacement
 	status, content = c.doUntilDefinitive(1, http.MethodPost, "/-/Config.Replace", 1, configurationJSON(2))
 	c.requireStatus(http.StatusOK, status, content)
 }
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -22,10 +22,10 @@
 		successor identityReply
 		want      []replica.MembershipChange
 	}{
-		{"a successor that was just started", identityReply{ID: 4, Age: successorMaxUptime},
+		{"recently started successor", identityReply{ID: 4, Age: successorMaxUptime},
 			[]replica.MembershipChange{{Add: &consensus.Member{ID: 3, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}}}},
-		{"a stand-by that was there before", identityReply{ID: 4, Age: successorMaxUptime + time.Millisecond}, nil},
-		{"a successor that is about to end", identityReply{ID: 4, ShuttingDown: true}, nil},
+		{"learner that was started earlier", identityReply{ID: 4, Age: successorMaxUptime + time.Millisecond}, nil},
+		{"successor that is shutting down", identityReply{ID: 4, ShuttingDown: true}, nil},
 		{"another member at the successor's address", identityReply{ID: 5}, nil},
 	} {
 		s, _, _ := newScriptedServer(t)
@@ -41,17 +41,17 @@
 		waitForReconcile(t, s, s.shards[id])
 		for _, want := range test.want {
 			if got := <-group.changes; !sameChange(got, want) {
-				t.Fatalf("%s: got %s, want %s", test.name, formatChange(got), formatChange(want))
+				t.Fatalf("%s: got change %s, want %s", test.name, formatChange(got), formatChange(want))
 			}
 		}
 		if len(group.changes) > 0 {
-			t.Fatalf("%s: %s", test.name, formatChange(<-group.changes))
+			t.Fatalf("%s: unexpected change %s", test.name, formatChange(<-group.changes))
 		}
 	}
 }
 
-// A voter that announced its shutdown and is back under its ID only restarted: the successor that was started meanwhile is
-// for another one.
+// A voter that announced its shutdown and runs again under the same ID was only restarted. It must keep its vote even if a learner that
+// looks like its successor was started meanwhile.
 func TestServer_Reconcile_returnedVoterKeepsItsVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const id = shards.ID(1)
@@ -66,7 +66,7 @@
 		s.startReconcile(s.shards[id])
 		waitForReconcile(t, s, s.shards[id])
 		if len(group.changes) > 0 {
-			t.Fatal(formatChange(<-group.changes))
+			t.Fatalf("unexpected change although the voter has returned: %s", formatChange(<-group.changes))
 		}
 	})
 }
