--- a/internal/controlplane/server/cluster_test.go
+++ b/internal/controlplane/server/cluster_test.go
@@ -116,9 +116,9 @@
 }
 
 // awaitConverged waits until each of the servers has a current replica of every shard, with exactly these servers as voters.
-func (c *testCluster) awaitConverged(what string, servers ...int) {
+func (c *testCluster) awaitConverged(description string, servers ...int) {
 	c.t.Helper()
-	c.await(what, func() bool {
+	c.await(description, func() bool {
 		for _, i := range servers {
 			if !c.isConverged(i, len(servers)) {
 				return false
@@ -155,12 +155,12 @@
 }
 
 // await waits until a condition holds, and fails the test after clusterTimeout.
-func (c *testCluster) await(what string, condition func() bool) {
+func (c *testCluster) await(description string, condition func() bool) {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), clusterTimeout)
 	defer cancel()
 	if err := localfleet.Await(ctx, pollInterval, condition); err != nil {
-		c.t.Fatalf("%s: condition not met within %s", what, clusterTimeout)
+		c.t.Fatalf("%s: condition not met within %s", description, clusterTimeout)
 	}
 }
 
--- a/internal/controlplane/server/directory.go
+++ b/internal/controlplane/server/directory.go
@@ -70,17 +70,17 @@
 
 // computeServing builds the result of serving. The caller must hold the mutex.
 func (d *directory) computeServing() []serverInfo {
-	listed := []serverInfo{}
+	servers := []serverInfo{}
 	for _, members := range d.members {
 		for _, member := range members {
 			info, known := d.known[member.Address]
-			if known && !slices.Contains(listed, info) {
-				listed = append(listed, info)
+			if known && !slices.Contains(servers, info) {
+				servers = append(servers, info)
 			}
 		}
 	}
-	slices.SortFunc(listed, func(a, b serverInfo) int { return strings.Compare(a.Address, b.Address) })
-	return listed
+	slices.SortFunc(servers, func(a, b serverInfo) int { return strings.Compare(a.Address, b.Address) })
+	return servers
 }
 
 // otherAddresses returns the sorted addresses of all known servers except this one.
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -49,12 +49,12 @@
 func (t *edgeNodeTable) list() []edgeNode {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	listed := make([]edgeNode, 0, len(t.connections))
+	nodes := make([]edgeNode, 0, len(t.connections))
 	for node := range t.connections {
-		listed = append(listed, node)
+		nodes = append(nodes, node)
 	}
-	slices.SortFunc(listed, func(a, b edgeNode) int { return strings.Compare(a.ID, b.ID) })
-	return listed
+	slices.SortFunc(nodes, func(a, b edgeNode) int { return strings.Compare(a.ID, b.ID) })
+	return nodes
 }
 
 // FeedConnection serves the feed on a connection whose first frame has been read, and returns when the session ends. A server that
--- a/internal/controlplane/server/join_test.go
+++ b/internal/controlplane/server/join_test.go
@@ -13,7 +13,7 @@
 // The join requests in tests concern one shard and come from one address.
 const (
 	joinedShard    = shards.ID(1)
-	joiningAddress = "k3"
+	joiningAddress = "server3"
 )
 
 // sendJoinRequest delivers the join request of a member to a server.
@@ -30,7 +30,7 @@
 
 func TestServer_Call_identity(t *testing.T) {
 	s, _, _ := newScriptedServer(t)
-	body, err := s.Call(t.Context(), peertransport.Hello{Address: "k2", Member: 2}, callIdentity, nil)
+	body, err := s.Call(t.Context(), peertransport.Hello{Address: "server2", Member: 2}, callIdentity, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/server/majority_contact_test.go
+++ b/internal/controlplane/server/majority_contact_test.go
@@ -44,8 +44,8 @@
 // stopped, it must count as unresponsive and be replaced by a promotable learner.
 func TestServer_SinceHeard_countsMessagesOfTheGroup(t *testing.T) {
 	s, _, _ := newScriptedServer(t)
-	const silent = consensus.MemberID(3)
-	members := []consensus.Member{voter(1), voter(2), voter(silent), learner(4)}
+	const stopped = consensus.MemberID(3)
+	members := []consensus.Member{voter(1), voter(2), voter(stopped), learner(4)}
 	start := time.Unix(1000, 0)
 	now := start
 	s.environment.Now = func() time.Time { return now }
@@ -55,12 +55,12 @@
 		group.promotable = []consensus.MemberID{4}
 		shard.group = group
 		next, found := nextMembershipChange(s.observeGroup(shard, group.Status()))
-		return found && next.Change.Remove == silent
+		return found && next.Change.Remove == stopped
 	}
 	now = start.Add(time.Minute)
-	for _, id := range []consensus.MemberID{2, silent, 4} {
+	for _, id := range []consensus.MemberID{2, stopped, 4} {
 		s.shards[1].recordHeard(id, now)
-		if id != silent {
+		if id != stopped {
 			s.shards[2].recordHeard(id, now)
 		}
 	}
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -81,8 +81,8 @@
 	if kind != callIdentity {
 		return n.scriptedNetwork.Call(ctx, address, kind, body)
 	}
-	identity, runs := n.identities[address]
-	if !runs {
+	identity, found := n.identities[address]
+	if !found {
 		return nil, peertransport.ErrNotSent
 	}
 	return encodeIdentity(identity)
@@ -101,12 +101,12 @@
 
 // A delayed join request of a former member must not remove the member that now runs at its address. Without the identity check it does.
 func TestServer_ReceiveJoin_lateRequestOfFormerMemberRemovesNobody(t *testing.T) {
-	const id, former, living = joinedShard, consensus.MemberID(30), consensus.MemberID(31)
+	const id, former, replacement = joinedShard, consensus.MemberID(30), consensus.MemberID(31)
 	for _, omit := range [][]Guard{nil, {GuardIdentityAsked}} {
 		s, _, _ := newScriptedServer(t)
 		s.environment.OmitGuards = omit
-		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
-		group := newChangingGroup(voter(1), voter(2), consensus.Member{ID: living, Address: "k3", Voter: true})
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"server3": {ID: replacement}}}
+		group := newChangingGroup(voter(1), voter(2), consensus.Member{ID: replacement, Address: "server3", Voter: true})
 		s.shards[id].group = group
 		hearMembers(s, s.shards[id], group)
 		sendJoinRequest(t, s, former)
@@ -122,15 +122,15 @@
 }
 
 func TestServer_ReceiveJoin_memberWithLostDiskIsReplacedAndRetired(t *testing.T) {
-	const id, former, living = joinedShard, consensus.MemberID(3), consensus.MemberID(31)
+	const id, former, replacement = joinedShard, consensus.MemberID(3), consensus.MemberID(31)
 	s, _, _ := newScriptedServer(t)
-	s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: living}}}
+	s.peers.network = &identityNetwork{identities: map[string]identityReply{"server3": {ID: replacement}}}
 	group := newChangingGroup(voter(1), voter(2), voter(former))
 	s.shards[id].group = group
 	hearMembers(s, s.shards[id], group)
-	sendJoinRequest(t, s, living)
+	sendJoinRequest(t, s, replacement)
 	waitForReconcile(t, s, s.shards[id])
-	for _, want := range []replica.MembershipChange{{Remove: former, Retire: true}, {Add: &consensus.Member{ID: living, Address: "k3"}}} {
+	for _, want := range []replica.MembershipChange{{Remove: former, Retire: true}, {Add: &consensus.Member{ID: replacement, Address: "server3"}}} {
 		if got := <-group.changes; !sameChange(got, want) {
 			t.Fatalf("got %s, want %s", formatChange(got), formatChange(want))
 		}
@@ -145,7 +145,7 @@
 func TestServer_ReceiveJoin_serverShuttingDownIsNotAdded(t *testing.T) {
 	const id = joinedShard
 	s, _, _ := newScriptedServer(t)
-	network := &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, ShuttingDown: true}}}
+	network := &identityNetwork{identities: map[string]identityReply{"server3": {ID: 3, ShuttingDown: true}}}
 	s.peers.network = network
 	group := newChangingGroup(voter(1), voter(2))
 	s.shards[id].group = group
@@ -155,7 +155,7 @@
 	if len(group.changes) > 0 {
 		t.Fatalf("unexpected change for a server that is shutting down: %s", formatChange(<-group.changes))
 	}
-	network.identities["k3"] = identityReply{ID: 3}
+	network.identities["server3"] = identityReply{ID: 3}
 	sendJoinRequest(t, s, 3)
 	waitForReconcile(t, s, s.shards[id])
 	if got := <-group.changes; got.Add == nil || got.Add.ID != 3 || got.Add.Voter {
@@ -170,7 +170,7 @@
 		const id = joinedShard
 		s, _, _ := newScriptedServer(t)
 		s.settings.FaultTolerance.Machines = 1
-		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 31}}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"server3": {ID: 31}}}
 		group := &laggingGroup{changingGroup: newChangingGroup(voter(1), voter(2), voter(3), learner(4)), lag: 5}
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
@@ -182,7 +182,7 @@
 			t.Fatalf("reconcile took %s, want at most %s", took, vacancyFillTimeout)
 		}
 		for _, want := range []replica.MembershipChange{
-			{Remove: 3, Retire: true}, {Add: &consensus.Member{ID: 31, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}},
+			{Remove: 3, Retire: true}, {Add: &consensus.Member{ID: 31, Address: "server3"}}, {Add: &consensus.Member{ID: 4, Address: "server4", Voter: true}},
 		} {
 			if len(group.changes) == 0 {
 				t.Fatalf("got no further change, want %s", formatChange(want))
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -89,7 +89,7 @@
 	return int(id-1) / modelDisks, int(id-1) % modelDisks
 }
 
-func modelAddress(machine int) string { return fmt.Sprintf("k%02d", machine) }
+func modelAddress(machine int) string { return fmt.Sprintf("server%02d", machine) }
 
 // isRunning reports whether a member's process runs, with the disk of that member.
 func (s *modelState) isRunning(machine, disk int) bool {
@@ -175,7 +175,7 @@
 			}
 		}
 		sendsRequest := target.up && !target.leaving && state.roles[machine][target.disk] != roleVoter
-		if from, _ := machineAndDiskOf(max(delayed, 1)); delayed != 0 && from == machine {
+		if sender, _ := machineAndDiskOf(max(delayed, 1)); delayed != 0 && sender == machine {
 			id, sendsRequest = delayed, true
 		}
 		if sendsRequest {
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -15,7 +15,7 @@
 )
 
 func voter(id consensus.MemberID) consensus.Member {
-	return consensus.Member{ID: id, Address: fmt.Sprintf("k%d", id), Voter: true}
+	return consensus.Member{ID: id, Address: fmt.Sprintf("server%d", id), Voter: true}
 }
 
 func learner(id consensus.MemberID) consensus.Member {
@@ -25,7 +25,7 @@
 }
 
 func joinRequestFrom(id consensus.MemberID) joinRequest {
-	return joinRequest{ID: id, Address: fmt.Sprintf("k%d", id)}
+	return joinRequest{ID: id, Address: fmt.Sprintf("server%d", id)}
 }
 
 // memberIDs returns its arguments as a slice.
@@ -33,7 +33,7 @@
 
 func TestNextMembershipChange(t *testing.T) {
 	added := func(member consensus.Member) replica.MembershipChange { return replica.MembershipChange{Add: &member} }
-	renewed := joinRequest{ID: 9, Address: "k3"}
+	renewed := joinRequest{ID: 9, Address: "server3"}
 	sinceHeard := func(id consensus.MemberID, span time.Duration) map[consensus.MemberID]time.Duration {
 		return map[consensus.MemberID]time.Duration{id: span}
 	}
@@ -78,11 +78,11 @@
 			given: observedState{Members: []consensus.Member{voter(1), voter(2)}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "a retired member that confirms shows that its successor no longer exists",
-			given: observedState{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "k3", Voter: true}}, DesiredVoters: 3, SpareLearners: 2,
+			given: observedState{Members: []consensus.Member{voter(1), voter(2), {ID: 9, Address: "server3", Voter: true}}, DesiredVoters: 3, SpareLearners: 2,
 				Retired: memberIDs(3), JoinRequests: []joinRequest{joinRequestFrom(3)}},
 			want: replica.MembershipChange{Remove: 9, Retire: true}, confirm: 3},
 		{name: "the leader is not removed for a server that claims its address",
-			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{{ID: 9, Address: "k1"}}}},
+			given: observedState{Members: three, DesiredVoters: 3, JoinRequests: []joinRequest{{ID: 9, Address: "server1"}}}},
 		{name: "a join request of a voter after a partition changes nothing",
 			given: observedState{Members: three, DesiredVoters: 3, SpareLearners: 2, JoinRequests: []joinRequest{joinRequestFrom(3)}}},
 		{name: "no vacancy and no spare desired: a joining server is not added",
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, member := range g.members {
-		if _, runs := g.running[member.Address]; !runs {
+		if _, running := g.running[member.Address]; !running {
 			state.SinceHeard[member.ID] = learnerTimeout
 		}
 	}
@@ -246,7 +246,7 @@
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("from any initial members, the group ends with as many running voters as possible", prop.ForAll(
 		func(fates []int, tolerated int) bool {
-			group := &simulatedGroup{running: map[string]consensus.MemberID{"k1": 1}, desiredVoters: 2*tolerated + 1}
+			group := &simulatedGroup{running: map[string]consensus.MemberID{"server1": 1}, desiredVoters: 2*tolerated + 1}
 			group.members = []consensus.Member{voter(1)}
 			for i, fate := range fates {
 				addMachine(group, consensus.MemberID(i+2), fate)
@@ -261,7 +261,7 @@
 // addMachine adds one more machine: a running voter, one with a lost disk, one that is gone, or a server without state. Other values of
 // fate, and voters beyond the desired number, add nothing.
 func addMachine(group *simulatedGroup, id consensus.MemberID, fate int) {
-	address := fmt.Sprintf("k%d", id)
+	address := fmt.Sprintf("server%d", id)
 	_, voters := group.runningVoters()
 	hasVacancy := voters < group.desiredVoters
 	switch {
--- a/internal/controlplane/server/planned_replacement_test.go
+++ b/internal/controlplane/server/planned_replacement_test.go
@@ -10,10 +10,10 @@
 
 // votersAndLearners counts the groups in which each address is a voter or a learner, as seen by the group leaders among the given servers.
 // allLed reports whether every group has its leader among them.
-func (c *testCluster) votersAndLearners(among ...int) (voters, learners map[string]int, allLed bool) {
+func (c *testCluster) votersAndLearners(servers ...int) (voters, learners map[string]int, allLed bool) {
 	voters, learners = map[string]int{}, map[string]int{}
 	leaders := 0
-	for _, i := range among {
+	for _, i := range servers {
 		report, _ := c.status(i)
 		for _, shard := range report.Shards {
 			if shard.Role != roleName(consensus.RoleLeader) {
--- a/internal/controlplane/server/vote_release_test.go
+++ b/internal/controlplane/server/vote_release_test.go
@@ -23,19 +23,19 @@
 		want      []replica.MembershipChange
 	}{
 		{"recently started successor", identityReply{ID: 4, Age: successorMaxUptime},
-			[]replica.MembershipChange{{Add: &consensus.Member{ID: 3, Address: "k3"}}, {Add: &consensus.Member{ID: 4, Address: "k4", Voter: true}}}},
+			[]replica.MembershipChange{{Add: &consensus.Member{ID: 3, Address: "server3"}}, {Add: &consensus.Member{ID: 4, Address: "server4", Voter: true}}}},
 		{"learner that was started earlier", identityReply{ID: 4, Age: successorMaxUptime + time.Millisecond}, nil},
 		{"successor that is shutting down", identityReply{ID: 4, ShuttingDown: true}, nil},
 		{"another member at the successor's address", identityReply{ID: 5}, nil},
 	} {
 		s, _, _ := newScriptedServer(t)
-		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k4": test.successor}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"server4": test.successor}}
 		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
 		s.settings.FaultTolerance.Machines = 1
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
 		hearMembers(s, s.shards[id], group)
-		if _, err := s.Call(timeoutContext(t), peertransport.Hello{Address: "k3", Member: 3}, callLeave, body); err != nil {
+		if _, err := s.Call(timeoutContext(t), peertransport.Hello{Address: "server3", Member: 3}, callLeave, body); err != nil {
 			t.Fatal(err)
 		}
 		waitForReconcile(t, s, s.shards[id])
@@ -57,7 +57,7 @@
 		const id = shards.ID(1)
 		s, _, _ := newScriptedServer(t)
 		s.settings.FaultTolerance.Machines = 1
-		s.peers.network = &identityNetwork{identities: map[string]identityReply{"k3": {ID: 3, Age: time.Second}, "k4": {ID: 4, Age: time.Second}}}
+		s.peers.network = &identityNetwork{identities: map[string]identityReply{"server3": {ID: 3, Age: time.Second}, "server4": {ID: 4, Age: time.Second}}}
 		group := newChangingGroup(voter(1), voter(2), voter(3), learner(4))
 		group.promotable = memberIDs(4)
 		s.shards[id].group = group
