--- a/internal/controlplane/server/doc.go
+++ b/internal/controlplane/server/doc.go
@@ -1,7 +1,6 @@
 // Package server implements the control plane server process. It keeps a replica of every shard on disk, accepts API calls from
 // operators and heartbeats from workers, forwards each to the owner of its shard, and serves the feed to the agents on edge nodes.
-// Command inference-router runs it (subcommand control-plane); the control plane simulation runs several servers
-// in one process.
+// Command inference-router runs it (subcommand control-plane); the control plane simulation runs several servers in one process.
 //
 // The server mostly connects other packages: coord/replica replicates the shards, configuration and registry are the state
 // machines, peertransport connects the servers, feedtransport serves the agents, and roleplanner decides how many workers
@@ -20,7 +19,7 @@
 //   - session_liveness.go, edge_nodes.go, demand_reports.go: what servers report to the owners of shards.
 //   - status.go, metrics.go: /-/status and /-/metrics. timing.go: all intervals and timeouts.
 //
-// A server whose replica has lost contact with a majority keeps serving the feed, marked as not current, and answers
-// calls that need the owner with 503 once their deadlines have passed. It logs nothing at that moment: /-/status shows
-// current=false and a growing confirmedMs for the shard.
+// A server whose replica has lost contact with a majority keeps serving the feed, marked as not current, and answers calls that need
+// the owner with 503 once their deadlines have passed. It logs the loss only after contactLostAfter;
+// /-/status shows current=false and a growing confirmedMs for the shard before that.
 package server
--- a/internal/controlplane/server/membership_model_test.go
+++ b/internal/controlplane/server/membership_model_test.go
@@ -32,7 +32,7 @@
 	timedOut    bool  // it has been down for longer than its timeout
 	leaving     bool  // its graceful shutdown has begun
 	stable      bool  // its member has been promotable for stableAfter
-	lost        bool  // it counts as lost
+	lost        bool  // a fault has occurred on it and the group has not recovered from it yet
 	replacement bool  // it was started to replace a lost machine and counts as part of that loss, see clearReplacement
 	disk        uint8 // number of the current disk
 }
@@ -45,7 +45,7 @@
 	retired  [modelMachines][modelDisks]bool // its ID is retired in the group
 	replaced [modelMachines][modelDisks]bool // it was removed in favor of another member at its address, whether or not its ID was retired
 	leader   int8                            // machine; -1: none
-	faults   int8                            // faults that may still occur
+	faults   int8                            // number of faults that may still occur
 }
 
 // membershipModel defines the possible steps in each state and the conditions that must never be violated. It is used to check
@@ -53,7 +53,7 @@
 type membershipModel struct {
 	founders, spares  int
 	tolerated         int  // losses tolerated according to the settings
-	faults            int  // faults that may occur in one schedule
+	faults            int  // number of faults that may occur in one schedule
 	replacementSpares bool // spares are started to replace a leaving voter
 	restoreOldDisks   bool // an old copy of a disk may be restored
 	omit              []Guard
--- a/internal/controlplane/server/membership_reconciler_test.go
+++ b/internal/controlplane/server/membership_reconciler_test.go
@@ -176,7 +176,7 @@
 	if change.Add != nil {
 		return fmt.Sprintf("add %+v", *change.Add)
 	}
-	return fmt.Sprintf("remove %d", change.Remove)
+	return fmt.Sprintf("remove %d (retire: %v)", change.Remove, change.Retire)
 }
 
 // simulatedGroup is a group together with the running servers. Each server sends join requests while it is not a voter.
@@ -258,8 +258,8 @@
 	properties.TestingRun(t)
 }
 
-// addMachine adds one more machine: a running voter, one with a lost disk, one that is gone, or a server without state. Other values of
-// fate, and voters beyond the desired number, add nothing.
+// addMachine adds one more machine: a running voter, one with a lost disk, one that no longer runs, or a server without state. Other
+// values of fate, and voters beyond the desired number, add nothing.
 func addMachine(group *simulatedGroup, id consensus.MemberID, fate int) {
 	address := fmt.Sprintf("server%d", id)
 	_, voters := group.runningVoters()
