--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -85,7 +85,7 @@
 	if kind == callReplace {
 		command.Kind = configuration.CommandReplace
 	}
-	if rejection := configuration.ValidateCommand(command, s.environment.OmitStore...); rejection != nil {
+	if rejection := configuration.ValidateCommand(command, s.environment.OmitConfigurationRules...); rejection != nil {
 		return shardResponse{Status: rejection.HTTPStatus, Code: int(rejection.Code), Text: rejection.Text}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeoutFor(len(body)))
--- a/internal/controlplane/server/configuration_machine.go
+++ b/internal/controlplane/server/configuration_machine.go
@@ -14,7 +14,7 @@
 }
 
 func newConfigurationMachine(environment Environment) *configurationMachine {
-	store := configuration.NewStore(environment.OmitStore...)
+	store := configuration.NewStore(environment.OmitConfigurationRules...)
 	if environment.RememberedChanges > 0 {
 		store.SetMaxRemembered(environment.RememberedChanges)
 	}
--- a/internal/controlplane/server/environment.go
+++ b/internal/controlplane/server/environment.go
@@ -32,9 +32,9 @@
 	RememberedChanges int    // accepted configuration changes that are remembered to recognize repeats
 
 	// Safety checks that tests omit to show that the simulation detects their absence.
-	OmitGuards []Guard
-	OmitRules  []consensus.Rule
-	OmitStore  []configuration.Rule
+	OmitGuards             []Guard
+	OmitConsensusRules     []consensus.Rule
+	OmitConfigurationRules []configuration.Rule
 }
 
 func (e Environment) withDefaults() Environment {
--- a/internal/controlplane/server/guards.go
+++ b/internal/controlplane/server/guards.go
@@ -12,9 +12,9 @@
 	GuardHeartbeatRecorded Guard = "beat-recorded"     // a follower acknowledges only what its replica has recorded
 	GuardOwnershipBarrier  Guard = "ownership-barrier" // a new leader owns its shard only after it has applied what earlier leaders acknowledged
 	GuardOwnershipTerm     Guard = "ownership-term"    // ownership ends with the term in which it was gained
-	GuardFoundingOnce      Guard = "founding-once"     // only a seed bootstraps groups, and only when the cluster starts for the first time
-	GuardOrphans           Guard = "orphans"           // replicas without a readable member ID are removed
-	GuardIdentityAsked     Guard = "identity-asked"    // a join request takes effect only after the server at its address has confirmed the member ID
+	GuardBootstrapOnce     Guard = "founding-once"     // only a seed bootstraps groups, and only when the cluster starts for the first time
+	GuardOrphanReplicas    Guard = "orphans"           // replicas without a readable member ID are removed
+	GuardIdentityConfirmed Guard = "identity-asked"    // a join request takes effect only after the server at its address has confirmed the member ID
 	GuardReplacedRetired   Guard = "replaced-retired"  // the member ID of a lost disk is never added again
 	GuardPromotedDurable   Guard = "promoted-durable"  // only a learner that has acknowledged nearly all of the log as durable is promoted
 	GuardVotersOdd         Guard = "voters-odd"        // a group has an even number of voters only while it grows to the next odd number
@@ -25,7 +25,7 @@
 func Guards() []Guard {
 	return []Guard{
 		GuardReadConfirmed, GuardFeedCurrent, GuardHeartbeatCurrent, GuardHeartbeatRecorded, GuardOwnershipBarrier,
-		GuardOwnershipTerm, GuardFoundingOnce, GuardOrphans,
-		GuardIdentityAsked, GuardReplacedRetired, GuardPromotedDurable, GuardSuccessorReady, GuardVotersOdd,
+		GuardOwnershipTerm, GuardBootstrapOnce, GuardOrphanReplicas,
+		GuardIdentityConfirmed, GuardReplacedRetired, GuardPromotedDurable, GuardSuccessorReady, GuardVotersOdd,
 	}
 }
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return consensus.Member{}, nil, eris.Wrap(err, "remove replicas without a member ID")
 	}
-	isFounder := slices.Contains(seeds, r.address) && (r.settings.Bootstrap && !r.diskLost || !r.environment.guardEnabled(GuardFoundingOnce))
+	isFounder := slices.Contains(seeds, r.address) && (r.settings.Bootstrap && !r.diskLost || !r.environment.guardEnabled(GuardBootstrapOnce))
 	newID := func() consensus.MemberID {
 		if isFounder {
 			return memberID(r.address, founderNonce)
@@ -97,7 +97,7 @@
 
 // removeOrphanReplicas removes the replicas of a disk whose member ID is missing or damaged and reports whether there were any.
 func removeOrphanReplicas(settings bootconfig.Settings, environment Environment) (lost bool, err error) {
-	if !environment.guardEnabled(GuardOrphans) {
+	if !environment.guardEnabled(GuardOrphanReplicas) {
 		return false, nil
 	}
 	return seglog.RemoveOrphanedReplicas(environment.FileSystem, settings.DataDir, replicaDirectories(settings.DataDir))
--- a/internal/controlplane/server/lifecycle.go
+++ b/internal/controlplane/server/lifecycle.go
@@ -148,7 +148,7 @@
 		Logger:            s.logger,
 		Clock:             groupClock{now: s.environment.Now, start: s.startedAt},
 		SnapshotEntries:   s.environment.SnapshotEntries,
-		OmitRules:         s.environment.OmitRules,
+		OmitRules:         s.environment.OmitConsensusRules,
 	})
 	if err != nil {
 		return err
--- a/internal/controlplane/server/lost_disk_test.go
+++ b/internal/controlplane/server/lost_disk_test.go
@@ -55,7 +55,7 @@
 // and entries. The server must return as another member and bootstrap nothing. Without the guard it bootstraps the groups again, under
 // the ID that has already voted.
 func TestIdentityResolver_Resolve_orphansCountAsLostDisk(t *testing.T) {
-	for _, omit := range [][]Guard{nil, {GuardOrphans}} {
+	for _, omit := range [][]Guard{nil, {GuardOrphanReplicas}} {
 		config := bootconfig.Defaults()
 		config.Bootstrap, config.DataDir = true, t.TempDir()
 		config.PortRange = [2]int{7000, 7015}
--- a/internal/controlplane/server/membership_controller_test.go
+++ b/internal/controlplane/server/membership_controller_test.go
@@ -102,7 +102,7 @@
 // A delayed join request of a former member must not remove the member that now runs at its address. Without the identity check it does.
 func TestServer_ReceiveJoin_lateRequestOfFormerMemberRemovesNobody(t *testing.T) {
 	const id, former, replacement = joinedShard, consensus.MemberID(30), consensus.MemberID(31)
-	for _, omit := range [][]Guard{nil, {GuardIdentityAsked}} {
+	for _, omit := range [][]Guard{nil, {GuardIdentityConfirmed}} {
 		s, _, _ := newScriptedServer(t)
 		s.environment.OmitGuards = omit
 		s.peers.network = &identityNetwork{identities: map[string]identityReply{"server3": {ID: replacement}}}
--- a/internal/controlplane/server/membership_model_exhaustive_test.go
+++ b/internal/controlplane/server/membership_model_exhaustive_test.go
@@ -143,7 +143,7 @@
 	base := membershipModel{founders: 3, spares: 1, tolerated: 1, faults: 2, replacementSpares: true, restoreOldDisks: true}
 	wide := membershipModel{founders: 3, spares: 1, tolerated: 2, faults: 2, replacementSpares: true}
 	for guard, weakened := range map[Guard]membershipModel{
-		GuardIdentityAsked: base, GuardReplacedRetired: base, GuardPromotedDurable: base, GuardSuccessorReady: base,
+		GuardIdentityConfirmed: base, GuardReplacedRetired: base, GuardPromotedDurable: base, GuardSuccessorReady: base,
 		GuardVotersOdd: wide,
 	} {
 		weakened.omit = []Guard{guard}
--- a/internal/controlplane/server/membership_reconciler.go
+++ b/internal/controlplane/server/membership_reconciler.go
@@ -191,7 +191,7 @@
 
 // requireConfirmation returns a change that is made only if the server that sent the join request confirms its member ID.
 func (o observedState) requireConfirmation(change replica.MembershipChange, request joinRequest) plannedChange {
-	if !o.guardEnabled(GuardIdentityAsked) {
+	if !o.guardEnabled(GuardIdentityConfirmed) {
 		return plannedChange{Change: change}
 	}
 	return plannedChange{Change: change, Confirm: request}
--- a/internal/testkit/controlplanesim/machine.go
+++ b/internal/testkit/controlplanesim/machine.go
@@ -83,7 +83,7 @@
 		Listen:          incarnation.process.Listen,
 		OnGroupStatus:   func(status replica.Status) { w.record.observe(m, status) },
 		SnapshotEntries: uint64(w.schedule.SnapshotEntries), RememberedChanges: w.schedule.Remembered,
-		OmitGuards: w.omissions.server, OmitRules: w.omissions.consensus, OmitStore: w.omissions.configuration,
+		OmitGuards: w.omissions.server, OmitConsensusRules: w.omissions.consensus, OmitConfigurationRules: w.omissions.configuration,
 	}
 }
 
