--- a/internal/node/zones/replica/messages.go
+++ b/internal/node/zones/replica/messages.go
@@ -10,27 +10,27 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// Message is what one voter sends another. The numbers are its encoding.
+// Message is a message from one voter to another. The numbers in the tags are its CBOR keys.
 type Message struct {
 	Fleet       string             `cbor:"1,keyasint"`
 	From        uint64             `cbor:"2,keyasint"`
 	Store       string             `cbor:"3,keyasint"` // ID of the sender's store
 	Log         [][]byte           `cbor:"4,keyasint,omitempty"`
-	LeaderTerm  uint64             `cbor:"7,keyasint,omitempty"` // the sender's term, where it leads and has applied its own first entry
+	LeaderTerm  uint64             `cbor:"7,keyasint,omitempty"` // the sender's term, if it leads and has applied the first entry of that term
 	CommitIndex uint64             `cbor:"8,keyasint,omitempty"` // the leader's commit index
-	Stamp       Timestamp          `cbor:"9,keyasint"`           // when the message was made
+	Stamp       Timestamp          `cbor:"9,keyasint"`           // when the message was created
 	Echo        Timestamp          `cbor:"10,keyasint"`          // the stamp of the last message that the sender received from the addressee
 	Digest      health.Digest      `cbor:"5,keyasint,omitempty"` // observations of the processes that report to the sender
 	Commands    []commands.Command `cbor:"6,keyasint,omitempty"` // for the leader to propose
 }
 
-// Timestamp is a time by a voter's own clock, which restarts with each incarnation.
+// Timestamp is a time on a voter's own clock, which restarts with each incarnation.
 type Timestamp struct {
 	Incarnation uint64        `cbor:"1,keyasint"`
 	At          time.Duration `cbor:"2,keyasint"`
 }
 
-// Merge returns this message and a later one to the same voter as one.
+// Merge combines this message with a later one to the same voter.
 func (m Message) Merge(later Message) Message {
 	later.Log = append(m.Log[:len(m.Log):len(m.Log)], later.Log...)
 	later.Commands = append(m.Commands[:len(m.Commands):len(m.Commands)], later.Commands...)
@@ -46,13 +46,13 @@
 	Message Message
 }
 
-// leaderCommit is a leader's commit index and the own clock time by which it was read.
+// leaderCommit is a leader's commit index. The leader read it at readAt on this voter's clock, or later.
 type leaderCommit struct {
 	term, index uint64
-	at          time.Duration
+	readAt      time.Duration
 }
 
-// Receive handles another voter's message. After an error of the log the replica must stop; see Err.
+// Receive handles another voter's message. If the log returns an error, the replica must stop; see Err.
 func (r *Replica) Receive(now time.Duration, message Message) error {
 	if message.Fleet != r.config.Fleet {
 		r.counts.Foreign++
@@ -68,7 +68,7 @@
 			return fmt.Errorf("log.%d: %w", i, err)
 		}
 		if uint64(logMessage.From) != message.From || uint64(logMessage.To) != r.config.ID {
-			return fmt.Errorf("log.%d: from %d to %d, in a message of %d to %d", i, logMessage.From, logMessage.To, message.From, r.config.ID)
+			return fmt.Errorf("log.%d: log message from voter %d to voter %d, carried by a message from voter %d to voter %d", i, logMessage.From, logMessage.To, message.From, r.config.ID)
 		}
 		if err := r.log.Step(logMessage); err != nil {
 			r.err = err
@@ -90,20 +90,20 @@
 	}
 	for _, command := range message.Commands {
 		if data, err := encoding.Marshal(command); err == nil {
-			_ = r.log.Propose(data) // its proposer sends it again until it is committed
+			_ = r.log.Propose(data) // the proposer resends the command until it is committed
 		}
 	}
 	return nil
 }
 
 func (r *Replica) foreignFleetError(fleet string) error {
-	return fmt.Errorf("fleet: this is %q, not %q", r.config.Fleet, fleet)
+	return fmt.Errorf("fleet: this voter belongs to fleet %q, not %q", r.config.Fleet, fleet)
 }
 
-// mayGrantLease reports whether the table applied here was the committed one at most an election timeout
-// ago. A voter that lags or has just started may know a leader and still have an old table, and a
-// leader's message may be long delayed. So the age of a commit index counts from the time at which this
-// voter sent the message that the leader echoed.
+// mayGrantLease reports whether the table applied here was the committed one no longer ago than an election
+// timeout. A voter that lags or has just started may know the leader and still have an outdated table, and a
+// leader's message may be delayed for long. The age of a commit index therefore counts from the time at
+// which this voter sent the message that the leader echoed.
 func (r *Replica) mayGrantLease(now time.Duration) bool {
 	if r.log.IsLeader() {
 		return r.log.LeaderCaughtUp()
@@ -111,17 +111,18 @@
 	return r.caughtUpAt > 0 && now-r.caughtUpAt <= time.Duration(r.config.Settings.ElectionTicks)*r.config.Settings.Tick
 }
 
-// recordLeaderCommit records a leader's commit index, and whether this voter has applied that much.
-func (r *Replica) recordLeaderCommit(read leaderCommit) {
-	if read.term > 0 && (read.term > r.leaderCommit.term || read.term == r.leaderCommit.term && read.at >= r.leaderCommit.at) {
-		r.leaderCommit = read
+// recordLeaderCommit records a leader's commit index if it is newer than the last one, and updates caughtUpAt if
+// this voter has applied the entries up to it.
+func (r *Replica) recordLeaderCommit(observed leaderCommit) {
+	if observed.term > 0 && (observed.term > r.leaderCommit.term || observed.term == r.leaderCommit.term && observed.readAt >= r.leaderCommit.readAt) {
+		r.leaderCommit = observed
 	}
 	if r.leaderCommit.term > 0 && r.leaderCommit.term >= r.log.Term() && r.log.AppliedIndex() >= r.leaderCommit.index {
-		r.caughtUpAt = max(r.caughtUpAt, r.leaderCommit.at)
+		r.caughtUpAt = max(r.caughtUpAt, r.leaderCommit.readAt)
 	}
 }
 
-// send queues a message, stamped, to another voter.
+// send fills in the sender and the timestamps of a message and queues it for another voter.
 func (r *Replica) send(to uint64, message Message) {
 	if to == r.config.ID {
 		return
--- a/internal/node/zones/replica/pending.go
+++ b/internal/node/zones/replica/pending.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/node/zones/encoding"
 )
 
-// neverSent is an age past which a command is due to be sent at once.
+// neverSent is the age given to a new command, so that it is sent at once.
 const neverSent = time.Second
 
 // pendingCommand is a command proposed through this voter that is not known to be committed.
@@ -20,24 +20,24 @@
 	command  commands.Command
 	deadline time.Duration
 	sentAt   time.Duration
-	done     func(error)
+	onDone   func(error)
 }
 
-// ProposeOverride proposes an operator's override. done is called once with the outcome. The last zone
-// that takes work cannot be evacuated.
+// ProposeOverride proposes an operator's override. done is called once with the outcome. The last serving
+// zone cannot be evacuated.
 func (r *Replica) ProposeOverride(now time.Duration, override commands.Override, done func(error)) {
 	if err := override.Validate(); err != nil {
 		done(err)
 		return
 	}
 	if override.Action == commands.OverrideEvacuate && !r.otherZoneServes(override.Zone) {
-		done(fmt.Errorf("zone: %q is the last that takes work", override.Zone))
+		done(fmt.Errorf("zone: %q is the last serving zone and cannot be evacuated", override.Zone))
 		return
 	}
 	r.submit(now, commands.Command{Override: &override}, now+r.config.Settings.CommitTimeout, done)
 }
 
-// otherZoneServes reports whether a zone other than this one takes work.
+// otherZoneServes reports whether a zone other than the given one serves requests.
 func (r *Replica) otherZoneServes(zone string) bool {
 	zones := map[string]bool{}
 	for name, report := range r.localDigest() {
@@ -58,13 +58,13 @@
 	return false
 }
 
-// submit has a command committed through whichever voter leads. It is sent again until it is applied or
-// its deadline has passed; its ID keeps it from being applied twice. done is called once.
+// submit proposes a command through the current leader. The command is resent until it is applied or its
+// deadline has passed; its ID prevents it from being applied twice. done is called once.
 func (r *Replica) submit(now time.Duration, command commands.Command, deadline time.Duration, done func(error)) {
 	r.lastCommandNumber++
 	command.ID = strconv.FormatUint(r.config.ID, 10) + "-" + r.config.Store + "-" + strconv.FormatUint(r.config.Starts, 10) + "-" +
 		strconv.FormatUint(r.lastCommandNumber, 10)
-	r.pending[command.ID] = &pendingCommand{command: command, deadline: deadline, sentAt: now - neverSent, done: done}
+	r.pending[command.ID] = &pendingCommand{command: command, deadline: deadline, sentAt: now - neverSent, onDone: done}
 	r.counts.Commands++
 	r.resendPending(now)
 }
@@ -76,7 +76,7 @@
 		switch {
 		case now >= p.deadline:
 			delete(r.pending, id)
-			p.done(ErrOutcomeUnknown)
+			p.onDone(ErrOutcomeUnknown)
 		case now-p.sentAt < 2*r.config.Settings.RoundInterval:
 		case r.log.IsLeader():
 			if data, err := encoding.Marshal(p.command); err == nil && r.log.Propose(data) == nil {
@@ -96,6 +96,6 @@
 	}
 	if p := r.pending[command.ID]; p != nil {
 		delete(r.pending, command.ID)
-		p.done(err)
+		p.onDone(err)
 	}
 }
--- a/internal/node/zones/replica/replica.go
+++ b/internal/node/zones/replica/replica.go
@@ -1,13 +1,13 @@
-// Package replica is one voter of the zones' consensus group.
+// Package replica implements one voter of the consensus group that manages the zones.
 //
 // A Replica takes part in the replicated log (package replicatedlog), tracks the processes that report
-// to it and grants them leases on the zone table (packages members and follower), and decides on the
-// zones while it leads (package failover). Commands of operators and of the leader are proposed
+// to it and grants them leases on the zone table (packages members and follower), and decides about
+// failover of the zones while it leads (package failover). Operators and the leader propose commands
 // through it (pending.go); messages between voters are in messages.go.
 //
 // A Replica has no clock, files or sockets: package server drives it in the program, package
-// simulation in the tests. The caller ticks it, makes durable what NextPersist returns, calls
-// Persisted, and sends what TakeOutgoing returns.
+// simulation in tests. The caller ticks it, persists what NextPersist returns, then calls Persisted,
+// and sends what TakeOutgoing returns.
 package replica
 
 import (
@@ -26,23 +26,23 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// startRegistrationTime is how long a replica tries to register its start.
+// startRegistrationTime is how long a replica tries to commit the command that registers its start.
 const startRegistrationTime = time.Hour
 
-// maxMissedTicks is how many ticks may be made up for at once; beyond them the process was paused.
+// maxMissedTicks is how many missed ticks are caught up on at once. If more were missed, the process was paused.
 const maxMissedTicks = 100
 
-// Settings are the times of a replica.
+// Settings are the intervals and timeouts of a replica.
 type Settings struct {
 	Tick             time.Duration
-	ElectionTicks    int           // ticks without a message of a leader before an election
+	ElectionTicks    int           // ticks without a message from a leader before an election
 	HeartbeatTicks   int           // ticks between a leader's heartbeats
 	SnapshotInterval int           // entries from one snapshot to the next
-	Lease            time.Duration // granted to a process, from the sending of its report
-	ProcessTimeout   time.Duration // how long a process is live after a report
+	Lease            time.Duration // lease granted to a process, counted from when it sent its report
+	ProcessTimeout   time.Duration // how long a process counts as live after a report
 	RoundInterval    time.Duration // between digests to the leader, and between the leader's decisions
-	DigestTimeout    time.Duration // how long another voter's digest counts
-	CommitTimeout    time.Duration // for a command to be committed; then its outcome is reported as unknown
+	DigestTimeout    time.Duration // how long another voter's digest is used
+	CommitTimeout    time.Duration // how long a command may take to be committed; then its outcome is reported as unknown
 	Failover         failover.Settings
 }
 
@@ -50,9 +50,9 @@
 const (
 	checkIncarnation     = "incarnation" // reports of an earlier incarnation are ignored
 	checkLeaderContact   = "contact"     // a lease needs an up-to-date table
-	checkEchoAge         = "echo"        // a leader's commit index is as old as the message that it echoes
-	checkEchoIncarnation = "start"       // an echo counts only for a message of this incarnation
-	checkLeaderCaughtUp  = "settled"     // a leader's commit index counts once it has applied an entry of its own term
+	checkEchoAge         = "echo"        // the age of a leader's commit index counts from the message that the leader echoes
+	checkEchoIncarnation = "start"       // an echo counts only if it is of a message from this incarnation
+	checkLeaderCaughtUp  = "settled"     // a leader's commit index counts only once it has applied an entry of its own term
 )
 
 // DefaultSettings returns the settings that the program uses.
@@ -76,29 +76,29 @@
 	Fleet     string
 	ID        uint64
 	Store     string // ID of the voter's store
-	Starts    uint64 // how often the store was opened; the incarnation of this replica
+	Starts    uint64 // how often the store was opened; used as this replica's incarnation
 	Settings  Settings
 	Classes   []failover.Class
 	Rand      *rand.Rand
 	Logger    *slog.Logger
-	WallClock func() int64 // the time of day in Unix microseconds, by which overrides expire
-	// DisabledCheck names a check to skip, for tests that show why it is needed.
+	WallClock func() int64 // Unix time in microseconds, used for the expiry of overrides
+	// DisabledCheck names a check to skip, for tests which show that the check is needed.
 	DisabledCheck string
 }
 
-// timedDigest is the last digest of another voter.
+// timedDigest is the last digest from another voter.
 type timedDigest struct {
 	digest     health.Digest
 	receivedAt time.Duration
 }
 
-// processReport is the last report of one process.
+// processReport is the last report from one process.
 type processReport struct {
 	zone         string
 	observations health.Observations
 }
 
-// Replica is one voter. It belongs to one goroutine.
+// Replica is one voter. It is not safe for concurrent use.
 type Replica struct {
 	config  Config
 	log     *replicatedlog.Log
@@ -111,28 +111,28 @@
 	members *members.Table
 	reports map[string]processReport // by process name
 
-	// Leading.
+	// State used only while this voter leads.
 	decider       *failover.Decider // nil unless this voter leads
 	digests       map[uint64]timedDigest
 	assessments   map[string]failover.Assessment
-	proposedEpoch uint64 // the epoch that the last proposed change makes
+	proposedEpoch uint64 // the table's epoch after the last proposed change
 	proposedAt    time.Duration
 
 	// Commands proposed through this voter.
 	pending           map[string]*pendingCommand
 	lastCommandNumber uint64
 
-	// Freshness of the table: see mayGrantLease.
+	// How recent the table is; see mayGrantLease.
 	leaderCommit leaderCommit
-	caughtUpAt   time.Duration        // send time of the last own message whose answer showed this table up to date
-	lastStamps   map[uint64]Timestamp // of the last message of each other voter
+	caughtUpAt   time.Duration        // when this voter sent the last message whose echo showed that its table was up to date
+	lastStamps   map[uint64]Timestamp // stamp of the last message from each other voter
 
 	lastTickAt  time.Duration
 	lastRoundAt time.Duration
 	outgoing    []Envelope
 }
 
-// Counts are totals since the start, shown to operators. The encoded names are part of their interface.
+// Counts are totals since the start, shown to operators. The encoded names are part of the operators' interface.
 type Counts struct {
 	Reports    uint64 `cbor:"Reports" json:"Reports"`
 	OutOfOrder uint64 `cbor:"Late" json:"Late"`
@@ -145,9 +145,9 @@
 
 // ErrOutcomeUnknown is returned for a command that was not seen committed within CommitTimeout. It may
 // still be committed.
-var ErrOutcomeUnknown = errors.New("no word on the order in time: it may have been taken or not") // shown to operators
+var ErrOutcomeUnknown = errors.New("the command was not confirmed in time; it may or may not take effect") // shown to operators
 
-var errUnnamedProcess = errors.New("name and zone: a report has both")
+var errUnnamedProcess = errors.New("name, zone: a report must contain both")
 
 // New returns a replica that continues from its stored state and registers its start in the log.
 func New(now time.Duration, config Config, stored replicatedlog.StoredState) (*Replica, error) {
@@ -175,16 +175,16 @@
 	return r, nil
 }
 
-// Err returns why this replica must stop; nil while it may go on.
+// Err returns why this replica must stop; nil while it may continue.
 func (r *Replica) Err() error { return r.err }
 
-// Tick advances the replica to now: log ticks, and a round each RoundInterval.
+// Tick advances the replica to now: it ticks the log, and runs a round every RoundInterval.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
 	for ; now-r.lastTickAt >= r.config.Settings.Tick; r.lastTickAt += r.config.Settings.Tick {
 		if now-r.lastTickAt > maxMissedTicks*r.config.Settings.Tick {
-			// The process was paused. The time must not count as the other voters' silence, or a
-			// resumed follower would campaign at once.
+			// The process was paused. The pause must not count as time without messages from the other
+			// voters, or a resumed follower would start an election at once.
 			r.lastTickAt = now - r.config.Settings.Tick
 		}
 		r.log.Tick()
@@ -198,7 +198,7 @@
 	}
 }
 
-// leadershipChanged starts deciding with an empty history, or stops.
+// leadershipChanged creates a decider with an empty history if this voter now leads, and drops it otherwise.
 func (r *Replica) leadershipChanged() {
 	if r.decider = nil; r.log.IsLeader() {
 		r.decider = failover.New(r.config.Settings.Failover, r.config.Classes)
@@ -207,7 +207,8 @@
 	r.config.Logger.Info("leadership changed", "leads", r.log.IsLeader(), "term", r.log.Term(), "epoch", r.machine.Table().Epoch)
 }
 
-// runRound sends this voter's digest to the leader or, at the leader, decides on the zones.
+// runRound expires silent processes, resends pending commands and then sends this voter's digest to the leader or,
+// at the leader, decides about the zones.
 func (r *Replica) runRound(now time.Duration) {
 	for _, name := range r.members.Expire(now) {
 		delete(r.reports, name)
@@ -222,7 +223,8 @@
 	}
 }
 
-// decide proposes the change that the merged observations call for, one at a time.
+// decide proposes the change that the merged observations of all voters require. Only one change is in progress
+// at a time.
 func (r *Replica) decide(now time.Duration) {
 	merged := r.localDigest()
 	for _, id := range slices.Sorted(maps.Keys(r.digests)) {
@@ -245,7 +247,7 @@
 	r.submit(now, commands.Command{Change: change}, now+r.config.Settings.CommitTimeout, func(error) {})
 }
 
-// logChange logs a proposed change, a line for each zone.
+// logChange logs a proposed change, with one record per zone.
 func (r *Replica) logChange(change *commands.Change, epoch uint64) {
 	for _, name := range slices.Sorted(maps.Keys(change.Zones)) {
 		zone := change.Zones[name]
@@ -258,18 +260,18 @@
 	}
 }
 
-// expireOverrides proposes to clear the overrides that have ended.
+// expireOverrides proposes commands that clear expired overrides.
 func (r *Replica) expireOverrides(now time.Duration, table *commands.Table) {
-	wall := r.config.WallClock()
+	wallClock := r.config.WallClock()
 	for _, name := range slices.Sorted(maps.Keys(table.Overrides)) {
-		if override := table.Overrides[name]; wall >= override.Until {
+		if override := table.Overrides[name]; wallClock >= override.Until {
 			clearing := commands.Override{Zone: name, Action: commands.OverrideClear}
 			r.submit(now, commands.Command{Override: &clearing}, now+r.config.Settings.CommitTimeout, func(error) {})
 		}
 	}
 }
 
-// localDigest merges the observations of the processes that report here.
+// localDigest merges the observations of the processes that report to this voter.
 func (r *Replica) localDigest() health.Digest {
 	out := health.Digest{}
 	for _, name := range slices.Sorted(maps.Keys(r.reports)) {
@@ -317,7 +319,7 @@
 	return out, nil
 }
 
-// NextPersist returns what must be made durable next; see replicatedlog.Log.
+// NextPersist returns what must be persisted next; see replicatedlog.Log.
 func (r *Replica) NextPersist() (replicatedlog.Persist, bool) {
 	r.advance()
 	if r.err != nil {
@@ -326,7 +328,7 @@
 	return r.log.NextPersist()
 }
 
-// Persisted reports that persist is durable.
+// Persisted tells the replica that p is durable.
 func (r *Replica) Persisted(p replicatedlog.Persist) {
 	r.log.Persisted(p)
 	r.advance()
@@ -355,7 +357,7 @@
 // Table returns the committed table as this voter knows it. The caller must not modify it.
 func (r *Replica) Table() *commands.Table { return r.machine.Table() }
 
-// Assessments returns the assessments of the last decision; none unless this voter leads.
+// Assessments returns the zones' assessments from the last decision; nil unless this voter leads.
 func (r *Replica) Assessments() map[string]failover.Assessment { return r.assessments }
 
 // Log returns the voter's replicated log.
@@ -364,5 +366,5 @@
 // Members returns the live processes that report to this voter.
 func (r *Replica) Members() []members.Member { return r.members.Live() }
 
-// Counts returns the totals.
+// Counts returns the totals since the start.
 func (r *Replica) Counts() Counts { return r.counts }
--- a/internal/node/zones/replicatedlog/codec.go
+++ b/internal/node/zones/replicatedlog/codec.go
@@ -8,10 +8,10 @@
 	"ospreybend/internal/node/zones/encoding"
 )
 
-// ErrEncoding is returned for bytes that are no valid message, entry, snapshot or hard state.
+// ErrEncoding is returned for bytes that are not a valid message, entry, snapshot or hard state.
 var ErrEncoding = errors.New("replicated log: the bytes cannot be read")
 
-// The records below are the CBOR encoding of what voters send and store. A change of a stored one needs a new
+// The records below define the CBOR encoding of what voters send and store. A change to a stored record needs a new
 // formatVersion in package store.
 
 type memberRecord struct {
@@ -59,7 +59,7 @@
 	Acknowledged uint64                `cbor:"15,keyasint,omitempty"`
 }
 
-// encode panics on an error: records are plain values, which can always be encoded.
+// encode panics on an error, which cannot occur: records are plain values, which can always be encoded.
 func encode(record any) []byte {
 	data, err := encoding.Marshal(record)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return out
 }
 
-// toMemberRecord omits the core's mark of a retired ID: this log never retires one.
+// toMemberRecord omits the consensus core's flag for a retired ID: this log never retires IDs.
 func toMemberRecord(m consensus.Member) memberRecord {
 	return memberRecord{ID: m.ID, Address: m.Address, Voter: m.Voter}
 }
@@ -154,7 +154,7 @@
 	return encode(record)
 }
 
-// DecodeMessage decodes a message and checks that its entries are consecutive, as the core expects them.
+// DecodeMessage decodes a message and checks that its entries are consecutive, which the consensus core requires.
 func DecodeMessage(data []byte) (Message, error) {
 	var record messageRecord
 	if err := decode(data, &record); err != nil {
@@ -172,12 +172,12 @@
 
 func (m *Message) check() error {
 	if m.Kind > consensus.MessageTimeoutNow {
-		return fmt.Errorf("%w: a message of kind %d", ErrEncoding, m.Kind)
+		return fmt.Errorf("%w: unknown message kind %d", ErrEncoding, m.Kind)
 	}
 	index, term := m.LogIndex, m.LogTerm
 	for _, entry := range m.Entries {
 		if entry.Index != index+1 || entry.Term < term || entry.Term > m.Term || entry.Kind > consensus.EntryMembership {
-			return fmt.Errorf("%w: entry %d of term %d and kind %d after entry %d of term %d", ErrEncoding, entry.Index, entry.Term, entry.Kind,
+			return fmt.Errorf("%w: entry %d of term %d and kind %d cannot follow entry %d of term %d", ErrEncoding, entry.Index, entry.Term, entry.Kind,
 				index, term)
 		}
 		index, term = entry.Index, entry.Term
--- a/internal/node/zones/replicatedlog/compatibility_test.go
+++ b/internal/node/zones/replicatedlog/compatibility_test.go
@@ -8,7 +8,8 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityMessage returns a message with every field set. Some never have a value together; the form carries them all.
+// compatibilityMessage returns a message with every field set. The program never sets some of them together, but the
+// encoding can hold them all.
 func compatibilityMessage(kind consensus.MessageKind) Message {
 	members := []consensus.Member{{ID: 1, Address: "192.0.2.1:7200", Voter: true}, {ID: 1 << 63}}
 	message := Message{Acknowledged: 39, Message: consensus.Message{
@@ -28,7 +29,7 @@
 	return message
 }
 
-// recordRow is a row of a stored record.
+// recordRow returns the row for one encoded value.
 func recordRow[T any](name string, value T, encode func(T) []byte, decode func([]byte) (T, error)) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
@@ -37,7 +38,7 @@
 	}
 }
 
-// compatibilityRows are one message of each kind, by its number, and each kind of stored record.
+// compatibilityRows returns one row per message kind, named by its number, and one per kind of stored record.
 func compatibilityRows() []golden.Row {
 	append1 := compatibilityMessage(consensus.MessageAppendEntries)
 	rows := []golden.Row{
@@ -53,4 +54,4 @@
 	return rows
 }
 
-func TestForms_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
+func TestRecords_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
--- a/internal/node/zones/replicatedlog/log.go
+++ b/internal/node/zones/replicatedlog/log.go
@@ -1,9 +1,9 @@
-// Package replicatedlog is the replicated log of the zones' voters.
+// Package replicatedlog implements the replicated log of the voters that manage the zones.
 //
 // The consensus core is package coord/consensus; this package adds the state machine's snapshots, the
 // promotion of new voters, and the encoding of stored records and messages (codec.go, stored.go). It
 // has no clock, files or sockets. Its caller (package replica) ticks a Log, passes it the other
-// voters' messages, sends what Advance returns, makes durable what NextPersist returns and then calls
+// voters' messages, sends what Advance returns, persists what NextPersist returns and then calls
 // Persisted.
 package replicatedlog
 
@@ -19,84 +19,84 @@
 )
 
 const (
-	maxAppendBytes  = 256 << 10 // entry bytes in one message
-	maxInflight     = 64        // unacknowledged append messages to a voter
-	trailingEntries = 64        // entries kept before a snapshot, for voters that lag a little
+	maxAppendBytes     = 256 << 10 // entry bytes in one message
+	maxInflightAppends = 64        // unacknowledged append messages to a voter
+	trailingEntries    = 64        // entries kept before a snapshot, so that voters that lag a little need no snapshot
 
-	// tick is the core's time for one tick. The core draws election timeouts in units of time.Duration, which makes
-	// them multiples of a tick.
-	tick = time.Duration(1)
+	// coreTick is the duration of one tick as passed to the consensus core. The core draws election timeouts in units
+	// of time.Duration; as a tick is the smallest unit, they are whole ticks.
+	coreTick = time.Duration(1)
 )
 
 // Errors of proposals.
 var (
-	ErrNotLeader     = errors.New("this voter does not lead")
-	ErrBusy          = errors.New("the log accepts no command now") // too many uncommitted entries, or a change of voters is in progress
-	ErrInvalidChange = errors.New("one voter is added or removed at a time")
+	ErrNotLeader     = errors.New("this voter is not the leader")
+	ErrBusy          = errors.New("the log cannot accept a proposal now") // too many uncommitted entries, or a membership change is in progress
+	ErrInvalidChange = errors.New("a membership change must add or remove exactly one voter")
 )
 
-// ErrAcknowledgedLost is returned when a voter's log is shorter than what it has acknowledged, as after its store was
-// restored from an old copy.
+// ErrAcknowledgedLost is returned when a voter's log ends before the last entry that it has acknowledged, for example
+// because its store was restored from an old copy.
 var ErrAcknowledgedLost = errors.New("entries that were acknowledged are missing")
 
-// ConsistencyError is returned when the log contradicts committed entries, as after a store was restored from an old
-// copy. The voter must stop.
+// ConsistencyError is returned when the log conflicts with committed entries, for example because the store was
+// restored from an old copy. The voter must stop.
 type ConsistencyError struct{ Err error }
 
 // Error implements error.
-func (b *ConsistencyError) Error() string {
-	return "the replicated log is inconsistent: " + b.Err.Error()
+func (e *ConsistencyError) Error() string {
+	return "the replicated log is inconsistent: " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
-func (b *ConsistencyError) Unwrap() error { return b.Err }
+func (e *ConsistencyError) Unwrap() error { return e.Err }
 
-// StateMachine is what the log replicates. Each voter has its own; all apply the same commands in the same order.
+// StateMachine is the replicated state. Each voter has its own; all apply the same commands in the same order.
 type StateMachine interface {
 	Apply(index uint64, command []byte)
 	Snapshot() ([]byte, error)
 	Restore(state []byte) error
 }
 
-// Message is a consensus message with what the receiver needs to detect a lost store.
+// Message is a consensus message with the index from which the receiver detects lost entries.
 type Message struct {
 	consensus.Message
-	// Acknowledged is the index of the last entry that the addressee has acknowledged to this leader, 0 where the
-	// sender does not lead. A log that ends before it has lost entries.
+	// Acknowledged is the index of the last entry that the addressee has acknowledged to this leader; 0 if the
+	// sender does not lead. If the addressee's log ends before this index, it has lost entries.
 	Acknowledged uint64
 }
 
 // Config configures a Log. Times are in ticks.
 type Config struct {
 	ID               uint64
-	ElectionTicks    int // without a leader's message before an election; drawn from this to twice this
+	ElectionTicks    int // minimum election timeout; each timeout is drawn between this and twice this
 	HeartbeatTicks   int // between a leader's heartbeats
-	SnapshotInterval int // entries applied from one snapshot to the next
+	SnapshotInterval int // entries applied between two snapshots
 	Rand             *rand.Rand
 	Logger           *slog.Logger
 }
 
 func (c *Config) check() error {
 	if c.ID == 0 || c.HeartbeatTicks < 1 || c.ElectionTicks <= c.HeartbeatTicks || c.SnapshotInterval < 1 || c.Rand == nil {
-		return fmt.Errorf("replicated log: voter %d, election after %d ticks, heartbeat every %d, snapshot every %d entries",
-			c.ID, c.ElectionTicks, c.HeartbeatTicks, c.SnapshotInterval)
+		return fmt.Errorf("replicated log: invalid configuration: voter %d, election after %d ticks, heartbeat every %d, snapshot every %d entries, random source set: %t",
+			c.ID, c.ElectionTicks, c.HeartbeatTicks, c.SnapshotInterval, c.Rand != nil)
 	}
 	return nil
 }
 
-// Log is one voter's replicated log. It belongs to one goroutine.
+// Log is one voter's replicated log. It is not safe for concurrent use.
 type Log struct {
 	config           Config
 	node             *consensus.Node
 	machine          StateMachine
 	now              time.Duration
-	ticksSinceLeader int // since the last message of a leader
+	ticksSinceLeader int // since the last message from a leader
 	appliedIndex     uint64
-	appliedTerm      uint64 // of the entry at applied
+	appliedTerm      uint64 // term of the entry at appliedIndex
 	snapshotIndex    uint64 // index of the last snapshot
 	pending          Persist
-	persisting       bool // a Persist was handed out and is not durable yet
-	compacting       bool // a snapshot made here is not durable yet
+	persisting       bool // NextPersist returned a Persist that is not durable yet
+	compacting       bool // a snapshot made by this voter is not durable yet
 }
 
 // New returns a log that continues from stored state. The state machine is restored from the stored snapshot and the
@@ -112,11 +112,11 @@
 	if err != nil {
 		return nil, err
 	}
-	node := consensus.New(consensus.Config{ID: consensus.MemberID(config.ID), ElectionTimeout: time.Duration(config.ElectionTicks) * tick,
-		HeartbeatInterval: time.Duration(config.HeartbeatTicks) * tick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflight,
+	node := consensus.New(consensus.Config{ID: consensus.MemberID(config.ID), ElectionTimeout: time.Duration(config.ElectionTicks) * coreTick,
+		HeartbeatInterval: time.Duration(config.HeartbeatTicks) * coreTick, MaxAppendBytes: maxAppendBytes, MaxInflight: maxInflightAppends,
 		Seed: config.Rand.Uint64(), TrailingEntries: trailingEntries}, state, 0)
 	l := &Log{config: config, node: node, machine: machine}
-	// Restores the state machine. There is nothing to send yet.
+	// Restore the state machine. There are no messages to send yet.
 	if _, err := l.Advance(); err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 
 // Tick advances the clock by one tick.
 func (l *Log) Tick() {
-	l.now += tick
+	l.now += coreTick
 	l.ticksSinceLeader++
 	l.node.Tick(l.now)
 	if l.IsLeader() {
@@ -134,17 +134,17 @@
 	}
 }
 
-// promoteLearners proposes to make voters of the members that were added. The core rejects it for one whose log lags.
+// promoteLearners proposes to make the added members voters. The core rejects this for a member whose log lags.
 func (l *Log) promoteLearners() {
 	for _, member := range l.node.Status().Members {
 		if !member.Voter {
 			member.Voter = true
-			_ = l.node.ChangeMembers(l.now, consensus.MembershipChange{Add: &member}) // retried with the next tick
+			_ = l.node.ChangeMembers(l.now, consensus.MembershipChange{Add: &member}) // retried at the next tick
 		}
 	}
 }
 
-// Step handles another voter's message. After a *ConsistencyError this voter must stop.
+// Step handles another voter's message. If it returns a *ConsistencyError, this voter must stop.
 func (l *Log) Step(message Message) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -160,7 +160,7 @@
 	if message.Term >= before && status.Role != consensus.RoleLeader {
 		l.ticksSinceLeader = 0
 	}
-	// The terms must match: a later leader may have truncated what was acknowledged to an earlier one.
+	// The terms must match: a later leader may have truncated entries that were acknowledged to an earlier one.
 	if message.Term == status.Term && message.Acknowledged > status.LastIndex {
 		return &ConsistencyError{fmt.Errorf("%w: the log ends at %d, %d were acknowledged",
 			ErrAcknowledgedLost, status.LastIndex, message.Acknowledged)}
@@ -168,7 +168,8 @@
 	return nil
 }
 
-// consistencyError converts the core's panic on a conflict with committed entries to an error; it passes on any other.
+// consistencyError converts the core's panic about a conflict with committed entries to an error. It panics again with
+// any other value.
 func consistencyError(panicked any) error {
 	if err, ok := panicked.(error); ok && errors.Is(err, consensus.ErrCommittedConflict) {
 		return &ConsistencyError{err}
@@ -181,15 +182,15 @@
 	return kind == consensus.MessageAppendEntries || kind == consensus.MessageHeartbeat || kind == consensus.MessageInstallSnapshot
 }
 
-// Propose appends a command to the log. It is committed when the state machine applies it.
+// Propose appends a command to the log. The command is committed when the state machine applies it.
 // Errors: ErrNotLeader, ErrBusy.
 func (l *Log) Propose(command []byte) error {
 	_, _, err := l.node.Propose(l.now, command)
 	return proposalError(err)
 }
 
-// ChangeVoters adds a voter or removes one; 0 stands for none. The next change is accepted when this one is committed.
-// A new voter votes once it has nearly the whole log.
+// ChangeVoters adds or removes one voter; the other argument is 0. The next change is accepted once this one is
+// committed. A new member becomes a voter once its log has nearly caught up.
 // Errors: ErrInvalidChange, ErrNotLeader, ErrBusy.
 func (l *Log) ChangeVoters(add, remove uint64) error {
 	if (add == 0) == (remove == 0) {
@@ -205,7 +206,7 @@
 	return proposalError(l.node.ChangeMembers(l.now, change))
 }
 
-// proposalError converts the core's error.
+// proposalError converts the core's error to one of this package.
 func proposalError(err error) error {
 	switch {
 	case err == nil:
@@ -217,8 +218,8 @@
 	}
 }
 
-// Advance applies committed entries and returns the messages that may be sent. It is called after all other calls,
-// also while a write is in progress.
+// Advance applies committed entries and returns the messages that may be sent. It must be called after each call of
+// another method that changes the log, also while a write is in progress.
 func (l *Log) Advance() ([]Message, error) {
 	ready := l.node.Ready()
 	l.pending.merge(ready.Persist)
@@ -253,7 +254,7 @@
 		return nil
 	}
 	if err := l.machine.Restore(s.Data); err != nil {
-		return fmt.Errorf("the snapshot at %d: %w", s.Index, err)
+		return fmt.Errorf("restore the snapshot at index %d: %w", s.Index, err)
 	}
 	l.appliedIndex, l.appliedTerm, l.snapshotIndex = s.Index, s.Term, s.Index
 	return nil
@@ -269,7 +270,7 @@
 	}
 }
 
-// maybeSnapshot makes a snapshot when SnapshotInterval entries were applied since the last.
+// maybeSnapshot makes a snapshot if at least SnapshotInterval entries were applied since the last one.
 func (l *Log) maybeSnapshot() error {
 	if l.compacting || l.appliedIndex < l.snapshotIndex+uint64(l.config.SnapshotInterval) {
 		return nil
@@ -288,7 +289,7 @@
 	return nil
 }
 
-// NextPersist returns what must be made durable next. It returns nothing more before Persisted is called.
+// NextPersist returns what must be made durable next. It returns nothing else until Persisted is called.
 func (l *Log) NextPersist() (Persist, bool) {
 	if l.persisting || l.pending.Empty() {
 		return Persist{}, false
@@ -308,10 +309,10 @@
 	}
 }
 
-// IsLeader reports whether this voter leads, as far as it knows.
+// IsLeader reports whether this voter believes that it leads.
 func (l *Log) IsLeader() bool { return l.node.Status().Role == consensus.RoleLeader }
 
-// Leader returns the leader, as far as this voter knows; 0 if none was heard for an election timeout.
+// Leader returns the last known leader; 0 if there is none or it sent nothing for ElectionTicks.
 func (l *Log) Leader() uint64 {
 	if l.ticksSinceLeader >= l.config.ElectionTicks {
 		return 0
@@ -328,8 +329,8 @@
 // CommitIndex returns the commit index, as far as this voter knows.
 func (l *Log) CommitIndex() uint64 { return l.node.Status().CommitIndex }
 
-// LeaderCaughtUp reports whether this voter leads and has applied an entry of its own term, and with it all entries
-// committed before (Raft paper, section 8).
+// LeaderCaughtUp reports whether this voter leads and has applied an entry of its own term, and therefore all entries
+// committed before it (Raft paper, section 8).
 func (l *Log) LeaderCaughtUp() bool {
 	status := l.node.Status()
 	return status.Role == consensus.RoleLeader && l.appliedTerm == status.Term
--- a/internal/node/zones/replicatedlog/log_test.go
+++ b/internal/node/zones/replicatedlog/log_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/coord/consensus"
 )
 
-// listMachine is a state machine that records its commands.
+// listMachine is a state machine that records the applied commands.
 type listMachine struct{ commands []string }
 
 func (l *listMachine) Apply(_ uint64, command []byte) {
@@ -27,21 +27,21 @@
 	return nil
 }
 
-// cluster is a group of logs whose messages arrive at once, except at partitioned voters.
+// cluster is a group of logs. Messages are delivered at once, except from and to partitioned voters.
 type cluster struct {
 	t           *testing.T
 	logs        map[uint64]*Log
 	machines    map[uint64]*listMachine
 	stored      map[uint64]*StoredState
 	partitioned map[uint64]bool
-	errs        map[uint64]error // errors by voter
+	errs        map[uint64]error // error of Step, by voter; a voter with one no longer runs
 }
 
 func newCluster(t *testing.T, ids ...uint64) *cluster {
 	c := &cluster{t: t, logs: map[uint64]*Log{}, machines: map[uint64]*listMachine{}, stored: map[uint64]*StoredState{}, partitioned: map[uint64]bool{}, errs: map[uint64]error{}}
 	for _, id := range ids {
-		k := Bootstrap(ids)
-		c.stored[id] = &k
+		stored := Bootstrap(ids)
+		c.stored[id] = &stored
 		c.start(id)
 	}
 	return c
@@ -65,13 +65,13 @@
 	return ids
 }
 
-// runUntilIdle writes, sends and applies until nothing is left to do.
+// runUntilIdle advances all voters until none has anything to send or write.
 func (c *cluster) runUntilIdle() {
 	rounds := 0
 	for again := true; again; {
 		again = false
 		if rounds++; rounds > 10000 {
-			c.t.Fatal("the voters never become idle")
+			c.t.Fatalf("the voters still send or write after %d rounds", rounds-1)
 		}
 		for _, id := range c.ids() {
 			again = c.advance(id) || again
@@ -79,7 +79,7 @@
 	}
 }
 
-// advance sends and writes what a voter returns, and reports whether there was anything.
+// advance sends and writes what a voter's log returns, and reports whether there was anything.
 func (c *cluster) advance(id uint64) bool {
 	if c.errs[id] != nil {
 		return false
@@ -99,7 +99,7 @@
 	return ok || len(messages) > 0
 }
 
-// send delivers a message by its encoding.
+// send encodes a message, checks that it is decoded unchanged, and delivers it.
 func (c *cluster) send(from uint64, m Message) {
 	id := uint64(m.To)
 	to := c.logs[id]
@@ -108,7 +108,7 @@
 	}
 	read, err := DecodeMessage(EncodeMessage(m))
 	if err != nil || !reflect.DeepEqual(read, m) {
-		c.t.Fatalf("%+v is decoded as %+v, %v", m, read, err)
+		c.t.Fatalf("message %+v decoded as %+v, error %v, want no change", m, read, err)
 	}
 	c.errs[id] = to.Step(read)
 }
@@ -155,7 +155,7 @@
 	c.runUntilIdle()
 }
 
-// A command is applied by all voters; a minority commits nothing and catches up later.
+// A committed command is applied by all voters. A partitioned leader commits nothing, steps down and catches up later.
 func TestLog_Propose_needsMajority(t *testing.T) {
 	c := newCluster(t, 1, 2, 3)
 	c.tick(20)
@@ -167,23 +167,23 @@
 	}
 	c.tick(30)
 	if c.logs[old].IsLeader() {
-		t.Error("a partitioned voter still leads")
+		t.Error("a partitioned voter still leads after 30 ticks")
 	}
 	if err := c.logs[old].Propose([]byte("alone")); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("a minority accepts a command: %v", err)
+		t.Errorf("proposal at a partitioned voter: got error %v, want %v", err, ErrNotLeader)
 	}
 	c.propose("two")
 	c.partitioned[old] = false
 	c.tick(10)
-	for id, of := range c.machines {
-		if !slices.Equal(of.commands, []string{"one", "two"}) {
-			t.Errorf("voter %d has %v", id, of.commands)
+	for id, machine := range c.machines {
+		if !slices.Equal(machine.commands, []string{"one", "two"}) {
+			t.Errorf("voter %d applied %v, want [one two]", id, machine.commands)
 		}
 	}
 }
 
-// A voter that lags far gets a snapshot, a restarted one continues from its stored state, and voters are replaced one
-// at a time.
+// A voter that lags far behind receives a snapshot, restarted voters continue from their stored state, and voters are
+// added and removed one at a time.
 func TestLog_snapshotRestartAndVoterChange(t *testing.T) {
 	c := newCluster(t, 1, 2, 3)
 	c.tick(20)
@@ -195,12 +195,12 @@
 		c.propose(fmt.Sprint(i))
 	}
 	if first := c.stored[c.leader()].Entries[0].Index; first < 200 {
-		t.Errorf("entries from %d on are retained", first)
+		t.Errorf("the leader stores entries from index %d on, want none before 200", first)
 	}
 	c.partitioned[lagging] = false
 	c.tick(10)
 	if !slices.Equal(c.machines[lagging].commands, want) {
-		t.Errorf("the lagging voter has %d commands of %d", len(c.machines[lagging].commands), len(want))
+		t.Errorf("the lagging voter applied %d commands, want all %d in order", len(c.machines[lagging].commands), len(want))
 	}
 	for _, id := range c.ids() {
 		c.start(id)
@@ -208,12 +208,12 @@
 	c.tick(30)
 	for _, id := range c.ids() {
 		if !slices.Equal(c.machines[id].commands, want) {
-			t.Errorf("voter %d starts with %d commands of %d", id, len(c.machines[id].commands), len(want))
+			t.Errorf("restarted voter %d has %d commands, want all %d in order", id, len(c.machines[id].commands), len(want))
 		}
 	}
 	leader := c.logs[c.leader()]
 	if err := leader.ChangeVoters(4, 1); err == nil {
-		t.Error("two changes are accepted at once")
+		t.Error("adding and removing a voter in one change was accepted, want an error")
 	}
 	if err := leader.ChangeVoters(4, 0); err != nil {
 		t.Fatal(err)
@@ -222,35 +222,36 @@
 	c.start(4)
 	c.tick(10)
 	if !slices.Equal(c.machines[4].commands, want) || len(leader.Voters()) != 4 {
-		t.Errorf("the new voter has %d commands of %d; the voters are %v", len(c.machines[4].commands), len(want), leader.Voters())
+		t.Errorf("the new voter applied %d commands, want all %d in order; voters %v, want 4", len(c.machines[4].commands), len(want), leader.Voters())
 	}
-	gone := c.leader()%3 + 1
-	if err := leader.ChangeVoters(0, gone); err != nil {
+	removed := c.leader()%3 + 1
+	if err := leader.ChangeVoters(0, removed); err != nil {
 		t.Fatal(err)
 	}
 	c.tick(5)
-	delete(c.logs, gone)
+	delete(c.logs, removed)
 	c.tick(30)
 	c.propose("last")
-	if of := c.machines[4]; of.commands[len(of.commands)-1] != "last" || len(c.logs[4].Voters()) != 3 {
-		t.Errorf("the new voter ends with %q; the voters are %v", of.commands[len(of.commands)-1], c.logs[4].Voters())
+	if machine := c.machines[4]; machine.commands[len(machine.commands)-1] != "last" || len(c.logs[4].Voters()) != 3 {
+		t.Errorf("the new voter's last command is %q, want \"last\"; voters %v, want 3", machine.commands[len(machine.commands)-1], c.logs[4].Voters())
 	}
 }
 
-// A log does not start from stored records that contradict each other.
+// New rejects stored records that contradict each other.
 func TestNew_rejectsInvalidStoredState(t *testing.T) {
-	hole := Bootstrap([]uint64{1})
-	hole.Entries = []consensus.Entry{{Index: 3, Term: 1}}
-	ahead := Bootstrap([]uint64{1})
-	ahead.HardState = &consensus.HardState{Term: 2, Commit: 9}
-	for name, k := range map[string]StoredState{"a hole": hole, "committed beyond the log": ahead} {
-		if _, err := New(Config{ID: 1, ElectionTicks: 8, HeartbeatTicks: 2, SnapshotInterval: 9, Rand: rand.New(rand.NewPCG(1, 1))}, k, &listMachine{}); err == nil {
-			t.Errorf("%s is accepted", name)
+	gap := Bootstrap([]uint64{1})
+	gap.Entries = []consensus.Entry{{Index: 3, Term: 1}}
+	commitPastEnd := Bootstrap([]uint64{1})
+	commitPastEnd.HardState = &consensus.HardState{Term: 2, Commit: 9}
+	for problem, stored := range map[string]StoredState{"gap before the entries": gap, "commit index past the last entry": commitPastEnd} {
+		if _, err := New(Config{ID: 1, ElectionTicks: 8, HeartbeatTicks: 2, SnapshotInterval: 9, Rand: rand.New(rand.NewPCG(1, 1))}, stored, &listMachine{}); err == nil {
+			t.Errorf("New accepted stored state with this problem: %s", problem)
 		}
 	}
 }
 
-// A voter whose store was restored from an older copy stops: the leader relies on entries that it acknowledged.
+// A voter whose store was restored from an older copy must stop, because the leader counts the entries that the voter
+// acknowledged as stored. The other voters continue.
 func TestLog_Step_detectsLostAcknowledgedEntries(t *testing.T) {
 	c := newCluster(t, 1, 2, 3)
 	c.tick(20)
@@ -262,19 +263,19 @@
 	c.stored[id] = &old
 	c.start(id)
 	c.tick(10)
-	var broken *ConsistencyError
-	if err := c.errs[id]; !errors.As(err, &broken) || !errors.Is(err, ErrAcknowledgedLost) {
-		t.Errorf("it continues, with %v", err)
+	var inconsistent *ConsistencyError
+	if err := c.errs[id]; !errors.As(err, &inconsistent) || !errors.Is(err, ErrAcknowledgedLost) {
+		t.Errorf("voter %d with lost entries: got error %v, want a ConsistencyError with ErrAcknowledgedLost", id, err)
 	}
 	for other, err := range c.errs {
 		if other != id && err != nil {
-			t.Errorf("voter %d ends with %v", other, err)
+			t.Errorf("voter %d, whose store is intact: got error %v, want none", other, err)
 		}
 	}
 }
 
-// While the leader's write is in progress its messages go out, the others commit without it, and what arrives
-// meanwhile is written at once afterwards.
+// While the leader's write is in progress, its messages are sent and the other voters form the majority that commits.
+// What is proposed meanwhile is written in one write afterwards.
 func TestLog_NextPersist_oneAtATime(t *testing.T) {
 	c := newCluster(t, 1, 2, 3)
 	c.tick(20)
@@ -289,38 +290,38 @@
 	}
 	first, ok := leader.NextPersist()
 	if !ok || len(first.Entries) != 1 || len(messages) != 2 {
-		t.Fatalf("%d messages, to write %+v", len(messages), first)
+		t.Fatalf("after a proposal: %d messages and write %+v, want 2 messages and a write of 1 entry", len(messages), first)
 	}
 	for _, m := range messages {
 		c.send(id, m)
 	}
 	c.tick(2)
-	for of, machine := range c.machines {
+	for voter, machine := range c.machines {
 		if !slices.Equal(machine.commands, []string{"one"}) {
-			t.Errorf("voter %d has %v", of, machine.commands)
+			t.Errorf("voter %d applied %v during the leader's write, want [one]", voter, machine.commands)
 		}
 	}
 	c.propose("two")
 	c.propose("three")
 	if _, ok := leader.NextPersist(); ok {
-		t.Error("two writes in progress")
+		t.Error("NextPersist returned a second write while one is in progress")
 	}
 	c.write(id, first)
 	leader.Persisted(first)
-	rest, ok := leader.NextPersist()
-	if !ok || len(rest.Entries) != 2 {
-		t.Errorf("to write then %+v", rest)
+	second, ok := leader.NextPersist()
+	if !ok || len(second.Entries) != 2 {
+		t.Errorf("second write: got %+v, want 2 entries", second)
 	}
-	c.write(id, rest)
-	leader.Persisted(rest)
+	c.write(id, second)
+	leader.Persisted(second)
 	c.start(id)
 	c.tick(30)
 	if want := []string{"one", "two", "three"}; !slices.Equal(c.machines[id].commands, want) {
-		t.Errorf("after the restart it has %v", c.machines[id].commands)
+		t.Errorf("after its restart voter %d has %v, want %v", id, c.machines[id].commands, want)
 	}
 }
 
-// A leader that was not heard for an election timeout is no longer returned.
+// Leader returns 0 once the leader has sent nothing for ElectionTicks.
 func TestLog_Leader_forgottenAfterTimeout(t *testing.T) {
 	c := newCluster(t, 1, 2, 3)
 	c.tick(20)
@@ -331,12 +332,12 @@
 		c.logs[other].Tick()
 	}
 	if got := c.logs[other].Leader(); got != leader {
-		t.Errorf("before it: %d, not %d", got, leader)
+		t.Errorf("leader before the timeout: got %d, want %d", got, leader)
 	}
 	for range 2 {
 		c.logs[other].Tick()
 	}
 	if got := c.logs[other].Leader(); got != 0 {
-		t.Errorf("after it: %d", got)
+		t.Errorf("leader after the timeout: got %d, want 0", got)
 	}
 }
--- a/internal/node/zones/replicatedlog/stored.go
+++ b/internal/node/zones/replicatedlog/stored.go
@@ -10,14 +10,14 @@
 // ErrInvalidStoredState is returned for stored records that contradict each other.
 var ErrInvalidStoredState = errors.New("replicated log: invalid stored state")
 
-// StoredState is what a voter has made durable.
+// StoredState is the state that a voter has made durable.
 type StoredState struct {
 	HardState *consensus.HardState // nil: none yet
 	Snapshot  *consensus.Snapshot  // nil: none yet
 	Entries   []consensus.Entry    // consecutive; may begin before the snapshot's index
 }
 
-// Bootstrap returns the state with which every voter of a new group starts: empty, with the given voters.
+// Bootstrap returns the initial state of every voter of a new group: an empty log with the given voters.
 func Bootstrap(ids []uint64) StoredState {
 	members := make([]consensus.Member, len(ids))
 	for i, id := range ids {
@@ -27,7 +27,8 @@
 	return StoredState{Snapshot: &state.Snapshot}
 }
 
-// toConsensus returns the state in the core's form. Without a hard state the snapshot's index counts as committed.
+// toConsensus converts the state to the consensus core's type. Without a hard state the snapshot's index counts as
+// committed.
 func (s StoredState) toConsensus() (consensus.PersistedState, error) {
 	var state consensus.PersistedState
 	if s.Snapshot != nil {
@@ -48,7 +49,7 @@
 	state.HardState = *s.HardState
 	last := state.Snapshot.Index + uint64(len(state.Entries))
 	if state.HardState.Commit > last {
-		return state, fmt.Errorf("%w: committed up to %d, but entries end at %d", ErrInvalidStoredState, state.HardState.Commit, last)
+		return state, fmt.Errorf("%w: the commit index is %d, but the last entry is %d", ErrInvalidStoredState, state.HardState.Commit, last)
 	}
 	return state, nil
 }
@@ -60,7 +61,7 @@
 	Snapshot    *consensus.Snapshot  // nil: none; stored entries before First may be deleted
 	Replaces    bool                 // the snapshot came from another voter: all stored entries must be deleted
 	First       uint64               // the first entry still needed; set with a Snapshot
-	sequence    uint64               // of the core's last Persist in this one
+	sequence    uint64               // sequence number of the core's last PersistRequest merged into this one
 	ownSnapshot bool                 // the snapshot was made by this voter
 }
 
@@ -69,7 +70,7 @@
 	return p.HardState == nil && len(p.Entries) == 0 && p.Snapshot == nil
 }
 
-// merge adds what the core wants durable after what is here already.
+// merge adds the core's next request to those merged before.
 func (p *Persist) merge(later *consensus.PersistRequest) {
 	if later == nil {
 		return
@@ -86,7 +87,8 @@
 	}
 }
 
-// truncateAndAppend replaces the entries from the first later one's index on. It copies, as the core may share both.
+// truncateAndAppend replaces the entries from the index of the first later entry on. It copies, as both slices may
+// share memory with the core.
 func truncateAndAppend(entries, later []consensus.Entry) []consensus.Entry {
 	end := len(entries)
 	for end > 0 && entries[end-1].Index >= later[0].Index {
