--- a/internal/node/zones/server/server.go
+++ b/internal/node/zones/server/server.go
@@ -1,7 +1,7 @@
 // Package server runs one voter: it connects a replica.Replica to its store, its clock and the network.
 //
-// One goroutine, the loop in Run, owns the replica. The store is written by a second goroutine, one
-// write at a time; calls from the network reach the loop through a channel. The command in
+// One goroutine, the event loop in Run, owns the replica. A second goroutine writes to the store, one
+// write at a time; calls from the network reach the event loop through a channel. The command in
 // cmd/ospreybend opens a Server and runs it.
 package server
 
@@ -34,14 +34,14 @@
 	ID            uint64
 	Listen        string
 	StorePath     string            // path of the store's file
-	Voters        map[uint64]string // addresses by ID, the own included
-	InitialVoters []uint64          // of a new group; empty: the voter joins an existing group
+	Voters        map[uint64]string // addresses by ID, including this voter's
+	InitialVoters []uint64          // IDs of the voters of a new group; empty: the voter joins an existing group
 	Classes       []failover.Class
 	Settings      replica.Settings
-	DisabledCheck string // a check to skip, for trials that show why it is needed
+	DisabledCheck string // a check to skip, for trials which show that the check is needed
 }
 
-// durableStore is what the server needs of store.Store.
+// durableStore is the part of store.Store that the server uses.
 type durableStore interface {
 	Write(replicatedlog.Persist) error
 	Close() error
@@ -59,17 +59,17 @@
 	cancel     context.CancelFunc
 	done       <-chan struct{} // closed when Run ends
 
-	// Owned by the loop.
+	// Owned by the event loop.
 	replica   *replica.Replica
 	store     durableStore
-	writing   replicatedlog.Persist // the write in progress, where isWriting
+	writing   replicatedlog.Persist // the write in progress, if isWriting
 	isWriting bool
 
-	calls   chan func(now time.Duration) // to run on the loop
-	written chan error                   // ends of writes
+	calls   chan func(now time.Duration) // functions to run on the event loop
+	written chan error                   // result of each finished write
 }
 
-// Open opens the store, restores the replica and listens. Run must be called next.
+// Open opens the store, restores the replica and starts to listen. Run must be called next.
 func Open(config Config) (*Server, error) {
 	file, stored, err := store.Open(config.StorePath, store.Owner{Fleet: config.Fleet, Voter: config.ID, Voters: config.InitialVoters})
 	if err != nil {
@@ -100,7 +100,7 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, which is no error, or until the replica must stop. It closes the store.
+// Run serves until ctx is done, which is not an error, or until the replica must stop. It closes the store.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, s.cancel = context.WithCancel(ctx)
 	defer s.cancel()
@@ -121,7 +121,7 @@
 	s.cancel()
 	_ = s.httpServer.Shutdown(shutdown)
 	if s.isWriting {
-		// The store may be closed only when no write is in progress. Nothing of this one was acknowledged.
+		// The store must not be closed during a write. Nothing in this write was acknowledged to other voters.
 		if writeErr := <-s.written; writeErr != nil {
 			slog.Warn("write failed during shutdown", "store", s.config.StorePath, "error", writeErr)
 		}
@@ -132,7 +132,7 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// loop is the goroutine that owns the replica.
+// loop is the event loop. It owns the replica.
 func (s *Server) loop(ctx context.Context, served <-chan error) error {
 	tick := time.NewTicker(s.config.Settings.Tick)
 	defer tick.Stop()
@@ -149,7 +149,7 @@
 		case err := <-s.written:
 			s.isWriting = false
 			if err != nil {
-				// What the store holds is unknown until the next start reads it.
+				// It is unknown what the store holds until the next start reads it.
 				return err
 			}
 			s.replica.Persisted(s.writing)
@@ -176,9 +176,9 @@
 	}
 }
 
-var errShuttingDown = errors.New("this voter leaves") // shown to operators
+var errShuttingDown = errors.New("this voter is shutting down") // shown to operators
 
-// post has call run on the loop.
+// post runs call on the event loop. It returns when the loop has accepted it.
 func (s *Server) post(ctx context.Context, call func(now time.Duration)) error {
 	select {
 	case s.calls <- call:
@@ -190,28 +190,29 @@
 	}
 }
 
-// callResult is the response of a call.
+// callResult is the result of a call.
 type callResult[T any] struct {
 	value T
 	err   error
 }
 
-// call runs method on the loop and waits until it calls answer, then or later. Further answers are ignored.
-func call[T any](ctx context.Context, server *Server, method func(now time.Duration, answer func(T, error))) (T, error) {
-	replies := make(chan callResult[T], 1)
-	answer := func(value T, err error) {
+// call runs method on the event loop and waits until method calls respond, which it may do after it has returned.
+// Only the first response counts.
+func call[T any](ctx context.Context, server *Server, method func(now time.Duration, respond func(T, error))) (T, error) {
+	results := make(chan callResult[T], 1)
+	respond := func(value T, err error) {
 		select {
-		case replies <- callResult[T]{value, err}:
-		default: // answered already
+		case results <- callResult[T]{value, err}:
+		default: // there was a response already
 		}
 	}
 	var none T
-	if err := server.post(ctx, func(now time.Duration) { method(now, answer) }); err != nil {
+	if err := server.post(ctx, func(now time.Duration) { method(now, respond) }); err != nil {
 		return none, err
 	}
 	select {
-	case reply := <-replies:
-		return reply.value, reply.err
+	case result := <-results:
+		return result.value, result.err
 	case <-ctx.Done():
 		return none, ctx.Err()
 	case <-server.done:
@@ -221,31 +222,31 @@
 
 // Report implements transport.Handler.
 func (s *Server) Report(ctx context.Context, report follower.Report) (follower.Response, error) {
-	return call(ctx, s, func(now time.Duration, answer func(follower.Response, error)) {
-		answer(s.replica.HandleReport(now, report))
+	return call(ctx, s, func(now time.Duration, respond func(follower.Response, error)) {
+		respond(s.replica.HandleReport(now, report))
 	})
 }
 
 // Deliver implements transport.Handler.
 func (s *Server) Deliver(ctx context.Context, message replica.Message) error {
-	_, err := call(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
-		answer(struct{}{}, s.replica.Receive(now, message))
+	_, err := call(ctx, s, func(now time.Duration, respond func(struct{}, error)) {
+		respond(struct{}{}, s.replica.Receive(now, message))
 	})
 	return err
 }
 
 // ApplyOverride implements transport.Handler. It returns when the override is committed or its outcome is unknown.
 func (s *Server) ApplyOverride(ctx context.Context, override commands.Override) error {
-	_, err := call(ctx, s, func(now time.Duration, answer func(struct{}, error)) {
-		s.replica.ProposeOverride(now, override, func(err error) { answer(struct{}{}, err) })
+	_, err := call(ctx, s, func(now time.Duration, respond func(struct{}, error)) {
+		s.replica.ProposeOverride(now, override, func(err error) { respond(struct{}{}, err) })
 	})
 	return err
 }
 
 // Status implements transport.Handler.
 func (s *Server) Status(ctx context.Context) (transport.Status, error) {
-	return call(ctx, s, func(now time.Duration, answer func(transport.Status, error)) {
-		answer(s.status(now), nil)
+	return call(ctx, s, func(now time.Duration, respond func(transport.Status, error)) {
+		respond(s.status(now), nil)
 	})
 }
 
--- a/internal/node/zones/server/server_test.go
+++ b/internal/node/zones/server/server_test.go
@@ -20,7 +20,7 @@
 	"ospreybend/internal/testkit/fakeplatform"
 )
 
-// fillingStore is a store that can be made to fail as on a full disk.
+// fillingStore is a store whose writes fail as on a full disk while full is set.
 type fillingStore struct {
 	durableStore
 	full *atomic.Bool
@@ -34,7 +34,7 @@
 	return f.durableStore.Write(p)
 }
 
-// threeServers is a group of voters over loopback in this process.
+// threeServers is a group of three voters in this process that communicate over loopback.
 type threeServers struct {
 	addresses map[uint64]string
 	full      map[uint64]*atomic.Bool
@@ -46,11 +46,11 @@
 	servers := &threeServers{addresses: map[uint64]string{}, full: map[uint64]*atomic.Bool{}, ended: map[uint64]chan error{}, client: transport.NewClient()}
 	dir := t.TempDir()
 	for id := uint64(1); id <= 3; id++ {
-		at, err := fakeplatform.FreeAddress()
+		address, err := fakeplatform.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
-		servers.addresses[id] = at
+		servers.addresses[id] = address
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	for id := range servers.addresses {
@@ -67,7 +67,7 @@
 		cancel()
 		for _, ended := range servers.ended {
 			if err := <-ended; err != nil {
-				t.Log(err)
+				t.Logf("a voter ended with error %v", err)
 			}
 		}
 		servers.client.Close()
@@ -79,11 +79,11 @@
 func (servers *threeServers) leader(t *testing.T, not uint64) (leader uint64) {
 	t.Helper()
 	if err := fakeplatform.WaitUntil(t.Context(), 10*time.Second, func() bool {
-		for id, at := range servers.addresses {
+		for id, address := range servers.addresses {
 			if id == not {
 				continue
 			}
-			if s, err := servers.client.Status(t.Context(), at); err == nil && s.Leader == id {
+			if s, err := servers.client.Status(t.Context(), address); err == nil && s.Leader == id {
 				leader = id
 				return true
 			}
@@ -95,8 +95,8 @@
 	return leader
 }
 
-// The leader's disk is full: it stops with an error that names its file, another voter leads with all that was
-// committed before, and the store of the stopped one is intact.
+// When the leader's disk is full, it stops with an error that names its file. Another voter then leads with everything
+// that was committed before, and the store of the stopped voter can be opened again.
 func TestServer_fullDiskAtLeader(t *testing.T) {
 	servers := newThreeServers(t)
 	first := servers.leader(t, 0)
@@ -107,47 +107,48 @@
 			t.Fatal(err)
 		}
 	}
-	word := commands.Override{Zone: "a", Action: commands.OverrideFreeze, Reason: "before", Until: time.Now().Add(time.Hour).UnixMicro()}
-	if err := servers.client.ApplyOverride(t.Context(), servers.addresses[first], word); err != nil {
+	override := commands.Override{Zone: "a", Action: commands.OverrideFreeze, Reason: "before", Until: time.Now().Add(time.Hour).UnixMicro()}
+	if err := servers.client.ApplyOverride(t.Context(), servers.addresses[first], override); err != nil {
 		t.Fatal(err)
 	}
 	servers.full[first].Store(true)
-	word.Zone, word.Reason = "b", "after"
-	_ = servers.client.ApplyOverride(t.Context(), servers.addresses[first], word) // its outcome is unknown
+	override.Zone, override.Reason = "b", "after"
+	_ = servers.client.ApplyOverride(t.Context(), servers.addresses[first], override) // its outcome is unknown
 	err := <-servers.ended[first]
 	servers.ended[first] <- nil
-	var f *store.Error
-	if !errors.As(err, &f) || !strings.Contains(err.Error(), "store"+string(rune('0'+first))) || !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("it stops with %v", err)
+	var storeErr *store.Error
+	if !errors.As(err, &storeErr) || !strings.Contains(err.Error(), "store"+string(rune('0'+first))) || !errors.Is(err, syscall.ENOSPC) {
+		t.Errorf("voter %d with a full disk: got error %v, want a store.Error with its file and ENOSPC", first, err)
 	}
 	second := servers.leader(t, first)
-	word.Zone = "c"
-	if err := servers.client.ApplyOverride(t.Context(), servers.addresses[second], word); err != nil {
-		t.Errorf("no override is accepted any more: %v", err)
+	override.Zone = "c"
+	if err := servers.client.ApplyOverride(t.Context(), servers.addresses[second], override); err != nil {
+		t.Errorf("override at the new leader: got error %v, want none", err)
 	}
 	s, err := servers.client.Status(t.Context(), servers.addresses[second])
 	if err != nil || s.Table.Overrides["a"].Reason != "before" || s.Table.Overrides["c"].Reason != "after" {
-		t.Errorf("committed state: %+v, %v", s.Table, err)
+		t.Errorf("status of the new leader: table %+v, error %v, want overrides with reason \"before\" for a and \"after\" for c", s.Table, err)
 	}
-	again, _, err := store.Open(f.Path, store.Owner{Fleet: "f", Voter: first})
+	again, _, err := store.Open(storeErr.Path, store.Owner{Fleet: "f", Voter: first})
 	if err != nil {
 		t.Fatal(err)
 	}
 	again.Close()
 }
 
-// After the leader stops, overrides are accepted again within a few seconds at any voter; foreign fleets are rejected.
+// A follower forwards an override to the leader, and rejects an invalid override and a report of another fleet with an
+// error that names the invalid value.
 func TestServer_callsOverTransport(t *testing.T) {
 	servers := newThreeServers(t)
 	leader := servers.leader(t, 0)
 	other := leader%3 + 1
 	if err := servers.client.ApplyOverride(t.Context(), servers.addresses[other], commands.Override{Zone: "a", Action: commands.OverrideFreeze, Reason: "r", Until: 1 << 60}); err != nil {
-		t.Errorf("a follower forwards nothing: %v", err)
+		t.Errorf("override at a follower: got error %v, want none", err)
 	}
 	if err := servers.client.ApplyOverride(t.Context(), servers.addresses[other], commands.Override{Zone: "a", Action: "burn"}); err == nil || !strings.Contains(err.Error(), "burn") {
-		t.Errorf("invalid override: %v", err)
+		t.Errorf("override with an unknown action: got error %v, want one that names the action burn", err)
 	}
 	if _, err := servers.client.Report(t.Context(), servers.addresses[other], follower.Report{Fleet: "g", Name: "n", Zone: "a"}); err == nil || !strings.Contains(err.Error(), `not "g"`) {
-		t.Errorf("foreign fleet: %v", err)
+		t.Errorf("report of another fleet: got error %v, want one that names the fleet g", err)
 	}
 }
--- a/internal/node/zones/store/compatibility_test.go
+++ b/internal/node/zones/store/compatibility_test.go
@@ -12,14 +12,14 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// compatibilityFile is the fixture: a voter's store.
+// compatibilityFile is the fixture: the store of a voter, written by version 8782861.
 const compatibilityFile = "voter.store"
 
 func compatibilityOwner() store.Owner {
 	return store.Owner{Fleet: "fleet-a", Voter: 2, Voters: []uint64{1, 2, 3}}
 }
 
-// compatibilityState is what the store holds.
+// compatibilityState returns the state that the fixture holds.
 func compatibilityState() replicatedlog.StoredState {
 	members := []consensus.Member{{ID: 1, Voter: true}, {ID: 2, Voter: true}, {ID: 3, Voter: true}}
 	return replicatedlog.StoredState{
@@ -33,7 +33,7 @@
 	}
 }
 
-// openCopy opens a copy of the fixture, so that the start that it counts changes nothing there.
+// openCopy opens a copy of the fixture, because opening a store changes it: the start is counted.
 func openCopy(t *testing.T) (*store.Store, replicatedlog.StoredState) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), compatibilityFile)
@@ -48,13 +48,14 @@
 	return store, stored
 }
 
-// The records' bytes are compared in the package of the log; the pages of the file are the database library's.
+// This program reads the fixture's state. Package replicatedlog compares the encoded bytes of the records; the page
+// format of the file is defined by the database library.
 func TestOpen_readsVersion8782861(t *testing.T) {
 	store, stored := openCopy(t)
 	if want := compatibilityState(); !reflect.DeepEqual(stored, want) {
-		t.Errorf("read %+v, want %+v", stored, want)
+		t.Errorf("stored state: got %+v, want %+v", stored, want)
 	}
 	if store.Starts() != 2 {
-		t.Errorf("%d starts, want this one after the fixture's", store.Starts())
+		t.Errorf("starts: got %d, want 2: the fixture's and this one", store.Starts())
 	}
 }
--- a/internal/node/zones/store/store.go
+++ b/internal/node/zones/store/store.go
@@ -1,8 +1,8 @@
-// Package store is a voter's durable store: hard state, snapshot and log entries in one bbolt file.
+// Package store implements a voter's durable store: hard state, snapshot and log entries in one bbolt file.
 //
-// Every value carries a checksum. Opening a file that is truncated, damaged, of another format version
-// or another voter's returns an *Error that names the file. Package server writes what
-// replicatedlog.Log.NextPersist returns, in one transaction each.
+// Every value has a checksum. Opening a file that is truncated or damaged, has another format version
+// or belongs to another voter returns an *Error that names the file. Package server writes each
+// replicatedlog.Persist in one transaction.
 package store
 
 import (
@@ -24,11 +24,11 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// formatVersion is the version of the file's format. A program reads its own version alone. Version 1 held the records
+// formatVersion is the version of the file format. The program reads only this version. Version 1 contained the records
 // of another consensus library.
 const formatVersion = 2
 
-const lockTimeout = 200 * time.Millisecond // for another process to release the file
+const lockTimeout = 200 * time.Millisecond // how long to wait for another process to release the file
 
 // maxFileBytes limits a file's size; 0: no limit. Tests set it to simulate a full disk.
 var maxFileBytes = 0
@@ -51,10 +51,10 @@
 type Owner struct {
 	Fleet  string   // name of the group's fleet
 	Voter  uint64   // ID of the voter, not 0
-	Voters []uint64 // of a new group; empty: this voter joins an existing group
+	Voters []uint64 // IDs of the voters of a new group; empty: this voter joins an existing group
 }
 
-// Store is an open store. Its methods wait for the disk and must not be called concurrently.
+// Store is an open store. Its methods block on disk I/O and must not be called concurrently.
 type Store struct {
 	db     *bbolt.DB
 	path   string
@@ -74,15 +74,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Causes of an Error. They complete "store PATH: ...".
+// Causes of an Error. They follow "store PATH: ".
 var (
-	errEmptyFile    = errors.New("it is empty: it was cut, or is not a store; a new store begins without a file")
-	errLocked       = errors.New("another process has it open")
-	errNoVoterStore = errors.New("it is no store of a voter")
-	errChecksum     = errors.New("the checksum does not fit")
+	errEmptyFile    = errors.New("the file is empty: it was truncated or is not a store; a new store is created only if there is no file")
+	errLocked       = errors.New("another process has the file open")
+	errNoVoterStore = errors.New("the file is not a voter's store")
+	errChecksum     = errors.New("the checksum does not match")
 )
 
-// Open opens a voter's store, creates it if there is none, and returns what it holds. It counts the
+// Open opens a voter's store, or creates it if there is no file, and returns the stored state. It counts the
 // start; the count is durable when Open returns.
 func Open(path string, owner Owner) (s *Store, stored replicatedlog.StoredState, err error) {
 	defer func() {
@@ -91,7 +91,7 @@
 		}
 	}()
 	if owner.Voter == 0 || owner.Fleet == "" {
-		return nil, stored, fmt.Errorf("voter %d of the fleet %q: a number above 0 and a name are wanted", owner.Voter, owner.Fleet)
+		return nil, stored, fmt.Errorf("voter %d of fleet %q: the voter ID must be above 0 and the fleet must have a name", owner.Voter, owner.Fleet)
 	}
 	s = &Store{path: path}
 	if err := s.openFile(); err != nil {
@@ -123,7 +123,7 @@
 	return s, stored, err
 }
 
-// openFile opens the file. The library panics on a truncated one: see recoverPanic.
+// openFile opens the file. The database library panics on a truncated file; see recoverPanic.
 func (s *Store) openFile() error {
 	info, err := os.Stat(s.path)
 	if err == nil && info.Size() == 0 {
@@ -135,7 +135,7 @@
 		case errors.Is(err, bbolterrors.ErrTimeout):
 			return errLocked
 		case err != nil:
-			return fmt.Errorf("it cannot be opened: %w", err)
+			return fmt.Errorf("the file cannot be opened: %w", err)
 		}
 		return nil
 	})
@@ -148,23 +148,24 @@
 		return err
 	}
 	if info.Size() < tx.Size() {
-		return fmt.Errorf("it is torn: %d bytes, where %d are wanted", info.Size(), tx.Size())
+		return fmt.Errorf("the file is truncated: %d bytes, expected at least %d", info.Size(), tx.Size())
 	}
 	return nil
 }
 
-// recoverPanic calls read and converts a panic or memory fault, as from a damaged mapped file, to an error.
+// recoverPanic calls read and converts a panic or memory fault to an error. Reading a damaged memory-mapped file causes
+// them.
 func recoverPanic(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("it is damaged: %v", r)
+			err = fmt.Errorf("the file is damaged: %v", r)
 		}
 	}()
 	return read()
 }
 
-// initialize creates an empty store of its owner.
+// initialize creates the buckets and initial records of a new store.
 func initialize(tx *bbolt.Tx, owner Owner) error {
 	about, err := tx.CreateBucket(bucketAbout)
 	if err != nil {
@@ -193,22 +194,22 @@
 	return putChecked(state, keySnapshot, replicatedlog.EncodeSnapshot(*replicatedlog.Bootstrap(owner.Voters).Snapshot))
 }
 
-// verifyAndCountStart returns an error unless the store has this format and owner, and counts the start.
+// verifyAndCountStart returns an error unless the store has formatVersion and the given owner, and counts the start.
 func (s *Store) verifyAndCountStart(tx *bbolt.Tx, owner Owner) error {
 	about := tx.Bucket(bucketAbout)
 	if tx.Bucket(bucketState) == nil || tx.Bucket(bucketEntries) == nil {
 		return errNoVoterStore
 	}
 	readUint64 := func(key []byte) uint64 { v, _ := getChecked(about, key); return decodeUint64(v) }
-	if at := readUint64(keyFormat); at != formatVersion {
-		return fmt.Errorf("it has the form %d, this program reads form %d", at, formatVersion)
+	if version := readUint64(keyFormat); version != formatVersion {
+		return fmt.Errorf("the file has format version %d, this program reads version %d", version, formatVersion)
 	}
 	fleet, err := getChecked(about, keyFleet)
 	if err != nil {
 		return err
 	}
 	if string(fleet) != owner.Fleet || readUint64(keyVoter) != owner.Voter {
-		return fmt.Errorf("it belongs to voter %d of the fleet %q, not to voter %d of %q", readUint64(keyVoter), fleet, owner.Voter, owner.Fleet)
+		return fmt.Errorf("the file belongs to voter %d of fleet %q, not to voter %d of fleet %q", readUint64(keyVoter), fleet, owner.Voter, owner.Fleet)
 	}
 	id, err := getChecked(about, keyStore)
 	if err != nil {
@@ -241,14 +242,14 @@
 			return fmt.Errorf("entry %d: %w", decodeUint64(k), err)
 		}
 		if entry.Index != decodeUint64(k) {
-			return fmt.Errorf("entry %d stands in the place of entry %d", entry.Index, decodeUint64(k))
+			return fmt.Errorf("entry %d is stored under the key of entry %d", entry.Index, decodeUint64(k))
 		}
 		stored.Entries = append(stored.Entries, entry)
 		return nil
 	})
 }
 
-// readRecord reads and decodes one record; nil if there is none.
+// readRecord reads and decodes one record. It returns nil if there is none.
 func readRecord[T any](bucket *bbolt.Bucket, key []byte, decode func([]byte) (T, error)) (*T, error) {
 	data, err := getChecked(bucket, key)
 	if err != nil || data == nil {
@@ -261,20 +262,20 @@
 	return &value, nil
 }
 
-// ID returns the store's random ID. A store that was created anew has another one.
+// ID returns the store's random ID. A newly created store gets a new ID.
 func (s *Store) ID() string { return s.id }
 
-// Starts returns how often the store was opened, this time included.
+// Starts returns how often the store was opened, including this time.
 func (s *Store) Starts() uint64 { return s.starts }
 
-// Write makes persist durable, all or nothing. After an error the store must be closed: only opening it
-// again shows what it holds.
+// Write makes persist durable in one transaction. After an error the store must be closed: whether the write is in
+// the file is known only after opening it again.
 func (s *Store) Write(persist replicatedlog.Persist) error {
 	if persist.Empty() {
 		return nil
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error { return writeRecords(tx, persist) }); err != nil {
-		return &Error{s.path, fmt.Errorf("cannot be written: %w", err)}
+		return &Error{s.path, fmt.Errorf("write failed: %w", err)}
 	}
 	return nil
 }
@@ -297,7 +298,7 @@
 	return writeEntries(entries, persist.Entries)
 }
 
-// writeEntries replaces the entries from the first one's index on.
+// writeEntries replaces the stored entries from the index of the first new entry on.
 func writeEntries(bucket *bbolt.Bucket, entries []consensus.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -316,7 +317,8 @@
 // Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
 
-// deleteEntries deletes the entries that match. It visits all entries, of which snapshots leave few.
+// deleteEntries deletes the entries whose index matches. It scans all entries, which are few because snapshots replace
+// the older ones.
 func deleteEntries(entries *bbolt.Bucket, match func(index uint64) bool) error {
 	var keys [][]byte
 	if err := entries.ForEach(func(k, _ []byte) error {
@@ -337,7 +339,7 @@
 
 func encodeUint64(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
 
-// decodeUint64 returns 0 for data that is no number.
+// decodeUint64 returns 0 for data that is not 8 bytes long.
 func decodeUint64(data []byte) uint64 {
 	if len(data) != 8 {
 		return 0
@@ -350,7 +352,7 @@
 	return bucket.Put(key, append(binary.BigEndian.AppendUint32(nil, checksum(key, value)), value...))
 }
 
-// getChecked returns a value; nil if there is none.
+// getChecked returns a value after verifying its checksum. It returns nil if there is none.
 func getChecked(bucket *bbolt.Bucket, key []byte) ([]byte, error) {
 	stored := bucket.Get(key)
 	if stored == nil {
@@ -363,7 +365,7 @@
 	return data, nil
 }
 
-// verifyChecksum returns the value without its checksum.
+// verifyChecksum returns a copy of the stored value without its checksum, or errChecksum.
 func verifyChecksum(key, stored []byte) ([]byte, error) {
 	if len(stored) < 4 || binary.BigEndian.Uint32(stored) != checksum(key, stored[4:]) {
 		return nil, errChecksum
@@ -371,7 +373,7 @@
 	return bytes.Clone(stored[4:]), nil
 }
 
-// checksum is the CRC-32C of key and value.
+// checksum returns the CRC-32C of key and value.
 func checksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
--- a/internal/node/zones/store/store_test.go
+++ b/internal/node/zones/store/store_test.go
@@ -40,21 +40,21 @@
 	}
 }
 
-func entryData(k replicatedlog.StoredState) string {
+func entryData(stored replicatedlog.StoredState) string {
 	var b strings.Builder
-	for _, e := range k.Entries {
+	for _, e := range stored.Entries {
 		b.Write(e.Data)
 	}
 	return b.String()
 }
 
-// What was written is read at the next start; later entries replace those from their index on, and a snapshot replaces
-// the entries that it covers.
+// A reopened store returns what was written: later entries replace those from their index on, a snapshot of this voter
+// removes the entries before First, and a snapshot of another voter removes all entries.
 func TestStore_Write_survivesReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, stored := openStore(t, path)
 	if len(stored.Snapshot.Members) != 3 || s.Starts() != 1 {
-		t.Fatalf("a new store holds %v after start %d", stored, s.Starts())
+		t.Fatalf("new store: got %v and %d starts, want a snapshot with 3 members and 1 start", stored, s.Starts())
 	}
 	id := s.ID()
 	writeTo(t, s, replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(2, "a"), entry(3, "b"), entry(4, "c")}})
@@ -62,19 +62,20 @@
 	s.Close()
 	s, stored = openStore(t, path)
 	if entryData(stored) != "ad" || stored.HardState.Vote != 1 || s.ID() != id || s.Starts() != 2 {
-		t.Errorf("entries %q, %v, store %s after start %d", entryData(stored), stored.HardState, s.ID(), s.Starts())
+		t.Errorf("reopened store: got entries %q, hard state %v, ID %s, %d starts, want entries \"ad\", vote 1, ID %s, 2 starts",
+			entryData(stored), stored.HardState, s.ID(), s.Starts(), id)
 	}
-	shot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Bootstrap(owner.Voters).Snapshot.Members}
-	writeTo(t, s, replicatedlog.Persist{Snapshot: shot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
+	snapshot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Bootstrap(owner.Voters).Snapshot.Members}
+	writeTo(t, s, replicatedlog.Persist{Snapshot: snapshot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
 	s.Close()
 	s, stored = openStore(t, path)
 	if entryData(stored) != "de" || string(stored.Snapshot.Data) != "s" {
-		t.Errorf("entries %q behind the snapshot %q", entryData(stored), stored.Snapshot.Data)
+		t.Errorf("after a snapshot of this voter: got entries %q and snapshot %q, want \"de\" and \"s\"", entryData(stored), stored.Snapshot.Data)
 	}
-	writeTo(t, s, replicatedlog.Persist{Snapshot: shot, Replaces: true, First: 4})
+	writeTo(t, s, replicatedlog.Persist{Snapshot: snapshot, Replaces: true, First: 4})
 	s.Close()
 	if s, stored = openStore(t, path); entryData(stored) != "" {
-		t.Errorf("entries %q behind another's snapshot", entryData(stored))
+		t.Errorf("after a snapshot of another voter: got entries %q, want none", entryData(stored))
 	}
 	s.Close()
 }
@@ -86,11 +87,11 @@
 	s, _ := openStore(t, good)
 	writeTo(t, s, replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(2, strings.Repeat("a", 9000))}})
 	s.Close()
-	text, err := os.ReadFile(good)
+	content, err := os.ReadFile(good)
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoil := func(name string, text []byte, change func(*bbolt.Tx) error) string {
+	writeDamaged := func(name string, text []byte, change func(*bbolt.Tx) error) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -107,27 +108,27 @@
 		}
 		return path
 	}
-	flipped := bytes.Replace(text, []byte("aaaaaaaa"), []byte("aaaabaaa"), 1)
+	flipped := bytes.Replace(content, []byte("aaaaaaaa"), []byte("aaaabaaa"), 1)
 	for _, c := range []struct {
 		path, want string
 		owner      Owner
 	}{
-		{spoil("empty", nil, nil), "it is empty", owner},
-		{spoil("foreign", bytes.Repeat([]byte("no store "), 4000), nil), "cannot be opened", owner},
-		{spoil("flipped", flipped, nil), "checksum", owner},
-		{spoil("newer", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketAbout), keyFormat, encodeUint64(7)) }), "form 7", owner},
-		{spoil("older", text, func(tx *bbolt.Tx) error {
+		{writeDamaged("empty", nil, nil), "the file is empty", owner},
+		{writeDamaged("foreign", bytes.Repeat([]byte("no store "), 4000), nil), "cannot be opened", owner},
+		{writeDamaged("flipped", flipped, nil), "checksum", owner},
+		{writeDamaged("newer", content, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketAbout), keyFormat, encodeUint64(7)) }), "format version 7", owner},
+		{writeDamaged("older", content, func(tx *bbolt.Tx) error {
 			return putChecked(tx.Bucket(bucketAbout), keyFormat, encodeUint64(formatVersion-1))
 		}),
-			"it has the form 1, this program reads form 2", owner},
-		{spoil("strange entry", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketEntries), encodeUint64(2), []byte{1}) }),
+			"the file has format version 1, this program reads version 2", owner},
+		{writeDamaged("undecodable entry", content, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketEntries), encodeUint64(2), []byte{1}) }),
 			"entry 2: replicated log: the bytes cannot be read", owner},
-		{spoil("misplaced entry", text, func(tx *bbolt.Tx) error {
+		{writeDamaged("misplaced entry", content, func(tx *bbolt.Tx) error {
 			return putChecked(tx.Bucket(bucketEntries), encodeUint64(3), replicatedlog.EncodeEntry(entry(2, "a")))
-		}), "entry 2 stands in the place of entry 3", owner},
-		{spoil("strange snapshot", text, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketState), keySnapshot, []byte("s")) }),
+		}), "entry 2 is stored under the key of entry 3", owner},
+		{writeDamaged("undecodable snapshot", content, func(tx *bbolt.Tx) error { return putChecked(tx.Bucket(bucketState), keySnapshot, []byte("s")) }),
 			"snapshot: replicated log: the bytes cannot be read", owner},
-		{spoil("bare", text, func(tx *bbolt.Tx) error { return tx.DeleteBucket(bucketState) }), "no store", owner},
+		{writeDamaged("without state bucket", content, func(tx *bbolt.Tx) error { return tx.DeleteBucket(bucketState) }), "not a voter's store", owner},
 		{good, "voter 2", Owner{Fleet: "f", Voter: 3}},
 		{good, "fleet", Owner{Fleet: "g", Voter: 2}},
 		{good, "a name", Owner{Voter: 2}},
@@ -136,30 +137,30 @@
 		_, _, err := Open(c.path, c.owner)
 		var e *Error
 		if !errors.As(err, &e) || e.Path != c.path || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", c.path, err)
+			t.Errorf("open %s: got error %v, want a store.Error with this path and %q", c.path, err, c.want)
 		}
 	}
-	// A truncated file gives an error or all that was stored; never a crash, never less.
-	for cut := 0; cut < len(text); cut += 509 {
-		path := spoil("cut", text[:cut], nil)
+	// A truncated file must cause an error or be read completely; it must never crash the program or lose data silently.
+	for cut := 0; cut < len(content); cut += 509 {
+		path := writeDamaged("cut", content[:cut], nil)
 		s, stored, err := Open(path, owner)
 		if err == nil {
 			if len(entryData(stored)) != 9000 {
-				t.Errorf("cut at %d: less is read, without an error", cut)
+				t.Errorf("file truncated at byte %d: read %d bytes of entry data without an error, want 9000", cut, len(entryData(stored)))
 			}
 			s.Close()
 		}
 		os.Remove(path)
 	}
-	one, _ := openStore(t, good)
+	first, _ := openStore(t, good)
 	if _, _, err := Open(good, owner); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second open of an open store: got error %v, want one that names another process", err)
 	}
-	one.Close()
+	first.Close()
 }
 
-// A write that is cut off at any byte, as by a loss of power, leaves the state before it or all of it: the library
-// writes the new pages first and the meta page last.
+// A write that is interrupted at any byte, as by a loss of power, leaves the state either before or after it, because the
+// database library writes the new pages first and the meta page last.
 func TestStore_Write_cutAnywhere(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, _ := openStore(t, path)
@@ -175,7 +176,7 @@
 	}
 	s.Close()
 	if len(before) != len(after) {
-		t.Fatalf("the file grew from %d to %d", len(before), len(after))
+		t.Fatalf("the write changed the file size from %d to %d bytes, want no change", len(before), len(after))
 	}
 	var data, meta []int
 	page := os.Getpagesize()
@@ -189,63 +190,63 @@
 		}
 	}
 	if len(meta) == 0 || len(data) == 0 {
-		t.Fatal("nothing was written")
+		t.Fatalf("the write changed %d bytes of meta pages and %d of data pages, want some of both", len(meta), len(data))
 	}
-	torn := bytes.Clone(before)
+	partial := bytes.Clone(before)
 	check := func(at int) string {
 		cut := path + "-cut"
-		if err := os.WriteFile(cut, torn, 0o600); err != nil {
+		if err := os.WriteFile(cut, partial, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		defer os.Remove(cut)
 		s, stored, err := Open(cut, owner)
 		if err != nil {
-			t.Fatalf("cut at byte %d: %v", at, err)
+			t.Fatalf("open after a write interrupted at byte %d: %v", at, err)
 		}
 		s.Close()
 		return entryData(stored)
 	}
 	for n, i := range data {
-		torn[i] = after[i]
+		partial[i] = after[i]
 		if n%17 == 0 {
 			if got := check(i); got != "before" {
-				t.Fatalf("cut at byte %d: %q", i, got)
+				t.Fatalf("write of data pages interrupted at byte %d: got entries %q, want \"before\"", i, got)
 			}
 		}
 	}
 	for _, i := range meta {
-		torn[i] = after[i]
+		partial[i] = after[i]
 		if got := check(i); got != "before" && got != "beforeafter" {
-			t.Fatalf("cut at byte %d: %q", i, got)
+			t.Fatalf("write of meta pages interrupted at byte %d: got entries %q, want \"before\" or \"beforeafter\"", i, got)
 		}
 	}
 	if got := check(len(after)); got != "beforeafter" {
-		t.Errorf("complete: %q", got)
+		t.Errorf("complete write: got entries %q, want \"beforeafter\"", got)
 	}
 }
 
-// A full store returns an error that names its file and loses nothing that was written.
+// Write returns an error that names the file when the disk is full; the entries written before are kept.
 func TestStore_Write_fullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	maxFileBytes = 1 << 20
 	defer func() { maxFileBytes = 0 }()
 	s, _ := openStore(t, path)
-	taken := uint64(0)
+	lastWritten := uint64(0)
 	var err error
 	for index := uint64(2); index < 10_000 && err == nil; index++ {
 		if err = s.Write(replicatedlog.Persist{HardState: hardState(1), Entries: []consensus.Entry{entry(index, strings.Repeat("x", 2000))}}); err == nil {
-			taken = index
+			lastWritten = index
 		}
 	}
 	var e *Error
-	if !errors.As(err, &e) || e.Path != path || taken < 10 {
-		t.Fatalf("after %d entries: %v", taken, err)
+	if !errors.As(err, &e) || e.Path != path || lastWritten < 10 {
+		t.Fatalf("writing until the disk is full: got error %v after entry %d, want a store.Error with path %s after entry 10 or later", err, lastWritten, path)
 	}
 	s.Close()
 	maxFileBytes = 0
 	s, stored := openStore(t, path)
 	defer s.Close()
-	if n := len(stored.Entries); uint64(n) != taken-1 || stored.Entries[n-1].Index != taken {
-		t.Errorf("%d entries are stored of those up to %d", n, taken)
+	if n := len(stored.Entries); uint64(n) != lastWritten-1 || stored.Entries[n-1].Index != lastWritten {
+		t.Errorf("reopened store: got %d entries, want those from 2 to %d", n, lastWritten)
 	}
 }
--- a/internal/node/zones/transport/compatibility_test.go
+++ b/internal/node/zones/transport/compatibility_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// bodyRow is a row of the body of a call or of its answer.
+// bodyRow returns the row for the body of a request or response.
 func bodyRow[T any](name string, value T) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
@@ -25,7 +25,7 @@
 	}
 }
 
-// compatibilityRows are the bodies of each call and answer, with every field set.
+// compatibilityRows returns a row for the body of each request and response, with every field set.
 func compatibilityRows() []golden.Row {
 	observations := health.Observations{"north": {
 		StepCounts: health.StepCounts{Sent: 1, Succeeded: 2, Late: 3, Failed: 4, TimedOut: 5},
--- a/internal/node/zones/transport/transport.go
+++ b/internal/node/zones/transport/transport.go
@@ -1,9 +1,9 @@
-// Package transport carries reports, voter messages, overrides and status calls between processes.
+// Package transport carries reports, voter messages, overrides and status requests between processes.
 //
-// The calls are Connect unary RPCs over HTTP/1.1, encoded in CBOR. Client calls voters, NewHandler
-// serves a voter's side, and an Outbox delivers a voter's messages to one other voter in order: its
-// queue is bounded, each call has a deadline, and failures are followed by a jittered exponential
-// backoff. Calls block and must not be made on an event loop.
+// The calls are unary Connect RPCs over HTTP/1.1, encoded as CBOR. Client calls voters, NewHandler
+// returns the HTTP handler of a voter, and an Outbox delivers a voter's messages to one other voter in
+// order: its queue is bounded, each call has a deadline, and after a failure it waits for a jittered
+// exponential backoff. Calls block and must not be made on an event loop.
 package transport
 
 import (
@@ -25,7 +25,7 @@
 
 const (
 	service = "/ospreybend.fleet.v1.Fleet/" // on the wire
-	// Past these the call is useless: the next report or message is due.
+	// After these timeouts a call is useless, because the next report or message is due.
 	reportTimeout     = 500 * time.Millisecond
 	messageTimeout    = 500 * time.Millisecond
 	overrideTimeout   = 5 * time.Second
@@ -36,7 +36,7 @@
 	idleConnTimeout   = time.Minute
 )
 
-// codec encodes messages like the replicated log's commands.
+// codec is the Connect codec. It uses the same encoding as the commands in the replicated log.
 type codec struct{}
 
 func (codec) Name() string                          { return "cbor" }
@@ -57,12 +57,12 @@
 	AppliedIndex uint64            `cbor:"4,keyasint" json:"applied"`
 	Voters       []uint64          `cbor:"5,keyasint" json:"voters"`
 	Table        commands.Table    `cbor:"6,keyasint" json:"table"`
-	Members      []MemberStatus    `cbor:"7,keyasint" json:"members"` // that report to this voter
+	Members      []MemberStatus    `cbor:"7,keyasint" json:"members"` // processes that report to this voter
 	Assessments  map[string]string `cbor:"8,keyasint" json:"verdicts,omitempty"`
 	Counts       replica.Counts    `cbor:"9,keyasint" json:"counts"`
 }
 
-// MemberStatus is a process that reports to the voter.
+// MemberStatus is the status of a process that reports to the voter.
 type MemberStatus struct {
 	Name           string        `cbor:"1,keyasint" json:"name"`
 	Zone           string        `cbor:"2,keyasint" json:"zone"`
@@ -70,7 +70,7 @@
 	SinceHeartbeat time.Duration `cbor:"4,keyasint" json:"silentNs"`
 }
 
-// Handler is the voter that the calls reach. Its methods are called from many goroutines.
+// Handler handles the calls to a voter. Its methods must be safe for concurrent use.
 type Handler interface {
 	Report(ctx context.Context, report follower.Report) (follower.Response, error)
 	Deliver(ctx context.Context, message replica.Message) error
@@ -78,7 +78,7 @@
 	Status(ctx context.Context) (Status, error)
 }
 
-// NewHandler returns the HTTP handler of a voter's calls.
+// NewHandler returns the HTTP handler for the calls to a voter.
 func NewHandler(handler Handler) http.Handler {
 	mux := http.NewServeMux()
 	options := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxMessageBytes)}
@@ -93,7 +93,7 @@
 	return mux
 }
 
-// handle registers one method. An error that is no Connect error is sent as a failed precondition.
+// handle registers one method. Errors other than Connect errors are sent as failed preconditions.
 func handle[In, Out any](mux *http.ServeMux, name string, options []connect.HandlerOption, method func(context.Context, In) (Out, error)) {
 	mux.Handle(service+name, connect.NewUnaryHandler(service+name, func(ctx context.Context, in *connect.Request[In]) (*connect.Response[Out], error) {
 		out, err := method(ctx, *in.Msg)
@@ -143,7 +143,7 @@
 	return err
 }
 
-// ApplyOverride has a voter commit an operator's override, and returns when it is committed.
+// ApplyOverride sends an operator's override to a voter. It returns nil once the override is committed.
 func (c *Client) ApplyOverride(ctx context.Context, address string, override commands.Override) error {
 	_, err := call[commands.Override, Ack](ctx, c, address, "Say", overrideTimeout, override)
 	return err
@@ -154,22 +154,22 @@
 	return call[StatusRequest, Status](ctx, c, address, "Status", reportTimeout, StatusRequest{})
 }
 
-// Outbox delivers messages to one voter in order. Its goroutine ends with the context given to NewOutbox.
+// Outbox delivers messages to one voter in order. Its goroutine ends when the context given to NewOutbox is done.
 type Outbox struct {
 	client  *Client
 	address string
 	queue   chan replica.Message
 }
 
-// NewOutbox starts delivering to the voter at address until ctx ends.
+// NewOutbox returns an outbox that delivers to the voter at address until ctx is done.
 func NewOutbox(ctx context.Context, c *Client, address string) *Outbox {
 	o := &Outbox{client: c, address: address, queue: make(chan replica.Message, maxQueuedMessages)}
 	go o.run(ctx)
 	return o
 }
 
-// Enqueue queues a message. Where the queue is full the oldest message is dropped: the consensus core
-// sends its content again. Only one goroutine may call it.
+// Enqueue queues a message. If the queue is full, the oldest message is dropped; the consensus core resends its
+// content. Enqueue must not be called concurrently.
 func (o *Outbox) Enqueue(message replica.Message) {
 	for {
 		select {
@@ -184,7 +184,7 @@
 	}
 }
 
-// run delivers until ctx ends, with a backoff after each failure.
+// run delivers queued messages until ctx is done, with a backoff after each failure.
 func (o *Outbox) run(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = initialBackoff, maxBackoff
@@ -207,8 +207,8 @@
 	}
 }
 
-// mergeQueued merges the messages queued meanwhile into one: on a slow link one call for each would deliver ever
-// older messages.
+// mergeQueued merges the queued messages into the given one. On a slow link, one call per message would deliver
+// increasingly old messages.
 func (o *Outbox) mergeQueued(message replica.Message) replica.Message {
 	for len(message.Log) < maxQueuedMessages {
 		select {
