--- a/internal/node/zones/simulation/faults.go
+++ b/internal/node/zones/simulation/faults.go
@@ -7,10 +7,10 @@
 	"ospreybend/internal/node/zones/commands"
 )
 
-// slowStartPollInterval is how often a fault that waits for a slow start checks for it.
+// slowStartPollInterval is how often a fault that waits for a slow start checks whether it has begun.
 const slowStartPollInterval = 10 * time.Millisecond
 
-// scheduleWhenDue schedules a fault at its time, or during the slow start that it waits for.
+// scheduleWhenDue schedules a fault at its time or, if the fault waits for a slow start, during that.
 func (s *simulation) scheduleWhenDue(fault Fault) {
 	if fault.DuringSlowStartOf == "" {
 		s.schedule(fault)
@@ -19,7 +19,7 @@
 	s.timers.Add(startTime+fault.At, func() { s.awaitSlowStart(fault) })
 }
 
-// awaitSlowStart polls until the slow start that the fault waits for.
+// awaitSlowStart polls until the zone is in the slow start that the fault waits for, then schedules the fault.
 func (s *simulation) awaitSlowStart(fault Fault) {
 	if !s.isInSlowStart(fault.DuringSlowStartOf, fault.MinShare) {
 		s.after(slowStartPollInterval, func() { s.awaitSlowStart(fault) })
@@ -41,12 +41,12 @@
 }
 
 const (
-	flapPhases         = 4   // of a flapping zone: erroring, recovered, erroring, recovered
+	flapPhases         = 4   // phases of ZoneFlaps: erroring, recovered, erroring, recovered
 	someWorkersFailing = 0.2 // fraction of failing steps under SomeWorkersFail
-	burstLoadFactor    = 2.4 // of LoadBurst
+	burstLoadFactor    = 2.4 // load under LoadBurst, as a multiple of the normal load
 )
 
-// schedule adds a fault's begin and end to the timers.
+// schedule adds timers for the start and end of a fault.
 func (s *simulation) schedule(fault Fault) {
 	at, until := startTime+fault.At, startTime+fault.At+fault.Duration
 	if s.firstFaultAt == 0 || at < s.firstFaultAt {
@@ -61,17 +61,17 @@
 	case ProcessCrash, ProcessPause, LeaderCrash, AllRestart:
 		s.scheduleProcessFault(fault, at, until)
 	default:
-		s.violate("unknown kind of fault: %s", fault.Kind)
+		s.addViolation("unknown fault kind %q", fault.Kind)
 	}
 }
 
-// between schedules the begin and the end of a fault.
+// between adds timers that run begin at the start and end at the end of a fault.
 func (s *simulation) between(at, until time.Duration, begin, end func()) {
 	s.timers.Add(at, begin)
 	s.timers.Add(until, end)
 }
 
-// scheduleZoneFault schedules a fault of a zone's workers, or of the load on all zones.
+// scheduleZoneFault schedules a fault of a zone's workers, or a load burst on all zones.
 func (s *simulation) scheduleZoneFault(fault Fault, at, until time.Duration) {
 	zone := s.zoneStates[fault.Zone]
 	recovered := func() {
@@ -85,11 +85,11 @@
 		processes := s.processesIn(fault.Zone)
 		s.between(at, until, func() {
 			zone.crashed = true
-			each(processes, s.crashProcess)
+			forEach(processes, s.crashProcess)
 		}, func() {
 			zone.crashed = false
 			recovered()
-			each(processes, s.startProcess)
+			forEach(processes, s.startProcess)
 		})
 	case ZoneErrors:
 		s.between(at, until, func() { zone.erroring = true }, func() { zone.erroring = false; recovered() })
@@ -107,7 +107,7 @@
 	}
 }
 
-// schedulePartition schedules a fault of the network.
+// schedulePartition schedules a network partition.
 func (s *simulation) schedulePartition(fault Fault, at, until time.Duration) {
 	network := s.network
 	switch fault.Kind {
@@ -125,7 +125,7 @@
 	}
 }
 
-// scheduleProcessFault schedules a crash or pause of processes.
+// scheduleProcessFault schedules crashes, restarts or a pause of processes.
 func (s *simulation) scheduleProcessFault(fault Fault, at, until time.Duration) {
 	switch fault.Kind {
 	case ProcessCrash:
--- a/internal/node/zones/simulation/network.go
+++ b/internal/node/zones/simulation/network.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// network delivers messages between processes: delayed, lost, duplicated, reordered, and not at all over a
-// blocked link. Links are one way, between zones or at single processes.
+// network delivers messages between processes. It delays, loses, duplicates and reorders them, and delivers none over a
+// blocked link. A link has one direction; it connects two zones, or one process with all others.
 type network struct {
 	simulation *simulation
-	blocked    map[[2]string]bool // from and to, zones or processes
+	blocked    map[[2]string]bool // blocked links by sender and receiver: two zones, or a process and "*"
 	delivered  int
 	lost       int
 }
@@ -17,8 +17,8 @@
 	return n.blocked[[2]string{from.zone, to.zone}] || n.blocked[[2]string{from.name, "*"}] || n.blocked[[2]string{"*", to.name}]
 }
 
-// send calls deliver at another process when the message arrives. A message to a process that restarted
-// meanwhile is lost.
+// send calls deliver when a message arrives at the receiving process. The message is lost if that process
+// crashes or restarts before.
 func (n *network) send(from, to *process, deliver func()) {
 	scenario := n.simulation.scenario
 	copies := 1
@@ -42,7 +42,7 @@
 	for range copies {
 		delay := scenario.MessageDelay.draw(n.simulation.rng)
 		if n.simulation.rng.Float64() < scenario.ReorderProbability {
-			delay *= 20 // overtaken by many
+			delay *= 20 // many later messages arrive before it
 		}
 		n.delivered++
 		n.simulation.after(lag+delay, func() {
@@ -53,10 +53,10 @@
 	}
 }
 
-// block blocks a link one way. "*" stands for every process.
+// block blocks a link in one direction. "*" stands for every process.
 func (n *network) block(from, to string) { n.blocked[[2]string{from, to}] = true }
 
-// unblock ends what block began.
+// unblock reverts block.
 func (n *network) unblock(from, to string) { delete(n.blocked, [2]string{from, to}) }
 
 // isolate blocks all links between a zone and the others.
@@ -69,7 +69,7 @@
 	}
 }
 
-// reconnect ends what isolate began.
+// reconnect reverts isolate.
 func (n *network) reconnect(zone string) {
 	for _, z := range n.simulation.zones {
 		n.unblock(zone, z)
@@ -77,5 +77,5 @@
 	}
 }
 
-// Range is a range of durations, drawn from evenly.
+// Range is a range of durations for uniformly distributed random values.
 type Range struct{ Min, Max time.Duration }
--- a/internal/node/zones/simulation/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -11,22 +11,23 @@
 	"ospreybend/internal/node/zones/replicatedlog"
 )
 
-// The simulation's own checks for Scenario.DisabledCheck; the others are those of replica, commands and follower.
+// Checks of the simulation itself that Scenario.DisabledCheck can skip. Packages replica, commands and follower define
+// the others.
 const (
-	checkDurable = "write" // a write is acknowledged when it is durable
+	checkDurable = "write" // a write is acknowledged only when it is durable
 	checkReady   = "ready" // a new node waits for its first table
 )
 
-// process is a voter or node with a clock of its own.
+// process is a voter or a node. It has its own clock.
 type process struct {
 	simulation  *simulation
 	name        string
 	zone        string
 	down        bool
 	paused      bool
-	deferred    []func() // what became due while it was paused
-	incarnation int      // grows with each start and crash
-	clockRate   float64  // against the simulation's clock
+	deferred    []func() // functions that became due while the process was paused
+	incarnation int      // incremented by each start and crash
+	clockRate   float64  // rate of the process's clock relative to the simulation's
 	voter       *voterProcess
 	node        *nodeProcess
 }
@@ -34,13 +35,13 @@
 // now returns the time on the process's own clock.
 func (p *process) now() time.Duration { return time.Duration(float64(p.simulation.now) * p.clockRate) }
 
-// after runs f at the process after a duration on its own clock, unless it crashed by then.
+// after runs f in the process after a duration on the process's clock, unless the process has crashed by then.
 func (p *process) after(d time.Duration, f func()) {
 	incarnation := p.incarnation
 	p.simulation.after(time.Duration(float64(d)/p.clockRate), func() { p.do(incarnation, f) })
 }
 
-// do runs f unless the process crashed since the incarnation; a paused process runs it when it resumes.
+// do runs f if the process still has the given incarnation and is up. A paused process runs f when it resumes.
 func (p *process) do(incarnation int, f func()) {
 	switch {
 	case p.down || p.incarnation != incarnation:
@@ -51,7 +52,7 @@
 	}
 }
 
-// crash ends the process without notice.
+// crash stops the process at once. What it has not made durable is lost.
 func (p *process) crash() {
 	p.down = true
 	p.incarnation++
@@ -78,9 +79,9 @@
 
 func (p *process) resume() {
 	p.paused = false
-	later := p.deferred
+	deferred := p.deferred
 	p.deferred = nil
-	for _, f := range later {
+	for _, f := range deferred {
 		f()
 	}
 }
@@ -115,7 +116,7 @@
 	d.stored.Entries = entries
 }
 
-// reopen returns what a start finds, and counts it.
+// reopen counts a start and returns the stored state.
 func (d *disk) reopen() replicatedlog.StoredState {
 	d.starts++
 	return d.stored
@@ -123,30 +124,30 @@
 
 // voterProcess is a voter with its disk.
 type voterProcess struct {
-	process   *process
-	id        uint64
-	disk      disk
-	replica   *replica.Replica
-	writing   bool
-	checked   uint64        // log index of the last table checked
-	startedAt time.Duration // the replica's clock counts from each start
+	process      *process
+	id           uint64
+	disk         disk
+	replica      *replica.Replica
+	writing      bool
+	checkedIndex uint64        // log index of the last table compared by checkLog
+	startedAt    time.Duration // on the process's clock; the replica's clock starts at 0 then
 }
 
 func (v *voterProcess) now() time.Duration { return v.process.now() - v.startedAt }
 
 func (v *voterProcess) start() {
-	d := v.process.simulation.scenario
-	rules := d.Replica
+	scenario := v.process.simulation.scenario
+	settings := scenario.Replica
 	stored := v.disk.reopen()
 	v.startedAt = v.process.now()
-	made, err := replica.New(0, replica.Config{Fleet: "sim", ID: v.id, Store: v.disk.name, Starts: v.disk.starts, Settings: rules, Classes: classes,
-		Rand: rand.New(rand.NewPCG(d.Seed, v.id<<16|v.disk.starts)), Logger: slog.New(slog.DiscardHandler),
-		WallClock: func() int64 { return v.process.simulation.now.Microseconds() }, DisabledCheck: d.DisabledCheck}, stored)
+	created, err := replica.New(0, replica.Config{Fleet: "sim", ID: v.id, Store: v.disk.name, Starts: v.disk.starts, Settings: settings, Classes: classes,
+		Rand: rand.New(rand.NewPCG(scenario.Seed, v.id<<16|v.disk.starts)), Logger: slog.New(slog.DiscardHandler),
+		WallClock: func() int64 { return v.process.simulation.now.Microseconds() }, DisabledCheck: scenario.DisabledCheck}, stored)
 	if err != nil {
-		v.process.simulation.violate("voter %s does not start: %v", v.process.name, err)
+		v.process.simulation.addViolation("voter %s does not start: %v", v.process.name, err)
 		return
 	}
-	v.replica, v.writing, v.checked = made, false, 0
+	v.replica, v.writing, v.checkedIndex = created, false, 0
 	v.tick()
 }
 
@@ -162,7 +163,7 @@
 func (v *voterProcess) flush() {
 	s := v.process.simulation
 	if err := v.replica.Err(); err != nil {
-		s.violate("voter %s: %v", v.process.name, err)
+		s.addViolation("voter %s: %v", v.process.name, err)
 		v.process.crash()
 		return
 	}
@@ -186,63 +187,63 @@
 			}
 		}
 	}
-	posts := v.replica.TakeOutgoing()
+	envelopes := v.replica.TakeOutgoing()
 	s.checkLog(v)
-	for _, post := range posts {
-		to := s.voters[post.To-1]
+	for _, envelope := range envelopes {
+		to := s.voters[envelope.To-1]
 		s.network.send(v.process, to, func() {
 			to.do(to.incarnation, func() {
-				_ = to.voter.replica.Receive(to.voter.now(), post.Message)
+				_ = to.voter.replica.Receive(to.voter.now(), envelope.Message)
 				to.voter.flush()
 			})
 		})
 	}
 }
 
-// nodeProcess is a node that sends steps to zones.
+// nodeProcess is a node, which sends steps to zones.
 type nodeProcess struct {
-	process       *process
-	number        int
-	follower      *follower.Follower
-	failedReports int // reports without a lease, each to be followed by another voter
-	credit        float64
-	epoch         uint64
-	startedAt     time.Duration
+	process           *process
+	number            int
+	follower          *follower.Follower
+	failedReports     int // reports that yielded no lease; after each the node reports to the next voter
+	pendingOperations float64
+	epoch             uint64
+	startedAt         time.Duration
 }
 
 var classes = []failover.Class{{Name: "check", Value: 2}, {Name: "preview", Value: 1}, {Name: "book", Value: 4, NonIdempotent: true}}
 
 func (n *nodeProcess) start() {
-	d := n.process.simulation.scenario
-	n.follower = follower.New(n.process.now(), d.Follower, "sim", n.process.name, n.process.zone, uint64(n.process.now().Microseconds())+1, len(classes),
-		rand.New(rand.NewPCG(d.Seed, uint64(n.number)<<20|uint64(n.process.incarnation))))
-	n.follower.DisabledCheck = d.DisabledCheck
+	scenario := n.process.simulation.scenario
+	n.follower = follower.New(n.process.now(), scenario.Follower, "sim", n.process.name, n.process.zone, uint64(n.process.now().Microseconds())+1, len(classes),
+		rand.New(rand.NewPCG(scenario.Seed, uint64(n.number)<<20|uint64(n.process.incarnation))))
+	n.follower.DisabledCheck = scenario.DisabledCheck
 	n.failedReports, n.epoch, n.startedAt = 0, 0, n.process.now()
-	if !d.Standalone {
+	if !scenario.Standalone {
 		n.report()
 	}
 	n.work()
 }
 
-// report sends the next report, at first to the voter of the node's number.
+// report sends the next report. The first goes to the voter that the node's number selects.
 func (n *nodeProcess) report() {
 	s := n.process.simulation
-	r, next := n.follower.Report(n.process.now())
+	report, next := n.follower.Report(n.process.now())
 	sent := n.process.now()
 	voters := len(s.voters)
 	to := s.voters[(n.number+n.failedReports)%voters]
-	answered := false
+	leased := false
 	s.network.send(n.process, to, func() {
 		to.do(to.incarnation, func() {
-			a, err := to.voter.replica.HandleReport(to.voter.now(), r)
+			response, err := to.voter.replica.HandleReport(to.voter.now(), report)
 			to.voter.flush()
 			if err != nil {
 				return
 			}
 			s.network.send(to, n.process, func() {
 				n.process.do(n.process.incarnation, func() {
-					answered = answered || a.Lease > 0
-					if n.follower.HandleResponse(n.process.now(), sent, a) {
+					leased = leased || response.Lease > 0
+					if n.follower.HandleResponse(n.process.now(), sent, response) {
 						n.checkTable()
 					}
 				})
@@ -250,33 +251,33 @@
 		})
 	})
 	n.process.after(next, func() {
-		if !answered {
+		if !leased {
 			n.failedReports++
 		}
 		n.report()
 	})
 }
 
-// checkTable checks the table that was applied.
+// checkTable checks that the table just applied is not older than the last one and is the committed one of its epoch.
 func (n *nodeProcess) checkTable() {
 	s := n.process.simulation
-	at := n.follower.Epoch()
-	if at < n.epoch {
-		s.violate("%s went back from epoch %d to %d", n.process.name, n.epoch, at)
+	epoch := n.follower.Epoch()
+	if epoch < n.epoch {
+		s.addViolation("%s went back from table epoch %d to %d", n.process.name, n.epoch, epoch)
 	}
-	n.epoch = at
-	if known, ok := s.tablesByEpoch[at]; ok && at > 0 && known != s.encodeTable(n.follower.Table()) {
-		s.violate("%s holds another table of epoch %d than was committed", n.process.name, at)
+	n.epoch = epoch
+	if known, ok := s.tablesByEpoch[epoch]; ok && epoch > 0 && known != s.encodeTable(n.follower.Table()) {
+		s.addViolation("%s has a table of epoch %d that differs from the committed one", n.process.name, epoch)
 	}
 }
 
-// work sends the steps of a tenth of a second.
+// work sends the steps of one loadInterval, then schedules itself again.
 func (n *nodeProcess) work() {
-	s, d := n.process.simulation, n.process.simulation.scenario
-	const span = tenth
+	s, scenario := n.process.simulation, n.process.simulation.scenario
+	const interval = loadInterval
 	now := n.process.now()
-	if !d.Standalone && d.DisabledCheck != checkReady && !n.follower.Ready(now) {
-		n.process.after(span, n.work) // no request is admitted yet
+	if !scenario.Standalone && scenario.DisabledCheck != checkReady && !n.follower.Ready(now) {
+		n.process.after(interval, n.work) // no request is admitted yet
 		return
 	}
 	shares := n.follower.Shares(now, s.zones)
@@ -285,9 +286,9 @@
 	for _, z := range s.zones {
 		total += shares[z]
 	}
-	rate := d.Rate * s.loadFactor * span.Seconds()
-	n.credit += rate
-	for ; n.credit >= 1; n.credit-- {
+	rate := scenario.Rate * s.loadFactor * interval.Seconds()
+	n.pendingOperations += rate
+	for ; n.pendingOperations >= 1; n.pendingOperations-- {
 		class := s.rng.IntN(len(classes))
 		s.result.Offered += classes[class].Value
 		if s.rng.Float64() >= n.follower.AdmittedFraction(now, classes[class].Name) {
@@ -308,10 +309,10 @@
 	for _, z := range s.zones {
 		n.follower.Monitor().SetCapacity(now, z, s.zoneStates[z].slots, 1-s.zoneStates[z].warmCapacity())
 	}
-	n.process.after(span, n.work)
+	n.process.after(interval, n.work)
 }
 
-// sendStep sends one step and records its outcome when it shows.
+// sendStep sends one step and records its outcome when the node learns of it.
 func (n *nodeProcess) sendStep(zone string, class int) {
 	s := n.process.simulation
 	sent, incarnation := n.process.now(), n.process.incarnation
--- a/internal/node/zones/simulation/simulation.go
+++ b/internal/node/zones/simulation/simulation.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	startTime      = time.Hour        // the clock at the start of a scenario, so that clocks can be slow
-	faultAftermath = 10 * time.Second // after the last fault, still counted as during faults
-	tenth          = 100 * time.Millisecond
+	startTime      = time.Hour              // simulated time at the start of a scenario; above 0, so that slow process clocks are behind from the start
+	faultAftermath = 10 * time.Second       // time after the last fault that still counts as during faults
+	loadInterval   = 100 * time.Millisecond // how often nodes send steps, and the resolution of the zones' load
 )
 
-// Result is the outcome of a scenario. Values are sums of the classes' values.
+// Result is the outcome of a scenario. Offered, Served and Rejected are sums of the operations' class values.
 type Result struct {
 	Violations           []string      `json:"violations"`
 	Offered              float64       `json:"asked"`
@@ -29,8 +29,8 @@
 	ServedDuringFaults   float64       `json:"troubleServed"`
 	Overloads            int           `json:"felled"`
 	Evacuations          int           `json:"left"`     // times that a zone was evacuated
-	EvacuatedAfter       time.Duration `json:"leftAt"`   // from the first fault to the first evacuation's commit
-	EvacuationSpread     time.Duration `json:"allLeft"`  // from that commit until the last connected process had it; 0: never
+	EvacuatedAfter       time.Duration `json:"leftAt"`   // from the first fault until the first evacuation was committed
+	EvacuationSpread     time.Duration `json:"allLeft"`  // from that commit until all connected nodes had the table; 0: never
 	RecoveryTime         time.Duration `json:"returned"` // from a fault's end until the zone was active again
 	Epochs               uint64        `json:"epochs"`
 	FaultDuringSlowStart bool          `json:"rising"` // a fault began during a slow start; see Fault.DuringSlowStartOf
@@ -49,16 +49,16 @@
 	nodes         []*process
 	zoneStates    map[string]*zoneState
 	loadFactor    float64
-	tablesByIndex map[uint64]string // the table after each log index, as the first voter had it
-	tablesByEpoch map[uint64]string // by epoch
-	committedAt   map[uint64]time.Duration
+	tablesByIndex map[uint64]string        // encoded table at each log index, from the first voter that applied it
+	tablesByEpoch map[uint64]string        // encoded table of each epoch
+	committedAt   map[uint64]time.Duration // when each epoch was first seen at a voter
 	result        Result
 	firstFaultAt  time.Duration // start time of the first fault; 0: none yet
 	lastFaultEnd  time.Duration
 	faultEndedAt  map[string]time.Duration // by zone
 }
 
-// Run simulates a scenario. The error is that of an invalid scenario; violated invariants are in the result.
+// Run simulates a scenario. It returns an error for an invalid scenario; violated invariants are in the result.
 func Run(scenario Scenario) (Result, error) {
 	if err := scenario.validate(); err != nil {
 		return Result{}, err
@@ -83,9 +83,9 @@
 	for i := range scenario.Zones {
 		s.zones = append(s.zones, ZoneName(i))
 	}
-	perZone := scenario.Rate * float64(scenario.Nodes) * workPerStep / float64(scenario.Zones)
+	workPerZone := scenario.Rate * float64(scenario.Nodes) * workPerStep / float64(scenario.Zones)
 	for _, z := range s.zones {
-		s.zoneStates[z] = &zoneState{simulation: s, slots: perZone / scenario.Load, lastTenth: int64(startTime / tenth)}
+		s.zoneStates[z] = &zoneState{simulation: s, slots: workPerZone / scenario.Load, lastInterval: int64(startTime / loadInterval)}
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// startProcesses schedules the starts of all processes, spread at random.
+// startProcesses schedules the start of each process after a random delay.
 func (s *simulation) startProcesses() {
 	if !s.scenario.Standalone {
 		for _, p := range s.voters {
@@ -121,7 +121,7 @@
 	}
 }
 
-// runTimers runs all events up to end, or up to the first violation.
+// runTimers runs all events until end or the first violation.
 func (s *simulation) runTimers(end time.Duration) {
 	for at, ok := s.timers.Next(); ok && at <= end && len(s.result.Violations) == 0; at, ok = s.timers.Next() {
 		s.now = at
@@ -135,33 +135,34 @@
 	}
 }
 
-// checkLeader reports a violation if the last leader lacks a committed epoch.
+// checkLeader adds a violation if the leader at the end of the scenario does not have the last committed epoch.
 func (s *simulation) checkLeader() {
 	p := s.leader()
 	if p == nil || !p.voter.replica.Log().LeaderCaughtUp() || len(s.result.Violations) > 0 {
 		return
 	}
 	if epoch := p.voter.replica.Table().Epoch; epoch < s.result.Epochs {
-		s.violate("%s leads with epoch %d, and epoch %d was committed", p.name, epoch, s.result.Epochs)
+		s.addViolation("%s leads with table epoch %d, but epoch %d was committed", p.name, epoch, s.result.Epochs)
 	}
 }
 
 func (s *simulation) clockRate() float64 { return 1 + s.scenario.ClockDrift*(2*s.rng.Float64()-1) }
 
-func (s *simulation) after(span time.Duration, f func()) { s.timers.Add(s.now+max(span, 0), f) }
+func (s *simulation) after(delay time.Duration, f func()) { s.timers.Add(s.now+max(delay, 0), f) }
 
-func (s *simulation) violate(format string, a ...any) {
+func (s *simulation) addViolation(format string, a ...any) {
 	if len(s.result.Violations) < 20 {
 		s.result.Violations = append(s.result.Violations, fmt.Sprintf("%.3f s: ", (s.now-startTime).Seconds())+fmt.Sprintf(format, a...))
 	}
 }
 
+// encodeTable returns the table's encoding, by which tables are compared.
 func (s *simulation) encodeTable(t *commands.Table) string {
-	text, err := encoding.Marshal(t)
+	encoded, err := encoding.Marshal(t)
 	if err != nil {
 		panic(err) // tables are plain values
 	}
-	return string(text)
+	return string(encoded)
 }
 
 // checkLog compares a voter's table with the other voters' at the same index and epoch, and records new epochs.
@@ -169,24 +170,24 @@
 	if voter.replica == nil {
 		return
 	}
-	at, table := voter.replica.Log().AppliedIndex(), voter.replica.Table()
-	if at == voter.checked {
+	index, table := voter.replica.Log().AppliedIndex(), voter.replica.Table()
+	if index == voter.checkedIndex {
 		return
 	}
-	voter.checked = at
-	text := s.encodeTable(table)
-	if known, ok := s.tablesByIndex[at]; ok && known != text {
-		s.violate("voter %s has another table at entry %d than another voter", voter.process.name, at)
+	voter.checkedIndex = index
+	encoded := s.encodeTable(table)
+	if known, ok := s.tablesByIndex[index]; ok && known != encoded {
+		s.addViolation("voter %s has a table at log index %d that differs from another voter's", voter.process.name, index)
 	}
-	s.tablesByIndex[at] = text
+	s.tablesByIndex[index] = encoded
 	known, ok := s.tablesByEpoch[table.Epoch]
-	if ok && known != text {
-		s.violate("voter %s has another table of epoch %d than another voter", voter.process.name, table.Epoch)
+	if ok && known != encoded {
+		s.addViolation("voter %s has a table of epoch %d that differs from another voter's", voter.process.name, table.Epoch)
 	}
 	if ok {
 		return
 	}
-	s.tablesByEpoch[table.Epoch], s.committedAt[table.Epoch] = text, s.now
+	s.tablesByEpoch[table.Epoch], s.committedAt[table.Epoch] = encoded, s.now
 	s.result.Epochs = max(s.result.Epochs, table.Epoch)
 	for _, name := range s.zones {
 		z := table.Zone(name)
@@ -200,36 +201,36 @@
 				s.measureSpread(table.Epoch)
 			}
 		}
-		if from, ok := s.faultEndedAt[name]; ok && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && s.now > from {
-			s.result.RecoveryTime = max(s.result.RecoveryTime, s.now-from)
+		if faultEnd, ok := s.faultEndedAt[name]; ok && z.Phase == commands.PhaseActive && len(z.UnreachableFrom) == 0 && s.now > faultEnd {
+			s.result.RecoveryTime = max(s.result.RecoveryTime, s.now-faultEnd)
 		}
 	}
 }
 
-// measureSpread measures how long a table takes to reach all connected nodes.
+// measureSpread measures how long a table takes to reach all nodes that have a lease.
 func (s *simulation) measureSpread(epoch uint64) {
-	began := s.now
-	var look func()
-	look = func() {
+	committedAt := s.now
+	var poll func()
+	poll = func() {
 		for _, p := range s.nodes {
 			if !p.down && !p.paused && p.node.follower.HasLease(p.now()) && p.node.follower.Epoch() < epoch {
-				s.after(5*time.Millisecond, look)
+				s.after(5*time.Millisecond, poll)
 				return
 			}
 		}
-		s.result.EvacuationSpread = s.now - began
+		s.result.EvacuationSpread = s.now - committedAt
 	}
-	look()
+	poll()
 }
 
-// maxStaleness is how long a process may obey an outdated table: its lease, the time for which a voter that
-// has lost the leader may still grant one, and a margin for messages and clocks.
+// maxStaleness returns how long a process may follow an outdated table: the lease, the time for which a voter that
+// has lost contact with the leader may still grant one, and a margin for message delay and clock drift.
 func (s *simulation) maxStaleness() time.Duration {
 	r := s.scenario.Replica
 	return r.Lease + time.Duration(r.ElectionTicks+2)*r.Tick + 500*time.Millisecond
 }
 
-// checkShares compares a node's shares with the committed table.
+// checkShares checks that a node's shares follow a recent committed table.
 func (s *simulation) checkShares(node *nodeProcess, shares map[string]float64) {
 	if s.scenario.Standalone {
 		return
@@ -239,32 +240,32 @@
 		return
 	}
 	epoch := node.follower.Epoch()
-	if at, ok := s.committedAt[epoch+1]; ok && s.now-at > s.maxStaleness() {
-		s.violate("%s goes by epoch %d, %v after the next was committed", node.process.name, epoch, s.now-at)
+	if supersededAt, ok := s.committedAt[epoch+1]; ok && s.now-supersededAt > s.maxStaleness() {
+		s.addViolation("%s uses table epoch %d, %v after the next epoch was committed", node.process.name, epoch, s.now-supersededAt)
 	}
 	table := node.follower.Table()
 	for _, zone := range s.zones {
 		if z := table.Zone(zone); z.Phase == commands.PhaseEvacuated && shares[zone] > 0 {
-			s.violate("%s gives %v to zone %s, which is evacuated", node.process.name, shares[zone], zone)
+			s.addViolation("%s gives share %v to zone %s, which is evacuated", node.process.name, shares[zone], zone)
 		} else if z.Phase == commands.PhaseSlowStart && shares[zone] > z.Share+1e-9 && !s.noneActive(table) {
-			s.violate("%s gives %v to zone %s, which rises at %v", node.process.name, shares[zone], zone, z.Share)
+			s.addViolation("%s gives share %v to zone %s, which is in slow start with share %v", node.process.name, shares[zone], zone, z.Share)
 		}
 	}
 }
 
-// checkStarting checks a process without a table: while it waits for its first one it must not give a zone
-// in slow start more than the zone's share.
+// checkStarting checks a node that has no lease. While it waits for its first table, it must not give a zone in
+// slow start more than the zone's share.
 func (s *simulation) checkStarting(node *nodeProcess, shares map[string]float64) {
 	if p := s.leader(); p != nil && node.follower.Epoch() == 0 && node.process.now()-node.startedAt < s.scenario.Follower.StartupWait {
 		for _, zone := range s.zones {
 			if z := p.voter.replica.Table().Zone(zone); z.Phase == commands.PhaseSlowStart && z.Share < shares[zone] {
-				s.violate("%s, just started, gives %v to zone %s, which rises at %v", node.process.name, shares[zone], zone, z.Share)
+				s.addViolation("%s has no table yet and gives share %v to zone %s, which is in slow start with share %v", node.process.name, shares[zone], zone, z.Share)
 			}
 		}
 	}
 }
 
-// noneActive reports whether no zone takes its full share: then shares are scaled.
+// noneActive reports whether no zone is active and reachable from all others. In that case nodes scale the shares.
 func (s *simulation) noneActive(t *commands.Table) bool {
 	return !slices.ContainsFunc(s.zones, func(zone string) bool {
 		z := t.Zone(zone)
@@ -272,13 +273,13 @@
 	})
 }
 
-func each(processes []*process, f func(*process)) {
+func forEach(processes []*process, f func(*process)) {
 	for _, p := range processes {
 		f(p)
 	}
 }
 
-// participates reports whether a process takes part in this scenario.
+// participates reports whether a process exists and runs in this scenario; voters do not in a standalone one.
 func (s *simulation) participates(p *process) bool {
 	return p != nil && (p.voter == nil || !s.scenario.Standalone)
 }
@@ -313,7 +314,7 @@
 	return out
 }
 
-// leader returns the leader of the latest term; nil if there is none.
+// leader returns the running voter that leads in the highest term; nil if none leads.
 func (s *simulation) leader() (out *process) {
 	term := uint64(0)
 	for _, p := range s.voters {
--- a/internal/node/zones/simulation/zone_state.go
+++ b/internal/node/zones/simulation/zone_state.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	workPerStep      = 0.25 // slot-seconds
-	windowTenths     = 30   // tenths of a second for which work is remembered
-	tenthsPerSecond  = 10
-	overloadMultiple = 4 // work in a window past this multiple of the present capacity overloads a zone that warms up
+	workPerStep        = 0.25 // slot-seconds
+	windowIntervals    = 30   // load intervals in the window for which accepted work is recorded
+	intervalsPerSecond = 10   // load intervals per second
+	overloadMultiple   = 4    // work in a window above this multiple of the current capacity overloads a zone that warms up
 
-	stepTimeout  = time.Second          // after which a step without a start counts as timed out
-	failureDelay = 5 * time.Millisecond // after which a failed step shows
+	stepTimeout  = time.Second          // after which a step that has not started counts as timed out
+	failureDelay = 5 * time.Millisecond // after which the node learns that a step failed
 )
 
-// zoneState is the state of a zone's workers.
+// zoneState models a zone's workers.
 type zoneState struct {
 	simulation      *simulation
 	slots           float64
@@ -24,14 +24,14 @@
 	erroring        bool
 	isSlow          bool
 	failingFraction float64
-	warmingSince    time.Duration // since when its workers warm up; 0: they are warm
-	// Work taken in the last three seconds, by tenth of a second.
-	recentWork [windowTenths]float64
-	lastTenth  int64
-	overloaded bool
+	warmingSince    time.Duration // when the workers began to warm up; 0: they are warm
+	// Work accepted in the last windowIntervals load intervals, as a ring buffer.
+	recentWork   [windowIntervals]float64
+	lastInterval int64
+	overloaded   bool
 }
 
-// warmCapacity returns the fraction of their capacity that the zone's workers have.
+// warmCapacity returns the fraction of full capacity that the zone's workers have while they warm up; 1 when warm.
 func (z *zoneState) warmCapacity() float64 {
 	scenario := z.simulation.scenario
 	if age := z.simulation.now - z.warmingSince; z.warmingSince > 0 && age < scenario.WarmupTime {
@@ -40,21 +40,21 @@
 	return 1
 }
 
-// addStep adds a step and returns the load of the last second as a fraction of capacity.
+// addStep records a step and returns the load of the last second as a fraction of the current capacity.
 func (z *zoneState) addStep() float64 {
-	now := int64(z.simulation.now / tenth)
-	for ; z.lastTenth < now; z.lastTenth++ {
-		z.recentWork[(z.lastTenth+1)%windowTenths] = 0
+	now := int64(z.simulation.now / loadInterval)
+	for ; z.lastInterval < now; z.lastInterval++ {
+		z.recentWork[(z.lastInterval+1)%windowIntervals] = 0
 	}
-	z.recentWork[now%windowTenths] += workPerStep
+	z.recentWork[now%windowIntervals] += workPerStep
 	second, all := 0.0, 0.0
-	for i := range int64(windowTenths) {
+	for i := range int64(windowIntervals) {
 		all += z.recentWork[i]
-		if i < tenthsPerSecond {
-			second += z.recentWork[((now-i)%windowTenths+windowTenths)%windowTenths]
+		if i < intervalsPerSecond {
+			second += z.recentWork[((now-i)%windowIntervals+windowIntervals)%windowIntervals]
 		}
 	}
-	const windowSeconds = windowTenths / tenthsPerSecond
+	const windowSeconds = windowIntervals / intervalsPerSecond
 	if warm := z.warmCapacity(); warm < 1 && all > overloadMultiple*warm*z.slots*windowSeconds && !z.overloaded {
 		z.overloaded = true
 		z.simulation.result.Overloads++
@@ -62,10 +62,10 @@
 	return second / (z.slots * z.warmCapacity())
 }
 
-// stepOutcome returns the outcome of a step to a zone, and after what time it shows.
+// stepOutcome returns the outcome of a step sent to a zone and the delay until the node learns of it.
 func (s *simulation) stepOutcome(node *nodeProcess, zone string) (health.StepCounts, time.Duration) {
 	state := s.zoneStates[zone]
-	quick := time.Duration(50+s.rng.IntN(200)) * time.Millisecond
+	latency := time.Duration(50+s.rng.IntN(200)) * time.Millisecond
 	timedOut := health.StepCounts{TimedOut: 1}
 	workers := &process{zone: zone, name: "prep"}
 	switch {
@@ -84,13 +84,13 @@
 	load := state.addStep()
 	switch {
 	case load > 1 && s.rng.Float64() > 1/load:
-		// Past its capacity some steps time out, others are late.
+		// Above capacity, some steps time out and others are late.
 		if s.rng.IntN(2) == 0 {
 			return timedOut, stepTimeout
 		}
 		return health.StepCounts{Succeeded: 1, Late: 1}, stepTimeout
 	case state.isSlow && s.rng.IntN(2) == 0:
-		return health.StepCounts{Succeeded: 1, Late: 1}, 4 * quick
+		return health.StepCounts{Succeeded: 1, Late: 1}, 4 * latency
 	}
-	return health.StepCounts{Succeeded: 1}, quick
+	return health.StepCounts{Succeeded: 1}, latency
 }
