--- a/internal/node/zones/replicatedlog/log_test.go
+++ b/internal/node/zones/replicatedlog/log_test.go
@@ -120,7 +120,7 @@
 	}
 	if p.Snapshot != nil {
 		s.Snapshot = p.Snapshot
-		s.Entries = slices.DeleteFunc(s.Entries, func(e consensus.Entry) bool { return p.Replaces || e.Index < p.First })
+		s.Entries = slices.DeleteFunc(s.Entries, func(e consensus.Entry) bool { return p.ReplacesEntries || e.Index < p.FirstIndex })
 	}
 	if len(p.Entries) > 0 {
 		first := p.Entries[0].Index
--- a/internal/node/zones/replicatedlog/stored.go
+++ b/internal/node/zones/replicatedlog/stored.go
@@ -56,13 +56,13 @@
 
 // Persist is what must be made durable in one atomic write.
 type Persist struct {
-	HardState   *consensus.HardState // nil: unchanged
-	Entries     []consensus.Entry    // replace all stored entries from the first one's index on
-	Snapshot    *consensus.Snapshot  // nil: none; stored entries before First may be deleted
-	Replaces    bool                 // the snapshot came from another voter: all stored entries must be deleted
-	First       uint64               // the first entry still needed; set with a Snapshot
-	sequence    uint64               // sequence number of the core's last PersistRequest merged into this one
-	ownSnapshot bool                 // the snapshot was made by this voter
+	HardState       *consensus.HardState // nil: unchanged
+	Entries         []consensus.Entry    // replace all stored entries from the first one's index on
+	Snapshot        *consensus.Snapshot  // nil: none; stored entries before FirstIndex may be deleted
+	ReplacesEntries bool                 // the snapshot came from another voter: all stored entries must be deleted
+	FirstIndex      uint64               // index of the first entry still needed; set with a Snapshot
+	sequence        uint64               // sequence number of the core's last PersistRequest merged into this one
+	ownSnapshot     bool                 // the snapshot was made by this voter
 }
 
 // Empty reports whether there is nothing to write.
@@ -77,7 +77,7 @@
 	}
 	p.sequence = later.Sequence
 	if later.Snapshot != nil {
-		p.Snapshot, p.Replaces, p.First, p.Entries = later.Snapshot, true, later.Snapshot.Index+1, nil
+		p.Snapshot, p.ReplacesEntries, p.FirstIndex, p.Entries = later.Snapshot, true, later.Snapshot.Index+1, nil
 	}
 	if len(later.Entries) > 0 {
 		p.Entries = truncateAndAppend(p.Entries, later.Entries)
@@ -99,5 +99,5 @@
 
 // addSnapshot adds a snapshot made by this voter.
 func (p *Persist) addSnapshot(s consensus.Snapshot, first uint64) {
-	p.Snapshot, p.First, p.ownSnapshot = &s, first, true
+	p.Snapshot, p.FirstIndex, p.ownSnapshot = &s, first, true
 }
--- a/internal/node/zones/replicatedlog/stored_test.go
+++ b/internal/node/zones/replicatedlog/stored_test.go
@@ -33,15 +33,15 @@
 		t.Errorf("merge changed the core's entries to %v", shared)
 	}
 	p.addSnapshot(consensus.Snapshot{Index: 3, Term: 1}, 2)
-	if p.Snapshot.Index != 3 || p.First != 2 || p.Replaces || !p.ownSnapshot || len(p.Entries) != 3 {
+	if p.Snapshot.Index != 3 || p.FirstIndex != 2 || p.ReplacesEntries || !p.ownSnapshot || len(p.Entries) != 3 {
 		t.Errorf("after adding this voter's snapshot at 3: got %+v, want first entry 2, 3 entries, no replacement", p)
 	}
 	p.merge(&consensus.PersistRequest{Sequence: 3, Snapshot: &consensus.Snapshot{Index: 9, Term: 3}, Entries: entries(3, 10)})
-	if p.Snapshot.Index != 9 || p.First != 10 || !p.Replaces || !reflect.DeepEqual(p.Entries, entries(3, 10)) || p.HardState.Term != 2 {
+	if p.Snapshot.Index != 9 || p.FirstIndex != 10 || !p.ReplacesEntries || !reflect.DeepEqual(p.Entries, entries(3, 10)) || p.HardState.Term != 2 {
 		t.Errorf("after merging a received snapshot at 9: got %+v, want all stored entries replaced by entry 10, term 2", p)
 	}
 	p.addSnapshot(consensus.Snapshot{Index: 10, Term: 3}, 9)
-	if p.Snapshot.Index != 10 || p.First != 9 || !p.Replaces || len(p.Entries) != 1 {
+	if p.Snapshot.Index != 10 || p.FirstIndex != 9 || !p.ReplacesEntries || len(p.Entries) != 1 {
 		t.Errorf("after adding this voter's snapshot at 10: got %+v, want first entry 9, 1 entry, stored entries replaced", p)
 	}
 }
--- a/internal/node/zones/simulation/faults.go
+++ b/internal/node/zones/simulation/faults.go
@@ -112,10 +112,10 @@
 	network := s.network
 	switch fault.Kind {
 	case LinkPartition:
-		s.between(at, until, func() { network.block(fault.Zone, fault.Other); network.block(fault.Other, fault.Zone) },
-			func() { network.unblock(fault.Zone, fault.Other); network.unblock(fault.Other, fault.Zone) })
+		s.between(at, until, func() { network.block(fault.Zone, fault.OtherZone); network.block(fault.OtherZone, fault.Zone) },
+			func() { network.unblock(fault.Zone, fault.OtherZone); network.unblock(fault.OtherZone, fault.Zone) })
 	case OneWayPartition:
-		s.between(at, until, func() { network.block(fault.Zone, fault.Other) }, func() { network.unblock(fault.Zone, fault.Other) })
+		s.between(at, until, func() { network.block(fault.Zone, fault.OtherZone) }, func() { network.unblock(fault.Zone, fault.OtherZone) })
 	case ZoneIsolated:
 		s.between(at, until, func() { network.isolate(fault.Zone) },
 			func() { network.reconnect(fault.Zone); s.faultEndedAt[fault.Zone] = s.now })
--- a/internal/node/zones/simulation/process.go
+++ b/internal/node/zones/simulation/process.go
@@ -100,10 +100,10 @@
 	entries := d.stored.Entries
 	if persist.Snapshot != nil {
 		d.stored.Snapshot = persist.Snapshot
-		if persist.Replaces {
+		if persist.ReplacesEntries {
 			entries = nil
 		}
-		for len(entries) > 0 && entries[0].Index < persist.First {
+		for len(entries) > 0 && entries[0].Index < persist.FirstIndex {
 			entries = entries[1:]
 		}
 	}
--- a/internal/node/zones/simulation/scenario.go
+++ b/internal/node/zones/simulation/scenario.go
@@ -53,7 +53,7 @@
 	Kind              FaultKind
 	At, Duration      time.Duration
 	Zone              string // the affected zone, or the first zone of a link
-	Other             string // the second zone of a link
+	OtherZone         string // the second zone of a link
 	Process           string
 	WarmsUp           bool    // after the fault the zone's workers start with InitialCapacity and warm up
 	DuringSlowStartOf string  // the fault begins when this zone is in slow start, at At or later
@@ -152,7 +152,7 @@
 	zone := rng.IntN(s.Zones)
 	fault.Zone = ZoneName(zone)
 	if s.Zones > 1 {
-		fault.Other = ZoneName((zone + 1 + rng.IntN(s.Zones-1)) % s.Zones)
+		fault.OtherZone = ZoneName((zone + 1 + rng.IntN(s.Zones-1)) % s.Zones)
 	}
 	if n := rng.IntN(s.Nodes + s.Voters); n < s.Nodes {
 		fault.Process = nodeName(n)
--- a/internal/node/zones/store/store.go
+++ b/internal/node/zones/store/store.go
@@ -291,7 +291,7 @@
 		if err := putChecked(state, keySnapshot, replicatedlog.EncodeSnapshot(*persist.Snapshot)); err != nil {
 			return err
 		}
-		if err := deleteEntries(entries, func(index uint64) bool { return persist.Replaces || index < persist.First }); err != nil {
+		if err := deleteEntries(entries, func(index uint64) bool { return persist.ReplacesEntries || index < persist.FirstIndex }); err != nil {
 			return err
 		}
 	}
--- a/internal/node/zones/store/store_test.go
+++ b/internal/node/zones/store/store_test.go
@@ -49,7 +49,7 @@
 }
 
 // A reopened store returns what was written: later entries replace those from their index on, a snapshot of this voter
-// removes the entries before First, and a snapshot of another voter removes all entries.
+// removes the entries before FirstIndex, and a snapshot of another voter removes all entries.
 func TestStore_Write_survivesReopen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store")
 	s, stored := openStore(t, path)
@@ -66,13 +66,13 @@
 			entryData(stored), stored.HardState, s.ID(), s.Starts(), id)
 	}
 	snapshot := &consensus.Snapshot{Data: []byte("s"), Index: 3, Term: 1, Members: replicatedlog.Bootstrap(owner.Voters).Snapshot.Members}
-	writeTo(t, s, replicatedlog.Persist{Snapshot: snapshot, First: 3, Entries: []consensus.Entry{entry(4, "e")}})
+	writeTo(t, s, replicatedlog.Persist{Snapshot: snapshot, FirstIndex: 3, Entries: []consensus.Entry{entry(4, "e")}})
 	s.Close()
 	s, stored = openStore(t, path)
 	if entryData(stored) != "de" || string(stored.Snapshot.Data) != "s" {
 		t.Errorf("after a snapshot of this voter: got entries %q and snapshot %q, want \"de\" and \"s\"", entryData(stored), stored.Snapshot.Data)
 	}
-	writeTo(t, s, replicatedlog.Persist{Snapshot: snapshot, Replaces: true, First: 4})
+	writeTo(t, s, replicatedlog.Persist{Snapshot: snapshot, ReplacesEntries: true, FirstIndex: 4})
 	s.Close()
 	if s, stored = openStore(t, path); entryData(stored) != "" {
 		t.Errorf("after a snapshot of another voter: got entries %q, want none", entryData(stored))
