--- a/internal/controlplane/server/api_requests.go
+++ b/internal/controlplane/server/api_requests.go
@@ -18,9 +18,9 @@
 
 // The API calls of operators and workers.
 const (
-	APIReplace    APICall = 1 // replace the configuration
-	APIUpdate     APICall = 2 // change parts of it
-	APIRead       APICall = 3 // read the newest configuration
+	APIReplace    APICall = 1 // replace the whole configuration
+	APIUpdate     APICall = 2 // change parts of the configuration
+	APIRead       APICall = 3 // read the configuration in force
 	APIHeartbeat  APICall = 4
 	APIDeregister APICall = 5
 )
@@ -39,14 +39,15 @@
 	Body   []byte
 }
 
-// Handle executes an API call and returns its response. Calls that concern a shard are forwarded to the shard's owner, with
-// a deadline of its own by the size of the body; a call whose outcome is not known is answered 503.
+// Handle executes an API call and returns its response. A call that concerns a shard is forwarded to the shard's owner, with
+// a timeout that depends on the size of the body. If the outcome of a call is unknown, the response has status 503.
 func (s *Server) Handle(ctx context.Context, request APIRequest) APIResponse {
 	response := s.handle(ctx, request)
 	return APIResponse{Status: response.Status, Body: responseBody(response)}
 }
 
-// responseBody returns the HTTP body of a response: its own, an error report, or an empty object.
+// responseBody returns the HTTP body of a response: an error report unless the status is 200, otherwise the response's body or,
+// if that is empty, an empty JSON object.
 func responseBody(response shardResponse) []byte {
 	switch {
 	case response.Status != http.StatusOK:
@@ -57,6 +58,7 @@
 	return response.Body
 }
 
+// handle dispatches an API call to its handler.
 func (s *Server) handle(ctx context.Context, request APIRequest) shardResponse {
 	switch request.Call {
 	case APIReplace:
@@ -73,8 +75,8 @@
 	return errorResponse(UnknownPath)
 }
 
-// handleConfigurationChange forwards a change to the configuration shard's owner. A change that is invalid in every state is
-// rejected here, before it costs a log entry.
+// handleConfigurationChange forwards a change to the configuration shard's owner. A change that would be invalid whatever the
+// current configuration is rejected here, before it takes up a log entry.
 func (s *Server) handleConfigurationChange(ctx context.Context, request APIRequest, kind peertransport.CallKind) shardResponse {
 	base, valid := parseBaseVersion(request.Base)
 	if !valid {
@@ -93,7 +95,7 @@
 	return s.forward(ctx, shardRequest{Kind: kind, Shard: shards.ConfigurationShard, Base: base, Body: body})
 }
 
-// parseBaseVersion parses the X-Base-Version header; a missing one counts as 0.
+// parseBaseVersion parses the value of the X-Base-Version header; an empty value counts as 0.
 func parseBaseVersion(text string) (uint64, bool) {
 	if text == "" {
 		return 0, true
@@ -102,7 +104,7 @@
 	return base, err == nil
 }
 
-// timeoutFor returns how long a call with a body of that length may take.
+// timeoutFor returns the timeout of a configuration change with a body of the given length.
 func timeoutFor(bodyBytes int) time.Duration {
 	if bodyBytes > largeBodyBytes {
 		return largeCallTimeout
@@ -110,14 +112,14 @@
 	return smallCallTimeout
 }
 
-// handleConfigurationRead has the owner of the configuration shard return the configuration in force.
+// handleConfigurationRead returns the configuration in force, as read by the owner of the configuration shard.
 func (s *Server) handleConfigurationRead(ctx context.Context) shardResponse {
 	ctx, cancel := context.WithTimeout(ctx, smallCallTimeout)
 	defer cancel()
 	return s.forward(ctx, shardRequest{Kind: callRead, Shard: shards.ConfigurationShard})
 }
 
-// handleHeartbeat acknowledges a worker's heartbeat here if it changes nothing, and forwards it to the shard's owner otherwise.
+// handleHeartbeat acknowledges a worker's heartbeat locally if it changes nothing, and otherwise forwards it to the shard's owner.
 func (s *Server) handleHeartbeat(ctx context.Context, request APIRequest) shardResponse {
 	if len(request.Body) > maxHeartbeatBytes {
 		return errorResponse(BodyTooLarge)
@@ -145,8 +147,9 @@
 	return s.deregister(ctx, request.ID)
 }
 
-// deregister removes an instance for good. If no replica of this server knows the instance, the owners of all shards are
-// asked: the call succeeds once the one that knows it has removed it, or each of them has recorded that it is gone.
+// deregister removes an instance permanently. If no replica of this server knows the instance, the request goes to the owners of
+// all registry shards: it succeeds once the owner that knows the instance has removed it, or once every owner has recorded it as
+// removed.
 func (s *Server) deregister(ctx context.Context, id string) shardResponse {
 	for _, shard := range allShards {
 		machine := s.registryMachine(shard)
@@ -164,7 +167,7 @@
 	return s.deregisterInAllShards(ctx, id)
 }
 
-// deregisterInAllShards asks the owners of all registry shards concurrently.
+// deregisterInAllShards sends a deregistration to the owners of all registry shards concurrently.
 func (s *Server) deregisterInAllShards(ctx context.Context, id string) shardResponse {
 	responses := make([]shardResponse, shards.ServiceShardCount)
 	var waitGroup sync.WaitGroup
--- a/internal/controlplane/server/broadcast.go
+++ b/internal/controlplane/server/broadcast.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// broadcast wakes goroutines at the next change of something. A waiter takes the channel of next first, then looks at the
-// state, then waits: no change between the look and the wait is missed.
+// broadcast wakes all goroutines that wait for a state to change. A waiter calls next, then reads the state, then waits on the
+// channel: in this order it cannot miss a change between the read and the wait.
 type broadcast struct {
 	mutex   sync.Mutex
-	pending chan struct{} // closed by the next notifyAll; nil: nobody waits
+	pending chan struct{} // closed by the next notifyAll; nil if there are no waiters
 }
 
-// next returns a channel that the next notifyAll closes.
+// next returns a channel that the next call of notifyAll closes.
 func (b *broadcast) next() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -33,12 +33,13 @@
 	}
 }
 
-// subscribers are the feed sessions that wait for changes.
+// subscribers is the set of feed sessions to wake when there is something to send.
 type subscribers struct {
 	mutex   sync.Mutex
 	wakeups map[chan<- struct{}]struct{}
 }
 
+// add registers a session's channel until cancel is called.
 func (s *subscribers) add(wake chan<- struct{}) (cancel func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -53,7 +54,7 @@
 	}
 }
 
-// wake sends a token to each session that has none pending.
+// wake sends a token to each session whose channel has room, that is, to those without a pending token.
 func (s *subscribers) wake() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// notify sends a token to a channel of capacity one, unless one is pending.
+// notify sends a token to a channel of capacity one, unless a token is already pending.
 func notify(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -73,7 +74,7 @@
 	}
 }
 
-// waitForChange waits until changed is closed, or until the timeout. It reports whether ctx is still alive.
+// waitForChange waits until changed is closed, the timeout has passed or ctx is done. It returns false if ctx is done.
 func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/controlplane/server/codes.go
+++ b/internal/controlplane/server/codes.go
@@ -6,10 +6,10 @@
 	"ospreybend/internal/util/resultcode"
 )
 
-// Code numbers an error of the API that neither the configuration nor the registry reports. A number is never reused.
+// Code identifies an API error that comes neither from package configuration nor from package registry. Numbers are never reused.
 type Code = resultcode.Code
 
-// Codes of the API. See docs/ERRORS.md.
+// Error codes of the API. See docs/ERRORS.md.
 const (
 	NoOwner         Code = 1200
 	OutcomeUnknown  Code = 1201
@@ -22,7 +22,7 @@
 	InternalFault   Code = 1208
 )
 
-// CodeEntry is one row of the table of codes.
+// CodeEntry is one row of the table of error codes.
 type CodeEntry = resultcode.Entry
 
 var codes = resultcode.NewTable([]CodeEntry{
@@ -37,5 +37,5 @@
 	{Code: InternalFault, Name: "internal_fault", HTTPStatus: http.StatusServiceUnavailable, Text: "the call failed within this keeper"},
 }...)
 
-// Codes returns all codes in ascending order.
+// Codes returns all error codes of this package in ascending order.
 func Codes() []CodeEntry { return codes.Entries() }
--- a/internal/controlplane/server/configuration_machine.go
+++ b/internal/controlplane/server/configuration_machine.go
@@ -7,7 +7,8 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// configurationMachine is the state machine of the configuration shard. Unlike a registryMachine it has no state of an owner.
+// configurationMachine is the state machine of the configuration shard. Unlike
+// registryMachine, it keeps no state that depends on ownership, so its ownership methods do nothing.
 type configurationMachine struct {
 	feedState
 	store *configuration.Store
@@ -21,7 +22,7 @@
 	return &configurationMachine{feedState: newFeedState(store), store: store}
 }
 
-// Apply applies a committed change of the configuration; its result is a configuration.Outcome.
+// Apply applies a committed change to the configuration. The result is a configuration.Outcome.
 func (m *configurationMachine) Apply(entry consensus.Entry) any {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -37,7 +38,7 @@
 	return m.store.Document()
 }
 
-// roleSwitchTime returns how long a worker of a service needs to change its role, 0 if the configuration does not say.
+// roleSwitchTime returns how long a worker of a service takes to change its role, or 0 if the configuration does not specify it.
 func (m *configurationMachine) roleSwitchTime(service string) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/server/demand_reports.go
+++ b/internal/controlplane/server/demand_reports.go
@@ -10,12 +10,12 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// demandReports holds the latest demand reports: those of the proxies whose agents read this server's feed, and, for the shards
-// that this server owns, the sums that the other servers forward. Reports older than demandReportMaxAge count no more.
+// demandReports holds the latest demand reports: those of the proxies whose agents read this server's feed and, for the shards
+// that this server owns, the sums that each server forwards. Reports older than demandReportMaxAge are not counted.
 type demandReports struct {
 	mutex       sync.Mutex
-	fromProxies *roleplanner.DemandTable
-	fromServers [shards.ShardCount]*roleplanner.DemandTable
+	fromProxies *roleplanner.DemandTable                    // by node name
+	fromServers [shards.ShardCount]*roleplanner.DemandTable // by server address
 }
 
 func newDemandReports() *demandReports {
@@ -57,8 +57,8 @@
 	return d.fromServers[id].Sum(now)
 }
 
-// OnReport records a proxy's demand report, which an agent relays, or an agent's suspicion. Reports on unknown topics, and those
-// that cannot be decoded, are ignored.
+// OnReport records a report that an agent sends: a demand report of its proxy, or a suspicion that a machine has failed. Reports on
+// unknown topics, and those that cannot be decoded, are ignored.
 func (s *Server) OnReport(hello feedtransport.Hello, topic string, body []byte) {
 	switch topic {
 	case feedtransport.TopicDemand:
@@ -72,7 +72,7 @@
 	}
 }
 
-// forwardDemands sends the demand that the proxies report to the owners of the services' shards every demandReportInterval,
+// forwardDemands sends the demand that proxies have reported to the owners of the services' shards, every demandReportInterval
 // until ctx ends.
 func (s *Server) forwardDemands(ctx context.Context) {
 	runPeriodically(ctx, demandReportInterval, func() {
@@ -82,7 +82,7 @@
 	})
 }
 
-// forwardShardDemand sends one shard's demand to its owner, once: a lost report is replaced by the next one.
+// forwardShardDemand sends one shard's demand to its owner. A lost report is not sent again, because the next one replaces it.
 func (s *Server) forwardShardDemand(ctx context.Context, id shards.ID, report []roleplanner.ServiceDemand) {
 	body, err := roleplanner.EncodeReport(report)
 	if err != nil {
@@ -91,7 +91,7 @@
 	s.forwardInBackground(ctx, shardRequest{Kind: callDemand, Shard: id, ID: s.self.Address, Body: body}, demandReportInterval)
 }
 
-// executeDemand records, as the owner of a shard, the demand that another server forwards.
+// executeDemand records, as the owner of a shard, the demand that a server has forwarded.
 func (s *Server) executeDemand(request shardRequest) shardResponse {
 	if status := s.shards[request.Shard].group.Status(); !status.IsLeader() {
 		return notOwnerResponse(status.Leader.Address)
--- a/internal/controlplane/server/exposition.go
+++ b/internal/controlplane/server/exposition.go
@@ -8,7 +8,7 @@
 	"ospreybend/internal/util/exposition"
 )
 
-// families returns the metrics that /metrics shows. docs/OPERATORS-FLEET.md says what to do about each.
+// families returns the metric families of /metrics. docs/OPERATORS-FLEET.md tells operators how to react to each metric.
 func (s *Server) families() []exposition.Family {
 	families := []exposition.Family{
 		exposition.NewGauge("router_controlplane_feed_sessions", "Agents that read this server's feed.", s.metrics.feedSessions.Load()),
@@ -19,7 +19,7 @@
 	return append(families, s.shardFamilies()...)
 }
 
-// shardFamilies returns the metrics of the replicas.
+// shardFamilies returns the metric families of this server's replicas, with one sample per shard.
 func (s *Server) shardFamilies() []exposition.Family {
 	gauges := []struct {
 		family exposition.Family
@@ -62,7 +62,7 @@
 	return voters
 }
 
-// families returns the metrics of calls and of the role planner.
+// families returns the metric families of API calls and of the role planner.
 func (m *metrics) families() []exposition.Family {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// roleFamily returns a gauge of each planned service. The caller holds the mutex.
+// roleFamily returns a gauge family with one sample per planned service. The caller holds the mutex.
 func (m *metrics) roleFamily(name, help string, value func(roleplanner.Status) float64) exposition.Family {
 	family := exposition.Family{Name: name, Help: help, Kind: exposition.Gauge}
 	for service, state := range m.roleStates {
--- a/internal/controlplane/server/feed_source.go
+++ b/internal/controlplane/server/feed_source.go
@@ -6,7 +6,7 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// The server is the source of its feed's sessions.
+// Feed sessions read the feed from the server.
 var _ feedtransport.Source = (*Server)(nil)
 
 // allShards lists the shards in ascending order.
@@ -21,13 +21,13 @@
 // Shards returns the shards of the feed.
 func (s *Server) Shards() []shards.ID { return allShards }
 
-// Since returns the changes of a shard above an index, or a snapshot if the changes are no longer buffered. Both are nil if the
-// index is the newest.
+// Since returns the changes of a shard after a log index, or a snapshot if those changes are no longer buffered. Both are nil if
+// there is no change after the index.
 func (s *Server) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	return s.shards[shard].stateMachine.changesSince(index)
 }
 
-// Status returns the feed position of each shard, whether its replica is current, and the servers that an agent may use.
+// Status returns the feed index of each shard, whether its replica is current, and the servers that agents may connect to.
 func (s *Server) Status() feedtransport.Status {
 	status := feedtransport.Status{Shards: make([]feedtransport.ShardStatus, 0, shards.ShardCount)}
 	for _, shard := range s.shards {
@@ -41,6 +41,6 @@
 	return status
 }
 
-// Subscribe registers a channel that receives a token whenever a shard has advanced or a group's status has changed. The caller
-// must call cancel when it is done.
+// Subscribe registers a channel that receives a token whenever a log entry was applied or a group's status has changed. The caller
+// must call cancel when it no longer needs the tokens.
 func (s *Server) Subscribe(wake chan<- struct{}) (cancel func()) { return s.feed.subscribers.add(wake) }
--- a/internal/controlplane/server/feed_state.go
+++ b/internal/controlplane/server/feed_state.go
@@ -6,15 +6,15 @@
 	"ospreybend/coord/feed"
 )
 
-// feedStore is the replicated store whose changes the feed shows.
+// feedStore is a replicated store whose changes the feed publishes.
 type feedStore interface {
 	Snapshot() []byte
 	Restore(data []byte) error
 	Items() []feed.Item
 }
 
-// feedState is what the state machines have in common: a shard's feed and the store behind it. One mutex guards both, so that
-// they are always at the same log index.
+// feedState is the part that both state machines share: a shard's replicated store and the buffer of its feed. One mutex guards
+// both, so that they are always at the same log index.
 type feedState struct {
 	mutex     sync.Mutex
 	buffer    *feed.Buffer
@@ -25,14 +25,15 @@
 	return feedState{buffer: feed.NewBuffer(feedBacklogBytes), feedStore: store}
 }
 
-// Snapshot returns the encoded state.
+// Snapshot returns the encoded state of the store.
 func (f *feedState) Snapshot() []byte {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.feedStore.Snapshot()
 }
 
-// Restore replaces the state by a snapshot's, and resets the feed to it. It returns an error if the snapshot cannot be decoded.
+// Restore replaces the store's state with a snapshot and resets the feed to that state. It returns an error if the snapshot cannot
+// be decoded.
 func (f *feedState) Restore(index uint64, data []byte) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -43,20 +44,21 @@
 	return nil
 }
 
-// changesSince returns the changes above an index, or a snapshot if they are no longer buffered; both are nil if there is none.
+// changesSince returns the changes after a log index, or a snapshot if those changes are no longer buffered. Both are nil if there
+// is no change after the index.
 func (f *feedState) changesSince(index uint64) ([]feed.Change, *feed.Snapshot) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.buffer.From(index)
 }
 
-// index returns the log index that the feed has reached.
+// index returns the log index of the last change in the feed.
 func (f *feedState) index() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.buffer.Index()
 }
 
-// append adds the change of a log entry. The caller holds the mutex. Entries are applied in the order of their indexes, so the
-// buffer cannot reject one.
+// append adds the change that a log entry has made to the feed. The caller holds the mutex. The error is ignored: entries are
+// applied in the order of their indexes, so the buffer cannot reject a change.
 func (f *feedState) append(change feed.Change) { _ = f.buffer.Append(change) }
--- a/internal/controlplane/server/forward.go
+++ b/internal/controlplane/server/forward.go
@@ -9,26 +9,26 @@
 	"ospreybend/internal/controlplane/peertransport"
 )
 
-// errNoOwner reports that the context ended before an owner of the shard was found.
+// errNoOwner is returned when the context ends before an owner of the shard is found.
 var errNoOwner = errors.New("no owner of the shard is known")
 
-// maxAvoidPauses is for how many pauses an owner that could not be reached is not attempted again.
+// maxAvoidPauses is the number of waits during which an owner that could not be reached is not called again.
 const maxAvoidPauses = 3
 
-// maxOwnerHints limits how often a request follows at once the hint of a server that is not the owner. Without the limit, two
-// servers that name each other would bounce the request until its context ends.
+// maxOwnerHints limits how many times a request goes, without a wait, to the server that a non-owner names as the owner. Without
+// the limit, two servers that name each other would pass the request back and forth until its context ends.
 const maxOwnerHints = 3
 
 // forwardTarget is the server that a request is sent to.
 type forwardTarget struct {
 	isSelf       bool
 	address      string
-	knownLocally bool // to lead by the local replica; the call is canceled if that learns of another leader
+	knownLocally bool // the local replica knows it as leader; the call is canceled when the replica learns of another leader
 }
 
-// forward has the owner of the request's shard execute the request and returns the owner's response. While the owner is unknown,
-// has changed or cannot be reached, it waits and attempts again, until ctx ends. A request may therefore be executed more than
-// once: every request is idempotent by its base version or its sequence number.
+// forward sends a request to the owner of its shard, which may be this server, and returns the owner's response. While the owner is
+// unknown, has changed or cannot be reached, it waits and retries until ctx ends. A request may therefore be executed more than
+// once; its base version or sequence number makes it idempotent.
 func (s *Server) forward(ctx context.Context, request shardRequest) shardResponse {
 	hint, avoid := "", ""
 	mayHaveExecuted, hintsFollowed := false, 0
@@ -39,18 +39,18 @@
 		if hintsFollowed > maxOwnerHints {
 			hint = ""
 		}
-		to, err := s.awaitOwner(ctx, request.Shard, hint, avoid, attempt)
+		target, err := s.awaitOwner(ctx, request.Shard, hint, avoid, attempt)
 		if err != nil {
 			break
 		}
 		hint, avoid = "", ""
-		response, err := s.callTarget(ctx, to, request)
+		response, err := s.callTarget(ctx, target, request)
 		if err == nil && !response.NotOwner {
 			return response
 		}
 		if err != nil {
 			mayHaveExecuted = mayHaveExecuted || !errors.Is(err, peertransport.ErrNotSent)
-			avoid = to.address
+			avoid = target.address
 		}
 		hint = response.Leader
 	}
@@ -60,32 +60,32 @@
 	return errorResponse(NoOwner)
 }
 
-// callTarget has one server execute a request. If the target was known to lead the shard, the call is canceled when this server's
-// replica learns of another leader.
-func (s *Server) callTarget(ctx context.Context, to forwardTarget, request shardRequest) (shardResponse, error) {
-	if to.isSelf {
+// callTarget has one server execute a request. If the local replica knows the target as the shard's leader, the call is canceled
+// when the replica learns of another leader.
+func (s *Server) callTarget(ctx context.Context, target forwardTarget, request shardRequest) (shardResponse, error) {
+	if target.isSelf {
 		return s.execute(ctx, request), nil
 	}
 	body, err := encodeShardRequest(request)
 	if err != nil {
 		return shardResponse{}, err
 	}
-	if to.knownLocally {
+	if target.knownLocally {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(ctx)
 		defer cancel()
 		defer context.AfterFunc(s.shards[request.Shard].untilLeaderChanges(), cancel)()
 	}
-	reply, err := s.peers.network.Call(ctx, to.address, request.Kind, body)
+	reply, err := s.peers.network.Call(ctx, target.address, request.Kind, body)
 	if err != nil {
 		return shardResponse{}, err
 	}
 	return decodeShardResponse(reply)
 }
 
-// awaitOwner returns the next server to attempt: the one that the hint names, the leader that the local replica knows, or, if the
-// local replica has lost contact with its group, any other server. avoid is the address that has just failed. After the first
-// attempt it waits, to give a change of owner a little time.
+// awaitOwner returns the next server to call: the one that the hint names, the leader that the local replica knows, or, if the
+// local replica has lost contact with its group, any other server. avoid is the address of the server whose call has just failed.
+// Without a hint, it waits before every attempt but the first, to give a change of owner time to complete.
 func (s *Server) awaitOwner(ctx context.Context, id shards.ID, hint, avoid string, attempt int) (forwardTarget, error) {
 	if hint != "" && hint != s.self.Address {
 		return forwardTarget{address: hint}, nil
@@ -97,10 +97,11 @@
 			avoid = ""
 		}
 		if attempt == 0 || pauses > 0 {
-			to, found := s.lookUpOwner(id, avoid, attempt)
-			// Servers that may know the owner are asked at an interval: what has changed may be another shard's owner.
-			if found && (attempt == 0 || to.isSelf || to.knownLocally || s.environment.Now().Sub(startedAt) >= ownerRetryInterval) {
-				return to, nil
+			target, found := s.lookUpOwner(id, avoid, attempt)
+			// A server that only may know the owner is called at most once per ownerRetryInterval, since ownersChanged also
+			// reports changes of other shards' owners.
+			if found && (attempt == 0 || target.isSelf || target.knownLocally || s.environment.Now().Sub(startedAt) >= ownerRetryInterval) {
+				return target, nil
 			}
 		}
 		if !waitForChange(ctx, changed, ownerRetryInterval) {
@@ -109,8 +110,8 @@
 	}
 }
 
-// lookUpOwner returns the owner of a shard as far as the local replica knows. A server whose replica has lost contact names the
-// other known servers in turn, one per attempt.
+// lookUpOwner returns the owner of a shard as the local replica knows it. If that replica has lost contact with its group, it returns
+// the other known servers in turn, one per attempt. The result is false if there is no server to call, or only the one to avoid.
 func (s *Server) lookUpOwner(id shards.ID, avoid string, attempt int) (forwardTarget, bool) {
 	status := s.shards[id].group.Status()
 	if status.IsLeader() {
--- a/internal/controlplane/server/http_api.go
+++ b/internal/controlplane/server/http_api.go
@@ -18,23 +18,23 @@
 	"ospreybend/internal/util/logging"
 )
 
-// HTTP headers, content types and path parameters of the API.
+// HTTP headers, content types, the retry delay and the path parameter of the API.
 const (
 	headerBaseVersion = "X-Base-Version"
 	contentTypeJSON   = "application/json"
 	contentTypeText   = "text/plain; charset=utf-8"
-	retryAfter        = "0.2" // seconds, for responses with 503
+	retryAfter        = "0.2" // seconds; the Retry-After header of responses with status 503
 	parameterID       = "id"
 )
 
-// listenControl opens the listener of the API.
+// listenControl opens the API's listener on the address of the setting listen.control.
 func listenControl(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", address)
 	return listener, eris.Wrap(err, "listen for API calls")
 }
 
-// newAPIServer returns the HTTP server of the control plane's API on a listener.
+// newAPIServer returns the HTTP server that serves the control plane's API on a listener.
 func newAPIServer(s *Server, listener net.Listener) *server.Hertz {
 	logging.SilenceHertz()
 	api := server.New(apiOptions(listener)...)
@@ -50,6 +50,7 @@
 	return api
 }
 
+// apiOptions returns the limits, timeouts and other options of the API's HTTP server.
 func apiOptions(listener net.Listener) []config.Option {
 	return []config.Option{
 		server.WithListener(listener),
@@ -66,13 +67,13 @@
 	}
 }
 
-// onPanic answers a call whose handler panicked.
-func (s *Server) onPanic(_ context.Context, c *app.RequestContext, fault any, stack []byte) {
-	s.logger.Error("API handler panicked", zap.Any("panic", fault), zap.ByteString("stack", stack))
+// onPanic logs the panic of a call's handler and answers the call with InternalFault.
+func (s *Server) onPanic(_ context.Context, c *app.RequestContext, value any, stack []byte) {
+	s.logger.Error("API handler panicked", zap.Any("panic", value), zap.ByteString("stack", stack))
 	writeResponse(c, errorResponse(InternalFault))
 }
 
-// trackCall is the middleware that counts calls and, once the server shuts down, closes each connection after its call.
+// trackCall is the middleware that counts calls and, once the server is shutting down, closes each connection after its current call.
 func (s *Server) trackCall(ctx context.Context, c *app.RequestContext) {
 	if s.lifecycle.shuttingDown.Load() {
 		c.SetConnectionClose()
@@ -82,17 +83,17 @@
 }
 
 // apiHandler returns the HTTP handler of an API call.
-func (s *Server) apiHandler(kind APICall) app.HandlerFunc {
+func (s *Server) apiHandler(call APICall) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		writeResponse(c, s.handle(ctx, APIRequest{
-			Call: kind, Body: c.Request.Body(),
-			ID:   strings.Clone(c.Param(parameterID)), // the library reuses the parameter's memory after the call
+			Call: call, Body: c.Request.Body(),
+			ID:   strings.Clone(c.Param(parameterID)), // Hertz reuses the parameter's memory after the call
 			Base: string(c.GetHeader(headerBaseVersion)),
 		}))
 	}
 }
 
-// writeResponse writes a response. An error's body carries its code; a 503 asks the caller to retry.
+// writeResponse writes a response. The body of an error carries its code; status 503 comes with a Retry-After header.
 func writeResponse(c *app.RequestContext, response shardResponse) {
 	if response.Status == http.StatusServiceUnavailable {
 		c.Header("Retry-After", retryAfter)
@@ -100,7 +101,7 @@
 	c.Data(response.Status, contentTypeJSON, responseBody(response))
 }
 
-// errorReport is the JSON body of an error.
+// errorReport is the JSON body of an error response.
 type errorReport struct {
 	Error struct {
 		Code int    `json:"code"`
@@ -108,6 +109,7 @@
 	} `json:"error"`
 }
 
+// errorBody returns the JSON body of an error response.
 func errorBody(code int, text string) []byte {
 	var report errorReport
 	report.Error.Code, report.Error.Text = code, text
--- a/internal/controlplane/server/metrics.go
+++ b/internal/controlplane/server/metrics.go
@@ -15,19 +15,19 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// metrics holds the counters of /-/metrics.
+// metrics holds the counters and gauges that /-/metrics and /metrics report.
 type metrics struct {
 	feedSessions atomic.Int64
 	mutex        sync.Mutex
 	calls        map[callSeries]uint64
-	roleCommands map[int]uint64                // by the HTTP status of the worker's answer
-	roleStates   map[string]roleplanner.Status // by service, as last planned by this server
+	roleCommands map[int]uint64                // by the HTTP status of the worker's answer, 0 if there was none
+	roleStates   map[string]roleplanner.Status // by service, from this server's last planning step
 }
 
-// callSeries is the label set of one counter of calls.
+// callSeries is the label set of one counter of API calls.
 type callSeries struct {
-	method string
-	status int
+	method string // HTTP method
+	status int    // HTTP status of the response
 }
 
 func (m *metrics) countCall(method string, status int) {
@@ -39,7 +39,7 @@
 	m.calls[callSeries{method, status}]++
 }
 
-// countRoleCommand counts a role command by the HTTP status of the worker's answer, 0 if there was none.
+// countRoleCommand counts a role command under the HTTP status of the worker's answer, 0 if there was none.
 func (m *metrics) countRoleCommand(status int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -49,7 +49,7 @@
 	m.roleCommands[status]++
 }
 
-// setRoleState records the planner's status of a service and returns the one before.
+// setRoleState records the planner's status of a service and returns the previous one.
 func (m *metrics) setRoleState(service string, state roleplanner.Status) (before roleplanner.Status) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -81,7 +81,7 @@
 	return lines
 }
 
-// lines returns all counters in the Prometheus text format, sorted.
+// lines returns the call counters and the role metrics in the Prometheus text format, sorted.
 func (m *metrics) lines() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -94,7 +94,7 @@
 	return lines
 }
 
-// serveMetrics answers /-/metrics in the Prometheus text format.
+// serveMetrics answers GET /-/metrics in the Prometheus text format.
 func (s *Server) serveMetrics(_ context.Context, c *app.RequestContext) {
 	lines := s.metrics.lines()
 	lines = append(lines, fmt.Sprintf("controlplane_feed_sessions %d", s.metrics.feedSessions.Load()))
@@ -110,6 +110,7 @@
 	c.Data(http.StatusOK, contentTypeText, []byte(strings.Join(lines, "\n")+"\n"))
 }
 
+// shardLines returns the metrics of one replica in the Prometheus text format.
 func shardLines(status replica.Status) []string {
 	label := fmt.Sprintf("{shard=\"%d\"}", status.Shard)
 	return []string{
--- a/internal/controlplane/server/peer_handler.go
+++ b/internal/controlplane/server/peer_handler.go
@@ -11,21 +11,22 @@
 	s.directory.learn(serverInfo{Address: peer.Address, Zone: peer.Zone, Region: peer.Region})
 }
 
-// Messages implements peertransport.Handler: it delivers consensus messages to their groups. Messages for an earlier member at this
-// address are dropped here, so that they count for nothing, as they are by the consensus core: this one must not vote on its behalf.
+// Messages implements peertransport.Handler: it delivers consensus messages to their groups. Messages to an earlier member at this
+// address are dropped before their senders are recorded as heard. The consensus core drops them too: this member must not vote on
+// behalf of the earlier one.
 func (s *Server) Messages(_ peertransport.Hello, batch []peertransport.GroupMessage) {
 	now := s.environment.Now()
-	for _, received := range batch {
-		if received.Message.To != s.self.ID {
+	for _, groupMessage := range batch {
+		if groupMessage.Message.To != s.self.ID {
 			continue
 		}
-		shard := s.shards[received.Shard]
-		shard.recordHeard(received.Message.From, now)
-		shard.group.Step(received.Message)
+		shard := s.shards[groupMessage.Shard]
+		shard.recordHeard(groupMessage.Message.From, now)
+		shard.group.Step(groupMessage.Message)
 	}
 }
 
-// Call implements peertransport.Handler: it executes the call of another server.
+// Call implements peertransport.Handler: it executes a call from another server and returns the encoded reply.
 func (s *Server) Call(ctx context.Context, peer peertransport.Hello, kind peertransport.CallKind, body []byte) ([]byte, error) {
 	switch kind {
 	case callJoin:
--- a/internal/controlplane/server/peer_messages.go
+++ b/internal/controlplane/server/peer_messages.go
@@ -14,40 +14,40 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Kinds of calls between servers. The numbers are on the wire.
+// Kinds of calls between servers. The numbers are part of the wire format.
 const (
-	callReplace         peertransport.CallKind = 1 // replace the configuration
-	callUpdate          peertransport.CallKind = 2 // change parts of it
-	callRead            peertransport.CallKind = 3 // read the newest configuration
+	callReplace         peertransport.CallKind = 1 // replace the whole configuration
+	callUpdate          peertransport.CallKind = 2 // change parts of the configuration
+	callRead            peertransport.CallKind = 3 // read the configuration in force
 	callHeartbeat       peertransport.CallKind = 4 // a worker's heartbeat
 	callNodeHeartbeats  peertransport.CallKind = 5 // heartbeats of edge nodes
 	callDeregister      peertransport.CallKind = 6
-	callJoin            peertransport.CallKind = 7  // join request: be added to groups
-	callGroupStates     peertransport.CallKind = 8  // states of a server's replicas
-	callSessionLiveness peertransport.CallKind = 9  // heartbeats that another server has acknowledged
-	callIdentity        peertransport.CallKind = 10 // which member runs at this address
-	callLeave           peertransport.CallKind = 11 // a server that shuts down releases its votes
-	callDemand          peertransport.CallKind = 12 // demand that another server's proxies report
+	callJoin            peertransport.CallKind = 7  // request to be added to groups
+	callGroupStates     peertransport.CallKind = 8  // read the states of a server's replicas
+	callSessionLiveness peertransport.CallKind = 9  // heartbeats that the calling server has acknowledged
+	callIdentity        peertransport.CallKind = 10 // read which member runs at an address
+	callLeave           peertransport.CallKind = 11 // request of a server that is shutting down to release its votes
+	callDemand          peertransport.CallKind = 12 // demand that proxies have reported to the calling server
 )
 
-// shardRequest is a request to the owner of a shard, as one server forwards it to another.
+// shardRequest is a request to the owner of a shard. Servers forward it to one another, encoded by callSchema.
 type shardRequest struct {
 	Kind  peertransport.CallKind
 	Shard shards.ID
-	ID    string // instance ID; for demand, the sending server's address
+	ID    string // instance ID; of callDemand, the sending server's address
 	Base  uint64 // base version of a configuration change
 	Body  []byte
 }
 
-// shardResponse is the owner's answer to a shardRequest. Its fields are encoded by name (see responseSchema).
+// shardResponse is the answer to a shardRequest. Its fields are encoded by name (see responseSchema).
 type shardResponse struct {
-	NotOwner bool   // nothing was done; Leader is the owner, if known
+	NotOwner bool   // the request was not executed; Leader is the owner, if known
 	Leader   string // "ip:port" of the peer listener
 	Status   int    // HTTP status
-	Code     int    // of an error, see docs/ERRORS.md
-	Text     string
-	Body     []byte // response body of a success
-	Known    bool   // of callDeregister: the instance was known
+	Code     int    // error code, see docs/ERRORS.md
+	Text     string // error text
+	Body     []byte // body of a successful response
+	Known    bool   // for callDeregister: the owner knew the instance
 }
 
 // edgeNode is an edge node whose agent reads this server's feed. Its fields are encoded by name.
@@ -57,7 +57,7 @@
 	Zone    string
 }
 
-// sessionHeartbeat reports that a heartbeat of an instance was acknowledged. Its fields are encoded by name.
+// sessionHeartbeat reports that a server has acknowledged an instance's heartbeat. Its fields are encoded by name.
 type sessionHeartbeat struct {
 	ID       string
 	Sequence int64 // of the heartbeat
@@ -71,10 +71,10 @@
 	Writable bool
 }
 
-// identityReply identifies the member that runs at an address.
+// identityReply is the reply to callIdentity: the member that runs at an address. It is encoded as a wireIdentity.
 type identityReply struct {
 	ID           consensus.MemberID
-	Age          time.Duration // since the process was opened
+	Age          time.Duration // time since the server was opened
 	ShuttingDown bool          // a graceful shutdown has begun
 }
 
@@ -128,7 +128,7 @@
 		{"name":"Region","type":"string"}]}}`)
 )
 
-// codec accepts strings and byte fields up to the length of a frame.
+// codec encodes and decodes Avro. It accepts strings and byte fields up to the maximum length of a frame.
 var codec = avro.Config{MaxByteSliceSize: feedtransport.MaxFrameBytes}.Freeze()
 
 // wireShardRequest mirrors callSchema.
@@ -196,8 +196,8 @@
 	return response, nil
 }
 
-// isDefinitive reports whether a response is one that a server gives: a success, a rejection, not the owner, or a 503 for an outcome
-// that is not known. Anything else was damaged or comes from another version.
+// isDefinitive reports whether a response is one that servers of this version send: a success, a rejection, "not the owner", or
+// status 503. Any other response was corrupted or comes from another version.
 func (response shardResponse) isDefinitive() bool {
 	rejected := response.Status >= http.StatusBadRequest && response.Status < http.StatusInternalServerError
 	return response.NotOwner || response.Status == http.StatusOK || rejected || response.Status == http.StatusServiceUnavailable
@@ -206,18 +206,18 @@
 // okResponse returns the response to a request that succeeded.
 func okResponse(body []byte) shardResponse { return shardResponse{Status: http.StatusOK, Body: body} }
 
-// errorResponse returns the response for one of this package's codes.
+// errorResponse returns the response for one of this package's error codes.
 func errorResponse(code Code) shardResponse {
 	entry := codes.Entry(code)
 	return shardResponse{Status: entry.HTTPStatus, Code: int(code), Text: entry.Text}
 }
 
-// notOwnerResponse returns the response of a server that does not lead the shard. leader is the address of the one that does, if known.
+// notOwnerResponse returns the response of a server that does not own the shard. leader is the owner's address, empty if unknown.
 func notOwnerResponse(leader string) shardResponse {
 	return shardResponse{NotOwner: true, Leader: leader}
 }
 
-// firstFailure returns the first response that is no success, or a success if there is none.
+// firstFailure returns the first unsuccessful response, or an empty success if there is none.
 func firstFailure(responses []shardResponse) shardResponse {
 	for _, response := range responses {
 		if response.Status != http.StatusOK {
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -8,8 +8,8 @@
 	"ospreybend/internal/controlplane/roleplanner"
 )
 
-// registryMachine is the state machine of a registry shard. Beside the replicated store it holds the owner's soft state, such as
-// the times of heartbeats, which ends with the ownership.
+// registryMachine is the state machine of a registry shard. Besides the replicated store it holds the owner's soft state, such as
+// the times of heartbeats, which is discarded when the ownership ends.
 type registryMachine struct {
 	feedState
 	store        *registry.Store
@@ -17,7 +17,7 @@
 	now          func() time.Time
 	guardEnabled func(Guard) bool // Environment.guardEnabled
 	leaderTerm   uint64           // term in which this replica leads, 0 if it does not
-	owned        bool             // this replica leads and has applied all that earlier owners acknowledged
+	owned        bool             // this replica leads and has applied every change that earlier owners acknowledged
 }
 
 func newRegistryMachine(heartbeatInterval time.Duration, environment Environment) *registryMachine {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Apply applies a committed change of the instances; its result is a registry.Outcome.
+// Apply applies a committed change to the instances. The result is a registry.Outcome.
 func (m *registryMachine) Apply(entry consensus.Entry) any {
 	now := m.now()
 	m.mutex.Lock()
@@ -39,7 +39,7 @@
 	return outcome
 }
 
-// setLeaderTerm records the term in which this replica leads, 0 if it does not. The ownership ends when the term changes.
+// setLeaderTerm records the term in which this replica leads, 0 if it does not. When the term changes, the ownership ends.
 func (m *registryMachine) setLeaderTerm(term uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -54,7 +54,7 @@
 	m.liveness.OwnershipLost()
 }
 
-// ownershipGained starts the ownership, unless the leadership of the term has ended meanwhile.
+// ownershipGained starts the ownership, unless this replica no longer leads in the given term or owns the shard already.
 func (m *registryMachine) ownershipGained(now time.Time, term uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -65,7 +65,8 @@
 	m.liveness.OwnershipGained(now, m.store.Instances(""))
 }
 
-// decideHeartbeat decides on a heartbeat. owned is false while this replica does not own the shard.
+// decideHeartbeat returns the owner's decision on a heartbeat. owned is false, and there is no decision, while this replica does not
+// own the shard.
 func (m *registryMachine) decideHeartbeat(now time.Time, heartbeat registry.Heartbeat) (decision registry.Decision, owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -78,13 +79,14 @@
 	return m.liveness.Heartbeat(now, heartbeat, m.store.Instance(heartbeat.ID)), true
 }
 
-// isRemoved reports whether a heartbeat is of an instance that was removed for good or superseded: it may still serve, but its
-// heartbeats change nothing. Edge nodes are exempt, their IDs come back. The caller holds the mutex.
+// isRemoved reports whether a heartbeat comes from an instance that was removed permanently or superseded: it may still serve
+// requests, but its heartbeats change nothing. Edge nodes are exempt, because they may register again under the same ID. The caller
+// holds the mutex.
 func (m *registryMachine) isRemoved(heartbeat registry.Heartbeat) bool {
 	return heartbeat.Service != registry.NodesService && m.store.IgnoresHeartbeat(heartbeat.Instance)
 }
 
-// matchesRecord reports whether the store has exactly what a heartbeat says, or its instance was removed for good.
+// matchesRecord reports whether a heartbeat changes nothing: the store has exactly the record that it reports, or isRemoved holds.
 func (m *registryMachine) matchesRecord(heartbeat registry.Heartbeat) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -92,7 +94,8 @@
 	return m.isRemoved(heartbeat) || stored != nil && registry.SameRecord(*stored, heartbeat.Instance)
 }
 
-// recordHeard records heartbeats that another server has acknowledged. It returns false while this replica does not own the shard.
+// recordHeard records heartbeats that another server has acknowledged. It records nothing, and returns false, while this replica
+// does not own the shard.
 func (m *registryMachine) recordHeard(now time.Time, heartbeats []sessionHeartbeat) (owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -105,7 +108,8 @@
 	return true
 }
 
-// decideDeregister decides on the removal of an instance. known reports whether the instance is, or was, in the store.
+// decideDeregister returns the owner's decision on the removal of an instance. known reports whether the instance is, or was, in the
+// store; owned is false while this replica does not own the shard.
 func (m *registryMachine) decideDeregister(now time.Time, id string) (decision registry.Decision, known, owned bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -119,7 +123,7 @@
 	return m.liveness.Deregister(now, id, known), known, true
 }
 
-// lookUp reports whether this replica knows an instance, and whether it was removed for good.
+// lookUp reports whether this replica knows an instance, and whether the instance was removed permanently.
 func (m *registryMachine) lookUp(id string) (known, removed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -127,7 +131,8 @@
 	return known, known && m.store.PermanentlyRemoved(id)
 }
 
-// expiryCommands returns the commands that remove the instances whose heartbeats have timed out.
+// expiryCommands returns the commands that remove the instances whose heartbeats have timed out, none while this replica does not own
+// the shard.
 func (m *registryMachine) expiryCommands(now time.Time) [][]byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -137,14 +142,14 @@
 	return m.liveness.Expired(now)
 }
 
-// ownsInTerm reports whether this replica owns the shard in a term.
+// ownsInTerm reports whether this replica owns the shard and leads it in the given term.
 func (m *registryMachine) ownsInTerm(term uint64) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.owned && m.leaderTerm == term
 }
 
-// workersByService returns the workers of the services with prefill and decode roles, by service, each sorted by ID.
+// workersByService returns the workers that have a prefill or decode role, by service, each list sorted by ID.
 func (m *registryMachine) workersByService() map[string][]roleplanner.Worker {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controlplane/server/role_assignment.go
+++ b/internal/controlplane/server/role_assignment.go
@@ -14,32 +14,33 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// WorkerClient calls workers. The wire calls a worker's role its stage.
+// WorkerClient calls workers. In the messages to and from workers, a worker's role is called its stage.
 type WorkerClient interface {
-	// SendRoleCommand sends a command to a worker and returns the HTTP status of the answer, 0 if there is none.
+	// SendRoleCommand sends a command to a worker and returns the HTTP status of its answer, 0 if there is none.
 	SendRoleCommand(ctx context.Context, command RoleCommand) (status int)
-	// ReportedRole polls a worker for its role; empty if it gave no answer or is in transition.
+	// ReportedRole polls a worker for its role. The result is empty if the worker gives no valid answer or is changing its role.
 	ReportedRole(ctx context.Context, instance, address string) string
 }
 
-// RoleCommand commands a worker to change its role.
+// RoleCommand tells a worker to change its role.
 type RoleCommand struct {
 	Instance     string // the worker's ID
 	Address      string // "ip:port"
 	Role         string
 	LeaseHolder  string // node name of the sending server
-	FencingToken uint64 // the term of the ownership: rises with every change of owner
+	FencingToken uint64 // the term of the ownership, which rises with every change of owner
 }
 
-// shardRoles is the role planners' state of one owned shard. The role planner's loop alone uses it, and drops it when the
+// shardRoles is the state of role planning for one owned shard. Only the role planner's loop uses it, and discards it when the
 // ownership ends.
 type shardRoles struct {
-	term     uint64    // of the ownership; 0: none
-	since    time.Time // start of the ownership
-	planners map[string]*roleplanner.Planner
+	term     uint64                          // of the ownership; 0 if the shard is not owned
+	since    time.Time                       // start of the ownership
+	planners map[string]*roleplanner.Planner // by service
 }
 
-// runRolePlanner decides and assigns the roles (prefill or decode) of workers for the shards that this server owns, until ctx ends.
+// runRolePlanner plans and assigns the roles (prefill or decode) of the workers in the shards that this server owns, every
+// rolePlanInterval until ctx ends.
 func (s *Server) runRolePlanner(ctx context.Context) {
 	var roles [shards.ShardCount]shardRoles
 	runPeriodically(ctx, rolePlanInterval, func() {
@@ -51,9 +52,9 @@
 	})
 }
 
-// planShardRoles runs one step for the services of a shard: it has roleplanner.Planner decide, records the assignments in the
-// registry, and only then sends the commands to the workers. A new owner waits for newOwnerQuietPeriod, and an owner without
-// recent contact with a majority does nothing.
+// planShardRoles runs one planning step for the services of a shard: roleplanner.Planner makes a plan, the plan's assignments are
+// recorded in the registry, and only then are its commands sent to the workers. A new owner does nothing during
+// newOwnerQuietPeriod, and an owner without recent contact with a majority does nothing either.
 func (s *Server) planShardRoles(ctx context.Context, shard *shard, roles *shardRoles) {
 	status := shard.group.Status()
 	machine := s.registryMachine(shard.id)
@@ -83,13 +84,14 @@
 	}
 }
 
-// newOwnerQuietPeriod returns how long a new owner sends no commands: by then the lease under which the earlier owner may send them
-// has ended.
+// newOwnerQuietPeriod returns how long a new owner sends no commands. After that time, the lease under which the earlier owner may
+// send commands has ended.
 func newOwnerQuietPeriod(bounds bootconfig.Bounds) time.Duration {
 	return bootconfig.Millis(bounds.LeaseMs) + leaseSafetyMargin
 }
 
-// recordAssignments records the roles that workers are assigned in the registry. What fails is decided on again.
+// recordAssignments records the roles assigned to workers in the registry. An assignment that cannot be recorded is planned again in
+// a later step.
 func (s *Server) recordAssignments(ctx context.Context, shard *shard, service string, assignments []roleplanner.Assignment) {
 	commands := make([][]byte, 0, len(assignments))
 	for _, assignment := range assignments {
@@ -99,7 +101,7 @@
 	s.proposeRoles(ctx, shard, commands)
 }
 
-// proposeRoles proposes commands that record roles, and waits until they are applied, or for assignmentTimeout.
+// proposeRoles proposes commands that record roles, and waits until they are applied, at most for assignmentTimeout.
 func (s *Server) proposeRoles(ctx context.Context, shard *shard, commands [][]byte) {
 	if len(commands) == 0 {
 		return
@@ -107,12 +109,12 @@
 	ctx, cancel := context.WithTimeout(ctx, assignmentTimeout)
 	defer cancel()
 	if err := shard.proposeAll(ctx, commands, unlimitedProposals); err != nil {
-		s.logger.Info("not all roles were recorded", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
+		s.logger.Info("recording roles in the registry failed or timed out", zap.Uint32("shard", uint32(shard.id)), zap.Error(err))
 	}
 }
 
-// recordCompletedTransitions polls workers for their roles and records those that have taken their assigned one, which is faster
-// than waiting for their next heartbeats.
+// recordCompletedTransitions polls workers for their roles and records the role of each worker that has taken its assigned one. This
+// is faster than waiting for their next heartbeats.
 func (s *Server) recordCompletedTransitions(ctx context.Context, shard *shard, polls []roleplanner.Command) {
 	roles := make([]string, len(polls))
 	var group errgroup.Group
@@ -134,13 +136,13 @@
 	s.proposeRoles(ctx, shard, commands)
 }
 
-// commandOutcome is the HTTP status of a worker's answer to a command, 0 if there was none.
+// commandOutcome is the outcome of a role command.
 type commandOutcome struct {
 	worker string // ID
-	status int
+	status int    // HTTP status of the worker's answer, 0 if there was none
 }
 
-// sendRoleCommands sends commands to workers concurrently, waits for their answers and passes them on to the planner.
+// sendRoleCommands sends commands to workers concurrently, waits for all outcomes and reports each to the planner.
 func (s *Server) sendRoleCommands(ctx context.Context, shard *shard, status replica.Status, planner *roleplanner.Planner, commands []roleplanner.Command) {
 	outcomes := make(chan commandOutcome, len(commands))
 	for _, command := range commands {
@@ -156,8 +158,8 @@
 	}
 }
 
-// sendRoleCommand sends one command and returns the HTTP status of the answer. It sends nothing, and returns 0, if this
-// replica is no longer the current leader of the term, which is the fencing token.
+// sendRoleCommand sends one command and returns the HTTP status of the answer, 0 if there is none. The term is the fencing token:
+// if this replica does not lead in that term any more, or is not current, it sends nothing and returns 0.
 func (s *Server) sendRoleCommand(ctx context.Context, shard *shard, term uint64, command roleplanner.Command) int {
 	ctx, cancel := context.WithTimeout(ctx, workerCommandTimeout)
 	defer cancel()
@@ -181,8 +183,8 @@
 	}
 }
 
-// recordRoleState records the planner's status of a service for the metrics. It logs each new decision, and every roleLogInterval
-// the status of a service with demand.
+// recordRoleState records the planner's status of a service for the metrics. It logs the status when the number of workers that should
+// do prefill has changed and, for a service with demand, every roleLogInterval.
 func (s *Server) recordRoleState(service string, state roleplanner.Status) {
 	before := s.metrics.setRoleState(service, state)
 	if before.TargetPrefill == state.TargetPrefill && (state.Demand == (roleplanner.Demand{}) || s.uptime()%roleLogInterval >= rolePlanInterval) {
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -17,18 +17,18 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// peerNetwork is the part of peertransport.Network that the server uses.
+// peerNetwork is the subset of peertransport.Network that the server uses.
 type peerNetwork interface {
 	Send(to consensus.Member, shard shards.ID, message consensus.Message)
 	Call(ctx context.Context, address string, kind peertransport.CallKind, body []byte) ([]byte, error)
 	Peers() []peertransport.PeerStatus
 }
 
-// Server is one process of the control plane: a replica of each shard and what joins them to peers, agents, workers and
-// operators. Open makes one, Serve runs it, Close ends it.
+// Server is one process of the control plane: a replica of each shard, and the connections of these replicas with peers, agents,
+// workers and operators. Open creates a Server, Serve runs it and Close stops it.
 //
 // No mutex guards the Server itself. Its own fields are set before Serve starts any goroutine and only read afterwards;
-// each part that changes later guards its own state, as said at its type.
+// each part that changes later guards its own state, as documented at the part's type.
 type Server struct {
 	settings    bootconfig.Settings
 	environment Environment
@@ -42,51 +42,51 @@
 	shards    [shards.ShardCount]*shard
 	feed      feedService
 
-	// Control loops and what they share with the API. Each has a mutex of its own.
+	// State that the control loops share with the API. Each of these has its own mutex.
 	directory     *directory
 	joinRequests  joinRequests
 	liveness      *livenessReports
 	demands       *demandReports
 	suspicions    suspicions
 	metrics       metrics
-	ownersChanged broadcast // sent whenever a group's status changes
+	ownersChanged broadcast // notified whenever a group's status changes or this server gains the ownership of a shard
 
-	// lastLeaderTransfer is when leadership was last moved to a preferred owner. Only the maintenance loop uses it.
+	// lastLeaderTransfer is the time at which this server last moved leadership to a preferred owner. Only the maintenance loop uses it.
 	lastLeaderTransfer time.Time
 }
 
-// lifecycle owns the goroutines of a server. All of them are started by background.Go and end with backgroundContext, with
-// the groups that Close closes, or with the peers' network.
+// lifecycle owns the goroutines of a server. All of them are started by background.Go. They end when backgroundContext ends, when
+// Close closes the groups, or when the peer network is closed.
 type lifecycle struct {
 	shuttingDown      atomic.Bool // set once, by shutDown or Close
 	background        sync.WaitGroup
 	backgroundContext context.Context // of the control loops
 	cancelBackground  context.CancelFunc
-	feedContext       context.Context // of the feed's sessions, which end first
+	feedContext       context.Context // of the feed sessions, which end first
 	cancelFeed        context.CancelFunc
 }
 
-// peerEndpoint is this server's end of the connections with the other servers. Fixed by openPeerNetwork.
+// peerEndpoint is this server's end of the connections with the other servers. openPeerNetwork sets it; it does not change afterwards.
 type peerEndpoint struct {
 	network peerNetwork
 	serve   func(net.Listener) error
 	close   func()
 }
 
-// replicaGroups is the state of opening and closing all replica groups. Fixed by openGroups.
+// replicaGroups tells whether all replica groups are open, and how to close them. openGroups sets it.
 type replicaGroups struct {
 	opened chan struct{} // closed once all groups are open
 	close  []func() error
 }
 
-// feedService serves the feed to agents. Its parts have mutexes of their own.
+// feedService serves the feed to agents. Each of its parts has its own mutex.
 type feedService struct {
-	encoder     *feedtransport.Encoder // shared by all sessions
+	encoder     *feedtransport.Encoder // shared by all feed sessions
 	subscribers subscribers
 	nodes       *edgeNodeTable
 }
 
-// newServer returns a server that has no groups and no network yet.
+// newServer returns a server whose groups and peer network are not open yet.
 func newServer(settings bootconfig.Settings, self consensus.Member, environment Environment, logger *zap.Logger) *Server {
 	environment = environment.withDefaults()
 	s := &Server{
@@ -118,7 +118,8 @@
 // Self returns this server as a member of its groups.
 func (s *Server) Self() consensus.Member { return s.self }
 
-// Inspect returns the status of all groups without the ages in it: it reads no clock, so a simulation may call it at any time.
+// Inspect returns the status of all groups without the ages that depend on the current time. It reads no clock, so that a simulation
+// may call it at any time.
 func (s *Server) Inspect() []replica.Status {
 	var all []replica.Status
 	for _, shard := range s.shards {
@@ -129,5 +130,5 @@
 	return all
 }
 
-// uptime returns how long the server has run, by its monotonic clock.
+// uptime returns the time since the server was opened, by its monotonic clock.
 func (s *Server) uptime() time.Duration { return s.environment.Now().Sub(s.startedAt) }
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -10,16 +10,16 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// livenessReports holds the heartbeats that this server has acknowledged by itself and not yet reported to the shards' owners.
+// livenessReports holds the heartbeats that this server has acknowledged locally and not yet reported to the shards' owners.
 type livenessReports struct {
 	mutex           sync.Mutex
 	highestSequence [shards.ShardCount]map[string]uint64 // by instance ID
-	added           chan struct{}
+	added           chan struct{}                        // receives a token when a shard's first heartbeat since the last report is added
 }
 
 func newLivenessReports() *livenessReports { return &livenessReports{added: make(chan struct{}, 1)} }
 
-// record adds a heartbeat to the next report.
+// record adds a heartbeat to the next report to a shard's owner.
 func (l *livenessReports) record(shard shards.ID, id string, sequence uint64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -30,20 +30,21 @@
 	l.highestSequence[shard][id] = max(l.highestSequence[shard][id], sequence)
 }
 
-// drain returns what was recorded for a shard since the last call.
+// drain returns and removes the heartbeats recorded for a shard since the last call, the highest sequence number per instance.
 func (l *livenessReports) drain(shard shards.ID) []sessionHeartbeat {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	taken := make([]sessionHeartbeat, 0, len(l.highestSequence[shard]))
+	heartbeats := make([]sessionHeartbeat, 0, len(l.highestSequence[shard]))
 	for id, sequence := range l.highestSequence[shard] {
-		taken = append(taken, sessionHeartbeat{ID: id, Sequence: int64(sequence)})
+		heartbeats = append(heartbeats, sessionHeartbeat{ID: id, Sequence: int64(sequence)})
 	}
 	l.highestSequence[shard] = nil
-	return taken
+	return heartbeats
 }
 
-// acknowledgeLocally reports whether a heartbeat may be acknowledged without its shard's owner: this replica is current and has
-// exactly what the heartbeat says. The owner learns of it within livenessReportInterval.
+// acknowledgeLocally reports whether a heartbeat may be acknowledged without its shard's owner: this replica does not lead the shard,
+// is current and has exactly the record that the heartbeat reports. If so, it queues the heartbeat for the next report to the owner,
+// which is sent within livenessReportInterval.
 func (s *Server) acknowledgeLocally(shard shards.ID, heartbeat registry.Heartbeat) bool {
 	machine := s.registryMachine(shard)
 	status := s.shards[shard].group.Status()
@@ -60,7 +61,8 @@
 	return true
 }
 
-// runLivenessReports reports locally acknowledged heartbeats to the shards' owners until ctx ends. It sleeps while there is none.
+// runLivenessReports reports locally acknowledged heartbeats to the shards' owners until ctx ends. The first heartbeat after a report
+// starts the interval, so nothing runs while there are none.
 func (s *Server) runLivenessReports(ctx context.Context) {
 	timer := time.NewTimer(livenessReportInterval)
 	defer timer.Stop()
@@ -82,7 +84,8 @@
 	}
 }
 
-// reportLiveness sends one shard's report to its owner, once: a lost report is made up for by the instances' next heartbeats.
+// reportLiveness sends one shard's report to its owner. A lost report is not sent again, because the instances' next heartbeats make
+// up for it.
 func (s *Server) reportLiveness(ctx context.Context, id shards.ID) {
 	heartbeats := s.liveness.drain(id)
 	if len(heartbeats) == 0 {
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// replicaGroup is the part of replica.Group that the server uses.
+// replicaGroup is the subset of replica.Group that the server uses.
 type replicaGroup interface {
 	Step(message consensus.Message)
 	Propose(ctx context.Context, data []byte) (result any, index uint64, err error)
@@ -27,12 +27,13 @@
 	Status() replica.Status
 }
 
-// leadershipTransferrer is a group that can transfer leadership to a chosen voter. The scripted groups of most tests cannot.
+// leadershipTransferrer is a group that can transfer leadership to a chosen voter. The scripted groups of most tests do not implement
+// it.
 type leadershipTransferrer interface {
 	TransferLeadershipTo(ctx context.Context, to consensus.MemberID) error
 }
 
-// stateMachine is a shard's state machine, independent of what it replicates.
+// stateMachine is the interface that the configuration shard's and the registry shards' state machines share.
 type stateMachine interface {
 	replica.StateMachine
 	changesSince(index uint64) ([]feed.Change, *feed.Snapshot)
@@ -48,21 +49,21 @@
 	group        replicaGroup
 	stateMachine stateMachine
 
-	preferredReadySince time.Time       // since when the preferred owner can take over; maintenance loop only
-	majority            majorityContact // maintenance loop only
+	preferredReadySince time.Time       // since when the preferred owner has been able to take over; used by the maintenance loop only
+	majority            majorityContact // used by the maintenance loop only
 
 	mutex               sync.Mutex                       // guards all fields below
-	leadingSince        time.Time                        // zero: not leading
-	reconciling         bool                             // a reconcile runs
-	leavingNotices      map[consensus.MemberID]time.Time // when members announced their shutdown
-	learnerReadiness    map[consensus.MemberID]readiness // since when learners are promotable
-	lastHeard           map[consensus.MemberID]time.Time // when members last sent a message of this group
-	leader              consensus.Member                 // by the group's last status
+	leadingSince        time.Time                        // zero while this replica does not lead
+	reconciling         bool                             // a membership reconcile is running
+	leavingNotices      map[consensus.MemberID]time.Time // when each leaving member announced its shutdown
+	learnerReadiness    map[consensus.MemberID]readiness // since when each learner has been promotable
+	lastHeard           map[consensus.MemberID]time.Time // when each member last sent a message of this group
+	leader              consensus.Member                 // from the group's last status
 	leaderContext       context.Context                  // ends when the leader changes
 	cancelLeaderContext context.CancelFunc
 }
 
-// proposeAll proposes commands, at most so many at a time, and waits until all are applied or ctx ends. It returns the first error.
+// proposeAll proposes commands, at most limit at a time, and waits until all are applied or ctx ends. It returns the first error.
 func (s *shard) proposeAll(ctx context.Context, commands [][]byte, limit int) error {
 	var group errgroup.Group
 	group.SetLimit(limit)
@@ -75,10 +76,10 @@
 	return group.Wait()
 }
 
-// readiness is the span in which a learner was promotable without a gap longer than readinessGap.
+// readiness is the latest period in which a learner was promotable without a gap longer than readinessGap.
 type readiness struct{ since, lastSeen time.Time }
 
-// setLeader records the leader of the shard. When it changes, the calls to the earlier one are canceled.
+// setLeader records the leader of the shard. When the leader changes, the calls to the earlier leader are canceled.
 func (s *shard) setLeader(leader consensus.Member) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,7 +93,7 @@
 	s.leaderContext, s.cancelLeaderContext = context.WithCancel(context.Background())
 }
 
-// untilLeaderChanges returns a context that ends when the shard has another leader.
+// untilLeaderChanges returns a context that ends when this replica learns of another leader of the shard.
 func (s *shard) untilLeaderChanges() context.Context {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -103,27 +104,27 @@
 }
 
 // setLeading records whether this replica leads the shard, and reports whether it has just become the leader.
-func (s *shard) setLeading(leads bool, now time.Time) (begun bool) {
+func (s *shard) setLeading(leads bool, now time.Time) (becameLeader bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	begun = leads && s.leadingSince.IsZero()
+	becameLeader = leads && s.leadingSince.IsZero()
 	switch {
-	case begun:
+	case becameLeader:
 		s.leadingSince = now
 	case !leads:
 		s.leadingSince = time.Time{}
 	}
-	return begun
+	return becameLeader
 }
 
-// leadershipStart returns since when this replica leads the shard, zero if it does not.
+// leadershipStart returns the time at which this replica became the shard's leader, zero if it does not lead.
 func (s *shard) leadershipStart() time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.leadingSince
 }
 
-// recordHeard records that a member has sent a message of this group.
+// recordHeard records the time at which a member has sent a message of this group.
 func (s *shard) recordHeard(member consensus.MemberID, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,7 +141,7 @@
 	return s.lastHeard[member]
 }
 
-// keepHeard forgets all but the given members.
+// keepHeard removes the recorded times of all but the given members.
 func (s *shard) keepHeard(members []consensus.Member) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -149,7 +150,7 @@
 	})
 }
 
-// beginReconcile reports whether a reconcile may start: only one runs at a time.
+// beginReconcile marks the start of a membership reconcile. It returns false if one is running already; only one runs at a time.
 func (s *shard) beginReconcile() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -160,21 +161,21 @@
 	return true
 }
 
-// endReconcile ends what beginReconcile has begun.
+// endReconcile marks the end of the reconcile that beginReconcile has started.
 func (s *shard) endReconcile() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.reconciling = false
 }
 
-// isReconciling reports whether a membership change may be in progress that is not committed yet.
+// isReconciling reports whether a reconcile is running, so that a membership change may be proposed and not committed yet.
 func (s *shard) isReconciling() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reconciling
 }
 
-// recordLeaving records that a member is shutting down.
+// recordLeaving records that a member has announced its shutdown.
 func (s *shard) recordLeaving(member consensus.MemberID, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -184,7 +185,7 @@
 	s.leavingNotices[member] = now
 }
 
-// forgetLeaving drops a member's notice.
+// forgetLeaving removes the record of a member's announced shutdown.
 func (s *shard) forgetLeaving(member consensus.MemberID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -196,8 +197,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var found []consensus.MemberID
-	for member, at := range s.leavingNotices {
-		if now.Sub(at) > leavingNoticeMaxAge {
+	for member, announcedAt := range s.leavingNotices {
+		if now.Sub(announcedAt) > leavingNoticeMaxAge {
 			delete(s.leavingNotices, member)
 			continue
 		}
@@ -207,9 +208,9 @@
 	return found
 }
 
-// trackReadiness records since when learners have been promotable, and returns those that have been for stableAfter, the longest
-// first. After each membership change learners are not promotable for a moment, until they have acknowledged it: gaps of up to
-// readinessGap do not count.
+// trackReadiness records the learners that are promotable now, and returns those that have been promotable for stableAfter, the
+// longest first. After each membership change, learners are not promotable until they have acknowledged it, so gaps of up to
+// readinessGap are ignored.
 func (s *shard) trackReadiness(promotable []consensus.MemberID, now time.Time) (stable []consensus.MemberID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -217,18 +218,18 @@
 		s.learnerReadiness = make(map[consensus.MemberID]readiness)
 	}
 	for _, id := range promotable {
-		span, known := s.learnerReadiness[id]
+		period, known := s.learnerReadiness[id]
 		if !known {
-			span.since = now
+			period.since = now
 		}
-		span.lastSeen = now
-		s.learnerReadiness[id] = span
+		period.lastSeen = now
+		s.learnerReadiness[id] = period
 	}
-	for id, span := range s.learnerReadiness {
+	for id, period := range s.learnerReadiness {
 		switch {
-		case now.Sub(span.lastSeen) > readinessGap:
+		case now.Sub(period.lastSeen) > readinessGap:
 			delete(s.learnerReadiness, id)
-		case now.Sub(span.since) >= stableAfter:
+		case now.Sub(period.since) >= stableAfter:
 			stable = append(stable, id)
 		}
 	}
@@ -238,11 +239,11 @@
 	return stable
 }
 
-// isCurrent reports whether a replica's contact with a majority was confirmed within currentMaxAge: it is then not known to be behind
-// the shard's owner.
+// isCurrent reports whether a replica's contact with a majority of its group was confirmed within currentMaxAge. A replica that is not
+// current may be behind the shard's owner by an unknown amount.
 func isCurrent(status replica.Status) bool { return status.ConfirmedAge <= currentMaxAge }
 
-// isVoter reports whether a member has a vote in the membership that this replica knows.
+// isVoter reports whether a member is a voter in the membership that this replica knows.
 func isVoter(status replica.Status, id consensus.MemberID) bool {
 	for _, member := range status.Members {
 		if member.ID == id {
--- a/internal/controlplane/server/shard_owner.go
+++ b/internal/controlplane/server/shard_owner.go
@@ -12,10 +12,11 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// emptyObject is the body of an acknowledgement without content.
+// emptyObject is the JSON body of an acknowledgement that returns no data.
 var emptyObject = []byte("{}")
 
-// execute executes a request as the owner of its shard, or responds who the owner is.
+// execute executes a request as the owner of its shard. A replica that does not own the shard responds with the owner's address, if it
+// knows that.
 func (s *Server) execute(ctx context.Context, request shardRequest) shardResponse {
 	switch request.Kind {
 	case callReplace:
@@ -38,12 +39,12 @@
 	return errorResponse(InternalFault)
 }
 
-// proposalErrorResponse maps the error of a group's call to a response.
+// proposalErrorResponse returns the response for an error of replicaGroup.Propose or ReadBarrier.
 func proposalErrorResponse(err error) shardResponse {
-	var other replica.NotLeaderError
+	var notLeader replica.NotLeaderError
 	switch {
-	case errors.As(err, &other):
-		return notOwnerResponse(other.Leader.Address)
+	case errors.As(err, &notLeader):
+		return notOwnerResponse(notLeader.Leader.Address)
 	case errors.Is(err, consensus.ErrTransferInProgress), errors.Is(err, replica.ErrClosed):
 		return notOwnerResponse("")
 	case errors.Is(err, consensus.ErrTooManyUncommitted):
@@ -53,7 +54,8 @@
 }
 
 // changeConfiguration proposes a change to the configuration shard's group and waits until it is applied here. By then it is
-// committed: a majority of the group has it on disk. The state machine decides on the base version, so racing changes have one winner.
+// committed: a majority of the group has it on disk. The state machine checks the base version, so at most one of several concurrent
+// changes with the same base is accepted.
 func (s *Server) changeConfiguration(ctx context.Context, request shardRequest, kind configuration.CommandKind) shardResponse {
 	command := configuration.Command{Kind: kind, Base: request.Base, Body: request.Body}
 	result, _, err := s.shards[request.Shard].group.Propose(ctx, configuration.EncodeCommand(command))
@@ -76,7 +78,8 @@
 	return append(body, '}')
 }
 
-// readConfiguration returns the configuration in force. The read barrier has a majority confirm this leader, so the read is linearizable.
+// readConfiguration returns the configuration in force. The read barrier waits until a majority has confirmed this replica as leader,
+// which makes the read linearizable.
 func (s *Server) readConfiguration(ctx context.Context, request shardRequest) shardResponse {
 	if s.environment.guardEnabled(GuardReadConfirmed) {
 		if err := s.shards[request.Shard].group.ReadBarrier(ctx); err != nil {
@@ -86,7 +89,7 @@
 	return okResponse(s.configurationMachine().document())
 }
 
-// executeHeartbeat parses a worker's heartbeat and has the shard's owner decide on it.
+// executeHeartbeat parses a worker's heartbeat and executes it as the owner of its shard.
 func (s *Server) executeHeartbeat(ctx context.Context, request shardRequest) shardResponse {
 	heartbeat, err := registry.ParseHeartbeat(request.ID, request.Body)
 	if err != nil {
@@ -95,7 +98,8 @@
 	return s.decideHeartbeat(ctx, request, heartbeat)
 }
 
-// decideHeartbeat has the shard's owner decide on a heartbeat and applies the decision.
+// decideHeartbeat decides on a heartbeat as the owner of its shard and carries out the decision. A leader that does not own the shard
+// yet waits for the ownership.
 func (s *Server) decideHeartbeat(ctx context.Context, request shardRequest, heartbeat registry.Heartbeat) shardResponse {
 	machine := s.registryMachine(request.Shard)
 	if machine == nil {
@@ -113,8 +117,8 @@
 	}
 }
 
-// awaitOwnership waits while this replica leads the shard and does not own it yet. If it does not lead, or ctx ends, waiting is
-// false and the response says so.
+// awaitOwnership waits for changed, at most for ownerRetryInterval, while this replica leads a shard that it does not own yet. If the
+// replica does not lead, or ctx ends, waiting is false and response is the one to return to the caller.
 func (s *Server) awaitOwnership(ctx context.Context, request shardRequest, changed <-chan struct{}) (response shardResponse, waiting bool) {
 	status := s.shards[request.Shard].group.Status()
 	if !status.IsLeader() {
@@ -126,8 +130,8 @@
 	return shardResponse{}, true
 }
 
-// applyDecision carries out the decision of a shard's owner. A heartbeat that needs no log entry is acknowledged only while this
-// replica is known to lead.
+// applyDecision carries out a decision of the shard's owner. A request that needs no log entry is acknowledged only while this replica
+// is current, so that an owner that was replaced without noticing does not acknowledge it.
 func (s *Server) applyDecision(ctx context.Context, request shardRequest, decision registry.Decision) shardResponse {
 	switch decision.Action {
 	case registry.Reject:
@@ -141,7 +145,7 @@
 	return okResponse(emptyObject)
 }
 
-// proposeInstanceChange proposes a change of an instance and waits until it is applied.
+// proposeInstanceChange proposes a change to an instance and waits until it is applied here.
 func (s *Server) proposeInstanceChange(ctx context.Context, request shardRequest, command []byte) shardResponse {
 	result, _, err := s.shards[request.Shard].group.Propose(ctx, command)
 	if err != nil {
@@ -157,7 +161,7 @@
 	return okResponse(emptyObject)
 }
 
-// registryErrorResponse maps a rejection of the registry to a response.
+// registryErrorResponse returns the response for a rejection by package registry.
 func registryErrorResponse(err error) shardResponse {
 	var rejection *registry.Rejection
 	if !errors.As(err, &rejection) || rejection == nil {
@@ -169,7 +173,7 @@
 	return shardResponse{Status: rejection.HTTPStatus, Code: int(rejection.Code), Text: rejection.Text}
 }
 
-// executeDeregister removes an instance. An unknown one is acknowledged once the group has recorded that it is gone.
+// executeDeregister removes an instance. The removal of an unknown instance is acknowledged once the group has recorded it as removed.
 func (s *Server) executeDeregister(ctx context.Context, request shardRequest) shardResponse {
 	machine := s.registryMachine(request.Shard)
 	if machine == nil {
--- a/internal/controlplane/server/suspicions.go
+++ b/internal/controlplane/server/suspicions.go
@@ -12,26 +12,28 @@
 )
 
 const (
-	// suspicionMaxAge is how long a suspicion counts. Agents repeat those that last.
+	// suspicionMaxAge is how long a suspicion counts after its last report. Agents repeat a suspicion while it lasts.
 	suspicionMaxAge = 3 * feedtransport.SuspicionRepeatInterval
-	// corroboratingAgents is how many agents must suspect a machine before that is logged as its failure: one may be cut off itself.
+	// corroboratingAgents is how many agents must suspect a machine before its suspected failure is logged: a single agent may itself
+	// be disconnected.
 	corroboratingAgents = 2
 )
 
 // suspectedMachine is a machine that agents suspect to have failed. Operators read the JSON members of /-/status.
 type suspectedMachine struct {
 	IP     string `json:"ip"`
-	Agents int    `json:"agents"` // that suspect it
+	Agents int    `json:"agents"` // number of agents that suspect the machine
 }
 
-// suspicions is which agents suspect which machines. It decides nothing: expiry and membership go by heartbeats.
+// suspicions records which agents suspect which machines, for logs, metrics and status only: expiry and membership depend on
+// heartbeats alone.
 type suspicions struct {
 	mutex     sync.Mutex
-	reporters map[string]map[string]time.Time // by the machine's IP and the agent's node: when it was last reported
-	logged    map[string]bool                 // machines whose failure was logged
+	reporters map[string]map[string]time.Time // time of the last report, by the machine's IP and the agent's node
+	logged    map[string]bool                 // IPs of machines whose suspected failure was logged
 }
 
-// record notes a suspicion of an agent, or that it has ended.
+// record records that an agent suspects a machine, or that it no longer does.
 func (s *suspicions) record(now time.Time, agent string, suspicion feedtransport.Suspicion) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -48,14 +50,14 @@
 	s.reporters[suspicion.IP][agent] = now
 }
 
-// current returns the machines that are suspected, sorted by IP, and forgets what has lapsed.
+// current returns the machines that are suspected, sorted by IP. It removes suspicions older than suspicionMaxAge.
 func (s *suspicions) current(now time.Time) []suspectedMachine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	suspected := []suspectedMachine{}
 	for ip, agents := range s.reporters {
-		for agent, at := range agents {
-			if now.Sub(at) > suspicionMaxAge {
+		for agent, reportedAt := range agents {
+			if now.Sub(reportedAt) > suspicionMaxAge {
 				delete(agents, agent)
 			}
 		}
@@ -69,8 +71,8 @@
 	return suspected
 }
 
-// changes returns the machines that have become suspected by corroboratingAgents since the last call, and those that no agent
-// suspects any more.
+// changes returns the machines that corroboratingAgents or more agents have come to suspect since the last call, and the IPs of
+// machines returned earlier that no agent suspects any more.
 func (s *suspicions) changes(now time.Time) (failed []suspectedMachine, recovered []string) {
 	suspected := s.current(now)
 	s.mutex.Lock()
@@ -94,7 +96,7 @@
 	return failed, recovered
 }
 
-// logSuspicions logs which machines several agents have come to suspect, and which none suspects any more.
+// logSuspicions logs the result of changes: machines that several agents have come to suspect, and machines that none suspects any more.
 func (s *Server) logSuspicions() {
 	failed, recovered := s.suspicions.changes(s.environment.Now())
 	for _, machine := range failed {
--- a/internal/controlplane/server/worker_client.go
+++ b/internal/controlplane/server/worker_client.go
@@ -14,13 +14,14 @@
 
 // HTTP statuses of a worker's answer to a role command.
 const (
-	statusOK                 = http.StatusOK                 // the worker has the role already
-	statusAccepted           = http.StatusAccepted           // the transition has begun
-	statusBadRequest         = http.StatusBadRequest         // unknown command
-	statusPreconditionFailed = http.StatusPreconditionFailed // a higher fencing token was seen
+	statusOK                 = http.StatusOK                 // the worker already has the role
+	statusAccepted           = http.StatusAccepted           // the worker has started to change its role
+	statusBadRequest         = http.StatusBadRequest         // the worker does not know the command
+	statusPreconditionFailed = http.StatusPreconditionFailed // the worker has seen a higher fencing token
 	statusMisdirected        = http.StatusMisdirectedRequest // another worker runs at the address
 )
 
+// Paths, header and operation of the calls to workers.
 const (
 	commandPath      = "/-/order"
 	reportPath       = "/-/report"
@@ -36,25 +37,25 @@
 	FencingToken uint64 `json:"fenceToken"`
 }
 
-// workerReport is the part of a worker's report that the planner needs.
+// workerReport is the part of a worker's JSON report that role assignment needs.
 type workerReport struct {
 	Role string `json:"stage"`
-	Busy bool   `json:"utilization"` // a command is being executed
+	Busy bool   `json:"utilization"` // the worker is executing a command
 }
 
-// httpWorkerClient calls workers over HTTP. It sends each call once, on a connection of its own.
+// httpWorkerClient calls workers over HTTP. It sends each call once, without retries, on a new connection.
 type httpWorkerClient struct{ client *client.Client }
 
 func newHTTPWorkerClient() (*httpWorkerClient, error) {
 	logging.SilenceHertz()
-	http1, err := client.NewClient(
+	httpClient, err := client.NewClient(
 		client.WithDialer(standard.NewDialer()),
 		client.WithDialTimeout(workerCommandTimeout/2),
 		client.WithClientReadTimeout(workerCommandTimeout),
 		client.WithWriteTimeout(workerCommandTimeout),
 		client.WithKeepAlive(false),
 	)
-	return &httpWorkerClient{client: http1}, err
+	return &httpWorkerClient{client: httpClient}, err
 }
 
 // SendRoleCommand implements WorkerClient.
@@ -79,7 +80,8 @@
 	return report.Role
 }
 
-// call makes one call and returns the status and the body of the answer, 0 if there is none.
+// call makes one call and returns the HTTP status and the body of the answer. The status is 0 if there is no answer. If ctx has no
+// deadline, the timeout is workerCommandTimeout.
 func (h *httpWorkerClient) call(ctx context.Context, method, instance, address, path string, body []byte) (int, []byte) {
 	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(request)
@@ -91,8 +93,8 @@
 		request.Header.SetContentTypeBytes([]byte(contentTypeJSON))
 		request.SetBody(body)
 	}
-	deadline, bounded := ctx.Deadline()
-	if !bounded {
+	deadline, hasDeadline := ctx.Deadline()
+	if !hasDeadline {
 		deadline = time.Now().Add(workerCommandTimeout)
 	}
 	if err := h.client.DoDeadline(ctx, request, response, deadline); err != nil {
