--- a/internal/controlplane/server/compatibility_disk_test.go
+++ b/internal/controlplane/server/compatibility_disk_test.go
@@ -18,16 +18,16 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// applyLimit bounds how long a group of one member may take to lead and to apply what it has stored.
-const applyLimit = 10 * time.Second
+// applyTimeout bounds how long a group of one member may take to become leader and apply its stored entries.
+const applyTimeout = 10 * time.Second
 
-// replicatedStore is what the two kinds of shard have in common.
+// replicatedStore is the interface that the stores of both kinds of shard share.
 type replicatedStore interface {
 	Snapshot() []byte
 	Restore(snapshot []byte) error
 }
 
-// storeMachine makes a store the state machine of a group.
+// storeMachine is the state machine of a group that replicates a store.
 type storeMachine struct {
 	store replicatedStore
 	apply func(index uint64, data []byte) feed.Change
@@ -39,34 +39,34 @@
 	return m.store.Restore(data)
 }
 
-// diskFixture is a kind of shard whose replica's directory is a fixture, with the state that it must lead to.
+// diskFixture is the stored directory of a replica of one kind of shard, with the state that the replica must reach from it.
 type diskFixture struct {
 	name     string
 	shard    shards.ID
 	machine  *storeMachine
-	commands [][]byte // the last two come after the snapshot
+	commands [][]byte // the last two are stored after the snapshot
 }
 
 func (f diskFixture) directory() string { return filepath.Join(golden.Folder, f.name) }
 
 func (f diskFixture) stateFile() string { return f.name + "-state" }
 
-// diskFixtures are the kinds of shard, with fresh state machines.
+// diskFixtures returns a fixture for each kind of shard, with empty state machines.
 func diskFixtures() []diskFixture {
-	documents, instances := configuration.NewStore(), registry.NewStore()
+	configurationStore, registryStore := configuration.NewStore(), registry.NewStore()
 	return []diskFixture{
 		{
 			name: "configuration", shard: shards.ConfigurationShard,
-			machine: &storeMachine{documents, func(index uint64, data []byte) feed.Change {
-				_, change := documents.Apply(index, data)
+			machine: &storeMachine{configurationStore, func(index uint64, data []byte) feed.Change {
+				_, change := configurationStore.Apply(index, data)
 				return change
 			}},
 			commands: configurationCommands(),
 		},
 		{
 			name: "registry", shard: 1,
-			machine: &storeMachine{instances, func(index uint64, data []byte) feed.Change {
-				_, change := instances.Apply(index, data)
+			machine: &storeMachine{registryStore, func(index uint64, data []byte) feed.Change {
+				_, change := registryStore.Apply(index, data)
 				return change
 			}},
 			commands: registryCommands(),
@@ -78,11 +78,11 @@
 	const service = `{"name":"chat","healthPath":"/health","maxConnections":100,"protocol":"h1","tls":false}`
 	const route = `{"name":"r","hostname":"chat.example","pathPrefix":"/","routeType":"streaming","timeoutMs":4000,"service":"chat"}`
 	const limits = `{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000}`
-	whole := `{"generation":1,"routes":[` + route + `],"services":[` + service + `],"limits":` + limits + `,"notes":{"by":"a"}}`
+	document := `{"generation":1,"routes":[` + route + `],"services":[` + service + `],"limits":` + limits + `,"notes":{"by":"a"}}`
 	return [][]byte{
-		configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Body: []byte(whole)}),
+		configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Body: []byte(document)}),
 		configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: []byte(`{"generation":2}`)}),
-		configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: []byte(`{"generation":3}`)}), // refused
+		configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandUpdate, Base: 1, Body: []byte(`{"generation":3}`)}), // rejected: the base is not current
 		configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandUpdate, Base: 2, Body: []byte(`{"generation":3}`)}),
 	}
 }
@@ -92,13 +92,13 @@
 		ID: "worker-1", Service: "chat", Address: "192.0.2.20:8000", Zone: "zone-a", Generation: "v1", Slots: 64,
 		State: registry.Draining, Stage: "decode", Models: []registry.Model{{Name: "m", Generation: 2, Adapters: []string{"a", "b"}}},
 	}
-	other, gone := instance, instance
-	other.ID, other.Address, other.State = "worker-2", "192.0.2.21:8000", registry.Ready
-	gone.ID, gone.Address = "worker-3", "192.0.2.22:8000"
+	readyInstance, removedInstance := instance, instance
+	readyInstance.ID, readyInstance.Address, readyInstance.State = "worker-2", "192.0.2.21:8000", registry.Ready
+	removedInstance.ID, removedInstance.Address = "worker-3", "192.0.2.22:8000"
 	return [][]byte{
 		registry.EncodePut(instance, 7),
-		registry.EncodePut(other, 1<<40),
-		registry.EncodePut(gone, 3),
+		registry.EncodePut(readyInstance, 1<<40),
+		registry.EncodePut(removedInstance, 3),
 		registry.EncodeRemove("worker-3", registry.Expired, 3),
 		registry.EncodeRemove("worker-4", registry.NeverRegistered, 0),
 		registry.EncodeAssign("worker-2", "prefill"),
@@ -106,7 +106,7 @@
 	}
 }
 
-// openGroup opens and runs a group of one member on a directory; it founds the group if the directory is empty.
+// openGroup opens and runs a group of one member on a directory. If the directory is empty, it bootstraps the group.
 func openGroup(t *testing.T, fixture diskFixture, directory string) *replica.Group {
 	t.Helper()
 	self := consensus.Member{ID: 41, Address: "192.0.2.1:7100", Voter: true}
@@ -121,20 +121,20 @@
 	return group
 }
 
-// awaitApplied waits until a group leads and has applied all that is stored.
+// awaitApplied waits until a group's only member leads and has applied all stored entries.
 func awaitApplied(t *testing.T, group *replica.Group) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), applyLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), applyTimeout)
 	defer cancel()
 	for group.ReadBarrier(ctx) != nil {
 		if ctx.Err() != nil {
-			t.Fatal("the group does not lead")
+			t.Fatalf("the group of one member has no leader after %s", applyTimeout)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A replica of the new program reads the directory of an earlier one, and comes to the same state.
+// A replica must open a directory that version 8782861 wrote and reach the recorded state.
 func TestReplicaDirectory_readsVersion8782861(t *testing.T) {
 	for _, fixture := range diskFixtures() {
 		t.Run(fixture.name, func(t *testing.T) {
@@ -151,13 +151,13 @@
 			}
 			last := fixture.commands[len(fixture.commands)-1]
 			if stored.HardState.Vote != 41 || len(stored.Entries) == 0 || !bytes.Equal(stored.Entries[len(stored.Entries)-1].Data, last) {
-				t.Errorf("hard state %+v, entries %+v", stored.HardState, stored.Entries)
+				t.Errorf("stored hard state %+v and entries %+v, want the vote 41 and the last entry %q", stored.HardState, stored.Entries, last)
 			}
 			group := openGroup(t, fixture, directory)
 			defer group.Close()
 			awaitApplied(t, group)
-			if state := fixture.machine.Snapshot(); !bytes.Equal(state, golden.Read(t, fixture.stateFile())) {
-				t.Errorf("state %q", state)
+			if state, want := fixture.machine.Snapshot(), golden.Read(t, fixture.stateFile()); !bytes.Equal(state, want) {
+				t.Errorf("state %q, want %q", state, want)
 			}
 		})
 	}
--- a/internal/controlplane/server/compatibility_test.go
+++ b/internal/controlplane/server/compatibility_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// callKinds names the fixture of a call of each kind.
+// callKinds lists the kinds of calls with the names of their fixtures.
 var callKinds = []struct {
 	name string
 	kind peertransport.CallKind
@@ -22,21 +22,21 @@
 	{"call-presences", callSessionLiveness}, {"call-identity", callIdentity}, {"call-leave", callLeave}, {"call-demand", callDemand},
 }
 
-// listRow is a row of the body of a call or an answer that is encoded as its schema says.
-func listRow[T any](name string, schema avro.Schema, value T) golden.Row {
+// avroRow is a row for the body of a call or a response that is encoded by an Avro schema.
+func avroRow[T any](name string, schema avro.Schema, value T) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
 		Encode: func() ([]byte, error) { return codec.Marshal(schema, value) },
 		Decode: func(body []byte) (any, error) {
-			var read T
-			err := strictavro.Unmarshal(codec, schema, body, &read)
-			return read, err
+			var decoded T
+			err := strictavro.Unmarshal(codec, schema, body, &decoded)
+			return decoded, err
 		},
 	}
 }
 
-// answerRow is a row of the owner's answer to a call.
-func answerRow(name string, value shardResponse) golden.Row {
+// responseRow is a row for the owner's response to a call.
+func responseRow(name string, value shardResponse) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
 		Encode: func() ([]byte, error) { return encodeShardResponse(value) },
@@ -44,17 +44,18 @@
 	}
 }
 
-// jsonRow is a row of a JSON document that is sent and not read here.
+// jsonRow is a row for a JSON document that this package writes and does not read.
 func jsonRow(name string, value any) golden.Row {
 	return golden.Row{Name: name, Value: value, Encode: func() ([]byte, error) { return json.Marshal(value) }}
 }
 
+// callRows returns a row for a call of each kind.
 func callRows() []golden.Row {
 	var rows []golden.Row
-	for _, one := range callKinds {
-		value := shardRequest{Kind: one.kind, Shard: 1, ID: "worker-1", Base: 1<<64 - 1, Body: []byte("body")}
+	for _, call := range callKinds {
+		value := shardRequest{Kind: call.kind, Shard: 1, ID: "worker-1", Base: 1<<64 - 1, Body: []byte("body")}
 		rows = append(rows, golden.Row{
-			Name: one.name, Value: value,
+			Name: call.name, Value: value,
 			Encode: func() ([]byte, error) { return encodeShardRequest(value) },
 			Decode: func(body []byte) (any, error) { return decodeShardRequest(body) },
 		})
@@ -62,30 +63,32 @@
 	return rows
 }
 
-func answerRows() []golden.Row {
+// responseRows returns rows for the responses to calls, and for the lists that calls and responses carry.
+func responseRows() []golden.Row {
 	identity := identityReply{ID: 1<<64 - 3, Age: 4321 * time.Millisecond, ShuttingDown: true}
 	return []golden.Row{
-		answerRow("answer-success", shardResponse{Status: 200, Body: []byte(`{"generation":4}`), Known: true}),
-		answerRow("answer-refusal", shardResponse{Status: 409, Code: 1203, Text: "base is not current", Body: []byte{}}),
-		answerRow("answer-not-owner", shardResponse{NotOwner: true, Leader: "192.0.2.2:7100", Body: []byte{}}),
+		responseRow("answer-success", shardResponse{Status: 200, Body: []byte(`{"generation":4}`), Known: true}),
+		responseRow("answer-refusal", shardResponse{Status: 409, Code: 1203, Text: "base is not current", Body: []byte{}}),
+		responseRow("answer-not-owner", shardResponse{NotOwner: true, Leader: "192.0.2.2:7100", Body: []byte{}}),
 		{
 			Name: "identity", Value: identity,
 			Encode: func() ([]byte, error) { return encodeIdentity(identity) },
 			Decode: func(body []byte) (any, error) { return decodeIdentity(body) },
 		},
-		listRow("nodes", nodesSchema, []edgeNode{{ID: "node-1", Address: "192.0.2.7:7000", Zone: "zone-b"}}),
-		listRow("presences", sessionHeartbeatsSchema, []sessionHeartbeat{{ID: "worker-1", Sequence: 1 << 40}, {ID: "worker-2", Sequence: 2}}),
-		listRow("groups", groupsSchema, []groupState{{Shard: 1, Voter: true, Writable: true}, {Shard: 2, Current: true}}),
-		listRow("servers", serversSchema, []serverInfo{{Address: "192.0.2.1:7100", Zone: "zone-a", Region: "region-1"}}),
+		avroRow("nodes", nodesSchema, []edgeNode{{ID: "node-1", Address: "192.0.2.7:7000", Zone: "zone-b"}}),
+		avroRow("presences", sessionHeartbeatsSchema, []sessionHeartbeat{{ID: "worker-1", Sequence: 1 << 40}, {ID: "worker-2", Sequence: 2}}),
+		avroRow("groups", groupsSchema, []groupState{{Shard: 1, Voter: true, Writable: true}, {Shard: 2, Current: true}}),
+		avroRow("servers", serversSchema, []serverInfo{{Address: "192.0.2.1:7100", Zone: "zone-a", Region: "region-1"}}),
 	}
 }
 
+// documentRows returns rows for the JSON documents.
 func documentRows() []golden.Row {
-	var refused errorReport
-	refused.Error.Code, refused.Error.Text = 1203, "base is not current"
+	var rejection errorReport
+	rejection.Error.Code, rejection.Error.Text = 1203, "base is not current"
 	return []golden.Row{
 		jsonRow("order.json", roleCommandBody{Operation: operationSetRole, Role: "decode", LeaseHolder: "192.0.2.1:7100", FencingToken: 77}),
-		jsonRow("error.json", refused),
+		jsonRow("error.json", rejection),
 		jsonRow("status.json", statusReport{
 			Address: "192.0.2.1:7100", Member: "1f", UptimeS: 60, Leaving: true, Agents: 3,
 			Shards: []shardReport{{
@@ -107,9 +110,10 @@
 	}
 }
 
-// compatibilityRows are a call and an answer of each kind, and the JSON documents of the API.
+// compatibilityRows returns rows for calls and responses of each kind and for the JSON documents.
 func compatibilityRows() []golden.Row {
-	return append(append(callRows(), answerRows()...), documentRows()...)
+	return append(append(callRows(), responseRows()...), documentRows()...)
 }
 
-func TestCalls_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
+// The messages and documents must be encoded as by version 8782861, and its encodings must be decoded to the same values.
+func TestMessages_compatibleWithVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
--- a/internal/controlplane/server/concurrent_changes_test.go
+++ b/internal/controlplane/server/concurrent_changes_test.go
@@ -10,26 +10,26 @@
 	"ospreybend/internal/testkit/localfleet"
 )
 
-// configurationChange is one change of an operator, which it sends unchanged until it has a definitive answer.
+// configurationChange is one operator's change, sent again unchanged until it has a definitive response.
 type configurationChange struct {
 	base uint64
 	body string
 }
 
-// sendConcurrently sends changes to servers concurrently, each to all of them, and returns the definitive statuses of each.
+// sendConcurrently sends every change to every server concurrently. It returns the definitive statuses, by change and server.
 func (f *testCluster) sendConcurrently(servers []int, changes ...configurationChange) [][]int {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), clusterTimeout)
 	defer cancel()
 	statuses := make([][]int, len(changes))
 	var waitGroup sync.WaitGroup
-	for number, change := range changes {
-		statuses[number] = make([]int, len(servers))
-		for index, server := range servers {
+	for i, change := range changes {
+		statuses[i] = make([]int, len(servers))
+		for j, server := range servers {
 			waitGroup.Go(func() {
 				_ = localfleet.Await(ctx, pollInterval, func() bool {
 					status, _ := f.do(server, http.MethodPost, "/-/Config.Replace", change.base, change.body)
-					statuses[number][index] = status
+					statuses[i][j] = status
 					return status != 0 && status < http.StatusInternalServerError
 				})
 			})
@@ -39,80 +39,80 @@
 	return statuses
 }
 
-// requireOneWinner requires one change to be acknowledged by all servers and the others to be rejected by all; it returns the one.
-func (f *testCluster) requireOneWinner(changes []configurationChange, all [][]int) configurationChange {
+// requireOneAccepted requires that all servers accept the same one of the changes and reject the others, and returns the accepted one.
+func (f *testCluster) requireOneAccepted(changes []configurationChange, statusesByChange [][]int) configurationChange {
 	f.t.Helper()
-	won := -1
-	for index, statuses := range all {
+	accepted := -1
+	for i, statuses := range statusesByChange {
 		for _, status := range statuses {
 			switch {
 			case status != statuses[0]:
-				f.t.Fatalf("one change has the statuses %v", statuses)
+				f.t.Fatalf("servers answered change %d with the statuses %v, want one status", i, statuses)
 			case status != http.StatusOK && status != http.StatusPreconditionFailed:
-				f.t.Fatalf("statuses %v", all)
+				f.t.Fatalf("statuses by change %v, want only 200 and 412", statusesByChange)
 			}
 		}
 		if statuses[0] == http.StatusOK {
-			if won >= 0 {
-				f.t.Fatalf("two changes on one base are acknowledged: %v", all)
+			if accepted >= 0 {
+				f.t.Fatalf("two changes with the same base were accepted: statuses by change %v", statusesByChange)
 			}
-			won = index
+			accepted = i
 		}
 	}
-	if won < 0 {
-		f.t.Fatalf("none is acknowledged: %v", all)
+	if accepted < 0 {
+		f.t.Fatalf("no change was accepted: statuses by change %v", statusesByChange)
 	}
-	return changes[won]
+	return changes[accepted]
 }
 
-// TestCluster_concurrentAndRepeatedChangesAtAllServers has operators send competing changes to all servers at once, and repeats of what
-// was taken after a change of leader, a lost disk and a restart of all.
+// TestCluster_concurrentAndRepeatedChangesAtAllServers sends competing changes to all servers at once: exactly one may be accepted. After
+// changes of leader, the loss of a disk and a restart of all servers, repeats of each change must get the same response as before.
 func TestCluster_concurrentAndRepeatedChangesAtAllServers(t *testing.T) {
 	f := newTestCluster(t, 3)
 	all := []int{0, 1, 2}
 	f.bootstrap(len(all))
-	var won []configurationChange
-	lost := map[configurationChange]bool{}
-	race := func(servers ...int) {
-		base := len(won)
+	var accepted []configurationChange
+	rejected := map[configurationChange]bool{}
+	sendCompeting := func(servers ...int) {
+		base := len(accepted)
 		changes := []configurationChange{
 			{uint64(base), configurationJSON(base + 1)},
 			{uint64(base), configurationJSON(base+1) + " "},
 			{uint64(base), fmt.Sprintf(`{"generation":%d,"routes":[],"services":[]}`, base+1)},
 		}
 		for _, change := range changes {
-			lost[change] = true
+			rejected[change] = true
 		}
-		winner := f.requireOneWinner(changes, f.sendConcurrently(servers, changes...))
-		delete(lost, winner)
-		won = append(won, winner)
+		one := f.requireOneAccepted(changes, f.sendConcurrently(servers, changes...))
+		delete(rejected, one)
+		accepted = append(accepted, one)
 	}
-	repeat := func(servers ...int) {
-		for _, change := range won {
+	repeatAll := func(servers ...int) {
+		for _, change := range accepted {
 			for _, i := range servers {
 				status, content := f.doUntilDefinitive(i, http.MethodPost, "/-/Config.Replace", change.base, change.body)
 				f.requireStatus(http.StatusOK, status, content)
 			}
 		}
-		for change := range lost {
+		for change := range rejected {
 			status, content := f.doUntilDefinitive(servers[0], http.MethodPost, "/-/Config.Replace", change.base, change.body)
 			f.requireStatus(http.StatusPreconditionFailed, status, content)
 		}
 	}
-	race(all...)
-	race(all...)
-	repeat(all...)
+	sendCompeting(all...)
+	sendCompeting(all...)
+	repeatAll(all...)
 
-	f.terminate(0) // its shards go to others
-	race(1, 2)
-	repeat(1, 2)
+	f.terminate(0) // other servers become the owners of its shards
+	sendCompeting(1, 2)
+	repeatAll(1, 2)
 
-	f.processes[0].config.DataDir = t.TempDir() // it comes back without its disk
+	f.processes[0].config.DataDir = t.TempDir() // it restarts with an empty disk
 	f.processes[0].config.Bootstrap = false
 	f.start(0)
-	f.awaitConverged("repair", 0, 1, 2)
-	repeat(0)
-	race(all...)
+	f.awaitConverged("repair after the loss of a disk", 0, 1, 2)
+	repeatAll(0)
+	sendCompeting(all...)
 
 	for _, i := range all {
 		f.terminate(i)
@@ -121,6 +121,6 @@
 		f.processes[i].config.Bootstrap = false
 		f.start(i)
 	}
-	f.awaitConverged("return", 0, 1, 2)
-	repeat(all...)
+	f.awaitConverged("restart of all servers", 0, 1, 2)
+	repeatAll(all...)
 }
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -13,16 +13,16 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
-// newOwningServer returns a server that owns all shards of instances. Proposals to the shards in lost have no outcome.
-func newOwningServer(t *testing.T) (s *Server, lost map[shards.ID]bool) {
+// newOwningServer returns a server that owns all registry shards. Proposals to the shards in failing end with ErrUnknownOutcome.
+func newOwningServer(t *testing.T) (s *Server, failing map[shards.ID]bool) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
-	lost = map[shards.ID]bool{}
+	failing = map[shards.ID]bool{}
 	for id := shards.ID(1); id < shards.ShardCount; id++ {
 		machine, index := s.registryMachine(id), uint64(0)
 		groups[id].set(leaderStatus())
 		groups[id].submit = func(_ context.Context, data []byte) (any, error) {
-			if lost[id] {
+			if failing[id] {
 				return nil, replica.ErrUnknownOutcome
 			}
 			index++
@@ -31,76 +31,78 @@
 		machine.setLeaderTerm(3)
 		machine.ownershipGained(time.Now(), 3)
 	}
-	return s, lost
+	return s, failing
 }
 
-// deregister deregisters the present instance and returns the status.
-func deregister(t *testing.T, s *Server) int {
+// deregisterInstance deregisters the test instance and returns the HTTP status.
+func deregisterInstance(t *testing.T, s *Server) int {
 	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: presentID}).Status
 }
 
-// TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard deregisters an instance that is not known, while one shard accepts nothing.
-// Its heartbeat comes late, and belongs to that shard.
+// TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard deregisters an instance that no shard knows, while its service's shard
+// accepts no proposals. An acknowledgement would let the instance's late heartbeat register it again.
 func TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard(t *testing.T) {
-	s, lost := newOwningServer(t)
-	home := shards.ForService(presentService)
-	lost[home] = true
+	s, failing := newOwningServer(t)
+	shard := shards.ForService(presentService)
+	failing[shard] = true
 	for range 2 {
-		if status := deregister(t, s); status == http.StatusOK {
-			t.Fatal("acknowledged though its service's shard does not remember it")
+		if status := deregisterInstance(t, s); status == http.StatusOK {
+			t.Fatal("deregister was acknowledged although the shard of the instance's service has not recorded it")
 		}
 	}
-	lost[home] = false
-	if status := deregister(t, s); status != http.StatusOK {
-		t.Fatal(status)
+	failing[shard] = false
+	if status := deregisterInstance(t, s); status != http.StatusOK {
+		t.Fatalf("deregister of an unknown instance: status %d, want 200", status)
 	}
 	late := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 9))})
-	if known, _ := s.registryMachine(home).lookUp(presentID); late.Status != http.StatusOK || known {
-		t.Fatal("a heartbeat that came late brought it back", late.Status)
+	if known, _ := s.registryMachine(shard).lookUp(presentID); late.Status != http.StatusOK || known {
+		t.Fatalf("late heartbeat after the deregistration: status %d, want 200; instance known: %t, want false", late.Status, known)
 	}
 }
 
-// TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly deregisters an instance twice, while all other shards accept nothing.
+// TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly deregisters a known instance twice, while all other shards accept no proposals.
 func TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly(t *testing.T) {
-	s, lost := newOwningServer(t)
-	home := shards.ForService(presentService)
+	s, failing := newOwningServer(t)
+	shard := shards.ForService(presentService)
 	s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 1))})
 	for id := shards.ID(1); id < shards.ShardCount; id++ {
-		lost[id] = id != home
+		failing[id] = id != shard
 	}
 	for range 2 {
-		if status := deregister(t, s); status != http.StatusOK {
-			t.Fatal(status)
+		if status := deregisterInstance(t, s); status != http.StatusOK {
+			t.Fatalf("deregister of a known instance: status %d, want 200", status)
 		}
 	}
-	if known, removed := s.registryMachine(home).lookUp(presentID); !known || !removed {
-		t.Fatal(known, removed)
+	if known, removed := s.registryMachine(shard).lookUp(presentID); !known || !removed {
+		t.Fatalf("after the deregistration: known %t, removed %t, want true for both", known, removed)
 	}
 }
 
-// TestServer_Handle_heartbeatAfterDeregisterProposesNothing deregisters an instance that goes on to send heartbeats while it serves.
+// TestServer_Handle_heartbeatAfterDeregisterProposesNothing deregisters an instance that still serves requests and sends heartbeats. They
+// must be acknowledged without a proposal and must not register the instance again.
 func TestServer_Handle_heartbeatAfterDeregisterProposesNothing(t *testing.T) {
-	s, lost := newOwningServer(t)
-	home := shards.ForService(presentService)
-	tell := func(sequence int) int {
-		call := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", sequence))}
-		return s.Handle(timeoutContext(t), call).Status
+	s, failing := newOwningServer(t)
+	shard := shards.ForService(presentService)
+	sendHeartbeat := func(sequence int) int {
+		request := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", sequence))}
+		return s.Handle(timeoutContext(t), request).Status
 	}
-	if tell(1) != http.StatusOK || deregister(t, s) != http.StatusOK {
-		t.Fatal("it was not registered, or not removed")
+	if sendHeartbeat(1) != http.StatusOK || deregisterInstance(t, s) != http.StatusOK {
+		t.Fatal("registering or deregistering the instance failed")
 	}
-	lost[home] = true // an entry would come to nothing
+	failing[shard] = true // a proposal would fail the heartbeat
 	for sequence := 2; sequence < 10; sequence++ {
-		if status := tell(sequence); status != http.StatusOK {
-			t.Fatal(status)
+		if status := sendHeartbeat(sequence); status != http.StatusOK {
+			t.Fatalf("heartbeat %d after the deregistration: status %d, want 200", sequence, status)
 		}
 	}
-	if _, removed := s.registryMachine(home).lookUp(presentID); !removed {
-		t.Fatal("it is back")
+	if _, removed := s.registryMachine(shard).lookUp(presentID); !removed {
+		t.Fatal("heartbeats have registered the removed instance again")
 	}
 }
 
-// TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two nodes use one address in turn: a node's ID may come back, unlike a worker's.
+// TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress has two edge nodes use one address in turn. Unlike a worker, a node whose
+// address another one has taken may register again under its old ID.
 func TestRegistryMachine_DecideHeartbeat_nodeReturnsToItsAddress(t *testing.T) {
 	s, _ := newOwningServer(t)
 	machine := s.registryMachine(shards.ForService(registry.NodesService))
@@ -108,18 +110,19 @@
 		node := registry.Instance{ID: id, Service: registry.NodesService, Address: "10.0.0.1:7660", Slots: 1}
 		decision, owned := machine.decideHeartbeat(time.Now(), registry.Heartbeat{Instance: node})
 		if !owned || decision.Action != registry.Propose {
-			t.Fatalf("%s: %+v", id, decision)
+			t.Fatalf("heartbeat of node %s: decision %+v, owned %t, want a proposal by the owner", id, decision, owned)
 		}
 		machine.Apply(consensus.Entry{Index: uint64(index + 1), Data: decision.Command})
 	}
 	if known, removed := machine.lookUp("n1"); !known || removed {
-		t.Fatal("the node is not back")
+		t.Fatalf("node n1 after its return: known %t, want true; removed %t, want false", known, removed)
 	}
 }
 
-// TestServer_Handle_responsesToWorkersAreSmall gives the longest and oddest calls; workers take no answer of more than 4 KiB.
+// TestServer_Handle_responsesToWorkersAreSmall sends long and malformed heartbeats. Workers accept no response of more than 4 KiB and wait
+// less than a second for it.
 func TestServer_Handle_responsesToWorkersAreSmall(t *testing.T) {
-	const most = 4 << 10
+	const maxBodySize = 4<<10 - 1024 // 1 KiB is left for the head of the response
 	s, _ := newOwningServer(t)
 	long := strings.Repeat("x", 1<<15)
 	bodies := []string{
@@ -129,17 +132,17 @@
 	for _, body := range bodies {
 		for _, id := range []string{presentID, long[:200], long} {
 			reply := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: id, Body: []byte(body)})
-			if size := len(reply.Body); size > most-1024 { // the head has the rest
-				t.Errorf("%.40q: an answer of %d bytes", body, size)
+			if size := len(reply.Body); size > maxBodySize {
+				t.Errorf("heartbeat %.40q: response body of %d bytes, want at most %d", body, size, maxBodySize)
 			}
 		}
 	}
 	for _, entry := range registry.Codes() {
-		if size := len(errorBody(int(entry.Code), entry.Text)); size > most-1024 {
-			t.Errorf("%s: %d bytes", entry.Name, size)
+		if size := len(errorBody(int(entry.Code), entry.Text)); size > maxBodySize {
+			t.Errorf("error %s: response body of %d bytes, want at most %d", entry.Name, size, maxBodySize)
 		}
 	}
 	if smallCallTimeout >= time.Second {
-		t.Error("workers wait for a second")
+		t.Errorf("smallCallTimeout is %s, want less than the second that workers wait", smallCallTimeout)
 	}
 }
--- a/internal/controlplane/server/exposition_test.go
+++ b/internal/controlplane/server/exposition_test.go
@@ -31,7 +31,7 @@
 		"router_controlplane_shard_disk_bytes 1": 7, "router_controlplane_calls_total POST 503": 1, "router_controlplane_prefill_workers lm": 4,
 	} {
 		if got, found := values[key]; !found || got != want {
-			t.Errorf("%s is %v, want %v", key, got, want)
+			t.Errorf("sample %q is %v (found: %t), want %v", key, got, found, want)
 		}
 	}
 }
--- a/internal/controlplane/server/forward_test.go
+++ b/internal/controlplane/server/forward_test.go
@@ -14,9 +14,9 @@
 	s, groups, network := newScriptedServer(t)
 	groups[0].set(followerStatus("b"))
 	network.reply = func(string, int) (shardResponse, error) { return okResponse([]byte(`{"generation":1}`)), nil }
-	reply := s.forward(timeoutContext(t), replaceRequest)
-	if reply.Status != http.StatusOK || string(reply.Body) != `{"generation":1}` || network.asked[0] != "b" {
-		t.Fatal(reply, network.asked)
+	response := s.forward(timeoutContext(t), replaceRequest)
+	if response.Status != http.StatusOK || string(response.Body) != `{"generation":1}` || network.calledAddresses[0] != "b" {
+		t.Fatalf("forward returned %+v after calls to %q, want the response of b", response, network.calledAddresses)
 	}
 }
 
@@ -29,8 +29,8 @@
 		}
 		return okResponse(nil), nil
 	}
-	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
-		t.Fatal(reply, network.asked)
+	if response := s.forward(timeoutContext(t), replaceRequest); response.Status != http.StatusOK || strings.Join(network.calledAddresses, "") != "bc" {
+		t.Fatalf("forward returned %+v after calls to %q, want status 200 from c after the hint of b", response, network.calledAddresses)
 	}
 }
 
@@ -45,36 +45,35 @@
 		}
 		return okResponse(nil), nil
 	}
-	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
-		t.Fatal(reply, network.asked)
+	if response := s.forward(timeoutContext(t), replaceRequest); response.Status != http.StatusOK || strings.Join(network.calledAddresses, "") != "bc" {
+		t.Fatalf("forward returned %+v after calls to %q, want status 200 from the new leader c after the failed call to b", response, network.calledAddresses)
 	}
 }
 
 func TestServer_Forward_abandonsReplacedOwner(t *testing.T) {
 	s, groups, network := newScriptedServer(t)
-	network.hang, network.hanging = "b", make(chan struct{})
+	network.hangAddress, network.hangingCalls = "b", make(chan struct{})
 	network.reply = func(string, int) (shardResponse, error) { return okResponse(nil), nil }
 	groups[0].set(followerStatus("b"))
 	s.onGroupStatus(s.shards[0], followerStatus("b"))
-	replies := make(chan shardResponse, 1)
-	go func() { replies <- s.forward(timeoutContext(t), replaceRequest) }()
-	<-network.hanging
+	responses := make(chan shardResponse, 1)
+	go func() { responses <- s.forward(timeoutContext(t), replaceRequest) }()
+	<-network.hangingCalls
 	groups[0].set(followerStatus("c"))
 	s.onGroupStatus(s.shards[0], followerStatus("c"))
-	if reply := <-replies; reply.Status != http.StatusOK || strings.Join(network.asked, "") != "bc" {
-		t.Fatal(reply, network.asked)
+	if response := <-responses; response.Status != http.StatusOK || strings.Join(network.calledAddresses, "") != "bc" {
+		t.Fatalf("forward returned %+v after calls to %q, want status 200 from the new leader c after the canceled call to b", response, network.calledAddresses)
 	}
 }
 
 func TestServer_Forward_withoutOwnerEndsInTime(t *testing.T) {
 	s, groups, network := newScriptedServer(t)
-	status := followerStatus("")
-	groups[0].set(status)
-	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, errors.New("not to be asked") }
+	groups[0].set(followerStatus(""))
+	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, errors.New("unexpected call") }
 	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := s.forward(ctx, replaceRequest); reply.Status != http.StatusServiceUnavailable || reply.Code != int(NoOwner) {
-		t.Fatal(reply)
+	if response := s.forward(ctx, replaceRequest); response.Status != http.StatusServiceUnavailable || response.Code != int(NoOwner) {
+		t.Fatalf("forward without an owner returned %+v, want status 503 and code %d", response, NoOwner)
 	}
 }
 
@@ -84,8 +83,8 @@
 	network.reply = func(string, int) (shardResponse, error) { return shardResponse{}, peertransport.ErrOutcomeUnknown }
 	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := s.forward(ctx, replaceRequest); reply.Status != http.StatusServiceUnavailable || reply.Code != int(OutcomeUnknown) {
-		t.Fatal(reply)
+	if response := s.forward(ctx, replaceRequest); response.Status != http.StatusServiceUnavailable || response.Code != int(OutcomeUnknown) {
+		t.Fatalf("forward after calls with unknown outcomes returned %+v, want status 503 and code %d", response, OutcomeUnknown)
 	}
 }
 
@@ -98,28 +97,29 @@
 		}
 		return okResponse(nil), nil
 	}
-	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK || strings.Join(network.asked, "") != "xy" {
-		t.Fatal(reply, network.asked)
+	if response := s.forward(timeoutContext(t), replaceRequest); response.Status != http.StatusOK || strings.Join(network.calledAddresses, "") != "xy" {
+		t.Fatalf("forward returned %+v after calls to %q, want status 200 from y after the hint of x", response, network.calledAddresses)
 	}
 }
 
-// TestServer_Forward_outlastsElectionsOfOtherShards changes the owners of other shards whenever the call is rejected.
+// TestServer_Forward_outlastsElectionsOfOtherShards changes the owners of other shards whenever a server answers that it is not the owner.
+// These changes must not make forward give up before the owner is known.
 func TestServer_Forward_outlastsElectionsOfOtherShards(t *testing.T) {
 	s, groups, network := newScriptedServer(t)
 	s.directory.learn(serverInfo{Address: "x", Zone: "z"})
-	const refusals = 8
+	const notOwnerResponses = 8
 	network.reply = func(address string, attempt int) (shardResponse, error) {
 		if address == "b" {
 			return okResponse(nil), nil
 		}
-		if attempt == refusals {
+		if attempt == notOwnerResponses {
 			groups[0].set(followerStatus("b"))
 		}
 		s.ownersChanged.notifyAll()
 		return notOwnerResponse(""), nil
 	}
-	if reply := s.forward(timeoutContext(t), replaceRequest); reply.Status != http.StatusOK {
-		t.Fatal(reply, network.asked)
+	if response := s.forward(timeoutContext(t), replaceRequest); response.Status != http.StatusOK {
+		t.Fatalf("forward returned %+v after calls to %q, want status 200 from b", response, network.calledAddresses)
 	}
 }
 
@@ -130,10 +130,10 @@
 	network.reply = func(address string, _ int) (shardResponse, error) { return notOwnerResponse(other[address]), nil }
 	ctx, cancel := context.WithTimeout(t.Context(), 3*ownerRetryInterval)
 	defer cancel()
-	if reply := s.forward(ctx, replaceRequest); reply.Code != int(NoOwner) {
-		t.Fatal(reply)
+	if response := s.forward(ctx, replaceRequest); response.Code != int(NoOwner) {
+		t.Fatalf("forward to servers that name each other returned %+v, want code %d", response, NoOwner)
 	}
-	if len(network.asked) > 1+maxOwnerHints+3 {
-		t.Fatal(network.asked)
+	if len(network.calledAddresses) > 1+maxOwnerHints+3 {
+		t.Fatalf("%d calls to servers that name each other, want at most %d: %q", len(network.calledAddresses), 1+maxOwnerHints+3, network.calledAddresses)
 	}
 }
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -16,71 +16,73 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// httpHost is the API of a server whose group accepts everything, and counts it.
-type httpHost struct {
+// apiFixture is the API of a server whose configuration group accepts and counts all proposals.
+type apiFixture struct {
 	t        *testing.T
 	server   *Server
 	address  string
 	proposed atomic.Int64
 }
 
-func newHTTPHost(t *testing.T) *httpHost {
+func newAPIFixture(t *testing.T) *apiFixture {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
-	h := &httpHost{t: t, server: s}
+	f := &apiFixture{t: t, server: s}
 	groups[0].set(leaderStatus())
 	groups[0].submit = func(context.Context, []byte) (any, error) {
-		number := h.proposed.Add(1)
+		number := f.proposed.Add(1)
 		return configuration.Outcome{HTTPStatus: http.StatusOK, Generation: uint64(number)}, nil
 	}
-	h.address = strings.TrimPrefix(serveAPI(t, s), "http://")
-	return h
+	f.address = strings.TrimPrefix(serveAPI(t, s), "http://")
+	return f
 }
 
-func (h *httpHost) dial() net.Conn {
-	h.t.Helper()
-	connection, err := net.Dial("tcp4", h.address)
+func (f *apiFixture) dial() net.Conn {
+	f.t.Helper()
+	connection, err := net.Dial("tcp4", f.address)
 	if err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { _ = connection.Close() })
+	f.t.Cleanup(func() { _ = connection.Close() })
 	if err := connection.SetDeadline(time.Now().Add(clusterTimeout)); err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return connection
 }
 
-// configurationRequestHead is the head of a configuration change with further header lines.
+// configurationRequestHead returns the head of a configuration change with additional header lines.
 func configurationRequestHead(lines ...string) string {
 	return "POST /-/Config.Replace HTTP/1.1\r\nHost: control\r\nX-Base-Version: 0\r\n" + strings.Join(append(lines, "\r\n"), "\r\n")
 }
 
-func withContentLength(body string) string {
+// requestWithContentLength returns a configuration change whose body is sent with a Content-Length header.
+func requestWithContentLength(body string) string {
 	return configurationRequestHead(fmt.Sprintf("Content-Length: %d", len(body))) + body
 }
 
-func chunkedBody(body string) string {
+// chunkedRequest returns a configuration change whose body is sent as one chunk, without the last chunk that ends the body.
+func chunkedRequest(body string) string {
 	return configurationRequestHead("Transfer-Encoding: chunked") + fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 }
 
-// A truncated change is not executed, even if what has arrived would be a valid one.
+// A truncated request must not be executed, even if the part that has arrived would be a valid change.
 func TestAPI_truncatedRequestIsNotExecuted(t *testing.T) {
 	body := configurationJSON(1)
 	for name, sent := range map[string]string{
-		"in its first line":            withContentLength(body)[:12],
-		"in its head":                  withContentLength(body)[:40],
-		"after its head":               configurationRequestHead(fmt.Sprintf("Content-Length: %d", len(body))),
-		"in its body":                  withContentLength(body + " ")[:len(withContentLength(body+" "))-1],
-		"in its first chunk":           chunkedBody(body)[:len(chunkedBody(body))-9],
-		"after a chunk that is whole":  chunkedBody(body),
-		"in the last chunk":            chunkedBody(body) + "0",
-		"in a further chunk":           chunkedBody(body) + "5\r\n  ",
-		"with a length that is false":  configurationRequestHead("Content-Length: x") + body,
-		"with two lengths that differ": configurationRequestHead("Content-Length: 3", fmt.Sprintf("Content-Length: %d", len(body))) + body[:3],
+		"in the request line":                    requestWithContentLength(body)[:12],
+		"in the header lines":                    requestWithContentLength(body)[:40],
+		"after the header":                       configurationRequestHead(fmt.Sprintf("Content-Length: %d", len(body))),
+		"in the body":                            requestWithContentLength(body + " ")[:len(requestWithContentLength(body+" "))-1],
+		"in the first chunk":                     chunkedRequest(body)[:len(chunkedRequest(body))-9],
+		"after a complete chunk":                 chunkedRequest(body),
+		"in the last chunk":                      chunkedRequest(body) + "0",
+		"in a second chunk":                      chunkedRequest(body) + "5\r\n  ",
+		"invalid Content-Length":                 configurationRequestHead("Content-Length: x") + body,
+		"two Content-Length headers that differ": configurationRequestHead("Content-Length: 3", fmt.Sprintf("Content-Length: %d", len(body))) + body[:3],
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHTTPHost(t)
-			connection := h.dial()
+			f := newAPIFixture(t)
+			connection := f.dial()
 			if _, err := io.WriteString(connection, sent); err != nil {
 				t.Fatal(err)
 			}
@@ -88,29 +90,29 @@
 				t.Fatal(err)
 			}
 			answer, _ := io.ReadAll(connection)
-			if strings.Contains(string(answer), " 200 ") || h.proposed.Load() != 0 {
-				t.Fatalf("%d changes are executed, the answer is %q", h.proposed.Load(), answer)
+			if strings.Contains(string(answer), " 200 ") || f.proposed.Load() != 0 {
+				t.Fatalf("truncated request: %d changes were proposed and the response is %q, want no change and no status 200", f.proposed.Load(), answer)
 			}
 		})
 	}
 }
 
-// Changes that follow one another on a connection are answered in the same order and share no bytes.
+// Pipelined requests on one connection must be answered in their order, and the bytes of one must not end up in another.
 func TestAPI_severalRequestsOnOneConnection(t *testing.T) {
-	h := newHTTPHost(t)
-	connection := h.dial()
-	const orders = 20
+	f := newAPIFixture(t)
+	connection := f.dial()
+	const requests = 20
 	sent := ""
-	for number := range orders {
-		order := withContentLength(configurationJSON(number + 1))
+	for number := range requests {
+		request := requestWithContentLength(configurationJSON(number + 1))
 		if number%2 == 1 {
-			order = chunkedBody(configurationJSON(number+1)) + "0\r\n\r\n"
+			request = chunkedRequest(configurationJSON(number+1)) + "0\r\n\r\n"
 		}
-		sent += order
+		sent += request
 	}
 	go func() { _, _ = io.WriteString(connection, sent) }()
 	reader := bufio.NewReader(connection)
-	for number := range orders {
+	for number := range requests {
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -118,38 +120,38 @@
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if want := string(generationBody(uint64(number + 1))); err != nil || string(body) != want {
-			t.Fatalf("answer %d is %q, %v", number, body, err)
+			t.Fatalf("body of response %d is %q (error: %v), want %q", number, body, err, want)
 		}
 	}
-	if h.proposed.Load() != orders {
-		t.Fatalf("%d changes are executed", h.proposed.Load())
+	if f.proposed.Load() != requests {
+		t.Fatalf("%d changes were proposed, want %d", f.proposed.Load(), requests)
 	}
 }
 
-// A server that shuts down answers, and closes the connection so that callers switch to others.
+// A server that is shutting down must answer the current request and then close the connection, so that callers switch to another server.
 func TestAPI_shuttingDownServerClosesConnections(t *testing.T) {
-	h := newHTTPHost(t)
-	h.server.lifecycle.shuttingDown.Store(true)
-	connection := h.dial()
-	if _, err := io.WriteString(connection, withContentLength(configurationJSON(1))+withContentLength(configurationJSON(2))); err != nil {
+	f := newAPIFixture(t)
+	f.server.lifecycle.shuttingDown.Store(true)
+	connection := f.dial()
+	if _, err := io.WriteString(connection, requestWithContentLength(configurationJSON(1))+requestWithContentLength(configurationJSON(2))); err != nil {
 		t.Fatal(err)
 	}
 	reader := bufio.NewReader(connection)
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil || response.StatusCode != http.StatusOK || !response.Close {
-		t.Fatal(response, err)
+		t.Fatalf("response %+v, error %v; want status 200 and Connection: close", response, err)
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	if rest, _ := io.ReadAll(reader); len(rest) != 0 || h.proposed.Load() != 1 {
-		t.Fatalf("%q follows, %d changes are executed", rest, h.proposed.Load())
+	if rest, _ := io.ReadAll(reader); len(rest) != 0 || f.proposed.Load() != 1 {
+		t.Fatalf("%q follows the first response and %d changes were proposed, want no more bytes and one change", rest, f.proposed.Load())
 	}
 }
 
-// A change that is too long is rejected in every state, and not executed.
+// A request whose body is longer than maxBodyBytes must be rejected and not executed.
 func TestAPI_tooLongRequestIsRejected(t *testing.T) {
-	h := newHTTPHost(t)
-	connection := h.dial()
+	f := newAPIFixture(t)
+	connection := f.dial()
 	head := configurationRequestHead(fmt.Sprintf("Content-Length: %d", maxBodyBytes+1))
 	if _, err := io.WriteString(connection, head); err != nil {
 		t.Fatal(err)
@@ -159,12 +161,12 @@
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	if response.StatusCode != http.StatusRequestEntityTooLarge || h.proposed.Load() != 0 {
-		t.Fatal(response.Status, h.proposed.Load())
+	if response.StatusCode != http.StatusRequestEntityTooLarge || f.proposed.Load() != 0 {
+		t.Fatalf("request with a body that is too long: status %s and %d proposals, want 413 and none", response.Status, f.proposed.Load())
 	}
 }
 
-// serveAPI runs the API of a scripted server.
+// serveAPI runs a server's API until the test ends, and returns its base URL.
 func serveAPI(t *testing.T, server *Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -184,7 +186,8 @@
 	return "http://" + listener.Addr().String()
 }
 
-func TestAPI_rejectsByTheRulesOnly(t *testing.T) {
+// Failed calls must have the documented status, and exactly those with status 503 a Retry-After header.
+func TestAPI_failedCallsHaveDocumentedStatus(t *testing.T) {
 	s, groups, network := newScriptedServer(t)
 	groups[0].set(followerStatus("b"))
 	network.reply = func(string, int) (shardResponse, error) { return errorResponse(OutcomeUnknown), nil }
@@ -194,11 +197,11 @@
 		status                 int
 	}{
 		{"unknown outcome", "/-/Config.Replace", "0", configurationJSON(1), http.StatusServiceUnavailable},
-		{"no JSON", "/-/Config.Replace", "0", "{", http.StatusBadRequest},
-		{"bad base", "/-/Config.Replace", "x", configurationJSON(1), http.StatusBadRequest},
-		{"no such call", "/-/Config.Remove", "0", "", http.StatusNotFound},
-		{"no JSON in a heartbeat", "/-/Instances.Heartbeat/i", "0", "{", http.StatusBadRequest},
-		{"a heartbeat that is too large", "/-/Instances.Heartbeat/i", "0", strings.Repeat(" ", maxHeartbeatBytes+1), http.StatusRequestEntityTooLarge},
+		{"invalid JSON", "/-/Config.Replace", "0", "{", http.StatusBadRequest},
+		{"invalid base version", "/-/Config.Replace", "x", configurationJSON(1), http.StatusBadRequest},
+		{"unknown path", "/-/Config.Remove", "0", "", http.StatusNotFound},
+		{"heartbeat with invalid JSON", "/-/Instances.Heartbeat/i", "0", "{", http.StatusBadRequest},
+		{"heartbeat that is too large", "/-/Instances.Heartbeat/i", "0", strings.Repeat(" ", maxHeartbeatBytes+1), http.StatusRequestEntityTooLarge},
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clusterTimeout}
 	for _, test := range cases {
@@ -214,10 +217,10 @@
 			}
 			defer func() { _ = response.Body.Close() }()
 			if response.StatusCode != test.status {
-				t.Fatal(response.Status)
+				t.Fatalf("status %s, want %d", response.Status, test.status)
 			}
 			if retry := response.Header.Get("Retry-After"); (retry != "") != (test.status == http.StatusServiceUnavailable) {
-				t.Fatalf("Retry-After %q", retry)
+				t.Fatalf("response with status %d has Retry-After %q; only status 503 must have the header", test.status, retry)
 			}
 		})
 	}
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -16,16 +16,17 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
+// stagedService is a service whose workers have prefill and decode roles.
 const stagedService = "llm"
 
-// scriptedWorkerClient plays the workers that a server calls.
+// scriptedWorkerClient records role commands and answers them, and polls, as a test sets.
 type scriptedWorkerClient struct {
 	mutex  sync.Mutex
 	sent   []RoleCommand
-	status int
-	before func(order RoleCommand)
-	roles  map[string]string // by ID, as polled
-	polls  int
+	status int                       // answer to every command
+	before func(command RoleCommand) // called before a command is recorded, if not nil
+	roles  map[string]string         // reported roles by instance ID
+	polls  int                       // number of polls so far
 }
 
 func (w *scriptedWorkerClient) SendRoleCommand(_ context.Context, command RoleCommand) int {
@@ -51,7 +52,7 @@
 	return append([]RoleCommand(nil), w.sent...)
 }
 
-// rolePlannerFixture is a server that owns the shard of a service with two prefill and seven decode workers.
+// rolePlannerFixture is a server that owns the shard of stagedService, which has two prefill and seven decode workers.
 type rolePlannerFixture struct {
 	*testing.T
 	server  *Server
@@ -59,7 +60,7 @@
 	workers *scriptedWorkerClient
 	id      shards.ID
 	roles   shardRoles
-	now     time.Time // of the fixture's clock
+	now     time.Time // the server's clock
 }
 
 func newRolePlannerFixture(t *testing.T) *rolePlannerFixture {
@@ -89,7 +90,7 @@
 	return fixture
 }
 
-// becomeOwner makes the server the owner in a term.
+// becomeOwner makes the server the owner of the service's shard in a term.
 func (f *rolePlannerFixture) becomeOwner(term uint64) {
 	status := leaderStatus()
 	status.Term = term
@@ -99,7 +100,7 @@
 	machine.ownershipGained(f.now, term)
 }
 
-// run plays a duration in the steps of the loop, while proxies report a demand that needs more prefill workers.
+// run advances the clock by a duration in planning steps, while a proxy reports a demand that needs more prefill workers.
 func (f *rolePlannerFixture) run(duration time.Duration) {
 	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(rolePlanInterval) {
 		report, err := roleplanner.EncodeReport([]roleplanner.ServiceDemand{{Service: stagedService, Demand: roleplanner.Demand{
@@ -121,23 +122,23 @@
 	lease := bootconfig.Millis(fixture.server.settings.Bounds.LeaseMs)
 	fixture.run(lease)
 	if commands := fixture.workers.commands(); len(commands) != 0 {
-		fixture.Fatalf("%+v", commands)
+		fixture.Fatalf("a new owner sent %+v within the earlier owner's lease, want no command", commands)
 	}
 	fixture.run(4 * time.Second)
 	commands := fixture.workers.commands()
 	if len(commands) == 0 {
-		fixture.Fatal("no command")
+		fixture.Fatal("no command was sent in the 4 seconds after the lease")
 	}
 	for _, command := range commands {
 		if command.FencingToken != 3 || command.LeaseHolder != fixture.server.settings.NodeName || command.Role != roleplanner.Prefill || command.Address == "" {
-			fixture.Fatalf("%+v", command)
+			fixture.Fatalf("command %+v, want the role prefill, token 3, holder %q and an address", command, fixture.server.settings.NodeName)
 		}
 	}
 	fixture.becomeOwner(7)
 	before := len(commands)
 	fixture.run(lease)
 	if after := fixture.workers.commands(); len(after) != before {
-		fixture.Fatalf("%d commands within the lease of the earlier term", len(after)-before)
+		fixture.Fatalf("%d commands were sent within the lease of the earlier term, want none", len(after)-before)
 	}
 }
 
@@ -148,7 +149,7 @@
 	fixture.group.set(status)
 	fixture.run(20 * time.Second)
 	if commands := fixture.workers.commands(); len(commands) != 0 {
-		fixture.Fatalf("%+v", commands)
+		fixture.Fatalf("an owner without contact with a majority sent %+v, want no command", commands)
 	}
 }
 
@@ -160,21 +161,21 @@
 	fixture.server.registryMachine(fixture.id).setLeaderTerm(0)
 	fixture.run(20 * time.Second)
 	if after := len(fixture.workers.commands()); after != before || fixture.roles.term != 0 {
-		fixture.Fatalf("%d commands", after-before)
+		fixture.Fatalf("after the ownership ended, %d commands were sent and the planner is in term %d, want none and 0", after-before, fixture.roles.term)
 	}
 }
 
 func TestServer_PlanShardRoles_assignmentIsRecordedBeforeCommand(t *testing.T) {
 	fixture := newRolePlannerFixture(t)
-	early := 0
+	unrecorded := 0
 	fixture.workers.before = func(command RoleCommand) {
 		if fixture.server.registryMachine(fixture.id).store.Instance(command.Instance).Assigned != command.Role {
-			early++
+			unrecorded++
 		}
 	}
 	fixture.run(6 * time.Second)
-	if len(fixture.workers.commands()) == 0 || early > 0 {
-		fixture.Fatalf("%d of %d commands came before their record", early, len(fixture.workers.commands()))
+	if len(fixture.workers.commands()) == 0 || unrecorded > 0 {
+		fixture.Fatalf("%d of %d commands were sent before the assignment was recorded, want none of at least one", unrecorded, len(fixture.workers.commands()))
 	}
 }
 
@@ -191,7 +192,7 @@
 	fixture.run(time.Second)
 	for id := range fixture.workers.roles {
 		if stage := fixture.server.registryMachine(fixture.id).store.Instance(id).Stage; stage != roleplanner.Prefill {
-			fixture.Fatalf("%s is recorded as %s", id, stage)
+			fixture.Fatalf("worker %s reported prefill and is recorded as %q", id, stage)
 		}
 	}
 }
@@ -201,7 +202,7 @@
 	s.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicDemand, []byte{9, 9})
 	s.OnReport(feedtransport.Hello{Node: "edge-1"}, feedtransport.TopicSuspicion, nil)
 	if sums := s.demands.byShard(0); len(sums) != 0 {
-		t.Fatal(sums)
+		t.Fatalf("after invalid reports, the demand by shard is %v, want none", sums)
 	}
 }
 
@@ -211,7 +212,7 @@
 		400: roleplanner.Rejected, 412: roleplanner.Rejected, 421: roleplanner.Rejected,
 	} {
 		if result := commandResult(status); result != expected {
-			t.Errorf("%d is %d", status, result)
+			t.Errorf("result of an answer with status %d is %d, want %d", status, result, expected)
 		}
 	}
 }
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -14,13 +14,13 @@
 	"ospreybend/internal/util/bootconfig"
 )
 
-// scriptedGroup is a replica whose status and results a test sets.
+// scriptedGroup is a replica group whose status and results a test sets.
 type scriptedGroup struct {
 	mutex   sync.Mutex
 	status  replica.Status
-	propose func() (any, error)
-	submit  func(ctx context.Context, data []byte) (any, error) // in place of propose
-	barrier func(ctx context.Context) error                     // nil: at once
+	propose func() (any, error)                                 // result of proposals if submit is nil
+	submit  func(ctx context.Context, data []byte) (any, error) // takes precedence over propose
+	barrier func(ctx context.Context) error                     // nil: read barriers succeed at once
 }
 
 func (g *scriptedGroup) Step(consensus.Message) {}
@@ -59,14 +59,14 @@
 	g.status = status
 }
 
-// scriptedNetwork answers calls by a function.
+// scriptedNetwork records the addresses of calls and answers them with the reply function.
 type scriptedNetwork struct {
-	mutex sync.Mutex
-	asked []string
-	reply func(address string, attempt int) (shardResponse, error)
+	mutex           sync.Mutex
+	calledAddresses []string
+	reply           func(address string, attempt int) (shardResponse, error)
 
-	hang    string        // calls to this address end with their context only
-	hanging chan struct{} // one token for each of them
+	hangAddress  string        // calls to this address block until their context ends
+	hangingCalls chan struct{} // receives a token for each call that blocks
 }
 
 func (n *scriptedNetwork) Send(consensus.Member, shards.ID, consensus.Message) {}
@@ -75,11 +75,11 @@
 
 func (n *scriptedNetwork) Call(ctx context.Context, address string, _ peertransport.CallKind, _ []byte) ([]byte, error) {
 	n.mutex.Lock()
-	n.asked = append(n.asked, address)
-	attempt := len(n.asked)
+	n.calledAddresses = append(n.calledAddresses, address)
+	attempt := len(n.calledAddresses)
 	n.mutex.Unlock()
-	if address == n.hang {
-		n.hanging <- struct{}{}
+	if address == n.hangAddress {
+		n.hangingCalls <- struct{}{}
 		<-ctx.Done()
 		return nil, peertransport.ErrOutcomeUnknown
 	}
@@ -90,7 +90,7 @@
 	return encodeShardResponse(reply)
 }
 
-// newScriptedServer returns a server whose groups and network a test scripts.
+// newScriptedServer returns a server with scripted groups and a scripted network.
 func newScriptedServer(t *testing.T) (*Server, [shards.ShardCount]*scriptedGroup, *scriptedNetwork) {
 	t.Helper()
 	config := bootconfig.Defaults()
@@ -109,6 +109,7 @@
 	return s, groups, network
 }
 
+// followerStatus returns the status of a follower in a group of two voters that is led from the given address.
 func followerStatus(address string) replica.Status {
 	return replica.Status{
 		Role: consensus.RoleFollower, Leader: consensus.Member{ID: 2, Address: address},
@@ -118,11 +119,12 @@
 
 func leaderStatus() replica.Status { return replica.Status{Role: consensus.RoleLeader, Term: 3} }
 
+// timeoutContext returns a context with the timeout of a small API call.
 func timeoutContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), smallCallTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// replaceRequest is any request to the configuration shard.
+// replaceRequest is a request to the configuration shard for tests that do not depend on its content.
 var replaceRequest = shardRequest{Kind: callReplace, Shard: shards.ConfigurationShard, Body: []byte("{}")}
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -8,12 +8,14 @@
 	"ospreybend/internal/controlplane/registry"
 )
 
+// The instance, and its service, of tests that need just one.
 const (
 	presentID      = "i-1"
 	presentService = "s"
 )
 
-// newServerWithInstance returns a server that follows the shard of an instance and has its record.
+// newServerWithInstance returns a server that is a follower in the shard of an instance and has its record, the shard's group, and a
+// heartbeat that matches the record.
 func newServerWithInstance(t *testing.T) (*Server, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
@@ -33,21 +35,21 @@
 	for _, sequence := range []uint64{5, 7, 6} {
 		heartbeat.Sequence = sequence
 		if !s.acknowledgeLocally(id, heartbeat) {
-			t.Fatal("an unchanged heartbeat was not acknowledged")
+			t.Fatalf("unchanged heartbeat with sequence number %d was not acknowledged locally", sequence)
 		}
 	}
 	if drained := s.liveness.drain(id); len(drained) != 1 || drained[0] != (sessionHeartbeat{ID: presentID, Sequence: 7}) {
-		t.Fatal(drained)
+		t.Fatalf("heartbeats to report: %+v, want one of %s with sequence number 7", drained, presentID)
 	}
 	if drained := s.liveness.drain(id); len(drained) != 0 {
-		t.Fatal("reported twice", drained)
+		t.Fatalf("heartbeats to report after the first report: %+v, want none", drained)
 	}
 }
 
 func TestServer_AcknowledgeLocally_changedHeartbeatNeedsOwner(t *testing.T) {
 	cases := map[string]func(s *Server, group *scriptedGroup, heartbeat *registry.Heartbeat){
 		"draining":        func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.State = registry.Draining },
-		"another stage":   func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Stage = "decode" },
+		"another role":    func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Stage = "decode" },
 		"another address": func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.Address = "10.9.9.9:9" },
 		"not recorded":    func(_ *Server, _ *scriptedGroup, heartbeat *registry.Heartbeat) { heartbeat.ID = "i-2" },
 		"not current": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) {
@@ -55,7 +57,7 @@
 			status.ConfirmedAge = 2 * currentMaxAge
 			group.set(status)
 		},
-		"leads itself": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
+		"is the leader": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
 		"removed": func(s *Server, _ *scriptedGroup, _ *registry.Heartbeat) {
 			s.registryMachine(shards.ForService(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
 		},
@@ -65,7 +67,7 @@
 			s, group, heartbeat := newServerWithInstance(t)
 			alter(s, group, &heartbeat)
 			if s.acknowledgeLocally(shards.ForService(presentService), heartbeat) {
-				t.Fatal("acknowledged without the owner")
+				t.Fatalf("heartbeat %+v was acknowledged without the owner", heartbeat)
 			}
 		})
 	}
--- a/internal/controlplane/server/shard_owner_test.go
+++ b/internal/controlplane/server/shard_owner_test.go
@@ -20,24 +20,24 @@
 		name   string
 		result any
 		err    error
-		status int // 0: not the owner
+		status int // 0 if the response says that the server is not the owner
 		leader string
 	}{
 		{"accepted", accepted, nil, http.StatusOK, ""},
-		{"refused when applied", stale, nil, http.StatusPreconditionFailed, ""},
-		{"unknown", nil, replica.ErrUnknownOutcome, http.StatusServiceUnavailable, ""},
+		{"rejected when applied", stale, nil, http.StatusPreconditionFailed, ""},
+		{"unknown outcome", nil, replica.ErrUnknownOutcome, http.StatusServiceUnavailable, ""},
 		{"busy", nil, consensus.ErrTooManyUncommitted, http.StatusServiceUnavailable, ""},
-		{"too late", nil, context.DeadlineExceeded, http.StatusServiceUnavailable, ""},
+		{"deadline exceeded", nil, context.DeadlineExceeded, http.StatusServiceUnavailable, ""},
 		{"not the leader", nil, replica.NotLeaderError{Leader: consensus.Member{ID: 2, Address: "b"}}, 0, "b"},
-		{"being handed over", nil, consensus.ErrTransferInProgress, 0, ""},
+		{"transferring leadership", nil, consensus.ErrTransferInProgress, 0, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			s, groups, _ := newScriptedServer(t)
 			groups[0].propose = func() (any, error) { return test.result, test.err }
-			reply := s.execute(timeoutContext(t), replaceRequest)
-			if reply.Status != test.status || reply.NotOwner != (test.status == 0) || reply.Leader != test.leader {
-				t.Fatalf("%+v", reply)
+			response := s.execute(timeoutContext(t), replaceRequest)
+			if response.Status != test.status || response.NotOwner != (test.status == 0) || response.Leader != test.leader {
+				t.Fatalf("response %+v, want status %d, not owner %t, leader %q", response, test.status, test.status == 0, test.leader)
 			}
 		})
 	}
@@ -55,24 +55,24 @@
 		return nil, replica.ErrUnknownOutcome
 	}
 	heartbeat := shardRequest{Kind: callHeartbeat, Shard: id, ID: "i", Body: []byte(heartbeatJSON("ready", 1))}
-	replies := make(chan shardResponse, 1)
+	responses := make(chan shardResponse, 1)
 	ctx := timeoutContext(t)
-	go func() { replies <- s.execute(ctx, heartbeat) }()
+	go func() { responses <- s.execute(ctx, heartbeat) }()
 	select {
 	case <-proposed:
-		t.Fatal("proposed before the shard is owned")
+		t.Fatal("the heartbeat was proposed before the server owns the shard")
 	case <-time.After(2 * ownerRetryInterval):
 	}
-	machine.ownershipGained(time.Now(), 2) // of an earlier term: no
+	machine.ownershipGained(time.Now(), 2) // of an earlier term: has no effect
 	machine.ownershipGained(time.Now(), 3)
 	s.ownersChanged.notifyAll()
-	if reply := <-replies; reply.Status != http.StatusServiceUnavailable {
-		t.Fatal(reply)
+	if response := <-responses; response.Status != http.StatusServiceUnavailable {
+		t.Fatalf("heartbeat whose proposal has an unknown outcome: response %+v, want status 503", response)
 	}
 	machine.setLeaderTerm(0)
 	groups[id].set(followerStatus("b"))
-	if reply := s.execute(ctx, heartbeat); !reply.NotOwner || reply.Leader != "b" {
-		t.Fatal(reply)
+	if response := s.execute(ctx, heartbeat); !response.NotOwner || response.Leader != "b" {
+		t.Fatalf("heartbeat at a follower: response %+v, want not owner, leader b", response)
 	}
 }
 
@@ -86,22 +86,22 @@
 	s.registryMachine(id).setLeaderTerm(3)
 	s.registryMachine(id).ownershipGained(time.Now(), 3)
 	unchanged := shardRequest{Kind: callHeartbeat, Shard: id, ID: heartbeat.ID, Body: []byte(heartbeatJSON("ready", 1))}
-	departure := shardRequest{Kind: callDeregister, Shard: id, ID: "i-unknown"}
-	for _, request := range []shardRequest{unchanged, departure} {
-		if reply := s.execute(timeoutContext(t), request); reply.Status != http.StatusServiceUnavailable {
-			t.Fatal(request.Kind, reply)
+	deregistration := shardRequest{Kind: callDeregister, Shard: id, ID: "i-unknown"}
+	for _, request := range []shardRequest{unchanged, deregistration} {
+		if response := s.execute(timeoutContext(t), request); response.Status != http.StatusServiceUnavailable {
+			t.Fatalf("request of kind %d to an owner that is not current: response %+v, want status 503", request.Kind, response)
 		}
 	}
 	group.set(leaderStatus())
-	if reply := s.execute(timeoutContext(t), unchanged); reply.Status != http.StatusOK {
-		t.Fatal(reply)
+	if response := s.execute(timeoutContext(t), unchanged); response.Status != http.StatusOK {
+		t.Fatalf("unchanged heartbeat at the current owner: response %+v, want status 200", response)
 	}
-	if reply := s.execute(timeoutContext(t), departure); reply.Status != http.StatusServiceUnavailable {
-		t.Fatal("a departure is acknowledged before it is committed", reply)
+	if response := s.execute(timeoutContext(t), deregistration); response.Status != http.StatusServiceUnavailable {
+		t.Fatalf("deregistration whose proposal has an unknown outcome: response %+v, want status 503", response)
 	}
 	group.propose = func() (any, error) { return registry.Outcome{Status: http.StatusOK}, nil }
-	if reply := s.execute(timeoutContext(t), departure); reply.Status != http.StatusOK || reply.Known {
-		t.Fatal(reply)
+	if response := s.execute(timeoutContext(t), deregistration); response.Status != http.StatusOK || response.Known {
+		t.Fatalf("committed deregistration of an unknown instance: response %+v, want status 200, not known", response)
 	}
 }
 
@@ -114,12 +114,12 @@
 	}
 	request := shardRequest{Kind: callSessionLiveness, Shard: id, Body: body}
 	groups[id].set(followerStatus("b"))
-	if reply := s.execute(t.Context(), request); !reply.NotOwner || reply.Leader != "b" {
-		t.Fatal(reply)
+	if response := s.execute(t.Context(), request); !response.NotOwner || response.Leader != "b" {
+		t.Fatalf("liveness report to a follower: response %+v, want not owner, leader b", response)
 	}
 	s.registryMachine(id).setLeaderTerm(3)
 	s.registryMachine(id).ownershipGained(time.Now(), 3)
-	if reply := s.execute(t.Context(), request); reply.Status != http.StatusOK {
-		t.Fatal(reply)
+	if response := s.execute(t.Context(), request); response.Status != http.StatusOK {
+		t.Fatalf("liveness report to the owner: response %+v, want status 200", response)
 	}
 }
--- a/internal/controlplane/server/suspicions_test.go
+++ b/internal/controlplane/server/suspicions_test.go
@@ -8,7 +8,7 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// reportSuspicion passes an agent's report to a server as its feed connection does.
+// reportSuspicion passes an agent's encoded suspicion report to a server, as a feed session does.
 func reportSuspicion(t *testing.T, s *Server, agent, ip string, suspected bool) {
 	t.Helper()
 	body, err := feedtransport.EncodeSuspicion(feedtransport.Suspicion{IP: ip, Suspected: suspected})
@@ -28,15 +28,15 @@
 	reportSuspicion(t, s, "edge-2", "10.1.0.8", true)
 	want := []suspectedMachine{{IP: "10.1.0.8", Agents: 1}, {IP: "10.1.0.9", Agents: 2}}
 	if got := s.suspicions.current(now); !reflect.DeepEqual(got, want) {
-		t.Fatalf("suspected %v, want %v", got, want)
+		t.Fatalf("suspected machines after the reports: %v, want %v", got, want)
 	}
 	reportSuspicion(t, s, "edge-2", "10.1.0.8", false)
 	now = now.Add(suspicionMaxAge)
-	reportSuspicion(t, s, "edge-2", "10.1.0.9", true) // edge-1 has gone silent
+	reportSuspicion(t, s, "edge-2", "10.1.0.9", true) // edge-1 does not repeat its report
 	now = now.Add(time.Millisecond)
 	want = []suspectedMachine{{IP: "10.1.0.9", Agents: 1}}
 	if got := s.suspicions.current(now); !reflect.DeepEqual(got, want) {
-		t.Errorf("suspected %v, want %v", got, want)
+		t.Errorf("suspected machines after an end and an expiry: %v, want %v", got, want)
 	}
 }
 
@@ -48,18 +48,18 @@
 	}
 	record("edge-1", true)
 	if failed, _ := s.changes(now); len(failed) > 0 {
-		t.Fatalf("one agent alone: %v", failed)
+		t.Fatalf("suspected by one agent: failed machines %v, want none", failed)
 	}
 	record("edge-2", true)
 	if failed, _ := s.changes(now); len(failed) != 1 {
-		t.Fatalf("two agents: %v", failed)
+		t.Fatalf("suspected by two agents: failed machines %v, want one", failed)
 	}
 	record("edge-1", false)
 	if failed, recovered := s.changes(now); len(failed)+len(recovered) > 0 {
-		t.Fatalf("still suspected by one: %v, %v", failed, recovered)
+		t.Fatalf("still suspected by one of two agents: failed machines %v, recovered %v, want none", failed, recovered)
 	}
 	record("edge-2", false)
 	if _, recovered := s.changes(now); len(recovered) != 1 {
-		t.Errorf("suspected by none: %v", recovered)
+		t.Errorf("no longer suspected by any agent: recovered machines %v, want one", recovered)
 	}
 }
