--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -124,7 +124,7 @@
 // member is also replaced if only its replica of this group has stopped.
 func (s *Server) sinceHeard(shard *shard, members []consensus.Member, now time.Time) map[consensus.MemberID]time.Duration {
 	leadingSince := shard.leadershipStart()
-	shard.keepHeard(members)
+	shard.pruneLastHeard(members)
 	sinceHeard := make(map[consensus.MemberID]time.Duration, len(members))
 	for _, member := range members {
 		sinceHeard[member.ID] = timeSinceHeard(now, shard.heardFrom(member.ID), leadingSince)
