--- a/internal/controlplane/server/buffer_ownership_test.go
+++ b/internal/controlplane/server/buffer_ownership_test.go
@@ -91,8 +91,8 @@
 	{"a whole configuration", APIReplace, "", configurationJSON(9)},
 	{"a change", APIUpdate, "", `{"generation":9}`},
 	{"a heartbeat", APIHeartbeat, "i-new", heartbeatJSON("ready", 1)},
-	{"a drain", APIHeartbeat, presentID, heartbeatJSON("draining", 2)},
-	{"a departure", APIDeregister, presentID, ""},
+	{"a drain", APIHeartbeat, testInstanceID, heartbeatJSON("draining", 2)},
+	{"a departure", APIDeregister, testInstanceID, ""},
 }
 
 func TestServer_APIHandler_proposalOwnsItsBytes(t *testing.T) {
@@ -103,7 +103,7 @@
 				s.setEveryGroup(leaderStatus(), nil)
 				proposals := &retainedProposals{}
 				for _, group := range s.groups {
-					group.submit = func(ctx context.Context, data []byte) (any, error) {
+					group.onPropose = func(ctx context.Context, data []byte) (any, error) {
 						proposals.retain(data)
 						<-ctx.Done()
 						return nil, replica.ErrUnknownOutcome
@@ -155,18 +155,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newDegradedServerFixture(t)
 		s.setEveryGroup(followerStatus(ownerAddress), nil)
-		request := newReusedBufferRequest(presentID, "", heartbeatJSON("ready", 5))
+		request := newReusedBufferRequest(testInstanceID, "", heartbeatJSON("ready", 5))
 		s.server.apiHandler(APIHeartbeat)(t.Context(), request.context)
 		request.overwrite()
-		drained := s.server.liveness.drain(shards.ForService(presentService))
-		if len(drained) != 1 || drained[0].ID != presentID {
+		drained := s.server.liveness.drain(shards.ForService(testService))
+		if len(drained) != 1 || drained[0].ID != testInstanceID {
 			t.Fatal(drained)
 		}
 		makeOwner(s.server, s.groups)
 		request = newReusedBufferRequest("i-new", "", heartbeatJSON("ready", 1))
 		s.server.apiHandler(APIHeartbeat)(t.Context(), request.context)
 		request.overwrite()
-		machine := s.server.registryMachine(shards.ForService(presentService))
+		machine := s.server.registryMachine(shards.ForService(testService))
 		if machine.store.Instance("i-new") == nil {
 			t.Fatal(machine.store.Instances(""))
 		}
@@ -179,7 +179,7 @@
 		s := newDegradedServerFixture(t)
 		makeOwner(s.server, s.groups)
 		data := configuration.EncodeCommand(configuration.Command{Kind: configuration.CommandReplace, Base: currentNumber, Body: []byte(configurationJSON(9))})
-		if _, err := s.groups[0].submit(t.Context(), data); err != nil {
+		if _, err := s.groups[0].onPropose(t.Context(), data); err != nil {
 			t.Fatal(err)
 		}
 		clear(data)
--- a/internal/controlplane/server/codes.go
+++ b/internal/controlplane/server/codes.go
@@ -18,7 +18,7 @@
 	BadBaseVersion  Code = 1204
 	BodyTooLarge    Code = 1205
 	MissingInstance Code = 1206
-	Leaving         Code = 1207
+	ShuttingDown    Code = 1207
 	InternalFault   Code = 1208
 )
 
@@ -33,7 +33,7 @@
 	{Code: BadBaseVersion, Name: "bad_base_version", HTTPStatus: http.StatusBadRequest, Text: "X-Base-Version is not a whole number"},
 	{Code: BodyTooLarge, Name: "body_too_large", HTTPStatus: http.StatusRequestEntityTooLarge, Text: "the body is too large"},
 	{Code: MissingInstance, Name: "missing_instance", HTTPStatus: http.StatusBadRequest, Text: "the path names no instance"},
-	{Code: Leaving, Name: "leaving", HTTPStatus: http.StatusServiceUnavailable, Text: "this keeper is about to end"},
+	{Code: ShuttingDown, Name: "leaving", HTTPStatus: http.StatusServiceUnavailable, Text: "this keeper is about to end"},
 	{Code: InternalFault, Name: "internal_fault", HTTPStatus: http.StatusServiceUnavailable, Text: "the call failed within this keeper"},
 }...)
 
--- a/internal/controlplane/server/degraded_server_test.go
+++ b/internal/controlplane/server/degraded_server_test.go
@@ -78,14 +78,14 @@
 	} {
 		apply(shards.ConfigurationShard, uint64(index+1), configuration.EncodeCommand(change))
 	}
-	for index, id := range []string{removedID, presentID} {
+	for index, id := range []string{removedID, testInstanceID} {
 		heartbeat, err := registry.ParseHeartbeat(id, []byte(heartbeatJSON("ready", 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		apply(shards.ForService(presentService), uint64(2*index+1), registry.EncodePut(heartbeat.Instance, 1))
+		apply(shards.ForService(testService), uint64(2*index+1), registry.EncodePut(heartbeat.Instance, 1))
 		if id == removedID {
-			apply(shards.ForService(presentService), 2, registry.EncodeRemove(id, registry.Deregistered, 1))
+			apply(shards.ForService(testService), 2, registry.EncodeRemove(id, registry.Deregistered, 1))
 		}
 	}
 }
@@ -94,7 +94,7 @@
 func makeOwner(s *Server, groups [shards.ShardCount]*scriptedGroup) {
 	for i, group := range groups {
 		index := uint64(10)
-		group.submit = func(_ context.Context, data []byte) (any, error) {
+		group.onPropose = func(_ context.Context, data []byte) (any, error) {
 			index++
 			return s.shards[i].stateMachine.Apply(consensus.Entry{Index: index, Data: data}), nil
 		}
@@ -108,7 +108,7 @@
 func (s *degradedServerFixture) setEveryGroup(status replica.Status, refusal error) {
 	for i, group := range s.groups {
 		group.set(status)
-		group.submit = func(ctx context.Context, _ []byte) (any, error) { return nil, waitOrFail(ctx, refusal) }
+		group.onPropose = func(ctx context.Context, _ []byte) (any, error) { return nil, waitOrFail(ctx, refusal) }
 		group.barrier = func(ctx context.Context) error { return waitOrFail(ctx, refusal) }
 		if status.IsLeader() {
 			s.server.shards[i].stateMachine.setLeaderTerm(status.Term)
@@ -230,13 +230,13 @@
 	{"a number not above its base", changeRequest(APIUpdate, "7", `{"generation":7}`), 0, http.StatusBadRequest},
 	{"a base that is no number", changeRequest(APIReplace, "x", configurationJSON(9)), 0, http.StatusBadRequest},
 	{"a read", APIRequest{Call: APIRead}, canRead, http.StatusOK},
-	{"a heartbeat that changes nothing", heartbeatRequest(presentID, heartbeatJSON("ready", 2)), canAcknowledge, http.StatusOK},
-	{"a drain", heartbeatRequest(presentID, heartbeatJSON("draining", 2)), canChange, http.StatusOK},
+	{"a heartbeat that changes nothing", heartbeatRequest(testInstanceID, heartbeatJSON("ready", 2)), canAcknowledge, http.StatusOK},
+	{"a drain", heartbeatRequest(testInstanceID, heartbeatJSON("draining", 2)), canChange, http.StatusOK},
 	{"a new instance", heartbeatRequest("i-new", heartbeatJSON("ready", 1)), canChange, http.StatusOK},
 	{"a heartbeat after its end", heartbeatRequest(removedID, heartbeatJSON("ready", 2)), canAcknowledge, http.StatusOK},
-	{"a heartbeat that is no JSON", heartbeatRequest(presentID, "{"), 0, http.StatusBadRequest},
-	{"a heartbeat that is too large", heartbeatRequest(presentID, strings.Repeat(" ", maxHeartbeatBytes+1)), 0, http.StatusRequestEntityTooLarge},
-	{"a departure", APIRequest{Call: APIDeregister, ID: presentID}, canChange, http.StatusOK},
+	{"a heartbeat that is no JSON", heartbeatRequest(testInstanceID, "{"), 0, http.StatusBadRequest},
+	{"a heartbeat that is too large", heartbeatRequest(testInstanceID, strings.Repeat(" ", maxHeartbeatBytes+1)), 0, http.StatusRequestEntityTooLarge},
+	{"a departure", APIRequest{Call: APIDeregister, ID: testInstanceID}, canChange, http.StatusOK},
 	{"a departure of one that is not known", APIRequest{Call: APIDeregister, ID: "i-unknown"}, canChange, http.StatusOK},
 	{"a departure again", APIRequest{Call: APIDeregister, ID: removedID}, 0, http.StatusOK},
 	{"a departure of nobody", APIRequest{Call: APIDeregister}, 0, http.StatusBadRequest},
--- a/internal/controlplane/server/deregister_test.go
+++ b/internal/controlplane/server/deregister_test.go
@@ -21,7 +21,7 @@
 	for id := shards.ID(1); id < shards.ShardCount; id++ {
 		machine, index := s.registryMachine(id), uint64(0)
 		groups[id].set(leaderStatus())
-		groups[id].submit = func(_ context.Context, data []byte) (any, error) {
+		groups[id].onPropose = func(_ context.Context, data []byte) (any, error) {
 			if failing[id] {
 				return nil, replica.ErrUnknownOutcome
 			}
@@ -36,14 +36,14 @@
 
 // deregisterInstance deregisters the test instance and returns the HTTP status.
 func deregisterInstance(t *testing.T, s *Server) int {
-	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: presentID}).Status
+	return s.Handle(timeoutContext(t), APIRequest{Call: APIDeregister, ID: testInstanceID}).Status
 }
 
 // TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard deregisters an instance that no shard knows, while its service's shard
 // accepts no proposals. An acknowledgement would let the instance's late heartbeat register it again.
 func TestServer_Handle_deregisterUnknownInstanceNeedsEveryShard(t *testing.T) {
 	s, failing := newOwningServer(t)
-	shard := shards.ForService(presentService)
+	shard := shards.ForService(testService)
 	failing[shard] = true
 	for range 2 {
 		if status := deregisterInstance(t, s); status == http.StatusOK {
@@ -54,8 +54,8 @@
 	if status := deregisterInstance(t, s); status != http.StatusOK {
 		t.Fatalf("deregister of an unknown instance: status %d, want 200", status)
 	}
-	late := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 9))})
-	if known, _ := s.registryMachine(shard).lookUp(presentID); late.Status != http.StatusOK || known {
+	late := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: testInstanceID, Body: []byte(heartbeatJSON("ready", 9))})
+	if known, _ := s.registryMachine(shard).lookUp(testInstanceID); late.Status != http.StatusOK || known {
 		t.Fatalf("late heartbeat after the deregistration: status %d, want 200; instance known: %t, want false", late.Status, known)
 	}
 }
@@ -63,8 +63,8 @@
 // TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly deregisters a known instance twice, while all other shards accept no proposals.
 func TestServer_Handle_deregisterKnownInstanceNeedsItsShardOnly(t *testing.T) {
 	s, failing := newOwningServer(t)
-	shard := shards.ForService(presentService)
-	s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", 1))})
+	shard := shards.ForService(testService)
+	s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: testInstanceID, Body: []byte(heartbeatJSON("ready", 1))})
 	for id := shards.ID(1); id < shards.ShardCount; id++ {
 		failing[id] = id != shard
 	}
@@ -73,7 +73,7 @@
 			t.Fatalf("deregister of a known instance: status %d, want 200", status)
 		}
 	}
-	if known, removed := s.registryMachine(shard).lookUp(presentID); !known || !removed {
+	if known, removed := s.registryMachine(shard).lookUp(testInstanceID); !known || !removed {
 		t.Fatalf("after the deregistration: known %t, removed %t, want true for both", known, removed)
 	}
 }
@@ -82,9 +82,9 @@
 // must be acknowledged without a proposal and must not register the instance again.
 func TestServer_Handle_heartbeatAfterDeregisterProposesNothing(t *testing.T) {
 	s, failing := newOwningServer(t)
-	shard := shards.ForService(presentService)
+	shard := shards.ForService(testService)
 	sendHeartbeat := func(sequence int) int {
-		request := APIRequest{Call: APIHeartbeat, ID: presentID, Body: []byte(heartbeatJSON("ready", sequence))}
+		request := APIRequest{Call: APIHeartbeat, ID: testInstanceID, Body: []byte(heartbeatJSON("ready", sequence))}
 		return s.Handle(timeoutContext(t), request).Status
 	}
 	if sendHeartbeat(1) != http.StatusOK || deregisterInstance(t, s) != http.StatusOK {
@@ -96,7 +96,7 @@
 			t.Fatalf("heartbeat %d after the deregistration: status %d, want 200", sequence, status)
 		}
 	}
-	if _, removed := s.registryMachine(shard).lookUp(presentID); !removed {
+	if _, removed := s.registryMachine(shard).lookUp(testInstanceID); !removed {
 		t.Fatal("heartbeats have registered the removed instance again")
 	}
 }
@@ -130,7 +130,7 @@
 		heartbeatJSON(long, 2), `{"slots":"` + long + `"}`, strings.Repeat("[", 1<<15), strings.Repeat(long, 3),
 	}
 	for _, body := range bodies {
-		for _, id := range []string{presentID, long[:200], long} {
+		for _, id := range []string{testInstanceID, long[:200], long} {
 			reply := s.Handle(timeoutContext(t), APIRequest{Call: APIHeartbeat, ID: id, Body: []byte(body)})
 			if size := len(reply.Body); size > maxBodySize {
 				t.Errorf("heartbeat %.40q: response body of %d bytes, want at most %d", body, size, maxBodySize)
--- a/internal/controlplane/server/http_api_test.go
+++ b/internal/controlplane/server/http_api_test.go
@@ -29,7 +29,7 @@
 	s, groups, _ := newScriptedServer(t)
 	f := &apiFixture{t: t, server: s}
 	groups[0].set(leaderStatus())
-	groups[0].submit = func(context.Context, []byte) (any, error) {
+	groups[0].onPropose = func(context.Context, []byte) (any, error) {
 		number := f.proposed.Add(1)
 		return configuration.Outcome{HTTPStatus: http.StatusOK, Generation: uint64(number)}, nil
 	}
--- a/internal/controlplane/server/membership_controller.go
+++ b/internal/controlplane/server/membership_controller.go
@@ -122,7 +122,7 @@
 // groups: a replica that has stopped alone is replaced, too.
 func (s *Server) sinceHeard(shard *shard, members []consensus.Member, now time.Time) map[consensus.MemberID]time.Duration {
 	leadingSince := shard.leadershipStart()
-	shard.keepHeard(members)
+	shard.pruneLastHeard(members)
 	sinceHeard := make(map[consensus.MemberID]time.Duration, len(members))
 	for _, member := range members {
 		sinceHeard[member.ID] = timeSinceHeard(now, shard.heardFrom(member.ID), leadingSince)
--- a/internal/controlplane/server/role_assignment_test.go
+++ b/internal/controlplane/server/role_assignment_test.go
@@ -71,7 +71,7 @@
 	s.environment.Workers = fixture.workers
 	index := uint64(0)
 	machine := s.registryMachine(fixture.id)
-	fixture.group.submit = func(_ context.Context, data []byte) (any, error) {
+	fixture.group.onPropose = func(_ context.Context, data []byte) (any, error) {
 		fixture.workers.mutex.Lock()
 		defer fixture.workers.mutex.Unlock()
 		index++
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -16,21 +16,21 @@
 
 // scriptedGroup is a replica group whose status and results a test sets.
 type scriptedGroup struct {
-	mutex   sync.Mutex
-	status  replica.Status
-	propose func() (any, error)                                 // result of proposals if submit is nil
-	submit  func(ctx context.Context, data []byte) (any, error) // takes precedence over propose
-	barrier func(ctx context.Context) error                     // nil: read barriers succeed at once
+	mutex          sync.Mutex
+	status         replica.Status
+	proposalResult func() (any, error)                                 // result of proposals if onPropose is nil
+	onPropose      func(ctx context.Context, data []byte) (any, error) // takes precedence over proposalResult
+	barrier        func(ctx context.Context) error                     // nil: read barriers succeed at once
 }
 
 func (g *scriptedGroup) Step(consensus.Message) {}
 
 func (g *scriptedGroup) Propose(ctx context.Context, data []byte) (any, uint64, error) {
-	if g.submit != nil {
-		result, err := g.submit(ctx, data)
+	if g.onPropose != nil {
+		result, err := g.onPropose(ctx, data)
 		return result, 1, err
 	}
-	result, err := g.propose()
+	result, err := g.proposalResult()
 	return result, 1, err
 }
 
--- a/internal/controlplane/server/session_liveness.go
+++ b/internal/controlplane/server/session_liveness.go
@@ -105,7 +105,7 @@
 	if machine == nil || strictavro.Unmarshal(codec, sessionHeartbeatsSchema, request.Body, &heartbeats) != nil {
 		return errorResponse(InternalFault)
 	}
-	if !machine.recordHeard(s.environment.Now(), heartbeats) {
+	if !machine.recordRemoteHeartbeats(s.environment.Now(), heartbeats) {
 		return notOwnerResponse(s.shards[request.Shard].group.Status().Leader.Address)
 	}
 	return okResponse(emptyObject)
--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -10,8 +10,8 @@
 
 // The instance, and its service, of tests that need just one.
 const (
-	presentID      = "i-1"
-	presentService = "s"
+	testInstanceID = "i-1"
+	testService    = "s"
 )
 
 // newServerWithInstance returns a server that is a follower in the shard of an instance and has its record, the shard's group, and a
@@ -19,8 +19,8 @@
 func newServerWithInstance(t *testing.T) (*Server, *scriptedGroup, registry.Heartbeat) {
 	t.Helper()
 	s, groups, _ := newScriptedServer(t)
-	id := shards.ForService(presentService)
-	heartbeat, err := registry.ParseHeartbeat(presentID, []byte(heartbeatJSON("ready", 1)))
+	id := shards.ForService(testService)
+	heartbeat, err := registry.ParseHeartbeat(testInstanceID, []byte(heartbeatJSON("ready", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,15 +31,15 @@
 
 func TestServer_AcknowledgeLocally_unchangedHeartbeatOnCurrentReplica(t *testing.T) {
 	s, _, heartbeat := newServerWithInstance(t)
-	id := shards.ForService(presentService)
+	id := shards.ForService(testService)
 	for _, sequence := range []uint64{5, 7, 6} {
 		heartbeat.Sequence = sequence
 		if !s.acknowledgeLocally(id, heartbeat) {
 			t.Fatalf("unchanged heartbeat with sequence number %d was not acknowledged locally", sequence)
 		}
 	}
-	if drained := s.liveness.drain(id); len(drained) != 1 || drained[0] != (sessionHeartbeat{ID: presentID, Sequence: 7}) {
-		t.Fatalf("heartbeats to report: %+v, want one of %s with sequence number 7", drained, presentID)
+	if drained := s.liveness.drain(id); len(drained) != 1 || drained[0] != (sessionHeartbeat{ID: testInstanceID, Sequence: 7}) {
+		t.Fatalf("heartbeats to report: %+v, want one of %s with sequence number 7", drained, testInstanceID)
 	}
 	if drained := s.liveness.drain(id); len(drained) != 0 {
 		t.Fatalf("heartbeats to report after the first report: %+v, want none", drained)
@@ -59,14 +59,14 @@
 		},
 		"is the leader": func(_ *Server, group *scriptedGroup, _ *registry.Heartbeat) { group.set(leaderStatus()) },
 		"removed": func(s *Server, _ *scriptedGroup, _ *registry.Heartbeat) {
-			s.registryMachine(shards.ForService(presentService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(presentID, registry.Expired, 1)})
+			s.registryMachine(shards.ForService(testService)).Apply(consensus.Entry{Index: 2, Data: registry.EncodeRemove(testInstanceID, registry.Expired, 1)})
 		},
 	}
 	for name, alter := range cases {
 		t.Run(name, func(t *testing.T) {
 			s, group, heartbeat := newServerWithInstance(t)
 			alter(s, group, &heartbeat)
-			if s.acknowledgeLocally(shards.ForService(presentService), heartbeat) {
+			if s.acknowledgeLocally(shards.ForService(testService), heartbeat) {
 				t.Fatalf("heartbeat %+v was acknowledged without the owner", heartbeat)
 			}
 		})
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -141,8 +141,8 @@
 	return s.lastHeard[member]
 }
 
-// keepHeard removes the recorded times of all but the given members.
-func (s *shard) keepHeard(members []consensus.Member) {
+// pruneLastHeard removes the recorded times of all but the given members.
+func (s *shard) pruneLastHeard(members []consensus.Member) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	maps.DeleteFunc(s.lastHeard, func(id consensus.MemberID, _ time.Time) bool {
--- a/internal/controlplane/server/shard_owner_test.go
+++ b/internal/controlplane/server/shard_owner_test.go
@@ -34,7 +34,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			s, groups, _ := newScriptedServer(t)
-			groups[0].propose = func() (any, error) { return test.result, test.err }
+			groups[0].proposalResult = func() (any, error) { return test.result, test.err }
 			response := s.execute(timeoutContext(t), replaceRequest)
 			if response.Status != test.status || response.NotOwner != (test.status == 0) || response.Leader != test.leader {
 				t.Fatalf("response %+v, want status %d, not owner %t, leader %q", response, test.status, test.status == 0, test.leader)
@@ -50,7 +50,7 @@
 	machine := s.registryMachine(id)
 	machine.setLeaderTerm(3)
 	proposed := make(chan struct{}, 1)
-	groups[id].propose = func() (any, error) {
+	groups[id].proposalResult = func() (any, error) {
 		proposed <- struct{}{}
 		return nil, replica.ErrUnknownOutcome
 	}
@@ -78,8 +78,8 @@
 
 func TestServer_Execute_staleOwnerAcknowledgesNothing(t *testing.T) {
 	s, group, heartbeat := newServerWithInstance(t)
-	id := shards.ForService(presentService)
-	group.propose = func() (any, error) { return nil, replica.ErrUnknownOutcome }
+	id := shards.ForService(testService)
+	group.proposalResult = func() (any, error) { return nil, replica.ErrUnknownOutcome }
 	status := leaderStatus()
 	status.ConfirmedAge = 2 * currentMaxAge
 	group.set(status)
@@ -99,7 +99,7 @@
 	if response := s.execute(timeoutContext(t), deregistration); response.Status != http.StatusServiceUnavailable {
 		t.Fatalf("deregistration whose proposal has an unknown outcome: response %+v, want status 503", response)
 	}
-	group.propose = func() (any, error) { return registry.Outcome{Status: http.StatusOK}, nil }
+	group.proposalResult = func() (any, error) { return registry.Outcome{Status: http.StatusOK}, nil }
 	if response := s.execute(timeoutContext(t), deregistration); response.Status != http.StatusOK || response.Known {
 		t.Fatalf("committed deregistration of an unknown instance: response %+v, want status 200, not known", response)
 	}
@@ -107,8 +107,8 @@
 
 func TestServer_Execute_sessionLivenessNeedsOwnership(t *testing.T) {
 	s, groups, _ := newScriptedServer(t)
-	id := shards.ForService(presentService)
-	body, err := codec.Marshal(sessionHeartbeatsSchema, []sessionHeartbeat{{ID: presentID, Sequence: 4}})
+	id := shards.ForService(testService)
+	body, err := codec.Marshal(sessionHeartbeatsSchema, []sessionHeartbeat{{ID: testInstanceID, Sequence: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
