--- a/internal/controlplane/server/codes.go
+++ b/internal/controlplane/server/codes.go
@@ -18,7 +18,7 @@
 	BadBaseVersion  Code = 1204
 	BodyTooLarge    Code = 1205
 	MissingInstance Code = 1206
-	ShuttingDown         Code = 1207
+	ShuttingDown    Code = 1207
 	InternalFault   Code = 1208
 )
 
--- a/internal/controlplane/server/registry_machine.go
+++ b/internal/controlplane/server/registry_machine.go
@@ -94,7 +94,7 @@
 	return m.isRemoved(heartbeat) || stored != nil && registry.SameRecord(*stored, heartbeat.Instance)
 }
 
-// recordHeard records heartbeats that another server has acknowledged. It records nothing, and returns false, while this replica
+// recordRemoteHeartbeats records heartbeats that another server has acknowledged. It records nothing, and returns false, while this replica
 // does not own the shard.
 func (m *registryMachine) recordRemoteHeartbeats(now time.Time, heartbeats []sessionHeartbeat) (owned bool) {
 	m.mutex.Lock()
--- a/internal/controlplane/server/scripted_server_test.go
+++ b/internal/controlplane/server/scripted_server_test.go
@@ -16,11 +16,11 @@
 
 // scriptedGroup is a replica group whose status and results a test sets.
 type scriptedGroup struct {
-	mutex   sync.Mutex
-	status  replica.Status
-	proposalResult func() (any, error)                                 // result of proposals if submit is nil
-	onPropose  func(ctx context.Context, data []byte) (any, error) // takes precedence over propose
-	barrier func(ctx context.Context) error                     // nil: read barriers succeed at once
+	mutex          sync.Mutex
+	status         replica.Status
+	proposalResult func() (any, error)                                 // result of proposals if onPropose is nil
+	onPropose      func(ctx context.Context, data []byte) (any, error) // takes precedence over proposalResult
+	barrier        func(ctx context.Context) error                     // nil: read barriers succeed at once
 }
 
 func (g *scriptedGroup) Step(consensus.Message) {}
--- a/internal/controlplane/server/shard.go
+++ b/internal/controlplane/server/shard.go
@@ -141,7 +141,7 @@
 	return s.lastHeard[member]
 }
 
-// keepHeard removes the recorded times of all but the given members.
+// pruneLastHeard removes the recorded times of all but the given members.
 func (s *shard) pruneLastHeard(members []consensus.Member) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
