--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -19,29 +19,29 @@
 
 // Ports that the agent uses, as offsets in the machine's port range.
 const (
-	feedPortOffset  = 0 // of the feed, on control plane servers
-	proxyPortOffset = 1 // of the feed for the proxy, on loopback
-	probePortOffset = 2 // of the probes between agents, over UDP
+	feedPortOffset  = 0 // feed of the control plane servers
+	proxyPortOffset = 1 // feed for the proxy, on loopback
+	probePortOffset = 2 // probes between agents, over UDP
 	portsNeeded     = 3
 )
 
 const (
 	gcPercent        = 50          // the heap is small and changes rarely
-	memoryLimitShare = 0.6         // of the machine's memory, for the Go runtime
+	memoryLimitShare = 0.6         // fraction of the machine's memory that the Go runtime may use
 	megabyte         = 1e6         // bytes
-	graceMargin      = time.Second // part of the grace period that is left for the exit of the process
+	exitMargin       = time.Second // part of the grace period that is reserved for the exit of the process
 )
 
-// ErrPorts is the error for settings whose port range is too short.
-var ErrPorts = errors.New("agent: the port range has too few ports")
+// ErrPortRange is returned for settings whose port range has fewer ports than the agent uses.
+var ErrPortRange = errors.New("agent: the port range is invalid or has fewer than 3 ports")
 
-// Options enable parts of the agent, and replace functions of the operating system.
+// Options enable parts of the agent and replace its network access and its source of random numbers.
 type Options struct {
-	ProbePeers bool // take part in the probing between agents
+	ProbePeers bool // take part in the failure detection between agents
 	Probing    membership.Options
 
-	Dial         func(ctx context.Context, address string) (net.Conn, error)     // of servers; nil: feedtransport.Dial
-	Listen       func(ctx context.Context, address string) (net.Listener, error) // for the proxy; nil: feedtransport.Listen
+	Dial         func(ctx context.Context, address string) (net.Conn, error)     // connects to servers; nil: feedtransport.Dial
+	Listen       func(ctx context.Context, address string) (net.Listener, error) // listens for the proxy; nil: feedtransport.Listen
 	Random       func() uint64                                                   // nil: rand.Uint64
 	StaleTimeout time.Duration                                                   // zero: feedtransport.StaleTimeout
 	Origin       time.Time                                                       // see feedtransport.SessionOptions
@@ -60,66 +60,66 @@
 	return o
 }
 
-// fraction draws a number uniformly from [0, 1).
+// fraction returns a random number, uniformly distributed in [0, 1).
 func (o Options) fraction() float64 { return float64(o.Random()>>11) / (1 << 53) }
 
-// DefaultOptions returns the options of Run.
+// DefaultOptions returns the options that Run uses.
 func DefaultOptions() Options { return Options{ProbePeers: true} }
 
-// Run runs the agent with the default options until ctx ends. Then it serves the proxy until that has disconnected or the
-// grace period is nearly over. The error is ErrPorts, or that of opening a port.
+// Run runs the agent with the default options until ctx ends. It then goes on serving the proxy until the proxy has
+// disconnected or the grace period is nearly over. It returns ErrPortRange, or the error of opening a port.
 func Run(ctx context.Context, config bootconfig.Settings, log *zap.Logger) error {
 	limitMemory(config.Limits)
 	return RunWith(ctx, config, DefaultOptions(), log)
 }
 
-// RunWith is Run with options, and without limits of the process's memory.
+// RunWith is like Run, but takes options and does not limit the memory of the process.
 func RunWith(ctx context.Context, config bootconfig.Settings, options Options, log *zap.Logger) error {
-	ports, err := portsOf(config)
+	ports, err := resolvePorts(config)
 	if err != nil {
 		return err
 	}
 	options = options.withDefaults()
 	store := newStore()
 	client := newFeedClient(config, ports.feed, options, store, log)
-	proxies, err := newProxyServer(ctx, ports.proxy, options, store, client.Report)
+	server, err := newProxyServer(ctx, ports.proxy, options, store, client.Report)
 	if err != nil {
 		return fmt.Errorf("agent: listen for the proxy: %w", err)
 	}
-	store.setReportHandler(proxies.broadcast)
+	store.setReportHandler(server.broadcast)
 	if options.ProbePeers {
 		stop, err := startProbing(ctx, config.IP, ports.probe, options.Probing, store, client.Report)
 		if err != nil {
-			proxies.close()
+			server.close()
 			return fmt.Errorf("agent: open the port for probes: %w", err)
 		}
 		defer stop()
 	}
 	if address := config.MetricsAddress(); address != "" {
-		stopMetrics, err := exposition.Serve(address, func() []exposition.Family { return families(store, proxies) })
+		stopMetrics, err := exposition.Serve(address, func() []exposition.Family { return metricFamilies(store, server) })
 		if err != nil {
 			log.Error("metrics are not served", zap.Error(err))
 		} else {
 			defer stopMetrics()
 		}
 	}
-	go proxies.accept()
+	go server.accept()
 	log.Info("agent started", zap.String("node", config.NodeName))
 
 	_ = client.Run(ctx)
-	proxies.drain(drainTimeout(config.Bounds))
+	server.drain(drainTimeout(config.Bounds))
 	log.Info("agent stopped")
 	return nil
 }
 
-// machinePorts are the ports that the agent uses.
+// machinePorts holds the ports that the agent uses.
 type machinePorts struct{ feed, proxy, probe int }
 
-// portsOf returns the agent's ports, or ErrPorts.
-func portsOf(config bootconfig.Settings) (machinePorts, error) {
+// resolvePorts returns the agent's ports, or ErrPortRange.
+func resolvePorts(config bootconfig.Settings) (machinePorts, error) {
 	first, last := config.PortRange[0], config.PortRange[1]
 	if first <= 0 || last < first+portsNeeded-1 {
-		return machinePorts{}, fmt.Errorf("%w: %d to %d", ErrPorts, first, last)
+		return machinePorts{}, fmt.Errorf("%w: %d to %d", ErrPortRange, first, last)
 	}
 	return machinePorts{
 		feed:  first + feedPortOffset,
@@ -128,7 +128,7 @@
 	}, nil
 }
 
-// limitMemory makes the runtime collect garbage early, since the process is charged for its peak memory.
+// limitMemory makes the runtime collect garbage early, since the process is charged for its peak memory use.
 func limitMemory(limits bootconfig.Limits) {
 	debug.SetGCPercent(gcPercent)
 	if limits.MemoryMb > 0 {
@@ -136,9 +136,9 @@
 	}
 }
 
-// drainTimeout returns how long the proxy is served after the signal to stop.
+// drainTimeout returns how long the proxy is served after the stop signal.
 func drainTimeout(bounds bootconfig.Bounds) time.Duration {
-	return max(bootconfig.Seconds(bounds.GraceS)-graceMargin, graceMargin)
+	return max(bootconfig.Seconds(bounds.GraceS)-exitMargin, exitMargin)
 }
 
 // newFeedClient returns the client that reads the feed of the control plane servers into the store.
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	serverIP  = "127.0.0.2"
-	agentIP   = "127.0.0.3"
-	waitLimit = 20 * time.Second // generous: the machine may be busy
+	serverIP    = "127.0.0.2"
+	agentIP     = "127.0.0.3"
+	testTimeout = 20 * time.Second // long enough for a busy machine
 )
 
-// fakeServer serves a store of the agent's own type as a control plane server would.
+// fakeServer is a control plane server that serves a store of the agent's own type.
 type fakeServer struct {
 	*store
 	listener net.Listener
@@ -46,8 +46,8 @@
 	return server, port
 }
 
-// listenWithFreePorts opens the server's listener on a port after which the agent's are free. Ports come
-// from below those that the system gives to outgoing connections.
+// listenWithFreePorts opens the server's listener on a port that is followed by free ports for the agent. The ports are below
+// the range from which the system assigns ports to outgoing connections.
 func listenWithFreePorts(t *testing.T) (listener net.Listener, port int) {
 	t.Helper()
 	const lowest, count, attempts = 20000, 10000, 100
@@ -62,28 +62,28 @@
 		}
 		_ = listener.Close()
 	}
-	t.Fatal("no free ports")
+	t.Fatalf("no consecutive free ports after %d attempts", attempts)
 	return nil, 0
 }
 
 func portsAreFree(t *testing.T, port int) bool {
 	t.Helper()
-	forProxy, err := feedtransport.Listen(t.Context(), feedtransport.LoopbackAddress(port+proxyPortOffset))
+	listener, err := feedtransport.Listen(t.Context(), feedtransport.LoopbackAddress(port+proxyPortOffset))
 	if err != nil {
 		return false
 	}
-	_ = forProxy.Close()
-	forProbes, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(agentIP), Port: port + probePortOffset})
+	_ = listener.Close()
+	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(agentIP), Port: port + probePortOffset})
 	if err != nil {
 		return false
 	}
-	_ = forProbes.Close()
+	_ = socket.Close()
 	return true
 }
 
-func (k *fakeServer) serve(ctx context.Context) {
+func (s *fakeServer) serve(ctx context.Context) {
 	for {
-		connection, err := k.listener.Accept()
+		connection, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -95,41 +95,41 @@
 		if err != nil {
 			continue
 		}
-		session := feedtransport.NewSession(connection, hello, k, feedtransport.SessionOptions{})
-		k.mu.Lock()
-		k.sessions = append(k.sessions, session)
-		k.mu.Unlock()
+		session := feedtransport.NewSession(connection, hello, s, feedtransport.SessionOptions{})
+		s.mu.Lock()
+		s.sessions = append(s.sessions, session)
+		s.mu.Unlock()
 		go func() { _ = session.Run(ctx) }()
 	}
 }
 
-func (k *fakeServer) OnReport(_ feedtransport.Hello, topic string, body []byte) {
-	k.reports <- feedtransport.Report{Topic: topic, Body: body}
+func (s *fakeServer) OnReport(_ feedtransport.Hello, topic string, body []byte) {
+	s.reports <- feedtransport.Report{Topic: topic, Body: body}
 }
 
-func (k *fakeServer) commit(t *testing.T, shard shards.ID, index uint64, key, value string) {
+func (s *fakeServer) commit(t *testing.T, shard shards.ID, index uint64, key, value string) {
 	t.Helper()
 	change := feed.Change{Index: index, Put: []feed.Item{{Key: key, Value: []byte(value)}}}
-	if err := k.change(shard, change); err != nil {
+	if err := s.applyChange(shard, change); err != nil {
 		t.Fatal(err)
 	}
-	status := k.Status().Shards
-	for place := range status {
-		status[place].Current = true
+	status := s.Status().Shards
+	for i := range status {
+		status[i].Current = true
 	}
-	k.setCurrent(status)
-	k.wakeAll()
+	s.setCurrent(status)
+	s.wakeAll()
 }
 
-func (k *fakeServer) broadcast(topic string, body []byte) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, session := range k.sessions {
+func (s *fakeServer) broadcast(topic string, body []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, session := range s.sessions {
 		session.Send(topic, body)
 	}
 }
 
-// fakeProxy passes to a test what it receives.
+// fakeProxy is a feed handler that records each call as an event.
 type fakeProxy struct{ events chan string }
 
 func (p fakeProxy) Snapshot(_ shards.ID, snapshot feed.Snapshot) {
@@ -152,18 +152,18 @@
 
 func (p fakeProxy) Report(report feedtransport.Report) { p.events <- "report " + report.Topic }
 
-// expect waits for an event and ignores others.
-func (p fakeProxy) expect(t *testing.T, wanted string) {
+// awaitEvent waits for an event and ignores all others.
+func (p fakeProxy) awaitEvent(t *testing.T, wanted string) {
 	t.Helper()
-	limit := time.After(waitLimit)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case event := <-p.events:
 			if event == wanted {
 				return
 			}
-		case <-limit:
-			t.Fatalf("%q did not come", wanted)
+		case <-timeout:
+			t.Fatalf("no event %q within %v", wanted, testTimeout)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	}
 }
 
-// startAgent runs an agent until stop is called; done receives its result.
+// startAgent runs an agent until stop is called. done receives the result of Run.
 func startAgent(t *testing.T, config bootconfig.Settings) (stop context.CancelFunc, done chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -208,15 +208,15 @@
 	return client, proxy, stop
 }
 
-func awaitEnd(t *testing.T, done <-chan error) {
+func awaitExit(t *testing.T, done <-chan error) {
 	t.Helper()
 	select {
 	case err := <-done:
 		if err != nil {
-			t.Error(err)
+			t.Errorf("the agent returned the error %v, want nil", err)
 		}
-	case <-time.After(waitLimit):
-		t.Fatal("the agent did not end")
+	case <-time.After(testTimeout):
+		t.Fatalf("the agent did not return within %v after it was stopped", testTimeout)
 	}
 }
 
@@ -225,39 +225,39 @@
 	server.commit(t, 0, 3, "route/a", "1")
 	stop, done := startAgent(t, agentSettings(port))
 	client, proxy, stopProxy := startProxy(t, port+proxyPortOffset)
-	proxy.expect(t, "route/a=1")
-	proxy.expect(t, "current true")
+	proxy.awaitEvent(t, "route/a=1")
+	proxy.awaitEvent(t, "current true")
 
 	server.commit(t, 0, 5, "route/b", "2")
-	proxy.expect(t, "route/b=2")
+	proxy.awaitEvent(t, "route/b=2")
 	server.broadcast("finding", nil)
-	proxy.expect(t, "report finding")
+	proxy.awaitEvent(t, "report finding")
 	client.Report("budget", []byte("x"))
 	select {
 	case report := <-server.reports:
 		if report.Topic != "budget" || string(report.Body) != "x" {
-			t.Errorf("got %+v", report)
+			t.Errorf("the server received the report %+v, want topic \"budget\" with body \"x\"", report)
 		}
-	case <-time.After(waitLimit):
-		t.Error("the report did not arrive")
+	case <-time.After(testTimeout):
+		t.Errorf("the proxy's report did not reach the server within %v", testTimeout)
 	}
 
 	stop()
-	proxy.expect(t, "current false")
+	proxy.awaitEvent(t, "current false")
 	select {
 	case err := <-done:
-		t.Errorf("the agent ended before its proxy: %v", err)
+		t.Errorf("the agent returned while its proxy was still connected: %v", err)
 	default:
 	}
 	stopProxy()
-	awaitEnd(t, done)
+	awaitExit(t, done)
 }
 
 func TestRunWith_servesNothingBeforeReady(t *testing.T) {
 	server, port := startServer(t)
 	_, _ = startAgent(t, agentSettings(port))
 	_, proxy, _ := startProxy(t, port+proxyPortOffset)
-	proxy.expect(t, "connected")
+	proxy.awaitEvent(t, "connected")
 	server.commit(t, 0, 3, "route/a", "1")
 	server.commit(t, 1, 4, "worker", "2")
 	var seen []string
@@ -265,27 +265,27 @@
 		select {
 		case event := <-proxy.events:
 			seen = append(seen, event)
-		case <-time.After(waitLimit):
-			t.Fatalf("saw %v", seen)
+		case <-time.After(testTimeout):
+			t.Fatalf("no further event within %v; the proxy received %v, want a current status at the end", testTimeout, seen)
 		}
 	}
 	want := []string{"route/a=1", "worker=2", "current true"}
 	if !slices.Equal(seen, want) {
-		t.Errorf("saw %v, want %v", seen, want)
+		t.Errorf("the proxy received %v, want %v", seen, want)
 	}
 }
 
-func TestRunWith_servesStaleConfigurationSoon(t *testing.T) {
+func TestFeedHandler_Status_servesStaleConfigurationAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		from := &feedHandler{store: store, log: zap.NewNop()}
-		from.Snapshot(shards.ConfigurationShard, feed.Snapshot{Index: 7})
-		from.Status(feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: shards.ConfigurationShard}}})
+		handler := &feedHandler{store: store, log: zap.NewNop()}
+		handler.Snapshot(shards.ConfigurationShard, feed.Snapshot{Index: 7})
+		handler.Status(feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: shards.ConfigurationShard}}})
 		time.Sleep(staleStateDelay - 1)
 		synctest.Wait()
 		select {
 		case <-store.ready:
-			t.Error("too early: a current server may answer meanwhile")
+			t.Error("the store is ready before staleStateDelay, within which a current server might still answer")
 		default:
 		}
 		time.Sleep(time.Nanosecond)
@@ -293,56 +293,56 @@
 	})
 }
 
-func TestRunWith_servesStaleStateAfterDelay(t *testing.T) {
+func TestFeedHandler_Status_servesStaleStateAfterMaxDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		from := &feedHandler{store: store, log: zap.NewNop()}
+		handler := &feedHandler{store: store, log: zap.NewNop()}
 		notCurrent := feedtransport.Status{Shards: []feedtransport.ShardStatus{{Shard: 0}}}
-		from.Status(notCurrent)
+		handler.Status(notCurrent)
 		time.Sleep(maxReadyDelay - 1)
-		from.Status(notCurrent)
+		handler.Status(notCurrent)
 		select {
 		case <-store.ready:
-			t.Error("too early")
+			t.Error("the store is ready before maxReadyDelay without a configuration or a current status")
 		default:
 		}
 		time.Sleep(time.Nanosecond)
-		from.Status(notCurrent)
+		handler.Status(notCurrent)
 		<-store.ready
 	})
 }
 
-func TestRunWith_endsAtOnceWithoutProxy(t *testing.T) {
+func TestRunWith_exitsImmediatelyWithoutProxy(t *testing.T) {
 	_, port := startServer(t)
 	stop, done := startAgent(t, agentSettings(port))
 	stop()
-	awaitEnd(t, done)
+	awaitExit(t, done)
 }
 
 func TestRunWith_portRangeTooShort(t *testing.T) {
 	config := agentSettings(7000)
 	config.PortRange[1] = 7001
-	if err := Run(t.Context(), config, zap.NewNop()); !errors.Is(err, ErrPorts) {
-		t.Errorf("got %v", err)
+	if err := Run(t.Context(), config, zap.NewNop()); !errors.Is(err, ErrPortRange) {
+		t.Errorf("Run with the port range %v: got error %v, want ErrPortRange", config.PortRange, err)
 	}
 }
 
-func TestRunWith_drainTimeout(t *testing.T) {
+func TestProxyServer_drain_closesSessionsAfterTimeout(t *testing.T) {
 	store := newStore()
 	store.markReady()
-	proxies, err := newProxyServer(t.Context(), 0, Options{}.withDefaults(), store, nil)
+	server, err := newProxyServer(t.Context(), 0, Options{}.withDefaults(), store, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go proxies.accept()
-	_, proxy, _ := startProxy(t, proxies.listener.Addr().(*net.TCPAddr).Port)
-	proxy.expect(t, "connected")
-	proxy.expect(t, "current false")
-	proxies.drain(time.Millisecond)
-	proxy.expect(t, "disconnected")
+	go server.accept()
+	_, proxy, _ := startProxy(t, server.listener.Addr().(*net.TCPAddr).Port)
+	proxy.awaitEvent(t, "connected")
+	proxy.awaitEvent(t, "current false")
+	server.drain(time.Millisecond)
+	proxy.awaitEvent(t, "disconnected")
 }
 
-func TestRunWith_probesBetweenAgents(t *testing.T) {
+func TestStartProbing_answersPing(t *testing.T) {
 	ips := []string{"127.0.0.3", "127.0.0.4"}
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ips[0])})
 	if err != nil {
@@ -360,18 +360,18 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = peer.Close() }()
-	question := membership.Packet{Kind: membership.Ping, Sequence: 42}
-	if _, err := peer.Write(question.Encode(nil)); err != nil {
+	ping := membership.Packet{Kind: membership.Ping, Sequence: 42}
+	if _, err := peer.Write(ping.Encode(nil)); err != nil {
 		t.Fatal(err)
 	}
-	answer := make([]byte, maxPacketBytes)
-	_ = peer.SetReadDeadline(time.Now().Add(waitLimit))
-	count, err := peer.Read(answer)
+	reply := make([]byte, maxPacketBytes)
+	_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
+	count, err := peer.Read(reply)
 	if err != nil {
 		t.Fatal(err)
 	}
-	packet, err := membership.DecodePacket(answer[:count])
-	if err != nil || packet.Kind != membership.Ack || packet.Sequence != question.Sequence {
-		t.Errorf("got %+v, %v", packet, err)
+	packet, err := membership.DecodePacket(reply[:count])
+	if err != nil || packet.Kind != membership.Ack || packet.Sequence != ping.Sequence {
+		t.Errorf("reply to the ping: got %+v, error %v; want an Ack of sequence %d", packet, err, ping.Sequence)
 	}
 }
--- a/internal/controlplane/agent/exposition_test.go
+++ b/internal/controlplane/agent/exposition_test.go
@@ -9,16 +9,16 @@
 
 func TestFamilies_namesAndValues(t *testing.T) {
 	store := newStore()
-	proxies, err := newProxyServer(t.Context(), 0, Options{}.withDefaults(), store, nil)
+	server, err := newProxyServer(t.Context(), 0, Options{}.withDefaults(), store, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(proxies.close)
+	t.Cleanup(server.close)
 	store.setCurrent([]feedtransport.ShardStatus{{Shard: 2, Current: true}})
-	found := families(store, proxies)
-	expositiontest.Check(t, "../../..", "router_agent_", found)
+	metrics := metricFamilies(store, server)
+	expositiontest.Check(t, "../../..", "router_agent_", metrics)
 	current := map[string]float64{}
-	for _, family := range found {
+	for _, family := range metrics {
 		for _, sample := range family.Samples {
 			if family.Name == "router_agent_shard_current" {
 				current[sample.Labels[0].Value] = sample.Value
@@ -26,6 +26,6 @@
 		}
 	}
 	if current["2"] != 1 || current["1"] != 0 || len(current) != 5 {
-		t.Errorf("current shards %v", current)
+		t.Errorf("router_agent_shard_current by shard: got %v, want 1 for shard 2 and 0 for the 4 others", current)
 	}
 }
--- a/internal/controlplane/agent/feed_handler.go
+++ b/internal/controlplane/agent/feed_handler.go
@@ -10,19 +10,19 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// Delays from a server's first status after which its state is served although it is not current. A proxy that has just
-// started serves better by a state that may be slightly stale than not at all, provided that there is one.
+// Delays, counted from the first status of a server, after which its state is served although it is not current. A proxy that
+// has just started serves requests better with a slightly stale state, where there is one, than with none.
 const (
-	staleStateDelay = 120 * time.Millisecond  // if the state has a configuration
-	maxReadyDelay   = 1500 * time.Millisecond // in any case
+	staleStateDelay = 120 * time.Millisecond  // if the state includes a configuration
+	maxReadyDelay   = 1500 * time.Millisecond // with or without a configuration
 )
 
-// feedHandler writes the feed of the control plane servers to the store. It is called by the goroutine of the feed's client,
-// but for acceptStale, which a timer calls.
+// feedHandler writes the feed of the control plane servers to the store. The goroutine of the feed client calls it, except for
+// acceptStale, which a timer calls.
 type feedHandler struct {
-	store   *store
-	log     *zap.Logger
-	firstAt time.Time // of the first status; zero: none yet
+	store         *store
+	log           *zap.Logger
+	firstStatusAt time.Time // when the first status arrived; zero: none yet
 }
 
 // Snapshot implements feedtransport.Handler.
@@ -32,29 +32,29 @@
 
 // Change implements feedtransport.Handler.
 func (h *feedHandler) Change(shard shards.ID, change feed.Change) {
-	if err := h.store.change(shard, change); err != nil {
+	if err := h.store.applyChange(shard, change); err != nil {
 		h.log.Error("change not applied", zap.Uint32("shard", uint32(shard)), zap.Error(err))
 	}
 }
 
-// BatchDone implements feedtransport.BatchHandler: subscribers are woken once for each batch.
+// BatchDone implements feedtransport.BatchHandler. It wakes subscribers once for each batch.
 func (h *feedHandler) BatchDone() { h.store.wakeAll() }
 
-// Status implements feedtransport.Handler. A status follows all that the server had of every shard. Before the first one that
-// is current, the proxy might see routes without workers.
+// Status implements feedtransport.Handler. A server sends its first status after its state of every shard. The store is not
+// served before the first current status, as the proxy might see routes without workers; see staleStateDelay for exceptions.
 func (h *feedHandler) Status(status feedtransport.Status) {
 	h.store.setCurrent(status.Shards)
 	now := time.Now()
-	if h.firstAt.IsZero() {
-		h.firstAt = now
+	if h.firstStatusAt.IsZero() {
+		h.firstStatusAt = now
 		time.AfterFunc(staleStateDelay, h.acceptStale)
 	}
-	if status.Current() || now.Sub(h.firstAt) >= maxReadyDelay {
+	if status.Current() || now.Sub(h.firstStatusAt) >= maxReadyDelay {
 		h.store.markReady()
 	}
 }
 
-// acceptStale serves a state that is not known to be current, if it has a configuration.
+// acceptStale marks the store as ready if it has a configuration, although it is not known to be current.
 func (h *feedHandler) acceptStale() {
 	if h.store.index(shards.ConfigurationShard) > 0 {
 		h.store.markReady()
--- a/internal/controlplane/agent/probing.go
+++ b/internal/controlplane/agent/probing.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// nodesInterval is the minimal time between two updates of the list of nodes.
-	nodesInterval = 5 * time.Second
-	// readRetryAfter is the delay after a failed read of the socket other than a time-out.
+	// nodesRefreshInterval is the minimum time between two updates of the list of nodes.
+	nodesRefreshInterval = 5 * time.Second
+	// readRetryAfter is the delay after a read of the socket failed for another reason than its deadline.
 	readRetryAfter = 100 * time.Millisecond
-	// maxPacketBytes exceeds the length of a packet.
+	// maxPacketBytes is the size of the read buffer, which is longer than any valid packet.
 	maxPacketBytes = 64
 )
 
-// probing drives a membership.Prober with one UDP socket. Only the goroutine of run uses it.
+// probing connects a membership.Prober to a UDP socket. Only the goroutine of run uses it.
 type probing struct {
 	socket *net.UDPConn
 	prober *membership.Prober
@@ -33,14 +33,14 @@
 	report func(topic string, body []byte)
 	port   int
 
-	nodesIndex uint64    // index of the shard when the nodes were last updated
-	nodesAt    time.Time // when the shard was last checked
-	repeatedAt time.Time // when the suspicions that last were repeated
-	sendBuffer []byte
+	nodesIndex           uint64    // index of the shard when the nodes were last updated
+	nodesCheckedAt       time.Time // when the shard was last checked
+	suspicionsRepeatedAt time.Time // when ongoing suspicions were last reported again
+	sendBuffer           []byte
 }
 
-// startProbing answers the probes of other machines and probes some of them, until ctx ends or stop is called, and passes
-// suspicions to report. stop waits for the goroutine.
+// startProbing starts a goroutine that answers the probes of other machines, probes some of them and passes suspicions to
+// report, until ctx ends or stop is called. stop waits for the goroutine to end.
 func startProbing(
 	ctx context.Context, ip string, port int, options membership.Options, store *store,
 	report func(topic string, body []byte),
@@ -73,11 +73,11 @@
 	}, nil
 }
 
-// run receives packets and executes what is due until ctx ends.
+// run receives packets and runs the prober's timers until ctx ends.
 func (p *probing) run(ctx context.Context) {
 	var buffer [maxPacketBytes]byte
 	for ctx.Err() == nil {
-		_ = p.socket.SetReadDeadline(p.nextAt())
+		_ = p.socket.SetReadDeadline(p.nextDeadline())
 		count, from, err := p.socket.ReadFromUDPAddrPort(buffer[:])
 		now := time.Now()
 		switch {
@@ -96,9 +96,9 @@
 	}
 }
 
-// nextAt returns when something is due next.
-func (p *probing) nextAt() time.Time {
-	refreshAt := time.Now().Add(nodesInterval)
+// nextDeadline returns when the prober's next tick or the next refresh of the nodes is due.
+func (p *probing) nextDeadline() time.Time {
+	refreshAt := time.Now().Add(nodesRefreshInterval)
 	if at, ok := p.prober.NextTick(); ok && at.Before(refreshAt) {
 		return at
 	}
@@ -115,18 +115,18 @@
 	p.execute(p.prober.Receive(now, from, packet))
 }
 
-// execute sends the prober's packets and reports its findings.
+// execute sends the packets that the prober requested and reports its findings.
 func (p *probing) execute(actions membership.Actions) {
 	for _, out := range actions.Packets {
 		p.sendBuffer = out.Packet.Encode(p.sendBuffer[:0])
-		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // the prober handles lost packets
+		_, _ = p.socket.WriteToUDPAddrPort(p.sendBuffer, out.To) // a failed write counts as a lost packet, which the prober handles
 	}
 	for _, finding := range actions.Findings {
 		p.reportSuspicion(finding.Node.Name, finding.Suspected)
 	}
 }
 
-// reportSuspicion reports that a machine is suspected, or no longer.
+// reportSuspicion reports that a machine is suspected to have failed, or is no longer suspected.
 func (p *probing) reportSuspicion(ip string, suspected bool) {
 	body, err := feedtransport.EncodeSuspicion(feedtransport.Suspicion{IP: ip, Suspected: suspected})
 	if err == nil {
@@ -134,12 +134,12 @@
 	}
 }
 
-// repeatSuspicions reports the suspicions that last once more.
+// repeatSuspicions reports ongoing suspicions again, every feedtransport.SuspicionRepeatInterval.
 func (p *probing) repeatSuspicions(now time.Time) {
-	if now.Sub(p.repeatedAt) < feedtransport.SuspicionRepeatInterval {
+	if now.Sub(p.suspicionsRepeatedAt) < feedtransport.SuspicionRepeatInterval {
 		return
 	}
-	p.repeatedAt = now
+	p.suspicionsRepeatedAt = now
 	for _, ip := range p.prober.Suspected() {
 		p.reportSuspicion(ip, true)
 	}
@@ -147,23 +147,23 @@
 
 // refreshNodes updates the prober's list of nodes if its shard has changed.
 func (p *probing) refreshNodes(now time.Time) {
-	if !p.nodesAt.IsZero() && now.Sub(p.nodesAt) < nodesInterval {
+	if !p.nodesCheckedAt.IsZero() && now.Sub(p.nodesCheckedAt) < nodesRefreshInterval {
 		return
 	}
-	p.nodesAt = now
+	p.nodesCheckedAt = now
 	values, index := p.store.valuesSince(nodesShard(), p.nodesIndex)
 	if index == p.nodesIndex {
 		return
 	}
 	p.nodesIndex = index
-	p.prober.SetNodes(nodesOf(values, p.port))
+	p.prober.SetNodes(fleetNodes(values, p.port))
 }
 
 // nodesShard returns the shard in which the fleet's nodes are registered.
 func nodesShard() shards.ID { return shards.ForService(registry.NodesService) }
 
-// nodesOf returns the fleet's nodes among a shard's items, each IP once. A node is named by its IP.
-func nodesOf(values [][]byte, port int) []membership.Node {
+// fleetNodes returns the fleet's nodes among the values of a shard's items, one for each IP. A node's name is its IP.
+func fleetNodes(values [][]byte, port int) []membership.Node {
 	var nodes []membership.Node
 	seen := make(map[netip.Addr]bool)
 	for _, value := range values {
@@ -180,10 +180,10 @@
 	return nodes
 }
 
-// nodeIP returns the IP of an item, if it is one of the fleet's nodes and not draining.
+// nodeIP returns the IP of an item that is a node of the fleet. ok is false for other items and for draining nodes.
 func nodeIP(value []byte) (ip netip.Addr, ok bool) {
 	if !bytes.Contains(value, []byte(registry.NodesService)) {
-		return netip.Addr{}, false // most items, which need not be decoded
+		return netip.Addr{}, false // avoids decoding most items
 	}
 	instance, err := registry.DecodeItem(value)
 	if err != nil || instance.Service != registry.NodesService || instance.State == registry.Draining {
--- a/internal/controlplane/agent/proxy_server.go
+++ b/internal/controlplane/agent/proxy_server.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	helloTimeout     = 2 * time.Second       // for the first frame of a connection
-	acceptRetryAfter = 50 * time.Millisecond // after a failed accept, such as for lack of file descriptors
+	helloTimeout     = 2 * time.Second       // time within which the first frame of a connection must arrive
+	acceptRetryAfter = 50 * time.Millisecond // delay after a failed accept, for example for lack of file descriptors
 )
 
-// proxyServer serves the feed to the proxy of this machine. The goroutine of accept accepts connections, and each session has
-// a goroutine of its own, which ends with the connection or with drain.
+// proxyServer serves the feed to the proxy on this machine. One goroutine runs accept, and each session has a goroutine of its
+// own, which ends with the connection or when drain cancels it.
 type proxyServer struct {
 	listener net.Listener
 	source   feedtransport.Source
 	origin   time.Time       // see feedtransport.SessionOptions
-	ready    <-chan struct{} // closed once the store may be served
-	stopping <-chan struct{} // closed with the signal to stop
+	ready    <-chan struct{} // closed once the store is ready to be served
+	stopping <-chan struct{} // closed when the agent is asked to stop
 
 	cancel context.CancelFunc
-	ctx    context.Context // of the sessions, which continue after the signal to stop
+	ctx    context.Context // of the sessions, which continue after stopping is closed
 
 	mu       sync.Mutex // guards closed and sessions
 	closed   bool
 	sessions map[*feedtransport.Session]struct{}
-	idle     chan struct{} // closed once closed is set and the last session has ended
+	drained  chan struct{} // closed once no connections are accepted and the last session has ended
 }
 
-// newProxyServer opens the loopback port. The proxy's reports are passed to report.
+// newProxyServer opens the loopback port. It passes the proxy's reports to report.
 func newProxyServer(
 	ctx context.Context, port int, options Options, store *store, report func(topic string, body []byte),
 ) (*proxyServer, error) {
@@ -42,17 +42,17 @@
 	if err != nil {
 		return nil, err
 	}
-	proxies := &proxyServer{
+	server := &proxyServer{
 		listener: listener,
 		source:   proxySource{store: store, report: report},
 		origin:   options.Origin,
 		ready:    store.ready,
 		stopping: ctx.Done(),
 		sessions: make(map[*feedtransport.Session]struct{}),
-		idle:     make(chan struct{}),
+		drained:  make(chan struct{}),
 	}
-	proxies.ctx, proxies.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	return proxies, nil
+	server.ctx, server.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	return server, nil
 }
 
 // accept serves connections until the listener is closed.
@@ -93,7 +93,7 @@
 	_ = session.Run(s.ctx)
 }
 
-// awaitReady waits until the store may be served. It returns false if the agent stops before.
+// awaitReady waits until the store is ready to be served. It returns false if the agent is asked to stop first.
 func (s *proxyServer) awaitReady() bool {
 	select {
 	case <-s.ready:
@@ -103,7 +103,7 @@
 	}
 }
 
-// add records an open session. It returns false after close.
+// add registers an open session. It returns false if close has been called.
 func (s *proxyServer) add(session *feedtransport.Session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,24 +114,24 @@
 	return true
 }
 
-// remove drops a session that has ended.
+// remove unregisters a session that has ended.
 func (s *proxyServer) remove(session *feedtransport.Session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, session)
 	if s.closed && len(s.sessions) == 0 {
-		close(s.idle)
+		close(s.drained)
 	}
 }
 
-// isClosed reports whether close was called.
-// sessionCount returns how many proxies read the feed.
+// sessionCount returns the number of open sessions.
 func (s *proxyServer) sessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
 }
 
+// isClosed reports whether close was called.
 func (s *proxyServer) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,23 +157,23 @@
 	s.closed = true
 	_ = s.listener.Close()
 	if len(s.sessions) == 0 {
-		close(s.idle)
+		close(s.drained)
 	}
 }
 
-// drain stops accepting connections, waits until the open sessions have ended or timeout has passed, and cancels the rest.
+// drain stops accepting connections, waits up to timeout for the open sessions to end, and cancels those that remain.
 func (s *proxyServer) drain(timeout time.Duration) {
 	s.close()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-s.idle:
+	case <-s.drained:
 	case <-timer.C:
 	}
 	s.cancel()
 }
 
-// proxySource is the feedtransport.Source of the proxy's sessions: the store, and the receiver of reports.
+// proxySource is the feedtransport.Source of the proxy's sessions. It serves the store and passes reports to a function.
 type proxySource struct {
 	store  *store
 	report func(topic string, body []byte)
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -11,61 +11,61 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// backlogBytes limits the changes that are retained of each shard. The proxy reads them at once; one that was disconnected
-// for longer gets a snapshot, over loopback.
+// backlogBytes limits the size of the changes that are retained for each shard. A connected proxy reads changes immediately;
+// a proxy that has missed more gets a snapshot, which travels only over loopback.
 const backlogBytes = 64 << 10
 
-// currencyTTL is how long a server's status counts that it is current. The client leaves a server that sends nothing for as
-// long, but an agent that stalls itself notices that only when it runs again.
+// currencyTTL is how long a status that says that the server is current is valid. The feed client leaves a server that sends
+// nothing for so long, but if the agent process itself stalls, it notices the lost server only once it runs again.
 const currencyTTL = feedtransport.ReceiveTimeout + feedtransport.StatusInterval
 
-// store holds the items of all shards as the control plane server sent them.
+// store holds the items of all shards as received from the control plane server.
 type store struct {
-	mu       sync.Mutex // guards the fields up to wakes
-	buffers  map[shards.ID]*feed.Buffer
-	current  map[shards.ID]bool           // by the server's last status; empty without a connection
-	statusAt time.Time                    // when that status arrived
-	wakes    map[chan<- struct{}]struct{} // of subscribers
+	mu               sync.Mutex // guards the fields up to subscribers
+	buffers          map[shards.ID]*feed.Buffer
+	current          map[shards.ID]bool           // as of the server's last status; empty without a connection
+	statusReceivedAt time.Time                    // when the last status arrived
+	subscribers      map[chan<- struct{}]struct{} // channels that receive wake-ups
 
-	reportHandler func(report feedtransport.Report) // set before the feed is read
+	reportHandler func(report feedtransport.Report) // set before the feed client runs
 
-	disconnections atomic.Int64 // connections to servers that ended
+	disconnections atomic.Int64 // connections to servers that have ended
 
 	ready     chan struct{} // closed by markReady
 	readyOnce sync.Once
 }
 
-// newStore returns a store without items, which is not ready.
+// newStore returns an empty store that is not ready.
 func newStore() *store {
 	return &store{
-		buffers: make(map[shards.ID]*feed.Buffer),
-		current: make(map[shards.ID]bool),
-		wakes:   make(map[chan<- struct{}]struct{}),
-		ready:   make(chan struct{}),
+		buffers:     make(map[shards.ID]*feed.Buffer),
+		current:     make(map[shards.ID]bool),
+		subscribers: make(map[chan<- struct{}]struct{}),
+		ready:       make(chan struct{}),
 	}
 }
 
-// markReady marks the store as fit to be served. It is called once all shards have what a server had of them.
+// markReady marks the store as ready to be served. It is called once a server has sent its state of all shards.
 func (s *store) markReady() { s.readyOnce.Do(func() { close(s.ready) }) }
 
-// setReportHandler sets the handler of the server's reports. It must be called before the feed is read.
+// setReportHandler sets the handler of the server's reports. It must be called before the feed client runs.
 func (s *store) setReportHandler(handle func(report feedtransport.Report)) { s.reportHandler = handle }
 
-// reset replaces all items of a shard.
+// reset replaces all items of a shard by a snapshot.
 func (s *store) reset(shard shards.ID, snapshot feed.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.buffer(shard).Reset(snapshot)
 }
 
-// change applies a change to a shard.
-func (s *store) change(shard shards.ID, change feed.Change) error {
+// applyChange applies a change to a shard.
+func (s *store) applyChange(shard shards.ID, change feed.Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buffer(shard).Append(change)
 }
 
-// buffer returns a shard's buffer and creates it if there is none. The caller must hold mu.
+// buffer returns the buffer of a shard and creates it if necessary. The caller must hold mu.
 func (s *store) buffer(shard shards.ID) *feed.Buffer {
 	buffer, ok := s.buffers[shard]
 	if !ok {
@@ -75,7 +75,7 @@
 	return buffer
 }
 
-// index returns the offset of a shard; 0: nothing.
+// index returns the offset of a shard, or 0 if the store has nothing of it.
 func (s *store) index(shard shards.ID) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,8 +86,9 @@
 	return buffer.Index()
 }
 
-// standing returns, by shard, whether the server calls it current, and the offset that the agent has.
-func (s *store) standing() (current [shards.ShardCount]bool, indexes [shards.ShardCount]uint64) {
+// shardStates returns for each shard whether the server's last status called it current, and the offset up to which the agent
+// has it.
+func (s *store) shardStates() (current [shards.ShardCount]bool, indexes [shards.ShardCount]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for shard := range current {
@@ -99,7 +100,7 @@
 	return current, indexes
 }
 
-// setCurrent records in which shards the server is current, and wakes subscribers if that has changed.
+// setCurrent records for which shards the server is current, and wakes subscribers if that has changed.
 func (s *store) setCurrent(status []feedtransport.ShardStatus) {
 	s.mu.Lock()
 	changed := len(status) != len(s.current)
@@ -107,7 +108,7 @@
 		known, ok := s.current[shard.Shard]
 		changed = changed || !ok || known != shard.Current
 	}
-	s.statusAt = time.Now()
+	s.statusReceivedAt = time.Now()
 	clear(s.current)
 	for _, shard := range status {
 		s.current[shard.Shard] = shard.Current
@@ -122,7 +123,7 @@
 func (s *store) wakeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for wake := range s.wakes {
+	for wake := range s.subscribers {
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -137,7 +138,7 @@
 	return s.sortedShards()
 }
 
-// sortedShards returns the shards that the store has. The caller must hold mu.
+// sortedShards returns the shards in the store, in ascending order. The caller must hold mu.
 func (s *store) sortedShards() []shards.ID {
 	ids := make([]shards.ID, 0, len(s.buffers))
 	for shard := range s.buffers {
@@ -162,12 +163,13 @@
 	return nil, &snapshot
 }
 
-// Status implements feedtransport.Source: a shard is current if the server's last status said so within currencyTTL.
+// Status implements feedtransport.Source. A shard is current if the server's last status said so and is not older than
+// currencyTTL.
 func (s *store) Status() feedtransport.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var status feedtransport.Status
-	confirmed := time.Since(s.statusAt) <= currencyTTL
+	confirmed := time.Since(s.statusReceivedAt) <= currencyTTL
 	for _, shard := range s.sortedShards() {
 		status.Shards = append(status.Shards, feedtransport.ShardStatus{
 			Shard: shard, Index: s.buffers[shard].Index(), Current: confirmed && s.current[shard],
@@ -180,15 +182,16 @@
 func (s *store) Subscribe(wake chan<- struct{}) (cancel func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wakes[wake] = struct{}{}
+	s.subscribers[wake] = struct{}{}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.wakes, wake)
+		delete(s.subscribers, wake)
 	}
 }
 
-// valuesSince returns the values of a shard's items and the shard's index, or no values if that is the given index.
+// valuesSince returns the values of a shard's items and the shard's index. It returns no values if the shard is unchanged since
+// the given index.
 func (s *store) valuesSince(shard shards.ID, index uint64) (values [][]byte, now uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/agent/store_test.go
+++ b/internal/controlplane/agent/store_test.go
@@ -10,33 +10,33 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// The server of the store has sent nothing for a while: the process may have stalled, and has not noticed yet that the
-// connection is lost.
+// A shard must not stay current without further statuses: if the agent process stalled, it has not noticed yet that the
+// connection to the server is lost.
 func TestStore_Status_currencyExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.reset(shards.ConfigurationShard, feed.Snapshot{Index: 3})
 		current := func() bool { return s.Status().Current() }
 		if current() {
-			t.Fatal("current without a server")
+			t.Fatal("the store is current before the first status of a server")
 		}
-		word := []feedtransport.ShardStatus{{Shard: shards.ConfigurationShard, Index: 3, Current: true}}
-		s.setCurrent(word)
+		status := []feedtransport.ShardStatus{{Shard: shards.ConfigurationShard, Index: 3, Current: true}}
+		s.setCurrent(status)
 		time.Sleep(currencyTTL)
 		if !current() {
-			t.Fatal("the status does not count for long enough")
+			t.Fatal("the store is not current although its last status is only currencyTTL old")
 		}
 		time.Sleep(time.Millisecond)
 		if current() {
-			t.Fatal("an old status counts")
+			t.Fatal("the store is current although its last status is older than currencyTTL")
 		}
-		s.setCurrent(word)
+		s.setCurrent(status)
 		if !current() {
-			t.Fatal("the next status does not count")
+			t.Fatal("the store is not current after a further status")
 		}
 		s.setCurrent(nil)
 		if current() {
-			t.Fatal("current although the connection is lost")
+			t.Fatal("the store is current after the connection was lost")
 		}
 	})
 }
