--- a/internal/controlplane/feedtransport/candidates.go
+++ b/internal/controlplane/feedtransport/candidates.go
@@ -14,24 +14,24 @@
 	sameZone distance = iota
 	sameRegion
 	otherRegion
-	unlisted // a seed that is not in the servers' own list
+	unlisted // a seed that is not in the last list of servers
 )
 
 // candidate is a server that the client may use.
 type candidate struct {
-	address  string // of its feed
+	address  string // address of its feed
 	distance distance
 	rank     uint64 // rendezvous hash of the node with the address; the highest is preferred
 
-	failures    int // since it was last current
+	failures    int // failed attempts and lost connections since it was last current
 	avoidUntil  time.Time
 	attemptedAt time.Time
 }
 
-// avoided reports whether the server failed lately.
+// avoided reports whether the server is used only after others, since it failed recently.
 func (c *candidate) avoided(now time.Time) bool { return now.Before(c.avoidUntil) }
 
-// candidateList holds the seeds and the servers that a status has listed.
+// candidateList holds the seeds and the servers that the last status listed.
 type candidateList struct {
 	options    SelectorOptions
 	candidates []*candidate
@@ -50,24 +50,24 @@
 
 func (l *candidateList) len() int { return len(l.candidates) }
 
-// update replaces the listed servers and keeps the state of those that remain. An empty list only makes sure that the
-// seeds are candidates.
+// update replaces the listed servers and keeps the state of those that remain. With an empty list it adds the seeds if there
+// are no candidates yet, and changes nothing otherwise.
 func (l *candidateList) update(servers []ServerEndpoint) {
 	if l.options.FixedServer != "" || (len(servers) == 0 && len(l.candidates) > 0) {
 		return
 	}
 	var next []*candidate
 	for _, server := range servers {
-		next = l.include(next, server.Address, l.distanceTo(server))
+		next = l.appendServer(next, server.Address, l.distanceTo(server))
 	}
 	for _, seed := range l.options.Seeds {
-		next = l.include(next, seed, unlisted)
+		next = l.appendServer(next, seed, unlisted)
 	}
 	l.candidates = next
 }
 
-// include appends the server of an address to the list unless the list has it already.
-func (l *candidateList) include(list []*candidate, address string, proximity distance) []*candidate {
+// appendServer appends the server at an address to the list, unless the address is invalid or already in the list.
+func (l *candidateList) appendServer(list []*candidate, address string, dist distance) []*candidate {
 	feedAddress, ok := FeedAddress(address, l.options.FeedPort)
 	if !ok {
 		return list
@@ -77,14 +77,14 @@
 		return list
 	}
 	if known := slices.IndexFunc(l.candidates, hasAddress); known >= 0 {
-		l.candidates[known].distance = proximity
+		l.candidates[known].distance = dist
 		return append(list, l.candidates[known])
 	}
 	rank := rendezvousRank(l.options.Node, feedAddress)
-	return append(list, &candidate{address: feedAddress, distance: proximity, rank: rank})
+	return append(list, &candidate{address: feedAddress, distance: dist, rank: rank})
 }
 
-// distanceTo returns the distance of a listed server from the client.
+// distanceTo returns the distance between the client and a listed server.
 func (l *candidateList) distanceTo(server ServerEndpoint) distance {
 	switch {
 	case server.Zone != "" && server.Zone == l.options.Zone:
@@ -95,8 +95,8 @@
 	return otherRegion
 }
 
-// best returns the server to use, or nil if there is none: the nearest that did not fail lately or, where all did, the one
-// whose last attempt is longest ago.
+// best returns the server to use, or nil if there is none: the nearest one that did not fail recently or, if all did, the one
+// whose last attempt was the longest ago.
 func (l *candidateList) best(now time.Time) *candidate {
 	if len(l.candidates) == 0 {
 		return nil
@@ -106,7 +106,7 @@
 	})
 }
 
-// compareCandidates returns a negative number if left is preferred to right.
+// compareCandidates returns a negative number if left is preferred to right, and a positive one if right is preferred.
 func compareCandidates(left, right *candidate, now time.Time) int {
 	if left.avoided(now) != right.avoided(now) {
 		if right.avoided(now) {
@@ -131,11 +131,11 @@
 	_, _ = hash.Write([]byte(node))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(address))
-	return mix(hash.Sum64())
+	return murmur3Finalizer(hash.Sum64())
 }
 
-// mix applies the 64-bit finalizer of MurmurHash3, since FNV alone does not spread similar addresses.
-func mix(value uint64) uint64 {
+// murmur3Finalizer applies the 64-bit finalizer of MurmurHash3: FNV alone does not distribute similar addresses evenly.
+func murmur3Finalizer(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
--- a/internal/controlplane/feedtransport/client.go
+++ b/internal/controlplane/feedtransport/client.go
@@ -11,46 +11,46 @@
 	"ospreybend/coord/shards"
 )
 
-// Handler receives the feed of a Client. All methods are called by the goroutine of Client.Run. The handler may retain its
-// arguments.
+// Handler receives the feed of a Client. The goroutine of Client.Run calls all methods. The handler may retain the arguments
+// of its methods.
 type Handler interface {
 	// Snapshot replaces all items of a shard.
 	Snapshot(shard shards.ID, snapshot feed.Snapshot)
 	// Change applies the change of one log entry to a shard.
 	Change(shard shards.ID, change feed.Change)
-	// Status receives the server's status, which follows the changes that it counts.
+	// Status receives the server's status. The changes up to the indexes in the status have been received before.
 	Status(status Status)
-	// Connected is called when a connection to a server is open.
+	// Connected is called when a connection to a server has been opened.
 	Connected(address string)
-	// Disconnected is called with the reason when that connection has ended.
+	// Disconnected is called when that connection has ended, with the reason.
 	Disconnected(err error)
 }
 
-// BatchHandler is a Handler that is notified after all changes of one frame, or a complete snapshot.
+// BatchHandler is a Handler that is notified after all changes of one frame, and after a complete snapshot.
 type BatchHandler interface {
 	Handler
 	// BatchDone is called after the last Change or Snapshot of a batch.
 	BatchDone()
 }
 
-// ReportHandler is a Handler that receives reports of the server.
+// ReportHandler is a Handler that also receives the server's reports.
 type ReportHandler interface {
 	Handler
 	// Report receives one report.
 	Report(report Report)
 }
 
-// ClientOptions describe the reader and the servers.
+// ClientOptions configure a Client: what it sends in its Hello and how it selects and dials servers.
 type ClientOptions struct {
-	Hello    Hello // its Offsets are those that the handler has already
+	Hello    Hello // Offsets: what the handler already has
 	Selector SelectorOptions
 	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: Dial
 	Random   func() float64                                              // uniform in [0, 1); nil: rand.Float64
-	Omit     []Guard                                                     // checks that tests leave out
+	Omit     []Guard                                                     // checks that tests disable
 }
 
-// Client reads the feed from one server at a time and fails over to another. All fields but outbox belong to the goroutine
-// of Run.
+// Client reads the feed from one server at a time and fails over to others. Only the goroutine of Run may use its fields,
+// except for outbox.
 type Client struct {
 	hello    Hello
 	handler  Handler
@@ -58,10 +58,10 @@
 	selector *ServerSelector
 	receiver *receiver
 	outbox   *outbox
-	servers  []ServerEndpoint // of the last status that listed them; a status lists them only when they have changed
+	servers  []ServerEndpoint // from the last status that listed servers; a status lists them only when they have changed
 }
 
-// NewClient returns a client that is not connected; Run connects it.
+// NewClient returns a client that is not connected yet; Run connects it.
 func NewClient(options ClientOptions, handler Handler) *Client {
 	dial := options.Dial
 	if dial == nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// NewProxyClient returns the client of a proxy, which reads from the agent of its own machine at agentPort. The Role of
-// hello is set.
+// NewProxyClient returns the client of a proxy, which reads from the agent on the same machine at agentPort. It sets the Role
+// of hello to RoleProxy.
 func NewProxyClient(hello Hello, agentPort int, handler Handler) *Client {
 	hello.Role = RoleProxy
 	selector := SelectorOptions{
@@ -100,7 +100,7 @@
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		address, wait := c.selector.Next(time.Now())
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			break
 		}
 		err := c.attempt(ctx, address)
@@ -109,11 +109,11 @@
 	return ctx.Err()
 }
 
-// Report queues a report for the server, which is sent once the client is connected. It does not block; the oldest reports
-// are dropped where too many are queued. It may be called by any goroutine.
+// Report queues a report, which is sent to the server once the client is connected. It does not block; if too many reports are
+// queued, the oldest are dropped. It may be called from any goroutine.
 func (c *Client) Report(topic string, body []byte) { c.outbox.add(Report{Topic: topic, Body: body}) }
 
-// attempt dials a server and reads its feed. It returns why the attempt or the connection ended.
+// attempt dials a server and reads its feed. It returns the reason why the attempt failed or the connection ended.
 func (c *Client) attempt(ctx context.Context, address string) error {
 	if address == "" {
 		return ErrNoServer
@@ -136,8 +136,8 @@
 	return err
 }
 
-// serveConnection reads one connection until it fails, the selector leaves it, or ctx ends, and closes it. A goroutine of
-// its own writes the hello and reports; it has ended when serveConnection returns.
+// serveConnection reads one connection until it fails, the selector leaves the server, or ctx ends, and closes it. A second
+// goroutine writes the hello and the reports; it has ended when serveConnection returns.
 func (c *Client) serveConnection(ctx context.Context, connection net.Conn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
@@ -159,7 +159,7 @@
 	return context.Cause(ctx)
 }
 
-// send writes the hello and then reports as they are queued, until ctx ends or a write fails.
+// send writes the hello, and then reports as they are queued, until ctx ends or a write fails.
 func (c *Client) send(ctx context.Context, connection net.Conn, hello Hello) error {
 	frames, err := AppendHello(nil, hello)
 	if err != nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// appendReports appends reports as frames.
+// appendReports appends reports to frames, one frame for each.
 func appendReports(frames []byte, reports []Report) ([]byte, error) {
 	for _, report := range reports {
 		var err error
--- a/internal/controlplane/feedtransport/client_receive.go
+++ b/internal/controlplane/feedtransport/client_receive.go
@@ -12,40 +12,41 @@
 // feedBufferBytes is the size of the read buffer for the feed.
 const feedBufferBytes = 8 << 10
 
-// ErrNoServer is the error of an attempt for which no server is known.
+// ErrNoServer is the reason for which an attempt fails while no server is known.
 var ErrNoServer = errors.New("feedtransport: no server is known")
 
-// monitoredConnection sets read deadlines at which the selector is asked whether to stay with the server.
+// monitoredConnection is a connection whose read deadlines are set by the selector, which then decides whether to leave the
+// server.
 type monitoredConnection struct {
 	net.Conn
 	selector *ServerSelector
 }
 
-// Read implements io.Reader. Beside errors of the connection it returns those of ServerSelector.Check.
-func (w monitoredConnection) Read(buffer []byte) (int, error) {
+// Read implements io.Reader. It returns the errors of the connection and those of ServerSelector.Check.
+func (c monitoredConnection) Read(buffer []byte) (int, error) {
 	for {
-		if err := w.SetReadDeadline(w.selector.Deadline()); err != nil {
+		if err := c.SetReadDeadline(c.selector.Deadline()); err != nil {
 			return 0, err
 		}
-		count, err := w.Conn.Read(buffer)
+		count, err := c.Conn.Read(buffer)
 		now := time.Now()
 		if count > 0 {
-			w.selector.Received(now)
+			c.selector.Received(now)
 			return count, nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return 0, err
 		}
-		if reason := w.selector.Check(now); reason != nil {
+		if reason := c.selector.Check(now); reason != nil {
 			return 0, reason
 		}
 	}
 }
 
-// receive passes frames to the handler until the connection fails or the selector leaves it.
+// receive passes frames to the handler until the connection fails or the selector leaves the server.
 func (c *Client) receive(connection net.Conn) error {
-	watched := monitoredConnection{Conn: connection, selector: c.selector}
-	reader := bufio.NewReaderSize(watched, feedBufferBytes)
+	monitored := monitoredConnection{Conn: connection, selector: c.selector}
+	reader := bufio.NewReaderSize(monitored, feedBufferBytes)
 	for {
 		kind, body, err := ReadFrame(reader)
 		if err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-// handleFrame passes one frame to the handler.
+// handleFrame decodes one frame and passes its message to the handler.
 func (c *Client) handleFrame(kind Kind, body []byte) error {
 	switch kind {
 	case KindSnapshot:
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// handleSnapshotPart adds a part, and passes the snapshot to the handler once it is complete.
+// handleSnapshotPart adds a part of a snapshot, and passes the snapshot to the handler once it is complete.
 func (c *Client) handleSnapshotPart(body []byte) error {
 	part, err := DecodeSnapshotPart(body)
 	if err != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// handleChanges passes the changes that are above the offset to the handler.
+// handleChanges passes the changes that are above the offset of their shard to the handler.
 func (c *Client) handleChanges(body []byte) error {
 	changes, err := DecodeChanges(body)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// handleStatus passes a status, completed by the servers of an earlier one, to the selector and the handler.
+// handleStatus passes a status to the selector and the handler. If it lists no servers, those of an earlier status are added.
 func (c *Client) handleStatus(body []byte) error {
 	status, err := DecodeStatus(body)
 	if err != nil {
@@ -146,7 +147,7 @@
 	return c.selector.Check(now)
 }
 
-// handleReport passes a report to the handler if it takes any.
+// handleReport passes a report to the handler if that is a ReportHandler.
 func (c *Client) handleReport(body []byte) error {
 	report, err := DecodeReport(body)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// batchDone notifies a BatchHandler.
+// batchDone notifies the handler if it is a BatchHandler.
 func (c *Client) batchDone() {
 	if handler, ok := c.handler.(BatchHandler); ok {
 		handler.BatchDone()
--- a/internal/controlplane/feedtransport/codec.go
+++ b/internal/controlplane/feedtransport/codec.go
@@ -11,7 +11,8 @@
 	"ospreybend/coord/shards"
 )
 
-// The wire types mirror the schemas, by field names; the codec has no unsigned 64-bit type.
+// The wire types mirror the schemas; the codec matches fields by name. They use int64 since the codec has no unsigned 64-bit
+// type.
 type (
 	wireOffset struct{ Shard, Index int64 }
 
@@ -51,7 +52,7 @@
 	}
 )
 
-// DecodeError is the error of a body that does not fit its schema.
+// DecodeError is returned for a body that does not match the schema of its kind.
 type DecodeError struct {
 	Kind  Kind
 	Cause error
@@ -59,27 +60,27 @@
 
 // Error implements error.
 func (e *DecodeError) Error() string {
-	return fmt.Sprintf("feedtransport: body of a frame of kind %d: %v", e.Kind, e.Cause)
+	return fmt.Sprintf("feedtransport: decode the body of a frame of kind %d: %v", e.Kind, e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// readers are reused from one body to the next.
-var readers = sync.Pool{New: func() any { return avro.NewReader(nil, 0, avro.WithReaderConfig(codec)) }}
+// avroReaders holds readers for reuse.
+var avroReaders = sync.Pool{New: func() any { return avro.NewReader(nil, 0, avro.WithReaderConfig(codec)) }}
 
-// decode decodes a body. Unlike the codec's own Unmarshal it fails for one that ends early. Bytes after the schema's last
-// field are ignored, so that a later schema may have more fields.
+// decode decodes a body. Unlike the codec's own Unmarshal, it fails for a truncated body. Bytes after the schema's last field
+// are ignored, so that a later version of the schema may add fields.
 func decode(kind Kind, schema avro.Schema, body []byte, into any) (err error) {
-	reader := readers.Get().(*avro.Reader).Reset(body)
+	reader := avroReaders.Get().(*avro.Reader).Reset(body)
 	reader.Error = nil
 	defer func() {
-		if panicked := recover(); panicked != nil { // the codec panics for some invalid lengths
+		if panicked := recover(); panicked != nil { // the codec panics on some invalid lengths
 			err = &DecodeError{Kind: kind, Cause: fmt.Errorf("%w: %v", errInvalidLength, panicked)}
 			return
 		}
 		reader.Reset(nil)
-		readers.Put(reader)
+		avroReaders.Put(reader)
 	}()
 	reader.ReadVal(schema, into)
 	if reader.Error != nil {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-var errInvalidLength = errors.New("feedtransport: invalid length")
+var errInvalidLength = errors.New("feedtransport: a length in the body is invalid")
 
 // appendMessage encodes a message and appends it to buffer as a frame.
 func appendMessage(buffer []byte, kind Kind, schema avro.Schema, message any) ([]byte, error) {
@@ -114,7 +115,7 @@
 	return appendMessage(buffer, KindHello, helloSchema, wire)
 }
 
-// DecodeHello decodes the body of a frame of KindHello, also that of a reader without compression.
+// DecodeHello decodes the body of a frame of KindHello. It also accepts the earlier schema, which has no Compressed field.
 func DecodeHello(body []byte) (Hello, error) {
 	var wire wireHello
 	if decode(KindHello, helloSchema, body, &wire) != nil {
--- a/internal/controlplane/feedtransport/compression.go
+++ b/internal/controlplane/feedtransport/compression.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// minCompressBytes is the length of frames from which they are compressed.
+	// minCompressBytes is the minimum length of frames that are compressed.
 	minCompressBytes = 256
-	// compressionLevel makes the items of 3,000 workers a quarter smaller than the fastest level, in twice its time. A server
-	// compresses once for all its readers.
+	// compressionLevel compresses the items of 3,000 workers to a size a quarter smaller than the fastest level does, in twice
+	// the time. A server compresses once for all its readers.
 	compressionLevel = 5
 )
 
-var errLengthMismatch = errors.New("feedtransport: compressed frames differ from their stated length")
+var errLengthMismatch = errors.New("feedtransport: decompressed frames do not end at the stated length")
 
 // wireCompressed mirrors compressedSchema.
 type wireCompressed struct {
-	Length   int64 // of the frames
+	Length   int64 // length of the uncompressed frames
 	Deflated []byte
 }
 
-// deflaters and inflaters are reused, as each holds some tens of kilobytes or more.
+// deflaters and inflaters are pooled, since each of them holds some tens of kilobytes or more.
 var (
 	deflaters = sync.Pool{New: func() any {
 		writer, err := flate.NewWriter(nil, compressionLevel)
 		if err != nil {
-			panic(err) // the level is a constant
+			panic(err) // cannot happen: the level is a valid constant
 		}
 		return writer
 	}}
 	inflaters = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
-// compressFrames returns frames as one frame of KindCompressed, or unchanged if that is not shorter.
+// compressFrames returns frames compressed into one frame of KindCompressed, or unchanged if that is not shorter.
 func compressFrames(frames []byte) ([]byte, error) {
 	if len(frames) < minCompressBytes {
 		return frames, nil
@@ -59,7 +59,7 @@
 	return compressed, nil
 }
 
-// decompressFrames returns the frames in the body of a frame of KindCompressed.
+// decompressFrames returns the frames that the body of a frame of KindCompressed contains.
 func decompressFrames(body []byte) ([]byte, error) {
 	var message wireCompressed
 	if err := decode(KindCompressed, compressedSchema, body, &message); err != nil {
--- a/internal/controlplane/feedtransport/encoder.go
+++ b/internal/controlplane/feedtransport/encoder.go
@@ -7,15 +7,15 @@
 	"ospreybend/coord/shards"
 )
 
-// Encoder encodes the compressed frames of snapshots and changes once for all sessions of a server that need the same. It
-// caches the last ones of each shard by their indexes: what lies between two indexes of a shard never changes.
+// Encoder encodes snapshots and changes as compressed frames, once for all sessions of a server that need the same ones. It
+// caches the last frames of each shard by their indexes: the content between two indexes of a shard never changes.
 type Encoder struct {
-	mutex          sync.Mutex // guards both maps; encoding waits for it, so that sessions do not encode the same twice
+	mu             sync.Mutex // guards both maps; held while encoding, so that sessions do not encode the same content twice
 	snapshotFrames map[shards.ID]encodedFrames
 	changeFrames   map[shards.ID]encodedFrames
 }
 
-// encodedFrames are the frames that bring a reader from one index to another.
+// encodedFrames are the frames that bring a reader from index from to index to.
 type encodedFrames struct {
 	from, to uint64
 	frames   [][]byte
@@ -33,19 +33,20 @@
 	})
 }
 
-// changes returns the frames of the changes above an index, of which there is at least one. The caller must not modify them.
+// changes returns the frames of the changes above an index. There must be at least one change. The caller must not modify the
+// frames.
 func (e *Encoder) changes(shard shards.ID, from uint64, changes []feed.Change) ([][]byte, error) {
 	return e.cachedFrames(e.changeFrames, shard, from, changes[len(changes)-1].Index, func() ([][]byte, error) {
 		return compressEach(changeParts(shard, changes), AppendChanges)
 	})
 }
 
-// cachedFrames returns the cached frames between two indexes, or encodes them and replaces those that were cached.
+// cachedFrames returns the frames between two indexes from the cache, or encodes them and replaces the shard's cache entry.
 func (e *Encoder) cachedFrames(
 	cache map[shards.ID]encodedFrames, shard shards.ID, from, to uint64, encode func() ([][]byte, error),
 ) ([][]byte, error) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if found, ok := cache[shard]; ok && found.from == from && found.to == to {
 		return found.frames, nil
 	}
--- a/internal/controlplane/feedtransport/feed_writer.go
+++ b/internal/controlplane/feedtransport/feed_writer.go
@@ -9,47 +9,47 @@
 	"ospreybend/coord/shards"
 )
 
-// Sizes of what a session writes and reads.
+// Sizes of a session's frames and buffers.
 const (
-	// partBytes is the approximate size of the part of a snapshot or of changes that one frame carries.
+	// partBytes is the approximate maximum size of the items in one frame of a snapshot or of changes.
 	partBytes = 48 << 10
 	// maxRetainedBytes is the largest buffer that is reused for the next write.
 	maxRetainedBytes = 64 << 10
-	// reportBufferBytes is the size of the read buffer for a reader's reports.
+	// reportBufferBytes is the size of the buffer for reading a reader's reports.
 	reportBufferBytes = 1 << 10
 )
 
-// feedWriter encodes the state of a source as frames and writes them. It tracks the offset that the reader has of each shard.
+// feedWriter encodes the state of a source as frames and writes them. It tracks up to which offset the reader has each shard.
 type feedWriter struct {
 	connection   net.Conn
 	writeTimeout time.Duration
 	encoder      *Encoder // nil: no compression
 	buffer       []byte
-	sent         map[shards.ID]uint64 // offsets
+	sentOffsets  map[shards.ID]uint64 // up to which the reader has each shard
 
 	sequence   uint64
 	lastStatus Status
-	statusAt   time.Time // zero: none yet
+	statusAt   time.Time // when lastStatus was written; zero: none yet
 }
 
-// newFeedWriter returns a writer for a reader with these offsets.
+// newFeedWriter returns a writer for a reader that has the shards up to these offsets.
 func newFeedWriter(connection net.Conn, offsets []Offset, writeTimeout time.Duration) *feedWriter {
-	writer := &feedWriter{connection: connection, writeTimeout: writeTimeout, sent: make(map[shards.ID]uint64)}
+	writer := &feedWriter{connection: connection, writeTimeout: writeTimeout, sentOffsets: make(map[shards.ID]uint64)}
 	for _, offset := range offsets {
-		writer.sent[offset.Shard] = offset.Index
+		writer.sentOffsets[offset.Shard] = offset.Index
 	}
 	return writer
 }
 
-// writeShard writes what is above the reader's offset of a shard, and advances the offset.
+// writeShard writes the changes and the snapshot of a shard that are above the reader's offset, and advances the offset.
 func (w *feedWriter) writeShard(shard shards.ID, changes []feed.Change, snapshot *feed.Snapshot) error {
-	if snapshot != nil && snapshot.Index > w.sent[shard] {
+	if snapshot != nil && snapshot.Index > w.sentOffsets[shard] {
 		if err := w.writeSnapshot(shard, *snapshot); err != nil {
 			return err
 		}
-		w.sent[shard] = snapshot.Index
+		w.sentOffsets[shard] = snapshot.Index
 	}
-	for len(changes) > 0 && changes[0].Index <= w.sent[shard] {
+	for len(changes) > 0 && changes[0].Index <= w.sentOffsets[shard] {
 		changes = changes[1:]
 	}
 	if len(changes) == 0 {
@@ -58,7 +58,7 @@
 	if err := w.writeChanges(shard, changes); err != nil {
 		return err
 	}
-	w.sent[shard] = changes[len(changes)-1].Index
+	w.sentOffsets[shard] = changes[len(changes)-1].Index
 	return nil
 }
 
@@ -78,7 +78,7 @@
 // writeChanges appends the frames of changes, compressed if there is an encoder.
 func (w *feedWriter) writeChanges(shard shards.ID, changes []feed.Change) error {
 	if w.encoder != nil {
-		return w.appendFrames(w.encoder.changes(shard, w.sent[shard], changes))
+		return w.appendFrames(w.encoder.changes(shard, w.sentOffsets[shard], changes))
 	}
 	for _, part := range changeParts(shard, changes) {
 		if err := w.appendFrame(AppendChanges(w.buffer, part)); err != nil {
@@ -92,7 +92,7 @@
 func snapshotParts(shard shards.ID, snapshot feed.Snapshot) []SnapshotPart {
 	var parts []SnapshotPart
 	for items := snapshot.Items; ; {
-		count := partLength(items, itemBytes)
+		count := countFittingFrame(items, itemBytes)
 		parts = append(parts, SnapshotPart{
 			Shard: shard, Index: snapshot.Index, Items: items[:count],
 			First: len(parts) == 0, Last: count == len(items),
@@ -108,14 +108,14 @@
 func changeParts(shard shards.ID, changes []feed.Change) []Changes {
 	var parts []Changes
 	for len(changes) > 0 {
-		count := partLength(changes, changeBytes)
+		count := countFittingFrame(changes, changeBytes)
 		parts = append(parts, Changes{Shard: shard, Changes: changes[:count]})
 		changes = changes[count:]
 	}
 	return parts
 }
 
-// statusChanged reports whether a status differs from the last one so that it must be sent at once: in the shards, in which
+// statusChanged reports whether a status must be sent immediately since it differs from the last one: in the shards, in which
 // of them are current, or in the servers.
 func (w *feedWriter) statusChanged(status Status) bool {
 	sameCurrency := func(left, right ShardStatus) bool { return left.Shard == right.Shard && left.Current == right.Current }
@@ -125,7 +125,7 @@
 	return w.statusAt.IsZero() || !slices.Equal(status.Servers, w.lastStatus.Servers)
 }
 
-// writeStatus writes a status with the next sequence, and with the servers only if they have changed.
+// writeStatus appends a status with the next sequence number. It includes the servers only if they have changed.
 func (w *feedWriter) writeStatus(status Status) error {
 	w.sequence++
 	status.Sequence = w.sequence
@@ -139,12 +139,12 @@
 	return w.appendFrame(AppendStatus(w.buffer, status))
 }
 
-// writeReport appends a report.
+// writeReport appends the frame of a report.
 func (w *feedWriter) writeReport(report Report) error {
 	return w.appendFrame(AppendReport(w.buffer, report))
 }
 
-// appendFrames appends encoded frames, which are shared with other writers, unless err is set.
+// appendFrames appends copies of encoded frames, which are shared with other writers. It returns err if that is set.
 func (w *feedWriter) appendFrames(frames [][]byte, err error) error {
 	for _, frame := range frames {
 		if err == nil {
@@ -154,7 +154,8 @@
 	return err
 }
 
-// appendFrame replaces the buffer by one with a further frame, unless err is set, and flushes it once it is long enough.
+// appendFrame takes the results of an Append function. It returns err if that is set. Otherwise it replaces the writer's buffer
+// by buffer, to which a frame has been appended, and flushes it once it holds partBytes.
 func (w *feedWriter) appendFrame(buffer []byte, err error) error {
 	if err != nil {
 		return err
@@ -166,7 +167,7 @@
 	return w.flush()
 }
 
-// flush writes the buffer.
+// flush writes the buffer to the connection and empties it.
 func (w *feedWriter) flush() error {
 	if len(w.buffer) == 0 {
 		return nil
@@ -179,8 +180,8 @@
 	return err
 }
 
-// partLength returns how many of the first elements fit into a frame of partBytes, at least one if there is any.
-func partLength[T any](elements []T, size func(T) int) int {
+// countFittingFrame returns how many of the first elements fit into a frame of partBytes, and at least one if there is any.
+func countFittingFrame[T any](elements []T, size func(T) int) int {
 	total := 0
 	for i, element := range elements {
 		total += size(element)
@@ -191,10 +192,10 @@
 	return len(elements)
 }
 
-// itemBytes returns the size of an item.
+// itemBytes returns the size of an item's key and value.
 func itemBytes(item feed.Item) int { return len(item.Key) + len(item.Value) }
 
-// changeBytes returns the size of a change.
+// changeBytes returns the size of a change's items and deleted keys.
 func changeBytes(change feed.Change) int {
 	total := 0
 	for _, item := range change.Put {
--- a/internal/controlplane/feedtransport/frames.go
+++ b/internal/controlplane/feedtransport/frames.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Kind is the type of a frame. Its values are part of the wire protocol.
+// Kind is the type of a frame. The values are part of the wire protocol.
 type Kind uint8
 
 // Kinds of the feed's frames.
 const (
-	// KindHello is the first frame of a reader; its body is a Hello.
+	// KindHello is the first frame that a reader sends. It carries a Hello.
 	KindHello Kind = 1
 	// KindSnapshot carries a SnapshotPart.
 	KindSnapshot Kind = 2
@@ -24,7 +24,7 @@
 	KindStatus Kind = 4
 	// KindReport carries a Report, in either direction.
 	KindReport Kind = 5
-	// KindCompressed carries frames of the kinds 2 to 5, for a reader that sets Compressed in its Hello.
+	// KindCompressed carries compressed frames of kinds 2 to 5, for a reader that sets Compressed in its Hello.
 	KindCompressed Kind = 6
 
 	// FirstPeerKind is the lowest kind that belongs to package peertransport.
@@ -32,18 +32,18 @@
 )
 
 const (
-	headerBytes = 5 // length and kind
+	headerBytes = 5 // 4 bytes of length and 1 of kind
 
-	// MaxFrameBytes is the maximal length of a frame's body.
+	// MaxFrameBytes is the maximum length of a frame's body.
 	MaxFrameBytes = 16 << 20
-	// readChunkBytes is the memory that is allocated at a time for a body, ahead of its bytes.
+	// readChunkBytes is how much memory is allocated at a time for a body, before its bytes have arrived.
 	readChunkBytes = 64 << 10
 )
 
-// ErrFrameTooLong is the error of a frame whose body exceeds MaxFrameBytes.
-var ErrFrameTooLong = errors.New("feedtransport: frame too long")
+// ErrFrameTooLong is returned for a frame whose body exceeds MaxFrameBytes.
+var ErrFrameTooLong = errors.New("feedtransport: frame exceeds the maximum length")
 
-// UnexpectedKindError is the error of a frame of a kind that is not allowed at its place.
+// UnexpectedKindError is returned for a frame of a kind that is not allowed at that point of the protocol.
 type UnexpectedKindError struct{ Kind Kind }
 
 // Error implements error.
@@ -69,8 +69,8 @@
 	return Kind(header[4]), body, nil
 }
 
-// readBody reads length bytes and allocates memory for them in chunks, so that a false length costs little more memory than
-// the bytes that were sent.
+// readBody reads length bytes. It allocates memory in chunks, so that a forged length costs little more memory than the bytes
+// that were sent.
 func readBody(reader io.Reader, length int) ([]byte, error) {
 	body := make([]byte, 0, min(length, readChunkBytes))
 	for len(body) < length {
@@ -87,15 +87,15 @@
 	return body, nil
 }
 
-// AppendFrame appends a frame to buffer. The body must not exceed MaxFrameBytes.
+// AppendFrame appends a frame to buffer. The body must not be longer than MaxFrameBytes.
 func AppendFrame(buffer []byte, kind Kind, body []byte) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(body)))
 	buffer = append(buffer, byte(kind))
 	return append(buffer, body...)
 }
 
-// ReadFirstFrame reads the first frame of an accepted connection within timeout. It reads no byte beyond that frame, so that
-// the protocol of its kind can go on with the connection.
+// ReadFirstFrame reads the first frame of an accepted connection within timeout. It reads no bytes beyond that frame, so that
+// the protocol to which the frame's kind belongs can take over the connection.
 func ReadFirstFrame(connection net.Conn, timeout time.Duration) (Kind, []byte, error) {
 	if err := connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, nil, err
--- a/internal/controlplane/feedtransport/messages.go
+++ b/internal/controlplane/feedtransport/messages.go
@@ -5,7 +5,7 @@
 	"ospreybend/coord/shards"
 )
 
-// Roles of a reader, as Hello has them.
+// Roles of a reader, for Hello.Role.
 const (
 	RoleAgent = "agent"
 	RoleProxy = "proxy"
@@ -14,7 +14,7 @@
 // Offset is the index up to which a reader has a shard.
 type Offset struct {
 	Shard shards.ID
-	Index uint64 // 0: nothing
+	Index uint64 // 0: the reader has nothing of the shard
 }
 
 // Hello is the first message of a reader.
@@ -24,7 +24,7 @@
 	Region      string
 	IP          string
 	Role        string // RoleAgent or RoleProxy
-	Incarnation uint64 // differs between two starts of a node's process
+	Incarnation uint64 // differs for each start of a node's process
 	Offsets     []Offset
 	Compressed  bool // the reader accepts frames of KindCompressed
 }
@@ -32,23 +32,23 @@
 // ShardStatus is a server's status of one shard.
 type ShardStatus struct {
 	Shard   shards.ID
-	Index   uint64 // up to which the server has the shard
+	Index   uint64 // index up to which the server has the shard
 	Current bool   // the server has confirmed that it is not behind the shard's owner
 }
 
-// ServerEndpoint is the address of one control plane server. Zone and Region are empty where unknown. The encoding uses the
-// names of the fields.
+// ServerEndpoint is the address and location of one control plane server. Zone and Region are empty if unknown. The names of
+// the fields are part of the encoding.
 type ServerEndpoint struct {
 	Address string // any address of the server, "ip:port"; clients use only the IP
 	Zone    string
 	Region  string
 }
 
-// Status is sent by a server at short intervals, and at once when it has changed.
+// Status is sent by a server at short intervals, and immediately after a change.
 type Status struct {
-	Sequence uint64 // counts the statuses of a connection; set by the server's session
+	Sequence uint64 // number of the status on its connection, starting at 1; set by the server's session
 	Shards   []ShardStatus
-	Servers  []ServerEndpoint // known servers; on the wire empty where they are the same as in the status before
+	Servers  []ServerEndpoint // known servers; on the wire, empty if they have not changed since the previous status
 }
 
 // Current reports whether all shards of the status are current. A status without shards is not.
@@ -61,20 +61,20 @@
 	return len(s.Shards) > 0
 }
 
-// Report is a message on a topic, in either direction. The package does not interpret its body. Delivery is best effort.
+// Report is a message on a topic, sent in either direction with best-effort delivery. The package does not interpret its body.
 type Report struct {
 	Topic string
 	Body  []byte
 }
 
-// Changes are consecutive changes of one shard, by ascending index.
+// Changes are consecutive changes of one shard, in ascending order of their indexes.
 type Changes struct {
 	Shard   shards.ID
 	Changes []feed.Change
 }
 
-// SnapshotPart is the part of a snapshot that one frame carries. The parts of a snapshot are sent one after the other; the
-// snapshot takes effect with the last of them.
+// SnapshotPart is the part of a snapshot that one frame carries. The parts of a snapshot are sent in sequence, and the snapshot
+// takes effect with the last of them.
 type SnapshotPart struct {
 	Shard shards.ID
 	Index uint64
--- a/internal/controlplane/feedtransport/outbox.go
+++ b/internal/controlplane/feedtransport/outbox.go
@@ -5,21 +5,21 @@
 // Limits of an outbox.
 const (
 	maxOutboxReports = 64
-	maxOutboxBytes   = 256 << 10 // of bodies
+	maxOutboxBytes   = 256 << 10 // total size of the bodies
 )
 
-// outbox queues reports until they are sent. Where they exceed its limits, the oldest are dropped.
+// outbox queues reports until they are sent. Beyond its limits it drops the oldest reports.
 type outbox struct {
-	ready chan struct{} // holds a token if reports may be queued
+	ready chan struct{} // capacity 1; receives a token when a report is queued
 
 	mu      sync.Mutex // guards the fields below
 	reports []Report
-	bytes   int // of their bodies
+	bytes   int // total size of their bodies
 }
 
 func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
 
-// add queues a report.
+// add queues a report, and drops the oldest ones if a limit is exceeded.
 func (o *outbox) add(report Report) {
 	o.mu.Lock()
 	o.reports = append(o.reports, report)
@@ -41,7 +41,7 @@
 	return reports
 }
 
-// notify puts a token into a channel of capacity one, unless it has one already.
+// notify puts a token into a channel of capacity one, unless it already holds one.
 func notify(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/controlplane/feedtransport/receiver.go
+++ b/internal/controlplane/feedtransport/receiver.go
@@ -8,31 +8,32 @@
 	"ospreybend/coord/shards"
 )
 
-// ErrBrokenSnapshot is the error of snapshot parts that do not belong together.
-var ErrBrokenSnapshot = errors.New("feedtransport: parts of a snapshot do not fit")
+// ErrInconsistentSnapshot is returned for a part of a snapshot that does not continue the previous parts, and for changes that
+// arrive between the parts.
+var ErrInconsistentSnapshot = errors.New("feedtransport: the parts of a snapshot are incomplete or out of order")
 
-// Guard names one check of what a reader accepts. Tests leave guards out, by ClientOptions.Omit, to show that each of them is
-// necessary. The production configuration leaves out none.
+// Guard names one check that a reader applies to what it receives. Tests disable guards through ClientOptions.Omit to show that
+// each of them is necessary. In production all guards are enabled.
 type Guard string
 
 // Guards of the receiver.
 const (
-	// GuardAboveOffset drops what is not above the offset of its shard.
+	// GuardAboveOffset drops snapshots and changes that are not above the offset of their shard.
 	GuardAboveOffset Guard = "nothing-below"
-	// GuardCompleteSnapshot accepts a snapshot only with all its parts, from the first to the last.
+	// GuardCompleteSnapshot accepts a snapshot only if all its parts, from the first to the last, have arrived.
 	GuardCompleteSnapshot Guard = "snapshot-whole"
-	// GuardNoChangeDuringSnapshot rejects changes between the parts of their shard's snapshot.
+	// GuardNoChangeDuringSnapshot rejects changes of a shard that arrive between the parts of the shard's snapshot.
 	GuardNoChangeDuringSnapshot Guard = "no-change-amid-snapshot"
 )
 
-// receiver tracks the offset of each shard and accepts only what is above it. It belongs to the goroutine of Client.Run.
+// receiver tracks the offset of each shard and accepts only what is above it. Only the goroutine of Client.Run uses it.
 type receiver struct {
 	offsets map[shards.ID]uint64
 	partial map[shards.ID]feed.Snapshot // snapshots whose last part has not arrived
 	omitted map[Guard]bool
 }
 
-// newReceiver returns a receiver that has these offsets already.
+// newReceiver returns a receiver that starts at these offsets, without the omitted guards.
 func newReceiver(offsets []Offset, omit ...Guard) *receiver {
 	known := make(map[shards.ID]uint64)
 	for _, offset := range offsets {
@@ -57,7 +58,7 @@
 	return offsets
 }
 
-// addPart adds one part of a snapshot. With the last part it returns the complete snapshot, unless that is not above the
+// addPart adds one part of a snapshot. After the last part it returns the complete snapshot, provided that it is above the
 // offset of its shard.
 func (r *receiver) addPart(part SnapshotPart) (snapshot feed.Snapshot, complete bool, err error) {
 	if part.First {
@@ -65,7 +66,7 @@
 	} else {
 		pending, ok := r.partial[part.Shard]
 		if (!ok || pending.Index != part.Index) && !r.omitted[GuardCompleteSnapshot] {
-			return feed.Snapshot{}, false, ErrBrokenSnapshot
+			return feed.Snapshot{}, false, ErrInconsistentSnapshot
 		}
 		snapshot = feed.Snapshot{Index: part.Index, Items: append(pending.Items, part.Items...)}
 	}
@@ -81,11 +82,11 @@
 	return snapshot, true, nil
 }
 
-// accept reports whether a change is above the offset of its shard, and advances the offset then. A change between the parts
-// of its shard's snapshot is an error: the snapshot would be below the offset once it is complete.
+// accept reports whether a change is above the offset of its shard, and if so advances the offset. A change between the parts
+// of its shard's snapshot is an error: it would raise the offset, and the snapshot would then be dropped.
 func (r *receiver) accept(shard shards.ID, change feed.Change) (above bool, err error) {
 	if _, pending := r.partial[shard]; pending && !r.omitted[GuardNoChangeDuringSnapshot] {
-		return false, ErrBrokenSnapshot
+		return false, ErrInconsistentSnapshot
 	}
 	if change.Index <= r.offsets[shard] && !r.omitted[GuardAboveOffset] {
 		return false, nil
--- a/internal/controlplane/feedtransport/schemas.go
+++ b/internal/controlplane/feedtransport/schemas.go
@@ -2,11 +2,11 @@
 
 import "github.com/hamba/avro/v2"
 
-// Avro schemas of the frames' bodies. Unsigned 64-bit numbers are encoded as the long with the same bits.
+// Avro schemas of the bodies of frames. An unsigned 64-bit number is encoded as the long that has the same bits.
 const itemSchema = `{"type":"record","name":"Item","fields":[
 	{"name":"Key","type":"string"},{"name":"Value","type":"bytes"}]}`
 
-// helloFields are the fields of the hello of a reader without compression.
+// helloFields are the fields of the first version of the Hello schema, which has no Compressed field.
 const helloFields = `{"name":"Node","type":"string"},
 	{"name":"Zone","type":"string"},
 	{"name":"Region","type":"string"},
@@ -58,8 +58,8 @@
 		{"name":"IP","type":"string"},{"name":"Suspected","type":"boolean"}]}`)
 )
 
-// maxElements limits the elements of a decoded array, so that a false count costs little memory.
+// maxElements limits the elements of a decoded array, so that a forged count costs little memory.
 const maxElements = 1 << 18
 
-// codec accepts strings and byte fields up to the length of a frame.
+// codec accepts strings and byte fields that are up to MaxFrameBytes long.
 var codec = avro.Config{MaxByteSliceSize: MaxFrameBytes, MaxSliceAllocSize: maxElements}.Freeze()
--- a/internal/controlplane/feedtransport/server_selector.go
+++ b/internal/controlplane/feedtransport/server_selector.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Time-outs of a connection to a server.
+// Timeouts of a connection to a server.
 const (
-	// ReceiveTimeout is how long a server may send nothing before the client leaves it.
+	// ReceiveTimeout is how long a server may be silent before the client leaves it.
 	ReceiveTimeout = 900 * time.Millisecond
-	// LoopbackReceiveTimeout is the ReceiveTimeout for the agent of the own machine.
+	// LoopbackReceiveTimeout is the ReceiveTimeout for the agent on the same machine.
 	LoopbackReceiveTimeout = 5 * time.Second
-	// StaleTimeout is how long a server may not be current before the client leaves it, where there is another. Having left
-	// a server for that, or because it was silent, the client scans the others in turn, each for little longer than it takes
-	// to receive a status: several may be partitioned, or frozen, together. If none is current, it stays with each twice as long in every further round, up to
-	// twice the StaleTimeout: after an outage of all, those that are partitioned off are left soon for one that is current.
+	// StaleTimeout is how long a server may be stale (not current) before the client leaves it, provided that there is another
+	// one. After the client has left a stale or silent server, it scans the other servers, and stays with each little longer
+	// than it takes to receive a status: several servers may be partitioned, or frozen, at the same time. If no server is
+	// current, it doubles the time per server in each further round, up to twice the StaleTimeout. After an outage of all
+	// servers, it thus soon leaves those that are still partitioned for one that is current.
 	StaleTimeout = 900 * time.Millisecond
 
-	scanStaleTimeout  = 150 * time.Millisecond // in a scan, for a server whose status is not current
-	scanSilentTimeout = 450 * time.Millisecond // in a scan, for a server that has sent no status yet
-	minDialTimeout    = 100 * time.Millisecond // of a first attempt; doubled with each failure up to DialTimeout
+	scanStaleTimeout  = 150 * time.Millisecond // during a scan, for a server whose status is not current
+	scanSilentTimeout = 450 * time.Millisecond // during a scan, for a server that has sent no status yet
+	minDialTimeout    = 100 * time.Millisecond // of the first attempt; doubled with each failure, up to DialTimeout
 )
 
-// Waits between attempts and connections.
+// Delays between attempts and between connections.
 const (
 	minRetryBackoff = 20 * time.Millisecond
 	maxRetryBackoff = 500 * time.Millisecond
 
-	// A server that failed is used after all others for minAvoidance, doubled with each failure up to maxAvoidance.
+	// A server that failed is used only after all others for minAvoidance, doubled with each failure, up to maxAvoidance.
 	minAvoidance = 5 * time.Second
 	maxAvoidance = time.Minute
 
-	preferNearerAfter = 3 * time.Second  // time on a connection before a nearer server is preferred
-	rebalanceAfter    = 20 * time.Second // time on a connection before an equally near one of a higher rank is
+	preferNearerAfter = 3 * time.Second  // age of a connection from which a nearer server is preferred
+	rebalanceAfter    = 20 * time.Second // age of a connection from which an equally near server of a higher rank is preferred
 )
 
-// A deadline that is noticed later than stallSlack shows that this process has stalled itself. What the server sent
-// meanwhile may be unread, so that the server is given stallGrace more.
+// If a deadline is noticed more than stallSlack late, this process itself has stalled. What the server has sent meanwhile may
+// still be unread, so the deadline is extended by stallGrace.
 const (
 	stallSlack = 250 * time.Millisecond
 	stallGrace = 150 * time.Millisecond
@@ -44,15 +45,15 @@
 
 // Reasons for which a client leaves a server.
 var (
-	// ErrReceiveTimeout: the server has sent nothing for the ReceiveTimeout.
-	ErrReceiveTimeout = errors.New("feedtransport: no data from the server within the time-out")
-	// ErrNotCurrent: the server was not current for the StaleTimeout.
-	ErrNotCurrent = errors.New("feedtransport: the server is not current")
-	// ErrOtherPreferred: a server that is nearer, or of a higher rank, is available.
+	// ErrReceiveTimeout means that the server has sent nothing for the ReceiveTimeout.
+	ErrReceiveTimeout = errors.New("feedtransport: no data received from the server within the timeout")
+	// ErrNotCurrent means that the server was not current for the StaleTimeout.
+	ErrNotCurrent = errors.New("feedtransport: the server's state is not current")
+	// ErrOtherPreferred means that a server that is nearer, or of a higher rank, is available.
 	ErrOtherPreferred = errors.New("feedtransport: another server is preferred")
 )
 
-// SelectorOptions name the servers between which a client chooses. Zero durations stand for the constants.
+// SelectorOptions configure the servers among which a client chooses. A zero duration stands for the constant of that name.
 type SelectorOptions struct {
 	Node, Zone, Region string   // of the client
 	Seeds              []string // addresses of control plane servers, "ip:port", of which only the IP is used
@@ -62,28 +63,30 @@
 	StaleTimeout       time.Duration
 }
 
-// ServerSelector decides which server a client uses, when it attempts to connect and when it leaves the server. It has no
-// clock and no I/O; all instants must come from one monotonic clock. It belongs to the goroutine of Client.Run.
+// ServerSelector decides which server a client uses, when the client attempts to connect and when it leaves the server. It
+// neither reads the clock nor does I/O; all times passed to it must come from the same monotonic clock. Only the goroutine of
+// Client.Run uses it.
 type ServerSelector struct {
 	options    SelectorOptions
 	random     func() float64 // uniform in [0, 1)
 	candidates candidateList
 
 	// Attempts.
-	server   *candidate // in use; nil: none
+	server   *candidate // server in use; nil: none
 	failures int        // consecutive attempts that found no current server
-	scanned  int        // consecutive servers that were left because they were silent or not current
+	scanned  int        // number of servers left in a row because they were silent or not current
 
-	// The present connection.
+	// State of the current connection.
 	connectedAt     time.Time
 	receivedAt      time.Time // when bytes last arrived
 	staleSince      time.Time
 	statusReceived  bool
 	current         bool    // as of the last status
-	rebalanceJitter float64 // factor of preferNearerAfter and rebalanceAfter, drawn anew for each connection
+	rebalanceJitter float64 // random factor in [1, 2) of preferNearerAfter and rebalanceAfter, drawn for each connection
 }
 
-// NewServerSelector returns a selector for a client that is not connected. random returns numbers uniform in [0, 1).
+// NewServerSelector returns a selector for a client that is not connected yet. random must return numbers uniformly distributed
+// in [0, 1).
 func NewServerSelector(options SelectorOptions, random func() float64) *ServerSelector {
 	if options.ReceiveTimeout == 0 {
 		options.ReceiveTimeout = ReceiveTimeout
@@ -96,8 +99,8 @@
 	return selector
 }
 
-// Next selects the server of the next attempt and returns its address and the backoff before the attempt. The address is
-// empty if no server is known.
+// Next selects the server for the next attempt. It returns the address of the server, which is empty if no server is known, and
+// the backoff before the attempt.
 func (s *ServerSelector) Next(now time.Time) (address string, wait time.Duration) {
 	s.server = s.candidates.best(now)
 	if s.server == nil {
@@ -107,7 +110,7 @@
 	return s.server.address, s.retryBackoff()
 }
 
-// retryBackoff draws the wait before an attempt from a range whose upper end doubles with each failure.
+// retryBackoff returns a random delay before an attempt, from a range whose upper end doubles with each failure.
 func (s *ServerSelector) retryBackoff() time.Duration {
 	if s.failures == 0 {
 		return 0
@@ -120,8 +123,8 @@
 	return minRetryBackoff + time.Duration(s.random()*float64(maximum-minRetryBackoff))
 }
 
-// AttemptTimeout returns how long the attempt may take to connect, at most DialTimeout. The first attempts are short, since
-// a machine that is down does not answer at all and the next one may be up.
+// AttemptTimeout returns how long the attempt may take to connect, which is at most DialTimeout. The first attempts have short
+// timeouts, since a machine that is down does not answer at all, while the next one may be up.
 func (s *ServerSelector) AttemptTimeout() time.Duration {
 	limit := minDialTimeout
 	for i := 0; i < s.failures && limit < DialTimeout; i++ {
@@ -130,7 +133,7 @@
 	return min(limit, DialTimeout)
 }
 
-// Connected records that the attempt's connection is open.
+// Connected records that the attempt has opened a connection.
 func (s *ServerSelector) Connected(now time.Time) {
 	s.connectedAt = now
 	s.receivedAt = now
@@ -142,7 +145,7 @@
 // Received records that bytes have arrived.
 func (s *ServerSelector) Received(now time.Time) { s.receivedAt = now }
 
-// ObserveStatus records a status of the server: whether it is current, and which servers there are.
+// ObserveStatus records a status of the server: whether the server is current, and which servers it lists.
 func (s *ServerSelector) ObserveStatus(now time.Time, status Status) {
 	s.candidates.update(status.Servers)
 	wasCurrent := s.current
@@ -157,17 +160,17 @@
 	}
 }
 
-// Deadline returns the instant at which Check has to be called at the latest if nothing arrives before.
+// Deadline returns the time at which Check must be called unless data arrives earlier.
 func (s *ServerSelector) Deadline() time.Time {
 	deadline := s.receiveDeadline()
-	if s.staleMatters() && s.staleDeadline().Before(deadline) {
+	if s.staleTimeoutApplies() && s.staleDeadline().Before(deadline) {
 		deadline = s.staleDeadline()
 	}
 	return deadline
 }
 
-// Check returns the reason for which the client is to leave the server now, or nil. Where the call is so late that this
-// process itself must have stalled, the server is given stallGrace first.
+// Check returns the reason for which the client must leave the server now, or nil. If the call is so late that this process
+// itself must have stalled, the server gets another stallGrace first.
 func (s *ServerSelector) Check(now time.Time) error {
 	switch {
 	case !now.Before(s.receiveDeadline()):
@@ -176,7 +179,7 @@
 			return nil
 		}
 		return ErrReceiveTimeout
-	case s.staleMatters() && !now.Before(s.staleDeadline()):
+	case s.staleTimeoutApplies() && !now.Before(s.staleDeadline()):
 		if now.Sub(s.staleDeadline()) > stallSlack {
 			s.staleSince = now.Add(stallGrace - s.staleTimeout())
 			return nil
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// AttemptEnded records why the attempt failed or its connection ended.
+// AttemptEnded records the reason why the attempt failed or its connection ended.
 func (s *ServerSelector) AttemptEnded(now time.Time, reason error) {
 	used := s.server
 	s.server = nil
@@ -203,7 +206,7 @@
 	used.avoidUntil = now.Add(avoidanceAfter(used.failures))
 }
 
-// avoidanceAfter returns for how long a server is avoided after so many failures.
+// avoidanceAfter returns how long a server is avoided after a number of consecutive failures.
 func avoidanceAfter(failures int) time.Duration {
 	wait := minAvoidance
 	for i := 1; i < failures && wait < maxAvoidance; i++ {
@@ -212,15 +215,15 @@
 	return min(wait, maxAvoidance)
 }
 
-// receiveDeadline returns when the server is left unless it sends something.
+// receiveDeadline returns when the client leaves the server unless the server sends something.
 func (s *ServerSelector) receiveDeadline() time.Time {
 	return s.receivedAt.Add(s.options.ReceiveTimeout)
 }
 
-// staleDeadline returns when the server is left unless it becomes current.
+// staleDeadline returns when the client leaves the server unless the server becomes current.
 func (s *ServerSelector) staleDeadline() time.Time { return s.staleSince.Add(s.staleTimeout()) }
 
-// staleTimeout returns how long the present server may not be current; see StaleTimeout.
+// staleTimeout returns how long the server in use may be stale; see StaleTimeout.
 func (s *ServerSelector) staleTimeout() time.Duration {
 	if s.scanned == 0 {
 		return s.options.StaleTimeout
@@ -237,10 +240,10 @@
 	return min(timeout, limit)
 }
 
-// staleMatters reports whether the server is not current although there are others.
-func (s *ServerSelector) staleMatters() bool { return !s.current && s.candidates.len() > 1 }
+// staleTimeoutApplies reports whether the server is not current and there are others to use instead.
+func (s *ServerSelector) staleTimeoutApplies() bool { return !s.current && s.candidates.len() > 1 }
 
-// prefersOther reports whether a better server is available and the connection is old enough to be replaced.
+// prefersOther reports whether a preferred server is available and the connection is old enough to be replaced.
 func (s *ServerSelector) prefersOther(now time.Time) bool {
 	best := s.candidates.best(now)
 	if best == nil || best == s.server || best.avoided(now) {
--- a/internal/controlplane/feedtransport/session.go
+++ b/internal/controlplane/feedtransport/session.go
@@ -10,42 +10,42 @@
 	"ospreybend/coord/shards"
 )
 
-// Source is the state that a server's sessions send. Its methods may be called by several goroutines.
+// Source is the state that a server's sessions send. Its methods may be called from several goroutines.
 type Source interface {
 	// Shards returns the shards that the source has.
 	Shards() []shards.ID
-	// Since returns what brings a reader up to date from index: the changes above it, by ascending index, or a snapshot
-	// where those are no longer retained. Both are nil if there is nothing above index. The results must not be modified
-	// afterwards.
+	// Since returns what brings a reader up to date from index: the changes above it, in ascending order of their indexes, or
+	// a snapshot if those are no longer retained. Both are nil if there is nothing above index. The source must not modify
+	// the results afterwards.
 	Since(shard shards.ID, index uint64) (changes []feed.Change, snapshot *feed.Snapshot)
-	// Status returns the source's present status; Sequence is not used.
+	// Status returns the current status of the source. Its Sequence is ignored.
 	Status() Status
-	// Subscribe sends a token to wake, without blocking, whenever a shard has advanced, or whether one is current or the
-	// list of servers has changed, until cancel is called.
+	// Subscribe makes the source send a token to wake, without blocking, whenever a shard has advanced or has become current
+	// or stale, and whenever the list of servers has changed, until cancel is called.
 	Subscribe(wake chan<- struct{}) (cancel func())
-	// OnReport receives a report of the reader. It must not block.
+	// OnReport receives a report of a session's reader. It must not block.
 	OnReport(hello Hello, topic string, body []byte)
 }
 
 // Intervals of a session.
 const (
-	// StatusInterval is the maximal time between two statuses to an agent.
+	// StatusInterval is the maximum time between two statuses to an agent.
 	StatusInterval = 400 * time.Millisecond
-	// LoopbackStatusInterval is the StatusInterval to the proxy of the same machine.
+	// LoopbackStatusInterval is the StatusInterval for the proxy on the same machine.
 	LoopbackStatusInterval = 2 * time.Second
-	// BatchInterval is the time for which updates are collected, so that one write carries all that was committed in it.
-	// The first update after an interval without any is sent at once. Further ones are sent at the multiples of the interval
-	// since the origin, by all sessions: those at the same offset need the same frames.
+	// BatchInterval is how long updates are collected, so that one write carries all that was committed in that time. The
+	// first update after an interval without updates is sent immediately. All sessions send further ones at multiples of the
+	// interval since the origin, so that sessions at the same offset need the same frames.
 	BatchInterval = 40 * time.Millisecond
 )
 
-// SessionOptions are the intervals and the shared state of a session; zero durations stand for the constants.
+// SessionOptions are the intervals and the shared state of a session. A zero duration stands for the constant of that name.
 type SessionOptions struct {
 	StatusInterval time.Duration
 	BatchInterval  time.Duration
 	WriteTimeout   time.Duration
 	Encoder        *Encoder  // shared by the sessions of a server; nil: no compression
-	Origin         time.Time // of the intervals' multiples; zero: the start of the process
+	Origin         time.Time // time from which the multiples of the intervals are counted; zero: start of the process
 }
 
 func (o SessionOptions) withDefaults() SessionOptions {
@@ -64,8 +64,8 @@
 	return o
 }
 
-// Session is the server's side of one connection. Run has two goroutines: its caller writes, and another reads the reports of
-// the reader. The writer alone uses the fields below outbox.
+// Session is the server side of one connection. Run uses two goroutines: the one of its caller writes, and another one reads
+// the reports of the reader. Only the writing goroutine uses the fields below outbox.
 type Session struct {
 	connection   net.Conn
 	hello        Hello
@@ -73,10 +73,10 @@
 	options      SessionOptions
 	outbox       *outbox
 	writer       *feedWriter
-	lastUpdateAt time.Time // when a wake-up last made it read the source
+	lastUpdateAt time.Time // when a wake-up last caused an update to be sent
 }
 
-// NewSession returns the session of a connection whose first frame, hello, has been read. Run runs it.
+// NewSession returns the session of a connection whose first frame, with hello, has been read. The caller must call Run.
 func NewSession(connection net.Conn, hello Hello, source Source, options SessionOptions) *Session {
 	options = options.withDefaults()
 	writer := newFeedWriter(connection, hello.Offsets, options.WriteTimeout)
@@ -93,11 +93,11 @@
 	}
 }
 
-// Send queues a report for the reader. It does not block; the oldest reports are dropped where too many are queued.
+// Send queues a report for the reader. It does not block; if too many reports are queued, the oldest are dropped.
 func (s *Session) Send(topic string, body []byte) { s.outbox.add(Report{Topic: topic, Body: body}) }
 
-// Run serves the connection until it or ctx ends, and closes it. It returns the reason, which is io.EOF if the reader closed
-// the connection.
+// Run serves the connection until it fails or ctx ends, and closes it. It returns the reason, which is io.EOF if the reader
+// closed the connection.
 func (s *Session) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -135,7 +135,7 @@
 	}
 }
 
-// write sends what the source has until ctx ends or a write fails.
+// write sends the state of the source, and its updates, until ctx ends or a write fails.
 func (s *Session) write(ctx context.Context) error {
 	wake := make(chan struct{}, 1)
 	cancel := s.source.Subscribe(wake)
@@ -154,7 +154,7 @@
 	}
 }
 
-// awaitUpdate waits until the source is to be read again. It returns false once ctx has ended.
+// awaitUpdate waits until an update or a status is due. It returns false if ctx ends first.
 func (s *Session) awaitUpdate(ctx context.Context, wake <-chan struct{}, timer *time.Timer) bool {
 	select {
 	case <-ctx.Done():
@@ -164,14 +164,14 @@
 	case <-wake:
 	case <-s.outbox.ready:
 	}
-	if !pause(ctx, s.batchDelay(time.Now())) {
+	if !sleep(ctx, s.batchDelay(time.Now())) {
 		return false
 	}
 	s.lastUpdateAt = time.Now()
 	return true
 }
 
-// batchDelay returns how long an update waits for others: 0 after an interval without updates.
+// batchDelay returns how long to wait for further updates before sending: 0 after an interval without updates.
 func (s *Session) batchDelay(now time.Time) time.Duration {
 	if now.Sub(s.lastUpdateAt) >= s.options.BatchInterval {
 		return 0
@@ -179,12 +179,12 @@
 	return s.options.BatchInterval - s.sinceIntervalBoundary(now, s.options.BatchInterval)
 }
 
-// sendUpdates sends, in this order, what the shards have, the status if it is due, and reports. The status is read first, so
-// that a reader that receives it has each shard at least up to the status's index.
+// sendUpdates sends the updates of the shards, the status if it is due, and queued reports, in this order. It reads the status
+// first, so that a reader that receives the status has each shard at least up to the index in the status.
 func (s *Session) sendUpdates() error {
 	status := s.source.Status()
 	for _, shard := range s.source.Shards() {
-		changes, snapshot := s.source.Since(shard, s.writer.sent[shard])
+		changes, snapshot := s.source.Since(shard, s.writer.sentOffsets[shard])
 		if err := s.writer.writeShard(shard, changes, snapshot); err != nil {
 			return err
 		}
@@ -212,20 +212,20 @@
 	return latest.Add(-s.sinceIntervalBoundary(latest, s.options.StatusInterval)).Sub(now)
 }
 
-// sinceIntervalBoundary returns the time between the last multiple of an interval since the origin and a moment.
+// sinceIntervalBoundary returns the time that has passed at moment since the last multiple of interval since the origin.
 func (s *Session) sinceIntervalBoundary(moment time.Time, interval time.Duration) time.Duration {
-	beyond := moment.Sub(s.options.Origin) % interval
-	if beyond < 0 {
-		beyond += interval
+	elapsed := moment.Sub(s.options.Origin) % interval
+	if elapsed < 0 {
+		elapsed += interval
 	}
-	return beyond
+	return elapsed
 }
 
-// processStart is the default origin of the intervals' multiples.
+// processStart is the default of SessionOptions.Origin.
 var processStart = time.Now()
 
-// pause waits for a duration. It returns false if ctx ends before.
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits for a duration. It returns false if ctx ends first.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
