--- a/internal/controlplane/feedtransport/compatibility_test.go
+++ b/internal/controlplane/feedtransport/compatibility_test.go
@@ -10,7 +10,7 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// frameRow is a row of a message that is sent as one frame.
+// frameRow returns the golden row of a message that is sent as one frame.
 func frameRow[T any](name string, kind Kind, message T, appendTo func([]byte, T) ([]byte, error), decode func([]byte) (T, error)) golden.Row {
 	return golden.Row{
 		Name: name, Value: message,
@@ -18,7 +18,7 @@
 		Decode: func(frame []byte) (any, error) {
 			read, body, err := ReadFrame(bytes.NewReader(frame))
 			if err == nil && read != kind {
-				err = fmt.Errorf("kind %d, want %d", read, kind)
+				err = fmt.Errorf("the frame has kind %d, want %d", read, kind)
 			}
 			if err != nil {
 				return nil, err
@@ -28,7 +28,7 @@
 	}
 }
 
-// compatibilityRows are one message of each kind of frame, with every field set.
+// compatibilityRows returns one message for each kind of frame, with all fields set, and an encoded Suspicion.
 func compatibilityRows() []golden.Row {
 	hello := Hello{
 		Node: "node-7", Zone: "zone-b", Region: "region-1", IP: "192.0.2.7", Role: RoleAgent, Incarnation: 1 << 63,
@@ -63,8 +63,8 @@
 	}
 }
 
-// compressedRow is a frame of changes that is long enough to be sent compressed. Deflated bytes may differ between two
-// versions of the compressor, so these are compared by what they hold.
+// compressedRow returns a frame of changes that is long enough to be compressed. Versions of the compressor may produce different
+// bytes, so the decompressed content is compared instead.
 func compressedRow() golden.Row {
 	changes := Changes{Shard: 2, Changes: []feed.Change{
 		{Index: 5, Put: []feed.Item{{Key: "worker-5", Value: []byte(strings.Repeat("model-a ", 100))}}, Delete: []string{"worker-6"}},
@@ -82,7 +82,7 @@
 		}
 		kind, inner, err := ReadFrame(bytes.NewReader(frames))
 		if err != nil || kind != KindChanges {
-			return Changes{}, fmt.Errorf("inner frame of kind %d: %w", kind, err)
+			return Changes{}, fmt.Errorf("the compressed frame has kind %d, want %d; error %w", kind, KindChanges, err)
 		}
 		return DecodeChanges(inner)
 	})
--- a/internal/controlplane/feedtransport/frames_test.go
+++ b/internal/controlplane/feedtransport/frames_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/coord/feed"
 )
 
-func must(t *testing.T) func(frame []byte, err error) []byte {
+func mustEncode(t *testing.T) func(frame []byte, err error) []byte {
 	return func(frame []byte, err error) []byte {
 		t.Helper()
 		if err != nil {
@@ -30,11 +30,11 @@
 	}
 }
 
-func body(t *testing.T, frame []byte, wanted Kind) []byte {
+func frameBody(t *testing.T, frame []byte, want Kind) []byte {
 	t.Helper()
 	kind, content, err := ReadFrame(bytes.NewReader(frame))
-	if err != nil || kind != wanted {
-		t.Fatalf("kind %d, %v", kind, err)
+	if err != nil || kind != want {
+		t.Fatalf("read a frame of kind %d, error %v; want kind %d", kind, err, want)
 	}
 	return content
 }
@@ -42,37 +42,37 @@
 func expectEqual(t *testing.T, got, want any, err error) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, %v; want %+v", got, err, want)
+		t.Errorf("got %+v, error %v; want %+v", got, err, want)
 	}
 }
 
 func TestAppendDecode_roundTrip(t *testing.T) {
-	frame := must(t)
-	hello, err := DecodeHello(body(t, frame(AppendHello(nil, sampleHello())), KindHello))
+	frame := mustEncode(t)
+	hello, err := DecodeHello(frameBody(t, frame(AppendHello(nil, sampleHello())), KindHello))
 	expectEqual(t, hello, sampleHello(), err)
 
 	wantPart := SnapshotPart{
 		Shard: 3, Index: 12, First: true,
 		Items: []feed.Item{{Key: "a", Value: []byte{0, 1}}, {Key: "b", Value: []byte("x")}},
 	}
-	part, err := DecodeSnapshotPart(body(t, frame(AppendSnapshotPart(nil, wantPart)), KindSnapshot))
+	part, err := DecodeSnapshotPart(frameBody(t, frame(AppendSnapshotPart(nil, wantPart)), KindSnapshot))
 	expectEqual(t, part, wantPart, err)
 
 	wantChanges := Changes{Shard: 2, Changes: []feed.Change{
 		{Index: 5, Put: []feed.Item{{Key: "k", Value: []byte("v")}}, Delete: []string{"d", "e"}},
 	}}
-	changes, err := DecodeChanges(body(t, frame(AppendChanges(nil, wantChanges)), KindChanges))
+	changes, err := DecodeChanges(frameBody(t, frame(AppendChanges(nil, wantChanges)), KindChanges))
 	expectEqual(t, changes, wantChanges, err)
 
 	wantStatus := Status{
 		Sequence: 9, Shards: []ShardStatus{{Shard: 1, Index: 3, Current: true}},
 		Servers: []ServerEndpoint{{Address: "10.0.0.9:8146", Zone: "a", Region: "north"}},
 	}
-	status, err := DecodeStatus(body(t, frame(AppendStatus(nil, wantStatus)), KindStatus))
+	status, err := DecodeStatus(frameBody(t, frame(AppendStatus(nil, wantStatus)), KindStatus))
 	expectEqual(t, status, wantStatus, err)
 
 	wantReport := Report{Topic: "budget", Body: []byte("body")}
-	report, err := DecodeReport(body(t, frame(AppendReport(nil, wantReport)), KindReport))
+	report, err := DecodeReport(frameBody(t, frame(AppendReport(nil, wantReport)), KindReport))
 	expectEqual(t, report, wantReport, err)
 
 	wantSuspicion := Suspicion{IP: "10.0.0.4", Suspected: true}
@@ -81,33 +81,33 @@
 	expectEqual(t, suspicion, wantSuspicion, err)
 }
 
-// Decoded messages must not share memory with the frame.
+// Decoded messages must not share memory with the frame, as handlers may retain them.
 func TestDecode_copiesBytes(t *testing.T) {
 	want := Changes{Shard: 2, Changes: []feed.Change{
 		{Index: 5, Put: []feed.Item{{Key: "key", Value: []byte("value")}}, Delete: []string{"gone"}},
 	}}
-	content := body(t, must(t)(AppendChanges(nil, want)), KindChanges)
+	content := frameBody(t, mustEncode(t)(AppendChanges(nil, want)), KindChanges)
 	changes, err := DecodeChanges(content)
 	clear(content)
 	expectEqual(t, changes, want, err)
 
-	content = body(t, must(t)(AppendHello(nil, sampleHello())), KindHello)
+	content = frameBody(t, mustEncode(t)(AppendHello(nil, sampleHello())), KindHello)
 	hello, err := DecodeHello(content)
 	clear(content)
 	expectEqual(t, hello, sampleHello(), err)
 }
 
-func TestAppendChanges_itemAboveOneMegabyte(t *testing.T) {
+func TestAppendSnapshotPart_itemAboveOneMegabyte(t *testing.T) {
 	want := SnapshotPart{Shard: 1, Index: 1, Items: []feed.Item{{Key: "k", Value: make([]byte, 3<<20)}}}
-	frame := must(t)(AppendSnapshotPart(nil, want))
-	part, err := DecodeSnapshotPart(body(t, frame, KindSnapshot))
+	frame := mustEncode(t)(AppendSnapshotPart(nil, want))
+	part, err := DecodeSnapshotPart(frameBody(t, frame, KindSnapshot))
 	if err != nil || len(part.Items) != 1 || len(part.Items[0].Value) != 3<<20 {
-		t.Errorf("%d items, %v", len(part.Items), err)
+		t.Errorf("decoded %d items, error %v; want 1 item of %d bytes", len(part.Items), err, 3<<20)
 	}
 }
 
 func TestReadFrame_truncated(t *testing.T) {
-	frame := must(t)(AppendHello(nil, sampleHello()))
+	frame := mustEncode(t)(AppendHello(nil, sampleHello()))
 	for cut := range len(frame) {
 		_, _, err := ReadFrame(bytes.NewReader(frame[:cut]))
 		want := io.ErrUnexpectedEOF
@@ -115,7 +115,7 @@
 			want = io.EOF
 		}
 		if !errors.Is(err, want) {
-			t.Errorf("cut at %d: %v", cut, err)
+			t.Errorf("frame truncated to %d bytes: got error %v, want %v", cut, err, want)
 		}
 	}
 }
@@ -123,24 +123,24 @@
 func TestReadFrame_tooLong(t *testing.T) {
 	header := []byte{0xff, 0xff, 0xff, 0xff, byte(KindHello)}
 	if _, _, err := ReadFrame(bytes.NewReader(header)); !errors.Is(err, ErrFrameTooLong) {
-		t.Errorf("got %v", err)
+		t.Errorf("ReadFrame of a header with the maximum length: got error %v, want ErrFrameTooLong", err)
 	}
 	if _, err := AppendReport(nil, Report{Body: make([]byte, MaxFrameBytes)}); !errors.Is(err, ErrFrameTooLong) {
-		t.Errorf("got %v", err)
+		t.Errorf("AppendReport of a body of %d bytes: got error %v, want ErrFrameTooLong", MaxFrameBytes, err)
 	}
 }
 
 func TestDecode_rejectsTruncatedBodies(t *testing.T) {
-	content := body(t, must(t)(AppendHello(nil, sampleHello())), KindHello)
-	earlier := len(content) - 1 // without the last field it is complete in the earlier schema
-	hello, err := DecodeHello(content[:earlier])
+	content := frameBody(t, mustEncode(t)(AppendHello(nil, sampleHello())), KindHello)
+	v1Length := len(content) - 1 // without its last field, the body is complete in the first version of the schema
+	hello, err := DecodeHello(content[:v1Length])
 	want := sampleHello()
 	want.Compressed = false
 	expectEqual(t, hello, want, err)
-	for cut := range earlier {
-		var wanted *DecodeError
-		if _, err := DecodeHello(content[:cut]); !errors.As(err, &wanted) {
-			t.Errorf("cut at %d: %v", cut, err)
+	for cut := range v1Length {
+		var decodeError *DecodeError
+		if _, err := DecodeHello(content[:cut]); !errors.As(err, &decodeError) {
+			t.Errorf("hello truncated to %d bytes: got error %v, want a DecodeError", cut, err)
 		}
 	}
 }
@@ -161,29 +161,29 @@
 	})
 }
 
-func TestReadFirstFrame_readsNoFurther(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _ = ours.Close() }()
+func TestReadFirstFrame_readsNothingBeyondFrame(t *testing.T) {
+	receiving, sending := net.Pipe()
+	defer func() { _ = receiving.Close() }()
 	go func() {
 		frames := AppendFrame(nil, FirstPeerKind, []byte("peer"))
 		frames = AppendFrame(frames, FirstPeerKind+1, []byte("next"))
-		_, _ = theirs.Write(frames)
+		_, _ = sending.Write(frames)
 	}()
-	kind, content, err := ReadFirstFrame(ours, time.Minute)
+	kind, content, err := ReadFirstFrame(receiving, time.Minute)
 	if kind != FirstPeerKind || string(content) != "peer" || err != nil {
-		t.Fatalf("got %d %q %v", kind, content, err)
+		t.Fatalf("first frame: got kind %d, body %q, error %v; want kind %d, body \"peer\"", kind, content, err, FirstPeerKind)
 	}
-	kind, content, err = ReadFrame(ours)
+	kind, content, err = ReadFrame(receiving)
 	if kind != FirstPeerKind+1 || string(content) != "next" || err != nil {
-		t.Errorf("got %d %q %v", kind, content, err)
+		t.Errorf("second frame: got kind %d, body %q, error %v; want kind %d, body \"next\"", kind, content, err, FirstPeerKind+1)
 	}
 }
 
 func TestFeedAddress(t *testing.T) {
 	if address, ok := FeedAddress("10.1.0.37:8146", 7660); !ok || address != "10.1.0.37:7660" {
-		t.Errorf("got %q, %v", address, ok)
+		t.Errorf("FeedAddress(\"10.1.0.37:8146\", 7660): got %q, %v; want \"10.1.0.37:7660\", true", address, ok)
 	}
 	if address, ok := FeedAddress("nowhere", 7660); ok {
-		t.Errorf("got %q", address)
+		t.Errorf("FeedAddress of an invalid address: got %q, true; want false", address)
 	}
 }
--- a/internal/controlplane/feedtransport/receiver_test.go
+++ b/internal/controlplane/feedtransport/receiver_test.go
@@ -16,132 +16,133 @@
 	for _, frame := range frames {
 		sent = append(sent, frame...)
 	}
-	return receiveAll(client, sent)
+	return receiveFrames(client, sent)
 }
 
 func changesFrame(t *testing.T, changes ...feed.Change) []byte {
 	t.Helper()
-	return must(t)(AppendChanges(nil, Changes{Shard: 1, Changes: changes}))
+	return mustEncode(t)(AppendChanges(nil, Changes{Shard: 1, Changes: changes}))
 }
 
 func partFrame(t *testing.T, part SnapshotPart) []byte {
 	t.Helper()
 	part.Shard = 1
-	return must(t)(AppendSnapshotPart(nil, part))
+	return mustEncode(t)(AppendSnapshotPart(nil, part))
 }
 
-func items(key, value string) []feed.Item { return []feed.Item{{Key: key, Value: []byte(value)}} }
+func singleItem(key, value string) []feed.Item { return []feed.Item{{Key: key, Value: []byte(value)}} }
 
 func TestReceiver_dropsWhatIsNotAboveOffset(t *testing.T) {
 	handler := newRecorder()
-	client := propertyClient(handler)
+	client := newConnectedClient(handler)
 	err := handleFrames(t, client,
-		changesFrame(t, put(5, "k", "five")),
-		changesFrame(t, put(4, "k", "four"), put(5, "k", "five again"), put(6, "k", "six")),
-		partFrame(t, SnapshotPart{Index: 5, First: true, Last: true, Items: items("k", "lower")}),
-		partFrame(t, SnapshotPart{Index: 6, First: true, Last: true, Items: items("k", "same")}),
+		changesFrame(t, putChange(5, "k", "five")),
+		changesFrame(t, putChange(4, "k", "four"), putChange(5, "k", "five again"), putChange(6, "k", "six")),
+		partFrame(t, SnapshotPart{Index: 5, First: true, Last: true, Items: singleItem("k", "lower")}),
+		partFrame(t, SnapshotPart{Index: 6, First: true, Last: true, Items: singleItem("k", "same")}),
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]string{"k": "six"}
-	if !reflect.DeepEqual(handler.items[1], want) || handler.snapshots != 0 || len(handler.faults) > 0 {
-		t.Errorf("%v, %d snapshots, %v", handler.items[1], handler.snapshots, handler.faults)
+	if !reflect.DeepEqual(handler.items[1], want) || handler.snapshots != 0 || len(handler.violations) > 0 {
+		t.Errorf("got items %v, %d snapshots, violations %v; want items %v, no snapshots and no violations",
+			handler.items[1], handler.snapshots, handler.violations, want)
 	}
 	if offsets := client.receiver.reset(); !reflect.DeepEqual(offsets, []Offset{{Shard: 1, Index: 6}}) {
-		t.Errorf("offsets %v", offsets)
+		t.Errorf("got offsets %v, want index 6 of shard 1", offsets)
 	}
 }
 
 func TestReceiver_addPart_completesWithLastPart(t *testing.T) {
 	handler := newRecorder()
-	client := propertyClient(handler)
-	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")})
-	if err := handleFrames(t, client, changesFrame(t, put(2, "old", "x")), first); err != nil {
+	client := newConnectedClient(handler)
+	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: singleItem("a", "1")})
+	if err := handleFrames(t, client, changesFrame(t, putChange(2, "old", "x")), first); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := handler.items[1]["old"]; !ok || handler.snapshots != 0 {
-		t.Error("an incomplete snapshot took effect")
+		t.Error("the first part of a snapshot replaced the items before the last part arrived")
 	}
-	last := partFrame(t, SnapshotPart{Index: 9, Last: true, Items: items("b", "2")})
+	last := partFrame(t, SnapshotPart{Index: 9, Last: true, Items: singleItem("b", "2")})
 	if err := handleFrames(t, client, last); err != nil {
 		t.Fatal(err)
 	}
 	want := map[string]string{"a": "1", "b": "2"}
-	if !reflect.DeepEqual(handler.items[1], want) || handler.index[1] != 9 {
-		t.Errorf("%v at %d", handler.items[1], handler.index[1])
+	if !reflect.DeepEqual(handler.items[1], want) || handler.offsets[1] != 9 {
+		t.Errorf("got items %v at offset %d, want %v at 9", handler.items[1], handler.offsets[1], want)
 	}
 }
 
 func TestReceiver_addPart_mismatchedParts(t *testing.T) {
-	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")})
+	first := partFrame(t, SnapshotPart{Index: 9, First: true, Items: singleItem("a", "1")})
 	other := partFrame(t, SnapshotPart{Index: 8, Last: true})
 	rest := partFrame(t, SnapshotPart{Index: 9, Last: true})
-	client := propertyClient(newRecorder())
-	if err := handleFrames(t, client, first, other); !errors.Is(err, ErrBrokenSnapshot) {
-		t.Errorf("another index: %v", err)
+	client := newConnectedClient(newRecorder())
+	if err := handleFrames(t, client, first, other); !errors.Is(err, ErrInconsistentSnapshot) {
+		t.Errorf("parts with the indexes 9 and 8: got error %v, want ErrInconsistentSnapshot", err)
 	}
-	client = propertyClient(newRecorder())
+	client = newConnectedClient(newRecorder())
 	if err := handleFrames(t, client, first); err != nil {
 		t.Fatal(err)
 	}
 	client.receiver.reset()
-	if err := handleFrames(t, client, rest); !errors.Is(err, ErrBrokenSnapshot) {
-		t.Errorf("parts of two connections: %v", err)
+	if err := handleFrames(t, client, rest); !errors.Is(err, ErrInconsistentSnapshot) {
+		t.Errorf("parts from two connections: got error %v, want ErrInconsistentSnapshot", err)
 	}
 }
 
-// A change between the parts of a snapshot would raise the offset above the snapshot, which then would be dropped as old.
+// A change between the parts of a snapshot would raise the offset above the snapshot, which would then be dropped as outdated.
 func TestReceiver_accept_duringSnapshot(t *testing.T) {
 	handler := newRecorder()
-	client := propertyClient(handler)
+	client := newConnectedClient(handler)
 	err := handleFrames(t, client,
-		partFrame(t, SnapshotPart{Index: 9, First: true, Items: items("a", "1")}),
-		changesFrame(t, put(10, "k", "ten")),
+		partFrame(t, SnapshotPart{Index: 9, First: true, Items: singleItem("a", "1")}),
+		changesFrame(t, putChange(10, "k", "ten")),
 	)
-	if !errors.Is(err, ErrBrokenSnapshot) || len(handler.items[1]) != 0 {
-		t.Fatalf("%v, %v", err, handler.items[1])
+	if !errors.Is(err, ErrInconsistentSnapshot) || len(handler.items[1]) != 0 {
+		t.Fatalf("change between the parts: got error %v, items %v; want ErrInconsistentSnapshot, no items", err, handler.items[1])
 	}
 	if offsets := client.receiver.reset(); len(offsets) > 0 && offsets[0].Index > 0 {
-		t.Fatalf("offsets %v", offsets)
+		t.Fatalf("the change raised the offsets to %v, want none above 0", offsets)
 	}
 }
 
 func TestFeedWriter_writeShard_sendsOnlyAboveOffset(t *testing.T) {
-	connection := &capture{}
+	connection := &recordingConnection{}
 	writer := newFeedWriter(connection, []Offset{{Shard: 1, Index: 5}}, WriteTimeout)
-	snapshot := feed.Snapshot{Index: 5, Items: items("k", "v")}
-	changes := []feed.Change{put(4, "k", "4"), put(5, "k", "5")}
+	snapshot := feed.Snapshot{Index: 5, Items: singleItem("k", "v")}
+	changes := []feed.Change{putChange(4, "k", "4"), putChange(5, "k", "5")}
 	if err := writer.writeShard(shards.ID(1), changes, &snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if err := writer.flush(); err != nil || connection.written.Len() != 0 {
-		t.Errorf("%d bytes were sent, %v", connection.written.Len(), err)
+		t.Errorf("wrote %d bytes, error %v; want none, as nothing is above the offset 5", connection.written.Len(), err)
 	}
-	if err := writer.writeShard(shards.ID(1), append(changes, put(6, "k", "6")), nil); err != nil {
+	if err := writer.writeShard(shards.ID(1), append(changes, putChange(6, "k", "6")), nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := writer.flush(); err != nil {
 		t.Fatal(err)
 	}
-	sent, err := DecodeChanges(body(t, connection.written.Bytes(), KindChanges))
+	sent, err := DecodeChanges(frameBody(t, connection.written.Bytes(), KindChanges))
 	if err != nil || len(sent.Changes) != 1 || sent.Changes[0].Index != 6 {
-		t.Errorf("sent %+v, %v", sent, err)
+		t.Errorf("sent %+v, error %v; want the change with index 6 alone", sent, err)
 	}
 }
 
 func TestOutbox_add_dropsOldest(t *testing.T) {
-	waiting := newOutbox()
+	queue := newOutbox()
 	for number := range maxOutboxReports + 10 {
-		waiting.add(Report{Topic: "t", Body: []byte{byte(number)}})
+		queue.add(Report{Topic: "t", Body: []byte{byte(number)}})
 	}
-	reports := waiting.drain()
+	reports := queue.drain()
 	if len(reports) != maxOutboxReports || reports[0].Body[0] != 10 {
-		t.Errorf("%d reports, the first is %v", len(reports), reports[0])
+		t.Errorf("got %d reports, the first being %v; want %d, the first being number 10", len(reports), reports[0], maxOutboxReports)
 	}
-	waiting.add(Report{Body: make([]byte, maxOutboxBytes)})
-	waiting.add(Report{Body: make([]byte, 1)})
-	if reports := waiting.drain(); len(reports) != 1 || len(reports[0].Body) != 1 {
-		t.Errorf("%d reports", len(reports))
+	queue.add(Report{Body: make([]byte, maxOutboxBytes)})
+	queue.add(Report{Body: make([]byte, 1)})
+	if reports := queue.drain(); len(reports) != 1 || len(reports[0].Body) != 1 {
+		t.Errorf("got %d reports, want only the last one, of 1 byte", len(reports))
 	}
 }
--- a/internal/controlplane/feedtransport/server_selector_test.go
+++ b/internal/controlplane/feedtransport/server_selector_test.go
@@ -10,89 +10,90 @@
 
 const feedPort = 7660
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// selectorScript drives a selector on a simulated clock.
-type selectorScript struct {
+// selectorHarness runs a selector on a simulated clock.
+type selectorHarness struct {
 	t        *testing.T
 	selector *ServerSelector
 	now      time.Time
 }
 
-func newSelectorScript(t *testing.T, seeds ...string) *selectorScript {
+func newSelectorHarness(t *testing.T, seeds ...string) *selectorHarness {
 	t.Helper()
 	options := SelectorOptions{Node: "edge-1", Zone: "a", Region: "north", Seeds: seeds, FeedPort: feedPort}
-	return &selectorScript{t: t, selector: NewServerSelector(options, func() float64 { return 0.5 }), now: start}
+	return &selectorHarness{t: t, selector: NewServerSelector(options, func() float64 { return 0.5 }), now: startTime}
 }
 
-func (s *selectorScript) next() string {
+func (s *selectorHarness) next() string {
 	address, wait := s.selector.Next(s.now)
 	s.now = s.now.Add(wait)
 	return address
 }
 
-func (s *selectorScript) connect() string {
+func (s *selectorHarness) connect() string {
 	address := s.next()
 	s.selector.Connected(s.now)
 	return address
 }
 
-func (s *selectorScript) pass(span time.Duration) { s.now = s.now.Add(span) }
+func (s *selectorHarness) advance(span time.Duration) { s.now = s.now.Add(span) }
 
-func (s *selectorScript) status(current bool, servers ...ServerEndpoint) {
+func (s *selectorHarness) status(current bool, servers ...ServerEndpoint) {
 	s.selector.Received(s.now)
 	s.selector.ObserveStatus(s.now, Status{Shards: []ShardStatus{{Current: current}}, Servers: servers})
 }
 
-// observeUntilLeft advances the clock in steps, with a status at every
-// interval, until the selector leaves the server.
-func (s *selectorScript) observeUntilLeft(current bool, longest time.Duration) (time.Duration, error) {
-	begun := s.now
-	for s.now.Sub(begun) < longest {
-		s.pass(StatusInterval / 4)
-		if s.now.Sub(begun)%StatusInterval == 0 {
+// observeUntilLeft advances the clock in steps, with a status at every status interval, until the selector leaves the server or
+// limit has passed. It returns the elapsed time, and the reason if the server was left.
+func (s *selectorHarness) observeUntilLeft(current bool, limit time.Duration) (time.Duration, error) {
+	startedAt := s.now
+	for s.now.Sub(startedAt) < limit {
+		s.advance(StatusInterval / 4)
+		if s.now.Sub(startedAt)%StatusInterval == 0 {
 			s.status(current)
 		}
 		if reason := s.selector.Check(s.now); reason != nil {
-			return s.now.Sub(begun), reason
+			return s.now.Sub(startedAt), reason
 		}
 	}
-	return longest, nil
+	return limit, nil
 }
 
 func threeSeeds() []string { return []string{"10.0.0.1:8146", "10.0.0.2:8146", "10.0.0.3:8146"} }
 
 func TestServerSelector_Next_triesAllSeeds(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
+	s := newSelectorHarness(t, threeSeeds()...)
 	tried := make(map[string]int)
 	for range 6 {
 		tried[s.next()]++
-		s.pass(DialTimeout)
+		s.advance(DialTimeout)
 		s.selector.AttemptEnded(s.now, errors.New("refused"))
 	}
 	if len(tried) != 3 {
-		t.Errorf("tried %v", tried)
+		t.Errorf("tried the servers %v, want all 3", tried)
 	}
 	for address, count := range tried {
 		if count != 2 {
-			t.Errorf("%s was tried %d times", address, count)
+			t.Errorf("%s was tried %d times in 6 attempts, want 2", address, count)
 		}
 	}
-	if elapsed := s.now.Sub(start); elapsed > 6*DialTimeout+6*maxRetryBackoff {
-		t.Errorf("took %v", elapsed)
+	if elapsed := s.now.Sub(startTime); elapsed > 6*DialTimeout+6*maxRetryBackoff {
+		t.Errorf("6 attempts took %v, want at most %v", elapsed, 6*DialTimeout+6*maxRetryBackoff)
 	}
 }
 
 func TestServerSelector_Next_backoffBounds(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
+	s := newSelectorHarness(t, threeSeeds()...)
 	var last time.Duration
 	for attempt := range 10 {
 		_, wait := s.selector.Next(s.now)
 		if attempt == 0 && wait != 0 {
-			t.Errorf("the first attempt waits %v", wait)
+			t.Errorf("the first attempt waits %v, want 0", wait)
 		}
 		if attempt > 0 && (wait < minRetryBackoff || wait > maxRetryBackoff || wait < last) {
-			t.Errorf("attempt %d waits %v after %v", attempt, wait, last)
+			t.Errorf("attempt %d waits %v after %v, want no less than before and %v to %v",
+				attempt, wait, last, minRetryBackoff, maxRetryBackoff)
 		}
 		last = wait
 		s.selector.AttemptEnded(s.now, errors.New("refused"))
@@ -100,91 +101,91 @@
 }
 
 func TestServerSelector_Check_receiveTimeout(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
+	s := newSelectorHarness(t, threeSeeds()...)
 	first := s.connect()
 	s.status(true)
 	if deadline := s.selector.Deadline(); !deadline.Equal(s.now.Add(ReceiveTimeout)) {
-		t.Errorf("deadline %v after now", deadline.Sub(s.now))
+		t.Errorf("the deadline is in %v, want %v", deadline.Sub(s.now), ReceiveTimeout)
 	}
-	s.pass(ReceiveTimeout - time.Millisecond)
+	s.advance(ReceiveTimeout - time.Millisecond)
 	if reason := s.selector.Check(s.now); reason != nil {
-		t.Errorf("left early: %v", reason)
+		t.Errorf("left the server before the ReceiveTimeout: %v", reason)
 	}
-	s.pass(time.Millisecond)
+	s.advance(time.Millisecond)
 	reason := s.selector.Check(s.now)
 	if !errors.Is(reason, ErrReceiveTimeout) {
-		t.Fatalf("got %v", reason)
+		t.Fatalf("after the ReceiveTimeout: got reason %v, want ErrReceiveTimeout", reason)
 	}
 	s.selector.AttemptEnded(s.now, reason)
 	if second := s.next(); second == first {
-		t.Errorf("went back to %s", second)
+		t.Errorf("selected the silent server %s again, want another one", second)
 	}
 }
 
 func TestServerSelector_Check_leavesStaleServer(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
+	s := newSelectorHarness(t, threeSeeds()...)
 	first := s.connect()
 	elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
 	if !errors.Is(reason, ErrNotCurrent) || elapsed != StaleTimeout {
-		t.Fatalf("after %v: %v", elapsed, reason)
+		t.Fatalf("left the stale server after %v: %v; want ErrNotCurrent after %v", elapsed, reason, StaleTimeout)
 	}
 	s.selector.AttemptEnded(s.now, reason)
 	if second := s.connect(); second == first {
-		t.Errorf("went back to %s", second)
+		t.Errorf("selected the stale server %s again, want another one", second)
 	}
 	if elapsed, reason := s.observeUntilLeft(true, 10*time.Second); reason != nil {
-		t.Errorf("left a current server after %v: %v", elapsed, reason)
+		t.Errorf("left a current server after %v: %v; want to stay", elapsed, reason)
 	}
 }
 
 func TestServerSelector_Check_staysWithOnlyServer(t *testing.T) {
-	s := newSelectorScript(t, "10.0.0.1:8146")
+	s := newSelectorHarness(t, "10.0.0.1:8146")
 	s.connect()
 	if elapsed, reason := s.observeUntilLeft(false, 20*time.Second); reason != nil {
-		t.Errorf("left after %v: %v", elapsed, reason)
+		t.Errorf("left the only server after %v: %v; want to stay", elapsed, reason)
 	}
 }
 
 func TestServerSelector_Check_boundsStaleTimeout(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
+	s := newSelectorHarness(t, threeSeeds()...)
 	for range 6 {
 		s.connect()
 		elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
 		if !errors.Is(reason, ErrNotCurrent) || elapsed > 2*StaleTimeout {
-			t.Fatalf("after %v: %v", elapsed, reason)
+			t.Fatalf("left a stale server after %v: %v; want ErrNotCurrent within %v", elapsed, reason, 2*StaleTimeout)
 		}
 		s.selector.AttemptEnded(s.now, reason)
 	}
 }
 
-// Several servers may be partitioned together. Their clients must find a current one within the promised time.
+// Several servers may be partitioned at the same time. Their clients must find a current one within contactMs.
 func TestServerSelector_Check_scansServersPartitionedTogether(t *testing.T) {
 	seeds := append(threeSeeds(), "10.0.0.4:8146", "10.0.0.5:8146", "10.0.0.6:8146", "10.0.0.7:8146", "10.0.0.8:8146", "10.0.0.9:8146")
 	const (
-		cutOff   = 4
-		promised = 2200 * time.Millisecond // contactMs less the time after which a partitioned server reports that it is not current
+		partitioned = 4
+		maxElapsed  = 2200 * time.Millisecond // contactMs minus the time after which a partitioned server reports that it is not current
 	)
-	s := newSelectorScript(t, seeds...)
-	for range cutOff {
+	s := newSelectorHarness(t, seeds...)
+	for range partitioned {
 		s.connect()
 		s.status(false)
 		_, reason := s.observeUntilLeft(false, 10*time.Second)
 		s.selector.AttemptEnded(s.now, reason)
 	}
 	s.connect()
-	if elapsed := s.now.Sub(start); elapsed > promised {
+	if elapsed := s.now.Sub(startTime); elapsed > maxElapsed {
 		t.Errorf("the fifth server was tried after %v", elapsed)
 	}
 }
 
-// Frozen servers accept connections and send nothing. The client waits long for the first that turns silent alone.
+// Frozen servers accept connections and send nothing. The client must wait for the full ReceiveTimeout only for the first one.
 func TestServerSelector_Check_scansServersFrozenTogether(t *testing.T) {
 	seeds := append(threeSeeds(), "10.0.0.4:8146", "10.0.0.5:8146", "10.0.0.6:8146", "10.0.0.7:8146", "10.0.0.8:8146", "10.0.0.9:8146")
 	const (
-		frozen   = 4
-		promised = 3 * time.Second // contactMs
+		frozen     = 4
+		maxElapsed = 3 * time.Second // contactMs
 	)
-	s := newSelectorScript(t, seeds...)
+	s := newSelectorHarness(t, seeds...)
 	s.connect()
 	s.status(true)
 	for range frozen {
@@ -194,19 +195,19 @@
 		s.selector.AttemptEnded(s.now, s.selector.Check(s.now))
 		s.connect()
 	}
-	if elapsed := s.now.Sub(start); elapsed > promised {
+	if elapsed := s.now.Sub(startTime); elapsed > maxElapsed {
 		t.Errorf("the fifth server was tried after %v", elapsed)
 	}
 }
 
-// Without a current server the client scans all of them again and again, each time more slowly, up to twice the StaleTimeout: one that
-// becomes current is found soon, and an outage of all costs few connections.
+// While no server is current, the client scans all of them repeatedly, and stays longer with each in every round, up to twice the
+// StaleTimeout. It thus finds a server that becomes current soon, and opens few connections during an outage of all servers.
 func TestServerSelector_Check_noServerCurrent(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
-	scan := func(timeout time.Duration) []time.Duration { return []time.Duration{timeout, timeout, timeout} }
-	wanted := slices.Concat([]time.Duration{StaleTimeout, scanStaleTimeout, scanStaleTimeout}, scan(2*scanStaleTimeout), scan(4*scanStaleTimeout),
-		scan(8*scanStaleTimeout), scan(2*StaleTimeout), scan(2*StaleTimeout))
-	for i, want := range wanted {
+	s := newSelectorHarness(t, threeSeeds()...)
+	round := func(timeout time.Duration) []time.Duration { return []time.Duration{timeout, timeout, timeout} }
+	timeouts := slices.Concat([]time.Duration{StaleTimeout, scanStaleTimeout, scanStaleTimeout}, round(2*scanStaleTimeout), round(4*scanStaleTimeout),
+		round(8*scanStaleTimeout), round(2*StaleTimeout), round(2*StaleTimeout))
+	for i, want := range timeouts {
 		s.connect()
 		s.status(false)
 		elapsed, reason := s.observeUntilLeft(false, 10*time.Second)
@@ -217,20 +218,20 @@
 	}
 }
 
-func TestServerSelector_Check_graceAfterOwnStall(t *testing.T) {
-	s := newSelectorScript(t, threeSeeds()...)
+func TestServerSelector_Check_gracePeriodAfterOwnStall(t *testing.T) {
+	s := newSelectorHarness(t, threeSeeds()...)
 	s.connect()
 	s.status(true)
-	s.pass(20 * time.Second)
+	s.advance(20 * time.Second)
 	if reason := s.selector.Check(s.now); reason != nil {
-		t.Fatalf("left: %v", reason)
+		t.Fatalf("left the server at the first check after the process had stalled: %v", reason)
 	}
 	s.now = s.selector.Deadline()
-	if s.now.Sub(start) > 20*time.Second+time.Second {
-		t.Errorf("the next deadline is %v after the start", s.now.Sub(start))
+	if s.now.Sub(startTime) > 20*time.Second+time.Second {
+		t.Errorf("the next deadline is %v after the start, want at most 1s after the stall of 20s", s.now.Sub(startTime))
 	}
 	if reason := s.selector.Check(s.now); !errors.Is(reason, ErrReceiveTimeout) {
-		t.Errorf("got %v", reason)
+		t.Errorf("after the grace period: got reason %v, want ErrReceiveTimeout", reason)
 	}
 }
 
@@ -239,35 +240,36 @@
 }
 
 func TestServerSelector_Check_prefersNearerServer(t *testing.T) {
-	s := newSelectorScript(t, "10.0.0.1:8146")
+	s := newSelectorHarness(t, "10.0.0.1:8146")
 	s.connect()
 	servers := []ServerEndpoint{serverIn(1, "b", "south"), serverIn(2, "a", "north"), serverIn(3, "c", "north")}
 	s.status(true, servers...)
 	if reason := s.selector.Check(s.now); reason != nil {
-		t.Fatalf("left at once: %v", reason)
+		t.Fatalf("left a current server immediately after connecting: %v", reason)
 	}
 	elapsed, reason := s.observeUntilLeft(true, time.Minute)
 	if !errors.Is(reason, ErrOtherPreferred) || elapsed < preferNearerAfter || elapsed > 2*preferNearerAfter+StatusInterval {
-		t.Fatalf("after %v: %v", elapsed, reason)
+		t.Fatalf("left the farther server after %v: %v; want ErrOtherPreferred after %v to %v",
+			elapsed, reason, preferNearerAfter, 2*preferNearerAfter+StatusInterval)
 	}
 	s.selector.AttemptEnded(s.now, reason)
 	if address := s.connect(); address != "10.0.0.2:7660" {
-		t.Fatalf("went to %s", address)
+		t.Fatalf("connected to %s, want 10.0.0.2:7660, which is in the same zone", address)
 	}
 	s.status(true, servers...)
 	if elapsed, reason := s.observeUntilLeft(true, time.Minute); reason != nil {
-		t.Errorf("left the nearest after %v: %v", elapsed, reason)
+		t.Errorf("left the nearest server after %v: %v; want to stay", elapsed, reason)
 	}
 }
 
 func TestServerSelector_Check_failingNearerServerTriedLess(t *testing.T) {
-	s := newSelectorScript(t, "10.0.0.1:8146")
+	s := newSelectorHarness(t, "10.0.0.1:8146")
 	servers := []ServerEndpoint{serverIn(1, "b", "south"), serverIn(2, "a", "north")}
 	failures := 0
-	for s.now.Sub(start) < 5*time.Minute {
+	for s.now.Sub(startTime) < 5*time.Minute {
 		if address := s.next(); address == "10.0.0.2:7660" {
 			failures++
-			s.pass(DialTimeout)
+			s.advance(DialTimeout)
 			s.selector.AttemptEnded(s.now, errors.New("no answer"))
 			continue
 		}
@@ -277,21 +279,21 @@
 		s.selector.AttemptEnded(s.now, reason)
 	}
 	if failures < 3 || failures > 10 {
-		t.Errorf("tried %d times in five minutes", failures)
+		t.Errorf("tried the failing server %d times in 5 minutes, want 3 to 10", failures)
 	}
 }
 
 func TestServerSelector_ObserveStatus_dropsDepartedServers(t *testing.T) {
-	s := newSelectorScript(t, "10.0.0.1:8146")
+	s := newSelectorHarness(t, "10.0.0.1:8146")
 	s.connect()
 	s.status(true, serverIn(1, "", ""), serverIn(2, "", ""))
 	s.status(true, serverIn(1, "", ""))
 	if count := s.selector.candidates.len(); count != 1 {
-		t.Errorf("%d candidates", count)
+		t.Errorf("%d candidates after a status that lists 1 server, want 1", count)
 	}
 	s.status(true)
 	if count := s.selector.candidates.len(); count != 1 {
-		t.Errorf("%d candidates after an empty list", count)
+		t.Errorf("%d candidates after a status that lists no servers, want 1 as before", count)
 	}
 }
 
@@ -300,21 +302,21 @@
 	chosen := make(map[string]int)
 	for node := range nodes {
 		options := SelectorOptions{Node: fmt.Sprintf("edge-%d", node), Seeds: threeSeeds(), FeedPort: feedPort}
-		address, _ := NewServerSelector(options, func() float64 { return 0 }).Next(start)
+		address, _ := NewServerSelector(options, func() float64 { return 0 }).Next(startTime)
 		chosen[address]++
 	}
 	for address, count := range chosen {
 		if count < nodes/3*7/10 || count > nodes/3*13/10 {
-			t.Errorf("%s has %d of %d", address, count, nodes)
+			t.Errorf("%s was selected by %d of %d nodes, want %d to %d", address, count, nodes, nodes/3*7/10, nodes/3*13/10)
 		}
 	}
 }
 
 func TestServerSelector_Next_noServerKnown(t *testing.T) {
-	s := newSelectorScript(t, "not an address")
+	s := newSelectorHarness(t, "not an address")
 	address, wait := s.selector.Next(s.now)
 	if address != "" || wait <= 0 {
-		t.Errorf("got %q after %v", address, wait)
+		t.Errorf("without a valid seed: got address %q after %v, want no address after a wait", address, wait)
 	}
 	s.selector.AttemptEnded(s.now, ErrNoServer)
 }
@@ -328,12 +330,13 @@
 		selector.Next(now)
 		limit := selector.AttemptTimeout()
 		if limit < last || limit > DialTimeout || attempt == 0 && limit != minDialTimeout {
-			t.Fatalf("attempt %d may take %s after %s", attempt, limit, last)
+			t.Fatalf("the timeout of attempt %d is %s after %s; want %s at first, then no less than before, and at most %s",
+				attempt, limit, last, minDialTimeout, DialTimeout)
 		}
 		last = limit
 		selector.AttemptEnded(now, errors.New("no answer"))
 	}
 	if last != DialTimeout {
-		t.Errorf("later attempts may take %s, want %s", last, DialTimeout)
+		t.Errorf("the timeout of the last attempt is %s, want %s", last, DialTimeout)
 	}
 }
--- a/internal/controlplane/feedtransport/shared_snapshot_test.go
+++ b/internal/controlplane/feedtransport/shared_snapshot_test.go
@@ -11,11 +11,11 @@
 	"ospreybend/coord/shards"
 )
 
-// bufferSource is a source of one shard with a feed.Buffer, as a control plane server is.
+// bufferSource is a source of shard 1 that serves changes from a feed.Buffer, as a control plane server does.
 type bufferSource struct {
 	*scriptedSource
-	mutex  sync.Mutex
-	buffer *feed.Buffer
+	bufferMu sync.Mutex
+	buffer   *feed.Buffer
 }
 
 func newBufferSource(items []feed.Item) *bufferSource {
@@ -27,21 +27,21 @@
 }
 
 func (s *bufferSource) put(item feed.Item) {
-	s.mutex.Lock()
+	s.bufferMu.Lock()
 	change := feed.Change{Index: s.buffer.Index() + 1, Put: []feed.Item{item}}
 	_ = s.buffer.Append(change)
-	s.mutex.Unlock()
+	s.bufferMu.Unlock()
 	s.commit(1, change)
 }
 
 func (s *bufferSource) Since(_ shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.bufferMu.Lock()
+	defer s.bufferMu.Unlock()
 	return s.buffer.CatchUp(index)
 }
 
-// All nodes connect at once after a restart of all, while workers change: each gets all of them within the time of a
-// status, and nearly all get the same bytes.
+// After a restart of all nodes, all of them connect at the same time while workers change. Each must receive all workers within a
+// StatusInterval, and they must share one encoded snapshot.
 func TestSession_Run_readersShareOneSnapshot(t *testing.T) {
 	const (
 		readers = 60
@@ -49,7 +49,7 @@
 		extra   = 40 // changes while the readers connect
 	)
 	synctest.Test(t, func(t *testing.T) {
-		items := manyItems(4, workers+extra)
+		items := workerItems(4, workers+extra)
 		source := newBufferSource(items[:workers])
 		encoder := NewEncoder()
 		var handlers []*recorder
@@ -57,7 +57,7 @@
 		snapshots := map[uint64]bool{}
 		for number := range readers {
 			handlers = append(handlers, newRecorder())
-			written, stop := serveOne(source, encoder, fmt.Sprintf("edge-%d", number), handlers[number])
+			written, stop := startSessionAndClient(source, encoder, fmt.Sprintf("edge-%d", number), handlers[number])
 			defer stop()
 			counts = append(counts, written)
 			if number < extra {
@@ -71,12 +71,12 @@
 		synctest.Wait()
 		for _, handler := range handlers {
 			expectItems(t, handler, 1, source.scriptedSource)
-			if handler.seen().snapshots != 1 {
-				t.Errorf("a reader got %d snapshots", handler.seen().snapshots)
+			if handler.state().snapshots != 1 {
+				t.Errorf("a reader received %d snapshots, want 1", handler.state().snapshots)
 			}
 		}
 		if len(snapshots) != 1 {
-			t.Errorf("%d snapshots were encoded for %d readers", len(snapshots), readers)
+			t.Errorf("%d snapshots were encoded for %d readers, want 1", len(snapshots), readers)
 		}
 		total, plain := 0, 0
 		for _, item := range items {
@@ -86,21 +86,21 @@
 			total += *count
 		}
 		if total > readers*plain/2 {
-			t.Errorf("%d bytes to %d readers for %d bytes of items", total, readers, plain)
+			t.Errorf("%d bytes were written to %d readers for %d bytes of items, want at most %d", total, readers, plain, readers*plain/2)
 		}
 	})
 }
 
-// The first update after a quiet interval is sent at once, also if a status has just been sent.
+// The first update after an interval without updates is sent immediately, even if a status has just been sent.
 func TestSession_Run_firstUpdateIsImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(0)
 		handler := newRecorder()
-		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&serverNetwork{sources: map[string]*scriptedSource{serverAddress(1): source}}, 1, handler)
 		defer stop()
-		for index := range uint64(60) { // at all phases of the status interval
+		for index := range uint64(60) { // spreads the commits over all phases of the status interval
 			time.Sleep(BatchInterval + 7*time.Millisecond)
-			source.commit(0, put(index+1, "key", fmt.Sprint(index)))
+			source.commit(0, putChange(index+1, "key", fmt.Sprint(index)))
 			synctest.Wait()
 			expectItems(t, handler, 0, source)
 		}
--- a/internal/controlplane/feedtransport/source_test.go
+++ b/internal/controlplane/feedtransport/source_test.go
@@ -8,24 +8,24 @@
 	"ospreybend/coord/shards"
 )
 
-// scriptedSource is a source under control of a test. Its log has every change since the start of each shard.
+// scriptedSource is a source that a test controls. Its logs have all changes of each shard since the first.
 type scriptedSource struct {
-	mu      sync.Mutex
-	logs    map[shards.ID][]feed.Change
-	floors  map[shards.ID]uint64 // a reader below it gets a snapshot
-	current bool
-	servers []ServerEndpoint
-	wakes   map[chan<- struct{}]bool
-	reports []Report
-	looks   int // calls of Since
+	mu          sync.Mutex
+	logs        map[shards.ID][]feed.Change
+	compactedTo map[shards.ID]uint64 // a reader whose offset is below gets a snapshot
+	current     bool
+	servers     []ServerEndpoint
+	subscribers map[chan<- struct{}]bool
+	reports     []Report
+	sinceCalls  int // calls of Since
 }
 
 func newScriptedSource(list ...shards.ID) *scriptedSource {
 	source := &scriptedSource{
-		logs:    make(map[shards.ID][]feed.Change),
-		floors:  make(map[shards.ID]uint64),
-		current: true,
-		wakes:   make(map[chan<- struct{}]bool),
+		logs:        make(map[shards.ID][]feed.Change),
+		compactedTo: make(map[shards.ID]uint64),
+		current:     true,
+		subscribers: make(map[chan<- struct{}]bool),
 	}
 	for _, shard := range list {
 		source.logs[shard] = nil
@@ -48,8 +48,8 @@
 func (s *scriptedSource) Since(shard shards.ID, index uint64) ([]feed.Change, *feed.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.looks++
-	if index < s.floors[shard] {
+	s.sinceCalls++
+	if index < s.compactedTo[shard] {
 		snapshot := snapshotOf(s.logs[shard])
 		return nil, &snapshot
 	}
@@ -77,11 +77,11 @@
 func (s *scriptedSource) Subscribe(wake chan<- struct{}) func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wakes[wake] = true
+	s.subscribers[wake] = true
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.wakes, wake)
+		delete(s.subscribers, wake)
 	}
 }
 
@@ -91,8 +91,8 @@
 	s.reports = append(s.reports, Report{Topic: topic, Body: body})
 }
 
-func (s *scriptedSource) wake() {
-	for wake := range s.wakes {
+func (s *scriptedSource) wakeSubscribers() {
+	for wake := range s.subscribers {
 		notify(wake)
 	}
 }
@@ -101,21 +101,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.logs[shard] = append(s.logs[shard], change)
-	s.wake()
+	s.wakeSubscribers()
 }
 
-// compact drops the backlog of a shard.
+// compact makes readers that lack any change of a shard's present log receive a snapshot.
 func (s *scriptedSource) compact(shard shards.ID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floors[shard] = lastIndex(s.logs[shard])
+	s.compactedTo[shard] = lastIndex(s.logs[shard])
 }
 
 func (s *scriptedSource) setCurrent(current bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.current = current
-	s.wake()
+	s.wakeSubscribers()
 }
 
 func lastIndex(log []feed.Change) uint64 {
@@ -151,41 +151,41 @@
 	return snapshot
 }
 
-// recorder is a handler that keeps the items and records its calls.
+// recorder is a handler that applies changes to its items and records its calls.
 type recorder struct {
 	mu sync.Mutex
-	recorded
+	recordedState
 }
 
-type recorded struct {
-	items     map[shards.ID]map[string]string
-	index     map[shards.ID]uint64
-	snapshots int
-	batches   int
-	statuses  []Status
-	events    []string // connections
-	reports   []Report
-	faults    []string
+type recordedState struct {
+	items            map[shards.ID]map[string]string
+	offsets          map[shards.ID]uint64
+	snapshots        int
+	batches          int
+	statuses         []Status
+	connectionEvents []string // addresses of connections, and errors with which they ended
+	reports          []Report
+	violations       []string
 }
 
 func newRecorder() *recorder {
-	return &recorder{recorded: recorded{
-		items: make(map[shards.ID]map[string]string), index: make(map[shards.ID]uint64),
+	return &recorder{recordedState: recordedState{
+		items: make(map[shards.ID]map[string]string), offsets: make(map[shards.ID]uint64),
 	}}
 }
 
-// seen returns what has been recorded so far; its maps must not be read while the client runs.
-func (r *recorder) seen() recorded {
+// state returns what has been recorded so far. Its maps must not be read while the client runs.
+func (r *recorder) state() recordedState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.recorded
+	return r.recordedState
 }
 
 func (r *recorder) Snapshot(shard shards.ID, snapshot feed.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.snapshots++
-	r.rise(shard, snapshot.Index)
+	r.advanceOffset(shard, snapshot.Index)
 	r.items[shard] = make(map[string]string)
 	apply(r.items[shard], feed.Change{Put: snapshot.Items})
 }
@@ -193,18 +193,19 @@
 func (r *recorder) Change(shard shards.ID, change feed.Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rise(shard, change.Index)
+	r.advanceOffset(shard, change.Index)
 	if r.items[shard] == nil {
 		r.items[shard] = make(map[string]string)
 	}
 	apply(r.items[shard], change)
 }
 
-func (r *recorder) rise(shard shards.ID, index uint64) {
-	if index <= r.index[shard] {
-		r.faults = append(r.faults, fmt.Sprintf("shard %d went from %d to %d", shard, r.index[shard], index))
+func (r *recorder) advanceOffset(shard shards.ID, index uint64) {
+	if index <= r.offsets[shard] {
+		r.violations = append(r.violations, fmt.Sprintf("shard %d received index %d at offset %d, want only higher indexes",
+			shard, index, r.offsets[shard]))
 	}
-	r.index[shard] = index
+	r.offsets[shard] = index
 }
 
 func (r *recorder) BatchDone() {
@@ -217,9 +218,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, shard := range status.Shards {
-		if r.index[shard.Shard] < shard.Index {
-			r.faults = append(r.faults, fmt.Sprintf("shard %d is at %d, the status at %d",
-				shard.Shard, r.index[shard.Shard], shard.Index))
+		if r.offsets[shard.Shard] < shard.Index {
+			r.violations = append(r.violations, fmt.Sprintf("shard %d is at offset %d when a status with index %d arrives, want at least that index",
+				shard.Shard, r.offsets[shard.Shard], shard.Index))
 		}
 	}
 	r.statuses = append(r.statuses, status)
@@ -228,13 +229,13 @@
 func (r *recorder) Connected(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, address)
+	r.connectionEvents = append(r.connectionEvents, address)
 }
 
 func (r *recorder) Disconnected(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, err.Error())
+	r.connectionEvents = append(r.connectionEvents, err.Error())
 }
 
 func (r *recorder) Report(report Report) {
--- a/internal/controlplane/feedtransport/status_test.go
+++ b/internal/controlplane/feedtransport/status_test.go
@@ -9,10 +9,10 @@
 
 // A status lists the servers only when they have changed.
 func TestFeedWriter_writeStatus_serversOnlyWhenChanged(t *testing.T) {
-	connection := &capture{}
+	connection := &recordingConnection{}
 	writer := newFeedWriter(connection, nil, time.Second)
 	servers := []ServerEndpoint{{Address: "10.0.0.1:7000", Zone: "a"}}
-	for number, wanted := range [][]ServerEndpoint{servers, nil, nil, append(servers, ServerEndpoint{Address: "10.0.0.2:7000"}), nil} {
+	for number, want := range [][]ServerEndpoint{servers, nil, nil, append(servers, ServerEndpoint{Address: "10.0.0.2:7000"}), nil} {
 		status := Status{Shards: []ShardStatus{{Current: true}}, Servers: servers}
 		if number >= 3 {
 			status.Servers = append(servers, ServerEndpoint{Address: "10.0.0.2:7000"})
@@ -21,28 +21,28 @@
 		if err := errors.Join(writer.writeStatus(status), writer.flush()); err != nil {
 			t.Fatal(err)
 		}
-		decoded, err := DecodeStatus(body(t, connection.written.Bytes(), KindStatus))
-		if err != nil || len(decoded.Servers) != len(wanted) {
-			t.Errorf("status %d lists %v, want %v, %v", number, decoded.Servers, wanted, err)
+		decoded, err := DecodeStatus(frameBody(t, connection.written.Bytes(), KindStatus))
+		if err != nil || len(decoded.Servers) != len(want) {
+			t.Errorf("status %d lists the servers %v, error %v; want %v", number, decoded.Servers, err, want)
 		}
 		if writer.statusChanged(status) {
-			t.Errorf("status %d counts as changed after it was sent", number)
+			t.Errorf("statusChanged returned true for status %d although it was just written", number)
 		}
 	}
 }
 
-func TestClient_handleStatus_serversInEveryStatus(t *testing.T) {
+func TestClient_handleStatus_addsServersOfEarlierStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := newScriptedSource(1)
-		source.servers = []ServerEndpoint{{Address: address(1)}, {Address: address(2)}}
+		source.servers = []ServerEndpoint{{Address: serverAddress(1)}, {Address: serverAddress(2)}}
 		handler := newRecorder()
-		stop := runClient(&servers{sources: map[string]*scriptedSource{address(1): source}}, 1, handler)
+		stop := runClient(&serverNetwork{sources: map[string]*scriptedSource{serverAddress(1): source}}, 1, handler)
 		defer stop()
 		time.Sleep(3 * StatusInterval)
 		synctest.Wait()
-		for number, status := range handler.seen().statuses {
+		for number, status := range handler.state().statuses {
 			if len(status.Servers) != len(source.servers) {
-				t.Errorf("status %d of %d lists %v", number, len(handler.seen().statuses), status.Servers)
+				t.Errorf("status %d of %d lists the servers %v, want %v", number, len(handler.state().statuses), status.Servers, source.servers)
 			}
 		}
 	})
