--- a/coord/replica/event_queue_test.go
+++ b/coord/replica/event_queue_test.go
@@ -5,20 +5,20 @@
 )
 
 func TestEventQueue_push_boundsMessages(t *testing.T) {
-	box := newEventQueue()
-	for range maxQueuedMessages {
-		if !box.push(messageEvent{}) {
-			t.Fatal("rejected too early")
+	queue := newEventQueue()
+	for i := range maxQueuedMessages {
+		if !queue.push(messageEvent{}) {
+			t.Fatalf("message %d of %d was rejected", i+1, maxQueuedMessages)
 		}
 	}
-	if box.push(messageEvent{}) {
-		t.Fatal("not bounded")
+	if queue.push(messageEvent{}) {
+		t.Fatalf("a message was accepted beyond the limit of %d", maxQueuedMessages)
 	}
-	if !box.push(readEvent{}) {
-		t.Fatal("a call was rejected because of messages")
+	if !queue.push(readEvent{}) {
+		t.Fatal("a call was rejected because the queue is full of messages")
 	}
-	box.drain()
-	if !box.push(messageEvent{}) {
-		t.Fatal("rejected after it was drained")
+	queue.drain()
+	if !queue.push(messageEvent{}) {
+		t.Fatal("a message was rejected after the queue was drained")
 	}
 }
