--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -40,11 +40,11 @@
 	ProbePeers bool // take part in the failure detection between agents
 	Probing    membership.Options
 
-	Dial         func(ctx context.Context, address string) (net.Conn, error)     // connects to servers; nil: feedtransport.Dial
-	Listen       func(ctx context.Context, address string) (net.Listener, error) // listens for the proxy; nil: feedtransport.Listen
-	Random       func() uint64                                                   // nil: rand.Uint64
-	StaleTimeout time.Duration                                                   // zero: feedtransport.StaleTimeout
-	Origin       time.Time                                                       // see feedtransport.SessionOptions
+	Dial           func(ctx context.Context, address string) (net.Conn, error)     // connects to servers; nil: feedtransport.Dial
+	Listen         func(ctx context.Context, address string) (net.Listener, error) // listens for the proxy; nil: feedtransport.Listen
+	Random         func() uint64                                                   // nil: rand.Uint64
+	StaleTimeout   time.Duration                                                   // zero: feedtransport.StaleTimeout
+	IntervalOrigin time.Time                                                       // see feedtransport.SessionOptions
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/controlplane/agent/proxy_server.go
+++ b/internal/controlplane/agent/proxy_server.go
@@ -45,7 +45,7 @@
 	server := &proxyServer{
 		listener: listener,
 		source:   proxySource{store: store, report: report},
-		origin:   options.Origin,
+		origin:   options.IntervalOrigin,
 		ready:    store.ready,
 		stopping: ctx.Done(),
 		sessions: make(map[*feedtransport.Session]struct{}),
@@ -84,7 +84,7 @@
 	if !s.awaitReady() {
 		return
 	}
-	options := feedtransport.SessionOptions{StatusInterval: feedtransport.LoopbackStatusInterval, Origin: s.origin}
+	options := feedtransport.SessionOptions{StatusInterval: feedtransport.LoopbackStatusInterval, IntervalOrigin: s.origin}
 	session := feedtransport.NewSession(connection, hello, s.source, options)
 	if !s.add(session) {
 		return
--- a/internal/controlplane/feedtransport/session.go
+++ b/internal/controlplane/feedtransport/session.go
@@ -45,7 +45,7 @@
 	BatchInterval  time.Duration
 	WriteTimeout   time.Duration
 	Encoder        *Encoder  // shared by the sessions of a server; nil: no compression
-	Origin         time.Time // time from which the multiples of the intervals are counted; zero: start of the process
+	IntervalOrigin time.Time // time from which the multiples of the intervals are counted; zero: start of the process
 }
 
 func (o SessionOptions) withDefaults() SessionOptions {
@@ -58,8 +58,8 @@
 	if o.WriteTimeout == 0 {
 		o.WriteTimeout = WriteTimeout
 	}
-	if o.Origin.IsZero() {
-		o.Origin = processStart
+	if o.IntervalOrigin.IsZero() {
+		o.IntervalOrigin = processStart
 	}
 	return o
 }
@@ -214,14 +214,14 @@
 
 // sinceIntervalBoundary returns the time that has passed at moment since the last multiple of interval since the origin.
 func (s *Session) sinceIntervalBoundary(moment time.Time, interval time.Duration) time.Duration {
-	elapsed := moment.Sub(s.options.Origin) % interval
+	elapsed := moment.Sub(s.options.IntervalOrigin) % interval
 	if elapsed < 0 {
 		elapsed += interval
 	}
 	return elapsed
 }
 
-// processStart is the default of SessionOptions.Origin.
+// processStart is the default of SessionOptions.IntervalOrigin.
 var processStart = time.Now()
 
 // sleep waits for a duration. It returns false if ctx ends first.
--- a/internal/controlplane/server/edge_nodes.go
+++ b/internal/controlplane/server/edge_nodes.go
@@ -75,7 +75,7 @@
 	}
 	s.metrics.feedSessions.Add(1)
 	defer s.metrics.feedSessions.Add(-1)
-	options := feedtransport.SessionOptions{Encoder: s.feed.encoder, Origin: s.startedAt}
+	options := feedtransport.SessionOptions{Encoder: s.feed.encoder, IntervalOrigin: s.startedAt}
 	_ = feedtransport.NewSession(connection, hello, s, options).Run(ctx)
 }
 
--- a/internal/testkit/controlplanesim/edge.go
+++ b/internal/testkit/controlplanesim/edge.go
@@ -37,7 +37,7 @@
 	e.processes = [2]*simnet.Process{own, proxy}
 	e.world.running.Go(func() {
 		options := agent.Options{
-			Dial: own.Dial, Listen: own.Listen, Random: e.world.sharedRandom("agent", e.index), Origin: time.Now(),
+			Dial: own.Dial, Listen: own.Listen, Random: e.world.sharedRandom("agent", e.index), IntervalOrigin: time.Now(),
 		}
 		if e.world.omissions.leaveStale {
 			options.StaleTimeout = beyondEveryRun
