--- a/internal/controlplane/peertransport/codec.go
+++ b/internal/controlplane/peertransport/codec.go
@@ -11,25 +11,26 @@
 	"ospreybend/internal/util/strictavro"
 )
 
-// Kinds of frames between servers. Their values are part of the wire protocol.
+// Kinds of frames between servers. The values are part of the wire protocol.
 const (
-	kindHello feedtransport.Kind = feedtransport.FirstPeerKind + iota // first frame of the dialer
-	kindBatch                                                         // consensus messages
+	kindHello feedtransport.Kind = feedtransport.FirstPeerKind + iota // first frame that the dialer sends
+	kindBatch                                                         // batch of consensus messages
 	kindCall
 	kindReply
 )
 
-// CallKind is the kind of a call. Its values are defined by the user of the transport.
+// CallKind is the kind of a call. The package that uses the transport defines its values; they are part of the wire protocol.
 type CallKind int
 
-// Hello identifies the dialer of a connection.
+// Hello is the handshake of a connection; it identifies the server that dialed.
 type Hello struct {
-	Address string // at which it accepts its peers, "ip:port"
+	Address string // where the server listens for its peers, "ip:port"
 	Member  consensus.MemberID
 	Zone    string
 	Region  string
 }
 
+// Wire forms of the frames' bodies. Their fields have the names of the fields in the Avro schemas.
 type (
 	wireHello struct {
 		Address, Zone, Region string
@@ -39,28 +40,28 @@
 	wireCall struct {
 		ID       int64
 		Kind     int
-		BudgetMs int
+		BudgetMs int // milliseconds that the caller waits for the reply
 		Body     []byte
 	}
 
 	wireReply struct {
 		ID     int64
 		Failed bool
-		Text   string
+		Text   string // error text, if Failed
 		Body   []byte
 	}
 )
 
-// codec accepts strings and byte fields up to the length of a frame.
+// codec is the Avro configuration. It accepts strings and byte fields up to the maximum length of a frame.
 var codec = avro.Config{MaxByteSliceSize: feedtransport.MaxFrameBytes}.Freeze()
 
-// frame is an encoded frame that is to be written.
+// frame is a frame whose body is encoded.
 type frame struct {
 	kind feedtransport.Kind
 	body []byte
 }
 
-// encode encodes a message as a frame.
+// encode encodes a message as a frame. It fails with feedtransport.ErrFrameTooLong if the body exceeds the maximum length.
 func encode(kind feedtransport.Kind, schema avro.Schema, message any) (frame, error) {
 	body, err := codec.Marshal(schema, message)
 	if err != nil {
@@ -72,9 +73,9 @@
 	return frame{kind: kind, body: body}, nil
 }
 
-// decode decodes the body of a frame, which must fit its schema exactly.
-func decode(kind feedtransport.Kind, schema avro.Schema, body []byte, into any) error {
-	if err := strictavro.Unmarshal(codec, schema, body, into); err != nil {
+// decode decodes the body of a frame into target. It fails if the body does not match the schema or has trailing bytes.
+func decode(kind feedtransport.Kind, schema avro.Schema, body []byte, target any) error {
+	if err := strictavro.Unmarshal(codec, schema, body, target); err != nil {
 		return fmt.Errorf("peertransport: decode a frame of kind %d: %w", kind, err)
 	}
 	return nil
@@ -97,7 +98,7 @@
 func encodeBatch(messages []GroupMessage) (frame, error) {
 	wire := make([]wireMessage, len(messages))
 	for i, message := range messages {
-		wire[i] = toWire(message)
+		wire[i] = messageToWire(message)
 	}
 	return encode(kindBatch, batchSchema, wire)
 }
@@ -109,7 +110,7 @@
 	}
 	messages := make([]GroupMessage, len(wire))
 	for i, message := range wire {
-		messages[i] = fromWire(message)
+		messages[i] = messageFromWire(message)
 	}
 	return messages, nil
 }
@@ -121,7 +122,7 @@
 	})
 }
 
-// encodeReply encodes the reply to a call: its body, or why it failed.
+// encodeReply encodes the reply to a call: the body, or the text of failure if the call failed.
 func encodeReply(id int64, body []byte, failure error) (frame, error) {
 	reply := wireReply{ID: id, Body: body}
 	if failure != nil {
--- a/internal/controlplane/peertransport/compatibility_test.go
+++ b/internal/controlplane/peertransport/compatibility_test.go
@@ -12,8 +12,8 @@
 	"ospreybend/internal/testkit/golden"
 )
 
-// batchKinds names the fixture of a batch with a message of each kind.
-var batchKinds = []struct {
+// batchFixtures lists the fixtures of batches: one for each kind of consensus message.
+var batchFixtures = []struct {
 	name string
 	kind consensus.MessageKind
 }{
@@ -30,8 +30,9 @@
 	{"batch-transfer-now", consensus.MessageTimeoutNow},
 }
 
-// messageOf returns a message with every field set. Some never have a value together; the form carries them all.
-func messageOf(kind consensus.MessageKind) consensus.Message {
+// filledMessage returns a message of a kind with all fields set that the encoding has for it, also those that are never set
+// together in practice.
+func filledMessage(kind consensus.MessageKind) consensus.Message {
 	members := []consensus.Member{
 		{ID: 1 << 63, Address: "192.0.2.1:7100", Voter: true}, {ID: 12, Address: "192.0.2.2:7100"}, {ID: 13, Retired: true},
 	}
@@ -52,7 +53,7 @@
 	return message
 }
 
-// frameRow is a row of a frame of one kind.
+// frameRow returns the row of a frame of the given kind.
 func frameRow(name string, kind feedtransport.Kind, value any, encode func() (frame, error), decode func([]byte) (any, error)) golden.Row {
 	return golden.Row{
 		Name: name, Value: value,
@@ -61,9 +62,9 @@
 			return feedtransport.AppendFrame(nil, encoded.kind, encoded.body), err
 		},
 		Decode: func(content []byte) (any, error) {
-			read, body, err := feedtransport.ReadFrame(bytes.NewReader(content))
-			if err == nil && read != kind {
-				err = fmt.Errorf("kind %d, want %d", read, kind)
+			readKind, body, err := feedtransport.ReadFrame(bytes.NewReader(content))
+			if err == nil && readKind != kind {
+				err = fmt.Errorf("frame has kind %d, want %d", readKind, kind)
 			}
 			if err != nil {
 				return nil, err
@@ -73,7 +74,7 @@
 	}
 }
 
-// callRow is a row of a call of one kind. The kinds are the caller's, numbered from 1.
+// callRow returns the row of a call of the given kind.
 func callRow(kind CallKind) golden.Row {
 	body := []byte(fmt.Sprintf("body %d", kind))
 	want := wireCall{ID: -1, Kind: int(kind), BudgetMs: 2500, Body: body}
@@ -86,7 +87,7 @@
 		})
 }
 
-// replyRow is a row of the answer to a call.
+// replyRow returns the row of a reply.
 func replyRow(name string, want wireReply, failure error) golden.Row {
 	return frameRow(name, kindReply, want,
 		func() (frame, error) { return encodeReply(want.ID, want.Body, failure) },
@@ -97,7 +98,8 @@
 		})
 }
 
-// compatibilityRows are one frame of each kind, and one batch for each kind of message of the consensus.
+// compatibilityRows returns rows for each kind of frame, with one batch for each kind of consensus message and one call for each
+// kind of call.
 func compatibilityRows() []golden.Row {
 	hello := Hello{Address: "192.0.2.1:7100", Member: 1<<64 - 2, Zone: "zone-a", Region: "region-1"}
 	rows := []golden.Row{
@@ -107,13 +109,13 @@
 		replyRow("reply", wireReply{ID: 8, Body: []byte("answer")}, nil),
 		replyRow("reply-failed", wireReply{ID: 9, Failed: true, Text: "no such group", Body: []byte{}}, errors.New("no such group")),
 	}
-	for _, one := range batchKinds {
-		batch := []GroupMessage{{Shard: 3, Message: messageOf(one.kind)}, {Shard: 4, Message: messageOf(one.kind)}}
-		rows = append(rows, frameRow(one.name, kindBatch, batch,
+	for _, fixture := range batchFixtures {
+		batch := []GroupMessage{{Shard: 3, Message: filledMessage(fixture.kind)}, {Shard: 4, Message: filledMessage(fixture.kind)}}
+		rows = append(rows, frameRow(fixture.name, kindBatch, batch,
 			func() (frame, error) { return encodeBatch(batch) },
 			func(body []byte) (any, error) { return decodeBatch(body) }))
 	}
-	const lastCallKind = 12
+	const lastCallKind = 12 // the control plane server numbers its kinds from 1
 	for kind := CallKind(1); kind <= lastCallKind; kind++ {
 		rows = append(rows, callRow(kind))
 	}
--- a/internal/controlplane/peertransport/frame_writer.go
+++ b/internal/controlplane/peertransport/frame_writer.go
@@ -8,21 +8,22 @@
 	"ospreybend/internal/controlplane/feedtransport"
 )
 
-// Sizes of writes.
+// Sizes of writes and of the write buffer.
 const (
-	writeChunkBytes  = 64 << 10  // the write deadline is checked before each chunk
-	maxBufferedBytes = 64 << 10  // frames up to this length are collected into one write
+	writeChunkBytes  = 64 << 10  // the write deadline is checked and renewed before each chunk
+	maxBufferedBytes = 64 << 10  // frames with a body up to this length are collected into one write
 	maxRetainedBytes = 256 << 10 // a larger buffer is not reused for the next write
 )
 
-// frameWriter collects frames and writes them with few system calls. It is not safe for concurrent use.
+// frameWriter buffers small frames, so that several are written by one system call. It is not safe for concurrent use.
 type frameWriter struct {
 	connection net.Conn
 	buffer     []byte
-	deadline   time.Time // write deadline that was last set
+	deadline   time.Time // write deadline of the connection; zero: not set yet
 }
 
-// append buffers a frame. A frame longer than maxBufferedBytes is written at once, after what was buffered.
+// append buffers a frame, and flushes the buffer once it holds maxBufferedBytes. A frame with a longer body is written at once,
+// after the buffered frames.
 func (w *frameWriter) append(next frame) error {
 	if len(next.body) <= maxBufferedBytes {
 		w.buffer = feedtransport.AppendFrame(w.buffer, next.kind, next.body)
@@ -38,7 +39,7 @@
 	return w.write(next.body)
 }
 
-// appendHeader appends the header of a frame whose body is written after it.
+// appendHeader appends the header of a frame whose body is written separately.
 func appendHeader(buffer []byte, kind feedtransport.Kind, length int) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(length))
 	return append(buffer, byte(kind))
@@ -54,8 +55,8 @@
 	return err
 }
 
-// renewDeadline gives the next chunk at least half of writeTimeout. A deadline that leaves as much is not set anew, since
-// that costs more than a small write.
+// renewDeadline ensures that the next chunk has at least half of writeTimeout. It leaves a deadline that is far enough ahead
+// as it is, because setting a deadline costs more than a small write.
 func (w *frameWriter) renewDeadline() error {
 	now := time.Now()
 	if w.deadline.Sub(now) >= writeTimeout/2 {
@@ -65,7 +66,7 @@
 	return w.connection.SetWriteDeadline(w.deadline)
 }
 
-// write writes data in chunks of writeChunkBytes.
+// write writes data in chunks of up to writeChunkBytes, each with a renewed write deadline.
 func (w *frameWriter) write(data []byte) error {
 	for len(data) > 0 {
 		chunk := data[:min(len(data), writeChunkBytes)]
--- a/internal/controlplane/peertransport/inbound.go
+++ b/internal/controlplane/peertransport/inbound.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// maxCallTimeout limits the time of a call, also without a deadline.
+	// maxCallTimeout limits the duration of a call, also of one whose context has no deadline.
 	maxCallTimeout = 10 * time.Second
-	// maxConcurrentCalls limits the calls of one connection that are executed at a time.
+	// maxConcurrentCalls limits how many calls of one connection are executed concurrently.
 	maxConcurrentCalls = 256
 )
 
-// Reasons for which a call is rejected before its execution.
+// Errors with which a call is rejected before it is executed.
 var (
 	errTooManyCalls = errors.New("peertransport: too many concurrent calls of this peer")
 	errCallExpired  = errors.New("peertransport: the deadline of the call has passed")
 )
 
-// inbound is a connection that a peer has opened. One goroutine reads it; each call runs in another and writes its reply.
-type inbound struct {
+// inboundConnection is a connection that a peer has opened. One goroutine reads it; each call is executed in a goroutine of its
+// own, which also writes the reply.
+type inboundConnection struct {
 	transport  *Transport
 	connection net.Conn
 	peer       Hello
-	running    chan struct{} // one token for each call that is executed
+	callSlots  chan struct{} // semaphore: one element for each call that is being executed
 
 	mutex  sync.Mutex // guards writer
 	writer frameWriter
 }
 
-// Serve accepts connections until the listener or the transport is closed, and closes the listener. It returns nil after
-// Close.
+// Serve accepts connections until the listener or the transport is closed. It returns net.ErrClosed, which may be wrapped, in
+// the first case. In the second case it closes the listener and returns nil.
 func (t *Transport) Serve(listener net.Listener) error {
 	stop := context.AfterFunc(t.ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -52,24 +53,24 @@
 			return err
 		}
 		if err != nil {
-			t.sleep(minBackoff) // for lack of file descriptors, for instance
+			t.sleep(minBackoff) // a temporary failure, for example no free file descriptors
 			continue
 		}
-		t.running.Add(1)
+		t.goroutines.Add(1)
 		go func() {
-			defer t.running.Done()
-			t.identify(connection)
+			defer t.goroutines.Done()
+			t.serveConnection(connection)
 		}()
 	}
 }
 
-// identify reads the first frame of a connection and serves the protocol of its kind.
-func (t *Transport) identify(connection net.Conn) {
+// serveConnection reads the first frame of an accepted connection and serves the protocol that its kind belongs to.
+func (t *Transport) serveConnection(connection net.Conn) {
 	stop := context.AfterFunc(t.ctx, func() { _ = connection.Close() })
 	defer stop()
 	kind, body, err := feedtransport.ReadFirstFrame(connection, firstFrameTimeout)
 	if err != nil {
-		t.options.Logger.Debug("connection not identified", zap.Error(err))
+		t.options.Logger.Debug("accepted connection closed: first frame not read", zap.Error(err))
 		_ = connection.Close()
 		return
 	}
@@ -88,11 +89,11 @@
 	t.serveInbound(connection, peer)
 }
 
-// serveInbound serves the connection of a peer until it ends.
+// serveInbound serves a connection that a peer has opened until the connection ends.
 func (t *Transport) serveInbound(connection net.Conn, peer Hello) {
-	in := &inbound{
+	in := &inboundConnection{
 		transport: t, connection: connection, peer: peer,
-		running: make(chan struct{}, maxConcurrentCalls), writer: frameWriter{connection: connection},
+		callSlots: make(chan struct{}, maxConcurrentCalls), writer: frameWriter{connection: connection},
 	}
 	t.register(in)
 	defer t.unregister(in)
@@ -100,54 +101,55 @@
 	in.readFrames()
 }
 
-// register records a connection of a peer. The peer's other connections stay open, since the one that is accepted last need
-// not be the newest: it may have waited while this process stalled. A connection that its peer has closed ends by itself.
-func (t *Transport) register(in *inbound) {
+// register records a connection that a peer has opened. It leaves the peer's other connections open, because the connection
+// that is accepted last is not always the newest: it may have waited in the listener's queue while this process was stalled.
+// Connections that the peer has closed end by themselves.
+func (t *Transport) register(in *inboundConnection) {
 	now := t.options.Now()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.accepted[in.peer.Address]++
-	t.members[in.peer.Member] = in.peer
+	t.inboundCounts[in.peer.Address]++
+	t.peersByMember[in.peer.Member] = in.peer
 	t.lastReceived[in.peer.Address] = now
 }
 
-// unregister removes a connection that has ended.
-func (t *Transport) unregister(in *inbound) {
+// unregister removes the record of a connection that has ended.
+func (t *Transport) unregister(in *inboundConnection) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.accepted[in.peer.Address]--
-	if t.accepted[in.peer.Address] == 0 {
-		delete(t.accepted, in.peer.Address)
+	t.inboundCounts[in.peer.Address]--
+	if t.inboundCounts[in.peer.Address] == 0 {
+		delete(t.inboundCounts, in.peer.Address)
 	}
 }
 
-// readFrames handles frames until the connection ends.
-func (in *inbound) readFrames() {
+// readFrames reads and handles frames until the connection ends or a frame is invalid.
+func (in *inboundConnection) readFrames() {
 	ctx, cancel := context.WithCancel(in.transport.ctx)
 	defer cancel()
 	reader := bufio.NewReaderSize(in.connection, readBufferBytes)
 	for {
 		kind, body, err := feedtransport.ReadFrame(reader)
 		if err != nil {
-			in.transport.options.Logger.Debug("peer's connection ended", zap.String("peer", in.peer.Address), zap.Error(err))
+			in.transport.options.Logger.Debug("connection opened by peer ended", zap.String("peer", in.peer.Address), zap.Error(err))
 			return
 		}
-		in.transport.noteReceived(in.peer.Address)
+		in.transport.recordReceived(in.peer.Address)
 		if !in.handleFrame(ctx, kind, body) {
 			return
 		}
 	}
 }
 
-// handleFrame handles one frame. It returns false if the frame is invalid, which ends the connection.
-func (in *inbound) handleFrame(ctx context.Context, kind feedtransport.Kind, body []byte) bool {
+// handleFrame handles one frame. It returns false if the frame is invalid; the connection must then be closed.
+func (in *inboundConnection) handleFrame(ctx context.Context, kind feedtransport.Kind, body []byte) bool {
 	switch kind {
 	case kindBatch:
 		batch, err := decodeBatch(body)
 		if err != nil {
 			return false
 		}
-		in.transport.options.Handler.Messages(in.peer, withKnownShards(batch))
+		in.transport.options.Handler.Messages(in.peer, dropUnknownShards(batch))
 		return true
 	case kindCall:
 		var call wireCall
@@ -160,8 +162,8 @@
 	return false
 }
 
-// withKnownShards filters out, in place, messages of shards that this program does not know.
-func withKnownShards(batch []GroupMessage) []GroupMessage {
+// dropUnknownShards removes, in place, the messages of shards that this program does not know.
+func dropUnknownShards(batch []GroupMessage) []GroupMessage {
 	remaining := batch[:0]
 	for _, message := range batch {
 		if message.Shard < shards.ShardCount {
@@ -171,23 +173,23 @@
 	return remaining
 }
 
-// startCall executes a call in a goroutine of its own. It rejects calls whose deadline has passed, and those above
-// maxConcurrentCalls.
-func (in *inbound) startCall(ctx context.Context, call wireCall) {
+// startCall executes a call in a goroutine of its own. It rejects a call that leaves no time for a reply, and any call while
+// maxConcurrentCalls are being executed.
+func (in *inboundConnection) startCall(ctx context.Context, call wireCall) {
 	if call.BudgetMs <= 0 {
 		in.reply(call.ID, nil, errCallExpired)
 		return
 	}
 	select {
-	case in.running <- struct{}{}:
+	case in.callSlots <- struct{}{}:
 	default:
 		in.reply(call.ID, nil, errTooManyCalls)
 		return
 	}
-	in.transport.running.Add(1)
+	in.transport.goroutines.Add(1)
 	go func() {
-		defer in.transport.running.Done()
-		defer func() { <-in.running }()
+		defer in.transport.goroutines.Done()
+		defer func() { <-in.callSlots }()
 		timeout := time.Duration(call.BudgetMs) * time.Millisecond
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
@@ -196,9 +198,9 @@
 	}()
 }
 
-// reply writes the reply to a call. A reply that is too long for a frame becomes an error, so that the caller need not wait
-// for its deadline.
-func (in *inbound) reply(id int64, body []byte, failure error) {
+// reply writes the reply to a call. If the reply is too long for a frame, an error is sent instead, so that the caller does not
+// wait until its deadline. The connection is closed if the write fails.
+func (in *inboundConnection) reply(id int64, body []byte, failure error) {
 	encoded, err := encodeReply(id, body, failure)
 	if err != nil {
 		encoded, err = encodeReply(id, nil, err)
--- a/internal/controlplane/peertransport/messages.go
+++ b/internal/controlplane/peertransport/messages.go
@@ -5,13 +5,13 @@
 	"ospreybend/coord/shards"
 )
 
-// GroupMessage is a consensus message with the shard whose group it belongs to.
+// GroupMessage is a consensus message of the group that replicates a shard.
 type GroupMessage struct {
 	Shard   shards.ID
 	Message consensus.Message
 }
 
-// The wire types mirror the schemas, by field names.
+// Wire forms of consensus messages. Their fields have the names of the fields in the Avro schemas.
 type (
 	wireMember struct {
 		ID      int64
@@ -41,37 +41,37 @@
 		Reject            bool
 		HintIndex         int64
 		HintTerm          int64
-		Context           int64
-		Forced            bool
+		Context           int64 // consensus.Message.HeartbeatRound
+		Forced            bool  // consensus.Message.LeadershipTransfer
 		Entries           []wireEntry
 		Snapshot          *wireSnapshot
 	}
 )
 
-// Estimated sizes on the wire of what is not payload.
+// Estimated encoded sizes of a message, an entry and a member, without the Data of entries and snapshots.
 const (
-	fixedMessageBytes = 64
-	fixedEntryBytes   = 24
-	fixedMemberBytes  = 40
+	messageOverheadBytes = 64
+	entryOverheadBytes   = 24
+	memberOverheadBytes  = 40
 )
 
-// sizeOf estimates the size of a message on the wire, in bytes.
-func sizeOf(message consensus.Message) int {
-	size := fixedMessageBytes
+// estimatedSize estimates the encoded size of a message, in bytes.
+func estimatedSize(message consensus.Message) int {
+	size := messageOverheadBytes
 	for _, entry := range message.Entries {
-		size += fixedEntryBytes + len(entry.Data) + fixedMemberBytes*len(entry.Members)
+		size += entryOverheadBytes + len(entry.Data) + memberOverheadBytes*len(entry.Members)
 	}
 	if message.Snapshot != nil {
-		size += len(message.Snapshot.Data) + fixedMemberBytes*len(message.Snapshot.Members)
+		size += len(message.Snapshot.Data) + memberOverheadBytes*len(message.Snapshot.Members)
 	}
 	return size
 }
 
-// toWire converts a message to its wire form.
-func toWire(group GroupMessage) wireMessage {
-	message := group.Message
+// messageToWire converts a message to its wire form.
+func messageToWire(groupMessage GroupMessage) wireMessage {
+	message := groupMessage.Message
 	wire := wireMessage{
-		Shard: int64(group.Shard), Kind: int(message.Kind),
+		Shard: int64(groupMessage.Shard), Kind: int(message.Kind),
 		From: int64(message.From), To: int64(message.To), Term: int64(message.Term),
 		LogIndex: int64(message.LogIndex), LogTerm: int64(message.LogTerm), Commit: int64(message.Commit),
 		Reject: message.Reject, HintIndex: int64(message.HintIndex), HintTerm: int64(message.HintTerm),
@@ -93,8 +93,8 @@
 	return wire
 }
 
-// fromWire converts a message from its wire form.
-func fromWire(wire wireMessage) GroupMessage {
+// messageFromWire converts a message from its wire form.
+func messageFromWire(wire wireMessage) GroupMessage {
 	message := consensus.Message{
 		Kind: consensus.MessageKind(wire.Kind),
 		From: consensus.MemberID(wire.From), To: consensus.MemberID(wire.To), Term: uint64(wire.Term),
@@ -117,7 +117,8 @@
 	return GroupMessage{Shard: shards.ID(wire.Shard), Message: message}
 }
 
-// membersToWire converts members. A retired ID is encoded as a learner without an address, as in stored data.
+// membersToWire converts members to their wire form. A retired member is encoded as a non-voter without an address, as in stored
+// data.
 func membersToWire(members []consensus.Member) []wireMember {
 	wire := make([]wireMember, len(members))
 	for i, member := range members {
@@ -130,7 +131,7 @@
 	return wire
 }
 
-// membersFromWire converts members back; see membersToWire.
+// membersFromWire converts members from their wire form; see membersToWire.
 func membersFromWire(wire []wireMember) []consensus.Member {
 	if len(wire) == 0 {
 		return nil
--- a/internal/controlplane/peertransport/outbound.go
+++ b/internal/controlplane/peertransport/outbound.go
@@ -13,20 +13,21 @@
 	"ospreybend/coord/shards"
 )
 
-// Backoff between attempts to connect, doubled with each failure; each delay is drawn between half of the value and the value.
+// Backoff between attempts to connect. It is doubled after each failure, and each delay is drawn at random between half of the
+// backoff and the whole backoff.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// maxBatchBytes is the approximate maximal length of a batch of several messages.
+// maxBatchBytes is the approximate maximum length of a batch of several messages.
 const maxBatchBytes = 1 << 20
 
-// pendingCall is a call that awaits its reply.
+// pendingCall is a call that is queued or waits for its reply.
 type pendingCall struct {
-	frame frame // empty once it is sent
-	sent  bool
-	done  chan callResult // of capacity 1, so that the one result never blocks
+	frame  frame           // zero once the call is sent
+	sent   bool            // taken from the queue to be written
+	result chan callResult // has capacity 1 and gets one result, so that sending to it never blocks
 }
 
 // callResult is the reply to a call, or why there is none.
@@ -35,60 +36,61 @@
 	err  error
 }
 
-// outbound is the sending side to one peer: its queues, and the connection that this server dials. The goroutine of runLoop
-// dials, and writes.
-type outbound struct {
+// outboundPeer sends messages and calls to one peer. It has the queues and the connection that this server dials. The goroutine
+// that executes runLoop dials the connection and writes to it.
+type outboundPeer struct {
 	transport *Transport
 	address   string
-	wake      chan struct{} // of capacity 1; a token: something is queued, or the connection broke
+	wake      chan struct{} // has capacity 1; an element wakes the goroutine of runLoop
 
-	mutex       sync.Mutex // guards the fields below
-	messages    messageQueue
-	queuedCalls []uint64 // IDs of calls that are not sent yet, oldest first
-	calls       map[uint64]*pendingCall
-	lastCallID  uint64
-	connection  net.Conn // nil: none
-	unreachable bool     // the last attempt to connect failed
+	mutex          sync.Mutex // guards the fields below
+	queuedMessages messageQueue
+	queuedCalls    []uint64 // IDs of calls that are not sent yet, oldest first; abandoned calls included
+	pendingCalls   map[uint64]*pendingCall
+	lastCallID     uint64
+	connection     net.Conn // nil: not connected
+	unreachable    bool     // calls fail at once: the last attempt to connect failed, or the transport closes
 }
 
-// newOutbound returns the sending side to a peer. The caller starts its runLoop.
-func newOutbound(transport *Transport, address string) *outbound {
-	return &outbound{transport: transport, address: address, wake: make(chan struct{}, 1), calls: make(map[uint64]*pendingCall)}
+// newOutboundPeer returns the sender for a peer. The caller starts its runLoop.
+func newOutboundPeer(transport *Transport, address string) *outboundPeer {
+	return &outboundPeer{transport: transport, address: address, wake: make(chan struct{}, 1), pendingCalls: make(map[uint64]*pendingCall)}
 }
 
-// notify wakes the goroutine of runLoop.
-func (o *outbound) notify() {
+// notify wakes the goroutine of runLoop, or makes its next wait return at once.
+func (o *outboundPeer) notify() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// send queues a message. It may be dropped; see messageQueue.
-func (o *outbound) send(shard shards.ID, message consensus.Message) {
+// send queues a message. The queue may drop it; see messageQueue.
+func (o *outboundPeer) send(shard shards.ID, message consensus.Message) {
 	o.mutex.Lock()
-	o.messages.push(shard, message)
+	o.queuedMessages.push(shard, message)
 	o.mutex.Unlock()
 	o.notify()
 }
 
-// call queues a call and awaits its result, at most until ctx ends.
-func (o *outbound) call(ctx context.Context, kind CallKind, body []byte) ([]byte, error) {
+// call queues a call and waits for its result, at most until ctx ends.
+func (o *outboundPeer) call(ctx context.Context, kind CallKind, body []byte) ([]byte, error) {
 	id, pending, err := o.enqueue(ctx, kind, body)
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case result := <-pending.done:
+	case result := <-pending.result:
 		return result.body, result.err
 	case <-ctx.Done():
 		return nil, o.abandon(id, ctx.Err())
 	}
 }
 
-// enqueue queues a call with the time that ctx leaves, and returns its ID. It fails with ErrNotSent while the peer is
-// unreachable, so that the caller can call another server at once.
-func (o *outbound) enqueue(ctx context.Context, kind CallKind, body []byte) (uint64, *pendingCall, error) {
+// enqueue queues a call and returns its ID. The call's timeout is the time until the deadline of ctx, at most maxCallTimeout.
+// enqueue fails with ErrNotSent while the peer is unreachable, so that the caller can call another server at once, and if
+// maxQueuedCalls are queued.
+func (o *outboundPeer) enqueue(ctx context.Context, kind CallKind, body []byte) (uint64, *pendingCall, error) {
 	timeout := maxCallTimeout
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(deadline))
@@ -103,46 +105,47 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	pending := &pendingCall{frame: encoded, done: make(chan callResult, 1)}
-	o.calls[o.lastCallID] = pending
+	pending := &pendingCall{frame: encoded, result: make(chan callResult, 1)}
+	o.pendingCalls[o.lastCallID] = pending
 	o.queuedCalls = append(o.queuedCalls, o.lastCallID)
 	o.notify()
 	return o.lastCallID, pending, nil
 }
 
-// abandon drops a call whose context has ended and returns the error for its caller.
-func (o *outbound) abandon(id uint64, cause error) error {
+// abandon removes a call whose context has ended and returns the error for the caller. The error wraps cause, and ErrNotSent if
+// the call was still queued, ErrOutcomeUnknown otherwise.
+func (o *outboundPeer) abandon(id uint64, cause error) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	pending := o.calls[id]
-	delete(o.calls, id)
+	pending := o.pendingCalls[id]
+	delete(o.pendingCalls, id)
 	if pending != nil && !pending.sent {
 		return fmt.Errorf("%w: %w", ErrNotSent, cause)
 	}
 	return fmt.Errorf("%w: %w", ErrOutcomeUnknown, cause)
 }
 
-// complete passes a result to the caller of a call that was sent, if it still waits.
-func (o *outbound) complete(id uint64, result callResult) {
+// complete passes a result to the caller of a call that was sent, if the caller still waits.
+func (o *outboundPeer) complete(id uint64, result callResult) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	pending := o.calls[id]
+	pending := o.pendingCalls[id]
 	if pending == nil || !pending.sent {
-		return // completed before, abandoned, or a false ID: the peer cannot know a call that was not sent
+		return // already completed, abandoned, or an ID that the peer cannot have received
 	}
-	delete(o.calls, id)
-	pending.done <- result
+	delete(o.pendingCalls, id)
+	pending.result <- result
 }
 
-// runLoop connects whenever something is queued, until the transport closes.
-func (o *outbound) runLoop() {
-	defer o.transport.running.Done()
+// runLoop connects to the peer whenever something is queued, until the transport closes.
+func (o *outboundPeer) runLoop() {
+	defer o.transport.goroutines.Done()
 	defer o.failAll(true)
 	backoff := minBackoff
 	for o.awaitWork() {
 		connection, err := o.connect()
 		if err != nil {
-			o.transport.options.Logger.Debug("peer not reached", zap.String("peer", o.address), zap.Error(err))
+			o.transport.options.Logger.Debug("dialing the peer failed", zap.String("peer", o.address), zap.Error(err))
 			o.markUnreachable()
 			if !o.transport.sleep(o.transport.jitter(backoff)) {
 				return
@@ -152,18 +155,18 @@
 			continue
 		}
 		backoff = minBackoff
-		o.serve(connection)
+		o.runConnection(connection)
 	}
 }
 
-// awaitWork waits until something is queued. It returns false once the transport closes.
-func (o *outbound) awaitWork() bool {
+// awaitWork waits until a message or a call is queued. It returns false once the transport closes.
+func (o *outboundPeer) awaitWork() bool {
 	for {
 		if o.transport.ctx.Err() != nil {
 			return false
 		}
 		o.mutex.Lock()
-		ready := len(o.messages.messages) > 0 || len(o.queuedCalls) > 0
+		ready := len(o.queuedMessages.messages) > 0 || len(o.queuedCalls) > 0
 		o.mutex.Unlock()
 		if ready {
 			return true
@@ -176,67 +179,67 @@
 }
 
 // connect dials the peer once.
-func (o *outbound) connect() (net.Conn, error) {
+func (o *outboundPeer) connect() (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(o.transport.ctx, dialTimeout)
 	defer cancel()
 	return o.transport.options.Dial(ctx, o.address)
 }
 
-// markUnreachable drops what is queued: messages would be outdated by the time that the peer is reached, and callers can
-// call another server.
-func (o *outbound) markUnreachable() {
+// markUnreachable drops the queued messages, which would be outdated by the time the peer can be reached, and fails the queued
+// calls, so that their callers can call another server.
+func (o *outboundPeer) markUnreachable() {
 	o.mutex.Lock()
 	o.unreachable = true
-	o.messages.clear()
+	o.queuedMessages.clear()
 	o.mutex.Unlock()
 	o.failAll(false)
 }
 
-// allowReconnect makes the next message or call start an attempt to connect.
-func (o *outbound) allowReconnect() {
+// allowReconnect lets calls be queued again. The next message or call starts an attempt to connect.
+func (o *outboundPeer) allowReconnect() {
 	o.mutex.Lock()
 	o.unreachable = false
 	o.mutex.Unlock()
 }
 
-// failAll completes all pending calls with an error, and with closing makes later calls fail, too.
-func (o *outbound) failAll(closing bool) {
+// failAll completes all pending calls with an error. If closing is set, later calls fail as well.
+func (o *outboundPeer) failAll(closing bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.unreachable = o.unreachable || closing
 	o.queuedCalls = nil
-	for id, pending := range o.calls {
-		delete(o.calls, id)
-		pending.done <- callResult{err: outcomeOf(pending)}
+	for id, pending := range o.pendingCalls {
+		delete(o.pendingCalls, id)
+		pending.result <- callResult{err: errorWithoutReply(pending)}
 	}
 }
 
-// failSent completes the calls that were sent on a connection that broke with ErrOutcomeUnknown.
-func (o *outbound) failSent() {
+// failSent completes all calls that were sent with ErrOutcomeUnknown, after their connection has ended. Queued calls remain.
+func (o *outboundPeer) failSent() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	for id, pending := range o.calls {
+	for id, pending := range o.pendingCalls {
 		if pending.sent {
-			delete(o.calls, id)
-			pending.done <- callResult{err: ErrOutcomeUnknown}
+			delete(o.pendingCalls, id)
+			pending.result <- callResult{err: ErrOutcomeUnknown}
 		}
 	}
 }
 
-// outcomeOf returns the error of a call that gets no reply.
-func outcomeOf(pending *pendingCall) error {
+// errorWithoutReply returns the error of a call that gets no reply.
+func errorWithoutReply(pending *pendingCall) error {
 	if pending.sent {
 		return ErrOutcomeUnknown
 	}
 	return ErrNotSent
 }
 
-// status returns what the sending side knows of the peer.
-func (o *outbound) status() PeerStatus {
+// status returns the status of the connection and of the queues. The Transport sets the other fields.
+func (o *outboundPeer) status() PeerStatus {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return PeerStatus{
 		Address: o.address, Connected: o.connection != nil,
-		Queued: len(o.messages.messages), Dropped: o.messages.dropped,
+		Queued: len(o.queuedMessages.messages), Dropped: o.queuedMessages.dropped,
 	}
 }
--- a/internal/controlplane/peertransport/outbound_connection.go
+++ b/internal/controlplane/peertransport/outbound_connection.go
@@ -14,9 +14,9 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 16 << 10
 
-// serve writes what is queued and reads replies on an open connection until it breaks. The replies are read by a goroutine of
-// its own, which has ended when serve returns.
-func (o *outbound) serve(connection net.Conn) {
+// runConnection writes queued messages and calls to an open connection, and reads replies from it, until the connection ends or
+// the transport closes. A separate goroutine reads the replies; it has ended when runConnection returns.
+func (o *outboundPeer) runConnection(connection net.Conn) {
 	ctx, cancel := context.WithCancel(o.transport.ctx)
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
@@ -28,8 +28,8 @@
 		defer cancel()
 		o.readReplies(connection)
 	}()
-	if err := o.write(ctx, connection); err != nil {
-		o.transport.options.Logger.Debug("peer connection broke", zap.String("peer", o.address), zap.Error(err))
+	if err := o.writeLoop(ctx, connection); err != nil {
+		o.transport.options.Logger.Debug("connection to peer ended", zap.String("peer", o.address), zap.Error(err))
 	}
 	cancel()
 	_ = connection.Close()
@@ -38,20 +38,20 @@
 	o.failSent()
 }
 
-// setConnection records the open connection; nil: none.
-func (o *outbound) setConnection(connection net.Conn) {
+// setConnection records the open connection, or that there is none if connection is nil.
+func (o *outboundPeer) setConnection(connection net.Conn) {
 	o.mutex.Lock()
 	o.connection = connection
 	o.mutex.Unlock()
 }
 
-// write sends the hello and then all that is queued, until ctx ends or a write fails.
-func (o *outbound) write(ctx context.Context, connection net.Conn) error {
+// writeLoop writes the hello and then queued messages and calls, until ctx ends or a write fails.
+func (o *outboundPeer) writeLoop(ctx context.Context, connection net.Conn) error {
 	writer := &frameWriter{connection: connection}
 	if err := writer.append(o.transport.hello); err != nil {
 		return err
 	}
-	if err := writer.flush(); err != nil { // the peer waits for the hello, and what follows may take long to encode
+	if err := writer.flush(); err != nil { // the peer limits its wait for the hello, and encoding the next frames may take long
 		return err
 	}
 	for {
@@ -66,15 +66,15 @@
 	}
 }
 
-// writeQueued writes until nothing is queued.
-func (o *outbound) writeQueued(writer *frameWriter) error {
+// writeQueued writes messages and calls until the queues are empty, and flushes the writer.
+func (o *outboundPeer) writeQueued(writer *frameWriter) error {
 	for {
-		runtime.Gosched() // groups that are about to send run first, so that their messages join the batch
+		runtime.Gosched() // lets goroutines that are about to send run first, so that their messages join the batch
 		batch, calls := o.takeQueued()
 		if len(batch) == 0 && len(calls) == 0 {
 			return writer.flush()
 		}
-		if err := addBatch(writer, batch); err != nil {
+		if err := appendBatch(writer, batch); err != nil {
 			return err
 		}
 		for _, call := range calls {
@@ -85,8 +85,9 @@
 	}
 }
 
-// addBatch appends a batch of messages. One that is too long for a frame is dropped, as any message may be lost.
-func addBatch(writer *frameWriter, batch []GroupMessage) error {
+// appendBatch appends a batch of messages. A batch that cannot be encoded, for example because it is too long for a frame, is
+// dropped: messages may be lost.
+func appendBatch(writer *frameWriter, batch []GroupMessage) error {
 	if len(batch) == 0 {
 		return nil
 	}
@@ -97,24 +98,24 @@
 	return writer.append(encoded)
 }
 
-// takeQueued removes a batch of messages and all calls from the queues, and marks the calls as sent.
-func (o *outbound) takeQueued() ([]GroupMessage, []frame) {
+// takeQueued removes a batch of messages and all calls from the queues, and marks the calls as sent. It omits abandoned calls.
+func (o *outboundPeer) takeQueued() ([]GroupMessage, []frame) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	var calls []frame
 	for _, id := range o.queuedCalls {
-		if pending := o.calls[id]; pending != nil {
+		if pending := o.pendingCalls[id]; pending != nil {
 			pending.sent = true
 			calls = append(calls, pending.frame)
 			pending.frame = frame{}
 		}
 	}
 	o.queuedCalls = nil
-	return o.messages.take(maxBatchBytes), calls
+	return o.queuedMessages.takeBatch(maxBatchBytes), calls
 }
 
-// readReplies passes replies to their callers until the connection ends.
-func (o *outbound) readReplies(connection net.Conn) {
+// readReplies passes replies to the callers until the connection ends or a frame is not a valid reply.
+func (o *outboundPeer) readReplies(connection net.Conn) {
 	reader := bufio.NewReaderSize(connection, readBufferBytes)
 	for {
 		kind, body, err := feedtransport.ReadFrame(reader)
@@ -125,13 +126,13 @@
 		if err := decode(kindReply, replySchema, body, &reply); err != nil {
 			return
 		}
-		o.transport.noteReceived(o.address)
-		o.complete(uint64(reply.ID), resultOf(reply))
+		o.transport.recordReceived(o.address)
+		o.complete(uint64(reply.ID), resultOfReply(reply))
 	}
 }
 
-// resultOf returns the result that a reply has for the caller.
-func resultOf(reply wireReply) callResult {
+// resultOfReply returns the result of a call from its reply.
+func resultOfReply(reply wireReply) callResult {
 	if reply.Failed {
 		return callResult{err: RemoteError{Text: reply.Text}}
 	}
--- a/internal/controlplane/peertransport/schemas.go
+++ b/internal/controlplane/peertransport/schemas.go
@@ -2,7 +2,7 @@
 
 import "github.com/hamba/avro/v2"
 
-// Avro schemas of the frames' bodies. Unsigned 64-bit numbers are encoded as the long with the same bits.
+// Avro schemas of the frames' bodies. An unsigned 64-bit number is encoded as the signed long with the same bits.
 const (
 	memberSchema = `{"type":"record","name":"Member","fields":[
 		{"name":"ID","type":"long"},{"name":"Address","type":"string"},{"name":"Voter","type":"boolean"}]}`
