--- a/internal/controlplane/server/session_liveness_test.go
+++ b/internal/controlplane/server/session_liveness_test.go
@@ -10,8 +10,8 @@
 
 // The instance, and its service, of tests that need just one.
 const (
-	testInstanceID      = "i-1"
-	testService = "s"
+	testInstanceID = "i-1"
+	testService    = "s"
 )
 
 // newServerWithInstance returns a server that is a follower in the shard of an instance and has its record, the shard's group, and a
