--- a/internal/dataplane/upstream/outcome_test.go
+++ b/internal/dataplane/upstream/outcome_test.go
@@ -17,33 +17,33 @@
 
 const workerAddress = "w:80"
 
-// outcomeCase is one cell of the table: how much of a request is written, on which connection, and how the worker responds.
+// outcomeCase is a combination of how much of a request is written, on which connection, and how the worker responds.
 type outcomeCase struct {
 	responseCase upstreamtest.ResponseCase
 	mode         upstreamtest.WriteMode
-	reused       bool // on an idle connection
-	long         bool // the body is written while the response is awaited
+	reused       bool // the request is sent on an idle connection
+	long         bool // the body is large enough to be written while the response is read
 }
 
 func (o *outcomeCase) name() string {
 	return fmt.Sprintf("%s, %s, reused %v, long %v", o.mode, o.responseCase.Name, o.reused, o.long)
 }
 
-// allOutcomeCases returns the cells of the table. The write of a short request never blocks.
+// allOutcomeCases returns all combinations except blocked writes of short requests, which never block.
 func allOutcomeCases() []outcomeCase {
-	var all []outcomeCase
+	var cases []outcomeCase
 	for _, responseCase := range upstreamtest.ResponseCases() {
 		for mode := upstreamtest.WriteAll; mode <= upstreamtest.WriteBlocked; mode++ {
 			for _, reused := range []bool{false, true} {
 				for _, long := range []bool{false, true} {
 					if mode != upstreamtest.WriteBlocked || long {
-						all = append(all, outcomeCase{responseCase, mode, reused, long})
+						cases = append(cases, outcomeCase{responseCase, mode, reused, long})
 					}
 				}
 			}
 		}
 	}
-	return all
+	return cases
 }
 
 func newNumberedRequest(id string, size int) *upstream.Request {
@@ -51,23 +51,24 @@
 		Header: http1.Header{{Name: "Host", Value: "h"}, {Name: "X-Request-Id", Value: id}}}
 }
 
-// exchanges is the script of the worker's connections: those after the first are healthy.
+// exchanges returns the exchanges of the worker's connections. Only the first connection has the tested exchange; later connections
+// are healthy.
 func (o *outcomeCase) exchanges(number int) []upstreamtest.Exchange {
-	well := upstreamtest.HealthyExchange(false)
+	healthy := upstreamtest.HealthyExchange(false)
 	if number > 0 {
-		return []upstreamtest.Exchange{well, well, well}
+		return []upstreamtest.Exchange{healthy, healthy, healthy}
 	}
-	exchanges := []upstreamtest.Exchange{o.responseCase.Exchange(o.mode), well, well}
+	exchanges := []upstreamtest.Exchange{o.responseCase.Exchange(o.mode), healthy, healthy}
 	if o.reused {
-		exchanges = append([]upstreamtest.Exchange{well}, exchanges...)
+		exchanges = append([]upstreamtest.Exchange{healthy}, exchanges...)
 	}
 	return exchanges
 }
 
-// wantResult is the expected result of the round trip.
+// wantResult returns the expected result of the round trip.
 func (o *outcomeCase) wantResult() upstream.Result {
 	if o.mode == upstreamtest.WriteNothing || o.mode == upstreamtest.WritePartOfHead {
-		if o.reused { // it is sent again on a new connection, to a healthy worker
+		if o.reused { // the request is sent again on a new, healthy connection
 			return upstream.Answered
 		}
 		return upstream.NotSent
@@ -84,21 +85,21 @@
 	}
 }
 
-// wantReusable reports whether the first connection carries the next request. An unusable stream is read to its end
-// here, though no dispatcher would.
+// wantReusable reports whether the first connection is expected to carry the next request. This test reads an unusable stream to its
+// end, unlike the dispatcher, so that its connection can be reused.
 func (o *outcomeCase) wantReusable() bool {
 	unusable := o.responseCase.Stream && o.responseCase.OutcomeOf(o.mode) == upstreamtest.Unusable
 	return (o.responseCase.Reusable || unusable) && o.mode == upstreamtest.WriteAll
 }
 
-// TestPool_RoundTrip_outcomes plays every cell: the result, whether the connection carries the next request, and that the next request gets
-// its own response.
+// TestPool_RoundTrip_outcomes checks for every combination the result, whether the connection carries the next request, and that the
+// next request receives its own response.
 func TestPool_RoundTrip_outcomes(t *testing.T) {
 	for _, o := range allOutcomeCases() {
 		synctest.Test(t, func(t *testing.T) {
 			runOutcomeCase(t, &o)
 			if t.Failed() {
-				t.Log(o.name())
+				t.Logf("failed case: %s", o.name())
 			}
 		})
 	}
@@ -118,21 +119,21 @@
 	}
 	result, body := roundTrip(pool, "tested", size)
 	if result != outcome.wantResult() {
-		t.Errorf("%v, not %v", result, outcome.wantResult())
+		t.Errorf("result = %v, want %v", result, outcome.wantResult())
 	}
-	if want := outcome.body(); result == upstream.Answered && body != want {
-		t.Errorf("body %q, not %q", body, want)
+	if want := outcome.wantBody(); result == upstream.Answered && body != want {
+		t.Errorf("body = %q, want %q", body, want)
 	}
-	before := len(workers.Conns(workerAddress))
+	connsBefore := len(workers.Conns(workerAddress))
 	requireOwnResponse(t, pool, "next", size)
-	if reused := len(workers.Conns(workerAddress)) == before && before == 1; reused != outcome.wantReusable() {
-		t.Errorf("reused %v, not %v", reused, outcome.wantReusable())
+	if reused := len(workers.Conns(workerAddress)) == connsBefore && connsBefore == 1; reused != outcome.wantReusable() {
+		t.Errorf("connection reused for the next request: %v, want %v", reused, outcome.wantReusable())
 	}
-	outcome.check(t, workers.Conns(workerAddress))
+	outcome.checkReceivedRequests(t, workers.Conns(workerAddress))
 }
 
-// body is the body of a complete response.
-func (o *outcomeCase) body() string {
+// wantBody returns the expected body of a complete response.
+func (o *outcomeCase) wantBody() string {
 	switch {
 	case o.mode == upstreamtest.WriteNothing || o.mode == upstreamtest.WritePartOfHead:
 		return upstreamtest.Body
@@ -151,16 +152,17 @@
 	}
 }
 
-// check checks what the worker received: the tested request once, and no body with another request's bytes.
-func (o *outcomeCase) check(t *testing.T, conns []*upstreamtest.Conn) {
-	arrived := 0
+// checkReceivedRequests checks that the worker received the tested request once, or not at all if it is never sent, and no body with
+// the bytes of another request.
+func (o *outcomeCase) checkReceivedRequests(t *testing.T, conns []*upstreamtest.Conn) {
+	received := 0
 	for _, conn := range conns {
 		for _, request := range conn.Requests() {
 			if request.ID == "tested" {
-				arrived++
+				received++
 			}
 			if len(bytes.Trim(request.Body, "b")) > 0 {
-				t.Errorf("request %s has foreign bytes: %q", request.ID, request.Body)
+				t.Errorf("request %s was received with bytes that do not belong to its body: %q", request.ID, request.Body)
 			}
 		}
 	}
@@ -168,12 +170,12 @@
 	if !o.reused && (o.mode == upstreamtest.WriteNothing || o.mode == upstreamtest.WritePartOfHead) {
 		want = 0
 	}
-	if arrived != want {
-		t.Errorf("the request was received %d times, not %d", arrived, want)
+	if received != want {
+		t.Errorf("worker received the tested request %d times, want %d", received, want)
 	}
 }
 
-// roundTrip sends a request, with a minute of the fake clock, and reads its response to the end.
+// roundTrip sends a request with a timeout of one minute of the fake clock, and reads its response to the end.
 func roundTrip(pool *upstream.Pool, id string, size int) (upstream.Result, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -201,6 +203,6 @@
 func requireOwnResponse(t *testing.T, pool *upstream.Pool, id string, size int) {
 	t.Helper()
 	if result, body := roundTrip(pool, id, size); result != upstream.Answered || body != upstreamtest.Body {
-		t.Errorf("request %s: %v, %q", id, result, body)
+		t.Errorf("request %s: result = %v, body = %q, want Answered with body %q", id, result, body, upstreamtest.Body)
 	}
 }
--- a/internal/dataplane/upstream/upstreamtest/conn.go
+++ b/internal/dataplane/upstream/upstreamtest/conn.go
@@ -1,6 +1,6 @@
-// Package upstreamtest provides scripted workers for tests, byte by byte and without sockets: how much of a request a connection
-// accepts, what the worker responds, and how the connection ends. It works within a synctest bubble. The tests of the packages
-// upstream and dispatch use it; ResponseCases are the cases that both must handle alike.
+// Package upstreamtest provides scripted workers for tests. Without sockets, and to the exact byte, a script determines how much of a
+// request a connection accepts, what the worker responds, and how the connection ends. The package works within a synctest bubble.
+// The tests of the packages upstream and dispatch use it; both must pass all ResponseCases.
 package upstreamtest
 
 import (
@@ -14,86 +14,86 @@
 	"time"
 )
 
-// WriteMode is how much of a request a connection accepts.
+// WriteMode determines how much of a request a connection accepts.
 type WriteMode uint8
 
 // Write modes.
 const (
-	WriteAll        WriteMode = iota // all of it
+	WriteAll        WriteMode = iota // the complete request is accepted
 	WriteNothing                     // the first write fails
 	WritePartOfHead                  // the write fails within the head
 	WritePartOfBody                  // the write fails within the body
-	WriteBlocked                     // the response comes while the write waits within the body, until the connection is closed
+	WriteBlocked                     // the write blocks within the body until the connection is closed; the response is sent meanwhile
 )
 
 var writeModeNames = [...]string{"all written", "nothing written", "part of the head written", "part of the body written", "write blocked"}
 
-// String returns the mode in words, for the names of subtests.
+// String returns a description of the mode for the names of test cases.
 func (m WriteMode) String() string { return writeModeNames[m] }
 
-// ConnEnd is how a connection ends after a response.
+// ConnEnd determines how a connection ends after a response.
 type ConnEnd uint8
 
 // Ends of connections.
 const (
-	KeepOpen ConnEnd = iota // it stays open, without further bytes
-	FIN                     // it is closed in order
-	Reset                   // it is reset
+	KeepOpen ConnEnd = iota // the connection stays open without further bytes
+	FIN                     // the connection is closed normally
+	Reset                   // the connection is reset
 )
 
 var connEndNames = [...]string{"kept open", "FIN", "RST"}
 
-// String returns the end in words, for the names of subtests.
+// String returns a description of the end for the names of test cases.
 func (e ConnEnd) String() string { return connEndNames[e] }
 
-// Request is a request that a connection received, completely or in part.
+// Request is a request that a connection received, completely or partly.
 type Request struct {
 	ID        string
-	LastEvent string // Last-Event-Id
-	Target    string // X-Target-Instance
-	Head      string
-	Body      []byte
+	LastEvent string // value of the Last-Event-Id field
+	Target    string // value of the X-Target-Instance field
+	Head      string // without the blank line that ends it; "" if the head is incomplete
+	Body      []byte // as far as received
 	Complete  bool
 }
 
-// Exchange is what a worker does with one request of a connection.
+// Exchange determines how a worker handles a request of a connection.
 type Exchange struct {
 	Write     WriteMode
 	Respond   func(Request) string
 	End       ConnEnd
-	ReadSizes []int // bytes that the next reads return; further reads return all that is there
+	ReadSizes []int // numbers of bytes that the next reads return; further reads return all available bytes
 }
 
 // Conn is a connection to a scripted worker. It implements net.Conn.
 type Conn struct {
 	mu        sync.Mutex
 	exchanges []Exchange
-	input     []byte // of the request that is being received
-	requests  []Request
-	output    []byte
+	input     []byte    // received bytes of the unfinished request
+	requests  []Request // complete requests
+	output    []byte    // bytes sent and not yet read
 	readSizes []int
 	end       ConnEnd
-	broken    bool          // a write has failed
-	changed   chan struct{} // closed at each change of what can be read
+	broken    bool          // whether a write has failed
+	changed   chan struct{} // closed and replaced at each change of output or end
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// NewConn returns a connection that plays one exchange for each request, and accepts no further one.
+// NewConn returns a connection that handles each request with the next exchange and accepts no further requests.
 func NewConn(exchanges ...Exchange) *Conn {
 	return &Conn{exchanges: exchanges, changed: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// Requests returns the requests received, the last perhaps in part.
+// Requests returns the requests received. The last one may be incomplete.
 func (c *Conn) Requests() []Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := append([]Request(nil), c.requests...)
+	requests := append([]Request(nil), c.requests...)
 	if len(c.input) > 0 {
-		rest, _ := parseRequest(c.input)
-		all = append(all, rest)
+		partial, _ := parseRequest(c.input)
+		requests = append(requests, partial)
 	}
-	return all
+	return requests
 }
 
 // Closed reports whether the client has closed the connection.
@@ -106,24 +106,24 @@
 	}
 }
 
-// SendUnsolicited sends bytes that belong to no request, unless the connection has ended.
+// SendUnsolicited sends bytes without a request, unless the connection has ended.
 func (c *Conn) SendUnsolicited(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.end == KeepOpen {
-		c.put(text, KeepOpen)
+		c.appendOutput(text, KeepOpen)
 	}
 }
 
-// put sends bytes and then ends the connection as told. The caller holds the lock.
-func (c *Conn) put(text string, end ConnEnd) {
+// appendOutput sends bytes and sets how the connection ends after them. The caller holds the lock.
+func (c *Conn) appendOutput(text string, end ConnEnd) {
 	c.output = append(c.output, text...)
 	c.end = end
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Write accepts a request as its exchange says.
+// Write accepts the bytes of a request as determined by the WriteMode of its exchange.
 func (c *Conn) Write(data []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,22 +134,23 @@
 	accepted := acceptedBytes(exchange.Write, len(c.input), data)
 	c.input = append(c.input, data[:accepted]...)
 	if accepted < len(data) {
-		return c.failWrite(exchange, accepted)
+		return c.truncateWrite(exchange, accepted)
 	}
-	for c.answerRequest() {
+	for c.respondToNext() {
 	}
 	return len(data), nil
 }
 
-// acceptedBytes returns how many bytes of a write are accepted, behind the given number accepted before.
-func acceptedBytes(mode WriteMode, before int, data []byte) int {
+// acceptedBytes returns how many bytes of a write are accepted if the given number of bytes of the request was accepted by
+// previous writes.
+func acceptedBytes(mode WriteMode, previous int, data []byte) int {
 	head := bytes.Index(data, []byte("\r\n\r\n")) + len("\r\n\r\n")
 	switch {
 	case mode == WriteNothing:
 		return 0
-	case mode == WritePartOfHead && before == 0:
+	case mode == WritePartOfHead && previous == 0:
 		return head / 2
-	case (mode == WritePartOfBody || mode == WriteBlocked) && before == 0:
+	case (mode == WritePartOfBody || mode == WriteBlocked) && previous == 0:
 		return head + (len(data)-head)/2
 	case mode == WritePartOfBody || mode == WriteBlocked:
 		return len(data) / 2
@@ -158,27 +159,28 @@
 	}
 }
 
-// failWrite fails a write of which only a part was accepted. The caller holds the lock.
-func (c *Conn) failWrite(exchange Exchange, accepted int) (int, error) {
+// truncateWrite fails a write of which only a part was accepted. The caller holds the lock, which is released while the write
+// blocks.
+func (c *Conn) truncateWrite(exchange Exchange, accepted int) (int, error) {
 	c.broken = true
 	request, _ := parseRequest(c.input)
-	if request.Head == "" { // the worker cannot know who asks
-		c.put("", Reset)
+	if request.Head == "" { // without the complete head the worker cannot respond
+		c.appendOutput("", Reset)
 		return accepted, syscall.ECONNRESET
 	}
 	if exchange.Write != WriteBlocked {
-		c.put(exchange.Respond(request), max(exchange.End, FIN)) // a connection that takes no more has ended
+		c.appendOutput(exchange.Respond(request), max(exchange.End, FIN)) // a connection that accepts no more bytes has ended
 		return accepted, syscall.ECONNRESET
 	}
-	c.put(exchange.Respond(request), exchange.End)
+	c.appendOutput(exchange.Respond(request), exchange.End)
 	c.mu.Unlock()
 	<-c.closed
 	c.mu.Lock()
 	return accepted, net.ErrClosed
 }
 
-// answerRequest responds to the next complete request. The caller holds the lock.
-func (c *Conn) answerRequest() bool {
+// respondToNext responds to the next complete request. It reports whether there was one. The caller holds the lock.
+func (c *Conn) respondToNext() bool {
 	request, used := parseRequest(c.input)
 	if !request.Complete || len(c.exchanges) == 0 {
 		return false
@@ -188,11 +190,11 @@
 	c.input = c.input[used:]
 	c.requests = append(c.requests, request)
 	c.readSizes = append(c.readSizes, exchange.ReadSizes...)
-	c.put(exchange.Respond(request), exchange.End)
+	c.appendOutput(exchange.Respond(request), exchange.End)
 	return true
 }
 
-// parseRequest parses a request as far as it was received.
+// parseRequest parses the first request of the input as far as it was received, and returns the number of bytes it occupies.
 func parseRequest(input []byte) (request Request, used int) {
 	head, body, found := strings.Cut(string(input), "\r\n\r\n")
 	if !found {
@@ -219,7 +221,7 @@
 	return request, len(head) + len("\r\n\r\n") + received
 }
 
-// Read returns the bytes that the worker has sent, and then the end.
+// Read returns the bytes that the worker has sent, and then the end of the connection.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	for {
 		c.mu.Lock()
@@ -253,9 +255,9 @@
 	if len(c.readSizes) == 0 {
 		return len(c.output)
 	}
-	next := c.readSizes[0]
+	size := c.readSizes[0]
 	c.readSizes = c.readSizes[1:]
-	return min(max(next, 1), len(c.output))
+	return min(max(size, 1), len(c.output))
 }
 
 // Close closes the connection from the client's side.
--- a/internal/dataplane/upstream/upstreamtest/workers.go
+++ b/internal/dataplane/upstream/upstreamtest/workers.go
@@ -7,26 +7,27 @@
 	"syscall"
 )
 
-// Workers are scripted workers by address.
+// Workers is a set of scripted workers, identified by address.
 type Workers struct {
 	mu      sync.Mutex
 	scripts map[string]func(number int) []Exchange
 	conns   map[string][]*Conn
 }
 
-// NewWorkers returns a set of workers without any.
+// NewWorkers returns an empty set of workers.
 func NewWorkers() *Workers {
 	return &Workers{scripts: map[string]func(int) []Exchange{}, conns: map[string][]*Conn{}}
 }
 
-// Script adds a worker: script returns the exchanges of its n-th connection, counted from 0, or nil to refuse the connection.
+// Script adds a worker. The function script returns the exchanges of the connection with the given number, counted from 0, or nil to
+// refuse the connection.
 func (w *Workers) Script(address string, script func(number int) []Exchange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.scripts[address] = script
 }
 
-// Dial connects to a worker, for upstream.Options.
+// Dial connects to a worker. It can be used as Dial of upstream.Options.
 func (w *Workers) Dial(_ context.Context, address string) (net.Conn, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,7 +44,7 @@
 	return conn, nil
 }
 
-// Conns returns the connections to a worker.
+// Conns returns all connections that were opened to a worker.
 func (w *Workers) Conns(address string) []*Conn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
