--- a/internal/dataplane/httpserver/helpers_test.go
+++ b/internal/dataplane/httpserver/helpers_test.go
@@ -13,9 +13,9 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-const testTimeout = 5 * time.Second // for what a test waits for
+const testTimeout = 5 * time.Second // limit for each event that a test waits for
 
-// testServer is a server on loopback with one handler.
+// testServer is a server that listens on a loopback address.
 type testServer struct {
 	*Server
 	t       *testing.T
@@ -29,96 +29,98 @@
 	}
 	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen: %v", err)
 	}
 	server := &testServer{Server: New(options), t: t, address: listener.Addr().String()}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	t.Cleanup(func() {
 		_ = server.Close()
-		if err := <-served; err != nil {
-			t.Errorf("Serve: %v", err)
+		if err := <-serveErr; err != nil {
+			t.Errorf("Serve after Close: got error %v, want nil", err)
 		}
 	})
 	return server
 }
 
-// await waits until the condition holds for the numbers of connections by state.
-func (s *testServer) await(holds func(map[connState]int) bool) {
+// waitForStates waits until the condition holds for the number of connections in each state. It fails the test after testTimeout.
+func (s *testServer) waitForStates(condition func(map[connState]int) bool) {
 	s.t.Helper()
-	until := time.Now().Add(testTimeout)
-	for time.Now().Before(until) {
-		states := map[connState]int{}
+	deadline := time.Now().Add(testTimeout)
+	var states map[connState]int
+	for time.Now().Before(deadline) {
+		states = map[connState]int{}
 		s.mu.Lock()
 		for conn := range s.conns {
 			states[conn.state]++
 		}
 		s.mu.Unlock()
-		if holds(states) {
+		if condition(states) {
 			return
 		}
 		runtime.Gosched()
 	}
-	s.t.Fatal("the connections are not in the states that the test waits for")
+	s.t.Fatalf("connections by state after %v: got %v, which is not what the test waits for", testTimeout, states)
 }
 
+// echo responds with the request's method, target and body.
 func echo(w *ResponseWriter, r *Request) {
 	_ = w.WriteResponse(200, nil, fmt.Appendf(nil, "%s %s %s", r.Method, r.Target, r.Body))
 }
 
 func (s *testServer) dial() *testClient {
 	s.t.Helper()
-	socket, err := net.Dial("tcp4", s.address)
+	netConn, err := net.Dial("tcp4", s.address)
 	if err != nil {
-		s.t.Fatal(err)
+		s.t.Fatalf("dial the server: %v", err)
 	}
-	s.t.Cleanup(func() { socket.Close() })
-	_ = socket.SetDeadline(time.Now().Add(testTimeout))
-	return &testClient{s.t, socket.(*net.TCPConn), bufio.NewReader(socket)}
+	s.t.Cleanup(func() { netConn.Close() })
+	_ = netConn.SetDeadline(time.Now().Add(testTimeout))
+	return &testClient{s.t, netConn.(*net.TCPConn), bufio.NewReader(netConn)}
 }
 
-// testClient is a client that a test scripts.
+// testClient is a client whose reads and writes the test controls.
 type testClient struct {
-	t      *testing.T
-	socket *net.TCPConn
-	input  *bufio.Reader
+	t       *testing.T
+	netConn *net.TCPConn
+	input   *bufio.Reader
 }
 
-func (p *testClient) send(text string) {
-	p.t.Helper()
-	if _, err := p.socket.Write([]byte(text)); err != nil {
-		p.t.Fatal(err)
+func (c *testClient) send(text string) {
+	c.t.Helper()
+	if _, err := c.netConn.Write([]byte(text)); err != nil {
+		c.t.Fatalf("send %.100q: %v", text, err)
 	}
 }
 
-func (p *testClient) readResponse() (*http.Response, string) {
-	p.t.Helper()
-	response, err := http.ReadResponse(p.input, nil)
+func (c *testClient) readResponse() (*http.Response, string) {
+	c.t.Helper()
+	response, err := http.ReadResponse(c.input, nil)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatalf("read response head: %v", err)
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatalf("read body of %s response: %v", response.Status, err)
 	}
 	return response, string(body)
 }
 
-func (p *testClient) expect(status int, body string) *http.Response {
-	p.t.Helper()
-	response, got := p.readResponse()
+func (c *testClient) expectResponse(status int, body string) *http.Response {
+	c.t.Helper()
+	response, got := c.readResponse()
 	if response.StatusCode != status || got != body {
-		p.t.Fatalf("%d %q, not %d %q", response.StatusCode, got, status, body)
+		c.t.Fatalf("response: got %d %q, want %d %q", response.StatusCode, got, status, body)
 	}
 	return response
 }
 
-// readToEnd reads to the connection's end.
-func (p *testClient) readToEnd() string {
-	p.t.Helper()
-	rest, err := io.ReadAll(p.input)
+// readUntilClose reads until the server closes the connection, and fails the test if the connection is reset.
+func (c *testClient) readUntilClose() string {
+	c.t.Helper()
+	rest, err := io.ReadAll(c.input)
 	if err != nil {
-		p.t.Fatalf("%q, then %v", rest, err)
+		c.t.Fatalf("read until close: got %q, then error %v", rest, err)
 	}
 	return string(rest)
 }
--- a/internal/dataplane/httpserver/lifecycle_test.go
+++ b/internal/dataplane/httpserver/lifecycle_test.go
@@ -17,34 +17,34 @@
 
 func TestServer_clientClosesDuringRequest(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		began, ended := make(chan bool), make(chan error)
+		started, writeErr := make(chan bool), make(chan error)
 		server := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
-			began <- true
+			started <- true
 			<-r.Context.Done()
-			ended <- w.WriteResponse(200, nil, nil)
+			writeErr <- w.WriteResponse(200, nil, nil)
 		}})
 		client := server.dial()
-		client.send(getRequest + "GET /early") // bytes of a next request must not hide the end
-		<-began
+		client.send(getRequest + "GET /early") // the start of a next request must not hide the close
+		<-started
 		if reset {
-			_ = client.socket.SetLinger(0)
+			_ = client.netConn.SetLinger(0)
 		}
-		client.socket.Close()
+		client.netConn.Close()
 		select {
-		case err := <-ended:
+		case err := <-writeErr:
 			if !errors.Is(err, ErrClientGone) {
-				t.Errorf("the response ends with %v", err)
+				t.Errorf("WriteResponse after the client has closed (reset: %v): got error %v, want %v", reset, err, ErrClientGone)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("the handler's context does not end")
+			t.Fatalf("client closes (reset: %v): the request's context was not canceled within %v", reset, testTimeout)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		if err := server.Wait(ctx); err != nil {
-			t.Error(err)
+			t.Errorf("Wait after the client has closed (reset: %v): %v", reset, err)
 		}
 		cancel()
 		if counts := server.Counts(); counts.MissingResponses != 0 {
-			t.Errorf("%+v", counts)
+			t.Errorf("counts after the client has closed (reset: %v): got %+v, want MissingResponses 0", reset, counts)
 		}
 	}
 }
@@ -52,96 +52,96 @@
 func TestServer_handlerWithoutResponse(t *testing.T) {
 	server := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path == "/panic" {
-			panic("as the test wants")
+			panic("panic caused by the test")
 		}
 	}})
 	client := server.dial()
 	client.send(getRequest)
-	client.expect(500, "")
+	client.expectResponse(500, "")
 	client.send("GET /panic HTTP/1.1\r\nHost: h\r\n\r\n")
-	client.expect(500, "")
+	client.expectResponse(500, "")
 	if n := server.Counts().MissingResponses; n != 2 {
-		t.Errorf("%d missing responses", n)
+		t.Errorf("MissingResponses: got %d, want 2", n)
 	}
 }
 
 func TestServer_maxConnections(t *testing.T) {
-	hold := make(chan bool)
-	var ahead atomic.Int64 // of the clock
-	clock := func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+	release := make(chan bool)
+	var clockOffset atomic.Int64 // how far the server's clock is ahead
+	clock := func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 	server := startServer(t, Options{MaxConnections: 2, Now: clock, Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path == "/hold" {
-			<-hold
+			<-release
 		}
 		_ = w.WriteResponse(200, nil, nil)
 	}})
-	defer close(hold)
+	defer close(release)
 	first, second := server.dial(), server.dial()
 	first.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
 	second.send(getRequest)
-	second.expect(200, "")
-	server.await(func(states map[connState]int) bool { return states[idle] == 1 })
-	ahead.Store(int64(time.Second))
-	third := server.dial() // evicts the idle second
+	second.expectResponse(200, "")
+	server.waitForStates(func(states map[connState]int) bool { return states[idle] == 1 })
+	clockOffset.Store(int64(time.Second))
+	third := server.dial() // evicts the second connection, which is idle
 	third.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
-	if rest := second.readToEnd(); rest != "" {
-		t.Errorf("the evicted connection got %q", rest)
+	if rest := second.readUntilClose(); rest != "" {
+		t.Errorf("input on the evicted connection: got %q, want none", rest)
 	}
-	server.await(func(states map[connState]int) bool { return states[handling] == 2 })
+	server.waitForStates(func(states map[connState]int) bool { return states[handling] == 2 })
 	fourth := server.dial()
-	if response := fourth.expect(503, ""); response.Header.Get("Retry-After") == "" || !response.Close {
-		t.Errorf("%v", response.Header)
+	if response := fourth.expectResponse(503, ""); response.Header.Get("Retry-After") == "" || !response.Close {
+		t.Errorf("503 at the connection limit: got header %v, Close %v, want Retry-After and Connection: close", response.Header, response.Close)
 	}
 	if counts := server.Counts(); counts.Rejected != 1 || counts.Evicted != 1 {
-		t.Errorf("%+v", counts)
+		t.Errorf("counts: got %+v, want Rejected 1 and Evicted 1", counts)
 	}
 }
 
 func TestServer_Drain(t *testing.T) {
-	began, hold := make(chan bool), make(chan bool)
+	started, release := make(chan bool), make(chan bool)
 	server := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path == "/hold" {
-			began <- true
-			<-hold
+			started <- true
+			<-release
 		}
 		_ = w.WriteResponse(200, nil, nil)
 	}})
-	resting, busy := server.dial(), server.dial()
-	resting.send(getRequest)
-	resting.expect(200, "")
-	busy.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
-	<-began
+	idleClient, busyClient := server.dial(), server.dial()
+	idleClient.send(getRequest)
+	idleClient.expectResponse(200, "")
+	busyClient.send("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n")
+	<-started
 	server.Drain(time.Second)
-	fresh := server.dial()
-	fresh.send(getRequest)
-	if !fresh.expect(200, "").Close {
-		t.Error("the connection is not closed")
+	newClient := server.dial()
+	newClient.send(getRequest)
+	if !newClient.expectResponse(200, "").Close {
+		t.Error("response on a connection opened after Drain: no Connection: close")
 	}
-	if rest := resting.readToEnd(); rest != "" {
-		t.Errorf("%q", rest)
+	if rest := idleClient.readUntilClose(); rest != "" {
+		t.Errorf("input on the idle connection after Drain: got %q, want none", rest)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := server.Wait(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("Wait: %v", err)
+		t.Errorf("Wait while a handler runs: got error %v, want %v", err, context.Canceled)
 	}
-	close(hold)
-	if !busy.expect(200, "").Close {
-		t.Error("the connection is not closed")
+	close(release)
+	if !busyClient.expectResponse(200, "").Close {
+		t.Error("response to a request in flight during Drain: no Connection: close")
 	}
-	busy.socket.Close()
-	fresh.socket.Close()
+	busyClient.netConn.Close()
+	newClient.netConn.Close()
 	ctx, cancel = context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := server.Wait(ctx); err != nil {
-		t.Errorf("Wait: %v", err)
+		t.Errorf("Wait after all responses: %v", err)
 	}
 }
 
-// A client that does not read blocks its own response only.
+// A client that does not read blocks only its own response, and the write to it fails with the write timeout.
 func TestServer_clientThatDoesNotRead(t *testing.T) {
-	failed := make(chan error, 1)
-	big := bytes.Repeat([]byte("x"), 1<<20)
+	writeErr := make(chan error, 1)
+	chunk := bytes.Repeat([]byte("x"), 1<<20)
 	server := startServer(t, Options{WriteTimeout: 100 * time.Millisecond, Handler: func(w *ResponseWriter, r *Request) {
 		if r.Path != "/stream" {
 			_ = w.WriteResponse(200, nil, nil)
@@ -149,51 +149,51 @@
 		}
 		_ = w.WriteHeader(200, nil)
 		for {
-			if err := w.WriteChunk(big); err != nil {
-				failed <- err
+			if err := w.WriteChunk(chunk); err != nil {
+				writeErr <- err
 				return
 			}
 		}
 	}})
-	stuck, other := server.dial(), server.dial()
-	stuck.send("GET /stream HTTP/1.1\r\nHost: h\r\n\r\n")
+	blocked, other := server.dial(), server.dial()
+	blocked.send("GET /stream HTTP/1.1\r\nHost: h\r\n\r\n")
 	other.send(getRequest)
-	other.expect(200, "")
+	other.expectResponse(200, "")
 	select {
-	case err := <-failed:
+	case err := <-writeErr:
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("the write ends with %v", err)
+			t.Errorf("WriteChunk to a client that does not read: got error %v, want %v", err, os.ErrDeadlineExceeded)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the write does not end")
+		t.Fatalf("writes to a client that does not read did not fail within %v", testTimeout)
 	}
 }
 
 func TestServer_largeResponse(t *testing.T) {
-	big := bytes.Repeat([]byte("x"), 1<<20)
+	body := bytes.Repeat([]byte("x"), 1<<20)
 	server := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
-		if !bytes.Equal(r.Body, big) {
-			t.Errorf("%d bytes", len(r.Body))
+		if !bytes.Equal(r.Body, body) {
+			t.Errorf("request body: got %d bytes, want the %d bytes sent", len(r.Body), len(body))
 		}
-		_ = w.WriteResponse(200, nil, big)
+		_ = w.WriteResponse(200, nil, body)
 	}})
 	client := server.dial()
-	client.send(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(big), big))
-	client.expect(200, string(big))
+	client.send(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	client.expectResponse(200, string(body))
 }
 
 func TestServer_maxBufferedBodyBytes(t *testing.T) {
 	server := startServer(t, Options{Handler: echo, MaxBufferedBodyBytes: initialBodyBytes})
 	client := server.dial()
 	client.send(fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", 2*initialBodyBytes, strings.Repeat("x", 2*initialBodyBytes)))
-	client.expect(503, "")
+	client.expectResponse(503, "")
 	client = server.dial()
 	client.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi")
-	client.expect(200, "POST /a hi")
+	client.expectResponse(200, "POST /a hi")
 	client.send(getRequest)
-	client.expect(200, "GET /a ")
+	client.expectResponse(200, "GET /a ")
 	if buffered := server.bodyBytes.Load(); buffered != 0 {
-		t.Errorf("%d bytes buffered", buffered)
+		t.Errorf("bytes accounted to request bodies after all requests: got %d, want 0", buffered)
 	}
 }
 
@@ -207,7 +207,7 @@
 	}})
 	client := server.dial()
 	client.send("GET /a HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, X-Own, host\r\nX-Own: 1\r\nTE: x\r\nProxy-A: b\r\nX-Id: 7\r\n\r\n")
-	client.expect(200, "Host X-Id")
+	client.expectResponse(200, "Host X-Id")
 }
 
 func TestReadinessHandler(t *testing.T) {
@@ -215,47 +215,48 @@
 	server := startServer(t, Options{Handler: ReadinessHandler(func() bool { return ready })})
 	client := server.dial()
 	client.send("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	client.expect(503, "")
+	client.expectResponse(503, "")
 	ready = true
 	client.send("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	client.expect(200, "")
+	client.expectResponse(200, "")
 	client.send(getRequest)
-	client.expect(404, "")
+	client.expectResponse(404, "")
 }
 
-// lateConn is a connection whose first read returns after its deadline, though a request was received.
-type lateConn struct {
+// expiredReadConn is a connection whose first read fails with a timeout even though a request was received.
+type expiredReadConn struct {
 	net.Conn
 	reads int
 }
 
-func (t *lateConn) Read(buffer []byte) (int, error) {
-	t.reads++
-	if t.reads == 1 {
+func (c *expiredReadConn) Read(buffer []byte) (int, error) {
+	c.reads++
+	if c.reads == 1 {
 		return 0, os.ErrDeadlineExceeded
 	}
-	return t.Conn.Read(buffer)
+	return c.Conn.Read(buffer)
 }
 
-// After a process was suspended past a deadline it reads once more: a request received meanwhile is served.
-func TestServer_requestBehindExpiredDeadline(t *testing.T) {
+// When a read deadline has passed, the server reads once more, so that a request received while the process was suspended is
+// served.
+func TestServer_requestReceivedBeforeExpiredDeadline(t *testing.T) {
 	server := New(Options{Handler: echo, Limits: func() configuration.Limits { return configuration.Limits{} }})
 	server.Drain(0)
-	near, far := net.Pipe()
-	_ = far.SetDeadline(time.Now().Add(testTimeout))
-	// The pipe is read without regard to the deadline that has passed.
-	go newConn(server, &lateConn{Conn: noDeadlineConn{near}}).serve()
-	if _, err := far.Write([]byte(getRequest)); err != nil {
-		t.Fatal(err)
+	serverSide, clientSide := net.Pipe()
+	_ = clientSide.SetDeadline(time.Now().Add(testTimeout))
+	// noDeadlineConn ignores read deadlines, so that the second read of the pipe succeeds although the deadline has passed.
+	go newConn(server, &expiredReadConn{Conn: noDeadlineConn{serverSide}}).serve()
+	if _, err := clientSide.Write([]byte(getRequest)); err != nil {
+		t.Fatalf("send the request: %v", err)
 	}
-	answer := make([]byte, 12)
-	if _, err := far.Read(answer); err != nil || string(answer) != "HTTP/1.1 200" {
-		t.Errorf("%q, %v", answer, err)
+	response := make([]byte, 12)
+	if _, err := clientSide.Read(response); err != nil || string(response) != "HTTP/1.1 200" {
+		t.Errorf("response: got %q, error %v, want a start of %q", response, err, "HTTP/1.1 200")
 	}
-	far.Close()
+	clientSide.Close()
 }
 
-// noDeadlineConn is a connection without read deadlines.
+// noDeadlineConn is a connection that ignores read deadlines.
 type noDeadlineConn struct{ net.Conn }
 
 func (noDeadlineConn) SetReadDeadline(time.Time) error { return nil }
--- a/internal/dataplane/httpserver/listen.go
+++ b/internal/dataplane/httpserver/listen.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	listenBacklog     = 4096 // connections that may wait to be accepted
+	listenBacklog     = 4096 // maximum number of connections waiting to be accepted
 	keepAliveDisabled = -1
 )
 
-// Listen opens a listener on an address ("ip:port") with a long backlog of connections to be accepted. Accepted connections have no
-// keep-alive probes: deadlines end those whose client has gone.
+// Listen opens a TCP listener on an IPv4 address ("ip:port") with a backlog of listenBacklog connections. TCP keep-alive probes are
+// disabled on accepted connections, since deadlines already close those whose client has disappeared.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: keepAliveDisabled}
 	config.SetMultipathTCP(false)
@@ -24,7 +24,7 @@
 	return listener, nil
 }
 
-// extendBacklog asks for a longer backlog than the system's default. If the system rejects it the default stays.
+// extendBacklog sets a longer backlog than the system's default. If that fails, the default stays in effect.
 func extendBacklog(listener net.Listener) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
--- a/internal/dataplane/httpserver/readiness.go
+++ b/internal/dataplane/httpserver/readiness.go
@@ -4,7 +4,8 @@
 
 const readinessPath = "/-/ready"
 
-// ReadinessHandler returns a handler that answers "GET /-/ready" with 200 or 503, and anything else with 404.
+// ReadinessHandler returns a handler that responds to "GET /-/ready" with status 200 if ready returns true and 503 otherwise, and
+// to any other request with 404.
 func ReadinessHandler(ready func() bool) Handler {
 	return func(w *ResponseWriter, r *Request) {
 		status := http.StatusNotFound
--- a/internal/dataplane/httpserver/reject.go
+++ b/internal/dataplane/httpserver/reject.go
@@ -11,15 +11,17 @@
 
 const discardBufferBytes = 4 << 10
 
-// halfCloser is a connection whose sending side can be closed alone.
+// halfCloser is a connection whose sending side can be closed separately, such as *net.TCPConn.
 type halfCloser interface{ CloseWrite() error }
 
-// RetryAfter returns the value of a Retry-After field: seconds with three decimals.
-func RetryAfter(after time.Duration) string { return strconv.FormatFloat(after.Seconds(), 'f', 3, 64) }
+// formatRetryAfter returns the value of a Retry-After field, in seconds with three decimals.
+func formatRetryAfter(after time.Duration) string {
+	return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
+}
 
 func appendInt(out []byte, value int) []byte { return strconv.AppendInt(out, int64(value), 10) }
 
-// appendErrorResponse appends the last response on a connection whose request cannot be read.
+// appendErrorResponse appends the response to a connection or request that is rejected. It is the last response on the connection.
 func (s *Server) appendErrorResponse(out []byte, statusErr *http1.StatusError) []byte {
 	out = http1.AppendStatusLine(out, statusErr.Status)
 	if statusErr.Status == http.StatusServiceUnavailable {
@@ -28,24 +30,25 @@
 	return append(out, "Connection: close\r\nContent-Length: 0\r\n\r\n"...)
 }
 
-// closeAfterLinger closes the sending side and reads until the client closes its own, up to lingerTimeout. Closing a socket with
-// unread bytes resets the connection, and the client could lose the response by that.
-func closeAfterLinger(socket net.Conn) {
-	if closer, ok := socket.(halfCloser); ok && closer.CloseWrite() != nil {
+// closeWriteAndLinger closes the sending side and discards input until the client closes its side or lingerTimeout has passed; the
+// caller then closes the connection. Closing a socket with unread input resets the connection, which could make the client lose the
+// response.
+func closeWriteAndLinger(netConn net.Conn) {
+	if closer, ok := netConn.(halfCloser); ok && closer.CloseWrite() != nil {
 		return
 	}
-	_ = socket.SetReadDeadline(time.Now().Add(lingerTimeout))
-	discardInput(socket)
+	_ = netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	discardInput(netConn)
 }
 
-// discardInput reads until the client closes, the read deadline passes, or maxLingerBytes were read.
-func discardInput(socket net.Conn) {
+// discardInput reads and discards input until the client closes its side, the read deadline passes, or maxLingerBytes were read.
+func discardInput(netConn net.Conn) {
 	buffer := make([]byte, discardBufferBytes)
-	for dropped := 0; dropped < maxLingerBytes; {
-		n, err := socket.Read(buffer)
+	for discarded := 0; discarded < maxLingerBytes; {
+		n, err := netConn.Read(buffer)
 		if err != nil {
 			return
 		}
-		dropped += n
+		discarded += n
 	}
 }
--- a/internal/dataplane/httpserver/requestreader.go
+++ b/internal/dataplane/httpserver/requestreader.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	initialBodyBytes = 64 << 10 // allocated for a body at first; more as its bytes are received
-	// maxChunkFraming is how many bytes of framing a body in chunks may have beyond its own length. A client that sends tiny chunks
-	// with long extensions would cost time without limit otherwise.
-	maxChunkFraming = 64 << 10
+	initialBodyBytes = 64 << 10 // initial allocation for a body; it grows as bytes are received
+	// maxChunkFramingBytes is by how many bytes the framing of a chunked body may exceed the length of its data. Without this limit, a
+	// client could cost unlimited time by sending tiny chunks with long extensions.
+	maxChunkFramingBytes = 64 << 10
 )
 
 var (
-	errOverloaded     = &http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the server is overloaded"}
+	errOverloaded     = &http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the server is overloaded: too many connections or buffered bodies"}
 	errRequestTimeout = &http1.StatusError{Status: http.StatusRequestTimeout, Reason: "the request was not received in time"}
-	// errLimitsUnconfirmed replaces an error about a limit that may not be in force any more.
-	errLimitsUnconfirmed = &http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the limits in force are not known"}
-	errBodyTooLarge      = &http1.StatusError{Status: http.StatusRequestEntityTooLarge, Reason: "the body is too long"}
+	// errLimitsUnconfirmed replaces an error about a limit that may be out of date.
+	errLimitsUnconfirmed = &http1.StatusError{Status: http.StatusServiceUnavailable, Reason: "the request exceeds a limit that is not confirmed"}
+	errBodyTooLarge      = &http1.StatusError{Status: http.StatusRequestEntityTooLarge, Reason: "the body or its chunk framing is too long"}
 )
 
-// requestReader reads one request.
+// requestReader reads one request from a connection.
 type requestReader struct {
 	conn        *conn
 	limits      configuration.Limits
 	rules       http1.ParseRules
-	startedAt   time.Time // when the first byte was read, on the clock of the deadlines
+	startedAt   time.Time // when the first byte was read, by time.Now, as deadlines are (not by Options.Now)
 	deadlineSet bool
 	headRead    bool
 	request     *Request
 	head        http1.Head
 
-	expectsContinue bool // the client waits for an interim response before it sends the body
+	expectsContinue bool // the client waits for a 100 response before it sends the body
 }
 
-// readRequest reads the next request. It returns a *http1.StatusError that is to be answered to the client, or an error of the
-// connection.
+// readRequest reads the next request. Its error is either a *http1.StatusError, to be sent to the client as a response, or an I/O
+// error of the connection.
 func (c *conn) readRequest() (*requestReader, error) {
 	for c.input.Len() == 0 {
 		if err := c.readMore(); err != nil {
@@ -61,14 +61,14 @@
 	return reader, nil
 }
 
-// readMore reads further bytes of the request, until its deadline.
+// readMore reads further bytes of the request into the input buffer, subject to the deadline of the request.
 func (r *requestReader) readMore() error {
 	r.setDeadline()
 	return r.mapTimeout(r.conn.readMore())
 }
 
-// setDeadline sets the deadline of the complete request, if it was not received at once: first for the head, and again for the body,
-// since the head determines how long the request may take.
+// setDeadline sets the read deadline when more of the head must be read, and again when more of the body must be, since the head
+// determines how long the request may take. A request that is already in the input buffer needs none.
 func (r *requestReader) setDeadline() {
 	if r.deadlineSet {
 		return
@@ -80,11 +80,11 @@
 		timeout = min(timeout, positiveOr(requestTimeout(r.request), timeout))
 	}
 	c.server.mu.Lock()
-	c.setReadDeadline(timeout - time.Since(r.startedAt))
+	c.setReadDeadlineLocked(timeout - time.Since(r.startedAt))
 	c.server.mu.Unlock()
 }
 
-// mapTimeout turns a time-out into the error that is answered to the client.
+// mapTimeout replaces a read timeout by errRequestTimeout, which is sent to the client.
 func (r *requestReader) mapTimeout(err error) error {
 	if err != nil && isTimeout(err) {
 		return errRequestTimeout
@@ -92,7 +92,7 @@
 	return err
 }
 
-// readHead reads the head and copies it into the request.
+// readHead reads the request line and the header and copies them into the request.
 func (r *requestReader) readHead() error {
 	c := r.conn
 	reader := http1.HeadReader{Kind: http1.Request, Rules: r.rules}
@@ -112,7 +112,7 @@
 	}
 }
 
-// copyHead copies the head into the request: its slices refer to the input buffer, which is used further.
+// copyHead copies the head into the request, since its slices refer to the input buffer, which is reused.
 func (r *requestReader) copyHead() {
 	request := r.request
 	request.Method = string(r.head.Method)
@@ -127,7 +127,7 @@
 	r.head.Method, r.head.Target, r.head.RawHeader = nil, nil, nil
 }
 
-// readBody reads the body, if there is one.
+// readBody reads the body if the request has one.
 func (r *requestReader) readBody() error {
 	if r.head.ContentLength > r.limits.MaxBodyBytes {
 		return errBodyTooLarge
@@ -145,18 +145,18 @@
 	return r.readFixedBody(r.head.ContentLength)
 }
 
-// sendContinue asks a client that waits for it to send its body.
+// sendContinue sends the interim response 100 to a client that waits for it before it sends the body.
 func (r *requestReader) sendContinue() error {
 	if !r.expectsContinue || r.head.HTTP10 || r.conn.input.Len() > 0 {
 		return nil
 	}
-	_ = r.conn.socket.SetWriteDeadline(time.Now().Add(r.conn.server.writeTimeout))
-	_, err := r.conn.socket.Write([]byte(http1.ContinueLine))
+	_ = r.conn.netConn.SetWriteDeadline(time.Now().Add(r.conn.server.writeTimeout))
+	_, err := r.conn.netConn.Write([]byte(http1.ContinueLine))
 	return err
 }
 
-// readFixedBody reads a body of a known length. Memory is allocated as bytes are received, since a Content-Length costs the client
-// nothing.
+// readFixedBody reads a body of known length. Memory is allocated as bytes are received, not by Content-Length alone: announcing a
+// long body costs a client nothing.
 func (r *requestReader) readFixedBody(length int) error {
 	c, request := r.conn, r.request
 	for len(request.Body) < length {
@@ -180,7 +180,8 @@
 	return nil
 }
 
-// growBody makes room for more of the body. It returns false at the limit Options.MaxBufferedBodyBytes.
+// growBody ensures that the body has free capacity, up to the given length. It returns false if Options.MaxBufferedBodyBytes would
+// be exceeded.
 func (r *requestReader) growBody(length int) bool {
 	request := r.request
 	if len(request.Body) < cap(request.Body) {
@@ -199,10 +200,10 @@
 	return true
 }
 
-// readChunkedBody reads a body in chunks.
+// readChunkedBody reads a body with the chunked transfer coding.
 func (r *requestReader) readChunkedBody(body *http1.BodyReader) error {
 	c, request := r.conn, r.request
-	framing := 0
+	framingBytes := 0
 	for !body.Done {
 		data, used, statusErr := body.Next(c.input.Bytes())
 		switch {
@@ -215,7 +216,7 @@
 			return err
 		}
 		c.input.Discard(used)
-		if framing += used - len(data); framing > maxChunkFraming+len(request.Body) {
+		if framingBytes += used - len(data); framingBytes > maxChunkFramingBytes+len(request.Body) {
 			return errBodyTooLarge
 		}
 		if used > 0 {
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// appendBody appends the data of a chunk.
+// appendBody appends the data of a chunk to the body.
 func (r *requestReader) appendBody(data []byte) error {
 	request := r.request
 	for len(data) > 0 {
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	retryAfterRejection = 200 * time.Millisecond // the Retry-After of rejected connections and requests
+	retryAfterRejection = 200 * time.Millisecond // Retry-After value of rejected connections and requests
 
-	// defaults of options and of limits that the configuration does not set
+	// defaults for options and for limits that the configuration does not set
 	defaultMaxConnections = 1024
 	defaultWriteTimeout   = 5 * time.Second
 	defaultHeaderBytes    = 16 << 10
@@ -24,47 +24,47 @@
 )
 
 const (
-	idleMargin              = 500 * time.Millisecond // beyond the idle time-out that clients are told
-	lingerTimeout           = time.Second            // for a client to read its last response and close its side
-	maxLingerBytes          = 256 << 10              // read and discarded meanwhile
-	acceptRetryDelay        = 20 * time.Millisecond  // after a temporary error of accepting
-	maxConcurrentRejections = 32                     // connections that are answered 503 at the same time
+	idleMargin              = 500 * time.Millisecond // added to the idle timeout announced to clients
+	lingerTimeout           = time.Second            // how long a client may take to read its last response and close its side
+	maxLingerBytes          = 256 << 10              // maximum number of bytes read and discarded during that time
+	acceptRetryDelay        = 20 * time.Millisecond  // pause after a temporary error of Accept
+	maxConcurrentRejections = 32                     // connections that are sent a 503 response at the same time
 	rejectWriteTimeout      = 200 * time.Millisecond
-	minIdleBeforeEviction   = 100 * time.Millisecond // a connection idle for less may have a request on its way
+	minIdleBeforeEviction   = 100 * time.Millisecond // a request may be in transit on a connection that became idle more recently
 )
 
 // Server serves HTTP/1.1 on one or more listeners.
 type Server struct {
-	// immutable
+	// immutable after New
 	options      Options
 	now          func() time.Time
 	maxConns     int
 	writeTimeout time.Duration
-	retryAfter   string // of rejections
+	retryAfter   string // Retry-After value of rejections
 
 	counts    counters
 	draining  atomic.Bool
-	bodyBytes atomic.Int64 // of the request bodies in memory
+	bodyBytes atomic.Int64 // memory allocated for request bodies
 
-	mu         sync.Mutex // guards all below, and the states and deadlines of connections
+	mu         sync.Mutex // guards all fields below, and the states and deadlines of connections
 	listeners  map[net.Listener]struct{}
 	conns      map[*conn]struct{}
-	drainGrace time.Duration // of idle connections; valid while draining
+	drainGrace time.Duration // remaining time of idle connections; valid while draining
 	closed     bool
-	rejecting  int           // connections that are being answered 503
-	busy       int           // connections that handle a request or linger
-	idleNotify chan struct{} // closed when busy is 0; nil if no one waits
+	rejecting  int           // connections that are being sent a 503 response
+	busy       int           // connections in the states handling and lingering
+	noneBusy   chan struct{} // closed when busy drops to 0; nil if no one waits
 }
 
 // counters are the live values of Counts.
 type counters struct {
 	accepted, rejected, evicted                            atomic.Int64 // connections
 	requests, malformed, timedOut, inFlight                atomic.Int64 // requests
-	clientsGone                                            atomic.Int64
+	clientDisconnects                                      atomic.Int64
 	duplicateResponses, missingResponses, abortedResponses atomic.Int64
 }
 
-// New returns a server. It serves nothing until Serve is called.
+// New returns a server that does not accept connections until Serve is called.
 func New(options Options) *Server {
 	server := &Server{options: options, listeners: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
 	server.now = options.Now
@@ -73,16 +73,16 @@
 	}
 	server.maxConns = positiveOr(options.MaxConnections, defaultMaxConnections)
 	server.writeTimeout = positiveOr(options.WriteTimeout, defaultWriteTimeout)
-	server.retryAfter = RetryAfter(retryAfterRejection)
+	server.retryAfter = formatRetryAfter(retryAfterRejection)
 	return server
 }
 
-// positiveOr returns value if it is above zero, and otherwise the other.
-func positiveOr[T int | time.Duration](value, otherwise T) T {
+// positiveOr returns value if it is positive, and fallback otherwise.
+func positiveOr[T int | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
 // limits returns the limits in force, with defaults in place of those that are not set.
@@ -95,36 +95,36 @@
 	return limits
 }
 
-// limitsConfirmed reports whether the limits are known to be those in force.
+// limitsConfirmed reports whether the limits are known to be up to date.
 func (s *Server) limitsConfirmed() bool {
 	return s.options.LimitsConfirmed == nil || s.options.LimitsConfirmed()
 }
 
-// Serve accepts connections on a listener until Close, and returns nil then. It returns an error if the listener was closed by
-// another. It may be called for several listeners.
+// Serve accepts connections on a listener until the server is closed, and then returns nil. It returns an error if the listener was
+// closed by something other than Server.Close. It may be called for several listeners.
 func (s *Server) Serve(listener net.Listener) error {
-	if !s.track(listener) {
+	if !s.addListener(listener) {
 		return listener.Close()
 	}
 	for {
-		socket, err := listener.Accept()
+		netConn, err := listener.Accept()
 		switch {
 		case err == nil:
-			s.accept(socket)
+			s.serveOrReject(netConn)
 		case s.isClosed():
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
 		default:
-			s.log("accept: " + err.Error())
+			s.log("accept connection: " + err.Error())
 			s.evictIdle()
-			time.Sleep(acceptRetryDelay) // most likely no file descriptor is left: one is released meanwhile
+			time.Sleep(acceptRetryDelay) // most likely the process has run out of file descriptors: wait until one is released
 		}
 	}
 }
 
-// track records a listener, and returns false if the server is closed.
-func (s *Server) track(listener net.Listener) bool {
+// addListener registers a listener. It returns false if the server is closed.
+func (s *Server) addListener(listener net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -146,19 +146,20 @@
 	}
 }
 
-// accept serves a connection. At the limit of connections it closes the one that has been idle the longest.
-func (s *Server) accept(socket net.Conn) {
+// serveOrReject serves an accepted connection. At the connection limit it first evicts an idle connection; if there is none to
+// evict, it rejects the new one.
+func (s *Server) serveOrReject(netConn net.Conn) {
 	s.counts.accepted.Add(1)
-	c := newConn(s, socket)
-	if s.add(c) || s.evictIdle() && s.add(c) {
+	c := newConn(s, netConn)
+	if s.addConn(c) || s.evictIdle() && s.addConn(c) {
 		go c.serve()
 		return
 	}
-	s.reject(socket)
+	s.rejectConn(netConn)
 }
 
-// add records a connection, and returns false at the limit of connections or if the server is closed.
-func (s *Server) add(c *conn) bool {
+// addConn registers a connection. It returns false at the connection limit or if the server is closed.
+func (s *Server) addConn(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= s.maxConns {
@@ -168,14 +169,14 @@
 	return true
 }
 
-func (s *Server) remove(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// evictIdle closes the connection that has been idle or lingering the longest, and reports whether there was one. A connection that
-// was idle only for a moment is left alone: a request may be on its way.
+// evictIdle closes the connection that has been idle or lingering the longest, and reports whether there was one. It skips
+// connections that entered the state less than minIdleBeforeEviction ago, since a request may be in transit.
 func (s *Server) evictIdle() bool {
 	now := s.now()
 	s.mu.Lock()
@@ -196,42 +197,43 @@
 		return false
 	}
 	s.counts.evicted.Add(1)
-	_ = oldest.socket.Close()
+	_ = oldest.netConn.Close()
 	return true
 }
 
-// reject answers a connection beyond the limit with 503.
-func (s *Server) reject(socket net.Conn) {
+// rejectConn rejects a connection beyond the connection limit with status 503, or closes it without a response if too many are
+// being rejected already or the server is closed.
+func (s *Server) rejectConn(netConn net.Conn) {
 	s.counts.rejected.Add(1)
 	s.mu.Lock()
-	full := s.closed || s.rejecting >= maxConcurrentRejections
-	if !full {
+	refuse := s.closed || s.rejecting >= maxConcurrentRejections
+	if !refuse {
 		s.rejecting++
 	}
 	s.mu.Unlock()
-	if full {
-		_ = socket.Close()
+	if refuse {
+		_ = netConn.Close()
 		return
 	}
-	go s.rejectOverloaded(socket)
+	go s.writeOverloaded(netConn)
 }
 
-// rejectOverloaded writes the 503 to a connection and closes it.
-func (s *Server) rejectOverloaded(socket net.Conn) {
+// writeOverloaded sends a 503 response on a connection and closes it.
+func (s *Server) writeOverloaded(netConn net.Conn) {
 	defer func() {
-		_ = socket.Close()
+		_ = netConn.Close()
 		s.mu.Lock()
 		s.rejecting--
 		s.mu.Unlock()
 	}()
-	_ = socket.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
-	if _, err := socket.Write(s.appendErrorResponse(nil, errOverloaded)); err == nil {
-		closeAfterLinger(socket)
+	_ = netConn.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
+	if _, err := netConn.Write(s.appendErrorResponse(nil, errOverloaded)); err == nil {
+		closeWriteAndLinger(netConn)
 	}
 }
 
-// Drain makes every further response the last on its connection. The server continues to accept and serve. Idle connections are
-// closed after the grace.
+// Drain makes every further response the last on its connection. The server continues to accept connections and to serve requests.
+// Connections that stay idle for the grace period are closed.
 func (s *Server) Drain(grace time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,12 +241,12 @@
 	s.draining.Store(true)
 	for c := range s.conns {
 		if c.state == idle && time.Until(c.readDeadline) > grace {
-			c.setReadDeadline(grace)
+			c.setReadDeadlineLocked(grace)
 		}
 	}
 }
 
-// Wait returns nil when no handler runs and no connection lingers, or the context's error.
+// Wait waits until no handler runs and no connection lingers. It returns the context's error if the context ends first.
 func (s *Server) Wait(ctx context.Context) error {
 	for {
 		s.mu.Lock()
@@ -252,29 +254,30 @@
 			s.mu.Unlock()
 			return nil
 		}
-		if s.idleNotify == nil {
-			s.idleNotify = make(chan struct{})
+		if s.noneBusy == nil {
+			s.noneBusy = make(chan struct{})
 		}
-		idle := s.idleNotify
+		noneBusy := s.noneBusy
 		s.mu.Unlock()
 		select {
-		case <-idle:
+		case <-noneBusy:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// addBusy changes the number of connections that Wait waits for. The caller holds the lock.
-func (s *Server) addBusy(delta int) {
+// addBusyLocked adds to the number of connections that Wait waits for. The caller must hold s.mu.
+func (s *Server) addBusyLocked(delta int) {
 	s.busy += delta
-	if s.busy == 0 && s.idleNotify != nil {
-		close(s.idleNotify)
-		s.idleNotify = nil
+	if s.busy == 0 && s.noneBusy != nil {
+		close(s.noneBusy)
+		s.noneBusy = nil
 	}
 }
 
-// Close closes the listeners and all connections, also those with a request in flight. It returns the first error of a listener.
+// Close closes the listeners and all connections, including those with a request in flight. It returns the first error from closing
+// a listener.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,12 +290,12 @@
 	}
 	clear(s.listeners)
 	for c := range s.conns {
-		_ = c.socket.Close()
+		_ = c.netConn.Close()
 	}
 	return first
 }
 
-// Counts returns the counters and gauges.
+// Counts returns the current values of the counters and gauges.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	open := len(s.conns)
@@ -305,7 +308,7 @@
 		Requests:           counters.requests.Load(),
 		Malformed:          counters.malformed.Load(),
 		TimedOut:           counters.timedOut.Load(),
-		ClientsGone:        counters.clientsGone.Load(),
+		ClientsGone:        counters.clientDisconnects.Load(),
 		DuplicateResponses: counters.duplicateResponses.Load(),
 		MissingResponses:   counters.missingResponses.Load(),
 		AbortedResponses:   counters.abortedResponses.Load(),
--- a/internal/dataplane/httpserver/timeout_test.go
+++ b/internal/dataplane/httpserver/timeout_test.go
@@ -7,61 +7,61 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// A body that is sent slowly ends with the request timeout, not with the longer header timeout.
+// A request whose body is sent too slowly is rejected at the request timeout, not only at the longer header timeout.
 func TestServer_bodyAfterRequestTimeout(t *testing.T) {
-	requested := make(chan string, 8)
+	seenRequests := make(chan string, 8)
 	server := startServer(t, Options{
-		Handler: func(*ResponseWriter, *Request) { t.Error("served") },
+		Handler: func(*ResponseWriter, *Request) { t.Error("the handler was called for an incomplete request") },
 		Limits:  func() configuration.Limits { return configuration.Limits{HeaderTimeout: time.Hour} },
 		RequestTimeout: func(r *Request) time.Duration {
-			requested <- r.Host + r.Path + r.Header.Get("A")
+			seenRequests <- r.Host + r.Path + r.Header.Get("A")
 			return 50 * time.Millisecond
 		},
 	})
-	heads := [][]string{
+	requests := [][]string{
 		{"POST /a?b HTTP/1.1\r\nHost: h\r\nA: c\r\nContent-Length: 9\r\n\r\n"},
 		{"POST /a?b HTTP/1.1\r\nHost: h\r\nA: c\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n"},
 		{"POST /a?b HTTP/1.1\r\n", "Host: h\r\nA: c\r\nContent-Length: 9\r\n\r\n"},
 	}
-	for _, pieces := range heads {
+	for _, pieces := range requests {
 		client := server.dial()
-		for _, chunk := range pieces {
-			client.send(chunk)
-			server.await(func(states map[connState]int) bool { return states[reading]+states[lingering] == 1 })
+		for _, piece := range pieces {
+			client.send(piece)
+			server.waitForStates(func(states map[connState]int) bool { return states[reading]+states[lingering] == 1 })
 		}
 		client.send("x")
-		client.expect(408, "")
-		if asked := <-requested; asked != "h/ac" {
-			t.Errorf("asked for %q", asked)
+		client.expectResponse(408, "")
+		if seen := <-seenRequests; seen != "h/ac" {
+			t.Errorf("host, path and field A passed to RequestTimeout: got %q, want %q", seen, "h/ac")
 		}
 	}
 }
 
-// A stream to a client that does not read ends with SetWriteTimeout, not with the longer timeout of one write.
+// A stream to a client that does not read fails at the timeout of SetWriteTimeout, not only at the longer Options.WriteTimeout.
 func TestResponseWriter_SetWriteTimeout(t *testing.T) {
-	failed := make(chan time.Duration, 1)
+	elapsed := make(chan time.Duration, 1)
 	server := startServer(t, Options{WriteTimeout: time.Hour, Handler: func(w *ResponseWriter, r *Request) {
-		began := time.Now()
+		start := time.Now()
 		w.SetWriteTimeout(50 * time.Millisecond)
 		_ = w.WriteHeader(200, nil)
 		chunk := make([]byte, 1<<20)
 		for w.WriteChunk(chunk) == nil {
 		}
-		failed <- time.Since(began)
+		elapsed <- time.Since(start)
 	}})
 	client := server.dial()
 	client.send(getRequest)
 	select {
-	case took := <-failed:
+	case took := <-elapsed:
 		if took < 50*time.Millisecond {
-			t.Errorf("the write ends after %v", took)
+			t.Errorf("writes failed after %v, want 50ms or later", took)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the write does not end")
+		t.Fatalf("writes to a client that does not read did not fail within %v", testTimeout)
 	}
 }
 
-// A response that is due just at the end of the request's time is written.
+// A response that is due at the moment when the write timeout ends is still written.
 func TestResponseWriter_SetWriteTimeout_responseAtDeadline(t *testing.T) {
 	server := startServer(t, Options{Handler: func(w *ResponseWriter, r *Request) {
 		w.SetWriteTimeout(-time.Second)
@@ -69,5 +69,5 @@
 	}})
 	client := server.dial()
 	client.send(getRequest)
-	client.expect(504, "late")
+	client.expectResponse(504, "late")
 }
--- a/internal/dataplane/httpserver/unconfirmed_limits_test.go
+++ b/internal/dataplane/httpserver/unconfirmed_limits_test.go
@@ -7,7 +7,7 @@
 	"ospreybend/internal/controlplane/configuration"
 )
 
-// A request beyond a limit that may not be in force any more is answered 503, so that the client retries it.
+// A request beyond a limit that may be out of date is rejected with status 503, so that the client retries it.
 func TestServer_limitsUnconfirmed(t *testing.T) {
 	limits := func() configuration.Limits { return configuration.Limits{MaxHeaderBytes: 512, MaxBodyBytes: 16} }
 	server := startServer(t, Options{Handler: echo, Limits: limits, LimitsConfirmed: func() bool { return false }})
@@ -19,11 +19,11 @@
 	} {
 		client := server.dial()
 		client.send(text)
-		if response := client.expect(503, ""); response.Header.Get("Retry-After") == "" || !response.Close {
-			t.Errorf("%s: %v", name, response.Header)
+		if response := client.expectResponse(503, ""); response.Header.Get("Retry-After") == "" || !response.Close {
+			t.Errorf("%s: got header %v, Close %v, want Retry-After and Connection: close", name, response.Header, response.Close)
 		}
 	}
 	client := server.dial()
 	client.send("GET  /a HTTP/1.1\r\nHost: h\r\n\r\n")
-	client.expect(400, "")
+	client.expectResponse(400, "")
 }
