--- a/internal/dataplane/dispatch/harness_test.go
+++ b/internal/dataplane/dispatch/harness_test.go
@@ -318,7 +318,7 @@
 
 func (c *recordingClient) WriteChunk(chunk []byte) error {
 	if c.writesFail {
-		return httpserver.ErrClientGone
+		return httpserver.ErrConnectionClosed
 	}
 	c.body += string(chunk)
 	c.eventTimes = append(c.eventTimes, c.harness.now())
--- a/internal/dataplane/httpserver/api.go
+++ b/internal/dataplane/httpserver/api.go
@@ -11,12 +11,12 @@
 
 // Errors returned by a ResponseWriter. I/O errors of the connection are returned unchanged.
 var (
-	// ErrAlreadyAnswered means that a response to the request was already written, completely or in part.
-	ErrAlreadyAnswered = errors.New("httpserver: a response to the request was already written")
+	// ErrResponseWritten means that a response to the request was already written, completely or in part.
+	ErrResponseWritten = errors.New("httpserver: a response to the request was already written")
 	// ErrNotStarted means that WriteHeader was not called before Flush, WriteChunk or Finish.
 	ErrNotStarted = errors.New("httpserver: the response was not started by WriteHeader")
-	// ErrClientGone means that the client's connection is closed.
-	ErrClientGone = errors.New("httpserver: the client's connection is closed")
+	// ErrConnectionClosed means that the client's connection is closed.
+	ErrConnectionClosed = errors.New("httpserver: the client's connection is closed")
 )
 
 // Handler serves one request. When it returns, the request is finished: if no response was started, the server responds with status
@@ -71,7 +71,7 @@
 	Requests           int64 // requests passed to the handler
 	Malformed          int64 // requests rejected as malformed or beyond a limit
 	TimedOut           int64 // requests not received completely in time
-	ClientsGone        int64 // clients that closed their connection during a request
+	ClientDisconnects  int64 // clients that closed their connection during a request
 	DuplicateResponses int64 // calls of a ResponseWriter that failed because a response was already written
 	MissingResponses   int64 // handlers that returned without starting a response
 	AbortedResponses   int64 // responses that were started and not completed
--- a/internal/dataplane/httpserver/client_disconnect_test.go
+++ b/internal/dataplane/httpserver/client_disconnect_test.go
@@ -49,14 +49,14 @@
 				closeClient(client)
 				select {
 				case err := <-writeErr:
-					if !errors.Is(err, ErrClientGone) {
-						t.Errorf("WriteResponse after the client has disconnected: got error %v, want %v", err, ErrClientGone)
+					if !errors.Is(err, ErrConnectionClosed) {
+						t.Errorf("WriteResponse after the client has disconnected: got error %v, want %v", err, ErrConnectionClosed)
 					}
 				case <-time.After(testTimeout):
 					t.Fatalf("the request's context was not canceled within %v", testTimeout)
 				}
-				if counts := server.Counts(); counts.ClientsGone != 1 || counts.Requests != 1 {
-					t.Errorf("counts: got %+v, want ClientsGone 1 and Requests 1", counts)
+				if counts := server.Counts(); counts.ClientDisconnects != 1 || counts.Requests != 1 {
+					t.Errorf("counts: got %+v, want ClientDisconnects 1 and Requests 1", counts)
 				}
 			})
 		}
--- a/internal/dataplane/httpserver/conn.go
+++ b/internal/dataplane/httpserver/conn.go
@@ -258,7 +258,7 @@
 }
 
 // handleDisconnect closes the connection after the client has closed it or a read has failed. Further writes of an incomplete
-// response fail with ErrClientGone.
+// response fail with ErrConnectionClosed.
 func (c *conn) handleDisconnect(writer *ResponseWriter) {
 	c.server.mu.Lock()
 	inFlight := c.state == handling
--- a/internal/dataplane/httpserver/lifecycle_test.go
+++ b/internal/dataplane/httpserver/lifecycle_test.go
@@ -32,8 +32,8 @@
 		client.netConn.Close()
 		select {
 		case err := <-writeErr:
-			if !errors.Is(err, ErrClientGone) {
-				t.Errorf("WriteResponse after the client has closed (reset: %v): got error %v, want %v", reset, err, ErrClientGone)
+			if !errors.Is(err, ErrConnectionClosed) {
+				t.Errorf("WriteResponse after the client has closed (reset: %v): got error %v, want %v", reset, err, ErrConnectionClosed)
 			}
 		case <-time.After(testTimeout):
 			t.Fatalf("client closes (reset: %v): the request's context was not canceled within %v", reset, testTimeout)
--- a/internal/dataplane/httpserver/responsewriter.go
+++ b/internal/dataplane/httpserver/responsewriter.go
@@ -56,7 +56,7 @@
 	bufferPool.Put(buffer)
 }
 
-// WriteResponse sends a complete response in one write. It returns ErrAlreadyAnswered if a response was already written, completely
+// WriteResponse sends a complete response in one write. It returns ErrResponseWritten if a response was already written, completely
 // or in part; a response that was only started by WriteHeader is replaced. The server sets Content-Length, Connection, Keep-Alive
 // and Transfer-Encoding itself and ignores them in header.
 func (w *ResponseWriter) WriteResponse(status int, header http1.Header, body []byte) error {
@@ -87,7 +87,7 @@
 }
 
 // checkState returns nil if the response is in one of the allowed states, and otherwise the error to return to the caller. A call
-// that fails with ErrAlreadyAnswered is counted in Counts.DuplicateResponses.
+// that fails with ErrResponseWritten is counted in Counts.DuplicateResponses.
 func (w *ResponseWriter) checkState(allowed ...responseState) error {
 	for _, state := range allowed {
 		if w.state == state {
@@ -96,12 +96,12 @@
 	}
 	switch w.state {
 	case aborted:
-		return ErrClientGone
+		return ErrConnectionClosed
 	case notStarted:
 		return ErrNotStarted
 	}
 	w.conn.server.counts.duplicateResponses.Add(1)
-	return ErrAlreadyAnswered
+	return ErrResponseWritten
 }
 
 // WriteHeader starts a streamed response. The head is written together with the first chunk, or by Flush.
--- a/internal/dataplane/httpserver/server.go
+++ b/internal/dataplane/httpserver/server.go
@@ -308,7 +308,7 @@
 		Requests:           counters.requests.Load(),
 		Malformed:          counters.malformed.Load(),
 		TimedOut:           counters.timedOut.Load(),
-		ClientsGone:        counters.clientDisconnects.Load(),
+		ClientDisconnects:  counters.clientDisconnects.Load(),
 		DuplicateResponses: counters.duplicateResponses.Load(),
 		MissingResponses:   counters.missingResponses.Load(),
 		AbortedResponses:   counters.abortedResponses.Load(),
--- a/internal/dataplane/httpserver/server_test.go
+++ b/internal/dataplane/httpserver/server_test.go
@@ -178,8 +178,8 @@
 		if err := w.Finish([]byte("last")); err != nil {
 			t.Errorf("Finish: %v", err)
 		}
-		if err := w.WriteResponse(200, nil, nil); !errors.Is(err, ErrAlreadyAnswered) {
-			t.Errorf("WriteResponse after Finish: got error %v, want %v", err, ErrAlreadyAnswered)
+		if err := w.WriteResponse(200, nil, nil); !errors.Is(err, ErrResponseWritten) {
+			t.Errorf("WriteResponse after Finish: got error %v, want %v", err, ErrResponseWritten)
 		}
 	}
 }
--- a/internal/dataplane/proxy/exposition.go
+++ b/internal/dataplane/proxy/exposition.go
@@ -72,7 +72,7 @@
 		exposition.NewCounter("router_proxy_client_requests_total", "Requests read from clients.", counts.Requests),
 		exposition.NewCounter("router_proxy_client_requests_malformed_total", "Requests that cannot be parsed.", counts.Malformed),
 		exposition.NewCounter("router_proxy_client_requests_timed_out_total", "Requests that did not arrive completely in time.", counts.TimedOut),
-		exposition.NewCounter("router_proxy_client_gone_total", "Connections that a client closed amid a request.", counts.ClientsGone),
+		exposition.NewCounter("router_proxy_client_gone_total", "Connections that a client closed amid a request.", counts.ClientDisconnects),
 		exposition.NewGauge("router_proxy_client_connections_open", "Open connections of clients.", counts.Open),
 		exposition.NewGauge("router_proxy_client_requests_in_flight", "Requests that are being served.", counts.InFlight),
 	}
--- a/internal/dataplane/proxy/metrics.go
+++ b/internal/dataplane/proxy/metrics.go
@@ -80,7 +80,7 @@
 		{"http_server_requests", counts.Requests},
 		{"http_server_malformed", counts.Malformed},
 		{"http_server_timed_out", counts.TimedOut},
-		{"http_server_clients_gone", counts.ClientsGone},
+		{"http_server_clients_gone", counts.ClientDisconnects},
 		{"http_server_duplicate_responses", counts.DuplicateResponses},
 		{"http_server_missing_responses", counts.MissingResponses},
 		{"http_server_aborted_responses", counts.AbortedResponses},
--- a/internal/dataplane/proxy/metrics_test.go
+++ b/internal/dataplane/proxy/metrics_test.go
@@ -58,7 +58,7 @@
 	appendMetrics(&text, dispatchMetrics(dispatch.Counts{Requests: 1, Unrouted: 2, Rejected: 3, Failed: 4, Aborted: 5, Canceled: 6,
 		Prefills: 7, Runs: 8, Retries: 9, Resumed: 10, HandlesFreed: 11, HandlesDropped: 12}))
 	appendMetrics(&text, serverMetrics(httpserver.Counts{Accepted: 13, Rejected: 14, Evicted: 15, Requests: 16, Malformed: 17,
-		TimedOut: 18, ClientsGone: 19, DuplicateResponses: 20, MissingResponses: 21, AbortedResponses: 22, Open: 23, InFlight: 24}))
+		TimedOut: 18, ClientDisconnects: 19, DuplicateResponses: 20, MissingResponses: 21, AbortedResponses: 22, Open: 23, InFlight: 24}))
 	appendMetrics(&text, upstreamMetrics(upstream.Counts{Dials: 25, DialsFailed: 26, Reused: 27, Stale: 28, Unsolicited: 29,
 		MismatchedResponses: 30, Expired: 31, Open: 32, Idle: 33}))
 	if text.String() != metricsPage {
