--- a/internal/node/protocol/admin.go
+++ b/internal/node/protocol/admin.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	recordTimeout             = 700 * time.Millisecond // to store a manual override: the answer is due within 1 s
-	avoidedFailureProbability = 0.5                    // from which on the balancer avoids a destination
+	recordTimeout             = 700 * time.Millisecond // for storing a manual override: the answer is due within 1 s
+	avoidedFailureProbability = 0.5                    // at which the balancer avoids a destination
 )
 
 // AdminConfig configures the operators' address.
@@ -26,17 +26,18 @@
 	MaxBufferedBytes int
 	Classes          []string // names of the request classes, by number
 	Ready            func() bool
-	// RecordOverride stores a manual override for the next process of this node, off the loop, and
-	// calls done on the loop with the overrides now in force. nil: they are kept in memory alone.
-	RecordOverride func(name string, out bool, done func(override.Overrides, error))
-	// ZoneCommand sends a command on a zone to the fleet's voters and calls done on the loop with
+	// RecordOverride stores a manual override for the next process of this node. It works outside
+	// the loop and calls done on the loop with the overrides now in force. nil: they are kept only
+	// in memory.
+	RecordOverride func(name string, disable bool, done func(override.Overrides, error))
+	// ZoneCommand sends a command for a zone to the fleet's voters and calls done on the loop with
 	// the result. FleetStatus returns the fleet's status as text. nil: the node belongs to no fleet.
-	ZoneCommand func(zone, do, reason string, span time.Duration, done func(error))
+	ZoneCommand func(zone, command, reason string, duration time.Duration, done func(error))
 	FleetStatus func() []byte
 }
 
 // Admin serves the operators' address: readiness, metrics, manual overrides that disable
-// or enable a prep worker, and the fleet's calls. Each connection serves one call.
+// or enable a prep worker, and the calls for the fleet. Each connection serves one call.
 type Admin struct {
 	*Server
 	config       AdminConfig
@@ -47,8 +48,8 @@
 	overrides    override.Overrides
 }
 
-// NewAdmin returns the operators' front; Start opens it. overrides are those that Discovery
-// applies to the endpoint list: both share the map.
+// NewAdmin returns the server for operators; Start opens it. overrides is the map that Discovery
+// applies to the endpoint list: both share it.
 func NewAdmin(config AdminConfig, loop *eventloop.Loop, core *routing.Core, discovery *Discovery, destinations *Destinations,
 	overrides override.Overrides) *Admin {
 	a := &Admin{config: config, loop: loop, core: core, discovery: discovery, destinations: destinations, overrides: overrides}
@@ -93,11 +94,11 @@
 }
 
 const (
-	defaultZoneCommandTime = 10 * time.Minute // that a zone command is in force, if it names no time
+	defaultZoneCommandTime = 10 * time.Minute // how long a zone command that names no time is in force
 	maxZoneCommandTime     = 24 * time.Hour
 )
 
-// handleFleet answers the calls that concern the fleet. It reports whether this is one.
+// handleFleet answers a call for the fleet. It reports whether the call is one.
 func (a *Admin) handleFleet(call *Call, path string) bool {
 	if path == "/-/fleet" {
 		if allowMethod(call, "GET") {
@@ -105,7 +106,7 @@
 		}
 		return true
 	}
-	name, do, ok := strings.Cut(strings.TrimPrefix(path, "/-/zones/"), "/")
+	name, command, ok := strings.Cut(strings.TrimPrefix(path, "/-/zones/"), "/")
 	zone, err := url.PathUnescape(name)
 	if !strings.HasPrefix(path, "/-/zones/") || !ok || err != nil || zone == "" {
 		return false
@@ -119,15 +120,15 @@
 		call.Reject(400, "the query cannot be read")
 		return true
 	}
-	span := defaultZoneCommandTime
+	duration := defaultZoneCommandTime
 	if text := values.Get("for"); text != "" {
-		if span, err = time.ParseDuration(text); err != nil || span <= 0 || span > maxZoneCommandTime {
+		if duration, err = time.ParseDuration(text); err != nil || duration <= 0 || duration > maxZoneCommandTime {
 			call.Reject(400, "for: a time above 0, at most 24h, is wanted")
 			return true
 		}
 	}
-	slog.Info("zone command received", "zone", zone, "do", do, "reason", values.Get("reason"), "for", span)
-	a.config.ZoneCommand(zone, do, values.Get("reason"), span, func(err error) {
+	slog.Info("zone command received", "zone", zone, "do", command, "reason", values.Get("reason"), "for", duration)
+	a.config.ZoneCommand(zone, command, values.Get("reason"), duration, func(err error) {
 		if err != nil {
 			call.Reply(503, "Content-Type: text/plain\r\n", []byte(err.Error()+"\n"))
 			return
@@ -137,7 +138,7 @@
 	return true
 }
 
-// allowMethod reports whether the call has the method, and answers 405 if not.
+// allowMethod reports whether the call has the given method, and answers 405 if not.
 func allowMethod(c *Call, method string) bool {
 	if string(c.Method) != method {
 		c.Reply(405, "Allow: "+method+"\r\n", []byte("only "+method+" is allowed\n"))
@@ -146,17 +147,17 @@
 	return true
 }
 
-// setOverride disables a prep worker (out) or enables it again. Disabling takes effect at
-// once, whether or not the override can be stored. Enabling takes effect once it is stored,
-// so that an error leaves the prep worker disabled.
-func (a *Admin) setOverride(call *Call, name string, out bool) {
+// setOverride disables a prep worker or enables it again. Disabling takes effect immediately,
+// whether or not the override can be stored. Enabling takes effect when it has been stored, so
+// that an error leaves the prep worker disabled.
+func (a *Admin) setOverride(call *Call, name string, disable bool) {
 	worker, known := a.discovery.Find(name)
-	if _, spoken := a.overrides[name]; !known && !spoken {
+	if _, overridden := a.overrides[name]; !known && !overridden {
 		call.Reject(404, "no such prep worker")
 		return
 	}
-	slog.Info("manual override received", "prep_worker", name, "out", out)
-	if out {
+	slog.Info("manual override received", "prep_worker", name, "out", disable)
+	if disable {
 		a.overrides.Set(name, true, a.loop.Now())
 		a.applyOverride(worker)
 	}
@@ -168,7 +169,7 @@
 		}
 	}
 	if a.config.RecordOverride == nil {
-		if !out {
+		if !disable {
 			a.overrides.Set(name, false, a.loop.Now())
 			a.applyOverride(worker)
 		}
@@ -176,34 +177,34 @@
 		return
 	}
 	timeout := a.loop.Timers.Add(a.loop.Now()+recordTimeout, func() { reply(503, "the record in TMPDIR takes too long") })
-	a.config.RecordOverride(name, out, func(now override.Overrides, err error) {
+	a.config.RecordOverride(name, disable, func(current override.Overrides, err error) {
 		a.loop.Timers.Cancel(timeout)
 		if err != nil {
-			slog.Error("manual override not stored", "prep_worker", name, "out", out, "fault", err)
+			slog.Error("manual override not stored", "prep_worker", name, "out", disable, "fault", err)
 			reply(500, "it is out in this process, but not recorded in TMPDIR: an upgrade would forget it")
 			return
 		}
-		a.Merge(now)
+		a.Merge(current)
 		reply(200, "done")
 	})
 }
 
-// Merge applies the overrides that another process of this node has stored.
-func (a *Admin) Merge(words override.Overrides) {
-	for _, name := range a.overrides.Merge(words) {
+// Merge applies overrides stored by this process or another one of this node.
+func (a *Admin) Merge(stored override.Overrides) {
+	for _, name := range a.overrides.Merge(stored) {
 		slog.Info("manual override applied", "prep_worker", name, "out", a.overrides.Out(name), "recorded", true)
 		a.applyOverride(workerIDOf(name))
 	}
 }
 
-// applyOverride makes a changed override take effect. Connections made before are not used
-// any more, since a prep worker is restarted while it is disabled.
+// applyOverride makes a changed override take effect. Earlier connections are not used any
+// more, since a prep worker is restarted while it is disabled.
 func (a *Admin) applyOverride(id balance.WorkerID) {
 	a.destinations.InvalidateConnections(id)
 	a.discovery.Republish(id)
 }
 
-// Metrics returns the metrics in statsd's text format, one a line.
+// Metrics returns the metrics in the text format of statsd, one per line.
 func (a *Admin) Metrics() []byte {
 	var buffer bytes.Buffer
 	line := func(name string, v uint64, kind string) {
@@ -232,8 +233,8 @@
 // countExcluded returns the number of listed prep workers that are disabled by an override
 // or avoided by the balancer.
 func (a *Admin) countExcluded() (n int) {
-	a.core.EachWorker(func(id balance.WorkerID, _ balance.State, doubt float64) {
-		if doubt >= avoidedFailureProbability || a.overrides.Out(a.discovery.names[id]) {
+	a.core.EachWorker(func(id balance.WorkerID, _ balance.State, failureProbability float64) {
+		if failureProbability >= avoidedFailureProbability || a.overrides.Out(a.discovery.names[id]) {
 			n++
 		}
 	})
--- a/internal/node/protocol/admin_test.go
+++ b/internal/node/protocol/admin_test.go
@@ -13,66 +13,66 @@
 )
 
 // withAdmin opens the operators' address of a fixture. record may be nil.
-func (w *fixture) withAdmin(t *testing.T, record func(string, bool, func(override.Overrides, error))) (a *Admin) {
+func (fx *fixture) withAdmin(t *testing.T, store func(string, bool, func(override.Overrides, error))) (a *Admin) {
 	t.Helper()
-	at := scriptedpeer.FreeAddress(t)
-	w.Loop.Call(func() {
-		w.discovery.config.Overrides = override.Overrides{}
-		a = NewAdmin(AdminConfig{Listen: at, MaxSockets: 12, MaxBufferedBytes: 64 << 10, Classes: []string{"pruefen", "buchen"},
-			Ready: w.core.AnyReady, RecordOverride: record}, w.Loop, w.core, w.discovery, w.destinations, w.discovery.config.Overrides)
+	address := scriptedpeer.FreeAddress(t)
+	fx.Loop.Call(func() {
+		fx.discovery.config.Overrides = override.Overrides{}
+		a = NewAdmin(AdminConfig{Listen: address, MaxSockets: 12, MaxBufferedBytes: 64 << 10, Classes: []string{"pruefen", "buchen"},
+			Ready: fx.core.AnyReady, RecordOverride: store}, fx.Loop, fx.core, fx.discovery, fx.destinations, fx.discovery.config.Overrides)
 		if err := a.Start(); err != nil {
 			t.Error(err)
 		}
 	})
-	w.Serve("admin", at)
+	fx.Serve("admin", address)
 	return a
 }
 
 // call makes one call, and looks for a text in the answer.
-func (w *fixture) call(t *testing.T, line, want string) {
+func (fx *fixture) call(t *testing.T, line, want string) {
 	t.Helper()
-	w.Play(lines("o dial admin", "o send "+line+` HTTP/1.1\r\nHost: x\r\n\r\n`, "o closed"))
-	if got := w.Unread("o"); !strings.Contains(got, want) {
+	fx.Play(lines("o dial admin", "o send "+line+` HTTP/1.1\r\nHost: x\r\n\r\n`, "o closed"))
+	if got := fx.Unread("o"); !strings.Contains(got, want) {
 		t.Errorf("%s: %q, want %s", line, got, want)
 	}
 }
 
-func (w *fixture) expectMetrics(t *testing.T, want ...string) {
+func (fx *fixture) expectMetrics(t *testing.T, want ...string) {
 	t.Helper()
 	for _, line := range want {
-		w.call(t, "GET /-/metrics", "\nbalancer."+line+"\n")
+		fx.call(t, "GET /-/metrics", "\nbalancer."+line+"\n")
 	}
 }
 
 // All calls and their errors. Any number of callers that send nothing, or an incomplete
 // call, delay nobody.
 func TestAdmin_calls(t *testing.T) {
-	w := newFixture(t, nil)
-	a := w.withAdmin(t, nil)
+	fx := newFixture(t, nil)
+	a := fx.withAdmin(t, nil)
 	for i := range 30 {
 		name := fmt.Sprint("silent", i)
-		w.Play(name + " dial admin")
+		fx.Play(name + " dial admin")
 		if i%2 == 0 {
-			w.Play(name + ` send GET /-/re`)
+			fx.Play(name + ` send GET /-/re`)
 		}
-		w.WaitUntil(func() bool { return a.listener.Pending() == 0 })
-		w.Advance(300 * time.Millisecond)
+		fx.WaitUntil(func() bool { return a.listener.Pending() == 0 })
+		fx.Advance(300 * time.Millisecond)
 	}
 	for _, c := range [][2]string{{"GET /-/ready", " 200 "}, {"PUT /-/ready", " 405 "}, {"PUT /-/metrics", "Allow: GET\r\n"},
 		{"GET /-/prep-workers/s-1/disable", "Allow: PUT\r\n"}, {"PUT /-/prep-workers/nobody/disable", " 404 "},
 		{"PUT /-/prep-workers/nobody/enable", " 404 "}, {"PUT /-/prep-workers/s-1/burn", " 404 "},
 		{"PUT /-/prep-workers/%zz/disable", " 404 "}, {"PUT /-/prep-workers/s%2D1/disable", " 200 "},
 		{"PUT /-/prep-workers/s-2/enable", " 200 "}, {"GET /", " 404 "}, {"GET /healthz", " 404 "}, {"what is this", " 400 "}} {
-		w.call(t, c[0], c[1])
+		fx.call(t, c[0], c[1])
 	}
 }
 
 // The fleet's calls exist only where the node belongs to one.
 func TestAdmin_fleetCalls(t *testing.T) {
-	w := newFixture(t, nil)
-	a := w.withAdmin(t, nil)
-	w.call(t, "GET /-/fleet", " 404 ")
-	w.Loop.Call(func() {
+	fx := newFixture(t, nil)
+	a := fx.withAdmin(t, nil)
+	fx.call(t, "GET /-/fleet", " 404 ")
+	fx.Loop.Call(func() {
 		a.config.FleetStatus = func() []byte { return []byte("epoch 7\n") }
 		a.config.ZoneCommand = func(zone, do, reason string, span time.Duration, done func(error)) {
 			if zone != "b 1" || do != "leave" || reason != "works" || span != 30*time.Minute && span != defaultZoneCommandTime {
@@ -86,18 +86,18 @@
 		{"PUT /-/zones/b%201/leave?reason=works", " 200 "}, {"PUT /-/zones/b/leave?reason=works", " 503 "}, {"GET /-/zones/b/leave", " 405 "},
 		{"PUT /-/zones/b/leave?for=soon", " 400 "}, {"PUT /-/zones/b/leave?for=48h", " 400 "}, {"PUT /-/zones/b/leave?reason=%zz", " 400 "},
 		{"PUT /-/zones/b", " 404 "}} {
-		w.call(t, c[0], c[1])
+		fx.call(t, c[0], c[1])
 	}
 }
 
 // The metrics count what clients and prep workers have seen: a request in progress, served,
 // rejected by a prep worker, abandoned by its client.
 func TestAdmin_Metrics(t *testing.T) {
-	w := newFixture(t, nil)
-	w.withAdmin(t, nil)
-	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi")
-	w.expectMetrics(t, "attempts:1|c", "in_flight:1|g", "prep_workers_known:2|g", "prep_workers_excluded:0|g")
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.withAdmin(t, nil)
+	fx.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi")
+	fx.expectMetrics(t, "attempts:1|c", "in_flight:1|g", "prep_workers_known:2|g", "prep_workers_excluded:0|g")
+	fx.Play(`
 		s send HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n{done}
 		c expect fine
 		c send {book}
@@ -112,37 +112,37 @@
 		d close
 		e closed
 	`)
-	w.call(t, "PUT /-/prep-workers/s-1/disable", " 200 ")
-	w.expectMetrics(t, "refused.pruefen:0|c", "failed.pruefen:0|c", "served.buchen:0|c", "failed.buchen:1|c", "attempts:3|c",
+	fx.call(t, "PUT /-/prep-workers/s-1/disable", " 200 ")
+	fx.expectMetrics(t, "refused.pruefen:0|c", "failed.pruefen:0|c", "served.buchen:0|c", "failed.buchen:1|c", "attempts:3|c",
 		"in_flight:0|g", "prep_workers_known:2|g", "prep_workers_excluded:1|g")
-	w.call(t, "GET /-/metrics", "balancer.served.pruefen:1|c\n")
-	w.checkTotals(t)
+	fx.call(t, "GET /-/metrics", "balancer.served.pruefen:1|c\n")
+	fx.checkTotals(t)
 }
 
 // A disabled prep worker gets nothing new, whatever the list says. Once enabled, its start is
 // the time of the call, and earlier connections are not used again.
-func TestAdmin_overrideOutAndBack(t *testing.T) {
-	w := newFixture(t, nil)
-	w.withAdmin(t, nil)
+func TestAdmin_overrideDisableAndEnable(t *testing.T) {
+	fx := newFixture(t, nil)
+	fx.withAdmin(t, nil)
 	s1 := workerIDOf("s-1")
 	ready := func() (is bool) {
-		w.Loop.Call(func() {
-			w.core.EachWorker(func(id balance.WorkerID, s balance.State, _ float64) { is = is || id == s1 && s == balance.Ready })
+		fx.Loop.Call(func() {
+			fx.core.EachWorker(func(id balance.WorkerID, s balance.State, _ float64) { is = is || id == s1 && s == balance.Ready })
 		})
 		return is
 	}
-	w.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi")
+	fx.Play("c dial front\nc send {ask}\ns accept workers\ns expect hi")
 	for _, name := range []string{"s-1", "s-2"} {
-		w.call(t, "PUT /-/prep-workers/"+name+"/disable", " 200 ")
+		fx.call(t, "PUT /-/prep-workers/"+name+"/disable", " 200 ")
 	}
 	for i, state := range []string{"Terminating", "Gone", "Ready", "Ready"} {
-		list := EndpointList{Version: uint64(8 + i), Entries: []Endpoint{{Name: "s-1", Address: w.destinations.byID[workerIDOf("s-2")].address, State: state, Weight: 1}}}
-		w.Loop.Call(func() { w.discovery.publish(balance.ListKind(i/3), list) }) // the last is a snapshot
+		list := EndpointList{Version: uint64(8 + i), Entries: []Endpoint{{Name: "s-1", Address: fx.destinations.byID[workerIDOf("s-2")].address, State: state, Weight: 1}}}
+		fx.Loop.Call(func() { fx.discovery.publish(balance.ListKind(i/3), list) }) // the last is a snapshot
 		if ready() {
 			t.Errorf("listed %s: ready though disabled by an override", state)
 		}
 		if i == 2 {
-			w.Play(`
+			fx.Play(`
 				x dial front
 				x send POST /pruefen HTTP/1.1\r\nReq-Id: x\r\nReq-Deadline: 0.2\r\n\r\n
 				wait 300ms
@@ -150,16 +150,16 @@
 			`)
 		}
 	}
-	w.call(t, "PUT /-/prep-workers/s-1/enable", " 200 ")
-	var laid balance.WorkerListing
+	fx.call(t, "PUT /-/prep-workers/s-1/enable", " 200 ")
+	var listing balance.WorkerListing
 	var now time.Duration
-	w.Loop.Call(func() { laid, now = w.discovery.effective(s1, w.discovery.listed[s1]), w.Loop.Now() })
-	if !ready() || now-laid.Started > time.Second {
-		t.Errorf("called back: ready %v, counts as started %v ago", ready(), now-laid.Started)
+	fx.Loop.Call(func() { listing, now = fx.discovery.effective(s1, fx.discovery.listed[s1]), fx.Loop.Now() })
+	if !ready() || now-listing.Started > time.Second {
+		t.Errorf("called back: ready %v, counts as started %v ago", ready(), now-listing.Started)
 	}
-	w.Play("s send {stream}{done}\nc expect fine\ns closed\nc send {ask}\nr accept workers\nr expect hi")
+	fx.Play("s send {stream}{done}\nc expect fine\ns closed\nc send {ask}\nr accept workers\nr expect hi")
 	// Beside a process that uses the slow-start allowance this one sends them nothing.
-	w.Loop.Call(func() { w.discovery.config.WarmupTime = time.Minute; w.discovery.ExcludeWarmingUp() })
+	fx.Loop.Call(func() { fx.discovery.config.WarmupTime = time.Minute; fx.discovery.ExcludeWarmingUp() })
 	if ready() {
 		t.Error("a worker that warms up is ready beside the process that uses its allowance")
 	}
@@ -167,22 +167,22 @@
 
 // An override that cannot be stored is answered with an error within a second. Disabling
 // takes effect all the same; enabling does not.
-func TestAdmin_overrideNotRecorded(t *testing.T) {
-	for _, fails := range []bool{true, false} { // or it hangs
-		w := newFixture(t, nil)
-		records := 0 // on the loop
-		a := w.withAdmin(t, func(_ string, _ bool, done func(override.Overrides, error)) {
-			records++
-			if fails {
+func TestAdmin_overrideNotStored(t *testing.T) {
+	for _, storeFails := range []bool{true, false} { // or it hangs
+		fx := newFixture(t, nil)
+		storeCalls := 0 // on the loop
+		a := fx.withAdmin(t, func(_ string, _ bool, done func(override.Overrides, error)) {
+			storeCalls++
+			if storeFails {
 				done(nil, errors.New("no room left"))
 			}
 		})
 		for i, verb := range []string{"disable", "enable"} {
-			w.Play(`o dial admin` + "\n" + `o send PUT /-/prep-workers/s-1/` + verb + ` HTTP/1.1\r\n\r\n`)
-			w.WaitUntil(func() bool { return records == i+1 })
-			w.Play("wait 800ms\no expect HTTP/1.1 50\no closed")
+			fx.Play(`o dial admin` + "\n" + `o send PUT /-/prep-workers/s-1/` + verb + ` HTTP/1.1\r\n\r\n`)
+			fx.WaitUntil(func() bool { return storeCalls == i+1 })
+			fx.Play("wait 800ms\no expect HTTP/1.1 50\no closed")
 		}
-		w.Loop.Call(func() {
+		fx.Loop.Call(func() {
 			if !a.overrides.Out("s-1") {
 				t.Error("it is enabled, though the caller got an error")
 			}
--- a/internal/node/protocol/client_connection.go
+++ b/internal/node/protocol/client_connection.go
@@ -11,26 +11,26 @@
 // clientConn is one client's connection to a Server. It has at most one request being
 // received and one call in progress.
 type clientConn struct {
-	server        *Server
-	conn          *eventloop.Conn
-	handle        slottable.Handle
-	call          *Call             // in progress; nil: none
-	reader        requestReader     // of the request being received
-	requestBegan  time.Duration     // when its first byte was received, or the connection was opened
-	requestTimer  *timerqueue.Timer // for the complete request; nil: none is being received
-	lastReadAt    time.Duration     // when its last byte was received
-	fragmented    bool              // it was received in more than one read
-	bufferedBytes int               // of it
-	hasRequested  bool              // has sent a complete request before
-	lastReplyAt   time.Duration
-	sentContinue  bool
+	server           *Server
+	conn             *eventloop.Conn
+	handle           slottable.Handle
+	call             *Call             // the call in progress; nil: none
+	reader           requestReader     // parses the request being received
+	requestStartedAt time.Duration     // when the first byte of the request was received, or the connection was opened
+	requestTimer     *timerqueue.Timer // fires if the request is not complete in time; nil: none is being received
+	lastReadAt       time.Duration     // when a byte was last received
+	fragmented       bool              // the request was received in more than one read
+	bufferedBytes    int               // unprocessed input
+	hasRequested     bool              // a complete request has been received before
+	lastReplyAt      time.Duration
+	sentContinue     bool // 100 Continue has been sent for the request
 }
 
-// startRequestTimer starts the time limit of the next request, unless it is running.
+// startRequestTimer starts the time limit of the next request, unless it is running already.
 func (client *clientConn) startRequestTimer() {
 	if client.requestTimer == nil {
-		client.requestBegan = client.server.loop.Now()
-		client.requestTimer = client.server.loop.Timers.Add(client.requestBegan+requestTimeout, client.requestTimedOut)
+		client.requestStartedAt = client.server.loop.Now()
+		client.requestTimer = client.server.loop.Timers.Add(client.requestStartedAt+requestTimeout, client.requestTimedOut)
 	}
 }
 
@@ -38,7 +38,7 @@
 func (client *clientConn) requestTimedOut() {
 	client.requestTimer = nil
 	if !client.conn.NothingUnread() {
-		client.requestTimer = client.server.loop.Timers.Add(client.server.loop.Now()+readDelayBound, client.requestTimedOut) // read what has been received first
+		client.requestTimer = client.server.loop.Timers.Add(client.server.loop.Now()+readDelayBound, client.requestTimedOut) // read the received bytes first
 		return
 	}
 	if client.bufferedBytes == 0 {
@@ -55,7 +55,7 @@
 	client.remove()
 }
 
-// remove forgets the connection and calls the callback of its call in progress.
+// remove removes the connection from the server and calls the OnClientGone callback of its call in progress.
 func (client *clientConn) remove() {
 	if !client.server.sockets.Remove(client.handle) {
 		return
@@ -71,7 +71,7 @@
 	client.server.checkDrained()
 }
 
-// releaseInput ends the time limit of the request being received and releases its bytes.
+// releaseInput stops the timer of the request being received and releases its bytes.
 func (client *clientConn) releaseInput() {
 	client.server.loop.Timers.Cancel(client.requestTimer)
 	client.requestTimer = nil
@@ -83,14 +83,14 @@
 func (client *clientConn) Closed(*eventloop.Conn) { client.remove() }
 
 // Data implements eventloop.Handler: it parses and serves one request at a time. It returns
-// the number of bytes used.
+// the number of bytes processed.
 func (client *clientConn) Data(conn *eventloop.Conn, in []byte) int {
 	client.lastReadAt, client.fragmented = client.server.loop.Now(), client.bufferedBytes > 0
 	used := 0
 	for client.call == nil && conn.Open() && used < len(in) {
 		if conn.UnsentBytes() > maxUnreadReplyBytes {
 			client.server.counts.Shed++
-			client.closeAfterLastReply() // the client gets the answers that it reads until then
+			client.closeAfterLastReply() // the client still gets the answers that it reads before the close
 			break
 		}
 		m, n, err := client.reader.read(in[used:])
@@ -113,7 +113,7 @@
 		return len(in)
 	case client.call != nil && (client.call.closeAfter || len(in)-used > maxPipelinedBytes):
 		// A well-behaved client does not send so far ahead. The call in progress is answered,
-		// and the connection is closed after that.
+		// and then the connection is closed.
 		client.call.closeAfter = true
 		used = len(in)
 	case client.call == nil && used < len(in):
@@ -139,25 +139,25 @@
 }
 
 // rejectUnreadable counts and answers a malformed request, and closes the connection.
-func (client *clientConn) rejectUnreadable(why *Fault) {
-	client.server.countRejected(why.Reason)
-	client.replyError(why.Status, why.Reason, []byte(why.Reason+"\n"))
+func (client *clientConn) rejectUnreadable(fault *Fault) {
+	client.server.countRejected(fault.Reason)
+	client.replyError(fault.Status, fault.Reason, []byte(fault.Reason+"\n"))
 }
 
-// replyError answers a request that never becomes a call, and closes the connection. plain
-// is the body where the server has no FormatError.
-func (client *clientConn) replyError(status int, text string, plain []byte) {
+// replyError answers a request that does not become a call, and closes the connection.
+// plainBody is the body if the server has no FormatError.
+func (client *clientConn) replyError(status int, text string, plainBody []byte) {
 	extra := ""
 	if client.server.FormatError != nil {
-		extra, plain = client.server.FormatError(status, text)
+		extra, plainBody = client.server.FormatError(status, text)
 	}
 	if status == 503 {
 		extra += RetryAfter(time.Second)
 	}
-	client.reply(status, extra, plain, true)
+	client.reply(status, extra, plainBody, true)
 }
 
-// reply sends an answer; last closes the connection after it.
+// reply sends an answer. If last is set, the connection is closed after it.
 func (client *clientConn) reply(status int, extra string, body []byte, last bool) {
 	client.lastReplyAt = client.server.loop.Now()
 	if !client.conn.Send(AppendResponse(nil, status, extra, body, last)) {
--- a/internal/node/protocol/compatibility_test.go
+++ b/internal/node/protocol/compatibility_test.go
@@ -41,10 +41,10 @@
 
 // handoverRow is a row of a hand-over. The bytes begin with the names of the types, which a reader ignores, so the
 // meaning is compared.
-func handoverRow(name string, parcel *Handover) golden.Row {
+func handoverRow(name string, handover *Handover) golden.Row {
 	return golden.Row{
-		Name: name, Value: parcel, SameMeaning: true, Encode: parcel.Encode,
-		Decode: func(encoded []byte) (any, error) { return DecodeHandover(encoded, len(parcel.unread)) },
+		Name: name, Value: handover, SameMeaning: true, Encode: handover.Encode,
+		Decode: func(encoded []byte) (any, error) { return DecodeHandover(encoded, len(handover.unread)) },
 	}
 }
 
@@ -59,7 +59,7 @@
 func TestHandover_asVersion8782861(t *testing.T) { golden.Check(t, compatibilityRows()) }
 
 // memberNames returns the names of the members that an encoded hand-over lists ahead of its values.
-func memberNames() [][]byte {
+func fieldNames() [][]byte {
 	var names [][]byte
 	for _, value := range []any{
 		Handover{}, CallState{}, StepState{}, routing.OperationState{}, routing.Operation{}, routing.Work{}, balance.PriorAttempt{},
@@ -75,10 +75,10 @@
 }
 
 // An earlier process drops members that it does not know by name, so none may be added or have another name.
-func TestHandover_hasTheMemberNamesOfVersion8782861(t *testing.T) {
-	fixture := golden.Read(t, "connection")
-	for _, name := range memberNames() {
-		if !bytes.Contains(fixture, name) {
+func TestHandover_hasTheFieldNamesOfVersion8782861(t *testing.T) {
+	encoded := golden.Read(t, "connection")
+	for _, name := range fieldNames() {
+		if !bytes.Contains(encoded, name) {
 			t.Errorf("member %s is not in the fixture", name)
 		}
 	}
--- a/internal/node/protocol/destination_connection.go
+++ b/internal/node/protocol/destination_connection.go
@@ -15,32 +15,32 @@
 	"ospreybend/internal/util/http1"
 )
 
-// destinationConn is one connection to a destination. It is idle, or has one exchange in
-// progress, or waits for the end of a response whose outcome is known.
+// destinationConn is one connection to a destination. It is idle, has one exchange in progress,
+// or waits for the end of a response whose outcome is known.
 type destinationConn struct {
 	owner        *Destinations
 	destination  *destination
 	conn         *eventloop.Conn
-	generation   int       // the destination's when the connection was opened
-	exchange     *exchange // in progress; nil: none, or its outcome is known
-	headRead     bool      // of the response
+	generation   int       // the destination's generation when the connection was opened
+	exchange     *exchange // the exchange in progress; nil: none, or its outcome is known
+	headRead     bool      // the response's head has been parsed
 	status       int
 	declined     bool
 	loadHeader   []byte
 	body         http1.BodyReader
-	closeAfter   bool   // not reusable
-	partialLine  []byte // received so far
-	deadline     *timerqueue.Timer
-	reused       bool // has completed an exchange before
+	closeAfter   bool              // the connection is not reusable after the response
+	partialLine  []byte            // the incomplete line received so far
+	deadline     *timerqueue.Timer // closes an idle connection, or one whose response does not end
+	reused       bool              // it has completed an exchange before
 	idleSince    time.Duration
-	outcomeKnown bool      // of the exchange whose response has not ended
-	unreported   *exchange // whose outcome is not reported yet
-	outcome      routing.StepEnd
+	outcomeKnown bool            // the outcome is known, but the response has not ended
+	unreported   *exchange       // an exchange whose outcome has not been reported yet
+	outcome      routing.StepEnd // of unreported
 }
 
-// takeIdle takes the newest idle connection that an exchange may use, or returns nil. On one
-// that has only just become idle a stray second response might still arrive and be taken for
-// the next request's: a non-idempotent request does not use it.
+// takeIdle takes the newest idle connection that an exchange may use, or returns nil. A
+// non-idempotent request does not use one that has only just become idle: a stray second
+// response might still arrive on it and be taken for the response to that request.
 func (d *Destinations) takeIdle(ex *exchange) *destinationConn {
 	now := d.loop.Now()
 	if ex.nonIdempotent && now < d.distrustIdleUntil {
@@ -49,8 +49,8 @@
 	for i := len(ex.destination.idle) - 1; i >= 0; i-- {
 		conn := ex.destination.idle[i]
 		if !conn.conn.NothingUnread() {
-			// The loop has not read its end, or unexpected data, yet: a request written now
-			// would end as a reset.
+			// The loop has not yet read its end, or unexpected data: a request written now
+			// would end with a reset.
 			conn.close()
 			continue
 		}
@@ -68,8 +68,8 @@
 func (d *Destinations) dial(ex *exchange) {
 	c := &destinationConn{owner: d, destination: ex.destination, generation: ex.destination.generation, exchange: ex}
 	d.openConns++
-	ex.abandon = d.loop.Dial(ex.destination.address, d.config.ConnectTimeout, c, func(conn *eventloop.Conn, err error) {
-		ex.abandon = nil
+	ex.cancelDial = d.loop.Dial(ex.destination.address, d.config.ConnectTimeout, c, func(conn *eventloop.Conn, err error) {
+		ex.cancelDial = nil
 		if err != nil {
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				slog.Warn("out of descriptors", "open", d.openConns)
@@ -79,8 +79,8 @@
 		}
 		c.conn = conn
 		if ex.step != 0 && !d.core.MayStart(ex.step) {
-			// While the connection was opened the destination began to drain, or the deadline
-			// passed: not a byte may be written.
+			// While the connection was being opened, the destination began to drain or the
+			// deadline passed: not a byte may be written.
 			c.exchange = nil
 			c.makeIdle()
 			d.conclude(ex, routing.StepEnd{Outcome: balance.ConnectFailed})
@@ -96,7 +96,7 @@
 	conn.headRead, conn.status, conn.declined, conn.loadHeader, conn.partialLine, conn.closeAfter, conn.outcomeKnown = false, 0, false, nil, conn.partialLine[:0], false, false
 	request := ex.request
 	if ex.work != nil {
-		request = d.requestBytes(ex.work, ex.until)
+		request = d.requestBytes(ex.work, ex.deadline)
 	}
 	ex.request, ex.work = nil, nil
 	sent := conn.conn.Send(request)
@@ -104,29 +104,29 @@
 		faultinjection.Hit(faultinjection.BytesWritten)
 	}
 	if !sent {
-		// The request's last byte was never written.
-		conn.forget()
+		// The last byte of the request was never written.
+		conn.removeFromPool()
 		d.conclude(ex, routing.StepEnd{Outcome: balance.ConnectFailed})
 		return
 	}
 	d.countWritten(ex, conn)
 }
 
-// closeLongestIdle closes the connection that has been idle longest, and reports whether there was one.
+// closeLongestIdle closes the connection that has been idle the longest, and reports whether there was one.
 func (d *Destinations) closeLongestIdle() bool {
-	var idlest *destinationConn
-	var at time.Duration
+	var oldest *destinationConn
+	var oldestDeadline time.Duration
 	for _, target := range d.byID {
 		if len(target.idle) > 0 {
-			if c := target.idle[0]; idlest == nil || c.deadline.At() < at || c.deadline.At() == at && target.name < idlest.destination.name {
-				idlest, at = c, c.deadline.At()
+			if c := target.idle[0]; oldest == nil || c.deadline.At() < oldestDeadline || c.deadline.At() == oldestDeadline && target.name < oldest.destination.name {
+				oldest, oldestDeadline = c, c.deadline.At()
 			}
 		}
 	}
-	if idlest == nil {
+	if oldest == nil {
 		return false
 	}
-	idlest.close()
+	oldest.close()
 	return true
 }
 
@@ -150,11 +150,11 @@
 // close closes the connection.
 func (c *destinationConn) close() {
 	c.conn.Close()
-	c.forget()
+	c.removeFromPool()
 }
 
-// forget removes a closed connection from the pool.
-func (c *destinationConn) forget() {
+// removeFromPool removes a closed connection from the pool.
+func (c *destinationConn) removeFromPool() {
 	c.owner.openConns--
 	c.owner.loop.Timers.Cancel(c.deadline)
 	if i := slices.Index(c.destination.idle, c); i >= 0 {
--- a/internal/node/protocol/destination_response.go
+++ b/internal/node/protocol/destination_response.go
@@ -13,7 +13,7 @@
 
 // Closed implements eventloop.Handler: the connection has ended.
 func (c *destinationConn) Closed(conn *eventloop.Conn) {
-	c.forget()
+	c.removeFromPool()
 	ex := c.exchange
 	if ex == nil {
 		return
@@ -34,8 +34,8 @@
 	c.owner.conclude(ex, routing.StepEnd{Outcome: outcome})
 }
 
-// Data implements eventloop.Handler: it parses a response. An outcome is reported last, so
-// that the next request finds the connection idle if the response has ended.
+// Data implements eventloop.Handler: it parses a response. An outcome is reported last: if the
+// response has ended, the next request can then use the idle connection.
 func (c *destinationConn) Data(conn *eventloop.Conn, in []byte) int {
 	used := c.read(conn, in)
 	if ex := c.unreported; ex != nil {
@@ -45,7 +45,7 @@
 	return used
 }
 
-// read parses the response as far as it was received, and returns the number of bytes used.
+// read parses the received part of the response and returns the number of bytes processed.
 func (c *destinationConn) read(conn *eventloop.Conn, in []byte) int {
 	if c.exchange == nil && !c.outcomeKnown {
 		c.close() // unexpected data on an idle connection
@@ -64,7 +64,7 @@
 			}
 			used += n
 			if m.Status < 200 {
-				continue // an interim answer
+				continue // an interim response
 			}
 			c.beginResponse(&m)
 		}
@@ -88,10 +88,10 @@
 	return len(in)
 }
 
-// failUnreadable ends an exchange whose response cannot be parsed. The request was written
-// completely, so that it may have run.
-func (c *destinationConn) failUnreadable(in []byte, why *Fault) int {
-	c.owner.unreadableAnswer(c.destination.name, why.Reason)
+// failUnreadable ends an exchange whose response cannot be parsed. The request was completely
+// written, so it may have run.
+func (c *destinationConn) failUnreadable(in []byte, fault *Fault) int {
+	c.owner.countUnreadable(c.destination.name, fault.Reason)
 	ex := c.exchange
 	c.exchange = nil
 	c.close()
@@ -101,17 +101,17 @@
 	return len(in)
 }
 
-// unreadableAnswer counts a response that cannot be parsed. It logs at most one line per logInterval with
+// countUnreadable counts a response that cannot be parsed. It logs at most one line per logInterval, with
 // the total.
-func (d *Destinations) unreadableAnswer(from, reason string) {
+func (d *Destinations) countUnreadable(name, reason string) {
 	d.unreadable++
 	if now := d.loop.Now(); d.unreadable == 1 || now >= d.nextLogAt {
-		slog.Warn("unreadable response", "destination", from, "reason", reason, "in_all", d.unreadable)
+		slog.Warn("unreadable response", "destination", name, "reason", reason, "in_all", d.unreadable)
 		d.nextLogAt = now + logInterval
 	}
 }
 
-// beginResponse records the head of a response.
+// beginResponse evaluates the head of a response.
 func (c *destinationConn) beginResponse(message *Message) {
 	c.headRead, c.status, c.closeAfter = true, message.Status, message.Close
 	c.declined = string(message.Header("Srv-Declined")) == "1"
@@ -124,7 +124,7 @@
 type progressUpdate struct {
 	ID     string          `json:"id"`
 	State  string          `json:"state"`
-	Share  float64         `json:"share"`
+	Share  float64         `json:"share"` // of the work that is done
 	Result json.RawMessage `json:"result"`
 	Load   json.RawMessage `json:"load"`
 }
@@ -142,7 +142,7 @@
 		end := slices.Index(data, '\n')
 		if end < 0 {
 			if len(c.partialLine)+len(data) > maxLineBytes {
-				c.failUnreadable(nil, malformed("a line is too long"))
+				c.failUnreadable(nil, malformed("a line is over 68 KiB"))
 				return
 			}
 			c.partialLine = append(c.partialLine, data...)
@@ -151,7 +151,7 @@
 		c.partialLine = append(c.partialLine, data[:end]...)
 		data = data[end+1:]
 		if len(c.partialLine) > maxLineBytes {
-			c.failUnreadable(nil, malformed("a line is too long"))
+			c.failUnreadable(nil, malformed("a line is over 68 KiB"))
 			return
 		}
 		c.handleUpdate(c.partialLine)
@@ -166,11 +166,11 @@
 		return
 	}
 	if err := json.Unmarshal(line, &update); err != nil {
-		c.failUnreadable(nil, malformed("a line is no object"))
+		c.failUnreadable(nil, malformed("a line is not a valid JSON object"))
 		return
 	}
 	if update.ID != "" && update.ID != c.exchange.id {
-		c.failUnreadable(nil, malformed("a line is of another request"))
+		c.failUnreadable(nil, malformed("a line has the ID of another request"))
 		return
 	}
 	step := c.exchange.step
@@ -199,9 +199,9 @@
 	return raw
 }
 
-// recordOutcome records the exchange's outcome. The connection stays open for the end of the
-// response, but for responseEndTimeout at most, since a response that never ends would use up
-// its descriptor.
+// recordOutcome records the outcome of the exchange. The connection stays open until the end of
+// the response, but at most for responseEndTimeout, since a response that never ends would
+// occupy a descriptor.
 func (c *destinationConn) recordOutcome(end routing.StepEnd) {
 	c.unreported, c.outcome = c.exchange, end
 	c.exchange.conn = nil
@@ -213,7 +213,7 @@
 // endOfResponse handles the end of a response.
 func (c *destinationConn) endOfResponse() {
 	if ex := c.exchange; ex != nil && ex.step != 0 && c.status == 200 && len(c.partialLine) > 0 {
-		c.handleUpdate(c.partialLine) // the last line may lack its newline
+		c.handleUpdate(c.partialLine) // the last line may have no newline
 		if !c.conn.Open() {
 			return
 		}
@@ -221,7 +221,7 @@
 	ex := c.exchange
 	c.exchange, c.outcomeKnown = nil, false
 	c.owner.loop.Timers.Cancel(c.deadline)
-	// The connection first, so that what follows from the outcome can use it.
+	// The connection is released first, so that a request sent as a result of the outcome can use it.
 	if c.closeAfter {
 		c.close()
 	} else {
@@ -242,7 +242,7 @@
 		case 200:
 			end.Outcome = balance.Served
 		case 503:
-			end.Outcome = balance.Full // it runs and rejects new work: it drains, though the list may not have that yet
+			end.Outcome = balance.Full // it runs but rejects new work: it is draining, though the list may not show that yet
 		}
 		if len(c.partialLine) > 0 {
 			end.Report = c.report(c.partialLine)
@@ -250,15 +250,15 @@
 	case c.status >= 400 && c.status < 500:
 		end.Rejected = true
 	case c.status == 200:
-		end.Outcome = balance.Reset // it accepted the request and never reported its end
+		end.Outcome = balance.Reset // it accepted the request and did not report an outcome
 	case (c.status == 503 || c.status == 504) && c.declined:
 		end.Outcome = balance.Full
 	}
 	c.owner.conclude(ex, end)
 }
 
-// report parses a load report: a JSON object, or if that is missing the response's Srv-Load
-// header. Fields that are not there are NaN. It returns nil if no field is known.
+// report parses a load report, a JSON object. If raw is empty it uses the response's Srv-Load
+// header. Missing fields are NaN. It returns nil if the report has no known field.
 func (c *destinationConn) report(raw []byte) []float32 {
 	if len(raw) == 0 {
 		raw = c.loadHeader
--- a/internal/node/protocol/destinations.go
+++ b/internal/node/protocol/destinations.go
@@ -14,45 +14,46 @@
 )
 
 const (
-	idleCloseMargin    = time.Second // an idle connection is closed this long before the destination would close it
+	idleCloseMargin    = time.Second // idle connections are closed this long before the destination would close them
 	probeTimeout       = 500 * time.Millisecond
-	maxLineBytes       = maxBodyBytes + 4<<10   // of one line of a response
-	distrustIdleTime   = time.Minute            // how long idle connections are distrusted after one has failed
-	minIdleBeforeReuse = 25 * time.Millisecond  // before a non-idempotent request: a stray second response arrives within it
+	maxLineBytes       = maxBodyBytes + 4<<10   // limit of one line of a response
+	distrustIdleTime   = time.Minute            // how long non-idempotent requests avoid idle connections after one has failed
+	minIdleBeforeReuse = 25 * time.Millisecond  // idle time before a non-idempotent request may use a connection: a stray second response arrives within it
 	responseEndTimeout = 250 * time.Millisecond // from a response's final line to its end
 )
 
 // DestinationConfig configures the connections to the prep workers.
 type DestinationConfig struct {
 	Host           string
-	MaxConnections int // connections being opened included
+	MaxConnections int // includes connections being opened
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration
-	ReportFields   []string // of load reports, in the order of the settings
+	ReportFields   []string // the fields of load reports, in the order of the settings
 }
 
 // Destinations sends route steps and probes to the prep workers over pooled connections, and
 // reports their outcomes to the core. It implements routing.Destinations.
 //
-// An outcome must say whether the request may have run, since a non-idempotent one is not
-// retried then (balance.Outcome). A request that fails before its last byte was written never
-// ran. An idle connection that the destination has just closed leaves that open, so that idle
-// connections are not used for non-idempotent requests while there is reason to distrust them.
+// An outcome must say whether the request may have run, since a non-idempotent request that
+// may have run is not retried (balance.Outcome). A request that fails before its last byte was
+// written never ran. When an idle connection turns out to be closed by the destination, it is
+// unknown whether the request written on it ran. Non-idempotent requests therefore avoid idle
+// connections for a time after one has failed.
 type Destinations struct {
 	config            DestinationConfig
 	loop              *eventloop.Loop
 	core              *routing.Core
 	byID              map[balance.WorkerID]*destination
 	exchanges         map[slottable.Handle]*exchange // by route step
-	openConns         int                            // connections being opened included
-	distrustIdleUntil time.Duration                  // for non-idempotent requests
-	reportIndex       map[string]int                 // index of a report field, by each of its names
+	openConns         int                            // includes connections being opened
+	distrustIdleUntil time.Duration                  // non-idempotent requests avoid idle connections until then
+	reportIndex       map[string]int                 // indexes of report fields, by each of their names
 
 	unreadable uint64        // responses that could not be parsed
-	nextLogAt  time.Duration // of unreadable responses
+	nextLogAt  time.Duration // when unreadable responses may be logged again
 
 	attempts  uint64                         // route steps whose last byte has been written
-	unflushed map[*exchange]*destinationConn // route steps whose last byte the operating system has not taken yet
+	unflushed map[*exchange]*destinationConn // route steps whose last byte the operating system has not accepted yet
 }
 
 // destination is one prep worker.
@@ -61,23 +62,23 @@
 	name       string
 	address    string
 	idle       []*destinationConn // oldest first
-	generation int                // rises when an override changes: connections of an earlier one are not used any more
+	generation int                // incremented when an override changes: connections of an earlier generation are not used any more
 }
 
 // exchange is one request to a destination and its response: a route step or a probe.
 type exchange struct {
 	step          slottable.Handle // 0: a probe
-	id            string           // of the request
+	id            string           // the request's Req-Id
 	nonIdempotent bool
 	destination   *destination
-	request       []byte        // of a probe
-	work          *routing.Work // of a route step: its request is made when it is written, since it has the remaining time
-	until         time.Duration
-	conn          *destinationConn // nil: being opened
-	abandon       func()           // cancels the opening of the connection
+	request       []byte        // the bytes of a probe
+	work          *routing.Work // of a route step; its request is formatted when written, since it states the remaining time
+	deadline      time.Duration
+	conn          *destinationConn // nil: the connection is being opened
+	cancelDial    func()           // nil: the connection is not being opened
 	sentAt        time.Duration
 	timeout       *timerqueue.Timer // of a probe
-	ended         bool
+	concluded     bool
 }
 
 // NewDestinations returns the adapter, without destinations.
@@ -86,8 +87,8 @@
 		exchanges: map[slottable.Handle]*exchange{}, reportIndex: map[string]int{}, unflushed: map[*exchange]*destinationConn{}}
 	for i, name := range config.ReportFields {
 		d.reportIndex[name] = i
-		// The settings name the fields as the simulator's wire does; on the
-		// sockets some have the names that the protocol page shows.
+		// The settings use the field names of the simulator; in the network protocol some
+		// fields have other names.
 		if other, ok := reportFieldAliases[name]; ok {
 			d.reportIndex[other] = i
 		}
@@ -95,12 +96,12 @@
 	return d
 }
 
-// reportFieldAliases are the protocol's names of report fields, by those of the settings.
+// reportFieldAliases maps the settings' names of report fields to the network protocol's.
 var reportFieldAliases = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
 	"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 
-// SetAddress adds a destination or changes its address. Its name is its identity; a change of
-// the address closes its idle connections.
+// SetAddress adds a destination or changes its address. A destination is identified by its name;
+// a change of its address closes its idle connections.
 func (d *Destinations) SetAddress(id balance.WorkerID, name, address string) {
 	target := d.byID[id]
 	if target == nil {
@@ -113,7 +114,7 @@
 	}
 }
 
-// InvalidateConnections excludes a destination's present connections from further use, since
+// InvalidateConnections excludes a destination's present connections from further use, as when
 // its process is restarted. Exchanges in progress on them continue.
 func (d *Destinations) InvalidateConnections(id balance.WorkerID) {
 	if target := d.byID[id]; target != nil {
@@ -122,15 +123,15 @@
 	}
 }
 
-// SetMaxConnections changes the most connections, and closes idle ones beyond that.
+// SetMaxConnections changes the limit of connections, and closes idle ones beyond it.
 func (d *Destinations) SetMaxConnections(sockets int) {
 	d.config.MaxConnections = sockets
 	for d.openConns > sockets && d.closeLongestIdle() {
 	}
 }
 
-// Attempts returns the number of route steps whose last byte the operating system has taken,
-// after another look at those that were not flushed yet.
+// Attempts returns the number of route steps whose last byte the operating system has accepted.
+// It checks those again that were not flushed yet.
 func (d *Destinations) Attempts() uint64 {
 	for ex, c := range d.unflushed {
 		if c.conn.Flushed() {
@@ -141,7 +142,7 @@
 	return d.attempts
 }
 
-// countWritten counts an attempt whose request was written, or remembers that it is not flushed.
+// countWritten counts an attempt whose request was written and flushed, or records it as unflushed.
 func (d *Destinations) countWritten(ex *exchange, conn *destinationConn) {
 	switch {
 	case ex.step == 0:
@@ -152,7 +153,7 @@
 	}
 }
 
-// countIfFlushed counts an attempt that was not flushed yet if it is now that its connection ends.
+// countIfFlushed counts an attempt recorded as unflushed if it is flushed by now, and ends its record.
 func (d *Destinations) countIfFlushed(ex *exchange, conn *destinationConn) {
 	if _, waits := d.unflushed[ex]; waits {
 		delete(d.unflushed, ex)
@@ -176,7 +177,7 @@
 	delete(d.byID, id)
 }
 
-// Retain removes all destinations but those listed.
+// Retain removes all destinations except those listed.
 func (d *Destinations) Retain(listed map[balance.WorkerID]bool) {
 	for id := range d.byID {
 		if !listed[id] {
@@ -196,23 +197,23 @@
 	}
 }
 
-// distrustIdle records that a reused connection has failed: other idle ones may be broken too.
+// distrustIdle records that a reused connection has failed, since other idle ones may be broken too.
 func (d *Destinations) distrustIdle() { d.distrustIdleUntil = d.loop.Now() + distrustIdleTime }
 
 // Send implements routing.Destinations: it starts a route step.
-func (d *Destinations) Send(step slottable.Handle, id balance.WorkerID, work *routing.Work, until time.Duration) {
+func (d *Destinations) Send(step slottable.Handle, id balance.WorkerID, work *routing.Work, deadline time.Duration) {
 	target := d.byID[id]
 	if target == nil {
 		d.core.StepEnded(step, routing.StepEnd{Outcome: balance.NotSent})
 		return
 	}
-	ex := &exchange{step: step, id: work.ID, nonIdempotent: work.Once, destination: target, work: work, until: until, sentAt: d.loop.Now()}
+	ex := &exchange{step: step, id: work.ID, nonIdempotent: work.Once, destination: target, work: work, deadline: deadline, sentAt: d.loop.Now()}
 	d.exchanges[step] = ex
 	d.start(ex)
 }
 
 // requestBytes returns the HTTP request of a route step, with the time remaining until its deadline.
-func (d *Destinations) requestBytes(work *routing.Work, until time.Duration) []byte {
+func (d *Destinations) requestBytes(work *routing.Work, deadline time.Duration) []byte {
 	buffer := make([]byte, 0, 192+len(work.Target)+len(work.Body))
 	buffer = append(buffer, "POST "...)
 	buffer = append(buffer, work.Target...)
@@ -225,7 +226,7 @@
 		buffer = append(buffer, work.Idempotent...)
 	}
 	buffer = append(buffer, "\r\nReq-Deadline: "...)
-	buffer = strconv.AppendFloat(buffer, (until - d.loop.Now()).Seconds(), 'f', 3, 64)
+	buffer = strconv.AppendFloat(buffer, (deadline - d.loop.Now()).Seconds(), 'f', 3, 64)
 	buffer = append(buffer, "\r\nContent-Length: "...)
 	buffer = strconv.AppendInt(buffer, int64(len(work.Body)), 10)
 	buffer = append(buffer, "\r\n\r\n"...)
@@ -248,9 +249,9 @@
 	d.start(ex)
 }
 
-// start sends an exchange on an idle connection, or on a new one. While idle connections are
-// distrusted a non-idempotent request gets a new one: if that cannot be opened, the request
-// certainly never ran, but an idle one that breaks after the write leaves that open.
+// start sends an exchange on an idle connection or on a new one. While idle connections are
+// distrusted, a non-idempotent request gets a new one: if that cannot be opened, the request
+// certainly never ran, whereas with an idle one that breaks after the write it may have run.
 func (d *Destinations) start(ex *exchange) {
 	if conn := d.takeIdle(ex); conn != nil {
 		d.write(ex, conn)
@@ -272,11 +273,11 @@
 	}
 }
 
-// detach closes an exchange's connection without a report to the core.
+// detach closes an exchange's connection without reporting an outcome to the core.
 func (d *Destinations) detach(ex *exchange) {
-	if ex.abandon != nil {
-		ex.abandon() // the connection counts as open until its socket is closed
-		ex.abandon = nil
+	if ex.cancelDial != nil {
+		ex.cancelDial() // the connection counts as open until its socket is closed
+		ex.cancelDial = nil
 	}
 	if c := ex.conn; c != nil && c.exchange == ex {
 		d.countIfFlushed(ex, c)
@@ -287,12 +288,12 @@
 
 // conclude reports the outcome of an exchange to the core, once.
 func (d *Destinations) conclude(ex *exchange, end routing.StepEnd) {
-	if ex.ended {
+	if ex.concluded {
 		return
 	}
-	ex.ended = true
+	ex.concluded = true
 	if c := d.unflushed[ex]; c != nil {
-		// The destination has answered, so that the request was flushed, or it rejected it early.
+		// The destination has answered: the request was flushed, or rejected before it was received completely.
 		d.countIfFlushed(ex, c)
 	}
 	d.loop.Timers.Cancel(ex.timeout)
--- a/internal/node/protocol/discovery.go
+++ b/internal/node/protocol/discovery.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// The platform's rules count a change as known to the node 6 s after a watch has fallen silent, whether
-	// or not it was received. The service answers at once when a watch's hold time ends, so that a silent
-	// watch is abandoned soon after it. A call that does not wait for changes is queued there: the service
-	// answers or rejects it within 2 s, and one abandoned before that would waste its place in the queue.
-	maxWatchHold      = 2 * time.Second // the hold time is between half of it and all of it
-	firstHold         = time.Millisecond
-	watchAnswerGrace  = 600 * time.Millisecond  // beyond the hold time
-	queuedCallTimeout = 2200 * time.Millisecond // of a call without a hold time
-	maxListBytes      = 8 << 20                 // of an answer
-
-	// With pushed lists the address is that of an agent on the node's own machine: a call costs
-	// nothing and is answered at once, unless the service is down. What the agent has counts as
-	// known to the node, so that the time-out is short.
+	// By the platform's rules the node counts as knowing a change 6 s after its watch has stopped answering,
+	// whether or not it received the change. The service answers immediately when a watch's hold time ends, so
+	// a watch without an answer is abandoned soon after that. The service queues calls that do not wait for
+	// changes and answers or rejects them within 2 s; a call abandoned earlier would lose its place in the queue.
+	maxWatchHold      = 2 * time.Second // hold times are drawn from half of it to all of it
+	immediateHold     = time.Millisecond
+	watchAnswerGrace  = 600 * time.Millisecond  // time-out of a watch, beyond the hold time
+	queuedCallTimeout = 2200 * time.Millisecond // time-out of a call without a hold time
+	maxListBytes      = 8 << 20                 // limit of an answer
+
+	// With pushed lists the address is that of an agent on the node's own machine: a call is cheap
+	// and answered immediately, unless the service is down. The node counts as knowing all that the
+	// agent has received, so the time-out is short.
 	pushedHold       = time.Second
 	pushedTimeout    = 300 * time.Millisecond
-	pushedRetryDelay = 100 * time.Millisecond // after a failed call, jittered by half of it either way
+	pushedRetryDelay = 100 * time.Millisecond // after a failed call, with a jitter of plus or minus half of it
 )
 
 // Endpoint is one entry of the pool config's list: a prep worker.
@@ -41,7 +41,7 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// EndpointList is an answer of the pool config: all endpoints (a snapshot), or those that
+// EndpointList is an answer of the pool config: all endpoints (a snapshot), or those that have
 // changed since an earlier version.
 type EndpointList struct {
 	Version  uint64     `json:"index"`
@@ -52,21 +52,21 @@
 // DiscoveryConfig configures the calls to the pool config.
 type DiscoveryConfig struct {
 	Address        string
-	Zones, Kinds   []string // numbered by their index
+	Zones, Kinds   []string // the core's numbers are the indexes
 	ConnectTimeout time.Duration
-	CachedList     EndpointList
+	CachedList     EndpointList       // published by Start
 	Overrides      override.Overrides // applied to each list; nil: none
 	WarmupTime     time.Duration
-	Jitter         func() float64 // draws from [0, 1) to vary the hold times, lest watches opened together end together; nil: no variation
-	Pushed         bool           // the address is an agent's: watched from the start on, whether or not the balancer subscribes
+	Jitter         func() float64 // draws from [0, 1) to vary the hold times, so that watches opened together do not end together; nil: no variation
+	Pushed         bool           // the address is an agent's, and is watched from the start, whether or not the balancer subscribes
 }
 
 // Discovery fetches and watches the pool config's endpoint list, and publishes it to the core
 // and to Destinations. It implements routing.Pool.
 //
 // The balancer subscribes (Watch) and fetches; a watch is a long poll that is repeated until
-// the balancer unsubscribes. A failed call is retried once at once (discovery_call.go); after
-// that the balancer is told and asks again when it sees fit.
+// the balancer unsubscribes. A failed call is retried once, without delay (discovery_call.go).
+// If that fails too, the balancer is informed and decides when to call again.
 type Discovery struct {
 	config       DiscoveryConfig
 	loop         *eventloop.Loop
@@ -75,24 +75,24 @@
 
 	// The list.
 	version          uint64
-	names            map[balance.WorkerID]string                // of all destinations since the start
-	listed           map[balance.WorkerID]balance.WorkerListing // without overrides
+	names            map[balance.WorkerID]string                // of all destinations that a list has named since the start
+	listed           map[balance.WorkerID]balance.WorkerListing // the present list, without overrides
 	answered         bool                                       // the pool config has answered since the start
-	excludeWarmingUp bool                                       // destinations that warm up are left to another process of this node
+	excludeWarmingUp bool                                       // see ExcludeWarmingUp
 
 	// The calls.
-	watch       *discoveryCall // in progress; nil: none
-	fetch       *discoveryCall // in progress; nil: none
-	watchWanted bool           // the balancer is subscribed
-	firstPoll   bool           // the watch in progress is the subscription's first, which answers at once
-	agentSilent bool           // logged already
+	watch              *discoveryCall // the watch in progress; nil: none
+	fetch              *discoveryCall // the fetch in progress; nil: none
+	watchWanted        bool           // the balancer is subscribed
+	firstPoll          bool           // the call of the watch has no hold time, as a subscription's first
+	agentSilenceLogged bool           // the agent's silence has been logged
 
 	rejectedEntries uint64
 	counts          CallCounts
 }
 
-// CallCounts are the calls to the pool config since the start, retries included: all, and those
-// answered, rejected and timed out. The others were broken off or malformed, or are in progress.
+// CallCounts are the calls to the pool config since the start, including retries: all calls, and
+// those answered, rejected and timed out. The others failed otherwise or are in progress.
 type CallCounts struct{ Sent, Answered, Rejected, TimedOut uint64 }
 
 // NewDiscovery returns the adapter; Start publishes the cached list.
@@ -128,7 +128,7 @@
 	return d.config.Zones[l.Zone], true
 }
 
-// Republish publishes one destination to the core again, as when its manual override has changed.
+// Republish publishes one destination to the core again, for example after a change of its manual override.
 func (d *Discovery) Republish(id balance.WorkerID) {
 	if listing, ok := d.listed[id]; ok {
 		d.core.PoolChanged(balance.ListUpdate{Kind: balance.ListChanges, Version: d.version,
@@ -136,8 +136,8 @@
 	}
 }
 
-// ExcludeWarmingUp makes destinations that warm up count as draining from now on: another
-// process of this node uses their slow-start allowance.
+// ExcludeWarmingUp makes destinations that are warming up count as draining from now on, since
+// another process of this node uses their slow-start allowance.
 func (d *Discovery) ExcludeWarmingUp() {
 	d.excludeWarmingUp = true
 	for id := range d.listed {
@@ -154,7 +154,7 @@
 	return listing
 }
 
-// Start publishes the cached list, and opens the watch where lists are pushed.
+// Start publishes the cached list. If lists are pushed it also opens the watch.
 func (d *Discovery) Start() {
 	d.publish(balance.ListCached, d.config.CachedList)
 	if d.config.Pushed {
@@ -162,12 +162,12 @@
 	}
 }
 
-// nextHold returns how long the service may hold the next watch until there is a change. The first is not held, so that the
-// balancer gets an answer at once.
+// nextHold returns how long the service may hold the next watch call to wait for a change. The first call is not held, so
+// that the balancer gets an answer immediately.
 func (d *Discovery) nextHold() time.Duration {
 	switch {
 	case d.firstPoll:
-		return firstHold
+		return immediateHold
 	case d.config.Pushed:
 		return pushedHold
 	case d.config.Jitter == nil:
@@ -181,7 +181,7 @@
 	switch {
 	case d.config.Pushed:
 		return pushedTimeout
-	case call.hold > firstHold:
+	case call.hold > immediateHold:
 		return watchAnswerGrace
 	}
 	return queuedCallTimeout
@@ -190,9 +190,9 @@
 // Address returns the pool config's address.
 func (d *Discovery) Address() string { return d.config.Address }
 
-// SetAddress moves to another address of the pool config. Calls in progress are made again
-// there at once, and so is a watch that the balancer would have reopened only later. The list
-// and its version stay. The end of the old connections is not reported as a failure.
+// SetAddress changes the address of the pool config. Calls in progress are repeated there without
+// delay, and a watch that the balancer would have reopened later is reopened. The list and its
+// version stay. The end of the old connections is not reported as a failure.
 func (d *Discovery) SetAddress(address string) {
 	if address == d.config.Address {
 		return
@@ -214,7 +214,7 @@
 	}
 }
 
-// Watch implements routing.Pool: it starts or ends watching the list.
+// Watch implements routing.Pool: it starts or stops watching the list.
 func (d *Discovery) Watch(on bool) {
 	d.watchWanted = on
 	if !on {
--- a/internal/node/protocol/discovery_call.go
+++ b/internal/node/protocol/discovery_call.go
@@ -13,17 +13,17 @@
 	"ospreybend/internal/util/http1"
 )
 
-// discoveryCall is one HTTP call to the pool config on a connection of its own, which a watch
+// discoveryCall is one HTTP call to the pool config. It has its own connection, which a watch
 // reuses for its next call.
 type discoveryCall struct {
 	owner      *Discovery
 	conn       *eventloop.Conn
-	abandon    func()
+	cancelDial func()
 	timeout    *timerqueue.Timer
-	target     string
+	target     string        // path and query
 	hold       time.Duration // how long the service may wait for a change
-	retried    bool          // this is the one retry after a failure
-	pending    bool          // waits for an answer
+	retried    bool          // the call is the retry after a failure
+	pending    bool          // the answer is not complete
 	headRead   bool
 	status     int
 	closeAfter bool
@@ -31,18 +31,18 @@
 	response   []byte
 }
 
-// send makes a call, on its connection or on a new one.
+// send sends a call on its connection or on a new one.
 func (d *Discovery) send(call *discoveryCall, target string) {
 	request := []byte("GET " + target + " HTTP/1.1\r\nHost: " + d.config.Address + "\r\n\r\n")
 	call.target, call.pending, call.headRead, call.response = target, true, false, nil
 	slog.Debug("pool config asked", "target", target)
 	d.counts.Sent++
 	call.timeout = d.loop.Timers.Add(d.loop.Now()+call.hold+d.answerTimeout(call), func() {
-		// A time-out is retried each time: an overloaded service rejects calls instead, and the
-		// change that the node may have missed is due soon.
+		// Unless lists are pushed each time-out is retried: an overloaded service would reject the
+		// call instead, and the node will soon count as knowing a change that it may have missed.
 		call.retried = call.retried && d.config.Pushed
 		d.counts.TimedOut++
-		call.fail("no answer in time")
+		call.fail("no answer before the time-out")
 	})
 	if call.conn != nil {
 		if !call.conn.Send(request) {
@@ -51,8 +51,8 @@
 		}
 		return
 	}
-	call.abandon = d.loop.Dial(d.config.Address, d.config.ConnectTimeout, call, func(conn *eventloop.Conn, err error) {
-		call.abandon = nil
+	call.cancelDial = d.loop.Dial(d.config.Address, d.config.ConnectTimeout, call, func(conn *eventloop.Conn, err error) {
+		call.cancelDial = nil
 		if err != nil {
 			call.fail(err.Error())
 			return
@@ -68,9 +68,9 @@
 // close cancels the call's time-out and closes its connection.
 func (c *discoveryCall) close() {
 	c.owner.loop.Timers.Cancel(c.timeout)
-	if c.abandon != nil {
-		c.abandon()
-		c.abandon = nil
+	if c.cancelDial != nil {
+		c.cancelDial()
+		c.cancelDial = nil
 	}
 	if c.conn != nil {
 		c.conn.Close()
@@ -78,15 +78,15 @@
 	}
 }
 
-// fail ends a call that got no answer. It is retried once, and each time after a time-out, on
+// fail ends a call without a valid answer. The call is retried once, and after each time-out, on
 // a new connection and without a hold time: the service may have closed the old connection or
-// restarted, and the changes meanwhile are due soon. After that the balancer is told, which
-// asks again when it sees fit.
-func (c *discoveryCall) fail(why string) {
+// restarted, and the node will soon count as knowing the changes since. If the retry fails too,
+// the balancer is informed and decides when to call again.
+func (c *discoveryCall) fail(reason string) {
 	d := c.owner
 	c.close()
 	if !c.retried && (c == d.watch || c == d.fetch) {
-		slog.Info("pool config call retried", "reason", why)
+		slog.Info("pool config call retried", "reason", reason)
 		c.retried = true
 		if c == d.watch {
 			d.firstPoll = true
@@ -105,18 +105,18 @@
 		return
 	}
 	if d.config.Pushed {
-		d.retryAgent(why)
+		d.retryAgent(reason)
 		return
 	}
-	slog.Warn("pool config call failed", "reason", why)
+	slog.Warn("pool config call failed", "reason", reason)
 	d.core.PoolChanged(balance.ListUpdate{Kind: balance.ListFailed, Version: d.version})
 }
 
-// retryAgent schedules the next call to the agent, which does not answer while the service is down.
-func (d *Discovery) retryAgent(why string) {
-	if !d.agentSilent {
-		slog.Warn("agent does not answer", "reason", why)
-		d.agentSilent = true
+// retryAgent schedules the next call to the agent. The agent does not answer while the service is down.
+func (d *Discovery) retryAgent(reason string) {
+	if !d.agentSilenceLogged {
+		slog.Warn("agent does not answer", "reason", reason)
+		d.agentSilenceLogged = true
 	}
 	wait := pushedRetryDelay/2 + time.Duration(rand.Int64N(int64(pushedRetryDelay)))
 	d.loop.Timers.Add(d.loop.Now()+wait, func() {
@@ -126,8 +126,8 @@
 	})
 }
 
-// Closed implements eventloop.Handler: the connection has ended. A body without a length is
-// complete with that.
+// Closed implements eventloop.Handler: the connection has ended, which completes a body without
+// a length.
 func (c *discoveryCall) Closed(*eventloop.Conn) {
 	c.conn = nil
 	if c.headRead && c.body.UntilClose && c.pending {
@@ -163,7 +163,7 @@
 		}
 		used += n
 		if c.response = append(c.response, data...); len(c.response) > maxListBytes {
-			c.fail("the list is too long")
+			c.fail("the list is over 8 MiB")
 			return len(in)
 		}
 		if c.body.Done {
@@ -177,26 +177,26 @@
 	return len(in)
 }
 
-// finish processes a complete answer. A watch's next call is sent at once, before the list is
-// published: a later one would count as a new watch.
+// finish processes a complete answer. A watch's next call is sent before the list is published:
+// the service would count a later one as a new watch.
 func (c *discoveryCall) finish() {
 	d := c.owner
 	d.loop.Timers.Cancel(c.timeout)
 	c.pending = false
 	if c.status != 200 {
 		d.counts.Rejected++
-		c.retried = true // no retry: the service is down or overloaded
+		c.retried = true // prevents a retry: the service is down or overloaded
 		c.fail("status " + strconv.Itoa(c.status))
 		return
 	}
 	var list EndpointList
 	if err := json.Unmarshal(c.response, &list); err != nil {
-		c.fail("the list cannot be read")
+		c.fail("the list cannot be parsed: " + err.Error())
 		return
 	}
 	slog.Debug("pool config answered", "version", list.Version, "entries", len(list.Entries))
 	d.counts.Answered++
-	c.retried, d.agentSilent = false, false
+	c.retried, d.agentSilenceLogged = false, false
 	if c.closeAfter {
 		c.close()
 	}
@@ -204,26 +204,27 @@
 	if list.Snapshot {
 		kind = balance.ListFull
 	}
-	quiet := false
+	skipPublish := false
 	switch c {
 	case d.fetch:
 		d.fetch = nil
 		c.close()
 	case d.watch:
-		quiet = !d.firstPoll && !list.Snapshot && len(list.Entries) == 0
+		skipPublish = !d.firstPoll && !list.Snapshot && len(list.Entries) == 0
 		d.firstPoll = false
 		switch {
 		case list.Snapshot || list.Version >= d.version:
 			d.version = list.Version
 		default:
-			// Another instance of the service answers, or one that has lost its state: its
-			// changes do not apply to the list here. The complete list is requested at once.
+			// The answer is from another instance of the service, or one that has lost its
+			// state: its changes do not apply to the present list. The complete list is
+			// requested immediately.
 			slog.Warn("pool config: the version goes backwards", "from", d.version, "to", list.Version)
-			d.version, d.firstPoll, quiet = 0, true, true
+			d.version, d.firstPoll, skipPublish = 0, true, true
 		}
 		d.pollWatch()
 	}
-	if !quiet {
+	if !skipPublish {
 		d.publish(kind, list)
 	}
 }
--- a/internal/node/protocol/discovery_queue_test.go
+++ b/internal/node/protocol/discovery_queue_test.go
@@ -25,18 +25,18 @@
 	pendingChange     bool // to be sent on the watches, once
 	silent            bool // nothing comes on the watches any more
 
-	mu               sync.Mutex
-	calls, ended     int // calls, connections
-	arrived, waiting []*queuedCall
-	watches          []*queuedCall
-	dead             map[net.Conn]bool
-	busyUntil        time.Duration // when the turns given so far are over
+	mu                     sync.Mutex
+	callCount, closedCount int // calls, connections
+	arrived, waiting       []*queuedCall
+	watches                []*queuedCall
+	closedConns            map[net.Conn]bool
+	busyUntil              time.Duration // when the turns given so far are over
 }
 
 type queuedCall struct {
-	conn net.Conn
-	hold time.Duration
-	at   time.Duration // when it is answered; 0: not given yet
+	conn     net.Conn
+	hold     time.Duration
+	answerAt time.Duration // when it is answered; 0: not given yet
 }
 
 func (s *serialService) serve(l net.Listener) {
@@ -51,14 +51,14 @@
 				r, err := http.ReadRequest(in)
 				s.mu.Lock()
 				if err != nil {
-					s.dead[conn] = true
-					s.ended++
+					s.closedConns[conn] = true
+					s.closedCount++
 					s.mu.Unlock()
 					return
 				}
 				hold, _ := strconv.Atoi(r.FormValue("hold_ms"))
 				c := &queuedCall{conn: conn, hold: time.Duration(hold) * time.Millisecond}
-				s.calls++
+				s.callCount++
 				s.arrived = append(s.arrived, c)
 				s.mu.Unlock()
 			}
@@ -67,12 +67,12 @@
 }
 
 // run answers and rejects the calls that are due now, and returns their number.
-func (s *serialService) run(now time.Duration) (answered int) {
+func (s *serialService) answerDue(now time.Duration) (answered int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.arrived {
 		if c.hold > time.Millisecond {
-			c.at = now + c.hold
+			c.answerAt = now + c.hold
 			s.watches = append(s.watches, c)
 			continue
 		}
@@ -82,23 +82,23 @@
 			continue
 		}
 		s.busyUntil += s.callTime
-		c.at = s.busyUntil
+		c.answerAt = s.busyUntil
 		s.waiting = append(s.waiting, c)
 	}
 	s.arrived = nil
 	s.watches = slices.DeleteFunc(s.watches, func(c *queuedCall) bool {
-		ends := s.pendingChange || !s.silent && now >= c.at
-		if ends {
+		due := s.pendingChange || !s.silent && now >= c.answerAt
+		if due {
 			s.answer(c)
 			answered++
 		}
-		return ends
+		return due
 	})
 	s.pendingChange = false
-	for len(s.waiting) > 0 && s.waiting[0].at <= now {
+	for len(s.waiting) > 0 && s.waiting[0].answerAt <= now {
 		c := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if s.dead[c.conn] {
+		if s.closedConns[c.conn] {
 			continue // its turn was for nothing
 		}
 		s.answer(c)
@@ -117,75 +117,75 @@
 // are reopened together, and all fall silent. They do not end together: the service has calls to answer as early as half
 // of the longest hold time later.
 func TestDiscovery_manyClientsAtASerialService(t *testing.T) {
-	const nodes, known = 16, 6 * time.Second
+	const nodes, knownAfter = 16, 6 * time.Second
 	for seed := range uint64(5) {
-		stage := scriptedpeer.New(t)
-		service := &serialService{callTime: 200 * time.Millisecond, maxWait: 2 * time.Second, version: 8, dead: map[net.Conn]bool{}}
+		bench := scriptedpeer.New(t)
+		service := &serialService{callTime: 200 * time.Millisecond, maxWait: 2 * time.Second, version: 8, closedConns: map[net.Conn]bool{}}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
 		go service.serve(l)
-		pools := make([]*Discovery, nodes)
-		now := func() (at time.Duration) { stage.Loop.Call(func() { at = stage.Loop.Now() }); return at }
-		began := now()
-		stage.Loop.Call(func() {
-			for i := range pools {
+		discoveries := make([]*Discovery, nodes)
+		now := func() (at time.Duration) { bench.Loop.Call(func() { at = bench.Loop.Now() }); return at }
+		startedAt := now()
+		bench.Loop.Call(func() {
+			for i := range discoveries {
 				core, err := routing.New(balance.Settings{Balancers: nodes, Ordinal: i, SubscribeDiscovery: true,
 					Resolution: 2 * time.Millisecond, Classes: []balance.Class{{Timeout: time.Second}},
 					Limits: balance.Limits{MaxAttempts: 1}, Rules: balance.Rules{InitialCapacity: 1, SubscribeWithin: 10 * time.Second}},
-					seed*nodes+uint64(i), stage.Loop, &stage.Loop.Timers)
+					seed*nodes+uint64(i), bench.Loop, &bench.Loop.Timers)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				to := NewDestinations(DestinationConfig{}, stage.Loop, core)
-				pools[i] = NewDiscovery(DiscoveryConfig{Address: l.Addr().String(), ConnectTimeout: time.Minute,
+				destinations := NewDestinations(DestinationConfig{}, bench.Loop, core)
+				discoveries[i] = NewDiscovery(DiscoveryConfig{Address: l.Addr().String(), ConnectTimeout: time.Minute,
 					Jitter:     rand.New(rand.NewPCG(seed, uint64(i))).Float64,
-					CachedList: EndpointList{Version: 7}}, stage.Loop, core, to)
-				peers, _ := NewPeers(PeersConfig{}, stage.Loop, core)
-				core.Connect(to, pools[i], peers)
-				pools[i].Start()
+					CachedList: EndpointList{Version: 7}}, bench.Loop, core, destinations)
+				peers, _ := NewPeers(PeersConfig{}, bench.Loop, core)
+				core.Connect(destinations, discoveries[i], peers)
+				discoveries[i].Start()
 			}
 		})
-		answered, knowing := 0, 0
-		step := func() {
-			stage.Advance(10 * time.Millisecond)
+		answered, upToDate := 0, 0
+		advance := func() {
+			bench.Advance(10 * time.Millisecond)
 			var sum CallCounts
-			level := func() bool { // what either side has done the other has seen
-				sum, knowing = CallCounts{}, 0
-				for _, d := range pools {
+			caughtUp := func() bool { // what either side has done the other has seen
+				sum, upToDate = CallCounts{}, 0
+				for _, d := range discoveries {
 					sum.Sent += d.counts.Sent
 					sum.Answered += d.counts.Answered
 					sum.Rejected += d.counts.Rejected
 					sum.TimedOut += d.counts.TimedOut
 					if d.version == uint64(service.version) {
-						knowing++
+						upToDate++
 					}
 				}
 				service.mu.Lock()
 				defer service.mu.Unlock()
-				return int(sum.Sent) == service.calls && int(sum.Answered+sum.Rejected) == answered &&
-					int(sum.Rejected+sum.TimedOut) == service.ended
+				return int(sum.Sent) == service.callCount && int(sum.Answered+sum.Rejected) == answered &&
+					int(sum.Rejected+sum.TimedOut) == service.closedCount
 			}
-			stage.WaitUntil(level)
-			answered += service.run(now())
-			stage.WaitUntil(level)
+			bench.WaitUntil(caughtUp)
+			answered += service.answerDue(now())
+			bench.WaitUntil(caughtUp)
 		}
-		allKnow := func(what string, within time.Duration) {
-			for knowing < nodes {
-				if span := now() - began; span > within {
-					t.Fatalf("seed %d, %s: after %v %d of %d nodes know", seed, what, span, knowing, nodes)
+		expectAllUpToDate := func(what string, within time.Duration) {
+			for upToDate < nodes {
+				if elapsed := now() - startedAt; elapsed > within {
+					t.Fatalf("seed %d, %s: after %v %d of %d nodes know", seed, what, elapsed, upToDate, nodes)
 				}
-				step()
+				advance()
 			}
 		}
-		allKnow("start", known)
-		service.version, service.pendingChange, knowing, began = 9, true, 0, now()
-		allKnow("news", 100*time.Millisecond)
-		service.version, service.silent, knowing, began = 10, true, 0, now()
+		expectAllUpToDate("start", knownAfter)
+		service.version, service.pendingChange, upToDate, startedAt = 9, true, 0, now()
+		expectAllUpToDate("news", 100*time.Millisecond)
+		service.version, service.silent, upToDate, startedAt = 10, true, 0, now()
 		// From half of the longest hold on the service has calls to answer, so many one after the other.
-		allKnow("silence", min(known, maxWatchHold/2+watchAnswerGrace+nodes*service.callTime+watchAnswerGrace))
+		expectAllUpToDate("silence", min(knownAfter, maxWatchHold/2+watchAnswerGrace+nodes*service.callTime+watchAnswerGrace))
 	}
 }
--- a/internal/node/protocol/discovery_test.go
+++ b/internal/node/protocol/discovery_test.go
@@ -12,7 +12,7 @@
 	"ospreybend/internal/testkit/scriptedpeer"
 )
 
-func answered(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
+func listResponse(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
 
 const sameList = `{"index":8,"snapshot":false,"endpoints":[]}`
 
@@ -20,9 +20,9 @@
 // and retried well before what it misses counts as known, 6 s after it fell silent.
 func TestDiscovery_silentAtAnyMomentOfTheWatch(t *testing.T) {
 	for _, before := range []int{0, 400, 1000, 1600, 1995} {
-		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Variables["same"] = answered(sameList)
-		w.Play(fmt.Sprintf(`
+		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+		fx.Variables["same"] = listResponse(sameList)
+		fx.Play(fmt.Sprintf(`
 			wait 100ms
 			p accept pool
 			p expect hold_ms=1 HTTP/1.1
@@ -51,22 +51,22 @@
 
 // An answer may be split at any byte, and indented.
 func TestDiscovery_listSplitAndIndented(t *testing.T) {
-	text := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
-	complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-	for at := 1; at < len(complete); at += 3 {
-		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-		w.Variables["one"], w.Variables["two"] = complete[:at], complete[at:]
-		w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
-		if at+3 >= len(complete) && w.ready("s-1") {
+	list := "{\n  \"index\": 9,\n  \"snapshot\": false,\n  \"endpoints\": [\n    {\n      \"name\": \"s-1\",\n      \"status\": \"Terminating\"\n    }\n  ]\n}\n"
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	for at := 1; at < len(response); at += 3 {
+		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+		fx.Variables["one"], fx.Variables["two"] = response[:at], response[at:]
+		fx.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {one}", "p send {two}", "p expect from=9&hold_ms=2000"))
+		if at+3 >= len(response) && fx.ready("s-1") {
 			t.Error("the change was not applied")
 		}
 	}
 }
 
-func (w *fixture) ready(name string) (is bool) {
-	w.Loop.Call(func() {
-		w.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
-			is = is || w.discovery.NameOf(id) == name && state == balance.Ready
+func (fx *fixture) ready(name string) (is bool) {
+	fx.Loop.Call(func() {
+		fx.core.EachWorker(func(id balance.WorkerID, state balance.State, _ float64) {
+			is = is || fx.discovery.NameOf(id) == name && state == balance.Ready
 		})
 	})
 	return is
@@ -75,25 +75,25 @@
 // The version goes backwards, as when another instance answers or one has lost its state. Its changes
 // do not apply to the list here: the complete list is requested at once, and the watch continues from it.
 func TestDiscovery_versionGoesBackwards(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["same"] = answered(sameList)
-	w.Variables["older"] = answered(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
-	w.Variables["all"] = answered(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
-	w.Play("wait 100ms\np accept pool\np expect hold_ms=1 HTTP/1.1\np send {same}\np expect from=8&hold_ms=2000\np send {older}\np expect from=0&hold_ms=1 HTTP/1.1")
-	if !w.ready("s-2") {
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["same"] = listResponse(sameList)
+	fx.Variables["older"] = listResponse(`{"index":3,"snapshot":false,"endpoints":[{"name":"s-2","status":"Gone"}]}`)
+	fx.Variables["all"] = listResponse(`{"index":3,"snapshot":true,"endpoints":[{"name":"s-2","status":"Ready","address":"127.0.0.1:1"}]}`)
+	fx.Play("wait 100ms\np accept pool\np expect hold_ms=1 HTTP/1.1\np send {same}\np expect from=8&hold_ms=2000\np send {older}\np expect from=0&hold_ms=1 HTTP/1.1")
+	if !fx.ready("s-2") {
 		t.Error("a change of another list counts")
 	}
-	w.Play("p send {all}\np expect from=3&hold_ms=2000")
-	if w.ready("s-1") || !w.ready("s-2") {
+	fx.Play("p send {all}\np expect from=3&hold_ms=2000")
+	if fx.ready("s-1") || !fx.ready("s-2") {
 		t.Error("the complete list does not count")
 	}
 }
 
 // A call whose answer breaks off has failed: it is retried at once, and nothing of its answer counts.
 func TestDiscovery_listCutInTheMiddle(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["same"] = answered(sameList)
-	w.Play(`
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["same"] = listResponse(sameList)
+	fx.Play(`
 		wait 100ms
 		p accept pool
 		p expect hold_ms=1 HTTP/1.1
@@ -104,7 +104,7 @@
 		q send {same}
 		q expect from=8&hold_ms=2000
 	`)
-	if !w.ready("s-1") {
+	if !fx.ready("s-1") {
 		t.Error("half a list counts")
 	}
 }
@@ -114,54 +114,54 @@
 // which is lost too, and take 2 s to answer the next: no two calls are more than 4 s apart, so that the
 // change is known within 6 s of the return, whatever subscription time the settings allow.
 func TestDiscovery_serviceDownDuringAChange(t *testing.T) {
-	const known, turn = 6 * time.Second, 2 * time.Second
-	for how, says := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
+	const knownAfter, maxAnswerTime = 6 * time.Second, 2 * time.Second
+	for failure, response := range map[string]string{"refuses": `{down}`, "is silent": "", "breaks off": `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"index":9,"snap`,
 		"never ends": `{stream}1\r\n{\r\n`} {
 		for _, down := range []time.Duration{1700 * time.Millisecond, 8 * time.Second, 60 * time.Second} {
-			w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
+			fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) {
 				s.SubscribeDiscovery, s.Rules.SubscribeWithin, s.Balancers = true, 20*time.Second, 300
 			})
-			w.Variables["same"] = answered(sameList)
-			w.Variables["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
-			w.Variables["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
-			seen := uint64(0) // calls that the node has made
+			fx.Variables["same"] = listResponse(sameList)
+			fx.Variables["drains"] = listResponse(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
+			fx.Variables["down"] = `HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`
+			callsSeen := uint64(0) // calls that the node has made
 			awaitCall := func(most time.Duration) (time.Duration, bool) {
-				span, made := w.AdvanceUntil(most, func() bool { return w.discovery.counts.Sent > seen })
-				seen++
-				return span, made
+				elapsed, made := fx.AdvanceUntil(most, func() bool { return fx.discovery.counts.Sent > callsSeen })
+				callsSeen++
+				return elapsed, made
 			}
 			if _, made := awaitCall(5 * time.Second); !made {
 				t.Fatal("no call was made")
 			}
-			w.Play("p0 accept pool\np0 expect hold_ms=1 HTTP/1.1\np0 send {same}\np0 expect from=8&hold_ms=2000\np0 send {down}\np0 closed")
-			seen++ // the second one on the same connection
-			gone := time.Duration(0)
+			fx.Play("p0 accept pool\np0 expect hold_ms=1 HTTP/1.1\np0 send {same}\np0 expect from=8&hold_ms=2000\np0 send {down}\np0 closed")
+			callsSeen++ // the second one on the same connection
+			downSoFar := time.Duration(0)
 			for n := 1; ; n++ {
-				span, made := awaitCall(down + known)
-				if gone += span; !made || span > known-turn {
-					t.Fatalf("%s for %v: call %d comes %v after the one before it", how, down, n, span)
+				elapsed, made := awaitCall(down + knownAfter)
+				if downSoFar += elapsed; !made || elapsed > knownAfter-maxAnswerTime {
+					t.Fatalf("%s for %v: call %d comes %v after the one before it", failure, down, n, elapsed)
 				}
 				name := fmt.Sprint("p", n)
-				w.Play(name + " accept pool\n" + name + " expect from=8")
-				if gone >= down { // the first call after the return
-					w.Play(lines(name+" send {drains}", name+" expect from=9&hold_ms=2000"))
+				fx.Play(name + " accept pool\n" + name + " expect from=8")
+				if downSoFar >= down { // the first call after the return
+					fx.Play(lines(name+" send {drains}", name+" expect from=9&hold_ms=2000"))
 					break
 				}
-				if says != "" {
-					w.Play(name + " send " + says)
+				if response != "" {
+					fx.Play(name + " send " + response)
 				}
-				switch how {
+				switch failure {
 				case "breaks off":
-					w.Play(name + " close")
-					w.WaitUntil(func() bool { return w.discovery.watch == nil || w.discovery.counts.Sent > seen })
+					fx.Play(name + " close")
+					fx.WaitUntil(func() bool { return fx.discovery.watch == nil || fx.discovery.counts.Sent > callsSeen })
 				case "never ends":
-					w.WaitUntil(func() bool { return w.discovery.watch.headRead })
+					fx.WaitUntil(func() bool { return fx.discovery.watch.headRead })
 				case "refuses":
-					w.Play(name + " closed")
+					fx.Play(name + " closed")
 				}
 			}
-			if w.ready("s-1") {
-				t.Errorf("%s for %v: the change is not known", how, down)
+			if fx.ready("s-1") {
+				t.Errorf("%s for %v: the change is not known", failure, down)
 			}
 		}
 	}
@@ -170,23 +170,23 @@
 // Where lists are pushed the agent is watched from the start on and retried soon while it is
 // silent, and the node is healthy once the agent has answered.
 func TestDiscovery_pushedList(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Variables["drains"] = answered(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
-	w.Variables["back"] = answered(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
-	w.Loop.Call(func() {
-		w.discovery.config.Pushed = true
-		w.discovery.Start()
+	fx := newFixture(t, nil)
+	fx.Variables["drains"] = listResponse(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating"}]}`)
+	fx.Variables["back"] = listResponse(`{"index":10,"snapshot":false,"endpoints":[{"name":"s-1","address":"127.0.0.1:9","status":"Ready"}]}`)
+	fx.Loop.Call(func() {
+		fx.discovery.config.Pushed = true
+		fx.discovery.Start()
 	})
-	w.Play(`
+	fx.Play(`
 		p accept pool
 		p expect GET /v1/servers?from=7&hold_ms=1 HTTP/1.1
 		p send {drains}
 		p expect from=9&hold_ms=1000
 	`)
-	if w.ready("s-1") {
+	if fx.ready("s-1") {
 		t.Error("the agent's list is not applied")
 	}
-	w.Play(`
+	fx.Play(`
 		# The service is down: the agent says nothing.
 		wait 1400ms
 		p closed
@@ -202,7 +202,7 @@
 		r send {back}
 		r expect from=10&hold_ms=1000
 	`)
-	if !w.ready("s-1") {
+	if !fx.ready("s-1") {
 		t.Error("the agent answers again and its list is not applied")
 	}
 }
@@ -214,8 +214,8 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(old)
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["spoilt"] = answered(`{"index":9,"snapshot":true,"endpoints":[` +
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["spoilt"] = listResponse(`{"index":9,"snapshot":true,"endpoints":[` +
 		`{"name":"s-1","address":"somewhere","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:9","status":"Ready"},` +
 		`{"name":"s-2","address":"127.0.0.1:10","status":"Terminating"},` +
@@ -224,7 +224,7 @@
 		`{"name":"s-4","address":"127.0.0.1:9","status":"Ready","since_ms":9e15},` +
 		`{"name":"s-5","address":"127.0.0.1:9","status":"Ready","since_ms":-1},` +
 		`{"name":"s-6","address":"127.0.0.1:9","status":"Ready"}]}`)
-	w.Play(`
+	fx.Play(`
 		wait 100ms
 		p accept pool
 		p expect hold_ms=1 HTTP/1.1
@@ -232,13 +232,13 @@
 		p expect from=9&hold_ms=2000
 	`)
 	var names []string
-	var spoilt uint64
-	w.Loop.Call(func() {
-		w.core.EachWorker(func(id balance.WorkerID, _ balance.State, _ float64) { names = append(names, w.discovery.NameOf(id)) })
-		spoilt = w.discovery.RejectedEntries()
+	var rejected uint64
+	fx.Loop.Call(func() {
+		fx.core.EachWorker(func(id balance.WorkerID, _ balance.State, _ float64) { names = append(names, fx.discovery.NameOf(id)) })
+		rejected = fx.discovery.RejectedEntries()
 	})
-	if len(names) != 3 || !w.ready("s-1") || !w.ready("s-2") || !w.ready("s-6") || spoilt != 6 {
-		t.Errorf("listed %v, %d entries rejected", names, spoilt)
+	if len(names) != 3 || !fx.ready("s-1") || !fx.ready("s-2") || !fx.ready("s-6") || rejected != 6 {
+		t.Errorf("listed %v, %d entries rejected", names, rejected)
 	}
 	for _, want := range []string{"entry=0 destination=s-1 fault=\"address:", "entry=2 destination=s-2 fault=\"name: comes twice", "entry=3 destination=\"\" fault=\"name: missing",
 		"entry=4 destination=s-3 fault=\"status:", "entry=5 destination=s-4 fault=\"since_ms: 9000000000000000 lies in the future", "entry=6 destination=s-5 fault=\"since_ms: -1"} {
--- a/internal/node/protocol/fragmentation_test.go
+++ b/internal/node/protocol/fragmentation_test.go
@@ -22,21 +22,21 @@
 	requests := []string{head + "Req-Id: a\r\nContent-Length: 5\r\n\r\nhello", "\r\n\r\nPOST /a?x=y HTTP/1.1\nReq-Id: a\n\n",
 		chunked + "2;x=y\r\nhi\r\n3\r\n\r\n!\r\n0\r\nT: x\r\n\r\n", chunked + "2\r\nhi!\r\n0\r\n\r\n", chunked + "2\r\nhi\r\nz\r\n\r\n",
 		head + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "what is this\r\n\r\n", head + "no colon\r\n\r\n"}
-	seen := func(m Message, used int, err *Fault) string {
+	describe := func(m Message, used int, err *Fault) string {
 		return fmt.Sprintf("%s %s %q %d %v %q %v", m.Method, m.Target, m.Body, used, m.Close, m.Header("Req-Id"), err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		complete := rapid.SampledFrom(requests).Draw(t, "request")
-		want, got := seen(ParseRequest([]byte(complete))), ""
+		request := rapid.SampledFrom(requests).Draw(t, "request")
+		want, got := describe(ParseRequest([]byte(request))), ""
 		var r requestReader
-		every := rapid.Bool().Draw(t, "byte by byte")
-		for i := 1; i <= len(complete) && got == ""; i++ {
-			if i < len(complete) && !every && !rapid.Bool().Draw(t, "cut") {
+		byteByByte := rapid.Bool().Draw(t, "byte by byte")
+		for i := 1; i <= len(request) && got == ""; i++ {
+			if i < len(request) && !byteByByte && !rapid.Bool().Draw(t, "cut") {
 				continue
 			}
 			// Each time at another address, as buffers grow and move.
-			if m, used, err := r.read(bytes.Clone([]byte(complete[:i]))); used > 0 || err != nil {
-				got = seen(m, used, err)
+			if m, used, err := r.read(bytes.Clone([]byte(request[:i]))); used > 0 || err != nil {
+				got = describe(m, used, err)
 			}
 		}
 		if got != want {
@@ -46,7 +46,7 @@
 }
 
 // sendByteByByte sends a text byte by byte, with a turn of the loop after each.
-func (w *fixture) sendByteByByte(name, text string) {
+func (fx *fixture) sendByteByByte(name, text string) {
 	for i := 0; i < len(text); i++ {
 		part := text[i : i+1]
 		switch part {
@@ -56,31 +56,31 @@
 			i++
 			part = text[i-1 : i+1]
 		}
-		w.Play(name + " send " + part)
-		w.Loop.Call(func() {})
+		fx.Play(name + " send " + part)
+		fx.Loop.Call(func() {})
 	}
 }
 
 // Clients, prep workers, the pool config and operators may all send byte by byte.
-func TestFront_everythingByteByByte(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Variables["blank"] = " "
-	w.withAdmin(t, nil)
-	w.Loop.Call(w.discovery.Fetch)
-	w.Play("p accept pool\np expect GET /v1/servers")
-	list := `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + w.destinations.byID[workerIDOf("s-1")].address + `","status":"Ready","weight":1}]}`
-	w.sendByteByByte("p", fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(list), list))
-	w.WaitUntil(func() bool { return len(w.destinations.byID) == 1 })
-	w.Play("c dial front")
-	w.sendByteByByte("c", w.Variables["ask"])
-	w.Play("s accept workers\ns expect \\r\\n\\r\\nhi")
-	w.sendByteByByte("s", w.Variables["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+w.Variables["done"])
-	w.Play("c expect HTTP/1.1 200\nc expect fine\nc send {ask}\ns expect hi")
-	w.sendByteByByte("s", `HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nfull`)
-	w.Play("o dial admin")
-	w.sendByteByByte("o", `GET /-/ready HTTP/1.1\r\n\r\n`)
-	w.Play("o expect HTTP/1.1 200\no closed")
-	if n := w.outcomes(); n[balance.Served] != 1 || n[balance.Full] != 1 {
+func TestFront_allPeersSendByteByByte(t *testing.T) {
+	fx := newFixture(t, nil)
+	fx.Variables["blank"] = " "
+	fx.withAdmin(t, nil)
+	fx.Loop.Call(fx.discovery.Fetch)
+	fx.Play("p accept pool\np expect GET /v1/servers")
+	list := `{"index":9,"snapshot":true,"endpoints":[{"name":"s-1","address":"` + fx.destinations.byID[workerIDOf("s-1")].address + `","status":"Ready","weight":1}]}`
+	fx.sendByteByByte("p", fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(list), list))
+	fx.WaitUntil(func() bool { return len(fx.destinations.byID) == 1 })
+	fx.Play("c dial front")
+	fx.sendByteByByte("c", fx.Variables["ask"])
+	fx.Play("s accept workers\ns expect \\r\\n\\r\\nhi")
+	fx.sendByteByByte("s", fx.Variables["stream"]+scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)+fx.Variables["done"])
+	fx.Play("c expect HTTP/1.1 200\nc expect fine\nc send {ask}\ns expect hi")
+	fx.sendByteByByte("s", `HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 4\r\n\r\nfull`)
+	fx.Play("o dial admin")
+	fx.sendByteByByte("o", `GET /-/ready HTTP/1.1\r\n\r\n`)
+	fx.Play("o expect HTTP/1.1 200\no closed")
+	if n := fx.outcomes(); n[balance.Served] != 1 || n[balance.Full] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
@@ -93,41 +93,41 @@
 		from int // bytes that are a result, or prove that nothing ran
 		then string
 	}
-	line := func(state string) string {
+	chunkedLine := func(state string) string {
 		text := `{"id":"b1","state":"` + state + `","result":"fine"}` + "\n"
 		return fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 	}
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	done := head + line("started") + line("done")
-	back := head + line("returned")
-	full := "HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno"
-	for name, a := range map[string]answer{"done": {done, len(done) - 2, "c expect HTTP/1.1 200"}, "returned": {back, len(back) - 2, ""},
-		"declined": {full, len(full), ""}} {
-		w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.MaxAttempts = 1 })
-		w.Play("c dial front")
+	doneResponse := head + chunkedLine("started") + chunkedLine("done")
+	returnedResponse := head + chunkedLine("returned")
+	declinedResponse := "HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno"
+	for name, a := range map[string]answer{"done": {doneResponse, len(doneResponse) - 2, "c expect HTTP/1.1 200"}, "returned": {returnedResponse, len(returnedResponse) - 2, ""},
+		"declined": {declinedResponse, len(declinedResponse), ""}} {
+		fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.Limits.MaxAttempts = 1 })
+		fx.Play("c dial front")
 		for end := range len(a.text) + 1 {
-			w.Variables["cut"] = a.text[:end]
+			fx.Variables["cut"] = a.text[:end]
 			then := "c expect HTTP/1.1 502"
 			if end >= a.from {
 				if then = a.then; then == "" {
 					then = "c expect HTTP/1.1 503" // it may be repeated: nothing ran
 				}
 			}
-			w.Play(lines("c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send {cut}", "s close", then))
+			fx.Play(lines("c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send {cut}", "s close", then))
 		}
 		t.Log(name, len(a.text))
-		w.checkTotals(t)
+		fx.checkTotals(t)
 	}
 }
 
 // A response whose final line arrives and whose end never does: its client is served, and its connection is closed after a
 // time, lest the descriptors be used up.
 func TestDestinations_responsesWithoutAnEnd(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Variables["endless"] = strings.TrimSuffix(w.Variables["done"], `0\r\n\r\n`)
-	w.Play("c dial front")
-	for range w.destinations.config.MaxConnections + 2 {
-		w.Play(`
+	fx := newFixture(t, nil)
+	fx.Variables["endless"] = strings.TrimSuffix(fx.Variables["done"], `0\r\n\r\n`)
+	fx.Play("c dial front")
+	for range fx.destinations.config.MaxConnections + 2 {
+		fx.Play(`
 			c send {ask}
 			s accept workers
 			s expect hi
--- a/internal/node/protocol/front.go
+++ b/internal/node/protocol/front.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxDeadline = time.Hour // a longer deadline is cut to it
-	maxIDBytes  = 256       // of a Req-Id, an Idempotency-Key and an endpoint's name
+	maxDeadline = time.Hour // longer deadlines are reduced to it
+	maxIDBytes  = 256       // limit of a Req-Id, an Idempotency-Key and an endpoint's name
 
 	idempotencyKey = "Idempotency-Key" // forwarded unchanged
 )
@@ -25,24 +25,24 @@
 // FrontConfig configures the platform front.
 type FrontConfig struct {
 	Listen           string
-	MaxSockets       int            // connections at most
-	MaxBufferedBytes int            // of unprocessed input, over all connections
-	Classes          map[string]int // by name
-	Tenants          map[string]int
-	DefaultTimeouts  []time.Duration // by class: the deadline if a client names none
-	RetryAdvice      bool            // whether 503 answers may have Retry-After
-	Healthy          func() bool     // the answer of /healthz; nil: whether any destination is ready
+	MaxSockets       int             // maximum number of connections
+	MaxBufferedBytes int             // maximum of unprocessed input, over all connections
+	Classes          map[string]int  // class numbers by name
+	Tenants          map[string]int  // tenant numbers by name
+	DefaultTimeouts  []time.Duration // by class: used if the request has no Req-Deadline
+	RetryAdvice      bool            // whether 503 answers may have a Retry-After header
+	Healthy          func() bool     // whether /healthz answers 200; nil: it does while any destination is ready
 }
 
 // Front serves the platform's clients. Each valid request becomes one operation of the core,
-// whose final answer becomes the response. It implements routing.Owner and routing.Waiter.
+// whose final answer is sent as the response. It implements routing.Owner and routing.Waiter.
 type Front struct {
 	*Server
 	config       FrontConfig
 	core         *routing.Core
 	calls        map[slottable.Handle]*Call // by operation
-	openIDs      map[string]bool            // Req-Ids of the operations in progress
-	shuttingDown bool                       // /healthz answers 503
+	openIDs      map[string]bool            // the Req-Ids of the operations in progress
+	shuttingDown bool                       // /healthz answers 503 from now on
 }
 
 // NewFront returns the platform front; Start opens it.
@@ -52,8 +52,8 @@
 	return f
 }
 
-// BeginShutdown makes /healthz answer 503, so that clients go elsewhere. Requests are still
-// served, until Stop.
+// BeginShutdown makes /healthz answer 503, so that clients move to another node. Requests are
+// still served until Stop.
 func (f *Front) BeginShutdown() { f.shuttingDown = true }
 
 // healthy reports whether the node can serve requests.
@@ -64,7 +64,7 @@
 	return f.core.AnyReady()
 }
 
-// handle serves one request: the health check, or an operation.
+// handle serves one request: the health check or an operation.
 func (f *Front) handle(call *Call) {
 	path, _, _ := bytes.Cut(call.Target, []byte{'?'})
 	if string(path) == "/healthz" {
@@ -93,8 +93,8 @@
 		call.Reject(err.Status, err.Reason)
 		return
 	}
-	// Destinations tell requests apart by Req-Id: the outcome of a second one of the same
-	// Req-Id could end the first, which may be another client's.
+	// Destinations identify requests by Req-Id: with two open requests of one Req-Id, the
+	// outcome of the second could end the first, which may be another client's.
 	id := operation.Work.ID
 	if f.openIDs[id] {
 		call.Reject(409, "a request of this Req-Id is in work")
@@ -103,11 +103,11 @@
 	operation.Owner = f
 	handle := f.core.Accept(operation)
 	call.id = id
-	f.register(handle, call) // before Route, which may give the answer already
+	f.register(handle, call) // before Route, which may answer at once
 	f.core.Route(handle)
 }
 
-// register links an operation to its call, and withdraws it if the client disconnects.
+// register maps an operation to its call, and withdraws the operation if the client disconnects.
 func (f *Front) register(handle slottable.Handle, call *Call) {
 	f.calls[handle] = call
 	f.openIDs[call.id] = true
@@ -118,7 +118,7 @@
 	})
 }
 
-// parseOperation reads a request's header into an operation.
+// parseOperation converts a request to an operation.
 func (f *Front) parseOperation(message *Message, class int) (routing.Operation, *Fault) {
 	now := f.loop.Now()
 	for _, prefix := range [...]string{"Req-", idempotencyKey} {
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// parseExtra reads the slots and the memory that Req-Extra names, as "slots=2, memory=1.5".
+// parseExtra reads the slots and the memory from Req-Extra, for example "slots=2, memory=1.5".
 func parseExtra(message *Message, operation *routing.Operation) *Fault {
 	for pair := range strings.SplitSeq(string(message.Header("Req-Extra")), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
@@ -189,8 +189,8 @@
 
 func microseconds(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// parseNumber reads a finite decimal that is not negative. Go's other spellings of numbers
-// (hexadecimal, underscores, "Inf") are invalid on the wire.
+// parseNumber parses a finite, non-negative decimal number. Other forms that strconv accepts
+// (hexadecimal, underscores, "Inf") are invalid in the protocol.
 func parseNumber(v []byte) (float64, bool) {
 	if bytes.ContainsFunc(v, func(r rune) bool { return !strings.ContainsRune("0123456789.eE+-", r) }) {
 		return 0, false
@@ -199,7 +199,7 @@
 	return f, err == nil && f >= 0 && !math.IsInf(f, 0)
 }
 
-// cookieHash returns the hash of a cookie's value, which is never 0; 0 if there is no such cookie.
+// cookieHash returns a hash of the named cookie's value that is never 0, or 0 if there is no such cookie.
 func cookieHash(header []byte, name string) uint64 {
 	for part := range bytes.SplitSeq(header, []byte{';'}) {
 		k, v, ok := bytes.Cut(bytes.TrimSpace(part), []byte{'='})
@@ -210,7 +210,7 @@
 	return 0
 }
 
-// hash returns FNV-1a of 64 bits.
+// hash returns the 64-bit FNV-1a hash.
 func hash(b []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(b)
@@ -250,7 +250,7 @@
 }
 
 // ClientWaits implements routing.Waiter: it asks the operating system whether an operation's
-// client is still connected. The loop learns of a disconnect later, after all input before it.
+// client is still connected. The loop sees a disconnect only after it has read all earlier input.
 func (f *Front) ClientWaits(op slottable.Handle) bool {
 	call := f.calls[op]
 	if call == nil || !call.client.conn.PeerClosed() {
@@ -260,8 +260,8 @@
 	return false
 }
 
-// Started implements routing.Owner. It does nothing, nor do StepSent and StepEnded: a client
-// here gets the final answer alone.
+// Started implements routing.Owner. Like StepSent and StepEnded it does nothing: clients of
+// this front get only the final answer.
 func (f *Front) Started(slottable.Handle, balance.WorkerID) {}
 
 // StepSent implements routing.Owner; see Started.
--- a/internal/node/protocol/handover_test.go
+++ b/internal/node/protocol/handover_test.go
@@ -11,28 +11,28 @@
 )
 
 // handOver hands all connections of a fixture over to another one, through the encoding.
-func (w *fixture) handOver(t *testing.T, to *fixture) (texts [][]byte) {
+func (fx *fixture) handOver(t *testing.T, next *fixture) (encoded [][]byte) {
 	t.Helper()
 	var sockets [][]*os.File
-	w.Loop.Call(func() {
-		w.front.HandOver(w.destinations, func(p *Handover, with []*os.File) {
-			text, err := p.Encode()
+	fx.Loop.Call(func() {
+		fx.front.HandOver(fx.destinations, func(handover *Handover, connSockets []*os.File) {
+			message, err := handover.Encode()
 			if err != nil {
 				t.Error(err)
 			}
-			texts, sockets = append(texts, text), append(sockets, with)
+			encoded, sockets = append(encoded, message), append(sockets, connSockets)
 		})
 	})
-	for i, text := range texts {
-		p, err := DecodeHandover(text, len(sockets[i]))
+	for i, message := range encoded {
+		handover, err := DecodeHandover(message, len(sockets[i]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		conns := to.Loop.Adopt(sockets[i], p.Unread())
-		to.Loop.Call(func() { to.front.Adopt(to.destinations, p, conns) })
+		conns := next.Loop.Adopt(sockets[i], handover.Unread())
+		next.Loop.Call(func() { next.front.Adopt(next.destinations, handover, conns) })
 	}
-	w.checkTotals(t)
-	return texts
+	fx.checkTotals(t)
+	return encoded
 }
 
 // A request in progress moves with half a line of its response read, and continues there; a
@@ -40,7 +40,7 @@
 // is corrupt, or came with other sockets, is rejected.
 func TestFront_HandOver(t *testing.T) {
 	old, next := newFixture(t, nil), newFixture(t, nil)
-	started := scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)
+	startedChunk := scriptedpeer.Chunk(`{"id":"a1","state":"started"}`)
 	old.Play(`
 		idle dial front
 		idle send GET /healthz HTTP/1.1\r\n\r\n
@@ -49,16 +49,16 @@
 		c send {ask}
 		s accept workers
 		s expect hi
-		s send {stream}` + started[:20])
+		s send {stream}` + startedChunk[:20])
 	old.WaitUntil(func() bool {
-		for _, at := range old.destinations.exchanges {
-			return at.conn != nil && at.conn.headRead
+		for _, ex := range old.destinations.exchanges {
+			return ex.conn != nil && ex.conn.headRead
 		}
 		return false
 	})
-	texts := old.handOver(t, next)
+	encoded := old.handOver(t, next)
 	next.Advance(requestTimeout * 2 / 3)
-	old.Play("s send " + started[20:] + "{done}\nc expect HTTP/1.1 200\nc expect fine\nc send {ask}")
+	old.Play("s send " + startedChunk[20:] + "{done}\nc expect HTTP/1.1 200\nc expect fine\nc send {ask}")
 	next.WaitUntil(func() bool { return next.core.Counts().Served == 1 && next.core.OpenOperations() == 1 })
 	next.Advance(requestTimeout)
 	old.Play("idle send GET /healthz HTTP/1.1\\r\\n\\r\\n\nidle expect HTTP/1.1 200")
@@ -67,10 +67,10 @@
 		t.Errorf("%d front sockets are left behind", n)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		spoilt := append([]byte(nil), rapid.SampledFrom(texts).Draw(t, "parcel")...)
-		spoilt[rapid.IntRange(0, len(spoilt)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
+		corrupt := append([]byte(nil), rapid.SampledFrom(encoded).Draw(t, "parcel")...)
+		corrupt[rapid.IntRange(0, len(corrupt)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		n := rapid.IntRange(0, 3).Draw(t, "sockets")
-		if p, err := DecodeHandover(spoilt, n); err == nil && len(p.Unread()) != n && len(p.Learned) == 0 {
+		if handover, err := DecodeHandover(corrupt, n); err == nil && len(handover.Unread()) != n && len(handover.Learned) == 0 {
 			t.Fatal("sockets for another number of connections")
 		}
 	})
@@ -84,13 +84,13 @@
 	next.Loop.Call(func() {}) // both are up
 	var handle slottable.Handle
 	old.Loop.Call(func() {
-		for at := range old.front.calls {
-			handle = at
+		for open := range old.front.calls {
+			handle = open
 		}
 		carried := old.core.Release(handle, func(int, slottable.Handle) (bool, bool) { return false, true })
 		next.Loop.Post(func() {
-			at, _ := next.core.Adopt(carried, next.front)
-			next.core.Resume(at)
+			adopted, _ := next.core.Adopt(carried, next.front)
+			next.core.Resume(adopted)
 		})
 	})
 	next.WaitUntil(func() bool { return next.core.OpenOperations() == 0 && next.core.Counts().Operations == 1 })
--- a/internal/node/protocol/http.go
+++ b/internal/node/protocol/http.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	maxHeadBytes = 16 << 10 // of a start line and its header
-	maxBodyBytes = 64 << 10 // of a body, set by the platform's protocol
+	maxHeadBytes = 16 << 10 // limit of a start line and its header
+	maxBodyBytes = 64 << 10 // limit of a body, set by the platform's protocol
 
-	maxChunkedBytes = 2*maxBodyBytes + maxHeadBytes // of a chunked body with its framing
+	maxChunkedBytes = 2*maxBodyBytes + maxHeadBytes // limit of a chunked body with its framing
 )
 
-// parseRules are the parser's limits for every message.
+// parseRules are the parser's limits for all messages.
 var parseRules = http1.ParseRules{MaxHeadBytes: maxHeadBytes}
 
 // Fault is the reason why a message was rejected, with the HTTP status of the answer.
@@ -22,8 +22,8 @@
 // malformed returns the Fault of a message that cannot be parsed (status 400).
 func malformed(text string) *Fault { return http1.BadMessage(text) }
 
-// Message is a parsed request or response. Its slices point into the connection's
-// buffer and are valid until the handler returns.
+// Message is a parsed request or response. Its slices refer to the connection's buffer and
+// are valid until the handler returns.
 type Message struct {
 	http1.Head
 	Body []byte
@@ -33,7 +33,7 @@
 func (m *Message) Header(name string) []byte { return m.Get(name) }
 
 // duplicated returns the name of a header field that starts with prefix and occurs more than
-// once, or "". Such a message is ambiguous: the next hop might use the other value.
+// once, or "". Such a message is ambiguous, since the next hop might use the other value.
 func (m *Message) duplicated(prefix string) string {
 	for i, f := range m.RawHeader {
 		if len(f.Name) < len(prefix) || !http1.EqualFold(f.Name[:len(prefix)], prefix) {
@@ -48,26 +48,26 @@
 	return ""
 }
 
-// requestReader parses one request incrementally. Each call gets all bytes received so far
-// and resumes where the last one stopped, so that a client that sends byte by byte cannot
-// make the node parse the same bytes again and again.
+// requestReader parses one request incrementally. Each call of read gets all bytes received so
+// far and resumes where the last one stopped, so that a client that sends byte by byte cannot
+// make the node parse the same bytes repeatedly.
 type requestReader struct {
 	position        int // bytes parsed so far
 	headReader      http1.HeadReader
-	headEnd         int // where the head ends; 0: incomplete
+	headEnd         int // length of the head; 0: incomplete
 	bodyReader      http1.BodyReader
-	bodyLength      int  // of the body; http1.LengthChunked: in chunks
+	bodyLength      int  // http1.LengthChunked: the body is chunked
 	expectsContinue bool // the client waits for 100 Continue before it sends the body
 	body            []byte
 }
 
-// ParseRequest parses one request. used is the number of bytes parsed, 0 if more are needed.
+// ParseRequest parses one request. used is the number of bytes parsed, or 0 if the request is incomplete.
 func ParseRequest(in []byte) (m Message, used int, err *Fault) {
 	var r requestReader
 	return r.read(in)
 }
 
-// read resumes with all bytes received so far. used is 0 if more are needed.
+// read resumes with all bytes received so far. used is 0 if the request is incomplete.
 func (r *requestReader) read(in []byte) (m Message, used int, err *Fault) {
 	if r.headEnd == 0 {
 		if err := r.readHead(in); err != nil || r.headEnd == 0 {
@@ -83,7 +83,7 @@
 	} else if used, err = r.readChunks(in); err != nil || used == 0 {
 		return m, 0, err
 	}
-	// The head is parsed again: the buffer may have moved since, and its slices with it.
+	// The head is parsed again: the buffer may have moved, which invalidates its slices.
 	if _, err := http1.ParseHead(http1.Request, in[r.headReader.Start():], &parseRules, &m.Head); err != nil {
 		return m, 0, err
 	}
@@ -91,7 +91,7 @@
 	return m, used, nil
 }
 
-// readHead parses the head once its end has been received.
+// readHead parses the head once it has been received completely.
 func (r *requestReader) readHead(in []byte) *Fault {
 	var h http1.Head
 	r.headReader.Rules = parseRules
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// readChunks resumes a chunked body. It returns where the body ends, or 0 if it is incomplete.
+// readChunks resumes a chunked body. It returns the offset of the body's end, or 0 if the body is
+// incomplete.
 func (r *requestReader) readChunks(in []byte) (int, *Fault) {
 	for {
 		data, n, err := r.bodyReader.Next(in[r.position:])
@@ -120,15 +121,15 @@
 		}
 		r.position += n
 		r.body = append(r.body, data...)
-		// The framing is bounded too: chunks may have more framing than body.
-		seen := r.position
+		// The framing is limited too, since chunks may have more framing than data.
+		received := r.position
 		if n == 0 {
-			seen = len(in)
+			received = len(in)
 		}
 		switch {
 		case r.bodyReader.Remaining > maxBodyBytes:
 			return 0, &Fault{Status: 413, Reason: "a chunk is over 64 KiB"}
-		case len(r.body) > maxBodyBytes || seen-r.headEnd > maxChunkedBytes:
+		case len(r.body) > maxBodyBytes || received-r.headEnd > maxChunkedBytes:
 			return 0, &Fault{Status: 413, Reason: "the body is over 64 KiB"}
 		case r.bodyReader.Done:
 			return r.position, nil
@@ -138,18 +139,18 @@
 	}
 }
 
-// parseResponse parses the head of a response. It returns the head's length, 0 if it is incomplete.
+// parseResponse parses the head of a response. It returns the length of the head, or 0 if it is incomplete.
 func parseResponse(in []byte, m *Message) (int, *Fault) {
 	return http1.ParseHead(http1.Response, in, &parseRules, &m.Head)
 }
 
-// newBodyReader returns the reader of a response's body, by the framing in its head.
+// newBodyReader returns a reader for the body of a response whose head has been parsed.
 func newBodyReader(m *Message) http1.BodyReader {
 	return http1.NewResponseBodyReader(&m.Head, &parseRules)
 }
 
-// AppendResponse appends a response to out. extra holds further header lines, each with
-// its CRLF; closing adds "Connection: close".
+// AppendResponse appends a response to out. extra holds additional header lines, each with its
+// CRLF. If closing is set, the response has "Connection: close".
 func AppendResponse(out []byte, status int, extra string, body []byte, closing bool) []byte {
 	out = http1.AppendStatusLine(out, status)
 	out = http1.AppendIntField(out, "Content-Length", len(body))
--- a/internal/node/protocol/peers.go
+++ b/internal/node/protocol/peers.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	maxDatagramBytes = 256 // a longer message is not sent
-	peerListenRetry  = 20 * time.Millisecond
+	maxDatagramBytes = 256                   // longer messages are not sent
+	peerListenRetry  = 20 * time.Millisecond // interval of attempts to listen on an address in use
 )
 
 // PeersConfig configures the datagrams between the nodes of the tier.
 type PeersConfig struct {
 	Listen    string
-	Peers     []string // by number, this node's own included
-	Broadcast string   // reaches every node; may be empty
-	Ordinal   int
+	Peers     []string // addresses by ordinal, including this node's own
+	Broadcast string   // address that reaches every node; empty: none
+	Ordinal   int      // of this node
 }
 
 // Peers sends the balancer's messages to the other nodes of the tier as datagrams, and
-// passes those received to the core. Datagrams of unknown senders are dropped.
+// passes received ones to the core. Datagrams from unknown senders are dropped.
 type Peers struct {
 	config    PeersConfig
 	packets   *eventloop.Packets
@@ -37,32 +37,32 @@
 	muted     bool
 }
 
-// NewPeers returns the adapter, listening. Without an address to listen on it sends and
-// receives nothing. If the previous process of this node still has the address, NewPeers
-// retries until it is free.
+// NewPeers returns the adapter and listens on the address. If config.Listen is empty, the adapter
+// sends and receives nothing. While the previous process of this node still uses the address, it
+// retries in the background.
 func NewPeers(config PeersConfig, loop *eventloop.Loop, core *routing.Core) (*Peers, error) {
 	p := &Peers{config: config, ordinals: map[netip.AddrPort]int{}}
 	if config.Listen == "" {
 		return p, nil
 	}
 	for i, a := range config.Peers {
-		at, err := net.ResolveUDPAddr("udp", a)
+		address, err := net.ResolveUDPAddr("udp", a)
 		if err != nil {
 			return nil, err
 		}
-		p.addresses = append(p.addresses, at)
-		p.ordinals[unmapped(at.AddrPort())] = i
+		p.addresses = append(p.addresses, address)
+		p.ordinals[unmapped(address.AddrPort())] = i
 	}
 	if config.Broadcast != "" {
-		at, err := net.ResolveUDPAddr("udp", config.Broadcast)
+		address, err := net.ResolveUDPAddr("udp", config.Broadcast)
 		if err != nil {
 			return nil, err
 		}
-		p.broadcast = at
+		p.broadcast = address
 	}
 	err := p.open(loop, core)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		// The previous process of this node still has the address.
+		// The previous process of this node still uses the address.
 		slog.Info("peer_listen is in use, retrying", "address", config.Listen)
 		p.retryOpen(loop, core)
 		err = nil
@@ -72,18 +72,18 @@
 
 // open listens on the address.
 func (p *Peers) open(loop *eventloop.Loop, core *routing.Core) error {
-	out, err := loop.ListenPackets(p.config.Listen, func(from netip.AddrPort, data []byte) {
+	packets, err := loop.ListenPackets(p.config.Listen, func(from netip.AddrPort, data []byte) {
 		if i, ok := p.ordinals[unmapped(from)]; ok && i != p.config.Ordinal {
 			core.PeerMessage(i, data)
 		}
 	})
 	if err == nil {
-		p.packets = out
+		p.packets = packets
 	}
 	return err
 }
 
-// retryOpen tries to listen until the address is free. Until then nothing is sent or received.
+// retryOpen retries open until it succeeds. Until then nothing is sent or received.
 func (p *Peers) retryOpen(loop *eventloop.Loop, core *routing.Core) {
 	loop.Timers.Add(loop.Now()+peerListenRetry, func() {
 		if p.closed || p.open(loop, core) == nil {
@@ -93,7 +93,7 @@
 	})
 }
 
-// Mute stops sending, so that the peers do not count a node that shuts down as serving.
+// Mute stops sending, so that the peers do not count this node as serving while it shuts down.
 func (p *Peers) Mute() { p.muted = true }
 
 // Close releases the address for the next process of this node.
@@ -105,10 +105,10 @@
 	}
 }
 
-// unmapped returns an address with IPv4 in IPv6 unmapped, as keys of a map need it.
+// unmapped returns an IPv4-mapped IPv6 address as IPv4, so that equal addresses are equal map keys.
 func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// SendMessage implements routing.Peers: it sends a message to one node, by its ordinal, or to all others if to < 0.
+// SendMessage implements routing.Peers: it sends a message to the node with ordinal to, or to all other nodes if to < 0.
 func (p *Peers) SendMessage(to int, payload []byte) {
 	switch {
 	case p.packets == nil || p.muted:
@@ -119,9 +119,9 @@
 	case to < 0 && p.broadcast != nil:
 		p.packets.Send(p.broadcast, payload)
 	case to < 0:
-		for i, at := range p.addresses {
+		for i, address := range p.addresses {
 			if i != p.config.Ordinal {
-				p.packets.Send(at, payload)
+				p.packets.Send(address, payload)
 			}
 		}
 	}
--- a/internal/node/protocol/platform_test.go
+++ b/internal/node/protocol/platform_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestFront_servedOverOneIdleConnection(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send {ask}
 		s accept workers
@@ -29,16 +29,16 @@
 		# Both destinations are one stand-in; a probe shows that the connection is warm.
 		c send {ask}
 	`)
-	w.checkTotals(t)
-	if n := w.outcomes(); n[balance.Served] != 1 {
+	fx.checkTotals(t)
+	if n := fx.outcomes(); n[balance.Served] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
 
 // A client's idempotency key is forwarded unchanged: prep workers drop repeats by it.
 func TestFront_idempotencyKeyIsForwarded(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nidempotency-key:  5c0f 6E1a, 2b \r\nContent-Length: 2\r\n\r\nhi
 		s accept workers
@@ -47,18 +47,18 @@
 		s send {stream}{done}
 		c expect fine
 	`)
-	w.checkTotals(t)
+	fx.checkTotals(t)
 	for name, key := range map[string]string{"comes twice": `Idempotency-Key: a\r\nidempotency-key: a\r\n`,
 		"is too long": `Idempotency-Key: ` + strings.Repeat("a", maxIDBytes+1) + `\r\n`} {
-		w.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\n`+key+`\r\n`, "c expect HTTP/1.1 400",
+		fx.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\n`+key+`\r\n`, "c expect HTTP/1.1 400",
 			"c expect "+name, "c closed"))
 	}
 }
 
 // Requests may be split anywhere, and pipelined.
 func TestServer_splitAndPipelined(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send POST /pruefen HTTP/1.1\r\nReq-
 		c send Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n2\r
@@ -73,12 +73,12 @@
 		b send {stream}{booked}
 		c expect fine
 	`)
-	w.checkTotals(t)
+	fx.checkTotals(t)
 }
 
 // A malformed request is answered 4xx or 5xx, and its connection is closed.
 func TestFront_malformedRequests(t *testing.T) {
-	w := newFixture(t, nil)
+	fx := newFixture(t, nil)
 	head := `POST /pruefen HTTP/1.1\r\nReq-Id: a\r\n`
 	for name, c := range map[string][2]string{
 		"no request":      {`what\r\n\r\n`, "400"},
@@ -101,7 +101,7 @@
 		"NUL":             {head + "X: a\x00b" + `\r\n\r\n`, "400"},
 	} {
 		t.Log(name)
-		w.Play(lines("c dial front", "c send "+c[0], "c expect HTTP/1.1 "+c[1], "c expect Connection: close", "c closed"))
+		fx.Play(lines("c dial front", "c send "+c[0], "c expect HTTP/1.1 "+c[1], "c expect Connection: close", "c closed"))
 	}
 	// So is a well-formed request that is invalid.
 	for _, c := range [][2]string{
@@ -117,21 +117,21 @@
 		{`POST /pruefen HTTP/1.1\r\nReq-Id: a b\r\n\r\n`, "400"},
 	} {
 		t.Log(c[0])
-		w.Play(lines("c dial front", "c send "+c[0], "c expect HTTP/1.1 "+c[1], "c expect Connection: close", "c closed"))
+		fx.Play(lines("c dial front", "c send "+c[0], "c expect HTTP/1.1 "+c[1], "c expect Connection: close", "c closed"))
 	}
-	w.Loop.Call(func() {
-		if n := w.front.Counts().Rejected; n != 28 {
+	fx.Loop.Call(func() {
+		if n := fx.front.Counts().Rejected; n != 28 {
 			t.Errorf("%d requests counted as rejected", n)
 		}
 	})
-	w.checkTotals(t)
+	fx.checkTotals(t)
 }
 
 // The Req-Id of a request in progress may not be used a second time: the second could end the
 // first, which may be another client's. Afterwards it may.
-func TestFront_secondRequestOfAnOpenID(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+func TestFront_duplicateRequestID(t *testing.T) {
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send {ask}
 		s accept workers
@@ -154,8 +154,8 @@
 		r send {stream}{done}
 		e expect fine
 	`)
-	w.checkTotals(t)
-	if n := w.outcomes(); n[balance.Served] != 2 || n[balance.Cancelled] != 1 {
+	fx.checkTotals(t)
+	if n := fx.outcomes(); n[balance.Served] != 2 || n[balance.Cancelled] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
@@ -163,14 +163,14 @@
 // A request that a destination rejects as invalid is the client's fault: it is not retried
 // elsewhere, and does not count against the destination.
 func TestFront_destinationRejects(t *testing.T) {
-	w := newFixture(t, nil)
+	fx := newFixture(t, nil)
 	for range 3 {
-		w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi",
+		fx.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi",
 			`s send HTTP/1.1 400 X\r\nConnection: close\r\nContent-Length: 2\r\n\r\nno`, "c expect HTTP/1.1 400", "c closed"))
 	}
-	w.checkTotals(t)
-	w.Loop.Call(func() {
-		c := w.core.Counts()
+	fx.checkTotals(t)
+	fx.Loop.Call(func() {
+		c := fx.core.Counts()
 		if c.Steps != 3 || c.Rejected != 3 || c.Outcomes[balance.Errored]+c.Outcomes[balance.Reset] != 0 {
 			t.Errorf("%+v", c)
 		}
@@ -179,16 +179,16 @@
 
 // A body of just 64 KiB is accepted.
 func TestFront_largestBody(t *testing.T) {
-	w := newFixture(t, nil)
+	fx := newFixture(t, nil)
 	body := strings.Repeat("x", maxBodyBytes-3) + "end"
-	w.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 65536\r\n\r\n`+body,
+	fx.Play(lines("c dial front", `c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 65536\r\n\r\n`+body,
 		"s accept workers", "s expect xend", "s send {stream}{done}", "c expect fine"))
 }
 
 // The step of a client that disconnects is cancelled, which closes the step's connection.
 func TestFront_clientGone(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send {ask}
 		s accept workers
@@ -196,10 +196,10 @@
 		c close
 		s closed
 	`)
-	if n := w.outcomes(); n[balance.Cancelled] != 1 {
+	if n := fx.outcomes(); n[balance.Cancelled] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
-	w.checkTotals(t)
+	fx.checkTotals(t)
 }
 
 // The protocol page's table of outcomes. Each response ends a booking's first step. A request
@@ -228,20 +228,20 @@
 		"interim, then served": {`HTTP/1.1 100 Continue\r\n\r\n{stream}{booked}`, balance.Served},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newFixture(t, nil)
-			w.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send "+c.answer))
+			fx := newFixture(t, nil)
+			fx.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s send "+c.answer))
 			switch {
 			case c.want == balance.Served:
-				w.Play("c expect HTTP/1.1 200")
+				fx.Play("c expect HTTP/1.1 200")
 			case c.want.NeverRan():
-				w.Play(lines("r accept workers", "r expect Req-Id: b1", "r send {stream}{booked}", "c expect fine"))
+				fx.Play(lines("r accept workers", "r expect Req-Id: b1", "r send {stream}{booked}", "c expect fine"))
 			default:
-				w.Play("c expect HTTP/1.1 502")
+				fx.Play("c expect HTTP/1.1 502")
 			}
-			if n := w.outcomes(); n[c.want] == 0 {
+			if n := fx.outcomes(); n[c.want] == 0 {
 				t.Errorf("want outcome %d, have %v", c.want, n)
 			}
-			w.checkTotals(t)
+			fx.checkTotals(t)
 		})
 	}
 }
@@ -249,9 +249,9 @@
 // A request whose connection breaks after its last byte may have run: a booking is not retried,
 // and not answered 503, which would invite the client to repeat it.
 func TestDestinations_connectionBreaksAfterTheLastByte(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s close", "c expect HTTP/1.1 502"))
-	if n := w.outcomes(); n[balance.Reset] != 1 {
+	fx := newFixture(t, nil)
+	fx.Play(lines("c dial front", "c send {book}", "s accept workers", `s expect \r\n\r\n`, "s close", "c expect HTTP/1.1 502"))
+	if n := fx.outcomes(); n[balance.Reset] != 1 {
 		t.Errorf("outcomes %v", n)
 	}
 }
@@ -259,39 +259,39 @@
 // An idle connection that breaks at its next request leaves open whether that ran. After one
 // has, a booking gets a new connection for a while; an idempotent request still reuses one.
 func TestDestinations_nonIdempotentAvoidsIdleConnectionsAfterOneBroke(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Loop.Call(func() { // one destination, so that it is clear which connection is meant
-		up := balance.ListUpdate{Kind: balance.ListChanges}
-		for id, to := range w.destinations.byID {
-			if to.name == "s-2" {
-				up.Workers = append(up.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
+	fx := newFixture(t, nil)
+	fx.Loop.Call(func() { // one destination, so that it is clear which connection is meant
+		update := balance.ListUpdate{Kind: balance.ListChanges}
+		for id, target := range fx.destinations.byID {
+			if target.name == "s-2" {
+				update.Workers = append(update.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
 			}
 		}
-		w.core.PoolChanged(up)
+		fx.core.PoolChanged(update)
 	})
 	serve := func(conn, answer string) string {
 		return lines(conn+" expect Req-Id", conn+` expect \r\n\r\n`, conn+" send {stream}"+answer, "c expect fine", "wait 1s")
 	}
-	asked := func(conn string) string { return serve(conn, "{done}") }
-	booked := func(conn string) string { return serve(conn, "{booked}") }
-	w.Play(lines("c dial front", "c send {ask}", "s accept workers", asked("s"), "c send {book}", booked("s")))
-	w.Play(lines("c send {book}", "s expect Req-Id: b1", "s close", "c expect HTTP/1.1 502"))
-	w.Play(lines("c send {ask}", "t accept workers", asked("t"), "c send {book}", "u accept workers", booked("u")))
-	w.Play(lines("c send {ask}", asked("u"), "wait 1m", "c send {ask}", "v accept workers", asked("v"), "c send {book}", booked("v")))
+	serveIdempotent := func(conn string) string { return serve(conn, "{done}") }
+	serveBooking := func(conn string) string { return serve(conn, "{booked}") }
+	fx.Play(lines("c dial front", "c send {ask}", "s accept workers", serveIdempotent("s"), "c send {book}", serveBooking("s")))
+	fx.Play(lines("c send {book}", "s expect Req-Id: b1", "s close", "c expect HTTP/1.1 502"))
+	fx.Play(lines("c send {ask}", "t accept workers", serveIdempotent("t"), "c send {book}", "u accept workers", serveBooking("u")))
+	fx.Play(lines("c send {ask}", serveIdempotent("u"), "wait 1m", "c send {ask}", "v accept workers", serveIdempotent("v"), "c send {book}", serveBooking("v")))
 }
 
 // A refused connection proves that nothing ran: after the last attempt the booking is answered
 // 503, so that the client may repeat it.
 func TestDestinations_connectRefused(t *testing.T) {
-	w := newFixture(t, nil)
-	none := scriptedpeer.FreeAddress(t)
-	w.Loop.Call(func() {
-		for id, to := range w.destinations.byID {
-			w.destinations.SetAddress(id, to.name, none)
+	fx := newFixture(t, nil)
+	unusedAddress := scriptedpeer.FreeAddress(t)
+	fx.Loop.Call(func() {
+		for id, target := range fx.destinations.byID {
+			fx.destinations.SetAddress(id, target.name, unusedAddress)
 		}
 	})
-	w.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503"))
-	if n := w.outcomes(); n[balance.ConnectFailed] != 2 {
+	fx.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503"))
+	if n := fx.outcomes(); n[balance.ConnectFailed] != 2 {
 		t.Errorf("outcomes %v", n)
 	}
 }
@@ -299,8 +299,8 @@
 // A request without an outcome is answered shortly before its deadline, and the step's
 // connection is closed.
 func TestFront_deadline(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send {book}
 		s accept workers
@@ -309,45 +309,45 @@
 		c expect HTTP/1.1 502
 		s closed
 	`)
-	w.checkTotals(t)
+	fx.checkTotals(t)
 }
 
 // The destination begins to drain, or is disabled by an override, while the connection to it is
 // opened: not a byte may be written, since the platform's limit counts from a request's first byte.
 func TestDestinations_drainWhileConnecting(t *testing.T) {
 	t.Run("listed", func(t *testing.T) {
-		drainWhileConnecting(t, func(w *fixture, up balance.ListUpdate) { w.core.PoolChanged(up) })
+		drainWhileConnecting(t, func(fx *fixture, up balance.ListUpdate) { fx.core.PoolChanged(up) })
 	})
 	t.Run("by hand", func(t *testing.T) {
-		drainWhileConnecting(t, func(w *fixture, up balance.ListUpdate) {
-			w.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
+		drainWhileConnecting(t, func(fx *fixture, up balance.ListUpdate) {
+			fx.discovery.config.Overrides = override.Overrides{"s-1": {Out: true}, "s-2": {Out: true}}
 			for _, l := range up.Workers {
-				w.discovery.Republish(l.Worker)
+				fx.discovery.Republish(l.Worker)
 			}
 		})
 	})
 }
 
 func drainWhileConnecting(t *testing.T, drain func(*fixture, balance.ListUpdate)) {
-	w := newFixture(t, nil)
-	w.Loop.Call(func() {
-		up := balance.ListUpdate{Kind: balance.ListChanges}
-		for id := range w.destinations.byID {
-			up.Workers = append(up.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
+	fx := newFixture(t, nil)
+	fx.Loop.Call(func() {
+		update := balance.ListUpdate{Kind: balance.ListChanges}
+		for id := range fx.destinations.byID {
+			update.Workers = append(update.Workers, balance.WorkerListing{Worker: id, State: balance.Draining, Scale: 1})
 		}
 		m, _, fault := ParseRequest([]byte("POST /buchen HTTP/1.1\r\nReq-Id: b1\r\nReq-Deadline: 3\r\n\r\n"))
 		if fault != nil {
 			t.Error(fault)
 			return
 		}
-		op, _ := w.front.parseOperation(&m, 1)
-		op.Owner = w.front
-		w.core.Route(w.core.Accept(op)) // dials, and the dial ends in a later turn
-		drain(w, up)
+		op, _ := fx.front.parseOperation(&m, 1)
+		op.Owner = fx.front
+		fx.core.Route(fx.core.Accept(op)) // dials, and the dial ends in a later turn
+		drain(fx, update)
 	})
-	w.Play("s accept workers")
-	w.WaitUntil(func() bool { return w.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
-	if n := w.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
+	fx.Play("s accept workers")
+	fx.WaitUntil(func() bool { return fx.core.Counts().Outcomes[balance.ConnectFailed] > 0 })
+	if n := fx.outcomes(); n[balance.Reset]+n[balance.Served]+n[balance.TimedOut] != 0 {
 		t.Errorf("outcomes %v", n)
 	}
 }
@@ -355,12 +355,12 @@
 // An idle connection is closed before the destination would close it: a request that crosses
 // that close would end as a reset, and may have run.
 func TestDestinations_idleConnectionClosesFirst(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi", "s send {stream}{done}",
+	fx := newFixture(t, nil)
+	fx.Play(lines("c dial front", "c send {ask}", "s accept workers", "s expect hi", "s send {stream}{done}",
 		"c expect fine", "wait 59500ms", "s closed"))
-	w.Loop.Call(func() {
-		if w.destinations.openConns != 0 {
-			t.Errorf("%d connections are counted as open", w.destinations.openConns)
+	fx.Loop.Call(func() {
+		if fx.destinations.openConns != 0 {
+			t.Errorf("%d connections are counted as open", fx.destinations.openConns)
 		}
 	})
 }
@@ -368,12 +368,12 @@
 // The pool config's list is watched without a gap; a failed call is reported to the balancer,
 // which asks again.
 func TestDiscovery_watchAndFetch(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
 	list := func(json string) string { return `{stream}` + scriptedpeer.Chunk(json) + `0\r\n\r\n` }
-	w.Variables["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
-	w.Variables["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
-	w.Variables["empty"] = list(`{"index":12,"snapshot":true,"endpoints":[]}`)
-	w.Play(`
+	fx.Variables["same"] = list(`{"index":8,"snapshot":false,"endpoints":[]}`)
+	fx.Variables["drains"] = list(`{"index":9,"snapshot":false,"endpoints":[{"name":"s-1","status":"Terminating","weight":1.0}]}`)
+	fx.Variables["empty"] = list(`{"index":12,"snapshot":true,"endpoints":[]}`)
+	fx.Play(`
 		wait 100ms
 		p accept pool
 		p expect GET /v1/servers?from=7&hold_ms=1 HTTP/1.1
@@ -403,9 +403,9 @@
 // A watch that falls silent is abandoned and retried before the change that it misses counts as
 // known: 2 s past the hold time.
 func TestDiscovery_timeoutOfAWatch(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
-	w.Play(`
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
+	fx.Play(`
 		wait 100ms
 		p accept pool
 		p expect hold_ms=1 HTTP/1.1
@@ -422,15 +422,15 @@
 // list and version there, and the end of the old watch is not reported as a failure: the
 // balancer would wait a while before it asked again.
 func TestDiscovery_SetAddress(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
-	w.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
-	w.Variables["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
-	w.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
+	fx := newFixture(t, func(s *balance.Settings, _ *FrontConfig) { s.SubscribeDiscovery = true })
+	fx.Variables["same"] = `{stream}` + scriptedpeer.Chunk(`{"index":8,"snapshot":false,"endpoints":[]}`) + `0\r\n\r\n`
+	fx.Variables["none"] = `{stream}` + scriptedpeer.Chunk(`{"index":9,"snapshot":true,"endpoints":[]}`) + `0\r\n\r\n`
+	fx.Play(lines("wait 100ms", "p accept pool", "p expect hold_ms=1 HTTP/1.1", "p send {same}", "p expect from=8"))
 	for _, name := range []string{"next", "last"} {
-		address := w.Listen(name)
-		w.Loop.Call(func() { w.discovery.SetAddress(address) })
+		address := fx.Listen(name)
+		fx.Loop.Call(func() { fx.discovery.SetAddress(address) })
 	}
-	w.Play(`
+	fx.Play(`
 		p closed
 		n accept last
 		n expect GET /v1/servers?from=8&hold_ms=1 HTTP/1.1
@@ -443,17 +443,17 @@
 		c expect HTTP/1.1 503
 	`)
 	// Nor does it wait for the balancer where the last call had failed.
-	w.Play(lines(`n send HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, "n closed"))
-	address := w.Listen("third")
-	w.Loop.Call(func() { w.discovery.SetAddress(address) })
-	w.Play(lines("o accept third", "o expect from=9&hold_ms=1"))
+	fx.Play(lines(`n send HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n`, "n closed"))
+	address := fx.Listen("third")
+	fx.Loop.Call(func() { fx.discovery.SetAddress(address) })
+	fx.Play(lines("o accept third", "o expect from=9&hold_ms=1"))
 }
 
 // After SIGTERM the node still serves, answers 503 at /healthz, and closes each connection with
 // its last answer.
 func TestServer_Stop(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send {ask}
 		s accept workers
@@ -462,15 +462,15 @@
 		idle send GET /healthz HTTP/1.1\r\n\r\n
 		idle expect HTTP/1.1 200
 	`)
-	w.Loop.Call(w.front.BeginShutdown)
-	w.Play(`
+	fx.Loop.Call(fx.front.BeginShutdown)
+	fx.Play(`
 		late dial front
 		late send GET /healthz HTTP/1.1\r\n\r\n
 		late expect HTTP/1.1 503
 	`)
 	drained := make(chan struct{})
-	w.Loop.Call(func() { w.front.Stop(0, func() { close(drained) }) })
-	w.Play(`
+	fx.Loop.Call(func() { fx.front.Stop(0, func() { close(drained) }) })
+	fx.Play(`
 		idle closed
 		late closed
 		s send {stream}{done}
@@ -480,16 +480,16 @@
 		idle close
 		late close
 	`)
-	w.Loop.Call(func() {
+	fx.Loop.Call(func() {
 		select {
 		case <-drained:
 			t.Error("drained, and a client has not ended its side")
 		default:
 		}
 	})
-	w.Play("c close")
+	fx.Play("c close")
 	<-drained
-	if c, err := net.Dial("tcp", w.front.config.Listen); err == nil {
+	if c, err := net.Dial("tcp", fx.front.config.Listen); err == nil {
 		c.Close()
 		t.Error("the node still listens")
 	}
@@ -498,10 +498,10 @@
 // A client that does not complete a request within 2.8 s is answered 408, or its connection is
 // closed if nothing was received; a request received in fragments has no more time.
 func TestServer_unfinishedRequests(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play("silent dial front")
-	w.WaitUntil(func() bool { return w.front.sockets.Len() == 1 })
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play("silent dial front")
+	fx.WaitUntil(func() bool { return fx.front.sockets.Len() == 1 })
+	fx.Play(`
 		head dial front
 		head send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\n
 		body dial front
@@ -529,9 +529,9 @@
 		c send GET /healthz HTTP/1.1\r\n\r\n
 		c expect 200
 	`)
-	w.Loop.Call(func() {
-		if w.front.bufferedBytes != 0 || w.front.counts.Silent != 1 {
-			t.Errorf("%d bytes held, %+v", w.front.bufferedBytes, w.front.counts)
+	fx.Loop.Call(func() {
+		if fx.front.bufferedBytes != 0 || fx.front.counts.Silent != 1 {
+			t.Errorf("%d bytes held, %+v", fx.front.bufferedBytes, fx.front.counts)
 		}
 	})
 }
@@ -539,49 +539,49 @@
 // Near the limit silent connections are shed first, then stalled requests; an ordinary client
 // reopens its idle connection, but does not repeat half a request.
 func TestServer_shedsSilentConnectionsFirst(t *testing.T) {
-	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
+	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
-	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
+	fx.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "silent dial front",
 		"half dial front", `half send POST /pruefen HTTP/1.1\r\n`))
-	w.WaitUntil(func() bool { return w.front.sockets.Len() == 3 && w.front.bufferedBytes > 0 })
+	fx.WaitUntil(func() bool { return fx.front.sockets.Len() == 3 && fx.front.bufferedBytes > 0 })
 	// The unfinished request is one of few and may yet be completed: the idle connection is shed.
-	w.Play(lines("wait 300ms", "b dial front", "b "+health, "b expect 200", "silent closed", "c dial front", "c "+health,
+	fx.Play(lines("wait 300ms", "b dial front", "b "+health, "b expect 200", "silent closed", "c dial front", "c "+health,
 		"c expect 200", "a closed"))
 	// It is stalled now.
-	w.Play(lines("wait 1800ms", "d dial front", "d "+health, "d expect 200", "half closed", "b "+health, "b expect 200"))
+	fx.Play(lines("wait 1800ms", "d dial front", "d "+health, "d expect 200", "half closed", "b "+health, "b expect 200"))
 }
 
 // A request sent over more than two seconds is served, also while many others are unfinished or
 // idle.
 func TestServer_slowRequestAmongMany(t *testing.T) {
-	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
-	w.Variables["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
-	w.Play("slow dial front")
+	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 8 })
+	fx.Variables["slowly"] = scriptedpeer.Chunk(`{"id":"slow","state":"done","result":"fine"}`) + `0\r\n\r\n`
+	fx.Play("slow dial front")
 	var slow *clientConn
-	w.WaitUntil(func() bool {
-		w.front.sockets.All(func(_ slottable.Handle, f *clientConn) { slow = f })
+	fx.WaitUntil(func() bool {
+		fx.front.sockets.All(func(_ slottable.Handle, client *clientConn) { slow = client })
 		return slow != nil
 	})
-	come := 0
+	sentBytes := 0
 	for i, part := range []string{`POST /pru`, `efen HTTP/1.1\r\nReq`, `-Id: slow\r\nReq-Dead`, `line: 3.0\r\nContent-Length: 2\r\n`,
 		`\r\nh`, `i`} {
-		w.Play("slow send " + part)
-		come += len(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(part))
-		w.WaitUntil(func() bool { return slow.bufferedBytes == come || slow.call != nil || !slow.conn.Open() })
+		fx.Play("slow send " + part)
+		sentBytes += len(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(part))
+		fx.WaitUntil(func() bool { return slow.bufferedBytes == sentBytes || slow.call != nil || !slow.conn.Open() })
 		for j := range 6 {
 			name := fmt.Sprintf("x%d%d", i, j)
-			w.Play(name + " dial front")
+			fx.Play(name + " dial front")
 			if j%2 == 0 {
-				w.Play(lines(name+` send GET /healthz HTTP/1.1\r\n\r\n`, name+" expect 200"))
+				fx.Play(lines(name+` send GET /healthz HTTP/1.1\r\n\r\n`, name+" expect 200"))
 			} else {
-				w.Play(name + ` send POST /pruefen HT`)
+				fx.Play(name + ` send POST /pruefen HT`)
 			}
-			w.WaitUntil(func() bool { return w.front.listener.Pending() == 0 })
-			w.Advance(60 * time.Millisecond)
+			fx.WaitUntil(func() bool { return fx.front.listener.Pending() == 0 })
+			fx.Advance(60 * time.Millisecond)
 		}
-		w.Advance(70 * time.Millisecond)
+		fx.Advance(70 * time.Millisecond)
 	}
-	w.Play(`
+	fx.Play(`
 		s accept workers
 		s expect hi
 		s send {stream}{slowly}
@@ -591,20 +591,20 @@
 
 // Hundreds of silent connections arrive at once; an ordinary client that connects right after
 // them is served.
-func TestServer_regularClientBehindABurst(t *testing.T) {
-	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
+func TestServer_ordinaryClientAfterABurst(t *testing.T) {
+	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 3 })
 	for i := range 11 {
-		w.Play(fmt.Sprintf("silent%d dial front", i))
+		fx.Play(fmt.Sprintf("silent%d dial front", i))
 	}
-	w.WaitUntil(func() bool { return w.front.sockets.Len()+len(w.front.lingering) >= 9 })
-	w.Play(lines("wait 30ms", "c dial front", `c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
+	fx.WaitUntil(func() bool { return fx.front.sockets.Len()+len(fx.front.lingering) >= 9 })
+	fx.Play(lines("wait 30ms", "c dial front", `c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
 // Where every connection has a request in progress a further client is answered 503 at once,
 // instead of waiting in the listen backlog.
 func TestServer_allSocketsBusy(t *testing.T) {
-	w := newFixture(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = lastSockets+1, 1 })
-	w.Play(`
+	fx := newFixture(t, func(s *balance.Settings, f *FrontConfig) { f.MaxSockets, s.Limits.MaxAttempts = overflowSockets+1, 1 })
+	fx.Play(`
 		c dial front
 		c send {ask}
 		s accept workers
@@ -619,35 +619,35 @@
 }
 
 // Unfinished requests share one memory limit; beyond it the largest is rejected.
-func TestServer_inputBudget(t *testing.T) {
-	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
+func TestServer_inputMemoryLimit(t *testing.T) {
+	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxBufferedBytes = 100 << 10 })
 	part := func(name string, bytes int) string {
 		return lines(name+" dial front", name+` send POST /pruefen HTTP/1.1\r\nReq-Id: `+name+`\r\nContent-Length: 65536\r\n\r\n`+
 			strings.Repeat("x", bytes))
 	}
-	buffered := func(bytes int) func() bool { return func() bool { return w.front.bufferedBytes > bytes } }
-	w.Play(part("one", 30<<10))
-	w.WaitUntil(buffered(30 << 10))
-	w.Play(part("two", 60<<10))
-	w.WaitUntil(buffered(90 << 10))
-	w.Play(lines(part("three", 25<<10), "two expect HTTP/1.1 503", "two closed"))
-	w.Play(lines("one send "+strings.Repeat("x", 34<<10), "s accept workers", "s expect xxx", "s send {stream}"+
+	buffered := func(bytes int) func() bool { return func() bool { return fx.front.bufferedBytes > bytes } }
+	fx.Play(part("one", 30<<10))
+	fx.WaitUntil(buffered(30 << 10))
+	fx.Play(part("two", 60<<10))
+	fx.WaitUntil(buffered(90 << 10))
+	fx.Play(lines(part("three", 25<<10), "two expect HTTP/1.1 503", "two closed"))
+	fx.Play(lines("one send "+strings.Repeat("x", 34<<10), "s accept workers", "s expect xxx", "s send {stream}"+
 		scriptedpeer.Chunk(`{"id":"one","state":"done","result":"fine"}`)+`0\r\n\r\n`, "one expect fine"))
 }
 
 // A client that keeps writing at full speed still gets the error, and its descriptor is released.
 func TestServer_errorArrivesAtFullSpeed(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send POST /pruefen HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 60000000\r\n\r\n
 	`)
-	piece := strings.Repeat("x", 64<<10)
+	chunk := strings.Repeat("x", 64<<10)
 	for range 200 {
-		w.Play("c send " + piece)
+		fx.Play("c send " + chunk)
 	}
-	w.Play(lines("c expect HTTP/1.1 413", "c closed", "wait 1100ms"))
-	w.WaitUntil(func() bool { return w.front.listener.Open() == 0 })
+	fx.Play(lines("c expect HTTP/1.1 413", "c closed", "wait 1100ms"))
+	fx.WaitUntil(func() bool { return fx.front.listener.Open() == 0 })
 }
 
 // However it is split, a request is parsed as if received at once, and a line once parsed is
@@ -681,42 +681,42 @@
 
 // At the limit of connections the one idle longest is shed.
 func TestServer_socketsAtTheLimit(t *testing.T) {
-	w := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
+	fx := newFixture(t, func(_ *balance.Settings, f *FrontConfig) { f.MaxSockets = spareSockets + 2 })
 	health := `send GET /healthz HTTP/1.1\r\n\r\n`
-	w.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "b dial front", "b "+health, "b expect 200",
+	fx.Play(lines("a dial front", "a "+health, "a expect 200", "wait 1s", "b dial front", "b "+health, "b expect 200",
 		"wait 1s", "c dial front", "c "+health, "c expect 200", "a closed", "b "+health, "b expect 200"))
 }
 
 // A connection abandoned while it is opened counts until its socket is closed: the limit of
 // descriptors would else be exceeded.
 func TestDestinations_abandonedDialCountsUntilClosed(t *testing.T) {
-	w := newFixture(t, nil)
+	fx := newFixture(t, nil)
 	step := slottable.Handle(99)
-	w.Loop.Call(func() {
-		for id := range w.destinations.byID {
-			w.destinations.Send(step, id, &routing.Work{ID: "a1", Target: "/pruefen"}, w.Loop.Now()+time.Second)
+	fx.Loop.Call(func() {
+		for id := range fx.destinations.byID {
+			fx.destinations.Send(step, id, &routing.Work{ID: "a1", Target: "/pruefen"}, fx.Loop.Now()+time.Second)
 			break
 		}
-		w.destinations.Abort(step)
-		if w.destinations.openConns != 1 {
-			t.Errorf("%d connections count while one is still being given up", w.destinations.openConns)
+		fx.destinations.Abort(step)
+		if fx.destinations.openConns != 1 {
+			t.Errorf("%d connections count while one is still being given up", fx.destinations.openConns)
 		}
 	})
-	w.WaitUntil(func() bool { return w.destinations.openConns == 0 })
+	fx.WaitUntil(func() bool { return fx.destinations.openConns == 0 })
 }
 
 // At the limit of connections to destinations a step fails as not connected, so that it never
 // ran, and the node continues.
 func TestDestinations_connectionsAtTheLimit(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Loop.Call(func() { w.destinations.config.MaxConnections = 0 })
-	w.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503",
+	fx := newFixture(t, nil)
+	fx.Loop.Call(func() { fx.destinations.config.MaxConnections = 0 })
+	fx.Play(lines("c dial front", "c send {book}", "c expect HTTP/1.1 503",
 		`c send GET /healthz HTTP/1.1\r\n\r\n`, "c expect 200"))
 }
 
 func TestDestinations_loadReports(t *testing.T) {
-	w := newFixture(t, nil)
-	c := &destinationConn{owner: w.destinations}
+	fx := newFixture(t, nil)
+	c := &destinationConn{owner: fx.destinations}
 	for text, want := range map[string][2]float32{
 		`{"queue":7,"x0":2}`:   {7, 2},
 		`{"backlog":7,"x0":2}`: {7, 2},
@@ -734,9 +734,9 @@
 
 // A process that may be killed soon answers all requests before: idempotent ones are answered
 // 503, others fail, and later requests have no longer deadline either.
-func TestDestinations_outcomeBeforeTheEndOfTheResponse(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Play(`
+func TestFront_limitedDeadlines(t *testing.T) {
+	fx := newFixture(t, nil)
+	fx.Play(`
 		c dial front
 		c send {ask}
 		s accept workers
@@ -746,8 +746,8 @@
 		r accept workers
 		r expect b1
 	`)
-	w.Loop.Call(func() { w.core.LimitDeadlines(w.front, w.Loop.Now()+time.Second) })
-	w.Play(`
+	fx.Loop.Call(func() { fx.core.LimitDeadlines(fx.front, fx.Loop.Now()+time.Second) })
+	fx.Play(`
 		e dial front
 		e send POST /buchen HTTP/1.1\r\nReq-Id: b2\r\nReq-Deadline: 3.0\r\n\r\n
 		q accept workers
@@ -760,23 +760,23 @@
 		r closed
 		q closed
 	`)
-	w.checkTotals(t)
+	fx.checkTotals(t)
 }
 
 // A destination answers a probe with 503. Nothing is sent there for a while, though the list has
 // it as ready.
 func TestDestinations_probeRejected(t *testing.T) {
-	w := newFixture(t, nil)
-	w.Variables["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
-	w.leaveOneWorker()
-	w.Loop.Call(func() { w.destinations.Probe(workerIDOf("s-1")) })
-	w.Play(lines("p accept workers", "p expect GET /load", "p send {no}"))
-	w.WaitUntil(func() bool { return len(w.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response is read and its connection idle
-	w.Play(lines("c dial front", "c send {ask}", "c arrives"))
-	w.WaitUntil(func() bool { return w.core.OpenOperations() == 1 })
-	w.Play("wait 1s")
-	if n := w.steps(); n != 0 {
+	fx := newFixture(t, nil)
+	fx.Variables["no"] = `HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}`
+	fx.leaveOneWorker()
+	fx.Loop.Call(func() { fx.destinations.Probe(workerIDOf("s-1")) })
+	fx.Play(lines("p accept workers", "p expect GET /load", "p send {no}"))
+	fx.WaitUntil(func() bool { return len(fx.destinations.byID[workerIDOf("s-1")].idle) == 1 }) // the response is read and its connection idle
+	fx.Play(lines("c dial front", "c send {ask}", "c arrives"))
+	fx.WaitUntil(func() bool { return fx.core.OpenOperations() == 1 })
+	fx.Play("wait 1s")
+	if n := fx.stepsSent(); n != 0 {
 		t.Errorf("%d attempts", n)
 	}
-	w.Play(lines("wait 1100ms", "p expect hi", "p send {stream}{done}", "c expect HTTP/1.1 200"))
+	fx.Play(lines("wait 1100ms", "p expect hi", "p send {stream}{done}", "c expect HTTP/1.1 200"))
 }
--- a/internal/node/protocol/server_call.go
+++ b/internal/node/protocol/server_call.go
@@ -6,7 +6,7 @@
 	"ospreybend/internal/util/http1"
 )
 
-// Call is one request and the means to answer it, by Reply, Reject or a stream.
+// Call is one request. It is answered by Reply, Reject or a stream.
 type Call struct {
 	Message    // valid until serve returns
 	client     *clientConn
@@ -20,7 +20,7 @@
 // OnClientGone sets a callback for when the client disconnects before the answer.
 func (c *Call) OnClientGone(f func()) { c.clientGone = f }
 
-// Reply answers the call; further answers are ignored. extra holds further header lines,
+// Reply answers the call; further answers are ignored. extra holds additional header lines,
 // each with its CRLF.
 func (c *Call) Reply(status int, extra string, body []byte) {
 	client := c.client
@@ -33,8 +33,9 @@
 	client.conn.Pump()
 }
 
-// BeginStream starts an answer in chunks, which Write sends until EndStream. It returns false
-// if the client cannot read one, as with HTTP/1.0.
+// BeginStream starts a chunked answer, to which Write adds chunks until EndStream. It returns
+// false if the call has been answered or is streamed already, or if the client uses HTTP/1.0,
+// which has no chunks.
 func (c *Call) BeginStream(status int, extra string) bool {
 	client := c.client
 	if client.call != c || c.streaming || c.HTTP10 {
@@ -50,8 +51,8 @@
 	return true
 }
 
-// Write sends one chunk. Callers should wait for Flushed first, so that a slow client does
-// not use up memory.
+// Write sends one chunk. Callers should first wait until Flushed returns true, so that chunks
+// for a slow client do not fill the memory.
 func (c *Call) Write(part []byte) {
 	if len(part) > 0 {
 		line := append(strconv.AppendInt(nil, int64(len(part)), 16), "\r\n"...)
--- a/internal/node/protocol/server_shedding.go
+++ b/internal/node/protocol/server_shedding.go
@@ -7,10 +7,11 @@
 	"ospreybend/internal/node/slottable"
 )
 
-// SetLimits changes the most connections, up to what the server was made with, and the most
-// bytes of unprocessed input. Connections over the limit are shed as far as the rules allow.
-func (s *Server) SetLimits(maxSockets, memory int) {
-	s.maxSockets, s.maxBufferedBytes = min(maxSockets, s.socketLimit), memory
+// SetLimits changes the limits of connections and of unprocessed input, in bytes. The limit of
+// connections cannot exceed that given to NewServer. Connections over the limit are shed as far
+// as the rules of shedOne allow.
+func (s *Server) SetLimits(maxSockets, maxBufferedBytes int) {
+	s.maxSockets, s.maxBufferedBytes = min(maxSockets, s.socketLimit), maxBufferedBytes
 	s.shedExcess()
 }
 
@@ -20,24 +21,24 @@
 	}
 }
 
-// shedOne closes one connection, and reports whether there was one to close. In order:
+// shedOne closes one connection and reports whether there was one to close. The candidates are, in order:
 //
 //  1. a silent one, on which nothing was received for longer than an ordinary client needs;
 //  2. one with a stalled request, or with any unfinished request while these fill more than
-//     1/unfinishedShare of the connections;
+//     1/unfinishedDivisor of the connections;
 //  3. one that lingers after its last answer;
 //  4. an idle one;
 //  5. one with an unfinished request.
 //
-// Unfinished requests usually come after idle connections because a slow client would lose
-// its request, while an idle one just reconnects. A request received in fragments counts by
-// its last fragment and comes after those received in one piece. A connection with a call in
-// progress is never closed, nor is a new one, whose request may be on its way. The times are
-// short because such connections arrive by hundreds.
+// Unfinished requests are usually shed after idle connections because a slow client would lose
+// its request, while an idle one just reconnects. The age of a request received in fragments is
+// that of its last fragment, and it is shed after those received in one piece. A connection with
+// a call in progress is never closed, nor is a new one, whose request may be on its way. The age
+// limits are short because such connections arrive by the hundred.
 func (s *Server) shedOne() bool {
 	now := s.loop.Now()
 	var silent, unfinished, idle *clientConn
-	slow := 0
+	unfinishedCount := 0
 	s.sockets.All(func(_ slottable.Handle, client *clientConn) {
 		switch {
 		case client.call != nil || !client.conn.Open():
@@ -46,22 +47,22 @@
 				idle = client
 			}
 		case client.bufferedBytes == 0:
-			if now-client.requestBegan >= freshConnAge && (silent == nil || client.requestBegan < silent.requestBegan) {
+			if now-client.requestStartedAt >= freshConnAge && (silent == nil || client.requestStartedAt < silent.requestStartedAt) {
 				silent = client
 			}
 		default:
-			slow++
+			unfinishedCount++
 			if now-client.lastReadAt >= slowRequestAge && (unfinished == nil || client.lessLikelyToComplete(unfinished)) {
 				unfinished = client
 			}
 		}
 	})
-	// Connections that the client has closed meanwhile need no shedding.
+	// Connections that the client has closed in the meantime need not be shed.
 	s.lingering = slices.DeleteFunc(s.lingering, func(c *eventloop.Conn) bool { return !c.Lingering() })
 	switch {
 	case silent.nothingUnread():
 		silent.close()
-	case unfinished.nothingUnread() && (now-unfinished.lastReadAt >= stalledRequestAge || slow > s.maxSockets/unfinishedShare):
+	case unfinished.nothingUnread() && (now-unfinished.lastReadAt >= stalledRequestAge || unfinishedCount > s.maxSockets/unfinishedDivisor):
 		unfinished.close()
 	case len(s.lingering) > 0:
 		s.lingering[0].Close()
@@ -78,13 +79,13 @@
 	return true
 }
 
-// nothingUnread reports whether there is a connection and all that it has received has been
-// read: its request might otherwise be complete by now.
+// nothingUnread reports whether the connection is not nil and all received bytes have been read.
+// With unread bytes its request might be complete.
 func (client *clientConn) nothingUnread() bool { return client != nil && client.conn.NothingUnread() }
 
-// lessLikelyToComplete reports whether this unfinished request is less likely to be completed than another:
-// one received in fragments will probably go on, one that received everything at once and
-// then nothing will not.
+// lessLikelyToComplete reports whether this unfinished request is less likely to be completed than the other.
+// One received in fragments will probably continue; one of which a single piece was received and
+// nothing since will probably not.
 func (client *clientConn) lessLikelyToComplete(other *clientConn) bool {
 	if client.fragmented != other.fragmented {
 		return !client.fragmented
@@ -93,7 +94,7 @@
 }
 
 // setBuffered records how much unprocessed input the connection has. While the server's
-// limit is exceeded the unfinished request with the most input is answered 503.
+// limit is exceeded, the unfinished request with the most input is answered 503.
 func (client *clientConn) setBuffered(bytes int) {
 	s := client.server
 	s.bufferedBytes += bytes - client.bufferedBytes
